--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -315,8 +315,13 @@
 // A txn is taken in each form that the protocol page allows, whole, in two pieces and byte by byte, from a
 // client that writes slowly, and its time counts from its last byte. Guards against forms that are read only
 // as one client happens to write them.
+//
+// As many forms run at once as the test runner allows, and the window starts at 1.5 requests in flight for
+// each worker: with a worker for each of them the whole burst is let in. Before one worker the window starts
+// at 4.5, and a form that came when it was full was shed with 429.
 func TestFormsOfTxns(t *testing.T) {
-	d := deploy(t, 1, 5000)
+	const formsAndWays = 84
+	d := deployWith(t, func(c *config.Gatekeeper) { c.Sockets = 4 * formsAndWays }, formsAndWays, 5000)
 	plain, sold := check("/check", "1"), sale("/sale", "1")
 	swap := func(s string, pairs ...string) string { return strings.NewReplacer(pairs...).Replace(s) }
 	chunked := func(s, body string) string { return swap(s, "Content-Length: 4\r\n\r\na\r\nb", body) }
