--- /dev/null
+++ b/internal/rulebook/golden_test.go
@@ -0,0 +1,72 @@
+package rulebook
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"willowdeck/internal/accord"
+)
+
+// The files in testdata/golden were written once: rules.toml by Encode of the code of commit d6a566a from the
+// value below, short.toml by hand. They stand for files that operators keep, so that there is no flag that
+// writes them again: if a test here fails, the code has changed the form, not the file.
+
+func goldenRules() accord.Rules {
+	return accord.Rules{
+		Form: 1, Needs: []string{"members"},
+		Plans: []accord.Plan{{Name: "gold", Rate: 11, Burst: 12, CeilingRate: 13, CeilingDepth: 14,
+			Credit: 0.5, Repay: 15000}},
+		Members: []accord.Member{{Name: "gk1", Host: "h1", Peers: "10.0.0.1:7001"}},
+		Words: []accord.Word{{Worker: "w1", Hall: "hall1", Barred: true, Drained: true, Weight: 2.5},
+			{Worker: "w2", Hall: "hall2", Weight: 1.5}},
+		Fallback: accord.Fallback{Part: 0.25, For: 9000}, Lease: 1200, Bound: 1900,
+	}
+}
+
+// noZeroField fails where a struct, or an element of its lists, has a field that is zero: only the second
+// word of operators may.
+func noZeroField(t *testing.T, v reflect.Value) {
+	t.Helper()
+	for i := range v.NumField() {
+		f := v.Field(i)
+		if f.IsZero() || f.Kind() == reflect.Slice && f.Len() == 0 {
+			t.Errorf("%s.%s is zero", v.Type(), v.Type().Field(i).Name)
+		}
+		if f.Kind() == reflect.Slice && f.Len() > 0 && f.Index(0).Kind() == reflect.Struct {
+			noZeroField(t, f.Index(0))
+		}
+		if f.Kind() == reflect.Struct {
+			noZeroField(t, f)
+		}
+	}
+}
+
+func TestGoldenFile(t *testing.T) {
+	path := filepath.Join("testdata", "golden", "rules.toml")
+	want := goldenRules()
+	noZeroField(t, reflect.ValueOf(want))
+	got, err := Read(path)
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("read as\n%+v\nnot as\n%+v\n%v", got, want, err)
+	}
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if text, err := Encode(&want); err != nil || text != string(raw) {
+		t.Errorf("encoded to\n%s\nnot to\n%s\n%v", text, raw, err)
+	}
+}
+
+// A file need not name what has a value of its own.
+func TestGoldenDefaults(t *testing.T) {
+	got, err := Read(filepath.Join("testdata", "golden", "short.toml"))
+	want := accord.Rules{Form: 1, Lease: 1000, Bound: 2000, Fallback: accord.Fallback{Part: 0.5, For: 10000},
+		Plans:   []accord.Plan{{Name: "gold", Rate: 11, Burst: 12}},
+		Members: []accord.Member{{Name: "gk1", Host: "h1"}}}
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("read as\n%+v\nnot as\n%+v\n%v", got, want, err)
+	}
+}
