--- a/internal/council/golden_test.go
+++ b/internal/council/golden_test.go
@@ -5,6 +5,8 @@
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
+	"net/http"
+	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -92,6 +94,21 @@
 	}
 }
 
+// Daemons of two versions meet at these paths.
+func TestGoldenPaths(t *testing.T) {
+	mux := (&Council{}).handler().(*http.ServeMux)
+	for _, path := range []string{"/council/hello", "/council/raft", "/council/join"} {
+		_, pattern := mux.Handler(httptest.NewRequest(http.MethodPost, path, nil))
+		sameAs(t, path, pattern, "POST "+path)
+	}
+}
+
+// Operators count what was refused by these names.
+func TestGoldenReasons(t *testing.T) {
+	sameAs(t, "reasons", []string{tooLong, garbled, otherForm, otherName, stranger, otherDisk, crowded},
+		[]string{"too_long", "garbled", "other_form", "other_cluster", "stranger", "other_disk", "queue_full"})
+}
+
 func goldenView() View {
 	return View{State: "member", Why: "why", Me: "h1", Disk: "a1", Council: "c", Leader: "h2", Term: 3,
 		Applied: 44,
