--- /dev/null
+++ b/internal/relayd/golden_test.go
@@ -0,0 +1,101 @@
+package relayd
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"willowdeck/internal/accord"
+	"willowdeck/internal/resource"
+	"willowdeck/internal/strict"
+	"willowdeck/internal/testkit/goldenform"
+)
+
+// The golden files were written once, at commit d6a566a, by a test that was not kept: it wrote what
+// Form.Encode made of Form.Value, the stored copy by keepCopy, and relay.toml as TOML with its keys in lower
+// case. They stand for what an earlier program stored and sent, and are never written again; a test that
+// fails here is met by a tag or a type of the old form.
+
+const goldenCluster = "golden cluster"
+
+var goldenForms = []goldenform.Form{
+	{File: "status.json", New: func() any { return &Status{} }, Encode: json.Marshal, Decode: json.Unmarshal},
+	{File: "status.txt", New: func() any { return &Status{} },
+		Encode: func(v any) ([]byte, error) { return []byte(v.(*Status).Lines()), nil }},
+	{File: "relay.toml", New: func() any { return &File{} },
+		Decode: func(raw []byte, into any) error { return strict.Decode(string(raw), into) }},
+}
+
+func TestGoldenForms(t *testing.T) {
+	for _, form := range goldenForms {
+		t.Run(form.File, form.Check)
+	}
+}
+
+// goldenVersion has a value that is not zero in each field of its rules.
+func goldenVersion(number uint64) *accord.Version {
+	v := &accord.Version{}
+	goldenform.Fill(v)
+	v.Number, v.Rules.Form, v.Rules.Needs = number, accord.Form, []string{accord.ManyMembers}
+	return v
+}
+
+func goldenStates(t *testing.T) (rules, pending *resource.State) {
+	t.Helper()
+	rules, err := accord.Entries(goldenVersion(7))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if pending, err = accord.Entries(goldenVersion(8)); err != nil {
+		t.Fatal(err)
+	}
+	return rules, pending
+}
+
+func TestGoldenStoredCopy(t *testing.T) {
+	golden := filepath.Join("testdata", "golden", "copy")
+	rules, pending, err := readCopy(golden, goldenCluster)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for number, state := range map[uint64]*resource.State{7: rules, 8: pending} {
+		want := goldenVersion(number)
+		if zeros := goldenform.Zeros(want); len(zeros) > 0 {
+			t.Errorf("the known version has zero fields: %v", zeros)
+		}
+		if got, err := accord.FromState(state); err != nil || !reflect.DeepEqual(&got, want) {
+			t.Errorf("%v: version %d is read as\n%+v\nwant\n%+v", err, number, got, *want)
+		}
+		var keys []string
+		for key := range state.All() {
+			keys = append(keys, key)
+		}
+		if want := []string{"member/000000", "member/000001", "plan/0000", "plan/0001", "rules", "word/0000",
+			"word/0001"}; !reflect.DeepEqual(keys, want) {
+			t.Errorf("version %d has the keys %q, want %q", number, keys, want)
+		}
+	}
+	rules, pending = goldenStates(t)
+	path := filepath.Join(t.TempDir(), "copy")
+	if err := keepCopy(path, goldenCluster, rules, pending); err != nil {
+		t.Fatal(err)
+	}
+	got, err := os.ReadFile(path)
+	if want := goldenform.Read(t, "copy"); err != nil || !bytes.Equal(got, want) {
+		t.Errorf("%v: the copy is written as\n%q\nwant\n%q", err, got, want)
+	}
+}
+
+// Names that other processes and operators go by.
+func TestGoldenNames(t *testing.T) {
+	for got, want := range map[string]string{AskPath: "/relay/ask", contentType: "application/cbor",
+		string(copyMagic): "willowdeck relay copy 1\n", tooLong: "too_long", unfit: "unfit",
+		noAnswer: "unanswered"} {
+		if got != want {
+			t.Errorf("%q, want %q", got, want)
+		}
+	}
+}
