--- /dev/null
+++ b/internal/credit/book/golden_test.go
@@ -0,0 +1,82 @@
+package book
+
+import (
+	"bytes"
+	"compress/gzip"
+	"io"
+	"reflect"
+	"testing"
+
+	"willowdeck/internal/credit"
+	"willowdeck/internal/member"
+	"willowdeck/internal/testkit/goldenform"
+)
+
+// The golden file was written once, at commit d6a566a, by a test that was not kept: the bytes of goldenFile
+// up to the end of the third place, packed by gzip. It stands for what an earlier program stored, and is
+// never written again.
+
+const (
+	goldenMe   = 3
+	goldenUp   = 12345.5 // ms
+	goldenEnd  = header + 3*place
+	goldenBoot = "golden start of the machine"
+)
+
+// goldenRecord has a value that is not zero in each field.
+func goldenRecord() credit.Record {
+	r := credit.Record{}
+	goldenform.Fill(&r)
+	return r
+}
+
+// goldenFile is a book of three places: a record that was stored twice, an empty place, and one stored once.
+func goldenFile() *File {
+	f := &File{b: make([]byte, size), up: goldenUp}
+	f.fresh(goldenMe, []byte(goldenBoot))
+	first, third := goldenRecord(), goldenRecord()
+	third.Customer, third.Rights = 77, -5
+	f.Keep(0, &first)
+	f.Keep(0, &first)
+	f.Keep(2, &third)
+	f.Hear(1, member.Word{Incarnation: 4, Sequence: 9})
+	return f
+}
+
+func TestGoldenBook(t *testing.T) {
+	unzip, err := gzip.NewReader(bytes.NewReader(goldenform.Read(t, "book.gz")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden, err := io.ReadAll(unzip)
+	if err != nil || len(golden) != goldenEnd {
+		t.Fatalf("%v: %d bytes, want %d", err, len(golden), goldenEnd)
+	}
+	if got := goldenFile().b[:goldenEnd]; !bytes.Equal(got, golden) {
+		for i := range got {
+			if got[i] != golden[i] {
+				t.Fatalf("byte %d is written as %#x, want %#x", i, got[i], golden[i])
+			}
+		}
+	}
+	f := &File{b: make([]byte, size), up: goldenUp}
+	copy(f.b, golden)
+	if f.load(atMagic) != magic || f.load(atMe) != goldenMe || !f.read() {
+		t.Fatal("the book is not taken")
+	}
+	if boot := string(bytes.TrimRight(f.b[atBoot:bootEnd], "\x00")); boot != goldenBoot || f.Born != goldenUp {
+		t.Errorf("the book is of start %q, born at %v", boot, f.Born)
+	}
+	first, third := goldenRecord(), goldenRecord()
+	third.Customer, third.Rights = 77, -5
+	if zeros := goldenform.Zeros(first); len(zeros) > 0 {
+		t.Errorf("the known record has zero fields: %v", zeros)
+	}
+	if want := []Kept{{0, first}, {2, third}}; f.Spoilt != 0 || !reflect.DeepEqual(f.Records, want) {
+		t.Errorf("%d spoilt; read as\n%+v\nwant\n%+v", f.Spoilt, f.Records, want)
+	}
+	heard, next := member.Word{Incarnation: 4, Sequence: 9}, member.Word{Incarnation: 4, Sequence: 10}
+	if f.Hear(1, heard) || !f.Hear(1, next) {
+		t.Error("a peer's last word is not known")
+	}
+}
