--- /dev/null
+++ b/internal/lab/golden_scenarios_test.go
@@ -0,0 +1,53 @@
+package lab_test // scale imports lab
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"willowdeck/internal/capacity"
+	"willowdeck/internal/emu"
+	"willowdeck/internal/lab"
+	"willowdeck/internal/scale"
+	"willowdeck/internal/strict"
+)
+
+// readAs names the reader of a scenario's file by a key that only that kind of file has.
+func readAs(text string) (string, func(path string) error) {
+	switch {
+	case strict.Has(text, "scenario"):
+		return "experiment", func(path string) error { _, err := lab.Read(path); return err }
+	case strict.Has(text, "coming"):
+		return "capacity", func(path string) error { _, err := capacity.ReadSpec(path); return err }
+	case strict.Has(text, "machine"):
+		return "scale", func(path string) error { _, err := scale.Read(path); return err }
+	}
+	return "scenario", func(path string) error { _, err := emu.Read(path); return err }
+}
+
+// TestGoldenScenarios: each file of scenarios/ is read by its program, which refuses unknown keys. Files may
+// be added; of each kind there have to be as many as there were, at least.
+func TestGoldenScenarios(t *testing.T) {
+	files, err := filepath.Glob("../../scenarios/*.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	count := map[string]int{}
+	for _, path := range files {
+		raw, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		kind, read := readAs(string(raw))
+		count[kind]++
+		if err := read(path); err != nil {
+			t.Errorf("%s: %v", kind, err)
+		}
+	}
+	t.Logf("read: %v", count)
+	for kind, least := range map[string]int{"scenario": 18, "experiment": 14, "capacity": 2, "scale": 4} {
+		if count[kind] < least {
+			t.Errorf("%s: %d files, there were %d", kind, count[kind], least)
+		}
+	}
+}
