--- /dev/null
+++ b/internal/benchwire/golden_test.go
@@ -0,0 +1,91 @@
+package benchwire
+
+import (
+	"bufio"
+	"bytes"
+	"strings"
+	"testing"
+
+	"willowdeck/internal/testkit/goldenform"
+	"willowdeck/logic"
+)
+
+// The golden files were written at commit d6a566a: input.jsonl by hand, with each message that the bench
+// sends; output.jsonl is the reply of that commit's code without timers, whose moments are the module's own
+// affair; decisions.jsonl is what goldenDecisions were encoded as. They stand for what the bench sends and
+// expects, and are never written again.
+
+func TestGoldenTranscript(t *testing.T) {
+	out, err := play(string(goldenform.Read(t, "input.jsonl")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, want := bare(out), string(goldenform.Read(t, "output.jsonl")); got != want {
+		t.Errorf("the reply is\n%s\nwant\n%s", got, want)
+	}
+}
+
+// goldenDecisions has one of each kind.
+var goldenDecisions = []logic.Decision{
+	{Kind: logic.Submit, Txn: 11, Worker: 1, Wait: 12.5},
+	{Kind: logic.Decline, Txn: 13, Wait: 14.5},
+	{Kind: logic.Void, Txn: 15},
+	{Kind: logic.Withdraw, Txn: 16, N: 2},
+	{Kind: logic.Tell, Peer: 4, Reports: []logic.Report{{Customer: 17, Plan: 1, Demand: 18, Known: 3}}},
+	{Kind: logic.Wake, At: 19.0005},
+}
+
+// encodeGolden gives the lines of all kinds of decisions, and that of a panic.
+func encodeGolden() string {
+	var out bytes.Buffer
+	l := &link{out: bufio.NewWriter(&out)}
+	in := &instance{num: 5}
+	in.workers.Of("w-a")
+	in.workers.Of("w-b")
+	for i := range goldenDecisions {
+		l.encode(in, &goldenDecisions[i])
+	}
+	l.crash(in, "a \"panic\"")
+	_ = l.out.Flush()
+	return out.String()
+}
+
+func TestGoldenDecisions(t *testing.T) {
+	if got, want := encodeGolden(), string(goldenform.Read(t, "decisions.jsonl")); got != want {
+		t.Errorf("decisions are encoded as\n%s\nwant\n%s", got, want)
+	}
+}
+
+// TestGoldenOutcomes: each code of the bench is the outcome that it was.
+func TestGoldenOutcomes(t *testing.T) {
+	want := map[string]logic.Outcome{"pass": logic.Settled, "fault": logic.Fault, "no_room": logic.Full,
+		"too_slow": logic.TimedOut, "no_route": logic.NoRoute, "cut": logic.Cut, "undone": logic.Withdrawn,
+		"stale_send": logic.NotSent}
+	for code, outcome := range want {
+		if got, there := outcomes[code]; !there || got != outcome {
+			t.Errorf("%s is outcome %v, want %v", code, got, outcome)
+		}
+	}
+	if len(outcomes) != len(want) {
+		t.Errorf("there are %d codes, want %d", len(outcomes), len(want))
+	}
+}
+
+// TestGoldenLoad: each figure of a load report is read.
+func TestGoldenLoad(t *testing.T) {
+	got := burden(map[string]any{"concurrent": 2.0, "depth": 3.0, "load_share": 0.5})
+	if want := (logic.Burden{Held: 2, Waiting: 3, Busy: 0.5}); got != want {
+		t.Errorf("a load report is read as %+v, want %+v", got, want)
+	}
+}
+
+// The input has each message that there is.
+func TestGoldenInputHasAll(t *testing.T) {
+	input := string(goldenform.Read(t, "input.jsonl"))
+	for _, name := range []string{"ROUND", "END", "SNAPSHOT_ROWS", "LAUNCH", "DETACH", "DIRECTORY_UPDATE",
+		"REQUEST", "BEGUN", "OUTCOME", "GONE", "WHISPER", "REMINDER", "PROBE_RESULT", "COUNTED"} {
+		if !strings.Contains(input, `["`+name+`"`) {
+			t.Errorf("%s is not in the input", name)
+		}
+	}
+}
