--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -3,7 +3,9 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
+	"net/http"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -16,6 +18,8 @@
 	"github.com/rs/zerolog"
 
 	"willowdeck/internal/accord"
+	"willowdeck/internal/relay"
+	"willowdeck/internal/relayd"
 	"willowdeck/internal/strict"
 	"willowdeck/internal/testkit/goldenform"
 )
@@ -49,6 +53,10 @@
 func (goldenVoice) Began(int, bool)           {}
 func (goldenVoice) Ended(int)                 {}
 
+func (goldenVoice) Asked(int, string, uint64, int64) (accord.Lease, bool) {
+	return accord.Lease{}, false
+}
+
 // goldenVersion has a value that is not zero in each field, and passes accord.CheckPart.
 func goldenVersion() accord.Version {
 	v := accord.Version{}
@@ -128,6 +136,41 @@
 	}
 }
 
+// TestGoldenRefusals: the reasons by which refused questions are counted at operators' ports.
+func TestGoldenRefusals(t *testing.T) {
+	d := goldenDaemon(t.TempDir())
+	d.pids.Store(4321, "golden-0")
+	for pid, want := range map[int]string{4321: "unconfirmed", 4322: "stranger"} {
+		var refused *relayd.Refusal
+		if _, err := d.ask(&relay.Ask{Process: pid, From: "golden-0"}); !errors.As(err, &refused) ||
+			refused.Reason != want {
+			t.Errorf("process %d is refused with %v, want %q", pid, err, want)
+		}
+	}
+}
+
+// TestGoldenPaths: what is asked at the operators' port of a daemon below relays that looks ahead.
+func TestGoldenPaths(t *testing.T) {
+	d := goldenFigures(t.TempDir())
+	d.fleet.Control = "127.0.0.1:0"
+	port, err := d.Open()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer port.Close()
+	for path, want := range map[string]int{"/fleet/health": 200, "/fleet/stats": 200, "/fleet/relay": 200,
+		"/fleet/words": 200, "/fleet/ask": 405, "/fleet/lease": 400, "/fleet/other": 404} {
+		response, err := http.Get("http://" + port.At + path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		_ = response.Body.Close()
+		if response.StatusCode != want {
+			t.Errorf("GET %s is answered with %d, want %d", path, response.StatusCode, want)
+		}
+	}
+}
+
 // goldenProgram notes the environment and the arguments that it is started with, and waits.
 const goldenProgram = `#!/bin/sh
 env > "$TMPDIR/env.part"
