--- /dev/null
+++ b/internal/serving/wal/golden_test.go
@@ -0,0 +1,151 @@
+package wal_test
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+
+	"willowdeck/internal/serving/consensus"
+	"willowdeck/internal/serving/wal"
+	"willowdeck/internal/serving/wirepb"
+)
+
+// testdata/data is the disk of a replica as the code of 2 December 2026 wrote it: by Log.Rewrite, two calls
+// of Log.Append, and SaveIdentity, with the values below. It is never rewritten: disks in use have this form.
+const (
+	goldenFolder   = "testdata/data"
+	goldenSegment  = "segment-0000000000000002" // the second that its log began
+	goldenIdentity = "127.0.0.1#0a1b2c3d4e5f"
+	goldenSecond   = "10.0.0.2#founder"
+	goldenThird    = "10.0.0.3#founder"
+	goldenGone     = "10.0.0.1#founder"
+)
+
+// The commands in the golden entries: an order "order-4" to evacuate z, and a departure.
+const (
+	goldenEvacuation = "\n\aorder-4\x1a\x05\n\x01z\x10\x01"
+	goldenDeparture  = "\n\x14depart w-unconfirmed\"\x11\n\rw-unconfirmed\x10\t"
+	goldenMembers    = "\n\x16" + goldenIdentity + "\n\x10" + goldenSecond + "\n\x10" + goldenThird
+)
+
+// copiedGolden returns a copy of the golden disk, which a test may write.
+func copiedGolden(t *testing.T) string {
+	t.Helper()
+	copied := t.TempDir()
+	if err := os.CopyFS(copied, os.DirFS(goldenFolder)); err != nil {
+		t.Fatal(err)
+	}
+	return copied
+}
+
+func readGolden(t *testing.T, path string) []byte {
+	t.Helper()
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// goldenSnapshotData returns the state machine's part of the snapshot, whose own form package committed pins.
+func goldenSnapshotData(t *testing.T) []byte {
+	t.Helper()
+	return readGolden(t, "../committed/testdata/snapshot.bin")
+}
+
+func goldenSnapshot(t *testing.T) *wirepb.Snapshot {
+	t.Helper()
+	return &wirepb.Snapshot{Index: 20, Term: 4, Data: goldenSnapshotData(t), Membership: &wirepb.Membership{
+		Replicas: []string{goldenIdentity, goldenSecond, goldenThird},
+		Outgoing: []string{goldenGone, goldenSecond, goldenThird},
+	}}
+}
+
+func goldenEntries() []*wirepb.Entry {
+	return []*wirepb.Entry{
+		{Index: 21, Term: 4, Kind: wirepb.EntryKind_ENTRY_COMMAND, Data: []byte(goldenEvacuation)},
+		{Index: 22, Term: 5, Kind: wirepb.EntryKind_ENTRY_MEMBERSHIP, Data: []byte(goldenMembers)},
+		{Index: 23, Term: 6, Kind: wirepb.EntryKind_ENTRY_COMMAND, Data: []byte(goldenDeparture)},
+	}
+}
+
+// TestGoldenSegment opens the disk and compares each field.
+func TestGoldenSegment(t *testing.T) {
+	opened, err := wal.OpenReplica(wal.Disk, copiedGolden(t), "127.0.0.1#founder", nil, "127.0.0.1#fresh")
+	if err != nil || opened.Damage != nil || opened.Identity != goldenIdentity {
+		t.Fatalf("identity %q, damage %v, error %v", opened.Identity, opened.Damage, err)
+	}
+	hardState := opened.Stored.HardState
+	if hardState.GetTerm() != 6 || hardState.GetVotedFor() != goldenSecond || hardState.GetCommit() != 22 {
+		t.Errorf("hard state %v", hardState)
+	}
+	if !proto.Equal(opened.Stored.Snapshot, goldenSnapshot(t)) {
+		t.Errorf("snapshot %v", opened.Stored.Snapshot)
+	}
+	want := goldenEntries()
+	if len(opened.Stored.Entries) != len(want) {
+		t.Fatalf("%d entries instead of %d", len(opened.Stored.Entries), len(want))
+	}
+	for i, entry := range opened.Stored.Entries {
+		if !proto.Equal(entry, want[i]) {
+			t.Errorf("entry %v instead of %v", entry, want[i])
+		}
+	}
+}
+
+// TestGoldenSegmentWritten writes the same again, and gets the same files with the same bytes.
+func TestGoldenSegmentWritten(t *testing.T) {
+	folder := t.TempDir()
+	log, _, _, err := wal.Open(wal.Disk, folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	entries := goldenEntries()
+	rewrites := []consensus.Stored{
+		consensus.Founding([]string{goldenIdentity}),
+		{
+			Snapshot:  goldenSnapshot(t),
+			HardState: &wirepb.HardState{Term: 5, VotedFor: goldenThird, Commit: 20},
+			Entries:   entries[:1],
+		},
+	}
+	for _, stored := range rewrites {
+		if err := log.Rewrite(stored); err != nil {
+			t.Fatal(err)
+		}
+	}
+	replaced := &wirepb.Entry{
+		Index: 23, Term: 5, Kind: wirepb.EntryKind_ENTRY_COMMAND, Data: []byte("replaced below"),
+	}
+	appends := [][]consensus.Persist{
+		{
+			{Entries: []*wirepb.Entry{entries[1], replaced}},
+			{HardState: &wirepb.HardState{Term: 5, VotedFor: goldenThird, Commit: 21}},
+		},
+		{{
+			HardState: &wirepb.HardState{Term: 6, VotedFor: goldenSecond, Commit: 22},
+			Entries:   entries[2:],
+		}},
+	}
+	for _, batches := range appends {
+		if err := log.Append(batches); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := wal.SaveIdentity(wal.Disk, folder, goldenIdentity); err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range []string{"identity", goldenSegment} {
+		got := readGolden(t, filepath.Join(folder, name))
+		if want := readGolden(t, filepath.Join(goldenFolder, name)); !bytes.Equal(got, want) {
+			t.Errorf("%s: %x instead of %x", name, got, want)
+		}
+	}
+	names, err := wal.Disk.ReadDir(folder)
+	if err != nil || len(names) != 2 {
+		t.Errorf("files %v, error %v", names, err)
+	}
+}
