--- /dev/null
+++ b/internal/serving/consensus/golden_test.go
@@ -0,0 +1,17 @@
+package consensus
+
+import "testing"
+
+// TestGoldenIdentity pins the form of a replica's identity, which stands on disks, in memberships and in
+// messages as of 2 December 2026.
+func TestGoldenIdentity(t *testing.T) {
+	if got := Identity("10.0.0.1", "0a1b2c3d4e5f"); got != "10.0.0.1#0a1b2c3d4e5f" {
+		t.Errorf("identity %s", got)
+	}
+	if got := FounderIdentity("10.0.0.1"); got != "10.0.0.1#founder" {
+		t.Errorf("identity of a founder %s", got)
+	}
+	if got := Address("10.0.0.1#0a1b2c3d4e5f"); got != "10.0.0.1" {
+		t.Errorf("address %s", got)
+	}
+}
