--- /dev/null
+++ b/internal/serving/boot/golden_test.go
@@ -0,0 +1,99 @@
+package boot
+
+import (
+	"errors"
+	"os"
+	"reflect"
+	"regexp"
+	"testing"
+	"time"
+)
+
+// testdata/settings.conf has all keys that the code of 2 December 2026 reads. Keys and their units stay.
+const goldenSettings = "testdata/settings.conf"
+
+func goldenText(t *testing.T) string {
+	t.Helper()
+	text, err := os.ReadFile(goldenSettings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// TestGoldenSettings reads each key into its field.
+func TestGoldenSettings(t *testing.T) {
+	got, err := Load(goldenSettings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := &Settings{
+		NodeName: "edge-a-1", IP: "10.1.0.35", Zone: "a", Region: "south",
+		Zones: map[string]string{"a": "south", "b": "north"},
+		Front: "10.1.0.35:8144", Readiness: "10.1.0.35:8145", ControlPlane: "10.1.0.35:8146",
+		Directory: "10.1.0.35:8147", FirstPort: 7660, LastPort: 7675,
+		Seeds: []string{"10.1.0.38:8146", "10.2.0.30:8146"}, Bootstrap: true, DataDir: "/var/lib/willowdeck",
+		HeartbeatEvery: 1200 * time.Millisecond, MachinesLost: 2,
+		Bounds: Bounds{
+			CatchUp: 3 * time.Second, Grace: 6 * time.Second, RetryBudgetRatio: 0.2,
+			BudgetWindow: 20 * time.Second, RetrySlack: 7, ColdOvershoot: 1.5, ColdSlack: 2.5,
+			TTLMax: 4 * time.Second,
+		},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("settings %+v instead of %+v", got, want)
+	}
+}
+
+// TestGoldenDefaults reads the fewest keys that do, and compares what stands for the others.
+func TestGoldenDefaults(t *testing.T) {
+	got, err := Parse("node_name=n\nip=10.0.0.1\nzone=a\nregion=south\ninternal_port_range=7660,7675\n")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := &Settings{
+		NodeName: "n", IP: "10.0.0.1", Zone: "a", Region: "south", Zones: map[string]string{},
+		FirstPort: 7660, LastPort: 7675, HeartbeatEvery: time.Second, MachinesLost: 1,
+		Bounds: Bounds{
+			CatchUp: 4 * time.Second, Grace: 8 * time.Second, RetryBudgetRatio: 0.1,
+			BudgetWindow: 10 * time.Second, ColdOvershoot: 1, TTLMax: 5 * time.Second,
+		},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("settings %+v instead of %+v", got, want)
+	}
+}
+
+// TestGoldenKeysInErrors spoils each value that can be refused: the error names the key as it was written.
+func TestGoldenKeysInErrors(t *testing.T) {
+	for key, value := range map[string]string{
+		"node_name": "", "ip": "ten", "zone": "", "region": "", "zones.a": "", "listen.front": "no port",
+		"listen.readiness": "no port", "listen.control_plane": "no port", "listen.directory": "no port",
+		"internal_port_range": "7660", "bootstrap": "yes", "heartbeat_ms": "-1",
+		"fault_tolerance.machines": "-1", "bounds.catch_up_s": "-1", "bounds.grace_s": "-1",
+		"bounds.retry_budget_ratio": "-1", "bounds.budget_window_s": "-1", "bounds.retry_slack": "-1",
+		"bounds.cold_overshoot": "-1", "bounds.cold_slack": "-1", "bounds.ttl_max_s": "-1",
+	} {
+		line := regexp.MustCompile(`(?m)^` + regexp.QuoteMeta(key) + `=.*$`)
+		text := goldenText(t)
+		if !line.MatchString(text) {
+			t.Errorf("%s is not in %s", key, goldenSettings)
+		}
+		_, err := Parse(line.ReplaceAllLiteralString(text, key+"="+value))
+		var wrong *ValueError
+		if !errors.As(err, &wrong) || wrong.Key != key || wrong.Value != value {
+			t.Errorf("%s: error %v", key, err)
+		}
+	}
+}
+
+// TestGoldenVariable pins the environment variable that names the file.
+func TestGoldenVariable(t *testing.T) {
+	t.Setenv("WILLOWDECK_BOOT", "/etc/willowdeck/boot.conf")
+	if path, err := Path(""); err != nil || path != "/etc/willowdeck/boot.conf" {
+		t.Errorf("path %q, error %v", path, err)
+	}
+	if path, err := Path("other.conf"); err != nil || path != "other.conf" {
+		t.Errorf("path %q, error %v", path, err)
+	}
+}
--- /dev/null
+++ b/internal/serving/configuration/golden_test.go
@@ -0,0 +1,145 @@
+package configuration
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"reflect"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// testdata/operator.json has all keys that the code of 2 December 2026 reads or checks. It is never
+// rewritten: operators send such bodies, and cores keep them in their logs.
+const goldenOperator = "testdata/operator.json"
+
+func goldenBody(t *testing.T) string {
+	t.Helper()
+	body, err := os.ReadFile(goldenOperator)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return strings.TrimSuffix(string(body), "\n")
+}
+
+func goldenDocument(t *testing.T) *Document {
+	t.Helper()
+	document, err := Check([]byte(goldenBody(t)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return document
+}
+
+// goldenRoute, goldenService and goldenLimits are the decoded values, none of them zero.
+func goldenRoute() Route {
+	return Route{
+		Name: "r1", Hostname: "h1", PathPrefix: "/a/", RouteType: Streaming, TimeoutMs: 12000.5,
+		TargetLatencyMs: 250.5, Priority: 3, Backend: "s1",
+		TrafficSplit: []Split{{Backend: "s1", Weight: 90.5}, {Backend: "s2", Weight: 9.5}},
+		MaxAttempts:  4, SessionAffinity: true, Resumable: true, GapAimMs: 75.5,
+		AllowedRegions: []string{"south", "north"},
+	}
+}
+
+func goldenService() Service {
+	return Service{
+		Name: "s1", HealthCheckPath: "/healthz", MaxConnections: 40.5, ColdStartS: 30.5, ColdPerS: 12.5,
+		Engine: &Engine{Capacity: 64, KVCacheTokens: 120000.5, Stride: 16},
+	}
+}
+
+func goldenLimits() Limits {
+	return Limits{
+		MaxHeaderBytes: 16384.5, MaxBodyBytes: 1048576.5, HeaderTimeoutMs: 3000.5, IdleTimeoutMs: 60000.5,
+	}
+}
+
+// TestGoldenConfiguration decodes each key into its field.
+func TestGoldenConfiguration(t *testing.T) {
+	document := goldenDocument(t)
+	if document.Generation != 7 || len(document.Routes()) != 2 {
+		t.Errorf("generation %d, routes %v", document.Generation, document.Routes())
+	}
+	var route Route
+	if err := json.Unmarshal([]byte(document.Routes()["h1/a/"]), &route); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(route, goldenRoute()) {
+		t.Errorf("route %+v", route)
+	}
+	services, err := document.Services()
+	if err != nil || len(services) != 2 || !reflect.DeepEqual(services[0], goldenService()) {
+		t.Errorf("services %+v, error %v", services, err)
+	}
+	limits, err := document.Limits()
+	if err != nil || limits != goldenLimits() {
+		t.Errorf("limits %+v, error %v", limits, err)
+	}
+}
+
+// TestGoldenConfigurationWritten encodes the values, and the update that tells the whole, to the same bytes.
+func TestGoldenConfigurationWritten(t *testing.T) {
+	body := goldenBody(t)
+	for _, value := range []any{goldenRoute(), goldenService(), goldenLimits()} {
+		text, err := json.Marshal(value)
+		if err != nil || !strings.Contains(body, string(text)) {
+			t.Errorf("encoded to %s, error %v", text, err)
+		}
+	}
+	update := goldenDocument(t).Whole()
+	if update.From != 0 || update.Generation != 7 || len(update.Routes) != 2 {
+		t.Errorf("update %v", update)
+	}
+	for _, route := range update.Routes {
+		if !strings.Contains(body, string(route)) {
+			t.Errorf("route %s", route)
+		}
+	}
+	if !strings.Contains(body, `"services":`+string(update.Services)+`,"limits":`+string(update.Limits)+`}`) {
+		t.Errorf("services %s, limits %s", update.Services, update.Limits)
+	}
+	again, err := (*Document)(nil).Apply(update)
+	if err != nil || !reflect.DeepEqual(again, goldenDocument(t)) {
+		t.Errorf("applied %+v, error %v", again, err)
+	}
+}
+
+// TestGoldenWords pins the words for route types, and what they mean.
+func TestGoldenWords(t *testing.T) {
+	repeatable := map[string]bool{"idempotent": true, "non_idempotent": false, "streaming": false}
+	for word, want := range repeatable {
+		if got := (&Route{RouteType: word}).Repeatable(); got != want {
+			t.Errorf("%s: %v", word, got)
+		}
+	}
+	if !(&Route{RouteType: "streaming", Resumable: true}).Repeatable() {
+		t.Error("a resumable stream")
+	}
+	words := [3]string{Idempotent, NonIdempotent, Streaming}
+	if words != [3]string{"idempotent", "non_idempotent", "streaming"} {
+		t.Error("a word has changed")
+	}
+}
+
+// TestGoldenKeysAreChecked spoils the value of each key. Keys that are not known are left alone: one that is
+// not refused would not be read any more.
+func TestGoldenKeysAreChecked(t *testing.T) {
+	value := regexp.MustCompile(`"([a-z_]+)":("[^"]*"|true|[0-9.]+)`)
+	body := []byte(goldenBody(t))
+	for _, place := range value.FindAllSubmatchIndex(body, -1) {
+		key, old := string(body[place[2]:place[3]]), body[place[4]:place[5]]
+		spoilt := []byte("-1") // for numbers, which the schema bounds
+		switch {
+		case old[0] == 't':
+			spoilt = []byte(`"true"`)
+		case key == "capacity" || key == "kv_cache_tokens" || key == "stride":
+			spoilt = []byte("[]") // the schema leaves them to the decoder
+		}
+		changed := bytes.Join([][]byte{body[:place[4]], spoilt, body[place[5]:]}, nil)
+		if _, err := Check(changed); err == nil {
+			t.Errorf("%s = %s was accepted", key, spoilt)
+		}
+	}
+}
--- /dev/null
+++ b/internal/serving/program/golden_test.go
@@ -0,0 +1,60 @@
+package program
+
+import (
+	"bytes"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"go.uber.org/zap"
+)
+
+// The command lines that unit files and scripts of operators have, as of 2 December 2026. The files come
+// from the golden tests of packages boot and configuration.
+var (
+	goldenSettings      = filepath.Join("..", "boot", "testdata", "settings.conf")
+	goldenConfiguration = filepath.Join("..", "configuration", "testdata", "operator.json")
+)
+
+// TestGoldenCommandLines carries out each command and flag, and compares status and output.
+func TestGoldenCommandLines(t *testing.T) {
+	const settingsLine = "settings: edge-a-1 in zone a of region south\n"
+	cases := []struct {
+		arguments string
+		status    int
+		output    string
+		runs      bool
+	}{
+		{"-settings FILE", 0, "", true},
+		{"--settings=FILE --verbose serve", 0, "", true},
+		{"-verbose -settings FILE serve", 0, "", true},
+		{"-settings FILE check", 0, settingsLine, false},
+		{"-settings FILE check CONFIGURATION", 0, settingsLine + "configuration: generation 7, 2 routes\n", false},
+		{"-settings missing.conf check", 1, "", false},
+		{"nonsense", 2, "", false},
+		{"-nonsense", 2, "", false},
+		{"-h", 2, "", false},
+	}
+	for _, test := range cases {
+		var output, problems bytes.Buffer
+		ran := ""
+		p := Program{Name: "sample", Run: func(path string, _ *zap.Logger) error { ran = path; return nil }}
+		line := strings.NewReplacer("FILE", goldenSettings, "CONFIGURATION", goldenConfiguration)
+		status := p.Main(strings.Fields(line.Replace(test.arguments)), &output, &problems)
+		if status != test.status || output.String() != test.output || (ran == goldenSettings) != test.runs {
+			t.Errorf("%s: status %d, output %q, problems %q, ran %q", test.arguments, status, &output, &problems, ran)
+		}
+	}
+}
+
+// TestGoldenVersion pins the form of the answer, which begins with the program's name.
+func TestGoldenVersion(t *testing.T) {
+	var output bytes.Buffer
+	p := Program{Name: "sample"}
+	if status := p.Main([]string{"version"}, &output, &output); status != 0 {
+		t.Errorf("status %d", status)
+	}
+	if !strings.HasPrefix(output.String(), "sample ") {
+		t.Errorf("output %q", &output)
+	}
+}
