--- /dev/null
+++ b/internal/serving/edge/golden_test.go
@@ -0,0 +1,165 @@
+package edge
+
+import (
+	"encoding/hex"
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"willowdeck/internal/serving/balance"
+	"willowdeck/internal/serving/boot"
+	"willowdeck/internal/serving/configuration"
+	"willowdeck/internal/serving/wirepb"
+	"willowdeck/internal/serving/workerlink"
+)
+
+// Datagrams as edges of 2 December 2026 send them. Edges of different versions speak to each other while
+// one replaces the other: the bytes stay. Package wirepb pins the numbers of all fields.
+const (
+	goldenBroke  = "2a070a03772d311001"                       // worker w-1 has broken off
+	goldenDead   = "2a050a03772d32"                           // worker w-2 does not answer
+	goldenPrompt = "220a0a03772d331084071801"                 // w-3 reads a long prompt for 900 ms
+	goldenProbe  = "1203088827"                               // number 5000
+	goldenAnswer = "1a03088827"                               // to it
+	goldenLoad   = "0a120a02653110071a0a0a03692d30100118c801" // of e1, number 7: 1 request, 200 tokens at i-0
+)
+
+func (l *listener) nextBytes() string {
+	l.t.Helper()
+	buffer := make([]byte, maxDatagram)
+	length, err := l.connection.Read(buffer)
+	if err != nil {
+		l.t.Fatal(err)
+	}
+	return hex.EncodeToString(buffer[:length])
+}
+
+// TestGoldenDatagramsSent compares the bytes of notices and of the answer to a probe.
+func TestGoldenDatagramsSent(t *testing.T) {
+	e, near, _ := startNoticing(t)
+	here := worker{Worker: balance.Worker{Instance: "w-1", Zone: "a", Region: "south", Engine: true}}
+	e.tellBroken(here)
+	e.tellDead("a", &wirepb.DeadNotice{InstanceId: "w-2"})
+	e.tellPrompt(e.table.Load(), here, balance.Prompt{Instance: "w-3", ReadMs: 900, Long: true})
+	probe := &wirepb.EdgeDatagram{}
+	decodeGolden(t, goldenProbe, probe)
+	e.takeDatagram(e.datagrams.Load(), near.target.address, probe)
+	for _, want := range []string{goldenBroke, goldenDead, goldenPrompt, goldenAnswer} {
+		if got := near.nextBytes(); got != want {
+			t.Errorf("datagram %s instead of %s", got, want)
+		}
+	}
+}
+
+func decodeGolden(t *testing.T, text string, message proto.Message) {
+	t.Helper()
+	data, err := hex.DecodeString(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := proto.Unmarshal(data, message); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestGoldenLoadSent reports a request that a worker has not answered yet: its prompt has a part that others
+// may share, which does not count, and 200 tokens of its own.
+func TestGoldenLoadSent(t *testing.T) {
+	arrived, release := make(chan struct{}), make(chan struct{})
+	w := newStandInWorker(t, func(connection net.Conn, _ *http.Request, _ string) {
+		close(arrived)
+		<-release
+		fmt.Fprint(connection, "HTTP/1.1 200 OK\r\nRequest-Id: id-1\r\nContent-Length: 0\r\n\r\n")
+	})
+	e, server := startEdge(t, w)
+	request, err := http.NewRequest(http.MethodGet, server.URL+"/idem/", nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	request.Host = "h"
+	request.Header.Set("Request-Id", "id-1")
+	request.Header.Set("Prompt-Prefix", "a:100, b:200")
+	answered := make(chan error, 1)
+	go func() {
+		response, err := http.DefaultClient.Do(request)
+		if err == nil {
+			response.Body.Close()
+		}
+		answered <- err
+	}()
+	<-arrived
+	report := e.decide.loadReport(mostLoads)
+	report.Edge, report.Number = "e1", 7
+	data, err := proto.Marshal(&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Load{Load: report}})
+	if got := hex.EncodeToString(data); err != nil || got != goldenLoad {
+		t.Errorf("report %s instead of %s, error %v", got, goldenLoad, err)
+	}
+	close(release)
+	if err := <-answered; err != nil {
+		t.Error(err)
+	}
+}
+
+// TestGoldenDatagramsTaken hears notices and compares what the edge makes of them.
+func TestGoldenDatagramsTaken(t *testing.T) {
+	e, near, _ := startNoticing(t)
+	for _, text := range []string{goldenLoad, goldenPrompt, goldenBroke, goldenDead, goldenAnswer} {
+		message := &wirepb.EdgeDatagram{}
+		decodeGolden(t, text, message)
+		e.takeDatagram(e.datagrams.Load(), near.target.address, message)
+		if again, err := proto.Marshal(message); err != nil || hex.EncodeToString(again) != text {
+			t.Errorf("encoded to %x instead of %s, error %v", again, text, err)
+		}
+	}
+	sum, _ := e.decide.peers.Sum(e.now(), "i-0", 1)
+	if sum.InHand != 1 || sum.Unread != 200 {
+		t.Errorf("load of another edge: %+v", sum)
+	}
+}
+
+// TestGoldenStatus compares what an edge tells its agent of itself, and where it hears datagrams.
+func TestGoldenStatus(t *testing.T) {
+	settings := &boot.Settings{
+		NodeName: "edge-1", IP: "10.0.0.1", Zone: "a", Region: "south", Front: "10.0.0.1:80", FirstPort: 7660,
+	}
+	e, _ := startEdge(t)
+	e.settings = settings
+	status := e.status()
+	want := &wirepb.Edge{
+		Name: "edge-1", Address: "10.0.0.1:80", Zone: "a", Region: "south", Ready: status.Edge.Ready,
+		InternalAddress: "10.0.0.1:7662",
+	}
+	if status.Subscriber != "edge-1" || !proto.Equal(status.Edge, want) {
+		t.Errorf("status %v", status)
+	}
+}
+
+// TestGoldenHeaders compares what a worker is told, and what is taken of what it says.
+func TestGoldenHeaders(t *testing.T) {
+	j := &job{
+		request: &workerlink.Request{Header: http.Header{"Request-Id": {"id-1"}}}, lastEvent: 41, eventKnown: true,
+		route: &configuration.Route{TargetLatencyMs: 1600}, deadline: time.Now().Add(time.Hour),
+	}
+	got := j.prepare(worker{Worker: balance.Worker{Instance: "w-1", Engine: true}}).Header
+	for name, want := range map[string]string{
+		"Request-Id": "id-1", "Target-Instance": "w-1", "Priority": "4", "Last-Event-Id": "41",
+	} {
+		if got.Get(name) != want {
+			t.Errorf("%s: %q instead of %q", name, got.Get(name), want)
+		}
+	}
+	var left int
+	if _, err := fmt.Sscan(got.Get("Deadline-Ms"), &left); err != nil || left < 3_000_000 || left > 3_600_000 {
+		t.Errorf("Deadline-Ms: %q", got.Get("Deadline-Ms"))
+	}
+	r := httptest.NewRequest(http.MethodGet, "/", nil)
+	r.Header.Set("Deadline-Ms", "1500")
+	if got := patience(r, &configuration.Route{}); got != 1500*time.Millisecond {
+		t.Errorf("patience %v", got)
+	}
+}
