--- a/internal/serving/committed/golden_test.go
+++ b/internal/serving/committed/golden_test.go
@@ -158,3 +158,43 @@
 		t.Errorf("digest %s", got)
 	}
 }
+
+// Commands as they stand in logs: an order with the id order-0 to put goldenOldBody in force as generation 3
+// on generation 2, one with the id order-4 to evacuate z, and a departure.
+const (
+	goldenReplace = "0a076f726465722d301269080210031a20ebafb8b345361eb997f67fd74879956cd100571f63e6ca" +
+		"1c84f638af154492e42241003700c8ff7b2267656e65726174696f6e223a332c22726f7574657322" +
+		"3a5b5d2c227365727669636573223a5b7b226e616d65223a227330227d5d7d010000ffff"
+	goldenEvacuation = "0a076f726465722d341a050a017a1001"
+	goldenDeparture  = "22070a03772d311005" // of w-1, order 5
+)
+
+// TestGoldenCommands applies old commands, and makes the same ones again.
+func TestGoldenCommands(t *testing.T) {
+	m := New()
+	m.generation = 2
+	for _, text := range []string{goldenReplace, goldenEvacuation, goldenDeparture} {
+		data, err := hex.DecodeString(text)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got := apply(t, m, data); got != wirepb.Outcome_OUTCOME_TAKEN {
+			t.Errorf("%s: %v", text, got)
+		}
+	}
+	if m.Generation() != 3 || !slices.Equal(m.Evacuated(), []string{"z"}) || m.Departure("w-1").GetOrder() != 5 {
+		t.Errorf("generation %d, evacuated %v, departures %v", m.Generation(), m.Evacuated(), m.Departures())
+	}
+	replace, err := ReplaceCommand(2, 3, []byte(goldenOldBody))
+	if err != nil {
+		t.Fatal(err)
+	}
+	replace.GetReplace().Body = m.Body() // compressors may change
+	evacuation := EvacuationCommand("z", true)
+	replace.Id, evacuation.Id = "order-0", "order-4"
+	for text, command := range map[string]*wirepb.Command{goldenReplace: replace, goldenEvacuation: evacuation} {
+		if data, err := proto.Marshal(command); err != nil || hex.EncodeToString(data) != text {
+			t.Errorf("command %x instead of %s, error %v", data, text, err)
+		}
+	}
+}
