--- /dev/null
+++ b/internal/inventory/golden_test.go
@@ -0,0 +1,120 @@
+package inventory
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"willowdeck/internal/goldentest"
+	"willowdeck/internal/member"
+	"willowdeck/logic"
+)
+
+const (
+	goldenNow  = 1.7e12 // Unix ms
+	goldenUp   = 5e6    // ms since the machine's start
+	goldenSlot = 4 << 20
+
+	// goldenFields are in the form and not zero: of the estate itself 7, of peers 10, of their reports 9, of
+	// words 4, of the digest 32, of customers 24 and 8. Others, as a report's Known, are not in the form.
+	goldenFields = 94
+)
+
+// goldenMachine has this machine stand for the one that the golden file was written on.
+func goldenMachine(t *testing.T) {
+	t.Cleanup(func() { machine = boot })
+	machine = func() ([]byte, float64, error) { return []byte("golden-boot"), goldenUp, nil }
+}
+
+func goldenDigest() [32]byte {
+	return Digest(logic.Charter{Me: 1, Gatekeepers: 3, LargestUnits: 2.5, PeerInPerS: 4.5, ReportsPerTell: 5,
+		Narrow: true, Plans: []logic.Plan{{Rate: 10, Burst: 20, CeilingRate: 30, CeilingDepth: 40, Withheld: 0.5,
+			Open: 6, Factor: 7, ExcessShare: 8, ExcessFee: 9, Credit: 11, Repay: 12}}}, 77)
+}
+
+// goldenLeft is what inventory.hex holds: the one slot that is written of a file of two. It was written once,
+// by goldenWrite, before names were changed. It is what a killed process of an older version leaves; new code
+// must never write it again.
+func goldenLeft() *Left {
+	return &Left{Of: goldenDigest(),
+		Words: []member.Word{{Incarnation: 101, Sequence: 102}, {Incarnation: 103, Sequence: 104}},
+		Estate: logic.Estate{At: goldenNow, Started: goldenNow - 9000, NextTell: goldenNow + 105,
+			Tight: []float64{0.5, 0.625}, Stay: []float64{120.5, 121.5},
+			Peers: []logic.Hearing{
+				{Heard: 201.5, Told: 202.5, Owes: 203.5, Spoke: 204.5, Silent: true,
+					Last: []logic.Report{{Customer: 205, Plan: 206, Demand: 207.5},
+						{Customer: 208, Plan: 209, Demand: 210.5}}},
+				{Heard: 211.5, Told: 212.5, Owes: 213.5, Spoke: 214.5, Gone: true,
+					Last: []logic.Report{{Customer: 0xfffefdfc, Plan: 216, Demand: 217.5}}}},
+			Customers: []logic.Customer{
+				{Key: 301, Plan: 302, N: 303, First: 304, Txns: 305, Holding: 306, Level: 307.5, Whole: 308.5,
+					Filled: 309.5, Others: 310.5, Flow: 311.5, Held: 312.5, Heard: 313.5, Demand: 314.5,
+					Lately: 315.5, Seen: 316.5, CoolSince: 317.5, Unsaid: 318.5, Said: 319.5, SaidAt: 320.5,
+					Known: 321.5, Hot: true, Lag: 322.5, Dealt: 323.5},
+				{Key: 0xfffefdfc, Plan: 402, N: 403, First: 404, Txns: 405, Holding: 406, Level: 407.5,
+					Whole: 408.5}}}}
+}
+
+// goldenWrite has a process leave the golden copy, and gives its file.
+func goldenWrite(t *testing.T) []byte {
+	goldenMachine(t)
+	path := filepath.Join(t.TempDir(), "copy")
+	book, _, none, err := Open(path, goldenNow)
+	if none != ErrNone || err != nil {
+		t.Fatal(none, err)
+	}
+	if err := book.write(goldenLeft(), goldenUp); err != nil {
+		t.Fatal(err)
+	}
+	book.Close()
+	b, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+func TestGoldenInventory(t *testing.T) {
+	old := goldentest.Hex(t, "inventory.hex")
+	goldentest.SameBytes(t, goldenWrite(t), old)
+	path := filepath.Join(t.TempDir(), "copy")
+	if err := os.WriteFile(path, old, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	book, left, none, err := Open(path, goldenNow)
+	if left == nil || none != nil || err != nil {
+		t.Fatal(none, err)
+	}
+	book.Close()
+	goldentest.SameLines(t, goldentest.Leaves(left), goldentest.Leaves(goldenLeft()))
+	if n := len(goldentest.Leaves(left)) - len(goldentest.Zeros(left)); n != goldenFields {
+		t.Errorf("%d fields say something, want %d", n, goldenFields)
+	}
+}
+
+// The second of the two slots, which a process fills next, holds the same at its own place.
+func TestGoldenSecondSlot(t *testing.T) {
+	goldenMachine(t)
+	path := filepath.Join(t.TempDir(), "copy")
+	book, _, _, err := Open(path, goldenNow)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for range 2 {
+		if err := book.write(goldenLeft(), goldenUp); err != nil {
+			t.Fatal(err)
+		}
+	}
+	book.Close()
+	b, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	first := goldentest.Hex(t, "inventory.hex")
+	second := bytes.Clone(first)
+	second[8] = 1                                            // its place in the sequence
+	copy(second[32:36], goldentest.Hex(t, "second.sum.hex")) // and the checksum that follows from that
+	goldentest.SameBytes(t, b[:len(first)], first)
+	goldentest.SameBytes(t, b[goldenSlot:], second)
+}
