--- /dev/null
+++ b/internal/journal/golden_test.go
@@ -0,0 +1,89 @@
+package journal
+
+import (
+	"testing"
+
+	"willowdeck/internal/goldentest"
+)
+
+const goldenNumber = 0x0102030405060708 // of the golden segment
+
+func goldenHead() Head {
+	return Head{Number: goldenNumber, Life: 0x11121314, Policy: Serve, At: 1.7e12, Boot: 0x15161718,
+		Offset: 1234.5, Name: "gateway-7", Version: 1}
+}
+
+// goldenRecords are what segment.hex holds behind its head, one of each kind. The file was written once by
+// AppendHead and Append, before names were changed. It is what older versions have on disk; new code must never
+// write it again.
+func goldenRecords() []Record {
+	txn := func(kind Kind, end End) Record {
+		return Record{Kind: kind, Life: 0x21222324, Group: 0x25262728, At: 1.7e12 + 1.5,
+			Txn: Txn{Customer: 0x3132333435363738, Mark: "mark-1", Product: "sale", Digest: 0x41424344},
+			Sub: Sub{Number: 0x5152535455565758, N: 0x6162}, Worker: "w3", Expiry: 1.7e12 + 2.5, End: end,
+			Answer: Answer{Type: "text/plain", Coding: "gzip", Body: []byte("body"), Whole: true},
+			First:  1.7e12 + 0.5}
+	}
+	other := func(kind Kind) Record {
+		return Record{Kind: kind, Life: 0x21222324, Group: 0x25262728, At: 1.7e12 + 3.5, To: 1.7e12 + 4.5,
+			Below: 0x7172737475767778}
+	}
+	return []Record{txn(Meant, Settled), txn(Ended, MayRun), txn(Kept, Never), other(Covers), other(Checked),
+		other(Gone), other(Stepped)}
+}
+
+func goldenWrite(t *testing.T) []byte {
+	b := AppendHead(nil, goldenHead())
+	for _, r := range goldenRecords() {
+		var err error
+		if b, err = Append(b, goldenNumber, len(b), r); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return b
+}
+
+func TestGoldenSegment(t *testing.T) {
+	old := goldentest.Hex(t, "segment.hex")
+	goldentest.SameBytes(t, goldenWrite(t), old)
+	var got []Record
+	seen := Read(goldenNumber, old, func(_ int, r Record) { got = append(got, r) })
+	if seen.Head != goldenHead() || seen.Strange != 0 || seen.Lost != 0 || len(seen.Doubts) != 0 {
+		t.Errorf("the segment is read as %+v", seen)
+	}
+	goldentest.SameLines(t, goldentest.Leaves(got), goldentest.Leaves(goldenRecords()))
+	for i, r := range got { // a record has the fields of a txn or those of the other kinds, and all of them
+		zeros := 2 // To, Below
+		if r.Kind > Kept {
+			zeros = 14 // all of a txn, its submission, worker and answer
+		}
+		if all := goldentest.Zeros(r); len(all) != zeros {
+			t.Errorf("record %d: %q are zero, want %d", i, all, zeros)
+		}
+	}
+}
+
+// Numbers of kinds, ends and policies, and names of files, are on disk. Their texts are at operators' hands.
+func TestGoldenNumbers(t *testing.T) {
+	for number, text := range []string{"", "meant", "ended", "kept", "covers", "checked", "gone", "stepped"} {
+		if got := Kind(number).String(); number > 0 && got != text {
+			t.Errorf("kind %d is %q, want %q", number, got, text)
+		}
+	}
+	for number, text := range []string{"open", "settled", "may have run", "never ran"} {
+		if got := End(number).String(); got != text {
+			t.Errorf("end %d is %q, want %q", number, got, text)
+		}
+	}
+	for number, text := range []string{"not sent", "sent, outcome unknown", "sent and settled"} {
+		if got := Verdict(number).String(); got != text {
+			t.Errorf("verdict %d is %q, want %q", number, got, text)
+		}
+	}
+	if a, b := Policy(0).String(), Policy(1).String(); a != "refuse" || b != "serve" {
+		t.Errorf("policies are %q and %q", a, b)
+	}
+	if name := Name(goldenNumber); name != "0102030405060708.wdj" {
+		t.Errorf("the segment's file is %q", name)
+	}
+}
