--- a/internal/journal/golden_test.go
+++ b/internal/journal/golden_test.go
@@ -14,8 +14,8 @@
 }
 
 // goldenRecords are what segment.hex holds behind its head, one of each kind. The file was written once by
-// AppendHead and Append, before names were changed. It is what older versions have on disk; new code must never
-// write it again.
+// AppendHead and Append, before names were changed. It is what older versions have on disk; new code must
+// never write it again.
 func goldenRecords() []Record {
 	txn := func(kind Kind, end End) Record {
 		return Record{Kind: kind, Life: 0x21222324, Group: 0x25262728, At: 1.7e12 + 1.5,
--- a/internal/journal/store/golden_test.go
+++ b/internal/journal/store/golden_test.go
@@ -11,9 +11,9 @@
 	"willowdeck/internal/journal"
 )
 
-// The golden files are the two segments of a directory as goldenWrite left it, but for the blank bytes behind
-// their records. They were written once, before names were changed. They are what older versions have on disk;
-// new code must never write them again.
+// The golden files are the two segments of a directory as goldenWrite left it, but for the blank bytes
+// behind their records. They were written once, before names were changed. They are what older versions have
+// on disk; new code must never write them again.
 var goldenSegments = []string{"0000000000000001.wdj", "0000000000000002.wdj"}
 
 const goldenAt = 1.7e12 // Unix ms
@@ -92,7 +92,8 @@
 		t.Fatal(err)
 	}
 	defer log.Close()
-	if f := log.Found; f.Segments != 2 || f.Records != 6 || f.Unreadable+f.Torn+f.Damaged != 0 || log.Life() != 3 {
+	if f := log.Found; f.Segments != 2 || f.Records != 6 || f.Unreadable+f.Torn+f.Damaged != 0 ||
+		log.Life() != 3 {
 		t.Errorf("found %+v, life %d", f, log.Life())
 	}
 	log.Ask(func(book *journal.Book) {
