--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,100 @@
+package config
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"reflect"
+	"slices"
+	"testing"
+
+	"willowdeck/internal/goldentest"
+	"willowdeck/logic"
+)
+
+// golden.json is a configuration in which each key that counts says something, as operators have it on disk.
+// It was written by hand, and goldenTerms is what the code made of it before names were changed. Neither may
+// follow new code: many keys are matched to a field by its name alone, and a key that matches none is let
+// pass without an error. Keys that are only checked and change nothing are not in it: counter,
+// family_info.counter, family_info.use_period_us, weight_source.
+func goldenTerms() Terms {
+	return Terms{Charter: logic.Charter{Me: 1, Gatekeepers: 2, Products: []logic.Product{{SLA: 1, Value: 3,
+		LateShare: 4, Repeat: 1, Group: 1, Window: 5}, {SLA: 6, Value: 8, LateShare: 9, Repeat: 2, Group: 0,
+		Window: 10}}, Plans: []logic.Plan{{Rate: 11, Burst: 12, CeilingRate: 13, CeilingDepth: 14, Withheld: 0,
+		Open: 15, Factor: 16, ExcessShare: 17, ExcessFee: 18, Credit: 19, Repay: 60000}, {Rate: 21, Burst: 22,
+		CeilingRate: 23, CeilingDepth: 24, Withheld: 0, Open: 25, Factor: 26, ExcessShare: 27, ExcessFee: 28,
+		Credit: 29, Repay: 70000}}, LargestUnits: 35, MaxSubmissions: 31, MayOverlap: true, MayWithdraw: true,
+		MayAdvise: true, MaxAdvice: 32, MayTell: true, LoadTold: true, PeerInPerS: 36, ReportsPerTell: 31,
+		ColdFrom: 0.375, WarmUp: 39, Tips: 40, TipAfter: 41, Whole: 42, WorstPlan: 87, Narrow: false},
+		Names: Names{Products: map[string]int{"check": 0, "sale": 1}, Plans: map[string]int{"basic": 0,
+			"tiny": 1}}, Lines: Lines{IdleLimit: 33, ConnectTimeout: 34, AnswerSlack: 38, LongestWait: 7,
+			ListAsked: true}}
+}
+
+func goldenDecode(t *testing.T, raw []byte) (Gatekeeper, error) {
+	t.Helper()
+	return Decode(raw, func(string) string { return "" })
+}
+
+func TestGoldenSettings(t *testing.T) {
+	g, err := goldenDecode(t, goldentest.File(t, "golden.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.SameLines(t, goldentest.Leaves(g.Terms), goldentest.Leaves(goldenTerms()))
+	got := fmt.Sprintln(g.Name, g.Listen, g.Discovery, g.Seed, g.Control, g.Cores, g.MemoryMB, g.Sockets,
+		g.PeerPort, g.Peers, g.Known.Version, len(g.Known.Workers))
+	if got != goldenStart {
+		t.Errorf("got  %s\nwant %s", got, goldenStart)
+	}
+}
+
+const goldenStart = "n1 127.0.0.1:5000 127.0.0.1:8500 -8349901503567500956 127.0.0.1:6000 0.5 64 255 " +
+	"127.0.0.1:7946 [127.0.0.2:7946 127.0.0.3:7946] 41 1\n"
+
+// Each key counts: with another name for any one of them the configuration is another one, or is refused.
+// Guards against a golden file that says nothing of a key.
+func TestGoldenKeysCount(t *testing.T) {
+	raw := goldentest.File(t, "golden.json")
+	whole, err := goldenDecode(t, raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var root map[string]any
+	if err := json.Unmarshal(raw, &root); err != nil {
+		t.Fatal(err)
+	}
+	keys := 0
+	var visit func(path string, node any)
+	visit = func(path string, node any) {
+		if list, ok := node.([]any); ok {
+			for _, child := range list {
+				visit(path, child)
+			}
+		}
+		object, _ := node.(map[string]any)
+		for _, key := range slices.Sorted(maps.Keys(object)) {
+			child := object[key]
+			at := path + "." + key
+			delete(object, key)
+			object["not_"+key] = child
+			text, err := json.Marshal(root)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got, err := goldenDecode(t, text)
+			delete(object, "not_"+key)
+			object[key] = child
+			if keys++; err == nil && reflect.DeepEqual(got, whole) {
+				t.Errorf("%s says nothing", at)
+			}
+			visit(at, child)
+		}
+	}
+	visit("", root)
+	if keys != goldenKeyCount {
+		t.Errorf("%d keys were tried, want %d", keys, goldenKeyCount)
+	}
+}
+
+const goldenKeyCount = 89 // in golden.json, those of lists each
--- a/internal/lifecycle/golden_test.go
+++ b/internal/lifecycle/golden_test.go
@@ -20,8 +20,8 @@
 	return strings.Split(strings.TrimSpace(text), "\n")
 }
 
-// goldenStats gives the keys of an instance that has all there is: what is agreed on with a daemon, a journal,
-// copies of its state and credit, and of one with forward authentication on both sides.
+// goldenStats gives the keys of an instance that has all there is: what is agreed on with a daemon, a
+// journal, copies of its state and credit, and of one with forward authentication on both sides.
 func goldenStats(t *testing.T) []string {
 	t.Helper()
 	daemon := newDaemon(t)
@@ -42,8 +42,8 @@
 	return append(append(keys, "# forward authentication"), goldenKeys(forward.gk)...)
 }
 
-// stats.txt is the keys of /admin/stats, which operators' programs read. It was written once, before names were
-// changed; new code must never write it again.
+// stats.txt is the keys of /admin/stats, which operators' programs read. It was written once, before names
+// were changed; new code must never write it again.
 func TestGoldenStats(t *testing.T) {
 	goldentest.SameLines(t, goldenStats(t), goldentest.Lines(t, "stats.txt"))
 }
