--- a/internal/fleet/council_golden_test.go
+++ b/internal/fleet/council_golden_test.go
@@ -56,24 +56,24 @@
 	}
 }
 
-// goldenVoice says what is in force; its other methods are not called.
-type goldenVoice struct{ voice }
+// goldenLeaseVoice says what is in force; its other methods are not called.
+type goldenLeaseVoice struct{ voice }
 
-func (goldenVoice) Highest() int64 { return 91 }
+func (goldenLeaseVoice) Highest() int64 { return 91 }
 
-func (goldenVoice) InForce() accord.Version {
+func (goldenLeaseVoice) InForce() accord.Version {
 	return accord.Version{Number: 7, Rules: goldenAgreedRules(11)}
 }
 
 // Asked answers only if each value of the query has come under its own name.
-func (v goldenVoice) Asked(pid int, name string, holds uint64, index int64) (accord.Lease, bool) {
+func (v goldenLeaseVoice) Asked(pid int, name string, holds uint64, index int64) (accord.Lease, bool) {
 	pending := goldenAgreedRules(11.5)
 	return accord.Lease{Step: 41, Version: v.InForce(), Settled: true, Pending: &pending, Age: 12.5},
 		pid == 4711 && name == "gk1" && holds == 40 && index == 90
 }
 
-// goldenDaemon keeps no instance: the members of the rules are of another host.
-func goldenDaemon(t *testing.T) *Daemon {
+// goldenCouncilDaemon keeps no instance: the members of the rules are of another host.
+func goldenCouncilDaemon(t *testing.T) *Daemon {
 	t.Helper()
 	dir := t.TempDir()
 	file := &File{Control: "127.0.0.1:7100", Listen: "127.0.0.1:7200", Operators: "127.0.0.1:7300",
@@ -82,14 +82,14 @@
 		t.Fatal(err)
 	}
 	d := &Daemon{fleet: &Fleet{RunDir: dir, Agreed: &Agreed{}, file: file}, by: map[string]*place{},
-		seat: &seat{voice: goldenVoice{}, file: file}, keeper: NewKeeper(Pace{}, 1)}
+		seat: &seat{voice: goldenLeaseVoice{}, file: file}, keeper: NewKeeper(Pace{}, 1)}
 	d.pids.Store(4711, "gk1")
 	return d
 }
 
 // A daemon starts with the rules that one before it has carried out last.
-func TestGoldenLastRules(t *testing.T) {
-	d := goldenDaemon(t)
+func TestGoldenLastRulesOfCouncil(t *testing.T) {
+	d := goldenCouncilDaemon(t)
 	path := filepath.Join(d.fleet.RunDir, "rules.json")
 	if err := os.WriteFile(path, goldenCouncilFile(t, "rules.json"), 0o600); err != nil {
 		t.Fatal(err)
@@ -112,7 +112,7 @@
 
 // What instances of an older program ask, and what operators read.
 func TestGoldenCouncilAnswers(t *testing.T) {
-	d := goldenDaemon(t)
+	d := goldenCouncilDaemon(t)
 	for _, c := range []struct {
 		name, path string
 		answer     http.HandlerFunc
@@ -135,7 +135,7 @@
 	}
 	pending := goldenAgreedRules(11.5)
 	got, err := accord.ReadLease(goldenCouncilFile(t, "lease.json"))
-	goldenCouncilSame(t, "lease.json", got, accord.Lease{Step: 41, Version: goldenVoice{}.InForce(),
+	goldenCouncilSame(t, "lease.json", got, accord.Lease{Step: 41, Version: goldenLeaseVoice{}.InForce(),
 		Settled: true, Pending: &pending, Age: 12.5}, err)
 }
 
