--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"willowdeck/internal/benchwire"
+	"willowdeck/internal/simadapter"
 )
 
 func main() {
-	if err := benchwire.Run(os.Stdin, os.Stdout); err != nil {
+	if err := simadapter.Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintf(os.Stderr, "benchlink: %v\n", err)
 		os.Exit(1)
 	}
--- a/cmd/wdlab/capacity.go
+++ b/cmd/willowdeck-lab/capacity.go
@@ -8,9 +8,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"willowdeck/internal/capacity"
-	"willowdeck/internal/elements"
-	"willowdeck/internal/lab"
+	"willowdeck/internal/lab/capacity"
+	"willowdeck/internal/lab/experiment"
+	"willowdeck/internal/lab/footprint"
 )
 
 // elementsCommand measures what one more element of each kind costs a process.
@@ -37,14 +37,14 @@
 		run = "elements-" + time.Now().UTC().Format("0102-1504")
 	}
 	if commit == "" {
-		commit = lab.Build()
+		commit = experiment.Build()
 	}
 	wanted := map[string]bool{}
 	for _, name := range c.StringSlice("only") {
 		wanted[name] = true
 	}
-	var all []elements.Element
-	for _, e := range elements.All() {
+	var all []footprint.Element
+	for _, e := range footprint.All() {
 		if len(wanted) == 0 || wanted[e.Name] {
 			all = append(all, e)
 		}
@@ -54,7 +54,7 @@
 	}
 	log, begun := logger(), time.Now()
 	var rows []capacity.Row
-	err := elements.Run(all, func(e *elements.Element, n int, values []elements.Value) {
+	err := footprint.Run(all, func(e *footprint.Element, n int, values []footprint.Value) {
 		line := log.Info().Float64("s", time.Since(begun).Seconds()).Int(e.Over, n)
 		for _, v := range values {
 			rows = append(rows, capacity.Row{Run: run, Commit: commit, Distribution: way, Size: float64(n),
@@ -73,7 +73,7 @@
 		return nil
 	}
 	var refusals []capacity.Refusal
-	for _, b := range elements.Bounds() {
+	for _, b := range footprint.Bounds() {
 		most, says := b.Most(b.Coming)
 		r := capacity.Refusal{Run: run, Commit: commit, Distribution: way, Role: b.Role, What: b.What,
 			Coming: float64(b.Coming), Most: float64(most), Says: "taken"}
--- a/cmd/wdlab/fleet.go
+++ b/cmd/willowdeck-lab/fleet.go
@@ -5,15 +5,15 @@
 	"fmt"
 	"time"
 
-	"willowdeck/internal/emu"
-	"willowdeck/internal/standin"
+	"willowdeck/internal/lab/emulator"
+	"willowdeck/internal/testkit/fakes"
 )
 
 // fleet is what one gatekeeper meets, on loopback.
 type fleet struct {
-	workers   []*standin.Worker
-	discovery *standin.Discovery
-	counter   *standin.Counter
+	workers   []*fakes.Worker
+	discovery *fakes.Discovery
+	counter   *fakes.Counter
 	config    []byte
 }
 
@@ -31,16 +31,16 @@
 
 // newFleet starts a scenario's workers, with discovery and a counter, and writes the configuration of one
 // gatekeeper before them.
-func newFleet(s *emu.Scenario, listen string) (f *fleet, err error) {
+func newFleet(s *emulator.Scenario, listen string) (f *fleet, err error) {
 	f = &fleet{}
 	defer func() {
 		if err != nil {
 			f.close()
 		}
 	}()
-	var entries []standin.Entry
+	var entries []fakes.Entry
 	for i := range s.Workers.Count {
-		w, err := standin.NewWorker(fmt.Sprintf("w%d", i),
+		w, err := fakes.NewWorker(fmt.Sprintf("w%d", i),
 			time.Duration(s.Workers.ServiceMS*float64(time.Millisecond)))
 		if err != nil {
 			return nil, err
@@ -48,10 +48,10 @@
 		f.workers = append(f.workers, w)
 		entries = append(entries, w.Of(fmt.Sprintf("z%d", i%max(s.Workers.Zones, 1))))
 	}
-	if f.discovery, err = standin.NewDiscovery(entries...); err != nil {
+	if f.discovery, err = fakes.NewDiscovery(entries...); err != nil {
 		return nil, err
 	}
-	if f.counter, err = standin.NewCounter(); err != nil {
+	if f.counter, err = fakes.NewCounter(); err != nil {
 		return nil, err
 	}
 	f.config, err = json.MarshalIndent(map[string]any{
@@ -63,7 +63,7 @@
 }
 
 // settings are a scenario's figures as a gatekeeper's configuration has them, for one gatekeeper alone.
-func settings(s *emu.Scenario) map[string]any {
+func settings(s *emulator.Scenario) map[string]any {
 	effects := map[string]string{"inquiry": "read_like", "referenced": "idempotency_key",
 		"once": "non_idempotent"}
 	var classes, tariffs []map[string]any
--- a/cmd/wdlab/forward.go
+++ b/cmd/willowdeck-lab/forward.go
@@ -16,12 +16,12 @@
 
 	"github.com/urfave/cli/v3"
 
-	"willowdeck/internal/emu"
-	"willowdeck/internal/lab"
-	"willowdeck/internal/load"
-	"willowdeck/internal/ports"
-	"willowdeck/internal/standin"
-	"willowdeck/internal/traffic"
+	"willowdeck/internal/lab/emulator"
+	"willowdeck/internal/lab/experiment"
+	"willowdeck/internal/lab/loadgen"
+	"willowdeck/internal/lab/workload"
+	"willowdeck/internal/testkit/fakes"
+	"willowdeck/internal/testkit/ports"
 )
 
 // arm is one way in which a load comes to its workers.
@@ -49,7 +49,7 @@
 // result is what an arm has shown.
 type result struct {
 	arm    arm
-	report *load.Report
+	report *loadgen.Report
 	twice  int     // once-only txns that ran more than once
 	beyond float64 // units beyond a ceiling's store, at most, after what the way to the worker may shift
 	asks   int     // of the auth service
@@ -91,7 +91,7 @@
 	return err
 }
 
-func playArms(ctx context.Context, s *emu.Scenario, seed int64, arms []arm,
+func playArms(ctx context.Context, s *emulator.Scenario, seed int64, arms []arm,
 	start func(conf []byte, file string) (*gatekeeper, error)) ([]result, error) {
 	arrivals, err := s.Arrivals(seed)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return all, nil
 }
 
-func (a arm) play(ctx context.Context, s *emu.Scenario, arrivals []traffic.Arrival, seed int64,
+func (a arm) play(ctx context.Context, s *emulator.Scenario, arrivals []workload.Arrival, seed int64,
 	start func([]byte, string) (*gatekeeper, error)) (r result, err error) {
 	r.arm = a
 	first, giveBack, err := ports.Take(2)
@@ -122,7 +122,7 @@
 		return r, err
 	}
 	defer f.close()
-	auth, err := standin.NewAuth(time.Duration(serviceMS * float64(time.Millisecond)))
+	auth, err := fakes.NewAuth(time.Duration(serviceMS * float64(time.Millisecond)))
 	if err != nil {
 		return r, err
 	}
@@ -150,7 +150,7 @@
 		if a.asked {
 			asks = g.asked
 		}
-		p, err := standin.NewPortal("127.0.0.1:0", asks, g.at)
+		p, err := fakes.NewPortal("127.0.0.1:0", asks, g.at)
 		if err != nil {
 			return r, err
 		}
@@ -159,16 +159,16 @@
 		target = p.At
 	}
 	plans, _ := names(s)
-	j := &load.Job{Arrivals: arrivals, Targets: []string{target}, Spread: 1, Plans: plans, Most: 4000,
+	j := &loadgen.Job{Arrivals: arrivals, Targets: []string{target}, Spread: 1, Plans: plans, Most: 4000,
 		Seed: seed, Credential: "Authorization"}
 	for _, p := range s.Products {
-		j.Products = append(j.Products, load.Product{Name: p.Name, Repeat: p.Repeat, Body: 100,
+		j.Products = append(j.Products, loadgen.Product{Name: p.Name, Repeat: p.Repeat, Body: 100,
 			Waits: time.Duration(p.SLAMS * s.Clients.Waits * float64(time.Millisecond))})
 	}
 	if a.stalls {
 		at := time.Duration((s.Seconds - stallS) / 2 * float64(time.Second))
-		begins := time.AfterFunc(at, func() { auth.Set(standin.Stalls) })
-		ends := time.AfterFunc(at+time.Duration(stallS*float64(time.Second)), func() { auth.Set(standin.None) })
+		begins := time.AfterFunc(at, func() { auth.Set(fakes.Stalls) })
+		ends := time.AfterFunc(at+time.Duration(stallS*float64(time.Second)), func() { auth.Set(fakes.None) })
 		defer begins.Stop()
 		defer ends.Stop()
 	}
@@ -199,14 +199,14 @@
 
 // verdict reckons from the workers' own records: once-only txns that ran twice, and the most units by which
 // any customer's ceiling was passed, as one store that begins full sees it.
-func verdict(s *emu.Scenario, arrivals []traffic.Arrival, workers []*standin.Worker) (twice int,
+func verdict(s *emulator.Scenario, arrivals []workload.Arrival, workers []*fakes.Worker) (twice int,
 	beyond float64) {
 	type drawn struct {
 		at    time.Time
 		units float64
 	}
 	runs, first, by := map[string]int{}, map[string]bool{}, map[int][]drawn{}
-	for _, got := range standin.InOrder(workers) {
+	for _, got := range fakes.InOrder(workers) {
 		_, n, _ := strings.Cut(got.Target, "?n=")
 		i, err := strconv.Atoi(n)
 		if err != nil || i >= len(arrivals) {
@@ -251,7 +251,7 @@
 			return strconv.FormatFloat(float64(r.report.Latency.ValueAtQuantile(q))/1000, 'f', 2, 64)
 		}
 		row := []string{r.arm.name, fmt.Sprint(r.report.Latency.TotalCount())}
-		for _, o := range []load.Outcome{load.Settled, load.Declined, load.Voided, load.NoAnswer} {
+		for _, o := range []loadgen.Outcome{loadgen.Settled, loadgen.Declined, loadgen.Voided, loadgen.NoAnswer} {
 			row = append(row, fmt.Sprint(n[o]))
 		}
 		rows = append(rows, append(row, ms(50), ms(99), ms(99.9), fmt.Sprint(r.asks), fmt.Sprint(r.twice),
@@ -281,9 +281,9 @@
 
 // drawSeconds draws the 99th percentile of each second.
 func drawSeconds(all []result, path string) error {
-	var lines []lab.Curve
+	var lines []experiment.Curve
 	for _, r := range all {
-		l := lab.Curve{Name: r.arm.name}
+		l := experiment.Curve{Name: r.arm.name}
 		for i, s := range r.report.Seconds {
 			if s.Latency.TotalCount() > 0 {
 				l.X = append(l.X, float64(i))
@@ -292,7 +292,7 @@
 		}
 		lines = append(lines, l)
 	}
-	return lab.Lines("forward authentication, the service stalled for 2 s in the middle where it says so",
+	return experiment.Lines("forward authentication, the service stalled for 2 s in the middle where it says so",
 		"s", "p99 of what was due in that second, ms", true, lines, path)
 }
 
--- a/cmd/wdlab/journal.go
+++ b/cmd/willowdeck-lab/journal.go
@@ -18,9 +18,9 @@
 	"github.com/urfave/cli/v3"
 	"go.etcd.io/bbolt"
 
-	"willowdeck/internal/journal"
-	"willowdeck/internal/journal/store"
-	"willowdeck/internal/lab"
+	"willowdeck/internal/lab/experiment"
+	"willowdeck/internal/txnjournal"
+	"willowdeck/internal/txnjournal/store"
 )
 
 const (
@@ -57,19 +57,25 @@
 }
 
 func own(d store.Disk, window float64) writes {
-	t := journal.DefaultTerms()
+	t := txnjournal.DefaultTerms()
 	t.Window, t.Wait, t.Slow = window, patient, patient
 	k := store.Keep(d, t, store.Who{Name: "lab"}, false, 1, zerolog.Nop())
-	txn := func(n uint64) journal.Txn {
-		return journal.Txn{Customer: n % 100, Mark: fmt.Sprintf("%016x", n), Product: "tag-issue"}
+	txn := func(n uint64) txnjournal.Txn {
+		return txnjournal.Txn{Customer: n % 100, Mark: fmt.Sprintf("%016x", n), Product: "tag-issue"}
 	}
 	return writes{
 		meant: func(n uint64) bool {
-			return k.Meant(txn(n), journal.Sub{Number: n}, "w1", 0, time.Now().Add(time.Minute))
+			return k.Meant(txn(n), txnjournal.Sub{Number: n}, "w1", 0, time.Now().Add(time.Minute))
 		},
 		ended: func(n uint64) {
-			k.Ended(txn(n), journal.Sub{Number: n}, "w1", journal.Settled, journal.Answer{Body: []byte("done"),
-				Whole: true})
+			k.Ended(
+				txn(n),
+				txnjournal.Sub{Number: n},
+				"w1",
+				txnjournal.Settled,
+				txnjournal.Answer{Body: []byte("done"),
+					Whole: true},
+			)
 		},
 		close: k.Close,
 	}
@@ -189,10 +195,10 @@
 		name string
 		part float64
 	}{{"p50", 0.5}, {"p99", 0.99}, {"p99.9", 0.999}}
-	var lines []lab.Curve
+	var lines []experiment.Curve
 	rows := [][]string{{"store", "window_ms", "txns", "refused", "p50_ms", "p99_ms", "p999_ms"}}
 	for i, kind := range kinds {
-		curves := make([]lab.Curve, len(parts))
+		curves := make([]experiment.Curve, len(parts))
 		for k := range parts {
 			curves[k].Name = kind + " " + parts[k].name
 		}
@@ -226,7 +232,7 @@
 		lines = append(lines, curves...)
 	}
 	return told(c, rows, func(path string) error {
-		return lab.Lines("added to a once-only txn", "window of group commit, ms", "ms", true, lines, path)
+		return experiment.Lines("added to a once-only txn", "window of group commit, ms", "ms", true, lines, path)
 	})
 }
 
@@ -252,7 +258,7 @@
 }
 
 func journalRecovery(_ context.Context, c *cli.Command) error {
-	curve := lab.Curve{Name: "time to read"}
+	curve := experiment.Curve{Name: "time to read"}
 	rows := [][]string{{"mb", "records", "txns", "ms"}}
 	for _, mb := range c.IntSlice("mb") {
 		dir, err := os.MkdirTemp(c.String("dir"), "wdlab")
@@ -260,8 +266,8 @@
 			return err
 		}
 		defer os.RemoveAll(dir)
-		t := journal.DefaultTerms()
-		t.Segments, t.Txns = journal.MostSegments, journal.MostTxns
+		t := txnjournal.DefaultTerms()
+		t.Segments, t.Txns = txnjournal.MostSegments, txnjournal.MostTxns
 		if err := fill(store.Dir(dir), t, int(mb)<<20); err != nil {
 			return err
 		}
@@ -277,7 +283,7 @@
 		}
 		slices.Sort(took)
 		txns := 0
-		l.Ask(func(b *journal.Book) { txns, _ = b.Len() })
+		l.Ask(func(b *txnjournal.Book) { txns, _ = b.Len() })
 		row := []string{fmt.Sprint(mb), strconv.Itoa(l.Found.Records), strconv.Itoa(txns),
 			fmt.Sprintf("%.1f", took[1])}
 		fmt.Println(row)
@@ -285,25 +291,37 @@
 		curve.X, curve.Y = append(curve.X, float64(mb)), append(curve.Y, took[1])
 	}
 	return told(c, rows, func(path string) error {
-		return lab.Lines("reading a journal at a start", "its size, MB", "ms", true, []lab.Curve{curve}, path)
+		return experiment.Lines(
+			"reading a journal at a start",
+			"its size, MB",
+			"ms",
+			true,
+			[]experiment.Curve{curve},
+			path,
+		)
 	})
 }
 
 // fill writes txns until a journal has so many bytes.
-func fill(d store.Disk, t journal.Terms, bytes int) error {
+func fill(d store.Disk, t txnjournal.Terms, bytes int) error {
 	l, err := store.Open(d, t, store.Who{Name: "lab"}, 1e12, false)
 	if err != nil {
 		return err
 	}
 	defer l.Close()
 	for n := uint64(0); l.Segments() <= bytes/t.Segment; {
-		var all []journal.Record
+		var all []txnjournal.Record
 		for range 200 {
 			n++
-			r := journal.Record{Kind: journal.Meant, At: 1e12 + float64(n), Sub: journal.Sub{Number: n}, Worker: "w1",
-				Txn: journal.Txn{Customer: n % 100, Mark: fmt.Sprintf("%016x", n), Product: "tag-issue"}}
+			r := txnjournal.Record{
+				Kind:   txnjournal.Meant,
+				At:     1e12 + float64(n),
+				Sub:    txnjournal.Sub{Number: n},
+				Worker: "w1",
+				Txn:    txnjournal.Txn{Customer: n % 100, Mark: fmt.Sprintf("%016x", n), Product: "tag-issue"},
+			}
 			all = append(all, r)
-			r.Kind, r.End = journal.Ended, journal.Settled
+			r.Kind, r.End = txnjournal.Ended, txnjournal.Settled
 			all = append(all, r)
 		}
 		if l.Segments() == bytes/t.Segment && n*2*160 > uint64(bytes) {
--- a/cmd/wdlab/main.go
+++ b/cmd/willowdeck-lab/main.go
@@ -15,11 +15,11 @@
 	"github.com/rs/zerolog"
 	"github.com/urfave/cli/v3"
 
-	"willowdeck/internal/emu"
-	"willowdeck/internal/lab"
-	"willowdeck/internal/load"
-	"willowdeck/internal/standin"
-	"willowdeck/internal/traffic"
+	"willowdeck/internal/lab/emulator"
+	"willowdeck/internal/lab/experiment"
+	"willowdeck/internal/lab/loadgen"
+	"willowdeck/internal/lab/workload"
+	"willowdeck/internal/testkit/fakes"
 )
 
 func main() {
@@ -99,12 +99,12 @@
 }
 
 // scenario reads the scenario that the first of n arguments names.
-func scenario(c *cli.Command, n int) (*emu.Scenario, []string, error) {
+func scenario(c *cli.Command, n int) (*emulator.Scenario, []string, error) {
 	a, err := args(c, n)
 	if err != nil {
 		return nil, nil, err
 	}
-	s, err := emu.Read(a[0])
+	s, err := emulator.Read(a[0])
 	return s, a, err
 }
 
@@ -113,26 +113,26 @@
 	if err != nil {
 		return err
 	}
-	x, err := lab.Of(s, c.StringSlice("policy"), c.Int("seeds"))
+	x, err := experiment.Of(s, c.StringSlice("policy"), c.Int("seeds"))
 	if err != nil {
 		return err
 	}
 	rows, err := play(ctx, c, x)
 	if err == nil && c.String("seconds-out") != "" {
-		err = lab.WriteSeconds(c.String("seconds-out"), rows[0].Result)
+		err = experiment.WriteSeconds(c.String("seconds-out"), rows[0].Result)
 	}
 	return err
 }
 
 // play plays an experiment, tells of each run, and writes its table. A rule broken by the module is an error.
-func play(ctx context.Context, c *cli.Command, x *lab.Experiment) ([]lab.Row, error) {
+func play(ctx context.Context, c *cli.Command, x *experiment.Experiment) ([]experiment.Row, error) {
 	log := logger()
 	start := time.Now()
-	rows, err := x.Run(ctx, c.Int("cores"), func(r lab.Row) {
+	rows, err := x.Run(ctx, c.Int("cores"), func(r experiment.Row) {
 		e := log.Info().Str("policy", r.Policy).Int64("seed", r.Seed).Float64("score", r.Score).
 			Int64("asked", r.Asked).Int64("settled", r.Settled).Float64("p50_ms", r.P50).Float64("p99_ms", r.P99).
 			Float64("near_fall", r.NearFall).Float64("starved", r.Starved)
-		for _, p := range []emu.Part{emu.Worst(r.Products), emu.Worst(r.Plans)} {
+		for _, p := range []emulator.Part{emulator.Worst(r.Products), emulator.Worst(r.Plans)} {
 			e = e.Float64("served_of_"+p.Name, p.Share())
 		}
 		if r.Key != "" {
@@ -157,7 +157,7 @@
 	log.Info().Int("runs", len(rows)).Dur("took", took).Int64("events", events).
 		Float64("events_per_s", float64(events)/took.Seconds()).Msg("done")
 	if file := c.String("out"); file != "" {
-		if err := lab.WriteTable(file, rows); err != nil {
+		if err := experiment.WriteTable(file, rows); err != nil {
 			return nil, err
 		}
 	}
@@ -172,7 +172,7 @@
 	if err != nil {
 		return err
 	}
-	x, err := lab.Read(a[0])
+	x, err := experiment.Read(a[0])
 	if err != nil {
 		return err
 	}
@@ -182,7 +182,7 @@
 	if _, err := play(ctx, c, x); err != nil || c.String("chart") == "" {
 		return err
 	}
-	t, err := lab.ReadTable(c.String("out"))
+	t, err := experiment.ReadTable(c.String("out"))
 	if err != nil {
 		return err
 	}
@@ -190,7 +190,7 @@
 	if figure == "" {
 		figure = "score"
 	}
-	return lab.Chart(t, figure, c.String("chart"))
+	return experiment.Chart(t, figure, c.String("chart"))
 }
 
 func chart(_ context.Context, c *cli.Command) error {
@@ -198,11 +198,11 @@
 	if err != nil {
 		return err
 	}
-	t, err := lab.ReadTable(a[0])
+	t, err := experiment.ReadTable(a[0])
 	if err != nil {
 		return err
 	}
-	return lab.Chart(t, c.String("figure"), a[1])
+	return experiment.Chart(t, c.String("figure"), a[1])
 }
 
 func compare(_ context.Context, c *cli.Command) error {
@@ -210,15 +210,15 @@
 	if err != nil {
 		return err
 	}
-	old, err := lab.ReadTable(a[0])
+	old, err := experiment.ReadTable(a[0])
 	if err != nil {
 		return err
 	}
-	now, err := lab.ReadTable(a[1])
+	now, err := experiment.ReadTable(a[1])
 	if err != nil {
 		return err
 	}
-	all, err := lab.Compare(old, now, c.StringSlice("figure"))
+	all, err := experiment.Compare(old, now, c.StringSlice("figure"))
 	if err != nil {
 		return err
 	}
@@ -250,13 +250,13 @@
 		return err
 	}
 	plans, products := names(s)
-	if err := traffic.WriteTrace(f, all, plans, products); err != nil {
+	if err := workload.WriteTrace(f, all, plans, products); err != nil {
 		return err
 	}
 	return f.Close()
 }
 
-func names(s *emu.Scenario) (plans, products []string) {
+func names(s *emulator.Scenario) (plans, products []string) {
 	for _, p := range s.Plans {
 		plans = append(plans, p.Name)
 	}
@@ -276,11 +276,11 @@
 		return err
 	}
 	plans, _ := names(s)
-	j := &load.Job{Arrivals: all, Targets: c.StringSlice("target"), Plans: plans, Most: c.Int("most"),
+	j := &loadgen.Job{Arrivals: all, Targets: c.StringSlice("target"), Plans: plans, Most: c.Int("most"),
 		Closed: c.Int("closed"), Seed: int64(c.Int("seed")), Credential: c.String("credential")}
 	j.Spread = min(s.Gatekeepers.Spread, len(j.Targets))
 	for _, p := range s.Products {
-		j.Products = append(j.Products, load.Product{Name: p.Name, Repeat: p.Repeat, Body: c.Int("body"),
+		j.Products = append(j.Products, loadgen.Product{Name: p.Name, Repeat: p.Repeat, Body: c.Int("body"),
 			Waits: time.Duration(p.SLAMS * s.Clients.Waits * float64(time.Millisecond))})
 	}
 	r, err := j.Run(ctx)
@@ -310,7 +310,7 @@
 	}
 	log := logger()
 	if at := c.String("portal"); at != "" {
-		p, err := standin.NewPortal(at, c.String("asks"), c.String("listen"))
+		p, err := fakes.NewPortal(at, c.String("asks"), c.String("listen"))
 		if err != nil {
 			return err
 		}
@@ -318,7 +318,7 @@
 		log.Info().Str("portal", p.At).Str("asks", c.String("asks")).Msg("portal")
 	}
 	if c.IsSet("auth") {
-		a, err := standin.NewAuth(c.Duration("auth"))
+		a, err := fakes.NewAuth(c.Duration("auth"))
 		if err != nil {
 			return err
 		}
--- a/cmd/wdlab/main_test.go
+++ b/cmd/willowdeck-lab/main_test.go
@@ -10,16 +10,16 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/config"
-	"willowdeck/internal/emu"
-	"willowdeck/internal/lifecycle"
-	"willowdeck/internal/load"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/lifecycle"
+	"willowdeck/internal/lab/emulator"
+	"willowdeck/internal/lab/loadgen"
 )
 
 // The whole chain on loopback: stand-ins, a gatekeeper with the configuration that was written for it,
 // and a load by the scenario; each txn that a client saw settled was run, and no once-only one twice.
 func TestLoadOnSockets(t *testing.T) {
-	s, err := emu.Read("../../scenarios/small.toml")
+	s, err := emulator.Read("../../scenarios/small.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,9 +43,9 @@
 		t.Fatal(err)
 	}
 	plans, products := names(s)
-	j := &load.Job{Arrivals: all, Targets: []string{g.At}, Spread: 1, Plans: plans, Most: 1000, Seed: 3}
+	j := &loadgen.Job{Arrivals: all, Targets: []string{g.At}, Spread: 1, Plans: plans, Most: 1000, Seed: 3}
 	for i, p := range s.Products {
-		j.Products = append(j.Products, load.Product{Name: products[i], Repeat: p.Repeat, Body: 50,
+		j.Products = append(j.Products, loadgen.Product{Name: products[i], Repeat: p.Repeat, Body: 50,
 			Waits: time.Duration(p.SLAMS * 2 * float64(time.Millisecond))})
 	}
 	r, err := j.Run(context.Background())
@@ -54,8 +54,8 @@
 	}
 	settled, answered := int64(0), int64(0)
 	for _, n := range r.Counts {
-		settled += n[load.Settled]
-		answered += n[load.Settled] + n[load.Declined] + n[load.Voided]
+		settled += n[loadgen.Settled]
+		answered += n[loadgen.Settled] + n[loadgen.Declined] + n[loadgen.Voided]
 	}
 	if answered < int64(len(all))*95/100 || settled < int64(len(all))*6/10 {
 		t.Errorf("of %d:\n%v", len(all), r)
@@ -131,7 +131,7 @@
 // vouch for: by the workers' own records no once-only txn runs twice and no ceiling is passed, and every
 // request has one answer.
 func TestForwardArms(t *testing.T) {
-	s, err := emu.Read("../../scenarios/forward.toml")
+	s, err := emulator.Read("../../scenarios/forward.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +160,7 @@
 	for i, r := range all {
 		var settled, declined, lost int64
 		for _, c := range r.report.Counts {
-			settled, declined, lost = settled+c[load.Settled], declined+c[load.Declined], lost+c[load.NoAnswer]
+			settled, declined, lost = settled+c[loadgen.Settled], declined+c[loadgen.Declined], lost+c[loadgen.NoAnswer]
 		}
 		if r.twice > 0 || r.beyond > 0 || lost > 0 {
 			t.Errorf("%s: %d ran twice, %.1f units beyond a ceiling, %d without answer", r.arm.name, r.twice, r.beyond,
--- a/cmd/wdlab/scale.go
+++ b/cmd/willowdeck-lab/scale.go
@@ -10,7 +10,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"willowdeck/internal/scale"
+	"willowdeck/internal/lab/scale"
 )
 
 // scaleCommand measures what control costs as a fleet grows.
--- a/cmd/wdlab/system.go
+++ b/cmd/willowdeck-lab/system.go
@@ -9,8 +9,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"willowdeck/internal/capacity"
-	"willowdeck/internal/lab"
+	"willowdeck/internal/lab/capacity"
+	"willowdeck/internal/lab/experiment"
 	"willowdeck/internal/serving/scale"
 )
 
@@ -43,7 +43,7 @@
 		options.Run = "system-scale-" + time.Now().UTC().Format("0102-1504")
 	}
 	if options.Commit == "" {
-		options.Commit = lab.Build()
+		options.Commit = experiment.Build()
 	}
 	for _, text := range c.StringSlice("sizes") {
 		size, err := parseSize(text)
--- a/cmd/willowdeck/journal.go
+++ b/cmd/willowdeck/journal.go
@@ -14,8 +14,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"willowdeck/internal/journal"
-	"willowdeck/internal/journal/store"
+	"willowdeck/internal/txnjournal"
+	"willowdeck/internal/txnjournal/store"
 )
 
 // within is how long after it was asked for a txn may go out, if nothing is said: clients wait for seconds.
@@ -62,8 +62,8 @@
 }
 
 // terms are those of a reader: it has room for all that the segments hold.
-func terms() journal.Terms {
-	t := journal.DefaultTerms()
+func terms() txnjournal.Terms {
+	t := txnjournal.DefaultTerms()
 	t.Txns, t.Answers = math.MaxInt, math.MaxInt
 	return t
 }
@@ -84,8 +84,8 @@
 		return err
 	}
 	for _, dir := range all {
-		var last journal.Seen
-		note := func(_ uint64, s journal.Seen) {
+		var last txnjournal.Seen
+		note := func(_ uint64, s txnjournal.Seen) {
 			if !s.Blank {
 				last = s
 			}
@@ -102,14 +102,21 @@
 		damage(b, found)
 		var list []string
 		count := [3]int{}
-		b.Each(func(e journal.Entry, v journal.Verdict) {
+		b.Each(func(e txnjournal.Entry, v txnjournal.Verdict) {
 			count[v]++
 			if list = append(list, line(e, v)); len(list) > c.Int("last") {
 				list = list[1:]
 			}
 		})
-		fmt.Printf("  %s %d, %s %d, %s %d\n", journal.SentSettled, count[journal.SentSettled], journal.SentUnknown,
-			count[journal.SentUnknown], journal.NotSent, count[journal.NotSent])
+		fmt.Printf(
+			"  %s %d, %s %d, %s %d\n",
+			txnjournal.SentSettled,
+			count[txnjournal.SentSettled],
+			txnjournal.SentUnknown,
+			count[txnjournal.SentUnknown],
+			txnjournal.NotSent,
+			count[txnjournal.NotSent],
+		)
 		for _, l := range list {
 			fmt.Println("  " + l)
 		}
@@ -117,13 +124,13 @@
 	return nil
 }
 
-func line(e journal.Entry, v journal.Verdict) string {
+func line(e txnjournal.Entry, v txnjournal.Verdict) string {
 	return fmt.Sprintf("%s %s %s customer %016x worker %s life %d submissions %d: %s", clock(e.Meant), e.Mark,
 		e.Product, e.Customer, e.Worker, e.Life, e.Subs, v)
 }
 
 // damage tells what can't be relied on.
-func damage(b *journal.Book, f store.Found) {
+func damage(b *txnjournal.Book, f store.Found) {
 	if f.Cut > 0 {
 		fmt.Printf("  %d bytes cut: segments with a torn end %d, damaged before it %d, of another version %d\n",
 			f.Cut, f.Torn, f.Damaged, f.Unreadable)
@@ -175,7 +182,7 @@
 		from = float64(at.UnixMicro()) / 1000
 		to = from + float64(c.Duration("within"))/float64(time.Millisecond)
 	}
-	verdict := journal.NotSent
+	verdict := txnjournal.NotSent
 	for _, dir := range all {
 		b, _, _, _, err := store.ReadAll(store.Dir(dir), terms(), now(), nil, nil)
 		if err != nil {
@@ -189,7 +196,7 @@
 		}
 	}
 	fmt.Printf("%s: %s\n", mark, verdict)
-	if verdict == journal.SentUnknown && c.String("at") == "" {
+	if verdict == txnjournal.SentUnknown && c.String("at") == "" {
 		fmt.Println("--at TIME, when it was asked for, may tell more")
 	}
 	return nil
@@ -235,10 +242,10 @@
 	enc := json.NewEncoder(w)
 	var failed error
 	_, _, _, _, err := store.ReadAll(store.Dir(dir), terms(), now(), nil,
-		func(number uint64, offset int, r journal.Record) {
+		func(number uint64, offset int, r txnjournal.Record) {
 			x := exported{Dir: dir, Segment: number, Offset: offset, Kind: r.Kind.String(), At: r.At, Life: r.Life,
 				Group: r.Group, To: r.To, Below: r.Below}
-			if r.Kind <= journal.Kept {
+			if r.Kind <= txnjournal.Kept {
 				x.ID, x.Customer, x.Product = r.Txn.Mark, fmt.Sprintf("%016x", r.Txn.Customer), r.Txn.Product
 				x.Number, x.N, x.Worker, x.Expiry = r.Sub.Number, r.Sub.N, r.Worker, r.Expiry
 				x.End, x.Answer = r.End.String(), len(r.Answer.Body)
--- a/cmd/willowdeck/main.go
+++ b/cmd/willowdeck/main.go
@@ -14,9 +14,9 @@
 	"github.com/rs/zerolog"
 	"github.com/urfave/cli/v3"
 
-	"willowdeck/internal/config"
-	"willowdeck/internal/fleet"
-	"willowdeck/internal/lifecycle"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/lifecycle"
+	"willowdeck/internal/supervisor"
 )
 
 func main() {
@@ -136,12 +136,12 @@
 	if err != nil {
 		return err
 	}
-	f, err := fleet.Read(c.String("file"))
+	f, err := supervisor.Read(c.String("file"))
 	if err != nil {
 		return err
 	}
 	log = log.With().Str("fleet", f.Name).Logger()
-	d, err := fleet.NewDaemon(f, log)
+	d, err := supervisor.NewDaemon(f, log)
 	if err != nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 	for {
 		select {
 		case <-reload:
-			d.Reload(fleet.Read(c.String("file")))
+			d.Reload(supervisor.Read(c.String("file")))
 		case s := <-stop:
 			log.Info().Str("signal", s.String()).Msg("stopping")
 			over := make(chan struct{})
--- a/cmd/willowdeck/relay.go
+++ b/cmd/willowdeck/relay.go
@@ -9,9 +9,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"willowdeck/internal/history"
-	"willowdeck/internal/relayd"
-	"willowdeck/internal/residue"
+	"willowdeck/internal/distribution/relay"
+	"willowdeck/internal/gateway/recovery/crashstate"
+	"willowdeck/internal/testkit/history"
 )
 
 // relays is the command that follows a council from afar.
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := relayd.Read(c.String("config"))
+	f, err := relay.Read(c.String("config"))
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 	var record history.Recorder
 	if dir := c.String("history"); dir != "" {
 		l, err := history.Open(filepath.Join(dir, fmt.Sprintf("%s.%d.jsonl", f.Name, os.Getpid())), f.Name,
-			residue.Uptime())
+			crashstate.Uptime())
 		if err != nil {
 			return fmt.Errorf("history: %w", err)
 		}
@@ -53,7 +53,7 @@
 		}()
 		record = l
 	}
-	r, err := relayd.Start(f, record, log)
+	r, err := relay.Start(f, record, log)
 	if err != nil {
 		return err
 	}
--- a/internal/credit/audit/audit.go
+++ b/internal/borrowing/audit/audit.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"math"
 
-	"willowdeck/internal/history"
+	"willowdeck/internal/testkit/history"
 )
 
 // Line is a customer's line, in units, and within how many ms a loan is paid back.
--- a/internal/credit/audit/audit_test.go
+++ b/internal/borrowing/audit/audit_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"willowdeck/internal/history"
+	"willowdeck/internal/testkit/history"
 )
 
 // Each way to go wrong is found, alone in a record that is else right, and the right one has none.
--- a/internal/credit/credit.go
+++ b/internal/borrowing/credit.go
@@ -1,4 +1,5 @@
-// Package credit decides what a gatekeeper lends a customer beyond its quota, and when that is paid back. It
+// Package borrowing decides what a gatekeeper lends a customer beyond its quota, and when that is paid back.
+// It
 // is free of I/O: a host tells it the time, what the module asks and what peers say, and pulls what follows.
 //
 // The line of a customer is a number of parts of a unit. Each part is in one place at one time: at one
@@ -10,7 +11,7 @@
 // debts move as well, and have a time; no matrix of all pairs is told, each pair of gatekeepers knows its
 // own counters, and either restores what the other has lost; and what may have been drawn by a life that
 // nobody remembers counts as drawn, and is earned back from fill that the customer leaves unused.
-package credit
+package borrowing
 
 import (
 	"hash/fnv"
--- a/internal/credit/credit_test.go
+++ b/internal/borrowing/credit_test.go
@@ -1,4 +1,4 @@
-package credit
+package borrowing
 
 import (
 	"flag"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/credit/audit"
-	"willowdeck/internal/history"
+	"willowdeck/internal/borrowing/audit"
+	"willowdeck/internal/testkit/history"
 )
 
 var long = flag.Duration("long", 0, "how long random runs go on")
--- a/internal/credit/exchange.go
+++ b/internal/borrowing/exchange.go
@@ -1,4 +1,4 @@
-package credit
+package borrowing
 
 import (
 	"math"
--- a/internal/credit/book/book.go
+++ b/internal/borrowing/ledger/book.go
@@ -1,7 +1,7 @@
-// Package book keeps a gatekeeper's records of credit over a sudden end: a file that is mapped into memory,
+// Package ledger keeps a gatekeeper's records of credit over a sudden end: a file that is mapped into memory,
 // as a residue is. What has been stored there outlives the process however it ends; it does not outlive the
 // machine, and counts as none after that.
-package book
+package ledger
 
 import (
 	"bytes"
@@ -15,9 +15,9 @@
 	"time"
 	"unsafe"
 
-	"willowdeck/internal/credit"
-	"willowdeck/internal/member"
-	"willowdeck/internal/residue"
+	"willowdeck/internal/borrowing"
+	"willowdeck/internal/gateway/incarnation"
+	"willowdeck/internal/gateway/recovery/crashstate"
 )
 
 const (
@@ -27,7 +27,7 @@
 	place    = 1024          // bytes of one customer: which copy holds, and two copies
 	copyAt   = 16
 	copySize = 504
-	size     = header + credit.Places*place
+	size     = header + borrowing.Places*place
 
 	// the header's fields, by their place
 	atMagic = 0
@@ -55,17 +55,17 @@
 // Kept is a record and its place.
 type Kept struct {
 	Place  int
-	Record credit.Record
+	Record borrowing.Record
 }
 
 // Open opens the book of gatekeeper me, with what its former life has left. What is of another version,
 // gatekeeper or start of the machine is as nothing.
 func Open(path string, me int) (*File, error) {
-	mark, up, err := residue.Boot()
+	mark, up, err := crashstate.Boot()
 	if err != nil {
 		return nil, fmt.Errorf("credit: %w", err)
 	}
-	held, b, was, err := residue.Map(path, size)
+	held, b, was, err := crashstate.Map(path, size)
 	if err != nil {
 		return nil, fmt.Errorf("credit: %w", err)
 	}
@@ -83,7 +83,7 @@
 // fresh begins a book in which nobody is known. The mark that makes it valid is written last.
 func (f *File) fresh(me int, mark []byte) {
 	f.store(atMagic, 0)
-	for i := range min(int(f.load(atUsed)), credit.Places) {
+	for i := range min(int(f.load(atUsed)), borrowing.Places) {
 		f.store(header+i*place, 0)
 	}
 	clear(f.b[atMe:header])
@@ -99,7 +99,7 @@
 func (f *File) read() bool {
 	f.Born = math.Float64frombits(f.load(atBorn))
 	used := f.load(atUsed)
-	if !(f.Born >= 0) || f.Born > f.up || used > credit.Places {
+	if !(f.Born >= 0) || f.Born > f.up || used > borrowing.Places {
 		return false
 	}
 	for i := range int(used) {
@@ -107,7 +107,7 @@
 		if which == 0 {
 			continue
 		}
-		r, ok := credit.Record{}, false
+		r, ok := borrowing.Record{}, false
 		if which <= 2 {
 			r, ok = decode(f.copy(i, which))
 		}
@@ -130,7 +130,7 @@
 
 // Keep stores a record. It has to return before what the record tells is acted on. Guards against an end in
 // the middle of it: the copy that holds is written to by none.
-func (f *File) Keep(i int, r *credit.Record) {
+func (f *File) Keep(i int, r *borrowing.Record) {
 	at := header + i*place
 	next := uint64(1)
 	if f.load(at) == 1 {
@@ -145,7 +145,7 @@
 
 // Hear notes a peer's word, and tells whether it is news. Guards against a word from before a peer forgot
 // what it had said, that comes late to a life which has never heard that peer.
-func (f *File) Hear(from int, w member.Word) bool {
+func (f *File) Hear(from int, w incarnation.Word) bool {
 	if from < 0 || from >= peers {
 		return false
 	}
@@ -197,7 +197,7 @@
 }
 
 // encode writes a record, and a sum over it last.
-func encode(b []byte, r *credit.Record) {
+func encode(b []byte, r *borrowing.Record) {
 	c := cursor{b: b}
 	c.put(uint64(r.Customer) | uint64(r.Form)<<32)
 	c.put(uint64(r.Plan) | uint64(r.N)<<8 | uint64(r.First)<<16 | flags(r.Live, r.Known, r.Virgin)<<32)
@@ -220,7 +220,7 @@
 }
 
 // decode reads one; false is one that is spoilt.
-func decode(b []byte) (r credit.Record, ok bool) {
+func decode(b []byte) (r borrowing.Record, ok bool) {
 	c := cursor{b: b}
 	v := c.get()
 	r.Customer, r.Form = uint32(v), uint32(v>>32)
--- a/internal/credit/book/book_test.go
+++ b/internal/borrowing/ledger/book_test.go
@@ -1,4 +1,4 @@
-package book
+package ledger
 
 import (
 	"bufio"
@@ -10,18 +10,26 @@
 	"reflect"
 	"testing"
 
-	"willowdeck/internal/credit"
-	"willowdeck/internal/member"
-	"willowdeck/internal/residue"
+	"willowdeck/internal/borrowing"
+	"willowdeck/internal/gateway/incarnation"
+	"willowdeck/internal/gateway/recovery/crashstate"
 )
 
-func record(i int) credit.Record {
-	r := credit.Record{Customer: uint32(i), Plan: 1, N: 3, First: 300, Live: true, Known: true, Form: 99,
+func record(i int) borrowing.Record {
+	r := borrowing.Record{Customer: uint32(i), Plan: 1, N: 3, First: 300, Live: true, Known: true, Form: 99,
 		Rights: int64(-i), Earn: 7}
 	for k := range r.Owed {
 		r.Owed[k], r.Due[k] = int64(i+k), float64(k)*1.5
 	}
-	r.Pairs[2] = credit.Pair{Peer: 4, Used: true, GaveR: 1 << 50, GaveD: uint64(i), GotR: 3, GotD: 4, Due: 1e9}
+	r.Pairs[2] = borrowing.Pair{
+		Peer:  4,
+		Used:  true,
+		GaveR: 1 << 50,
+		GaveD: uint64(i),
+		GotR:  3,
+		GotD:  4,
+		Due:   1e9,
+	}
 	return r
 }
 
@@ -48,16 +56,16 @@
 		}
 	}
 	for i, c := range []struct {
-		w    member.Word
+		w    incarnation.Word
 		news bool
-	}{{member.Word{Incarnation: 5, Sequence: 9}, true}, {member.Word{Incarnation: 5, Sequence: 9}, false},
-		{member.Word{Incarnation: 4, Sequence: 10}, false}, {member.Word{Incarnation: 6, Sequence: 1}, true}} {
+	}{{incarnation.Word{Incarnation: 5, Sequence: 9}, true}, {incarnation.Word{Incarnation: 5, Sequence: 9}, false},
+		{incarnation.Word{Incarnation: 4, Sequence: 10}, false}, {incarnation.Word{Incarnation: 6, Sequence: 1}, true}} {
 		if got := f.Hear(7, c.w); got != c.news {
 			t.Errorf("word %d is news: %v", i, got)
 		}
 	}
 	// Its time is the machine's since its start: a clock that is set moves nothing that is due.
-	if _, up, err := residue.Boot(); err != nil || math.Abs(f.Now()-up) > 2000 {
+	if _, up, err := crashstate.Boot(); err != nil || math.Abs(f.Now()-up) > 2000 {
 		t.Errorf("it is %v, and the machine is up for %v", f.Now(), up)
 	}
 	f.Close()
@@ -71,7 +79,8 @@
 			t.Errorf("%+v, want %+v", k, want)
 		}
 	}
-	if f.Hear(7, member.Word{Incarnation: 5, Sequence: 10}) || f.Hear(peers, member.Word{Incarnation: 5}) {
+	if f.Hear(7, incarnation.Word{Incarnation: 5, Sequence: 10}) ||
+		f.Hear(peers, incarnation.Word{Incarnation: 5}) {
 		t.Error("a former life's word is news")
 	}
 	f.Close()
--- a/internal/credit/book/golden_forms_test.go
+++ b/internal/borrowing/ledger/golden_forms_test.go
@@ -1,4 +1,4 @@
-package book
+package ledger
 
 import (
 	"encoding/binary"
@@ -7,10 +7,10 @@
 	"path/filepath"
 	"testing"
 
-	"willowdeck/internal/credit"
-	"willowdeck/internal/goldentest"
-	"willowdeck/internal/member"
-	"willowdeck/internal/residue"
+	"willowdeck/internal/borrowing"
+	"willowdeck/internal/gateway/incarnation"
+	"willowdeck/internal/gateway/recovery/crashstate"
+	"willowdeck/internal/testkit/goldentest"
 )
 
 const (
@@ -22,12 +22,13 @@
 	bootFrom, bootTo = 32, 96
 )
 
-// goldenStoredRecord is what each place of book.hex holds. The file was written once by Open, Keep and Hear, before
+// goldenStoredRecord is what each place of book.hex holds. The file was written once by Open, Keep and Hear,
+// before
 // names were changed, with what the machine gives set to nought. It is what a killed process of an older
 // version leaves; new code must never write it again.
-func goldenStoredRecord(place int) credit.Record {
+func goldenStoredRecord(place int) borrowing.Record {
 	base := 1000 * (place + 1)
-	r := credit.Record{Customer: uint32(base + 1), Plan: uint8(2 + place), N: uint8(3 + place),
+	r := borrowing.Record{Customer: uint32(base + 1), Plan: uint8(2 + place), N: uint8(3 + place),
 		First: uint16(base + 4), Live: true, Known: true, Virgin: true, Form: uint32(base + 5),
 		Rights: int64(-base - 6), Earn: int64(base + 7)}
 	for i := range r.Owed {
@@ -35,8 +36,15 @@
 	}
 	for i := range r.Pairs {
 		more := uint64(base + 100*(i+1))
-		r.Pairs[i] = credit.Pair{Peer: uint16(more), Used: true, GaveR: more + 1, GaveD: more + 2, GotR: more + 3,
-			GotD: more + 4, Due: float64(more) + 5.5}
+		r.Pairs[i] = borrowing.Pair{
+			Peer:  uint16(more),
+			Used:  true,
+			GaveR: more + 1,
+			GaveD: more + 2,
+			GotR:  more + 3,
+			GotD:  more + 4,
+			Due:   float64(more) + 5.5,
+		}
 	}
 	return r
 }
@@ -57,7 +65,7 @@
 		}
 		file.Keep(place, &r)
 	}
-	if !file.Hear(7, member.Word{Incarnation: 0x01020304, Sequence: 0x05060708}) {
+	if !file.Hear(7, incarnation.Word{Incarnation: 0x01020304, Sequence: 0x05060708}) {
 		t.Error("a peer's first word is no news")
 	}
 	file.Close()
@@ -76,7 +84,7 @@
 
 func TestGoldenBookRead(t *testing.T) {
 	b := append(goldentest.Hex(t, "book.hex"), make([]byte, goldenSize)...)[:goldenSize]
-	mark, _, err := residue.Boot()
+	mark, _, err := crashstate.Boot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,8 +112,8 @@
 			t.Errorf("record %d: %d fields are zero, want %d", i, n, unkept)
 		}
 	}
-	if file.Hear(7, member.Word{Incarnation: 0x01020304, Sequence: 0x05060708}) ||
-		!file.Hear(7, member.Word{Incarnation: 0x01020304, Sequence: 0x05060709}) {
+	if file.Hear(7, incarnation.Word{Incarnation: 0x01020304, Sequence: 0x05060708}) ||
+		!file.Hear(7, incarnation.Word{Incarnation: 0x01020304, Sequence: 0x05060709}) {
 		t.Error("the peer's last word is not known")
 	}
 }
--- a/internal/credit/book/golden_test.go
+++ b/internal/borrowing/ledger/golden_test.go
@@ -1,4 +1,4 @@
-package book
+package ledger
 
 import (
 	"bytes"
@@ -7,8 +7,8 @@
 	"reflect"
 	"testing"
 
-	"willowdeck/internal/credit"
-	"willowdeck/internal/member"
+	"willowdeck/internal/borrowing"
+	"willowdeck/internal/gateway/incarnation"
 	"willowdeck/internal/testkit/goldenform"
 )
 
@@ -24,8 +24,8 @@
 )
 
 // goldenRecord has a value that is not zero in each field.
-func goldenRecord() credit.Record {
-	r := credit.Record{}
+func goldenRecord() borrowing.Record {
+	r := borrowing.Record{}
 	goldenform.Fill(&r)
 	return r
 }
@@ -39,7 +39,7 @@
 	f.Keep(0, &first)
 	f.Keep(0, &first)
 	f.Keep(2, &third)
-	f.Hear(1, member.Word{Incarnation: 4, Sequence: 9})
+	f.Hear(1, incarnation.Word{Incarnation: 4, Sequence: 9})
 	return f
 }
 
@@ -75,7 +75,7 @@
 	if want := []Kept{{0, first}, {2, third}}; f.Spoilt != 0 || !reflect.DeepEqual(f.Records, want) {
 		t.Errorf("%d spoilt; read as\n%+v\nwant\n%+v", f.Spoilt, f.Records, want)
 	}
-	heard, next := member.Word{Incarnation: 4, Sequence: 9}, member.Word{Incarnation: 4, Sequence: 10}
+	heard, next := incarnation.Word{Incarnation: 4, Sequence: 9}, incarnation.Word{Incarnation: 4, Sequence: 10}
 	if f.Hear(1, heard) || !f.Hear(1, next) {
 		t.Error("a peer's last word is not known")
 	}
--- a/internal/credit/rig/rig_test.go
+++ b/internal/borrowing/rig/rig_test.go
@@ -18,12 +18,12 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/credit/audit"
-	"willowdeck/internal/faults"
-	"willowdeck/internal/history"
-	"willowdeck/internal/lifecycle"
-	"willowdeck/internal/standin"
+	"willowdeck/internal/borrowing/audit"
+	"willowdeck/internal/gateway/lifecycle"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/fakes"
+	"willowdeck/internal/testkit/faultinject"
+	"willowdeck/internal/testkit/history"
 )
 
 var (
@@ -67,14 +67,14 @@
 // fleet is some gatekeepers of one set.
 type fleet struct {
 	t       *testing.T
-	net     *faults.Net
-	rig     *faults.Rig
+	net     *faultinject.Net
+	rig     *faultinject.Rig
 	names   []string
 	control map[string]string
 	at      []string
 	past    string // where all record
 	client  *history.Log
-	worker  *standin.Worker
+	worker  *fakes.Worker
 	http    http.Client
 	asks    sync.WaitGroup
 	nth     int
@@ -90,19 +90,29 @@
 // startWith starts some where txns have up to so many units, and more arguments.
 func startWith(t *testing.T, n int, creditS float64, seed int64, largest float64, args ...string) *fleet {
 	t.Helper()
-	w, err := standin.NewWorker("w0", time.Millisecond)
+	w, err := fakes.NewWorker("w0", time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	list, err := standin.NewDiscovery(w.Of("z"))
+	list, err := fakes.NewDiscovery(w.Of("z"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(list.Close)
-	f := &fleet{t: t, net: faults.NewNet(t, seed), control: map[string]string{}, past: t.TempDir(), worker: w,
-		got: map[string]int{}}
-	f.rig = &faults.Rig{Net: f.net, Processes: map[string]*faults.Process{}, Disks: map[string]*faults.Disk{}}
+	f := &fleet{
+		t:       t,
+		net:     faultinject.NewNet(t, seed),
+		control: map[string]string{},
+		past:    t.TempDir(),
+		worker:  w,
+		got:     map[string]int{},
+	}
+	f.rig = &faultinject.Rig{
+		Net:       f.net,
+		Processes: map[string]*faultinject.Process{},
+		Disks:     map[string]*faultinject.Disk{},
+	}
 	f.http = http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 	if f.client, err = history.Open(filepath.Join(f.past, "client.jsonl"), "client", 1); err != nil {
 		t.Fatal(err)
@@ -112,7 +122,7 @@
 		t.Fatal(err)
 	}
 	w.Record = record
-	ports := faults.Ports(t, 3*n)
+	ports := faultinject.Ports(t, 3*n)
 	at := func(i, j int) string { return fmt.Sprintf("127.0.0.1:%d", ports+3*i+j) }
 	for i := range n {
 		name := fmt.Sprint("g", i)
@@ -143,15 +153,18 @@
 		if err = os.WriteFile(file, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f.rig.Disks[name] = faults.NewDisk(t, store)
-		f.rig.Processes[name] = faults.Start(t, faults.Spec{Name: name, Dir: dir, Args: append([]string{"serve",
-			"--config", file, "--tell", "--history", f.past, "--residue", filepath.Join(store, "residue")}, args...)})
+		f.rig.Disks[name] = faultinject.NewDisk(t, store)
+		f.rig.Processes[name] = faultinject.Start(
+			t,
+			faultinject.Spec{Name: name, Dir: dir, Args: append([]string{"serve",
+				"--config", file, "--tell", "--history", f.past, "--residue", filepath.Join(store, "residue")}, args...)},
+		)
 	}
 	f.healthy()
 	t.Cleanup(func() {
 		if t.Failed() {
 			for _, name := range f.names {
-				page, err := faults.Ask(f.control[name], "/admin/stats")
+				page, err := faultinject.Ask(f.control[name], "/admin/stats")
 				t.Logf("%s: %v\n%s%s", name, err, page, f.rig.Processes[name].Output())
 			}
 		}
@@ -162,7 +175,7 @@
 func (f *fleet) healthy() {
 	f.t.Helper()
 	for _, name := range f.names {
-		if err := faults.Healthy(f.control[name], 15*time.Second); err != nil {
+		if err := faultinject.Healthy(f.control[name], 15*time.Second); err != nil {
 			f.t.Fatalf("%v: %s", err, f.rig.Processes[name].Output())
 		}
 	}
@@ -216,7 +229,7 @@
 // figure sums a figure over the gatekeepers that tell it.
 func (f *fleet) figure(name string) (sum int64) {
 	for _, g := range f.names {
-		if v, ok := faults.Figure(f.control[g], "svc.credit."+name); ok {
+		if v, ok := faultinject.Figure(f.control[g], "svc.credit."+name); ok {
 			sum += v
 		}
 	}
@@ -231,7 +244,7 @@
 		time.Sleep(2500 * time.Millisecond)
 		return
 	}
-	faults.Until(f.t, 20*time.Second, "the line is earned", func() bool {
+	faultinject.Until(f.t, 20*time.Second, "the line is earned", func() bool {
 		return f.figure("earning") == 0 && f.figure("rights") >= int64(line-2) && f.figure("outstanding") == 0
 	})
 }
@@ -241,7 +254,7 @@
 	f.t.Helper()
 	f.asks.Wait()
 	within := time.Duration(2*back*float64(time.Second)) + 10*time.Second
-	faults.Until(f.t, within, "all is paid back", func() bool { return f.figure("outstanding") == 0 })
+	faultinject.Until(f.t, within, "all is paid back", func() bool { return f.figure("outstanding") == 0 })
 	time.Sleep(50 * time.Millisecond)
 	r, err := history.Read(f.past)
 	if err != nil {
@@ -280,7 +293,7 @@
 	f.blast(300, 700*time.Millisecond, 3)
 	time.Sleep(1500 * time.Millisecond)
 	f.blast(300, 2*time.Second, 3)
-	if _, told := faults.Figure(f.control["g0"], "svc.credit.lent"); told {
+	if _, told := faultinject.Figure(f.control["g0"], "svc.credit.lent"); told {
 		t.Error("figures of credit where no plan has any")
 	}
 	f.end(0)
@@ -329,7 +342,7 @@
 		for _, a := range f.names {
 			for _, b := range f.names {
 				if a != b {
-					f.net.Shape(a, b, faults.Shape{Loss: 0.3, Double: 0.3, Reorder: 0.3, Back: 300 * time.Millisecond,
+					f.net.Shape(a, b, faultinject.Shape{Loss: 0.3, Double: 0.3, Reorder: 0.3, Back: 300 * time.Millisecond,
 						Delay: 30 * time.Millisecond, Jitter: 30 * time.Millisecond})
 				}
 			}
@@ -345,7 +358,7 @@
 	t.Parallel()
 	a := trouble(t, 3, func(f *fleet) {
 		for _, b := range f.names[1:] {
-			f.net.Part("g0", b, faults.Silent)
+			f.net.Part("g0", b, faultinject.Silent)
 		}
 		time.Sleep(2500 * time.Millisecond)
 		for _, b := range f.names[1:] {
@@ -412,18 +425,18 @@
 // daemon tells all gatekeepers which rules are in force, as an older program's does: all of them each time.
 type daemon struct {
 	mu    sync.Mutex
-	lease accord.Lease
+	lease ruleset.Lease
 }
 
 func (d *daemon) tells(n uint64, names []string, credit float64) {
-	r := accord.Rules{Form: accord.Form, Lease: 600, Bound: accord.MostBound,
-		Fallback: accord.Fallback{Part: 0.5, For: 600},
-		Plans:    []accord.Plan{{Name: "basic", Rate: rate, Burst: burst, Credit: credit, Repay: back * 1000}}}
+	r := ruleset.Rules{Form: ruleset.Form, Lease: 600, Bound: ruleset.MostBound,
+		Fallback: ruleset.Fallback{Part: 0.5, For: 600},
+		Plans:    []ruleset.Plan{{Name: "basic", Rate: rate, Burst: burst, Credit: credit, Repay: back * 1000}}}
 	for _, name := range names {
-		r.Members = append(r.Members, accord.Member{Name: name, Host: "h"})
+		r.Members = append(r.Members, ruleset.Member{Name: name, Host: "h"})
 	}
 	d.mu.Lock()
-	d.lease = accord.Lease{Step: n, Version: accord.Version{Number: n, Rules: r}, Settled: true}
+	d.lease = ruleset.Lease{Step: n, Version: ruleset.Version{Number: n, Rules: r}, Settled: true}
 	d.mu.Unlock()
 }
 
@@ -470,8 +483,8 @@
 func TestSpoiltBooks(t *testing.T) {
 	t.Parallel()
 	trouble(t, 7, func(f *fleet) {
-		for i, how := range []faults.Damage{{What: faults.Empty}, {What: faults.Torn, Bytes: 5000},
-			{What: faults.Flipped, Bytes: 200000, Seed: 1}} {
+		for i, how := range []faultinject.Damage{{What: faultinject.Empty}, {What: faultinject.Torn, Bytes: 5000},
+			{What: faultinject.Flipped, Bytes: 200000, Seed: 1}} {
 			time.Sleep(300 * time.Millisecond)
 			name := f.names[i%3]
 			if err := f.rig.Crash(name); err != nil {
@@ -524,7 +537,7 @@
 		pages, _ := strconv.Atoi(strings.Fields(string(rss))[1])
 		shared, _ := strconv.Atoi(strings.Fields(string(rss))[2])
 		mb := float64(pages*os.Getpagesize()) / (1 << 20)
-		places, _ := faults.Figure(f.control[name], "svc.credit.customers")
+		places, _ := faultinject.Figure(f.control[name], "svc.credit.customers")
 		t.Logf("%s: %d customers have credit open, %.0f MB resident, %.0f of it the book and the program",
 			name, places, mb, float64(shared*os.Getpagesize())/(1<<20))
 		if mb > 150 || places < customers/2 {
@@ -538,16 +551,20 @@
 func TestDrawn(t *testing.T) {
 	t.Parallel()
 	span := max(*long, 3*time.Second)
-	s := faults.Draw(*seed, faults.Cast{Ends: []string{"g0", "g1", "g2"}, Processes: []string{"g0", "g1", "g2"},
-		Kinds: []faults.Kind{faults.Cuts, faults.Parts, faults.Shapes, faults.Crashes},
-		Steps: int(span.Seconds()) * 2}, int(span/time.Millisecond))
+	s := faultinject.Draw(
+		*seed,
+		faultinject.Cast{Ends: []string{"g0", "g1", "g2"}, Processes: []string{"g0", "g1", "g2"},
+			Kinds: []faultinject.Kind{faultinject.Cuts, faultinject.Parts, faultinject.Shapes, faultinject.Crashes},
+			Steps: int(span.Seconds()) * 2},
+		int(span/time.Millisecond),
+	)
 	t.Log(s)
 	f := start(t, 3, creditS, *seed)
 	f.late = float64(s.Span) / 5 // a debt on its way waits for its link
 	f.ready(3)
 	over := make(chan error, 1)
 	go func() {
-		over <- (&faults.Player{Stage: f.rig, Record: f.client}).Play(context.Background(), s)
+		over <- (&faultinject.Player{Stage: f.rig, Record: f.client}).Play(context.Background(), s)
 	}()
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		f.blast(150, time.Second, 3)
--- a/internal/breaker/breaker.go
+++ b/internal/circuitbreaker/breaker.go
@@ -1,6 +1,7 @@
-// Package breaker leaves alone what has failed. See M. Nygard, Release It!, "Circuit Breaker"; the growing
+// Package circuitbreaker leaves alone what has failed. See M. Nygard, Release It!, "Circuit Breaker"; the
+// growing
 // pause with jitter is ours.
-package breaker
+package circuitbreaker
 
 import (
 	"math"
--- a/internal/relay/api.go
+++ b/internal/distribution/api.go
@@ -1,35 +1,36 @@
-// Package relay decides how agreed rules go from a small quorum to thousands of gatekeepers: by relays that
+// Package distribution decides how agreed rules go from a small quorum to thousands of gatekeepers: by relays
+// that
 // ask those above them and answer those below. It is free of I/O and clocks; a host tells it the time and
 // what has come, and pulls what follows. docs/relay-design.md has the reasons.
-package relay
+package distribution
 
 import (
-	"willowdeck/internal/accord"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/versioned"
 )
 
 // Form is that of the questions and answers which this program writes and reads.
 const Form = 1
 
 // HostStep says that all processes of a host's gatekeepers go by what was said at a step, or later.
-type HostStep = accord.HostStep
+type HostStep = ruleset.HostStep
 
 // Ask is a question to one above. All but its head is what the asker has, so that an answer brings no more.
 type Ask struct {
-	Form     int             `cbor:"1,keyasint"`
-	Cluster  string          `cbor:"2,keyasint"`
-	From     string          `cbor:"3,keyasint"` // the asker's name
-	Interest accord.Interest `cbor:"4,keyasint"`
-	Step     uint64          `cbor:"5,keyasint,omitempty"` // of what it goes by; 0 is nothing
+	Form     int              `cbor:"1,keyasint"`
+	Cluster  string           `cbor:"2,keyasint"`
+	From     string           `cbor:"3,keyasint"` // the asker's name
+	Interest ruleset.Interest `cbor:"4,keyasint"`
+	Step     uint64           `cbor:"5,keyasint,omitempty"` // of what it goes by; 0 is nothing
 	// Rules is what it has, as a base for deltas; none: it wants the whole.
-	Rules   resource.Mark `cbor:"6,keyasint,omitzero"`
-	Pending resource.Mark `cbor:"7,keyasint,omitzero"`
+	Rules   versioned.Mark `cbor:"6,keyasint,omitzero"`
+	Pending versioned.Mark `cbor:"7,keyasint,omitzero"`
 	// Quiet: nothing but a renewal. It was told to wait for a whole and is waiting, or asks beside another.
 	Quiet bool       `cbor:"8,keyasint,omitempty"`
 	Seen  []HostStep `cbor:"9,keyasint,omitempty"` // news, up to MostTold
 	// Index is the highest of discovery's list that is known at the asker and below; below nought: none.
 	Index int64 `cbor:"10,keyasint"`
-	// Process and Holds are a gatekeeper's to its own host's daemon: its process id, and accord.Holder.Holds.
+	// Process and Holds are a gatekeeper's to its own host's daemon: its process id, and ruleset.Holder.Holds.
 	Process int    `cbor:"11,keyasint,omitempty"`
 	Holds   uint64 `cbor:"12,keyasint,omitempty"`
 	// Number is the asker's own, another one for each question.
@@ -49,12 +50,12 @@
 	// Age is the ms from before the quorum's read began until this was made, after the question came.
 	Age float64 `cbor:"8,keyasint"`
 	// Index is the highest of discovery's list that is known anywhere; below nought: none.
-	Index   int64         `cbor:"9,keyasint"`
-	Rules   resource.Mark `cbor:"10,keyasint,omitzero"`
-	Pending resource.Mark `cbor:"11,keyasint,omitzero"` // none: nothing is pending
+	Index   int64          `cbor:"9,keyasint"`
+	Rules   versioned.Mark `cbor:"10,keyasint,omitzero"`
+	Pending versioned.Mark `cbor:"11,keyasint,omitzero"` // none: nothing is pending
 	// RulesDelta is nil where the asker has them, or at Busy; PendingDelta is against the answer's rules.
-	RulesDelta   *resource.Delta `cbor:"12,keyasint,omitempty"`
-	PendingDelta *resource.Delta `cbor:"13,keyasint,omitempty"`
+	RulesDelta   *versioned.Delta `cbor:"12,keyasint,omitempty"`
+	PendingDelta *versioned.Delta `cbor:"13,keyasint,omitempty"`
 	// Busy, over 0: there was no room for a whole; ask quietly for up to so many ms.
 	Busy float64 `cbor:"14,keyasint,omitempty"`
 	// Number is the question's. An answer that came for a later question than its own would be taken for younger
@@ -66,11 +67,11 @@
 type View struct {
 	Step    uint64
 	Settled bool
-	Begun   float64         // ms: no later than the quorum's read began which this rests on
-	Rules   *resource.State // in force then
-	Pending *resource.State // agreed and waiting; nil: nothing
-	Index   int64           // highest index of discovery's list; below nought: none is known
-	Depth   int             // of relays between this one and the council, this one too
+	Begun   float64          // ms: no later than the quorum's read began which this rests on
+	Rules   *versioned.State // in force then
+	Pending *versioned.State // agreed and waiting; nil: nothing
+	Index   int64            // highest index of discovery's list; below nought: none is known
+	Depth   int              // of relays between this one and the council, this one too
 }
 
 // Age is how old a view is at a time, ms.
@@ -100,7 +101,7 @@
 	Name     string // of the asker, in Ask.From
 	Cluster  string
 	Upstream int // how many there are to ask
-	Interest accord.Interest
+	Interest ruleset.Interest
 	Lease    float64 // ms, until rules say what theirs is
 	Every    float64 // ms between two questions; 0: by PerLease
 	PerLease int     // questions in a lease, whatever that is; 0: ten. A relay that many hang on asks twenty
--- a/internal/relay/follower.go
+++ b/internal/distribution/follower.go
@@ -1,4 +1,4 @@
-package relay
+package distribution
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"math/rand"
 	"slices"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/versioned"
 )
 
 // What a follower goes by. Times in ms.
@@ -71,7 +71,7 @@
 	news    bool
 	v       View
 	own     int64 // highest index of discovery's list that is known below
-	bases   []*resource.State
+	bases   []*versioned.State
 	empty   bool // the last delta could not be applied: the next question says that there is nothing
 	quiet   float64
 	process int
@@ -115,17 +115,17 @@
 
 // Base gives states that a copy on disk had: deltas may be against them, and they are no proof that anything
 // is in force. Either may be nil.
-func (f *Follower) Base(rules, pending *resource.State) {
+func (f *Follower) Base(rules, pending *versioned.State) {
 	f.keep(pending)
 	f.keep(rules)
 }
 
 // keep has a state at hand as a base, the latest first.
-func (f *Follower) keep(s *resource.State) {
+func (f *Follower) keep(s *versioned.State) {
 	if s == nil {
 		return
 	}
-	f.bases = slices.DeleteFunc(f.bases, func(o *resource.State) bool { return o.Mark() == s.Mark() })
+	f.bases = slices.DeleteFunc(f.bases, func(o *versioned.State) bool { return o.Mark() == s.Mark() })
 	f.bases = slices.Insert(f.bases, 0, s)
 	if len(f.bases) > mostBases {
 		f.bases = slices.Delete(f.bases, mostBases, len(f.bases))
@@ -133,7 +133,7 @@
 }
 
 // find gives the state of a mark, if it is at hand.
-func (f *Follower) find(m resource.Mark) *resource.State {
+func (f *Follower) find(m versioned.Mark) *versioned.State {
 	for _, s := range f.bases {
 		if s.Mark() == m {
 			return s
@@ -207,7 +207,7 @@
 }
 
 // Bases gives what is to be kept on disk: the latest states, whether or not they may be gone by.
-func (f *Follower) Bases() (rules, pending *resource.State) {
+func (f *Follower) Bases() (rules, pending *versioned.State) {
 	if f.has {
 		return f.v.Rules, f.v.Pending
 	}
@@ -461,7 +461,7 @@
 	}
 	lease := f.lease // of the rules that are told, which may be longer than that of those before
 	if !f.has || rules.Mark() != f.v.Rules.Mark() {
-		if l := accord.LeaseOf(rules); l > 0 {
+		if l := ruleset.LeaseOf(rules); l > 0 {
 			lease = l
 		}
 	}
@@ -498,7 +498,7 @@
 
 // made gives the states that an answer names: those at hand, or made by its deltas. Without rules there are
 // none, and sound tells whether the one above did as it should.
-func (f *Follower) made(a *Answer, quiet bool) (rules, pending *resource.State, sound bool) {
+func (f *Follower) made(a *Answer, quiet bool) (rules, pending *versioned.State, sound bool) {
 	if rules = f.find(a.Rules); rules == nil {
 		if a.RulesDelta == nil {
 			switch {
@@ -536,8 +536,8 @@
 
 // apply makes a state of a delta, or counts why not and has the next question say that there is nothing. A
 // delta against a state that is gone here is sound: it may have been asked for before.
-func (f *Follower) apply(base *resource.State, d *resource.Delta, to resource.Mark) (
-	s *resource.State, sound bool) {
+func (f *Follower) apply(base *versioned.State, d *versioned.Delta, to versioned.Mark) (
+	s *versioned.State, sound bool) {
 	if d.To != to || len(d.Set)+len(d.Drop) > mostEntries || d.Bytes() > mostState {
 		f.n.Bad++
 		f.empty = true
@@ -545,7 +545,7 @@
 	}
 	s, err := base.Apply(d)
 	switch {
-	case errors.Is(err, resource.ErrBase):
+	case errors.Is(err, versioned.ErrBase):
 		f.n.Base++
 		sound = true
 	case err != nil:
--- a/internal/relay/form.go
+++ b/internal/distribution/form.go
@@ -1,4 +1,4 @@
-package relay
+package distribution
 
 import (
 	"encoding/binary"
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/klauspost/compress/zstd"
 
-	"willowdeck/internal/resource"
+	"willowdeck/internal/versioned"
 )
 
 // MostAsk and MostAnswer are the longest that are read, bytes: as sent and, where it was compressed, as
@@ -148,24 +148,24 @@
 }
 
 // StateBytes is a state as a disk copy has it, with a checksum; nil is an empty one.
-func StateBytes(s *resource.State) ([]byte, error) {
-	var d *resource.Delta
+func StateBytes(s *versioned.State) ([]byte, error) {
+	var d *versioned.Delta
 	if s != nil {
-		d = resource.Whole(s)
+		d = versioned.Whole(s)
 	}
 	return write(d)
 }
 
 // ReadState reads one, which may be nil. What is torn or spoilt is an error.
-func ReadState(raw []byte) (*resource.State, error) {
-	var d *resource.Delta
+func ReadState(raw []byte) (*versioned.State, error) {
+	var d *versioned.Delta
 	if err := read("state", raw, MostAnswer, &d); err != nil || d == nil {
 		return nil, err
 	}
 	if !d.From.None() {
 		return nil, fmt.Errorf("state: %w: it is a part of one", ErrShape)
 	}
-	s, err := (*resource.State)(nil).Apply(d)
+	s, err := (*versioned.State)(nil).Apply(d)
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
--- a/internal/relay/form_test.go
+++ b/internal/distribution/form_test.go
@@ -1,4 +1,4 @@
-package relay
+package distribution
 
 import (
 	"bytes"
@@ -12,25 +12,25 @@
 
 	"pgregory.net/rapid"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/versioned"
 )
 
-func drawMark(t *rapid.T) resource.Mark {
-	m := resource.Mark{Number: uint64(rapid.IntRange(0, 3).Draw(t, "number"))}
+func drawMark(t *rapid.T) versioned.Mark {
+	m := versioned.Mark{Number: uint64(rapid.IntRange(0, 3).Draw(t, "number"))}
 	if m.Number > 0 {
 		copy(m.Digest[:], rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, "digest"))
 	}
 	return m
 }
 
-func drawDelta(t *rapid.T) *resource.Delta {
+func drawDelta(t *rapid.T) *versioned.Delta {
 	if rapid.Bool().Draw(t, "no delta") {
 		return nil
 	}
-	d := &resource.Delta{From: drawMark(t), To: drawMark(t)}
+	d := &versioned.Delta{From: drawMark(t), To: drawMark(t)}
 	for range rapid.IntRange(0, 4).Draw(t, "set") {
-		d.Set = append(d.Set, resource.Entry{Key: rapid.StringN(0, 9, 20).Draw(t, "key"),
+		d.Set = append(d.Set, versioned.Entry{Key: rapid.StringN(0, 9, 20).Draw(t, "key"),
 			Value: rapid.SliceOfN(rapid.Byte(), 1, 600).Draw(t, "value")})
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "drop") {
@@ -44,7 +44,7 @@
 func TestMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ask := &Ask{Form: Form, Cluster: "c", From: rapid.StringN(0, 9, 20).Draw(t, "from"),
-			Interest: accord.Interest{All: rapid.Bool().Draw(t, "all"), Name: "n", Around: 3},
+			Interest: ruleset.Interest{All: rapid.Bool().Draw(t, "all"), Name: "n", Around: 3},
 			Step:     rapid.Uint64().Draw(t, "step"), Rules: drawMark(t), Pending: drawMark(t),
 			Quiet: rapid.Bool().Draw(t, "quiet"), Index: rapid.Int64().Draw(t, "index"),
 			Process: rapid.IntRange(0, 1<<22).Draw(t, "process"), Holds: rapid.Uint64().Draw(t, "holds")}
@@ -96,7 +96,7 @@
 	if _, err := ReadAnswer(bomb); !errors.Is(err, ErrLong) {
 		t.Errorf("%v", err)
 	}
-	many, err := write(&Answer{Form: Form, RulesDelta: &resource.Delta{Drop: make([]string, mostEntries+1)}})
+	many, err := write(&Answer{Form: Form, RulesDelta: &versioned.Delta{Drop: make([]string, mostEntries+1)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,19 +141,19 @@
 	if got, err := ReadState(raw); err != nil || got != nil {
 		t.Errorf("%v %v", err, got)
 	}
-	part, err := write(resource.Between(s, state(t, 8, rules(300, 48))))
+	part, err := write(versioned.Between(s, state(t, 8, rules(300, 48))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ReadState(part); err == nil {
 		t.Error("a part is read")
 	}
-	d := resource.Whole(s)
+	d := versioned.Whole(s)
 	d.Set = d.Set[1:]
 	if raw, err = write(d); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadState(raw); !errors.Is(err, resource.ErrDigest) {
+	if _, err := ReadState(raw); !errors.Is(err, versioned.ErrDigest) {
 		t.Errorf("%v", err)
 	}
 }
@@ -176,17 +176,17 @@
 	}
 	for _, c := range []struct {
 		name  string
-		in    accord.Interest
+		in    ruleset.Interest
 		whole int
-	}{{"a relay", accord.Interest{All: true}, 300000},
-		{"a gatekeeper", accord.Interest{Name: "g77", Around: 20}, 2500},
-		{"a gatekeeper with 250 on either side", accord.Interest{Name: "g777", Around: 250}, 12000},
-		{"a host", accord.Interest{Host: "h77", Around: 20}, 2500}} {
+	}{{"a relay", ruleset.Interest{All: true}, 300000},
+		{"a gatekeeper", ruleset.Interest{Name: "g77", Around: 20}, 2500},
+		{"a gatekeeper with 250 on either side", ruleset.Interest{Name: "g777", Around: 250}, 12000},
+		{"a host", ruleset.Interest{Host: "h77", Around: 20}, 2500}} {
 		a := &Ask{Form: Form, Cluster: "fleet", From: "host-0077", Interest: c.in, Step: 80, Index: 123456,
 			Process: 4321, Holds: 80, Number: 1 << 60}
 		s.Offer(View{Step: 80, Begun: 1900, Rules: v1, Index: 123456})
 		_, whole := size(a)
-		a.Rules = accord.Select(v1, c.in).Mark()
+		a.Rules = ruleset.Select(v1, c.in).Mark()
 		ask, renewal := size(a)
 		s.Offer(View{Step: 81, Begun: 1900, Rules: v2, Index: 123456})
 		_, delta := size(a)
@@ -208,7 +208,7 @@
 func FuzzReadAnswer(f *testing.F) {
 	s := state(f, 1, rules(3, 96))
 	raw, _ := (&Answer{Form: Form, Cluster: "c", Step: 2, Rules: s.Mark(),
-		RulesDelta: resource.Whole(s)}).Bytes()
+		RulesDelta: versioned.Whole(s)}).Bytes()
 	f.Add(raw[1 : len(raw)-sumBytes])
 	f.Fuzz(func(t *testing.T, body []byte) {
 		raw := sealed(body)
@@ -216,11 +216,11 @@
 		if err != nil {
 			return
 		}
-		fl := NewFollower(Config{Name: "f", Cluster: "c", Upstream: 1, Interest: accord.Interest{All: true}}, 0)
+		fl := NewFollower(Config{Name: "f", Cluster: "c", Upstream: 1, Interest: ruleset.Interest{All: true}}, 0)
 		fl.Clock(1000)
 		fl.Heard(0, 1000, a)
 		if v, ok := fl.View(); ok && (v.Rules.Mark() != a.Rules || v.Pending.Mark() != a.Pending ||
-			resource.New(v.Rules.Mark().Number, resource.Whole(v.Rules).Set).Mark() != a.Rules) {
+			versioned.New(v.Rules.Mark().Number, versioned.Whole(v.Rules).Set).Mark() != a.Rules) {
 			t.Fatalf("%+v of %+v", v, a)
 		}
 	})
@@ -248,10 +248,10 @@
 func BenchmarkRenewal(b *testing.B) {
 	s := NewSource("zone-0-relay-1", "fleet", Bounds{})
 	v := state(b, 41, rules(7900, 96))
-	in := accord.Interest{Name: "g77", Around: 20}
+	in := ruleset.Interest{Name: "g77", Around: 20}
 	s.Offer(View{Step: 80, Begun: 1900, Rules: v, Index: 123456})
 	a := &Ask{Form: Form, Cluster: "fleet", From: "host-0077", Interest: in, Step: 80, Index: 123456,
-		Process: 4321, Holds: 80, Rules: accord.Select(v, in).Mark(), Number: 1 << 60}
+		Process: 4321, Holds: 80, Rules: ruleset.Select(v, in).Mark(), Number: 1 << 60}
 	raw, err := a.Bytes()
 	if err != nil {
 		b.Fatal(err)
@@ -317,9 +317,9 @@
 	from, to := state(b, 41, rules(7900, 96)), state(b, 42, rules(7900, 48))
 	var all []*Ask
 	for i := range 564 {
-		in := accord.Interest{Host: fmt.Sprint("h", i), Around: around}
+		in := ruleset.Interest{Host: fmt.Sprint("h", i), Around: around}
 		all = append(all, &Ask{Form: Form, Cluster: "fleet", From: in.Host, Interest: in, Index: -1,
-			Rules: accord.Select(from, in).Mark()})
+			Rules: ruleset.Select(from, in).Mark()})
 	}
 	for b.Loop() {
 		b.StopTimer()
--- a/internal/relay/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -1,12 +1,12 @@
-package relay
+package distribution
 
 import (
 	"bytes"
 	"encoding/json"
 	"testing"
 
-	"willowdeck/internal/resource"
 	"willowdeck/internal/testkit/goldenform"
+	"willowdeck/internal/versioned"
 )
 
 // The golden files were written once, at commit d6a566a, by a test that was not kept: it wrote what
@@ -43,20 +43,20 @@
 	}
 }
 
-func goldenState() *resource.State {
-	return resource.New(7, []resource.Entry{{Key: "plan/0003", Value: []byte("a plan")},
+func goldenState() *versioned.State {
+	return versioned.New(7, []versioned.Entry{{Key: "plan/0003", Value: []byte("a plan")},
 		{Key: "rules", Value: []byte("a header")}})
 }
 
 // longState is one that is stored compressed.
-func longState() *resource.State {
-	return resource.New(8, []resource.Entry{{Key: "rules", Value: bytes.Repeat([]byte("header "), 300)}})
+func longState() *versioned.State {
+	return versioned.New(8, []versioned.Entry{{Key: "rules", Value: bytes.Repeat([]byte("header "), 300)}})
 }
 
 // A compressed file's bytes are the compressor's own affair, and may change with its version: there the first
 // byte, which says how the rest is written, has to stay.
 func TestGoldenState(t *testing.T) {
-	for file, want := range map[string]*resource.State{"state.cbor": goldenState(),
+	for file, want := range map[string]*versioned.State{"state.cbor": goldenState(),
 		"state-packed.cbor": longState()} {
 		golden := goldenform.Read(t, file)
 		got, err := ReadState(golden)
--- a/internal/relay/rate_test.go
+++ b/internal/distribution/rate_test.go
@@ -1,10 +1,10 @@
-package relay
+package distribution
 
 import (
 	"testing"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/versioned"
 )
 
 // TestRateWithAllGone guards against a wave where nobody above knows anything: whether they are silent,
@@ -19,7 +19,7 @@
 		"have what is lapsed": empty(2000),
 		"had what is lapsed":  frozen(1000),
 	} {
-		f := NewFollower(Config{Name: "r", Cluster: "till", Upstream: 3, Interest: accord.Interest{All: true},
+		f := NewFollower(Config{Name: "r", Cluster: "till", Upstream: 3, Interest: ruleset.Interest{All: true},
 			Lease: 1000, PerLease: 20, Seed: 1}, 0)
 		asks := 0
 		for now := 0.0; now < last; now++ {
@@ -53,9 +53,9 @@
 
 // frozen answers well up to a moment, and from then on with the same read, older and older.
 func frozen(from float64) func(*Follower, Decision, float64) {
-	rules := resource.New(1, []resource.Entry{{Key: "rules", Value: []byte{0xa0}}})
+	rules := versioned.New(1, []versioned.Entry{{Key: "rules", Value: []byte{0xa0}}})
 	return func(f *Follower, d Decision, now float64) {
 		f.Heard(d.Upstream, now, &Answer{Form: Form, Cluster: "till", From: "p", Life: 1, Number: d.Ask.Number,
-			Index: -1, Step: 3, Age: max(now-from, 0), Rules: rules.Mark(), RulesDelta: resource.Whole(rules)})
+			Index: -1, Step: 3, Age: max(now-from, 0), Rules: rules.Mark(), RulesDelta: versioned.Whole(rules)})
 	}
 }
--- a/internal/relayd/client.go
+++ b/internal/distribution/relay/client.go
@@ -1,6 +1,7 @@
-// Package relayd carries versions of the rules from a council's daemon down a tree of relays, and what has
-// been seen of them up: the I/O of package relay, which decides. See docs/relay-design.md.
-package relayd
+// Package distribution carries versions of the rules from a council's daemon down a tree of relays, and what
+// has
+// been seen of them up: the I/O of package distribution, which decides. See docs/relay-design.md.
+package relay
 
 import (
 	"errors"
@@ -13,8 +14,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"willowdeck/internal/held"
-	"willowdeck/internal/relay"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/gateway/inflight"
 )
 
 const (
@@ -30,7 +31,7 @@
 
 // Clock is the time by which ages are counted, ms: it goes on while the process stands still and the machine
 // sleeps.
-func Clock() float64 { return float64(held.Boot()) / 1e6 }
+func Clock() float64 { return float64(inflight.Boot()) / 1e6 }
 
 // millis is a time in ms as the library has it.
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
@@ -129,7 +130,7 @@
 	for _, a := range at {
 		c.urls = append(c.urls, "http://"+a+path)
 		c.ways = append(c.ways, &fasthttp.HostClient{Addr: a, MaxConns: mostTalks, MaxIdleConnDuration: idleFor,
-			MaxIdemponentCallAttempts: 1, MaxResponseBodySize: relay.MostAnswer, NoDefaultUserAgentHeader: true,
+			MaxIdemponentCallAttempts: 1, MaxResponseBodySize: distribution.MostAnswer, NoDefaultUserAgentHeader: true,
 			DisablePathNormalizing: true, DialTimeout: c.dial})
 	}
 	return c
@@ -149,7 +150,7 @@
 // without a Number gets one, and the answer has to bear it: its age counts from when its question came, so
 // that one which is given again for a later question (by a cache, or a box that has lost count) would make
 // what it says younger than it is.
-func (c *Client) Ask(upstream int, a *relay.Ask, within float64) (*relay.Answer, error) {
+func (c *Client) Ask(upstream int, a *distribution.Ask, within float64) (*distribution.Answer, error) {
 	q := *a
 	if q.Number == 0 {
 		q.Number = c.number.Add(1)
@@ -186,7 +187,7 @@
 		c.traffic.fail(refused)
 		return nil, &StatusError{Code: s, Says: string(body[:min(len(body), longestSays)])}
 	}
-	got, err := relay.ReadAnswer(body)
+	got, err := distribution.ReadAnswer(body)
 	if err != nil {
 		c.traffic.fail(unread(err))
 		return nil, fmt.Errorf("%w: %w", ErrSpoilt, err)
@@ -200,7 +201,7 @@
 
 // unread is the reason by which something is counted that can't be read.
 func unread(err error) string {
-	if errors.Is(err, relay.ErrSum) {
+	if errors.Is(err, distribution.ErrSum) {
 		return spoilt
 	}
 	return garbled
--- a/internal/relayd/command_test.go
+++ b/internal/distribution/relay/command_test.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"willowdeck/internal/faults"
+	"willowdeck/internal/testkit/faultinject"
 )
 
 // TestCommand: a file that is wrong ends the process with status 1 and the key, and --check tells what a
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	program, path := faults.Program(t, "willowdeck"), filepath.Join(t.TempDir(), "relay.toml")
+	program, path := faultinject.Program(t, "willowdeck"), filepath.Join(t.TempDir(), "relay.toml")
 	for _, c := range []struct {
 		text, says string
 		status     int
--- a/internal/relayd/copy.go
+++ b/internal/distribution/relay/copy.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/relay"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/versioned"
 )
 
 // A copy on disk is a base for deltas and nothing else: what it holds is gone by only where a parent has said
@@ -26,7 +26,7 @@
 // copyMagic begins a copy, with the number of its form; a digest of all that follows comes next.
 var copyMagic = []byte("willowdeck relay copy 1\n")
 
-const longestCopy = 2 * relay.MostAnswer // bytes
+const longestCopy = 2 * distribution.MostAnswer // bytes
 
 // copyAgain is the pause before a copy is tried again that could not be written.
 const copyAgain = 5 * time.Second
@@ -35,8 +35,8 @@
 type Copy struct {
 	path, cluster string
 	log           zerolog.Logger
-	last          [2]resource.Mark // of Keep's caller alone
-	latest        atomic.Pointer[relay.View]
+	last          [2]versioned.Mark // of Keep's caller alone
+	latest        atomic.Pointer[distribution.View]
 	save          chan struct{}
 
 	written, failed, aside atomic.Int64
@@ -53,7 +53,7 @@
 }
 
 // Base has a follower begin with the copy, if there is one that can be used. One that can't is set aside.
-func (c *Copy) Base(f *relay.Follower) {
+func (c *Copy) Base(f *distribution.Follower) {
 	if c.path == "" {
 		return
 	}
@@ -72,8 +72,8 @@
 
 // Keep has the states of a view written, where they are others than before. It does not wait, and is to be
 // called from one goroutine.
-func (c *Copy) Keep(v relay.View) {
-	now := [2]resource.Mark{v.Rules.Mark(), v.Pending.Mark()}
+func (c *Copy) Keep(v distribution.View) {
+	now := [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()}
 	if c.path == "" || now == c.last {
 		return
 	}
@@ -121,16 +121,16 @@
 type copied struct {
 	_              struct{} `cbor:",toarray"`
 	Cluster        string
-	Rules, Pending []byte // as relay.StateBytes has them
+	Rules, Pending []byte // as distribution.StateBytes has them
 }
 
 // keepCopy writes states aside, has them on the disk, and then in place of the copy before. Pending may be
 // nil.
-func keepCopy(path, cluster string, rules, pending *resource.State) error {
+func keepCopy(path, cluster string, rules, pending *versioned.State) error {
 	c := copied{Cluster: cluster}
 	var err, bad error
-	c.Rules, err = relay.StateBytes(rules)
-	c.Pending, bad = relay.StateBytes(pending)
+	c.Rules, err = distribution.StateBytes(rules)
+	c.Pending, bad = distribution.StateBytes(pending)
 	if err = errors.Join(err, bad); err != nil {
 		return err
 	}
@@ -167,7 +167,7 @@
 }
 
 // readCopy gives what a copy holds. errNoCopy: there is no file; any other error: it can't be used.
-func readCopy(path, cluster string) (rules, pending *resource.State, err error) {
+func readCopy(path, cluster string) (rules, pending *versioned.State, err error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil, errNoCopy
@@ -198,8 +198,8 @@
 	if c.Cluster != cluster {
 		return nil, nil, fmt.Errorf("a copy of cluster %q, this is %q", c.Cluster, cluster)
 	}
-	rules, err = relay.ReadState(c.Rules)
-	pending, bad := relay.ReadState(c.Pending)
+	rules, err = distribution.ReadState(c.Rules)
+	pending, bad := distribution.ReadState(c.Pending)
 	if err = errors.Join(err, bad); err != nil {
 		return nil, nil, err
 	}
--- a/internal/relayd/cost_test.go
+++ b/internal/distribution/relay/cost_test.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/faults"
-	"willowdeck/internal/ports"
-	"willowdeck/internal/relay"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/faultinject"
+	"willowdeck/internal/testkit/ports"
+	"willowdeck/internal/versioned"
 )
 
 var (
@@ -36,12 +36,12 @@
 	t     *testing.T
 	size  int
 	root  *giver
-	p     *faults.Process
+	p     *faultinject.Process
 	at    string
 	ops   string
 	mu    sync.Mutex
 	step  uint64
-	rules *resource.State
+	rules *versioned.State
 }
 
 // TestCosts measures a relay process, whose root and askers are in this one: processor time, bytes on the
@@ -55,24 +55,24 @@
 	}
 }
 
-func (b *bench) version(number int) *resource.State {
+func (b *bench) version(number int) *versioned.State {
 	b.t.Helper()
-	var members []accord.Member
+	var members []ruleset.Member
 	for i := range b.size {
-		members = append(members, accord.Member{Name: fmt.Sprintf("gatekeeper-%05d", i),
+		members = append(members, ruleset.Member{Name: fmt.Sprintf("gatekeeper-%05d", i),
 			Host: fmt.Sprintf("host-%04d", i/perHost), Peers: fmt.Sprintf("10.%d.%d.7:7000", i/250, i%250)})
 	}
-	r := accord.Rules{Form: accord.Form, Lease: 1000, Bound: 2000,
-		Fallback: accord.Fallback{Part: 0.5, For: 10000}, Members: members}
+	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+		Fallback: ruleset.Fallback{Part: 0.5, For: 10000}, Members: members}
 	if b.size > 500 {
-		r.Needs = []string{accord.ManyMembers}
+		r.Needs = []string{ruleset.ManyMembers}
 	}
 	for i := range 20 {
-		r.Plans = append(r.Plans, accord.Plan{Name: fmt.Sprintf("plan-%02d", i), Rate: 100, Burst: 200,
+		r.Plans = append(r.Plans, ruleset.Plan{Name: fmt.Sprintf("plan-%02d", i), Rate: 100, Burst: 200,
 			CeilingRate: 1000, CeilingDepth: 2000})
 	}
 	r.Plans[number%len(r.Plans)].Rate = 100 + float64(number)
-	s, err := accord.Entries(&accord.Version{Number: uint64(number), Rules: r})
+	s, err := ruleset.Entries(&ruleset.Version{Number: uint64(number), Rules: r})
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	t.Helper()
 	b := &bench{t: t, size: size, step: 1}
 	b.rules = b.version(1)
-	s := relay.NewSource("root", "till", relay.Bounds{WholeRate: 1 << 30, WholeBurst: 1 << 30})
+	s := distribution.NewSource("root", "till", distribution.Bounds{WholeRate: 1 << 30, WholeBurst: 1 << 30})
 	b.root = server(t, s, nil)
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan struct{})
@@ -91,7 +91,7 @@
 		defer close(over)
 		for ctx.Err() == nil {
 			b.mu.Lock()
-			b.root.offer(relay.View{Step: b.step, Settled: true, Begun: Clock(), Rules: b.rules, Index: -1})
+			b.root.offer(distribution.View{Step: b.step, Settled: true, Begun: Clock(), Rules: b.rules, Index: -1})
 			b.mu.Unlock()
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -109,13 +109,13 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b.p = faults.Start(t, faults.Spec{Name: "r", Dir: dir, Args: []string{"relay", "--config", file}})
+	b.p = faultinject.Start(t, faultinject.Spec{Name: "r", Dir: dir, Args: []string{"relay", "--config", file}})
 	b.reached(1)
 	return b
 }
 
 func (b *bench) status() (s Status, err error) {
-	text, err := faults.Ask(b.ops, "/relay/status")
+	text, err := faultinject.Ask(b.ops, "/relay/status")
 	if err == nil {
 		err = json.Unmarshal([]byte(text), &s)
 	}
@@ -124,7 +124,7 @@
 
 func (b *bench) reached(step uint64) {
 	b.t.Helper()
-	faults.Until(b.t, within, "the relay knows of it", func() bool {
+	faultinject.Until(b.t, within, "the relay knows of it", func() bool {
 		s, err := b.status()
 		return err == nil && s.Step == step
 	})
@@ -151,8 +151,8 @@
 }
 
 // asking has askers send so many asks each, and gives what each cost the relay: ms, bytes in, bytes out.
-func (b *bench) asking(each int, ask func(i int) *relay.Ask,
-	answers func(*relay.Answer) bool) (ms, in, out float64) {
+func (b *bench) asking(each int, ask func(i int) *distribution.Ask,
+	answers func(*distribution.Answer) bool) (ms, in, out float64) {
 	b.t.Helper()
 	before, err := b.status()
 	if err != nil {
@@ -197,34 +197,41 @@
 }
 
 // interest is of a host, or of all.
-func (b *bench) interest(i int, all bool) accord.Interest {
+func (b *bench) interest(i int, all bool) ruleset.Interest {
 	if all {
-		return accord.Interest{All: true}
+		return ruleset.Interest{All: true}
 	}
-	return accord.Interest{Host: fmt.Sprintf("host-%04d", i%((b.size+perHost-1)/perHost))}
+	return ruleset.Interest{Host: fmt.Sprintf("host-%04d", i%((b.size+perHost-1)/perHost))}
 }
 
-func (b *bench) ask(i int, all bool, s *resource.State) *relay.Ask {
+func (b *bench) ask(i int, all bool, s *versioned.State) *distribution.Ask {
 	in := b.interest(i, all)
-	return &relay.Ask{Form: relay.Form, Cluster: "till", From: fmt.Sprintf("asker-%d", i), Interest: in, Step: 1,
-		Rules: accord.Select(s, in).Mark(), Index: -1}
+	return &distribution.Ask{
+		Form:     distribution.Form,
+		Cluster:  "till",
+		From:     fmt.Sprintf("asker-%d", i),
+		Interest: in,
+		Step:     1,
+		Rules:    ruleset.Select(s, in).Mark(),
+		Index:    -1,
+	}
 }
 
 func (b *bench) measure() {
 	t := b.t
-	renewal := func(a *relay.Answer) bool { return a.RulesDelta == nil && a.Busy == 0 }
-	whole := func(a *relay.Answer) bool { return a.RulesDelta != nil && a.RulesDelta.From.None() }
-	delta := func(a *relay.Answer) bool { return a.RulesDelta != nil && !a.RulesDelta.From.None() }
+	renewal := func(a *distribution.Answer) bool { return a.RulesDelta == nil && a.Busy == 0 }
+	whole := func(a *distribution.Answer) bool { return a.RulesDelta != nil && a.RulesDelta.From.None() }
+	delta := func(a *distribution.Answer) bool { return a.RulesDelta != nil && !a.RulesDelta.From.None() }
 	idle := b.cpu()
 	time.Sleep(4 * time.Second)
 	b.line("idle_cpu", "ms_per_s", (b.cpu()-idle)/4)
 	b.line("state", "bytes", float64(b.rules.Bytes()))
-	ms, in, out := b.asking(400, func(i int) *relay.Ask { return b.ask(i, false, b.rules) }, renewal)
+	ms, in, out := b.asking(400, func(i int) *distribution.Ask { return b.ask(i, false, b.rules) }, renewal)
 	b.lines("renewal", ms, in, out)
-	none := func(all bool) func(int) *relay.Ask {
-		return func(i int) *relay.Ask {
+	none := func(all bool) func(int) *distribution.Ask {
+		return func(i int) *distribution.Ask {
 			a := b.ask(i, all, nil)
-			a.Rules = resource.Mark{}
+			a.Rules = versioned.Mark{}
 			return a
 		}
 	}
@@ -248,7 +255,7 @@
 		time.Sleep(200 * time.Millisecond) // and its copy is written
 		taking += b.cpu() - began
 		for i, all := range []bool{false, true} {
-			ms, in, out := b.asking(4, func(i int) *relay.Ask { return b.ask(i, all, was) }, delta)
+			ms, in, out := b.asking(4, func(i int) *distribution.Ask { return b.ask(i, all, was) }, delta)
 			sums[i][0], sums[i][1], sums[i][2] = sums[i][0]+ms, sums[i][1]+in, sums[i][2]+out
 		}
 	}
--- a/internal/relayd/feed.go
+++ b/internal/distribution/relay/feed.go
@@ -1,14 +1,14 @@
-package relayd
+package relay
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"willowdeck/internal/relay"
+	"willowdeck/internal/distribution"
 )
 
-// Feed asks upstreams as a relay.Follower decides. Its methods are safe for concurrent use.
+// Feed asks upstreams as a distribution.Follower decides. Its methods are safe for concurrent use.
 type Feed struct {
 	client *Client
 	news   func()
@@ -18,19 +18,19 @@
 	wait   sync.WaitGroup
 
 	mu       sync.Mutex
-	follower *relay.Follower
+	follower *distribution.Follower
 }
 
 // heard is what came of an ask, sent no earlier than asked, ms of Clock's.
 type heard struct {
 	upstream int
 	asked    float64
-	answer   *relay.Answer
+	answer   *distribution.Answer
 }
 
 // NewFeed makes one. News is called from Run's goroutine, without a lock, each time that what View gives may
 // have changed; it may be nil.
-func NewFeed(f *relay.Follower, c *Client, news func()) *Feed {
+func NewFeed(f *distribution.Follower, c *Client, news func()) *Feed {
 	if news == nil {
 		news = func() {}
 	}
@@ -73,11 +73,11 @@
 			return news
 		}
 		switch d.Kind {
-		case relay.AskOf:
+		case distribution.AskOf:
 			f.ask(ctx, d, now)
-		case relay.News:
+		case distribution.News:
 			news = true
-		case relay.Wake:
+		case distribution.Wake:
 			f.timer.Reset(max(millis(d.At-Clock()), 0))
 		}
 	}
@@ -85,7 +85,7 @@
 
 // ask asks beside all else: its answer counts from the time at which it was decided on, which is no later
 // than the one at which it is sent.
-func (f *Feed) ask(ctx context.Context, d relay.Decision, now float64) {
+func (f *Feed) ask(ctx context.Context, d distribution.Decision, now float64) {
 	f.wait.Add(1)
 	go func() {
 		defer f.wait.Done()
@@ -110,14 +110,14 @@
 }
 
 // View gives what may be given on, or gone by; false where there is nothing.
-func (f *Feed) View() (relay.View, bool) {
+func (f *Feed) View() (distribution.View, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.follower.View()
 }
 
 // With has something done with the follower, and what it decides then carried out.
-func (f *Feed) With(do func(*relay.Follower)) {
+func (f *Feed) With(do func(*distribution.Follower)) {
 	f.mu.Lock()
 	f.follower.Clock(Clock())
 	do(f.follower)
--- a/internal/relayd/feed_test.go
+++ b/internal/distribution/relay/feed_test.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"path/filepath"
@@ -7,13 +7,13 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/relay"
+	"willowdeck/internal/distribution"
 )
 
 // TestAgeStaysYoung guards against a relay that gives on what it knows at changes alone: what its parent says
 // anew, with nothing changed, has to make what those below are told younger.
 func TestAgeStaysYoung(t *testing.T) {
-	s := relay.NewSource("root", "till", relay.Bounds{})
+	s := distribution.NewSource("root", "till", distribution.Bounds{})
 	up := server(t, s, nil)
 	rules := stateOf(t, 1, 1, some(2, "h"))
 	f := &File{Name: "r", Cluster: "till", Listen: "127.0.0.1:0", Control: "127.0.0.1:0", LeaseMS: 1000,
@@ -26,10 +26,10 @@
 	defer r.Close()
 	c := NewClient([]string{r.At()}, AskPath)
 	defer c.Close()
-	a := relay.Ask{Form: relay.Form, Cluster: "till", From: "h", Index: -1}
+	a := distribution.Ask{Form: distribution.Form, Cluster: "till", From: "h", Index: -1}
 	answered, oldest := 0, 0.0
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		up.offer(relay.View{Step: 1, Begun: Clock(), Settled: true, Rules: rules, Index: -1})
+		up.offer(distribution.View{Step: 1, Begun: Clock(), Settled: true, Rules: rules, Index: -1})
 		if got, err := c.Ask(0, &a, 500); err == nil && got.Step > 0 {
 			answered++
 			oldest = max(oldest, got.Age)
@@ -43,7 +43,7 @@
 // TestSameVersionAgain: a relay whose copy is of the version in force goes by it as soon as one above it says
 // that this is so.
 func TestSameVersionAgain(t *testing.T) {
-	s := relay.NewSource("root", "till", relay.Bounds{})
+	s := distribution.NewSource("root", "till", distribution.Bounds{})
 	up := server(t, s, nil)
 	rules := stateOf(t, 1, 1, some(2, "h"))
 	f := &File{Name: "r", Cluster: "till", Listen: "127.0.0.1:0", Control: "127.0.0.1:0", LeaseMS: 1000,
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 		for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-			up.offer(relay.View{Step: 1, Begun: Clock(), Settled: true, Rules: rules, Index: -1})
+			up.offer(distribution.View{Step: 1, Begun: Clock(), Settled: true, Rules: rules, Index: -1})
 			if s := r.Status(); s.Known && s.Copy.Written+int64(life) > 0 {
 				break
 			}
--- a/internal/relayd/file.go
+++ b/internal/distribution/relay/file.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"os"
 	"path/filepath"
 
-	"willowdeck/internal/strict"
+	"willowdeck/internal/strictoml"
 )
 
 const (
@@ -44,7 +44,7 @@
 	}
 	f := &File{LeaseMS: 1000}
 	f.Limits.Connections, f.Limits.WholeKBS, f.Limits.WholeKB = 4096, 8192, 8192
-	if err := strict.Decode(string(raw), f); err != nil {
+	if err := strictoml.Decode(string(raw), f); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if f.Store != "" && !filepath.IsAbs(f.Store) {
--- a/internal/relayd/form_test.go
+++ b/internal/distribution/relay/form_test.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"path/filepath"
@@ -7,27 +7,27 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/history"
-	"willowdeck/internal/relay"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/history"
+	"willowdeck/internal/versioned"
 )
 
 // TestLaterForm: rules of a form that this program does not know go through its relays as they are, to those
 // below that may know it; what it can't read of them it says in its record.
 func TestLaterForm(t *testing.T) {
 	r := generation(7, some(2, "h"))
-	r.Form, r.Needs = accord.Form+8, []string{"what comes later"}
-	rules, err := accord.Entries(&accord.Version{Number: 7, Rules: r})
+	r.Form, r.Needs = ruleset.Form+8, []string{"what comes later"}
+	rules, err := ruleset.Entries(&ruleset.Version{Number: 7, Rules: r})
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := []resource.Entry{{Key: "what/0000", Value: []byte("is not known here")}}
+	all := []versioned.Entry{{Key: "what/0000", Value: []byte("is not known here")}}
 	for k, v := range rules.All() {
-		all = append(all, resource.Entry{Key: k, Value: v})
+		all = append(all, versioned.Entry{Key: k, Value: v})
 	}
-	rules = resource.New(7, all)
-	s := relay.NewSource("root", "till", relay.Bounds{})
+	rules = versioned.New(7, all)
+	s := distribution.NewSource("root", "till", distribution.Bounds{})
 	up := server(t, s, nil)
 	f := &File{Name: "r", Cluster: "till", Listen: "127.0.0.1:0", Control: "127.0.0.1:0", LeaseMS: 1000,
 		Upstream: []string{up.at}, Store: filepath.Join(t.TempDir(), "copy")}
@@ -40,12 +40,18 @@
 	defer below.Close()
 	c := NewClient([]string{below.At()}, AskPath)
 	defer c.Close()
-	a := relay.Ask{Form: relay.Form, Cluster: "till", From: "h", Interest: accord.Interest{Host: "h"}, Index: -1}
-	var got *resource.State
+	a := distribution.Ask{
+		Form:     distribution.Form,
+		Cluster:  "till",
+		From:     "h",
+		Interest: ruleset.Interest{Host: "h"},
+		Index:    -1,
+	}
+	var got *versioned.State
 	for end := time.Now().Add(3 * time.Second); got == nil && time.Now().Before(end); {
-		up.offer(relay.View{Step: 1, Begun: Clock(), Settled: true, Rules: rules, Index: -1})
+		up.offer(distribution.View{Step: 1, Begun: Clock(), Settled: true, Rules: rules, Index: -1})
 		if an, err := c.Ask(0, &a, 500); err == nil && an.RulesDelta != nil {
-			var none *resource.State
+			var none *versioned.State
 			if got, err = none.Apply(an.RulesDelta); err != nil {
 				t.Fatal(err)
 			}
@@ -55,7 +61,7 @@
 	if v, there := got.Get("what/0000"); !there || string(v) != "is not known here" {
 		t.Errorf("an entry of a later form has come through as %q", v)
 	}
-	if l := accord.LeaseOf(got); l != 1000 {
+	if l := ruleset.LeaseOf(got); l != 1000 {
 		t.Errorf("the lease is %v in rules of a later form", l)
 	}
 	said := false
--- a/internal/relayd/giver.go
+++ b/internal/distribution/relay/giver.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"willowdeck/internal/relay"
+	"willowdeck/internal/distribution"
 )
 
 const (
@@ -23,25 +23,25 @@
 	endWithin   = time.Second
 )
 
-// giver answers those below from a relay.Source, at a port of its own.
+// giver answers those below from a distribution.Source, at a port of its own.
 type giver struct {
 	handler *Handler
 	server  *fasthttp.Server
 	at      string
 	lease   float64
-	told    func(news []relay.HostStep, highest int64)
+	told    func(news []distribution.HostStep, highest int64)
 	ended   chan struct{}
 
 	mu     sync.Mutex
-	source *relay.Source
+	source *distribution.Source
 	below  map[string]float64 // by name, when it last asked
 	index  int64              // the highest of discovery's list that any of them has told
 }
 
 // give listens for those below. What they have seen, where it is news, goes to told, with the highest index
 // of discovery's list among them.
-func give(listen string, connections int, lease float64, s *relay.Source,
-	told func(news []relay.HostStep, highest int64)) (*giver, error) {
+func give(listen string, connections int, lease float64, s *distribution.Source,
+	told func(news []distribution.HostStep, highest int64)) (*giver, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
@@ -49,10 +49,21 @@
 	g := &giver{at: l.Addr().String(), lease: lease, told: told, source: s, below: map[string]float64{},
 		index: -1, ended: make(chan struct{})}
 	g.handler = NewHandler(g.answer)
-	g.server = &fasthttp.Server{Handler: g.route, Concurrency: connections, MaxRequestBodySize: relay.MostAsk,
-		ReadTimeout: readWithin, WriteTimeout: writeWithin, IdleTimeout: idleBelow, NoDefaultServerHeader: true,
-		NoDefaultDate: true, CloseOnShutdown: true, DisablePreParseMultipartForm: true, Logger: quiet{},
-		MaxIdleWorkerDuration: restFor, ErrorHandler: g.garbled}
+	g.server = &fasthttp.Server{
+		Handler:                      g.route,
+		Concurrency:                  connections,
+		MaxRequestBodySize:           distribution.MostAsk,
+		ReadTimeout:                  readWithin,
+		WriteTimeout:                 writeWithin,
+		IdleTimeout:                  idleBelow,
+		NoDefaultServerHeader:        true,
+		NoDefaultDate:                true,
+		CloseOnShutdown:              true,
+		DisablePreParseMultipartForm: true,
+		Logger:                       quiet{},
+		MaxIdleWorkerDuration:        restFor,
+		ErrorHandler:                 g.garbled,
+	}
 	go func() {
 		defer close(g.ended)
 		_ = g.server.Serve(countedListener{l, &g.handler.traffic})
@@ -105,7 +116,7 @@
 }
 
 // answer answers one ask. The time is taken after it has come.
-func (g *giver) answer(a *relay.Ask) (*relay.Answer, error) {
+func (g *giver) answer(a *distribution.Ask) (*distribution.Answer, error) {
 	g.mu.Lock()
 	now := Clock()
 	got, err := g.source.Answer(a, now)
@@ -129,7 +140,7 @@
 }
 
 // offer takes what may be given on from here on.
-func (g *giver) offer(v relay.View) {
+func (g *giver) offer(v distribution.View) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.source.Offer(v)
--- a/internal/relayd/golden_test.go
+++ b/internal/distribution/relay/golden_test.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"bytes"
@@ -8,10 +8,10 @@
 	"reflect"
 	"testing"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/resource"
-	"willowdeck/internal/strict"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/strictoml"
 	"willowdeck/internal/testkit/goldenform"
+	"willowdeck/internal/versioned"
 )
 
 // The golden files were written once, at commit d6a566a, by a test that was not kept: it wrote what
@@ -26,7 +26,7 @@
 	{File: "status.txt", New: func() any { return &Status{} },
 		Encode: func(v any) ([]byte, error) { return []byte(v.(*Status).Lines()), nil }},
 	{File: "relay.toml", New: func() any { return &File{} },
-		Decode: func(raw []byte, into any) error { return strict.Decode(string(raw), into) }},
+		Decode: func(raw []byte, into any) error { return strictoml.Decode(string(raw), into) }},
 }
 
 func TestGoldenForms(t *testing.T) {
@@ -36,20 +36,20 @@
 }
 
 // goldenVersion has a value that is not zero in each field of its rules.
-func goldenVersion(number uint64) *accord.Version {
-	v := &accord.Version{}
+func goldenVersion(number uint64) *ruleset.Version {
+	v := &ruleset.Version{}
 	goldenform.Fill(v)
-	v.Number, v.Rules.Form, v.Rules.Needs = number, accord.Form, []string{accord.ManyMembers}
+	v.Number, v.Rules.Form, v.Rules.Needs = number, ruleset.Form, []string{ruleset.ManyMembers}
 	return v
 }
 
-func goldenStates(t *testing.T) (rules, pending *resource.State) {
+func goldenStates(t *testing.T) (rules, pending *versioned.State) {
 	t.Helper()
-	rules, err := accord.Entries(goldenVersion(7))
+	rules, err := ruleset.Entries(goldenVersion(7))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if pending, err = accord.Entries(goldenVersion(8)); err != nil {
+	if pending, err = ruleset.Entries(goldenVersion(8)); err != nil {
 		t.Fatal(err)
 	}
 	return rules, pending
@@ -61,12 +61,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for number, state := range map[uint64]*resource.State{7: rules, 8: pending} {
+	for number, state := range map[uint64]*versioned.State{7: rules, 8: pending} {
 		want := goldenVersion(number)
 		if zeros := goldenform.Zeros(want); len(zeros) > 0 {
 			t.Errorf("the known version has zero fields: %v", zeros)
 		}
-		if got, err := accord.FromState(state); err != nil || !reflect.DeepEqual(&got, want) {
+		if got, err := ruleset.FromState(state); err != nil || !reflect.DeepEqual(&got, want) {
 			t.Errorf("%v: version %d is read as\n%+v\nwant\n%+v", err, number, got, *want)
 		}
 		var keys []string
--- a/internal/relayd/handler.go
+++ b/internal/distribution/relay/handler.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"willowdeck/internal/relay"
+	"willowdeck/internal/distribution"
 )
 
 // Refusal is why an ask is not answered, with the word that it is counted by.
@@ -24,14 +24,14 @@
 
 // Handler answers asks. It is safe for concurrent use.
 type Handler struct {
-	answer  func(*relay.Ask) (*relay.Answer, error)
+	answer  func(*distribution.Ask) (*distribution.Answer, error)
 	traffic traffic
 }
 
 // NewHandler makes one that has asks answered by a function, which is called from many goroutines. An ask
 // that it refuses is answered with 403 and the error's text, and counted by its reason where it is a
 // *Refusal.
-func NewHandler(answer func(*relay.Ask) (*relay.Answer, error)) *Handler {
+func NewHandler(answer func(*distribution.Ask) (*distribution.Answer, error)) *Handler {
 	return &Handler{answer: answer}
 }
 
@@ -42,7 +42,7 @@
 func (h *Handler) serve(body []byte) (int, []byte) {
 	h.traffic.asks.Add(1)
 	h.traffic.askBytes.Add(int64(len(body)))
-	a, err := relay.ReadAsk(body)
+	a, err := distribution.ReadAsk(body)
 	if err != nil {
 		h.traffic.fail(unread(err))
 		return http.StatusBadRequest, []byte(err.Error())
@@ -80,7 +80,7 @@
 
 // ServeHTTP answers at a port that is there already.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, relay.MostAsk))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, distribution.MostAsk))
 	var long *http.MaxBytesError
 	if errors.As(err, &long) {
 		h.traffic.fail(tooLong)
--- a/internal/relayd/hollow_test.go
+++ b/internal/distribution/relay/hollow_test.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"context"
@@ -10,26 +10,26 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/history"
-	"willowdeck/internal/relay"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/history"
+	"willowdeck/internal/versioned"
 )
 
 // generation is rules that say in each part which generation they are of, so that a mix of two shows.
-func generation(i int, members []accord.Member) accord.Rules {
+func generation(i int, members []ruleset.Member) ruleset.Rules {
 	x := float64(i)
 	return generationOf(i, members, 1000-x, 1000-x)
 }
 
 // generationOf has ceilings of its own: one that is lower than its fallback allows has to wait.
-func generationOf(i int, members []accord.Member, ceiling, depth float64) accord.Rules {
+func generationOf(i int, members []ruleset.Member, ceiling, depth float64) ruleset.Rules {
 	x := float64(i)
-	r := accord.Rules{Form: accord.Form, Lease: 1000, Bound: 2000,
-		Fallback: accord.Fallback{Part: 0.5, For: 2000},
-		Plans: []accord.Plan{{Name: "basic", Rate: 500 + x, Burst: 500 + x},
+	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+		Fallback: ruleset.Fallback{Part: 0.5, For: 2000},
+		Plans: []ruleset.Plan{{Name: "basic", Rate: 500 + x, Burst: 500 + x},
 			{Name: "capped", Rate: 200 + x, Burst: 200 + x, CeilingRate: ceiling, CeilingDepth: depth}},
-		Words: []accord.Word{{Worker: "w0", Weight: 1 + x}}}
+		Words: []ruleset.Word{{Worker: "w0", Weight: 1 + x}}}
 	for place, m := range members {
 		m.Peers = fmt.Sprintf("127.0.0.1:%d", 10000+100*place+i)
 		r.Members = append(r.Members, m)
@@ -38,7 +38,7 @@
 }
 
 // generations gives those that rules are of: one where they are whole.
-func generations(r *accord.Rules) map[int]bool {
+func generations(r *ruleset.Rules) map[int]bool {
 	all := map[int]bool{}
 	for i, p := range r.Plans {
 		all[int(p.Rate)-[2]int{500, 200}[i]] = true
@@ -67,11 +67,11 @@
 	wait    sync.WaitGroup
 
 	mu     sync.Mutex
-	warden accord.Warden
+	warden ruleset.Warden
 	told   uint64
-	last   [2]*resource.State
-	rules  accord.Version
-	coming *accord.Rules
+	last   [2]*versioned.State
+	rules  ruleset.Version
+	coming *ruleset.Rules
 }
 
 // hollowKeeper is a gatekeeper of one.
@@ -83,7 +83,7 @@
 	log  *history.Log
 
 	mu     sync.Mutex
-	holder *accord.Holder
+	holder *ruleset.Holder
 	seen   map[uint64]int // generation by version
 }
 
@@ -102,11 +102,11 @@
 
 // newHollowHost starts one with its members; records go to a folder.
 func newHollowHost(t testing.TB, host, cluster, records string, upstream []string,
-	members []accord.Member, copied *Copy) *hollowHost {
+	members []ruleset.Member, copied *Copy) *hollowHost {
 	t.Helper()
 	h := &hollowHost{name: host, client: NewClient(upstream, AskPath)}
-	f := relay.NewFollower(relay.Config{Name: host, Cluster: cluster, Upstream: len(upstream),
-		Interest: accord.Interest{Host: host}, Lease: 1000, Seed: int64(len(host)) + int64(host[len(host)-1])},
+	f := distribution.NewFollower(distribution.Config{Name: host, Cluster: cluster, Upstream: len(upstream),
+		Interest: ruleset.Interest{Host: host}, Lease: 1000, Seed: int64(len(host)) + int64(host[len(host)-1])},
 		Clock())
 	if copied == nil {
 		copied = NewCopy("", cluster, zerolog.Nop())
@@ -133,7 +133,7 @@
 			continue
 		}
 		k := &hollowKeeper{t: t, name: m.Name, pid: place + 1, host: h, seen: map[uint64]int{},
-			holder: accord.NewHolder(m.Name, generation(0, members))}
+			holder: ruleset.NewHolder(m.Name, generation(0, members))}
 		life := lifeOf(m.Name)
 		var err error
 		path := filepath.Join(records, fmt.Sprintf("%s.%d.jsonl", m.Name, life))
@@ -158,35 +158,41 @@
 }
 
 // lease answers one of its gatekeepers, as a host's daemon does.
-func (h *hollowHost) lease(t testing.TB, pid int, holds uint64) (accord.Lease, bool) {
+func (h *hollowHost) lease(t testing.TB, pid int, holds uint64) (ruleset.Lease, bool) {
 	h.mu.Lock()
 	v, ok := h.feed.View()
 	if !ok || !h.warden.Asked(pid, holds) {
 		h.mu.Unlock()
-		return accord.Lease{}, false
+		return ruleset.Lease{}, false
 	}
-	if now := [2]*resource.State{v.Rules, v.Pending}; now != h.last {
-		whole, err := accord.FromState(v.Rules)
+	if now := [2]*versioned.State{v.Rules, v.Pending}; now != h.last {
+		whole, err := ruleset.FromState(v.Rules)
 		if err != nil {
 			t.Errorf("%s: %v", h.name, err)
 		}
 		h.last, h.rules, h.coming = now, whole, nil
 		if v.Pending != nil {
-			p, err := accord.FromState(v.Pending)
+			p, err := ruleset.FromState(v.Pending)
 			if err != nil {
 				t.Errorf("%s: %v", h.name, err)
 			}
 			h.coming = &p.Rules
 		}
 	}
-	l := accord.Lease{Step: v.Step, Version: h.rules, Settled: v.Settled, Pending: h.coming, Age: v.Age(Clock())}
+	l := ruleset.Lease{
+		Step:    v.Step,
+		Version: h.rules,
+		Settled: v.Settled,
+		Pending: h.coming,
+		Age:     v.Age(Clock()),
+	}
 	h.warden.Given(pid)
 	seen := h.warden.Seen(v.Step)
 	news := seen > h.told
 	h.told = max(h.told, seen)
 	h.mu.Unlock()
 	if news {
-		h.feed.With(func(f *relay.Follower) { f.Tell([]relay.HostStep{{Host: h.name, Step: seen}}) })
+		h.feed.With(func(f *distribution.Follower) { f.Tell([]distribution.HostStep{{Host: h.name, Step: seen}}) })
 	}
 	return l, true
 }
@@ -209,15 +215,15 @@
 				break
 			}
 			switch d.Kind {
-			case accord.Adopt:
+			case ruleset.Adopt:
 				k.adopt(d.Terms)
-			case accord.Ask:
+			case ruleset.Ask:
 				asked := Clock()
 				if l, ok := k.host.lease(k.t, k.pid, k.holder.Holds()); ok {
 					k.holder.Clock(Clock())
 					k.holder.Heard(l, asked)
 				}
-			case accord.Wake:
+			case ruleset.Wake:
 				timer.Reset(max(millis(d.At-Clock()), 0))
 			}
 		}
@@ -226,14 +232,14 @@
 }
 
 // adopt records what it goes by, and finds a mix of two versions.
-func (k *hollowKeeper) adopt(t accord.Terms) {
-	mode := [...]string{accord.Bare: history.Bare, accord.CutOff: history.Fallback,
-		accord.Leased: history.Leased}[t.Mode]
+func (k *hollowKeeper) adopt(t ruleset.Terms) {
+	mode := [...]string{ruleset.Bare: history.Bare, ruleset.CutOff: history.Fallback,
+		ruleset.Leased: history.Leased}[t.Mode]
 	k.log.Write(history.Event{Kind: history.Acts, Version: t.Version, Mode: mode})
 	if t.Version == 0 {
 		return
 	}
-	r := accord.Rules{Words: t.Words}
+	r := ruleset.Rules{Words: t.Words}
 	for _, p := range t.Plans {
 		r.Plans = append(r.Plans, p.Plan)
 	}
@@ -254,14 +260,14 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	t := k.holder.Current()
-	if t.Mode != accord.Leased || !k.holder.May(Clock()) {
+	if t.Mode != ruleset.Leased || !k.holder.May(Clock()) {
 		return 0, false
 	}
 	return k.seen[t.Version], true
 }
 
 // mode tells how it goes.
-func (k *hollowKeeper) mode() accord.Mode {
+func (k *hollowKeeper) mode() ruleset.Mode {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.holder.Current().Mode
--- a/internal/relayd/middle_test.go
+++ b/internal/distribution/relay/middle_test.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/relay"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/versioned"
 )
 
 // What a middle man makes of answers.
@@ -92,7 +92,7 @@
 	if m.times == 0 {
 		return came
 	}
-	a, err := relay.ReadAnswer(came)
+	a, err := distribution.ReadAnswer(came)
 	if err != nil {
 		m.t.Error(err)
 		return came
@@ -134,7 +134,7 @@
 		}
 	case rebases:
 		if d != nil && !d.From.None() {
-			d.From = resource.Mark{Number: d.From.Number, Digest: resource.Digest{1}}
+			d.From = versioned.Mark{Number: d.From.Number, Digest: versioned.Digest{1}}
 			return whole()
 		}
 	case loses:
--- a/internal/relayd/relay.go
+++ b/internal/distribution/relay/relay.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/council"
-	"willowdeck/internal/history"
-	"willowdeck/internal/relay"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/history"
+	"willowdeck/internal/versioned"
 )
 
 // perLease is how often one above is asked in a lease. A gatekeeper's host asks half as often: each level
@@ -41,7 +41,7 @@
 
 // view is what was last made known of a View.
 type view struct {
-	rules, pending resource.Mark
+	rules, pending versioned.Mark
 	step           uint64
 }
 
@@ -58,14 +58,17 @@
 	if seed == 0 {
 		seed = rand.Int63()
 	}
-	follower := relay.NewFollower(relay.Config{Name: f.Name, Cluster: f.Cluster, Upstream: len(f.Upstream),
-		Interest: accord.Interest{All: true}, Lease: f.LeaseMS, PerLease: perLease,
-		Seed: seed}, Clock())
+	follower := distribution.NewFollower(
+		distribution.Config{Name: f.Name, Cluster: f.Cluster, Upstream: len(f.Upstream),
+			Interest: ruleset.Interest{All: true}, Lease: f.LeaseMS, PerLease: perLease,
+			Seed: seed},
+		Clock(),
+	)
 	r.copy.Base(follower)
 	r.feed = NewFeed(follower, r.client, r.news)
 	var err error
 	r.giver, err = give(f.Listen, f.Limits.Connections, f.LeaseMS,
-		relay.NewSource(f.Name, f.Cluster, relay.Bounds{
+		distribution.NewSource(f.Name, f.Cluster, distribution.Bounds{
 			WholeRate: f.Limits.WholeKBS * 1024, WholeBurst: f.Limits.WholeKB * 1024, Life: rand.Uint64()}), r.told)
 	if err != nil {
 		return nil, err
@@ -102,8 +105,8 @@
 }
 
 // told sends up what those below have seen.
-func (r *Relay) told(all []relay.HostStep, index int64) {
-	r.feed.With(func(f *relay.Follower) {
+func (r *Relay) told(all []distribution.HostStep, index int64) {
+	r.feed.With(func(f *distribution.Follower) {
 		f.Tell(all)
 		f.Index(index)
 	})
@@ -129,13 +132,13 @@
 }
 
 // tells records a version that is given on from here.
-func (r *Relay) tells(v *relay.View) {
+func (r *Relay) tells(v *distribution.View) {
 	if r.record == nil {
 		return
 	}
 	e := history.Event{Kind: history.Gives, Version: v.Rules.Mark().Number, Age: Clock() - v.Begun}
-	if whole, err := accord.FromState(v.Rules); err == nil {
-		e.Mark = council.Mark(&whole.Rules)
+	if whole, err := ruleset.FromState(v.Rules); err == nil {
+		e.Mark = raftlog.Mark(&whole.Rules)
 	} else {
 		e.Says = fmt.Sprintf("not rules of this program: %v", err)
 	}
--- a/internal/relayd/relayd_test.go
+++ b/internal/distribution/relay/relayd_test.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"bytes"
@@ -17,9 +17,9 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/relay"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/versioned"
 )
 
 // fullFile has every key.
@@ -77,23 +77,23 @@
 
 // TestDeployed: the file that operators begin with is right.
 func TestDeployed(t *testing.T) {
-	if _, err := Read("../../deploy/relay.toml"); err != nil {
+	if _, err := Read("../../../deploy/relay.toml"); err != nil {
 		t.Error(err)
 	}
 }
 
 // some gives members of one host.
-func some(n int, host string) (all []accord.Member) {
+func some(n int, host string) (all []ruleset.Member) {
 	for i := range n {
-		all = append(all, accord.Member{Name: fmt.Sprintf("g%d", i), Host: host})
+		all = append(all, ruleset.Member{Name: fmt.Sprintf("g%d", i), Host: host})
 	}
 	return all
 }
 
 // stateOf makes a state of a generation.
-func stateOf(t testing.TB, number uint64, gen int, members []accord.Member) *resource.State {
+func stateOf(t testing.TB, number uint64, gen int, members []ruleset.Member) *versioned.State {
 	t.Helper()
-	s, err := accord.Entries(&accord.Version{Number: number, Rules: generation(gen, members)})
+	s, err := ruleset.Entries(&ruleset.Version{Number: number, Rules: generation(gen, members)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 		t.Errorf("no file: %v", err)
 	}
 	rules, pending := stateOf(t, 4, 4, some(3, "h")), stateOf(t, 5, 5, some(3, "h"))
-	for _, p := range []*resource.State{nil, pending} {
+	for _, p := range []*versioned.State{nil, pending} {
 		if err := keepCopy(path, "till", rules, p); err != nil {
 			t.Fatal(err)
 		}
@@ -138,10 +138,10 @@
 }
 
 // server answers asks from a source, at a port of its own.
-func server(t testing.TB, s *relay.Source, told func([]relay.HostStep, int64)) *giver {
+func server(t testing.TB, s *distribution.Source, told func([]distribution.HostStep, int64)) *giver {
 	t.Helper()
 	if told == nil {
-		told = func([]relay.HostStep, int64) {}
+		told = func([]distribution.HostStep, int64) {}
 	}
 	g, err := give("127.0.0.1:0", 64, 1000, s, told)
 	if err != nil {
@@ -153,12 +153,20 @@
 
 // TestSpoilt: a body with a byte changed anywhere is refused at either end, and what is refused is counted.
 func TestSpoilt(t *testing.T) {
-	s := relay.NewSource("root", "till", relay.Bounds{})
-	s.Offer(relay.View{Step: 3, Begun: Clock(), Settled: true, Rules: stateOf(t, 1, 1, some(2, "h")), Index: -1})
-	var news []relay.HostStep
-	g := server(t, s, func(all []relay.HostStep, _ int64) { news = append(news, all...) })
-	ask := relay.Ask{Form: relay.Form, Cluster: "till", From: "h", Interest: accord.Interest{Host: "h"},
-		Seen: []relay.HostStep{{Host: "h", Step: 3}}, Index: -1}
+	s := distribution.NewSource("root", "till", distribution.Bounds{})
+	s.Offer(
+		distribution.View{Step: 3, Begun: Clock(), Settled: true, Rules: stateOf(t, 1, 1, some(2, "h")), Index: -1},
+	)
+	var news []distribution.HostStep
+	g := server(t, s, func(all []distribution.HostStep, _ int64) { news = append(news, all...) })
+	ask := distribution.Ask{
+		Form:     distribution.Form,
+		Cluster:  "till",
+		From:     "h",
+		Interest: ruleset.Interest{Host: "h"},
+		Seen:     []distribution.HostStep{{Host: "h", Step: 3}},
+		Index:    -1,
+	}
 	raw, err := ask.Bytes()
 	if err != nil {
 		t.Fatal(err)
@@ -221,13 +229,13 @@
 
 // TestRefused: what is no ask, or one of another form or cluster, has a status and a reason.
 func TestRefused(t *testing.T) {
-	g := server(t, relay.NewSource("root", "till", relay.Bounds{}), nil)
+	g := server(t, distribution.NewSource("root", "till", distribution.Bounds{}), nil)
 	c := NewClient([]string{g.at}, AskPath)
 	t.Cleanup(c.Close)
-	whole := relay.Ask{Form: relay.Form, Cluster: "till", From: "h", Index: -1}
-	for what, change := range map[string]func(*relay.Ask){
-		"other form":    func(a *relay.Ask) { a.Form = relay.Form + 1 },
-		"other cluster": func(a *relay.Ask) { a.Cluster = "mill" },
+	whole := distribution.Ask{Form: distribution.Form, Cluster: "till", From: "h", Index: -1}
+	for what, change := range map[string]func(*distribution.Ask){
+		"other form":    func(a *distribution.Ask) { a.Form = distribution.Form + 1 },
+		"other cluster": func(a *distribution.Ask) { a.Cluster = "mill" },
 	} {
 		a := whole
 		change(&a)
@@ -246,7 +254,7 @@
 	if _, err := other.Ask(0, &whole, 1000); !errors.As(err, &status) || status.Code != http.StatusNotFound {
 		t.Errorf("another path: %v", err)
 	}
-	long := bytes.Repeat([]byte("a"), relay.MostAsk+1)
+	long := bytes.Repeat([]byte("a"), distribution.MostAsk+1)
 	res, err := http.Post("http://"+g.at+AskPath, contentType, bytes.NewReader(long))
 	if err == nil {
 		res.Body.Close()
@@ -268,7 +276,7 @@
 	defer c.Close()
 	for range 3 {
 		began := time.Now()
-		if _, err := c.Ask(0, &relay.Ask{Form: relay.Form, Cluster: "till", From: "h"}, 100); err == nil {
+		if _, err := c.Ask(0, &distribution.Ask{Form: distribution.Form, Cluster: "till", From: "h"}, 100); err == nil {
 			t.Error("an answer from one that lies still")
 		}
 		if took := time.Since(began); took > time.Second {
@@ -283,8 +291,8 @@
 // TestNothingLeft: a relay that is ended leaves no goroutine, however its upstream stands, and its address
 // can be taken again at once.
 func TestNothingLeft(t *testing.T) {
-	s := relay.NewSource("root", "till", relay.Bounds{})
-	s.Offer(relay.View{Step: 1, Begun: Clock(), Rules: stateOf(t, 1, 1, some(2, "h")), Index: -1})
+	s := distribution.NewSource("root", "till", distribution.Bounds{})
+	s.Offer(distribution.View{Step: 1, Begun: Clock(), Rules: stateOf(t, 1, 1, some(2, "h")), Index: -1})
 	up := server(t, s, nil)
 	still, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -293,7 +301,7 @@
 	defer still.Close()
 	first := NewClient([]string{up.at}, AskPath)
 	defer first.Close()
-	any := relay.Ask{Form: relay.Form, Cluster: "till", From: "h", Index: -1}
+	any := distribution.Ask{Form: distribution.Form, Cluster: "till", From: "h", Index: -1}
 	if _, err := first.Ask(0, &any, 1000); err != nil {
 		t.Fatal(err) // its port is there with all of its goroutines
 	}
--- a/internal/relayd/rig_test.go
+++ b/internal/distribution/relay/rig_test.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"encoding/json"
@@ -14,11 +14,11 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/faults"
-	"willowdeck/internal/history"
-	"willowdeck/internal/ports"
-	"willowdeck/internal/rulebook"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/ruleset/rulefile"
+	"willowdeck/internal/testkit/faultinject"
+	"willowdeck/internal/testkit/history"
+	"willowdeck/internal/testkit/ports"
 )
 
 const (
@@ -36,18 +36,18 @@
 	t       *testing.T
 	dir     string
 	records string
-	net     *faults.Net
+	net     *faultinject.Net
 	first   int
-	council []*faults.Process
-	relays  map[string]*faults.Process
+	council []*faultinject.Process
+	relays  map[string]*faultinject.Process
 	control map[string]string // of relays
 	below   map[string]string // where relays listen
-	disks   map[string]*faults.Disk
+	disks   map[string]*faultinject.Disk
 	middle  map[string]*middleMan // by zone relay
-	members []accord.Member
+	members []ruleset.Member
 	zones   map[string][]*hollowHost
 	gen     int
-	rules   map[int]accord.Rules
+	rules   map[int]ruleset.Rules
 	rig     *history.Log
 	slowest time.Duration
 	took    []string
@@ -59,10 +59,10 @@
 func plant(t *testing.T) *tree {
 	t.Helper()
 	dir := t.TempDir()
-	x := &tree{t: t, dir: dir, records: filepath.Join(dir, "records"), net: faults.NewNet(t, 1),
-		first: ports.Span(t, 3+2*6), relays: map[string]*faults.Process{}, control: map[string]string{},
-		below: map[string]string{}, disks: map[string]*faults.Disk{}, middle: map[string]*middleMan{},
-		zones: map[string][]*hollowHost{}, rules: map[int]accord.Rules{}}
+	x := &tree{t: t, dir: dir, records: filepath.Join(dir, "records"), net: faultinject.NewNet(t, 1),
+		first: ports.Span(t, 3+2*6), relays: map[string]*faultinject.Process{}, control: map[string]string{},
+		below: map[string]string{}, disks: map[string]*faultinject.Disk{}, middle: map[string]*middleMan{},
+		zones: map[string][]*hollowHost{}, rules: map[int]ruleset.Rules{}}
 	if err := os.MkdirAll(x.records, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 	for _, z := range []string{"a", "b"} {
 		for h := range hosts {
 			for range keepers {
-				x.members = append(x.members, accord.Member{Name: fmt.Sprintf("g%d", len(x.members)),
+				x.members = append(x.members, ruleset.Member{Name: fmt.Sprintf("g%d", len(x.members)),
 					Host: fmt.Sprintf("%s-host%d", z, h)})
 			}
 		}
@@ -140,7 +140,7 @@
 	x.write(filepath.Join(dir, "fleet.toml"), b.String())
 	x.write(filepath.Join(dir, "gatekeeper.json"), "{}")
 	x.write(filepath.Join(dir, "rules.toml"), x.text(x.rules[1]))
-	x.council = append(x.council, faults.Start(x.t, faults.Spec{Name: name, Dir: dir,
+	x.council = append(x.council, faultinject.Start(x.t, faultinject.Spec{Name: name, Dir: dir,
 		Args: []string{"fleet", "--file", filepath.Join(dir, "fleet.toml")},
 		Env:  []string{"WILLOWDECK_HISTORY=" + x.records}}))
 }
@@ -156,8 +156,8 @@
 	up, _ := json.Marshal(upstream)
 	x.write(filepath.Join(dir, "relay.toml"), fmt.Sprintf("name = %q\ncluster = \"till\"\nlisten = %q\n"+
 		"control = %q\nupstream = %s\nstore = \"store/relay.copy\"\n", name, x.below[name], x.control[name], up))
-	x.disks[name] = faults.NewDisk(x.t, filepath.Join(dir, "store"))
-	x.relays[name] = faults.Start(x.t, faults.Spec{Name: name, Dir: dir,
+	x.disks[name] = faultinject.NewDisk(x.t, filepath.Join(dir, "store"))
+	x.relays[name] = faultinject.Start(x.t, faultinject.Spec{Name: name, Dir: dir,
 		Args: []string{"relay", "--config", filepath.Join(dir, "relay.toml")},
 		Env:  []string{"WILLOWDECK_HISTORY=" + x.records}})
 }
@@ -181,9 +181,9 @@
 	}
 }
 
-func (x *tree) text(r accord.Rules) string {
+func (x *tree) text(r ruleset.Rules) string {
 	x.t.Helper()
-	text, err := rulebook.Encode(&r)
+	text, err := rulefile.Encode(&r)
 	if err != nil {
 		x.t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 // propose has a daemon propose the next generation.
 func (x *tree) propose(daemon int) { x.proposes(daemon, generation(x.gen+1, x.members)) }
 
-func (x *tree) proposes(daemon int, r accord.Rules) {
+func (x *tree) proposes(daemon int, r ruleset.Rules) {
 	x.t.Helper()
 	x.gen++
 	x.rules[x.gen] = r
@@ -201,11 +201,11 @@
 }
 
 // put writes rules as a daemon's file, and has it read that.
-func (x *tree) put(daemon int, r accord.Rules) {
+func (x *tree) put(daemon int, r ruleset.Rules) {
 	x.t.Helper()
 	p := x.council[daemon]
 	x.until(p.Name+" answers", func() bool {
-		_, err := faults.Ask(x.at(daemon, 0), "/fleet/council")
+		_, err := faultinject.Ask(x.at(daemon, 0), "/fleet/council")
 		return err == nil
 	})
 	x.write(filepath.Join(p.Dir(), "rules.toml"), x.text(r))
@@ -332,7 +332,7 @@
 			if !p.Running() {
 				continue
 			}
-			text, err := faults.Ask(x.at(i, 0), "/fleet/council")
+			text, err := faultinject.Ask(x.at(i, 0), "/fleet/council")
 			var s struct {
 				Leader string `json:"leader"`
 			}
@@ -348,7 +348,7 @@
 }
 
 // cut cuts a zone off from both regions, or joins it.
-func (x *tree) cut(z string, how faults.Cut) {
+func (x *tree) cut(z string, how faultinject.Cut) {
 	for _, a := range []string{z + "0", z + "1"} {
 		for _, r := range []string{"r0", "r1"} {
 			x.net.Part(a, r, how)
@@ -391,7 +391,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rules := map[uint64]accord.Rules{}
+	rules := map[uint64]ruleset.Rules{}
 	for v, i := range known {
 		rules[v] = x.rules[i]
 	}
@@ -416,7 +416,7 @@
 }
 
 // bounded is B for the lease of these rules.
-var bounded = accord.Bound(&accord.Rules{Lease: 1000})
+var bounded = ruleset.Bound(&ruleset.Rules{Lease: 1000})
 
 // verdict is what is found in a record.
 type verdict struct {
@@ -427,7 +427,7 @@
 }
 
 // judged holds a record against what is promised, with the rules by version.
-func judged(r history.Record, rules map[uint64]accord.Rules) verdict {
+func judged(r history.Record, rules map[uint64]ruleset.Rules) verdict {
 	v := verdict{versions: history.Versions(r), gives: map[string]int{},
 		stances: history.Contradiction(r, history.Leases(rules), bounded, betweens)}
 	says := func(format string, args ...any) { v.breaks = append(v.breaks, fmt.Sprintf(format, args...)) }
@@ -462,7 +462,7 @@
 }
 
 // planted puts breaks into a record without any, one at a time: each has to be found.
-func planted(t *testing.T, r history.Record, rules map[uint64]accord.Rules) {
+func planted(t *testing.T, r history.Record, rules map[uint64]ruleset.Rules) {
 	t.Helper()
 	find := func(holds func(history.Event) bool) int {
 		i := slices.IndexFunc(r.Events, holds)
@@ -513,16 +513,16 @@
 
 // TestGenerations: a mix of two generations shows in each part of the rules.
 func TestGenerations(t *testing.T) {
-	whole := func() accord.Rules { return generation(3, some(2, "h")) }
+	whole := func() ruleset.Rules { return generation(3, some(2, "h")) }
 	other := generation(4, some(2, "h"))
 	if r := whole(); len(generations(&r)) != 1 || !generations(&r)[3] {
 		t.Errorf("whole rules of generation 3 are of %v", generations(&r))
 	}
-	for i, mix := range []func(*accord.Rules){
-		func(r *accord.Rules) { r.Plans[0] = other.Plans[0] },
-		func(r *accord.Rules) { r.Plans[1] = other.Plans[1] },
-		func(r *accord.Rules) { r.Words = other.Words },
-		func(r *accord.Rules) { r.Members[1] = other.Members[1] },
+	for i, mix := range []func(*ruleset.Rules){
+		func(r *ruleset.Rules) { r.Plans[0] = other.Plans[0] },
+		func(r *ruleset.Rules) { r.Plans[1] = other.Plans[1] },
+		func(r *ruleset.Rules) { r.Words = other.Words },
+		func(r *ruleset.Rules) { r.Members[1] = other.Members[1] },
 	} {
 		r := whole()
 		if mix(&r); len(generations(&r)) != 2 {
--- a/internal/relayd/root.go
+++ b/internal/distribution/relay/root.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"context"
@@ -7,17 +7,17 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/council"
-	"willowdeck/internal/relay"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/versioned"
 )
 
-// Quorum is what a Root needs of a council's daemon; see council.Seat.
+// Quorum is what a Root needs of a council's daemon; see raftlog.Seat.
 type Quorum interface {
-	Word() (council.Word, bool)
+	Word() (raftlog.Word, bool)
 	Confirmed() <-chan struct{}
-	Told(all []accord.HostStep, index int64)
+	Told(all []ruleset.HostStep, index int64)
 	Highest() int64
 	Often()
 }
@@ -38,15 +38,15 @@
 	wait          sync.WaitGroup
 
 	mu             sync.Mutex
-	view           relay.View
-	rules, pending *resource.State
+	view           distribution.View
+	rules, pending *versioned.State
 }
 
 // NewRoot begins to listen at an address. Name is the daemon's host.
 func NewRoot(q Quorum, name, cluster, listen string, log zerolog.Logger) (*Root, error) {
 	r := &Root{name: name, cluster: cluster, log: log, quorum: q}
-	g, err := give(listen, rootConnections, rootLease, relay.NewSource(name, cluster,
-		relay.Bounds{WholeRate: rootWhole, WholeBurst: rootWhole, Life: rand.Uint64()}), q.Told)
+	g, err := give(listen, rootConnections, rootLease, distribution.NewSource(name, cluster,
+		distribution.Bounds{WholeRate: rootWhole, WholeBurst: rootWhole, Life: rand.Uint64()}), q.Told)
 	if err != nil {
 		return nil, err
 	}
@@ -88,12 +88,12 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := relay.View{Step: w.Step, Settled: w.Settled, Begun: w.Begun, Index: r.quorum.Highest()}
+	v := distribution.View{Step: w.Step, Settled: w.Settled, Begun: w.Begun, Index: r.quorum.Highest()}
 	if w.Step != r.view.Step || r.rules == nil {
 		rules, err := r.entries(r.rules, &w.InForce)
-		var pending *resource.State
+		var pending *versioned.State
 		if err == nil && w.Pending != nil {
-			pending, err = accord.Entries(w.Pending)
+			pending, err = ruleset.Entries(w.Pending)
 		}
 		if err != nil {
 			r.log.Error().Err(err).Uint64("step", w.Step).Msg("what is in force can't be given on")
@@ -107,16 +107,16 @@
 }
 
 // entries gives a version as a state, or the one that is there already.
-func (r *Root) entries(had *resource.State, v *accord.Version) (*resource.State, error) {
+func (r *Root) entries(had *versioned.State, v *ruleset.Version) (*versioned.State, error) {
 	if had != nil && had.Mark().Number == v.Number {
 		return had, nil
 	}
-	return accord.Entries(v)
+	return ruleset.Entries(v)
 }
 
 // Status tells how it stands.
 func (r *Root) Status() Status {
-	s := Status{Name: r.name, Cluster: r.cluster, Form: relay.Form, AgeMS: -1}
+	s := Status{Name: r.name, Cluster: r.cluster, Form: distribution.Form, AgeMS: -1}
 	r.mu.Lock()
 	if r.view.Rules != nil {
 		s.of(&r.view)
--- a/internal/relayd/status.go
+++ b/internal/distribution/relay/status.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"willowdeck/internal/relay"
+	"willowdeck/internal/distribution"
 )
 
 // Status is how a relay, or a council's daemon that serves relays, stands; for operators.
@@ -30,11 +30,11 @@
 	Below    int     `json:"below"`  // who has asked within the last five leases
 	Upstream string  `json:"upstream,omitempty"`
 
-	Up     *Traffic           `json:"up,omitempty"`
-	Down   Traffic            `json:"down"`
-	Follow *relay.Counts      `json:"follow,omitempty"` // what has come from above
-	Give   relay.SourceCounts `json:"give"`             // what was given below
-	Copy   *Copies            `json:"copy,omitempty"`
+	Up     *Traffic                  `json:"up,omitempty"`
+	Down   Traffic                   `json:"down"`
+	Follow *distribution.Counts      `json:"follow,omitempty"` // what has come from above
+	Give   distribution.SourceCounts `json:"give"`             // what was given below
+	Copy   *Copies                   `json:"copy,omitempty"`
 }
 
 // Copies counts copies on disk.
@@ -45,7 +45,7 @@
 }
 
 // of fills in what a view says.
-func (s *Status) of(v *relay.View) {
+func (s *Status) of(v *distribution.View) {
 	s.Known, s.Depth, s.Step, s.Settled, s.AgeMS = true, v.Depth, v.Step, v.Settled, v.Age(Clock())
 	m := v.Rules.Mark()
 	s.Version, s.Mark, s.Bytes, s.Pending = m.Number, m.String(), v.Rules.Bytes(), v.Pending.Mark().Number
@@ -53,14 +53,14 @@
 
 // Status tells how the relay stands.
 func (r *Relay) Status() Status {
-	s := Status{Name: r.file.Name, Cluster: r.file.Cluster, Form: relay.Form, AgeMS: -1}
+	s := Status{Name: r.file.Name, Cluster: r.file.Cluster, Form: distribution.Form, AgeMS: -1}
 	if v, ok := r.feed.View(); ok {
 		s.of(&v)
 	}
 	up := r.client.Traffic()
 	s.Up, s.Copy = &up, &Copies{}
 	s.Copy.Written, s.Copy.Failed, s.Copy.Aside = r.copy.Counts()
-	r.feed.With(func(f *relay.Follower) {
+	r.feed.With(func(f *distribution.Follower) {
 		c := f.Counts()
 		s.Follow, s.Upstream = &c, r.file.Upstream[f.Current()]
 	})
--- a/internal/relayd/tree_test.go
+++ b/internal/distribution/relay/tree_test.go
@@ -1,4 +1,4 @@
-package relayd
+package relay
 
 import (
 	"flag"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/faults"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/faultinject"
 )
 
 var (
@@ -51,7 +51,7 @@
 
 	// A region's relay hears nothing from above, and answers on with ages that grow.
 	for i := range daemons {
-		x.net.Part("r0", fmt.Sprintf("c%d", i), faults.Silent)
+		x.net.Part("r0", fmt.Sprintf("c%d", i), faultinject.Silent)
 	}
 	x.propose(0)
 	x.settled("a region's relay cut off from the council", x.gen)
@@ -91,20 +91,20 @@
 // copies starts a zone's relay with disks that are torn, flipped, old and empty.
 func (x *tree) copies() {
 	const name = "a1"
-	aside := map[string]int64{faults.Torn: 1, faults.Flipped: 1}
+	aside := map[string]int64{faultinject.Torn: 1, faultinject.Flipped: 1}
 	x.must(x.relays[name].Kill())
 	x.must(x.disks[name].Keep())
-	for _, what := range []string{faults.Torn, faults.Flipped, faults.Old, faults.Empty} {
+	for _, what := range []string{faultinject.Torn, faultinject.Flipped, faultinject.Old, faultinject.Empty} {
 		x.propose(0)
 		x.settled("a zone's relay away, then with a disk that is "+what, x.gen)
-		x.must(x.disks[name].Spoil(faults.Damage{What: what, Bytes: 5, Seed: 3}))
+		x.must(x.disks[name].Spoil(faultinject.Damage{What: what, Bytes: 5, Seed: 3}))
 		x.must(x.relays[name].Restart(nil))
 		x.up(name, x.mustStatus("a0").Step)
 		s := x.mustStatus(name)
 		if s.Copy.Aside != aside[what] {
 			x.t.Errorf("a disk that is %s: %d copies set aside, not %d", what, s.Copy.Aside, aside[what])
 		}
-		if whole := what != faults.Old; (s.Follow.Wholes > 0) != whole || (s.Follow.Deltas > 0) == whole {
+		if whole := what != faultinject.Old; (s.Follow.Wholes > 0) != whole || (s.Follow.Deltas > 0) == whole {
 			x.t.Errorf("a disk that is %s: %d wholes and %d deltas", what, s.Follow.Wholes, s.Follow.Deltas)
 		}
 		x.until("the copy is written", func() bool { return x.mustStatus(name).Copy.Written > 0 })
@@ -116,11 +116,11 @@
 
 // cutOff cuts a zone off over a change that has to wait for it, and heals the links.
 func (x *tree) cutOff() {
-	x.cut("a", faults.Silent)
+	x.cut("a", faultinject.Silent)
 	began := time.Now()
 	x.until("those cut off have no lease", func() bool {
 		for _, k := range x.all("a") {
-			if k.mode() == accord.Leased {
+			if k.mode() == ruleset.Leased {
 				return false
 			}
 		}
@@ -132,11 +132,11 @@
 		x.t.Errorf("a change that contradicts the fallback of those cut off was in force after %v", took)
 	}
 	for _, k := range x.all("a") {
-		if m := k.mode(); m != accord.Bare {
+		if m := k.mode(); m != ruleset.Bare {
 			x.t.Errorf("%s is %v once its fallback is over", k.name, m)
 		}
 	}
-	x.cut("a", faults.Whole)
+	x.cut("a", faultinject.Whole)
 	x.settled("the zone is back", x.gen)
 	x.proposes(1, generation(x.gen+1, x.members))
 	x.settled("the ceiling up again", x.gen)
@@ -176,9 +176,9 @@
 // bounds proposes what breaks a bound: it is refused by its key, and nothing changes.
 func (x *tree) bounds() {
 	was := x.mustStatus("a0")
-	for key, change := range map[string]func(*accord.Rules){
-		"lease_ms:":         func(r *accord.Rules) { r.Lease, r.Bound = 5000, 2000 },
-		"plans.basic.rate:": func(r *accord.Rules) { r.Plans[0].Rate = -1 },
+	for key, change := range map[string]func(*ruleset.Rules){
+		"lease_ms:":         func(r *ruleset.Rules) { r.Lease, r.Bound = 5000, 2000 },
+		"plans.basic.rate:": func(r *ruleset.Rules) { r.Plans[0].Rate = -1 },
 	} {
 		r := generation(x.gen+1, x.members)
 		change(&r)
@@ -215,8 +215,8 @@
 	for _, p := range x.council {
 		x.must(p.Kill())
 	}
-	x.until("all go by a fallback", func() bool { return x.modes(accord.CutOff) })
-	x.until("all go by nothing", func() bool { return x.modes(accord.Bare) })
+	x.until("all go by a fallback", func() bool { return x.modes(ruleset.CutOff) })
+	x.until("all go by nothing", func() bool { return x.modes(ruleset.Bare) })
 	gone := rate()
 	wholes, _ := count()
 	for _, p := range x.council {
@@ -239,7 +239,7 @@
 }
 
 // modes tells whether all gatekeepers go in a mode.
-func (x *tree) modes(m accord.Mode) bool {
+func (x *tree) modes(m ruleset.Mode) bool {
 	for _, k := range x.all() {
 		if k.mode() != m {
 			return false
@@ -272,18 +272,21 @@
 				x.must(p.Kill())
 				heal = append(heal, func() { x.must(p.Restart(nil)) })
 			case 2:
-				d := faults.Damage{What: []string{faults.Torn, faults.Flipped, faults.Empty}[rng.Intn(3)],
-					Bytes: 1 + rng.Int63n(200), Seed: rng.Int63()}
+				d := faultinject.Damage{
+					What:  []string{faultinject.Torn, faultinject.Flipped, faultinject.Empty}[rng.Intn(3)],
+					Bytes: 1 + rng.Int63n(200),
+					Seed:  rng.Int63(),
+				}
 				what += " spoil " + name + " " + d.What
 				x.must(p.Kill())
 				_ = x.disks[name].Spoil(d) // one that has nothing can't be spoilt
 				heal = append(heal, func() { x.must(p.Restart(nil)) })
 			case 3:
 				z := []string{"a", "b"}[rng.Intn(2)]
-				how := []faults.Cut{faults.Silent, faults.Reset, faults.Refused}[rng.Intn(3)]
+				how := []faultinject.Cut{faultinject.Silent, faultinject.Reset, faultinject.Refused}[rng.Intn(3)]
 				what += " cut " + z + " " + how.String()
 				x.cut(z, how)
-				heal = append(heal, func() { x.cut(z, faults.Whole) })
+				heal = append(heal, func() { x.cut(z, faultinject.Whole) })
 			case 4:
 				c := x.council[rng.Intn(daemons)]
 				if len(heal) > 0 {
--- a/internal/relay/relay_test.go
+++ b/internal/distribution/relay_test.go
@@ -1,29 +1,29 @@
-package relay
+package distribution
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/versioned"
 )
 
 // rules are some that so many gatekeepers agree on, two on a host.
-func rules(members int, ceiling float64) accord.Rules {
-	r := accord.Rules{Form: accord.Form, Lease: 1000, Bound: accord.MostBound,
-		Fallback: accord.Fallback{Part: 0.5, For: 500},
-		Plans:    []accord.Plan{{Name: "p", Rate: ceiling, Burst: 1, CeilingRate: ceiling, CeilingDepth: ceiling}}}
+func rules(members int, ceiling float64) ruleset.Rules {
+	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: ruleset.MostBound,
+		Fallback: ruleset.Fallback{Part: 0.5, For: 500},
+		Plans:    []ruleset.Plan{{Name: "p", Rate: ceiling, Burst: 1, CeilingRate: ceiling, CeilingDepth: ceiling}}}
 	for i := range members {
-		r.Members = append(r.Members, accord.Member{Name: fmt.Sprintf("g%d", i), Host: fmt.Sprintf("h%d", i/2),
+		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprintf("g%d", i), Host: fmt.Sprintf("h%d", i/2),
 			Peers: fmt.Sprintf("127.0.%d.%d:9000", i/250, i%250)})
 	}
 	return r
 }
 
-func state(t testing.TB, number uint64, r accord.Rules) *resource.State {
+func state(t testing.TB, number uint64, r ruleset.Rules) *versioned.State {
 	t.Helper()
-	s, err := accord.Entries(&accord.Version{Number: number, Rules: r})
+	s, err := ruleset.Entries(&ruleset.Version{Number: number, Rules: r})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,9 +72,9 @@
 func TestChain(t *testing.T) {
 	root := NewSource("root", "c", Bounds{})
 	mid, low := NewSource("mid", "c", Bounds{}), NewSource("low", "c", Bounds{})
-	fm := NewFollower(Config{Name: "mid", Cluster: "c", Upstream: 1, Interest: accord.Interest{All: true}}, 0)
+	fm := NewFollower(Config{Name: "mid", Cluster: "c", Upstream: 1, Interest: ruleset.Interest{All: true}}, 0)
 	fl := NewFollower(Config{Name: "low", Cluster: "c", Upstream: 1,
-		Interest: accord.Interest{Host: "h3", Around: 1}}, 0)
+		Interest: ruleset.Interest{Host: "h3", Around: 1}}, 0)
 	v1, v2 := state(t, 1, rules(20, 96)), state(t, 2, rules(20, 48))
 	root.Offer(View{Step: 2, Begun: 500, Rules: v1, Index: 7})
 	now := 500.0
@@ -96,9 +96,9 @@
 	if !ok || v.Step != 2 || v.Begun != 500 || v.Depth != 2 || v.Index != 7 {
 		t.Fatalf("%+v %v", v, ok)
 	}
-	got, err := accord.FromState(v.Rules)
-	if err != nil || len(got.Rules.Members) != 20 || accord.Place(&got.Rules, "g5") != 5 ||
-		accord.Place(&got.Rules, "g8") != 8 || accord.Place(&got.Rules, "g9") != -1 {
+	got, err := ruleset.FromState(v.Rules)
+	if err != nil || len(got.Rules.Members) != 20 || ruleset.Place(&got.Rules, "g5") != 5 ||
+		ruleset.Place(&got.Rules, "g8") != 8 || ruleset.Place(&got.Rules, "g9") != -1 {
 		t.Fatalf("%v %+v", err, got.Rules.Members)
 	}
 	root.Offer(View{Step: 3, Begun: now, Rules: v1, Pending: v2, Index: 7})
@@ -131,14 +131,16 @@
 }
 
 // follower is one with two upstreams that has heard of version 1 at step 2, as of 950 of 1,000 ms.
-func follower(t *testing.T) (*Follower, *resource.State) {
+func follower(t *testing.T) (*Follower, *versioned.State) {
 	t.Helper()
-	f := NewFollower(Config{Name: "f", Cluster: "c", Upstream: 2, Interest: accord.Interest{All: true}, Seed: 1},
-		500)
+	f := NewFollower(
+		Config{Name: "f", Cluster: "c", Upstream: 2, Interest: ruleset.Interest{All: true}, Seed: 1},
+		500,
+	)
 	v1 := state(t, 1, rules(6, 96))
 	f.Clock(1000)
 	f.Heard(f.Current(), 1000, &Answer{Form: Form, Cluster: "c", Step: 2, Age: 50, Rules: v1.Mark(), Life: 1,
-		RulesDelta: resource.Whole(v1), Index: -1})
+		RulesDelta: versioned.Whole(v1), Index: -1})
 	if v, ok := f.View(); !ok || v.Begun != 950 || v.Rules.Mark() != v1.Mark() {
 		t.Fatalf("%+v %v %+v", v, ok, f.Counts())
 	}
@@ -152,7 +154,7 @@
 	r := rules(6, 48)
 	r.Lease = 100
 	short := state(t, 2, r)
-	spoilt := resource.Between(v1, v2)
+	spoilt := versioned.Between(v1, v2)
 	spoilt.Set = spoilt.Set[1:]
 	for _, c := range []struct {
 		name   string
@@ -168,7 +170,7 @@
 		{"an older read of the same", func(a *Answer) { a.Step, a.Age, a.Rules = 2, 160, v1.Mark() },
 			func(n Counts) int64 { return n.Late }, false},
 		{"a lease that is over", func(a *Answer) {
-			a.Age, a.Rules, a.RulesDelta = 120, short.Mark(), resource.Whole(short)
+			a.Age, a.Rules, a.RulesDelta = 120, short.Mark(), versioned.Whole(short)
 		}, func(n Counts) int64 { return n.Lapsed }, false},
 		{"a ring of relays", func(a *Answer) { a.Depth = mostDepth }, func(n Counts) int64 { return n.Bad }, false},
 		{"read before this life", func(a *Answer) { a.Age = 601 }, func(n Counts) int64 { return n.Before }, false},
@@ -178,20 +180,20 @@
 			a.Step, a.Rules, a.Pending = 2, v1.Mark(), v2.Mark()
 		}, func(n Counts) int64 { return n.Bad }, false},
 		{"a lower version", func(a *Answer) { a.Rules.Number = 0 }, func(n Counts) int64 { return n.Bad }, false},
-		{"no version", func(a *Answer) { a.Rules = resource.Mark{} }, func(n Counts) int64 { return n.Bad }, false},
+		{"no version", func(a *Answer) { a.Rules = versioned.Mark{} }, func(n Counts) int64 { return n.Bad }, false},
 		{"a pending one that does not follow", func(a *Answer) { a.Pending = v2.Mark() },
 			func(n Counts) int64 { return n.Bad }, false},
 		{"a version without a delta", func(a *Answer) { a.RulesDelta = nil },
 			func(n Counts) int64 { return n.Missing }, false},
 		{"a delta of another mark", func(a *Answer) { a.Rules.Digest[0]++ },
 			func(n Counts) int64 { return n.Bad }, true},
-		{"a delta against another state", func(a *Answer) { a.RulesDelta = resource.Between(other, v2) },
+		{"a delta against another state", func(a *Answer) { a.RulesDelta = versioned.Between(other, v2) },
 			func(n Counts) int64 { return n.Base }, true},
 		{"a spoilt delta", func(a *Answer) { a.RulesDelta = spoilt },
 			func(n Counts) int64 { return n.Digest }, true},
 		{"a spoilt pending one", func(a *Answer) {
 			v3 := state(t, 3, rules(6, 24))
-			a.Pending, a.PendingDelta = v3.Mark(), resource.Between(v2, v3)
+			a.Pending, a.PendingDelta = v3.Mark(), versioned.Between(v2, v3)
 			a.PendingDelta.Set = nil
 		}, func(n Counts) int64 { return n.Digest }, true},
 		{"no room", func(a *Answer) { a.RulesDelta, a.Busy = nil, 3000 },
@@ -199,7 +201,7 @@
 	} {
 		f, v1 := follower(t)
 		a := &Answer{Form: Form, Cluster: "c", Step: 3, Age: 10, Life: 1, Rules: v2.Mark(),
-			RulesDelta: resource.Between(v1, v2), Index: -1}
+			RulesDelta: versioned.Between(v1, v2), Index: -1}
 		before, _ := f.View()
 		c.change(a)
 		f.Clock(1100)
@@ -216,7 +218,7 @@
 		}
 		f.Clock(1300) // and the same unspoilt is taken
 		f.Heard(f.Current(), 1300, &Answer{Form: Form, Cluster: "c", Step: 3, Age: 10, Life: 1, Rules: v2.Mark(),
-			RulesDelta: resource.Whole(v2), Index: -1})
+			RulesDelta: versioned.Whole(v2), Index: -1})
 		if v, ok := f.View(); !ok || v.Step != 3 {
 			t.Errorf("%s: then %+v", c.name, v)
 		}
@@ -260,12 +262,12 @@
 
 // Rules of a longer lease than those before are heard of though the former lease is too short for the way.
 func TestLongerLease(t *testing.T) {
-	f := NewFollower(Config{Name: "f", Cluster: "c", Upstream: 1, Interest: accord.Interest{All: true},
+	f := NewFollower(Config{Name: "f", Cluster: "c", Upstream: 1, Interest: ruleset.Interest{All: true},
 		Lease: 100}, 0)
 	v := state(t, 1, rules(6, 96))
 	f.Clock(1000)
 	f.Heard(0, 1000, &Answer{Form: Form, Cluster: "c", Step: 2, Age: 300, Rules: v.Mark(), Life: 1,
-		RulesDelta: resource.Whole(v), Index: -1})
+		RulesDelta: versioned.Whole(v), Index: -1})
 	if got, ok := f.View(); !ok || got.Begun != 700 || f.lease != 1000 || f.every != 100 {
 		t.Errorf("%+v %v, lease %v", got, ok, f.lease)
 	}
@@ -277,7 +279,7 @@
 	v2 := state(t, 2, rules(6, 48))
 	first := f.Current()
 	good := &Answer{Form: Form, Cluster: "c", Step: 3, Age: 10, Life: 1, Rules: v2.Mark(),
-		RulesDelta: resource.Between(v1, v2), Index: -1}
+		RulesDelta: versioned.Between(v1, v2), Index: -1}
 	for all, left := range map[bool]bool{false: true, true: false} {
 		f, _ = follower(t)
 		n := 0
@@ -293,7 +295,7 @@
 				}
 				a := *good
 				if n++; all || d.Upstream == first {
-					a.RulesDelta = &resource.Delta{From: d.Ask.Rules, To: v2.Mark(), Drop: []string{"rules"}}
+					a.RulesDelta = &versioned.Delta{From: d.Ask.Rules, To: v2.Mark(), Drop: []string{"rules"}}
 				}
 				f.Heard(d.Upstream, now, &a)
 			}
@@ -309,15 +311,15 @@
 func TestLateAndTwice(t *testing.T) {
 	f, v1 := follower(t)
 	v2, v3 := state(t, 2, rules(6, 48)), state(t, 3, rules(6, 24))
-	say := func(step uint64, v *resource.State, d *resource.Delta) {
+	say := func(step uint64, v *versioned.State, d *versioned.Delta) {
 		f.Heard(f.Current(), 1100, &Answer{Form: Form, Cluster: "c", Step: step, Age: 10, Life: 1, Rules: v.Mark(),
 			RulesDelta: d, Index: -1})
 	}
 	f.Clock(1100)
-	say(3, v2, resource.Between(v1, v2))
-	say(3, v2, resource.Between(v1, v2)) // twice: a renewal
-	say(4, v3, resource.Between(v1, v3)) // made for what it had when it asked, which it has still
-	say(3, v2, resource.Between(v1, v2)) // late
+	say(3, v2, versioned.Between(v1, v2))
+	say(3, v2, versioned.Between(v1, v2)) // twice: a renewal
+	say(4, v3, versioned.Between(v1, v3)) // made for what it had when it asked, which it has still
+	say(3, v2, versioned.Between(v1, v2)) // late
 	if v, _ := f.View(); v.Step != 4 || v.Rules.Mark() != v3.Mark() {
 		t.Errorf("%+v", v)
 	}
@@ -523,7 +525,7 @@
 	var all []*Follower
 	for i := range 50 {
 		all = append(all, NewFollower(Config{Name: fmt.Sprint("f", i), Cluster: "c", Upstream: 1,
-			Interest: accord.Interest{All: true}, Seed: int64(i)}, 1000))
+			Interest: ruleset.Interest{All: true}, Seed: int64(i)}, 1000))
 	}
 	up, wholes := 0, int64(0)
 	for now := 1000.0; now < 12000; now += 10 {
@@ -552,12 +554,12 @@
 // A delta is made from a version that is kept, for any interest; one further back gets the whole.
 func TestSourceKeeps(t *testing.T) {
 	s := NewSource("s", "c", Bounds{Versions: 3})
-	in := accord.Interest{Host: "h1"}
-	var marks []resource.Mark
+	in := ruleset.Interest{Host: "h1"}
+	var marks []versioned.Mark
 	for i := range 5 {
 		v := state(t, uint64(i+1), rules(20, 96-float64(i)))
 		s.Offer(View{Step: uint64(i + 1), Begun: 0, Rules: v, Index: -1})
-		marks = append(marks, accord.Select(v, in).Mark())
+		marks = append(marks, ruleset.Select(v, in).Mark())
 	}
 	for i, m := range marks {
 		r, err := s.Answer(&Ask{Form: Form, Cluster: "c", From: "f", Interest: in, Rules: m, Index: -1}, 10)
@@ -588,7 +590,7 @@
 	s := NewSource("s", "c", Bounds{Versions: 1, Parts: 1})
 	v1, v2 := state(t, 1, rules(6, 96)), state(t, 2, rules(6, 24))
 	s.Offer(View{Step: 3, Begun: 0, Rules: v1, Pending: v2, Index: -1})
-	for _, in := range []accord.Interest{{All: true}, {Host: "h0"}, {Host: "h1"}} {
+	for _, in := range []ruleset.Interest{{All: true}, {Host: "h0"}, {Host: "h1"}} {
 		r, err := s.Answer(&Ask{Form: Form, Cluster: "c", From: "f", Interest: in, Index: -1}, 10)
 		if err != nil || r.PendingDelta == nil || r.Pending.Number != 2 {
 			t.Errorf("%+v: %v %+v", in, err, r)
@@ -603,7 +605,7 @@
 		"cluster: ":  {Form: Form, Cluster: "d", From: "f"},
 		"from: ":     {Form: Form, Cluster: "c"},
 		"seen: 2001": {Form: Form, Cluster: "c", From: "f", Seen: make([]HostStep, MostTold+1)},
-		"interest: ": {Form: Form, Cluster: "c", From: "f", Interest: accord.Interest{Around: -1}},
+		"interest: ": {Form: Form, Cluster: "c", From: "f", Interest: ruleset.Interest{Around: -1}},
 	} {
 		if _, err := s.Answer(a, 0); err == nil || !strings.HasPrefix(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
--- a/internal/relay/replica.go
+++ b/internal/distribution/replica.go
@@ -1,12 +1,12 @@
-package relay
+package distribution
 
 import (
 	"errors"
 	"fmt"
 	"math/rand"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/versioned"
 )
 
 // Around is how many places of the ring on either side of its own a gatekeeper is told the members of. A
@@ -17,15 +17,15 @@
 const Around = 250
 
 // Replica is a gatekeeper's copy of its part of the rules, as its host's daemon tells them. When to ask is
-// accord.Holder's to say, and what to go by; the daemon keeps books on this very process, so that it may go
+// ruleset.Holder's to say, and what to go by; the daemon keeps books on this very process, so that it may go
 // by what was read before it began. It is not safe for concurrent use.
 type Replica struct {
 	name           string
 	process        int
 	rng            *rand.Rand
-	rules, pending *resource.State
-	lease          accord.Lease // of these, without an age
-	quiet          float64      // ms until when no whole is asked for
+	rules, pending *versioned.State
+	lease          ruleset.Lease // of these, without an age
+	quiet          float64       // ms until when no whole is asked for
 	counts         ReplicaCounts
 }
 
@@ -56,24 +56,24 @@
 // Counts gives what it has met.
 func (r *Replica) Counts() ReplicaCounts { return r.counts }
 
-// Ask is what the daemon is to be asked at a time, ms; holds is accord.Holder's, and index that of
+// Ask is what the daemon is to be asked at a time, ms; holds is ruleset.Holder's, and index that of
 // discovery's list.
 func (r *Replica) Ask(now float64, holds uint64, index int64) *Ask {
-	return &Ask{Form: Form, From: r.name, Interest: accord.Interest{Name: r.name, Around: Around},
+	return &Ask{Form: Form, From: r.name, Interest: ruleset.Interest{Name: r.name, Around: Around},
 		Step: r.lease.Step, Rules: r.rules.Mark(), Pending: r.pending.Mark(), Quiet: now < r.quiet, Index: index,
 		Process: r.process, Holds: holds}
 }
 
 // Hear takes an answer that came at a time, and gives what it says as a lease for the Holder. News: the rules
 // are others than before. An error changes nothing.
-func (r *Replica) Hear(a *Answer, now float64) (l accord.Lease, news bool, err error) {
+func (r *Replica) Hear(a *Answer, now float64) (l ruleset.Lease, news bool, err error) {
 	switch {
 	case a.Form != Form:
 		r.counts.Bad++
 		return l, false, fmt.Errorf("%w: form %d", ErrBad, a.Form)
 	case a.Step < r.lease.Step: // it came late: no news, and no base for any
 		r.counts.Late++
-		return accord.Lease{Step: a.Step, Age: a.Age}, false, nil
+		return ruleset.Lease{Step: a.Step, Age: a.Age}, false, nil
 	case a.Busy > 0:
 		r.counts.Busy++
 		r.quiet = now + r.rng.Float64()*a.Busy // full jitter
@@ -88,9 +88,9 @@
 	}
 	if err != nil {
 		switch {
-		case errors.Is(err, resource.ErrBase):
+		case errors.Is(err, versioned.ErrBase):
 			r.counts.Base++
-		case errors.Is(err, resource.ErrDigest):
+		case errors.Is(err, versioned.ErrDigest):
 			r.counts.Digest++
 		default:
 			r.counts.Bad++
@@ -114,7 +114,7 @@
 }
 
 // apply makes of what is here what an answer is of.
-func (r *Replica) apply(a *Answer) (rules, pending *resource.State, err error) {
+func (r *Replica) apply(a *Answer) (rules, pending *versioned.State, err error) {
 	switch rules = r.rules; {
 	case a.RulesDelta != nil:
 		if rules, err = r.rules.Apply(a.RulesDelta); err != nil {
@@ -133,13 +133,13 @@
 		pending = r.pending
 	}
 	if rules.Mark() != a.Rules || rules.Mark().None() || pending.Mark() != a.Pending {
-		return nil, nil, fmt.Errorf("%w: %v and %v are told of", resource.ErrBase, a.Rules, a.Pending)
+		return nil, nil, fmt.Errorf("%w: %v and %v are told of", versioned.ErrBase, a.Rules, a.Pending)
 	}
 	return rules, pending, nil
 }
 
 // read makes a lease of states; what was read before is not read again.
-func (r *Replica) read(rules, pending *resource.State) (l accord.Lease, err error) {
+func (r *Replica) read(rules, pending *versioned.State) (l ruleset.Lease, err error) {
 	if l = r.lease; rules.Mark() != r.rules.Mark() {
 		if l.Version, l.Foreign, err = readState(rules); err != nil {
 			return l, err
@@ -160,11 +160,11 @@
 
 // readState reads a version. One that this program does not know whole is left empty, and what it needs
 // named.
-func readState(s *resource.State) (v accord.Version, foreign string, err error) {
-	v, err = accord.FromState(s)
+func readState(s *versioned.State) (v ruleset.Version, foreign string, err error) {
+	v, err = ruleset.FromState(s)
 	switch {
-	case errors.Is(err, accord.ErrForeign):
-		return accord.Version{Number: s.Mark().Number}, err.Error(), nil
+	case errors.Is(err, ruleset.ErrForeign):
+		return ruleset.Version{Number: s.Mark().Number}, err.Error(), nil
 	case err != nil:
 		return v, "", fmt.Errorf("%w: %w", ErrBad, err)
 	}
--- a/internal/relay/replica_test.go
+++ b/internal/distribution/replica_test.go
@@ -1,4 +1,4 @@
-package relay
+package distribution
 
 import (
 	"errors"
@@ -9,20 +9,20 @@
 	"slices"
 	"testing"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/versioned"
 )
 
 var replicas = flag.Int("replicas", 300, "walks of TestReplicaWalks")
 
 // spoken is what was told at a step: rules, and those pending.
 type spoken struct {
-	rules, pending *accord.Version
+	rules, pending *ruleset.Version
 	settled        bool
 }
 
 // stepped are rules drawn anew from some.
-func stepped(rng *rand.Rand, r accord.Rules) accord.Rules {
+func stepped(rng *rand.Rand, r ruleset.Rules) ruleset.Rules {
 	r.Plans, r.Members = slices.Clone(r.Plans), slices.Clone(r.Members)
 	switch rng.Intn(4) {
 	case 0:
@@ -30,9 +30,9 @@
 	case 1:
 		r.Members[1+rng.Intn(len(r.Members)-1)].Peers = fmt.Sprintf("10.0.0.1:%d", 1+rng.Intn(60000))
 	case 2:
-		r.Members = append(r.Members, accord.Member{Name: fmt.Sprint("m", len(r.Members)), Host: "h"})
+		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprint("m", len(r.Members)), Host: "h"})
 	case 3:
-		r.Words = []accord.Word{{Worker: fmt.Sprint("w", rng.Intn(9)), Barred: true}}
+		r.Words = []ruleset.Word{{Worker: fmt.Sprint("w", rng.Intn(9)), Barred: true}}
 	}
 	return r
 }
@@ -63,12 +63,12 @@
 
 func walkReplica(t *testing.T, seed int64) ReplicaCounts {
 	rng := rand.New(rand.NewSource(seed))
-	r := accord.Rules{Form: accord.Form, Lease: 1000, Bound: 2000,
-		Plans: []accord.Plan{{Name: "a"}, {Name: "b"}}}
+	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+		Plans: []ruleset.Plan{{Name: "a"}, {Name: "b"}}}
 	for i := range 3 + rng.Intn(40) {
-		r.Members = append(r.Members, accord.Member{Name: fmt.Sprint("m", i), Host: "h"})
+		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprint("m", i), Host: "h"})
 	}
-	words := []spoken{{}, {rules: &accord.Version{Number: 1, Rules: r}, settled: true}}
+	words := []spoken{{}, {rules: &ruleset.Version{Number: 1, Rules: r}, settled: true}}
 	now := 0.0
 	bounds := Bounds{Versions: 2 + rng.Intn(4)}
 	if rng.Intn(4) == 0 {
@@ -79,8 +79,8 @@
 		w := words[len(words)-1]
 		v := View{Step: uint64(len(words) - 1), Settled: w.settled, Begun: now, Index: -1}
 		var err error
-		if v.Rules, err = accord.Entries(w.rules); err == nil && w.pending != nil {
-			v.Pending, err = accord.Entries(w.pending)
+		if v.Rules, err = ruleset.Entries(w.rules); err == nil && w.pending != nil {
+			v.Pending, err = ruleset.Entries(w.pending)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -123,7 +123,7 @@
 		w := words[len(words)-1]
 		switch rng.Intn(6) {
 		case 0, 1: // a version comes in force, the one that waits if there is one
-			next := accord.Version{Number: w.rules.Number + 1}
+			next := ruleset.Version{Number: w.rules.Number + 1}
 			if next.Rules = stepped(rng, w.rules.Rules); w.pending != nil {
 				next = *w.pending
 			}
@@ -131,7 +131,7 @@
 		case 2: // one waits, or is withdrawn
 			next := spoken{rules: w.rules, settled: w.settled}
 			if w.pending == nil {
-				next.pending = &accord.Version{Number: w.rules.Number + 1, Rules: stepped(rng, w.rules.Rules)}
+				next.pending = &ruleset.Version{Number: w.rules.Number + 1, Rules: stepped(rng, w.rules.Rules)}
 			}
 			words = append(words, next)
 		case 3:
@@ -196,12 +196,12 @@
 }
 
 // partOf is a version as a replica has it.
-func partOf(t *testing.T, v *accord.Version) *accord.Version {
-	s, err := accord.Entries(v)
+func partOf(t *testing.T, v *ruleset.Version) *ruleset.Version {
+	s, err := ruleset.Entries(v)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := accord.FromState(accord.Select(s, accord.Interest{Name: "m1", Around: Around}))
+	got, err := ruleset.FromState(ruleset.Select(s, ruleset.Interest{Name: "m1", Around: Around}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,18 +211,18 @@
 // A version that this program does not know whole is named, and so is a pending one; what was known before is
 // a base still.
 func TestReplicaForeign(t *testing.T) {
-	r := accord.Rules{Form: accord.Form, Lease: 1000, Bound: 2000, Plans: []accord.Plan{{Name: "a"}},
-		Members: []accord.Member{{Name: "m1", Host: "h"}}}
+	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000, Plans: []ruleset.Plan{{Name: "a"}},
+		Members: []ruleset.Member{{Name: "m1", Host: "h"}}}
 	later := r
 	later.Needs = []string{"moon"}
 	source := NewSource("h", "till", Bounds{})
 	p := NewReplica("m1", 7, 1)
-	say := func(step uint64, rules accord.Rules, pending *accord.Rules) accord.Lease {
+	say := func(step uint64, rules ruleset.Rules, pending *ruleset.Rules) ruleset.Lease {
 		t.Helper()
 		v := View{Step: step, Begun: float64(step), Index: -1}
-		v.Rules, _ = accord.Entries(&accord.Version{Number: step, Rules: rules})
+		v.Rules, _ = ruleset.Entries(&ruleset.Version{Number: step, Rules: rules})
 		if pending != nil {
-			v.Pending, _ = accord.Entries(&accord.Version{Number: step + 1, Rules: *pending})
+			v.Pending, _ = ruleset.Entries(&ruleset.Version{Number: step + 1, Rules: *pending})
 		}
 		source.Offer(v)
 		q := p.Ask(float64(step), 0, -1)
@@ -250,7 +250,7 @@
 	if c := p.Counts(); c.Wholes != 1 || c.Deltas != 2 || c.Renewals != 1 {
 		t.Errorf("%+v", c)
 	}
-	if _, _, err := p.Hear(&Answer{Form: Form, Step: 5}, 9); !errors.Is(err, resource.ErrBase) {
+	if _, _, err := p.Hear(&Answer{Form: Form, Step: 5}, 9); !errors.Is(err, versioned.ErrBase) {
 		t.Errorf("an answer of no rules: %v", err)
 	}
 }
--- a/internal/relay/source.go
+++ b/internal/distribution/source.go
@@ -1,12 +1,12 @@
-package relay
+package distribution
 
 import (
 	"fmt"
 	"math"
 	"slices"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/versioned"
 )
 
 // What a Source's Bounds are where they are 0, and what of it is fixed.
@@ -26,21 +26,21 @@
 
 // kept is a state from which deltas are made, with what finds parts of it.
 type kept struct {
-	state *resource.State
-	index *accord.Index
+	state *versioned.State
+	index *ruleset.Index
 }
 
-func (k *kept) part(in accord.Interest) *accord.Portion {
+func (k *kept) part(in ruleset.Interest) *ruleset.Portion {
 	if k.index == nil {
-		k.index = accord.NewIndex(k.state)
+		k.index = ruleset.NewIndex(k.state)
 	}
 	return k.index.Portion(in)
 }
 
 // part is what one interest needs of a view.
 type part struct {
-	rules, pending *accord.Portion
-	coming         *resource.Delta // of pending against rules
+	rules, pending *ruleset.Portion
+	coming         *versioned.Delta // of pending against rules
 }
 
 // teller is what one asker has said of discovery's list.
@@ -49,7 +49,7 @@
 	at    float64
 }
 
-type pair struct{ from, to resource.Mark }
+type pair struct{ from, to versioned.Mark }
 
 // Source answers those below by a view, which is a council's own or a Follower's. It is not safe for
 // concurrent use.
@@ -59,9 +59,9 @@
 	has           bool
 	v             View
 	versions      []*kept // the latest first
-	parts         map[accord.Interest]*part
-	former        map[accord.Interest]*part // of the view before, which most have
-	deltas        map[pair]*resource.Delta
+	parts         map[ruleset.Interest]*part
+	former        map[ruleset.Interest]*part // of the view before, which most have
+	deltas        map[pair]*versioned.Delta
 	facts         map[string]uint64
 	news          map[string]bool
 	askers        map[string]teller
@@ -94,8 +94,8 @@
 	if b.Life == 0 {
 		b.Life = 1
 	}
-	return &Source{name: name, cluster: cluster, b: b, v: View{Index: -1}, parts: map[accord.Interest]*part{},
-		deltas: map[pair]*resource.Delta{}, facts: map[string]uint64{}, news: map[string]bool{},
+	return &Source{name: name, cluster: cluster, b: b, v: View{Index: -1}, parts: map[ruleset.Interest]*part{},
+		deltas: map[pair]*versioned.Delta{}, facts: map[string]uint64{}, news: map[string]bool{},
 		askers: map[string]teller{}, highest: -1, looked: never, room: b.WholeBurst, filled: never, window: never}
 }
 
@@ -106,7 +106,7 @@
 		return
 	}
 	if !s.has || v.Rules.Mark() != s.v.Rules.Mark() || v.Pending.Mark() != s.v.Pending.Mark() {
-		s.former, s.parts = s.parts, map[accord.Interest]*part{}
+		s.former, s.parts = s.parts, map[ruleset.Interest]*part{}
 		clear(s.deltas)
 		s.keep(v.Pending)
 		s.keep(v.Rules)
@@ -117,7 +117,7 @@
 	s.has, s.v = true, v
 }
 
-func (s *Source) keep(state *resource.State) {
+func (s *Source) keep(state *versioned.State) {
 	if state == nil {
 		return
 	}
@@ -136,7 +136,7 @@
 }
 
 // of gives the kept state of a mark.
-func (s *Source) of(m resource.Mark) *kept {
+func (s *Source) of(m versioned.Mark) *kept {
 	for _, k := range s.versions {
 		if k.state.Mark() == m {
 			return k
@@ -146,7 +146,7 @@
 }
 
 // part gives what an interest needs of the view.
-func (s *Source) part(in accord.Interest) *part {
+func (s *Source) part(in ruleset.Interest) *part {
 	if p := s.parts[in]; p != nil {
 		return p
 	}
@@ -161,7 +161,7 @@
 	return p
 }
 
-func (s *Source) delta(from, to *accord.Portion) *resource.Delta {
+func (s *Source) delta(from, to *ruleset.Portion) *versioned.Delta {
 	key := pair{from.Mark(), to.Mark()}
 	d := s.deltas[key]
 	if d == nil {
@@ -175,12 +175,12 @@
 
 // base gives what an asker has by its marks, if it can be made here: what it needed of a version that is
 // kept.
-func (s *Source) base(m resource.Mark, in accord.Interest) *accord.Portion {
+func (s *Source) base(m versioned.Mark, in ruleset.Interest) *ruleset.Portion {
 	if m.None() {
 		return nil
 	}
 	if p := s.former[in]; p != nil {
-		for _, o := range []*accord.Portion{p.rules, p.pending} {
+		for _, o := range []*ruleset.Portion{p.rules, p.pending} {
 			if o.Mark() == m {
 				return o
 			}
--- a/internal/relay/walk_test.go
+++ b/internal/distribution/walk_test.go
@@ -1,4 +1,4 @@
-package relay
+package distribution
 
 import (
 	"flag"
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/versioned"
 )
 
 var (
@@ -51,7 +51,7 @@
 	name, host   string
 	level, zone  int // zone: 0 of all
 	ups          []*node
-	interest     accord.Interest
+	interest     ruleset.Interest
 	fast, offset float64
 	still        float64 // until when it stands still, true time
 	life         int
@@ -60,25 +60,25 @@
 	source       *Source
 	step         uint64 // highest that it has gone by in this life
 	version      uint64
-	viewed       resource.Mark
+	viewed       versioned.Mark
 	facts        map[string]uint64 // as its source knew them
-	disk, coming *resource.State
+	disk, coming *versioned.State
 	kept         View   // beside them, which none may go by
 	told         uint64 // highest Seen of the host, said by this life or one before
-	council      *accord.Council
-	steward      *accord.Steward
+	council      *ruleset.Council
+	steward      *ruleset.Steward
 	applied      int
-	warden       *accord.Warden
+	warden       *ruleset.Warden
 	submitted    float64
 	gates        []*node // of a host's daemon
 	daemon       *node   // of a gatekeeper
-	holder       *accord.Holder
+	holder       *ruleset.Holder
 	writes       []wrote
 	process      int
-	pair         [2]resource.Mark
+	pair         [2]versioned.Mark
 	replica      *Replica // in place of a follower
 	before       *Answer  // the one before, which may come once more in place of another
-	mine         [2]*accord.Rules
+	mine         [2]*ruleset.Rules
 	leased       int
 }
 
@@ -99,8 +99,8 @@
 
 // said is what a council says at a step.
 type said struct {
-	rules, pending resource.Mark
-	states         [2]*resource.State
+	rules, pending versioned.Mark
+	states         [2]*versioned.State
 	until          float64 // true time at which the next step came
 }
 
@@ -112,8 +112,8 @@
 type walk struct {
 	rng       *rand.Rand
 	now       float64
-	log       []accord.Entry
-	truth     *accord.Council
+	log       []ruleset.Entry
+	truth     *ruleset.Council
 	nodes     []*node // those above before those below
 	roots     []*node
 	gates     []*node
@@ -121,13 +121,13 @@
 	ended     []ended
 	allows    float64
 	steps     map[uint64]*said
-	states    map[string]*resource.State // of a version, by its rules
-	leader    float64                    // when there is one again
+	states    map[string]*versioned.State // of a version, by its rules
+	leader    float64                     // when there is one again
 	plant     planted
 	calm      bool
 	counts    map[string]int
 	wrong     string
-	versions  map[resource.Mark]*accord.Rules
+	versions  map[versioned.Mark]*ruleset.Rules
 	processes int
 	numbers   uint64
 	replicas  bool // gatekeepers keep them, as they do with relayd
@@ -172,10 +172,10 @@
 }
 
 // state gives a version as entries, the same for the same.
-func (w *walk) state(v *accord.Version) *resource.State {
+func (w *walk) state(v *ruleset.Version) *versioned.State {
 	key := fmt.Sprintf("%d %+v", v.Number, v.Rules)
 	if w.states[key] == nil {
-		s, err := accord.Entries(v)
+		s, err := ruleset.Entries(v)
 		if err != nil {
 			panic(err)
 		}
@@ -185,14 +185,14 @@
 }
 
 // pending gives what waits as entries; nil where nothing does.
-func (w *walk) pending(st *accord.State) *resource.State {
+func (w *walk) pending(st *ruleset.State) *versioned.State {
 	if st.Pending == nil {
 		return nil
 	}
 	return w.state(&st.Pending.Version)
 }
 
-func (w *walk) commit(e accord.Entry) {
+func (w *walk) commit(e ruleset.Entry) {
 	if w.leader > w.now {
 		return
 	}
@@ -206,7 +206,7 @@
 	if o.Waits != "" {
 		w.counts["waited"]++
 	}
-	if e.Act == accord.SeenAll && o.Refused == "" {
+	if e.Act == ruleset.SeenAll && o.Refused == "" {
 		w.counts["seen"] += len(e.Hosts)
 	}
 	if st = w.truth.State(); st.Step != before {
@@ -216,33 +216,33 @@
 			}
 		}
 		x := &said{until: math.Inf(1)}
-		x.states = [2]*resource.State{w.state(&st.InForce), w.pending(st)}
+		x.states = [2]*versioned.State{w.state(&st.InForce), w.pending(st)}
 		x.rules, x.pending = x.states[0].Mark(), x.states[1].Mark()
 		w.steps[st.Step] = x
 	}
 	if o.InForce > 0 {
 		w.counts["in force"]++
-		w.ended = append(w.ended, ended{w.now, w.allows, accord.Bound(&old.Rules), old.Number})
+		w.ended = append(w.ended, ended{w.now, w.allows, ruleset.Bound(&old.Rules), old.Number})
 		w.allows = st.InForce.Rules.Plans[0].CeilingRate
 	}
 }
 
-func (w *walk) rules() *accord.Rules {
+func (w *walk) rules() *ruleset.Rules {
 	ceiling := []float64{12, 24, 48, 96, 192}[w.rng.Intn(5)]
-	r := &accord.Rules{Form: accord.Form, Bound: accord.MostBound, Lease: 600 + w.rng.Float64()*1000,
-		Fallback: accord.Fallback{Part: w.rng.Float64(), For: w.rng.Float64() * 3000},
-		Plans: []accord.Plan{{Name: "p", Rate: ceiling, Burst: 1, CeilingRate: ceiling, CeilingDepth: ceiling,
+	r := &ruleset.Rules{Form: ruleset.Form, Bound: ruleset.MostBound, Lease: 600 + w.rng.Float64()*1000,
+		Fallback: ruleset.Fallback{Part: w.rng.Float64(), For: w.rng.Float64() * 3000},
+		Plans: []ruleset.Plan{{Name: "p", Rate: ceiling, Burst: 1, CeilingRate: ceiling, CeilingDepth: ceiling,
 			Credit: 1, Repay: 2000}}}
 	members := []string{"abcd", "abc", "ab.d", "a", "ab", ".bc"}
 	for _, m := range strings.Split(members[w.rng.Intn(len(members))], "") {
 		if m == "." {
-			r.Members = append(r.Members, accord.Member{})
+			r.Members = append(r.Members, ruleset.Member{})
 		} else {
-			r.Members = append(r.Members, accord.Member{Name: m, Host: hostOf(m)})
+			r.Members = append(r.Members, ruleset.Member{Name: m, Host: hostOf(m)})
 		}
 	}
 	for i := range w.rng.Intn(3) {
-		r.Words = append(r.Words, accord.Word{Worker: fmt.Sprint("w", i), Barred: true})
+		r.Words = append(r.Words, ruleset.Word{Worker: fmt.Sprint("w", i), Barred: true})
 	}
 	return r
 }
@@ -263,7 +263,7 @@
 		return n
 	}
 	for i := range 2 {
-		w.roots = append(w.roots, add(&node{name: fmt.Sprint("root", i), council: accord.NewCouncil()}))
+		w.roots = append(w.roots, add(&node{name: fmt.Sprint("root", i), council: ruleset.NewCouncil()}))
 	}
 	branches, around := [2][]*node{w.roots, w.roots}, 1
 	if w.replicas {
@@ -282,17 +282,17 @@
 					zone = b + 1
 				}
 				two = append(two, add(&node{name: fmt.Sprintf("r%d.%d.%d", level, b, i), level: level, zone: zone,
-					ups: branches[b], interest: accord.Interest{All: true}}))
+					ups: branches[b], interest: ruleset.Interest{All: true}}))
 			}
 			branches[b] = two
 		}
 	}
 	for b := range 2 {
 		d := add(&node{name: fmt.Sprint("daemon", b), host: fmt.Sprint("h", b), level: depth, zone: b + 1,
-			ups: branches[b], interest: accord.Interest{Host: fmt.Sprint("h", b), Around: around}})
+			ups: branches[b], interest: ruleset.Interest{Host: fmt.Sprint("h", b), Around: around}})
 		for _, g := range []string{"ab", "cd"}[b] {
 			n := &node{name: string(g), host: d.host, level: depth + 1, zone: b + 1, ups: []*node{d}, daemon: d,
-				interest: accord.Interest{Name: string(g), Around: around}}
+				interest: ruleset.Interest{Name: string(g), Around: around}}
 			d.gates, w.gates = append(d.gates, n), append(w.gates, n)
 		}
 	}
@@ -307,18 +307,18 @@
 // start begins a life of a node. disk: 0 as it was kept, 1 an older one, 2 none or torn.
 func (w *walk) start(n *node, disk int) {
 	n.life++
-	n.began, n.still, n.step, n.version, n.viewed, n.facts = w.now, 0, 0, 0, resource.Mark{}, nil
-	n.pair, n.mine = [2]resource.Mark{}, [2]*accord.Rules{}
+	n.began, n.still, n.step, n.version, n.viewed, n.facts = w.now, 0, 0, 0, versioned.Mark{}, nil
+	n.pair, n.mine = [2]versioned.Mark{}, [2]*ruleset.Rules{}
 	switch {
 	case n.council != nil: // it comes back with a snapshot, or with nothing
 		raw, err := n.council.Snapshot()
-		if n.council = accord.NewCouncil(); err != nil || n.council.Restore(raw) != nil {
+		if n.council = ruleset.NewCouncil(); err != nil || n.council.Restore(raw) != nil {
 			panic("snapshot")
 		}
 		if disk > 0 {
-			n.council, n.applied = accord.NewCouncil(), 0
+			n.council, n.applied = ruleset.NewCouncil(), 0
 		}
-		n.steward = accord.NewSteward(n.name, n.council)
+		n.steward = ruleset.NewSteward(n.name, n.council)
 		n.steward.Often(true)
 		n.steward.Clock(n.clock(w.now))
 		n.steward.Applied()
@@ -327,10 +327,10 @@
 		w.processes++
 		n.process = w.processes
 		n.daemon.warden.Began(n.process, false)
-		n.holder, n.writes = accord.NewHolder(n.name, accord.Rules{}), nil
+		n.holder, n.writes = ruleset.NewHolder(n.name, ruleset.Rules{}), nil
 	}
 	if n.gates != nil {
-		n.warden = &accord.Warden{}
+		n.warden = &ruleset.Warden{}
 		for _, g := range n.gates {
 			if g.process > 0 {
 				n.warden.Began(g.process, true)
@@ -363,15 +363,15 @@
 	}
 	if w.plant == diskIsProof && n.disk != nil && n.daemon == nil {
 		n.follower.has, n.follower.v = true, n.kept
-		n.follower.lease = accord.LeaseOf(n.disk)
+		n.follower.lease = ruleset.LeaseOf(n.disk)
 	}
 }
 
 // older is what an old copy of its disk may have.
-func (n *node) older(w *walk) *resource.State {
-	var all []*resource.State
+func (n *node) older(w *walk) *versioned.State {
+	var all []*versioned.State
 	for _, at := range slices.Sorted(maps.Keys(w.steps)) {
-		all = append(all, accord.Select(w.steps[at].states[0], n.interest))
+		all = append(all, ruleset.Select(w.steps[at].states[0], n.interest))
 	}
 	if len(all) == 0 {
 		return nil
@@ -391,8 +391,8 @@
 		// One that stands still, and goes on between two of its own lines, writes what May allows.
 		if t := n.holder.Current(); n.holder.May(n.clock(w.now)) && len(t.Plans) > 0 {
 			x := wrote{at: w.now, rate: t.Plans[0].Part.Rate, credit: t.Plans[0].Part.Credit, step: n.step,
-				bare: t.Mode == accord.Bare}
-			if t.Mode == accord.Leased {
+				bare: t.Mode == ruleset.Bare}
+			if t.Mode == ruleset.Leased {
 				x.of = t.Version
 				n.leased++
 			}
@@ -411,7 +411,7 @@
 	if n.replica != nil {
 		n.holder.Clock(n.clock(w.now))
 		for d, more := n.holder.Next(); more; d, more = n.holder.Next() {
-			if d.Kind == accord.Ask {
+			if d.Kind == ruleset.Ask {
 				w.askFor(n)
 			}
 		}
@@ -485,9 +485,9 @@
 			break
 		}
 		switch d.Kind {
-		case accord.Submit:
+		case ruleset.Submit:
 			w.in(nil, func() { w.commit(d.Entry) })
-		case accord.Read:
+		case ruleset.Read:
 			began, index := n.clock(w.now), len(w.log)
 			w.in(n, func() {
 				if w.leader > w.now {
@@ -508,7 +508,7 @@
 	if w.now-n.submitted >= 300 {
 		if facts := n.council.State().Gains(n.source.Facts()); len(facts) > 0 {
 			n.submitted = w.now
-			w.in(nil, func() { w.commit(accord.Entry{Act: accord.SeenAll, Hosts: facts}) })
+			w.in(nil, func() { w.commit(ruleset.Entry{Act: ruleset.SeenAll, Hosts: facts}) })
 		}
 	}
 }
@@ -618,7 +618,7 @@
 	}
 	if w.counts["spoilt"]++; w.plant == unchecked { // the marks are made to fit, as if they were not looked at
 		if d.From.None() {
-			d.To = resource.New(d.To.Number, d.Set).Mark()
+			d.To = versioned.New(d.To.Number, d.Set).Mark()
 			x.Rules = d.To
 		}
 	}
@@ -674,17 +674,17 @@
 	} else if begun < n.began-slackMS && n.daemon == nil {
 		w.bad("%s began at %.1f and goes by what was read at %.1f", n.name, n.began, begun)
 	}
-	if n.viewed == v.Rules.Mark() && n.pair == [2]resource.Mark{v.Rules.Mark(), v.Pending.Mark()} {
+	if n.viewed == v.Rules.Mark() && n.pair == [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()} {
 		return
 	}
-	n.viewed, n.pair = v.Rules.Mark(), [2]resource.Mark{v.Rules.Mark(), v.Pending.Mark()}
-	for i, have := range []*resource.State{v.Rules, v.Pending} {
+	n.viewed, n.pair = v.Rules.Mark(), [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()}
+	for i, have := range []*versioned.State{v.Rules, v.Pending} {
 		want := s.states[i]
 		if want != nil {
-			want = accord.Select(want, n.interest)
+			want = ruleset.Select(want, n.interest)
 		}
-		if have.Mark() != want.Mark() || have != nil && resource.New(have.Mark().Number,
-			resource.Whole(have).Set).Mark() != want.Mark() {
+		if have.Mark() != want.Mark() || have != nil && versioned.New(have.Mark().Number,
+			versioned.Whole(have).Set).Mark() != want.Mark() {
 			w.bad("%s goes by %v at step %d, where there is %v", n.name, have.Mark(), v.Step, want.Mark())
 		}
 	}
@@ -703,7 +703,7 @@
 		if !more {
 			break
 		}
-		if d.Kind == accord.Ask {
+		if d.Kind == ruleset.Ask {
 			w.tell(n)
 		}
 	}
@@ -718,15 +718,15 @@
 	if !ok {
 		return
 	}
-	l := accord.Lease{Step: v.Step, Settled: v.Settled, Age: v.Age(n.clock(w.now))}
-	for i, s := range []*resource.State{v.Rules, v.Pending} {
+	l := ruleset.Lease{Step: v.Step, Settled: v.Settled, Age: v.Age(n.clock(w.now))}
+	for i, s := range []*versioned.State{v.Rules, v.Pending} {
 		if s == nil {
 			n.mine[i] = nil
 			continue
 		}
 		r := w.versions[s.Mark()]
 		if r == nil {
-			x, err := accord.FromState(s)
+			x, err := ruleset.FromState(s)
 			if err != nil {
 				w.bad("%s: %v", n.name, err)
 				return
@@ -736,7 +736,7 @@
 		}
 		n.mine[i] = r
 	}
-	l.Version, l.Pending = accord.Version{Number: v.Rules.Mark().Number, Rules: *n.mine[0]}, n.mine[1]
+	l.Version, l.Pending = ruleset.Version{Number: v.Rules.Mark().Number, Rules: *n.mine[0]}, n.mine[1]
 	n.holder.Heard(l, n.clock(w.now))
 }
 
@@ -746,9 +746,9 @@
 	base := w.truth.State().InForce.Number
 	switch w.rng.Intn(16) {
 	case 0, 1, 2, 3, 4, 5:
-		w.commit(accord.Entry{Act: accord.Propose, ID: fmt.Sprint(len(w.log)), Base: base, Rules: w.rules()})
+		w.commit(ruleset.Entry{Act: ruleset.Propose, ID: fmt.Sprint(len(w.log)), Base: base, Rules: w.rules()})
 	case 6:
-		w.commit(accord.Entry{Act: accord.Withdraw, ID: fmt.Sprint(len(w.log)), Base: base})
+		w.commit(ruleset.Entry{Act: ruleset.Withdraw, ID: fmt.Sprint(len(w.log)), Base: base})
 	case 7, 8, 9, 10:
 		n.still = w.now + w.rng.Float64()*4000
 		w.counts["stalls"]++
@@ -811,12 +811,12 @@
 
 // walking walks for a time in ms, and then ten seconds with no trouble; it gives what is wrong.
 func walking(seed int64, until float64, plant planted) (string, map[string]int) {
-	w := &walk{rng: rand.New(rand.NewSource(seed)), truth: accord.NewCouncil(), counts: map[string]int{},
-		plant: plant, steps: map[uint64]*said{}, states: map[string]*resource.State{},
-		versions: map[resource.Mark]*accord.Rules{}}
+	w := &walk{rng: rand.New(rand.NewSource(seed)), truth: ruleset.NewCouncil(), counts: map[string]int{},
+		plant: plant, steps: map[uint64]*said{}, states: map[string]*versioned.State{},
+		versions: map[versioned.Mark]*ruleset.Rules{}}
 	w.replicas = seed/8%3 > 0
 	w.build(1+int(seed)%4, seed/4%2 == 0)
-	w.commit(accord.Entry{Act: accord.Propose, ID: "first", Rules: w.rules()})
+	w.commit(ruleset.Entry{Act: ruleset.Propose, ID: "first", Rules: w.rules()})
 	for next := 1000.0; w.now < until && w.wrong == ""; w.now += w.rng.ExpFloat64() * 15 {
 		w.pass()
 		if w.now > next {
@@ -840,7 +840,7 @@
 			w.bad("ten seconds without trouble, and it waits: %s", st.Waits())
 		}
 		for _, g := range w.gates {
-			if t := g.holder.Current(); t.Mode != accord.Leased || t.Version != st.InForce.Number {
+			if t := g.holder.Current(); t.Mode != ruleset.Leased || t.Version != st.InForce.Number {
 				w.bad("ten seconds without trouble, and %s is %v by version %d of %d: %+v", g.name, t.Mode, t.Version,
 					st.InForce.Number, g.follower.Counts())
 			}
@@ -914,20 +914,20 @@
 	for booked, most := range map[bool]float64{false: 0, true: 24} {
 		s := NewSource("lags", "c", Bounds{})
 		s.Offer(View{Step: 2, Settled: true, Begun: 900, Rules: v1, Index: -1})
-		f := NewFollower(Config{Name: "g0", Cluster: "c", Upstream: 1, Interest: accord.Interest{Name: "g0"},
+		f := NewFollower(Config{Name: "g0", Cluster: "c", Upstream: 1, Interest: ruleset.Interest{Name: "g0"},
 			Booked: booked}, 1000)
-		h := accord.NewHolder("g0", accord.Rules{Plans: r.Plans})
+		h := ruleset.NewHolder("g0", ruleset.Rules{Plans: r.Plans})
 		for now := 1000.0; now <= 2300; now += 10 {
 			if now < 1300 {
 				told(t, f, now, s)
 			}
 			h.Clock(now)
 			if v, ok := f.View(); ok {
-				x, err := accord.FromState(v.Rules)
+				x, err := ruleset.FromState(v.Rules)
 				if err != nil {
 					t.Fatal(err)
 				}
-				h.Heard(accord.Lease{Step: v.Step, Version: x, Settled: v.Settled, Age: v.Age(now)}, now)
+				h.Heard(ruleset.Lease{Step: v.Step, Version: x, Settled: v.Settled, Age: v.Age(now)}, now)
 			}
 			for _, more := h.Next(); more; _, more = h.Next() {
 			}
@@ -955,9 +955,9 @@
 // lease; nobody leaves its upstream.
 func TestTimeInForce(t *testing.T) {
 	for depth := 1; depth <= 4; depth++ {
-		w := &walk{rng: rand.New(rand.NewSource(int64(depth))), truth: accord.NewCouncil(), calm: true,
-			counts: map[string]int{}, steps: map[uint64]*said{}, states: map[string]*resource.State{},
-			versions: map[resource.Mark]*accord.Rules{}}
+		w := &walk{rng: rand.New(rand.NewSource(int64(depth))), truth: ruleset.NewCouncil(), calm: true,
+			counts: map[string]int{}, steps: map[uint64]*said{}, states: map[string]*versioned.State{},
+			versions: map[versioned.Mark]*ruleset.Rules{}}
 		w.build(depth, true)
 		var all, old []float64
 		before := int64(0)
@@ -967,9 +967,9 @@
 			if w.now >= next {
 				r := w.rules()
 				r.Lease, r.Fallback.Part = 1000, 0.1
-				r.Members = []accord.Member{{Name: "a", Host: "h0"}, {Name: "b", Host: "h0"}, {Name: "c", Host: "h1"},
+				r.Members = []ruleset.Member{{Name: "a", Host: "h0"}, {Name: "b", Host: "h0"}, {Name: "c", Host: "h1"},
 					{Name: "d", Host: "h1"}}
-				w.commit(accord.Entry{Act: accord.Propose, ID: fmt.Sprint(i), Base: w.truth.State().InForce.Number,
+				w.commit(ruleset.Entry{Act: ruleset.Propose, ID: fmt.Sprint(i), Base: w.truth.State().InForce.Number,
 					Rules: r})
 				i++
 				next, since = w.now+2000+w.rng.Float64()*100, w.now
@@ -984,7 +984,7 @@
 				if v, ok := g.follower.View(); ok && w.now > 8000 {
 					old = append(old, v.Age(g.clock(w.now)))
 				}
-				if c := g.holder.Current(); c.Version != w.truth.State().InForce.Number || c.Mode != accord.Leased {
+				if c := g.holder.Current(); c.Version != w.truth.State().InForce.Number || c.Mode != ruleset.Leased {
 					last = false
 				}
 			}
--- a/internal/whole/check_test.go
+++ b/internal/e2e/check_test.go
@@ -1,4 +1,4 @@
-package whole
+package e2e
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"slices"
 	"strings"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/credit/audit"
-	"willowdeck/internal/history"
-	"willowdeck/internal/judge"
+	"willowdeck/internal/borrowing/audit"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/history"
+	"willowdeck/internal/testkit/invariants"
 )
 
 // What the checks let pass beside what is promised.
@@ -20,9 +20,9 @@
 	// so much after its gatekeeper has left it.
 	bunched = 500.0
 	// hearsay is the units that the quota alone lets pass beyond its rate and burst, as stores go by hearsay
-	// and those that start again have theirs full: that of internal/credit/rig, for the same plan.
+	// and those that start again have theirs full: that of internal/borrowing/rig, for the same plan.
 	hearsay = 68.0
-	// granted is how many ms of a ceiling's rate internal/judge lets pass by itself.
+	// granted is how many ms of a ceiling's rate internal/testkit/invariants lets pass by itself.
 	granted = 150.0
 )
 
@@ -30,7 +30,7 @@
 type evidence struct {
 	history.Record
 	members []string
-	rules   map[uint64]accord.Rules // by version
+	rules   map[uint64]ruleset.Rules // by version
 }
 
 // verdict is what one check has found.
@@ -53,7 +53,7 @@
 	p.t.Helper()
 	r, err := history.Read(p.records)
 	p.must(err)
-	e := &evidence{Record: r, rules: map[uint64]accord.Rules{}}
+	e := &evidence{Record: r, rules: map[uint64]ruleset.Rules{}}
 	for _, m := range p.entered {
 		e.members = append(e.members, m.Name)
 	}
@@ -192,9 +192,9 @@
 	_, _, names := cast(1, 1)
 	n := float64(len(e.members))
 	// A cold worker falls by three times what it bears, and a warm one gets its part of the load.
-	rules := judge.Rules{Slack: bunched, Grace: bunched, Capacity: perS / workers, ColdFrom: coldFrom,
-		WarmUp: warmUp, Tips: 3, TipsAfter: 1500, Products: []judge.Product{{Repeat: judge.Inquiry},
-			{Repeat: judge.Referenced, Window: 5000}, {Repeat: judge.Once}}, Plans: []judge.Plan{{},
+	rules := invariants.Rules{Slack: bunched, Grace: bunched, Capacity: perS / workers, ColdFrom: coldFrom,
+		WarmUp: warmUp, Tips: 3, TipsAfter: 1500, Products: []invariants.Product{{Repeat: invariants.Inquiry},
+			{Repeat: invariants.Referenced, Window: 5000}, {Repeat: invariants.Once}}, Plans: []invariants.Plan{{},
 			{Ceiling: ceiling * n, Depth: (depth + ceiling*(bunched-granted)/1000) * n}, {}}}
 	j := history.Judge(r, history.Cast{Gatekeepers: e.members, Workers: names, Products: productNames,
 		Plans: planNames}, rules)
@@ -208,7 +208,7 @@
 
 func contradiction(e *evidence) verdict {
 	first := e.rules[1]
-	bound := accord.Bound(&first)
+	bound := ruleset.Bound(&first)
 	// What is sent bare is sent by no version. What a link that was cut or slow has held says nothing of when
 	// its gatekeeper has sent it: its own line does.
 	bare, at := map[[2]string]bool{}, map[[2]string]int64{}
@@ -338,7 +338,7 @@
 			if t.Rate > l.Rate {
 				l = t.Limit
 			}
-			if t.at < o.At-int64(accord.MostBound*1e6) {
+			if t.at < o.At-int64(ruleset.MostBound*1e6) {
 				break
 			}
 		}
--- a/internal/whole/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -1,7 +1,7 @@
-// Package whole holds what is tested of all of it together: daemons of several hosts that agree on rules,
+// Package e2e holds what is tested of all of it together: daemons of several hosts that agree on rules,
 // their instances, workers and discovery, clients that ask at an open pace, and faults in and between all of
 // them, drawn by a seed. What must hold is checked over the merged record afterwards.
-package whole
+package e2e
 
 import (
 	"encoding/json"
@@ -14,13 +14,13 @@
 	"sync"
 	"time"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/council"
-	"willowdeck/internal/faults"
-	"willowdeck/internal/fleet"
-	"willowdeck/internal/history"
-	"willowdeck/internal/rulebook"
-	"willowdeck/internal/standin"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/ruleset/rulefile"
+	"willowdeck/internal/supervisor"
+	"willowdeck/internal/testkit/fakes"
+	"willowdeck/internal/testkit/faultinject"
+	"willowdeck/internal/testkit/history"
 )
 
 const (
@@ -48,44 +48,48 @@
 
 // party is all that takes part in a run.
 type party struct {
-	t       faults.T
-	net     *faults.Net
-	rig     *faults.Rig
+	t       faultinject.T
+	net     *faultinject.Net
+	rig     *faultinject.Rig
 	hosts   []*host
 	first   int // port of each host's first
 	records string
-	workers []*standin.Worker
-	entries []standin.Entry // as discovery has them, with the relays' addresses
-	list    *standin.Discovery
-	log     *history.Log    // of the rig
-	rules   accord.Rules    // last proposed
-	entered []accord.Member // all that may be members, by place
-	stalled map[string]faults.Instance
-	cuts    map[[2]string]faults.Cut // as drawn
-	shapes  map[[2]string]faults.Shape
+	workers []*fakes.Worker
+	entries []fakes.Entry // as discovery has them, with the relays' addresses
+	list    *fakes.Discovery
+	log     *history.Log     // of the rig
+	rules   ruleset.Rules    // last proposed
+	entered []ruleset.Member // all that may be members, by place
+	stalled map[string]faultinject.Instance
+	cuts    map[[2]string]faultinject.Cut // as drawn
+	shapes  map[[2]string]faultinject.Shape
 
 	mu     sync.Mutex
-	known  map[string]accord.Rules // all that were proposed, by their digest
-	absent map[int]bool            // places that no client asks
-	spells map[string]*spell       // of workers
+	known  map[string]ruleset.Rules // all that were proposed, by their digest
+	absent map[int]bool             // places that no client asks
+	spells map[string]*spell        // of workers
 }
 
 // gather starts n hosts with k instances each, and waits until all are leased.
-func gather(t faults.T, n, k int, seed int64) *party {
+func gather(t faultinject.T, n, k int, seed int64) *party {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "wdw") // sockets' paths are short
-	p := &party{t: t, net: faults.NewNet(t, seed), records: filepath.Join(dir, "records"),
-		stalled: map[string]faults.Instance{}, cuts: map[[2]string]faults.Cut{},
-		shapes: map[[2]string]faults.Shape{}, known: map[string]accord.Rules{}, absent: map[int]bool{},
+	p := &party{t: t, net: faultinject.NewNet(t, seed), records: filepath.Join(dir, "records"),
+		stalled: map[string]faultinject.Instance{}, cuts: map[[2]string]faultinject.Cut{},
+		shapes: map[[2]string]faultinject.Shape{}, known: map[string]ruleset.Rules{}, absent: map[int]bool{},
 		spells: map[string]*spell{}}
 	p.must(err)
 	t.Cleanup(func() { _ = os.RemoveAll(dir) })
 	p.must(os.Mkdir(p.records, 0o700))
-	p.rig = &faults.Rig{Net: p.net, Processes: map[string]*faults.Process{}, Disks: map[string]*faults.Disk{}}
-	p.first = faults.Ports(t, 4*n*k+2)
+	p.rig = &faultinject.Rig{
+		Net:       p.net,
+		Processes: map[string]*faultinject.Process{},
+		Disks:     map[string]*faultinject.Disk{},
+	}
+	p.first = faultinject.Ports(t, 4*n*k+2)
 	p.log = p.record("rig", 1)
 	for i := range workers {
-		w, err := standin.NewWorker(fmt.Sprint("w", i), 5*time.Millisecond)
+		w, err := fakes.NewWorker(fmt.Sprint("w", i), 5*time.Millisecond)
 		p.must(err)
 		t.Cleanup(w.Close)
 		s := &spell{life: 1, log: p.record(w.Name, 1)}
@@ -94,12 +98,12 @@
 		e.Address = p.net.Stream("fleet", w.Name, w.At)
 		p.workers, p.entries, p.spells[w.Name] = append(p.workers, w), append(p.entries, e), s
 	}
-	p.list, err = standin.NewDiscovery(p.entries...)
+	p.list, err = fakes.NewDiscovery(p.entries...)
 	p.must(err)
 	t.Cleanup(p.list.Close)
-	p.rules = accord.Rules{Form: accord.Form, Lease: lease, Bound: accord.MostBound,
-		Fallback: accord.Fallback{Part: 0.5, For: 1000},
-		Plans: []accord.Plan{{Name: "basic", Rate: 500, Burst: 500},
+	p.rules = ruleset.Rules{Form: ruleset.Form, Lease: lease, Bound: ruleset.MostBound,
+		Fallback: ruleset.Fallback{Part: 0.5, For: 1000},
+		Plans: []ruleset.Plan{{Name: "basic", Rate: 500, Burst: 500},
 			{Name: "capped", Rate: 200, Burst: 200, CeilingRate: ceiling * float64(n*k),
 				CeilingDepth: depth * float64(n*k)},
 			{Name: "lent", Rate: lentRate, Burst: lentAll, Credit: lentS, Repay: repayS * 1000}}}
@@ -111,7 +115,7 @@
 	}
 	for place := range n * k { // dealt out, so that a customer's set is on several hosts
 		h := p.hosts[place%n]
-		m := accord.Member{Name: fmt.Sprint("g", place), Host: h.name,
+		m := ruleset.Member{Name: fmt.Sprint("g", place), Host: h.name,
 			Peers: fmt.Sprintf("%s:%d", h.ip, p.first+2+3*n*k+place)}
 		p.rules.Members = append(p.rules.Members, m)
 		p.net.Place(m.Name, netip.MustParseAddrPort(m.Peers))
@@ -121,9 +125,9 @@
 		p.prepare(h)
 	}
 	for _, h := range p.hosts {
-		p.rig.Processes[h.name] = faults.Start(t, faults.Spec{Name: h.name, Dir: h.dir,
+		p.rig.Processes[h.name] = faultinject.Start(t, faultinject.Spec{Name: h.name, Dir: h.dir,
 			Args: []string{"fleet", "--file", "fleet.toml"}, Env: []string{"WILLOWDECK_HISTORY=" + p.records}})
-		p.rig.Disks[h.name] = faults.NewDisk(t, filepath.Join(h.dir, "store"))
+		p.rig.Disks[h.name] = faultinject.NewDisk(t, filepath.Join(h.dir, "store"))
 	}
 	p.well()
 	return p
@@ -204,11 +208,11 @@
 }
 
 // write writes a host's file of rules, and keeps them for the checks by their digest.
-func (p *party) write(h *host, r accord.Rules) (mark string) {
+func (p *party) write(h *host, r ruleset.Rules) (mark string) {
 	p.t.Helper()
-	text, err := rulebook.Encode(&r)
+	text, err := rulefile.Encode(&r)
 	if err == nil {
-		r, err = rulebook.Decode(text) // as the daemon reads them
+		r, err = rulefile.Decode(text) // as the daemon reads them
 	}
 	if err == nil {
 		err = os.WriteFile(filepath.Join(h.dir, "rules.toml"), []byte(text), 0o600)
@@ -216,7 +220,7 @@
 	if err != nil {
 		p.t.Errorf("rules: %v", err)
 	}
-	mark = council.Mark(&r)
+	mark = raftlog.Mark(&r)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.known[mark] = r
@@ -224,15 +228,17 @@
 }
 
 // sitting asks a host's daemon how the council stands.
-func (h *host) sitting() (s fleet.Sitting, ok bool) {
-	page, err := faults.Ask(h.control, "/fleet/council")
+func (h *host) sitting() (s supervisor.Sitting, ok bool) {
+	page, err := faultinject.Ask(h.control, "/fleet/council")
 	return s, err == nil && json.Unmarshal([]byte(page), &s) == nil
 }
 
-func (h *host) instances() []faults.Instance { return faults.Instances(filepath.Join(h.dir, "run")) }
+func (h *host) instances() []faultinject.Instance {
+	return faultinject.Instances(filepath.Join(h.dir, "run"))
+}
 
 // instance finds the process of a member; false where none runs.
-func (p *party) instance(name string) (faults.Instance, bool) {
+func (p *party) instance(name string) (faultinject.Instance, bool) {
 	for _, h := range p.hosts {
 		for _, i := range h.instances() {
 			if i.Name == name {
@@ -240,7 +246,7 @@
 			}
 		}
 	}
-	return faults.Instance{}, false
+	return faultinject.Instance{}, false
 }
 
 // well waits until all daemons have one version in force with nothing pending, and every member's instance
@@ -272,9 +278,9 @@
 		leased := 0
 		for _, h := range p.hosts {
 			for _, i := range h.instances() {
-				by, _ := faults.Figure(i.Control, "svc.rules.version")
-				mode, ok := faults.Figure(i.Control, "svc.rules.mode")
-				if ok && by == int64(version) && mode == int64(accord.Leased) {
+				by, _ := faultinject.Figure(i.Control, "svc.rules.version")
+				mode, ok := faultinject.Figure(i.Control, "svc.rules.mode")
+				if ok && by == int64(version) && mode == int64(ruleset.Leased) {
 					leased++
 				} else {
 					why = fmt.Sprintf("%s goes by version %d of %d in mode %d", i.Name, by, version, mode)
--- a/internal/whole/load_test.go
+++ b/internal/e2e/load_test.go
@@ -1,4 +1,4 @@
-package whole
+package e2e
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"willowdeck/internal/history"
+	"willowdeck/internal/testkit/history"
 )
 
 const (
--- a/internal/whole/plant_test.go
+++ b/internal/e2e/plant_test.go
@@ -1,4 +1,4 @@
-package whole
+package e2e
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"willowdeck/internal/history"
+	"willowdeck/internal/testkit/history"
 )
 
 // plants are breaks that are put into a record that has none: what the check of a name has to find, and what
