--- a/internal/whole/stage_test.go
+++ b/internal/e2e/stage_test.go
@@ -1,4 +1,4 @@
-package whole
+package e2e
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/faults"
-	"willowdeck/internal/history"
-	"willowdeck/internal/standin"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/fakes"
+	"willowdeck/internal/testkit/faultinject"
+	"willowdeck/internal/testkit/history"
 )
 
 // spell is the record of a worker's life at hand.
@@ -30,11 +30,11 @@
 // instances (g0), workers (w0), discovery's list, and "fleet" for the one end of links to these two.
 type stage struct {
 	*party
-	*faults.Rig
+	*faultinject.Rig
 }
 
 // Cut cuts a direction. What cuts two hosts off cuts their instances off as well.
-func (s stage) Cut(from, to string, how faults.Cut) error {
+func (s stage) Cut(from, to string, how faultinject.Cut) error {
 	s.cuts[[2]string{from, to}] = how
 	s.pairs(from, to, func(a, b string) {
 		s.net.Cut(a, b, max(s.cuts[[2]string{a, b}], s.cuts[[2]string{s.hostOf(a), s.hostOf(b)}]))
@@ -43,14 +43,14 @@
 }
 
 // Heal ends a direction's cut.
-func (s stage) Heal(from, to string) error { return s.Cut(from, to, faults.Whole) }
+func (s stage) Heal(from, to string) error { return s.Cut(from, to, faultinject.Whole) }
 
 // Shape shapes a direction. Two instances' own shape goes before their hosts'.
-func (s stage) Shape(from, to string, shape faults.Shape) error {
+func (s stage) Shape(from, to string, shape faultinject.Shape) error {
 	s.shapes[[2]string{from, to}] = shape
 	s.pairs(from, to, func(a, b string) {
 		own := s.shapes[[2]string{a, b}]
-		if own == (faults.Shape{}) {
+		if own == (faultinject.Shape{}) {
 			own = s.shapes[[2]string{s.hostOf(a), s.hostOf(b)}]
 		}
 		s.net.Shape(a, b, own)
@@ -70,7 +70,7 @@
 	}
 }
 
-func (s stage) worker(name string) *standin.Worker {
+func (s stage) worker(name string) *fakes.Worker {
 	for _, w := range s.workers {
 		if w.Name == name {
 			return w
@@ -82,7 +82,7 @@
 // Stall stops a process; a worker takes txns then and answers none. An instance that is not there is let be.
 func (s stage) Stall(name string) error {
 	if w := s.worker(name); w != nil {
-		w.Set(standin.Stalls)
+		w.Set(fakes.Stalls)
 		return nil
 	}
 	if s.hostOf(name) == "" {
@@ -100,7 +100,7 @@
 // Resume lets a stalled one go on.
 func (s stage) Resume(name string) error {
 	if w := s.worker(name); w != nil {
-		w.Set(standin.None)
+		w.Set(fakes.None)
 		return nil
 	}
 	if s.hostOf(name) == "" {
@@ -193,22 +193,22 @@
 
 // draw makes a schedule over all from a seed: four of their own, laid over each other. Disks are spoilt at a
 // minority of hosts, as the council rests on a majority that keeps its own; w0 and w1 stay up, so that txns
-// have where to go. A full disk would cut records short, and is a case of its own in internal/fleet.
-func draw(seed int64, n, k, span int) faults.Schedule {
+// have where to go. A full disk would cut records short, and is a case of its own in internal/supervisor.
+func draw(seed int64, n, k, span int) faultinject.Schedule {
 	hosts, members, workers := cast(n, k)
 	steps := func(every int) int { return max(span/every, 3) }
-	var all faults.Schedule
-	for i, c := range []faults.Cast{
-		{Ends: hosts, Steps: steps(6000), Kinds: []faults.Kind{faults.Cuts, faults.Parts, faults.Splits,
-			faults.Shapes}},
+	var all faultinject.Schedule
+	for i, c := range []faultinject.Cast{
+		{Ends: hosts, Steps: steps(6000), Kinds: []faultinject.Kind{faultinject.Cuts, faultinject.Parts, faultinject.Splits,
+			faultinject.Shapes}},
 		{Processes: hosts, Disks: hosts[:(n-1)/2], Steps: steps(6000),
-			Kinds: []faults.Kind{faults.Stalls, faults.Crashes, faults.Spoils}},
-		{Ends: members, Processes: members, Steps: steps(1500), Kinds: []faults.Kind{faults.Cuts, faults.Parts,
-			faults.Shapes, faults.Stalls, faults.Crashes, faults.Crashes}},
+			Kinds: []faultinject.Kind{faultinject.Stalls, faultinject.Crashes, faultinject.Spoils}},
+		{Ends: members, Processes: members, Steps: steps(1500), Kinds: []faultinject.Kind{faultinject.Cuts, faultinject.Parts,
+			faultinject.Shapes, faultinject.Stalls, faultinject.Crashes, faultinject.Crashes}},
 		{Ends: append([]string{"list"}, workers[2:]...), Processes: workers[2:], Steps: steps(4000),
-			Kinds: []faults.Kind{faults.Cuts, faults.Parts, faults.Shapes, faults.Stalls, faults.Crashes}},
+			Kinds: []faultinject.Kind{faultinject.Cuts, faultinject.Parts, faultinject.Shapes, faultinject.Stalls, faultinject.Crashes}},
 	} {
-		s := faults.Draw(seed+int64(i)<<32, c, span)
+		s := faultinject.Draw(seed+int64(i)<<32, c, span)
 		for j := range s.Steps {
 			step := &s.Steps[j]
 			step.Until = min(step.Until, step.At+longest)
@@ -218,7 +218,7 @@
 		}
 		all.Steps = append(all.Steps, s.Steps...)
 	}
-	slices.SortStableFunc(all.Steps, func(a, b faults.Step) int { return a.At - b.At })
+	slices.SortStableFunc(all.Steps, func(a, b faultinject.Step) int { return a.At - b.At })
 	all.Seed, all.Span = seed, span
 	all.Ends = slices.Concat(hosts, members, workers, []string{"list", "fleet"})
 	return all
@@ -228,10 +228,10 @@
 const longest = 6000
 
 // around gives the part of a schedule from which a break may have come, with its time of rest.
-func around(s faults.Schedule, at int) faults.Schedule {
+func around(s faultinject.Schedule, at int) faultinject.Schedule {
 	const before, after, rest = 15000, 1000, 4000
 	from := max(at-before, 0)
-	out := faults.Schedule{Seed: s.Seed, Ends: s.Ends}
+	out := faultinject.Schedule{Seed: s.Seed, Ends: s.Ends}
 	for _, step := range s.Steps {
 		if step.Until > from && step.At < at+after {
 			step.At, step.Until = max(step.At-from, 0), step.Until-from
@@ -263,10 +263,10 @@
 			r = s.ceilings(0.3 + 0.7*rng.Float64())
 		case 1: // a word, or none
 			r.Words = nil
-			if w := (accord.Word{Worker: fmt.Sprint("w", 2+rng.Intn(workers-2))}); turn < 8 || rng.Intn(4) > 0 {
+			if w := (ruleset.Word{Worker: fmt.Sprint("w", 2+rng.Intn(workers-2))}); turn < 8 || rng.Intn(4) > 0 {
 				w.Barred, w.Weight = rng.Intn(2) == 0, float64(rng.Intn(2))*0.5
 				w.Drained = !w.Barred
-				r.Words = []accord.Word{w}
+				r.Words = []ruleset.Word{w}
 			}
 		case 4: // a member leaves its place, or is back at it
 			if absent >= 0 {
@@ -276,7 +276,7 @@
 			} else {
 				absent = 1 + rng.Intn(len(r.Members)-2)
 				s.away(absent, true)
-				r.Members[absent] = accord.Member{}
+				r.Members[absent] = ruleset.Member{}
 			}
 		case 6:
 			r.Plans[0].Rate = float64(300 + rng.Intn(200))
@@ -318,7 +318,7 @@
 
 // ceilings gives rules as they were last proposed with a part of the ceiling that there may be; nought leaves
 // it as it is.
-func (p *party) ceilings(part float64) accord.Rules {
+func (p *party) ceilings(part float64) ruleset.Rules {
 	r := p.rules
 	r.Plans, r.Members = slices.Clone(r.Plans), slices.Clone(r.Members)
 	if all := float64(len(p.entered)) * part; part > 0 {
--- a/internal/whole/whole_test.go
+++ b/internal/e2e/whole_test.go
@@ -1,4 +1,4 @@
-package whole
+package e2e
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/faults"
-	"willowdeck/internal/history"
+	"willowdeck/internal/testkit/faultinject"
+	"willowdeck/internal/testkit/history"
 )
 
 var (
@@ -54,7 +54,7 @@
 }
 
 // run plays a schedule on all of it and checks the record.
-func run(t faults.T, s faults.Schedule, log func(string, ...any)) (out outcome) {
+func run(t faultinject.T, s faultinject.Schedule, log func(string, ...any)) (out outcome) {
 	t.Helper()
 	n, k := 0, 0
 	for _, end := range s.Ends { // also of one that is replayed
@@ -79,7 +79,7 @@
 		close(watched)
 	}()
 	out.began = history.Now()
-	err := (&faults.Player{Stage: stage{p, p.rig}, Record: p.log}).Play(ctx, s)
+	err := (&faultinject.Player{Stage: stage{p, p.rig}, Record: p.log}).Play(ctx, s)
 	if err != nil {
 		t.Errorf("not all was done: %v", err)
 	}
@@ -131,11 +131,11 @@
 // settled waits until all that was lent is paid back.
 func (p *party) settled() {
 	p.t.Helper()
-	faults.Until(p.t, 30*time.Second, "all is paid back", func() bool {
+	faultinject.Until(p.t, 30*time.Second, "all is paid back", func() bool {
 		sum := int64(0)
 		for _, h := range p.hosts {
 			for _, i := range h.instances() {
-				n, _ := faults.Figure(i.Control, "svc.credit.outstanding")
+				n, _ := faultinject.Figure(i.Control, "svc.credit.outstanding")
 				sum += n
 			}
 		}
@@ -172,14 +172,14 @@
 }
 
 // schedule is what is to be played.
-func schedule(t *testing.T) faults.Schedule {
+func schedule(t *testing.T) faultinject.Schedule {
 	t.Helper()
 	if *replay != "" {
 		text, err := os.ReadFile(*replay)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := faults.Parse(string(text))
+		s, err := faultinject.Parse(string(text))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -196,7 +196,7 @@
 	t.Logf("schedule:\n%s", s)
 	var out outcome
 	// All has ended before it is played again.
-	broken := faults.Try(t, func(t faults.T) { out = run(t, s, t.Logf) })
+	broken := faultinject.Try(t, func(t faultinject.T) { out = run(t, s, t.Logf) })
 	if broken == nil {
 		planted(t, out.evidence)
 		return
@@ -210,11 +210,11 @@
 	if *shrink == 0 {
 		return
 	}
-	small := faults.Shrink(s, func(s faults.Schedule) bool {
+	small := faultinject.Shrink(s, func(s faultinject.Schedule) bool {
 		if time.Now().After(end) {
 			return false
 		}
-		err := faults.Try(t, func(t faults.T) { run(t, s, t.Logf) })
+		err := faultinject.Try(t, func(t faultinject.T) { run(t, s, t.Logf) })
 		t.Logf("%d steps: %v", len(s.Steps), err != nil)
 		return err != nil
 	})
--- a/internal/outlook/fleet.go
+++ b/internal/forecast/fleet.go
@@ -1,11 +1,11 @@
-package outlook
+package forecast
 
 import (
 	"fmt"
 	"math"
 	"slices"
 
-	"willowdeck/logic"
+	"willowdeck/internal/policy"
 )
 
 // fleet is what the words add up to. Rates are txns an ms in here, times ms; halls, products and plans go by
@@ -13,8 +13,8 @@
 type fleet struct {
 	rules           Rules
 	words           []*Word
-	charter         logic.Charter
-	manner          logic.Manner
+	charter         policy.Charter
+	manner          policy.Manner
 	products, plans []string
 	scaled          float64
 	unknown         []string
@@ -34,7 +34,7 @@
 	room    []float64   // windows' room, by hall of worker as txns go now
 	inHand  [][]int     // by hall of gatekeeper and hall of worker
 	credit  [][]float64 // by hall of gatekeeper and plan, units that may be borrowed there
-	reason  [logic.Reasons]float64
+	reason  [policy.Reasons]float64
 	usual   []float64 // by product: ms of a core that a txn takes, without any wait
 	cores   float64   // that each worker has, as reckoned with; 0 where that is not known
 	cv2     float64
--- a/internal/outlook/golden_forms_test.go
+++ b/internal/forecast/golden_forms_test.go
@@ -1,11 +1,11 @@
-package outlook
+package forecast
 
 import (
 	"bytes"
 	"testing"
 
-	"willowdeck/internal/goldentest"
-	"willowdeck/logic"
+	"willowdeck/internal/policy"
+	"willowdeck/internal/testkit/goldentest"
 )
 
 // goldenWord is what word.json says. The file was written once by Append, before names were changed, from a
@@ -17,10 +17,10 @@
 func goldenWord() *Word {
 	return &Word{Form: 1, Name: "s2", Host: "s3", Hall: "s4", Group: "s5", Number: 6, Life: 7, Seq: 8,
 		Version: 9,
-		At:      10, Span: 11.5, Charter: logic.Charter{Me: 12, Gatekeepers: 9999,
-			Products: []logic.Product{{SLA: 14.5, Value: 15.5, LateShare: 16.5, Repeat: 17, Group: 18,
+		At:      10, Span: 11.5, Charter: policy.Charter{Me: 12, Gatekeepers: 9999,
+			Products: []policy.Product{{SLA: 14.5, Value: 15.5, LateShare: 16.5, Repeat: 17, Group: 18,
 				Window: 19.5}, {SLA: 20.5, Value: 21.5, LateShare: 22.5, Repeat: 23, Group: 24, Window: 25.5}},
-			Plans: []logic.Plan{{Rate: 26.5, Burst: 27.5, CeilingRate: 28.5, CeilingDepth: 29.5, Withheld: 30.5,
+			Plans: []policy.Plan{{Rate: 26.5, Burst: 27.5, CeilingRate: 28.5, CeilingDepth: 29.5, Withheld: 30.5,
 				Open: 31, Factor: 32.5, ExcessShare: 33.5, ExcessFee: 34.5, Credit: 35.5, Repay: 36.5}, {Rate: 37.5,
 				Burst: 38.5, CeilingRate: 39.5, CeilingDepth: 40.5, Withheld: 41.5, Open: 42, Factor: 43.5,
 				ExcessShare: 44.5, ExcessFee: 45.5, Credit: 46.5, Repay: 47.5}}, LargestUnits: 48.5,
@@ -31,11 +31,11 @@
 			Late: 66.5, Declined: 67.5, Voided: 68.5, Other: 69.5}, {Asked: 70.5, Units: 71.5, Settled: 72.5,
 			Late: 73.5, Declined: 74.5, Voided: 75.5, Other: 76.5}, {Asked: 77.5, Units: 78.5, Settled: 79.5,
 			Late: 80.5, Declined: 81.5, Voided: 82.5, Other: 83.5}, {Asked: 84.5, Units: 85.5, Settled: 86.5,
-			Late: 87.5, Declined: 88.5, Voided: 89.5, Other: 90.5}}, Customers: []logic.PlanSight{{Customers: 91.5,
+			Late: 87.5, Declined: 88.5, Voided: 89.5, Other: 90.5}}, Customers: []policy.PlanSight{{Customers: 91.5,
 			Demand: 92.5, Use: [15]float64{93.5, 94.5, 95.5, 96.5, 97.5, 98.5, 99.5, 100.5, 101.5, 102.5,
 				103.5, 104.5, 105.5, 106.5, 107.5}}, {Customers: 108.5, Demand: 109.5, Use: [15]float64{110.5,
 			111.5, 112.5, 113.5, 114.5, 115.5, 116.5, 117.5, 118.5, 119.5, 120.5, 121.5, 122.5, 123.5,
-			124.5}}}, Sets: []logic.SetSight{{Plan: 1, First: 126, Size: 127, Demand: 128.5}, {Plan: 1, First: 130,
+			124.5}}}, Sets: []policy.SetSight{{Plan: 1, First: 126, Size: 127, Demand: 128.5}, {Plan: 1, First: 130,
 			Size: 131, Demand: 132.5}}, Others: 133.5, Halls: []Hall{{Name: "s134", Workers: 135, Able: 136.5,
 			InHand: 137, Busy: 0.25, Answers: []Answers{{PerS: 139.5, Pace: 140.5, Spread: 141.5, Wasted: 142.5},
 				{PerS: 143.5, Pace: 144.5, Spread: 145.5, Wasted: 146.5}}}, {Name: "s147", Workers: 148, Able: 149.5,
--- a/internal/outlook/golden_test.go
+++ b/internal/forecast/golden_test.go
@@ -1,11 +1,11 @@
-package outlook
+package forecast
 
 import (
 	"encoding/json"
 	"testing"
 
+	"willowdeck/internal/policy"
 	"willowdeck/internal/testkit/goldenform"
-	"willowdeck/logic"
 )
 
 // The golden files were written once, at commit d6a566a, by a test that was not kept: it wrote what
@@ -35,7 +35,7 @@
 	w.Form, w.Number, w.Charter.Gatekeepers = Form, 3, 5
 	w.Flows = append(w.Flows, w.Flows...)
 	for i := range w.Sets {
-		w.Sets[i] = logic.SetSight{Plan: 1, First: 1 + i, Size: 2, Demand: w.Sets[i].Demand}
+		w.Sets[i] = policy.SetSight{Plan: 1, First: 1 + i, Size: 2, Demand: w.Sets[i].Demand}
 	}
 	for i := range w.Halls {
 		w.Halls[i].Busy = 0.25
--- a/internal/outlook/liken.go
+++ b/internal/forecast/liken.go
@@ -1,4 +1,4 @@
-package outlook
+package forecast
 
 // Likeness is a fleet as words show it, for who would play it: what an emulator has to be told.
 type Likeness struct {
--- a/internal/outlook/meter.go
+++ b/internal/forecast/meter.go
@@ -1,9 +1,9 @@
-package outlook
+package forecast
 
 import (
 	"math"
 
-	"willowdeck/logic"
+	"willowdeck/internal/policy"
 )
 
 const (
@@ -59,11 +59,11 @@
 type mark struct {
 	at     float64
 	counts []float64
-	finals [logic.Reasons]int
+	finals [policy.Reasons]int
 }
 
 // NewMeter makes a meter for a charter.
-func NewMeter(c logic.Charter, life uint32) *Meter {
+func NewMeter(c policy.Charter, life uint32) *Meter {
 	m := &Meter{products: len(c.Products), plans: len(c.Plans), life: life}
 	m.counts = make([]float64, m.products*m.plans*perSort+MostHalls*(m.products*perHall+2))
 	for i := range m.past {
@@ -113,24 +113,24 @@
 
 // Answered counts the end of a submission at a worker of a hall. closed tells that its txn had its final
 // answer before.
-func (m *Meter) Answered(zone, product int, o logic.Outcome, took float64, closed bool) {
+func (m *Meter) Answered(zone, product int, o policy.Outcome, took float64, closed bool) {
 	if m == nil || zone < 0 || zone >= MostHalls {
 		return
 	}
 	i := m.hall(zone, product)
-	if o == logic.Settled {
+	if o == policy.Settled {
 		m.counts[i+nAnswers]++
 		m.counts[i+nTook] += took
 		m.counts[i+nSquares] += took * took
 	}
-	if o == logic.Settled && closed || o == logic.TimedOut || o == logic.Cut || o == logic.Withdrawn ||
-		o == logic.Fault {
+	if o == policy.Settled && closed || o == policy.TimedOut || o == policy.Cut || o == policy.Withdrawn ||
+		o == policy.Fault {
 		m.counts[i+nWasted]++
 	}
 }
 
 // Said counts what a worker of a hall said of its load.
-func (m *Meter) Said(zone int, b logic.Burden) {
+func (m *Meter) Said(zone int, b policy.Burden) {
 	if m != nil && zone >= 0 && zone < MostHalls && b.Busy >= 0 && b.Busy <= 1 {
 		i := m.hall(MostHalls, 0) + 2*zone
 		m.counts[i]++
@@ -140,7 +140,7 @@
 
 // Mark keeps the counts of a moment, so that later ones can be held against them. It is to be called at least
 // twice in a span; more often does no harm.
-func (m *Meter) Mark(now float64, t *logic.Tally) {
+func (m *Meter) Mark(now float64, t *policy.Tally) {
 	if m == nil {
 		return
 	}
@@ -168,7 +168,7 @@
 }
 
 // Tell fills in a word what was counted since the oldest mark, and what a sight shows. halls names them.
-func (m *Meter) Tell(w *Word, now float64, t *logic.Tally, s *logic.Sight, halls func(int) string) {
+func (m *Meter) Tell(w *Word, now float64, t *policy.Tally, s *policy.Sight, halls func(int) string) {
 	w.Credit = w.Credit[:0]
 	w.Form, w.Life, w.At = Form, m.life, int64(now)
 	m.seq++
@@ -196,7 +196,7 @@
 	}
 	w.Halls = w.Halls[:0]
 	for z := range min(len(s.Halls), MostHalls) {
-		if s.Halls[z] == (logic.HallSight{}) {
+		if s.Halls[z] == (policy.HallSight{}) {
 			continue
 		}
 		h := Hall{Name: halls(z), Workers: s.Halls[z].Workers, Able: s.Halls[z].Able, InHand: s.Halls[z].InHand,
--- a/internal/outlook/outlook.go
+++ b/internal/forecast/outlook.go
@@ -1,4 +1,4 @@
-package outlook
+package forecast
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"willowdeck/logic"
+	"willowdeck/internal/policy"
 )
 
 // Rules are what operators say beside the words; an outlook says them again. Times are in ms.
@@ -290,7 +290,7 @@
 func (o *Outlook) gather(used []*Word) *fleet {
 	f := &fleet{rules: o.Rules, words: used, charter: used[0].Charter, products: used[0].Products,
 		plans: used[0].Plans, at: map[string]int{}, stands: map[string][]int{}, scaled: o.Scaled}
-	f.manner = logic.MannerOf(f.charter)
+	f.manner = policy.MannerOf(f.charter)
 	f.add()
 	o.Unknown = append(o.Unknown, f.unknown...)
 	return f
--- a/internal/outlook/outlook_test.go
+++ b/internal/forecast/outlook_test.go
@@ -1,4 +1,4 @@
-package outlook
+package forecast
 
 import (
 	"encoding/json"
@@ -10,17 +10,17 @@
 	"testing"
 	"time"
 
-	"willowdeck/logic"
+	"willowdeck/internal/policy"
 )
 
 const nowMS = 1_800_000_000_000
 
 // terms is a charter of two products and one plan.
-func terms(n int) logic.Charter {
-	return logic.Charter{Gatekeepers: n, LargestUnits: 1, MaxSubmissions: 3, MayTell: true, PeerInPerS: 200,
-		ReportsPerTell: 31, ColdFrom: 0.3, WarmUp: 8000, Whole: 1, Products: []logic.Product{
-			{SLA: 500, Value: 1}, {SLA: 500, Value: 5, Repeat: logic.OnceOnly}},
-		Plans: []logic.Plan{{Rate: 20, Burst: 40, Factor: 1}}}
+func terms(n int) policy.Charter {
+	return policy.Charter{Gatekeepers: n, LargestUnits: 1, MaxSubmissions: 3, MayTell: true, PeerInPerS: 200,
+		ReportsPerTell: 31, ColdFrom: 0.3, WarmUp: 8000, Whole: 1, Products: []policy.Product{
+			{SLA: 500, Value: 1}, {SLA: 500, Value: 5, Repeat: policy.OnceOnly}},
+		Plans: []policy.Plan{{Rate: 20, Burst: 40, Factor: 1}}}
 }
 
 // words are those of n gatekeepers in three halls by turns, each asked by customers in sets of three, before
@@ -36,10 +36,10 @@
 		perS := use * 12 * 2 / 0.02 / float64(n)
 		w.Flows = []Flow{{Asked: 0.8 * perS, Units: 0.8 * perS, Settled: 0.8 * perS},
 			{Asked: 0.2 * perS, Units: 0.2 * perS, Settled: 0.2 * perS}}
-		w.Customers = []logic.PlanSight{{Customers: perS / 10, Demand: perS}}
+		w.Customers = []policy.PlanSight{{Customers: perS / 10, Demand: perS}}
 		w.Customers[0].Use[3] = perS // at about half of their rate
 		for k := range 3 {
-			w.Sets = append(w.Sets, logic.SetSight{First: (i - k + n) % n, Size: 3, Demand: perS / 3})
+			w.Sets = append(w.Sets, policy.SetSight{First: (i - k + n) % n, Size: 3, Demand: perS / 3})
 		}
 		for _, h := range halls {
 			x := Hall{Name: h, Workers: 4, Able: 4, InHand: 1, Busy: -1}
@@ -152,7 +152,7 @@
 	all := words(9, 0.5)
 	whole := Project(all, rules()).Now.Value
 	all[2].At -= 20000
-	all[4].Charter.Plans = []logic.Plan{{Rate: 21, Burst: 40, Factor: 1}}
+	all[4].Charter.Plans = []policy.Plan{{Rate: 21, Burst: 40, Factor: 1}}
 	all = slices.Delete(all, 7, 8)
 	o := Project(all, rules())
 	if len(o.Old) != 1 || o.Old[0].Name != "g2" || o.Old[0].Age < 19900 {
@@ -196,7 +196,7 @@
 func TestHeirs(t *testing.T) {
 	all := words(9, 0.5)
 	for i, w := range all { // each customer comes through one gatekeeper
-		w.Sets = []logic.SetSight{{First: i, Size: 1, Demand: 1}}
+		w.Sets = []policy.SetSight{{First: i, Size: 1, Demand: 1}}
 	}
 	r := rules()
 	for _, elsewhere := range []bool{true, false} {
@@ -351,7 +351,7 @@
 func TestMeter(t *testing.T) {
 	c := terms(3)
 	m := NewMeter(c, 5)
-	var tally logic.Tally
+	var tally policy.Tally
 	now := 1e9
 	for range 30 { // 30 s; only the last ten count
 		for range 10 {
@@ -359,14 +359,14 @@
 			m.Mark(now, &tally)
 			m.Asked(0, 1, 2)
 			m.Ended(0, 1, Settled, 600)
-			m.Answered(1, 1, logic.Settled, 30, false)
-			m.Said(1, logic.Burden{Busy: 0.5})
-			tally.Final[logic.ByQuota]++
+			m.Answered(1, 1, policy.Settled, 30, false)
+			m.Said(1, policy.Burden{Busy: 0.5})
+			tally.Final[policy.ByQuota]++
 		}
 	}
-	m.Answered(1, 0, logic.TimedOut, 500, false)
+	m.Answered(1, 0, policy.TimedOut, 500, false)
 	w := Word{Name: "a", Hall: "h", Group: "g", Charter: c, Products: []string{"x", "y"}, Plans: []string{"p"}}
-	sight := logic.Sight{Plans: make([]logic.PlanSight, 1), Halls: make([]logic.HallSight, 2)}
+	sight := policy.Sight{Plans: make([]policy.PlanSight, 1), Halls: make([]policy.HallSight, 2)}
 	sight.Halls[1].Workers = 1
 	m.Tell(&w, now, &tally, &sight, func(z int) string { return fmt.Sprint("hall", z) })
 	if err := w.Check(); err != nil {
@@ -374,7 +374,7 @@
 	}
 	f := w.Flows[1]
 	if w.Span > 12500 || w.Span < 8000 || math.Abs(f.Asked-10) > 0.2 || math.Abs(f.Units-20) > 0.4 ||
-		math.Abs(f.Settled-10) > 0.2 || f.Late != f.Settled || math.Abs(w.Reasons[logic.ByQuota]-10) > 0.2 {
+		math.Abs(f.Settled-10) > 0.2 || f.Late != f.Settled || math.Abs(w.Reasons[policy.ByQuota]-10) > 0.2 {
 		t.Errorf("span %v, flow %+v, reasons %v", w.Span, f, w.Reasons)
 	}
 	if len(w.Halls) != 1 || w.Halls[0].Name != "hall1" || w.Halls[0].Busy != 0.5 ||
@@ -384,7 +384,7 @@
 	if n := testing.AllocsPerRun(100, func() {
 		m.Asked(0, 0, 1)
 		m.Ended(0, 0, Declined, 3)
-		m.Answered(0, 0, logic.Settled, 3, false)
+		m.Answered(0, 0, policy.Settled, 3, false)
 		now += 2000
 		m.Mark(now, &tally)
 	}); n != 0 {
@@ -393,7 +393,7 @@
 	m = nil // where no word is told
 	m.Asked(0, 0, 1)
 	m.Ended(0, 0, Settled, 1)
-	m.Answered(0, 0, logic.Settled, 1, false)
+	m.Answered(0, 0, policy.Settled, 1, false)
 }
 
 // Guards against words whose figures are no gatekeeper's, though within bounds, that take a core for ever.
@@ -402,27 +402,27 @@
 	c.Products, c.Plans = nil, nil
 	var products, plans []string
 	for i := range mostProducts {
-		c.Products = append(c.Products, logic.Product{SLA: 500, Value: float64(i), Repeat: logic.OnceOnly})
+		c.Products = append(c.Products, policy.Product{SLA: 500, Value: float64(i), Repeat: policy.OnceOnly})
 		products = append(products, fmt.Sprint("p", i))
 	}
 	for i := range mostPlans {
-		c.Plans = append(c.Plans, logic.Plan{Rate: 1e9, Burst: 1e9, Factor: float64(i + 1)})
+		c.Plans = append(c.Plans, policy.Plan{Rate: 1e9, Burst: 1e9, Factor: float64(i + 1)})
 		plans = append(plans, fmt.Sprint("q", i))
 	}
 	var all []*Word
 	for i, w := range words(6, 0.9) {
 		w.Charter, w.Products, w.Plans = c, products, plans
 		w.Flows, w.Sets = make([]Flow, len(products)*len(plans)), nil
-		w.Customers = make([]logic.PlanSight, len(plans))
+		w.Customers = make([]policy.PlanSight, len(plans))
 		for k := range w.Flows {
 			w.Flows[k] = Flow{Asked: 1e8, Units: 1e8, Settled: 1e8}
 		}
 		for k := range w.Customers {
-			w.Customers[k] = logic.PlanSight{Customers: 5, Demand: 1e8}
+			w.Customers[k] = policy.PlanSight{Customers: 5, Demand: 1e8}
 			w.Customers[k].Use[4+k%9] = 1e8
 		}
-		for k := range logic.MostSets {
-			w.Sets = append(w.Sets, logic.SetSight{Plan: k, Size: mostKeepers, Demand: 1e8})
+		for k := range policy.MostSets {
+			w.Sets = append(w.Sets, policy.SetSight{Plan: k, Size: mostKeepers, Demand: 1e8})
 		}
 		for h := range w.Halls {
 			w.Halls[h].Answers = make([]Answers, len(products))
@@ -466,7 +466,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		m.Asked(0, 1, 1)
-		m.Answered(0, 1, logic.Settled, 20, false)
+		m.Answered(0, 1, policy.Settled, 20, false)
 		m.Ended(0, 1, Settled, 20)
 	}
 }
--- a/internal/outlook/project.go
+++ b/internal/forecast/project.go
@@ -1,4 +1,4 @@
-package outlook
+package forecast
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"willowdeck/logic"
+	"willowdeck/internal/policy"
 )
 
 // stage is a fleet as a loss leaves it.
@@ -471,7 +471,7 @@
 		return (p.way+q.s+q.wq(use))*sla - p.f.manner.Target
 	})
 	p.passes = slices.Repeat([]float64{1}, len(p.fresh))
-	tried, turned := 0.0, p.f.reason[logic.ByPressure]+p.f.reason[logic.ByNoWorker]
+	tried, turned := 0.0, p.f.reason[policy.ByPressure]+p.f.reason[policy.ByNoWorker]
 	for i := range p.f.flows {
 		tried += p.f.flows[i].Asked
 	}
--- a/internal/outlook/quota.go
+++ b/internal/forecast/quota.go
@@ -1,15 +1,15 @@
-package outlook
+package forecast
 
 import (
 	"fmt"
 	"math"
 
-	"willowdeck/logic"
+	"willowdeck/internal/policy"
 )
 
 // step gives the use that stands for a step of a sight's counts.
 func step(i int) float64 {
-	switch b := logic.UseSteps; {
+	switch b := policy.UseSteps; {
 	case i == 0:
 		return b[0] / 2
 	case i < len(b):
@@ -26,7 +26,7 @@
 // customer at a moment swings by chance about what it asks: that part of the spread is taken out, as far as
 // it would be there if all came by chance alone (a Poisson stream, seen through an exponential memory of a
 // second), so that what stores even out is not taken for need.
-func (f *fleet) uses(plan int) (use [len(logic.UseSteps) + 1]using, size, all float64) {
+func (f *fleet) uses(plan int) (use [len(policy.UseSteps) + 1]using, size, all float64) {
 	customers, mean, squares := 0.0, 0.0, 0.0
 	for _, w := range f.words {
 		customers += w.Customers[plan].Customers * f.scaled
@@ -340,7 +340,7 @@
 	for i := range f.flows {
 		v, r := f.worth(i/np, i%np), f.flows[i].Settled*f.usual[i%np]
 		worth, all = worth+v*r, all+r
-		if f.charter.Products[i%np].Repeat == logic.OnceOnly {
+		if f.charter.Products[i%np].Repeat == policy.OnceOnly {
 			once += v * r
 		}
 	}
--- a/internal/outlook/text.go
+++ b/internal/forecast/text.go
@@ -1,4 +1,4 @@
-package outlook
+package forecast
 
 import (
 	"fmt"
--- a/internal/outlook/word.go
+++ b/internal/forecast/word.go
@@ -1,7 +1,7 @@
-// Package outlook projects what the loss of a hall would cost if its neighbours served its customers, from
+// Package forecast projects what the loss of a hall would cost if its neighbours served its customers, from
 // the words that gatekeepers say of themselves. It is free of I/O and reads no clock: the same words give the
 // same outlook, byte for byte. Why it reckons as it does: docs/outlook-design.md.
-package outlook
+package forecast
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"math"
 	"strings"
 
-	"willowdeck/logic"
+	"willowdeck/internal/policy"
 )
 
 const (
@@ -69,19 +69,19 @@
 	Version uint64 // of the rules that it goes by; 0 where they are those of its start
 	At      int64  // when it was measured, Unix ms by its own clock
 	Span    float64
-	Charter logic.Charter // but for its own number
+	Charter policy.Charter // but for its own number
 
 	Products, Plans []string
 	Flows           []Flow // by plan, and product in it
-	Customers       []logic.PlanSight
-	Sets            []logic.SetSight
+	Customers       []policy.PlanSight
+	Sets            []policy.SetSight
 	Others          float64 // demand of customers of sets beyond the most that are told
 	Halls           []Hall
 	Credit          []Credit // by plan; empty where none is lent
 	Window, Press   float64
 	InHand          int
-	Silent, Gone    int                    // peers
-	Reasons         [logic.Reasons]float64 // final answers a second, by why
+	Silent, Gone    int                     // peers
+	Reasons         [policy.Reasons]float64 // final answers a second, by why
 }
 
 // Append encodes a word.
@@ -144,8 +144,8 @@
 		return fmt.Errorf("flows: %d for %d products x %d plans", len(w.Flows), np, nq)
 	case len(w.Customers) != nq:
 		return fmt.Errorf("customers: %d for %d plans", len(w.Customers), nq)
-	case len(w.Sets) > logic.MostSets:
-		return fmt.Errorf("sets: %d, over %d", len(w.Sets), logic.MostSets)
+	case len(w.Sets) > policy.MostSets:
+		return fmt.Errorf("sets: %d, over %d", len(w.Sets), policy.MostSets)
 	case len(w.Halls) > MostHalls:
 		return fmt.Errorf("halls: %d, over %d", len(w.Halls), MostHalls)
 	case len(w.Credit) != 0 && len(w.Credit) != nq:
--- a/internal/clear/asker.go
+++ b/internal/forwardauth/authcache/asker.go
@@ -1,4 +1,4 @@
-package clear
+package authcache
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
-	"willowdeck/internal/breaker"
+	"willowdeck/internal/circuitbreaker"
 )
 
 const (
@@ -45,7 +45,7 @@
 	limit, share float64
 	yes, no      float64
 	kept         *simplelru.LRU[Digest, good]
-	breaker      *breaker.Breaker
+	breaker      *circuitbreaker.Breaker
 }
 
 // good is an answer, and until when it is good.
@@ -66,7 +66,7 @@
 // NewService starts with nothing known. Same seed and calls, same answers.
 func NewService(t Terms, seed int64) *Service {
 	s := &Service{limit: t.Limit, share: t.Share, yes: t.Yes, no: t.No,
-		breaker: breaker.New(t.After, t.Pause, t.MostPause, rand.New(rand.NewSource(seed)))}
+		breaker: circuitbreaker.New(t.After, t.Pause, t.MostPause, rand.New(rand.NewSource(seed)))}
 	if t.Kept > 0 {
 		s.kept, _ = simplelru.NewLRU[Digest, good](t.Kept, nil) // its one error is a size of nought
 	}
--- a/internal/clear/book.go
+++ b/internal/forwardauth/authcache/book.go
@@ -1,8 +1,8 @@
-// Package clear decides all of forward authentication that is not quota, worker or repetition: what a
+// Package authcache decides all of forward authentication that is not quota, worker or repetition: what a
 // clearance is good for and how long, what an auth service's answer is good for, how long it is waited for,
 // and when it is left alone. It is free of I/O, knows no clock but the times it is told, and is not safe for
 // concurrent use. Times are in ms.
-package clear
+package authcache
 
 import (
 	"hash/fnv"
--- a/internal/clear/clear_test.go
+++ b/internal/forwardauth/authcache/clear_test.go
@@ -1,4 +1,4 @@
-package clear
+package authcache
 
 import (
 	"encoding/binary"
--- a/internal/vouch/vouch.go
+++ b/internal/forwardauth/authorizer/vouch.go
@@ -1,8 +1,9 @@
-// Package vouch asks an auth service whether a txn's client is who it says, before the txn goes to a worker:
-// forward authentication, in the role of the one who asks. Its choices are in package clear, those of quota,
+// Package authorizer asks an auth service whether a txn's client is who it says, before the txn goes to a
+// worker: forward authentication, in the role of the one who asks. Its choices are in package authcache,
+// those of quota,
 // worker and repetition in the module: units are kept while the service is asked, and spent only when the
 // txn goes on.
-package vouch
+package authorizer
 
 import (
 	"crypto/sha256"
@@ -17,25 +18,25 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/singleflight"
 
-	"willowdeck/internal/clear"
-	"willowdeck/internal/config"
-	"willowdeck/internal/gate"
-	"willowdeck/internal/held"
-	"willowdeck/internal/wire"
-	"willowdeck/logic"
+	"willowdeck/internal/forwardauth/authcache"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/inflight"
+	"willowdeck/internal/gateway/proxy"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/policy"
 )
 
 // Voucher serves txns that a service has to vouch for.
 type Voucher struct {
 	asking  *config.Asking
-	charter logic.Charter
-	gate    *gate.Gate
+	charter policy.Charter
+	gate    *proxy.Gate
 	client  *fasthttp.HostClient
 	flight  singleflight.Group
 	counts  [counts]atomic.Int64
 
 	mu      sync.Mutex // of what follows; never held over I/O
-	service *clear.Service
+	service *authcache.Service
 }
 
 type count int
@@ -55,12 +56,12 @@
 var countNames = [counts]string{"yes", "no", "recalled", "trouble", "shut", "late", "left", "open"}
 
 // New makes a voucher over a gate. The seed is for its pauses.
-func New(a *config.Asking, charter logic.Charter, g *gate.Gate, seed int64) *Voucher {
-	limit := wire.Millis(a.Terms.Limit)
-	return &Voucher{asking: a, charter: charter, gate: g, service: clear.NewService(a.Terms, seed),
+func New(a *config.Asking, charter policy.Charter, g *proxy.Gate, seed int64) *Voucher {
+	limit := transport.Millis(a.Terms.Limit)
+	return &Voucher{asking: a, charter: charter, gate: g, service: authcache.NewService(a.Terms, seed),
 		client: &fasthttp.HostClient{Addr: a.Service, MaxConns: a.Connections, MaxConnWaitTimeout: limit,
 			ReadTimeout: limit, WriteTimeout: limit, MaxIdleConnDuration: 2 * time.Second,
-			MaxResponseBodySize: clear.LongestAnswer, ReadBufferSize: clear.LongestAnswer,
+			MaxResponseBodySize: authcache.LongestAnswer, ReadBufferSize: authcache.LongestAnswer,
 			NoDefaultUserAgentHeader: true, DisablePathNormalizing: true,
 			// An ask may be sent again: a connection that the service has closed meanwhile says nothing of it.
 			MaxIdemponentCallAttempts: 2}}
@@ -71,7 +72,7 @@
 
 // word is what came of an ask.
 type word struct {
-	answer clear.Answer
+	answer authcache.Answer
 	wait   float64 // when to come back, ms
 	err    error   // it gave no answer, or was not asked
 }
@@ -83,7 +84,7 @@
 )
 
 // Serve is a txn's life: the service is asked unless its answer is known, and then it is as any other.
-func (v *Voucher) Serve(t *wire.Txn) wire.Final {
+func (v *Voucher) Serve(t *transport.Txn) transport.Final {
 	if !v.asking.Concerned[t.Product] {
 		return v.gate.Serve(t)
 	}
@@ -104,10 +105,10 @@
 		return refusal(fasthttp.StatusBadRequest, nil, err.Error())
 	}
 	asked, patience := v.gate.Now(), v.service.Patience(t.Left)
-	var hold *gate.Hold // of one that does not say whose it is there is nothing to keep yet
+	var hold *proxy.Hold // of one that does not say whose it is there is nothing to keep yet
 	if !t.Nameless {
-		var end wire.Final
-		if hold, end = v.gate.Clear(t, patience+clear.LateGrace); hold == nil {
+		var end transport.Final
+		if hold, end = v.gate.Clear(t, patience+authcache.LateGrace); hold == nil {
 			return end
 		}
 	}
@@ -122,8 +123,8 @@
 }
 
 // await waits for the service's word, as long as a txn can wait and its client is there.
-func (v *Voucher) await(ask *ask, hold *gate.Hold, patience float64) (word, *wire.Final) {
-	timer := time.NewTimer(wire.Millis(patience))
+func (v *Voucher) await(ask *ask, hold *proxy.Hold, patience float64) (word, *transport.Final) {
+	timer := time.NewTimer(transport.Millis(patience))
 	defer timer.Stop()
 	var came <-chan singleflight.Result
 	if ask.named && v.asking.Terms.Kept > 0 {
@@ -133,7 +134,7 @@
 		go func() { own <- singleflight.Result{Val: v.ask(ask)} }()
 		came = own
 	}
-	var over <-chan held.Word
+	var over <-chan inflight.Word
 	if hold != nil {
 		over = hold.Over()
 	}
@@ -141,9 +142,9 @@
 	case r := <-came:
 		return r.Val.(word), nil
 	case w := <-over:
-		if w.Decision.Kind == logic.Void {
+		if w.Decision.Kind == policy.Void {
 			v.counts[left].Add(1)
-			return word{}, &wire.Final{Kind: logic.Void}
+			return word{}, &transport.Final{Kind: policy.Void}
 		}
 	case <-timer.C:
 	}
@@ -152,13 +153,13 @@
 }
 
 // settle goes by a word: the txn goes on with what is kept for it, or that is given back.
-func (v *Voucher) settle(t *wire.Txn, hold *gate.Hold, w word) wire.Final {
+func (v *Voucher) settle(t *transport.Txn, hold *proxy.Hold, w word) transport.Final {
 	a := w.answer
-	end := wire.Final{Kind: logic.Void}
+	end := transport.Final{Kind: policy.Void}
 	switch {
 	case w.err != nil && !v.asking.OpenOn[t.Product], w.err == nil && a.Status == fasthttp.StatusTooManyRequests:
 		v.counts[trouble].Add(1) // nothing was sent: to come again is harmless
-		end = wire.Final{Kind: logic.Decline, Wait: v.advice(w.wait)}
+		end = transport.Final{Kind: policy.Decline, Wait: v.advice(w.wait)}
 	case w.err == nil && !a.Yes:
 		v.counts[no].Add(1)
 		end = refusal(a.Status, a.Headers, "the auth service says no")
@@ -177,7 +178,7 @@
 }
 
 // goOn carries a txn on that was vouched for, or that goes on without.
-func (v *Voucher) goOn(t *wire.Txn, hold *gate.Hold, w word) wire.Final {
+func (v *Voucher) goOn(t *transport.Txn, hold *proxy.Hold, w word) transport.Final {
 	if w.err != nil {
 		v.counts[openly].Add(1)
 	} else {
@@ -202,19 +203,22 @@
 	return math.Min(wait, v.charter.MaxAdvice)
 }
 
-func refusal(status int, headers [][2]string, says string) wire.Final {
-	return wire.Final{Kind: logic.Void, Refusal: &wire.Refusal{Status: status, Headers: headers, Says: says}}
+func refusal(status int, headers [][2]string, says string) transport.Final {
+	return transport.Final{
+		Kind:    policy.Void,
+		Refusal: &transport.Refusal{Status: status, Headers: headers, Says: says},
+	}
 }
 
 // ask is one question to the service. It outlives the txn that asks first: others may wait for it too.
 type ask struct {
-	digest clear.Digest
+	digest authcache.Digest
 	named  bool // it has a credential
 	req    *fasthttp.Request
 }
 
 // digestOf gives what stands for a credential and a product.
-func digestOf(product int, credential []byte) (d clear.Digest) {
+func digestOf(product int, credential []byte) (d authcache.Digest) {
 	sum := sha256.New()
 	fmt.Fprintf(sum, "%d ", product)
 	sum.Write(credential)
@@ -224,7 +228,7 @@
 
 // encode makes the question. What it says of the original is the gatekeeper's own word: a client's headers
 // of those names do not pass.
-func (v *Voucher) encode(t *wire.Txn, digest clear.Digest, credential []byte) (*ask, error) {
+func (v *Voucher) encode(t *transport.Txn, digest authcache.Digest, credential []byte) (*ask, error) {
 	a := &ask{digest: digest, named: len(credential) > 0, req: &fasthttp.Request{}}
 	h := &a.req.Header
 	h.SetMethod(fasthttp.MethodGet)
@@ -263,7 +267,7 @@
 		return word{err: errShut, wait: wait}
 	}
 	res := &fasthttp.Response{}
-	err := v.client.DoTimeout(a.req, res, wire.Millis(v.asking.Terms.Limit))
+	err := v.client.DoTimeout(a.req, res, transport.Millis(v.asking.Terms.Limit))
 	w := word{err: err, wait: v.asking.Terms.Limit}
 	if err == nil {
 		w = v.read(res)
@@ -287,7 +291,7 @@
 // read takes what a service says: 2xx is a yes, 401 and 403 a no, 429 that it wants to be asked later. All
 // else is trouble.
 func (v *Voucher) read(res *fasthttp.Response) word {
-	a := clear.Answer{Status: res.StatusCode()}
+	a := authcache.Answer{Status: res.StatusCode()}
 	switch status := a.Status; {
 	case status >= 200 && status < 300:
 		a.Yes = true
@@ -299,7 +303,7 @@
 			return word{err: fmt.Errorf("%s: it is there %d times", v.asking.Customer, len(all)),
 				wait: v.asking.Terms.Limit}
 		}
-		c, err := wire.Customer(all[0])
+		c, err := transport.Customer(all[0])
 		if err != nil {
 			return word{err: fmt.Errorf("%s: %w", v.asking.Customer, err), wait: v.asking.Terms.Limit}
 		}
--- a/internal/portal/original.go
+++ b/internal/forwardauth/authserver/original.go
@@ -1,4 +1,4 @@
-package portal
+package authserver
 
 import (
 	"bytes"
@@ -10,9 +10,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"willowdeck/internal/clear"
-	"willowdeck/internal/config"
-	"willowdeck/internal/wire"
+	"willowdeck/internal/forwardauth/authcache"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/transport"
 )
 
 // original is the request on whose behalf a portal asks.
@@ -53,13 +53,13 @@
 	var got [len(fields)][]byte
 	for i, f := range fields {
 		for _, name := range f.names {
-			v, err := wire.AtMostOnce(h, name)
+			v, err := transport.AtMostOnce(h, name)
 			switch {
 			case err != nil:
 				return original{}, bad("%v", err)
 			case v == nil:
 				continue
-			case len(v) > clear.LongestField && i != 1 || len(v) > clear.LongestTarget:
+			case len(v) > authcache.LongestField && i != 1 || len(v) > authcache.LongestTarget:
 				return original{}, &flaw{fasthttp.StatusRequestURITooLong, name + " is too long"}
 			}
 			if err := f.check(v); err != nil {
@@ -71,7 +71,7 @@
 			got[i] = v
 		}
 	}
-	whole, err := wire.AtMostOnce(h, "X-Original-Url")
+	whole, err := transport.AtMostOnce(h, "X-Original-Url")
 	if err != nil {
 		return original{}, bad("%v", err)
 	}
@@ -94,7 +94,7 @@
 		switch {
 		case !ok || len(rest) == 0 || rest[0] != '/':
 			return original{}, &flaw{fasthttp.StatusNotFound, "calls are taken under " + a.Path + "/"}
-		case len(rest) > clear.LongestTarget:
+		case len(rest) > authcache.LongestTarget:
 			return original{}, &flaw{fasthttp.StatusRequestURITooLong, "the path is too long"}
 		case o.method != nil && !bytes.Equal(o.method, h.Method()), o.target != nil && !bytes.Equal(o.target, rest):
 			return original{}, bad("a forwarded header contradicts the call itself")
@@ -165,7 +165,7 @@
 
 // targetOf gives the path and query of a whole address.
 func targetOf(v []byte) ([]byte, error) {
-	if len(v) > clear.LongestTarget {
+	if len(v) > authcache.LongestTarget {
 		return nil, &flaw{fasthttp.StatusRequestURITooLong, "X-Original-Url is too long"}
 	}
 	u, err := url.Parse(string(v))
@@ -186,25 +186,25 @@
 // chain checks the client's address and those of the portals on its way: it has to be there.
 func chain(h *fasthttp.RequestHeader) error {
 	const name = "X-Forwarded-For"
-	v, err := wire.AtMostOnce(h, name)
+	v, err := transport.AtMostOnce(h, name)
 	if err != nil {
 		return bad("%v", err)
 	}
-	real, err := wire.AtMostOnce(h, "X-Real-Ip")
+	real, err := transport.AtMostOnce(h, "X-Real-Ip")
 	if err != nil {
 		return bad("%v", err)
 	}
 	if v == nil && real == nil {
 		return bad("%s must be given once", name)
 	}
-	if len(v) > clear.LongestField || len(real) > clear.LongestField {
+	if len(v) > authcache.LongestField || len(real) > authcache.LongestField {
 		return &flaw{fasthttp.StatusRequestHeaderFieldsTooLarge, name + " is too long"}
 	}
 	var hops []string
 	if v != nil {
 		hops = strings.Split(string(v), ",")
 	}
-	if len(hops) > clear.MostHops {
+	if len(hops) > authcache.MostHops {
 		return bad("%s: %d addresses are too many", name, len(hops))
 	}
 	if real != nil {
--- a/internal/portal/original_test.go
+++ b/internal/forwardauth/authserver/original_test.go
@@ -1,4 +1,4 @@
-package portal
+package authserver
 
 import (
 	"bufio"
@@ -9,8 +9,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"willowdeck/internal/clear"
-	"willowdeck/internal/config"
+	"willowdeck/internal/forwardauth/authcache"
+	"willowdeck/internal/gateway/config"
 )
 
 const forwarded = "GET /auth HTTP/1.1\r\nHost: g\r\nX-Forwarded-Method: POST\r\n" +
@@ -37,7 +37,7 @@
 func TestRead(t *testing.T) {
 	swap := func(old, new string) string { return strings.Replace(forwarded, old, new, 1) }
 	add := func(line string) string { return swap("Host: g", "Host: g\r\n"+line) }
-	long := strings.Repeat("a", clear.LongestTarget+1)
+	long := strings.Repeat("a", authcache.LongestTarget+1)
 	cases := []struct {
 		name, raw string
 		dialect   config.Dialect
@@ -71,7 +71,7 @@
 		{"a client that is no address", swap("192.0.2.7", "unknown"), config.ByForwarded, 400},
 		{"a long chain", swap("192.0.2.7", strings.Repeat("192.0.2.7,", 9)+"192.0.2.7"), config.ByForwarded, 400},
 		{"a long target", swap("/issue/7", "/"+long), config.ByForwarded, 414},
-		{"a long host", swap("sales.example", long[:clear.LongestField+1]), config.ByForwarded, 414},
+		{"a long host", swap("sales.example", long[:authcache.LongestField+1]), config.ByForwarded, 414},
 		{"a very long chain", swap("192.0.2.7", long), config.ByForwarded, 431},
 		{"elsewhere", swap("/auth", "/other"), config.ByForwarded, 404},
 		{"no GET", swap("GET", "POST"), config.ByForwarded, 405},
@@ -114,7 +114,7 @@
 			return
 		}
 		clean := len(o.method) > 0 && len(o.target) > 0 && o.target[0] == '/' &&
-			len(o.target) <= clear.LongestTarget && !bytes.ContainsAny(append(o.method, o.target...), "\r\n \t")
+			len(o.target) <= authcache.LongestTarget && !bytes.ContainsAny(append(o.method, o.target...), "\r\n \t")
 		if !clean || !bytes.Contains(raw, o.target) {
 			t.Errorf("%q is read as %q %q", raw, o.method, o.target)
 		}
--- a/internal/portal/portal.go
+++ b/internal/forwardauth/authserver/portal.go
@@ -1,7 +1,9 @@
-// Package portal is the front at which portals ask, before they send a client's txn on, whether it may come:
+// Package authserver is the front at which portals ask, before they send a client's txn on, whether it may
+// come:
 // forward authentication, in the role of the one who is asked. The module decides by the customer's quota; a
-// yes keeps the units until the txn comes through the main door. The book of clearances is in package clear.
-package portal
+// yes keeps the units until the txn comes through the main door. The book of clearances is in package
+// authcache.
+package authserver
 
 import (
 	"errors"
@@ -15,26 +17,26 @@
 
 	"github.com/valyala/fasthttp"
 
-	"willowdeck/internal/clear"
-	"willowdeck/internal/config"
-	"willowdeck/internal/gate"
-	"willowdeck/internal/wire"
-	"willowdeck/logic"
+	"willowdeck/internal/forwardauth/authcache"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/proxy"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/policy"
 )
 
 // Portal takes portals' calls, and the door's txns by what those were told.
 type Portal struct {
 	asked   *config.Asked
 	names   config.Names
-	charter atomic.Pointer[logic.Charter]
-	gate    *gate.Gate
-	next    func(*wire.Txn) wire.Final
+	charter atomic.Pointer[policy.Charter]
+	gate    *proxy.Gate
+	next    func(*transport.Txn) transport.Final
 	server  fasthttp.Server
 	counts  [counts]atomic.Int64
 
 	mu     sync.Mutex // of what follows; never held over I/O or a call of the module
-	book   *clear.Book[*gate.Hold]
-	limit  *wire.Limited // nil until it is bound
+	book   *authcache.Book[*proxy.Hold]
+	limit  *transport.Limited // nil until it is bound
 	closed bool
 }
 
@@ -60,21 +62,21 @@
 	"no_place", "elsewhere", "came", "uncleared"}
 
 // New makes a front over a gate; next serves the txns that have no clearance and need none.
-func New(a *config.Asked, names config.Names, charter logic.Charter, g *gate.Gate,
-	next func(*wire.Txn) wire.Final) *Portal {
+func New(a *config.Asked, names config.Names, charter policy.Charter, g *proxy.Gate,
+	next func(*transport.Txn) transport.Final) *Portal {
 	p := &Portal{asked: a, names: names, gate: g, next: next,
-		book: clear.NewBook[*gate.Hold](a.Life, a.Memory, a.Most)}
+		book: authcache.NewBook[*proxy.Hold](a.Life, a.Memory, a.Most)}
 	p.charter.Store(&charter)
 	p.server = fasthttp.Server{
 		Handler:            p.handle,
 		ErrorHandler:       func(ctx *fasthttp.RequestCtx, err error) { p.refuse(ctx, unreadable, broken(err)) },
 		MaxRequestBodySize: 1, // a call has none
-		ReadBufferSize:     2*clear.LongestTarget + 4096,
-		ReadTimeout:        wire.Millis(clear.CallWait),
-		WriteTimeout:       wire.Millis(clear.CallWait),
-		IdleTimeout:        wire.Millis(clear.IdleCaller),
+		ReadBufferSize:     2*authcache.LongestTarget + 4096,
+		ReadTimeout:        transport.Millis(authcache.CallWait),
+		WriteTimeout:       transport.Millis(authcache.CallWait),
+		IdleTimeout:        transport.Millis(authcache.IdleCaller),
 		CloseOnShutdown:    true, NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
-		Logger: wire.Silent{},
+		Logger: transport.Silent{},
 	}
 	return p
 }
@@ -112,7 +114,7 @@
 	if p.closed {
 		return l.Close()
 	}
-	p.limit = wire.Limit(l, p.asked.Callers)
+	p.limit = transport.Limit(l, p.asked.Callers)
 	go func() { _ = p.server.Serve(p.limit) }()
 	return nil
 }
@@ -140,7 +142,7 @@
 
 // Leave gives what is cleared and used to the process that takes this one's place. Nothing is cleared from
 // then on, and what was cleared is no more the module's here.
-func (p *Portal) Leave() []clear.Clearance {
+func (p *Portal) Leave() []authcache.Clearance {
 	p.mu.Lock()
 	all, holds := p.book.Leave(p.gate.Now())
 	p.mu.Unlock()
@@ -151,15 +153,15 @@
 }
 
 // Inherit takes what the process before has left. What does not fit this gatekeeper's settings is not taken.
-func (p *Portal) Inherit(all []clear.Clearance) {
+func (p *Portal) Inherit(all []authcache.Clearance) {
 	for _, c := range all {
 		f, now := c.Facts, p.gate.Now()
 		if f.Product < 0 || f.Product >= len(p.charter.Load().Products) || f.Plan < 0 ||
 			f.Plan >= len(p.charter.Load().Plans) || c.Until <= now || len(c.Mark) == 0 ||
-			len(c.Mark) > logic.LongestMark || !(f.Units > 0) {
+			len(c.Mark) > policy.LongestMark || !(f.Units > 0) {
 			continue
 		}
-		var h *gate.Hold
+		var h *proxy.Hold
 		if !c.Used {
 			h = p.gate.Cleared(arrival(f), c.Until-now)
 		}
@@ -172,41 +174,41 @@
 	}
 }
 
-func factsOf(t *wire.Txn) clear.Facts {
-	return clear.Facts{Customer: t.Customer, Product: t.Product, Plan: t.Plan, Units: t.Units,
+func factsOf(t *transport.Txn) authcache.Facts {
+	return authcache.Facts{Customer: t.Customer, Product: t.Product, Plan: t.Plan, Units: t.Units,
 		SetSize: t.SetSize, First: t.First}
 }
 
-func arrival(f clear.Facts) logic.Arrival {
-	return logic.Arrival{Customer: f.Customer, Product: f.Product, Plan: f.Plan, Units: f.Units,
+func arrival(f authcache.Facts) policy.Arrival {
+	return policy.Arrival{Customer: f.Customer, Product: f.Product, Plan: f.Plan, Units: f.Units,
 		SetSize: f.SetSize, First: f.First}
 }
 
 // Serve is the life of a txn at the main door: one that was cleared takes what was kept for it, and comes
 // once. The rest goes on as ever, but for products that come only if they were cleared.
-func (p *Portal) Serve(t *wire.Txn) wire.Final {
-	once := p.asked.Only[t.Product] || p.charter.Load().Products[t.Product].Repeat != logic.InquiryLike
+func (p *Portal) Serve(t *transport.Txn) transport.Final {
+	once := p.asked.Only[t.Product] || p.charter.Load().Products[t.Product].Repeat != policy.InquiryLike
 	p.mu.Lock()
 	found, hold := p.book.Come(string(t.Mark), factsOf(t), once, p.gate.Now())
 	p.mu.Unlock()
 	switch found {
-	case clear.Known:
+	case authcache.Known:
 		if end, ok := p.gate.Claim(hold, t); ok {
 			p.counts[came].Add(1)
 			return end
 		}
 		// It lapsed at this very moment. The mark counts as used: so it comes once all the same.
-	case clear.Used, clear.Open:
+	case authcache.Used, authcache.Open:
 		p.counts[used].Add(1)
 		return refusal(fasthttp.StatusConflict, "X-Request-Id: its txn has come already")
-	case clear.Others:
+	case authcache.Others:
 		p.counts[others].Add(1)
 		return refusal(fasthttp.StatusConflict, "X-Request-Id: another txn was cleared by it")
 	}
 	switch {
 	case !p.asked.Only[t.Product]:
-	case found == clear.Moved: // nothing was sent, and who has the book now is there at once
-		return wire.Final{Kind: logic.Decline, Wait: clear.RebindAgain}
+	case found == authcache.Moved: // nothing was sent, and who has the book now is there at once
+		return transport.Final{Kind: policy.Decline, Wait: authcache.RebindAgain}
 	default:
 		p.counts[uncleared].Add(1)
 		return refusal(fasthttp.StatusForbidden, "this product comes only if it has been cleared")
@@ -214,8 +216,8 @@
 	return p.next(t)
 }
 
-func refusal(status int, says string) wire.Final {
-	return wire.Final{Kind: logic.Void, Refusal: &wire.Refusal{Status: status, Says: says}}
+func refusal(status int, says string) transport.Final {
+	return transport.Final{Kind: policy.Void, Refusal: &transport.Refusal{Status: status, Says: says}}
 }
 
 // trusted tells whether a caller may speak for clients. Guards against a client that calls here itself: what
@@ -243,9 +245,9 @@
 	if err == nil && len(ctx.Request.Body()) > 0 {
 		err = bad("a call has no body")
 	}
-	var t wire.Txn
+	var t transport.Txn
 	if err == nil {
-		t, err = wire.Decode(h, o.method, o.target, &p.names, p.charter.Load(), false)
+		t, err = transport.Decode(h, o.method, o.target, &p.names, p.charter.Load(), false)
 	}
 	if err != nil {
 		var f *flaw
@@ -259,10 +261,10 @@
 }
 
 // answer answers a call that makes sense.
-func (p *Portal) answer(ctx *fasthttp.RequestCtx, t *wire.Txn) {
+func (p *Portal) answer(ctx *fasthttp.RequestCtx, t *transport.Txn) {
 	mark, facts := string(t.Mark), factsOf(t)
 	c := p.charter.Load()
-	if home := clear.Home(mark, facts, c.Gatekeepers); p.asked.Only[t.Product] && home != c.Me {
+	if home := authcache.Home(mark, facts, c.Gatekeepers); p.asked.Only[t.Product] && home != c.Me {
 		ctx.Response.Header.Set("X-Clear-At", strconv.Itoa(home))
 		p.say(ctx, elsewhere, fasthttp.StatusMisdirectedRequest, "another gatekeeper clears this txn")
 		return
@@ -272,22 +274,22 @@
 	found := p.book.Ask(mark, facts, now)
 	p.mu.Unlock()
 	switch found {
-	case clear.New:
-	case clear.Known:
+	case authcache.New:
+	case authcache.Known:
 		p.say(ctx, again, fasthttp.StatusOK, "cleared before")
 		return
-	case clear.Used:
+	case authcache.Used:
 		p.say(ctx, used, fasthttp.StatusConflict, "X-Request-Id: its txn has come already")
 		return
-	case clear.Others:
+	case authcache.Others:
 		p.say(ctx, others, fasthttp.StatusConflict, "X-Request-Id: another txn was cleared by it")
 		return
 	default: // full, moved, or being decided on at this moment
-		wait := clear.FullAgain
-		if found != clear.Full {
-			wait = clear.RebindAgain
+		wait := authcache.FullAgain
+		if found != authcache.Full {
+			wait = authcache.RebindAgain
 		}
-		ctx.Response.Header.Set("Retry-After", wire.RetryAfter(wait))
+		ctx.Response.Header.Set("Retry-After", transport.RetryAfter(wait))
 		p.say(ctx, noPlace, fasthttp.StatusServiceUnavailable, "no place for one more clearance")
 		return
 	}
@@ -302,7 +304,7 @@
 	p.mu.Unlock()
 	if hold == nil {
 		if end.Wait > 0 {
-			ctx.Response.Header.Set("Retry-After", wire.RetryAfter(end.Wait))
+			ctx.Response.Header.Set("Retry-After", transport.RetryAfter(end.Wait))
 		}
 		p.say(ctx, no, p.asked.NoStatus, "declined")
 		return
@@ -315,7 +317,7 @@
 func (p *Portal) refuse(ctx *fasthttp.RequestCtx, c count, f *flaw) {
 	p.say(ctx, c, f.status, f.says)
 	ctx.SetConnectionClose()
-	wire.Linger(ctx.Conn())
+	transport.Linger(ctx.Conn())
 }
 
 func (p *Portal) say(ctx *fasthttp.RequestCtx, c count, status int, says string) {
@@ -342,7 +344,7 @@
 		select {
 		case <-over:
 			return
-		case <-time.After(wire.Millis(clear.RebindAgain)):
+		case <-time.After(transport.Millis(authcache.RebindAgain)):
 		}
 	}
 }
--- a/internal/ops/golden_test.go
+++ b/internal/gateway/admin/golden_test.go
@@ -1,9 +1,9 @@
-package ops
+package admin
 
 import (
 	"testing"
 
-	"willowdeck/internal/goldentest"
+	"willowdeck/internal/testkit/goldentest"
 )
 
 // stats.txt is what /admin/stats said of goldenFigures. It was written once by Append, before names were
--- a/internal/ops/ops.go
+++ b/internal/gateway/admin/ops.go
@@ -1,7 +1,7 @@
-// Package ops is the operators' port: an address of its own, apart from the clients', at which staff and
+// Package admin is the operators' port: an address of its own, apart from the clients', at which staff and
 // their programs ask for a gatekeeper's health and figures and send its clients away. It decides nothing, and
 // asks nothing that waits on a txn.
-package ops
+package admin
 
 import (
 	"fmt"
@@ -11,9 +11,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"willowdeck/internal/warm"
-	"willowdeck/internal/wire"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/recovery/bootstrap"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/policy"
 )
 
 // Figures are what operators see of one process. Counts run from its start.
@@ -70,7 +70,7 @@
 // Port answers operators' calls.
 type Port struct {
 	At     string
-	limit  *wire.Limited
+	limit  *transport.Limited
 	server fasthttp.Server
 	desk   Desk
 }
@@ -82,17 +82,17 @@
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
-	p := &Port{At: l.Addr().String(), limit: wire.Limit(l, logic.OperatorCalls), desk: desk}
+	p := &Port{At: l.Addr().String(), limit: transport.Limit(l, policy.OperatorCalls), desk: desk}
 	p.server = fasthttp.Server{
 		Handler:            p.handle,
 		ErrorHandler:       unreadable,
 		DisableKeepalive:   true, // one call to a connection
-		MaxRequestBodySize: logic.OperatorBytes,
-		ReadBufferSize:     logic.OperatorBytes,
-		ReadTimeout:        wire.Millis(logic.OperatorWait),
-		WriteTimeout:       wire.Millis(logic.OperatorWait),
+		MaxRequestBodySize: policy.OperatorBytes,
+		ReadBufferSize:     policy.OperatorBytes,
+		ReadTimeout:        transport.Millis(policy.OperatorWait),
+		WriteTimeout:       transport.Millis(policy.OperatorWait),
 		CloseOnShutdown:    true, NoDefaultServerHeader: true, NoDefaultDate: true,
-		Logger: wire.Silent{},
+		Logger: transport.Silent{},
 	}
 	go func() { _ = p.server.Serve(p.limit) }()
 	return p, nil
@@ -153,7 +153,7 @@
 		say(ctx, fasthttp.StatusServiceUnavailable, "nothing to tell yet")
 		return
 	}
-	ctx.Response.Header.Set(VersionHeader, strconv.Itoa(warm.Version))
+	ctx.Response.Header.Set(VersionHeader, strconv.Itoa(bootstrap.Version))
 	ctx.Response.Header.Set(AgeHeader, strconv.FormatFloat(age, 'f', 0, 64))
 	ctx.SetContentType("application/json")
 	ctx.SetBody(list)
@@ -194,7 +194,7 @@
 func unreadable(ctx *fasthttp.RequestCtx, _ error) {
 	say(ctx, fasthttp.StatusBadRequest, "no call could be read")
 	ctx.SetConnectionClose()
-	wire.Linger(ctx.Conn())
+	transport.Linger(ctx.Conn())
 }
 
 // Append encodes figures, a line each.
@@ -223,7 +223,7 @@
 
 // Every calls f now and then until stop is closed: figures that are costly to gather are kept as a copy.
 func Every(stop <-chan struct{}, f func()) {
-	t := time.NewTicker(wire.Millis(logic.FiguresEach))
+	t := time.NewTicker(transport.Millis(policy.FiguresEach))
 	defer t.Stop()
 	for {
 		f()
--- a/internal/ops/ops_test.go
+++ b/internal/gateway/admin/ops_test.go
@@ -1,4 +1,4 @@
-package ops
+package admin
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"willowdeck/logic"
+	"willowdeck/internal/policy"
 )
 
 type desk struct {
@@ -69,8 +69,12 @@
 		{"wrong method", ask("POST /admin/quiesce"), "405", "Allow: PUT"},
 		{"changed by a look", ask("GET /admin/resume"), "405", "Allow: PUT"},
 		{"no HTTP", "hello\r\n\r\n", "400", "no call"},
-		{"over-long", "GET /admin/health HTTP/1.1\r\nX: " + strings.Repeat("x", 2*logic.OperatorBytes) + "\r\n\r\n",
-			"400", "no call"},
+		{
+			"over-long",
+			"GET /admin/health HTTP/1.1\r\nX: " + strings.Repeat("x", 2*policy.OperatorBytes) + "\r\n\r\n",
+			"400",
+			"no call",
+		},
 		{"over-long body", "PUT /admin/quiesce HTTP/1.1\r\nHost: o\r\nContent-Length: 9000000\r\n\r\nab",
 			"400", "no call"},
 	}
@@ -91,7 +95,7 @@
 func TestSilentCallers(t *testing.T) {
 	p, _ := open(t)
 	var silent []net.Conn
-	for i := range 3 * logic.OperatorCalls {
+	for i := range 3 * policy.OperatorCalls {
 		c, err := net.Dial("tcp", p.At)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/config/charter.go
+++ b/internal/gateway/config/charter.go
@@ -9,9 +9,9 @@
 	"math"
 	"strings"
 
-	lending "willowdeck/internal/credit"
-	"willowdeck/internal/wire/gossip"
-	"willowdeck/logic"
+	lending "willowdeck/internal/borrowing"
+	"willowdeck/internal/gateway/transport/gossip"
+	"willowdeck/internal/policy"
 )
 
 const (
@@ -49,7 +49,7 @@
 
 // Terms are what the settings hold, in the form that a gatekeeper uses.
 type Terms struct {
-	Charter logic.Charter
+	Charter policy.Charter
 	Names   Names
 	Lines   Lines
 }
@@ -148,7 +148,7 @@
 		ConnectTimeout: orDefault(s.Allowed.ConnectTimeout/usPerMs, defaultConnect),
 		AnswerSlack:    s.Safety.AnswerSlack / usPerMs,
 		ListAsked:      s.RegistryMode == onRequest}
-	t.Charter = logic.Charter{
+	t.Charter = policy.Charter{
 		Me: s.Me, Gatekeepers: s.Balancers,
 		LargestUnits:   s.FamilyInfo.Largest,
 		MaxSubmissions: s.Allowed.MaxAttempts,
@@ -172,9 +172,9 @@
 		t.Names.Products[p.Name] = i
 		group := groups[p.Group]
 		if p.Group == "" { // of those that may share its marks the fewest, and no promise that all do
-			group = logic.GroupCell
+			group = policy.GroupCell
 		}
-		t.Charter.Products = append(t.Charter.Products, logic.Product{
+		t.Charter.Products = append(t.Charter.Products, policy.Product{
 			SLA: orDefault(p.Aim, p.HardLimit) / usPerMs, Value: p.Worth,
 			LateShare: p.LateShare, Repeat: repeats[p.Effect], Group: group, Window: p.Window / usPerMs})
 	}
@@ -183,7 +183,7 @@
 		if p.HardRate == 0 { // there is no ceiling, whatever is said of its depth
 			p.CapDepth = 0
 		}
-		t.Charter.Plans = append(t.Charter.Plans, logic.Plan{Rate: p.Rate, Burst: p.MostAtOnce,
+		t.Charter.Plans = append(t.Charter.Plans, policy.Plan{Rate: p.Rate, Burst: p.MostAtOnce,
 			CeilingRate: p.HardRate, CeilingDepth: p.CapDepth, Open: p.Open, Factor: p.WorthFactor,
 			ExcessShare: p.ExcessWorth, ExcessFee: p.OverCost, Credit: p.Credit, Repay: p.Repay * msPerS})
 	}
@@ -228,11 +228,11 @@
 
 var registryModes = map[string]bool{"": true, "pushed": true, onRequest: true}
 
-var repeats = map[string]logic.Repeat{"read_like": logic.InquiryLike, "idempotency_key": logic.Referenced,
-	"non_idempotent": logic.OnceOnly}
+var repeats = map[string]policy.Repeat{"read_like": policy.InquiryLike, "idempotency_key": policy.Referenced,
+	"non_idempotent": policy.OnceOnly}
 
-var groups = map[string]logic.Group{"": logic.GroupAll, "all": logic.GroupAll, "zone": logic.GroupZone,
-	"cell": logic.GroupCell}
+var groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
+	"cell": policy.GroupCell}
 
 // check finds the first key whose value makes no sense.
 func (s *told) check() error {
--- a/internal/config/config.go
+++ b/internal/gateway/config/config.go
@@ -9,7 +9,7 @@
 	"os"
 	"strconv"
 
-	"willowdeck/internal/wire/roster"
+	"willowdeck/internal/gateway/transport/endpoints"
 )
 
 // What a gatekeeper takes where its configuration does not say.
@@ -36,7 +36,7 @@
 	Sockets   int
 	PeerPort  netip.AddrPort   // where peers' datagrams arrive; not valid where peers are not talked to
 	Peers     []netip.AddrPort // by number, this gatekeeper's own included
-	Known     roster.List
+	Known     endpoints.List
 	Ask       []string // operators' ports of running instances, that a newcomer asks for their list
 	Tells     bool     // newcomers may ask this one for its list, at the operators' port
 	Hall      string   // where this gatekeeper stands; where it is said, its word is told at the operators' port
@@ -100,7 +100,7 @@
 	}
 	g.Terms = s.terms()
 	if len(m.Known) > 0 {
-		if g.Known, err = roster.Decode(m.Known); err != nil {
+		if g.Known, err = endpoints.Decode(m.Known); err != nil {
 			return g, fmt.Errorf("known: %w", err)
 		}
 		g.Known.Whole = true
--- a/internal/config/forward.go
+++ b/internal/gateway/config/forward.go
@@ -8,9 +8,9 @@
 	"os"
 	"strings"
 
-	"willowdeck/internal/clear"
-	"willowdeck/internal/strict"
-	"willowdeck/logic"
+	"willowdeck/internal/forwardauth/authcache"
+	"willowdeck/internal/policy"
+	"willowdeck/internal/strictoml"
 )
 
 // Forward is what forward authentication is told, in either role; nil where a role is off.
@@ -53,7 +53,7 @@
 	Send, Copy  []string
 	Concerned   []bool // by product
 	OpenOn      []bool // by product: on trouble it goes on
-	Terms       clear.Terms
+	Terms       authcache.Terms
 	Connections int
 }
 
@@ -111,11 +111,11 @@
 func DecodeForward(text string, g *Gatekeeper) (*Forward, error) {
 	var file forwardFile
 	file.defaults()
-	err := strict.Decode(text, &file)
+	err := strictoml.Decode(text, &file)
 	if err != nil {
 		return nil, err
 	}
-	f, isAsked, asks := &Forward{}, strict.Has(text, "asked"), strict.Has(text, "asking")
+	f, isAsked, asks := &Forward{}, strictoml.Has(text, "asked"), strictoml.Has(text, "asking")
 	if !isAsked && !asks {
 		return nil, errors.New("asked, asking: neither is there")
 	}
@@ -150,13 +150,13 @@
 
 func (file *forwardFile) defaults() {
 	a, b := &file.Asked, &file.Asking
-	a.Path, a.Dialect, a.NoStatus, a.LifeMS = "/auth", "forwarded", http.StatusTooManyRequests, clear.DefaultLife
-	a.RememberS, a.Most, a.Connections = clear.DefaultMemory/1000, clear.DefaultMost, clear.DefaultCallers
-	b.Path, b.Credential, b.LimitMS, b.Share = "/", "Authorization", clear.DefaultLimit, clear.DefaultShare
-	b.Connections, b.Credentials = clear.DefaultAsks, clear.DefaultKept
-	b.YesS, b.NoS = clear.DefaultYes/1000, clear.DefaultNo/1000
-	b.Breaker.After, b.Breaker.PauseMS = clear.DefaultAfter, clear.DefaultPause
-	b.Breaker.MostMS = clear.DefaultPauseAt
+	a.Path, a.Dialect, a.NoStatus, a.LifeMS = "/auth", "forwarded", http.StatusTooManyRequests, authcache.DefaultLife
+	a.RememberS, a.Most, a.Connections = authcache.DefaultMemory/1000, authcache.DefaultMost, authcache.DefaultCallers
+	b.Path, b.Credential, b.LimitMS, b.Share = "/", "Authorization", authcache.DefaultLimit, authcache.DefaultShare
+	b.Connections, b.Credentials = authcache.DefaultAsks, authcache.DefaultKept
+	b.YesS, b.NoS = authcache.DefaultYes/1000, authcache.DefaultNo/1000
+	b.Breaker.After, b.Breaker.PauseMS = authcache.DefaultAfter, authcache.DefaultPause
+	b.Breaker.MostMS = authcache.DefaultPauseAt
 }
 
 // within says what is wrong with the first figure that is out of its range.
@@ -209,9 +209,9 @@
 	default:
 		return nil, fmt.Errorf("no_status: %d is none of 401, 403, 429", a.NoStatus)
 	}
-	if err = within(bound{"life_ms", a.Life, 1, clear.LongestLife},
-		bound{"remember_s", t.RememberS, a.Life / 1000, clear.LongestMemory / 1000},
-		bound{"most", float64(a.Most), 1, clear.MostOfAll},
+	if err = within(bound{"life_ms", a.Life, 1, authcache.LongestLife},
+		bound{"remember_s", t.RememberS, a.Life / 1000, authcache.LongestMemory / 1000},
+		bound{"most", float64(a.Most), 1, authcache.MostOfAll},
 		bound{"connections", float64(a.Callers), 1, 1 << 16}); err != nil {
 		return nil, err
 	}
@@ -222,7 +222,7 @@
 func (file *forwardFile) asking(g *Gatekeeper) (*Asking, error) {
 	t := &file.Asking
 	a := &Asking{Path: t.Path, Credential: t.Credential, Customer: t.Customer, Send: t.Send, Copy: t.Copy,
-		Connections: t.Connections, Terms: clear.Terms{Limit: t.LimitMS, Share: t.Share, Yes: t.YesS * 1000,
+		Connections: t.Connections, Terms: authcache.Terms{Limit: t.LimitMS, Share: t.Share, Yes: t.YesS * 1000,
 			No: t.NoS * 1000, Kept: t.Credentials, After: t.Breaker.After, Pause: t.Breaker.PauseMS,
 			MostPause: t.Breaker.MostMS}}
 	var err error
@@ -262,13 +262,22 @@
 			return nil, errors.New("open: on trouble nobody would say whose a txn is, which customer asks for")
 		}
 	}
-	return a, within(bound{"limit_ms", t.LimitMS, 1, clear.LongestLimit}, bound{"share", t.Share, 0.01, 0.9},
-		bound{"yes_s", t.YesS, 0, clear.LongestGood / 1000}, bound{"no_s", t.NoS, 0, clear.LongestGood / 1000},
-		bound{"credentials", float64(t.Credentials), 0, clear.MostKept},
-		bound{"connections", float64(t.Connections), 1, clear.MostAsks},
+	return a, within(
+		bound{"limit_ms", t.LimitMS, 1, authcache.LongestLimit},
+		bound{"share", t.Share, 0.01, 0.9},
+		bound{
+			"yes_s",
+			t.YesS,
+			0,
+			authcache.LongestGood / 1000,
+		},
+		bound{"no_s", t.NoS, 0, authcache.LongestGood / 1000},
+		bound{"credentials", float64(t.Credentials), 0, authcache.MostKept},
+		bound{"connections", float64(t.Connections), 1, authcache.MostAsks},
 		bound{"breaker.after", float64(t.Breaker.After), 1, 1000},
-		bound{"breaker.pause_ms", t.Breaker.PauseMS, 1, clear.LongestPause},
-		bound{"breaker.most_ms", t.Breaker.MostMS, t.Breaker.PauseMS, clear.LongestPause})
+		bound{"breaker.pause_ms", t.Breaker.PauseMS, 1, authcache.LongestPause},
+		bound{"breaker.most_ms", t.Breaker.MostMS, t.Breaker.PauseMS, authcache.LongestPause},
+	)
 }
 
 // marked gives a mark for each product: those that are named, or all.
@@ -297,7 +306,7 @@
 			return false
 		}
 	}
-	return name != "" && len(name) <= logic.LongestMark
+	return name != "" && len(name) <= policy.LongestMark
 }
 
 // plainName tells whether a header may be passed on as it came: those that frame a message, or say who a
--- a/internal/config/golden_forms_test.go
+++ b/internal/gateway/config/golden_forms_test.go
@@ -8,8 +8,8 @@
 	"slices"
 	"testing"
 
-	"willowdeck/internal/goldentest"
-	"willowdeck/logic"
+	"willowdeck/internal/policy"
+	"willowdeck/internal/testkit/goldentest"
 )
 
 // golden.json is a configuration in which each key that counts says something, as operators have it on disk.
@@ -18,9 +18,9 @@
 // pass without an error. Keys that are only checked and change nothing are not in it: counter,
 // family_info.counter, family_info.use_period_us, weight_source.
 func goldenTerms() Terms {
-	return Terms{Charter: logic.Charter{Me: 1, Gatekeepers: 2, Products: []logic.Product{{SLA: 1, Value: 3,
+	return Terms{Charter: policy.Charter{Me: 1, Gatekeepers: 2, Products: []policy.Product{{SLA: 1, Value: 3,
 		LateShare: 4, Repeat: 1, Group: 1, Window: 5}, {SLA: 6, Value: 8, LateShare: 9, Repeat: 2, Group: 0,
-		Window: 10}}, Plans: []logic.Plan{{Rate: 11, Burst: 12, CeilingRate: 13, CeilingDepth: 14, Withheld: 0,
+		Window: 10}}, Plans: []policy.Plan{{Rate: 11, Burst: 12, CeilingRate: 13, CeilingDepth: 14, Withheld: 0,
 		Open: 15, Factor: 16, ExcessShare: 17, ExcessFee: 18, Credit: 19, Repay: 60000}, {Rate: 21, Burst: 22,
 		CeilingRate: 23, CeilingDepth: 24, Withheld: 0, Open: 25, Factor: 26, ExcessShare: 27, ExcessFee: 28,
 		Credit: 29, Repay: 70000}}, LargestUnits: 35, MaxSubmissions: 31, MayOverlap: true, MayWithdraw: true,
--- a/internal/config/golden_test.go
+++ b/internal/gateway/config/golden_test.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"testing"
 
-	"willowdeck/internal/strict"
+	"willowdeck/internal/strictoml"
 	"willowdeck/internal/testkit/goldenform"
 )
 
@@ -18,9 +18,9 @@
 var goldenForms = []goldenform.Form{
 	{File: "settings.json", New: func() any { return &told{} }, Decode: decodeStrictly},
 	{File: "forward.toml", New: func() any { return &forwardFile{} },
-		Decode: func(raw []byte, into any) error { return strict.Decode(string(raw), into) }},
+		Decode: func(raw []byte, into any) error { return strictoml.Decode(string(raw), into) }},
 	{File: "journal.toml", New: func() any { return &journalFile{} },
-		Decode: func(raw []byte, into any) error { return strict.Decode(string(raw), into) }},
+		Decode: func(raw []byte, into any) error { return strictoml.Decode(string(raw), into) }},
 }
 
 // decodeStrictly refuses a key that names no field, which json.Unmarshal would pass over.
--- a/internal/config/journal.go
+++ b/internal/gateway/config/journal.go
@@ -7,14 +7,14 @@
 	"path/filepath"
 	"strings"
 
-	"willowdeck/internal/journal"
-	"willowdeck/internal/strict"
+	"willowdeck/internal/strictoml"
+	"willowdeck/internal/txnjournal"
 )
 
 // Journal is what the journal of once-only txns is told.
 type Journal struct {
 	Dir   string // folders of all instances on this host
-	Terms journal.Terms
+	Terms txnjournal.Terms
 }
 
 // Of gives an instance's own folder.
@@ -60,36 +60,44 @@
 
 // DecodeJournal decodes and checks the operator file's text.
 func DecodeJournal(text string) (*Journal, error) {
-	t := journal.DefaultTerms()
+	t := txnjournal.DefaultTerms()
 	f := journalFile{Policy: t.Policy.String(), WindowMS: t.Window, WaitMS: t.Wait, SlowMS: t.Slow,
 		LeaseMS: t.Lease, SegmentKB: t.Segment >> 10, Segments: t.Segments, Txns: t.Txns, AnswerBytes: t.Answer,
 		AnswersKB: t.Answers >> 10, RememberS: t.Remember / 1000}
 	f.Breaker.After, f.Breaker.PauseMS, f.Breaker.MostMS = t.After, t.Pause, t.MostPause
-	if err := strict.Decode(text, &f); err != nil {
+	if err := strictoml.Decode(text, &f); err != nil {
 		return nil, err
 	}
 	if f.Dir == "" {
 		return nil, errors.New("dir: it is not set")
 	}
 	switch f.Policy {
-	case journal.Refuse.String():
-	case journal.Serve.String():
-		t.Policy = journal.Serve
+	case txnjournal.Refuse.String():
+	case txnjournal.Serve.String():
+		t.Policy = txnjournal.Serve
 	default:
 		return nil, fmt.Errorf("policy: %q is neither refuse nor serve", f.Policy)
 	}
-	err := within(bound{"window_ms", f.WindowMS, 0, journal.LongestWindow},
-		bound{"wait_ms", f.WaitMS, 1, journal.LongestWait}, bound{"slow_ms", f.SlowMS, 1, journal.LongestWait},
-		bound{"lease_ms", f.LeaseMS, 100, journal.LongestLease},
-		bound{"segment_kb", float64(f.SegmentKB), journal.LeastSegment >> 10, journal.MostSegment >> 10},
-		bound{"segments", float64(f.Segments), journal.LeastSegments, journal.MostSegments},
-		bound{"txns", float64(f.Txns), 1, journal.MostTxns},
+	err := within(
+		bound{"window_ms", f.WindowMS, 0, txnjournal.LongestWindow},
+		bound{
+			"wait_ms",
+			f.WaitMS,
+			1,
+			txnjournal.LongestWait,
+		},
+		bound{"slow_ms", f.SlowMS, 1, txnjournal.LongestWait},
+		bound{"lease_ms", f.LeaseMS, 100, txnjournal.LongestLease},
+		bound{"segment_kb", float64(f.SegmentKB), txnjournal.LeastSegment >> 10, txnjournal.MostSegment >> 10},
+		bound{"segments", float64(f.Segments), txnjournal.LeastSegments, txnjournal.MostSegments},
+		bound{"txns", float64(f.Txns), 1, txnjournal.MostTxns},
 		bound{"answer_bytes", float64(f.AnswerBytes), 0, float64(f.SegmentKB << 10 / 8)},
-		bound{"answers_kb", float64(f.AnswersKB), 0, journal.MostAnswers >> 10},
-		bound{"remember_s", f.RememberS, 0, journal.LongestMemory / 1000},
+		bound{"answers_kb", float64(f.AnswersKB), 0, txnjournal.MostAnswers >> 10},
+		bound{"remember_s", f.RememberS, 0, txnjournal.LongestMemory / 1000},
 		bound{"breaker.after", float64(f.Breaker.After), 1, 1000},
-		bound{"breaker.pause_ms", f.Breaker.PauseMS, 1, journal.LongestPause},
-		bound{"breaker.most_ms", f.Breaker.MostMS, f.Breaker.PauseMS, journal.LongestPause})
+		bound{"breaker.pause_ms", f.Breaker.PauseMS, 1, txnjournal.LongestPause},
+		bound{"breaker.most_ms", f.Breaker.MostMS, f.Breaker.PauseMS, txnjournal.LongestPause},
+	)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/config/journal_test.go
+++ b/internal/gateway/config/journal_test.go
@@ -6,12 +6,12 @@
 	"strings"
 	"testing"
 
-	"willowdeck/internal/journal"
+	"willowdeck/internal/txnjournal"
 )
 
 // The operators' file has every key, and what it gives as defaults is what holds without them.
 func TestJournalFile(t *testing.T) {
-	raw, err := os.ReadFile("../../deploy/journal.toml")
+	raw, err := os.ReadFile("../../../deploy/journal.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if plain.Terms != journal.DefaultTerms() || plain.Of("g1") != "/var/lib/willowdeck/journal/g1" {
+	if plain.Terms != txnjournal.DefaultTerms() || plain.Of("g1") != "/var/lib/willowdeck/journal/g1" {
 		t.Errorf("%+v", plain)
 	}
 	set := regexp.MustCompile(`(?m)^# (\w+ = )`).ReplaceAllString(string(raw), "$1")
--- a/internal/config/settings_test.go
+++ b/internal/gateway/config/settings_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"willowdeck/logic"
+	"willowdeck/internal/policy"
 )
 
 // other is a customer's settings with nothing at its usual place: other names, an effect each in another
@@ -60,7 +60,7 @@
 		{"neither: no time is known", `"hard_limit_us":250000,`, "",
 			func(t *Terms) bool { return t.Charter.Products[2].SLA == 0 }},
 		{"no group: the fewest share marks, and none is promised to all", `"group":"zone",`, "",
-			func(t *Terms) bool { return t.Charter.Products[1].Group == logic.GroupCell }},
+			func(t *Terms) bool { return t.Charter.Products[1].Group == policy.GroupCell }},
 		{"no window: never repeated", `"window_us":400000,`, "",
 			func(t *Terms) bool { return t.Charter.Products[1].Window == 0 }},
 		{"no rate of a ceiling: there is none, of any depth", `"hard_rate":25,`, "",
--- a/internal/handover/golden_test.go
+++ b/internal/gateway/hotrestart/golden_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/clear"
-	"willowdeck/internal/goldentest"
-	"willowdeck/internal/member"
-	"willowdeck/logic"
+	"willowdeck/internal/forwardauth/authcache"
+	"willowdeck/internal/gateway/incarnation"
+	"willowdeck/internal/policy"
+	"willowdeck/internal/testkit/goldentest"
 )
 
 // The golden files were written once by the code of version 4, before names were changed: will.gob is what
@@ -24,42 +24,42 @@
 
 // goldenWill is what will.gob holds, in today's types.
 func goldenWill() Will {
-	return Will{Drains: true, Estate: logic.Estate{Signed: logic.Charter{Me: 1, Gatekeepers: 2,
-		Products: []logic.Product{{SLA: 3.5, Value: 4.5, LateShare: 5.5, Repeat: 6, Group: 7, Window: 8.5},
+	return Will{Drains: true, Estate: policy.Estate{Signed: policy.Charter{Me: 1, Gatekeepers: 2,
+		Products: []policy.Product{{SLA: 3.5, Value: 4.5, LateShare: 5.5, Repeat: 6, Group: 7, Window: 8.5},
 			{SLA: 9.5, Value: 10.5, LateShare: 11.5, Repeat: 12, Group: 13, Window: 14.5}},
-		Plans: []logic.Plan{{Rate: 15.5, Burst: 16.5, CeilingRate: 17.5, CeilingDepth: 18.5, Withheld: 19.5,
+		Plans: []policy.Plan{{Rate: 15.5, Burst: 16.5, CeilingRate: 17.5, CeilingDepth: 18.5, Withheld: 19.5,
 			Open: 20, Factor: 21.5, ExcessShare: 22.5, ExcessFee: 23.5, Credit: 24.5, Repay: 25.5}, {Rate: 26.5,
 			Burst: 27.5, CeilingRate: 28.5, CeilingDepth: 29.5, Withheld: 30.5, Open: 31, Factor: 32.5,
 			ExcessShare: 33.5, ExcessFee: 34.5, Credit: 35.5, Repay: 36.5}}, LargestUnits: 37.5,
 		MaxSubmissions: 38, MayOverlap: true, MayWithdraw: true, MayAdvise: true, MaxAdvice: 39.5,
 		MayTell: true, LoadTold: true, PeerInPerS: 40.5, ReportsPerTell: 41, ColdFrom: 42.5, WarmUp: 43.5,
 		Tips: 44.5, TipAfter: 45.5, Whole: 46.5, WorstPlan: 47.5, Narrow: true}, At: 48.5, Started: 49.5,
-		Base: 50.5, Customers: []logic.Customer{{Key: 51, Plan: 52, N: 53, First: 54, Txns: 55, Out: 56,
+		Base: 50.5, Customers: []policy.Customer{{Key: 51, Plan: 52, N: 53, First: 54, Txns: 55, Out: 56,
 			Holding: 57, Level: 58.5, Whole: 59.5, Filled: 60.5, Others: 61.5, Flow: 62.5, Held: 63.5, Heard: 64.5,
 			Demand: 65.5, Lately: 66.5, Seen: 67.5, CoolSince: 68.5, CeilingAt: 69.5, Unsaid: 70.5, Said: 71.5,
 			SaidAt: 72.5, Known: 73.5, Hot: true, Lag: 74.5, Dealt: 75.5}, {Key: 76, Plan: 77, N: 78, First: 79,
 			Txns: 80, Out: 81, Holding: 82, Level: 83.5, Whole: 84.5, Filled: 85.5, Others: 86.5, Flow: 87.5,
 			Held: 88.5, Heard: 89.5, Demand: 90.5, Lately: 91.5, Seen: 92.5, CoolSince: 93.5, CeilingAt: 94.5,
 			Unsaid: 95.5, Said: 96.5, SaidAt: 97.5, Known: 98.5, Hot: true, Lag: 99.5, Dealt: 100.5}},
-		Workers: []logic.Standing{{Worker: 101, Since: 102.5, Pace: 103.5, Paced: 104.5, Load: 105.5,
+		Workers: []policy.Standing{{Worker: 101, Since: 102.5, Pace: 103.5, Paced: 104.5, Load: 105.5,
 			Told: 106.5, Heard: 107.5, Distrust: 108.5, DistrustAt: 109.5, Turned: []float64{110.5, 111.5},
 			TurnedAt: []float64{112.5, 113.5}, Full: true, ColdAt: 114.5, ColdDebt: 115.5}, {Worker: 116,
 			Since: 117.5, Pace: 118.5, Paced: 119.5, Load: 120.5, Told: 121.5, Heard: 122.5, Distrust: 123.5,
 			DistrustAt: 124.5, Turned: []float64{125.5, 126.5}, TurnedAt: []float64{127.5, 128.5}, Full: true,
-			ColdAt: 129.5, ColdDebt: 130.5}}, Kinds: []logic.Pace{{Kind: 131, Pace: 132.5, Answers: 133.5},
-			{Kind: 134, Pace: 135.5, Answers: 136.5}}, Peers: []logic.Hearing{{Heard: 137.5, Told: 138.5,
-			Owes: 139.5, Spoke: 140.5, Silent: true, Gone: true, Last: []logic.Report{{Customer: 141, Plan: 142,
+			ColdAt: 129.5, ColdDebt: 130.5}}, Kinds: []policy.Pace{{Kind: 131, Pace: 132.5, Answers: 133.5},
+			{Kind: 134, Pace: 135.5, Answers: 136.5}}, Peers: []policy.Hearing{{Heard: 137.5, Told: 138.5,
+			Owes: 139.5, Spoke: 140.5, Silent: true, Gone: true, Last: []policy.Report{{Customer: 141, Plan: 142,
 				Demand: 143.5, Known: 144.5, Spent: 145.5}, {Customer: 146, Plan: 147, Demand: 148.5, Known: 149.5,
 				Spent: 150.5}}}, {Heard: 151.5, Told: 152.5, Owes: 153.5, Spoke: 154.5, Silent: true, Gone: true,
-			Last: []logic.Report{{Customer: 155, Plan: 156, Demand: 157.5, Known: 158.5, Spent: 159.5},
+			Last: []policy.Report{{Customer: 155, Plan: 156, Demand: 157.5, Known: 158.5, Spent: 159.5},
 				{Customer: 160, Plan: 161, Demand: 162.5, Known: 163.5, Spent: 164.5}}}}, Window: 165.5, Press: 166.5,
 		CutAt: 167.5, Pace: 168.5, Load: 169.5, WarmDone: 170.5, WarmEach: 171.5, WarmAt: 172.5, Long: 173.5,
 		LongAt: 174.5, Astray: 175.5, AstrayAt: 176.5, Tight: []float64{177.5, 178.5}, Stay: []float64{179.5,
 			180.5}, NextTell: 181.5}, Workers: map[int]string{182: "s182", 183: "s183"},
-		Kinds: map[int]string{184: "s184", 185: "s185"}, Clearances: []clear.Clearance{{Mark: "s186",
-			Facts: clear.Facts{Customer: 187, Product: 188, Plan: 189, Units: 190.5, SetSize: 191, First: 192},
-			Used:  true, Until: 193.5}, {Mark: "s194", Facts: clear.Facts{Customer: 195, Product: 196, Plan: 197,
-			Units: 198.5, SetSize: 199, First: 200}, Used: true, Until: 201.5}}, Word: member.Word{Incarnation: 202,
+		Kinds: map[int]string{184: "s184", 185: "s185"}, Clearances: []authcache.Clearance{{Mark: "s186",
+			Facts: authcache.Facts{Customer: 187, Product: 188, Plan: 189, Units: 190.5, SetSize: 191, First: 192},
+			Used:  true, Until: 193.5}, {Mark: "s194", Facts: authcache.Facts{Customer: 195, Product: 196, Plan: 197,
+			Units: 198.5, SetSize: 199, First: 200}, Used: true, Until: 201.5}}, Word: incarnation.Word{Incarnation: 202,
 			Sequence: 203}}
 }
 
--- a/internal/handover/handover.go
+++ b/internal/gateway/hotrestart/handover.go
@@ -1,6 +1,7 @@
-// Package handover is the conversation between a gatekeeper's process and the one that takes its place on the
+// Package hotrestart is the conversation between a gatekeeper's process and the one that takes its place on
+// the
 // same machine: whole packets on a Unix socket, some with a descriptor. It decides nothing.
-package handover
+package hotrestart
 
 import (
 	"bytes"
@@ -15,9 +16,9 @@
 	"syscall"
 	"time"
 
-	"willowdeck/internal/clear"
-	"willowdeck/internal/member"
-	"willowdeck/logic"
+	"willowdeck/internal/forwardauth/authcache"
+	"willowdeck/internal/gateway/incarnation"
+	"willowdeck/internal/policy"
 )
 
 // Version is of the conversation and of all that is in a will. Those of different versions do not talk.
@@ -26,10 +27,10 @@
 // Will is what a process leaves to its heir.
 type Will struct {
 	Drains         bool // its clients are sent away
-	Estate         logic.Estate
+	Estate         policy.Estate
 	Workers, Kinds map[int]string // their names, by the indices in the estate
-	Clearances     []clear.Clearance
-	Word           member.Word // of the last message to peers: the heir goes on from there
+	Clearances     []authcache.Clearance
+	Word           incarnation.Word // of the last message to peers: the heir goes on from there
 }
 
 // Client is a client's connection as it is handed on.
--- a/internal/handover/handover_test.go
+++ b/internal/gateway/hotrestart/handover_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"willowdeck/logic"
+	"willowdeck/internal/policy"
 )
 
 // pair is both ends of a conversation, with what the heir has taken.
@@ -56,7 +56,7 @@
 	p := meet(t)
 	w := Will{Workers: map[int]string{3: "w3"}}
 	for i := range 5000 { // many packets
-		w.Estate.Customers = append(w.Estate.Customers, logic.Customer{Key: uint64(i), Level: float64(i) / 3})
+		w.Estate.Customers = append(w.Estate.Customers, policy.Customer{Key: uint64(i), Level: float64(i) / 3})
 	}
 	if err := p.owner.Leave(w); err != nil {
 		t.Fatal(err)
--- a/internal/handover/yes_test.go
+++ b/internal/gateway/hotrestart/yes_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"net"
--- a/internal/member/member.go
+++ b/internal/gateway/incarnation/member.go
@@ -1,7 +1,7 @@
-// Package member tells news from old messages among instances that come back: each message bears its
+// Package incarnation tells news from old messages among instances that come back: each message bears its
 // sender's incarnation, which grows with each of its starts, and its place in that one's sequence. It is free
 // of I/O. Both are compared as serial numbers (RFC 1982), so that they may wrap.
-package member
+package incarnation
 
 // Verdict is what a message is.
 type Verdict uint8
--- a/internal/member/member_test.go
+++ b/internal/gateway/incarnation/member_test.go
@@ -1,4 +1,4 @@
-package member
+package incarnation
 
 import (
 	"math"
--- a/internal/held/claims_debug.go
+++ b/internal/gateway/inflight/claims_debug.go
@@ -1,5 +1,5 @@
 //go:build debug
 
-package held
+package inflight
 
 const asserted = true
--- a/internal/held/held_test.go
+++ b/internal/gateway/inflight/held_test.go
@@ -1,38 +1,43 @@
-package held
+package inflight
 
 import (
 	"fmt"
 	"net/netip"
 	"testing"
 
-	"willowdeck/internal/wire/roster"
+	"willowdeck/internal/gateway/transport/endpoints"
 )
 
 // What was meant for a worker ends when it drains, goes, moves, also to another zone or cell, or starts anew,
 // and by nothing else. Guards against a repeat that reaches a worker which has left its txn's group.
 func TestLife(t *testing.T) {
-	at := func(name, addr string, active bool, since float64) roster.Worker {
-		return roster.Worker{Name: name, Address: netip.MustParseAddrPort(addr), Active: active, Since: since}
+	at := func(name, addr string, active bool, since float64) endpoints.Worker {
+		return endpoints.Worker{Name: name, Address: netip.MustParseAddrPort(addr), Active: active, Since: since}
 	}
 	zone, cell := at("a", "127.0.0.1:1", true, 0), at("a", "127.0.0.1:1", true, 0)
 	zone.Zone, cell.Cell = "z", 3
 	a, b := at("a", "127.0.0.1:1", true, 0), at("b", "127.0.0.1:2", true, 5)
 	cases := []struct {
 		name  string
-		next  roster.List
+		next  endpoints.List
 		holds bool
 		ended []int
 	}{
-		{"the same again", roster.List{Whole: true, Workers: []roster.Worker{a, b}}, true, nil},
-		{"news of another", roster.List{Workers: []roster.Worker{at("b", "127.0.0.1:2", false, 5)}}, true,
+		{"the same again", endpoints.List{Whole: true, Workers: []endpoints.Worker{a, b}}, true, nil},
+		{"news of another", endpoints.List{Workers: []endpoints.Worker{at("b", "127.0.0.1:2", false, 5)}}, true,
 			[]int{1}},
-		{"drains", roster.List{Workers: []roster.Worker{at("a", "127.0.0.1:1", false, 0)}}, false, []int{0}},
-		{"started anew", roster.List{Workers: []roster.Worker{at("a", "127.0.0.1:1", true, 9)}}, false, []int{0}},
-		{"moved", roster.List{Workers: []roster.Worker{at("a", "127.0.0.1:3", true, 0)}}, false, []int{0}},
-		{"in another zone", roster.List{Workers: []roster.Worker{zone}}, false, []int{0}},
-		{"in another cell", roster.List{Workers: []roster.Worker{cell}}, false, []int{0}},
-		{"not on the whole list", roster.List{Whole: true, Workers: []roster.Worker{b}}, false, []int{0}},
-		{"nobody left", roster.List{Whole: true}, false, []int{0, 1}},
+		{"drains", endpoints.List{Workers: []endpoints.Worker{at("a", "127.0.0.1:1", false, 0)}}, false, []int{0}},
+		{
+			"started anew",
+			endpoints.List{Workers: []endpoints.Worker{at("a", "127.0.0.1:1", true, 9)}},
+			false,
+			[]int{0},
+		},
+		{"moved", endpoints.List{Workers: []endpoints.Worker{at("a", "127.0.0.1:3", true, 0)}}, false, []int{0}},
+		{"in another zone", endpoints.List{Workers: []endpoints.Worker{zone}}, false, []int{0}},
+		{"in another cell", endpoints.List{Workers: []endpoints.Worker{cell}}, false, []int{0}},
+		{"not on the whole list", endpoints.List{Whole: true, Workers: []endpoints.Worker{b}}, false, []int{0}},
+		{"nobody left", endpoints.List{Whole: true}, false, []int{0, 1}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -40,7 +45,7 @@
 			if w.Active() {
 				t.Error("active without a list")
 			}
-			w.Update(roster.List{Whole: true, Workers: []roster.Worker{a, b}}, never)
+			w.Update(endpoints.List{Whole: true, Workers: []endpoints.Worker{a, b}}, never)
 			l := w.Life(0)
 			if !l.Holds() || !w.Active() {
 				t.Fatal("a listed worker does not hold")
@@ -63,8 +68,8 @@
 	at := netip.MustParseAddrPort("127.0.0.1:1")
 	was := Life{}
 	for i := range 100 {
-		next := roster.Worker{Name: fmt.Sprint("w", i), Address: at, Active: true}
-		list, _ := w.Update(roster.List{Workers: []roster.Worker{next}}, vacant)
+		next := endpoints.Worker{Name: fmt.Sprint("w", i), Address: at, Active: true}
+		list, _ := w.Update(endpoints.List{Workers: []endpoints.Worker{next}}, vacant)
 		if p := list[0].Worker; p > 2 || p == held || !list[0].New {
 			t.Fatalf("worker %d is at place %d, new %v", i, p, list[0].New)
 		}
@@ -73,7 +78,7 @@
 		}
 		was, held = w.Life(list[0].Worker), list[0].Worker
 		next.Active, next.Gone = false, true
-		w.Update(roster.List{Workers: []roster.Worker{next}}, vacant)
+		w.Update(endpoints.List{Workers: []endpoints.Worker{next}}, vacant)
 	}
 	if len(w.places) > 2 || len(w.all) > 2 {
 		t.Errorf("%d names and %d places are kept", len(w.places), len(w.all))
--- a/internal/held/index.go
+++ b/internal/gateway/inflight/index.go
@@ -1,6 +1,6 @@
-// Package held is what a gatekeeper keeps in memory beside the module's own state: the txns in hand, the
+// Package inflight is what a gatekeeper keeps in memory beside the module's own state: the txns in hand, the
 // workers by index with their addresses, and the counts of what must hold.
-package held
+package inflight
 
 // Index gives names small numbers, in the order in which they are first seen. The zero Index is empty.
 type Index struct {
--- a/internal/held/life.go
+++ b/internal/gateway/inflight/life.go
@@ -1,16 +1,16 @@
-package held
+package inflight
 
 import (
 	"sync"
 
-	"willowdeck/internal/wire"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/policy"
 )
 
 // Word is what a txn's function is told: a decision of the module, or the answer that settles the txn.
 type Word struct {
-	Decision logic.Decision
-	Answer   *wire.Answer
+	Decision policy.Decision
+	Answer   *transport.Answer
 	To       Life        // Submit: the worker as it was when this was decided
 	Sub      *Submission // Submit: the submission itself
 	By       *Terms      // Submit: what it was decided by; nil where there are none
@@ -42,12 +42,12 @@
 type Submission struct {
 	Recorded  bool // it is written down that it goes out; the goroutine's that carries it
 	mu        sync.Mutex
-	link      *wire.Link
+	link      *transport.Link
 	withdrawn bool
 }
 
 // Begin puts a submission on a link, unless it has been withdrawn.
-func (s *Submission) Begin(l *wire.Link) bool {
+func (s *Submission) Begin(l *transport.Link) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.withdrawn {
--- a/internal/held/lists_test.go
+++ b/internal/gateway/inflight/lists_test.go
@@ -1,4 +1,4 @@
-package held
+package inflight
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"testing"
 
-	"willowdeck/internal/wire/roster"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/transport/endpoints"
+	"willowdeck/internal/policy"
 )
 
 // oldList is the model of Workers.
@@ -19,7 +19,7 @@
 	zones, kinds Index
 	places       map[string]int
 	all          []*oldWorker
-	postings     []logic.Posting
+	postings     []policy.Posting
 }
 
 type oldWorker struct {
@@ -33,7 +33,7 @@
 }
 
 // Update takes a list as it was taken when all places were gone over for each worker.
-func (w *oldList) Update(l roster.List, vacant func(int) bool) (list []logic.Posting, ended []int) {
+func (w *oldList) Update(l endpoints.List, vacant func(int) bool) (list []policy.Posting, ended []int) {
 	w.postings = w.postings[:0]
 	named := map[int]bool{}
 	for _, e := range l.Workers {
@@ -50,7 +50,7 @@
 			ended = append(ended, i)
 		}
 		x.gone = e.Gone
-		w.postings = append(w.postings, logic.Posting{Worker: i, Zone: zone, Cell: e.Cell,
+		w.postings = append(w.postings, policy.Posting{Worker: i, Zone: zone, Cell: e.Cell,
 			Kind: w.kinds.Of(e.Kind), Rating: e.Rating,
 			Active: e.Active, Since: e.Since, New: !known})
 	}
@@ -66,7 +66,7 @@
 
 // place gives a worker that is not known a place: that of one that is gone, or a new one. Guards against
 // workers without end, each under a name of its own, that fill the memory.
-func (w *oldList) place(e roster.Worker, vacant func(int) bool) int {
+func (w *oldList) place(e endpoints.Worker, vacant func(int) bool) int {
 	x, at := &oldWorker{name: e.Name, since: e.Since, addr: e.Address}, len(w.all)
 	for i, other := range w.all {
 		if other.gone && vacant(i) {
@@ -100,11 +100,11 @@
 
 // sight is all that lists make of the workers, but for what a posting is worth where nothing has changed.
 type sight struct {
-	listed map[int]logic.Posting // the module's, as it keeps them
-	order  []logic.Posting       // of those of others' places, or of other lives: these draw chance
+	listed map[int]policy.Posting // the module's, as it keeps them
+	order  []policy.Posting       // of those of others' places, or of other lives: these draw chance
 }
 
-func (s *sight) take(list []logic.Posting, whole bool) {
+func (s *sight) take(list []policy.Posting, whole bool) {
 	s.order = nil
 	for i, p := range s.listed {
 		if whole {
@@ -130,23 +130,23 @@
 		rng := rand.New(rand.NewSource(seed))
 		var was oldList
 		var is, by Workers
-		wasSight, isSight, bySight := sight{listed: map[int]logic.Posting{}}, sight{}, sight{}
-		isSight.listed, bySight.listed = map[int]logic.Posting{}, map[int]logic.Posting{}
+		wasSight, isSight, bySight := sight{listed: map[int]policy.Posting{}}, sight{}, sight{}
+		isSight.listed, bySight.listed = map[int]policy.Posting{}, map[int]policy.Posting{}
 		names := 4 + rng.Intn(60)
-		last := map[string]roster.Worker{}
+		last := map[string]endpoints.Worker{}
 		for range 60 {
-			l := roster.List{Whole: rng.Intn(3) == 0}
+			l := endpoints.List{Whole: rng.Intn(3) == 0}
 			for range rng.Intn(2 + names) {
 				name := fmt.Sprint(rng.Intn(2 * names))
 				e, known := last[name]
 				if !known || rng.Intn(5) == 0 {
-					e = roster.Worker{Name: name, Zone: fmt.Sprint("z", rng.Intn(3)), Cell: rng.Intn(3),
+					e = endpoints.Worker{Name: name, Zone: fmt.Sprint("z", rng.Intn(3)), Cell: rng.Intn(3),
 						Kind: fmt.Sprint("k", rng.Intn(2)), Rating: float64(rng.Intn(2)), Since: float64(rng.Intn(3)),
 						Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(rng.Intn(3)))}
 					e.Active = rng.Intn(3) > 0
 					e.Gone = !e.Active && rng.Intn(2) == 0
 				}
-				if last[name] = e; rng.Intn(50) > 0 && slices.ContainsFunc(l.Workers, func(o roster.Worker) bool {
+				if last[name] = e; rng.Intn(50) > 0 && slices.ContainsFunc(l.Workers, func(o endpoints.Worker) bool {
 					return o.Name == name
 				}) {
 					continue
@@ -154,7 +154,7 @@
 				l.Workers = append(l.Workers, e)
 			}
 			if len(l.Workers) > 0 && rng.Intn(20) == 0 { // named twice, the last time as it was
-				l.Workers = append([]roster.Worker{{Name: l.Workers[0].Name, Since: 9}}, l.Workers...)
+				l.Workers = append([]endpoints.Worker{{Name: l.Workers[0].Name, Since: 9}}, l.Workers...)
 			}
 			refers := rng.Intn(1 + names)
 			vacant := func(i int) bool { return i%7 != refers%7 }
@@ -225,7 +225,7 @@
 // Pieces of a list come to what the list comes to, with what is taken away first. Guards against a last word
 // on a worker that is overtaken, and against a moment at which hardly any worker is left.
 func TestPieces(t *testing.T) {
-	change := func(from, to int, active func(i int) bool) roster.List {
+	change := func(from, to int, active func(i int) bool) endpoints.List {
 		l := vast(to, true)
 		l.Whole, l.Workers = false, l.Workers[from:]
 		for i := range l.Workers {
@@ -241,7 +241,7 @@
 	whole.Whole = true
 	for _, c := range []struct {
 		name   string
-		l      roster.List
+		l      endpoints.List
 		pieces int
 	}{
 		{"short", change(0, 30, odd), 1},
@@ -250,7 +250,7 @@
 		{"half of all", change(0, 151, odd), 1},
 		{"whole", whole, 1},
 		{"one twice", twice, 1},
-		{"nothing", roster.List{}, 1},
+		{"nothing", endpoints.List{}, 1},
 	} {
 		var one, cut Workers
 		one.Update(vast(300, true), empty)
@@ -281,12 +281,15 @@
 	}
 }
 
-func vast(n int, active bool) roster.List {
-	l := roster.List{Whole: true}
+func vast(n int, active bool) endpoints.List {
+	l := endpoints.List{Whole: true}
 	for i := range n {
-		l.Workers = append(l.Workers, roster.Worker{Name: fmt.Sprint("worker-", i), Zone: fmt.Sprint("z", i/7900),
-			Cell: i / 38, Kind: fmt.Sprint("k", i%5), Rating: 1, Active: active,
-			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)})
+		l.Workers = append(
+			l.Workers,
+			endpoints.Worker{Name: fmt.Sprint("worker-", i), Zone: fmt.Sprint("z", i/7900),
+				Cell: i / 38, Kind: fmt.Sprint("k", i%5), Rating: 1, Active: active,
+				Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)},
+		)
 	}
 	return l
 }
@@ -349,7 +352,7 @@
 				if i%2 > 0 {
 					of = &up
 				}
-				w.Update(roster.List{Workers: of.Workers[at : at+1]}, empty)
+				w.Update(endpoints.List{Workers: of.Workers[at : at+1]}, empty)
 			}
 		})
 	}
--- a/internal/held/terms.go
+++ b/internal/gateway/inflight/terms.go
@@ -1,4 +1,4 @@
-package held
+package inflight
 
 import (
 	"math"
--- a/internal/held/workers.go
+++ b/internal/gateway/inflight/workers.go
@@ -1,12 +1,12 @@
-package held
+package inflight
 
 import (
 	"net/netip"
 	"slices"
 	"sync/atomic"
 
-	"willowdeck/internal/wire/roster"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/transport/endpoints"
+	"willowdeck/internal/policy"
 )
 
 // Worker is what the sockets need of one worker: where it is, and in which of its lives.
@@ -50,7 +50,7 @@
 	active   int            // workers that take submissions
 	lists    uint64         // whole ones so far
 	looks    uint64         // lists that Changes has looked at
-	postings []logic.Posting
+	postings []policy.Posting
 }
 
 // Life gives a worker as it is now.
@@ -81,7 +81,7 @@
 
 // Renumber puts an estate whose workers and kinds bear other numbers in this one's, and leaves out those
 // that are not known here.
-func (w *Workers) Renumber(e *logic.Estate, workers, kinds map[int]string) {
+func (w *Workers) Renumber(e *policy.Estate, workers, kinds map[int]string) {
 	standings, paces := e.Workers[:0], e.Kinds[:0]
 	for _, s := range e.Workers {
 		if at, known := w.places[workers[s.Worker]]; known {
@@ -104,12 +104,12 @@
 // Changes gives what a whole list changes, as a list of those entries alone: Update does with it what it
 // does with the whole one. Any other list it gives as it is. It only reads what others read too, and may run
 // beside them, but not beside Update.
-func (w *Workers) Changes(l roster.List) roster.List {
+func (w *Workers) Changes(l endpoints.List) endpoints.List {
 	if !l.Whole || len(w.all) == 0 {
 		return l
 	}
 	w.looks++
-	change := roster.List{Version: l.Version}
+	change := endpoints.List{Version: l.Version}
 	for i := range l.Workers {
 		e := &l.Workers[i]
 		if at, known := w.places[e.Name]; known {
@@ -125,7 +125,7 @@
 	}
 	for _, x := range w.all {
 		if x.seen != w.looks && !x.gone {
-			change.Workers = append(change.Workers, roster.Worker{Name: x.name, Address: x.addr,
+			change.Workers = append(change.Workers, endpoints.Worker{Name: x.name, Address: x.addr,
 				Zone: w.zones.Name(x.zone), Cell: x.cell, Kind: w.kinds.Name(x.kind), Rating: x.rating, Gone: true,
 				Since: x.since})
 		}
@@ -136,11 +136,11 @@
 // Pieces cuts a long list of changes to be taken one after another, so that no lock is held for all of it.
 // Those that take workers away come first. Where it changes half of all at once, or one of them twice, it is
 // not cut: the rest may be none, and the last word on one must come last.
-func (w *Workers) Pieces(l roster.List, most int) []roster.List {
+func (w *Workers) Pieces(l endpoints.List, most int) []endpoints.List {
 	if l.Whole || len(l.Workers) <= most || 2*len(l.Workers) > len(w.all) {
-		return []roster.List{l}
+		return []endpoints.List{l}
 	}
-	var all []roster.Worker
+	var all []endpoints.Worker
 	named := make(map[string]bool, len(l.Workers))
 	for _, active := range []bool{false, true} {
 		for i := range l.Workers {
@@ -151,25 +151,25 @@
 		}
 	}
 	if len(named) < len(all) {
-		return []roster.List{l}
+		return []endpoints.List{l}
 	}
-	var pieces []roster.List
+	var pieces []endpoints.List
 	for piece := range slices.Chunk(all, most) {
-		pieces = append(pieces, roster.List{Version: l.Version, Workers: piece})
+		pieces = append(pieces, endpoints.List{Version: l.Version, Workers: piece})
 	}
 	return pieces
 }
 
 // is tells whether a worker is as an entry says, but for its zone and kind. One that is gone may lose its
 // place to another of the same list, and is as no entry says.
-func (x *Worker) is(e *roster.Worker) bool {
+func (x *Worker) is(e *endpoints.Worker) bool {
 	return x.addr == e.Address && x.since == e.Since && x.active == e.Active && !x.gone && !e.Gone &&
 		x.cell == e.Cell && x.rating == e.Rating
 }
 
 // Update takes a list, and gives the module's form of it and the workers whose connections are of no more
 // use. Both are valid until the next call. vacant tells whether nothing refers to a place any more.
-func (w *Workers) Update(l roster.List, vacant func(int) bool) (list []logic.Posting, ended []int) {
+func (w *Workers) Update(l endpoints.List, vacant func(int) bool) (list []policy.Posting, ended []int) {
 	w.postings = w.postings[:0]
 	if l.Whole {
 		w.lists++
@@ -189,7 +189,7 @@
 		}
 		x.gone, x.kind, x.rating = e.Gone, w.kinds.Of(e.Kind), e.Rating
 		w.gone.set(at, e.Gone)
-		w.postings = append(w.postings, logic.Posting{Worker: at, Zone: zone, Cell: e.Cell,
+		w.postings = append(w.postings, policy.Posting{Worker: at, Zone: zone, Cell: e.Cell,
 			Kind: x.kind, Rating: e.Rating,
 			Active: e.Active, Since: e.Since, New: !known})
 	}
@@ -207,7 +207,7 @@
 
 // place gives a worker that is not known a place: the first one of a worker that is gone, or a new one.
 // Guards against workers without end, each under a name of its own, that fill the memory.
-func (w *Workers) place(e *roster.Worker, vacant func(int) bool) int {
+func (w *Workers) place(e *endpoints.Worker, vacant func(int) bool) int {
 	x, at := &Worker{name: e.Name, since: e.Since, addr: e.Address}, w.gone.first(vacant)
 	if at < 0 {
 		at = len(w.all)
--- a/internal/lifecycle/agree.go
+++ b/internal/gateway/lifecycle/agree.go
@@ -17,13 +17,13 @@
 
 	"github.com/valyala/fasthttp"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/held"
-	"willowdeck/internal/history"
-	"willowdeck/internal/relay"
-	"willowdeck/internal/relayd"
-	"willowdeck/internal/wire"
-	"willowdeck/logic"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/distribution/relay"
+	"willowdeck/internal/gateway/inflight"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/policy"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/history"
 )
 
 // What the daemon is asked. At AskPath it tells changes of what is here, and how long ago that was in force;
@@ -46,14 +46,14 @@
 // but the asking; what others read is atomic.
 type agreement struct {
 	g      *Gatekeeper
-	holder *accord.Holder
-	heard  accord.Version // the newest that was told
-	taken  accord.Terms   // last adopted
-	wide   logic.Charter  // what is gone by with nothing withheld
-	of     []float64      // by plan of the charter, the part of a place's that this has
-	copied *relay.Replica
+	holder *ruleset.Holder
+	heard  ruleset.Version // the newest that was told
+	taken  ruleset.Terms   // last adopted
+	wide   policy.Charter  // what is gone by with nothing withheld
+	of     []float64       // by plan of the charter, the part of a place's that this has
+	copied *distribution.Replica
 	unfit  string          // why what copied has can't be gone by
-	client *relayd.Client  // asks for changes
+	client *relay.Client   // asks for changes
 	whole  fasthttp.Client // and this one for all
 	older  float64         // ms until which the daemon is taken to be of an older program
 	timer  *time.Timer
@@ -62,7 +62,7 @@
 	again  bool // and what it says is old by now
 	said   time.Time
 
-	terms   atomic.Pointer[held.Terms]
+	terms   atomic.Pointer[inflight.Terms]
 	mode    atomic.Int64
 	version atomic.Uint64
 	refused atomic.Int64 // answers that can't be gone by
@@ -71,18 +71,18 @@
 
 	bytesIn, bytesOut atomic.Int64 // at LeasePath, with HTTP's heads
 	work              atomic.Int64 // ns in which answers were read and taken up, waits left out
-	counts            atomic.Pointer[relay.ReplicaCounts]
+	counts            atomic.Pointer[distribution.ReplicaCounts]
 }
 
 // ruleModes are as records name them.
-var ruleModes = [...]string{accord.Bare: history.Bare, accord.CutOff: history.Fallback,
-	accord.Leased: history.Leased}
+var ruleModes = [...]string{ruleset.Bare: history.Bare, ruleset.CutOff: history.Fallback,
+	ruleset.Leased: history.Leased}
 
 // answer is what came on a question that was sent at a time, ms.
 type answer struct {
-	told    *relay.Answer // nil: the lease holds, of one that tells all
-	older   bool          // the daemon does not answer at AskPath
-	lease   accord.Lease
+	told    *distribution.Answer // nil: the lease holds, of one that tells all
+	older   bool                 // the daemon does not answer at AskPath
+	lease   ruleset.Lease
 	highest int64
 	asked   float64
 	err     error
@@ -90,7 +90,7 @@
 }
 
 // boot is the time by which leases run, ms.
-func boot() float64 { return float64(held.Boot()) / 1e6 }
+func boot() float64 { return float64(inflight.Boot()) / 1e6 }
 
 // moment is a time of boot's as terms have it.
 func moment(ms float64) int64 {
@@ -104,25 +104,25 @@
 func (g *Gatekeeper) agree() {
 	c := spoken(g.conf)
 	a := &agreement{g: g, wide: c, timer: time.NewTimer(time.Hour), answer: make(chan answer, 1),
-		of: make([]float64, len(c.Plans)), whole: fasthttp.Client{MaxResponseBodySize: accord.MostBytes,
+		of: make([]float64, len(c.Plans)), whole: fasthttp.Client{MaxResponseBodySize: ruleset.MostBytes,
 			MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true},
-		client: relayd.NewClient([]string{g.conf.Agree}, AskPath),
-		copied: relay.NewReplica(g.conf.Name, os.Getpid(), g.conf.Seed)}
+		client: relay.NewClient([]string{g.conf.Agree}, AskPath),
+		copied: distribution.NewReplica(g.conf.Name, os.Getpid(), g.conf.Seed)}
 	a.whole.Dial = a.dial
 	a.wide.Plans = slices.Clone(c.Plans)
-	a.holder = accord.NewHolder(g.conf.Name, born(&g.conf.Charter, g.conf.Name, g.conf.Names.Plans))
+	a.holder = ruleset.NewHolder(g.conf.Name, born(&g.conf.Charter, g.conf.Name, g.conf.Names.Plans))
 	g.agreed = a
 	a.turn()
 }
 
 // born are the rules that a charter makes, with this gatekeeper alone named in its place.
-func born(c *logic.Charter, name string, plans map[string]int) accord.Rules {
-	r := accord.Rules{Form: accord.Form, Members: make([]accord.Member, max(c.Gatekeepers, 1)),
-		Plans: make([]accord.Plan, len(c.Plans))}
+func born(c *policy.Charter, name string, plans map[string]int) ruleset.Rules {
+	r := ruleset.Rules{Form: ruleset.Form, Members: make([]ruleset.Member, max(c.Gatekeepers, 1)),
+		Plans: make([]ruleset.Plan, len(c.Plans))}
 	r.Members[c.Me].Name = name
 	for name, i := range plans {
 		p := &c.Plans[i]
-		r.Plans[i] = accord.Plan{Name: name, Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate,
+		r.Plans[i] = ruleset.Plan{Name: name, Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate,
 			CeilingDepth: p.CeilingDepth, Credit: p.Credit, Repay: p.Repay}
 	}
 	return r
@@ -159,12 +159,12 @@
 			break
 		}
 		switch d.Kind {
-		case accord.Adopt:
+		case ruleset.Adopt:
 			a.adopt(d.Terms)
-		case accord.Ask:
+		case ruleset.Ask:
 			a.ask()
-		case accord.Wake:
-			a.timer.Reset(wire.Millis(d.At - boot()))
+		case ruleset.Wake:
+			a.timer.Reset(transport.Millis(d.At - boot()))
 		}
 	}
 	if t := a.terms.Load(); t != nil {
@@ -210,17 +210,17 @@
 }
 
 // callFor asks the daemon for changes and waits for so many ms at most.
-func (a *agreement) callFor(changes *relay.Ask, within float64) (got answer) {
+func (a *agreement) callFor(changes *distribution.Ask, within float64) (got answer) {
 	got.asked = boot()
 	got.told, got.err = a.client.Ask(0, changes, within)
-	var status *relayd.StatusError
+	var status *relay.StatusError
 	switch {
 	case got.err == nil:
 		got.highest = got.told.Index
 	case errors.As(got.err, &status):
 		got.older = status.Code == http.StatusNotFound || status.Code == http.StatusMethodNotAllowed
 	default:
-		got.spoilt = errors.Is(got.err, relayd.ErrSpoilt)
+		got.spoilt = errors.Is(got.err, relay.ErrSpoilt)
 	}
 	return got
 }
@@ -232,7 +232,7 @@
 	defer fasthttp.ReleaseResponse(res)
 	req.SetRequestURI(at)
 	got.asked = boot()
-	if got.err = a.whole.DoTimeout(req, res, wire.Millis(within)); got.err != nil {
+	if got.err = a.whole.DoTimeout(req, res, transport.Millis(within)); got.err != nil {
 		got.spoilt = got.err == fasthttp.ErrBodyTooLarge
 		return got
 	}
@@ -241,7 +241,7 @@
 		return got
 	}
 	began := time.Now()
-	got.lease, got.err = accord.ReadLease(res.Body())
+	got.lease, got.err = ruleset.ReadLease(res.Body())
 	a.work.Add(int64(time.Since(began)))
 	got.spoilt = got.err != nil
 	got.highest, _ = strconv.ParseInt(string(res.Header.Peek(IndexHeader)), 10, 64)
@@ -323,12 +323,12 @@
 
 // replica takes what the daemon tells of changes, and gives it as a lease. Rules that it can't go by are
 // named each time; a lease without a number is no news.
-func (a *agreement) replica(told *relay.Answer, l *accord.Lease) (why string) {
+func (a *agreement) replica(told *distribution.Answer, l *ruleset.Lease) (why string) {
 	next, news, err := a.copied.Hear(told, boot())
 	counts := a.copied.Counts()
 	a.counts.Store(&counts)
 	switch {
-	case errors.Is(err, relay.ErrBusy):
+	case errors.Is(err, distribution.ErrBusy):
 		a.silent.Add(1)
 		return ""
 	case err != nil:
@@ -345,12 +345,12 @@
 
 // misfit tells why this gatekeeper can't go by rules; empty where it can. One that was a member and is none
 // any more goes by them: nothing passes under its ceilings.
-func (a *agreement) misfit(r *accord.Rules) string {
+func (a *agreement) misfit(r *ruleset.Rules) string {
 	c := &a.g.conf.Charter
-	if err := accord.CheckPart(r); err != nil { // a daemon below relays knows a part, and tells it either way
+	if err := ruleset.CheckPart(r); err != nil { // a daemon below relays knows a part, and tells it either way
 		return err.Error()
 	}
-	switch me := accord.Place(r, a.g.conf.Name); {
+	switch me := ruleset.Place(r, a.g.conf.Name); {
 	case me >= 0 && me != c.Me:
 		return fmt.Sprintf("%s was started in place %d, and has place %d in the rules", a.g.conf.Name, c.Me, me)
 	case me < 0 && a.taken.Version == 0:
@@ -367,7 +367,7 @@
 // refuse counts what can't be gone by, and says so once in a while.
 func (a *agreement) refuse(why string) {
 	a.refused.Add(1)
-	if now := time.Now(); now.Sub(a.said) > wire.Millis(spoiltSay) {
+	if now := time.Now(); now.Sub(a.said) > transport.Millis(spoiltSay) {
 		a.said = now
 		a.g.log.Warn().Str("why", why).Int64("refused", a.refused.Load()).
 			Msg("the daemon's answer can't be gone by, the former rules go on until their time")
@@ -376,16 +376,16 @@
 
 // adopt goes by terms from here on. Words that bar hold before the version that brings them, and those that
 // it lifts hold until it is there.
-func (a *agreement) adopt(t accord.Terms) {
+func (a *agreement) adopt(t ruleset.Terms) {
 	same := reflect.DeepEqual(t.Words, a.taken.Words)
 	if !same {
 		a.g.words(append(slices.Clone(a.taken.Words), t.Words...))
 	}
 	number := t.Version
-	if t.Mode == accord.Bare { // what goes out goes by none
+	if t.Mode == ruleset.Bare { // what goes out goes by none
 		number = 0
 	}
-	terms := held.NewTerms(number, ruleModes[t.Mode], moment(t.Until))
+	terms := inflight.NewTerms(number, ruleModes[t.Mode], moment(t.Until))
 	c := a.charter(t)
 	peers := a.g.conf.Peers
 	if t.Version == a.heard.Number && t.Version > 0 {
@@ -395,7 +395,7 @@
 		// Guards against what a former life spent, or others did whose share this one has now, by rules that are
 		// not those that its record is of.
 		if a.taken.Version == 0 && t.Version > 0 && a.g.desk.Knows() != t.Version {
-			a.g.desk.Govern(held.NewTerms(0, history.Bare, math.MaxInt64), unknown(c))
+			a.g.desk.Govern(inflight.NewTerms(0, history.Bare, math.MaxInt64), unknown(c))
 		}
 		if !a.g.desk.Govern(terms, c) {
 			a.refuse("a charter that differs in what may not change")
@@ -424,7 +424,7 @@
 // leased: what it has less of while it is cut off is withheld, and comes back with the lease. What it comes
 // to have more of is told as a ceiling that grows, or is new, and counts as spent: others may just have
 // spent it.
-func (a *agreement) charter(t accord.Terms) logic.Charter {
+func (a *agreement) charter(t ruleset.Terms) policy.Charter {
 	c := &a.wide
 	if t.Me == c.Me {
 		c.Gatekeepers = t.N
@@ -441,7 +441,7 @@
 			withheld[i] = 1
 			continue
 		}
-		if t.Mode == accord.Leased || t.Version != a.taken.Version {
+		if t.Mode == ruleset.Leased || t.Version != a.taken.Version {
 			a.of[i] = p.Of
 		}
 		q.Credit, q.Repay = p.Credit, p.Repay
@@ -453,7 +453,7 @@
 		}
 	}
 	now := *c
-	now.Narrow, now.Plans = t.Mode != accord.Leased || t.Me < 0, slices.Clone(c.Plans)
+	now.Narrow, now.Plans = t.Mode != ruleset.Leased || t.Me < 0, slices.Clone(c.Plans)
 	for i := range withheld {
 		now.Plans[i].Withheld = withheld[i]
 	}
@@ -461,7 +461,7 @@
 }
 
 // unknown is a charter by which all ceilings count as spent from the moment on at which another follows.
-func unknown(c logic.Charter) logic.Charter {
+func unknown(c policy.Charter) policy.Charter {
 	c.Plans = slices.Clone(c.Plans)
 	for i := range c.Plans {
 		c.Plans[i].CeilingRate = 0
@@ -488,7 +488,7 @@
 func (a *agreement) figures(add func(string, int64)) {
 	terms, left := a.terms.Load(), int64(0)
 	if until := terms.Until(); until < math.MaxInt64 {
-		left = max(until-held.Boot(), 0) / 1e6
+		left = max(until-inflight.Boot(), 0) / 1e6
 	}
 	add("rules.version", int64(a.version.Load()))
 	add("rules.mode", a.mode.Load())
@@ -502,7 +502,7 @@
 	add("rules.work_us", a.work.Load()/1000)
 	c := a.counts.Load()
 	if c == nil {
-		c = &relay.ReplicaCounts{}
+		c = &distribution.ReplicaCounts{}
 	}
 	add("rules.renewals", c.Renewals)
 	add("rules.deltas", c.Deltas)
--- a/internal/lifecycle/agree_test.go
+++ b/internal/gateway/lifecycle/agree_test.go
@@ -13,18 +13,18 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/config"
-	"willowdeck/internal/wire"
-	"willowdeck/internal/wire/roster"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/gateway/transport/endpoints"
+	"willowdeck/internal/policy"
+	"willowdeck/internal/ruleset"
 )
 
 // daemon stands in for the daemon of an instance's host, of a program that tells all rules each time.
 type daemon struct {
 	at    string
 	mu    sync.Mutex
-	lease accord.Lease
+	lease ruleset.Lease
 	says  func(http.ResponseWriter) // in place of the lease; nil for that
 	asked int
 	last  map[string]string // what the last question said
@@ -60,12 +60,15 @@
 }
 
 // leases has it tell a version from now on.
-func (d *daemon) leases(number uint64, r accord.Rules, settled bool) {
+func (d *daemon) leases(number uint64, r ruleset.Rules, settled bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.says = nil
-	d.lease = accord.Lease{Step: max(d.lease.Step+1, number), Version: accord.Version{Number: number, Rules: r},
-		Settled: settled}
+	d.lease = ruleset.Lease{
+		Step:    max(d.lease.Step+1, number),
+		Version: ruleset.Version{Number: number, Rules: r},
+		Settled: settled,
+	}
 }
 
 // answers has it say something else.
@@ -78,11 +81,11 @@
 func silent(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
 
 // rules are those of one gatekeeper whose basic plan has a ceiling.
-func rules(rate, depth float64, words ...accord.Word) accord.Rules {
-	return accord.Rules{Form: accord.Form, Lease: 400, Bound: accord.MostBound,
-		Fallback: accord.Fallback{Part: 0.5, For: 600},
-		Members:  []accord.Member{{Name: "n0", Host: "h"}}, Words: words,
-		Plans: []accord.Plan{{Name: "basic", Rate: 1000, Burst: 1000, CeilingRate: rate, CeilingDepth: depth},
+func rules(rate, depth float64, words ...ruleset.Word) ruleset.Rules {
+	return ruleset.Rules{Form: ruleset.Form, Lease: 400, Bound: ruleset.MostBound,
+		Fallback: ruleset.Fallback{Part: 0.5, For: 600},
+		Members:  []ruleset.Member{{Name: "n0", Host: "h"}}, Words: words,
+		Plans: []ruleset.Plan{{Name: "basic", Rate: 1000, Burst: 1000, CeilingRate: rate, CeilingDepth: depth},
 			{Name: "tiny", Rate: 0.1, Burst: 1}}}
 }
 
@@ -118,7 +121,7 @@
 	return in
 }
 
-func (d *deployment) mode(want accord.Mode) {
+func (d *deployment) mode(want ruleset.Mode) {
 	d.t.Helper()
 	until(d.t, "it does not come to be "+want.String(), func() bool {
 		return d.figure("rules.mode") == int64(want)
@@ -142,11 +145,11 @@
 // back with the next answer.
 func TestLeaseFallbackBare(t *testing.T) {
 	d, x := agreed(t, 1)
-	if d.mode(accord.Bare); d.flood(100*time.Millisecond) != 0 {
+	if d.mode(ruleset.Bare); d.flood(100*time.Millisecond) != 0 {
 		t.Error("passes without a lease")
 	}
 	x.leases(1, rules(1000, 1000), true)
-	d.mode(accord.Leased)
+	d.mode(ruleset.Leased)
 	time.Sleep(100 * time.Millisecond) // what a start takes as spent
 	if !d.let() || d.named() != 1 {
 		t.Errorf("by version %d", d.named())
@@ -157,19 +160,19 @@
 	}
 	x.mu.Unlock()
 	x.answers(silent)
-	if !d.let() || d.figure("rules.mode") != int64(accord.Leased) {
+	if !d.let() || d.figure("rules.mode") != int64(ruleset.Leased) {
 		t.Error("a lease ends with the first answer that is missing")
 	}
-	d.mode(accord.CutOff)
+	d.mode(ruleset.CutOff)
 	if d.flood(200*time.Millisecond) == 0 {
 		t.Error("cut off it passes nothing")
 	}
-	d.mode(accord.Bare)
+	d.mode(ruleset.Bare)
 	if d.flood(100*time.Millisecond) != 0 {
 		t.Error("passes under a ceiling when the fallback's time is up")
 	}
 	x.leases(1, rules(1000, 1000), true)
-	d.mode(accord.Leased)
+	d.mode(ruleset.Leased)
 	if !d.let() {
 		t.Error("not back")
 	}
@@ -180,7 +183,7 @@
 func TestCeilingDownAndUp(t *testing.T) {
 	d, x := agreed(t, 1)
 	x.leases(1, rules(1000, 1000), true)
-	d.mode(accord.Leased)
+	d.mode(ruleset.Leased)
 	until(t, "nothing passes", d.let)
 	x.leases(2, rules(10, 5), false)
 	until(t, "not taken up", func() bool { return d.figure("rules.version") == 2 })
@@ -210,18 +213,18 @@
 func TestWordsOnWorkers(t *testing.T) {
 	d, x := agreed(t, 2)
 	x.leases(1, rules(0, 0), true)
-	d.mode(accord.Leased)
+	d.mode(ruleset.Leased)
 	number := uint64(1)
 	for _, c := range []struct {
 		name  string
-		words []accord.Word
+		words []ruleset.Word
 		out   []int // workers that get nothing
 	}{
-		{"barred", []accord.Word{{Worker: "w0", Barred: true}}, []int{0}},
-		{"drained", []accord.Word{{Worker: "w1", Drained: true}}, []int{1}},
-		{"weighed", []accord.Word{{Worker: "w1", Weight: 2}}, nil},
-		{"the hall", []accord.Word{{Hall: "a", Barred: true}}, []int{0, 1}},
-		{"another hall", []accord.Word{{Hall: "b", Barred: true}}, nil},
+		{"barred", []ruleset.Word{{Worker: "w0", Barred: true}}, []int{0}},
+		{"drained", []ruleset.Word{{Worker: "w1", Drained: true}}, []int{1}},
+		{"weighed", []ruleset.Word{{Worker: "w1", Weight: 2}}, nil},
+		{"the hall", []ruleset.Word{{Hall: "a", Barred: true}}, []int{0, 1}},
+		{"another hall", []ruleset.Word{{Hall: "b", Barred: true}}, nil},
 	} {
 		number++
 		x.leases(number, rules(0, 0, c.words...), true)
@@ -238,7 +241,7 @@
 			}
 		}
 		if l, _, ok := d.gk.List(); ok {
-			if told, err := roster.Decode(l); err != nil || len(told.Workers) != 2 || !told.Workers[0].Active {
+			if told, err := endpoints.Decode(l); err != nil || len(told.Workers) != 2 || !told.Workers[0].Active {
 				t.Errorf("%s: newcomers are told %s", c.name, l)
 			}
 		}
@@ -248,8 +251,8 @@
 // Answers that can't be gone by are counted, and change nothing: the former rules go on until their time.
 func TestAnswersRefused(t *testing.T) {
 	good := rules(1000, 1000)
-	with := func(change func(*accord.Lease)) func(http.ResponseWriter) {
-		l := accord.Lease{Step: 50, Version: accord.Version{Number: 50, Rules: rules(0, 0)}, Settled: true}
+	with := func(change func(*ruleset.Lease)) func(http.ResponseWriter) {
+		l := ruleset.Lease{Step: 50, Version: ruleset.Version{Number: 50, Rules: rules(0, 0)}, Settled: true}
 		change(&l)
 		b, err := l.Bytes()
 		if err != nil {
@@ -266,38 +269,38 @@
 	}{
 		{"garbled", text(`{"Step":50,"Number":`)},
 		{"nothing", text("")},
-		{"too long", func(w http.ResponseWriter) { w.Write(bytes.Repeat([]byte(" "), accord.MostBytes+1)) }},
-		{"another form", with(func(l *accord.Lease) { l.Version.Rules.Form = 7 })},
-		{"needs what is not known", with(func(l *accord.Lease) { l.Version.Rules.Needs = []string{"moon"} })},
-		{"a stranger's place", with(func(l *accord.Lease) {
-			l.Version.Rules.Members = []accord.Member{{Name: "m0", Host: "h"}, {Name: "n0", Host: "h"}}
+		{"too long", func(w http.ResponseWriter) { w.Write(bytes.Repeat([]byte(" "), ruleset.MostBytes+1)) }},
+		{"another form", with(func(l *ruleset.Lease) { l.Version.Rules.Form = 7 })},
+		{"needs what is not known", with(func(l *ruleset.Lease) { l.Version.Rules.Needs = []string{"moon"} })},
+		{"a stranger's place", with(func(l *ruleset.Lease) {
+			l.Version.Rules.Members = []ruleset.Member{{Name: "m0", Host: "h"}, {Name: "n0", Host: "h"}}
 		})},
-		{"rules that make no sense", with(func(l *accord.Lease) { l.Version.Rules.Plans[0].Rate = -1 })},
-		{"no time", with(func(l *accord.Lease) { l.Age = -5 })},
-		{"an address that is none", with(func(l *accord.Lease) { l.Version.Rules.Members[0].Peers = "x" })},
+		{"rules that make no sense", with(func(l *ruleset.Lease) { l.Version.Rules.Plans[0].Rate = -1 })},
+		{"no time", with(func(l *ruleset.Lease) { l.Age = -5 })},
+		{"an address that is none", with(func(l *ruleset.Lease) { l.Version.Rules.Members[0].Peers = "x" })},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			d, x := agreed(t, 1)
 			x.leases(1, good, true)
-			d.mode(accord.Leased)
+			d.mode(ruleset.Leased)
 			before := d.figure("rules.refused")
 			x.answers(c.says)
 			until(t, "not counted", func() bool { return d.figure("rules.refused") > before })
 			if v := d.figure("rules.version"); v != 1 {
 				t.Errorf("by version %d", v)
 			}
-			until(t, "the lease does not end", func() bool { return d.figure("rules.mode") != int64(accord.Leased) })
+			until(t, "the lease does not end", func() bool { return d.figure("rules.mode") != int64(ruleset.Leased) })
 			if x.leases(51, good, true); true {
-				d.mode(accord.Leased)
+				d.mode(ruleset.Leased)
 			}
 		})
 	}
 	t.Run("a stranger", func(t *testing.T) {
 		d, x := agreed(t, 1)
-		x.answers(with(func(l *accord.Lease) { l.Version.Rules.Members[0].Name = "other" }))
+		x.answers(with(func(l *ruleset.Lease) { l.Version.Rules.Members[0].Name = "other" }))
 		until(t, "not counted", func() bool { return d.figure("rules.refused") > 0 })
-		if d.figure("rules.mode") != int64(accord.Bare) || d.let() {
+		if d.figure("rules.mode") != int64(ruleset.Bare) || d.let() {
 			t.Error("goes by rules that do not name it")
 		}
 	})
@@ -308,21 +311,21 @@
 func TestMembersByRules(t *testing.T) {
 	d, x := agreed(t, 1)
 	// Guards against messages that outgrow a datagram once rules are gone by, as their word was forgotten.
-	if n := d.gk.agreed.wide.ReportsPerTell; n != wire.Room {
-		t.Errorf("%d reports to a message, where there is room for %d", n, wire.Room)
+	if n := d.gk.agreed.wide.ReportsPerTell; n != transport.Room {
+		t.Errorf("%d reports to a message, where there is room for %d", n, transport.Room)
 	}
 	r := rules(1000, 1000)
 	x.leases(1, r, true)
-	d.mode(accord.Leased)
+	d.mode(ruleset.Leased)
 	until(t, "nothing passes", d.let)
-	r.Members = append(r.Members, accord.Member{Name: "n1", Host: "h"}, accord.Member{Name: "n2", Host: "i"})
+	r.Members = append(r.Members, ruleset.Member{Name: "n1", Host: "h"}, ruleset.Member{Name: "n2", Host: "i"})
 	x.leases(2, r, true)
 	until(t, "not three", func() bool { return d.figure("members") == 3 })
 	until(t, "a txn of a set of three does not pass", func() bool {
 		s, _ := d.ask(strings.Replace(check("/check", fmt.Sprint("of3", serial.Add(1))), "spread=1", "spread=3", 1))
 		return s == "HTTP/1.1 200 OK"
 	})
-	r.Members = []accord.Member{{}, {Name: "n1", Host: "h"}}
+	r.Members = []ruleset.Member{{}, {Name: "n1", Host: "h"}}
 	x.leases(3, r, true)
 	until(t, "not taken up", func() bool { return d.figure("rules.version") == 3 })
 	if d.flood(100*time.Millisecond) != 0 {
@@ -340,7 +343,7 @@
 		c.Agree, c.Scratch = x.at, t.TempDir()
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = rate, depth
 	}, 1, 5000)
-	d.mode(accord.Leased)
+	d.mode(ruleset.Leased)
 	time.Sleep(3100 * time.Millisecond) // until the ceiling is full
 	burst := func(n int) (in int) {
 		for range n {
@@ -355,7 +358,7 @@
 		t.Fatalf("%d let in of a full ceiling", in)
 	}
 	heir := d.second(func(c *config.Gatekeeper) { c.Listen = "127.0.0.1:0" })
-	until(t, "the heir has no lease", func() bool { return heir.agreed.mode.Load() == int64(accord.Leased) })
+	until(t, "the heir has no lease", func() bool { return heir.agreed.mode.Load() == int64(ruleset.Leased) })
 	d.gk.Stop()
 	d.at = heir.At
 	in := burst(depth)
@@ -371,7 +374,7 @@
 func TestRecallUnderAgreement(t *testing.T) {
 	leased := func(x *daemon, version uint64, d *deployment) {
 		x.leases(version, rules(1000, 1000), true)
-		d.mode(accord.Leased)
+		d.mode(ruleset.Leased)
 	}
 	for _, c := range []struct {
 		name     string
@@ -405,7 +408,7 @@
 			}
 			if c.cut {
 				x.answers(silent)
-				d.mode(accord.CutOff)
+				d.mode(ruleset.CutOff)
 			}
 			n := d.gk.desk.Copies().Written.Load()
 			until(t, "no copies are written", func() bool { return d.gk.desk.Copies().Written.Load() > n+1 })
@@ -450,38 +453,38 @@
 		rate, depth, withheld float64
 		narrow                bool
 	}
-	term := func(version uint64, mode accord.Mode, me int, rate, depth, of float64) accord.Terms {
-		return accord.Terms{Version: version, Mode: mode, Me: me, N: 3, Plans: []accord.PlanTerms{
-			{Plan: accord.Plan{Name: "basic", Rate: 1, Burst: 1, CeilingRate: rate, CeilingDepth: depth}, Of: of},
-			{Plan: accord.Plan{Name: "not known here", CeilingRate: 1, CeilingDepth: 1}, Of: 1}}}
+	term := func(version uint64, mode ruleset.Mode, me int, rate, depth, of float64) ruleset.Terms {
+		return ruleset.Terms{Version: version, Mode: mode, Me: me, N: 3, Plans: []ruleset.PlanTerms{
+			{Plan: ruleset.Plan{Name: "basic", Rate: 1, Burst: 1, CeilingRate: rate, CeilingDepth: depth}, Of: of},
+			{Plan: ruleset.Plan{Name: "not known here", CeilingRate: 1, CeilingDepth: 1}, Of: 1}}}
 	}
 	for name, steps := range map[string][]struct {
-		accord.Terms
+		ruleset.Terms
 		want
 	}{
-		"born": {{term(0, accord.Bare, 0, 10, 20, 0), want{10, 20, 1, true}}},
-		"leased, cut off, bare, leased": {{term(1, accord.Leased, 0, 30, 60, 1), want{30, 60, 0, false}},
-			{term(1, accord.CutOff, 0, 30, 60, 0.25), want{30, 60, 0.75, true}},
-			{term(1, accord.Bare, 0, 30, 60, 0), want{30, 60, 1, true}},
-			{term(1, accord.Leased, 0, 30, 60, 1), want{30, 60, 0, false}}},
-		"no share yet": {{term(1, accord.Leased, 0, 30, 60, 0), want{0, 60, 0, false}},
-			{term(1, accord.Leased, 0, 30, 60, 1), want{30, 60, 0, false}}},
-		"up": {{term(1, accord.Leased, 0, 30, 60, 1), want{30, 60, 0, false}},
-			{term(2, accord.Leased, 0, 60, 120, 0.5), want{30, 60, 0, false}},
-			{term(2, accord.CutOff, 0, 60, 120, 0.25), want{30, 60, 0.5, true}},
-			{term(2, accord.Leased, 0, 60, 120, 1), want{60, 120, 0, false}}},
-		"another version as it is cut off": {{term(1, accord.Leased, 0, 30, 60, 1), want{30, 60, 0, false}},
-			{term(2, accord.CutOff, 0, 40, 80, 0.25), want{10, 20, 0, true}}},
-		"no member any more": {{term(1, accord.Leased, 0, 30, 60, 1), want{30, 60, 0, false}},
-			{term(2, accord.Leased, -1, 30, 60, 0), want{0, 60, 0, true}}},
-		"no ceiling": {{term(1, accord.Leased, 0, 0, 0, 1), want{0, 0, 0, false}},
-			{term(1, accord.Bare, 0, 0, 0, 1), want{0, 0, 0, true}}},
+		"born": {{term(0, ruleset.Bare, 0, 10, 20, 0), want{10, 20, 1, true}}},
+		"leased, cut off, bare, leased": {{term(1, ruleset.Leased, 0, 30, 60, 1), want{30, 60, 0, false}},
+			{term(1, ruleset.CutOff, 0, 30, 60, 0.25), want{30, 60, 0.75, true}},
+			{term(1, ruleset.Bare, 0, 30, 60, 0), want{30, 60, 1, true}},
+			{term(1, ruleset.Leased, 0, 30, 60, 1), want{30, 60, 0, false}}},
+		"no share yet": {{term(1, ruleset.Leased, 0, 30, 60, 0), want{0, 60, 0, false}},
+			{term(1, ruleset.Leased, 0, 30, 60, 1), want{30, 60, 0, false}}},
+		"up": {{term(1, ruleset.Leased, 0, 30, 60, 1), want{30, 60, 0, false}},
+			{term(2, ruleset.Leased, 0, 60, 120, 0.5), want{30, 60, 0, false}},
+			{term(2, ruleset.CutOff, 0, 60, 120, 0.25), want{30, 60, 0.5, true}},
+			{term(2, ruleset.Leased, 0, 60, 120, 1), want{60, 120, 0, false}}},
+		"another version as it is cut off": {{term(1, ruleset.Leased, 0, 30, 60, 1), want{30, 60, 0, false}},
+			{term(2, ruleset.CutOff, 0, 40, 80, 0.25), want{10, 20, 0, true}}},
+		"no member any more": {{term(1, ruleset.Leased, 0, 30, 60, 1), want{30, 60, 0, false}},
+			{term(2, ruleset.Leased, -1, 30, 60, 0), want{0, 60, 0, true}}},
+		"no ceiling": {{term(1, ruleset.Leased, 0, 0, 0, 1), want{0, 0, 0, false}},
+			{term(1, ruleset.Bare, 0, 0, 0, 1), want{0, 0, 0, true}}},
 	} {
 		g := &Gatekeeper{}
 		g.conf.Names.Plans = map[string]int{"basic": 0}
-		g.conf.Charter = logic.Charter{Gatekeepers: 3, Plans: []logic.Plan{{CeilingRate: 10, CeilingDepth: 20}}}
+		g.conf.Charter = policy.Charter{Gatekeepers: 3, Plans: []policy.Plan{{CeilingRate: 10, CeilingDepth: 20}}}
 		a := &agreement{g: g, wide: g.conf.Charter, of: make([]float64, 1)}
-		a.wide.Plans = append([]logic.Plan(nil), a.wide.Plans...)
+		a.wide.Plans = append([]policy.Plan(nil), a.wide.Plans...)
 		for i, s := range steps {
 			c := a.charter(s.Terms)
 			p := c.Plans[0]
--- a/internal/lifecycle/ask_test.go
+++ b/internal/gateway/lifecycle/ask_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/config"
-	"willowdeck/internal/relay"
-	"willowdeck/internal/relayd"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/distribution/relay"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/versioned"
 )
 
 // teller stands in for the daemon of an instance's host, of a program that tells changes.
@@ -23,11 +23,11 @@
 	at     string
 	mu     sync.Mutex
 	older  bool                        // it tells all, as a daemon of an older program does
-	tells  func(*relay.Answer)         // what it does to an answer; nil for nothing
+	tells  func(*distribution.Answer)  // what it does to an answer; nil for nothing
 	says   func(w http.ResponseWriter) // in place of one; nil for that
-	lease  accord.Lease
-	source *relay.Source
-	last   relay.Ask
+	lease  ruleset.Lease
+	source *distribution.Source
+	last   distribution.Ask
 	asked  int // for changes
 	whole  int // for all
 	bare   int // with nothing here
@@ -35,7 +35,7 @@
 
 func newTeller(t *testing.T) *teller {
 	x := &teller{t: t}
-	handler := relayd.NewHandler(x.answer)
+	handler := relay.NewHandler(x.answer)
 	x.at = scripted(t, func(w http.ResponseWriter, r *http.Request) {
 		x.mu.Lock()
 		older, says, lease := x.older, x.says, x.lease
@@ -61,7 +61,7 @@
 	return x
 }
 
-func (x *teller) answer(a *relay.Ask) (*relay.Answer, error) {
+func (x *teller) answer(a *distribution.Ask) (*distribution.Answer, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.last = *a
@@ -69,14 +69,14 @@
 		x.bare++
 	}
 	if x.source == nil {
-		return nil, &relayd.Refusal{Reason: "unconfirmed", Says: "nothing is in force"}
+		return nil, &relay.Refusal{Reason: "unconfirmed", Says: "nothing is in force"}
 	}
 	now := boot()
-	v := relay.View{Step: x.lease.Step, Settled: x.lease.Settled, Begun: now, Index: -1}
+	v := distribution.View{Step: x.lease.Step, Settled: x.lease.Settled, Begun: now, Index: -1}
 	var err error
-	if v.Rules, err = accord.Entries(&x.lease.Version); err == nil && x.lease.Pending != nil {
-		next := accord.Version{Number: x.lease.Version.Number + 1, Rules: *x.lease.Pending}
-		v.Pending, err = accord.Entries(&next)
+	if v.Rules, err = ruleset.Entries(&x.lease.Version); err == nil && x.lease.Pending != nil {
+		next := ruleset.Version{Number: x.lease.Version.Number + 1, Rules: *x.lease.Pending}
+		v.Pending, err = ruleset.Entries(&next)
 	}
 	if err != nil {
 		return nil, err
@@ -93,14 +93,14 @@
 }
 
 // leases has it tell a version from now on, and what is pending.
-func (x *teller) leases(number uint64, r accord.Rules, pending *accord.Rules) {
+func (x *teller) leases(number uint64, r ruleset.Rules, pending *ruleset.Rules) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.tells, x.says = nil, nil
 	if x.source == nil {
-		x.source = relay.NewSource("h", "till", relay.Bounds{})
+		x.source = distribution.NewSource("h", "till", distribution.Bounds{})
 	}
-	x.lease = accord.Lease{Step: x.lease.Step + 1, Version: accord.Version{Number: number, Rules: r},
+	x.lease = ruleset.Lease{Step: x.lease.Step + 1, Version: ruleset.Version{Number: number, Rules: r},
 		Settled: true, Pending: pending}
 }
 
@@ -108,11 +108,11 @@
 func (x *teller) begins(older bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.older, x.source = older, relay.NewSource("h", "till", relay.Bounds{})
+	x.older, x.source = older, distribution.NewSource("h", "till", distribution.Bounds{})
 }
 
 // does has it change its answers from now on.
-func (x *teller) does(tells func(*relay.Answer)) {
+func (x *teller) does(tells func(*distribution.Answer)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.tells = tells
@@ -125,7 +125,7 @@
 }
 
 // seen gives what it was asked last, and how often.
-func (x *teller) seen() (last relay.Ask, asked, whole, bare int) {
+func (x *teller) seen() (last distribution.Ask, asked, whole, bare int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.last, x.asked, x.whole, x.bare
@@ -148,12 +148,12 @@
 func TestFirstAnswerLate(t *testing.T) {
 	x := newTeller(t)
 	x.leases(1, rules(1000, 1000), nil)
-	x.does(func(a *relay.Answer) {
+	x.does(func(a *distribution.Answer) {
 		if a.RulesDelta != nil { // renewals come at once
 			time.Sleep(80 * time.Millisecond)
 		}
 	})
-	asksFor(t, x).mode(accord.Leased)
+	asksFor(t, x).mode(ruleset.Leased)
 }
 
 // An instance is told the rules whole once. While nothing changes an answer is small, whatever is in force;
@@ -162,20 +162,20 @@
 	x := newTeller(t)
 	d := asksFor(t, x)
 	r := rules(1000, 1000)
-	r.Needs = []string{accord.ManyMembers}
+	r.Needs = []string{ruleset.ManyMembers}
 	for i := range 999 {
-		r.Members = append(r.Members, accord.Member{Name: fmt.Sprint("m", i), Host: fmt.Sprint("h", i/10),
+		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprint("m", i), Host: fmt.Sprint("h", i/10),
 			Peers: fmt.Sprintf("127.0.0.1:%d", 2000+i)})
 	}
 	x.leases(1, r, nil)
-	d.mode(accord.Leased)
+	d.mode(ruleset.Leased)
 	if n := d.figure("members"); n != 1000 {
 		t.Errorf("%d members", n)
 	}
 	until(t, "it does not say what it holds", func() bool { last, _, _, _ := x.seen(); return last.Holds == 1 })
 	last, _, _, _ := x.seen()
 	if last.From != "n0" || last.Process == 0 ||
-		last.Interest != (accord.Interest{Name: "n0", Around: relay.Around}) {
+		last.Interest != (ruleset.Interest{Name: "n0", Around: distribution.Around}) {
 		t.Errorf("it asks %+v", last)
 	}
 	in, renewals := d.figure("rules.bytes_in"), d.figure("rules.renewals")
@@ -210,11 +210,11 @@
 func TestChangesSpoilt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		tells  func(*relay.Answer)
+		tells  func(*distribution.Answer)
 		figure string
 		base   bool // what is here is still a base
 	}{
-		{"another value", func(a *relay.Answer) {
+		{"another value", func(a *distribution.Answer) {
 			if a.RulesDelta != nil {
 				d := *a.RulesDelta
 				d.Set = slices.Clone(d.Set)
@@ -222,32 +222,32 @@
 				a.RulesDelta = &d
 			}
 		}, "rules.spoilt.digest", false},
-		{"a value is missing", func(a *relay.Answer) {
+		{"a value is missing", func(a *distribution.Answer) {
 			if a.RulesDelta != nil {
 				d := *a.RulesDelta
 				d.Set = d.Set[1:]
 				a.RulesDelta = &d
 			}
 		}, "rules.spoilt.digest", false},
-		{"against another base", func(a *relay.Answer) {
+		{"against another base", func(a *distribution.Answer) {
 			if a.RulesDelta != nil {
 				d := *a.RulesDelta
 				d.From.Number += 7
 				a.RulesDelta = &d
 			}
 		}, "rules.spoilt.base", false},
-		{"without the change", func(a *relay.Answer) { a.RulesDelta = nil }, "rules.spoilt.base", false},
-		{"another pending one", func(a *relay.Answer) {
-			a.Pending = resource.Mark{Number: 9, Digest: resource.Digest{1}}
+		{"without the change", func(a *distribution.Answer) { a.RulesDelta = nil }, "rules.spoilt.base", false},
+		{"another pending one", func(a *distribution.Answer) {
+			a.Pending = versioned.Mark{Number: 9, Digest: versioned.Digest{1}}
 		}, "rules.spoilt.base", false},
-		{"another form", func(a *relay.Answer) { a.Form = 9 }, "rules.spoilt", true},
+		{"another form", func(a *distribution.Answer) { a.Form = 9 }, "rules.spoilt", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			x := newTeller(t)
 			d := asksFor(t, x)
 			x.leases(1, rules(1000, 1000), nil)
-			d.mode(accord.Leased)
+			d.mode(ruleset.Leased)
 			_, _, _, before := x.seen()
 			x.leases(2, rules(500, 500), nil)
 			x.does(c.tells)
@@ -262,14 +262,14 @@
 				t.Errorf("asked for all %d times, for a whole %d times and given %d", whole, bare-before,
 					d.figure("rules.wholes"))
 			}
-			d.mode(accord.Leased)
+			d.mode(ruleset.Leased)
 		})
 	}
 }
 
 // Answers that came whole and can't be gone by are refused as those of an older daemon are.
 func TestChangesRefused(t *testing.T) {
-	with := func(change func(*accord.Rules)) func(x *teller) {
+	with := func(change func(*ruleset.Rules)) func(x *teller) {
 		return func(x *teller) {
 			r := rules(1000, 1000)
 			r.Plans, r.Members = slices.Clone(r.Plans), slices.Clone(r.Members)
@@ -284,33 +284,33 @@
 		name string
 		does func(x *teller)
 	}{
-		{"another form", with(func(r *accord.Rules) { r.Form = 7 })},
-		{"needs what is not known", with(func(r *accord.Rules) { r.Needs = []string{"moon"} })},
-		{"a stranger's place", with(func(r *accord.Rules) {
-			r.Members = []accord.Member{{Name: "m0", Host: "h"}, {Name: "n0", Host: "h"}}
+		{"another form", with(func(r *ruleset.Rules) { r.Form = 7 })},
+		{"needs what is not known", with(func(r *ruleset.Rules) { r.Needs = []string{"moon"} })},
+		{"a stranger's place", with(func(r *ruleset.Rules) {
+			r.Members = []ruleset.Member{{Name: "m0", Host: "h"}, {Name: "n0", Host: "h"}}
 		})},
-		{"rules that make no sense", with(func(r *accord.Rules) { r.Plans[0].Rate = -1 })},
-		{"an address that is none", with(func(r *accord.Rules) { r.Members[0].Peers = "x" })},
-		{"no time", func(x *teller) { x.does(func(a *relay.Answer) { a.Age = -5 }) }},
+		{"rules that make no sense", with(func(r *ruleset.Rules) { r.Plans[0].Rate = -1 })},
+		{"an address that is none", with(func(r *ruleset.Rules) { r.Members[0].Peers = "x" })},
+		{"no time", func(x *teller) { x.does(func(a *distribution.Answer) { a.Age = -5 }) }},
 		{"garbled", bare(func(w http.ResponseWriter) { w.Write([]byte("\x81\x01")) })},
 		{"nothing", bare(func(w http.ResponseWriter) {})},
-		{"too long", bare(func(w http.ResponseWriter) { w.Write(bytes.Repeat([]byte(" "), relay.MostAnswer+1)) })},
+		{"too long", bare(func(w http.ResponseWriter) { w.Write(bytes.Repeat([]byte(" "), distribution.MostAnswer+1)) })},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			x := newTeller(t)
 			d := asksFor(t, x)
 			x.leases(1, rules(1000, 1000), nil)
-			d.mode(accord.Leased)
+			d.mode(ruleset.Leased)
 			before := d.figure("rules.refused")
 			c.does(x)
 			until(t, "not counted", func() bool { return d.figure("rules.refused") > before })
 			if v := d.figure("rules.version"); v != 1 {
 				t.Errorf("by version %d", v)
 			}
-			until(t, "the lease does not end", func() bool { return d.figure("rules.mode") != int64(accord.Leased) })
+			until(t, "the lease does not end", func() bool { return d.figure("rules.mode") != int64(ruleset.Leased) })
 			x.leases(51, rules(1000, 1000), nil)
-			d.mode(accord.Leased)
+			d.mode(ruleset.Leased)
 		})
 	}
 }
@@ -323,7 +323,7 @@
 	x.begins(true)
 	d := asksFor(t, x)
 	x.leases(1, rules(1000, 1000), nil)
-	d.mode(accord.Leased)
+	d.mode(ruleset.Leased)
 	if _, asked, whole, _ := x.seen(); asked != 0 || whole == 0 || d.figure("rules.wholes") != 0 {
 		t.Errorf("asked for changes %d times, for all %d times", asked, whole)
 	}
@@ -335,7 +335,7 @@
 		if time.Now().After(end) {
 			t.Fatal("a newer daemon is never asked for changes")
 		}
-		if d.figure("rules.mode") != int64(accord.Leased) {
+		if d.figure("rules.mode") != int64(ruleset.Leased) {
 			t.Fatal("the lease is lost")
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -347,7 +347,7 @@
 	until(t, "never asked for all", func() bool { _, _, n, _ := x.seen(); return n > before+5 })
 	x.leases(3, rules(800, 800), nil)
 	until(t, "not by version 3", func() bool { return d.figure("rules.version") == 3 })
-	if d.figure("rules.mode") != int64(accord.Leased) || d.gk.agreed.holder.Counts().Lapses > 0 {
+	if d.figure("rules.mode") != int64(ruleset.Leased) || d.gk.agreed.holder.Counts().Lapses > 0 {
 		t.Error("the lease was lost on the way")
 	}
 }
@@ -358,13 +358,13 @@
 	x := newTeller(t)
 	d := asksFor(t, x)
 	x.leases(1, rules(1000, 1000), nil)
-	x.does(func(a *relay.Answer) {
+	x.does(func(a *distribution.Answer) {
 		if a.RulesDelta != nil {
 			a.RulesDelta, a.Busy = nil, 400
 		}
 	})
 	until(t, "never put off", func() bool { return d.figure("rules.busy") > 0 })
-	if d.figure("rules.mode") != int64(accord.Bare) {
+	if d.figure("rules.mode") != int64(ruleset.Bare) {
 		t.Error("it goes by what it was not told")
 	}
 	began := time.Now()
@@ -372,7 +372,7 @@
 		t.Errorf("a txn took %v", time.Since(began))
 	}
 	x.does(nil)
-	d.mode(accord.Leased)
+	d.mode(ruleset.Leased)
 }
 
 // Of pending rules a gatekeeper narrows its fallback, and says that it holds their step; withdrawn, the
@@ -381,7 +381,7 @@
 	x := newTeller(t)
 	d := asksFor(t, x)
 	x.leases(1, rules(1000, 1000), nil)
-	d.mode(accord.Leased)
+	d.mode(ruleset.Leased)
 	p := rules(10, 10)
 	x.leases(1, rules(1000, 1000), &p)
 	holds := func(step uint64) {
@@ -397,12 +397,12 @@
 		t.Errorf("%+v, %d wholes, %d deltas", last, d.figure("rules.wholes"), d.figure("rules.deltas"))
 	}
 	x.answers(silent)
-	d.mode(accord.CutOff)
+	d.mode(ruleset.CutOff)
 	if n := d.flood(100 * time.Millisecond); n > 12 {
 		t.Errorf("%d pass by a fallback that is to be within ten", n)
 	}
 	x.leases(1, rules(1000, 1000), nil)
-	d.mode(accord.Leased)
+	d.mode(ruleset.Leased)
 	holds(3)
 	x.leases(1, rules(1000, 1000), &p)
 	holds(4)
@@ -429,7 +429,7 @@
 	}
 	a := &agreement{g: &Gatekeeper{}}
 	a.g.conf.Peers = at("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "0.0.0.0:0", "10.0.0.5:1")
-	a.heard.Rules.Members = []accord.Member{{Name: "a", Peers: "10.0.1.1:1"}, {Name: "b"}, {}, {}, {},
+	a.heard.Rules.Members = []ruleset.Member{{Name: "a", Peers: "10.0.1.1:1"}, {Name: "b"}, {}, {}, {},
 		{Name: "f"}, {Name: "g", Peers: "10.0.1.7:1"}}
 	want := at("10.0.1.1:1", "10.0.0.2:1", "", "0.0.0.0:0", "", "", "10.0.1.7:1")
 	if got := a.addresses(); !slices.Equal(got, want) {
@@ -446,10 +446,10 @@
 			x := newTeller(t)
 			x.begins(older)
 			r := rules(3000, 3000)
-			r.Members = append(r.Members, accord.Member{}, accord.Member{})
+			r.Members = append(r.Members, ruleset.Member{}, ruleset.Member{})
 			x.leases(1, r, nil)
 			d := asksFor(t, x)
-			d.mode(accord.Leased)
+			d.mode(ruleset.Leased)
 			if n := d.figure("members"); n != 3 || d.figure("rules.refused") > 0 {
 				t.Errorf("%d members, %d refused", n, d.figure("rules.refused"))
 			}
--- a/internal/lifecycle/forward_test.go
+++ b/internal/gateway/lifecycle/forward_test.go
@@ -15,15 +15,15 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/config"
-	"willowdeck/internal/standin"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/testkit/fakes"
 )
 
 // asked and asking are the operator file's tables for tests.
 const asked = "[asked]\nlisten = \"127.0.0.1:1\"\ntrusted = [\"127.0.0.0/8\"]\n" +
 	"life_ms = 300\nremember_s = 30\nconnections = 8\n"
 
-func asking(auth *standin.Auth, more string) string {
+func asking(auth *fakes.Auth, more string) string {
 	return fmt.Sprintf("[asking]\nservice = %q\nlimit_ms = 200\nshare = 0.6\nconnections = 12\n%s\n", auth.At,
 		more)
 }
@@ -47,9 +47,9 @@
 	}
 }
 
-func newAuth(t *testing.T) *standin.Auth {
+func newAuth(t *testing.T) *fakes.Auth {
 	t.Helper()
-	a, err := standin.NewAuth(0)
+	a, err := fakes.NewAuth(0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -304,8 +304,8 @@
 func TestServiceStalls(t *testing.T) {
 	auth := newAuth(t)
 	d := forwards(t, asking(auth, "[asking.breaker]\nafter = 7\npause_ms = 150\nmost_ms = 150"))
-	for i, f := range []standin.Fault{standin.Stalls, standin.Silent, standin.Errs, standin.Cuts,
-		standin.Garbage, standin.HalfHead, standin.Full} {
+	for i, f := range []fakes.Fault{fakes.Stalls, fakes.Silent, fakes.Errs, fakes.Cuts,
+		fakes.Garbage, fakes.HalfHead, fakes.Full} {
 		auth.Set(f)
 		from := time.Now()
 		r := whole(t, d.at, with(issue("/issue", fmt.Sprint("s", i)), fmt.Sprint("Authorization: c", i)))
@@ -314,7 +314,7 @@
 			t.Errorf("fault %d: %v after %v", f, r.Status, took)
 		}
 	}
-	auth.Set(standin.Silent)
+	auth.Set(fakes.Silent)
 	whole(t, d.at, with(issue("/issue", "s8"), "Authorization: c8"))
 	time.Sleep(60 * time.Millisecond) // the ask outlives the txn
 	before := len(auth.Got())
@@ -323,7 +323,7 @@
 		time.Since(from) > 50*time.Millisecond || len(auth.Got()) != before {
 		t.Errorf("left alone: %v after %v", r.Status, time.Since(from))
 	}
-	auth.Set(standin.None)
+	auth.Set(fakes.None)
 	until(t, "the service is not asked again", func() bool {
 		r := whole(t, d.at, with(issue("/issue", fmt.Sprint("u", time.Now().UnixNano())), "Authorization: c9"))
 		return r.StatusCode == 200
--- a/internal/lifecycle/golden_test.go
+++ b/internal/gateway/lifecycle/golden_test.go
@@ -7,16 +7,16 @@
 	"strings"
 	"testing"
 
-	"willowdeck/internal/config"
-	"willowdeck/internal/goldentest"
-	"willowdeck/internal/ops"
+	"willowdeck/internal/gateway/admin"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/testkit/goldentest"
 )
 
 var goldenValue = regexp.MustCompile(`=-?\d+`)
 
 // goldenKeys gives the keys that a gatekeeper's /admin/stats has, in their order.
 func goldenKeys(g *Gatekeeper) []string {
-	text := goldenValue.ReplaceAllString(string(ops.Append(nil, g.Figures())), "")
+	text := goldenValue.ReplaceAllString(string(admin.Append(nil, g.Figures())), "")
 	return strings.Split(strings.TrimSpace(text), "\n")
 }
 
--- a/internal/lifecycle/heir_test.go
+++ b/internal/gateway/lifecycle/heir_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/handover"
+	"willowdeck/internal/gateway/hotrestart"
 )
 
 // An heir that hangs gets no client: what is in hand is answered here, what comes on connections that stay,
@@ -16,7 +16,7 @@
 // which never speaks, and against a listener that nobody takes from.
 func TestHeirHangs(t *testing.T) {
 	d, _ := heldListener(t)
-	_, err := handover.Find(handover.Path(d.conf.Scratch, d.conf.Name), d.conf.Name)
+	_, err := hotrestart.Find(hotrestart.Path(d.conf.Scratch, d.conf.Name), d.conf.Name)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lifecycle/journal_test.go
+++ b/internal/gateway/lifecycle/journal_test.go
@@ -15,22 +15,22 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/config"
-	"willowdeck/internal/journal"
-	"willowdeck/internal/journal/store"
-	"willowdeck/internal/standin"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/testkit/fakes"
+	"willowdeck/internal/txnjournal"
+	"willowdeck/internal/txnjournal/store"
 )
 
 var kills = flag.Int("kills", 8, "how often the gatekeeper of the journal's test is killed")
 
 // journaled has a gatekeeper keep a journal in a folder.
 func journaled(dir string) func(*config.Gatekeeper) {
-	return journaledIn(dir, 4<<10, journal.DefaultSegments)
+	return journaledIn(dir, 4<<10, txnjournal.DefaultSegments)
 }
 
 func journaledIn(dir string, size, segments int) func(*config.Gatekeeper) {
 	return func(c *config.Gatekeeper) {
-		t := journal.DefaultTerms()
+		t := txnjournal.DefaultTerms()
 		t.Segment, t.Segments = size, segments // so that they change often
 		t.Wait, t.Slow = 250, 1000             // a loaded machine
 		c.Journal = &config.Journal{Dir: dir, Terms: t}
@@ -46,10 +46,10 @@
 }
 
 // says gives the journal's answer on a mark that was asked for not long ago.
-func answers(t *testing.T, dir, mark string) journal.Verdict {
+func answers(t *testing.T, dir, mark string) txnjournal.Verdict {
 	t.Helper()
 	now := float64(time.Now().UnixMilli())
-	b, _, _, _, err := store.ReadAll(store.Dir(dir), journal.DefaultTerms(), now, nil, nil)
+	b, _, _, _, err := store.ReadAll(store.Dir(dir), txnjournal.DefaultTerms(), now, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,8 +87,8 @@
 		}
 	}
 	d.gk.Stop()
-	for mark, want := range map[string]journal.Verdict{"done": journal.SentSettled, "lost": journal.SentUnknown,
-		"none": journal.NotSent} {
+	for mark, want := range map[string]txnjournal.Verdict{"done": txnjournal.SentSettled, "lost": txnjournal.SentUnknown,
+		"none": txnjournal.NotSent} {
 		if v := answers(t, filepath.Join(dir, "n0"), mark); v != want {
 			t.Errorf("the journal says of %s: %v", mark, v)
 		}
@@ -132,7 +132,7 @@
 // A disk that fails or hangs in service: once-only txns are declined, or go out unwritten, as the policy
 // says, soon and within their time; inquiries know nothing of it.
 func TestDiskFailsInService(t *testing.T) {
-	for _, policy := range []journal.Policy{journal.Refuse, journal.Serve} {
+	for _, policy := range []txnjournal.Policy{txnjournal.Refuse, txnjournal.Serve} {
 		t.Run(policy.String(), func(t *testing.T) {
 			m, usual := store.NewMemory(1), diskOf
 			diskOf = func(string) store.Disk { return m }
@@ -149,7 +149,7 @@
 			m.Hang(hung)
 			defer close(hung)
 			want, sent := "HTTP/1.1 429 Too Many Requests", len(d.got())
-			if policy == journal.Serve {
+			if policy == txnjournal.Serve {
 				want = "HTTP/1.1 200 OK"
 			}
 			tries := 0
@@ -158,7 +158,7 @@
 				status, _ := d.ask(issue("/issue", fmt.Sprint("x", tries)))
 				return status == want
 			})
-			if n := len(d.got()) - sent; policy == journal.Refuse && n > 0 {
+			if n := len(d.got()) - sent; policy == txnjournal.Refuse && n > 0 {
 				t.Errorf("%d were sent", n)
 			}
 			from := time.Now()
@@ -252,10 +252,10 @@
 func killed(t *testing.T, size, segments int) {
 	rng := rand.New(rand.NewSource(4))
 	dir := t.TempDir()
-	var workers []*standin.Worker
+	var workers []*fakes.Worker
 	var entries []string
 	for i := range 3 {
-		w, err := standin.NewWorker(fmt.Sprint("w", i), 3*time.Millisecond)
+		w, err := fakes.NewWorker(fmt.Sprint("w", i), 3*time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -264,7 +264,7 @@
 		entries = append(entries, fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","group":1,"status":"active"}`,
 			w.Name, w.At))
 	}
-	disc, err := standin.NewDiscovery()
+	disc, err := fakes.NewDiscovery()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -353,7 +353,7 @@
 	}
 	end := float64(time.Now().UnixMilli())
 	kept := store.Dir(filepath.Join(dir, "n0"))
-	b, found, _, lives, err := store.ReadAll(kept, journal.DefaultTerms(), end, nil, nil)
+	b, found, _, lives, err := store.ReadAll(kept, txnjournal.DefaultTerms(), end, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -362,19 +362,19 @@
 		v, why, _ := b.Answers(mark, at, end, end)
 		count[v]++
 		switch {
-		case v == journal.NotSent && ran[mark] > 0:
+		case v == txnjournal.NotSent && ran[mark] > 0:
 			falsely++
 			t.Errorf("%s ran, and the journal says it was not sent: %s", mark, why)
-		case v == journal.SentSettled && ran[mark] == 0:
+		case v == txnjournal.SentSettled && ran[mark] == 0:
 			early++
-		case v == journal.SentUnknown && ran[mark] == 0:
+		case v == txnjournal.SentUnknown && ran[mark] == 0:
 			needless++
 		}
 	}
 	t.Logf("%d lives, %d records in %d segments, %d bytes cut; of %d txns %d ran, %d twice; settled %d, "+
 		"unknown %d (%d of them never ran), not sent %d; falsely not sent %d, falsely settled %d", lives,
-		found.Records, found.Segments, found.Cut, len(asked), len(ran), twice, count[journal.SentSettled],
-		count[journal.SentUnknown], needless, count[journal.NotSent], falsely, early)
+		found.Records, found.Segments, found.Cut, len(asked), len(ran), twice, count[txnjournal.SentSettled],
+		count[txnjournal.SentUnknown], needless, count[txnjournal.NotSent], falsely, early)
 	if twice > 0 || early > 0 || len(ran) < *kills || int(lives) < *kills/2 {
 		t.Errorf("%d ran twice, %d are settled that never ran, %d ran in %d lives", twice, early, len(ran), lives)
 	}
--- a/internal/lifecycle/lend.go
+++ b/internal/gateway/lifecycle/lend.go
@@ -4,12 +4,12 @@
 	"math"
 	"time"
 
-	"willowdeck/internal/credit"
-	"willowdeck/internal/credit/book"
-	"willowdeck/internal/gate"
-	"willowdeck/internal/history"
-	"willowdeck/internal/wire"
-	"willowdeck/logic"
+	"willowdeck/internal/borrowing"
+	"willowdeck/internal/borrowing/ledger"
+	"willowdeck/internal/gateway/proxy"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/policy"
+	"willowdeck/internal/testkit/history"
 )
 
 // creditEach is how often the book of credit looks after what is owed, ms.
@@ -21,9 +21,9 @@
 // lend has the gatekeeper lend what plans allow, once any does: those of its settings, or of rules that are
 // agreed on later. Nothing is lent where a sudden end would forget a debt, or
 // where peers that share customers can't be told from their former lives.
-func (g *Gatekeeper) lend(by []logic.Plan) {
+func (g *Gatekeeper) lend(by []policy.Plan) {
 	c := g.conf.Charter
-	plans, any := gate.Lines(by)
+	plans, any := proxy.Lines(by)
 	switch {
 	case !any || g.away.Load() || !g.lends.CompareAndSwap(false, true):
 		return
@@ -34,14 +34,14 @@
 		g.log.Warn().Msg("settings.tariffs: credit_s lends nothing, as peers do not say which life they speak of")
 		return
 	}
-	f, err := book.Open(g.conf.Residue+bookOf, c.Me)
+	f, err := ledger.Open(g.conf.Residue+bookOf, c.Me)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("nothing is lent")
 		return
 	}
-	t := credit.Terms{Me: c.Me, Gatekeepers: int(g.members.Load()), Plans: plans,
+	t := borrowing.Terms{Me: c.Me, Gatekeepers: int(g.members.Load()), Plans: plans,
 		PeerInPerS: c.PeerInPerS}
-	b := credit.New(t, g.conf.Seed, f.Born)
+	b := borrowing.New(t, g.conf.Seed, f.Born)
 	b.Clock(f.Now())
 	for _, k := range f.Records {
 		b.Restore(k.Place, k.Record)
@@ -58,7 +58,7 @@
 		g.peers.Credit(g.desk.Ledger)
 	}
 	go func() {
-		t := time.NewTicker(wire.Millis(creditEach))
+		t := time.NewTicker(transport.Millis(creditEach))
 		defer t.Stop()
 		for {
 			select {
@@ -83,8 +83,8 @@
 	}{{"outstanding", f.Outstanding}, {"rights", f.Rights}, {"earning", f.Earn}, {"lent", f.Lent},
 		{"repaid", f.Repaid}, {"earned", f.Earned}, {"undone", f.Undone}, {"late", f.Late}, {"handed", f.Handed},
 		{"taken", f.Taken}, {"moved", f.Moved}, {"customers", float64(f.Customers)},
-		{"refused.wide", float64(f.Refused[credit.Wide])}, {"refused.no_place", float64(f.Refused[credit.NoPlace])},
-		{"refused.unsure", float64(f.Refused[credit.Unsure])}, {"refused.short", float64(f.Refused[credit.Short])},
+		{"refused.wide", float64(f.Refused[borrowing.Wide])}, {"refused.no_place", float64(f.Refused[borrowing.NoPlace])},
+		{"refused.unsure", float64(f.Refused[borrowing.Unsure])}, {"refused.short", float64(f.Refused[borrowing.Short])},
 		{"strayed", float64(f.Strayed)}, {"forgotten", float64(f.Forgotten)}} {
 		add("credit."+m.name, int64(math.Round(m.v)))
 	}
--- a/internal/lifecycle/lend_test.go
+++ b/internal/gateway/lifecycle/lend_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/config"
+	"willowdeck/internal/gateway/config"
 )
 
 // owed gives one of a process's figures of credit; below nought where it has none.
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/gateway/lifecycle/lifecycle_test.go
@@ -16,9 +16,9 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/config"
-	"willowdeck/internal/held"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/inflight"
+	"willowdeck/internal/policy"
 )
 
 // deployment is a gatekeeper on loopback between stand-ins for its workers and for discovery.
@@ -573,7 +573,7 @@
 			if got := d.got(); len(got) > c.subs || len(got) < min(c.subs, 2) {
 				t.Errorf("%d submissions, want %d, or one fewer on a slow machine", len(got), c.subs)
 			}
-			if b := held.Broken(); len(b) > 0 {
+			if b := inflight.Broken(); len(b) > 0 {
 				t.Errorf("claims broken: %v", b)
 			}
 		})
@@ -796,7 +796,7 @@
 				t.Errorf("%d submissions after the last answer, %d to the silent one", n-before,
 					d.workers[0].count())
 			}
-			if b := held.Broken(); len(b) > 0 {
+			if b := inflight.Broken(); len(b) > 0 {
 				t.Errorf("claims broken: %v", b)
 			}
 		})
@@ -835,7 +835,7 @@
 	}
 	c.Close()
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if n := d.gk.desk.Tally(); n.InFlight == 0 && n.Final[logic.ByClient] == 1 {
+		if n := d.gk.desk.Tally(); n.InFlight == 0 && n.Final[policy.ByClient] == 1 {
 			return
 		}
 	}
--- a/internal/lifecycle/operate.go
+++ b/internal/gateway/lifecycle/operate.go
@@ -1,6 +1,6 @@
 package lifecycle
 
-import "willowdeck/internal/ops"
+import "willowdeck/internal/gateway/admin"
 
 // up tells clients' side whether to come here.
 func (g *Gatekeeper) up() bool { return g.desk.Ready() && !g.drains.Load() }
@@ -24,17 +24,17 @@
 func (g *Gatekeeper) Note(what string) { g.log.Info().Str("call", what).Msg("operators") }
 
 // Figures gathers what operators see, from counts and copies alone.
-func (g *Gatekeeper) Figures() ops.Figures {
+func (g *Gatekeeper) Figures() admin.Figures {
 	seen := g.desk.Seen()
-	f := ops.Figures{Tries: g.links.Tries(), Active: g.front.Active(), Workers: int64(seen.Workers),
+	f := admin.Figures{Tries: g.links.Tries(), Active: g.front.Active(), Workers: int64(seen.Workers),
 		Avoided: int64(seen.Distrusted)}
-	f.Products = make([]ops.Product, len(g.conf.Charter.Products))
+	f.Products = make([]admin.Product, len(g.conf.Charter.Products))
 	for name, i := range g.conf.Names.Products {
 		p := &f.Products[i]
 		p.Name = name
 		p.Settled, p.Declined, p.Voided = g.front.Finals(i)
 	}
-	add := func(name string, v int64) { f.More = append(f.More, ops.Figure{Name: name, Value: v}) }
+	add := func(name string, v int64) { f.More = append(f.More, admin.Figure{Name: name, Value: v}) }
 	if g.conf.Tells {
 		add("members", g.members.Load())
 		holds := g.desk.Holds()
--- a/internal/lifecycle/operate_test.go
+++ b/internal/gateway/lifecycle/operate_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/config"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/policy"
 )
 
 // operated is a deployment with an operators' port.
@@ -45,7 +45,7 @@
 			t.Errorf("no answer to %d", i)
 		}
 	}
-	time.Sleep(2 * time.Millisecond * logic.FiguresEach)
+	time.Sleep(2 * time.Millisecond * policy.FiguresEach)
 	got := d.operate("GET /admin/stats")
 	for _, want := range []string{"svc.ok.check=2\n", "svc.shed.check=1\n", "svc.errors.check=0\n",
 		"svc.ok.sale=1\n", "svc.errors.issue=1\n", fmt.Sprintf("svc.tries=%d\n", len(d.got())),
@@ -110,7 +110,7 @@
 	if !up() || !strings.Contains(d.operate("GET /admin/health"), " 200 ") {
 		t.Error("not up after resume")
 	}
-	time.Sleep(time.Duration(logic.DrainAsked+200) * time.Millisecond)
+	time.Sleep(time.Duration(policy.DrainAsked+200) * time.Millisecond)
 	fmt.Fprint(c, check("/check", "later"))
 	if status, _ := read(c); status != "HTTP/1.1 200 OK" {
 		t.Errorf("a connection kept after resume: %q", status)
--- a/internal/lifecycle/reload.go
+++ b/internal/gateway/lifecycle/reload.go
@@ -5,8 +5,8 @@
 	"reflect"
 	"slices"
 
-	"willowdeck/internal/config"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/policy"
 )
 
 // Reload takes up a configuration that has been read anew: the number of gatekeepers and who they are, if
@@ -26,7 +26,7 @@
 	}
 	g.conf.Discovery = c.Discovery
 	g.unwind()
-	g.watch(<-g.ended, logic.WatchMoved) // no news of the old watch may come behind that of the new one
+	g.watch(<-g.ended, policy.WatchMoved) // no news of the old watch may come behind that of the new one
 	g.log.Info().Str("discovery", c.Discovery).Msg("configuration taken up")
 }
 
--- a/internal/lifecycle/replace.go
+++ b/internal/gateway/lifecycle/replace.go
@@ -11,9 +11,9 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/handover"
-	"willowdeck/internal/wire"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/hotrestart"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/policy"
 )
 
 // placeWithin is how long a start waits for its clients' address: a process is to be ready within it, and one
@@ -29,7 +29,7 @@
 			log.Warn().Str("listen", at).Msg("address still taken, waiting for it")
 		}
 		for end := time.Now().Add(placeWithin); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(end); {
-			time.Sleep(wire.Millis(logic.AcceptAgain))
+			time.Sleep(transport.Millis(policy.AcceptAgain))
 			l, err = net.Listen("tcp", at)
 		}
 		if err != nil {
@@ -51,7 +51,7 @@
 
 // heir is a process's part in taking over from the one before it.
 type heir struct {
-	from  *handover.Heir
+	from  *hotrestart.Heir
 	took  atomic.Bool   // the place is its
 	stops atomic.Bool   // it stops, and takes no place any more
 	over  chan struct{} // closed once nothing more is handed on
@@ -69,8 +69,8 @@
 // inherit waits, ready but without clients, until the process before this one leaves its place, and takes it.
 func (g *Gatekeeper) inherit(h *heir) {
 	defer close(h.over)
-	whole, err := h.from.Receive(handover.Takes{
-		Will: func(w handover.Will) {
+	whole, err := h.from.Receive(hotrestart.Takes{
+		Will: func(w hotrestart.Will) {
 			h.took.Store(true)
 			g.desk.Resume(w.Estate, w.Workers, w.Kinds)
 			if g.peers != nil && g.conf.Tells {
@@ -90,7 +90,7 @@
 			}
 		},
 		Peers:  g.hear,
-		Client: func(c net.Conn, as handover.Client) { g.front.Adopt(g.limit, c, as.Proven, as.Ahead) },
+		Client: func(c net.Conn, as hotrestart.Client) { g.front.Adopt(g.limit, c, as.Proven, as.Ahead) },
 	})
 	g.log.Info().Bool("whole", whole).Err(err).Msg("the process before has ended")
 	if !whole && h.stops.Load() {
@@ -119,7 +119,7 @@
 	if g.conf.Scratch == "" {
 		return
 	}
-	o, err := handover.Offer(handover.Path(g.conf.Scratch, g.conf.Name), g.conf.Name)
+	o, err := hotrestart.Offer(hotrestart.Path(g.conf.Scratch, g.conf.Name), g.conf.Name)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("no process can take over from this one")
 		return
@@ -148,7 +148,7 @@
 		select {
 		case <-g.over:
 			return
-		case <-time.After(wire.Millis(logic.WatchAgain)):
+		case <-time.After(transport.Millis(policy.WatchAgain)):
 		}
 	}
 }
@@ -166,10 +166,10 @@
 	var err error
 	g.front.HandOn(g.limit, func(c syscall.RawConn, proven bool, ahead []byte) bool {
 		<-told
-		return err == nil && o.Client(c, handover.Client{Proven: proven, Ahead: ahead}) == nil
+		return err == nil && o.Client(c, hotrestart.Client{Proven: proven, Ahead: ahead}) == nil
 	})
 	g.links.Retire()
-	w := handover.Will{Drains: g.drains.Load()}
+	w := hotrestart.Will{Drains: g.drains.Load()}
 	if g.portal != nil {
 		g.portal.Close()
 		w.Clearances = g.portal.Leave() // before the module's own, which would count them as spent
--- a/internal/lifecycle/replace_test.go
+++ b/internal/gateway/lifecycle/replace_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/config"
-	"willowdeck/internal/residue"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/recovery/crashstate"
 )
 
 // held is a deployment whose clients' listener is the platform's, and what a second process is told.
@@ -196,7 +196,7 @@
 	}
 	end(d)
 	// As if its start had been long ago.
-	f, left, err := residue.Open(path, residue.Digest(d.conf.Charter), float64(time.Now().UnixMilli()))
+	f, left, err := crashstate.Open(path, crashstate.Digest(d.conf.Charter), float64(time.Now().UnixMilli()))
 	if err != nil || left == nil {
 		t.Fatal(left, err)
 	}
--- a/internal/lifecycle/room_test.go
+++ b/internal/gateway/lifecycle/room_test.go
@@ -14,11 +14,11 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/config"
-	"willowdeck/internal/faults"
-	"willowdeck/internal/standin"
-	"willowdeck/internal/wire"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/policy"
+	"willowdeck/internal/testkit/fakes"
+	"willowdeck/internal/testkit/faultinject"
 )
 
 // files counts the descriptors of a process.
@@ -83,7 +83,7 @@
 func TestIdleFillsDescriptors(t *testing.T) {
 	t.Parallel()
 	const most = 96
-	program := faults.Program(t, "willowdeck")
+	program := faultinject.Program(t, "willowdeck")
 	for _, c := range []struct {
 		name, limits, before string
 		args                 []string
@@ -98,7 +98,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			port := faults.Ports(t, 5)
+			port := faultinject.Ports(t, 5)
 			at := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", port+i) }
 			peer, err := net.ListenPacket("udp", at(4))
 			if err != nil {
@@ -115,12 +115,15 @@
 				t.Fatal(err)
 			}
 			run := fmt.Sprintf(`%sulimit -n %d; echo $$ > pid; exec "$@"`, c.before, most)
-			p := faults.Start(t, faults.Spec{Name: "n0", Program: "/bin/sh", Dir: dir, Args: append([]string{"-c", run,
-				"sh", program, "serve", "--config", "conf.json"}, c.args...)})
+			p := faultinject.Start(
+				t,
+				faultinject.Spec{Name: "n0", Program: "/bin/sh", Dir: dir, Args: append([]string{"-c", run,
+					"sh", program, "serve", "--config", "conf.json"}, c.args...)},
+			)
 			wait := func(what string, ms float64, ok func() bool) {
 				t.Helper()
 				for began := time.Now(); !ok(); time.Sleep(5 * time.Millisecond) {
-					if time.Since(began) > wire.Millis(ms) {
+					if time.Since(began) > transport.Millis(ms) {
 						log, _ := os.ReadFile(p.Log())
 						t.Fatalf("%s: not within %v ms; log: %s", what, ms, log)
 					}
@@ -145,7 +148,7 @@
 					d.Residue, d.History = "residue", "."
 				}
 				clients, workers := places(d)
-				if all := idle + more + logic.OperatorCalls + clients + workers; all > most {
+				if all := idle + more + policy.OperatorCalls + clients + workers; all > most {
 					t.Errorf("%d descriptors alone, %d for clients, %d for workers: %d of %d in all", idle, clients,
 						workers, all, most)
 				}
@@ -155,19 +158,19 @@
 
 			crowd(t, at(0), most, "")
 			crowd(t, at(0), most/2, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-			crowd(t, at(2), 2*logic.OperatorCalls, "")
+			crowd(t, at(2), 2*policy.OperatorCalls, "")
 			full := 0
 			wait("a crowd that fills all places", 10000, func() bool {
 				full = max(full, files(pid))
 				return full >= idle+c.least
 			})
 
-			w, err := standin.NewWorker("w", time.Millisecond)
+			w, err := fakes.NewWorker("w", time.Millisecond)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer w.Close()
-			list, err := json.Marshal(standin.List{Index: 8, Snapshot: true, Endpoints: []standin.Entry{w.Of("a")}})
+			list, err := json.Marshal(fakes.List{Index: 8, Snapshot: true, Endpoints: []fakes.Entry{w.Of("a")}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -205,7 +208,7 @@
 				n++
 				return answers(at(0), strings.Replace(check("/check", fmt.Sprint(n)), "spread=1", "spread=2", 1))
 			}
-			wait("a client served by a worker of the list", logic.WatchDue+5000, served)
+			wait("a client served by a worker of the list", policy.WatchDue+5000, served)
 			t.Logf("%d descriptors, %d of them without a client; served %v after discovery was up", full, idle,
 				time.Since(up))
 			peer.SetReadDeadline(time.Now().Add(10 * time.Second))
--- a/internal/lifecycle/settings_test.go
+++ b/internal/gateway/lifecycle/settings_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/config"
+	"willowdeck/internal/gateway/config"
 )
 
 // classesOf is the part of the tests' settings that tells of products.
--- a/internal/lifecycle/speak.go
+++ b/internal/gateway/lifecycle/speak.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"willowdeck/internal/outlook"
-	"willowdeck/internal/residue"
-	"willowdeck/logic"
+	"willowdeck/internal/forecast"
+	"willowdeck/internal/gateway/recovery/crashstate"
+	"willowdeck/internal/policy"
 )
 
 // wordEach is how often a word is made anew, at least: its rates are over ten seconds, and a look at all
@@ -22,7 +22,7 @@
 // speaker keeps the word that this gatekeeper says of itself.
 type speaker struct {
 	mu    sync.Mutex
-	word  outlook.Word
+	word  forecast.Word
 	made  time.Time
 	named bool // its group's name was given
 	said  atomic.Pointer[[]byte]
@@ -31,14 +31,14 @@
 // teller begins to count what a word tells.
 func (g *Gatekeeper) teller() *speaker {
 	c := &g.conf
-	s := &speaker{word: outlook.Word{Name: c.Name, Host: c.Host, Hall: c.Hall, Number: c.Charter.Me,
+	s := &speaker{word: forecast.Word{Name: c.Name, Host: c.Host, Hall: c.Hall, Number: c.Charter.Me,
 		Charter: c.Charter, Products: c.Names.ProductNames(), Plans: c.Names.PlanNames()}}
 	s.word.Charter.Me = 0
 	if s.named = c.Group != ""; s.named {
 		s.word.Group = c.Group
 	}
 	s.among(c.Peers, c.Charter.Gatekeepers)
-	g.desk.Measure(outlook.NewMeter(c.Charter, residue.Uptime()))
+	g.desk.Measure(forecast.NewMeter(c.Charter, crashstate.Uptime()))
 	return s
 }
 
@@ -59,7 +59,7 @@
 }
 
 // rules notes which version of the rules is gone by, and what it says of plans.
-func (s *speaker) rules(version uint64, plans []logic.Plan) {
+func (s *speaker) rules(version uint64, plans []policy.Plan) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.word.Version, s.word.Charter.Plans = version, slices.Clone(plans)
@@ -74,7 +74,7 @@
 	}
 	s.made = time.Now()
 	g.desk.Speak(&s.word)
-	b, err := outlook.Append(nil, &s.word)
+	b, err := forecast.Append(nil, &s.word)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("no word is told")
 		s.said.Store(nil)
--- a/internal/lifecycle/standstill_test.go
+++ b/internal/gateway/lifecycle/standstill_test.go
@@ -13,10 +13,10 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/history"
-	"willowdeck/internal/ports"
-	"willowdeck/internal/standin"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/fakes"
+	"willowdeck/internal/testkit/history"
+	"willowdeck/internal/testkit/ports"
 )
 
 // started is a real process of the program.
@@ -26,7 +26,7 @@
 }
 
 // start builds the program and runs it before a worker and discovery, with a daemon to ask.
-func start(t *testing.T, list *standin.Discovery, daemon, dir string, more ...string) *started {
+func start(t *testing.T, list *fakes.Discovery, daemon, dir string, more ...string) *started {
 	t.Helper()
 	path := filepath.Join(dir, "willowdeck")
 	if _, err := os.Stat(path); err != nil {
@@ -69,14 +69,14 @@
 }
 
 // around are a worker and discovery.
-func around(t *testing.T) (*standin.Worker, *standin.Discovery) {
+func around(t *testing.T) (*fakes.Worker, *fakes.Discovery) {
 	t.Helper()
-	w, err := standin.NewWorker("w0", 2*time.Millisecond)
+	w, err := fakes.NewWorker("w0", 2*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	list, err := standin.NewDiscovery(w.Of("a"))
+	list, err := fakes.NewDiscovery(w.Of("a"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,7 +150,7 @@
 	w, list := around(t)
 	x := newDaemon(t)
 	r := rules(1000, 1000)
-	r.Lease, r.Fallback = 200, accord.Fallback{Part: 0.5, For: 100}
+	r.Lease, r.Fallback = 200, ruleset.Fallback{Part: 0.5, For: 100}
 	x.leases(1, r, true)
 	dir := t.TempDir()
 	log := func(who string) *history.Log {
@@ -197,7 +197,7 @@
 		})
 		s.Process.Signal(syscall.SIGSTOP)
 		rig.Write(history.Event{Kind: history.Stalls, Peer: "n0"})
-		r.Plans = append([]accord.Plan(nil), r.Plans...)
+		r.Plans = append([]ruleset.Plan(nil), r.Plans...)
 		for range 2 {
 			time.Sleep(250 * time.Millisecond) // over the lease and its fallback
 			version++
@@ -233,7 +233,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := history.Contradiction(record, history.Plainly(nil), accord.MostBound, 250)
+	c := history.Contradiction(record, history.Plainly(nil), ruleset.MostBound, 250)
 	if c.Count > 0 || c.Seen == 0 {
 		t.Errorf("by the record: %+v", c)
 	}
--- a/internal/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -19,21 +19,21 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/config"
-	"willowdeck/internal/gate"
-	"willowdeck/internal/handover"
-	"willowdeck/internal/history"
-	"willowdeck/internal/inventory"
-	"willowdeck/internal/journal/store"
-	"willowdeck/internal/member"
-	"willowdeck/internal/ops"
-	"willowdeck/internal/portal"
-	"willowdeck/internal/residue"
-	"willowdeck/internal/vouch"
-	"willowdeck/internal/warm"
-	"willowdeck/internal/wire"
-	"willowdeck/internal/wire/roster"
-	"willowdeck/logic"
+	"willowdeck/internal/forwardauth/authorizer"
+	"willowdeck/internal/forwardauth/authserver"
+	"willowdeck/internal/gateway/admin"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/hotrestart"
+	"willowdeck/internal/gateway/incarnation"
+	"willowdeck/internal/gateway/proxy"
+	"willowdeck/internal/gateway/recovery/bootstrap"
+	"willowdeck/internal/gateway/recovery/checkpoint"
+	"willowdeck/internal/gateway/recovery/crashstate"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/gateway/transport/endpoints"
+	"willowdeck/internal/policy"
+	"willowdeck/internal/testkit/history"
+	"willowdeck/internal/txnjournal/store"
 )
 
 // socketSlack is by how much the protocol lengthens the rules' time limits, ms.
@@ -44,59 +44,59 @@
 	At      string // where clients connect
 	conf    config.Gatekeeper
 	log     zerolog.Logger
-	desk    *gate.Desk
-	front   *wire.Front
-	limit   *wire.Limited
-	links   *wire.Links
-	port    *ops.Port          // nil where operators do not call
+	desk    *proxy.Desk
+	front   *transport.Front
+	limit   *transport.Limited
+	links   *transport.Links
+	port    *admin.Port        // nil where operators do not call
 	drains  atomic.Bool        // clients are sent away
 	over    chan struct{}      // closed at the end
-	peers   *wire.Peers        // nil where peers are not talked to
+	peers   *transport.Peers   // nil where peers are not talked to
 	unwind  context.CancelFunc // ends the watch
 	ended   chan int64         // the version that it got to
 	served  chan error
-	owner   atomic.Pointer[handover.Owner] // where another process may take over from this one
-	members atomic.Int64                   // gatekeepers there are, this one included
-	lists   sync.Mutex                     // of list, and of what the desk is told of it
-	list    *warm.Book
-	portal  *portal.Portal // nil where portals do not ask
-	vouch   *vouch.Voucher // nil where no auth service is asked
-	spoilt  atomic.Int64   // copies of a former life that could not be gone by
-	asking  atomic.Bool    // others are asked for their list
-	agreed  *agreement     // nil where no rules are agreed on
-	history *history.Log   // nil where no record is kept
-	said    time.Time      // when the log last told that the watch had ended
-	word    *speaker       // nil where no word is told
-	first   chan struct{}  // closed at the watch's first word or failure
-	once    sync.Once      // of that
-	lends   atomic.Bool    // credit is, or can't be
-	away    atomic.Bool    // its place is another process's, still or from here on
-	heir    *heir          // nil where no process was before this one
+	owner   atomic.Pointer[hotrestart.Owner] // where another process may take over from this one
+	members atomic.Int64                     // gatekeepers there are, this one included
+	lists   sync.Mutex                       // of list, and of what the desk is told of it
+	list    *bootstrap.Book
+	portal  *authserver.Portal  // nil where portals do not ask
+	vouch   *authorizer.Voucher // nil where no auth service is asked
+	spoilt  atomic.Int64        // copies of a former life that could not be gone by
+	asking  atomic.Bool         // others are asked for their list
+	agreed  *agreement          // nil where no rules are agreed on
+	history *history.Log        // nil where no record is kept
+	said    time.Time           // when the log last told that the watch had ended
+	word    *speaker            // nil where no word is told
+	first   chan struct{}       // closed at the watch's first word or failure
+	once    sync.Once           // of that
+	lends   atomic.Bool         // credit is, or can't be
+	away    atomic.Bool         // its place is another process's, still or from here on
+	heir    *heir               // nil where no process was before this one
 
-	copied   atomic.Pointer[inventory.Left] // a former life's, until it is known which rules are in force
-	agreedOn atomic.Pointer[[]logic.Plan]   // as rules that were adopted last have them; nil before any
+	copied   atomic.Pointer[checkpoint.Left] // a former life's, until it is known which rules are in force
+	agreedOn atomic.Pointer[[]policy.Plan]   // as rules that were adopted last have them; nil before any
 
-	gate    *gate.Gate
+	gate    *proxy.Gate
 	journal atomic.Pointer[store.Keeper] // nil where no txn is written down
 }
 
 // Start brings a gatekeeper up: when it returns, clients are served.
 func Start(c config.Gatekeeper, log zerolog.Logger) (*Gatekeeper, error) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(c.Cores)), 1))
-	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * (1 << 20) * logic.MemoryPart))
-	debug.SetGCPercent(logic.GarbagePart)
+	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * (1 << 20) * policy.MemoryPart))
+	debug.SetGCPercent(policy.GarbagePart)
 
 	g := &Gatekeeper{conf: c, log: log, served: make(chan error, 1), over: make(chan struct{}),
 		first: make(chan struct{})}
 	clients, workers := places(c)
-	g.links = wire.NewLinks(workers, wire.Millis(c.Lines.IdleLimit*logic.IdleUse),
-		wire.Millis(c.Lines.ConnectTimeout))
+	g.links = transport.NewLinks(workers, transport.Millis(c.Lines.IdleLimit*policy.IdleUse),
+		transport.Millis(c.Lines.ConnectTimeout))
 	tell := func(int, []byte) {}
 	if len(c.Peers) > 0 {
-		g.peers = wire.NewPeers(c.Peers, c.Charter.Me)
+		g.peers = transport.NewPeers(c.Peers, c.Charter.Me)
 		tell = g.peers.Tell
 		if c.Charter = spoken(c); c.Tells {
-			g.peers.Bear(member.Word{Incarnation: residue.Uptime()})
+			g.peers.Bear(incarnation.Word{Incarnation: crashstate.Uptime()})
 		}
 	}
 	l, err := listen(c.Listen, c.FD, log)
@@ -105,14 +105,14 @@
 	}
 	if c.History != "" {
 		path := filepath.Join(c.History, fmt.Sprintf("%s.%d.jsonl", c.Name, os.Getpid()))
-		if g.history, err = history.Open(path, c.Name, residue.Uptime()); err != nil {
+		if g.history, err = history.Open(path, c.Name, crashstate.Uptime()); err != nil {
 			_ = l.Close()
 			return nil, err
 		}
 	}
-	var before *handover.Heir
+	var before *hotrestart.Heir
 	if c.Scratch != "" {
-		if before, err = handover.Find(handover.Path(c.Scratch, c.Name), c.Name); err != nil {
+		if before, err = hotrestart.Find(hotrestart.Path(c.Scratch, c.Name), c.Name); err != nil {
 			log.Info().Err(err).Msg("starting from nothing")
 		}
 	}
@@ -125,7 +125,7 @@
 			return nil, err
 		}
 	}
-	g.desk = gate.NewDesk(c.Charter, c.Seed, c.Lines.AnswerSlack+socketSlack, tell, g.links.Shed)
+	g.desk = proxy.NewDesk(c.Charter, c.Seed, c.Lines.AnswerSlack+socketSlack, tell, g.links.Shed)
 	if c.Hall != "" && c.Control != "" {
 		g.word = g.teller()
 	}
@@ -133,10 +133,10 @@
 		g.desk.Record(g.history)
 	}
 	g.desk.Roster(c.Known)
-	g.list = warm.NewBook(c.Known)
+	g.list = bootstrap.NewBook(c.Known)
 	g.members.Store(int64(c.Charter.Gatekeepers))
-	g.gate = gate.New(g.desk, g.links)
-	g.front = wire.NewFront(c.Names, c.Charter, g.forward(g.gate), g.up)
+	g.gate = proxy.New(g.desk, g.links)
+	g.front = transport.NewFront(c.Names, c.Charter, g.forward(g.gate), g.up)
 	g.front.Nameless = g.vouch != nil && c.Forward.Asking.Customer != ""
 
 	g.away.Store(true) // until what was before it is known
@@ -144,12 +144,12 @@
 		g.agree()
 	}
 
-	g.limit = wire.Limit(l, clients)
+	g.limit = transport.Limit(l, clients)
 	if err = nil; g.portal != nil && before == nil {
 		err = g.portal.Bind()
 	}
 	if c.Control != "" && err == nil {
-		g.port, err = ops.Open(c.Control, g)
+		g.port, err = admin.Open(c.Control, g)
 	}
 	if err != nil {
 		_ = l.Close()
@@ -162,10 +162,10 @@
 		return nil, err
 	}
 	if g.port != nil {
-		go ops.Every(g.over, g.look)
+		go admin.Every(g.over, g.look)
 	}
 	g.At = l.Addr().String()
-	g.watch(c.Known.Version, logic.WatchDue)
+	g.watch(c.Known.Version, policy.WatchDue)
 	if len(c.Ask) > 0 && g.asking.CompareAndSwap(false, true) {
 		go g.ask(c.Ask, rand.New(rand.NewSource(c.Seed)))
 	}
@@ -203,9 +203,9 @@
 
 // spoken is the charter of a gatekeeper by what its messages hold: among instances of one host, that may say
 // more to each other than the platform's, a word takes some of their room.
-func spoken(c config.Gatekeeper) logic.Charter {
+func spoken(c config.Gatekeeper) policy.Charter {
 	if c.Tells {
-		c.Charter.ReportsPerTell = min(c.Charter.ReportsPerTell, wire.Room)
+		c.Charter.ReportsPerTell = min(c.Charter.ReportsPerTell, transport.Room)
 	}
 	return c.Charter
 }
@@ -222,7 +222,7 @@
 	if g.conf.Residue == "" {
 		return
 	}
-	f, left, err := residue.Open(g.conf.Residue, residue.Digest(g.conf.Charter), g.desk.Now())
+	f, left, err := crashstate.Open(g.conf.Residue, crashstate.Digest(g.conf.Charter), g.desk.Now())
 	if err != nil {
 		g.log.Warn().Err(err).Msg("nothing will outlive a sudden end")
 		return
@@ -240,7 +240,7 @@
 // recall keeps copies of what fades beside the residue, and takes that of a former life: at once, or where
 // rules are agreed on, with the first version of them that is gone by.
 func (g *Gatekeeper) recall(sudden bool) {
-	b, left, none, err := inventory.Open(g.conf.Residue+".inventory", g.desk.Now())
+	b, left, none, err := checkpoint.Open(g.conf.Residue+".inventory", g.desk.Now())
 	if err != nil {
 		g.log.Warn().Err(err).Msg("no copies of quotas and demand will be kept")
 		return
@@ -254,7 +254,7 @@
 			g.recollect()
 		}
 	}
-	words := func(all []member.Word) []member.Word { return all[:0] }
+	words := func(all []incarnation.Word) []incarnation.Word { return all[:0] }
 	if g.peers != nil {
 		words = g.peers.Heard
 	}
@@ -270,7 +270,7 @@
 	age := g.desk.Now() - l.Estate.At
 	n, fits := g.desk.Recollect(l, g.conf.Tells)
 	if !fits {
-		g.doubt(inventory.ErrCharter)
+		g.doubt(checkpoint.ErrCharter)
 		return
 	}
 	if n > 0 && g.peers != nil {
@@ -284,7 +284,7 @@
 
 // doubt says why there is no copy to go by, and counts it where there was one.
 func (g *Gatekeeper) doubt(why error) {
-	if !errors.Is(why, inventory.ErrNone) {
+	if !errors.Is(why, checkpoint.ErrNone) {
 		g.spoilt.Add(1)
 	}
 	g.log.Info().AnErr("as", why).Msg("no copy of quotas and demand to go by")
@@ -300,7 +300,7 @@
 		return
 	}
 	who := store.Who{Name: g.conf.Name}
-	if mark, up, err := residue.Boot(); err == nil {
+	if mark, up, err := crashstate.Boot(); err == nil {
 		who.Boot, who.Offset = crc32.ChecksumIEEE(mark), float64(time.Now().UnixMilli())-up
 	}
 	k := store.Keep(diskOf(j.Of(g.conf.Name)), j.Terms, who, beside, g.conf.Seed, g.log)
@@ -310,14 +310,14 @@
 
 // forward puts forward authentication before a gate, in the roles that are on: a txn that a portal has had
 // cleared needs nobody else's word.
-func (g *Gatekeeper) forward(to *gate.Gate) func(*wire.Txn) wire.Final {
+func (g *Gatekeeper) forward(to *proxy.Gate) func(*transport.Txn) transport.Final {
 	serve, f := to.Serve, g.conf.Forward
 	if f != nil && f.Asking != nil {
-		g.vouch = vouch.New(f.Asking, g.conf.Charter, to, g.conf.Seed)
+		g.vouch = authorizer.New(f.Asking, g.conf.Charter, to, g.conf.Seed)
 		serve = g.vouch.Serve
 	}
 	if f != nil && f.Asked != nil {
-		g.portal = portal.New(f.Asked, g.conf.Names, g.conf.Charter, to, serve)
+		g.portal = authserver.New(f.Asked, g.conf.Names, g.conf.Charter, to, serve)
 		serve = g.portal.Serve
 	}
 	return serve
@@ -328,9 +328,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	addr, ended := g.conf.Discovery, make(chan int64, 1)
 	g.unwind, g.ended = cancel, ended
-	pace := wire.Pace{Askers: g.askers, Due: due, Chance: rand.New(rand.NewSource(g.conf.Seed)).Float64}
+	pace := transport.Pace{Askers: g.askers, Due: due, Chance: rand.New(rand.NewSource(g.conf.Seed)).Float64}
 	go func() {
-		ended <- wire.Watch(ctx, addr, version, g.news, g.alive, g.unheard, pace)
+		ended <- transport.Watch(ctx, addr, version, g.news, g.alive, g.unheard, pace)
 	}()
 }
 
@@ -347,14 +347,14 @@
 func (g *Gatekeeper) await() {
 	select {
 	case <-g.first:
-	case <-time.After(wire.Millis(logic.FirstWord)):
+	case <-time.After(transport.Millis(policy.FirstWord)):
 	}
 }
 
 // speaks notes the watch's first word, or its first failure.
 func (g *Gatekeeper) speaks() { g.once.Do(func() { close(g.first) }) }
 
-func (g *Gatekeeper) news(l roster.List) {
+func (g *Gatekeeper) news(l endpoints.List) {
 	g.lists.Lock()
 	g.desk.Roster(g.list.Discovery(l, g.desk.Now()))
 	g.lists.Unlock()
@@ -365,7 +365,7 @@
 // unheard says at most once in WatchDue that the watch has ended: tries without end must not fill the log.
 func (g *Gatekeeper) unheard(err error) {
 	g.speaks()
-	if now := time.Now(); now.Sub(g.said) > wire.Millis(logic.WatchDue) {
+	if now := time.Now(); now.Sub(g.said) > transport.Millis(policy.WatchDue) {
 		g.said = now
 		g.log.Warn().Err(err).Msg("watch ended, opening it again")
 	}
--- a/internal/lifecycle/start_test.go
+++ b/internal/gateway/lifecycle/start_test.go
@@ -21,10 +21,10 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 
-	"willowdeck/internal/config"
-	"willowdeck/internal/faults"
-	"willowdeck/internal/ports"
-	"willowdeck/internal/standin"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/testkit/fakes"
+	"willowdeck/internal/testkit/faultinject"
+	"willowdeck/internal/testkit/ports"
 )
 
 // The terms of a start: nine in ten are ready within the first, none later than the second.
@@ -64,7 +64,7 @@
 
 // start starts a gatekeeper's process by its configuration file.
 func (n *nest) start(file string) *exec.Cmd {
-	cmd := exec.Command(faults.Program(n.t, "willowdeck"), "serve", "--config", file)
+	cmd := exec.Command(faultinject.Program(n.t, "willowdeck"), "serve", "--config", file)
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
 	out, err := os.OpenFile(file+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -165,12 +165,12 @@
 // of their former lives have just ended. Guards against a start that waits for discovery, peers or a port.
 func TestStartTogether(t *testing.T) {
 	const fleet, members, known = 24, 300, 200
-	worker, err := standin.NewWorker("w", time.Millisecond)
+	worker, err := fakes.NewWorker("w", time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(worker.Close)
-	var list standin.List
+	var list fakes.List
 	list.Index = 7
 	for i := range known {
 		e := worker.Of("a")
@@ -183,7 +183,7 @@
 		ways = append(ways, way)
 	}
 	slices.Sort(ways)
-	ports := faults.Ports(t, 2*fleet)
+	ports := faultinject.Ports(t, 2*fleet)
 	at := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", ports+2*i) }
 	var peers []string
 	for i := range members {
@@ -214,7 +214,7 @@
 	}
 	n := newNest(t)
 	lives := make([]*exec.Cmd, fleet)
-	faults.Program(t, "willowdeck") // built before the clock runs
+	faultinject.Program(t, "willowdeck") // built before the clock runs
 	begin := func(name string, which []int) {
 		t.Helper()
 		took, errs := make([]time.Duration, len(which)), make([]error, len(which))
@@ -376,17 +376,17 @@
 // machine has taken by then, and ends by itself. Guards against a signal that ends the program while it
 // starts, with connections in the listener's queue.
 func TestTermDuringStart(t *testing.T) {
-	worker, err := standin.NewWorker("w", time.Millisecond)
+	worker, err := fakes.NewWorker("w", time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(worker.Close)
-	known, err := json.Marshal(standin.List{Index: 7, Endpoints: []standin.Entry{worker.Of("a")}})
+	known, err := json.Marshal(fakes.List{Index: 7, Endpoints: []fakes.Entry{worker.Of("a")}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := newNest(t)
-	faults.Program(t, "willowdeck")
+	faultinject.Program(t, "willowdeck")
 	for range 5 { // a machine that stands still may miss the time in which new connections are served
 		former := ports.Listen(t)
 		at := former.Addr().String()
--- a/internal/lifecycle/stop.go
+++ b/internal/gateway/lifecycle/stop.go
@@ -5,10 +5,10 @@
 	"os"
 	"time"
 
-	"willowdeck/internal/config"
-	"willowdeck/internal/held"
-	"willowdeck/internal/wire"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/inflight"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/policy"
 )
 
 // Run serves until stop gives a signal or serving fails, then stops. At each signal of reload it takes up the
@@ -48,13 +48,14 @@
 // then closes idle ones and ends once all that was taken has its answer. What comes whole too late for that
 // is not taken, and what is in hand too long is given up: SIGKILL would leave it without an answer.
 func (g *Gatekeeper) Stop() {
-	defer time.AfterFunc(wire.Millis(min(g.conf.Lines.LongestWait, logic.StopLongest)+logic.StopAll), func() {
+	defer time.AfterFunc(transport.Millis(min(g.conf.Lines.LongestWait, policy.StopLongest)+policy.StopAll), func() {
 		g.limit.GiveUp()
 		g.desk.Turn()
-	}).Stop()
+	}).
+		Stop()
 	if !g.handOver() {
-		defer time.AfterFunc(wire.Millis(logic.AcceptOn+logic.StopIdle), g.limit.Hurry).Stop()
-		time.Sleep(wire.Millis(logic.AcceptOn))
+		defer time.AfterFunc(transport.Millis(policy.AcceptOn+policy.StopIdle), g.limit.Hurry).Stop()
+		time.Sleep(transport.Millis(policy.AcceptOn))
 		if g.portal != nil {
 			g.portal.Close()
 		}
@@ -86,7 +87,7 @@
 	t := g.desk.Tally()
 	e := g.log.Info().Ints("finals", t.Final[:]).Int64("unreadable", g.front.Broken()).
 		Int64("clients_shed", g.limit.Shed()).Int64("links_spoilt", g.links.Spoilt())
-	for name, n := range held.Broken() {
+	for name, n := range inflight.Broken() {
 		e = e.Int64("broken_"+name, n)
 	}
 	if g.peers != nil {
--- a/internal/lifecycle/warm.go
+++ b/internal/gateway/lifecycle/warm.go
@@ -8,11 +8,11 @@
 
 	"github.com/valyala/fasthttp"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/ops"
-	"willowdeck/internal/warm"
-	"willowdeck/internal/wire"
-	"willowdeck/internal/wire/roster"
+	"willowdeck/internal/gateway/admin"
+	"willowdeck/internal/gateway/recovery/bootstrap"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/gateway/transport/endpoints"
+	"willowdeck/internal/ruleset"
 )
 
 // alive notes that discovery is heard.
@@ -26,7 +26,7 @@
 }
 
 // words takes the operators' words on workers and halls.
-func (g *Gatekeeper) words(all []accord.Word) {
+func (g *Gatekeeper) words(all []ruleset.Word) {
 	g.lists.Lock()
 	defer g.lists.Unlock()
 	g.desk.Roster(g.list.Words(all))
@@ -65,7 +65,7 @@
 	l, age, ok := g.list.Tells(g.desk.Now())
 	if ok {
 		var err error
-		if list, err = roster.Append(nil, l); err != nil {
+		if list, err = endpoints.Append(nil, l); err != nil {
 			return nil, 0, false
 		}
 	}
@@ -75,8 +75,8 @@
 // ask asks running instances for their list until discovery has spoken. Nothing waits for it.
 func (g *Gatekeeper) ask(peers []string, rng *rand.Rand) {
 	defer g.asking.Store(false)
-	client := fasthttp.Client{MaxResponseBodySize: warm.LongestOf, MaxIdemponentCallAttempts: 1,
-		NoDefaultUserAgentHeader: true, ReadTimeout: wire.Millis(warm.AskWithin)}
+	client := fasthttp.Client{MaxResponseBodySize: bootstrap.LongestOf, MaxIdemponentCallAttempts: 1,
+		NoDefaultUserAgentHeader: true, ReadTimeout: transport.Millis(bootstrap.AskWithin)}
 	for {
 		for _, at := range peers {
 			g.lists.Lock()
@@ -104,29 +104,29 @@
 		select {
 		case <-g.over:
 			return
-		case <-time.After(wire.Millis(warm.AskAgain * (0.5 + rng.Float64()))):
+		case <-time.After(transport.Millis(bootstrap.AskAgain * (0.5 + rng.Float64()))):
 		}
 	}
 }
 
 // listOf asks an instance for its list.
-func listOf(client *fasthttp.Client, at string) (roster.List, float64, error) {
+func listOf(client *fasthttp.Client, at string) (endpoints.List, float64, error) {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	req.SetRequestURI("http://" + at + ops.ListPath)
+	req.SetRequestURI("http://" + at + admin.ListPath)
 	req.SetConnectionClose()
-	if err := client.DoTimeout(req, res, wire.Millis(warm.AskWithin)); err != nil {
-		return roster.List{}, 0, err
+	if err := client.DoTimeout(req, res, transport.Millis(bootstrap.AskWithin)); err != nil {
+		return endpoints.List{}, 0, err
 	}
-	if v := string(res.Header.Peek(ops.VersionHeader)); res.StatusCode() != fasthttp.StatusOK ||
-		v != strconv.Itoa(warm.Version) {
-		return roster.List{}, 0, fmt.Errorf("status %d, version %q", res.StatusCode(), v)
+	if v := string(res.Header.Peek(admin.VersionHeader)); res.StatusCode() != fasthttp.StatusOK ||
+		v != strconv.Itoa(bootstrap.Version) {
+		return endpoints.List{}, 0, fmt.Errorf("status %d, version %q", res.StatusCode(), v)
 	}
-	age, err := strconv.ParseFloat(string(res.Header.Peek(ops.AgeHeader)), 64)
+	age, err := strconv.ParseFloat(string(res.Header.Peek(admin.AgeHeader)), 64)
 	if err != nil {
-		return roster.List{}, 0, fmt.Errorf("%s: %w", ops.AgeHeader, err)
+		return endpoints.List{}, 0, fmt.Errorf("%s: %w", admin.AgeHeader, err)
 	}
-	l, err := roster.Decode(res.Body())
+	l, err := endpoints.Decode(res.Body())
 	return l, age, err
 }
--- a/internal/lifecycle/warm_test.go
+++ b/internal/gateway/lifecycle/warm_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/config"
-	"willowdeck/internal/ops"
+	"willowdeck/internal/gateway/admin"
+	"willowdeck/internal/gateway/config"
 )
 
 // scripted is a peer that answers whatever it is told to, on loopback.
@@ -42,11 +42,11 @@
 	}
 	says := func(version, age string, body func() string) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
-			if r.URL.Path != ops.ListPath {
+			if r.URL.Path != admin.ListPath {
 				t.Errorf("asked for %s", r.URL.Path)
 			}
-			w.Header().Set(ops.VersionHeader, version)
-			w.Header().Set(ops.AgeHeader, age)
+			w.Header().Set(admin.VersionHeader, version)
+			w.Header().Set(admin.AgeHeader, age)
 			io.WriteString(w, body())
 		}
 	}
@@ -132,20 +132,20 @@
 func TestTellsItsList(t *testing.T) {
 	d := deployWith(t, func(c *config.Gatekeeper) { c.Control, c.Tells = "127.0.0.1:0", true }, 2, 5000)
 	until(t, "nothing is told", func() bool {
-		return strings.Contains(d.operate("GET "+ops.ListPath), "\"index\":7")
+		return strings.Contains(d.operate("GET "+admin.ListPath), "\"index\":7")
 	})
 	d.news <- fmt.Sprintf(`{"index":8,"snapshot":false,"endpoints":[%s]}`, d.entry(1, "left", 0))
 	until(t, "it tells what was", func() bool {
-		s := d.operate("GET " + ops.ListPath)
+		s := d.operate("GET " + admin.ListPath)
 		return strings.Contains(s, "\"index\":8") && !strings.Contains(s, "w1") && strings.Contains(s, "w0")
 	})
-	if s := operated(t).operate("GET " + ops.ListPath); !strings.Contains(s, "404") {
+	if s := operated(t).operate("GET " + admin.ListPath); !strings.Contains(s, "404") {
 		t.Errorf("one that is not to tell: %q", s)
 	}
 	quiet := deployWith(t, func(c *config.Gatekeeper) {
 		c.Control, c.Tells, c.Discovery = "127.0.0.1:0", true, silentListener(t)
 	}, 1, 5000)
-	if s := quiet.operate("GET " + ops.ListPath); !strings.Contains(s, "503") {
+	if s := quiet.operate("GET " + admin.ListPath); !strings.Contains(s, "503") {
 		t.Errorf("before discovery has spoken: %q", s)
 	}
 }
