--- a/internal/emu/gatekeeper.go
+++ b/internal/lab/emulator/gatekeeper.go
@@ -1,12 +1,12 @@
-package emu
+package emulator
 
 import (
 	"math"
 	"math/rand"
 
-	"willowdeck/internal/judge"
-	"willowdeck/internal/outlook"
-	"willowdeck/logic"
+	"willowdeck/internal/forecast"
+	"willowdeck/internal/policy"
+	"willowdeck/internal/testkit/invariants"
 )
 
 // gatekeeper is one instance, through its lives.
@@ -22,13 +22,13 @@
 	cut     bool // from its peers
 	txns    map[uint64]*txn
 	wakeAt  float64
-	told    []told        // by worker: what it knows of the list
-	lender  *lender       // nil where no plan has credit
-	left    *logic.Estate // what its former life knew, as far as it is kept
-	copied  logic.Estate  // the newest copy of what fades
-	heard   []int         // by peer: its life when it was last heard
-	known   []int         // the same as the newest copy has it
-	meter   *outlook.Meter
+	told    []told         // by worker: what it knows of the list
+	lender  *lender        // nil where no plan has credit
+	left    *policy.Estate // what its former life knew, as far as it is kept
+	copied  policy.Estate  // the newest copy of what fades
+	heard   []int          // by peer: its life when it was last heard
+	known   []int          // the same as the newest copy has it
+	meter   *forecast.Meter
 	away    streak
 }
 
@@ -92,11 +92,11 @@
 	g.up, g.held, g.pending = true, false, nil
 	g.txns, g.wakeAt = map[uint64]*txn{}, 0
 	g.brain = g.w.newBrain(g.num, g.source.Int63())
-	if m, ok := g.brain.(*logic.Gatekeeper); ok {
+	if m, ok := g.brain.(*policy.Gatekeeper); ok {
 		g.lend(m)
 	}
 	g.told = make([]told, len(g.w.workers))
-	var list []logic.Posting
+	var list []policy.Posting
 	for i, x := range g.w.workers {
 		g.told[i] = told{x.listed(), x.life}
 		if !x.listed() {
@@ -106,7 +106,7 @@
 		list = append(list, x.posting(true))
 	}
 	g.input(func(b brain) { b.Roster(list, false) })
-	if m, ok := g.brain.(*logic.Gatekeeper); ok && g.left != nil {
+	if m, ok := g.brain.(*policy.Gatekeeper); ok && g.left != nil {
 		m.Resume(g.keep(*g.left))
 		m.Alone()
 		for i := range list {
@@ -128,14 +128,14 @@
 	_, phase := math.Modf(float64(g.num) * math.Phi)
 	var again func()
 	again = func() {
-		if m, ok := g.brain.(*logic.Gatekeeper); ok && g.up && !g.held {
+		if m, ok := g.brain.(*policy.Gatekeeper); ok && g.up && !g.held {
 			for from := m.Copy(&g.copied, 0, g.w.now); from > 0; from = m.Copy(&g.copied, from, g.w.now) {
 			}
 			g.known = append(g.known[:0], g.heard...)
 		}
-		g.w.in(logic.CopyEach, again)
+		g.w.in(policy.CopyEach, again)
 	}
-	g.w.in(phase*logic.CopyEach, again)
+	g.w.in(phase*policy.CopyEach, again)
 }
 
 // period is about the time within which a newcomer first speaks to its peers, ms: 400, or what they take in.
@@ -156,7 +156,7 @@
 )
 
 // keep is what is left of an estate as a new life begins.
-func (g *gatekeeper) keep(e logic.Estate) logic.Estate {
+func (g *gatekeeper) keep(e policy.Estate) policy.Estate {
 	what := g.w.s.Gatekeepers.Keeps
 	if what&KeepQuotas == 0 {
 		started := g.w.clock()
@@ -165,20 +165,20 @@
 		}
 		e.Started, e.Base = g.w.clock(), started
 		for i := range e.Peers {
-			e.Peers[i] = logic.Hearing{}
+			e.Peers[i] = policy.Hearing{}
 		}
 		for i := range e.Tight { // as at a start
 			e.Tight[i] = 1
 		}
 		e.NextTell = g.w.clock() + g.w.s.period()*g.source.Float64()
 	}
-	var customers []logic.Customer
+	var customers []policy.Customer
 	for _, c := range e.Customers {
 		switch {
 		case what&KeepCeilings == 0 && what&KeepQuotas == 0:
 			continue
 		case what&KeepQuotas == 0: // as of one that is known from peers alone: its first txn fills the rest in
-			c = logic.Customer{Key: c.Key, Plan: c.Plan, First: c.First, CeilingAt: c.CeilingAt, Whole: math.Inf(1),
+			c = policy.Customer{Key: c.Key, Plan: c.Plan, First: c.First, CeilingAt: c.CeilingAt, Whole: math.Inf(1),
 				Filled: e.At, Seen: e.At, CoolSince: e.At}
 		case what&KeepCeilings == 0:
 			if p := g.w.s.Plans[c.Plan]; p.Ceiling > 0 { // taken as spent, as at any start
@@ -193,7 +193,7 @@
 			e.Workers = nil
 		}
 		for i, s := range e.Workers { // all else as of one that has just been listed
-			e.Workers[i] = logic.Standing{Worker: s.Worker, Since: s.Since, Heard: g.w.clock(), ColdAt: s.ColdAt,
+			e.Workers[i] = policy.Standing{Worker: s.Worker, Since: s.Since, Heard: g.w.clock(), ColdAt: s.ColdAt,
 				ColdDebt: s.ColdDebt, Turned: make([]float64, len(s.Turned)), TurnedAt: make([]float64, len(s.TurnedAt))}
 		}
 		e.WarmDone, e.WarmAt = 0, e.At
@@ -211,7 +211,7 @@
 		return
 	}
 	g.up = false
-	if m, ok := g.brain.(*logic.Gatekeeper); ok && g.w.s.Gatekeepers.Keeps > 0 {
+	if m, ok := g.brain.(*policy.Gatekeeper); ok && g.w.s.Gatekeepers.Keeps > 0 {
 		m.Clock(g.w.clock())
 		e := m.Retire()
 		g.left = &e
@@ -252,7 +252,7 @@
 	}
 	g.brain.Clock(g.w.clock())
 	f(g.brain)
-	m, lends := g.brain.(*logic.Gatekeeper)
+	m, lends := g.brain.(*policy.Gatekeeper)
 	lends = lends && g.lender != nil
 	for {
 		d, ok := g.brain.Next()
@@ -296,7 +296,7 @@
 			t.final = true // it stands still: the client goes, and is owed nothing that it could get
 			w.judge.Left(t.id)
 			w.res.Silent++
-			g.meter.Ended(c.a.Plan, c.a.Product, outlook.Other, 0)
+			g.meter.Ended(c.a.Plan, c.a.Product, forecast.Other, 0)
 			c.answered(silent, 0)
 			g.input(func(b brain) { b.Left(t.id) })
 			g.drop(t)
@@ -306,16 +306,16 @@
 		if t.final {
 			return
 		}
-		b.Take(logic.Arrival{ID: t.id, Customer: uint64(c.a.Customer), Product: c.a.Product, Plan: c.a.Plan,
+		b.Take(policy.Arrival{ID: t.id, Customer: uint64(c.a.Customer), Product: c.a.Product, Plan: c.a.Plan,
 			Units: c.a.Units, SetSize: w.s.spread(c.a.Plan), First: firstOf, Left: until - w.now})
 	})
 }
 
 // carry carries out one decision.
-func (g *gatekeeper) carry(d logic.Decision) {
+func (g *gatekeeper) carry(d policy.Decision) {
 	w := g.w
 	switch d.Kind {
-	case logic.Wake:
+	case policy.Wake:
 		d.At -= dawn
 		if g.wakeAt > w.now && g.wakeAt <= d.At {
 			return
@@ -331,7 +331,7 @@
 			}
 		})
 		return
-	case logic.Tell:
+	case policy.Tell:
 		g.tell(d)
 		return
 	}
@@ -341,40 +341,40 @@
 		return
 	}
 	switch d.Kind {
-	case logic.Submit:
+	case policy.Submit:
 		g.submit(t, d)
-	case logic.Withdraw:
+	case policy.Withdraw:
 		if s := t.subs[d.N]; !s.over {
-			g.ended(s, logic.Withdrawn, judge.MayHaveRun)
+			g.ended(s, policy.Withdrawn, invariants.MayHaveRun)
 		}
-	case logic.Decline:
-		g.final(t, judge.Declined, declined, d.Wait)
-	case logic.Void:
-		g.final(t, judge.Voided, voided, 0)
+	case policy.Decline:
+		g.final(t, invariants.Declined, declined, d.Wait)
+	case policy.Void:
+		g.final(t, invariants.Voided, voided, 0)
 	}
 }
 
 // tell sends a message to a peer, if it gets there.
-func (g *gatekeeper) tell(d logic.Decision) {
+func (g *gatekeeper) tell(d policy.Decision) {
 	w := g.w
 	w.res.Messages++
 	to := w.gks[d.Peer]
 	lost := w.net.Float64() < w.s.Network.PeerLoss
 	if delay := w.draw(w.s.Network.PeerMS); !lost && !g.cut && !to.cut &&
 		w.joined(w.s.hall(g.num), w.s.hall(to.num)) {
-		reports, from := append([]logic.Report(nil), d.Reports...), g.num
+		reports, from := append([]policy.Report(nil), d.Reports...), g.num
 		life := g.life
 		w.in(delay, func() { to.input(func(b brain) { to.hears(b, from, life, reports) }) })
 	}
 }
 
 // hears takes a peer's message.
-func (g *gatekeeper) hears(b brain, from, life int, reports []logic.Report) {
+func (g *gatekeeper) hears(b brain, from, life int, reports []policy.Report) {
 	if g.w.s.Gatekeepers.Keeps&KeepReturns != 0 {
 		if life < g.heard[from] {
 			return
 		}
-		if m, ok := b.(*logic.Gatekeeper); ok && g.heard[from] > 0 && life > g.heard[from] {
+		if m, ok := b.(*policy.Gatekeeper); ok && g.heard[from] > 0 && life > g.heard[from] {
 			m.Returned(from)
 		}
 		g.heard[from] = life
@@ -383,7 +383,7 @@
 }
 
 // final gives a txn's client its answer.
-func (g *gatekeeper) final(t *txn, f judge.Final, k answerKind, wait float64) {
+func (g *gatekeeper) final(t *txn, f invariants.Final, k answerKind, wait float64) {
 	g.w.judge.Answered(g.w.now, t.id, f)
 	if t.final {
 		return
@@ -396,8 +396,8 @@
 	g.drop(t)
 }
 
-var ends = map[answerKind]outlook.Final{settled: outlook.Settled, declined: outlook.Declined,
-	voided: outlook.Voided}
+var ends = map[answerKind]forecast.Final{settled: forecast.Settled, declined: forecast.Declined,
+	voided: forecast.Voided}
 
 // drop forgets a txn of which nothing more can come.
 func (g *gatekeeper) drop(t *txn) {
@@ -407,7 +407,7 @@
 }
 
 // submit sends a submission on its way.
-func (g *gatekeeper) submit(t *txn, d logic.Decision) {
+func (g *gatekeeper) submit(t *txn, d policy.Decision) {
 	w := g.w
 	x := w.workers[d.Worker]
 	s := &submission{t: t, n: len(t.subs), g: g, life: g.life, worker: x, wlife: g.told[d.Worker].life,
@@ -418,11 +418,11 @@
 	g.away.n = 0
 	w.in(d.Wait, func() {
 		if g.life == s.life && g.up && !s.over {
-			proof := judge.MayHaveRun
+			proof := invariants.MayHaveRun
 			if !s.written {
-				proof = judge.NeverRan
+				proof = invariants.NeverRan
 			}
-			g.ended(s, logic.TimedOut, proof)
+			g.ended(s, policy.TimedOut, proof)
 		}
 	})
 	w.in(w.way(g, x), func() { // its connection has come up, or not
@@ -430,15 +430,15 @@
 		case !s.over && g.life == s.life && g.up && !w.reach(g, x):
 			w.in(connects, func() {
 				if !s.over && g.life == s.life && g.up {
-					g.ended(s, logic.NoRoute, judge.NeverRan)
+					g.ended(s, policy.NoRoute, invariants.NeverRan)
 				}
 			})
 		case s.over || g.life != s.life || !g.up:
 		case t.final || !w.s.blind && (!g.told[x.at].active || g.told[x.at].life != s.wlife),
 			d.Latest > 0 && w.now >= d.Latest: // a baseline's decision says nothing of it
-			g.ended(s, logic.NotSent, judge.NeverRan)
+			g.ended(s, policy.NotSent, invariants.NeverRan)
 		case x.life != s.wlife || x.dead:
-			g.ended(s, logic.NoRoute, judge.NeverRan)
+			g.ended(s, policy.NoRoute, invariants.NeverRan)
 		default:
 			s.written, s.sent = true, t.sent
 			t.sent++
@@ -454,7 +454,7 @@
 const connects = 250
 
 // answer brings a worker's answer back.
-func (s *submission) answer(o logic.Outcome, proof judge.End) {
+func (s *submission) answer(o policy.Outcome, proof invariants.End) {
 	w := s.g.w
 	if !w.reach(s.g, s.worker) {
 		return
@@ -467,7 +467,7 @@
 }
 
 // ended tells the brain how a submission ended. The first answer of a worker settles the txn.
-func (g *gatekeeper) ended(s *submission, o logic.Outcome, proof judge.End) {
+func (g *gatekeeper) ended(s *submission, o policy.Outcome, proof invariants.End) {
 	if s.over {
 		return
 	}
@@ -484,11 +484,11 @@
 	g.learn(s, o)
 }
 
-func (g *gatekeeper) learn(s *submission, o logic.Outcome) {
+func (g *gatekeeper) learn(s *submission, o policy.Outcome) {
 	t := s.t
 	over := t.final
-	if o == logic.Settled && !t.final {
-		g.final(t, judge.Settled, settled, 0)
+	if o == policy.Settled && !t.final {
+		g.final(t, invariants.Settled, settled, 0)
 	}
 	took, closed := g.w.now-s.began, t.final
 	g.meter.Answered(g.w.s.hall(s.worker.at), t.product, o, took, over)
@@ -508,7 +508,7 @@
 		w.judge.Told(w.now, g.num, x.at, x.listed())
 		w.judge.Knows(g.num, x.at, x.since)
 		p := x.posting(fresh)
-		g.input(func(b brain) { b.Roster([]logic.Posting{p}, true) })
+		g.input(func(b brain) { b.Roster([]policy.Posting{p}, true) })
 	})
 }
 
--- a/internal/emu/golden_test.go
+++ b/internal/lab/emulator/golden_test.go
@@ -1,10 +1,10 @@
-package emu
+package emulator
 
 import (
 	"encoding/json"
 	"testing"
 
-	"willowdeck/internal/strict"
+	"willowdeck/internal/strictoml"
 	"willowdeck/internal/testkit/goldenform"
 )
 
@@ -15,7 +15,7 @@
 
 var goldenForms = []goldenform.Form{
 	{File: "scenario.toml", New: func() any { return &Scenario{} },
-		Decode: func(raw []byte, into any) error { return strict.Decode(string(raw), into) }},
+		Decode: func(raw []byte, into any) error { return strictoml.Decode(string(raw), into) }},
 	{File: "result.json", New: func() any { return &Result{} }, Encode: json.Marshal, Decode: json.Unmarshal},
 }
 
--- a/internal/emu/late.go
+++ b/internal/lab/emulator/late.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import "math"
 
--- a/internal/emu/lend.go
+++ b/internal/lab/emulator/lend.go
@@ -1,8 +1,8 @@
-package emu
+package emulator
 
 import (
-	"willowdeck/internal/credit"
-	"willowdeck/logic"
+	"willowdeck/internal/borrowing"
+	"willowdeck/internal/policy"
 )
 
 // lendEach is how often a gatekeeper looks after what is owed, ms, as lifecycle has it.
@@ -11,36 +11,36 @@
 // lender is a gatekeeper's book of credit. What it has kept outlives its lives.
 type lender struct {
 	g     *gatekeeper
-	book  *credit.Book
-	kept  map[int]credit.Record
+	book  *borrowing.Book
+	kept  map[int]borrowing.Record
 	said  uint64
 	heard map[int]uint64
 	looks bool
 }
 
 // lines are the plans' lines of credit, and whether any lends.
-func (s *Scenario) lines() (all []credit.Plan, any bool) {
+func (s *Scenario) lines() (all []borrowing.Plan, any bool) {
 	for _, p := range s.Plans {
-		all = append(all, credit.Plan{Line: p.Credit * p.Rate, Repay: p.Repay * 1000})
+		all = append(all, borrowing.Plan{Line: p.Credit * p.Rate, Repay: p.Repay * 1000})
 		any = any || p.Credit > 0
 	}
 	return all, any
 }
 
 // lend has a life of the module borrow. Books are of a fleet that has run for long.
-func (g *gatekeeper) lend(m *logic.Gatekeeper) {
+func (g *gatekeeper) lend(m *policy.Gatekeeper) {
 	plans, any := g.w.s.lines()
 	if !any || g.w.s.Policy != "willowdeck" {
 		return
 	}
 	if g.lender == nil {
-		g.lender = &lender{g: g, kept: map[int]credit.Record{}, heard: map[int]uint64{}}
+		g.lender = &lender{g: g, kept: map[int]borrowing.Record{}, heard: map[int]uint64{}}
 	}
 	l := g.lender
-	l.book = credit.New(credit.Terms{Me: g.num, Gatekeepers: len(g.w.gks), Plans: plans,
+	l.book = borrowing.New(borrowing.Terms{Me: g.num, Gatekeepers: len(g.w.gks), Plans: plans,
 		PeerInPerS: g.w.s.Gatekeepers.PeerInPerS}, g.source.Int63(), -1e9)
 	l.book.Clock(g.w.now)
-	for place := range credit.Places {
+	for place := range borrowing.Places {
 		if len(l.kept) == 0 {
 			break
 		}
@@ -55,14 +55,14 @@
 // Lend asks the book.
 func (l *lender) Lend(customer uint64, plan, first, n int, units float64) bool {
 	l.book.Clock(l.g.w.now)
-	return l.book.Lend(customer, plan, first, n, units) == credit.Lent
+	return l.book.Lend(customer, plan, first, n, units) == borrowing.Lent
 }
 
 // Undo gives a loan back that was not used.
 func (l *lender) Undo(customer uint64, units float64) { l.book.Undo(customer, units) }
 
 // settle carries out what the book decides.
-func (l *lender) settle(m *logic.Gatekeeper) {
+func (l *lender) settle(m *policy.Gatekeeper) {
 	w := l.g.w
 	l.book.Clock(w.now)
 	for {
@@ -71,11 +71,11 @@
 			break
 		}
 		switch d.Act {
-		case credit.Store:
+		case borrowing.Store:
 			l.kept[d.Place] = *d.Record
-		case credit.Tell:
+		case borrowing.Tell:
 			l.tell(d)
-		case credit.Collect:
+		case borrowing.Collect:
 			took, fill := m.Repay(uint64(d.Customer), d.Plan, d.N, d.Need, d.Most, d.Span)
 			l.book.Paid(d.Customer, took, fill)
 		}
@@ -93,11 +93,11 @@
 }
 
 // tell sends a message of credit to a peer, if it gets there. One that was passed by a later one is dropped.
-func (l *lender) tell(d credit.Decision) {
+func (l *lender) tell(d borrowing.Decision) {
 	w, g := l.g.w, l.g
 	w.res.CreditMessages++
 	l.said++
-	to, entries, said, from := w.gks[d.Peer], append([]credit.Entry(nil), d.Entries...), l.said, g.num
+	to, entries, said, from := w.gks[d.Peer], append([]borrowing.Entry(nil), d.Entries...), l.said, g.num
 	lost := w.net.Float64() < w.s.Network.PeerLoss
 	if delay := w.draw(w.s.Network.PeerMS); !lost && !g.cut && !to.cut {
 		w.in(delay, func() {
--- a/internal/emu/result.go
+++ b/internal/lab/emulator/result.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"willowdeck/internal/judge"
+	"willowdeck/internal/testkit/invariants"
 )
 
 // Result is what became of one run.
@@ -42,7 +42,7 @@
 	NearFall         float64 // how near the one came to it that got the most for what it bears; 1 is there
 	Products, Plans  []Part  // of the value within quotas
 	Starved          float64 // part of that value, of customers who got under starvedAt of theirs
-	First            []judge.Break
+	First            []invariants.Break
 	Seconds          []Second
 }
 
--- a/internal/emu/scenario.go
+++ b/internal/lab/emulator/scenario.go
@@ -1,4 +1,4 @@
-package emu
+package emulator
 
 import (
 	"cmp"
@@ -10,11 +10,11 @@
 	"slices"
 	"strings"
 
-	"willowdeck/internal/credit"
-	"willowdeck/internal/judge"
-	"willowdeck/internal/strict"
-	"willowdeck/internal/traffic"
-	"willowdeck/logic"
+	"willowdeck/internal/borrowing"
+	"willowdeck/internal/lab/workload"
+	"willowdeck/internal/policy"
+	"willowdeck/internal/strictoml"
+	"willowdeck/internal/testkit/invariants"
 )
 
 // Scenario is a fleet, its customers and what happens to them, as a file says it. Times are in seconds or
@@ -140,9 +140,9 @@
 	"late":       "baseline: sees every quota and worker as it was list_ms ago",
 }
 
-var repeats = map[string]logic.Repeat{"inquiry": logic.InquiryLike, "referenced": logic.Referenced,
-	"once": logic.OnceOnly}
-var groups = map[string]logic.Group{"": logic.GroupAll, "all": logic.GroupAll, "zone": logic.GroupZone}
+var repeats = map[string]policy.Repeat{"inquiry": policy.InquiryLike, "referenced": policy.Referenced,
+	"once": policy.OnceOnly}
+var groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone}
 
 // Read reads and checks a scenario. An error names the file, and the line or the key.
 func Read(path string) (*Scenario, error) {
@@ -161,7 +161,7 @@
 // Decode decodes and checks a scenario.
 func Decode(text string) (*Scenario, error) {
 	s := &Scenario{Policy: "willowdeck"}
-	if err := strict.Decode(text, s); err != nil {
+	if err := strictoml.Decode(text, s); err != nil {
 		return nil, err
 	}
 	if err := s.check(); err != nil {
@@ -295,7 +295,7 @@
 			in(key+"credit_s", p.Credit, 0, 1e5), in(key+"repay_s", p.Repay, 0, 1e5)); err != nil {
 			return first(err)
 		}
-		if p.Credit > p.Repay*credit.Part {
+		if p.Credit > p.Repay*borrowing.Part {
 			return fmt.Errorf("%srepay_s: in %v s a half of the fill does not pay %v s back", key, p.Repay, p.Credit)
 		}
 	}
@@ -335,15 +335,15 @@
 	return err
 }
 
-func (s *Scenario) groups() []traffic.Group {
+func (s *Scenario) groups() []workload.Group {
 	var weights []float64
 	for _, p := range s.Products {
 		weights = append(weights, p.Weight)
 	}
-	var all []traffic.Group
+	var all []workload.Group
 	for i, p := range s.Plans {
 		mean := (1 + p.Units) / 2
-		all = append(all, traffic.Group{Plan: i, Customers: p.Customers, Rate: p.Rate * p.Asks / mean,
+		all = append(all, workload.Group{Plan: i, Customers: p.Customers, Rate: p.Rate * p.Asks / mean,
 			Products: weights, Units: p.Units, Spread: s.spread(i), Skew: p.Skew})
 	}
 	return all
@@ -365,9 +365,9 @@
 	return s.Gatekeepers.Spread
 }
 
-func (s *Scenario) shape(i int) (traffic.Shape, error) {
+func (s *Scenario) shape(i int) (workload.Shape, error) {
 	h := &s.Shapes[i]
-	t := traffic.Shape{Kind: h.Kind, From: h.FromS * 1000, To: h.ToS * 1000, Factor: h.Factor, Group: -1,
+	t := workload.Shape{Kind: h.Kind, From: h.FromS * 1000, To: h.ToS * 1000, Factor: h.Factor, Group: -1,
 		Customers: h.Customers}
 	if t.Kind == "shift" && t.Factor == 0 {
 		t.Factor = 1
@@ -384,9 +384,9 @@
 }
 
 // Arrivals are the txns that clients mean to send, by the shapes or from the trace.
-func (s *Scenario) Arrivals(seed int64) ([]traffic.Arrival, error) {
+func (s *Scenario) Arrivals(seed int64) ([]workload.Arrival, error) {
 	if s.Trace == "" {
-		var shapes []traffic.Shape
+		var shapes []workload.Shape
 		for i := range s.Shapes {
 			h, err := s.shape(i)
 			if err != nil {
@@ -394,7 +394,7 @@
 			}
 			shapes = append(shapes, h)
 		}
-		return traffic.Plan(s.groups(), shapes, s.Seconds*1000, seed), nil
+		return workload.Plan(s.groups(), shapes, s.Seconds*1000, seed), nil
 	}
 	path := s.Trace
 	if !filepath.IsAbs(path) {
@@ -405,14 +405,14 @@
 		return nil, fmt.Errorf("trace: %w", err)
 	}
 	defer f.Close()
-	names := traffic.Names{Plans: map[string]int{}, Products: map[string]int{}}
+	names := workload.Names{Plans: map[string]int{}, Products: map[string]int{}}
 	for i, p := range s.Plans {
 		names.Plans[p.Name] = i
 	}
 	for i, p := range s.Products {
 		names.Products[p.Name] = i
 	}
-	all, err := traffic.ReadTrace(f, names)
+	all, err := workload.ReadTrace(f, names)
 	if err != nil {
 		return nil, fmt.Errorf("trace: %s: %w", path, err)
 	}
@@ -437,19 +437,32 @@
 }
 
 // charter is what instance me is told.
-func (s *Scenario) charter(me int) logic.Charter {
+func (s *Scenario) charter(me int) policy.Charter {
 	g := &s.Gatekeepers
-	c := logic.Charter{Me: me, Gatekeepers: g.Count, LargestUnits: s.largest(), MaxSubmissions: g.MaxSubmissions,
-		MayOverlap: g.MayOverlap, MayWithdraw: true, MayAdvise: true, MaxAdvice: 10000, MayTell: g.Talks,
-		PeerInPerS: g.PeerInPerS, ReportsPerTell: 31, ColdFrom: s.Workers.ColdFrom,
-		WarmUp: s.Workers.WarmUpS * 1000, Tips: s.tips(), TipAfter: s.tipMS(),
-		Whole: 1}
+	c := policy.Charter{
+		Me:             me,
+		Gatekeepers:    g.Count,
+		LargestUnits:   s.largest(),
+		MaxSubmissions: g.MaxSubmissions,
+		MayOverlap:     g.MayOverlap,
+		MayWithdraw:    true,
+		MayAdvise:      true,
+		MaxAdvice:      10000,
+		MayTell:        g.Talks,
+		PeerInPerS:     g.PeerInPerS,
+		ReportsPerTell: 31,
+		ColdFrom:       s.Workers.ColdFrom,
+		WarmUp:         s.Workers.WarmUpS * 1000,
+		Tips:           s.tips(),
+		TipAfter:       s.tipMS(),
+		Whole:          1,
+	}
 	for _, p := range s.Products {
-		c.Products = append(c.Products, logic.Product{SLA: p.SLAMS, Value: p.Value, LateShare: p.Late,
+		c.Products = append(c.Products, policy.Product{SLA: p.SLAMS, Value: p.Value, LateShare: p.Late,
 			Repeat: repeats[p.Repeat], Group: groups[p.Group], Window: p.WindowMS})
 	}
 	for _, p := range s.Plans {
-		q := logic.Plan{Rate: p.Rate, Burst: p.Burst, CeilingRate: p.Ceiling, CeilingDepth: p.CeilingDepth,
+		q := policy.Plan{Rate: p.Rate, Burst: p.Burst, CeilingRate: p.Ceiling, CeilingDepth: p.CeilingDepth,
 			Factor: p.Factor, ExcessShare: p.Excess, ExcessFee: p.Fee, Credit: p.Credit, Repay: p.Repay * 1000}
 		if s.Policy == "deep" {
 			q.Burst, q.Credit = q.Burst+q.Credit*q.Rate, 0
@@ -464,19 +477,19 @@
 func (s *Scenario) tipMS() float64 { return cmp.Or(s.Workers.TipMS, 1500) }
 
 // rules are the judge's figures.
-func (s *Scenario) rules() judge.Rules {
-	r := judge.Rules{Overlap: s.Gatekeepers.MayOverlap, Slack: 8, Grace: s.Workers.GraceMS,
+func (s *Scenario) rules() invariants.Rules {
+	r := invariants.Rules{Overlap: s.Gatekeepers.MayOverlap, Slack: 8, Grace: s.Workers.GraceMS,
 		Capacity: s.capacity(), ColdFrom: s.Workers.ColdFrom, WarmUp: s.Workers.WarmUpS * 1000,
 		Tips: s.tips(), TipsAfter: s.tipMS()}
 	for _, p := range s.Products {
-		j := judge.Product{Repeat: judge.Repeat(repeats[p.Repeat]), Work: p.Work, Window: p.WindowMS}
-		if groups[p.Group] == logic.GroupZone && s.Workers.Zones > 1 {
+		j := invariants.Product{Repeat: invariants.Repeat(repeats[p.Repeat]), Work: p.Work, Window: p.WindowMS}
+		if groups[p.Group] == policy.GroupZone && s.Workers.Zones > 1 {
 			j.Same = func(a, b int) bool { return a%s.Workers.Zones == b%s.Workers.Zones }
 		}
 		r.Products = append(r.Products, j)
 	}
 	for _, p := range s.Plans {
-		r.Plans = append(r.Plans, judge.Plan{Ceiling: p.Ceiling, Depth: p.CeilingDepth})
+		r.Plans = append(r.Plans, invariants.Plan{Ceiling: p.Ceiling, Depth: p.CeilingDepth})
 	}
 	return r
 }
--- a/internal/emu/worker.go
+++ b/internal/lab/emulator/worker.go
@@ -1,12 +1,12 @@
-package emu
+package emulator
 
 import (
 	"math"
 	"math/rand"
 	"slices"
 
-	"willowdeck/internal/judge"
-	"willowdeck/logic"
+	"willowdeck/internal/policy"
+	"willowdeck/internal/testkit/invariants"
 )
 
 // worker is a machine that runs txns: some cores before one queue. Its process may end and start anew.
@@ -29,12 +29,12 @@
 
 func (x *worker) listed() bool { return !x.dead && !x.drains }
 
-func (x *worker) posting(fresh bool) logic.Posting {
+func (x *worker) posting(fresh bool) policy.Posting {
 	since := x.since
 	if since > 0 {
 		since += dawn
 	}
-	return logic.Posting{Worker: x.at, Zone: x.w.s.hall(x.at), Active: x.listed(), Since: since, New: fresh}
+	return policy.Posting{Worker: x.at, Zone: x.w.s.hall(x.at), Active: x.listed(), Since: since, New: fresh}
 }
 
 // warmth is the part of its capacity that it has now.
@@ -52,7 +52,7 @@
 	switch {
 	case !x.w.reach(s.g, x):
 	case x.life != s.wlife || x.dead:
-		s.answer(logic.Cut, judge.MayHaveRun)
+		s.answer(policy.Cut, invariants.MayHaveRun)
 	case x.silent:
 	case x.busy < x.w.s.Workers.Cores:
 		x.run(s)
@@ -60,7 +60,7 @@
 		x.waiting = append(x.waiting, s)
 	default:
 		x.w.res.Full++
-		s.answer(logic.Full, judge.NeverRan)
+		s.answer(policy.Full, invariants.NeverRan)
 	}
 }
 
@@ -93,9 +93,9 @@
 		switch {
 		case x.silent || loses:
 		case fails:
-			s.answer(logic.Fault, judge.MayHaveRun)
+			s.answer(policy.Fault, invariants.MayHaveRun)
 		default:
-			s.answer(logic.Settled, judge.Answered)
+			s.answer(policy.Settled, invariants.Answered)
 		}
 		x.next()
 	})
@@ -122,7 +122,7 @@
 	x.dead = true
 	for _, s := range append(x.inHand, x.waiting...) {
 		if !s.over {
-			s.answer(logic.Cut, judge.MayHaveRun)
+			s.answer(policy.Cut, invariants.MayHaveRun)
 		}
 	}
 	x.inHand, x.waiting, x.busy = nil, nil, 0
--- a/internal/emu/world.go
+++ b/internal/lab/emulator/world.go
@@ -1,6 +1,6 @@
-// Package emu is the emulator: clients, gatekeepers that run the module itself, workers and the network
+// Package emulator is the emulator: clients, gatekeepers that run the module itself, workers and the network
 // between them, as discrete events in virtual time. One seed gives one run, to the last bit.
-package emu
+package emulator
 
 import (
 	"container/heap"
@@ -11,21 +11,21 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"willowdeck/internal/judge"
-	"willowdeck/internal/outlook"
-	"willowdeck/internal/traffic"
-	"willowdeck/logic"
+	"willowdeck/internal/forecast"
+	"willowdeck/internal/lab/workload"
+	"willowdeck/internal/policy"
+	"willowdeck/internal/testkit/invariants"
 )
 
 // brain is what decides at a gatekeeper: the module, or a baseline that takes the same calls.
 type brain interface {
 	Clock(now float64)
-	Roster(list []logic.Posting, partial bool)
-	Take(a logic.Arrival)
-	Ended(id uint64, n int, o logic.Outcome, took float64, closed bool)
+	Roster(list []policy.Posting, partial bool)
+	Take(a policy.Arrival)
+	Ended(id uint64, n int, o policy.Outcome, took float64, closed bool)
 	Left(id uint64)
-	Hear(from int, reports []logic.Report)
-	Next() (logic.Decision, bool)
+	Hear(from int, reports []policy.Report)
+	Next() (policy.Decision, bool)
 }
 
 // event is something that happens at a moment; of two at one moment the one that was planned first goes
@@ -62,7 +62,7 @@
 	count   int64
 	gks     []*gatekeeper
 	workers []*worker
-	judge   *judge.Judge
+	judge   *invariants.Judge
 	net     *rand.Rand // delays and losses
 	work    *rand.Rand // service times and what goes wrong in them
 	res     *Result
@@ -115,16 +115,16 @@
 }
 
 // RunWords plays a scenario, and gives the words that its gatekeepers say at a moment, in seconds.
-func RunWords(ctx context.Context, s *Scenario, seed int64, atS float64) (*Result, []*outlook.Word, error) {
-	var words []*outlook.Word
+func RunWords(ctx context.Context, s *Scenario, seed int64, atS float64) (*Result, []*forecast.Word, error) {
+	var words []*forecast.Word
 	r, err := playFrom(ctx, s, seed, nil, func(w *world) {
 		for _, g := range w.gks {
-			g.meter = outlook.NewMeter(s.charter(g.num), 1)
+			g.meter = forecast.NewMeter(s.charter(g.num), 1)
 		}
 		for at := 0.0; at < atS*1000; at += markEach {
 			w.in(at, func() {
 				for _, g := range w.gks {
-					if m, ok := g.brain.(*logic.Gatekeeper); ok && g.up {
+					if m, ok := g.brain.(*policy.Gatekeeper); ok && g.up {
 						t := m.Tally()
 						g.meter.Mark(w.clock(), &t)
 					}
@@ -146,10 +146,10 @@
 const markEach = 200
 
 // word is what a gatekeeper says of itself.
-func (g *gatekeeper) word() *outlook.Word {
+func (g *gatekeeper) word() *forecast.Word {
 	s := g.w.s
 	hall := func(z int) string { return fmt.Sprintf("hall%d", z) }
-	w := &outlook.Word{Name: fmt.Sprintf("g%d", g.num), Host: "emulated", Hall: hall(s.hall(g.num)),
+	w := &forecast.Word{Name: fmt.Sprintf("g%d", g.num), Host: "emulated", Hall: hall(s.hall(g.num)),
 		Group: "emulated", Number: g.num, Charter: s.charter(g.num)}
 	w.Charter.Me = 0
 	for _, p := range s.Products {
@@ -158,11 +158,11 @@
 	for _, p := range s.Plans {
 		w.Plans = append(w.Plans, p.Name)
 	}
-	m, ok := g.brain.(*logic.Gatekeeper)
+	m, ok := g.brain.(*policy.Gatekeeper)
 	if !ok {
 		return w
 	}
-	var sight logic.Sight
+	var sight policy.Sight
 	t := m.Tally()
 	for at := m.Look(&sight, 0); at > 0; {
 		at = m.Look(&sight, at)
@@ -195,10 +195,20 @@
 		return nil, err
 	}
 	source := rand.New(rand.NewSource(seed))
-	w := &world{s: s, seed: seed, judge: judge.New(s.rules()), net: rand.New(rand.NewSource(source.Int63())),
-		work: rand.New(rand.NewSource(source.Int63())), lat: hdrhistogram.New(1, 600e6, 3),
-		store: map[int]*bucket{}, cutOff: map[int]bool{},
-		truth: map[int]*bucket{}, seen: map[int]*bucket{}, wrap: wrap, customers: map[int]*Part{}}
+	w := &world{
+		s:         s,
+		seed:      seed,
+		judge:     invariants.New(s.rules()),
+		net:       rand.New(rand.NewSource(source.Int63())),
+		work:      rand.New(rand.NewSource(source.Int63())),
+		lat:       hdrhistogram.New(1, 600e6, 3),
+		store:     map[int]*bucket{},
+		cutOff:    map[int]bool{},
+		truth:     map[int]*bucket{},
+		seen:      map[int]*bucket{},
+		wrap:      wrap,
+		customers: map[int]*Part{},
+	}
 	w.res = newResult(s, seed)
 	for i := range s.Workers.Count {
 		w.workers = append(w.workers, &worker{w: w, at: i, slow: 1, life: 1})
@@ -241,7 +251,7 @@
 }
 
 // plan has the arrivals come, each planning the next: what is ahead stays small.
-func (w *world) plan(all []traffic.Arrival) {
+func (w *world) plan(all []workload.Arrival) {
 	quotas := map[int]*bucket{}
 	for _, a := range all {
 		w.res.Products[a.Product].Asked++
@@ -280,20 +290,20 @@
 }
 
 // parts gives all that a txn is a part of.
-func (w *world) parts(a traffic.Arrival, each func(*Part)) {
+func (w *world) parts(a workload.Arrival, each func(*Part)) {
 	each(&w.res.Products[a.Product])
 	each(&w.res.Plans[a.Plan])
 	each(w.customers[a.Customer])
 }
 
-func (w *world) worth(a traffic.Arrival) float64 {
+func (w *world) worth(a workload.Arrival) float64 {
 	return w.s.Products[a.Product].Value * w.s.Plans[a.Plan].Factor
 }
 
 // client is one txn as its client sees it, through all its tries.
 type client struct {
 	w     *world
-	a     traffic.Arrival
+	a     workload.Arrival
 	first float64 // when it meant to send it
 	tries int
 }
--- a/internal/lab/compare.go
+++ b/internal/lab/experiment/compare.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
--- a/internal/lab/floors.go
+++ b/internal/lab/experiment/floors.go
@@ -1,9 +1,9 @@
-package lab
+package experiment
 
 import (
 	"fmt"
 
-	"willowdeck/internal/emu"
+	"willowdeck/internal/lab/emulator"
 )
 
 // The floors that a run is held to, each beside one of the same day under a policy that sees the true state
@@ -24,7 +24,7 @@
 
 // Day is what a run's day is to its floors.
 type Day struct {
-	Plain *emu.Result // calm days: the same under the plainest policy
+	Plain *emulator.Result // calm days: the same under the plainest policy
 	Long  bool
 }
 
@@ -40,7 +40,7 @@
 }
 
 // Floors gives what a run of a scenario misses, beside one under the late-seeing policy. A tenant is a plan.
-func Floors(s *emu.Scenario, d Day, r, late *emu.Result) (all []Miss) {
+func Floors(s *emulator.Scenario, d Day, r, late *emulator.Result) (all []Miss) {
 	least := func(floor, of string, got, wants float64) {
 		if got < wants-hair {
 			all = append(all, Miss{floor, of, got, wants})
@@ -83,7 +83,7 @@
 }
 
 // Price is what goes beyond quotas costs, of the worth that was asked within them.
-func Price(r *emu.Result) float64 {
+func Price(r *emulator.Result) float64 {
 	if r.Offered == 0 {
 		return 0
 	}
@@ -91,7 +91,7 @@
 }
 
 // inside is the share that was served of what was meant to be sent in some seconds; 1 where nothing was.
-func inside(r *emu.Result, from, to int) float64 {
+func inside(r *emulator.Result, from, to int) float64 {
 	offered, served := 0.0, 0.0
 	for _, s := range r.Seconds[from:to] {
 		offered, served = offered+s.Offered, served+s.Inside
--- a/internal/lab/floors_test.go
+++ b/internal/lab/experiment/floors_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"willowdeck/internal/emu"
+	"willowdeck/internal/lab/emulator"
 )
 
 // Days that are played, as text behind a scenario's own without its shapes and faults.
@@ -80,15 +80,15 @@
 }{{4, 3, "small"}, {20, 3, "halls20"}, {300, 2, "cold300"}}
 
 // onDay gives a scenario's fleet on another day of 12 s.
-func onDay(t *testing.T, file, text string) *emu.Scenario {
+func onDay(t *testing.T, file, text string) *emulator.Scenario {
 	t.Helper()
-	raw, err := os.ReadFile("../../scenarios/" + file + ".toml")
+	raw, err := os.ReadFile("../../../scenarios/" + file + ".toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	own, _, _ := strings.Cut(string(raw), "[[faults]]")
 	own, _, _ = strings.Cut(own, "[[shapes]]")
-	s, err := emu.Decode(own + text)
+	s, err := emulator.Decode(own + text)
 	if err == nil {
 		err = s.Set("seconds", 12)
 	}
@@ -98,11 +98,11 @@
 	return s
 }
 
-func under(t *testing.T, s *emu.Scenario, policy string, seed int64) *emu.Result {
+func under(t *testing.T, s *emulator.Scenario, policy string, seed int64) *emulator.Result {
 	t.Helper()
 	s = s.Clone()
 	s.Policy = policy
-	r, err := emu.Run(t.Context(), s, seed)
+	r, err := emulator.Run(t.Context(), s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,7 +131,7 @@
 					}
 					r, late := under(t, s, "willowdeck", seed), under(t, s, "late", seed)
 					// And beside one that sees it at once: how late is late, and what it makes of it, is not known.
-					for _, other := range []*emu.Result{late, under(t, s, "seer", seed)} {
+					for _, other := range []*emulator.Result{late, under(t, s, "seer", seed)} {
 						for _, m := range Floors(s, d, r, other) {
 							t.Errorf("beside %s: %v", other.Policy, m)
 						}
@@ -162,16 +162,19 @@
 
 // served is a run of so many seconds of which the same share was served everywhere: of 100 worth a second, in
 // two classes that are asked alike and two tenants, beside a small class and a small tenant.
-func served(share float64) *emu.Result {
-	r := &emu.Result{Asked: 1000, Offered: 1200, Products: []emu.Part{{Name: "check", Asked: 480},
-		{Name: "sale", Asked: 480}, {Name: "rare", Asked: 40}}, Plans: []emu.Part{{Name: "shop"}, {Name: "agent"},
+func served(share float64) *emulator.Result {
+	r := &emulator.Result{Asked: 1000, Offered: 1200, Products: []emulator.Part{{Name: "check", Asked: 480},
+		{
+			Name:  "sale",
+			Asked: 480,
+		}, {Name: "rare", Asked: 40}}, Plans: []emulator.Part{{Name: "shop"}, {Name: "agent"},
 		{Name: "tiny"}}}
 	for i, part := range []float64{588, 588, 24} {
 		r.Products[i].Offered, r.Products[i].Served = part, part*share
 		r.Plans[i].Offered, r.Plans[i].Served = part, part*share
 	}
 	for range 12 {
-		r.Seconds = append(r.Seconds, emu.Second{Offered: 100, Inside: 100 * share, Served: -1e6})
+		r.Seconds = append(r.Seconds, emulator.Second{Offered: 100, Inside: 100 * share, Served: -1e6})
 	}
 	return r
 }
@@ -181,51 +184,65 @@
 func TestFloorsArithmetic(t *testing.T) {
 	s := onDay(t, "small", "")
 	s.Products[0].Repeat, s.Products[1].Repeat, s.Products[2].Repeat = "inquiry", "inquiry", "inquiry"
-	seconds := func(r *emu.Result, from, to int, inside float64) {
+	seconds := func(r *emulator.Result, from, to int, inside float64) {
 		for i := range r.Seconds[from:to] {
 			r.Seconds[from+i].Inside = inside
 		}
 	}
-	all := func(v float64) func(r *emu.Result) { return func(r *emu.Result) { seconds(r, 0, 12, v) } }
+	all := func(v float64) func(r *emulator.Result) { return func(r *emulator.Result) { seconds(r, 0, 12, v) } }
 	calm, once := Day{Plain: served(0.9)}, s.Clone()
 	once.Products[2].Repeat = "once"
 	cases := []struct {
 		name   string
-		on     *emu.Scenario
+		on     *emulator.Scenario
 		day    Day
 		late   float64
-		change func(r *emu.Result) // of a run that is served as the late-seeing one
+		change func(r *emulator.Result) // of a run that is served as the late-seeing one
 		missed string
 	}{
-		{"as well", s, Day{}, 0.9, func(*emu.Result) {}, ""},
+		{"as well", s, Day{}, 0.9, func(*emulator.Result) {}, ""},
 		{"half of all", s, Day{}, 0.9, all(45), ""},
 		{"less than half of all", s, Day{}, 0.9, all(44.9), "whole "},
 		{"the plainest less 0.05", s, Day{Plain: served(0.6)}, 0.9, all(55), ""},
 		{"less than that", s, Day{Plain: served(0.6)}, 0.9, all(54.9), "calm "},
 		{"late-seeing less 0.1, which is lower", s, Day{Plain: served(0.99)}, 0.9, all(80), ""},
 		{"less than that", s, Day{Plain: served(0.99)}, 0.9, all(79.9), "calm "},
-		{"a third at three tenths", s, Day{}, 0.9, func(r *emu.Result) { seconds(r, 4, 8, 27) }, ""},
-		{"a third below", s, Day{}, 0.9, func(r *emu.Result) { seconds(r, 4, 8, 26.9) }, "third 2"},
-		{"the last third below", s, Day{}, 0.9, func(r *emu.Result) { seconds(r, 8, 12, 26.9) }, "third 3"},
-		{"a third of a long day", s, Day{Long: true}, 0.9, func(r *emu.Result) { seconds(r, 0, 4, 45) }, ""},
-		{"less of one", s, Day{Long: true}, 0.9, func(r *emu.Result) { seconds(r, 0, 4, 44.9) }, "third 1"},
-		{"a class at half", s, Day{}, 0.8, func(r *emu.Result) { r.Products[1].Served = 588 * 0.4 }, ""},
-		{"a class below", s, Day{}, 0.8, func(r *emu.Result) { r.Products[1].Served = 588 * 0.39 }, "class sale"},
-		{"a small class", s, Day{}, 0.8, func(r *emu.Result) { r.Products[2].Served = 0 }, ""},
-		{"a small class that is asked often", s, Day{}, 0.8, func(r *emu.Result) {
+		{"a third at three tenths", s, Day{}, 0.9, func(r *emulator.Result) { seconds(r, 4, 8, 27) }, ""},
+		{"a third below", s, Day{}, 0.9, func(r *emulator.Result) { seconds(r, 4, 8, 26.9) }, "third 2"},
+		{"the last third below", s, Day{}, 0.9, func(r *emulator.Result) { seconds(r, 8, 12, 26.9) }, "third 3"},
+		{"a third of a long day", s, Day{Long: true}, 0.9, func(r *emulator.Result) { seconds(r, 0, 4, 45) }, ""},
+		{"less of one", s, Day{Long: true}, 0.9, func(r *emulator.Result) { seconds(r, 0, 4, 44.9) }, "third 1"},
+		{"a class at half", s, Day{}, 0.8, func(r *emulator.Result) { r.Products[1].Served = 588 * 0.4 }, ""},
+		{
+			"a class below",
+			s,
+			Day{},
+			0.8,
+			func(r *emulator.Result) { r.Products[1].Served = 588 * 0.39 },
+			"class sale",
+		},
+		{"a small class", s, Day{}, 0.8, func(r *emulator.Result) { r.Products[2].Served = 0 }, ""},
+		{"a small class that is asked often", s, Day{}, 0.8, func(r *emulator.Result) {
 			r.Products[2].Served, r.Products[2].Asked = 0, 50
 		}, "class rare"},
-		{"a small class that may run once", once, Day{}, 0.8, func(r *emu.Result) { r.Products[2].Served = 0 },
+		{"a small class that may run once", once, Day{}, 0.8, func(r *emulator.Result) { r.Products[2].Served = 0 },
 			"class rare"},
-		{"a class hardly served there", s, Day{}, 0.29, func(r *emu.Result) { r.Products[1].Served = 0 }, ""},
-		{"a tenant at a third", s, Day{}, 0.9, func(r *emu.Result) { r.Plans[0].Served = 588 * 0.3 }, ""},
-		{"a tenant below", s, Day{}, 0.9, func(r *emu.Result) { r.Plans[0].Served = 588 * 0.29 }, "tenant shop"},
-		{"a small tenant", s, Day{}, 0.9, func(r *emu.Result) { r.Plans[2].Served = 0 }, ""},
-		{"starved customers", s, Day{}, 0.9, func(r *emu.Result) { r.Starved = 0.15 }, ""},
-		{"more of them", s, Day{}, 0.9, func(r *emu.Result) { r.Starved = 0.151 }, "starved "},
-		{"beyond quotas on a calm day", s, calm, 0.9, func(r *emu.Result) { r.OverCost = 120 }, ""},
-		{"more of that", s, calm, 0.9, func(r *emu.Result) { r.OverCost = 121 }, "over_quota "},
-		{"beyond quotas on another day", s, Day{}, 0.9, func(r *emu.Result) { r.OverCost = 1200 }, ""},
+		{"a class hardly served there", s, Day{}, 0.29, func(r *emulator.Result) { r.Products[1].Served = 0 }, ""},
+		{"a tenant at a third", s, Day{}, 0.9, func(r *emulator.Result) { r.Plans[0].Served = 588 * 0.3 }, ""},
+		{
+			"a tenant below",
+			s,
+			Day{},
+			0.9,
+			func(r *emulator.Result) { r.Plans[0].Served = 588 * 0.29 },
+			"tenant shop",
+		},
+		{"a small tenant", s, Day{}, 0.9, func(r *emulator.Result) { r.Plans[2].Served = 0 }, ""},
+		{"starved customers", s, Day{}, 0.9, func(r *emulator.Result) { r.Starved = 0.15 }, ""},
+		{"more of them", s, Day{}, 0.9, func(r *emulator.Result) { r.Starved = 0.151 }, "starved "},
+		{"beyond quotas on a calm day", s, calm, 0.9, func(r *emulator.Result) { r.OverCost = 120 }, ""},
+		{"more of that", s, calm, 0.9, func(r *emulator.Result) { r.OverCost = 121 }, "over_quota "},
+		{"beyond quotas on another day", s, Day{}, 0.9, func(r *emulator.Result) { r.OverCost = 1200 }, ""},
 	}
 	for _, c := range cases {
 		r := served(c.late)
@@ -243,11 +260,11 @@
 func TestPlantedStarvation(t *testing.T) {
 	calm := onDay(t, "halls20", days[0].text)
 	late := under(t, calm, "late", 1)
-	for name, starve := range map[string]func(s *emu.Scenario){
-		"tenant agent": func(s *emu.Scenario) { s.Plans[1].Ceiling, s.Plans[1].CeilingDepth = 1e-3, 0.5 },
-		"class sale":   func(s *emu.Scenario) { s.Products[1].SLAMS = 1 },
-		"third 2": func(s *emu.Scenario) {
-			s.Faults = []emu.Fault{{Kind: "restart", Part: 1, FromS: 4, ToS: 8}}
+	for name, starve := range map[string]func(s *emulator.Scenario){
+		"tenant agent": func(s *emulator.Scenario) { s.Plans[1].Ceiling, s.Plans[1].CeilingDepth = 1e-3, 0.5 },
+		"class sale":   func(s *emulator.Scenario) { s.Products[1].SLAMS = 1 },
+		"third 2": func(s *emulator.Scenario) {
+			s.Faults = []emulator.Fault{{Kind: "restart", Part: 1, FromS: 4, ToS: 8}}
 			s.Clients.Retries = 0
 		},
 	} {
--- a/internal/lab/golden_scenarios_test.go
+++ b/internal/lab/experiment/golden_scenarios_test.go
@@ -1,34 +1,34 @@
-package lab_test // scale imports lab
+package experiment_test // scale imports lab
 
 import (
 	"os"
 	"path/filepath"
 	"testing"
 
-	"willowdeck/internal/capacity"
-	"willowdeck/internal/emu"
-	"willowdeck/internal/lab"
-	"willowdeck/internal/scale"
-	"willowdeck/internal/strict"
+	"willowdeck/internal/lab/capacity"
+	"willowdeck/internal/lab/emulator"
+	"willowdeck/internal/lab/experiment"
+	"willowdeck/internal/lab/scale"
+	"willowdeck/internal/strictoml"
 )
 
 // readAs names the reader of a scenario's file by a key that only that kind of file has.
 func readAs(text string) (string, func(path string) error) {
 	switch {
-	case strict.Has(text, "scenario"):
-		return "experiment", func(path string) error { _, err := lab.Read(path); return err }
-	case strict.Has(text, "coming"):
+	case strictoml.Has(text, "scenario"):
+		return "experiment", func(path string) error { _, err := experiment.Read(path); return err }
+	case strictoml.Has(text, "coming"):
 		return "capacity", func(path string) error { _, err := capacity.ReadSpec(path); return err }
-	case strict.Has(text, "machine"):
+	case strictoml.Has(text, "machine"):
 		return "scale", func(path string) error { _, err := scale.Read(path); return err }
 	}
-	return "scenario", func(path string) error { _, err := emu.Read(path); return err }
+	return "scenario", func(path string) error { _, err := emulator.Read(path); return err }
 }
 
 // TestGoldenScenarios: each file of scenarios/ is read by its program, which refuses unknown keys. Files may
 // be added; of each kind there have to be as many as there were, at least.
 func TestGoldenScenarios(t *testing.T) {
-	files, err := filepath.Glob("../../scenarios/*.toml")
+	files, err := filepath.Glob("../../../scenarios/*.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -1,11 +1,11 @@
-package lab
+package experiment
 
 import (
 	"slices"
 	"strings"
 	"testing"
 
-	"willowdeck/internal/strict"
+	"willowdeck/internal/strictoml"
 	"willowdeck/internal/testkit/goldenform"
 )
 
@@ -15,7 +15,7 @@
 
 var goldenForms = []goldenform.Form{
 	{File: "experiment.toml", New: func() any { return &Experiment{} },
-		Decode: func(raw []byte, into any) error { return strict.Decode(string(raw), into) }},
+		Decode: func(raw []byte, into any) error { return strictoml.Decode(string(raw), into) }},
 }
 
 func TestGoldenForms(t *testing.T) {
--- a/internal/lab/lab.go
+++ b/internal/lab/experiment/lab.go
@@ -1,6 +1,7 @@
-// Package lab runs experiments in the emulator: sweeps over figures, policies and seeds on all cores, kept as
+// Package experiment runs experiments in the emulator: sweeps over figures, policies and seeds on all cores,
+// kept as
 // tables, drawn as charts, and compared.
-package lab
+package experiment
 
 import (
 	"context"
@@ -12,8 +13,8 @@
 	"strings"
 	"sync"
 
-	"willowdeck/internal/emu"
-	"willowdeck/internal/strict"
+	"willowdeck/internal/lab/emulator"
+	"willowdeck/internal/strictoml"
 )
 
 // Experiment is a scenario played with each of some policies, values of a figure, and seeds.
@@ -26,7 +27,7 @@
 	Seeds    int
 	Chart    string // the column that is drawn
 
-	base *emu.Scenario
+	base *emulator.Scenario
 }
 
 // Read reads and checks an experiment. An error names the file, and the line or the key.
@@ -36,14 +37,14 @@
 		return nil, err
 	}
 	x := &Experiment{}
-	if err := strict.Decode(string(raw), x); err != nil {
+	if err := strictoml.Decode(string(raw), x); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	file := x.Scenario
 	if !filepath.IsAbs(file) {
 		file = filepath.Join(filepath.Dir(path), file)
 	}
-	if x.base, err = emu.Read(file); err != nil {
+	if x.base, err = emulator.Read(file); err != nil {
 		return nil, fmt.Errorf("%s: scenario: %w", path, err)
 	}
 	if err := x.check(); err != nil {
@@ -53,7 +54,7 @@
 }
 
 // Of makes an experiment of a scenario alone.
-func Of(s *emu.Scenario, policies []string, seeds int) (*Experiment, error) {
+func Of(s *emulator.Scenario, policies []string, seeds int) (*Experiment, error) {
 	x := &Experiment{Name: s.Name, Policies: policies, Seeds: seeds, base: s}
 	return x, x.check()
 }
@@ -63,7 +64,7 @@
 		x.Policies = []string{x.base.Policy}
 	}
 	for i, p := range x.Policies {
-		if _, ok := emu.Policies[p]; !ok {
+		if _, ok := emulator.Policies[p]; !ok {
 			return fmt.Errorf("policies[%d]: %q is unknown", i, p)
 		}
 	}
@@ -92,7 +93,7 @@
 type Row struct {
 	Experiment, Build, Key string
 	Value                  float64
-	*emu.Result
+	*emulator.Result
 }
 
 // Cases tells how many runs it has.
@@ -124,9 +125,9 @@
 				if x.Key != "" {
 					err = s.Set(x.Key, v)
 				}
-				var r *emu.Result
+				var r *emulator.Result
 				if err == nil {
-					r, err = emu.Run(ctx, s, seed)
+					r, err = emulator.Run(ctx, s, seed)
 				}
 				if errs[i] = err; err != nil {
 					stop()
--- a/internal/lab/lab_test.go
+++ b/internal/lab/experiment/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -8,12 +8,12 @@
 	"strings"
 	"testing"
 
-	"willowdeck/internal/emu"
+	"willowdeck/internal/lab/emulator"
 )
 
 func experiment(t *testing.T) *Experiment {
 	t.Helper()
-	s, err := emu.Read("../../scenarios/small.toml")
+	s, err := emulator.Read("../../../scenarios/small.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 		}
 		return path
 	}
-	raw, err := os.ReadFile("../../scenarios/small.toml")
+	raw, err := os.ReadFile("../../../scenarios/small.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,7 +142,7 @@
 		{"no number", head + strings.Repeat("x,", len(columns)-1) + "x\n", "line 2: value"},
 	}
 	// Guards against tables that were written before a column came being of no use any more.
-	kept, err := ReadTable("../../docs/lab/vast-size.csv")
+	kept, err := ReadTable("../../../docs/lab/vast-size.csv")
 	if err != nil || len(kept.Rows) == 0 || kept.Rows[0].Figures["score"] <= 0 {
 		t.Errorf("an older table: %v", err)
 	}
--- a/internal/lab/outlook.go
+++ b/internal/lab/experiment/outlook.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -10,15 +10,15 @@
 	"strconv"
 	"strings"
 
-	"willowdeck/internal/emu"
-	"willowdeck/internal/outlook"
+	"willowdeck/internal/forecast"
+	"willowdeck/internal/lab/emulator"
 )
 
 // Foresight is a loss of halls as it was projected, and as it was then played in the emulator with the same
 // arrivals. Rates are a second; the measure is the mean from the loss until shares have moved.
 type Foresight struct {
 	Scenario        string
-	Loss            outlook.Loss
+	Loss            forecast.Loss
 	Seed            int64
 	Asked           float64 // value
 	Foretold, Found float64 // value lost, what is lost at once spread over the span
@@ -46,22 +46,22 @@
 }
 
 // faultKinds are how the emulator plays a loss.
-var faultKinds = map[outlook.Kind]string{outlook.Whole: "hall", outlook.Keepers: "keepers",
-	outlook.Links: "links", outlook.Slowed: "hall"}
+var faultKinds = map[forecast.Kind]string{forecast.Whole: "hall", forecast.Keepers: "keepers",
+	forecast.Links: "links", forecast.Slowed: "hall"}
 
 // Rules are what operators of an emulated fleet would state of it.
-func Rules(s *emu.Scenario) outlook.Rules {
-	r := outlook.Usual
+func Rules(s *emulator.Scenario) forecast.Rules {
+	r := forecast.Usual
 	r.Cores, r.Way = float64(s.Workers.Cores), 3*s.Network.WorkerMS // a connection, the txn and its answer
 	r.Tries, r.Back = s.Clients.Retries+1, s.Clients.BackMS
 	return r
 }
 
 // faulted is a scenario with a loss from a moment on.
-func faulted(s *emu.Scenario, l outlook.Loss, at, slow float64) *emu.Scenario {
+func faulted(s *emulator.Scenario, l forecast.Loss, at, slow float64) *emulator.Scenario {
 	played := s.Clone()
-	f := emu.Fault{Kind: faultKinds[l.Kind], FromS: at, ToS: s.Seconds + 1000}
-	others := emu.Fault{Kind: "slow", FromS: at, ToS: s.Seconds + 1000, Factor: slow}
+	f := emulator.Fault{Kind: faultKinds[l.Kind], FromS: at, ToS: s.Seconds + 1000}
+	others := emulator.Fault{Kind: "slow", FromS: at, ToS: s.Seconds + 1000, Factor: slow}
 	for h := range s.Workers.Zones {
 		if slices.Contains(l.Halls, fmt.Sprintf("hall%d", h)) {
 			f.Halls = append(f.Halls, h)
@@ -69,7 +69,7 @@
 			others.Halls = append(others.Halls, h)
 		}
 	}
-	if played.Faults = append(played.Faults, f); l.Kind == outlook.Slowed {
+	if played.Faults = append(played.Faults, f); l.Kind == forecast.Slowed {
 		played.Faults = append(played.Faults, others)
 	}
 	return played
@@ -77,39 +77,39 @@
 
 // Foresee projects some losses from the words of an emulated fleet at a moment, in seconds, and plays each.
 // With replay each is also played from the words alone, for comparison.
-func Foresee(ctx context.Context, s *emu.Scenario, seed int64, at float64, losses []outlook.Loss,
-	replay bool) ([]Foresight, *outlook.Outlook, error) {
+func Foresee(ctx context.Context, s *emulator.Scenario, seed int64, at float64, losses []forecast.Loss,
+	replay bool) ([]Foresight, *forecast.Outlook, error) {
 	rules := Rules(s)
-	before, words, err := emu.RunWords(ctx, s, seed, at)
+	before, words, err := emulator.RunWords(ctx, s, seed, at)
 	if err != nil {
 		return nil, nil, err
 	}
-	o := outlook.Project(words, rules)
+	o := forecast.Project(words, rules)
 	until := min(at+o.Moved/1000, s.Seconds)
 	var all []Foresight
-	var like *emu.Scenario
-	var calm *emu.Result
+	var like *emulator.Scenario
+	var calm *emulator.Result
 	if replay {
 		if like = likeness(words, rules, s); like == nil {
 			return nil, nil, fmt.Errorf("replay: %s", strings.Join(o.Unknown, "; "))
 		}
-		if calm, err = emu.Run(ctx, like, seed+1e6); err != nil {
+		if calm, err = emulator.Run(ctx, like, seed+1e6); err != nil {
 			return nil, nil, err
 		}
 	}
 	for _, l := range losses {
-		i := slices.IndexFunc(o.Losses, func(c outlook.Cost) bool { return c.Loss.Same(l) })
+		i := slices.IndexFunc(o.Losses, func(c forecast.Cost) bool { return c.Loss.Same(l) })
 		if i < 0 {
 			return nil, nil, fmt.Errorf("loss of %s: not projected: %s", strings.Join(l.Halls, ", "),
 				strings.Join(o.Unknown, "; "))
 		}
-		after, err := emu.Run(ctx, faulted(s, l, at, rules.Slow), seed)
+		after, err := emulator.Run(ctx, faulted(s, l, at, rules.Slow), seed)
 		if err != nil {
 			return nil, nil, err
 		}
 		f := held(&o.Losses[i], before, after, seed, at, until)
 		if replay {
-			again, err := emu.Run(ctx, faulted(like, l, at, rules.Slow), seed+1e6)
+			again, err := emulator.Run(ctx, faulted(like, l, at, rules.Slow), seed+1e6)
 			if err != nil {
 				return nil, nil, err
 			}
@@ -122,8 +122,8 @@
 
 // likeness is a scenario as words alone show it: what they do not show (queues, how long clients wait, how
 // news travels) is as a scenario has it that stands for an operator's knowledge.
-func likeness(words []*outlook.Word, r outlook.Rules, known *emu.Scenario) *emu.Scenario {
-	l := outlook.Liken(words, r)
+func likeness(words []*forecast.Word, r forecast.Rules, known *emulator.Scenario) *emulator.Scenario {
+	l := forecast.Liken(words, r)
 	if l == nil {
 		return nil
 	}
@@ -152,7 +152,7 @@
 }
 
 // held holds what was projected against what came.
-func held(c *outlook.Cost, before, after *emu.Result, seed int64, at, until float64) Foresight {
+func held(c *forecast.Cost, before, after *emulator.Result, seed int64, at, until float64) Foresight {
 	f := Foresight{Scenario: before.Scenario, Loss: c.Loss, Seed: seed}
 	secs := until - at
 	ran := make([]float64, len(c.First.Halls))
--- a/internal/lab/outlook_test.go
+++ b/internal/lab/experiment/outlook_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"flag"
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"testing"
 
-	"willowdeck/internal/emu"
-	"willowdeck/internal/outlook"
+	"willowdeck/internal/forecast"
+	"willowdeck/internal/lab/emulator"
 )
 
 var (
@@ -21,24 +21,27 @@
 // Each kind of loss is foretold from the words of an emulated fleet, and then played with the same arrivals.
 // Guards against a change of the module, or of what words say, that the reckoning does not follow.
 func TestForesee(t *testing.T) {
-	losses := []outlook.Loss{{Kind: outlook.Whole, Halls: []string{"hall0"}},
-		{Kind: outlook.Whole, Halls: []string{"hall0", "hall1"}}, {Kind: outlook.Keepers, Halls: []string{"hall0"}},
-		{Kind: outlook.Links, Halls: []string{"hall0"}}, {Kind: outlook.Slowed, Halls: []string{"hall0"}}}
+	losses := []forecast.Loss{{Kind: forecast.Whole, Halls: []string{"hall0"}},
+		{
+			Kind:  forecast.Whole,
+			Halls: []string{"hall0", "hall1"},
+		}, {Kind: forecast.Keepers, Halls: []string{"hall0"}},
+		{Kind: forecast.Links, Halls: []string{"hall0"}}, {Kind: forecast.Slowed, Halls: []string{"hall0"}}}
 	names, loads, seeds := []string{"halls20"}, []float64{1}, 1
 	if *foresee > 0 {
 		names, loads, seeds = []string{"halls20", "halls300"}, []float64{0.6, 1, 1.25}, *foresee
-		losses = append(losses, outlook.Loss{Kind: outlook.Keepers, Halls: []string{"hall1", "hall2"}},
-			outlook.Loss{Kind: outlook.Links, Halls: []string{"hall1", "hall2"}})
+		losses = append(losses, forecast.Loss{Kind: forecast.Keepers, Halls: []string{"hall1", "hall2"}},
+			forecast.Loss{Kind: forecast.Links, Halls: []string{"hall1", "hall2"}})
 	}
 	var table []Foresights
-	lending := func(s *emu.Scenario) {
+	lending := func(s *emulator.Scenario) {
 		for i := range s.Plans {
 			s.Plans[i].Credit, s.Plans[i].Repay = *credit, 30
 		}
 	}
 	for _, name := range names {
 		for _, load := range loads {
-			s, err := emu.Read("../../scenarios/" + name + ".toml")
+			s, err := emulator.Read("../../../scenarios/" + name + ".toml")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/lab/table.go
+++ b/internal/lab/experiment/table.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"encoding/csv"
@@ -9,7 +9,7 @@
 	"path/filepath"
 	"strconv"
 
-	"willowdeck/internal/emu"
+	"willowdeck/internal/lab/emulator"
 )
 
 // columns of a table. The first ones say what was played, the others are figures.
@@ -43,8 +43,8 @@
 	for rule := 1; rule <= 5; rule++ {
 		out = append(out, strconv.Itoa(r.Breaks[rule]))
 	}
-	return append(out, strconv.Itoa(r.Falls), f(r.NearFall), f(emu.Worst(r.Products).Share()),
-		f(emu.Worst(r.Plans).Share()), f(r.Starved), d(r.CreditMessages), f(r.Lent), f(r.RepaidLate))
+	return append(out, strconv.Itoa(r.Falls), f(r.NearFall), f(emulator.Worst(r.Products).Share()),
+		f(emulator.Worst(r.Plans).Share()), f(r.Starved), d(r.CreditMessages), f(r.Lent), f(r.RepaidLate))
 }
 
 // whole writes a file beside its place and moves it there: what is stopped leaves none that passes for whole.
@@ -143,7 +143,7 @@
 }
 
 // WriteSeconds writes what became of each second of a run, for charts over time.
-func WriteSeconds(path string, r *emu.Result) error {
+func WriteSeconds(path string, r *emulator.Result) error {
 	return whole(path, func(w io.Writer) error {
 		out := csv.NewWriter(w)
 		_ = out.Write([]string{"second", "settled", "p99_ms", "most_ms"})
--- a/internal/elements/elements.go
+++ b/internal/lab/footprint/elements.go
@@ -1,7 +1,7 @@
-// Package elements measures what one more element of each kind costs a process: a member, plan or word of
+// Package footprint measures what one more element of each kind costs a process: a member, plan or word of
 // the agreed rules, a peer, route or worker in the configuration, a customer in the module, a gatekeeper
 // among those that tell each other. It uses the packages as the daemons do, without sockets.
-package elements
+package footprint
 
 import (
 	"errors"
--- a/internal/elements/elements_test.go
+++ b/internal/lab/footprint/elements_test.go
@@ -1,4 +1,4 @@
-package elements
+package footprint
 
 import (
 	"errors"
--- a/internal/elements/module.go
+++ b/internal/lab/footprint/module.go
@@ -1,4 +1,4 @@
-package elements
+package footprint
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"net/netip"
 	"time"
 
-	"willowdeck/internal/member"
-	"willowdeck/internal/wire/gossip"
-	"willowdeck/internal/wire/roster"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/incarnation"
+	"willowdeck/internal/gateway/transport/endpoints"
+	"willowdeck/internal/gateway/transport/gossip"
+	"willowdeck/internal/policy"
 )
 
 const (
@@ -20,10 +20,10 @@
 )
 
 // list is discovery's list of so many workers, over 14 zones.
-func list(n int) roster.List {
-	l := roster.List{Version: 1, Whole: true}
+func list(n int) endpoints.List {
+	l := endpoints.List{Version: 1, Whole: true}
 	for i := range n {
-		l.Workers = append(l.Workers, roster.Worker{Name: fmt.Sprintf("worker-%06d", i),
+		l.Workers = append(l.Workers, endpoints.Worker{Name: fmt.Sprintf("worker-%06d", i),
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 8080),
 			Zone:    fmt.Sprintf("zone-%02d", i%14), Cell: i / 38, Kind: "std-4", Rating: 1, Active: true,
 			Since: 1.7e12 + float64(i)})
@@ -32,30 +32,30 @@
 }
 
 // charter of so many gatekeepers, routes and plans. Each plan's customers may have 2 units a second.
-func charter(gatekeepers, routes, plans int) logic.Charter {
-	c := logic.Charter{Gatekeepers: gatekeepers, LargestUnits: 1, MaxSubmissions: 3, MayOverlap: true,
+func charter(gatekeepers, routes, plans int) policy.Charter {
+	c := policy.Charter{Gatekeepers: gatekeepers, LargestUnits: 1, MaxSubmissions: 3, MayOverlap: true,
 		MayWithdraw: true, MayAdvise: true, MaxAdvice: 2000, MayTell: true, PeerInPerS: intake,
 		ReportsPerTell: gossip.Room, ColdFrom: 0.2, WarmUp: 10000, Whole: 1}
 	for range routes {
-		c.Products = append(c.Products, logic.Product{SLA: 1000, Value: 1, Window: 5000})
+		c.Products = append(c.Products, policy.Product{SLA: 1000, Value: 1, Window: 5000})
 	}
 	for range plans {
-		c.Plans = append(c.Plans, logic.Plan{Rate: 2, Burst: 20, Factor: 1, ExcessFee: 1})
+		c.Plans = append(c.Plans, policy.Plan{Rate: 2, Burst: 20, Factor: 1, ExcessFee: 1})
 	}
 	return c
 }
 
-func postings(n int) []logic.Posting {
-	var all []logic.Posting
+func postings(n int) []policy.Posting {
+	var all []policy.Posting
 	for i := range n {
-		all = append(all, logic.Posting{Worker: i, Zone: i % 14, Cell: i / 38, Active: true})
+		all = append(all, policy.Posting{Worker: i, Zone: i % 14, Cell: i / 38, Active: true})
 	}
 	return all
 }
 
 // play is a module that is driven without sockets: what it submits is settled at once.
 type play struct {
-	g       *logic.Gatekeeper
+	g       *policy.Gatekeeper
 	now     float64
 	id      uint64
 	told    int
@@ -65,8 +65,8 @@
 	buf     []byte
 }
 
-func newPlay(c logic.Charter, workers int) *play {
-	p := &play{g: logic.New(c, seed), now: 1000}
+func newPlay(c policy.Charter, workers int) *play {
+	p := &play{g: policy.New(c, seed), now: 1000}
 	p.g.Clock(p.now)
 	p.g.Roster(postings(workers), false)
 	p.pull()
@@ -82,9 +82,9 @@
 			break
 		}
 		switch d.Kind {
-		case logic.Submit:
-			p.g.Ended(d.Txn, d.N, logic.Settled, 20, true)
-		case logic.Tell:
+		case policy.Submit:
+			p.g.Ended(d.Txn, d.N, policy.Settled, 20, true)
+		case policy.Tell:
 			p.told++
 			p.buf = gossip.Append(p.buf[:0], d.Reports)
 			p.bytes += len(p.buf) + wordBytes
@@ -103,7 +103,7 @@
 
 func (p *play) txn(customer uint64, set, first int) {
 	p.id++
-	p.g.Take(logic.Arrival{ID: p.id, Customer: customer, Units: 1, SetSize: set, First: first, Left: 3000})
+	p.g.Take(policy.Arrival{ID: p.id, Customer: customer, Units: 1, SetSize: set, First: first, Left: 3000})
 	p.pull()
 }
 
@@ -144,7 +144,7 @@
 	}
 	kinds := p.g.Tally().Customers
 	p.longest = 0
-	p.at(p.now + logic.MannerOf(c).Period)
+	p.at(p.now + policy.MannerOf(c).Period)
 	p.pull()
 	return []Value{{"gatekeeper", "kept over customers", "B", kept - bare},
 		{"gatekeeper", "first txn over customers", "ns", median(firsts)},
@@ -158,14 +158,14 @@
 func routes(n int) ([]Value, error) {
 	const workers = 200
 	c := charter(20, n, usualPlans)
-	start := func(listed int) *logic.Gatekeeper {
-		g := logic.New(c, seed)
+	start := func(listed int) *policy.Gatekeeper {
+		g := policy.New(c, seed)
 		g.Clock(1000)
 		g.Roster(postings(listed), false)
 		return g
 	}
-	_, kept := keeps(func() *logic.Gatekeeper { return start(0) })
-	_, more := keeps(func() *logic.Gatekeeper { return start(workers) })
+	_, kept := keeps(func() *policy.Gatekeeper { return start(0) })
+	_, more := keeps(func() *policy.Gatekeeper { return start(workers) })
 	made := took(func() { start(0) })
 	return []Value{{"gatekeeper", "kept over routes, no worker listed", "B", kept},
 		{"gatekeeper", "start of a module over routes", "ms", made},
@@ -192,13 +192,13 @@
 // that ask for more than their part, with sets of usualSet, and of all.
 func words(n int) ([]Value, error) {
 	c := charter(n, 3, 1)
-	m := logic.MannerOf(c)
-	g, kept := keeps(func() *logic.Gatekeeper { return logic.New(c, seed) })
+	m := policy.MannerOf(c)
+	g, kept := keeps(func() *policy.Gatekeeper { return policy.New(c, seed) })
 	_ = g.Tally()
-	table, heard := keeps(func() *member.Table {
-		t := member.NewTable()
+	table, heard := keeps(func() *incarnation.Table {
+		t := incarnation.NewTable()
 		for i := range n {
-			t.Hear(i, member.Word{Incarnation: 1, Sequence: 1})
+			t.Hear(i, incarnation.Word{Incarnation: 1, Sequence: 1})
 		}
 		return t
 	})
--- a/internal/elements/relay.go
+++ b/internal/lab/footprint/relay.go
@@ -1,11 +1,11 @@
-package elements
+package footprint
 
 import (
 	"fmt"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/relay"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/versioned"
 )
 
 const (
@@ -15,17 +15,19 @@
 
 // hop is one that asks and one that answers, without what lies between.
 type hop struct {
-	source   *relay.Source
-	follower *relay.Follower
+	source   *distribution.Source
+	follower *distribution.Follower
 	now      float64
-	view     relay.View
+	view     distribution.View
 }
 
-func newHop(in accord.Interest) *hop {
-	h := &hop{source: relay.NewSource("above", cluster, relay.Bounds{WholeBurst: 1e12}), now: 1000,
-		follower: relay.NewFollower(relay.Config{Name: "below", Cluster: cluster, Upstream: 1, Interest: in,
-			Seed: seed},
-			0)}
+func newHop(in ruleset.Interest) *hop {
+	h := &hop{source: distribution.NewSource("above", cluster, distribution.Bounds{WholeBurst: 1e12}), now: 1000,
+		follower: distribution.NewFollower(
+			distribution.Config{Name: "below", Cluster: cluster, Upstream: 1, Interest: in,
+				Seed: seed},
+			0,
+		)}
 	return h
 }
 
@@ -40,7 +42,7 @@
 		if !ok {
 			return 0, 0, fmt.Errorf("nothing is asked")
 		}
-		if d.Kind != relay.AskOf {
+		if d.Kind != distribution.AskOf {
 			continue
 		}
 		out, err := d.Ask.Bytes()
@@ -51,7 +53,7 @@
 		if err != nil {
 			return 0, 0, err
 		}
-		a, err := relay.ReadAnswer(back)
+		a, err := distribution.ReadAnswer(back)
 		if err != nil {
 			return 0, 0, err
 		}
@@ -62,7 +64,7 @@
 }
 
 func (h *hop) answer(ask []byte) ([]byte, error) {
-	q, err := relay.ReadAsk(ask)
+	q, err := distribution.ReadAsk(ask)
 	if err != nil {
 		return nil, err
 	}
@@ -73,35 +75,35 @@
 	return a.Bytes()
 }
 
-func (h *hop) offer(step uint64, rules *resource.State) {
-	h.view = relay.View{Step: step, Settled: true, Begun: h.now, Rules: rules, Index: -1}
+func (h *hop) offer(step uint64, rules *versioned.State) {
+	h.view = distribution.View{Step: step, Settled: true, Begun: h.now, Rules: rules, Index: -1}
 	h.source.Offer(h.view)
 }
 
 // hops measures what a renewal, a version and a whole cost on each hop, over members.
 func hops(n int) ([]Value, error) {
 	r := rules(n, usualPlans, 0, 0)
-	if err := accord.Check(r); err != nil {
+	if err := ruleset.Check(r); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	first, err := accord.Entries(&accord.Version{Number: 1, Rules: *r})
+	first, err := ruleset.Entries(&ruleset.Version{Number: 1, Rules: *r})
 	if err != nil {
 		return nil, err
 	}
 	changed := *r
-	changed.Plans = append([]accord.Plan{}, r.Plans...)
+	changed.Plans = append([]ruleset.Plan{}, r.Plans...)
 	changed.Plans[0].Rate++
-	second, err := accord.Entries(&accord.Version{Number: 2, Rules: changed})
+	second, err := ruleset.Entries(&ruleset.Version{Number: 2, Rules: changed})
 	if err != nil {
 		return nil, err
 	}
 	var values []Value
 	for _, who := range []struct {
 		role string
-		in   accord.Interest
-	}{{"gatekeeper", accord.Interest{Name: "gk-00007", Around: relay.Around}},
-		{"host daemon", accord.Interest{Host: "host-000", Around: relay.Around}}, {"zone relay",
-			accord.Interest{All: true}}} {
+		in   ruleset.Interest
+	}{{"gatekeeper", ruleset.Interest{Name: "gk-00007", Around: distribution.Around}},
+		{"host daemon", ruleset.Interest{Host: "host-000", Around: distribution.Around}}, {"zone relay",
+			ruleset.Interest{All: true}}} {
 		h := newHop(who.in)
 		h.offer(1, first)
 		_, whole, err := h.round()
@@ -129,7 +131,7 @@
 			continue
 		}
 		both := took(func() { _, _, _ = h.round() })
-		ask, err := (&relay.Ask{Form: relay.Form, Cluster: cluster, From: "below", Interest: who.in, Step: 2,
+		ask, err := (&distribution.Ask{Form: distribution.Form, Cluster: cluster, From: "below", Interest: who.in, Step: 2,
 			Rules: v.Rules.Mark(), Index: -1}).Bytes()
 		if err != nil {
 			return nil, err
@@ -147,19 +149,19 @@
 			Value{"zone relay", "answering a renewal over members", "ms", above},
 			Value{who.role, "kept of agreed rules over members", "B", kept})
 	}
-	_, kept := keeps(func() *resource.State {
-		s, _ := accord.Entries(&accord.Version{Number: 1, Rules: *r})
+	_, kept := keeps(func() *versioned.State {
+		s, _ := ruleset.Entries(&ruleset.Version{Number: 1, Rules: *r})
 		return s
 	})
-	h := newHop(accord.Interest{})
+	h := newHop(ruleset.Interest{})
 	parts := took(func() {
 		h.offer(1, first)
 		h.offer(2, second)
-		h = newHop(accord.Interest{})
+		h = newHop(ruleset.Interest{})
 		h.offer(1, first)
 		for i := range min(zoneHosts, (n+perHost-1)/perHost) {
-			_, _ = h.source.Answer(&relay.Ask{Form: relay.Form, Cluster: cluster, From: "x", Index: -1,
-				Interest: accord.Interest{Host: fmt.Sprintf("host-%03d", i), Around: relay.Around}}, h.now)
+			_, _ = h.source.Answer(&distribution.Ask{Form: distribution.Form, Cluster: cluster, From: "x", Index: -1,
+				Interest: ruleset.Interest{Host: fmt.Sprintf("host-%03d", i), Around: distribution.Around}}, h.now)
 		}
 	})
 	return append(values, Value{"zone relay", "kept of agreed rules over members", "B", kept},
--- a/internal/elements/rules.go
+++ b/internal/lab/footprint/rules.go
@@ -1,4 +1,4 @@
-package elements
+package footprint
 
 import (
 	"encoding/json"
@@ -8,12 +8,12 @@
 	"path/filepath"
 	"strings"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/config"
-	"willowdeck/internal/fleet"
-	"willowdeck/internal/rulebook"
-	"willowdeck/internal/wire/roster"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/transport/endpoints"
+	"willowdeck/internal/policy"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/ruleset/rulefile"
+	"willowdeck/internal/supervisor"
 )
 
 const (
@@ -25,14 +25,14 @@
 )
 
 // rules of so many members, plans and words, on hosts of perHost members each, or on no more than some.
-func rules(members, plans, words, hosts int) *accord.Rules {
-	r := &accord.Rules{Form: accord.Form, Lease: rulebook.Lease, Bound: accord.MostBound,
-		Fallback: accord.Fallback{Part: rulebook.Part, For: rulebook.For}}
-	if accord.Has(manyMembers) && members > 500 {
+func rules(members, plans, words, hosts int) *ruleset.Rules {
+	r := &ruleset.Rules{Form: ruleset.Form, Lease: rulefile.Lease, Bound: ruleset.MostBound,
+		Fallback: ruleset.Fallback{Part: rulefile.Part, For: rulefile.For}}
+	if ruleset.Has(manyMembers) && members > 500 {
 		r.Needs = []string{manyMembers}
 	}
 	for i := range plans {
-		r.Plans = append(r.Plans, accord.Plan{Name: fmt.Sprintf("plan-%03d", i), Rate: 2 + float64(i), Burst: 20,
+		r.Plans = append(r.Plans, ruleset.Plan{Name: fmt.Sprintf("plan-%03d", i), Rate: 2 + float64(i), Burst: 20,
 			CeilingRate: 200, CeilingDepth: 400})
 	}
 	for i := range members {
@@ -40,31 +40,31 @@
 		if hosts > 0 {
 			host %= hosts
 		}
-		r.Members = append(r.Members, accord.Member{Name: fmt.Sprintf("gk-%05d", i),
+		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprintf("gk-%05d", i),
 			Host:  fmt.Sprintf("host-%03d", host),
 			Peers: fmt.Sprintf("10.%d.%d.%d:7946", i>>16, i>>8&255, i&255)})
 	}
 	for i := range words {
-		r.Words = append(r.Words, accord.Word{Worker: fmt.Sprintf("worker-%06d", i), Drained: true})
+		r.Words = append(r.Words, ruleset.Word{Worker: fmt.Sprintf("worker-%06d", i), Drained: true})
 	}
 	return r
 }
 
-func lease(r *accord.Rules) *accord.Lease {
-	return &accord.Lease{Step: 7, Version: accord.Version{Number: 3, Rules: *r}, Settled: true, Age: 12}
+func lease(r *ruleset.Rules) *ruleset.Lease {
+	return &ruleset.Lease{Step: 7, Version: ruleset.Version{Number: 3, Rules: *r}, Settled: true, Age: 12}
 }
 
 // answer measures what a daemon tells a gatekeeper five times in a lease.
-func answer(over string, r *accord.Rules) ([]Value, error) {
+func answer(over string, r *ruleset.Rules) ([]Value, error) {
 	l := lease(r)
 	raw, err := l.Bytes()
 	if err != nil {
 		return nil, err
 	}
-	if _, err = accord.ReadLease(raw); err != nil {
+	if _, err = ruleset.ReadLease(raw); err != nil {
 		return nil, err
 	}
-	read := func() { _, _ = accord.ReadLease(raw) }
+	read := func() { _, _ = ruleset.ReadLease(raw) }
 	return []Value{{"gatekeeper", "answer with rules over " + over, "B", float64(len(raw))},
 		{"gatekeeper", "reading an answer over " + over, "ms", took(read)},
 		{"gatekeeper", "allocated in reading an answer over " + over, "B", allocated(read)},
@@ -74,11 +74,11 @@
 // change measures what a council does to take a change of one plan's rate, until it is in force.
 func change(n int) ([]Value, error) {
 	r := rules(n, usualPlans, 0, usualHosts)
-	if err := accord.Check(r); err != nil {
+	if err := ruleset.Check(r); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	first := accord.Entry{Act: accord.Propose, ID: "first", Rules: r}
-	c := accord.NewCouncil()
+	first := ruleset.Entry{Act: ruleset.Propose, ID: "first", Rules: r}
+	c := ruleset.NewCouncil()
 	if o := c.Apply(first); o.InForce != 1 {
 		return nil, fmt.Errorf("not in force: %+v", o)
 	}
@@ -87,20 +87,20 @@
 		return nil, err
 	}
 	next := *r
-	next.Plans = append([]accord.Plan{}, r.Plans...)
+	next.Plans = append([]ruleset.Plan{}, r.Plans...)
 	next.Plans[0].Rate++
-	e := accord.Entry{Act: accord.Propose, ID: "next", Base: 1, Rules: &next}
+	e := ruleset.Entry{Act: ruleset.Propose, ID: "next", Base: 1, Rules: &next}
 	raw, err := e.Bytes()
 	if err != nil {
 		return nil, err
 	}
 	state := c.State()
-	var o accord.Outcome
+	var o ruleset.Outcome
 	apply := func() {
-		d := accord.NewCouncil()
+		d := ruleset.NewCouncil()
 		*d.State() = *state
-		d.State().Answered = append([]accord.Answer{}, state.Answered...)
-		d.State().Held = append([]accord.Held{}, state.Held...)
+		d.State().Answered = append([]ruleset.Answer{}, state.Answered...)
+		d.State().Held = append([]ruleset.Held{}, state.Held...)
 		o = d.Apply(e)
 	}
 	ms := took(apply)
@@ -108,7 +108,7 @@
 		return nil, fmt.Errorf("not in force: %+v", o)
 	}
 	return []Value{{"council daemon", "a change, applied", "ms", ms},
-		{"council daemon", "a change, read from the log", "ms", took(func() { _, _ = accord.ReadEntry(raw) })},
+		{"council daemon", "a change, read from the log", "ms", took(func() { _, _ = ruleset.ReadEntry(raw) })},
 		{"council daemon", "a change in the log", "B", float64(len(raw))},
 		{"council daemon", "snapshot", "B", float64(len(snap))},
 		{"council daemon", "making a snapshot", "ms", took(func() { _, _ = c.Snapshot() })}}, nil
@@ -116,12 +116,12 @@
 
 // fleetOf writes the files of a host's daemon for a council of so many hosts, and reads them as it does at
 // its start.
-func fleetOf(dir string, members, hosts int) (*fleet.Fleet, error) {
+func fleetOf(dir string, members, hosts int) (*supervisor.Fleet, error) {
 	conf, err := settings(20, usualPlans, 3, 0)
 	if err != nil {
 		return nil, err
 	}
-	text, err := rulebook.Encode(rules(members, usualPlans, 0, 0))
+	text, err := rulefile.Encode(rules(members, usualPlans, 0, 0))
 	if err != nil {
 		return nil, err
 	}
@@ -141,7 +141,7 @@
 			return nil, err
 		}
 	}
-	return fleet.Read(filepath.Join(dir, "fleet.toml"))
+	return supervisor.Read(filepath.Join(dir, "fleet.toml"))
 }
 
 // fleetFile measures what a host's daemon with some perHost gatekeepers reads at its start, and carries
@@ -152,19 +152,19 @@
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	if err := accord.Check(rules(n, usualPlans, 0, 0)); err != nil {
+	if err := ruleset.Check(rules(n, usualPlans, 0, 0)); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
 	if _, err := fleetOf(dir, n, usualHosts); err != nil {
 		return nil, err
 	}
 	path := filepath.Join(dir, "fleet.toml")
-	_, kept := keeps(func() *fleet.Fleet {
-		f, _ := fleet.Read(path)
+	_, kept := keeps(func() *supervisor.Fleet {
+		f, _ := supervisor.Read(path)
 		return f
 	})
 	return []Value{{"host daemon", "reading the fleet's files over members", "ms",
-		took(func() { _, _ = fleet.Read(path) })},
+		took(func() { _, _ = supervisor.Read(path) })},
 		{"host daemon", "kept of the fleet's files over members", "B", kept}}, nil
 }
 
@@ -202,7 +202,7 @@
 		"settings": m{"me": 0, "balancers": peers, "classes": classes, "tariffs": tariffs,
 			"allowed": m{"max_attempts": 3, "peers": true}, "family_info": m{"peer_in_per_s": 60}}}
 	if workers > 0 {
-		raw, err := roster.Append(nil, list(workers))
+		raw, err := endpoints.Append(nil, list(workers))
 		if err != nil {
 			return nil, err
 		}
@@ -238,7 +238,7 @@
 
 // Bounds are what refuses the size that is coming.
 func Bounds() []Bound {
-	check := func(r *accord.Rules) error { return accord.Check(r) }
+	check := func(r *ruleset.Rules) error { return ruleset.Check(r) }
 	decode := func(peers, plans, routes, workers int) error {
 		raw, err := settings(peers, plans, routes, workers)
 		if err == nil {
@@ -260,9 +260,9 @@
 			return check(rules(20, usualPlans, n, 0))
 		}},
 		{"council daemon", "bytes of the rules' file with so many members", 7900, func(n int) error {
-			text, err := rulebook.Encode(rules(n, usualPlans, 0, 0))
-			if err == nil && len(text) > rulebook.MostOf {
-				err = fmt.Errorf("%d bytes are more than %d", len(text), rulebook.MostOf)
+			text, err := rulefile.Encode(rules(n, usualPlans, 0, 0))
+			if err == nil && len(text) > rulefile.MostOf {
+				err = fmt.Errorf("%d bytes are more than %d", len(text), rulefile.MostOf)
 			}
 			return err
 		}},
@@ -271,9 +271,9 @@
 				return decode(20, max(n, 1), 3, 0)
 			}},
 		{"gatekeeper", "workers on the watched list", 110000, func(n int) error {
-			raw, err := roster.Append(nil, list(n))
-			if err == nil && len(raw) > logic.LongestList {
-				err = fmt.Errorf("a list of %d bytes, more than %d", len(raw), logic.LongestList)
+			raw, err := endpoints.Append(nil, list(n))
+			if err == nil && len(raw) > policy.LongestList {
+				err = fmt.Errorf("a list of %d bytes, more than %d", len(raw), policy.LongestList)
 			}
 			return err
 		}},
--- a/internal/load/load.go
+++ b/internal/lab/loadgen/load.go
@@ -1,6 +1,7 @@
-// Package load sends txns to gatekeepers on sockets by a plan made ahead: each is due at its moment, whatever
+// Package loadgen sends txns to gatekeepers on sockets by a plan made ahead: each is due at its moment,
+// whatever
 // became of those before it, and its latency counts from that moment.
-package load
+package loadgen
 
 import (
 	"context"
@@ -19,7 +20,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/valyala/fasthttp"
 
-	"willowdeck/internal/traffic"
+	"willowdeck/internal/lab/workload"
 )
 
 // Product is what a request needs of a product.
@@ -32,7 +33,7 @@
 
 // Job is a load to send.
 type Job struct {
-	Arrivals []traffic.Arrival
+	Arrivals []workload.Arrival
 	Targets  []string // gatekeepers by number, host:port
 	Spread   int      // of a customer's set
 	Plans    []string
--- a/internal/load/load_test.go
+++ b/internal/lab/loadgen/load_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
@@ -6,27 +6,27 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/standin"
-	"willowdeck/internal/traffic"
+	"willowdeck/internal/lab/workload"
+	"willowdeck/internal/testkit/fakes"
 )
 
 // stalled sends a steady load to a stand-in that stands still for a while, and gives the report.
 func stalled(t *testing.T, closed int) *Report {
 	t.Helper()
-	w, err := standin.NewWorker("g", time.Millisecond)
+	w, err := fakes.NewWorker("g", time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
-	var all []traffic.Arrival
+	var all []workload.Arrival
 	for at := 0.0; at < 2000; at += 5 {
-		all = append(all, traffic.Arrival{At: at, Customer: 1, Units: 1, Set: len(all)})
+		all = append(all, workload.Arrival{At: at, Customer: 1, Units: 1, Set: len(all)})
 	}
 	j := &Job{Arrivals: all, Targets: []string{w.At}, Spread: 1, Plans: []string{"basic"}, Most: 1000,
 		Closed:   closed,
 		Products: []Product{{Name: "check", Repeat: "inquiry", Waits: 5 * time.Second}}}
-	time.AfterFunc(500*time.Millisecond, func() { w.Set(standin.Stalls) })
-	time.AfterFunc(1100*time.Millisecond, func() { w.Set(standin.None) })
+	time.AfterFunc(500*time.Millisecond, func() { w.Set(fakes.Stalls) })
+	time.AfterFunc(1100*time.Millisecond, func() { w.Set(fakes.None) })
 	r, err := j.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
@@ -58,19 +58,19 @@
 // Outcomes are told apart, and what was due and could not be sent is counted.
 func TestOutcomes(t *testing.T) {
 	cases := []struct {
-		fault standin.Fault
+		fault fakes.Fault
 		want  Outcome
-	}{{standin.None, Settled}, {standin.Full, Declined}, {standin.Errs, Voided}, {standin.Cuts, NoAnswer},
-		{standin.Silent, NoAnswer}, {standin.Garbage, NoAnswer}}
+	}{{fakes.None, Settled}, {fakes.Full, Declined}, {fakes.Errs, Voided}, {fakes.Cuts, NoAnswer},
+		{fakes.Silent, NoAnswer}, {fakes.Garbage, NoAnswer}}
 	for _, c := range cases {
 		t.Run(c.want.String(), func(t *testing.T) {
-			w, err := standin.NewWorker("g", 0)
+			w, err := fakes.NewWorker("g", 0)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer w.Close()
 			w.Set(c.fault)
-			j := &Job{Arrivals: []traffic.Arrival{{Units: 1}, {Units: 1, Product: 1}, {Units: 1, Product: 2}},
+			j := &Job{Arrivals: []workload.Arrival{{Units: 1}, {Units: 1, Product: 1}, {Units: 1, Product: 2}},
 				Targets: []string{w.At}, Spread: 1, Plans: []string{"basic"}, Most: 9, Products: []Product{
 					{"check", "inquiry", 200 * time.Millisecond, 0}, {"sale", "referenced", 200 * time.Millisecond, 20},
 					{"issue", "once", 200 * time.Millisecond, 20}}}
@@ -88,13 +88,19 @@
 			}
 		})
 	}
-	w, err := standin.NewWorker("g", 100*time.Millisecond)
+	w, err := fakes.NewWorker("g", 100*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
-	j := &Job{Arrivals: make([]traffic.Arrival, 9), Targets: []string{w.At}, Spread: 1, Plans: []string{"basic"},
-		Most: 4, Products: []Product{{"check", "inquiry", time.Second, 0}}}
+	j := &Job{
+		Arrivals: make([]workload.Arrival, 9),
+		Targets:  []string{w.At},
+		Spread:   1,
+		Plans:    []string{"basic"},
+		Most:     4,
+		Products: []Product{{"check", "inquiry", time.Second, 0}},
+	}
 	if r, err := j.Run(context.Background()); err != nil || r.Counts["check"][Unsent] != 5 {
 		t.Errorf("%v, %v", r, err)
 	}
@@ -102,7 +108,7 @@
 
 func TestBadJobs(t *testing.T) {
 	good := func() *Job {
-		return &Job{Arrivals: make([]traffic.Arrival, 1), Targets: []string{"127.0.0.1:1"}, Spread: 1,
+		return &Job{Arrivals: make([]workload.Arrival, 1), Targets: []string{"127.0.0.1:1"}, Spread: 1,
 			Plans: []string{"basic"}, Products: []Product{{Name: "check"}}, Most: 1}
 	}
 	cases := []struct {
--- a/internal/slope/slope.go
+++ b/internal/lab/regression/slope.go
@@ -1,6 +1,7 @@
-// Package slope fits a measured figure over sizes: a straight line with what it leaves over, the power by
+// Package regression fits a measured figure over sizes: a straight line with what it leaves over, the power
+// by
 // which the figure really grows, and the size up to which a straight line foretells the next one.
-package slope
+package regression
 
 import (
 	"cmp"
--- a/internal/slope/slope_test.go
+++ b/internal/lab/regression/slope_test.go
@@ -1,4 +1,4 @@
-package slope
+package regression
 
 import (
 	"errors"
--- a/internal/scale/desk.go
+++ b/internal/lab/scale/desk.go
@@ -11,11 +11,11 @@
 	"strings"
 	"time"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/load"
-	"willowdeck/internal/standin"
-	"willowdeck/internal/traffic"
-	"willowdeck/internal/wire/roster"
+	"willowdeck/internal/gateway/transport/endpoints"
+	"willowdeck/internal/lab/loadgen"
+	"willowdeck/internal/lab/workload"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/fakes"
 )
 
 const (
@@ -28,14 +28,14 @@
 // are listed have the address of one of a few that stand in for them.
 func desk(ctx context.Context, s *Scenario, t *Table, p Programs, where *site, n int) error {
 	dir, net := where.dir, where.net
-	var stand []*standin.Worker
+	var stand []*fakes.Worker
 	defer func() {
 		for _, w := range stand {
 			w.Close()
 		}
 	}()
 	for i := range s.Desk.Stand {
-		w, err := standin.NewWorker(fmt.Sprintf("stand-%d", i), time.Millisecond)
+		w, err := fakes.NewWorker(fmt.Sprintf("stand-%d", i), time.Millisecond)
 		if err != nil {
 			return err
 		}
@@ -45,25 +45,25 @@
 	for i := range all {
 		all[i].Address = stand[i%len(stand)].At
 	}
-	d, err := standin.NewDiscovery(all...)
+	d, err := fakes.NewDiscovery(all...)
 	if err != nil {
 		return err
 	}
 	defer d.Close()
 	at := fmt.Sprintf("%s:%d", net.ip(), listenPort)
 	control := fmt.Sprintf("%s:%d", net.ip(), controlPort)
-	r := accord.Rules{Form: accord.Form, Lease: s.Council.LeaseMS, Bound: s.Council.BoundMS,
-		Fallback: accord.Fallback{Part: s.Council.FallbackPart, For: s.Council.FallbackMS},
+	r := ruleset.Rules{Form: ruleset.Form, Lease: s.Council.LeaseMS, Bound: s.Council.BoundMS,
+		Fallback: ruleset.Fallback{Part: s.Council.FallbackPart, For: s.Council.FallbackMS},
 		Plans:    plans(s.Council.Plans)}
 	r.Needs = needs(n)
 	for i := range n {
-		r.Members = append(r.Members, accord.Member{Name: fmt.Sprintf("g%d", i),
+		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprintf("g%d", i),
 			Host: fmt.Sprintf("host-%d", i/s.Hollow.PerHost), Peers: fmt.Sprintf("127.0.0.1:%d", 1+i)})
 	}
 	for i := range r.Plans { // no quota is in the way
 		r.Plans[i].Rate, r.Plans[i].Burst, r.Plans[i].CeilingRate, r.Plans[i].CeilingDepth = 1e6, 1e6, 0, 0
 	}
-	raw, err := json.Marshal(gatekeeperFile(d.At, standin.List{Index: 0, Snapshot: true}, &r,
+	raw, err := json.Marshal(gatekeeperFile(d.At, fakes.List{Index: 0, Snapshot: true}, &r,
 		map[string]any{"name": "g0", "listen": at, "control": control}))
 	if err == nil {
 		err = os.WriteFile(filepath.Join(dir, "gatekeeper.json"), raw, 0o600)
@@ -102,14 +102,14 @@
 		if g.over() {
 			return false, fmt.Errorf("it has ended: %s", g.says())
 		}
-		if strings.Contains(g.says(), roster.ErrTooLong.Error()) {
-			return false, roster.ErrTooLong
+		if strings.Contains(g.says(), endpoints.ErrTooLong.Error()) {
+			return false, endpoints.ErrTooLong
 		}
 		page, err := ask(control, "/admin/stats")
 		return err == nil && number(page, "svc.pool_size") >= float64(len(all)) &&
-			number(page, "svc.rules.mode") == float64(accord.Leased), nil
+			number(page, "svc.rules.mode") == float64(ruleset.Leased), nil
 	})
-	if errors.Is(err, roster.ErrTooLong) {
+	if errors.Is(err, endpoints.ErrTooLong) {
 		t.refuse(err.Error())
 		t.add(listRole, "refused", 1)
 		return nil
@@ -152,7 +152,7 @@
 		return err
 	}
 	after, rss, descriptors := usage(g.pid())
-	ms := func(r *load.Report, q float64) float64 { return float64(r.Latency.ValueAtQuantile(q)) / 1000 }
+	ms := func(r *loadgen.Report, q float64) float64 { return float64(r.Latency.ValueAtQuantile(q)) / 1000 }
 	t.add(keeperRole, "p50", ms(quiet, 50))
 	t.add(keeperRole, "p99", ms(quiet, 99))
 	t.add(keeperRole, "p50_changes", ms(busy, 50))
@@ -161,7 +161,7 @@
 	t.add(keeperRole, "lag_p99", float64(max(quiet.Lag.ValueAtQuantile(99), busy.Lag.ValueAtQuantile(99)))/1000)
 	settled := int64(0)
 	for _, c := range busy.Counts {
-		settled += c[load.Settled]
+		settled += c[loadgen.Settled]
 	}
 	t.add(keeperRole, "answered", float64(settled))
 	t.add(keeperRole, "cpu_changes", (after-before)/time.Since(from).Seconds()*100)
@@ -179,13 +179,13 @@
 }
 
 // deskLoad sends an open load to one gatekeeper.
-func deskLoad(ctx context.Context, s *Scenario, at string, seed int64) (*load.Report, error) {
+func deskLoad(ctx context.Context, s *Scenario, at string, seed int64) (*loadgen.Report, error) {
 	rng := rand.New(rand.NewSource(s.Seed*1000 + seed))
-	var all []traffic.Arrival
+	var all []workload.Arrival
 	for ms := 0.0; ms < s.Desk.Seconds*1000; ms += rng.ExpFloat64() * 1000 / s.Desk.TxnsPerS {
-		all = append(all, traffic.Arrival{At: ms, Customer: rng.Intn(deskCustomers), Units: 1})
+		all = append(all, workload.Arrival{At: ms, Customer: rng.Intn(deskCustomers), Units: 1})
 	}
-	j := &load.Job{Arrivals: all, Targets: []string{at}, Spread: 1, Plans: []string{"plan-0"}, Most: deskOut,
-		Seed: seed, Products: []load.Product{{Name: "check", Repeat: "inquiry", Waits: deskWaits}}}
+	j := &loadgen.Job{Arrivals: all, Targets: []string{at}, Spread: 1, Plans: []string{"plan-0"}, Most: deskOut,
+		Seed: seed, Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: deskWaits}}}
 	return j.Run(ctx)
 }
--- a/internal/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -11,8 +11,8 @@
 	"strings"
 	"syscall"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/council"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset"
 )
 
 // Hollow is what a hollow process is told at its start. It plays one role, so that its memory and its
@@ -22,7 +22,7 @@
 	Cluster string
 	Hosts   []HollowHost   `json:",omitempty"` // role host
 	Keepers []HollowKeeper `json:",omitempty"` // role gatekeeper
-	Plans   []accord.Plan  `json:",omitempty"` // that gatekeepers are born with
+	Plans   []ruleset.Plan `json:",omitempty"` // that gatekeepers are born with
 	PerS    float64        `json:",omitempty"` // gatekeepers that are begun in a second; 0: all at once
 	Dir     string         `json:",omitempty"` // rear: of the run
 	Watch   *HollowWatch   `json:",omitempty"` // role discovery: whoever follows its list
@@ -33,7 +33,7 @@
 // rules of that file unchecked.
 type HollowHost struct {
 	Name, Listen, Control, Store string
-	Voters                       []council.Host
+	Voters                       []raftlog.Host
 	Trial                        string   `json:",omitempty"`
 	Upstream                     []string `json:",omitempty"` // it has no seat and follows these
 	Changes                      bool     `json:",omitempty"` // of a trial: it tells changes, new ones by order
--- a/internal/scale/hosts.go
+++ b/internal/lab/scale/hosts.go
@@ -12,9 +12,9 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/council"
-	"willowdeck/internal/lifecycle"
+	"willowdeck/internal/gateway/lifecycle"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset"
 )
 
 // hosts are the daemons of hollow hosts.
@@ -27,8 +27,8 @@
 }
 
 type hollowHost struct {
-	seat   *council.Seat // nil in a trial
-	trial  *accord.Version
+	seat   *raftlog.Seat // nil in a trial
+	trial  *ruleset.Version
 	read   time.Time // when a trial's rules were last read, as the seat reads them
 	server *http.Server
 }
@@ -61,13 +61,13 @@
 		if err != nil {
 			return nil, err
 		}
-		o.trial = &accord.Version{Number: 1}
+		o.trial = &ruleset.Version{Number: 1}
 		if err := json.Unmarshal(raw, &o.trial.Rules); err != nil {
 			return nil, err
 		}
 	} else {
 		var err error
-		o.seat, err = council.NewSeat(council.Charter{Cluster: x.h.Cluster, Me: c.Name, Listen: c.Listen,
+		o.seat, err = raftlog.NewSeat(raftlog.Charter{Cluster: x.h.Cluster, Me: c.Name, Listen: c.Listen,
 			Store: c.Store, Hosts: c.Voters, Found: true}, nil, nil, zerolog.Nop())
 		if err != nil {
 			return nil, err
@@ -95,7 +95,7 @@
 	}
 }
 
-// lease answers as fleet.Daemon.lease does, but for the processes: whoever asks is one.
+// lease answers as supervisor.Daemon.lease does, but for the processes: whoever asks is one.
 func (o *hollowHost) lease(w http.ResponseWriter, r *http.Request) {
 	name := r.FormValue("instance")
 	pid, err := strconv.Atoi(r.FormValue("pid"))
@@ -105,7 +105,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	var l accord.Lease
+	var l ruleset.Lease
 	if o.seat != nil {
 		w.Header().Set(lifecycle.IndexHeader, strconv.FormatInt(o.seat.Highest(), 10))
 		var ok bool
@@ -115,7 +115,7 @@
 			return
 		}
 	} else {
-		l = accord.Lease{Step: 1, Version: *o.trial, Settled: true, Age: 100}
+		l = ruleset.Lease{Step: 1, Version: *o.trial, Settled: true, Age: 100}
 	}
 	raw, err := l.Bytes()
 	if err != nil {
--- a/internal/scale/keepers.go
+++ b/internal/lab/scale/keepers.go
@@ -13,12 +13,12 @@
 
 	"github.com/valyala/fasthttp"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/held"
-	"willowdeck/internal/lifecycle"
-	"willowdeck/internal/relay"
-	"willowdeck/internal/relayd"
-	"willowdeck/internal/wire"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/distribution/relay"
+	"willowdeck/internal/gateway/inflight"
+	"willowdeck/internal/gateway/lifecycle"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/ruleset"
 )
 
 // keepers are gatekeepers as far as rules reach them.
@@ -35,12 +35,12 @@
 type keeper struct {
 	of     *keepers
 	c      *HollowKeeper
-	holder *accord.Holder
+	holder *ruleset.Holder
 	client *fasthttp.Client
 	// Below relays, where it asks for changes.
-	changes *relayd.Client
-	copied  *relay.Replica
-	heard   accord.Version
+	changes *relay.Client
+	copied  *distribution.Replica
+	heard   ruleset.Version
 	timer   *time.Timer
 	answer  chan answered
 	asks    bool
@@ -58,8 +58,8 @@
 }
 
 type answered struct {
-	told   *relay.Answer // nil: the lease holds
-	lease  accord.Lease
+	told   *distribution.Answer // nil: the lease holds
+	lease  ruleset.Lease
 	asked  float64
 	err    error
 	spoilt bool
@@ -67,7 +67,7 @@
 }
 
 // boot is the time by which leases run, the same for all processes of a machine, ms.
-func boot() float64 { return float64(held.Boot()) / 1e6 }
+func boot() float64 { return float64(inflight.Boot()) / 1e6 }
 
 const (
 	keptTaken = 64 // versions whose times are kept
@@ -158,9 +158,9 @@
 }
 
 func (k *keeper) start() {
-	k.holder = accord.NewHolder(k.c.Name, accord.Rules{Form: accord.Form, Plans: k.of.h.Plans,
-		Members: []accord.Member{{Name: k.c.Name}}})
-	k.client = &fasthttp.Client{MaxResponseBodySize: accord.MostBytes, MaxIdemponentCallAttempts: 1,
+	k.holder = ruleset.NewHolder(k.c.Name, ruleset.Rules{Form: ruleset.Form, Plans: k.of.h.Plans,
+		Members: []ruleset.Member{{Name: k.c.Name}}})
+	k.client = &fasthttp.Client{MaxResponseBodySize: ruleset.MostBytes, MaxIdemponentCallAttempts: 1,
 		NoDefaultUserAgentHeader: true, Dial: func(addr string) (net.Conn, error) {
 			c, err := fasthttp.Dial(addr)
 			if err != nil {
@@ -169,10 +169,10 @@
 			return &counted{Conn: c, t: &k.of.tally}, nil
 		}}
 	if k.c.Changes {
-		k.changes = relayd.NewClient([]string{k.c.Host}, lifecycle.AskPath)
-		k.copied = relay.NewReplica(k.c.Name, k.c.Pid, int64(k.c.Pid))
+		k.changes = relay.NewClient([]string{k.c.Host}, lifecycle.AskPath)
+		k.copied = distribution.NewReplica(k.c.Name, k.c.Pid, int64(k.c.Pid))
 	}
-	k.heard, k.asks, k.again = accord.Version{}, false, false
+	k.heard, k.asks, k.again = ruleset.Version{}, false, false
 	k.timer, k.answer = time.NewTimer(time.Hour), make(chan answered, 1)
 	k.over, k.ended = make(chan struct{}), make(chan struct{})
 	k.mu.Lock()
@@ -211,20 +211,20 @@
 			return
 		}
 		switch d.Kind {
-		case accord.Adopt:
+		case ruleset.Adopt:
 			k.adopt(d.Terms)
-		case accord.Ask:
+		case ruleset.Ask:
 			k.ask()
-		case accord.Wake:
-			k.timer.Reset(wire.Millis(d.At - boot()))
+		case ruleset.Wake:
+			k.timer.Reset(transport.Millis(d.At - boot()))
 		}
 	}
 }
 
-func (k *keeper) adopt(t accord.Terms) {
+func (k *keeper) adopt(t ruleset.Terms) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.leased, k.version = t.Mode == accord.Leased, t.Version
+	k.leased, k.version = t.Mode == ruleset.Leased, t.Version
 	if _, there := k.taken[t.Version]; k.leased && !there {
 		if len(k.taken) >= keptTaken {
 			clear(k.taken)
@@ -257,7 +257,7 @@
 	defer fasthttp.ReleaseResponse(res)
 	req.SetRequestURI(at)
 	got.asked = boot()
-	if got.err = k.client.DoTimeout(req, res, wire.Millis(within)); got.err != nil {
+	if got.err = k.client.DoTimeout(req, res, transport.Millis(within)); got.err != nil {
 		got.spoilt = got.err == fasthttp.ErrBodyTooLarge
 		return got
 	}
@@ -266,7 +266,7 @@
 		return got
 	}
 	got.bytes = len(res.Body())
-	got.lease, got.err = accord.ReadLease(res.Body())
+	got.lease, got.err = ruleset.ReadLease(res.Body())
 	got.spoilt = got.err != nil
 	return got
 }
@@ -299,7 +299,7 @@
 	k.bytes.Store(int64(got.bytes))
 	why := ""
 	if got.told == nil {
-		why = k.misfit(r, accord.Check)
+		why = k.misfit(r, ruleset.Check)
 	}
 	if why != "" && !k.c.Trial {
 		k.spoilt.Add(1)
@@ -317,11 +317,11 @@
 }
 
 // misfit does what a gatekeeper does with each answer.
-func (k *keeper) misfit(r *accord.Rules, check func(*accord.Rules) error) string {
+func (k *keeper) misfit(r *ruleset.Rules, check func(*ruleset.Rules) error) string {
 	if err := check(r); err != nil {
 		return err.Error()
 	}
-	if accord.Place(r, k.c.Name) < 0 {
+	if ruleset.Place(r, k.c.Name) < 0 {
 		return k.c.Name + " is not among the members"
 	}
 	for _, m := range r.Members {
--- a/internal/scale/lists.go
+++ b/internal/lab/scale/lists.go
@@ -8,15 +8,15 @@
 	"slices"
 	"time"
 
-	"willowdeck/internal/standin"
+	"willowdeck/internal/testkit/fakes"
 )
 
 const zones = 14 // of the fleet that is coming
 
 // entries are a list of workers as it is at a size. Nobody calls them.
-func entries(n int) (all []standin.Entry) {
+func entries(n int) (all []fakes.Entry) {
 	for i := range n {
-		all = append(all, standin.Entry{Name: fmt.Sprintf("worker-%06d", i),
+		all = append(all, fakes.Entry{Name: fmt.Sprintf("worker-%06d", i),
 			Zone: fmt.Sprintf("zone-%02d", i%zones), Type: "m2", Group: i % 4, Status: "active", Weight: 1,
 			Address: fmt.Sprintf("10.%d.%d.%d:5000", i>>16&255, i>>8&255, i&255)})
 	}
@@ -28,7 +28,7 @@
 // lists measures what discovery's list costs who follows it.
 func lists(ctx context.Context, s *Scenario, t *Table, p Programs, at *site, n int) error {
 	all := entries(workersOf(s, n))
-	d, err := standin.NewDiscovery(all...)
+	d, err := fakes.NewDiscovery(all...)
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 	}
 	t.add(keeperRole, "list_kb", r.HeapPerElement/1024)
 	watches, version := float64(s.Lists.Watches), uint64(1) // the stand-in's first
-	tell := func(some []standin.Entry) (took, bytes float64, err error) {
+	tell := func(some []fakes.Entry) (took, bytes float64, err error) {
 		out, at := m.Out.Load(), boot()
 		d.Tell(some...)
 		version++
@@ -95,7 +95,7 @@
 		if e.Status = "leaving"; i%2 == 1 {
 			e.Status = "active"
 		}
-		ms, b, err := tell([]standin.Entry{e})
+		ms, b, err := tell([]fakes.Entry{e})
 		if err != nil {
 			return err
 		}
@@ -112,7 +112,7 @@
 		t.add(keeperRole, "change_bytes", median(bytes))
 		t.add(keeperRole, "change_cpu", median(r.Change))
 	}
-	var some []standin.Entry
+	var some []fakes.Entry
 	for i := 0; i < len(all); i += zones {
 		all[i].Status = "leaving"
 		some = append(some, all[i])
--- a/internal/scale/relays.go
+++ b/internal/lab/scale/relays.go
@@ -16,11 +16,11 @@
 	"syscall"
 	"time"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/council"
-	"willowdeck/internal/lifecycle"
-	"willowdeck/internal/relay"
-	"willowdeck/internal/relayd"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/distribution/relay"
+	"willowdeck/internal/gateway/lifecycle"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset"
 )
 
 // Ports of a relay's own address, and of what follows relays.
@@ -111,7 +111,7 @@
 }
 
 // status asks a relay, or a council's daemon.
-func status(at string) (s relayd.Status, err error) {
+func status(at string) (s relay.Status, err error) {
 	page, err := ask(at, "/relay/status")
 	if err == nil {
 		err = json.Unmarshal([]byte(page), &s)
@@ -126,18 +126,18 @@
 	cluster string
 	tally   *Tally
 	in, out int64 // of links upward that have ended
-	client  *relayd.Client
-	feed    *relayd.Feed
+	client  *relay.Client
+	feed    *relay.Feed
 	stop    context.CancelFunc
 	wait    sync.WaitGroup
 	server  *http.Server
 
 	mu     sync.Mutex
-	warden accord.Warden
-	source *relay.Source
-	view   relay.View
+	warden ruleset.Warden
+	source *distribution.Source
+	view   distribution.View
 	told   uint64
-	trial  *accord.Version // what it tells without anybody above it
+	trial  *ruleset.Version // what it tells without anybody above it
 }
 
 // change puts the next version in force, with another quota of the first plan.
@@ -145,7 +145,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.trial == nil {
-		b.trial = &accord.Version{}
+		b.trial = &ruleset.Version{}
 		raw, err := os.ReadFile(b.c.Trial)
 		if err == nil {
 			err = json.Unmarshal(raw, &b.trial.Rules)
@@ -157,31 +157,37 @@
 	b.trial.Number++
 	b.trial.Rules.Plans = slices.Clone(b.trial.Rules.Plans)
 	b.trial.Rules.Plans[0].Rate += float64(b.trial.Number%2)*2 - 1
-	rules, err := accord.Entries(b.trial)
+	rules, err := ruleset.Entries(b.trial)
 	if err == nil {
-		b.view = relay.View{Step: b.trial.Number, Settled: true, Rules: rules, Index: -1}
+		b.view = distribution.View{Step: b.trial.Number, Settled: true, Rules: rules, Index: -1}
 	}
 	return err
 }
 
 func (b *branchHost) start() error {
-	f := relay.NewFollower(relay.Config{Name: b.c.Name, Cluster: b.cluster, Upstream: len(b.c.Upstream),
-		Lease: 1000, Interest: accord.Interest{Host: b.c.Name, Around: relay.Around}, Seed: rand.Int63()},
-		council.Clock())
+	f := distribution.NewFollower(
+		distribution.Config{Name: b.c.Name, Cluster: b.cluster, Upstream: len(b.c.Upstream),
+			Lease: 1000, Interest: ruleset.Interest{Host: b.c.Name, Around: distribution.Around}, Seed: rand.Int63()},
+		raftlog.Clock(),
+	)
 	if b.c.Changes {
 		if err := b.change(); err != nil {
 			return err
 		}
 	}
-	b.client = relayd.NewClient(b.c.Upstream, relayd.AskPath)
+	b.client = relay.NewClient(b.c.Upstream, relay.AskPath)
 	b.mu.Lock()
-	b.warden, b.told = accord.Warden{}, 0
+	b.warden, b.told = ruleset.Warden{}, 0
 	if b.trial == nil {
-		b.view = relay.View{}
-	}
-	b.source = relay.NewSource(b.cluster, b.cluster, relay.Bounds{WholeRate: 64 << 20, WholeBurst: 64 << 20,
-		Life: rand.Uint64()})
-	feed := relayd.NewFeed(f, b.client, b.news)
+		b.view = distribution.View{}
+	}
+	b.source = distribution.NewSource(
+		b.cluster,
+		b.cluster,
+		distribution.Bounds{WholeRate: 64 << 20, WholeBurst: 64 << 20,
+			Life: rand.Uint64()},
+	)
+	feed := relay.NewFeed(f, b.client, b.news)
 	b.feed = feed
 	b.mu.Unlock()
 	l, err := net.Listen("tcp", b.c.Control)
@@ -194,7 +200,7 @@
 		b.wait.Go(func() { feed.Run(ctx) })
 	}
 	mux := http.NewServeMux()
-	mux.Handle("POST "+lifecycle.AskPath, relayd.NewHandler(b.ask))
+	mux.Handle("POST "+lifecycle.AskPath, relay.NewHandler(b.ask))
 	server := &http.Server{Handler: mux, ReadTimeout: time.Second, WriteTimeout: time.Second,
 		MaxHeaderBytes: 4096, IdleTimeout: time.Minute}
 	b.server = server
@@ -220,7 +226,7 @@
 func (b *branchHost) traffic() (in, out, asks int64) {
 	t := b.client.Traffic()
 	if b.server == nil {
-		t = relayd.Traffic{}
+		t = relay.Traffic{}
 	}
 	return b.in + t.In, b.out + t.Out, t.Asks
 }
@@ -234,7 +240,7 @@
 // take goes over to what the follower knows, and says up what all here go by; under the lock.
 func (b *branchHost) take() {
 	if b.trial != nil {
-		b.view.Begun = council.Clock() - trialAge
+		b.view.Begun = raftlog.Clock() - trialAge
 		b.source.Offer(b.view)
 		return
 	}
@@ -246,21 +252,23 @@
 	b.source.Offer(v)
 	if seen := b.warden.Seen(v.Step); seen > b.told {
 		b.told = seen
-		b.feed.With(func(f *relay.Follower) { f.Tell([]relay.HostStep{{Host: b.c.Name, Step: seen}}) })
+		b.feed.With(
+			func(f *distribution.Follower) { f.Tell([]distribution.HostStep{{Host: b.c.Name, Step: seen}}) },
+		)
 	}
 }
 
 var errUnconfirmed = errors.New("no quorum has confirmed within the lease what is in force")
 
-func (b *branchHost) ask(a *relay.Ask) (*relay.Answer, error) {
+func (b *branchHost) ask(a *distribution.Ask) (*distribution.Answer, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := council.Clock()
+	now := raftlog.Clock()
 	if !b.warden.Asked(a.Process, a.Holds) {
 		return nil, errors.New("too many processes")
 	}
 	b.take()
-	if b.view.Step == 0 || !(now-b.view.Begun < accord.LeaseOf(b.view.Rules)) {
+	if b.view.Step == 0 || !(now-b.view.Begun < ruleset.LeaseOf(b.view.Rules)) {
 		return nil, errUnconfirmed
 	}
 	b.warden.Given(a.Process)
@@ -278,18 +286,18 @@
 }
 
 // callFor asks for changes, as lifecycle does of a daemon that answers so.
-func (k *keeper) callFor(a *relay.Ask, within float64) (got answered) {
+func (k *keeper) callFor(a *distribution.Ask, within float64) (got answered) {
 	got.asked = boot()
 	got.told, got.err = k.changes.Ask(0, a, within)
-	got.spoilt = errors.Is(got.err, relayd.ErrSpoilt)
+	got.spoilt = errors.Is(got.err, relay.ErrSpoilt)
 	return got
 }
 
 // replica takes what is told of changes, and gives it as a lease; false where there is none.
-func (k *keeper) replica(told *relay.Answer) (l accord.Lease, ok bool) {
+func (k *keeper) replica(told *distribution.Answer) (l ruleset.Lease, ok bool) {
 	next, news, err := k.copied.Hear(told, boot())
 	switch {
-	case errors.Is(err, relay.ErrBusy):
+	case errors.Is(err, distribution.ErrBusy):
 		k.silent.Add(1)
 		return l, false
 	case err != nil:
@@ -298,7 +306,7 @@
 		return l, false
 	}
 	if news && next.Foreign == "" {
-		if why := k.misfit(&next.Version.Rules, accord.CheckPart); why != "" {
+		if why := k.misfit(&next.Version.Rules, ruleset.CheckPart); why != "" {
 			k.spoilt.Add(1)
 			k.says(why)
 			return l, false
--- a/internal/scale/rules.go
+++ b/internal/lab/scale/rules.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/council"
-	"willowdeck/internal/rulebook"
-	"willowdeck/internal/standin"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/ruleset/rulefile"
+	"willowdeck/internal/testkit/fakes"
 )
 
 // Ports on a daemon's own address; a place's are counted from the first ones, up to 7,900 places and more.
@@ -38,13 +38,13 @@
 	dir     string // the site's
 	net     *loopback
 	n       int // gatekeepers
-	rules   accord.Rules
+	rules   ruleset.Rules
 	real    []*daemon
 	hosts   []HollowHost
 	perHost int
-	voters  []council.Host
+	voters  []raftlog.Host
 	meters  []*meter
-	list    *standin.Discovery
+	list    *fakes.Discovery
 	tree    tree      // of relays
 	below   []*daemon // real ones that follow relays
 
@@ -74,16 +74,16 @@
 
 // needs are the features that rules of a size have to name, as far as this program knows them.
 func needs(n int) []string {
-	if n > formerly && accord.Has(accord.ManyMembers) {
-		return []string{accord.ManyMembers}
+	if n > formerly && ruleset.Has(ruleset.ManyMembers) {
+		return []string{ruleset.ManyMembers}
 	}
 	return nil
 }
 
 // plans are the rules' plans: every other one has a ceiling.
-func plans(n int) (all []accord.Plan) {
+func plans(n int) (all []ruleset.Plan) {
 	for i := range n {
-		p := accord.Plan{Name: fmt.Sprintf("plan-%d", i), Rate: 500, Burst: 500}
+		p := ruleset.Plan{Name: fmt.Sprintf("plan-%d", i), Rate: 500, Burst: 500}
 		if i%2 == 1 {
 			p.CeilingRate, p.CeilingDepth = 5e5, 5e5
 		}
@@ -97,19 +97,19 @@
 	a := &assembly{s: s, t: t, program: p.Willowdeck, self: p.Lab, site: at, dir: at.dir, net: at.net, n: n}
 	dir := at.dir
 	var err error
-	if a.list, err = standin.NewDiscovery(standin.Entry{Name: "w0", Address: "127.0.0.1:9", Zone: "z0",
+	if a.list, err = fakes.NewDiscovery(fakes.Entry{Name: "w0", Address: "127.0.0.1:9", Zone: "z0",
 		Type: "m", Status: "active", Weight: 1}); err != nil {
 		return nil, err
 	}
 	c := &s.Council
-	a.rules = accord.Rules{Form: accord.Form, Lease: c.LeaseMS, Bound: c.BoundMS,
-		Fallback: accord.Fallback{Part: c.FallbackPart, For: c.FallbackMS}, Plans: plans(c.Plans)}
+	a.rules = ruleset.Rules{Form: ruleset.Form, Lease: c.LeaseMS, Bound: c.BoundMS,
+		Fallback: ruleset.Fallback{Part: c.FallbackPart, For: c.FallbackMS}, Plans: plans(c.Plans)}
 	a.rules.Needs = needs(n)
 	for i := range c.Daemons {
 		d := &daemon{name: fmt.Sprintf("council-%d", i), ip: a.net.ip()}
 		d.dir = filepath.Join(dir, d.name)
 		a.real = append(a.real, d)
-		a.voters = append(a.voters, council.Host{Name: d.name, Address: d.at(frontPort)})
+		a.voters = append(a.voters, raftlog.Host{Name: d.name, Address: d.at(frontPort)})
 		for range c.Gatekeepers {
 			if !a.relayed() {
 				a.member(d.name, d.ip)
@@ -142,7 +142,7 @@
 		if a.relayed() { // a zone's hosts follow one another
 			h.Upstream = a.zoneRelays(i*s.Relays.Zones/hosts, i)
 		} else {
-			a.voters = append(a.voters, council.Host{Name: h.Name, Address: h.Listen})
+			a.voters = append(a.voters, raftlog.Host{Name: h.Name, Address: h.Listen})
 		}
 		a.hosts = append(a.hosts, h)
 		for range min(a.perHost, left) {
@@ -160,7 +160,7 @@
 
 func (a *assembly) member(host, ip string) {
 	i := len(a.rules.Members)
-	a.rules.Members = append(a.rules.Members, accord.Member{Name: fmt.Sprintf("gatekeeper-%04d", i), Host: host,
+	a.rules.Members = append(a.rules.Members, ruleset.Member{Name: fmt.Sprintf("gatekeeper-%04d", i), Host: host,
 		Peers: fmt.Sprintf("%s:%d", ip, peersPort+i)})
 }
 
@@ -254,7 +254,7 @@
 }
 
 // gatekeeperFile is a gatekeeper's configuration, for the daemon or for a gatekeeper alone.
-func gatekeeperFile(discovery string, known standin.List, r *accord.Rules,
+func gatekeeperFile(discovery string, known fakes.List, r *ruleset.Rules,
 	more map[string]any) map[string]any {
 	var tariffs []map[string]any
 	for _, p := range r.Plans {
@@ -276,8 +276,8 @@
 }
 
 // write writes a daemon's file of rules, whether they pass the check or not: the daemon is to say so.
-func (a *assembly) write(d *daemon, r *accord.Rules) error {
-	text, err := rulebook.Encode(r)
+func (a *assembly) write(d *daemon, r *ruleset.Rules) error {
+	text, err := rulefile.Encode(r)
 	if err != nil {
 		return err
 	}
@@ -421,7 +421,7 @@
 				}
 				figures, err := ask(control, "/admin/stats")
 				if err != nil || number(figures, "svc.rules.version") < float64(version) ||
-					number(figures, "svc.rules.mode") != float64(accord.Leased) {
+					number(figures, "svc.rules.mode") != float64(ruleset.Leased) {
 					return false, nil
 				}
 			}
@@ -431,7 +431,7 @@
 }
 
 // propose has the first daemon propose rules, and gives when it was told to.
-func (a *assembly) propose(r *accord.Rules) (float64, error) {
+func (a *assembly) propose(r *ruleset.Rules) (float64, error) {
 	d := a.real[a.proposer]
 	if err := a.write(d, r); err != nil {
 		return 0, err
--- a/internal/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"willowdeck/internal/faults"
+	"willowdeck/internal/testkit/faultinject"
 )
 
 func TestMain(m *testing.M) {
@@ -25,7 +25,7 @@
 // each process of a run works below that folder.
 func rig(t *testing.T) Programs {
 	t.Helper()
-	p := Programs{faults.Program(t, "willowdeck"), faults.Program(t, "wdlab")}
+	p := Programs{faultinject.Program(t, "willowdeck"), faultinject.Program(t, "wdlab")}
 	dir, err := os.MkdirTemp("", "wds")
 	if err != nil {
 		t.Fatal(err)
@@ -192,12 +192,12 @@
 // A run that is killed outright leaves no process and no file either.
 func TestKilled(t *testing.T) {
 	p := rig(t)
-	cmd := exec.Command(p.Lab, "scale", "../../scenarios/scale-ci.toml", "--program", p.Willowdeck)
+	cmd := exec.Command(p.Lab, "scale", "../../../scenarios/scale-ci.toml", "--program", p.Willowdeck)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	tmp := os.Getenv("TMPDIR")
-	faults.Until(t, 20*time.Second, "real gatekeepers run", func() bool {
+	faultinject.Until(t, 20*time.Second, "real gatekeepers run", func() bool {
 		n := 0
 		for _, c := range below(tmp) {
 			if strings.HasSuffix(c, "serve\x00") {
@@ -210,7 +210,7 @@
 		t.Fatal(err)
 	}
 	_ = cmd.Wait()
-	faults.Until(t, 30*time.Second, "nothing is left", func() bool {
+	faultinject.Until(t, 30*time.Second, "nothing is left", func() bool {
 		left, _ := filepath.Glob(filepath.Join(tmp, "wdscale*"))
 		return len(left) == 0 && len(below(tmp)) == 0
 	})
--- a/internal/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -8,7 +8,7 @@
 	"os"
 	"slices"
 
-	"willowdeck/internal/strict"
+	"willowdeck/internal/strictoml"
 )
 
 // The ways in which agreed rules come to gatekeepers, and the parts of a run.
@@ -140,7 +140,7 @@
 // Decode takes a scenario from its text.
 func Decode(text string) (*Scenario, error) {
 	s := usual()
-	if err := strict.Decode(text, &s); err != nil {
+	if err := strictoml.Decode(text, &s); err != nil {
 		return nil, err
 	}
 	return &s, s.Check()
--- a/internal/scale/scenario_test.go
+++ b/internal/lab/scale/scenario_test.go
@@ -79,7 +79,7 @@
 
 // The scenarios of the repository hold.
 func TestScenarios(t *testing.T) {
-	files, _ := filepath.Glob("../../scenarios/scale*.toml")
+	files, _ := filepath.Glob("../../../scenarios/scale*.toml")
 	if len(files) < 2 {
 		t.Fatalf("%v", files)
 	}
@@ -88,7 +88,7 @@
 			t.Error(err)
 		}
 	}
-	if _, err := Read("../../scenarios/none.toml"); err == nil {
+	if _, err := Read("../../../scenarios/none.toml"); err == nil {
 		t.Error("a file that is not there is read")
 	}
 }
--- a/internal/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -13,7 +13,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"willowdeck/internal/lab"
+	"willowdeck/internal/lab/experiment"
 )
 
 // The roles that figures are of.
@@ -253,11 +253,11 @@
 
 // Chart draws some figures over the size.
 func (t *Table) Chart(path string) error {
-	var lines []lab.Curve
+	var lines []experiment.Curve
 	for _, c := range []struct{ role, name string }{{keeperRole, "bytes_in_per_s"},
 		{councilRole, "bytes_out_per_s"}, {hostRole, "bytes_out_per_s"}, {fleetRole, "in_force_worst"},
 		{fleetRole, "start"}, {fleetRole, "zone_back"}, {keeperRole, "first_list"}, {keeperRole, "words_period"}} {
-		l := lab.Curve{Name: fmt.Sprintf("%s %s, %s", c.role, c.name, units[c.name])}
+		l := experiment.Curve{Name: fmt.Sprintf("%s %s, %s", c.role, c.name, units[c.name])}
 		for _, n := range t.sizes() {
 			if v, there := t.Value(n, c.role, c.name); there && v > 0 {
 				l.X, l.Y = append(l.X, float64(n)), append(l.Y, v)
@@ -270,5 +270,5 @@
 	if len(lines) == 0 {
 		return fmt.Errorf("chart: it needs two sizes at least")
 	}
-	return lab.Lines(t.run+" "+t.distribution, "gatekeepers", "", true, lines, path)
+	return experiment.Lines(t.run+" "+t.distribution, "gatekeepers", "", true, lines, path)
 }
--- a/internal/scale/watches.go
+++ b/internal/lab/scale/watches.go
@@ -7,13 +7,14 @@
 	"sync"
 	"time"
 
-	"willowdeck/internal/held"
-	"willowdeck/internal/wire"
-	"willowdeck/internal/wire/roster"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/inflight"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/gateway/transport/endpoints"
+	"willowdeck/internal/policy"
 )
 
-// watches follow discovery's list as gatekeepers do: wire.Watch, and held.Workers that takes each list in.
+// watches follow discovery's list as gatekeepers do: transport.Watch, and inflight.Workers that takes each
+// list in.
 // The module that decides by it is left out.
 type watches struct {
 	c      *HollowWatch
@@ -25,7 +26,7 @@
 
 type watcher struct {
 	mu      sync.Mutex
-	workers held.Workers
+	workers inflight.Workers
 	began   time.Time
 	first   float64 // ms until the first list was there
 	place   float64 // ms that it took to take it in
@@ -61,19 +62,19 @@
 			return rng.Float64()
 		}
 		x.wait.Go(func() {
-			wire.Watch(ctx, x.c.Discovery, 0, w.news, func() {}, w.ended,
-				wire.Pace{Askers: func() int { return 0 }, Chance: chance})
+			transport.Watch(ctx, x.c.Discovery, 0, w.news, func() {}, w.ended,
+				transport.Pace{Askers: func() int { return 0 }, Chance: chance})
 		})
 	}
 	return nil
 }
 
 // news takes a list in, under the lock, as the desk does.
-func (w *watcher) news(l roster.List) {
+func (w *watcher) news(l endpoints.List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	came := time.Now()
-	for _, piece := range w.workers.Pieces(w.workers.Changes(l), logic.ListPiece) {
+	for _, piece := range w.workers.Pieces(w.workers.Changes(l), policy.ListPiece) {
 		w.workers.Update(piece, func(int) bool { return true })
 	}
 	took := float64(time.Since(came)) / float64(time.Millisecond)
--- a/internal/scale/words.go
+++ b/internal/lab/scale/words.go
@@ -7,16 +7,16 @@
 	"math/rand"
 	"slices"
 
-	"willowdeck/internal/wire"
-	"willowdeck/internal/wire/gossip"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/gateway/transport/gossip"
+	"willowdeck/internal/policy"
 )
 
 const (
 	wordsSLA   = 500.0 // ms
 	answerMS   = 20.0  // of a worker
 	peerMS     = 0.5   // that a datagram is under way
-	wordHead   = 9     // bytes of a word ahead of a message, as wire.Peers writes it
+	wordHead   = 9     // bytes of a word ahead of a message, as transport.Peers writes it
 	wordsBurst = 2.0   // s of a customer's quota at once
 	wordsFleet = 8     // workers, any few
 )
@@ -60,7 +60,7 @@
 type speaker struct {
 	w     *words
 	place int
-	gk    *logic.Gatekeeper
+	gk    *policy.Gatekeeper
 	wake  float64
 	told  []float64 // times at which a round of words began
 	in    int       // messages
@@ -79,18 +79,18 @@
 		w.where = 0
 	}
 	rate := s.Words.RequestsPerS / float64(s.Words.Customers) // a customer asks for all of its quota: it is hot
-	var list []logic.Posting
+	var list []policy.Posting
 	for i := range wordsFleet {
-		list = append(list, logic.Posting{Worker: i, Active: true, Rating: 1, New: true})
+		list = append(list, policy.Posting{Worker: i, Active: true, Rating: 1, New: true})
 	}
 	for i := range row {
 		place := (w.where + i) % n
-		c := logic.Charter{Me: place, Gatekeepers: n, LargestUnits: 1, MaxSubmissions: 3, MayWithdraw: true,
+		c := policy.Charter{Me: place, Gatekeepers: n, LargestUnits: 1, MaxSubmissions: 3, MayWithdraw: true,
 			MayAdvise: true, MaxAdvice: 10000, MayTell: true, PeerInPerS: s.Words.TakesPerS,
-			ReportsPerTell: wire.Room, Whole: 1,
-			Products: []logic.Product{{SLA: wordsSLA, Value: 1}},
-			Plans:    []logic.Plan{{Rate: rate, Burst: rate * wordsBurst, Factor: 1}}}
-		x := &speaker{w: w, place: place, gk: logic.New(c, s.Seed+int64(place)), peers: map[int]bool{}}
+			ReportsPerTell: transport.Room, Whole: 1,
+			Products: []policy.Product{{SLA: wordsSLA, Value: 1}},
+			Plans:    []policy.Plan{{Rate: rate, Burst: rate * wordsBurst, Factor: 1}}}
+		x := &speaker{w: w, place: place, gk: policy.New(c, s.Seed+int64(place)), peers: map[int]bool{}}
 		w.all = append(w.all, x)
 		x.input(func() { x.gk.Roster(list, false) })
 	}
@@ -124,21 +124,21 @@
 			return
 		}
 		switch d.Kind {
-		case logic.Submit:
+		case policy.Submit:
 			txn, n := d.Txn, d.N
-			x.w.in(answerMS, func() { x.input(func() { x.gk.Ended(txn, n, logic.Settled, answerMS, false) }) })
-		case logic.Wake:
+			x.w.in(answerMS, func() { x.input(func() { x.gk.Ended(txn, n, policy.Settled, answerMS, false) }) })
+		case policy.Wake:
 			if at := d.At; x.wake <= x.w.now || at < x.wake {
 				x.wake = at
 				x.w.on(at, func() { x.input(func() {}) })
 			}
-		case logic.Tell:
+		case policy.Tell:
 			x.tell(d)
 		}
 	}
 }
 
-func (x *speaker) tell(d logic.Decision) {
+func (x *speaker) tell(d policy.Decision) {
 	if n := len(x.told); n == 0 || x.told[n-1] < x.w.now {
 		x.told = append(x.told, x.w.now)
 	}
@@ -164,7 +164,7 @@
 	customer := uint64(place*w.s.Words.Customers + w.rng.Intn(w.s.Words.Customers))
 	x := w.at((place + w.rng.Intn(spread)) % w.n)
 	w.next++
-	a := logic.Arrival{ID: w.next, Customer: customer, Units: 1, SetSize: spread, First: place, Left: wordsSLA}
+	a := policy.Arrival{ID: w.next, Customer: customer, Units: 1, SetSize: spread, First: place, Left: wordsSLA}
 	x.input(func() { x.gk.Take(a) })
 	w.in(w.rng.ExpFloat64()*1000/(w.s.Words.RequestsPerS*float64(len(w.all))), func() { w.ask(spread) })
 }
--- a/internal/traffic/traffic.go
+++ b/internal/lab/workload/traffic.go
@@ -1,6 +1,6 @@
-// Package traffic plans arrivals of txns ahead of time: from customers and shapes, or from a recorded trace.
+// Package workload plans arrivals of txns ahead of time: from customers and shapes, or from a recorded trace.
 // The emulator and the load generator play the same plans.
-package traffic
+package workload
 
 import (
 	"fmt"
--- a/internal/traffic/traffic_test.go
+++ b/internal/lab/workload/traffic_test.go
@@ -1,4 +1,4 @@
-package traffic
+package workload
 
 import (
 	"bytes"
--- a/logic/admission.go
+++ b/internal/policy/admission.go
@@ -1,4 +1,4 @@
-package logic // which txns are let in: quotas, the shares that they are divided into, and pressure
+package policy // which txns are let in: quotas, the shares that they are divided into, and pressure
 
 import "math"
 
--- a/logic/choice.go
+++ b/internal/policy/choice.go
@@ -1,4 +1,4 @@
-package logic // which worker gets a txn
+package policy // which worker gets a txn
 
 import "math"
 
--- a/logic/cold.go
+++ b/internal/policy/cold.go
@@ -1,4 +1,4 @@
-package logic // how much a worker gets that has just started
+package policy // how much a worker gets that has just started
 
 import "math"
 
--- a/logic/iface.go
+++ b/internal/policy/iface.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 // Repeat tells what a second run of a product would do.
 type Repeat uint8
--- a/logic/listed_test.go
+++ b/internal/policy/listed_test.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 import (
 	"cmp"
--- a/logic/logic.go
+++ b/internal/policy/logic.go
@@ -1,4 +1,4 @@
-// Package logic decides what a gatekeeper does with each txn: whether its customer's quota lets it in,
+// Package policy decides what a gatekeeper does with each txn: whether its customer's quota lets it in,
 // which worker gets it, how long to wait, whether to submit again, and which final answer it gets.
 //
 // To use it: New with the Charter, then Clock before the inputs of a moment, then any of Roster, Take,
@@ -6,7 +6,7 @@
 // decision comes out of Next. A Gatekeeper is not safe for concurrent use and shares nothing with others.
 // Its plain types are in iface.go, what it keeps in state.go; the mechanism, and each departure from it
 // with its condition, in docs/design.md.
-package logic
+package policy
 
 import (
 	"math"
--- a/logic/peers.go
+++ b/internal/policy/peers.go
@@ -1,4 +1,4 @@
-package logic // what peers are told, what is heard from them, and what is forgotten
+package policy // what peers are told, what is heard from them, and what is forgotten
 
 import "math"
 
--- a/logic/recall.go
+++ b/internal/policy/recall.go
@@ -1,4 +1,4 @@
-package logic
+package policy
 
 import (
 	"math"
@@ -12,7 +12,7 @@
 const (
 	copyRows  = 128     // customers, or peers' reports, in a piece of a copy: some us of the host's lock
 	copyMost  = 1 << 14 // customers in a copy; 2 MB as the host writes them
-	dealtEach = 2000.0  // ms between looks at a customer that owes anything, at most; see internal/credit
+	dealtEach = 2000.0  // ms between looks at a customer that owes anything, at most; see internal/borrowing
 	recallFor = 5000.0  // ms; by then a customer is cold again, and no demand is left to speak of
 
 	// CopyEach is how long the host waits between copies, ms: what was spent since the last is not known.
--- a/logic/repeats.go
+++ b/internal/policy/repeats.go
@@ -1,4 +1,4 @@
-package logic // what became of submissions, and which of them may be made again
+package policy // what became of submissions, and which of them may be made again
 
 import "math"
 
--- a/internal/council/council.go
+++ b/internal/raftlog/council.go
@@ -1,7 +1,7 @@
-// Package council is one daemon's part in a replicated log: the library go.etcd.io/raft/v3 with its log in
+// Package raftlog is one daemon's part in a replicated log: the library go.etcd.io/raft/v3 with its log in
 // go.etcd.io/bbolt, messages between daemons over HTTP, and the identity of disks. What the entries mean is a
 // Machine's to say.
-package council
+package raftlog
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"willowdeck/internal/held"
+	"willowdeck/internal/gateway/inflight"
 )
 
 const (
@@ -83,7 +83,7 @@
 
 // Clock is the time by which reads are aged, ms: it goes on while the process stands still and the machine
 // sleeps, as the clocks of the gatekeepers do that count what they are told from it.
-func Clock() float64 { return float64(held.Boot()) / 1e6 }
+func Clock() float64 { return float64(inflight.Boot()) / 1e6 }
 
 // Wish is what a Machine wants done.
 type Wish struct {
--- a/internal/council/council_test.go
+++ b/internal/raftlog/council_test.go
@@ -1,4 +1,4 @@
-package council
+package raftlog
 
 import (
 	"bytes"
@@ -15,9 +15,9 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/history"
-	"willowdeck/internal/ports"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/history"
+	"willowdeck/internal/testkit/ports"
 )
 
 func TestMain(m *testing.M) {
@@ -190,12 +190,12 @@
 }
 
 // rules are a set in which only what can't contradict a fallback differs.
-func rules(rate float64) *accord.Rules {
-	return &accord.Rules{Form: accord.Form, Lease: 1000, Bound: 2000,
-		Plans: []accord.Plan{{Name: "basic", Rate: rate, Burst: 10},
+func rules(rate float64) *ruleset.Rules {
+	return &ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+		Plans: []ruleset.Plan{{Name: "basic", Rate: rate, Burst: 10},
 			{Name: "capped", Rate: 100, Burst: 10, CeilingRate: 40, CeilingDepth: 20}},
-		Members:  []accord.Member{{Name: "g0", Host: "h0"}, {Name: "g1", Host: "h1"}, {Name: "g2", Host: "h2"}},
-		Fallback: accord.Fallback{Part: 0.5, For: 1000}}
+		Members:  []ruleset.Member{{Name: "g0", Host: "h0"}, {Name: "g1", Host: "h1"}, {Name: "g2", Host: "h2"}},
+		Fallback: ruleset.Fallback{Part: 0.5, For: 1000}}
 }
 
 func (p *parley) propose(s *Seat, rate float64) string {
@@ -611,7 +611,7 @@
 	}
 	p.outcome(me, p.propose(me, 200)) // and all goes on
 	p.agree(2)
-	if _, err := me.Propose(&accord.Rules{Form: 2}); err == nil {
+	if _, err := me.Propose(&ruleset.Rules{Form: 2}); err == nil {
 		t.Error("rules of another form are proposed")
 	}
 	if err := me.Council.Propose(make([]byte, longestWord+1)); err == nil {
@@ -828,11 +828,11 @@
 	p := newParley(t, 5)
 	p.startAll()
 	p.until("a leader", func() bool { return p.leader() != nil })
-	many := func(rate float64) *accord.Rules {
+	many := func(rate float64) *ruleset.Rules {
 		r := rules(rate)
-		r.Needs = []string{accord.ManyMembers}
+		r.Needs = []string{ruleset.ManyMembers}
 		for i := len(r.Members); i < 7900; i++ {
-			r.Members = append(r.Members, accord.Member{Name: fmt.Sprintf("g%04d", i),
+			r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprintf("g%04d", i),
 				Host: fmt.Sprintf("host-%04d", i), Peers: fmt.Sprintf("10.0.%d.%d:9000", i>>8, i&255)})
 		}
 		return r
--- a/internal/council/log.go
+++ b/internal/raftlog/log.go
@@ -1,4 +1,4 @@
-package council
+package raftlog
 
 import (
 	"bytes"
--- a/internal/council/root.go
+++ b/internal/raftlog/root.go
@@ -1,11 +1,11 @@
-package council
+package raftlog
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"willowdeck/internal/accord"
+	"willowdeck/internal/ruleset"
 )
 
 // batchEach is the least pause between two entries that say what hosts below have seen: a change reaches a
@@ -20,8 +20,8 @@
 	Step    uint64
 	Begun   float64 // ms of Clock's: when the reading began
 	Settled bool
-	InForce accord.Version  // not to be changed
-	Pending *accord.Version // agreed and waiting; nil: none is
+	InForce ruleset.Version  // not to be changed
+	Pending *ruleset.Version // agreed and waiting; nil: none is
 }
 
 // below is what those that follow this daemon have told.
@@ -68,7 +68,7 @@
 
 // Told takes what all processes of hosts below go by, or something later, and the highest index of
 // discovery's list there. What the council gains by goes into the log. Twice, late and in any order is fine.
-func (s *Seat) Told(all []accord.HostStep, index int64) {
+func (s *Seat) Told(all []ruleset.HostStep, index int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, h := range all {
@@ -102,15 +102,15 @@
 	if st.Pending == nil && len(st.Held) == 0 {
 		return nil
 	}
-	all := make([]accord.HostStep, 0, len(s.below.seen))
+	all := make([]ruleset.HostStep, 0, len(s.below.seen))
 	for _, h := range slices.Sorted(maps.Keys(s.below.seen)) {
-		all = append(all, accord.HostStep{Host: h, Step: min(s.below.seen[h], st.Step)})
+		all = append(all, ruleset.HostStep{Host: h, Step: min(s.below.seen[h], st.Step)})
 	}
 	if all = st.Gains(all); len(all) == 0 {
 		return nil
 	}
-	all = all[:min(len(all), accord.MostSeen)]
-	raw, err := accord.Entry{Act: accord.SeenAll, Hosts: all}.Bytes()
+	all = all[:min(len(all), ruleset.MostSeen)]
+	raw, err := ruleset.Entry{Act: ruleset.SeenAll, Hosts: all}.Bytes()
 	if err != nil {
 		return nil
 	}
--- a/internal/council/seat.go
+++ b/internal/raftlog/seat.go
@@ -1,4 +1,4 @@
-package council
+package raftlog
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/history"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/history"
 )
 
 const (
@@ -33,9 +33,9 @@
 	host   string
 
 	mu       sync.Mutex
-	council  *accord.Council
-	steward  *accord.Steward
-	lag      *accord.Lag
+	council  *ruleset.Council
+	steward  *ruleset.Steward
+	lag      *ruleset.Lag
 	turn     Turn
 	wanted   *wanted
 	begun    float64 // of the last read that was confirmed; below nought there was none
@@ -59,9 +59,9 @@
 // wanted is a proposal of this daemon's that is not answered yet.
 type wanted struct {
 	id    string
-	act   accord.Act
+	act   ruleset.Act
 	first bool // only where no version is in force
-	rules *accord.Rules
+	rules *ruleset.Rules
 	raw   []byte
 	base  uint64
 	since float64
@@ -80,16 +80,16 @@
 
 // NewSeat opens a daemon's part. Where no version is in force yet, rules are proposed as the first one;
 // they may be nil. The record may be nil.
-func NewSeat(ch Charter, rules *accord.Rules, record history.Recorder, log zerolog.Logger) (*Seat, error) {
-	s := &Seat{log: log, record: record, host: ch.Me, begun: -1, council: accord.NewCouncil(),
-		lag: accord.NewLag(), changed: make(chan struct{}, 1), tellers: map[int]teller{},
+func NewSeat(ch Charter, rules *ruleset.Rules, record history.Recorder, log zerolog.Logger) (*Seat, error) {
+	s := &Seat{log: log, record: record, host: ch.Me, begun: -1, council: ruleset.NewCouncil(),
+		lag: ruleset.NewLag(), changed: make(chan struct{}, 1), tellers: map[int]teller{},
 		read: make(chan struct{}, 1), below: below{seen: map[string]uint64{}}}
-	s.steward = accord.NewSteward(ch.Me, s.council)
+	s.steward = ruleset.NewSteward(ch.Me, s.council)
 	if rules != nil {
-		if err := accord.Check(rules); err != nil {
+		if err := ruleset.Check(rules); err != nil {
 			return nil, err
 		}
-		s.wanted = &wanted{id: proposalID(ch.Me), act: accord.Propose, first: true, rules: rules, since: Clock()}
+		s.wanted = &wanted{id: proposalID(ch.Me), act: ruleset.Propose, first: true, rules: rules, since: Clock()}
 	}
 	c, err := New(ch, (*bench)(s), log)
 	if err != nil {
@@ -118,7 +118,7 @@
 func (s *Seat) Changed() <-chan struct{} { return s.changed }
 
 // InForce gives the version in force, as far as the log has come here; its rules are not to be changed.
-func (s *Seat) InForce() accord.Version {
+func (s *Seat) InForce() ruleset.Version {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.council.State().InForce
@@ -146,7 +146,7 @@
 
 // Asked answers a process of a gatekeeper that holds a step and has discovery's list of an index; below
 // nought it has none. False: there is nothing that may be believed.
-func (s *Seat) Asked(pid int, name string, holds uint64, index int64) (accord.Lease, bool) {
+func (s *Seat) Asked(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.clock()
@@ -173,11 +173,11 @@
 // Propose has rules follow the version in force; they stay this daemon's wish until they are taken or
 // refused, or others are proposed here. Those in force already take back what waits to follow them. It
 // returns the proposal's id, or nothing where there is nothing to agree on.
-func (s *Seat) Propose(rules *accord.Rules) (string, error) {
-	if err := accord.Check(rules); err != nil {
+func (s *Seat) Propose(rules *ruleset.Rules) (string, error) {
+	if err := ruleset.Check(rules); err != nil {
 		return "", err
 	}
-	raw, err := accord.Entry{Act: accord.Propose, Rules: rules}.Bytes()
+	raw, err := ruleset.Entry{Act: ruleset.Propose, Rules: rules}.Bytes()
 	if err != nil {
 		return "", err
 	}
@@ -186,12 +186,12 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wanted = &wanted{id: proposalID(s.host), act: accord.Propose, rules: rules, since: Clock()}
+	s.wanted = &wanted{id: proposalID(s.host), act: ruleset.Propose, rules: rules, since: Clock()}
 	return s.wanted.id, nil
 }
 
 // same tells whether two rules say the same.
-func same(a, b *accord.Rules) bool {
+func same(a, b *ruleset.Rules) bool {
 	x, err := json.Marshal(a)
 	y, bad := json.Marshal(b)
 	return err == nil && bad == nil && bytes.Equal(x, y)
@@ -211,7 +211,7 @@
 
 // Apply takes an entry of the log.
 func (b *bench) Apply(data []byte) error {
-	e, err := accord.ReadEntry(data)
+	e, err := ruleset.ReadEntry(data)
 	if err != nil {
 		return err
 	}
@@ -246,7 +246,7 @@
 }
 
 // heard books what the council has made of this daemon's proposal.
-func (s *Seat) heard(o accord.Outcome) {
+func (s *Seat) heard(o ruleset.Outcome) {
 	h := Heard{ID: s.wanted.id, Base: s.wanted.base, Number: o.Number, Refused: o.Refused, Waits: o.Waits}
 	if s.outcomes = append(s.outcomes, h); len(s.outcomes) > 16 {
 		s.outcomes = s.outcomes[1:]
@@ -281,7 +281,7 @@
 	s.clock()
 	before := s.council.State().InForce.Number
 	if len(raw) == 0 {
-		raw, _ = accord.NewCouncil().Snapshot()
+		raw, _ = ruleset.NewCouncil().Snapshot()
 	}
 	if err := s.council.Restore(raw); err != nil {
 		return err
@@ -320,7 +320,7 @@
 }
 
 // Mark is a digest of rules, as records name versions.
-func Mark(r *accord.Rules) string {
+func Mark(r *ruleset.Rules) string {
 	c := *r // a list that is empty is none
 	c.Needs, c.Plans, c.Words = some(c.Needs), some(c.Plans), some(c.Words)
 	raw, err := json.Marshal(c)
@@ -348,13 +348,13 @@
 	s.steward.Leads(t.Leads)
 	for {
 		d, ok := s.steward.Next()
-		if !ok || d.Kind == accord.Wake { // it is asked again within a tick
+		if !ok || d.Kind == ruleset.Wake { // it is asked again within a tick
 			break
 		}
 		switch d.Kind {
-		case accord.Read:
+		case ruleset.Read:
 			w.Read = true
-		case accord.Submit:
+		case ruleset.Submit:
 			if raw, err := d.Entry.Bytes(); err == nil {
 				w.Propose = append(w.Propose, raw)
 			}
@@ -386,19 +386,19 @@
 	}
 	if p.raw == nil && st.InForce.Number > 0 && same(&st.InForce.Rules, p.rules) {
 		if st.Pending == nil {
-			s.heard(accord.Outcome{Number: st.InForce.Number, Again: true})
+			s.heard(ruleset.Outcome{Number: st.InForce.Number, Again: true})
 			return nil
 		}
-		p.act, p.rules = accord.Withdraw, nil
+		p.act, p.rules = ruleset.Withdraw, nil
 	}
 	if p.raw == nil {
 		p.base = s.council.State().InForce.Number
 		var err error
-		if p.raw, err = (accord.Entry{Act: p.act, ID: p.id, Base: p.base, Rules: p.rules}).Bytes(); err != nil {
-			s.heard(accord.Outcome{Refused: err.Error()})
+		if p.raw, err = (ruleset.Entry{Act: p.act, ID: p.id, Base: p.base, Rules: p.rules}).Bytes(); err != nil {
+			s.heard(ruleset.Outcome{Refused: err.Error()})
 			return nil
 		}
-		if p.act == accord.Propose {
+		if p.act == ruleset.Propose {
 			s.write(history.Event{Kind: history.Wants, Version: p.base + 1, Base: p.base, Txn: p.id})
 		}
 	}
@@ -419,7 +419,7 @@
 	Wanted   string             `json:"wanted,omitempty"`
 	Outcomes []Heard            `json:"proposals,omitempty"`
 	CutOff   map[string]float64 `json:"cut_off,omitempty"` // instances here: ms since they last asked
-	Lags     []accord.Behind    `json:"lags,omitempty"`
+	Lags     []ruleset.Behind   `json:"lags,omitempty"`
 	Seen     map[string]uint64  `json:"seen,omitempty"`
 }
 
--- a/internal/accord/check.go
+++ b/internal/ruleset/check.go
@@ -1,4 +1,4 @@
-package accord
+package ruleset
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 
 // What the promise rests on, and what bounds the state. Times in ms.
 const (
-	fillPart     = 0.5    // of a plan's fill that may have to go to debts, as internal/credit has it
+	fillPart     = 0.5    // of a plan's fill that may have to go to debts, as internal/borrowing has it
 	Form         = 1      // of the encoding that this program writes and reads
 	drift        = 2e-4   // by which a clock runs fast or slow; crystals keep 1e-4
 	step         = 250.0  // from the last check to the write that it allows: a long pause of the host
--- a/internal/accord/golden_test.go
+++ b/internal/ruleset/golden_test.go
@@ -1,4 +1,4 @@
-package accord
+package ruleset
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"willowdeck/internal/resource"
+	"willowdeck/internal/versioned"
 )
 
 // The files in testdata/golden were written once by the code of commit d6a566a: a scratch test encoded the
@@ -173,7 +173,7 @@
 }
 
 // stateText is a state as lines of its mark, and of each key and its CBOR in hex.
-func stateText(s *resource.State) []byte {
+func stateText(s *versioned.State) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d %x\n", s.Mark().Number, s.Mark().Digest)
 	for key, value := range s.All() {
@@ -184,16 +184,16 @@
 
 func TestGoldenEntries(t *testing.T) {
 	lines := strings.Split(strings.TrimSpace(string(goldenFile(t, "state.cbor.txt"))), "\n")
-	var all []resource.Entry
+	var all []versioned.Entry
 	for _, line := range lines[1:] {
 		key, value, _ := strings.Cut(line, " ")
 		raw, err := hex.DecodeString(value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, resource.Entry{Key: key, Value: raw})
+		all = append(all, versioned.Entry{Key: key, Value: raw})
 	}
-	stored := resource.New(7, all)
+	stored := versioned.New(7, all)
 	fullOf(t, "rules", reflect.ValueOf(goldenRules(11)))
 	if v, err := FromState(stored); err != nil || !reflect.DeepEqual(v, goldenVersion()) {
 		t.Errorf("decoded to %+v, not to %+v: %v", v, goldenVersion(), err)
--- a/internal/accord/parts.go
+++ b/internal/ruleset/parts.go
@@ -1,4 +1,4 @@
-package accord
+package ruleset
 
 import (
 	"math"
@@ -55,7 +55,7 @@
 // Share is what a gatekeeper may let through by rules that are in force: one part of as many as there are
 // places; nothing of a ceiling where it has no place. A customer whose set is smaller has a larger part at
 // each of fewer: the sum over its set is the same, and where a set is dealt anew its parts count as spent
-// (logic.Resize).
+// (policy.Resize).
 func Share(r *Rules, plan, me int) Part {
 	if plan >= len(r.Plans) {
 		return Part{}
--- a/internal/rulebook/golden_test.go
+++ b/internal/ruleset/rulefile/golden_test.go
@@ -1,4 +1,4 @@
-package rulebook
+package rulefile
 
 import (
 	"os"
@@ -6,22 +6,22 @@
 	"reflect"
 	"testing"
 
-	"willowdeck/internal/accord"
+	"willowdeck/internal/ruleset"
 )
 
 // The files in testdata/golden were written once: rules.toml by Encode of the code of commit d6a566a from the
 // value below, short.toml by hand. They stand for files that operators keep, so that there is no flag that
 // writes them again: if a test here fails, the code has changed the form, not the file.
 
-func goldenRules() accord.Rules {
-	return accord.Rules{
+func goldenRules() ruleset.Rules {
+	return ruleset.Rules{
 		Form: 1, Needs: []string{"members"},
-		Plans: []accord.Plan{{Name: "gold", Rate: 11, Burst: 12, CeilingRate: 13, CeilingDepth: 14,
+		Plans: []ruleset.Plan{{Name: "gold", Rate: 11, Burst: 12, CeilingRate: 13, CeilingDepth: 14,
 			Credit: 0.5, Repay: 15000}},
-		Members: []accord.Member{{Name: "gk1", Host: "h1", Peers: "10.0.0.1:7001"}},
-		Words: []accord.Word{{Worker: "w1", Hall: "hall1", Barred: true, Drained: true, Weight: 2.5},
+		Members: []ruleset.Member{{Name: "gk1", Host: "h1", Peers: "10.0.0.1:7001"}},
+		Words: []ruleset.Word{{Worker: "w1", Hall: "hall1", Barred: true, Drained: true, Weight: 2.5},
 			{Worker: "w2", Hall: "hall2", Weight: 1.5}},
-		Fallback: accord.Fallback{Part: 0.25, For: 9000}, Lease: 1200, Bound: 1900,
+		Fallback: ruleset.Fallback{Part: 0.25, For: 9000}, Lease: 1200, Bound: 1900,
 	}
 }
 
@@ -63,9 +63,9 @@
 // A file need not name what has a value of its own.
 func TestGoldenDefaults(t *testing.T) {
 	got, err := Read(filepath.Join("testdata", "golden", "short.toml"))
-	want := accord.Rules{Form: 1, Lease: 1000, Bound: 2000, Fallback: accord.Fallback{Part: 0.5, For: 10000},
-		Plans:   []accord.Plan{{Name: "gold", Rate: 11, Burst: 12}},
-		Members: []accord.Member{{Name: "gk1", Host: "h1"}}}
+	want := ruleset.Rules{Form: 1, Lease: 1000, Bound: 2000, Fallback: ruleset.Fallback{Part: 0.5, For: 10000},
+		Plans:   []ruleset.Plan{{Name: "gold", Rate: 11, Burst: 12}},
+		Members: []ruleset.Member{{Name: "gk1", Host: "h1"}}}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as\n%+v\nnot as\n%+v\n%v", got, want, err)
 	}
--- a/internal/rulebook/rulebook.go
+++ b/internal/ruleset/rulefile/rulebook.go
@@ -1,5 +1,5 @@
-// Package rulebook is the one file form of the rules that gatekeepers agree on.
-package rulebook
+// Package rulefile is the one file form of the rules that gatekeepers agree on.
+package rulefile
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 
 	"github.com/BurntSushi/toml"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/strict"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/strictoml"
 )
 
 // What a file need not name.
@@ -17,7 +17,7 @@
 	Lease   = 1000.0  // ms: with the step and drift it keeps a bound well under two seconds
 	Part    = 0.5     // of a ceiling's part: ceilings may be halved at once, whoever is cut off
 	For     = 10000.0 // ms: longer than a daemon's restart or a new leader takes
-	MostOf  = 4 << 20 // bytes of a file; the longest rules that pass accord.Check fit
+	MostOf  = 4 << 20 // bytes of a file; the longest rules that pass ruleset.Check fit
 	seconds = 1000.0  // ms in one
 )
 
@@ -61,48 +61,48 @@
 }
 
 // Read reads and checks rules. An error names the file, and the line or the key.
-func Read(path string) (accord.Rules, error) {
+func Read(path string) (ruleset.Rules, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return accord.Rules{}, err
+		return ruleset.Rules{}, err
 	}
 	r, err := Decode(string(raw))
 	if err != nil {
-		return accord.Rules{}, fmt.Errorf("%s: %w", path, err)
+		return ruleset.Rules{}, fmt.Errorf("%s: %w", path, err)
 	}
 	return r, nil
 }
 
 // Decode takes rules from a file's text. An error names the line or the key.
-func Decode(text string) (accord.Rules, error) {
+func Decode(text string) (ruleset.Rules, error) {
 	if len(text) > MostOf {
-		return accord.Rules{}, fmt.Errorf("%d bytes are more than %d", len(text), MostOf)
+		return ruleset.Rules{}, fmt.Errorf("%d bytes are more than %d", len(text), MostOf)
 	}
-	f := file{Form: accord.Form, LeaseMS: Lease, BoundMS: accord.MostBound}
+	f := file{Form: ruleset.Form, LeaseMS: Lease, BoundMS: ruleset.MostBound}
 	f.Fallback.Part, f.Fallback.ForMS = Part, For
-	if err := strict.Decode(text, &f); err != nil {
-		return accord.Rules{}, err
+	if err := strictoml.Decode(text, &f); err != nil {
+		return ruleset.Rules{}, err
 	}
-	r := accord.Rules{Form: f.Form, Needs: f.Needs, Lease: f.LeaseMS, Bound: f.BoundMS,
-		Fallback: accord.Fallback{Part: f.Fallback.Part, For: f.Fallback.ForMS}}
+	r := ruleset.Rules{Form: f.Form, Needs: f.Needs, Lease: f.LeaseMS, Bound: f.BoundMS,
+		Fallback: ruleset.Fallback{Part: f.Fallback.Part, For: f.Fallback.ForMS}}
 	for _, p := range f.Plans {
-		r.Plans = append(r.Plans, accord.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst,
+		r.Plans = append(r.Plans, ruleset.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst,
 			CeilingRate: p.CeilingRate, CeilingDepth: p.CeilingDepth, Credit: p.CreditS, Repay: p.RepayS * seconds})
 	}
 	for _, m := range f.Members {
-		r.Members = append(r.Members, accord.Member(m))
+		r.Members = append(r.Members, ruleset.Member(m))
 	}
 	for _, w := range f.Words {
-		r.Words = append(r.Words, accord.Word(w))
+		r.Words = append(r.Words, ruleset.Word(w))
 	}
-	if err := accord.Check(&r); err != nil {
-		return accord.Rules{}, err
+	if err := ruleset.Check(&r); err != nil {
+		return ruleset.Rules{}, err
 	}
 	return r, nil
 }
 
 // Encode is rules as a file's text, which Decode takes: for operators that change what is in force.
-func Encode(r *accord.Rules) (string, error) {
+func Encode(r *ruleset.Rules) (string, error) {
 	f := file{Form: r.Form, Needs: r.Needs, LeaseMS: r.Lease, BoundMS: r.Bound}
 	f.Fallback.Part, f.Fallback.ForMS = r.Fallback.Part, r.Fallback.For
 	for _, p := range r.Plans {
--- a/internal/rulebook/rulebook_test.go
+++ b/internal/ruleset/rulefile/rulebook_test.go
@@ -1,4 +1,4 @@
-package rulebook
+package rulefile
 
 import (
 	"fmt"
@@ -40,7 +40,7 @@
 
 // The operators' example holds, says every key, and comes back from its own encoding as it was.
 func TestExample(t *testing.T) {
-	r, err := Read("../../deploy/rules.toml")
+	r, err := Read("../../../deploy/rules.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/accord/rules.go
+++ b/internal/ruleset/rules.go
@@ -1,6 +1,7 @@
-// Package accord decides which version of the rules a gatekeeper acts on, and when a council may put the next
+// Package ruleset decides which version of the rules a gatekeeper acts on, and when a council may put the
+// next
 // one in force. It is free of I/O: a host tells it the time and what has come, and pulls what follows.
-package accord
+package ruleset
 
 // Plan is what may change of a plan in service. Rates are in units a second; 0 means no such limit.
 type Plan struct {
--- a/internal/accord/state.go
+++ b/internal/ruleset/state.go
@@ -1,4 +1,4 @@
-package accord
+package ruleset
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"willowdeck/internal/resource"
+	"willowdeck/internal/versioned"
 )
 
 // The keys of a version's entries. A part of a version has the header, all plans and all words, and of the
@@ -71,14 +71,14 @@
 }
 
 // Entries is a version as a state: its header, and an entry for each plan, word and member.
-func Entries(v *Version) (*resource.State, error) {
+func Entries(v *Version) (*versioned.State, error) {
 	r := &v.Rules
-	all := make([]resource.Entry, 0, 1+len(r.Plans)+len(r.Members)+len(r.Words))
+	all := make([]versioned.Entry, 0, 1+len(r.Plans)+len(r.Members)+len(r.Words))
 	var bad error
 	add := func(key string, value any) {
 		raw, err := entryOut.Marshal(value)
 		bad = first(bad, err)
-		all = append(all, resource.Entry{Key: key, Value: raw})
+		all = append(all, versioned.Entry{Key: key, Value: raw})
 	}
 	add(headKey, head{r.Form, r.Needs, r.Lease, r.Bound, r.Fallback, len(r.Members), len(r.Plans), len(r.Words)})
 	for i := range r.Plans {
@@ -95,12 +95,12 @@
 	if bad != nil {
 		return nil, fmt.Errorf("version %d: %w", v.Number, bad)
 	}
-	return resource.New(v.Number, all), nil
+	return versioned.New(v.Number, all), nil
 }
 
 // readHead reads a header. What this program does not know is an ErrForeign, and the header is what it knows
 // of it.
-func readHead(s *resource.State) (head, error) {
+func readHead(s *versioned.State) (head, error) {
 	raw, there := s.Get(headKey)
 	if !there {
 		return head{}, fmt.Errorf("%s: there is none", headKey)
@@ -121,7 +121,7 @@
 // FromState is the version that a state is of, or a part of one. Members has a place for each, and those
 // that the state does not name come out vacant. A state of rules that this program does not know whole is an
 // ErrForeign.
-func FromState(s *resource.State) (Version, error) {
+func FromState(s *versioned.State) (Version, error) {
 	h, err := readHead(s)
 	if err != nil {
 		return Version{}, err
@@ -178,7 +178,7 @@
 }
 
 // LeaseOf gives the lease that a state's rules have, ms; 0 where it has none that can be read.
-func LeaseOf(s *resource.State) float64 {
+func LeaseOf(s *versioned.State) float64 {
 	h, err := readHead(s)
 	if err != nil && !errors.Is(err, ErrForeign) || !(h.Lease >= leastLease) {
 		return 0
@@ -208,26 +208,26 @@
 // Index finds the members of a state by name and host, so that parts of it can be named and compared for many
 // interests without being made. It is safe for concurrent use.
 type Index struct {
-	state  *resource.State
+	state  *versioned.State
 	places int
-	common []resource.Entry // that all need, by key
-	shared resource.Digest  // of these
-	bytes  int              // of these
-	member []resource.Entry // by place; without a key where it is vacant
-	digest []resource.Digest
+	common []versioned.Entry // that all need, by key
+	shared versioned.Digest  // of these
+	bytes  int               // of these
+	member []versioned.Entry // by place; without a key where it is vacant
+	digest []versioned.Digest
 	names  map[string]int32
 	hosts  map[string][]int32
 }
 
 // NewIndex makes one of a state. One whose header can't be read has the entries that all need alone, which
 // is how rules of a later form go through.
-func NewIndex(s *resource.State) *Index {
+func NewIndex(s *versioned.State) *Index {
 	h, _ := readHead(s)
 	x := &Index{state: s, places: min(max(h.Members, 0), mostMembers)}
 	x.names, x.hosts = make(map[string]int32, x.places), make(map[string][]int32, x.places)
-	x.member, x.digest = make([]resource.Entry, x.places), make([]resource.Digest, x.places)
+	x.member, x.digest = make([]versioned.Entry, x.places), make([]versioned.Digest, x.places)
 	for key, raw := range s.All() {
-		e := resource.Entry{Key: key, Value: raw}
+		e := versioned.Entry{Key: key, Value: raw}
 		if !strings.HasPrefix(key, memberKey) {
 			x.common = append(x.common, e)
 			x.shared, x.bytes = x.shared.Plus(e.Digest()), x.bytes+len(key)+len(raw)
@@ -249,7 +249,7 @@
 	of     *Index
 	all    bool    // it is the state itself, whatever is in it
 	places []int32 // of those that it has, in their order
-	mark   resource.Mark
+	mark   versioned.Mark
 	bytes  int
 }
 
@@ -271,7 +271,7 @@
 	}
 	slices.Sort(p.places)
 	p.places = slices.Compact(p.places)
-	p.mark, p.bytes = resource.Mark{Number: x.state.Mark().Number, Digest: x.shared}, x.bytes
+	p.mark, p.bytes = versioned.Mark{Number: x.state.Mark().Number, Digest: x.shared}, x.bytes
 	for _, i := range p.places {
 		e := x.member[i]
 		p.mark.Digest, p.bytes = p.mark.Digest.Plus(x.digest[i]), p.bytes+len(e.Key)+len(e.Value)
@@ -291,9 +291,9 @@
 }
 
 // Mark names the part; nil has none.
-func (p *Portion) Mark() resource.Mark {
+func (p *Portion) Mark() versioned.Mark {
 	if p == nil {
-		return resource.Mark{}
+		return versioned.Mark{}
 	}
 	return p.mark
 }
@@ -302,36 +302,36 @@
 func (p *Portion) Bytes() int { return p.bytes }
 
 // entries are all of its entries, by key where the state's own keys are in order with the members' places.
-func (p *Portion) entries() []resource.Entry {
+func (p *Portion) entries() []versioned.Entry {
 	if p == nil {
 		return nil
 	}
-	all := make([]resource.Entry, 0, len(p.of.common)+len(p.places))
+	all := make([]versioned.Entry, 0, len(p.of.common)+len(p.places))
 	all = append(all, p.of.common...)
 	for _, i := range p.places {
 		all = append(all, p.of.member[i])
 	}
-	slices.SortFunc(all, func(a, b resource.Entry) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(all, func(a, b versioned.Entry) int { return strings.Compare(a.Key, b.Key) })
 	return all
 }
 
 // State makes the part a state; of nil there is none.
-func (p *Portion) State() *resource.State {
+func (p *Portion) State() *versioned.State {
 	switch {
 	case p == nil:
 		return nil
 	case p.all:
 		return p.of.state
 	}
-	return resource.New(p.mark.Number, p.entries())
+	return versioned.New(p.mark.Number, p.entries())
 }
 
 // Since is the delta that makes the part of another one, or of nothing where that is nil.
-func (p *Portion) Since(from *Portion) *resource.Delta {
+func (p *Portion) Since(from *Portion) *versioned.Delta {
 	if p.all || from != nil && from.all {
-		return resource.Between(from.State(), p.State())
+		return versioned.Between(from.State(), p.State())
 	}
-	d := &resource.Delta{From: from.Mark(), To: p.mark}
+	d := &versioned.Delta{From: from.Mark(), To: p.mark}
 	if from == nil {
 		d.Set = p.entries()
 		return d
@@ -359,7 +359,7 @@
 }
 
 // changes adds what makes some entries of others, both by key.
-func changes(set []resource.Entry, drop []string, from, to []resource.Entry) ([]resource.Entry, []string) {
+func changes(set []versioned.Entry, drop []string, from, to []versioned.Entry) ([]versioned.Entry, []string) {
 	for _, e := range to {
 		for ; len(from) > 0 && from[0].Key < e.Key; from = from[1:] {
 			drop = append(drop, from[0].Key)
@@ -380,7 +380,7 @@
 }
 
 // Select gives the part of the state that an interest needs; see Portion.
-func (x *Index) Select(in Interest) *resource.State {
+func (x *Index) Select(in Interest) *versioned.State {
 	if in.All {
 		return x.state
 	}
@@ -388,7 +388,7 @@
 }
 
 // Select gives the part of a state that an interest needs; see Index.Select.
-func Select(s *resource.State, in Interest) *resource.State {
+func Select(s *versioned.State, in Interest) *versioned.State {
 	if in.All {
 		return s
 	}
--- a/internal/accord/state_test.go
+++ b/internal/ruleset/state_test.go
@@ -1,4 +1,4 @@
-package accord
+package ruleset
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"willowdeck/internal/resource"
+	"willowdeck/internal/versioned"
 )
 
 func drawRules(t *rapid.T) *Rules {
@@ -101,7 +101,7 @@
 	b.Members[501] = Member{}
 	x, _ := Entries(&Version{Number: 1, Rules: *a})
 	y, _ := Entries(&Version{Number: 2, Rules: *b})
-	d := resource.Between(x, y)
+	d := versioned.Between(x, y)
 	if len(d.Set) != 1 || !slices.Equal(d.Drop, []string{"member/000501"}) {
 		t.Errorf("%+v", d)
 	}
@@ -120,44 +120,44 @@
 		return raw(h)
 	}
 	for name, c := range map[string]struct {
-		set     resource.Entry
+		set     versioned.Entry
 		drop    string
 		want    string
 		foreign bool
 	}{
 		"no header":       {drop: headKey, want: "rules: there is none"},
 		"a plan is lost":  {drop: "plan/0000", want: "rules: 0 plans"},
-		"a plan too many": {set: resource.Entry{Key: "plan/0001", Value: raw(Plan{Name: "q"})}, want: "plan/0001"},
-		"no such place": {set: resource.Entry{Key: "member/000009", Value: raw(Member{Name: "z"})},
+		"a plan too many": {set: versioned.Entry{Key: "plan/0001", Value: raw(Plan{Name: "q"})}, want: "plan/0001"},
+		"no such place": {set: versioned.Entry{Key: "member/000009", Value: raw(Member{Name: "z"})},
 			want: "member/000009"},
-		"a strange place": {set: resource.Entry{Key: "member/1", Value: raw(Member{Name: "z"})}, want: "member/1"},
-		"no number": {set: resource.Entry{Key: "member/00000x", Value: raw(Member{Name: "z"})},
+		"a strange place": {set: versioned.Entry{Key: "member/1", Value: raw(Member{Name: "z"})}, want: "member/1"},
+		"no number": {set: versioned.Entry{Key: "member/00000x", Value: raw(Member{Name: "z"})},
 			want: "member/00000x"},
-		"a strange entry": {set: resource.Entry{Key: "tenant/1"}, want: "tenant/1", foreign: true},
-		"a strange field": {set: resource.Entry{Key: "member/000000", Value: raw(map[int]any{1: "a", 9: 1})},
+		"a strange entry": {set: versioned.Entry{Key: "tenant/1"}, want: "tenant/1", foreign: true},
+		"a strange field": {set: versioned.Entry{Key: "member/000000", Value: raw(map[int]any{1: "a", 9: 1})},
 			want: "member/000000", foreign: true},
-		"a later form": {set: resource.Entry{Key: headKey, Value: headOf(func(h *head) { h.Form = 2 })},
+		"a later form": {set: versioned.Entry{Key: headKey, Value: headOf(func(h *head) { h.Form = 2 })},
 			want: "form 2", foreign: true},
-		"a later need": {set: resource.Entry{Key: headKey,
+		"a later need": {set: versioned.Entry{Key: headKey,
 			Value: headOf(func(h *head) { h.Needs = []string{"wings"} })}, want: "wings", foreign: true},
-		"a header of a later program": {set: resource.Entry{Key: headKey,
+		"a header of a later program": {set: versioned.Entry{Key: headKey,
 			Value: raw(map[int]any{1: Form, 99: true})}, want: "rules", foreign: true},
-		"too many members": {set: resource.Entry{Key: headKey,
+		"too many members": {set: versioned.Entry{Key: headKey,
 			Value: headOf(func(h *head) { h.Members = mostMembers + 1 })}, want: "members: 10001"},
-		"fewer than none": {set: resource.Entry{Key: headKey,
+		"fewer than none": {set: versioned.Entry{Key: headKey,
 			Value: headOf(func(h *head) { h.Words = -1 })}, want: "words: -1"},
-		"no header at all": {set: resource.Entry{Key: headKey, Value: []byte{0xff}}, want: "rules: "},
+		"no header at all": {set: versioned.Entry{Key: headKey, Value: []byte{0xff}}, want: "rules: "},
 	} {
-		var all []resource.Entry
+		var all []versioned.Entry
 		for k, v := range good.All() {
 			if k != c.drop && k != c.set.Key {
-				all = append(all, resource.Entry{Key: k, Value: v})
+				all = append(all, versioned.Entry{Key: k, Value: v})
 			}
 		}
 		if c.set.Key != "" {
 			all = append(all, c.set)
 		}
-		s := resource.New(1, all)
+		s := versioned.New(1, all)
 		_, err := FromState(s)
 		if err == nil || !strings.Contains(err.Error(), c.want) || errors.Is(err, ErrForeign) != c.foreign {
 			t.Errorf("%s: %v", name, err)
@@ -243,7 +243,7 @@
 		if got, err := from.State().Apply(to.Since(from)); err != nil || got.Mark() != to.Mark() {
 			t.Fatal(err)
 		}
-		d, want := to.Since(from), resource.Between(from.State(), to.State())
+		d, want := to.Since(from), versioned.Between(from.State(), to.State())
 		if len(d.Set) != len(want.Set) || len(d.Drop) != len(want.Drop) {
 			t.Fatalf("%+v, not %+v", d, want)
 		}
--- a/internal/accord/warden.go
+++ b/internal/ruleset/warden.go
@@ -1,4 +1,4 @@
-package accord
+package ruleset
 
 import "maps"
 
--- a/internal/serving/agent/agent.go
+++ b/internal/serving/agent/agent.go
@@ -17,11 +17,11 @@
 	"go.uber.org/zap"
 	"google.golang.org/protobuf/proto"
 
-	"willowdeck/internal/serving/boot"
 	"willowdeck/internal/serving/catalog"
-	"willowdeck/internal/serving/feed"
 	"willowdeck/internal/serving/framing"
-	"willowdeck/internal/serving/mirror"
+	"willowdeck/internal/serving/settings"
+	"willowdeck/internal/serving/stateview"
+	"willowdeck/internal/serving/watch"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -45,11 +45,11 @@
 type Agent struct {
 	settingsPath string
 	logger       *zap.Logger
-	mirror       *mirror.Mirror
+	mirror       *stateview.Mirror
 	started      time.Time
 
 	mu       sync.Mutex
-	settings *boot.Settings
+	settings *settings.Settings
 	edge     *wirepb.Edge // nil until the proxy has spoken
 	order    uint64
 	changed  chan struct{} // closed when the edge's state changes
@@ -59,26 +59,26 @@
 
 // LoopbackAddress returns where an agent with these settings feeds its proxy. Where the machine's own
 // address is one of loopback, as with several edges on one machine, it is that.
-func LoopbackAddress(settings *boot.Settings) string {
+func LoopbackAddress(config *settings.Settings) string {
 	host := "127.0.0.1"
-	if ip := net.ParseIP(settings.IP); ip.IsLoopback() {
-		host = settings.IP
+	if ip := net.ParseIP(config.IP); ip.IsLoopback() {
+		host = config.IP
 	}
-	return net.JoinHostPort(host, strconv.Itoa(settings.FirstPort+1))
+	return net.JoinHostPort(host, strconv.Itoa(config.FirstPort+1))
 }
 
 // Run serves until the process is told to stop.
 func Run(settingsPath string, logger *zap.Logger) error {
-	settings, err := boot.Load(settingsPath)
+	config, err := settings.Load(settingsPath)
 	if err != nil {
 		return err
 	}
 	a := &Agent{
-		settingsPath: settingsPath, logger: logger, settings: settings, started: time.Now(),
+		settingsPath: settingsPath, logger: logger, settings: config, started: time.Now(),
 		changed: make(chan struct{}),
 	}
-	a.mirror = mirror.New("", func() time.Duration { return time.Since(a.started) })
-	listener, err := framing.Listen(LoopbackAddress(settings))
+	a.mirror = stateview.New("", func() time.Duration { return time.Since(a.started) })
+	listener, err := framing.Listen(LoopbackAddress(config))
 	if err != nil {
 		return errors.Wrap(err, "cannot listen for the proxy: check internal_port_range")
 	}
@@ -87,8 +87,8 @@
 	defer cancel()
 	go a.accept(ctx, listener)
 	go a.keepSettings(ctx)
-	logger.Info("agent started", zap.String("edge", settings.NodeName))
-	subscriber := feed.Subscriber{
+	logger.Info("agent started", zap.String("edge", config.NodeName))
+	subscriber := watch.Subscriber{
 		Mirror: a.mirror, DialTimeout: coreDialTimeout, Providers: a.cores,
 		Status: a.status, StatusChanged: a.statusChanged, Linked: a.linked,
 		Wrap: func(request *wirepb.FeedRequest) proto.Message {
@@ -128,23 +128,23 @@
 			return
 		case <-ticker.C:
 		}
-		settings, err := boot.Load(a.settingsPath)
+		config, err := settings.Load(a.settingsPath)
 		if err != nil {
 			a.logger.Warn("settings kept as they were", zap.Error(err))
 			continue
 		}
 		a.mu.Lock()
-		a.settings = settings
+		a.settings = config
 		a.mu.Unlock()
 	}
 }
 
 // cores returns the cores to subscribe at, the near ones first, and then the seeds that no core has told of.
-func (a *Agent) cores() []feed.Provider {
+func (a *Agent) cores() []watch.Provider {
 	a.mu.Lock()
-	settings := a.settings
+	config := a.settings
 	a.mu.Unlock()
-	var providers []feed.Provider
+	var providers []watch.Provider
 	known := map[string]bool{}
 	for _, entry := range a.mirror.Of(catalog.Cores) {
 		core := entry.Record.GetCore()
@@ -152,28 +152,28 @@
 			continue
 		}
 		known[core.Address] = true
-		providers = append(providers, feed.Provider{Address: core.Address, Distance: distance(settings, core)})
+		providers = append(providers, watch.Provider{Address: core.Address, Distance: distance(config, core)})
 	}
-	for _, seed := range settings.Seeds {
+	for _, seed := range config.Seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil {
 			continue
 		}
-		address := net.JoinHostPort(host, strconv.Itoa(settings.FirstPort))
+		address := net.JoinHostPort(host, strconv.Itoa(config.FirstPort))
 		if !known[address] {
 			known[address] = true
-			providers = append(providers, feed.Provider{Address: address, Distance: unknownPlace})
+			providers = append(providers, watch.Provider{Address: address, Distance: unknownPlace})
 		}
 	}
-	slices.SortStableFunc(providers, func(x, y feed.Provider) int { return x.Distance - y.Distance })
+	slices.SortStableFunc(providers, func(x, y watch.Provider) int { return x.Distance - y.Distance })
 	return providers
 }
 
-func distance(settings *boot.Settings, core *wirepb.CoreNode) int {
+func distance(config *settings.Settings, core *wirepb.CoreNode) int {
 	switch {
-	case core.Zone == settings.Zone:
+	case core.Zone == config.Zone:
 		return sameZone
-	case core.Region == settings.Region:
+	case core.Region == config.Region:
 		return sameRegion
 	}
 	return elsewhere
@@ -248,13 +248,13 @@
 func (a *Agent) serveProxy(connection *framing.Conn) {
 	defer connection.Close()
 	first := &wirepb.FeedRequest{}
-	if err := connection.ReadMessage(first, feed.LinkSilence); err != nil {
+	if err := connection.ReadMessage(first, watch.LinkSilence); err != nil {
 		return
 	}
 	a.mu.Lock()
 	a.proxies++
 	a.mu.Unlock()
-	feed.Provide(connection, first, a.mirror, a.takeProxyStatus, nil)
+	watch.Provide(connection, first, a.mirror, a.takeProxyStatus, nil)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.proxies--
--- a/internal/serving/agent/agent_test.go
+++ b/internal/serving/agent/agent_test.go
@@ -6,20 +6,20 @@
 
 	"go.uber.org/zap"
 
-	"willowdeck/internal/serving/boot"
 	"willowdeck/internal/serving/catalog"
-	"willowdeck/internal/serving/mirror"
+	"willowdeck/internal/serving/settings"
+	"willowdeck/internal/serving/stateview"
 	"willowdeck/internal/serving/wirepb"
 )
 
 func newAgent(seeds ...string) *Agent {
 	a := &Agent{
 		logger: zap.NewNop(), changed: make(chan struct{}),
-		settings: &boot.Settings{
+		settings: &settings.Settings{
 			NodeName: "e1", IP: "10.1.0.5", Zone: "a", Region: "south", FirstPort: 7660, Seeds: seeds,
 		},
 	}
-	a.mirror = mirror.New("", func() time.Duration { return 0 })
+	a.mirror = stateview.New("", func() time.Duration { return 0 })
 	return a
 }
 
@@ -95,7 +95,7 @@
 
 func TestLoopbackAddress(t *testing.T) {
 	for ip, want := range map[string]string{"10.1.0.5": "127.0.0.1:7661", "127.0.2.3": "127.0.2.3:7661"} {
-		if got := LoopbackAddress(&boot.Settings{IP: ip, FirstPort: 7660}); got != want {
+		if got := LoopbackAddress(&settings.Settings{IP: ip, FirstPort: 7660}); got != want {
 			t.Errorf("%s: %s", ip, got)
 		}
 	}
--- a/internal/serving/agent/golden_test.go
+++ b/internal/serving/agent/golden_test.go
@@ -3,14 +3,14 @@
 import (
 	"testing"
 
-	"willowdeck/internal/serving/boot"
+	"willowdeck/internal/serving/settings"
 )
 
 // TestGoldenPorts pins where an agent feeds its proxy, as of 2 December 2026: the two may be of different
 // versions for a while.
 func TestGoldenPorts(t *testing.T) {
 	for ip, want := range map[string]string{"10.0.0.1": "127.0.0.1:7661", "127.0.0.9": "127.0.0.9:7661"} {
-		if got := LoopbackAddress(&boot.Settings{IP: ip, FirstPort: 7660, LastPort: 7675}); got != want {
+		if got := LoopbackAddress(&settings.Settings{IP: ip, FirstPort: 7660, LastPort: 7675}); got != want {
 			t.Errorf("%s instead of %s", got, want)
 		}
 	}
--- a/internal/serving/control/engine.go
+++ b/internal/serving/control/engine.go
@@ -8,9 +8,9 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"willowdeck/internal/serving/committed"
 	"willowdeck/internal/serving/consensus"
-	"willowdeck/internal/serving/mirror"
+	"willowdeck/internal/serving/statemachine"
+	"willowdeck/internal/serving/stateview"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -68,8 +68,8 @@
 	environment Environment
 	logger      *zap.Logger
 	node        *consensus.Node
-	machine     *committed.Machine
-	mirror      *mirror.Mirror
+	machine     *statemachine.Machine
+	mirror      *stateview.Mirror
 	orders      orderTable
 	asked       askedTable
 	workers     workerTable
@@ -94,13 +94,13 @@
 // New makes an engine of what a disk holds.
 func New(options Options, stored consensus.Stored, environment Environment) (*Engine, error) {
 	e := &Engine{
-		options: options, environment: environment, logger: options.Logger, machine: committed.New(),
+		options: options, environment: environment, logger: options.Logger, machine: statemachine.New(),
 		orders: newOrderTable(), asked: newAskedTable(), workers: newWorkerTable(), joining: newJoinWatch(),
 		edges: map[string]*EdgeLink{}, heardCores: map[string]time.Duration{},
 		writers:  newWriterTable(),
 		lastTick: options.Clock(), steadySince: options.Clock(),
 	}
-	e.mirror = mirror.New(options.Life, options.Clock)
+	e.mirror = stateview.New(options.Life, options.Clock)
 	if err := e.machine.Restore(stored.Snapshot.GetData()); err != nil {
 		return nil, errors.Wrap(err, "cannot read the snapshot: empty data_dir, so that the replica joins anew")
 	}
@@ -114,7 +114,7 @@
 func (e *Engine) now() time.Duration { return e.options.Clock() }
 
 // Mirror returns the copy of the core's state that feeds are served from. It is safe for concurrent use.
-func (e *Engine) Mirror() *mirror.Mirror { return e.mirror }
+func (e *Engine) Mirror() *stateview.Mirror { return e.mirror }
 
 // SetSeeds takes up the hosts of cores that the settings name now.
 func (e *Engine) SetSeeds(hosts []string) { e.options.Seeds = hosts }
--- a/internal/serving/control/orders.go
+++ b/internal/serving/control/orders.go
@@ -6,8 +6,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"willowdeck/internal/serving/committed"
 	"willowdeck/internal/serving/consensus"
+	"willowdeck/internal/serving/statemachine"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -225,7 +225,7 @@
 }
 
 // finishCommand tells the outcome of a committed command.
-func (e *Engine) finishCommand(result committed.Result) {
+func (e *Engine) finishCommand(result statemachine.Result) {
 	entry, waiting := e.asked.commands[result.ID]
 	if !waiting {
 		return
--- a/internal/serving/control/scenarios_test.go
+++ b/internal/serving/control/scenarios_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"willowdeck/internal/serving/catalog"
-	"willowdeck/internal/serving/committed"
+	"willowdeck/internal/serving/statemachine"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -200,7 +200,7 @@
 			}
 			body := fmt.Sprintf(`{"generation":%d,"routes":[],"services":[],"mark":"%x"}`, generation+i+1,
 				randomBytes(w.random, size))
-			command, err := committed.ReplaceCommand(generation+i, generation+i+1, []byte(body))
+			command, err := statemachine.ReplaceCommand(generation+i, generation+i+1, []byte(body))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -294,7 +294,7 @@
 	}
 	e := follower.process.engine
 	outcomes := []wirepb.Outcome{}
-	e.Submit(committed.EvacuationCommand("zone-0", true), func(reply *wirepb.CallReply) {
+	e.Submit(statemachine.EvacuationCommand("zone-0", true), func(reply *wirepb.CallReply) {
 		outcomes = append(outcomes, reply.Outcome)
 	})
 	number := e.orders.open[len(e.orders.open)-1].number
@@ -320,7 +320,7 @@
 		follower = w.machines[1]
 	}
 	e := follower.process.engine
-	command := committed.EvacuationCommand("zone-1", true)
+	command := statemachine.EvacuationCommand("zone-1", true)
 	o := &order{command: command, deadline: e.now() + orderTimeout, number: 1}
 	call := e.callOf(o)
 	w.run(orderTimeout)
@@ -344,7 +344,7 @@
 	w.cutMachine(cutOff, w.leader(), w.now+time.Hour)
 	done := 0
 	for range 50 {
-		e.Submit(committed.EvacuationCommand("zone-1", true), func(*wirepb.CallReply) { done++ })
+		e.Submit(statemachine.EvacuationCommand("zone-1", true), func(*wirepb.CallReply) { done++ })
 		w.step()
 	}
 	w.callers.quiet = true
--- a/internal/serving/control/sim_callers_test.go
+++ b/internal/serving/control/sim_callers_test.go
@@ -6,7 +6,7 @@
 	"math/rand"
 	"time"
 
-	"willowdeck/internal/serving/committed"
+	"willowdeck/internal/serving/statemachine"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -137,7 +137,7 @@
 	default:
 		op.kind = setEvacuation
 		op.zone, op.active = w.random.Intn(simZones), w.random.Intn(2) == 0
-		o.command = committed.EvacuationCommand(w.zoneName(op.zone), op.active)
+		o.command = statemachine.EvacuationCommand(w.zoneName(op.zone), op.active)
 	}
 	o.current, o.tries, o.pause, o.deadline = op, 0, 50*time.Millisecond, w.now+patience
 	c.history = append(c.history, op)
@@ -154,7 +154,7 @@
 	}
 	body := []byte(fmt.Sprintf(`{"generation":%d,"routes":[],"services":[],"mark":%q}`, op.generation, mark))
 	op.body = string(body)
-	command, err := committed.ReplaceCommand(op.base, op.generation, body)
+	command, err := statemachine.ReplaceCommand(op.base, op.generation, body)
 	if err != nil {
 		panic(err)
 	}
@@ -206,7 +206,7 @@
 	if len(body) == 0 {
 		return ""
 	}
-	text, err := committed.Decompress(body)
+	text, err := statemachine.Decompress(body)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/serving/control/sim_edges_test.go
+++ b/internal/serving/control/sim_edges_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"willowdeck/internal/serving/catalog"
-	"willowdeck/internal/serving/mirror"
+	"willowdeck/internal/serving/stateview"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -21,7 +21,7 @@
 type simEdge struct {
 	world      *world
 	name       string
-	mirror     *mirror.Mirror
+	mirror     *stateview.Mirror
 	started    time.Duration
 	downUntil  time.Duration
 	core       *machine
@@ -43,7 +43,7 @@
 func (e *simEdge) restart(down time.Duration) {
 	e.downUntil = e.world.now + down
 	e.started = e.downUntil
-	e.mirror = mirror.New("", func() time.Duration { return e.world.now - e.started })
+	e.mirror = stateview.New("", func() time.Duration { return e.world.now - e.started })
 	e.core = nil
 	e.generation = 0
 }
@@ -131,7 +131,7 @@
 	e.checkWorkers(view)
 }
 
-func (e *simEdge) checkWorkers(view mirror.View) {
+func (e *simEdge) checkWorkers(view stateview.View) {
 	w := e.world
 	for _, entry := range view.Entries {
 		worker := entry.Record.GetWorker()
--- a/internal/serving/core/control.go
+++ b/internal/serving/core/control.go
@@ -10,8 +10,8 @@
 	"github.com/gorilla/mux"
 	"github.com/pkg/errors"
 
-	"willowdeck/internal/serving/committed"
 	"willowdeck/internal/serving/configuration"
+	"willowdeck/internal/serving/statemachine"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -82,7 +82,7 @@
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	command, err := committed.ReplaceCommand(base, document.Generation, body)
+	command, err := statemachine.ReplaceCommand(base, document.Generation, body)
 	if err != nil {
 		refuse(w, http.StatusInternalServerError, err.Error())
 		return
@@ -126,7 +126,7 @@
 		refuse(w, http.StatusNotFound, "there is no configuration yet: send one with Base-Version 0")
 		return
 	}
-	body, err := committed.Decompress(reply.Body)
+	body, err := statemachine.Decompress(reply.Body)
 	if err != nil {
 		refuse(w, http.StatusInternalServerError, err.Error())
 		return
@@ -143,6 +143,6 @@
 			refuse(w, http.StatusNotFound, "zone "+zone+": name one of the settings")
 			return
 		}
-		answerOutcome(w, c.order(committed.EvacuationCommand(zone, active)).Outcome)
+		answerOutcome(w, c.order(statemachine.EvacuationCommand(zone, active)).Outcome)
 	}
 }
--- a/internal/serving/core/core.go
+++ b/internal/serving/core/core.go
@@ -23,10 +23,10 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"willowdeck/internal/serving/boot"
 	"willowdeck/internal/serving/consensus"
 	"willowdeck/internal/serving/control"
 	"willowdeck/internal/serving/framing"
+	"willowdeck/internal/serving/settings"
 )
 
 const (
@@ -37,7 +37,7 @@
 
 // Core is one process of the core.
 type Core struct {
-	settings     *boot.Settings
+	settings     *settings.Settings
 	settingsPath string
 	logger       *zap.Logger
 	started      time.Time
@@ -54,47 +54,47 @@
 
 // Run serves until the process is told to stop.
 func Run(settingsPath string, logger *zap.Logger) error {
-	settings, err := boot.Load(settingsPath)
+	config, err := settings.Load(settingsPath)
 	if err != nil {
 		return err
 	}
-	if settings.DataDir == "" {
-		return &boot.ValueError{Key: "data_dir", Remedy: "give the folder of a disk, for the state"}
+	if config.DataDir == "" {
+		return &settings.ValueError{Key: "data_dir", Remedy: "give the folder of a disk, for the state"}
 	}
-	c, err := newCore(settings, settingsPath, logger)
+	c, err := newCore(config, settingsPath, logger)
 	if err != nil {
 		return err
 	}
 	return c.serve()
 }
 
-func newCore(settings *boot.Settings, settingsPath string, logger *zap.Logger) (*Core, error) {
+func newCore(config *settings.Settings, settingsPath string, logger *zap.Logger) (*Core, error) {
 	c := &Core{
-		settings: settings, settingsPath: settingsPath, logger: logger, started: time.Now(),
-		internal: net.JoinHostPort(settings.IP, strconv.Itoa(settings.FirstPort)),
+		settings: config, settingsPath: settingsPath, logger: logger, started: time.Now(),
+		internal: net.JoinHostPort(config.IP, strconv.Itoa(config.FirstPort)),
 		events:   make(chan func(), 256), stop: make(chan struct{}), links: map[string]*peerLink{},
 	}
-	opened, err := openDisk(settings, logger)
+	opened, err := openDisk(config, logger)
 	if err != nil {
 		return nil, err
 	}
 	c.disk = newDisk(opened.Store, c.events)
 	options := control.Options{
-		Identity: opened.Identity, Life: settings.NodeName + "/" + randomTag(),
-		Address: c.internal, AddressOf: c.internalAddress, Zone: settings.Zone, Region: settings.Region,
-		Seeds: hostsOf(settings.Seeds), Consensus: consensus.Options{Seats: seats(settings)},
-		HeartbeatEvery: settings.HeartbeatEvery,
-		CatchUp:        settings.Bounds.CatchUp, Grace: settings.Bounds.Grace,
+		Identity: opened.Identity, Life: config.NodeName + "/" + randomTag(),
+		Address: c.internal, AddressOf: c.internalAddress, Zone: config.Zone, Region: config.Region,
+		Seeds: hostsOf(config.Seeds), Consensus: consensus.Options{Seats: seats(config)},
+		HeartbeatEvery: config.HeartbeatEvery,
+		CatchUp:        config.Bounds.CatchUp, Grace: config.Bounds.Grace,
 		Clock:  func() time.Duration { return time.Since(c.started) },
 		Random: mathrand.New(mathrand.NewSource(randomSeed())), Logger: logger,
-		SavedWorkers: savedWorkers(settings.DataDir),
+		SavedWorkers: savedWorkers(config.DataDir),
 	}
 	c.engine, err = control.New(options, opened.Stored, &environment{c})
 	return c, err
 }
 
 // seats returns how many replicas are to vote: as many as bear the loss of those that may be lost at once.
-func seats(settings *boot.Settings) int { return 2*settings.MachinesLost + 1 }
+func seats(config *settings.Settings) int { return 2*config.MachinesLost + 1 }
 
 // savedWorkers reads what an earlier life has saved. Without it, workers are known by their heartbeats.
 func savedWorkers(folder string) []byte {
@@ -149,7 +149,7 @@
 
 func (c *Core) listenHTTP(key, address string, handler http.Handler) (*http.Server, error) {
 	if address == "" {
-		return nil, &boot.ValueError{Key: key, Remedy: "give IP:PORT: the core serves it"}
+		return nil, &settings.ValueError{Key: key, Remedy: "give IP:PORT: the core serves it"}
 	}
 	listener, err := framing.Listen(address)
 	if err != nil {
@@ -204,10 +204,10 @@
 
 // readSettings takes up seeds that have changed.
 func (c *Core) readSettings() {
-	settings, err := boot.Load(c.settingsPath)
+	config, err := settings.Load(c.settingsPath)
 	if err != nil {
 		c.logger.Warn("settings kept as they were", zap.Error(err))
 		return
 	}
-	c.engine.SetSeeds(hostsOf(settings.Seeds))
+	c.engine.SetSeeds(hostsOf(config.Seeds))
 }
--- a/internal/serving/core/core_test.go
+++ b/internal/serving/core/core_test.go
@@ -15,12 +15,12 @@
 	"go.uber.org/zap"
 	"google.golang.org/protobuf/proto"
 
-	"willowdeck/internal/ports"
-	"willowdeck/internal/serving/boot"
 	"willowdeck/internal/serving/catalog"
 	"willowdeck/internal/serving/framing"
-	"willowdeck/internal/serving/mirror"
+	"willowdeck/internal/serving/settings"
+	"willowdeck/internal/serving/stateview"
 	"willowdeck/internal/serving/wirepb"
+	"willowdeck/internal/testkit/ports"
 )
 
 // startCore runs a core of one replica. It ends with the test.
@@ -34,11 +34,11 @@
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	settings, err := boot.Load(path)
+	config, err := settings.Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := newCore(settings, path, zap.NewNop())
+	c, err := newCore(config, path, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,7 +156,7 @@
 		})
 	})
 	c := startCore(t, folder, false)
-	update, _ := c.engine.Mirror().Difference(mirror.Position{})
+	update, _ := c.engine.Mirror().Difference(stateview.Position{})
 	if update.Configuration.GetGeneration() != 3 || len(update.Evacuated) != 1 {
 		t.Errorf("told %v %v", update.Configuration, update.Evacuated)
 	}
@@ -172,8 +172,8 @@
 	if entry := held(c, catalog.WorkerKey("i-2")); entry != nil && !entry.Record.Deleted {
 		t.Error("a worker that has deregistered is told of")
 	}
-	update, _ = c.engine.Mirror().Difference(mirror.Position{})
-	agent := mirror.New("", func() time.Duration { return 0 })
+	update, _ = c.engine.Mirror().Difference(stateview.Position{})
+	agent := stateview.New("", func() time.Duration { return 0 })
 	for range 2 { // the second time, as a provider that has settled
 		agent.Apply(update)
 		update.Settled, update.InTouch = true, true
--- a/internal/serving/core/disk.go
+++ b/internal/serving/core/disk.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"willowdeck/internal/serving/boot"
 	"willowdeck/internal/serving/consensus"
+	"willowdeck/internal/serving/settings"
 	"willowdeck/internal/serving/wal"
 )
 
@@ -21,12 +21,12 @@
 )
 
 // openDisk returns the identity of the disk and what it holds.
-func openDisk(settings *boot.Settings, logger *zap.Logger) (wal.Opened, error) {
-	if err := os.MkdirAll(settings.DataDir, folderRights); err != nil {
+func openDisk(config *settings.Settings, logger *zap.Logger) (wal.Opened, error) {
+	if err := os.MkdirAll(config.DataDir, folderRights); err != nil {
 		return wal.Opened{}, errors.Wrap(err, "cannot make data_dir: check its path and rights")
 	}
-	opened, err := wal.OpenReplica(wal.Disk, settings.DataDir, consensus.FounderIdentity(settings.IP),
-		founders(settings), consensus.Identity(settings.IP, randomTag()))
+	opened, err := wal.OpenReplica(wal.Disk, config.DataDir, consensus.FounderIdentity(config.IP),
+		founders(config), consensus.Identity(config.IP, randomTag()))
 	if opened.Damage != nil {
 		logger.Error("the disk has lost what it held: this replica joins anew", zap.Error(opened.Damage))
 	}
@@ -34,12 +34,12 @@
 }
 
 // founders returns the identities of the first replicas: the seeds, on the first start alone.
-func founders(settings *boot.Settings) wal.Founders {
-	if !settings.Bootstrap {
+func founders(config *settings.Settings) wal.Founders {
+	if !config.Bootstrap {
 		return nil
 	}
 	var identities wal.Founders
-	for _, host := range hostsOf(settings.Seeds) {
+	for _, host := range hostsOf(config.Seeds) {
 		identities = append(identities, consensus.FounderIdentity(host))
 	}
 	return identities
--- a/internal/serving/core/golden_test.go
+++ b/internal/serving/core/golden_test.go
@@ -14,8 +14,8 @@
 	"go.uber.org/zap"
 	"google.golang.org/protobuf/proto"
 
-	"willowdeck/internal/serving/boot"
 	"willowdeck/internal/serving/control"
+	"willowdeck/internal/serving/settings"
 	"willowdeck/internal/serving/wal"
 	"willowdeck/internal/serving/wirepb"
 )
@@ -35,12 +35,12 @@
 	if err := os.CopyFS(folder, os.DirFS(goldenFolder)); err != nil {
 		t.Fatal(err)
 	}
-	settings, err := boot.Parse("node_name=core-1\nip=127.0.0.1\nzone=a\nregion=south\n" +
+	config, err := settings.Parse("node_name=core-1\nip=127.0.0.1\nzone=a\nregion=south\n" +
 		"internal_port_range=7660,7675\nseeds=127.0.0.1:9\ndata_dir=" + folder + "\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err = newCore(settings, "", zap.NewNop())
+	c, err = newCore(config, "", zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serving/core/peers.go
+++ b/internal/serving/core/peers.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"willowdeck/internal/serving/control"
-	"willowdeck/internal/serving/feed"
 	"willowdeck/internal/serving/framing"
+	"willowdeck/internal/serving/watch"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -230,6 +230,6 @@
 			c.do(func() { c.engine.LinkEdge(link, request) })
 		}
 	}
-	feed.Provide(connection, first, replica, onRequest, c.stop)
+	watch.Provide(connection, first, replica, onRequest, c.stop)
 	c.do(func() { c.engine.UnlinkEdge(link) })
 }
--- a/internal/serving/edge/decisions.go
+++ b/internal/serving/edge/decisions.go
@@ -7,12 +7,12 @@
 	"sync"
 	"time"
 
-	"willowdeck/internal/serving/balance"
-	"willowdeck/internal/serving/boot"
-	"willowdeck/internal/serving/coldshare"
 	"willowdeck/internal/serving/configuration"
-	"willowdeck/internal/serving/loadshare"
+	"willowdeck/internal/serving/loadbalancer"
+	"willowdeck/internal/serving/loadreport"
 	"willowdeck/internal/serving/retrybudget"
+	"willowdeck/internal/serving/settings"
+	"willowdeck/internal/serving/slowstart"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -23,22 +23,22 @@
 // budget.
 type decisions struct {
 	mu       sync.Mutex
-	bounds   boot.Bounds
-	balancer *balance.Balancer
-	peers    *loadshare.Peers
+	bounds   settings.Bounds
+	balancer *loadbalancer.Balancer
+	peers    *loadreport.Peers
 	paths    *paths
-	shares   *coldshare.Shares
+	shares   *slowstart.Shares
 	budgets  map[string]*retrybudget.Budget // by service
 	random   *rand.Rand
 }
 
-func newDecisions(settings *boot.Settings, paths *paths, random *rand.Rand) *decisions {
+func newDecisions(config *settings.Settings, paths *paths, random *rand.Rand) *decisions {
 	return &decisions{
 		paths:    paths,
-		bounds:   settings.Bounds,
-		balancer: balance.New(settings.Zone, settings.Region, random),
-		peers:    loadshare.New(),
-		shares:   coldshare.New(settings.NodeName),
+		bounds:   config.Bounds,
+		balancer: loadbalancer.New(config.Zone, config.Region, random),
+		peers:    loadreport.New(),
+		shares:   slowstart.New(config.NodeName),
 		budgets:  map[string]*retrybudget.Budget{},
 		random:   random,
 	}
@@ -77,9 +77,9 @@
 // choose picks a worker of the service for a request, and counts it as sent. Workers in excluded are left
 // out. Where none may get it, the returned wait says when to come back.
 func (d *decisions) choose(
-	now time.Duration, t *table, service string, route *configuration.Route, request *balance.Request,
+	now time.Duration, t *table, service string, route *configuration.Route, request *loadbalancer.Request,
 	excluded map[string]bool,
-) (chosen worker, sent balance.Prompt, wait time.Duration, ok bool) {
+) (chosen worker, sent loadbalancer.Prompt, wait time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var candidates []worker
@@ -103,7 +103,7 @@
 		wait = min(wait, shortest)
 		candidates = slices.Delete(candidates, index, index+1)
 	}
-	return worker{}, balance.Prompt{}, wait, false
+	return worker{}, loadbalancer.Prompt{}, wait, false
 }
 
 // tellBalancer brings what the other edges say of the candidates.
@@ -125,7 +125,7 @@
 func (d *decisions) takePrompt(now time.Duration, notice *wirepb.PromptNotice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	prompt := balance.Prompt{Instance: notice.InstanceId, ReadMs: float64(notice.ReadMs), Long: notice.Long}
+	prompt := loadbalancer.Prompt{Instance: notice.InstanceId, ReadMs: float64(notice.ReadMs), Long: notice.Long}
 	d.balancer.Read(now, prompt)
 }
 
@@ -154,7 +154,7 @@
 	if t.edges == 0 {
 		return false, noWorkerWait // how many edges share the cold rate is not known: none of it can be used
 	}
-	limits := coldshare.Limits{
+	limits := slowstart.Limits{
 		PerSecond: told.ColdPerS, Overshoot: d.bounds.ColdOvershoot, Slack: d.bounds.ColdSlack,
 	}
 	wait, ok := d.shares.Admit(now, w.Instance, limits, t.edges, t.demands)
@@ -165,8 +165,8 @@
 	return len(route.AllowedRegions) == 0 || slices.Contains(route.AllowedRegions, region)
 }
 
-func plain(workers []worker) []balance.Worker {
-	list := make([]balance.Worker, len(workers))
+func plain(workers []worker) []loadbalancer.Worker {
+	list := make([]loadbalancer.Worker, len(workers))
 	for i := range workers {
 		list[i] = workers[i].Worker
 	}
@@ -194,7 +194,7 @@
 	return d.budget(service).Repeat(now, edges)
 }
 
-func (d *decisions) firstToken(now time.Duration, request *balance.Request, instance string) {
+func (d *decisions) firstToken(now time.Duration, request *loadbalancer.Request, instance string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.balancer.FirstToken(now, request, instance)
@@ -202,7 +202,7 @@
 }
 
 // firstTokenGone notes that a request leaves a worker before its prompt was read.
-func (d *decisions) firstTokenGone(request *balance.Request, instance string) {
+func (d *decisions) firstTokenGone(request *loadbalancer.Request, instance string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.balancer.Left(request, instance)
--- a/internal/serving/edge/edge.go
+++ b/internal/serving/edge/edge.go
@@ -18,10 +18,10 @@
 	"go.uber.org/zap"
 
 	"willowdeck/internal/serving/agent"
-	"willowdeck/internal/serving/boot"
-	"willowdeck/internal/serving/feed"
 	"willowdeck/internal/serving/framing"
-	"willowdeck/internal/serving/mirror"
+	"willowdeck/internal/serving/settings"
+	"willowdeck/internal/serving/stateview"
+	"willowdeck/internal/serving/watch"
 	"willowdeck/internal/serving/wirepb"
 	"willowdeck/internal/serving/workerlink"
 )
@@ -43,10 +43,10 @@
 
 // Edge is the process.
 type Edge struct {
-	settings *boot.Settings
+	settings *settings.Settings
 	logger   *zap.Logger
 	started  time.Time
-	mirror   *mirror.Mirror
+	mirror   *stateview.Mirror
 	table    atomic.Pointer[table]
 
 	firstTable chan struct{} // closed once there is a table
@@ -69,26 +69,26 @@
 
 // Run serves until the process is told to stop.
 func Run(settingsPath string, logger *zap.Logger) error {
-	settings, err := boot.Load(settingsPath)
+	config, err := settings.Load(settingsPath)
 	if err != nil {
 		return err
 	}
-	if settings.Front == "" {
-		return &boot.ValueError{Key: "listen.front", Remedy: "give IP:PORT: clients come there"}
+	if config.Front == "" {
+		return &settings.ValueError{Key: "listen.front", Remedy: "give IP:PORT: clients come there"}
 	}
-	e := newEdge(settings, logger)
+	e := newEdge(config, logger)
 	return e.serve()
 }
 
-func newEdge(settings *boot.Settings, logger *zap.Logger) *Edge {
+func newEdge(config *settings.Settings, logger *zap.Logger) *Edge {
 	e := &Edge{
-		settings: settings, logger: logger, started: time.Now(),
+		settings: config, logger: logger, started: time.Now(),
 		pool: workerlink.NewPool(), liveness: newLiveness(),
 		changed: make(chan struct{}), firstTable: make(chan struct{}),
 	}
-	e.mirror = mirror.New("", e.now)
-	e.paths = newPaths(settings, uint64(e.started.UnixMicro()))
-	e.decide = newDecisions(settings, e.paths, rand.New(rand.NewSource(time.Now().UnixNano())))
+	e.mirror = stateview.New("", e.now)
+	e.paths = newPaths(config, uint64(e.started.UnixMicro()))
+	e.decide = newDecisions(config, e.paths, rand.New(rand.NewSource(time.Now().UnixNano())))
 	return e
 }
 
@@ -162,9 +162,9 @@
 // subscribe keeps the mirror up to date from the agent.
 func (e *Edge) subscribe(ctx context.Context) {
 	address := agent.LoopbackAddress(e.settings)
-	subscriber := feed.Subscriber{
+	subscriber := watch.Subscriber{
 		Mirror: e.mirror, DialTimeout: agentDialTimeout,
-		Providers:     func() []feed.Provider { return []feed.Provider{{Address: address}} },
+		Providers:     func() []watch.Provider { return []watch.Provider{{Address: address}} },
 		Status:        e.status,
 		StatusChanged: e.statusChanged,
 		Linked:        func(string) {},
--- a/internal/serving/edge/edge_test.go
+++ b/internal/serving/edge/edge_test.go
@@ -14,10 +14,10 @@
 
 	"go.uber.org/zap"
 
-	"willowdeck/internal/serving/balance"
-	"willowdeck/internal/serving/boot"
 	"willowdeck/internal/serving/catalog"
 	"willowdeck/internal/serving/configuration"
+	"willowdeck/internal/serving/loadbalancer"
+	"willowdeck/internal/serving/settings"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -141,12 +141,12 @@
 // startEdge runs an edge that knows the workers, and returns where clients find it.
 func startEdge(t *testing.T, workers ...*standInWorker) (*Edge, *httptest.Server) {
 	t.Helper()
-	settings := &boot.Settings{NodeName: "e1", IP: "127.0.0.1", Zone: "a", Region: "south",
-		Zones: map[string]string{"a": "south"}, Bounds: boot.Bounds{
+	config := &settings.Settings{NodeName: "e1", IP: "127.0.0.1", Zone: "a", Region: "south",
+		Zones: map[string]string{"a": "south"}, Bounds: settings.Bounds{
 			Grace: time.Second, RetryBudgetRatio: 1, BudgetWindow: 10 * time.Second, RetrySlack: 100,
 			ColdOvershoot: 1.5, ColdSlack: 5,
 		}}
-	e := newEdge(settings, zap.NewNop())
+	e := newEdge(config, zap.NewNop())
 	var routes []string
 	for prefix, kind := range testRoutes {
 		routes = append(routes, fmt.Sprintf(
@@ -161,7 +161,7 @@
 	for i, w := range workers {
 		publishWorker(e, fmt.Sprintf("i-%d", i), w.listener.Addr().String(), &wirepb.Worker{})
 	}
-	e.makeTable(newTableBuilder(settings))
+	e.makeTable(newTableBuilder(config))
 	server := httptest.NewUnstartedServer(e)
 	server.Config = e.frontServer()
 	server.Start()
@@ -471,7 +471,7 @@
 		e.makeTable(builder)
 		for second := range 20 {
 			now := time.Duration(second) * time.Second
-			if _, _, _, ok := e.decide.choose(now, e.table.Load(), "s", route, &balance.Request{}, nil); ok {
+			if _, _, _, ok := e.decide.choose(now, e.table.Load(), "s", route, &loadbalancer.Request{}, nil); ok {
 				return true
 			}
 		}
--- a/internal/serving/edge/golden_test.go
+++ b/internal/serving/edge/golden_test.go
@@ -11,9 +11,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"willowdeck/internal/serving/balance"
-	"willowdeck/internal/serving/boot"
 	"willowdeck/internal/serving/configuration"
+	"willowdeck/internal/serving/loadbalancer"
+	"willowdeck/internal/serving/settings"
 	"willowdeck/internal/serving/wirepb"
 	"willowdeck/internal/serving/workerlink"
 )
@@ -42,10 +42,10 @@
 // TestGoldenDatagramsSent compares the bytes of notices and of the answer to a probe.
 func TestGoldenDatagramsSent(t *testing.T) {
 	e, near, _ := startNoticing(t)
-	here := worker{Worker: balance.Worker{Instance: "w-1", Zone: "a", Region: "south", Engine: true}}
+	here := worker{Worker: loadbalancer.Worker{Instance: "w-1", Zone: "a", Region: "south", Engine: true}}
 	e.tellBroken(here)
 	e.tellDead("a", &wirepb.DeadNotice{InstanceId: "w-2"})
-	e.tellPrompt(e.table.Load(), here, balance.Prompt{Instance: "w-3", ReadMs: 900, Long: true})
+	e.tellPrompt(e.table.Load(), here, loadbalancer.Prompt{Instance: "w-3", ReadMs: 900, Long: true})
 	probe := &wirepb.EdgeDatagram{}
 	decodeGolden(t, goldenProbe, probe)
 	e.takeDatagram(e.datagrams.Load(), near.target.address, probe)
@@ -124,11 +124,11 @@
 
 // TestGoldenStatus compares what an edge tells its agent of itself, and where it hears datagrams.
 func TestGoldenStatus(t *testing.T) {
-	settings := &boot.Settings{
+	config := &settings.Settings{
 		NodeName: "edge-1", IP: "10.0.0.1", Zone: "a", Region: "south", Front: "10.0.0.1:80", FirstPort: 7660,
 	}
 	e, _ := startEdge(t)
-	e.settings = settings
+	e.settings = config
 	status := e.status()
 	want := &wirepb.Edge{
 		Name: "edge-1", Address: "10.0.0.1:80", Zone: "a", Region: "south", Ready: status.Edge.Ready,
@@ -145,7 +145,7 @@
 		request: &workerlink.Request{Header: http.Header{"Request-Id": {"id-1"}}}, lastEvent: 41, eventKnown: true,
 		route: &configuration.Route{TargetLatencyMs: 1600}, deadline: time.Now().Add(time.Hour),
 	}
-	got := j.prepare(worker{Worker: balance.Worker{Instance: "w-1", Engine: true}}).Header
+	got := j.prepare(worker{Worker: loadbalancer.Worker{Instance: "w-1", Engine: true}}).Header
 	for name, want := range map[string]string{
 		"Request-Id": "id-1", "Target-Instance": "w-1", "Priority": "4", "Last-Event-Id": "41",
 	} {
--- a/internal/serving/edge/handler.go
+++ b/internal/serving/edge/handler.go
@@ -11,8 +11,8 @@
 
 	"github.com/pkg/errors"
 
-	"willowdeck/internal/serving/balance"
 	"willowdeck/internal/serving/configuration"
+	"willowdeck/internal/serving/loadbalancer"
 	"willowdeck/internal/serving/workerlink"
 )
 
@@ -60,8 +60,8 @@
 	j := &job{
 		edge: e, writer: w, client: r, route: route, id: id, service: service,
 		deadline: arrived.Add(patience(r, route)), excluded: map[string]bool{},
-		prompt: &balance.Request{
-			Parts: balance.ParsePrompt(r.Header.Get("Prompt-Prefix")), PauseMs: t.pauses[service],
+		prompt: &loadbalancer.Request{
+			Parts: loadbalancer.ParsePrompt(r.Header.Get("Prompt-Prefix")), PauseMs: t.pauses[service],
 		},
 		request: &workerlink.Request{
 			Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: workerlink.EndToEnd(r.Header), Body: body,
--- a/internal/serving/edge/job.go
+++ b/internal/serving/edge/job.go
@@ -10,8 +10,8 @@
 
 	"github.com/pkg/errors"
 
-	"willowdeck/internal/serving/balance"
 	"willowdeck/internal/serving/configuration"
+	"willowdeck/internal/serving/loadbalancer"
 	"willowdeck/internal/serving/workerlink"
 )
 
@@ -35,7 +35,7 @@
 	service  string
 	id       string
 	request  *workerlink.Request
-	prompt   *balance.Request
+	prompt   *loadbalancer.Request
 	deadline time.Time
 	excluded map[string]bool // workers that are not tried again
 
--- a/internal/serving/edge/liveness_test.go
+++ b/internal/serving/edge/liveness_test.go
@@ -4,11 +4,11 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/serving/balance"
+	"willowdeck/internal/serving/loadbalancer"
 )
 
 func attemptAt(instance string) *attempt {
-	return &attempt{worker: worker{Worker: balance.Worker{Instance: instance, Address: "10.0.0.1:80"}}}
+	return &attempt{worker: worker{Worker: loadbalancer.Worker{Instance: instance, Address: "10.0.0.1:80"}}}
 }
 
 // silence makes a watched worker silent for longer than is borne.
--- a/internal/serving/edge/loads.go
+++ b/internal/serving/edge/loads.go
@@ -5,8 +5,8 @@
 	"net/netip"
 	"time"
 
-	"willowdeck/internal/serving/balance"
-	"willowdeck/internal/serving/loadshare"
+	"willowdeck/internal/serving/loadbalancer"
+	"willowdeck/internal/serving/loadreport"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -17,9 +17,9 @@
 	number := uint64(e.started.UnixMicro())
 	for {
 		t := e.table.Load()
-		period := loadshare.Period(0)
-		if t != nil && loadshare.Worthwhile(len(t.peers)) {
-			period = loadshare.Period(len(t.peers))
+		period := loadreport.Period(0)
+		if t != nil && loadreport.Worthwhile(len(t.peers)) {
+			period = loadreport.Period(len(t.peers))
 			number++
 			e.tellLoads(datagrams, t, number)
 		}
@@ -48,7 +48,7 @@
 
 // tellPrompt tells other edges of a prompt that has just been given to a worker, so that they wait for it no
 // longer than they have to: those of its region, and all where it is long, since all avoid such workers.
-func (e *Edge) tellPrompt(t *table, chosen worker, sent balance.Prompt) {
+func (e *Edge) tellPrompt(t *table, chosen worker, sent loadbalancer.Prompt) {
 	datagrams := e.datagrams.Load()
 	if datagrams == nil || !chosen.Engine || sent.ReadMs < noticedRead {
 		return
