--- a/internal/serving/edge/notices_test.go
+++ b/internal/serving/edge/notices_test.go
@@ -8,8 +8,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"willowdeck/internal/serving/balance"
-	"willowdeck/internal/serving/pathwatch"
+	"willowdeck/internal/serving/loadbalancer"
+	"willowdeck/internal/serving/pathhealth"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -28,9 +28,9 @@
 	}
 	t.Cleanup(func() { connection.Close() })
 	connection.SetReadDeadline(time.Now().Add(10 * time.Second))
-	place := pathwatch.Place{Zone: region, Region: region}
+	place := pathhealth.Place{Zone: region, Region: region}
 	return &listener{t: t, connection: connection, target: target{
-		Target:  pathwatch.Target{Name: name, Place: place, Linked: true},
+		Target:  pathhealth.Target{Name: name, Place: place, Linked: true},
 		address: netip.MustParseAddrPort(connection.LocalAddr().String()),
 	}}
 }
@@ -71,13 +71,13 @@
 // see it from where this one does are told, and none where the path may be what broke.
 func TestDeadWorkersAreToldWithinTheRegion(t *testing.T) {
 	e, near, far := startNoticing(t)
-	broken := worker{Worker: balance.Worker{Instance: "broken", Zone: "n", Region: "north", Engine: true}}
+	broken := worker{Worker: loadbalancer.Worker{Instance: "broken", Zone: "n", Region: "north", Engine: true}}
 	e.paths.published.Store(&map[string]bool{"n": true})
 	e.tellBroken(broken)
 	e.tellDead(broken.Zone, &wirepb.DeadNotice{InstanceId: "behind a cut"})
 	e.paths.published.Store(&map[string]bool{})
 	e.tellBroken(broken)
-	e.tellPrompt(e.table.Load(), broken, balance.Prompt{Instance: "long", ReadMs: 900, Long: true})
+	e.tellPrompt(e.table.Load(), broken, loadbalancer.Prompt{Instance: "long", ReadMs: 900, Long: true})
 	if notice := near.next().GetDead(); notice.GetInstanceId() != "broken" || !notice.GetBroke() {
 		t.Errorf("the near edge hears %v first", notice)
 	}
@@ -90,13 +90,13 @@
 // one.
 func TestPromptsAreToldWhereTheyMatter(t *testing.T) {
 	e, near, far := startNoticing(t)
-	here := worker{Worker: balance.Worker{Instance: "i", Zone: "a", Region: "south", Engine: true}}
-	plain := worker{Worker: balance.Worker{Instance: "i", Zone: "a", Region: "south"}}
+	here := worker{Worker: loadbalancer.Worker{Instance: "i", Zone: "a", Region: "south", Engine: true}}
+	plain := worker{Worker: loadbalancer.Worker{Instance: "i", Zone: "a", Region: "south"}}
 	known := e.table.Load()
-	e.tellPrompt(known, here, balance.Prompt{Instance: "soon read", ReadMs: noticedRead - 1})
-	e.tellPrompt(known, plain, balance.Prompt{Instance: "no engine", ReadMs: 900})
-	e.tellPrompt(known, here, balance.Prompt{Instance: "some time", ReadMs: noticedRead})
-	e.tellPrompt(known, here, balance.Prompt{Instance: "long", ReadMs: 900, Long: true})
+	e.tellPrompt(known, here, loadbalancer.Prompt{Instance: "soon read", ReadMs: noticedRead - 1})
+	e.tellPrompt(known, plain, loadbalancer.Prompt{Instance: "no engine", ReadMs: 900})
+	e.tellPrompt(known, here, loadbalancer.Prompt{Instance: "some time", ReadMs: noticedRead})
+	e.tellPrompt(known, here, loadbalancer.Prompt{Instance: "long", ReadMs: 900, Long: true})
 	for _, want := range []string{"some time", "long"} {
 		if got := near.next().GetPrompt().GetInstanceId(); got != want {
 			t.Errorf("the near edge hears of %q, not of %q", got, want)
--- a/internal/serving/edge/paths.go
+++ b/internal/serving/edge/paths.go
@@ -9,9 +9,9 @@
 
 	"go.uber.org/zap"
 
-	"willowdeck/internal/serving/boot"
 	"willowdeck/internal/serving/configuration"
-	"willowdeck/internal/serving/pathwatch"
+	"willowdeck/internal/serving/pathhealth"
+	"willowdeck/internal/serving/settings"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -21,14 +21,14 @@
 // paths is what this edge knows of the ways to other zones. What requests read is one map for all of them.
 type paths struct {
 	mu        sync.Mutex
-	watch     *pathwatch.Watch
+	watch     *pathhealth.Watch
 	zones     map[string]string               // the region of each zone
 	published atomic.Pointer[map[string]bool] // the zones that are suspected
 }
 
-func newPaths(settings *boot.Settings, first uint64) *paths {
-	own := pathwatch.Place{Zone: settings.Zone, Region: settings.Region}
-	p := &paths{watch: pathwatch.New(own, first), zones: settings.Zones}
+func newPaths(config *settings.Settings, first uint64) *paths {
+	own := pathhealth.Place{Zone: config.Zone, Region: config.Region}
+	p := &paths{watch: pathhealth.New(own, first), zones: config.Zones}
 	p.published.Store(&map[string]bool{})
 	return p
 }
@@ -37,10 +37,10 @@
 func (p *paths) suspected(zone string) bool { return (*p.published.Load())[zone] }
 
 // due returns the probes to be sent now.
-func (p *paths) due(now time.Duration, t *table) []pathwatch.Probe {
+func (p *paths) due(now time.Duration, t *table) []pathhealth.Probe {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	targets := make([]pathwatch.Target, len(t.targets))
+	targets := make([]pathhealth.Target, len(t.targets))
 	for i := range t.targets {
 		targets[i] = t.targets[i].Target
 	}
@@ -60,14 +60,14 @@
 func (p *paths) proven(sentAt time.Duration, w worker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.watch.Proven(sentAt, pathwatch.Place{Zone: w.Zone, Region: w.Region})
+	p.watch.Proven(sentAt, pathhealth.Place{Zone: w.Zone, Region: w.Region})
 }
 
 // publish makes known which zones are suspected. The caller holds the lock.
 func (p *paths) publish(now time.Duration) {
 	suspected := map[string]bool{}
 	for zone, region := range p.zones {
-		if p.watch.Suspect(now, pathwatch.Place{Zone: zone, Region: region}) {
+		if p.watch.Suspect(now, pathhealth.Place{Zone: zone, Region: region}) {
 			suspected[zone] = true
 		}
 	}
@@ -150,7 +150,7 @@
 	}
 }
 
-func (e *Edge) sendProbe(datagrams *datagrams, t *table, probe pathwatch.Probe) {
+func (e *Edge) sendProbe(datagrams *datagrams, t *table, probe pathhealth.Probe) {
 	for _, target := range t.targets {
 		if target.Name == probe.Target {
 			body := &wirepb.EdgeDatagram_Probe{Probe: &wirepb.PathProbe{Number: probe.Number}}
--- a/internal/serving/edge/paths_test.go
+++ b/internal/serving/edge/paths_test.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/serving/balance"
-	"willowdeck/internal/serving/boot"
 	"willowdeck/internal/serving/configuration"
-	"willowdeck/internal/serving/pathwatch"
+	"willowdeck/internal/serving/loadbalancer"
+	"willowdeck/internal/serving/pathhealth"
+	"willowdeck/internal/serving/settings"
 	"willowdeck/internal/serving/wirepb"
 )
 
 func workerIn(zone, region string) worker {
-	return worker{Worker: balance.Worker{Instance: "i-" + zone, Zone: zone, Region: region}}
+	return worker{Worker: loadbalancer.Worker{Instance: "i-" + zone, Zone: zone, Region: region}}
 }
 
 // TestRoutesBehindSuspectedZones says for which suspected zones an edge cannot serve all routes.
@@ -68,15 +68,15 @@
 
 // TestProbesAreAnswered has two edges prove the path between them.
 func TestProbesAreAnswered(t *testing.T) {
-	settings := func(name, ip, zone string) *boot.Settings {
-		return &boot.Settings{
+	config := func(name, ip, zone string) *settings.Settings {
+		return &settings.Settings{
 			NodeName: name, IP: ip, Zone: zone, Region: zone, Zones: map[string]string{"a": "a", "b": "b"},
 		}
 	}
-	first, second := newPaths(settings("e1", "127.0.0.1", "a"), 7), newPaths(settings("e2", "127.0.0.1", "b"), 9)
+	first, second := newPaths(config("e1", "127.0.0.1", "a"), 7), newPaths(config("e2", "127.0.0.1", "b"), 9)
 	address := netip.MustParseAddrPort("127.0.0.1:1")
 	other := target{
-		Target:  pathwatch.Target{Name: "e2", Place: pathwatch.Place{Zone: "b", Region: "b"}, Linked: true},
+		Target:  pathhealth.Target{Name: "e2", Place: pathhealth.Place{Zone: "b", Region: "b"}, Linked: true},
 		address: address,
 	}
 	view := &table{targets: []target{other}}
--- a/internal/serving/edge/table.go
+++ b/internal/serving/edge/table.go
@@ -9,11 +9,11 @@
 	"strings"
 	"time"
 
-	"willowdeck/internal/serving/balance"
-	"willowdeck/internal/serving/boot"
 	"willowdeck/internal/serving/configuration"
-	"willowdeck/internal/serving/mirror"
-	"willowdeck/internal/serving/pathwatch"
+	"willowdeck/internal/serving/loadbalancer"
+	"willowdeck/internal/serving/pathhealth"
+	"willowdeck/internal/serving/settings"
+	"willowdeck/internal/serving/stateview"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -41,13 +41,13 @@
 
 // target is another edge that the path to its place can be proven with.
 type target struct {
-	pathwatch.Target
+	pathhealth.Target
 	address netip.AddrPort
 }
 
 // worker is one that may get requests.
 type worker struct {
-	balance.Worker
+	loadbalancer.Worker
 	coldUntil time.Duration
 }
 
@@ -56,7 +56,7 @@
 
 // tableBuilder makes tables out of what the agent feeds.
 type tableBuilder struct {
-	settings  *boot.Settings
+	settings  *settings.Settings
 	routes    routeCache
 	edges     int                      // the most edges that were known at any time
 	settled   bool                     // a core that has heard of all edges has told of them, in this life
@@ -64,15 +64,15 @@
 	coldZones map[string]time.Duration // zones taken back lately: until when their workers count as cold
 }
 
-func newTableBuilder(settings *boot.Settings) *tableBuilder {
+func newTableBuilder(config *settings.Settings) *tableBuilder {
 	return &tableBuilder{
-		settings: settings, routes: routeCache{},
+		settings: config, routes: routeCache{},
 		evacuated: map[string]bool{}, coldZones: map[string]time.Duration{},
 	}
 }
 
 // build returns the table for a view, or nil where no configuration is known yet.
-func (b *tableBuilder) build(now time.Duration, view mirror.View) (*table, error) {
+func (b *tableBuilder) build(now time.Duration, view stateview.View) (*table, error) {
 	if view.Document == nil {
 		return nil, nil
 	}
@@ -157,7 +157,7 @@
 	maps.DeleteFunc(b.coldZones, func(_ string, until time.Duration) bool { return now >= until })
 }
 
-func (b *tableBuilder) buildWorkers(now time.Duration, t *table, view mirror.View) {
+func (b *tableBuilder) buildWorkers(now time.Duration, t *table, view stateview.View) {
 	edges := 0
 	for _, entry := range view.Entries {
 		if entry.Record.Deleted {
@@ -178,7 +178,7 @@
 		}
 		service := t.services[told.Service]
 		t.workers[told.Service] = append(t.workers[told.Service], worker{
-			Worker: balance.Worker{
+			Worker: loadbalancer.Worker{
 				Instance: told.InstanceId, Address: told.Address, Zone: told.Zone,
 				Region: b.settings.Zones[told.Zone], Capacity: int(told.Capacity),
 				Engine: service != nil && service.Engine != nil,
@@ -197,9 +197,9 @@
 	if edge.Linked {
 		t.peers = append(t.peers, peer{name: edge.Name, address: address})
 	}
-	place := pathwatch.Place{Zone: edge.Zone, Region: edge.Region}
+	place := pathhealth.Place{Zone: edge.Zone, Region: edge.Region}
 	t.targets = append(t.targets, target{
-		Target: pathwatch.Target{Name: edge.Name, Place: place, Linked: edge.Linked}, address: address,
+		Target: pathhealth.Target{Name: edge.Name, Place: place, Linked: edge.Linked}, address: address,
 	})
 }
 
--- a/internal/serving/balance/balance.go
+++ b/internal/serving/loadbalancer/balance.go
@@ -1,4 +1,4 @@
-// Package balance chooses the worker of each request by what one edge knows: which prompt parts a worker
+// Package loadbalancer chooses the worker of each request by what one edge knows: which prompt parts a worker
 // has read, how much it has in hand, where it stands, and how its answers ended. All edges agree without
 // messages on the worker that a shared prompt belongs to, by rendezvous hashing (Thaler and Ravishankar,
 // "Using Name-Based Mappings to Increase Hit Rates", 1998); load moves requests away from it, as with
@@ -6,7 +6,7 @@
 //
 // Costs are in milliseconds of the time to the first token; prices other than time are turned into it. The
 // package has no I/O, clock or goroutines, and is not safe for concurrent use.
-package balance
+package loadbalancer
 
 import (
 	"hash/fnv"
--- a/internal/serving/balance/balance_test.go
+++ b/internal/serving/loadbalancer/balance_test.go
@@ -1,4 +1,4 @@
-package balance
+package loadbalancer
 
 import (
 	"fmt"
--- a/internal/serving/loadshare/golden_test.go
+++ b/internal/serving/loadreport/golden_test.go
@@ -1,4 +1,4 @@
-package loadshare
+package loadreport
 
 import (
 	"encoding/hex"
--- a/internal/serving/loadshare/loadshare.go
+++ b/internal/serving/loadreport/loadshare.go
@@ -1,7 +1,7 @@
-// Package loadshare adds up what other edges say that they have in hand at workers. Reports are datagrams:
+// Package loadreport adds up what other edges say that they have in hand at workers. Reports are datagrams:
 // each replaces the one before it, a lost one is made good by the next, and an edge that is not heard from
 // drops out. The package has no I/O, clock or goroutines, and is not safe for concurrent use.
-package loadshare
+package loadreport
 
 import (
 	"time"
--- a/internal/serving/pathwatch/pathwatch.go
+++ b/internal/serving/pathhealth/pathwatch.go
@@ -1,4 +1,4 @@
-// Package pathwatch finds out which places an edge has no path to, there and back. It has one edge of each
+// Package pathhealth finds out which places an edge has no path to, there and back. It has one edge of each
 // other zone probed by turns, and a place is suspected once several probes in a row, to different edges, have
 // stayed without an answer. This is the failure detection of SWIM (Das, Gupta and Motivala, 2002) applied to
 // paths in place of members: the edges there stand for the workers, so that a cut or a loss of a region is
@@ -10,7 +10,7 @@
 // together keep within probesPerSecond.
 //
 // The package has no I/O, clock or goroutines, and is not safe for concurrent use.
-package pathwatch
+package pathhealth
 
 import (
 	"slices"
--- a/internal/serving/pathwatch/pathwatch_test.go
+++ b/internal/serving/pathhealth/pathwatch_test.go
@@ -1,4 +1,4 @@
-package pathwatch
+package pathhealth
 
 import (
 	"fmt"
--- a/internal/serving/program/golden_test.go
+++ b/internal/serving/program/golden_test.go
@@ -12,7 +12,7 @@
 // The command lines that unit files and scripts of operators have, as of 2 December 2026. The files come
 // from the golden tests of packages boot and configuration.
 var (
-	goldenSettings      = filepath.Join("..", "boot", "testdata", "settings.conf")
+	goldenSettings      = filepath.Join("..", "settings", "testdata", "settings.conf")
 	goldenConfiguration = filepath.Join("..", "configuration", "testdata", "operator.json")
 )
 
--- a/internal/serving/program/imports_test.go
+++ b/internal/serving/program/imports_test.go
@@ -55,7 +55,7 @@
 // TestLaboratoryStaysOutside looks that no program of the system brings the laboratory.
 func TestLaboratoryStaysOutside(t *testing.T) {
 	for _, dependency := range goList(t, "-deps", "./cmd/willowdeck-core", "./cmd/willowdeck-edge") {
-		if dependency == module+"scale" || strings.HasPrefix(dependency, "willowdeck/internal/capacity") {
+		if dependency == module+"scale" || strings.HasPrefix(dependency, "willowdeck/internal/lab/capacity") {
 			t.Errorf("the programs bring %s", dependency)
 		}
 	}
--- a/internal/serving/program/program.go
+++ b/internal/serving/program/program.go
@@ -11,8 +11,8 @@
 
 	"go.uber.org/zap"
 
-	"willowdeck/internal/serving/boot"
 	"willowdeck/internal/serving/configuration"
+	"willowdeck/internal/serving/settings"
 )
 
 // Exit statuses.
@@ -32,7 +32,7 @@
 func (p *Program) Main(arguments []string, output, problems io.Writer) int {
 	flags := flag.NewFlagSet(p.Name, flag.ContinueOnError)
 	flags.SetOutput(problems)
-	settingsPath := flags.String("settings", "", "settings file; the default is named in "+boot.PathVariable)
+	settingsPath := flags.String("settings", "", "settings file; the default is named in "+settings.PathVariable)
 	verbose := flags.Bool("verbose", false, "log more than changes of state")
 	flags.Usage = func() { p.usage(flags, problems) }
 	if err := flags.Parse(arguments); err != nil {
@@ -72,7 +72,7 @@
 	debug.SetGCPercent(200) // a heap of a few megabytes: less work for little memory
 	logger := newLogger(verbose)
 	defer logger.Sync()
-	path, err := boot.Path(settingsPath)
+	path, err := settings.Path(settingsPath)
 	if err == nil {
 		err = p.Run(path, logger)
 	}
@@ -89,16 +89,16 @@
 
 // check reads the settings, and a configuration where one is named.
 func (p *Program) check(settingsPath string, files []string, output io.Writer) error {
-	path, err := boot.Path(settingsPath)
+	path, err := settings.Path(settingsPath)
 	if err != nil {
 		return err
 	}
-	settings, err := boot.Load(path)
+	config, err := settings.Load(path)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(output, "settings: %s in zone %s of region %s\n",
-		settings.NodeName, settings.Zone, settings.Region)
+		config.NodeName, config.Zone, config.Region)
 	for _, file := range files {
 		body, err := os.ReadFile(file)
 		if err != nil {
--- a/internal/serving/scale/hollow.go
+++ b/internal/serving/scale/hollow.go
@@ -14,8 +14,8 @@
 	"github.com/pkg/errors"
 
 	"willowdeck/internal/serving/catalog"
-	"willowdeck/internal/serving/feed"
 	"willowdeck/internal/serving/framing"
+	"willowdeck/internal/serving/watch"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -120,7 +120,7 @@
 		}
 		agent.take(update, known)
 		if time.Now().After(nextBeat) {
-			nextBeat = time.Now().Add(feed.HeartbeatInterval)
+			nextBeat = time.Now().Add(watch.HeartbeatInterval)
 			if link.WriteMessage(request) != nil {
 				return
 			}
--- a/internal/serving/scale/scale.go
+++ b/internal/serving/scale/scale.go
@@ -13,8 +13,8 @@
 
 	"github.com/pkg/errors"
 
-	"willowdeck/internal/capacity"
-	"willowdeck/internal/serving/balance"
+	"willowdeck/internal/lab/capacity"
+	"willowdeck/internal/serving/loadbalancer"
 )
 
 // Options say what is played.
@@ -191,16 +191,18 @@
 // measureChoice measures what the choice of a worker takes, among the workers of one model.
 func measureChoice(size Size) Figure {
 	const choices = 400
-	candidates := make([]balance.Worker, max(size.Workers/models, 1))
+	candidates := make([]loadbalancer.Worker, max(size.Workers/models, 1))
 	for i := range candidates {
-		candidates[i] = balance.Worker{
+		candidates[i] = loadbalancer.Worker{
 			Instance: workerName(i), Zone: zoneName(i), Region: regionName(i), Capacity: 64, Engine: true,
 		}
 	}
-	balancer := balance.New(zoneName(0), regionName(0), rand.New(rand.NewSource(1)))
+	balancer := loadbalancer.New(zoneName(0), regionName(0), rand.New(rand.NewSource(1)))
 	begun := time.Now()
 	for i := range choices {
-		request := &balance.Request{Parts: balance.ParsePrompt(fmt.Sprintf("a:500,b%d:4800,c%d:6000", i%50, i))}
+		request := &loadbalancer.Request{
+			Parts: loadbalancer.ParsePrompt(fmt.Sprintf("a:500,b%d:4800,c%d:6000", i%50, i)),
+		}
 		balancer.Choose(time.Duration(i)*time.Millisecond, request, candidates)
 	}
 	return Figure{roleEdge, "choice", "ms", float64(time.Since(begun).Microseconds()) / 1000 / choices}
--- a/internal/serving/scale/system.go
+++ b/internal/serving/scale/system.go
@@ -16,7 +16,7 @@
 
 	"github.com/pkg/errors"
 
-	"willowdeck/internal/ports"
+	"willowdeck/internal/testkit/ports"
 )
 
 // Roles of processes.
--- a/internal/serving/boot/boot.go
+++ b/internal/serving/settings/boot.go
@@ -1,6 +1,6 @@
-// Package boot reads the settings file of a process: its place, its addresses, and the bounds that it has
+// Package settings reads the settings file of a process: its place, its addresses, and the bounds that it has
 // to keep.
-package boot
+package settings
 
 import (
 	"net"
--- a/internal/serving/boot/golden_test.go
+++ b/internal/serving/settings/golden_test.go
@@ -1,4 +1,4 @@
-package boot
+package settings
 
 import (
 	"errors"
--- a/internal/serving/coldshare/bucket.go
+++ b/internal/serving/slowstart/bucket.go
@@ -1,4 +1,4 @@
-package coldshare
+package slowstart
 
 import (
 	"math"
--- a/internal/serving/coldshare/coldshare.go
+++ b/internal/serving/slowstart/coldshare.go
@@ -1,4 +1,4 @@
-// Package coldshare decides how much of a cold worker's rate this edge may send, after rateguard: each edge
+// Package slowstart decides how much of a cold worker's rate this edge may send, after rateguard: each edge
 // keeps a bucket and a demand estimate for each cold worker. A quiet worker runs at rate/N×α and causes no
 // messages. A hot one has a floor of rate×β/N and the rest by own demand over total demand, which the edges
 // report to each other. Summed over all edges, in touch or not, what is sent never passes rate × overshoot
@@ -11,7 +11,7 @@
 //     once.
 //
 // The package has no I/O, clock or goroutines, and is not safe for concurrent use.
-package coldshare
+package slowstart
 
 import (
 	"maps"
--- a/internal/serving/committed/machine.go
+++ b/internal/serving/statemachine/machine.go
@@ -1,7 +1,8 @@
-// Package committed is the state machine above the replicated log: the configuration in force, the zones that
+// Package statemachine is the state machine above the replicated log: the configuration in force, the zones
+// that
 // are evacuated, the workers that are leaving, and what is needed to know an order again. It has no I/O,
 // and each replica comes to the same state.
-package committed
+package statemachine
 
 import (
 	"bytes"
--- a/internal/serving/committed/machine_test.go
+++ b/internal/serving/statemachine/machine_test.go
@@ -1,4 +1,4 @@
-package committed
+package statemachine
 
 import (
 	"fmt"
--- a/internal/serving/committed/recent.go
+++ b/internal/serving/statemachine/recent.go
@@ -1,4 +1,4 @@
-package committed
+package statemachine
 
 // recent keeps the newest values by key, up to a bound, in the order in which their keys came.
 type recent[V any] struct {
--- a/internal/serving/mirror/demand.go
+++ b/internal/serving/stateview/demand.go
@@ -1,4 +1,4 @@
-package mirror
+package stateview
 
 import (
 	"maps"
--- a/internal/serving/mirror/mirror.go
+++ b/internal/serving/stateview/mirror.go
@@ -1,7 +1,8 @@
-// Package mirror holds one holder's copy of the core's state: a core's own, that of an agent, and that of a
+// Package stateview holds one holder's copy of the core's state: a core's own, that of an agent, and that of
+// a
 // proxy. Each holder says by a version vector, a generation and a log index what it has, and another one
 // works out what is missing. The package has no I/O and no clock of its own.
-package mirror
+package stateview
 
 import (
 	"slices"
--- a/internal/serving/wal/golden_test.go
+++ b/internal/serving/wal/golden_test.go
@@ -50,10 +50,11 @@
 	return data
 }
 
-// goldenSnapshotData returns the state machine's part of the snapshot, whose own form package committed pins.
+// goldenSnapshotData returns the state machine's part of the snapshot, whose own form package statemachine
+// pins.
 func goldenSnapshotData(t *testing.T) []byte {
 	t.Helper()
-	return readGolden(t, "../committed/testdata/snapshot.bin")
+	return readGolden(t, "../statemachine/testdata/snapshot.bin")
 }
 
 func goldenSnapshot(t *testing.T) *wirepb.Snapshot {
--- a/internal/serving/feed/provider.go
+++ b/internal/serving/watch/provider.go
@@ -1,12 +1,12 @@
-// Package feed brings the core's state to the edges: a core provides it to agents, an agent to its proxy.
+// Package watch brings the core's state to the edges: a core provides it to agents, an agent to its proxy.
 // Each end keeps a mirror, says what it holds, and gets what is missing.
-package feed
+package watch
 
 import (
 	"time"
 
 	"willowdeck/internal/serving/framing"
-	"willowdeck/internal/serving/mirror"
+	"willowdeck/internal/serving/stateview"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -20,7 +20,7 @@
 // Provide serves a subscriber on a link whose first request was read. onRequest is called with it and with
 // each further one; Provide returns when the link is lost or stop is closed.
 func Provide(
-	connection *framing.Conn, first *wirepb.FeedRequest, held *mirror.Mirror,
+	connection *framing.Conn, first *wirepb.FeedRequest, held *stateview.Mirror,
 	onRequest func(*wirepb.FeedRequest), stop <-chan struct{},
 ) {
 	defer connection.Close()
@@ -29,7 +29,11 @@
 		defer close(lost)
 		readRequests(connection, first, onRequest)
 	}()
-	position := mirror.Position{Vector: first.Vector, Generation: first.Generation, StateIndex: first.StateIndex}
+	position := stateview.Position{
+		Vector:     first.Vector,
+		Generation: first.Generation,
+		StateIndex: first.StateIndex,
+	}
 	heartbeat := time.NewTicker(HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
--- a/internal/serving/feed/subscriber.go
+++ b/internal/serving/watch/subscriber.go
@@ -1,4 +1,4 @@
-package feed
+package watch
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"willowdeck/internal/serving/framing"
-	"willowdeck/internal/serving/mirror"
+	"willowdeck/internal/serving/stateview"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -28,7 +28,7 @@
 
 // Subscriber keeps a replica up to date from one provider at a time.
 type Subscriber struct {
-	Mirror      *mirror.Mirror
+	Mirror      *stateview.Mirror
 	DialTimeout time.Duration
 	// Providers returns the providers to choose from, the preferred first.
 	Providers func() []Provider
--- a/internal/serving/feed/subscriber_test.go
+++ b/internal/serving/watch/subscriber_test.go
@@ -1,4 +1,4 @@
-package feed
+package watch
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"time"
 
 	"willowdeck/internal/serving/framing"
-	"willowdeck/internal/serving/mirror"
+	"willowdeck/internal/serving/stateview"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -34,7 +34,7 @@
 }
 
 func (p *standInProvider) accept() {
-	held := mirror.New("", func() time.Duration { return 0 })
+	held := stateview.New("", func() time.Duration { return 0 })
 	held.Touch(true)
 	for {
 		accepted, err := p.listener.Accept()
@@ -62,7 +62,7 @@
 	var mu sync.Mutex
 	known := []Provider{{Address: far.listener.Addr().String(), Distance: 2}}
 	subscriber := &Subscriber{
-		Mirror: mirror.New("", func() time.Duration { return 0 }), DialTimeout: patience,
+		Mirror: stateview.New("", func() time.Duration { return 0 }), DialTimeout: patience,
 		Providers: func() []Provider {
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/benchwire/benchwire.go
+++ b/internal/simadapter/benchwire.go
@@ -1,6 +1,6 @@
-// Package benchwire speaks the bench's wire: it decodes each batch into calls on the gatekeepers that live
+// Package simadapter speaks the bench's wire: it decodes each batch into calls on the gatekeepers that live
 // in this process, and encodes what they decide into the reply.
-package benchwire
+package simadapter
 
 import (
 	"bufio"
@@ -12,10 +12,10 @@
 	"math"
 	"strconv"
 
-	"willowdeck/internal/config"
-	"willowdeck/internal/held"
-	"willowdeck/internal/wire/gossip"
-	"willowdeck/logic"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/inflight"
+	"willowdeck/internal/gateway/transport/gossip"
+	"willowdeck/internal/policy"
 )
 
 const usPerMs = 1000
@@ -23,11 +23,11 @@
 // instance is one gatekeeper with the names that its wire uses. Instances share nothing.
 type instance struct {
 	num     int
-	gk      *logic.Gatekeeper
+	gk      *policy.Gatekeeper
 	names   config.Names
-	workers held.Index
-	zones   held.Index
-	kinds   held.Index
+	workers inflight.Index
+	zones   inflight.Index
+	kinds   inflight.Index
 	acts    bool // has had an event in this batch
 }
 
@@ -37,8 +37,8 @@
 	instances map[int]*instance
 	order     []*instance // those with events in this batch, in the order of the first
 	lists     map[int][]any
-	postings  []logic.Posting
-	reports   []logic.Report
+	postings  []policy.Posting
+	reports   []policy.Report
 	buf       []byte
 }
 
@@ -142,7 +142,7 @@
 		return l.roster(in, m)
 	case "REQUEST":
 		product, plan := m.text(4, "tier_class"), m.text(8, "terms")
-		a := logic.Arrival{ID: uint64(m.num(2, "handle")), Customer: m.hex(3, "user_key"),
+		a := policy.Arrival{ID: uint64(m.num(2, "handle")), Customer: m.hex(3, "user_key"),
 			SetSize: m.int(6, "set_size"), Units: m.num(7, "cost_units"), First: m.int(10, "base"),
 			Left: m.num(11, "budget_us") / usPerMs}
 		var ok bool
@@ -196,7 +196,7 @@
 }
 
 // burden reads a load report. What it lacks, or what is no number, counts as not said.
-func burden(v any) logic.Burden {
+func burden(v any) policy.Burden {
 	of, _ := v.(map[string]any)
 	at := func(name string) float64 {
 		if f, ok := of[name].(float64); ok && f >= 0 {
@@ -204,12 +204,12 @@
 		}
 		return -1
 	}
-	return logic.Burden{Held: at("concurrent"), Waiting: at("depth"), Busy: at("load_share")}
+	return policy.Burden{Held: at("concurrent"), Waiting: at("depth"), Busy: at("load_share")}
 }
 
-var outcomes = map[string]logic.Outcome{
-	"pass": logic.Settled, "fault": logic.Fault, "no_room": logic.Full, "too_slow": logic.TimedOut,
-	"no_route": logic.NoRoute, "cut": logic.Cut, "undone": logic.Withdrawn, "stale_send": logic.NotSent,
+var outcomes = map[string]policy.Outcome{
+	"pass": policy.Settled, "fault": policy.Fault, "no_room": policy.Full, "too_slow": policy.TimedOut,
+	"no_route": policy.NoRoute, "cut": policy.Cut, "undone": policy.Withdrawn, "stale_send": policy.NotSent,
 }
 
 func (l *link) launch(num int, m *message, raw []byte) error {
@@ -230,7 +230,7 @@
 	}
 	in := &instance{num: num, names: terms.Names}
 	defer l.guard(in)
-	in.gk = logic.New(terms.Charter, int64(seed))
+	in.gk = policy.New(terms.Charter, int64(seed))
 	l.instances[num] = in
 	l.touch(in)
 	return nil
@@ -267,7 +267,7 @@
 		v, _ := r.([]any)
 		e := message{v: v}
 		name, zone, state := e.text(0, "worker"), e.text(1, "locality"), e.text(4, "stage_state")
-		p := logic.Posting{Cell: e.int(3, "block"), Active: state == "active",
+		p := policy.Posting{Cell: e.int(3, "block"), Active: state == "active",
 			Since: e.opt(6) / usPerMs, Rating: e.opt(5)}
 		if e.err != nil {
 			return fmt.Errorf("list %d: %w", list, e.err)
@@ -321,24 +321,24 @@
 	}
 }
 
-func (l *link) encode(in *instance, d *logic.Decision) {
+func (l *link) encode(in *instance, d *policy.Decision) {
 	b := append(l.buf[:0], '[', '"')
 	switch d.Kind {
-	case logic.Submit:
+	case policy.Submit:
 		b = ints(append(b, `TRANSMIT"`...), int64(in.num), int64(d.Txn), us(d.Wait))
 		b = append(strconv.AppendQuote(append(b, ','), in.workers.Name(d.Worker)), ']')
-	case logic.Decline:
+	case policy.Decline:
 		b = append(ints(append(b, `SAY_NO"`...), int64(in.num), int64(d.Txn), us(d.Wait)), ']')
-	case logic.Void:
+	case policy.Void:
 		b = append(ints(append(b, `END_FAILED"`...), int64(in.num), int64(d.Txn)), ']')
-	case logic.Withdraw:
+	case policy.Withdraw:
 		b = append(ints(append(b, `DROP_ATTEMPT"`...), int64(in.num), int64(d.Txn), int64(d.N)), ']')
-	case logic.Tell:
+	case policy.Tell:
 		b = ints(append(b, `NOTIFY"`...), int64(in.num), int64(d.Peer))
 		var room [256]byte
 		b = hex.AppendEncode(append(b, ',', '"'), gossip.Append(room[:0], d.Reports))
 		b = append(b, '"', ']')
-	case logic.Wake:
+	case policy.Wake:
 		b = append(ints(append(b, `SLEEP"`...), int64(in.num), us(d.At)), `,"w"]`...)
 	}
 	l.buf = append(b, '\n')
--- a/internal/benchwire/benchwire_test.go
+++ b/internal/simadapter/benchwire_test.go
@@ -1,4 +1,4 @@
-package benchwire
+package simadapter
 
 import (
 	"strings"
--- a/internal/benchwire/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -1,4 +1,4 @@
-package benchwire
+package simadapter
 
 import (
 	"bufio"
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
+	"willowdeck/internal/policy"
 	"willowdeck/internal/testkit/goldenform"
-	"willowdeck/logic"
 )
 
 // The golden files were written at commit d6a566a: input.jsonl by hand, with each message that the bench
@@ -26,13 +26,13 @@
 }
 
 // goldenDecisions has one of each kind.
-var goldenDecisions = []logic.Decision{
-	{Kind: logic.Submit, Txn: 11, Worker: 1, Wait: 12.5},
-	{Kind: logic.Decline, Txn: 13, Wait: 14.5},
-	{Kind: logic.Void, Txn: 15},
-	{Kind: logic.Withdraw, Txn: 16, N: 2},
-	{Kind: logic.Tell, Peer: 4, Reports: []logic.Report{{Customer: 17, Plan: 1, Demand: 18, Known: 3}}},
-	{Kind: logic.Wake, At: 19.0005},
+var goldenDecisions = []policy.Decision{
+	{Kind: policy.Submit, Txn: 11, Worker: 1, Wait: 12.5},
+	{Kind: policy.Decline, Txn: 13, Wait: 14.5},
+	{Kind: policy.Void, Txn: 15},
+	{Kind: policy.Withdraw, Txn: 16, N: 2},
+	{Kind: policy.Tell, Peer: 4, Reports: []policy.Report{{Customer: 17, Plan: 1, Demand: 18, Known: 3}}},
+	{Kind: policy.Wake, At: 19.0005},
 }
 
 // encodeGolden gives the lines of all kinds of decisions, and that of a panic.
@@ -58,9 +58,9 @@
 
 // TestGoldenOutcomes: each code of the bench is the outcome that it was.
 func TestGoldenOutcomes(t *testing.T) {
-	want := map[string]logic.Outcome{"pass": logic.Settled, "fault": logic.Fault, "no_room": logic.Full,
-		"too_slow": logic.TimedOut, "no_route": logic.NoRoute, "cut": logic.Cut, "undone": logic.Withdrawn,
-		"stale_send": logic.NotSent}
+	want := map[string]policy.Outcome{"pass": policy.Settled, "fault": policy.Fault, "no_room": policy.Full,
+		"too_slow": policy.TimedOut, "no_route": policy.NoRoute, "cut": policy.Cut, "undone": policy.Withdrawn,
+		"stale_send": policy.NotSent}
 	for code, outcome := range want {
 		if got, there := outcomes[code]; !there || got != outcome {
 			t.Errorf("%s is outcome %v, want %v", code, got, outcome)
@@ -74,7 +74,7 @@
 // TestGoldenLoad: each figure of a load report is read.
 func TestGoldenLoad(t *testing.T) {
 	got := burden(map[string]any{"concurrent": 2.0, "depth": 3.0, "load_share": 0.5})
-	if want := (logic.Burden{Held: 2, Waiting: 3, Busy: 0.5}); got != want {
+	if want := (policy.Burden{Held: 2, Waiting: 3, Busy: 0.5}); got != want {
 		t.Errorf("a load report is read as %+v, want %+v", got, want)
 	}
 }
--- a/internal/strict/strict.go
+++ b/internal/strictoml/strict.go
@@ -1,5 +1,5 @@
-// Package strict decodes TOML files in which every key has to be known.
-package strict
+// Package strictoml decodes TOML files in which every key has to be known.
+package strictoml
 
 import (
 	"errors"
--- a/internal/fleet/branch.go
+++ b/internal/supervisor/branch.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"context"
@@ -12,12 +12,12 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/council"
-	"willowdeck/internal/history"
-	"willowdeck/internal/relay"
-	"willowdeck/internal/relayd"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/distribution/relay"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/history"
+	"willowdeck/internal/versioned"
 )
 
 const (
@@ -33,7 +33,7 @@
 	me      string
 	log     zerolog.Logger
 	record  history.Recorder
-	copy    *relayd.Copy
+	copy    *relay.Copy
 	changed chan struct{}
 	ctx     context.Context
 	end     context.CancelFunc
@@ -41,17 +41,17 @@
 
 	mu       sync.Mutex
 	upstream []string
-	follower *relay.Follower // by way of feed alone
-	feed     *relayd.Feed
+	follower *distribution.Follower // by way of feed alone
+	feed     *relay.Feed
 	leave    context.CancelFunc // ends the feed
-	warden   accord.Warden
-	lag      *accord.Lag
+	warden   ruleset.Warden
+	lag      *ruleset.Lag
 	askers   map[int]asker
 
-	view    relay.View // as last taken
-	lease   accord.Lease
-	bad     [2]resource.Mark // of rules, and pending ones, that were told and make no sense
-	inForce accord.Version
+	view    distribution.View // as last taken
+	lease   ruleset.Lease
+	bad     [2]versioned.Mark // of rules, and pending ones, that were told and make no sense
+	inForce ruleset.Version
 	said    uint64 // the step that was last told to have been seen
 	index   int64  // of discovery's list, the highest here
 }
@@ -66,8 +66,8 @@
 
 func newBranch(cluster string, r *RelayFile, record history.Recorder, log zerolog.Logger) *branch {
 	b := &branch{cluster: cluster, me: r.Me, log: log, record: record,
-		copy:    relayd.NewCopy(r.Store, cluster, log),
-		changed: make(chan struct{}, 1), lag: accord.NewLag(), askers: map[int]asker{}, index: -1}
+		copy:    relay.NewCopy(r.Store, cluster, log),
+		changed: make(chan struct{}, 1), lag: ruleset.NewLag(), askers: map[int]asker{}, index: -1}
 	b.view.Index = -1
 	b.ctx, b.end = context.WithCancel(context.Background())
 	b.wait.Add(1)
@@ -87,18 +87,18 @@
 	if slices.Equal(upstream, b.upstream) {
 		return
 	}
-	f := relay.NewFollower(relay.Config{Name: b.me, Cluster: b.cluster, Upstream: len(upstream),
-		Lease: bornLease, Interest: accord.Interest{Host: b.me, Around: relay.Around}, Seed: rand.Int63()},
-		council.Clock())
+	f := distribution.NewFollower(distribution.Config{Name: b.me, Cluster: b.cluster, Upstream: len(upstream),
+		Lease: bornLease, Interest: ruleset.Interest{Host: b.me, Around: distribution.Around}, Seed: rand.Int63()},
+		raftlog.Clock())
 	if b.feed == nil {
 		b.copy.Base(f)
 	} else {
 		f.Base(b.view.Rules, b.view.Pending)
 		b.leave()
 	}
-	client := relayd.NewClient(upstream, relayd.AskPath)
+	client := relay.NewClient(upstream, relay.AskPath)
 	b.upstream, b.follower, b.said = slices.Clone(upstream), f, 0
-	feed := relayd.NewFeed(f, client, b.news)
+	feed := relay.NewFeed(f, client, b.news)
 	b.feed = feed
 	var ctx context.Context
 	ctx, b.leave = context.WithCancel(b.ctx)
@@ -124,7 +124,7 @@
 		return
 	}
 	v, ok := b.feed.View()
-	said := [2]resource.Mark{v.Rules.Mark(), v.Pending.Mark()}
+	said := [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()}
 	if !ok || v.Step < b.view.Step || v.Step == b.view.Step && v.Begun < b.view.Begun || said == b.bad {
 		return
 	}
@@ -147,7 +147,7 @@
 	if v.Rules.Mark() != rules {
 		if b.record != nil {
 			b.record.Write(history.Event{Kind: history.Gives, Version: v.Rules.Mark().Number,
-				Age: council.Clock() - v.Begun})
+				Age: raftlog.Clock() - v.Begun})
 		}
 		if b.lease.Foreign == "" {
 			b.inForce = b.lease.Version
@@ -161,14 +161,14 @@
 }
 
 // leaseOf reads what a view says. Rules that this program does not know whole are left empty, and named.
-func leaseOf(v *relay.View) (l accord.Lease, err error) {
-	read := func(s *resource.State) (accord.Version, string, error) {
-		v, err := accord.FromState(s)
-		if errors.Is(err, accord.ErrForeign) {
-			return accord.Version{Number: s.Mark().Number}, err.Error(), nil
+func leaseOf(v *distribution.View) (l ruleset.Lease, err error) {
+	read := func(s *versioned.State) (ruleset.Version, string, error) {
+		v, err := ruleset.FromState(s)
+		if errors.Is(err, ruleset.ErrForeign) {
+			return ruleset.Version{Number: s.Mark().Number}, err.Error(), nil
 		}
 		if err == nil {
-			err = accord.CheckPart(&v.Rules)
+			err = ruleset.CheckPart(&v.Rules)
 		}
 		return v, "", err
 	}
@@ -191,9 +191,9 @@
 	}
 	more := seen > b.said
 	b.said, b.index = max(seen, b.said), highest
-	b.feed.With(func(f *relay.Follower) {
+	b.feed.With(func(f *distribution.Follower) {
 		if f.Index(highest); more {
-			f.Tell([]relay.HostStep{{Host: b.me, Step: seen}})
+			f.Tell([]distribution.HostStep{{Host: b.me, Step: seen}})
 		}
 	})
 }
@@ -202,7 +202,7 @@
 func (b *branch) Changed() <-chan struct{} { return b.changed }
 
 // InForce gives the version in force as far as it is known here: the part that this host needs.
-func (b *branch) InForce() accord.Version {
+func (b *branch) InForce() ruleset.Version {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.inForce
@@ -227,13 +227,13 @@
 	b.say()
 }
 
-// Asked answers a process of a gatekeeper, as council.Seat's does.
-func (b *branch) Asked(pid int, name string, holds uint64, index int64) (accord.Lease, bool) {
+// Asked answers a process of a gatekeeper, as raftlog.Seat's does.
+func (b *branch) Asked(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := council.Clock()
+	now := raftlog.Clock()
 	if !b.warden.Asked(pid, holds) {
-		return accord.Lease{}, false
+		return ruleset.Lease{}, false
 	}
 	b.askers[pid] = asker{name, holds, index, time.Now()}
 	if index >= 0 {
@@ -242,16 +242,16 @@
 	b.take()
 	b.say()
 	l := b.lease
-	l.Age = council.Clock() - b.view.Begun
-	if b.view.Step == 0 || !(l.Age < accord.LeaseOf(b.view.Rules)) {
-		return accord.Lease{}, false
+	l.Age = raftlog.Clock() - b.view.Begun
+	if b.view.Step == 0 || !(l.Age < ruleset.LeaseOf(b.view.Rules)) {
+		return ruleset.Lease{}, false
 	}
 	b.warden.Given(pid)
 	return l, true
 }
 
 // given is the view as it was last taken: of the step that a process was just booked to be given, or later.
-func (b *branch) given() relay.View {
+func (b *branch) given() distribution.View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.view
@@ -272,25 +272,25 @@
 
 // Following is how a daemon below relays stands, for operators.
 type Following struct {
-	Cluster  string             `json:"cluster"`
-	Me       string             `json:"me"`
-	Upstream []string           `json:"upstream"`
-	Asked    string             `json:"asked"` // of them, the one that is asked now
-	Depth    int                `json:"depth"` // of relays from here to the council
-	Version  uint64             `json:"version"`
-	Mark     string             `json:"mark,omitempty"` // of the part that this host needs
-	Members  int                `json:"members"`        // of all that there are places for
-	Known    int                `json:"known"`          // and those that this host is told of
-	Step     uint64             `json:"step"`
-	Settled  bool               `json:"settled"`
-	ReadMS   float64            `json:"read_ms"` // ago that a quorum confirmed it; below nought nothing has been
-	Pending  uint64             `json:"pending,omitempty"`
-	Foreign  string             `json:"foreign,omitempty"` // what of the rules this program does not know
-	Seen     uint64             `json:"seen"`              // the step that all processes here go by, or later
-	Behind   map[string]uint64  `json:"behind,omitempty"`  // instances that hold an older one
-	CutOff   map[string]float64 `json:"cut_off,omitempty"` // instances here: ms since they last asked
-	Lags     []accord.Behind    `json:"lags,omitempty"`
-	Counts   relay.Counts       `json:"counts"`
+	Cluster  string              `json:"cluster"`
+	Me       string              `json:"me"`
+	Upstream []string            `json:"upstream"`
+	Asked    string              `json:"asked"` // of them, the one that is asked now
+	Depth    int                 `json:"depth"` // of relays from here to the council
+	Version  uint64              `json:"version"`
+	Mark     string              `json:"mark,omitempty"` // of the part that this host needs
+	Members  int                 `json:"members"`        // of all that there are places for
+	Known    int                 `json:"known"`          // and those that this host is told of
+	Step     uint64              `json:"step"`
+	Settled  bool                `json:"settled"`
+	ReadMS   float64             `json:"read_ms"` // ago that a quorum confirmed it; below nought nothing has been
+	Pending  uint64              `json:"pending,omitempty"`
+	Foreign  string              `json:"foreign,omitempty"` // what of the rules this program does not know
+	Seen     uint64              `json:"seen"`              // the step that all processes here go by, or later
+	Behind   map[string]uint64   `json:"behind,omitempty"`  // instances that hold an older one
+	CutOff   map[string]float64  `json:"cut_off,omitempty"` // instances here: ms since they last asked
+	Lags     []ruleset.Behind    `json:"lags,omitempty"`
+	Counts   distribution.Counts `json:"counts"`
 	Copies   struct {
 		Written int64 `json:"written"`
 		Failed  int64 `json:"failed"`
@@ -308,13 +308,13 @@
 	if b.feed == nil {
 		return s
 	}
-	b.feed.With(func(f *relay.Follower) { s.Asked, s.Counts = b.upstream[f.Current()], f.Counts() })
+	b.feed.With(func(f *distribution.Follower) { s.Asked, s.Counts = b.upstream[f.Current()], f.Counts() })
 	s.Copies.Written, s.Copies.Failed, s.Copies.Aside = b.copy.Counts()
 	lease := bornLease
 	if b.view.Step > 0 {
 		s.Version, s.Mark = b.view.Rules.Mark().Number, b.view.Rules.Mark().String()
 		s.Pending = b.view.Pending.Mark().Number
-		s.ReadMS, lease = council.Clock()-b.view.Begun, accord.LeaseOf(b.view.Rules)
+		s.ReadMS, lease = raftlog.Clock()-b.view.Begun, ruleset.LeaseOf(b.view.Rules)
 	}
 	s.Members = len(b.lease.Version.Rules.Members)
 	for _, m := range b.lease.Version.Rules.Members {
@@ -331,7 +331,7 @@
 			s.CutOff[a.name] = age
 		}
 	}
-	s.Lags = b.lag.Late(council.Clock(), lagAfter)
+	s.Lags = b.lag.Late(raftlog.Clock(), lagAfter)
 	return s
 }
 
--- a/internal/fleet/branch_test.go
+++ b/internal/supervisor/branch_test.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"encoding/json"
@@ -16,16 +16,16 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/config"
-	"willowdeck/internal/council"
-	"willowdeck/internal/faults"
-	"willowdeck/internal/lifecycle"
-	"willowdeck/internal/load"
-	"willowdeck/internal/relay"
-	"willowdeck/internal/relayd"
-	"willowdeck/internal/resource"
-	"willowdeck/internal/traffic"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/distribution/relay"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/lifecycle"
+	"willowdeck/internal/lab/loadgen"
+	"willowdeck/internal/lab/workload"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/faultinject"
+	"willowdeck/internal/versioned"
 )
 
 // tree is a council of one daemon, two relays below it, and below these two hosts without a seat, with two
@@ -33,12 +33,12 @@
 type tree struct {
 	*trial
 	top    *host
-	relays []*faults.Process
+	relays []*faultinject.Process
 	at     []string // where the relays answer
 	low    []*host
 }
 
-func grow(t *testing.T, change func(*accord.Rules)) *tree {
+func grow(t *testing.T, change func(*ruleset.Rules)) *tree {
 	t.Helper()
 	x := &tree{trial: ready(t, 1, 3, change)}
 	x.top = x.hosts[0]
@@ -67,7 +67,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		x.relays = append(x.relays, faults.Start(t, faults.Spec{Name: name, Program: program(t), Dir: dir,
+		x.relays = append(x.relays, faultinject.Start(t, faultinject.Spec{Name: name, Program: program(t), Dir: dir,
 			Args: []string{"relay", "--config", "relay.toml"}, Env: []string{"WILLOWDECK_HISTORY=" + x.records}}))
 	}
 	for _, h := range x.low {
@@ -114,23 +114,29 @@
 
 // following asks a host's daemon how it stands below the relays.
 func (h *host) following() (s Following, ok bool) {
-	page, err := faults.Ask(h.control, "/fleet/relay")
+	page, err := faultinject.Ask(h.control, "/fleet/relay")
 	return s, err == nil && json.Unmarshal([]byte(page), &s) == nil
 }
 
 // loaded begins a load on the lower hosts' members.
 func (x *tree) loadsLow(span time.Duration) {
 	for at := 0.0; at < float64(span/time.Millisecond); at += 10 {
-		a := traffic.Arrival{At: at, Customer: len(x.all) % 7, Units: 1, Set: len(x.all)}
+		a := workload.Arrival{At: at, Customer: len(x.all) % 7, Units: 1, Set: len(x.all)}
 		if len(x.all)%2 == 0 {
 			a.Customer, a.Plan = 100, 1
 		}
 		x.all = append(x.all, a)
 	}
 	targets := x.targets(x.low...)
-	j := &load.Job{Arrivals: x.all, Targets: targets, Spread: len(targets), Plans: []string{"basic", "capped"},
-		Most: 500, Products: []load.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}}}
-	x.loaded = make(chan *load.Report, 1)
+	j := &loadgen.Job{
+		Arrivals: x.all,
+		Targets:  targets,
+		Spread:   len(targets),
+		Plans:    []string{"basic", "capped"},
+		Most:     500,
+		Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}},
+	}
+	x.loaded = make(chan *loadgen.Report, 1)
 	go func() {
 		r, err := j.Run(x.t.Context())
 		if err != nil && x.t.Context().Err() == nil {
@@ -144,9 +150,9 @@
 func (x *tree) leased() (all int, ok bool) {
 	ok = true
 	for _, h := range x.low {
-		for _, i := range faults.Instances(h.run()) {
+		for _, i := range faultinject.Instances(h.run()) {
 			f, there := look(i)
-			ok = ok && there && f.mode == int64(accord.Leased)
+			ok = ok && there && f.mode == int64(ruleset.Leased)
 			all++
 		}
 	}
@@ -159,11 +165,11 @@
 // too: nobody loses the lease by the first, and the others are as in a council. Their records are judged.
 func TestBelowRelays(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *accord.Rules) { r.Fallback.For = 4000 })
+	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 4000 })
 	x.start()
 	t.Logf("from nothing to all leased: %v", x.until(1, 3, x.low...))
 	x.loadsLow(9 * time.Second)
-	rules := map[uint64]accord.Rules{1: x.rules}
+	rules := map[uint64]ruleset.Rules{1: x.rules}
 	rules[2] = x.quota(400)
 	began := time.Now()
 	x.enforced(x.top, rules[2])
@@ -179,7 +185,7 @@
 
 	h := x.low[0]
 	var s Following
-	faults.Until(t, 3*time.Second, "what all hold is not said", func() (ok bool) {
+	faultinject.Until(t, 3*time.Second, "what all hold is not said", func() (ok bool) {
 		s, ok = h.following()
 		return ok && s.Seen == s.Step && len(s.Behind) == 0
 	})
@@ -217,7 +223,7 @@
 	}
 	x.back(h)
 	began = time.Now()
-	faults.Until(t, 5*time.Second, "it does not tell its instances anything", func() bool {
+	faultinject.Until(t, 5*time.Second, "it does not tell its instances anything", func() bool {
 		s, _ = h.following()
 		return s.Version == 3 && s.Seen == s.Step
 	})
@@ -238,11 +244,11 @@
 // that is given too early.
 func TestSeenNeverEarly(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *accord.Rules) { r.Fallback.For = 12000 })
+	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 12000 })
 	x.start()
 	x.until(1, 3, x.low...)
 	h := x.low[0]
-	own := faults.Instances(h.run())
+	own := faultinject.Instances(h.run())
 	if len(own) != 2 {
 		t.Fatalf("%d instances", len(own))
 	}
@@ -252,7 +258,7 @@
 	}
 	next := x.ceilings(ceiling/4, depth/4)
 	x.top.propose(next)
-	faults.Until(t, 5*time.Second, "the change does not wait", func() bool {
+	faultinject.Until(t, 5*time.Second, "the change does not wait", func() bool {
 		s, ok := x.top.sitting()
 		return ok && s.Rules.Pending == 2
 	})
@@ -299,7 +305,7 @@
 // what may not change is refused, by its key.
 func TestRelaysGone(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *accord.Rules) { r.Fallback.For = 1000 })
+	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
 	x.start()
 	x.until(1, 3, x.low...)
 	x.loadsLow(4 * time.Second)
@@ -308,11 +314,11 @@
 			t.Fatal(err)
 		}
 	}
-	modes := func(want accord.Mode) func() bool {
+	modes := func(want ruleset.Mode) func() bool {
 		return func() bool {
 			n := 0
 			for _, h := range x.low {
-				for _, i := range faults.Instances(h.run()) {
+				for _, i := range faultinject.Instances(h.run()) {
 					if f, ok := look(i); ok && f.mode == int64(want) {
 						n++
 					}
@@ -321,8 +327,8 @@
 			return n == 3
 		}
 	}
-	faults.Until(t, 5*time.Second, "not all are cut off", modes(accord.CutOff))
-	faults.Until(t, 5*time.Second, "not all are bare", modes(accord.Bare))
+	faultinject.Until(t, 5*time.Second, "not all are cut off", modes(ruleset.CutOff))
+	faultinject.Until(t, 5*time.Second, "not all are bare", modes(ruleset.Bare))
 	h := x.low[0]
 	if s, ok := h.following(); !ok || len(s.CutOff) != 2 {
 		t.Errorf("%+v", s)
@@ -335,7 +341,7 @@
 	// One that waited for control would wait until its client is gone, and so would all of these seconds. A busy
 	// machine makes some of them late.
 	c := r.Counts["check"]
-	if c[load.Settled] < 100 || c[load.NoAnswer]*20 > int64(len(x.all)) { // the customer without a ceiling
+	if c[loadgen.Settled] < 100 || c[loadgen.NoAnswer]*20 > int64(len(x.all)) { // the customer without a ceiling
 		t.Errorf("%v", c)
 	}
 	if late := time.Duration(r.Latency.ValueAtQuantile(80)) * time.Microsecond; late > 200*time.Millisecond {
@@ -353,7 +359,7 @@
 	if err := h.Renew(); err != nil {
 		t.Fatal(err)
 	}
-	faults.Until(t, 5*time.Second, "the other relay is not asked", func() bool {
+	faultinject.Until(t, 5*time.Second, "the other relay is not asked", func() bool {
 		s, ok := h.following()
 		return ok && s.Asked == x.at[1] && s.ReadMS >= 0 && s.ReadMS < 1000
 	})
@@ -362,7 +368,7 @@
 	if err := h.Renew(); err != nil {
 		t.Fatal(err)
 	}
-	faults.Until(t, 5*time.Second, "another name is not refused", func() bool {
+	faultinject.Until(t, 5*time.Second, "another name is not refused", func() bool {
 		return strings.Contains(h.Output(), "relay.me and relay.store can't change")
 	})
 	x.until(1, 3, x.low...)
@@ -372,7 +378,7 @@
 // and what it holds counts as any other's.
 func TestOlderInstanceBelow(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *accord.Rules) { r.Fallback.For = 6000 })
+	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 6000 })
 	h := x.low[1]
 	at, _ := older(t, h.control)
 	script := filepath.Join(h.dir, "older")
@@ -383,8 +389,8 @@
 	x.change(h, "config = ", fmt.Sprintf("program = %q\nconfig = ", script))
 	x.start()
 	x.until(1, 3, x.low...)
-	old := faults.Instances(h.run())[0]
-	if n, ok := faults.Figure(old.Control, "svc.rules.wholes"); !ok || n != 0 {
+	old := faultinject.Instances(h.run())[0]
+	if n, ok := faultinject.Figure(old.Control, "svc.rules.wholes"); !ok || n != 0 {
 		t.Errorf("the older one is told changes: %d", n)
 	}
 	next := x.ceilings(ceiling/4, depth/4)
@@ -400,7 +406,7 @@
 	}
 	raw, err := io.ReadAll(res.Body)
 	res.Body.Close()
-	l, bad := accord.ReadLease(raw)
+	l, bad := ruleset.ReadLease(raw)
 	if err != nil || bad != nil || l.Version.Number != 2 || len(l.Version.Rules.Members) != 3 || l.Age <= 0 {
 		t.Errorf("%v, %v: %s", err, bad, raw)
 	}
@@ -418,31 +424,31 @@
 // upper stands in for a relay, and books what it is told to have been seen.
 type upper struct {
 	mu     sync.Mutex
-	source *relay.Source
+	source *distribution.Source
 	seen   uint64
-	last   relay.Ask
+	last   distribution.Ask
 }
 
-func (u *upper) answer(a *relay.Ask) (*relay.Answer, error) {
+func (u *upper) answer(a *distribution.Ask) (*distribution.Answer, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.last = *a
 	for _, h := range a.Seen {
 		u.seen = max(u.seen, h.Step)
 	}
-	return u.source.Answer(a, council.Clock())
+	return u.source.Answer(a, raftlog.Clock())
 }
 
 // says has it say that rules are in force as of now, every now and then until the test's end.
-func (u *upper) says(t *testing.T, step uint64, r accord.Rules) {
-	rules, err := accord.Entries(&accord.Version{Number: 1, Rules: r})
+func (u *upper) says(t *testing.T, step uint64, r ruleset.Rules) {
+	rules, err := ruleset.Entries(&ruleset.Version{Number: 1, Rules: r})
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() {
 		for t.Context().Err() == nil {
 			u.mu.Lock()
-			u.source.Offer(relay.View{Step: step, Begun: council.Clock(), Rules: rules, Index: -1})
+			u.source.Offer(distribution.View{Step: step, Begun: raftlog.Clock(), Rules: rules, Index: -1})
 			u.mu.Unlock()
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -459,18 +465,20 @@
 // nothing yet; one that was there before the daemon counts as holding nothing until it says what. With no
 // process it says what it would tell the first. The interest it asks with is its members', and theirs around.
 func TestBranchSays(t *testing.T) {
-	u := &upper{source: relay.NewSource("r", "till", relay.Bounds{})}
-	s := httptest.NewServer(relayd.NewHandler(u.answer))
+	u := &upper{source: distribution.NewSource("r", "till", distribution.Bounds{})}
+	s := httptest.NewServer(relay.NewHandler(u.answer))
 	defer s.Close()
-	r := accord.Rules{Form: accord.Form, Lease: 1000, Bound: 2000,
-		Members: []accord.Member{{Name: "a", Host: "l0"}}, Plans: []accord.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
+	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+		Members: []ruleset.Member{
+			{Name: "a", Host: "l0"},
+		}, Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
 	b := newBranch("till", &RelayFile{Me: "l0", Store: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
 	defer b.Close()
 	b.Began(1, true)
 	b.Began(2, true)
 	u.says(t, 5, r)
 	b.follows([]string{strings.TrimPrefix(s.URL, "http://")})
-	faults.Until(t, 3*time.Second, "it hears nothing", func() bool { return b.InForce().Number == 1 })
+	faultinject.Until(t, 3*time.Second, "it hears nothing", func() bool { return b.InForce().Number == 1 })
 	never := func(why string) {
 		t.Helper()
 		time.Sleep(250 * time.Millisecond)
@@ -484,11 +492,11 @@
 	}
 	never("and one may hold anything")
 	b.Ended(2)
-	faults.Until(t, 3*time.Second, "step 5 is not said to be seen", func() bool { return u.told() == 5 })
+	faultinject.Until(t, 3*time.Second, "step 5 is not said to be seen", func() bool { return u.told() == 5 })
 
 	b.Began(3, false)
 	u.says(t, 6, r)
-	faults.Until(t, 3*time.Second, "it does not go on", func() bool {
+	faultinject.Until(t, 3*time.Second, "it does not go on", func() bool {
 		l, ok := b.Asked(3, "a", 0, -1)
 		return ok && l.Step == 6
 	})
@@ -498,10 +506,10 @@
 	}
 	b.Asked(1, "a", 6, 77)
 	b.Asked(3, "a", 6, 78)
-	faults.Until(t, 3*time.Second, "step 6 is not said to be seen", func() bool { return u.told() == 6 })
+	faultinject.Until(t, 3*time.Second, "step 6 is not said to be seen", func() bool { return u.told() == 6 })
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.last.Interest != (accord.Interest{Host: "l0", Around: relay.Around}) || u.last.From != "l0" {
+	if u.last.Interest != (ruleset.Interest{Host: "l0", Around: distribution.Around}) || u.last.From != "l0" {
 		t.Errorf("it asks %+v", u.last)
 	}
 	if n := b.Highest(); n != 78 {
@@ -513,28 +521,30 @@
 // make no sense, or that this program does not know, leave instances as they are; the latter are passed on
 // whole.
 func TestBranchTakes(t *testing.T) {
-	u := &upper{source: relay.NewSource("r", "till", relay.Bounds{})}
-	s := httptest.NewServer(relayd.NewHandler(u.answer))
+	u := &upper{source: distribution.NewSource("r", "till", distribution.Bounds{})}
+	s := httptest.NewServer(relay.NewHandler(u.answer))
 	defer s.Close()
-	r := accord.Rules{Form: accord.Form, Lease: 1000, Bound: 2000,
-		Members: []accord.Member{{Name: "a", Host: "l0"}}, Plans: []accord.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
-	state := func(number uint64, change func(*accord.Rules)) *resource.State {
+	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+		Members: []ruleset.Member{
+			{Name: "a", Host: "l0"},
+		}, Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
+	state := func(number uint64, change func(*ruleset.Rules)) *versioned.State {
 		other := r
 		other.Plans = slices.Clone(r.Plans)
 		change(&other)
-		x, err := accord.Entries(&accord.Version{Number: number, Rules: other})
+		x, err := ruleset.Entries(&ruleset.Version{Number: number, Rules: other})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return x
 	}
-	offer := func(step uint64, begun float64, x *resource.State) {
+	offer := func(step uint64, begun float64, x *versioned.State) {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		u.source.Offer(relay.View{Step: step, Begun: begun, Rules: x, Index: -1})
+		u.source.Offer(distribution.View{Step: step, Begun: begun, Rules: x, Index: -1})
 	}
-	first := state(1, func(*accord.Rules) {})
-	offer(1, council.Clock()-50, first)
+	first := state(1, func(*ruleset.Rules) {})
+	offer(1, raftlog.Clock()-50, first)
 	b := newBranch("till", &RelayFile{Me: "l0", Store: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
 	defer b.Close()
 	b.follows([]string{strings.TrimPrefix(s.URL, "http://")})
@@ -542,18 +552,18 @@
 	if _, ok := b.Asked(1, "a", 0, -1); ok {
 		t.Fatal("it gives on what was read before it began")
 	}
-	offer(1, council.Clock(), first)
-	faults.Until(t, 3*time.Second, "it gives nothing", func() bool {
+	offer(1, raftlog.Clock(), first)
+	faultinject.Until(t, 3*time.Second, "it gives nothing", func() bool {
 		_, ok := b.Asked(1, "a", 0, -1)
 		return ok
 	})
-	offer(2, council.Clock(), state(2, func(r *accord.Rules) { r.Plans[0].Rate = -1 }))
+	offer(2, raftlog.Clock(), state(2, func(r *ruleset.Rules) { r.Plans[0].Rate = -1 }))
 	time.Sleep(400 * time.Millisecond)
 	if l, ok := b.Asked(1, "a", 0, -1); ok && l.Version.Number != 1 || b.InForce().Number != 1 {
 		t.Errorf("rules that make no sense are gone by: %+v", l)
 	}
-	offer(3, council.Clock(), state(3, func(r *accord.Rules) { r.Needs = []string{"moon"} }))
-	faults.Until(t, 3*time.Second, "what is not known here is not passed on", func() bool {
+	offer(3, raftlog.Clock(), state(3, func(r *ruleset.Rules) { r.Needs = []string{"moon"} }))
+	faultinject.Until(t, 3*time.Second, "what is not known here is not passed on", func() bool {
 		l, ok := b.Asked(1, "a", 0, -1)
 		return ok && l.Version.Number == 3 && strings.Contains(l.Foreign, "moon")
 	})
@@ -563,8 +573,8 @@
 	if s := b.stands(); s.Foreign == "" || s.Version != 3 {
 		t.Errorf("operators are told %+v", s)
 	}
-	offer(4, council.Clock(), state(4, func(*accord.Rules) {}))
-	faults.Until(t, 3*time.Second, "it does not go on", func() bool { return b.InForce().Number == 4 })
+	offer(4, raftlog.Clock(), state(4, func(*ruleset.Rules) {}))
+	faultinject.Until(t, 3*time.Second, "it does not go on", func() bool { return b.InForce().Number == 4 })
 }
 
 // A host's part of rules of 7,900 members: its instances have the ports of their places, know where those are
@@ -579,26 +589,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := accord.Rules{Form: accord.Form, Needs: []string{accord.ManyMembers}, Lease: 1000, Bound: 2000,
-		Plans: []accord.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
+	r := ruleset.Rules{Form: ruleset.Form, Needs: []string{ruleset.ManyMembers}, Lease: 1000, Bound: 2000,
+		Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
 	for i := range n {
-		r.Members = append(r.Members, accord.Member{Name: fmt.Sprint("g", i), Host: fmt.Sprint("l", i/own),
+		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprint("g", i), Host: fmt.Sprint("l", i/own),
 			Peers: fmt.Sprintf("10.%d.%d.1:7000", i/250, i%250)})
 	}
-	whole, err := accord.Entries(&accord.Version{Number: 1, Rules: r})
+	whole, err := ruleset.Entries(&ruleset.Version{Number: 1, Rules: r})
 	if err != nil {
 		t.Fatal(err)
 	}
-	some := accord.Select(whole, accord.Interest{Host: "l0", Around: relay.Around})
-	sent, err := (&relay.Answer{Form: relay.Form, Rules: some.Mark(), RulesDelta: resource.Whole(some)}).Bytes()
+	some := ruleset.Select(whole, ruleset.Interest{Host: "l0", Around: distribution.Around})
+	sent, err := (&distribution.Answer{Form: distribution.Form, Rules: some.Mark(), RulesDelta: versioned.Whole(some)}).Bytes()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("the whole has %d bytes, a host's part %d, and %d as it is sent", whole.Bytes(), some.Bytes(),
 		len(sent))
-	part, err := accord.FromState(some)
-	if err != nil || accord.CheckPart(&part.Rules) != nil {
-		t.Fatal(err, accord.CheckPart(&part.Rules))
+	part, err := ruleset.FromState(some)
+	if err != nil || ruleset.CheckPart(&part.Rules) != nil {
+		t.Fatal(err, ruleset.CheckPart(&part.Rules))
 	}
 	began := time.Now()
 	all, err := f.file.members(&part.Rules)
@@ -617,7 +627,7 @@
 				known++
 			}
 		}
-		if g.Charter.Gatekeepers != n || g.Charter.Me != i || known != own+2*relay.Around ||
+		if g.Charter.Gatekeepers != n || g.Charter.Me != i || known != own+2*distribution.Around ||
 			in.Listen != fmt.Sprintf("127.0.0.10:%d", 2002+i) {
 			t.Errorf("place %d of %d at %s, %d known", g.Charter.Me, g.Charter.Gatekeepers, in.Listen, known)
 		}
@@ -676,8 +686,8 @@
 		t.Fatalf("a first start: %v, %+v", err, f)
 	}
 	r := a.rules
-	r.Members = []accord.Member{{}, {Name: "g1", Host: "l0", Peers: "127.0.0.10:9"}, {}}
-	last, err := json.Marshal(accord.Version{Number: 1, Rules: r})
+	r.Members = []ruleset.Member{{}, {Name: "g1", Host: "l0", Peers: "127.0.0.10:9"}, {}}
+	last, err := json.Marshal(ruleset.Version{Number: 1, Rules: r})
 	run := filepath.Join(h.dir, "run")
 	if err == nil {
 		err = os.MkdirAll(run, 0o700)
--- a/internal/fleet/control_test.go
+++ b/internal/supervisor/control_test.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"encoding/csv"
@@ -16,12 +16,12 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/council"
-	"willowdeck/internal/faults"
-	"willowdeck/internal/lifecycle"
-	"willowdeck/internal/relayd"
-	"willowdeck/internal/standin"
+	"willowdeck/internal/distribution/relay"
+	"willowdeck/internal/gateway/lifecycle"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/fakes"
+	"willowdeck/internal/testkit/faultinject"
 )
 
 var (
@@ -32,17 +32,17 @@
 // fixed is a voice that says what it is given, as old as a daemon's word below relays is.
 type fixed struct {
 	mu    sync.Mutex
-	lease accord.Lease
+	lease ruleset.Lease
 }
 
 func (v *fixed) Changed() <-chan struct{} { return nil }
-func (v *fixed) InForce() accord.Version  { return v.lease.Version }
+func (v *fixed) InForce() ruleset.Version { return v.lease.Version }
 func (v *fixed) Began(int, bool)          {}
 func (v *fixed) Ended(int)                {}
 func (v *fixed) Highest() int64           { return 0 }
 func (v *fixed) Close()                   {}
 func (v *fixed) say(number, rate int)     { v.mu.Lock(); defer v.mu.Unlock(); v.set(number, rate) }
-func (v *fixed) Asked(int, string, uint64, int64) (accord.Lease, bool) {
+func (v *fixed) Asked(int, string, uint64, int64) (ruleset.Lease, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	l := v.lease
@@ -52,9 +52,9 @@
 
 func (v *fixed) set(number, rate int) {
 	r := v.lease.Version.Rules
-	r.Plans = append([]accord.Plan(nil), r.Plans...)
+	r.Plans = append([]ruleset.Plan(nil), r.Plans...)
 	r.Plans[0].Rate = float64(rate)
-	v.lease.Version = accord.Version{Number: uint64(number), Rules: r}
+	v.lease.Version = ruleset.Version{Number: uint64(number), Rules: r}
 	v.lease.Step++
 	v.lease.Settled = true
 }
@@ -63,7 +63,7 @@
 // many members the rules have: all of them told each time, and changes alone. It takes two and a half
 // minutes:
 //
-//	go test ./internal/fleet -run TestControlCost -v -timeout 10m -args -control FILE -commit COMMIT
+//	go test ./internal/supervisor -run TestControlCost -v -timeout 10m -args -control FILE -commit COMMIT
 func TestControlCost(t *testing.T) {
 	if *controlTo == "" {
 		t.Skip("-args -control FILE")
@@ -98,19 +98,19 @@
 func measured(t *testing.T, n int, way string) (all []controlFigure) {
 	const still, change, versions = 4 * time.Second, 500 * time.Millisecond, 6
 	dir := t.TempDir()
-	worker, err := standin.NewWorker("w0", 5*time.Millisecond)
+	worker, err := fakes.NewWorker("w0", 5*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer worker.Close()
-	list, err := standin.NewDiscovery(worker.Of("z"))
+	list, err := fakes.NewDiscovery(worker.Of("z"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer list.Close()
 	d := &deployed{t: t, dir: dir, list: list}
 	d.config(map[string]any{"me": n / 2, "balancers": n, "family_info": map[string]any{"largest": 1}})
-	port := faults.Ports(t, 3)
+	port := faultinject.Ports(t, 3)
 	raw, err := os.ReadFile(filepath.Join(dir, "gatekeeper.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -122,16 +122,19 @@
 		t.Fatal(err)
 	}
 	v := &fixed{}
-	r := accord.Rules{Form: accord.Form, Lease: 1000, Bound: 2000,
-		Fallback: accord.Fallback{Part: 0.5, For: 3000},
-		Plans: []accord.Plan{{Name: "basic", Rate: 500, Burst: 500},
+	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+		Fallback: ruleset.Fallback{Part: 0.5, For: 3000},
+		Plans: []ruleset.Plan{{Name: "basic", Rate: 500, Burst: 500},
 			{Name: "capped", Rate: 200, Burst: 200, CeilingRate: ceiling, CeilingDepth: depth}}}
 	if n > 500 {
-		r.Needs = []string{accord.ManyMembers}
+		r.Needs = []string{ruleset.ManyMembers}
 	}
 	for i := range n {
-		r.Members = append(r.Members, accord.Member{Name: fmt.Sprintf("g%d", i), Host: fmt.Sprintf("host-%d", i/14),
-			Peers: fmt.Sprintf("10.%d.%d.1:7000", i/250, i%250)})
+		r.Members = append(
+			r.Members,
+			ruleset.Member{Name: fmt.Sprintf("g%d", i), Host: fmt.Sprintf("host-%d", i/14),
+				Peers: fmt.Sprintf("10.%d.%d.1:7000", i/250, i%250)},
+		)
 	}
 	v.lease.Version.Rules = r
 	v.say(1, 500)
@@ -139,7 +142,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+lifecycle.LeasePath, daemon.lease)
 	if way == "relays" {
-		mux.Handle("POST "+lifecycle.AskPath, relayd.NewHandler(daemon.ask))
+		mux.Handle("POST "+lifecycle.AskPath, relay.NewHandler(daemon.ask))
 	}
 	s := httptest.NewServer(mux)
 	defer s.Close()
@@ -148,22 +151,22 @@
 	if way != "none" {
 		env = append(env, "WILLOWDECK_AGREE="+strings.TrimPrefix(s.URL, "http://"))
 	}
-	p := faults.Start(t, faults.Spec{Name: "g", Program: program(t), Dir: dir, Args: []string{"serve"},
+	p := faultinject.Start(t, faultinject.Spec{Name: "g", Program: program(t), Dir: dir, Args: []string{"serve"},
 		Env: env})
 	defer func() { _ = p.Kill() }()
 	daemon.pids.Store(p.Pid(), fmt.Sprintf("g%d", n/2))
-	if err := faults.Healthy(control, 10*time.Second); err != nil {
+	if err := faultinject.Healthy(control, 10*time.Second); err != nil {
 		t.Fatal(err)
 	}
 	figure := func(name string) float64 {
-		x, _ := faults.Figure(control, "svc.rules."+name)
+		x, _ := faultinject.Figure(control, "svc.rules."+name)
 		return float64(x)
 	}
 	by := func(version int) {
 		if way == "none" {
 			return
 		}
-		faults.Until(t, 10*time.Second, "not by the version", func() bool {
+		faultinject.Until(t, 10*time.Second, "not by the version", func() bool {
 			return figure("version") == float64(version)
 		})
 	}
@@ -172,7 +175,7 @@
 	type at struct{ in, out, cpu, work, wall float64 }
 	now := func() at {
 		return at{figure("bytes_in"), figure("bytes_out"), processor(t, p.Pid()), figure("work_us"),
-			council.Clock()}
+			raftlog.Clock()}
 	}
 	add := func(name, unit string, value float64) { all = append(all, controlFigure{name, unit, value}) }
 	add("start_bytes", "B", figure("bytes_in"))
--- a/internal/fleet/council.go
+++ b/internal/supervisor/council.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"encoding/json"
@@ -11,13 +11,13 @@
 	"slices"
 	"strconv"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/council"
-	"willowdeck/internal/history"
-	"willowdeck/internal/lifecycle"
-	"willowdeck/internal/relayd"
-	"willowdeck/internal/residue"
-	"willowdeck/internal/rulebook"
+	"willowdeck/internal/distribution/relay"
+	"willowdeck/internal/gateway/lifecycle"
+	"willowdeck/internal/gateway/recovery/crashstate"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/ruleset/rulefile"
+	"willowdeck/internal/testkit/history"
 )
 
 const (
@@ -52,9 +52,9 @@
 // Agreed is a fleet's part in rules that are agreed on, as it is carried out: by a seat in the council, or
 // below relays.
 type Agreed struct {
-	Charter council.Charter
+	Charter raftlog.Charter
 	Relay   *RelayFile // nil in a council
-	Rules   *accord.Rules
+	Rules   *ruleset.Rules
 	Wrong   error  // what is wrong with the rules' file: it keeps a daemon from starting only on its first start
 	Stamp   string // of the rules' file: what has not been written since is not proposed anew
 	Reach   map[string]map[string]string
@@ -84,7 +84,7 @@
 	case len(c.Hosts) == 0 || len(c.Hosts) > mostHosts:
 		return nil, fmt.Errorf("council.hosts: %d are not from 1 to %d", len(c.Hosts), mostHosts)
 	}
-	a := &Agreed{Reach: f.Reach, Serve: c.Serve, Charter: council.Charter{Cluster: f.Name, Me: c.Me,
+	a := &Agreed{Reach: f.Reach, Serve: c.Serve, Charter: raftlog.Charter{Cluster: f.Name, Me: c.Me,
 		Listen: c.Listen,
 		Store:  c.Store, Found: c.Found, Reach: f.Reach[toCouncil]}}
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
@@ -102,7 +102,7 @@
 			return nil, fmt.Errorf("council.hosts.%d.address: %q is none, or another's", i, h.Address)
 		}
 		names[h.Name], at[h.Address] = true, true
-		a.Charter.Hosts = append(a.Charter.Hosts, council.Host{Name: h.Name, Address: h.Address})
+		a.Charter.Hosts = append(a.Charter.Hosts, raftlog.Host{Name: h.Name, Address: h.Address})
 	}
 	if !names[c.Me] {
 		return nil, fmt.Errorf("council.me: %q is none of the hosts", c.Me)
@@ -115,7 +115,7 @@
 		return nil, fmt.Errorf("council.rules: %w", err)
 	}
 	a.Stamp = fmt.Sprint(info.ModTime().UnixNano(), info.Size())
-	r, err := rulebook.Read(c.Rules)
+	r, err := rulefile.Read(c.Rules)
 	if a.Rules = &r; err != nil {
 		a.Rules, a.Wrong = nil, fmt.Errorf("council.rules: %w", err)
 	}
@@ -166,7 +166,7 @@
 
 // members gives this host's instances by rules. A member's place gives its ports, as it keeps it for life:
 // the address for clients is place ports above the first, the two operators' ports twice that.
-func (f *File) members(r *accord.Rules) ([]Instance, error) {
+func (f *File) members(r *ruleset.Rules) ([]Instance, error) {
 	n, taken := len(r.Members), []span(nil)
 	if _, err := spanOf("control", f.Control, 1, &taken); err != nil {
 		return nil, err
@@ -227,10 +227,10 @@
 // council, or the relays above it. It is safe for concurrent use, and nothing of it waits.
 type voice interface {
 	Changed() <-chan struct{}
-	InForce() accord.Version
+	InForce() ruleset.Version
 	Began(pid int, before bool)
 	Ended(pid int)
-	Asked(pid int, name string, holds uint64, index int64) (accord.Lease, bool)
+	Asked(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool)
 	Highest() int64
 	Close()
 }
@@ -238,14 +238,14 @@
 // seat is a daemon's part in agreed rules.
 type seat struct {
 	voice
-	council *council.Seat // nil below relays
+	council *raftlog.Seat // nil below relays
 	branch  *branch       // nil in a council
 	teller  *teller
 	file    *File
 	record  *history.Log
 	stamp   string
 	ended   chan struct{}
-	root    *relayd.Root // nil where no relay follows
+	root    *relay.Root // nil where no relay follows
 }
 
 // convene takes this host's seat, or its place below relays. Its instances are those of the version that a
@@ -263,7 +263,7 @@
 	if dir := os.Getenv("WILLOWDECK_HISTORY"); dir != "" {
 		var err error
 		path := filepath.Join(dir, fmt.Sprintf("%s.%d.jsonl", f.file.me(), os.Getpid()))
-		if s.record, err = history.Open(path, f.file.me(), residue.Uptime()); err != nil {
+		if s.record, err = history.Open(path, f.file.me(), crashstate.Uptime()); err != nil {
 			return err
 		}
 		record = s.record
@@ -273,7 +273,7 @@
 		s.branch = newBranch(f.Name, a.Relay, record, d.log)
 		s.voice = s.branch
 	} else {
-		s.council, err = council.NewSeat(a.Charter, a.Rules, record, d.log)
+		s.council, err = raftlog.NewSeat(a.Charter, a.Rules, record, d.log)
 		s.voice = s.council
 	}
 	if err != nil {
@@ -282,7 +282,7 @@
 	}
 	s.teller = newTeller(f.Name)
 	if a.Serve != "" {
-		if s.root, err = relayd.NewRoot(s.council, a.Charter.Me, a.Charter.Cluster, a.Serve, d.log); err != nil {
+		if s.root, err = relay.NewRoot(s.council, a.Charter.Me, a.Charter.Cluster, a.Serve, d.log); err != nil {
 			s.Close()
 			_ = s.record.Close()
 			return fmt.Errorf("council.serve: %w", err)
@@ -307,19 +307,19 @@
 }
 
 // last gives the rules that were carried out last on this host.
-func (f *Fleet) last() (*accord.Rules, error) {
+func (f *Fleet) last() (*ruleset.Rules, error) {
 	raw, err := os.ReadFile(filepath.Join(f.RunDir, lastRules))
 	if err != nil {
 		return nil, err
 	}
-	var v accord.Version
+	var v ruleset.Version
 	if err := json.Unmarshal(raw, &v); err != nil {
 		return nil, err
 	}
 	if f.Agreed.Relay != nil { // a part of them is all that this host is told
-		return &v.Rules, accord.CheckPart(&v.Rules)
+		return &v.Rules, ruleset.CheckPart(&v.Rules)
 	}
-	return &v.Rules, accord.Check(&v.Rules)
+	return &v.Rules, ruleset.Check(&v.Rules)
 }
 
 // follow carries out each version that comes in force.
@@ -447,7 +447,7 @@
 // asked reads what an instance's question says beside its path, books it, and gives the lease to answer it
 // by; false: it has been answered. It waits for nothing: what it says is what a quorum has confirmed last,
 // and how long ago that is.
-func (d *Daemon) asked(w http.ResponseWriter, r *http.Request) (name string, l accord.Lease, ok bool) {
+func (d *Daemon) asked(w http.ResponseWriter, r *http.Request) (name string, l ruleset.Lease, ok bool) {
 	q := r.URL.Query()
 	name = q.Get("instance")
 	pid, err := strconv.Atoi(q.Get("pid"))
@@ -475,7 +475,7 @@
 }
 
 // rewritten are rules with the addresses by which one instance reaches the others.
-func (d *Daemon) rewritten(name string, r *accord.Rules) accord.Rules {
+func (d *Daemon) rewritten(name string, r *ruleset.Rules) ruleset.Rules {
 	rules := *r
 	if !d.rewrites(name) {
 		return rules
@@ -508,8 +508,8 @@
 
 // Sitting is how the council and its rules stand.
 type Sitting struct {
-	council.View
-	Rules council.Agreement `json:"rules"`
+	raftlog.View
+	Rules raftlog.Agreement `json:"rules"`
 }
 
 // relays tells how those stand that follow this daemon.
@@ -518,7 +518,7 @@
 		http.Error(w, "council.serve: there is none", http.StatusNotFound)
 		return
 	}
-	relayd.Show(w, d.seat.root.Status())
+	relay.Show(w, d.seat.root.Status())
 }
 
 func (d *Daemon) sitting(w http.ResponseWriter, _ *http.Request) {
@@ -535,7 +535,7 @@
 		http.Error(w, "no version is in force", http.StatusServiceUnavailable)
 		return
 	}
-	text, err := rulebook.Encode(&v.Rules)
+	text, err := rulefile.Encode(&v.Rules)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/internal/fleet/council_golden_test.go
+++ b/internal/supervisor/council_golden_test.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"bytes"
@@ -10,10 +10,10 @@
 	"reflect"
 	"testing"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/council"
-	"willowdeck/internal/lifecycle"
-	"willowdeck/internal/strict"
+	"willowdeck/internal/gateway/lifecycle"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/strictoml"
 )
 
 // The files in testdata/golden/council were written once by the code of commit d6a566a: a scratch test had
@@ -45,14 +45,14 @@
 }
 
 // goldenAgreedRules have no field that is zero.
-func goldenAgreedRules(rate float64) accord.Rules {
-	return accord.Rules{
+func goldenAgreedRules(rate float64) ruleset.Rules {
+	return ruleset.Rules{
 		Form: 1, Needs: []string{"members"},
-		Plans: []accord.Plan{{Name: "gold", Rate: rate, Burst: 12, CeilingRate: 13, CeilingDepth: 14,
+		Plans: []ruleset.Plan{{Name: "gold", Rate: rate, Burst: 12, CeilingRate: 13, CeilingDepth: 14,
 			Credit: 0.5, Repay: 15000}},
-		Members:  []accord.Member{{Name: "gk1", Host: "h1", Peers: "10.0.0.1:7001"}},
-		Words:    []accord.Word{{Worker: "w1", Hall: "hall1", Barred: true, Drained: true, Weight: 2.5}},
-		Fallback: accord.Fallback{Part: 0.25, For: 9000}, Lease: 1200, Bound: 1900,
+		Members:  []ruleset.Member{{Name: "gk1", Host: "h1", Peers: "10.0.0.1:7001"}},
+		Words:    []ruleset.Word{{Worker: "w1", Hall: "hall1", Barred: true, Drained: true, Weight: 2.5}},
+		Fallback: ruleset.Fallback{Part: 0.25, For: 9000}, Lease: 1200, Bound: 1900,
 	}
 }
 
@@ -61,14 +61,14 @@
 
 func (goldenLeaseVoice) Highest() int64 { return 91 }
 
-func (goldenLeaseVoice) InForce() accord.Version {
-	return accord.Version{Number: 7, Rules: goldenAgreedRules(11)}
+func (goldenLeaseVoice) InForce() ruleset.Version {
+	return ruleset.Version{Number: 7, Rules: goldenAgreedRules(11)}
 }
 
 // Asked answers only if each value of the query has come under its own name.
-func (v goldenLeaseVoice) Asked(pid int, name string, holds uint64, index int64) (accord.Lease, bool) {
+func (v goldenLeaseVoice) Asked(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
 	pending := goldenAgreedRules(11.5)
-	return accord.Lease{Step: 41, Version: v.InForce(), Settled: true, Pending: &pending, Age: 12.5},
+	return ruleset.Lease{Step: 41, Version: v.InForce(), Settled: true, Pending: &pending, Age: 12.5},
 		pid == 4711 && name == "gk1" && holds == 40 && index == 90
 }
 
@@ -134,17 +134,17 @@
 		t.Errorf("instances of an older program ask at /fleet/lease, not at %s", lifecycle.LeasePath)
 	}
 	pending := goldenAgreedRules(11.5)
-	got, err := accord.ReadLease(goldenCouncilFile(t, "lease.json"))
-	goldenCouncilSame(t, "lease.json", got, accord.Lease{Step: 41, Version: goldenLeaseVoice{}.InForce(),
+	got, err := ruleset.ReadLease(goldenCouncilFile(t, "lease.json"))
+	goldenCouncilSame(t, "lease.json", got, ruleset.Lease{Step: 41, Version: goldenLeaseVoice{}.InForce(),
 		Settled: true, Pending: &pending, Age: 12.5}, err)
 }
 
 func goldenSitting() Sitting {
 	return Sitting{
-		View: council.View{State: "member", Why: "why", Me: "h1", Disk: "a1", Council: "c", Leader: "h2",
-			Term: 3, Applied: 44, Hosts: []council.HostView{{Name: "h2", Address: "10.0.0.2:9000", Disk: "a2",
+		View: raftlog.View{State: "member", Why: "why", Me: "h1", Disk: "a1", Council: "c", Leader: "h2",
+			Term: 3, Applied: 44, Hosts: []raftlog.HostView{{Name: "h2", Address: "10.0.0.2:9000", Disk: "a2",
 				Member: true, Leads: true, HeardMS: 12.5, Why: "late"}}},
-		Rules: council.Agreement{Version: 7, Mark: "abc", Step: 41, Settled: true, ReadMS: 3.5, Pending: 8,
+		Rules: raftlog.Agreement{Version: 7, Mark: "abc", Step: 41, Settled: true, ReadMS: 3.5, Pending: 8,
 			Waits: "it waits"},
 	}
 }
@@ -163,7 +163,7 @@
 // The settings of a council and of relays in a fleet's file have no tags either.
 func TestGoldenCouncilSettings(t *testing.T) {
 	var f File
-	if err := strict.Decode(string(goldenCouncilFile(t, "fleet.toml")), &f); err != nil {
+	if err := strictoml.Decode(string(goldenCouncilFile(t, "fleet.toml")), &f); err != nil {
 		t.Fatal(err)
 	}
 	goldenCouncilSame(t, "council", f.Council, &CouncilFile{Me: "h1", Listen: "10.0.0.1:9000",
--- a/internal/fleet/council_hard_test.go
+++ b/internal/supervisor/council_hard_test.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"bytes"
@@ -21,13 +21,13 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/council"
-	"willowdeck/internal/faults"
-	"willowdeck/internal/history"
-	"willowdeck/internal/lifecycle"
-	"willowdeck/internal/load"
-	"willowdeck/internal/traffic"
+	"willowdeck/internal/gateway/lifecycle"
+	"willowdeck/internal/lab/loadgen"
+	"willowdeck/internal/lab/workload"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/faultinject"
+	"willowdeck/internal/testkit/history"
 )
 
 var (
@@ -44,8 +44,8 @@
 type trial struct {
 	*assembly
 	rig    *history.Log // what the rig does
-	loaded chan *load.Report
-	all    []traffic.Arrival
+	loaded chan *loadgen.Report
+	all    []workload.Arrival
 }
 
 // hard leaves a case to the long form.
@@ -57,7 +57,7 @@
 }
 
 // try starts hosts and waits until all are leased; instances are k each.
-func try(t *testing.T, n, k int, change func(*accord.Rules)) *trial {
+func try(t *testing.T, n, k int, change func(*ruleset.Rules)) *trial {
 	t.Helper()
 	x := ready(t, n, k, change)
 	x.start()
@@ -66,7 +66,7 @@
 }
 
 // ready has all there but the daemons.
-func ready(t *testing.T, n, k int, change func(*accord.Rules)) *trial {
+func ready(t *testing.T, n, k int, change func(*ruleset.Rules)) *trial {
 	t.Helper()
 	x := &trial{assembly: assemble(t, n, k, change)}
 	record := func(name string) *history.Log {
@@ -98,18 +98,23 @@
 // loads begins a load on all members: half of it one customer's that asks for more than its ceiling at all.
 func (x *trial) loads(span time.Duration) {
 	for at := 0.0; at < float64(span/time.Millisecond); at += 5 {
-		a := traffic.Arrival{At: at, Customer: len(x.all) % 7, Units: 1, Set: len(x.all)}
+		a := workload.Arrival{At: at, Customer: len(x.all) % 7, Units: 1, Set: len(x.all)}
 		if len(x.all)%2 == 0 {
 			a.Customer, a.Plan = 100, 1
 		}
 		x.all = append(x.all, a)
 	}
 	targets := x.targets(x.hosts...)
-	j := &load.Job{Arrivals: x.all, Targets: targets, Spread: len(targets), Plans: []string{"basic", "capped"},
+	j := &loadgen.Job{
+		Arrivals: x.all,
+		Targets:  targets,
+		Spread:   len(targets),
+		Plans:    []string{"basic", "capped"},
 		Most:     500,
-		Products: []load.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}}}
+		Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}},
+	}
 	ctx, cancel := context.WithCancel(context.Background())
-	x.loaded = make(chan *load.Report, 1)
+	x.loaded = make(chan *loadgen.Report, 1)
 	x.t.Cleanup(cancel)
 	go func() {
 		r, err := j.Run(ctx)
@@ -121,10 +126,10 @@
 }
 
 // part cuts hosts and their instances off from all others, both ways; join makes all whole.
-func (x *trial) part(hosts ...*host) { x.links(hosts, faults.Silent) }
-func (x *trial) join(hosts ...*host) { x.links(hosts, faults.Whole) }
+func (x *trial) part(hosts ...*host) { x.links(hosts, faultinject.Silent) }
+func (x *trial) join(hosts ...*host) { x.links(hosts, faultinject.Whole) }
 
-func (x *trial) links(hosts []*host, how faults.Cut) {
+func (x *trial) links(hosts []*host, how faultinject.Cut) {
 	for _, h := range hosts {
 		for _, o := range x.hosts {
 			if slices.Contains(hosts, o) {
@@ -165,14 +170,14 @@
 }
 
 // ceilings gives rules with another ceiling of the capped plan.
-func (x *trial) ceilings(rate, depth float64) accord.Rules {
+func (x *trial) ceilings(rate, depth float64) ruleset.Rules {
 	r := x.rules
 	r.Plans = slices.Clone(r.Plans)
 	r.Plans[1].CeilingRate, r.Plans[1].CeilingDepth = rate, depth
 	return r
 }
 
-func (x *trial) quota(rate float64) accord.Rules {
+func (x *trial) quota(rate float64) ruleset.Rules {
 	r := x.rules
 	r.Plans = slices.Clone(r.Plans)
 	r.Plans[0].Rate = rate
@@ -180,12 +185,12 @@
 }
 
 // enforced proposes rules at a host and waits until its daemon has them in force; how long that took.
-func (x *trial) enforced(h *host, r accord.Rules) time.Duration {
+func (x *trial) enforced(h *host, r ruleset.Rules) time.Duration {
 	x.t.Helper()
 	began := time.Now()
 	h.propose(r)
 	x.rules = r
-	for s, ok := h.sitting(); !ok || s.Rules.Mark != council.Mark(&r); s, ok = h.sitting() {
+	for s, ok := h.sitting(); !ok || s.Rules.Mark != raftlog.Mark(&r); s, ok = h.sitting() {
 		if time.Since(began) > 20*time.Second {
 			log, _ := os.ReadFile(h.Log())
 			x.t.Fatalf("%s has not what it proposed in force: %+v\n%s", h.name, s, log)
@@ -198,7 +203,7 @@
 // check ends the load and checks all that was written down: versions are one register, no two gatekeepers
 // go by rules that contradict for longer than is promised, and no customer goes beyond a ceiling by what
 // the workers themselves were sent.
-func (x *trial) check(ceilings map[uint64]accord.Rules) (sent int) {
+func (x *trial) check(ceilings map[uint64]ruleset.Rules) (sent int) {
 	x.t.Helper()
 	if x.loaded != nil {
 		r := <-x.loaded
@@ -214,7 +219,7 @@
 	capped := x.capped()
 	bare := map[string]bool{}         // sent by no version: under no ceiling, then
 	for i, e := range record.Events { // the names of the modes are the instances' own
-		if e.Kind == history.Sends && e.Mode == accord.Bare.String() {
+		if e.Kind == history.Sends && e.Mode == ruleset.Bare.String() {
 			bare[e.Txn+e.Worker] = true
 			if record.Events[i].Version = 0; capped[e.Txn] {
 				x.t.Errorf("%v: sent bare, under a ceiling", e)
@@ -224,11 +229,11 @@
 			record.Events[i].Version = 0
 		}
 		switch e.Mode {
-		case accord.Leased.String():
+		case ruleset.Leased.String():
 			record.Events[i].Mode = history.Leased
-		case accord.CutOff.String():
+		case ruleset.CutOff.String():
 			record.Events[i].Mode = history.Fallback
-		case accord.Bare.String():
+		case ruleset.Bare.String():
 			record.Events[i].Mode = history.Bare
 		}
 	}
@@ -247,7 +252,7 @@
 	if over > 0 {
 		x.t.Errorf("%.1f units beyond the ceilings, of %d", over, sent)
 	}
-	tight := map[uint64]accord.Rules{} // and the check bites
+	tight := map[uint64]ruleset.Rules{} // and the check bites
 	for n, r := range ceilings {
 		r.Plans = slices.Clone(r.Plans)
 		r.Plans[1].CeilingRate, r.Plans[1].CeilingDepth = r.Plans[1].CeilingRate/4, r.Plans[1].CeilingDepth/4
@@ -277,7 +282,7 @@
 // beyond tells by how many units what workers were sent went beyond the ceiling in force. The slack is
 // what its rate gives in 500 ms, as in TestChaos. A higher ceiling holds from when it is in force, a lower
 // one from so long after that as is promised.
-func (x *trial) beyond(record history.Record, rules map[uint64]accord.Rules) (most float64, sent int) {
+func (x *trial) beyond(record history.Record, rules map[uint64]ruleset.Rules) (most float64, sent int) {
 	capped := x.capped()
 	type turn struct {
 		at      int64
@@ -297,7 +302,7 @@
 	}
 	rate, room, level, last := 0.0, 0.0, 0.0, int64(0)
 	var lower []turn
-	set := func(r accord.Rules) {
+	set := func(r ruleset.Rules) {
 		full := r.Plans[1].CeilingDepth + r.Plans[1].CeilingRate*0.5
 		level += max(full-room, 0)
 		rate, room = r.Plans[1].CeilingRate, full
@@ -340,7 +345,7 @@
 	others := slices.DeleteFunc(slices.Clone(x.hosts), func(o *host) bool { return o == h })
 	next := x.ceilings(ceiling*0.75, depth*0.75)
 	h.propose(next)
-	faults.Until(t, 5*time.Second, "another has it", func() bool {
+	faultinject.Until(t, 5*time.Second, "another has it", func() bool {
 		return others[0].version() == 2 || others[1].version() == 2
 	})
 	x.kill(h)
@@ -350,7 +355,7 @@
 	t.Logf("the others go on after %v", time.Since(began))
 	x.back(h)
 	t.Logf("all leased %v after the proposer is back", x.until(2, 6, x.hosts...))
-	if n := x.check(map[uint64]accord.Rules{1: x.rules, 2: next}); n < 100 {
+	if n := x.check(map[uint64]ruleset.Rules{1: x.rules, 2: next}); n < 100 {
 		t.Errorf("%d sent under the ceiling", n)
 	}
 }
@@ -358,17 +363,17 @@
 // A side of one host keeps serving while the other two take the ceiling down, then up.
 func TestMinorityServes(t *testing.T) {
 	hard(t)
-	x := try(t, 3, 2, func(r *accord.Rules) { r.Fallback.For = 4000 })
+	x := try(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.For = 4000 })
 	x.loads(14 * time.Second)
-	rules := map[uint64]accord.Rules{1: x.rules}
+	rules := map[uint64]ruleset.Rules{1: x.rules}
 	few, many := x.hosts[2], x.hosts[:2]
 	cut := history.Now()
 	x.part(few)
 	rules[2] = x.ceilings(ceiling/4, depth/4) // less than the fallback's half: it has to wait
 	t.Logf("down, with a host cut off: in force after %v", x.enforced(many[0], rules[2]))
 	x.until(2, 4, many...)
-	for _, i := range faults.Instances(few.run()) {
-		if f, ok := look(i); !ok || f.version != 1 || f.mode == int64(accord.Leased) {
+	for _, i := range faultinject.Instances(few.run()) {
+		if f, ok := look(i); !ok || f.version != 1 || f.mode == int64(ruleset.Leased) {
 			t.Errorf("%s, cut off, goes by %+v", i.Name, f)
 		}
 	}
@@ -400,11 +405,11 @@
 	hard(t)
 	x := try(t, 3, 2, nil)
 	x.loads(8 * time.Second)
-	rules := map[uint64]accord.Rules{1: x.rules}
+	rules := map[uint64]ruleset.Rules{1: x.rules}
 	h := x.leader()
 	for i, way := range []func(o *host){
-		func(o *host) { x.net.Cut(h.name, o.name, faults.Silent) },
-		func(o *host) { x.net.Heal(h.name, o.name); x.net.Cut(o.name, h.name, faults.Silent) },
+		func(o *host) { x.net.Cut(h.name, o.name, faultinject.Silent) },
+		func(o *host) { x.net.Heal(h.name, o.name); x.net.Cut(o.name, h.name, faultinject.Silent) },
 	} {
 		for _, o := range x.hosts {
 			if o != h {
@@ -412,7 +417,7 @@
 			}
 		}
 		var other *host
-		faults.Until(t, 10*time.Second, "another leads", func() bool {
+		faultinject.Until(t, 10*time.Second, "another leads", func() bool {
 			for _, o := range x.hosts {
 				if s, ok := o.sitting(); ok && o != h && s.Leader == s.Me {
 					other = o
@@ -442,9 +447,9 @@
 		rounds = 3
 	}
 	x.loads(time.Duration(rounds) * 4500 * time.Millisecond)
-	rules := map[uint64]accord.Rules{1: x.rules}
+	rules := map[uint64]ruleset.Rules{1: x.rules}
 	for range rounds {
-		still := faults.Instances(x.hosts[1].run())[0]
+		still := faultinject.Instances(x.hosts[1].run())[0]
 		if err := still.Stall(); err != nil {
 			t.Fatal(err)
 		}
@@ -469,11 +474,11 @@
 	hard(t)
 	x := try(t, 3, 1, nil)
 	x.loads(14 * time.Second)
-	rules := map[uint64]accord.Rules{1: x.rules}
-	for i, how := range []string{"kept", faults.Old, faults.Empty, faults.Torn} {
+	rules := map[uint64]ruleset.Rules{1: x.rules}
+	for i, how := range []string{"kept", faultinject.Old, faultinject.Empty, faultinject.Torn} {
 		h := x.hosts[i%3]
-		disk := faults.NewDisk(t, filepath.Join(h.dir, "store"))
-		if how == faults.Old { // a copy from before a change
+		disk := faultinject.NewDisk(t, filepath.Join(h.dir, "store"))
+		if how == faultinject.Old { // a copy from before a change
 			x.kill(h)
 			if err := disk.Keep(); err != nil {
 				t.Fatal(err)
@@ -487,7 +492,7 @@
 		x.until(int64(n), 3, x.hosts...) // it has written that too
 		x.kill(h)
 		if how != "kept" {
-			if err := disk.Spoil(faults.Damage{What: how, Bytes: 9000, Seed: int64(i)}); err != nil {
+			if err := disk.Spoil(faultinject.Damage{What: how, Bytes: 9000, Seed: int64(i)}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -498,7 +503,7 @@
 		x.back(h)
 		t.Logf("%s: leased again after %v", how, x.until(int64(n), 3, x.hosts...))
 		s, ok := h.sitting()
-		if !ok || how == faults.Old && s.Aside["old"] != 1 || how == faults.Torn && s.Aside["torn"] != 1 {
+		if !ok || how == faultinject.Old && s.Aside["old"] != 1 || how == faultinject.Torn && s.Aside["torn"] != 1 {
 			t.Errorf("%s: %+v", how, s)
 		}
 	}
@@ -508,22 +513,22 @@
 // Three of five hosts are lost, then back: the two go by the fallback and then bare.
 func TestThreeOfFiveHosts(t *testing.T) {
 	hard(t)
-	x := try(t, 5, 1, func(r *accord.Rules) { r.Fallback.For = 1000 })
+	x := try(t, 5, 1, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
 	x.loads(9 * time.Second)
-	rules := map[uint64]accord.Rules{1: x.rules}
+	rules := map[uint64]ruleset.Rules{1: x.rules}
 	for _, h := range x.hosts[:3] {
 		x.kill(h)
-		for _, i := range faults.Instances(h.run()) {
+		for _, i := range faultinject.Instances(h.run()) {
 			if err := i.Kill(); err != nil {
 				t.Fatal(err)
 			}
 			x.rig.Write(history.Event{Kind: history.Died, Peer: i.Name})
 		}
 	}
-	faults.Until(t, 8*time.Second, "two are bare", func() bool {
+	faultinject.Until(t, 8*time.Second, "two are bare", func() bool {
 		for _, h := range x.hosts[3:] {
-			for _, i := range faults.Instances(h.run()) {
-				if f, ok := look(i); !ok || f.mode != int64(accord.Bare) {
+			for _, i := range faultinject.Instances(h.run()) {
+				if f, ok := look(i); !ok || f.mode != int64(ruleset.Bare) {
 					return false
 				}
 			}
@@ -549,22 +554,22 @@
 	t.Parallel()
 	x := try(t, 3, 1, nil)
 	x.loads(4 * time.Second)
-	rules, last := map[uint64]accord.Rules{1: x.rules}, uint64(1)
+	rules, last := map[uint64]ruleset.Rules{1: x.rules}, uint64(1)
 	for round := 1; ; round++ {
 		if round > 10 {
 			t.Fatal("never two at once")
 		}
-		heard := func(h *host) []council.Heard {
+		heard := func(h *host) []raftlog.Heard {
 			s, _ := h.sitting()
 			return s.Rules.Outcomes
 		}
 		before := [2]int{len(heard(x.hosts[1])), len(heard(x.hosts[2]))}
-		var answers [2]council.Heard
+		var answers [2]raftlog.Heard
 		for i, h := range x.hosts[1:] {
 			f := 1 - 0.02*float64(2*round+i)
 			h.propose(x.ceilings(ceiling*f, depth*f))
 		}
-		faults.Until(t, 10*time.Second, "both have an answer", func() bool {
+		faultinject.Until(t, 10*time.Second, "both have an answer", func() bool {
 			for i, h := range x.hosts[1:] {
 				all := heard(h)
 				if len(all) <= before[i] {
@@ -596,14 +601,14 @@
 func TestGrowsAndChanges(t *testing.T) {
 	hard(t)
 	x := try(t, 3, 1, nil)
-	rules := map[uint64]accord.Rules{1: x.rules}
+	rules := map[uint64]ruleset.Rules{1: x.rules}
 	x.loads(4 * time.Second)
 	more := x.rules
 	more.Members = append(slices.Clone(more.Members), x.member(x.hosts[0], 3), x.member(x.hosts[1], 4))
 	began := time.Now()
 	x.hosts[0].propose(more)
 	rules[2], x.rules = more, more
-	faults.Until(t, 10*time.Second, "it is in force", func() bool { return x.hosts[0].version() == 2 })
+	faultinject.Until(t, 10*time.Second, "it is in force", func() bool { return x.hosts[0].version() == 2 })
 	rules[3] = x.ceilings(ceiling/2, depth/2)
 	x.enforced(x.hosts[2], rules[3]) // the new ones may not have come up yet
 	x.until(3, 5, x.hosts...)
@@ -632,9 +637,9 @@
 	hard(t)
 	x := try(t, 3, 2, nil)
 	x.loads(14 * time.Second)
-	rules := map[uint64]accord.Rules{1: x.rules}
-	var wanted []accord.Rules
-	put := func(h *host, r accord.Rules) {
+	rules := map[uint64]ruleset.Rules{1: x.rules}
+	var wanted []ruleset.Rules
+	put := func(h *host, r ruleset.Rules) {
 		t.Helper()
 		wanted = append(wanted, r)
 		t.Logf("a ceiling of %v in force after %v", r.Plans[1].CeilingRate, x.enforced(h, r))
@@ -642,7 +647,7 @@
 	for i, f := range []float64{0.5, 0.99, 0.25, 0.98, 0.4} {
 		put(x.hosts[i%2], x.ceilings(ceiling*f, depth*f))
 	}
-	lone := faults.Instances(x.hosts[2].run())[0]
+	lone := faultinject.Instances(x.hosts[2].run())[0]
 	if err := lone.Stall(); err != nil { // it says nothing any more
 		t.Fatal(err)
 	}
@@ -699,7 +704,7 @@
 // for it.
 func TestOlderProgram(t *testing.T) {
 	hard(t)
-	x := ready(t, 3, 1, func(r *accord.Rules) { r.Fallback.For = 2000 })
+	x := ready(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.For = 2000 })
 	h := x.hosts[2]
 	at, on := older(t, h.control)
 	script := filepath.Join(h.dir, "older")
@@ -718,19 +723,19 @@
 	x.start()
 	x.until(1, 3, x.hosts...)
 	x.loads(9 * time.Second)
-	rules := map[uint64]accord.Rules{1: x.rules}
+	rules := map[uint64]ruleset.Rules{1: x.rules}
 	on.Store(true)
-	old := faults.Instances(h.run())[0]
-	faults.Until(t, 10*time.Second, "the older one is cut off, and says why", func() bool {
+	old := faultinject.Instances(h.run())[0]
+	faultinject.Until(t, 10*time.Second, "the older one is cut off, and says why", func() bool {
 		f, ok := look(old)
-		n, _ := faults.Figure(old.Control, "svc.rules.refused")
-		return ok && f.mode != int64(accord.Leased) && n > 0
+		n, _ := faultinject.Figure(old.Control, "svc.rules.refused")
+		return ok && f.mode != int64(ruleset.Leased) && n > 0
 	})
 	rules[2] = x.ceilings(ceiling/4, depth/4)
 	took := x.enforced(x.hosts[0], rules[2])
 	x.until(2, 2, x.hosts[:2]...)
 	t.Logf("with an older one that can't go by it: in force after %v", took)
-	if f, ok := look(old); !ok || f.version != 1 || f.mode == int64(accord.Leased) {
+	if f, ok := look(old); !ok || f.version != 1 || f.mode == int64(ruleset.Leased) {
 		t.Errorf("the older one goes by %+v", f)
 	}
 	on.Store(false) // replaced by a newer program
@@ -742,23 +747,23 @@
 // others go on; with room again it is back by itself.
 func TestFullHost(t *testing.T) {
 	hard(t)
-	x := try(t, 3, 1, func(r *accord.Rules) { r.Fallback.For = 1000 })
+	x := try(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
 	x.loads(8 * time.Second)
-	rules := map[uint64]accord.Rules{1: x.rules}
+	rules := map[uint64]ruleset.Rules{1: x.rules}
 	h := x.leader()
 	others := slices.DeleteFunc(slices.Clone(x.hosts), func(o *host) bool { return o == h })
 	if err := h.Limit(96 << 10); err != nil {
 		t.Fatal(err)
 	}
 	rules[2] = x.rules
-	big := &accord.Rules{}
+	big := &ruleset.Rules{}
 	*big = x.rules
 	for i := range 2000 { // more than its store has room for
-		big.Words = append(big.Words, accord.Word{Worker: fmt.Sprintf("%0100d", i), Weight: 1})
+		big.Words = append(big.Words, ruleset.Word{Worker: fmt.Sprintf("%0100d", i), Weight: 1})
 	}
 	rules[2] = *big
 	x.enforced(others[0], *big)
-	faults.Until(t, 10*time.Second, "it is mute", func() bool {
+	faultinject.Until(t, 10*time.Second, "it is mute", func() bool {
 		s, ok := h.sitting()
 		return ok && s.State == "mute" && strings.Contains(s.Why, "too large")
 	})
@@ -766,10 +771,10 @@
 	x.until(2, 2, others...)
 	x.leader()
 	t.Logf("the others go on after %v", time.Since(began))
-	own := faults.Instances(h.run())[0]
-	faults.Until(t, 5*time.Second, "its instance is cut off", func() bool {
+	own := faultinject.Instances(h.run())[0]
+	faultinject.Until(t, 5*time.Second, "its instance is cut off", func() bool {
 		f, ok := look(own)
-		return ok && f.mode != int64(accord.Leased)
+		return ok && f.mode != int64(ruleset.Leased)
 	})
 	rules[3] = x.ceilings(ceiling/2, depth/2)
 	x.enforced(others[1], rules[3])
@@ -792,28 +797,35 @@
 }
 
 func drawn(t *testing.T, seed int64) {
-	x := try(t, 3, 2, func(r *accord.Rules) { r.Fallback.For = 1000 })
+	x := try(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
 	const span = 20000
 	x.loads(span * time.Millisecond)
-	rig := &faults.Rig{Net: x.net, Processes: map[string]*faults.Process{}, Disks: map[string]*faults.Disk{}}
-	cast := faults.Cast{Steps: 8, Kinds: []faults.Kind{faults.Cuts, faults.Parts, faults.Splits, faults.Shapes,
-		faults.Stalls, faults.Crashes, faults.Spoils}} // a full disk would cut records short: TestFullHost
+	rig := &faultinject.Rig{
+		Net:       x.net,
+		Processes: map[string]*faultinject.Process{},
+		Disks:     map[string]*faultinject.Disk{},
+	}
+	cast := faultinject.Cast{
+		Steps: 8,
+		Kinds: []faultinject.Kind{faultinject.Cuts, faultinject.Parts, faultinject.Splits, faultinject.Shapes,
+			faultinject.Stalls, faultinject.Crashes, faultinject.Spoils},
+	} // a full disk would cut records short: TestFullHost
 	for _, h := range x.hosts {
-		rig.Processes[h.name], rig.Disks[h.name] = h.Process, faults.NewDisk(t, filepath.Join(h.dir, "store"))
+		rig.Processes[h.name], rig.Disks[h.name] = h.Process, faultinject.NewDisk(t, filepath.Join(h.dir, "store"))
 		cast.Ends, cast.Processes = append(cast.Ends, h.name), append(cast.Processes, h.name)
 	}
 	cast.Disks = cast.Processes[:1] // a majority keeps its disks, as the council rests on that
 	for _, m := range x.rules.Members {
 		cast.Ends = append(cast.Ends, m.Name)
 	}
-	s := faults.Draw(seed, cast, span)
+	s := faultinject.Draw(seed, cast, span)
 	t.Logf("%s", s)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	played := make(chan error, 1)
-	go func() { played <- (&faults.Player{Stage: rig, Record: x.rig}).Play(ctx, s) }()
-	rules := map[uint64]accord.Rules{1: x.rules}
-	var wanted []accord.Rules
+	go func() { played <- (&faultinject.Player{Stage: rig, Record: x.rig}).Play(ctx, s) }()
+	rules := map[uint64]ruleset.Rules{1: x.rules}
+	var wanted []ruleset.Rules
 	rng := rand.New(rand.NewSource(seed))
 	for done := false; !done; {
 		select {
@@ -825,7 +837,7 @@
 			f := 0.1 + 0.9*rng.Float64()
 			r := x.ceilings(ceiling*f, depth*f)
 			h := x.hosts[rng.Intn(3)]
-			if all := faults.Instances(h.run()); len(all) > 0 {
+			if all := faultinject.Instances(h.run()); len(all) > 0 {
 				x.hurts(all[rng.Intn(len(all))], rng)
 			}
 			if h.Running() {
@@ -841,7 +853,7 @@
 		}
 	}
 	var last uint64
-	faults.Until(t, 20*time.Second, "one version at all, and nothing waits", func() bool {
+	faultinject.Until(t, 20*time.Second, "one version at all, and nothing waits", func() bool {
 		last = 0
 		for _, h := range x.hosts {
 			s, ok := h.sitting()
@@ -858,7 +870,7 @@
 }
 
 // hurts has an instance stand still for a while, or ends it, or lets it be.
-func (x *trial) hurts(i faults.Instance, rng *rand.Rand) {
+func (x *trial) hurts(i faultinject.Instance, rng *rand.Rand) {
 	switch still := time.Duration(100+rng.Intn(1500)) * time.Millisecond; rng.Intn(4) {
 	case 0:
 		if i.Stall() != nil {
@@ -876,7 +888,7 @@
 }
 
 // known finds which of the wanted rules each version has, by its digest.
-func (x *trial) known(rules map[uint64]accord.Rules, wanted []accord.Rules) {
+func (x *trial) known(rules map[uint64]ruleset.Rules, wanted []ruleset.Rules) {
 	x.t.Helper()
 	record, err := history.Read(x.records)
 	if err != nil {
@@ -884,7 +896,7 @@
 	}
 	for _, e := range record.Events {
 		for _, r := range wanted {
-			if e.Kind == history.Taken && e.Says == "" && e.Mark == council.Mark(&r) {
+			if e.Kind == history.Taken && e.Says == "" && e.Mark == raftlog.Mark(&r) {
 				rules[e.Version] = r
 			}
 		}
@@ -904,7 +916,7 @@
 			x := &trial{assembly: a}
 			var lows, all, quotas []float64
 			calm := func() { // eight that may be fallen back to are as many as the council lets come together
-				faults.Until(t, 10*time.Second, "no version before may be gone by", func() bool {
+				faultinject.Until(t, 10*time.Second, "no version before may be gone by", func() bool {
 					s, ok := a.hosts[0].sitting()
 					return ok && len(s.Rules.Held) == 0
 				})
--- a/internal/fleet/council_test.go
+++ b/internal/supervisor/council_test.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"encoding/json"
@@ -13,10 +13,10 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/faults"
-	"willowdeck/internal/rulebook"
-	"willowdeck/internal/standin"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/ruleset/rulefile"
+	"willowdeck/internal/testkit/fakes"
+	"willowdeck/internal/testkit/faultinject"
 )
 
 // assembly is several hosts' daemons, each with its instances, before stand-ins: all of them real processes.
@@ -24,19 +24,19 @@
 type assembly struct {
 	t       *testing.T
 	dir     string
-	net     *faults.Net
+	net     *faultinject.Net
 	hosts   []*host
-	workers []*standin.Worker
-	list    *standin.Discovery
+	workers []*fakes.Worker
+	list    *fakes.Discovery
 	records string
 	first   int  // port of each host's first
 	places  int  // that ports are kept for
 	direct  bool // instances speak to each other without relays
-	rules   accord.Rules
+	rules   ruleset.Rules
 }
 
 type host struct {
-	*faults.Process
+	*faultinject.Process
 	a       *assembly
 	name    string
 	ip      string
@@ -46,22 +46,22 @@
 }
 
 // assemble prepares n hosts with k instances each; ports are kept for more.
-func assemble(t *testing.T, n, k int, change func(*accord.Rules)) *assembly {
+func assemble(t *testing.T, n, k int, change func(*ruleset.Rules)) *assembly {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "wdc") // sockets' paths are short
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	a := &assembly{t: t, dir: dir, net: faults.NewNet(t, 1), records: filepath.Join(dir, "records"),
+	a := &assembly{t: t, dir: dir, net: faultinject.NewNet(t, 1), records: filepath.Join(dir, "records"),
 		places: n * (k + 1)}
 	if err := os.Mkdir(a.records, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	a.first = faults.Ports(t, 4*a.places+2)
-	var entries []standin.Entry
+	a.first = faultinject.Ports(t, 4*a.places+2)
+	var entries []fakes.Entry
 	for i := range 3 {
-		w, err := standin.NewWorker(fmt.Sprintf("w%d", i), 5*time.Millisecond)
+		w, err := fakes.NewWorker(fmt.Sprintf("w%d", i), 5*time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,13 +69,13 @@
 		a.workers = append(a.workers, w)
 		entries = append(entries, w.Of("z"))
 	}
-	if a.list, err = standin.NewDiscovery(entries...); err != nil {
+	if a.list, err = fakes.NewDiscovery(entries...); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(a.list.Close)
-	a.rules = accord.Rules{Form: accord.Form, Lease: 1000, Bound: 2000,
-		Fallback: accord.Fallback{Part: 0.5, For: 3000},
-		Plans: []accord.Plan{{Name: "basic", Rate: 500, Burst: 500},
+	a.rules = ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+		Fallback: ruleset.Fallback{Part: 0.5, For: 3000},
+		Plans: []ruleset.Plan{{Name: "basic", Rate: 500, Burst: 500},
 			{Name: "capped", Rate: 200, Burst: 200, CeilingRate: ceiling, CeilingDepth: depth}}}
 	for i := range n {
 		ip := fmt.Sprintf("127.0.0.%d", 2+i)
@@ -97,8 +97,8 @@
 }
 
 // member is one of a host's, at a place.
-func (a *assembly) member(h *host, place int) accord.Member {
-	return accord.Member{Name: fmt.Sprintf("g%d", place), Host: h.name,
+func (a *assembly) member(h *host, place int) ruleset.Member {
+	return ruleset.Member{Name: fmt.Sprintf("g%d", place), Host: h.name,
 		Peers: fmt.Sprintf("%s:%d", h.ip, a.first+2+3*a.places+place)}
 }
 
@@ -130,7 +130,7 @@
 	}
 	for place := range a.places { // whoever may come to be
 		name := fmt.Sprintf("g%d", place)
-		i := slices.IndexFunc(a.rules.Members, func(m accord.Member) bool { return m.Name == name })
+		i := slices.IndexFunc(a.rules.Members, func(m ruleset.Member) bool { return m.Name == name })
 		if i < 0 || a.rules.Members[i].Host != h.name || a.direct {
 			continue
 		}
@@ -159,9 +159,9 @@
 }
 
 // write writes a host's rules' file.
-func (h *host) write(r accord.Rules) {
+func (h *host) write(r ruleset.Rules) {
 	h.a.t.Helper()
-	text, err := rulebook.Encode(&r)
+	text, err := rulefile.Encode(&r)
 	if err == nil {
 		err = os.WriteFile(filepath.Join(h.dir, "rules.toml"), []byte(text), 0o600)
 	}
@@ -171,7 +171,7 @@
 }
 
 // propose has a host's daemon propose rules.
-func (h *host) propose(r accord.Rules) {
+func (h *host) propose(r ruleset.Rules) {
 	h.a.t.Helper()
 	h.write(r)
 	if err := h.Renew(); err != nil {
@@ -182,7 +182,7 @@
 // start starts a host's daemon.
 func (h *host) start() {
 	h.a.t.Helper()
-	h.Process = faults.Start(h.a.t, faults.Spec{Name: h.name, Program: program(h.a.t), Dir: h.dir,
+	h.Process = faultinject.Start(h.a.t, faultinject.Spec{Name: h.name, Program: program(h.a.t), Dir: h.dir,
 		Args: []string{"fleet", "--file", "fleet.toml"}, Env: []string{"WILLOWDECK_HISTORY=" + h.a.records}})
 }
 
@@ -195,7 +195,7 @@
 
 // sitting asks a host's daemon how the council stands; false where it does not say.
 func (h *host) sitting() (s Sitting, ok bool) {
-	page, err := faults.Ask(h.control, "/fleet/council")
+	page, err := faultinject.Ask(h.control, "/fleet/council")
 	return s, err == nil && json.Unmarshal([]byte(page), &s) == nil
 }
 
@@ -204,8 +204,8 @@
 // figures are what an instance says of the rules that it goes by.
 type figures struct{ version, mode, members int64 }
 
-func look(i faults.Instance) (f figures, ok bool) {
-	page, err := faults.Ask(i.Control, "/admin/stats")
+func look(i faultinject.Instance) (f figures, ok bool) {
+	page, err := faultinject.Ask(i.Control, "/admin/stats")
 	if err != nil {
 		return f, false
 	}
@@ -228,10 +228,10 @@
 		n := 0
 		last = ""
 		for _, h := range hosts {
-			for _, i := range faults.Instances(h.run()) {
+			for _, i := range faultinject.Instances(h.run()) {
 				f, ok := look(i)
 				last += fmt.Sprintf("%s %+v %t; ", i.Name, f, ok)
-				if ok && f.version == version && f.mode == int64(accord.Leased) {
+				if ok && f.version == version && f.mode == int64(ruleset.Leased) {
 					n++
 				}
 			}
@@ -289,7 +289,7 @@
 	a.hosts[2].propose(next)
 	a.until(3, 6, a.hosts...)
 	t.Logf("a ceiling down beyond the fallback: %v", time.Since(began))
-	a.hosts[0].propose(accord.Rules{Form: accord.Form})
+	a.hosts[0].propose(ruleset.Rules{Form: ruleset.Form})
 	time.Sleep(100 * time.Millisecond)
 	if s, ok := a.hosts[0].sitting(); !ok || s.Rules.Version != 3 || s.Rules.Pending != 0 {
 		t.Errorf("rules that are wrong change something: %+v", s)
@@ -298,10 +298,10 @@
 	if err := down.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	own := faults.Instances(down.run())
-	faults.Until(t, 5*time.Second, "its instances are cut off", func() bool {
+	own := faultinject.Instances(down.run())
+	faultinject.Until(t, 5*time.Second, "its instances are cut off", func() bool {
 		for _, i := range own {
-			if f, ok := look(i); !ok || f.mode != int64(accord.CutOff) {
+			if f, ok := look(i); !ok || f.mode != int64(ruleset.CutOff) {
 				return false
 			}
 		}
@@ -379,7 +379,7 @@
 			t.Errorf("%s: %v, want %q", c.name, err, c.says)
 		}
 	}
-	last, err := json.Marshal(accord.Version{Number: 1, Rules: a.rules})
+	last, err := json.Marshal(ruleset.Version{Number: 1, Rules: a.rules})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/file.go
+++ b/internal/supervisor/file.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"encoding/json"
@@ -8,9 +8,9 @@
 	"os"
 	"path/filepath"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/config"
-	"willowdeck/internal/strict"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/strictoml"
 )
 
 // mostInstances is of one host without rules that are agreed on: each is a process of some 20 MB, and the
@@ -61,7 +61,7 @@
 	}
 	f := File{ReadyS: 6, GraceS: 4, Step: 1, Remember: true, Recall: true, Warm: true, Outlook: usualLooks()}
 	f.Restart.FirstMS, f.Restart.MostMS, f.Restart.CalmS = 200, 10000, 30
-	if err := strict.Decode(string(raw), &f); err != nil {
+	if err := strictoml.Decode(string(raw), &f); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	paths := []*string{&f.Config, &f.RunDir}
@@ -171,7 +171,7 @@
 		fl.places = len(agreed.Rules.Members)
 		fl.Instances, err = f.members(agreed.Rules)
 	case agreed.Relay != nil: // which there are the relays say; what they will be told is checked now
-		_, err = f.members(&accord.Rules{Members: []accord.Member{{Name: f.Name, Host: f.Relay.Me}}})
+		_, err = f.members(&ruleset.Rules{Members: []ruleset.Member{{Name: f.Name, Host: f.Relay.Me}}})
 	}
 	if agreed != nil {
 		return fl, err
--- a/internal/fleet/fleet_test.go
+++ b/internal/supervisor/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"context"
@@ -20,10 +20,10 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/faults"
-	"willowdeck/internal/load"
-	"willowdeck/internal/standin"
-	"willowdeck/internal/traffic"
+	"willowdeck/internal/lab/loadgen"
+	"willowdeck/internal/lab/workload"
+	"willowdeck/internal/testkit/fakes"
+	"willowdeck/internal/testkit/faultinject"
 )
 
 var (
@@ -37,8 +37,8 @@
 	t       *testing.T
 	dir     string
 	file    string
-	workers []*standin.Worker
-	list    *standin.Discovery
+	workers []*fakes.Worker
+	list    *fakes.Discovery
 	ports   int
 	n       int
 }
@@ -75,10 +75,16 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	d := &deployed{t: t, dir: dir, file: filepath.Join(dir, "fleet.toml"), ports: faults.Ports(t, 4*n+1), n: n}
-	var entries []standin.Entry
+	d := &deployed{
+		t:     t,
+		dir:   dir,
+		file:  filepath.Join(dir, "fleet.toml"),
+		ports: faultinject.Ports(t, 4*n+1),
+		n:     n,
+	}
+	var entries []fakes.Entry
 	for i := range 4 {
-		w, err := standin.NewWorker(fmt.Sprintf("w%d", i), 5*time.Millisecond)
+		w, err := fakes.NewWorker(fmt.Sprintf("w%d", i), 5*time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +92,7 @@
 		d.workers = append(d.workers, w)
 		entries = append(entries, w.Of("z"))
 	}
-	if d.list, err = standin.NewDiscovery(entries...); err != nil {
+	if d.list, err = fakes.NewDiscovery(entries...); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.list.Close)
@@ -194,21 +200,21 @@
 	x := d.daemon()
 	defer x.Stop()
 	d.until(x, d.n)
-	var all []traffic.Arrival
+	var all []workload.Arrival
 	span := float64(*chaosFor / time.Millisecond)
 	for at := 0.0; at < span; at += 6 {
-		a := traffic.Arrival{At: at, Customer: len(all) % 7, Product: len(all) % 3, Units: 1, Set: len(all)}
+		a := workload.Arrival{At: at, Customer: len(all) % 7, Product: len(all) % 3, Units: 1, Set: len(all)}
 		if len(all)%2 == 0 { // one customer that asks for twice its ceiling, at all gatekeepers
 			a.Customer, a.Plan = 100, 1
 		}
 		all = append(all, a)
 	}
-	j := &load.Job{Arrivals: all, Targets: d.targets(d.n), Spread: d.n, Plans: []string{"basic", "capped"},
+	j := &loadgen.Job{Arrivals: all, Targets: d.targets(d.n), Spread: d.n, Plans: []string{"basic", "capped"},
 		Most: 2000,
-		Products: []load.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond},
+		Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond},
 			{Name: "sale", Repeat: "referenced", Waits: 400 * time.Millisecond, Body: 20},
 			{Name: "issue", Repeat: "once", Waits: 400 * time.Millisecond, Body: 20}}}
-	done := make(chan *load.Report, 1)
+	done := make(chan *loadgen.Report, 1)
 	go func() {
 		r, err := j.Run(context.Background())
 		if err != nil {
@@ -218,7 +224,7 @@
 	}()
 	rng := rand.New(rand.NewSource(1))
 	kills := 0
-	var report *load.Report
+	var report *loadgen.Report
 	for tick, wait := 0, time.NewTicker(300*time.Millisecond); report == nil; tick++ {
 		select {
 		case report = <-done:
@@ -263,7 +269,7 @@
 	}
 	settled := int64(0)
 	for _, n := range report.Counts {
-		settled += n[load.Settled]
+		settled += n[loadgen.Settled]
 	}
 	restarts := 0
 	for _, s := range x.Standings() {
@@ -302,23 +308,23 @@
 	}
 	grow(4)
 	// All reckon with four: a set of four is taken by each, under one ceiling.
-	var all []traffic.Arrival
+	var all []workload.Arrival
 	for i := range 600 {
-		all = append(all, traffic.Arrival{At: float64(i * 3), Customer: 100, Plan: 1, Units: 1, Set: i})
+		all = append(all, workload.Arrival{At: float64(i * 3), Customer: 100, Plan: 1, Units: 1, Set: i})
 	}
-	j := &load.Job{Arrivals: all, Targets: d.targets(4), Spread: 4, Plans: []string{"basic", "capped"},
+	j := &loadgen.Job{Arrivals: all, Targets: d.targets(4), Spread: 4, Plans: []string{"basic", "capped"},
 		Most:     100,
-		Products: []load.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}}}
+		Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}}}
 	r, err := j.Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	var capped []time.Time
-	for _, got := range standin.InOrder(d.workers) {
+	for _, got := range fakes.InOrder(d.workers) {
 		capped = append(capped, got.At)
 	}
 	c := r.Counts["check"]
-	if over := beyond(capped); over > 0 || len(capped) < 30 || c[load.Voided]+c[load.NoAnswer] > 0 {
+	if over := beyond(capped); over > 0 || len(capped) < 30 || c[loadgen.Voided]+c[loadgen.NoAnswer] > 0 {
 		t.Errorf("%.1f units beyond the ceiling, of %d; %v", over, len(capped), c)
 	}
 	grow(1)
@@ -478,18 +484,18 @@
 		d.until(x, 3)
 		time.Sleep(100 * time.Millisecond) // it is told within some ms; nothing waits for it
 		before := len(d.workers[0].Got())
-		var all []traffic.Arrival
+		var all []workload.Arrival
 		for i := range 300 { // the other two know of the drain
-			all = append(all, traffic.Arrival{At: float64(i), Customer: i % 50, Units: 1, Set: i})
+			all = append(all, workload.Arrival{At: float64(i), Customer: i % 50, Units: 1, Set: i})
 		}
-		j := &load.Job{Arrivals: all, Targets: d.targets(3), Spread: 3, Plans: []string{"basic"}, Most: 100,
-			Products: []load.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}}}
+		j := &loadgen.Job{Arrivals: all, Targets: d.targets(3), Spread: 3, Plans: []string{"basic"}, Most: 100,
+			Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}}}
 		r, err := j.Run(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
 		n := len(d.workers[0].Got()) - before
-		if settled := r.Counts["check"][load.Settled]; settled < 100 || (n == 0) != warm {
+		if settled := r.Counts["check"][loadgen.Settled]; settled < 100 || (n == 0) != warm {
 			t.Errorf("told %v: %d settled, %d sent to the worker that drains", warm, settled, n)
 		}
 		x.Stop()
--- a/internal/fleet/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"bytes"
@@ -17,10 +17,10 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/relay"
-	"willowdeck/internal/relayd"
-	"willowdeck/internal/strict"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/distribution/relay"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/strictoml"
 	"willowdeck/internal/testkit/goldenform"
 )
 
@@ -34,7 +34,7 @@
 	{File: "words.json", New: func() any { return &told{} }, Encode: json.Marshal, Decode: json.Unmarshal},
 	{File: "relay.json", New: func() any { return &Following{} }, Encode: json.Marshal, Decode: json.Unmarshal},
 	{File: "fleet.toml", New: func() any { return &File{} },
-		Decode: func(raw []byte, into any) error { return strict.Decode(string(raw), into) }},
+		Decode: func(raw []byte, into any) error { return strictoml.Decode(string(raw), into) }},
 }
 
 func TestGoldenForms(t *testing.T) {
@@ -46,30 +46,30 @@
 // goldenVoice says that one version is in force.
 type goldenVoice struct {
 	voice
-	version accord.Version
+	version ruleset.Version
 }
 
-func (v goldenVoice) InForce() accord.Version { return v.version }
-func (goldenVoice) Began(int, bool)           {}
-func (goldenVoice) Ended(int)                 {}
+func (v goldenVoice) InForce() ruleset.Version { return v.version }
+func (goldenVoice) Began(int, bool)            {}
+func (goldenVoice) Ended(int)                  {}
 
-func (goldenVoice) Asked(int, string, uint64, int64) (accord.Lease, bool) {
-	return accord.Lease{}, false
+func (goldenVoice) Asked(int, string, uint64, int64) (ruleset.Lease, bool) {
+	return ruleset.Lease{}, false
 }
 
-// goldenVersion has a value that is not zero in each field, and passes accord.CheckPart.
-func goldenVersion() accord.Version {
-	v := accord.Version{}
+// goldenVersion has a value that is not zero in each field, and passes ruleset.CheckPart.
+func goldenVersion() ruleset.Version {
+	v := ruleset.Version{}
 	goldenform.Fill(&v)
 	r := &v.Rules
-	r.Form, r.Needs = accord.Form, []string{accord.ManyMembers}
+	r.Form, r.Needs = ruleset.Form, []string{ruleset.ManyMembers}
 	r.Lease, r.Fallback.Part = 1000, 0.5
 	for i := range r.Plans {
 		r.Plans[i].Name = fmt.Sprintf("plan-%d", i)
 		r.Plans[i].Credit, r.Plans[i].Repay = float64(1+i), float64(5000+i)
 	}
 	for i := range r.Members {
-		r.Members[i] = accord.Member{Name: fmt.Sprintf("golden-%d", i), Host: "other",
+		r.Members[i] = ruleset.Member{Name: fmt.Sprintf("golden-%d", i), Host: "other",
 			Peers: fmt.Sprintf("127.0.0.1:%d", 30+i)}
 	}
 	r.Bound = 30000
@@ -99,7 +99,7 @@
 	if got, err := d.fleet.last(); err != nil || !reflect.DeepEqual(got, &want.Rules) {
 		t.Errorf("%v: rules are read as\n%+v\nwant\n%+v", err, got, &want.Rules)
 	}
-	var whole accord.Version
+	var whole ruleset.Version
 	if err := json.Unmarshal(golden, &whole); err != nil || whole.Number != want.Number || whole.Number == 0 {
 		t.Errorf("%v: version %d, want %d", err, whole.Number, want.Number)
 	}
@@ -141,8 +141,8 @@
 	d := goldenDaemon(t.TempDir())
 	d.pids.Store(4321, "golden-0")
 	for pid, want := range map[int]string{4321: "unconfirmed", 4322: "stranger"} {
-		var refused *relayd.Refusal
-		if _, err := d.ask(&relay.Ask{Process: pid, From: "golden-0"}); !errors.As(err, &refused) ||
+		var refused *relay.Refusal
+		if _, err := d.ask(&distribution.Ask{Process: pid, From: "golden-0"}); !errors.As(err, &refused) ||
 			refused.Reason != want {
 			t.Errorf("process %d is refused with %v, want %q", pid, err, want)
 		}
--- a/internal/fleet/host.go
+++ b/internal/supervisor/host.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/warm"
+	"willowdeck/internal/gateway/recovery/bootstrap"
 )
 
 // lookEach is how often instances are asked for their health, and those that are not the daemon's own
@@ -425,7 +425,7 @@
 // running gives the operators' ports of a few other instances that serve, under the lock.
 func (d *Daemon) running(but string) (all []string) {
 	for _, r := range d.runs {
-		if r.ready && r.Instance != but && len(all) < warm.Peers {
+		if r.ready && r.Instance != but && len(all) < bootstrap.Peers {
 			all = append(all, r.Control)
 		}
 	}
--- a/internal/fleet/keeper.go
+++ b/internal/supervisor/keeper.go
@@ -1,5 +1,5 @@
-// Package fleet is the daemon that keeps many instances of the gatekeeper on one host.
-package fleet
+// Package supervisor is the daemon that keeps many instances of the gatekeeper on one host.
+package supervisor
 
 import (
 	"math"
--- a/internal/fleet/keeper_test.go
+++ b/internal/supervisor/keeper_test.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"fmt"
--- a/internal/fleet/outlook.go
+++ b/internal/supervisor/outlook.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/ops"
-	"willowdeck/internal/outlook"
+	"willowdeck/internal/forecast"
+	"willowdeck/internal/gateway/admin"
 )
 
 const (
@@ -48,13 +48,13 @@
 }
 
 func usualLooks() Looks {
-	u := outlook.Usual
+	u := forecast.Usual
 	return Looks{EachMS: 1000, OldMS: u.MostAge, Tries: u.Tries, Elsewhere: u.Elsewhere, Slow: u.Slow}
 }
 
 // Rules are the projection's.
-func (l *Looks) rules() outlook.Rules {
-	return outlook.Rules{MostAge: l.OldMS, Cores: l.Cores, PerS: l.PerS, Way: l.WayMS, Tries: l.Tries,
+func (l *Looks) rules() forecast.Rules {
+	return forecast.Rules{MostAge: l.OldMS, Cores: l.Cores, PerS: l.PerS, Way: l.WayMS, Tries: l.Tries,
 		Back: l.BackMS, Takeover: l.TakeoverMS, Elsewhere: l.Elsewhere, Slow: l.Slow}
 }
 
@@ -91,7 +91,7 @@
 
 // heard is a word as it was heard.
 type heard struct {
-	word *outlook.Word
+	word *forecast.Word
 	raw  json.RawMessage
 	at   time.Time
 	own  bool // of an instance that this daemon asks itself
@@ -122,7 +122,7 @@
 
 	reckons  sync.Mutex // of the words that the last answer rests on, and that answer
 	of       string
-	answered *outlook.Outlook
+	answered *forecast.Outlook
 }
 
 func (d *Daemon) watches() *watcher {
@@ -226,9 +226,9 @@
 
 // askInstance asks one instance for its word. Where its name is known it has to be that one's.
 func (w *watcher) askInstance(at, name string) error {
-	raw, err := w.get("http://"+at+ops.WordPath, wordWithin, outlook.LongestWord)
+	raw, err := w.get("http://"+at+admin.WordPath, wordWithin, forecast.LongestWord)
 	if err == nil {
-		w.hear(at, raw, 0, true, func(x *outlook.Word) error {
+		w.hear(at, raw, 0, true, func(x *forecast.Word) error {
 			if name != "" && (x.Name != name || x.Host != w.host) {
 				return fmt.Errorf("it is said by %s of %s, not by %s", x.Name, x.Host, name)
 			}
@@ -240,7 +240,7 @@
 
 // askNeighbour asks another daemon for the words of its instances.
 func (w *watcher) askNeighbour(at string) error {
-	raw, err := w.get("http://"+at+"/fleet/words", wordsWithin, outlook.LongestWords)
+	raw, err := w.get("http://"+at+"/fleet/words", wordsWithin, forecast.LongestWords)
 	if err != nil {
 		return err
 	}
@@ -263,16 +263,16 @@
 			continue
 		}
 		age := time.Duration(t.Ages[i] * float64(time.Millisecond))
-		w.hear(at, one, age, false, func(*outlook.Word) error { return nil })
+		w.hear(at, one, age, false, func(*forecast.Word) error { return nil })
 	}
 	return nil
 }
 
 // hear takes a word that was said so long ago, unless something is wrong with it.
-func (w *watcher) hear(at string, raw []byte, age time.Duration, own bool, known func(*outlook.Word) error) {
-	x, err := outlook.Decode(raw)
+func (w *watcher) hear(at string, raw []byte, age time.Duration, own bool, known func(*forecast.Word) error) {
+	x, err := forecast.Decode(raw)
 	switch {
-	case errors.Is(err, outlook.ErrForm):
+	case errors.Is(err, forecast.ErrForm):
 		w.refuse(at, "version", err)
 		return
 	case err != nil:
@@ -283,7 +283,7 @@
 		w.refuse(at, "stranger", err)
 		return
 	}
-	if ahead := x.At - time.Now().UnixMilli(); ahead > outlook.MostAhead {
+	if ahead := x.At - time.Now().UnixMilli(); ahead > forecast.MostAhead {
 		w.refuse(at, "ahead", fmt.Errorf("%s: its clock is %d ms ahead", x.Name, ahead))
 		return
 	}
@@ -358,7 +358,7 @@
 // outlook answers operators. Where no word is new the answer is the one before.
 func (w *watcher) outlook(out http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
-	var words []*outlook.Word
+	var words []*forecast.Word
 	var ids []string
 	for id, h := range w.all {
 		words = append(words, h.word)
@@ -370,13 +370,13 @@
 	of := fmt.Sprint(ids, rules)
 	w.reckons.Lock()
 	if w.of != of {
-		w.of, w.answered = of, outlook.Project(words, rules)
+		w.of, w.answered = of, forecast.Project(words, rules)
 	}
 	o := w.answered
 	w.reckons.Unlock()
 	if r.FormValue("form") == "text" {
 		out.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		_, _ = out.Write(outlook.AppendText(nil, o))
+		_, _ = out.Write(forecast.AppendText(nil, o))
 		return
 	}
 	out.Header().Set("Content-Type", "application/json")
--- a/internal/fleet/outlook_test.go
+++ b/internal/supervisor/outlook_test.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"context"
@@ -17,11 +17,11 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/faults"
-	"willowdeck/internal/load"
-	"willowdeck/internal/outlook"
-	"willowdeck/internal/standin"
-	"willowdeck/internal/traffic"
+	"willowdeck/internal/forecast"
+	"willowdeck/internal/lab/loadgen"
+	"willowdeck/internal/lab/workload"
+	"willowdeck/internal/testkit/fakes"
+	"willowdeck/internal/testkit/faultinject"
 )
 
 var foresee = flag.Bool("foresee", false, "each kind of loss of a hall, until shares have moved; minutes")
@@ -30,9 +30,9 @@
 // daemon in each hall that looks ahead.
 type trio struct {
 	t       *testing.T
-	net     *faults.Net
-	workers [3][]*standin.Worker
-	keepers []*faults.Process // number i stands in hall i % 3
+	net     *faultinject.Net
+	workers [3][]*fakes.Worker
+	keepers []*faultinject.Process // number i stands in hall i % 3
 	targets []string
 	daemons []*Daemon
 	ports   []*Port
@@ -50,10 +50,10 @@
 func hallOf(i int) string { return fmt.Sprintf("hall%d", i%3) }
 
 func newTrio(t *testing.T, rate float64) *trio {
-	x := &trio{t: t, net: faults.NewNet(t, 1)}
+	x := &trio{t: t, net: faultinject.NewNet(t, 1)}
 	for h := range 3 {
 		for i := range trioWorkers {
-			w, err := standin.NewWorker(fmt.Sprintf("w%d-%d", h, i), trioTakes)
+			w, err := fakes.NewWorker(fmt.Sprintf("w%d-%d", h, i), trioTakes)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -62,9 +62,9 @@
 			x.workers[h] = append(x.workers[h], w)
 		}
 	}
-	var lists [3]*standin.Discovery
+	var lists [3]*fakes.Discovery
 	for h := range 3 {
-		var entries []standin.Entry
+		var entries []fakes.Entry
 		for o := range 3 {
 			for _, w := range x.workers[o] {
 				e := w.Of(hallOf(o))
@@ -74,14 +74,14 @@
 				entries = append(entries, e)
 			}
 		}
-		d, err := standin.NewDiscovery(entries...)
+		d, err := fakes.NewDiscovery(entries...)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(d.Close)
 		lists[h] = d
 	}
-	from := faults.Ports(t, 3*trioKeepers)
+	from := faultinject.Ports(t, 3*trioKeepers)
 	var names []string
 	at := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", from+i) }
 	for i := range trioKeepers {
@@ -104,12 +104,12 @@
 		if err := os.WriteFile(file, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		x.keepers = append(x.keepers, faults.Start(t, faults.Spec{Name: name, Dir: dir,
+		x.keepers = append(x.keepers, faultinject.Start(t, faultinject.Spec{Name: name, Dir: dir,
 			Args: []string{"serve", "--config", file, "--hall", hallOf(i), "--host", "d" + hallOf(i),
 				"--group", "trio"}}))
 	}
 	for i := range names {
-		if err := faults.Healthy(at(trioKeepers+i), 10*time.Second); err != nil {
+		if err := faultinject.Healthy(at(trioKeepers+i), 10*time.Second); err != nil {
 			t.Fatalf("%s: %v", names[i], err)
 		}
 	}
@@ -119,7 +119,7 @@
 
 // watch starts a daemon in each hall that keeps no instance, and looks ahead.
 func (x *trio) watch(asks [3][]string) {
-	from := faults.Ports(x.t, 3)
+	from := faultinject.Ports(x.t, 3)
 	quoted := func(all []string) string { return "[\"" + strings.Join(all, "\", \"") + "\"]" }
 	for h := range 3 {
 		var others []string
@@ -170,7 +170,7 @@
 
 // ask gets a daemon's answer.
 func (x *trio) ask(daemon int, path string) string {
-	text, err := faults.Ask(x.ports[daemon].At, path)
+	text, err := faultinject.Ask(x.ports[daemon].At, path)
 	if err != nil {
 		x.t.Fatal(err)
 	}
@@ -179,13 +179,13 @@
 
 // agree waits until all daemons rest on the same words, of all gatekeepers, and fails unless they then say
 // the same to the byte.
-func (x *trio) agree() *outlook.Outlook {
-	var o outlook.Outlook
-	faults.Until(x.t, 10*time.Second, "three daemons that have heard the same words", func() bool {
+func (x *trio) agree() *forecast.Outlook {
+	var o forecast.Outlook
+	faultinject.Until(x.t, 10*time.Second, "three daemons that have heard the same words", func() bool {
 		var texts [3]string
 		var rests [3]string
 		for i := range 3 {
-			var each outlook.Outlook
+			var each forecast.Outlook
 			texts[i] = x.ask(i, "/fleet/outlook")
 			if err := json.Unmarshal([]byte(texts[i]), &each); err != nil {
 				x.t.Fatal(err)
@@ -232,12 +232,12 @@
 // send sends a steady load for so many seconds: until the loss to all gatekeepers, and from then on, where
 // some are lost, to the next one of each set that lives.
 func (x *trio) send(perS, lossS, endS float64, lost func(i int) bool) (*seen, func()) {
-	group := traffic.Group{Customers: 12, Rate: perS / 12, Products: []float64{6, 3, 1}, Units: 1, Spread: 3}
-	all := traffic.Plan([]traffic.Group{group}, nil, endS*1000, 7)
+	group := workload.Group{Customers: 12, Rate: perS / 12, Products: []float64{6, 3, 1}, Units: 1, Spread: 3}
+	all := workload.Plan([]workload.Group{group}, nil, endS*1000, 7)
 	s := &seen{}
 	var done sync.WaitGroup
 	for part := range 2 {
-		var mine []traffic.Arrival
+		var mine []workload.Arrival
 		base := 0
 		for _, a := range all {
 			if late := a.At >= lossS*1000; late != (part == 1) {
@@ -254,13 +254,13 @@
 			s.at, s.value, s.got = append(s.at, a.At), append(s.value, trioValues[a.Product]), append(s.got, false)
 		}
 		s.mu.Unlock()
-		j := &load.Job{Arrivals: mine, Targets: x.targets, Spread: 3, Plans: []string{"basic"}, Most: 2000,
-			Products: []load.Product{{Name: "check", Repeat: "inquiry", Waits: 500 * time.Millisecond},
+		j := &loadgen.Job{Arrivals: mine, Targets: x.targets, Spread: 3, Plans: []string{"basic"}, Most: 2000,
+			Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 500 * time.Millisecond},
 				{Name: "sale", Repeat: "referenced", Waits: 500 * time.Millisecond, Body: 20},
 				{Name: "issue", Repeat: "once", Waits: 500 * time.Millisecond, Body: 20}},
-			Each: func(i int, o load.Outcome, _ time.Duration) {
+			Each: func(i int, o loadgen.Outcome, _ time.Duration) {
 				s.mu.Lock()
-				s.got[base+i] = o == load.Settled
+				s.got[base+i] = o == loadgen.Settled
 				s.mu.Unlock()
 			}}
 		done.Add(1)
@@ -275,34 +275,34 @@
 }
 
 // take takes from the rig what a loss takes.
-func (x *trio) take(l outlook.Loss) {
+func (x *trio) take(l forecast.Loss) {
 	for h := range 3 {
 		lost := slices.Contains(l.Halls, hallOf(h))
 		switch {
-		case lost && l.Kind == outlook.Links:
+		case lost && l.Kind == forecast.Links:
 			for o := range 3 {
 				if o != h {
-					x.net.Part(hallOf(h), hallOf(o), faults.Silent)
+					x.net.Part(hallOf(h), hallOf(o), faultinject.Silent)
 				}
 			}
 			for i := range trioKeepers {
 				for k := range i {
 					if (i%3 == h) != (k%3 == h) {
-						x.net.Part(fmt.Sprintf("g%d", i), fmt.Sprintf("g%d", k), faults.Silent)
+						x.net.Part(fmt.Sprintf("g%d", i), fmt.Sprintf("g%d", k), faultinject.Silent)
 					}
 				}
 			}
 			continue
-		case lost && l.Kind != outlook.Keepers:
+		case lost && l.Kind != forecast.Keepers:
 			for _, w := range x.workers[h] {
 				w.Down()
 			}
 			for o := range 3 { // a relay takes connections for workers that are no more
 				if o != h {
-					x.net.Part(hallOf(h), hallOf(o), faults.Reset)
+					x.net.Part(hallOf(h), hallOf(o), faultinject.Reset)
 				}
 			}
-		case !lost && l.Kind == outlook.Slowed:
+		case !lost && l.Kind == forecast.Slowed:
 			for _, w := range x.workers[h] {
 				w.Takes(2 * trioTakes)
 			}
@@ -321,16 +321,16 @@
 // workers were sent. In the usual form one loss, over some seconds and with wide bounds.
 func TestForetold(t *testing.T) {
 	type form struct {
-		kind        outlook.Kind
+		kind        forecast.Kind
 		perS, measS float64
 		rate        float64 // of each of twelve customers' quota
 		halls       []string
 	}
 	one, two := []string{hallOf(1)}, []string{hallOf(1), hallOf(2)}
-	forms := []form{{outlook.Whole, 210, 4, 30, one}}
+	forms := []form{{forecast.Whole, 210, 4, 30, one}}
 	if *foresee {
 		forms = nil
-		for k := outlook.Whole; k <= outlook.Slowed; k++ {
+		for k := forecast.Whole; k <= forecast.Slowed; k++ {
 			for _, perS := range []float64{140, 210, 270} {
 				forms = append(forms, form{k, perS, 16, 40, one})
 			}
@@ -341,13 +341,13 @@
 	for _, f := range forms {
 		t.Run(fmt.Sprintf("%v at %v of %v, %d", f.kind, f.perS, 12*f.rate, len(f.halls)), func(t *testing.T) {
 			x := newTrio(t, f.rate)
-			loss := outlook.Loss{Kind: f.kind, Halls: f.halls}
+			loss := forecast.Loss{Kind: f.kind, Halls: f.halls}
 			warm := 4.0
 			if *foresee {
 				warm = 11
 			}
 			s, wait := x.send(f.perS, warm, warm+f.measS, func(i int) bool {
-				return f.kind != outlook.Links && slices.Contains(f.halls, hallOf(i))
+				return f.kind != forecast.Links && slices.Contains(f.halls, hallOf(i))
 			})
 			began := time.Now()
 			time.Sleep(time.Until(began.Add(time.Duration((warm - 1) * float64(time.Second)))))
@@ -381,39 +381,39 @@
 	}
 	defer p.Close()
 	d.until(x, 2)
-	var all []traffic.Arrival
+	var all []workload.Arrival
 	for i := range 300 {
-		all = append(all, traffic.Arrival{At: float64(10 * i), Customer: i % 5, Product: i % 3, Units: 1, Set: i})
+		all = append(all, workload.Arrival{At: float64(10 * i), Customer: i % 5, Product: i % 3, Units: 1, Set: i})
 	}
-	j := &load.Job{Arrivals: all, Targets: d.targets(2), Spread: 2, Plans: []string{"basic", "capped"},
-		Most: 100, Products: []load.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond},
+	j := &loadgen.Job{Arrivals: all, Targets: d.targets(2), Spread: 2, Plans: []string{"basic", "capped"},
+		Most: 100, Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond},
 			{Name: "sale", Repeat: "referenced", Waits: 400 * time.Millisecond, Body: 20},
 			{Name: "issue", Repeat: "once", Waits: 400 * time.Millisecond, Body: 20}}}
 	if _, err := j.Run(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	var o outlook.Outlook
-	faults.Until(t, 10*time.Second, "words of both instances with answers in them", func() bool {
-		text, err := faults.Ask(p.At, "/fleet/outlook")
+	var o forecast.Outlook
+	faultinject.Until(t, 10*time.Second, "words of both instances with answers in them", func() bool {
+		text, err := faultinject.Ask(p.At, "/fleet/outlook")
 		return err == nil && json.Unmarshal([]byte(text), &o) == nil && len(o.Rests) == 2 && o.Now.InTime > 20 &&
 			len(o.Losses) > 0
 	})
 	if s := o.Rests[0]; s.Name != "g-0" || s.Host != "g" || s.Hall != "z" || len(o.Unheard) != 0 {
 		t.Errorf("%+v, unheard %v", o.Rests, o.Unheard)
 	}
-	page, err := faults.Ask(p.At, "/fleet/outlook?form=text")
+	page, err := faultinject.Ask(p.At, "/fleet/outlook?form=text")
 	if err != nil || !strings.Contains(page, "rests on 2 words") || !strings.Contains(page, "loss of hall: z") {
 		t.Errorf("%v: %s", err, page)
 	}
 	t.Log(page)
-	if stats, err := faults.Ask(p.At, "/fleet/stats"); err != nil ||
+	if stats, err := faultinject.Ask(p.At, "/fleet/stats"); err != nil ||
 		!strings.Contains(stats, "fleet.outlook.words=2") {
 		t.Errorf("%v: %s", err, stats)
 	}
 }
 
 // hold holds a forecast against what was seen.
-func (x *trio) hold(o *outlook.Outlook, l outlook.Loss, s *seen, at, span float64, taken time.Time) {
+func (x *trio) hold(o *forecast.Outlook, l forecast.Loss, s *seen, at, span float64, taken time.Time) {
 	t := x.t
 	for _, c := range o.Losses {
 		if !c.Loss.Same(l) {
--- a/internal/fleet/port.go
+++ b/internal/supervisor/port.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"willowdeck/internal/lifecycle"
-	"willowdeck/internal/relayd"
+	"willowdeck/internal/distribution/relay"
+	"willowdeck/internal/gateway/lifecycle"
 )
 
 // Port answers operators of the whole fleet.
@@ -39,7 +39,7 @@
 	})
 	if d.seat != nil {
 		mux.HandleFunc("GET "+lifecycle.LeasePath, d.lease)
-		mux.Handle("POST "+lifecycle.AskPath, relayd.NewHandler(d.ask))
+		mux.Handle("POST "+lifecycle.AskPath, relay.NewHandler(d.ask))
 	}
 	if d.seat != nil && d.seat.council != nil {
 		mux.HandleFunc("GET /fleet/council", d.sitting)
--- a/internal/fleet/recall_test.go
+++ b/internal/supervisor/recall_test.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"flag"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/load"
-	"willowdeck/internal/traffic"
+	"willowdeck/internal/lab/loadgen"
+	"willowdeck/internal/lab/workload"
 )
 
 var recallFor = flag.Duration("recall", 0, "how long instances are killed while too much of a quota is asked")
@@ -24,11 +24,11 @@
 }
 
 // job asks as arrivals say.
-func (d *deployed) job(all []traffic.Arrival) *load.Report {
+func (d *deployed) job(all []workload.Arrival) *loadgen.Report {
 	d.t.Helper()
-	j := &load.Job{Arrivals: all, Targets: d.targets(d.n), Spread: d.n,
+	j := &loadgen.Job{Arrivals: all, Targets: d.targets(d.n), Spread: d.n,
 		Plans: []string{"basic", "slow", "pressed"}, Most: 2000,
-		Products: []load.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}}}
+		Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}}}
 	r, err := j.Run(d.t.Context())
 	if err != nil {
 		d.t.Fatal(err)
@@ -69,11 +69,11 @@
 	defer x.Stop()
 	d.until(x, 1)
 	ask := func() int64 {
-		var all []traffic.Arrival
+		var all []workload.Arrival
 		for i := range 25 {
-			all = append(all, traffic.Arrival{At: float64(i * 5), Customer: 9, Plan: 1, Units: 1})
+			all = append(all, workload.Arrival{At: float64(i * 5), Customer: 9, Plan: 1, Units: 1})
 		}
-		return d.job(all).Counts["check"][load.Settled]
+		return d.job(all).Counts["check"][loadgen.Settled]
 	}
 	before := ask()
 	time.Sleep(500 * time.Millisecond) // some copies' time
@@ -100,18 +100,18 @@
 		d.write(d.n, fmt.Sprintf("recall = %t", recall))
 		x := d.daemon()
 		d.until(x, d.n)
-		var all []traffic.Arrival
+		var all []workload.Arrival
 		for at := 0.0; at < float64(*recallFor/time.Millisecond); at += 4 {
-			a := traffic.Arrival{At: at, Customer: len(all) % 7, Units: 1, Set: len(all)}
+			a := workload.Arrival{At: at, Customer: len(all) % 7, Units: 1, Set: len(all)}
 			if len(all)%2 == 0 {
 				a.Customer, a.Plan = 100, 2
 			}
 			all = append(all, a)
 		}
-		done := make(chan *load.Report, 1)
+		done := make(chan *loadgen.Report, 1)
 		go func() { done <- d.job(all) }()
 		rng, kills := rand.New(rand.NewSource(1)), 0
-		var report *load.Report
+		var report *loadgen.Report
 		for wait := time.NewTicker(300 * time.Millisecond); report == nil; {
 			select {
 			case report = <-done:
@@ -133,7 +133,7 @@
 		}
 		c := report.Counts["check"]
 		sent[recall] = n
-		settled[recall] = (float64(c[load.Settled]) - float64(n)) / float64(len(all)/2)
+		settled[recall] = (float64(c[loadgen.Settled]) - float64(n)) / float64(len(all)/2)
 		t.Logf("recall %t: %d kills, %d sent of the pressed quota, which gives %.0f; %.3f of the others settled; "+
 			"%v", recall, kills, n, 80+40*recallFor.Seconds(), settled[recall], c)
 		x.Stop()
--- a/internal/fleet/teller.go
+++ b/internal/supervisor/teller.go
@@ -1,15 +1,15 @@
-package fleet
+package supervisor
 
 import (
 	"fmt"
 	"math/rand"
 	"sync"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/council"
-	"willowdeck/internal/relay"
-	"willowdeck/internal/relayd"
-	"willowdeck/internal/resource"
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/distribution/relay"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/versioned"
 )
 
 // teller tells instances what has changed of the rules since they last asked, from what this daemon may tell.
@@ -23,9 +23,9 @@
 // telling is what instances are told: one for all of them, and one of its own for each that reaches others at
 // other addresses.
 type telling struct {
-	source         *relay.Source
+	source         *distribution.Source
 	step, number   uint64
-	rules, pending *resource.State
+	rules, pending *versioned.State
 }
 
 func newTeller(cluster string) *teller { return &teller{cluster: cluster, of: map[string]*telling{}} }
@@ -35,9 +35,9 @@
 const longestTold = 64 << 20
 
 // view is what a lease says as a view; rules are made entries once.
-func (t *telling) view(l *accord.Lease, now float64) (v relay.View, err error) {
+func (t *telling) view(l *ruleset.Lease, now float64) (v distribution.View, err error) {
 	if n := l.Version.Number; n != t.number || t.rules == nil {
-		if t.rules, err = accord.Entries(&l.Version); err != nil {
+		if t.rules, err = ruleset.Entries(&l.Version); err != nil {
 			return v, err
 		}
 		t.number = n
@@ -45,20 +45,31 @@
 	if l.Step != t.step {
 		t.pending = nil
 		if l.Pending != nil {
-			if t.pending, err = accord.Entries(&accord.Version{Number: l.Version.Number + 1,
+			if t.pending, err = ruleset.Entries(&ruleset.Version{Number: l.Version.Number + 1,
 				Rules: *l.Pending}); err != nil {
 				return v, err
 			}
 		}
 		t.step = l.Step
 	}
-	return relay.View{Step: l.Step, Settled: l.Settled, Begun: now - l.Age, Rules: t.rules, Pending: t.pending,
-		Index: -1}, nil
+	return distribution.View{
+		Step:    l.Step,
+		Settled: l.Settled,
+		Begun:   now - l.Age,
+		Rules:   t.rules,
+		Pending: t.pending,
+		Index:   -1,
+	}, nil
 }
 
 // answer answers an instance; own: it is told what no other is.
-func (t *teller) answer(a *relay.Ask, own bool, now float64, view func(*telling) (relay.View, error)) (
-	*relay.Answer, error) {
+func (t *teller) answer(
+	a *distribution.Ask,
+	own bool,
+	now float64,
+	view func(*telling) (distribution.View, error),
+) (
+	*distribution.Answer, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	name := ""
@@ -67,8 +78,10 @@
 	}
 	x := t.of[name]
 	if x == nil {
-		x = &telling{source: relay.NewSource(t.cluster, t.cluster, relay.Bounds{WholeRate: longestTold,
-			WholeBurst: longestTold, Life: rand.Uint64()})}
+		x = &telling{
+			source: distribution.NewSource(t.cluster, t.cluster, distribution.Bounds{WholeRate: longestTold,
+				WholeBurst: longestTold, Life: rand.Uint64()}),
+		}
 		t.of[name] = x
 	}
 	v, err := view(x)
@@ -81,19 +94,19 @@
 
 // ask answers an instance with what has changed of the rules, and how long ago they were in force. It waits
 // for nothing, as asked does.
-func (d *Daemon) ask(a *relay.Ask) (*relay.Answer, error) {
+func (d *Daemon) ask(a *distribution.Ask) (*distribution.Answer, error) {
 	if who, runs := d.pids.Load(a.Process); !runs || who != a.From {
-		return nil, &relayd.Refusal{Reason: "stranger",
+		return nil, &relay.Refusal{Reason: "stranger",
 			Says: fmt.Sprintf("%d is no process of %q that this daemon keeps", a.Process, a.From)}
 	}
-	now := council.Clock() // no later than the one by which the lease's age is counted
+	now := raftlog.Clock() // no later than the one by which the lease's age is counted
 	l, ok := d.seat.Asked(a.Process, a.From, a.Holds, a.Index)
 	if !ok {
-		return nil, &relayd.Refusal{Reason: "unconfirmed", Says: notConfirmed}
+		return nil, &relay.Refusal{Reason: "unconfirmed", Says: notConfirmed}
 	}
 	a.Cluster, a.Seen = d.seat.teller.cluster, nil // it knows of no cluster, and speaks of itself alone
 	own := d.rewrites(a.From)
-	told, err := d.seat.teller.answer(a, own, now, func(t *telling) (relay.View, error) {
+	told, err := d.seat.teller.answer(a, own, now, func(t *telling) (distribution.View, error) {
 		if d.seat.branch != nil && !own { // as it came, whether this program knows all of it or not
 			return d.seat.branch.given(), nil
 		}
--- a/internal/fleet/watcher_test.go
+++ b/internal/supervisor/watcher_test.go
@@ -1,4 +1,4 @@
-package fleet
+package supervisor
 
 import (
 	"bytes"
@@ -14,18 +14,18 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/outlook"
-	"willowdeck/logic"
+	"willowdeck/internal/forecast"
+	"willowdeck/internal/policy"
 )
 
 // told1 is a word that is in order, of one of three gatekeepers.
-func told1(number int, change func(*outlook.Word)) json.RawMessage {
-	w := &outlook.Word{Form: outlook.Form, Name: fmt.Sprintf("g%d", number), Host: "there", Hall: "east",
+func told1(number int, change func(*forecast.Word)) json.RawMessage {
+	w := &forecast.Word{Form: forecast.Form, Name: fmt.Sprintf("g%d", number), Host: "there", Hall: "east",
 		Group: "all", Number: number, Life: 4, Seq: 9, At: time.Now().UnixMilli(), Span: 10000,
-		Charter: logic.Charter{Gatekeepers: 3, Products: []logic.Product{{SLA: 500, Value: 1}},
-			Plans: []logic.Plan{{Rate: 10, Burst: 10, Factor: 1}}},
-		Products: []string{"check"}, Plans: []string{"basic"}, Flows: make([]outlook.Flow, 1),
-		Customers: make([]logic.PlanSight, 1)}
+		Charter: policy.Charter{Gatekeepers: 3, Products: []policy.Product{{SLA: 500, Value: 1}},
+			Plans: []policy.Plan{{Rate: 10, Burst: 10, Factor: 1}}},
+		Products: []string{"check"}, Plans: []string{"basic"}, Flows: make([]forecast.Flow, 1),
+		Customers: make([]policy.PlanSight, 1)}
 	if change != nil {
 		change(w)
 	}
@@ -40,27 +40,27 @@
 // it count.
 func TestBadNeighbours(t *testing.T) {
 	good := told1(0, nil)
-	later := func(w *outlook.Word) { w.Seq = 10 }
+	later := func(w *forecast.Word) { w.Seq = 10 }
 	for _, c := range []struct {
 		why, says string
 		answer    any // told, or what is sent as it stands
 		words     int
 	}{
-		{"version", "said by another version", []json.RawMessage{good, told1(1, func(w *outlook.Word) {
+		{"version", "said by another version", []json.RawMessage{good, told1(1, func(w *forecast.Word) {
 			w.Form = 9
 		})}, 1},
-		{"spoilt", "window: -1", []json.RawMessage{told1(1, func(w *outlook.Word) { w.Window = -1 }), good}, 1},
+		{"spoilt", "window: -1", []json.RawMessage{told1(1, func(w *forecast.Word) { w.Window = -1 }), good}, 1},
 		{"spoilt", "word:", []json.RawMessage{good, json.RawMessage(`{"Form":1,"At":"x"}`)}, 1},
 		{"spoilt", "unexpected end", "{", 0},
 		{"spoilt", "invalid character", `{"Form":1,"Host":"there","Words":[{"Form":1,"Window":NaN}]}`, 0},
 		{"spoilt", "0 ages for 1 words", `{"Form":1,"Host":"there","Words":[{"Form":1}]}`, 0},
 		{"spoilt", "age of -5 ms", `{"Form":1,"Host":"there","Words":[{"Form":1}],"Ages":[-5]}`, 0},
 		{"version", "form 2 of words", `{"Form":2,"Words":[]}`, 0},
-		{"stranger", "and so does g0 of there", []json.RawMessage{good, told1(0, func(w *outlook.Word) {
+		{"stranger", "and so does g0 of there", []json.RawMessage{good, told1(0, func(w *forecast.Word) {
 			w.Name, w.Life = "intruder", 99
 		})}, 1},
-		{"ahead", "clock is", []json.RawMessage{good, told1(1, func(w *outlook.Word) { w.At += 60000 })}, 1},
-		{"too_long", "over", strings.Repeat(" ", outlook.LongestWords+1), 0},
+		{"ahead", "clock is", []json.RawMessage{good, told1(1, func(w *forecast.Word) { w.At += 60000 })}, 1},
+		{"too_long", "over", strings.Repeat(" ", forecast.LongestWords+1), 0},
 		{"", "", []json.RawMessage{good, told1(0, later), told1(2, nil)}, 2},
 	} {
 		s := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
@@ -100,7 +100,7 @@
 			_ = json.NewEncoder(out).Encode(told{wordsForm, "there", []json.RawMessage{told1(2, nil)}, []float64{40}})
 			return
 		}
-		_, _ = out.Write(told1(0, func(w *outlook.Word) { w.Host = "here" }))
+		_, _ = out.Write(told1(0, func(w *forecast.Word) { w.Host = "here" }))
 	}))
 	defer s.Close()
 	at := s.Listener.Addr().String()
--- a/internal/standin/forward.go
+++ b/internal/testkit/fakes/forward.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"net"
@@ -9,7 +9,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"willowdeck/internal/ports"
+	"willowdeck/internal/testkit/ports"
 )
 
 // Asked is a question that an auth service was put.
--- a/internal/standin/standin.go
+++ b/internal/testkit/fakes/standin.go
@@ -1,7 +1,7 @@
-// Package standin is what a gatekeeper meets, on loopback and with faults by script: workers, discovery
+// Package fakes is what a gatekeeper meets, on loopback and with faults by script: workers, discovery
 // and a counter. For tests and for the laboratory; written from the protocol, and with no more in it than
 // they need.
-package standin
+package fakes
 
 import (
 	"bufio"
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
-	"willowdeck/internal/history"
-	"willowdeck/internal/ports"
+	"willowdeck/internal/testkit/history"
+	"willowdeck/internal/testkit/ports"
 )
 
 // Fault is what a worker does for a while, instead of answering.
--- a/internal/standin/standin_test.go
+++ b/internal/testkit/fakes/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/history"
+	"willowdeck/internal/testkit/history"
 )
 
 func TestCounter(t *testing.T) {
--- a/internal/faults/faults.go
+++ b/internal/testkit/faultinject/faults.go
@@ -1,10 +1,11 @@
-// Package faults runs processes of the real program on loopback and breaks what is between them, by a script
+// Package faultinject runs processes of the real program on loopback and breaks what is between them, by a
+// script
 // that a seed makes. It needs no privileges: links are broken in relays, processes by signals, disks between
 // two lives of a process or by a limit on its files. docs/rig.md is the page on it.
 //
 // What is decided (drawing a schedule, its order, what undoes a step, making it smaller) is free of I/O:
 // schedule.go, acts.go and shrink.go. Relays, processes and disks carry it out.
-package faults
+package faultinject
 
 import "time"
 
--- a/internal/faults/instance.go
+++ b/internal/testkit/faultinject/instance.go
@@ -1,4 +1,4 @@
-package faults
+package faultinject
 
 import (
 	"encoding/json"
--- a/internal/faults/play.go
+++ b/internal/testkit/faultinject/play.go
@@ -1,4 +1,4 @@
-package faults
+package faultinject
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"willowdeck/internal/history"
+	"willowdeck/internal/testkit/history"
 )
 
 // Stage is what a Player breaks. Its methods are called one at a time.
--- a/internal/faults/process.go
+++ b/internal/testkit/faultinject/process.go
@@ -1,4 +1,4 @@
-package faults
+package faultinject
 
 import (
 	"errors"
@@ -20,7 +20,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"willowdeck/internal/ports"
+	"willowdeck/internal/testkit/ports"
 )
 
 var (
--- a/internal/faults/process_test.go
+++ b/internal/testkit/faultinject/process_test.go
@@ -1,4 +1,4 @@
-package faults
+package faultinject
 
 import (
 	"bytes"
@@ -16,9 +16,9 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/load"
-	"willowdeck/internal/standin"
-	"willowdeck/internal/traffic"
+	"willowdeck/internal/lab/loadgen"
+	"willowdeck/internal/lab/workload"
+	"willowdeck/internal/testkit/fakes"
 )
 
 var (
@@ -247,12 +247,12 @@
 
 func runTwo(t *testing.T, seed int64) *two {
 	t.Helper()
-	w, err := standin.NewWorker("w0", time.Millisecond)
+	w, err := fakes.NewWorker("w0", time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	list, err := standin.NewDiscovery(w.Of("z"))
+	list, err := fakes.NewDiscovery(w.Of("z"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -314,12 +314,12 @@
 
 // hot has a customer ask at both for more than its first slices there, so that they talk of it.
 func (d *two) hot() {
-	var all []traffic.Arrival
+	var all []workload.Arrival
 	for i := range int(*long/time.Millisecond)/5 + 4000 { // as long as any test here takes
-		all = append(all, traffic.Arrival{At: float64(i) * 5, Customer: 1, Units: 1, Set: i})
+		all = append(all, workload.Arrival{At: float64(i) * 5, Customer: 1, Units: 1, Set: i})
 	}
-	j := &load.Job{Arrivals: all, Targets: d.at, Spread: len(names), Plans: []string{"basic"}, Most: 200,
-		Products: []load.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}}}
+	j := &loadgen.Job{Arrivals: all, Targets: d.at, Spread: len(names), Plans: []string{"basic"}, Most: 200,
+		Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}}}
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan error)
 	go func() {
--- a/internal/faults/relay_test.go
+++ b/internal/testkit/faultinject/relay_test.go
@@ -1,4 +1,4 @@
-package faults
+package faultinject
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"willowdeck/internal/ports"
+	"willowdeck/internal/testkit/ports"
 )
 
 // ends are sockets for datagrams, as gatekeepers have them, with relays between.
--- a/internal/faults/schedule.go
+++ b/internal/testkit/faultinject/schedule.go
@@ -1,4 +1,4 @@
-package faults
+package faultinject
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"willowdeck/internal/strict"
+	"willowdeck/internal/strictoml"
 )
 
 // Kind is what a step of a schedule does.
@@ -280,7 +280,7 @@
 // Parse reads what String has written, or a schedule written by hand, and checks it. An error names the key.
 func Parse(text string) (Schedule, error) {
 	var s Schedule
-	if err := strict.Decode(text, &s); err != nil {
+	if err := strictoml.Decode(text, &s); err != nil {
 		return s, err
 	}
 	return s, s.Check()
--- a/internal/faults/schedule_test.go
+++ b/internal/testkit/faultinject/schedule_test.go
@@ -1,4 +1,4 @@
-package faults
+package faultinject
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"pgregory.net/rapid"
 
-	"willowdeck/internal/history"
+	"willowdeck/internal/testkit/history"
 )
 
 func init() { // the same draws each time; -rapid.seed gives others
--- a/internal/faults/stream.go
+++ b/internal/testkit/faultinject/stream.go
@@ -1,4 +1,4 @@
-package faults
+package faultinject
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"willowdeck/internal/ports"
+	"willowdeck/internal/testkit/ports"
 )
 
 // stream takes one end's connections to another and passes them on.
--- a/internal/history/check_test.go
+++ b/internal/testkit/history/check_test.go
@@ -12,8 +12,8 @@
 	"github.com/rs/zerolog"
 	"pgregory.net/rapid"
 
-	"willowdeck/internal/accord"
-	"willowdeck/internal/judge"
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/testkit/invariants"
 )
 
 // Seeds are fixed unless asked for otherwise (-args -rapid.seed N, -rapid.checks N).
@@ -92,16 +92,16 @@
 
 // What the tests go by: versions 1, 2 and 4 have one ceiling, 3 a lower one.
 var (
-	low       = []accord.Plan{{Name: "p", Rate: 10, Burst: 5, CeilingRate: 10, CeilingDepth: 5}}
-	high      = []accord.Plan{{Name: "p", Rate: 10, Burst: 5, CeilingRate: 20, CeilingDepth: 5}}
-	byVersion = Plainly(map[uint64]accord.Rules{1: {Plans: high, Fallback: accord.Fallback{Part: 0.4}},
+	low       = []ruleset.Plan{{Name: "p", Rate: 10, Burst: 5, CeilingRate: 10, CeilingDepth: 5}}
+	high      = []ruleset.Plan{{Name: "p", Rate: 10, Burst: 5, CeilingRate: 20, CeilingDepth: 5}}
+	byVersion = Plainly(map[uint64]ruleset.Rules{1: {Plans: high, Fallback: ruleset.Fallback{Part: 0.4}},
 		2: {Plans: high}, 3: {Plans: low}, 4: {Plans: high},
-		6: {Plans: high, Fallback: accord.Fallback{Part: 0.6}},
-		5: {Plans: high, Words: []accord.Word{{Worker: "w", Barred: true}}}})
+		6: {Plans: high, Fallback: ruleset.Fallback{Part: 0.6}},
+		5: {Plans: high, Words: []ruleset.Word{{Worker: "w", Barred: true}}}})
 	cast = Cast{Gatekeepers: []string{"a", "b"}, Workers: []string{"w", "v"}, Products: []string{"ask", "pay"},
 		Plans: []string{"p"}}
-	fiveRules = judge.Rules{Products: []judge.Product{{}, {Repeat: judge.Once}},
-		Plans: []judge.Plan{{Ceiling: 10, Depth: 5}}, Slack: 10, Grace: 250,
+	fiveRules = invariants.Rules{Products: []invariants.Product{{}, {Repeat: invariants.Once}},
+		Plans: []invariants.Plan{{Ceiling: 10, Depth: 5}}, Slack: 10, Grace: 250,
 		Capacity: 1, ColdFrom: 0.1, WarmUp: 3000, Tips: 0.01, TipsAfter: 1000}
 )
 
--- a/internal/history/contradict.go
+++ b/internal/testkit/history/contradict.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"willowdeck/internal/accord"
+	"willowdeck/internal/ruleset"
 )
 
 // Stance is what a gatekeeper goes by.
@@ -22,7 +22,7 @@
 // part of its slice of a ceiling is more than a slice of the other version's, or where that has other
 // members; one that goes by no version clashes with none. Versions without rules here clash with all
 // others.
-func Plainly(rules map[uint64]accord.Rules) Clash {
+func Plainly(rules map[uint64]ruleset.Rules) Clash {
 	return func(first, second Stance) bool {
 		if first.Version == second.Version || first.Mode == Bare || second.Mode == Bare {
 			return false
@@ -41,7 +41,7 @@
 
 // Leases is a Clash of two leases that contradict: together more may pass than the later version allows. What
 // a fallback may not do is seen in what workers are sent.
-func Leases(rules map[uint64]accord.Rules) Clash {
+func Leases(rules map[uint64]ruleset.Rules) Clash {
 	return func(first, second Stance) bool {
 		a, known := rules[first.Version]
 		b, too := rules[second.Version]
@@ -49,19 +49,19 @@
 		if !leased || first.Version == second.Version || !known || !too {
 			return false
 		}
-		s := accord.Stance{Members: a.Members}
+		s := ruleset.Stance{Members: a.Members}
 		for i := range a.Plans {
-			s.Parts = append(s.Parts, accord.Share(&a, i, 0))
+			s.Parts = append(s.Parts, ruleset.Share(&a, i, 0))
 		}
-		return accord.Contradicts([]accord.Stance{s}, &b) != ""
+		return ruleset.Contradicts([]ruleset.Stance{s}, &b) != ""
 	}
 }
 
 // beyond tells whether the fallback of rules lets more through of some plan than others do.
-func beyond(fallback, others accord.Rules) bool {
+func beyond(fallback, others ruleset.Rules) bool {
 	part := fallback.Fallback.Part
 	for _, p := range fallback.Plans {
-		i := slices.IndexFunc(others.Plans, func(q accord.Plan) bool { return q.Name == p.Name })
+		i := slices.IndexFunc(others.Plans, func(q ruleset.Plan) bool { return q.Name == p.Name })
 		if i < 0 || others.Plans[i].CeilingRate == 0 {
 			continue
 		}
@@ -74,25 +74,25 @@
 }
 
 // limits gives the hard limits and credit lines, in order.
-func limits(r accord.Rules) []accord.Plan {
-	var out []accord.Plan
+func limits(r ruleset.Rules) []ruleset.Plan {
+	var out []ruleset.Plan
 	for _, p := range r.Plans {
-		out = append(out, accord.Plan{Name: p.Name, CeilingRate: p.CeilingRate, CeilingDepth: p.CeilingDepth,
+		out = append(out, ruleset.Plan{Name: p.Name, CeilingRate: p.CeilingRate, CeilingDepth: p.CeilingDepth,
 			Credit: p.Credit * p.Rate, Repay: p.Repay})
 	}
-	slices.SortFunc(out, func(a, b accord.Plan) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b ruleset.Plan) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
 // bars gives what nothing may be sent to, in order.
-func bars(r accord.Rules) []accord.Word {
-	var out []accord.Word
+func bars(r ruleset.Rules) []ruleset.Word {
+	var out []ruleset.Word
 	for _, w := range r.Words {
 		if w.Barred || w.Drained {
-			out = append(out, accord.Word{Worker: w.Worker, Hall: w.Hall, Barred: w.Barred, Drained: w.Drained})
+			out = append(out, ruleset.Word{Worker: w.Worker, Hall: w.Hall, Barred: w.Barred, Drained: w.Drained})
 		}
 	}
-	slices.SortFunc(out, func(a, b accord.Word) int {
+	slices.SortFunc(out, func(a, b ruleset.Word) int {
 		return cmp.Or(cmp.Compare(a.Hall, b.Hall), cmp.Compare(a.Worker, b.Worker))
 	})
 	return out
--- a/internal/history/golden_test.go
+++ b/internal/testkit/history/golden_test.go
@@ -7,7 +7,7 @@
 	"regexp"
 	"testing"
 
-	"willowdeck/internal/goldentest"
+	"willowdeck/internal/testkit/goldentest"
 )
 
 // goldenEvents are what events.jsonl holds: an event that says all, and one of each kind. The file was
--- a/internal/history/replay.go
+++ b/internal/testkit/history/replay.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"slices"
 
-	"willowdeck/internal/judge"
+	"willowdeck/internal/testkit/invariants"
 )
 
-// Cast names those whom judge.Rules number: the place of a name is its number there.
+// Cast names those whom invariants.Rules number: the place of a name is its number there.
 type Cast struct {
 	Gatekeepers, Workers, Products, Plans []string
 }
@@ -24,7 +24,7 @@
 // replay is one record on its way into judge.
 type replay struct {
 	*Judged
-	j       *judge.Judge
+	j       *invariants.Judge
 	numbers [4]map[string]int
 	txns    map[string]*asked
 	first   int64
@@ -48,7 +48,8 @@
 	ended              bool
 }
 
-// Judge tells a record to internal/judge, which stays the one place of the five rules: txns by what clients
+// Judge tells a record to internal/testkit/invariants, which stays the one place of the five rules: txns by
+// what clients
 // recorded (Asks with Product, Plan, Customer, Units, Peer and Expiry; Ends), submissions by gatekeepers
 // (Sends, with Serial where one worker gets a txn more than once), runs by workers (Ran), ends of
 // submissions by either (Back), words on workers by gatekeepers (Told; one that says active tells of the
@@ -57,9 +58,9 @@
 //
 // What a record cannot give: a submission whose connection broke is known by its gatekeeper's word alone,
 // so a Back of a gatekeeper that says NeverRan is believed unless a worker's record has the submission.
-func Judge(r Record, cast Cast, rules judge.Rules) Judged {
+func Judge(r Record, cast Cast, rules invariants.Rules) Judged {
 	var out Judged
-	p := &replay{Judged: &out, j: judge.New(rules), txns: map[string]*asked{},
+	p := &replay{Judged: &out, j: invariants.New(rules), txns: map[string]*asked{},
 		starts: map[int]float64{}}
 	for i, names := range [][]string{cast.Gatekeepers, cast.Workers, cast.Products, cast.Plans} {
 		p.numbers[i] = map[string]int{}
@@ -203,11 +204,11 @@
 		case Left:
 			p.j.Left(t.id)
 		case Settled:
-			p.j.Answered(at, t.id, judge.Settled)
+			p.j.Answered(at, t.id, invariants.Settled)
 		case Declined:
-			p.j.Answered(at, t.id, judge.Declined)
+			p.j.Answered(at, t.id, invariants.Declined)
 		case Voided:
-			p.j.Answered(at, t.id, judge.Voided)
+			p.j.Answered(at, t.id, invariants.Voided)
 		default:
 			p.odd(e, "no such answer")
 		}
@@ -277,13 +278,13 @@
 	}
 	s := &t.subs[n]
 	byGatekeeper := e.Who == s.gatekeeper
-	end := judge.MayHaveRun
+	end := invariants.MayHaveRun
 	switch {
 	case e.Says == NeverRan && (!byGatekeeper || !p.came[arrival{e.Txn, s.worker, e.Serial}]):
-		end = judge.NeverRan
+		end = invariants.NeverRan
 	case e.Says == NeverRan, e.Says == MayRun:
 	case e.Says == Answered:
-		end = judge.Answered
+		end = invariants.Answered
 	default:
 		p.odd(e, "no such end")
 		return
--- a/internal/judge/judge.go
+++ b/internal/testkit/invariants/judge.go
@@ -1,7 +1,7 @@
-// Package judge checks the five rules over a run. It is told facts in the order of time, by whoever saw
+// Package invariants checks the five rules over a run. It is told facts in the order of time, by whoever saw
 // them, and keeps books of its own; it knows nothing of how gatekeepers decide and shares no code with
 // them.
-package judge
+package invariants
 
 import (
 	"fmt"
--- a/internal/judge/judge_test.go
+++ b/internal/testkit/invariants/judge_test.go
@@ -1,4 +1,4 @@
-package judge
+package invariants
 
 import "testing"
 
--- a/internal/knownred/main.go
+++ b/internal/testkit/knownred/main.go
@@ -1,11 +1,11 @@
 // Knownred runs go test and passes over just the failures that KNOWN-RED.txt at the root names. Without that
 // file nothing is passed over; .ci/run uses go test itself then.
 //
-//	go run ./internal/knownred -count=1 -p 2 ./...
+//	go run ./internal/testkit/knownred -count=1 -p 2 ./...
 //
 // A line is a test, its cause and the issue it is in: PACKAGE.TEST, CAUSE, ISSUE, for instance
 //
-//	internal/fleet.TestFullHost/disk, a record that is cut short is read as whole, issue 12
+//	internal/supervisor.TestFullHost/disk, a record that is cut short is read as whole, issue 12
 //
 // Subtests of a test that is named are named with it. One that fails by a named subtest alone is passed over
 // as well; one that says something itself is not.
--- a/internal/knownred/main_test.go
+++ b/internal/testkit/knownred/main_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestParse(t *testing.T) {
-	line := "internal/fleet.TestFullHost/a,b, it breaks, now and then, issue 12"
+	line := "internal/supervisor.TestFullHost/a,b, it breaks, now and then, issue 12"
 	for _, c := range []struct {
 		name, text string
 		n          int // -1 where it is refused
@@ -18,10 +18,10 @@
 		{"one", line + "\n", 1},
 		{"three", line + "\n" + line + "\n" + line, 3},
 		{"four", strings.Repeat(line+"\n", 4), -1},
-		{"no cause", "internal/fleet.TestFullHost, issue 12\n", -1},
-		{"no issue", "internal/fleet.TestFullHost, it breaks, \n", -1},
-		{"no test", "internal/fleet, it breaks, issue 12\n", -1},
-		{"a whole package", "internal/fleet.Test, it breaks, issue 12\n", -1},
+		{"no cause", "internal/supervisor.TestFullHost, issue 12\n", -1},
+		{"no issue", "internal/supervisor.TestFullHost, it breaks, \n", -1},
+		{"no test", "internal/supervisor, it breaks, issue 12\n", -1},
+		{"a whole package", "internal/supervisor.Test, it breaks, issue 12\n", -1},
 		{"no package", "TestFullHost, it breaks, issue 12\n", -1},
 		{"an empty line", line + "\n\n", -1},
 	} {
@@ -30,7 +30,7 @@
 			t.Errorf("%s: %v, %v", c.name, all, err)
 		}
 		for _, r := range all {
-			if r.name != "willowdeck/internal/fleet/TestFullHost/a,b" {
+			if r.name != "willowdeck/internal/supervisor/TestFullHost/a,b" {
 				t.Errorf("%s: %q", c.name, r.name)
 			}
 		}
--- a/internal/journal/book.go
+++ b/internal/txnjournal/book.go
@@ -1,4 +1,4 @@
-package journal
+package txnjournal
 
 import (
 	"fmt"
--- a/internal/journal/golden_test.go
+++ b/internal/txnjournal/golden_test.go
@@ -1,9 +1,9 @@
-package journal
+package txnjournal
 
 import (
 	"testing"
 
-	"willowdeck/internal/goldentest"
+	"willowdeck/internal/testkit/goldentest"
 )
 
 const goldenNumber = 0x0102030405060708 // of the golden segment
--- a/internal/journal/journal.go
+++ b/internal/txnjournal/journal.go
@@ -1,8 +1,8 @@
-// Package journal decides what a durable journal of once-only txns says: how its records are written and
+// Package txnjournal decides what a durable journal of once-only txns says: how its records are written and
 // read, what may be believed of a damaged one, which of three answers an agent gets who asks whether a txn
 // went out, and when segments begin, are checked out and are let go. It does no I/O. Times are Unix ms by the
 // system's clock; package store keeps the files.
-package journal
+package txnjournal
 
 import "math"
 
--- a/internal/journal/store/bench_test.go
+++ b/internal/txnjournal/store/bench_test.go
@@ -4,24 +4,29 @@
 	"fmt"
 	"testing"
 
-	"willowdeck/internal/journal"
+	"willowdeck/internal/txnjournal"
 )
 
 // Reading 4 MB of txns, as at a start.
 func BenchmarkRead(b *testing.B) {
-	m, t := NewMemory(1), journal.DefaultTerms()
+	m, t := NewMemory(1), txnjournal.DefaultTerms()
 	l, err := Open(m, t, Who{}, 1e12, false)
 	if err != nil {
 		b.Fatal(err)
 	}
 	for n := uint64(0); l.Segments() < 2; {
-		var all []journal.Record
+		var all []txnjournal.Record
 		for range 200 {
 			n++
-			r := journal.Record{Kind: journal.Meant, At: 1e12 + float64(n), Sub: journal.Sub{Number: n}, Worker: "w1",
-				Txn: journal.Txn{Customer: n % 100, Mark: fmt.Sprintf("%016x", n), Product: "tag-issue"}}
+			r := txnjournal.Record{
+				Kind:   txnjournal.Meant,
+				At:     1e12 + float64(n),
+				Sub:    txnjournal.Sub{Number: n},
+				Worker: "w1",
+				Txn:    txnjournal.Txn{Customer: n % 100, Mark: fmt.Sprintf("%016x", n), Product: "tag-issue"},
+			}
 			all = append(all, r)
-			r.Kind, r.End = journal.Ended, journal.Settled
+			r.Kind, r.End = txnjournal.Ended, txnjournal.Settled
 			all = append(all, r)
 		}
 		if err := l.Commit(all, 1e12); err != nil {
--- a/internal/journal/store/disk.go
+++ b/internal/txnjournal/store/disk.go
@@ -1,5 +1,5 @@
 // Package store keeps a journal's files: it commits records in groups, makes new segments, lets old ones go,
-// and reads all of them at a start. What the records say is package journal's.
+// and reads all of them at a start. What the records say is package txnjournal's.
 package store
 
 import (
--- a/internal/journal/store/golden_test.go
+++ b/internal/txnjournal/store/golden_test.go
@@ -7,8 +7,8 @@
 	"slices"
 	"testing"
 
-	"willowdeck/internal/goldentest"
-	"willowdeck/internal/journal"
+	"willowdeck/internal/testkit/goldentest"
+	"willowdeck/internal/txnjournal"
 )
 
 // The golden files are the two segments of a directory as goldenWrite left it, but for the blank bytes
@@ -18,24 +18,24 @@
 
 const goldenAt = 1.7e12 // Unix ms
 
-func goldenRecord(kind journal.Kind, mark string, end journal.End) journal.Record {
-	return journal.Record{Kind: kind, At: goldenAt + 1.5,
-		Txn: journal.Txn{Customer: 0x3132333435363738, Mark: mark, Product: "sale", Digest: 0x41424344},
-		Sub: journal.Sub{Number: 0x5152535455565758, N: 3}, Worker: "w3", Expiry: goldenAt + 2.5, End: end,
-		Answer: journal.Answer{Type: "text/plain", Coding: "gzip", Body: []byte("body"), Whole: true}}
+func goldenRecord(kind txnjournal.Kind, mark string, end txnjournal.End) txnjournal.Record {
+	return txnjournal.Record{Kind: kind, At: goldenAt + 1.5,
+		Txn: txnjournal.Txn{Customer: 0x3132333435363738, Mark: mark, Product: "sale", Digest: 0x41424344},
+		Sub: txnjournal.Sub{Number: 0x5152535455565758, N: 3}, Worker: "w3", Expiry: goldenAt + 2.5, End: end,
+		Answer: txnjournal.Answer{Type: "text/plain", Coding: "gzip", Body: []byte("body"), Whole: true}}
 }
 
 // goldenWrite has two lives write a journal in a directory.
 func goldenWrite(t *testing.T, dir string) {
 	t.Helper()
 	who := Who{Name: "gateway-7", Boot: 0x15161718, Offset: 1234.5}
-	terms := journal.DefaultTerms()
-	terms.Policy, terms.Segment = journal.Serve, journal.LeastSegment
-	for _, groups := range [][][]journal.Record{
-		{{goldenRecord(journal.Meant, "one", journal.Open)}, {goldenRecord(journal.Meant, "two", journal.Open),
-			goldenRecord(journal.Ended, "one", journal.Settled)}},
-		{{goldenRecord(journal.Meant, "three", journal.Open)},
-			{goldenRecord(journal.Ended, "three", journal.Never), {Kind: journal.Gone, At: goldenAt + 3.5}}},
+	terms := txnjournal.DefaultTerms()
+	terms.Policy, terms.Segment = txnjournal.Serve, txnjournal.LeastSegment
+	for _, groups := range [][][]txnjournal.Record{
+		{{goldenRecord(txnjournal.Meant, "one", txnjournal.Open)}, {goldenRecord(txnjournal.Meant, "two", txnjournal.Open),
+			goldenRecord(txnjournal.Ended, "one", txnjournal.Settled)}},
+		{{goldenRecord(txnjournal.Meant, "three", txnjournal.Open)},
+			{goldenRecord(txnjournal.Ended, "three", txnjournal.Never), {Kind: txnjournal.Gone, At: goldenAt + 3.5}}},
 	} {
 		log, err := Open(Dir(dir), terms, who, goldenAt, false)
 		if err != nil {
@@ -67,7 +67,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(b) != journal.LeastSegment {
+		if len(b) != txnjournal.LeastSegment {
 			t.Errorf("%s has %d bytes", name, len(b))
 		}
 		old := goldentest.Hex(t, name+".hex")
@@ -82,12 +82,12 @@
 func TestGoldenDirectoryRead(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range goldenSegments {
-		b := append(goldentest.Hex(t, name+".hex"), make([]byte, journal.LeastSegment)...)
-		if err := os.WriteFile(filepath.Join(dir, name), b[:journal.LeastSegment], 0o600); err != nil {
+		b := append(goldentest.Hex(t, name+".hex"), make([]byte, txnjournal.LeastSegment)...)
+		if err := os.WriteFile(filepath.Join(dir, name), b[:txnjournal.LeastSegment], 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	log, err := Open(Dir(dir), journal.DefaultTerms(), Who{Name: "gateway-7"}, goldenAt+9000, false)
+	log, err := Open(Dir(dir), txnjournal.DefaultTerms(), Who{Name: "gateway-7"}, goldenAt+9000, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,9 +96,9 @@
 		log.Life() != 3 {
 		t.Errorf("found %+v, life %d", f, log.Life())
 	}
-	log.Ask(func(book *journal.Book) {
-		for mark, want := range map[string]journal.Verdict{"one": journal.SentSettled, "two": journal.SentUnknown,
-			"three": journal.NotSent} {
+	log.Ask(func(book *txnjournal.Book) {
+		for mark, want := range map[string]txnjournal.Verdict{"one": txnjournal.SentSettled, "two": txnjournal.SentUnknown,
+			"three": txnjournal.NotSent} {
 			txn, verdict := book.Known(0x3132333435363738, mark)
 			if verdict != want {
 				t.Errorf("%s is %v, want %v", mark, verdict, want)
--- a/internal/journal/store/keeper.go
+++ b/internal/txnjournal/store/keeper.go
@@ -8,8 +8,8 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/breaker"
-	"willowdeck/internal/journal"
+	"willowdeck/internal/circuitbreaker"
+	"willowdeck/internal/txnjournal"
 )
 
 const (
@@ -22,7 +22,7 @@
 // Keeper keeps a journal while a gatekeeper runs: txns wait in Meant for their group, and for nothing else.
 // Its methods may be called from any goroutine.
 type Keeper struct {
-	terms journal.Terms
+	terms txnjournal.Terms
 	log   zerolog.Logger
 	epoch time.Time
 	kick  chan struct{}
@@ -33,7 +33,7 @@
 
 	mu       sync.Mutex
 	j        *Log // nil until it is open
-	breaker  *breaker.Breaker
+	breaker  *circuitbreaker.Breaker
 	waiting  []queued
 	bytes    int
 	since    time.Time // when the commit under way began; zero without one
@@ -47,7 +47,7 @@
 
 // queued is a record that waits for the disk, and who waits for it.
 type queued struct {
-	journal.Record
+	txnjournal.Record
 	durable chan bool // takes one word; nil where nobody waits
 	size    int
 }
@@ -63,10 +63,10 @@
 
 // Keep begins to keep a journal: it is read beside the caller. Same as Open, beside tells of a process that
 // goes on telling ends until Settle.
-func Keep(d Disk, t journal.Terms, who Who, beside bool, seed int64, log zerolog.Logger) *Keeper {
+func Keep(d Disk, t txnjournal.Terms, who Who, beside bool, seed int64, log zerolog.Logger) *Keeper {
 	k := &Keeper{terms: t, log: log, epoch: time.Now(), kick: make(chan struct{}, 1), stop: make(chan struct{}),
 		over: make(chan struct{}), ready: make(chan struct{}), settled: !beside,
-		breaker: breaker.New(t.After, t.Pause, t.MostPause, rand.New(rand.NewSource(seed)))}
+		breaker: circuitbreaker.New(t.After, t.Pause, t.MostPause, rand.New(rand.NewSource(seed)))}
 	go k.run(d, who, beside)
 	return k
 }
@@ -79,8 +79,8 @@
 
 // Known gives what is known of a customer's txn, once the journal has been read. It is false where that takes
 // longer than so long, or the journal can't be had: nothing is known then, and Meant lets nothing out.
-func (k *Keeper) Known(customer uint64, mark string, within time.Duration) (e journal.Entry,
-	v journal.Verdict, ok bool) {
+func (k *Keeper) Known(customer uint64, mark string, within time.Duration) (e txnjournal.Entry,
+	v txnjournal.Verdict, ok bool) {
 	if !k.await(within) {
 		return e, v, false
 	}
@@ -90,7 +90,7 @@
 	if j == nil {
 		return e, v, false
 	}
-	j.Ask(func(b *journal.Book) { e, v = b.Known(customer, mark) })
+	j.Ask(func(b *txnjournal.Book) { e, v = b.Known(customer, mark) })
 	return e, v, true
 }
 
@@ -114,7 +114,13 @@
 // Meant writes down that a submission is about to be sent, and tells whether it may be. It returns once that
 // is durable, or at the latest at until or when the terms' wait has passed. However it goes, Ended is to be
 // told.
-func (k *Keeper) Meant(t journal.Txn, s journal.Sub, worker string, expiry float64, until time.Time) bool {
+func (k *Keeper) Meant(
+	t txnjournal.Txn,
+	s txnjournal.Sub,
+	worker string,
+	expiry float64,
+	until time.Time,
+) bool {
 	wait := min(time.Duration(k.terms.Wait*float64(time.Millisecond)), time.Until(until))
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -124,7 +130,7 @@
 	if math.IsInf(expiry, 0) {
 		expiry = 0
 	}
-	r := journal.Record{Kind: journal.Meant, At: wall(), Txn: t, Sub: s, Worker: worker, Expiry: expiry}
+	r := txnjournal.Record{Kind: txnjournal.Meant, At: wall(), Txn: t, Sub: s, Worker: worker, Expiry: expiry}
 	k.mu.Lock()
 	if k.j != nil && k.went(t) {
 		k.mu.Unlock()
@@ -155,10 +161,10 @@
 }
 
 // went tells, under the lock, whether a txn may have gone out before.
-func (k *Keeper) went(t journal.Txn) (went bool) {
-	k.j.Ask(func(b *journal.Book) {
+func (k *Keeper) went(t txnjournal.Txn) (went bool) {
+	k.j.Ask(func(b *txnjournal.Book) {
 		_, v := b.Known(t.Customer, t.Mark)
-		went = v != journal.NotSent
+		went = v != txnjournal.NotSent
 	})
 	return went
 }
@@ -180,13 +186,19 @@
 // by the one process whose journal it is, and not before the last promise to the contrary has run out. Nor
 // before the first: a life of which the journal knows nothing sends nothing that it does not know.
 func (k *Keeper) unwritten() bool {
-	return k.terms.Policy == journal.Serve && k.promised && !k.retired && k.age() > k.cover
+	return k.terms.Policy == txnjournal.Serve && k.promised && !k.retired && k.age() > k.cover
 }
 
 // Ended writes down how a submission ended. It never waits.
-func (k *Keeper) Ended(t journal.Txn, s journal.Sub, worker string, end journal.End, a journal.Answer) {
+func (k *Keeper) Ended(
+	t txnjournal.Txn,
+	s txnjournal.Sub,
+	worker string,
+	end txnjournal.End,
+	a txnjournal.Answer,
+) {
 	if len(a.Body) > k.terms.Answer {
-		a = journal.Answer{}
+		a = txnjournal.Answer{}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -194,17 +206,19 @@
 		return
 	}
 	written := false
-	k.j.Ask(func(b *journal.Book) { written = b.Open(t, k.j.Life(), s) })
-	if !written && end == journal.Never {
+	k.j.Ask(func(b *txnjournal.Book) { written = b.Open(t, k.j.Life(), s) })
+	if !written && end == txnjournal.Never {
 		return // it was refused
 	}
-	k.push(journal.Record{Kind: journal.Ended, At: wall(), Txn: t, Sub: s, Worker: worker, End: end, Answer: a},
-		nil)
+	k.push(
+		txnjournal.Record{Kind: txnjournal.Ended, At: wall(), Txn: t, Sub: s, Worker: worker, End: end, Answer: a},
+		nil,
+	)
 }
 
 // push queues a record, under the lock. What waits stays bounded: an end that is not written down leaves its
 // txn unknown.
-func (k *Keeper) push(r journal.Record, durable chan bool) {
+func (k *Keeper) push(r txnjournal.Record, durable chan bool) {
 	r.Life = k.j.Life()
 	k.j.Take(r)
 	q := queued{r, durable, aRecord + len(r.Answer.Body)}
@@ -234,7 +248,7 @@
 		}
 		k.open(d, who, beside)
 	}
-	if k.terms.Policy == journal.Serve {
+	if k.terms.Policy == txnjournal.Serve {
 		k.commit()
 	}
 	for k.rest() {
@@ -297,7 +311,7 @@
 			return true
 		}
 		idle := time.Hour
-		if k.terms.Policy == journal.Serve {
+		if k.terms.Policy == txnjournal.Serve {
 			idle = time.Duration(k.terms.Lease / 3 * float64(time.Millisecond))
 		}
 		t := time.NewTimer(idle)
@@ -320,7 +334,10 @@
 	now := wall()
 	group, all := k.gather(k.marks(now))
 	if len(all) == 0 && k.breaker.Tripped() {
-		all = append(all, journal.Record{Kind: journal.Covers, At: now, To: now}) // to see whether it goes again
+		all = append(
+			all,
+			txnjournal.Record{Kind: txnjournal.Covers, At: now, To: now},
+		) // to see whether it goes again
 	}
 	gathers := !k.breaker.Tripped()
 	j := k.j
@@ -376,7 +393,7 @@
 	if err != nil {
 		k.again(again)
 	}
-	j.Ask(func(b *journal.Book) { b.Trim(now) })
+	j.Ask(func(b *txnjournal.Book) { b.Trim(now) })
 }
 
 func (k *Keeper) window() time.Duration {
@@ -400,7 +417,7 @@
 }
 
 // gather takes what waits, under the lock, and gives its records behind others.
-func (k *Keeper) gather(all []journal.Record) ([]queued, []journal.Record) {
+func (k *Keeper) gather(all []txnjournal.Record) ([]queued, []txnjournal.Record) {
 	group := k.waiting
 	k.waiting, k.bytes = nil, 0
 	for _, q := range group {
@@ -437,15 +454,15 @@
 
 // marks gives what a group has to say besides its txns: that the clock was set, and under Serve how long
 // nothing is sent unwritten.
-func (k *Keeper) marks(now float64) (all []journal.Record) {
+func (k *Keeper) marks(now float64) (all []txnjournal.Record) {
 	if set := now - k.age(); math.Abs(set-k.set) > stepBy {
 		k.set = set
-		all = append(all, journal.Record{Kind: journal.Stepped, At: now, To: now})
+		all = append(all, txnjournal.Record{Kind: txnjournal.Stepped, At: now, To: now})
 	}
-	if age := k.age(); k.terms.Policy == journal.Serve && !k.retired && !k.breaker.Tripped() &&
+	if age := k.age(); k.terms.Policy == txnjournal.Serve && !k.retired && !k.breaker.Tripped() &&
 		k.cover < age+k.terms.Lease/2 { // a disk that is left alone is promised nothing
 		k.cover = age + k.terms.Lease
-		all = append(all, journal.Record{Kind: journal.Covers, At: now, To: now + k.terms.Lease})
+		all = append(all, txnjournal.Record{Kind: txnjournal.Covers, At: now, To: now + k.terms.Lease})
 	}
 	return all
 }
@@ -486,7 +503,7 @@
 		return
 	}
 	durable := make(chan bool, 1)
-	k.push(journal.Record{Kind: journal.Gone, At: wall()}, durable)
+	k.push(txnjournal.Record{Kind: txnjournal.Gone, At: wall()}, durable)
 	k.mu.Unlock()
 	select { // whoever waits now to send something has given up by the end of this
 	case <-durable:
@@ -518,7 +535,7 @@
 		return
 	}
 	var txns, answers int
-	j.Ask(func(b *journal.Book) { txns, answers = b.Len() })
+	j.Ask(func(b *txnjournal.Book) { txns, answers = b.Len() })
 	add("journal.txns", int64(txns))
 	add("journal.answer_bytes", int64(answers))
 	add("journal.segments", int64(j.Segments()))
--- a/internal/journal/store/keeper_test.go
+++ b/internal/txnjournal/store/keeper_test.go
@@ -9,37 +9,39 @@
 
 	"github.com/rs/zerolog"
 
-	"willowdeck/internal/journal"
+	"willowdeck/internal/txnjournal"
 )
 
 // quick are terms under which a test is over soon.
-func quick() journal.Terms {
-	t := journal.DefaultTerms()
+func quick() txnjournal.Terms {
+	t := txnjournal.DefaultTerms()
 	t.Segment, t.Segments = 4<<10, 8
 	t.Wait, t.Slow, t.Lease, t.Pause, t.MostPause = 300, 100, 200, 20, 40
 	return t
 }
 
-func keep(t *testing.T, d Disk, terms journal.Terms) *Keeper {
+func keep(t *testing.T, d Disk, terms txnjournal.Terms) *Keeper {
 	t.Helper()
 	k := Keep(d, terms, Who{Name: "g"}, false, 1, zerolog.Nop())
 	t.Cleanup(k.Close)
 	return k
 }
 
-func mark(name string) journal.Txn { return journal.Txn{Customer: 7, Mark: name, Product: "issue"} }
+func mark(name string) txnjournal.Txn {
+	return txnjournal.Txn{Customer: 7, Mark: name, Product: "issue"}
+}
 
 // means is one submission, from its intent on.
 func (k *Keeper) means(name string, n int) bool {
-	ok := k.Meant(mark(name), journal.Sub{Number: 1, N: n}, "w", 0, time.Now().Add(time.Second))
+	ok := k.Meant(mark(name), txnjournal.Sub{Number: 1, N: n}, "w", 0, time.Now().Add(time.Second))
 	if !ok { // as a gate does
-		k.ends(name, n, journal.Never)
+		k.ends(name, n, txnjournal.Never)
 	}
 	return ok
 }
 
-func (k *Keeper) ends(name string, n int, end journal.End) {
-	k.Ended(mark(name), journal.Sub{Number: 1, N: n}, "w", end, journal.Answer{})
+func (k *Keeper) ends(name string, n int, end txnjournal.End) {
+	k.Ended(mark(name), txnjournal.Sub{Number: 1, N: n}, "w", end, txnjournal.Answer{})
 }
 
 func (k *Keeper) figure(name string) (v int64) {
@@ -96,7 +98,7 @@
 			}
 			until(t, "it does not give up", func() bool {
 				for range 20 { // fill the segment
-					k.ends("a", 1, journal.MayRun)
+					k.ends("a", 1, txnjournal.MayRun)
 				}
 				refused()
 				return k.figure("down") == 1
@@ -126,7 +128,7 @@
 	for _, dies := range []bool{false, true} {
 		m := NewMemory(1)
 		terms := quick()
-		terms.Policy = journal.Serve
+		terms.Policy = txnjournal.Serve
 		k := keep(t, m, terms)
 		if !k.means("a", 0) {
 			t.Fatal("a well disk refuses")
@@ -138,8 +140,8 @@
 		}
 		until(t, "it does not serve", func() bool { return k.means("b", 0) })
 		asked := wall()
-		k.ends("b", 0, journal.MayRun)
-		if _, v, ok := k.Known(7, "b", time.Second); !ok || v != journal.SentUnknown {
+		k.ends("b", 0, txnjournal.MayRun)
+		if _, v, ok := k.Known(7, "b", time.Second); !ok || v != txnjournal.SentUnknown {
 			t.Errorf("it is not known here: %v", v)
 		}
 		m.script(func(m *Memory) { m.Away = false })
@@ -153,7 +155,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if v, _, _ := b.Answers("never seen", asked, asked, wall()); v != journal.SentUnknown {
+		if v, _, _ := b.Answers("never seen", asked, asked, wall()); v != txnjournal.SentUnknown {
 			t.Errorf("dies %v: in the time unwritten: %v", dies, v)
 		}
 	}
@@ -165,7 +167,7 @@
 	m := NewMemory(1)
 	m.Room = 0
 	terms := quick()
-	terms.Policy = journal.Serve
+	terms.Policy = txnjournal.Serve
 	k := keep(t, m, terms)
 	for end := time.Now().Add(3 * 200 * time.Millisecond); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if k.means("a", 0) {
@@ -218,7 +220,7 @@
 	m.Slow = func() { time.Sleep(10 * time.Millisecond) }
 	until(t, "it is not left alone", func() bool {
 		k.means("a", 0)
-		k.ends("a", 0, journal.Never)
+		k.ends("a", 0, txnjournal.Never)
 		return k.figure("down") == 1
 	})
 	if n := k.figure("failures"); n > 0 {
@@ -238,14 +240,14 @@
 	if !k.means("c", 0) {
 		t.Error("one failure takes the journal down")
 	}
-	k.ends("c", 0, journal.Settled)
+	k.ends("c", 0, txnjournal.Settled)
 	k.Close()
 	b, _, _, _, err := ReadAll(m.After(true), quick(), wall(), nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, want := range map[string]journal.Verdict{"a": journal.SentUnknown, "b": journal.NotSent,
-		"c": journal.SentSettled} {
+	for name, want := range map[string]txnjournal.Verdict{"a": txnjournal.SentUnknown, "b": txnjournal.NotSent,
+		"c": txnjournal.SentSettled} {
 		if _, v := b.Known(7, name); v != want {
 			t.Errorf("%s: %v, want %v", name, v, want)
 		}
@@ -256,7 +258,7 @@
 func TestTwoAtOneJournal(t *testing.T) {
 	dir := Dir(t.TempDir())
 	terms := quick()
-	terms.Policy = journal.Serve
+	terms.Policy = txnjournal.Serve
 	first := keep(t, dir, terms)
 	if !first.means("a", 0) {
 		t.Fatal("the first refuses")
@@ -271,7 +273,7 @@
 	}
 	first.Close()
 	until(t, "the second does not take over", func() bool { return second.means("b", 0) })
-	if _, v, ok := second.Known(7, "a", 0); !ok || v != journal.SentUnknown {
+	if _, v, ok := second.Known(7, "a", 0); !ok || v != txnjournal.SentUnknown {
 		t.Errorf("what the first has sent: %v", v)
 	}
 	if second.means("a", 0) {
@@ -291,9 +293,9 @@
 	for i := range 200 {
 		name := string(rune('a'+i%26)) + string(rune('a'+i/26))
 		k.means(name, 0)
-		k.ends(name, 0, journal.Never)
+		k.ends(name, 0, txnjournal.Never)
 	}
-	if _, v, _ := k.Known(7, "first", 0); v != journal.SentUnknown {
+	if _, v, _ := k.Known(7, "first", 0); v != txnjournal.SentUnknown {
 		t.Errorf("the first one: %v", v)
 	}
 	k.Close()
@@ -305,10 +307,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, v := b.Known(7, "first"); v != journal.SentUnknown || b.Below() < 2 {
+	if _, v := b.Known(7, "first"); v != txnjournal.SentUnknown || b.Below() < 2 {
 		t.Errorf("after a power cut: %v, below %d", v, b.Below())
 	}
-	if v, _, _ := b.Answers("other", began-10000, began, wall()); v != journal.SentUnknown {
+	if v, _, _ := b.Answers("other", began-10000, began, wall()); v != txnjournal.SentUnknown {
 		t.Errorf("before the journal began: %v", v)
 	}
 	if n := len(b.Doubts()); n > 0 {
@@ -326,7 +328,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, _, _ := b.Answers("a", wall(), math.Inf(1), wall()); v != journal.SentUnknown {
+	if v, _, _ := b.Answers("a", wall(), math.Inf(1), wall()); v != txnjournal.SentUnknown {
 		t.Errorf("%v", v)
 	}
 }
--- a/internal/journal/store/log.go
+++ b/internal/txnjournal/store/log.go
@@ -8,7 +8,7 @@
 	"slices"
 	"sync"
 
-	"willowdeck/internal/journal"
+	"willowdeck/internal/txnjournal"
 )
 
 // Who is the one that writes.
@@ -24,7 +24,7 @@
 // else is one goroutine's.
 type Log struct {
 	disk  Disk
-	terms journal.Terms
+	terms txnjournal.Terms
 	who   Who
 	life  uint32
 	first uint64 // segment of this life
@@ -36,7 +36,7 @@
 	Found Found
 
 	mu      sync.Mutex // of what follows; never held over I/O
-	book    *journal.Book
+	book    *txnjournal.Book
 	lock    io.Closer
 	number  uint64 // of the segment that is written, or was last
 	have    []uint64
@@ -51,23 +51,28 @@
 }
 
 // ReadAll reads all there is into a book, without writing or locking anything. each may be nil.
-func ReadAll(d Disk, t journal.Terms, now float64, each func(number uint64, s journal.Seen),
-	record func(number uint64, offset int, r journal.Record)) (*journal.Book, Found, []uint64, uint32, error) {
-	book, found, life := journal.NewBook(t), Found{}, uint32(0)
+func ReadAll(
+	d Disk,
+	t txnjournal.Terms,
+	now float64,
+	each func(number uint64, s txnjournal.Seen),
+	record func(number uint64, offset int, r txnjournal.Record),
+) (*txnjournal.Book, Found, []uint64, uint32, error) {
+	book, found, life := txnjournal.NewBook(t), Found{}, uint32(0)
 	numbers, err := segments(d)
 	if err != nil {
 		return nil, found, nil, 0, err
 	}
-	var before []journal.Seen // whose ends are not known yet
+	var before []txnjournal.Seen // whose ends are not known yet
 	for _, n := range numbers {
-		b, err := d.Load(journal.Name(n))
+		b, err := d.Load(txnjournal.Name(n))
 		if errors.Is(err, fs.ErrNotExist) {
 			continue // let go meanwhile
 		}
 		if err != nil { // what can't be read may hold anything
 			b = []byte{1}
 		}
-		h, blank := journal.HeadOf(n, b)
+		h, blank := txnjournal.HeadOf(n, b)
 		if blank {
 			book.Blank(n)
 		} else {
@@ -77,7 +82,7 @@
 			}
 			book.Opens(h)
 		}
-		seen := journal.Read(n, b, func(offset int, r journal.Record) {
+		seen := txnjournal.Read(n, b, func(offset int, r txnjournal.Record) {
 			book.Take(n, r)
 			life = max(life, r.Life)
 			if record != nil {
@@ -98,13 +103,13 @@
 	return book, found, numbers, life, nil
 }
 
-func closes(b *journal.Book, all []journal.Seen, until float64) {
+func closes(b *txnjournal.Book, all []txnjournal.Seen, until float64) {
 	for _, s := range all {
 		b.Closes(s, until)
 	}
 }
 
-func (f *Found) add(b []byte, s journal.Seen) {
+func (f *Found) add(b []byte, s txnjournal.Seen) {
 	f.Segments++
 	f.Records += s.Records
 	f.Bytes += int64(len(b))
@@ -126,7 +131,7 @@
 	}
 	var all []uint64
 	for _, name := range names {
-		if n, ok := journal.NumberOf(name); ok {
+		if n, ok := txnjournal.NumberOf(name); ok {
 			all = append(all, n)
 		}
 	}
@@ -136,7 +141,7 @@
 
 // Open locks a journal and reads it. Nothing is written yet. beside tells that the process that wrote last
 // may go on telling how its submissions ended, until Settle.
-func Open(d Disk, t journal.Terms, who Who, now float64, beside bool) (*Log, error) {
+func Open(d Disk, t txnjournal.Terms, who Who, now float64, beside bool) (*Log, error) {
 	lock, err := d.Lock()
 	if err != nil {
 		return nil, err
@@ -166,12 +171,12 @@
 		return
 	}
 	for n := from; n < l.first; n++ {
-		b, err := l.disk.Load(journal.Name(n))
+		b, err := l.disk.Load(txnjournal.Name(n))
 		if err != nil {
 			continue // what it wrote is unknown, as it was
 		}
-		journal.Read(n, b, func(_ int, r journal.Record) {
-			if r.Kind == journal.Ended {
+		txnjournal.Read(n, b, func(_ int, r txnjournal.Record) {
+			if r.Kind == txnjournal.Ended {
 				l.mu.Lock()
 				l.book.Take(n, r)
 				l.mu.Unlock()
@@ -187,14 +192,14 @@
 func (l *Log) Life() uint32 { return l.life }
 
 // Take notes a record in the book.
-func (l *Log) Take(r journal.Record) {
+func (l *Log) Take(r txnjournal.Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.book.Take(max(l.number, 1), r)
 }
 
 // Ask lets f look at the book.
-func (l *Log) Ask(f func(*journal.Book)) {
+func (l *Log) Ask(f func(*txnjournal.Book)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(l.book)
@@ -202,7 +207,7 @@
 
 // Commit writes records and returns once they are durable, with all that was staged before. After an error
 // none of them may be taken for written, nor for unwritten; the next one begins a segment of its own.
-func (l *Log) Commit(all []journal.Record, now float64) error {
+func (l *Log) Commit(all []txnjournal.Record, now float64) error {
 	if err := l.Stage(all, now); err != nil {
 		return err
 	}
@@ -211,7 +216,7 @@
 
 // Stage writes records that the next Commit makes durable. From here on they outlive the process, though not
 // the machine. What an error means is as with Commit, for all that was staged since the last one.
-func (l *Log) Stage(all []journal.Record, now float64) error {
+func (l *Log) Stage(all []txnjournal.Record, now float64) error {
 	if l.file == nil {
 		return l.begin(all, now) // durable at once
 	}
@@ -235,12 +240,12 @@
 	return l.write(b)
 }
 
-func (l *Log) encode(b []byte, number uint64, at int, all []journal.Record) ([]byte, error) {
+func (l *Log) encode(b []byte, number uint64, at int, all []txnjournal.Record) ([]byte, error) {
 	base := len(b)
 	for _, r := range all {
 		r.Life, r.Group = l.life, l.group
 		var err error
-		if b, err = journal.Append(b, number, at+len(b)-base, r); err != nil {
+		if b, err = txnjournal.Append(b, number, at+len(b)-base, r); err != nil {
 			return b, err
 		}
 	}
@@ -283,14 +288,14 @@
 }
 
 // begin makes the next segment, and writes what has to be kept of those that go, and the records.
-func (l *Log) begin(all []journal.Record, now float64) error {
+func (l *Log) begin(all []txnjournal.Record, now float64) error {
 	l.mu.Lock()
 	number, retired := l.number+1, l.retired
 	l.mu.Unlock()
 	if retired {
 		return errRetired
 	}
-	f, err := l.disk.Create(journal.Name(number), l.terms.Segment)
+	f, err := l.disk.Create(txnjournal.Name(number), l.terms.Segment)
 	if err != nil && !errors.Is(err, fs.ErrExist) {
 		return err
 	}
@@ -306,11 +311,11 @@
 		_ = l.drop()
 		return err
 	}
-	h := journal.Head{Number: number, Life: l.life, Policy: l.terms.Policy, At: now, Boot: l.who.Boot,
+	h := txnjournal.Head{Number: number, Life: l.life, Policy: l.terms.Policy, At: now, Boot: l.who.Boot,
 		Offset: l.who.Offset, Name: l.who.Name}
-	b := journal.AppendHead(l.buf[:0], h)
+	b := txnjournal.AppendHead(l.buf[:0], h)
 	below, kept := l.checkpoint(h)
-	for _, more := range [][]journal.Record{kept, all} {
+	for _, more := range [][]txnjournal.Record{kept, all} {
 		if b, err = l.encode(b, number, len(b), more); err != nil {
 			_ = l.drop()
 			return err
@@ -331,7 +336,7 @@
 }
 
 // checkpoint gives what has to be in a new segment before those below a number can go; 0 where none can.
-func (l *Log) checkpoint(h journal.Head) (below uint64, kept []journal.Record) {
+func (l *Log) checkpoint(h txnjournal.Head) (below uint64, kept []txnjournal.Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.book.Opens(h)
@@ -360,7 +365,7 @@
 		if n >= below {
 			break
 		}
-		if err := l.disk.Remove(journal.Name(n)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if err := l.disk.Remove(txnjournal.Name(n)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			break
 		}
 		gone++
