--- a/internal/journal/store/model_test.go
+++ b/internal/txnjournal/store/model_test.go
@@ -8,7 +8,7 @@
 	"slices"
 	"testing"
 
-	"willowdeck/internal/journal"
+	"willowdeck/internal/txnjournal"
 )
 
 var long = flag.Int("long", 1, "how many times as many seeds")
@@ -27,9 +27,9 @@
 	rng   *rand.Rand
 	now   float64
 	all   map[string]*truth
-	open  []journal.Record // submissions that are out
+	open  []txnjournal.Record // submissions that are out
 	next  int
-	terms journal.Terms
+	terms txnjournal.Terms
 }
 
 func (l *life) run(d *Memory, steps int) {
@@ -40,7 +40,7 @@
 	defer g.Close()
 	l.open = nil
 	number := uint64(0)
-	var again []journal.Record // ends of a commit that failed
+	var again []txnjournal.Record // ends of a commit that failed
 	for range steps {
 		l.now += 2500
 		if l.rng.Intn(15) == 0 {
@@ -53,13 +53,13 @@
 				i := l.rng.Intn(len(l.open))
 				r := l.open[i]
 				l.open = append(l.open[:i], l.open[i+1:]...)
-				r.Kind, r.At, r.End = journal.Ended, l.now, journal.End(1+l.rng.Intn(3))
+				r.Kind, r.At, r.End = txnjournal.Ended, l.now, txnjournal.End(1+l.rng.Intn(3))
 				was := l.all[r.Txn.Mark]
 				switch r.End {
-				case journal.Settled:
+				case txnjournal.Settled:
 					was.settled = true
-					r.Answer = journal.Answer{Body: []byte("done " + r.Txn.Mark), Whole: true}
-				case journal.Never:
+					r.Answer = txnjournal.Answer{Body: []byte("done " + r.Txn.Mark), Whole: true}
+				case txnjournal.Never:
 					was.out = false
 				}
 				all = append(all, r)
@@ -67,8 +67,8 @@
 			}
 			number++
 			l.next++
-			r := journal.Record{Kind: journal.Meant, At: l.now, Sub: journal.Sub{Number: number}, Worker: "w",
-				Txn: journal.Txn{Customer: 7, Mark: fmt.Sprint("t", l.next), Product: "issue"}}
+			r := txnjournal.Record{Kind: txnjournal.Meant, At: l.now, Sub: txnjournal.Sub{Number: number}, Worker: "w",
+				Txn: txnjournal.Txn{Customer: 7, Mark: fmt.Sprint("t", l.next), Product: "issue"}}
 			l.all[r.Txn.Mark] = &truth{asked: l.now}
 			all = append(all, r)
 		}
@@ -79,11 +79,11 @@
 		err := g.Commit(all, l.now)
 		for _, r := range all {
 			switch {
-			case r.Kind == journal.Meant && err == nil:
+			case r.Kind == txnjournal.Meant && err == nil:
 				l.all[r.Txn.Mark].out = true
 				l.open = append(l.open, r)
-			case r.Kind == journal.Meant:
-				r.Kind, r.End = journal.Ended, journal.Never
+			case r.Kind == txnjournal.Meant:
+				r.Kind, r.End = txnjournal.Ended, txnjournal.Never
 				g.Take(r)
 				again = append(again, r)
 			case err != nil:
@@ -107,16 +107,16 @@
 	for mark, was := range l.all {
 		v, why, found := b.Answers(mark, was.asked, was.asked, l.now)
 		switch {
-		case v == journal.NotSent && (was.out || was.settled):
+		case v == txnjournal.NotSent && (was.out || was.settled):
 			l.t.Fatalf("%s: %s went out (%+v), and the journal says %v: %s", what, mark, *was, v, why)
-		case v == journal.SentSettled && !was.settled:
+		case v == txnjournal.SentSettled && !was.settled:
 			l.t.Fatalf("%s: %s was not settled, and the journal says %v", what, mark, v)
-		case v == journal.SentSettled && found[0].Answer.Whole &&
+		case v == txnjournal.SentSettled && found[0].Answer.Whole &&
 			string(found[0].Answer.Body) != "done "+mark:
 			l.t.Fatalf("%s: %s was answered %q", what, mark, found[0].Answer.Body)
 		}
 		if !was.out && !was.settled {
-			if never++; v != journal.NotSent {
+			if never++; v != txnjournal.NotSent {
 				doubtful++
 			}
 		}
@@ -134,7 +134,7 @@
 			never, doubtful, crashes := 0, 0, 0
 			for seed := range int64(4 * *long) {
 				for at := 1; ; at++ {
-					terms := journal.DefaultTerms()
+					terms := txnjournal.DefaultTerms()
 					terms.Segment, terms.Segments = 3000, 40
 					tight := seed%2 == 0 // much is checked out and forgotten
 					if tight {
@@ -175,7 +175,7 @@
 func TestFlippedBits(t *testing.T) {
 	never, doubtful := 0, 0
 	for seed := range int64(300 * *long) {
-		terms := journal.DefaultTerms()
+		terms := txnjournal.DefaultTerms()
 		terms.Segment, terms.Segments = 2000, 8
 		l := &life{t: t, rng: rand.New(rand.NewSource(seed)), now: 1e9, all: map[string]*truth{}, terms: terms}
 		d := NewMemory(seed)
--- a/internal/resource/golden_test.go
+++ b/internal/versioned/golden_test.go
@@ -1,4 +1,4 @@
-package resource
+package versioned
 
 import (
 	"encoding/hex"
--- a/internal/resource/resource.go
+++ b/internal/versioned/resource.go
@@ -1,7 +1,7 @@
-// Package resource keeps versioned state as immutable sets of entries, and makes deltas between two of them
+// Package versioned keeps versioned state as immutable sets of entries, and makes deltas between two of them
 // that can be checked. It is free of I/O. A state costs what it changes of the one before it, in time and
 // memory.
-package resource
+package versioned
 
 import (
 	"bytes"
