--- a/cmd/willowdeck-lab/main_test.go
+++ b/cmd/willowdeck-lab/main_test.go
@@ -160,7 +160,8 @@
 	for i, r := range all {
 		var settled, declined, lost int64
 		for _, c := range r.report.Counts {
-			settled, declined, lost = settled+c[loadgen.Settled], declined+c[loadgen.Declined], lost+c[loadgen.NoAnswer]
+			settled, declined, lost = settled+c[loadgen.Settled], declined+c[loadgen.Declined],
+				lost+c[loadgen.NoAnswer]
 		}
 		if r.twice > 0 || r.beyond > 0 || lost > 0 {
 			t.Errorf("%s: %d ran twice, %.1f units beyond a ceiling, %d without answer", r.arm.name, r.twice, r.beyond,
--- a/internal/borrowing/ledger/book_test.go
+++ b/internal/borrowing/ledger/book_test.go
@@ -58,8 +58,10 @@
 	for i, c := range []struct {
 		w    incarnation.Word
 		news bool
-	}{{incarnation.Word{Incarnation: 5, Sequence: 9}, true}, {incarnation.Word{Incarnation: 5, Sequence: 9}, false},
-		{incarnation.Word{Incarnation: 4, Sequence: 10}, false}, {incarnation.Word{Incarnation: 6, Sequence: 1}, true}} {
+	}{{incarnation.Word{Incarnation: 5, Sequence: 9}, true}, {incarnation.Word{Incarnation: 5, Sequence: 9},
+		false},
+		{incarnation.Word{Incarnation: 4, Sequence: 10}, false}, {incarnation.Word{Incarnation: 6, Sequence: 1},
+			true}} {
 		if got := f.Hear(7, c.w); got != c.news {
 			t.Errorf("word %d is news: %v", i, got)
 		}
--- a/internal/distribution/relay/relayd_test.go
+++ b/internal/distribution/relay/relayd_test.go
@@ -276,7 +276,8 @@
 	defer c.Close()
 	for range 3 {
 		began := time.Now()
-		if _, err := c.Ask(0, &distribution.Ask{Form: distribution.Form, Cluster: "till", From: "h"}, 100); err == nil {
+		if _, err := c.Ask(0, &distribution.Ask{Form: distribution.Form, Cluster: "till", From: "h"},
+			100); err == nil {
 			t.Error("an answer from one that lies still")
 		}
 		if took := time.Since(began); took > time.Second {
--- a/internal/distribution/relay_test.go
+++ b/internal/distribution/relay_test.go
@@ -180,7 +180,8 @@
 			a.Step, a.Rules, a.Pending = 2, v1.Mark(), v2.Mark()
 		}, func(n Counts) int64 { return n.Bad }, false},
 		{"a lower version", func(a *Answer) { a.Rules.Number = 0 }, func(n Counts) int64 { return n.Bad }, false},
-		{"no version", func(a *Answer) { a.Rules = versioned.Mark{} }, func(n Counts) int64 { return n.Bad }, false},
+		{"no version", func(a *Answer) { a.Rules = versioned.Mark{} }, func(n Counts) int64 { return n.Bad },
+			false},
 		{"a pending one that does not follow", func(a *Answer) { a.Pending = v2.Mark() },
 			func(n Counts) int64 { return n.Bad }, false},
 		{"a version without a delta", func(a *Answer) { a.RulesDelta = nil },
--- a/internal/e2e/stage_test.go
+++ b/internal/e2e/stage_test.go
@@ -199,14 +199,17 @@
 	steps := func(every int) int { return max(span/every, 3) }
 	var all faultinject.Schedule
 	for i, c := range []faultinject.Cast{
-		{Ends: hosts, Steps: steps(6000), Kinds: []faultinject.Kind{faultinject.Cuts, faultinject.Parts, faultinject.Splits,
+		{Ends: hosts, Steps: steps(6000), Kinds: []faultinject.Kind{faultinject.Cuts, faultinject.Parts,
+			faultinject.Splits,
 			faultinject.Shapes}},
 		{Processes: hosts, Disks: hosts[:(n-1)/2], Steps: steps(6000),
 			Kinds: []faultinject.Kind{faultinject.Stalls, faultinject.Crashes, faultinject.Spoils}},
-		{Ends: members, Processes: members, Steps: steps(1500), Kinds: []faultinject.Kind{faultinject.Cuts, faultinject.Parts,
+		{Ends: members, Processes: members, Steps: steps(1500), Kinds: []faultinject.Kind{faultinject.Cuts,
+			faultinject.Parts,
 			faultinject.Shapes, faultinject.Stalls, faultinject.Crashes, faultinject.Crashes}},
 		{Ends: append([]string{"list"}, workers[2:]...), Processes: workers[2:], Steps: steps(4000),
-			Kinds: []faultinject.Kind{faultinject.Cuts, faultinject.Parts, faultinject.Shapes, faultinject.Stalls, faultinject.Crashes}},
+			Kinds: []faultinject.Kind{faultinject.Cuts, faultinject.Parts, faultinject.Shapes, faultinject.Stalls,
+				faultinject.Crashes}},
 	} {
 		s := faultinject.Draw(seed+int64(i)<<32, c, span)
 		for j := range s.Steps {
--- a/internal/gateway/config/config_test.go
+++ b/internal/gateway/config/config_test.go
@@ -37,7 +37,8 @@
 		t.Errorf("limits: %v %v %v", g.Cores, g.MemoryMB, g.Sockets)
 	case len(g.Peers) != 2 || g.Peers[1].String() != "127.0.0.3:7946" || g.Charter.Me != 1:
 		t.Errorf("peers: %v", g.Peers)
-	case len(p) != 2 || p[1].Repeat != policy.Referenced || p[1].Group != policy.GroupCell || p[1].Window != 7000:
+	case len(p) != 2 || p[1].Repeat != policy.Referenced || p[1].Group != policy.GroupCell ||
+		p[1].Window != 7000:
 		t.Errorf("products: %+v", p)
 	case g.Lines != Lines{IdleLimit: 30000, ConnectTimeout: 250, AnswerSlack: 8, LongestWait: math.Inf(1),
 		ListAsked: true}:
--- a/internal/gateway/config/forward.go
+++ b/internal/gateway/config/forward.go
@@ -150,9 +150,12 @@
 
 func (file *forwardFile) defaults() {
 	a, b := &file.Asked, &file.Asking
-	a.Path, a.Dialect, a.NoStatus, a.LifeMS = "/auth", "forwarded", http.StatusTooManyRequests, authcache.DefaultLife
-	a.RememberS, a.Most, a.Connections = authcache.DefaultMemory/1000, authcache.DefaultMost, authcache.DefaultCallers
-	b.Path, b.Credential, b.LimitMS, b.Share = "/", "Authorization", authcache.DefaultLimit, authcache.DefaultShare
+	a.Path, a.Dialect, a.NoStatus, a.LifeMS = "/auth", "forwarded", http.StatusTooManyRequests,
+		authcache.DefaultLife
+	a.RememberS, a.Most, a.Connections = authcache.DefaultMemory/1000, authcache.DefaultMost,
+		authcache.DefaultCallers
+	b.Path, b.Credential, b.LimitMS, b.Share = "/", "Authorization", authcache.DefaultLimit,
+		authcache.DefaultShare
 	b.Connections, b.Credentials = authcache.DefaultAsks, authcache.DefaultKept
 	b.YesS, b.NoS = authcache.DefaultYes/1000, authcache.DefaultNo/1000
 	b.Breaker.After, b.Breaker.PauseMS = authcache.DefaultAfter, authcache.DefaultPause
--- a/internal/gateway/lifecycle/ask_test.go
+++ b/internal/gateway/lifecycle/ask_test.go
@@ -294,7 +294,10 @@
 		{"no time", func(x *teller) { x.does(func(a *distribution.Answer) { a.Age = -5 }) }},
 		{"garbled", bare(func(w http.ResponseWriter) { w.Write([]byte("\x81\x01")) })},
 		{"nothing", bare(func(w http.ResponseWriter) {})},
-		{"too long", bare(func(w http.ResponseWriter) { w.Write(bytes.Repeat([]byte(" "), distribution.MostAnswer+1)) })},
+		{"too long", bare(func(w http.ResponseWriter) {
+			w.Write(bytes.Repeat([]byte(" "),
+				distribution.MostAnswer+1))
+		})},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/gateway/lifecycle/journal_test.go
+++ b/internal/gateway/lifecycle/journal_test.go
@@ -87,7 +87,8 @@
 		}
 	}
 	d.gk.Stop()
-	for mark, want := range map[string]txnjournal.Verdict{"done": txnjournal.SentSettled, "lost": txnjournal.SentUnknown,
+	for mark, want := range map[string]txnjournal.Verdict{"done": txnjournal.SentSettled,
+		"lost": txnjournal.SentUnknown,
 		"none": txnjournal.NotSent} {
 		if v := answers(t, filepath.Join(dir, "n0"), mark); v != want {
 			t.Errorf("the journal says of %s: %v", mark, v)
--- a/internal/gateway/lifecycle/lend.go
+++ b/internal/gateway/lifecycle/lend.go
@@ -83,8 +83,10 @@
 	}{{"outstanding", f.Outstanding}, {"rights", f.Rights}, {"earning", f.Earn}, {"lent", f.Lent},
 		{"repaid", f.Repaid}, {"earned", f.Earned}, {"undone", f.Undone}, {"late", f.Late}, {"handed", f.Handed},
 		{"taken", f.Taken}, {"moved", f.Moved}, {"customers", float64(f.Customers)},
-		{"refused.wide", float64(f.Refused[borrowing.Wide])}, {"refused.no_place", float64(f.Refused[borrowing.NoPlace])},
-		{"refused.unsure", float64(f.Refused[borrowing.Unsure])}, {"refused.short", float64(f.Refused[borrowing.Short])},
+		{"refused.wide", float64(f.Refused[borrowing.Wide])}, {"refused.no_place",
+			float64(f.Refused[borrowing.NoPlace])},
+		{"refused.unsure", float64(f.Refused[borrowing.Unsure])}, {"refused.short",
+			float64(f.Refused[borrowing.Short])},
 		{"strayed", float64(f.Strayed)}, {"forgotten", float64(f.Forgotten)}} {
 		add("credit."+m.name, int64(math.Round(m.v)))
 	}
--- a/internal/gateway/lifecycle/stop.go
+++ b/internal/gateway/lifecycle/stop.go
@@ -48,10 +48,11 @@
 // then closes idle ones and ends once all that was taken has its answer. What comes whole too late for that
 // is not taken, and what is in hand too long is given up: SIGKILL would leave it without an answer.
 func (g *Gatekeeper) Stop() {
-	defer time.AfterFunc(transport.Millis(min(g.conf.Lines.LongestWait, policy.StopLongest)+policy.StopAll), func() {
-		g.limit.GiveUp()
-		g.desk.Turn()
-	}).
+	defer time.AfterFunc(transport.Millis(min(g.conf.Lines.LongestWait, policy.StopLongest)+policy.StopAll),
+		func() {
+			g.limit.GiveUp()
+			g.desk.Turn()
+		}).
 		Stop()
 	if !g.handOver() {
 		defer time.AfterFunc(transport.Millis(policy.AcceptOn+policy.StopIdle), g.limit.Hurry).Stop()
--- a/internal/gateway/transport/fuzz_test.go
+++ b/internal/gateway/transport/fuzz_test.go
@@ -35,7 +35,8 @@
 		if err != nil {
 			return
 		}
-		in := got.Units > 0 && got.Units <= charter.LargestUnits && got.Left > 0 && got.Left <= policy.LongestWait &&
+		in := got.Units > 0 && got.Units <= charter.LargestUnits && got.Left > 0 &&
+			got.Left <= policy.LongestWait &&
 			got.SetSize > 0 && got.SetSize <= 3 && got.First < 3 &&
 			got.Customer < 1<<33
 		clean := len(got.Mark) > 0 && !bytes.ContainsAny(append(got.Mark, got.Target...), "\r\n ")
--- a/internal/gateway/transport/limit.go
+++ b/internal/gateway/transport/limit.go
@@ -160,7 +160,8 @@
 var yields = [...]struct {
 	state int32
 	after float64
-}{{parting, policy.AcceptAgain}, {fresh, policy.Unproven}, {idle, policy.IdleLong}, {opening, policy.Unfinished},
+}{{parting, policy.AcceptAgain}, {fresh, policy.Unproven}, {idle, policy.IdleLong}, {opening,
+	policy.Unfinished},
 	{coming, policy.Unfinished}}
 
 func (l *Limited) crowded() bool {
--- a/internal/lab/footprint/relay.go
+++ b/internal/lab/footprint/relay.go
@@ -131,7 +131,8 @@
 			continue
 		}
 		both := took(func() { _, _, _ = h.round() })
-		ask, err := (&distribution.Ask{Form: distribution.Form, Cluster: cluster, From: "below", Interest: who.in, Step: 2,
+		ask, err := (&distribution.Ask{Form: distribution.Form, Cluster: cluster, From: "below",
+			Interest: who.in, Step: 2,
 			Rules: v.Rules.Mark(), Index: -1}).Bytes()
 		if err != nil {
 			return nil, err
--- a/internal/supervisor/branch.go
+++ b/internal/supervisor/branch.go
@@ -272,26 +272,27 @@
 
 // Following is how a daemon below relays stands, for operators.
 type Following struct {
-	Cluster  string              `json:"cluster"`
-	Me       string              `json:"me"`
-	Upstream []string            `json:"upstream"`
-	Asked    string              `json:"asked"` // of them, the one that is asked now
-	Depth    int                 `json:"depth"` // of relays from here to the council
-	Version  uint64              `json:"version"`
-	Mark     string              `json:"mark,omitempty"` // of the part that this host needs
-	Members  int                 `json:"members"`        // of all that there are places for
-	Known    int                 `json:"known"`          // and those that this host is told of
-	Step     uint64              `json:"step"`
-	Settled  bool                `json:"settled"`
-	ReadMS   float64             `json:"read_ms"` // ago that a quorum confirmed it; below nought nothing has been
-	Pending  uint64              `json:"pending,omitempty"`
-	Foreign  string              `json:"foreign,omitempty"` // what of the rules this program does not know
-	Seen     uint64              `json:"seen"`              // the step that all processes here go by, or later
-	Behind   map[string]uint64   `json:"behind,omitempty"`  // instances that hold an older one
-	CutOff   map[string]float64  `json:"cut_off,omitempty"` // instances here: ms since they last asked
-	Lags     []ruleset.Behind    `json:"lags,omitempty"`
-	Counts   distribution.Counts `json:"counts"`
-	Copies   struct {
+	Cluster  string   `json:"cluster"`
+	Me       string   `json:"me"`
+	Upstream []string `json:"upstream"`
+	Asked    string   `json:"asked"` // of them, the one that is asked now
+	Depth    int      `json:"depth"` // of relays from here to the council
+	Version  uint64   `json:"version"`
+	Mark     string   `json:"mark,omitempty"` // of the part that this host needs
+	Members  int      `json:"members"`        // of all that there are places for
+	Known    int      `json:"known"`          // and those that this host is told of
+	Step     uint64   `json:"step"`
+	Settled  bool     `json:"settled"`
+	// ago that a quorum confirmed it; below nought nothing has been
+	ReadMS  float64             `json:"read_ms"`
+	Pending uint64              `json:"pending,omitempty"`
+	Foreign string              `json:"foreign,omitempty"` // what of the rules this program does not know
+	Seen    uint64              `json:"seen"`              // the step that all processes here go by, or later
+	Behind  map[string]uint64   `json:"behind,omitempty"`  // instances that hold an older one
+	CutOff  map[string]float64  `json:"cut_off,omitempty"` // instances here: ms since they last asked
+	Lags    []ruleset.Behind    `json:"lags,omitempty"`
+	Counts  distribution.Counts `json:"counts"`
+	Copies  struct {
 		Written int64 `json:"written"`
 		Failed  int64 `json:"failed"`
 		Aside   int64 `json:"aside"`
--- a/internal/supervisor/branch_test.go
+++ b/internal/supervisor/branch_test.go
@@ -600,7 +600,8 @@
 		t.Fatal(err)
 	}
 	some := ruleset.Select(whole, ruleset.Interest{Host: "l0", Around: distribution.Around})
-	sent, err := (&distribution.Answer{Form: distribution.Form, Rules: some.Mark(), RulesDelta: versioned.Whole(some)}).Bytes()
+	sent, err := (&distribution.Answer{Form: distribution.Form, Rules: some.Mark(),
+		RulesDelta: versioned.Whole(some)}).Bytes()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/txnjournal/store/golden_test.go
+++ b/internal/txnjournal/store/golden_test.go
@@ -32,7 +32,8 @@
 	terms := txnjournal.DefaultTerms()
 	terms.Policy, terms.Segment = txnjournal.Serve, txnjournal.LeastSegment
 	for _, groups := range [][][]txnjournal.Record{
-		{{goldenRecord(txnjournal.Meant, "one", txnjournal.Open)}, {goldenRecord(txnjournal.Meant, "two", txnjournal.Open),
+		{{goldenRecord(txnjournal.Meant, "one", txnjournal.Open)}, {goldenRecord(txnjournal.Meant, "two",
+			txnjournal.Open),
 			goldenRecord(txnjournal.Ended, "one", txnjournal.Settled)}},
 		{{goldenRecord(txnjournal.Meant, "three", txnjournal.Open)},
 			{goldenRecord(txnjournal.Ended, "three", txnjournal.Never), {Kind: txnjournal.Gone, At: goldenAt + 3.5}}},
@@ -97,7 +98,8 @@
 		t.Errorf("found %+v, life %d", f, log.Life())
 	}
 	log.Ask(func(book *txnjournal.Book) {
-		for mark, want := range map[string]txnjournal.Verdict{"one": txnjournal.SentSettled, "two": txnjournal.SentUnknown,
+		for mark, want := range map[string]txnjournal.Verdict{"one": txnjournal.SentSettled,
+			"two":   txnjournal.SentUnknown,
 			"three": txnjournal.NotSent} {
 			txn, verdict := book.Known(0x3132333435363738, mark)
 			if verdict != want {
