--- a/internal/serving/control/sim_machine_test.go
+++ b/internal/serving/control/sim_machine_test.go
@@ -34,7 +34,7 @@
 	world   *world
 	host    string
 	zone    int
-	files   *waltest.Files
+	files   *waltest.FileSystem
 	process *process // nil: down
 	life    int      // counted from 1
 	upAt    time.Duration
@@ -113,7 +113,7 @@
 	w := m.world
 	m.life++
 	m.files.Restart()
-	var founders wal.Founders
+	var founders wal.InitialMembers
 	if m.bootstrap {
 		for _, host := range m.seeds {
 			founders = append(founders, consensus.FounderIdentity(host))
@@ -140,7 +140,7 @@
 		Grace:   simGrace, Clock: func() time.Duration { return w.now - p.started },
 		Random: rand.New(rand.NewSource(w.random.Int63())), Logger: zap.NewNop(), SavedWorkers: saved,
 	}
-	p.engine, err = New(options, opened.Stored, p)
+	p.engine, err = New(options, opened.State, p)
 	if err != nil {
 		w.problem("%s cannot start: %v", m.host, err)
 		return
--- a/internal/serving/core/core.go
+++ b/internal/serving/core/core.go
@@ -89,7 +89,7 @@
 		Random: mathrand.New(mathrand.NewSource(randomSeed())), Logger: logger,
 		SavedWorkers: savedWorkers(config.DataDir),
 	}
-	c.engine, err = control.New(options, opened.Stored, &environment{c})
+	c.engine, err = control.New(options, opened.State, &environment{c})
 	return c, err
 }
 
--- a/internal/serving/core/disk.go
+++ b/internal/serving/core/disk.go
@@ -21,24 +21,24 @@
 )
 
 // openDisk returns the identity of the disk and what it holds.
-func openDisk(config *settings.Settings, logger *zap.Logger) (wal.Opened, error) {
+func openDisk(config *settings.Settings, logger *zap.Logger) (wal.OpenedReplica, error) {
 	if err := os.MkdirAll(config.DataDir, folderRights); err != nil {
-		return wal.Opened{}, errors.Wrap(err, "cannot make data_dir: check its path and rights")
+		return wal.OpenedReplica{}, errors.Wrap(err, "cannot make data_dir: check its path and rights")
 	}
 	opened, err := wal.OpenReplica(wal.Disk, config.DataDir, consensus.FounderIdentity(config.IP),
 		founders(config), consensus.Identity(config.IP, randomTag()))
-	if opened.Damage != nil {
-		logger.Error("the disk has lost what it held: this replica joins anew", zap.Error(opened.Damage))
+	if opened.Corruption != nil {
+		logger.Error("the disk has lost what it held: this replica joins anew", zap.Error(opened.Corruption))
 	}
 	return opened, err
 }
 
 // founders returns the identities of the first replicas: the seeds, on the first start alone.
-func founders(config *settings.Settings) wal.Founders {
+func founders(config *settings.Settings) wal.InitialMembers {
 	if !config.Bootstrap {
 		return nil
 	}
-	var identities wal.Founders
+	var identities wal.InitialMembers
 	for _, host := range hostsOf(config.Seeds) {
 		identities = append(identities, consensus.FounderIdentity(host))
 	}
--- a/internal/serving/wal/filesystem.go
+++ b/internal/serving/wal/filesystem.go
@@ -2,35 +2,37 @@
 
 import "os"
 
-// FileSystem is what the log needs of a disk. Paths are those of the folder's file system.
+// FileSystem is the part of a file system that the log needs. Errors are those of package os.
 type FileSystem interface {
 	ReadFile(path string) ([]byte, error)
-	ReadDir(folder string) ([]string, error) // names of files
-	Create(path string) (File, error)        // for writing; what was there is dropped
-	OpenAppend(path string) (File, error)
+	ReadDir(dir string) ([]string, error) // names of the entries
+	Create(path string) (File, error)     // for writing; an existing file is truncated
+	OpenAppend(path string) (File, error) // of an existing file
 	Rename(from, to string) error
 	Remove(path string) error
-	SyncFolder(folder string) error // makes its files' names outlast a loss of power
+	SyncDir(dir string) error // makes creations, renames and removals in dir durable
 }
 
-// File is an open file. What Sync has returned for outlasts a loss of power.
+// File is a file that is open for writing. What was written before a successful Sync is durable.
 type File interface {
 	Write(data []byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// Disk is the operating system's file system.
-var Disk FileSystem = osFiles{}
+// Disk is the file system of the operating system.
+var Disk FileSystem = osFileSystem{}
 
-type osFiles struct{}
+type osFileSystem struct{}
 
 const fileMode = 0o644
 
-func (osFiles) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
+// ReadFile returns the content of a file.
+func (osFileSystem) ReadFile(path string) ([]byte, error) { return os.ReadFile(path) }
 
-func (osFiles) ReadDir(folder string) ([]string, error) {
-	entries, err := os.ReadDir(folder)
+// ReadDir returns the names of the entries of a directory.
+func (osFileSystem) ReadDir(dir string) ([]string, error) {
+	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -41,23 +43,28 @@
 	return names, nil
 }
 
-func (osFiles) Create(path string) (File, error) {
+// Create creates or truncates a file.
+func (osFileSystem) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
 }
 
-func (osFiles) OpenAppend(path string) (File, error) {
+// OpenAppend opens an existing file for appending.
+func (osFileSystem) OpenAppend(path string) (File, error) {
 	return os.OpenFile(path, os.O_WRONLY|os.O_APPEND, fileMode)
 }
 
-func (osFiles) Rename(from, to string) error { return os.Rename(from, to) }
+// Rename renames a file and replaces an existing one.
+func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
-func (osFiles) Remove(path string) error { return os.Remove(path) }
+// Remove removes a file.
+func (osFileSystem) Remove(path string) error { return os.Remove(path) }
 
-func (osFiles) SyncFolder(folder string) error {
-	file, err := os.Open(folder)
+// SyncDir syncs a directory.
+func (osFileSystem) SyncDir(dir string) error {
+	file, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // opened for reading: there is nothing to lose
 	return file.Sync()
 }
--- a/internal/serving/wal/frame.go
+++ b/internal/serving/wal/frame.go
@@ -5,16 +5,17 @@
 	"hash/crc32"
 )
 
-// A frame is a header of 8 bytes (length and checksum of the payload), then the payload. One write makes
-// one frame, and is synced before the next one begins: a frame behind a damaged one therefore proves that
-// the damage is no torn tail.
+// A frame is a header of 8 bytes (length and CRC-32C of the payload, both little-endian) and the payload.
+// Each frame is synced before the next one is written: a valid frame after an invalid one therefore proves
+// that the invalid one is corruption, not a torn write.
 const (
-	headerBytes = 8
-	maxPayload  = 64 << 20 // bytes; a greater length is damage
+	headerBytes     = 8
+	maxPayloadBytes = 64 << 20 // a greater length is corruption
 )
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
+// appendFrame appends the frame of payload to buffer.
 func appendFrame(buffer, payload []byte) []byte {
 	var header [headerBytes]byte
 	binary.LittleEndian.PutUint32(header[0:], uint32(len(payload)))
@@ -22,13 +23,13 @@
 	return append(append(buffer, header[:]...), payload...)
 }
 
-// nextFrame splits the first frame off data. ok is false where it is cut short, damaged or empty.
+// nextFrame splits the first frame off data. ok is false where it is truncated, corrupted or empty.
 func nextFrame(data []byte) (payload, rest []byte, ok bool) {
 	if len(data) < headerBytes {
 		return nil, nil, false
 	}
 	length := int(binary.LittleEndian.Uint32(data[0:]))
-	if length == 0 || length > maxPayload || len(data)-headerBytes < length {
+	if length == 0 || length > maxPayloadBytes || len(data)-headerBytes < length {
 		return nil, nil, false
 	}
 	payload = data[headerBytes : headerBytes+length]
@@ -38,7 +39,7 @@
 	return payload, data[headerBytes+length:], true
 }
 
-// validFrameAfter reports whether a whole frame begins anywhere behind damaged bytes.
+// validFrameAfter reports whether a valid frame begins at any offset after the first byte of data.
 func validFrameAfter(data []byte) bool {
 	for offset := 1; offset+headerBytes < len(data); offset++ {
 		if _, _, ok := nextFrame(data[offset:]); ok {
--- a/internal/serving/wal/golden_test.go
+++ b/internal/serving/wal/golden_test.go
@@ -13,29 +13,30 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// testdata/data is the disk of a replica as the code of 2 December 2026 wrote it: by Log.Rewrite, two calls
-// of Log.Append, and SaveIdentity, with the values below. It is never rewritten: disks in use have this form.
+// testdata/data is the data directory of a replica as the code of 2 December 2026 wrote it with Log.Rewrite,
+// two calls of Log.Append and SaveIdentity from the values below. It is never rewritten: disks in use have
+// this format.
 const (
-	goldenFolder   = "testdata/data"
-	goldenSegment  = "segment-0000000000000002" // the second that its log began
+	goldenDir      = "testdata/data"
+	goldenSegment  = "segment-0000000000000002" // the second segment of its log
 	goldenIdentity = "127.0.0.1#0a1b2c3d4e5f"
 	goldenSecond   = "10.0.0.2#founder"
 	goldenThird    = "10.0.0.3#founder"
-	goldenGone     = "10.0.0.1#founder"
+	goldenRemoved  = "10.0.0.1#founder"
 )
 
-// The commands in the golden entries: an order "order-4" to evacuate z, and a departure.
+// The data of the golden entries: the command "order-4", which evacuates zone z, a departure, and members.
 const (
 	goldenEvacuation = "\n\aorder-4\x1a\x05\n\x01z\x10\x01"
 	goldenDeparture  = "\n\x14depart w-unconfirmed\"\x11\n\rw-unconfirmed\x10\t"
 	goldenMembers    = "\n\x16" + goldenIdentity + "\n\x10" + goldenSecond + "\n\x10" + goldenThird
 )
 
-// copiedGolden returns a copy of the golden disk, which a test may write.
-func copiedGolden(t *testing.T) string {
+// copyGoldenDisk returns a writable copy of the golden disk.
+func copyGoldenDisk(t *testing.T) string {
 	t.Helper()
 	copied := t.TempDir()
-	if err := os.CopyFS(copied, os.DirFS(goldenFolder)); err != nil {
+	if err := os.CopyFS(copied, os.DirFS(goldenDir)); err != nil {
 		t.Fatal(err)
 	}
 	return copied
@@ -50,8 +51,7 @@
 	return data
 }
 
-// goldenSnapshotData returns the state machine's part of the snapshot, whose own form package statemachine
-// pins.
+// goldenSnapshotData returns the snapshot's data, whose format the tests of package statemachine guard.
 func goldenSnapshotData(t *testing.T) []byte {
 	t.Helper()
 	return readGolden(t, "../statemachine/testdata/snapshot.bin")
@@ -61,7 +61,7 @@
 	t.Helper()
 	return &wirepb.Snapshot{Index: 20, Term: 4, Data: goldenSnapshotData(t), Membership: &wirepb.Membership{
 		Replicas: []string{goldenIdentity, goldenSecond, goldenThird},
-		Outgoing: []string{goldenGone, goldenSecond, goldenThird},
+		Outgoing: []string{goldenRemoved, goldenSecond, goldenThird},
 	}}
 }
 
@@ -73,34 +73,34 @@
 	}
 }
 
-// TestGoldenSegment opens the disk and compares each field.
+// TestGoldenSegment opens the golden disk and compares each field.
 func TestGoldenSegment(t *testing.T) {
-	opened, err := wal.OpenReplica(wal.Disk, copiedGolden(t), "127.0.0.1#founder", nil, "127.0.0.1#fresh")
-	if err != nil || opened.Damage != nil || opened.Identity != goldenIdentity {
-		t.Fatalf("identity %q, damage %v, error %v", opened.Identity, opened.Damage, err)
+	opened, err := wal.OpenReplica(wal.Disk, copyGoldenDisk(t), "127.0.0.1#founder", nil, "127.0.0.1#fresh")
+	if err != nil || opened.Corruption != nil || opened.Identity != goldenIdentity {
+		t.Fatalf("identity %q, corruption %v, error %v", opened.Identity, opened.Corruption, err)
 	}
-	hardState := opened.Stored.HardState
+	hardState := opened.State.HardState
 	if hardState.GetTerm() != 6 || hardState.GetVotedFor() != goldenSecond || hardState.GetCommit() != 22 {
 		t.Errorf("hard state %v", hardState)
 	}
-	if !proto.Equal(opened.Stored.Snapshot, goldenSnapshot(t)) {
-		t.Errorf("snapshot %v", opened.Stored.Snapshot)
+	if !proto.Equal(opened.State.Snapshot, goldenSnapshot(t)) {
+		t.Errorf("snapshot %v", opened.State.Snapshot)
 	}
 	want := goldenEntries()
-	if len(opened.Stored.Entries) != len(want) {
-		t.Fatalf("%d entries instead of %d", len(opened.Stored.Entries), len(want))
+	if len(opened.State.Entries) != len(want) {
+		t.Fatalf("%d entries instead of %d", len(opened.State.Entries), len(want))
 	}
-	for i, entry := range opened.Stored.Entries {
+	for i, entry := range opened.State.Entries {
 		if !proto.Equal(entry, want[i]) {
 			t.Errorf("entry %v instead of %v", entry, want[i])
 		}
 	}
 }
 
-// TestGoldenSegmentWritten writes the same again, and gets the same files with the same bytes.
+// TestGoldenSegmentWritten writes the golden values and compares the bytes of all files.
 func TestGoldenSegmentWritten(t *testing.T) {
-	folder := t.TempDir()
-	log, _, _, err := wal.Open(wal.Disk, folder)
+	dir := t.TempDir()
+	log, _, _, err := wal.Open(wal.Disk, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,16 +136,16 @@
 			t.Fatal(err)
 		}
 	}
-	if err := wal.SaveIdentity(wal.Disk, folder, goldenIdentity); err != nil {
+	if err := wal.SaveIdentity(wal.Disk, dir, goldenIdentity); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"identity", goldenSegment} {
-		got := readGolden(t, filepath.Join(folder, name))
-		if want := readGolden(t, filepath.Join(goldenFolder, name)); !bytes.Equal(got, want) {
+		got := readGolden(t, filepath.Join(dir, name))
+		if want := readGolden(t, filepath.Join(goldenDir, name)); !bytes.Equal(got, want) {
 			t.Errorf("%s: %x instead of %x", name, got, want)
 		}
 	}
-	names, err := wal.Disk.ReadDir(folder)
+	names, err := wal.Disk.ReadDir(dir)
 	if err != nil || len(names) != 2 {
 		t.Errorf("files %v, error %v", names, err)
 	}
--- a/internal/serving/wal/log_test.go
+++ b/internal/serving/wal/log_test.go
@@ -16,11 +16,11 @@
 	return &wirepb.Entry{Index: index, Term: term, Data: []byte(data)}
 }
 
-// written makes a log with a founding snapshot and two frames, and returns its folder and segment.
-func written(t *testing.T) (folder, segment string) {
+// writeTestLog writes a log with an initial snapshot and two frames, and returns its directory and segment.
+func writeTestLog(t *testing.T) (dir, segment string) {
 	t.Helper()
-	folder = t.TempDir()
-	log, _, exists, err := Open(Disk, folder)
+	dir = t.TempDir()
+	log, _, exists, err := Open(Disk, dir)
 	if err != nil || exists {
 		t.Fatal(exists, err)
 	}
@@ -38,119 +38,120 @@
 			t.Fatal(err)
 		}
 	}
-	return folder, segmentPath(folder, log.number)
+	return dir, segmentPath(dir, log.number)
 }
 
-func TestReadsBackWhatWasWritten(t *testing.T) {
-	folder, _ := written(t)
-	_, stored, exists, err := Open(Disk, folder)
+func TestReplaysWrittenEntries(t *testing.T) {
+	dir, _ := writeTestLog(t)
+	_, state, exists, err := Open(Disk, dir)
 	if err != nil || !exists {
 		t.Fatal(exists, err)
 	}
-	if stored.HardState.Term != 2 || len(stored.Entries) != 2 {
-		t.Fatalf("stored %+v", stored)
+	if state.HardState.Term != 2 || len(state.Entries) != 2 {
+		t.Fatalf("state %+v", state)
 	}
-	if !proto.Equal(stored.Entries[1], entry(2, 2, "other")) {
-		t.Errorf("entry %v: what it replaces was kept", stored.Entries[1])
+	if !proto.Equal(state.Entries[1], entry(2, 2, "other")) {
+		t.Errorf("entry %v: the entry that it replaces was kept", state.Entries[1])
 	}
-	if len(stored.Snapshot.Membership.Replicas) != 2 {
-		t.Errorf("snapshot %v", stored.Snapshot)
+	if len(state.Snapshot.Membership.Replicas) != 2 {
+		t.Errorf("snapshot %v", state.Snapshot)
 	}
 }
 
-// TestTornTailIsCut tears the last frame at each byte: the frames before it count, and nothing else.
-func TestTornTailIsCut(t *testing.T) {
-	folder, segment := written(t)
-	whole, err := os.ReadFile(segment)
+// TestTornWriteIsDiscarded truncates the last frame at each byte: exactly the frames before it are replayed.
+func TestTornWriteIsDiscarded(t *testing.T) {
+	dir, segment := writeTestLog(t)
+	content, err := os.ReadFile(segment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, rest, _ := nextFrame(whole)
+	_, rest, _ := nextFrame(content)
 	_, last, _ := nextFrame(rest)
-	for cut := len(whole) - len(last) + 1; cut < len(whole); cut++ {
-		if err := os.WriteFile(segment, whole[:cut], 0o644); err != nil {
+	for length := len(content) - len(last) + 1; length < len(content); length++ {
+		if err := os.WriteFile(segment, content[:length], 0o644); err != nil {
 			t.Fatal(err)
 		}
-		_, stored, exists, err := Open(Disk, folder)
-		if err != nil || !exists || len(stored.Entries) != 3 || stored.HardState.Term != 1 {
-			t.Fatalf("cut at %d: %+v %v %v", cut, stored, exists, err)
+		_, state, exists, err := Open(Disk, dir)
+		if err != nil || !exists || len(state.Entries) != 3 || state.HardState.Term != 1 {
+			t.Fatalf("truncated to %d bytes: %+v %v %v", length, state, exists, err)
 		}
 	}
 }
 
-// TestDamageIsNoTornTail spoils each byte of a frame that another one follows: the disk has lost something.
-func TestDamageIsNoTornTail(t *testing.T) {
-	folder, segment := written(t)
-	whole, err := os.ReadFile(segment)
+// TestCorruptionIsNoTornWrite flips a bit in each byte of a frame that another one follows: acknowledged data
+// is lost.
+func TestCorruptionIsNoTornWrite(t *testing.T) {
+	dir, segment := writeTestLog(t)
+	content, err := os.ReadFile(segment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, rest, _ := nextFrame(whole)
+	_, rest, _ := nextFrame(content)
 	_, last, _ := nextFrame(rest)
-	for at := len(whole) - len(rest); at < len(whole)-len(last); at++ {
-		spoilt := append([]byte(nil), whole...)
-		spoilt[at] ^= 0x40
-		if err := os.WriteFile(segment, spoilt, 0o644); err != nil {
+	for offset := len(content) - len(rest); offset < len(content)-len(last); offset++ {
+		corrupted := append([]byte(nil), content...)
+		corrupted[offset] ^= 0x40
+		if err := os.WriteFile(segment, corrupted, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, _, err := Open(Disk, folder); !errors.Is(err, ErrDamaged) {
-			t.Fatalf("damage at %d: error %v", at, err)
+		if _, _, _, err := Open(Disk, dir); !errors.Is(err, ErrCorrupted) {
+			t.Fatalf("corruption at offset %d: error %v", offset, err)
 		}
 	}
 }
 
-func TestUnfinishedSegmentLeavesTheOneBefore(t *testing.T) {
-	folder, segment := written(t)
-	whole, err := os.ReadFile(segment)
+func TestIncompleteSegmentIsIgnored(t *testing.T) {
+	dir, segment := writeTestLog(t)
+	content, err := os.ReadFile(segment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(segmentPath(folder, 99), whole[:5], 0o644); err != nil {
+	if err := os.WriteFile(segmentPath(dir, 99), content[:5], 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if _, stored, exists, err := Open(Disk, folder); err != nil || !exists || len(stored.Entries) != 2 {
-		t.Fatalf("%+v %v %v", stored, exists, err)
+	if _, state, exists, err := Open(Disk, dir); err != nil || !exists || len(state.Entries) != 2 {
+		t.Fatalf("%+v %v %v", state, exists, err)
 	}
 }
 
-func TestFailedSegmentIsNotWrittenAgain(t *testing.T) {
-	folder, _ := written(t)
-	log, stored, _, err := Open(Disk, folder)
+func TestFailedSegmentIsNotReused(t *testing.T) {
+	dir, _ := writeTestLog(t)
+	log, state, _, err := Open(Disk, dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := log.Rewrite(stored); err != nil {
+	if err := log.Rewrite(state); err != nil {
 		t.Fatal(err)
 	}
 	log.file.Close() // the next write fails
 	batch := []consensus.Persist{{Entries: []*wirepb.Entry{entry(3, 2, "late")}}}
 	if log.Append(batch) == nil || log.Healthy() || log.Append(batch) == nil {
-		t.Fatal("a segment that had failed was written")
+		t.Fatal("a segment was written again after a failed write")
 	}
-	stored.Entries = append(stored.Entries, batch[0].Entries...)
-	if err := log.Rewrite(stored); err != nil || !log.Healthy() {
+	state.Entries = append(state.Entries, batch[0].Entries...)
+	if err := log.Rewrite(state); err != nil || !log.Healthy() {
 		t.Fatal(err)
 	}
-	if _, again, _, err := Open(Disk, folder); err != nil || len(again.Entries) != 3 {
-		t.Fatalf("%+v %v", again, err)
+	if _, reopened, _, err := Open(Disk, dir); err != nil || len(reopened.Entries) != 3 {
+		t.Fatalf("%+v %v", reopened, err)
 	}
 }
 
-func TestIdentity(t *testing.T) {
-	folder := t.TempDir()
-	if identity, err := LoadIdentity(Disk, folder); identity != "" || err != nil {
+func TestIdentityRoundTrip(t *testing.T) {
+	dir := t.TempDir()
+	if identity, err := LoadIdentity(Disk, dir); identity != "" || err != nil {
 		t.Fatal(identity, err)
 	}
-	if err := SaveIdentity(Disk, folder, "10.0.0.1#x"); err != nil {
+	if err := SaveIdentity(Disk, dir, "10.0.0.1#x"); err != nil {
 		t.Fatal(err)
 	}
-	if identity, err := LoadIdentity(Disk, folder); identity != "10.0.0.1#x" || err != nil {
+	if identity, err := LoadIdentity(Disk, dir); identity != "10.0.0.1#x" || err != nil {
 		t.Fatal(identity, err)
 	}
-	if err := os.WriteFile(filepath.Join(folder, identityFile), []byte("10.0"), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, identityFile), []byte("10.0"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if identity, _ := LoadIdentity(Disk, folder); identity != "" {
-		t.Errorf("a torn identity was read as %q", identity)
+	if identity, _ := LoadIdentity(Disk, dir); identity != "" {
+		t.Errorf("a torn write of the identity was read as %q", identity)
 	}
 }
--- a/internal/serving/wal/power_loss_test.go
+++ b/internal/serving/wal/power_loss_test.go
@@ -13,82 +13,85 @@
 )
 
 const (
-	folder      = "data"
-	powerSeeds  = 4000
-	founderHere = "10.0.0.1#founder"
+	dataDir         = "data"
+	powerLossSeeds  = 4000
+	initialIdentity = "10.0.0.1#founder"
 )
 
-func openReplica(t *testing.T, files *waltest.Files, bootstrap bool, fresh string) wal.Opened {
+func openReplica(
+	t *testing.T, fsys *waltest.FileSystem, bootstrap bool, newIdentity string,
+) wal.OpenedReplica {
 	t.Helper()
-	var founders wal.Founders
+	var initialMembers wal.InitialMembers
 	if bootstrap {
-		founders = wal.Founders{founderHere, "10.0.0.2#founder"}
+		initialMembers = wal.InitialMembers{initialIdentity, "10.0.0.2#founder"}
 	}
-	opened, err := wal.OpenReplica(files, folder, founderHere, founders, fresh)
+	opened, err := wal.OpenReplica(fsys, dataDir, initialIdentity, initialMembers, newIdentity)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return opened
 }
 
-// TestWhatIsAcknowledgedOutlastsPower writes in a drawn way until the power goes in the middle of an
-// operation. What had been acknowledged is read back, and at most what was being written beside it.
-func TestWhatIsAcknowledgedOutlastsPower(t *testing.T) {
-	for seed := range int64(powerSeeds) {
+// TestAcknowledgedWritesSurvivePowerLoss makes random writes until the power is lost during an operation.
+// All acknowledged writes are read back, and at most the one that was in progress besides.
+func TestAcknowledgedWritesSurvivePowerLoss(t *testing.T) {
+	for seed := range int64(powerLossSeeds) {
 		random := rand.New(rand.NewSource(seed))
-		files := waltest.New(random)
-		opened := openReplica(t, files, true, "10.0.0.1#fresh")
-		var acknowledged, trying consensus.Stored
-		acknowledged = opened.Stored
-		for life := 0; life < 3; life++ {
-			files.CutPowerAfter(random.Intn(30))
-			acknowledged, trying = writeUntilPowerGoes(random, files, opened.Store, acknowledged)
-			files.LosePower()
-			opened = openReplica(t, files, random.Intn(2) == 0, "10.0.0.1#fresh")
-			if opened.Identity != founderHere || opened.Damage != nil {
-				t.Fatalf("seed %d: identity %s, damage %v", seed, opened.Identity, opened.Damage)
+		fsys := waltest.New(random)
+		opened := openReplica(t, fsys, true, "10.0.0.1#fresh")
+		var acknowledged, attempted consensus.Stored
+		acknowledged = opened.State
+		for restart := 0; restart < 3; restart++ {
+			fsys.CutPowerAfter(random.Intn(30))
+			acknowledged, attempted = writeUntilPowerLoss(random, fsys, opened.Store, acknowledged)
+			fsys.LosePower()
+			opened = openReplica(t, fsys, random.Intn(2) == 0, "10.0.0.1#fresh")
+			if opened.Identity != initialIdentity || opened.Corruption != nil {
+				t.Fatalf("seed %d: identity %s, corruption %v", seed, opened.Identity, opened.Corruption)
 			}
-			if !same(opened.Stored, acknowledged) && !same(opened.Stored, trying) {
-				t.Fatalf("seed %d: read back %v, acknowledged %v, tried %v", seed, opened.Stored, acknowledged, trying)
+			if !sameState(opened.State, acknowledged) && !sameState(opened.State, attempted) {
+				t.Fatalf("seed %d: read back %v, acknowledged %v, attempted %v",
+					seed, opened.State, acknowledged, attempted)
 			}
-			acknowledged = opened.Stored
+			acknowledged = opened.State
 		}
 	}
 }
 
-// writeUntilPowerGoes returns what the disk has acknowledged, and that with the write that failed.
-func writeUntilPowerGoes(
-	random *rand.Rand, files *waltest.Files, store *wal.Store, held consensus.Stored,
-) (acknowledged, trying consensus.Stored) {
-	acknowledged = held
+// writeUntilPowerLoss returns the acknowledged state, and the state with the write that failed.
+func writeUntilPowerLoss(
+	random *rand.Rand, fsys *waltest.FileSystem, store *wal.Store, state consensus.Stored,
+) (acknowledged, attempted consensus.Stored) {
+	acknowledged = state
 	for {
-		files.FailSyncs = max(0, random.Intn(8)-6)
-		trying = acknowledged
-		batch := drawBatch(random, acknowledged)
-		if err := trying.Apply(batch); err != nil {
+		fsys.FailSyncs = max(0, random.Intn(8)-6)
+		attempted = acknowledged
+		batch := randomBatch(random, acknowledged)
+		if err := attempted.Apply(batch); err != nil {
 			panic(err)
 		}
 		var err error
 		if random.Intn(5) == 0 {
-			err = store.Rewrite(trying)
+			err = store.Rewrite(attempted)
 		} else {
 			err = store.Write([]consensus.Persist{batch})
 		}
 		for err != nil {
-			before := err
-			if err = store.Repair(); err != nil && err.Error() == before.Error() {
-				return acknowledged, trying
+			previous := err
+			if err = store.Repair(); err != nil && err.Error() == previous.Error() {
+				return acknowledged, attempted
 			}
 		}
-		acknowledged = trying
+		acknowledged = attempted
 	}
 }
 
-// drawBatch draws votes, and entries that follow or replace the last ones.
-func drawBatch(random *rand.Rand, held consensus.Stored) consensus.Persist {
-	last := held.Snapshot.GetIndex() + uint64(len(held.Entries))
-	first := last + 1 - min(uint64(random.Intn(2)), uint64(len(held.Entries)))
-	batch := consensus.Persist{HardState: &wirepb.HardState{Term: held.HardState.GetTerm() + 1}}
+// randomBatch returns a batch with the next term and entries that follow or replace the last one.
+func randomBatch(random *rand.Rand, state consensus.Stored) consensus.Persist {
+	last := state.Snapshot.GetIndex() + uint64(len(state.Entries))
+	first := last + 1 - min(uint64(random.Intn(2)), uint64(len(state.Entries)))
+	batch := consensus.Persist{HardState: &wirepb.HardState{Term: state.HardState.GetTerm() + 1}}
 	for i := range uint64(random.Intn(3)) {
 		data := make([]byte, random.Intn(50))
 		random.Read(data)
@@ -98,7 +101,7 @@
 	return batch
 }
 
-func same(x, y consensus.Stored) bool {
+func sameState(x, y consensus.Stored) bool {
 	if x.HardState.GetTerm() != y.HardState.GetTerm() || len(x.Entries) != len(y.Entries) {
 		return false
 	}
@@ -110,34 +113,36 @@
 	return x.Snapshot.GetIndex() == y.Snapshot.GetIndex()
 }
 
-// TestIdentityNeverStandsOverLess cuts the power at each operation of a first start, and of a start on a
-// damaged disk. A founder's identity comes with the founding state or more, a damaged disk never gets its
-// identity back.
-func TestIdentityNeverStandsOverLess(t *testing.T) {
-	for cut := range 40 {
+// TestIdentityIsDiscardedWithLostData cuts the power at each operation of a first start, and of a start on a
+// corrupted disk. An initial member's identity comes with at least the initial state, and a corrupted disk
+// never gets its identity back.
+func TestIdentityIsDiscardedWithLostData(t *testing.T) {
+	for operations := range 40 {
 		for seed := range int64(30) {
 			random := rand.New(rand.NewSource(seed))
-			files := waltest.New(random)
-			files.CutPowerAfter(cut)
-			wal.OpenReplica(files, folder, founderHere, wal.Founders{founderHere}, "10.0.0.1#fresh")
-			files.LosePower()
-			opened := openReplica(t, files, true, "10.0.0.1#fresh")
-			if opened.Identity != founderHere || len(opened.Stored.Snapshot.GetMembership().GetReplicas()) == 0 {
-				t.Fatalf("cut %d, seed %d: %s over %v", cut, seed, opened.Identity, opened.Stored)
+			fsys := waltest.New(random)
+			fsys.CutPowerAfter(operations)
+			wal.OpenReplica(fsys, dataDir, initialIdentity, wal.InitialMembers{initialIdentity}, "10.0.0.1#fresh")
+			fsys.LosePower()
+			opened := openReplica(t, fsys, true, "10.0.0.1#fresh")
+			if opened.Identity != initialIdentity || len(opened.State.Snapshot.GetMembership().GetReplicas()) == 0 {
+				t.Fatalf("power loss after %d operations, seed %d: identity %s with state %v",
+					operations, seed, opened.Identity, opened.State)
 			}
-			damage(t, files, opened)
-			files.CutPowerAfter(cut)
-			wal.OpenReplica(files, folder, founderHere, wal.Founders{founderHere}, "10.0.0.1#first")
-			files.LosePower()
-			if opened = openReplica(t, files, true, "10.0.0.1#second"); opened.Identity == founderHere {
-				t.Fatalf("cut %d, seed %d: a damaged disk votes as the founder", cut, seed)
+			corrupt(t, fsys, opened)
+			fsys.CutPowerAfter(operations)
+			wal.OpenReplica(fsys, dataDir, initialIdentity, wal.InitialMembers{initialIdentity}, "10.0.0.1#first")
+			fsys.LosePower()
+			if opened = openReplica(t, fsys, true, "10.0.0.1#second"); opened.Identity == initialIdentity {
+				t.Fatalf("power loss after %d operations, seed %d: a corrupted disk votes as the initial member",
+					operations, seed)
 			}
 		}
 	}
 }
 
-// damage spoils a frame that another one follows.
-func damage(t *testing.T, files *waltest.Files, opened wal.Opened) {
+// corrupt flips a bit of a frame that another one follows.
+func corrupt(t *testing.T, fsys *waltest.FileSystem, opened wal.OpenedReplica) {
 	t.Helper()
 	for term := uint64(1); term <= 3; term++ {
 		batch := consensus.Persist{HardState: &wirepb.HardState{Term: term, VotedFor: "someone"}}
@@ -145,7 +150,7 @@
 			t.Fatal(err)
 		}
 	}
-	names, err := files.ReadDir(folder)
+	names, err := fsys.ReadDir(dataDir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,13 +158,13 @@
 		if name == "identity" {
 			continue
 		}
-		path := folder + "/" + name
-		data, err := files.ReadFile(path)
+		path := dataDir + "/" + name
+		data, err := fsys.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		data[len(data)/2] ^= 0x40
-		if err := wal.WriteFile(files, folder, name, data); err != nil {
+		if err := wal.WriteFile(fsys, dataDir, name, data); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/serving/wal/replica.go
+++ b/internal/serving/wal/replica.go
@@ -9,65 +9,68 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// Opened is a replica's disk: who it is, and what it holds.
-type Opened struct {
-	Identity string
-	Store    *Store
-	Stored   consensus.Stored
-	Damage   error // what was found wrong with the disk, which joins anew then
+// OpenedReplica is the durable state of a replica at the start of its process.
+type OpenedReplica struct {
+	Identity   string
+	Store      *Store
+	State      consensus.Stored
+	Corruption error // why the previous state was discarded, or nil; Identity is a new one then
 }
 
-// Founders says which replicas found a quorum, on the first start of a whole system. None: it is not that.
-type Founders []string
+// InitialMembers are the identities of the first quorum, where this start bootstraps the system. It is empty
+// on every other start.
+type InitialMembers []string
 
-// OpenReplica opens the disk of a replica in folder. A disk that has none yet gets an identity: that of a
-// founder where it has never had one and is among the founders, else fresh. A disk that has lost what it
-// held gets a fresh identity, whoever it was: its votes and its copies are gone.
-func OpenReplica(files FileSystem, folder, founder string, founders Founders, fresh string) (Opened, error) {
-	identity, err := LoadIdentity(files, folder)
+// OpenReplica opens the data directory of a replica. A directory without an identity gets initialIdentity
+// where that is one of the initial members, and newIdentity otherwise. A directory whose log is corrupted or
+// missing gets newIdentity in any case: the votes given under the old identity are lost.
+func OpenReplica(
+	fsys FileSystem, dir, initialIdentity string, initialMembers InitialMembers, newIdentity string,
+) (OpenedReplica, error) {
+	identity, err := LoadIdentity(fsys, dir)
 	if err != nil {
-		return Opened{}, err
+		return OpenedReplica{}, err
 	}
-	log, stored, exists, err := Open(files, folder)
-	if err != nil && !errors.Is(err, ErrDamaged) {
-		return Opened{}, err
+	log, state, exists, err := Open(fsys, dir)
+	if err != nil && !errors.Is(err, ErrCorrupted) {
+		return OpenedReplica{}, err
 	}
 	if err == nil && identity != "" && exists {
-		return Opened{Identity: identity, Store: NewStore(log, stored), Stored: stored}, nil
+		return OpenedReplica{Identity: identity, Store: NewStore(log, state), State: state}, nil
 	}
-	if identity == "" && slices.Contains(founders, founder) {
-		return begin(files, folder, founder, consensus.Founding(founders))
+	if identity == "" && slices.Contains(initialMembers, initialIdentity) {
+		return initialize(fsys, dir, initialIdentity, consensus.Founding(initialMembers))
 	}
-	// The new identity is saved before the old log is removed: an identity never stands over less than it held.
-	if saveErr := SaveIdentity(files, folder, fresh); saveErr != nil {
-		return Opened{}, saveErr
+	// The new identity is durable before the old log is removed: an identity never loses acknowledged data.
+	if saveErr := SaveIdentity(fsys, dir, newIdentity); saveErr != nil {
+		return OpenedReplica{}, saveErr
 	}
-	opened, beginErr := begin(files, folder, fresh, consensus.Stored{Snapshot: &wirepb.Snapshot{}})
+	opened, initErr := initialize(fsys, dir, newIdentity, consensus.Stored{Snapshot: &wirepb.Snapshot{}})
 	if identity != "" {
-		opened.Damage = err
+		opened.Corruption = err
 		if err == nil {
-			opened.Damage = errors.Wrap(ErrDamaged, "the log is missing")
+			opened.Corruption = errors.Wrap(ErrCorrupted, "the log is missing")
 		}
 	}
-	return opened, beginErr
+	return opened, initErr
 }
 
-// begin makes a disk hold exactly stored, under an identity. What a life before it left unfinished was never
-// told to anyone.
-func begin(files FileSystem, folder, identity string, stored consensus.Stored) (Opened, error) {
-	if err := Clear(files, folder); err != nil {
-		return Opened{}, err
+// initialize makes dir contain exactly state under identity. Segments of an incomplete initialization are
+// removed: a process acknowledges nothing before its identity is durable.
+func initialize(fsys FileSystem, dir, identity string, state consensus.Stored) (OpenedReplica, error) {
+	if err := RemoveSegments(fsys, dir); err != nil {
+		return OpenedReplica{}, err
 	}
-	log, _, _, err := Open(files, folder)
+	log, _, _, err := Open(fsys, dir)
 	if err != nil {
-		return Opened{}, err
+		return OpenedReplica{}, err
 	}
-	store := NewStore(log, stored)
+	store := NewStore(log, state)
 	if err := store.Repair(); err != nil {
-		return Opened{}, err
+		return OpenedReplica{}, err
 	}
-	if err := SaveIdentity(files, folder, identity); err != nil {
-		return Opened{}, err
+	if err := SaveIdentity(fsys, dir, identity); err != nil {
+		return OpenedReplica{}, err
 	}
-	return Opened{Identity: identity, Store: store, Stored: stored}, nil
+	return OpenedReplica{Identity: identity, Store: store, State: state}, nil
 }
--- a/internal/serving/wal/store.go
+++ b/internal/serving/wal/store.go
@@ -2,20 +2,20 @@
 
 import "willowdeck/internal/serving/consensus"
 
-// Store is a log together with a copy of what it should hold, so that a segment whose write has failed can be
-// replaced by a whole one. It is not safe for concurrent use.
+// Store is a log together with its intended content in memory, so that a segment whose write has failed can
+// be replaced by a complete one. It is not safe for concurrent use.
 type Store struct {
-	log  *Log
-	held consensus.Stored
+	log   *Log
+	state consensus.Stored // what the log has to contain, including batches whose write has failed
 }
 
-// NewStore makes a store of an open log and what it holds.
-func NewStore(log *Log, held consensus.Stored) *Store { return &Store{log: log, held: held} }
+// NewStore returns a store of an open log and the state that it contains.
+func NewStore(log *Log, state consensus.Stored) *Store { return &Store{log: log, state: state} }
 
-// Write puts batches on disk. After an error nothing of them counts before Repair has succeeded.
+// Write makes batches durable. After an error none of them may be acknowledged before Repair has succeeded.
 func (s *Store) Write(batches []consensus.Persist) error {
 	for _, batch := range batches {
-		if err := s.held.Apply(batch); err != nil {
+		if err := s.state.Apply(batch); err != nil {
 			return err
 		}
 	}
@@ -25,15 +25,15 @@
 	return s.log.Append(batches)
 }
 
-// Rewrite begins a new segment that holds exactly stored. After an error nothing of it counts before Repair
-// has succeeded.
-func (s *Store) Rewrite(stored consensus.Stored) error {
-	s.held = stored
+// Rewrite begins a new segment that contains exactly state, as after a compaction. After an error none of it
+// may be acknowledged before Repair has succeeded.
+func (s *Store) Rewrite(state consensus.Stored) error {
+	s.state = state
 	return s.Repair()
 }
 
-// Repair begins a new segment that holds all that should be on disk.
-func (s *Store) Repair() error { return s.log.Rewrite(s.held) }
+// Repair begins a new segment with the complete intended content.
+func (s *Store) Repair() error { return s.log.Rewrite(s.state) }
 
-// Size returns the bytes of the present segment.
+// Size returns the size of the current segment in bytes.
 func (s *Store) Size() int64 { return s.log.Size() }
--- a/internal/serving/wal/waltest/filesystem.go
+++ b/internal/serving/wal/waltest/filesystem.go
@@ -1,6 +1,7 @@
-// Package waltest is a file system in memory for tests of what has to outlast a loss of power. What is not
-// synced may be kept or lost, each write and each name by itself, as on the machines that the programs are
-// made for.
+// Package waltest provides an in-memory file system for tests of durability. It injects full disks, failed
+// syncs and power losses. After a power loss each write and each change of a name that was not synced is
+// kept or lost independently of the others, in any combination that a disk which reorders writes may leave.
+// All choices come from the given source of random numbers, so a run with the same seed is the same.
 package waltest
 
 import (
@@ -15,29 +16,32 @@
 	"willowdeck/internal/serving/wal"
 )
 
-// Errors that a file system in trouble returns.
+// Injected faults.
 var (
-	ErrFull  = errors.New("no space left on the disk")
-	ErrPower = errors.New("the power is gone")
+	ErrNoSpace   = errors.New("no space left on the disk")
+	ErrPowerLoss = errors.New("the power is lost")
+	ErrSync      = errors.New("the disk has failed a sync")
 )
 
-// Files is one disk. It is not safe for concurrent use.
-type Files struct {
-	Full      bool // writes are refused
-	FailSyncs int  // so many of the next syncs fail, and lose what they should have kept
+// FileSystem is one disk; it implements wal.FileSystem. It is not safe for concurrent use.
+type FileSystem struct {
+	Full      bool // creations and writes fail with ErrNoSpace
+	FailSyncs int  // number of the next syncs that fail with ErrSync and lose the data to be synced
 
-	random  *rand.Rand
-	names   map[string]*content // as a process sees them
-	durable map[string]*content // as they are after a loss of power
-	changes []nameChange        // since their folder was synced
-	left    int                 // operations until the power goes; negative: no end
+	random         *rand.Rand
+	names          map[string]*content // by path, as a process sees them
+	durableNames   map[string]*content // by path, as they are after a power loss
+	changes        []nameChange        // since the last sync of the directory, oldest first
+	operationsLeft int                 // until the power is lost; negative: unlimited
 }
 
+// content is the content of one file.
 type content struct {
 	durable []byte
 	writes  [][]byte // since the last sync
 }
 
+// bytes returns the content as a process reads it.
 func (c *content) bytes() []byte {
 	data := slices.Clone(c.durable)
 	for _, write := range c.writes {
@@ -46,49 +50,49 @@
 	return data
 }
 
-// nameChange gives a name a content, or takes it away where that is nil. A rename is two of them, kept or
-// lost together.
+// nameChange is a change of a directory that may not be durable yet. A creation sets name and content, a
+// removal sets removed, and a rename sets all three: both of its halves are kept or lost together.
 type nameChange struct {
 	name    string
 	content *content
 	removed string
 }
 
-// New makes an empty disk.
-func New(random *rand.Rand) *Files {
-	return &Files{
-		random: random, names: map[string]*content{}, durable: map[string]*content{}, left: -1,
+// New returns an empty disk that draws the outcomes of power losses from random.
+func New(random *rand.Rand) *FileSystem {
+	return &FileSystem{
+		random: random, names: map[string]*content{}, durableNames: map[string]*content{}, operationsLeft: -1,
 	}
 }
 
-// CutPowerAfter lets only so many more operations happen; those after them fail.
-func (f *Files) CutPowerAfter(operations int) { f.left = operations }
+// CutPowerAfter lets the given number of operations succeed; all later ones fail with ErrPowerLoss.
+func (f *FileSystem) CutPowerAfter(operations int) { f.operationsLeft = operations }
 
-// Restart lets operations happen again, after a process has ended. What it wrote stays.
-func (f *Files) Restart() { f.left = -1 }
+// Restart lifts the limit of CutPowerAfter, as when only the process has ended: unsynced data is kept.
+func (f *FileSystem) Restart() { f.operationsLeft = -1 }
 
-// LosePower keeps what was synced, and of the rest what chance leaves.
-func (f *Files) LosePower() {
+// LosePower keeps all synced data and a random part of the rest, and lets operations succeed again.
+func (f *FileSystem) LosePower() {
 	keepSome := f.random.Intn(3) > 0
 	for _, change := range f.changes {
 		if keepSome && f.random.Intn(2) == 0 {
-			f.settle(change)
+			f.makeDurable(change)
 		}
 	}
 	f.changes = nil
 	seen := map[*content]bool{}
-	for _, name := range slices.Sorted(maps.Keys(f.durable)) {
-		if c := f.durable[name]; !seen[c] {
+	for _, name := range slices.Sorted(maps.Keys(f.durableNames)) {
+		if c := f.durableNames[name]; !seen[c] {
 			seen[c] = true
 			f.loseWrites(c, keepSome)
 		}
 	}
-	f.names = maps.Clone(f.durable)
-	f.left = -1
+	f.names = maps.Clone(f.durableNames)
+	f.operationsLeft = -1
 }
 
-// loseWrites keeps each unsynced write whole, in part, as a hole, or not at all.
-func (f *Files) loseWrites(c *content, keepSome bool) {
+// loseWrites keeps each unsynced write completely, as a prefix, as a run of zeros, or not at all.
+func (f *FileSystem) loseWrites(c *content, keepSome bool) {
 	data := c.durable
 	for i, write := range c.writes {
 		if !keepSome {
@@ -108,28 +112,29 @@
 	c.durable, c.writes = data, nil
 }
 
-func (f *Files) settle(change nameChange) {
+// makeDurable applies a change of names to the durable ones.
+func (f *FileSystem) makeDurable(change nameChange) {
 	if change.removed != "" {
-		delete(f.durable, change.removed)
+		delete(f.durableNames, change.removed)
 	}
 	if change.content != nil {
-		f.durable[change.name] = change.content
+		f.durableNames[change.name] = change.content
 	}
 }
 
-// spend counts an operation.
-func (f *Files) spend() error {
-	if f.left == 0 {
-		return ErrPower
+// countOperation counts an operation that changes the disk, and fails after the last one allowed.
+func (f *FileSystem) countOperation() error {
+	if f.operationsLeft == 0 {
+		return ErrPowerLoss
 	}
-	if f.left > 0 {
-		f.left--
+	if f.operationsLeft > 0 {
+		f.operationsLeft--
 	}
 	return nil
 }
 
-// ReadFile returns what a file holds.
-func (f *Files) ReadFile(path string) ([]byte, error) {
+// ReadFile returns the content of a file, synced or not.
+func (f *FileSystem) ReadFile(path string) ([]byte, error) {
 	c := f.names[path]
 	if c == nil {
 		return nil, &fs.PathError{Op: "open", Path: path, Err: fs.ErrNotExist}
@@ -137,46 +142,46 @@
 	return c.bytes(), nil
 }
 
-// ReadDir returns the names in a folder.
-func (f *Files) ReadDir(folder string) ([]string, error) {
+// ReadDir returns the names of the files in a directory, in lexical order.
+func (f *FileSystem) ReadDir(dir string) ([]string, error) {
 	var names []string
 	for _, path := range slices.Sorted(maps.Keys(f.names)) {
-		if filepath.Dir(path) == filepath.Clean(folder) {
+		if filepath.Dir(path) == filepath.Clean(dir) {
 			names = append(names, filepath.Base(path))
 		}
 	}
 	return names, nil
 }
 
-// Create makes an empty file.
-func (f *Files) Create(path string) (wal.File, error) {
-	if err := f.spend(); err != nil {
+// Create creates or truncates a file.
+func (f *FileSystem) Create(path string) (wal.File, error) {
+	if err := f.countOperation(); err != nil {
 		return nil, err
 	}
 	if f.Full {
-		return nil, ErrFull
+		return nil, ErrNoSpace
 	}
 	c := &content{}
 	f.names[path] = c
 	f.changes = append(f.changes, nameChange{name: path, content: c})
-	return &file{files: f, content: c}, nil
+	return &file{fsys: f, content: c}, nil
 }
 
-// OpenAppend opens a file behind its end.
-func (f *Files) OpenAppend(path string) (wal.File, error) {
-	if err := f.spend(); err != nil {
+// OpenAppend opens an existing file for appending.
+func (f *FileSystem) OpenAppend(path string) (wal.File, error) {
+	if err := f.countOperation(); err != nil {
 		return nil, err
 	}
 	c := f.names[path]
 	if c == nil {
 		return nil, &fs.PathError{Op: "open", Path: path, Err: fs.ErrNotExist}
 	}
-	return &file{files: f, content: c}, nil
+	return &file{fsys: f, content: c}, nil
 }
 
-// Rename gives a file another name.
-func (f *Files) Rename(from, to string) error {
-	if err := f.spend(); err != nil {
+// Rename renames a file and replaces an existing one.
+func (f *FileSystem) Rename(from, to string) error {
+	if err := f.countOperation(); err != nil {
 		return err
 	}
 	c := f.names[from]
@@ -189,9 +194,9 @@
 	return nil
 }
 
-// Remove takes a file away.
-func (f *Files) Remove(path string) error {
-	if err := f.spend(); err != nil {
+// Remove removes a file.
+func (f *FileSystem) Remove(path string) error {
+	if err := f.countOperation(); err != nil {
 		return err
 	}
 	if f.names[path] == nil {
@@ -202,55 +207,57 @@
 	return nil
 }
 
-// SyncFolder makes the names in all folders outlast a loss of power.
-func (f *Files) SyncFolder(string) error {
-	if err := f.spend(); err != nil {
+// SyncDir makes the names in all directories durable.
+func (f *FileSystem) SyncDir(string) error {
+	if err := f.countOperation(); err != nil {
 		return err
 	}
 	for _, change := range f.changes {
-		f.settle(change)
+		f.makeDurable(change)
 	}
 	f.changes = nil
 	return nil
 }
 
-// file is an open file.
+// file is a file that is open for writing; it implements wal.File.
 type file struct {
-	files   *Files
+	fsys    *FileSystem
 	content *content
 }
 
-func (o *file) Write(data []byte) (int, error) {
-	if err := o.files.spend(); err != nil {
+// Write appends data, which is not durable before Sync.
+func (f *file) Write(data []byte) (int, error) {
+	if err := f.fsys.countOperation(); err != nil {
 		return 0, err
 	}
-	if o.files.Full {
-		return 0, ErrFull
+	if f.fsys.Full {
+		return 0, ErrNoSpace
 	}
-	o.content.writes = append(o.content.writes, slices.Clone(data))
+	f.content.writes = append(f.content.writes, slices.Clone(data))
 	return len(data), nil
 }
 
-// Sync makes the file's bytes, and the name that it was made under, outlast a loss of power.
-func (o *file) Sync() error {
-	if err := o.files.spend(); err != nil {
+// Sync makes the file's content durable, and the name that it was created under.
+func (f *file) Sync() error {
+	if err := f.fsys.countOperation(); err != nil {
 		return err
 	}
-	if o.files.FailSyncs > 0 {
-		o.files.FailSyncs--
-		o.content.writes = nil
-		return errors.New("the disk has failed a sync")
+	if f.fsys.FailSyncs > 0 {
+		f.fsys.FailSyncs--
+		f.content.writes = nil
+		return ErrSync
 	}
-	o.content.durable = o.content.bytes()
-	o.content.writes = nil
-	o.files.changes = slices.DeleteFunc(o.files.changes, func(change nameChange) bool {
-		made := change.content == o.content && change.removed == ""
-		if made {
-			o.files.settle(change)
+	f.content.durable = f.content.bytes()
+	f.content.writes = nil
+	f.fsys.changes = slices.DeleteFunc(f.fsys.changes, func(change nameChange) bool {
+		isCreation := change.content == f.content && change.removed == ""
+		if isCreation {
+			f.fsys.makeDurable(change)
 		}
-		return made
+		return isCreation
 	})
 	return nil
 }
 
-func (o *file) Close() error { return nil }
+// Close does nothing: a file needs no resources.
+func (f *file) Close() error { return nil }
