--- a/internal/serving/program/imports_test.go
+++ b/internal/serving/program/imports_test.go
@@ -38,10 +38,10 @@
 
 // TestDecisionsHaveNoInputOrOutput looks at what the deciding packages import.
 func TestDecisionsHaveNoInputOrOutput(t *testing.T) {
-	deciding := []string{"consensus", "committed", "configuration", "catalog", "balance", "loadshare",
-		"coldshare", "retrybudget", "mirror", "control"}
+	deciding := []string{"consensus", "statemachine", "configuration", "catalog", "loadbalancer", "loadreport",
+		"slowstart", "retrybudget", "stateview", "control", "pathhealth"}
 	forbidden := []string{"net", "net/http", "os", "os/exec", "syscall", "log", "go.uber.org/zap",
-		module + "framing", module + "feed", module + "core", module + "agent", module + "edge"}
+		module + "framing", module + "watch", module + "core", module + "agent", module + "edge"}
 	for _, name := range deciding {
 		for _, imported := range goList(t, "-f", `{{join .Imports "\n"}}`, "./internal/serving/"+name) {
 			told := name == "control" && imported == "go.uber.org/zap" // a logger is given to it
