--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink puts the decision module on the bench's wire, over standard input and output.
+// Command simadapter puts the decision module on the bench's wire, over standard input and output.
 package main
 
 import (
@@ -10,7 +10,7 @@
 
 func main() {
 	if err := simadapter.Run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintf(os.Stderr, "benchlink: %v\n", err)
+		fmt.Fprintf(os.Stderr, "simadapter: %v\n", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/willowdeck-lab/journal.go
+++ b/cmd/willowdeck-lab/journal.go
@@ -174,7 +174,7 @@
 
 // written makes a store of a kind in a folder of its own, which done removes.
 func written(in string, kind int, window float64) (w writes, done func(), err error) {
-	dir, err := os.MkdirTemp(in, "wdlab")
+	dir, err := os.MkdirTemp(in, "willowdeck-lab")
 	if err != nil {
 		return w, nil, err
 	}
@@ -261,7 +261,7 @@
 	curve := experiment.Curve{Name: "time to read"}
 	rows := [][]string{{"mb", "records", "txns", "ms"}}
 	for _, mb := range c.IntSlice("mb") {
-		dir, err := os.MkdirTemp(c.String("dir"), "wdlab")
+		dir, err := os.MkdirTemp(c.String("dir"), "willowdeck-lab")
 		if err != nil {
 			return err
 		}
--- a/cmd/willowdeck-lab/main.go
+++ b/cmd/willowdeck-lab/main.go
@@ -1,5 +1,5 @@
-// Command wdlab is the laboratory: it plays fleets in virtual time, sends load to gatekeepers on sockets,
-// and keeps, draws and compares what comes of it.
+// Command willowdeck-lab is the laboratory: it simulates deployments in virtual time, sends load to gateway
+// instances on sockets, and keeps, draws and compares the results.
 package main
 
 import (
@@ -26,7 +26,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := command().Run(ctx, os.Args); err != nil {
-		fmt.Fprintf(os.Stderr, "wdlab: %v\n", err)
+		fmt.Fprintf(os.Stderr, "willowdeck-lab: %v\n", err)
 		os.Exit(1)
 	}
 }
@@ -37,7 +37,7 @@
 	out := &cli.StringFlag{Name: "out", Usage: "the table to write, `FILE.csv`"}
 	figure := &cli.StringFlag{Name: "figure", Value: "score", Usage: "the `COLUMN` to draw"}
 	return &cli.Command{
-		Name:  "wdlab",
+		Name:  "willowdeck-lab",
 		Usage: "plays fleets in virtual time, sends load on sockets, and compares what comes of it",
 		Commands: []*cli.Command{
 			{Name: "run", Usage: "play a scenario", ArgsUsage: "SCENARIO.toml", Action: run, Flags: []cli.Flag{seeds,
@@ -74,7 +74,7 @@
 			{Name: "hollow", Hidden: true, Action: hollow},
 			{Name: "stand", Usage: "run stand-ins on loopback, and write a gatekeeper's configuration",
 				ArgsUsage: "SCENARIO.toml",
-				Action:    stand, Flags: []cli.Flag{&cli.StringFlag{Name: "config", Value: "wdlab.json",
+				Action:    stand, Flags: []cli.Flag{&cli.StringFlag{Name: "config", Value: "willowdeck-lab.json",
 					Usage: "`FILE` to write"},
 					&cli.StringFlag{Name: "listen", Value: "127.0.0.1:5000", Usage: "where the gatekeeper is to listen"},
 					&cli.StringFlag{Name: "portal", Usage: "run a portal at `HOST:PORT` before it"},
--- a/cmd/willowdeck-lab/main_test.go
+++ b/cmd/willowdeck-lab/main_test.go
@@ -109,7 +109,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.line, func(t *testing.T) {
-			args := []string{"wdlab"}
+			args := []string{"willowdeck-lab"}
 			for _, w := range strings.Fields(c.line) {
 				if strings.Contains(w, ".") {
 					w = in(w)
--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -103,7 +103,7 @@
 }
 
 func TestMarkers(t *testing.T) {
-	const open, end = "<!-- a: made by wdlab capacity -->\n", "<!-- /a -->\n"
+	const open, end = "<!-- a: made by willowdeck-lab capacity -->\n", "<!-- /a -->\n"
 	cases := []struct{ name, page, says string }{
 		{"right", "x\n" + open + "old\n" + end + "y\n", ""},
 		{"no place", "x\n", "is not there once"},
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -67,13 +67,14 @@
 	}
 	raw, err := os.ReadFile(fits)
 	if err == nil && string(raw) != b.Fits {
-		err = fmt.Errorf("%s: %w: line %d; wdlab capacity makes it anew", fits, ErrStale,
+		err = fmt.Errorf("%s: %w: line %d; willowdeck-lab capacity makes it anew", fits, ErrStale,
 			differs(string(raw), b.Fits))
 	}
 	return err
 }
 
-// Fill puts the parts between a page's markers, "<!-- NAME: made by wdlab capacity -->" and "<!-- /NAME -->".
+// Fill puts the parts between a page's markers, "<!-- NAME: made by willowdeck-lab capacity -->" and
+// "<!-- /NAME -->".
 // Each part has to have its place, and each place its part.
 func Fill(page string, parts map[string]string) (string, error) {
 	var names []string
@@ -82,7 +83,7 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		open, end := "<!-- "+name+": made by wdlab capacity -->\n", "<!-- /"+name+" -->\n"
+		open, end := "<!-- "+name+": made by willowdeck-lab capacity -->\n", "<!-- /"+name+" -->\n"
 		head, rest, there := strings.Cut(page, open)
 		if !there || strings.Contains(rest, open) {
 			return "", fmt.Errorf("marker %q is not there once", strings.TrimSpace(open))
@@ -93,7 +94,7 @@
 		}
 		page = head + open + parts[name] + end + tail
 	}
-	if n := strings.Count(page, ": made by wdlab capacity -->"); n != len(names) {
+	if n := strings.Count(page, ": made by willowdeck-lab capacity -->"); n != len(names) {
 		return "", fmt.Errorf("%d places for %d parts", n, len(names))
 	}
 	return page, nil
@@ -111,7 +112,7 @@
 	case now == string(raw):
 		return nil
 	case check:
-		return fmt.Errorf("%s: %w: line %d; wdlab capacity makes it anew", path, ErrStale,
+		return fmt.Errorf("%s: %w: line %d; willowdeck-lab capacity makes it anew", path, ErrStale,
 			differs(string(raw), now))
 	}
 	return put(path, []byte(now))
@@ -549,7 +550,8 @@
 	}
 	return fmt.Sprintf(`# Every measured figure over its sizes
 
-Made by wdlab capacity from the tables beside this file; docs/CAPACITY-gateway.md says what each column means.
+Made by willowdeck-lab capacity from the tables beside this file;
+docs/CAPACITY-gateway.md says what each column means.
 %d figures have fewer than %d sizes and no fit.
 
 `, few, slopes.Least) + t.String(), nil
--- a/internal/lab/footprint/rules.go
+++ b/internal/lab/footprint/rules.go
@@ -147,7 +147,7 @@
 // fleetFile measures what a host's daemon with some perHost gatekeepers reads at its start, and carries
 // out at each change.
 func fleetFile(n int) ([]Value, error) {
-	dir, err := os.MkdirTemp("", "wdlab-*")
+	dir, err := os.MkdirTemp("", "willowdeck-lab-*")
 	if err != nil {
 		return nil, err
 	}
@@ -170,7 +170,7 @@
 
 // councilOf tells why a council of so many hosts is refused.
 func councilOf(hosts int) error {
-	dir, err := os.MkdirTemp("", "wdlab-*")
+	dir, err := os.MkdirTemp("", "willowdeck-lab-*")
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/rules.go
+++ b/internal/lab/scale/rules.go
@@ -33,7 +33,7 @@
 	s       *Scenario
 	t       *Table
 	program string // willowdeck
-	self    string // wdlab
+	self    string // willowdeck-lab
 	site    *site
 	dir     string // the site's
 	net     *loopback
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -25,7 +25,7 @@
 // each process of a run works below that folder.
 func rig(t *testing.T) Programs {
 	t.Helper()
-	p := Programs{faultinject.Program(t, "willowdeck"), faultinject.Program(t, "wdlab")}
+	p := Programs{faultinject.Program(t, "willowdeck"), faultinject.Program(t, "willowdeck-lab")}
 	dir, err := os.MkdirTemp("", "wds")
 	if err != nil {
 		t.Fatal(err)
