--- a/internal/serving/statemachine/boundedmap.go
+++ b/internal/serving/statemachine/boundedmap.go
@@ -1,41 +1,44 @@
 package statemachine
 
-// recent keeps the newest values by key, up to a bound, in the order in which their keys came.
-type recent[V any] struct {
-	most   int
-	order  []string
-	values map[string]V
+// boundedMap is a map that keeps the order in which its keys were added, and evicts the oldest key where
+// there are more than capacity.
+type boundedMap[V any] struct {
+	capacity int
+	order    []string // keys, oldest first; a new value for a known key does not move it
+	values   map[string]V
 }
 
-func newRecent[V any](most int) *recent[V] { return &recent[V]{most: most, values: map[string]V{}} }
+func newBoundedMap[V any](capacity int) *boundedMap[V] {
+	return &boundedMap[V]{capacity: capacity, values: map[string]V{}}
+}
 
-func (r *recent[V]) get(key string) (V, bool) {
-	value, known := r.values[key]
+func (b *boundedMap[V]) get(key string) (V, bool) {
+	value, known := b.values[key]
 	return value, known
 }
 
-// put keeps a value. The oldest key gives way where there are too many.
-func (r *recent[V]) put(key string, value V) {
-	_, known := r.values[key]
-	r.values[key] = value
+// put sets the value of a key, and evicts the oldest key where there are too many.
+func (b *boundedMap[V]) put(key string, value V) {
+	_, known := b.values[key]
+	b.values[key] = value
 	if known {
 		return
 	}
-	r.order = append(r.order, key)
-	if len(r.order) > r.most {
-		delete(r.values, r.order[0])
-		r.order = append([]string(nil), r.order[1:]...)
+	b.order = append(b.order, key)
+	if len(b.order) > b.capacity {
+		delete(b.values, b.order[0])
+		b.order = append([]string(nil), b.order[1:]...)
 	}
 }
 
-// keys returns the keys, the oldest first.
-func (r *recent[V]) keys() []string { return r.order }
+// keys returns the keys, oldest first. The slice must not be changed.
+func (b *boundedMap[V]) keys() []string { return b.order }
 
-// all returns the values, those of the oldest keys first.
-func (r *recent[V]) all() []V {
+// inOrder returns the values in the order of their keys, oldest first.
+func (b *boundedMap[V]) inOrder() []V {
 	var values []V
-	for _, key := range r.order {
-		values = append(values, r.values[key])
+	for _, key := range b.order {
+		values = append(values, b.values[key])
 	}
 	return values
 }
--- /dev/null
+++ b/internal/serving/statemachine/commands.go
@@ -0,0 +1,36 @@
+package statemachine
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+
+	"willowdeck/internal/serving/wirepb"
+)
+
+// ReplaceCommand returns the command that puts a configuration in force if generation base is in force.
+func ReplaceCommand(base, generation uint64, body []byte) (*wirepb.Command, error) {
+	compressed, err := Compress(body)
+	if err != nil {
+		return nil, err
+	}
+	change := &wirepb.ReplaceConfiguration{
+		Base: base, Generation: generation, Digest: Digest(base, body), Body: compressed,
+	}
+	return &wirepb.Command{Change: &wirepb.Command_Replace{Replace: change}}, nil
+}
+
+// EvacuationCommand returns the command that starts (active) or stops the evacuation of a zone.
+func EvacuationCommand(zone string, active bool) *wirepb.Command {
+	change := &wirepb.SetEvacuation{Zone: zone, Active: active}
+	return &wirepb.Command{Change: &wirepb.Command_Evacuation{Evacuation: change}}
+}
+
+// Digest identifies a change of the configuration by its base generation and its body: SHA-256 of both.
+func Digest(base uint64, body []byte) []byte {
+	hash := sha256.New()
+	var encodedBase [8]byte
+	binary.BigEndian.PutUint64(encodedBase[:], base)
+	hash.Write(encodedBase[:])
+	hash.Write(body)
+	return hash.Sum(nil)
+}
--- /dev/null
+++ b/internal/serving/statemachine/compression.go
@@ -0,0 +1,41 @@
+package statemachine
+
+import (
+	"bytes"
+	"compress/flate"
+	"io"
+
+	"github.com/pkg/errors"
+
+	"willowdeck/internal/serving/configuration"
+)
+
+// Compress compresses a configuration with DEFLATE, as it is stored in the log.
+func Compress(body []byte) ([]byte, error) {
+	var buffer bytes.Buffer
+	writer, err := flate.NewWriter(&buffer, flate.BestSpeed)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := writer.Write(body); err != nil {
+		return nil, err
+	}
+	if err := writer.Close(); err != nil {
+		return nil, err
+	}
+	return buffer.Bytes(), nil
+}
+
+// Decompress returns the configuration that Compress was given.
+func Decompress(compressed []byte) ([]byte, error) {
+	return io.ReadAll(flate.NewReader(bytes.NewReader(compressed)))
+}
+
+// readCompressed parses a compressed configuration.
+func readCompressed(compressed []byte) (*configuration.Document, error) {
+	body, err := Decompress(compressed)
+	if err != nil {
+		return nil, errors.Wrap(err, "committed configuration does not decompress")
+	}
+	return configuration.Read(body)
+}
--- a/internal/serving/statemachine/golden_test.go
+++ b/internal/serving/statemachine/golden_test.go
@@ -12,20 +12,20 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// testdata/snapshot.bin was written by Machine.Snapshot of 2 December 2026, after the orders that the tests
-// name. It is never rewritten: disks in use, and snapshots on their way between cores, have this form. The
-// body in it is compressed, and compressors may change: it is compared unpacked.
+// testdata/snapshot.bin was written by Machine.Snapshot of 2 December 2026, after the commands that the tests
+// name. It is never rewritten: disks in use, and snapshots between cores, have this format. The body in it is
+// compressed, and compressors may change: it is compared after decompression.
 const (
-	goldenSnapshot = "testdata/snapshot.bin"
-	goldenOldBody  = `{"generation":3,"routes":[],"services":[{"name":"s0"}]}`
-	goldenRoute    = `{"name":"r1","hostname":"h1","path_prefix":"/p/","route_type":"idempotent",` +
+	goldenSnapshot     = "testdata/snapshot.bin"
+	goldenPreviousBody = `{"generation":3,"routes":[],"services":[{"name":"s0"}]}`
+	goldenRoute        = `{"name":"r1","hostname":"h1","path_prefix":"/p/","route_type":"idempotent",` +
 		`"timeout_ms":1500,"backend":"s1"}`
 	goldenBody = `{"generation":7,"routes":[` + goldenRoute + `],` +
 		`"services":[{"name":"s1","cold_per_s":12.5}],"limits":{"max_header_bytes":16384}}`
-	goldenFinal = 1<<63 - 1 // the order of a departure that nothing follows
+	goldenFinal = 1<<63 - 1 // the sequence number of a final departure
 )
 
-// goldenDigests are those of goldenOldBody on generation 2 and of goldenBody on generation 3.
+// goldenDigests are those of goldenPreviousBody on generation 2 and of goldenBody on generation 3.
 var goldenDigests = []string{
 	"ebafb8b345361eb997f67fd74879956cd100571f63e6ca1c84f638af154492e4",
 	"e618200088f1d96628caa1ecd83706dc48322d702737b34913bb0950baf3ef6c",
@@ -49,7 +49,7 @@
 	return m
 }
 
-// TestGoldenSnapshot restores the snapshot and compares all that a machine tells.
+// TestGoldenSnapshot restores the snapshot and compares the exported state.
 func TestGoldenSnapshot(t *testing.T) {
 	m := goldenMachine(t)
 	if m.Generation() != 7 || m.Document().Generation != 7 || m.Document().Routes()["h1/p/"] != goldenRoute {
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestGoldenSnapshotFields compares the fields that a machine does not tell, by the names of the code.
+// TestGoldenSnapshotFields compares the encoded fields, including those that a machine does not export.
 func TestGoldenSnapshotFields(t *testing.T) {
 	var state wirepb.StateSnapshot
 	if err := proto.Unmarshal(goldenData(t), &state); err != nil {
@@ -92,43 +92,44 @@
 		t.Errorf("evacuated %v", state.Evacuated)
 	}
 	if len(state.Taken) != 2 {
-		t.Fatalf("taken %v", state.Taken)
+		t.Fatalf("accepted %v", state.Taken)
 	}
 	for i, generation := range []uint64{3, 7} {
-		taken := state.Taken[i]
-		if taken.Generation != generation || hex.EncodeToString(taken.Digest) != goldenDigests[i] {
-			t.Errorf("taken %d: generation %d, digest %x", i, taken.Generation, taken.Digest)
+		accepted := state.Taken[i]
+		if accepted.Generation != generation || hex.EncodeToString(accepted.Digest) != goldenDigests[i] {
+			t.Errorf("accepted %d: generation %d, digest %x", i, accepted.Generation, accepted.Digest)
 		}
 	}
 }
 
-// TestGoldenSnapshotKnowsOrders sends orders to a restored machine which knows them, or has forgotten them.
-func TestGoldenSnapshotKnowsOrders(t *testing.T) {
+// TestGoldenSnapshotRecognizesRetries applies retries to a restored machine, which recognizes them or has
+// evicted them.
+func TestGoldenSnapshotRecognizesRetries(t *testing.T) {
 	m := goldenMachine(t)
 	cases := []struct {
 		base, generation uint64
 		body             string
 		want             wirepb.Outcome
 	}{
-		{2, 3, goldenOldBody, wirepb.Outcome_OUTCOME_TAKEN},
+		{2, 3, goldenPreviousBody, wirepb.Outcome_OUTCOME_TAKEN},
 		{3, 7, goldenBody, wirepb.Outcome_OUTCOME_TAKEN},
-		{1, 2, goldenOldBody, wirepb.Outcome_OUTCOME_UNKNOWN},
+		{1, 2, goldenPreviousBody, wirepb.Outcome_OUTCOME_UNKNOWN},
 		{2, 9, goldenBody, wirepb.Outcome_OUTCOME_CONFLICT},
 	}
-	for _, order := range cases {
-		command, err := ReplaceCommand(order.base, order.generation, []byte(order.body))
+	for _, test := range cases {
+		command, err := ReplaceCommand(test.base, test.generation, []byte(test.body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := applyCommand(t, m, command); got != order.want {
-			t.Errorf("generation %d on %d: %v instead of %v", order.generation, order.base, got, order.want)
+		if got := applyCommand(t, m, command); got != test.want {
+			t.Errorf("generation %d on %d: %v instead of %v", test.generation, test.base, got, test.want)
 		}
 	}
-	known := EvacuationCommand("y", true)
-	known.Id = "order-2"
-	applyCommand(t, m, known)
+	retry := EvacuationCommand("y", true)
+	retry.Id = "order-2"
+	applyCommand(t, m, retry)
 	if zones := m.Evacuated(); !slices.Equal(zones, []string{"x"}) {
-		t.Errorf("evacuated %v by an order that was known", zones)
+		t.Errorf("evacuated %v by a retry", zones)
 	}
 }
 
@@ -149,9 +150,10 @@
 	}
 }
 
-// TestGoldenDigest pins what tells an order from others, which replicas of both versions must work out alike.
+// TestGoldenDigest guards the digest that identifies a change: replicas of all versions must compute the same
+// one.
 func TestGoldenDigest(t *testing.T) {
-	if got := hex.EncodeToString(Digest(2, []byte(goldenOldBody))); got != goldenDigests[0] {
+	if got := hex.EncodeToString(Digest(2, []byte(goldenPreviousBody))); got != goldenDigests[0] {
 		t.Errorf("digest %s", got)
 	}
 	if got := hex.EncodeToString(Digest(3, []byte(goldenBody))); got != goldenDigests[1] {
@@ -159,17 +161,17 @@
 	}
 }
 
-// Commands as they stand in logs: an order with the id order-0 to put goldenOldBody in force as generation 3
-// on generation 2, one with the id order-4 to evacuate z, and a departure.
+// Commands as they are stored in logs: one with the id order-0 that puts goldenPreviousBody in force as
+// generation 3 on generation 2, one with the id order-4 that evacuates z, and a departure.
 const (
 	goldenReplace = "0a076f726465722d301269080210031a20ebafb8b345361eb997f67fd74879956cd100571f63e6ca" +
 		"1c84f638af154492e42241003700c8ff7b2267656e65726174696f6e223a332c22726f7574657322" +
 		"3a5b5d2c227365727669636573223a5b7b226e616d65223a227330227d5d7d010000ffff"
 	goldenEvacuation = "0a076f726465722d341a050a017a1001"
-	goldenDeparture  = "22070a03772d311005" // of w-1, order 5
+	goldenDeparture  = "22070a03772d311005" // of w-1, sequence number 5
 )
 
-// TestGoldenCommands applies old commands, and makes the same ones again.
+// TestGoldenCommands applies stored commands, and encodes the same ones again.
 func TestGoldenCommands(t *testing.T) {
 	m := New()
 	m.generation = 2
@@ -185,7 +187,7 @@
 	if m.Generation() != 3 || !slices.Equal(m.Evacuated(), []string{"z"}) || m.Departure("w-1").GetOrder() != 5 {
 		t.Errorf("generation %d, evacuated %v, departures %v", m.Generation(), m.Evacuated(), m.Departures())
 	}
-	replace, err := ReplaceCommand(2, 3, []byte(goldenOldBody))
+	replace, err := ReplaceCommand(2, 3, []byte(goldenPreviousBody))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serving/statemachine/machine.go
+++ b/internal/serving/statemachine/machine.go
@@ -1,15 +1,6 @@
-// Package statemachine is the state machine above the replicated log: the configuration in force, the zones
-// that
-// are evacuated, the workers that are leaving, and what is needed to know an order again. It has no I/O,
-// and each replica comes to the same state.
 package statemachine
 
 import (
-	"bytes"
-	"compress/flate"
-	"crypto/sha256"
-	"encoding/binary"
-	"io"
 	"maps"
 	"slices"
 
@@ -20,39 +11,40 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// How much is remembered, the newest first.
+// Bounds of the history that makes retried commands idempotent. The oldest items are evicted first. Replicas
+// come to the same state only if they have the same bounds.
 const (
-	rememberedChanges     = 4096 // accepted configurations that are known again when they are sent once more
-	rememberedDepartures  = 8192 // incarnations of workers that are leaving or have left
-	rememberedEvacuations = 1024 // orders to evacuate, or to end that, whose later tries do nothing
+	maxAcceptedChanges    = 4096 // accepted configurations that are recognized when they are submitted again
+	maxDepartures         = 8192 // incarnations of workers that are draining or deregistered
+	maxEvacuationCommands = 1024 // commands that start or stop an evacuation, whose retries have no effect
 )
 
-// Result is what became of a command.
+// Result is the outcome of a command.
 type Result struct {
-	ID        string
+	ID        string // of the command
 	Outcome   wirepb.Outcome
-	Departure *wirepb.Departure // that was told, if the command is one
+	Departure *wirepb.Departure // that the command has reported, or nil
 }
 
-// Machine is the replicated state.
+// Machine is the replicated state. It is not safe for concurrent use.
 type Machine struct {
-	generation uint64
-	body       []byte // compressed
-	document   *configuration.Document
-	taken      []*wirepb.TakenChange // oldest first
-	known      map[string]bool       // digests of taken
-	forgotten  uint64                // the newest generation whose digest is no longer kept
-	evacuated  map[string]bool
-	evacuating *recent[bool]              // ids of orders
-	departures *recent[*wirepb.Departure] // by instance
-}
-
-// New makes the state before the first entry.
+	generation         uint64                         // of the configuration in force, 0 before the first
+	body               []byte                         // the configuration in force, compressed
+	document           *configuration.Document        // the configuration in force, parsed
+	accepted           []*wirepb.TakenChange          // changes of the configuration, oldest first
+	acceptedDigests    map[string]bool                // digests of accepted
+	evictedGeneration  uint64                         // the newest one that was evicted from accepted
+	evacuated          map[string]bool                // by zone
+	appliedEvacuations *boundedMap[bool]              // by command id
+	departures         *boundedMap[*wirepb.Departure] // by instance
+}
+
+// New returns the state before the first entry.
 func New() *Machine {
 	return &Machine{
-		known: map[string]bool{}, evacuated: map[string]bool{},
-		evacuating: newRecent[bool](rememberedEvacuations),
-		departures: newRecent[*wirepb.Departure](rememberedDepartures),
+		acceptedDigests: map[string]bool{}, evacuated: map[string]bool{},
+		appliedEvacuations: newBoundedMap[bool](maxEvacuationCommands),
+		departures:         newBoundedMap[*wirepb.Departure](maxDepartures),
 	}
 }
 
@@ -62,22 +54,23 @@
 // Body returns the configuration in force as the operator sent it, compressed, or nil before the first.
 func (m *Machine) Body() []byte { return m.body }
 
-// Document returns the configuration in force in parts, or nil before the first.
+// Document returns the configuration in force, parsed, or nil before the first.
 func (m *Machine) Document() *configuration.Document { return m.document }
 
-// Evacuated returns the zones that are evacuated, in order.
+// Evacuated returns the evacuated zones in lexical order.
 func (m *Machine) Evacuated() []string { return slices.Sorted(maps.Keys(m.evacuated)) }
 
-// Departure returns what is known of the leaving of a worker's incarnation, or nil.
+// Departure returns the last departure that a worker's incarnation has reported, or nil.
 func (m *Machine) Departure(instance string) *wirepb.Departure {
 	departure, _ := m.departures.get(instance)
 	return departure
 }
 
-// Departures returns all that is known of leaving workers, the oldest first.
-func (m *Machine) Departures() []*wirepb.Departure { return m.departures.all() }
+// Departures returns the departures of all incarnations, in the order in which they began.
+func (m *Machine) Departures() []*wirepb.Departure { return m.departures.inOrder() }
 
-// Apply carries out a committed entry's command.
+// Apply applies the command of a committed entry. An error means that the entry does not decode: no replica
+// can apply it.
 func (m *Machine) Apply(data []byte) (Result, error) {
 	var command wirepb.Command
 	if err := proto.Unmarshal(data, &command); err != nil {
@@ -94,18 +87,19 @@
 	case *wirepb.Command_Evacuation:
 		m.setEvacuation(command.Id, change.Evacuation)
 	case *wirepb.Command_Departure:
-		m.depart(change.Departure)
+		m.recordDeparture(change.Departure)
 		result.Departure = change.Departure
 	}
 	return result, nil
 }
 
+// replace puts a configuration in force, unless it builds on another one or is a retry.
 func (m *Machine) replace(change *wirepb.ReplaceConfiguration) (wirepb.Outcome, error) {
 	switch {
-	case m.known[string(change.Digest)]:
+	case m.acceptedDigests[string(change.Digest)]:
 		return wirepb.Outcome_OUTCOME_TAKEN, nil
-	case change.Base < m.forgotten:
-		return wirepb.Outcome_OUTCOME_UNKNOWN, nil // it may have been taken: no refusal
+	case change.Base < m.evictedGeneration:
+		return wirepb.Outcome_OUTCOME_UNKNOWN, nil // it may be a retry of an accepted change: its digest is evicted
 	case change.Base != m.generation:
 		return wirepb.Outcome_OUTCOME_CONFLICT, nil
 	case change.Generation <= m.generation:
@@ -116,27 +110,29 @@
 		return 0, err
 	}
 	m.generation, m.body, m.document = change.Generation, change.Body, document
-	m.remember(&wirepb.TakenChange{Digest: change.Digest, Generation: change.Generation})
+	m.recordAccepted(&wirepb.TakenChange{Digest: change.Digest, Generation: change.Generation})
 	return wirepb.Outcome_OUTCOME_TAKEN, nil
 }
 
-func (m *Machine) remember(change *wirepb.TakenChange) {
-	m.taken = append(m.taken, change)
-	m.known[string(change.Digest)] = true
-	if len(m.taken) > rememberedChanges {
-		delete(m.known, string(m.taken[0].Digest))
-		m.forgotten = m.taken[0].Generation
-		m.taken = slices.Clone(m.taken[1:])
+// recordAccepted adds an accepted change, and evicts the oldest one where there are too many.
+func (m *Machine) recordAccepted(change *wirepb.TakenChange) {
+	m.accepted = append(m.accepted, change)
+	m.acceptedDigests[string(change.Digest)] = true
+	if len(m.accepted) > maxAcceptedChanges {
+		delete(m.acceptedDigests, string(m.accepted[0].Digest))
+		m.evictedGeneration = m.accepted[0].Generation
+		m.accepted = slices.Clone(m.accepted[1:])
 	}
 }
 
-// setEvacuation carries out the first try of an order. A later one may come behind another order.
-func (m *Machine) setEvacuation(order string, change *wirepb.SetEvacuation) {
-	if _, known := m.evacuating.get(order); known {
+// setEvacuation applies a command once. A retry has no effect, since it may be committed after a later
+// command.
+func (m *Machine) setEvacuation(commandID string, change *wirepb.SetEvacuation) {
+	if _, applied := m.appliedEvacuations.get(commandID); applied {
 		return
 	}
-	if order != "" {
-		m.evacuating.put(order, true)
+	if commandID != "" {
+		m.appliedEvacuations.put(commandID, true)
 	}
 	if change.Active {
 		m.evacuated[change.Zone] = true
@@ -145,107 +141,11 @@
 	}
 }
 
-// depart notes what a worker has said last: once deregistered, it stays so.
-func (m *Machine) depart(departure *wirepb.Departure) {
-	known := m.Departure(departure.InstanceId)
-	if known != nil && (known.Final || !departure.Final && known.Order >= departure.Order) {
+// recordDeparture keeps the newest departure of an incarnation. A deregistration is final.
+func (m *Machine) recordDeparture(departure *wirepb.Departure) {
+	previous := m.Departure(departure.InstanceId)
+	if previous != nil && (previous.Final || !departure.Final && previous.Order >= departure.Order) {
 		return
 	}
 	m.departures.put(departure.InstanceId, departure)
 }
-
-// Snapshot encodes the state.
-func (m *Machine) Snapshot() ([]byte, error) {
-	return proto.Marshal(&wirepb.StateSnapshot{
-		Generation: m.generation, Body: m.body, Taken: m.taken, Evacuated: m.Evacuated(),
-		Departures: m.departures.all(), Forgotten: m.forgotten, EvacuationOrders: m.evacuating.keys(),
-	})
-}
-
-// Restore replaces the state by an encoded one. Empty data is the state before the first entry.
-func (m *Machine) Restore(data []byte) error {
-	var snapshot wirepb.StateSnapshot
-	if err := proto.Unmarshal(data, &snapshot); err != nil {
-		return errors.Wrap(err, "snapshot does not decode")
-	}
-	*m = *New()
-	for _, change := range snapshot.Taken {
-		m.remember(change)
-	}
-	m.forgotten = max(m.forgotten, snapshot.Forgotten)
-	for _, zone := range snapshot.Evacuated {
-		m.evacuated[zone] = true
-	}
-	for _, order := range snapshot.EvacuationOrders {
-		m.evacuating.put(order, true)
-	}
-	for _, departure := range snapshot.Departures {
-		m.departures.put(departure.InstanceId, departure)
-	}
-	if snapshot.Generation == 0 {
-		return nil
-	}
-	document, err := readCompressed(snapshot.Body)
-	if err != nil {
-		return err
-	}
-	m.generation, m.body, m.document = snapshot.Generation, snapshot.Body, document
-	return nil
-}
-
-// ReplaceCommand makes the order to put a configuration in force that builds on the version base.
-func ReplaceCommand(base, generation uint64, body []byte) (*wirepb.Command, error) {
-	packed, err := Compress(body)
-	if err != nil {
-		return nil, err
-	}
-	change := &wirepb.ReplaceConfiguration{
-		Base: base, Generation: generation, Digest: Digest(base, body), Body: packed,
-	}
-	return &wirepb.Command{Change: &wirepb.Command_Replace{Replace: change}}, nil
-}
-
-// EvacuationCommand makes the order to evacuate a zone, or to end that.
-func EvacuationCommand(zone string, active bool) *wirepb.Command {
-	change := &wirepb.SetEvacuation{Zone: zone, Active: active}
-	return &wirepb.Command{Change: &wirepb.Command_Evacuation{Evacuation: change}}
-}
-
-// Digest tells an order from all others: by the version that it builds on, and its body.
-func Digest(base uint64, body []byte) []byte {
-	hash := sha256.New()
-	var number [8]byte
-	binary.BigEndian.PutUint64(number[:], base)
-	hash.Write(number[:])
-	hash.Write(body)
-	return hash.Sum(nil)
-}
-
-// Compress packs a configuration for the log.
-func Compress(body []byte) ([]byte, error) {
-	var buffer bytes.Buffer
-	writer, err := flate.NewWriter(&buffer, flate.BestSpeed)
-	if err != nil {
-		return nil, err
-	}
-	if _, err := writer.Write(body); err != nil {
-		return nil, err
-	}
-	if err := writer.Close(); err != nil {
-		return nil, err
-	}
-	return buffer.Bytes(), nil
-}
-
-// Decompress undoes Compress.
-func Decompress(packed []byte) ([]byte, error) {
-	return io.ReadAll(flate.NewReader(bytes.NewReader(packed)))
-}
-
-func readCompressed(packed []byte) (*configuration.Document, error) {
-	body, err := Decompress(packed)
-	if err != nil {
-		return nil, errors.Wrap(err, "committed configuration does not unpack")
-	}
-	return configuration.Read(body)
-}
--- a/internal/serving/statemachine/machine_test.go
+++ b/internal/serving/statemachine/machine_test.go
@@ -9,15 +9,15 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-func replaceCommand(t *testing.T, base, generation uint64, mark string) []byte {
+func encodedReplace(t *testing.T, base, generation uint64, mark string) []byte {
 	t.Helper()
 	body := []byte(fmt.Sprintf(`{"generation":%d,"routes":[],"services":[],"mark":%q}`, generation, mark))
-	packed, err := Compress(body)
+	compressed, err := Compress(body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	change := &wirepb.ReplaceConfiguration{
-		Base: base, Generation: generation, Digest: Digest(base, body), Body: packed,
+		Base: base, Generation: generation, Digest: Digest(base, body), Body: compressed,
 	}
 	data, err := proto.Marshal(&wirepb.Command{Change: &wirepb.Command_Replace{Replace: change}})
 	if err != nil {
@@ -35,8 +35,8 @@
 	return result.Outcome
 }
 
-// restoredFrom returns another machine in the state of m, by way of a snapshot.
-func restoredFrom(t *testing.T, m *Machine) *Machine {
+// restoreCopy returns a new machine that is restored from a snapshot of m.
+func restoreCopy(t *testing.T, m *Machine) *Machine {
 	t.Helper()
 	data, err := m.Snapshot()
 	if err != nil {
@@ -51,7 +51,7 @@
 
 func TestReplace(t *testing.T) {
 	const (
-		taken    = wirepb.Outcome_OUTCOME_TAKEN
+		accepted = wirepb.Outcome_OUTCOME_TAKEN
 		conflict = wirepb.Outcome_OUTCOME_CONFLICT
 		stale    = wirepb.Outcome_OUTCOME_STALE
 	)
@@ -62,19 +62,19 @@
 		mark             string
 		want             wirepb.Outcome
 	}{
-		{"the first", 0, 3, "a", taken},
-		{"the first once more", 0, 3, "a", taken},
-		{"a second one on the same version", 0, 4, "b", conflict},
-		{"the next", 3, 7, "c", taken},
-		{"the first again, after newer ones", 0, 3, "a", taken},
-		{"the same number with another body", 3, 7, "d", conflict},
-		{"the same number on the newest version", 7, 7, "d", stale},
-		{"an older number on the newest version", 7, 5, "d", stale},
-		{"an old body on the newest version", 7, 3, "a", stale},
-		{"a version that never was", 6, 9, "e", conflict},
+		{"first configuration", 0, 3, "a", accepted},
+		{"retry of the first", 0, 3, "a", accepted},
+		{"another change of the same generation", 0, 4, "b", conflict},
+		{"next configuration", 3, 7, "c", accepted},
+		{"retry of the first after newer ones", 0, 3, "a", accepted},
+		{"generation in force with another body", 3, 7, "d", conflict},
+		{"generation in force, built on itself", 7, 7, "d", stale},
+		{"older generation, built on the current one", 7, 5, "d", stale},
+		{"older body, built on the current generation", 7, 3, "a", stale},
+		{"built on a generation that never existed", 6, 9, "e", conflict},
 	}
 	for _, step := range steps {
-		if got := apply(t, m, replaceCommand(t, step.base, step.generation, step.mark)); got != step.want {
+		if got := apply(t, m, encodedReplace(t, step.base, step.generation, step.mark)); got != step.want {
 			t.Errorf("%s: %v instead of %v", step.name, got, step.want)
 		}
 	}
@@ -83,10 +83,10 @@
 	}
 }
 
-func TestSnapshotKeepsAll(t *testing.T) {
+func TestSnapshotRestoresState(t *testing.T) {
 	m := New()
-	apply(t, m, replaceCommand(t, 0, 3, "a"))
-	apply(t, m, replaceCommand(t, 3, 8, "b"))
+	apply(t, m, encodedReplace(t, 0, 3, "a"))
+	apply(t, m, encodedReplace(t, 3, 8, "b"))
 	for zone, active := range map[string]bool{"x": true, "y": false} {
 		data, err := proto.Marshal(&wirepb.Command{Change: &wirepb.Command_Evacuation{
 			Evacuation: &wirepb.SetEvacuation{Zone: zone, Active: active},
@@ -96,15 +96,15 @@
 		}
 		apply(t, m, data)
 	}
-	restored := restoredFrom(t, m)
+	restored := restoreCopy(t, m)
 	if restored.Generation() != 8 || restored.Document().Generation != 8 {
 		t.Errorf("generation %d", restored.Generation())
 	}
 	if zones := restored.Evacuated(); len(zones) != 1 || zones[0] != "x" {
 		t.Errorf("evacuated %v", zones)
 	}
-	if got := apply(t, restored, replaceCommand(t, 0, 3, "a")); got != wirepb.Outcome_OUTCOME_TAKEN {
-		t.Errorf("an order that was taken before the snapshot: %v", got)
+	if got := apply(t, restored, encodedReplace(t, 0, 3, "a")); got != wirepb.Outcome_OUTCOME_TAKEN {
+		t.Errorf("retry of a command that was accepted before the snapshot: %v", got)
 	}
 	body, err := Decompress(restored.Body())
 	if err != nil || string(body) != `{"generation":8,"routes":[],"services":[],"mark":"b"}` {
@@ -112,34 +112,34 @@
 	}
 }
 
-// TestForgottenOrderIsNotRefused sends orders again that are so old that their digests are not kept: no
-// refusal, since they were taken.
-func TestForgottenOrderIsNotRefused(t *testing.T) {
+// TestRetryOfEvictedChangeIsNotRejected submits changes again whose digests are evicted: their outcome is
+// unknown, since they may have been accepted.
+func TestRetryOfEvictedChangeIsNotRejected(t *testing.T) {
 	m := New()
-	for generation := range uint64(rememberedChanges + 3) {
-		got := apply(t, m, replaceCommand(t, generation, generation+1, "a"))
+	for generation := range uint64(maxAcceptedChanges + 3) {
+		got := apply(t, m, encodedReplace(t, generation, generation+1, "a"))
 		if got != wirepb.Outcome_OUTCOME_TAKEN {
 			t.Fatal(generation, got)
 		}
 	}
-	restored := restoredFrom(t, m)
-	for name, machine := range map[string]*Machine{"as it is": m, "restored": restored} {
-		if got := apply(t, machine, replaceCommand(t, 0, 1, "a")); got != wirepb.Outcome_OUTCOME_UNKNOWN {
-			t.Errorf("%s: the oldest order: %v", name, got)
+	restored := restoreCopy(t, m)
+	for name, machine := range map[string]*Machine{"original": m, "restored": restored} {
+		if got := apply(t, machine, encodedReplace(t, 0, 1, "a")); got != wirepb.Outcome_OUTCOME_UNKNOWN {
+			t.Errorf("%s: retry of an evicted change: %v", name, got)
 		}
-		if got := apply(t, machine, replaceCommand(t, 3, 4, "a")); got != wirepb.Outcome_OUTCOME_TAKEN {
-			t.Errorf("%s: the oldest order that is remembered: %v", name, got)
+		if got := apply(t, machine, encodedReplace(t, 3, 4, "a")); got != wirepb.Outcome_OUTCOME_TAKEN {
+			t.Errorf("%s: retry of the oldest change that is kept: %v", name, got)
 		}
-		if got := apply(t, machine, replaceCommand(t, 9, 20, "b")); got != wirepb.Outcome_OUTCOME_CONFLICT {
-			t.Errorf("%s: another order on an old version: %v", name, got)
+		if got := apply(t, machine, encodedReplace(t, 9, 20, "b")); got != wirepb.Outcome_OUTCOME_CONFLICT {
+			t.Errorf("%s: another change of an old generation: %v", name, got)
 		}
 	}
 }
 
-// TestEvacuationTriesActOnce lets the second try of an order come behind the order that ended it.
-func TestEvacuationTriesActOnce(t *testing.T) {
+// TestEvacuationCommandsAreIdempotent commits the retry of a command after the command that reverted it.
+func TestEvacuationCommandsAreIdempotent(t *testing.T) {
 	m := New()
-	order := func(id string, active bool) []byte {
+	encoded := func(id string, active bool) []byte {
 		command := EvacuationCommand("x", active)
 		command.Id = id
 		data, err := proto.Marshal(command)
@@ -148,24 +148,25 @@
 		}
 		return data
 	}
-	for _, data := range [][]byte{order("start", true), order("stop", false), order("start", true)} {
+	for _, data := range [][]byte{encoded("start", true), encoded("stop", false), encoded("start", true)} {
 		if got := apply(t, m, data); got != wirepb.Outcome_OUTCOME_TAKEN {
 			t.Fatal(got)
 		}
 	}
 	if zones := m.Evacuated(); len(zones) != 0 {
-		t.Errorf("evacuated %v by a try of an order that was over", zones)
+		t.Errorf("evacuated %v by a retry of a reverted command", zones)
 	}
-	apply(t, m, order("start again", true))
+	apply(t, m, encoded("start again", true))
 	if zones := m.Evacuated(); len(zones) != 1 {
-		t.Errorf("evacuated %v by a new order", zones)
+		t.Errorf("evacuated %v by a new command", zones)
 	}
 }
 
-// TestDepartures looks that what a worker has said last counts, and a deregistration for ever.
+// TestDepartures checks that the newest departure of an incarnation is kept, and that a deregistration is
+// final.
 func TestDepartures(t *testing.T) {
 	m := New()
-	tell := func(order uint64, final bool) {
+	report := func(order uint64, final bool) {
 		command := &wirepb.Command{Change: &wirepb.Command_Departure{
 			Departure: &wirepb.Departure{InstanceId: "i", Order: order, Final: final},
 		}}
@@ -175,17 +176,17 @@
 		}
 		apply(t, m, data)
 	}
-	tell(7, false)
-	tell(5, false)
+	report(7, false)
+	report(5, false)
 	if got := m.Departure("i"); got.Order != 7 || got.Final {
 		t.Errorf("%v after a late heartbeat", got)
 	}
-	tell(9, true)
-	tell(12, false)
+	report(9, true)
+	report(12, false)
 	if got := m.Departure("i"); !got.Final {
 		t.Errorf("%v after a deregistration", got)
 	}
-	if got := restoredFrom(t, m).Departure("i"); !got.GetFinal() {
+	if got := restoreCopy(t, m).Departure("i"); !got.GetFinal() {
 		t.Errorf("%v restored", got)
 	}
 }
--- /dev/null
+++ b/internal/serving/statemachine/snapshot.go
@@ -0,0 +1,48 @@
+package statemachine
+
+import (
+	"github.com/pkg/errors"
+	"google.golang.org/protobuf/proto"
+
+	"willowdeck/internal/serving/wirepb"
+)
+
+// Snapshot encodes the complete state.
+func (m *Machine) Snapshot() ([]byte, error) {
+	return proto.Marshal(&wirepb.StateSnapshot{
+		Generation: m.generation, Body: m.body, Taken: m.accepted, Evacuated: m.Evacuated(),
+		Departures: m.departures.inOrder(), Forgotten: m.evictedGeneration,
+		EvacuationOrders: m.appliedEvacuations.keys(),
+	})
+}
+
+// Restore replaces the state by that of a snapshot. Empty data is the state before the first entry.
+func (m *Machine) Restore(data []byte) error {
+	var snapshot wirepb.StateSnapshot
+	if err := proto.Unmarshal(data, &snapshot); err != nil {
+		return errors.Wrap(err, "snapshot does not decode")
+	}
+	*m = *New()
+	for _, change := range snapshot.Taken {
+		m.recordAccepted(change)
+	}
+	m.evictedGeneration = max(m.evictedGeneration, snapshot.Forgotten)
+	for _, zone := range snapshot.Evacuated {
+		m.evacuated[zone] = true
+	}
+	for _, commandID := range snapshot.EvacuationOrders {
+		m.appliedEvacuations.put(commandID, true)
+	}
+	for _, departure := range snapshot.Departures {
+		m.departures.put(departure.InstanceId, departure)
+	}
+	if snapshot.Generation == 0 {
+		return nil
+	}
+	document, err := readCompressed(snapshot.Body)
+	if err != nil {
+		return err
+	}
+	m.generation, m.body, m.document = snapshot.Generation, snapshot.Body, document
+	return nil
+}
