--- a/internal/serving/agent/agent.go
+++ b/internal/serving/agent/agent.go
@@ -64,7 +64,7 @@
 	if ip := net.ParseIP(config.IP); ip.IsLoopback() {
 		host = config.IP
 	}
-	return net.JoinHostPort(host, strconv.Itoa(config.FirstPort+1))
+	return net.JoinHostPort(host, strconv.Itoa(config.FirstInternalPort+1))
 }
 
 // Run serves until the process is told to stop.
@@ -105,7 +105,7 @@
 // requests still need what this process holds.
 func (a *Agent) awaitStop(ctx context.Context) {
 	<-ctx.Done()
-	deadline := time.Now().Add(a.settings.Bounds.Grace - time.Second/2)
+	deadline := time.Now().Add(a.settings.Bounds.GracePeriod - time.Second/2)
 	for time.Now().Before(deadline) {
 		a.mu.Lock()
 		proxies := a.proxies
@@ -159,7 +159,7 @@
 		if err != nil {
 			continue
 		}
-		address := net.JoinHostPort(host, strconv.Itoa(config.FirstPort))
+		address := net.JoinHostPort(host, strconv.Itoa(config.FirstInternalPort))
 		if !known[address] {
 			known[address] = true
 			providers = append(providers, watch.Provider{Address: address, Distance: unknownPlace})
--- a/internal/serving/agent/agent_test.go
+++ b/internal/serving/agent/agent_test.go
@@ -16,7 +16,7 @@
 	a := &Agent{
 		logger: zap.NewNop(), changed: make(chan struct{}),
 		settings: &settings.Settings{
-			NodeName: "e1", IP: "10.1.0.5", Zone: "a", Region: "south", FirstPort: 7660, Seeds: seeds,
+			NodeName: "e1", IP: "10.1.0.5", Zone: "a", Region: "south", FirstInternalPort: 7660, Seeds: seeds,
 		},
 	}
 	a.mirror = stateview.New("", func() time.Duration { return 0 })
@@ -95,7 +95,7 @@
 
 func TestLoopbackAddress(t *testing.T) {
 	for ip, want := range map[string]string{"10.1.0.5": "127.0.0.1:7661", "127.0.2.3": "127.0.2.3:7661"} {
-		if got := LoopbackAddress(&settings.Settings{IP: ip, FirstPort: 7660}); got != want {
+		if got := LoopbackAddress(&settings.Settings{IP: ip, FirstInternalPort: 7660}); got != want {
 			t.Errorf("%s: %s", ip, got)
 		}
 	}
--- a/internal/serving/agent/golden_test.go
+++ b/internal/serving/agent/golden_test.go
@@ -10,7 +10,8 @@
 // versions for a while.
 func TestGoldenPorts(t *testing.T) {
 	for ip, want := range map[string]string{"10.0.0.1": "127.0.0.1:7661", "127.0.0.9": "127.0.0.9:7661"} {
-		if got := LoopbackAddress(&settings.Settings{IP: ip, FirstPort: 7660, LastPort: 7675}); got != want {
+		config := &settings.Settings{IP: ip, FirstInternalPort: 7660, LastInternalPort: 7675}
+		if got := LoopbackAddress(config); got != want {
 			t.Errorf("%s instead of %s", got, want)
 		}
 	}
--- a/internal/serving/core/core.go
+++ b/internal/serving/core/core.go
@@ -71,7 +71,7 @@
 func newCore(config *settings.Settings, settingsPath string, logger *zap.Logger) (*Core, error) {
 	c := &Core{
 		settings: config, settingsPath: settingsPath, logger: logger, started: time.Now(),
-		internal: net.JoinHostPort(config.IP, strconv.Itoa(config.FirstPort)),
+		internal: net.JoinHostPort(config.IP, strconv.Itoa(config.FirstInternalPort)),
 		events:   make(chan func(), 256), stop: make(chan struct{}), links: map[string]*peerLink{},
 	}
 	opened, err := openDisk(config, logger)
@@ -83,8 +83,8 @@
 		Identity: opened.Identity, Life: config.NodeName + "/" + randomTag(),
 		Address: c.internal, AddressOf: c.internalAddress, Zone: config.Zone, Region: config.Region,
 		Seeds: hostsOf(config.Seeds), Consensus: consensus.Options{Seats: seats(config)},
-		HeartbeatEvery: config.HeartbeatEvery,
-		CatchUp:        config.Bounds.CatchUp, Grace: config.Bounds.Grace,
+		HeartbeatEvery: config.HeartbeatInterval,
+		CatchUp:        config.Bounds.CatchUpTimeout, Grace: config.Bounds.GracePeriod,
 		Clock:  func() time.Duration { return time.Since(c.started) },
 		Random: mathrand.New(mathrand.NewSource(randomSeed())), Logger: logger,
 		SavedWorkers: savedWorkers(config.DataDir),
@@ -94,7 +94,7 @@
 }
 
 // seats returns how many replicas are to vote: as many as bear the loss of those that may be lost at once.
-func seats(config *settings.Settings) int { return 2*config.MachinesLost + 1 }
+func seats(config *settings.Settings) int { return 2*config.ToleratedMachineLosses + 1 }
 
 // savedWorkers reads what an earlier life has saved. Without it, workers are known by their heartbeats.
 func savedWorkers(folder string) []byte {
@@ -123,11 +123,11 @@
 	if err != nil {
 		return errors.Wrap(err, "cannot listen for other cores and agents: check internal_port_range")
 	}
-	controlPlane, err := c.listenHTTP("listen.control_plane", c.settings.ControlPlane, c.controlHandler())
+	controlPlane, err := c.listenHTTP("listen.control_plane", c.settings.ControlPlaneAddress, c.controlHandler())
 	if err != nil {
 		return err
 	}
-	directory, err := c.listenHTTP("listen.directory", c.settings.Directory, c.directoryHandler())
+	directory, err := c.listenHTTP("listen.directory", c.settings.DirectoryAddress, c.directoryHandler())
 	if err != nil {
 		return err
 	}
--- a/internal/serving/core/directory.go
+++ b/internal/serving/core/directory.go
@@ -39,7 +39,7 @@
 		refuse(w, http.StatusServiceUnavailable, "no edge is known yet: ask again soon")
 		return
 	}
-	ttl := math.Min(resolveTTL, c.settings.Bounds.TTLMax.Seconds())
+	ttl := math.Min(resolveTTL, c.settings.Bounds.MaxResolveTTL.Seconds())
 	answer(w, http.StatusOK, resolution{Addresses: near, TTL: ttl})
 }
 
--- a/internal/serving/core/peers.go
+++ b/internal/serving/core/peers.go
@@ -155,7 +155,7 @@
 }
 
 func (c *Core) internalAddress(host string) string {
-	return net.JoinHostPort(host, strconv.Itoa(c.settings.FirstPort))
+	return net.JoinHostPort(host, strconv.Itoa(c.settings.FirstInternalPort))
 }
 
 // Send hands an envelope to the link to another core, which is made where there is none yet.
--- a/internal/serving/edge/datagrams.go
+++ b/internal/serving/edge/datagrams.go
@@ -22,7 +22,7 @@
 
 // datagramAddress is where this edge hears the others.
 func (e *Edge) datagramAddress() string {
-	return net.JoinHostPort(e.settings.IP, strconv.Itoa(e.settings.FirstPort+datagramPortOffset))
+	return net.JoinHostPort(e.settings.IP, strconv.Itoa(e.settings.FirstInternalPort+datagramPortOffset))
 }
 
 func listenDatagrams(address string) (*datagrams, error) {
--- a/internal/serving/edge/decisions.go
+++ b/internal/serving/edge/decisions.go
@@ -155,7 +155,7 @@
 		return false, noWorkerWait // how many edges share the cold rate is not known: none of it can be used
 	}
 	limits := slowstart.Limits{
-		PerSecond: told.ColdPerS, Overshoot: d.bounds.ColdOvershoot, Slack: d.bounds.ColdSlack,
+		PerSecond: told.ColdPerS, Overshoot: d.bounds.SlowStartOvershoot, Slack: d.bounds.SlowStartSlack,
 	}
 	wait, ok := d.shares.Admit(now, w.Instance, limits, t.edges, t.demands)
 	return ok, wait
@@ -176,7 +176,7 @@
 func (d *decisions) budget(service string) *retrybudget.Budget {
 	budget := d.budgets[service]
 	if budget == nil {
-		budget = retrybudget.New(d.bounds.RetryBudgetRatio, d.bounds.RetrySlack, d.bounds.BudgetWindow)
+		budget = retrybudget.New(d.bounds.RetryBudgetRatio, d.bounds.RetryBudgetSlack, d.bounds.RetryBudgetWindow)
 		d.budgets[service] = budget
 	}
 	return budget
--- a/internal/serving/edge/edge.go
+++ b/internal/serving/edge/edge.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	if config.Front == "" {
+	if config.FrontAddress == "" {
 		return &settings.ValueError{Key: "listen.front", Remedy: "give IP:PORT: clients come there"}
 	}
 	e := newEdge(config, logger)
@@ -98,12 +98,12 @@
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	signal.Ignore(syscall.SIGHUP) // nothing that may change is read from the settings
-	front, err := framing.Listen(e.settings.Front)
+	front, err := framing.Listen(e.settings.FrontAddress)
 	if err != nil {
 		return errors.Wrap(err, "cannot listen for clients: free the port or change listen.front")
 	}
-	if e.settings.Readiness != "" {
-		readiness, err := framing.Listen(e.settings.Readiness)
+	if e.settings.ReadinessAddress != "" {
+		readiness, err := framing.Listen(e.settings.ReadinessAddress)
 		if err != nil {
 			return errors.Wrap(err, "cannot listen for readiness checks: free the port or change listen.readiness")
 		}
@@ -118,7 +118,7 @@
 	go e.exchangeDatagrams(ctx)
 	server := e.frontServer()
 	go server.Serve(front)
-	e.logger.Info("edge started", zap.String("front", e.settings.Front))
+	e.logger.Info("edge started", zap.String("front", e.settings.FrontAddress))
 	<-signals
 	e.drain(server)
 	e.logger.Info("edge stopped", zap.Int64("unfinished", e.inHand.Load()))
@@ -137,7 +137,7 @@
 	e.draining.Store(true)
 	e.tellAgent()
 	began := time.Now()
-	limit := e.settings.Bounds.Grace - stopMargin
+	limit := e.settings.Bounds.GracePeriod - stopMargin
 	for time.Since(began) < limit {
 		if time.Since(began) > directoryLag && e.inHand.Load() == 0 {
 			break
@@ -179,7 +179,8 @@
 		Subscriber: e.settings.NodeName,
 		Demands:    e.demands,
 		Edge: &wirepb.Edge{
-			Name: e.settings.NodeName, Address: e.settings.Front, Zone: e.settings.Zone, Region: e.settings.Region,
+			Name: e.settings.NodeName, Address: e.settings.FrontAddress,
+			Zone: e.settings.Zone, Region: e.settings.Region,
 			Ready: e.ready() && !e.impaired.Load(), InternalAddress: e.datagramAddress(),
 		},
 	}
--- a/internal/serving/edge/edge_test.go
+++ b/internal/serving/edge/edge_test.go
@@ -143,8 +143,8 @@
 	t.Helper()
 	config := &settings.Settings{NodeName: "e1", IP: "127.0.0.1", Zone: "a", Region: "south",
 		Zones: map[string]string{"a": "south"}, Bounds: settings.Bounds{
-			Grace: time.Second, RetryBudgetRatio: 1, BudgetWindow: 10 * time.Second, RetrySlack: 100,
-			ColdOvershoot: 1.5, ColdSlack: 5,
+			GracePeriod: time.Second, RetryBudgetRatio: 1, RetryBudgetWindow: 10 * time.Second, RetryBudgetSlack: 100,
+			SlowStartOvershoot: 1.5, SlowStartSlack: 5,
 		}}
 	e := newEdge(config, zap.NewNop())
 	var routes []string
--- a/internal/serving/edge/golden_test.go
+++ b/internal/serving/edge/golden_test.go
@@ -125,7 +125,8 @@
 // TestGoldenStatus compares what an edge tells its agent of itself, and where it hears datagrams.
 func TestGoldenStatus(t *testing.T) {
 	config := &settings.Settings{
-		NodeName: "edge-1", IP: "10.0.0.1", Zone: "a", Region: "south", Front: "10.0.0.1:80", FirstPort: 7660,
+		NodeName: "edge-1", IP: "10.0.0.1", Zone: "a", Region: "south", FrontAddress: "10.0.0.1:80",
+		FirstInternalPort: 7660,
 	}
 	e, _ := startEdge(t)
 	e.settings = config
--- a/internal/serving/program/golden_test.go
+++ b/internal/serving/program/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // The command lines that unit files and scripts of operators have, as of 2 December 2026. The files come
-// from the golden tests of packages boot and configuration.
+// from the golden tests of packages settings and configuration.
 var (
 	goldenSettings      = filepath.Join("..", "settings", "testdata", "settings.conf")
 	goldenConfiguration = filepath.Join("..", "configuration", "testdata", "operator.json")
--- a/internal/serving/program/program.go
+++ b/internal/serving/program/program.go
@@ -32,7 +32,7 @@
 func (p *Program) Main(arguments []string, output, problems io.Writer) int {
 	flags := flag.NewFlagSet(p.Name, flag.ContinueOnError)
 	flags.SetOutput(problems)
-	settingsPath := flags.String("settings", "", "settings file; the default is named in "+settings.PathVariable)
+	settingsPath := flags.String("settings", "", "settings file; the default is named in "+settings.PathEnvVar)
 	verbose := flags.Bool("verbose", false, "log more than changes of state")
 	flags.Usage = func() { p.usage(flags, problems) }
 	if err := flags.Parse(arguments); err != nil {
--- a/internal/serving/settings/golden_test.go
+++ b/internal/serving/settings/golden_test.go
@@ -29,15 +29,15 @@
 	}
 	want := &Settings{
 		NodeName: "edge-a-1", IP: "10.1.0.35", Zone: "a", Region: "south",
-		Zones: map[string]string{"a": "south", "b": "north"},
-		Front: "10.1.0.35:8144", Readiness: "10.1.0.35:8145", ControlPlane: "10.1.0.35:8146",
-		Directory: "10.1.0.35:8147", FirstPort: 7660, LastPort: 7675,
+		Zones:        map[string]string{"a": "south", "b": "north"},
+		FrontAddress: "10.1.0.35:8144", ReadinessAddress: "10.1.0.35:8145", ControlPlaneAddress: "10.1.0.35:8146",
+		DirectoryAddress: "10.1.0.35:8147", FirstInternalPort: 7660, LastInternalPort: 7675,
 		Seeds: []string{"10.1.0.38:8146", "10.2.0.30:8146"}, Bootstrap: true, DataDir: "/var/lib/willowdeck",
-		HeartbeatEvery: 1200 * time.Millisecond, MachinesLost: 2,
+		HeartbeatInterval: 1200 * time.Millisecond, ToleratedMachineLosses: 2,
 		Bounds: Bounds{
-			CatchUp: 3 * time.Second, Grace: 6 * time.Second, RetryBudgetRatio: 0.2,
-			BudgetWindow: 20 * time.Second, RetrySlack: 7, ColdOvershoot: 1.5, ColdSlack: 2.5,
-			TTLMax: 4 * time.Second,
+			CatchUpTimeout: 3 * time.Second, GracePeriod: 6 * time.Second, RetryBudgetRatio: 0.2,
+			RetryBudgetWindow: 20 * time.Second, RetryBudgetSlack: 7, SlowStartOvershoot: 1.5, SlowStartSlack: 2.5,
+			MaxResolveTTL: 4 * time.Second,
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestGoldenDefaults reads the fewest keys that do, and compares what stands for the others.
+// TestGoldenDefaults parses only the required keys, and compares the defaults of the others.
 func TestGoldenDefaults(t *testing.T) {
 	got, err := Parse("node_name=n\nip=10.0.0.1\nzone=a\nregion=south\ninternal_port_range=7660,7675\n")
 	if err != nil {
@@ -53,10 +53,10 @@
 	}
 	want := &Settings{
 		NodeName: "n", IP: "10.0.0.1", Zone: "a", Region: "south", Zones: map[string]string{},
-		FirstPort: 7660, LastPort: 7675, HeartbeatEvery: time.Second, MachinesLost: 1,
+		FirstInternalPort: 7660, LastInternalPort: 7675, HeartbeatInterval: time.Second, ToleratedMachineLosses: 1,
 		Bounds: Bounds{
-			CatchUp: 4 * time.Second, Grace: 8 * time.Second, RetryBudgetRatio: 0.1,
-			BudgetWindow: 10 * time.Second, ColdOvershoot: 1, TTLMax: 5 * time.Second,
+			CatchUpTimeout: 4 * time.Second, GracePeriod: 8 * time.Second, RetryBudgetRatio: 0.1,
+			RetryBudgetWindow: 10 * time.Second, SlowStartOvershoot: 1, MaxResolveTTL: 5 * time.Second,
 		},
 	}
 	if !reflect.DeepEqual(got, want) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestGoldenKeysInErrors spoils each value that can be refused: the error names the key as it was written.
+// TestGoldenKeysInErrors replaces each value by an invalid one: the error names the key as it was written.
 func TestGoldenKeysInErrors(t *testing.T) {
 	for key, value := range map[string]string{
 		"node_name": "", "ip": "ten", "zone": "", "region": "", "zones.a": "", "listen.front": "no port",
@@ -80,15 +80,15 @@
 			t.Errorf("%s is not in %s", key, goldenSettings)
 		}
 		_, err := Parse(line.ReplaceAllLiteralString(text, key+"="+value))
-		var wrong *ValueError
-		if !errors.As(err, &wrong) || wrong.Key != key || wrong.Value != value {
+		var valueErr *ValueError
+		if !errors.As(err, &valueErr) || valueErr.Key != key || valueErr.Value != value {
 			t.Errorf("%s: error %v", key, err)
 		}
 	}
 }
 
-// TestGoldenVariable pins the environment variable that names the file.
-func TestGoldenVariable(t *testing.T) {
+// TestGoldenEnvironmentVariable guards the name of the environment variable that names the file.
+func TestGoldenEnvironmentVariable(t *testing.T) {
 	t.Setenv("WILLOWDECK_BOOT", "/etc/willowdeck/boot.conf")
 	if path, err := Path(""); err != nil || path != "/etc/willowdeck/boot.conf" {
 		t.Errorf("path %q, error %v", path, err)
--- a/internal/serving/settings/settings_test.go
+++ b/internal/serving/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-const sample = `node_name=edge-a-1
+const validSettings = `node_name=edge-a-1
 ip=10.1.0.35
 zone=a
 region=south
@@ -24,23 +24,23 @@
 `
 
 func TestParse(t *testing.T) {
-	settings, err := Parse(sample)
+	settings, err := Parse(validSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if settings.Front != "10.1.0.35:8144" || settings.Zones["b"] != "north" || !settings.Bootstrap {
+	if settings.FrontAddress != "10.1.0.35:8144" || settings.Zones["b"] != "north" || !settings.Bootstrap {
 		t.Errorf("settings %+v", settings)
 	}
 	if len(settings.Seeds) != 2 || settings.Seeds[1] != "10.2.0.30:8146" {
 		t.Errorf("seeds %v", settings.Seeds)
 	}
-	if settings.Bounds.Grace != 8*time.Second || settings.HeartbeatEvery != 1200*time.Millisecond {
-		t.Errorf("grace %v, heartbeat %v", settings.Bounds.Grace, settings.HeartbeatEvery)
+	if settings.Bounds.GracePeriod != 8*time.Second || settings.HeartbeatInterval != 1200*time.Millisecond {
+		t.Errorf("grace %v, heartbeat %v", settings.Bounds.GracePeriod, settings.HeartbeatInterval)
 	}
 }
 
-func TestParseNamesKeyAndRemedy(t *testing.T) {
-	cases := map[string]string{ // changed line to the key that is to be named
+func TestValueErrorNamesKeyAndRemedy(t *testing.T) {
+	cases := map[string]string{ // from "LINE>REPLACEMENT" to the key that the error has to name
 		"ip=10.1.0.35>ip=ten": "ip",
 		"internal_port_range=7660,7675>internal_port_range=7660":      "internal_port_range",
 		"bootstrap=true>bootstrap=yes":                                "bootstrap",
@@ -51,10 +51,10 @@
 		"internal_port_range=7660,7675>internal_port_range=7675,7660": "internal_port_range",
 	}
 	for change, key := range cases {
-		old, new, _ := strings.Cut(change, ">")
-		_, err := Parse(strings.Replace(sample, old, new, 1))
-		var wrong *ValueError
-		if !errors.As(err, &wrong) || wrong.Key != key || wrong.Remedy == "" {
+		line, replacement, _ := strings.Cut(change, ">")
+		_, err := Parse(strings.Replace(validSettings, line, replacement, 1))
+		var valueErr *ValueError
+		if !errors.As(err, &valueErr) || valueErr.Key != key || valueErr.Remedy == "" {
 			t.Errorf("%s: error %v", change, err)
 		}
 	}
