--- a/internal/gateway/hotrestart/handover.go
+++ b/internal/gateway/hotrestart/handover.go
@@ -121,15 +121,15 @@
 				return whole, errors.New("handover: a will without end")
 			}
 			if kind == last {
-				var w Will
-				if err := gob.NewDecoder(bytes.NewReader(will)).Decode(&w); err != nil {
+				var stored storedHandoff
+				if err := gob.NewDecoder(bytes.NewReader(will)).Decode(&stored); err != nil {
 					return whole, fmt.Errorf("handover: %w", err)
 				}
 				whole, will = true, nil
 				if _, err := h.conn.Write([]byte{yes}); err != nil { // the place is not left without it
 					return false, fmt.Errorf("handover: %w", err)
 				}
-				to.Will(w)
+				to.Will(decodeHandoff(stored))
 			}
 		case peers, client:
 			take(file, kind, b, to)
@@ -233,7 +233,7 @@
 // lies in the socket, and its clients with it.
 func (o *Owner) Leave(w Will) error {
 	var b bytes.Buffer
-	if err := gob.NewEncoder(&b).Encode(w); err != nil {
+	if err := gob.NewEncoder(&b).Encode(encodeHandoff(w)); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
 	o.mu.Lock()
