--- a/internal/serving/core/core.go
+++ b/internal/serving/core/core.go
@@ -1,8 +1,3 @@
-// Package core is the control program: the core's replicas agree on the configuration and the evacuations,
-// hear the workers, tell the edges, and answer clients who ask where to go. Package control decides; this one
-// brings it time, messages, a disk and callers.
-//
-// One goroutine, run, owns the engine; everything else sends it functions to carry out.
 package core
 
 import (
@@ -15,7 +10,6 @@
 	"net/http"
 	"os"
 	"os/signal"
-	"path/filepath"
 	"strconv"
 	"syscall"
 	"time"
@@ -30,36 +24,40 @@
 )
 
 const (
-	settingsInterval = 2 * time.Second
-	stopLinger       = 250 * time.Millisecond
-	linkWriteTimeout = 3 * time.Second
+	settingsReloadInterval = 2 * time.Second
+	httpShutdownTimeout    = 250 * time.Millisecond
+	httpReadHeaderTimeout  = 3 * time.Second
+	httpIdleTimeout        = 30 * time.Second
+	linkWriteTimeout       = 3 * time.Second
+	eventQueueCapacity     = 256
+	signalQueueCapacity    = 8
 )
 
-// Core is one process of the core.
+// Core is one process of the core. The core's goroutine is the one that calls run; it also calls the
+// functions passed to enqueue. What it owns must not be used by other goroutines.
 type Core struct {
-	settings     *settings.Settings
-	settingsPath string
-	logger       *zap.Logger
-	started      time.Time
-	internal     string // IP:PORT of the internal listener
-	events       chan func()
-	stop         chan struct{}
-
-	engine *control.Engine
-	disk   *disk
-	links  map[string]*peerLink // by internal address
-
-	nextSettings time.Time
+	settings        *settings.Settings
+	settingsPath    string
+	logger          *zap.Logger
+	started         time.Time
+	internalAddress string        // IP:PORT of the listener for other cores and agents
+	events          chan func()   // to the core's goroutine
+	stop            chan struct{} // closed when the process stops
+
+	engine     *control.Engine // owned by the core's goroutine, except for Mirror and SilentWriter
+	diskWriter *diskWriter
+	links      map[string]*peerLink // by internal address; owned by the core's goroutine
+	nextReload time.Time            // of the settings; owned by the core's goroutine
 }
 
-// Run serves until the process is told to stop.
+// Run runs the process with a settings file until SIGTERM or SIGINT.
 func Run(settingsPath string, logger *zap.Logger) error {
 	config, err := settings.Load(settingsPath)
 	if err != nil {
 		return err
 	}
 	if config.DataDir == "" {
-		return &settings.ValueError{Key: "data_dir", Remedy: "give the folder of a disk, for the state"}
+		return &settings.ValueError{Key: "data_dir", Remedy: "give the directory for the replica's state"}
 	}
 	c, err := newCore(config, settingsPath, logger)
 	if err != nil {
@@ -68,58 +66,52 @@
 	return c.serve()
 }
 
+// newCore opens the data directory and creates the engine. It starts no goroutines and opens no ports.
 func newCore(config *settings.Settings, settingsPath string, logger *zap.Logger) (*Core, error) {
 	c := &Core{
 		settings: config, settingsPath: settingsPath, logger: logger, started: time.Now(),
-		internal: net.JoinHostPort(config.IP, strconv.Itoa(config.FirstInternalPort)),
-		events:   make(chan func(), 256), stop: make(chan struct{}), links: map[string]*peerLink{},
+		internalAddress: net.JoinHostPort(config.IP, strconv.Itoa(config.FirstInternalPort)),
+		events:          make(chan func(), eventQueueCapacity), stop: make(chan struct{}),
+		links: map[string]*peerLink{},
 	}
-	opened, err := openDisk(config, logger)
+	opened, err := openReplica(config, logger)
 	if err != nil {
 		return nil, err
 	}
-	c.disk = newDisk(opened.Store, c.events)
+	c.diskWriter = newDiskWriter(opened.Store, c.events)
 	options := control.Options{
 		Identity: opened.Identity, Life: config.NodeName + "/" + randomTag(),
-		Address: c.internal, AddressOf: c.internalAddress, Zone: config.Zone, Region: config.Region,
-		Seeds: hostsOf(config.Seeds), Consensus: consensus.Options{Seats: seats(config)},
+		Address: c.internalAddress, AddressOf: c.peerAddress, Zone: config.Zone, Region: config.Region,
+		Seeds: hostsOf(config.Seeds), Consensus: consensus.Options{Seats: voterCount(config)},
 		HeartbeatEvery: config.HeartbeatInterval,
 		CatchUp:        config.Bounds.CatchUpTimeout, Grace: config.Bounds.GracePeriod,
 		Clock:  func() time.Duration { return time.Since(c.started) },
 		Random: mathrand.New(mathrand.NewSource(randomSeed())), Logger: logger,
-		SavedWorkers: savedWorkers(config.DataDir),
+		SavedWorkers: loadSavedWorkers(config.DataDir),
 	}
 	c.engine, err = control.New(options, opened.State, &environment{c})
 	return c, err
 }
 
-// seats returns how many replicas are to vote: as many as bear the loss of those that may be lost at once.
-func seats(config *settings.Settings) int { return 2*config.ToleratedMachineLosses + 1 }
-
-// savedWorkers reads what an earlier life has saved. Without it, workers are known by their heartbeats.
-func savedWorkers(folder string) []byte {
-	data, err := os.ReadFile(filepath.Join(folder, savedFile))
-	if err != nil {
-		return nil
-	}
-	return data
-}
+// voterCount returns the number of voters of which a majority remains after the tolerated losses.
+func voterCount(config *settings.Settings) int { return 2*config.ToleratedMachineLosses + 1 }
 
+// randomTag returns a random suffix that makes an identity unique.
 func randomTag() string {
 	var tag [6]byte
-	rand.Read(tag[:])
+	_, _ = rand.Read(tag[:]) // never fails
 	return hex.EncodeToString(tag[:])
 }
 
 func randomSeed() int64 {
 	var seed [8]byte
-	rand.Read(seed[:])
+	_, _ = rand.Read(seed[:]) // never fails
 	return int64(binary.LittleEndian.Uint64(seed[:]))
 }
 
-// serve opens the ports and works until SIGTERM.
+// serve opens the ports, runs until the process is stopped, and closes the ports.
 func (c *Core) serve() error {
-	internal, err := framing.Listen(c.internal)
+	internalListener, err := framing.Listen(c.internalAddress)
 	if err != nil {
 		return errors.Wrap(err, "cannot listen for other cores and agents: check internal_port_range")
 	}
@@ -131,22 +123,23 @@
 	if err != nil {
 		return err
 	}
-	go c.acceptLinks(internal)
-	go c.disk.run(c.stop)
-	signals := make(chan os.Signal, 8)
+	go c.acceptLinks(internalListener)
+	go c.diskWriter.run(c.stop)
+	signals := make(chan os.Signal, signalQueueCapacity)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	status := c.engine.Status()
 	c.logger.Info("core started", zap.String("replica", status.Replica), zap.Strings("members", status.Members))
 	c.run(signals)
-	ctx, cancel := context.WithTimeout(context.Background(), stopLinger)
+	ctx, cancel := context.WithTimeout(context.Background(), httpShutdownTimeout)
 	defer cancel()
-	controlPlane.Shutdown(ctx)
-	directory.Shutdown(ctx)
-	internal.Close()
+	_ = controlPlane.Shutdown(ctx) // requests that outlast the time-out are cut off by the end of the process
+	_ = directory.Shutdown(ctx)
+	_ = internalListener.Close()
 	c.logger.Info("core stopped")
 	return nil
 }
 
+// listenHTTP starts a server at the address that the settings give for key.
 func (c *Core) listenHTTP(key, address string, handler http.Handler) (*http.Server, error) {
 	if address == "" {
 		return nil, &settings.ValueError{Key: key, Remedy: "give IP:PORT: the core serves it"}
@@ -155,17 +148,19 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "cannot listen at %s: free the port or change %s", address, key)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second}
-	go server.Serve(listener)
+	server := &http.Server{
+		Handler: handler, ReadHeaderTimeout: httpReadHeaderTimeout, IdleTimeout: httpIdleTimeout,
+	}
+	go func() { _ = server.Serve(listener) }() // returns after Shutdown
 	return server, nil
 }
 
-// run carries out events until the process is told to stop and is not needed any more.
+// run is the core's goroutine. It returns after a signal to stop, once the engine has handed over its roles.
 func (c *Core) run(signals <-chan os.Signal) {
 	ticker := time.NewTicker(control.TickInterval)
 	defer ticker.Stop()
-	leaving := false
-	for !leaving || !c.engine.MayStop() {
+	stopping := false
+	for !stopping || !c.engine.MayStop() {
 		select {
 		case event := <-c.events:
 			event()
@@ -173,18 +168,18 @@
 			c.tick()
 		case received := <-signals:
 			if received == syscall.SIGHUP {
-				c.readSettings()
+				c.reloadSettings()
 				break
 			}
-			leaving = true
+			stopping = true
 			c.engine.Leave()
 		}
 	}
-	close(c.stop) // feeds end, so that agents go elsewhere
+	close(c.stop) // ends the streams to agents, so that they connect to another core
 }
 
-// do hands f to the goroutine that owns the engine. It returns false where the process is stopping.
-func (c *Core) do(f func()) bool {
+// enqueue has f called on the core's goroutine. It returns false where the process has stopped.
+func (c *Core) enqueue(f func()) bool {
 	select {
 	case c.events <- f:
 		return true
@@ -193,20 +188,21 @@
 	}
 }
 
+// tick advances the engine, and does the periodic work of the process.
 func (c *Core) tick() {
 	c.engine.Tick()
-	c.keepLinks()
-	if now := time.Now(); now.After(c.nextSettings) {
-		c.nextSettings = now.Add(settingsInterval)
-		c.readSettings()
+	c.updateLinks()
+	if now := time.Now(); now.After(c.nextReload) {
+		c.nextReload = now.Add(settingsReloadInterval)
+		c.reloadSettings()
 	}
 }
 
-// readSettings takes up seeds that have changed.
-func (c *Core) readSettings() {
+// reloadSettings loads the settings file again. Only changes of the seeds take effect.
+func (c *Core) reloadSettings() {
 	config, err := settings.Load(c.settingsPath)
 	if err != nil {
-		c.logger.Warn("settings kept as they were", zap.Error(err))
+		c.logger.Warn("settings not reloaded", zap.Error(err))
 		return
 	}
 	c.engine.SetSeeds(hostsOf(config.Seeds))
--- a/internal/serving/core/diskwriter.go
+++ b/internal/serving/core/diskwriter.go
@@ -1,117 +1,88 @@
 package core
 
 import (
-	"os"
 	"time"
 
-	"github.com/pkg/errors"
-	"go.uber.org/zap"
-
 	"willowdeck/internal/serving/consensus"
-	"willowdeck/internal/serving/settings"
 	"willowdeck/internal/serving/wal"
 )
 
 const (
-	savedFile    = "workers"
-	rewritePause = 100 * time.Millisecond // between attempts at a disk that refuses writes
-	diskTasks    = 4096                   // that wait beside the disk's goroutine
-	tasksAtOnce  = 256                    // that are written together
-	folderRights = 0o755
+	repairInterval    = 100 * time.Millisecond // between attempts to repair the log after a failed write
+	diskQueueCapacity = 4096                   // tasks that wait for the writer's goroutine
+	maxTasksPerWrite  = 256                    // tasks that share a frame and its sync
 )
 
-// openDisk returns the identity of the disk and what it holds.
-func openDisk(config *settings.Settings, logger *zap.Logger) (wal.OpenedReplica, error) {
-	if err := os.MkdirAll(config.DataDir, folderRights); err != nil {
-		return wal.OpenedReplica{}, errors.Wrap(err, "cannot make data_dir: check its path and rights")
-	}
-	opened, err := wal.OpenReplica(wal.Disk, config.DataDir, consensus.FounderIdentity(config.IP),
-		founders(config), consensus.Identity(config.IP, randomTag()))
-	if opened.Corruption != nil {
-		logger.Error("the disk has lost what it held: this replica joins anew", zap.Error(opened.Corruption))
-	}
-	return opened, err
-}
-
-// founders returns the identities of the first replicas: the seeds, on the first start alone.
-func founders(config *settings.Settings) wal.InitialMembers {
-	if !config.Bootstrap {
-		return nil
-	}
-	var identities wal.InitialMembers
-	for _, host := range hostsOf(config.Seeds) {
-		identities = append(identities, consensus.FounderIdentity(host))
-	}
-	return identities
-}
-
-// diskTask is something for the disk, and what follows once it is done.
+// diskTask is a write of the log.
 type diskTask struct {
 	batch   consensus.Persist
-	rewrite *consensus.Stored // instead of the batch
-	done    func()
+	rewrite *consensus.Stored // the complete new content, instead of the batch
+	done    func()            // called on the core's goroutine once the write is durable
 }
 
-// disk writes in its own goroutine, in order, so that a slow disk holds up nothing else. A write that fails
-// is made good by a new segment, tried again until the disk takes it: until then nothing counts as written.
-type disk struct {
-	store  *wal.Store // owned by the disk's goroutine
-	tasks  chan diskTask
-	queue  []diskTask // owned by the core's goroutine: what did not fit into tasks
-	events chan func()
-	size   int64 // of the present segment; owned by the core's goroutine
+// diskWriter writes the log in order in a goroutine of its own, so that a slow disk does not block the
+// engine. After a failed write it rewrites the log until that succeeds; until then no write is acknowledged.
+type diskWriter struct {
+	store    *wal.Store // owned by the writer's goroutine
+	tasks    chan diskTask
+	overflow []diskTask    // tasks that did not fit into the channel; owned by the core's goroutine
+	events   chan<- func() // to the core's goroutine
+	size     int64         // of the current segment in bytes; owned by the core's goroutine
 }
 
-func newDisk(store *wal.Store, events chan func()) *disk {
-	return &disk{store: store, tasks: make(chan diskTask, diskTasks), events: events}
+func newDiskWriter(store *wal.Store, events chan<- func()) *diskWriter {
+	return &diskWriter{store: store, tasks: make(chan diskTask, diskQueueCapacity), events: events}
 }
 
-func (d *disk) submit(task diskTask) {
-	d.queue = append(d.queue, task)
+// submit queues a task without blocking. It must be called on the core's goroutine.
+func (d *diskWriter) submit(task diskTask) {
+	d.overflow = append(d.overflow, task)
 	d.flush()
 }
 
-func (d *disk) flush() {
-	for len(d.queue) > 0 {
+// flush moves tasks from overflow to the channel as far as they fit.
+func (d *diskWriter) flush() {
+	for len(d.overflow) > 0 {
 		select {
-		case d.tasks <- d.queue[0]:
-			d.queue = d.queue[1:]
+		case d.tasks <- d.overflow[0]:
+			d.overflow = d.overflow[1:]
 		default:
 			return
 		}
 	}
 }
 
-// run carries out tasks. Tasks that wait together are written together.
-func (d *disk) run(stop <-chan struct{}) {
+// run executes tasks until stop is closed. Queued tasks are written together.
+func (d *diskWriter) run(stop <-chan struct{}) {
 	for {
 		select {
 		case task := <-d.tasks:
 			tasks := []diskTask{task}
-			for len(d.tasks) > 0 && len(tasks) < tasksAtOnce {
+			for len(d.tasks) > 0 && len(tasks) < maxTasksPerWrite {
 				tasks = append(tasks, <-d.tasks)
 			}
-			d.carryOut(tasks, stop)
+			d.execute(tasks, stop)
 		case <-stop:
 			return
 		}
 	}
 }
 
-func (d *disk) carryOut(tasks []diskTask, stop <-chan struct{}) {
+// execute makes tasks durable and calls their functions done on the core's goroutine.
+func (d *diskWriter) execute(tasks []diskTask, stop <-chan struct{}) {
 	var batches []consensus.Persist
 	for _, task := range tasks {
 		if task.rewrite == nil {
 			batches = append(batches, task.batch)
 			continue
 		}
-		// What comes before a rewrite is part of it.
+		// A rewrite contains the batches before it.
 		batches = nil
-		if !d.insist(d.store.Rewrite(*task.rewrite), stop) {
+		if !d.repairUntilDurable(d.store.Rewrite(*task.rewrite), stop) {
 			return
 		}
 	}
-	if len(batches) > 0 && !d.insist(d.store.Write(batches), stop) {
+	if len(batches) > 0 && !d.repairUntilDurable(d.store.Write(batches), stop) {
 		return
 	}
 	size := d.store.Size()
@@ -128,38 +99,16 @@
 	}
 }
 
-// insist goes on after a failed write until the disk holds what it should. It returns false where the process
-// stops before.
-func (d *disk) insist(err error, stop <-chan struct{}) bool {
+// repairUntilDurable repairs the log after a failed write until it is durable. It returns false where the
+// process stops before that.
+func (d *diskWriter) repairUntilDurable(err error, stop <-chan struct{}) bool {
 	for err != nil {
 		select {
 		case <-stop:
 			return false
-		case <-time.After(rewritePause):
+		case <-time.After(repairInterval):
 		}
 		err = d.store.Repair()
 	}
 	return true
 }
-
-// environment is what the engine needs of this process.
-type environment struct{ core *Core }
-
-func (v *environment) Write(batch consensus.Persist, done func()) {
-	v.core.disk.submit(diskTask{batch: batch, done: done})
-}
-
-func (v *environment) Rewrite(stored consensus.Stored, done func()) {
-	v.core.disk.submit(diskTask{rewrite: &stored, done: done})
-}
-
-func (v *environment) SegmentBytes() int64 { return v.core.disk.size }
-
-func (v *environment) SaveWorkers(data []byte, done func()) {
-	go func() {
-		if err := wal.WriteFile(wal.Disk, v.core.settings.DataDir, savedFile, data); err != nil {
-			v.core.logger.Debug("workers not saved", zap.Error(err))
-		}
-		v.core.do(done)
-	}()
-}
--- a/internal/serving/core/golden_test.go
+++ b/internal/serving/core/golden_test.go
@@ -20,23 +20,23 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// testdata/data is the data_dir of a core as the code of 2 December 2026 left it: log segment, identity and
+// testdata/data is the data_dir of a core as the code of 2 December 2026 wrote it: log segment, identity and
 // saved workers, written by wal.Log, wal.SaveIdentity and control.Engine. It is never rewritten: cores in
-// use start from such folders. A core keeps no other file there; peers stand in the log's membership.
+// use start from such directories. A core keeps no other file there; its peers are in the log's membership.
 const (
-	goldenFolder   = "testdata/data"
+	goldenDataDir  = "testdata/data"
 	goldenIdentity = "127.0.0.1#0a1b2c3d4e5f"
 )
 
-// goldenCore makes a core, which does not run, of a copy of the golden folder.
-func goldenCore(t *testing.T) (c *Core, folder string) {
+// goldenCore returns a core, which does not run, on a copy of the golden directory.
+func goldenCore(t *testing.T) (c *Core, dataDir string) {
 	t.Helper()
-	folder = t.TempDir()
-	if err := os.CopyFS(folder, os.DirFS(goldenFolder)); err != nil {
+	dataDir = t.TempDir()
+	if err := os.CopyFS(dataDir, os.DirFS(goldenDataDir)); err != nil {
 		t.Fatal(err)
 	}
 	config, err := settings.Parse("node_name=core-1\nip=127.0.0.1\nzone=a\nregion=south\n" +
-		"internal_port_range=7660,7675\nseeds=127.0.0.1:9\ndata_dir=" + folder + "\n")
+		"internal_port_range=7660,7675\nseeds=127.0.0.1:9\ndata_dir=" + dataDir + "\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,11 +44,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c, folder
+	return c, dataDir
 }
 
-// TestGoldenDataFolder starts a core from the folder and compares all that it has of it.
-func TestGoldenDataFolder(t *testing.T) {
+// TestGoldenDataDir starts a core from the golden directory and compares its complete status.
+func TestGoldenDataDir(t *testing.T) {
 	c, _ := goldenCore(t)
 	status := c.engine.Status()
 	if status.Replica != goldenIdentity || status.Epoch != 6 || status.Generation != 7 || status.Index != 22 {
@@ -71,45 +71,45 @@
 	}
 }
 
-// TestGoldenDataFolderKept opens a disk again and finds the files as they were: a start writes nothing.
-func TestGoldenDataFolderKept(t *testing.T) {
-	_, folder := goldenCore(t)
-	names, err := wal.Disk.ReadDir(folder)
+// TestGoldenDataDirUnchanged compares the files after a start, which writes nothing.
+func TestGoldenDataDirUnchanged(t *testing.T) {
+	_, dataDir := goldenCore(t)
+	names, err := wal.Disk.ReadDir(dataDir)
 	if err != nil || !slices.Equal(names, []string{"identity", "segment-0000000000000002", "workers"}) {
 		t.Errorf("files %v, error %v", names, err)
 	}
 	for _, name := range names {
-		got, err := os.ReadFile(filepath.Join(folder, name))
+		got, err := os.ReadFile(filepath.Join(dataDir, name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		want, err := os.ReadFile(filepath.Join(goldenFolder, name))
+		want, err := os.ReadFile(filepath.Join(goldenDataDir, name))
 		if err != nil || !bytes.Equal(got, want) {
 			t.Errorf("%s: %x instead of %x, error %v", name, got, want, err)
 		}
 	}
 }
 
-// TestGoldenWorkersSaved lets a core save workers under the name that it reads at its next start.
+// TestGoldenWorkersSaved saves a list of workers in the file that the next start reads.
 func TestGoldenWorkersSaved(t *testing.T) {
-	c, folder := goldenCore(t)
+	c, dataDir := goldenCore(t)
 	saved := make(chan struct{})
 	(&environment{c}).SaveWorkers([]byte("saved"), func() { close(saved) })
 	(<-c.events)()
 	<-saved
-	if data, err := os.ReadFile(filepath.Join(folder, "workers")); err != nil || string(data) != "saved" {
+	if data, err := os.ReadFile(filepath.Join(dataDir, "workers")); err != nil || string(data) != "saved" {
 		t.Errorf("saved %q, error %v", data, err)
 	}
-	if data := savedWorkers(folder); string(data) != "saved" {
+	if data := loadSavedWorkers(dataDir); string(data) != "saved" {
 		t.Errorf("read %q", data)
 	}
 }
 
-// TestGoldenHeartbeat reads what a worker says of itself, by the keys that workers send.
+// TestGoldenHeartbeat decodes a heartbeat by the keys that workers send.
 func TestGoldenHeartbeat(t *testing.T) {
 	const text = `{"backend":"s1","address":"10.0.1.1:8000","zone":"a","generation":"v2","capacity":64,` +
 		`"state":"draining","cold_remaining_ms":4500,"sequence":12}`
-	var body heartbeatBody
+	var body heartbeatRequest
 	if err := json.Unmarshal([]byte(text), &body); err != nil {
 		t.Fatal(err)
 	}
@@ -126,19 +126,20 @@
 	}
 }
 
-// TestGoldenAnswers pins the bodies that operators, workers and clients get.
-func TestGoldenAnswers(t *testing.T) {
+// TestGoldenResponses guards the bodies that operators, workers and clients receive.
+func TestGoldenResponses(t *testing.T) {
 	cases := []struct {
 		value any
 		want  string
 	}{
-		{refusal{"why"}, `{"error":"why"}`},
-		{taken{OK: true}, `{"ok":true}`},
-		{resolution{Addresses: []string{"10.0.2.1:80"}, TTL: 0.5}, `{"addresses":["10.0.2.1:80"],"ttl_s":0.5}`},
+		{errorResponse{"why"}, `{"error":"why"}`},
+		{acceptedResponse{OK: true}, `{"ok":true}`},
+		{resolveResponse{Addresses: []string{"10.0.2.1:80"}, TTL: 0.5},
+			`{"addresses":["10.0.2.1:80"],"ttl_s":0.5}`},
 	}
 	for _, pair := range cases {
 		recorder := httptest.NewRecorder()
-		answer(recorder, http.StatusOK, pair.value)
+		writeJSON(recorder, http.StatusOK, pair.value)
 		if got := recorder.Body.String(); got != pair.want {
 			t.Errorf("%s instead of %s", got, pair.want)
 		}
@@ -151,15 +152,15 @@
 	}
 	for outcome, code := range outcomes {
 		recorder := httptest.NewRecorder()
-		answerOutcome(recorder, outcome)
+		writeOutcome(recorder, outcome)
 		if recorder.Code != code {
 			t.Errorf("%v: %d instead of %d", outcome, recorder.Code, code)
 		}
 	}
 }
 
-// TestGoldenPaths asks for each path that operators, workers and clients use. What is refused is refused by
-// its handler, before it needs the rest of the core.
+// TestGoldenPaths requests each path that operators, workers and clients use. Each handler responds with an
+// error, since the core does not run.
 func TestGoldenPaths(t *testing.T) {
 	c, _ := goldenCore(t)
 	close(c.stop) // so that handlers do not wait
@@ -184,7 +185,7 @@
 	}
 }
 
-// TestGoldenBaseVersion pins the header that says which version an order builds on.
+// TestGoldenBaseVersion guards the header with the generation that a change is based on.
 func TestGoldenBaseVersion(t *testing.T) {
 	c, _ := goldenCore(t)
 	request := httptest.NewRequest(http.MethodPost, "/Config.Replace", strings.NewReader("{"))
@@ -192,6 +193,6 @@
 	recorder := httptest.NewRecorder()
 	c.controlHandler().ServeHTTP(recorder, request)
 	if !strings.HasPrefix(recorder.Body.String(), `{"error":"configuration: `) {
-		t.Errorf("the header was not taken: %s", recorder.Body)
+		t.Errorf("the header was not accepted: %s", recorder.Body)
 	}
 }
--- /dev/null
+++ b/internal/serving/core/links.go
@@ -0,0 +1,81 @@
+package core
+
+import (
+	"net"
+	"slices"
+	"time"
+
+	"willowdeck/internal/serving/control"
+	"willowdeck/internal/serving/framing"
+	"willowdeck/internal/serving/watch"
+	"willowdeck/internal/serving/wirepb"
+)
+
+const (
+	peerIdleTimeout = 3 * time.Second       // after which an inbound link without envelopes is closed
+	acceptBackoff   = 50 * time.Millisecond // after a failed accept
+)
+
+// updateLinks creates and closes links, so that there is one to each core that the engine names.
+func (c *Core) updateLinks() {
+	wanted := c.engine.Links()
+	for _, address := range wanted {
+		if c.links[address] == nil {
+			c.links[address] = newPeerLink(address)
+		}
+	}
+	for address, link := range c.links {
+		if !slices.Contains(wanted, address) {
+			link.stop()
+			delete(c.links, address)
+		}
+	}
+}
+
+// acceptLinks serves the connections of other cores and of agents until the process stops.
+func (c *Core) acceptLinks(listener net.Listener) {
+	for {
+		accepted, err := listener.Accept()
+		if err != nil {
+			select {
+			case <-c.stop:
+				return
+			case <-time.After(acceptBackoff):
+				continue
+			}
+		}
+		go c.serveLink(framing.NewConn(accepted, linkWriteTimeout))
+	}
+}
+
+// serveLink reads the envelopes of another core, or serves an agent, whose first envelope is a subscription.
+func (c *Core) serveLink(connection *framing.Conn) {
+	defer func() { _ = connection.Close() }() // the other end or the link has failed
+	for {
+		envelope := &wirepb.Envelope{}
+		if err := connection.ReadMessage(envelope, peerIdleTimeout); err != nil {
+			return
+		}
+		if request := envelope.GetSubscribe(); request != nil {
+			c.serveAgent(connection, request)
+			return
+		}
+		if !c.enqueue(func() { c.engine.Take(envelope) }) {
+			return
+		}
+	}
+}
+
+// serveAgent streams updates to an agent until its link or the process ends.
+func (c *Core) serveAgent(connection *framing.Conn, subscription *wirepb.FeedRequest) {
+	view := c.engine.Mirror()
+	link := &control.EdgeLink{}
+	onRequest := func(request *wirepb.FeedRequest) {
+		view.SetDemands(request.Demands)
+		if request.Edge != nil {
+			c.enqueue(func() { c.engine.LinkEdge(link, request) })
+		}
+	}
+	watch.Provide(connection, subscription, view, onRequest, c.stop)
+	c.enqueue(func() { c.engine.UnlinkEdge(link) })
+}
--- a/internal/serving/core/peerlink.go
+++ b/internal/serving/core/peerlink.go
@@ -2,47 +2,44 @@
 
 import (
 	"context"
-	"net"
-	"slices"
-	"strconv"
 	"sync/atomic"
 	"time"
 
-	"willowdeck/internal/serving/control"
 	"willowdeck/internal/serving/framing"
-	"willowdeck/internal/serving/watch"
 	"willowdeck/internal/serving/wirepb"
 )
 
 const (
-	peerDialTimeout = 700 * time.Millisecond
-	peerSilence     = 3 * time.Second // of an inbound link, after which it is closed
-	peerQueue       = 512             // envelopes that wait for a link; the oldest give way
-	redialFirst     = 50 * time.Millisecond
-	redialMost      = 600 * time.Millisecond
+	peerDialTimeout   = 700 * time.Millisecond
+	peerQueueCapacity = 512 // envelopes of each class that wait for a link; the oldest are dropped
+	minRedialBackoff  = 50 * time.Millisecond
+	maxRedialBackoff  = 600 * time.Millisecond
 )
 
-// peerLink sends envelopes to another core. What cannot be sent is dropped: consensus repeats itself, and
-// records are handed over again from the vector in the other's next presence. Parts of snapshots and batches
-// of records wait until everything else has gone.
+// peerLink sends envelopes to another core over one connection, which it dials again after a failure.
+// Envelopes that cannot be sent are dropped: consensus retransmits, and records are sent again on the version
+// vector in the peer's next presence. Chunks of snapshots and batches of records have lower priority than all
+// else.
 type peerLink struct {
-	address string
-	urgent  chan *wirepb.Envelope
-	bulk    chan *wirepb.Envelope
-	up      atomic.Bool // the connection stands
-	stop    context.CancelFunc
+	address   string
+	urgent    chan *wirepb.Envelope
+	bulk      chan *wirepb.Envelope
+	connected atomic.Bool
+	stop      context.CancelFunc // ends the link's goroutine
 }
 
+// newPeerLink starts a link to an internal address. Its owner calls stop.
 func newPeerLink(address string) *peerLink {
 	ctx, cancel := context.WithCancel(context.Background())
 	link := &peerLink{
-		address: address, urgent: make(chan *wirepb.Envelope, peerQueue),
-		bulk: make(chan *wirepb.Envelope, peerQueue), stop: cancel,
+		address: address, urgent: make(chan *wirepb.Envelope, peerQueueCapacity),
+		bulk: make(chan *wirepb.Envelope, peerQueueCapacity), stop: cancel,
 	}
 	go link.run(ctx)
 	return link
 }
 
+// isBulk reports whether an envelope has low priority.
 func isBulk(envelope *wirepb.Envelope) bool {
 	if envelope.GetCatalog() != nil {
 		return true
@@ -50,10 +47,10 @@
 	return envelope.GetConsensus().GetKind() == wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_PART
 }
 
-// send queues an envelope, if the link is up. Where the queue is full, the oldest one in it is dropped: newer
-// ones say more.
+// send queues an envelope without blocking, if the link is connected. Where the queue is full, the oldest
+// envelope is dropped: later ones supersede it.
 func (l *peerLink) send(envelope *wirepb.Envelope) {
-	if !l.up.Load() {
+	if !l.connected.Load() {
 		return
 	}
 	queue := l.urgent
@@ -73,29 +70,30 @@
 	}
 }
 
+// run keeps the link connected until ctx is done.
 func (l *peerLink) run(ctx context.Context) {
-	pause := redialFirst
+	backoff := minRedialBackoff
 	for ctx.Err() == nil {
 		connection, err := framing.Dial(ctx, l.address, peerDialTimeout, linkWriteTimeout)
 		if err == nil {
-			pause = redialFirst
-			l.up.Store(true)
-			l.forward(ctx, connection)
-			l.up.Store(false)
-			connection.Close()
-			drop(l.urgent)
-			drop(l.bulk)
+			backoff = minRedialBackoff
+			l.connected.Store(true)
+			l.sendQueued(ctx, connection)
+			l.connected.Store(false)
+			_ = connection.Close() // the connection has failed already
+			discardQueued(l.urgent)
+			discardQueued(l.bulk)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
-		pause = min(2*pause, redialMost)
+		backoff = min(2*backoff, maxRedialBackoff)
 	}
 }
 
-// drop empties a queue: what waited for a link that has gone down will be out of date.
-func drop(queue chan *wirepb.Envelope) {
+// discardQueued empties a queue after a disconnection: its envelopes would be outdated after the next dial.
+func discardQueued(queue chan *wirepb.Envelope) {
 	for {
 		select {
 		case <-queue:
@@ -105,22 +103,23 @@
 	}
 }
 
-func (l *peerLink) forward(ctx context.Context, connection *framing.Conn) {
-	broken := make(chan struct{})
-	go func() { // nothing comes back on this connection: a read ends when the other end closes it
-		connection.Conn.Read(make([]byte, 1))
-		close(broken)
+// sendQueued writes queued envelopes until the connection fails or ctx is done.
+func (l *peerLink) sendQueued(ctx context.Context, connection *framing.Conn) {
+	closedByPeer := make(chan struct{})
+	go func() { // the peer sends nothing on this connection: a read returns when it is closed
+		_, _ = connection.Read(make([]byte, 1))
+		close(closedByPeer)
 	}()
 	for {
-		envelope := l.next(ctx, broken)
+		envelope := l.next(ctx, closedByPeer)
 		if envelope == nil || connection.WriteMessage(envelope) != nil {
 			return
 		}
 	}
 }
 
-// next returns what is to be sent next, or nil where the link ends.
-func (l *peerLink) next(ctx context.Context, broken <-chan struct{}) *wirepb.Envelope {
+// next waits for the next envelope to send, urgent ones first. It returns nil where the connection ends.
+func (l *peerLink) next(ctx context.Context, closedByPeer <-chan struct{}) *wirepb.Envelope {
 	select {
 	case envelope := <-l.urgent:
 		return envelope
@@ -129,7 +128,7 @@
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-broken:
+	case <-closedByPeer:
 		return nil
 	case envelope := <-l.urgent:
 		return envelope
@@ -137,99 +136,3 @@
 		return envelope
 	}
 }
-
-func hostOf(address string) string {
-	host, _, err := net.SplitHostPort(address)
-	if err != nil {
-		return address
-	}
-	return host
-}
-
-func hostsOf(addresses []string) []string {
-	var hosts []string
-	for _, address := range addresses {
-		hosts = append(hosts, hostOf(address))
-	}
-	return hosts
-}
-
-func (c *Core) internalAddress(host string) string {
-	return net.JoinHostPort(host, strconv.Itoa(c.settings.FirstInternalPort))
-}
-
-// Send hands an envelope to the link to another core, which is made where there is none yet.
-func (v *environment) Send(address string, envelope *wirepb.Envelope) {
-	if address == v.core.internal {
-		return
-	}
-	link := v.core.links[address]
-	if link == nil {
-		link = newPeerLink(address)
-		v.core.links[address] = link
-	}
-	link.send(envelope)
-}
-
-// keepLinks makes the links as the engine wants them.
-func (c *Core) keepLinks() {
-	wanted := c.engine.Links()
-	for _, address := range wanted {
-		if c.links[address] == nil {
-			c.links[address] = newPeerLink(address)
-		}
-	}
-	for address, link := range c.links {
-		if !slices.Contains(wanted, address) {
-			link.stop()
-			delete(c.links, address)
-		}
-	}
-}
-
-// acceptLinks takes links of other cores and of agents; the first frame says which.
-func (c *Core) acceptLinks(listener net.Listener) {
-	for {
-		accepted, err := listener.Accept()
-		if err != nil {
-			select {
-			case <-c.stop:
-				return
-			case <-time.After(redialFirst):
-				continue
-			}
-		}
-		go c.serveLink(framing.NewConn(accepted, linkWriteTimeout))
-	}
-}
-
-func (c *Core) serveLink(connection *framing.Conn) {
-	defer connection.Close()
-	for {
-		envelope := &wirepb.Envelope{}
-		if err := connection.ReadMessage(envelope, peerSilence); err != nil {
-			return
-		}
-		if request := envelope.GetSubscribe(); request != nil {
-			c.serveAgent(connection, request)
-			return
-		}
-		if !c.do(func() { c.engine.Take(envelope) }) {
-			return
-		}
-	}
-}
-
-// serveAgent feeds an agent for as long as its link lasts.
-func (c *Core) serveAgent(connection *framing.Conn, first *wirepb.FeedRequest) {
-	replica := c.engine.Mirror()
-	link := &control.EdgeLink{}
-	onRequest := func(request *wirepb.FeedRequest) {
-		replica.SetDemands(request.Demands)
-		if request.Edge != nil {
-			c.do(func() { c.engine.LinkEdge(link, request) })
-		}
-	}
-	watch.Provide(connection, first, replica, onRequest, c.stop)
-	c.do(func() { c.engine.UnlinkEdge(link) })
-}
--- a/internal/serving/core/workers.go
+++ b/internal/serving/core/workers.go
@@ -12,65 +12,68 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// heartbeatBody is what a worker says of itself.
-type heartbeatBody struct {
+// heartbeatRequest is the body of a heartbeat, in which a worker reports its state.
+type heartbeatRequest struct {
 	Backend         string  `json:"backend"`
 	Address         string  `json:"address"`
 	Zone            string  `json:"zone"`
-	Generation      string  `json:"generation"`
-	Capacity        float64 `json:"capacity"`
+	Generation      string  `json:"generation"` // of the worker's software
+	Capacity        float64 `json:"capacity"`   // concurrent requests
 	State           string  `json:"state"`
 	ColdRemainingMs float64 `json:"cold_remaining_ms"`
-	Sequence        uint64  `json:"sequence"`
+	Sequence        uint64  `json:"sequence"` // rises with each heartbeat of an incarnation
 }
 
-const stateDraining = "draining"
+const stateDraining = "draining" // value of heartbeatRequest.State
 
-func (b *heartbeatBody) heartbeat(instance string) control.Heartbeat {
+// heartbeat converts the request of the incarnation instance.
+func (r *heartbeatRequest) heartbeat(instance string) control.Heartbeat {
 	worker := &wirepb.Worker{
-		InstanceId: instance, Service: b.Backend, Address: b.Address, Zone: b.Zone,
-		Capacity: uint32(max(b.Capacity, 0)), Software: b.Generation,
-		Draining: b.State == stateDraining, ColdRemainingMs: int64(b.ColdRemainingMs),
+		InstanceId: instance, Service: r.Backend, Address: r.Address, Zone: r.Zone,
+		Capacity: uint32(max(r.Capacity, 0)), Software: r.Generation,
+		Draining: r.State == stateDraining, ColdRemainingMs: int64(r.ColdRemainingMs),
 	}
-	return control.Heartbeat{Worker: worker, Sequence: b.Sequence}
+	return control.Heartbeat{Worker: worker, Sequence: r.Sequence}
 }
 
+// heartbeat handles a heartbeat of a worker's incarnation.
 func (c *Core) heartbeat(w http.ResponseWriter, r *http.Request) {
-	var body heartbeatBody
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxHeartbeat))
+	var body heartbeatRequest
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxHeartbeatBytes))
 	if err == nil {
 		err = json.Unmarshal(text, &body)
 	}
 	if err != nil {
-		refuse(w, http.StatusBadRequest, "heartbeat: send the JSON object whole")
+		writeError(w, http.StatusBadRequest, "heartbeat: send a complete JSON object")
 		return
 	}
 	if _, _, err := net.SplitHostPort(body.Address); err != nil || body.Backend == "" {
-		refuse(w, http.StatusBadRequest, "heartbeat: give backend and address (IP:PORT)")
+		writeError(w, http.StatusBadRequest, "heartbeat: give backend and address (IP:PORT)")
 		return
 	}
 	heartbeat := body.heartbeat(mux.Vars(r)["id"])
 	c.acknowledge(w, func(done func(bool)) { c.engine.Heartbeat(heartbeat, done) })
 }
 
+// deregister handles the end of a worker's incarnation.
 func (c *Core) deregister(w http.ResponseWriter, r *http.Request) {
 	instance := mux.Vars(r)["id"]
 	c.acknowledge(w, func(done func(bool)) { c.engine.Deregister(instance, done) })
 }
 
-// acknowledge answers a worker once what it has said will not be forgotten.
-func (c *Core) acknowledge(w http.ResponseWriter, take func(done func(bool))) {
+// acknowledge applies a report of a worker and responds with success once the report is replicated.
+func (c *Core) acknowledge(w http.ResponseWriter, apply func(done func(acknowledged bool))) {
 	outcomes := make(chan bool, 1)
 	acknowledged := false
-	if c.do(func() { take(func(outcome bool) { outcomes <- outcome }) }) {
+	if c.enqueue(func() { apply(func(outcome bool) { outcomes <- outcome }) }) {
 		select {
 		case acknowledged = <-outcomes:
 		case <-c.stop:
 		}
 	}
 	if !acknowledged {
-		refuse(w, http.StatusServiceUnavailable, "no majority of the core has answered: call another core")
+		writeError(w, http.StatusServiceUnavailable, "no majority of the core has answered: call another core")
 		return
 	}
-	answer(w, http.StatusOK, struct{}{})
+	writeJSON(w, http.StatusOK, struct{}{})
 }
