--- a/internal/borrowing/ledger/book.go
+++ b/internal/borrowing/ledger/book.go
@@ -145,7 +145,7 @@
 
 // Hear notes a peer's word, and tells whether it is news. Guards against a word from before a peer forgot
 // what it had said, that comes late to a life which has never heard that peer.
-func (f *File) Hear(from int, w incarnation.Word) bool {
+func (f *File) Hear(from int, w incarnation.MessageID) bool {
 	if from < 0 || from >= peers {
 		return false
 	}
--- a/internal/borrowing/ledger/book_test.go
+++ b/internal/borrowing/ledger/book_test.go
@@ -56,11 +56,13 @@
 		}
 	}
 	for i, c := range []struct {
-		w    incarnation.Word
+		w    incarnation.MessageID
 		news bool
-	}{{incarnation.Word{Incarnation: 5, Sequence: 9}, true}, {incarnation.Word{Incarnation: 5, Sequence: 9},
+	}{{incarnation.MessageID{Incarnation: 5, Sequence: 9}, true},
+		{incarnation.MessageID{Incarnation: 5, Sequence: 9},
 		false},
-		{incarnation.Word{Incarnation: 4, Sequence: 10}, false}, {incarnation.Word{Incarnation: 6, Sequence: 1},
+		{incarnation.MessageID{Incarnation: 4, Sequence: 10}, false},
+		{incarnation.MessageID{Incarnation: 6, Sequence: 1},
 			true}} {
 		if got := f.Hear(7, c.w); got != c.news {
 			t.Errorf("word %d is news: %v", i, got)
@@ -81,8 +83,8 @@
 			t.Errorf("%+v, want %+v", k, want)
 		}
 	}
-	if f.Hear(7, incarnation.Word{Incarnation: 5, Sequence: 10}) ||
-		f.Hear(peers, incarnation.Word{Incarnation: 5}) {
+	if f.Hear(7, incarnation.MessageID{Incarnation: 5, Sequence: 10}) ||
+		f.Hear(peers, incarnation.MessageID{Incarnation: 5}) {
 		t.Error("a former life's word is news")
 	}
 	f.Close()
--- a/internal/borrowing/ledger/golden_forms_test.go
+++ b/internal/borrowing/ledger/golden_forms_test.go
@@ -65,7 +65,7 @@
 		}
 		file.Keep(place, &r)
 	}
-	if !file.Hear(7, incarnation.Word{Incarnation: 0x01020304, Sequence: 0x05060708}) {
+	if !file.Hear(7, incarnation.MessageID{Incarnation: 0x01020304, Sequence: 0x05060708}) {
 		t.Error("a peer's first word is no news")
 	}
 	file.Close()
@@ -112,8 +112,8 @@
 			t.Errorf("record %d: %d fields are zero, want %d", i, n, unkept)
 		}
 	}
-	if file.Hear(7, incarnation.Word{Incarnation: 0x01020304, Sequence: 0x05060708}) ||
-		!file.Hear(7, incarnation.Word{Incarnation: 0x01020304, Sequence: 0x05060709}) {
+	if file.Hear(7, incarnation.MessageID{Incarnation: 0x01020304, Sequence: 0x05060708}) ||
+		!file.Hear(7, incarnation.MessageID{Incarnation: 0x01020304, Sequence: 0x05060709}) {
 		t.Error("the peer's last word is not known")
 	}
 }
--- a/internal/borrowing/ledger/golden_test.go
+++ b/internal/borrowing/ledger/golden_test.go
@@ -39,7 +39,7 @@
 	f.Keep(0, &first)
 	f.Keep(0, &first)
 	f.Keep(2, &third)
-	f.Hear(1, incarnation.Word{Incarnation: 4, Sequence: 9})
+	f.Hear(1, incarnation.MessageID{Incarnation: 4, Sequence: 9})
 	return f
 }
 
@@ -75,7 +75,8 @@
 	if want := []Kept{{0, first}, {2, third}}; f.Spoilt != 0 || !reflect.DeepEqual(f.Records, want) {
 		t.Errorf("%d spoilt; read as\n%+v\nwant\n%+v", f.Spoilt, f.Records, want)
 	}
-	heard, next := incarnation.Word{Incarnation: 4, Sequence: 9}, incarnation.Word{Incarnation: 4, Sequence: 10}
+	heard := incarnation.MessageID{Incarnation: 4, Sequence: 9}
+	next := incarnation.MessageID{Incarnation: 4, Sequence: 10}
 	if f.Hear(1, heard) || !f.Hear(1, next) {
 		t.Error("a peer's last word is not known")
 	}
--- a/internal/gateway/hotrestart/golden_test.go
+++ b/internal/gateway/hotrestart/golden_test.go
@@ -60,7 +60,7 @@
 			Facts: authcache.Facts{Customer: 187, Product: 188, Plan: 189, Units: 190.5, SetSize: 191, First: 192},
 			Used:  true, Until: 193.5}, {Mark: "s194", Facts: authcache.Facts{Customer: 195, Product: 196, Plan: 197,
 			Units: 198.5, SetSize: 199, First: 200}, Used: true, Until: 201.5}},
-		Word: incarnation.Word{Incarnation: 202,
+		Word: incarnation.MessageID{Incarnation: 202,
 			Sequence: 203}}
 }
 
--- a/internal/gateway/hotrestart/handover.go
+++ b/internal/gateway/hotrestart/handover.go
@@ -30,7 +30,7 @@
 	Estate         policy.Estate
 	Workers, Kinds map[int]string // their names, by the indices in the estate
 	Clearances     []authcache.Clearance
-	Word           incarnation.Word // of the last message to peers: the heir goes on from there
+	Word           incarnation.MessageID // of the last message to peers: the heir goes on from there
 }
 
 // Client is a client's connection as it is handed on.
--- a/internal/gateway/incarnation/tracker.go
+++ b/internal/gateway/incarnation/tracker.go
@@ -1,80 +1,83 @@
-// Package incarnation tells news from old messages among instances that come back: each message bears its
-// sender's incarnation, which grows with each of its starts, and its place in that one's sequence. It is free
-// of I/O. Both are compared as serial numbers (RFC 1982), so that they may wrap.
 package incarnation
 
-// Verdict is what a message is.
-type Verdict uint8
+// Freshness is how a message relates to those observed from its sender before.
+type Freshness uint8
 
-// The verdicts.
+// The kinds of messages.
 const (
-	News     Verdict = iota // the next word of one that is known, or the first of one that is not
-	Returned                // the first word of one that was known in a former life
-	Old                     // said before what has been heard of it, or by a former life: no news
+	// Fresh is the next message of a known incarnation, or the first of an unknown sender.
+	Fresh Freshness = iota
+	// Restarted is the first message of a later incarnation of a known sender.
+	Restarted
+	// Stale is a duplicate, a message that was overtaken, or one of an earlier incarnation.
+	Stale
 )
 
-// Word says which message of which life of its sender a message is.
-type Word struct{ Incarnation, Sequence uint32 }
+// MessageID numbers a message. The zero value stands for none. The fields' names are part of the
+// form in which gob encodes it for a hot restart.
+type MessageID struct{ Incarnation, Sequence uint32 }
 
-// Table knows the newest word of each sender, by its number. It is not safe for concurrent use.
-type Table struct{ heard map[int]Word }
+// Tracker holds the newest message's number of each sender, by the sender's index. It is not safe for
+// concurrent use.
+type Tracker struct{ latest map[int]MessageID }
 
-// NewTable makes a table in which nobody is known.
-func NewTable() *Table { return &Table{heard: map[int]Word{}} }
+// NewTracker makes a tracker that knows no sender.
+func NewTracker() *Tracker { return &Tracker{latest: map[int]MessageID{}} }
 
-// Hear takes a message's word, and tells what the message is. One that is Old changes nothing.
-func (t *Table) Hear(from int, w Word) Verdict {
-	last, known := t.heard[from]
+// Observe classifies a message by its number, and records the number unless the message is Stale.
+func (t *Tracker) Observe(sender int, id MessageID) Freshness {
+	last, known := t.latest[sender]
 	switch {
 	case !known:
-		t.heard[from] = w
-		return News
-	case w.Incarnation == last.Incarnation && after(w.Sequence, last.Sequence):
-		t.heard[from] = w
-		return News
-	case after(w.Incarnation, last.Incarnation):
-		t.heard[from] = w
-		return Returned
+		t.latest[sender] = id
+		return Fresh
+	case id.Incarnation == last.Incarnation && after(id.Sequence, last.Sequence):
+		t.latest[sender] = id
+		return Fresh
+	case after(id.Incarnation, last.Incarnation):
+		t.latest[sender] = id
+		return Restarted
 	}
-	return Old
+	return Stale
 }
 
-// Words gives the newest words of so many, by number, in place of what is in all; none of those not known.
-func (t *Table) Words(all []Word, n int) []Word {
-	all = all[:0]
-	for i := range n {
-		all = append(all, t.heard[i])
+// Latest gives the newest numbers of the senders below n, by index, in the place of what ids holds; the zero
+// value for each unknown sender.
+func (t *Tracker) Latest(ids []MessageID, n int) []MessageID {
+	ids = ids[:0]
+	for sender := range n {
+		ids = append(ids, t.latest[sender])
 	}
-	return all
+	return ids
 }
 
-// Recall takes words as a former life had heard them, of those that are not known yet. It gives those that
-// were heard since in another life than then.
-func (t *Table) Recall(all []Word) (returned []int) {
-	for from, w := range all {
-		now, known := t.heard[from]
+// Restore takes the numbers that Latest gave in an earlier run of this process, for senders that are still
+// unknown. It gives the senders that were observed since in another incarnation than at that time.
+func (t *Tracker) Restore(ids []MessageID) (restarted []int) {
+	for sender, id := range ids {
+		last, known := t.latest[sender]
 		switch {
-		case w == (Word{}):
+		case id == (MessageID{}):
 		case !known:
-			t.heard[from] = w
-		case now.Incarnation != w.Incarnation:
-			returned = append(returned, from)
+			t.latest[sender] = id
+		case last.Incarnation != id.Incarnation:
+			restarted = append(restarted, sender)
 		}
 	}
-	return returned
+	return restarted
 }
 
-// Keep forgets all from a number on: they are no more, and others may come under their numbers.
-func (t *Table) Keep(below int) {
-	for from := range t.heard {
-		if from >= below {
-			delete(t.heard, from)
+// Truncate forgets all senders from index n on: their indexes may go to others.
+func (t *Tracker) Truncate(n int) {
+	for sender := range t.latest {
+		if sender >= n {
+			delete(t.latest, sender)
 		}
 	}
 }
 
-// Forget forgets one: another comes under its number.
-func (t *Table) Forget(from int) { delete(t.heard, from) }
+// Forget forgets one sender: its index goes to another.
+func (t *Tracker) Forget(sender int) { delete(t.latest, sender) }
 
-// after tells whether a serial number comes after another.
+// after tells whether the serial number a comes after b.
 func after(a, b uint32) bool { return int32(a-b) > 0 }
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -96,7 +96,7 @@
 		g.peers = transport.NewPeers(c.Peers, c.Charter.Me)
 		tell = g.peers.Tell
 		if c.Charter = spoken(c); c.Tells {
-			g.peers.Bear(incarnation.Word{Incarnation: crashstate.Uptime()})
+			g.peers.Bear(incarnation.MessageID{Incarnation: crashstate.Uptime()})
 		}
 	}
 	l, err := listen(c.Listen, c.FD, log)
@@ -254,7 +254,7 @@
 			g.recollect()
 		}
 	}
-	words := func(all []incarnation.Word) []incarnation.Word { return all[:0] }
+	words := func(all []incarnation.MessageID) []incarnation.MessageID { return all[:0] }
 	if g.peers != nil {
 		words = g.peers.Heard
 	}
--- a/internal/gateway/proxy/copies.go
+++ b/internal/gateway/proxy/copies.go
@@ -35,11 +35,11 @@
 // Copy writes copies of what fades from here on, until Stop or Retire, and closes the book then. Each is
 // taken in pieces, so that the lock is held for some microseconds at a time; bytes are put together, and
 // written, outside of it.
-func (d *Desk) Copy(b *checkpoint.Book, words func([]incarnation.Word) []incarnation.Word) {
+func (d *Desk) Copy(b *checkpoint.Book, words func([]incarnation.MessageID) []incarnation.MessageID) {
 	go d.copying(b, words)
 }
 
-func (d *Desk) copying(b *checkpoint.Book, words func([]incarnation.Word) []incarnation.Word) {
+func (d *Desk) copying(b *checkpoint.Book, words func([]incarnation.MessageID) []incarnation.MessageID) {
 	defer b.Close()
 	var l checkpoint.Left
 	timer := time.NewTimer(0)
--- a/internal/gateway/proxy/copies_test.go
+++ b/internal/gateway/proxy/copies_test.go
@@ -51,7 +51,7 @@
 		{"cut off", under(3), under(3), narrow, charter(), false},
 	} {
 		path := filepath.Join(t.TempDir(), "copy")
-		words := func(all []incarnation.Word) []incarnation.Word { return all[:0] }
+		words := func(all []incarnation.MessageID) []incarnation.MessageID { return all[:0] }
 		d := desk(t, 5)
 		b, _, _, err := checkpoint.Open(path, d.Now())
 		if err != nil {
--- a/internal/gateway/proxy/exchange_test.go
+++ b/internal/gateway/proxy/exchange_test.go
@@ -269,10 +269,10 @@
 // shelf keeps nothing.
 type shelf struct{ from time.Time }
 
-func (s shelf) Now() float64                    { return float64(time.Since(s.from)) / 1e6 }
-func (s shelf) Keep(int, *borrowing.Record)     {}
-func (s shelf) Hear(int, incarnation.Word) bool { return true }
-func (s shelf) Close()                          {}
+func (s shelf) Now() float64                         { return float64(time.Since(s.from)) / 1e6 }
+func (s shelf) Keep(int, *borrowing.Record)          {}
+func (s shelf) Hear(int, incarnation.MessageID) bool { return true }
+func (s shelf) Close()                               {}
 
 // The ordinary path with agreement off and on: the decision, and both looks at the terms; and with credit on,
 // within the quota and lent.
--- a/internal/gateway/proxy/lend.go
+++ b/internal/gateway/proxy/lend.go
@@ -15,7 +15,7 @@
 type Shelf interface {
 	Now() float64 // ms of a clock that goes on over lives
 	Keep(place int, r *borrowing.Record)
-	Hear(from int, w incarnation.Word) bool // notes a peer's word, and tells whether it is news
+	Hear(from int, w incarnation.MessageID) bool // notes a peer's word, and tells whether it is news
 	Close()
 }
 
@@ -61,7 +61,7 @@
 }
 
 // Ledger takes a peer's words on credit.
-func (d *Desk) Ledger(from int, w incarnation.Word, entries []borrowing.Entry) {
+func (d *Desk) Ledger(from int, w incarnation.MessageID, entries []borrowing.Entry) {
 	d.enter()
 	if l := d.lending; l != nil && l.shelf.Hear(from, w) {
 		l.book.Clock(l.shelf.Now())
--- a/internal/gateway/recovery/checkpoint/code.go
+++ b/internal/gateway/recovery/checkpoint/code.go
@@ -33,7 +33,7 @@
 		for _, v := range [...]float64{p.Heard, p.Told, p.Owes, p.Spoke} {
 			b = number(b, v)
 		}
-		var w incarnation.Word
+		var w incarnation.MessageID
 		if i < len(l.Words) {
 			w = l.Words[i]
 		}
@@ -113,7 +113,7 @@
 	}
 	for range d.count(peers, perPeer) {
 		p := policy.Hearing{Heard: d.number(), Told: d.number(), Owes: d.number(), Spoke: d.number()}
-		w := incarnation.Word{Incarnation: uint32(d.whole()), Sequence: uint32(d.whole())}
+		w := incarnation.MessageID{Incarnation: uint32(d.whole()), Sequence: uint32(d.whole())}
 		l.Words = append(l.Words, w)
 		bits := d.whole()
 		p.Silent, p.Gone = bits&1 != 0, bits&2 != 0
--- a/internal/gateway/recovery/checkpoint/golden_test.go
+++ b/internal/gateway/recovery/checkpoint/golden_test.go
@@ -38,7 +38,7 @@
 // must never write it again.
 func goldenLeft() *Left {
 	return &Left{Of: goldenDigest(),
-		Words: []incarnation.Word{{Incarnation: 101, Sequence: 102}, {Incarnation: 103, Sequence: 104}},
+		Words: []incarnation.MessageID{{Incarnation: 101, Sequence: 102}, {Incarnation: 103, Sequence: 104}},
 		Estate: policy.Estate{At: goldenNow, Started: goldenNow - 9000, NextTell: goldenNow + 105,
 			Tight: []float64{0.5, 0.625}, Stay: []float64{120.5, 121.5},
 			Peers: []policy.Hearing{
--- a/internal/gateway/recovery/checkpoint/inventory.go
+++ b/internal/gateway/recovery/checkpoint/inventory.go
@@ -58,8 +58,8 @@
 // its former life would count beside what it tells now.
 type Left struct {
 	Estate policy.Estate
-	Words  []incarnation.Word // none of those that were not heard
-	Of     [32]byte           // the digest of what it depends on, as it was written
+	Words  []incarnation.MessageID // none of those that were not heard
+	Of     [32]byte                // the digest of what it depends on, as it was written
 }
 
 // Digest stands for all that a copy depends on: a charter, and the version of the agreed rules that brought
--- a/internal/gateway/recovery/checkpoint/inventory_test.go
+++ b/internal/gateway/recovery/checkpoint/inventory_test.go
@@ -23,7 +23,7 @@
 
 // some is a copy at a time, with so many customers whose levels say which copy it is.
 func some(at float64, customers int, says float64) *Left {
-	l := &Left{Of: digest, Words: []incarnation.Word{{}, {Incarnation: 7, Sequence: 8}}}
+	l := &Left{Of: digest, Words: []incarnation.MessageID{{}, {Incarnation: 7, Sequence: 8}}}
 	e := &l.Estate
 	*e = policy.Estate{At: at, Started: at - 9000, NextTell: at + 100, Tight: []float64{0.9},
 		Stay: []float64{120}, Peers: []policy.Hearing{{}, {
--- a/internal/gateway/transport/golden_test.go
+++ b/internal/gateway/transport/golden_test.go
@@ -17,7 +17,7 @@
 // The golden files are datagrams as Tell sent them, with an incarnation and a sequence number ahead of what
 // they carry. They were written once, before names were changed. They are what peers of older versions say;
 // new code must never write them again.
-var goldenWord = incarnation.Word{Incarnation: 0x01020304, Sequence: 0x05060708}
+var goldenWord = incarnation.MessageID{Incarnation: 0x01020304, Sequence: 0x05060708}
 
 func goldenReports() []policy.Report {
 	return []policy.Report{{Customer: 0x11121314, Plan: 5, Demand: 8, Known: 4, Spent: 2}}
@@ -53,7 +53,7 @@
 func goldenSent(t *testing.T) (reports, entries []byte) {
 	t.Helper()
 	peers, bare := goldenPeer(t)
-	peers.Bear(incarnation.Word{Incarnation: goldenWord.Incarnation, Sequence: goldenWord.Sequence - 1})
+	peers.Bear(incarnation.MessageID{Incarnation: goldenWord.Incarnation, Sequence: goldenWord.Sequence - 1})
 	peers.Tell(1, gossip.Append(nil, goldenReports()))
 	message, _ := creditwire.Append(nil, goldenEntries())
 	peers.Tell(1, message)
@@ -76,10 +76,10 @@
 
 func TestGoldenDatagramsHeard(t *testing.T) {
 	peers, bare := goldenPeer(t)
-	peers.Bear(incarnation.Word{Incarnation: 1})
+	peers.Bear(incarnation.MessageID{Incarnation: 1})
 	reports, entries := make(chan []policy.Report, 1), make(chan []borrowing.Entry, 1)
-	words := make(chan incarnation.Word, 1)
-	peers.Credit(func(_ int, w incarnation.Word, all []borrowing.Entry) {
+	words := make(chan incarnation.MessageID, 1)
+	peers.Credit(func(_ int, w incarnation.MessageID, all []borrowing.Entry) {
 		words <- w
 		entries <- append([]borrowing.Entry(nil), all...)
 	})
@@ -101,7 +101,7 @@
 		goldentest.Same(
 			t,
 			w,
-			incarnation.Word{Incarnation: goldenWord.Incarnation, Sequence: goldenWord.Sequence + 1},
+			incarnation.MessageID{Incarnation: goldenWord.Incarnation, Sequence: goldenWord.Sequence + 1},
 		)
 		goldentest.Same(t, <-entries, goldenEntries())
 	case <-time.After(10 * time.Second):
--- a/internal/gateway/transport/peers.go
+++ b/internal/gateway/transport/peers.go
@@ -23,28 +23,28 @@
 	me      int
 	dropped atomic.Int64
 
-	credit atomic.Pointer[func(int, incarnation.Word, []borrowing.Entry)] // nil where none is lent
+	credit atomic.Pointer[func(int, incarnation.MessageID, []borrowing.Entry)] // nil where none is lent
 
 	bears atomic.Bool   // messages bear a word
 	life  atomic.Uint32 // incarnation
 	said  atomic.Uint32 // messages of it so far
 	mu    sync.Mutex    // of heard
-	heard *incarnation.Table
+	heard *incarnation.Tracker
 }
 
 // Heard gives the last word of each peer in place of what is in all.
-func (p *Peers) Heard(all []incarnation.Word) []incarnation.Word {
+func (p *Peers) Heard(all []incarnation.MessageID) []incarnation.MessageID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.heard.Words(all, len(*p.to.Load()))
+	return p.heard.Latest(all, len(*p.to.Load()))
 }
 
 // Recall takes peers' words as a former life had heard them, and gives those that have returned since, and
 // were heard.
-func (p *Peers) Recall(all []incarnation.Word) (returned []int) {
+func (p *Peers) Recall(all []incarnation.MessageID) (returned []int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.heard.Recall(all)
+	return p.heard.Restore(all)
 }
 
 // Room is how many reports fit a message that bears a word.
@@ -58,20 +58,20 @@
 
 // Bear has messages say which life of this gatekeeper they are of, and their place in it; those that do not
 // say so are dropped from then on.
-func (p *Peers) Bear(w incarnation.Word) {
+func (p *Peers) Bear(w incarnation.MessageID) {
 	p.life.Store(w.Incarnation)
 	p.said.Store(w.Sequence)
 	p.bears.Store(true)
 }
 
 // Word gives the word of the last message.
-func (p *Peers) Word() incarnation.Word {
-	return incarnation.Word{Incarnation: p.life.Load(), Sequence: p.said.Load()}
+func (p *Peers) Word() incarnation.MessageID {
+	return incarnation.MessageID{Incarnation: p.life.Load(), Sequence: p.said.Load()}
 }
 
 // NewPeers exchanges nothing until it is bound.
 func NewPeers(peers []netip.AddrPort, me int) *Peers {
-	p := &Peers{me: me, heard: incarnation.NewTable()}
+	p := &Peers{me: me, heard: incarnation.NewTracker()}
 	p.Among(peers)
 	return p
 }
@@ -81,7 +81,7 @@
 func (p *Peers) Among(peers []netip.AddrPort) (others []int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard.Keep(len(peers))
+	p.heard.Truncate(len(peers))
 	if was := p.to.Load(); was != nil {
 		for i := range min(len(*was), len(peers)) {
 			if (*was)[i] != peers[i] && i != p.me {
@@ -129,7 +129,7 @@
 }
 
 // Credit has peers' words on credit be taken; until then they are dropped.
-func (p *Peers) Credit(take func(from int, w incarnation.Word, entries []borrowing.Entry)) {
+func (p *Peers) Credit(take func(from int, w incarnation.MessageID, entries []borrowing.Entry)) {
 	p.credit.Store(&take)
 }
 
@@ -154,18 +154,18 @@
 		} else {
 			reports, err = gossip.Decode(reports[:0], b)
 		}
-		verdict := incarnation.News
+		verdict := incarnation.Fresh
 		if who >= 0 && err == nil && bears {
 			p.mu.Lock()
-			verdict = p.heard.Hear(who, word)
+			verdict = p.heard.Observe(who, word)
 			p.mu.Unlock()
 		}
-		if who < 0 || err != nil || bears != p.bears.Load() || verdict == incarnation.Old {
+		if who < 0 || err != nil || bears != p.bears.Load() || verdict == incarnation.Stale {
 			p.dropped.Add(1)
 			continue
 		}
-		if len(entries) == 0 || verdict == incarnation.Returned {
-			take(who, reports, verdict == incarnation.Returned)
+		if len(entries) == 0 || verdict == incarnation.Restarted {
+			take(who, reports, verdict == incarnation.Restarted)
 		}
 		if len(entries) > 0 {
 			(*lends)(who, word, entries)
@@ -174,13 +174,13 @@
 }
 
 // wordOf takes the word that a message bears off it.
-func wordOf(b *[]byte) (incarnation.Word, bool) {
+func wordOf(b *[]byte) (incarnation.MessageID, bool) {
 	m := *b
 	if len(m) < wordBytes || m[0] != bearing {
-		return incarnation.Word{}, false
+		return incarnation.MessageID{}, false
 	}
 	*b = m[wordBytes:]
-	w := incarnation.Word{Incarnation: binary.BigEndian.Uint32(m[1:])}
+	w := incarnation.MessageID{Incarnation: binary.BigEndian.Uint32(m[1:])}
 	w.Sequence = binary.BigEndian.Uint32(m[5:])
 	return w, true
 }
--- a/internal/gateway/transport/wire_test.go
+++ b/internal/gateway/transport/wire_test.go
@@ -434,7 +434,7 @@
 		reports  int
 		returned bool
 	}
-	begin := func(me int, word incarnation.Word, heard chan got) *Peers {
+	begin := func(me int, word incarnation.MessageID, heard chan got) *Peers {
 		p := NewPeers(both, me)
 		p.Bear(word)
 		if err := p.Bind(both[me]); err != nil {
@@ -444,7 +444,8 @@
 		return p
 	}
 	heard := make(chan got, 9)
-	a, b := begin(0, incarnation.Word{Incarnation: 5}, nil), begin(1, incarnation.Word{Incarnation: 9}, heard)
+	a := begin(0, incarnation.MessageID{Incarnation: 5}, nil)
+	b := begin(1, incarnation.MessageID{Incarnation: 9}, heard)
 	defer b.Close()
 	most := gossip.Append(nil, make([]policy.Report, Room))
 	full := gossip.Append(
@@ -473,9 +474,9 @@
 	a.Tell(1, full) // as one that was held up on the way
 	a.bears.Store(false)
 	a.Tell(1, full)
-	a.Bear(incarnation.Word{Incarnation: 4, Sequence: 100})
+	a.Bear(incarnation.MessageID{Incarnation: 4, Sequence: 100})
 	a.Tell(1, full) // of a former life
-	a.Bear(incarnation.Word{Incarnation: 6})
+	a.Bear(incarnation.MessageID{Incarnation: 6})
 	a.Tell(1, full)
 	expect("one that has returned", got{Room, true}, 3)
 	word := a.Word()
@@ -487,7 +488,7 @@
 	c.Tell(1, full)
 	time.Sleep(20 * time.Millisecond)
 	b.Among(both)
-	c.Bear(incarnation.Word{Incarnation: 1}) // another, under the number of one that was no more
+	c.Bear(incarnation.MessageID{Incarnation: 1}) // another, under the number of one that was no more
 	c.Tell(1, full)
 	expect("another", got{Room, false}, 4)
 	c.Close()
@@ -587,14 +588,14 @@
 		return all
 	}
 	p := NewPeers(at(1, 2, 3), 0)
-	p.heard.Hear(2, incarnation.Word{Incarnation: 9})
+	p.heard.Observe(2, incarnation.MessageID{Incarnation: 9})
 	if got := p.Among(at(4, 2, 3, 5)); len(got) > 0 {
 		t.Errorf("%v are told of as others", got)
 	}
 	if got := p.Among(at(4, 2, 6)); len(got) != 1 || got[0] != 2 {
 		t.Errorf("%v are told of as others", got)
 	}
-	if v := p.heard.Hear(2, incarnation.Word{Incarnation: 1}); v != incarnation.News {
+	if v := p.heard.Observe(2, incarnation.MessageID{Incarnation: 1}); v != incarnation.Fresh {
 		t.Errorf("its first word is %v", v)
 	}
 }
--- a/internal/lab/footprint/module.go
+++ b/internal/lab/footprint/module.go
@@ -195,14 +195,14 @@
 	m := policy.MannerOf(c)
 	g, kept := keeps(func() *policy.Gatekeeper { return policy.New(c, seed) })
 	_ = g.Tally()
-	table, heard := keeps(func() *incarnation.Table {
-		t := incarnation.NewTable()
+	table, heard := keeps(func() *incarnation.Tracker {
+		t := incarnation.NewTracker()
 		for i := range n {
-			t.Hear(i, incarnation.Word{Incarnation: 1, Sequence: 1})
+			t.Observe(i, incarnation.MessageID{Incarnation: 1, Sequence: 1})
 		}
 		return t
 	})
-	_ = table.Words(nil, 1)
+	_ = table.Latest(nil, 1)
 	values := []Value{{"gatekeeper", "period of words over gatekeepers", "s", m.Period / 1000},
 		{"gatekeeper", "silence until a peer is unheard over gatekeepers", "s", m.Unheard / 1000},
 		{"gatekeeper", "kept over gatekeepers", "B", kept + heard}}
