--- a/internal/gateway/hotrestart/storedform.go
+++ b/internal/gateway/hotrestart/storedform.go
@@ -209,7 +209,7 @@
 	}
 }
 
-func encodeSequence(live incarnation.Word) storedSequence {
+func encodeSequence(live incarnation.MessageID) storedSequence {
 	return storedSequence{
 		Incarnation: live.Incarnation,
 		Sequence:    live.Sequence,
@@ -408,8 +408,8 @@
 	}
 }
 
-func decodeSequence(stored storedSequence) incarnation.Word {
-	return incarnation.Word{
+func decodeSequence(stored storedSequence) incarnation.MessageID {
+	return incarnation.MessageID{
 		Incarnation: stored.Incarnation,
 		Sequence:    stored.Sequence,
 	}
