--- a/internal/ruleset/council.go
+++ b/internal/ruleset/council.go
@@ -23,67 +23,67 @@
 // way.
 type HostStep struct {
 	_    struct{} `cbor:",toarray"`
-	Host string
-	Step uint64
+	Host string   `json:"Host"`
+	Step uint64   `json:"Step"`
 }
 
 // Entry is one entry of the council's log.
 type Entry struct {
-	Act       Act
-	ID        string     `json:",omitempty"` // of a proposal; the same one twice is one
-	Base      uint64     `json:",omitempty"`
-	Rules     *Rules     `json:",omitempty"`
-	Host      string     `json:",omitempty"`
-	Step      uint64     `json:",omitempty"`
-	Fallbacks bool       `json:",omitempty"` // Passed: not only what was acted on, but the fallbacks too
-	Hosts     []HostStep `json:",omitempty"` // SeenAll, up to MostSeen
+	Act       Act        `json:"Act"`
+	ID        string     `json:"ID,omitempty"` // of a proposal; the same one twice is one
+	Base      uint64     `json:"Base,omitempty"`
+	Rules     *Rules     `json:"Rules,omitempty"`
+	Host      string     `json:"Host,omitempty"`
+	Step      uint64     `json:"Step,omitempty"`
+	Fallbacks bool       `json:"Fallbacks,omitempty"` // Passed: not only what was acted on, but the fallbacks too
+	Hosts     []HostStep `json:"Hosts,omitempty"`     // SeenAll, up to MostSeen
 }
 
 // Outcome is what the council has made of an entry.
 type Outcome struct {
-	Refused string `json:",omitempty"` // the reason, which names the key; empty: it was taken
-	Number  uint64 `json:",omitempty"` // that a proposal's version has, or will have
-	Waits   string `json:",omitempty"` // why that is not in force yet; empty: it is
-	InForce uint64 `json:",omitempty"` // the version that this entry has put in force, its own or a pending one
-	Again   bool   `json:",omitempty"` // the entry came before, and this is what it has come to
+	Refused string `json:"Refused,omitempty"` // the reason, which names the key; empty: it was taken
+	Number  uint64 `json:"Number,omitempty"`  // that a proposal's version has, or will have
+	Waits   string `json:"Waits,omitempty"`   // why that is not in force yet; empty: it is
+	InForce uint64 `json:"InForce,omitempty"` // the version that this entry has put in force, its own or a pending one
+	Again   bool   `json:"Again,omitempty"`   // the entry came before, and this is what it has come to
 }
 
 // Held is a version that is not in force any more, as it may still be gone by.
 type Held struct {
-	Number uint64
-	Step   uint64   // at which it ended
-	Stance Stance   // its fallback
-	Hosts  []string // whose gatekeepers may have it
-	Acting bool     // some may still act on the version itself
-	Bound  float64  // ms from its end until none does
-	Lasts  float64  // ms from its end until none has its fallback
+	Number uint64   `json:"Number"`
+	Step   uint64   `json:"Step"`   // at which it ended
+	Stance Stance   `json:"Stance"` // its fallback
+	Hosts  []string `json:"Hosts"`  // whose gatekeepers may have it
+	Acting bool     `json:"Acting"` // some may still act on the version itself
+	Bound  float64  `json:"Bound"`  // ms from its end until none does
+	Lasts  float64  `json:"Lasts"`  // ms from its end until none has its fallback
 }
 
 // Coming is a version that is agreed and waits.
 type Coming struct {
-	Version     Version
-	ID          string
-	Step        uint64   // at which it was agreed
-	Contradicts string   // the plan by which fallbacks contradict it that may be held; empty: none does
-	Mixes       string   // the plan of which too much passes beside the version in force; empty: none
-	Hosts       []string // whose gatekeepers may have one of them
-	Lasts       float64  // ms from its agreement until none has
+	Version     Version  `json:"Version"`
+	ID          string   `json:"ID"`
+	Step        uint64   `json:"Step"`        // at which it was agreed
+	Contradicts string   `json:"Contradicts"` // the plan by which fallbacks contradict it that may be held; empty: none does
+	Mixes       string   `json:"Mixes"`       // the plan of which too much passes beside the version in force; empty: none
+	Hosts       []string `json:"Hosts"`       // whose gatekeepers may have one of them
+	Lasts       float64  `json:"Lasts"`       // ms from its agreement until none has
 }
 
 // Answer is what a proposal came to.
 type Answer struct {
-	ID      string
-	Outcome Outcome
+	ID      string  `json:"ID"`
+	Outcome Outcome `json:"Outcome"`
 }
 
 // State is all that a council knows.
 type State struct {
-	Step     uint64 // grows by one with each change of what instances are told
-	InForce  Version
-	Pending  *Coming           `json:",omitempty"`
-	Held     []Held            `json:",omitempty"`
-	Seen     map[string]uint64 `json:",omitempty"` // by host
-	Answered []Answer          `json:",omitempty"` // the latest proposals, in their order
+	Step     uint64            `json:"Step"` // grows by one with each change of what instances are told
+	InForce  Version           `json:"InForce"`
+	Pending  *Coming           `json:"Pending,omitempty"`
+	Held     []Held            `json:"Held,omitempty"`
+	Seen     map[string]uint64 `json:"Seen,omitempty"`     // by host
+	Answered []Answer          `json:"Answered,omitempty"` // the latest proposals, in their order
 }
 
 // Council decides which version is in force. Fed with the same entries, in the order of the log, it is the
--- a/internal/ruleset/form.go
+++ b/internal/ruleset/form.go
@@ -25,12 +25,12 @@
 
 // envelope has the rules as they were written, as a program may not know all of them.
 type envelope struct {
-	Step    uint64
-	Number  uint64
-	Rules   json.RawMessage
-	Settled bool
-	Pending json.RawMessage `json:",omitempty"`
-	Age     float64
+	Step    uint64          `json:"Step"`
+	Number  uint64          `json:"Number"`
+	Rules   json.RawMessage `json:"Rules"`
+	Settled bool            `json:"Settled"`
+	Pending json.RawMessage `json:"Pending,omitempty"`
+	Age     float64         `json:"Age"`
 }
 
 // Bytes is a lease as it is sent.
@@ -70,8 +70,8 @@
 // known reads rules, and names what of them is not known here.
 func known(raw []byte) (Rules, string) {
 	var head struct {
-		Form  int
-		Needs []string
+		Form  int      `json:"Form"`
+		Needs []string `json:"Needs"`
 	}
 	if err := json.Unmarshal(raw, &head); err != nil {
 		return Rules{}, err.Error()
--- a/internal/ruleset/lag.go
+++ b/internal/ruleset/lag.go
@@ -8,9 +8,10 @@
 
 // Behind is one whose list of discovery's lags.
 type Behind struct {
-	Who            string
-	Index, Highest int64
-	For            float64 // ms since a newer index than its own was first told
+	Who     string  `json:"Who"`
+	Index   int64   `json:"Index"`
+	Highest int64   `json:"Highest"`
+	For     float64 `json:"For"` // ms since a newer index than its own was first told
 }
 
 // Lag knows which index of discovery's list each process has told. What discovery itself has is not known
--- a/internal/ruleset/parts.go
+++ b/internal/ruleset/parts.go
@@ -12,8 +12,9 @@
 
 // Part is what one gatekeeper may let through of one plan.
 type Part struct {
-	Rate, Depth float64 // of the ceiling, units a second and units; far beyond any use where there is none
-	Credit      float64 // units of the credit line
+	Rate   float64 `json:"Rate"`   // of the ceiling, units a second and units; far beyond any use where there is none
+	Depth  float64 `json:"Depth"`  // of the ceiling, units a second and units; far beyond any use where there is none
+	Credit float64 `json:"Credit"` // units of the credit line
 }
 
 // least and most take the lesser, or greater, of two by each figure.
@@ -85,11 +86,11 @@
 
 // Stance is what each of some gatekeepers may let through, by plan: the same for all.
 type Stance struct {
-	Members []Member
-	Parts   []Part
+	Members []Member `json:"Members"`
+	Parts   []Part   `json:"Parts"`
 	// Places are those of Members where some were left out; none: they are in their places. Rules that do not
 	// need ManyMembers leave members out without a word of places, as programs before it do.
-	Places []int `json:",omitempty"`
+	Places []int `json:"Places,omitempty"`
 }
 
 // place is that of the member at i.
