--- a/internal/borrowing/rig/rig_test.go
+++ b/internal/borrowing/rig/rig_test.go
@@ -429,14 +429,16 @@
 }
 
 func (d *daemon) tells(n uint64, names []string, credit float64) {
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 600, Bound: ruleset.MostBound,
-		Fallback: ruleset.Fallback{Part: 0.5, For: 600},
-		Plans:    []ruleset.Plan{{Name: "basic", Rate: rate, Burst: burst, Credit: credit, Repay: back * 1000}}}
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 600,
+		ConflictBoundMillis: ruleset.DefaultConflictBoundMillis,
+		Fallback:            ruleset.Fallback{Fraction: 0.5, DurationMillis: 600},
+		Plans: []ruleset.Plan{{Name: "basic", Rate: rate, Burst: burst, CreditSeconds: credit,
+			RepayMillis: back * 1000}}}
 	for _, name := range names {
 		r.Members = append(r.Members, ruleset.Member{Name: name, Host: "h"})
 	}
 	d.mu.Lock()
-	d.lease = ruleset.Lease{Step: n, Version: ruleset.Version{Number: n, Rules: r}, Settled: true}
+	d.lease = ruleset.Lease{Step: n, Version: ruleset.Version{Number: n, Rules: r}, TransitionComplete: true}
 	d.mu.Unlock()
 }
 
@@ -447,7 +449,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if b, err := d.lease.Bytes(); err == nil {
+	if b, err := d.lease.Encode(); err == nil {
 		_, _ = w.Write(b)
 	}
 }
--- a/internal/distribution/api.go
+++ b/internal/distribution/api.go
@@ -13,7 +13,7 @@
 const Form = 1
 
 // HostStep says that all processes of a host's gatekeepers go by what was said at a step, or later.
-type HostStep = ruleset.HostStep
+type HostStep = ruleset.HostAck
 
 // Ask is a question to one above. All but its head is what the asker has, so that an answer brings no more.
 type Ask struct {
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -461,7 +461,7 @@
 	}
 	lease := f.lease // of the rules that are told, which may be longer than that of those before
 	if !f.has || rules.Mark() != f.v.Rules.Mark() {
-		if l := ruleset.LeaseOf(rules); l > 0 {
+		if l := ruleset.StateLeaseMillis(rules); l > 0 {
 			lease = l
 		}
 	}
--- a/internal/distribution/relay/cost_test.go
+++ b/internal/distribution/relay/cost_test.go
@@ -62,17 +62,17 @@
 		members = append(members, ruleset.Member{Name: fmt.Sprintf("gatekeeper-%05d", i),
 			Host: fmt.Sprintf("host-%04d", i/perHost), Peers: fmt.Sprintf("10.%d.%d.7:7000", i/250, i%250)})
 	}
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
-		Fallback: ruleset.Fallback{Part: 0.5, For: 10000}, Members: members}
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
+		Fallback: ruleset.Fallback{Fraction: 0.5, DurationMillis: 10000}, Members: members}
 	if b.size > 500 {
-		r.Needs = []string{ruleset.ManyMembers}
+		r.Needs = []string{ruleset.FeatureManyMembers}
 	}
 	for i := range 20 {
 		r.Plans = append(r.Plans, ruleset.Plan{Name: fmt.Sprintf("plan-%02d", i), Rate: 100, Burst: 200,
 			CeilingRate: 1000, CeilingDepth: 2000})
 	}
 	r.Plans[number%len(r.Plans)].Rate = 100 + float64(number)
-	s, err := ruleset.Entries(&ruleset.Version{Number: uint64(number), Rules: r})
+	s, err := ruleset.VersionToState(&ruleset.Version{Number: uint64(number), Rules: r})
 	if err != nil {
 		b.t.Fatal(err)
 	}
--- a/internal/distribution/relay/form_test.go
+++ b/internal/distribution/relay/form_test.go
@@ -17,8 +17,8 @@
 // below that may know it; what it can't read of them it says in its record.
 func TestLaterForm(t *testing.T) {
 	r := generation(7, some(2, "h"))
-	r.Form, r.Needs = ruleset.Form+8, []string{"what comes later"}
-	rules, err := ruleset.Entries(&ruleset.Version{Number: 7, Rules: r})
+	r.Format, r.Needs = ruleset.SupportedFormat+8, []string{"what comes later"}
+	rules, err := ruleset.VersionToState(&ruleset.Version{Number: 7, Rules: r})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 	if v, there := got.Get("what/0000"); !there || string(v) != "is not known here" {
 		t.Errorf("an entry of a later form has come through as %q", v)
 	}
-	if l := ruleset.LeaseOf(got); l != 1000 {
+	if l := ruleset.StateLeaseMillis(got); l != 1000 {
 		t.Errorf("the lease is %v in rules of a later form", l)
 	}
 	said := false
--- a/internal/distribution/relay/golden_test.go
+++ b/internal/distribution/relay/golden_test.go
@@ -39,17 +39,18 @@
 func goldenVersion(number uint64) *ruleset.Version {
 	v := &ruleset.Version{}
 	goldenform.Fill(v)
-	v.Number, v.Rules.Form, v.Rules.Needs = number, ruleset.Form, []string{ruleset.ManyMembers}
+	v.Number, v.Rules.Format, v.Rules.Needs = number, ruleset.SupportedFormat,
+		[]string{ruleset.FeatureManyMembers}
 	return v
 }
 
 func goldenStates(t *testing.T) (rules, pending *versioned.State) {
 	t.Helper()
-	rules, err := ruleset.Entries(goldenVersion(7))
+	rules, err := ruleset.VersionToState(goldenVersion(7))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if pending, err = ruleset.Entries(goldenVersion(8)); err != nil {
+	if pending, err = ruleset.VersionToState(goldenVersion(8)); err != nil {
 		t.Fatal(err)
 	}
 	return rules, pending
@@ -66,7 +67,7 @@
 		if zeros := goldenform.Zeros(want); len(zeros) > 0 {
 			t.Errorf("the known version has zero fields: %v", zeros)
 		}
-		if got, err := ruleset.FromState(state); err != nil || !reflect.DeepEqual(&got, want) {
+		if got, err := ruleset.VersionFromState(state); err != nil || !reflect.DeepEqual(&got, want) {
 			t.Errorf("%v: version %d is read as\n%+v\nwant\n%+v", err, number, got, *want)
 		}
 		var keys []string
--- a/internal/distribution/relay/hollow_test.go
+++ b/internal/distribution/relay/hollow_test.go
@@ -25,11 +25,11 @@
 // generationOf has ceilings of its own: one that is lower than its fallback allows has to wait.
 func generationOf(i int, members []ruleset.Member, ceiling, depth float64) ruleset.Rules {
 	x := float64(i)
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
-		Fallback: ruleset.Fallback{Part: 0.5, For: 2000},
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
+		Fallback: ruleset.Fallback{Fraction: 0.5, DurationMillis: 2000},
 		Plans: []ruleset.Plan{{Name: "basic", Rate: 500 + x, Burst: 500 + x},
 			{Name: "capped", Rate: 200 + x, Burst: 200 + x, CeilingRate: ceiling, CeilingDepth: depth}},
-		Words: []ruleset.Word{{Worker: "w0", Weight: 1 + x}}}
+		WorkerOverrides: []ruleset.WorkerOverride{{Worker: "w0", Weight: 1 + x}}}
 	for place, m := range members {
 		m.Peers = fmt.Sprintf("127.0.0.1:%d", 10000+100*place+i)
 		r.Members = append(r.Members, m)
@@ -43,7 +43,7 @@
 	for i, p := range r.Plans {
 		all[int(p.Rate)-[2]int{500, 200}[i]] = true
 	}
-	for _, w := range r.Words {
+	for _, w := range r.WorkerOverrides {
 		all[int(w.Weight)-1] = true
 	}
 	for place, m := range r.Members {
@@ -67,7 +67,7 @@
 	wait    sync.WaitGroup
 
 	mu     sync.Mutex
-	warden ruleset.Warden
+	warden ruleset.LeaseGrantor
 	told   uint64
 	last   [2]*versioned.State
 	rules  ruleset.Version
@@ -83,7 +83,7 @@
 	log  *history.Log
 
 	mu     sync.Mutex
-	holder *ruleset.Holder
+	holder *ruleset.LeaseHolder
 	seen   map[uint64]int // generation by version
 }
 
@@ -133,14 +133,14 @@
 			continue
 		}
 		k := &hollowKeeper{t: t, name: m.Name, pid: place + 1, host: h, seen: map[uint64]int{},
-			holder: ruleset.NewHolder(m.Name, generation(0, members))}
+			holder: ruleset.NewLeaseHolder(m.Name, generation(0, members))}
 		life := lifeOf(m.Name)
 		var err error
 		path := filepath.Join(records, fmt.Sprintf("%s.%d.jsonl", m.Name, life))
 		if k.log, err = history.Open(path, m.Name, life); err != nil {
 			t.Fatal(err)
 		}
-		h.warden.Began(k.pid, false)
+		h.warden.ProcessStarted(k.pid, false)
 		h.keepers = append(h.keepers, k)
 		run(k.run)
 	}
@@ -161,18 +161,18 @@
 func (h *hollowHost) lease(t testing.TB, pid int, holds uint64) (ruleset.Lease, bool) {
 	h.mu.Lock()
 	v, ok := h.feed.View()
-	if !ok || !h.warden.Asked(pid, holds) {
+	if !ok || !h.warden.RecordRequest(pid, holds) {
 		h.mu.Unlock()
 		return ruleset.Lease{}, false
 	}
 	if now := [2]*versioned.State{v.Rules, v.Pending}; now != h.last {
-		whole, err := ruleset.FromState(v.Rules)
+		whole, err := ruleset.VersionFromState(v.Rules)
 		if err != nil {
 			t.Errorf("%s: %v", h.name, err)
 		}
 		h.last, h.rules, h.coming = now, whole, nil
 		if v.Pending != nil {
-			p, err := ruleset.FromState(v.Pending)
+			p, err := ruleset.VersionFromState(v.Pending)
 			if err != nil {
 				t.Errorf("%s: %v", h.name, err)
 			}
@@ -180,14 +180,14 @@
 		}
 	}
 	l := ruleset.Lease{
-		Step:    v.Step,
-		Version: h.rules,
-		Settled: v.Settled,
-		Pending: h.coming,
-		Age:     v.Age(Clock()),
+		Step:               v.Step,
+		Version:            h.rules,
+		TransitionComplete: v.Settled,
+		Pending:            h.coming,
+		AgeMillis:          v.Age(Clock()),
 	}
-	h.warden.Given(pid)
-	seen := h.warden.Seen(v.Step)
+	h.warden.RecordGrant(pid)
+	seen := h.warden.AckedStep(v.Step)
 	news := seen > h.told
 	h.told = max(h.told, seen)
 	h.mu.Unlock()
@@ -208,23 +208,23 @@
 		case <-timer.C:
 		}
 		k.mu.Lock()
-		k.holder.Clock(Clock())
+		k.holder.SetTime(Clock())
 		for {
-			d, ok := k.holder.Next()
+			d, ok := k.holder.NextAction()
 			if !ok {
 				break
 			}
 			switch d.Kind {
-			case ruleset.Adopt:
-				k.adopt(d.Terms)
-			case ruleset.Ask:
+			case ruleset.ActionAdopt:
+				k.adopt(d.Effective)
+			case ruleset.ActionRequestLease:
 				asked := Clock()
-				if l, ok := k.host.lease(k.t, k.pid, k.holder.Holds()); ok {
-					k.holder.Clock(Clock())
-					k.holder.Heard(l, asked)
+				if l, ok := k.host.lease(k.t, k.pid, k.holder.AckedStep()); ok {
+					k.holder.SetTime(Clock())
+					k.holder.ReceiveLease(l, asked)
 				}
-			case ruleset.Wake:
-				timer.Reset(max(millis(d.At-Clock()), 0))
+			case ruleset.ActionWake:
+				timer.Reset(max(millis(d.WakeAtMillis-Clock()), 0))
 			}
 		}
 		k.mu.Unlock()
@@ -232,14 +232,14 @@
 }
 
 // adopt records what it goes by, and finds a mix of two versions.
-func (k *hollowKeeper) adopt(t ruleset.Terms) {
-	mode := [...]string{ruleset.Bare: history.Bare, ruleset.CutOff: history.Fallback,
-		ruleset.Leased: history.Leased}[t.Mode]
+func (k *hollowKeeper) adopt(t ruleset.EffectiveRules) {
+	mode := [...]string{ruleset.ModeNoLease: history.Bare, ruleset.ModeFallback: history.Fallback,
+		ruleset.ModeLeased: history.Leased}[t.Mode]
 	k.log.Write(history.Event{Kind: history.Acts, Version: t.Version, Mode: mode})
 	if t.Version == 0 {
 		return
 	}
-	r := ruleset.Rules{Words: t.Words}
+	r := ruleset.Rules{WorkerOverrides: t.WorkerOverrides}
 	for _, p := range t.Plans {
 		r.Plans = append(r.Plans, p.Plan)
 	}
@@ -259,25 +259,25 @@
 func (k *hollowKeeper) stands() (int, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	t := k.holder.Current()
-	if t.Mode != ruleset.Leased || !k.holder.May(Clock()) {
+	t := k.holder.Effective()
+	if t.Mode != ruleset.ModeLeased || !k.holder.MayAct(Clock()) {
 		return 0, false
 	}
 	return k.seen[t.Version], true
 }
 
 // mode tells how it goes.
-func (k *hollowKeeper) mode() ruleset.Mode {
+func (k *hollowKeeper) mode() ruleset.LeaseMode {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.holder.Current().Mode
+	return k.holder.Effective().Mode
 }
 
 // lapses tells how often it lost its lease.
 func (k *hollowKeeper) lapses() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.holder.Counts().Lapses
+	return k.holder.Counters().Expirations
 }
 
 // known gives the generations by version that it has gone by.
--- a/internal/distribution/relay/relay.go
+++ b/internal/distribution/relay/relay.go
@@ -137,7 +137,7 @@
 		return
 	}
 	e := history.Event{Kind: history.Gives, Version: v.Rules.Mark().Number, Age: Clock() - v.Begun}
-	if whole, err := ruleset.FromState(v.Rules); err == nil {
+	if whole, err := ruleset.VersionFromState(v.Rules); err == nil {
 		e.Mark = raftlog.Mark(&whole.Rules)
 	} else {
 		e.Says = fmt.Sprintf("not rules of this program: %v", err)
--- a/internal/distribution/relay/relayd_test.go
+++ b/internal/distribution/relay/relayd_test.go
@@ -93,7 +93,7 @@
 // stateOf makes a state of a generation.
 func stateOf(t testing.TB, number uint64, gen int, members []ruleset.Member) *versioned.State {
 	t.Helper()
-	s, err := ruleset.Entries(&ruleset.Version{Number: number, Rules: generation(gen, members)})
+	s, err := ruleset.VersionToState(&ruleset.Version{Number: number, Rules: generation(gen, members)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/distribution/relay/rig_test.go
+++ b/internal/distribution/relay/rig_test.go
@@ -416,7 +416,7 @@
 }
 
 // bounded is B for the lease of these rules.
-var bounded = ruleset.Bound(&ruleset.Rules{Lease: 1000})
+var bounded = ruleset.ConflictBoundMillis(&ruleset.Rules{LeaseMillis: 1000})
 
 // verdict is what is found in a record.
 type verdict struct {
@@ -521,7 +521,7 @@
 	for i, mix := range []func(*ruleset.Rules){
 		func(r *ruleset.Rules) { r.Plans[0] = other.Plans[0] },
 		func(r *ruleset.Rules) { r.Plans[1] = other.Plans[1] },
-		func(r *ruleset.Rules) { r.Words = other.Words },
+		func(r *ruleset.Rules) { r.WorkerOverrides = other.WorkerOverrides },
 		func(r *ruleset.Rules) { r.Members[1] = other.Members[1] },
 	} {
 		r := whole()
--- a/internal/distribution/relay/root.go
+++ b/internal/distribution/relay/root.go
@@ -17,7 +17,7 @@
 type Quorum interface {
 	Word() (raftlog.Word, bool)
 	Confirmed() <-chan struct{}
-	Told(all []ruleset.HostStep, index int64)
+	Told(all []ruleset.HostAck, index int64)
 	Highest() int64
 	Often()
 }
@@ -93,7 +93,7 @@
 		rules, err := r.entries(r.rules, &w.InForce)
 		var pending *versioned.State
 		if err == nil && w.Pending != nil {
-			pending, err = ruleset.Entries(w.Pending)
+			pending, err = ruleset.VersionToState(w.Pending)
 		}
 		if err != nil {
 			r.log.Error().Err(err).Uint64("step", w.Step).Msg("what is in force can't be given on")
@@ -111,7 +111,7 @@
 	if had != nil && had.Mark().Number == v.Number {
 		return had, nil
 	}
-	return ruleset.Entries(v)
+	return ruleset.VersionToState(v)
 }
 
 // Status tells how it stands.
--- a/internal/distribution/relay/tree_test.go
+++ b/internal/distribution/relay/tree_test.go
@@ -120,7 +120,7 @@
 	began := time.Now()
 	x.until("those cut off have no lease", func() bool {
 		for _, k := range x.all("a") {
-			if k.mode() == ruleset.Leased {
+			if k.mode() == ruleset.ModeLeased {
 				return false
 			}
 		}
@@ -132,7 +132,7 @@
 		x.t.Errorf("a change that contradicts the fallback of those cut off was in force after %v", took)
 	}
 	for _, k := range x.all("a") {
-		if m := k.mode(); m != ruleset.Bare {
+		if m := k.mode(); m != ruleset.ModeNoLease {
 			x.t.Errorf("%s is %v once its fallback is over", k.name, m)
 		}
 	}
@@ -177,7 +177,7 @@
 func (x *tree) bounds() {
 	was := x.mustStatus("a0")
 	for key, change := range map[string]func(*ruleset.Rules){
-		"lease_ms:":         func(r *ruleset.Rules) { r.Lease, r.Bound = 5000, 2000 },
+		"lease_ms:":         func(r *ruleset.Rules) { r.LeaseMillis, r.ConflictBoundMillis = 5000, 2000 },
 		"plans.basic.rate:": func(r *ruleset.Rules) { r.Plans[0].Rate = -1 },
 	} {
 		r := generation(x.gen+1, x.members)
@@ -215,8 +215,8 @@
 	for _, p := range x.council {
 		x.must(p.Kill())
 	}
-	x.until("all go by a fallback", func() bool { return x.modes(ruleset.CutOff) })
-	x.until("all go by nothing", func() bool { return x.modes(ruleset.Bare) })
+	x.until("all go by a fallback", func() bool { return x.modes(ruleset.ModeFallback) })
+	x.until("all go by nothing", func() bool { return x.modes(ruleset.ModeNoLease) })
 	gone := rate()
 	wholes, _ := count()
 	for _, p := range x.council {
@@ -239,7 +239,7 @@
 }
 
 // modes tells whether all gatekeepers go in a mode.
-func (x *tree) modes(m ruleset.Mode) bool {
+func (x *tree) modes(m ruleset.LeaseMode) bool {
 	for _, k := range x.all() {
 		if k.mode() != m {
 			return false
--- a/internal/distribution/relay_test.go
+++ b/internal/distribution/relay_test.go
@@ -11,9 +11,11 @@
 
 // rules are some that so many gatekeepers agree on, two on a host.
 func rules(members int, ceiling float64) ruleset.Rules {
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: ruleset.MostBound,
-		Fallback: ruleset.Fallback{Part: 0.5, For: 500},
-		Plans:    []ruleset.Plan{{Name: "p", Rate: ceiling, Burst: 1, CeilingRate: ceiling, CeilingDepth: ceiling}}}
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000,
+		ConflictBoundMillis: ruleset.DefaultConflictBoundMillis,
+		Fallback:            ruleset.Fallback{Fraction: 0.5, DurationMillis: 500},
+		Plans: []ruleset.Plan{{Name: "p", Rate: ceiling, Burst: 1, CeilingRate: ceiling,
+			CeilingDepth: ceiling}}}
 	for i := range members {
 		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprintf("g%d", i), Host: fmt.Sprintf("h%d", i/2),
 			Peers: fmt.Sprintf("127.0.%d.%d:9000", i/250, i%250)})
@@ -23,7 +25,7 @@
 
 func state(t testing.TB, number uint64, r ruleset.Rules) *versioned.State {
 	t.Helper()
-	s, err := ruleset.Entries(&ruleset.Version{Number: number, Rules: r})
+	s, err := ruleset.VersionToState(&ruleset.Version{Number: number, Rules: r})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,9 +98,9 @@
 	if !ok || v.Step != 2 || v.Begun != 500 || v.Depth != 2 || v.Index != 7 {
 		t.Fatalf("%+v %v", v, ok)
 	}
-	got, err := ruleset.FromState(v.Rules)
-	if err != nil || len(got.Rules.Members) != 20 || ruleset.Place(&got.Rules, "g5") != 5 ||
-		ruleset.Place(&got.Rules, "g8") != 8 || ruleset.Place(&got.Rules, "g9") != -1 {
+	got, err := ruleset.VersionFromState(v.Rules)
+	if err != nil || len(got.Rules.Members) != 20 || ruleset.MemberIndex(&got.Rules, "g5") != 5 ||
+		ruleset.MemberIndex(&got.Rules, "g8") != 8 || ruleset.MemberIndex(&got.Rules, "g9") != -1 {
 		t.Fatalf("%v %+v", err, got.Rules.Members)
 	}
 	root.Offer(View{Step: 3, Begun: now, Rules: v1, Pending: v2, Index: 7})
@@ -152,7 +154,7 @@
 	v2, other := state(t, 2, rules(6, 48)), state(t, 1, rules(6, 12))
 	_, v1 := follower(t)
 	r := rules(6, 48)
-	r.Lease = 100
+	r.LeaseMillis = 100
 	short := state(t, 2, r)
 	spoilt := versioned.Between(v1, v2)
 	spoilt.Set = spoilt.Set[1:]
--- a/internal/distribution/replica.go
+++ b/internal/distribution/replica.go
@@ -73,7 +73,7 @@
 		return l, false, fmt.Errorf("%w: form %d", ErrBad, a.Form)
 	case a.Step < r.lease.Step: // it came late: no news, and no base for any
 		r.counts.Late++
-		return ruleset.Lease{Step: a.Step, Age: a.Age}, false, nil
+		return ruleset.Lease{Step: a.Step, AgeMillis: a.Age}, false, nil
 	case a.Busy > 0:
 		r.counts.Busy++
 		r.quiet = now + r.rng.Float64()*a.Busy // full jitter
@@ -107,9 +107,9 @@
 		r.counts.Deltas++
 	}
 	news = rules.Mark() != r.rules.Mark() || pending.Mark() != r.pending.Mark()
-	next.Step, next.Settled = a.Step, a.Settled
+	next.Step, next.TransitionComplete = a.Step, a.Settled
 	r.rules, r.pending, r.lease = rules, pending, next
-	next.Age = a.Age
+	next.AgeMillis = a.Age
 	return next, news, nil
 }
 
@@ -141,19 +141,19 @@
 // read makes a lease of states; what was read before is not read again.
 func (r *Replica) read(rules, pending *versioned.State) (l ruleset.Lease, err error) {
 	if l = r.lease; rules.Mark() != r.rules.Mark() {
-		if l.Version, l.Foreign, err = readState(rules); err != nil {
+		if l.Version, l.UnsupportedFeature, err = readState(rules); err != nil {
 			return l, err
 		}
 	}
 	switch {
 	case pending == nil:
-		l.Pending, l.Strange = nil, ""
+		l.Pending, l.PendingUnsupportedFeature = nil, ""
 	case pending.Mark() != r.pending.Mark():
 		v, strange, err := readState(pending)
 		if err != nil {
 			return l, err
 		}
-		l.Pending, l.Strange = &v.Rules, strange
+		l.Pending, l.PendingUnsupportedFeature = &v.Rules, strange
 	}
 	return l, nil
 }
@@ -161,9 +161,9 @@
 // readState reads a version. One that this program does not know whole is left empty, and what it needs
 // named.
 func readState(s *versioned.State) (v ruleset.Version, foreign string, err error) {
-	v, err = ruleset.FromState(s)
+	v, err = ruleset.VersionFromState(s)
 	switch {
-	case errors.Is(err, ruleset.ErrForeign):
+	case errors.Is(err, ruleset.ErrUnsupported):
 		return ruleset.Version{Number: s.Mark().Number}, err.Error(), nil
 	case err != nil:
 		return v, "", fmt.Errorf("%w: %w", ErrBad, err)
--- a/internal/distribution/replica_test.go
+++ b/internal/distribution/replica_test.go
@@ -32,7 +32,7 @@
 	case 2:
 		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprint("m", len(r.Members)), Host: "h"})
 	case 3:
-		r.Words = []ruleset.Word{{Worker: fmt.Sprint("w", rng.Intn(9)), Barred: true}}
+		r.WorkerOverrides = []ruleset.WorkerOverride{{Worker: fmt.Sprint("w", rng.Intn(9)), Barred: true}}
 	}
 	return r
 }
@@ -63,7 +63,7 @@
 
 func walkReplica(t *testing.T, seed int64) ReplicaCounts {
 	rng := rand.New(rand.NewSource(seed))
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
 		Plans: []ruleset.Plan{{Name: "a"}, {Name: "b"}}}
 	for i := range 3 + rng.Intn(40) {
 		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprint("m", i), Host: "h"})
@@ -79,8 +79,8 @@
 		w := words[len(words)-1]
 		v := View{Step: uint64(len(words) - 1), Settled: w.settled, Begun: now, Index: -1}
 		var err error
-		if v.Rules, err = ruleset.Entries(w.rules); err == nil && w.pending != nil {
-			v.Pending, err = ruleset.Entries(w.pending)
+		if v.Rules, err = ruleset.VersionToState(w.rules); err == nil && w.pending != nil {
+			v.Pending, err = ruleset.VersionToState(w.pending)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -106,7 +106,8 @@
 		default:
 			w := words[l.Step]
 			got, want := l.Version, partOf(t, w.rules)
-			if !reflect.DeepEqual(&got, want) || l.Settled != w.settled || (l.Pending == nil) != (w.pending == nil) {
+			if !reflect.DeepEqual(&got, want) || l.TransitionComplete != w.settled ||
+				(l.Pending == nil) != (w.pending == nil) {
 				t.Fatalf("seed %d: step %d is\n%+v, not\n%+v", seed, l.Step, got, want)
 			}
 			if w.pending != nil && !reflect.DeepEqual(*l.Pending, partOf(t, w.pending).Rules) {
@@ -197,11 +198,11 @@
 
 // partOf is a version as a replica has it.
 func partOf(t *testing.T, v *ruleset.Version) *ruleset.Version {
-	s, err := ruleset.Entries(v)
+	s, err := ruleset.VersionToState(v)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := ruleset.FromState(ruleset.Select(s, ruleset.Interest{Name: "m1", Around: Around}))
+	got, err := ruleset.VersionFromState(ruleset.Select(s, ruleset.Interest{Name: "m1", Around: Around}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,7 +212,8 @@
 // A version that this program does not know whole is named, and so is a pending one; what was known before is
 // a base still.
 func TestReplicaForeign(t *testing.T) {
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000, Plans: []ruleset.Plan{{Name: "a"}},
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
+		Plans:   []ruleset.Plan{{Name: "a"}},
 		Members: []ruleset.Member{{Name: "m1", Host: "h"}}}
 	later := r
 	later.Needs = []string{"moon"}
@@ -220,9 +222,9 @@
 	say := func(step uint64, rules ruleset.Rules, pending *ruleset.Rules) ruleset.Lease {
 		t.Helper()
 		v := View{Step: step, Begun: float64(step), Index: -1}
-		v.Rules, _ = ruleset.Entries(&ruleset.Version{Number: step, Rules: rules})
+		v.Rules, _ = ruleset.VersionToState(&ruleset.Version{Number: step, Rules: rules})
 		if pending != nil {
-			v.Pending, _ = ruleset.Entries(&ruleset.Version{Number: step + 1, Rules: *pending})
+			v.Pending, _ = ruleset.VersionToState(&ruleset.Version{Number: step + 1, Rules: *pending})
 		}
 		source.Offer(v)
 		q := p.Ask(float64(step), 0, -1)
@@ -238,13 +240,16 @@
 		return l
 	}
 	say(1, r, nil)
-	if l := say(2, r, &later); l.Strange == "" || l.Foreign != "" || l.Pending == nil {
+	if l := say(2, r, &later); l.PendingUnsupportedFeature == "" || l.UnsupportedFeature != "" ||
+		l.Pending == nil {
 		t.Errorf("%+v", l)
 	}
-	if l := say(3, later, nil); l.Foreign == "" || l.Version.Number != 3 || len(l.Version.Rules.Plans) > 0 {
+	if l := say(3, later, nil); l.UnsupportedFeature == "" || l.Version.Number != 3 ||
+		len(l.Version.Rules.Plans) > 0 {
 		t.Errorf("%+v", l)
 	}
-	if l := say(4, r, nil); l.Foreign != "" || l.Version.Number != 4 || len(l.Version.Rules.Plans) != 1 {
+	if l := say(4, r, nil); l.UnsupportedFeature != "" || l.Version.Number != 4 ||
+		len(l.Version.Rules.Plans) != 1 {
 		t.Errorf("%+v", l)
 	}
 	if c := p.Counts(); c.Wholes != 1 || c.Deltas != 2 || c.Renewals != 1 {
--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -27,19 +27,19 @@
 // kept is a state from which deltas are made, with what finds parts of it.
 type kept struct {
 	state *versioned.State
-	index *ruleset.Index
+	index *ruleset.StateIndex
 }
 
-func (k *kept) part(in ruleset.Interest) *ruleset.Portion {
+func (k *kept) part(in ruleset.Interest) *ruleset.StateSubset {
 	if k.index == nil {
-		k.index = ruleset.NewIndex(k.state)
+		k.index = ruleset.NewStateIndex(k.state)
 	}
-	return k.index.Portion(in)
+	return k.index.Subset(in)
 }
 
 // part is what one interest needs of a view.
 type part struct {
-	rules, pending *ruleset.Portion
+	rules, pending *ruleset.StateSubset
 	coming         *versioned.Delta // of pending against rules
 }
 
@@ -161,11 +161,11 @@
 	return p
 }
 
-func (s *Source) delta(from, to *ruleset.Portion) *versioned.Delta {
+func (s *Source) delta(from, to *ruleset.StateSubset) *versioned.Delta {
 	key := pair{from.Mark(), to.Mark()}
 	d := s.deltas[key]
 	if d == nil {
-		d = to.Since(from)
+		d = to.DeltaFrom(from)
 		if len(s.deltas) < s.b.Parts {
 			s.deltas[key] = d
 		}
@@ -175,12 +175,12 @@
 
 // base gives what an asker has by its marks, if it can be made here: what it needed of a version that is
 // kept.
-func (s *Source) base(m versioned.Mark, in ruleset.Interest) *ruleset.Portion {
+func (s *Source) base(m versioned.Mark, in ruleset.Interest) *ruleset.StateSubset {
 	if m.None() {
 		return nil
 	}
 	if p := s.former[in]; p != nil {
-		for _, o := range []*ruleset.Portion{p.rules, p.pending} {
+		for _, o := range []*ruleset.StateSubset{p.rules, p.pending} {
 			if o.Mark() == m {
 				return o
 			}
--- a/internal/distribution/walk_test.go
+++ b/internal/distribution/walk_test.go
@@ -65,14 +65,14 @@
 	disk, coming *versioned.State
 	kept         View   // beside them, which none may go by
 	told         uint64 // highest Seen of the host, said by this life or one before
-	council      *ruleset.Council
-	steward      *ruleset.Steward
+	council      *ruleset.StateMachine
+	steward      *ruleset.HostAgent
 	applied      int
-	warden       *ruleset.Warden
+	warden       *ruleset.LeaseGrantor
 	submitted    float64
 	gates        []*node // of a host's daemon
 	daemon       *node   // of a gatekeeper
-	holder       *ruleset.Holder
+	holder       *ruleset.LeaseHolder
 	writes       []wrote
 	process      int
 	pair         [2]versioned.Mark
@@ -112,8 +112,8 @@
 type walk struct {
 	rng       *rand.Rand
 	now       float64
-	log       []ruleset.Entry
-	truth     *ruleset.Council
+	log       []ruleset.LogEntry
+	truth     *ruleset.StateMachine
 	nodes     []*node // those above before those below
 	roots     []*node
 	gates     []*node
@@ -175,7 +175,7 @@
 func (w *walk) state(v *ruleset.Version) *versioned.State {
 	key := fmt.Sprintf("%d %+v", v.Number, v.Rules)
 	if w.states[key] == nil {
-		s, err := ruleset.Entries(v)
+		s, err := ruleset.VersionToState(v)
 		if err != nil {
 			panic(err)
 		}
@@ -192,7 +192,7 @@
 	return w.state(&st.Pending.Version)
 }
 
-func (w *walk) commit(e ruleset.Entry) {
+func (w *walk) commit(e ruleset.LogEntry) {
 	if w.leader > w.now {
 		return
 	}
@@ -200,14 +200,14 @@
 	old, before := st.InForce, st.Step
 	o := w.truth.Apply(e)
 	w.log = append(w.log, e)
-	if o.Refused != "" {
+	if o.Rejection != "" {
 		w.counts["refused"]++
 	}
-	if o.Waits != "" {
+	if o.PendingReason != "" {
 		w.counts["waited"]++
 	}
-	if e.Act == ruleset.SeenAll && o.Refused == "" {
-		w.counts["seen"] += len(e.Hosts)
+	if e.Type == ruleset.EntryAckBatch && o.Rejection == "" {
+		w.counts["seen"] += len(e.Acks)
 	}
 	if st = w.truth.State(); st.Step != before {
 		for s := before; s < st.Step; s++ {
@@ -220,19 +220,20 @@
 		x.rules, x.pending = x.states[0].Mark(), x.states[1].Mark()
 		w.steps[st.Step] = x
 	}
-	if o.InForce > 0 {
+	if o.Activated > 0 {
 		w.counts["in force"]++
-		w.ended = append(w.ended, ended{w.now, w.allows, ruleset.Bound(&old.Rules), old.Number})
+		w.ended = append(w.ended, ended{w.now, w.allows, ruleset.ConflictBoundMillis(&old.Rules), old.Number})
 		w.allows = st.InForce.Rules.Plans[0].CeilingRate
 	}
 }
 
 func (w *walk) rules() *ruleset.Rules {
 	ceiling := []float64{12, 24, 48, 96, 192}[w.rng.Intn(5)]
-	r := &ruleset.Rules{Form: ruleset.Form, Bound: ruleset.MostBound, Lease: 600 + w.rng.Float64()*1000,
-		Fallback: ruleset.Fallback{Part: w.rng.Float64(), For: w.rng.Float64() * 3000},
+	r := &ruleset.Rules{Format: ruleset.SupportedFormat,
+		ConflictBoundMillis: ruleset.DefaultConflictBoundMillis, LeaseMillis: 600 + w.rng.Float64()*1000,
+		Fallback: ruleset.Fallback{Fraction: w.rng.Float64(), DurationMillis: w.rng.Float64() * 3000},
 		Plans: []ruleset.Plan{{Name: "p", Rate: ceiling, Burst: 1, CeilingRate: ceiling, CeilingDepth: ceiling,
-			Credit: 1, Repay: 2000}}}
+			CreditSeconds: 1, RepayMillis: 2000}}}
 	members := []string{"abcd", "abc", "ab.d", "a", "ab", ".bc"}
 	for _, m := range strings.Split(members[w.rng.Intn(len(members))], "") {
 		if m == "." {
@@ -242,7 +243,8 @@
 		}
 	}
 	for i := range w.rng.Intn(3) {
-		r.Words = append(r.Words, ruleset.Word{Worker: fmt.Sprint("w", i), Barred: true})
+		r.WorkerOverrides = append(r.WorkerOverrides, ruleset.WorkerOverride{Worker: fmt.Sprint("w", i),
+			Barred: true})
 	}
 	return r
 }
@@ -263,7 +265,7 @@
 		return n
 	}
 	for i := range 2 {
-		w.roots = append(w.roots, add(&node{name: fmt.Sprint("root", i), council: ruleset.NewCouncil()}))
+		w.roots = append(w.roots, add(&node{name: fmt.Sprint("root", i), council: ruleset.NewStateMachine()}))
 	}
 	branches, around := [2][]*node{w.roots, w.roots}, 1
 	if w.replicas {
@@ -312,28 +314,28 @@
 	switch {
 	case n.council != nil: // it comes back with a snapshot, or with nothing
 		raw, err := n.council.Snapshot()
-		if n.council = ruleset.NewCouncil(); err != nil || n.council.Restore(raw) != nil {
+		if n.council = ruleset.NewStateMachine(); err != nil || n.council.Restore(raw) != nil {
 			panic("snapshot")
 		}
 		if disk > 0 {
-			n.council, n.applied = ruleset.NewCouncil(), 0
+			n.council, n.applied = ruleset.NewStateMachine(), 0
 		}
-		n.steward = ruleset.NewSteward(n.name, n.council)
-		n.steward.Often(true)
-		n.steward.Clock(n.clock(w.now))
-		n.steward.Applied()
+		n.steward = ruleset.NewHostAgent(n.name, n.council)
+		n.steward.SetFrequentReads(true)
+		n.steward.SetTime(n.clock(w.now))
+		n.steward.EntriesApplied()
 	case n.daemon != nil:
-		n.daemon.warden.Ended(n.process)
+		n.daemon.warden.ProcessExited(n.process)
 		w.processes++
 		n.process = w.processes
-		n.daemon.warden.Began(n.process, false)
-		n.holder, n.writes = ruleset.NewHolder(n.name, ruleset.Rules{}), nil
+		n.daemon.warden.ProcessStarted(n.process, false)
+		n.holder, n.writes = ruleset.NewLeaseHolder(n.name, ruleset.Rules{}), nil
 	}
 	if n.gates != nil {
-		n.warden = &ruleset.Warden{}
+		n.warden = &ruleset.LeaseGrantor{}
 		for _, g := range n.gates {
 			if g.process > 0 {
-				n.warden.Began(g.process, true)
+				n.warden.ProcessStarted(g.process, true)
 			}
 		}
 	}
@@ -363,7 +365,7 @@
 	}
 	if w.plant == diskIsProof && n.disk != nil && n.daemon == nil {
 		n.follower.has, n.follower.v = true, n.kept
-		n.follower.lease = ruleset.LeaseOf(n.disk)
+		n.follower.lease = ruleset.StateLeaseMillis(n.disk)
 	}
 }
 
@@ -389,10 +391,10 @@
 			continue
 		}
 		// One that stands still, and goes on between two of its own lines, writes what May allows.
-		if t := n.holder.Current(); n.holder.May(n.clock(w.now)) && len(t.Plans) > 0 {
-			x := wrote{at: w.now, rate: t.Plans[0].Part.Rate, credit: t.Plans[0].Part.Credit, step: n.step,
-				bare: t.Mode == ruleset.Bare}
-			if t.Mode == ruleset.Leased {
+		if t := n.holder.Effective(); n.holder.MayAct(n.clock(w.now)) && len(t.Plans) > 0 {
+			x := wrote{at: w.now, rate: t.Plans[0].Allowance.Rate, credit: t.Plans[0].Allowance.Credit, step: n.step,
+				bare: t.Mode == ruleset.ModeNoLease}
+			if t.Mode == ruleset.ModeLeased {
 				x.of = t.Version
 				n.leased++
 			}
@@ -409,9 +411,9 @@
 		return
 	}
 	if n.replica != nil {
-		n.holder.Clock(n.clock(w.now))
-		for d, more := n.holder.Next(); more; d, more = n.holder.Next() {
-			if d.Kind == ruleset.Ask {
+		n.holder.SetTime(n.clock(w.now))
+		for d, more := n.holder.NextAction(); more; d, more = n.holder.NextAction() {
+			if d.Kind == ruleset.ActionRequestLease {
 				w.askFor(n)
 			}
 		}
@@ -447,7 +449,7 @@
 
 // say has a host's daemon say what all of its processes go by, and checks that it is so.
 func (w *walk) say(d *node) {
-	s := d.warden.Seen(d.step)
+	s := d.warden.AckedStep(d.step)
 	if s == 0 {
 		return
 	}
@@ -477,17 +479,17 @@
 	for n.applied < len(w.log) && w.rng.Intn(3) > 0 {
 		w.apply(n)
 	}
-	n.steward.Clock(n.clock(w.now))
-	n.steward.Leads(w.rng.Intn(2) == 0)
+	n.steward.SetTime(n.clock(w.now))
+	n.steward.SetLeader(w.rng.Intn(2) == 0)
 	for {
-		d, more := n.steward.Next()
+		d, more := n.steward.NextAction()
 		if !more {
 			break
 		}
 		switch d.Kind {
-		case ruleset.Submit:
+		case ruleset.ActionSubmit:
 			w.in(nil, func() { w.commit(d.Entry) })
-		case ruleset.Read:
+		case ruleset.ActionReadState:
 			began, index := n.clock(w.now), len(w.log)
 			w.in(n, func() {
 				if w.leader > w.now {
@@ -496,19 +498,19 @@
 				for n.applied < index {
 					w.apply(n)
 				}
-				n.steward.Clock(n.clock(w.now))
-				n.steward.ReadDone(began)
+				n.steward.SetTime(n.clock(w.now))
+				n.steward.ReadConfirmed(began)
 				if st := n.council.State(); st.InForce.Number > 0 {
-					n.source.Offer(View{Step: st.Step, Settled: st.Settled(), Begun: began,
+					n.source.Offer(View{Step: st.Step, Settled: st.TransitionComplete(), Begun: began,
 						Rules: w.state(&st.InForce), Pending: w.pending(st), Index: -1})
 				}
 			})
 		}
 	}
 	if w.now-n.submitted >= 300 {
-		if facts := n.council.State().Gains(n.source.Facts()); len(facts) > 0 {
+		if facts := n.council.State().UsefulAcks(n.source.Facts()); len(facts) > 0 {
 			n.submitted = w.now
-			w.in(nil, func() { w.commit(ruleset.Entry{Act: ruleset.SeenAll, Hosts: facts}) })
+			w.in(nil, func() { w.commit(ruleset.LogEntry{Type: ruleset.EntryAckBatch, Acks: facts}) })
 		}
 	}
 }
@@ -516,8 +518,8 @@
 func (w *walk) apply(n *node) {
 	n.council.Apply(w.log[n.applied])
 	n.applied++
-	n.steward.Clock(n.clock(w.now))
-	n.steward.Applied()
+	n.steward.SetTime(n.clock(w.now))
+	n.steward.EntriesApplied()
 }
 
 // ask sends a question on its way, and its answer back.
@@ -543,7 +545,7 @@
 // askFor sends the question of a gatekeeper that keeps a replica, as its holder wants it, and has the holder
 // hear what came.
 func (w *walk) askFor(n *node) {
-	asked, a := n.clock(w.now), n.replica.Ask(n.clock(w.now), n.holder.Holds(), -1)
+	asked, a := n.clock(w.now), n.replica.Ask(n.clock(w.now), n.holder.AckedStep(), -1)
 	w.numbers++
 	a.Cluster, a.Number = "c", w.numbers
 	w.send(n, n.daemon, a, func(r *Answer) {
@@ -556,10 +558,11 @@
 		case r.Number != a.Number && w.plant != anyQuestion: // as relayd's client has it
 			return
 		}
-		n.holder.Clock(n.clock(w.now))
+		n.holder.SetTime(n.clock(w.now))
 		if l, _, err := n.replica.Hear(r, n.clock(w.now)); err == nil && l.Version.Number > 0 {
-			w.goes(n, &View{Step: l.Step, Begun: asked - l.Age, Rules: n.replica.rules, Pending: n.replica.pending})
-			n.holder.Heard(l, asked)
+			w.goes(n, &View{Step: l.Step, Begun: asked - l.AgeMillis, Rules: n.replica.rules,
+				Pending: n.replica.pending})
+			n.holder.ReceiveLease(l, asked)
 		}
 		w.turn(n)
 	})
@@ -574,8 +577,8 @@
 			if n.life != life { // a daemon knows which of its processes have ended
 				return
 			}
-			if up.warden.Asked(a.Process, a.Holds); up.step > 0 {
-				up.warden.Given(a.Process)
+			if up.warden.RecordRequest(a.Process, a.Holds); up.step > 0 {
+				up.warden.RecordGrant(a.Process)
 			}
 		}
 		r, err := up.source.Answer(a, up.clock(w.now))
@@ -695,19 +698,19 @@
 
 // hold has a gatekeeper's holder decide; false: its follower has news by that.
 func (w *walk) hold(n *node) bool {
-	holds := n.holder.Holds()
-	n.holder.Clock(n.clock(w.now))
+	holds := n.holder.AckedStep()
+	n.holder.SetTime(n.clock(w.now))
 	w.tell(n)
 	for {
-		d, more := n.holder.Next()
+		d, more := n.holder.NextAction()
 		if !more {
 			break
 		}
-		if d.Kind == ruleset.Ask {
+		if d.Kind == ruleset.ActionRequestLease {
 			w.tell(n)
 		}
 	}
-	now := n.holder.Holds()
+	now := n.holder.AckedStep()
 	n.follower.Holds(n.process, now)
 	return now == holds
 }
@@ -718,7 +721,7 @@
 	if !ok {
 		return
 	}
-	l := ruleset.Lease{Step: v.Step, Settled: v.Settled, Age: v.Age(n.clock(w.now))}
+	l := ruleset.Lease{Step: v.Step, TransitionComplete: v.Settled, AgeMillis: v.Age(n.clock(w.now))}
 	for i, s := range []*versioned.State{v.Rules, v.Pending} {
 		if s == nil {
 			n.mine[i] = nil
@@ -726,7 +729,7 @@
 		}
 		r := w.versions[s.Mark()]
 		if r == nil {
-			x, err := ruleset.FromState(s)
+			x, err := ruleset.VersionFromState(s)
 			if err != nil {
 				w.bad("%s: %v", n.name, err)
 				return
@@ -737,7 +740,7 @@
 		n.mine[i] = r
 	}
 	l.Version, l.Pending = ruleset.Version{Number: v.Rules.Mark().Number, Rules: *n.mine[0]}, n.mine[1]
-	n.holder.Heard(l, n.clock(w.now))
+	n.holder.ReceiveLease(l, n.clock(w.now))
 }
 
 // trouble is something at random.
@@ -746,9 +749,10 @@
 	base := w.truth.State().InForce.Number
 	switch w.rng.Intn(16) {
 	case 0, 1, 2, 3, 4, 5:
-		w.commit(ruleset.Entry{Act: ruleset.Propose, ID: fmt.Sprint(len(w.log)), Base: base, Rules: w.rules()})
+		w.commit(ruleset.LogEntry{Type: ruleset.EntryPropose, ID: fmt.Sprint(len(w.log)), Base: base,
+			Rules: w.rules()})
 	case 6:
-		w.commit(ruleset.Entry{Act: ruleset.Withdraw, ID: fmt.Sprint(len(w.log)), Base: base})
+		w.commit(ruleset.LogEntry{Type: ruleset.EntryWithdraw, ID: fmt.Sprint(len(w.log)), Base: base})
 	case 7, 8, 9, 10:
 		n.still = w.now + w.rng.Float64()*4000
 		w.counts["stalls"]++
@@ -811,12 +815,12 @@
 
 // walking walks for a time in ms, and then ten seconds with no trouble; it gives what is wrong.
 func walking(seed int64, until float64, plant planted) (string, map[string]int) {
-	w := &walk{rng: rand.New(rand.NewSource(seed)), truth: ruleset.NewCouncil(), counts: map[string]int{},
+	w := &walk{rng: rand.New(rand.NewSource(seed)), truth: ruleset.NewStateMachine(), counts: map[string]int{},
 		plant: plant, steps: map[uint64]*said{}, states: map[string]*versioned.State{},
 		versions: map[versioned.Mark]*ruleset.Rules{}}
 	w.replicas = seed/8%3 > 0
 	w.build(1+int(seed)%4, seed/4%2 == 0)
-	w.commit(ruleset.Entry{Act: ruleset.Propose, ID: "first", Rules: w.rules()})
+	w.commit(ruleset.LogEntry{Type: ruleset.EntryPropose, ID: "first", Rules: w.rules()})
 	for next := 1000.0; w.now < until && w.wrong == ""; w.now += w.rng.ExpFloat64() * 15 {
 		w.pass()
 		if w.now > next {
@@ -837,10 +841,10 @@
 	}
 	if st := w.truth.State(); w.wrong == "" {
 		if st.Pending != nil {
-			w.bad("ten seconds without trouble, and it waits: %s", st.Waits())
+			w.bad("ten seconds without trouble, and it waits: %s", st.PendingReason())
 		}
 		for _, g := range w.gates {
-			if t := g.holder.Current(); t.Mode != ruleset.Leased || t.Version != st.InForce.Number {
+			if t := g.holder.Effective(); t.Mode != ruleset.ModeLeased || t.Version != st.InForce.Number {
 				w.bad("ten seconds without trouble, and %s is %v by version %d of %d: %+v", g.name, t.Mode, t.Version,
 					st.InForce.Number, g.follower.Counts())
 			}
@@ -909,31 +913,32 @@
 // over, its fallback of 96 is 24, and beside the other's 12 that is more than 24.
 func TestLifeBefore(t *testing.T) {
 	r := rules(2, 96)
-	r.Fallback.For = 5000
+	r.Fallback.DurationMillis = 5000
 	v1 := state(t, 1, r)
 	for booked, most := range map[bool]float64{false: 0, true: 24} {
 		s := NewSource("lags", "c", Bounds{})
 		s.Offer(View{Step: 2, Settled: true, Begun: 900, Rules: v1, Index: -1})
 		f := NewFollower(Config{Name: "g0", Cluster: "c", Upstream: 1, Interest: ruleset.Interest{Name: "g0"},
 			Booked: booked}, 1000)
-		h := ruleset.NewHolder("g0", ruleset.Rules{Plans: r.Plans})
+		h := ruleset.NewLeaseHolder("g0", ruleset.Rules{Plans: r.Plans})
 		for now := 1000.0; now <= 2300; now += 10 {
 			if now < 1300 {
 				told(t, f, now, s)
 			}
-			h.Clock(now)
+			h.SetTime(now)
 			if v, ok := f.View(); ok {
-				x, err := ruleset.FromState(v.Rules)
+				x, err := ruleset.VersionFromState(v.Rules)
 				if err != nil {
 					t.Fatal(err)
 				}
-				h.Heard(ruleset.Lease{Step: v.Step, Version: x, Settled: v.Settled, Age: v.Age(now)}, now)
+				h.ReceiveLease(ruleset.Lease{Step: v.Step, Version: x, TransitionComplete: v.Settled,
+					AgeMillis: v.Age(now)}, now)
 			}
-			for _, more := h.Next(); more; _, more = h.Next() {
+			for _, more := h.NextAction(); more; _, more = h.NextAction() {
 			}
 		}
-		if got := h.Current().Plans[0].Part.Rate; !h.May(2300) || got != most {
-			t.Errorf("booked %v: %v passes under a ceiling of 24, beside 12: %+v", booked, got, h.Current())
+		if got := h.Effective().Plans[0].Allowance.Rate; !h.MayAct(2300) || got != most {
+			t.Errorf("booked %v: %v passes under a ceiling of 24, beside 12: %+v", booked, got, h.Effective())
 		}
 		if n := f.Counts().Before; (n == 0) != booked {
 			t.Errorf("booked %v: %d of before", booked, n)
@@ -955,7 +960,7 @@
 // lease; nobody leaves its upstream.
 func TestTimeInForce(t *testing.T) {
 	for depth := 1; depth <= 4; depth++ {
-		w := &walk{rng: rand.New(rand.NewSource(int64(depth))), truth: ruleset.NewCouncil(), calm: true,
+		w := &walk{rng: rand.New(rand.NewSource(int64(depth))), truth: ruleset.NewStateMachine(), calm: true,
 			counts: map[string]int{}, steps: map[uint64]*said{}, states: map[string]*versioned.State{},
 			versions: map[versioned.Mark]*ruleset.Rules{}}
 		w.build(depth, true)
@@ -966,10 +971,11 @@
 			w.pass()
 			if w.now >= next {
 				r := w.rules()
-				r.Lease, r.Fallback.Part = 1000, 0.1
+				r.LeaseMillis, r.Fallback.Fraction = 1000, 0.1
 				r.Members = []ruleset.Member{{Name: "a", Host: "h0"}, {Name: "b", Host: "h0"}, {Name: "c", Host: "h1"},
 					{Name: "d", Host: "h1"}}
-				w.commit(ruleset.Entry{Act: ruleset.Propose, ID: fmt.Sprint(i), Base: w.truth.State().InForce.Number,
+				w.commit(ruleset.LogEntry{Type: ruleset.EntryPropose, ID: fmt.Sprint(i),
+					Base:  w.truth.State().InForce.Number,
 					Rules: r})
 				i++
 				next, since = w.now+2000+w.rng.Float64()*100, w.now
@@ -984,7 +990,8 @@
 				if v, ok := g.follower.View(); ok && w.now > 8000 {
 					old = append(old, v.Age(g.clock(w.now)))
 				}
-				if c := g.holder.Current(); c.Version != w.truth.State().InForce.Number || c.Mode != ruleset.Leased {
+				if c := g.holder.Effective(); c.Version != w.truth.State().InForce.Number ||
+					c.Mode != ruleset.ModeLeased {
 					last = false
 				}
 			}
--- a/internal/e2e/check_test.go
+++ b/internal/e2e/check_test.go
@@ -208,7 +208,7 @@
 
 func contradiction(e *evidence) verdict {
 	first := e.rules[1]
-	bound := ruleset.Bound(&first)
+	bound := ruleset.ConflictBoundMillis(&first)
 	// What is sent bare is sent by no version. What a link that was cut or slow has held says nothing of when
 	// its gatekeeper has sent it: its own line does.
 	bare, at := map[[2]string]bool{}, map[[2]string]int64{}
@@ -338,7 +338,7 @@
 			if t.Rate > l.Rate {
 				l = t.Limit
 			}
-			if t.at < o.At-int64(ruleset.MostBound*1e6) {
+			if t.at < o.At-int64(ruleset.DefaultConflictBoundMillis*1e6) {
 				break
 			}
 		}
@@ -363,14 +363,14 @@
 		if o.Kind != history.Sends {
 			continue
 		}
-		for _, w := range e.rules[o.Version].Words {
+		for _, w := range e.rules[o.Version].WorkerOverrides {
 			if w.Worker == o.Worker && (w.Barred || w.Drained) {
 				v.Count++
 				v.Breaks = append(v.Breaks, history.Break{At: o.At, Says: "sent against the operators' word",
 					Rests: []history.Event{o}})
 			}
 		}
-		if len(e.rules[o.Version].Words) > 0 {
+		if len(e.rules[o.Version].WorkerOverrides) > 0 {
 			v.Seen++
 		}
 	}
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -101,12 +101,13 @@
 	p.list, err = fakes.NewDiscovery(p.entries...)
 	p.must(err)
 	t.Cleanup(p.list.Close)
-	p.rules = ruleset.Rules{Form: ruleset.Form, Lease: lease, Bound: ruleset.MostBound,
-		Fallback: ruleset.Fallback{Part: 0.5, For: 1000},
+	p.rules = ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: lease,
+		ConflictBoundMillis: ruleset.DefaultConflictBoundMillis,
+		Fallback:            ruleset.Fallback{Fraction: 0.5, DurationMillis: 1000},
 		Plans: []ruleset.Plan{{Name: "basic", Rate: 500, Burst: 500},
 			{Name: "capped", Rate: 200, Burst: 200, CeilingRate: ceiling * float64(n*k),
 				CeilingDepth: depth * float64(n*k)},
-			{Name: "lent", Rate: lentRate, Burst: lentAll, Credit: lentS, Repay: repayS * 1000}}}
+			{Name: "lent", Rate: lentRate, Burst: lentAll, CreditSeconds: lentS, RepayMillis: repayS * 1000}}}
 	for i := range n {
 		h := &host{name: fmt.Sprint("h", i), ip: fmt.Sprint("127.0.0.", 2+i)}
 		h.dir = filepath.Join(dir, h.name)
@@ -161,8 +162,8 @@
 		if q.CeilingRate > 0 {
 			f["hard_rate"], f["cap_depth"] = q.CeilingRate, q.CeilingDepth
 		}
-		if q.Credit > 0 { // so that one that comes up without a daemon knows by what it pays back
-			f["credit_s"], f["repay_s"] = q.Credit, q.Repay/1000
+		if q.CreditSeconds > 0 { // so that one that comes up without a daemon knows by what it pays back
+			f["credit_s"], f["repay_s"] = q.CreditSeconds, q.RepayMillis/1000
 		}
 		tariffs = append(tariffs, f)
 	}
@@ -280,7 +281,7 @@
 			for _, i := range h.instances() {
 				by, _ := faultinject.Figure(i.Control, "svc.rules.version")
 				mode, ok := faultinject.Figure(i.Control, "svc.rules.mode")
-				if ok && by == int64(version) && mode == int64(ruleset.Leased) {
+				if ok && by == int64(version) && mode == int64(ruleset.ModeLeased) {
 					leased++
 				} else {
 					why = fmt.Sprintf("%s goes by version %d of %d in mode %d", i.Name, by, version, mode)
--- a/internal/e2e/plant_test.go
+++ b/internal/e2e/plant_test.go
@@ -140,7 +140,7 @@
 	}},
 	{"sent against the operators' word", "words", "word", func(e *evidence) bool {
 		barred := func(o history.Event) string {
-			for _, w := range e.rules[o.Version].Words {
+			for _, w := range e.rules[o.Version].WorkerOverrides {
 				if w.Barred || w.Drained {
 					return w.Worker
 				}
--- a/internal/e2e/stage_test.go
+++ b/internal/e2e/stage_test.go
@@ -265,11 +265,12 @@
 		case 0, 3, 5, 7:
 			r = s.ceilings(0.3 + 0.7*rng.Float64())
 		case 1: // a word, or none
-			r.Words = nil
-			if w := (ruleset.Word{Worker: fmt.Sprint("w", 2+rng.Intn(workers-2))}); turn < 8 || rng.Intn(4) > 0 {
+			r.WorkerOverrides = nil
+			if w := (ruleset.WorkerOverride{Worker: fmt.Sprint("w", 2+rng.Intn(workers-2))}); turn < 8 ||
+				rng.Intn(4) > 0 {
 				w.Barred, w.Weight = rng.Intn(2) == 0, float64(rng.Intn(2))*0.5
 				w.Drained = !w.Barred
-				r.Words = []ruleset.Word{w}
+				r.WorkerOverrides = []ruleset.WorkerOverride{w}
 			}
 		case 4: // a member leaves its place, or is back at it
 			if absent >= 0 {
--- a/internal/gateway/lifecycle/agree.go
+++ b/internal/gateway/lifecycle/agree.go
@@ -46,11 +46,11 @@
 // but the asking; what others read is atomic.
 type agreement struct {
 	g      *Gatekeeper
-	holder *ruleset.Holder
-	heard  ruleset.Version // the newest that was told
-	taken  ruleset.Terms   // last adopted
-	wide   policy.Charter  // what is gone by with nothing withheld
-	of     []float64       // by plan of the charter, the part of a place's that this has
+	holder *ruleset.LeaseHolder
+	heard  ruleset.Version        // the newest that was told
+	taken  ruleset.EffectiveRules // last adopted
+	wide   policy.Charter         // what is gone by with nothing withheld
+	of     []float64              // by plan of the charter, the part of a place's that this has
 	copied *distribution.Replica
 	unfit  string          // why what copied has can't be gone by
 	client *relay.Client   // asks for changes
@@ -75,8 +75,8 @@
 }
 
 // ruleModes are as records name them.
-var ruleModes = [...]string{ruleset.Bare: history.Bare, ruleset.CutOff: history.Fallback,
-	ruleset.Leased: history.Leased}
+var ruleModes = [...]string{ruleset.ModeNoLease: history.Bare, ruleset.ModeFallback: history.Fallback,
+	ruleset.ModeLeased: history.Leased}
 
 // answer is what came on a question that was sent at a time, ms.
 type answer struct {
@@ -104,26 +104,26 @@
 func (g *Gatekeeper) agree() {
 	c := spoken(g.conf)
 	a := &agreement{g: g, wide: c, timer: time.NewTimer(time.Hour), answer: make(chan answer, 1),
-		of: make([]float64, len(c.Plans)), whole: fasthttp.Client{MaxResponseBodySize: ruleset.MostBytes,
+		of: make([]float64, len(c.Plans)), whole: fasthttp.Client{MaxResponseBodySize: ruleset.MaxEncodedBytes,
 			MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true},
 		client: relay.NewClient([]string{g.conf.Agree}, AskPath),
 		copied: distribution.NewReplica(g.conf.Name, os.Getpid(), g.conf.Seed)}
 	a.whole.Dial = a.dial
 	a.wide.Plans = slices.Clone(c.Plans)
-	a.holder = ruleset.NewHolder(g.conf.Name, born(&g.conf.Charter, g.conf.Name, g.conf.Names.Plans))
+	a.holder = ruleset.NewLeaseHolder(g.conf.Name, born(&g.conf.Charter, g.conf.Name, g.conf.Names.Plans))
 	g.agreed = a
 	a.turn()
 }
 
 // born are the rules that a charter makes, with this gatekeeper alone named in its place.
 func born(c *policy.Charter, name string, plans map[string]int) ruleset.Rules {
-	r := ruleset.Rules{Form: ruleset.Form, Members: make([]ruleset.Member, max(c.Gatekeepers, 1)),
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, Members: make([]ruleset.Member, max(c.Gatekeepers, 1)),
 		Plans: make([]ruleset.Plan, len(c.Plans))}
 	r.Members[c.Me].Name = name
 	for name, i := range plans {
 		p := &c.Plans[i]
 		r.Plans[i] = ruleset.Plan{Name: name, Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate,
-			CeilingDepth: p.CeilingDepth, Credit: p.Credit, Repay: p.Repay}
+			CeilingDepth: p.CeilingDepth, CreditSeconds: p.Credit, RepayMillis: p.Repay}
 	}
 	return r
 }
@@ -152,23 +152,23 @@
 
 // turn has the holder decide, and does what it asks for.
 func (a *agreement) turn() {
-	a.holder.Clock(boot())
+	a.holder.SetTime(boot())
 	for {
-		d, ok := a.holder.Next()
+		d, ok := a.holder.NextAction()
 		if !ok {
 			break
 		}
 		switch d.Kind {
-		case ruleset.Adopt:
-			a.adopt(d.Terms)
-		case ruleset.Ask:
+		case ruleset.ActionAdopt:
+			a.adopt(d.Effective)
+		case ruleset.ActionRequestLease:
 			a.ask()
-		case ruleset.Wake:
-			a.timer.Reset(transport.Millis(d.At - boot()))
+		case ruleset.ActionWake:
+			a.timer.Reset(transport.Millis(d.WakeAtMillis - boot()))
 		}
 	}
 	if t := a.terms.Load(); t != nil {
-		t.Extend(moment(a.holder.Until()))
+		t.Extend(moment(a.holder.ExpiresAtMillis()))
 	}
 }
 
@@ -189,8 +189,8 @@
 		return
 	}
 	a.asks, a.again = true, false
-	within := AnswerWithin(a.heard.Rules.Lease)
-	holds, index := a.holder.Holds(), a.g.discovered()
+	within := AnswerWithin(a.heard.Rules.LeaseMillis)
+	holds, index := a.holder.AckedStep(), a.g.discovered()
 	q := url.Values{"instance": {a.g.conf.Name}, "pid": {strconv.Itoa(os.Getpid())},
 		"holds": {strconv.FormatUint(holds, 10)}, "index": {strconv.FormatInt(index, 10)}}
 	at := "http://" + a.g.conf.Agree + LeasePath + "?" + q.Encode()
@@ -241,7 +241,7 @@
 		return got
 	}
 	began := time.Now()
-	got.lease, got.err = ruleset.ReadLease(res.Body())
+	got.lease, got.err = ruleset.DecodeLease(res.Body())
 	a.work.Add(int64(time.Since(began)))
 	got.spoilt = got.err != nil
 	got.highest, _ = strconv.ParseInt(string(res.Header.Peek(IndexHeader)), 10, 64)
@@ -290,31 +290,31 @@
 		a.silent.Add(1)
 		return
 	}
-	a.holder.Clock(boot())
+	a.holder.SetTime(boot())
 	l, why := &got.lease, ""
 	if got.told != nil {
 		if why = a.replica(got.told, l); why == "" && l.Version.Number == 0 { // no news, and counted
 			return
 		}
-	} else if l.Foreign == "" {
+	} else if l.UnsupportedFeature == "" {
 		why = a.misfit(&l.Version.Rules)
 	}
 	if why != "" {
 		a.refuse(why)
 		return
 	}
-	if l.Foreign == "" {
+	if l.UnsupportedFeature == "" {
 		if l.Version.Number > a.heard.Number {
 			a.heard = l.Version
 		}
 	} else {
-		a.refuse("rules in force that need " + l.Foreign)
+		a.refuse("rules in force that need " + l.UnsupportedFeature)
 	}
-	before := a.holder.Counts()
-	a.holder.Heard(*l, got.asked)
-	if c := a.holder.Counts(); c.Bad > before.Bad {
+	before := a.holder.Counters()
+	a.holder.ReceiveLease(*l, got.asked)
+	if c := a.holder.Counters(); c.Invalid > before.Invalid {
 		a.refuse("an age that is none")
-	} else if c.Late > before.Late {
+	} else if c.Stale > before.Stale {
 		a.silent.Add(1)
 	}
 	a.highest.Store(got.highest)
@@ -335,7 +335,7 @@
 		return err.Error()
 	}
 	if news {
-		if a.unfit = ""; next.Foreign == "" {
+		if a.unfit = ""; next.UnsupportedFeature == "" {
 			a.unfit = a.misfit(&next.Version.Rules)
 		}
 	}
@@ -347,10 +347,11 @@
 // any more goes by them: nothing passes under its ceilings.
 func (a *agreement) misfit(r *ruleset.Rules) string {
 	c := &a.g.conf.Charter
-	if err := ruleset.CheckPart(r); err != nil { // a daemon below relays knows a part, and tells it either way
+	// a daemon below relays knows a part, and tells it either way
+	if err := ruleset.ValidateSubset(r); err != nil {
 		return err.Error()
 	}
-	switch me := ruleset.Place(r, a.g.conf.Name); {
+	switch me := ruleset.MemberIndex(r, a.g.conf.Name); {
 	case me >= 0 && me != c.Me:
 		return fmt.Sprintf("%s was started in place %d, and has place %d in the rules", a.g.conf.Name, c.Me, me)
 	case me < 0 && a.taken.Version == 0:
@@ -376,16 +377,16 @@
 
 // adopt goes by terms from here on. Words that bar hold before the version that brings them, and those that
 // it lifts hold until it is there.
-func (a *agreement) adopt(t ruleset.Terms) {
-	same := reflect.DeepEqual(t.Words, a.taken.Words)
+func (a *agreement) adopt(t ruleset.EffectiveRules) {
+	same := reflect.DeepEqual(t.WorkerOverrides, a.taken.WorkerOverrides)
 	if !same {
-		a.g.words(append(slices.Clone(a.taken.Words), t.Words...))
+		a.g.words(append(slices.Clone(a.taken.WorkerOverrides), t.WorkerOverrides...))
 	}
 	number := t.Version
-	if t.Mode == ruleset.Bare { // what goes out goes by none
+	if t.Mode == ruleset.ModeNoLease { // what goes out goes by none
 		number = 0
 	}
-	terms := inflight.NewTerms(number, ruleModes[t.Mode], moment(t.Until))
+	terms := inflight.NewTerms(number, ruleModes[t.Mode], moment(t.ExpiresAtMillis))
 	c := a.charter(t)
 	peers := a.g.conf.Peers
 	if t.Version == a.heard.Number && t.Version > 0 {
@@ -410,7 +411,7 @@
 		a.g.recollect()
 	}
 	if !same {
-		a.g.words(t.Words)
+		a.g.words(t.WorkerOverrides)
 	}
 	a.taken = t
 	if a.g.word != nil {
@@ -424,10 +425,10 @@
 // leased: what it has less of while it is cut off is withheld, and comes back with the lease. What it comes
 // to have more of is told as a ceiling that grows, or is new, and counts as spent: others may just have
 // spent it.
-func (a *agreement) charter(t ruleset.Terms) policy.Charter {
+func (a *agreement) charter(t ruleset.EffectiveRules) policy.Charter {
 	c := &a.wide
-	if t.Me == c.Me {
-		c.Gatekeepers = t.N
+	if t.MemberIndex == c.Me {
+		c.Gatekeepers = t.MemberCount
 	}
 	withheld := make([]float64, len(c.Plans))
 	for _, p := range t.Plans {
@@ -441,19 +442,19 @@
 			withheld[i] = 1
 			continue
 		}
-		if t.Mode == ruleset.Leased || t.Version != a.taken.Version {
-			a.of[i] = p.Of
+		if t.Mode == ruleset.ModeLeased || t.Version != a.taken.Version {
+			a.of[i] = p.CeilingFraction
 		}
-		q.Credit, q.Repay = p.Credit, p.Repay
+		q.Credit, q.Repay = p.CreditSeconds, p.RepayMillis
 		q.CeilingRate, q.CeilingDepth = p.CeilingRate*a.of[i], p.CeilingDepth*a.of[i]
 		if a.of[i] > 0 {
-			withheld[i] = 1 - min(p.Of/a.of[i], 1)
+			withheld[i] = 1 - min(p.CeilingFraction/a.of[i], 1)
 		} else { // one that never fills: nothing passes, and later it counts as spent
 			q.CeilingDepth = p.CeilingDepth
 		}
 	}
 	now := *c
-	now.Narrow, now.Plans = t.Mode != ruleset.Leased || t.Me < 0, slices.Clone(c.Plans)
+	now.Narrow, now.Plans = t.Mode != ruleset.ModeLeased || t.MemberIndex < 0, slices.Clone(c.Plans)
 	for i := range withheld {
 		now.Plans[i].Withheld = withheld[i]
 	}
--- a/internal/gateway/lifecycle/agree_test.go
+++ b/internal/gateway/lifecycle/agree_test.go
@@ -50,7 +50,7 @@
 			d.says(w)
 			return
 		}
-		b, err := d.lease.Bytes()
+		b, err := d.lease.Encode()
 		if err != nil {
 			t.Error(err)
 		}
@@ -65,9 +65,9 @@
 	defer d.mu.Unlock()
 	d.says = nil
 	d.lease = ruleset.Lease{
-		Step:    max(d.lease.Step+1, number),
-		Version: ruleset.Version{Number: number, Rules: r},
-		Settled: settled,
+		Step:               max(d.lease.Step+1, number),
+		Version:            ruleset.Version{Number: number, Rules: r},
+		TransitionComplete: settled,
 	}
 }
 
@@ -81,10 +81,11 @@
 func silent(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
 
 // rules are those of one gatekeeper whose basic plan has a ceiling.
-func rules(rate, depth float64, words ...ruleset.Word) ruleset.Rules {
-	return ruleset.Rules{Form: ruleset.Form, Lease: 400, Bound: ruleset.MostBound,
-		Fallback: ruleset.Fallback{Part: 0.5, For: 600},
-		Members:  []ruleset.Member{{Name: "n0", Host: "h"}}, Words: words,
+func rules(rate, depth float64, words ...ruleset.WorkerOverride) ruleset.Rules {
+	return ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 400,
+		ConflictBoundMillis: ruleset.DefaultConflictBoundMillis,
+		Fallback:            ruleset.Fallback{Fraction: 0.5, DurationMillis: 600},
+		Members:             []ruleset.Member{{Name: "n0", Host: "h"}}, WorkerOverrides: words,
 		Plans: []ruleset.Plan{{Name: "basic", Rate: 1000, Burst: 1000, CeilingRate: rate, CeilingDepth: depth},
 			{Name: "tiny", Rate: 0.1, Burst: 1}}}
 }
@@ -121,7 +122,7 @@
 	return in
 }
 
-func (d *deployment) mode(want ruleset.Mode) {
+func (d *deployment) mode(want ruleset.LeaseMode) {
 	d.t.Helper()
 	until(d.t, "it does not come to be "+want.String(), func() bool {
 		return d.figure("rules.mode") == int64(want)
@@ -145,11 +146,11 @@
 // back with the next answer.
 func TestLeaseFallbackBare(t *testing.T) {
 	d, x := agreed(t, 1)
-	if d.mode(ruleset.Bare); d.flood(100*time.Millisecond) != 0 {
+	if d.mode(ruleset.ModeNoLease); d.flood(100*time.Millisecond) != 0 {
 		t.Error("passes without a lease")
 	}
 	x.leases(1, rules(1000, 1000), true)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 	time.Sleep(100 * time.Millisecond) // what a start takes as spent
 	if !d.let() || d.named() != 1 {
 		t.Errorf("by version %d", d.named())
@@ -160,19 +161,19 @@
 	}
 	x.mu.Unlock()
 	x.answers(silent)
-	if !d.let() || d.figure("rules.mode") != int64(ruleset.Leased) {
+	if !d.let() || d.figure("rules.mode") != int64(ruleset.ModeLeased) {
 		t.Error("a lease ends with the first answer that is missing")
 	}
-	d.mode(ruleset.CutOff)
+	d.mode(ruleset.ModeFallback)
 	if d.flood(200*time.Millisecond) == 0 {
 		t.Error("cut off it passes nothing")
 	}
-	d.mode(ruleset.Bare)
+	d.mode(ruleset.ModeNoLease)
 	if d.flood(100*time.Millisecond) != 0 {
 		t.Error("passes under a ceiling when the fallback's time is up")
 	}
 	x.leases(1, rules(1000, 1000), true)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 	if !d.let() {
 		t.Error("not back")
 	}
@@ -183,7 +184,7 @@
 func TestCeilingDownAndUp(t *testing.T) {
 	d, x := agreed(t, 1)
 	x.leases(1, rules(1000, 1000), true)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 	until(t, "nothing passes", d.let)
 	x.leases(2, rules(10, 5), false)
 	until(t, "not taken up", func() bool { return d.figure("rules.version") == 2 })
@@ -213,18 +214,18 @@
 func TestWordsOnWorkers(t *testing.T) {
 	d, x := agreed(t, 2)
 	x.leases(1, rules(0, 0), true)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 	number := uint64(1)
 	for _, c := range []struct {
 		name  string
-		words []ruleset.Word
+		words []ruleset.WorkerOverride
 		out   []int // workers that get nothing
 	}{
-		{"barred", []ruleset.Word{{Worker: "w0", Barred: true}}, []int{0}},
-		{"drained", []ruleset.Word{{Worker: "w1", Drained: true}}, []int{1}},
-		{"weighed", []ruleset.Word{{Worker: "w1", Weight: 2}}, nil},
-		{"the hall", []ruleset.Word{{Hall: "a", Barred: true}}, []int{0, 1}},
-		{"another hall", []ruleset.Word{{Hall: "b", Barred: true}}, nil},
+		{"barred", []ruleset.WorkerOverride{{Worker: "w0", Barred: true}}, []int{0}},
+		{"drained", []ruleset.WorkerOverride{{Worker: "w1", Drained: true}}, []int{1}},
+		{"weighed", []ruleset.WorkerOverride{{Worker: "w1", Weight: 2}}, nil},
+		{"the hall", []ruleset.WorkerOverride{{Region: "a", Barred: true}}, []int{0, 1}},
+		{"another hall", []ruleset.WorkerOverride{{Region: "b", Barred: true}}, nil},
 	} {
 		number++
 		x.leases(number, rules(0, 0, c.words...), true)
@@ -252,9 +253,10 @@
 func TestAnswersRefused(t *testing.T) {
 	good := rules(1000, 1000)
 	with := func(change func(*ruleset.Lease)) func(http.ResponseWriter) {
-		l := ruleset.Lease{Step: 50, Version: ruleset.Version{Number: 50, Rules: rules(0, 0)}, Settled: true}
+		l := ruleset.Lease{Step: 50, Version: ruleset.Version{Number: 50, Rules: rules(0, 0)},
+			TransitionComplete: true}
 		change(&l)
-		b, err := l.Bytes()
+		b, err := l.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -269,30 +271,31 @@
 	}{
 		{"garbled", text(`{"Step":50,"Number":`)},
 		{"nothing", text("")},
-		{"too long", func(w http.ResponseWriter) { w.Write(bytes.Repeat([]byte(" "), ruleset.MostBytes+1)) }},
-		{"another form", with(func(l *ruleset.Lease) { l.Version.Rules.Form = 7 })},
+		{"too long", func(w http.ResponseWriter) { w.Write(bytes.Repeat([]byte(" "), ruleset.MaxEncodedBytes+1)) }},
+		{"another form", with(func(l *ruleset.Lease) { l.Version.Rules.Format = 7 })},
 		{"needs what is not known", with(func(l *ruleset.Lease) { l.Version.Rules.Needs = []string{"moon"} })},
 		{"a stranger's place", with(func(l *ruleset.Lease) {
 			l.Version.Rules.Members = []ruleset.Member{{Name: "m0", Host: "h"}, {Name: "n0", Host: "h"}}
 		})},
 		{"rules that make no sense", with(func(l *ruleset.Lease) { l.Version.Rules.Plans[0].Rate = -1 })},
-		{"no time", with(func(l *ruleset.Lease) { l.Age = -5 })},
+		{"no time", with(func(l *ruleset.Lease) { l.AgeMillis = -5 })},
 		{"an address that is none", with(func(l *ruleset.Lease) { l.Version.Rules.Members[0].Peers = "x" })},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			d, x := agreed(t, 1)
 			x.leases(1, good, true)
-			d.mode(ruleset.Leased)
+			d.mode(ruleset.ModeLeased)
 			before := d.figure("rules.refused")
 			x.answers(c.says)
 			until(t, "not counted", func() bool { return d.figure("rules.refused") > before })
 			if v := d.figure("rules.version"); v != 1 {
 				t.Errorf("by version %d", v)
 			}
-			until(t, "the lease does not end", func() bool { return d.figure("rules.mode") != int64(ruleset.Leased) })
+			until(t, "the lease does not end",
+				func() bool { return d.figure("rules.mode") != int64(ruleset.ModeLeased) })
 			if x.leases(51, good, true); true {
-				d.mode(ruleset.Leased)
+				d.mode(ruleset.ModeLeased)
 			}
 		})
 	}
@@ -300,7 +303,7 @@
 		d, x := agreed(t, 1)
 		x.answers(with(func(l *ruleset.Lease) { l.Version.Rules.Members[0].Name = "other" }))
 		until(t, "not counted", func() bool { return d.figure("rules.refused") > 0 })
-		if d.figure("rules.mode") != int64(ruleset.Bare) || d.let() {
+		if d.figure("rules.mode") != int64(ruleset.ModeNoLease) || d.let() {
 			t.Error("goes by rules that do not name it")
 		}
 	})
@@ -316,7 +319,7 @@
 	}
 	r := rules(1000, 1000)
 	x.leases(1, r, true)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 	until(t, "nothing passes", d.let)
 	r.Members = append(r.Members, ruleset.Member{Name: "n1", Host: "h"}, ruleset.Member{Name: "n2", Host: "i"})
 	x.leases(2, r, true)
@@ -343,7 +346,7 @@
 		c.Agree, c.Scratch = x.at, t.TempDir()
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = rate, depth
 	}, 1, 5000)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 	time.Sleep(3100 * time.Millisecond) // until the ceiling is full
 	burst := func(n int) (in int) {
 		for range n {
@@ -358,7 +361,8 @@
 		t.Fatalf("%d let in of a full ceiling", in)
 	}
 	heir := d.second(func(c *config.Gatekeeper) { c.Listen = "127.0.0.1:0" })
-	until(t, "the heir has no lease", func() bool { return heir.agreed.mode.Load() == int64(ruleset.Leased) })
+	until(t, "the heir has no lease",
+		func() bool { return heir.agreed.mode.Load() == int64(ruleset.ModeLeased) })
 	d.gk.Stop()
 	d.at = heir.At
 	in := burst(depth)
@@ -374,7 +378,7 @@
 func TestRecallUnderAgreement(t *testing.T) {
 	leased := func(x *daemon, version uint64, d *deployment) {
 		x.leases(version, rules(1000, 1000), true)
-		d.mode(ruleset.Leased)
+		d.mode(ruleset.ModeLeased)
 	}
 	for _, c := range []struct {
 		name     string
@@ -408,7 +412,7 @@
 			}
 			if c.cut {
 				x.answers(silent)
-				d.mode(ruleset.CutOff)
+				d.mode(ruleset.ModeFallback)
 			}
 			n := d.gk.desk.Copies().Written.Load()
 			until(t, "no copies are written", func() bool { return d.gk.desk.Copies().Written.Load() > n+1 })
@@ -453,32 +457,35 @@
 		rate, depth, withheld float64
 		narrow                bool
 	}
-	term := func(version uint64, mode ruleset.Mode, me int, rate, depth, of float64) ruleset.Terms {
-		return ruleset.Terms{Version: version, Mode: mode, Me: me, N: 3, Plans: []ruleset.PlanTerms{
-			{Plan: ruleset.Plan{Name: "basic", Rate: 1, Burst: 1, CeilingRate: rate, CeilingDepth: depth}, Of: of},
-			{Plan: ruleset.Plan{Name: "not known here", CeilingRate: 1, CeilingDepth: 1}, Of: 1}}}
+	term := func(version uint64, mode ruleset.LeaseMode, me int, rate, depth,
+		of float64) ruleset.EffectiveRules {
+		return ruleset.EffectiveRules{Version: version, Mode: mode, MemberIndex: me, MemberCount: 3,
+			Plans: []ruleset.EffectivePlan{
+				{Plan: ruleset.Plan{Name: "basic", Rate: 1, Burst: 1, CeilingRate: rate, CeilingDepth: depth},
+					CeilingFraction: of},
+				{Plan: ruleset.Plan{Name: "not known here", CeilingRate: 1, CeilingDepth: 1}, CeilingFraction: 1}}}
 	}
 	for name, steps := range map[string][]struct {
-		ruleset.Terms
+		ruleset.EffectiveRules
 		want
 	}{
-		"born": {{term(0, ruleset.Bare, 0, 10, 20, 0), want{10, 20, 1, true}}},
-		"leased, cut off, bare, leased": {{term(1, ruleset.Leased, 0, 30, 60, 1), want{30, 60, 0, false}},
-			{term(1, ruleset.CutOff, 0, 30, 60, 0.25), want{30, 60, 0.75, true}},
-			{term(1, ruleset.Bare, 0, 30, 60, 0), want{30, 60, 1, true}},
-			{term(1, ruleset.Leased, 0, 30, 60, 1), want{30, 60, 0, false}}},
-		"no share yet": {{term(1, ruleset.Leased, 0, 30, 60, 0), want{0, 60, 0, false}},
-			{term(1, ruleset.Leased, 0, 30, 60, 1), want{30, 60, 0, false}}},
-		"up": {{term(1, ruleset.Leased, 0, 30, 60, 1), want{30, 60, 0, false}},
-			{term(2, ruleset.Leased, 0, 60, 120, 0.5), want{30, 60, 0, false}},
-			{term(2, ruleset.CutOff, 0, 60, 120, 0.25), want{30, 60, 0.5, true}},
-			{term(2, ruleset.Leased, 0, 60, 120, 1), want{60, 120, 0, false}}},
-		"another version as it is cut off": {{term(1, ruleset.Leased, 0, 30, 60, 1), want{30, 60, 0, false}},
-			{term(2, ruleset.CutOff, 0, 40, 80, 0.25), want{10, 20, 0, true}}},
-		"no member any more": {{term(1, ruleset.Leased, 0, 30, 60, 1), want{30, 60, 0, false}},
-			{term(2, ruleset.Leased, -1, 30, 60, 0), want{0, 60, 0, true}}},
-		"no ceiling": {{term(1, ruleset.Leased, 0, 0, 0, 1), want{0, 0, 0, false}},
-			{term(1, ruleset.Bare, 0, 0, 0, 1), want{0, 0, 0, true}}},
+		"born": {{term(0, ruleset.ModeNoLease, 0, 10, 20, 0), want{10, 20, 1, true}}},
+		"leased, cut off, bare, leased": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
+			{term(1, ruleset.ModeFallback, 0, 30, 60, 0.25), want{30, 60, 0.75, true}},
+			{term(1, ruleset.ModeNoLease, 0, 30, 60, 0), want{30, 60, 1, true}},
+			{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}}},
+		"no share yet": {{term(1, ruleset.ModeLeased, 0, 30, 60, 0), want{0, 60, 0, false}},
+			{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}}},
+		"up": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
+			{term(2, ruleset.ModeLeased, 0, 60, 120, 0.5), want{30, 60, 0, false}},
+			{term(2, ruleset.ModeFallback, 0, 60, 120, 0.25), want{30, 60, 0.5, true}},
+			{term(2, ruleset.ModeLeased, 0, 60, 120, 1), want{60, 120, 0, false}}},
+		"another version as it is cut off": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
+			{term(2, ruleset.ModeFallback, 0, 40, 80, 0.25), want{10, 20, 0, true}}},
+		"no member any more": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
+			{term(2, ruleset.ModeLeased, -1, 30, 60, 0), want{0, 60, 0, true}}},
+		"no ceiling": {{term(1, ruleset.ModeLeased, 0, 0, 0, 1), want{0, 0, 0, false}},
+			{term(1, ruleset.ModeNoLease, 0, 0, 0, 1), want{0, 0, 0, true}}},
 	} {
 		g := &Gatekeeper{}
 		g.conf.Names.Plans = map[string]int{"basic": 0}
@@ -486,12 +493,12 @@
 		a := &agreement{g: g, wide: g.conf.Charter, of: make([]float64, 1)}
 		a.wide.Plans = append([]policy.Plan(nil), a.wide.Plans...)
 		for i, s := range steps {
-			c := a.charter(s.Terms)
+			c := a.charter(s.EffectiveRules)
 			p := c.Plans[0]
 			if got := (want{p.CeilingRate, p.CeilingDepth, p.Withheld, c.Narrow}); got != s.want {
 				t.Errorf("%s, step %d: %+v, not %+v", name, i, got, s.want)
 			}
-			a.taken = s.Terms
+			a.taken = s.EffectiveRules
 		}
 	}
 }
--- a/internal/gateway/lifecycle/ask_test.go
+++ b/internal/gateway/lifecycle/ask_test.go
@@ -51,7 +51,7 @@
 		case r.URL.Path == AskPath:
 			handler.ServeHTTP(w, r)
 		default:
-			b, err := lease.Bytes()
+			b, err := lease.Encode()
 			if err != nil {
 				t.Error(err)
 			}
@@ -72,11 +72,11 @@
 		return nil, &relay.Refusal{Reason: "unconfirmed", Says: "nothing is in force"}
 	}
 	now := boot()
-	v := distribution.View{Step: x.lease.Step, Settled: x.lease.Settled, Begun: now, Index: -1}
+	v := distribution.View{Step: x.lease.Step, Settled: x.lease.TransitionComplete, Begun: now, Index: -1}
 	var err error
-	if v.Rules, err = ruleset.Entries(&x.lease.Version); err == nil && x.lease.Pending != nil {
+	if v.Rules, err = ruleset.VersionToState(&x.lease.Version); err == nil && x.lease.Pending != nil {
 		next := ruleset.Version{Number: x.lease.Version.Number + 1, Rules: *x.lease.Pending}
-		v.Pending, err = ruleset.Entries(&next)
+		v.Pending, err = ruleset.VersionToState(&next)
 	}
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 		x.source = distribution.NewSource("h", "till", distribution.Bounds{})
 	}
 	x.lease = ruleset.Lease{Step: x.lease.Step + 1, Version: ruleset.Version{Number: number, Rules: r},
-		Settled: true, Pending: pending}
+		TransitionComplete: true, Pending: pending}
 }
 
 // begins anew has it forget all that it has given, as a daemon that starts does.
@@ -153,7 +153,7 @@
 			time.Sleep(80 * time.Millisecond)
 		}
 	})
-	asksFor(t, x).mode(ruleset.Leased)
+	asksFor(t, x).mode(ruleset.ModeLeased)
 }
 
 // An instance is told the rules whole once. While nothing changes an answer is small, whatever is in force;
@@ -162,13 +162,13 @@
 	x := newTeller(t)
 	d := asksFor(t, x)
 	r := rules(1000, 1000)
-	r.Needs = []string{ruleset.ManyMembers}
+	r.Needs = []string{ruleset.FeatureManyMembers}
 	for i := range 999 {
 		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprint("m", i), Host: fmt.Sprint("h", i/10),
 			Peers: fmt.Sprintf("127.0.0.1:%d", 2000+i)})
 	}
 	x.leases(1, r, nil)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 	if n := d.figure("members"); n != 1000 {
 		t.Errorf("%d members", n)
 	}
@@ -247,7 +247,7 @@
 			x := newTeller(t)
 			d := asksFor(t, x)
 			x.leases(1, rules(1000, 1000), nil)
-			d.mode(ruleset.Leased)
+			d.mode(ruleset.ModeLeased)
 			_, _, _, before := x.seen()
 			x.leases(2, rules(500, 500), nil)
 			x.does(c.tells)
@@ -262,7 +262,7 @@
 				t.Errorf("asked for all %d times, for a whole %d times and given %d", whole, bare-before,
 					d.figure("rules.wholes"))
 			}
-			d.mode(ruleset.Leased)
+			d.mode(ruleset.ModeLeased)
 		})
 	}
 }
@@ -284,7 +284,7 @@
 		name string
 		does func(x *teller)
 	}{
-		{"another form", with(func(r *ruleset.Rules) { r.Form = 7 })},
+		{"another form", with(func(r *ruleset.Rules) { r.Format = 7 })},
 		{"needs what is not known", with(func(r *ruleset.Rules) { r.Needs = []string{"moon"} })},
 		{"a stranger's place", with(func(r *ruleset.Rules) {
 			r.Members = []ruleset.Member{{Name: "m0", Host: "h"}, {Name: "n0", Host: "h"}}
@@ -304,16 +304,17 @@
 			x := newTeller(t)
 			d := asksFor(t, x)
 			x.leases(1, rules(1000, 1000), nil)
-			d.mode(ruleset.Leased)
+			d.mode(ruleset.ModeLeased)
 			before := d.figure("rules.refused")
 			c.does(x)
 			until(t, "not counted", func() bool { return d.figure("rules.refused") > before })
 			if v := d.figure("rules.version"); v != 1 {
 				t.Errorf("by version %d", v)
 			}
-			until(t, "the lease does not end", func() bool { return d.figure("rules.mode") != int64(ruleset.Leased) })
+			until(t, "the lease does not end",
+				func() bool { return d.figure("rules.mode") != int64(ruleset.ModeLeased) })
 			x.leases(51, rules(1000, 1000), nil)
-			d.mode(ruleset.Leased)
+			d.mode(ruleset.ModeLeased)
 		})
 	}
 }
@@ -326,7 +327,7 @@
 	x.begins(true)
 	d := asksFor(t, x)
 	x.leases(1, rules(1000, 1000), nil)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 	if _, asked, whole, _ := x.seen(); asked != 0 || whole == 0 || d.figure("rules.wholes") != 0 {
 		t.Errorf("asked for changes %d times, for all %d times", asked, whole)
 	}
@@ -338,7 +339,7 @@
 		if time.Now().After(end) {
 			t.Fatal("a newer daemon is never asked for changes")
 		}
-		if d.figure("rules.mode") != int64(ruleset.Leased) {
+		if d.figure("rules.mode") != int64(ruleset.ModeLeased) {
 			t.Fatal("the lease is lost")
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -350,7 +351,7 @@
 	until(t, "never asked for all", func() bool { _, _, n, _ := x.seen(); return n > before+5 })
 	x.leases(3, rules(800, 800), nil)
 	until(t, "not by version 3", func() bool { return d.figure("rules.version") == 3 })
-	if d.figure("rules.mode") != int64(ruleset.Leased) || d.gk.agreed.holder.Counts().Lapses > 0 {
+	if d.figure("rules.mode") != int64(ruleset.ModeLeased) || d.gk.agreed.holder.Counters().Expirations > 0 {
 		t.Error("the lease was lost on the way")
 	}
 }
@@ -367,7 +368,7 @@
 		}
 	})
 	until(t, "never put off", func() bool { return d.figure("rules.busy") > 0 })
-	if d.figure("rules.mode") != int64(ruleset.Bare) {
+	if d.figure("rules.mode") != int64(ruleset.ModeNoLease) {
 		t.Error("it goes by what it was not told")
 	}
 	began := time.Now()
@@ -375,7 +376,7 @@
 		t.Errorf("a txn took %v", time.Since(began))
 	}
 	x.does(nil)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 }
 
 // Of pending rules a gatekeeper narrows its fallback, and says that it holds their step; withdrawn, the
@@ -384,7 +385,7 @@
 	x := newTeller(t)
 	d := asksFor(t, x)
 	x.leases(1, rules(1000, 1000), nil)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 	p := rules(10, 10)
 	x.leases(1, rules(1000, 1000), &p)
 	holds := func(step uint64) {
@@ -400,12 +401,12 @@
 		t.Errorf("%+v, %d wholes, %d deltas", last, d.figure("rules.wholes"), d.figure("rules.deltas"))
 	}
 	x.answers(silent)
-	d.mode(ruleset.CutOff)
+	d.mode(ruleset.ModeFallback)
 	if n := d.flood(100 * time.Millisecond); n > 12 {
 		t.Errorf("%d pass by a fallback that is to be within ten", n)
 	}
 	x.leases(1, rules(1000, 1000), nil)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 	holds(3)
 	x.leases(1, rules(1000, 1000), &p)
 	holds(4)
@@ -452,7 +453,7 @@
 			r.Members = append(r.Members, ruleset.Member{}, ruleset.Member{})
 			x.leases(1, r, nil)
 			d := asksFor(t, x)
-			d.mode(ruleset.Leased)
+			d.mode(ruleset.ModeLeased)
 			if n := d.figure("members"); n != 3 || d.figure("rules.refused") > 0 {
 				t.Errorf("%d members, %d refused", n, d.figure("rules.refused"))
 			}
--- a/internal/gateway/lifecycle/standstill_test.go
+++ b/internal/gateway/lifecycle/standstill_test.go
@@ -150,7 +150,7 @@
 	w, list := around(t)
 	x := newDaemon(t)
 	r := rules(1000, 1000)
-	r.Lease, r.Fallback = 200, ruleset.Fallback{Part: 0.5, For: 100}
+	r.LeaseMillis, r.Fallback = 200, ruleset.Fallback{Fraction: 0.5, DurationMillis: 100}
 	x.leases(1, r, true)
 	dir := t.TempDir()
 	log := func(who string) *history.Log {
@@ -233,7 +233,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := history.Contradiction(record, history.Plainly(nil), ruleset.MostBound, 250)
+	c := history.Contradiction(record, history.Plainly(nil), ruleset.DefaultConflictBoundMillis, 250)
 	if c.Count > 0 || c.Seen == 0 {
 		t.Errorf("by the record: %+v", c)
 	}
--- a/internal/gateway/lifecycle/warm.go
+++ b/internal/gateway/lifecycle/warm.go
@@ -26,7 +26,7 @@
 }
 
 // words takes the operators' words on workers and halls.
-func (g *Gatekeeper) words(all []ruleset.Word) {
+func (g *Gatekeeper) words(all []ruleset.WorkerOverride) {
 	g.lists.Lock()
 	defer g.lists.Unlock()
 	g.desk.Roster(g.list.Words(all))
--- a/internal/gateway/recovery/bootstrap/size_test.go
+++ b/internal/gateway/recovery/bootstrap/size_test.go
@@ -47,9 +47,9 @@
 			}
 			b.Run(fmt.Sprintf("words-%d/%d", words, n), func(b *testing.B) {
 				k := NewBook(vast(n))
-				var all []ruleset.Word
+				var all []ruleset.WorkerOverride
 				for i := range words {
-					all = append(all, ruleset.Word{Worker: fmt.Sprint("worker-", i), Weight: 2})
+					all = append(all, ruleset.WorkerOverride{Worker: fmt.Sprint("worker-", i), Weight: 2})
 				}
 				for b.Loop() {
 					k.Words(all)
--- a/internal/gateway/recovery/bootstrap/warm.go
+++ b/internal/gateway/recovery/bootstrap/warm.go
@@ -29,10 +29,10 @@
 	at      float64                     // when it last did, ms
 	hearsay endpoints.List              // the newest of peers' lists that is gone by
 	inForce bool
-	words   []ruleset.Word // the operators', which hold over any list
-	highest int64          // index that any instance is told to have
-	since   float64        // when it first was higher than the own one, ms; 0 where it is not
-	behind  bool           // it has been for long
+	words   []ruleset.WorkerOverride // the operators', which hold over any list
+	highest int64                    // index that any instance is told to have
+	since   float64                  // when it first was higher than the own one, ms; 0 where it is not
+	behind  bool                     // it has been for long
 }
 
 // NewBook begins with the list that was known at the start, which may be old.
@@ -86,7 +86,7 @@
 
 // Words takes the operators' words on workers and halls, in place of those before, and gives the whole list
 // that is to be gone by.
-func (b *Book) Words(all []ruleset.Word) endpoints.List {
+func (b *Book) Words(all []ruleset.WorkerOverride) endpoints.List {
 	b.words = all
 	if b.inForce {
 		l, _ := b.merged(b.hearsay)
@@ -106,7 +106,8 @@
 		w := &l.Workers[i]
 		own := 0.0
 		for _, x := range b.words {
-			if x.Worker != "" && x.Worker != w.Name || x.Hall != "" && x.Hall != w.Zone || x.Worker+x.Hall == "" {
+			if x.Worker != "" && x.Worker != w.Name || x.Region != "" && x.Region != w.Zone ||
+				x.Worker+x.Region == "" {
 				continue
 			}
 			w.Active = w.Active && !x.Drained && !x.Barred
--- a/internal/gateway/recovery/bootstrap/warm_test.go
+++ b/internal/gateway/recovery/bootstrap/warm_test.go
@@ -158,7 +158,7 @@
 	if l := b.Discovery(part, 2100); text(l) != "(a) c " {
 		t.Errorf("with news that are old yet: %q", text(l))
 	}
-	if l := b.Words([]ruleset.Word{{Worker: "c", Drained: true}}); text(l) != "(a) (c) " {
+	if l := b.Words([]ruleset.WorkerOverride{{Worker: "c", Drained: true}}); text(l) != "(a) (c) " {
 		t.Errorf("with a word on it: %q", text(l))
 	}
 	if l := b.Discovery(whole(9, worker("a", true), worker("c", true)), 2200); text(l) != "a (c) " || b.Waits() {
@@ -174,17 +174,18 @@
 	list := whole(1, worker("a", true), worker("b", true))
 	list.Workers[0].Zone, list.Workers[1].Zone = "x", "y"
 	for _, c := range []struct {
-		words  []ruleset.Word
+		words  []ruleset.WorkerOverride
 		want   string
 		gone   int
 		rating float64 // of the first
 	}{
 		{nil, "a b ", 0, 0},
-		{[]ruleset.Word{{Worker: "a", Drained: true}}, "(a) b ", 0, 0},
-		{[]ruleset.Word{{Worker: "a", Barred: true}}, "(a) b ", 1, 0},
-		{[]ruleset.Word{{Hall: "y", Barred: true}, {Worker: "a", Weight: 3}, {Hall: "x", Weight: 2}}, "a (b) ", 1,
+		{[]ruleset.WorkerOverride{{Worker: "a", Drained: true}}, "(a) b ", 0, 0},
+		{[]ruleset.WorkerOverride{{Worker: "a", Barred: true}}, "(a) b ", 1, 0},
+		{[]ruleset.WorkerOverride{{Region: "y", Barred: true}, {Worker: "a", Weight: 3}, {Region: "x", Weight: 2}},
+			"a (b) ", 1,
 			3},
-		{[]ruleset.Word{{Hall: "y", Worker: "a", Barred: true}, {Barred: true}}, "a b ", 0, 0},
+		{[]ruleset.WorkerOverride{{Region: "y", Worker: "a", Barred: true}, {Barred: true}}, "a b ", 0, 0},
 	} {
 		b := NewBook(whole(0))
 		b.Words(c.words)
--- a/internal/lab/footprint/relay.go
+++ b/internal/lab/footprint/relay.go
@@ -83,17 +83,17 @@
 // hops measures what a renewal, a version and a whole cost on each hop, over members.
 func hops(n int) ([]Value, error) {
 	r := rules(n, usualPlans, 0, 0)
-	if err := ruleset.Check(r); err != nil {
+	if err := ruleset.Validate(r); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	first, err := ruleset.Entries(&ruleset.Version{Number: 1, Rules: *r})
+	first, err := ruleset.VersionToState(&ruleset.Version{Number: 1, Rules: *r})
 	if err != nil {
 		return nil, err
 	}
 	changed := *r
 	changed.Plans = append([]ruleset.Plan{}, r.Plans...)
 	changed.Plans[0].Rate++
-	second, err := ruleset.Entries(&ruleset.Version{Number: 2, Rules: changed})
+	second, err := ruleset.VersionToState(&ruleset.Version{Number: 2, Rules: changed})
 	if err != nil {
 		return nil, err
 	}
@@ -151,7 +151,7 @@
 			Value{who.role, "kept of agreed rules over members", "B", kept})
 	}
 	_, kept := keeps(func() *versioned.State {
-		s, _ := ruleset.Entries(&ruleset.Version{Number: 1, Rules: *r})
+		s, _ := ruleset.VersionToState(&ruleset.Version{Number: 1, Rules: *r})
 		return s
 	})
 	h := newHop(ruleset.Interest{})
--- a/internal/lab/footprint/rules.go
+++ b/internal/lab/footprint/rules.go
@@ -26,9 +26,11 @@
 
 // rules of so many members, plans and words, on hosts of perHost members each, or on no more than some.
 func rules(members, plans, words, hosts int) *ruleset.Rules {
-	r := &ruleset.Rules{Form: ruleset.Form, Lease: rulefile.Lease, Bound: ruleset.MostBound,
-		Fallback: ruleset.Fallback{Part: rulefile.Part, For: rulefile.For}}
-	if ruleset.Has(manyMembers) && members > 500 {
+	r := &ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: rulefile.DefaultLeaseMillis,
+		ConflictBoundMillis: ruleset.DefaultConflictBoundMillis,
+		Fallback: ruleset.Fallback{Fraction: rulefile.DefaultFallbackFraction,
+			DurationMillis: rulefile.DefaultFallbackMillis}}
+	if ruleset.SupportsFeature(manyMembers) && members > 500 {
 		r.Needs = []string{manyMembers}
 	}
 	for i := range plans {
@@ -45,41 +47,43 @@
 			Peers: fmt.Sprintf("10.%d.%d.%d:7946", i>>16, i>>8&255, i&255)})
 	}
 	for i := range words {
-		r.Words = append(r.Words, ruleset.Word{Worker: fmt.Sprintf("worker-%06d", i), Drained: true})
+		r.WorkerOverrides = append(r.WorkerOverrides, ruleset.WorkerOverride{Worker: fmt.Sprintf("worker-%06d", i),
+			Drained: true})
 	}
 	return r
 }
 
 func lease(r *ruleset.Rules) *ruleset.Lease {
-	return &ruleset.Lease{Step: 7, Version: ruleset.Version{Number: 3, Rules: *r}, Settled: true, Age: 12}
+	return &ruleset.Lease{Step: 7, Version: ruleset.Version{Number: 3, Rules: *r}, TransitionComplete: true,
+		AgeMillis: 12}
 }
 
 // answer measures what a daemon tells a gatekeeper five times in a lease.
 func answer(over string, r *ruleset.Rules) ([]Value, error) {
 	l := lease(r)
-	raw, err := l.Bytes()
+	raw, err := l.Encode()
 	if err != nil {
 		return nil, err
 	}
-	if _, err = ruleset.ReadLease(raw); err != nil {
+	if _, err = ruleset.DecodeLease(raw); err != nil {
 		return nil, err
 	}
-	read := func() { _, _ = ruleset.ReadLease(raw) }
+	read := func() { _, _ = ruleset.DecodeLease(raw) }
 	return []Value{{"gatekeeper", "answer with rules over " + over, "B", float64(len(raw))},
 		{"gatekeeper", "reading an answer over " + over, "ms", took(read)},
 		{"gatekeeper", "allocated in reading an answer over " + over, "B", allocated(read)},
-		{"host daemon", "making an answer over " + over, "ms", took(func() { _, _ = l.Bytes() })}}, nil
+		{"host daemon", "making an answer over " + over, "ms", took(func() { _, _ = l.Encode() })}}, nil
 }
 
 // change measures what a council does to take a change of one plan's rate, until it is in force.
 func change(n int) ([]Value, error) {
 	r := rules(n, usualPlans, 0, usualHosts)
-	if err := ruleset.Check(r); err != nil {
+	if err := ruleset.Validate(r); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	first := ruleset.Entry{Act: ruleset.Propose, ID: "first", Rules: r}
-	c := ruleset.NewCouncil()
-	if o := c.Apply(first); o.InForce != 1 {
+	first := ruleset.LogEntry{Type: ruleset.EntryPropose, ID: "first", Rules: r}
+	c := ruleset.NewStateMachine()
+	if o := c.Apply(first); o.Activated != 1 {
 		return nil, fmt.Errorf("not in force: %+v", o)
 	}
 	snap, err := c.Snapshot()
@@ -89,26 +93,29 @@
 	next := *r
 	next.Plans = append([]ruleset.Plan{}, r.Plans...)
 	next.Plans[0].Rate++
-	e := ruleset.Entry{Act: ruleset.Propose, ID: "next", Base: 1, Rules: &next}
-	raw, err := e.Bytes()
+	e := ruleset.LogEntry{Type: ruleset.EntryPropose, ID: "next", Base: 1, Rules: &next}
+	raw, err := e.Encode()
 	if err != nil {
 		return nil, err
 	}
 	state := c.State()
 	var o ruleset.Outcome
 	apply := func() {
-		d := ruleset.NewCouncil()
+		d := ruleset.NewStateMachine()
 		*d.State() = *state
-		d.State().Answered = append([]ruleset.Answer{}, state.Answered...)
-		d.State().Held = append([]ruleset.Held{}, state.Held...)
+		d.State().RecentOutcomes = append([]ruleset.ProposalOutcome{}, state.RecentOutcomes...)
+		d.State().Superseded = append([]ruleset.SupersededVersion{}, state.Superseded...)
 		o = d.Apply(e)
 	}
 	ms := took(apply)
-	if o.InForce != 2 {
+	if o.Activated != 2 {
 		return nil, fmt.Errorf("not in force: %+v", o)
 	}
 	return []Value{{"council daemon", "a change, applied", "ms", ms},
-		{"council daemon", "a change, read from the log", "ms", took(func() { _, _ = ruleset.ReadEntry(raw) })},
+		{"council daemon", "a change, read from the log", "ms", took(func() {
+			_,
+				_ = ruleset.DecodeLogEntry(raw)
+		})},
 		{"council daemon", "a change in the log", "B", float64(len(raw))},
 		{"council daemon", "snapshot", "B", float64(len(snap))},
 		{"council daemon", "making a snapshot", "ms", took(func() { _, _ = c.Snapshot() })}}, nil
@@ -152,7 +159,7 @@
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	if err := ruleset.Check(rules(n, usualPlans, 0, 0)); err != nil {
+	if err := ruleset.Validate(rules(n, usualPlans, 0, 0)); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
 	if _, err := fleetOf(dir, n, usualHosts); err != nil {
@@ -238,7 +245,7 @@
 
 // Bounds are what refuses the size that is coming.
 func Bounds() []Bound {
-	check := func(r *ruleset.Rules) error { return ruleset.Check(r) }
+	check := func(r *ruleset.Rules) error { return ruleset.Validate(r) }
 	decode := func(peers, plans, routes, workers int) error {
 		raw, err := settings(peers, plans, routes, workers)
 		if err == nil {
@@ -261,8 +268,8 @@
 		}},
 		{"council daemon", "bytes of the rules' file with so many members", 7900, func(n int) error {
 			text, err := rulefile.Encode(rules(n, usualPlans, 0, 0))
-			if err == nil && len(text) > rulefile.MostOf {
-				err = fmt.Errorf("%d bytes are more than %d", len(text), rulefile.MostOf)
+			if err == nil && len(text) > rulefile.MaxFileBytes {
+				err = fmt.Errorf("%d bytes are more than %d", len(text), rulefile.MaxFileBytes)
 			}
 			return err
 		}},
--- a/internal/lab/scale/desk.go
+++ b/internal/lab/scale/desk.go
@@ -52,9 +52,11 @@
 	defer d.Close()
 	at := fmt.Sprintf("%s:%d", net.ip(), listenPort)
 	control := fmt.Sprintf("%s:%d", net.ip(), controlPort)
-	r := ruleset.Rules{Form: ruleset.Form, Lease: s.Council.LeaseMS, Bound: s.Council.BoundMS,
-		Fallback: ruleset.Fallback{Part: s.Council.FallbackPart, For: s.Council.FallbackMS},
-		Plans:    plans(s.Council.Plans)}
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: s.Council.LeaseMS,
+		ConflictBoundMillis: s.Council.BoundMS,
+		Fallback: ruleset.Fallback{Fraction: s.Council.FallbackPart,
+			DurationMillis: s.Council.FallbackMS},
+		Plans: plans(s.Council.Plans)}
 	r.Needs = needs(n)
 	for i := range n {
 		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprintf("g%d", i),
@@ -107,7 +109,7 @@
 		}
 		page, err := ask(control, "/admin/stats")
 		return err == nil && number(page, "svc.pool_size") >= float64(len(all)) &&
-			number(page, "svc.rules.mode") == float64(ruleset.Leased), nil
+			number(page, "svc.rules.mode") == float64(ruleset.ModeLeased), nil
 	})
 	if errors.Is(err, endpoints.ErrTooLong) {
 		t.refuse(err.Error())
--- a/internal/lab/scale/hosts.go
+++ b/internal/lab/scale/hosts.go
@@ -115,9 +115,9 @@
 			return
 		}
 	} else {
-		l = ruleset.Lease{Step: 1, Version: *o.trial, Settled: true, Age: 100}
+		l = ruleset.Lease{Step: 1, Version: *o.trial, TransitionComplete: true, AgeMillis: 100}
 	}
-	raw, err := l.Bytes()
+	raw, err := l.Encode()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/internal/lab/scale/keepers.go
+++ b/internal/lab/scale/keepers.go
@@ -35,7 +35,7 @@
 type keeper struct {
 	of     *keepers
 	c      *HollowKeeper
-	holder *ruleset.Holder
+	holder *ruleset.LeaseHolder
 	client *fasthttp.Client
 	// Below relays, where it asks for changes.
 	changes *relay.Client
@@ -158,9 +158,10 @@
 }
 
 func (k *keeper) start() {
-	k.holder = ruleset.NewHolder(k.c.Name, ruleset.Rules{Form: ruleset.Form, Plans: k.of.h.Plans,
+	k.holder = ruleset.NewLeaseHolder(k.c.Name, ruleset.Rules{Format: ruleset.SupportedFormat,
+		Plans:   k.of.h.Plans,
 		Members: []ruleset.Member{{Name: k.c.Name}}})
-	k.client = &fasthttp.Client{MaxResponseBodySize: ruleset.MostBytes, MaxIdemponentCallAttempts: 1,
+	k.client = &fasthttp.Client{MaxResponseBodySize: ruleset.MaxEncodedBytes, MaxIdemponentCallAttempts: 1,
 		NoDefaultUserAgentHeader: true, Dial: func(addr string) (net.Conn, error) {
 			c, err := fasthttp.Dial(addr)
 			if err != nil {
@@ -204,27 +205,27 @@
 }
 
 func (k *keeper) turn() {
-	k.holder.Clock(boot())
+	k.holder.SetTime(boot())
 	for {
-		d, ok := k.holder.Next()
+		d, ok := k.holder.NextAction()
 		if !ok {
 			return
 		}
 		switch d.Kind {
-		case ruleset.Adopt:
-			k.adopt(d.Terms)
-		case ruleset.Ask:
+		case ruleset.ActionAdopt:
+			k.adopt(d.Effective)
+		case ruleset.ActionRequestLease:
 			k.ask()
-		case ruleset.Wake:
-			k.timer.Reset(transport.Millis(d.At - boot()))
+		case ruleset.ActionWake:
+			k.timer.Reset(transport.Millis(d.WakeAtMillis - boot()))
 		}
 	}
 }
 
-func (k *keeper) adopt(t ruleset.Terms) {
+func (k *keeper) adopt(t ruleset.EffectiveRules) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.leased, k.version = t.Mode == ruleset.Leased, t.Version
+	k.leased, k.version = t.Mode == ruleset.ModeLeased, t.Version
 	if _, there := k.taken[t.Version]; k.leased && !there {
 		if len(k.taken) >= keptTaken {
 			clear(k.taken)
@@ -239,14 +240,14 @@
 		return
 	}
 	k.asks, k.again = true, false
-	lease := k.heard.Rules.Lease
+	lease := k.heard.Rules.LeaseMillis
 	if k.copied != nil {
-		question := k.copied.Ask(boot(), k.holder.Holds(), -1)
+		question := k.copied.Ask(boot(), k.holder.AckedStep(), -1)
 		go func() { k.answer <- k.callFor(question, lifecycle.AnswerWithin(lease)) }()
 		return
 	}
 	q := url.Values{"instance": {k.c.Name}, "pid": {strconv.Itoa(k.c.Pid)},
-		"holds": {strconv.FormatUint(k.holder.Holds(), 10)}, "index": {"-1"}}
+		"holds": {strconv.FormatUint(k.holder.AckedStep(), 10)}, "index": {"-1"}}
 	at := "http://" + k.c.Host + lifecycle.LeasePath + "?" + q.Encode()
 	go func() { k.answer <- k.call(at, lifecycle.AnswerWithin(lease)) }()
 }
@@ -266,7 +267,7 @@
 		return got
 	}
 	got.bytes = len(res.Body())
-	got.lease, got.err = ruleset.ReadLease(res.Body())
+	got.lease, got.err = ruleset.DecodeLease(res.Body())
 	got.spoilt = got.err != nil
 	return got
 }
@@ -288,7 +289,7 @@
 		k.says(got.err.Error())
 		return
 	}
-	k.holder.Clock(boot())
+	k.holder.SetTime(boot())
 	if got.told != nil {
 		var ok bool
 		if got.lease, ok = k.replica(got.told); !ok {
@@ -299,7 +300,7 @@
 	k.bytes.Store(int64(got.bytes))
 	why := ""
 	if got.told == nil {
-		why = k.misfit(r, ruleset.Check)
+		why = k.misfit(r, ruleset.Validate)
 	}
 	if why != "" && !k.c.Trial {
 		k.spoilt.Add(1)
@@ -309,9 +310,9 @@
 	if got.lease.Version.Number > k.heard.Number {
 		k.heard = got.lease.Version
 	}
-	before := k.holder.Counts()
-	k.holder.Heard(got.lease, got.asked)
-	if c := k.holder.Counts(); c.Late > before.Late {
+	before := k.holder.Counters()
+	k.holder.ReceiveLease(got.lease, got.asked)
+	if c := k.holder.Counters(); c.Stale > before.Stale {
 		k.late.Add(1)
 	}
 }
@@ -321,7 +322,7 @@
 	if err := check(r); err != nil {
 		return err.Error()
 	}
-	if ruleset.Place(r, k.c.Name) < 0 {
+	if ruleset.MemberIndex(r, k.c.Name) < 0 {
 		return k.c.Name + " is not among the members"
 	}
 	for _, m := range r.Members {
--- a/internal/lab/scale/relays.go
+++ b/internal/lab/scale/relays.go
@@ -97,7 +97,7 @@
 		}
 		text := fmt.Sprintf("name = %q\ncluster = \"scale\"\nlisten = %q\ncontrol = %q\nupstream = [%s]\n"+
 			"store = %q\nlease_ms = %g\n", r.name, r.at(relayPort), r.at(relayStatus), strings.Join(quoted, ", "),
-			filepath.Join(a.dir, r.name+".copy"), a.rules.Lease)
+			filepath.Join(a.dir, r.name+".copy"), a.rules.LeaseMillis)
 		file := r.name + ".toml"
 		if err := os.WriteFile(filepath.Join(a.dir, file), []byte(text), 0o600); err != nil {
 			return err
@@ -133,7 +133,7 @@
 	server  *http.Server
 
 	mu     sync.Mutex
-	warden ruleset.Warden
+	warden ruleset.LeaseGrantor
 	source *distribution.Source
 	view   distribution.View
 	told   uint64
@@ -157,7 +157,7 @@
 	b.trial.Number++
 	b.trial.Rules.Plans = slices.Clone(b.trial.Rules.Plans)
 	b.trial.Rules.Plans[0].Rate += float64(b.trial.Number%2)*2 - 1
-	rules, err := ruleset.Entries(b.trial)
+	rules, err := ruleset.VersionToState(b.trial)
 	if err == nil {
 		b.view = distribution.View{Step: b.trial.Number, Settled: true, Rules: rules, Index: -1}
 	}
@@ -177,7 +177,7 @@
 	}
 	b.client = relay.NewClient(b.c.Upstream, relay.AskPath)
 	b.mu.Lock()
-	b.warden, b.told = ruleset.Warden{}, 0
+	b.warden, b.told = ruleset.LeaseGrantor{}, 0
 	if b.trial == nil {
 		b.view = distribution.View{}
 	}
@@ -250,7 +250,7 @@
 	}
 	b.view = v
 	b.source.Offer(v)
-	if seen := b.warden.Seen(v.Step); seen > b.told {
+	if seen := b.warden.AckedStep(v.Step); seen > b.told {
 		b.told = seen
 		b.feed.With(
 			func(f *distribution.Follower) { f.Tell([]distribution.HostStep{{Host: b.c.Name, Step: seen}}) },
@@ -264,14 +264,14 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := raftlog.Clock()
-	if !b.warden.Asked(a.Process, a.Holds) {
+	if !b.warden.RecordRequest(a.Process, a.Holds) {
 		return nil, errors.New("too many processes")
 	}
 	b.take()
-	if b.view.Step == 0 || !(now-b.view.Begun < ruleset.LeaseOf(b.view.Rules)) {
+	if b.view.Step == 0 || !(now-b.view.Begun < ruleset.StateLeaseMillis(b.view.Rules)) {
 		return nil, errUnconfirmed
 	}
-	b.warden.Given(a.Process)
+	b.warden.RecordGrant(a.Process)
 	a.Cluster, a.Seen = b.cluster, nil
 	return b.source.Answer(a, now)
 }
@@ -281,7 +281,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for pid := from; pid < to; pid++ {
-		b.warden.Ended(pid)
+		b.warden.ProcessExited(pid)
 	}
 }
 
@@ -305,8 +305,8 @@
 		k.says(err.Error())
 		return l, false
 	}
-	if news && next.Foreign == "" {
-		if why := k.misfit(&next.Version.Rules, ruleset.CheckPart); why != "" {
+	if news && next.UnsupportedFeature == "" {
+		if why := k.misfit(&next.Version.Rules, ruleset.ValidateSubset); why != "" {
 			k.spoilt.Add(1)
 			k.says(why)
 			return l, false
--- a/internal/lab/scale/rules.go
+++ b/internal/lab/scale/rules.go
@@ -74,8 +74,8 @@
 
 // needs are the features that rules of a size have to name, as far as this program knows them.
 func needs(n int) []string {
-	if n > formerly && ruleset.Has(ruleset.ManyMembers) {
-		return []string{ruleset.ManyMembers}
+	if n > formerly && ruleset.SupportsFeature(ruleset.FeatureManyMembers) {
+		return []string{ruleset.FeatureManyMembers}
 	}
 	return nil
 }
@@ -102,8 +102,10 @@
 		return nil, err
 	}
 	c := &s.Council
-	a.rules = ruleset.Rules{Form: ruleset.Form, Lease: c.LeaseMS, Bound: c.BoundMS,
-		Fallback: ruleset.Fallback{Part: c.FallbackPart, For: c.FallbackMS}, Plans: plans(c.Plans)}
+	a.rules = ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: c.LeaseMS,
+		ConflictBoundMillis: c.BoundMS,
+		Fallback:            ruleset.Fallback{Fraction: c.FallbackPart, DurationMillis: c.FallbackMS},
+		Plans:               plans(c.Plans)}
 	a.rules.Needs = needs(n)
 	for i := range c.Daemons {
 		d := &daemon{name: fmt.Sprintf("council-%d", i), ip: a.net.ip()}
@@ -335,7 +337,7 @@
 			continue
 		}
 		all = append(all, HollowKeeper{Name: m.Name, Pid: 1 + len(all), Host: a.hosts[h].Control,
-			LeaseMS: a.rules.Lease, Trial: trial, Changes: a.relayed()})
+			LeaseMS: a.rules.LeaseMillis, Trial: trial, Changes: a.relayed()})
 	}
 	if n := len(all); n > most { // spread over all hosts
 		for i := range most {
@@ -421,7 +423,7 @@
 				}
 				figures, err := ask(control, "/admin/stats")
 				if err != nil || number(figures, "svc.rules.version") < float64(version) ||
-					number(figures, "svc.rules.mode") != float64(ruleset.Leased) {
+					number(figures, "svc.rules.mode") != float64(ruleset.ModeLeased) {
 					return false, nil
 				}
 			}
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -159,7 +159,7 @@
 	}
 	most := a.s.Hollow.MostAsking
 	if !a.relayed() { // each is told all rules, each time
-		perS := float64(a.bytes) * asksPerLease * 1000 / a.rules.Lease
+		perS := float64(a.bytes) * asksPerLease * 1000 / a.rules.LeaseMillis
 		most = max(min(most, int(a.s.Hollow.MostMBS*1e6/perS)), 1)
 	}
 	if err := a.populate(most, false); err != nil {
--- a/internal/raftlog/council_test.go
+++ b/internal/raftlog/council_test.go
@@ -191,11 +191,11 @@
 
 // rules are a set in which only what can't contradict a fallback differs.
 func rules(rate float64) *ruleset.Rules {
-	return &ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+	return &ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
 		Plans: []ruleset.Plan{{Name: "basic", Rate: rate, Burst: 10},
 			{Name: "capped", Rate: 100, Burst: 10, CeilingRate: 40, CeilingDepth: 20}},
 		Members:  []ruleset.Member{{Name: "g0", Host: "h0"}, {Name: "g1", Host: "h1"}, {Name: "g2", Host: "h2"}},
-		Fallback: ruleset.Fallback{Part: 0.5, For: 1000}}
+		Fallback: ruleset.Fallback{Fraction: 0.5, DurationMillis: 1000}}
 }
 
 func (p *parley) propose(s *Seat, rate float64) string {
@@ -611,7 +611,7 @@
 	}
 	p.outcome(me, p.propose(me, 200)) // and all goes on
 	p.agree(2)
-	if _, err := me.Propose(&ruleset.Rules{Form: 2}); err == nil {
+	if _, err := me.Propose(&ruleset.Rules{Format: 2}); err == nil {
 		t.Error("rules of another form are proposed")
 	}
 	if err := me.Council.Propose(make([]byte, longestWord+1)); err == nil {
@@ -742,7 +742,7 @@
 	p.until("the one behind is named", func() bool {
 		p.all["h0"].Asked(1, "g0", 0, 5)
 		for _, b := range p.all["h0"].Agreement().Lags {
-			if b.Who == "g0" && b.Highest == 9 && b.For > lagAfter {
+			if b.Name == "g0" && b.HighestIndex == 9 && b.LagMillis > lagAfter {
 				return true
 			}
 		}
@@ -750,7 +750,7 @@
 	})
 	p.all["h0"].Asked(1, "g0", 0, 9)
 	for _, b := range p.all["h0"].Agreement().Lags {
-		if b.Who == "g0" {
+		if b.Name == "g0" {
 			t.Errorf("%+v, which has caught up", b)
 		}
 	}
@@ -830,7 +830,7 @@
 	p.until("a leader", func() bool { return p.leader() != nil })
 	many := func(rate float64) *ruleset.Rules {
 		r := rules(rate)
-		r.Needs = []string{ruleset.ManyMembers}
+		r.Needs = []string{ruleset.FeatureManyMembers}
 		for i := len(r.Members); i < 7900; i++ {
 			r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprintf("g%04d", i),
 				Host: fmt.Sprintf("host-%04d", i), Peers: fmt.Sprintf("10.0.%d.%d:9000", i>>8, i&255)})
--- a/internal/raftlog/golden_test.go
+++ b/internal/raftlog/golden_test.go
@@ -124,7 +124,7 @@
 		Held:  []uint64{5, 6}, Wanted: "h1-a",
 		Outcomes: []Heard{{ID: "h1-b", Base: 6, Number: 7, Refused: "no", Waits: "it waits too"}},
 		CutOff:   map[string]float64{"gk1": 1200.5},
-		Lags:     []ruleset.Behind{{Who: "gk2", Index: 5, Highest: 9, For: 3100.5}},
+		Lags:     []ruleset.LaggingMember{{Name: "gk2", Index: 5, HighestIndex: 9, LagMillis: 3100.5}},
 		Seen:     map[string]uint64{"h1": 40}}
 }
 
@@ -136,12 +136,14 @@
 
 func goldenRules() ruleset.Rules {
 	return ruleset.Rules{
-		Form: 1, Needs: []string{"members"},
+		Format: 1, Needs: []string{"members"},
 		Plans: []ruleset.Plan{{Name: "gold", Rate: 11, Burst: 12, CeilingRate: 13, CeilingDepth: 14,
-			Credit: 0.5, Repay: 15000}},
-		Members:  []ruleset.Member{{Name: "gk1", Host: "h1", Peers: "10.0.0.1:7001"}},
-		Words:    []ruleset.Word{{Worker: "w1", Hall: "hall1", Barred: true, Drained: true, Weight: 2.5}},
-		Fallback: ruleset.Fallback{Part: 0.25, For: 9000}, Lease: 1200, Bound: 1900,
+			CreditSeconds: 0.5, RepayMillis: 15000}},
+		Members: []ruleset.Member{{Name: "gk1", Host: "h1", Peers: "10.0.0.1:7001"}},
+		WorkerOverrides: []ruleset.WorkerOverride{{Worker: "w1", Region: "hall1", Barred: true, Drained: true,
+			Weight: 2.5}},
+		Fallback: ruleset.Fallback{Fraction: 0.25, DurationMillis: 9000}, LeaseMillis: 1200,
+		ConflictBoundMillis: 1900,
 	}
 }
 
@@ -170,7 +172,7 @@
 // goldenMachine is a state of accord.s with a version in force; accord has golden files of all its fields.
 func goldenMachine() ruleset.State {
 	return ruleset.State{Step: 41, InForce: ruleset.Version{Number: 7, Rules: goldenRules()},
-		Seen: map[string]uint64{"h1": 38}}
+		AckedSteps: map[string]uint64{"h1": 38}}
 }
 
 func goldenKept(t *testing.T) kept {
@@ -189,15 +191,15 @@
 		ConfState: raftpb.ConfState{Voters: []uint64{goldenSelf().id(), 162}}}}
 }
 
-func goldenEntry() ruleset.Entry {
+func goldenEntry() ruleset.LogEntry {
 	rules := goldenRules()
 	rules.Plans[0].Rate = 21
-	return ruleset.Entry{Act: ruleset.Propose, ID: "h1-a", Base: 7, Rules: &rules}
+	return ruleset.LogEntry{Type: ruleset.EntryPropose, ID: "h1-a", Base: 7, Rules: &rules}
 }
 
 func goldenEntries(t *testing.T) []raftpb.Entry {
 	t.Helper()
-	proposed, err := goldenEntry().Bytes()
+	proposed, err := goldenEntry().Encode()
 	must(t, err)
 	names, err := json.Marshal(map[uint64]string{162: "h2"})
 	must(t, err)
@@ -275,13 +277,13 @@
 	must(t, json.Unmarshal(snap.Data, &k))
 	fullOf(t, "kept", reflect.ValueOf(k))
 	sameAs(t, "kept", k, goldenKept(t))
-	c := ruleset.NewCouncil()
+	c := ruleset.NewStateMachine()
 	must(t, c.Restore(k.Machine))
 	sameAs(t, "machine", *c.State(), goldenMachine())
 	entries, err := s.mem.Entries(11, 13, 1<<20)
 	must(t, err)
 	sameAs(t, "entries", entries, goldenEntries(t))
-	e, err := ruleset.ReadEntry(entries[1].Data)
+	e, err := ruleset.DecodeLogEntry(entries[1].Data)
 	must(t, err)
 	sameAs(t, "proposal", e, goldenEntry())
 
@@ -295,8 +297,8 @@
 	s, _, _, err := open(copiedStore(t), goldenName)
 	must(t, err)
 	defer s.close()
-	seat := &Seat{council: ruleset.NewCouncil(), changed: make(chan struct{}, 1)}
-	seat.steward = ruleset.NewSteward(goldenName, seat.council)
+	seat := &Seat{council: ruleset.NewStateMachine(), changed: make(chan struct{}, 1)}
+	seat.steward = ruleset.NewHostAgent(goldenName, seat.council)
 	v := &life{c: &Council{machine: (*bench)(seat)}, s: s}
 	must(t, v.load())
 	sameAs(t, "members", v.members, goldenKept(t).Members)
--- a/internal/raftlog/root.go
+++ b/internal/raftlog/root.go
@@ -38,7 +38,7 @@
 	if begun <= s.word.Begun || st.Step < s.word.Step || st.InForce.Number == 0 {
 		return
 	}
-	s.word = Word{Step: st.Step, Begun: begun, Settled: st.Settled(), InForce: st.InForce}
+	s.word = Word{Step: st.Step, Begun: begun, Settled: st.TransitionComplete(), InForce: st.InForce}
 	if st.Pending != nil {
 		v := st.Pending.Version
 		s.word.Pending = &v
@@ -60,7 +60,7 @@
 func (s *Seat) Often() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.steward.Often(true)
+	s.steward.SetFrequentReads(true)
 }
 
 // Confirmed tells that another reading was confirmed since it was last taken from.
@@ -68,7 +68,7 @@
 
 // Told takes what all processes of hosts below go by, or something later, and the highest index of
 // discovery's list there. What the council gains by goes into the log. Twice, late and in any order is fine.
-func (s *Seat) Told(all []ruleset.HostStep, index int64) {
+func (s *Seat) Told(all []ruleset.HostAck, index int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, h := range all {
@@ -99,18 +99,18 @@
 	}
 	s.below.put = now
 	st := s.council.State()
-	if st.Pending == nil && len(st.Held) == 0 {
+	if st.Pending == nil && len(st.Superseded) == 0 {
 		return nil
 	}
-	all := make([]ruleset.HostStep, 0, len(s.below.seen))
+	all := make([]ruleset.HostAck, 0, len(s.below.seen))
 	for _, h := range slices.Sorted(maps.Keys(s.below.seen)) {
-		all = append(all, ruleset.HostStep{Host: h, Step: min(s.below.seen[h], st.Step)})
+		all = append(all, ruleset.HostAck{Host: h, Step: min(s.below.seen[h], st.Step)})
 	}
-	if all = st.Gains(all); len(all) == 0 {
+	if all = st.UsefulAcks(all); len(all) == 0 {
 		return nil
 	}
-	all = all[:min(len(all), ruleset.MostSeen)]
-	raw, err := ruleset.Entry{Act: ruleset.SeenAll, Hosts: all}.Bytes()
+	all = all[:min(len(all), ruleset.MaxAcksPerEntry)]
+	raw, err := ruleset.LogEntry{Type: ruleset.EntryAckBatch, Acks: all}.Encode()
 	if err != nil {
 		return nil
 	}
--- a/internal/raftlog/root_test.go
+++ b/internal/raftlog/root_test.go
@@ -17,7 +17,7 @@
 	s.Often()
 	below := func(rate, ceiling float64) *ruleset.Rules {
 		r := rules(rate)
-		r.Fallback.For = 60000 // its time is not up here
+		r.Fallback.DurationMillis = 60000 // its time is not up here
 		r.Plans[1].CeilingRate = ceiling
 		r.Members = []ruleset.Member{{Name: "g0", Host: "x"}, {Name: "g1", Host: "y"}}
 		return r
@@ -38,7 +38,7 @@
 	if w.InForce.Number != 1 || w.Pending.Number != 2 || w.Pending.Rules.Plans[1].CeilingRate != 10 {
 		t.Fatalf("told: %+v", w)
 	}
-	s.Told([]ruleset.HostStep{{Host: "x", Step: w.Step}, {Host: "nobody", Step: w.Step},
+	s.Told([]ruleset.HostAck{{Host: "x", Step: w.Step}, {Host: "nobody", Step: w.Step},
 		{Host: "y", Step: w.Step - 1}}, 7)
 	for end := time.Now().Add(700 * time.Millisecond); time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
@@ -50,7 +50,7 @@
 		t.Errorf("seen: %v at step %d", a.Seen, w.Step)
 	}
 	// One that is late, and one of a step that is not said yet, which is of the last one too.
-	s.Told([]ruleset.HostStep{{Host: "x", Step: 1}, {Host: "y", Step: w.Step + 50}}, 3)
+	s.Told([]ruleset.HostAck{{Host: "x", Step: 1}, {Host: "y", Step: w.Step + 50}}, 3)
 	p.agree(2)
 	if s.Highest() != 7 {
 		t.Errorf("the highest index is %d, of 7 and 3", s.Highest())
--- a/internal/raftlog/seat.go
+++ b/internal/raftlog/seat.go
@@ -33,9 +33,9 @@
 	host   string
 
 	mu       sync.Mutex
-	council  *ruleset.Council
-	steward  *ruleset.Steward
-	lag      *ruleset.Lag
+	council  *ruleset.StateMachine
+	steward  *ruleset.HostAgent
+	lag      *ruleset.IndexLag
 	turn     Turn
 	wanted   *wanted
 	begun    float64 // of the last read that was confirmed; below nought there was none
@@ -59,7 +59,7 @@
 // wanted is a proposal of this daemon's that is not answered yet.
 type wanted struct {
 	id    string
-	act   ruleset.Act
+	act   ruleset.EntryType
 	first bool // only where no version is in force
 	rules *ruleset.Rules
 	raw   []byte
@@ -81,15 +81,16 @@
 // NewSeat opens a daemon's part. Where no version is in force yet, rules are proposed as the first one;
 // they may be nil. The record may be nil.
 func NewSeat(ch Charter, rules *ruleset.Rules, record history.Recorder, log zerolog.Logger) (*Seat, error) {
-	s := &Seat{log: log, record: record, host: ch.Me, begun: -1, council: ruleset.NewCouncil(),
-		lag: ruleset.NewLag(), changed: make(chan struct{}, 1), tellers: map[int]teller{},
+	s := &Seat{log: log, record: record, host: ch.Me, begun: -1, council: ruleset.NewStateMachine(),
+		lag: ruleset.NewIndexLag(), changed: make(chan struct{}, 1), tellers: map[int]teller{},
 		read: make(chan struct{}, 1), below: below{seen: map[string]uint64{}}}
-	s.steward = ruleset.NewSteward(ch.Me, s.council)
+	s.steward = ruleset.NewHostAgent(ch.Me, s.council)
 	if rules != nil {
-		if err := ruleset.Check(rules); err != nil {
+		if err := ruleset.Validate(rules); err != nil {
 			return nil, err
 		}
-		s.wanted = &wanted{id: proposalID(ch.Me), act: ruleset.Propose, first: true, rules: rules, since: Clock()}
+		s.wanted = &wanted{id: proposalID(ch.Me), act: ruleset.EntryPropose, first: true, rules: rules,
+			since: Clock()}
 	}
 	c, err := New(ch, (*bench)(s), log)
 	if err != nil {
@@ -112,7 +113,7 @@
 }
 
 // clock sets the steward's time, under the lock.
-func (s *Seat) clock() { s.steward.Clock(Clock()) }
+func (s *Seat) clock() { s.steward.SetTime(Clock()) }
 
 // Changed tells that another version than before is in force, or none is agreed any more.
 func (s *Seat) Changed() <-chan struct{} { return s.changed }
@@ -129,7 +130,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.clock()
-	s.steward.Began(pid, before)
+	s.steward.ProcessStarted(pid, before)
 }
 
 // Ended tells that a process is no more.
@@ -137,9 +138,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.clock()
-	s.steward.Ended(pid)
+	s.steward.ProcessExited(pid)
 	if t, there := s.tellers[pid]; there {
-		s.lag.Left(t.name)
+		s.lag.Remove(t.name)
 		delete(s.tellers, pid)
 	}
 }
@@ -153,10 +154,10 @@
 	now := time.Now()
 	s.tellers[pid] = teller{name, holds, index, now}
 	if index >= 0 {
-		s.lag.Told(name, index, Clock())
+		s.lag.Report(name, index, Clock())
 	}
 	s.newest()
-	return s.steward.Asked(pid, holds)
+	return s.steward.GrantLease(pid, holds)
 }
 
 // Highest gives the highest index of discovery's list that any process has told, here or to another daemon.
@@ -174,10 +175,10 @@
 // refused, or others are proposed here. Those in force already take back what waits to follow them. It
 // returns the proposal's id, or nothing where there is nothing to agree on.
 func (s *Seat) Propose(rules *ruleset.Rules) (string, error) {
-	if err := ruleset.Check(rules); err != nil {
+	if err := ruleset.Validate(rules); err != nil {
 		return "", err
 	}
-	raw, err := ruleset.Entry{Act: ruleset.Propose, Rules: rules}.Bytes()
+	raw, err := ruleset.LogEntry{Type: ruleset.EntryPropose, Rules: rules}.Encode()
 	if err != nil {
 		return "", err
 	}
@@ -186,7 +187,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wanted = &wanted{id: proposalID(s.host), act: ruleset.Propose, rules: rules, since: Clock()}
+	s.wanted = &wanted{id: proposalID(s.host), act: ruleset.EntryPropose, rules: rules, since: Clock()}
 	return s.wanted.id, nil
 }
 
@@ -211,7 +212,7 @@
 
 // Apply takes an entry of the log.
 func (b *bench) Apply(data []byte) error {
-	e, err := ruleset.ReadEntry(data)
+	e, err := ruleset.DecodeLogEntry(data)
 	if err != nil {
 		return err
 	}
@@ -221,15 +222,16 @@
 	s.clock()
 	id := e.ID
 	if p := s.council.State().Pending; p != nil {
-		id = p.ID
+		id = p.ProposalID
 	}
 	o := s.council.Apply(e)
-	s.steward.Applied()
-	if o.InForce > 0 && !o.Again {
+	s.steward.EntriesApplied()
+	if o.Activated > 0 && !o.Duplicate {
 		in := s.council.State().InForce
 		s.mark = Mark(&in.Rules)
-		s.write(history.Event{Kind: history.Taken, Version: o.InForce, Base: o.InForce - 1, Txn: id, Mark: s.mark})
-		s.log.Info().Uint64("version", o.InForce).Int("members", len(in.Rules.Members)).Msg("council: in force")
+		s.write(history.Event{Kind: history.Taken, Version: o.Activated, Base: o.Activated - 1, Txn: id,
+			Mark: s.mark})
+		s.log.Info().Uint64("version", o.Activated).Int("members", len(in.Rules.Members)).Msg("council: in force")
 		s.tell()
 	}
 	if s.wanted != nil && e.ID == s.wanted.id {
@@ -247,18 +249,19 @@
 
 // heard books what the council has made of this daemon's proposal.
 func (s *Seat) heard(o ruleset.Outcome) {
-	h := Heard{ID: s.wanted.id, Base: s.wanted.base, Number: o.Number, Refused: o.Refused, Waits: o.Waits}
+	h := Heard{ID: s.wanted.id, Base: s.wanted.base, Number: o.Version, Refused: o.Rejection,
+		Waits: o.PendingReason}
 	if s.outcomes = append(s.outcomes, h); len(s.outcomes) > 16 {
 		s.outcomes = s.outcomes[1:]
 	}
-	if o.Refused != "" {
+	if o.Rejection != "" {
 		s.write(history.Event{Kind: history.Taken, Version: s.wanted.base + 1, Base: s.wanted.base, Txn: h.ID,
-			Says: o.Refused})
+			Says: o.Rejection})
 		level := zerolog.ErrorLevel
 		if s.wanted.first { // another's came first
 			level = zerolog.InfoLevel
 		}
-		s.log.WithLevel(level).Str("proposal", h.ID).Uint64("base", h.Base).Msg("council: refused: " + o.Refused)
+		s.log.WithLevel(level).Str("proposal", h.ID).Uint64("base", h.Base).Msg("council: refused: " + o.Rejection)
 	} else {
 		s.log.Info().Str("proposal", h.ID).Uint64("version", h.Number).Str("waits", h.Waits).Msg("council: agreed")
 	}
@@ -281,12 +284,12 @@
 	s.clock()
 	before := s.council.State().InForce.Number
 	if len(raw) == 0 {
-		raw, _ = ruleset.NewCouncil().Snapshot()
+		raw, _ = ruleset.NewStateMachine().Snapshot()
 	}
 	if err := s.council.Restore(raw); err != nil {
 		return err
 	}
-	s.steward.Applied()
+	s.steward.EntriesApplied()
 	s.mark = ""
 	if in := s.council.State().InForce; in.Number > 0 {
 		s.mark = Mark(&in.Rules)
@@ -295,8 +298,8 @@
 		s.tell()
 	}
 	if s.wanted != nil { // it may have been answered in what the snapshot stands for
-		for _, a := range s.council.State().Answered {
-			if a.ID == s.wanted.id {
+		for _, a := range s.council.State().RecentOutcomes {
+			if a.ProposalID == s.wanted.id {
 				s.heard(a.Outcome)
 				break
 			}
@@ -311,7 +314,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.clock()
-	s.steward.ReadDone(begun)
+	s.steward.ReadConfirmed(begun)
 	n := s.council.State().InForce.Number
 	s.begun = begun
 	s.confirmed(begun)
@@ -322,7 +325,7 @@
 // Mark is a digest of rules, as records name versions.
 func Mark(r *ruleset.Rules) string {
 	c := *r // a list that is empty is none
-	c.Needs, c.Plans, c.Words = some(c.Needs), some(c.Plans), some(c.Words)
+	c.Needs, c.Plans, c.WorkerOverrides = some(c.Needs), some(c.Plans), some(c.WorkerOverrides)
 	raw, err := json.Marshal(c)
 	if err != nil {
 		return ""
@@ -345,17 +348,17 @@
 	defer s.mu.Unlock()
 	s.turn = t
 	s.clock()
-	s.steward.Leads(t.Leads)
+	s.steward.SetLeader(t.Leads)
 	for {
-		d, ok := s.steward.Next()
-		if !ok || d.Kind == ruleset.Wake { // it is asked again within a tick
+		d, ok := s.steward.NextAction()
+		if !ok || d.Kind == ruleset.ActionWake { // it is asked again within a tick
 			break
 		}
 		switch d.Kind {
-		case ruleset.Read:
+		case ruleset.ActionReadState:
 			w.Read = true
-		case ruleset.Submit:
-			if raw, err := d.Entry.Bytes(); err == nil {
+		case ruleset.ActionSubmit:
+			if raw, err := d.Entry.Encode(); err == nil {
 				w.Propose = append(w.Propose, raw)
 			}
 		}
@@ -386,19 +389,20 @@
 	}
 	if p.raw == nil && st.InForce.Number > 0 && same(&st.InForce.Rules, p.rules) {
 		if st.Pending == nil {
-			s.heard(ruleset.Outcome{Number: st.InForce.Number, Again: true})
+			s.heard(ruleset.Outcome{Version: st.InForce.Number, Duplicate: true})
 			return nil
 		}
-		p.act, p.rules = ruleset.Withdraw, nil
+		p.act, p.rules = ruleset.EntryWithdraw, nil
 	}
 	if p.raw == nil {
 		p.base = s.council.State().InForce.Number
 		var err error
-		if p.raw, err = (ruleset.Entry{Act: p.act, ID: p.id, Base: p.base, Rules: p.rules}).Bytes(); err != nil {
-			s.heard(ruleset.Outcome{Refused: err.Error()})
+		if p.raw, err = (ruleset.LogEntry{Type: p.act, ID: p.id, Base: p.base,
+			Rules: p.rules}).Encode(); err != nil {
+			s.heard(ruleset.Outcome{Rejection: err.Error()})
 			return nil
 		}
-		if p.act == ruleset.Propose {
+		if p.act == ruleset.EntryPropose {
 			s.write(history.Event{Kind: history.Wants, Version: p.base + 1, Base: p.base, Txn: p.id})
 		}
 	}
@@ -408,19 +412,19 @@
 
 // Agreement is how the rules stand, as this daemon sees it.
 type Agreement struct {
-	Version  uint64             `json:"version"`
-	Mark     string             `json:"mark,omitempty"` // a digest of it, the same at all daemons
-	Step     uint64             `json:"step"`
-	Settled  bool               `json:"settled"`
-	ReadMS   float64            `json:"read_ms"` // ago; below nought nothing has been confirmed
-	Pending  uint64             `json:"pending,omitempty"`
-	Waits    string             `json:"pending_waits,omitempty"`
-	Held     []uint64           `json:"held,omitempty"` // versions that may still be gone by
-	Wanted   string             `json:"wanted,omitempty"`
-	Outcomes []Heard            `json:"proposals,omitempty"`
-	CutOff   map[string]float64 `json:"cut_off,omitempty"` // instances here: ms since they last asked
-	Lags     []ruleset.Behind   `json:"lags,omitempty"`
-	Seen     map[string]uint64  `json:"seen,omitempty"`
+	Version  uint64                  `json:"version"`
+	Mark     string                  `json:"mark,omitempty"` // a digest of it, the same at all daemons
+	Step     uint64                  `json:"step"`
+	Settled  bool                    `json:"settled"`
+	ReadMS   float64                 `json:"read_ms"` // ago; below nought nothing has been confirmed
+	Pending  uint64                  `json:"pending,omitempty"`
+	Waits    string                  `json:"pending_waits,omitempty"`
+	Held     []uint64                `json:"held,omitempty"` // versions that may still be gone by
+	Wanted   string                  `json:"wanted,omitempty"`
+	Outcomes []Heard                 `json:"proposals,omitempty"`
+	CutOff   map[string]float64      `json:"cut_off,omitempty"` // instances here: ms since they last asked
+	Lags     []ruleset.LaggingMember `json:"lags,omitempty"`
+	Seen     map[string]uint64       `json:"seen,omitempty"`
 }
 
 // Agreement tells how the rules stand.
@@ -429,24 +433,25 @@
 	defer s.mu.Unlock()
 	now := time.Now()
 	st := s.council.State()
-	a := Agreement{Version: st.InForce.Number, Mark: s.mark, Step: st.Step, Settled: st.Settled(), ReadMS: -1,
+	a := Agreement{Version: st.InForce.Number, Mark: s.mark, Step: st.Step, Settled: st.TransitionComplete(),
+		ReadMS:   -1,
 		Outcomes: append([]Heard(nil), s.outcomes...), CutOff: map[string]float64{}, Seen: map[string]uint64{}}
 	if s.begun >= 0 {
 		a.ReadMS = Clock() - s.begun
 	}
-	for _, h := range st.Held {
+	for _, h := range st.Superseded {
 		a.Held = append(a.Held, h.Number)
 	}
-	for h, n := range st.Seen {
+	for h, n := range st.AckedSteps {
 		a.Seen[h] = n
 	}
 	if p := st.Pending; p != nil {
-		a.Pending, a.Waits = p.Version.Number, st.Waits()
+		a.Pending, a.Waits = p.Version.Number, st.PendingReason()
 	}
 	if s.wanted != nil {
 		a.Wanted = s.wanted.id
 	}
-	lease := math.Max(st.InForce.Rules.Lease, 100)
+	lease := math.Max(st.InForce.Rules.LeaseMillis, 100)
 	for _, t := range s.tellers {
 		age := float64(now.Sub(t.at)) / float64(time.Millisecond)
 		if age > lease || a.ReadMS < 0 || a.ReadMS > lease {
@@ -456,10 +461,10 @@
 	s.Council.mu.Lock()
 	for name, p := range s.Council.peers { // another host's newest, as if it were a process's
 		if p.Index > 0 {
-			s.lag.Told("host "+name, p.Index, Clock())
+			s.lag.Report("host "+name, p.Index, Clock())
 		}
 	}
 	s.Council.mu.Unlock()
-	a.Lags = s.lag.Late(Clock(), lagAfter)
+	a.Lags = s.lag.Lagging(Clock(), lagAfter)
 	return a
 }
--- a/internal/ruleset/allowance.go
+++ b/internal/ruleset/allowance.go
@@ -6,196 +6,201 @@
 )
 
 const (
-	unlimited = 1e300 // units of what has no ceiling: finite, so that a state can be written as JSON
-	rounding  = 1e-9  // of a figure, by which a sum of parts may pass it
+	unlimited         = 1e300 // units of what has no ceiling: finite, so that a state can be written as JSON
+	roundingTolerance = 1e-9  // of a figure, by which a sum of parts may pass it
 )
 
 // Part is what one gatekeeper may let through of one plan.
-type Part struct {
-	Rate   float64 `json:"Rate"`   // of the ceiling, units a second and units; far beyond any use where there is none
-	Depth  float64 `json:"Depth"`  // of the ceiling, units a second and units; far beyond any use where there is none
+type Allowance struct {
+	// of the ceiling, units a second and units; far beyond any use where there is none
+	Rate float64 `json:"Rate"`
+	// of the ceiling, units a second and units; far beyond any use where there is none
+	Depth  float64 `json:"Depth"`
 	Credit float64 `json:"Credit"` // units of the credit line
 }
 
 // least and most take the lesser, or greater, of two by each figure.
-func (p Part) least(o Part) Part {
-	return Part{math.Min(p.Rate, o.Rate), math.Min(p.Depth, o.Depth), math.Min(p.Credit, o.Credit)}
+func (p Allowance) min(o Allowance) Allowance {
+	return Allowance{math.Min(p.Rate, o.Rate), math.Min(p.Depth, o.Depth), math.Min(p.Credit, o.Credit)}
 }
 
-func (p Part) most(o Part) Part {
-	return Part{math.Max(p.Rate, o.Rate), math.Max(p.Depth, o.Depth), math.Max(p.Credit, o.Credit)}
+func (p Allowance) max(o Allowance) Allowance {
+	return Allowance{math.Max(p.Rate, o.Rate), math.Max(p.Depth, o.Depth), math.Max(p.Credit, o.Credit)}
 }
 
 // of is a part of what there is; all of it where there is no ceiling.
-func (p Part) of(f float64) Part {
-	q := Part{p.Rate * f, p.Depth * f, p.Credit * f}
+func (p Allowance) scale(fraction float64) Allowance {
+	scaled := Allowance{p.Rate * fraction, p.Depth * fraction, p.Credit * fraction}
 	if p.Rate == unlimited {
-		q.Rate, q.Depth = unlimited, unlimited
+		scaled.Rate, scaled.Depth = unlimited, unlimited
 	}
-	return q
+	return scaled
 }
 
-func (p Part) plus(o Part) Part { return Part{p.Rate + o.Rate, p.Depth + o.Depth, p.Credit + o.Credit} }
+func (p Allowance) plus(o Allowance) Allowance {
+	return Allowance{p.Rate + o.Rate, p.Depth + o.Depth, p.Credit + o.Credit}
+}
 
-func (p Part) within(o Part) bool {
-	if p.Credit > o.Credit*(1+rounding) {
+func (p Allowance) within(o Allowance) bool {
+	if p.Credit > o.Credit*(1+roundingTolerance) {
 		return false
 	}
-	return o.Rate == unlimited || p.Rate <= o.Rate*(1+rounding) && p.Depth <= o.Depth*(1+rounding)
+	return o.Rate == unlimited || p.Rate <= o.Rate*(1+roundingTolerance) &&
+		p.Depth <= o.Depth*(1+roundingTolerance)
 }
 
 // Whole is what all gatekeepers together may let through of a plan.
-func Whole(p *Plan) Part {
-	w := Part{p.CeilingRate, p.CeilingDepth, p.Credit * p.Rate}
-	if p.CeilingRate == 0 {
-		w.Rate, w.Depth = unlimited, unlimited
+func TotalAllowance(plan *Plan) Allowance {
+	total := Allowance{plan.CeilingRate, plan.CeilingDepth, plan.CreditSeconds * plan.Rate}
+	if plan.CeilingRate == 0 {
+		total.Rate, total.Depth = unlimited, unlimited
 	}
-	return w
+	return total
 }
 
 // Share is what a gatekeeper may let through by rules that are in force: one part of as many as there are
 // places; nothing of a ceiling where it has no place. A customer whose set is smaller has a larger part at
 // each of fewer: the sum over its set is the same, and where a set is dealt anew its parts count as spent
 // (policy.Resize).
-func Share(r *Rules, plan, me int) Part {
-	if plan >= len(r.Plans) {
-		return Part{}
+func LeasedAllowance(rules *Rules, plan, memberIndex int) Allowance {
+	if plan >= len(rules.Plans) {
+		return Allowance{}
 	}
-	if w := Whole(&r.Plans[plan]); me >= 0 {
-		return w.of(1 / float64(len(r.Members)))
-	} else if w.Rate == unlimited {
-		return Part{Rate: unlimited, Depth: unlimited}
+	if total := TotalAllowance(&rules.Plans[plan]); memberIndex >= 0 {
+		return total.scale(1 / float64(len(rules.Members)))
+	} else if total.Rate == unlimited {
+		return Allowance{Rate: unlimited, Depth: unlimited}
 	}
-	return Part{}
+	return Allowance{}
 }
 
 // Cut is what one that has lost touch may let through by its fallback: a part of its share, and no credit.
-func Cut(r *Rules, plan, me int) Part {
-	p := Share(r, plan, me).of(r.Fallback.Part)
-	p.Credit = 0
-	return p
+func FallbackAllowance(rules *Rules, plan, memberIndex int) Allowance {
+	allowance := LeasedAllowance(rules, plan, memberIndex).scale(rules.Fallback.Fraction)
+	allowance.Credit = 0
+	return allowance
 }
 
 // Place is a gatekeeper's place by rules; -1 is none.
-func Place(r *Rules, name string) int {
+func MemberIndex(rules *Rules, name string) int {
 	if name == "" {
 		return -1
 	}
-	return slices.IndexFunc(r.Members, func(m Member) bool { return m.Name == name })
+	return slices.IndexFunc(rules.Members, func(m Member) bool { return m.Name == name })
 }
 
 // Stance is what each of some gatekeepers may let through, by plan: the same for all.
-type Stance struct {
-	Members []Member `json:"Members"`
-	Parts   []Part   `json:"Parts"`
+type AllowanceSet struct {
+	Members    []Member    `json:"Members"`
+	Allowances []Allowance `json:"Parts"`
 	// Places are those of Members where some were left out; none: they are in their places. Rules that do not
 	// need ManyMembers leave members out without a word of places, as programs before it do.
-	Places []int `json:"Places,omitempty"`
+	Indexes []int `json:"Places,omitempty"`
 }
 
 // place is that of the member at i.
-func (s *Stance) place(i int) int {
-	if i < len(s.Places) {
-		return s.Places[i]
+func (s *AllowanceSet) memberIndex(i int) int {
+	if i < len(s.Indexes) {
+		return s.Indexes[i]
 	}
 	return i
 }
 
 // normal and fallback are the stances that rules name.
-func normal(r *Rules) Stance {
-	s := Stance{Members: r.Members}
-	for i := range r.Plans {
-		s.Parts = append(s.Parts, Share(r, i, 0))
+func leasedAllowances(rules *Rules) AllowanceSet {
+	set := AllowanceSet{Members: rules.Members}
+	for i := range rules.Plans {
+		set.Allowances = append(set.Allowances, LeasedAllowance(rules, i, 0))
 	}
-	return s
+	return set
 }
 
-func fallback(r *Rules) Stance {
-	s := Stance{Members: r.Members}
-	for i := range r.Plans {
-		s.Parts = append(s.Parts, Cut(r, i, 0))
+func fallbackAllowances(rules *Rules) AllowanceSet {
+	set := AllowanceSet{Members: rules.Members}
+	for i := range rules.Plans {
+		set.Allowances = append(set.Allowances, FallbackAllowance(rules, i, 0))
 	}
-	return s
+	return set
 }
 
 // narrowed is a stance held to the lesser of itself and what coming rules allow: nothing for those that the
 // coming ones do not name.
-func (s Stance) narrowed(coming *Rules) Stance {
-	var n Stance
-	stays := make(map[string]bool, len(coming.Members))
-	for _, m := range coming.Members {
-		stays[m.Name] = m.Name != ""
+func (s AllowanceSet) narrowed(pending *Rules) AllowanceSet {
+	var result AllowanceSet
+	remains := make(map[string]bool, len(pending.Members))
+	for _, m := range pending.Members {
+		remains[m.Name] = m.Name != ""
 	}
-	placed := slices.Contains(coming.Needs, ManyMembers)
+	withIndexes := slices.Contains(pending.Needs, FeatureManyMembers)
 	for i, m := range s.Members {
-		if stays[m.Name] {
-			if n.Members = append(n.Members, m); placed {
-				n.Places = append(n.Places, s.place(i))
+		if remains[m.Name] {
+			if result.Members = append(result.Members, m); withIndexes {
+				result.Indexes = append(result.Indexes, s.memberIndex(i))
 			}
 		}
 	}
-	for i, p := range s.Parts {
-		n.Parts = append(n.Parts, p.least(Share(coming, i, 0)))
+	for i, p := range s.Allowances {
+		result.Allowances = append(result.Allowances, p.min(LeasedAllowance(pending, i, 0)))
 	}
-	return n
+	return result
 }
 
 // Contradicts names the plan of which more than rules allow comes through where some go by them and others by
 // any of the stances, in the worst mix: each gatekeeper, told by its name, by whichever gives it most. Empty
 // where they never do. What is said of workers is not weighed: by it none passes a ceiling, and one that is
 // cut off keeps the words that it has.
-func Contradicts(held []Stance, next *Rules) string {
-	var allowed []Part
+func ConflictingPlan(fallbacks []AllowanceSet, next *Rules) string {
+	var allowed []Allowance
 	for i := range next.Plans {
-		allowed = append(allowed, Whole(&next.Plans[i]))
+		allowed = append(allowed, TotalAllowance(&next.Plans[i]))
 	}
-	return passes(append([]Stance{normal(next)}, held...), allowed, next)
+	return overAllocatedPlan(append([]AllowanceSet{leasedAllowances(next)}, fallbacks...), allowed, next)
 }
 
 // Mixes names the plan of which more comes through than either of two rules allow, where some gatekeepers go
 // by one and some by the other without having gone by the first before. Where a sum stays the same and places
 // come or go it does; where ceilings change alone it does not.
-func Mixes(former, next *Rules) string {
-	var allowed []Part
+func OvershootPlan(former, next *Rules) string {
+	var allowed []Allowance
 	for i := range next.Plans {
-		w := Whole(&next.Plans[i])
+		total := TotalAllowance(&next.Plans[i])
 		if i < len(former.Plans) {
-			w = w.most(Whole(&former.Plans[i]))
+			total = total.max(TotalAllowance(&former.Plans[i]))
 		}
-		allowed = append(allowed, w)
+		allowed = append(allowed, total)
 	}
-	return passes([]Stance{normal(next), normal(former)}, allowed, next)
+	return overAllocatedPlan([]AllowanceSet{leasedAllowances(next), leasedAllowances(former)}, allowed, next)
 }
 
 // passes names the plan of which the worst mix of stances lets through more than is allowed.
-func passes(all []Stance, allowed []Part, next *Rules) string {
-	places := 0
-	for _, s := range all {
-		places = max(places, len(s.Members))
-	}
-	number := make(map[string]int, places) // in the order of their first mention
-	var member [][]int32                   // which stances name it
-	for i, s := range all {
+func overAllocatedPlan(sets []AllowanceSet, allowed []Allowance, next *Rules) string {
+	memberCount := 0
+	for _, s := range sets {
+		memberCount = max(memberCount, len(s.Members))
+	}
+	ordinals := make(map[string]int, memberCount) // in the order of their first mention
+	var setsByMember [][]int32                    // which stances name it
+	for i, s := range sets {
 		for _, m := range s.Members {
 			if m.Name == "" {
 				continue
 			}
-			n, known := number[m.Name]
-			if !known {
-				n = len(member)
-				number[m.Name] = n
-				member = append(member, nil)
+			ordinal, exists := ordinals[m.Name]
+			if !exists {
+				ordinal = len(setsByMember)
+				ordinals[m.Name] = ordinal
+				setsByMember = append(setsByMember, nil)
 			}
-			member[n] = append(member[n], int32(i))
+			setsByMember[ordinal] = append(setsByMember[ordinal], int32(i))
 		}
 	}
 	for plan := range allowed {
-		var sum Part
-		for _, in := range member {
-			var worst Part
-			for _, i := range in {
-				if plan < len(all[i].Parts) {
-					worst = worst.most(all[i].Parts[plan])
+		var sum Allowance
+		for _, memberSets := range setsByMember {
+			var worst Allowance
+			for _, i := range memberSets {
+				if plan < len(sets[i].Allowances) {
+					worst = worst.max(sets[i].Allowances[plan])
 				}
 			}
 			sum = sum.plus(worst)
@@ -208,29 +213,29 @@
 }
 
 // hosts are those whose daemons keep members, each once.
-func hosts(members []Member) []string {
-	var all []string
-	there := make(map[string]bool, len(members))
-	for _, m := range members {
-		if m.Name != "" && !there[m.Host] {
-			there[m.Host] = true
-			all = append(all, m.Host)
+func memberHosts(members []Member) []string {
+	var hosts []string
+	seen := make(map[string]bool, len(members))
+	for _, member := range members {
+		if member.Name != "" && !seen[member.Host] {
+			seen[member.Host] = true
+			hosts = append(hosts, member.Host)
 		}
 	}
-	return all
+	return hosts
 }
 
 // union adds hosts to some, each once.
-func union(some, more []string) []string {
-	there := make(map[string]bool, len(some))
-	for _, h := range some {
-		there[h] = true
-	}
-	for _, h := range more {
-		if !there[h] {
-			there[h] = true
-			some = append(some, h)
+func unionHosts(hosts, added []string) []string {
+	seen := make(map[string]bool, len(hosts))
+	for _, host := range hosts {
+		seen[host] = true
+	}
+	for _, host := range added {
+		if !seen[host] {
+			seen[host] = true
+			hosts = append(hosts, host)
 		}
 	}
-	return some
+	return hosts
 }
--- a/internal/ruleset/golden_test.go
+++ b/internal/ruleset/golden_test.go
@@ -73,46 +73,51 @@
 
 func goldenRules(rate float64) Rules {
 	return Rules{
-		Form: 1, Needs: []string{"members"},
-		Plans: []Plan{{Name: "gold", Rate: rate, Burst: 12, CeilingRate: 13, CeilingDepth: 14, Credit: 0.5,
-			Repay: 15000}},
+		Format: 1, Needs: []string{"members"},
+		Plans: []Plan{{Name: "gold", Rate: rate, Burst: 12, CeilingRate: 13, CeilingDepth: 14, CreditSeconds: 0.5,
+			RepayMillis: 15000}},
 		Members: []Member{{Name: "gk1", Host: "h1", Peers: "10.0.0.1:7001"},
 			{Name: "gk2", Host: "h2", Peers: "10.0.0.2:7002"}},
-		Words:    []Word{{Worker: "w1", Hall: "hall1", Barred: true, Drained: true, Weight: 2.5}},
-		Fallback: Fallback{Part: 0.25, For: 9000}, Lease: 1200, Bound: 1900,
+		WorkerOverrides: []WorkerOverride{{Worker: "w1", Region: "hall1", Barred: true, Drained: true,
+			Weight: 2.5}},
+		Fallback: Fallback{Fraction: 0.25, DurationMillis: 9000}, LeaseMillis: 1200,
+		ConflictBoundMillis: 1900,
 	}
 }
 
-func goldenStance() Stance {
-	return Stance{Members: goldenRules(11).Members, Parts: []Part{{Rate: 1.5, Depth: 2.5, Credit: 3.5}},
-		Places: []int{3, 4}}
+func goldenStance() AllowanceSet {
+	return AllowanceSet{Members: goldenRules(11).Members, Allowances: []Allowance{{Rate: 1.5, Depth: 2.5,
+		Credit: 3.5}},
+		Indexes: []int{3, 4}}
 }
 
 func goldenState() State {
 	return State{
 		Step:    41,
 		InForce: Version{Number: 7, Rules: goldenRules(11)},
-		Pending: &Coming{Version: Version{Number: 8, Rules: goldenRules(21)}, ID: "h1-b", Step: 40,
-			Contradicts: "gold", Mixes: "silver", Hosts: []string{"h1", "h3"}, Lasts: 1234.5},
-		Held: []Held{{Number: 6, Step: 39, Stance: goldenStance(), Hosts: []string{"h2"}, Acting: true,
-			Bound: 1450.25, Lasts: 10450.25}},
-		Seen: map[string]uint64{"h1": 38, "h2": 39},
-		Answered: []Answer{{ID: "h1-a", Outcome: Outcome{Refused: "no", Number: 7, Waits: "it waits",
-			InForce: 6, Again: true}}},
+		Pending: &PendingVersion{Version: Version{Number: 8, Rules: goldenRules(21)}, ProposalID: "h1-b", Step: 40,
+			ConflictingPlan: "gold", OvershootPlan: "silver", Hosts: []string{"h1", "h3"}, FallbackMillis: 1234.5},
+		Superseded: []SupersededVersion{{Number: 6, Step: 39, Fallback: goldenStance(), Hosts: []string{"h2"},
+			MayBeActive:  true,
+			ActiveMillis: 1450.25, FallbackMillis: 10450.25}},
+		AckedSteps: map[string]uint64{"h1": 38, "h2": 39},
+		RecentOutcomes: []ProposalOutcome{{ProposalID: "h1-a", Outcome: Outcome{Rejection: "no", Version: 7,
+			PendingReason: "it waits",
+			Activated:     6, Duplicate: true}}},
 	}
 }
 
 // goldenEntries has by file an entry of each act; the acts are given by their numbers in the log.
-func goldenEntries() map[string]Entry {
+func goldenEntries() map[string]LogEntry {
 	rules := goldenRules(11)
-	return map[string]Entry{
-		"entry-all.json": {Act: 1, ID: "h1-a", Base: 6, Rules: &rules, Host: "h1", Step: 5, Fallbacks: true,
-			Hosts: []HostStep{{Host: "h2", Step: 4}, {Host: "h3", Step: 3}}},
-		"entry-propose.json":  {Act: Propose, ID: "h1-a", Base: 6, Rules: &rules},
-		"entry-withdraw.json": {Act: Withdraw, ID: "h1-b", Base: 7},
-		"entry-seen.json":     {Act: Seen, Host: "h1", Step: 5},
-		"entry-passed.json":   {Act: Passed, Step: 5, Fallbacks: true},
-		"entry-seenall.json": {Act: SeenAll, Hosts: []HostStep{{Host: "h2", Step: 4},
+	return map[string]LogEntry{
+		"entry-all.json": {Type: 1, ID: "h1-a", Base: 6, Rules: &rules, Host: "h1", Step: 5, Fallbacks: true,
+			Acks: []HostAck{{Host: "h2", Step: 4}, {Host: "h3", Step: 3}}},
+		"entry-propose.json":  {Type: EntryPropose, ID: "h1-a", Base: 6, Rules: &rules},
+		"entry-withdraw.json": {Type: EntryWithdraw, ID: "h1-b", Base: 7},
+		"entry-seen.json":     {Type: EntryAck, Host: "h1", Step: 5},
+		"entry-passed.json":   {Type: EntryExpire, Step: 5, Fallbacks: true},
+		"entry-seenall.json": {Type: EntryAckBatch, Acks: []HostAck{{Host: "h2", Step: 4},
 			{Host: "h3", Step: 3}}},
 	}
 }
@@ -121,14 +126,15 @@
 	full := goldenEntries()["entry-all.json"]
 	fullOf(t, "entry", reflect.ValueOf(full))
 	for name, want := range goldenEntries() {
-		got, err := ReadEntry(goldenFile(t, name))
+		got, err := DecodeLogEntry(goldenFile(t, name))
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: decoded to %+v, not to %+v: %v", name, got, want, err)
 		}
-		raw, err := want.Bytes()
+		raw, err := want.Encode()
 		goldenBytes(t, name, raw, err)
 	}
-	for act, number := range map[Act]uint8{Propose: 1, Withdraw: 2, Seen: 3, Passed: 4, SeenAll: 5} {
+	for act, number := range map[EntryType]uint8{EntryPropose: 1, EntryWithdraw: 2, EntryAck: 3, EntryExpire: 4,
+		EntryAckBatch: 5} {
 		if uint8(act) != number {
 			t.Errorf("act %d stands as %d in old logs", act, number)
 		}
@@ -136,28 +142,28 @@
 }
 
 func TestGoldenCouncilSnapshot(t *testing.T) {
-	c := NewCouncil()
+	c := NewStateMachine()
 	err := c.Restore(goldenFile(t, "snapshot.json"))
 	goldenSame(t, "snapshot.json", *c.State(), goldenState(), err)
-	raw, err := (&Council{s: goldenState()}).Snapshot()
+	raw, err := (&StateMachine{state: goldenState()}).Snapshot()
 	goldenBytes(t, "snapshot.json", raw, err)
 }
 
 func TestGoldenLease(t *testing.T) {
 	pending := goldenRules(21)
-	want := Lease{Step: 41, Version: Version{Number: 7, Rules: goldenRules(11)}, Settled: true,
-		Pending: &pending, Age: 12.5}
-	got, err := ReadLease(goldenFile(t, "lease.json"))
+	want := Lease{Step: 41, Version: Version{Number: 7, Rules: goldenRules(11)}, TransitionComplete: true,
+		Pending: &pending, AgeMillis: 12.5}
+	got, err := DecodeLease(goldenFile(t, "lease.json"))
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("decoded to %+v, not to %+v: %v", got, want, err)
 	}
-	raw, err := want.Bytes()
+	raw, err := want.Encode()
 	goldenBytes(t, "lease.json", raw, err)
 }
 
 func TestGoldenBehind(t *testing.T) {
-	want := Behind{Who: "gk1", Index: 5, Highest: 9, For: 3100.5}
-	var got Behind
+	want := LaggingMember{Name: "gk1", Index: 5, HighestIndex: 9, LagMillis: 3100.5}
+	var got LaggingMember
 	err := json.Unmarshal(goldenFile(t, "behind.json"), &got)
 	goldenSame(t, "behind.json", got, want, err)
 	raw, err := json.Marshal(want)
@@ -195,20 +201,20 @@
 	}
 	stored := versioned.New(7, all)
 	fullOf(t, "rules", reflect.ValueOf(goldenRules(11)))
-	if v, err := FromState(stored); err != nil || !reflect.DeepEqual(v, goldenVersion()) {
+	if v, err := VersionFromState(stored); err != nil || !reflect.DeepEqual(v, goldenVersion()) {
 		t.Errorf("decoded to %+v, not to %+v: %v", v, goldenVersion(), err)
 	}
-	if n := LeaseOf(stored); n != 1200 {
+	if n := StateLeaseMillis(stored); n != 1200 {
 		t.Errorf("lease %v, not 1200", n)
 	}
 	v := goldenVersion()
-	s, err := Entries(&v)
+	s, err := VersionToState(&v)
 	goldenBytes(t, "state.cbor.txt", stateText(s), err)
 }
 
 // Interest and HostStep go to relays as arrays, so that the order of their fields is the form.
 func TestGoldenArrays(t *testing.T) {
-	interest, step := Interest{All: true, Host: "h1", Name: "gk1", Around: 3}, HostStep{Host: "h2", Step: 4}
+	interest, step := Interest{All: true, Host: "h1", Name: "gk1", Around: 3}, HostAck{Host: "h2", Step: 4}
 	for _, c := range []struct {
 		name       string
 		got        any
@@ -216,14 +222,14 @@
 		valueOfGot func(any) any
 	}{
 		{"interest.cbor.hex", &Interest{}, interest, func(p any) any { return *p.(*Interest) }},
-		{"hoststep.cbor.hex", &HostStep{}, step, func(p any) any { return *p.(*HostStep) }},
+		{"hoststep.cbor.hex", &HostAck{}, step, func(p any) any { return *p.(*HostAck) }},
 	} {
 		raw, err := hex.DecodeString(string(goldenFile(t, c.name)))
 		if err == nil {
-			err = entryIn.Unmarshal(raw, c.got)
+			err = entryDecMode.Unmarshal(raw, c.got)
 		}
 		goldenSame(t, c.name, c.valueOfGot(c.got), c.want, err)
-		raw, err = entryOut.Marshal(c.want)
+		raw, err = entryEncMode.Marshal(c.want)
 		goldenBytes(t, c.name, []byte(hex.EncodeToString(raw)), err)
 	}
 }
--- a/internal/ruleset/model_check_test.go
+++ b/internal/ruleset/model_check_test.go
@@ -16,14 +16,16 @@
 
 // tick is the unit of the exploration's time, ms: the step of the protocol, so that what was checked at one
 // tick may be written up to the next.
-const tick = step
+const tick = maxWriteDelayMillis
 
 // rules in short: one plan of a ceiling, and who is a member; a dot is a vacant place. A lease is just under
 // two ticks and the fallback goes on for one, so that each runs out between ticks.
 func small(ceiling float64, members string) *Rules {
-	r := &Rules{Form: Form, Bound: MostBound, Lease: 2*tick - 1, Fallback: Fallback{Part: 0.5, For: tick},
-		Plans: []Plan{{Name: "p", Rate: ceiling, Burst: 1, CeilingRate: ceiling, CeilingDepth: ceiling, Credit: 1,
-			Repay: 2000}}}
+	r := &Rules{Format: SupportedFormat, ConflictBoundMillis: DefaultConflictBoundMillis,
+		LeaseMillis: 2*tick - 1, Fallback: Fallback{Fraction: 0.5, DurationMillis: tick},
+		Plans: []Plan{{Name: "p", Rate: ceiling, Burst: 1, CeilingRate: ceiling, CeilingDepth: ceiling,
+			CreditSeconds: 1,
+			RepayMillis:   2000}}}
 	for _, m := range strings.Split(members, "") {
 		if m == "." {
 			r.Members = append(r.Members, Member{})
@@ -37,7 +39,7 @@
 // bare is rules by which one that is cut off has nothing of a ceiling.
 func bare(ceiling float64, members string) *Rules {
 	r := small(ceiling, members)
-	r.Fallback.Part = 0
+	r.Fallback.Fraction = 0
 	return r
 }
 
@@ -60,12 +62,12 @@
 	"mixed at once"}
 
 // early puts in force what waits, where that is the break.
-func (p planted) early(c *Council) bool {
-	coming := c.s.Pending
-	if coming == nil || p != enforcedEarly && (p != mixedAtOnce || coming.Contradicts != "") {
+func (p planted) early(c *StateMachine) bool {
+	coming := c.state.Pending
+	if coming == nil || p != enforcedEarly && (p != mixedAtOnce || coming.ConflictingPlan != "") {
 		return false
 	}
-	c.enforce(false)
+	c.activate(false)
 	return true
 }
 
@@ -79,12 +81,12 @@
 // site is one instance with its host's daemon. All that may be lost is.
 type site struct {
 	name    string
-	holder  *Holder
-	steward *Steward
+	holder  *LeaseHolder
+	steward *HostAgent
 	process int
 	mail    note
-	may     Part // the most that it might write by at this tick
-	might   Part // and might have at the last
+	may     Allowance // the most that it might write by at this tick
+	might   Allowance // and might have at the last
 }
 
 // ended is a version that is not in force any more.
@@ -96,7 +98,7 @@
 // world is one council with all of its sites; clone it to try what may come next.
 type world struct {
 	now     float64
-	council *Council
+	council *StateMachine
 	sites   []site
 	script  []*Rules
 	said    int // proposals of the script that have been made
@@ -108,23 +110,23 @@
 }
 
 func newWorld(plant planted, crashes int, script ...*Rules) *world {
-	w := &world{council: NewCouncil(), script: script[1:], crashes: crashes, plant: plant,
+	w := &world{council: NewStateMachine(), script: script[1:], crashes: crashes, plant: plant,
 		allows: script[0].Plans[0].CeilingRate}
-	if o := w.council.Apply(Entry{Act: Propose, ID: "0", Rules: script[0]}); o.InForce != 1 {
-		panic(o.Refused)
+	if o := w.council.Apply(LogEntry{Type: EntryPropose, ID: "0", Rules: script[0]}); o.Activated != 1 {
+		panic(o.Rejection)
 	}
 	seen := map[string]bool{}
 	for _, r := range script {
 		for _, m := range r.Members {
 			if m.Name != "" && !seen[m.Name] {
 				seen[m.Name] = true
-				w.sites = append(w.sites, site{name: m.Name, holder: NewHolder(m.Name, Rules{}),
-					steward: NewSteward("host-"+m.Name, w.council)})
+				w.sites = append(w.sites, site{name: m.Name, holder: NewLeaseHolder(m.Name, Rules{}),
+					steward: NewHostAgent("host-"+m.Name, w.council)})
 			}
 		}
 	}
 	for i := range w.sites {
-		w.sites[i].steward.Leads(true) // whoever thinks that it leads may say that time has run out
+		w.sites[i].steward.SetLeader(true) // whoever thinks that it leads may say that time has run out
 		w.ask(i)
 		w.deliver(i)
 	}
@@ -134,15 +136,16 @@
 func (w *world) clone() *world {
 	c := *w
 	k := *w.council
-	k.s.Held, k.s.Answered, k.s.Seen = slices.Clone(k.s.Held), nil, maps.Clone(k.s.Seen)
+	k.state.Superseded, k.state.RecentOutcomes, k.state.AckedSteps = slices.Clone(k.state.Superseded), nil,
+		maps.Clone(k.state.AckedSteps)
 	c.council = &k
 	c.sites = slices.Clone(w.sites)
 	c.ended = slices.Clone(w.ended)
 	for i := range c.sites {
 		h, s := *c.sites[i].holder, *c.sites[i].steward
-		h.own = slices.Clone(h.own)
-		s.council = &k
-		s.Warden, s.endings = s.Warden.clone(), slices.Clone(s.endings)
+		h.allowances = slices.Clone(h.allowances)
+		s.machine = &k
+		s.LeaseGrantor, s.expirations = s.LeaseGrantor.clone(), slices.Clone(s.expirations)
 		c.sites[i].holder, c.sites[i].steward = &h, &s
 	}
 	return &c
@@ -151,13 +154,13 @@
 // run has an instance look at its clock and take up what follows.
 func (w *world) run(i int) {
 	s := &w.sites[i]
-	s.holder.Clock(w.now)
+	s.holder.SetTime(w.now)
 	for {
-		d, more := s.holder.Next()
+		d, more := s.holder.NextAction()
 		if !more {
 			break
 		}
-		if d.Kind == Adopt {
+		if d.Kind == ActionAdopt {
 			w.record(i)
 		}
 	}
@@ -165,25 +168,25 @@
 
 // record notes what an instance might write by.
 func (w *world) record(i int) {
-	if s := &w.sites[i]; s.holder.May(w.now) && len(s.holder.terms.Plans) > 0 {
-		s.may = s.may.most(s.holder.terms.Plans[0].Part)
+	if s := &w.sites[i]; s.holder.MayAct(w.now) && len(s.holder.effective.Plans) > 0 {
+		s.may = s.may.max(s.holder.effective.Plans[0].Allowance)
 	}
 }
 
 // ask has a daemon read and answer a question that its instance sends now.
 func (w *world) ask(i int) {
 	s := &w.sites[i]
-	s.steward.Clock(w.now)
-	s.steward.ReadDone(w.now)
-	s.holder.Clock(w.now)
-	holds := s.holder.Holds()
+	s.steward.SetTime(w.now)
+	s.steward.ReadConfirmed(w.now)
+	s.holder.SetTime(w.now)
+	holds := s.holder.AckedStep()
 	if w.plant == heldAtOnce {
 		holds = s.holder.step
 	}
-	if l, ok := s.steward.Asked(s.process, holds); ok {
+	if l, ok := s.steward.GrantLease(s.process, holds); ok {
 		switch w.plant {
 		case raisedAtOnce:
-			l.Settled = true
+			l.TransitionComplete = true
 		case notNarrowed:
 			l.Pending = nil
 		}
@@ -193,28 +196,28 @@
 
 func (w *world) deliver(i int) {
 	s := &w.sites[i]
-	s.holder.Clock(w.now)
+	s.holder.SetTime(w.now)
 	if w.plant == fromReceipt {
-		s.mail.asked, s.mail.lease.Age = w.now, 0
+		s.mail.asked, s.mail.lease.AgeMillis = w.now, 0
 	}
-	s.holder.Heard(s.mail.lease, s.mail.asked)
+	s.holder.ReceiveLease(s.mail.lease, s.mail.asked)
 	w.run(i)
 }
 
 // enter has the council take an entry.
-func (w *world) enter(e Entry) Outcome {
-	old := w.council.s.InForce
+func (w *world) enter(e LogEntry) Outcome {
+	old := w.council.state.InForce
 	o := w.council.Apply(e)
 	if w.plant.early(w.council) {
-		o.InForce = w.council.s.InForce.Number
+		o.Activated = w.council.state.InForce.Number
 	}
-	if o.InForce > 0 {
-		w.ended = append(w.ended, ended{w.now, w.allows, Bound(&old.Rules), old.Number})
-		w.allows = w.council.s.InForce.Rules.Plans[0].CeilingRate
+	if o.Activated > 0 {
+		w.ended = append(w.ended, ended{w.now, w.allows, ConflictBoundMillis(&old.Rules), old.Number})
+		w.allows = w.council.state.InForce.Rules.Plans[0].CeilingRate
 	}
 	for i := range w.sites {
-		w.sites[i].steward.Clock(w.now)
-		w.sites[i].steward.Applied()
+		w.sites[i].steward.SetTime(w.now)
+		w.sites[i].steward.EntriesApplied()
 	}
 	return o
 }
@@ -244,10 +247,10 @@
 		w.ended = slices.DeleteFunc(w.ended, func(e ended) bool { return w.now > e.at+e.bound })
 		for i := range w.sites {
 			s := &w.sites[i]
-			s.might, s.may = s.may, Part{}
+			s.might, s.may = s.may, Allowance{}
 			w.record(i) // by one that stands still
 			w.run(i)    // and by one that does not
-			if s.mail.there && w.now >= s.mail.asked-s.mail.lease.Age+s.mail.lease.Version.Rules.Lease &&
+			if s.mail.there && w.now >= s.mail.asked-s.mail.lease.AgeMillis+s.mail.lease.Version.Rules.LeaseMillis &&
 				w.plant != fromReceipt {
 				s.mail = note{} // it can do nothing any more
 			}
@@ -255,28 +258,28 @@
 		return "tick", true
 	case 1:
 		w.said++
-		o := w.enter(Entry{Act: Propose, ID: fmt.Sprint(w.said), Base: w.council.s.InForce.Number,
+		o := w.enter(LogEntry{Type: EntryPropose, ID: fmt.Sprint(w.said), Base: w.council.state.InForce.Number,
 			Rules: w.script[w.said-1]})
-		return "propose" + o.Refused, o.Refused == ""
+		return "propose" + o.Rejection, o.Rejection == ""
 	case 2: // what the daemons have to say to the council gets there now
 		any := false
 		for i := range w.sites {
 			s := w.sites[i].steward
 			for {
-				s.Clock(w.now)
-				d, more := s.Next()
+				s.SetTime(w.now)
+				d, more := s.NextAction()
 				if !more {
 					break
 				}
-				if d.Kind == Submit {
+				if d.Kind == ActionSubmit {
 					any = true
 					w.enter(d.Entry)
 				}
 			}
-			for k := range s.endings {
-				s.endings[k].told = math.Inf(-1) // it may be said again at any time
+			for k := range s.expirations {
+				s.expirations[k].lastSubmitMillis = math.Inf(-1) // it may be said again at any time
 			}
-			s.told, s.toldStep = math.Inf(-1), 0
+			s.lastAckMillis, s.lastAckStep = math.Inf(-1), 0
 		}
 		return "submit", any
 	}
@@ -296,11 +299,11 @@
 		return "hear " + s.name, true
 	default:
 		w.crashes--
-		s.steward.Ended(s.process)
+		s.steward.ProcessExited(s.process)
 		s.process++
-		s.steward.Began(s.process, false)
-		s.holder, s.mail = NewHolder(s.name, Rules{}), note{}
-		s.may, s.might = Part{}, Part{} // the daemon has seen it end, and with it all that it could write
+		s.steward.ProcessStarted(s.process, false)
+		s.holder, s.mail = NewLeaseHolder(s.name, Rules{}), note{}
+		s.may, s.might = Allowance{}, Allowance{} // the daemon has seen it end, and with it all that it could write
 		return "crash " + s.name, true
 	}
 }
@@ -308,9 +311,9 @@
 // wrong tells what does not hold: what all might write by now is never more than the most that a version
 // allows which is in force, or was until no longer ago than its bound.
 func (w *world) wrong() string {
-	var sum Part
+	var sum Allowance
 	for _, s := range w.sites {
-		sum = sum.plus(s.may.most(s.might))
+		sum = sum.plus(s.may.max(s.might))
 	}
 	allowed := w.allows
 	for _, e := range w.ended {
@@ -318,12 +321,13 @@
 			allowed = max(allowed, e.allows)
 		}
 	}
-	if sum.Rate > allowed*(1+rounding) || sum.Depth > allowed*(1+rounding) || sum.Credit > allowed*(1+rounding) {
+	if sum.Rate > allowed*(1+roundingTolerance) || sum.Depth > allowed*(1+roundingTolerance) ||
+		sum.Credit > allowed*(1+roundingTolerance) {
 		return fmt.Sprintf("all write by %v of %v", sum, allowed)
 	}
 	for _, s := range w.sites {
-		n := s.holder.terms.Version
-		if s.holder.May(w.now) && s.holder.terms.Mode == Leased && n != w.council.s.InForce.Number &&
+		n := s.holder.effective.Version
+		if s.holder.MayAct(w.now) && s.holder.effective.Mode == ModeLeased && n != w.council.state.InForce.Number &&
 			!slices.ContainsFunc(w.ended, func(e ended) bool { return e.number == n }) {
 			return fmt.Sprintf("%s acts on version %d still", s.name, n)
 		}
@@ -347,20 +351,21 @@
 			}
 		}
 	}
-	part := func(p Part) { num(p.Rate); num(p.Credit) }
+	part := func(p Allowance) { num(p.Rate); num(p.Credit) }
 	lease := func(l *Lease) {
 		small(l.Step, l.Version.Number)
-		yes(l.Settled, l.Pending != nil)
+		yes(l.TransitionComplete, l.Pending != nil)
 	}
 	st := w.council.State()
-	small(st.Step, st.InForce.Number, uint64(w.said), uint64(w.crashes), uint64(len(st.Held)), uint64(w.last))
+	small(st.Step, st.InForce.Number, uint64(w.said), uint64(w.crashes), uint64(len(st.Superseded)),
+		uint64(w.last))
 	if yes(st.Pending != nil); st.Pending != nil {
 		small(st.Pending.Step)
 	}
-	for _, h := range st.Held {
+	for _, h := range st.Superseded {
 		small(h.Step)
-		yes(h.Acting)
-		part(h.Stance.Parts[0])
+		yes(h.MayBeActive)
+		part(h.Fallback.Allowances[0])
 	}
 	for _, e := range w.ended {
 		when(e.at, 99*tick)
@@ -368,32 +373,32 @@
 	}
 	for i := range w.sites {
 		s := &w.sites[i]
-		small(st.Seen[s.steward.host], s.steward.lease.Step)
+		small(st.AckedSteps[s.steward.host], s.steward.lease.Step)
 		part(s.may)
 		part(s.might)
 		if yes(s.mail.there); s.mail.there {
 			lease(&s.mail.lease)
-			when(s.mail.asked-s.mail.lease.Age, 99*tick)
+			when(s.mail.asked-s.mail.lease.AgeMillis, 99*tick)
 		}
 		h := s.holder
-		small(uint64(h.mode), h.step, h.version.Number, h.holds, h.next)
-		if h.mode != Bare {
-			when(h.until, 99*tick)
+		small(uint64(h.mode), h.step, h.version.Number, h.ackedStep, h.nextAckStep)
+		if h.mode != ModeNoLease {
+			when(h.leaseExpiryMillis, 99*tick)
 		}
-		when(h.since, tick)
-		yes(h.stale, h.coming != nil)
-		for _, p := range h.own {
+		when(h.nextAckSinceMillis, tick)
+		yes(h.adoptDue, h.pending != nil)
+		for _, p := range h.allowances {
 			part(p)
 		}
 		for _, id := range slices.Sorted(maps.Keys(s.steward.processes)) {
 			p := s.steward.processes[id]
-			yes(p.given)
-			small(p.holds)
+			yes(p.granted)
+			small(p.ackedStep)
 		}
 	}
-	for _, e := range w.sites[0].steward.endings { // all see them at once
+	for _, e := range w.sites[0].steward.expirations { // all see them at once
 		small(e.step)
-		when(e.from, e.last)
+		when(e.startMillis, e.fallbackMillis)
 	}
 	return b
 }
--- a/internal/ruleset/rulefile/golden_test.go
+++ b/internal/ruleset/rulefile/golden_test.go
@@ -15,13 +15,15 @@
 
 func goldenRules() ruleset.Rules {
 	return ruleset.Rules{
-		Form: 1, Needs: []string{"members"},
+		Format: 1, Needs: []string{"members"},
 		Plans: []ruleset.Plan{{Name: "gold", Rate: 11, Burst: 12, CeilingRate: 13, CeilingDepth: 14,
-			Credit: 0.5, Repay: 15000}},
+			CreditSeconds: 0.5, RepayMillis: 15000}},
 		Members: []ruleset.Member{{Name: "gk1", Host: "h1", Peers: "10.0.0.1:7001"}},
-		Words: []ruleset.Word{{Worker: "w1", Hall: "hall1", Barred: true, Drained: true, Weight: 2.5},
-			{Worker: "w2", Hall: "hall2", Weight: 1.5}},
-		Fallback: ruleset.Fallback{Part: 0.25, For: 9000}, Lease: 1200, Bound: 1900,
+		WorkerOverrides: []ruleset.WorkerOverride{{Worker: "w1", Region: "hall1", Barred: true, Drained: true,
+			Weight: 2.5},
+			{Worker: "w2", Region: "hall2", Weight: 1.5}},
+		Fallback: ruleset.Fallback{Fraction: 0.25, DurationMillis: 9000}, LeaseMillis: 1200,
+		ConflictBoundMillis: 1900,
 	}
 }
 
@@ -63,9 +65,10 @@
 // A file need not name what has a value of its own.
 func TestGoldenDefaults(t *testing.T) {
 	got, err := Read(filepath.Join("testdata", "golden", "short.toml"))
-	want := ruleset.Rules{Form: 1, Lease: 1000, Bound: 2000, Fallback: ruleset.Fallback{Part: 0.5, For: 10000},
-		Plans:   []ruleset.Plan{{Name: "gold", Rate: 11, Burst: 12}},
-		Members: []ruleset.Member{{Name: "gk1", Host: "h1"}}}
+	want := ruleset.Rules{Format: 1, LeaseMillis: 1000, ConflictBoundMillis: 2000,
+		Fallback: ruleset.Fallback{Fraction: 0.5, DurationMillis: 10000},
+		Plans:    []ruleset.Plan{{Name: "gold", Rate: 11, Burst: 12}},
+		Members:  []ruleset.Member{{Name: "gk1", Host: "h1"}}}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as\n%+v\nnot as\n%+v\n%v", got, want, err)
 	}
--- a/internal/ruleset/rulefile/rulefile.go
+++ b/internal/ruleset/rulefile/rulefile.go
@@ -14,16 +14,16 @@
 
 // What a file need not name.
 const (
-	Lease   = 1000.0  // ms: with the step and drift it keeps a bound well under two seconds
-	Part    = 0.5     // of a ceiling's part: ceilings may be halved at once, whoever is cut off
-	For     = 10000.0 // ms: longer than a daemon's restart or a new leader takes
-	MostOf  = 4 << 20 // bytes of a file; the longest rules that pass ruleset.Check fit
-	seconds = 1000.0  // ms in one
+	DefaultLeaseMillis      = 1000.0  // ms: with the step and drift it keeps a bound well under two seconds
+	DefaultFallbackFraction = 0.5     // of a ceiling's part: ceilings may be halved at once, whoever is cut off
+	DefaultFallbackMillis   = 10000.0 // ms: longer than a daemon's restart or a new leader takes
+	MaxFileBytes            = 4 << 20 // bytes of a file; the longest rules that pass ruleset.Check fit
+	millisPerSecond         = 1000.0  // ms in one
 )
 
 // file is the rules as their file says them.
-type file struct {
-	Form     int      `toml:"form"`
+type rulesTOML struct {
+	Format   int      `toml:"form"`
 	Needs    []string `toml:"needs"`
 	LeaseMS  float64  `toml:"lease_ms"`
 	BoundMS  float64  `toml:"bound_ms"`
@@ -31,12 +31,12 @@
 		Part  float64 `toml:"part"`
 		ForMS float64 `toml:"for_ms"`
 	} `toml:"fallback"`
-	Plans   []plan   `toml:"plans"`
-	Members []member `toml:"members"`
-	Words   []word   `toml:"words"`
+	Plans           []planTOML     `toml:"plans"`
+	Members         []memberTOML   `toml:"members"`
+	WorkerOverrides []overrideTOML `toml:"words"`
 }
 
-type plan struct {
+type planTOML struct {
 	Name         string  `toml:"name"`
 	Rate         float64 `toml:"rate"`
 	Burst        float64 `toml:"burst"`
@@ -46,15 +46,15 @@
 	RepayS       float64 `toml:"repay_s"`
 }
 
-type member struct {
+type memberTOML struct {
 	Name  string `toml:"name"`
 	Host  string `toml:"host"`
 	Peers string `toml:"peers"`
 }
 
-type word struct {
+type overrideTOML struct {
 	Worker  string  `toml:"worker"`
-	Hall    string  `toml:"hall"`
+	Region  string  `toml:"hall"`
 	Barred  bool    `toml:"barred"`
 	Drained bool    `toml:"drained"`
 	Weight  float64 `toml:"weight"`
@@ -66,58 +66,64 @@
 	if err != nil {
 		return ruleset.Rules{}, err
 	}
-	r, err := Decode(string(raw))
+	rules, err := Decode(string(raw))
 	if err != nil {
 		return ruleset.Rules{}, fmt.Errorf("%s: %w", path, err)
 	}
-	return r, nil
+	return rules, nil
 }
 
 // Decode takes rules from a file's text. An error names the line or the key.
 func Decode(text string) (ruleset.Rules, error) {
-	if len(text) > MostOf {
-		return ruleset.Rules{}, fmt.Errorf("%d bytes are more than %d", len(text), MostOf)
+	if len(text) > MaxFileBytes {
+		return ruleset.Rules{}, fmt.Errorf("%d bytes are more than %d", len(text), MaxFileBytes)
 	}
-	f := file{Form: ruleset.Form, LeaseMS: Lease, BoundMS: ruleset.MostBound}
-	f.Fallback.Part, f.Fallback.ForMS = Part, For
-	if err := strictoml.Decode(text, &f); err != nil {
+	parsed := rulesTOML{Format: ruleset.SupportedFormat, LeaseMS: DefaultLeaseMillis,
+		BoundMS: ruleset.DefaultConflictBoundMillis}
+	parsed.Fallback.Part, parsed.Fallback.ForMS = DefaultFallbackFraction, DefaultFallbackMillis
+	if err := strictoml.Decode(text, &parsed); err != nil {
 		return ruleset.Rules{}, err
 	}
-	r := ruleset.Rules{Form: f.Form, Needs: f.Needs, Lease: f.LeaseMS, Bound: f.BoundMS,
-		Fallback: ruleset.Fallback{Part: f.Fallback.Part, For: f.Fallback.ForMS}}
-	for _, p := range f.Plans {
-		r.Plans = append(r.Plans, ruleset.Plan{Name: p.Name, Rate: p.Rate, Burst: p.Burst,
-			CeilingRate: p.CeilingRate, CeilingDepth: p.CeilingDepth, Credit: p.CreditS, Repay: p.RepayS * seconds})
+	rules := ruleset.Rules{Format: parsed.Format, Needs: parsed.Needs, LeaseMillis: parsed.LeaseMS,
+		ConflictBoundMillis: parsed.BoundMS,
+		Fallback: ruleset.Fallback{Fraction: parsed.Fallback.Part,
+			DurationMillis: parsed.Fallback.ForMS}}
+	for _, plan := range parsed.Plans {
+		rules.Plans = append(rules.Plans, ruleset.Plan{Name: plan.Name, Rate: plan.Rate, Burst: plan.Burst,
+			CeilingRate: plan.CeilingRate, CeilingDepth: plan.CeilingDepth, CreditSeconds: plan.CreditS,
+			RepayMillis: plan.RepayS * millisPerSecond})
 	}
-	for _, m := range f.Members {
-		r.Members = append(r.Members, ruleset.Member(m))
+	for _, member := range parsed.Members {
+		rules.Members = append(rules.Members, ruleset.Member(member))
 	}
-	for _, w := range f.Words {
-		r.Words = append(r.Words, ruleset.Word(w))
+	for _, override := range parsed.WorkerOverrides {
+		rules.WorkerOverrides = append(rules.WorkerOverrides, ruleset.WorkerOverride(override))
 	}
-	if err := ruleset.Check(&r); err != nil {
+	if err := ruleset.Validate(&rules); err != nil {
 		return ruleset.Rules{}, err
 	}
-	return r, nil
+	return rules, nil
 }
 
 // Encode is rules as a file's text, which Decode takes: for operators that change what is in force.
-func Encode(r *ruleset.Rules) (string, error) {
-	f := file{Form: r.Form, Needs: r.Needs, LeaseMS: r.Lease, BoundMS: r.Bound}
-	f.Fallback.Part, f.Fallback.ForMS = r.Fallback.Part, r.Fallback.For
-	for _, p := range r.Plans {
-		f.Plans = append(f.Plans, plan{p.Name, p.Rate, p.Burst, p.CeilingRate, p.CeilingDepth, p.Credit,
-			p.Repay / seconds})
+func Encode(rules *ruleset.Rules) (string, error) {
+	file := rulesTOML{Format: rules.Format, Needs: rules.Needs, LeaseMS: rules.LeaseMillis,
+		BoundMS: rules.ConflictBoundMillis}
+	file.Fallback.Part, file.Fallback.ForMS = rules.Fallback.Fraction, rules.Fallback.DurationMillis
+	for _, plan := range rules.Plans {
+		file.Plans = append(file.Plans, planTOML{plan.Name, plan.Rate, plan.Burst, plan.CeilingRate,
+			plan.CeilingDepth, plan.CreditSeconds,
+			plan.RepayMillis / millisPerSecond})
 	}
-	for _, m := range r.Members {
-		f.Members = append(f.Members, member(m))
+	for _, member := range rules.Members {
+		file.Members = append(file.Members, memberTOML(member))
 	}
-	for _, w := range r.Words {
-		f.Words = append(f.Words, word(w))
+	for _, override := range rules.WorkerOverrides {
+		file.WorkerOverrides = append(file.WorkerOverrides, overrideTOML(override))
 	}
-	var b bytes.Buffer
-	e := toml.NewEncoder(&b)
-	e.Indent = ""
-	err := e.Encode(f)
-	return b.String(), err
+	var text bytes.Buffer
+	encoder := toml.NewEncoder(&text)
+	encoder.Indent = ""
+	err := encoder.Encode(file)
+	return text.String(), err
 }
--- a/internal/ruleset/rulefile/rulefile_test.go
+++ b/internal/ruleset/rulefile/rulefile_test.go
@@ -25,7 +25,7 @@
 		{"[[plans]]\nname = \"p\"\nrate = 5\ncredit_s = 1\n" + least, "plans.p.repay_s"},
 		{least + "peers = \"x\"\n" + least, "members.1.name"},
 		{least + "[[words]]\nbarred = true\n", "words.0.worker"},
-		{strings.Repeat("#", MostOf+1), "more than"},
+		{strings.Repeat("#", MaxFileBytes+1), "more than"},
 		{"", "members"},
 	} {
 		r, err := Decode(c.text)
@@ -52,7 +52,8 @@
 	if err != nil || !reflect.DeepEqual(r, again) {
 		t.Errorf("%v\n%+v\n%+v\n%s", err, r, again, text)
 	}
-	if len(r.Plans) != 2 || len(r.Members) != 3 || len(r.Words) != 2 || r.Plans[0].Repay != 60000 {
+	if len(r.Plans) != 2 || len(r.Members) != 3 || len(r.WorkerOverrides) != 2 ||
+		r.Plans[0].RepayMillis != 60000 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -82,7 +83,7 @@
 	if back, err := Decode(again); err != nil || !reflect.DeepEqual(back, r) {
 		t.Errorf("%v", err)
 	}
-	if len(text) > MostOf/4 || len(again) > MostOf/4 {
+	if len(text) > MaxFileBytes/4 || len(again) > MaxFileBytes/4 {
 		t.Errorf("%d and %d bytes", len(text), len(again))
 	}
 	_, err = Decode(strings.TrimPrefix(text, "needs = [\"members\"]"))
--- a/internal/ruleset/ruleset_test.go
+++ b/internal/ruleset/ruleset_test.go
@@ -10,18 +10,20 @@
 
 // entries are applied one by one; each outcome in short is what the table wants.
 func TestCouncil(t *testing.T) {
-	propose := func(id string, base uint64, r *Rules) Entry {
-		return Entry{Act: Propose, ID: id, Base: base, Rules: r}
+	propose := func(id string, base uint64, r *Rules) LogEntry {
+		return LogEntry{Type: EntryPropose, ID: id, Base: base, Rules: r}
+	}
+	seen := func(host string, step uint64) LogEntry {
+		return LogEntry{Type: EntryAck, Host: "host-" + host, Step: step}
 	}
-	seen := func(host string, step uint64) Entry { return Entry{Act: Seen, Host: "host-" + host, Step: step} }
 	type line struct {
-		e    Entry
+		e    LogEntry
 		want string // in its refusal, or what it waits for, or "vN" of what it has put in force; "" is nothing
 	}
 	bad := small(96, "ab")
 	bad.Plans[0].Burst = -1
 	longer := small(96, "ab")
-	longer.Lease = 1800
+	longer.LeaseMillis = 1800
 	planless := small(96, "ab")
 	planless.Plans = nil
 	first := line{propose("1", 0, small(96, "ab")), "v1"}
@@ -41,44 +43,44 @@
 		"waits for all to see": {first, {propose("2", 1, small(24, "ab")), "waits: fallbacks"}, {seen("a", 3), ""},
 			{propose("3", 1, small(90, "ab")), "agreed already"}, {seen("b", 2), ""}, {seen("b", 3), "v2"}},
 		"waits for its time": {first, {propose("2", 1, small(24, "ab")), "waits: fallbacks"}, {seen("a", 3), ""},
-			{Entry{Act: Passed, Step: 2, Fallbacks: true}, ""}, {Entry{Act: Passed, Step: 3}, ""},
-			{Entry{Act: Passed, Step: 3, Fallbacks: true}, "v2"}},
+			{LogEntry{Type: EntryExpire, Step: 2, Fallbacks: true}, ""}, {LogEntry{Type: EntryExpire, Step: 3}, ""},
+			{LogEntry{Type: EntryExpire, Step: 3, Fallbacks: true}, "v2"}},
 		"one more, and more before that has settled": {first, {propose("2", 1, small(96, "abc")), "v2"},
 			{propose("3", 2, small(96, "abcd")), "waits: who goes by version 1 still"},
-			{Entry{Act: Passed, Step: 4}, "v3"}},
+			{LogEntry{Type: EntryExpire, Step: 4}, "v3"}},
 		"down and up before that has settled": {first, second, {propose("3", 2, small(96, "ab")), "v3"}},
 		"withdrawn": {first, {propose("2", 1, small(24, "ab")), "waits: fallbacks"},
-			{Entry{Act: Withdraw, ID: "w", Base: 1}, ""}, {seen("a", 3), ""}, {seen("b", 3), ""},
+			{LogEntry{Type: EntryWithdraw, ID: "w", Base: 1}, ""}, {seen("a", 3), ""}, {seen("b", 3), ""},
 			{propose("3", 1, small(48, "ab")), "v2"}},
-		"nothing to withdraw": {first, {Entry{Act: Withdraw, ID: "w", Base: 1}, "base: nothing"}},
+		"nothing to withdraw": {first, {LogEntry{Type: EntryWithdraw, ID: "w", Base: 1}, "base: nothing"}},
 		"asked for again as it waits, and once it does not": {first,
 			{propose("2", 1, small(24, "ab")), "waits: fall"}, {propose("2", 1, small(24, "ab")), "waits: fall"},
 			{seen("a", 3), ""}, {seen("b", 3), "v2"}, {propose("2", 1, small(24, "ab")), "again v2"}},
 		"a stranger":           {first, {seen("z", 1), "host:"}},
 		"seen before it is":    {first, {seen("a", 99), "host:"}},
-		"an act not known":     {{Entry{Act: 99}, "act:"}},
+		"an act not known":     {{LogEntry{Type: 99}, "act:"}},
 		"a plan may not go":    {first, {propose("2", 1, planless), "plans.p"}},
 		"no rules, one worker": {{propose("1", 0, nil), "rules:"}},
 	} {
-		c := NewCouncil()
+		c := NewStateMachine()
 		for i, l := range lines {
-			raw, err := l.e.Bytes()
+			raw, err := l.e.Encode()
 			if err != nil {
 				t.Fatal(err)
 			}
-			e, err := ReadEntry(raw)
+			e, err := DecodeLogEntry(raw)
 			if err != nil {
 				t.Fatal(err)
 			}
 			o := c.Apply(e)
-			got := o.Refused
+			got := o.Rejection
 			switch {
-			case o.Again && o.Waits == "":
-				got = fmt.Sprintf("again v%d", o.InForce)
-			case o.Waits != "":
-				got = "waits: " + o.Waits
-			case o.InForce > 0:
-				got = fmt.Sprintf("v%d", o.InForce)
+			case o.Duplicate && o.PendingReason == "":
+				got = fmt.Sprintf("again v%d", o.Activated)
+			case o.PendingReason != "":
+				got = "waits: " + o.PendingReason
+			case o.Activated > 0:
+				got = fmt.Sprintf("v%d", o.Activated)
 			}
 			if !strings.HasPrefix(got, l.want) && !strings.Contains(got, l.want) || l.want == "" && got != "" {
 				t.Errorf("%s, entry %d: %q, not %q", name, i, got, l.want)
@@ -89,50 +91,51 @@
 
 // The state is bounded: of proposals that are remembered, and of fallbacks that may be held.
 func TestBoundedCouncil(t *testing.T) {
-	c := NewCouncil()
+	c := NewStateMachine()
 	refused := ""
-	for i := range 3 * mostAnswers {
-		base := c.s.InForce.Number
-		o := c.Apply(Entry{Act: Propose, ID: fmt.Sprint(i), Base: base, Rules: small(96, "ab")})
-		for _, h := range c.s.Held {
-			c.Apply(Entry{Act: Passed, Step: h.Step})
+	for i := range 3 * maxRecentOutcomes {
+		base := c.state.InForce.Number
+		o := c.Apply(LogEntry{Type: EntryPropose, ID: fmt.Sprint(i), Base: base, Rules: small(96, "ab")})
+		for _, h := range c.state.Superseded {
+			c.Apply(LogEntry{Type: EntryExpire, Step: h.Step})
 		}
-		if o.Refused != "" {
-			refused = o.Refused
+		if o.Rejection != "" {
+			refused = o.Rejection
 		}
 	}
-	if len(c.s.Held) != mostHeld || len(c.s.Answered) != mostAnswers ||
+	if len(c.state.Superseded) != maxSuperseded || len(c.state.RecentOutcomes) != maxRecentOutcomes ||
 		!strings.Contains(refused, "host-a host-b") {
-		t.Errorf("%d held, %d answered, %q", len(c.s.Held), len(c.s.Answered), refused)
+		t.Errorf("%d held, %d answered, %q", len(c.state.Superseded), len(c.state.RecentOutcomes), refused)
 	}
 }
 
 // The promise is derived from the lease, the drift and the step, and stays under two seconds by default.
 func TestBound(t *testing.T) {
 	r := small(1, "a")
-	r.Lease = 1000
-	if b := Bound(r); math.Abs(b-1250.45) > 0.01 || b > MostBound {
+	r.LeaseMillis = 1000
+	if b := ConflictBoundMillis(r); math.Abs(b-1250.45) > 0.01 || b > DefaultConflictBoundMillis {
 		t.Errorf("%v", b)
 	}
 }
 
 func TestContradicts(t *testing.T) {
-	fall := func(c float64, who string) Stance { return fallback(small(c, who)) }
+	fall := func(c float64, who string) AllowanceSet { return fallbackAllowances(small(c, who)) }
 	for _, c := range []struct {
 		name string
-		held []Stance
+		held []AllowanceSet
 		next *Rules
 		want string
 	}{
-		{"half of it", []Stance{fall(96, "ab")}, small(48, "ab"), ""},
-		{"less than half", []Stance{fall(96, "ab")}, small(47, "ab"), "p"},
-		{"one more", []Stance{fall(96, "ab")}, small(96, "abc"), ""},
-		{"one less, who may be cut off", []Stance{fall(96, "abc")}, small(96, "ab"), "p"},
-		{"one less, who knows", []Stance{fall(96, "abc").narrowed(small(96, "ab"))}, small(96, "ab"), ""},
-		{"one in the place of another", []Stance{fall(96, "ab")}, small(96, "cb"), "p"},
-		{"each fits alone, together they do not", []Stance{fall(48, "a"), fall(96, ".b")}, small(60, "...cd"), "p"},
+		{"half of it", []AllowanceSet{fall(96, "ab")}, small(48, "ab"), ""},
+		{"less than half", []AllowanceSet{fall(96, "ab")}, small(47, "ab"), "p"},
+		{"one more", []AllowanceSet{fall(96, "ab")}, small(96, "abc"), ""},
+		{"one less, who may be cut off", []AllowanceSet{fall(96, "abc")}, small(96, "ab"), "p"},
+		{"one less, who knows", []AllowanceSet{fall(96, "abc").narrowed(small(96, "ab"))}, small(96, "ab"), ""},
+		{"one in the place of another", []AllowanceSet{fall(96, "ab")}, small(96, "cb"), "p"},
+		{"each fits alone, together they do not", []AllowanceSet{fall(48, "a"), fall(96, ".b")}, small(60,
+			"...cd"), "p"},
 	} {
-		if got := Contradicts(c.held, c.next); got != c.want {
+		if got := ConflictingPlan(c.held, c.next); got != c.want {
 			t.Errorf("%s: %q", c.name, got)
 		}
 	}
@@ -142,36 +145,38 @@
 // passed over in silence.
 func TestForms(t *testing.T) {
 	r := small(96, "a")
-	l := Lease{Step: 7, Version: Version{3, *r}, Settled: true, Pending: r, Age: 5}
-	raw, err := l.Bytes()
+	l := Lease{Step: 7, Version: Version{3, *r}, TransitionComplete: true, Pending: r, AgeMillis: 5}
+	raw, err := l.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := ReadLease(raw); err != nil || got.Foreign+got.Strange != "" || got.Version.Rules.Plans[0] !=
-		r.Plans[0] || got.Pending == nil || got.Step != 7 || got.Age != 5 {
+	if got, err := DecodeLease(raw); err != nil || got.UnsupportedFeature+got.PendingUnsupportedFeature != "" ||
+		got.Version.Rules.Plans[0] !=
+			r.Plans[0] || got.Pending == nil || got.Step != 7 || got.AgeMillis != 5 {
 		t.Errorf("%+v, %v", got, err)
 	}
-	e, _ := Entry{Act: Propose, Rules: r}.Bytes()
+	e, _ := LogEntry{Type: EntryPropose, Rules: r}.Encode()
 	for old, put := range map[string]string{`"Form":1`: `"Form":2`, `"Needs":null`: `"Needs":["tides"]`,
 		`"Lease":`: `"Tides":1,"Lease":`} {
 		changed := strings.ReplaceAll(string(raw), old, put)
-		got, err := ReadLease([]byte(changed))
-		if changed == string(raw) || err != nil || got.Foreign == "" || got.Strange == "" ||
+		got, err := DecodeLease([]byte(changed))
+		if changed == string(raw) || err != nil || got.UnsupportedFeature == "" ||
+			got.PendingUnsupportedFeature == "" ||
 			got.Version.Number != 3 || len(got.Version.Rules.Plans) > 0 {
 			t.Errorf("%s: %+v, %v", put, got, err)
 		}
-		if _, err := ReadEntry([]byte(strings.ReplaceAll(string(e), old, put))); err == nil {
+		if _, err := DecodeLogEntry([]byte(strings.ReplaceAll(string(e), old, put))); err == nil {
 			t.Errorf("%s: an entry of it is taken", put)
 		}
 	}
-	for _, bad := range []string{"", "{", "[]", `{"Step":-1}`, strings.Repeat(" ", MostBytes+1)} {
-		if _, err := ReadLease([]byte(bad)); err == nil {
+	for _, bad := range []string{"", "{", "[]", `{"Step":-1}`, strings.Repeat(" ", MaxEncodedBytes+1)} {
+		if _, err := DecodeLease([]byte(bad)); err == nil {
 			t.Errorf("%.10q is a lease", bad)
 		}
-		if _, err := ReadEntry([]byte(bad)); err == nil {
+		if _, err := DecodeLogEntry([]byte(bad)); err == nil {
 			t.Errorf("%.10q is an entry", bad)
 		}
-		if err := NewCouncil().Restore([]byte(bad)); err == nil {
+		if err := NewStateMachine().Restore([]byte(bad)); err == nil {
 			t.Errorf("%.10q is a snapshot", bad)
 		}
 	}
@@ -180,62 +185,69 @@
 // A life of one holder, step by step: what it goes by, what part it has, and what it counts.
 func TestHolder(t *testing.T) {
 	v := func(n uint64, c float64, who string) Version { return Version{n, *small(c, who)} } // leases of 499 ms
-	h := NewHolder("a", Rules{Plans: []Plan{{Name: "p", CeilingRate: 96, CeilingDepth: 96}}})
+	h := NewLeaseHolder("a", Rules{Plans: []Plan{{Name: "p", CeilingRate: 96, CeilingDepth: 96}}})
 	later := small(24, "ab")
 	for i, l := range []struct {
 		now    float64
 		lease  *Lease
 		asked  float64
 		want   string // mode, version and part
-		counts Counts
+		counts LeaseCounters
 	}{
-		{0, nil, 0, "bare v0 0", Counts{}},
-		{10, &Lease{Step: 2, Version: v(1, 96, "ab"), Age: 5}, 10, "leased v1 0", Counts{}}, // not settled
-		{20, &Lease{Step: 2, Version: v(1, 96, "ab"), Settled: true, Age: 5}, 20, "leased v1 48", Counts{}},
-		{30, &Lease{Step: 1, Version: v(1, 96, "ab")}, 30, "leased v1 48", Counts{Late: 1}},
-		{30, &Lease{Step: 2, Version: v(1, 96, "ab"), Age: -1}, 30, "leased v1 48", Counts{Late: 1, Bad: 1}},
-		{30, &Lease{Step: 2, Version: v(1, 96, "ab"), Age: math.NaN()}, 30, "leased v1 48",
-			Counts{Late: 1, Bad: 2}},
-		{30, &Lease{Step: 2, Version: v(1, 96, "ab")}, 31, "leased v1 48", Counts{Late: 1, Bad: 3}},
-		{513, nil, 0, "leased v1 48", Counts{Late: 1, Bad: 3}},
-		{514, nil, 0, "cut off v1 24", Counts{Late: 1, Bad: 3, Lapses: 1}}, // 20 - 5 + 499
-		{520, &Lease{Step: 3, Version: v(1, 96, "ab"), Settled: true, Pending: later}, 500, "leased v1 48",
-			Counts{Late: 1, Bad: 3, Lapses: 1}},
-		{999, nil, 0, "cut off v1 12", Counts{Late: 1, Bad: 3, Lapses: 2}}, // the pending one's part
-		{1249, nil, 0, "bare v1 0", Counts{Late: 1, Bad: 3, Lapses: 2}},
+		{0, nil, 0, "bare v0 0", LeaseCounters{}},
+		// not settled
+		{10, &Lease{Step: 2, Version: v(1, 96, "ab"), AgeMillis: 5}, 10, "leased v1 0", LeaseCounters{}},
+		{20, &Lease{Step: 2, Version: v(1, 96, "ab"), TransitionComplete: true, AgeMillis: 5}, 20, "leased v1 48",
+			LeaseCounters{}},
+		{30, &Lease{Step: 1, Version: v(1, 96, "ab")}, 30, "leased v1 48", LeaseCounters{Stale: 1}},
+		{30, &Lease{Step: 2, Version: v(1, 96, "ab"), AgeMillis: -1}, 30, "leased v1 48", LeaseCounters{Stale: 1,
+			Invalid: 1}},
+		{30, &Lease{Step: 2, Version: v(1, 96, "ab"), AgeMillis: math.NaN()}, 30, "leased v1 48",
+			LeaseCounters{Stale: 1, Invalid: 2}},
+		{30, &Lease{Step: 2, Version: v(1, 96, "ab")}, 31, "leased v1 48", LeaseCounters{Stale: 1, Invalid: 3}},
+		{513, nil, 0, "leased v1 48", LeaseCounters{Stale: 1, Invalid: 3}},
+		{514, nil, 0, "cut off v1 24", LeaseCounters{Stale: 1, Invalid: 3, Expirations: 1}}, // 20 - 5 + 499
+		{520, &Lease{Step: 3, Version: v(1, 96, "ab"), TransitionComplete: true, Pending: later}, 500,
+			"leased v1 48",
+			LeaseCounters{Stale: 1, Invalid: 3, Expirations: 1}},
+		// the pending one's part
+		{999, nil, 0, "cut off v1 12", LeaseCounters{Stale: 1, Invalid: 3, Expirations: 2}},
+		{1249, nil, 0, "bare v1 0", LeaseCounters{Stale: 1, Invalid: 3, Expirations: 2}},
 		{1300, &Lease{Step: 3, Version: v(1, 96, "ab"), Pending: later}, 700, "bare v1 0",
-			Counts{Late: 2, Bad: 3, Lapses: 2}}, // its time was up when it came
-		{1300, &Lease{Step: 4, Version: v(1, 96, "ab"), Settled: true, Pending: &Rules{}, Strange: "tides"}, 1290,
-			"leased v1 48", Counts{Late: 2, Bad: 3, Lapses: 2, Strange: 1}},
-		{1789, nil, 0, "cut off v1 0", Counts{Late: 2, Bad: 3, Lapses: 3, Strange: 1}},
+			LeaseCounters{Stale: 2, Invalid: 3, Expirations: 2}}, // its time was up when it came
+		{1300, &Lease{Step: 4, Version: v(1, 96, "ab"), TransitionComplete: true, Pending: &Rules{},
+			PendingUnsupportedFeature: "tides"}, 1290,
+			"leased v1 48", LeaseCounters{Stale: 2, Invalid: 3, Expirations: 2, UnsupportedPending: 1}},
+		{1789, nil, 0, "cut off v1 0", LeaseCounters{Stale: 2, Invalid: 3, Expirations: 3, UnsupportedPending: 1}},
 		{1790, &Lease{Step: 5, Version: v(2, 192, "ab")}, 1790, "leased v2 0",
-			Counts{Late: 2, Bad: 3, Lapses: 3, Strange: 1}},
-		{1791, &Lease{Step: 5, Version: v(2, 192, "ab"), Settled: true}, 1791, "leased v2 96",
-			Counts{Late: 2, Bad: 3, Lapses: 3, Strange: 1}},
+			LeaseCounters{Stale: 2, Invalid: 3, Expirations: 3, UnsupportedPending: 1}},
+		{1791, &Lease{Step: 5, Version: v(2, 192, "ab"), TransitionComplete: true}, 1791, "leased v2 96",
+			LeaseCounters{Stale: 2, Invalid: 3, Expirations: 3, UnsupportedPending: 1}},
 		{1800, &Lease{Step: 6, Version: v(3, 24, "ab")}, 1800, "leased v3 12", // down at once
-			Counts{Late: 2, Bad: 3, Lapses: 3, Strange: 1}},
-		{1900, &Lease{Step: 7, Version: Version{Number: 4}, Foreign: "tides"}, 1900, "cut off v3 6",
-			Counts{Late: 2, Bad: 3, Lapses: 4, Strange: 1, Foreign: 1}},
+			LeaseCounters{Stale: 2, Invalid: 3, Expirations: 3, UnsupportedPending: 1}},
+		{1900, &Lease{Step: 7, Version: Version{Number: 4}, UnsupportedFeature: "tides"}, 1900, "cut off v3 6",
+			LeaseCounters{Stale: 2, Invalid: 3, Expirations: 4, UnsupportedPending: 1, Unsupported: 1}},
 	} {
-		h.Clock(l.now)
+		h.SetTime(l.now)
 		if l.lease != nil {
-			h.Heard(*l.lease, l.asked)
+			h.ReceiveLease(*l.lease, l.asked)
 		}
 		for {
-			d, more := h.Next()
+			d, more := h.NextAction()
 			if !more {
 				break
 			}
-			if d.Kind == Wake && d.At <= l.now {
-				t.Fatalf("line %d: woken at %v", i, d.At)
+			if d.Kind == ActionWake && d.WakeAtMillis <= l.now {
+				t.Fatalf("line %d: woken at %v", i, d.WakeAtMillis)
 			}
 		}
-		c := h.Current()
-		got := fmt.Sprintf("%s v%d %v", c.Mode, c.Version, c.Plans[0].Part.Rate)
-		if got != l.want || h.Counts() != l.counts || !h.May(l.now) {
-			t.Errorf("line %d: %s, %+v, not %s, %+v", i, got, h.Counts(), l.want, l.counts)
+		c := h.Effective()
+		got := fmt.Sprintf("%s v%d %v", c.Mode, c.Version, c.Plans[0].Allowance.Rate)
+		if got != l.want || h.Counters() != l.counts || !h.MayAct(l.now) {
+			t.Errorf("line %d: %s, %+v, not %s, %+v", i, got, h.Counters(), l.want, l.counts)
 		}
-		if i == 2 && !c.Raised || i == 3 && (!h.May(513.9) || h.May(514)) || c.Credit != (c.Mode == Leased) {
+		if i == 2 && !c.AllowanceGrew || i == 3 && (!h.MayAct(513.9) || h.MayAct(514)) ||
+			c.LendingAllowed != (c.Mode == ModeLeased) {
 			t.Errorf("line %d: %+v", i, c)
 		}
 	}
@@ -244,11 +256,11 @@
 		now  float64
 		want uint64
 	}{{1901, 4}, {2149, 4}, {2151, 6}} { // it was cut off at 1900, and went by step 6 from then on
-		if h.Clock(c.now); h.Holds() != c.want {
-			t.Errorf("at %v it holds %d, not %d", c.now, h.Holds(), c.want)
+		if h.SetTime(c.now); h.AckedStep() != c.want {
+			t.Errorf("at %v it holds %d, not %d", c.now, h.AckedStep(), c.want)
 		}
 	}
-	if n := testing.AllocsPerRun(100, func() { h.May(1) }); n > 0 {
+	if n := testing.AllocsPerRun(100, func() { h.MayAct(1) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
@@ -256,61 +268,61 @@
 // What a daemon tells: guards against an age that is too low, a lease past its time, and a host that is said
 // to have seen what one of its processes has not.
 func TestSteward(t *testing.T) {
-	c := NewCouncil()
-	c.Apply(Entry{Act: Propose, ID: "1", Rules: small(96, "ab")}) // step 2, leases of 499 ms
-	s := NewSteward("host-a", c)
-	s.Began(1, true) // it ran before this daemon did
-	said := func() (entries []Entry) {
-		s.Applied()
+	c := NewStateMachine()
+	c.Apply(LogEntry{Type: EntryPropose, ID: "1", Rules: small(96, "ab")}) // step 2, leases of 499 ms
+	s := NewHostAgent("host-a", c)
+	s.ProcessStarted(1, true) // it ran before this daemon did
+	said := func() (entries []LogEntry) {
+		s.EntriesApplied()
 		for {
-			d, more := s.Next()
+			d, more := s.NextAction()
 			if !more {
 				return entries
 			}
-			if d.Kind == Submit {
+			if d.Kind == ActionSubmit {
 				entries = append(entries, d.Entry)
 			}
 		}
 	}
-	if _, ok := s.Asked(2, 0); ok {
+	if _, ok := s.GrantLease(2, 0); ok {
 		t.Error("told before anything was read")
 	}
-	s.Clock(100)
-	s.ReadDone(90)
-	s.Clock(500)
-	if l, ok := s.Asked(2, 0); !ok || l.Age != 410 || !l.Settled || l.Step != 2 {
+	s.SetTime(100)
+	s.ReadConfirmed(90)
+	s.SetTime(500)
+	if l, ok := s.GrantLease(2, 0); !ok || l.AgeMillis != 410 || !l.TransitionComplete || l.Step != 2 {
 		t.Errorf("%+v, %v", l, ok)
 	}
-	s.Clock(589)
-	if _, ok := s.Asked(2, 0); ok {
+	s.SetTime(589)
+	if _, ok := s.GrantLease(2, 0); ok {
 		t.Error("told past its time")
 	}
-	c.Apply(Entry{Act: Propose, ID: "2", Base: 1, Rules: small(24, "ab")}) // step 3, and it waits
-	s.Clock(600)
-	s.ReadDone(595)
-	if l, ok := s.Asked(2, 2); !ok || l.Pending == nil || l.Version.Number != 1 {
+	c.Apply(LogEntry{Type: EntryPropose, ID: "2", Base: 1, Rules: small(24, "ab")}) // step 3, and it waits
+	s.SetTime(600)
+	s.ReadConfirmed(595)
+	if l, ok := s.GrantLease(2, 2); !ok || l.Pending == nil || l.Version.Number != 1 {
 		t.Errorf("%+v, %v", l, ok)
 	}
 	if got := said(); len(got) > 0 {
 		t.Errorf("%+v, though no process has said that it holds it", got)
 	}
-	s.Asked(2, 3)
+	s.GrantLease(2, 3)
 	if got := said(); len(got) > 0 {
 		t.Errorf("%+v, though one from before this daemon has not", got)
 	}
-	s.Ended(1)
+	s.ProcessExited(1)
 	if got := fmt.Sprintf("%+v", said()); !strings.Contains(got, "Host:host-a Step:3") {
 		t.Errorf("%s", got)
 	}
 	if got := said(); len(got) > 0 {
 		t.Errorf("%+v, again at once", got)
 	}
-	c.Apply(Entry{Act: Seen, Host: "host-a", Step: 3})
-	s.Clock(600 + lasts(small(24, "ab")) + 1)
+	c.Apply(LogEntry{Type: EntryAck, Host: "host-a", Step: 3})
+	s.SetTime(600 + fallbackLifetimeMillis(small(24, "ab")) + 1)
 	if got := said(); len(got) > 0 {
 		t.Errorf("%+v, and it does not lead", got)
 	}
-	s.Leads(true)
+	s.SetLeader(true)
 	if got := fmt.Sprintf("%+v", said()); !strings.Contains(got, "Step:3 Fallbacks:true") {
 		t.Errorf("%s", got)
 	}
@@ -322,24 +334,24 @@
 	for _, c := range []struct {
 		ceiling, inForce, all float64 // ms, at most
 	}{{48, 20, 850}, {24, 600, 1400}} {
-		w := &walk{rng: rand.New(rand.NewSource(1)), truth: NewCouncil(), counts: map[string]int{}, calm: 10}
+		w := &walk{rng: rand.New(rand.NewSource(1)), truth: NewStateMachine(), counts: map[string]int{}, calm: 10}
 		w.people("abc")
 		first, second := small(96, "abc"), small(c.ceiling, "abc")
-		first.Lease, second.Lease = 1000, 1000
-		w.commit(Entry{Act: Propose, ID: "1", Rules: first})
+		first.LeaseMillis, second.LeaseMillis = 1000, 1000
+		w.commit(LogEntry{Type: EntryPropose, ID: "1", Rules: first})
 		inForce, settled := 0.0, 0.0
 		for at := 3000.0; w.now < at+5000 && settled == 0; w.now++ {
 			if w.now == at {
-				w.commit(Entry{Act: Propose, ID: "2", Base: 1, Rules: second})
+				w.commit(LogEntry{Type: EntryPropose, ID: "2", Base: 1, Rules: second})
 			}
 			w.pass()
 			w.drive()
-			if inForce == 0 && w.truth.s.InForce.Number == 2 {
+			if inForce == 0 && w.truth.state.InForce.Number == 2 {
 				inForce = w.now - at
 			}
-			all := w.truth.s.Settled()
+			all := w.truth.state.TransitionComplete()
 			for _, s := range w.hosts {
-				all = all && s.holder.terms.Version == 2 && s.holder.terms.Mode == Leased
+				all = all && s.holder.effective.Version == 2 && s.holder.effective.Mode == ModeLeased
 			}
 			if all {
 				settled = w.now - at
@@ -353,41 +365,41 @@
 }
 
 func TestLag(t *testing.T) {
-	l := NewLag()
-	l.Told("a", 5, 0)
-	l.Told("b", 5, 10)
-	l.Told("a", 6, 100)
-	l.Told("c", 2, 110)
-	l.Told("b", 5, 120) // says the same again: it lags since 100 all the same
+	l := NewIndexLag()
+	l.Report("a", 5, 0)
+	l.Report("b", 5, 10)
+	l.Report("a", 6, 100)
+	l.Report("c", 2, 110)
+	l.Report("b", 5, 120) // says the same again: it lags since 100 all the same
 	for _, c := range []struct {
 		now  float64
 		want string
 	}{{200, "[]"}, {1000, "[{c 2 6 1000}]"}, {1200, "[{b 5 6 1100} {c 2 6 1200}]"}} {
-		if got := fmt.Sprint(l.Late(c.now, 999)); got != c.want {
+		if got := fmt.Sprint(l.Lagging(c.now, 999)); got != c.want {
 			t.Errorf("%v: %s", c.now, got)
 		}
 	}
-	l.Told("b", 6, 1300)
-	l.Left("c")
-	if got := l.Late(5000, 999); len(got) > 0 {
+	l.Report("b", 6, 1300)
+	l.Remove("c")
+	if got := l.Lagging(5000, 999); len(got) > 0 {
 		t.Errorf("%v", got)
 	}
-	for i := range 10 * mostHighest {
-		l.Told(fmt.Sprint(i), int64(i), float64(i))
+	for i := range 10 * maxTrackedIndexes {
+		l.Report(fmt.Sprint(i), int64(i), float64(i))
 	}
-	if len(l.first) > mostHighest || len(l.has) > 2*mostMembers {
+	if len(l.firstReportedMillis) > maxTrackedIndexes || len(l.latest) > 2*maxMembers {
 		t.Error("not bounded")
 	}
 }
 
 func BenchmarkMay(b *testing.B) {
-	h := NewHolder("a", Rules{})
-	h.Heard(Lease{Step: 2, Version: Version{1, *small(96, "ab")}, Settled: true}, 0)
-	for _, more := h.Next(); more; _, more = h.Next() {
+	h := NewLeaseHolder("a", Rules{})
+	h.ReceiveLease(Lease{Step: 2, Version: Version{1, *small(96, "ab")}, TransitionComplete: true}, 0)
+	for _, more := h.NextAction(); more; _, more = h.NextAction() {
 	}
 	b.ReportAllocs()
 	for i := range b.N {
-		h.May(float64(i))
+		h.MayAct(float64(i))
 	}
 }
 
@@ -395,17 +407,18 @@
 func BenchmarkApply(b *testing.B) {
 	r := small(96, "a")
 	r.Members = nil
-	for i := range mostMembers {
+	for i := range maxMembers {
 		r.Members = append(r.Members, Member{Name: fmt.Sprint(i), Host: fmt.Sprint(i % 10)})
 	}
-	c := NewCouncil()
+	c := NewStateMachine()
 	b.ReportAllocs()
 	for i := range b.N {
-		if o := c.Apply(Entry{Act: Propose, ID: fmt.Sprint(i), Base: uint64(i), Rules: r}); o.InForce == 0 {
+		if o := c.Apply(LogEntry{Type: EntryPropose, ID: fmt.Sprint(i), Base: uint64(i),
+			Rules: r}); o.Activated == 0 {
 			b.Fatal(o)
 		}
 		for h := range 10 {
-			c.Apply(Entry{Act: Seen, Host: fmt.Sprint(h), Step: c.s.Step})
+			c.Apply(LogEntry{Type: EntryAck, Host: fmt.Sprint(h), Step: c.state.Step})
 		}
 	}
 }
