--- a/internal/ruleset/scaling_test.go
+++ b/internal/ruleset/scaling_test.go
@@ -22,11 +22,12 @@
 
 // many are rules of so many members, one on each host, and five plans.
 func many(n int, ceiling float64) *Rules {
-	r := &Rules{Form: Form, Needs: []string{ManyMembers}, Bound: MostBound, Lease: 1000,
-		Fallback: Fallback{Part: 0.5, For: 10000}}
+	r := &Rules{Format: SupportedFormat, Needs: []string{FeatureManyMembers},
+		ConflictBoundMillis: DefaultConflictBoundMillis, LeaseMillis: 1000,
+		Fallback: Fallback{Fraction: 0.5, DurationMillis: 10000}}
 	for i := range 5 {
 		r.Plans = append(r.Plans, Plan{Name: fmt.Sprintf("plan-%d", i), Rate: ceiling, Burst: 10,
-			CeilingRate: ceiling, CeilingDepth: ceiling, Credit: 1, Repay: 2000})
+			CeilingRate: ceiling, CeilingDepth: ceiling, CreditSeconds: 1, RepayMillis: 2000})
 	}
 	for i := range n {
 		r.Members = append(r.Members, Member{Name: fmt.Sprintf("gk-%04d", i), Host: fmt.Sprintf("host-%04d", i),
@@ -66,20 +67,20 @@
 	return some
 }
 
-func formerNarrowed(s Stance, coming *Rules) Stance {
-	var n Stance
+func formerNarrowed(s AllowanceSet, coming *Rules) AllowanceSet {
+	var n AllowanceSet
 	for _, m := range s.Members {
-		if Place(coming, m.Name) >= 0 {
+		if MemberIndex(coming, m.Name) >= 0 {
 			n.Members = append(n.Members, m)
 		}
 	}
-	for i, p := range s.Parts {
-		n.Parts = append(n.Parts, p.least(Share(coming, i, 0)))
+	for i, p := range s.Allowances {
+		n.Allowances = append(n.Allowances, p.min(LeasedAllowance(coming, i, 0)))
 	}
 	return n
 }
 
-func formerPasses(all []Stance, allowed []Part, next *Rules) string {
+func formerPasses(all []AllowanceSet, allowed []Allowance, next *Rules) string {
 	member := map[string][]int{}
 	var names []string
 	for i, s := range all {
@@ -94,12 +95,12 @@
 		}
 	}
 	for plan := range allowed {
-		var sum Part
+		var sum Allowance
 		for _, n := range names {
-			var worst Part
+			var worst Allowance
 			for _, i := range member[n] {
-				if plan < len(all[i].Parts) {
-					worst = worst.most(all[i].Parts[plan])
+				if plan < len(all[i].Allowances) {
+					worst = worst.max(all[i].Allowances[plan])
 				}
 			}
 			sum = sum.plus(worst)
@@ -113,11 +114,11 @@
 
 // formerWanted is the steward's own reckoning of whether the council gains by a host's word.
 func formerWanted(s *State, host string, step uint64) bool {
-	known, there := s.Seen[host]
+	known, there := s.AckedSteps[host]
 	if !there || step <= known {
 		return false
 	}
-	for _, h := range s.Held {
+	for _, h := range s.Superseded {
 		if slices.Contains(h.Hosts, host) && known < h.Step && h.Step <= step {
 			return true
 		}
@@ -148,24 +149,26 @@
 	for range 20000 {
 		a, b, c := draw(), draw(), draw()
 		was := fmt.Sprint(formerKeep(a, b.Members))
-		if got, want := fmt.Sprint(keep(a, Stance{Members: b.Members})), was; got != want {
+		if got, want := fmt.Sprint(validateMemberIndexes(a, AllowanceSet{Members: b.Members})), was; got != want {
 			t.Fatalf("keep: %s, not %s", got, want)
 		} else if want != "<nil>" {
 			differ["keep"]++
 		}
-		if got, want := hosts(a.Members), formerHosts(a.Members); !reflect.DeepEqual(got, want) {
+		if got, want := memberHosts(a.Members), formerHosts(a.Members); !reflect.DeepEqual(got, want) {
 			t.Fatalf("hosts: %v, not %v", got, want)
 		}
-		got, want := union(hosts(a.Members), hosts(b.Members)), formerUnion(hosts(a.Members), hosts(b.Members))
+		got, want := unionHosts(memberHosts(a.Members), memberHosts(b.Members)),
+			formerUnion(memberHosts(a.Members), memberHosts(b.Members))
 		if !slices.Equal(got, want) {
 			t.Fatalf("union: %v, not %v", got, want)
 		}
-		n := fallback(a).narrowed(b)
-		if want := formerNarrowed(fallback(a), b); !reflect.DeepEqual(n, want) {
+		n := fallbackAllowances(a).narrowed(b)
+		if want := formerNarrowed(fallbackAllowances(a), b); !reflect.DeepEqual(n, want) {
 			t.Fatalf("narrowed: %v, not %v", n, want)
 		}
-		all, allowed := []Stance{normal(c), fallback(a), n, normal(b)}, []Part{Whole(&c.Plans[0]).of(1.5)}
-		x, y := passes(all, allowed, c), formerPasses(all, allowed, c)
+		all, allowed := []AllowanceSet{leasedAllowances(c), fallbackAllowances(a), n, leasedAllowances(b)},
+			[]Allowance{TotalAllowance(&c.Plans[0]).scale(1.5)}
+		x, y := overAllocatedPlan(all, allowed, c), formerPasses(all, allowed, c)
 		if x != y {
 			t.Fatalf("passes: %q, not %q", x, y)
 		} else if x != "" {
@@ -182,7 +185,7 @@
 	rng := rand.New(rand.NewSource(2))
 	met := map[bool]int{}
 	for range 5000 {
-		s := &State{Step: uint64(6 + rng.Intn(4)), Seen: map[string]uint64{}}
+		s := &State{Step: uint64(6 + rng.Intn(4)), AckedSteps: map[string]uint64{}}
 		some := func() (all []string) {
 			for i := range 6 {
 				if rng.Intn(2) == 0 {
@@ -192,17 +195,17 @@
 			return all
 		}
 		for range rng.Intn(3) {
-			s.Held = append(s.Held, Held{Step: uint64(rng.Intn(8)), Hosts: some()})
+			s.Superseded = append(s.Superseded, SupersededVersion{Step: uint64(rng.Intn(8)), Hosts: some()})
 		}
 		if rng.Intn(2) == 0 {
-			s.Pending = &Coming{Step: uint64(rng.Intn(8)), Hosts: some()}
+			s.Pending = &PendingVersion{Step: uint64(rng.Intn(8)), Hosts: some()}
 		}
 		for _, h := range some() {
-			s.Seen[h] = uint64(rng.Intn(6))
+			s.AckedSteps[h] = uint64(rng.Intn(6))
 		}
-		var all, want []HostStep
+		var all, want []HostAck
 		for i := range 6 {
-			all = append(all, HostStep{Host: fmt.Sprint("h", i), Step: uint64(rng.Intn(10))})
+			all = append(all, HostAck{Host: fmt.Sprint("h", i), Step: uint64(rng.Intn(10))})
 		}
 		for _, h := range all {
 			yes := formerWanted(s, h.Host, h.Step) && h.Step <= s.Step
@@ -210,7 +213,7 @@
 				want = append(want, h)
 			}
 		}
-		if got := s.Gains(all); !slices.Equal(got, want) {
+		if got := s.UsefulAcks(all); !slices.Equal(got, want) {
 			t.Fatalf("%+v: %v, not %v", s, got, want)
 		}
 	}
@@ -221,21 +224,21 @@
 
 // Facts of many hosts in one entry come to the same as each in its own; one that is no host keeps none out.
 func TestSeenAll(t *testing.T) {
-	first := Entry{Act: Propose, ID: "1", Rules: small(96, "abc")}
-	next := Entry{Act: Propose, ID: "2", Base: 1, Rules: small(24, "abc")}
-	one, all := NewCouncil(), NewCouncil()
-	for _, c := range []*Council{one, all} {
+	first := LogEntry{Type: EntryPropose, ID: "1", Rules: small(96, "abc")}
+	next := LogEntry{Type: EntryPropose, ID: "2", Base: 1, Rules: small(24, "abc")}
+	one, all := NewStateMachine(), NewStateMachine()
+	for _, c := range []*StateMachine{one, all} {
 		c.Apply(first)
-		if o := c.Apply(next); o.Waits == "" {
+		if o := c.Apply(next); o.PendingReason == "" {
 			t.Fatalf("%+v", o)
 		}
 	}
-	var facts []HostStep
+	var facts []HostAck
 	for _, h := range []string{"host-a", "host-z", "host-b"} {
-		facts = append(facts, HostStep{Host: h, Step: 3})
-		one.Apply(Entry{Act: Seen, Host: h, Step: 3})
+		facts = append(facts, HostAck{Host: h, Step: 3})
+		one.Apply(LogEntry{Type: EntryAck, Host: h, Step: 3})
 	}
-	facts = append(facts, HostStep{Host: "host-c", Step: 99}) // later than anything that was said
+	facts = append(facts, HostAck{Host: "host-c", Step: 99}) // later than anything that was said
 	same := func() {
 		t.Helper()
 		x, _ := one.Snapshot()
@@ -244,30 +247,30 @@
 			t.Fatalf("%s\n%s", x, y)
 		}
 	}
-	pass := func(e Entry) Outcome {
-		raw, err := e.Bytes()
+	pass := func(e LogEntry) Outcome {
+		raw, err := e.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if e, err = ReadEntry(raw); err != nil {
+		if e, err = DecodeLogEntry(raw); err != nil {
 			t.Fatal(err)
 		}
 		return all.Apply(e)
 	}
-	if o := pass(Entry{Act: SeenAll, Hosts: facts}); o.Refused != "" {
+	if o := pass(LogEntry{Type: EntryAckBatch, Acks: facts}); o.Rejection != "" {
 		t.Fatalf("%+v", o)
 	}
 	same()
-	one.Apply(Entry{Act: Seen, Host: "host-c", Step: 3})
-	if o := pass(Entry{Act: SeenAll, Hosts: []HostStep{{Host: "host-c", Step: 3}}}); o.InForce != 2 {
+	one.Apply(LogEntry{Type: EntryAck, Host: "host-c", Step: 3})
+	if o := pass(LogEntry{Type: EntryAckBatch, Acks: []HostAck{{Host: "host-c", Step: 3}}}); o.Activated != 2 {
 		t.Fatalf("%+v", o)
 	}
 	same()
-	if o := pass(Entry{Act: SeenAll, Hosts: []HostStep{{Host: "host-z", Step: 1}}}); o.Refused == "" {
+	if o := pass(LogEntry{Type: EntryAckBatch, Acks: []HostAck{{Host: "host-z", Step: 1}}}); o.Rejection == "" {
 		t.Error("a stranger alone is taken")
 	}
-	o := pass(Entry{Act: SeenAll, Hosts: make([]HostStep, MostSeen+1)})
-	if !strings.Contains(o.Refused, "4001") {
+	o := pass(LogEntry{Type: EntryAckBatch, Acks: make([]HostAck, MaxAcksPerEntry+1)})
+	if !strings.Contains(o.Rejection, "4001") {
 		t.Errorf("%+v", o)
 	}
 }
@@ -279,13 +282,13 @@
 		n     int
 		needs bool
 		want  string
-	}{{500, false, ""}, {501, false, `needs: 501 members`}, {501, true, ""}, {mostMembers, true, ""},
-		{mostMembers + 1, true, "members: 10001 are more"}} {
+	}{{500, false, ""}, {501, false, `needs: 501 members`}, {501, true, ""}, {maxMembers, true, ""},
+		{maxMembers + 1, true, "members: 10001 are more"}} {
 		r := many(c.n, 96)
 		if !c.needs {
 			r.Needs = nil
 		}
-		if err := fmt.Sprint(Check(r)); !strings.Contains(err, c.want) || c.want == "" && err != "<nil>" {
+		if err := fmt.Sprint(Validate(r)); !strings.Contains(err, c.want) || c.want == "" && err != "<nil>" {
 			t.Errorf("%d, %v: %s", c.n, c.needs, err)
 		}
 	}
@@ -295,35 +298,36 @@
 // who stays being taken for one that has moved up: the next change was refused by a key that nobody had
 // touched.
 func TestPlacesOfThoseThatStay(t *testing.T) {
-	for _, needs := range [][]string{{ManyMembers}, nil} {
-		c, id := NewCouncil(), 0
+	for _, needs := range [][]string{{FeatureManyMembers}, nil} {
+		c, id := NewStateMachine(), 0
 		propose := func(ceiling float64, members string) Outcome {
 			r := small(ceiling, members)
 			r.Needs = needs
 			id++
-			return c.Apply(Entry{Act: Propose, ID: fmt.Sprint(id), Base: c.s.InForce.Number, Rules: r})
+			return c.Apply(LogEntry{Type: EntryPropose, ID: fmt.Sprint(id), Base: c.state.InForce.Number, Rules: r})
 		}
 		propose(96, "abc")
-		if o := propose(24, ".bc"); o.Waits == "" {
+		if o := propose(24, ".bc"); o.PendingReason == "" {
 			t.Fatalf("%+v", o)
 		}
 		for _, h := range "abc" {
-			c.Apply(Entry{Act: Seen, Host: "host-" + string(h), Step: 3})
+			c.Apply(LogEntry{Type: EntryAck, Host: "host-" + string(h), Step: 3})
 		}
-		if c.s.InForce.Number != 2 || len(c.s.Held) != 1 {
-			t.Fatalf("%+v", c.s)
+		if c.state.InForce.Number != 2 || len(c.state.Superseded) != 1 {
+			t.Fatalf("%+v", c.state)
 		}
 		raw, err := c.Snapshot()
 		if err != nil || c.Restore(raw) != nil {
 			t.Fatal(err)
 		}
-		if o := propose(20, ".cb"); !strings.Contains(o.Refused, "members.1.name: c has place 2") && needs != nil {
+		if o := propose(20, ".cb"); !strings.Contains(o.Rejection, "members.1.name: c has place 2") &&
+			needs != nil {
 			t.Errorf("it moves: %+v", o)
 		}
 		o := propose(20, ".bcd")
-		if needs != nil && (o.Refused != "" || o.Number != 3) {
+		if needs != nil && (o.Rejection != "" || o.Version != 3) {
 			t.Errorf("%+v", o)
-		} else if needs == nil && !strings.Contains(o.Refused, "members.1.name: b has place 0") {
+		} else if needs == nil && !strings.Contains(o.Rejection, "members.1.name: b has place 0") {
 			t.Errorf("another program than those before takes what they refuse: %+v", o)
 		}
 	}
@@ -340,7 +344,7 @@
 	}},
 	{"keep", func(n int) func() {
 		r := many(n, 96)
-		return func() { _ = keep(r, Stance{Members: r.Members}) }
+		return func() { _ = validateMemberIndexes(r, AllowanceSet{Members: r.Members}) }
 	}},
 	{"hosts, former", func(n int) func() {
 		r := many(n, 96)
@@ -348,40 +352,41 @@
 	}},
 	{"hosts", func(n int) func() {
 		r := many(n, 96)
-		return func() { hosts(r.Members) }
+		return func() { memberHosts(r.Members) }
 	}},
 	{"union, former", func(n int) func() {
-		a, b := hosts(many(n, 96).Members), hosts(many(n, 96).Members)
+		a, b := memberHosts(many(n, 96).Members), memberHosts(many(n, 96).Members)
 		return func() { formerUnion(slices.Clone(a), b) }
 	}},
 	{"union", func(n int) func() {
-		a, b := hosts(many(n, 96).Members), hosts(many(n, 96).Members)
-		return func() { union(slices.Clone(a), b) }
+		a, b := memberHosts(many(n, 96).Members), memberHosts(many(n, 96).Members)
+		return func() { unionHosts(slices.Clone(a), b) }
 	}},
 	{"narrowed, former", func(n int) func() {
-		r, s := many(n, 96), fallback(many(n, 96))
+		r, s := many(n, 96), fallbackAllowances(many(n, 96))
 		return func() { formerNarrowed(s, r) }
 	}},
 	{"narrowed", func(n int) func() {
-		r, s := many(n, 96), fallback(many(n, 96))
+		r, s := many(n, 96), fallbackAllowances(many(n, 96))
 		return func() { s.narrowed(r) }
 	}},
 	{"contradicts, 4 held", func(n int) func() {
 		r := many(n, 96)
-		held := []Stance{fallback(r), fallback(r), fallback(r), fallback(r)}
-		return func() { Contradicts(held, r) }
+		held := []AllowanceSet{fallbackAllowances(r), fallbackAllowances(r), fallbackAllowances(r),
+			fallbackAllowances(r)}
+		return func() { ConflictingPlan(held, r) }
 	}},
 	{"check", func(n int) func() {
 		r := many(n, 96)
 		return func() {
-			if err := Check(r); err != nil {
+			if err := Validate(r); err != nil {
 				panic(err)
 			}
 		}
 	}},
 	{"a change applied, with all hosts' words", func(n int) func() {
-		c, low, high := NewCouncil(), many(n, 24), many(n, 96)
-		c.Apply(Entry{Act: Propose, ID: "first", Rules: high})
+		c, low, high := NewStateMachine(), many(n, 24), many(n, 96)
+		c.Apply(LogEntry{Type: EntryPropose, ID: "first", Rules: high})
 		i := 0
 		return func() {
 			i++
@@ -389,31 +394,31 @@
 			if i%2 == 1 {
 				r = low
 			}
-			c.Apply(Entry{Act: Propose, ID: fmt.Sprint(i), Base: c.s.InForce.Number, Rules: r})
+			c.Apply(LogEntry{Type: EntryPropose, ID: fmt.Sprint(i), Base: c.state.InForce.Number, Rules: r})
 			for range 2 { // the pending one, and then the one in force
-				var facts []HostStep
+				var facts []HostAck
 				for _, m := range r.Members {
-					facts = append(facts, HostStep{Host: m.Host, Step: c.s.Step})
+					facts = append(facts, HostAck{Host: m.Host, Step: c.state.Step})
 				}
-				for some := range slices.Chunk(facts, MostSeen) {
-					c.Apply(Entry{Act: SeenAll, Hosts: some})
+				for some := range slices.Chunk(facts, MaxAcksPerEntry) {
+					c.Apply(LogEntry{Type: EntryAckBatch, Acks: some})
 				}
 			}
-			if len(c.s.Held) > 0 || c.s.Pending != nil {
+			if len(c.state.Superseded) > 0 || c.state.Pending != nil {
 				panic("the change is not over")
 			}
 		}
 	}},
 	{"gains of all hosts' words", func(n int) func() {
-		c, low := NewCouncil(), many(n, 24)
-		c.Apply(Entry{Act: Propose, ID: "first", Rules: many(n, 96)})
-		c.Apply(Entry{Act: Propose, ID: "low", Base: 1, Rules: low})
-		var facts []HostStep
+		c, low := NewStateMachine(), many(n, 24)
+		c.Apply(LogEntry{Type: EntryPropose, ID: "first", Rules: many(n, 96)})
+		c.Apply(LogEntry{Type: EntryPropose, ID: "low", Base: 1, Rules: low})
+		var facts []HostAck
 		for _, m := range low.Members {
-			facts = append(facts, HostStep{Host: m.Host, Step: c.s.Step})
+			facts = append(facts, HostAck{Host: m.Host, Step: c.state.Step})
 		}
 		return func() {
-			if len(c.s.Gains(facts)) != n {
+			if len(c.state.UsefulAcks(facts)) != n {
 				panic("it gains by none")
 			}
 		}
@@ -425,51 +430,52 @@
 	{"restore", func(n int) func() {
 		raw, _ := held4(n).Snapshot()
 		return func() {
-			if err := NewCouncil().Restore(raw); err != nil {
+			if err := NewStateMachine().Restore(raw); err != nil {
 				panic(err)
 			}
 		}
 	}},
 	{"entry read", func(n int) func() {
-		raw, _ := Entry{Act: Propose, ID: "1", Rules: many(n, 96)}.Bytes()
+		raw, _ := LogEntry{Type: EntryPropose, ID: "1", Rules: many(n, 96)}.Encode()
 		return func() {
-			if _, err := ReadEntry(raw); err != nil {
+			if _, err := DecodeLogEntry(raw); err != nil {
 				panic(err)
 			}
 		}
 	}},
 	{"version to entries", func(n int) func() {
 		v := &Version{Number: 1, Rules: *many(n, 96)}
-		return func() { _, _ = Entries(v) }
+		return func() { _, _ = VersionToState(v) }
 	}},
 	{"entries to version", func(n int) func() {
-		s, _ := Entries(&Version{Number: 1, Rules: *many(n, 96)})
-		return func() { _, _ = FromState(s) }
+		s, _ := VersionToState(&Version{Number: 1, Rules: *many(n, 96)})
+		return func() { _, _ = VersionFromState(s) }
 	}},
 	{"index of parts", func(n int) func() {
-		s, _ := Entries(&Version{Number: 1, Rules: *many(n, 96)})
-		return func() { NewIndex(s) }
+		s, _ := VersionToState(&Version{Number: 1, Rules: *many(n, 96)})
+		return func() { NewStateIndex(s) }
 	}},
 	{"part of a gatekeeper, 20 around", func(n int) func() {
-		s, _ := Entries(&Version{Number: 1, Rules: *many(n, 96)})
-		x := NewIndex(s)
+		s, _ := VersionToState(&Version{Number: 1, Rules: *many(n, 96)})
+		x := NewStateIndex(s)
 		return func() { x.Select(Interest{Name: "gk-0050", Around: 20}) }
 	}},
 	{"part to version", func(n int) func() {
-		s, _ := Entries(&Version{Number: 1, Rules: *many(n, 96)})
+		s, _ := VersionToState(&Version{Number: 1, Rules: *many(n, 96)})
 		p := Select(s, Interest{Name: "gk-0050", Around: 20})
-		return func() { _, _ = FromState(p) }
+		return func() { _, _ = VersionFromState(p) }
 	}},
 }
 
 // held4 is a council with four versions that may still be gone by.
-func held4(n int) *Council {
-	c := NewCouncil()
+func held4(n int) *StateMachine {
+	c := NewStateMachine()
 	for i := range 5 {
-		c.Apply(Entry{Act: Propose, ID: fmt.Sprint(i), Base: c.s.InForce.Number, Rules: many(n, 96-float64(i))})
+		c.Apply(LogEntry{Type: EntryPropose, ID: fmt.Sprint(i), Base: c.state.InForce.Number, Rules: many(n,
+			96-float64(i))})
 	}
-	if len(c.s.Held) != 4 {
-		panic(fmt.Sprintf("%d held: %s", len(c.s.Held), c.s.Waits()))
+	if len(c.state.Superseded) != 4 {
+		panic(fmt.Sprintf("%d held: %s", len(c.state.Superseded), c.state.PendingReason()))
 	}
 	return c
 }
@@ -493,7 +499,7 @@
 	r := many(n, 96)
 	rules, _ := json.Marshal(r)
 	snapshot, _ := held4(n).Snapshot()
-	s, _ := Entries(&Version{Number: 1, Rules: *r})
+	s, _ := VersionToState(&Version{Number: 1, Rules: *r})
 	return map[string]int{"rules as JSON": len(rules), "snapshot, 4 held": len(snapshot), "state": s.Bytes(),
 		"part of a gatekeeper, 20 around": Select(s, Interest{Name: "gk-0050", Around: 20}).Bytes()}
 }
@@ -535,7 +541,7 @@
 		}
 	}
 	w.Flush()
-	if err := first(w.Error(), f.Close()); err != nil {
+	if err := firstError(w.Error(), f.Close()); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/ruleset/simulation_test.go
+++ b/internal/ruleset/simulation_test.go
@@ -14,9 +14,9 @@
 // clock of its own that runs fast or slow by as much as the protocol allows for.
 type walker struct {
 	name           string
-	holder         *Holder
-	steward        *Steward
-	council        *Council
+	holder         *LeaseHolder
+	steward        *HostAgent
+	council        *StateMachine
 	applied        int // of the log
 	process        int
 	fast, offset   float64
@@ -27,7 +27,7 @@
 // write is what was checked at a time and may be written up to a step later.
 type write struct {
 	at   float64
-	part Part
+	part Allowance
 	of   uint64 // the version that it is acted on by; 0 where it is not
 }
 
@@ -37,8 +37,8 @@
 type walk struct {
 	rng    *rand.Rand
 	now    float64
-	log    []Entry
-	truth  *Council // all of the log, at the moment of each commit
+	log    []LogEntry
+	truth  *StateMachine // all of the log, at the moment of each commit
 	hosts  []*walker
 	later  []event
 	ended  []ended
@@ -68,31 +68,31 @@
 	}
 }
 
-func (w *walk) commit(e Entry) {
-	old := w.truth.s.InForce
+func (w *walk) commit(e LogEntry) {
+	old := w.truth.state.InForce
 	o := w.truth.Apply(e)
 	w.log = append(w.log, e)
-	if o.Refused != "" {
+	if o.Rejection != "" {
 		w.counts["refused"]++
 	}
-	if o.Waits != "" {
+	if o.PendingReason != "" {
 		w.counts["waited"]++
 	}
 	if w.plant.early(w.truth) {
-		o.InForce = w.truth.s.InForce.Number
+		o.Activated = w.truth.state.InForce.Number
 	}
-	if o.InForce > 0 {
+	if o.Activated > 0 {
 		w.counts["in force"]++
-		w.ended = append(w.ended, ended{w.now, w.allows, Bound(&old.Rules), old.Number})
-		w.allows = w.truth.s.InForce.Rules.Plans[0].CeilingRate
+		w.ended = append(w.ended, ended{w.now, w.allows, ConflictBoundMillis(&old.Rules), old.Number})
+		w.allows = w.truth.state.InForce.Rules.Plans[0].CeilingRate
 	}
 }
 
 func (w *walk) rules() *Rules {
 	members := []string{"abcd", "abc", "ab.d", "a", "ab", ".bc"}
 	r := small([]float64{12, 24, 48, 96, 192}[w.rng.Intn(5)], members[w.rng.Intn(len(members))])
-	r.Lease = 100 + w.rng.Float64()*1500
-	r.Fallback = Fallback{Part: w.rng.Float64(), For: w.rng.Float64() * 3000}
+	r.LeaseMillis = 100 + w.rng.Float64()*1500
+	r.Fallback = Fallback{Fraction: w.rng.Float64(), DurationMillis: w.rng.Float64() * 3000}
 	return r
 }
 
@@ -106,14 +106,14 @@
 			w.instance(s)
 		}
 		// One that stands still, and goes on between two of its own lines, writes what May allows.
-		if s.holder.May(s.clock(w.now)) && len(s.holder.terms.Plans) > 0 {
-			x := write{w.now, s.holder.terms.Plans[0].Part, 0}
-			if s.holder.terms.Mode == Leased {
-				x.of = s.holder.terms.Version
+		if s.holder.MayAct(s.clock(w.now)) && len(s.holder.effective.Plans) > 0 {
+			x := write{w.now, s.holder.effective.Plans[0].Allowance, 0}
+			if s.holder.effective.Mode == ModeLeased {
+				x.of = s.holder.effective.Version
 			}
 			s.writes = append(s.writes, x)
 		}
-		s.writes = slices.DeleteFunc(s.writes, func(x write) bool { return x.at+step < w.now })
+		s.writes = slices.DeleteFunc(s.writes, func(x write) bool { return x.at+maxWriteDelayMillis < w.now })
 	}
 }
 
@@ -121,17 +121,17 @@
 	for s.applied < len(w.log) && w.rng.Intn(3) > 0 {
 		w.apply(s)
 	}
-	s.steward.Clock(s.clock(w.now))
-	s.steward.Leads(w.rng.Intn(2) == 0)
+	s.steward.SetTime(s.clock(w.now))
+	s.steward.SetLeader(w.rng.Intn(2) == 0)
 	for {
-		d, more := s.steward.Next()
+		d, more := s.steward.NextAction()
 		if !more {
 			return
 		}
 		switch d.Kind {
-		case Submit:
+		case ActionSubmit:
 			w.in(func() { w.commit(d.Entry) })
-		case Read:
+		case ActionReadState:
 			steward, began, index := s.steward, s.clock(w.now), len(w.log)
 			w.in(func() {
 				if s.steward != steward || s.still > w.now {
@@ -140,8 +140,8 @@
 				for s.applied < index {
 					w.apply(s)
 				}
-				s.steward.Clock(s.clock(w.now))
-				s.steward.ReadDone(began)
+				s.steward.SetTime(s.clock(w.now))
+				s.steward.ReadConfirmed(began)
 			})
 		}
 	}
@@ -151,19 +151,19 @@
 	s.council.Apply(w.log[s.applied])
 	s.applied++
 	w.plant.early(s.council)
-	s.steward.Clock(s.clock(w.now))
-	s.steward.Applied()
+	s.steward.SetTime(s.clock(w.now))
+	s.steward.EntriesApplied()
 }
 
 func (w *walk) instance(s *walker) {
-	s.holder.Clock(s.clock(w.now))
+	s.holder.SetTime(s.clock(w.now))
 	for {
-		d, more := s.holder.Next()
+		d, more := s.holder.NextAction()
 		if !more {
 			return
 		}
-		if d.Kind == Ask {
-			holder, process, asked, holds := s.holder, s.process, s.clock(w.now), s.holder.Holds()
+		if d.Kind == ActionRequestLease {
+			holder, process, asked, holds := s.holder, s.process, s.clock(w.now), s.holder.AckedStep()
 			if w.plant == heldAtOnce {
 				holds = s.holder.step
 			}
@@ -171,14 +171,14 @@
 				if s.still > w.now || s.process != process { // a daemon knows which of its processes have ended
 					return
 				}
-				s.steward.Clock(s.clock(w.now))
-				l, ok := s.steward.Asked(process, holds)
+				s.steward.SetTime(s.clock(w.now))
+				l, ok := s.steward.GrantLease(process, holds)
 				if !ok {
 					return
 				}
 				switch w.plant {
 				case raisedAtOnce:
-					l.Settled = true
+					l.TransitionComplete = true
 				case notNarrowed:
 					l.Pending = nil
 				}
@@ -186,11 +186,11 @@
 					if s.holder != holder || s.stalled > w.now {
 						return
 					}
-					s.holder.Clock(s.clock(w.now))
+					s.holder.SetTime(s.clock(w.now))
 					if w.plant == fromReceipt {
-						l.Age, asked = 0, s.clock(w.now)
+						l.AgeMillis, asked = 0, s.clock(w.now)
 					}
-					s.holder.Heard(l, asked)
+					s.holder.ReceiveLease(l, asked)
 				})
 			})
 		}
@@ -202,40 +202,41 @@
 	s := w.hosts[w.rng.Intn(len(w.hosts))]
 	switch w.rng.Intn(14) {
 	case 0, 1, 2, 3, 4, 5:
-		w.commit(Entry{Act: Propose, ID: fmt.Sprint(len(w.log)), Base: w.truth.s.InForce.Number, Rules: w.rules()})
+		w.commit(LogEntry{Type: EntryPropose, ID: fmt.Sprint(len(w.log)), Base: w.truth.state.InForce.Number,
+			Rules: w.rules()})
 	case 6:
-		w.commit(Entry{Act: Withdraw, ID: fmt.Sprint(len(w.log)), Base: w.truth.s.InForce.Number})
+		w.commit(LogEntry{Type: EntryWithdraw, ID: fmt.Sprint(len(w.log)), Base: w.truth.state.InForce.Number})
 	case 7, 8, 9:
 		s.stalled = w.now + w.rng.Float64()*4000
 	case 10:
 		s.still = w.now + w.rng.Float64()*4000
 	case 11, 12:
-		s.steward.Ended(s.process)
+		s.steward.ProcessExited(s.process)
 		s.process++
-		s.holder, s.stalled, s.writes = NewHolder(s.name, Rules{}), 0, nil
-		s.steward.Began(s.process, false)
+		s.holder, s.stalled, s.writes = NewLeaseHolder(s.name, Rules{}), 0, nil
+		s.steward.ProcessStarted(s.process, false)
 	default: // the daemon comes back with what its disk has: a snapshot, or nothing
 		raw, err := s.council.Snapshot()
-		if s.council = NewCouncil(); err != nil || s.council.Restore(raw) != nil {
+		if s.council = NewStateMachine(); err != nil || s.council.Restore(raw) != nil {
 			panic("snapshot")
 		}
 		if w.rng.Intn(2) == 0 {
-			s.council, s.applied = NewCouncil(), 0
+			s.council, s.applied = NewStateMachine(), 0
 		}
-		s.steward, s.still = NewSteward("host-"+s.name, s.council), 0
-		s.steward.Began(s.process, true)
-		s.steward.Clock(s.clock(w.now))
-		s.steward.Applied()
+		s.steward, s.still = NewHostAgent("host-"+s.name, s.council), 0
+		s.steward.ProcessStarted(s.process, true)
+		s.steward.SetTime(s.clock(w.now))
+		s.steward.EntriesApplied()
 	}
 }
 
 // people makes a host of each name.
 func (w *walk) people(names string) {
 	for _, n := range strings.Split(names, "") {
-		s := &walker{name: n, holder: NewHolder(n, Rules{}), council: NewCouncil(),
-			fast: 1 + (2*w.rng.Float64()-1)*drift, offset: w.rng.Float64() * 1e6}
-		s.steward = NewSteward("host-"+n, s.council)
-		s.steward.Began(0, false)
+		s := &walker{name: n, holder: NewLeaseHolder(n, Rules{}), council: NewStateMachine(),
+			fast: 1 + (2*w.rng.Float64()-1)*maxClockDrift, offset: w.rng.Float64() * 1e6}
+		s.steward = NewHostAgent("host-"+n, s.council)
+		s.steward.ProcessStarted(0, false)
 		w.hosts = append(w.hosts, s)
 	}
 }
@@ -253,9 +254,10 @@
 
 // walked walks for a time in ms; it gives what is wrong.
 func walked(seed int64, until float64, plant planted) (string, map[string]int) {
-	w := &walk{rng: rand.New(rand.NewSource(seed)), truth: NewCouncil(), counts: map[string]int{}, plant: plant}
+	w := &walk{rng: rand.New(rand.NewSource(seed)), truth: NewStateMachine(), counts: map[string]int{},
+		plant: plant}
 	w.people("abcd")
-	w.commit(Entry{Act: Propose, ID: "first", Rules: w.rules()})
+	w.commit(LogEntry{Type: EntryPropose, ID: "first", Rules: w.rules()})
 	for next := 1000.0; w.now < until; w.now += w.rng.ExpFloat64() * 20 {
 		w.pass()
 		if w.now > next {
@@ -263,13 +265,13 @@
 			next = w.now + w.rng.ExpFloat64()*[]float64{100, 1000, 4000}[w.rng.Intn(3)]
 		}
 		w.drive()
-		var sum Part
+		var sum Allowance
 		w.ended = slices.DeleteFunc(w.ended, func(e ended) bool { return w.now > e.at+e.bound })
 		for _, s := range w.hosts {
-			var most Part
+			var most Allowance
 			for _, x := range s.writes {
-				most = most.most(x.part)
-				if x.of > 0 && x.of != w.truth.s.InForce.Number && !slices.ContainsFunc(w.ended, func(e ended) bool {
+				most = most.max(x.part)
+				if x.of > 0 && x.of != w.truth.state.InForce.Number && !slices.ContainsFunc(w.ended, func(e ended) bool {
 					return e.number == x.of
 				}) {
 					return fmt.Sprintf("at %.0f %s acts on version %d still", w.now, s.name, x.of), w.counts
@@ -281,11 +283,11 @@
 		for _, e := range w.ended {
 			allowed = math.Max(allowed, e.allows)
 		}
-		if sum.Rate > allowed*(1+rounding) || sum.Credit > allowed*(1+rounding) {
+		if sum.Rate > allowed*(1+roundingTolerance) || sum.Credit > allowed*(1+roundingTolerance) {
 			return fmt.Sprintf("at %.0f all write by %v of %v", w.now, sum, allowed), w.counts
 		}
 		w.counts["moments"]++
-		if allowed > 0 && sum.Rate >= allowed*(1-rounding) {
+		if allowed > 0 && sum.Rate >= allowed*(1-roundingTolerance) {
 			w.counts["full"]++
 		}
 	}
--- a/internal/ruleset/version_state.go
+++ b/internal/ruleset/version_state.go
@@ -16,35 +16,36 @@
 // The keys of a version's entries. A part of a version has the header, all plans and all words, and of the
 // members those that its Interest names.
 const (
-	headKey    = "rules"
-	planKey    = "plan/"   // and its place, four digits
-	memberKey  = "member/" // and its place, six digits; vacant places have none
-	wordKey    = "word/"   // and its place, four digits
-	planWide   = 4
-	memberWide = 6
+	headerKey    = "rules"
+	planKey      = "plan/"   // and its place, four digits
+	memberKey    = "member/" // and its place, six digits; vacant places have none
+	overrideKey  = "word/"   // and its place, four digits
+	planDigits   = 4
+	memberDigits = 6
 )
 
 // head is the header of a version's entries. Form and Needs keep their numbers in all forms.
-type head struct {
-	Form     int      `cbor:"1,keyasint"`
-	Needs    []string `cbor:"2,keyasint,omitempty"`
-	Lease    float64  `cbor:"3,keyasint"`
-	Bound    float64  `cbor:"4,keyasint"`
-	Fallback Fallback `cbor:"5,keyasint"`
-	Members  int      `cbor:"6,keyasint"` // places, the vacant ones too
-	Plans    int      `cbor:"7,keyasint"`
-	Words    int      `cbor:"8,keyasint"`
+type versionHeader struct {
+	Format              int      `cbor:"1,keyasint"`
+	Needs               []string `cbor:"2,keyasint,omitempty"`
+	LeaseMillis         float64  `cbor:"3,keyasint"`
+	ConflictBoundMillis float64  `cbor:"4,keyasint"`
+	Fallback            Fallback `cbor:"5,keyasint"`
+	Members             int      `cbor:"6,keyasint"` // places, the vacant ones too
+	Plans               int      `cbor:"7,keyasint"`
+	WorkerOverrides     int      `cbor:"8,keyasint"`
 }
 
 // ErrForeign is of a version that this program does not know whole: what it needs is named.
-var ErrForeign = errors.New("rules that need what is not known here")
+var ErrUnsupported = errors.New("rules that need what is not known here")
 
 var (
-	entryOut = must(cbor.CoreDetEncOptions().EncMode())
-	entryIn  = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
-		TagsMd: cbor.TagsForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, MaxArrayElements: 1024,
+	entryEncMode = must(cbor.CoreDetEncOptions().EncMode())
+	entryDecMode = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF,
+		IndefLength: cbor.IndefLengthForbidden,
+		TagsMd:      cbor.TagsForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, MaxArrayElements: 1024,
 		MaxMapPairs: 64, MaxNestedLevels: 8, UTF8: cbor.UTF8RejectInvalid}.DecMode())
-	headIn = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8,
+	headerDecMode = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 8,
 		UTF8: cbor.UTF8RejectInvalid}.DecMode())
 )
 
@@ -56,134 +57,139 @@
 }
 
 // place is a key with a place, so that keys are in the order of places.
-func place(prefix string, wide, i int) string {
-	n := strconv.Itoa(i)
-	return prefix + strings.Repeat("0", max(wide-len(n), 0)) + n
+func indexedKey(prefix string, digits, index int) string {
+	decimal := strconv.Itoa(index)
+	return prefix + strings.Repeat("0", max(digits-len(decimal), 0)) + decimal
 }
 
 // placed reads the place of a key.
-func placed(prefix string, wide int, key string, places int) (int, error) {
-	i, err := strconv.Atoi(strings.TrimPrefix(key, prefix))
-	if err != nil || i < 0 || i >= places || place(prefix, wide, i) != key {
-		return 0, fmt.Errorf("%s: it is no place of %d", key, places)
+func parseIndexedKey(prefix string, digits int, key string, count int) (int, error) {
+	index, err := strconv.Atoi(strings.TrimPrefix(key, prefix))
+	if err != nil || index < 0 || index >= count || indexedKey(prefix, digits, index) != key {
+		return 0, fmt.Errorf("%s: it is no place of %d", key, count)
 	}
-	return i, nil
+	return index, nil
 }
 
 // Entries is a version as a state: its header, and an entry for each plan, word and member.
-func Entries(v *Version) (*versioned.State, error) {
-	r := &v.Rules
-	all := make([]versioned.Entry, 0, 1+len(r.Plans)+len(r.Members)+len(r.Words))
-	var bad error
+func VersionToState(v *Version) (*versioned.State, error) {
+	rules := &v.Rules
+	entries := make([]versioned.Entry, 0, 1+len(rules.Plans)+len(rules.Members)+len(rules.WorkerOverrides))
+	var encodeErr error
 	add := func(key string, value any) {
-		raw, err := entryOut.Marshal(value)
-		bad = first(bad, err)
-		all = append(all, versioned.Entry{Key: key, Value: raw})
+		raw, err := entryEncMode.Marshal(value)
+		encodeErr = firstError(encodeErr, err)
+		entries = append(entries, versioned.Entry{Key: key, Value: raw})
 	}
-	add(headKey, head{r.Form, r.Needs, r.Lease, r.Bound, r.Fallback, len(r.Members), len(r.Plans), len(r.Words)})
-	for i := range r.Plans {
-		add(place(planKey, planWide, i), &r.Plans[i])
+	add(headerKey, versionHeader{rules.Format, rules.Needs, rules.LeaseMillis, rules.ConflictBoundMillis,
+		rules.Fallback, len(rules.Members), len(rules.Plans), len(rules.WorkerOverrides)})
+	for i := range rules.Plans {
+		add(indexedKey(planKey, planDigits, i), &rules.Plans[i])
 	}
-	for i := range r.Words {
-		add(place(wordKey, planWide, i), &r.Words[i])
+	for i := range rules.WorkerOverrides {
+		add(indexedKey(overrideKey, planDigits, i), &rules.WorkerOverrides[i])
 	}
-	for i := range r.Members {
-		if r.Members[i].Name != "" {
-			add(place(memberKey, memberWide, i), &r.Members[i])
+	for i := range rules.Members {
+		if rules.Members[i].Name != "" {
+			add(indexedKey(memberKey, memberDigits, i), &rules.Members[i])
 		}
 	}
-	if bad != nil {
-		return nil, fmt.Errorf("version %d: %w", v.Number, bad)
+	if encodeErr != nil {
+		return nil, fmt.Errorf("version %d: %w", v.Number, encodeErr)
 	}
-	return versioned.New(v.Number, all), nil
+	return versioned.New(v.Number, entries), nil
 }
 
 // readHead reads a header. What this program does not know is an ErrForeign, and the header is what it knows
 // of it.
-func readHead(s *versioned.State) (head, error) {
-	raw, there := s.Get(headKey)
-	if !there {
-		return head{}, fmt.Errorf("%s: there is none", headKey)
+func decodeHeader(s *versioned.State) (versionHeader, error) {
+	raw, exists := s.Get(headerKey)
+	if !exists {
+		return versionHeader{}, fmt.Errorf("%s: there is none", headerKey)
 	}
-	var h head
-	if err := headIn.Unmarshal(raw, &h); err != nil {
-		return head{}, fmt.Errorf("%s: %w", headKey, err)
+	var header versionHeader
+	if err := headerDecMode.Unmarshal(raw, &header); err != nil {
+		return versionHeader{}, fmt.Errorf("%s: %w", headerKey, err)
 	}
-	if what := Unknown(&Rules{Form: h.Form, Needs: h.Needs}); what != "" {
-		return h, fmt.Errorf("%w: %s", ErrForeign, what)
+	if feature := UnsupportedFeature(&Rules{Format: header.Format, Needs: header.Needs}); feature != "" {
+		return header, fmt.Errorf("%w: %s", ErrUnsupported, feature)
 	}
-	if err := entryIn.Unmarshal(raw, &h); err != nil {
-		return h, fmt.Errorf("%w: %s: %v", ErrForeign, headKey, err)
+	if err := entryDecMode.Unmarshal(raw, &header); err != nil {
+		return header, fmt.Errorf("%w: %s: %v", ErrUnsupported, headerKey, err)
 	}
-	return h, nil
+	return header, nil
 }
 
 // FromState is the version that a state is of, or a part of one. Members has a place for each, and those
 // that the state does not name come out vacant. A state of rules that this program does not know whole is an
 // ErrForeign.
-func FromState(s *versioned.State) (Version, error) {
-	h, err := readHead(s)
+func VersionFromState(s *versioned.State) (Version, error) {
+	header, err := decodeHeader(s)
 	if err != nil {
 		return Version{}, err
 	}
-	for _, n := range []struct {
+	for _, limit := range []struct {
 		key       string
 		have, max int
-	}{{"plans", h.Plans, mostPlans}, {"members", h.Members, mostMembers}, {"words", h.Words, mostWords}} {
-		if n.have < 0 || n.have > n.max {
-			return Version{}, fmt.Errorf("%s: %d are not from 0 to %d", n.key, n.have, n.max)
+	}{{"plans", header.Plans, maxPlans}, {"members", header.Members, maxMembers}, {"words",
+		header.WorkerOverrides, maxWorkerOverrides}} {
+		if limit.have < 0 || limit.have > limit.max {
+			return Version{}, fmt.Errorf("%s: %d are not from 0 to %d", limit.key, limit.have, limit.max)
 		}
 	}
-	v := Version{Number: s.Mark().Number, Rules: Rules{Form: h.Form, Needs: h.Needs, Lease: h.Lease,
-		Bound: h.Bound, Fallback: h.Fallback}}
-	r := &v.Rules
-	r.Plans, r.Words = make([]Plan, h.Plans), make([]Word, h.Words)
-	r.Members = make([]Member, h.Members)
-	plans, words := 0, 0
+	version := Version{Number: s.Mark().Number, Rules: Rules{Format: header.Format, Needs: header.Needs,
+		LeaseMillis:         header.LeaseMillis,
+		ConflictBoundMillis: header.ConflictBoundMillis, Fallback: header.Fallback}}
+	rules := &version.Rules
+	rules.Plans, rules.WorkerOverrides = make([]Plan, header.Plans), make([]WorkerOverride,
+		header.WorkerOverrides)
+	rules.Members = make([]Member, header.Members)
+	plans, overrides := 0, 0
 	for key, raw := range s.All() {
 		var into any
 		i := 0
 		switch {
-		case key == headKey:
+		case key == headerKey:
 			continue
 		case strings.HasPrefix(key, planKey):
-			if i, err = placed(planKey, planWide, key, h.Plans); err == nil {
-				into = &r.Plans[i]
+			if i, err = parseIndexedKey(planKey, planDigits, key, header.Plans); err == nil {
+				into = &rules.Plans[i]
 			}
 			plans++
-		case strings.HasPrefix(key, wordKey):
-			if i, err = placed(wordKey, planWide, key, h.Words); err == nil {
-				into = &r.Words[i]
+		case strings.HasPrefix(key, overrideKey):
+			if i, err = parseIndexedKey(overrideKey, planDigits, key, header.WorkerOverrides); err == nil {
+				into = &rules.WorkerOverrides[i]
 			}
-			words++
+			overrides++
 		case strings.HasPrefix(key, memberKey):
-			if i, err = placed(memberKey, memberWide, key, h.Members); err == nil {
-				into = &r.Members[i]
+			if i, err = parseIndexedKey(memberKey, memberDigits, key, header.Members); err == nil {
+				into = &rules.Members[i]
 			}
 		default:
-			err = fmt.Errorf("%w: an entry %q", ErrForeign, key)
+			err = fmt.Errorf("%w: an entry %q", ErrUnsupported, key)
 		}
 		if err != nil {
 			return Version{}, err
 		}
-		if err := entryIn.Unmarshal(raw, into); err != nil {
-			return Version{}, fmt.Errorf("%w: %s: %v", ErrForeign, key, err)
+		if err := entryDecMode.Unmarshal(raw, into); err != nil {
+			return Version{}, fmt.Errorf("%w: %s: %v", ErrUnsupported, key, err)
 		}
 	}
-	if plans != h.Plans || words != h.Words {
-		return Version{}, fmt.Errorf("%s: %d plans and %d words, not %d and %d", headKey, plans, words, h.Plans,
-			h.Words)
+	if plans != header.Plans || overrides != header.WorkerOverrides {
+		return Version{}, fmt.Errorf("%s: %d plans and %d words, not %d and %d", headerKey, plans, overrides,
+			header.Plans,
+			header.WorkerOverrides)
 	}
-	return v, nil
+	return version, nil
 }
 
 // LeaseOf gives the lease that a state's rules have, ms; 0 where it has none that can be read.
-func LeaseOf(s *versioned.State) float64 {
-	h, err := readHead(s)
-	if err != nil && !errors.Is(err, ErrForeign) || !(h.Lease >= leastLease) {
+func StateLeaseMillis(s *versioned.State) float64 {
+	header, err := decodeHeader(s)
+	if err != nil && !errors.Is(err, ErrUnsupported) || !(header.LeaseMillis >= minLeaseMillis) {
 		return 0
 	}
-	return h.Lease
+	return header.LeaseMillis
 }
 
 // Interest is what of a version one needs. Header, plans and words are needed by all. Members are those of a
@@ -199,7 +205,7 @@
 
 // Check tells what is wrong with an interest that came from elsewhere.
 func (i Interest) Check() error {
-	if len(i.Host) > mostName || len(i.Name) > mostName || i.Around < 0 || i.Around > mostMembers {
+	if len(i.Host) > maxNameBytes || len(i.Name) > maxNameBytes || i.Around < 0 || i.Around > maxMembers {
 		return fmt.Errorf("interest: names of %d and %d bytes, %d around", len(i.Host), len(i.Name), i.Around)
 	}
 	return nil
@@ -207,91 +213,94 @@
 
 // Index finds the members of a state by name and host, so that parts of it can be named and compared for many
 // interests without being made. It is safe for concurrent use.
-type Index struct {
-	state  *versioned.State
-	places int
-	common []versioned.Entry // that all need, by key
-	shared versioned.Digest  // of these
-	bytes  int               // of these
-	member []versioned.Entry // by place; without a key where it is vacant
-	digest []versioned.Digest
-	names  map[string]int32
-	hosts  map[string][]int32
+type StateIndex struct {
+	state         *versioned.State
+	memberCount   int
+	common        []versioned.Entry // that all need, by key
+	commonDigest  versioned.Digest  // of these
+	commonBytes   int               // of these
+	members       []versioned.Entry // by place; without a key where it is vacant
+	memberDigests []versioned.Digest
+	indexByName   map[string]int32
+	indexesByHost map[string][]int32
 }
 
 // NewIndex makes one of a state. One whose header can't be read has the entries that all need alone, which
 // is how rules of a later form go through.
-func NewIndex(s *versioned.State) *Index {
-	h, _ := readHead(s)
-	x := &Index{state: s, places: min(max(h.Members, 0), mostMembers)}
-	x.names, x.hosts = make(map[string]int32, x.places), make(map[string][]int32, x.places)
-	x.member, x.digest = make([]versioned.Entry, x.places), make([]versioned.Digest, x.places)
+func NewStateIndex(s *versioned.State) *StateIndex {
+	header, _ := decodeHeader(s)
+	x := &StateIndex{state: s, memberCount: min(max(header.Members, 0), maxMembers)}
+	x.indexByName, x.indexesByHost = make(map[string]int32, x.memberCount), make(map[string][]int32,
+		x.memberCount)
+	x.members, x.memberDigests = make([]versioned.Entry, x.memberCount), make([]versioned.Digest, x.memberCount)
 	for key, raw := range s.All() {
-		e := versioned.Entry{Key: key, Value: raw}
+		entry := versioned.Entry{Key: key, Value: raw}
 		if !strings.HasPrefix(key, memberKey) {
-			x.common = append(x.common, e)
-			x.shared, x.bytes = x.shared.Plus(e.Digest()), x.bytes+len(key)+len(raw)
+			x.common = append(x.common, entry)
+			x.commonDigest, x.commonBytes = x.commonDigest.Plus(entry.Digest()), x.commonBytes+len(key)+len(raw)
 			continue
 		}
-		i, err := placed(memberKey, memberWide, key, x.places)
+		i, err := parseIndexedKey(memberKey, memberDigits, key, x.memberCount)
 		var m Member
-		if err == nil && headIn.Unmarshal(raw, &m) == nil {
-			x.member[i], x.digest[i] = e, e.Digest()
-			x.names[m.Name] = int32(i)
-			x.hosts[m.Host] = append(x.hosts[m.Host], int32(i))
+		if err == nil && headerDecMode.Unmarshal(raw, &m) == nil {
+			x.members[i], x.memberDigests[i] = entry, entry.Digest()
+			x.indexByName[m.Name] = int32(i)
+			x.indexesByHost[m.Host] = append(x.indexesByHost[m.Host], int32(i))
 		}
 	}
 	return x
 }
 
 // Portion is a part of a state, by the places of its members. It is immutable.
-type Portion struct {
-	of     *Index
-	all    bool    // it is the state itself, whatever is in it
-	places []int32 // of those that it has, in their order
-	mark   versioned.Mark
-	bytes  int
+type StateSubset struct {
+	index         *StateIndex
+	all           bool    // it is the state itself, whatever is in it
+	memberIndexes []int32 // of those that it has, in their order
+	mark          versioned.Mark
+	bytes         int
 }
 
 // Portion gives the part that an interest needs, under the state's own number. A part of a part is what it
 // would be of the whole, where the first has all that the second needs.
-func (x *Index) Portion(in Interest) *Portion {
-	p := &Portion{of: x}
-	switch i, there := x.names[in.Name]; {
-	case in.All:
-		p.all, p.mark, p.bytes = true, x.state.Mark(), x.state.Bytes()
-		return p
-	case there && in.Name != "":
-		p.near(i, in.Around)
-	}
-	if in.Host != "" {
-		for _, i := range x.hosts[in.Host] {
-			p.near(i, in.Around)
+func (x *StateIndex) Subset(interest Interest) *StateSubset {
+	subset := &StateSubset{index: x}
+	switch i, found := x.indexByName[interest.Name]; {
+	case interest.All:
+		subset.all, subset.mark, subset.bytes = true, x.state.Mark(), x.state.Bytes()
+		return subset
+	case found && interest.Name != "":
+		subset.addNeighbours(i, interest.Around)
+	}
+	if interest.Host != "" {
+		for _, i := range x.indexesByHost[interest.Host] {
+			subset.addNeighbours(i, interest.Around)
 		}
 	}
-	slices.Sort(p.places)
-	p.places = slices.Compact(p.places)
-	p.mark, p.bytes = versioned.Mark{Number: x.state.Mark().Number, Digest: x.shared}, x.bytes
-	for _, i := range p.places {
-		e := x.member[i]
-		p.mark.Digest, p.bytes = p.mark.Digest.Plus(x.digest[i]), p.bytes+len(e.Key)+len(e.Value)
+	slices.Sort(subset.memberIndexes)
+	subset.memberIndexes = slices.Compact(subset.memberIndexes)
+	subset.mark, subset.bytes = versioned.Mark{Number: x.state.Mark().Number, Digest: x.commonDigest},
+		x.commonBytes
+	for _, i := range subset.memberIndexes {
+		entry := x.members[i]
+		subset.mark.Digest, subset.bytes = subset.mark.Digest.Plus(x.memberDigests[i]),
+			subset.bytes+len(entry.Key)+len(entry.Value)
 	}
-	return p
+	return subset
 }
 
 // near adds the members around a place on the ring.
-func (p *Portion) near(centre int32, around int) {
-	n := p.of.places
-	around = min(max(around, 0), n/2)
+func (p *StateSubset) addNeighbours(centre int32, around int) {
+	memberCount := p.index.memberCount
+	around = min(max(around, 0), memberCount/2)
 	for i := int(centre) - around; i <= int(centre)+around; i++ {
-		if at := ((i % n) + n) % n; p.of.member[at].Key != "" {
-			p.places = append(p.places, int32(at))
+		if index := ((i % memberCount) + memberCount) % memberCount; p.index.members[index].Key != "" {
+			p.memberIndexes = append(p.memberIndexes, int32(index))
 		}
 	}
 }
 
 // Mark names the part; nil has none.
-func (p *Portion) Mark() versioned.Mark {
+func (p *StateSubset) Mark() versioned.Mark {
 	if p == nil {
 		return versioned.Mark{}
 	}
@@ -299,67 +308,68 @@
 }
 
 // Bytes is the size of its keys and values.
-func (p *Portion) Bytes() int { return p.bytes }
+func (p *StateSubset) Bytes() int { return p.bytes }
 
 // entries are all of its entries, by key where the state's own keys are in order with the members' places.
-func (p *Portion) entries() []versioned.Entry {
+func (p *StateSubset) entries() []versioned.Entry {
 	if p == nil {
 		return nil
 	}
-	all := make([]versioned.Entry, 0, len(p.of.common)+len(p.places))
-	all = append(all, p.of.common...)
-	for _, i := range p.places {
-		all = append(all, p.of.member[i])
+	entries := make([]versioned.Entry, 0, len(p.index.common)+len(p.memberIndexes))
+	entries = append(entries, p.index.common...)
+	for _, i := range p.memberIndexes {
+		entries = append(entries, p.index.members[i])
 	}
-	slices.SortFunc(all, func(a, b versioned.Entry) int { return strings.Compare(a.Key, b.Key) })
-	return all
+	slices.SortFunc(entries, func(a, b versioned.Entry) int { return strings.Compare(a.Key, b.Key) })
+	return entries
 }
 
 // State makes the part a state; of nil there is none.
-func (p *Portion) State() *versioned.State {
+func (p *StateSubset) State() *versioned.State {
 	switch {
 	case p == nil:
 		return nil
 	case p.all:
-		return p.of.state
+		return p.index.state
 	}
 	return versioned.New(p.mark.Number, p.entries())
 }
 
 // Since is the delta that makes the part of another one, or of nothing where that is nil.
-func (p *Portion) Since(from *Portion) *versioned.Delta {
+func (p *StateSubset) DeltaFrom(from *StateSubset) *versioned.Delta {
 	if p.all || from != nil && from.all {
 		return versioned.Between(from.State(), p.State())
 	}
-	d := &versioned.Delta{From: from.Mark(), To: p.mark}
+	delta := &versioned.Delta{From: from.Mark(), To: p.mark}
 	if from == nil {
-		d.Set = p.entries()
-		return d
+		delta.Set = p.entries()
+		return delta
 	}
-	if from.of != p.of {
-		d.Set, d.Drop = changes(d.Set, d.Drop, from.of.common, p.of.common)
+	if from.index != p.index {
+		delta.Set, delta.Drop = appendChanges(delta.Set, delta.Drop, from.index.common, p.index.common)
 	}
-	had := from.places
-	for _, i := range p.places {
-		for ; len(had) > 0 && had[0] < i; had = had[1:] {
-			d.Drop = append(d.Drop, from.of.member[had[0]].Key)
+	previous := from.memberIndexes
+	for _, i := range p.memberIndexes {
+		for ; len(previous) > 0 && previous[0] < i; previous = previous[1:] {
+			delta.Drop = append(delta.Drop, from.index.members[previous[0]].Key)
 		}
-		same := len(had) > 0 && had[0] == i
-		if same {
-			had = had[1:]
+		unchanged := len(previous) > 0 && previous[0] == i
+		if unchanged {
+			previous = previous[1:]
 		}
-		if e := p.of.member[i]; !same || from.of.digest[i] != p.of.digest[i] {
-			d.Set = append(d.Set, e)
+		if entry := p.index.members[i]; !unchanged || from.index.memberDigests[i] != p.index.memberDigests[i] {
+			delta.Set = append(delta.Set, entry)
 		}
 	}
-	for _, i := range had {
-		d.Drop = append(d.Drop, from.of.member[i].Key)
+	for _, i := range previous {
+		delta.Drop = append(delta.Drop, from.index.members[i].Key)
 	}
-	return d
+	return delta
 }
 
 // changes adds what makes some entries of others, both by key.
-func changes(set []versioned.Entry, drop []string, from, to []versioned.Entry) ([]versioned.Entry, []string) {
+func appendChanges(set []versioned.Entry, drop []string, from, to []versioned.Entry) ([]versioned.Entry,
+	[]string) {
 	for _, e := range to {
 		for ; len(from) > 0 && from[0].Key < e.Key; from = from[1:] {
 			drop = append(drop, from[0].Key)
@@ -380,17 +390,17 @@
 }
 
 // Select gives the part of the state that an interest needs; see Portion.
-func (x *Index) Select(in Interest) *versioned.State {
-	if in.All {
+func (x *StateIndex) Select(interest Interest) *versioned.State {
+	if interest.All {
 		return x.state
 	}
-	return x.Portion(in).State()
+	return x.Subset(interest).State()
 }
 
 // Select gives the part of a state that an interest needs; see Index.Select.
-func Select(s *versioned.State, in Interest) *versioned.State {
-	if in.All {
+func Select(s *versioned.State, interest Interest) *versioned.State {
+	if interest.All {
 		return s
 	}
-	return NewIndex(s).Select(in)
+	return NewStateIndex(s).Select(interest)
 }
--- a/internal/ruleset/version_state_test.go
+++ b/internal/ruleset/version_state_test.go
@@ -28,7 +28,8 @@
 		r.Plans = append(r.Plans, Plan{Name: fmt.Sprint("p", i), Rate: rapid.Float64Range(0, 1e6).Draw(t, "rate")})
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, "words") {
-		r.Words = append(r.Words, Word{Worker: fmt.Sprint("w", i), Barred: rapid.Bool().Draw(t, "barred"),
+		r.WorkerOverrides = append(r.WorkerOverrides, WorkerOverride{Worker: fmt.Sprint("w", i),
+			Barred: rapid.Bool().Draw(t, "barred"),
 			Weight: float64(rapid.IntRange(0, 2).Draw(t, "weight"))})
 	}
 	return r
@@ -39,27 +40,27 @@
 func TestVersionsAsEntries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := Version{Number: 7, Rules: *drawRules(t)}
-		if v.Rules.Words == nil { // as an empty list comes back
-			v.Rules.Words = []Word{}
+		if v.Rules.WorkerOverrides == nil { // as an empty list comes back
+			v.Rules.WorkerOverrides = []WorkerOverride{}
 		}
-		s, err := Entries(&v)
+		s, err := VersionToState(&v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := FromState(s); err != nil || !reflect.DeepEqual(got, v) {
+		if got, err := VersionFromState(s); err != nil || !reflect.DeepEqual(got, v) {
 			t.Fatalf("%v\n%+v\n%+v", err, got, v)
 		}
-		if again, _ := Entries(&v); again.Mark() != s.Mark() || s.Mark().Number != 7 {
+		if again, _ := VersionToState(&v); again.Mark() != s.Mark() || s.Mark().Number != 7 {
 			t.Fatal("the same has another mark")
 		}
-		if l := LeaseOf(s); l != v.Rules.Lease {
+		if l := StateLeaseMillis(s); l != v.Rules.LeaseMillis {
 			t.Fatalf("a lease of %v", l)
 		}
 		n := len(v.Rules.Members)
 		in := Interest{Host: rapid.SampledFrom([]string{"", "h0", "h1", "nowhere"}).Draw(t, "of"),
 			Name:   rapid.SampledFrom([]string{"", "g0", "g3", "g13", "nobody"}).Draw(t, "name"),
 			Around: rapid.IntRange(0, 20).Draw(t, "around")}
-		part, err := FromState(Select(s, in))
+		part, err := VersionFromState(Select(s, in))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,7 +75,7 @@
 			if want := (Member{}); near && part.Rules.Members[i] != m || !near && part.Rules.Members[i] != want {
 				t.Fatalf("%+v: place %d is %+v of %+v", in, i, part.Rules.Members[i], v.Rules.Members)
 			}
-			if m.Name != "" && m.Name == in.Name && Place(&part.Rules, m.Name) != i {
+			if m.Name != "" && m.Name == in.Name && MemberIndex(&part.Rules, m.Name) != i {
 				t.Fatal("it has another place")
 			}
 		}
@@ -99,8 +100,8 @@
 	a, b := many(1000, 96), many(1000, 96)
 	b.Members[500].Peers = "10.9.9.9:1"
 	b.Members[501] = Member{}
-	x, _ := Entries(&Version{Number: 1, Rules: *a})
-	y, _ := Entries(&Version{Number: 2, Rules: *b})
+	x, _ := VersionToState(&Version{Number: 1, Rules: *a})
+	y, _ := VersionToState(&Version{Number: 2, Rules: *b})
 	d := versioned.Between(x, y)
 	if len(d.Set) != 1 || !slices.Equal(d.Drop, []string{"member/000501"}) {
 		t.Errorf("%+v", d)
@@ -109,13 +110,13 @@
 
 // Entries that are no version are refused by key, and those of a later program are named as that.
 func TestEntriesThatAreNoVersion(t *testing.T) {
-	good, err := Entries(&Version{Number: 1, Rules: *small(96, "ab")})
+	good, err := VersionToState(&Version{Number: 1, Rules: *small(96, "ab")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw := func(v any) []byte { return must(entryOut.Marshal(v)) }
-	headOf := func(change func(h *head)) []byte {
-		h, _ := readHead(good)
+	raw := func(v any) []byte { return must(entryEncMode.Marshal(v)) }
+	headOf := func(change func(h *versionHeader)) []byte {
+		h, _ := decodeHeader(good)
 		change(&h)
 		return raw(h)
 	}
@@ -125,7 +126,7 @@
 		want    string
 		foreign bool
 	}{
-		"no header":       {drop: headKey, want: "rules: there is none"},
+		"no header":       {drop: headerKey, want: "rules: there is none"},
 		"a plan is lost":  {drop: "plan/0000", want: "rules: 0 plans"},
 		"a plan too many": {set: versioned.Entry{Key: "plan/0001", Value: raw(Plan{Name: "q"})}, want: "plan/0001"},
 		"no such place": {set: versioned.Entry{Key: "member/000009", Value: raw(Member{Name: "z"})},
@@ -136,17 +137,18 @@
 		"a strange entry": {set: versioned.Entry{Key: "tenant/1"}, want: "tenant/1", foreign: true},
 		"a strange field": {set: versioned.Entry{Key: "member/000000", Value: raw(map[int]any{1: "a", 9: 1})},
 			want: "member/000000", foreign: true},
-		"a later form": {set: versioned.Entry{Key: headKey, Value: headOf(func(h *head) { h.Form = 2 })},
+		"a later form": {set: versioned.Entry{Key: headerKey,
+			Value: headOf(func(h *versionHeader) { h.Format = 2 })},
 			want: "form 2", foreign: true},
-		"a later need": {set: versioned.Entry{Key: headKey,
-			Value: headOf(func(h *head) { h.Needs = []string{"wings"} })}, want: "wings", foreign: true},
-		"a header of a later program": {set: versioned.Entry{Key: headKey,
-			Value: raw(map[int]any{1: Form, 99: true})}, want: "rules", foreign: true},
-		"too many members": {set: versioned.Entry{Key: headKey,
-			Value: headOf(func(h *head) { h.Members = mostMembers + 1 })}, want: "members: 10001"},
-		"fewer than none": {set: versioned.Entry{Key: headKey,
-			Value: headOf(func(h *head) { h.Words = -1 })}, want: "words: -1"},
-		"no header at all": {set: versioned.Entry{Key: headKey, Value: []byte{0xff}}, want: "rules: "},
+		"a later need": {set: versioned.Entry{Key: headerKey,
+			Value: headOf(func(h *versionHeader) { h.Needs = []string{"wings"} })}, want: "wings", foreign: true},
+		"a header of a later program": {set: versioned.Entry{Key: headerKey,
+			Value: raw(map[int]any{1: SupportedFormat, 99: true})}, want: "rules", foreign: true},
+		"too many members": {set: versioned.Entry{Key: headerKey,
+			Value: headOf(func(h *versionHeader) { h.Members = maxMembers + 1 })}, want: "members: 10001"},
+		"fewer than none": {set: versioned.Entry{Key: headerKey,
+			Value: headOf(func(h *versionHeader) { h.WorkerOverrides = -1 })}, want: "words: -1"},
+		"no header at all": {set: versioned.Entry{Key: headerKey, Value: []byte{0xff}}, want: "rules: "},
 	} {
 		var all []versioned.Entry
 		for k, v := range good.All() {
@@ -158,60 +160,60 @@
 			all = append(all, c.set)
 		}
 		s := versioned.New(1, all)
-		_, err := FromState(s)
-		if err == nil || !strings.Contains(err.Error(), c.want) || errors.Is(err, ErrForeign) != c.foreign {
+		_, err := VersionFromState(s)
+		if err == nil || !strings.Contains(err.Error(), c.want) || errors.Is(err, ErrUnsupported) != c.foreign {
 			t.Errorf("%s: %v", name, err)
 		}
 		Select(s, Interest{Name: "a", Around: 3}) // it goes through, whatever it is
-		LeaseOf(s)
+		StateLeaseMillis(s)
 	}
 }
 
 // A part of rules has vacant places where others have members; Check would refuse it for that alone.
 func TestCheckPart(t *testing.T) {
-	s, _ := Entries(&Version{Number: 1, Rules: *small(96, "abc")})
+	s, _ := VersionToState(&Version{Number: 1, Rules: *small(96, "abc")})
 	for _, in := range []Interest{{Name: "a"}, {}} {
-		v, err := FromState(Select(s, in))
-		if err != nil || CheckPart(&v.Rules) != nil || Check(&v.Rules) == nil {
-			t.Errorf("%v, %v, %v", err, CheckPart(&v.Rules), Check(&v.Rules))
+		v, err := VersionFromState(Select(s, in))
+		if err != nil || ValidateSubset(&v.Rules) != nil || Validate(&v.Rules) == nil {
+			t.Errorf("%v, %v, %v", err, ValidateSubset(&v.Rules), Validate(&v.Rules))
 		}
 	}
 	bad := small(-1, "a")
-	if CheckPart(bad) == nil {
+	if ValidateSubset(bad) == nil {
 		t.Error("a rate below nought is taken")
 	}
 }
 
 // A warden says no step that one of its processes may be behind of.
 func TestWarden(t *testing.T) {
-	var w Warden
-	w.Began(1, false)
-	if s := w.Seen(5); s != 5 {
+	var w LeaseGrantor
+	w.ProcessStarted(1, false)
+	if s := w.AckedStep(5); s != 5 {
 		t.Errorf("nobody goes by anything: %d", s)
 	}
-	w.Asked(1, 0)
-	if s := w.Seen(5); s != 5 {
+	w.RecordRequest(1, 0)
+	if s := w.AckedStep(5); s != 5 {
 		t.Errorf("it has been told nothing: %d", s)
 	}
-	w.Given(1)
-	if s := w.Seen(5); s != 0 {
+	w.RecordGrant(1)
+	if s := w.AckedStep(5); s != 0 {
 		t.Errorf("it may go by anything: %d", s)
 	}
-	w.Asked(1, 4)
-	w.Asked(1, 3) // late
-	w.Began(1, true)
-	w.Began(2, true) // of before
-	if s := w.Seen(5); s != 0 {
+	w.RecordRequest(1, 4)
+	w.RecordRequest(1, 3) // late
+	w.ProcessStarted(1, true)
+	w.ProcessStarted(2, true) // of before
+	if s := w.AckedStep(5); s != 0 {
 		t.Errorf("one of before may go by anything: %d", s)
 	}
-	w.Ended(2)
-	if s := w.Seen(5); s != 4 {
+	w.ProcessExited(2)
+	if s := w.AckedStep(5); s != 4 {
 		t.Errorf("%d, not 4", s)
 	}
-	for i := range mostRun {
-		w.Asked(i, 0)
+	for i := range maxProcesses {
+		w.RecordRequest(i, 0)
 	}
-	if w.Asked(mostRun, 9) || !w.Asked(1, 9) {
+	if w.RecordRequest(maxProcesses, 9) || !w.RecordRequest(1, 9) {
 		t.Error("the books are not bounded")
 	}
 }
@@ -226,29 +228,29 @@
 			b.Members = slices.Clone(a.Members)
 			b.Members[rapid.IntRange(0, len(b.Members)-1).Draw(t, "who")] = Member{Name: "new", Host: "h1"}
 		}
-		x, err := Entries(&Version{Number: 1, Rules: *a})
-		y, bad := Entries(&Version{Number: 2, Rules: *b})
+		x, err := VersionToState(&Version{Number: 1, Rules: *a})
+		y, bad := VersionToState(&Version{Number: 2, Rules: *b})
 		if err != nil || bad != nil {
 			t.Fatal(err, bad)
 		}
 		in := Interest{All: rapid.IntRange(0, 5).Draw(t, "all") == 0, Host: "h1",
 			Name:   rapid.SampledFrom([]string{"", "g0", "g3"}).Draw(t, "name"),
 			Around: rapid.IntRange(0, 9).Draw(t, "around")}
-		from, to := NewIndex(x).Portion(in), NewIndex(y).Portion(in)
-		for _, p := range []*Portion{from, to} {
+		from, to := NewStateIndex(x).Subset(in), NewStateIndex(y).Subset(in)
+		for _, p := range []*StateSubset{from, to} {
 			if s := p.State(); s.Mark() != p.Mark() || s.Bytes() != p.Bytes() {
 				t.Fatalf("%v of %d bytes, and its state is %v of %d", p.Mark(), p.Bytes(), s.Mark(), s.Bytes())
 			}
 		}
-		if got, err := from.State().Apply(to.Since(from)); err != nil || got.Mark() != to.Mark() {
+		if got, err := from.State().Apply(to.DeltaFrom(from)); err != nil || got.Mark() != to.Mark() {
 			t.Fatal(err)
 		}
-		d, want := to.Since(from), versioned.Between(from.State(), to.State())
+		d, want := to.DeltaFrom(from), versioned.Between(from.State(), to.State())
 		if len(d.Set) != len(want.Set) || len(d.Drop) != len(want.Drop) {
 			t.Fatalf("%+v, not %+v", d, want)
 		}
-		var none *Portion
-		if got, err := none.State().Apply(to.Since(none)); err != nil || got.Mark() != to.Mark() {
+		var none *StateSubset
+		if got, err := none.State().Apply(to.DeltaFrom(none)); err != nil || got.Mark() != to.Mark() {
 			t.Fatal(err)
 		}
 	})
--- a/internal/supervisor/branch.go
+++ b/internal/supervisor/branch.go
@@ -44,8 +44,8 @@
 	follower *distribution.Follower // by way of feed alone
 	feed     *relay.Feed
 	leave    context.CancelFunc // ends the feed
-	warden   ruleset.Warden
-	lag      *ruleset.Lag
+	warden   ruleset.LeaseGrantor
+	lag      *ruleset.IndexLag
 	askers   map[int]asker
 
 	view    distribution.View // as last taken
@@ -67,7 +67,7 @@
 func newBranch(cluster string, r *RelayFile, record history.Recorder, log zerolog.Logger) *branch {
 	b := &branch{cluster: cluster, me: r.Me, log: log, record: record,
 		copy:    relay.NewCopy(r.Store, cluster, log),
-		changed: make(chan struct{}, 1), lag: ruleset.NewLag(), askers: map[int]asker{}, index: -1}
+		changed: make(chan struct{}, 1), lag: ruleset.NewIndexLag(), askers: map[int]asker{}, index: -1}
 	b.view.Index = -1
 	b.ctx, b.end = context.WithCancel(context.Background())
 	b.wait.Add(1)
@@ -136,20 +136,20 @@
 			b.log.Error().Err(err).Msg("rules that make no sense: those before go on until their time")
 			return
 		}
-		if l.Foreign != "" {
-			b.log.Error().Str("needs", l.Foreign).
+		if l.UnsupportedFeature != "" {
+			b.log.Error().Str("needs", l.UnsupportedFeature).
 				Msg("rules in force that this program does not know: instances stay as they are")
 		}
 		b.lease = l
 		b.copy.Keep(v)
 	}
-	b.view, b.lease.Step, b.lease.Settled = v, v.Step, v.Settled
+	b.view, b.lease.Step, b.lease.TransitionComplete = v, v.Step, v.Settled
 	if v.Rules.Mark() != rules {
 		if b.record != nil {
 			b.record.Write(history.Event{Kind: history.Gives, Version: v.Rules.Mark().Number,
 				Age: raftlog.Clock() - v.Begun})
 		}
-		if b.lease.Foreign == "" {
+		if b.lease.UnsupportedFeature == "" {
 			b.inForce = b.lease.Version
 			select {
 			case b.changed <- struct{}{}:
@@ -163,26 +163,26 @@
 // leaseOf reads what a view says. Rules that this program does not know whole are left empty, and named.
 func leaseOf(v *distribution.View) (l ruleset.Lease, err error) {
 	read := func(s *versioned.State) (ruleset.Version, string, error) {
-		v, err := ruleset.FromState(s)
-		if errors.Is(err, ruleset.ErrForeign) {
+		v, err := ruleset.VersionFromState(s)
+		if errors.Is(err, ruleset.ErrUnsupported) {
 			return ruleset.Version{Number: s.Mark().Number}, err.Error(), nil
 		}
 		if err == nil {
-			err = ruleset.CheckPart(&v.Rules)
+			err = ruleset.ValidateSubset(&v.Rules)
 		}
 		return v, "", err
 	}
-	if l.Version, l.Foreign, err = read(v.Rules); err != nil || v.Pending == nil {
+	if l.Version, l.UnsupportedFeature, err = read(v.Rules); err != nil || v.Pending == nil {
 		return l, err
 	}
 	p, strange, err := read(v.Pending)
-	l.Pending, l.Strange = &p.Rules, strange
+	l.Pending, l.PendingUnsupportedFeature = &p.Rules, strange
 	return l, err
 }
 
 // say has the follower tell what all processes of this host go by, where that is news; under the lock.
 func (b *branch) say() {
-	seen, highest := b.warden.Seen(b.view.Step), int64(-1)
+	seen, highest := b.warden.AckedStep(b.view.Step), int64(-1)
 	for _, a := range b.askers {
 		highest = max(highest, a.index)
 	}
@@ -212,16 +212,16 @@
 func (b *branch) Began(pid int, before bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.warden.Began(pid, before)
+	b.warden.ProcessStarted(pid, before)
 }
 
 // Ended tells that a process is no more.
 func (b *branch) Ended(pid int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.warden.Ended(pid)
+	b.warden.ProcessExited(pid)
 	if a, there := b.askers[pid]; there {
-		b.lag.Left(a.name)
+		b.lag.Remove(a.name)
 		delete(b.askers, pid)
 	}
 	b.say()
@@ -232,21 +232,21 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := raftlog.Clock()
-	if !b.warden.Asked(pid, holds) {
+	if !b.warden.RecordRequest(pid, holds) {
 		return ruleset.Lease{}, false
 	}
 	b.askers[pid] = asker{name, holds, index, time.Now()}
 	if index >= 0 {
-		b.lag.Told(name, index, now)
+		b.lag.Report(name, index, now)
 	}
 	b.take()
 	b.say()
 	l := b.lease
-	l.Age = raftlog.Clock() - b.view.Begun
-	if b.view.Step == 0 || !(l.Age < ruleset.LeaseOf(b.view.Rules)) {
+	l.AgeMillis = raftlog.Clock() - b.view.Begun
+	if b.view.Step == 0 || !(l.AgeMillis < ruleset.StateLeaseMillis(b.view.Rules)) {
 		return ruleset.Lease{}, false
 	}
-	b.warden.Given(pid)
+	b.warden.RecordGrant(pid)
 	return l, true
 }
 
@@ -284,15 +284,16 @@
 	Step     uint64   `json:"step"`
 	Settled  bool     `json:"settled"`
 	// ago that a quorum confirmed it; below nought nothing has been
-	ReadMS  float64             `json:"read_ms"`
-	Pending uint64              `json:"pending,omitempty"`
-	Foreign string              `json:"foreign,omitempty"` // what of the rules this program does not know
-	Seen    uint64              `json:"seen"`              // the step that all processes here go by, or later
-	Behind  map[string]uint64   `json:"behind,omitempty"`  // instances that hold an older one
-	CutOff  map[string]float64  `json:"cut_off,omitempty"` // instances here: ms since they last asked
-	Lags    []ruleset.Behind    `json:"lags,omitempty"`
-	Counts  distribution.Counts `json:"counts"`
-	Copies  struct {
+	ReadMS  float64 `json:"read_ms"`
+	Pending uint64  `json:"pending,omitempty"`
+	Foreign string  `json:"foreign,omitempty"` // what of the rules this program does not know
+	// the step that all processes here go by, or later
+	Seen   uint64                  `json:"seen"`
+	Behind map[string]uint64       `json:"behind,omitempty"`  // instances that hold an older one
+	CutOff map[string]float64      `json:"cut_off,omitempty"` // instances here: ms since they last asked
+	Lags   []ruleset.LaggingMember `json:"lags,omitempty"`
+	Counts distribution.Counts     `json:"counts"`
+	Copies struct {
 		Written int64 `json:"written"`
 		Failed  int64 `json:"failed"`
 		Aside   int64 `json:"aside"`
@@ -304,7 +305,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := Following{Cluster: b.cluster, Me: b.me, Upstream: b.upstream, Depth: b.view.Depth, ReadMS: -1,
-		Step: b.view.Step, Settled: b.view.Settled, Foreign: b.lease.Foreign, Seen: b.said,
+		Step: b.view.Step, Settled: b.view.Settled, Foreign: b.lease.UnsupportedFeature, Seen: b.said,
 		Behind: map[string]uint64{}, CutOff: map[string]float64{}}
 	if b.feed == nil {
 		return s
@@ -315,7 +316,7 @@
 	if b.view.Step > 0 {
 		s.Version, s.Mark = b.view.Rules.Mark().Number, b.view.Rules.Mark().String()
 		s.Pending = b.view.Pending.Mark().Number
-		s.ReadMS, lease = raftlog.Clock()-b.view.Begun, ruleset.LeaseOf(b.view.Rules)
+		s.ReadMS, lease = raftlog.Clock()-b.view.Begun, ruleset.StateLeaseMillis(b.view.Rules)
 	}
 	s.Members = len(b.lease.Version.Rules.Members)
 	for _, m := range b.lease.Version.Rules.Members {
@@ -332,7 +333,7 @@
 			s.CutOff[a.name] = age
 		}
 	}
-	s.Lags = b.lag.Late(raftlog.Clock(), lagAfter)
+	s.Lags = b.lag.Lagging(raftlog.Clock(), lagAfter)
 	return s
 }
 
--- a/internal/supervisor/branch_test.go
+++ b/internal/supervisor/branch_test.go
@@ -152,7 +152,7 @@
 	for _, h := range x.low {
 		for _, i := range faultinject.Instances(h.run()) {
 			f, there := look(i)
-			ok = ok && there && f.mode == int64(ruleset.Leased)
+			ok = ok && there && f.mode == int64(ruleset.ModeLeased)
 			all++
 		}
 	}
@@ -165,7 +165,7 @@
 // too: nobody loses the lease by the first, and the others are as in a council. Their records are judged.
 func TestBelowRelays(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 4000 })
+	x := grow(t, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 4000 })
 	x.start()
 	t.Logf("from nothing to all leased: %v", x.until(1, 3, x.low...))
 	x.loadsLow(9 * time.Second)
@@ -244,7 +244,7 @@
 // that is given too early.
 func TestSeenNeverEarly(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 12000 })
+	x := grow(t, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 12000 })
 	x.start()
 	x.until(1, 3, x.low...)
 	h := x.low[0]
@@ -305,7 +305,7 @@
 // what may not change is refused, by its key.
 func TestRelaysGone(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+	x := grow(t, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 1000 })
 	x.start()
 	x.until(1, 3, x.low...)
 	x.loadsLow(4 * time.Second)
@@ -314,7 +314,7 @@
 			t.Fatal(err)
 		}
 	}
-	modes := func(want ruleset.Mode) func() bool {
+	modes := func(want ruleset.LeaseMode) func() bool {
 		return func() bool {
 			n := 0
 			for _, h := range x.low {
@@ -327,8 +327,8 @@
 			return n == 3
 		}
 	}
-	faultinject.Until(t, 5*time.Second, "not all are cut off", modes(ruleset.CutOff))
-	faultinject.Until(t, 5*time.Second, "not all are bare", modes(ruleset.Bare))
+	faultinject.Until(t, 5*time.Second, "not all are cut off", modes(ruleset.ModeFallback))
+	faultinject.Until(t, 5*time.Second, "not all are bare", modes(ruleset.ModeNoLease))
 	h := x.low[0]
 	if s, ok := h.following(); !ok || len(s.CutOff) != 2 {
 		t.Errorf("%+v", s)
@@ -378,7 +378,7 @@
 // and what it holds counts as any other's.
 func TestOlderInstanceBelow(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 6000 })
+	x := grow(t, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 6000 })
 	h := x.low[1]
 	at, _ := older(t, h.control)
 	script := filepath.Join(h.dir, "older")
@@ -406,8 +406,9 @@
 	}
 	raw, err := io.ReadAll(res.Body)
 	res.Body.Close()
-	l, bad := ruleset.ReadLease(raw)
-	if err != nil || bad != nil || l.Version.Number != 2 || len(l.Version.Rules.Members) != 3 || l.Age <= 0 {
+	l, bad := ruleset.DecodeLease(raw)
+	if err != nil || bad != nil || l.Version.Number != 2 || len(l.Version.Rules.Members) != 3 ||
+		l.AgeMillis <= 0 {
 		t.Errorf("%v, %v: %s", err, bad, raw)
 	}
 	for _, who := range []string{"instance=g9&pid=1", fmt.Sprintf("instance=%s&pid=1", old.Name)} {
@@ -441,7 +442,7 @@
 
 // says has it say that rules are in force as of now, every now and then until the test's end.
 func (u *upper) says(t *testing.T, step uint64, r ruleset.Rules) {
-	rules, err := ruleset.Entries(&ruleset.Version{Number: 1, Rules: r})
+	rules, err := ruleset.VersionToState(&ruleset.Version{Number: 1, Rules: r})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -468,7 +469,7 @@
 	u := &upper{source: distribution.NewSource("r", "till", distribution.Bounds{})}
 	s := httptest.NewServer(relay.NewHandler(u.answer))
 	defer s.Close()
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
 		Members: []ruleset.Member{
 			{Name: "a", Host: "l0"},
 		}, Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
@@ -524,7 +525,7 @@
 	u := &upper{source: distribution.NewSource("r", "till", distribution.Bounds{})}
 	s := httptest.NewServer(relay.NewHandler(u.answer))
 	defer s.Close()
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
 		Members: []ruleset.Member{
 			{Name: "a", Host: "l0"},
 		}, Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
@@ -532,7 +533,7 @@
 		other := r
 		other.Plans = slices.Clone(r.Plans)
 		change(&other)
-		x, err := ruleset.Entries(&ruleset.Version{Number: number, Rules: other})
+		x, err := ruleset.VersionToState(&ruleset.Version{Number: number, Rules: other})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -565,7 +566,7 @@
 	offer(3, raftlog.Clock(), state(3, func(r *ruleset.Rules) { r.Needs = []string{"moon"} }))
 	faultinject.Until(t, 3*time.Second, "what is not known here is not passed on", func() bool {
 		l, ok := b.Asked(1, "a", 0, -1)
-		return ok && l.Version.Number == 3 && strings.Contains(l.Foreign, "moon")
+		return ok && l.Version.Number == 3 && strings.Contains(l.UnsupportedFeature, "moon")
 	})
 	if v := b.given(); b.InForce().Number != 1 || v.Rules.Mark().Number != 3 {
 		t.Errorf("in force %d, passed on %v", b.InForce().Number, v.Rules.Mark())
@@ -589,13 +590,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := ruleset.Rules{Form: ruleset.Form, Needs: []string{ruleset.ManyMembers}, Lease: 1000, Bound: 2000,
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, Needs: []string{ruleset.FeatureManyMembers},
+		LeaseMillis: 1000, ConflictBoundMillis: 2000,
 		Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
 	for i := range n {
 		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprint("g", i), Host: fmt.Sprint("l", i/own),
 			Peers: fmt.Sprintf("10.%d.%d.1:7000", i/250, i%250)})
 	}
-	whole, err := ruleset.Entries(&ruleset.Version{Number: 1, Rules: r})
+	whole, err := ruleset.VersionToState(&ruleset.Version{Number: 1, Rules: r})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -607,9 +609,9 @@
 	}
 	t.Logf("the whole has %d bytes, a host's part %d, and %d as it is sent", whole.Bytes(), some.Bytes(),
 		len(sent))
-	part, err := ruleset.FromState(some)
-	if err != nil || ruleset.CheckPart(&part.Rules) != nil {
-		t.Fatal(err, ruleset.CheckPart(&part.Rules))
+	part, err := ruleset.VersionFromState(some)
+	if err != nil || ruleset.ValidateSubset(&part.Rules) != nil {
+		t.Fatal(err, ruleset.ValidateSubset(&part.Rules))
 	}
 	began := time.Now()
 	all, err := f.file.members(&part.Rules)
--- a/internal/supervisor/control_test.go
+++ b/internal/supervisor/control_test.go
@@ -46,7 +46,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	l := v.lease
-	l.Age = 300
+	l.AgeMillis = 300
 	return l, true
 }
 
@@ -56,7 +56,7 @@
 	r.Plans[0].Rate = float64(rate)
 	v.lease.Version = ruleset.Version{Number: uint64(number), Rules: r}
 	v.lease.Step++
-	v.lease.Settled = true
+	v.lease.TransitionComplete = true
 }
 
 // What a gatekeeper's control costs it, as a real process of its own before a daemon's real answers, by how
@@ -122,12 +122,12 @@
 		t.Fatal(err)
 	}
 	v := &fixed{}
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
-		Fallback: ruleset.Fallback{Part: 0.5, For: 3000},
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
+		Fallback: ruleset.Fallback{Fraction: 0.5, DurationMillis: 3000},
 		Plans: []ruleset.Plan{{Name: "basic", Rate: 500, Burst: 500},
 			{Name: "capped", Rate: 200, Burst: 200, CeilingRate: ceiling, CeilingDepth: depth}}}
 	if n > 500 {
-		r.Needs = []string{ruleset.ManyMembers}
+		r.Needs = []string{ruleset.FeatureManyMembers}
 	}
 	for i := range n {
 		r.Members = append(
--- a/internal/supervisor/council.go
+++ b/internal/supervisor/council.go
@@ -317,9 +317,9 @@
 		return nil, err
 	}
 	if f.Agreed.Relay != nil { // a part of them is all that this host is told
-		return &v.Rules, ruleset.CheckPart(&v.Rules)
+		return &v.Rules, ruleset.ValidateSubset(&v.Rules)
 	}
-	return &v.Rules, ruleset.Check(&v.Rules)
+	return &v.Rules, ruleset.Validate(&v.Rules)
 }
 
 // follow carries out each version that comes in force.
@@ -497,7 +497,7 @@
 		return
 	}
 	l.Version.Rules = d.rewritten(name, &l.Version.Rules)
-	raw, err := l.Bytes()
+	raw, err := l.Encode()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/internal/supervisor/council_golden_test.go
+++ b/internal/supervisor/council_golden_test.go
@@ -47,12 +47,14 @@
 // goldenAgreedRules have no field that is zero.
 func goldenAgreedRules(rate float64) ruleset.Rules {
 	return ruleset.Rules{
-		Form: 1, Needs: []string{"members"},
+		Format: 1, Needs: []string{"members"},
 		Plans: []ruleset.Plan{{Name: "gold", Rate: rate, Burst: 12, CeilingRate: 13, CeilingDepth: 14,
-			Credit: 0.5, Repay: 15000}},
-		Members:  []ruleset.Member{{Name: "gk1", Host: "h1", Peers: "10.0.0.1:7001"}},
-		Words:    []ruleset.Word{{Worker: "w1", Hall: "hall1", Barred: true, Drained: true, Weight: 2.5}},
-		Fallback: ruleset.Fallback{Part: 0.25, For: 9000}, Lease: 1200, Bound: 1900,
+			CreditSeconds: 0.5, RepayMillis: 15000}},
+		Members: []ruleset.Member{{Name: "gk1", Host: "h1", Peers: "10.0.0.1:7001"}},
+		WorkerOverrides: []ruleset.WorkerOverride{{Worker: "w1", Region: "hall1", Barred: true, Drained: true,
+			Weight: 2.5}},
+		Fallback: ruleset.Fallback{Fraction: 0.25, DurationMillis: 9000}, LeaseMillis: 1200,
+		ConflictBoundMillis: 1900,
 	}
 }
 
@@ -68,7 +70,8 @@
 // Asked answers only if each value of the query has come under its own name.
 func (v goldenLeaseVoice) Asked(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
 	pending := goldenAgreedRules(11.5)
-	return ruleset.Lease{Step: 41, Version: v.InForce(), Settled: true, Pending: &pending, Age: 12.5},
+	return ruleset.Lease{Step: 41, Version: v.InForce(), TransitionComplete: true, Pending: &pending,
+			AgeMillis: 12.5},
 		pid == 4711 && name == "gk1" && holds == 40 && index == 90
 }
 
@@ -134,9 +137,9 @@
 		t.Errorf("instances of an older program ask at /fleet/lease, not at %s", lifecycle.LeasePath)
 	}
 	pending := goldenAgreedRules(11.5)
-	got, err := ruleset.ReadLease(goldenCouncilFile(t, "lease.json"))
+	got, err := ruleset.DecodeLease(goldenCouncilFile(t, "lease.json"))
 	goldenCouncilSame(t, "lease.json", got, ruleset.Lease{Step: 41, Version: goldenLeaseVoice{}.InForce(),
-		Settled: true, Pending: &pending, Age: 12.5}, err)
+		TransitionComplete: true, Pending: &pending, AgeMillis: 12.5}, err)
 }
 
 func goldenSitting() Sitting {
--- a/internal/supervisor/council_hard_test.go
+++ b/internal/supervisor/council_hard_test.go
@@ -219,7 +219,7 @@
 	capped := x.capped()
 	bare := map[string]bool{}         // sent by no version: under no ceiling, then
 	for i, e := range record.Events { // the names of the modes are the instances' own
-		if e.Kind == history.Sends && e.Mode == ruleset.Bare.String() {
+		if e.Kind == history.Sends && e.Mode == ruleset.ModeNoLease.String() {
 			bare[e.Txn+e.Worker] = true
 			if record.Events[i].Version = 0; capped[e.Txn] {
 				x.t.Errorf("%v: sent bare, under a ceiling", e)
@@ -229,11 +229,11 @@
 			record.Events[i].Version = 0
 		}
 		switch e.Mode {
-		case ruleset.Leased.String():
+		case ruleset.ModeLeased.String():
 			record.Events[i].Mode = history.Leased
-		case ruleset.CutOff.String():
+		case ruleset.ModeFallback.String():
 			record.Events[i].Mode = history.Fallback
-		case ruleset.Bare.String():
+		case ruleset.ModeNoLease.String():
 			record.Events[i].Mode = history.Bare
 		}
 	}
@@ -363,7 +363,7 @@
 // A side of one host keeps serving while the other two take the ceiling down, then up.
 func TestMinorityServes(t *testing.T) {
 	hard(t)
-	x := try(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.For = 4000 })
+	x := try(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 4000 })
 	x.loads(14 * time.Second)
 	rules := map[uint64]ruleset.Rules{1: x.rules}
 	few, many := x.hosts[2], x.hosts[:2]
@@ -373,7 +373,7 @@
 	t.Logf("down, with a host cut off: in force after %v", x.enforced(many[0], rules[2]))
 	x.until(2, 4, many...)
 	for _, i := range faultinject.Instances(few.run()) {
-		if f, ok := look(i); !ok || f.version != 1 || f.mode == int64(ruleset.Leased) {
+		if f, ok := look(i); !ok || f.version != 1 || f.mode == int64(ruleset.ModeLeased) {
 			t.Errorf("%s, cut off, goes by %+v", i.Name, f)
 		}
 	}
@@ -513,7 +513,7 @@
 // Three of five hosts are lost, then back: the two go by the fallback and then bare.
 func TestThreeOfFiveHosts(t *testing.T) {
 	hard(t)
-	x := try(t, 5, 1, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+	x := try(t, 5, 1, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 1000 })
 	x.loads(9 * time.Second)
 	rules := map[uint64]ruleset.Rules{1: x.rules}
 	for _, h := range x.hosts[:3] {
@@ -528,7 +528,7 @@
 	faultinject.Until(t, 8*time.Second, "two are bare", func() bool {
 		for _, h := range x.hosts[3:] {
 			for _, i := range faultinject.Instances(h.run()) {
-				if f, ok := look(i); !ok || f.mode != int64(ruleset.Bare) {
+				if f, ok := look(i); !ok || f.mode != int64(ruleset.ModeNoLease) {
 					return false
 				}
 			}
@@ -704,7 +704,7 @@
 // for it.
 func TestOlderProgram(t *testing.T) {
 	hard(t)
-	x := ready(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.For = 2000 })
+	x := ready(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 2000 })
 	h := x.hosts[2]
 	at, on := older(t, h.control)
 	script := filepath.Join(h.dir, "older")
@@ -729,13 +729,13 @@
 	faultinject.Until(t, 10*time.Second, "the older one is cut off, and says why", func() bool {
 		f, ok := look(old)
 		n, _ := faultinject.Figure(old.Control, "svc.rules.refused")
-		return ok && f.mode != int64(ruleset.Leased) && n > 0
+		return ok && f.mode != int64(ruleset.ModeLeased) && n > 0
 	})
 	rules[2] = x.ceilings(ceiling/4, depth/4)
 	took := x.enforced(x.hosts[0], rules[2])
 	x.until(2, 2, x.hosts[:2]...)
 	t.Logf("with an older one that can't go by it: in force after %v", took)
-	if f, ok := look(old); !ok || f.version != 1 || f.mode == int64(ruleset.Leased) {
+	if f, ok := look(old); !ok || f.version != 1 || f.mode == int64(ruleset.ModeLeased) {
 		t.Errorf("the older one goes by %+v", f)
 	}
 	on.Store(false) // replaced by a newer program
@@ -747,7 +747,7 @@
 // others go on; with room again it is back by itself.
 func TestFullHost(t *testing.T) {
 	hard(t)
-	x := try(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+	x := try(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 1000 })
 	x.loads(8 * time.Second)
 	rules := map[uint64]ruleset.Rules{1: x.rules}
 	h := x.leader()
@@ -759,7 +759,8 @@
 	big := &ruleset.Rules{}
 	*big = x.rules
 	for i := range 2000 { // more than its store has room for
-		big.Words = append(big.Words, ruleset.Word{Worker: fmt.Sprintf("%0100d", i), Weight: 1})
+		big.WorkerOverrides = append(big.WorkerOverrides, ruleset.WorkerOverride{Worker: fmt.Sprintf("%0100d", i),
+			Weight: 1})
 	}
 	rules[2] = *big
 	x.enforced(others[0], *big)
@@ -774,7 +775,7 @@
 	own := faultinject.Instances(h.run())[0]
 	faultinject.Until(t, 5*time.Second, "its instance is cut off", func() bool {
 		f, ok := look(own)
-		return ok && f.mode != int64(ruleset.Leased)
+		return ok && f.mode != int64(ruleset.ModeLeased)
 	})
 	rules[3] = x.ceilings(ceiling/2, depth/2)
 	x.enforced(others[1], rules[3])
@@ -797,7 +798,7 @@
 }
 
 func drawn(t *testing.T, seed int64) {
-	x := try(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+	x := try(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 1000 })
 	const span = 20000
 	x.loads(span * time.Millisecond)
 	rig := &faultinject.Rig{
--- a/internal/supervisor/council_test.go
+++ b/internal/supervisor/council_test.go
@@ -73,8 +73,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(a.list.Close)
-	a.rules = ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
-		Fallback: ruleset.Fallback{Part: 0.5, For: 3000},
+	a.rules = ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
+		Fallback: ruleset.Fallback{Fraction: 0.5, DurationMillis: 3000},
 		Plans: []ruleset.Plan{{Name: "basic", Rate: 500, Burst: 500},
 			{Name: "capped", Rate: 200, Burst: 200, CeilingRate: ceiling, CeilingDepth: depth}}}
 	for i := range n {
@@ -231,7 +231,7 @@
 			for _, i := range faultinject.Instances(h.run()) {
 				f, ok := look(i)
 				last += fmt.Sprintf("%s %+v %t; ", i.Name, f, ok)
-				if ok && f.version == version && f.mode == int64(ruleset.Leased) {
+				if ok && f.version == version && f.mode == int64(ruleset.ModeLeased) {
 					n++
 				}
 			}
@@ -289,7 +289,7 @@
 	a.hosts[2].propose(next)
 	a.until(3, 6, a.hosts...)
 	t.Logf("a ceiling down beyond the fallback: %v", time.Since(began))
-	a.hosts[0].propose(ruleset.Rules{Form: ruleset.Form})
+	a.hosts[0].propose(ruleset.Rules{Format: ruleset.SupportedFormat})
 	time.Sleep(100 * time.Millisecond)
 	if s, ok := a.hosts[0].sitting(); !ok || s.Rules.Version != 3 || s.Rules.Pending != 0 {
 		t.Errorf("rules that are wrong change something: %+v", s)
@@ -301,7 +301,7 @@
 	own := faultinject.Instances(down.run())
 	faultinject.Until(t, 5*time.Second, "its instances are cut off", func() bool {
 		for _, i := range own {
-			if f, ok := look(i); !ok || f.mode != int64(ruleset.CutOff) {
+			if f, ok := look(i); !ok || f.mode != int64(ruleset.ModeFallback) {
 				return false
 			}
 		}
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -62,17 +62,17 @@
 	v := ruleset.Version{}
 	goldenform.Fill(&v)
 	r := &v.Rules
-	r.Form, r.Needs = ruleset.Form, []string{ruleset.ManyMembers}
-	r.Lease, r.Fallback.Part = 1000, 0.5
+	r.Format, r.Needs = ruleset.SupportedFormat, []string{ruleset.FeatureManyMembers}
+	r.LeaseMillis, r.Fallback.Fraction = 1000, 0.5
 	for i := range r.Plans {
 		r.Plans[i].Name = fmt.Sprintf("plan-%d", i)
-		r.Plans[i].Credit, r.Plans[i].Repay = float64(1+i), float64(5000+i)
+		r.Plans[i].CreditSeconds, r.Plans[i].RepayMillis = float64(1+i), float64(5000+i)
 	}
 	for i := range r.Members {
 		r.Members[i] = ruleset.Member{Name: fmt.Sprintf("golden-%d", i), Host: "other",
 			Peers: fmt.Sprintf("127.0.0.1:%d", 30+i)}
 	}
-	r.Bound = 30000
+	r.ConflictBoundMillis = 30000
 	return v
 }
 
--- a/internal/supervisor/teller.go
+++ b/internal/supervisor/teller.go
@@ -37,7 +37,7 @@
 // view is what a lease says as a view; rules are made entries once.
 func (t *telling) view(l *ruleset.Lease, now float64) (v distribution.View, err error) {
 	if n := l.Version.Number; n != t.number || t.rules == nil {
-		if t.rules, err = ruleset.Entries(&l.Version); err != nil {
+		if t.rules, err = ruleset.VersionToState(&l.Version); err != nil {
 			return v, err
 		}
 		t.number = n
@@ -45,7 +45,7 @@
 	if l.Step != t.step {
 		t.pending = nil
 		if l.Pending != nil {
-			if t.pending, err = ruleset.Entries(&ruleset.Version{Number: l.Version.Number + 1,
+			if t.pending, err = ruleset.VersionToState(&ruleset.Version{Number: l.Version.Number + 1,
 				Rules: *l.Pending}); err != nil {
 				return v, err
 			}
@@ -54,8 +54,8 @@
 	}
 	return distribution.View{
 		Step:    l.Step,
-		Settled: l.Settled,
-		Begun:   now - l.Age,
+		Settled: l.TransitionComplete,
+		Begun:   now - l.AgeMillis,
 		Rules:   t.rules,
 		Pending: t.pending,
 		Index:   -1,
--- a/internal/testkit/history/check_test.go
+++ b/internal/testkit/history/check_test.go
@@ -94,10 +94,10 @@
 var (
 	low       = []ruleset.Plan{{Name: "p", Rate: 10, Burst: 5, CeilingRate: 10, CeilingDepth: 5}}
 	high      = []ruleset.Plan{{Name: "p", Rate: 10, Burst: 5, CeilingRate: 20, CeilingDepth: 5}}
-	byVersion = Plainly(map[uint64]ruleset.Rules{1: {Plans: high, Fallback: ruleset.Fallback{Part: 0.4}},
+	byVersion = Plainly(map[uint64]ruleset.Rules{1: {Plans: high, Fallback: ruleset.Fallback{Fraction: 0.4}},
 		2: {Plans: high}, 3: {Plans: low}, 4: {Plans: high},
-		6: {Plans: high, Fallback: ruleset.Fallback{Part: 0.6}},
-		5: {Plans: high, Words: []ruleset.Word{{Worker: "w", Barred: true}}}})
+		6: {Plans: high, Fallback: ruleset.Fallback{Fraction: 0.6}},
+		5: {Plans: high, WorkerOverrides: []ruleset.WorkerOverride{{Worker: "w", Barred: true}}}})
 	cast = Cast{Gatekeepers: []string{"a", "b"}, Workers: []string{"w", "v"}, Products: []string{"ask", "pay"},
 		Plans: []string{"p"}}
 	fiveRules = invariants.Rules{Products: []invariants.Product{{}, {Repeat: invariants.Once}},
--- a/internal/testkit/history/contradict.go
+++ b/internal/testkit/history/contradict.go
@@ -49,17 +49,17 @@
 		if !leased || first.Version == second.Version || !known || !too {
 			return false
 		}
-		s := ruleset.Stance{Members: a.Members}
+		s := ruleset.AllowanceSet{Members: a.Members}
 		for i := range a.Plans {
-			s.Parts = append(s.Parts, ruleset.Share(&a, i, 0))
+			s.Allowances = append(s.Allowances, ruleset.LeasedAllowance(&a, i, 0))
 		}
-		return ruleset.Contradicts([]ruleset.Stance{s}, &b) != ""
+		return ruleset.ConflictingPlan([]ruleset.AllowanceSet{s}, &b) != ""
 	}
 }
 
 // beyond tells whether the fallback of rules lets more through of some plan than others do.
 func beyond(fallback, others ruleset.Rules) bool {
-	part := fallback.Fallback.Part
+	part := fallback.Fallback.Fraction
 	for _, p := range fallback.Plans {
 		i := slices.IndexFunc(others.Plans, func(q ruleset.Plan) bool { return q.Name == p.Name })
 		if i < 0 || others.Plans[i].CeilingRate == 0 {
@@ -78,22 +78,23 @@
 	var out []ruleset.Plan
 	for _, p := range r.Plans {
 		out = append(out, ruleset.Plan{Name: p.Name, CeilingRate: p.CeilingRate, CeilingDepth: p.CeilingDepth,
-			Credit: p.Credit * p.Rate, Repay: p.Repay})
+			CreditSeconds: p.CreditSeconds * p.Rate, RepayMillis: p.RepayMillis})
 	}
 	slices.SortFunc(out, func(a, b ruleset.Plan) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
 // bars gives what nothing may be sent to, in order.
-func bars(r ruleset.Rules) []ruleset.Word {
-	var out []ruleset.Word
-	for _, w := range r.Words {
+func bars(r ruleset.Rules) []ruleset.WorkerOverride {
+	var out []ruleset.WorkerOverride
+	for _, w := range r.WorkerOverrides {
 		if w.Barred || w.Drained {
-			out = append(out, ruleset.Word{Worker: w.Worker, Hall: w.Hall, Barred: w.Barred, Drained: w.Drained})
+			out = append(out, ruleset.WorkerOverride{Worker: w.Worker, Region: w.Region, Barred: w.Barred,
+				Drained: w.Drained})
 		}
 	}
-	slices.SortFunc(out, func(a, b ruleset.Word) int {
-		return cmp.Or(cmp.Compare(a.Hall, b.Hall), cmp.Compare(a.Worker, b.Worker))
+	slices.SortFunc(out, func(a, b ruleset.WorkerOverride) int {
+		return cmp.Or(cmp.Compare(a.Region, b.Region), cmp.Compare(a.Worker, b.Worker))
 	})
 	return out
 }
