--- a/internal/serving/framing/golden_test.go
+++ b/internal/serving/framing/golden_test.go
@@ -12,14 +12,15 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// goldenFrame is what WriteMessage of 2 December 2026 sent of goldenMessage: a length of four bytes, the
-// greatest first, then the message. Other processes speak it, so it stays.
+// goldenFrame is goldenMessage as WriteMessage of 2 December 2026 wrote it: a length of four bytes,
+// big-endian, and the message. Other processes use the same format, so it stays.
 const goldenFrame = "00000018" + "0a09636f72652f31233261120431303a311a01612202736f"
 
 func goldenMessage() *wirepb.CoreNode {
 	return &wirepb.CoreNode{Replica: "core/1#2a", Address: "10:1", Zone: "a", Region: "so"}
 }
 
+// pipe returns the ends of a connection. Operations on the far end fail after 10 s.
 func pipe(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	near, far = net.Pipe()
--- a/internal/serving/workerlink/pool.go
+++ b/internal/serving/workerlink/pool.go
@@ -74,7 +74,7 @@
 
 func dial(ctx context.Context, address string, timeout time.Duration) (*Conn, error) {
 	dialer := net.Dialer{
-		Timeout: timeout, KeepAliveConfig: keepAlive, Control: framing.GiveUpAfter(unacknowledged),
+		Timeout: timeout, KeepAliveConfig: keepAlive, Control: framing.UserTimeout(unacknowledged),
 	}
 	connection, err := dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
