--- a/internal/serving/agent/agent.go
+++ b/internal/serving/agent/agent.go
@@ -1,13 +1,9 @@
-// Package agent is the small program beside each edge proxy: it keeps the link to the core, holds a copy of
-// what the core tells, and feeds the proxy over loopback. A proxy that restarts finds all it needs here; a
-// proxy whose agent restarts goes on with what it has.
 package agent
 
 import (
 	"context"
 	"net"
 	"os/signal"
-	"slices"
 	"strconv"
 	"sync"
 	"syscall"
@@ -17,7 +13,6 @@
 	"go.uber.org/zap"
 	"google.golang.org/protobuf/proto"
 
-	"willowdeck/internal/serving/catalog"
 	"willowdeck/internal/serving/framing"
 	"willowdeck/internal/serving/settings"
 	"willowdeck/internal/serving/stateview"
@@ -26,39 +21,31 @@
 )
 
 const (
-	coreDialTimeout  = 280 * time.Millisecond
-	linkWriteTimeout = 2 * time.Second
-	settingsInterval = 2 * time.Second
-	stopLinger       = 80 * time.Millisecond
-	orderStep        = 10 // between two states of the edge, so that a core can put a lost link between them
+	coreDialTimeout        = 280 * time.Millisecond
+	linkWriteTimeout       = 2 * time.Second
+	settingsReloadInterval = 2 * time.Second
+	proxyPollInterval      = 80 * time.Millisecond // for the end of the proxy's links during a graceful shutdown
+	stopMargin             = time.Second / 2       // from the end of the shutdown to that of the grace period
 )
 
-// Distances of cores.
-const (
-	sameZone = iota
-	sameRegion
-	elsewhere
-	unknownPlace
-)
-
-// Agent is the process.
+// Agent is the process beside one edge proxy.
 type Agent struct {
 	settingsPath string
 	logger       *zap.Logger
-	mirror       *stateview.Mirror
+	store        *stateview.Mirror // of what the core publishes; safe for concurrent use
 	started      time.Time
 
-	mu       sync.Mutex
-	settings *settings.Settings
-	edge     *wirepb.Edge // nil until the proxy has spoken
-	order    uint64
-	changed  chan struct{} // closed when the edge's state changes
-	proxies  int           // links of the proxy; more than one only while an old one is being noticed
-	demands  []*wirepb.Demand
+	mu           sync.Mutex // guards the fields below
+	settings     *settings.Settings
+	edge         *wirepb.Edge     // as last reported by the proxy, nil before; replaced, never changed
+	edgeVersion  uint64           // of edge, as it is published; rises with each change
+	statusChange chan struct{}    // closed and replaced when the edge's state changes
+	proxyLinks   int              // connections of the proxy, with lost ones that are not noticed yet
+	demands      []*wirepb.Demand // as last reported by the proxy
 }
 
-// LoopbackAddress returns where an agent with these settings feeds its proxy. Where the machine's own
-// address is one of loopback, as with several edges on one machine, it is that.
+// LoopbackAddress returns the address at which an agent with these settings serves its proxy. It is on the
+// machine's own address where that is a loopback address, as with several edges on one machine.
 func LoopbackAddress(config *settings.Settings) string {
 	host := "127.0.0.1"
 	if ip := net.ParseIP(config.IP); ip.IsLoopback() {
@@ -67,7 +54,7 @@
 	return net.JoinHostPort(host, strconv.Itoa(config.FirstInternalPort+1))
 }
 
-// Run serves until the process is told to stop.
+// Run runs the agent with a settings file until SIGTERM or SIGINT.
 func Run(settingsPath string, logger *zap.Logger) error {
 	config, err := settings.Load(settingsPath)
 	if err != nil {
@@ -75,22 +62,22 @@
 	}
 	a := &Agent{
 		settingsPath: settingsPath, logger: logger, settings: config, started: time.Now(),
-		changed: make(chan struct{}),
+		statusChange: make(chan struct{}),
 	}
-	a.mirror = stateview.New("", func() time.Duration { return time.Since(a.started) })
+	a.store = stateview.New("", func() time.Duration { return time.Since(a.started) })
 	listener, err := framing.Listen(LoopbackAddress(config))
 	if err != nil {
 		return errors.Wrap(err, "cannot listen for the proxy: check internal_port_range")
 	}
-	signal.Ignore(syscall.SIGHUP) // the settings are read again all the while
+	signal.Ignore(syscall.SIGHUP) // the settings are reloaded periodically in any case
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	go a.accept(ctx, listener)
-	go a.keepSettings(ctx)
+	go a.acceptProxies(ctx, listener)
+	go a.reloadSettings(ctx)
 	logger.Info("agent started", zap.String("edge", config.NodeName))
 	subscriber := watch.Subscriber{
-		Mirror: a.mirror, DialTimeout: coreDialTimeout, Providers: a.cores,
-		Status: a.status, StatusChanged: a.statusChanged, Linked: a.linked,
+		Mirror: a.store, DialTimeout: coreDialTimeout, Providers: a.providers,
+		Status: a.status, StatusChanged: a.statusChanged, Linked: a.onLinkChange,
 		Wrap: func(request *wirepb.FeedRequest) proto.Message {
 			return &wirepb.Envelope{Body: &wirepb.Envelope_Subscribe{Subscribe: request}}
 		},
@@ -101,26 +88,26 @@
 	return nil
 }
 
-// awaitStop returns once the proxy has stopped after SIGTERM, or the time for it is over: the proxy's
-// requests still need what this process holds.
+// awaitStop waits for the signal to stop, and then until the proxy has disconnected or the grace period is
+// nearly over: the proxy needs updates until its last request has ended.
 func (a *Agent) awaitStop(ctx context.Context) {
 	<-ctx.Done()
-	deadline := time.Now().Add(a.settings.Bounds.GracePeriod - time.Second/2)
+	deadline := time.Now().Add(a.settings.Bounds.GracePeriod - stopMargin)
 	for time.Now().Before(deadline) {
 		a.mu.Lock()
-		proxies := a.proxies
+		links := a.proxyLinks
 		a.mu.Unlock()
-		if proxies == 0 {
-			time.Sleep(stopLinger)
+		if links == 0 {
+			time.Sleep(proxyPollInterval)
 			return
 		}
-		time.Sleep(stopLinger)
+		time.Sleep(proxyPollInterval)
 	}
 }
 
-// keepSettings reads the settings again all the while: they may change with or without a signal.
-func (a *Agent) keepSettings(ctx context.Context) {
-	ticker := time.NewTicker(settingsInterval)
+// reloadSettings loads the settings periodically until ctx is done: they may change with or without a signal.
+func (a *Agent) reloadSettings(ctx context.Context) {
+	ticker := time.NewTicker(settingsReloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -130,7 +117,7 @@
 		}
 		config, err := settings.Load(a.settingsPath)
 		if err != nil {
-			a.logger.Warn("settings kept as they were", zap.Error(err))
+			a.logger.Warn("settings not reloaded", zap.Error(err))
 			continue
 		}
 		a.mu.Lock()
@@ -138,140 +125,3 @@
 		a.mu.Unlock()
 	}
 }
-
-// cores returns the cores to subscribe at, the near ones first, and then the seeds that no core has told of.
-func (a *Agent) cores() []watch.Provider {
-	a.mu.Lock()
-	config := a.settings
-	a.mu.Unlock()
-	var providers []watch.Provider
-	known := map[string]bool{}
-	for _, entry := range a.mirror.Of(catalog.Cores) {
-		core := entry.Record.GetCore()
-		if core == nil || entry.Record.Deleted || known[core.Address] {
-			continue
-		}
-		known[core.Address] = true
-		providers = append(providers, watch.Provider{Address: core.Address, Distance: distance(config, core)})
-	}
-	for _, seed := range config.Seeds {
-		host, _, err := net.SplitHostPort(seed)
-		if err != nil {
-			continue
-		}
-		address := net.JoinHostPort(host, strconv.Itoa(config.FirstInternalPort))
-		if !known[address] {
-			known[address] = true
-			providers = append(providers, watch.Provider{Address: address, Distance: unknownPlace})
-		}
-	}
-	slices.SortStableFunc(providers, func(x, y watch.Provider) int { return x.Distance - y.Distance })
-	return providers
-}
-
-func distance(config *settings.Settings, core *wirepb.CoreNode) int {
-	switch {
-	case core.Zone == config.Zone:
-		return sameZone
-	case core.Region == config.Region:
-		return sameRegion
-	}
-	return elsewhere
-}
-
-func (a *Agent) linked(address string) {
-	if address == "" {
-		a.logger.Info("link to the core lost")
-		return
-	}
-	a.logger.Info("linked to the core", zap.String("core", address))
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.raiseOrder()
-}
-
-// raiseOrder makes the edge's state newer than any that was told before, also by an earlier life of this
-// process.
-func (a *Agent) raiseOrder() {
-	a.order = max(a.order+orderStep, uint64(time.Now().UnixMilli()))
-	close(a.changed)
-	a.changed = make(chan struct{})
-}
-
-func (a *Agent) statusChanged() <-chan struct{} {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.changed
-}
-
-// status is what the core is told of the edge.
-func (a *Agent) status() *wirepb.FeedRequest {
-	a.overtakeOldRecord()
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	request := &wirepb.FeedRequest{Subscriber: a.settings.NodeName, EdgeOrder: a.order, Demands: a.demands}
-	if a.edge != nil {
-		request.Edge = proto.Clone(a.edge).(*wirepb.Edge)
-	}
-	return request
-}
-
-// overtakeOldRecord raises the order where the catalog holds something newer of this edge that is not true:
-// an earlier life's state, told by a clock that was ahead, or a link that a core has taken for lost.
-func (a *Agent) overtakeOldRecord() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.edge == nil {
-		return
-	}
-	if entry := a.mirror.Get(catalog.EdgeKey(a.edge.Name)); entry != nil && entry.Record.Order > a.order {
-		a.order = entry.Record.Order + orderStep
-	}
-}
-
-// accept takes links of the proxy.
-func (a *Agent) accept(ctx context.Context, listener net.Listener) {
-	for {
-		accepted, err := listener.Accept()
-		if err != nil {
-			select {
-			case <-ctx.Done():
-				return
-			case <-time.After(stopLinger):
-				continue
-			}
-		}
-		go a.serveProxy(framing.NewConn(accepted, linkWriteTimeout))
-	}
-}
-
-func (a *Agent) serveProxy(connection *framing.Conn) {
-	defer connection.Close()
-	first := &wirepb.FeedRequest{}
-	if err := connection.ReadMessage(first, watch.LinkSilence); err != nil {
-		return
-	}
-	a.mu.Lock()
-	a.proxies++
-	a.mu.Unlock()
-	watch.Provide(connection, first, a.mirror, a.takeProxyStatus, nil)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.proxies--
-	if a.proxies == 0 && a.edge != nil && a.edge.Ready {
-		a.edge = proto.Clone(a.edge).(*wirepb.Edge)
-		a.edge.Ready = false
-		a.raiseOrder()
-	}
-}
-
-func (a *Agent) takeProxyStatus(request *wirepb.FeedRequest) {
-	a.mirror.SetDemands(request.Demands)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.demands = request.Demands
-	if request.Edge != nil && !proto.Equal(a.edge, request.Edge) {
-		a.edge = request.Edge
-		a.raiseOrder()
-	}
-}
--- a/internal/serving/agent/agent_test.go
+++ b/internal/serving/agent/agent_test.go
@@ -14,17 +14,18 @@
 
 func newAgent(seeds ...string) *Agent {
 	a := &Agent{
-		logger: zap.NewNop(), changed: make(chan struct{}),
+		logger: zap.NewNop(), statusChange: make(chan struct{}),
 		settings: &settings.Settings{
 			NodeName: "e1", IP: "10.1.0.5", Zone: "a", Region: "south", FirstInternalPort: 7660, Seeds: seeds,
 		},
 	}
-	a.mirror = stateview.New("", func() time.Duration { return 0 })
+	a.store = stateview.New("", func() time.Duration { return 0 })
 	return a
 }
 
-func (a *Agent) hold(records ...*wirepb.Record) {
-	a.mirror.WithCatalog(func(now time.Duration, c *catalog.Catalog) bool {
+// merge adds records to the agent's catalog.
+func (a *Agent) merge(records ...*wirepb.Record) {
+	a.store.WithCatalog(func(now time.Duration, c *catalog.Catalog) bool {
 		return len(c.Merge(now, records, nil)) > 0
 	})
 }
@@ -36,59 +37,59 @@
 	}
 }
 
-func TestNearCoresComeFirstAndSeedsLast(t *testing.T) {
+func TestProvidersAreSortedByDistance(t *testing.T) {
 	a := newAgent("10.9.0.1:8146", "10.2.0.1:8146", "nonsense")
-	a.hold(coreRecord("10.3.0.1:7660", "n", "north"), coreRecord("10.2.0.1:7660", "b", "south"),
+	a.merge(coreRecord("10.3.0.1:7660", "n", "north"), coreRecord("10.2.0.1:7660", "b", "south"),
 		coreRecord("10.1.0.1:7660", "a", "south"))
 	var addresses []string
-	for _, provider := range a.cores() {
+	for _, provider := range a.providers() {
 		addresses = append(addresses, provider.Address)
 	}
 	want := []string{"10.1.0.1:7660", "10.2.0.1:7660", "10.3.0.1:7660", "10.9.0.1:7660"}
 	if len(addresses) != len(want) {
-		t.Fatalf("cores %v", addresses)
+		t.Fatalf("providers %v", addresses)
 	}
 	for i := range want {
 		if addresses[i] != want[i] {
-			t.Errorf("cores %v, want %v", addresses, want)
+			t.Errorf("providers %v, want %v", addresses, want)
 		}
 	}
 }
 
-// TestStateOvertakesAnOldRecord holds a record of this edge that is newer than what the agent says, as
-// after a clock that was ahead: what the agent says has to come to count.
-func TestStateOvertakesAnOldRecord(t *testing.T) {
+// TestStatusSupersedesStaleRecord merges a record of this edge with a later version than the agent's, as
+// after a clock that was ahead: the agent has to publish its state with a still later one.
+func TestStatusSupersedesStaleRecord(t *testing.T) {
 	a := newAgent()
-	a.takeProxyStatus(&wirepb.FeedRequest{Edge: &wirepb.Edge{Name: "e1", Ready: true}})
-	ahead := a.order + 100_000
-	a.hold(&wirepb.Record{
+	a.receiveProxyStatus(&wirepb.FeedRequest{Edge: &wirepb.Edge{Name: "e1", Ready: true}})
+	ahead := a.edgeVersion + 100_000
+	a.merge(&wirepb.Record{
 		Key: catalog.EdgeKey("e1"), Origin: "c", Order: ahead,
 		Value: &wirepb.Record_Edge{Edge: &wirepb.Edge{Name: "e1"}},
 	})
 	if request := a.status(); request.EdgeOrder <= ahead || !request.Edge.Ready {
-		t.Errorf("told %v after a record of order %d", request, ahead)
+		t.Errorf("status %v after a record of version %d", request, ahead)
 	}
 }
 
-func TestChangeOfTheProxyIsTold(t *testing.T) {
+func TestProxyStatusChangesArePublished(t *testing.T) {
 	a := newAgent()
 	for i, ready := range []bool{true, false, true} {
-		changed, before := a.statusChanged(), a.order
-		a.takeProxyStatus(&wirepb.FeedRequest{Edge: &wirepb.Edge{Name: "e1", Ready: ready}})
+		changed, previous := a.statusChanged(), a.edgeVersion
+		a.receiveProxyStatus(&wirepb.FeedRequest{Edge: &wirepb.Edge{Name: "e1", Ready: ready}})
 		select {
 		case <-changed:
 		default:
-			t.Errorf("change %d is not told at once", i)
+			t.Errorf("change %d is not published at once", i)
 		}
-		if a.order <= before {
-			t.Errorf("change %d: order %d after %d", i, a.order, before)
+		if a.edgeVersion <= previous {
+			t.Errorf("change %d: version %d after %d", i, a.edgeVersion, previous)
 		}
 	}
 	changed := a.statusChanged()
-	a.takeProxyStatus(&wirepb.FeedRequest{Edge: &wirepb.Edge{Name: "e1", Ready: true}})
+	a.receiveProxyStatus(&wirepb.FeedRequest{Edge: &wirepb.Edge{Name: "e1", Ready: true}})
 	select {
 	case <-changed:
-		t.Error("a heartbeat that says nothing new is told at once")
+		t.Error("a heartbeat without a change is published at once")
 	default:
 	}
 }
