--- a/cmd/willowdeck-agent/main.go
+++ b/cmd/willowdeck-agent/main.go
@@ -1,4 +1,4 @@
-// Command willowdeck-agent keeps the link to the core for the edge proxy beside it.
+// Command willowdeck-agent runs the agent that subscribes to the core for the edge proxy beside it.
 package main
 
 import (
@@ -11,7 +11,7 @@
 func main() {
 	p := program.Program{
 		Name:    "willowdeck-agent",
-		Summary: "agent beside an edge proxy: it keeps the link to the core",
+		Summary: "agent beside an edge proxy: subscribes to the core for it",
 		Run:     agent.Run,
 	}
 	os.Exit(p.Main(os.Args[1:], os.Stdout, os.Stderr))
--- a/cmd/willowdeck-core/main.go
+++ b/cmd/willowdeck-core/main.go
@@ -1,4 +1,4 @@
-// Command willowdeck-core is the control program of the serving system.
+// Command willowdeck-core runs a core: a replica of the control plane of the serving system.
 package main
 
 import (
@@ -11,7 +11,7 @@
 func main() {
 	p := program.Program{
 		Name:    "willowdeck-core",
-		Summary: "core of the serving system: agrees on the configuration, hears the workers, tells the edges",
+		Summary: "core of the serving system: replicates the configuration, tracks workers, updates edges",
 		Run:     core.Run,
 	}
 	os.Exit(p.Main(os.Args[1:], os.Stdout, os.Stderr))
--- a/cmd/willowdeck-edge/main.go
+++ b/cmd/willowdeck-edge/main.go
@@ -1,4 +1,4 @@
-// Command willowdeck-edge takes clients' requests and passes them to workers.
+// Command willowdeck-edge runs an edge proxy, which forwards clients' requests to workers.
 package main
 
 import (
@@ -11,7 +11,7 @@
 func main() {
 	p := program.Program{
 		Name:    "willowdeck-edge",
-		Summary: "edge proxy: it takes clients' requests and passes them to workers",
+		Summary: "edge proxy: forwards clients' requests to workers",
 		Run:     edge.Run,
 	}
 	os.Exit(p.Main(os.Args[1:], os.Stdout, os.Stderr))
--- /dev/null
+++ b/internal/serving/program/check.go
@@ -0,0 +1,37 @@
+package program
+
+import (
+	"fmt"
+	"io"
+	"os"
+
+	"willowdeck/internal/serving/configuration"
+	"willowdeck/internal/serving/settings"
+)
+
+// check validates the settings file, and the configurations in files. It prints a line on each.
+func (p *Program) check(settingsPath string, files []string, output io.Writer) error {
+	path, err := settings.Path(settingsPath)
+	if err != nil {
+		return err
+	}
+	config, err := settings.Load(path)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(output, "settings: %s in zone %s of region %s\n",
+		config.NodeName, config.Zone, config.Region)
+	for _, file := range files {
+		body, err := os.ReadFile(file)
+		if err != nil {
+			return err
+		}
+		document, err := configuration.Check(body)
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(output, "configuration: generation %d, %d routes\n",
+			document.Generation, len(document.Routes()))
+	}
+	return nil
+}
--- a/internal/serving/program/golden_test.go
+++ b/internal/serving/program/golden_test.go
@@ -16,7 +16,7 @@
 	goldenConfiguration = filepath.Join("..", "configuration", "testdata", "operator.json")
 )
 
-// TestGoldenCommandLines carries out each command and flag, and compares status and output.
+// TestGoldenCommandLines executes each command and flag, and compares status and output.
 func TestGoldenCommandLines(t *testing.T) {
 	const settingsLine = "settings: edge-a-1 in zone a of region south\n"
 	cases := []struct {
@@ -36,18 +36,18 @@
 		{"-h", 2, "", false},
 	}
 	for _, test := range cases {
-		var output, problems bytes.Buffer
+		var output, errorOutput bytes.Buffer
 		ran := ""
 		p := Program{Name: "sample", Run: func(path string, _ *zap.Logger) error { ran = path; return nil }}
 		line := strings.NewReplacer("FILE", goldenSettings, "CONFIGURATION", goldenConfiguration)
-		status := p.Main(strings.Fields(line.Replace(test.arguments)), &output, &problems)
+		status := p.Main(strings.Fields(line.Replace(test.arguments)), &output, &errorOutput)
 		if status != test.status || output.String() != test.output || (ran == goldenSettings) != test.runs {
-			t.Errorf("%s: status %d, output %q, problems %q, ran %q", test.arguments, status, &output, &problems, ran)
+			t.Errorf("%s: status %d, output %q, errors %q, ran %q", test.arguments, status, &output, &errorOutput, ran)
 		}
 	}
 }
 
-// TestGoldenVersion pins the form of the answer, which begins with the program's name.
+// TestGoldenVersion guards the form of the output, which begins with the program's name.
 func TestGoldenVersion(t *testing.T) {
 	var output bytes.Buffer
 	p := Program{Name: "sample"}
--- a/internal/serving/program/imports_test.go
+++ b/internal/serving/program/imports_test.go
@@ -9,7 +9,7 @@
 
 const module = "willowdeck/internal/serving/"
 
-// goList returns what `go list` prints for a template, a line each.
+// goList returns the lines that go list prints.
 func goList(t *testing.T, arguments ...string) []string {
 	t.Helper()
 	command := exec.Command("go", append([]string{"list"}, arguments...)...)
@@ -21,42 +21,42 @@
 	return strings.Fields(string(output))
 }
 
-// TestProgramsBringNoAgreementOfOthers looks that forwarding, discovery, membership and agreement are our
-// own work.
-func TestProgramsBringNoAgreementOfOthers(t *testing.T) {
+// TestProgramsImportNoForeignConsensus checks that forwarding, discovery, membership and consensus are
+// implemented in this module.
+func TestProgramsImportNoForeignConsensus(t *testing.T) {
 	foreign := []string{"etcd", "raft", "memberlist", "serf", "consul", "bbolt", "gossip", "zookeeper", "nats",
 		"net/http/httputil", "grpc"}
 	for _, dependency := range goList(t, "-deps", "./cmd/willowdeck-core", "./cmd/willowdeck-agent",
 		"./cmd/willowdeck-edge") {
 		for _, name := range foreign {
 			if strings.Contains(dependency, name) {
-				t.Errorf("the programs bring %s", dependency)
+				t.Errorf("the programs import %s", dependency)
 			}
 		}
 	}
 }
 
-// TestDecisionsHaveNoInputOrOutput looks at what the deciding packages import.
-func TestDecisionsHaveNoInputOrOutput(t *testing.T) {
+// TestDecidingPackagesDoNoIO checks the direct imports of the packages that make decisions.
+func TestDecidingPackagesDoNoIO(t *testing.T) {
 	deciding := []string{"consensus", "statemachine", "configuration", "catalog", "loadbalancer", "loadreport",
 		"slowstart", "retrybudget", "stateview", "control", "pathhealth"}
 	forbidden := []string{"net", "net/http", "os", "os/exec", "syscall", "log", "go.uber.org/zap",
 		module + "framing", module + "watch", module + "core", module + "agent", module + "edge"}
 	for _, name := range deciding {
 		for _, imported := range goList(t, "-f", `{{join .Imports "\n"}}`, "./internal/serving/"+name) {
-			told := name == "control" && imported == "go.uber.org/zap" // a logger is given to it
-			if slices.Contains(forbidden, imported) && !told {
+			allowed := name == "control" && imported == "go.uber.org/zap" // its caller provides the logger
+			if slices.Contains(forbidden, imported) && !allowed {
 				t.Errorf("%s imports %s", name, imported)
 			}
 		}
 	}
 }
 
-// TestLaboratoryStaysOutside looks that no program of the system brings the laboratory.
-func TestLaboratoryStaysOutside(t *testing.T) {
+// TestProgramsDoNotImportLaboratory checks that no program of the system imports the laboratory.
+func TestProgramsDoNotImportLaboratory(t *testing.T) {
 	for _, dependency := range goList(t, "-deps", "./cmd/willowdeck-core", "./cmd/willowdeck-edge") {
 		if dependency == module+"scale" || strings.HasPrefix(dependency, "willowdeck/internal/lab/capacity") {
-			t.Errorf("the programs bring %s", dependency)
+			t.Errorf("the programs import %s", dependency)
 		}
 	}
 }
