--- a/internal/borrowing/ledger/book_test.go
+++ b/internal/borrowing/ledger/book_test.go
@@ -60,7 +60,7 @@
 		news bool
 	}{{incarnation.MessageID{Incarnation: 5, Sequence: 9}, true},
 		{incarnation.MessageID{Incarnation: 5, Sequence: 9},
-		false},
+			false},
 		{incarnation.MessageID{Incarnation: 4, Sequence: 10}, false},
 		{incarnation.MessageID{Incarnation: 6, Sequence: 1},
 			true}} {
--- a/internal/distribution/relay/client.go
+++ b/internal/distribution/relay/client.go
@@ -14,8 +14,8 @@
 
 	"github.com/valyala/fasthttp"
 
+	"willowdeck/internal/bootclock"
 	"willowdeck/internal/distribution"
-	"willowdeck/internal/gateway/inflight"
 )
 
 const (
@@ -31,7 +31,7 @@
 
 // Clock is the time by which ages are counted, ms: it goes on while the process stands still and the machine
 // sleeps.
-func Clock() float64 { return float64(inflight.Boot()) / 1e6 }
+func Clock() float64 { return float64(bootclock.Nanos()) / 1e6 }
 
 // millis is a time in ms as the library has it.
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/forwardauth/authorizer/vouch.go
+++ b/internal/forwardauth/authorizer/vouch.go
@@ -134,7 +134,7 @@
 		go func() { own <- singleflight.Result{Val: v.ask(ask)} }()
 		came = own
 	}
-	var over <-chan inflight.Word
+	var over <-chan inflight.Command
 	if hold != nil {
 		over = hold.Over()
 	}
--- a/internal/gateway/incarnation/tracker_test.go
+++ b/internal/gateway/incarnation/tracker_test.go
@@ -15,7 +15,8 @@
 			incarnation, sequence uint32
 			want                  Freshness
 		}{{5, 10, Fresh}, {5, 11, Fresh}, {5, 11, Stale}, {5, 10, Stale}, {5, 15, Fresh}, {5, 12, Stale},
-			{4, 99, Stale}, {6, 0, Restarted}, {5, 16, Stale}, {6, 1, Fresh}, {9, 3, Restarted}, {6, 2, Stale}, {9, 4, Fresh}} {
+			{4, 99, Stale}, {6, 0, Restarted}, {5, 16, Stale}, {6, 1, Fresh}, {9, 3, Restarted},
+			{6, 2, Stale}, {9, 4, Fresh}} {
 			if got := tracker.Observe(3, MessageID{base + c.incarnation, base + c.sequence}); got != c.want {
 				t.Errorf("from %d, message %d: %v", base, i, got)
 			}
@@ -72,7 +73,8 @@
 }
 
 // Restored numbers separate a peer that has restarted meanwhile from one that has not, and stale messages
-// from fresh ones. Guards against a demand that is counted twice where two instances restart at the same time.
+// from fresh ones. Guards against a demand that is counted twice where two instances restart at the same
+// time.
 func TestRestore(t *testing.T) {
 	before, after := NewTracker(), NewTracker()
 	before.Observe(1, MessageID{5, 9})
--- a/internal/gateway/inflight/claims_debug.go
+++ b/internal/gateway/inflight/invariants_debug.go
@@ -2,4 +2,4 @@
 
 package inflight
 
-const asserted = true
+const panicOnViolation = true
--- a/internal/gateway/inflight/claims_release.go
+++ b/internal/gateway/inflight/invariants_release.go
@@ -2,4 +2,4 @@
 
 package inflight
 
-const asserted = false
+const panicOnViolation = false
--- a/internal/gateway/lifecycle/agree.go
+++ b/internal/gateway/lifecycle/agree.go
@@ -17,6 +17,7 @@
 
 	"github.com/valyala/fasthttp"
 
+	"willowdeck/internal/bootclock"
 	"willowdeck/internal/distribution"
 	"willowdeck/internal/distribution/relay"
 	"willowdeck/internal/gateway/inflight"
@@ -62,7 +63,7 @@
 	again  bool // and what it says is old by now
 	said   time.Time
 
-	terms   atomic.Pointer[inflight.Terms]
+	terms   atomic.Pointer[inflight.Lease]
 	mode    atomic.Int64
 	version atomic.Uint64
 	refused atomic.Int64 // answers that can't be gone by
@@ -90,7 +91,7 @@
 }
 
 // boot is the time by which leases run, ms.
-func boot() float64 { return float64(inflight.Boot()) / 1e6 }
+func boot() float64 { return float64(bootclock.Nanos()) / 1e6 }
 
 // moment is a time of boot's as terms have it.
 func moment(ms float64) int64 {
@@ -168,7 +169,7 @@
 		}
 	}
 	if t := a.terms.Load(); t != nil {
-		t.Extend(moment(a.holder.Until()))
+		t.Renew(moment(a.holder.Until()))
 	}
 }
 
@@ -385,7 +386,7 @@
 	if t.Mode == ruleset.Bare { // what goes out goes by none
 		number = 0
 	}
-	terms := inflight.NewTerms(number, ruleModes[t.Mode], moment(t.Until))
+	terms := inflight.NewLease(number, ruleModes[t.Mode], moment(t.Until))
 	c := a.charter(t)
 	peers := a.g.conf.Peers
 	if t.Version == a.heard.Number && t.Version > 0 {
@@ -395,7 +396,7 @@
 		// Guards against what a former life spent, or others did whose share this one has now, by rules that are
 		// not those that its record is of.
 		if a.taken.Version == 0 && t.Version > 0 && a.g.desk.Knows() != t.Version {
-			a.g.desk.Govern(inflight.NewTerms(0, history.Bare, math.MaxInt64), unknown(c))
+			a.g.desk.Govern(inflight.NewLease(0, history.Bare, math.MaxInt64), unknown(c))
 		}
 		if !a.g.desk.Govern(terms, c) {
 			a.refuse("a charter that differs in what may not change")
@@ -487,8 +488,8 @@
 // figures are what operators see of it. Mode is 0 bare, 1 cut off, 2 leased.
 func (a *agreement) figures(add func(string, int64)) {
 	terms, left := a.terms.Load(), int64(0)
-	if until := terms.Until(); until < math.MaxInt64 {
-		left = max(until-inflight.Boot(), 0) / 1e6
+	if until := terms.Expiry(); until < math.MaxInt64 {
+		left = max(until-bootclock.Nanos(), 0) / 1e6
 	}
 	add("rules.version", int64(a.version.Load()))
 	add("rules.mode", a.mode.Load())
--- a/internal/gateway/lifecycle/endings_test.go
+++ b/internal/gateway/lifecycle/endings_test.go
@@ -158,8 +158,8 @@
 			if n := count(d); n != subs || n > c.subs {
 				t.Errorf("%d submissions, %d when it was answered", n, subs)
 			}
-			broken := inflight.Broken() // the process's, and so of the tests before it too
-			delete(broken, "in_time")   // a machine that is busy with more may be late
+			broken := inflight.Violations() // the process's, and so of the tests before it too
+			delete(broken, "in_time")       // a machine that is busy with more may be late
 			if len(broken) > 0 {
 				t.Errorf("claims broken: %v", broken)
 			}
--- a/internal/gateway/lifecycle/lifecycle_test.go
+++ b/internal/gateway/lifecycle/lifecycle_test.go
@@ -573,7 +573,7 @@
 			if got := d.got(); len(got) > c.subs || len(got) < min(c.subs, 2) {
 				t.Errorf("%d submissions, want %d, or one fewer on a slow machine", len(got), c.subs)
 			}
-			if b := inflight.Broken(); len(b) > 0 {
+			if b := inflight.Violations(); len(b) > 0 {
 				t.Errorf("claims broken: %v", b)
 			}
 		})
@@ -796,7 +796,7 @@
 				t.Errorf("%d submissions after the last answer, %d to the silent one", n-before,
 					d.workers[0].count())
 			}
-			if b := inflight.Broken(); len(b) > 0 {
+			if b := inflight.Violations(); len(b) > 0 {
 				t.Errorf("claims broken: %v", b)
 			}
 		})
--- a/internal/gateway/lifecycle/stop.go
+++ b/internal/gateway/lifecycle/stop.go
@@ -88,7 +88,7 @@
 	t := g.desk.Tally()
 	e := g.log.Info().Ints("finals", t.Final[:]).Int64("unreadable", g.front.Broken()).
 		Int64("clients_shed", g.limit.Shed()).Int64("links_spoilt", g.links.Spoilt())
-	for name, n := range inflight.Broken() {
+	for name, n := range inflight.Violations() {
 		e = e.Int64("broken_"+name, n)
 	}
 	if g.peers != nil {
--- a/internal/gateway/lifecycle/worker_ends_test.go
+++ b/internal/gateway/lifecycle/worker_ends_test.go
@@ -155,7 +155,7 @@
 // that are about it look at the clock.
 func claims(t *testing.T) {
 	t.Helper()
-	n := inflight.Broken()
+	n := inflight.Violations()
 	delete(n, "in_time")
 	if len(n) > 0 {
 		t.Errorf("claims broken: %v", n)
--- a/internal/gateway/proxy/copies.go
+++ b/internal/gateway/proxy/copies.go
@@ -24,7 +24,7 @@
 // peers know this for a new life.
 func (d *Desk) Recollect(l *checkpoint.Left, told bool) (customers int, fits bool) {
 	d.enter()
-	if fits = l.Of == checkpoint.Digest(d.charter, d.terms.Number()); fits {
+	if fits = l.Of == checkpoint.Digest(d.charter, d.terms.Version()); fits {
 		customers = d.gk.Recollect(l.Estate, told)
 	}
 	d.leave()
@@ -85,7 +85,7 @@
 	for from := 0; ; {
 		d.mu.Lock()
 		if of.count != d.charters {
-			of, from = inForce{d.charter, d.terms.Number(), d.charters}, 0
+			of, from = inForce{d.charter, d.terms.Version(), d.charters}, 0
 		}
 		if goes = !d.left; goes {
 			from = d.gk.Copy(e, from, d.clock.now())
--- a/internal/gateway/proxy/copies_test.go
+++ b/internal/gateway/proxy/copies_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"willowdeck/internal/bootclock"
 	"willowdeck/internal/gateway/incarnation"
 	"willowdeck/internal/gateway/inflight"
 	"willowdeck/internal/gateway/recovery/checkpoint"
@@ -26,8 +27,8 @@
 	return d
 }
 
-func under(version uint64) *inflight.Terms {
-	return inflight.NewTerms(version, history.Leased, inflight.Boot()+3600e9)
+func under(version uint64) *inflight.Lease {
+	return inflight.NewLease(version, history.Leased, bootclock.Nanos()+3600e9)
 }
 
 // Copies are of the charter that is in force as they are taken, and so is what is gone by: one of another
@@ -37,7 +38,7 @@
 	other.Plans[0].Rate, narrow.Narrow = 500, true
 	for _, c := range []struct {
 		name    string
-		was, is *inflight.Terms
+		was, is *inflight.Lease
 		by, now policy.Charter
 		fits    bool
 	}{
--- a/internal/gateway/proxy/desk.go
+++ b/internal/gateway/proxy/desk.go
@@ -13,6 +13,7 @@
 	"willowdeck/internal/gateway/transport"
 	"willowdeck/internal/gateway/transport/endpoints"
 	"willowdeck/internal/gateway/transport/gossip"
+	"willowdeck/internal/gateway/workers"
 	"willowdeck/internal/policy"
 	"willowdeck/internal/testkit/history"
 )
@@ -48,7 +49,7 @@
 	pool  atomic.Pointer[policy.Tally] // a copy for those who must not wait
 
 	record *record         // nil where none is kept
-	terms  *inflight.Terms // under the lock; nil where no rules are agreed on
+	terms  *inflight.Lease // under the lock; nil where no rules are agreed on
 	under  uint64          // the last version that was gone by
 
 	charter  policy.Charter // in force, under the lock
@@ -63,8 +64,8 @@
 	gk      *policy.Gatekeeper
 	timer   *time.Timer
 	last    uint64
-	txns    map[uint64]*inflight.Txn
-	workers inflight.Workers
+	txns    map[uint64]*inflight.Request
+	workers workers.Registry
 	speech  []speech
 	waiting []waiting        // of the wake's goroutine
 	residue *crashstate.File // nil where none is kept
@@ -77,7 +78,7 @@
 
 // waiting is a txn whose client is looked at.
 type waiting struct {
-	txn  *inflight.Txn
+	txn  *inflight.Request
 	gone func() bool
 }
 
@@ -91,7 +92,7 @@
 // the idle connections to a worker.
 func NewDesk(c policy.Charter, seed int64, late float64, tell func(int, []byte), shed func(int)) *Desk {
 	d := &Desk{clock: newClock(), tell: tell, shed: shed, subs: max(c.MaxSubmissions, 1), late: late,
-		gk: policy.New(c, seed), charter: c, charters: 1, txns: map[uint64]*inflight.Txn{}}
+		gk: policy.New(c, seed), charter: c, charters: 1, txns: map[uint64]*inflight.Request{}}
 	d.timer, d.stop = time.NewTimer(time.Hour), make(chan struct{})
 	go d.wake()
 	return d
@@ -142,7 +143,7 @@
 func (d *Desk) Roster(l endpoints.List) {
 	d.listing.Lock()
 	defer d.listing.Unlock()
-	pieces := d.workers.Pieces(d.workers.Changes(l), policy.ListPiece)
+	pieces := d.workers.Split(d.workers.Diff(l), policy.ListPiece)
 	for i, piece := range pieces {
 		if i > 0 {
 			time.Sleep(transport.Millis(policy.PieceApart))
@@ -153,9 +154,9 @@
 		} else {
 			d.record.roster(piece)
 		}
-		list, ended := d.workers.Update(piece, d.gk.Vacant)
+		list, ended := d.workers.Apply(piece, d.gk.Vacant)
 		if i == len(pieces)-1 {
-			d.ready.Store(d.workers.Active())
+			d.ready.Store(d.workers.AnyActive())
 		}
 		d.gk.Roster(list, !piece.Whole)
 		d.leave()
@@ -230,7 +231,7 @@
 // Resume takes over what another process's module knew.
 func (d *Desk) Resume(e policy.Estate, workers, kinds map[int]string) {
 	d.enter()
-	d.workers.Renumber(&e, workers, kinds)
+	d.workers.Remap(&e, workers, kinds)
 	d.gk.Resume(e)
 	d.leave()
 }
@@ -241,7 +242,7 @@
 // Govern has the module go by a charter for as long as some terms hold, in place of those before, which end.
 // Where the time of these runs out and nothing has come in their place, nothing passes under a ceiling. It is
 // false, and nothing changes, where the charter differs in what may not change.
-func (d *Desk) Govern(t *inflight.Terms, c policy.Charter) bool {
+func (d *Desk) Govern(t *inflight.Lease, c policy.Charter) bool {
 	d.mu.Lock()
 	from := d.clock.now()
 	d.gk.Clock(from)
@@ -251,7 +252,7 @@
 	return taken
 }
 
-func (d *Desk) govern(t *inflight.Terms, c policy.Charter) bool {
+func (d *Desk) govern(t *inflight.Lease, c policy.Charter) bool {
 	d.record.acts(t)
 	if !d.gk.Recharter(c) {
 		return false
@@ -260,12 +261,12 @@
 		d.lending.relend(&c)
 	}
 	if d.terms != nil {
-		d.terms.End()
+		d.terms.Revoke()
 	}
 	d.terms, d.charter = t, c
 	d.charters++
-	if t.Version > 0 {
-		d.under = t.Version
+	if t.RulesetVersion > 0 {
+		d.under = t.RulesetVersion
 	}
 	if d.residue != nil { // what it says is reckoned by the ceilings
 		d.residue.By(d.under)
@@ -285,7 +286,7 @@
 
 // lapse has the module act on nothing whose time has run out. What comes in its place is told soon.
 func (d *Desk) lapse() {
-	if d.terms.Holds() {
+	if d.terms.Valid() {
 		return
 	}
 	c := d.charter
@@ -293,7 +294,7 @@
 	for i := range c.Plans {
 		c.Plans[i].Withheld = 1
 	}
-	d.govern(inflight.NewTerms(0, history.Bare, math.MaxInt64), c)
+	d.govern(inflight.NewLease(0, history.Bare, math.MaxInt64), c)
 }
 
 // Resize tells the module how many gatekeepers there are from now on.
@@ -364,8 +365,8 @@
 	}
 	d.waiting = d.waiting[:0]
 	for _, h := range d.txns {
-		if !h.Final {
-			d.waiting = append(d.waiting, waiting{h, h.Gone})
+		if !h.Answered {
+			d.waiting = append(d.waiting, waiting{h, h.ClientGone})
 		}
 	}
 	d.leave()
@@ -386,36 +387,36 @@
 }
 
 // quit tells the module that a txn's client no longer waits.
-func (d *Desk) quit(h *inflight.Txn) {
+func (d *Desk) quit(h *inflight.Request) {
 	d.part(h, d.enter())
 	d.leave()
 }
 
 // part is quit, under the lock.
-func (d *Desk) part(h *inflight.Txn, now float64) {
-	if !h.Final {
+func (d *Desk) part(h *inflight.Request, now float64) {
+	if !h.Answered {
 		d.gk.Left(h.ID)
-		d.finish(h, inflight.Word{Decision: policy.Decision{Kind: policy.Void}}, now)
+		d.finish(h, inflight.Command{Decision: policy.Decision{Kind: policy.Void}}, now)
 		d.forget(h)
 	}
 }
 
 // take gives a txn to the module. What is decided on it comes to its box.
-func (d *Desk) take(t *transport.Txn) *inflight.Txn {
+func (d *Desk) take(t *transport.Txn) *inflight.Request {
 	now := d.enter()
 	h := d.hold(&t.Arrival, t.Gone, now)
-	h.Expiry = expiry(t, now)
+	h.ExpiryMillis = expiry(t, now)
 	d.gk.Take(t.Arrival)
 	d.leave()
 	return h
 }
 
 // hold makes a txn, under the lock. Until it has come it has no expiry.
-func (d *Desk) hold(a *policy.Arrival, gone func() bool, now float64) *inflight.Txn {
+func (d *Desk) hold(a *policy.Arrival, gone func() bool, now float64) *inflight.Request {
 	d.last++
 	a.ID = d.last
-	h := inflight.NewTxn(a.ID, math.Inf(1), gone, d.subs)
-	h.Of, h.Plan, h.Kind, h.Came = a.Customer, a.Plan, a.Product, now
+	h := inflight.NewRequest(a.ID, math.Inf(1), gone, d.subs)
+	h.Customer, h.Plan, h.Product, h.ArrivedMillis = a.Customer, a.Plan, a.Product, now
 	d.meter.Asked(a.Plan, a.Product, a.Units)
 	d.txns[a.ID] = h
 	return h
@@ -430,45 +431,45 @@
 }
 
 // clear asks the module whether a txn may come within so many ms, and tells whether it may.
-func (d *Desk) clear(t *transport.Txn, life float64) (*inflight.Txn, bool) {
+func (d *Desk) clear(t *transport.Txn, life float64) (*inflight.Request, bool) {
 	a := t.Arrival
 	a.Clears = life
 	now := d.enter()
 	h := d.hold(&a, t.Gone, now)
 	d.gk.Take(a)
 	d.leave()
-	return h, h.Clear
+	return h, h.Reserved
 }
 
 // cleared takes a clearance over that another process has given, for so many ms more.
-func (d *Desk) cleared(a policy.Arrival, life float64) *inflight.Txn {
+func (d *Desk) cleared(a policy.Arrival, life float64) *inflight.Request {
 	a.Clears = life
 	now := d.enter()
 	h := d.hold(&a, func() bool { return false }, now)
-	h.Clear = true
+	h.Reserved = true
 	d.gk.Cleared(a)
 	d.leave()
 	return h
 }
 
 // claim tells the module that a cleared txn has come. It is false where its clearance is no more.
-func (d *Desk) claim(h *inflight.Txn, t *transport.Txn) bool {
+func (d *Desk) claim(h *inflight.Request, t *transport.Txn) bool {
 	now := d.enter()
-	known := !h.Final && d.gk.Claim(h.ID, t.Left, t.Streams)
+	known := !h.Answered && d.gk.Claim(h.ID, t.Left, t.Streams)
 	if known {
-		t.ID, h.Expiry, h.Gone, h.Came = h.ID, expiry(t, now), t.Gone, now
+		t.ID, h.ExpiryMillis, h.ClientGone, h.ArrivedMillis = h.ID, expiry(t, now), t.Gone, now
 	}
 	d.leave()
 	return known
 }
 
 // release tells the module that a cleared txn will not come.
-func (d *Desk) release(h *inflight.Txn) {
+func (d *Desk) release(h *inflight.Request) {
 	d.enter()
-	if !h.Final {
+	if !h.Answered {
 		d.gk.Release(h.ID)
-		h.Final = true
-		d.meter.Ended(h.Plan, h.Kind, forecast.Other, 0)
+		h.Answered = true
+		d.meter.Ended(h.Plan, h.Product, forecast.Other, 0)
 		d.forget(h)
 	}
 	d.leave()
@@ -476,29 +477,29 @@
 
 // poured tells the module that a body that is not kept has begun to go out or, where left is given, has gone
 // out whole: its client waits so many ms from now on. It gives that moment.
-func (d *Desk) poured(h *inflight.Txn, n int, left float64) time.Time {
+func (d *Desk) poured(h *inflight.Request, n int, left float64) time.Time {
 	now := d.enter()
 	d.gk.Poured(h.ID, n, left)
 	if left > 0 {
-		h.Expiry, h.Whole = now+left, now
+		h.ExpiryMillis, h.BodySentMillis = now+left, now
 	}
 	d.leave()
 	return d.clock.time(now + left)
 }
 
 // whole gives the time at which a txn's body had gone out.
-func (d *Desk) whole(h *inflight.Txn) float64 {
+func (d *Desk) whole(h *inflight.Request) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return h.Whole
+	return h.BodySentMillis
 }
 
 // begun gives a txn the answer that begins to be passed on, unless it has its final one.
-func (d *Desk) begun(h *inflight.Txn, n int, a *transport.Answer) bool {
+func (d *Desk) begun(h *inflight.Request, n int, a *transport.Answer) bool {
 	now := d.enter()
-	begins := !h.Final && a.Outcome == policy.Settled
+	begins := !h.Answered && a.Outcome == policy.Settled
 	if begins {
-		d.finish(h, inflight.Word{Answer: a}, now)
+		d.finish(h, inflight.Command{Answer: a}, now)
 		d.gk.Begun(h.ID, n)
 	}
 	d.leave()
@@ -513,31 +514,31 @@
 }
 
 // ended tells the module how a submission ended. The first answer of a worker settles the txn.
-func (d *Desk) ended(h *inflight.Txn, n, worker int, a *transport.Answer, took float64) {
+func (d *Desk) ended(h *inflight.Request, n, worker int, a *transport.Answer, took float64) {
 	now := d.enter()
-	d.meter.Answered(d.workers.Zone(worker), h.Kind, a.Outcome, took, h.Final)
+	d.meter.Answered(d.workers.Zone(worker), h.Product, a.Outcome, took, h.Answered)
 	if a.Heard {
 		d.gk.Burden(worker, a.Load)
 		d.meter.Said(d.workers.Zone(worker), a.Load)
 	}
-	if a.Outcome == policy.Settled && !h.Final {
-		d.finish(h, inflight.Word{Answer: a}, now)
+	if a.Outcome == policy.Settled && !h.Answered {
+		d.finish(h, inflight.Command{Answer: a}, now)
 	}
-	d.gk.Ended(h.ID, n, a.Outcome, took, h.Final)
-	h.Out--
+	d.gk.Ended(h.ID, n, a.Outcome, took, h.Answered)
+	h.Outstanding--
 	d.forget(h)
 	d.leave()
 }
 
 // recall tells the module that a submission was never sent, as what it was decided by had run out.
-func (d *Desk) recall(h *inflight.Txn, n int) {
+func (d *Desk) recall(h *inflight.Request, n int) {
 	d.enter()
 	if d.gk.Recall(h.ID, n) {
-		h.Subs = h.Subs[:n]
+		h.Attempts = h.Attempts[:n]
 	} else {
-		d.gk.Ended(h.ID, n, policy.NotSent, 0, h.Final)
+		d.gk.Ended(h.ID, n, policy.NotSent, 0, h.Answered)
 	}
-	h.Out--
+	h.Outstanding--
 	d.recalled.Add(1)
 	d.forget(h)
 	d.leave()
@@ -548,19 +549,19 @@
 
 // finish gives a txn its final answer. Guards against a submission whose connection is still coming up:
 // nothing is sent for a txn after that, also where submissions may not be withdrawn.
-func (d *Desk) finish(h *inflight.Txn, w inflight.Word, now float64) {
-	inflight.Must(!h.Final, inflight.OneFinal)
-	inflight.Must(now <= h.Expiry+d.late, inflight.InTime)
-	h.Final = true
-	d.meter.Ended(h.Plan, h.Kind, endOf(w), now-h.Came)
-	for _, s := range h.Subs {
-		s.Bar()
+func (d *Desk) finish(h *inflight.Request, w inflight.Command, now float64) {
+	inflight.Check(!h.Answered, inflight.SingleFinalAnswer)
+	inflight.Check(now <= h.ExpiryMillis+d.late, inflight.FinalAnswerInTime)
+	h.Answered = true
+	d.meter.Ended(h.Plan, h.Product, endOf(w), now-h.ArrivedMillis)
+	for _, s := range h.Attempts {
+		s.CancelUnsent()
 	}
-	h.Box <- w
+	h.Commands <- w
 }
 
 // endOf tells a final answer's kind for the meter.
-func endOf(w inflight.Word) forecast.Final {
+func endOf(w inflight.Command) forecast.Final {
 	switch {
 	case w.Answer != nil:
 		return forecast.Settled
@@ -600,8 +601,8 @@
 }
 
 // forget drops a txn of which nothing more can come.
-func (d *Desk) forget(h *inflight.Txn) {
-	if h.Final && h.Out == 0 {
+func (d *Desk) forget(h *inflight.Request) {
+	if h.Answered && h.Outstanding == 0 {
 		delete(d.txns, h.ID)
 	}
 }
@@ -648,37 +649,38 @@
 		return
 	case policy.Tell:
 		b := gossip.Append(nil, v.Reports)
-		inflight.Must(len(b) <= gossip.Limit, inflight.ShortSpeech)
+		inflight.Check(len(b) <= gossip.Limit, inflight.DatagramFits)
 		d.speech = append(d.speech, speech{v.Peer, b})
 		return
 	}
 	h := d.txns[v.Txn]
-	inflight.Must(h != nil, inflight.Named)
+	inflight.Check(h != nil, inflight.KnownRequest)
 	if h == nil {
 		return
 	}
 	switch v.Kind {
 	case policy.Grant:
-		h.Clear = true
+		h.Reserved = true
 	case policy.Withdraw:
-		h.Subs[v.N].Withdraw()
+		h.Attempts[v.N].Cancel()
 	case policy.Submit:
-		inflight.Must(!h.Final && len(h.Subs) == v.N, inflight.NoneAfter)
+		inflight.Check(!h.Answered && len(h.Attempts) == v.N, inflight.NoAttemptAfterFinalAnswer)
 		// Guards against a connection that comes up when the window that a copy has begun is over.
-		if d.charter.Products[h.Kind].Repeat == policy.Referenced {
-			for _, before := range h.Subs {
-				before.Bar()
+		if d.charter.Products[h.Product].Repeat == policy.Referenced {
+			for _, before := range h.Attempts {
+				before.CancelUnsent()
 			}
 		}
-		s := &inflight.Submission{}
-		h.Subs = append(h.Subs, s)
-		h.Out++
+		s := &inflight.Attempt{}
+		h.Attempts = append(h.Attempts, s)
+		h.Outstanding++
 		if d.residue != nil && v.Full > 0 { // before it can go out
-			d.residue.Spend(h.Of, h.Plan, v.Full, d.clock.now())
+			d.residue.Spend(h.Customer, h.Plan, v.Full, d.clock.now())
 		}
-		h.Box <- inflight.Word{Decision: v, To: d.workers.Life(v.Worker), Sub: s, By: d.terms}
+		h.Commands <- inflight.Command{Decision: v,
+			Upstream: d.workers.Upstream(v.Worker), Attempt: s, Lease: d.terms}
 	case policy.Decline, policy.Void:
-		d.finish(h, inflight.Word{Decision: v}, d.clock.now())
+		d.finish(h, inflight.Command{Decision: v}, d.clock.now())
 		d.forget(h)
 	}
 }
--- a/internal/gateway/proxy/ends_test.go
+++ b/internal/gateway/proxy/ends_test.go
@@ -75,7 +75,7 @@
 func (b *bed) takes() job {
 	b.Helper()
 	h := b.g.desk.take(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
-	w := <-h.Box
+	w := <-h.Commands
 	if w.Decision.Kind != policy.Submit {
 		b.Fatalf("decided %+v", w.Decision)
 	}
@@ -232,8 +232,8 @@
 		}},
 		{"started anew", told(func(w *endpoints.Worker) { w.Since = 9 })},
 		{"moved", told(func(w *endpoints.Worker) { w.Address = netip.MustParseAddrPort("127.0.0.1:1") })},
-		{"withdrawn", func(_ *bed, j *job) { j.word.Sub.Withdraw() }},
-		{"barred", func(_ *bed, j *job) { j.word.Sub.Bar() }},
+		{"withdrawn", func(_ *bed, j *job) { j.word.Attempt.Cancel() }},
+		{"barred", func(_ *bed, j *job) { j.word.Attempt.CancelUnsent() }},
 	} {
 		for _, idle := range []string{", idle", ", new"} {
 			t.Run(c.name+idle, func(t *testing.T) {
@@ -267,7 +267,7 @@
 		got := b.goes(j)
 		w := b.accept()
 		b.asked(w)
-		j.word.Sub.Withdraw()
+		j.word.Attempt.Cancel()
 		if e := <-got; e.outcome != policy.Withdrawn || b.g.links.Open() != 0 {
 			t.Errorf("ended %+v, %d connections", e, b.g.links.Open())
 		}
@@ -286,7 +286,7 @@
 		got := b.goes(j)
 		w := b.accept()
 		b.asked(w)
-		j.word.Sub.Withdraw()
+		j.word.Attempt.Cancel()
 		w.Write([]byte(okay))
 		if e := <-got; e.outcome != policy.Withdrawn && e.body != "ok" || b.g.links.Open() != 0 {
 			t.Errorf("ended %+v, %d connections", e, b.g.links.Open())
@@ -300,7 +300,7 @@
 		b.asked(w)
 		w.Write([]byte(okay))
 		e := <-got
-		j.word.Sub.Withdraw() // and does not touch what another may use by now
+		j.word.Attempt.Cancel() // and does not touch what another may use by now
 		if e.outcome != policy.Settled || b.g.links.Open() != 1 {
 			t.Errorf("ended %+v, %d connections", e, b.g.links.Open())
 		}
@@ -400,7 +400,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(100 * time.Millisecond) // its first SYN has been sent, and dropped
-	j.word.Sub.Bar()
+	j.word.Attempt.CancelUnsent()
 	before := len(take())
 	e := <-got
 	if took := time.Since(start); e.outcome != policy.NotSent || took < 500*time.Millisecond {
@@ -437,7 +437,7 @@
 	b := before(t, time.Second, 4)
 	w := b.kept()
 	j := b.takes()
-	j.word.By = inflight.NewTerms(1, history.Leased, 0)
+	j.word.Lease = inflight.NewLease(1, history.Leased, 0)
 	a, l, _ := b.g.exchange(j, time.Now().Add(time.Second))
 	if n, err := io.Copy(io.Discard, w); a != nil || l != nil || n != 0 || b.g.links.Open() != 0 {
 		t.Errorf("ended %+v, %d bytes, %v", a, n, errors.Join(err))
--- a/internal/gateway/proxy/exchange.go
+++ b/internal/gateway/proxy/exchange.go
@@ -15,7 +15,7 @@
 // submitted again. The exception is an answer whose rest is left to be passed on, which comes with its link.
 // There is no answer where it was not sent as what it was decided by had run out.
 func (g *Gate) exchange(j job, until time.Time) (a *transport.Answer, l *transport.Link, began float64) {
-	s, to, began := j.word.Sub, j.word.To, g.desk.clock.now()
+	s, to, began := j.word.Attempt, j.word.Upstream, g.desk.clock.now()
 	latest := until
 	if by := j.word.Decision.Latest; !math.IsInf(by, 1) && g.desk.clock.time(by).Before(until) {
 		latest = g.desk.clock.time(by)
@@ -33,20 +33,20 @@
 	// Guards against what was learned while the connection came up: the txn was given up on, the window for its
 	// repeats is over, or the worker drains or has started anew, cold. What is to be written down before it goes
 	// out is now. A client that has left is looked for last, and the module hears of it before the end.
-	if !g.meant(&j, until, &began) || !to.Holds() || !time.Now().Before(latest) || g.left(&j) || !s.Begin(l) {
+	if !g.meant(&j, until, &began) || !to.Valid() || !time.Now().Before(latest) || g.left(&j) || !s.Start(l) {
 		g.links.Drop(l)
 		return &transport.Answer{Outcome: policy.NotSent}, nil, began
 	}
 	// Guards against a process that stood still, or waited for its connection, beyond the time of its rules.
 	// What is left is from here to the write below: some us, and however long the process is stopped between
 	// the two; the submission names its rules to the worker.
-	holds := j.word.By.Holds()
+	holds := j.word.Lease.Valid()
 	if r := g.desk.record; r != nil && holds {
 		r.sends(&j)
-		holds = j.word.By.Holds()
+		holds = j.word.Lease.Valid()
 	}
 	if !holds {
-		s.End()
+		s.Finish()
 		g.links.Drop(l)
 		return nil, nil, began
 	}
@@ -54,7 +54,7 @@
 	// the record have been waited for since, and the worker is told what the client has left now.
 	now := time.Now()
 	if !now.Before(latest) {
-		s.End()
+		s.Finish()
 		g.links.Drop(l)
 		return &transport.Answer{Outcome: policy.NotSent}, nil, began
 	}
@@ -69,7 +69,7 @@
 		}
 	}
 	if err != nil {
-		withdrawn := s.End()
+		withdrawn := s.Finish()
 		g.links.Drop(l)
 		if withdrawn || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, errClient) ||
 			errors.Is(err, transport.ErrStale) {
@@ -84,7 +84,7 @@
 
 // left tells whether the client of a txn that is about to be sent has gone, and ends the txn if so.
 func (g *Gate) left(j *job) bool {
-	gone := j.txn.Gone()
+	gone := j.txn.ClientGone()
 	if gone {
 		g.desk.quit(j.txn)
 	}
@@ -100,12 +100,12 @@
 	began float64,
 ) (*transport.Answer,
 	*transport.Link, float64) {
-	withdrawn := j.word.Sub.End()
+	withdrawn := j.word.Attempt.Finish()
 	if err == nil && !withdrawn {
 		if a.Rest != nil {
 			return a, l, began
 		}
-		if a.Keep() && g.links.Keep(l, &j.word.To) {
+		if a.Keep() && g.links.Keep(l, &j.word.Upstream) {
 			return a, nil, began
 		}
 	}
@@ -149,7 +149,7 @@
 		}
 		sent <- err
 	}()
-	a, err = l.Receive(func() { g.desk.stirs(j.word.To.Worker) })
+	a, err = l.Receive(func() { g.desk.stirs(j.word.Upstream.Worker) })
 	began = g.desk.clock.now()
 	j.upload.Stop() // what is answered early needs no more of it
 	l.Halt()
--- a/internal/gateway/proxy/exchange_test.go
+++ b/internal/gateway/proxy/exchange_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"willowdeck/internal/bootclock"
 	"willowdeck/internal/borrowing"
 	"willowdeck/internal/gateway/incarnation"
 	"willowdeck/internal/gateway/inflight"
@@ -62,17 +63,17 @@
 	var past history.Memory
 	d.Record(past.As("n", 1))
 	d.Roster(list)
-	first := inflight.NewTerms(1, history.Leased, inflight.Boot()+3600e9)
-	second := inflight.NewTerms(2, history.Leased, inflight.Boot()+3600e9)
+	first := inflight.NewLease(1, history.Leased, bootclock.Nanos()+3600e9)
+	second := inflight.NewLease(2, history.Leased, bootclock.Nanos()+3600e9)
 	if !d.Govern(first, charter()) {
 		t.Fatal("not governed")
 	}
 	time.Sleep(20 * time.Millisecond) // what a start takes as spent
 	g := New(d, links)
 	h := d.take(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
-	w := <-h.Box
-	if w.Decision.Kind != policy.Submit || w.By != first {
-		t.Fatalf("decided %+v by %+v", w.Decision, w.By)
+	w := <-h.Commands
+	if w.Decision.Kind != policy.Submit || w.Lease != first {
+		t.Fatalf("decided %+v by %+v", w.Decision, w.Lease)
 	}
 	d.Govern(second, charter())
 	j := job{txn: h, word: w, msg: []byte("GET / HTTP/1.1\r\n\r\n")}
@@ -84,13 +85,13 @@
 		t.Errorf("%d bytes came to the worker", n)
 	}
 	d.recall(h, w.Decision.N)
-	if w = <-h.Box; w.Decision.Kind != policy.Submit || w.By != second || w.Decision.N != 0 ||
+	if w = <-h.Commands; w.Decision.Kind != policy.Submit || w.Lease != second || w.Decision.N != 0 ||
 		d.Recalled() != 1 {
-		t.Errorf("then decided %+v by %+v", w.Decision, w.By)
+		t.Errorf("then decided %+v by %+v", w.Decision, w.Lease)
 	}
-	second.End() // and what is decided after the end of all terms is by none of them
+	second.Revoke() // and what is decided after the end of all terms is by none of them
 	h = d.take(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
-	if w = <-h.Box; w.Decision.Kind != policy.Decline {
+	if w = <-h.Commands; w.Decision.Kind != policy.Decline {
 		t.Errorf("without terms decided %+v", w.Decision)
 	}
 	modes, backs := "", 0
@@ -108,7 +109,8 @@
 
 // again gives a gate of three submissions a txn over a stand-in that counts what comes, and a txn whose first
 // submission may have run.
-func again(t *testing.T, p policy.Product) (g *Gate, h *inflight.Txn, w inflight.Word, came <-chan int) {
+func again(t *testing.T, p policy.Product) (g *Gate, h *inflight.Request, w inflight.Command,
+	came <-chan int) {
 	t.Helper()
 	list, came := worker(t)
 	links := transport.NewLinks(8, time.Second, time.Second)
@@ -119,9 +121,9 @@
 	d.Roster(list)
 	time.Sleep(20 * time.Millisecond) // what a start takes as spent
 	h = d.take(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
-	w = <-h.Box
+	w = <-h.Commands
 	d.ended(h, w.Decision.N, w.Decision.Worker, &transport.Answer{Outcome: policy.Cut}, 1)
-	if w = <-h.Box; w.Decision.Kind != policy.Submit || w.Decision.N != 1 {
+	if w = <-h.Commands; w.Decision.Kind != policy.Submit || w.Decision.N != 1 {
 		t.Fatalf("then decided %+v", w.Decision)
 	}
 	return New(d, links), h, w, came
@@ -156,7 +158,7 @@
 		t.Fatalf("ended with %+v", a)
 	}
 	g.desk.ended(h, 1, w.Decision.Worker, a, 1)
-	if w = <-h.Box; w.Decision.Kind != policy.Decline { // all workers drop a repeat
+	if w = <-h.Commands; w.Decision.Kind != policy.Decline { // all workers drop a repeat
 		t.Errorf("then decided %+v", w.Decision)
 	}
 	none(t, came)
@@ -171,7 +173,7 @@
 	} {
 		g, h, w, came := again(t, policy.Product{SLA: 4000, Value: 1, Repeat: policy.Referenced, Group: of,
 			Window: 4000})
-		x := endpoints.Worker{Name: "w", Address: w.To.Addr, Active: true}
+		x := endpoints.Worker{Name: "w", Address: w.Upstream.Addr, Active: true}
 		move(&x)
 		g.desk.Roster(endpoints.List{Whole: true, Workers: []endpoints.Worker{x}})
 		j := job{txn: h, word: w, msg: []byte("GET / HTTP/1.1\r\n\r\n")}
@@ -180,7 +182,7 @@
 			t.Fatalf("group %d: ended with %+v", of, a)
 		}
 		g.desk.ended(h, 1, w.Decision.Worker, a, 1)
-		if w = <-h.Box; w.Decision.Kind != policy.Void { // its group has nobody left
+		if w = <-h.Commands; w.Decision.Kind != policy.Void { // its group has nobody left
 			t.Errorf("group %d: then decided %+v", of, w.Decision)
 		}
 		none(t, came)
@@ -192,14 +194,14 @@
 func TestClientLeftBeforeTheWrite(t *testing.T) {
 	g, h, w, came := again(t, policy.Product{SLA: 4000, Value: 1})
 	g.desk.mu.Lock()
-	h.Gone = func() bool { return true }
+	h.ClientGone = func() bool { return true }
 	g.desk.mu.Unlock()
 	j := job{txn: h, word: w, msg: []byte("GET / HTTP/1.1\r\n\r\n")}
 	a, l, _ := g.exchange(j, time.Now().Add(time.Second))
 	if a == nil || a.Outcome != policy.NotSent || l != nil {
 		t.Fatalf("ended with %+v", a)
 	}
-	if w = <-h.Box; w.Decision.Kind != policy.Void || !h.Final {
+	if w = <-h.Commands; w.Decision.Kind != policy.Void || !h.Answered {
 		t.Errorf("then decided %+v", w.Decision)
 	}
 	g.desk.ended(h, 1, 0, a, 1)
@@ -244,8 +246,8 @@
 	d.Roster(list)
 	time.Sleep(20 * time.Millisecond) // what a start takes as spent
 	h := d.take(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
-	first := <-h.Box
-	second := <-h.Box // the first one's worker is silent
+	first := <-h.Commands
+	second := <-h.Commands // the first one's worker is silent
 	if second.Decision.Kind != policy.Submit || second.Decision.N != 1 {
 		t.Fatalf("then decided %+v", second.Decision)
 	}
@@ -301,7 +303,7 @@
 				)
 			}
 			if on {
-				d.Govern(inflight.NewTerms(1, history.Leased, inflight.Boot()+3600e9), c)
+				d.Govern(inflight.NewLease(1, history.Leased, bootclock.Nanos()+3600e9), c)
 			}
 			time.Sleep(10 * time.Millisecond)
 			t := &transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}}
@@ -310,13 +312,13 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				h := d.take(t)
-				w := <-h.Box
-				if w.Decision.Kind != policy.Submit || !w.By.Holds() {
+				w := <-h.Commands
+				if w.Decision.Kind != policy.Submit || !w.Lease.Valid() {
 					b.Fatal(w.Decision)
 				}
 				rules := int64(transport.Ruleless)
-				if w.By != nil {
-					rules = int64(w.By.Version)
+				if w.Lease != nil {
+					rules = int64(w.Lease.RulesetVersion)
 				}
 				var at int
 				msg, at = transport.AppendSubmission(msg[:0], t, rules)
@@ -345,9 +347,9 @@
 		b.Fatal(err)
 	}
 	defer c.Close()
-	terms, msg := inflight.NewTerms(1, history.Leased, inflight.Boot()+3600e9), make([]byte, 200)
+	terms, msg := inflight.NewLease(1, history.Leased, bootclock.Nanos()+3600e9), make([]byte, 200)
 	for b.Loop() {
-		if !terms.Holds() {
+		if !terms.Valid() {
 			b.Fatal("they do not hold")
 		}
 		if _, err := c.Write(msg); err != nil {
--- a/internal/gateway/proxy/gate.go
+++ b/internal/gateway/proxy/gate.go
@@ -25,8 +25,8 @@
 
 // job is one submission to carry.
 type job struct {
-	txn    *inflight.Txn
-	word   inflight.Word
+	txn    *inflight.Request
+	word   inflight.Command
 	msg    []byte
 	told   int               // the place in it of the time that is left; 0 where it tells none
 	upload *transport.Upload // what follows on it, or nil
@@ -51,10 +51,10 @@
 }
 
 // Hold is a txn that is cleared ahead of its coming: its units are kept for it.
-type Hold struct{ txn *inflight.Txn }
+type Hold struct{ txn *inflight.Request }
 
 // Over gives a word when a clearance ends unasked: it has lapsed, or the client has left.
-func (h *Hold) Over() <-chan inflight.Word { return h.txn.Box }
+func (h *Hold) Over() <-chan inflight.Command { return h.txn.Commands }
 
 // Now is the time by which clearances are reckoned, Unix ms.
 func (g *Gate) Now() float64 { return g.desk.Now() }
@@ -64,7 +64,7 @@
 func (g *Gate) Clear(t *transport.Txn, life float64) (*Hold, transport.Final) {
 	h, may := g.desk.clear(t, life)
 	if !may {
-		d := (<-h.Box).Decision
+		d := (<-h.Commands).Decision
 		return nil, transport.Final{Kind: d.Kind, Wait: d.Wait}
 	}
 	return &Hold{h}, transport.Final{}
@@ -91,12 +91,12 @@
 func (g *Gate) Release(h *Hold) { g.desk.release(h.txn) }
 
 // carry carries a txn that is the module's to its final answer.
-func (g *Gate) carry(h *inflight.Txn, t *transport.Txn, n *txnjournal.Txn) transport.Final {
+func (g *Gate) carry(h *inflight.Request, t *transport.Txn, n *txnjournal.Txn) transport.Final {
 	if t.Upload != nil {
 		defer t.Upload.Settle()
 	}
 	var sent []string // workers, where submissions are recorded
-	for w := range h.Box {
+	for w := range h.Commands {
 		if w.Answer != nil {
 			return transport.Final{Kind: policy.Submit, Answer: w.Answer}
 		}
@@ -107,7 +107,7 @@
 		// What passes on is copied here: the txn's own bytes end with this function, which a submission that may
 		// not be withdrawn outlives.
 		rules := int64(transport.Ruleless)
-		if v := w.By.Number(); v > 0 {
+		if v := w.Lease.Version(); v > 0 {
 			rules = int64(v)
 		}
 		j := job{txn: h, word: w, upload: t.Upload, note: g.mention(n, d.N), left: t.Left}
@@ -115,11 +115,11 @@
 		if g.desk.record != nil {
 			j.mark = string(t.Mark)
 			for _, name := range sent {
-				if name == w.To.Name() {
+				if name == w.Upstream.Name() {
 					j.serial++
 				}
 			}
-			sent = append(sent, w.To.Name())
+			sent = append(sent, w.Upstream.Name())
 		}
 		if t.Sent = true; t.Upload != nil {
 			t.Upload.Begin()
@@ -163,7 +163,7 @@
 		if g.desk.begun(j.txn, d.N, a) {
 			err = <-passed
 		}
-		if err != nil || !a.Keep() || !g.links.Keep(l, &j.word.To) {
+		if err != nil || !a.Keep() || !g.links.Keep(l, &j.word.Upstream) {
 			g.links.Drop(l)
 		}
 		if errors.Is(err, transport.ErrBrokenOff) {
--- a/internal/gateway/proxy/journal.go
+++ b/internal/gateway/proxy/journal.go
@@ -97,7 +97,7 @@
 	if !until.IsZero() {
 		expiry = float64(until.UnixMicro()) / 1000
 	}
-	return g.notes.Meant(j.note.Txn, j.note.sub, j.word.To.Name(), expiry, until)
+	return g.notes.Meant(j.note.Txn, j.note.sub, j.word.Upstream.Name(), expiry, until)
 }
 
 // noted writes down how a submission ended. It waits for nothing.
@@ -114,5 +114,5 @@
 	case policy.NotSent, policy.NoRoute, policy.Full:
 		end = txnjournal.Never
 	}
-	g.notes.Ended(j.note.Txn, j.note.sub, j.word.To.Name(), end, kept)
+	g.notes.Ended(j.note.Txn, j.note.sub, j.word.Upstream.Name(), end, kept)
 }
--- a/internal/gateway/proxy/lend.go
+++ b/internal/gateway/proxy/lend.go
@@ -124,7 +124,7 @@
 			for rest := v.Entries; len(rest) > 0; {
 				var b []byte
 				b, rest = creditwire.Append(nil, rest)
-				inflight.Must(len(b) <= creditwire.Limit, inflight.ShortSpeech)
+				inflight.Check(len(b) <= creditwire.Limit, inflight.DatagramFits)
 				d.speech = append(d.speech, speech{v.Peer, b})
 			}
 		case borrowing.Collect:
--- a/internal/gateway/proxy/pieces_test.go
+++ b/internal/gateway/proxy/pieces_test.go
@@ -37,12 +37,12 @@
 				off := away.Load()
 				h := d.take(&transport.Txn{Arrival: policy.Arrival{Customer: uint64(1000*k + n), Units: 1, SetSize: 1,
 					Left: 900}})
-				w := <-h.Box
+				w := <-h.Commands
 				if w.Decision.Kind != policy.Submit {
 					none.Add(1)
 					continue
 				}
-				if sent.Add(1); (*off)[w.To.Name()] && away.Load() == off { // they are not told of as back yet
+				if sent.Add(1); (*off)[w.Upstream.Name()] && away.Load() == off { // they are not told of as back yet
 					wrong.Add(1)
 				}
 				d.ended(h, w.Decision.N, w.Decision.Worker, &transport.Answer{Outcome: policy.Settled}, 20)
--- a/internal/gateway/proxy/record.go
+++ b/internal/gateway/proxy/record.go
@@ -15,9 +15,9 @@
 }
 
 // acts writes by what is gone from now on.
-func (r *record) acts(t *inflight.Terms) {
+func (r *record) acts(t *inflight.Lease) {
 	if r != nil {
-		r.to.Write(history.Event{Kind: history.Acts, Version: t.Version, Mode: t.Mode})
+		r.to.Write(history.Event{Kind: history.Acts, Version: t.RulesetVersion, Mode: t.Mode})
 	}
 }
 
@@ -50,9 +50,10 @@
 
 // sends writes that a submission goes out.
 func (r *record) sends(j *job) {
-	j.word.Sub.Recorded = true
-	r.to.Write(history.Event{Kind: history.Sends, Txn: j.mark, Customer: j.txn.Of, Worker: j.word.To.Name(),
-		Version: j.word.By.Number(), Mode: j.word.By.Named(), Serial: j.serial})
+	j.word.Attempt.Recorded = true
+	r.to.Write(history.Event{Kind: history.Sends, Txn: j.mark, Customer: j.txn.Customer,
+		Worker:  j.word.Upstream.Name(),
+		Version: j.word.Lease.Version(), Mode: j.word.Lease.ModeName(), Serial: j.serial})
 }
 
 // proves is what the end of a submission says of it.
@@ -62,8 +63,8 @@
 
 // back writes that a submission is out no more.
 func (r *record) back(j *job, o policy.Outcome) {
-	if r != nil && j.word.Sub.Recorded {
-		r.to.Write(history.Event{Kind: history.Back, Txn: j.mark, Worker: j.word.To.Name(), Serial: j.serial,
+	if r != nil && j.word.Attempt.Recorded {
+		r.to.Write(history.Event{Kind: history.Back, Txn: j.mark, Worker: j.word.Upstream.Name(), Serial: j.serial,
 			Says: proves[o]})
 	}
 }
--- a/internal/gateway/proxy/told_test.go
+++ b/internal/gateway/proxy/told_test.go
@@ -63,7 +63,7 @@
 	defer w.d.mu.Unlock()
 	for _, h := range w.d.txns {
 		w.mu.Lock()
-		w.came = min(h.Came, h.Expiry-waits) // what was waited for its mark, some us, is off its time too
+		w.came = min(h.ArrivedMillis, h.ExpiryMillis-waits) // less the wait for its mark, some us
 		w.most = append(w.most, w.came+waits-w.d.clock.now())
 		w.mu.Unlock()
 	}
--- a/internal/gateway/transport/links.go
+++ b/internal/gateway/transport/links.go
@@ -15,7 +15,7 @@
 var ErrNoRoom = errors.New("no connection to spare")
 
 // Life is one life of a worker, which ends when it drains, goes, moves or starts anew.
-type Life interface{ Holds() bool }
+type Life interface{ Valid() bool }
 
 // Links keeps the connections to workers: idle ones for reuse, the most recent first, and no more in all
 // than it is given.
@@ -49,7 +49,7 @@
 	for s := p.idle[worker]; len(s) > 0; s = p.idle[worker] {
 		l := s[len(s)-1]
 		p.idle[worker] = s[:len(s)-1]
-		if l.of.Holds() && quiet(l.conn) {
+		if l.of.Valid() && quiet(l.conn) {
 			return l
 		}
 		p.end(l)
@@ -106,7 +106,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	// Whether it holds is asked here, as the worker's end sheds what has been kept before it.
-	if p.retired || l.in.Buffered() > 0 || !of.Holds() {
+	if p.retired || l.in.Buffered() > 0 || !of.Valid() {
 		return false
 	}
 	for len(p.idle) <= l.worker {
--- a/internal/gateway/transport/wire_test.go
+++ b/internal/gateway/transport/wire_test.go
@@ -37,7 +37,7 @@
 // standing is a worker that is what it was, or is not.
 type standing bool
 
-func (s standing) Holds() bool { return bool(s) }
+func (s standing) Valid() bool { return bool(s) }
 
 func TestLinks(t *testing.T) {
 	_, at := sink(t)
--- /dev/null
+++ b/internal/gateway/workers/registry_test.go
@@ -0,0 +1,93 @@
+package workers
+
+import (
+	"fmt"
+	"net/netip"
+	"testing"
+
+	"willowdeck/internal/gateway/transport/endpoints"
+)
+
+// An upstream becomes invalid when its worker drains, is removed, moves (also to another zone or cell) or
+// restarts, and by nothing else. Guards against a retry that reaches a worker which has left its request's
+// group.
+func TestUpstreamValidity(t *testing.T) {
+	entry := func(name, addr string, active bool, since float64) endpoints.Worker {
+		return endpoints.Worker{Name: name, Address: netip.MustParseAddrPort(addr), Active: active, Since: since}
+	}
+	zone, cell := entry("a", "127.0.0.1:1", true, 0), entry("a", "127.0.0.1:1", true, 0)
+	zone.Zone, cell.Cell = "z", 3
+	a, b := entry("a", "127.0.0.1:1", true, 0), entry("b", "127.0.0.1:2", true, 5)
+	cases := []struct {
+		name  string
+		next  endpoints.List
+		valid bool
+		ended []int
+	}{
+		{"unchanged", endpoints.List{Whole: true, Workers: []endpoints.Worker{a, b}}, true, nil},
+		{
+			"change of another worker",
+			endpoints.List{Workers: []endpoints.Worker{entry("b", "127.0.0.1:2", false, 5)}},
+			true,
+			[]int{1},
+		},
+		{"drains", endpoints.List{Workers: []endpoints.Worker{entry("a", "127.0.0.1:1", false, 0)}}, false,
+			[]int{0}},
+		{
+			"restarted",
+			endpoints.List{Workers: []endpoints.Worker{entry("a", "127.0.0.1:1", true, 9)}},
+			false,
+			[]int{0},
+		},
+		{"moved", endpoints.List{Workers: []endpoints.Worker{entry("a", "127.0.0.1:3", true, 0)}}, false, []int{0}},
+		{"in another zone", endpoints.List{Workers: []endpoints.Worker{zone}}, false, []int{0}},
+		{"in another cell", endpoints.List{Workers: []endpoints.Worker{cell}}, false, []int{0}},
+		{"not on the full list", endpoints.List{Whole: true, Workers: []endpoints.Worker{b}}, false, []int{0}},
+		{"empty full list", endpoints.List{Whole: true}, false, []int{0, 1}},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			var registry Registry
+			if registry.AnyActive() {
+				t.Error("active without a list")
+			}
+			registry.Apply(endpoints.List{Whole: true, Workers: []endpoints.Worker{a, b}}, noneVacant)
+			upstream := registry.Upstream(0)
+			if !upstream.Valid() || !registry.AnyActive() {
+				t.Fatal("a listed worker's upstream is invalid")
+			}
+			_, ended := registry.Apply(c.next, noneVacant)
+			if upstream.Valid() != c.valid || fmt.Sprint(ended) != fmt.Sprint(c.ended) {
+				t.Errorf("valid %v, want %v; ended %v, want %v", upstream.Valid(), c.valid, ended, c.ended)
+			}
+		})
+	}
+}
+
+func noneVacant(int) bool { return false }
+
+// Workers that come and go under ever new names share a few slots, and an upstream of one is never valid for
+// the next.
+func TestSlotsOfRemovedWorkers(t *testing.T) {
+	var registry Registry
+	referenced := -1 // a slot that something still refers to
+	vacant := func(i int) bool { return i != referenced }
+	address := netip.MustParseAddrPort("127.0.0.1:1")
+	previous := Upstream{}
+	for i := range 100 {
+		next := endpoints.Worker{Name: fmt.Sprint("w", i), Address: address, Active: true}
+		postings, _ := registry.Apply(endpoints.List{Workers: []endpoints.Worker{next}}, vacant)
+		if slot := postings[0].Worker; slot > 2 || slot == referenced || !postings[0].New {
+			t.Fatalf("worker %d is at slot %d, new %v", i, slot, postings[0].New)
+		}
+		if i > 0 && previous.Valid() {
+			t.Fatalf("the upstream of worker %d is valid", i-1)
+		}
+		previous, referenced = registry.Upstream(postings[0].Worker), postings[0].Worker
+		next.Active, next.Gone = false, true
+		registry.Apply(endpoints.List{Workers: []endpoints.Worker{next}}, vacant)
+	}
+	if len(registry.slots) > 2 || len(registry.workers) > 2 {
+		t.Errorf("%d names and %d slots are kept", len(registry.slots), len(registry.workers))
+	}
+}
--- a/internal/lab/scale/keepers.go
+++ b/internal/lab/scale/keepers.go
@@ -13,9 +13,9 @@
 
 	"github.com/valyala/fasthttp"
 
+	"willowdeck/internal/bootclock"
 	"willowdeck/internal/distribution"
 	"willowdeck/internal/distribution/relay"
-	"willowdeck/internal/gateway/inflight"
 	"willowdeck/internal/gateway/lifecycle"
 	"willowdeck/internal/gateway/transport"
 	"willowdeck/internal/ruleset"
@@ -67,7 +67,7 @@
 }
 
 // boot is the time by which leases run, the same for all processes of a machine, ms.
-func boot() float64 { return float64(inflight.Boot()) / 1e6 }
+func boot() float64 { return float64(bootclock.Nanos()) / 1e6 }
 
 const (
 	keptTaken = 64 // versions whose times are kept
--- a/internal/lab/scale/watches.go
+++ b/internal/lab/scale/watches.go
@@ -7,13 +7,13 @@
 	"sync"
 	"time"
 
-	"willowdeck/internal/gateway/inflight"
 	"willowdeck/internal/gateway/transport"
 	"willowdeck/internal/gateway/transport/endpoints"
+	"willowdeck/internal/gateway/workers"
 	"willowdeck/internal/policy"
 )
 
-// watches follow discovery's list as gatekeepers do: transport.Watch, and inflight.Workers that takes each
+// watches follow discovery's list as gatekeepers do: transport.Watch, and workers.Registry that takes each
 // list in.
 // The module that decides by it is left out.
 type watches struct {
@@ -26,7 +26,7 @@
 
 type watcher struct {
 	mu      sync.Mutex
-	workers inflight.Workers
+	workers workers.Registry
 	began   time.Time
 	first   float64 // ms until the first list was there
 	place   float64 // ms that it took to take it in
@@ -74,8 +74,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	came := time.Now()
-	for _, piece := range w.workers.Pieces(w.workers.Changes(l), policy.ListPiece) {
-		w.workers.Update(piece, func(int) bool { return true })
+	for _, piece := range w.workers.Split(w.workers.Diff(l), policy.ListPiece) {
+		w.workers.Apply(piece, func(int) bool { return true })
 	}
 	took := float64(time.Since(came)) / float64(time.Millisecond)
 	if w.version == 0 {
--- a/internal/raftlog/council.go
+++ b/internal/raftlog/council.go
@@ -15,11 +15,11 @@
 	"sync/atomic"
 	"time"
 
+	"willowdeck/internal/bootclock"
+
 	"github.com/rs/zerolog"
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
-
-	"willowdeck/internal/gateway/inflight"
 )
 
 const (
@@ -83,7 +83,7 @@
 
 // Clock is the time by which reads are aged, ms: it goes on while the process stands still and the machine
 // sleeps, as the clocks of the gatekeepers do that count what they are told from it.
-func Clock() float64 { return float64(inflight.Boot()) / 1e6 }
+func Clock() float64 { return float64(bootclock.Nanos()) / 1e6 }
 
 // Wish is what a Machine wants done.
 type Wish struct {
--- a/internal/simadapter/benchwire.go
+++ b/internal/simadapter/benchwire.go
@@ -13,8 +13,8 @@
 	"strconv"
 
 	"willowdeck/internal/gateway/config"
-	"willowdeck/internal/gateway/inflight"
 	"willowdeck/internal/gateway/transport/gossip"
+	"willowdeck/internal/gateway/workers"
 	"willowdeck/internal/policy"
 )
 
@@ -25,9 +25,9 @@
 	num     int
 	gk      *policy.Gatekeeper
 	names   config.Names
-	workers inflight.Index
-	zones   inflight.Index
-	kinds   inflight.Index
+	workers workers.Interner
+	zones   workers.Interner
+	kinds   workers.Interner
 	acts    bool // has had an event in this batch
 }
 
@@ -168,7 +168,7 @@
 		}
 		if m.err == nil {
 			if name, ok := m.at(4).(string); ok && m.at(10) != nil {
-				in.gk.Burden(in.workers.Of(name), burden(m.at(10)))
+				in.gk.Burden(in.workers.ID(name), burden(m.at(10)))
 			}
 			in.gk.Ended(id, n, o, took, closed)
 		}
@@ -272,8 +272,8 @@
 		if e.err != nil {
 			return fmt.Errorf("list %d: %w", list, e.err)
 		}
-		p.Worker, p.Zone = in.workers.Of(name), in.zones.Of(zone)
-		p.Kind = in.kinds.Of(e.word(2))
+		p.Worker, p.Zone = in.workers.ID(name), in.zones.ID(zone)
+		p.Kind = in.kinds.ID(e.word(2))
 		l.postings = append(l.postings, p)
 	}
 	if m.err == nil {
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -40,8 +40,8 @@
 	var out bytes.Buffer
 	l := &link{out: bufio.NewWriter(&out)}
 	in := &instance{num: 5}
-	in.workers.Of("w-a")
-	in.workers.Of("w-b")
+	in.workers.ID("w-a")
+	in.workers.ID("w-b")
 	for i := range goldenDecisions {
 		l.encode(in, &goldenDecisions[i])
 	}
