--- a/internal/distribution/api.go
+++ b/internal/distribution/api.go
@@ -23,8 +23,8 @@
 	Interest ruleset.Interest `cbor:"4,keyasint"`
 	Step     uint64           `cbor:"5,keyasint,omitempty"` // of what it goes by; 0 is nothing
 	// Rules is what it has, as a base for deltas; none: it wants the whole.
-	Rules   versioned.Mark `cbor:"6,keyasint,omitzero"`
-	Pending versioned.Mark `cbor:"7,keyasint,omitzero"`
+	Rules   versioned.VersionID `cbor:"6,keyasint,omitzero"`
+	Pending versioned.VersionID `cbor:"7,keyasint,omitzero"`
 	// Quiet: nothing but a renewal. It was told to wait for a whole and is waiting, or asks beside another.
 	Quiet bool       `cbor:"8,keyasint,omitempty"`
 	Seen  []HostStep `cbor:"9,keyasint,omitempty"` // news, up to MostTold
@@ -50,9 +50,9 @@
 	// Age is the ms from before the quorum's read began until this was made, after the question came.
 	Age float64 `cbor:"8,keyasint"`
 	// Index is the highest of discovery's list that is known anywhere; below nought: none.
-	Index   int64          `cbor:"9,keyasint"`
-	Rules   versioned.Mark `cbor:"10,keyasint,omitzero"`
-	Pending versioned.Mark `cbor:"11,keyasint,omitzero"` // none: nothing is pending
+	Index   int64               `cbor:"9,keyasint"`
+	Rules   versioned.VersionID `cbor:"10,keyasint,omitzero"`
+	Pending versioned.VersionID `cbor:"11,keyasint,omitzero"` // none: nothing is pending
 	// RulesDelta is nil where the asker has them, or at Busy; PendingDelta is against the answer's rules.
 	RulesDelta   *versioned.Delta `cbor:"12,keyasint,omitempty"`
 	PendingDelta *versioned.Delta `cbor:"13,keyasint,omitempty"`
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -125,7 +125,7 @@
 	if s == nil {
 		return
 	}
-	f.bases = slices.DeleteFunc(f.bases, func(o *versioned.State) bool { return o.Mark() == s.Mark() })
+	f.bases = slices.DeleteFunc(f.bases, func(o *versioned.State) bool { return o.ID() == s.ID() })
 	f.bases = slices.Insert(f.bases, 0, s)
 	if len(f.bases) > mostBases {
 		f.bases = slices.Delete(f.bases, mostBases, len(f.bases))
@@ -133,9 +133,9 @@
 }
 
 // find gives the state of a mark, if it is at hand.
-func (f *Follower) find(m versioned.Mark) *versioned.State {
+func (f *Follower) find(m versioned.VersionID) *versioned.State {
 	for _, s := range f.bases {
-		if s.Mark() == m {
+		if s.ID() == m {
 			return s
 		}
 	}
@@ -294,7 +294,7 @@
 	a := &Ask{Form: Form, Cluster: f.c.Cluster, From: f.c.Name, Interest: f.c.Interest, Step: f.v.Step,
 		Index: f.own, Process: f.process, Holds: f.holds, Quiet: at != f.at || f.now < f.quiet}
 	if rules, pending := f.Bases(); !f.empty {
-		a.Rules, a.Pending = rules.Mark(), pending.Mark()
+		a.Rules, a.Pending = rules.ID(), pending.ID()
 	}
 	if at == f.at {
 		hosts := make([]string, 0, len(f.up))
@@ -450,8 +450,8 @@
 		}
 		return true
 	case f.has && a.Step == f.v.Step && !f.same(a),
-		f.has && a.Rules.Number < f.v.Rules.Mark().Number, a.Rules.None(),
-		!a.Pending.None() && a.Pending.Number != a.Rules.Number+1:
+		f.has && a.Rules.Number < f.v.Rules.ID().Number, a.Rules.IsNone(),
+		!a.Pending.IsNone() && a.Pending.Number != a.Rules.Number+1:
 		f.n.Bad++
 		return false
 	}
@@ -460,7 +460,7 @@
 		return sound
 	}
 	lease := f.lease // of the rules that are told, which may be longer than that of those before
-	if !f.has || rules.Mark() != f.v.Rules.Mark() {
+	if !f.has || rules.ID() != f.v.Rules.ID() {
 		if l := ruleset.LeaseOf(rules); l > 0 {
 			lease = l
 		}
@@ -493,7 +493,7 @@
 
 // same tells whether an answer names the states that are gone by.
 func (f *Follower) same(a *Answer) bool {
-	return a.Rules == f.v.Rules.Mark() && a.Pending == f.v.Pending.Mark()
+	return a.Rules == f.v.Rules.ID() && a.Pending == f.v.Pending.ID()
 }
 
 // made gives the states that an answer names: those at hand, or made by its deltas. Without rules there are
@@ -515,7 +515,7 @@
 			return nil, nil, sound
 		}
 	}
-	if a.Pending.None() {
+	if a.Pending.IsNone() {
 		return rules, nil, true
 	}
 	if pending = f.find(a.Pending); pending != nil {
@@ -536,23 +536,23 @@
 
 // apply makes a state of a delta, or counts why not and has the next question say that there is nothing. A
 // delta against a state that is gone here is sound: it may have been asked for before.
-func (f *Follower) apply(base *versioned.State, d *versioned.Delta, to versioned.Mark) (
+func (f *Follower) apply(base *versioned.State, d *versioned.Delta, to versioned.VersionID) (
 	s *versioned.State, sound bool) {
-	if d.To != to || len(d.Set)+len(d.Drop) > mostEntries || d.Bytes() > mostState {
+	if d.To != to || len(d.Set)+len(d.Delete) > mostEntries || d.Bytes() > mostState {
 		f.n.Bad++
 		f.empty = true
 		return nil, false
 	}
 	s, err := base.Apply(d)
 	switch {
-	case errors.Is(err, versioned.ErrBase):
+	case errors.Is(err, versioned.ErrBaseMismatch):
 		f.n.Base++
 		sound = true
 	case err != nil:
 		f.n.Digest++
 	case s.Bytes() > mostState || s.Len() > mostEntries:
 		f.n.Bad++
-	case d.From.None():
+	case d.From.IsNone():
 		f.n.Wholes++
 		return s, true
 	default:
--- a/internal/distribution/form.go
+++ b/internal/distribution/form.go
@@ -151,7 +151,7 @@
 func StateBytes(s *versioned.State) ([]byte, error) {
 	var d *versioned.Delta
 	if s != nil {
-		d = versioned.Whole(s)
+		d = versioned.FullDelta(s)
 	}
 	return write(d)
 }
@@ -162,7 +162,7 @@
 	if err := read("state", raw, MostAnswer, &d); err != nil || d == nil {
 		return nil, err
 	}
-	if !d.From.None() {
+	if !d.From.IsNone() {
 		return nil, fmt.Errorf("state: %w: it is a part of one", ErrShape)
 	}
 	s, err := (*versioned.State)(nil).Apply(d)
--- a/internal/distribution/form_test.go
+++ b/internal/distribution/form_test.go
@@ -16,8 +16,8 @@
 	"willowdeck/internal/versioned"
 )
 
-func drawMark(t *rapid.T) versioned.Mark {
-	m := versioned.Mark{Number: uint64(rapid.IntRange(0, 3).Draw(t, "number"))}
+func drawMark(t *rapid.T) versioned.VersionID {
+	m := versioned.VersionID{Number: uint64(rapid.IntRange(0, 3).Draw(t, "number"))}
 	if m.Number > 0 {
 		copy(m.Digest[:], rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, "digest"))
 	}
@@ -34,7 +34,7 @@
 			Value: rapid.SliceOfN(rapid.Byte(), 1, 600).Draw(t, "value")})
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "drop") {
-		d.Drop = append(d.Drop, rapid.StringN(0, 9, 20).Draw(t, "key"))
+		d.Delete = append(d.Delete, rapid.StringN(0, 9, 20).Draw(t, "key"))
 	}
 	return d
 }
@@ -96,7 +96,7 @@
 	if _, err := ReadAnswer(bomb); !errors.Is(err, ErrLong) {
 		t.Errorf("%v", err)
 	}
-	many, err := write(&Answer{Form: Form, RulesDelta: &versioned.Delta{Drop: make([]string, mostEntries+1)}})
+	many, err := write(&Answer{Form: Form, RulesDelta: &versioned.Delta{Delete: make([]string, mostEntries+1)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := ReadState(raw); err != nil || got.Mark() != s.Mark() {
+	if got, err := ReadState(raw); err != nil || got.ID() != s.ID() {
 		t.Errorf("%v", err)
 	}
 	if raw, err = StateBytes(nil); err != nil {
@@ -141,19 +141,19 @@
 	if got, err := ReadState(raw); err != nil || got != nil {
 		t.Errorf("%v %v", err, got)
 	}
-	part, err := write(versioned.Between(s, state(t, 8, rules(300, 48))))
+	part, err := write(versioned.Diff(s, state(t, 8, rules(300, 48))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ReadState(part); err == nil {
 		t.Error("a part is read")
 	}
-	d := versioned.Whole(s)
+	d := versioned.FullDelta(s)
 	d.Set = d.Set[1:]
 	if raw, err = write(d); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadState(raw); !errors.Is(err, versioned.ErrDigest) {
+	if _, err := ReadState(raw); !errors.Is(err, versioned.ErrDigestMismatch) {
 		t.Errorf("%v", err)
 	}
 }
@@ -186,7 +186,7 @@
 			Process: 4321, Holds: 80, Number: 1 << 60}
 		s.Offer(View{Step: 80, Begun: 1900, Rules: v1, Index: 123456})
 		_, whole := size(a)
-		a.Rules = ruleset.Select(v1, c.in).Mark()
+		a.Rules = ruleset.Select(v1, c.in).ID()
 		ask, renewal := size(a)
 		s.Offer(View{Step: 81, Begun: 1900, Rules: v2, Index: 123456})
 		_, delta := size(a)
@@ -207,8 +207,8 @@
 
 func FuzzReadAnswer(f *testing.F) {
 	s := state(f, 1, rules(3, 96))
-	raw, _ := (&Answer{Form: Form, Cluster: "c", Step: 2, Rules: s.Mark(),
-		RulesDelta: versioned.Whole(s)}).Bytes()
+	raw, _ := (&Answer{Form: Form, Cluster: "c", Step: 2, Rules: s.ID(),
+		RulesDelta: versioned.FullDelta(s)}).Bytes()
 	f.Add(raw[1 : len(raw)-sumBytes])
 	f.Fuzz(func(t *testing.T, body []byte) {
 		raw := sealed(body)
@@ -219,8 +219,8 @@
 		fl := NewFollower(Config{Name: "f", Cluster: "c", Upstream: 1, Interest: ruleset.Interest{All: true}}, 0)
 		fl.Clock(1000)
 		fl.Heard(0, 1000, a)
-		if v, ok := fl.View(); ok && (v.Rules.Mark() != a.Rules || v.Pending.Mark() != a.Pending ||
-			versioned.New(v.Rules.Mark().Number, versioned.Whole(v.Rules).Set).Mark() != a.Rules) {
+		if v, ok := fl.View(); ok && (v.Rules.ID() != a.Rules || v.Pending.ID() != a.Pending ||
+			versioned.New(v.Rules.ID().Number, versioned.FullDelta(v.Rules).Set).ID() != a.Rules) {
 			t.Fatalf("%+v of %+v", v, a)
 		}
 	})
@@ -251,7 +251,7 @@
 	in := ruleset.Interest{Name: "g77", Around: 20}
 	s.Offer(View{Step: 80, Begun: 1900, Rules: v, Index: 123456})
 	a := &Ask{Form: Form, Cluster: "fleet", From: "host-0077", Interest: in, Step: 80, Index: 123456,
-		Process: 4321, Holds: 80, Rules: ruleset.Select(v, in).Mark(), Number: 1 << 60}
+		Process: 4321, Holds: 80, Rules: ruleset.Select(v, in).ID(), Number: 1 << 60}
 	raw, err := a.Bytes()
 	if err != nil {
 		b.Fatal(err)
@@ -319,7 +319,7 @@
 	for i := range 564 {
 		in := ruleset.Interest{Host: fmt.Sprint("h", i), Around: around}
 		all = append(all, &Ask{Form: Form, Cluster: "fleet", From: in.Host, Interest: in, Index: -1,
-			Rules: ruleset.Select(from, in).Mark()})
+			Rules: ruleset.Select(from, in).ID()})
 	}
 	for b.Loop() {
 		b.StopTimer()
@@ -333,7 +333,7 @@
 		b.StartTimer()
 		s.Offer(View{Step: 81, Begun: 1900, Rules: to, Index: -1})
 		for _, a := range all {
-			if r, err := s.Answer(a, 1900); err != nil || r.RulesDelta == nil || r.RulesDelta.From.None() {
+			if r, err := s.Answer(a, 1900); err != nil || r.RulesDelta == nil || r.RulesDelta.From.IsNone() {
 				b.Fatal(err, r)
 			}
 		}
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -60,8 +60,8 @@
 		"state-packed.cbor": longState()} {
 		golden := goldenform.Read(t, file)
 		got, err := ReadState(golden)
-		if err != nil || got.Mark() != want.Mark() {
-			t.Errorf("%s: %v: %v, want %v", file, err, got.Mark(), want.Mark())
+		if err != nil || got.ID() != want.ID() {
+			t.Errorf("%s: %v: %v, want %v", file, err, got.ID(), want.ID())
 		}
 		for key, value := range want.All() {
 			if have, there := got.Get(key); !there || !bytes.Equal(have, value) {
--- a/internal/distribution/rate_test.go
+++ b/internal/distribution/rate_test.go
@@ -56,6 +56,6 @@
 	rules := versioned.New(1, []versioned.Entry{{Key: "rules", Value: []byte{0xa0}}})
 	return func(f *Follower, d Decision, now float64) {
 		f.Heard(d.Upstream, now, &Answer{Form: Form, Cluster: "till", From: "p", Life: 1, Number: d.Ask.Number,
-			Index: -1, Step: 3, Age: max(now-from, 0), Rules: rules.Mark(), RulesDelta: versioned.Whole(rules)})
+			Index: -1, Step: 3, Age: max(now-from, 0), Rules: rules.ID(), RulesDelta: versioned.FullDelta(rules)})
 	}
 }
--- a/internal/distribution/relay/copy.go
+++ b/internal/distribution/relay/copy.go
@@ -35,7 +35,7 @@
 type Copy struct {
 	path, cluster string
 	log           zerolog.Logger
-	last          [2]versioned.Mark // of Keep's caller alone
+	last          [2]versioned.VersionID // of Keep's caller alone
 	latest        atomic.Pointer[distribution.View]
 	save          chan struct{}
 
@@ -66,14 +66,14 @@
 		c.log.Warn().Err(err).Str("aside", aside).AnErr("moved", moved).Msg("copy set aside: all is asked for anew")
 	default:
 		f.Base(rules, pending)
-		c.log.Info().Uint64("version", rules.Mark().Number).Msg("copy taken as a base")
+		c.log.Info().Uint64("version", rules.ID().Number).Msg("copy taken as a base")
 	}
 }
 
 // Keep has the states of a view written, where they are others than before. It does not wait, and is to be
 // called from one goroutine.
 func (c *Copy) Keep(v distribution.View) {
-	now := [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()}
+	now := [2]versioned.VersionID{v.Rules.ID(), v.Pending.ID()}
 	if c.path == "" || now == c.last {
 		return
 	}
--- a/internal/distribution/relay/cost_test.go
+++ b/internal/distribution/relay/cost_test.go
@@ -212,7 +212,7 @@
 		From:     fmt.Sprintf("asker-%d", i),
 		Interest: in,
 		Step:     1,
-		Rules:    ruleset.Select(s, in).Mark(),
+		Rules:    ruleset.Select(s, in).ID(),
 		Index:    -1,
 	}
 }
@@ -220,8 +220,8 @@
 func (b *bench) measure() {
 	t := b.t
 	renewal := func(a *distribution.Answer) bool { return a.RulesDelta == nil && a.Busy == 0 }
-	whole := func(a *distribution.Answer) bool { return a.RulesDelta != nil && a.RulesDelta.From.None() }
-	delta := func(a *distribution.Answer) bool { return a.RulesDelta != nil && !a.RulesDelta.From.None() }
+	whole := func(a *distribution.Answer) bool { return a.RulesDelta != nil && a.RulesDelta.From.IsNone() }
+	delta := func(a *distribution.Answer) bool { return a.RulesDelta != nil && !a.RulesDelta.From.IsNone() }
 	idle := b.cpu()
 	time.Sleep(4 * time.Second)
 	b.line("idle_cpu", "ms_per_s", (b.cpu()-idle)/4)
@@ -231,7 +231,7 @@
 	none := func(all bool) func(int) *distribution.Ask {
 		return func(i int) *distribution.Ask {
 			a := b.ask(i, all, nil)
-			a.Rules = versioned.Mark{}
+			a.Rules = versioned.VersionID{}
 			return a
 		}
 	}
--- a/internal/distribution/relay/middle_test.go
+++ b/internal/distribution/relay/middle_test.go
@@ -133,8 +133,8 @@
 			return whole()
 		}
 	case rebases:
-		if d != nil && !d.From.None() {
-			d.From = versioned.Mark{Number: d.From.Number, Digest: versioned.Digest{1}}
+		if d != nil && !d.From.IsNone() {
+			d.From = versioned.VersionID{Number: d.From.Number, Digest: versioned.Digest{1}}
 			return whole()
 		}
 	case loses:
--- a/internal/distribution/relay/relay.go
+++ b/internal/distribution/relay/relay.go
@@ -41,7 +41,7 @@
 
 // view is what was last made known of a View.
 type view struct {
-	rules, pending versioned.Mark
+	rules, pending versioned.VersionID
 	step           uint64
 }
 
@@ -120,7 +120,7 @@
 	}
 	r.giver.offer(v)
 	r.copy.Keep(v)
-	now := view{rules: v.Rules.Mark(), pending: v.Pending.Mark(), step: v.Step}
+	now := view{rules: v.Rules.ID(), pending: v.Pending.ID(), step: v.Step}
 	if now.rules != r.last.rules {
 		r.tells(&v)
 	}
@@ -136,9 +136,9 @@
 	if r.record == nil {
 		return
 	}
-	e := history.Event{Kind: history.Gives, Version: v.Rules.Mark().Number, Age: Clock() - v.Begun}
+	e := history.Event{Kind: history.Gives, Version: v.Rules.ID().Number, Age: Clock() - v.Begun}
 	if whole, err := ruleset.FromState(v.Rules); err == nil {
-		e.Mark = raftlog.Mark(&whole.Rules)
+		e.Mark = raftlog.RulesDigest(&whole.Rules)
 	} else {
 		e.Says = fmt.Sprintf("not rules of this program: %v", err)
 	}
--- a/internal/distribution/relay/relayd_test.go
+++ b/internal/distribution/relay/relayd_test.go
@@ -112,8 +112,8 @@
 			t.Fatal(err)
 		}
 		r, q, err := readCopy(path, "till")
-		if err != nil || r.Mark() != rules.Mark() || q.Mark() != p.Mark() {
-			t.Errorf("%v and %v came back as %v and %v: %v", rules.Mark(), p.Mark(), r.Mark(), q.Mark(), err)
+		if err != nil || r.ID() != rules.ID() || q.ID() != p.ID() {
+			t.Errorf("%v and %v came back as %v and %v: %v", rules.ID(), p.ID(), r.ID(), q.ID(), err)
 		}
 	}
 	if _, _, err := readCopy(path, "mill"); err == nil {
--- a/internal/distribution/relay/root.go
+++ b/internal/distribution/relay/root.go
@@ -13,13 +13,13 @@
 	"willowdeck/internal/versioned"
 )
 
-// Quorum is what a Root needs of a council's daemon; see raftlog.Seat.
+// Quorum is what a Root needs of a council's daemon; see raftlog.RulesetNode.
 type Quorum interface {
-	Word() (raftlog.Word, bool)
-	Confirmed() <-chan struct{}
-	Told(all []ruleset.HostStep, index int64)
-	Highest() int64
-	Often()
+	LastConfirmed() (raftlog.ConfirmedState, bool)
+	Confirmations() <-chan struct{}
+	RecordHostSteps(all []ruleset.HostStep, index int64)
+	HighestDiscoveryIndex() int64
+	RequestFrequentReads()
 }
 
 const (
@@ -46,12 +46,12 @@
 func NewRoot(q Quorum, name, cluster, listen string, log zerolog.Logger) (*Root, error) {
 	r := &Root{name: name, cluster: cluster, log: log, quorum: q}
 	g, err := give(listen, rootConnections, rootLease, distribution.NewSource(name, cluster,
-		distribution.Bounds{WholeRate: rootWhole, WholeBurst: rootWhole, Life: rand.Uint64()}), q.Told)
+		distribution.Bounds{WholeRate: rootWhole, WholeBurst: rootWhole, Life: rand.Uint64()}), q.RecordHostSteps)
 	if err != nil {
 		return nil, err
 	}
 	r.giver = g
-	q.Often()
+	q.RequestFrequentReads()
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
 	r.wait.Add(1)
@@ -61,7 +61,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-q.Confirmed():
+			case <-q.Confirmations():
 				r.offer()
 			}
 		}
@@ -82,13 +82,14 @@
 // offer gives on what was confirmed last. A version is made entries once; what waits has its own number, and
 // one that was withdrawn may have had the same.
 func (r *Root) offer() {
-	w, ok := r.quorum.Word()
+	w, ok := r.quorum.LastConfirmed()
 	if !ok {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := distribution.View{Step: w.Step, Settled: w.Settled, Begun: w.Begun, Index: r.quorum.Highest()}
+	v := distribution.View{Step: w.Step, Settled: w.Settled, Begun: w.ReadStartMillis,
+		Index: r.quorum.HighestDiscoveryIndex()}
 	if w.Step != r.view.Step || r.rules == nil {
 		rules, err := r.entries(r.rules, &w.InForce)
 		var pending *versioned.State
@@ -108,7 +109,7 @@
 
 // entries gives a version as a state, or the one that is there already.
 func (r *Root) entries(had *versioned.State, v *ruleset.Version) (*versioned.State, error) {
-	if had != nil && had.Mark().Number == v.Number {
+	if had != nil && had.ID().Number == v.Number {
 		return had, nil
 	}
 	return ruleset.Entries(v)
--- a/internal/distribution/relay/status.go
+++ b/internal/distribution/relay/status.go
@@ -47,8 +47,8 @@
 // of fills in what a view says.
 func (s *Status) of(v *distribution.View) {
 	s.Known, s.Depth, s.Step, s.Settled, s.AgeMS = true, v.Depth, v.Step, v.Settled, v.Age(Clock())
-	m := v.Rules.Mark()
-	s.Version, s.Mark, s.Bytes, s.Pending = m.Number, m.String(), v.Rules.Bytes(), v.Pending.Mark().Number
+	m := v.Rules.ID()
+	s.Version, s.Mark, s.Bytes, s.Pending = m.Number, m.String(), v.Rules.Bytes(), v.Pending.ID().Number
 }
 
 // Status tells how the relay stands.
--- a/internal/distribution/relay_test.go
+++ b/internal/distribution/relay_test.go
@@ -103,12 +103,12 @@
 	}
 	root.Offer(View{Step: 3, Begun: now, Rules: v1, Pending: v2, Index: 7})
 	step(6)
-	if v, _ = fl.View(); v.Step != 3 || v.Pending.Mark().Number != 2 {
+	if v, _ = fl.View(); v.Step != 3 || v.Pending.ID().Number != 2 {
 		t.Fatalf("%+v", v)
 	}
 	root.Offer(View{Step: 4, Begun: now, Rules: v2, Index: 7})
 	step(6)
-	if v, _ = fl.View(); v.Step != 4 || v.Pending != nil || v.Rules.Mark().Number != 2 {
+	if v, _ = fl.View(); v.Step != 4 || v.Pending != nil || v.Rules.ID().Number != 2 {
 		t.Fatalf("%+v", v)
 	}
 	if n := fl.Counts(); n.Wholes != 1 || n.Deltas != 1 || n.Bad+n.Base+n.Digest+n.Missing != 0 {
@@ -139,9 +139,9 @@
 	)
 	v1 := state(t, 1, rules(6, 96))
 	f.Clock(1000)
-	f.Heard(f.Current(), 1000, &Answer{Form: Form, Cluster: "c", Step: 2, Age: 50, Rules: v1.Mark(), Life: 1,
-		RulesDelta: versioned.Whole(v1), Index: -1})
-	if v, ok := f.View(); !ok || v.Begun != 950 || v.Rules.Mark() != v1.Mark() {
+	f.Heard(f.Current(), 1000, &Answer{Form: Form, Cluster: "c", Step: 2, Age: 50, Rules: v1.ID(), Life: 1,
+		RulesDelta: versioned.FullDelta(v1), Index: -1})
+	if v, ok := f.View(); !ok || v.Begun != 950 || v.Rules.ID() != v1.ID() {
 		t.Fatalf("%+v %v %+v", v, ok, f.Counts())
 	}
 	return f, v1
@@ -154,7 +154,7 @@
 	r := rules(6, 48)
 	r.Lease = 100
 	short := state(t, 2, r)
-	spoilt := versioned.Between(v1, v2)
+	spoilt := versioned.Diff(v1, v2)
 	spoilt.Set = spoilt.Set[1:]
 	for _, c := range []struct {
 		name   string
@@ -167,42 +167,42 @@
 		{"an age that is none", func(a *Answer) { a.Age = -1 }, func(n Counts) int64 { return n.Bad }, false},
 		{"nothing known", func(a *Answer) { a.Step = 0 }, func(n Counts) int64 { return n.Empty }, false},
 		{"a lower step", func(a *Answer) { a.Step = 1 }, func(n Counts) int64 { return n.Late }, false},
-		{"an older read of the same", func(a *Answer) { a.Step, a.Age, a.Rules = 2, 160, v1.Mark() },
+		{"an older read of the same", func(a *Answer) { a.Step, a.Age, a.Rules = 2, 160, v1.ID() },
 			func(n Counts) int64 { return n.Late }, false},
 		{"a lease that is over", func(a *Answer) {
-			a.Age, a.Rules, a.RulesDelta = 120, short.Mark(), versioned.Whole(short)
+			a.Age, a.Rules, a.RulesDelta = 120, short.ID(), versioned.FullDelta(short)
 		}, func(n Counts) int64 { return n.Lapsed }, false},
 		{"a ring of relays", func(a *Answer) { a.Depth = mostDepth }, func(n Counts) int64 { return n.Bad }, false},
 		{"read before this life", func(a *Answer) { a.Age = 601 }, func(n Counts) int64 { return n.Before }, false},
-		{"other rules at the same step", func(a *Answer) { a.Step, a.Rules = 2, other.Mark() },
+		{"other rules at the same step", func(a *Answer) { a.Step, a.Rules = 2, other.ID() },
 			func(n Counts) int64 { return n.Bad }, false},
 		{"a pending one more at the same step", func(a *Answer) {
-			a.Step, a.Rules, a.Pending = 2, v1.Mark(), v2.Mark()
+			a.Step, a.Rules, a.Pending = 2, v1.ID(), v2.ID()
 		}, func(n Counts) int64 { return n.Bad }, false},
 		{"a lower version", func(a *Answer) { a.Rules.Number = 0 }, func(n Counts) int64 { return n.Bad }, false},
-		{"no version", func(a *Answer) { a.Rules = versioned.Mark{} }, func(n Counts) int64 { return n.Bad },
+		{"no version", func(a *Answer) { a.Rules = versioned.VersionID{} }, func(n Counts) int64 { return n.Bad },
 			false},
-		{"a pending one that does not follow", func(a *Answer) { a.Pending = v2.Mark() },
+		{"a pending one that does not follow", func(a *Answer) { a.Pending = v2.ID() },
 			func(n Counts) int64 { return n.Bad }, false},
 		{"a version without a delta", func(a *Answer) { a.RulesDelta = nil },
 			func(n Counts) int64 { return n.Missing }, false},
 		{"a delta of another mark", func(a *Answer) { a.Rules.Digest[0]++ },
 			func(n Counts) int64 { return n.Bad }, true},
-		{"a delta against another state", func(a *Answer) { a.RulesDelta = versioned.Between(other, v2) },
+		{"a delta against another state", func(a *Answer) { a.RulesDelta = versioned.Diff(other, v2) },
 			func(n Counts) int64 { return n.Base }, true},
 		{"a spoilt delta", func(a *Answer) { a.RulesDelta = spoilt },
 			func(n Counts) int64 { return n.Digest }, true},
 		{"a spoilt pending one", func(a *Answer) {
 			v3 := state(t, 3, rules(6, 24))
-			a.Pending, a.PendingDelta = v3.Mark(), versioned.Between(v2, v3)
+			a.Pending, a.PendingDelta = v3.ID(), versioned.Diff(v2, v3)
 			a.PendingDelta.Set = nil
 		}, func(n Counts) int64 { return n.Digest }, true},
 		{"no room", func(a *Answer) { a.RulesDelta, a.Busy = nil, 3000 },
 			func(n Counts) int64 { return n.Busy }, false},
 	} {
 		f, v1 := follower(t)
-		a := &Answer{Form: Form, Cluster: "c", Step: 3, Age: 10, Life: 1, Rules: v2.Mark(),
-			RulesDelta: versioned.Between(v1, v2), Index: -1}
+		a := &Answer{Form: Form, Cluster: "c", Step: 3, Age: 10, Life: 1, Rules: v2.ID(),
+			RulesDelta: versioned.Diff(v1, v2), Index: -1}
 		before, _ := f.View()
 		c.change(a)
 		f.Clock(1100)
@@ -214,12 +214,12 @@
 			t.Errorf("%s: %+v", c.name, n)
 		}
 		asks := asked(f, 1200)
-		if len(asks) == 0 || asks[0].Rules.None() != c.bare {
+		if len(asks) == 0 || asks[0].Rules.IsNone() != c.bare {
 			t.Errorf("%s: asks %+v", c.name, asks)
 		}
 		f.Clock(1300) // and the same unspoilt is taken
-		f.Heard(f.Current(), 1300, &Answer{Form: Form, Cluster: "c", Step: 3, Age: 10, Life: 1, Rules: v2.Mark(),
-			RulesDelta: versioned.Whole(v2), Index: -1})
+		f.Heard(f.Current(), 1300, &Answer{Form: Form, Cluster: "c", Step: 3, Age: 10, Life: 1, Rules: v2.ID(),
+			RulesDelta: versioned.FullDelta(v2), Index: -1})
 		if v, ok := f.View(); !ok || v.Step != 3 {
 			t.Errorf("%s: then %+v", c.name, v)
 		}
@@ -267,8 +267,8 @@
 		Lease: 100}, 0)
 	v := state(t, 1, rules(6, 96))
 	f.Clock(1000)
-	f.Heard(0, 1000, &Answer{Form: Form, Cluster: "c", Step: 2, Age: 300, Rules: v.Mark(), Life: 1,
-		RulesDelta: versioned.Whole(v), Index: -1})
+	f.Heard(0, 1000, &Answer{Form: Form, Cluster: "c", Step: 2, Age: 300, Rules: v.ID(), Life: 1,
+		RulesDelta: versioned.FullDelta(v), Index: -1})
 	if got, ok := f.View(); !ok || got.Begun != 700 || f.lease != 1000 || f.every != 100 {
 		t.Errorf("%+v %v, lease %v", got, ok, f.lease)
 	}
@@ -279,8 +279,8 @@
 	f, v1 := follower(t)
 	v2 := state(t, 2, rules(6, 48))
 	first := f.Current()
-	good := &Answer{Form: Form, Cluster: "c", Step: 3, Age: 10, Life: 1, Rules: v2.Mark(),
-		RulesDelta: versioned.Between(v1, v2), Index: -1}
+	good := &Answer{Form: Form, Cluster: "c", Step: 3, Age: 10, Life: 1, Rules: v2.ID(),
+		RulesDelta: versioned.Diff(v1, v2), Index: -1}
 	for all, left := range map[bool]bool{false: true, true: false} {
 		f, _ = follower(t)
 		n := 0
@@ -296,7 +296,7 @@
 				}
 				a := *good
 				if n++; all || d.Upstream == first {
-					a.RulesDelta = &versioned.Delta{From: d.Ask.Rules, To: v2.Mark(), Drop: []string{"rules"}}
+					a.RulesDelta = &versioned.Delta{From: d.Ask.Rules, To: v2.ID(), Delete: []string{"rules"}}
 				}
 				f.Heard(d.Upstream, now, &a)
 			}
@@ -313,15 +313,15 @@
 	f, v1 := follower(t)
 	v2, v3 := state(t, 2, rules(6, 48)), state(t, 3, rules(6, 24))
 	say := func(step uint64, v *versioned.State, d *versioned.Delta) {
-		f.Heard(f.Current(), 1100, &Answer{Form: Form, Cluster: "c", Step: step, Age: 10, Life: 1, Rules: v.Mark(),
+		f.Heard(f.Current(), 1100, &Answer{Form: Form, Cluster: "c", Step: step, Age: 10, Life: 1, Rules: v.ID(),
 			RulesDelta: d, Index: -1})
 	}
 	f.Clock(1100)
-	say(3, v2, versioned.Between(v1, v2))
-	say(3, v2, versioned.Between(v1, v2)) // twice: a renewal
-	say(4, v3, versioned.Between(v1, v3)) // made for what it had when it asked, which it has still
-	say(3, v2, versioned.Between(v1, v2)) // late
-	if v, _ := f.View(); v.Step != 4 || v.Rules.Mark() != v3.Mark() {
+	say(3, v2, versioned.Diff(v1, v2))
+	say(3, v2, versioned.Diff(v1, v2)) // twice: a renewal
+	say(4, v3, versioned.Diff(v1, v3)) // made for what it had when it asked, which it has still
+	say(3, v2, versioned.Diff(v1, v2)) // late
+	if v, _ := f.View(); v.Step != 4 || v.Rules.ID() != v3.ID() {
 		t.Errorf("%+v", v)
 	}
 	if n := f.Counts(); n.Taken != 3 || n.Renewed != 1 || n.Late != 1 || n.Base+n.Digest+n.Bad != 0 {
@@ -338,7 +338,7 @@
 	told(t, f, 1200, s, s)
 	s.Offer(View{Step: 4, Begun: 1200, Rules: v2, Index: -1})
 	told(t, f, 1400, s, s)
-	if v, _ := f.View(); v.Step != 4 || v.Rules.Mark() != v2.Mark() || v.Pending != nil {
+	if v, _ := f.View(); v.Step != 4 || v.Rules.ID() != v2.ID() || v.Pending != nil {
 		t.Errorf("%+v", v)
 	}
 	if n := s.Counts(); n.Wholes+n.Deltas != 0 {
@@ -556,11 +556,11 @@
 func TestSourceKeeps(t *testing.T) {
 	s := NewSource("s", "c", Bounds{Versions: 3})
 	in := ruleset.Interest{Host: "h1"}
-	var marks []versioned.Mark
+	var marks []versioned.VersionID
 	for i := range 5 {
 		v := state(t, uint64(i+1), rules(20, 96-float64(i)))
 		s.Offer(View{Step: uint64(i + 1), Begun: 0, Rules: v, Index: -1})
-		marks = append(marks, ruleset.Select(v, in).Mark())
+		marks = append(marks, ruleset.Select(v, in).ID())
 	}
 	for i, m := range marks {
 		r, err := s.Answer(&Ask{Form: Form, Cluster: "c", From: "f", Interest: in, Rules: m, Index: -1}, 10)
@@ -570,7 +570,7 @@
 		switch {
 		case i == 4 && r.RulesDelta == nil:
 		case i < 4 && i >= 2 && r.RulesDelta.From == m && len(r.RulesDelta.Set) == 1:
-		case i < 2 && r.RulesDelta.From.None() && len(r.RulesDelta.Set) == 4: // header, plan, two members
+		case i < 2 && r.RulesDelta.From.IsNone() && len(r.RulesDelta.Set) == 4: // header, plan, two members
 		default:
 			t.Errorf("from version %d: %+v", i+1, r.RulesDelta)
 		}
@@ -578,7 +578,7 @@
 	spoilt := marks[3]
 	spoilt.Digest[0]++
 	r, _ := s.Answer(&Ask{Form: Form, Cluster: "c", From: "f", Interest: in, Rules: spoilt, Index: -1}, 10)
-	if r.RulesDelta == nil || !r.RulesDelta.From.None() {
+	if r.RulesDelta == nil || !r.RulesDelta.From.IsNone() {
 		t.Errorf("a mark that never was: %+v", r.RulesDelta)
 	}
 	if s.Offer(View{Step: 2, Rules: state(t, 9, rules(2, 1))}); s.v.Step != 5 {
--- a/internal/distribution/replica.go
+++ b/internal/distribution/replica.go
@@ -60,7 +60,7 @@
 // discovery's list.
 func (r *Replica) Ask(now float64, holds uint64, index int64) *Ask {
 	return &Ask{Form: Form, From: r.name, Interest: ruleset.Interest{Name: r.name, Around: Around},
-		Step: r.lease.Step, Rules: r.rules.Mark(), Pending: r.pending.Mark(), Quiet: now < r.quiet, Index: index,
+		Step: r.lease.Step, Rules: r.rules.ID(), Pending: r.pending.ID(), Quiet: now < r.quiet, Index: index,
 		Process: r.process, Holds: holds}
 }
 
@@ -78,7 +78,7 @@
 		r.counts.Busy++
 		r.quiet = now + r.rng.Float64()*a.Busy // full jitter
 		return l, false, ErrBusy
-	case now < r.quiet && a.Rules != r.rules.Mark():
+	case now < r.quiet && a.Rules != r.rules.ID():
 		return l, false, ErrBusy
 	}
 	rules, pending, err := r.apply(a)
@@ -88,9 +88,9 @@
 	}
 	if err != nil {
 		switch {
-		case errors.Is(err, versioned.ErrBase):
+		case errors.Is(err, versioned.ErrBaseMismatch):
 			r.counts.Base++
-		case errors.Is(err, versioned.ErrDigest):
+		case errors.Is(err, versioned.ErrDigestMismatch):
 			r.counts.Digest++
 		default:
 			r.counts.Bad++
@@ -101,12 +101,12 @@
 	switch d := a.RulesDelta; {
 	case d == nil && a.PendingDelta == nil:
 		r.counts.Renewals++
-	case d != nil && d.From.None():
+	case d != nil && d.From.IsNone():
 		r.counts.Wholes++
 	default:
 		r.counts.Deltas++
 	}
-	news = rules.Mark() != r.rules.Mark() || pending.Mark() != r.pending.Mark()
+	news = rules.ID() != r.rules.ID() || pending.ID() != r.pending.ID()
 	next.Step, next.Settled = a.Step, a.Settled
 	r.rules, r.pending, r.lease = rules, pending, next
 	next.Age = a.Age
@@ -120,11 +120,11 @@
 		if rules, err = r.rules.Apply(a.RulesDelta); err != nil {
 			return nil, nil, fmt.Errorf("rules: %w", err)
 		}
-	case a.Rules == r.pending.Mark(): // what was pending has come in force
+	case a.Rules == r.pending.ID(): // what was pending has come in force
 		rules = r.pending
 	}
 	switch {
-	case a.Pending.None():
+	case a.Pending.IsNone():
 	case a.PendingDelta != nil:
 		if pending, err = rules.Apply(a.PendingDelta); err != nil {
 			return nil, nil, fmt.Errorf("pending rules: %w", err)
@@ -132,15 +132,15 @@
 	default:
 		pending = r.pending
 	}
-	if rules.Mark() != a.Rules || rules.Mark().None() || pending.Mark() != a.Pending {
-		return nil, nil, fmt.Errorf("%w: %v and %v are told of", versioned.ErrBase, a.Rules, a.Pending)
+	if rules.ID() != a.Rules || rules.ID().IsNone() || pending.ID() != a.Pending {
+		return nil, nil, fmt.Errorf("%w: %v and %v are told of", versioned.ErrBaseMismatch, a.Rules, a.Pending)
 	}
 	return rules, pending, nil
 }
 
 // read makes a lease of states; what was read before is not read again.
 func (r *Replica) read(rules, pending *versioned.State) (l ruleset.Lease, err error) {
-	if l = r.lease; rules.Mark() != r.rules.Mark() {
+	if l = r.lease; rules.ID() != r.rules.ID() {
 		if l.Version, l.Foreign, err = readState(rules); err != nil {
 			return l, err
 		}
@@ -148,7 +148,7 @@
 	switch {
 	case pending == nil:
 		l.Pending, l.Strange = nil, ""
-	case pending.Mark() != r.pending.Mark():
+	case pending.ID() != r.pending.ID():
 		v, strange, err := readState(pending)
 		if err != nil {
 			return l, err
@@ -164,7 +164,7 @@
 	v, err = ruleset.FromState(s)
 	switch {
 	case errors.Is(err, ruleset.ErrForeign):
-		return ruleset.Version{Number: s.Mark().Number}, err.Error(), nil
+		return ruleset.Version{Number: s.ID().Number}, err.Error(), nil
 	case err != nil:
 		return v, "", fmt.Errorf("%w: %w", ErrBad, err)
 	}
--- a/internal/distribution/replica_test.go
+++ b/internal/distribution/replica_test.go
@@ -250,7 +250,7 @@
 	if c := p.Counts(); c.Wholes != 1 || c.Deltas != 2 || c.Renewals != 1 {
 		t.Errorf("%+v", c)
 	}
-	if _, _, err := p.Hear(&Answer{Form: Form, Step: 5}, 9); !errors.Is(err, versioned.ErrBase) {
+	if _, _, err := p.Hear(&Answer{Form: Form, Step: 5}, 9); !errors.Is(err, versioned.ErrBaseMismatch) {
 		t.Errorf("an answer of no rules: %v", err)
 	}
 }
--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -49,7 +49,7 @@
 	at    float64
 }
 
-type pair struct{ from, to versioned.Mark }
+type pair struct{ from, to versioned.VersionID }
 
 // Source answers those below by a view, which is a council's own or a Follower's. It is not safe for
 // concurrent use.
@@ -105,7 +105,7 @@
 	if v.Rules == nil || s.has && (v.Step < s.v.Step || v.Step == s.v.Step && v.Begun < s.v.Begun) {
 		return
 	}
-	if !s.has || v.Rules.Mark() != s.v.Rules.Mark() || v.Pending.Mark() != s.v.Pending.Mark() {
+	if !s.has || v.Rules.ID() != s.v.Rules.ID() || v.Pending.ID() != s.v.Pending.ID() {
 		s.former, s.parts = s.parts, map[ruleset.Interest]*part{}
 		clear(s.deltas)
 		s.keep(v.Pending)
@@ -122,7 +122,7 @@
 		return
 	}
 	k := &kept{state: state}
-	if i := slices.IndexFunc(s.versions, func(o *kept) bool { return o.state.Mark() == state.Mark() }); i >= 0 {
+	if i := slices.IndexFunc(s.versions, func(o *kept) bool { return o.state.ID() == state.ID() }); i >= 0 {
 		k = s.versions[i]
 		s.versions = slices.Delete(s.versions, i, i+1)
 	}
@@ -136,9 +136,9 @@
 }
 
 // of gives the kept state of a mark.
-func (s *Source) of(m versioned.Mark) *kept {
+func (s *Source) of(m versioned.VersionID) *kept {
 	for _, k := range s.versions {
-		if k.state.Mark() == m {
+		if k.state.ID() == m {
 			return k
 		}
 	}
@@ -150,9 +150,9 @@
 	if p := s.parts[in]; p != nil {
 		return p
 	}
-	p := &part{rules: s.of(s.v.Rules.Mark()).part(in)}
+	p := &part{rules: s.of(s.v.Rules.ID()).part(in)}
 	if s.v.Pending != nil {
-		p.pending = s.of(s.v.Pending.Mark()).part(in)
+		p.pending = s.of(s.v.Pending.ID()).part(in)
 		p.coming = s.delta(p.rules, p.pending)
 	}
 	if len(s.parts) < s.b.Parts { // of more, each is made anew
@@ -175,8 +175,8 @@
 
 // base gives what an asker has by its marks, if it can be made here: what it needed of a version that is
 // kept.
-func (s *Source) base(m versioned.Mark, in ruleset.Interest) *ruleset.Portion {
-	if m.None() {
+func (s *Source) base(m versioned.VersionID, in ruleset.Interest) *ruleset.Portion {
+	if m.IsNone() {
 		return nil
 	}
 	if p := s.former[in]; p != nil {
@@ -187,7 +187,7 @@
 		}
 	}
 	for _, k := range s.versions {
-		if k.state.Mark().Number == m.Number {
+		if k.state.ID().Number == m.Number {
 			if p := k.part(in); p.Mark() == m {
 				return p
 			}
@@ -214,7 +214,7 @@
 	r.Depth, r.Step, r.Settled = s.v.Depth, s.v.Step, s.v.Settled
 	r.Age, r.Index = math.Max(now-s.v.Begun, 0), max(s.v.Index, s.Highest(now))
 	r.Rules, r.Pending = p.rules.Mark(), p.pending.Mark()
-	if r.Rules == a.Rules && (r.Pending.None() || r.Pending == a.Pending) || a.Quiet {
+	if r.Rules == a.Rules && (r.Pending.IsNone() || r.Pending == a.Pending) || a.Quiet {
 		s.n.Renewals++
 		return r, nil
 	}
--- a/internal/distribution/walk_test.go
+++ b/internal/distribution/walk_test.go
@@ -60,7 +60,7 @@
 	source       *Source
 	step         uint64 // highest that it has gone by in this life
 	version      uint64
-	viewed       versioned.Mark
+	viewed       versioned.VersionID
 	facts        map[string]uint64 // as its source knew them
 	disk, coming *versioned.State
 	kept         View   // beside them, which none may go by
@@ -75,7 +75,7 @@
 	holder       *ruleset.Holder
 	writes       []wrote
 	process      int
-	pair         [2]versioned.Mark
+	pair         [2]versioned.VersionID
 	replica      *Replica // in place of a follower
 	before       *Answer  // the one before, which may come once more in place of another
 	mine         [2]*ruleset.Rules
@@ -99,7 +99,7 @@
 
 // said is what a council says at a step.
 type said struct {
-	rules, pending versioned.Mark
+	rules, pending versioned.VersionID
 	states         [2]*versioned.State
 	until          float64 // true time at which the next step came
 }
@@ -127,7 +127,7 @@
 	calm      bool
 	counts    map[string]int
 	wrong     string
-	versions  map[versioned.Mark]*ruleset.Rules
+	versions  map[versioned.VersionID]*ruleset.Rules
 	processes int
 	numbers   uint64
 	replicas  bool // gatekeepers keep them, as they do with relayd
@@ -217,7 +217,7 @@
 		}
 		x := &said{until: math.Inf(1)}
 		x.states = [2]*versioned.State{w.state(&st.InForce), w.pending(st)}
-		x.rules, x.pending = x.states[0].Mark(), x.states[1].Mark()
+		x.rules, x.pending = x.states[0].ID(), x.states[1].ID()
 		w.steps[st.Step] = x
 	}
 	if o.InForce > 0 {
@@ -307,8 +307,8 @@
 // start begins a life of a node. disk: 0 as it was kept, 1 an older one, 2 none or torn.
 func (w *walk) start(n *node, disk int) {
 	n.life++
-	n.began, n.still, n.step, n.version, n.viewed, n.facts = w.now, 0, 0, 0, versioned.Mark{}, nil
-	n.pair, n.mine = [2]versioned.Mark{}, [2]*ruleset.Rules{}
+	n.began, n.still, n.step, n.version, n.viewed, n.facts = w.now, 0, 0, 0, versioned.VersionID{}, nil
+	n.pair, n.mine = [2]versioned.VersionID{}, [2]*ruleset.Rules{}
 	switch {
 	case n.council != nil: // it comes back with a snapshot, or with nothing
 		raw, err := n.council.Snapshot()
@@ -614,11 +614,11 @@
 		i := w.rng.Intn(len(d.Set))
 		d.Set = slices.Delete(d.Set, i, i+1)
 	} else {
-		d.Drop = append(slices.Clone(d.Drop), "rules")
+		d.Delete = append(slices.Clone(d.Delete), "rules")
 	}
 	if w.counts["spoilt"]++; w.plant == unchecked { // the marks are made to fit, as if they were not looked at
-		if d.From.None() {
-			d.To = versioned.New(d.To.Number, d.Set).Mark()
+		if d.From.IsNone() {
+			d.To = versioned.New(d.To.Number, d.Set).ID()
 			x.Rules = d.To
 		}
 	}
@@ -660,10 +660,10 @@
 
 // goes checks a view that a node goes by.
 func (w *walk) goes(n *node, v *View) {
-	if v.Step < n.step || v.Rules.Mark().Number < n.version {
+	if v.Step < n.step || v.Rules.ID().Number < n.version {
 		w.bad("%s goes from step %d back to %d", n.name, n.step, v.Step)
 	}
-	n.step, n.version = v.Step, v.Rules.Mark().Number
+	n.step, n.version = v.Step, v.Rules.ID().Number
 	s := w.steps[v.Step]
 	if s == nil {
 		w.bad("%s goes by step %d, which never was", n.name, v.Step)
@@ -674,18 +674,18 @@
 	} else if begun < n.began-slackMS && n.daemon == nil {
 		w.bad("%s began at %.1f and goes by what was read at %.1f", n.name, n.began, begun)
 	}
-	if n.viewed == v.Rules.Mark() && n.pair == [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()} {
+	if n.viewed == v.Rules.ID() && n.pair == [2]versioned.VersionID{v.Rules.ID(), v.Pending.ID()} {
 		return
 	}
-	n.viewed, n.pair = v.Rules.Mark(), [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()}
+	n.viewed, n.pair = v.Rules.ID(), [2]versioned.VersionID{v.Rules.ID(), v.Pending.ID()}
 	for i, have := range []*versioned.State{v.Rules, v.Pending} {
 		want := s.states[i]
 		if want != nil {
 			want = ruleset.Select(want, n.interest)
 		}
-		if have.Mark() != want.Mark() || have != nil && versioned.New(have.Mark().Number,
-			versioned.Whole(have).Set).Mark() != want.Mark() {
-			w.bad("%s goes by %v at step %d, where there is %v", n.name, have.Mark(), v.Step, want.Mark())
+		if have.ID() != want.ID() || have != nil && versioned.New(have.ID().Number,
+			versioned.FullDelta(have).Set).ID() != want.ID() {
+			w.bad("%s goes by %v at step %d, where there is %v", n.name, have.ID(), v.Step, want.ID())
 		}
 	}
 	if n.daemon == nil && w.rng.Intn(4) > 0 { // a write that did not come to be
@@ -724,7 +724,7 @@
 			n.mine[i] = nil
 			continue
 		}
-		r := w.versions[s.Mark()]
+		r := w.versions[s.ID()]
 		if r == nil {
 			x, err := ruleset.FromState(s)
 			if err != nil {
@@ -732,11 +732,11 @@
 				return
 			}
 			r = &x.Rules
-			w.versions[s.Mark()] = r
+			w.versions[s.ID()] = r
 		}
 		n.mine[i] = r
 	}
-	l.Version, l.Pending = ruleset.Version{Number: v.Rules.Mark().Number, Rules: *n.mine[0]}, n.mine[1]
+	l.Version, l.Pending = ruleset.Version{Number: v.Rules.ID().Number, Rules: *n.mine[0]}, n.mine[1]
 	n.holder.Heard(l, n.clock(w.now))
 }
 
@@ -813,7 +813,7 @@
 func walking(seed int64, until float64, plant planted) (string, map[string]int) {
 	w := &walk{rng: rand.New(rand.NewSource(seed)), truth: ruleset.NewCouncil(), counts: map[string]int{},
 		plant: plant, steps: map[uint64]*said{}, states: map[string]*versioned.State{},
-		versions: map[versioned.Mark]*ruleset.Rules{}}
+		versions: map[versioned.VersionID]*ruleset.Rules{}}
 	w.replicas = seed/8%3 > 0
 	w.build(1+int(seed)%4, seed/4%2 == 0)
 	w.commit(ruleset.Entry{Act: ruleset.Propose, ID: "first", Rules: w.rules()})
@@ -957,7 +957,7 @@
 	for depth := 1; depth <= 4; depth++ {
 		w := &walk{rng: rand.New(rand.NewSource(int64(depth))), truth: ruleset.NewCouncil(), calm: true,
 			counts: map[string]int{}, steps: map[uint64]*said{}, states: map[string]*versioned.State{},
-			versions: map[versioned.Mark]*ruleset.Rules{}}
+			versions: map[versioned.VersionID]*ruleset.Rules{}}
 		w.build(depth, true)
 		var all, old []float64
 		before := int64(0)
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -220,7 +220,7 @@
 	if err != nil {
 		p.t.Errorf("rules: %v", err)
 	}
-	mark = raftlog.Mark(&r)
+	mark = raftlog.RulesDigest(&r)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.known[mark] = r
@@ -261,15 +261,16 @@
 			if version == 0 {
 				version = s.Rules.Version
 			}
-			if !ok || version == 0 || s.Rules.Version != version || s.Rules.Pending > 0 || s.Rules.Wanted != "" {
+			if !ok || version == 0 || s.Rules.Version != version || s.Rules.PendingVersion > 0 ||
+				s.Rules.WantedProposal != "" {
 				why = fmt.Sprintf("%s: version %d, %d pending, wanted %q (%t)", h.name, s.Rules.Version,
-					s.Rules.Pending, s.Rules.Wanted, ok)
+					s.Rules.PendingVersion, s.Rules.WantedProposal, ok)
 				return false
 			}
 		}
 		s, _ := p.hosts[0].sitting()
 		p.mu.Lock()
-		for _, m := range p.known[s.Rules.Mark].Members {
+		for _, m := range p.known[s.Rules.Digest].Members {
 			if m.Name != "" {
 				members++
 			}
--- a/internal/e2e/stage_test.go
+++ b/internal/e2e/stage_test.go
@@ -309,8 +309,8 @@
 	s.rules = s.ceilings(0.25)
 	for end := time.Now().Add(readyIn); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		now, ok := h.sitting()
-		if ok && now.Rules.Pending == 0 && now.Rules.Wanted == "" {
-			if mark := s.write(h, s.rules); now.Rules.Mark == mark {
+		if ok && now.Rules.PendingVersion == 0 && now.Rules.WantedProposal == "" {
+			if mark := s.write(h, s.rules); now.Rules.Digest == mark {
 				return
 			}
 			_ = s.Processes[h.name].Renew()
--- a/internal/gateway/lifecycle/ask_test.go
+++ b/internal/gateway/lifecycle/ask_test.go
@@ -65,7 +65,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.last = *a
-	if x.asked++; a.Rules.None() {
+	if x.asked++; a.Rules.IsNone() {
 		x.bare++
 	}
 	if x.source == nil {
@@ -238,7 +238,7 @@
 		}, "rules.spoilt.base", false},
 		{"without the change", func(a *distribution.Answer) { a.RulesDelta = nil }, "rules.spoilt.base", false},
 		{"another pending one", func(a *distribution.Answer) {
-			a.Pending = versioned.Mark{Number: 9, Digest: versioned.Digest{1}}
+			a.Pending = versioned.VersionID{Number: 9, Digest: versioned.Digest{1}}
 		}, "rules.spoilt.base", false},
 		{"another form", func(a *distribution.Answer) { a.Form = 9 }, "rules.spoilt", true},
 	} {
--- a/internal/lab/footprint/relay.go
+++ b/internal/lab/footprint/relay.go
@@ -120,7 +120,7 @@
 			return nil, err
 		}
 		v, ok := h.follower.View()
-		if !ok || v.Step != 2 || v.Rules.Mark().Number != 2 {
+		if !ok || v.Step != 2 || v.Rules.ID().Number != 2 {
 			return nil, fmt.Errorf("%s: not on version 2: %+v, %v", who.role, v, ok)
 		}
 		values = append(values, Value{who.role, "a renewal over members", "B", float64(asked + answered)},
@@ -133,7 +133,7 @@
 		both := took(func() { _, _, _ = h.round() })
 		ask, err := (&distribution.Ask{Form: distribution.Form, Cluster: cluster, From: "below",
 			Interest: who.in, Step: 2,
-			Rules: v.Rules.Mark(), Index: -1}).Bytes()
+			Rules: v.Rules.ID(), Index: -1}).Bytes()
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lab/scale/hosts.go
+++ b/internal/lab/scale/hosts.go
@@ -27,7 +27,7 @@
 }
 
 type hollowHost struct {
-	seat   *raftlog.Seat // nil in a trial
+	seat   *raftlog.RulesetNode // nil in a trial
 	trial  *ruleset.Version
 	read   time.Time // when a trial's rules were last read, as the seat reads them
 	server *http.Server
@@ -67,8 +67,9 @@
 		}
 	} else {
 		var err error
-		o.seat, err = raftlog.NewSeat(raftlog.Charter{Cluster: x.h.Cluster, Me: c.Name, Listen: c.Listen,
-			Store: c.Store, Hosts: c.Voters, Found: true}, nil, nil, zerolog.Nop())
+		o.seat, err = raftlog.NewRulesetNode(raftlog.Config{Cluster: x.h.Cluster, HostName: c.Name,
+			Listen:    c.Listen,
+			StorePath: c.Store, Hosts: c.Voters, Bootstrap: true}, nil, nil, zerolog.Nop())
 		if err != nil {
 			return nil, err
 		}
@@ -107,9 +108,9 @@
 	}
 	var l ruleset.Lease
 	if o.seat != nil {
-		w.Header().Set(lifecycle.IndexHeader, strconv.FormatInt(o.seat.Highest(), 10))
+		w.Header().Set(lifecycle.IndexHeader, strconv.FormatInt(o.seat.HighestDiscoveryIndex(), 10))
 		var ok bool
-		if l, ok = o.seat.Asked(pid, name, holds, index); !ok {
+		if l, ok = o.seat.RenewLease(pid, name, holds, index); !ok {
 			http.Error(w, "no quorum has confirmed within the lease what is in force",
 				http.StatusServiceUnavailable)
 			return
@@ -130,7 +131,7 @@
 func (x *hosts) end(o Order) {
 	for _, h := range x.all {
 		for pid := o.From; pid < o.To && h.seat != nil; pid++ {
-			h.seat.Ended(pid)
+			h.seat.ProcessExited(pid)
 		}
 	}
 	for i, b := range x.below {
--- a/internal/lab/scale/relays.go
+++ b/internal/lab/scale/relays.go
@@ -168,7 +168,7 @@
 	f := distribution.NewFollower(
 		distribution.Config{Name: b.c.Name, Cluster: b.cluster, Upstream: len(b.c.Upstream),
 			Lease: 1000, Interest: ruleset.Interest{Host: b.c.Name, Around: distribution.Around}, Seed: rand.Int63()},
-		raftlog.Clock(),
+		raftlog.BootClockMillis(),
 	)
 	if b.c.Changes {
 		if err := b.change(); err != nil {
@@ -240,7 +240,7 @@
 // take goes over to what the follower knows, and says up what all here go by; under the lock.
 func (b *branchHost) take() {
 	if b.trial != nil {
-		b.view.Begun = raftlog.Clock() - trialAge
+		b.view.Begun = raftlog.BootClockMillis() - trialAge
 		b.source.Offer(b.view)
 		return
 	}
@@ -263,7 +263,7 @@
 func (b *branchHost) ask(a *distribution.Ask) (*distribution.Answer, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := raftlog.Clock()
+	now := raftlog.BootClockMillis()
 	if !b.warden.Asked(a.Process, a.Holds) {
 		return nil, errors.New("too many processes")
 	}
--- a/internal/raftlog/golden_test.go
+++ b/internal/raftlog/golden_test.go
@@ -26,12 +26,12 @@
 func goldenFile(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", "golden", name))
-	must(t, err)
+	requireNoError(t, err)
 	return raw
 }
 
 // fullOf fails where any field below v is zero: a field that is zero could drop out of a form unseen.
-func fullOf(t *testing.T, path string, v reflect.Value) {
+func requireNonZero(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() || (v.Kind() == reflect.Slice || v.Kind() == reflect.Map) && v.Len() == 0 {
 		t.Errorf("%s is zero", path)
@@ -39,20 +39,20 @@
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
-		fullOf(t, path, v.Elem())
+		requireNonZero(t, path, v.Elem())
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if f := v.Type().Field(i); f.Name != "_" {
-				fullOf(t, path+"."+f.Name, v.Field(i))
+				requireNonZero(t, path+"."+f.Name, v.Field(i))
 			}
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			fullOf(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+			requireNonZero(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 		}
 	case reflect.Map:
 		for _, k := range v.MapKeys() {
-			fullOf(t, fmt.Sprintf("%s[%v]", path, k), v.MapIndex(k))
+			requireNonZero(t, fmt.Sprintf("%s[%v]", path, k), v.MapIndex(k))
 		}
 	}
 }
@@ -60,7 +60,7 @@
 // goldenJSON reads a file into a value of its own type, and encodes that which was written once more.
 func goldenJSON[T any](t *testing.T, name string, want T) {
 	t.Helper()
-	fullOf(t, name, reflect.ValueOf(want))
+	requireNonZero(t, name, reflect.ValueOf(want))
 	raw := goldenFile(t, name)
 	var got T
 	if err := json.Unmarshal(raw, &got); err != nil || !reflect.DeepEqual(got, want) {
@@ -71,67 +71,73 @@
 	}
 }
 
-func goldenHello() hello {
-	return hello{Form: 1, Cluster: "c1", Name: "h1", ID: "00000000000000a1", To: "00000000000000a2",
-		Council: "0123456789abcdef", Seq: 17, Blank: true, Hosts: []string{"h1", "h2"}, Index: 91}
+func goldenHeader() messageHeader {
+	return messageHeader{ProtocolVersion: 1, Cluster: "c1", HostName: "h1", DiskID: "00000000000000a1",
+		ToDiskID: "00000000000000a2",
+		GroupID:  "0123456789abcdef", WriteSeq: 17, IsBlank: true, Hosts: []string{"h1", "h2"}, DiscoveryIndex: 91}
 }
 
-func goldenReply() reply {
-	return reply{hello: goldenHello(), For: "00000000000000a3", Heard: 16, Gone: true, Voter: true,
-		Leader: "h2", Says: "asked the others"}
+func goldenResponse() response {
+	return response{messageHeader: goldenHeader(), ForDiskID: "00000000000000a3", HighestWriteSeq: 16,
+		Removed: true, IsVoter: true,
+		LeaderName: "h2", Message: "asked the others"}
 }
 
-func goldenPacket() packet {
-	return packet{hello: goldenHello(), Messages: [][]byte{{1, 2, 3}, {4, 5}}}
+func goldenRequest() request {
+	return request{messageHeader: goldenHeader(), Messages: [][]byte{{1, 2, 3}, {4, 5}}}
 }
 
 // The messages between the daemons of hosts.
 func TestGoldenMessages(t *testing.T) {
-	goldenJSON(t, "reply.json", goldenReply())
-	goldenJSON(t, "packet.json", goldenPacket())
-	if Form != 1 {
-		t.Errorf("the form of messages is %d; old programs speak 1", Form)
+	goldenJSON(t, "reply.json", goldenResponse())
+	goldenJSON(t, "packet.json", goldenRequest())
+	if ProtocolVersion != 1 {
+		t.Errorf("the form of messages is %d; old programs speak 1", ProtocolVersion)
 	}
 }
 
 // Daemons of two versions meet at these paths.
 func TestGoldenPaths(t *testing.T) {
-	mux := (&Council{}).handler().(*http.ServeMux)
+	mux := (&Node{}).handler().(*http.ServeMux)
 	for _, path := range []string{"/council/hello", "/council/raft", "/council/join"} {
 		_, pattern := mux.Handler(httptest.NewRequest(http.MethodPost, path, nil))
-		sameAs(t, path, pattern, "POST "+path)
+		requireEqual(t, path, pattern, "POST "+path)
 	}
 }
 
 // Operators count what was refused by these names.
-func TestGoldenReasons(t *testing.T) {
-	sameAs(t, "reasons", []string{tooLong, garbled, otherForm, otherName, stranger, otherDisk, crowded},
+func TestGoldenRejectionReasons(t *testing.T) {
+	requireEqual(t, "reasons", []string{reasonTooLong, reasonMalformed, reasonProtocolVersion,
+		reasonOtherCluster, reasonUnknownHost, reasonOtherDisk, reasonQueueFull},
 		[]string{"too_long", "garbled", "other_form", "other_cluster", "stranger", "other_disk", "queue_full"})
 }
 
-func goldenView() View {
-	return View{State: "member", Why: "why", Me: "h1", Disk: "a1", Council: "c", Leader: "h2", Term: 3,
-		Applied: 44,
-		Hosts: []HostView{{Name: "h2", Address: "10.0.0.2:9000", Disk: "a2", Member: true, Leads: true,
-			HeardMS: 12.5, Why: "late"}},
-		Refused: map[string]int64{"garbled": 2}, Last: map[string]string{"garbled": "what"},
-		Aside: map[string]int{"torn": 1}}
+func goldenStatus() Status {
+	return Status{State: "member", Reason: "why", HostName: "h1", DiskID: "a1", GroupID: "c", LeaderName: "h2",
+		Term:         3,
+		AppliedIndex: 44,
+		Hosts: []HostStatus{{Name: "h2", Address: "10.0.0.2:9000", DiskID: "a2", IsMember: true, IsLeader: true,
+			SinceContactMillis: 12.5, LastError: "late"}},
+		Rejections: map[string]int64{"garbled": 2}, LastRejections: map[string]string{"garbled": "what"},
+		MovedAside: map[string]int{"torn": 1}}
 }
 
-func goldenAgreement() Agreement {
-	return Agreement{Version: 7, Mark: "abc", Step: 41, Settled: true, ReadMS: 3.5, Pending: 8,
-		Waits: "it waits",
-		Held:  []uint64{5, 6}, Wanted: "h1-a",
-		Outcomes: []Heard{{ID: "h1-b", Base: 6, Number: 7, Refused: "no", Waits: "it waits too"}},
-		CutOff:   map[string]float64{"gk1": 1200.5},
-		Lags:     []ruleset.Behind{{Who: "gk2", Index: 5, Highest: 9, For: 3100.5}},
-		Seen:     map[string]uint64{"h1": 40}}
+func goldenActivationStatus() ActivationStatus {
+	return ActivationStatus{Version: 7, Digest: "abc", Step: 41, Settled: true, ReadAgeMillis: 3.5,
+		PendingVersion: 8,
+		PendingReason:  "it waits",
+		HeldVersions:   []uint64{5, 6}, WantedProposal: "h1-a",
+		ProposalOutcomes: []ProposalOutcome{{ID: "h1-b", BaseVersion: 6, Version: 7, Rejection: "no",
+			WaitReason: "it waits too"}},
+		CutOffInstances: map[string]float64{"gk1": 1200.5},
+		Lags:            []ruleset.Behind{{Who: "gk2", Index: 5, Highest: 9, For: 3100.5}},
+		HostSteps:       map[string]uint64{"h1": 40}}
 }
 
 // What operators' ports show.
-func TestGoldenViews(t *testing.T) {
-	goldenJSON(t, "view.json", goldenView())
-	goldenJSON(t, "agreement.json", goldenAgreement())
+func TestGoldenStatuses(t *testing.T) {
+	goldenJSON(t, "view.json", goldenStatus())
+	goldenJSON(t, "agreement.json", goldenActivationStatus())
 }
 
 func goldenRules() ruleset.Rules {
@@ -146,10 +152,10 @@
 }
 
 // The mark of rules is a digest of their JSON, and daemons of two versions compare it in records.
-func TestGoldenMark(t *testing.T) {
+func TestGoldenRulesDigest(t *testing.T) {
 	rules := goldenRules()
-	fullOf(t, "rules", reflect.ValueOf(rules))
-	if got, want := Mark(&rules), string(goldenFile(t, "mark.txt")); got != want {
+	requireNonZero(t, "rules", reflect.ValueOf(rules))
+	if got, want := RulesDigest(&rules), string(goldenFile(t, "mark.txt")); got != want {
 		t.Errorf("the mark is %s, not %s", got, want)
 	}
 }
@@ -157,36 +163,37 @@
 // What the store of a daemon holds.
 const goldenName, goldenNonce = "h1", "000102030405060708090a0b0c0d0e0f"
 
-func goldenSelf() self {
-	return self{Name: goldenName, Nonce: goldenNonce, Cluster: "0123456789abcdef"}
+func goldenIdentity() identity {
+	return identity{HostName: goldenName, Nonce: goldenNonce, GroupID: "0123456789abcdef"}
 }
 
-func goldenHeard() map[string]uint64 { return map[string]uint64{"00000000000000a2": 23} }
+func goldenPeerSeqs() map[string]uint64 { return map[string]uint64{"00000000000000a2": 23} }
 
-func goldenHard() raftpb.HardState {
-	return raftpb.HardState{Term: 3, Vote: goldenSelf().id(), Commit: 12}
+func goldenHardState() raftpb.HardState {
+	return raftpb.HardState{Term: 3, Vote: goldenIdentity().diskID(), Commit: 12}
 }
 
 // goldenMachine is a state of accord.s with a version in force; accord has golden files of all its fields.
-func goldenMachine() ruleset.State {
+func goldenRulesetState() ruleset.State {
 	return ruleset.State{Step: 41, InForce: ruleset.Version{Number: 7, Rules: goldenRules()},
 		Seen: map[string]uint64{"h1": 38}}
 }
 
-func goldenKept(t *testing.T) kept {
+func goldenSnapshotData(t *testing.T) snapshotData {
 	t.Helper()
-	machine, err := json.Marshal(goldenMachine())
-	must(t, err)
-	return kept{Members: map[uint64]string{goldenSelf().id(): goldenName, 162: "h2"}, Gone: []uint64{163},
-		Machine: machine}
+	machine, err := json.Marshal(goldenRulesetState())
+	requireNoError(t, err)
+	return snapshotData{Members: map[uint64]string{goldenIdentity().diskID(): goldenName, 162: "h2"},
+		Removed:      []uint64{163},
+		StateMachine: machine}
 }
 
 func goldenSnapshot(t *testing.T) raftpb.Snapshot {
 	t.Helper()
-	data, err := json.Marshal(goldenKept(t))
-	must(t, err)
+	data, err := json.Marshal(goldenSnapshotData(t))
+	requireNoError(t, err)
 	return raftpb.Snapshot{Data: data, Metadata: raftpb.SnapshotMetadata{Index: 10, Term: 2,
-		ConfState: raftpb.ConfState{Voters: []uint64{goldenSelf().id(), 162}}}}
+		ConfState: raftpb.ConfState{Voters: []uint64{goldenIdentity().diskID(), 162}}}}
 }
 
 func goldenEntry() ruleset.Entry {
@@ -198,12 +205,12 @@
 func goldenEntries(t *testing.T) []raftpb.Entry {
 	t.Helper()
 	proposed, err := goldenEntry().Bytes()
-	must(t, err)
+	requireNoError(t, err)
 	names, err := json.Marshal(map[uint64]string{162: "h2"})
-	must(t, err)
+	requireNoError(t, err)
 	change, err := (&raftpb.ConfChangeV2{Changes: []raftpb.ConfChangeSingle{
 		{Type: raftpb.ConfChangeAddNode, NodeID: 162}}, Context: names}).Marshal()
-	must(t, err)
+	requireNoError(t, err)
 	return []raftpb.Entry{{Term: 3, Index: 11, Type: raftpb.EntryConfChangeV2, Data: change},
 		{Term: 3, Index: 12, Type: raftpb.EntryNormal, Data: proposed}}
 }
@@ -211,22 +218,22 @@
 // buildGoldenStore writes the values above as a daemon does.
 func buildGoldenStore(t *testing.T, path string) {
 	t.Helper()
-	s, _, _, err := open(path, goldenName)
-	must(t, err)
+	s, _, _, err := openStore(path, goldenName)
+	requireNoError(t, err)
 	defer s.close()
-	s.self, s.heard = goldenSelf(), goldenHeard()
-	must(t, s.save(raftpb.HardState{}, nil, goldenSnapshot(t)))
-	must(t, s.save(goldenHard(), goldenEntries(t), raftpb.Snapshot{}))
+	s.identity, s.peerSeqs = goldenIdentity(), goldenPeerSeqs()
+	requireNoError(t, s.save(raftpb.HardState{}, nil, goldenSnapshot(t)))
+	requireNoError(t, s.save(goldenHardState(), goldenEntries(t), raftpb.Snapshot{}))
 }
 
 // storeText is all that a store's file holds, a line for each key.
-func storeText(t *testing.T, path string) string {
+func dumpStore(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
-	must(t, err)
+	requireNoError(t, err)
 	defer db.Close()
 	var text bytes.Buffer
-	must(t, db.View(func(tx *bbolt.Tx) error {
+	requireNoError(t, db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
 			return b.ForEach(func(k, v []byte) error {
 				fmt.Fprintf(&text, "%s %q %s\n", bucket, k, hex.EncodeToString(v))
@@ -238,14 +245,14 @@
 }
 
 // copiedStore is a copy of the stored file: opening writes to it.
-func copiedStore(t *testing.T) string {
+func copyGoldenStore(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "council.db")
-	must(t, os.WriteFile(path, goldenFile(t, "council.db"), 0o600))
+	requireNoError(t, os.WriteFile(path, goldenFile(t, "council.db"), 0o600))
 	return path
 }
 
-func sameAs(t *testing.T, what string, got, want any) {
+func requireEqual(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%s: it is\n%+v\nnot\n%+v", what, got, want)
@@ -253,57 +260,57 @@
 }
 
 func TestGoldenStore(t *testing.T) {
-	path := copiedStore(t)
-	stored := storeText(t, path)
-	s, aside, why, err := open(path, goldenName)
+	path := copyGoldenStore(t)
+	stored := dumpStore(t, path)
+	s, aside, why, err := openStore(path, goldenName)
 	if err != nil || aside != "" {
 		t.Fatalf("the store of an old program is not opened, or set aside as %q: %v, %v", aside, why, err)
 	}
 	defer s.close()
-	fullOf(t, "self", reflect.ValueOf(s.self))
-	sameAs(t, "self", s.self, goldenSelf())
-	sameAs(t, "id", hexOf(s.self.id()), string(goldenFile(t, "id.txt")))
-	sameAs(t, "heard", s.heard, goldenHeard())
-	sameAs(t, "seq", s.seq, uint64(3))
-	hard, _, err := s.mem.InitialState()
-	must(t, err)
-	sameAs(t, "hard state", hard, goldenHard())
-	snap, err := s.mem.Snapshot()
-	must(t, err)
-	sameAs(t, "snapshot", snap.Metadata, goldenSnapshot(t).Metadata)
-	var k kept
-	must(t, json.Unmarshal(snap.Data, &k))
-	fullOf(t, "kept", reflect.ValueOf(k))
-	sameAs(t, "kept", k, goldenKept(t))
+	requireNonZero(t, "self", reflect.ValueOf(s.identity))
+	requireEqual(t, "self", s.identity, goldenIdentity())
+	requireEqual(t, "id", formatDiskID(s.identity.diskID()), string(goldenFile(t, "id.txt")))
+	requireEqual(t, "heard", s.peerSeqs, goldenPeerSeqs())
+	requireEqual(t, "seq", s.writeSeq, uint64(3))
+	hard, _, err := s.memory.InitialState()
+	requireNoError(t, err)
+	requireEqual(t, "hard state", hard, goldenHardState())
+	snap, err := s.memory.Snapshot()
+	requireNoError(t, err)
+	requireEqual(t, "snapshot", snap.Metadata, goldenSnapshot(t).Metadata)
+	var k snapshotData
+	requireNoError(t, json.Unmarshal(snap.Data, &k))
+	requireNonZero(t, "kept", reflect.ValueOf(k))
+	requireEqual(t, "kept", k, goldenSnapshotData(t))
 	c := ruleset.NewCouncil()
-	must(t, c.Restore(k.Machine))
-	sameAs(t, "machine", *c.State(), goldenMachine())
-	entries, err := s.mem.Entries(11, 13, 1<<20)
-	must(t, err)
-	sameAs(t, "entries", entries, goldenEntries(t))
+	requireNoError(t, c.Restore(k.StateMachine))
+	requireEqual(t, "machine", *c.State(), goldenRulesetState())
+	entries, err := s.memory.Entries(11, 13, 1<<20)
+	requireNoError(t, err)
+	requireEqual(t, "entries", entries, goldenEntries(t))
 	e, err := ruleset.ReadEntry(entries[1].Data)
-	must(t, err)
-	sameAs(t, "proposal", e, goldenEntry())
+	requireNoError(t, err)
+	requireEqual(t, "proposal", e, goldenEntry())
 
 	again := filepath.Join(t.TempDir(), "council.db")
 	buildGoldenStore(t, again)
-	sameAs(t, "what this code writes", storeText(t, again), stored)
+	requireEqual(t, "what this code writes", dumpStore(t, again), stored)
 }
 
 // A daemon takes up the version in force, the members and those gone from an old program's store.
 func TestGoldenStoreLoaded(t *testing.T) {
-	s, _, _, err := open(copiedStore(t), goldenName)
-	must(t, err)
+	s, _, _, err := openStore(copyGoldenStore(t), goldenName)
+	requireNoError(t, err)
 	defer s.close()
-	seat := &Seat{council: ruleset.NewCouncil(), changed: make(chan struct{}, 1)}
-	seat.steward = ruleset.NewSteward(goldenName, seat.council)
-	v := &life{c: &Council{machine: (*bench)(seat)}, s: s}
-	must(t, v.load())
-	sameAs(t, "members", v.members, goldenKept(t).Members)
-	sameAs(t, "gone", v.gone, goldenKept(t).Gone)
-	sameAs(t, "voters", v.conf.Voters, goldenSnapshot(t).Metadata.ConfState.Voters)
-	sameAs(t, "in force", seat.InForce(), goldenMachine().InForce)
-	data, err := v.snapshot()
-	must(t, err)
-	sameAs(t, "snapshot", string(data), string(goldenSnapshot(t).Data))
+	seat := &RulesetNode{activation: ruleset.NewCouncil(), changed: make(chan struct{}, 1)}
+	seat.grantor = ruleset.NewSteward(goldenName, seat.activation)
+	v := &session{node: &Node{stateMachine: (*rulesetMachine)(seat)}, store: s}
+	requireNoError(t, v.restoreFromStore())
+	requireEqual(t, "members", v.members, goldenSnapshotData(t).Members)
+	requireEqual(t, "gone", v.removed, goldenSnapshotData(t).Removed)
+	requireEqual(t, "voters", v.confState.Voters, goldenSnapshot(t).Metadata.ConfState.Voters)
+	requireEqual(t, "in force", seat.InForce(), goldenRulesetState().InForce)
+	data, err := v.encodeSnapshot()
+	requireNoError(t, err)
+	requireEqual(t, "snapshot", string(data), string(goldenSnapshot(t).Data))
 }
--- a/internal/raftlog/log.go
+++ b/internal/raftlog/log.go
@@ -20,54 +20,55 @@
 )
 
 // quiet passes the library's own words on as details.
-type quiet struct{ log zerolog.Logger }
+type raftLogWriter struct{ log zerolog.Logger }
 
-func (q quiet) Write(p []byte) (int, error) {
+func (q raftLogWriter) Write(p []byte) (int, error) {
 	q.log.Debug().Msg(string(bytes.TrimSpace(p)))
 	return len(p), nil
 }
 
-func (v *life) raw() (*raft.RawNode, error) {
-	return raft.NewRawNode(&raft.Config{ID: v.s.self.id(), ElectionTick: electTicks, HeartbeatTick: heartTicks,
-		Storage: v.s.mem, Applied: v.applied, MaxSizePerMsg: longestWord, MaxCommittedSizePerReady: 4 * longestWord,
-		MaxUncommittedEntriesSize: 4 * longestWord, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true,
+func (v *session) newRawNode() (*raft.RawNode, error) {
+	return raft.NewRawNode(&raft.Config{ID: v.store.identity.diskID(), ElectionTick: electionTicks,
+		HeartbeatTick: heartbeatTicks,
+		Storage:       v.store.memory, Applied: v.appliedIndex, MaxSizePerMsg: maxEntryBytes, MaxCommittedSizePerReady: 4 * maxEntryBytes,
+		MaxUncommittedEntriesSize: 4 * maxEntryBytes, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true,
 		ReadOnlyOption: raft.ReadOnlySafe, StepDownOnRemoval: true,
-		Logger: &raft.DefaultLogger{Logger: log.New(quiet{v.c.log}, "", 0)}})
+		Logger: &raft.DefaultLogger{Logger: log.New(raftLogWriter{v.node.log}, "", 0)}})
 }
 
 // run takes part in the log.
-func (v *life) run() (err error) {
-	if v.rn, err = v.raw(); err != nil {
+func (v *session) run() (err error) {
+	if v.rawNode, err = v.newRawNode(); err != nil {
 		return err
 	}
-	t := time.NewTicker(v.c.charter.Tick)
+	t := time.NewTicker(v.node.config.TickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-v.ctx.Done():
 			return nil
-		case f := <-v.c.calls:
+		case f := <-v.node.calls:
 			f(v)
-		case in := <-v.c.in:
-			v.step(in)
+		case in := <-v.node.inbound:
+			v.stepMessages(in)
 		case <-t.C:
-			v.rn.Tick()
-			if err := v.tick(time.Now()); err != nil {
+			v.rawNode.Tick()
+			if err := v.runPeriodicTasks(time.Now()); err != nil {
 				return err
 			}
 		}
-		for more := mostIn; more > 0 && v.failed == nil; more-- { // what else has come goes into the same write
+		for more := maxInboundBatches; more > 0 && v.failure == nil; more-- { // what else has come goes into the same write
 			select {
-			case in := <-v.c.in:
-				v.step(in)
+			case in := <-v.node.inbound:
+				v.stepMessages(in)
 			default:
 				more = 0
 			}
 		}
-		if v.failed != nil {
-			return v.failed
+		if v.failure != nil {
+			return v.failure
 		}
-		if err := v.settle(); err != nil {
+		if err := v.processUpdates(); err != nil {
 			return err
 		}
 	}
@@ -76,120 +77,121 @@
 // settle writes, says, and applies what has become of all that came, and asks the machine what it wants. It
 // does so twice at most: on a slow disk a machine that says again what is not carried out yet would else keep
 // the goroutine from what comes in.
-func (v *life) settle() error {
+func (v *session) processUpdates() error {
 	for range 2 {
-		if err := v.drain(); err != nil {
+		if err := v.drainReady(); err != nil {
 			return err
 		}
-		v.tell()
-		st := v.rn.BasicStatus()
-		if st.Lead != v.lead {
-			v.lead = st.Lead
-			v.c.log.Info().Str("leader", v.members[st.Lead]).Uint64("term", st.Term).Msg("council: leader")
-			v.again = true // what the last one did not answer
-		}
-		v.stands(st)
-		wish := v.c.machine.Turn(Turn{Now: time.Now(), Leads: st.RaftState == raft.StateLeader,
-			Term: st.Term, Leader: v.members[st.Lead], Member: slices.Contains(v.conf.Voters, v.s.self.id())})
-		if st.Lead != 0 && (wish.Read || v.again) {
-			v.read()
-		}
-		for _, data := range wish.Propose {
+		v.publish()
+		st := v.rawNode.BasicStatus()
+		if st.Lead != v.leaderID {
+			v.leaderID = st.Lead
+			v.node.log.Info().Str("leader", v.members[st.Lead]).Uint64("term", st.Term).Msg("council: leader")
+			v.readDue = true // what the last one did not answer
+		}
+		v.updateState(st)
+		wish := v.node.stateMachine.Poll(GroupState{Now: time.Now(), IsLeader: st.RaftState == raft.StateLeader,
+			Term: st.Term, LeaderName: v.members[st.Lead], IsVoter: slices.Contains(v.confState.Voters,
+				v.store.identity.diskID())})
+		if st.Lead != 0 && (wish.ReadIndex || v.readDue) {
+			v.requestRead()
+		}
+		for _, data := range wish.Proposals {
 			v.propose(data)
 		}
-		if !v.rn.HasReady() {
+		if !v.rawNode.HasReady() {
 			return nil
 		}
 	}
-	return v.drain()
+	return v.drainReady()
 }
 
 // drain carries out all that the library wishes.
-func (v *life) drain() error {
-	for v.rn.HasReady() {
-		if err := v.ready(); err != nil {
+func (v *session) drainReady() error {
+	for v.rawNode.HasReady() {
+		if err := v.handleReady(); err != nil {
 			return err
 		}
-		if v.failed != nil {
-			return v.failed
+		if v.failure != nil {
+			return v.failure
 		}
 	}
 	return nil
 }
 
-func (v *life) stands(st raft.BasicStatus) {
+func (v *session) updateState(st raft.BasicStatus) {
 	switch {
-	case v.s.blank():
-		v.c.stands("joining", errors.New("its disk has nothing of any council"))
+	case v.store.isBlank():
+		v.node.setState("joining", errors.New("its disk has nothing of any council"))
 	case st.Lead == 0:
-		v.c.stands("no leader", errors.New("no majority of the hosts is heard"))
+		v.node.setState("no leader", errors.New("no majority of the hosts is heard"))
 	default:
-		v.c.stands("member", nil)
+		v.node.setState("member", nil)
 	}
 }
 
 // ready carries out one of the library's wishes: it writes before it says.
-func (v *life) ready() error {
-	rd := v.rn.Ready()
+func (v *session) handleReady() error {
+	rd := v.rawNode.Ready()
 	if len(rd.Entries) > 0 || !raft.IsEmptyHardState(rd.HardState) || !raft.IsEmptySnap(rd.Snapshot) {
-		if err := v.s.save(rd.HardState, rd.Entries, rd.Snapshot); err != nil {
+		if err := v.store.save(rd.HardState, rd.Entries, rd.Snapshot); err != nil {
 			return err
 		}
 	}
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := v.takeSnapshot(rd.Snapshot); err != nil {
+		if err := v.restoreSnapshot(rd.Snapshot); err != nil {
 			return err
 		}
-		v.c.log.Info().Uint64("index", v.applied).Msg("council: caught up by a snapshot")
+		v.node.log.Info().Uint64("index", v.appliedIndex).Msg("council: caught up by a snapshot")
 	}
-	v.tell()
+	v.publish()
 	for _, m := range rd.Messages {
-		if !v.lineTo(m.To).put(m) {
-			v.c.refused.count(crowded, "more to say than the way to "+v.members[m.To]+" takes")
-			v.rn.ReportUnreachable(m.To)
+		if !v.sendQueueTo(m.To).push(m) {
+			v.node.rejections.add(reasonQueueFull, "more to say than the way to "+v.members[m.To]+" takes")
+			v.rawNode.ReportUnreachable(m.To)
 			if m.Type == raftpb.MsgSnap {
-				v.rn.ReportSnapshot(m.To, raft.SnapshotFailure)
+				v.rawNode.ReportSnapshot(m.To, raft.SnapshotFailure)
 			}
 		}
 	}
 	for i := range rd.CommittedEntries {
-		if err := v.apply(&rd.CommittedEntries[i]); err != nil {
+		if err := v.applyEntry(&rd.CommittedEntries[i]); err != nil {
 			return err
 		}
 	}
 	for _, r := range rd.ReadStates {
 		n := binary.BigEndian.Uint64(r.RequestCtx)
-		if begun, there := v.reads[n]; there {
-			delete(v.reads, n)
-			v.waiting = append(v.waiting, pending{r.Index, begun})
+		if begun, there := v.requestedReads[n]; there {
+			delete(v.requestedReads, n)
+			v.confirmedReads = append(v.confirmedReads, pendingRead{r.Index, begun})
 		}
 	}
-	v.waiting = slices.DeleteFunc(v.waiting, func(p pending) bool {
-		if p.index > v.applied {
+	v.confirmedReads = slices.DeleteFunc(v.confirmedReads, func(p pendingRead) bool {
+		if p.index > v.appliedIndex {
 			return false
 		}
-		v.c.machine.Read(p.begun)
+		v.node.stateMachine.ReadConfirmed(p.startMillis)
 		return true
 	})
-	v.rn.Advance(rd)
-	if v.applied-v.snapped >= v.c.charter.Compact || v.moved {
-		data, err := v.snapshot()
+	v.rawNode.Advance(rd)
+	if v.appliedIndex-v.snapshotIndex >= v.node.config.SnapshotEntries || v.membershipChanged {
+		data, err := v.encodeSnapshot()
 		if err != nil {
 			return err
 		}
-		if err := v.s.compact(v.applied, &v.conf, data, keepBehind); err != nil {
+		if err := v.store.compact(v.appliedIndex, &v.confState, data, retainedEntries); err != nil {
 			return err
 		}
-		v.snapped, v.moved = v.applied, false
+		v.snapshotIndex, v.membershipChanged = v.appliedIndex, false
 	}
 	return nil
 }
 
-func (v *life) apply(e *raftpb.Entry) error {
-	v.applied = e.Index
+func (v *session) applyEntry(e *raftpb.Entry) error {
+	v.appliedIndex = e.Index
 	if e.Type == raftpb.EntryNormal {
 		if len(e.Data) > 0 {
-			return v.c.machine.Apply(e.Data)
+			return v.node.stateMachine.Apply(e.Data)
 		}
 		return nil
 	}
@@ -203,129 +205,134 @@
 	} else if err := cc.Unmarshal(e.Data); err != nil {
 		return err
 	}
-	v.conf = *v.rn.ApplyConfChange(cc)
-	v.moved = true // a new member takes no snapshot that does not name it
+	v.confState = *v.rawNode.ApplyConfChange(cc)
+	v.membershipChanged = true // a new member takes no snapshot that does not name it
 	names := map[uint64]string{}
 	if len(cc.Context) > 0 {
 		_ = json.Unmarshal(cc.Context, &names)
 	}
 	for _, ch := range cc.Changes {
 		if ch.Type == raftpb.ConfChangeRemoveNode {
-			v.c.log.Info().Str("host", v.members[ch.NodeID]).Str("disk", hexOf(ch.NodeID)).Msg("council: a disk less")
+			v.node.log.Info().Str("host", v.members[ch.NodeID]).Str("disk",
+				formatDiskID(ch.NodeID)).Msg("council: a disk less")
 			delete(v.members, ch.NodeID)
-			if v.gone = append(v.gone, ch.NodeID); len(v.gone) > mostGone {
-				v.gone = v.gone[1:]
+			if v.removed = append(v.removed, ch.NodeID); len(v.removed) > maxRemovedMembers {
+				v.removed = v.removed[1:]
 			}
-			if l := v.lines[ch.NodeID]; l != nil {
-				l.end()
-				delete(v.lines, ch.NodeID)
+			if l := v.sendQueues[ch.NodeID]; l != nil {
+				l.cancel()
+				delete(v.sendQueues, ch.NodeID)
 			}
-			if ch.NodeID == v.s.self.id() {
-				v.fail(fmt.Errorf("%w: the others have agreed on it", errGone))
+			if ch.NodeID == v.store.identity.diskID() {
+				v.fail(fmt.Errorf("%w: the others have agreed on it", errRemovedMember))
 			}
 			continue
 		}
 		v.members[ch.NodeID] = names[ch.NodeID]
-		v.c.log.Info().Str("host", names[ch.NodeID]).Str("disk", hexOf(ch.NodeID)).Msg("council: a disk more")
+		v.node.log.Info().Str("host", names[ch.NodeID]).Str("disk",
+			formatDiskID(ch.NodeID)).Msg("council: a disk more")
 	}
 	return nil
 }
 
 // step takes a post's messages in.
-func (v *life) step(in inbox) {
-	if in.council != v.s.self.Cluster {
-		if !v.s.blank() {
+func (v *session) stepMessages(in inboundBatch) {
+	if in.groupID != v.store.identity.GroupID {
+		if !v.store.isBlank() {
 			return // it has become another's meanwhile
 		}
-		v.s.self.Cluster = in.council // written with the first thing that it says
+		v.store.identity.GroupID = in.groupID // written with the first thing that it says
 	}
-	v.s.hear(in.from, in.seq)
+	v.store.recordPeerSeq(in.fromDiskID, in.writeSeq)
 	for _, m := range in.messages {
 		if raft.IsLocalMsg(m.Type) {
-			v.c.refused.count(garbled, fmt.Sprintf("%s sends a %s, which is for no other", v.members[m.From], m.Type))
+			v.node.rejections.add(reasonMalformed, fmt.Sprintf("%s sends a %s, which is for no other",
+				v.members[m.From], m.Type))
 			continue
 		}
-		_ = v.rn.Step(m)
+		_ = v.rawNode.Step(m)
 	}
 }
 
-func (v *life) propose(data []byte) {
-	if v.rn == nil {
+func (v *session) propose(data []byte) {
+	if v.rawNode == nil {
 		return
 	}
-	if last, _ := v.s.mem.LastIndex(); v.rn.BasicStatus().Lead != 0 && last < v.applied+mostUnder {
-		_ = v.rn.Propose(data) // what is dropped is proposed again by who wants it
+	if last, _ := v.store.memory.LastIndex(); v.rawNode.BasicStatus().Lead != 0 &&
+		last < v.appliedIndex+maxUnappliedEntries {
+		_ = v.rawNode.Propose(data) // what is dropped is proposed again by who wants it
 	}
 }
 
 // read asks for the log's end as it is from now on.
-func (v *life) read() {
-	v.again = false
-	v.readNo++
-	if len(v.reads) >= mostReads {
-		clear(v.reads) // lost, as a leader's are that is no more
-	}
-	v.reads[v.readNo] = Clock()
-	v.rn.ReadIndex(place(v.readNo))
+func (v *session) requestRead() {
+	v.readDue = false
+	v.lastReadID++
+	if len(v.requestedReads) >= maxRequestedReads {
+		clear(v.requestedReads) // lost, as a leader's are that is no more
+	}
+	v.requestedReads[v.lastReadID] = BootClockMillis()
+	v.rawNode.ReadIndex(encodeIndex(v.lastReadID))
 }
 
 // tick does what is done now and then.
-func (v *life) tick(now time.Time) error {
-	if now.Sub(v.settled) >= time.Second {
-		v.settled = now
-		if err := v.s.saveHeard(); err != nil {
+func (v *session) runPeriodicTasks(now time.Time) error {
+	if now.Sub(v.lastPeerSeqsSave) >= time.Second {
+		v.lastPeerSeqsSave = now
+		if err := v.store.savePeerSeqs(); err != nil {
 			return err
 		}
 	}
-	if now.Sub(v.asked) < 2*v.c.charter.Greet {
+	if now.Sub(v.lastMembershipCheck) < 2*v.node.config.HelloInterval {
 		return nil
 	}
-	v.asked = now
-	if v.s.blank() {
-		return v.seek()
+	v.lastMembershipCheck = now
+	if v.store.isBlank() {
+		return v.joinOrBootstrap()
 	}
-	if v.rn.BasicStatus().RaftState == raft.StateLeader {
-		v.dismiss()
+	if v.rawNode.BasicStatus().RaftState == raft.StateLeader {
+		v.proposeRemoval()
 	}
 	return nil
 }
 
 // seek finds a blank disk its council: it asks to be a member of the one that there is, or founds one.
-func (v *life) seek() error {
-	c := v.c
+func (v *session) joinOrBootstrap() error {
+	c := v.node
 	hosts := *c.hosts.Load()
 	blank, leader, council := 1, "", ""
 	c.mu.Lock()
 	for _, h := range hosts {
 		p := c.peers[h.Name]
-		if h.Name == c.charter.Me || p == nil || p.reply == nil || time.Since(p.heard) > aliveFor {
+		if h.Name == c.config.HostName || p == nil || p.lastResponse == nil ||
+			time.Since(p.lastContact) > livenessWindow {
 			continue
 		}
-		if p.Blank && sameHosts(hosts, p.Hosts) {
+		if p.IsBlank && sameHostNames(hosts, p.Hosts) {
 			blank++
 		}
-		if !p.Blank && p.reply.Leader != "" {
-			leader, council = p.reply.Leader, p.Council
+		if !p.IsBlank && p.lastResponse.LeaderName != "" {
+			leader, council = p.lastResponse.LeaderName, p.GroupID
 		}
 	}
 	c.mu.Unlock()
 	switch {
 	case leader != "":
-		v.s.self.Cluster = council
-		c.wait.Add(1)
+		v.store.identity.GroupID = council
+		c.goroutines.Add(1)
 		go func() {
-			defer c.wait.Done()
-			c.ask(leader)
+			defer c.goroutines.Done()
+			c.requestJoin(leader)
 		}()
-	case blank == len(hosts) && c.charter.Found && slices.IndexFunc(hosts, func(h Host) bool {
-		return h.Name < c.charter.Me
+	case blank == len(hosts) && c.config.Bootstrap && slices.IndexFunc(hosts, func(h Host) bool {
+		return h.Name < c.config.HostName
 	}) < 0:
-		return v.found()
+		return v.bootstrap()
 	}
 	return nil
 }
 
-func sameHosts(hosts []Host, names []string) bool {
+func sameHostNames(hosts []Host, names []string) bool {
 	if len(hosts) != len(names) {
 		return false
 	}
@@ -340,13 +347,13 @@
 // found makes the council: the first of the hosts, by name, writes down who all of them are, and the others
 // take that from it. It can only be once, as it needs every host to be there with a disk that has nothing,
 // and all of them to name the same hosts, in whatever order.
-func (v *life) found() error {
-	c := v.c
-	v.members = map[uint64]string{v.s.self.id(): c.charter.Me}
+func (v *session) bootstrap() error {
+	c := v.node
+	v.members = map[uint64]string{v.store.identity.diskID(): c.config.HostName}
 	c.mu.Lock()
 	for _, h := range *c.hosts.Load() {
-		if h.Name != c.charter.Me {
-			id, err := idOf(c.peers[h.Name].ID)
+		if h.Name != c.config.HostName {
+			id, err := parseDiskID(c.peers[h.Name].DiskID)
 			if err != nil {
 				c.mu.Unlock()
 				return nil
@@ -362,76 +369,80 @@
 	}
 	slices.Sort(conf.Voters)
 	for _, id := range conf.Voters {
-		h.Write(place(id))
+		h.Write(encodeIndex(id))
 	}
-	v.s.self.Cluster = hex.EncodeToString(h.Sum(nil)[:8])
-	data, err := v.snapshot()
+	v.store.identity.GroupID = hex.EncodeToString(h.Sum(nil)[:8])
+	data, err := v.encodeSnapshot()
 	if err != nil {
 		return err
 	}
 	snap := raftpb.Snapshot{Data: data, Metadata: raftpb.SnapshotMetadata{ConfState: conf, Index: 1, Term: 1}}
-	if err := v.s.save(raftpb.HardState{Term: 1, Commit: 1}, nil, snap); err != nil {
+	if err := v.store.save(raftpb.HardState{Term: 1, Commit: 1}, nil, snap); err != nil {
 		return err
 	}
-	if err := v.takeSnapshot(snap); err != nil {
+	if err := v.restoreSnapshot(snap); err != nil {
 		return err
 	}
-	if v.rn, err = v.raw(); err != nil {
+	if v.rawNode, err = v.newRawNode(); err != nil {
 		return err
 	}
-	c.log.Info().Str("council", v.s.self.Cluster).Int("hosts", len(conf.Voters)).Msg("council: founded")
-	return v.rn.Campaign()
+	c.log.Info().Str("council", v.store.identity.GroupID).Int("hosts", len(conf.Voters)).Msg("council: founded")
+	return v.rawNode.Campaign()
 }
 
 // ask asks the leader to make this disk a member in place of the one that was here before.
-func (c *Council) ask(leader string) {
-	ctx, cancel := context.WithTimeout(c.ctx, postWithin)
+func (c *Node) requestJoin(leader string) {
+	ctx, cancel := context.WithTimeout(c.ctx, requestTimeout)
 	defer cancel()
-	rep, _, err := c.post(ctx, c.reached(leader), "/council/join", &packet{hello: c.hello()})
+	rep, _, err := c.post(ctx, c.dialAddress(leader), "/council/join", &request{messageHeader: c.header()})
 	switch {
 	case err != nil && c.ctx.Err() == nil:
-		c.stands("joining", fmt.Errorf("%s: %w", leader, err))
+		c.setState("joining", fmt.Errorf("%s: %w", leader, err))
 	case err == nil:
-		c.answered(rep)
-		if rep.Says != "" {
-			c.stands("joining", fmt.Errorf("%s: %s", leader, rep.Says))
+		c.handleResponse(rep)
+		if rep.Message != "" {
+			c.setState("joining", fmt.Errorf("%s: %s", leader, rep.Message))
 		}
 	}
 }
 
 // join takes a disk's wish to be a member.
-func (c *Council) join(p *packet) (string, error) {
-	me := c.who.Load()
-	if me == nil || me.Leader != c.charter.Me {
+func (c *Node) handleJoin(p *request) (string, error) {
+	me := c.published.Load()
+	if me == nil || me.LeaderName != c.config.HostName {
 		return "it does not lead", nil
 	}
-	if !p.Blank {
-		return "", &no{otherDisk, fmt.Sprintf("%q asks to be a member with a disk that is not empty", p.Name)}
+	if !p.IsBlank {
+		return "", &rejection{reasonOtherDisk, fmt.Sprintf("%q asks to be a member with a disk that is not empty",
+			p.HostName)}
 	}
-	if me.gone[p.ID] {
-		return "", &no{otherDisk, fmt.Sprintf("%q asks to be a member with disk %s, which was one", p.Name, p.ID)}
+	if me.removed[p.DiskID] {
+		return "", &rejection{reasonOtherDisk, fmt.Sprintf("%q asks to be a member with disk %s, which was one",
+			p.HostName, p.DiskID)}
 	}
-	id, _ := idOf(p.ID)
+	id, _ := parseDiskID(p.DiskID)
 	c.mu.Lock()
-	for old, name := range me.names {
-		x := c.peer(name)
-		if x.reply != nil && x.reply.ID == p.ID { // it answers at the address where the former one did
+	for old, name := range me.members {
+		x := c.peerState(name)
+		if x.lastResponse != nil && x.lastResponse.DiskID == p.DiskID { // it answers at the address where the former one did
 			continue
 		}
-		if at := x.seenBy[hexOf(old)]; name == p.Name && old != id && time.Since(at) < aliveFor {
+		if at := x.diskLastContact[formatDiskID(old)]; name == p.HostName && old != id &&
+			time.Since(at) < livenessWindow {
 			c.mu.Unlock()
-			return "", &no{stranger, fmt.Sprintf("%q asks to be a member, and one of that name was heard a moment ago",
-				p.Name)}
+			return "", &rejection{reasonUnknownHost,
+				fmt.Sprintf("%q asks to be a member, and one of that name was heard a moment ago",
+					p.HostName)}
 		}
 	}
 	c.mu.Unlock()
-	c.call(func(v *life) { v.admit(p.Name, id) })
+	c.enqueue(func(v *session) { v.proposeMember(p.HostName, id) })
 	return "asked the others", nil
 }
 
 // admit proposes a disk in place of those that its host had before.
-func (v *life) admit(name string, id uint64) {
-	if v.rn == nil || v.rn.BasicStatus().RaftState != raft.StateLeader || v.members[id] != "" {
+func (v *session) proposeMember(name string, id uint64) {
+	if v.rawNode == nil || v.rawNode.BasicStatus().RaftState != raft.StateLeader || v.members[id] != "" {
 		return
 	}
 	cc := raftpb.ConfChangeV2{Changes: []raftpb.ConfChangeSingle{{Type: raftpb.ConfChangeAddNode, NodeID: id}}}
@@ -441,14 +452,14 @@
 		}
 	}
 	cc.Context, _ = json.Marshal(map[uint64]string{id: name})
-	_ = v.rn.ProposeConfChange(cc)
+	_ = v.rawNode.ProposeConfChange(cc)
 }
 
 // dismiss proposes to do without the disks of hosts that are in the file no more.
-func (v *life) dismiss() {
+func (v *session) proposeRemoval() {
 	for id, name := range v.members {
-		if v.c.addressOf(name) == "" && name != v.c.charter.Me {
-			_ = v.rn.ProposeConfChange(raftpb.ConfChangeV2{Changes: []raftpb.ConfChangeSingle{
+		if v.node.hostAddress(name) == "" && name != v.node.config.HostName {
+			_ = v.rawNode.ProposeConfChange(raftpb.ConfChangeV2{Changes: []raftpb.ConfChangeSingle{
 				{Type: raftpb.ConfChangeRemoveNode, NodeID: id}}})
 			return
 		}
@@ -456,66 +467,68 @@
 }
 
 // HostView is how another host stands, for operators.
-type HostView struct {
-	Name    string  `json:"name"`
-	Address string  `json:"address"`
-	Disk    string  `json:"disk,omitempty"`
-	Member  bool    `json:"member"`
-	Leads   bool    `json:"leads"`
-	HeardMS float64 `json:"heard_ms"` // ago; below nought it has not been heard of
-	Why     string  `json:"why,omitempty"`
+type HostStatus struct {
+	Name               string  `json:"name"`
+	Address            string  `json:"address"`
+	DiskID             string  `json:"disk,omitempty"`
+	IsMember           bool    `json:"member"`
+	IsLeader           bool    `json:"leads"`
+	SinceContactMillis float64 `json:"heard_ms"` // ago; below nought it has not been heard of
+	LastError          string  `json:"why,omitempty"`
 }
 
 // View is how the council stands, as this daemon sees it.
-type View struct {
-	State   string            `json:"state"`
-	Why     string            `json:"why,omitempty"`
-	Me      string            `json:"me"`
-	Disk    string            `json:"disk,omitempty"`
-	Council string            `json:"council,omitempty"`
-	Leader  string            `json:"leader,omitempty"`
-	Term    uint64            `json:"term"`
-	Applied uint64            `json:"applied"`
-	Hosts   []HostView        `json:"hosts"`
-	Refused map[string]int64  `json:"refused,omitempty"`
-	Last    map[string]string `json:"refused_last,omitempty"`
-	Aside   map[string]int    `json:"disks_moved_aside,omitempty"`
+type Status struct {
+	State          string            `json:"state"`
+	Reason         string            `json:"why,omitempty"`
+	HostName       string            `json:"me"`
+	DiskID         string            `json:"disk,omitempty"`
+	GroupID        string            `json:"council,omitempty"`
+	LeaderName     string            `json:"leader,omitempty"`
+	Term           uint64            `json:"term"`
+	AppliedIndex   uint64            `json:"applied"`
+	Hosts          []HostStatus      `json:"hosts"`
+	Rejections     map[string]int64  `json:"refused,omitempty"`
+	LastRejections map[string]string `json:"refused_last,omitempty"`
+	MovedAside     map[string]int    `json:"disks_moved_aside,omitempty"`
 }
 
 // View tells how things stand. It waits for nothing but short locks.
-func (c *Council) View() View {
-	v := View{Me: c.charter.Me}
-	me := c.who.Load()
+func (c *Node) Status() Status {
+	v := Status{HostName: c.config.HostName}
+	me := c.published.Load()
 	members := map[string]uint64{}
 	if me != nil {
-		v.Disk, v.Council, v.Leader, v.Term, v.Applied = hexOf(me.ID), me.Council, me.Leader, me.Term, me.Applied
-		for id, name := range me.names {
+		v.DiskID, v.GroupID, v.LeaderName, v.Term, v.AppliedIndex = formatDiskID(me.ID), me.GroupID, me.LeaderName, me.Term, me.AppliedIndex
+		for id, name := range me.members {
 			members[name] = id
 		}
 	}
-	v.Refused, v.Last = c.refused.counts()
+	v.Rejections, v.LastRejections = c.rejections.snapshot()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	v.State, v.Why, v.Aside = c.state, c.why, map[string]int{}
-	for k, n := range c.aside {
-		v.Aside[k] = n
+	v.State, v.Reason, v.MovedAside = c.state, c.stateReason, map[string]int{}
+	for k, n := range c.movedAside {
+		v.MovedAside[k] = n
 	}
 	for _, h := range *c.hosts.Load() {
-		x := HostView{Name: h.Name, Address: h.Address, HeardMS: -1, Leads: h.Name == v.Leader && v.Leader != ""}
+		x := HostStatus{Name: h.Name, Address: h.Address, SinceContactMillis: -1,
+			IsLeader: h.Name == v.LeaderName &&
+				v.LeaderName != ""}
 		if id, there := members[h.Name]; there {
-			x.Disk, x.Member = hexOf(id), true
+			x.DiskID, x.IsMember = formatDiskID(id), true
 		}
-		if p := c.peers[h.Name]; p != nil && !p.heard.IsZero() {
-			x.HeardMS = float64(time.Since(p.heard)) / float64(time.Millisecond)
-			x.Why = p.why
+		if p := c.peers[h.Name]; p != nil && !p.lastContact.IsZero() {
+			x.SinceContactMillis = float64(time.Since(p.lastContact)) / float64(time.Millisecond)
+			x.LastError = p.lastError
 		} else if p != nil {
-			x.Why = p.why
+			x.LastError = p.lastError
 		}
-		if h.Name == c.charter.Me {
-			x.HeardMS = 0
+		if h.Name == c.config.HostName {
+			x.SinceContactMillis = 0
 		}
 		v.Hosts = append(v.Hosts, x)
 	}
-	slices.SortFunc(v.Hosts, func(a, b HostView) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(v.Hosts, func(a, b HostStatus) int { return strings.Compare(a.Name, b.Name) })
 	return v
 }
--- a/internal/raftlog/seat.go
+++ b/internal/raftlog/seat.go
@@ -19,153 +19,155 @@
 
 const (
 	// proposeEach is how often what was proposed and not answered is proposed again.
-	proposeEach = 500 * time.Millisecond
-	lagAfter    = 3000.0 // ms behind another's list of discovery until one is named
+	proposalRetryInterval = 500 * time.Millisecond
+	lagThresholdMillis    = 3000.0 // ms behind another's list of discovery until one is named
 )
 
 // Seat is a daemon's part in agreeing on the rules: accord's council on the log, its steward for the
 // gatekeepers of this host, and the daemon's own proposal. It is safe for concurrent use, and nothing of
 // it waits.
-type Seat struct {
-	*Council
-	log    zerolog.Logger
-	record history.Recorder
-	host   string
-
-	mu       sync.Mutex
-	council  *ruleset.Council
-	steward  *ruleset.Steward
-	lag      *ruleset.Lag
-	turn     Turn
-	wanted   *wanted
-	begun    float64 // of the last read that was confirmed; below nought there was none
-	mark     string  // of the version in force
-	changed  chan struct{}
-	tellers  map[int]teller
-	outcomes []Heard
-	word     Word          // as last confirmed
-	read     chan struct{} // told with each
-	below    below
+type RulesetNode struct {
+	*Node
+	log      zerolog.Logger
+	history  history.Recorder
+	hostName string
+
+	mu             sync.Mutex
+	activation     *ruleset.Council
+	grantor        *ruleset.Steward
+	discoveryLag   *ruleset.Lag
+	groupState     GroupState
+	proposal       *pendingProposal
+	lastReadMillis float64 // of the last read that was confirmed; below nought there was none
+	inForceDigest  string  // of the version in force
+	changed        chan struct{}
+	clients        map[int]leaseClient
+	outcomes       []ProposalOutcome
+	confirmed      ConfirmedState // as last confirmed
+	confirmations  chan struct{}  // told with each
+	followers      followerReports
 }
 
 // teller is a process that has asked.
-type teller struct {
-	name  string
-	holds uint64
-	index int64
-	at    time.Time
+type leaseClient struct {
+	name           string
+	appliedStep    uint64
+	discoveryIndex int64
+	lastRequest    time.Time
 }
 
 // wanted is a proposal of this daemon's that is not answered yet.
-type wanted struct {
-	id    string
-	act   ruleset.Act
-	first bool // only where no version is in force
-	rules *ruleset.Rules
-	raw   []byte
-	base  uint64
-	since float64
-	put   time.Time
-	read  time.Time // when the reading was asked for that it waits for
+type pendingProposal struct {
+	id              string
+	act             ruleset.Act
+	onlyAsFirst     bool // only where no version is in force
+	rules           *ruleset.Rules
+	entry           []byte
+	baseVersion     uint64
+	createdMillis   float64
+	lastProposed    time.Time
+	lastReadRequest time.Time // when the reading was asked for that it waits for
 }
 
 // Heard is what became of a proposal of this daemon's, for operators.
-type Heard struct {
-	ID      string `json:"id"`
-	Base    uint64 `json:"base"`
-	Number  uint64 `json:"number,omitempty"`
-	Refused string `json:"refused,omitempty"`
-	Waits   string `json:"waits,omitempty"`
+type ProposalOutcome struct {
+	ID          string `json:"id"`
+	BaseVersion uint64 `json:"base"`
+	Version     uint64 `json:"number,omitempty"`
+	Rejection   string `json:"refused,omitempty"`
+	WaitReason  string `json:"waits,omitempty"`
 }
 
 // NewSeat opens a daemon's part. Where no version is in force yet, rules are proposed as the first one;
 // they may be nil. The record may be nil.
-func NewSeat(ch Charter, rules *ruleset.Rules, record history.Recorder, log zerolog.Logger) (*Seat, error) {
-	s := &Seat{log: log, record: record, host: ch.Me, begun: -1, council: ruleset.NewCouncil(),
-		lag: ruleset.NewLag(), changed: make(chan struct{}, 1), tellers: map[int]teller{},
-		read: make(chan struct{}, 1), below: below{seen: map[string]uint64{}}}
-	s.steward = ruleset.NewSteward(ch.Me, s.council)
+func NewRulesetNode(ch Config, rules *ruleset.Rules, record history.Recorder, log zerolog.Logger) (*RulesetNode, error) {
+	s := &RulesetNode{log: log, history: record, hostName: ch.HostName, lastReadMillis: -1,
+		activation:   ruleset.NewCouncil(),
+		discoveryLag: ruleset.NewLag(), changed: make(chan struct{}, 1), clients: map[int]leaseClient{},
+		confirmations: make(chan struct{}, 1), followers: followerReports{hostSteps: map[string]uint64{}}}
+	s.grantor = ruleset.NewSteward(ch.HostName, s.activation)
 	if rules != nil {
 		if err := ruleset.Check(rules); err != nil {
 			return nil, err
 		}
-		s.wanted = &wanted{id: proposalID(ch.Me), act: ruleset.Propose, first: true, rules: rules, since: Clock()}
+		s.proposal = &pendingProposal{id: newProposalID(ch.HostName), act: ruleset.Propose, onlyAsFirst: true,
+			rules: rules, createdMillis: BootClockMillis()}
 	}
-	c, err := New(ch, (*bench)(s), log)
+	c, err := New(ch, (*rulesetMachine)(s), log)
 	if err != nil {
 		return nil, err
 	}
-	s.Council = c
+	s.Node = c
 	return s, nil
 }
 
-func proposalID(host string) string {
+func newProposalID(host string) string {
 	b := make([]byte, 8)
 	_, _ = rand.Read(b)
 	return host + "-" + hex.EncodeToString(b)
 }
 
-func (s *Seat) write(e history.Event) {
-	if s.record != nil {
-		s.record.Write(e)
+func (s *RulesetNode) recordEvent(e history.Event) {
+	if s.history != nil {
+		s.history.Write(e)
 	}
 }
 
 // clock sets the steward's time, under the lock.
-func (s *Seat) clock() { s.steward.Clock(Clock()) }
+func (s *RulesetNode) advanceClock() { s.grantor.Clock(BootClockMillis()) }
 
 // Changed tells that another version than before is in force, or none is agreed any more.
-func (s *Seat) Changed() <-chan struct{} { return s.changed }
+func (s *RulesetNode) Changed() <-chan struct{} { return s.changed }
 
 // InForce gives the version in force, as far as the log has come here; its rules are not to be changed.
-func (s *Seat) InForce() ruleset.Version {
+func (s *RulesetNode) InForce() ruleset.Version {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.council.State().InForce
+	return s.activation.State().InForce
 }
 
 // Began tells of a process of this host's gatekeepers; before: it ran before this daemon did.
-func (s *Seat) Began(pid int, before bool) {
+func (s *RulesetNode) ProcessStarted(pid int, before bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.clock()
-	s.steward.Began(pid, before)
+	s.advanceClock()
+	s.grantor.Began(pid, before)
 }
 
 // Ended tells that a process is no more.
-func (s *Seat) Ended(pid int) {
+func (s *RulesetNode) ProcessExited(pid int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.clock()
-	s.steward.Ended(pid)
-	if t, there := s.tellers[pid]; there {
-		s.lag.Left(t.name)
-		delete(s.tellers, pid)
+	s.advanceClock()
+	s.grantor.Ended(pid)
+	if t, there := s.clients[pid]; there {
+		s.discoveryLag.Left(t.name)
+		delete(s.clients, pid)
 	}
 }
 
 // Asked answers a process of a gatekeeper that holds a step and has discovery's list of an index; below
 // nought it has none. False: there is nothing that may be believed.
-func (s *Seat) Asked(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
+func (s *RulesetNode) RenewLease(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.clock()
+	s.advanceClock()
 	now := time.Now()
-	s.tellers[pid] = teller{name, holds, index, now}
+	s.clients[pid] = leaseClient{name, holds, index, now}
 	if index >= 0 {
-		s.lag.Told(name, index, Clock())
+		s.discoveryLag.Told(name, index, BootClockMillis())
 	}
-	s.newest()
-	return s.steward.Asked(pid, holds)
+	s.publishDiscoveryIndex()
+	return s.grantor.Asked(pid, holds)
 }
 
 // Highest gives the highest index of discovery's list that any process has told, here or to another daemon.
-func (s *Seat) Highest() int64 {
-	s.Council.mu.Lock()
-	defer s.Council.mu.Unlock()
-	most := s.Council.index.Load()
-	for _, p := range s.Council.peers {
-		most = max(most, p.Index)
+func (s *RulesetNode) HighestDiscoveryIndex() int64 {
+	s.Node.mu.Lock()
+	defer s.Node.mu.Unlock()
+	most := s.Node.discoveryIndex.Load()
+	for _, p := range s.Node.peers {
+		most = max(most, p.DiscoveryIndex)
 	}
 	return most
 }
@@ -173,7 +175,7 @@
 // Propose has rules follow the version in force; they stay this daemon's wish until they are taken or
 // refused, or others are proposed here. Those in force already take back what waits to follow them. It
 // returns the proposal's id, or nothing where there is nothing to agree on.
-func (s *Seat) Propose(rules *ruleset.Rules) (string, error) {
+func (s *RulesetNode) Propose(rules *ruleset.Rules) (string, error) {
 	if err := ruleset.Check(rules); err != nil {
 		return "", err
 	}
@@ -181,64 +183,66 @@
 	if err != nil {
 		return "", err
 	}
-	if len(raw) > longestWord-1024 {
-		return "", fmt.Errorf("rules of %d bytes, more than %d", len(raw), longestWord-1024)
+	if len(raw) > maxEntryBytes-1024 {
+		return "", fmt.Errorf("rules of %d bytes, more than %d", len(raw), maxEntryBytes-1024)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wanted = &wanted{id: proposalID(s.host), act: ruleset.Propose, rules: rules, since: Clock()}
-	return s.wanted.id, nil
+	s.proposal = &pendingProposal{id: newProposalID(s.hostName), act: ruleset.Propose, rules: rules,
+		createdMillis: BootClockMillis()}
+	return s.proposal.id, nil
 }
 
 // same tells whether two rules say the same.
-func same(a, b *ruleset.Rules) bool {
+func sameRules(a, b *ruleset.Rules) bool {
 	x, err := json.Marshal(a)
 	y, bad := json.Marshal(b)
 	return err == nil && bad == nil && bytes.Equal(x, y)
 }
 
 // Outcomes gives what became of this daemon's last proposals, the latest last.
-func (s *Seat) Outcomes() []Heard {
+func (s *RulesetNode) ProposalOutcomes() []ProposalOutcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Heard(nil), s.outcomes...)
+	return append([]ProposalOutcome(nil), s.outcomes...)
 }
 
 // bench is the seat as the log sees it.
-type bench Seat
+type rulesetMachine RulesetNode
 
-func (b *bench) seat() *Seat { return (*Seat)(b) }
+func (b *rulesetMachine) node() *RulesetNode { return (*RulesetNode)(b) }
 
 // Apply takes an entry of the log.
-func (b *bench) Apply(data []byte) error {
+func (b *rulesetMachine) Apply(data []byte) error {
 	e, err := ruleset.ReadEntry(data)
 	if err != nil {
 		return err
 	}
-	s := b.seat()
+	s := b.node()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.clock()
+	s.advanceClock()
 	id := e.ID
-	if p := s.council.State().Pending; p != nil {
+	if p := s.activation.State().Pending; p != nil {
 		id = p.ID
 	}
-	o := s.council.Apply(e)
-	s.steward.Applied()
+	o := s.activation.Apply(e)
+	s.grantor.Applied()
 	if o.InForce > 0 && !o.Again {
-		in := s.council.State().InForce
-		s.mark = Mark(&in.Rules)
-		s.write(history.Event{Kind: history.Taken, Version: o.InForce, Base: o.InForce - 1, Txn: id, Mark: s.mark})
+		in := s.activation.State().InForce
+		s.inForceDigest = RulesDigest(&in.Rules)
+		s.recordEvent(history.Event{Kind: history.Taken, Version: o.InForce, Base: o.InForce - 1, Txn: id,
+			Mark: s.inForceDigest})
 		s.log.Info().Uint64("version", o.InForce).Int("members", len(in.Rules.Members)).Msg("council: in force")
-		s.tell()
+		s.notifyChanged()
 	}
-	if s.wanted != nil && e.ID == s.wanted.id {
-		s.heard(o)
+	if s.proposal != nil && e.ID == s.proposal.id {
+		s.resolveProposal(o)
 	}
 	return nil
 }
 
-func (s *Seat) tell() {
+func (s *RulesetNode) notifyChanged() {
 	select {
 	case s.changed <- struct{}{}:
 	default:
@@ -246,58 +250,62 @@
 }
 
 // heard books what the council has made of this daemon's proposal.
-func (s *Seat) heard(o ruleset.Outcome) {
-	h := Heard{ID: s.wanted.id, Base: s.wanted.base, Number: o.Number, Refused: o.Refused, Waits: o.Waits}
+func (s *RulesetNode) resolveProposal(o ruleset.Outcome) {
+	h := ProposalOutcome{ID: s.proposal.id, BaseVersion: s.proposal.baseVersion, Version: o.Number,
+		Rejection: o.Refused, WaitReason: o.Waits}
 	if s.outcomes = append(s.outcomes, h); len(s.outcomes) > 16 {
 		s.outcomes = s.outcomes[1:]
 	}
 	if o.Refused != "" {
-		s.write(history.Event{Kind: history.Taken, Version: s.wanted.base + 1, Base: s.wanted.base, Txn: h.ID,
+		s.recordEvent(history.Event{Kind: history.Taken, Version: s.proposal.baseVersion + 1,
+			Base: s.proposal.baseVersion, Txn: h.ID,
 			Says: o.Refused})
 		level := zerolog.ErrorLevel
-		if s.wanted.first { // another's came first
+		if s.proposal.onlyAsFirst { // another's came first
 			level = zerolog.InfoLevel
 		}
-		s.log.WithLevel(level).Str("proposal", h.ID).Uint64("base", h.Base).Msg("council: refused: " + o.Refused)
+		s.log.WithLevel(level).Str("proposal", h.ID).Uint64("base",
+			h.BaseVersion).Msg("council: refused: " + o.Refused)
 	} else {
-		s.log.Info().Str("proposal", h.ID).Uint64("version", h.Number).Str("waits", h.Waits).Msg("council: agreed")
+		s.log.Info().Str("proposal", h.ID).Uint64("version", h.Version).Str("waits",
+			h.WaitReason).Msg("council: agreed")
 	}
-	s.wanted = nil
+	s.proposal = nil
 }
 
 // Save gives accord's state.
-func (b *bench) Save() ([]byte, error) {
-	s := b.seat()
+func (b *rulesetMachine) Snapshot() ([]byte, error) {
+	s := b.node()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.council.Snapshot()
+	return s.activation.Snapshot()
 }
 
 // Load takes accord's state.
-func (b *bench) Load(raw []byte) error {
-	s := b.seat()
+func (b *rulesetMachine) Restore(raw []byte) error {
+	s := b.node()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.clock()
-	before := s.council.State().InForce.Number
+	s.advanceClock()
+	before := s.activation.State().InForce.Number
 	if len(raw) == 0 {
 		raw, _ = ruleset.NewCouncil().Snapshot()
 	}
-	if err := s.council.Restore(raw); err != nil {
+	if err := s.activation.Restore(raw); err != nil {
 		return err
 	}
-	s.steward.Applied()
-	s.mark = ""
-	if in := s.council.State().InForce; in.Number > 0 {
-		s.mark = Mark(&in.Rules)
+	s.grantor.Applied()
+	s.inForceDigest = ""
+	if in := s.activation.State().InForce; in.Number > 0 {
+		s.inForceDigest = RulesDigest(&in.Rules)
 	}
-	if s.council.State().InForce.Number != before {
-		s.tell()
+	if s.activation.State().InForce.Number != before {
+		s.notifyChanged()
 	}
-	if s.wanted != nil { // it may have been answered in what the snapshot stands for
-		for _, a := range s.council.State().Answered {
-			if a.ID == s.wanted.id {
-				s.heard(a.Outcome)
+	if s.proposal != nil { // it may have been answered in what the snapshot stands for
+		for _, a := range s.activation.State().Answered {
+			if a.ID == s.proposal.id {
+				s.resolveProposal(a.Outcome)
 				break
 			}
 		}
@@ -306,23 +314,23 @@
 }
 
 // Read tells that what is applied was the latest at begun.
-func (b *bench) Read(begun float64) {
-	s := b.seat()
+func (b *rulesetMachine) ReadConfirmed(begun float64) {
+	s := b.node()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.clock()
-	s.steward.ReadDone(begun)
-	n := s.council.State().InForce.Number
-	s.begun = begun
-	s.confirmed(begun)
-	s.write(history.Event{Kind: history.Gives, Version: n, Mark: s.mark,
-		Age: Clock() - begun})
+	s.advanceClock()
+	s.grantor.ReadDone(begun)
+	n := s.activation.State().InForce.Number
+	s.lastReadMillis = begun
+	s.recordConfirmed(begun)
+	s.recordEvent(history.Event{Kind: history.Gives, Version: n, Mark: s.inForceDigest,
+		Age: BootClockMillis() - begun})
 }
 
 // Mark is a digest of rules, as records name versions.
-func Mark(r *ruleset.Rules) string {
+func RulesDigest(r *ruleset.Rules) string {
 	c := *r // a list that is empty is none
-	c.Needs, c.Plans, c.Words = some(c.Needs), some(c.Plans), some(c.Words)
+	c.Needs, c.Plans, c.Words = nilIfEmpty(c.Needs), nilIfEmpty(c.Plans), nilIfEmpty(c.Words)
 	raw, err := json.Marshal(c)
 	if err != nil {
 		return ""
@@ -331,7 +339,7 @@
 	return hex.EncodeToString(h[:6])
 }
 
-func some[T any](all []T) []T {
+func nilIfEmpty[T any](all []T) []T {
 	if len(all) == 0 {
 		return nil
 	}
@@ -339,127 +347,133 @@
 }
 
 // Turn gives what the steward and this daemon's proposal ask for.
-func (b *bench) Turn(t Turn) (w Wish) {
-	s := b.seat()
+func (b *rulesetMachine) Poll(t GroupState) (w Requests) {
+	s := b.node()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turn = t
-	s.clock()
-	s.steward.Leads(t.Leads)
+	s.groupState = t
+	s.advanceClock()
+	s.grantor.Leads(t.IsLeader)
 	for {
-		d, ok := s.steward.Next()
+		d, ok := s.grantor.Next()
 		if !ok || d.Kind == ruleset.Wake { // it is asked again within a tick
 			break
 		}
 		switch d.Kind {
 		case ruleset.Read:
-			w.Read = true
+			w.ReadIndex = true
 		case ruleset.Submit:
 			if raw, err := d.Entry.Bytes(); err == nil {
-				w.Propose = append(w.Propose, raw)
+				w.Proposals = append(w.Proposals, raw)
 			}
 		}
 	}
-	if p := s.wanted; p != nil && s.begun <= p.since && t.Now.Sub(p.read) > 100*time.Millisecond {
-		p.read, w.Read = t.Now, true
+	if p := s.proposal; p != nil && s.lastReadMillis <= p.createdMillis &&
+		t.Now.Sub(p.lastReadRequest) > 100*time.Millisecond {
+		p.lastReadRequest, w.ReadIndex = t.Now, true
 	}
-	if raw := s.want(t); raw != nil {
-		w.Propose = append(w.Propose, raw)
+	if raw := s.proposalEntry(t); raw != nil {
+		w.Proposals = append(w.Proposals, raw)
 	}
-	if raw := s.batch(t.Now); raw != nil {
-		w.Propose = append(w.Propose, raw)
+	if raw := s.hostStepsEntry(t.Now); raw != nil {
+		w.Proposals = append(w.Proposals, raw)
 	}
 	return w
 }
 
 // want gives this daemon's proposal where it is to be put (again). It is put on top of what was in force
 // at a read since it was wished for, so that a daemon that was away does not undo what it has not seen.
-func (s *Seat) want(t Turn) []byte {
-	p := s.wanted
-	if p == nil || t.Leader == "" || !t.Member || t.Now.Sub(p.put) < proposeEach || s.begun <= p.since {
+func (s *RulesetNode) proposalEntry(t GroupState) []byte {
+	p := s.proposal
+	if p == nil || t.LeaderName == "" || !t.IsVoter || t.Now.Sub(p.lastProposed) < proposalRetryInterval ||
+		s.lastReadMillis <= p.createdMillis {
 		return nil
 	}
-	st := s.council.State()
-	if p.first && st.InForce.Number > 0 {
-		s.wanted = nil
+	st := s.activation.State()
+	if p.onlyAsFirst && st.InForce.Number > 0 {
+		s.proposal = nil
 		return nil
 	}
-	if p.raw == nil && st.InForce.Number > 0 && same(&st.InForce.Rules, p.rules) {
+	if p.entry == nil && st.InForce.Number > 0 && sameRules(&st.InForce.Rules, p.rules) {
 		if st.Pending == nil {
-			s.heard(ruleset.Outcome{Number: st.InForce.Number, Again: true})
+			s.resolveProposal(ruleset.Outcome{Number: st.InForce.Number, Again: true})
 			return nil
 		}
 		p.act, p.rules = ruleset.Withdraw, nil
 	}
-	if p.raw == nil {
-		p.base = s.council.State().InForce.Number
+	if p.entry == nil {
+		p.baseVersion = s.activation.State().InForce.Number
 		var err error
-		if p.raw, err = (ruleset.Entry{Act: p.act, ID: p.id, Base: p.base, Rules: p.rules}).Bytes(); err != nil {
-			s.heard(ruleset.Outcome{Refused: err.Error()})
+		if p.entry, err = (ruleset.Entry{Act: p.act, ID: p.id, Base: p.baseVersion,
+			Rules: p.rules}).Bytes(); err != nil {
+			s.resolveProposal(ruleset.Outcome{Refused: err.Error()})
 			return nil
 		}
 		if p.act == ruleset.Propose {
-			s.write(history.Event{Kind: history.Wants, Version: p.base + 1, Base: p.base, Txn: p.id})
+			s.recordEvent(history.Event{Kind: history.Wants, Version: p.baseVersion + 1, Base: p.baseVersion,
+				Txn: p.id})
 		}
 	}
-	p.put = t.Now
-	return p.raw
+	p.lastProposed = t.Now
+	return p.entry
 }
 
 // Agreement is how the rules stand, as this daemon sees it.
-type Agreement struct {
-	Version  uint64             `json:"version"`
-	Mark     string             `json:"mark,omitempty"` // a digest of it, the same at all daemons
-	Step     uint64             `json:"step"`
-	Settled  bool               `json:"settled"`
-	ReadMS   float64            `json:"read_ms"` // ago; below nought nothing has been confirmed
-	Pending  uint64             `json:"pending,omitempty"`
-	Waits    string             `json:"pending_waits,omitempty"`
-	Held     []uint64           `json:"held,omitempty"` // versions that may still be gone by
-	Wanted   string             `json:"wanted,omitempty"`
-	Outcomes []Heard            `json:"proposals,omitempty"`
-	CutOff   map[string]float64 `json:"cut_off,omitempty"` // instances here: ms since they last asked
-	Lags     []ruleset.Behind   `json:"lags,omitempty"`
-	Seen     map[string]uint64  `json:"seen,omitempty"`
+type ActivationStatus struct {
+	Version          uint64             `json:"version"`
+	Digest           string             `json:"mark,omitempty"` // a digest of it, the same at all daemons
+	Step             uint64             `json:"step"`
+	Settled          bool               `json:"settled"`
+	ReadAgeMillis    float64            `json:"read_ms"` // ago; below nought nothing has been confirmed
+	PendingVersion   uint64             `json:"pending,omitempty"`
+	PendingReason    string             `json:"pending_waits,omitempty"`
+	HeldVersions     []uint64           `json:"held,omitempty"` // versions that may still be gone by
+	WantedProposal   string             `json:"wanted,omitempty"`
+	ProposalOutcomes []ProposalOutcome  `json:"proposals,omitempty"`
+	CutOffInstances  map[string]float64 `json:"cut_off,omitempty"` // instances here: ms since they last asked
+	Lags             []ruleset.Behind   `json:"lags,omitempty"`
+	HostSteps        map[string]uint64  `json:"seen,omitempty"`
 }
 
 // Agreement tells how the rules stand.
-func (s *Seat) Agreement() Agreement {
+func (s *RulesetNode) ActivationStatus() ActivationStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	st := s.council.State()
-	a := Agreement{Version: st.InForce.Number, Mark: s.mark, Step: st.Step, Settled: st.Settled(), ReadMS: -1,
-		Outcomes: append([]Heard(nil), s.outcomes...), CutOff: map[string]float64{}, Seen: map[string]uint64{}}
-	if s.begun >= 0 {
-		a.ReadMS = Clock() - s.begun
+	st := s.activation.State()
+	a := ActivationStatus{Version: st.InForce.Number, Digest: s.inForceDigest, Step: st.Step,
+		Settled: st.Settled(), ReadAgeMillis: -1,
+		ProposalOutcomes: append([]ProposalOutcome(nil),
+			s.outcomes...), CutOffInstances: map[string]float64{}, HostSteps: map[string]uint64{}}
+	if s.lastReadMillis >= 0 {
+		a.ReadAgeMillis = BootClockMillis() - s.lastReadMillis
 	}
 	for _, h := range st.Held {
-		a.Held = append(a.Held, h.Number)
+		a.HeldVersions = append(a.HeldVersions, h.Number)
 	}
 	for h, n := range st.Seen {
-		a.Seen[h] = n
+		a.HostSteps[h] = n
 	}
 	if p := st.Pending; p != nil {
-		a.Pending, a.Waits = p.Version.Number, st.Waits()
+		a.PendingVersion, a.PendingReason = p.Version.Number, st.Waits()
 	}
-	if s.wanted != nil {
-		a.Wanted = s.wanted.id
+	if s.proposal != nil {
+		a.WantedProposal = s.proposal.id
 	}
 	lease := math.Max(st.InForce.Rules.Lease, 100)
-	for _, t := range s.tellers {
-		age := float64(now.Sub(t.at)) / float64(time.Millisecond)
-		if age > lease || a.ReadMS < 0 || a.ReadMS > lease {
-			a.CutOff[t.name] = age
+	for _, t := range s.clients {
+		age := float64(now.Sub(t.lastRequest)) / float64(time.Millisecond)
+		if age > lease || a.ReadAgeMillis < 0 || a.ReadAgeMillis > lease {
+			a.CutOffInstances[t.name] = age
 		}
 	}
-	s.Council.mu.Lock()
-	for name, p := range s.Council.peers { // another host's newest, as if it were a process's
-		if p.Index > 0 {
-			s.lag.Told("host "+name, p.Index, Clock())
+	s.Node.mu.Lock()
+	for name, p := range s.Node.peers { // another host's newest, as if it were a process's
+		if p.DiscoveryIndex > 0 {
+			s.discoveryLag.Told("host "+name, p.DiscoveryIndex, BootClockMillis())
 		}
 	}
-	s.Council.mu.Unlock()
-	a.Lags = s.lag.Late(Clock(), lagAfter)
+	s.Node.mu.Unlock()
+	a.Lags = s.discoveryLag.Late(BootClockMillis(), lagThresholdMillis)
 	return a
 }
--- a/internal/raftlog/wire.go
+++ b/internal/raftlog/wire.go
@@ -17,210 +17,218 @@
 )
 
 // hello is who speaks, in each message between daemons.
-type hello struct {
-	Form    int      `json:"form"`
-	Cluster string   `json:"cluster"` // as the operators name it
-	Name    string   `json:"name"`
-	ID      string   `json:"id"`                // of its disk
-	To      string   `json:"to,omitempty"`      // the disk that it speaks to, where that matters
-	Council string   `json:"council,omitempty"` // that its disk belongs to
-	Seq     uint64   `json:"seq"`               // writes of its disk
-	Blank   bool     `json:"blank,omitempty"`   // it has nothing of any council
-	Hosts   []string `json:"hosts,omitempty"`   // as its file has them
-	Index   int64    `json:"index,omitempty"`   // the highest of discovery's list among its instances
+type messageHeader struct {
+	ProtocolVersion int      `json:"form"`
+	Cluster         string   `json:"cluster"` // as the operators name it
+	HostName        string   `json:"name"`
+	DiskID          string   `json:"id"`                // of its disk
+	ToDiskID        string   `json:"to,omitempty"`      // the disk that it speaks to, where that matters
+	GroupID         string   `json:"council,omitempty"` // that its disk belongs to
+	WriteSeq        uint64   `json:"seq"`               // writes of its disk
+	IsBlank         bool     `json:"blank,omitempty"`   // it has nothing of any council
+	Hosts           []string `json:"hosts,omitempty"`   // as its file has them
+	DiscoveryIndex  int64    `json:"index,omitempty"`   // the highest of discovery's list among its instances
 }
 
 // reply is who answers, and what it knows of the one that asked.
-type reply struct {
-	hello
-	For    string `json:"for"`    // the disk that the rest speaks of: the asker's
-	Heard  uint64 `json:"heard"`  // the most writes of the asker's disk that it has heard of
-	Gone   bool   `json:"gone"`   // the asker's disk was a member once and is none any more
-	Voter  bool   `json:"voter"`  // it is a member
-	Leader string `json:"leader"` // the leader's name, if it knows one
-	Says   string `json:"says,omitempty"`
+type response struct {
+	messageHeader
+	ForDiskID       string `json:"for"`    // the disk that the rest speaks of: the asker's
+	HighestWriteSeq uint64 `json:"heard"`  // the most writes of the asker's disk that it has heard of
+	Removed         bool   `json:"gone"`   // the asker's disk was a member once and is none any more
+	IsVoter         bool   `json:"voter"`  // it is a member
+	LeaderName      string `json:"leader"` // the leader's name, if it knows one
+	Message         string `json:"says,omitempty"`
 }
 
 // packet is one post: a hello with messages of the library.
-type packet struct {
-	hello
+type request struct {
+	messageHeader
 	Messages [][]byte `json:"messages,omitempty"`
 }
 
 // Refused counts what was not taken, by reason.
-type refused struct {
-	mu   sync.Mutex
-	by   map[string]int64
-	last map[string]string
+type rejectionCounters struct {
+	mu           sync.Mutex
+	counts       map[string]int64
+	lastMessages map[string]string
 }
 
-func (r *refused) count(reason, says string) {
+func (r *rejectionCounters) add(reason, says string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.by == nil {
-		r.by, r.last = map[string]int64{}, map[string]string{}
+	if r.counts == nil {
+		r.counts, r.lastMessages = map[string]int64{}, map[string]string{}
 	}
-	r.by[reason]++
-	r.last[reason] = says
+	r.counts[reason]++
+	r.lastMessages[reason] = says
 }
 
-func (r *refused) counts() (map[string]int64, map[string]string) {
+func (r *rejectionCounters) snapshot() (map[string]int64, map[string]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n, last := map[string]int64{}, map[string]string{}
-	for k := range r.by {
-		n[k], last[k] = r.by[k], r.last[k]
+	for k := range r.counts {
+		n[k], last[k] = r.counts[k], r.lastMessages[k]
 	}
 	return n, last
 }
 
 // The reasons.
 const (
-	tooLong   = "too_long"
-	garbled   = "garbled"
-	otherForm = "other_form"
-	otherName = "other_cluster"
-	stranger  = "stranger"
-	otherDisk = "other_disk" // to a disk that was here before, or from one that is a member no more
-	crowded   = "queue_full"
+	reasonTooLong         = "too_long"
+	reasonMalformed       = "garbled"
+	reasonProtocolVersion = "other_form"
+	reasonOtherCluster    = "other_cluster"
+	reasonUnknownHost     = "stranger"
+	reasonOtherDisk       = "other_disk" // to a disk that was here before, or from one that is a member no more
+	reasonQueueFull       = "queue_full"
 )
 
 // no is a refusal.
-type no struct{ reason, says string }
+type rejection struct{ reason, message string }
 
-func (n *no) Error() string { return n.says }
+func (n *rejection) Error() string { return n.message }
 
 // read takes a packet in. An error is a *no.
-func (c *Council) read(w http.ResponseWriter, r *http.Request) (*packet, error) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, longest))
+func (c *Node) decodeRequest(w http.ResponseWriter, r *http.Request) (*request, error) {
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
 	var long *http.MaxBytesError
 	if errors.As(err, &long) {
-		return nil, &no{tooLong, fmt.Sprintf("a message of more than %d bytes", longest)}
+		return nil, &rejection{reasonTooLong, fmt.Sprintf("a message of more than %d bytes", maxMessageBytes)}
 	}
 	if err != nil {
-		return nil, &no{garbled, "a message that was cut short"}
+		return nil, &rejection{reasonMalformed, "a message that was cut short"}
 	}
 	var form struct {
 		Form int `json:"form"`
 	}
-	p := &packet{}
+	p := &request{}
 	if err := json.Unmarshal(raw, &form); err != nil {
-		return nil, &no{garbled, fmt.Sprintf("not a message of a council: %v", err)}
+		return nil, &rejection{reasonMalformed, fmt.Sprintf("not a message of a council: %v", err)}
 	}
-	if form.Form != Form {
-		return nil, &no{otherForm, fmt.Sprintf("a message of form %d, this daemon speaks form %d", form.Form, Form)}
+	if form.Form != ProtocolVersion {
+		return nil, &rejection{reasonProtocolVersion,
+			fmt.Sprintf("a message of form %d, this daemon speaks form %d", form.Form, ProtocolVersion)}
 	}
 	if err := json.Unmarshal(raw, p); err != nil {
-		return nil, &no{garbled, fmt.Sprintf("not a message of a council: %v", err)}
+		return nil, &rejection{reasonMalformed, fmt.Sprintf("not a message of a council: %v", err)}
 	}
-	if p.Cluster != c.charter.Cluster {
-		return nil, &no{otherName, fmt.Sprintf("%q is of cluster %q, this one is %q", p.Name, p.Cluster,
-			c.charter.Cluster)}
+	if p.Cluster != c.config.Cluster {
+		return nil, &rejection{reasonOtherCluster, fmt.Sprintf("%q is of cluster %q, this one is %q", p.HostName,
+			p.Cluster,
+			c.config.Cluster)}
 	}
-	if c.addressOf(p.Name) == "" || p.Name == c.charter.Me {
-		return nil, &no{stranger, fmt.Sprintf("%q is none of the other hosts of %s", p.Name, c.charter.Me)}
+	if c.hostAddress(p.HostName) == "" || p.HostName == c.config.HostName {
+		return nil, &rejection{reasonUnknownHost, fmt.Sprintf("%q is none of the other hosts of %s", p.HostName,
+			c.config.HostName)}
 	}
-	if _, err := idOf(p.ID); err != nil {
-		return nil, &no{garbled, fmt.Sprintf("%q has no id: %q", p.Name, p.ID)}
+	if _, err := parseDiskID(p.DiskID); err != nil {
+		return nil, &rejection{reasonMalformed, fmt.Sprintf("%q has no id: %q", p.HostName, p.DiskID)}
 	}
 	return p, nil
 }
 
-func idOf(hex string) (uint64, error) { return strconv.ParseUint(hex, 16, 64) }
+func parseDiskID(hex string) (uint64, error) { return strconv.ParseUint(hex, 16, 64) }
 
 // handler answers other daemons. Nothing of it waits for the log: what comes is put in a queue, and what is
 // said is what was last made known.
-func (c *Council) handler() http.Handler {
+func (c *Node) handler() http.Handler {
 	mux := http.NewServeMux()
-	serve := func(path string, take func(*packet) (string, error)) {
+	serve := func(path string, take func(*request) (string, error)) {
 		mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-			var p *packet
-			var err error = &no{crowded, "more calls than this daemon can take"}
+			var p *request
+			var err error = &rejection{reasonQueueFull, "more calls than this daemon can take"}
 			select {
-			case c.slots <- struct{}{}:
-				defer func() { <-c.slots }()
-				p, err = c.read(w, r)
+			case c.requestSlots <- struct{}{}:
+				defer func() { <-c.requestSlots }()
+				p, err = c.decodeRequest(w, r)
 			default:
 			}
 			says := ""
 			if err == nil {
 				says, err = take(p)
 			}
-			var why *no
+			var why *rejection
 			if errors.As(err, &why) {
-				c.refused.count(why.reason, why.says)
-				c.log.Debug().Str("reason", why.reason).Msg(why.says)
-				http.Error(w, why.says, http.StatusForbidden)
+				c.rejections.add(why.reason, why.message)
+				c.log.Debug().Str("reason", why.reason).Msg(why.message)
+				http.Error(w, why.message, http.StatusForbidden)
 				return
 			}
-			rep := c.replyTo(p)
-			rep.Says = says
+			rep := c.newResponse(p)
+			rep.Message = says
 			w.Header().Set("Content-Type", "application/json")
 			_ = json.NewEncoder(w).Encode(rep)
 		})
 	}
-	serve("/council/hello", func(*packet) (string, error) { return "", nil })
-	serve("/council/raft", c.take)
-	serve("/council/join", c.join)
+	serve("/council/hello", func(*request) (string, error) { return "", nil })
+	serve("/council/raft", c.handleMessages)
+	serve("/council/join", c.handleJoin)
 	return mux
 }
 
 // take puts the library's messages in the queue.
-func (c *Council) take(p *packet) (string, error) {
-	me := c.who.Load()
-	if me == nil || p.To != hexOf(me.ID) {
-		return "", &no{otherDisk, fmt.Sprintf("%q speaks to disk %s, which is not here", p.Name, p.To)}
-	}
-	if !me.Blank && p.Council != me.Council {
-		return "", &no{otherName, fmt.Sprintf("%q is of council %s, this one is of %s", p.Name, p.Council,
-			me.Council)}
-	}
-	if me.gone[p.ID] {
-		return "", &no{otherDisk, fmt.Sprintf("%q speaks from disk %s, which is a member no more", p.Name, p.ID)}
-	}
-	from, _ := idOf(p.ID)
-	in := inbox{council: p.Council, from: from, seq: p.Seq}
+func (c *Node) handleMessages(p *request) (string, error) {
+	me := c.published.Load()
+	if me == nil || p.ToDiskID != formatDiskID(me.ID) {
+		return "", &rejection{reasonOtherDisk, fmt.Sprintf("%q speaks to disk %s, which is not here", p.HostName,
+			p.ToDiskID)}
+	}
+	if !me.Blank && p.GroupID != me.GroupID {
+		return "", &rejection{reasonOtherCluster, fmt.Sprintf("%q is of council %s, this one is of %s", p.HostName,
+			p.GroupID,
+			me.GroupID)}
+	}
+	if me.removed[p.DiskID] {
+		return "", &rejection{reasonOtherDisk, fmt.Sprintf("%q speaks from disk %s, which is a member no more",
+			p.HostName, p.DiskID)}
+	}
+	from, _ := parseDiskID(p.DiskID)
+	in := inboundBatch{groupID: p.GroupID, fromDiskID: from, writeSeq: p.WriteSeq}
 	for _, raw := range p.Messages {
 		var m raftpb.Message
 		if err := m.Unmarshal(raw); err != nil {
-			return "", &no{garbled, fmt.Sprintf("%q sends what is no message: %v", p.Name, err)}
+			return "", &rejection{reasonMalformed, fmt.Sprintf("%q sends what is no message: %v", p.HostName, err)}
 		}
 		if m.From != from || m.To != me.ID {
-			return "", &no{stranger, fmt.Sprintf("%q sends a message of %x to %x", p.Name, m.From, m.To)}
+			return "", &rejection{reasonUnknownHost, fmt.Sprintf("%q sends a message of %x to %x", p.HostName, m.From,
+				m.To)}
 		}
 		in.messages = append(in.messages, m)
 	}
 	select {
-	case c.in <- in:
+	case c.inbound <- in:
 		return "", nil
 	default:
-		return "", &no{crowded, "more messages than this daemon can take in"}
+		return "", &rejection{reasonQueueFull, "more messages than this daemon can take in"}
 	}
 }
 
 // replyTo says who is here, and books who has asked.
-func (c *Council) replyTo(p *packet) reply {
-	var rep reply
-	rep.hello = c.hello()
-	rep.For = p.ID
-	if id, err := idOf(p.ID); err == nil {
-		c.heardFrom(p.Name, id, p.hello)
-		if s := c.disk.Load(); s != nil {
-			rep.Heard = s.hear(id, p.Seq)
+func (c *Node) newResponse(p *request) response {
+	var rep response
+	rep.messageHeader = c.header()
+	rep.ForDiskID = p.DiskID
+	if id, err := parseDiskID(p.DiskID); err == nil {
+		c.recordContact(p.HostName, id, p.messageHeader)
+		if s := c.currentStore.Load(); s != nil {
+			rep.HighestWriteSeq = s.recordPeerSeq(id, p.WriteSeq)
 		}
 	}
-	if me := c.who.Load(); me != nil {
-		rep.Gone, rep.Voter, rep.Leader = me.gone[p.ID], me.Voter, me.Leader
+	if me := c.published.Load(); me != nil {
+		rep.Removed, rep.IsVoter, rep.LeaderName = me.removed[p.DiskID], me.IsVoter, me.LeaderName
 	}
 	return rep
 }
 
 // hello is who this daemon is now.
-func (c *Council) hello() hello {
-	h := hello{Form: Form, Cluster: c.charter.Cluster, Name: c.charter.Me, Seq: c.seq.Load(),
-		Index: c.index.Load()}
-	if me := c.who.Load(); me != nil {
-		h.ID, h.Council, h.Blank = hexOf(me.ID), me.Council, me.Blank
+func (c *Node) header() messageHeader {
+	h := messageHeader{ProtocolVersion: ProtocolVersion, Cluster: c.config.Cluster, HostName: c.config.HostName,
+		WriteSeq:       c.writeSeq.Load(),
+		DiscoveryIndex: c.discoveryIndex.Load()}
+	if me := c.published.Load(); me != nil {
+		h.DiskID, h.GroupID, h.IsBlank = formatDiskID(me.ID), me.GroupID, me.Blank
 	}
 	for _, x := range *c.hosts.Load() {
 		h.Hosts = append(h.Hosts, x.Name)
@@ -229,9 +237,9 @@
 }
 
 // post sends a packet, and gives the answer.
-func (c *Council) post(ctx context.Context, address, path string, p *packet) (*reply, int, error) {
-	if c.charter.link != nil {
-		if err := c.charter.link(address); err != nil {
+func (c *Node) post(ctx context.Context, address, path string, p *request) (*response, int, error) {
+	if c.config.sendFault != nil {
+		if err := c.config.sendFault(address); err != nil {
 			return nil, 0, err
 		}
 	}
@@ -255,36 +263,37 @@
 	if res.StatusCode != http.StatusOK {
 		return nil, res.StatusCode, fmt.Errorf("%s", bytes.TrimSpace(raw))
 	}
-	rep := &reply{}
+	rep := &response{}
 	if err := json.Unmarshal(raw, rep); err != nil {
 		return nil, res.StatusCode, err
 	}
-	if rep.Form != Form || rep.Cluster != c.charter.Cluster {
-		return nil, res.StatusCode, fmt.Errorf("%s is of cluster %q, form %d", address, rep.Cluster, rep.Form)
+	if rep.ProtocolVersion != ProtocolVersion || rep.Cluster != c.config.Cluster {
+		return nil, res.StatusCode, fmt.Errorf("%s is of cluster %q, form %d", address, rep.Cluster,
+			rep.ProtocolVersion)
 	}
 	return rep, res.StatusCode, nil
 }
 
 // line is the way to one other disk: a bounded queue and one post at a time, so that messages come in order.
-type line struct {
-	id    uint64
-	mu    sync.Mutex
-	queue []raftpb.Message
-	size  int
-	wake  chan struct{}
-	end   context.CancelFunc
+type sendQueue struct {
+	diskID   uint64
+	mu       sync.Mutex
+	messages []raftpb.Message
+	bytes    int
+	wake     chan struct{}
+	cancel   context.CancelFunc
 }
 
 // put adds messages; what has no place is dropped, as the library expects of a network.
-func (l *line) put(m raftpb.Message) bool {
+func (l *sendQueue) push(m raftpb.Message) bool {
 	n := m.Size()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.queue) >= mostQueued || l.size+n > longest/2 && len(l.queue) > 0 {
+	if len(l.messages) >= maxQueuedMessages || l.bytes+n > maxMessageBytes/2 && len(l.messages) > 0 {
 		return false
 	}
-	l.queue = append(l.queue, m)
-	l.size += n
+	l.messages = append(l.messages, m)
+	l.bytes += n
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -292,41 +301,41 @@
 	return true
 }
 
-func (l *line) all() []raftpb.Message {
+func (l *sendQueue) takeAll() []raftpb.Message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	q := l.queue
-	l.queue, l.size = nil, 0
+	q := l.messages
+	l.messages, l.bytes = nil, 0
 	return q
 }
 
 // lineTo gives the way to a disk; called by the log's goroutine alone.
-func (v *life) lineTo(id uint64) *line {
-	l := v.lines[id]
+func (v *session) sendQueueTo(id uint64) *sendQueue {
+	l := v.sendQueues[id]
 	if l == nil {
 		ctx, end := context.WithCancel(v.ctx)
-		l = &line{id: id, wake: make(chan struct{}, 1), end: end}
-		v.lines[id] = l
-		v.wait.Add(1)
+		l = &sendQueue{diskID: id, wake: make(chan struct{}, 1), cancel: end}
+		v.sendQueues[id] = l
+		v.goroutines.Add(1)
 		go func() {
-			defer v.wait.Done()
-			v.c.carry(ctx, l)
+			defer v.goroutines.Done()
+			v.node.sendLoop(ctx, l)
 		}()
 	}
 	return l
 }
 
 // carry sends what is queued for one disk until it ends.
-func (c *Council) carry(ctx context.Context, l *line) {
+func (c *Node) sendLoop(ctx context.Context, l *sendQueue) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-l.wake:
 		}
-		all := l.all()
-		p := &packet{hello: c.hello()}
-		p.To, p.Hosts = hexOf(l.id), nil
+		all := l.takeAll()
+		p := &request{messageHeader: c.header()}
+		p.ToDiskID, p.Hosts = formatDiskID(l.diskID), nil
 		snaps := false
 		for i := range all {
 			raw, err := all[i].Marshal()
@@ -340,35 +349,35 @@
 			continue
 		}
 		err := errors.New("no address")
-		var rep *reply
-		name := c.nameOf(l.id)
-		if to := c.reached(name); to != "" {
-			within, cancel := context.WithTimeout(ctx, postWithin)
+		var rep *response
+		name := c.hostName(l.diskID)
+		if to := c.dialAddress(name); to != "" {
+			within, cancel := context.WithTimeout(ctx, requestTimeout)
 			rep, _, err = c.post(within, to, "/council/raft", p)
 			cancel()
 		}
 		if rep != nil {
-			c.answered(rep)
+			c.handleResponse(rep)
 		}
 		if err != nil && ctx.Err() == nil {
 			c.log.Debug().Str("host", name).Err(err).Msg("not sent")
-			c.report(sent{id: l.id, snap: snaps, err: err})
+			c.reportSend(sendResult{diskID: l.diskID, snapshot: snaps, err: err})
 		} else if snaps {
-			c.report(sent{id: l.id, snap: true})
+			c.reportSend(sendResult{diskID: l.diskID, snapshot: true})
 		}
 	}
 }
 
 // greet says hello to all other hosts every so often until the daemon ends: that is how those that know no
 // member find one, and how a disk that is older than it was is found out.
-func (c *Council) greet(ctx context.Context) {
-	defer c.wait.Done()
-	t := time.NewTicker(c.charter.Greet)
+func (c *Node) helloLoop(ctx context.Context) {
+	defer c.goroutines.Done()
+	t := time.NewTicker(c.config.HelloInterval)
 	defer t.Stop()
 	busy := map[string]chan struct{}{}
 	for {
 		for _, h := range *c.hosts.Load() {
-			if h.Name == c.charter.Me || c.who.Load() == nil {
+			if h.Name == c.config.HostName || c.published.Load() == nil {
 				continue
 			}
 			if busy[h.Name] == nil {
@@ -380,17 +389,17 @@
 			default:
 				continue // the last one is not back yet
 			}
-			c.wait.Add(1)
+			c.goroutines.Add(1)
 			go func() {
-				defer c.wait.Done()
+				defer c.goroutines.Done()
 				defer func() { <-slot }()
-				within, cancel := context.WithTimeout(ctx, postWithin)
+				within, cancel := context.WithTimeout(ctx, requestTimeout)
 				defer cancel()
-				if rep, _, err := c.post(within, c.reached(h.Name), "/council/hello",
-					&packet{hello: c.hello()}); err == nil {
-					c.answered(rep)
+				if rep, _, err := c.post(within, c.dialAddress(h.Name), "/council/hello",
+					&request{messageHeader: c.header()}); err == nil {
+					c.handleResponse(rep)
 				} else if ctx.Err() == nil {
-					c.unheard(h.Name, err)
+					c.recordSendError(h.Name, err)
 				}
 			}()
 		}
--- a/internal/ruleset/golden_test.go
+++ b/internal/ruleset/golden_test.go
@@ -175,7 +175,7 @@
 // stateText is a state as lines of its mark, and of each key and its CBOR in hex.
 func stateText(s *versioned.State) []byte {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d %x\n", s.Mark().Number, s.Mark().Digest)
+	fmt.Fprintf(&b, "%d %x\n", s.ID().Number, s.ID().Digest)
 	for key, value := range s.All() {
 		fmt.Fprintf(&b, "%s %x\n", key, value)
 	}
--- a/internal/ruleset/state.go
+++ b/internal/ruleset/state.go
@@ -134,7 +134,7 @@
 			return Version{}, fmt.Errorf("%s: %d are not from 0 to %d", n.key, n.have, n.max)
 		}
 	}
-	v := Version{Number: s.Mark().Number, Rules: Rules{Form: h.Form, Needs: h.Needs, Lease: h.Lease,
+	v := Version{Number: s.ID().Number, Rules: Rules{Form: h.Form, Needs: h.Needs, Lease: h.Lease,
 		Bound: h.Bound, Fallback: h.Fallback}}
 	r := &v.Rules
 	r.Plans, r.Words = make([]Plan, h.Plans), make([]Word, h.Words)
@@ -230,7 +230,7 @@
 		e := versioned.Entry{Key: key, Value: raw}
 		if !strings.HasPrefix(key, memberKey) {
 			x.common = append(x.common, e)
-			x.shared, x.bytes = x.shared.Plus(e.Digest()), x.bytes+len(key)+len(raw)
+			x.shared, x.bytes = x.shared.Add(e.Digest()), x.bytes+len(key)+len(raw)
 			continue
 		}
 		i, err := placed(memberKey, memberWide, key, x.places)
@@ -249,7 +249,7 @@
 	of     *Index
 	all    bool    // it is the state itself, whatever is in it
 	places []int32 // of those that it has, in their order
-	mark   versioned.Mark
+	mark   versioned.VersionID
 	bytes  int
 }
 
@@ -259,7 +259,7 @@
 	p := &Portion{of: x}
 	switch i, there := x.names[in.Name]; {
 	case in.All:
-		p.all, p.mark, p.bytes = true, x.state.Mark(), x.state.Bytes()
+		p.all, p.mark, p.bytes = true, x.state.ID(), x.state.Bytes()
 		return p
 	case there && in.Name != "":
 		p.near(i, in.Around)
@@ -271,10 +271,10 @@
 	}
 	slices.Sort(p.places)
 	p.places = slices.Compact(p.places)
-	p.mark, p.bytes = versioned.Mark{Number: x.state.Mark().Number, Digest: x.shared}, x.bytes
+	p.mark, p.bytes = versioned.VersionID{Number: x.state.ID().Number, Digest: x.shared}, x.bytes
 	for _, i := range p.places {
 		e := x.member[i]
-		p.mark.Digest, p.bytes = p.mark.Digest.Plus(x.digest[i]), p.bytes+len(e.Key)+len(e.Value)
+		p.mark.Digest, p.bytes = p.mark.Digest.Add(x.digest[i]), p.bytes+len(e.Key)+len(e.Value)
 	}
 	return p
 }
@@ -291,9 +291,9 @@
 }
 
 // Mark names the part; nil has none.
-func (p *Portion) Mark() versioned.Mark {
+func (p *Portion) Mark() versioned.VersionID {
 	if p == nil {
-		return versioned.Mark{}
+		return versioned.VersionID{}
 	}
 	return p.mark
 }
@@ -329,7 +329,7 @@
 // Since is the delta that makes the part of another one, or of nothing where that is nil.
 func (p *Portion) Since(from *Portion) *versioned.Delta {
 	if p.all || from != nil && from.all {
-		return versioned.Between(from.State(), p.State())
+		return versioned.Diff(from.State(), p.State())
 	}
 	d := &versioned.Delta{From: from.Mark(), To: p.mark}
 	if from == nil {
@@ -337,12 +337,12 @@
 		return d
 	}
 	if from.of != p.of {
-		d.Set, d.Drop = changes(d.Set, d.Drop, from.of.common, p.of.common)
+		d.Set, d.Delete = changes(d.Set, d.Delete, from.of.common, p.of.common)
 	}
 	had := from.places
 	for _, i := range p.places {
 		for ; len(had) > 0 && had[0] < i; had = had[1:] {
-			d.Drop = append(d.Drop, from.of.member[had[0]].Key)
+			d.Delete = append(d.Delete, from.of.member[had[0]].Key)
 		}
 		same := len(had) > 0 && had[0] == i
 		if same {
@@ -353,7 +353,7 @@
 		}
 	}
 	for _, i := range had {
-		d.Drop = append(d.Drop, from.of.member[i].Key)
+		d.Delete = append(d.Delete, from.of.member[i].Key)
 	}
 	return d
 }
--- a/internal/ruleset/state_test.go
+++ b/internal/ruleset/state_test.go
@@ -49,7 +49,7 @@
 		if got, err := FromState(s); err != nil || !reflect.DeepEqual(got, v) {
 			t.Fatalf("%v\n%+v\n%+v", err, got, v)
 		}
-		if again, _ := Entries(&v); again.Mark() != s.Mark() || s.Mark().Number != 7 {
+		if again, _ := Entries(&v); again.ID() != s.ID() || s.ID().Number != 7 {
 			t.Fatal("the same has another mark")
 		}
 		if l := LeaseOf(s); l != v.Rules.Lease {
@@ -84,7 +84,7 @@
 		host := Interest{Host: "h1", Around: in.Around}
 		for _, m := range v.Rules.Members {
 			own := Interest{Name: m.Name, Around: in.Around}
-			if m.Host == "h1" && Select(Select(s, host), own).Mark() != Select(s, own).Mark() {
+			if m.Host == "h1" && Select(Select(s, host), own).ID() != Select(s, own).ID() {
 				t.Fatal("a part of a part is another")
 			}
 		}
@@ -101,8 +101,8 @@
 	b.Members[501] = Member{}
 	x, _ := Entries(&Version{Number: 1, Rules: *a})
 	y, _ := Entries(&Version{Number: 2, Rules: *b})
-	d := versioned.Between(x, y)
-	if len(d.Set) != 1 || !slices.Equal(d.Drop, []string{"member/000501"}) {
+	d := versioned.Diff(x, y)
+	if len(d.Set) != 1 || !slices.Equal(d.Delete, []string{"member/000501"}) {
 		t.Errorf("%+v", d)
 	}
 }
@@ -236,19 +236,19 @@
 			Around: rapid.IntRange(0, 9).Draw(t, "around")}
 		from, to := NewIndex(x).Portion(in), NewIndex(y).Portion(in)
 		for _, p := range []*Portion{from, to} {
-			if s := p.State(); s.Mark() != p.Mark() || s.Bytes() != p.Bytes() {
-				t.Fatalf("%v of %d bytes, and its state is %v of %d", p.Mark(), p.Bytes(), s.Mark(), s.Bytes())
+			if s := p.State(); s.ID() != p.Mark() || s.Bytes() != p.Bytes() {
+				t.Fatalf("%v of %d bytes, and its state is %v of %d", p.Mark(), p.Bytes(), s.ID(), s.Bytes())
 			}
 		}
-		if got, err := from.State().Apply(to.Since(from)); err != nil || got.Mark() != to.Mark() {
+		if got, err := from.State().Apply(to.Since(from)); err != nil || got.ID() != to.Mark() {
 			t.Fatal(err)
 		}
-		d, want := to.Since(from), versioned.Between(from.State(), to.State())
-		if len(d.Set) != len(want.Set) || len(d.Drop) != len(want.Drop) {
+		d, want := to.Since(from), versioned.Diff(from.State(), to.State())
+		if len(d.Set) != len(want.Set) || len(d.Delete) != len(want.Delete) {
 			t.Fatalf("%+v, not %+v", d, want)
 		}
 		var none *Portion
-		if got, err := none.State().Apply(to.Since(none)); err != nil || got.Mark() != to.Mark() {
+		if got, err := none.State().Apply(to.Since(none)); err != nil || got.ID() != to.Mark() {
 			t.Fatal(err)
 		}
 	})
--- a/internal/supervisor/branch.go
+++ b/internal/supervisor/branch.go
@@ -50,7 +50,7 @@
 
 	view    distribution.View // as last taken
 	lease   ruleset.Lease
-	bad     [2]versioned.Mark // of rules, and pending ones, that were told and make no sense
+	bad     [2]versioned.VersionID // of rules, and pending ones, that were told and make no sense
 	inForce ruleset.Version
 	said    uint64 // the step that was last told to have been seen
 	index   int64  // of discovery's list, the highest here
@@ -89,7 +89,7 @@
 	}
 	f := distribution.NewFollower(distribution.Config{Name: b.me, Cluster: b.cluster, Upstream: len(upstream),
 		Lease: bornLease, Interest: ruleset.Interest{Host: b.me, Around: distribution.Around}, Seed: rand.Int63()},
-		raftlog.Clock())
+		raftlog.BootClockMillis())
 	if b.feed == nil {
 		b.copy.Base(f)
 	} else {
@@ -124,12 +124,12 @@
 		return
 	}
 	v, ok := b.feed.View()
-	said := [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()}
+	said := [2]versioned.VersionID{v.Rules.ID(), v.Pending.ID()}
 	if !ok || v.Step < b.view.Step || v.Step == b.view.Step && v.Begun < b.view.Begun || said == b.bad {
 		return
 	}
-	rules, pending := b.view.Rules.Mark(), b.view.Pending.Mark()
-	if v.Rules.Mark() != rules || v.Pending.Mark() != pending {
+	rules, pending := b.view.Rules.ID(), b.view.Pending.ID()
+	if v.Rules.ID() != rules || v.Pending.ID() != pending {
 		l, err := leaseOf(&v)
 		if err != nil {
 			b.bad = said
@@ -144,10 +144,10 @@
 		b.copy.Keep(v)
 	}
 	b.view, b.lease.Step, b.lease.Settled = v, v.Step, v.Settled
-	if v.Rules.Mark() != rules {
+	if v.Rules.ID() != rules {
 		if b.record != nil {
-			b.record.Write(history.Event{Kind: history.Gives, Version: v.Rules.Mark().Number,
-				Age: raftlog.Clock() - v.Begun})
+			b.record.Write(history.Event{Kind: history.Gives, Version: v.Rules.ID().Number,
+				Age: raftlog.BootClockMillis() - v.Begun})
 		}
 		if b.lease.Foreign == "" {
 			b.inForce = b.lease.Version
@@ -165,7 +165,7 @@
 	read := func(s *versioned.State) (ruleset.Version, string, error) {
 		v, err := ruleset.FromState(s)
 		if errors.Is(err, ruleset.ErrForeign) {
-			return ruleset.Version{Number: s.Mark().Number}, err.Error(), nil
+			return ruleset.Version{Number: s.ID().Number}, err.Error(), nil
 		}
 		if err == nil {
 			err = ruleset.CheckPart(&v.Rules)
@@ -208,15 +208,15 @@
 	return b.inForce
 }
 
-// Began tells of a process of this host's gatekeepers; before: it ran before this daemon did.
-func (b *branch) Began(pid int, before bool) {
+// ProcessStarted tells of a process of this host's gatekeepers; before: it ran before this daemon did.
+func (b *branch) ProcessStarted(pid int, before bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.warden.Began(pid, before)
 }
 
-// Ended tells that a process is no more.
-func (b *branch) Ended(pid int) {
+// ProcessExited tells that a process is no more.
+func (b *branch) ProcessExited(pid int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.warden.Ended(pid)
@@ -227,11 +227,11 @@
 	b.say()
 }
 
-// Asked answers a process of a gatekeeper, as raftlog.Seat's does.
-func (b *branch) Asked(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
+// RenewLease answers a process of a gatekeeper, as raftlog.RulesetNode's does.
+func (b *branch) RenewLease(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := raftlog.Clock()
+	now := raftlog.BootClockMillis()
 	if !b.warden.Asked(pid, holds) {
 		return ruleset.Lease{}, false
 	}
@@ -242,7 +242,7 @@
 	b.take()
 	b.say()
 	l := b.lease
-	l.Age = raftlog.Clock() - b.view.Begun
+	l.Age = raftlog.BootClockMillis() - b.view.Begun
 	if b.view.Step == 0 || !(l.Age < ruleset.LeaseOf(b.view.Rules)) {
 		return ruleset.Lease{}, false
 	}
@@ -257,8 +257,8 @@
 	return b.view
 }
 
-// Highest gives the highest index of discovery's list that any process has told, here or elsewhere.
-func (b *branch) Highest() int64 {
+// HighestDiscoveryIndex gives the highest index of discovery's list that any process has told, here or elsewhere.
+func (b *branch) HighestDiscoveryIndex() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return max(b.index, b.view.Index, 0)
@@ -313,9 +313,9 @@
 	s.Copies.Written, s.Copies.Failed, s.Copies.Aside = b.copy.Counts()
 	lease := bornLease
 	if b.view.Step > 0 {
-		s.Version, s.Mark = b.view.Rules.Mark().Number, b.view.Rules.Mark().String()
-		s.Pending = b.view.Pending.Mark().Number
-		s.ReadMS, lease = raftlog.Clock()-b.view.Begun, ruleset.LeaseOf(b.view.Rules)
+		s.Version, s.Mark = b.view.Rules.ID().Number, b.view.Rules.ID().String()
+		s.Pending = b.view.Pending.ID().Number
+		s.ReadMS, lease = raftlog.BootClockMillis()-b.view.Begun, ruleset.LeaseOf(b.view.Rules)
 	}
 	s.Members = len(b.lease.Version.Rules.Members)
 	for _, m := range b.lease.Version.Rules.Members {
@@ -332,7 +332,7 @@
 			s.CutOff[a.name] = age
 		}
 	}
-	s.Lags = b.lag.Late(raftlog.Clock(), lagAfter)
+	s.Lags = b.lag.Late(raftlog.BootClockMillis(), lagAfter)
 	return s
 }
 
--- a/internal/supervisor/branch_test.go
+++ b/internal/supervisor/branch_test.go
@@ -260,7 +260,7 @@
 	x.top.propose(next)
 	faultinject.Until(t, 5*time.Second, "the change does not wait", func() bool {
 		s, ok := x.top.sitting()
-		return ok && s.Rules.Pending == 2
+		return ok && s.Rules.PendingVersion == 2
 	})
 	began := time.Now()
 	pending, _ := x.top.sitting()
@@ -436,7 +436,7 @@
 	for _, h := range a.Seen {
 		u.seen = max(u.seen, h.Step)
 	}
-	return u.source.Answer(a, raftlog.Clock())
+	return u.source.Answer(a, raftlog.BootClockMillis())
 }
 
 // says has it say that rules are in force as of now, every now and then until the test's end.
@@ -448,7 +448,7 @@
 	go func() {
 		for t.Context().Err() == nil {
 			u.mu.Lock()
-			u.source.Offer(distribution.View{Step: step, Begun: raftlog.Clock(), Rules: rules, Index: -1})
+			u.source.Offer(distribution.View{Step: step, Begun: raftlog.BootClockMillis(), Rules: rules, Index: -1})
 			u.mu.Unlock()
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -474,8 +474,8 @@
 		}, Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
 	b := newBranch("till", &RelayFile{Me: "l0", Store: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
 	defer b.Close()
-	b.Began(1, true)
-	b.Began(2, true)
+	b.ProcessStarted(1, true)
+	b.ProcessStarted(2, true)
 	u.says(t, 5, r)
 	b.follows([]string{strings.TrimPrefix(s.URL, "http://")})
 	faultinject.Until(t, 3*time.Second, "it hears nothing", func() bool { return b.InForce().Number == 1 })
@@ -487,32 +487,32 @@
 		}
 	}
 	never("and two may hold anything")
-	if _, ok := b.Asked(1, "a", 5, -1); !ok {
+	if _, ok := b.RenewLease(1, "a", 5, -1); !ok {
 		t.Fatal("it tells nothing")
 	}
 	never("and one may hold anything")
-	b.Ended(2)
+	b.ProcessExited(2)
 	faultinject.Until(t, 3*time.Second, "step 5 is not said to be seen", func() bool { return u.told() == 5 })
 
-	b.Began(3, false)
+	b.ProcessStarted(3, false)
 	u.says(t, 6, r)
 	faultinject.Until(t, 3*time.Second, "it does not go on", func() bool {
-		l, ok := b.Asked(3, "a", 0, -1)
+		l, ok := b.RenewLease(3, "a", 0, -1)
 		return ok && l.Step == 6
 	})
 	time.Sleep(250 * time.Millisecond)
 	if got := u.told(); got != 5 {
 		t.Errorf("step %d is said to be seen while one holds 5, and one nothing", got)
 	}
-	b.Asked(1, "a", 6, 77)
-	b.Asked(3, "a", 6, 78)
+	b.RenewLease(1, "a", 6, 77)
+	b.RenewLease(3, "a", 6, 78)
 	faultinject.Until(t, 3*time.Second, "step 6 is not said to be seen", func() bool { return u.told() == 6 })
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.last.Interest != (ruleset.Interest{Host: "l0", Around: distribution.Around}) || u.last.From != "l0" {
 		t.Errorf("it asks %+v", u.last)
 	}
-	if n := b.Highest(); n != 78 {
+	if n := b.HighestDiscoveryIndex(); n != 78 {
 		t.Errorf("highest index %d", n)
 	}
 }
@@ -544,36 +544,36 @@
 		u.source.Offer(distribution.View{Step: step, Begun: begun, Rules: x, Index: -1})
 	}
 	first := state(1, func(*ruleset.Rules) {})
-	offer(1, raftlog.Clock()-50, first)
+	offer(1, raftlog.BootClockMillis()-50, first)
 	b := newBranch("till", &RelayFile{Me: "l0", Store: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
 	defer b.Close()
 	b.follows([]string{strings.TrimPrefix(s.URL, "http://")})
 	time.Sleep(400 * time.Millisecond)
-	if _, ok := b.Asked(1, "a", 0, -1); ok {
+	if _, ok := b.RenewLease(1, "a", 0, -1); ok {
 		t.Fatal("it gives on what was read before it began")
 	}
-	offer(1, raftlog.Clock(), first)
+	offer(1, raftlog.BootClockMillis(), first)
 	faultinject.Until(t, 3*time.Second, "it gives nothing", func() bool {
-		_, ok := b.Asked(1, "a", 0, -1)
+		_, ok := b.RenewLease(1, "a", 0, -1)
 		return ok
 	})
-	offer(2, raftlog.Clock(), state(2, func(r *ruleset.Rules) { r.Plans[0].Rate = -1 }))
+	offer(2, raftlog.BootClockMillis(), state(2, func(r *ruleset.Rules) { r.Plans[0].Rate = -1 }))
 	time.Sleep(400 * time.Millisecond)
-	if l, ok := b.Asked(1, "a", 0, -1); ok && l.Version.Number != 1 || b.InForce().Number != 1 {
+	if l, ok := b.RenewLease(1, "a", 0, -1); ok && l.Version.Number != 1 || b.InForce().Number != 1 {
 		t.Errorf("rules that make no sense are gone by: %+v", l)
 	}
-	offer(3, raftlog.Clock(), state(3, func(r *ruleset.Rules) { r.Needs = []string{"moon"} }))
+	offer(3, raftlog.BootClockMillis(), state(3, func(r *ruleset.Rules) { r.Needs = []string{"moon"} }))
 	faultinject.Until(t, 3*time.Second, "what is not known here is not passed on", func() bool {
-		l, ok := b.Asked(1, "a", 0, -1)
+		l, ok := b.RenewLease(1, "a", 0, -1)
 		return ok && l.Version.Number == 3 && strings.Contains(l.Foreign, "moon")
 	})
-	if v := b.given(); b.InForce().Number != 1 || v.Rules.Mark().Number != 3 {
-		t.Errorf("in force %d, passed on %v", b.InForce().Number, v.Rules.Mark())
+	if v := b.given(); b.InForce().Number != 1 || v.Rules.ID().Number != 3 {
+		t.Errorf("in force %d, passed on %v", b.InForce().Number, v.Rules.ID())
 	}
 	if s := b.stands(); s.Foreign == "" || s.Version != 3 {
 		t.Errorf("operators are told %+v", s)
 	}
-	offer(4, raftlog.Clock(), state(4, func(*ruleset.Rules) {}))
+	offer(4, raftlog.BootClockMillis(), state(4, func(*ruleset.Rules) {}))
 	faultinject.Until(t, 3*time.Second, "it does not go on", func() bool { return b.InForce().Number == 4 })
 }
 
@@ -600,8 +600,8 @@
 		t.Fatal(err)
 	}
 	some := ruleset.Select(whole, ruleset.Interest{Host: "l0", Around: distribution.Around})
-	sent, err := (&distribution.Answer{Form: distribution.Form, Rules: some.Mark(),
-		RulesDelta: versioned.Whole(some)}).Bytes()
+	sent, err := (&distribution.Answer{Form: distribution.Form, Rules: some.ID(),
+		RulesDelta: versioned.FullDelta(some)}).Bytes()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/supervisor/control_test.go
+++ b/internal/supervisor/control_test.go
@@ -35,14 +35,14 @@
 	lease ruleset.Lease
 }
 
-func (v *fixed) Changed() <-chan struct{} { return nil }
-func (v *fixed) InForce() ruleset.Version { return v.lease.Version }
-func (v *fixed) Began(int, bool)          {}
-func (v *fixed) Ended(int)                {}
-func (v *fixed) Highest() int64           { return 0 }
-func (v *fixed) Close()                   {}
-func (v *fixed) say(number, rate int)     { v.mu.Lock(); defer v.mu.Unlock(); v.set(number, rate) }
-func (v *fixed) Asked(int, string, uint64, int64) (ruleset.Lease, bool) {
+func (v *fixed) Changed() <-chan struct{}     { return nil }
+func (v *fixed) InForce() ruleset.Version     { return v.lease.Version }
+func (v *fixed) ProcessStarted(int, bool)     {}
+func (v *fixed) ProcessExited(int)            {}
+func (v *fixed) HighestDiscoveryIndex() int64 { return 0 }
+func (v *fixed) Close()                       {}
+func (v *fixed) say(number, rate int)         { v.mu.Lock(); defer v.mu.Unlock(); v.set(number, rate) }
+func (v *fixed) RenewLease(int, string, uint64, int64) (ruleset.Lease, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	l := v.lease
@@ -175,7 +175,7 @@
 	type at struct{ in, out, cpu, work, wall float64 }
 	now := func() at {
 		return at{figure("bytes_in"), figure("bytes_out"), processor(t, p.Pid()), figure("work_us"),
-			raftlog.Clock()}
+			raftlog.BootClockMillis()}
 	}
 	add := func(name, unit string, value float64) { all = append(all, controlFigure{name, unit, value}) }
 	add("start_bytes", "B", figure("bytes_in"))
--- a/internal/supervisor/council.go
+++ b/internal/supervisor/council.go
@@ -52,7 +52,7 @@
 // Agreed is a fleet's part in rules that are agreed on, as it is carried out: by a seat in the council, or
 // below relays.
 type Agreed struct {
-	Charter raftlog.Charter
+	Charter raftlog.Config
 	Relay   *RelayFile // nil in a council
 	Rules   *ruleset.Rules
 	Wrong   error  // what is wrong with the rules' file: it keeps a daemon from starting only on its first start
@@ -84,9 +84,9 @@
 	case len(c.Hosts) == 0 || len(c.Hosts) > mostHosts:
 		return nil, fmt.Errorf("council.hosts: %d are not from 1 to %d", len(c.Hosts), mostHosts)
 	}
-	a := &Agreed{Reach: f.Reach, Serve: c.Serve, Charter: raftlog.Charter{Cluster: f.Name, Me: c.Me,
-		Listen: c.Listen,
-		Store:  c.Store, Found: c.Found, Reach: f.Reach[toCouncil]}}
+	a := &Agreed{Reach: f.Reach, Serve: c.Serve, Charter: raftlog.Config{Cluster: f.Name, HostName: c.Me,
+		Listen:    c.Listen,
+		StorePath: c.Store, Bootstrap: c.Found, AddressOverrides: f.Reach[toCouncil]}}
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
 		return nil, fmt.Errorf("council.listen: %w", err)
 	}
@@ -228,18 +228,18 @@
 type voice interface {
 	Changed() <-chan struct{}
 	InForce() ruleset.Version
-	Began(pid int, before bool)
-	Ended(pid int)
-	Asked(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool)
-	Highest() int64
+	ProcessStarted(pid int, before bool)
+	ProcessExited(pid int)
+	RenewLease(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool)
+	HighestDiscoveryIndex() int64
 	Close()
 }
 
 // seat is a daemon's part in agreed rules.
 type seat struct {
 	voice
-	council *raftlog.Seat // nil below relays
-	branch  *branch       // nil in a council
+	council *raftlog.RulesetNode // nil below relays
+	branch  *branch              // nil in a council
 	teller  *teller
 	file    *File
 	record  *history.Log
@@ -273,7 +273,7 @@
 		s.branch = newBranch(f.Name, a.Relay, record, d.log)
 		s.voice = s.branch
 	} else {
-		s.council, err = raftlog.NewSeat(a.Charter, a.Rules, record, d.log)
+		s.council, err = raftlog.NewRulesetNode(a.Charter, a.Rules, record, d.log)
 		s.voice = s.council
 	}
 	if err != nil {
@@ -282,7 +282,8 @@
 	}
 	s.teller = newTeller(f.Name)
 	if a.Serve != "" {
-		if s.root, err = relay.NewRoot(s.council, a.Charter.Me, a.Charter.Cluster, a.Serve, d.log); err != nil {
+		if s.root, err = relay.NewRoot(s.council, a.Charter.HostName, a.Charter.Cluster, a.Serve,
+			d.log); err != nil {
 			s.Close()
 			_ = s.record.Close()
 			return fmt.Errorf("council.serve: %w", err)
@@ -389,10 +390,10 @@
 		return a.Wrong
 	}
 	x, y := was.Charter, a.Charter
-	if x.Me != y.Me || x.Listen != y.Listen || x.Store != y.Store || was.Serve != a.Serve {
+	if x.HostName != y.HostName || x.Listen != y.Listen || x.StorePath != y.StorePath || was.Serve != a.Serve {
 		return errors.New("council.me, .listen, .store and .serve can't change while the daemon runs")
 	}
-	s.council.Hosts(y.Hosts, y.Reach)
+	s.council.SetHosts(y.Hosts, y.AddressOverrides)
 	s.file = f.file
 	if a.Stamp == s.stamp {
 		return nil
@@ -437,7 +438,7 @@
 			return false
 		}
 		d.pids.Delete(r.Pid)
-		d.seat.Ended(r.Pid)
+		d.seat.ProcessExited(r.Pid)
 		return true
 	})
 }
@@ -461,8 +462,8 @@
 		http.Error(w, fmt.Sprintf("%d is no process of %q that this daemon keeps", pid, name), http.StatusForbidden)
 		return name, l, false
 	}
-	w.Header().Set(lifecycle.IndexHeader, strconv.FormatInt(d.seat.Highest(), 10))
-	if l, ok = d.seat.Asked(pid, name, holds, index); !ok {
+	w.Header().Set(lifecycle.IndexHeader, strconv.FormatInt(d.seat.HighestDiscoveryIndex(), 10))
+	if l, ok = d.seat.RenewLease(pid, name, holds, index); !ok {
 		http.Error(w, notConfirmed, http.StatusServiceUnavailable)
 	}
 	return name, l, ok
@@ -508,8 +509,8 @@
 
 // Sitting is how the council and its rules stand.
 type Sitting struct {
-	raftlog.View
-	Rules raftlog.Agreement `json:"rules"`
+	raftlog.Status
+	Rules raftlog.ActivationStatus `json:"rules"`
 }
 
 // relays tells how those stand that follow this daemon.
@@ -525,7 +526,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
-	_ = e.Encode(Sitting{d.seat.council.View(), d.seat.council.Agreement()})
+	_ = e.Encode(Sitting{d.seat.council.Status(), d.seat.council.ActivationStatus()})
 }
 
 // rulesText is the version in force as a file of rules, for operators that change it.
--- a/internal/supervisor/council_golden_test.go
+++ b/internal/supervisor/council_golden_test.go
@@ -59,14 +59,14 @@
 // goldenLeaseVoice says what is in force; its other methods are not called.
 type goldenLeaseVoice struct{ voice }
 
-func (goldenLeaseVoice) Highest() int64 { return 91 }
+func (goldenLeaseVoice) HighestDiscoveryIndex() int64 { return 91 }
 
 func (goldenLeaseVoice) InForce() ruleset.Version {
 	return ruleset.Version{Number: 7, Rules: goldenAgreedRules(11)}
 }
 
-// Asked answers only if each value of the query has come under its own name.
-func (v goldenLeaseVoice) Asked(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
+// RenewLease answers only if each value of the query has come under its own name.
+func (v goldenLeaseVoice) RenewLease(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
 	pending := goldenAgreedRules(11.5)
 	return ruleset.Lease{Step: 41, Version: v.InForce(), Settled: true, Pending: &pending, Age: 12.5},
 		pid == 4711 && name == "gk1" && holds == 40 && index == 90
@@ -141,11 +141,14 @@
 
 func goldenSitting() Sitting {
 	return Sitting{
-		View: raftlog.View{State: "member", Why: "why", Me: "h1", Disk: "a1", Council: "c", Leader: "h2",
-			Term: 3, Applied: 44, Hosts: []raftlog.HostView{{Name: "h2", Address: "10.0.0.2:9000", Disk: "a2",
-				Member: true, Leads: true, HeardMS: 12.5, Why: "late"}}},
-		Rules: raftlog.Agreement{Version: 7, Mark: "abc", Step: 41, Settled: true, ReadMS: 3.5, Pending: 8,
-			Waits: "it waits"},
+		Status: raftlog.Status{State: "member", Reason: "why", HostName: "h1", DiskID: "a1", GroupID: "c",
+			LeaderName: "h2",
+			Term:       3, AppliedIndex: 44, Hosts: []raftlog.HostStatus{{Name: "h2", Address: "10.0.0.2:9000",
+				DiskID:   "a2",
+				IsMember: true, IsLeader: true, SinceContactMillis: 12.5, LastError: "late"}}},
+		Rules: raftlog.ActivationStatus{Version: 7, Digest: "abc", Step: 41, Settled: true, ReadAgeMillis: 3.5,
+			PendingVersion: 8,
+			PendingReason:  "it waits"},
 	}
 }
 
--- a/internal/supervisor/council_hard_test.go
+++ b/internal/supervisor/council_hard_test.go
@@ -190,7 +190,7 @@
 	began := time.Now()
 	h.propose(r)
 	x.rules = r
-	for s, ok := h.sitting(); !ok || s.Rules.Mark != raftlog.Mark(&r); s, ok = h.sitting() {
+	for s, ok := h.sitting(); !ok || s.Rules.Digest != raftlog.RulesDigest(&r); s, ok = h.sitting() {
 		if time.Since(began) > 20*time.Second {
 			log, _ := os.ReadFile(h.Log())
 			x.t.Fatalf("%s has not what it proposed in force: %+v\n%s", h.name, s, log)
@@ -419,7 +419,7 @@
 		var other *host
 		faultinject.Until(t, 10*time.Second, "another leads", func() bool {
 			for _, o := range x.hosts {
-				if s, ok := o.sitting(); ok && o != h && s.Leader == s.Me {
+				if s, ok := o.sitting(); ok && o != h && s.LeaderName == s.HostName {
 					other = o
 				}
 			}
@@ -503,7 +503,8 @@
 		x.back(h)
 		t.Logf("%s: leased again after %v", how, x.until(int64(n), 3, x.hosts...))
 		s, ok := h.sitting()
-		if !ok || how == faultinject.Old && s.Aside["old"] != 1 || how == faultinject.Torn && s.Aside["torn"] != 1 {
+		if !ok || how == faultinject.Old && s.MovedAside["old"] != 1 || how == faultinject.Torn &&
+			s.MovedAside["torn"] != 1 {
 			t.Errorf("%s: %+v", how, s)
 		}
 	}
@@ -535,7 +536,7 @@
 		}
 		return true
 	})
-	if s, ok := x.hosts[3].sitting(); !ok || s.State != "no leader" || len(s.Rules.CutOff) != 1 {
+	if s, ok := x.hosts[3].sitting(); !ok || s.State != "no leader" || len(s.Rules.CutOffInstances) != 1 {
 		t.Errorf("%+v", s)
 	}
 	for _, h := range x.hosts[:3] {
@@ -559,12 +560,12 @@
 		if round > 10 {
 			t.Fatal("never two at once")
 		}
-		heard := func(h *host) []raftlog.Heard {
+		heard := func(h *host) []raftlog.ProposalOutcome {
 			s, _ := h.sitting()
-			return s.Rules.Outcomes
+			return s.Rules.ProposalOutcomes
 		}
 		before := [2]int{len(heard(x.hosts[1])), len(heard(x.hosts[2]))}
-		var answers [2]raftlog.Heard
+		var answers [2]raftlog.ProposalOutcome
 		for i, h := range x.hosts[1:] {
 			f := 1 - 0.02*float64(2*round+i)
 			h.propose(x.ceilings(ceiling*f, depth*f))
@@ -581,13 +582,13 @@
 		})
 		for i, a := range answers {
 			f := 1 - 0.02*float64(2*round+i)
-			if a.Refused == "" {
-				rules[a.Number], last = x.ceilings(ceiling*f, depth*f), max(last, a.Number)
+			if a.Rejection == "" {
+				rules[a.Version], last = x.ceilings(ceiling*f, depth*f), max(last, a.Version)
 			}
 		}
 		x.until(int64(last), 3, x.hosts...)
-		if a, b := answers[0], answers[1]; a.Base == b.Base {
-			if (a.Refused == "") == (b.Refused == "") || !strings.HasPrefix(a.Refused+b.Refused, "base: ") {
+		if a, b := answers[0], answers[1]; a.BaseVersion == b.BaseVersion {
+			if (a.Rejection == "") == (b.Rejection == "") || !strings.HasPrefix(a.Rejection+b.Rejection, "base: ") {
 				t.Errorf("%+v and %+v", a, b)
 			}
 			break
@@ -765,7 +766,7 @@
 	x.enforced(others[0], *big)
 	faultinject.Until(t, 10*time.Second, "it is mute", func() bool {
 		s, ok := h.sitting()
-		return ok && s.State == "mute" && strings.Contains(s.Why, "too large")
+		return ok && s.State == "mute" && strings.Contains(s.Reason, "too large")
 	})
 	began := time.Now()
 	x.until(2, 2, others...)
@@ -857,7 +858,8 @@
 		last = 0
 		for _, h := range x.hosts {
 			s, ok := h.sitting()
-			if !ok || s.Rules.Pending > 0 || s.Rules.Wanted != "" || last > 0 && s.Rules.Version != last {
+			if !ok || s.Rules.PendingVersion > 0 || s.Rules.WantedProposal != "" || last > 0 &&
+				s.Rules.Version != last {
 				return false
 			}
 			last = s.Rules.Version
@@ -896,7 +898,7 @@
 	}
 	for _, e := range record.Events {
 		for _, r := range wanted {
-			if e.Kind == history.Taken && e.Says == "" && e.Mark == raftlog.Mark(&r) {
+			if e.Kind == history.Taken && e.Says == "" && e.Mark == raftlog.RulesDigest(&r) {
 				rules[e.Version] = r
 			}
 		}
@@ -918,7 +920,7 @@
 			calm := func() { // eight that may be fallen back to are as many as the council lets come together
 				faultinject.Until(t, 10*time.Second, "no version before may be gone by", func() bool {
 					s, ok := a.hosts[0].sitting()
-					return ok && len(s.Rules.Held) == 0
+					return ok && len(s.Rules.HeldVersions) == 0
 				})
 			}
 			for i := range 6 {
--- a/internal/supervisor/council_test.go
+++ b/internal/supervisor/council_test.go
@@ -260,7 +260,7 @@
 			if !h.Running() {
 				continue
 			}
-			if s, ok := h.sitting(); ok && s.Leader == s.Me && s.State == "member" {
+			if s, ok := h.sitting(); ok && s.LeaderName == s.HostName && s.State == "member" {
 				return h
 			}
 		}
@@ -291,7 +291,7 @@
 	t.Logf("a ceiling down beyond the fallback: %v", time.Since(began))
 	a.hosts[0].propose(ruleset.Rules{Form: ruleset.Form})
 	time.Sleep(100 * time.Millisecond)
-	if s, ok := a.hosts[0].sitting(); !ok || s.Rules.Version != 3 || s.Rules.Pending != 0 {
+	if s, ok := a.hosts[0].sitting(); !ok || s.Rules.Version != 3 || s.Rules.PendingVersion != 0 {
 		t.Errorf("rules that are wrong change something: %+v", s)
 	}
 	down := a.leader()
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -50,10 +50,10 @@
 }
 
 func (v goldenVoice) InForce() ruleset.Version { return v.version }
-func (goldenVoice) Began(int, bool)            {}
-func (goldenVoice) Ended(int)                  {}
+func (goldenVoice) ProcessStarted(int, bool)   {}
+func (goldenVoice) ProcessExited(int)          {}
 
-func (goldenVoice) Asked(int, string, uint64, int64) (ruleset.Lease, bool) {
+func (goldenVoice) RenewLease(int, string, uint64, int64) (ruleset.Lease, bool) {
 	return ruleset.Lease{}, false
 }
 
--- a/internal/supervisor/host.go
+++ b/internal/supervisor/host.go
@@ -440,7 +440,7 @@
 	delete(d.runs, r.number)
 	d.pids.Delete(r.Pid)
 	if d.seat != nil {
-		d.seat.Ended(r.Pid)
+		d.seat.ProcessExited(r.Pid)
 	}
 	_ = os.Remove(d.noteOf(r))
 	d.keeper.Ended(r.Instance, r.number)
@@ -449,7 +449,7 @@
 // began books that a process runs; before: it did before this daemon.
 func (d *Daemon) began(r *running, before bool) {
 	if d.seat != nil {
-		d.seat.Began(r.Pid, before)
+		d.seat.ProcessStarted(r.Pid, before)
 	}
 	d.pids.Store(r.Pid, r.Instance)
 }
--- a/internal/supervisor/teller.go
+++ b/internal/supervisor/teller.go
@@ -99,8 +99,8 @@
 		return nil, &relay.Refusal{Reason: "stranger",
 			Says: fmt.Sprintf("%d is no process of %q that this daemon keeps", a.Process, a.From)}
 	}
-	now := raftlog.Clock() // no later than the one by which the lease's age is counted
-	l, ok := d.seat.Asked(a.Process, a.From, a.Holds, a.Index)
+	now := raftlog.BootClockMillis() // no later than the one by which the lease's age is counted
+	l, ok := d.seat.RenewLease(a.Process, a.From, a.Holds, a.Index)
 	if !ok {
 		return nil, &relay.Refusal{Reason: "unconfirmed", Says: notConfirmed}
 	}
@@ -123,6 +123,6 @@
 		return nil, err
 	}
 	answer := *told
-	answer.Index = d.seat.Highest()
+	answer.Index = d.seat.HighestDiscoveryIndex()
 	return &answer, nil
 }
--- a/internal/versioned/golden_test.go
+++ b/internal/versioned/golden_test.go
@@ -59,19 +59,19 @@
 }
 
 func TestGoldenDelta(t *testing.T) {
-	d := Between(goldenFrom(), goldenTo())
-	if d.From.None() || d.To.None() || len(d.Set) != 2 || len(d.Drop) != 1 {
+	d := Diff(goldenFrom(), goldenTo())
+	if d.From.IsNone() || d.To.IsNone() || len(d.Set) != 2 || len(d.Delete) != 1 {
 		t.Fatalf("the delta has not all of its fields: %+v", d)
 	}
 	goldenValue(t, "delta.cbor.hex", *d)
-	goldenValue(t, "whole.cbor.hex", *Whole(goldenTo()))
-	goldenValue(t, "mark.cbor.hex", goldenTo().Mark())
+	goldenValue(t, "whole.cbor.hex", *FullDelta(goldenTo()))
+	goldenValue(t, "mark.cbor.hex", goldenTo().ID())
 	goldenValue(t, "entry.cbor.hex", Entry{Key: "c", Value: []byte("three")})
 }
 
 // Digests are compared between programs of two versions, so that their values are part of the form.
 func TestGoldenDigest(t *testing.T) {
-	one, from, to := Entry{Key: "c", Value: []byte("three")}.Digest(), goldenFrom().Mark(), goldenTo().Mark()
+	one, from, to := Entry{Key: "c", Value: []byte("three")}.Digest(), goldenFrom().ID(), goldenTo().ID()
 	for _, c := range []struct{ what, got, want string }{
 		{"entry", hex.EncodeToString(one[:]), "59070490f88cf1c23b423c09defb2d35"},
 		{"from", hex.EncodeToString(from.Digest[:]), "72a972c5d9d9e3e68b654f8dadd04699"},
--- a/internal/versioned/resource.go
+++ b/internal/versioned/resource.go
@@ -23,14 +23,14 @@
 type Digest [16]byte
 
 // Mark names a state: a number that its maker gives it, and its digest.
-type Mark struct {
+type VersionID struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 	Digest Digest
 }
 
 // None tells whether it names nothing: what one has that has no state.
-func (m Mark) None() bool { return m == Mark{} }
+func (m VersionID) IsNone() bool { return m == VersionID{} }
 
 // Entry is one entry of a state.
 type Entry struct {
@@ -52,19 +52,19 @@
 }
 
 // Plus adds an entry's digest, or that of a set which has none of the same entries. It wraps around.
-func (d Digest) Plus(o Digest) Digest {
+func (d Digest) Add(o Digest) Digest {
 	low, carry := bits.Add64(binary.BigEndian.Uint64(d[8:]), binary.BigEndian.Uint64(o[8:]), 0)
 	high, _ := bits.Add64(binary.BigEndian.Uint64(d[:8]), binary.BigEndian.Uint64(o[:8]), carry)
-	return join(high, low)
+	return digestFromHalves(high, low)
 }
 
-func (d Digest) minus(o Digest) Digest {
+func (d Digest) subtract(o Digest) Digest {
 	low, borrow := bits.Sub64(binary.BigEndian.Uint64(d[8:]), binary.BigEndian.Uint64(o[8:]), 0)
 	high, _ := bits.Sub64(binary.BigEndian.Uint64(d[:8]), binary.BigEndian.Uint64(o[:8]), borrow)
-	return join(high, low)
+	return digestFromHalves(high, low)
 }
 
-func join(high, low uint64) (d Digest) {
+func digestFromHalves(high, low uint64) (d Digest) {
 	binary.BigEndian.PutUint64(d[:8], high)
 	binary.BigEndian.PutUint64(d[8:], low)
 	return d
@@ -72,31 +72,31 @@
 
 // State is an immutable set of entries; nil is an empty one that has no mark. Safe for concurrent use.
 type State struct {
-	mark  Mark
-	tree  *iradix.Tree[[]byte]
-	bytes int
+	versionID VersionID
+	entries   *iradix.Tree[[]byte]
+	size      int
 }
 
 // Why a delta can't be applied.
 var (
-	ErrBase   = errors.New("the delta is against another state than this")
-	ErrDigest = errors.New("the digest of the result is not the delta's")
+	ErrBaseMismatch   = errors.New("the delta is against another state than this")
+	ErrDigestMismatch = errors.New("the digest of the result is not the delta's")
 )
 
 // New makes a state of entries; of two with one key the later one holds. Their values are kept, not copied.
 func New(number uint64, all []Entry) *State {
-	s := (&State{tree: iradix.New[[]byte]()}).with(all, nil)
-	s.mark.Number = number
+	s := (&State{entries: iradix.New[[]byte]()}).withChanges(all, nil)
+	s.versionID.Number = number
 	return s
 }
 
 // with is the state with some entries set and some dropped, under the same number.
-func (s *State) with(set []Entry, drop []string) *State {
-	t := s.tree.Txn()
-	mark, size := s.mark, s.bytes
+func (s *State) withChanges(set []Entry, drop []string) *State {
+	t := s.entries.Txn()
+	mark, size := s.versionID, s.size
 	gone := func(key string, value []byte, was bool) {
 		if was {
-			mark.Digest = mark.Digest.minus(Entry{Key: key, Value: value}.Digest())
+			mark.Digest = mark.Digest.subtract(Entry{Key: key, Value: value}.Digest())
 			size -= len(key) + len(value)
 		}
 	}
@@ -107,18 +107,18 @@
 	for _, e := range set {
 		old, was := t.Insert([]byte(e.Key), e.Value)
 		gone(e.Key, old, was)
-		mark.Digest = mark.Digest.Plus(e.Digest())
+		mark.Digest = mark.Digest.Add(e.Digest())
 		size += len(e.Key) + len(e.Value)
 	}
-	return &State{mark: mark, tree: t.Commit(), bytes: size}
+	return &State{versionID: mark, entries: t.Commit(), size: size}
 }
 
 // Mark names the state.
-func (s *State) Mark() Mark {
+func (s *State) ID() VersionID {
 	if s == nil {
-		return Mark{}
+		return VersionID{}
 	}
-	return s.mark
+	return s.versionID
 }
 
 // Len is how many entries there are.
@@ -126,7 +126,7 @@
 	if s == nil {
 		return 0
 	}
-	return s.tree.Len()
+	return s.entries.Len()
 }
 
 // Bytes is the size of all keys and values.
@@ -134,7 +134,7 @@
 	if s == nil {
 		return 0
 	}
-	return s.bytes
+	return s.size
 }
 
 // Get gives the value of a key; it is not to be changed.
@@ -142,7 +142,7 @@
 	if s == nil {
 		return nil, false
 	}
-	return s.tree.Get([]byte(key))
+	return s.entries.Get([]byte(key))
 }
 
 // All gives the entries in the order of their keys.
@@ -154,7 +154,7 @@
 		if s == nil {
 			return
 		}
-		it := s.tree.Root().Iterator()
+		it := s.entries.Root().Iterator()
 		it.SeekPrefix([]byte(p))
 		for k, v, ok := it.Next(); ok; k, v, ok = it.Next() {
 			if !yield(string(k), v) {
@@ -167,9 +167,9 @@
 // Delta is what makes one state of another. From none: it is a whole state.
 type Delta struct {
 	_        struct{} `cbor:",toarray"`
-	From, To Mark
+	From, To VersionID
 	Set      []Entry
-	Drop     []string
+	Delete   []string
 }
 
 // Bytes is the size of its keys and values.
@@ -178,24 +178,24 @@
 	for _, e := range d.Set {
 		n += len(e.Key) + len(e.Value)
 	}
-	for _, k := range d.Drop {
+	for _, k := range d.Delete {
 		n += len(k)
 	}
 	return n
 }
 
 // Whole is a state as a delta against nothing.
-func Whole(to *State) *Delta { return Between(nil, to) }
+func FullDelta(to *State) *Delta { return Diff(nil, to) }
 
 // Between is the delta that makes to of from; it costs one pass over both.
-func Between(from, to *State) *Delta {
-	d := &Delta{From: from.Mark(), To: to.Mark()}
+func Diff(from, to *State) *Delta {
+	d := &Delta{From: from.ID(), To: to.ID()}
 	next, stop := iter.Pull2(from.All())
 	defer stop()
 	k, v, more := next()
 	for key, value := range to.All() {
 		for more && k < key {
-			d.Drop = append(d.Drop, k)
+			d.Delete = append(d.Delete, k)
 			k, v, more = next()
 		}
 		if more && k == key {
@@ -208,7 +208,7 @@
 		d.Set = append(d.Set, Entry{Key: key, Value: value})
 	}
 	for ; more; k, v, more = next() {
-		d.Drop = append(d.Drop, k)
+		d.Delete = append(d.Delete, k)
 	}
 	return d
 }
@@ -218,21 +218,21 @@
 // and no result: ErrBase, or ErrDigest. The delta's values are kept, not copied.
 func (s *State) Apply(d *Delta) (*State, error) {
 	base := s
-	if d.From.None() {
+	if d.From.IsNone() {
 		base = nil
 	}
-	if base.Mark() != d.From {
-		return nil, fmt.Errorf("%w: it has %v, not %v", ErrBase, base.Mark(), d.From)
+	if base.ID() != d.From {
+		return nil, fmt.Errorf("%w: it has %v, not %v", ErrBaseMismatch, base.ID(), d.From)
 	}
 	if base == nil {
 		base = New(0, nil)
 	}
-	to := base.with(d.Set, d.Drop)
-	if to.mark.Number = d.To.Number; to.mark != d.To {
-		return nil, fmt.Errorf("%w: it is %v, not %v", ErrDigest, to.mark, d.To)
+	to := base.withChanges(d.Set, d.Delete)
+	if to.versionID.Number = d.To.Number; to.versionID != d.To {
+		return nil, fmt.Errorf("%w: it is %v, not %v", ErrDigestMismatch, to.versionID, d.To)
 	}
 	return to, nil
 }
 
 // String is a mark as logs have it.
-func (m Mark) String() string { return fmt.Sprintf("%d-%x", m.Number, m.Digest[:6]) }
+func (m VersionID) String() string { return fmt.Sprintf("%d-%x", m.Number, m.Digest[:6]) }
