--- a/internal/ruleset/version_state_test.go
+++ b/internal/ruleset/version_state_test.go
@@ -50,7 +50,7 @@
 		if got, err := VersionFromState(s); err != nil || !reflect.DeepEqual(got, v) {
 			t.Fatalf("%v\n%+v\n%+v", err, got, v)
 		}
-		if again, _ := VersionToState(&v); again.Mark() != s.Mark() || s.Mark().Number != 7 {
+		if again, _ := VersionToState(&v); again.ID() != s.ID() || s.ID().Number != 7 {
 			t.Fatal("the same has another mark")
 		}
 		if l := StateLeaseMillis(s); l != v.Rules.LeaseMillis {
@@ -85,7 +85,7 @@
 		host := Interest{Host: "h1", Around: in.Around}
 		for _, m := range v.Rules.Members {
 			own := Interest{Name: m.Name, Around: in.Around}
-			if m.Host == "h1" && Select(Select(s, host), own).Mark() != Select(s, own).Mark() {
+			if m.Host == "h1" && Select(Select(s, host), own).ID() != Select(s, own).ID() {
 				t.Fatal("a part of a part is another")
 			}
 		}
@@ -102,8 +102,8 @@
 	b.Members[501] = Member{}
 	x, _ := VersionToState(&Version{Number: 1, Rules: *a})
 	y, _ := VersionToState(&Version{Number: 2, Rules: *b})
-	d := versioned.Between(x, y)
-	if len(d.Set) != 1 || !slices.Equal(d.Drop, []string{"member/000501"}) {
+	d := versioned.Diff(x, y)
+	if len(d.Set) != 1 || !slices.Equal(d.Delete, []string{"member/000501"}) {
 		t.Errorf("%+v", d)
 	}
 }
@@ -238,19 +238,19 @@
 			Around: rapid.IntRange(0, 9).Draw(t, "around")}
 		from, to := NewStateIndex(x).Subset(in), NewStateIndex(y).Subset(in)
 		for _, p := range []*StateSubset{from, to} {
-			if s := p.State(); s.Mark() != p.Mark() || s.Bytes() != p.Bytes() {
-				t.Fatalf("%v of %d bytes, and its state is %v of %d", p.Mark(), p.Bytes(), s.Mark(), s.Bytes())
+			if s := p.State(); s.ID() != p.Mark() || s.Bytes() != p.Bytes() {
+				t.Fatalf("%v of %d bytes, and its state is %v of %d", p.Mark(), p.Bytes(), s.ID(), s.Bytes())
 			}
 		}
-		if got, err := from.State().Apply(to.DeltaFrom(from)); err != nil || got.Mark() != to.Mark() {
+		if got, err := from.State().Apply(to.DeltaFrom(from)); err != nil || got.ID() != to.Mark() {
 			t.Fatal(err)
 		}
-		d, want := to.DeltaFrom(from), versioned.Between(from.State(), to.State())
-		if len(d.Set) != len(want.Set) || len(d.Drop) != len(want.Drop) {
+		d, want := to.DeltaFrom(from), versioned.Diff(from.State(), to.State())
+		if len(d.Set) != len(want.Set) || len(d.Delete) != len(want.Delete) {
 			t.Fatalf("%+v, not %+v", d, want)
 		}
 		var none *StateSubset
-		if got, err := none.State().Apply(to.DeltaFrom(none)); err != nil || got.Mark() != to.Mark() {
+		if got, err := none.State().Apply(to.DeltaFrom(none)); err != nil || got.ID() != to.Mark() {
 			t.Fatal(err)
 		}
 	})
