--- a/internal/ruleset/version_state.go
+++ b/internal/ruleset/version_state.go
@@ -137,7 +137,7 @@
 			return Version{}, fmt.Errorf("%s: %d are not from 0 to %d", limit.key, limit.have, limit.max)
 		}
 	}
-	version := Version{Number: s.Mark().Number, Rules: Rules{Format: header.Format, Needs: header.Needs,
+	version := Version{Number: s.ID().Number, Rules: Rules{Format: header.Format, Needs: header.Needs,
 		LeaseMillis:         header.LeaseMillis,
 		ConflictBoundMillis: header.ConflictBoundMillis, Fallback: header.Fallback}}
 	rules := &version.Rules
@@ -237,7 +237,7 @@
 		entry := versioned.Entry{Key: key, Value: raw}
 		if !strings.HasPrefix(key, memberKey) {
 			x.common = append(x.common, entry)
-			x.commonDigest, x.commonBytes = x.commonDigest.Plus(entry.Digest()), x.commonBytes+len(key)+len(raw)
+			x.commonDigest, x.commonBytes = x.commonDigest.Add(entry.Digest()), x.commonBytes+len(key)+len(raw)
 			continue
 		}
 		i, err := parseIndexedKey(memberKey, memberDigits, key, x.memberCount)
@@ -256,7 +256,7 @@
 	index         *StateIndex
 	all           bool    // it is the state itself, whatever is in it
 	memberIndexes []int32 // of those that it has, in their order
-	mark          versioned.Mark
+	mark          versioned.VersionID
 	bytes         int
 }
 
@@ -266,7 +266,7 @@
 	subset := &StateSubset{index: x}
 	switch i, found := x.indexByName[interest.Name]; {
 	case interest.All:
-		subset.all, subset.mark, subset.bytes = true, x.state.Mark(), x.state.Bytes()
+		subset.all, subset.mark, subset.bytes = true, x.state.ID(), x.state.Bytes()
 		return subset
 	case found && interest.Name != "":
 		subset.addNeighbours(i, interest.Around)
@@ -278,11 +278,11 @@
 	}
 	slices.Sort(subset.memberIndexes)
 	subset.memberIndexes = slices.Compact(subset.memberIndexes)
-	subset.mark, subset.bytes = versioned.Mark{Number: x.state.Mark().Number, Digest: x.commonDigest},
+	subset.mark, subset.bytes = versioned.VersionID{Number: x.state.ID().Number, Digest: x.commonDigest},
 		x.commonBytes
 	for _, i := range subset.memberIndexes {
 		entry := x.members[i]
-		subset.mark.Digest, subset.bytes = subset.mark.Digest.Plus(x.memberDigests[i]),
+		subset.mark.Digest, subset.bytes = subset.mark.Digest.Add(x.memberDigests[i]),
 			subset.bytes+len(entry.Key)+len(entry.Value)
 	}
 	return subset
@@ -300,9 +300,9 @@
 }
 
 // Mark names the part; nil has none.
-func (p *StateSubset) Mark() versioned.Mark {
+func (p *StateSubset) Mark() versioned.VersionID {
 	if p == nil {
-		return versioned.Mark{}
+		return versioned.VersionID{}
 	}
 	return p.mark
 }
@@ -338,7 +338,7 @@
 // Since is the delta that makes the part of another one, or of nothing where that is nil.
 func (p *StateSubset) DeltaFrom(from *StateSubset) *versioned.Delta {
 	if p.all || from != nil && from.all {
-		return versioned.Between(from.State(), p.State())
+		return versioned.Diff(from.State(), p.State())
 	}
 	delta := &versioned.Delta{From: from.Mark(), To: p.mark}
 	if from == nil {
@@ -346,12 +346,12 @@
 		return delta
 	}
 	if from.index != p.index {
-		delta.Set, delta.Drop = appendChanges(delta.Set, delta.Drop, from.index.common, p.index.common)
+		delta.Set, delta.Delete = appendChanges(delta.Set, delta.Delete, from.index.common, p.index.common)
 	}
 	previous := from.memberIndexes
 	for _, i := range p.memberIndexes {
 		for ; len(previous) > 0 && previous[0] < i; previous = previous[1:] {
-			delta.Drop = append(delta.Drop, from.index.members[previous[0]].Key)
+			delta.Delete = append(delta.Delete, from.index.members[previous[0]].Key)
 		}
 		unchanged := len(previous) > 0 && previous[0] == i
 		if unchanged {
@@ -362,7 +362,7 @@
 		}
 	}
 	for _, i := range previous {
-		delta.Drop = append(delta.Drop, from.index.members[i].Key)
+		delta.Delete = append(delta.Delete, from.index.members[i].Key)
 	}
 	return delta
 }
