--- a/internal/serving/agent/agent.go
+++ b/internal/serving/agent/agent.go
@@ -146,7 +146,7 @@
 	a.mu.Unlock()
 	var providers []watch.Provider
 	known := map[string]bool{}
-	for _, entry := range a.mirror.Of(catalog.Cores) {
+	for _, entry := range a.mirror.EntriesOf(catalog.Cores) {
 		core := entry.Record.GetCore()
 		if core == nil || entry.Record.Deleted || known[core.Address] {
 			continue
--- a/internal/serving/catalog/catalog.go
+++ b/internal/serving/catalog/catalog.go
@@ -1,11 +1,3 @@
-// Package catalog holds what is told of workers, edges and cores: records that several replicas write,
-// merged without agreement. Each writer (origin) counts its writes; a version vector of these counts says
-// what a holder has seen, so that another can send just what is missing (Parker et al., "Detection of
-// Mutual Inconsistency in Distributed Systems", 1983; the pull of missing updates as in Petersen et al.,
-// "Flexible Update Propagation", 1997).
-//
-// Which of two versions of a key is newer is said by their order, a number that the described party counts
-// itself. The package has no I/O, clock or goroutines, and is not safe for concurrent use.
 package catalog
 
 import (
@@ -18,17 +10,19 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// Final is the order of a record that nothing follows: the incarnation of a worker that has deregistered.
-const Final = 1<<63 - 1
+// FinalOrder is the Order of a record that no later version follows: that of a worker's incarnation that
+// has deregistered.
+const FinalOrder = 1<<63 - 1
 
-// tombstoneLife is how long a deletion is kept, so that holders that were away hear of it.
-const tombstoneLife = 5 * time.Minute
+// tombstoneRetention is how long a deletion is kept, so that replicas that were unreachable receive it.
+const tombstoneRetention = 5 * time.Minute
 
-// Entry is a record as this holder keeps it.
+// Entry is a record with what this replica knows of it beside its content. Times are on this replica's
+// clock.
 type Entry struct {
-	Record    *wirepb.Record
-	ColdUntil time.Duration // workers: on the holder's clock
-	Merged    time.Duration // when this version came
+	Record       *wirepb.Record
+	WarmingUntil time.Duration // workers: the end of the slow start; not after ReceivedAt where there is none
+	ReceivedAt   time.Duration // when this version was published or merged here
 }
 
 // Kind is what a record describes.
@@ -42,7 +36,8 @@
 	kinds
 )
 
-// kindOf tells a record's kind by its value.
+// kindOf returns a record's kind, which the type of its value says. A record without a value, as deletions
+// of workers are, is one of a worker.
 func kindOf(record *wirepb.Record) Kind {
 	switch record.Value.(type) {
 	case *wirepb.Record_Edge:
@@ -53,22 +48,22 @@
 	return Workers
 }
 
-// Catalog is one holder's copy.
+// Catalog is one replica of the table.
 type Catalog struct {
-	origin    string
-	vector    map[string]uint64
-	entries   map[string]*Entry
-	byKind    [kinds]map[string]*Entry
-	byAddress map[string]map[string]*Entry // workers
-	written   map[string]*writes           // by origin
+	origin    string                       // of this replica's own writes
+	vector    map[string]uint64            // by origin: the sequence up to which all its writes were received
+	entries   map[string]*Entry            // by key, tombstones included
+	byKind    [kinds]map[string]*Entry     // the same entries, by kind and key
+	byAddress map[string]map[string]*Entry // workers' entries, by address and key
+	logs      map[string]*originLog        // by origin: its writes that are current here
 }
 
-// New makes an empty catalog. origin must be new with each life of the process; holders that write nothing
-// pass "".
+// New returns an empty catalog. origin must be unique to the incarnation of the process; replicas that
+// write nothing pass "".
 func New(origin string) *Catalog {
 	c := &Catalog{
 		origin: origin, vector: map[string]uint64{}, entries: map[string]*Entry{},
-		byAddress: map[string]map[string]*Entry{}, written: map[string]*writes{},
+		byAddress: map[string]map[string]*Entry{}, logs: map[string]*originLog{},
 	}
 	for kind := range c.byKind {
 		c.byKind[kind] = map[string]*Entry{}
@@ -85,22 +80,22 @@
 // CoreKey returns the key of a core's record.
 func CoreKey(replica string) string { return "core/" + replica }
 
-// Get returns the entry of key, deleted ones included, or nil.
+// Get returns the entry of key, a tombstone too, or nil.
 func (c *Catalog) Get(key string) *Entry { return c.entries[key] }
 
-// Entries returns all entries in the order of their keys, deleted ones included.
-func (c *Catalog) Entries() []*Entry { return sorted(c.entries) }
+// Entries returns all entries in the order of their keys, tombstones included.
+func (c *Catalog) Entries() []*Entry { return sortedByKey(c.entries) }
 
-// Of returns the entries of one kind in the order of their keys, deleted ones included.
-func (c *Catalog) Of(kind Kind) []*Entry { return sorted(c.byKind[kind]) }
+// EntriesOf returns the entries of one kind in the order of their keys, tombstones included.
+func (c *Catalog) EntriesOf(kind Kind) []*Entry { return sortedByKey(c.byKind[kind]) }
 
-// AtAddress returns the workers at an address that are not deleted.
-func (c *Catalog) AtAddress(address string) []*Entry {
-	list := sorted(c.byAddress[address])
-	return slices.DeleteFunc(list, func(entry *Entry) bool { return entry.Record.Deleted })
+// WorkersAtAddress returns the workers at an address that are not deleted, in the order of their keys.
+func (c *Catalog) WorkersAtAddress(address string) []*Entry {
+	workers := sortedByKey(c.byAddress[address])
+	return slices.DeleteFunc(workers, func(entry *Entry) bool { return entry.Record.Deleted })
 }
 
-func sorted(entries map[string]*Entry) []*Entry {
+func sortedByKey(entries map[string]*Entry) []*Entry {
 	list := make([]*Entry, 0, len(entries))
 	for _, key := range slices.Sorted(maps.Keys(entries)) {
 		list = append(list, entries[key])
@@ -108,24 +103,25 @@
 	return list
 }
 
-// Vector returns a copy of what has been seen of each origin. An origin of which something is held, but not
-// all that comes before it, stands there with what is complete.
+// Vector returns a copy of the version vector: for each origin the sequence up to which all its writes were
+// received. An origin of which later writes alone were received is in it too, with 0, so that the receiver
+// does not take it for an unknown one.
 func (c *Catalog) Vector() *wirepb.VersionVector {
 	sequences := maps.Clone(c.vector)
-	for origin, written := range c.written {
-		if _, known := sequences[origin]; !known && written.live > 0 {
+	for origin, log := range c.logs {
+		if _, known := sequences[origin]; !known && log.current > 0 {
 			sequences[origin] = 0
 		}
 	}
 	return &wirepb.VersionVector{Sequences: sequences}
 }
 
-// Publish writes a version of a record, and returns it, or nil where a version at least as new is held. Of
-// the same order, a deletion alone is newer: of two writers, all holders must come to choose the same one.
+// Publish writes a version of a record under this replica's origin and returns it with its sequence, or nil
+// where the catalog has a version that is at least as new. Of the same order only a deletion replaces what is
+// there: of two writers with one order, all replicas must come to choose the same version, by newer.
 func (c *Catalog) Publish(now time.Duration, record *wirepb.Record) *wirepb.Record {
-	held := c.entries[record.Key]
-	if held != nil && !(record.Order > held.Record.Order ||
-		record.Order == held.Record.Order && record.Deleted && !held.Record.Deleted) {
+	existing := c.entries[record.Key]
+	if existing != nil && !mayReplace(record, existing.Record) {
 		return nil
 	}
 	c.vector[c.origin]++
@@ -135,13 +131,18 @@
 	return record
 }
 
-// Merge takes records and the vector of their sender, and returns the entries that changed. Records that
-// come without a vector count as seen only where nothing of their origin is missing before them: else the
-// gap would never be asked for.
+// mayReplace reports whether a replica may publish a in place of b.
+func mayReplace(a, b *wirepb.Record) bool {
+	return a.Order > b.Order || a.Order == b.Order && a.Deleted && !b.Deleted
+}
+
+// Merge adds the records of another replica and returns the entries that changed. vector is the sender's
+// version vector, or nil for records that were pushed one by one: these raise this replica's vector only
+// where no earlier write of their origin is missing, since a gap would otherwise never be pulled.
 func (c *Catalog) Merge(now time.Duration, records []*wirepb.Record, vector *wirepb.VersionVector) []*Entry {
 	var changed []*Entry
 	for _, record := range records {
-		if held := c.entries[record.Key]; held == nil || newer(record, held.Record) {
+		if existing := c.entries[record.Key]; existing == nil || newer(record, existing.Record) {
 			changed = append(changed, c.put(now, record))
 		}
 		if record.Sequence == c.vector[record.Origin]+1 {
@@ -154,7 +155,8 @@
 	return changed
 }
 
-// newer reports whether a replaces b. It is the same at each holder, whatever the order of arrival.
+// newer reports whether a replaces b. It is a total order, so that all replicas choose the same version
+// whatever the order of arrival.
 func newer(a, b *wirepb.Record) bool {
 	if a.Order != b.Order {
 		return a.Order > b.Order
@@ -168,10 +170,11 @@
 	return a.Sequence > b.Sequence
 }
 
+// put makes record the current version of its key.
 func (c *Catalog) put(now time.Duration, record *wirepb.Record) *Entry {
-	entry := &Entry{Record: record, Merged: now}
+	entry := &Entry{Record: record, ReceivedAt: now}
 	if worker := record.GetWorker(); worker != nil {
-		entry.ColdUntil = now + time.Duration(worker.ColdRemainingMs)*time.Millisecond
+		entry.WarmingUntil = now + time.Duration(worker.ColdRemainingMs)*time.Millisecond
 	}
 	c.remove(record.Key)
 	c.entries[record.Key] = entry
@@ -182,14 +185,15 @@
 		}
 		c.byAddress[address][record.Key] = entry
 	}
-	if c.written[record.Origin] == nil {
-		c.written[record.Origin] = &writes{}
+	if c.logs[record.Origin] == nil {
+		c.logs[record.Origin] = &originLog{}
 	}
-	c.written[record.Origin].add(record.Sequence, record.Key)
+	c.logs[record.Origin].add(record.Sequence, record.Key)
 	return entry
 }
 
-// remove takes an entry out of all indexes but the writes, which leave out what is no longer held.
+// remove removes an entry from all indexes. Its origin's log keeps the write until it is compacted; reads of
+// the log skip it.
 func (c *Catalog) remove(key string) {
 	entry := c.entries[key]
 	if entry == nil {
@@ -203,68 +207,62 @@
 			delete(c.byAddress, address)
 		}
 	}
-	c.written[entry.Record.Origin].live--
+	c.logs[entry.Record.Origin].current--
 }
 
-// Since returns the records that a holder of vector lacks. Times are told as they stand now.
+// Since returns the current records that a replica with that version vector lacks, ordered by origin and
+// sequence. Remaining slow start times are those at now.
 func (c *Catalog) Since(now time.Duration, vector *wirepb.VersionVector) []*wirepb.Record {
 	var records []*wirepb.Record
-	for _, origin := range slices.Sorted(maps.Keys(c.written)) {
-		for _, key := range c.written[origin].after(vector.GetSequences()[origin], c.holds(origin)) {
-			records = append(records, told(now, c.entries[key]))
+	for _, origin := range slices.Sorted(maps.Keys(c.logs)) {
+		for _, key := range c.logs[origin].after(vector.GetSequences()[origin], c.isCurrent(origin)) {
+			records = append(records, recordAt(now, c.entries[key]))
 		}
 	}
 	return records
 }
 
-// holds tells whether a write of an origin is still the held version of its key.
-func (c *Catalog) holds(origin string) func(sequence uint64, key string) bool {
+// isCurrent returns a function that reports whether a write of origin is still the current version of its
+// key.
+func (c *Catalog) isCurrent(origin string) func(sequence uint64, key string) bool {
 	return func(sequence uint64, key string) bool {
 		entry := c.entries[key]
 		return entry != nil && entry.Record.Origin == origin && entry.Record.Sequence == sequence
 	}
 }
 
-// Covered reports whether a holder of vector lacks nothing.
-func (c *Catalog) Covered(vector *wirepb.VersionVector) bool {
-	for origin, sequence := range c.vector {
-		if vector.GetSequences()[origin] < sequence {
-			return false
-		}
-	}
-	return true
-}
-
-func told(now time.Duration, entry *Entry) *wirepb.Record {
+// recordAt returns the record to send at now: where it is that of a worker in slow start, a copy with the
+// remaining time.
+func recordAt(now time.Duration, entry *Entry) *wirepb.Record {
 	worker := entry.Record.GetWorker()
 	if worker == nil || worker.ColdRemainingMs == 0 {
 		return entry.Record
 	}
 	record := proto.Clone(entry.Record).(*wirepb.Record)
-	remaining := (entry.ColdUntil - now + time.Millisecond - 1) / time.Millisecond
+	remaining := (entry.WarmingUntil - now + time.Millisecond - 1) / time.Millisecond
 	record.GetWorker().ColdRemainingMs = int64(max(remaining, 0))
 	return record
 }
 
-// Expire forgets deletions that are old.
-func (c *Catalog) Expire(now time.Duration) {
+// ExpireTombstones removes the tombstones that are older than tombstoneRetention.
+func (c *Catalog) ExpireTombstones(now time.Duration) {
 	for key, entry := range c.entries {
-		if entry.Record.Deleted && now-entry.Merged > tombstoneLife {
+		if entry.Record.Deleted && now-entry.ReceivedAt > tombstoneRetention {
 			c.remove(key)
 		}
 	}
 }
 
-// DropUnknownOrigins removes the records whose writer a settled provider does not know: they were written
-// by an earlier life of the core, and nobody has told of their subjects since. It returns whether any was
-// removed.
-func (c *Catalog) DropUnknownOrigins(provider *wirepb.VersionVector) bool {
+// DropUnknownOrigins removes the records whose origin is missing in the version vector of a synced provider:
+// they were written by an earlier incarnation of the core, and nobody has reported their subjects since. It
+// reports whether any record was removed.
+func (c *Catalog) DropUnknownOrigins(providerVector *wirepb.VersionVector) bool {
 	removed := false
-	for origin, written := range c.written {
-		if _, known := provider.GetSequences()[origin]; known || written.live == 0 {
+	for origin, log := range c.logs {
+		if _, known := providerVector.GetSequences()[origin]; known || log.current == 0 {
 			continue
 		}
-		for _, key := range written.after(0, c.holds(origin)) {
+		for _, key := range log.after(0, c.isCurrent(origin)) {
 			c.remove(key)
 			removed = true
 		}
--- a/internal/serving/catalog/catalog_test.go
+++ b/internal/serving/catalog/catalog_test.go
@@ -10,43 +10,42 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-func workerRecord(instance string, order uint64, cold time.Duration) *wirepb.Record {
-	worker := &wirepb.Worker{InstanceId: instance, ColdRemainingMs: cold.Milliseconds()}
+func workerRecord(instance string, order uint64, warming time.Duration) *wirepb.Record {
+	worker := &wirepb.Worker{InstanceId: instance, ColdRemainingMs: warming.Milliseconds()}
 	return &wirepb.Record{Key: WorkerKey(instance), Order: order, Value: &wirepb.Record_Worker{Worker: worker}}
 }
 
-// TestHoldersConverge lets three writers publish and hand over in drawn orders: all end with the same
-// records.
-func TestHoldersConverge(t *testing.T) {
+// TestReplicasConverge lets three replicas publish and pull in random orders: all end with the same records.
+func TestReplicasConverge(t *testing.T) {
 	for seed := range int64(300) {
 		random := rand.New(rand.NewSource(seed))
-		holders := []*Catalog{New("a"), New("b"), New("c")}
+		replicas := []*Catalog{New("a"), New("b"), New("c")}
 		for range 60 {
-			holder := holders[random.Intn(3)]
+			replica := replicas[random.Intn(3)]
 			if random.Intn(2) == 0 {
 				record := workerRecord(string(rune('p'+random.Intn(4))), uint64(random.Intn(20)), 0)
 				record.Deleted = random.Intn(5) == 0
-				holder.Publish(0, record)
+				replica.Publish(0, record)
 			} else {
-				pull(holder, holders[random.Intn(3)])
+				pull(replica, replicas[random.Intn(3)])
 			}
 		}
 		for range 3 {
-			for _, to := range holders {
-				for _, from := range holders {
+			for _, to := range replicas {
+				for _, from := range replicas {
 					pull(to, from)
 				}
 			}
 		}
-		for _, other := range holders[1:] {
-			compare(t, seed, holders[0], other)
+		for _, other := range replicas[1:] {
+			requireEqual(t, seed, replicas[0], other)
 		}
 	}
 }
 
 func pull(to, from *Catalog) { to.Merge(0, from.Since(0, to.Vector()), from.Vector()) }
 
-func compare(t *testing.T, seed int64, x, y *Catalog) {
+func requireEqual(t *testing.T, seed int64, x, y *Catalog) {
 	t.Helper()
 	a, b := x.Entries(), y.Entries()
 	if len(a) != len(b) {
@@ -58,48 +57,48 @@
 		}
 	}
 	if len(x.Since(0, y.Vector())) > 0 {
-		t.Fatalf("seed %d: something is still to be told", seed)
+		t.Fatalf("seed %d: something is still missing", seed)
 	}
 }
 
-func TestLateHeartbeatChangesNothing(t *testing.T) {
+func TestOlderOrderIsRejected(t *testing.T) {
 	c := New("a")
 	c.Publish(0, workerRecord("w", 9, 0))
 	if c.Publish(0, workerRecord("w", 8, 0)) != nil {
-		t.Error("an older order was taken")
+		t.Error("an older order was published")
 	}
-	c.Publish(0, &wirepb.Record{Key: WorkerKey("w"), Order: Final, Deleted: true})
+	c.Publish(0, &wirepb.Record{Key: WorkerKey("w"), Order: FinalOrder, Deleted: true})
 	if c.Publish(0, workerRecord("w", 100, 0)) != nil {
-		t.Error("an incarnation that has left came back")
+		t.Error("an incarnation that has deregistered came back")
 	}
 }
 
-func TestColdTimeIsToldAsItStands(t *testing.T) {
+func TestRemainingSlowStartIsSent(t *testing.T) {
 	from, to := New("a"), New("")
 	from.Publish(time.Second, workerRecord("w", 1, 3*time.Second))
 	to.Merge(50*time.Second, from.Since(2*time.Second, to.Vector()), from.Vector())
-	if got := to.Get(WorkerKey("w")).ColdUntil; got != 52*time.Second {
-		t.Errorf("cold until %v by the holder's clock", got)
+	if got := to.Get(WorkerKey("w")).WarmingUntil; got != 52*time.Second {
+		t.Errorf("warming until %v by the receiver's clock", got)
 	}
 }
 
 func TestUnknownOriginsAreDropped(t *testing.T) {
-	before, after, holder := New("core/1"), New("core/2"), New("")
+	before, after, replica := New("core/1"), New("core/2"), New("")
 	before.Publish(0, workerRecord("gone", 1, 0))
 	before.Publish(0, workerRecord("alive", 1, 0))
-	pull(holder, before)
+	pull(replica, before)
 	after.Publish(0, workerRecord("alive", 5, 0))
-	pull(holder, after)
-	if !holder.DropUnknownOrigins(after.Vector()) || holder.Get(WorkerKey("gone")) != nil {
-		t.Error("a worker that nobody tells of any more was kept")
+	pull(replica, after)
+	if !replica.DropUnknownOrigins(after.Vector()) || replica.Get(WorkerKey("gone")) != nil {
+		t.Error("a worker that nobody reports any more was kept")
 	}
-	if holder.Get(WorkerKey("alive")) == nil {
+	if replica.Get(WorkerKey("alive")) == nil {
 		t.Error("a worker that lives was dropped")
 	}
 }
 
-// TestLostPushIsAskedFor pushes single records, of which one is lost: the holder's vector has to show it.
-func TestLostPushIsAskedFor(t *testing.T) {
+// TestLostPushIsPulled pushes single records, of which one is lost: the receiver's vector has to show it.
+func TestLostPushIsPulled(t *testing.T) {
 	from, to := New("a"), New("b")
 	var pushed []*wirepb.Record
 	for _, instance := range []string{"p", "q", "r"} {
@@ -108,7 +107,7 @@
 	to.Merge(0, pushed[:1], nil)
 	to.Merge(0, pushed[2:], nil)
 	if to.Get(WorkerKey("r")) == nil {
-		t.Error("a record that came was not taken")
+		t.Error("a record that was received was not merged")
 	}
 	pull(to, from)
 	if to.Get(WorkerKey("q")) == nil {
@@ -116,13 +115,14 @@
 	}
 }
 
-// TestHeldOriginsAreKnown holds a record without what its writer wrote before: who is told must not drop it.
-func TestHeldOriginsAreKnown(t *testing.T) {
-	from, between, holder := New("a"), New("b"), New("")
+// TestOriginsWithGapsAreKnown has a provider that received a later write of an origin alone: its subscriber
+// must not drop that record.
+func TestOriginsWithGapsAreKnown(t *testing.T) {
+	from, provider, replica := New("a"), New("b"), New("")
 	from.Publish(0, workerRecord("p", 1, 0))
-	between.Merge(0, []*wirepb.Record{from.Publish(0, workerRecord("q", 1, 0))}, nil)
-	pull(holder, between)
-	if holder.DropUnknownOrigins(between.Vector()) || holder.Get(WorkerKey("q")) == nil {
-		t.Error("a record was dropped that its provider holds")
+	provider.Merge(0, []*wirepb.Record{from.Publish(0, workerRecord("q", 1, 0))}, nil)
+	pull(replica, provider)
+	if replica.DropUnknownOrigins(provider.Vector()) || replica.Get(WorkerKey("q")) == nil {
+		t.Error("a record was dropped that its provider has")
 	}
 }
--- a/internal/serving/catalog/originlog.go
+++ b/internal/serving/catalog/originlog.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// compactAt is how many writes are kept before those that are no longer held are dropped.
-const compactAt = 64
+// compactionThreshold is the length up to which a log is left with its writes that are no longer current.
+const compactionThreshold = 64
 
-// writes lists the writes of one origin in the order of their sequences, so that what a holder lacks is
-// found without a look at all records.
-type writes struct {
-	list []write
-	live int // of list, those that are held
+// originLog lists the writes of one origin in the order of their sequences, so that what a replica lacks is
+// found without a scan of all records.
+type originLog struct {
+	writes  []write
+	current int // how many of writes are the current versions of their keys
 }
 
 type write struct {
@@ -20,39 +20,43 @@
 	key      string
 }
 
-func (w *writes) find(sequence uint64) (int, bool) {
-	return slices.BinarySearchFunc(w.list, sequence, func(x write, s uint64) int {
-		return cmp.Compare(x.sequence, s)
+// find returns the index of the write with that sequence, or the one at which it would be inserted.
+func (l *originLog) find(sequence uint64) (int, bool) {
+	return slices.BinarySearchFunc(l.writes, sequence, func(w write, wanted uint64) int {
+		return cmp.Compare(w.sequence, wanted)
 	})
 }
 
-// add notes a write that is held now. Most come in order.
-func (w *writes) add(sequence uint64, key string) {
-	w.live++
-	at, known := w.find(sequence)
-	if known {
-		w.list[at].key = key
+// add adds a write that is the current version of its key now. Most arrive in the order of their sequences.
+func (l *originLog) add(sequence uint64, key string) {
+	l.current++
+	index, found := l.find(sequence)
+	if found {
+		l.writes[index].key = key
 		return
 	}
-	w.list = slices.Insert(w.list, at, write{sequence: sequence, key: key})
+	l.writes = slices.Insert(l.writes, index, write{sequence: sequence, key: key})
 }
 
-// after returns the keys of the held writes behind a sequence.
-func (w *writes) after(sequence uint64, held func(sequence uint64, key string) bool) []string {
-	if len(w.list) > compactAt && len(w.list) > 2*w.live {
-		w.list = slices.DeleteFunc(w.list, func(x write) bool { return !held(x.sequence, x.key) })
+// after returns the keys of the current writes after a sequence, and compacts the log where more than half of
+// it is out of date.
+func (l *originLog) after(sequence uint64, isCurrent func(sequence uint64, key string) bool) []string {
+	if len(l.writes) > compactionThreshold && len(l.writes) > 2*l.current {
+		l.writes = slices.DeleteFunc(l.writes, func(w write) bool {
+			return !isCurrent(w.sequence, w.key)
+		})
 	}
-	if len(w.list) == 0 || w.list[len(w.list)-1].sequence <= sequence {
+	if len(l.writes) == 0 || l.writes[len(l.writes)-1].sequence <= sequence {
 		return nil
 	}
-	at, known := w.find(sequence)
-	if known {
-		at++
+	index, found := l.find(sequence)
+	if found {
+		index++
 	}
 	var keys []string
-	for _, x := range w.list[at:] {
-		if held(x.sequence, x.key) {
-			keys = append(keys, x.key)
+	for _, w := range l.writes[index:] {
+		if isCurrent(w.sequence, w.key) {
+			keys = append(keys, w.key)
 		}
 	}
 	return keys
--- a/internal/serving/configuration/configuration_test.go
+++ b/internal/serving/configuration/configuration_test.go
@@ -17,79 +17,79 @@
 	`"services":[{"name":"s1","cold_per_s":10.0,"engine":{"capacity":64}},{"name":"s2","engine":null}],` +
 	`"limits":{"max_header_bytes":16384}}`
 
-func TestCheckTakesValid(t *testing.T) {
-	document, err := Check([]byte(valid))
+func TestValidConfigurationIsAccepted(t *testing.T) {
+	document, err := ParseAndValidate([]byte(valid))
 	if err != nil || document.Generation != 7 || len(document.Routes()) != 2 {
 		t.Fatalf("document %+v, error %v", document, err)
 	}
 }
 
-// TestCheckRefusesEachMutation changes one thing at a time.
-func TestCheckRefusesEachMutation(t *testing.T) {
+// TestEachInvalidMutationIsRejected changes one thing at a time.
+func TestEachInvalidMutationIsRejected(t *testing.T) {
 	cases := map[string]string{
-		"cut short":           valid[:len(valid)-9] + ">",
+		"truncated":           valid[:len(valid)-9] + ">",
 		"trailing bytes":      valid + "{}",
 		"unknown service":     strings.Replace(valid, `"backend":"s1"}`, `"backend":"s9"}`, 1),
 		"unknown split":       strings.Replace(valid, `{"backend":"s2"`, `{"backend":"s9"`, 1),
-		"same place":          strings.Replace(valid, `/b/`, `/a/`, 1),
+		"duplicate route":     strings.Replace(valid, `/b/`, `/a/`, 1),
 		"no weight":           strings.Replace(strings.Replace(valid, ":90", ":0", 1), ":10}", ":0}", 1),
 		"negative weight":     strings.Replace(valid, ":90", ":-90", 1),
 		"no timeout":          strings.Replace(valid, "12000", "0", 1),
 		"missing timeout":     strings.Replace(valid, `"timeout_ms":12000,`, ``, 1),
 		"prefix without end":  strings.Replace(valid, `"/a/"`, `"/a"`, 1),
 		"prefix without root": strings.Replace(valid, `"/a/"`, `"a/"`, 1),
-		"doubled key":         strings.Replace(valid, `"name":"r1",`, `"name":"r1","name":"r1",`, 1),
+		"duplicate key":       strings.Replace(valid, `"name":"r1",`, `"name":"r1","name":"r1",`, 1),
 		"wrong type":          strings.Replace(valid, `"timeout_ms":12000`, `"timeout_ms":"12000"`, 1),
 		"huge number":         strings.Replace(valid, `"generation":7`, `"generation":1e300`, 1),
 		"fraction":            strings.Replace(valid, `"generation":7`, `"generation":7.5`, 1),
 		"no generation":       strings.Replace(valid, `"generation":7,`, ``, 1),
 		"no backend":          strings.Replace(valid, `,"backend":"s1"}`, `}`, 1),
-		"a list":              "[" + valid + "]",
+		"list":                "[" + valid + "]",
 		"empty":               "",
-		"doubled service":     strings.Replace(valid, `{"name":"s2"`, `{"name":"s1"`, 1),
-		"deep":                strings.Repeat("[", 100) + strings.Repeat("]", 100),
+		"duplicate service":   strings.Replace(valid, `{"name":"s2"`, `{"name":"s1"`, 1),
+		"deep nesting":        strings.Repeat("[", 100) + strings.Repeat("]", 100),
 	}
 	for name, body := range cases {
-		_, err := Check([]byte(body))
-		var wrong *InvalidError
-		if !errors.As(err, &wrong) {
+		_, err := ParseAndValidate([]byte(body))
+		var invalidError *InvalidError
+		if !errors.As(err, &invalidError) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
 }
 
-// TestDifferenceLeadsThere draws pairs of documents and applies the difference of each.
-func TestDifferenceLeadsThere(t *testing.T) {
+// TestUpdateLeadsToNextDocument applies the delta between random documents, and the full update of each.
+func TestUpdateLeadsToNextDocument(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
-	from := draw(t, random, 1)
+	from := randomDocument(t, random, 1)
 	for generation := 2; generation < 200; generation++ {
-		next := draw(t, random, generation)
-		got, err := from.Apply(from.Difference(next))
-		if err != nil || !same(got, next) {
+		next := randomDocument(t, random, generation)
+		got, err := from.Apply(from.UpdateTo(next))
+		if err != nil || !equal(got, next) {
 			t.Fatalf("generation %d: %v %v", generation, got, err)
 		}
 		var none *Document
-		if whole, err := none.Apply(next.Whole()); err != nil || !same(whole, next) {
-			t.Fatalf("generation %d whole: %v %v", generation, whole, err)
+		if full, err := none.Apply(next.FullUpdate()); err != nil || !equal(full, next) {
+			t.Fatalf("generation %d, full update: %v %v", generation, full, err)
 		}
 		from = next
 	}
 }
 
-func TestApplyRefusesOtherBase(t *testing.T) {
+func TestUpdateOfAnotherBaseIsRejected(t *testing.T) {
 	random := rand.New(rand.NewSource(2))
-	first, second, third := draw(t, random, 1), draw(t, random, 2), draw(t, random, 3)
-	if _, err := first.Apply(second.Difference(third)); err == nil {
-		t.Error("an update on another base was applied")
+	first, second, third := randomDocument(t, random, 1), randomDocument(t, random, 2), randomDocument(t, random, 3)
+	if _, err := first.Apply(second.UpdateTo(third)); err == nil {
+		t.Error("an update of another base was applied")
 	}
 }
 
-func same(x, y *Document) bool {
+func equal(x, y *Document) bool {
 	return x.Generation == y.Generation && maps.Equal(x.routes, y.routes) && x.services == y.services &&
 		x.limits == y.limits
 }
 
-func draw(t *testing.T, random *rand.Rand, generation int) *Document {
+func randomDocument(t *testing.T, random *rand.Rand, generation int) *Document {
 	t.Helper()
 	var routes []string
 	for i := range 8 {
@@ -101,7 +101,7 @@
 	body := fmt.Sprintf(`{"generation":%d,"routes":[%s],"services":[{"name":"s%d"}],`+
 		`"limits":{"max_body_bytes":%d}}`,
 		generation, strings.Join(routes, ","), random.Intn(3), random.Intn(2))
-	document, err := Read([]byte(body))
+	document, err := Parse([]byte(body))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serving/configuration/document.go
+++ b/internal/serving/configuration/document.go
@@ -3,20 +3,21 @@
 import (
 	"bytes"
 	"encoding/json"
+	"maps"
 
 	"willowdeck/internal/serving/wirepb"
 )
 
-// Document is a configuration in parts that can be told one by one. It is not changed once made.
+// Document is a configuration, split into parts that an update can carry one by one. It is immutable.
 type Document struct {
-	Generation uint64
+	Generation uint64            // counted by the operator; 0 is that of no configuration
 	routes     map[string]string // by Route.Key, as JSON
 	services   string            // JSON list
 	limits     string            // JSON object
 }
 
-// Read splits a checked configuration into its parts.
-func Read(body []byte) (*Document, error) {
+// Parse parses a configuration that was validated before.
+func Parse(body []byte) (*Document, error) {
 	var parsed struct {
 		Generation uint64            `json:"generation"`
 		Routes     []json.RawMessage `json:"routes"`
@@ -24,11 +25,11 @@
 		Limits     json.RawMessage   `json:"limits"`
 	}
 	if err := json.Unmarshal(body, &parsed); err != nil {
-		return nil, invalid("the whole", err.Error())
+		return nil, invalid("document", err.Error())
 	}
 	d := &Document{Generation: parsed.Generation, routes: make(map[string]string, len(parsed.Routes))}
-	d.services = compacted(parsed.Services)
-	d.limits = compacted(parsed.Limits)
+	d.services = compactJSON(parsed.Services)
+	d.limits = compactJSON(parsed.Limits)
 	for _, raw := range parsed.Routes {
 		if err := d.setRoute(raw); err != nil {
 			return nil, err
@@ -37,7 +38,8 @@
 	return d, nil
 }
 
-func compacted(raw json.RawMessage) string {
+// compactJSON returns the JSON text without insignificant space, and "null" for an absent part.
+func compactJSON(raw json.RawMessage) string {
 	var buffer bytes.Buffer
 	if len(raw) == 0 || json.Compact(&buffer, raw) != nil {
 		return "null"
@@ -45,15 +47,16 @@
 	return buffer.String()
 }
 
+// setRoute adds or replaces a route. It is called before the document is shared only.
 func (d *Document) setRoute(raw []byte) error {
 	var key struct {
 		Hostname   string `json:"hostname"`
 		PathPrefix string `json:"path_prefix"`
 	}
 	if err := json.Unmarshal(raw, &key); err != nil {
-		return invalid("a route", err.Error())
+		return invalid("route", err.Error())
 	}
-	d.routes[key.Hostname+key.PathPrefix] = compacted(raw)
+	d.routes[key.Hostname+key.PathPrefix] = compactJSON(raw)
 	return nil
 }
 
@@ -72,15 +75,15 @@
 	return limits, json.Unmarshal([]byte(d.limits), &limits)
 }
 
-// Whole returns the update that tells all of d.
-func (d *Document) Whole() *wirepb.ConfigurationUpdate {
-	update := (&Document{}).Difference(d)
+// FullUpdate returns the update that leads to d from any document or none.
+func (d *Document) FullUpdate() *wirepb.ConfigurationUpdate {
+	update := (&Document{}).UpdateTo(d)
 	update.From = 0
 	return update
 }
 
-// Difference returns the update that leads from d to next.
-func (d *Document) Difference(next *Document) *wirepb.ConfigurationUpdate {
+// UpdateTo returns the update that leads from d to next: a delta.
+func (d *Document) UpdateTo(next *Document) *wirepb.ConfigurationUpdate {
 	update := &wirepb.ConfigurationUpdate{From: d.Generation, Generation: next.Generation}
 	for key, raw := range next.routes {
 		if d.routes[key] != raw {
@@ -101,18 +104,17 @@
 	return update
 }
 
-// Apply returns the document that update leads to from d. An update that is whole may have a nil d.
+// Apply returns the document that update leads to from d. For a full update d may be nil. A delta whose base is
+// not d is rejected by an InvalidError.
 func (d *Document) Apply(update *wirepb.ConfigurationUpdate) (*Document, error) {
 	next := &Document{Generation: update.Generation, routes: map[string]string{}}
 	next.services, next.limits = "null", "null"
 	if update.From != 0 {
 		if d == nil || d.Generation != update.From {
-			return nil, invalid("an update", "ask for the whole: its base is not held here")
+			return nil, invalid("update", "request a full update: the base of this one is unknown here")
 		}
 		next.services, next.limits = d.services, d.limits
-		for key, raw := range d.routes {
-			next.routes[key] = raw
-		}
+		maps.Copy(next.routes, d.routes)
 	}
 	for _, key := range update.RemovedRoutes {
 		delete(next.routes, key)
--- a/internal/serving/configuration/golden_test.go
+++ b/internal/serving/configuration/golden_test.go
@@ -25,7 +25,7 @@
 
 func goldenDocument(t *testing.T) *Document {
 	t.Helper()
-	document, err := Check([]byte(goldenBody(t)))
+	document, err := ParseAndValidate([]byte(goldenBody(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,14 +38,14 @@
 		Name: "r1", Hostname: "h1", PathPrefix: "/a/", RouteType: Streaming, TimeoutMs: 12000.5,
 		TargetLatencyMs: 250.5, Priority: 3, Backend: "s1",
 		TrafficSplit: []Split{{Backend: "s1", Weight: 90.5}, {Backend: "s2", Weight: 9.5}},
-		MaxAttempts:  4, SessionAffinity: true, Resumable: true, GapAimMs: 75.5,
+		MaxAttempts:  4, SessionAffinity: true, Resumable: true, TargetGapMs: 75.5,
 		AllowedRegions: []string{"south", "north"},
 	}
 }
 
 func goldenService() Service {
 	return Service{
-		Name: "s1", HealthCheckPath: "/healthz", MaxConnections: 40.5, ColdStartS: 30.5, ColdPerS: 12.5,
+		Name: "s1", HealthCheckPath: "/healthz", MaxConnections: 40.5, WarmupSeconds: 30.5, WarmupRequestsPerSecond: 12.5,
 		Engine: &Engine{Capacity: 64, KVCacheTokens: 120000.5, Stride: 16},
 	}
 }
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestGoldenConfigurationWritten encodes the values, and the update that tells the whole, to the same bytes.
+// TestGoldenConfigurationWritten encodes the values, and the full update, to the same bytes.
 func TestGoldenConfigurationWritten(t *testing.T) {
 	body := goldenBody(t)
 	for _, value := range []any{goldenRoute(), goldenService(), goldenLimits()} {
@@ -88,7 +88,7 @@
 			t.Errorf("encoded to %s, error %v", text, err)
 		}
 	}
-	update := goldenDocument(t).Whole()
+	update := goldenDocument(t).FullUpdate()
 	if update.From != 0 || update.Generation != 7 || len(update.Routes) != 2 {
 		t.Errorf("update %v", update)
 	}
@@ -106,40 +106,40 @@
 	}
 }
 
-// TestGoldenWords pins the words for route types, and what they mean.
-func TestGoldenWords(t *testing.T) {
-	repeatable := map[string]bool{"idempotent": true, "non_idempotent": false, "streaming": false}
-	for word, want := range repeatable {
-		if got := (&Route{RouteType: word}).Repeatable(); got != want {
-			t.Errorf("%s: %v", word, got)
+// TestGoldenRouteTypes pins the names of the route types, and what they mean.
+func TestGoldenRouteTypes(t *testing.T) {
+	idempotent := map[string]bool{"idempotent": true, "non_idempotent": false, "streaming": false}
+	for routeType, want := range idempotent {
+		if got := (&Route{RouteType: routeType}).IsIdempotent(); got != want {
+			t.Errorf("%s: %v", routeType, got)
 		}
 	}
-	if !(&Route{RouteType: "streaming", Resumable: true}).Repeatable() {
+	if !(&Route{RouteType: "streaming", Resumable: true}).IsIdempotent() {
 		t.Error("a resumable stream")
 	}
-	words := [3]string{Idempotent, NonIdempotent, Streaming}
-	if words != [3]string{"idempotent", "non_idempotent", "streaming"} {
-		t.Error("a word has changed")
+	routeTypes := [3]string{Idempotent, NonIdempotent, Streaming}
+	if routeTypes != [3]string{"idempotent", "non_idempotent", "streaming"} {
+		t.Error("the name of a route type has changed")
 	}
 }
 
-// TestGoldenKeysAreChecked spoils the value of each key. Keys that are not known are left alone: one that is
-// not refused would not be read any more.
-func TestGoldenKeysAreChecked(t *testing.T) {
+// TestGoldenKeysAreValidated makes the value of each key invalid. Unknown keys are accepted: one that is not
+// rejected would not be read any more.
+func TestGoldenKeysAreValidated(t *testing.T) {
 	value := regexp.MustCompile(`"([a-z_]+)":("[^"]*"|true|[0-9.]+)`)
 	body := []byte(goldenBody(t))
-	for _, place := range value.FindAllSubmatchIndex(body, -1) {
-		key, old := string(body[place[2]:place[3]]), body[place[4]:place[5]]
-		spoilt := []byte("-1") // for numbers, which the schema bounds
+	for _, match := range value.FindAllSubmatchIndex(body, -1) {
+		key, old := string(body[match[2]:match[3]]), body[match[4]:match[5]]
+		invalidValue := []byte("-1") // for numbers, which the schema bounds
 		switch {
 		case old[0] == 't':
-			spoilt = []byte(`"true"`)
+			invalidValue = []byte(`"true"`)
 		case key == "capacity" || key == "kv_cache_tokens" || key == "stride":
-			spoilt = []byte("[]") // the schema leaves them to the decoder
+			invalidValue = []byte("[]") // the schema leaves them to the decoder
 		}
-		changed := bytes.Join([][]byte{body[:place[4]], spoilt, body[place[5]:]}, nil)
-		if _, err := Check(changed); err == nil {
-			t.Errorf("%s = %s was accepted", key, spoilt)
+		changed := bytes.Join([][]byte{body[:match[4]], invalidValue, body[match[5]:]}, nil)
+		if _, err := ParseAndValidate(changed); err == nil {
+			t.Errorf("%s = %s was accepted", key, invalidValue)
 		}
 	}
 }
--- a/internal/serving/configuration/route.go
+++ b/internal/serving/configuration/route.go
@@ -1,15 +1,13 @@
-// Package configuration holds the operator's configurations: their types, their check, and the differences
-// between two of them. It has no I/O.
 package configuration
 
-// Route types.
+// Values of Route.RouteType, as operators write them.
 const (
 	Idempotent    = "idempotent"
 	NonIdempotent = "non_idempotent"
 	Streaming     = "streaming"
 )
 
-// Route says which service answers requests of a host below a path prefix.
+// Route states which services answer the requests to a host below a path prefix, and how.
 type Route struct {
 	Name            string   `json:"name"`
 	Hostname        string   `json:"hostname"`
@@ -23,17 +21,17 @@
 	MaxAttempts     int      `json:"max_attempts"`
 	SessionAffinity bool     `json:"session_affinity"`
 	Resumable       bool     `json:"resumable"`
-	GapAimMs        float64  `json:"gap_aim_ms"`
+	TargetGapMs     float64  `json:"gap_aim_ms"`
 	AllowedRegions  []string `json:"allowed_regions"`
 }
 
-// Split is one service's part of a route's requests.
+// Split is one service's share of a route's requests, in proportion to the weights.
 type Split struct {
 	Backend string  `json:"backend"`
 	Weight  float64 `json:"weight"`
 }
 
-// Key identifies a route: no two of a configuration share it.
+// Key returns the identity of a route, which is unique in a configuration.
 func (r *Route) Key() string { return r.Hostname + r.PathPrefix }
 
 // Backends returns the services of a route with their weights.
@@ -44,22 +42,27 @@
 	return []Split{{Backend: r.Backend, Weight: 1}}
 }
 
-// Repeatable reports whether a request may run more than once.
-func (r *Route) Repeatable() bool {
+// IsIdempotent reports whether a request may run more than once, so that it may be retried or hedged after its
+// outcome became unknown. A resumable stream is one of these: it goes on after the last event received.
+func (r *Route) IsIdempotent() bool {
 	return r.RouteType == Idempotent || r.RouteType == Streaming && r.Resumable
 }
 
-// Service is what a configuration says of the workers of one service.
+// Service is what a configuration states for the workers of one service.
 type Service struct {
 	Name            string  `json:"name"`
 	HealthCheckPath string  `json:"health_check_path"`
 	MaxConnections  float64 `json:"max_connections"`
-	ColdStartS      float64 `json:"cold_start_s"`
-	ColdPerS        float64 `json:"cold_per_s"`
-	Engine          *Engine `json:"engine"`
+
+	// WarmupSeconds is how long the workers of a zone count as warming up after the zone's evacuation ends.
+	WarmupSeconds float64 `json:"cold_start_s"`
+	// WarmupRequestsPerSecond bounds what all edges together send to one worker that is warming up. 0: no bound.
+	WarmupRequestsPerSecond float64 `json:"cold_per_s"`
+
+	Engine *Engine `json:"engine"`
 }
 
-// Engine describes the model engine of a service's workers.
+// Engine describes the inference engine of a service's workers.
 type Engine struct {
 	Capacity      int     `json:"capacity"`
 	KVCacheTokens float64 `json:"kv_cache_tokens"`
--- a/internal/serving/configuration/validate.go
+++ b/internal/serving/configuration/validate.go
@@ -15,18 +15,21 @@
 //go:embed schema.json
 var schemaText []byte
 
-const maxDepth = 64 // levels of a configuration
+// maxNesting bounds the levels of objects and lists in a configuration.
+const maxNesting = 64
 
-// InvalidError says what is wrong with a configuration, and what would mend it.
+// InvalidError rejects a configuration, or an update to one.
 type InvalidError struct {
-	Place, Remedy string
+	Element string // the part at fault, such as a route by its name
+	Remedy  string // what the sender should change
 }
 
-// Error names the place and the remedy.
-func (e *InvalidError) Error() string { return "configuration: " + e.Place + ": " + e.Remedy }
+// Error names the element and the remedy.
+func (e *InvalidError) Error() string { return "configuration: " + e.Element + ": " + e.Remedy }
 
-func invalid(place, remedy string) error { return &InvalidError{Place: place, Remedy: remedy} }
+func invalid(element, remedy string) error { return &InvalidError{Element: element, Remedy: remedy} }
 
+// schema is the compiled schema.json, which is part of the binary: an error in it is one of the build.
 var schema = sync.OnceValue(func() *jsonschema.Schema {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
@@ -34,39 +37,40 @@
 	}
 	compiler := jsonschema.NewCompiler()
 	if err := compiler.AddResource("schema.json", document); err != nil {
-		panic("configuration: schema.json is refused: " + err.Error())
+		panic("configuration: schema.json is invalid: " + err.Error())
 	}
 	return compiler.MustCompile("schema.json")
 })
 
-// Check reads a whole configuration and refuses what may not come into force.
-func Check(body []byte) (*Document, error) {
-	if err := checkKeys(body); err != nil {
+// ParseAndValidate parses a configuration that an operator sent and rejects, by an InvalidError, what may not
+// come into force.
+func ParseAndValidate(body []byte) (*Document, error) {
+	if err := validateStructure(body); err != nil {
 		return nil, err
 	}
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(body))
 	if err != nil {
-		return nil, invalid("the whole", "send one JSON object: "+err.Error())
+		return nil, invalid("document", "send one JSON object: "+err.Error())
 	}
 	if err := schema().Validate(value); err != nil {
-		return nil, invalid("the whole", err.Error())
+		return nil, invalid("document", err.Error())
 	}
-	document, err := Read(body)
+	document, err := Parse(body)
 	if err != nil {
 		return nil, err
 	}
-	return document, checkReferences(body)
+	return document, validateReferences(body)
 }
 
-// checkReferences checks what a schema cannot say: that names refer to something, and that no place is
-// taken twice.
-func checkReferences(body []byte) error {
+// validateReferences validates what a schema cannot express: that backends are services of the configuration,
+// and that service names and routes are unique.
+func validateReferences(body []byte) error {
 	var parsed struct {
 		Routes   []Route   `json:"routes"`
 		Services []Service `json:"services"`
 	}
 	if err := json.Unmarshal(body, &parsed); err != nil {
-		return invalid("the whole", err.Error())
+		return invalid("document", err.Error())
 	}
 	services := map[string]bool{}
 	for _, service := range parsed.Services {
@@ -75,20 +79,21 @@
 		}
 		services[service.Name] = true
 	}
-	places := map[string]bool{}
+	routeKeys := map[string]bool{}
 	for _, route := range parsed.Routes {
-		if places[route.Key()] {
+		if routeKeys[route.Key()] {
 			return invalid("route "+route.Name, "give each host and prefix to one route")
 		}
-		places[route.Key()] = true
-		if err := checkBackends(&route, services); err != nil {
+		routeKeys[route.Key()] = true
+		if err := validateBackends(&route, services); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func checkBackends(route *Route, services map[string]bool) error {
+// validateBackends validates that the route's backends exist and that some of them has a weight.
+func validateBackends(route *Route, services map[string]bool) error {
 	sum := 0.0
 	for _, split := range route.Backends() {
 		if !services[split.Backend] {
@@ -103,33 +108,35 @@
 	return nil
 }
 
-// checkKeys refuses doubled keys and anything behind the object, which decoding would let pass.
-func checkKeys(body []byte) error {
+// validateStructure rejects duplicate keys, deep nesting and anything after the object, which decoding would
+// accept.
+func validateStructure(body []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.UseNumber()
-	if err := checkValue(decoder, 0); err != nil {
+	if err := validateValue(decoder, 0); err != nil {
 		return err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return invalid("the end", "send nothing behind the object")
+		return invalid("end of document", "send nothing after the object")
 	}
 	return nil
 }
 
-func checkValue(decoder *json.Decoder, depth int) error {
+// validateValue consumes one JSON value, whose first token is the next one.
+func validateValue(decoder *json.Decoder, depth int) error {
 	token, err := decoder.Token()
 	if err != nil {
-		return invalid("the whole", "send it whole, as JSON: "+err.Error())
+		return invalid("document", "send complete JSON: "+err.Error())
 	}
-	if depth > maxDepth {
-		return invalid("the whole", "nest less deeply")
+	if depth > maxNesting {
+		return invalid("document", "nest less deeply")
 	}
 	switch token {
 	case json.Delim('{'):
-		return checkObject(decoder, depth)
+		return validateObject(decoder, depth)
 	case json.Delim('['):
 		for decoder.More() {
-			if err := checkValue(decoder, depth+1); err != nil {
+			if err := validateValue(decoder, depth+1); err != nil {
 				return err
 			}
 		}
@@ -138,28 +145,30 @@
 	return nil
 }
 
-func checkObject(decoder *json.Decoder, depth int) error {
+// validateObject consumes an object, whose opening brace was read.
+func validateObject(decoder *json.Decoder, depth int) error {
 	seen := map[string]bool{}
 	for decoder.More() {
 		token, err := decoder.Token()
 		if err != nil {
-			return invalid("the whole", "send it whole, as JSON: "+err.Error())
+			return invalid("document", "send complete JSON: "+err.Error())
 		}
 		key, _ := token.(string)
 		if seen[key] {
 			return invalid("key "+key, "give each key of an object once")
 		}
 		seen[key] = true
-		if err := checkValue(decoder, depth+1); err != nil {
+		if err := validateValue(decoder, depth+1); err != nil {
 			return err
 		}
 	}
 	return closeDelimiter(decoder)
 }
 
+// closeDelimiter consumes the end of an object or a list.
 func closeDelimiter(decoder *json.Decoder) error {
 	if _, err := decoder.Token(); err != nil {
-		return invalid("the whole", "send it whole, as JSON: "+err.Error())
+		return invalid("document", "send complete JSON: "+err.Error())
 	}
 	return nil
 }
--- a/internal/serving/control/saved_test.go
+++ b/internal/serving/control/saved_test.go
@@ -53,9 +53,9 @@
 	stored := consensus.Founding([]string{"10.0.0.1#founder", "10.0.0.2#founder"})
 	stored.HardState = &wirepb.HardState{Term: 1, Commit: 2}
 	stored.Entries = []*wirepb.Entry{
-		departureEntry(t, 1, &wirepb.Departure{InstanceId: "committed", Order: catalog.Final, Final: true}),
+		departureEntry(t, 1, &wirepb.Departure{InstanceId: "committed", Order: catalog.FinalOrder, Final: true}),
 		departureEntry(t, 2, &wirepb.Departure{InstanceId: "draining", Order: 4}),
-		departureEntry(t, 3, &wirepb.Departure{InstanceId: "unconfirmed", Order: catalog.Final, Final: true}),
+		departureEntry(t, 3, &wirepb.Departure{InstanceId: "unconfirmed", Order: catalog.FinalOrder, Final: true}),
 	}
 	e, err := New(Options{
 		Identity: "10.0.0.1#founder", Life: "life", Clock: func() time.Duration { return 0 },
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	told := map[string]bool{}
-	for _, entry := range e.Mirror().Of(catalog.Workers) {
+	for _, entry := range e.Mirror().EntriesOf(catalog.Workers) {
 		if worker := entry.Record.GetWorker(); !entry.Record.Deleted {
 			told[worker.InstanceId] = worker.Draining
 		}
--- a/internal/serving/control/status.go
+++ b/internal/serving/control/status.go
@@ -87,7 +87,7 @@
 	switch {
 	case entry.Record.GetWorker().Draining:
 		return "draining"
-	case entry.ColdUntil > now:
+	case entry.WarmingUntil > now:
 		return "cold"
 	}
 	return "ready"
--- a/internal/serving/control/sweep.go
+++ b/internal/serving/control/sweep.go
@@ -20,22 +20,22 @@
 	now := e.now()
 	e.workers.forgetOld(now)
 	e.mirror.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
-		held.Expire(now)
+		held.ExpireTombstones(now)
 		return false
 	})
 	if !e.node.Acting() || !e.settled() {
 		return
 	}
 	e.sweepWorkers(now)
-	for _, entry := range e.mirror.Of(catalog.Edges) {
+	for _, entry := range e.mirror.EntriesOf(catalog.Edges) {
 		edge := entry.Record.GetEdge()
-		if !entry.Record.Deleted && !edge.GetLinked() && now-entry.Merged > edgeLife {
+		if !entry.Record.Deleted && !edge.GetLinked() && now-entry.ReceivedAt > edgeLife {
 			e.publishDeletion(entry.Record, entry.Record.Order)
 		}
 	}
-	for _, entry := range e.mirror.Of(catalog.Cores) {
+	for _, entry := range e.mirror.EntriesOf(catalog.Cores) {
 		core := entry.Record.GetCore()
-		if entry.Record.Deleted || core.GetReplica() == e.options.Identity || now-entry.Merged <= coreLife {
+		if entry.Record.Deleted || core.GetReplica() == e.options.Identity || now-entry.ReceivedAt <= coreLife {
 			continue
 		}
 		if heard, known := e.heardCores[core.GetAddress()]; !known || now-heard > coreLife {
@@ -57,7 +57,7 @@
 	limit := time.Duration(missedHeartbeats * float64(e.options.HeartbeatEvery))
 	zones := map[string]*zoneSilence{}
 	var silent []*catalog.Entry
-	for _, entry := range e.mirror.Of(catalog.Workers) {
+	for _, entry := range e.mirror.EntriesOf(catalog.Workers) {
 		if entry.Record.Deleted {
 			continue
 		}
@@ -85,7 +85,7 @@
 }
 
 func (e *Engine) lastHeard(entry *catalog.Entry) time.Duration {
-	return max(e.workers.heard[entry.Record.GetWorker().GetInstanceId()].at, entry.Merged)
+	return max(e.workers.heard[entry.Record.GetWorker().GetInstanceId()].at, entry.ReceivedAt)
 }
 
 // heardBySilentCore reports whether the core that heard a worker last does not speak any more.
--- a/internal/serving/control/workers.go
+++ b/internal/serving/control/workers.go
@@ -120,7 +120,7 @@
 		return false
 	}
 	coldUntil := now + time.Duration(worker.ColdRemainingMs)*time.Millisecond
-	if difference := max(coldUntil, now) - max(held.ColdUntil, now); difference.Abs() > coldTolerance {
+	if difference := max(coldUntil, now) - max(held.WarmingUntil, now); difference.Abs() > coldTolerance {
 		return false
 	}
 	compared := proto.Clone(worker).(*wirepb.Worker)
@@ -132,12 +132,12 @@
 func (e *Engine) dropPredecessors(worker *wirepb.Worker) {
 	var present []*catalog.Entry
 	e.mirror.WithCatalog(func(_ time.Duration, held *catalog.Catalog) bool {
-		present = held.AtAddress(worker.Address)
+		present = held.WorkersAtAddress(worker.Address)
 		return false
 	})
 	for _, entry := range present {
 		if entry.Record.GetWorker().InstanceId != worker.InstanceId {
-			e.publishDeletion(entry.Record, catalog.Final)
+			e.publishDeletion(entry.Record, catalog.FinalOrder)
 		}
 	}
 }
@@ -155,12 +155,12 @@
 		done(true)
 		return
 	}
-	e.depart(&wirepb.Departure{InstanceId: instance, Order: catalog.Final, Final: true}, done)
+	e.depart(&wirepb.Departure{InstanceId: instance, Order: catalog.FinalOrder, Final: true}, done)
 }
 
 func (e *Engine) publishDeregistration(instance string) {
 	e.publish(&wirepb.Record{
-		Key: catalog.WorkerKey(instance), Order: catalog.Final, Deleted: true,
+		Key: catalog.WorkerKey(instance), Order: catalog.FinalOrder, Deleted: true,
 		Value: &wirepb.Record_Worker{Worker: &wirepb.Worker{InstanceId: instance}},
 	})
 }
@@ -181,7 +181,7 @@
 		return // the table of departures is asked when the worker is told of again
 	}
 	if departure.Final {
-		if held.Record.Order < catalog.Final {
+		if held.Record.Order < catalog.FinalOrder {
 			e.publishDeregistration(departure.InstanceId)
 		}
 		return
@@ -193,7 +193,7 @@
 	record := proto.Clone(held.Record).(*wirepb.Record)
 	record.Order = departure.Order
 	record.GetWorker().Draining = true
-	record.GetWorker().ColdRemainingMs = int64(max(held.ColdUntil-e.now(), 0) / time.Millisecond)
+	record.GetWorker().ColdRemainingMs = int64(max(held.WarmingUntil-e.now(), 0) / time.Millisecond)
 	e.publish(record)
 }
 
--- a/internal/serving/core/control.go
+++ b/internal/serving/core/control.go
@@ -77,7 +77,7 @@
 		refuse(w, http.StatusBadRequest, "configuration: send it whole")
 		return
 	}
-	document, err := configuration.Check(body)
+	document, err := configuration.ParseAndValidate(body)
 	if err != nil {
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
--- a/internal/serving/edge/answer.go
+++ b/internal/serving/edge/answer.go
@@ -46,12 +46,12 @@
 
 // mayRepeatFailure reports whether a request that a worker failed may go to another one.
 func (j *job) mayRepeatFailure() bool {
-	return j.route.Repeatable() && j.mayGoOn() == nil
+	return j.route.IsIdempotent() && j.mayGoOn() == nil
 }
 
 // answerBroken handles an answer that broke off: another attempt where that is allowed, else the end.
 func (j *job) answerBroken() bool {
-	if j.route.Repeatable() && j.mayGoOn() == nil {
+	if j.route.IsIdempotent() && j.mayGoOn() == nil {
 		return false
 	}
 	j.giveUp(workerlink.ErrOutcomeUnknown)
--- a/internal/serving/edge/decisions.go
+++ b/internal/serving/edge/decisions.go
@@ -148,14 +148,14 @@
 // admitCold asks the cold share where the worker is cold.
 func (d *decisions) admitCold(now time.Duration, t *table, service string, w worker) (bool, time.Duration) {
 	told := t.services[service]
-	if now >= w.coldUntil || told == nil || told.ColdPerS <= 0 {
+	if now >= w.coldUntil || told == nil || told.WarmupRequestsPerSecond <= 0 {
 		return true, 0
 	}
 	if t.edges == 0 {
 		return false, noWorkerWait // how many edges share the cold rate is not known: none of it can be used
 	}
 	limits := slowstart.Limits{
-		PerSecond: told.ColdPerS, Overshoot: d.bounds.ColdOvershoot, Slack: d.bounds.ColdSlack,
+		PerSecond: told.WarmupRequestsPerSecond, Overshoot: d.bounds.ColdOvershoot, Slack: d.bounds.ColdSlack,
 	}
 	wait, ok := d.shares.Admit(now, w.Instance, limits, t.edges, t.demands)
 	return ok, wait
--- a/internal/serving/edge/edge_test.go
+++ b/internal/serving/edge/edge_test.go
@@ -152,7 +152,7 @@
 		routes = append(routes, fmt.Sprintf(
 			`{"hostname":"h","path_prefix":%q,%s,"timeout_ms":5000,"backend":"s"}`, prefix, kind))
 	}
-	document, err := configuration.Check([]byte(`{"generation":1,"routes":[` + strings.Join(routes, ",") +
+	document, err := configuration.ParseAndValidate([]byte(`{"generation":1,"routes":[` + strings.Join(routes, ",") +
 		`],"services":[{"name":"s","cold_per_s":10}]}`))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/serving/edge/job.go
+++ b/internal/serving/edge/job.go
@@ -113,7 +113,7 @@
 		if !ok {
 			return nil, &refusalError{http.StatusServiceUnavailable, wait}
 		}
-		if chosen.PathInDoubt && !j.route.Repeatable() {
+		if chosen.PathInDoubt && !j.route.IsIdempotent() {
 			j.end(&attempt{worker: chosen}, false)
 			return nil, &refusalError{http.StatusServiceUnavailable, noPathWait}
 		}
@@ -133,7 +133,7 @@
 		}
 		if !errors.Is(err, errNotExecuted) {
 			j.unknown = true
-			if !j.route.Repeatable() {
+			if !j.route.IsIdempotent() {
 				return nil, err
 			}
 		}
@@ -198,7 +198,7 @@
 // watch has the worker's life watched for as long as it has the request.
 func (j *job) watch(a *attempt, probeTimeout time.Duration) {
 	var interrupt func()
-	if j.route.Repeatable() {
+	if j.route.IsIdempotent() {
 		interrupt = func() { a.connection.Close() }
 	}
 	j.edge.liveness.begin(a, probeTimeout, interrupt)
--- a/internal/serving/edge/paths_test.go
+++ b/internal/serving/edge/paths_test.go
@@ -104,8 +104,8 @@
 func TestStrictestPauseCounts(t *testing.T) {
 	table := &table{pauses: map[string]float64{}}
 	for _, route := range []*configuration.Route{
-		{Backend: "s", GapAimMs: 600}, {Backend: "s"}, {Backend: "other", GapAimMs: 100},
-		{TrafficSplit: []configuration.Split{{Backend: "s"}, {Backend: "new", Weight: 1}}, GapAimMs: 400},
+		{Backend: "s", TargetGapMs: 600}, {Backend: "s"}, {Backend: "other", TargetGapMs: 100},
+		{TrafficSplit: []configuration.Split{{Backend: "s"}, {Backend: "new", Weight: 1}}, TargetGapMs: 400},
 	} {
 		table.notePause(route)
 	}
--- a/internal/serving/edge/table.go
+++ b/internal/serving/edge/table.go
@@ -91,7 +91,7 @@
 	longestCold := 0.0
 	for i := range services {
 		t.services[services[i].Name] = &services[i]
-		longestCold = max(longestCold, services[i].ColdStartS)
+		longestCold = max(longestCold, services[i].WarmupSeconds)
 	}
 	if t.limits, err = view.Document.Limits(); err != nil {
 		return nil, err
@@ -131,12 +131,12 @@
 }
 
 func (t *table) notePause(route *configuration.Route) {
-	if route.GapAimMs <= 0 {
+	if route.TargetGapMs <= 0 {
 		return
 	}
 	for _, split := range route.Backends() {
-		if strictest, known := t.pauses[split.Backend]; !known || route.GapAimMs < strictest {
-			t.pauses[split.Backend] = route.GapAimMs
+		if strictest, known := t.pauses[split.Backend]; !known || route.TargetGapMs < strictest {
+			t.pauses[split.Backend] = route.TargetGapMs
 		}
 	}
 }
@@ -183,7 +183,7 @@
 				Region: b.settings.Zones[told.Zone], Capacity: int(told.Capacity),
 				Engine: service != nil && service.Engine != nil,
 			},
-			coldUntil: max(entry.ColdUntil, b.coldZones[told.Zone]),
+			coldUntil: max(entry.WarmingUntil, b.coldZones[told.Zone]),
 		})
 	}
 	b.edges = max(b.edges, edges, 1)
--- a/internal/serving/program/program.go
+++ b/internal/serving/program/program.go
@@ -104,7 +104,7 @@
 		if err != nil {
 			return err
 		}
-		document, err := configuration.Check(body)
+		document, err := configuration.ParseAndValidate(body)
 		if err != nil {
 			return err
 		}
--- a/internal/serving/statemachine/golden_test.go
+++ b/internal/serving/statemachine/golden_test.go
@@ -58,7 +58,7 @@
 	if body, err := Decompress(m.Body()); err != nil || string(body) != goldenBody {
 		t.Errorf("body %s, error %v", body, err)
 	}
-	if services, err := m.Document().Services(); err != nil || services[0].ColdPerS != 12.5 {
+	if services, err := m.Document().Services(); err != nil || services[0].WarmupRequestsPerSecond != 12.5 {
 		t.Errorf("services %v, error %v", services, err)
 	}
 	if limits, err := m.Document().Limits(); err != nil || limits.MaxHeaderBytes != 16384 {
--- a/internal/serving/statemachine/machine.go
+++ b/internal/serving/statemachine/machine.go
@@ -247,5 +247,5 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "committed configuration does not unpack")
 	}
-	return configuration.Read(body)
+	return configuration.Parse(body)
 }
--- a/internal/serving/stateview/store.go
+++ b/internal/serving/stateview/store.go
@@ -90,11 +90,11 @@
 	}
 }
 
-// Of returns the entries of one kind. They must not be changed.
-func (m *Mirror) Of(kind catalog.Kind) []*catalog.Entry {
+// EntriesOf returns the entries of one kind. They must not be changed.
+func (m *Mirror) EntriesOf(kind catalog.Kind) []*catalog.Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.catalog.Of(kind)
+	return m.catalog.EntriesOf(kind)
 }
 
 // Get returns the entry of a key, or nil. It must not be changed.
@@ -247,8 +247,8 @@
 func (m *Mirror) updateFrom(generation uint64) *wirepb.ConfigurationUpdate {
 	for _, document := range m.history {
 		if generation != 0 && document.Generation == generation {
-			return document.Difference(m.document)
+			return document.UpdateTo(m.document)
 		}
 	}
-	return m.document.Whole()
+	return m.document.FullUpdate()
 }
--- a/internal/serving/stateview/store_test.go
+++ b/internal/serving/stateview/store_test.go
@@ -15,7 +15,7 @@
 
 func document(t *testing.T, body string) *configuration.Document {
 	t.Helper()
-	d, err := configuration.Read([]byte(body))
+	d, err := configuration.Parse([]byte(body))
 	if err != nil {
 		t.Fatal(err)
 	}
