--- a/internal/serving/agent/agent.go
+++ b/internal/serving/agent/agent.go
@@ -45,7 +45,7 @@
 type Agent struct {
 	settingsPath string
 	logger       *zap.Logger
-	mirror       *stateview.Mirror
+	mirror       *stateview.Store
 	started      time.Time
 
 	mu       sync.Mutex
@@ -89,9 +89,9 @@
 	go a.keepSettings(ctx)
 	logger.Info("agent started", zap.String("edge", config.NodeName))
 	subscriber := watch.Subscriber{
-		Mirror: a.mirror, DialTimeout: coreDialTimeout, Providers: a.cores,
-		Status: a.status, StatusChanged: a.statusChanged, Linked: a.linked,
-		Wrap: func(request *wirepb.FeedRequest) proto.Message {
+		Store: a.mirror, DialTimeout: coreDialTimeout, Providers: a.cores,
+		Status: a.status, StatusChanged: a.statusChanged, OnLinkChange: a.linked,
+		WrapFirst: func(request *wirepb.FeedRequest) proto.Message {
 			return &wirepb.Envelope{Body: &wirepb.Envelope_Subscribe{Subscribe: request}}
 		},
 	}
@@ -248,13 +248,13 @@
 func (a *Agent) serveProxy(connection *framing.Conn) {
 	defer connection.Close()
 	first := &wirepb.FeedRequest{}
-	if err := connection.ReadMessage(first, watch.LinkSilence); err != nil {
+	if err := connection.ReadMessage(first, watch.LinkTimeout); err != nil {
 		return
 	}
 	a.mu.Lock()
 	a.proxies++
 	a.mu.Unlock()
-	watch.Provide(connection, first, a.mirror, a.takeProxyStatus, nil)
+	watch.Serve(connection, first, a.mirror, a.takeProxyStatus, nil)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.proxies--
@@ -266,7 +266,7 @@
 }
 
 func (a *Agent) takeProxyStatus(request *wirepb.FeedRequest) {
-	a.mirror.SetDemands(request.Demands)
+	a.mirror.MergeDemands(request.Demands)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.demands = request.Demands
--- a/internal/serving/configuration/configuration_test.go
+++ b/internal/serving/configuration/configuration_test.go
@@ -78,7 +78,8 @@
 
 func TestUpdateOfAnotherBaseIsRejected(t *testing.T) {
 	random := rand.New(rand.NewSource(2))
-	first, second, third := randomDocument(t, random, 1), randomDocument(t, random, 2), randomDocument(t, random, 3)
+	first, second := randomDocument(t, random, 1), randomDocument(t, random, 2)
+	third := randomDocument(t, random, 3)
 	if _, err := first.Apply(second.UpdateTo(third)); err == nil {
 		t.Error("an update of another base was applied")
 	}
--- a/internal/serving/configuration/document.go
+++ b/internal/serving/configuration/document.go
@@ -104,8 +104,8 @@
 	return update
 }
 
-// Apply returns the document that update leads to from d. For a full update d may be nil. A delta whose base is
-// not d is rejected by an InvalidError.
+// Apply returns the document that update leads to from d. For a full update d may be nil. A delta whose
+// base is not d is rejected by an InvalidError.
 func (d *Document) Apply(update *wirepb.ConfigurationUpdate) (*Document, error) {
 	next := &Document{Generation: update.Generation, routes: map[string]string{}}
 	next.services, next.limits = "null", "null"
--- a/internal/serving/configuration/golden_test.go
+++ b/internal/serving/configuration/golden_test.go
@@ -45,8 +45,9 @@
 
 func goldenService() Service {
 	return Service{
-		Name: "s1", HealthCheckPath: "/healthz", MaxConnections: 40.5, WarmupSeconds: 30.5, WarmupRequestsPerSecond: 12.5,
-		Engine: &Engine{Capacity: 64, KVCacheTokens: 120000.5, Stride: 16},
+		Name: "s1", HealthCheckPath: "/healthz", MaxConnections: 40.5, WarmupSeconds: 30.5,
+		WarmupRequestsPerSecond: 12.5,
+		Engine:                  &Engine{Capacity: 64, KVCacheTokens: 120000.5, Stride: 16},
 	}
 }
 
--- a/internal/serving/configuration/route.go
+++ b/internal/serving/configuration/route.go
@@ -42,8 +42,9 @@
 	return []Split{{Backend: r.Backend, Weight: 1}}
 }
 
-// IsIdempotent reports whether a request may run more than once, so that it may be retried or hedged after its
-// outcome became unknown. A resumable stream is one of these: it goes on after the last event received.
+// IsIdempotent reports whether a request may run more than once, so that it may be retried or hedged
+// after its outcome became unknown. A resumable stream is one of these: it goes on after the last event
+// received.
 func (r *Route) IsIdempotent() bool {
 	return r.RouteType == Idempotent || r.RouteType == Streaming && r.Resumable
 }
--- a/internal/serving/control/engine.go
+++ b/internal/serving/control/engine.go
@@ -69,7 +69,7 @@
 	logger      *zap.Logger
 	node        *consensus.Node
 	machine     *statemachine.Machine
-	mirror      *stateview.Mirror
+	mirror      *stateview.Store
 	orders      orderTable
 	asked       askedTable
 	workers     workerTable
@@ -114,7 +114,7 @@
 func (e *Engine) now() time.Duration { return e.options.Clock() }
 
 // Mirror returns the copy of the core's state that feeds are served from. It is safe for concurrent use.
-func (e *Engine) Mirror() *stateview.Mirror { return e.mirror }
+func (e *Engine) Mirror() *stateview.Store { return e.mirror }
 
 // SetSeeds takes up the hosts of cores that the settings name now.
 func (e *Engine) SetSeeds(hosts []string) { e.options.Seeds = hosts }
@@ -124,7 +124,7 @@
 	now := e.awake()
 	e.lastTick = now
 	if e.node.InTouch() {
-		e.mirror.Touch(e.settled())
+		e.mirror.ConfirmQuorumContact(e.settled())
 	}
 	e.noteLeader()
 	e.pursueOrders()
--- a/internal/serving/control/sim_edges_test.go
+++ b/internal/serving/control/sim_edges_test.go
@@ -21,7 +21,7 @@
 type simEdge struct {
 	world      *world
 	name       string
-	mirror     *stateview.Mirror
+	mirror     *stateview.Store
 	started    time.Duration
 	downUntil  time.Duration
 	core       *machine
@@ -98,7 +98,7 @@
 
 // pull takes what is missing.
 func (e *simEdge) pull() {
-	update, _ := e.core.process.engine.Mirror().Difference(e.mirror.Position())
+	update, _ := e.core.process.engine.Mirror().UpdateSince(e.mirror.Position())
 	e.mirror.Apply(update)
 }
 
@@ -106,7 +106,7 @@
 // touch.
 func (e *simEdge) check() {
 	w := e.world
-	view := e.mirror.View()
+	view := e.mirror.Snapshot()
 	generation := uint64(0)
 	if view.Document != nil {
 		generation = view.Document.Generation
@@ -118,7 +118,7 @@
 	if !w.callers.possible(generation) {
 		w.problem("%s has version %d, which was never sent or was refused", e.name, generation)
 	}
-	if !view.InTouch {
+	if !view.QuorumContact {
 		return
 	}
 	e.checkLiveWorkers()
@@ -131,7 +131,7 @@
 	e.checkWorkers(view)
 }
 
-func (e *simEdge) checkWorkers(view stateview.View) {
+func (e *simEdge) checkWorkers(view stateview.Snapshot) {
 	w := e.world
 	for _, entry := range view.Entries {
 		worker := entry.Record.GetWorker()
--- a/internal/serving/core/core_test.go
+++ b/internal/serving/core/core_test.go
@@ -156,7 +156,7 @@
 		})
 	})
 	c := startCore(t, folder, false)
-	update, _ := c.engine.Mirror().Difference(stateview.Position{})
+	update, _ := c.engine.Mirror().UpdateSince(stateview.Position{})
 	if update.Configuration.GetGeneration() != 3 || len(update.Evacuated) != 1 {
 		t.Errorf("told %v %v", update.Configuration, update.Evacuated)
 	}
@@ -172,7 +172,7 @@
 	if entry := held(c, catalog.WorkerKey("i-2")); entry != nil && !entry.Record.Deleted {
 		t.Error("a worker that has deregistered is told of")
 	}
-	update, _ = c.engine.Mirror().Difference(stateview.Position{})
+	update, _ = c.engine.Mirror().UpdateSince(stateview.Position{})
 	agent := stateview.New("", func() time.Duration { return 0 })
 	for range 2 { // the second time, as a provider that has settled
 		agent.Apply(update)
--- a/internal/serving/core/peers.go
+++ b/internal/serving/core/peers.go
@@ -225,11 +225,11 @@
 	replica := c.engine.Mirror()
 	link := &control.EdgeLink{}
 	onRequest := func(request *wirepb.FeedRequest) {
-		replica.SetDemands(request.Demands)
+		replica.MergeDemands(request.Demands)
 		if request.Edge != nil {
 			c.do(func() { c.engine.LinkEdge(link, request) })
 		}
 	}
-	watch.Provide(connection, first, replica, onRequest, c.stop)
+	watch.Serve(connection, first, replica, onRequest, c.stop)
 	c.do(func() { c.engine.UnlinkEdge(link) })
 }
--- a/internal/serving/edge/edge.go
+++ b/internal/serving/edge/edge.go
@@ -46,7 +46,7 @@
 	settings *settings.Settings
 	logger   *zap.Logger
 	started  time.Time
-	mirror   *stateview.Mirror
+	mirror   *stateview.Store
 	table    atomic.Pointer[table]
 
 	firstTable chan struct{} // closed once there is a table
@@ -163,11 +163,11 @@
 func (e *Edge) subscribe(ctx context.Context) {
 	address := agent.LoopbackAddress(e.settings)
 	subscriber := watch.Subscriber{
-		Mirror: e.mirror, DialTimeout: agentDialTimeout,
+		Store: e.mirror, DialTimeout: agentDialTimeout,
 		Providers:     func() []watch.Provider { return []watch.Provider{{Address: address}} },
 		Status:        e.status,
 		StatusChanged: e.statusChanged,
-		Linked:        func(string) {},
+		OnLinkChange:  func(string) {},
 	}
 	subscriber.Run(ctx)
 }
@@ -217,7 +217,7 @@
 
 func (e *Edge) makeTable(builder *tableBuilder) {
 	before := e.table.Load()
-	next, err := builder.build(e.now(), e.mirror.View())
+	next, err := builder.build(e.now(), e.mirror.Snapshot())
 	if err != nil {
 		e.logger.Error("configuration kept as it was", zap.Error(err))
 		return
@@ -284,4 +284,4 @@
 }
 
 // mayDeny reports whether what this edge knows is fresh enough to say that a route does not exist.
-func (e *Edge) mayDeny() bool { return e.mirror.InTouch() }
+func (e *Edge) mayDeny() bool { return e.mirror.HasQuorumContact() }
--- a/internal/serving/edge/edge_test.go
+++ b/internal/serving/edge/edge_test.go
@@ -152,8 +152,9 @@
 		routes = append(routes, fmt.Sprintf(
 			`{"hostname":"h","path_prefix":%q,%s,"timeout_ms":5000,"backend":"s"}`, prefix, kind))
 	}
-	document, err := configuration.ParseAndValidate([]byte(`{"generation":1,"routes":[` + strings.Join(routes, ",") +
-		`],"services":[{"name":"s","cold_per_s":10}]}`))
+	document, err := configuration.ParseAndValidate([]byte(
+		`{"generation":1,"routes":[` + strings.Join(routes, ",") +
+			`],"services":[{"name":"s","cold_per_s":10}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -394,7 +395,7 @@
 	if got := ask(t, server, "/nowhere/"); got.status != 503 || got.header.Get("Retry-After") == "" {
 		t.Errorf("out of touch: %+v", got)
 	}
-	e.mirror.Touch(true)
+	e.mirror.ConfirmQuorumContact(true)
 	if got := ask(t, server, "/nowhere/"); got.status != 404 {
 		t.Errorf("in touch: %+v", got)
 	}
@@ -477,15 +478,15 @@
 		}
 		return false
 	}
-	e.mirror.Touch(false)
+	e.mirror.ConfirmQuorumContact(false)
 	if admitted() {
 		t.Error("a cold worker got a request before the core had settled")
 	}
-	e.mirror.Touch(true)
+	e.mirror.ConfirmQuorumContact(true)
 	if !admitted() {
 		t.Error("a cold worker gets nothing")
 	}
-	e.mirror.Touch(false) // another core, which has only just begun: what is known stays
+	e.mirror.ConfirmQuorumContact(false) // another core, which has only just begun: what is known stays
 	if !admitted() {
 		t.Error("the number of edges was forgotten")
 	}
--- a/internal/serving/edge/table.go
+++ b/internal/serving/edge/table.go
@@ -72,7 +72,7 @@
 }
 
 // build returns the table for a view, or nil where no configuration is known yet.
-func (b *tableBuilder) build(now time.Duration, view stateview.View) (*table, error) {
+func (b *tableBuilder) build(now time.Duration, view stateview.Snapshot) (*table, error) {
 	if view.Document == nil {
 		return nil, nil
 	}
@@ -98,7 +98,7 @@
 	}
 	b.noteEvacuations(now, view.Evacuated, longestCold)
 	b.buildWorkers(now, t, view)
-	b.settled = b.settled || view.Settled && view.InTouch
+	b.settled = b.settled || view.Synced && view.QuorumContact
 	if b.settled {
 		t.edges = b.edges
 	}
@@ -157,7 +157,7 @@
 	maps.DeleteFunc(b.coldZones, func(_ string, until time.Duration) bool { return now >= until })
 }
 
-func (b *tableBuilder) buildWorkers(now time.Duration, t *table, view stateview.View) {
+func (b *tableBuilder) buildWorkers(now time.Duration, t *table, view stateview.Snapshot) {
 	edges := 0
 	for _, entry := range view.Entries {
 		if entry.Record.Deleted {
--- a/internal/serving/stateview/demands.go
+++ b/internal/serving/stateview/demands.go
@@ -8,52 +8,62 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// demandLife is how long an edge's last demand counts: suspicion (6 s), then hold (10 s), as the design says.
-const demandLife = 16 * time.Second
-
-// SetDemands takes the demands that one edge reports of itself. They go on with the next heartbeats: a
-// period of a second does not need more, and a message for each report to each edge would grow with the
-// square of the edges.
-func (m *Mirror) SetDemands(demands []*wirepb.Demand) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.applyDemands(demands)
+// demandExpiry is how long an edge's last demand counts: suspicion (6 s), then hold (10 s), as the design
+// says.
+const demandExpiry = 16 * time.Second
+
+// demandEntry is the newest demand of one edge for one worker.
+type demandEntry struct {
+	demand     *wirepb.Demand
+	receivedAt time.Duration
+}
+
+// MergeDemands merges the demands that one edge reports. They are forwarded with the next heartbeats: reports
+// come once a second, and a message for each report to each edge would grow with the square of the edges.
+func (s *Store) MergeDemands(demands []*wirepb.Demand) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.mergeDemands(demands)
 }
 
 func demandKey(demand *wirepb.Demand) string { return demand.Edge + "/" + demand.InstanceId }
 
-func (m *Mirror) applyDemands(demands []*wirepb.Demand) {
+// mergeDemands keeps the demands that are newer by their number. s.mu must be held.
+func (s *Store) mergeDemands(demands []*wirepb.Demand) {
 	for _, demand := range demands {
-		held, known := m.demands[demandKey(demand)]
-		if !known || held.demand.Number < demand.Number {
-			m.demands[demandKey(demand)] = demandEntry{demand: demand, heard: m.clock()}
+		existing, known := s.demands[demandKey(demand)]
+		if !known || existing.demand.Number < demand.Number {
+			s.demands[demandKey(demand)] = demandEntry{demand: demand, receivedAt: s.clock()}
 		}
 	}
 }
 
-// liveDemands returns the demands that still count, in a fixed order.
-func (m *Mirror) liveDemands() []*wirepb.Demand {
-	now := m.clock()
-	maps.DeleteFunc(m.demands, func(_ string, entry demandEntry) bool { return now-entry.heard > demandLife })
-	demands := make([]*wirepb.Demand, 0, len(m.demands))
-	for _, key := range slices.Sorted(maps.Keys(m.demands)) {
-		demands = append(demands, m.demands[key].demand)
+// unexpiredDemands drops the demands that have expired and returns the others, in the order of their keys.
+func (s *Store) unexpiredDemands() []*wirepb.Demand {
+	now := s.clock()
+	maps.DeleteFunc(s.demands, func(_ string, entry demandEntry) bool {
+		return now-entry.receivedAt > demandExpiry
+	})
+	demands := make([]*wirepb.Demand, 0, len(s.demands))
+	for _, key := range slices.Sorted(maps.Keys(s.demands)) {
+		demands = append(demands, s.demands[key].demand)
 	}
 	return demands
 }
 
-// demandsSince returns the demands that were not told yet, and what has been told with them.
-func (m *Mirror) demandsSince(told map[string]uint64) ([]*wirepb.Demand, map[string]uint64) {
-	live := m.liveDemands()
-	if len(live) == 0 {
+// demandsSince returns the demands that are newer than those sent on a link, whose numbers sent has by
+// demandKey, and the numbers once they are sent too.
+func (s *Store) demandsSince(sent map[string]uint64) ([]*wirepb.Demand, map[string]uint64) {
+	unexpired := s.unexpiredDemands()
+	if len(unexpired) == 0 {
 		return nil, nil
 	}
 	var missing []*wirepb.Demand
-	next := make(map[string]uint64, len(live))
-	for _, demand := range live {
+	next := make(map[string]uint64, len(unexpired))
+	for _, demand := range unexpired {
 		key := demandKey(demand)
 		next[key] = demand.Number
-		if told[key] < demand.Number {
+		if sent[key] < demand.Number {
 			missing = append(missing, demand)
 		}
 	}
--- /dev/null
+++ b/internal/serving/stateview/updates.go
@@ -0,0 +1,108 @@
+package stateview
+
+import (
+	"slices"
+
+	"willowdeck/internal/serving/wirepb"
+)
+
+// Position states what a subscriber has.
+type Position struct {
+	Vector     *wirepb.VersionVector
+	Generation uint64            // of its configuration; 0: none
+	StateIndex uint64            // log index of its committed state
+	Demands    map[string]uint64 // by demandKey: the number of the newest report that was sent on this link
+}
+
+// Position returns the store's position, to subscribe with. Its Demands are left out: a new link is sent all.
+func (s *Store) Position() Position {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	position := Position{Vector: s.catalog.Vector(), StateIndex: s.stateIndex}
+	if s.document != nil {
+		position.Generation = s.document.Generation
+	}
+	return position
+}
+
+// Apply applies an update from a provider. It returns false where the configuration's base is not the one in
+// force here: the rest was applied, and the subscriber has to subscribe again to get a full update. Committed
+// state that is older than the store's is ignored.
+func (s *Store) Apply(update *wirepb.FeedUpdate) (usable bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	changed := false
+	if update.InTouch {
+		changed = update.Settled && !s.synced
+		s.confirmQuorumContact(update.Settled)
+	}
+	usable = true
+	if update.StateIndex >= s.stateIndex {
+		applied, ok := s.applyCommitted(update)
+		changed = changed || applied
+		usable = ok
+	}
+	if len(s.catalog.Merge(s.clock(), update.Records, update.Vector)) > 0 {
+		changed = true
+	}
+	if update.Settled && update.InTouch && s.catalog.DropUnknownOrigins(update.Vector) {
+		changed = true
+	}
+	s.mergeDemands(update.Demands)
+	if changed {
+		s.notify()
+	}
+	return usable
+}
+
+// applyCommitted applies the parts of an update that were committed to the log.
+func (s *Store) applyCommitted(update *wirepb.FeedUpdate) (changed, usable bool) {
+	if update.Configuration != nil {
+		document, err := s.document.Apply(update.Configuration)
+		if err != nil {
+			return false, false
+		}
+		s.setDocument(document)
+		changed = true
+	}
+	if update.EvacuationsSet && !slices.Equal(s.evacuated, update.Evacuated) {
+		s.evacuated = slices.Clone(update.Evacuated)
+		changed = true
+	}
+	s.stateIndex = update.StateIndex
+	return changed, true
+}
+
+// UpdateSince returns what a subscriber at position lacks, and its position once it has applied that. Where
+// nothing is missing the update is a heartbeat: it carries the vector, the log index and the evacuated zones.
+func (s *Store) UpdateSince(position Position) (*wirepb.FeedUpdate, Position) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	update := &wirepb.FeedUpdate{InTouch: s.hasQuorumContact(), Settled: s.synced, StateIndex: s.stateIndex}
+	next := position
+	if s.stateIndex >= position.StateIndex {
+		next.StateIndex = s.stateIndex
+		update.EvacuationsSet = true
+		update.Evacuated = s.evacuated
+		if s.document != nil && s.document.Generation != position.Generation {
+			update.Configuration = s.configurationUpdate(position.Generation)
+			next.Generation = s.document.Generation
+		}
+	}
+	update.Records = s.catalog.Since(s.clock(), position.Vector)
+	update.Vector = s.catalog.Vector()
+	update.Demands, next.Demands = s.demandsSince(position.Demands)
+	next.Vector = update.Vector
+	return update, next
+}
+
+// configurationUpdate returns the delta from the subscriber's generation, or a full update where that one is
+// not in the history.
+func (s *Store) configurationUpdate(generation uint64) *wirepb.ConfigurationUpdate {
+	for _, document := range s.history {
+		if generation != 0 && document.Generation == generation {
+			return document.UpdateTo(s.document)
+		}
+	}
+	return s.document.FullUpdate()
+}
--- a/internal/serving/watch/server.go
+++ b/internal/serving/watch/server.go
@@ -1,5 +1,3 @@
-// Package watch brings the core's state to the edges: a core provides it to agents, an agent to its proxy.
-// Each end keeps a mirror, says what it holds, and gets what is missing.
 package watch
 
 import (
@@ -12,15 +10,16 @@
 
 // Times of a link.
 const (
-	HeartbeatInterval = 400 * time.Millisecond
-	LinkSilence       = 1300 * time.Millisecond // after which a link counts as lost
-	gatherChanges     = 4 * time.Millisecond    // that a change waits for more of its kind
+	HeartbeatInterval = 400 * time.Millisecond  // of both ends
+	LinkTimeout       = 1300 * time.Millisecond // without a message, after which a link counts as lost
+	changeBatchDelay  = 4 * time.Millisecond    // for which a change waits for others, to be sent together
 )
 
-// Provide serves a subscriber on a link whose first request was read. onRequest is called with it and with
-// each further one; Provide returns when the link is lost or stop is closed.
-func Provide(
-	connection *framing.Conn, first *wirepb.FeedRequest, held *stateview.Mirror,
+// Serve serves a subscriber on a link whose first request was read, and closes the link in the end. onRequest
+// is called with that request and each further one, always from one goroutine, which has ended when Serve
+// returns. Serve returns when the link is lost or stop is closed.
+func Serve(
+	connection *framing.Conn, first *wirepb.FeedRequest, store *stateview.Store,
 	onRequest func(*wirepb.FeedRequest), stop <-chan struct{},
 ) {
 	defer connection.Close()
@@ -37,15 +36,15 @@
 	heartbeat := time.NewTicker(HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
-		changed := held.Changed()
-		update, next := held.Difference(position)
+		changed := store.Changed()
+		update, next := store.UpdateSince(position)
 		if err := connection.WriteMessage(update); err != nil {
 			break
 		}
 		position = next
 		select {
 		case <-changed:
-			time.Sleep(gatherChanges)
+			time.Sleep(changeBatchDelay)
 			continue
 		case <-heartbeat.C:
 			continue
@@ -58,13 +57,14 @@
 	<-lost
 }
 
+// readRequests calls onRequest with each request until the link is lost.
 func readRequests(
 	connection *framing.Conn, request *wirepb.FeedRequest, onRequest func(*wirepb.FeedRequest),
 ) {
 	for {
 		onRequest(request)
 		request = &wirepb.FeedRequest{}
-		if err := connection.ReadMessage(request, LinkSilence); err != nil {
+		if err := connection.ReadMessage(request, LinkTimeout); err != nil {
 			return
 		}
 	}
--- a/internal/serving/watch/subscriber.go
+++ b/internal/serving/watch/subscriber.go
@@ -12,41 +12,41 @@
 )
 
 const (
-	writeTimeout   = 2 * time.Second
-	redialPause    = 60 * time.Millisecond  // between two providers
-	outOfTouchMost = 900 * time.Millisecond // that a provider without a majority of the core is kept
-	failureMemory  = 3 * time.Second        // for which a provider that has failed comes last
-	nearerPause    = 4 * time.Second        // between moves to a nearer provider
-	moveOverlap    = 500 * time.Millisecond // that a link is kept open after a move, so that nobody sees it lost
+	writeTimeout       = 2 * time.Second
+	redialInterval     = 60 * time.Millisecond  // between two attempts to link
+	quorumLossLimit    = 900 * time.Millisecond // for which a provider without a majority of the core is kept
+	failurePenalty     = 3 * time.Second        // for which a provider that has failed is tried last
+	moveInterval       = 4 * time.Second        // between two moves to a nearer provider, at least
+	overlapAfterMoving = 500 * time.Millisecond // for which the old link stays open after a move
 )
 
-// Provider is an address to subscribe at.
+// Provider is a process that serves the state.
 type Provider struct {
 	Address  string
 	Distance int // the smaller the better
 }
 
-// Subscriber keeps a replica up to date from one provider at a time.
+// Subscriber keeps a store up to date from one provider at a time. X// use.
 type Subscriber struct {
-	Mirror      *stateview.Mirror
+	Store       *stateview.Store
 	DialTimeout time.Duration
-	// Providers returns the providers to choose from, the preferred first.
+	// Providers returns the providers to choose from, the preferred one first.
 	Providers func() []Provider
-	// Status returns what is told of the subscriber with each request; what it holds is filled in here.
+	// Status returns a request with the subscriber's own state, for Run to add the store's position.
 	Status func() *wirepb.FeedRequest
-	// StatusChanged returns a channel that is closed when Status should be told at once.
+	// StatusChanged returns a channel that is closed when Status should be sent at once.
 	StatusChanged func() <-chan struct{}
-	// Wrap makes the first frame out of the first request, for providers that serve other links too. Nil: as
-	// it is.
-	Wrap func(*wirepb.FeedRequest) proto.Message
-	// Linked is told when a link comes up (its address) and is lost ("").
-	Linked func(address string)
+	// WrapFirst makes the first message of a link out of the first request, for providers that serve other
+	// kinds of links at the same address. Nil: the request itself.
+	WrapFirst func(*wirepb.FeedRequest) proto.Message
+	// OnLinkChange is called when a link is up, with the provider's address, and when it is lost, with "".
+	OnLinkChange func(address string)
 
-	failures  map[string]time.Time // when each provider failed last
-	lastMoved time.Time
+	failures  map[string]time.Time // by address: when the provider failed last; for Run's goroutine only
+	lastMoved time.Time            // to a nearer provider; for Run's goroutine only
 }
 
-// Run links to providers until the context ends.
+// Run keeps a link to some provider until ctx ends. It must be called once.
 func (s *Subscriber) Run(ctx context.Context) {
 	s.failures = map[string]time.Time{}
 	for ctx.Err() == nil {
@@ -57,18 +57,19 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(redialPause):
+		case <-time.After(redialInterval):
 		}
 	}
 }
 
-// choose returns the first provider that has not failed lately, or the one whose failure is the longest ago.
+// choose returns the first provider that has not failed within failurePenalty, or the one whose failure
+// is the longest ago; false where there is none.
 func (s *Subscriber) choose() (Provider, bool) {
 	var oldest Provider
 	found := false
 	for _, provider := range s.Providers() {
 		failed, known := s.failures[provider.Address]
-		if !known || time.Since(failed) > failureMemory {
+		if !known || time.Since(failed) > failurePenalty {
 			return provider, true
 		}
 		if !found || failed.Before(s.failures[oldest.Address]) {
@@ -78,9 +79,10 @@
 	return oldest, found
 }
 
-// follow stays with one provider until its link is lost, it has been out of touch for too long, or a nearer
-// one can be had. It returns whether the provider is as good as before. A link that is left for a nearer one
-// stays open, but says nothing more, until the next one stands: else the edge would count as gone meanwhile.
+// follow stays with one provider until its link is lost, it has lost its quorum contact for
+// quorumLossLimit, or a nearer one is available. It returns whether the provider may be chosen again
+// without a penalty. A link that is left for a nearer provider stays open, silent, for
+// overlapAfterMoving: otherwise the core would count the edge as lost until the next link is up.
 func (s *Subscriber) follow(ctx context.Context, provider Provider) bool {
 	connection, err := framing.Dial(ctx, provider.Address, s.DialTimeout, writeTimeout)
 	if err != nil {
@@ -90,56 +92,56 @@
 		connection.Close()
 		return false
 	}
-	s.Linked(provider.Address)
-	defer s.Linked("")
+	s.OnLinkChange(provider.Address)
+	defer s.OnLinkChange("")
 	linkContext, cancel := context.WithCancel(ctx)
-	told := make(chan struct{})
+	senderDone := make(chan struct{})
 	go func() {
-		defer close(told)
-		s.tell(linkContext, connection, cancel)
+		defer close(senderDone)
+		s.sendStatus(linkContext, connection, cancel)
 	}()
 	stopClosing := context.AfterFunc(linkContext, func() { connection.Close() })
-	good, moving := s.read(connection, provider)
+	healthy, moving := s.receive(connection, provider)
 	if moving && stopClosing() {
-		time.AfterFunc(moveOverlap, func() { connection.Close() })
+		time.AfterFunc(overlapAfterMoving, func() { connection.Close() })
 	}
 	cancel()
-	<-told // what is told on the next link follows all that was told on this one
-	return good
+	<-senderDone // the status on the next link follows all that was sent on this one
+	return healthy
 }
 
-// read takes updates until the link should end. It returns whether the provider is as good as before, and
-// whether the link ends only for the sake of a nearer one.
-func (s *Subscriber) read(connection *framing.Conn, provider Provider) (good, moving bool) {
-	lastInTouch := time.Now()
+// receive applies updates until the link should end. It returns whether the provider may be chosen again
+// without a penalty, and whether the link ends only for the sake of a nearer one.
+func (s *Subscriber) receive(connection *framing.Conn, provider Provider) (healthy, moving bool) {
+	lastQuorumContact := time.Now()
 	for {
 		update := &wirepb.FeedUpdate{}
-		if err := connection.ReadMessage(update, LinkSilence); err != nil {
+		if err := connection.ReadMessage(update, LinkTimeout); err != nil {
 			return false, false
 		}
-		if !s.Mirror.Apply(update) {
-			return true, false // its base was not held here: the next subscription asks for the whole
+		if !s.Store.Apply(update) {
+			return true, false // a delta of another base: the next subscription gets a full update
 		}
 		if update.InTouch {
-			lastInTouch = time.Now()
-		} else if time.Since(lastInTouch) > outOfTouchMost {
+			lastQuorumContact = time.Now()
+		} else if time.Since(lastQuorumContact) > quorumLossLimit {
 			return false, false
 		}
-		if s.nearerThan(provider) {
+		if s.shouldMove(provider) {
 			return true, true
 		}
 	}
 }
 
-// nearerThan reports whether it is time to move to a nearer provider.
-func (s *Subscriber) nearerThan(provider Provider) bool {
+// shouldMove reports whether to move to a nearer provider now, and records the move.
+func (s *Subscriber) shouldMove(provider Provider) bool {
 	best, ok := s.choose()
-	if !ok || best.Address == provider.Address || time.Since(s.lastMoved) < nearerPause {
+	if !ok || best.Address == provider.Address || time.Since(s.lastMoved) < moveInterval {
 		return false
 	}
 	for _, known := range s.Providers() {
 		if known.Address == provider.Address {
-			provider = known // its place may have become known only by its own feed
+			provider = known // its distance may have become known only by its own updates
 		}
 	}
 	if best.Distance >= provider.Distance {
@@ -149,28 +151,30 @@
 	return true
 }
 
+// firstRequest returns the message that opens a link: the status with the store's position.
 func (s *Subscriber) firstRequest() proto.Message {
 	request := s.Status()
-	position := s.Mirror.Position()
+	position := s.Store.Position()
 	request.Vector = position.Vector
 	request.Generation = position.Generation
 	request.StateIndex = position.StateIndex
-	if s.Wrap != nil {
-		return s.Wrap(request)
+	if s.WrapFirst != nil {
+		return s.WrapFirst(request)
 	}
 	return request
 }
 
-// tell sends the status as a heartbeat, and at once where it changes.
-func (s *Subscriber) tell(ctx context.Context, connection *framing.Conn, lost func()) {
+// sendStatus sends the status as a heartbeat, and at once where it changes, until ctx ends or the link is
+// lost, which it reports by onLost.
+func (s *Subscriber) sendStatus(ctx context.Context, connection *framing.Conn, onLost func()) {
 	heartbeat := time.NewTicker(HeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		changed := s.StatusChanged()
 		request := s.Status()
-		request.Generation = s.Mirror.Position().Generation
+		request.Generation = s.Store.Position().Generation
 		if err := connection.WriteMessage(request); err != nil {
-			lost()
+			onLost()
 			return
 		}
 		select {
--- a/internal/serving/watch/subscriber_test.go
+++ b/internal/serving/watch/subscriber_test.go
@@ -12,57 +12,57 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// standInProvider takes links, and notes when each comes up and ends.
-type standInProvider struct {
+// fakeProvider serves an empty store, and reports when each link comes up and ends.
+type fakeProvider struct {
 	name     string
 	listener net.Listener
 	events   chan string
 }
 
-func newStandInProvider(t *testing.T, name string, events chan string) *standInProvider {
+func newFakeProvider(t *testing.T, name string, events chan string) *fakeProvider {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	p := &standInProvider{name: name, listener: listener, events: events}
+	p := &fakeProvider{name: name, listener: listener, events: events}
 	go p.accept()
 	return p
 }
 
-func (p *standInProvider) accept() {
-	held := stateview.New("", func() time.Duration { return 0 })
-	held.Touch(true)
+func (p *fakeProvider) accept() {
+	store := stateview.New("", func() time.Duration { return 0 })
+	store.ConfirmQuorumContact(true)
 	for {
 		accepted, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		connection := framing.NewConn(accepted, patience)
+		connection := framing.NewConn(accepted, testTimeout)
 		first := &wirepb.FeedRequest{}
-		if connection.ReadMessage(first, patience) != nil {
+		if connection.ReadMessage(first, testTimeout) != nil {
 			continue
 		}
 		p.events <- "up " + p.name
 		go func() {
-			Provide(connection, first, held, func(*wirepb.FeedRequest) {}, nil)
+			Serve(connection, first, store, func(*wirepb.FeedRequest) {}, nil)
 			p.events <- "down " + p.name
 		}()
 	}
 }
 
-// TestMoveToNearerKeepsTheOldLink makes a nearer provider known: the link to it stands before the old one
-// ends, so that nobody takes the subscriber for gone.
+// TestMoveToNearerKeepsTheOldLink makes a nearer provider known: the link to it is up before the old one
+// ends, so that nobody counts the subscriber as lost.
 func TestMoveToNearerKeepsTheOldLink(t *testing.T) {
 	events := make(chan string, 16)
-	far, near := newStandInProvider(t, "far", events), newStandInProvider(t, "near", events)
+	far, near := newFakeProvider(t, "far", events), newFakeProvider(t, "near", events)
 	var mu sync.Mutex
 	known := []Provider{{Address: far.listener.Addr().String(), Distance: 2}}
 	subscriber := &Subscriber{
-		Mirror: stateview.New("", func() time.Duration { return 0 }), DialTimeout: patience,
+		Store: stateview.New("", func() time.Duration { return 0 }), DialTimeout: testTimeout,
 		Providers: func() []Provider {
 			mu.Lock()
 			defer mu.Unlock()
@@ -70,7 +70,7 @@
 		},
 		Status:        func() *wirepb.FeedRequest { return &wirepb.FeedRequest{Subscriber: "s"} },
 		StatusChanged: func() <-chan struct{} { return nil },
-		Linked:        func(string) {},
+		OnLinkChange:  func(string) {},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	stopped := make(chan struct{})
@@ -85,7 +85,7 @@
 			if got != want {
 				t.Fatalf("%s instead of %s", got, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("no %s", want)
 		}
 	}
