--- a/internal/serving/core/controlplane.go
+++ b/internal/serving/core/controlplane.go
@@ -54,7 +54,7 @@
 		writeError(w, http.StatusBadRequest, "configuration: send the complete body")
 		return
 	}
-	document, err := configuration.Check(body)
+	document, err := configuration.ParseAndValidate(body)
 	if err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
 		return
--- a/internal/serving/core/links.go
+++ b/internal/serving/core/links.go
@@ -71,11 +71,11 @@
 	view := c.engine.Mirror()
 	link := &control.EdgeLink{}
 	onRequest := func(request *wirepb.FeedRequest) {
-		view.SetDemands(request.Demands)
+		view.MergeDemands(request.Demands)
 		if request.Edge != nil {
 			c.enqueue(func() { c.engine.LinkEdge(link, request) })
 		}
 	}
-	watch.Provide(connection, subscription, view, onRequest, c.stop)
+	watch.Serve(connection, subscription, view, onRequest, c.stop)
 	c.enqueue(func() { c.engine.UnlinkEdge(link) })
 }
--- a/internal/serving/edge/table.go
+++ b/internal/serving/edge/table.go
@@ -72,7 +72,7 @@
 }
 
 // build returns the table for a view, or nil where no configuration is known yet.
-func (b *tableBuilder) build(now time.Duration, view stateview.View) (*table, error) {
+func (b *tableBuilder) build(now time.Duration, view stateview.Snapshot) (*table, error) {
 	if view.Document == nil {
 		return nil, nil
 	}
@@ -91,14 +91,14 @@
 	longestCold := 0.0
 	for i := range services {
 		t.services[services[i].Name] = &services[i]
-		longestCold = max(longestCold, services[i].ColdStartS)
+		longestCold = max(longestCold, services[i].WarmupSeconds)
 	}
 	if t.limits, err = view.Document.Limits(); err != nil {
 		return nil, err
 	}
 	b.noteEvacuations(now, view.Evacuated, longestCold)
 	b.buildWorkers(now, t, view)
-	b.settled = b.settled || view.Settled && view.InTouch
+	b.settled = b.settled || view.Synced && view.QuorumContact
 	if b.settled {
 		t.edges = b.edges
 	}
@@ -131,12 +131,12 @@
 }
 
 func (t *table) notePause(route *configuration.Route) {
-	if route.GapAimMs <= 0 {
+	if route.TargetGapMs <= 0 {
 		return
 	}
 	for _, split := range route.Backends() {
-		if strictest, known := t.pauses[split.Backend]; !known || route.GapAimMs < strictest {
-			t.pauses[split.Backend] = route.GapAimMs
+		if strictest, known := t.pauses[split.Backend]; !known || route.TargetGapMs < strictest {
+			t.pauses[split.Backend] = route.TargetGapMs
 		}
 	}
 }
@@ -157,7 +157,7 @@
 	maps.DeleteFunc(b.coldZones, func(_ string, until time.Duration) bool { return now >= until })
 }
 
-func (b *tableBuilder) buildWorkers(now time.Duration, t *table, view stateview.View) {
+func (b *tableBuilder) buildWorkers(now time.Duration, t *table, view stateview.Snapshot) {
 	edges := 0
 	for _, entry := range view.Entries {
 		if entry.Record.Deleted {
@@ -183,7 +183,7 @@
 				Region: b.settings.Zones[told.Zone], Capacity: int(told.Capacity),
 				Engine: service != nil && service.Engine != nil,
 			},
-			coldUntil: max(entry.ColdUntil, b.coldZones[told.Zone]),
+			coldUntil: max(entry.WarmingUntil, b.coldZones[told.Zone]),
 		})
 	}
 	b.edges = max(b.edges, edges, 1)
