--- a/internal/distribution/api.go
+++ b/internal/distribution/api.go
@@ -124,23 +124,23 @@
 
 // Counts are what a Follower has met. What is refused changes nothing.
 type Counts struct {
-	Asked    int64 // questions
-	Failed   int64 // without an answer in time
-	Renewed  int64 // words that brought no other step
-	Taken    int64 // words of another step
-	Deltas   int64 // states made by a delta
-	Wholes   int64 // states that came whole
-	Late     int64 // words of a lower step, or of an older read
-	Before   int64 // read before this process began
-	Lapsed   int64 // whose lease is over
-	Empty    int64 // from one that knows nothing
-	Busy     int64 // from one without room for a whole
-	Foreign  int64 // of another form or cluster
-	Bad      int64 // with figures that are none, or that contradict what is known of that step
-	Base     int64 // deltas against another state
-	Digest   int64 // deltas whose result has another digest
-	Missing  int64 // a version that is not here, without a delta
-	Switched int64 // times that another upstream was gone over to
-	Dropped  int64 // facts on hosts beyond the bound
-	Lost     int64 // times that the lease ran out
+	Asked    int64 `json:"Asked"`    // questions
+	Failed   int64 `json:"Failed"`   // without an answer in time
+	Renewed  int64 `json:"Renewed"`  // words that brought no other step
+	Taken    int64 `json:"Taken"`    // words of another step
+	Deltas   int64 `json:"Deltas"`   // states made by a delta
+	Wholes   int64 `json:"Wholes"`   // states that came whole
+	Late     int64 `json:"Late"`     // words of a lower step, or of an older read
+	Before   int64 `json:"Before"`   // read before this process began
+	Lapsed   int64 `json:"Lapsed"`   // whose lease is over
+	Empty    int64 `json:"Empty"`    // from one that knows nothing
+	Busy     int64 `json:"Busy"`     // from one without room for a whole
+	Foreign  int64 `json:"Foreign"`  // of another form or cluster
+	Bad      int64 `json:"Bad"`      // with figures that are none, or that contradict what is known of that step
+	Base     int64 `json:"Base"`     // deltas against another state
+	Digest   int64 `json:"Digest"`   // deltas whose result has another digest
+	Missing  int64 `json:"Missing"`  // a version that is not here, without a delta
+	Switched int64 `json:"Switched"` // times that another upstream was gone over to
+	Dropped  int64 `json:"Dropped"`  // facts on hosts beyond the bound
+	Lost     int64 `json:"Lost"`     // times that the lease ran out
 }
--- a/internal/distribution/relay/file.go
+++ b/internal/distribution/relay/file.go
@@ -25,8 +25,8 @@
 	Cluster  string   // the council's name
 	Listen   string   // HOST:PORT for those below
 	Control  string   // HOST:PORT for operators
-	Upstream []string // HOST:PORT of those above, in the order in which they are asked
-	Store    string   // the file of the copy; none where empty
+	Upstream []string `toml:"upstream"` // HOST:PORT of those above, in the order in which they are asked
+	Store    string   `toml:"store"`    // the file of the copy; none where empty
 	LeaseMS  float64  `toml:"lease_ms"` // of the rules: until some are known, and then theirs holds
 	Seed     int64    // of the pauses' jitter; 0 is drawn
 	Limits   struct {
--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -350,15 +350,15 @@
 
 // SourceCounts are what a Source has met.
 type SourceCounts struct {
-	Asks      int64
-	Renewals  int64 // answers with nothing but step, marks and age
-	Deltas    int64
-	Wholes    int64
-	WholeSize int64 // bytes of them
-	Busy      int64
-	Refused   int64 // questions of another form or cluster, or with an interest that is none
-	Seen      int64 // facts that were news
-	Dropped   int64 // facts on hosts beyond the bound
+	Asks      int64 `json:"Asks"`
+	Renewals  int64 `json:"Renewals"` // answers with nothing but step, marks and age
+	Deltas    int64 `json:"Deltas"`
+	Wholes    int64 `json:"Wholes"`
+	WholeSize int64 `json:"WholeSize"` // bytes of them
+	Busy      int64 `json:"Busy"`
+	Refused   int64 `json:"Refused"` // questions of another form or cluster, or with an interest that is none
+	Seen      int64 `json:"Seen"`    // facts that were news
+	Dropped   int64 `json:"Dropped"` // facts on hosts beyond the bound
 }
 
 // Counts gives what it has met.
