--- a/cmd/willowdeck/relay.go
+++ b/cmd/willowdeck/relay.go
@@ -29,13 +29,13 @@
 	if err != nil {
 		return err
 	}
-	f, err := relay.Read(c.String("config"))
+	f, err := relay.ReadConfig(c.String("config"))
 	if err != nil {
 		return err
 	}
 	if c.Bool("check") {
 		fmt.Printf("%s: of %s, listens at %s, asks %s\n", f.Name, f.Cluster, f.Listen,
-			strings.Join(f.Upstream, ", "))
+			strings.Join(f.Upstreams, ", "))
 		return nil
 	}
 	log = log.With().Str("relay", f.Name).Logger()
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -12,128 +12,137 @@
 
 // What a follower goes by. Times in ms.
 const (
-	drift       = 2e-4       // by which a clock runs fast or slow, as accord has it
-	freshLease  = 1000.0     // of rules, until they have been read: accord's default
-	asksPer     = 10         // questions in a lease
-	answerPart  = 0.2        // of a lease that an answer is waited for; then the next one above is asked
-	stalePart   = 1.0 / 3    // of a lease: what a council's own daemon says is younger, or it lies still
-	stalestPart = 2.0 / 3    // and what any relay says
-	againLeases = 30.0       // until the one above that is preferred is tried again: 20 to 40 with jitter
-	mostBusy    = 10000.0    // that one waits for a whole, whatever it was told
-	mostPast    = 64         // questions that an answer may still come to: two leases' worth and more
-	mostBases   = 4          // states kept as bases for deltas: versions in force and pending, and those before
-	mostHosts   = 16384      // whose facts are kept; of more, those of the lowest steps go
-	mostDepth   = 16         // relays one above the other; more are a ring
-	mostState   = MostAnswer // bytes of keys and values of a state
-	mostEntries = 32768      // of a state or delta: members, words and plans of the largest rules, and as many
-	oneRead     = 1.0        // by which clocks may count one read's beginning as two
-	never       = -math.MaxFloat64
+	clockDrift              = 2e-4   // by which a clock runs fast or slow, as accord has it
+	defaultLeaseMillis      = 1000.0 // of rules, until they have been read: accord's default
+	defaultRequestsPerLease = 10     // questions in a lease
+	// of a lease that an answer is waited for; then the next one above is asked
+	requestTimeoutFraction = 0.2
+	// of a lease: what a council's own daemon says is younger, or it lies still
+	staleFraction    = 1.0 / 3
+	maxStaleFraction = 2.0 / 3 // and what any relay says
+	// until the one above that is preferred is tried again: 20 to 40 with jitter
+	preferredRetryLeases = 30.0
+	maxRetryAfterMillis  = 10000.0 // that one waits for a whole, whatever it was told
+	// questions that an answer may still come to: two leases' worth and more
+	maxRecentRequests = 64
+	// states kept as bases for deltas: versions in force and pending, and those before
+	maxBases      = 4
+	maxHosts      = 16384            // whose facts are kept; of more, those of the lowest steps go
+	maxDepth      = 16               // relays one above the other; more are a ring
+	maxStateBytes = MaxResponseBytes // bytes of keys and values of a state
+	// of a state or delta: members, words and plans of the largest rules, and as many
+	maxEntries               = 32768
+	readStartToleranceMillis = 1.0 // by which clocks may count one read's beginning as two
+	never                    = -math.MaxFloat64
 )
 
 // out is a question that has no answer yet.
-type out struct {
-	is    bool
-	asked float64
-	seen  []HostStep
-	quiet bool
+type pendingRequest struct {
+	active      bool
+	sentAt      float64
+	hostSteps   []HostStep
+	renewalOnly bool
 }
 
 // past is a question that an answer may still come to.
-type past struct {
-	number   uint64
+type sentRequest struct {
+	nonce    uint64
 	upstream int
-	asked    float64
+	sentAt   float64
 }
 
 // Follower follows those above: it asks one of them at a fixed rate, takes what they say, and goes over to
 // another where one lies still. It is not safe for concurrent use.
 type Follower struct {
-	c            Config
-	rng          *rand.Rand
-	now, start   float64
-	lease, every float64
-
-	order   []int     // upstreams as preferred
-	at      int       // in order: the one that is asked
-	other   int       // in order: the one that was asked beside it last
-	asks    []out     // by upstream
-	ready   []int     // in order: to be asked now
-	next    float64   // when the next question is due
-	tried   int       // in a row without a word, since the last slot
-	byTurns bool      // the last slot was another's than the current one's
-	barren  bool      // none of them had a word in a whole row, and none has since
-	doubt   bool      // what the current one says is old
-	again   float64   // when the preferred one is to be tried again
-	fresh   []float64 // by upstream, when the read began that it told of last
-
-	has     bool
-	lost    bool // the lease has run out
-	news    bool
-	v       View
-	own     int64 // highest index of discovery's list that is known below
-	bases   []*versioned.State
-	empty   bool // the last delta could not be applied: the next question says that there is nothing
-	quiet   float64
-	process int
-	holds   uint64
-
-	facts map[string]uint64
-	up    map[string]bool // those that the current upstream has not answered yet
-	life  uint64          // of the current upstream
-	slept float64
-	last  uint64 // number of a question
-	asked []past // the latest
-	n     Counts
+	config          FollowerConfig
+	rng             *rand.Rand
+	now, startedAt  float64
+	lease, interval float64
+
+	preference       []int            // upstreams as preferred
+	current          int              // in order: the one that is asked
+	secondary        int              // in order: the one that was asked beside it last
+	pending          []pendingRequest // by upstream
+	due              []int            // in order: to be asked now
+	nextRequestAt    float64          // when the next question is due
+	failedInSlot     int              // in a row without a word, since the last slot
+	alternating      bool             // the last slot was another's than the current one's
+	allFailed        bool             // none of them had a word in a whole row, and none has since
+	currentStale     bool             // what the current one says is old
+	retryPreferredAt float64          // when the preferred one is to be tried again
+	newestReadStart  []float64        // by upstream, when the read began that it told of last
+
+	hasSnapshot      bool
+	expired          bool // the lease has run out
+	updated          bool
+	snapshot         Snapshot
+	discoveryIndex   int64 // highest index of discovery's list that is known below
+	bases            []*versioned.State
+	needFullState    bool // the last delta could not be applied: the next question says that there is nothing
+	renewalOnlyUntil float64
+	processID        int
+	heldStep         uint64
+
+	hostSteps           map[string]uint64
+	unacknowledged      map[string]bool // those that the current upstream has not answered yet
+	upstreamIncarnation uint64          // of the current upstream
+	lastWake            float64
+	lastNonce           uint64        // number of a question
+	recent              []sentRequest // the latest
+	counts              FollowerCounts
 }
 
 // NewFollower makes one at a time, ms, of the clock that all further times are of. The clock has to go on
 // while the process stands still.
-func NewFollower(c Config, now float64) *Follower {
-	f := &Follower{c: c, rng: rand.New(rand.NewSource(c.Seed)), now: now, start: now, lease: c.Lease,
-		v: View{Begun: never, Index: -1}, own: -1, slept: never, facts: map[string]uint64{},
-		up: map[string]bool{}}
+func NewFollower(c FollowerConfig, now float64) *Follower {
+	f := &Follower{config: c, rng: rand.New(rand.NewSource(c.Seed)), now: now, startedAt: now,
+		lease:    c.LeaseMillis,
+		snapshot: Snapshot{ReadStartMillis: never, DiscoveryIndex: -1}, discoveryIndex: -1, lastWake: never,
+		hostSteps:      map[string]uint64{},
+		unacknowledged: map[string]bool{}}
 	if !(f.lease > 0) {
-		f.lease = freshLease
-	}
-	f.last = f.rng.Uint64() >> 1 // what came for a former life is none of this one's
-	f.order = f.rng.Perm(max(c.Upstream, 1))
-	f.asks, f.fresh = make([]out, len(f.order)), slices.Repeat([]float64{never}, len(f.order))
-	f.pace()
-	f.next = now + f.rng.Float64()*f.every // many may start at once
+		f.lease = defaultLeaseMillis
+	}
+	f.lastNonce = f.rng.Uint64() >> 1 // what came for a former life is none of this one's
+	f.preference = f.rng.Perm(max(c.Upstreams, 1))
+	f.pending, f.newestReadStart = make([]pendingRequest, len(f.preference)),
+		slices.Repeat([]float64{never}, len(f.preference))
+	f.updateInterval()
+	f.nextRequestAt = now + f.rng.Float64()*f.interval // many may start at once
 	return f
 }
 
-func (f *Follower) pace() {
-	per := f.c.PerLease
+func (f *Follower) updateInterval() {
+	per := f.config.RequestsPerLease
 	if per <= 0 {
-		per = asksPer
+		per = defaultRequestsPerLease
 	}
-	if f.every = f.c.Every; !(f.every > 0) {
-		f.every = f.lease / float64(per)
+	if f.interval = f.config.IntervalMillis; !(f.interval > 0) {
+		f.interval = f.lease / float64(per)
 	}
 }
 
 // Base gives states that a copy on disk had: deltas may be against them, and they are no proof that anything
 // is in force. Either may be nil.
-func (f *Follower) Base(rules, pending *versioned.State) {
-	f.keep(pending)
-	f.keep(rules)
+func (f *Follower) AddBases(rules, pending *versioned.State) {
+	f.addBase(pending)
+	f.addBase(rules)
 }
 
 // keep has a state at hand as a base, the latest first.
-func (f *Follower) keep(s *versioned.State) {
+func (f *Follower) addBase(s *versioned.State) {
 	if s == nil {
 		return
 	}
 	f.bases = slices.DeleteFunc(f.bases, func(o *versioned.State) bool { return o.Mark() == s.Mark() })
 	f.bases = slices.Insert(f.bases, 0, s)
-	if len(f.bases) > mostBases {
-		f.bases = slices.Delete(f.bases, mostBases, len(f.bases))
+	if len(f.bases) > maxBases {
+		f.bases = slices.Delete(f.bases, maxBases, len(f.bases))
 	}
 }
 
 // find gives the state of a mark, if it is at hand.
-func (f *Follower) find(m versioned.Mark) *versioned.State {
+func (f *Follower) baseOf(m versioned.Mark) *versioned.State {
 	for _, s := range f.bases {
 		if s.Mark() == m {
 			return s
@@ -143,39 +152,39 @@
 }
 
 // Clock sets the time of what follows, ms.
-func (f *Follower) Clock(now float64) {
+func (f *Follower) AdvanceClock(now float64) {
 	f.now = math.Max(f.now, now)
-	if f.has && !f.lost && f.now >= f.v.Begun+f.lease {
-		f.lost, f.news = true, true
-		f.n.Lost++
+	if f.hasSnapshot && !f.expired && f.now >= f.snapshot.ReadStartMillis+f.lease {
+		f.expired, f.updated = true, true
+		f.counts.LeaseExpirations++
 	}
 }
 
 // Tell has facts go up with the next questions, until one above has them.
-func (f *Follower) Tell(all []HostStep) {
+func (f *Follower) ReportHostSteps(all []HostStep) {
 	for _, h := range all {
-		known, there := f.facts[h.Host]
+		known, there := f.hostSteps[h.Host]
 		if h.Step <= known {
 			continue
 		}
-		if !there && len(f.facts) >= mostHosts {
-			f.n.Dropped++
-			f.forget()
+		if !there && len(f.hostSteps) >= maxHosts {
+			f.counts.DroppedHosts++
+			f.dropLowestHost()
 		}
-		f.facts[h.Host], f.up[h.Host] = h.Step, true
+		f.hostSteps[h.Host], f.unacknowledged[h.Host] = h.Step, true
 	}
 }
 
 // forget drops the fact of the lowest step.
-func (f *Follower) forget() {
-	least := lowest(f.facts)
-	delete(f.facts, least)
-	delete(f.up, least)
+func (f *Follower) dropLowestHost() {
+	least := lowestStepHost(f.hostSteps)
+	delete(f.hostSteps, least)
+	delete(f.unacknowledged, least)
 }
 
 // lowest is the host of the lowest step, most likely one that is gone. Where it is not, it makes a change
 // wait.
-func lowest(facts map[string]uint64) string {
+func lowestStepHost(facts map[string]uint64) string {
 	least := ""
 	for h, step := range facts {
 		if l := facts[least]; least == "" || step < l || step == l && h < least {
@@ -186,30 +195,30 @@
 }
 
 // Index tells the highest index of discovery's list that is known here and below; below nought: none.
-func (f *Follower) Index(highest int64) { f.own = highest }
+func (f *Follower) SetDiscoveryIndex(highest int64) { f.discoveryIndex = highest }
 
 // Holds tells a gatekeeper's process id and what it holds, which its questions to its daemon carry. It has
 // to be told before the first Next, as the daemon books what it answers under that id. Where it holds more
 // than it said last it asks at once, as a change may wait for that.
-func (f *Follower) Holds(process int, step uint64) {
-	if step > f.holds {
-		f.next = math.Min(f.next, f.now)
+func (f *Follower) SetHeldStep(process int, step uint64) {
+	if step > f.heldStep {
+		f.nextRequestAt = math.Min(f.nextRequestAt, f.now)
 	}
-	f.process, f.holds = process, step
+	f.processID, f.heldStep = process, step
 }
 
 // View gives what is known; false where there is nothing whose lease still runs. One that answers others
 // offers it to its Source after each Heard, as a renewal makes it younger.
-func (f *Follower) View() (View, bool) {
-	v := f.v
-	v.Index = max(v.Index, f.own)
-	return v, f.has && !f.lost && f.now < f.v.Begun+f.lease
+func (f *Follower) Snapshot() (Snapshot, bool) {
+	v := f.snapshot
+	v.DiscoveryIndex = max(v.DiscoveryIndex, f.discoveryIndex)
+	return v, f.hasSnapshot && !f.expired && f.now < f.snapshot.ReadStartMillis+f.lease
 }
 
 // Bases gives what is to be kept on disk: the latest states, whether or not they may be gone by.
-func (f *Follower) Bases() (rules, pending *versioned.State) {
-	if f.has {
-		return f.v.Rules, f.v.Pending
+func (f *Follower) LatestStates() (rules, pending *versioned.State) {
+	if f.hasSnapshot {
+		return f.snapshot.Rules, f.snapshot.Pending
 	}
 	for _, s := range f.bases {
 		return s, nil
@@ -218,317 +227,327 @@
 }
 
 // Current gives the upstream that is asked now.
-func (f *Follower) Current() int { return f.order[f.at] }
+func (f *Follower) CurrentUpstream() int { return f.preference[f.current] }
 
 // Counts gives what it has met.
-func (f *Follower) Counts() Counts { return f.n }
+func (f *Follower) Counts() FollowerCounts { return f.counts }
 
 // Next gives what follows; call it until there is nothing more.
-func (f *Follower) Next() (Decision, bool) {
-	if f.news {
-		f.news = false
-		return Decision{Kind: News}, true
+func (f *Follower) NextAction() (Action, bool) {
+	if f.updated {
+		f.updated = false
+		return Action{Kind: NotifyUpdate}, true
 	}
-	f.plan()
-	if len(f.ready) > 0 {
-		at := f.ready[0]
-		f.ready = f.ready[1:]
-		return f.ask(at), true
+	f.scheduleRequests()
+	if len(f.due) > 0 {
+		at := f.due[0]
+		f.due = f.due[1:]
+		return f.newRequest(at), true
 	}
-	wake := f.next
-	if o := f.asks[f.Current()]; o.is { // its answer, or its end, is what comes next
-		wake = o.asked + f.within()
+	wake := f.nextRequestAt
+	if o := f.pending[f.CurrentUpstream()]; o.active { // its answer, or its end, is what comes next
+		wake = o.sentAt + f.requestTimeout()
 	}
-	if f.has && !f.lost {
-		wake = math.Min(wake, f.v.Begun+f.lease)
+	if f.hasSnapshot && !f.expired {
+		wake = math.Min(wake, f.snapshot.ReadStartMillis+f.lease)
 	}
-	if wake == f.slept {
-		return Decision{}, false
+	if wake == f.lastWake {
+		return Action{}, false
 	}
-	f.slept = wake
-	return Decision{Kind: Wake, At: wake}, true
+	f.lastWake = wake
+	return Action{Kind: ScheduleWake, WakeAtMillis: wake}, true
 }
 
 // within is how long an answer is waited for, ms.
-func (f *Follower) within() float64 { return f.lease * answerPart }
+func (f *Follower) requestTimeout() float64 { return f.lease * requestTimeoutFraction }
 
 // plan finds whom to ask now.
-func (f *Follower) plan() {
-	for _, u := range f.order {
-		if o := &f.asks[u]; o.is && f.now >= o.asked+f.within() {
-			f.Failed(u, o.asked)
+func (f *Follower) scheduleRequests() {
+	for _, u := range f.preference {
+		if o := &f.pending[u]; o.active && f.now >= o.sentAt+f.requestTimeout() {
+			f.RequestFailed(u, o.sentAt)
 		}
 	}
-	if f.now < f.next || len(f.ready) > 0 || f.asks[f.Current()].is {
+	if f.now < f.nextRequestAt || len(f.due) > 0 || f.pending[f.CurrentUpstream()].active {
 		return
 	}
-	if f.next += f.every; f.next <= f.now { // it stood still, or an answer was slow: none is caught up with
-		f.next = f.now + f.every
+	// it stood still, or an answer was slow: none is caught up with
+	if f.nextRequestAt += f.interval; f.nextRequestAt <= f.now {
+		f.nextRequestAt = f.now + f.interval
 	}
-	f.tried = 0
-	f.ready = append(f.ready, f.at)
+	f.failedInSlot = 0
+	f.due = append(f.due, f.current)
 	beside := -1
 	switch {
-	case f.at != 0 && f.now >= f.again:
+	case f.current != 0 && f.now >= f.retryPreferredAt:
 		beside = 0
-		f.again = f.now + f.lease*againLeases*(2+2*f.rng.Float64())/3
-	case f.doubt && !f.barren && len(f.order) > 1:
-		if f.other = (f.other + 1) % len(f.order); f.other == f.at {
-			f.other = (f.other + 1) % len(f.order)
+		f.retryPreferredAt = f.now + f.lease*preferredRetryLeases*(2+2*f.rng.Float64())/3
+	case f.currentStale && !f.allFailed && len(f.preference) > 1:
+		if f.secondary = (f.secondary + 1) % len(f.preference); f.secondary == f.current {
+			f.secondary = (f.secondary + 1) % len(f.preference)
 		}
-		beside = f.other
-		if f.byTurns = f.lost && !f.byTurns; f.byTurns { // none holds: one in a slot, and the rate stays the same
-			f.ready = f.ready[:0]
-		} else if f.lost {
+		beside = f.secondary
+		// none holds: one in a slot, and the rate stays the same
+		if f.alternating = f.expired && !f.alternating; f.alternating {
+			f.due = f.due[:0]
+		} else if f.expired {
 			beside = -1
 		}
 	}
-	if beside >= 0 && !f.asks[f.order[beside]].is {
-		f.ready = append(f.ready, beside)
+	if beside >= 0 && !f.pending[f.preference[beside]].active {
+		f.due = append(f.due, beside)
 	}
 }
 
 // ask makes the question to one in the order. Beside the current one it asks for no version.
-func (f *Follower) ask(at int) Decision {
-	u := f.order[at]
-	a := &Ask{Form: Form, Cluster: f.c.Cluster, From: f.c.Name, Interest: f.c.Interest, Step: f.v.Step,
-		Index: f.own, Process: f.process, Holds: f.holds, Quiet: at != f.at || f.now < f.quiet}
-	if rules, pending := f.Bases(); !f.empty {
+func (f *Follower) newRequest(at int) Action {
+	u := f.preference[at]
+	a := &Request{FormatVersion: FormatVersion, Cluster: f.config.Cluster, Sender: f.config.Name,
+		Interest: f.config.Interest, Step: f.snapshot.Step,
+		DiscoveryIndex: f.discoveryIndex, ProcessID: f.processID, HeldStep: f.heldStep,
+		RenewalOnly: at != f.current || f.now < f.renewalOnlyUntil}
+	if rules, pending := f.LatestStates(); !f.needFullState {
 		a.Rules, a.Pending = rules.Mark(), pending.Mark()
 	}
-	if at == f.at {
-		hosts := make([]string, 0, len(f.up))
-		for h := range f.up {
+	if at == f.current {
+		hosts := make([]string, 0, len(f.unacknowledged))
+		for h := range f.unacknowledged {
 			hosts = append(hosts, h)
 		}
 		slices.Sort(hosts)
-		for _, h := range hosts[:min(len(hosts), MostTold)] {
-			a.Seen = append(a.Seen, HostStep{Host: h, Step: f.facts[h]})
+		for _, h := range hosts[:min(len(hosts), MaxHostSteps)] {
+			a.HostSteps = append(a.HostSteps, HostStep{Host: h, Step: f.hostSteps[h]})
 		}
 	}
-	f.last++
-	a.Number = f.last
-	f.asks[u] = out{is: true, asked: f.now, seen: a.Seen, quiet: a.Quiet}
-	if f.asked = append(f.asked, past{f.last, u, f.now}); len(f.asked) > mostPast {
-		f.asked = slices.Delete(f.asked, 0, 1)
+	f.lastNonce++
+	a.Nonce = f.lastNonce
+	f.pending[u] = pendingRequest{active: true, sentAt: f.now, hostSteps: a.HostSteps,
+		renewalOnly: a.RenewalOnly}
+	if f.recent = append(f.recent, sentRequest{f.lastNonce, u, f.now}); len(f.recent) > maxRecentRequests {
+		f.recent = slices.Delete(f.recent, 0, 1)
 	}
-	f.n.Asked++
-	return Decision{Kind: AskOf, Upstream: u, Ask: a, Within: f.within()}
+	f.counts.Requests++
+	return Action{Kind: SendRequest, Upstream: u, Request: a, TimeoutMillis: f.requestTimeout()}
 }
 
 // Failed tells that a question, sent at a time, gets no answer.
-func (f *Follower) Failed(upstream int, asked float64) {
-	if upstream < 0 || upstream >= len(f.asks) || !f.asks[upstream].is || f.asks[upstream].asked != asked {
+func (f *Follower) RequestFailed(upstream int, asked float64) {
+	if upstream < 0 || upstream >= len(f.pending) || !f.pending[upstream].active ||
+		f.pending[upstream].sentAt != asked {
 		return
 	}
-	f.asks[upstream] = out{}
-	f.n.Failed++
-	f.pass(upstream)
+	f.pending[upstream] = pendingRequest{}
+	f.counts.Failed++
+	f.failOver(upstream)
 }
 
 // pass goes over to the next upstream where the current one is of no use. All are asked once in a row; if
 // none is of use, one is asked in each slot from then on, so that the rate stays the same where all are gone.
-func (f *Follower) pass(upstream int) {
-	if upstream != f.Current() || len(f.order) == 1 {
+func (f *Follower) failOver(upstream int) {
+	if upstream != f.CurrentUpstream() || len(f.preference) == 1 {
 		return
 	}
-	f.turn((f.at + 1) % len(f.order))
-	if f.tried++; f.tried >= len(f.order) {
-		f.barren = true
-	} else if !f.barren && !f.asks[f.Current()].is {
-		f.ready = append(f.ready[:0], f.at)
+	f.switchUpstream((f.current + 1) % len(f.preference))
+	if f.failedInSlot++; f.failedInSlot >= len(f.preference) {
+		f.allFailed = true
+	} else if !f.allFailed && !f.pending[f.CurrentUpstream()].active {
+		f.due = append(f.due[:0], f.current)
 	}
 }
 
 // turn has another upstream be the current one. It is told all facts: what the one before it knew may not
 // have gone further.
-func (f *Follower) turn(at int) {
-	if at == f.at {
+func (f *Follower) switchUpstream(at int) {
+	if at == f.current {
 		return
 	}
-	if f.at == 0 {
-		f.again = f.now + f.lease*againLeases*(2+2*f.rng.Float64())/3
+	if f.current == 0 {
+		f.retryPreferredAt = f.now + f.lease*preferredRetryLeases*(2+2*f.rng.Float64())/3
 	}
-	f.at, f.doubt, f.life = at, false, 0
-	f.n.Switched++
-	f.retell()
+	f.current, f.currentStale, f.upstreamIncarnation = at, false, 0
+	f.counts.UpstreamSwitches++
+	f.resendHostSteps()
 }
 
-func (f *Follower) retell() {
-	for h := range f.facts {
-		f.up[h] = true
+func (f *Follower) resendHostSteps() {
+	for h := range f.hostSteps {
+		f.unacknowledged[h] = true
 	}
 }
 
 // Heard takes the answer of an upstream to a question that was sent at a time. Clock has to be told of a
 // later one first, and Next pulled after.
-func (f *Follower) Heard(upstream int, asked float64, a *Answer) {
-	if upstream < 0 || upstream >= len(f.asks) || a == nil || !(asked <= f.now) {
-		f.n.Bad++
+func (f *Follower) HandleResponse(upstream int, asked float64, a *Response) {
+	if upstream < 0 || upstream >= len(f.pending) || a == nil || !(asked <= f.now) {
+		f.counts.Invalid++
 		return
 	}
-	var o out
-	if f.asks[upstream].is && f.asks[upstream].asked == asked {
-		o, f.asks[upstream] = f.asks[upstream], out{}
+	var o pendingRequest
+	if f.pending[upstream].active && f.pending[upstream].sentAt == asked {
+		o, f.pending[upstream] = f.pending[upstream], pendingRequest{}
 	}
-	if !f.mine(upstream, asked, a.Number) {
-		f.n.Bad++
+	if !f.matchesRequest(upstream, asked, a.Nonce) {
+		f.counts.Invalid++
 		return
 	}
-	if a.Form != Form || a.Cluster != f.c.Cluster {
-		f.n.Foreign++
-		f.pass(upstream)
+	if a.FormatVersion != FormatVersion || a.Cluster != f.config.Cluster {
+		f.counts.Incompatible++
+		f.failOver(upstream)
 		return
 	}
-	if !(a.Age >= 0) || a.Age > math.MaxFloat32 || !(a.Busy >= 0) || a.Depth < 0 || a.Depth >= mostDepth {
-		f.n.Bad++
-		f.pass(upstream)
+	if !(a.AgeMillis >= 0) || a.AgeMillis > math.MaxFloat32 || !(a.RetryAfterMillis >= 0) || a.Depth < 0 ||
+		a.Depth >= maxDepth {
+		f.counts.Invalid++
+		f.failOver(upstream)
 		return
 	}
-	if upstream == f.Current() {
-		f.heldUp(o, a)
+	if upstream == f.CurrentUpstream() {
+		f.acknowledgeHostSteps(o, a)
 	}
 	if a.Step == 0 {
-		f.n.Empty++
-		f.pass(upstream)
+		f.counts.Empty++
+		f.failOver(upstream)
 		return
 	}
-	f.weigh(upstream, asked-a.Age, a)
-	if f.word(asked-a.Age, a, o.quiet) {
-		f.tried, f.barren = 0, false
+	f.compareFreshness(upstream, asked-a.AgeMillis, a)
+	if f.applyResponse(asked-a.AgeMillis, a, o.renewalOnly) {
+		f.failedInSlot, f.allFailed = 0, false
 	} else {
-		f.pass(upstream)
+		f.failOver(upstream)
 	}
 }
 
 // mine tells whether an answer is one to the question that was sent at a time.
-func (f *Follower) mine(upstream int, asked float64, number uint64) bool {
-	return number == 0 || slices.ContainsFunc(f.asked, func(p past) bool {
-		return p.number == number && p.upstream == upstream && p.asked == asked
+func (f *Follower) matchesRequest(upstream int, asked float64, number uint64) bool {
+	return number == 0 || slices.ContainsFunc(f.recent, func(p sentRequest) bool {
+		return p.nonce == number && p.upstream == upstream && p.sentAt == asked
 	})
 }
 
 // heldUp books which facts the current upstream has. One of another life has forgotten what it was told.
-func (f *Follower) heldUp(o out, a *Answer) {
-	if a.Life != f.life {
-		f.life = a.Life
-		f.retell()
-	}
-	for _, h := range o.seen {
-		if f.facts[h.Host] == h.Step {
-			delete(f.up, h.Host)
+func (f *Follower) acknowledgeHostSteps(o pendingRequest, a *Response) {
+	if a.Incarnation != f.upstreamIncarnation {
+		f.upstreamIncarnation = a.Incarnation
+		f.resendHostSteps()
+	}
+	for _, h := range o.hostSteps {
+		if f.hostSteps[h.Host] == h.Step {
+			delete(f.unacknowledged, h.Host)
 		}
 	}
 }
 
 // weigh goes over to one that is fresher than a current one whose words are old, and back to the preferred
 // one once it is well.
-func (f *Follower) weigh(upstream int, begun float64, a *Answer) {
-	at := slices.Index(f.order, upstream)
-	stale := math.Min(f.lease*stalePart+float64(a.Depth)*f.every, f.lease*stalestPart)
-	f.fresh[upstream] = begun
+func (f *Follower) compareFreshness(upstream int, begun float64, a *Response) {
+	at := slices.Index(f.preference, upstream)
+	stale := math.Min(f.lease*staleFraction+float64(a.Depth)*f.interval, f.lease*maxStaleFraction)
+	f.newestReadStart[upstream] = begun
 	switch {
-	case at == f.at:
-		f.doubt = a.Age > stale
-	case at == 0 && a.Age <= stale && a.Step >= f.v.Step,
-		f.doubt && a.Step >= f.v.Step && begun > f.fresh[f.Current()]+f.every:
-		f.turn(at)
+	case at == f.current:
+		f.currentStale = a.AgeMillis > stale
+	case at == 0 && a.AgeMillis <= stale && a.Step >= f.snapshot.Step,
+		f.currentStale && a.Step >= f.snapshot.Step && begun > f.newestReadStart[f.CurrentUpstream()]+f.interval:
+		f.switchUpstream(at)
 	}
 }
 
 // word takes what was said, whole or not at all; false where another had better be asked.
-func (f *Follower) word(begun float64, a *Answer, quiet bool) bool {
+func (f *Follower) applyResponse(begun float64, a *Response, quiet bool) bool {
 	switch {
 	// A clock that ran slow says too little of an age, by no more than the drift over a lease.
-	case !f.c.Booked && begun < f.start+3*drift*f.lease:
-		f.n.Before++
+	case !f.config.UpstreamTracksProcess && begun < f.startedAt+3*clockDrift*f.lease:
+		f.counts.BeforeStart++
 		return true
-	case f.has && (a.Step < f.v.Step || a.Step == f.v.Step && begun < f.v.Begun-oneRead):
-		f.n.Late++
-		if a.Step == f.v.Step && a.Settled && !f.v.Settled && f.same(a) { // it stays true
-			f.v.Settled, f.news = true, true
+	case f.hasSnapshot && (a.Step < f.snapshot.Step || a.Step == f.snapshot.Step &&
+		begun < f.snapshot.ReadStartMillis-readStartToleranceMillis):
+		f.counts.Stale++
+		// it stays true
+		if a.Step == f.snapshot.Step && a.Settled && !f.snapshot.Settled && f.namesCurrentStates(a) {
+			f.snapshot.Settled, f.updated = true, true
 		}
 		return true
-	case f.has && a.Step == f.v.Step && !f.same(a),
-		f.has && a.Rules.Number < f.v.Rules.Mark().Number, a.Rules.None(),
+	case f.hasSnapshot && a.Step == f.snapshot.Step && !f.namesCurrentStates(a),
+		f.hasSnapshot && a.Rules.Number < f.snapshot.Rules.Mark().Number, a.Rules.None(),
 		!a.Pending.None() && a.Pending.Number != a.Rules.Number+1:
-		f.n.Bad++
+		f.counts.Invalid++
 		return false
 	}
-	rules, pending, sound := f.made(a, quiet)
+	rules, pending, sound := f.resolveStates(a, quiet)
 	if rules == nil {
 		return sound
 	}
 	lease := f.lease // of the rules that are told, which may be longer than that of those before
-	if !f.has || rules.Mark() != f.v.Rules.Mark() {
+	if !f.hasSnapshot || rules.Mark() != f.snapshot.Rules.Mark() {
 		if l := ruleset.LeaseOf(rules); l > 0 {
 			lease = l
 		}
 	}
 	if begun+lease <= f.now {
-		f.n.Lapsed++
+		f.counts.Expired++
 		return true
 	}
-	if f.has && a.Step == f.v.Step {
-		f.n.Renewed++
+	if f.hasSnapshot && a.Step == f.snapshot.Step {
+		f.counts.Renewals++
 	} else {
-		f.n.Taken++
-		f.news = true
-	}
-	settled := a.Settled || f.has && a.Step == f.v.Step && f.v.Settled
-	if !f.has || settled != f.v.Settled || f.lost {
-		f.news = true
-	}
-	f.v = View{Step: a.Step, Settled: settled, Begun: math.Max(f.v.Begun, begun), Rules: rules, Pending: pending,
-		Index: a.Index, Depth: a.Depth + 1}
-	f.has, f.lost, f.empty = true, false, false
-	f.keep(pending)
-	f.keep(rules)
+		f.counts.Updates++
+		f.updated = true
+	}
+	settled := a.Settled || f.hasSnapshot && a.Step == f.snapshot.Step && f.snapshot.Settled
+	if !f.hasSnapshot || settled != f.snapshot.Settled || f.expired {
+		f.updated = true
+	}
+	f.snapshot = Snapshot{Step: a.Step, Settled: settled, ReadStartMillis: math.Max(f.snapshot.ReadStartMillis,
+		begun), Rules: rules, Pending: pending,
+		DiscoveryIndex: a.DiscoveryIndex, Depth: a.Depth + 1}
+	f.hasSnapshot, f.expired, f.needFullState = true, false, false
+	f.addBase(pending)
+	f.addBase(rules)
 	if lease != f.lease {
 		f.lease = lease
-		f.pace()
+		f.updateInterval()
 	}
 	return true
 }
 
 // same tells whether an answer names the states that are gone by.
-func (f *Follower) same(a *Answer) bool {
-	return a.Rules == f.v.Rules.Mark() && a.Pending == f.v.Pending.Mark()
+func (f *Follower) namesCurrentStates(a *Response) bool {
+	return a.Rules == f.snapshot.Rules.Mark() && a.Pending == f.snapshot.Pending.Mark()
 }
 
 // made gives the states that an answer names: those at hand, or made by its deltas. Without rules there are
 // none, and sound tells whether the one above did as it should.
-func (f *Follower) made(a *Answer, quiet bool) (rules, pending *versioned.State, sound bool) {
-	if rules = f.find(a.Rules); rules == nil {
+func (f *Follower) resolveStates(a *Response, quiet bool) (rules, pending *versioned.State, sound bool) {
+	if rules = f.baseOf(a.Rules); rules == nil {
 		if a.RulesDelta == nil {
 			switch {
-			case a.Busy > 0:
-				f.n.Busy++
-				f.quiet = f.now + f.rng.Float64()*math.Min(a.Busy, mostBusy)
+			case a.RetryAfterMillis > 0:
+				f.counts.Deferred++
+				f.renewalOnlyUntil = f.now + f.rng.Float64()*math.Min(a.RetryAfterMillis, maxRetryAfterMillis)
 			case !quiet:
-				f.n.Missing++
+				f.counts.MissingDeltas++
 				return nil, nil, false
 			}
 			return nil, nil, true
 		}
-		if rules, sound = f.apply(f.find(a.RulesDelta.From), a.RulesDelta, a.Rules); rules == nil {
+		if rules, sound = f.applyDelta(f.baseOf(a.RulesDelta.From), a.RulesDelta, a.Rules); rules == nil {
 			return nil, nil, sound
 		}
 	}
 	if a.Pending.None() {
 		return rules, nil, true
 	}
-	if pending = f.find(a.Pending); pending != nil {
+	if pending = f.baseOf(a.Pending); pending != nil {
 		return rules, pending, true
 	}
 	if a.PendingDelta == nil {
 		if !quiet {
-			f.n.Missing++
-			f.empty = true
+			f.counts.MissingDeltas++
+			f.needFullState = true
 		}
 		return nil, nil, quiet
 	}
-	if pending, sound = f.apply(rules, a.PendingDelta, a.Pending); pending == nil {
+	if pending, sound = f.applyDelta(rules, a.PendingDelta, a.Pending); pending == nil {
 		return nil, nil, sound
 	}
 	return rules, pending, true
@@ -536,29 +555,29 @@
 
 // apply makes a state of a delta, or counts why not and has the next question say that there is nothing. A
 // delta against a state that is gone here is sound: it may have been asked for before.
-func (f *Follower) apply(base *versioned.State, d *versioned.Delta, to versioned.Mark) (
+func (f *Follower) applyDelta(base *versioned.State, d *versioned.Delta, to versioned.Mark) (
 	s *versioned.State, sound bool) {
-	if d.To != to || len(d.Set)+len(d.Drop) > mostEntries || d.Bytes() > mostState {
-		f.n.Bad++
-		f.empty = true
+	if d.To != to || len(d.Set)+len(d.Drop) > maxEntries || d.Bytes() > maxStateBytes {
+		f.counts.Invalid++
+		f.needFullState = true
 		return nil, false
 	}
 	s, err := base.Apply(d)
 	switch {
 	case errors.Is(err, versioned.ErrBase):
-		f.n.Base++
+		f.counts.BaseMismatches++
 		sound = true
 	case err != nil:
-		f.n.Digest++
-	case s.Bytes() > mostState || s.Len() > mostEntries:
-		f.n.Bad++
+		f.counts.DigestMismatches++
+	case s.Bytes() > maxStateBytes || s.Len() > maxEntries:
+		f.counts.Invalid++
 	case d.From.None():
-		f.n.Wholes++
+		f.counts.FullStates++
 		return s, true
 	default:
-		f.n.Deltas++
+		f.counts.Deltas++
 		return s, true
 	}
-	f.empty = true
+	f.needFullState = true
 	return nil, sound
 }
--- a/internal/distribution/form_test.go
+++ b/internal/distribution/form_test.go
@@ -43,132 +43,135 @@
 // missing it is refused.
 func TestMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		ask := &Ask{Form: Form, Cluster: "c", From: rapid.StringN(0, 9, 20).Draw(t, "from"),
+		ask := &Request{FormatVersion: FormatVersion, Cluster: "c", Sender: rapid.StringN(0, 9, 20).Draw(t, "from"),
 			Interest: ruleset.Interest{All: rapid.Bool().Draw(t, "all"), Name: "n", Around: 3},
 			Step:     rapid.Uint64().Draw(t, "step"), Rules: drawMark(t), Pending: drawMark(t),
-			Quiet: rapid.Bool().Draw(t, "quiet"), Index: rapid.Int64().Draw(t, "index"),
-			Process: rapid.IntRange(0, 1<<22).Draw(t, "process"), Holds: rapid.Uint64().Draw(t, "holds")}
+			RenewalOnly: rapid.Bool().Draw(t, "quiet"), DiscoveryIndex: rapid.Int64().Draw(t, "index"),
+			ProcessID: rapid.IntRange(0, 1<<22).Draw(t, "process"), HeldStep: rapid.Uint64().Draw(t, "holds")}
 		for range rapid.IntRange(0, 100).Draw(t, "facts") {
-			ask.Seen = append(ask.Seen, HostStep{Host: "host", Step: rapid.Uint64().Draw(t, "step")})
+			ask.HostSteps = append(ask.HostSteps, HostStep{Host: "host", Step: rapid.Uint64().Draw(t, "step")})
 		}
-		answer := &Answer{Form: Form, Cluster: "c", From: "f", Life: rapid.Uint64().Draw(t, "life"),
-			Depth: rapid.IntRange(0, 9).Draw(t, "depth"), Step: rapid.Uint64().Draw(t, "step"),
-			Settled: rapid.Bool().Draw(t, "settled"), Age: rapid.Float64Range(0, 1e6).Draw(t, "age"),
-			Index: rapid.Int64().Draw(t, "index"), Rules: drawMark(t), Pending: drawMark(t),
-			RulesDelta: drawDelta(t), PendingDelta: drawDelta(t), Busy: rapid.Float64Range(0, 1e4).Draw(t, "busy")}
-		raw, err := ask.Bytes()
+		answer := &Response{FormatVersion: FormatVersion, Cluster: "c", Sender: "f",
+			Incarnation: rapid.Uint64().Draw(t, "life"),
+			Depth:       rapid.IntRange(0, 9).Draw(t, "depth"), Step: rapid.Uint64().Draw(t, "step"),
+			Settled: rapid.Bool().Draw(t, "settled"), AgeMillis: rapid.Float64Range(0, 1e6).Draw(t, "age"),
+			DiscoveryIndex: rapid.Int64().Draw(t, "index"), Rules: drawMark(t), Pending: drawMark(t),
+			RulesDelta: drawDelta(t), PendingDelta: drawDelta(t), RetryAfterMillis: rapid.Float64Range(0, 1e4).Draw(t,
+				"busy")}
+		raw, err := ask.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := ReadAsk(raw); err != nil || !reflect.DeepEqual(got, ask) {
+		if got, err := DecodeRequest(raw); err != nil || !reflect.DeepEqual(got, ask) {
 			t.Fatalf("%v\n%+v\n%+v", err, got, ask)
 		}
-		more, err := answer.Bytes()
+		more, err := answer.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := ReadAnswer(more); err != nil || !reflect.DeepEqual(got, answer) {
+		if got, err := DecodeResponse(more); err != nil || !reflect.DeepEqual(got, answer) {
 			t.Fatalf("%v\n%+v\n%+v", err, got, answer)
 		}
-		if again, _ := answer.Bytes(); !bytes.Equal(again, more) {
+		if again, _ := answer.Encode(); !bytes.Equal(again, more) {
 			t.Fatal("the same gives other bytes")
 		}
 		at := rapid.IntRange(0, len(more)-1).Draw(t, "at")
 		turned := bytes.Clone(more)
 		turned[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
-		if _, err := ReadAnswer(turned); err == nil {
+		if _, err := DecodeResponse(turned); err == nil {
 			t.Fatalf("with a bit turned at %d of %d it is read", at, len(more))
 		}
-		if _, err := ReadAnswer(more[:at]); err == nil {
+		if _, err := DecodeResponse(more[:at]); err == nil {
 			t.Fatalf("%d of %d bytes are read", at, len(more))
 		}
 	})
 }
 
 func TestMessagesAreBounded(t *testing.T) {
-	if _, err := ReadAsk(make([]byte, MostAsk+1)); !errors.Is(err, ErrLong) {
+	if _, err := DecodeRequest(make([]byte, MaxRequestBytes+1)); !errors.Is(err, ErrTooLong) {
 		t.Errorf("%v", err)
 	}
-	bomb, err := write(make([]byte, MostAnswer+1))
+	bomb, err := encode(make([]byte, MaxResponseBytes+1))
 	if err != nil || len(bomb) > 1<<20 {
 		t.Fatalf("%v, %d bytes", err, len(bomb))
 	}
-	if _, err := ReadAnswer(bomb); !errors.Is(err, ErrLong) {
+	if _, err := DecodeResponse(bomb); !errors.Is(err, ErrTooLong) {
 		t.Errorf("%v", err)
 	}
-	many, err := write(&Answer{Form: Form, RulesDelta: &versioned.Delta{Drop: make([]string, mostEntries+1)}})
+	many, err := encode(&Response{FormatVersion: FormatVersion,
+		RulesDelta: &versioned.Delta{Drop: make([]string, maxEntries+1)}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadAnswer(many); !errors.Is(err, ErrShape) {
+	if _, err := DecodeResponse(many); !errors.Is(err, ErrMalformed) {
 		t.Errorf("%v", err)
 	}
-	for _, raw := range [][]byte{nil, {plain}, {9, 0, 0, 0, 0, 0}} {
-		if _, err := ReadAnswer(raw); err == nil {
+	for _, raw := range [][]byte{nil, {encodingPlain}, {9, 0, 0, 0, 0, 0}} {
+		if _, err := DecodeResponse(raw); err == nil {
 			t.Errorf("%v is read", raw)
 		}
 	}
-	if raw, err := (&Answer{Age: math.NaN()}).Bytes(); err != nil {
+	if raw, err := (&Response{AgeMillis: math.NaN()}).Encode(); err != nil {
 		t.Fatal(err)
-	} else if _, err := ReadAnswer(raw); !errors.Is(err, ErrShape) {
+	} else if _, err := DecodeResponse(raw); !errors.Is(err, ErrMalformed) {
 		t.Errorf("%v", err)
 	}
 }
 
 // A later program may say more under the same form; it is passed over.
-func TestMoreIsPassedOver(t *testing.T) {
-	raw, err := write(map[int]any{1: Form, 2: "c", 3: "f", 8: 1.5, 99: "news"})
+func TestUnknownKeysAreIgnored(t *testing.T) {
+	raw, err := encode(map[int]any{1: FormatVersion, 2: "c", 3: "f", 8: 1.5, 99: "news"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a, err := ReadAnswer(raw); err != nil || a.Age != 1.5 || a.Index != -1 {
+	if a, err := DecodeResponse(raw); err != nil || a.AgeMillis != 1.5 || a.DiscoveryIndex != -1 {
 		t.Errorf("%v %+v", err, a)
 	}
 }
 
-func TestDiskCopies(t *testing.T) {
-	s := state(t, 7, rules(300, 96))
-	raw, err := StateBytes(s)
+func TestStoredStates(t *testing.T) {
+	s := testState(t, 7, testRules(300, 96))
+	raw, err := EncodeState(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := ReadState(raw); err != nil || got.Mark() != s.Mark() {
+	if got, err := DecodeState(raw); err != nil || got.Mark() != s.Mark() {
 		t.Errorf("%v", err)
 	}
-	if raw, err = StateBytes(nil); err != nil {
+	if raw, err = EncodeState(nil); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := ReadState(raw); err != nil || got != nil {
+	if got, err := DecodeState(raw); err != nil || got != nil {
 		t.Errorf("%v %v", err, got)
 	}
-	part, err := write(versioned.Between(s, state(t, 8, rules(300, 48))))
+	part, err := encode(versioned.Between(s, testState(t, 8, testRules(300, 48))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadState(part); err == nil {
+	if _, err := DecodeState(part); err == nil {
 		t.Error("a part is read")
 	}
 	d := versioned.Whole(s)
 	d.Set = d.Set[1:]
-	if raw, err = write(d); err != nil {
+	if raw, err = encode(d); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadState(raw); !errors.Is(err, versioned.ErrDigest) {
+	if _, err := DecodeState(raw); !errors.Is(err, versioned.ErrDigest) {
 		t.Errorf("%v", err)
 	}
 }
 
 // Renewals are small, and versions are as long as they need to be.
 func TestSizes(t *testing.T) {
-	s := NewSource("region-0-relay-1", "fleet", Bounds{})
-	v1, v2 := state(t, 41, rules(7900, 96)), state(t, 42, rules(7900, 48))
-	size := func(a *Ask) (int, int) {
-		r, err := s.Answer(a, 2000)
+	s := NewSource("region-0-relay-1", "fleet", SourceConfig{})
+	v1, v2 := testState(t, 41, testRules(7900, 96)), testState(t, 42, testRules(7900, 48))
+	size := func(a *Request) (int, int) {
+		r, err := s.Respond(a, 2000)
 		if err != nil {
 			t.Fatal(err)
 		}
-		x, err := a.Bytes()
-		y, bad := r.Bytes()
+		x, err := a.Encode()
+		y, bad := r.Encode()
 		if err != nil || bad != nil {
 			t.Fatal(err, bad)
 		}
@@ -182,15 +185,16 @@
 		{"a gatekeeper", ruleset.Interest{Name: "g77", Around: 20}, 2500},
 		{"a gatekeeper with 250 on either side", ruleset.Interest{Name: "g777", Around: 250}, 12000},
 		{"a host", ruleset.Interest{Host: "h77", Around: 20}, 2500}} {
-		a := &Ask{Form: Form, Cluster: "fleet", From: "host-0077", Interest: c.in, Step: 80, Index: 123456,
-			Process: 4321, Holds: 80, Number: 1 << 60}
-		s.Offer(View{Step: 80, Begun: 1900, Rules: v1, Index: 123456})
+		a := &Request{FormatVersion: FormatVersion, Cluster: "fleet", Sender: "host-0077", Interest: c.in, Step: 80,
+			DiscoveryIndex: 123456,
+			ProcessID:      4321, HeldStep: 80, Nonce: 1 << 60}
+		s.Publish(Snapshot{Step: 80, ReadStartMillis: 1900, Rules: v1, DiscoveryIndex: 123456})
 		_, whole := size(a)
 		a.Rules = ruleset.Select(v1, c.in).Mark()
 		ask, renewal := size(a)
-		s.Offer(View{Step: 81, Begun: 1900, Rules: v2, Index: 123456})
+		s.Publish(Snapshot{Step: 81, ReadStartMillis: 1900, Rules: v2, DiscoveryIndex: 123456})
 		_, delta := size(a)
-		s = NewSource("region-0-relay-1", "fleet", Bounds{})
+		s = NewSource("region-0-relay-1", "fleet", SourceConfig{})
 		t.Logf("%s: %d bytes of a question, %d of a renewal, %d of a version of one plan, %d of a whole", c.name,
 			ask, renewal, delta, whole)
 		if ask > 120 || renewal > 120 || delta > 250 || whole > c.whole {
@@ -200,44 +204,46 @@
 }
 
 // sealed makes a plain message of a body, with the checksum that it has to have.
-func sealed(body []byte) []byte {
-	out := append([]byte{plain}, body...)
+func addChecksum(body []byte) []byte {
+	out := append([]byte{encodingPlain}, body...)
 	return binary.BigEndian.AppendUint32(out, crc32.Checksum(out, castagnoli))
 }
 
-func FuzzReadAnswer(f *testing.F) {
-	s := state(f, 1, rules(3, 96))
-	raw, _ := (&Answer{Form: Form, Cluster: "c", Step: 2, Rules: s.Mark(),
-		RulesDelta: versioned.Whole(s)}).Bytes()
-	f.Add(raw[1 : len(raw)-sumBytes])
+func FuzzDecodeResponse(f *testing.F) {
+	s := testState(f, 1, testRules(3, 96))
+	raw, _ := (&Response{FormatVersion: FormatVersion, Cluster: "c", Step: 2, Rules: s.Mark(),
+		RulesDelta: versioned.Whole(s)}).Encode()
+	f.Add(raw[1 : len(raw)-checksumBytes])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		raw := sealed(body)
-		a, err := ReadAnswer(raw)
+		raw := addChecksum(body)
+		a, err := DecodeResponse(raw)
 		if err != nil {
 			return
 		}
-		fl := NewFollower(Config{Name: "f", Cluster: "c", Upstream: 1, Interest: ruleset.Interest{All: true}}, 0)
-		fl.Clock(1000)
-		fl.Heard(0, 1000, a)
-		if v, ok := fl.View(); ok && (v.Rules.Mark() != a.Rules || v.Pending.Mark() != a.Pending ||
+		fl := NewFollower(FollowerConfig{Name: "f", Cluster: "c", Upstreams: 1,
+			Interest: ruleset.Interest{All: true}}, 0)
+		fl.AdvanceClock(1000)
+		fl.HandleResponse(0, 1000, a)
+		if v, ok := fl.Snapshot(); ok && (v.Rules.Mark() != a.Rules || v.Pending.Mark() != a.Pending ||
 			versioned.New(v.Rules.Mark().Number, versioned.Whole(v.Rules).Set).Mark() != a.Rules) {
 			t.Fatalf("%+v of %+v", v, a)
 		}
 	})
 }
 
-func FuzzReadAsk(f *testing.F) {
-	raw, _ := (&Ask{Form: Form, Cluster: "c", From: "f", Seen: []HostStep{{Host: "h", Step: 1}}}).Bytes()
-	f.Add(raw[1 : len(raw)-sumBytes])
+func FuzzDecodeRequest(f *testing.F) {
+	raw, _ := (&Request{FormatVersion: FormatVersion, Cluster: "c", Sender: "f",
+		HostSteps: []HostStep{{Host: "h", Step: 1}}}).Encode()
+	f.Add(raw[1 : len(raw)-checksumBytes])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		a, err := ReadAsk(sealed(body))
+		a, err := DecodeRequest(addChecksum(body))
 		if err != nil {
 			return
 		}
-		s := NewSource("s", "c", Bounds{})
-		s.Offer(View{Step: 1, Rules: state(t, 1, rules(4, 96)), Index: -1})
-		if r, err := s.Answer(a, 10); err == nil {
-			if _, err := r.Bytes(); err != nil {
+		s := NewSource("s", "c", SourceConfig{})
+		s.Publish(Snapshot{Step: 1, Rules: testState(t, 1, testRules(4, 96)), DiscoveryIndex: -1})
+		if r, err := s.Respond(a, 10); err == nil {
+			if _, err := r.Encode(); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -246,45 +252,47 @@
 
 // A whole exchange without the network: what a hop costs those that ask and those that answer.
 func BenchmarkRenewal(b *testing.B) {
-	s := NewSource("zone-0-relay-1", "fleet", Bounds{})
-	v := state(b, 41, rules(7900, 96))
+	s := NewSource("zone-0-relay-1", "fleet", SourceConfig{})
+	v := testState(b, 41, testRules(7900, 96))
 	in := ruleset.Interest{Name: "g77", Around: 20}
-	s.Offer(View{Step: 80, Begun: 1900, Rules: v, Index: 123456})
-	a := &Ask{Form: Form, Cluster: "fleet", From: "host-0077", Interest: in, Step: 80, Index: 123456,
-		Process: 4321, Holds: 80, Rules: ruleset.Select(v, in).Mark(), Number: 1 << 60}
-	raw, err := a.Bytes()
+	s.Publish(Snapshot{Step: 80, ReadStartMillis: 1900, Rules: v, DiscoveryIndex: 123456})
+	a := &Request{FormatVersion: FormatVersion, Cluster: "fleet", Sender: "host-0077", Interest: in, Step: 80,
+		DiscoveryIndex: 123456,
+		ProcessID:      4321, HeldStep: 80, Rules: ruleset.Select(v, in).Mark(), Nonce: 1 << 60}
+	raw, err := a.Encode()
 	if err != nil {
 		b.Fatal(err)
 	}
-	f := NewFollower(Config{Name: "f", Cluster: "fleet", Upstream: 1, Interest: in}, 0)
-	whole, err := s.Answer(&Ask{Form: Form, Cluster: "fleet", From: "f", Interest: in, Index: -1}, 1900)
+	f := NewFollower(FollowerConfig{Name: "f", Cluster: "fleet", Upstreams: 1, Interest: in}, 0)
+	whole, err := s.Respond(&Request{FormatVersion: FormatVersion, Cluster: "fleet", Sender: "f", Interest: in,
+		DiscoveryIndex: -1}, 1900)
 	if err != nil {
 		b.Fatal(err)
 	}
-	f.Clock(2000)
-	f.Heard(0, 2000, whole)
+	f.AdvanceClock(2000)
+	f.HandleResponse(0, 2000, whole)
 	b.Run("answerer", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			q, err := ReadAsk(raw)
+			q, err := DecodeRequest(raw)
 			if err != nil {
 				b.Fatal(err)
 			}
-			r, err := s.Answer(q, 2000)
+			r, err := s.Respond(q, 2000)
 			if err != nil {
 				b.Fatal(err)
 			}
-			if _, err := r.Bytes(); err != nil {
+			if _, err := r.Encode(); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
-	r, err := s.Answer(a, 2000)
+	r, err := s.Respond(a, 2000)
 	if err != nil {
 		b.Fatal(err)
 	}
-	r.Number = 0
-	back, err := r.Bytes()
+	r.Nonce = 0
+	back, err := r.Encode()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -293,15 +301,15 @@
 		now := 2000.0
 		for b.Loop() {
 			now += 0.001
-			f.Clock(now)
-			if _, err := a.Bytes(); err != nil {
+			f.AdvanceClock(now)
+			if _, err := a.Encode(); err != nil {
 				b.Fatal(err)
 			}
-			x, err := ReadAnswer(back)
+			x, err := DecodeResponse(back)
 			if err != nil {
 				b.Fatal(err)
 			}
-			f.Heard(0, now, x)
+			f.HandleResponse(0, now, x)
 		}
 	})
 }
@@ -309,31 +317,32 @@
 // A version on its way through a relay that 564 hosts hang on: a part of each for all of them.
 func BenchmarkVersion(b *testing.B) {
 	for _, around := range []int{20, 250} {
-		b.Run(fmt.Sprint(around), func(b *testing.B) { versionTo564(b, around) })
+		b.Run(fmt.Sprint(around), func(b *testing.B) { benchmarkVersionTo564Hosts(b, around) })
 	}
 }
 
-func versionTo564(b *testing.B, around int) {
-	from, to := state(b, 41, rules(7900, 96)), state(b, 42, rules(7900, 48))
-	var all []*Ask
+func benchmarkVersionTo564Hosts(b *testing.B, around int) {
+	from, to := testState(b, 41, testRules(7900, 96)), testState(b, 42, testRules(7900, 48))
+	var all []*Request
 	for i := range 564 {
 		in := ruleset.Interest{Host: fmt.Sprint("h", i), Around: around}
-		all = append(all, &Ask{Form: Form, Cluster: "fleet", From: in.Host, Interest: in, Index: -1,
-			Rules: ruleset.Select(from, in).Mark()})
+		all = append(all, &Request{FormatVersion: FormatVersion, Cluster: "fleet", Sender: in.Host, Interest: in,
+			DiscoveryIndex: -1,
+			Rules:          ruleset.Select(from, in).Mark()})
 	}
 	for b.Loop() {
 		b.StopTimer()
-		s := NewSource("zone-0-relay-1", "fleet", Bounds{})
-		s.Offer(View{Step: 80, Begun: 1900, Rules: from, Index: -1})
+		s := NewSource("zone-0-relay-1", "fleet", SourceConfig{})
+		s.Publish(Snapshot{Step: 80, ReadStartMillis: 1900, Rules: from, DiscoveryIndex: -1})
 		for _, a := range all {
-			if _, err := s.Answer(a, 1900); err != nil {
+			if _, err := s.Respond(a, 1900); err != nil {
 				b.Fatal(err)
 			}
 		}
 		b.StartTimer()
-		s.Offer(View{Step: 81, Begun: 1900, Rules: to, Index: -1})
+		s.Publish(Snapshot{Step: 81, ReadStartMillis: 1900, Rules: to, DiscoveryIndex: -1})
 		for _, a := range all {
-			if r, err := s.Answer(a, 1900); err != nil || r.RulesDelta == nil || r.RulesDelta.From.None() {
+			if r, err := s.Respond(a, 1900); err != nil || r.RulesDelta == nil || r.RulesDelta.From.None() {
 				b.Fatal(err, r)
 			}
 		}
--- a/internal/distribution/golden_test.go
+++ b/internal/distribution/golden_test.go
@@ -14,25 +14,26 @@
 // written again; a test that fails here is met by a tag or a type of the old form.
 
 var goldenForms = []goldenform.Form{
-	{File: "ask.cbor", New: func() any { return &Ask{} },
-		Encode: func(v any) ([]byte, error) { return v.(*Ask).Bytes() },
+	{File: "ask.cbor", New: func() any { return &Request{} },
+		Encode: func(v any) ([]byte, error) { return v.(*Request).Encode() },
 		Decode: func(raw []byte, into any) error {
-			a, err := ReadAsk(raw)
+			a, err := DecodeRequest(raw)
 			if err == nil {
-				*into.(*Ask) = *a
+				*into.(*Request) = *a
 			}
 			return err
 		}},
-	{File: "answer.cbor", New: func() any { return &Answer{} },
-		Encode: func(v any) ([]byte, error) { return v.(*Answer).Bytes() },
+	{File: "answer.cbor", New: func() any { return &Response{} },
+		Encode: func(v any) ([]byte, error) { return v.(*Response).Encode() },
 		Decode: func(raw []byte, into any) error {
-			a, err := ReadAnswer(raw)
+			a, err := DecodeResponse(raw)
 			if err == nil {
-				*into.(*Answer) = *a
+				*into.(*Response) = *a
 			}
 			return err
 		}},
-	{File: "counts.json", New: func() any { return &Counts{} }, Encode: json.Marshal, Decode: json.Unmarshal},
+	{File: "counts.json", New: func() any { return &FollowerCounts{} }, Encode: json.Marshal,
+		Decode: json.Unmarshal},
 	{File: "source-counts.json", New: func() any { return &SourceCounts{} }, Encode: json.Marshal,
 		Decode: json.Unmarshal},
 }
@@ -59,7 +60,7 @@
 	for file, want := range map[string]*versioned.State{"state.cbor": goldenState(),
 		"state-packed.cbor": longState()} {
 		golden := goldenform.Read(t, file)
-		got, err := ReadState(golden)
+		got, err := DecodeState(golden)
 		if err != nil || got.Mark() != want.Mark() {
 			t.Errorf("%s: %v: %v, want %v", file, err, got.Mark(), want.Mark())
 		}
@@ -68,8 +69,8 @@
 				t.Errorf("%s: %s is %q, want %q", file, key, have, value)
 			}
 		}
-		raw, err := StateBytes(want)
-		if err != nil || raw[0] != golden[0] || golden[0] == plain && !bytes.Equal(raw, golden) {
+		raw, err := EncodeState(want)
+		if err != nil || raw[0] != golden[0] || golden[0] == encodingPlain && !bytes.Equal(raw, golden) {
 			t.Errorf("%s: %v: the state is encoded as %q, want %q", file, err, raw, golden)
 		}
 	}
--- a/internal/distribution/relay/command_test.go
+++ b/internal/distribution/relay/command_test.go
@@ -26,15 +26,16 @@
 		status     int
 		args       []string
 	}{
-		{fullFile, "south-1: of till, listens at 127.0.0.1:7900", 0, []string{"--check"}},
-		{strings.Replace(fullFile, "upstream", "upstreams", 1), "upstreams: unknown key", 1, nil},
-		{strings.Replace(fullFile, "connections = 4096", "connections = -1", 1), "limits.connections:", 1, nil},
-		{strings.Replace(fullFile, "127.0.0.1:7900", taken.Addr().String(), 1), "listen:", 1, nil},
+		{completeConfig, "south-1: of till, listens at 127.0.0.1:7900", 0, []string{"--check"}},
+		{strings.Replace(completeConfig, "upstream", "upstreams", 1), "upstreams: unknown key", 1, nil},
+		{strings.Replace(completeConfig, "connections = 4096", "connections = -1", 1), "limits.connections:", 1,
+			nil},
+		{strings.Replace(completeConfig, "127.0.0.1:7900", taken.Addr().String(), 1), "listen:", 1, nil},
 	} {
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		ctx, cancel := context.WithTimeout(t.Context(), within)
+		ctx, cancel := context.WithTimeout(t.Context(), activationTimeout)
 		cmd := exec.CommandContext(ctx, program, append([]string{"relay", "--config", path}, c.args...)...)
 		out, _ := cmd.CombinedOutput()
 		cancel()
--- a/internal/distribution/relay/copy.go
+++ b/internal/distribution/relay/copy.go
@@ -24,81 +24,81 @@
 // one of another cluster, is set aside.
 
 // copyMagic begins a copy, with the number of its form; a digest of all that follows comes next.
-var copyMagic = []byte("willowdeck relay copy 1\n")
+var checkpointMagic = []byte("willowdeck relay copy 1\n")
 
-const longestCopy = 2 * distribution.MostAnswer // bytes
+const maxCheckpointBytes = 2 * distribution.MaxResponseBytes // bytes
 
 // copyAgain is the pause before a copy is tried again that could not be written.
-const copyAgain = 5 * time.Second
+const checkpointRetryPause = 5 * time.Second
 
 // Copy is a follower's copy on disk.
-type Copy struct {
+type Checkpoint struct {
 	path, cluster string
 	log           zerolog.Logger
-	last          [2]versioned.Mark // of Keep's caller alone
-	latest        atomic.Pointer[distribution.View]
-	save          chan struct{}
+	lastMarks     [2]versioned.Mark // of Keep's caller alone
+	latest        atomic.Pointer[distribution.Snapshot]
+	saveRequested chan struct{}
 
-	written, failed, aside atomic.Int64
+	written, failed, quarantined atomic.Int64
 }
 
 // NewCopy is one at a path; where that is empty, none is kept.
-func NewCopy(path, cluster string, log zerolog.Logger) *Copy {
-	return &Copy{path: path, cluster: cluster, log: log, save: make(chan struct{}, 1)}
+func NewCheckpoint(path, cluster string, log zerolog.Logger) *Checkpoint {
+	return &Checkpoint{path: path, cluster: cluster, log: log, saveRequested: make(chan struct{}, 1)}
 }
 
 // Counts gives how many were written, could not be written, and could not be used.
-func (c *Copy) Counts() (written, failed, aside int64) {
-	return c.written.Load(), c.failed.Load(), c.aside.Load()
+func (c *Checkpoint) Counts() (written, failed, aside int64) {
+	return c.written.Load(), c.failed.Load(), c.quarantined.Load()
 }
 
 // Base has a follower begin with the copy, if there is one that can be used. One that can't is set aside.
-func (c *Copy) Base(f *distribution.Follower) {
+func (c *Checkpoint) LoadInto(f *distribution.Follower) {
 	if c.path == "" {
 		return
 	}
-	rules, pending, err := readCopy(c.path, c.cluster)
+	rules, pending, err := readCheckpoint(c.path, c.cluster)
 	switch {
-	case errors.Is(err, errNoCopy):
+	case errors.Is(err, errNoCheckpoint):
 	case err != nil:
-		c.aside.Add(1)
-		aside, moved := setCopyAside(c.path)
+		c.quarantined.Add(1)
+		aside, moved := quarantineCheckpoint(c.path)
 		c.log.Warn().Err(err).Str("aside", aside).AnErr("moved", moved).Msg("copy set aside: all is asked for anew")
 	default:
-		f.Base(rules, pending)
+		f.AddBases(rules, pending)
 		c.log.Info().Uint64("version", rules.Mark().Number).Msg("copy taken as a base")
 	}
 }
 
 // Keep has the states of a view written, where they are others than before. It does not wait, and is to be
 // called from one goroutine.
-func (c *Copy) Keep(v distribution.View) {
+func (c *Checkpoint) Save(v distribution.Snapshot) {
 	now := [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()}
-	if c.path == "" || now == c.last {
+	if c.path == "" || now == c.lastMarks {
 		return
 	}
-	c.last = now
+	c.lastMarks = now
 	c.latest.Store(&v)
-	c.wake()
+	c.requestSave()
 }
 
-func (c *Copy) wake() {
+func (c *Checkpoint) requestSave() {
 	select {
-	case c.save <- struct{}{}:
+	case c.saveRequested <- struct{}{}:
 	default:
 	}
 }
 
 // Run writes until the context ends.
-func (c *Copy) Run(ctx context.Context) {
+func (c *Checkpoint) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.save:
+		case <-c.saveRequested:
 		}
 		v := c.latest.Load()
-		err := keepCopy(c.path, c.cluster, v.Rules, v.Pending)
+		err := writeCheckpoint(c.path, c.cluster, v.Rules, v.Pending)
 		if err == nil {
 			c.written.Add(1)
 			continue
@@ -108,17 +108,17 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(copyAgain):
+		case <-time.After(checkpointRetryPause):
 		}
-		c.wake()
+		c.requestSave()
 	}
 }
 
 // errNoCopy tells that there is none, which is no fault.
-var errNoCopy = errors.New("no copy")
+var errNoCheckpoint = errors.New("no copy")
 
 // copied is what a copy holds.
-type copied struct {
+type checkpointContent struct {
 	_              struct{} `cbor:",toarray"`
 	Cluster        string
 	Rules, Pending []byte // as distribution.StateBytes has them
@@ -126,11 +126,11 @@
 
 // keepCopy writes states aside, has them on the disk, and then in place of the copy before. Pending may be
 // nil.
-func keepCopy(path, cluster string, rules, pending *versioned.State) error {
-	c := copied{Cluster: cluster}
+func writeCheckpoint(path, cluster string, rules, pending *versioned.State) error {
+	c := checkpointContent{Cluster: cluster}
 	var err, bad error
-	c.Rules, err = distribution.StateBytes(rules)
-	c.Pending, bad = distribution.StateBytes(pending)
+	c.Rules, err = distribution.EncodeState(rules)
+	c.Pending, bad = distribution.EncodeState(pending)
 	if err = errors.Join(err, bad); err != nil {
 		return err
 	}
@@ -144,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	for _, b := range [][]byte{copyMagic, sum[:], body} {
+	for _, b := range [][]byte{checkpointMagic, sum[:], body} {
 		if err == nil {
 			_, err = f.Write(b)
 		}
@@ -167,39 +167,39 @@
 }
 
 // readCopy gives what a copy holds. errNoCopy: there is no file; any other error: it can't be used.
-func readCopy(path, cluster string) (rules, pending *versioned.State, err error) {
+func readCheckpoint(path, cluster string) (rules, pending *versioned.State, err error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
-		return nil, nil, errNoCopy
+		return nil, nil, errNoCheckpoint
 	}
 	if err != nil {
 		return nil, nil, err
 	}
 	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, longestCopy+1))
+	raw, err := io.ReadAll(io.LimitReader(f, maxCheckpointBytes+1))
 	if err != nil {
 		return nil, nil, err
 	}
-	head := len(copyMagic) + sha256.Size
+	head := len(checkpointMagic) + sha256.Size
 	switch {
-	case len(raw) > longestCopy:
-		return nil, nil, fmt.Errorf("a copy of more than %d bytes", longestCopy)
-	case len(raw) < head || !bytes.Equal(raw[:len(copyMagic)], copyMagic):
+	case len(raw) > maxCheckpointBytes:
+		return nil, nil, fmt.Errorf("a copy of more than %d bytes", maxCheckpointBytes)
+	case len(raw) < head || !bytes.Equal(raw[:len(checkpointMagic)], checkpointMagic):
 		return nil, nil, errors.New("no copy of this form")
 	}
 	body := raw[head:]
-	if sum := sha256.Sum256(body); !bytes.Equal(sum[:], raw[len(copyMagic):head]) {
+	if sum := sha256.Sum256(body); !bytes.Equal(sum[:], raw[len(checkpointMagic):head]) {
 		return nil, nil, errors.New("a copy that is torn: its digest is another")
 	}
-	var c copied
+	var c checkpointContent
 	if err := cbor.Unmarshal(body, &c); err != nil {
 		return nil, nil, err
 	}
 	if c.Cluster != cluster {
 		return nil, nil, fmt.Errorf("a copy of cluster %q, this is %q", c.Cluster, cluster)
 	}
-	rules, err = distribution.ReadState(c.Rules)
-	pending, bad := distribution.ReadState(c.Pending)
+	rules, err = distribution.DecodeState(c.Rules)
+	pending, bad := distribution.DecodeState(c.Pending)
 	if err = errors.Join(err, bad); err != nil {
 		return nil, nil, err
 	}
@@ -207,7 +207,7 @@
 }
 
 // setCopyAside moves a copy that can't be used out of the way, in place of one moved before it.
-func setCopyAside(path string) (string, error) {
+func quarantineCheckpoint(path string) (string, error) {
 	aside := path + ".torn"
 	return aside, os.Rename(path, aside)
 }
--- a/internal/distribution/relay/cost_test.go
+++ b/internal/distribution/relay/cost_test.go
@@ -21,46 +21,47 @@
 )
 
 var (
-	costs  = flag.Bool("costs", false, "measure what an ask costs a relay, at several sizes")
-	commit = flag.String("commit", "", "named in the figures' lines")
-	named  = flag.String("run", "trial", "and this, in their first column")
+	costs   = flag.Bool("costs", false, "measure what an ask costs a relay, at several sizes")
+	commit  = flag.String("commit", "", "named in the figures' lines")
+	runName = flag.String("run", "trial", "and this, in their first column")
 )
 
 const (
-	perHost = 18 // gatekeepers: a zone's 564 on 31 hosts
-	askers  = 64 // connections
+	gatewaysPerBenchHost = 18 // gatekeepers: a zone's 564 on 31 hosts
+	benchClients         = 64 // connections
 )
 
 // bench is a relay process below a root in this one.
-type bench struct {
-	t     *testing.T
-	size  int
-	root  *giver
-	p     *faultinject.Process
-	at    string
-	ops   string
-	mu    sync.Mutex
-	step  uint64
-	rules *versioned.State
+type benchRelay struct {
+	t            *testing.T
+	size         int
+	root         *server
+	process      *faultinject.Process
+	address      string
+	adminAddress string
+	mu           sync.Mutex
+	step         uint64
+	rules        *versioned.State
 }
 
 // TestCosts measures a relay process, whose root and askers are in this one: processor time, bytes on the
 // wire and memory, by the number of members. Its lines are those of docs/capacity/relay.csv.
-func TestCosts(t *testing.T) {
+func TestRequestCosts(t *testing.T) {
 	if !*costs {
 		t.Skip("-args -costs -commit HASH")
 	}
 	for _, size := range []int{100, 300, 1000, 3000, 7900} {
-		t.Run(fmt.Sprint(size), func(t *testing.T) { benched(t, size).measure() })
+		t.Run(fmt.Sprint(size), func(t *testing.T) { newBenchRelay(t, size).measure() })
 	}
 }
 
-func (b *bench) version(number int) *versioned.State {
+func (b *benchRelay) version(number int) *versioned.State {
 	b.t.Helper()
 	var members []ruleset.Member
 	for i := range b.size {
 		members = append(members, ruleset.Member{Name: fmt.Sprintf("gatekeeper-%05d", i),
-			Host: fmt.Sprintf("host-%04d", i/perHost), Peers: fmt.Sprintf("10.%d.%d.7:7000", i/250, i%250)})
+			Host: fmt.Sprintf("host-%04d", i/gatewaysPerBenchHost), Peers: fmt.Sprintf("10.%d.%d.7:7000", i/250,
+				i%250)})
 	}
 	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
 		Fallback: ruleset.Fallback{Part: 0.5, For: 10000}, Members: members}
@@ -79,19 +80,21 @@
 	return s
 }
 
-func benched(t *testing.T, size int) *bench {
+func newBenchRelay(t *testing.T, size int) *benchRelay {
 	t.Helper()
-	b := &bench{t: t, size: size, step: 1}
+	b := &benchRelay{t: t, size: size, step: 1}
 	b.rules = b.version(1)
-	s := distribution.NewSource("root", "till", distribution.Bounds{WholeRate: 1 << 30, WholeBurst: 1 << 30})
-	b.root = server(t, s, nil)
+	s := distribution.NewSource("root", "till", distribution.SourceConfig{FullStateBytesPerSecond: 1 << 30,
+		FullStateBurstBytes: 1 << 30})
+	b.root = startTestServer(t, s, nil)
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
 		for ctx.Err() == nil {
 			b.mu.Lock()
-			b.root.offer(distribution.View{Step: b.step, Settled: true, Begun: Clock(), Rules: b.rules, Index: -1})
+			b.root.publish(distribution.Snapshot{Step: b.step, Settled: true, ReadStartMillis: nowMillis(),
+				Rules: b.rules, DiscoveryIndex: -1})
 			b.mu.Unlock()
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -101,38 +104,40 @@
 		<-over
 	})
 	port := ports.Span(t, 2)
-	b.at, b.ops = fmt.Sprintf("127.0.0.1:%d", port), fmt.Sprintf("127.0.0.1:%d", port+1)
+	b.address, b.adminAddress = fmt.Sprintf("127.0.0.1:%d", port), fmt.Sprintf("127.0.0.1:%d", port+1)
 	dir := t.TempDir()
 	file := filepath.Join(dir, "relay.toml")
 	text := fmt.Sprintf("name = \"r\"\ncluster = \"till\"\nlisten = %q\ncontrol = %q\nupstream = [%q]\n"+
-		"store = \"relay.copy\"\n[limits]\nwhole_kb_s = 1048576\nwhole_kb = 1048576\n", b.at, b.ops, b.root.at)
+		"store = \"relay.copy\"\n[limits]\nwhole_kb_s = 1048576\nwhole_kb = 1048576\n", b.address, b.adminAddress,
+		b.root.address)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b.p = faultinject.Start(t, faultinject.Spec{Name: "r", Dir: dir, Args: []string{"relay", "--config", file}})
-	b.reached(1)
+	b.process = faultinject.Start(t, faultinject.Spec{Name: "r", Dir: dir,
+		Args: []string{"relay", "--config", file}})
+	b.waitForStep(1)
 	return b
 }
 
-func (b *bench) status() (s Status, err error) {
-	text, err := faultinject.Ask(b.ops, "/relay/status")
+func (b *benchRelay) status() (s Status, err error) {
+	text, err := faultinject.Ask(b.adminAddress, "/relay/status")
 	if err == nil {
 		err = json.Unmarshal([]byte(text), &s)
 	}
 	return s, err
 }
 
-func (b *bench) reached(step uint64) {
+func (b *benchRelay) waitForStep(step uint64) {
 	b.t.Helper()
-	faultinject.Until(b.t, within, "the relay knows of it", func() bool {
+	faultinject.Until(b.t, activationTimeout, "the relay knows of it", func() bool {
 		s, err := b.status()
 		return err == nil && s.Step == step
 	})
 }
 
 // cpu is the processor time of the relay's threads, ms.
-func (b *bench) cpu() (ms float64) {
-	all, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", b.p.Pid()))
+func (b *benchRelay) cpuMillis() (ms float64) {
+	all, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", b.process.Pid()))
 	if err != nil || len(all) == 0 {
 		b.t.Fatal(len(all), err)
 	}
@@ -151,24 +156,24 @@
 }
 
 // asking has askers send so many asks each, and gives what each cost the relay: ms, bytes in, bytes out.
-func (b *bench) asking(each int, ask func(i int) *distribution.Ask,
-	answers func(*distribution.Answer) bool) (ms, in, out float64) {
+func (b *benchRelay) measureRequests(each int, ask func(i int) *distribution.Request,
+	answers func(*distribution.Response) bool) (ms, in, out float64) {
 	b.t.Helper()
 	before, err := b.status()
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	began := b.cpu()
+	began := b.cpuMillis()
 	var wait sync.WaitGroup
-	for i := range askers {
+	for i := range benchClients {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			c := NewClient([]string{b.at}, AskPath)
+			c := NewClient([]string{b.address}, RequestPath)
 			defer c.Close()
 			a := ask(i)
 			for range each {
-				got, err := c.Ask(0, a, 5000)
+				got, err := c.Fetch(0, a, 5000)
 				if err != nil || !answers(got) {
 					b.t.Errorf("size %d: %+v, %v", b.size, got, err)
 					return
@@ -177,100 +182,106 @@
 		}()
 	}
 	wait.Wait()
-	spent := b.cpu() - began
+	spent := b.cpuMillis() - began
 	after, err := b.status()
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	n := float64(askers * each)
-	return spent / n, float64(after.Down.In-before.Down.In) / n, float64(after.Down.Out-before.Down.Out) / n
+	n := float64(benchClients * each)
+	return spent / n, float64(after.DownstreamTraffic.ReceivedBytes-before.DownstreamTraffic.ReceivedBytes) / n,
+		float64(after.DownstreamTraffic.SentBytes-before.DownstreamTraffic.SentBytes) / n
 }
 
-func (b *bench) line(figure, unit string, value float64) {
-	fmt.Printf("%s,%s,relays,%d,relay,%s,%s,%.4g\n", *named, *commit, b.size, figure, unit, value)
+func (b *benchRelay) printFigure(figure, unit string, value float64) {
+	fmt.Printf("%s,%s,relays,%d,relay,%s,%s,%.4g\n", *runName, *commit, b.size, figure, unit, value)
 }
 
-func (b *bench) lines(what string, ms, in, out float64) {
-	b.line(what+"_cpu", "us", ms*1000)
-	b.line(what+"_in", "bytes", in)
-	b.line(what+"_out", "bytes", out)
+func (b *benchRelay) printFigures(what string, ms, in, out float64) {
+	b.printFigure(what+"_cpu", "us", ms*1000)
+	b.printFigure(what+"_in", "bytes", in)
+	b.printFigure(what+"_out", "bytes", out)
 }
 
 // interest is of a host, or of all.
-func (b *bench) interest(i int, all bool) ruleset.Interest {
+func (b *benchRelay) interest(i int, all bool) ruleset.Interest {
 	if all {
 		return ruleset.Interest{All: true}
 	}
-	return ruleset.Interest{Host: fmt.Sprintf("host-%04d", i%((b.size+perHost-1)/perHost))}
+	return ruleset.Interest{Host: fmt.Sprintf("host-%04d",
+		i%((b.size+gatewaysPerBenchHost-1)/gatewaysPerBenchHost))}
 }
 
-func (b *bench) ask(i int, all bool, s *versioned.State) *distribution.Ask {
+func (b *benchRelay) request(i int, all bool, s *versioned.State) *distribution.Request {
 	in := b.interest(i, all)
-	return &distribution.Ask{
-		Form:     distribution.Form,
-		Cluster:  "till",
-		From:     fmt.Sprintf("asker-%d", i),
-		Interest: in,
-		Step:     1,
-		Rules:    ruleset.Select(s, in).Mark(),
-		Index:    -1,
+	return &distribution.Request{
+		FormatVersion:  distribution.FormatVersion,
+		Cluster:        "till",
+		Sender:         fmt.Sprintf("asker-%d", i),
+		Interest:       in,
+		Step:           1,
+		Rules:          ruleset.Select(s, in).Mark(),
+		DiscoveryIndex: -1,
 	}
 }
 
-func (b *bench) measure() {
+func (b *benchRelay) measure() {
 	t := b.t
-	renewal := func(a *distribution.Answer) bool { return a.RulesDelta == nil && a.Busy == 0 }
-	whole := func(a *distribution.Answer) bool { return a.RulesDelta != nil && a.RulesDelta.From.None() }
-	delta := func(a *distribution.Answer) bool { return a.RulesDelta != nil && !a.RulesDelta.From.None() }
-	idle := b.cpu()
+	renewal := func(a *distribution.Response) bool { return a.RulesDelta == nil && a.RetryAfterMillis == 0 }
+	whole := func(a *distribution.Response) bool { return a.RulesDelta != nil && a.RulesDelta.From.None() }
+	delta := func(a *distribution.Response) bool { return a.RulesDelta != nil && !a.RulesDelta.From.None() }
+	idle := b.cpuMillis()
 	time.Sleep(4 * time.Second)
-	b.line("idle_cpu", "ms_per_s", (b.cpu()-idle)/4)
-	b.line("state", "bytes", float64(b.rules.Bytes()))
-	ms, in, out := b.asking(400, func(i int) *distribution.Ask { return b.ask(i, false, b.rules) }, renewal)
-	b.lines("renewal", ms, in, out)
-	none := func(all bool) func(int) *distribution.Ask {
-		return func(i int) *distribution.Ask {
-			a := b.ask(i, all, nil)
+	b.printFigure("idle_cpu", "ms_per_s", (b.cpuMillis()-idle)/4)
+	b.printFigure("state", "bytes", float64(b.rules.Bytes()))
+	ms, in, out := b.measureRequests(400, func(i int) *distribution.Request {
+		return b.request(i, false,
+			b.rules)
+	}, renewal)
+	b.printFigures("renewal", ms, in, out)
+	none := func(all bool) func(int) *distribution.Request {
+		return func(i int) *distribution.Request {
+			a := b.request(i, all, nil)
 			a.Rules = versioned.Mark{}
 			return a
 		}
 	}
-	ms, in, out = b.asking(50, none(false), whole)
-	b.lines("whole_host", ms, in, out)
-	ms, in, out = b.asking(4, none(true), whole)
-	b.lines("whole_all", ms, in, out)
+	ms, in, out = b.measureRequests(50, none(false), whole)
+	b.printFigures("whole_host", ms, in, out)
+	ms, in, out = b.measureRequests(4, none(true), whole)
+	b.printFigures("whole_all", ms, in, out)
 	const versions = 10
 	var sums [2][3]float64
 	taking := 0.0
 	for n := range versions {
 		was := b.rules
 		next := b.version(n + 2)
-		began := b.cpu()
+		began := b.cpuMillis()
 		b.mu.Lock()
 		b.rules = next
 		b.step++
 		step := b.step
 		b.mu.Unlock()
-		b.reached(step)
+		b.waitForStep(step)
 		time.Sleep(200 * time.Millisecond) // and its copy is written
-		taking += b.cpu() - began
+		taking += b.cpuMillis() - began
 		for i, all := range []bool{false, true} {
-			ms, in, out := b.asking(4, func(i int) *distribution.Ask { return b.ask(i, all, was) }, delta)
+			ms, in, out := b.measureRequests(4, func(i int) *distribution.Request { return b.request(i, all, was) },
+				delta)
 			sums[i][0], sums[i][1], sums[i][2] = sums[i][0]+ms, sums[i][1]+in, sums[i][2]+out
 		}
 	}
-	b.line("version_cpu", "ms", taking/versions)
+	b.printFigure("version_cpu", "ms", taking/versions)
 	for i, what := range []string{"delta_host", "delta_all"} {
-		b.lines(what, sums[i][0]/versions, sums[i][1]/versions, sums[i][2]/versions)
+		b.printFigures(what, sums[i][0]/versions, sums[i][1]/versions, sums[i][2]/versions)
 	}
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", b.p.Pid()))
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", b.process.Pid()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, l := range strings.Split(string(raw), "\n") {
 		if f := strings.Fields(l); len(f) > 1 && (f[0] == "VmRSS:" || f[0] == "VmHWM:") {
 			kb, _ := strconv.ParseFloat(f[1], 64)
-			b.line(map[string]string{"VmRSS:": "memory", "VmHWM:": "memory_most"}[f[0]], "MB", kb/1024)
+			b.printFigure(map[string]string{"VmRSS:": "memory", "VmHWM:": "memory_most"}[f[0]], "MB", kb/1024)
 		}
 	}
 }
--- a/internal/distribution/relay/feed.go
+++ b/internal/distribution/relay/feed.go
@@ -9,44 +9,44 @@
 )
 
 // Feed asks upstreams as a distribution.Follower decides. Its methods are safe for concurrent use.
-type Feed struct {
-	client *Client
-	news   func()
-	got    chan heard
-	wake   chan struct{}
-	timer  *time.Timer
-	wait   sync.WaitGroup
+type Subscription struct {
+	client   *Client
+	onUpdate func()
+	results  chan fetchResult
+	wake     chan struct{}
+	timer    *time.Timer
+	requests sync.WaitGroup
 
 	mu       sync.Mutex
 	follower *distribution.Follower
 }
 
 // heard is what came of an ask, sent no earlier than asked, ms of Clock's.
-type heard struct {
+type fetchResult struct {
 	upstream int
-	asked    float64
-	answer   *distribution.Answer
+	sentAt   float64
+	response *distribution.Response
 }
 
 // NewFeed makes one. News is called from Run's goroutine, without a lock, each time that what View gives may
 // have changed; it may be nil.
-func NewFeed(f *distribution.Follower, c *Client, news func()) *Feed {
+func NewSubscription(f *distribution.Follower, c *Client, news func()) *Subscription {
 	if news == nil {
 		news = func() {}
 	}
-	return &Feed{client: c, news: news, follower: f, got: make(chan heard, mostUpstreams),
+	return &Subscription{client: c, onUpdate: news, follower: f, results: make(chan fetchResult, maxUpstreams),
 		wake: make(chan struct{}, 1), timer: time.NewTimer(time.Hour)}
 }
 
 // Run follows until the context ends, and returns once nothing of it is left but idle connections.
-func (f *Feed) Run(ctx context.Context) {
-	defer f.wait.Wait()
+func (f *Subscription) Run(ctx context.Context) {
+	defer f.requests.Wait()
 	came := false
 	for {
 		// A renewal is no news of the follower's, and makes what it knows younger all the same: those below
 		// would else see an age that grows up to the next change.
-		if f.turn(ctx) || came {
-			f.news()
+		if f.runActions(ctx) || came {
+			f.onUpdate()
 		}
 		came = false
 		select {
@@ -54,72 +54,72 @@
 			return
 		case <-f.timer.C:
 		case <-f.wake:
-		case h := <-f.got:
-			f.take(h)
-			came = h.answer != nil
+		case h := <-f.results:
+			f.handleResult(h)
+			came = h.response != nil
 		}
 	}
 }
 
 // turn carries out what the follower decides, and tells whether there is news.
-func (f *Feed) turn(ctx context.Context) (news bool) {
+func (f *Subscription) runActions(ctx context.Context) (news bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := Clock()
-	f.follower.Clock(now)
+	now := nowMillis()
+	f.follower.AdvanceClock(now)
 	for {
-		d, ok := f.follower.Next()
+		d, ok := f.follower.NextAction()
 		if !ok {
 			return news
 		}
 		switch d.Kind {
-		case distribution.AskOf:
-			f.ask(ctx, d, now)
-		case distribution.News:
+		case distribution.SendRequest:
+			f.fetch(ctx, d, now)
+		case distribution.NotifyUpdate:
 			news = true
-		case distribution.Wake:
-			f.timer.Reset(max(millis(d.At-Clock()), 0))
+		case distribution.ScheduleWake:
+			f.timer.Reset(max(toDuration(d.WakeAtMillis-nowMillis()), 0))
 		}
 	}
 }
 
 // ask asks beside all else: its answer counts from the time at which it was decided on, which is no later
 // than the one at which it is sent.
-func (f *Feed) ask(ctx context.Context, d distribution.Decision, now float64) {
-	f.wait.Add(1)
+func (f *Subscription) fetch(ctx context.Context, d distribution.Action, now float64) {
+	f.requests.Add(1)
 	go func() {
-		defer f.wait.Done()
-		h := heard{upstream: d.Upstream, asked: now}
-		h.answer, _ = f.client.Ask(d.Upstream, d.Ask, d.Within)
+		defer f.requests.Done()
+		h := fetchResult{upstream: d.Upstream, sentAt: now}
+		h.response, _ = f.client.Fetch(d.Upstream, d.Request, d.TimeoutMillis)
 		select {
-		case f.got <- h:
+		case f.results <- h:
 		case <-ctx.Done():
 		}
 	}()
 }
 
-func (f *Feed) take(h heard) {
+func (f *Subscription) handleResult(h fetchResult) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.follower.Clock(Clock())
-	if h.answer == nil {
-		f.follower.Failed(h.upstream, h.asked)
+	f.follower.AdvanceClock(nowMillis())
+	if h.response == nil {
+		f.follower.RequestFailed(h.upstream, h.sentAt)
 	} else {
-		f.follower.Heard(h.upstream, h.asked, h.answer)
+		f.follower.HandleResponse(h.upstream, h.sentAt, h.response)
 	}
 }
 
 // View gives what may be given on, or gone by; false where there is nothing.
-func (f *Feed) View() (distribution.View, bool) {
+func (f *Subscription) Snapshot() (distribution.Snapshot, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.follower.View()
+	return f.follower.Snapshot()
 }
 
 // With has something done with the follower, and what it decides then carried out.
-func (f *Feed) With(do func(*distribution.Follower)) {
+func (f *Subscription) WithFollower(do func(*distribution.Follower)) {
 	f.mu.Lock()
-	f.follower.Clock(Clock())
+	f.follower.AdvanceClock(nowMillis())
 	do(f.follower)
 	f.mu.Unlock()
 	select {
--- a/internal/distribution/relay/form_test.go
+++ b/internal/distribution/relay/form_test.go
@@ -15,8 +15,8 @@
 
 // TestLaterForm: rules of a form that this program does not know go through its relays as they are, to those
 // below that may know it; what it can't read of them it says in its record.
-func TestLaterForm(t *testing.T) {
-	r := generation(7, some(2, "h"))
+func TestLaterFormat(t *testing.T) {
+	r := generation(7, membersOf(2, "h"))
 	r.Form, r.Needs = ruleset.Form+8, []string{"what comes later"}
 	rules, err := ruleset.Entries(&ruleset.Version{Number: 7, Rules: r})
 	if err != nil {
@@ -27,30 +27,31 @@
 		all = append(all, versioned.Entry{Key: k, Value: v})
 	}
 	rules = versioned.New(7, all)
-	s := distribution.NewSource("root", "till", distribution.Bounds{})
-	up := server(t, s, nil)
-	f := &File{Name: "r", Cluster: "till", Listen: "127.0.0.1:0", Control: "127.0.0.1:0", LeaseMS: 1000,
-		Upstream: []string{up.at}, Store: filepath.Join(t.TempDir(), "copy")}
-	f.Limits.Connections, f.Limits.WholeKB, f.Limits.WholeKBS = 16, 1024, 1024
+	s := distribution.NewSource("root", "till", distribution.SourceConfig{})
+	up := startTestServer(t, s, nil)
+	f := &Config{Name: "r", Cluster: "till", Listen: "127.0.0.1:0", Control: "127.0.0.1:0", LeaseMillis: 1000,
+		Upstreams: []string{up.address}, CheckpointPath: filepath.Join(t.TempDir(), "copy")}
+	f.Limits.Connections, f.Limits.FullStateBurstKB, f.Limits.FullStateKBPerSecond = 16, 1024, 1024
 	m := &history.Memory{}
 	below, err := Start(f, m.As("r", 1), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer below.Close()
-	c := NewClient([]string{below.At()}, AskPath)
+	c := NewClient([]string{below.Address()}, RequestPath)
 	defer c.Close()
-	a := distribution.Ask{
-		Form:     distribution.Form,
-		Cluster:  "till",
-		From:     "h",
-		Interest: ruleset.Interest{Host: "h"},
-		Index:    -1,
+	a := distribution.Request{
+		FormatVersion:  distribution.FormatVersion,
+		Cluster:        "till",
+		Sender:         "h",
+		Interest:       ruleset.Interest{Host: "h"},
+		DiscoveryIndex: -1,
 	}
 	var got *versioned.State
 	for end := time.Now().Add(3 * time.Second); got == nil && time.Now().Before(end); {
-		up.offer(distribution.View{Step: 1, Begun: Clock(), Settled: true, Rules: rules, Index: -1})
-		if an, err := c.Ask(0, &a, 500); err == nil && an.RulesDelta != nil {
+		up.publish(distribution.Snapshot{Step: 1, ReadStartMillis: nowMillis(), Settled: true, Rules: rules,
+			DiscoveryIndex: -1})
+		if an, err := c.Fetch(0, &a, 500); err == nil && an.RulesDelta != nil {
 			var none *versioned.State
 			if got, err = none.Apply(an.RulesDelta); err != nil {
 				t.Fatal(err)
--- a/internal/distribution/relay/golden_test.go
+++ b/internal/distribution/relay/golden_test.go
@@ -25,7 +25,7 @@
 	{File: "status.json", New: func() any { return &Status{} }, Encode: json.Marshal, Decode: json.Unmarshal},
 	{File: "status.txt", New: func() any { return &Status{} },
 		Encode: func(v any) ([]byte, error) { return []byte(v.(*Status).Lines()), nil }},
-	{File: "relay.toml", New: func() any { return &File{} },
+	{File: "relay.toml", New: func() any { return &Config{} },
 		Decode: func(raw []byte, into any) error { return strictoml.Decode(string(raw), into) }},
 }
 
@@ -55,9 +55,9 @@
 	return rules, pending
 }
 
-func TestGoldenStoredCopy(t *testing.T) {
+func TestGoldenStoredCheckpoint(t *testing.T) {
 	golden := filepath.Join("testdata", "golden", "copy")
-	rules, pending, err := readCopy(golden, goldenCluster)
+	rules, pending, err := readCheckpoint(golden, goldenCluster)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 	}
 	rules, pending = goldenStates(t)
 	path := filepath.Join(t.TempDir(), "copy")
-	if err := keepCopy(path, goldenCluster, rules, pending); err != nil {
+	if err := writeCheckpoint(path, goldenCluster, rules, pending); err != nil {
 		t.Fatal(err)
 	}
 	got, err := os.ReadFile(path)
@@ -91,9 +91,10 @@
 
 // Names that other processes and operators go by.
 func TestGoldenNames(t *testing.T) {
-	for got, want := range map[string]string{AskPath: "/relay/ask", contentType: "application/cbor",
-		string(copyMagic): "willowdeck relay copy 1\n", tooLong: "too_long", unfit: "unfit",
-		noAnswer: "unanswered"} {
+	for got, want := range map[string]string{RequestPath: "/relay/ask", contentType: "application/cbor",
+		string(checkpointMagic): "willowdeck relay copy 1\n", reasonTooLong: "too_long",
+		reasonUnacceptable: "unfit",
+		reasonNoResponse:   "unanswered"} {
 		if got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
--- a/internal/distribution/relay/hollow_test.go
+++ b/internal/distribution/relay/hollow_test.go
@@ -38,7 +38,7 @@
 }
 
 // generations gives those that rules are of: one where they are whole.
-func generations(r *ruleset.Rules) map[int]bool {
+func generationsIn(r *ruleset.Rules) map[int]bool {
 	all := map[int]bool{}
 	for i, p := range r.Plans {
 		all[int(p.Rate)-[2]int{500, 200}[i]] = true
@@ -59,62 +59,64 @@
 // hollowHost is a host's daemon with its gatekeepers, without processes, links or txns: it follows relays by
 // the real client, keeps the real books, and each gatekeeper has the real holder.
 type hollowHost struct {
-	name    string
-	client  *Client
-	feed    *Feed
-	keepers []*hollowKeeper
-	stop    context.CancelFunc
-	wait    sync.WaitGroup
+	name         string
+	client       *Client
+	subscription *Subscription
+	gateways     []*hollowGateway
+	stop         context.CancelFunc
+	wait         sync.WaitGroup
 
-	mu     sync.Mutex
-	warden ruleset.Warden
-	told   uint64
-	last   [2]*versioned.State
-	rules  ruleset.Version
-	coming *ruleset.Rules
+	mu           sync.Mutex
+	warden       ruleset.Warden
+	reportedStep uint64
+	lastStates   [2]*versioned.State
+	rules        ruleset.Version
+	pending      *ruleset.Rules
 }
 
 // hollowKeeper is a gatekeeper of one.
-type hollowKeeper struct {
-	t    testing.TB
-	name string
-	pid  int
-	host *hollowHost
-	log  *history.Log
+type hollowGateway struct {
+	t         testing.TB
+	name      string
+	processID int
+	host      *hollowHost
+	log       *history.Log
 
-	mu     sync.Mutex
-	holder *ruleset.Holder
-	seen   map[uint64]int // generation by version
+	mu          sync.Mutex
+	holder      *ruleset.Holder
+	generations map[uint64]int // generation by version
 }
 
 var (
-	livesMu sync.Mutex
-	lives   = map[string]uint32{}
+	incarnationsMu sync.Mutex
+	incarnations   = map[string]uint32{}
 )
 
 // lifeOf counts the lives of a name.
-func lifeOf(name string) uint32 {
-	livesMu.Lock()
-	defer livesMu.Unlock()
-	lives[name]++
-	return lives[name]
+func nextIncarnation(name string) uint32 {
+	incarnationsMu.Lock()
+	defer incarnationsMu.Unlock()
+	incarnations[name]++
+	return incarnations[name]
 }
 
 // newHollowHost starts one with its members; records go to a folder.
 func newHollowHost(t testing.TB, host, cluster, records string, upstream []string,
-	members []ruleset.Member, copied *Copy) *hollowHost {
+	members []ruleset.Member, copied *Checkpoint) *hollowHost {
 	t.Helper()
-	h := &hollowHost{name: host, client: NewClient(upstream, AskPath)}
-	f := distribution.NewFollower(distribution.Config{Name: host, Cluster: cluster, Upstream: len(upstream),
-		Interest: ruleset.Interest{Host: host}, Lease: 1000, Seed: int64(len(host)) + int64(host[len(host)-1])},
-		Clock())
+	h := &hollowHost{name: host, client: NewClient(upstream, RequestPath)}
+	f := distribution.NewFollower(distribution.FollowerConfig{Name: host, Cluster: cluster,
+		Upstreams: len(upstream),
+		Interest:  ruleset.Interest{Host: host}, LeaseMillis: 1000,
+		Seed: int64(len(host)) + int64(host[len(host)-1])},
+		nowMillis())
 	if copied == nil {
-		copied = NewCopy("", cluster, zerolog.Nop())
+		copied = NewCheckpoint("", cluster, zerolog.Nop())
 	}
-	copied.Base(f)
-	h.feed = NewFeed(f, h.client, func() {
-		if v, ok := h.feed.View(); ok {
-			copied.Keep(v)
+	copied.LoadInto(f)
+	h.subscription = NewSubscription(f, h.client, func() {
+		if v, ok := h.subscription.Snapshot(); ok {
+			copied.Save(v)
 		}
 	})
 	ctx, stop := context.WithCancel(context.Background())
@@ -126,33 +128,33 @@
 			f(ctx)
 		}()
 	}
-	run(h.feed.Run)
+	run(h.subscription.Run)
 	run(copied.Run)
 	for place, m := range members {
 		if m.Host != host {
 			continue
 		}
-		k := &hollowKeeper{t: t, name: m.Name, pid: place + 1, host: h, seen: map[uint64]int{},
+		k := &hollowGateway{t: t, name: m.Name, processID: place + 1, host: h, generations: map[uint64]int{},
 			holder: ruleset.NewHolder(m.Name, generation(0, members))}
-		life := lifeOf(m.Name)
+		life := nextIncarnation(m.Name)
 		var err error
 		path := filepath.Join(records, fmt.Sprintf("%s.%d.jsonl", m.Name, life))
 		if k.log, err = history.Open(path, m.Name, life); err != nil {
 			t.Fatal(err)
 		}
-		h.warden.Began(k.pid, false)
-		h.keepers = append(h.keepers, k)
+		h.warden.Began(k.processID, false)
+		h.gateways = append(h.gateways, k)
 		run(k.run)
 	}
 	return h
 }
 
 // end ends it with all of its gatekeepers.
-func (h *hollowHost) end() {
+func (h *hollowHost) close() {
 	h.stop()
 	h.wait.Wait()
 	h.client.Close()
-	for _, k := range h.keepers {
+	for _, k := range h.gateways {
 		_ = k.log.Close()
 	}
 }
@@ -160,45 +162,47 @@
 // lease answers one of its gatekeepers, as a host's daemon does.
 func (h *hollowHost) lease(t testing.TB, pid int, holds uint64) (ruleset.Lease, bool) {
 	h.mu.Lock()
-	v, ok := h.feed.View()
+	v, ok := h.subscription.Snapshot()
 	if !ok || !h.warden.Asked(pid, holds) {
 		h.mu.Unlock()
 		return ruleset.Lease{}, false
 	}
-	if now := [2]*versioned.State{v.Rules, v.Pending}; now != h.last {
+	if now := [2]*versioned.State{v.Rules, v.Pending}; now != h.lastStates {
 		whole, err := ruleset.FromState(v.Rules)
 		if err != nil {
 			t.Errorf("%s: %v", h.name, err)
 		}
-		h.last, h.rules, h.coming = now, whole, nil
+		h.lastStates, h.rules, h.pending = now, whole, nil
 		if v.Pending != nil {
 			p, err := ruleset.FromState(v.Pending)
 			if err != nil {
 				t.Errorf("%s: %v", h.name, err)
 			}
-			h.coming = &p.Rules
+			h.pending = &p.Rules
 		}
 	}
 	l := ruleset.Lease{
 		Step:    v.Step,
 		Version: h.rules,
 		Settled: v.Settled,
-		Pending: h.coming,
-		Age:     v.Age(Clock()),
+		Pending: h.pending,
+		Age:     v.AgeMillis(nowMillis()),
 	}
 	h.warden.Given(pid)
 	seen := h.warden.Seen(v.Step)
-	news := seen > h.told
-	h.told = max(h.told, seen)
+	news := seen > h.reportedStep
+	h.reportedStep = max(h.reportedStep, seen)
 	h.mu.Unlock()
 	if news {
-		h.feed.With(func(f *distribution.Follower) { f.Tell([]distribution.HostStep{{Host: h.name, Step: seen}}) })
+		h.subscription.WithFollower(func(f *distribution.Follower) {
+			f.ReportHostSteps([]distribution.HostStep{{Host: h.name, Step: seen}})
+		})
 	}
 	return l, true
 }
 
 // run goes by rules until it ends.
-func (k *hollowKeeper) run(ctx context.Context) {
+func (k *hollowGateway) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -208,7 +212,7 @@
 		case <-timer.C:
 		}
 		k.mu.Lock()
-		k.holder.Clock(Clock())
+		k.holder.Clock(nowMillis())
 		for {
 			d, ok := k.holder.Next()
 			if !ok {
@@ -218,13 +222,13 @@
 			case ruleset.Adopt:
 				k.adopt(d.Terms)
 			case ruleset.Ask:
-				asked := Clock()
-				if l, ok := k.host.lease(k.t, k.pid, k.holder.Holds()); ok {
-					k.holder.Clock(Clock())
+				asked := nowMillis()
+				if l, ok := k.host.lease(k.t, k.processID, k.holder.Holds()); ok {
+					k.holder.Clock(nowMillis())
 					k.holder.Heard(l, asked)
 				}
 			case ruleset.Wake:
-				timer.Reset(max(millis(d.At-Clock()), 0))
+				timer.Reset(max(toDuration(d.At-nowMillis()), 0))
 			}
 		}
 		k.mu.Unlock()
@@ -232,7 +236,7 @@
 }
 
 // adopt records what it goes by, and finds a mix of two versions.
-func (k *hollowKeeper) adopt(t ruleset.Terms) {
+func (k *hollowGateway) adopt(t ruleset.Terms) {
 	mode := [...]string{ruleset.Bare: history.Bare, ruleset.CutOff: history.Fallback,
 		ruleset.Leased: history.Leased}[t.Mode]
 	k.log.Write(history.Event{Kind: history.Acts, Version: t.Version, Mode: mode})
@@ -243,49 +247,49 @@
 	for _, p := range t.Plans {
 		r.Plans = append(r.Plans, p.Plan)
 	}
-	all := generations(&r)
+	all := generationsIn(&r)
 	if len(all) != 1 {
 		k.t.Errorf("%s goes by version %d with parts of generations %v", k.name, t.Version, all)
 	}
 	for i := range all {
-		if was, there := k.seen[t.Version]; there && was != i {
+		if was, there := k.generations[t.Version]; there && was != i {
 			k.t.Errorf("%s knew version %d as generation %d, and now as %d", k.name, t.Version, was, i)
 		}
-		k.seen[t.Version] = i
+		k.generations[t.Version] = i
 	}
 }
 
 // stands tells the generation that it is leased by; false where it has no lease.
-func (k *hollowKeeper) stands() (int, bool) {
+func (k *hollowGateway) leasedGeneration() (int, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	t := k.holder.Current()
-	if t.Mode != ruleset.Leased || !k.holder.May(Clock()) {
+	if t.Mode != ruleset.Leased || !k.holder.May(nowMillis()) {
 		return 0, false
 	}
-	return k.seen[t.Version], true
+	return k.generations[t.Version], true
 }
 
 // mode tells how it goes.
-func (k *hollowKeeper) mode() ruleset.Mode {
+func (k *hollowGateway) mode() ruleset.Mode {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.holder.Current().Mode
 }
 
 // lapses tells how often it lost its lease.
-func (k *hollowKeeper) lapses() int64 {
+func (k *hollowGateway) lapses() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.holder.Counts().Lapses
 }
 
 // known gives the generations by version that it has gone by.
-func (k *hollowKeeper) known() map[uint64]int {
+func (k *hollowGateway) knownGenerations() map[uint64]int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	all := map[uint64]int{}
-	for v, i := range k.seen {
+	for v, i := range k.generations {
 		all[v] = i
 	}
 	return all
--- a/internal/distribution/relay/middle_test.go
+++ b/internal/distribution/relay/middle_test.go
@@ -16,27 +16,27 @@
 
 // What a middle man makes of answers.
 const (
-	flips   = "flips"   // a byte on its way
-	swaps   = "swaps"   // a value within a delta, and has the checksum of the answer right
-	rebases = "rebases" // a delta: it is against another state
-	loses   = "loses"   // a delta
-	doubles = "doubles" // gives an answer for the next ask as well
-	delays  = "delays"  // an answer for longer than is waited for
+	corruptByte    = "flips"   // a byte on its way
+	swapValue      = "swaps"   // a value within a delta, and has the checksum of the answer right
+	changeBase     = "rebases" // a delta: it is against another state
+	dropDelta      = "loses"   // a delta
+	repeatResponse = "doubles" // gives an answer for the next ask as well
+	delayResponse  = "delays"  // an answer for longer than is waited for
 )
 
 // middleMan stands between a relay and those above it.
-type middleMan struct {
+type faultyProxy struct {
 	t *testing.T
 
-	mu    sync.Mutex
-	how   string
-	times int // left to do so
-	did   int
-	last  []byte
+	mu        sync.Mutex
+	fault     string
+	remaining int // left to do so
+	injected  int
+	last      []byte
 }
 
 // open listens in front of a real upstream.
-func (m *middleMan) open(target string) string {
+func (m *faultyProxy) listen(target string) string {
 	m.t.Helper()
 	client := &http.Client{Timeout: 2 * time.Second}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -56,7 +56,7 @@
 			return
 		}
 		if res.StatusCode == http.StatusOK {
-			body = m.spoil(body)
+			body = m.corrupt(body)
 		}
 		w.Header().Set("Content-Type", contentType)
 		w.WriteHeader(res.StatusCode)
@@ -71,73 +71,73 @@
 }
 
 // begin has answers spoilt, so many of them.
-func (m *middleMan) begin(how string, times int) {
+func (m *faultyProxy) inject(how string, times int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.how, m.times, m.did = how, times, 0
+	m.fault, m.remaining, m.injected = how, times, 0
 }
 
 // done tells how many it has spoilt since.
-func (m *middleMan) done() int {
+func (m *faultyProxy) injectedCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.did
+	return m.injected
 }
 
-func (m *middleMan) spoil(came []byte) []byte {
+func (m *faultyProxy) corrupt(came []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	was := m.last
 	m.last = came
-	if m.times == 0 {
+	if m.remaining == 0 {
 		return came
 	}
-	a, err := distribution.ReadAnswer(came)
+	a, err := distribution.DecodeResponse(came)
 	if err != nil {
 		m.t.Error(err)
 		return came
 	}
 	whole := func() []byte {
-		m.times--
-		m.did++
-		raw, err := a.Bytes()
+		m.remaining--
+		m.injected++
+		raw, err := a.Encode()
 		if err != nil {
 			m.t.Error(err)
 		}
 		return raw
 	}
 	d := a.RulesDelta
-	switch m.how {
-	case flips:
-		m.times--
-		m.did++
+	switch m.fault {
+	case corruptByte:
+		m.remaining--
+		m.injected++
 		came = bytes.Clone(came)
 		came[len(came)/2] ^= 0x10
-	case doubles:
+	case repeatResponse:
 		if was != nil {
-			m.times--
-			m.did++
+			m.remaining--
+			m.injected++
 			return was
 		}
-	case delays:
-		m.times--
-		m.did++
+	case delayResponse:
+		m.remaining--
+		m.injected++
 		m.mu.Unlock()
 		time.Sleep(600 * time.Millisecond)
 		m.mu.Lock()
-	case swaps:
+	case swapValue:
 		if d != nil && len(d.Set) > 0 {
 			v := bytes.Clone(d.Set[0].Value)
 			v[len(v)-1] ^= 1
 			d.Set[0].Value = v
 			return whole()
 		}
-	case rebases:
+	case changeBase:
 		if d != nil && !d.From.None() {
 			d.From = versioned.Mark{Number: d.From.Number, Digest: versioned.Digest{1}}
 			return whole()
 		}
-	case loses:
+	case dropDelta:
 		if d != nil {
 			a.RulesDelta = nil
 			return whole()
--- a/internal/distribution/relay/relay.go
+++ b/internal/distribution/relay/relay.go
@@ -20,127 +20,128 @@
 
 // perLease is how often one above is asked in a lease. A gatekeeper's host asks half as often: each level
 // adds to the age of what the next one is told.
-const perLease = 20
+const requestsPerLease = 20
 
 // Relay is one that runs: it follows upstreams, and answers those below.
 type Relay struct {
-	file    *File
-	log     zerolog.Logger
-	record  history.Recorder
-	client  *Client
-	feed    *Feed
-	giver   *giver
-	control *http.Server
-	stop    context.CancelFunc
-	wait    sync.WaitGroup
+	config       *Config
+	log          zerolog.Logger
+	recorder     history.Recorder
+	client       *Client
+	subscription *Subscription
+	server       *server
+	adminServer  *http.Server
+	cancel       context.CancelFunc
+	goroutines   sync.WaitGroup
 
-	last view // of Feed.Run's goroutine alone
+	lastLogged loggedState // of Feed.Run's goroutine alone
 
-	copy *Copy
+	checkpoint *Checkpoint
 }
 
 // view is what was last made known of a View.
-type view struct {
+type loggedState struct {
 	rules, pending versioned.Mark
 	step           uint64
 }
 
 // Start starts a relay. The record may be nil.
-func Start(f *File, record history.Recorder, log zerolog.Logger) (*Relay, error) {
-	if f.Store != "" {
-		if err := os.MkdirAll(filepath.Dir(f.Store), 0o700); err != nil {
+func Start(f *Config, record history.Recorder, log zerolog.Logger) (*Relay, error) {
+	if f.CheckpointPath != "" {
+		if err := os.MkdirAll(filepath.Dir(f.CheckpointPath), 0o700); err != nil {
 			return nil, fmt.Errorf("store: %w", err)
 		}
 	}
-	r := &Relay{file: f, log: log, record: record, client: NewClient(f.Upstream, AskPath),
-		copy: NewCopy(f.Store, f.Cluster, log)}
+	r := &Relay{config: f, log: log, recorder: record, client: NewClient(f.Upstreams, RequestPath),
+		checkpoint: NewCheckpoint(f.CheckpointPath, f.Cluster, log)}
 	seed := f.Seed
 	if seed == 0 {
 		seed = rand.Int63()
 	}
 	follower := distribution.NewFollower(
-		distribution.Config{Name: f.Name, Cluster: f.Cluster, Upstream: len(f.Upstream),
-			Interest: ruleset.Interest{All: true}, Lease: f.LeaseMS, PerLease: perLease,
+		distribution.FollowerConfig{Name: f.Name, Cluster: f.Cluster, Upstreams: len(f.Upstreams),
+			Interest: ruleset.Interest{All: true}, LeaseMillis: f.LeaseMillis, RequestsPerLease: requestsPerLease,
 			Seed: seed},
-		Clock(),
+		nowMillis(),
 	)
-	r.copy.Base(follower)
-	r.feed = NewFeed(follower, r.client, r.news)
+	r.checkpoint.LoadInto(follower)
+	r.subscription = NewSubscription(follower, r.client, r.onUpdate)
 	var err error
-	r.giver, err = give(f.Listen, f.Limits.Connections, f.LeaseMS,
-		distribution.NewSource(f.Name, f.Cluster, distribution.Bounds{
-			WholeRate: f.Limits.WholeKBS * 1024, WholeBurst: f.Limits.WholeKB * 1024, Life: rand.Uint64()}), r.told)
+	r.server, err = startServer(f.Listen, f.Limits.Connections, f.LeaseMillis,
+		distribution.NewSource(f.Name, f.Cluster, distribution.SourceConfig{
+			FullStateBytesPerSecond: f.Limits.FullStateKBPerSecond * 1024,
+			FullStateBurstBytes:     f.Limits.FullStateBurstKB * 1024, Incarnation: rand.Uint64()}), r.reportUpstream)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.open(); err != nil {
-		r.giver.close()
+	if err := r.serveAdmin(); err != nil {
+		r.server.close()
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r.stop = stop
-	r.wait.Add(2)
+	r.cancel = stop
+	r.goroutines.Add(2)
 	go func() {
-		defer r.wait.Done()
-		r.feed.Run(ctx)
+		defer r.goroutines.Done()
+		r.subscription.Run(ctx)
 	}()
 	go func() {
-		defer r.wait.Done()
-		r.copy.Run(ctx)
+		defer r.goroutines.Done()
+		r.checkpoint.Run(ctx)
 	}()
-	log.Info().Str("listen", r.giver.at).Strs("upstream", f.Upstream).Msg("relay: begun")
+	log.Info().Str("listen", r.server.address).Strs("upstream", f.Upstreams).Msg("relay: begun")
 	return r, nil
 }
 
 // At is where it listens for those below.
-func (r *Relay) At() string { return r.giver.at }
+func (r *Relay) Address() string { return r.server.address }
 
 // Close ends it and waits for all of its goroutines.
 func (r *Relay) Close() {
-	r.stop()
-	r.giver.close()
-	_ = r.control.Close()
-	r.wait.Wait()
+	r.cancel()
+	r.server.close()
+	_ = r.adminServer.Close()
+	r.goroutines.Wait()
 	r.client.Close()
 }
 
 // told sends up what those below have seen.
-func (r *Relay) told(all []distribution.HostStep, index int64) {
-	r.feed.With(func(f *distribution.Follower) {
-		f.Tell(all)
-		f.Index(index)
+func (r *Relay) reportUpstream(all []distribution.HostStep, index int64) {
+	r.subscription.WithFollower(func(f *distribution.Follower) {
+		f.ReportHostSteps(all)
+		f.SetDiscoveryIndex(index)
 	})
 }
 
 // news gives on what the follower has come to know.
-func (r *Relay) news() {
-	v, ok := r.feed.View()
+func (r *Relay) onUpdate() {
+	v, ok := r.subscription.Snapshot()
 	if !ok {
 		return
 	}
-	r.giver.offer(v)
-	r.copy.Keep(v)
-	now := view{rules: v.Rules.Mark(), pending: v.Pending.Mark(), step: v.Step}
-	if now.rules != r.last.rules {
-		r.tells(&v)
+	r.server.publish(v)
+	r.checkpoint.Save(v)
+	now := loggedState{rules: v.Rules.Mark(), pending: v.Pending.Mark(), step: v.Step}
+	if now.rules != r.lastLogged.rules {
+		r.recordVersion(&v)
 	}
-	if now.rules != r.last.rules || now.pending != r.last.pending {
+	if now.rules != r.lastLogged.rules || now.pending != r.lastLogged.pending {
 		r.log.Info().Uint64("version", now.rules.Number).Uint64("pending", now.pending.Number).
 			Uint64("step", v.Step).Int("bytes", v.Rules.Bytes()).Msg("relay: in force")
 	}
-	r.last = now
+	r.lastLogged = now
 }
 
 // tells records a version that is given on from here.
-func (r *Relay) tells(v *distribution.View) {
-	if r.record == nil {
+func (r *Relay) recordVersion(v *distribution.Snapshot) {
+	if r.recorder == nil {
 		return
 	}
-	e := history.Event{Kind: history.Gives, Version: v.Rules.Mark().Number, Age: Clock() - v.Begun}
+	e := history.Event{Kind: history.Gives, Version: v.Rules.Mark().Number, Age: nowMillis() - v.ReadStartMillis}
 	if whole, err := ruleset.FromState(v.Rules); err == nil {
 		e.Mark = raftlog.Mark(&whole.Rules)
 	} else {
 		e.Says = fmt.Sprintf("not rules of this program: %v", err)
 	}
-	r.record.Write(e)
+	r.recorder.Write(e)
 }
--- a/internal/distribution/relay/relayd_test.go
+++ b/internal/distribution/relay/relayd_test.go
@@ -23,7 +23,7 @@
 )
 
 // fullFile has every key.
-const fullFile = `name = "south-1"
+const completeConfig = `name = "south-1"
 cluster = "till"
 listen = "127.0.0.1:7900"
 control = "127.0.0.1:7901"
@@ -37,7 +37,7 @@
 `
 
 // TestFile: what is wrong in a relay's file is named by its key.
-func TestFile(t *testing.T) {
+func TestConfig(t *testing.T) {
 	for _, c := range []struct{ was, is, says string }{
 		{"", "", ""},
 		{"", "colour = 1\n", "colour: unknown key"},
@@ -57,14 +57,14 @@
 		{"whole_kb = 8192", "whole_kb = inf", "limits.whole_kb:"},
 		{"whole_kb = 8192", "whole_kb = \"8\"", "whole_kb"},
 	} {
-		text := strings.Replace(fullFile, c.was, c.is, 1)
+		text := strings.Replace(completeConfig, c.was, c.is, 1)
 		path := filepath.Join(t.TempDir(), "relay.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f, err := Read(path)
+		f, err := ReadConfig(path)
 		if c.says == "" {
-			if err != nil || f.Store != filepath.Join(filepath.Dir(path), "relay.copy") {
+			if err != nil || f.CheckpointPath != filepath.Join(filepath.Dir(path), "relay.copy") {
 				t.Errorf("the whole file: %+v, %v", f, err)
 			}
 			continue
@@ -76,14 +76,14 @@
 }
 
 // TestDeployed: the file that operators begin with is right.
-func TestDeployed(t *testing.T) {
-	if _, err := Read("../../../deploy/relay.toml"); err != nil {
+func TestDeployedConfig(t *testing.T) {
+	if _, err := ReadConfig("../../../deploy/relay.toml"); err != nil {
 		t.Error(err)
 	}
 }
 
 // some gives members of one host.
-func some(n int, host string) (all []ruleset.Member) {
+func membersOf(n int, host string) (all []ruleset.Member) {
 	for i := range n {
 		all = append(all, ruleset.Member{Name: fmt.Sprintf("g%d", i), Host: host})
 	}
@@ -91,7 +91,7 @@
 }
 
 // stateOf makes a state of a generation.
-func stateOf(t testing.TB, number uint64, gen int, members []ruleset.Member) *versioned.State {
+func testState(t testing.TB, number uint64, gen int, members []ruleset.Member) *versioned.State {
 	t.Helper()
 	s, err := ruleset.Entries(&ruleset.Version{Number: number, Rules: generation(gen, members)})
 	if err != nil {
@@ -101,22 +101,22 @@
 }
 
 // TestCopy: a copy comes back as it was; one that is spoilt anywhere, or is another's, is none.
-func TestCopy(t *testing.T) {
+func TestCheckpoint(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "relay.copy")
-	if _, _, err := readCopy(path, "till"); !errors.Is(err, errNoCopy) {
+	if _, _, err := readCheckpoint(path, "till"); !errors.Is(err, errNoCheckpoint) {
 		t.Errorf("no file: %v", err)
 	}
-	rules, pending := stateOf(t, 4, 4, some(3, "h")), stateOf(t, 5, 5, some(3, "h"))
+	rules, pending := testState(t, 4, 4, membersOf(3, "h")), testState(t, 5, 5, membersOf(3, "h"))
 	for _, p := range []*versioned.State{nil, pending} {
-		if err := keepCopy(path, "till", rules, p); err != nil {
+		if err := writeCheckpoint(path, "till", rules, p); err != nil {
 			t.Fatal(err)
 		}
-		r, q, err := readCopy(path, "till")
+		r, q, err := readCheckpoint(path, "till")
 		if err != nil || r.Mark() != rules.Mark() || q.Mark() != p.Mark() {
 			t.Errorf("%v and %v came back as %v and %v: %v", rules.Mark(), p.Mark(), r.Mark(), q.Mark(), err)
 		}
 	}
-	if _, _, err := readCopy(path, "mill"); err == nil {
+	if _, _, err := readCheckpoint(path, "mill"); err == nil {
 		t.Error("a copy of another cluster was taken")
 	}
 	raw, err := os.ReadFile(path)
@@ -130,7 +130,7 @@
 			if err := os.WriteFile(path, b, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if _, _, err := readCopy(path, "till"); err == nil || errors.Is(err, errNoCopy) {
+			if _, _, err := readCheckpoint(path, "till"); err == nil || errors.Is(err, errNoCheckpoint) {
 				t.Fatalf("a copy that is %s at byte %d was taken: %v", what, i, err)
 			}
 		}
@@ -138,12 +138,13 @@
 }
 
 // server answers asks from a source, at a port of its own.
-func server(t testing.TB, s *distribution.Source, told func([]distribution.HostStep, int64)) *giver {
+func startTestServer(t testing.TB, s *distribution.Source, told func([]distribution.HostStep,
+	int64)) *server {
 	t.Helper()
 	if told == nil {
 		told = func([]distribution.HostStep, int64) {}
 	}
-	g, err := give("127.0.0.1:0", 64, 1000, s, told)
+	g, err := startServer("127.0.0.1:0", 64, 1000, s, told)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -152,27 +153,28 @@
 }
 
 // TestSpoilt: a body with a byte changed anywhere is refused at either end, and what is refused is counted.
-func TestSpoilt(t *testing.T) {
-	s := distribution.NewSource("root", "till", distribution.Bounds{})
-	s.Offer(
-		distribution.View{Step: 3, Begun: Clock(), Settled: true, Rules: stateOf(t, 1, 1, some(2, "h")), Index: -1},
+func TestCorruptMessages(t *testing.T) {
+	s := distribution.NewSource("root", "till", distribution.SourceConfig{})
+	s.Publish(
+		distribution.Snapshot{Step: 3, ReadStartMillis: nowMillis(), Settled: true,
+			Rules: testState(t, 1, 1, membersOf(2, "h")), DiscoveryIndex: -1},
 	)
 	var news []distribution.HostStep
-	g := server(t, s, func(all []distribution.HostStep, _ int64) { news = append(news, all...) })
-	ask := distribution.Ask{
-		Form:     distribution.Form,
-		Cluster:  "till",
-		From:     "h",
-		Interest: ruleset.Interest{Host: "h"},
-		Seen:     []distribution.HostStep{{Host: "h", Step: 3}},
-		Index:    -1,
-	}
-	raw, err := ask.Bytes()
+	g := startTestServer(t, s, func(all []distribution.HostStep, _ int64) { news = append(news, all...) })
+	ask := distribution.Request{
+		FormatVersion:  distribution.FormatVersion,
+		Cluster:        "till",
+		Sender:         "h",
+		Interest:       ruleset.Interest{Host: "h"},
+		HostSteps:      []distribution.HostStep{{Host: "h", Step: 3}},
+		DiscoveryIndex: -1,
+	}
+	raw, err := ask.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	post := func(body []byte) int {
-		res, err := http.Post("http://"+g.at+AskPath, contentType, bytes.NewReader(body))
+		res, err := http.Post("http://"+g.address+RequestPath, contentType, bytes.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -189,7 +191,7 @@
 	if len(news) != 0 {
 		t.Errorf("believed of spoilt asks: %v", news)
 	}
-	if f := g.handler.Traffic().Failed; f[spoilt]+f[garbled] != int64(len(raw)) {
+	if f := g.handler.Traffic().Failures; f[reasonChecksum]+f[reasonMalformed] != int64(len(raw)) {
 		t.Errorf("%v are counted of %d", f, len(raw))
 	}
 	if status := post(raw); status != http.StatusOK || len(news) != 1 {
@@ -204,58 +206,60 @@
 		_, _ = w.Write(spoil(b))
 	}))
 	t.Cleanup(up.Close)
-	c := NewClient([]string{up.Listener.Addr().String()}, AskPath)
+	c := NewClient([]string{up.Listener.Addr().String()}, RequestPath)
 	t.Cleanup(c.Close)
 	var last []byte
 	spoil = func(b []byte) []byte { last = b; return b }
-	if _, err := c.Ask(0, &ask, 1000); err != nil {
+	if _, err := c.Fetch(0, &ask, 1000); err != nil {
 		t.Fatal(err)
 	}
 	for i := range last {
 		spoil = func(b []byte) []byte { b[i%len(b)] ^= 1; return b }
-		if _, err := c.Ask(0, &ask, 1000); !errors.Is(err, ErrSpoilt) {
+		if _, err := c.Fetch(0, &ask, 1000); !errors.Is(err, ErrCorruptResponse) {
 			t.Fatalf("byte %d of an answer is another: %v", i, err)
 		}
 	}
-	if f := c.Traffic().Failed; f[spoilt]+f[garbled] != int64(len(last)) {
+	if f := c.Traffic().Failures; f[reasonChecksum]+f[reasonMalformed] != int64(len(last)) {
 		t.Errorf("%v are counted of %d", f, len(last))
 	}
 	// Guards against an answer that is given again for a later question: its age would count from then.
 	spoil = func([]byte) []byte { return last }
-	if _, err := c.Ask(0, &ask, 1000); !errors.Is(err, ErrSpoilt) || c.Traffic().Failed[other] != 1 {
+	if _, err := c.Fetch(0, &ask, 1000); !errors.Is(err, ErrCorruptResponse) ||
+		c.Traffic().Failures[reasonWrongNonce] != 1 {
 		t.Errorf("the answer to a question before: %v", err)
 	}
 }
 
 // TestRefused: what is no ask, or one of another form or cluster, has a status and a reason.
-func TestRefused(t *testing.T) {
-	g := server(t, distribution.NewSource("root", "till", distribution.Bounds{}), nil)
-	c := NewClient([]string{g.at}, AskPath)
+func TestRejectedRequests(t *testing.T) {
+	g := startTestServer(t, distribution.NewSource("root", "till", distribution.SourceConfig{}), nil)
+	c := NewClient([]string{g.address}, RequestPath)
 	t.Cleanup(c.Close)
-	whole := distribution.Ask{Form: distribution.Form, Cluster: "till", From: "h", Index: -1}
-	for what, change := range map[string]func(*distribution.Ask){
-		"other form":    func(a *distribution.Ask) { a.Form = distribution.Form + 1 },
-		"other cluster": func(a *distribution.Ask) { a.Cluster = "mill" },
+	whole := distribution.Request{FormatVersion: distribution.FormatVersion, Cluster: "till", Sender: "h",
+		DiscoveryIndex: -1}
+	for what, change := range map[string]func(*distribution.Request){
+		"other form":    func(a *distribution.Request) { a.FormatVersion = distribution.FormatVersion + 1 },
+		"other cluster": func(a *distribution.Request) { a.Cluster = "mill" },
 	} {
 		a := whole
 		change(&a)
-		_, err := c.Ask(0, &a, 1000)
+		_, err := c.Fetch(0, &a, 1000)
 		var status *StatusError
 		if !errors.As(err, &status) || status.Code == http.StatusOK || status.Code == http.StatusNotFound {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if f := g.handler.Traffic().Failed; f[unfit]+f[garbled] != 2 {
+	if f := g.handler.Traffic().Failures; f[reasonUnacceptable]+f[reasonMalformed] != 2 {
 		t.Errorf("counted: %v", f)
 	}
-	other := NewClient([]string{g.at}, "/fleet/ask")
+	other := NewClient([]string{g.address}, "/fleet/ask")
 	t.Cleanup(other.Close)
 	var status *StatusError
-	if _, err := other.Ask(0, &whole, 1000); !errors.As(err, &status) || status.Code != http.StatusNotFound {
+	if _, err := other.Fetch(0, &whole, 1000); !errors.As(err, &status) || status.Code != http.StatusNotFound {
 		t.Errorf("another path: %v", err)
 	}
-	long := bytes.Repeat([]byte("a"), distribution.MostAsk+1)
-	res, err := http.Post("http://"+g.at+AskPath, contentType, bytes.NewReader(long))
+	long := bytes.Repeat([]byte("a"), distribution.MaxRequestBytes+1)
+	res, err := http.Post("http://"+g.address+RequestPath, contentType, bytes.NewReader(long))
 	if err == nil {
 		res.Body.Close()
 		if res.StatusCode != http.StatusRequestEntityTooLarge {
@@ -266,17 +270,18 @@
 
 // TestStill: an upstream that takes connections and says nothing costs no more than its time, and no more
 // than its connections.
-func TestStill(t *testing.T) {
+func TestSilentUpstream(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c := NewClient([]string{l.Addr().String()}, AskPath)
+	c := NewClient([]string{l.Addr().String()}, RequestPath)
 	defer c.Close()
 	for range 3 {
 		began := time.Now()
-		if _, err := c.Ask(0, &distribution.Ask{Form: distribution.Form, Cluster: "till", From: "h"},
+		if _, err := c.Fetch(0, &distribution.Request{FormatVersion: distribution.FormatVersion, Cluster: "till",
+			Sender: "h"},
 			100); err == nil {
 			t.Error("an answer from one that lies still")
 		}
@@ -284,46 +289,48 @@
 			t.Errorf("waited %v for 100 ms", took)
 		}
 	}
-	if n := c.Traffic().Failed[late]; n != 3 {
+	if n := c.Traffic().Failures[reasonTimeout]; n != 3 {
 		t.Errorf("%d of 3 are counted as late", n)
 	}
 }
 
 // TestNothingLeft: a relay that is ended leaves no goroutine, however its upstream stands, and its address
 // can be taken again at once.
-func TestNothingLeft(t *testing.T) {
-	s := distribution.NewSource("root", "till", distribution.Bounds{})
-	s.Offer(distribution.View{Step: 1, Begun: Clock(), Rules: stateOf(t, 1, 1, some(2, "h")), Index: -1})
-	up := server(t, s, nil)
+func TestCloseLeavesNoGoroutines(t *testing.T) {
+	s := distribution.NewSource("root", "till", distribution.SourceConfig{})
+	s.Publish(distribution.Snapshot{Step: 1, ReadStartMillis: nowMillis(),
+		Rules: testState(t, 1, 1, membersOf(2, "h")), DiscoveryIndex: -1})
+	up := startTestServer(t, s, nil)
 	still, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer still.Close()
-	first := NewClient([]string{up.at}, AskPath)
+	first := NewClient([]string{up.address}, RequestPath)
 	defer first.Close()
-	any := distribution.Ask{Form: distribution.Form, Cluster: "till", From: "h", Index: -1}
-	if _, err := first.Ask(0, &any, 1000); err != nil {
+	any := distribution.Request{FormatVersion: distribution.FormatVersion, Cluster: "till", Sender: "h",
+		DiscoveryIndex: -1}
+	if _, err := first.Fetch(0, &any, 1000); err != nil {
 		t.Fatal(err) // its port is there with all of its goroutines
 	}
 	none := goleak.IgnoreCurrent()
-	f := &File{Name: "r", Cluster: "till", Listen: "127.0.0.1:0", Control: "127.0.0.1:0", LeaseMS: 1000,
-		Upstream: []string{up.at, still.Addr().String()}, Store: filepath.Join(t.TempDir(), "copy")}
-	f.Limits.Connections, f.Limits.WholeKB, f.Limits.WholeKBS = 16, 1024, 1024
+	f := &Config{Name: "r", Cluster: "till", Listen: "127.0.0.1:0", Control: "127.0.0.1:0", LeaseMillis: 1000,
+		Upstreams: []string{up.address, still.Addr().String()}, CheckpointPath: filepath.Join(t.TempDir(), "copy")}
+	f.Limits.Connections, f.Limits.FullStateBurstKB, f.Limits.FullStateKBPerSecond = 16, 1024, 1024
 	for range 2 {
 		r, err := Start(f, nil, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Listen = r.At()
-		c := NewClient([]string{r.At()}, AskPath)
-		_, _ = c.Ask(0, &any, 1000)
+		f.Listen = r.Address()
+		c := NewClient([]string{r.Address()}, RequestPath)
+		_, _ = c.Fetch(0, &any, 1000)
 		time.Sleep(300 * time.Millisecond)
 		c.Close()
 		r.Close()
 	}
 	// The library's own goroutines sleep for a while before they look whether they are still of use.
-	for end := time.Now().Add(2 * idleFor); goleak.Find(none) != nil && time.Now().Before(end); {
+	for end := time.Now().Add(2 * idleConnectionTimeout); goleak.Find(none) != nil && time.Now().Before(end); {
 		time.Sleep(100 * time.Millisecond)
 	}
 	goleak.VerifyNone(t, none)
--- a/internal/distribution/relay/rig_test.go
+++ b/internal/distribution/relay/rig_test.go
@@ -22,106 +22,110 @@
 )
 
 const (
-	within   = 10 * time.Second // a change is in force everywhere, once links allow it
-	daemons  = 3
-	hosts    = 2 // of a zone
-	keepers  = 2 // of a host
-	betweens = 300.0
+	activationTimeout    = 10 * time.Second // a change is in force everywhere, once links allow it
+	councilDaemons       = 3
+	hostsPerZone         = 2 // of a zone
+	gatewaysPerHost      = 2 // of a host
+	clockToleranceMillis = 300.0
 )
 
 // tree is a council, two region relays below it, and two zones of two relays each, all of them real
 // processes; below each zone's relays are hollow hosts with their gatekeepers. What goes to regions and zones
 // passes through links that can be cut, and through a middle man that spoils answers where it is told to.
-type tree struct {
-	t       *testing.T
-	dir     string
-	records string
-	net     *faultinject.Net
-	first   int
-	council []*faultinject.Process
-	relays  map[string]*faultinject.Process
-	control map[string]string // of relays
-	below   map[string]string // where relays listen
-	disks   map[string]*faultinject.Disk
-	middle  map[string]*middleMan // by zone relay
-	members []ruleset.Member
-	zones   map[string][]*hollowHost
-	gen     int
-	rules   map[int]ruleset.Rules
-	rig     *history.Log
-	slowest time.Duration
-	took    []string
+type testTree struct {
+	t             *testing.T
+	dir           string
+	records       string
+	network       *faultinject.Net
+	firstPort     int
+	council       []*faultinject.Process
+	relays        map[string]*faultinject.Process
+	adminAddress  map[string]string // of relays
+	listenAddress map[string]string // where relays listen
+	disks         map[string]*faultinject.Disk
+	proxies       map[string]*faultyProxy // by zone relay
+	members       []ruleset.Member
+	zones         map[string][]*hollowHost
+	generation    int
+	rules         map[int]ruleset.Rules
+	rigLog        *history.Log
+	slowest       time.Duration
+	report        []string
 }
 
-func (x *tree) at(i, port int) string { return fmt.Sprintf("127.0.0.%d:%d", 2+i, x.first+port) }
+func (x *testTree) address(i, port int) string {
+	return fmt.Sprintf("127.0.0.%d:%d", 2+i, x.firstPort+port)
+}
 
 // plant starts a tree with its first rules in force.
-func plant(t *testing.T) *tree {
+func startTree(t *testing.T) *testTree {
 	t.Helper()
 	dir := t.TempDir()
-	x := &tree{t: t, dir: dir, records: filepath.Join(dir, "records"), net: faultinject.NewNet(t, 1),
-		first: ports.Span(t, 3+2*6), relays: map[string]*faultinject.Process{}, control: map[string]string{},
-		below: map[string]string{}, disks: map[string]*faultinject.Disk{}, middle: map[string]*middleMan{},
-		zones: map[string][]*hollowHost{}, rules: map[int]ruleset.Rules{}}
+	x := &testTree{t: t, dir: dir, records: filepath.Join(dir, "records"), network: faultinject.NewNet(t, 1),
+		firstPort: ports.Span(t, 3+2*6), relays: map[string]*faultinject.Process{},
+		adminAddress:  map[string]string{},
+		listenAddress: map[string]string{}, disks: map[string]*faultinject.Disk{},
+		proxies: map[string]*faultyProxy{},
+		zones:   map[string][]*hollowHost{}, rules: map[int]ruleset.Rules{}}
 	if err := os.MkdirAll(x.records, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	var err error
-	if x.rig, err = history.Open(filepath.Join(x.records, "rig.jsonl"), "rig", 1); err != nil {
+	if x.rigLog, err = history.Open(filepath.Join(x.records, "rig.jsonl"), "rig", 1); err != nil {
 		t.Fatal(err)
 	}
 	for _, z := range []string{"a", "b"} {
-		for h := range hosts {
-			for range keepers {
+		for h := range hostsPerZone {
+			for range gatewaysPerHost {
 				x.members = append(x.members, ruleset.Member{Name: fmt.Sprintf("g%d", len(x.members)),
 					Host: fmt.Sprintf("%s-host%d", z, h)})
 			}
 		}
 	}
-	x.gen = 1
+	x.generation = 1
 	x.rules[1] = generation(1, x.members)
-	for i := range daemons {
-		x.daemon(i)
+	for i := range councilDaemons {
+		x.startDaemon(i)
 	}
 	for i, name := range []string{"r0", "r1"} {
 		var up []string
-		for j := range daemons {
-			c := (i + j) % daemons
-			up = append(up, x.net.Stream(name, fmt.Sprintf("c%d", c), x.at(c, 2)))
+		for j := range councilDaemons {
+			c := (i + j) % councilDaemons
+			up = append(up, x.network.Stream(name, fmt.Sprintf("c%d", c), x.address(c, 2)))
 		}
-		x.relay(name, 3+2*i, up)
+		x.startRelay(name, 3+2*i, up)
 	}
 	for i, name := range []string{"a0", "a1", "b0", "b1"} {
 		var up []string
 		for j := range 2 {
 			r := fmt.Sprintf("r%d", (i+j)%2)
-			to := x.below[r]
+			to := x.listenAddress[r]
 			if name[0] == 'b' {
-				if x.middle[name] == nil {
-					x.middle[name] = &middleMan{t: t}
+				if x.proxies[name] == nil {
+					x.proxies[name] = &faultyProxy{t: t}
 				}
-				to = x.middle[name].open(to)
+				to = x.proxies[name].listen(to)
 			}
-			up = append(up, x.net.Stream(name, r, to))
+			up = append(up, x.network.Stream(name, r, to))
 		}
-		x.relay(name, 7+2*i, up)
+		x.startRelay(name, 7+2*i, up)
 	}
 	for _, z := range []string{"a", "b"} {
-		x.people(z)
+		x.startHosts(z)
 	}
 	t.Cleanup(func() {
 		for _, all := range x.zones {
 			for _, h := range all {
-				h.end()
+				h.close()
 			}
 		}
 	})
-	x.settled("start, empty disks", 1)
+	x.waitForGeneration("start, empty disks", 1)
 	return x
 }
 
 // daemon starts one of the council's.
-func (x *tree) daemon(i int) {
+func (x *testTree) startDaemon(i int) {
 	x.t.Helper()
 	name := fmt.Sprintf("c%d", i)
 	dir := filepath.Join(x.dir, name)
@@ -131,31 +135,33 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = \"till\"\nconfig = \"gatekeeper.json\"\nrun_dir = \"run\"\ncontrol = %q\n"+
 		"listen = \"127.0.1.1:20000\"\noperators = \"127.0.1.2:20000\"\n[council]\nme = %q\nlisten = %q\n"+
-		"serve = %q\nstore = \"council.db\"\nrules = \"rules.toml\"\nfound = true\nhosts = [", x.at(i, 0), name,
-		x.at(i, 1), x.at(i, 2))
-	for j := range daemons {
-		fmt.Fprintf(&b, "{name = \"c%d\", address = %q}, ", j, x.at(j, 1))
+		"serve = %q\nstore = \"council.db\"\nrules = \"rules.toml\"\nfound = true\nhosts = [", x.address(i, 0),
+		name,
+		x.address(i, 1), x.address(i, 2))
+	for j := range councilDaemons {
+		fmt.Fprintf(&b, "{name = \"c%d\", address = %q}, ", j, x.address(j, 1))
 	}
 	b.WriteString("]\n")
-	x.write(filepath.Join(dir, "fleet.toml"), b.String())
-	x.write(filepath.Join(dir, "gatekeeper.json"), "{}")
-	x.write(filepath.Join(dir, "rules.toml"), x.text(x.rules[1]))
+	x.writeFile(filepath.Join(dir, "fleet.toml"), b.String())
+	x.writeFile(filepath.Join(dir, "gatekeeper.json"), "{}")
+	x.writeFile(filepath.Join(dir, "rules.toml"), x.encodeRules(x.rules[1]))
 	x.council = append(x.council, faultinject.Start(x.t, faultinject.Spec{Name: name, Dir: dir,
 		Args: []string{"fleet", "--file", filepath.Join(dir, "fleet.toml")},
 		Env:  []string{"WILLOWDECK_HISTORY=" + x.records}}))
 }
 
 // relay starts a relay at two ports of the first address.
-func (x *tree) relay(name string, port int, upstream []string) {
+func (x *testTree) startRelay(name string, port int, upstream []string) {
 	x.t.Helper()
 	dir := filepath.Join(x.dir, name)
 	if err := os.MkdirAll(filepath.Join(dir, "store"), 0o700); err != nil {
 		x.t.Fatal(err)
 	}
-	x.below[name], x.control[name] = x.at(0, port), x.at(0, port+1)
+	x.listenAddress[name], x.adminAddress[name] = x.address(0, port), x.address(0, port+1)
 	up, _ := json.Marshal(upstream)
-	x.write(filepath.Join(dir, "relay.toml"), fmt.Sprintf("name = %q\ncluster = \"till\"\nlisten = %q\n"+
-		"control = %q\nupstream = %s\nstore = \"store/relay.copy\"\n", name, x.below[name], x.control[name], up))
+	x.writeFile(filepath.Join(dir, "relay.toml"), fmt.Sprintf("name = %q\ncluster = \"till\"\nlisten = %q\n"+
+		"control = %q\nupstream = %s\nstore = \"store/relay.copy\"\n", name, x.listenAddress[name],
+		x.adminAddress[name], up))
 	x.disks[name] = faultinject.NewDisk(x.t, filepath.Join(dir, "store"))
 	x.relays[name] = faultinject.Start(x.t, faultinject.Spec{Name: name, Dir: dir,
 		Args: []string{"relay", "--config", filepath.Join(dir, "relay.toml")},
@@ -163,25 +169,25 @@
 }
 
 // people starts a zone's hollow hosts, with copies on disk.
-func (x *tree) people(z string) {
+func (x *testTree) startHosts(z string) {
 	x.t.Helper()
 	x.zones[z] = nil
-	for h := range hosts {
+	for h := range hostsPerZone {
 		name := fmt.Sprintf("%s-host%d", z, h)
-		c := NewCopy(filepath.Join(x.dir, name+".copy"), "till", zerolog.Nop())
+		c := NewCheckpoint(filepath.Join(x.dir, name+".copy"), "till", zerolog.Nop())
 		x.zones[z] = append(x.zones[z], newHollowHost(x.t, name, "till", x.records,
-			[]string{x.below[z+"0"], x.below[z+"1"]}, x.members, c))
+			[]string{x.listenAddress[z+"0"], x.listenAddress[z+"1"]}, x.members, c))
 	}
 }
 
-func (x *tree) write(path, text string) {
+func (x *testTree) writeFile(path, text string) {
 	x.t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		x.t.Fatal(err)
 	}
 }
 
-func (x *tree) text(r ruleset.Rules) string {
+func (x *testTree) encodeRules(r ruleset.Rules) string {
 	x.t.Helper()
 	text, err := rulefile.Encode(&r)
 	if err != nil {
@@ -191,70 +197,70 @@
 }
 
 // propose has a daemon propose the next generation.
-func (x *tree) propose(daemon int) { x.proposes(daemon, generation(x.gen+1, x.members)) }
+func (x *testTree) propose(daemon int) { x.proposeRules(daemon, generation(x.generation+1, x.members)) }
 
-func (x *tree) proposes(daemon int, r ruleset.Rules) {
+func (x *testTree) proposeRules(daemon int, r ruleset.Rules) {
 	x.t.Helper()
-	x.gen++
-	x.rules[x.gen] = r
-	x.put(daemon, r)
+	x.generation++
+	x.rules[x.generation] = r
+	x.submitRules(daemon, r)
 }
 
 // put writes rules as a daemon's file, and has it read that.
-func (x *tree) put(daemon int, r ruleset.Rules) {
+func (x *testTree) submitRules(daemon int, r ruleset.Rules) {
 	x.t.Helper()
 	p := x.council[daemon]
-	x.until(p.Name+" answers", func() bool {
-		_, err := faultinject.Ask(x.at(daemon, 0), "/fleet/council")
+	x.waitFor(p.Name+" answers", func() bool {
+		_, err := faultinject.Ask(x.address(daemon, 0), "/fleet/council")
 		return err == nil
 	})
-	x.write(filepath.Join(p.Dir(), "rules.toml"), x.text(r))
+	x.writeFile(filepath.Join(p.Dir(), "rules.toml"), x.encodeRules(r))
 	if err := p.Renew(); err != nil {
 		x.t.Fatal(err)
 	}
 }
 
 // all gives the gatekeepers of zones; of all where none is named.
-func (x *tree) all(zones ...string) (all []*hollowKeeper) {
+func (x *testTree) gateways(zones ...string) (all []*hollowGateway) {
 	if len(zones) == 0 {
 		zones = slices.Sorted(maps.Keys(x.zones))
 	}
 	for _, z := range zones {
 		for _, h := range x.zones[z] {
-			all = append(all, h.keepers...)
+			all = append(all, h.gateways...)
 		}
 	}
 	return all
 }
 
 // settled waits until all gatekeepers of zones are leased by a generation, and books how long that took.
-func (x *tree) settled(what string, gen int, zones ...string) time.Duration {
+func (x *testTree) waitForGeneration(what string, gen int, zones ...string) time.Duration {
 	x.t.Helper()
 	began := time.Now()
 	for {
 		var late []string
-		for _, k := range x.all(zones...) {
-			if i, ok := k.stands(); !ok || i != gen {
+		for _, k := range x.gateways(zones...) {
+			if i, ok := k.leasedGeneration(); !ok || i != gen {
 				late = append(late, fmt.Sprintf("%s: %d %v", k.name, i, k.mode()))
 			}
 		}
 		took := time.Since(began)
 		if len(late) == 0 {
-			x.took = append(x.took, fmt.Sprintf("%-54s %6d ms, %d leases lost so far", what,
-				took.Milliseconds(), x.lapses()))
+			x.report = append(x.report, fmt.Sprintf("%-54s %6d ms, %d leases lost so far", what,
+				took.Milliseconds(), x.leaseLosses()))
 			x.slowest = max(x.slowest, took)
 			return took
 		}
-		if took > within {
-			x.tells()
-			x.t.Fatalf("%s: not all go by generation %d after %v: %v", what, gen, within, late)
+		if took > activationTimeout {
+			x.logState()
+			x.t.Fatalf("%s: not all go by generation %d after %v: %v", what, gen, activationTimeout, late)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
 // tells prints how all stand, for a failure.
-func (x *tree) tells() {
+func (x *testTree) logState() {
 	for _, name := range slices.Sorted(maps.Keys(x.relays)) {
 		s, err := x.status(name)
 		raw, _ := json.Marshal(s)
@@ -263,16 +269,16 @@
 	for _, p := range x.council {
 		x.t.Logf("%s: %s", p.Name, tail(p.Output()))
 	}
-	for _, line := range x.took {
+	for _, line := range x.report {
 		x.t.Log(line)
 	}
 }
 
 func tail(text string) string { return text[max(len(text)-1500, 0):] }
 
-func (x *tree) status(name string) (s Status, err error) {
+func (x *testTree) status(name string) (s Status, err error) {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	res, err := client.Get("http://" + x.control[name] + "/relay/status")
+	res, err := client.Get("http://" + x.adminAddress[name] + "/relay/status")
 	if err != nil {
 		return s, err
 	}
@@ -280,7 +286,7 @@
 	return s, json.NewDecoder(res.Body).Decode(&s)
 }
 
-func (x *tree) mustStatus(name string) Status {
+func (x *testTree) mustStatus(name string) Status {
 	x.t.Helper()
 	s, err := x.status(name)
 	if err != nil {
@@ -290,49 +296,49 @@
 }
 
 // until waits for something to hold, and tells how all stand where it does not.
-func (x *tree) until(what string, holds func() bool) {
+func (x *testTree) waitFor(what string, holds func() bool) {
 	x.t.Helper()
-	for end := time.Now().Add(within); !holds(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(activationTimeout); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			x.tells()
-			x.t.Fatalf("not within %v: %s", within, what)
+			x.logState()
+			x.t.Fatalf("not within %v: %s", activationTimeout, what)
 		}
 	}
 }
 
 // up waits until a relay knows of a version no older than a step.
-func (x *tree) up(name string, step uint64) {
+func (x *testTree) waitForRelay(name string, step uint64) {
 	x.t.Helper()
-	x.until(name+" is there again", func() bool {
+	x.waitFor(name+" is there again", func() bool {
 		s, err := x.status(name)
 		return err == nil && s.Known && s.Step >= step
 	})
 }
 
-func (x *tree) must(err error) {
+func (x *testTree) require(err error) {
 	x.t.Helper()
 	if err != nil {
 		x.t.Fatal(err)
 	}
 }
 
-func (x *tree) lapses() (n int64) {
-	for _, k := range x.all() {
+func (x *testTree) leaseLosses() (n int64) {
+	for _, k := range x.gateways() {
 		n += k.lapses()
 	}
 	return n
 }
 
 // leader gives the daemon that leads.
-func (x *tree) leader() int {
+func (x *testTree) leader() int {
 	x.t.Helper()
 	lead := -1
-	x.until("a leader", func() bool {
+	x.waitFor("a leader", func() bool {
 		for i, p := range x.council {
 			if !p.Running() {
 				continue
 			}
-			text, err := faultinject.Ask(x.at(i, 0), "/fleet/council")
+			text, err := faultinject.Ask(x.address(i, 0), "/fleet/council")
 			var s struct {
 				Leader string `json:"leader"`
 			}
@@ -348,21 +354,21 @@
 }
 
 // cut cuts a zone off from both regions, or joins it.
-func (x *tree) cut(z string, how faultinject.Cut) {
+func (x *testTree) partition(z string, how faultinject.Cut) {
 	for _, a := range []string{z + "0", z + "1"} {
 		for _, r := range []string{"r0", "r1"} {
-			x.net.Part(a, r, how)
+			x.network.Part(a, r, how)
 		}
 	}
 }
 
 // judge ends all and holds the records of all processes against what is promised.
-func (x *tree) judge() {
+func (x *testTree) checkHistory() {
 	t := x.t
 	t.Helper()
-	known, lapses := map[uint64]int{}, x.lapses()
-	for _, k := range x.all() {
-		for v, i := range k.known() {
+	known, lapses := map[uint64]int{}, x.leaseLosses()
+	for _, k := range x.gateways() {
+		for v, i := range k.knownGenerations() {
 			if was, there := known[v]; there && was != i {
 				t.Errorf("version %d is generation %d and %d", v, was, i)
 			}
@@ -370,23 +376,23 @@
 		}
 	}
 	for _, h := range slices.Concat(x.zones["a"], x.zones["b"]) {
-		h.end()
+		h.close()
 	}
 	clear(x.zones)
 	for _, name := range slices.Sorted(maps.Keys(x.relays)) {
 		p := x.relays[name]
-		x.must(p.Term())
+		x.require(p.Term())
 		if !p.Wait(5*time.Second) || !p.Exit().Success() {
 			t.Errorf("%s did not end cleanly: %s", name, tail(p.Output()))
 		}
 	}
 	for _, p := range x.council {
-		x.must(p.Term())
+		x.require(p.Term())
 		if !p.Wait(10 * time.Second) {
 			t.Errorf("%s did not end: %s", p.Name, tail(p.Output()))
 		}
 	}
-	x.must(x.rig.Close())
+	x.require(x.rigLog.Close())
 	r, err := history.Read(x.records)
 	if err != nil {
 		t.Fatal(err)
@@ -395,47 +401,50 @@
 	for v, i := range known {
 		rules[v] = x.rules[i]
 	}
-	v := judged(r, rules)
-	for _, broken := range v.breaks {
+	v := checkRecord(r, rules)
+	for _, broken := range v.violations {
 		t.Error(broken)
 	}
 	for name := range x.relays {
-		if v.gives[name] == 0 {
+		if v.forwardedVersions[name] == 0 {
 			t.Errorf("%s has recorded nothing", name)
 		}
 	}
-	if len(v.breaks) == 0 {
-		planted(t, r, rules)
+	if len(v.violations) == 0 {
+		checkInjectedViolations(t, r, rules)
 	}
-	for _, line := range x.took {
+	for _, line := range x.report {
 		t.Log(line)
 	}
 	t.Logf("%d events; versions in force %d (%s); longest contradiction %.0f ms of %.0f; lapses %d; slowest %v",
-		len(r.Events), v.versions.InForce, v.versions.Checker, v.stances.Longest, bounded, lapses,
+		len(r.Events), v.versions.InForce, v.versions.Checker, v.contradictions.Longest, contradictionBound, lapses,
 		x.slowest.Round(time.Millisecond))
 }
 
 // bounded is B for the lease of these rules.
-var bounded = ruleset.Bound(&ruleset.Rules{Lease: 1000})
+var contradictionBound = ruleset.Bound(&ruleset.Rules{Lease: 1000})
 
 // verdict is what is found in a record.
-type verdict struct {
-	breaks   []string
-	versions history.Versioned
-	stances  history.Contradictions
-	gives    map[string]int
+type findings struct {
+	violations        []string
+	versions          history.Versioned
+	contradictions    history.Contradictions
+	forwardedVersions map[string]int
 }
 
 // judged holds a record against what is promised, with the rules by version.
-func judged(r history.Record, rules map[uint64]ruleset.Rules) verdict {
-	v := verdict{versions: history.Versions(r), gives: map[string]int{},
-		stances: history.Contradiction(r, history.Leases(rules), bounded, betweens)}
-	says := func(format string, args ...any) { v.breaks = append(v.breaks, fmt.Sprintf(format, args...)) }
+func checkRecord(r history.Record, rules map[uint64]ruleset.Rules) findings {
+	v := findings{versions: history.Versions(r), forwardedVersions: map[string]int{},
+		contradictions: history.Contradiction(r, history.Leases(rules), contradictionBound, clockToleranceMillis)}
+	says := func(format string, args ...any) {
+		v.violations = append(v.violations,
+			fmt.Sprintf(format, args...))
+	}
 	if v.versions.Count > 0 || v.versions.Seen == 0 || v.versions.Checker == "Illegal" {
 		says("versions: %v (%s)", v.versions.Found, v.versions.Checker)
 	}
-	if v.stances.Count > 0 || v.stances.Seen == 0 {
-		says("contradictions: %v", v.stances.Found)
+	if v.contradictions.Count > 0 || v.contradictions.Seen == 0 {
+		says("contradictions: %v", v.contradictions.Found)
 	}
 	type life struct {
 		who  string
@@ -455,14 +464,14 @@
 		}
 		newest[l] = max(newest[l], e.Version)
 		if e.Kind == history.Gives {
-			v.gives[e.Who]++
+			v.forwardedVersions[e.Who]++
 		}
 	}
 	return v
 }
 
 // planted puts breaks into a record without any, one at a time: each has to be found.
-func planted(t *testing.T, r history.Record, rules map[uint64]ruleset.Rules) {
+func checkInjectedViolations(t *testing.T, r history.Record, rules map[uint64]ruleset.Rules) {
 	t.Helper()
 	find := func(holds func(history.Event) bool) int {
 		i := slices.IndexFunc(r.Events, holds)
@@ -505,7 +514,7 @@
 	} {
 		broken := r
 		broken.Events = plant(slices.Clone(r.Events))
-		if len(judged(broken, rules).breaks) == 0 {
+		if len(checkRecord(broken, rules).violations) == 0 {
 			t.Errorf("planted and not found: %s", what)
 		}
 	}
@@ -513,10 +522,10 @@
 
 // TestGenerations: a mix of two generations shows in each part of the rules.
 func TestGenerations(t *testing.T) {
-	whole := func() ruleset.Rules { return generation(3, some(2, "h")) }
-	other := generation(4, some(2, "h"))
-	if r := whole(); len(generations(&r)) != 1 || !generations(&r)[3] {
-		t.Errorf("whole rules of generation 3 are of %v", generations(&r))
+	whole := func() ruleset.Rules { return generation(3, membersOf(2, "h")) }
+	other := generation(4, membersOf(2, "h"))
+	if r := whole(); len(generationsIn(&r)) != 1 || !generationsIn(&r)[3] {
+		t.Errorf("whole rules of generation 3 are of %v", generationsIn(&r))
 	}
 	for i, mix := range []func(*ruleset.Rules){
 		func(r *ruleset.Rules) { r.Plans[0] = other.Plans[0] },
@@ -525,7 +534,7 @@
 		func(r *ruleset.Rules) { r.Members[1] = other.Members[1] },
 	} {
 		r := whole()
-		if mix(&r); len(generations(&r)) != 2 {
+		if mix(&r); len(generationsIn(&r)) != 2 {
 			t.Errorf("mix %d is not seen", i)
 		}
 	}
--- a/internal/distribution/relay/root.go
+++ b/internal/distribution/relay/root.go
@@ -23,9 +23,9 @@
 }
 
 const (
-	rootConnections = 4096
-	rootWhole       = 8 << 20 // bytes of whole states in a second, and at once: a tenth of a core
-	rootLease       = 1000.0  // ms, for who counts as below
+	rootMaxConnections          = 4096
+	rootFullStateBytesPerSecond = 8 << 20 // bytes of whole states in a second, and at once: a tenth of a core
+	rootLeaseMillis             = 1000.0  // ms, for who counts as below
 )
 
 // Root serves what a quorum has confirmed to those that follow it.
@@ -33,36 +33,37 @@
 	name, cluster string
 	log           zerolog.Logger
 	quorum        Quorum
-	giver         *giver
-	stop          context.CancelFunc
-	wait          sync.WaitGroup
+	server        *server
+	cancel        context.CancelFunc
+	goroutines    sync.WaitGroup
 
 	mu             sync.Mutex
-	view           distribution.View
+	snapshot       distribution.Snapshot
 	rules, pending *versioned.State
 }
 
 // NewRoot begins to listen at an address. Name is the daemon's host.
 func NewRoot(q Quorum, name, cluster, listen string, log zerolog.Logger) (*Root, error) {
 	r := &Root{name: name, cluster: cluster, log: log, quorum: q}
-	g, err := give(listen, rootConnections, rootLease, distribution.NewSource(name, cluster,
-		distribution.Bounds{WholeRate: rootWhole, WholeBurst: rootWhole, Life: rand.Uint64()}), q.Told)
+	g, err := startServer(listen, rootMaxConnections, rootLeaseMillis, distribution.NewSource(name, cluster,
+		distribution.SourceConfig{FullStateBytesPerSecond: rootFullStateBytesPerSecond,
+			FullStateBurstBytes: rootFullStateBytesPerSecond, Incarnation: rand.Uint64()}), q.Told)
 	if err != nil {
 		return nil, err
 	}
-	r.giver = g
+	r.server = g
 	q.Often()
 	ctx, stop := context.WithCancel(context.Background())
-	r.stop = stop
-	r.wait.Add(1)
+	r.cancel = stop
+	r.goroutines.Add(1)
 	go func() {
-		defer r.wait.Done()
+		defer r.goroutines.Done()
 		for {
 			select {
 			case <-ctx.Done():
 				return
 			case <-q.Confirmed():
-				r.offer()
+				r.publish()
 			}
 		}
 	}()
@@ -70,27 +71,28 @@
 }
 
 // At is where it listens.
-func (r *Root) At() string { return r.giver.at }
+func (r *Root) Address() string { return r.server.address }
 
 // Close ends it and waits for all of its goroutines.
 func (r *Root) Close() {
-	r.stop()
-	r.giver.close()
-	r.wait.Wait()
+	r.cancel()
+	r.server.close()
+	r.goroutines.Wait()
 }
 
 // offer gives on what was confirmed last. A version is made entries once; what waits has its own number, and
 // one that was withdrawn may have had the same.
-func (r *Root) offer() {
+func (r *Root) publish() {
 	w, ok := r.quorum.Word()
 	if !ok {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := distribution.View{Step: w.Step, Settled: w.Settled, Begun: w.Begun, Index: r.quorum.Highest()}
-	if w.Step != r.view.Step || r.rules == nil {
-		rules, err := r.entries(r.rules, &w.InForce)
+	v := distribution.Snapshot{Step: w.Step, Settled: w.Settled, ReadStartMillis: w.Begun,
+		DiscoveryIndex: r.quorum.Highest()}
+	if w.Step != r.snapshot.Step || r.rules == nil {
+		rules, err := r.stateOf(r.rules, &w.InForce)
 		var pending *versioned.State
 		if err == nil && w.Pending != nil {
 			pending, err = ruleset.Entries(w.Pending)
@@ -102,12 +104,12 @@
 		r.rules, r.pending = rules, pending
 	}
 	v.Rules, v.Pending = r.rules, r.pending
-	r.view = v
-	r.giver.offer(v)
+	r.snapshot = v
+	r.server.publish(v)
 }
 
 // entries gives a version as a state, or the one that is there already.
-func (r *Root) entries(had *versioned.State, v *ruleset.Version) (*versioned.State, error) {
+func (r *Root) stateOf(had *versioned.State, v *ruleset.Version) (*versioned.State, error) {
 	if had != nil && had.Mark().Number == v.Number {
 		return had, nil
 	}
@@ -116,12 +118,12 @@
 
 // Status tells how it stands.
 func (r *Root) Status() Status {
-	s := Status{Name: r.name, Cluster: r.cluster, Form: distribution.Form, AgeMS: -1}
+	s := Status{Name: r.name, Cluster: r.cluster, FormatVersion: distribution.FormatVersion, AgeMillis: -1}
 	r.mu.Lock()
-	if r.view.Rules != nil {
-		s.of(&r.view)
+	if r.snapshot.Rules != nil {
+		s.setSnapshot(&r.snapshot)
 	}
 	r.mu.Unlock()
-	r.giver.stands(&s)
+	r.server.fillStatus(&s)
 	return s
 }
--- a/internal/distribution/relay/status.go
+++ b/internal/distribution/relay/status.go
@@ -15,65 +15,66 @@
 
 // Status is how a relay, or a council's daemon that serves relays, stands; for operators.
 type Status struct {
-	Name     string  `json:"name"`
-	Cluster  string  `json:"cluster"`
-	Form     int     `json:"form"` // of what it says and reads
-	Known    bool    `json:"known"`
-	Depth    int     `json:"depth"` // relays between it and the council, itself too
-	Step     uint64  `json:"step"`
-	Version  uint64  `json:"version"`
-	Mark     string  `json:"mark,omitempty"`
-	Pending  uint64  `json:"pending"` // 0: nothing waits
-	Settled  bool    `json:"settled"`
-	AgeMS    float64 `json:"age_ms"` // since the quorum's read began which it rests on; -1: none
-	Bytes    int     `json:"bytes"`  // of the version
-	Below    int     `json:"below"`  // who has asked within the last five leases
-	Upstream string  `json:"upstream,omitempty"`
+	Name            string  `json:"name"`
+	Cluster         string  `json:"cluster"`
+	FormatVersion   int     `json:"form"` // of what it says and reads
+	Known           bool    `json:"known"`
+	Depth           int     `json:"depth"` // relays between it and the council, itself too
+	Step            uint64  `json:"step"`
+	Version         uint64  `json:"version"`
+	Mark            string  `json:"mark,omitempty"`
+	Pending         uint64  `json:"pending"` // 0: nothing waits
+	Settled         bool    `json:"settled"`
+	AgeMillis       float64 `json:"age_ms"` // since the quorum's read began which it rests on; -1: none
+	StateBytes      int     `json:"bytes"`  // of the version
+	ActiveClients   int     `json:"below"`  // who has asked within the last five leases
+	CurrentUpstream string  `json:"upstream,omitempty"`
 
-	Up     *Traffic                  `json:"up,omitempty"`
-	Down   Traffic                   `json:"down"`
-	Follow *distribution.Counts      `json:"follow,omitempty"` // what has come from above
-	Give   distribution.SourceCounts `json:"give"`             // what was given below
-	Copy   *Copies                   `json:"copy,omitempty"`
+	UpstreamTraffic   *Traffic                     `json:"up,omitempty"`
+	DownstreamTraffic Traffic                      `json:"down"`
+	Follower          *distribution.FollowerCounts `json:"follow,omitempty"` // what has come from above
+	Source            distribution.SourceCounts    `json:"give"`             // what was given below
+	Checkpoint        *CheckpointCounts            `json:"copy,omitempty"`
 }
 
 // Copies counts copies on disk.
-type Copies struct {
-	Written int64 `json:"written"`
-	Failed  int64 `json:"failed"` // could not be written
-	Aside   int64 `json:"aside"`  // could not be used at the start
+type CheckpointCounts struct {
+	Written     int64 `json:"written"`
+	Failed      int64 `json:"failed"` // could not be written
+	Quarantined int64 `json:"aside"`  // could not be used at the start
 }
 
 // of fills in what a view says.
-func (s *Status) of(v *distribution.View) {
-	s.Known, s.Depth, s.Step, s.Settled, s.AgeMS = true, v.Depth, v.Step, v.Settled, v.Age(Clock())
+func (s *Status) setSnapshot(v *distribution.Snapshot) {
+	s.Known, s.Depth, s.Step, s.Settled, s.AgeMillis = true, v.Depth, v.Step, v.Settled, v.AgeMillis(nowMillis())
 	m := v.Rules.Mark()
-	s.Version, s.Mark, s.Bytes, s.Pending = m.Number, m.String(), v.Rules.Bytes(), v.Pending.Mark().Number
+	s.Version, s.Mark, s.StateBytes, s.Pending = m.Number, m.String(), v.Rules.Bytes(), v.Pending.Mark().Number
 }
 
 // Status tells how the relay stands.
 func (r *Relay) Status() Status {
-	s := Status{Name: r.file.Name, Cluster: r.file.Cluster, Form: distribution.Form, AgeMS: -1}
-	if v, ok := r.feed.View(); ok {
-		s.of(&v)
+	s := Status{Name: r.config.Name, Cluster: r.config.Cluster, FormatVersion: distribution.FormatVersion,
+		AgeMillis: -1}
+	if v, ok := r.subscription.Snapshot(); ok {
+		s.setSnapshot(&v)
 	}
 	up := r.client.Traffic()
-	s.Up, s.Copy = &up, &Copies{}
-	s.Copy.Written, s.Copy.Failed, s.Copy.Aside = r.copy.Counts()
-	r.feed.With(func(f *distribution.Follower) {
+	s.UpstreamTraffic, s.Checkpoint = &up, &CheckpointCounts{}
+	s.Checkpoint.Written, s.Checkpoint.Failed, s.Checkpoint.Quarantined = r.checkpoint.Counts()
+	r.subscription.WithFollower(func(f *distribution.Follower) {
 		c := f.Counts()
-		s.Follow, s.Upstream = &c, r.file.Upstream[f.Current()]
+		s.Follower, s.CurrentUpstream = &c, r.config.Upstreams[f.CurrentUpstream()]
 	})
-	r.giver.stands(&s)
+	r.server.fillStatus(&s)
 	return s
 }
 
 // stands fills in what is known of those below.
-func (g *giver) stands(s *Status) {
-	s.Below, s.Down = g.count(), g.handler.Traffic()
+func (g *server) fillStatus(s *Status) {
+	s.ActiveClients, s.DownstreamTraffic = g.activeClients(), g.handler.Traffic()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s.Give = g.source.Counts()
+	s.Source = g.source.Counts()
 }
 
 // Lines gives a status as plain figures, a line each, in the order of their names.
@@ -87,16 +88,16 @@
 		return ""
 	}
 	var b strings.Builder
-	lines(&b, "relay", all)
+	writeLines(&b, "relay", all)
 	return b.String()
 }
 
-func lines(b *strings.Builder, prefix string, all map[string]any) {
+func writeLines(b *strings.Builder, prefix string, all map[string]any) {
 	for _, k := range slices.Sorted(maps.Keys(all)) {
 		name := prefix + "." + strings.ToLower(k)
 		switch v := all[k].(type) {
 		case map[string]any:
-			lines(b, name, v)
+			writeLines(b, name, v)
 		case float64:
 			fmt.Fprintf(b, "%s=%.10g\n", name, v)
 		default:
@@ -106,7 +107,7 @@
 }
 
 // Show writes a status as JSON.
-func Show(w http.ResponseWriter, s Status) {
+func WriteStatus(w http.ResponseWriter, s Status) {
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
@@ -114,31 +115,34 @@
 }
 
 // open listens for operators.
-func (r *Relay) open() error {
-	l, err := net.Listen("tcp", r.file.Control)
+func (r *Relay) serveAdmin() error {
+	l, err := net.Listen("tcp", r.config.Control)
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /relay/status", func(w http.ResponseWriter, _ *http.Request) { Show(w, r.Status()) })
+	mux.HandleFunc("GET /relay/status", func(w http.ResponseWriter,
+		_ *http.Request) {
+		WriteStatus(w, r.Status())
+	})
 	mux.HandleFunc("GET /relay/stats", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain")
 		fmt.Fprint(w, r.Status().Lines())
 	})
 	mux.HandleFunc("GET /relay/health", func(w http.ResponseWriter, _ *http.Request) {
-		if _, ok := r.feed.View(); !ok {
+		if _, ok := r.subscription.Snapshot(); !ok {
 			http.Error(w, "nothing is known from above within the lease", http.StatusServiceUnavailable)
 			return
 		}
 		fmt.Fprintln(w, "ready")
 	})
-	r.control = &http.Server{Handler: mux, ReadTimeout: time.Second, WriteTimeout: time.Second,
+	r.adminServer = &http.Server{Handler: mux, ReadTimeout: time.Second, WriteTimeout: time.Second,
 		MaxHeaderBytes: 4096}
-	r.control.SetKeepAlivesEnabled(false)
-	r.wait.Add(1)
+	r.adminServer.SetKeepAlivesEnabled(false)
+	r.goroutines.Add(1)
 	go func() {
-		defer r.wait.Done()
-		_ = r.control.Serve(l)
+		defer r.goroutines.Done()
+		_ = r.adminServer.Serve(l)
 	}()
 	return nil
 }
--- a/internal/distribution/replica.go
+++ b/internal/distribution/replica.go
@@ -14,43 +14,44 @@
 // others lie there. No setting bounds a set but the number of gatekeepers: this covers every set in a fleet
 // of 501, which was the largest before there were relays, and a set lent credit has 64 at most. Of a wider
 // one those beyond are to this gatekeeper as peers that have never spoken.
-const Around = 250
+const RingRadius = 250
 
 // Replica is a gatekeeper's copy of its part of the rules, as its host's daemon tells them. When to ask is
 // ruleset.Holder's to say, and what to go by; the daemon keeps books on this very process, so that it may go
 // by what was read before it began. It is not safe for concurrent use.
 type Replica struct {
-	name           string
-	process        int
-	rng            *rand.Rand
-	rules, pending *versioned.State
-	lease          ruleset.Lease // of these, without an age
-	quiet          float64       // ms until when no whole is asked for
-	counts         ReplicaCounts
+	name             string
+	processID        int
+	rng              *rand.Rand
+	rules, pending   *versioned.State
+	lease            ruleset.Lease // of these, without an age
+	renewalOnlyUntil float64       // ms until when no whole is asked for
+	counts           ReplicaCounts
 }
 
 // ReplicaCounts are what a replica has met. What is spoilt changes nothing, and the next question asks for
 // all.
 type ReplicaCounts struct {
-	Renewals int64 // answers with what is here already
-	Deltas   int64 // rules made of those before
-	Wholes   int64 // rules that came whole
-	Late     int64 // answers of a lower step
-	Busy     int64 // answers that put a whole off
-	Base     int64 // spoilt: changes of other rules than are here, or rules that are not here without any
-	Digest   int64 // spoilt: what a change makes is not what the answer says
-	Bad      int64 // spoilt: an answer of another form, or one that makes no sense
+	Renewals   int64 // answers with what is here already
+	Deltas     int64 // rules made of those before
+	FullStates int64 // rules that came whole
+	Stale      int64 // answers of a lower step
+	Deferred   int64 // answers that put a whole off
+	// spoilt: changes of other rules than are here, or rules that are not here without any
+	BaseMismatches   int64
+	DigestMismatches int64 // spoilt: what a change makes is not what the answer says
+	Invalid          int64 // spoilt: an answer of another form, or one that makes no sense
 }
 
 // What an answer may come to beside resource's errors.
 var (
-	ErrBusy = errors.New("the whole rules are put off")
-	ErrBad  = errors.New("an answer that makes no sense")
+	ErrDeferred        = errors.New("the whole rules are put off")
+	ErrInvalidResponse = errors.New("an answer that makes no sense")
 )
 
 // NewReplica makes one that has nothing, for a process of a gatekeeper.
 func NewReplica(name string, process int, seed int64) *Replica {
-	return &Replica{name: name, process: process, rng: rand.New(rand.NewSource(seed))}
+	return &Replica{name: name, processID: process, rng: rand.New(rand.NewSource(seed))}
 }
 
 // Counts gives what it has met.
@@ -58,42 +59,44 @@
 
 // Ask is what the daemon is to be asked at a time, ms; holds is ruleset.Holder's, and index that of
 // discovery's list.
-func (r *Replica) Ask(now float64, holds uint64, index int64) *Ask {
-	return &Ask{Form: Form, From: r.name, Interest: ruleset.Interest{Name: r.name, Around: Around},
-		Step: r.lease.Step, Rules: r.rules.Mark(), Pending: r.pending.Mark(), Quiet: now < r.quiet, Index: index,
-		Process: r.process, Holds: holds}
+func (r *Replica) NewRequest(now float64, holds uint64, index int64) *Request {
+	return &Request{FormatVersion: FormatVersion, Sender: r.name,
+		Interest: ruleset.Interest{Name: r.name, Around: RingRadius},
+		Step:     r.lease.Step, Rules: r.rules.Mark(), Pending: r.pending.Mark(), RenewalOnly: now < r.renewalOnlyUntil,
+		DiscoveryIndex: index,
+		ProcessID:      r.processID, HeldStep: holds}
 }
 
 // Hear takes an answer that came at a time, and gives what it says as a lease for the Holder. News: the rules
 // are others than before. An error changes nothing.
-func (r *Replica) Hear(a *Answer, now float64) (l ruleset.Lease, news bool, err error) {
+func (r *Replica) HandleResponse(a *Response, now float64) (l ruleset.Lease, news bool, err error) {
 	switch {
-	case a.Form != Form:
-		r.counts.Bad++
-		return l, false, fmt.Errorf("%w: form %d", ErrBad, a.Form)
+	case a.FormatVersion != FormatVersion:
+		r.counts.Invalid++
+		return l, false, fmt.Errorf("%w: form %d", ErrInvalidResponse, a.FormatVersion)
 	case a.Step < r.lease.Step: // it came late: no news, and no base for any
-		r.counts.Late++
-		return ruleset.Lease{Step: a.Step, Age: a.Age}, false, nil
-	case a.Busy > 0:
-		r.counts.Busy++
-		r.quiet = now + r.rng.Float64()*a.Busy // full jitter
-		return l, false, ErrBusy
-	case now < r.quiet && a.Rules != r.rules.Mark():
-		return l, false, ErrBusy
+		r.counts.Stale++
+		return ruleset.Lease{Step: a.Step, Age: a.AgeMillis}, false, nil
+	case a.RetryAfterMillis > 0:
+		r.counts.Deferred++
+		r.renewalOnlyUntil = now + r.rng.Float64()*a.RetryAfterMillis // full jitter
+		return l, false, ErrDeferred
+	case now < r.renewalOnlyUntil && a.Rules != r.rules.Mark():
+		return l, false, ErrDeferred
 	}
-	rules, pending, err := r.apply(a)
+	rules, pending, err := r.resolveStates(a)
 	next := r.lease
 	if err == nil {
-		next, err = r.read(rules, pending)
+		next, err = r.leaseOf(rules, pending)
 	}
 	if err != nil {
 		switch {
 		case errors.Is(err, versioned.ErrBase):
-			r.counts.Base++
+			r.counts.BaseMismatches++
 		case errors.Is(err, versioned.ErrDigest):
-			r.counts.Digest++
+			r.counts.DigestMismatches++
 		default:
-			r.counts.Bad++
+			r.counts.Invalid++
 		}
 		r.rules, r.pending = nil, nil
 		return l, false, err
@@ -102,19 +105,19 @@
 	case d == nil && a.PendingDelta == nil:
 		r.counts.Renewals++
 	case d != nil && d.From.None():
-		r.counts.Wholes++
+		r.counts.FullStates++
 	default:
 		r.counts.Deltas++
 	}
 	news = rules.Mark() != r.rules.Mark() || pending.Mark() != r.pending.Mark()
 	next.Step, next.Settled = a.Step, a.Settled
 	r.rules, r.pending, r.lease = rules, pending, next
-	next.Age = a.Age
+	next.Age = a.AgeMillis
 	return next, news, nil
 }
 
 // apply makes of what is here what an answer is of.
-func (r *Replica) apply(a *Answer) (rules, pending *versioned.State, err error) {
+func (r *Replica) resolveStates(a *Response) (rules, pending *versioned.State, err error) {
 	switch rules = r.rules; {
 	case a.RulesDelta != nil:
 		if rules, err = r.rules.Apply(a.RulesDelta); err != nil {
@@ -139,9 +142,9 @@
 }
 
 // read makes a lease of states; what was read before is not read again.
-func (r *Replica) read(rules, pending *versioned.State) (l ruleset.Lease, err error) {
+func (r *Replica) leaseOf(rules, pending *versioned.State) (l ruleset.Lease, err error) {
 	if l = r.lease; rules.Mark() != r.rules.Mark() {
-		if l.Version, l.Foreign, err = readState(rules); err != nil {
+		if l.Version, l.Foreign, err = decodeVersion(rules); err != nil {
 			return l, err
 		}
 	}
@@ -149,7 +152,7 @@
 	case pending == nil:
 		l.Pending, l.Strange = nil, ""
 	case pending.Mark() != r.pending.Mark():
-		v, strange, err := readState(pending)
+		v, strange, err := decodeVersion(pending)
 		if err != nil {
 			return l, err
 		}
@@ -160,13 +163,13 @@
 
 // readState reads a version. One that this program does not know whole is left empty, and what it needs
 // named.
-func readState(s *versioned.State) (v ruleset.Version, foreign string, err error) {
+func decodeVersion(s *versioned.State) (v ruleset.Version, foreign string, err error) {
 	v, err = ruleset.FromState(s)
 	switch {
 	case errors.Is(err, ruleset.ErrForeign):
 		return ruleset.Version{Number: s.Mark().Number}, err.Error(), nil
 	case err != nil:
-		return v, "", fmt.Errorf("%w: %w", ErrBad, err)
+		return v, "", fmt.Errorf("%w: %w", ErrInvalidResponse, err)
 	}
 	return v, "", nil
 }
--- a/internal/distribution/replica_test.go
+++ b/internal/distribution/replica_test.go
@@ -16,13 +16,13 @@
 var replicas = flag.Int("replicas", 300, "walks of TestReplicaWalks")
 
 // spoken is what was told at a step: rules, and those pending.
-type spoken struct {
+type publication struct {
 	rules, pending *ruleset.Version
 	settled        bool
 }
 
 // stepped are rules drawn anew from some.
-func stepped(rng *rand.Rand, r ruleset.Rules) ruleset.Rules {
+func mutateRules(rng *rand.Rand, r ruleset.Rules) ruleset.Rules {
 	r.Plans, r.Members = slices.Clone(r.Plans), slices.Clone(r.Members)
 	switch rng.Intn(4) {
 	case 0:
@@ -47,15 +47,15 @@
 		c := walkReplica(t, seed)
 		met.Renewals += c.Renewals
 		met.Deltas += c.Deltas
-		met.Wholes += c.Wholes
-		met.Late += c.Late
-		met.Busy += c.Busy
-		met.Base += c.Base
-		met.Digest += c.Digest
-		met.Bad += c.Bad
+		met.FullStates += c.FullStates
+		met.Stale += c.Stale
+		met.Deferred += c.Deferred
+		met.BaseMismatches += c.BaseMismatches
+		met.DigestMismatches += c.DigestMismatches
+		met.Invalid += c.Invalid
 	}
-	if met.Renewals == 0 || met.Deltas == 0 || met.Wholes == 0 || met.Late == 0 || met.Busy == 0 ||
-		met.Base == 0 || met.Digest == 0 || met.Bad == 0 {
+	if met.Renewals == 0 || met.Deltas == 0 || met.FullStates == 0 || met.Stale == 0 || met.Deferred == 0 ||
+		met.BaseMismatches == 0 || met.DigestMismatches == 0 || met.Invalid == 0 {
 		t.Errorf("not all was met: %+v", met)
 	}
 	t.Logf("%+v", met)
@@ -68,16 +68,16 @@
 	for i := range 3 + rng.Intn(40) {
 		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprint("m", i), Host: "h"})
 	}
-	words := []spoken{{}, {rules: &ruleset.Version{Number: 1, Rules: r}, settled: true}}
+	words := []publication{{}, {rules: &ruleset.Version{Number: 1, Rules: r}, settled: true}}
 	now := 0.0
-	bounds := Bounds{Versions: 2 + rng.Intn(4)}
+	bounds := SourceConfig{RetainedVersions: 2 + rng.Intn(4)}
 	if rng.Intn(4) == 0 {
-		bounds.WholeRate, bounds.WholeBurst = 2000, 1
+		bounds.FullStateBytesPerSecond, bounds.FullStateBurstBytes = 2000, 1
 	}
 	source := NewSource("h", "till", bounds)
 	offer := func() {
 		w := words[len(words)-1]
-		v := View{Step: uint64(len(words) - 1), Settled: w.settled, Begun: now, Index: -1}
+		v := Snapshot{Step: uint64(len(words) - 1), Settled: w.settled, ReadStartMillis: now, DiscoveryIndex: -1}
 		var err error
 		if v.Rules, err = ruleset.Entries(w.rules); err == nil && w.pending != nil {
 			v.Pending, err = ruleset.Entries(w.pending)
@@ -85,15 +85,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		source.Offer(v)
+		source.Publish(v)
 	}
 	offer()
 	p := NewReplica("m1", 7, seed)
-	var kept []*Answer
+	var kept []*Response
 	last := uint64(0)
-	hear := func(a *Answer) {
+	hear := func(a *Response) {
 		before := *p
-		l, news, err := p.Hear(a, now)
+		l, news, err := p.HandleResponse(a, now)
 		switch {
 		case err != nil:
 			if p.lease.Step != before.lease.Step || !reflect.DeepEqual(p.lease, before.lease) {
@@ -105,11 +105,11 @@
 			}
 		default:
 			w := words[l.Step]
-			got, want := l.Version, partOf(t, w.rules)
+			got, want := l.Version, replicaPortion(t, w.rules)
 			if !reflect.DeepEqual(&got, want) || l.Settled != w.settled || (l.Pending == nil) != (w.pending == nil) {
 				t.Fatalf("seed %d: step %d is\n%+v, not\n%+v", seed, l.Step, got, want)
 			}
-			if w.pending != nil && !reflect.DeepEqual(*l.Pending, partOf(t, w.pending).Rules) {
+			if w.pending != nil && !reflect.DeepEqual(*l.Pending, replicaPortion(t, w.pending).Rules) {
 				t.Fatalf("seed %d: pending at step %d is %+v", seed, l.Step, l.Pending)
 			}
 		}
@@ -124,14 +124,14 @@
 		switch rng.Intn(6) {
 		case 0, 1: // a version comes in force, the one that waits if there is one
 			next := ruleset.Version{Number: w.rules.Number + 1}
-			if next.Rules = stepped(rng, w.rules.Rules); w.pending != nil {
+			if next.Rules = mutateRules(rng, w.rules.Rules); w.pending != nil {
 				next = *w.pending
 			}
-			words = append(words, spoken{rules: &next, settled: rng.Intn(2) == 0})
+			words = append(words, publication{rules: &next, settled: rng.Intn(2) == 0})
 		case 2: // one waits, or is withdrawn
-			next := spoken{rules: w.rules, settled: w.settled}
+			next := publication{rules: w.rules, settled: w.settled}
 			if w.pending == nil {
-				next.pending = &ruleset.Version{Number: w.rules.Number + 1, Rules: stepped(rng, w.rules.Rules)}
+				next.pending = &ruleset.Version{Number: w.rules.Number + 1, Rules: mutateRules(rng, w.rules.Rules)}
 			}
 			words = append(words, next)
 		case 3:
@@ -140,9 +140,9 @@
 			}
 		}
 		offer()
-		q := p.Ask(now, p.lease.Step, -1)
+		q := p.NewRequest(now, p.lease.Step, -1)
 		q.Cluster = "till"
-		a, err := source.Answer(q, now+1)
+		a, err := source.Respond(q, now+1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -170,7 +170,7 @@
 				other.PendingDelta = &spoilt
 			}
 		case 5:
-			other.Form = 9
+			other.FormatVersion = 9
 		case 6:
 			other.RulesDelta = nil
 		case 7:
@@ -181,9 +181,9 @@
 	for range 60 { // no harm from here on
 		now += 1000
 		offer()
-		q := p.Ask(now, 0, -1)
+		q := p.NewRequest(now, 0, -1)
 		q.Cluster = "till"
-		a, err := source.Answer(q, now)
+		a, err := source.Respond(q, now)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -196,12 +196,12 @@
 }
 
 // partOf is a version as a replica has it.
-func partOf(t *testing.T, v *ruleset.Version) *ruleset.Version {
+func replicaPortion(t *testing.T, v *ruleset.Version) *ruleset.Version {
 	s, err := ruleset.Entries(v)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := ruleset.FromState(ruleset.Select(s, ruleset.Interest{Name: "m1", Around: Around}))
+	got, err := ruleset.FromState(ruleset.Select(s, ruleset.Interest{Name: "m1", Around: RingRadius}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -210,28 +210,28 @@
 
 // A version that this program does not know whole is named, and so is a pending one; what was known before is
 // a base still.
-func TestReplicaForeign(t *testing.T) {
+func TestReplicaIncompatibleVersion(t *testing.T) {
 	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000, Plans: []ruleset.Plan{{Name: "a"}},
 		Members: []ruleset.Member{{Name: "m1", Host: "h"}}}
 	later := r
 	later.Needs = []string{"moon"}
-	source := NewSource("h", "till", Bounds{})
+	source := NewSource("h", "till", SourceConfig{})
 	p := NewReplica("m1", 7, 1)
 	say := func(step uint64, rules ruleset.Rules, pending *ruleset.Rules) ruleset.Lease {
 		t.Helper()
-		v := View{Step: step, Begun: float64(step), Index: -1}
+		v := Snapshot{Step: step, ReadStartMillis: float64(step), DiscoveryIndex: -1}
 		v.Rules, _ = ruleset.Entries(&ruleset.Version{Number: step, Rules: rules})
 		if pending != nil {
 			v.Pending, _ = ruleset.Entries(&ruleset.Version{Number: step + 1, Rules: *pending})
 		}
-		source.Offer(v)
-		q := p.Ask(float64(step), 0, -1)
+		source.Publish(v)
+		q := p.NewRequest(float64(step), 0, -1)
 		q.Cluster = "till"
-		a, err := source.Answer(q, float64(step))
+		a, err := source.Respond(q, float64(step))
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, _, err := p.Hear(a, float64(step))
+		l, _, err := p.HandleResponse(a, float64(step))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -247,10 +247,11 @@
 	if l := say(4, r, nil); l.Foreign != "" || l.Version.Number != 4 || len(l.Version.Rules.Plans) != 1 {
 		t.Errorf("%+v", l)
 	}
-	if c := p.Counts(); c.Wholes != 1 || c.Deltas != 2 || c.Renewals != 1 {
+	if c := p.Counts(); c.FullStates != 1 || c.Deltas != 2 || c.Renewals != 1 {
 		t.Errorf("%+v", c)
 	}
-	if _, _, err := p.Hear(&Answer{Form: Form, Step: 5}, 9); !errors.Is(err, versioned.ErrBase) {
+	if _, _, err := p.HandleResponse(&Response{FormatVersion: FormatVersion, Step: 5}, 9); !errors.Is(err,
+		versioned.ErrBase) {
 		t.Errorf("an answer of no rules: %v", err)
 	}
 }
