--- a/internal/distribution/walk_test.go
+++ b/internal/distribution/walk_test.go
@@ -15,151 +15,152 @@
 )
 
 var (
-	walks  = flag.Int("walks", 200, "at random, of half a minute each")
-	walked = flag.Int64("seed", 0, "of the first walk")
+	walks     = flag.Int("walks", 200, "at random, of half a minute each")
+	firstSeed = flag.Int64("seed", 0, "of the first walk")
 )
 
 const (
-	stepMS  = 250.0 // of accord: from the last check to the write that it allows
-	slackMS = 2.0   // that clocks may miscount over a lease and the hops below a council, ms
+	maxStepMillis    = 250.0 // of accord: from the last check to the write that it allows
+	clockSlackMillis = 2.0   // that clocks may miscount over a lease and the hops below a council, ms
 )
 
 // planted is a break that the walks have to find.
-type planted uint8
+type injectedFault uint8
 
 const (
-	none        planted = iota
-	fromReceipt         // an age is counted from when the answer came
-	notAdded            // a relay tells the age of its parent's answer as it was, not with its own time
-	fromBefore          // words are taken that were read before the process began
-	unchecked           // a spoilt delta is taken, as if no digest were checked
-	lastWins            // of a host's facts the last one holds, not the highest
-	forOthers           // a relay says of the hosts below it what it knows itself
-	lowerTaken          // a word of a lower step is taken
-	diskIsProof         // what a disk copy says is gone by
-	anyQuestion         // an answer is taken for one to another question
-	plants
+	noFault        injectedFault = iota
+	ageFromReceipt               // an age is counted from when the answer came
+	// a relay tells the age of its parent's answer as it was, not with its own time
+	ageNotAccumulated
+	readBeforeStart   // words are taken that were read before the process began
+	digestUnchecked   // a spoilt delta is taken, as if no digest were checked
+	lastHostStepWins  // of a host's facts the last one holds, not the highest
+	reportedForOthers // a relay says of the hosts below it what it knows itself
+	lowerStepAccepted // a word of a lower step is taken
+	checkpointTrusted // what a disk copy says is gone by
+	nonceUnchecked    // an answer is taken for one to another question
+	faultCount
 )
 
-var plantedNames = [...]string{"none", "age from receipt", "age not added up", "read before it began",
+var faultNames = [...]string{"none", "age from receipt", "age not added up", "read before it began",
 	"digest not checked", "last fact wins", "said for others", "lower step taken", "disk copy as proof",
 	"answer to another question"}
 
 // node is one process: a council's daemon, a relay, a host's daemon or a gatekeeper. What is in it dies with
 // it; the clock and the disk stay.
 type node struct {
-	name, host   string
-	level, zone  int // zone: 0 of all
-	ups          []*node
-	interest     ruleset.Interest
-	fast, offset float64
-	still        float64 // until when it stands still, true time
-	life         int
-	began        float64 // true time
-	follower     *Follower
-	source       *Source
-	step         uint64 // highest that it has gone by in this life
-	version      uint64
-	viewed       versioned.Mark
-	facts        map[string]uint64 // as its source knew them
-	disk, coming *versioned.State
-	kept         View   // beside them, which none may go by
-	told         uint64 // highest Seen of the host, said by this life or one before
-	council      *ruleset.Council
-	steward      *ruleset.Steward
-	applied      int
-	warden       *ruleset.Warden
-	submitted    float64
-	gates        []*node // of a host's daemon
-	daemon       *node   // of a gatekeeper
-	holder       *ruleset.Holder
-	writes       []wrote
-	process      int
-	pair         [2]versioned.Mark
-	replica      *Replica // in place of a follower
-	before       *Answer  // the one before, which may come once more in place of another
-	mine         [2]*ruleset.Rules
-	leased       int
-}
-
-func (n *node) clock(now float64) float64    { return now*n.fast + n.offset }
-func (n *node) moment(clock float64) float64 { return (clock - n.offset) / n.fast }
+	name, host             string
+	level, zone            int // zone: 0 of all
+	upstreams              []*node
+	interest               ruleset.Interest
+	clockRate, clockOffset float64
+	stalledUntil           float64 // until when it stands still, true time
+	incarnation            int
+	startedAt              float64 // true time
+	follower               *Follower
+	source                 *Source
+	step                   uint64 // highest that it has gone by in this life
+	version                uint64
+	checkedRules           versioned.Mark
+	knownHostSteps         map[string]uint64 // as its source knew them
+	diskRules, diskPending *versioned.State
+	diskSnapshot           Snapshot // beside them, which none may go by
+	reportedStep           uint64   // highest Seen of the host, said by this life or one before
+	council                *ruleset.Council
+	steward                *ruleset.Steward
+	applied                int
+	warden                 *ruleset.Warden
+	submittedAt            float64
+	gateways               []*node // of a host's daemon
+	daemon                 *node   // of a gatekeeper
+	holder                 *ruleset.Holder
+	permits                []permit
+	processID              int
+	checkedPair            [2]versioned.Mark
+	replica                *Replica  // in place of a follower
+	previousResponse       *Response // the one before, which may come once more in place of another
+	decoded                [2]*ruleset.Rules
+	leasedTurns            int
+}
+
+func (n *node) clock(now float64) float64      { return now*n.clockRate + n.clockOffset }
+func (n *node) trueTime(clock float64) float64 { return (clock - n.clockOffset) / n.clockRate }
 
 // wrote is what was checked at a time and may be written up to a step later.
-type wrote struct {
+type permit struct {
 	at, rate, credit float64
-	of, step         uint64 // by which version, 0: by a fallback or none; and the step that it rests on
+	version, step    uint64 // by which version, 0: by a fallback or none; and the step that it rests on
 	bare             bool
 }
 
 type event struct {
-	at float64
-	do func()
+	at  float64
+	run func()
 }
 
 // said is what a council says at a step.
-type said struct {
+type published struct {
 	rules, pending versioned.Mark
 	states         [2]*versioned.State
-	until          float64 // true time at which the next step came
+	endedAt        float64 // true time at which the next step came
 }
 
-type ended struct {
-	at, allows, bound float64
-	number            uint64
+type supersededVersion struct {
+	endedAt, ceiling, boundMillis float64
+	number                        uint64
 }
 
 type walk struct {
-	rng       *rand.Rand
-	now       float64
-	log       []ruleset.Entry
-	truth     *ruleset.Council
-	nodes     []*node // those above before those below
-	roots     []*node
-	gates     []*node
-	later     []event
-	ended     []ended
-	allows    float64
-	steps     map[uint64]*said
-	states    map[string]*versioned.State // of a version, by its rules
-	leader    float64                     // when there is one again
-	plant     planted
-	calm      bool
-	counts    map[string]int
-	wrong     string
-	versions  map[versioned.Mark]*ruleset.Rules
-	processes int
-	numbers   uint64
-	replicas  bool // gatekeepers keep them, as they do with relayd
-}
-
-func (w *walk) bad(form string, args ...any) {
-	if w.wrong == "" {
-		w.wrong = fmt.Sprintf("at %.0f ", w.now) + fmt.Sprintf(form, args...)
+	rng        *rand.Rand
+	now        float64
+	log        []ruleset.Entry
+	reference  *ruleset.Council
+	nodes      []*node // those above before those below
+	roots      []*node
+	gateways   []*node
+	events     []event
+	superseded []supersededVersion
+	ceiling    float64
+	steps      map[uint64]*published
+	states     map[string]*versioned.State // of a version, by its rules
+	leaderFrom float64                     // when there is one again
+	fault      injectedFault
+	calm       bool
+	counts     map[string]int
+	violation  string
+	versions   map[versioned.Mark]*ruleset.Rules
+	processes  int
+	nonces     uint64
+	replicas   bool // gatekeepers keep them, as they do with relayd
+}
+
+func (w *walk) fail(form string, args ...any) {
+	if w.violation == "" {
+		w.violation = fmt.Sprintf("at %.0f ", w.now) + fmt.Sprintf(form, args...)
 	}
 }
 
 // in does something at a node after a random time, mostly soon and sometimes very late, never or twice; what
 // comes to one that stands still waits until it goes on, and what comes to a former life is lost.
-func (w *walk) in(to *node, do func()) {
+func (w *walk) deliver(to *node, do func()) {
 	life := 0
 	if to != nil {
-		life = to.life
+		life = to.incarnation
 	}
 	var come func()
 	come = func() {
 		if to == nil {
 			do()
-		} else if to.life != life {
+		} else if to.incarnation != life {
 			return
-		} else if to.still > w.now {
-			w.later = append(w.later, event{to.still, come})
+		} else if to.stalledUntil > w.now {
+			w.events = append(w.events, event{to.stalledUntil, come})
 		} else {
 			do()
 		}
 	}
 	if w.calm {
-		w.later = append(w.later, event{w.now + 5, come})
+		w.events = append(w.events, event{w.now + 5, come})
 		return
 	}
 	for n := []int{0, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1, 2}[w.rng.Intn(15)]; n > 0; n-- {
@@ -167,7 +168,7 @@
 		if w.rng.Intn(20) == 0 {
 			late = w.rng.Float64() * 2500
 		}
-		w.later = append(w.later, event{w.now + late, come})
+		w.events = append(w.events, event{w.now + late, come})
 	}
 }
 
@@ -193,12 +194,12 @@
 }
 
 func (w *walk) commit(e ruleset.Entry) {
-	if w.leader > w.now {
+	if w.leaderFrom > w.now {
 		return
 	}
-	st := w.truth.State()
+	st := w.reference.State()
 	old, before := st.InForce, st.Step
-	o := w.truth.Apply(e)
+	o := w.reference.Apply(e)
 	w.log = append(w.log, e)
 	if o.Refused != "" {
 		w.counts["refused"]++
@@ -209,25 +210,26 @@
 	if e.Act == ruleset.SeenAll && o.Refused == "" {
 		w.counts["seen"] += len(e.Hosts)
 	}
-	if st = w.truth.State(); st.Step != before {
+	if st = w.reference.State(); st.Step != before {
 		for s := before; s < st.Step; s++ {
 			if x := w.steps[s]; x != nil {
-				x.until = min(x.until, w.now)
+				x.endedAt = min(x.endedAt, w.now)
 			}
 		}
-		x := &said{until: math.Inf(1)}
+		x := &published{endedAt: math.Inf(1)}
 		x.states = [2]*versioned.State{w.state(&st.InForce), w.pending(st)}
 		x.rules, x.pending = x.states[0].Mark(), x.states[1].Mark()
 		w.steps[st.Step] = x
 	}
 	if o.InForce > 0 {
 		w.counts["in force"]++
-		w.ended = append(w.ended, ended{w.now, w.allows, ruleset.Bound(&old.Rules), old.Number})
-		w.allows = st.InForce.Rules.Plans[0].CeilingRate
+		w.superseded = append(w.superseded, supersededVersion{w.now, w.ceiling, ruleset.Bound(&old.Rules),
+			old.Number})
+		w.ceiling = st.InForce.Rules.Plans[0].CeilingRate
 	}
 }
 
-func (w *walk) rules() *ruleset.Rules {
+func (w *walk) randomRules() *ruleset.Rules {
 	ceiling := []float64{12, 24, 48, 96, 192}[w.rng.Intn(5)]
 	r := &ruleset.Rules{Form: ruleset.Form, Bound: ruleset.MostBound, Lease: 600 + w.rng.Float64()*1000,
 		Fallback: ruleset.Fallback{Part: w.rng.Float64(), For: w.rng.Float64() * 3000},
@@ -258,7 +260,7 @@
 // daemons and four gatekeepers. A chain has one branch, a tree two from the second level on.
 func (w *walk) build(depth int, tree bool) {
 	add := func(n *node) *node {
-		n.fast, n.offset = 1+(2*w.rng.Float64()-1)*drift, w.rng.Float64()*1e6
+		n.clockRate, n.clockOffset = 1+(2*w.rng.Float64()-1)*clockDrift, w.rng.Float64()*1e6
 		w.nodes = append(w.nodes, n)
 		return n
 	}
@@ -267,7 +269,7 @@
 	}
 	branches, around := [2][]*node{w.roots, w.roots}, 1
 	if w.replicas {
-		around = Around
+		around = RingRadius
 	}
 	for level := 1; level < depth; level++ {
 		for b := range 2 {
@@ -282,21 +284,21 @@
 					zone = b + 1
 				}
 				two = append(two, add(&node{name: fmt.Sprintf("r%d.%d.%d", level, b, i), level: level, zone: zone,
-					ups: branches[b], interest: ruleset.Interest{All: true}}))
+					upstreams: branches[b], interest: ruleset.Interest{All: true}}))
 			}
 			branches[b] = two
 		}
 	}
 	for b := range 2 {
 		d := add(&node{name: fmt.Sprint("daemon", b), host: fmt.Sprint("h", b), level: depth, zone: b + 1,
-			ups: branches[b], interest: ruleset.Interest{Host: fmt.Sprint("h", b), Around: around}})
+			upstreams: branches[b], interest: ruleset.Interest{Host: fmt.Sprint("h", b), Around: around}})
 		for _, g := range []string{"ab", "cd"}[b] {
-			n := &node{name: string(g), host: d.host, level: depth + 1, zone: b + 1, ups: []*node{d}, daemon: d,
+			n := &node{name: string(g), host: d.host, level: depth + 1, zone: b + 1, upstreams: []*node{d}, daemon: d,
 				interest: ruleset.Interest{Name: string(g), Around: around}}
-			d.gates, w.gates = append(d.gates, n), append(w.gates, n)
+			d.gateways, w.gateways = append(d.gateways, n), append(w.gateways, n)
 		}
 	}
-	for _, g := range w.gates {
+	for _, g := range w.gateways {
 		add(g)
 	}
 	for _, n := range w.nodes {
@@ -306,9 +308,10 @@
 
 // start begins a life of a node. disk: 0 as it was kept, 1 an older one, 2 none or torn.
 func (w *walk) start(n *node, disk int) {
-	n.life++
-	n.began, n.still, n.step, n.version, n.viewed, n.facts = w.now, 0, 0, 0, versioned.Mark{}, nil
-	n.pair, n.mine = [2]versioned.Mark{}, [2]*ruleset.Rules{}
+	n.incarnation++
+	n.startedAt, n.stalledUntil, n.step, n.version, n.checkedRules, n.knownHostSteps = w.now, 0, 0, 0,
+		versioned.Mark{}, nil
+	n.checkedPair, n.decoded = [2]versioned.Mark{}, [2]*ruleset.Rules{}
 	switch {
 	case n.council != nil: // it comes back with a snapshot, or with nothing
 		raw, err := n.council.Snapshot()
@@ -323,47 +326,49 @@
 		n.steward.Clock(n.clock(w.now))
 		n.steward.Applied()
 	case n.daemon != nil:
-		n.daemon.warden.Ended(n.process)
+		n.daemon.warden.Ended(n.processID)
 		w.processes++
-		n.process = w.processes
-		n.daemon.warden.Began(n.process, false)
-		n.holder, n.writes = ruleset.NewHolder(n.name, ruleset.Rules{}), nil
+		n.processID = w.processes
+		n.daemon.warden.Began(n.processID, false)
+		n.holder, n.permits = ruleset.NewHolder(n.name, ruleset.Rules{}), nil
 	}
-	if n.gates != nil {
+	if n.gateways != nil {
 		n.warden = &ruleset.Warden{}
-		for _, g := range n.gates {
-			if g.process > 0 {
-				n.warden.Began(g.process, true)
+		for _, g := range n.gateways {
+			if g.processID > 0 {
+				n.warden.Began(g.processID, true)
 			}
 		}
 	}
 	if n.daemon == nil {
-		n.source = NewSource(n.name, "c", Bounds{Life: uint64(w.rng.Int63()) | 1, WholeRate: 1000,
-			WholeBurst: 300})
+		n.source = NewSource(n.name, "c", SourceConfig{Incarnation: uint64(w.rng.Int63()) | 1,
+			FullStateBytesPerSecond: 1000,
+			FullStateBurstBytes:     300})
 	}
-	if n.ups == nil {
+	if n.upstreams == nil {
 		return
 	}
-	c := Config{Name: n.name, Cluster: "c", Upstream: len(n.ups), Interest: n.interest, Seed: w.rng.Int63(),
-		Booked: n.daemon != nil || w.plant == fromBefore}
-	if n.daemon == nil && n.gates == nil {
-		c.PerLease = 20
+	c := FollowerConfig{Name: n.name, Cluster: "c", Upstreams: len(n.upstreams), Interest: n.interest,
+		Seed:                  w.rng.Int63(),
+		UpstreamTracksProcess: n.daemon != nil || w.fault == readBeforeStart}
+	if n.daemon == nil && n.gateways == nil {
+		c.RequestsPerLease = 20
 	}
 	if n.replica = nil; n.daemon != nil && w.replicas {
-		n.replica = NewReplica(n.name, n.process, c.Seed)
+		n.replica = NewReplica(n.name, n.processID, c.Seed)
 	}
 	n.follower = NewFollower(c, n.clock(w.now))
-	n.follower.Holds(n.process, 0)
+	n.follower.SetHeldStep(n.processID, 0)
 	switch {
 	case n.daemon != nil: // a gatekeeper keeps none
 	case disk == 0:
-		n.follower.Base(n.disk, n.coming)
+		n.follower.AddBases(n.diskRules, n.diskPending)
 	case disk == 1:
-		n.follower.Base(n.older(w), nil)
+		n.follower.AddBases(n.older(w), nil)
 	}
-	if w.plant == diskIsProof && n.disk != nil && n.daemon == nil {
-		n.follower.has, n.follower.v = true, n.kept
-		n.follower.lease = ruleset.LeaseOf(n.disk)
+	if w.fault == checkpointTrusted && n.diskRules != nil && n.daemon == nil {
+		n.follower.hasSnapshot, n.follower.snapshot = true, n.diskSnapshot
+		n.follower.lease = ruleset.LeaseOf(n.diskRules)
 	}
 }
 
@@ -380,102 +385,102 @@
 }
 
 // drive is one look at the clock by each that does not stand still.
-func (w *walk) drive() {
+func (w *walk) runAll() {
 	for _, n := range w.nodes {
-		if n.still <= w.now {
-			w.turn(n)
+		if n.stalledUntil <= w.now {
+			w.runNode(n)
 		}
 		if n.holder == nil {
 			continue
 		}
 		// One that stands still, and goes on between two of its own lines, writes what May allows.
 		if t := n.holder.Current(); n.holder.May(n.clock(w.now)) && len(t.Plans) > 0 {
-			x := wrote{at: w.now, rate: t.Plans[0].Part.Rate, credit: t.Plans[0].Part.Credit, step: n.step,
+			x := permit{at: w.now, rate: t.Plans[0].Part.Rate, credit: t.Plans[0].Part.Credit, step: n.step,
 				bare: t.Mode == ruleset.Bare}
 			if t.Mode == ruleset.Leased {
-				x.of = t.Version
-				n.leased++
+				x.version = t.Version
+				n.leasedTurns++
 			}
-			n.writes = append(n.writes, x)
+			n.permits = append(n.permits, x)
 		}
-		n.writes = slices.DeleteFunc(n.writes, func(x wrote) bool { return x.at+stepMS < w.now })
+		n.permits = slices.DeleteFunc(n.permits, func(x permit) bool { return x.at+maxStepMillis < w.now })
 	}
 }
 
 // turn pulls what a node decides.
-func (w *walk) turn(n *node) {
+func (w *walk) runNode(n *node) {
 	if n.council != nil {
-		w.sit(n)
+		w.runRoot(n)
 		return
 	}
 	if n.replica != nil {
 		n.holder.Clock(n.clock(w.now))
 		for d, more := n.holder.Next(); more; d, more = n.holder.Next() {
 			if d.Kind == ruleset.Ask {
-				w.askFor(n)
+				w.sendReplicaRequest(n)
 			}
 		}
 		return
 	}
 	for done := false; !done; {
 		done = true
-		n.follower.Clock(n.clock(w.now))
+		n.follower.AdvanceClock(n.clock(w.now))
 		for {
-			d, more := n.follower.Next()
+			d, more := n.follower.NextAction()
 			if !more {
 				break
 			}
-			if d.Kind == AskOf {
-				w.ask(n, d)
+			if d.Kind == SendRequest {
+				w.sendFollowerRequest(n, d)
 			}
 		}
-		w.look(n)
+		w.checkFollower(n)
 		if n.holder != nil {
-			done = w.hold(n)
+			done = w.runHolder(n)
 		}
 	}
 	if n.source != nil && n.daemon == nil {
-		n.follower.Tell(n.source.Told())
+		n.follower.ReportHostSteps(n.source.TakeHostSteps())
 	}
 	if n.warden != nil {
-		w.say(n)
+		w.reportSeen(n)
 	}
-	if w.plant == forOthers && n.gates == nil && n.daemon == nil && n.step > 0 {
-		n.follower.Tell([]HostStep{{Host: "h0", Step: n.step}, {Host: "h1", Step: n.step}})
+	if w.fault == reportedForOthers && n.gateways == nil && n.daemon == nil && n.step > 0 {
+		n.follower.ReportHostSteps([]HostStep{{Host: "h0", Step: n.step}, {Host: "h1", Step: n.step}})
 	}
 }
 
 // say has a host's daemon say what all of its processes go by, and checks that it is so.
-func (w *walk) say(d *node) {
+func (w *walk) reportSeen(d *node) {
 	s := d.warden.Seen(d.step)
 	if s == 0 {
 		return
 	}
-	d.follower.Tell([]HostStep{{Host: d.host, Step: s}})
-	if s > d.told {
-		d.told = s
-		w.early(d.host, s)
+	d.follower.ReportHostSteps([]HostStep{{Host: d.host, Step: s}})
+	if s > d.reportedStep {
+		d.reportedStep = s
+		w.checkReported(d.host, s)
 	}
 }
 
 // early tells where a host is said to have seen what one of its processes has not.
-func (w *walk) early(host string, step uint64) {
-	for _, g := range w.gates {
+func (w *walk) checkReported(host string, step uint64) {
+	for _, g := range w.gateways {
 		if g.host != host {
 			continue
 		}
-		for _, x := range g.writes {
-			if !x.bare && x.step < step && x.at+stepMS >= w.now {
-				w.bad("%s is said to have seen step %d, and %s may write by step %d", host, step, g.name, x.step)
+		for _, x := range g.permits {
+			if !x.bare && x.step < step && x.at+maxStepMillis >= w.now {
+				w.fail("%s is said to have seen step %d, and %s may write by step %d", host, step, g.name, x.step)
 			}
 		}
 	}
 }
 
 // sit is a turn of a council's daemon.
-func (w *walk) sit(n *node) {
+func (w *walk) runRoot(n *node) {
 	for n.applied < len(w.log) && w.rng.Intn(3) > 0 {
-		w.apply(n)
+		w.applyEntry(n)
 	}
 	n.steward.Clock(n.clock(w.now))
 	n.steward.Leads(w.rng.Intn(2) == 0)
@@ -486,34 +491,34 @@
 		}
 		switch d.Kind {
 		case ruleset.Submit:
-			w.in(nil, func() { w.commit(d.Entry) })
+			w.deliver(nil, func() { w.commit(d.Entry) })
 		case ruleset.Read:
 			began, index := n.clock(w.now), len(w.log)
-			w.in(n, func() {
-				if w.leader > w.now {
+			w.deliver(n, func() {
+				if w.leaderFrom > w.now {
 					return
 				}
 				for n.applied < index {
-					w.apply(n)
+					w.applyEntry(n)
 				}
 				n.steward.Clock(n.clock(w.now))
 				n.steward.ReadDone(began)
 				if st := n.council.State(); st.InForce.Number > 0 {
-					n.source.Offer(View{Step: st.Step, Settled: st.Settled(), Begun: began,
-						Rules: w.state(&st.InForce), Pending: w.pending(st), Index: -1})
+					n.source.Publish(Snapshot{Step: st.Step, Settled: st.Settled(), ReadStartMillis: began,
+						Rules: w.state(&st.InForce), Pending: w.pending(st), DiscoveryIndex: -1})
 				}
 			})
 		}
 	}
-	if w.now-n.submitted >= 300 {
-		if facts := n.council.State().Gains(n.source.Facts()); len(facts) > 0 {
-			n.submitted = w.now
-			w.in(nil, func() { w.commit(ruleset.Entry{Act: ruleset.SeenAll, Hosts: facts}) })
+	if w.now-n.submittedAt >= 300 {
+		if facts := n.council.State().Gains(n.source.HostSteps()); len(facts) > 0 {
+			n.submittedAt = w.now
+			w.deliver(nil, func() { w.commit(ruleset.Entry{Act: ruleset.SeenAll, Hosts: facts}) })
 		}
 	}
 }
 
-func (w *walk) apply(n *node) {
+func (w *walk) applyEntry(n *node) {
 	n.council.Apply(w.log[n.applied])
 	n.applied++
 	n.steward.Clock(n.clock(w.now))
@@ -521,82 +526,83 @@
 }
 
 // ask sends a question on its way, and its answer back.
-func (w *walk) ask(n *node, d Decision) {
+func (w *walk) sendFollowerRequest(n *node, d Action) {
 	asked := n.clock(w.now)
-	w.send(n, n.ups[d.Upstream], d.Ask, func(r *Answer) {
+	w.send(n, n.upstreams[d.Upstream], d.Request, func(r *Response) {
 		f, asked := n.follower, asked
-		f.Clock(n.clock(w.now))
-		switch w.plant {
-		case fromReceipt:
-			asked, r.Number = n.clock(w.now), 0
-		case lowerTaken:
-			f.has = false
-		}
-		if r.Number != d.Ask.Number && w.plant == anyQuestion {
-			r.Number = 0
-		}
-		f.Heard(d.Upstream, asked, r)
-		w.turn(n)
+		f.AdvanceClock(n.clock(w.now))
+		switch w.fault {
+		case ageFromReceipt:
+			asked, r.Nonce = n.clock(w.now), 0
+		case lowerStepAccepted:
+			f.hasSnapshot = false
+		}
+		if r.Nonce != d.Request.Nonce && w.fault == nonceUnchecked {
+			r.Nonce = 0
+		}
+		f.HandleResponse(d.Upstream, asked, r)
+		w.runNode(n)
 	})
 }
 
 // askFor sends the question of a gatekeeper that keeps a replica, as its holder wants it, and has the holder
 // hear what came.
-func (w *walk) askFor(n *node) {
-	asked, a := n.clock(w.now), n.replica.Ask(n.clock(w.now), n.holder.Holds(), -1)
-	w.numbers++
-	a.Cluster, a.Number = "c", w.numbers
-	w.send(n, n.daemon, a, func(r *Answer) {
+func (w *walk) sendReplicaRequest(n *node) {
+	asked, a := n.clock(w.now), n.replica.NewRequest(n.clock(w.now), n.holder.Holds(), -1)
+	w.nonces++
+	a.Cluster, a.Nonce = "c", w.nonces
+	w.send(n, n.daemon, a, func(r *Response) {
 		asked := asked
 		switch {
-		case w.plant == fromReceipt:
+		case w.fault == ageFromReceipt:
 			asked = n.clock(w.now)
-		case w.plant == lowerTaken:
+		case w.fault == lowerStepAccepted:
 			n.replica.lease.Step = 0
-		case r.Number != a.Number && w.plant != anyQuestion: // as relayd's client has it
+		case r.Nonce != a.Nonce && w.fault != nonceUnchecked: // as relayd's client has it
 			return
 		}
 		n.holder.Clock(n.clock(w.now))
-		if l, _, err := n.replica.Hear(r, n.clock(w.now)); err == nil && l.Version.Number > 0 {
-			w.goes(n, &View{Step: l.Step, Begun: asked - l.Age, Rules: n.replica.rules, Pending: n.replica.pending})
+		if l, _, err := n.replica.HandleResponse(r, n.clock(w.now)); err == nil && l.Version.Number > 0 {
+			w.checkSnapshot(n, &Snapshot{Step: l.Step, ReadStartMillis: asked - l.Age, Rules: n.replica.rules,
+				Pending: n.replica.pending})
 			n.holder.Heard(l, asked)
 		}
-		w.turn(n)
+		w.runNode(n)
 	})
 }
 
 // send sends a question on its way, and its answer back, if the life that asked is still there.
-func (w *walk) send(n, up *node, a *Ask, came func(*Answer)) {
-	life := n.life
+func (w *walk) send(n, up *node, a *Request, came func(*Response)) {
+	life := n.incarnation
 	w.counts["asks"]++
-	w.in(up, func() {
+	w.deliver(up, func() {
 		if up.warden != nil {
-			if n.life != life { // a daemon knows which of its processes have ended
+			if n.incarnation != life { // a daemon knows which of its processes have ended
 				return
 			}
-			if up.warden.Asked(a.Process, a.Holds); up.step > 0 {
-				up.warden.Given(a.Process)
+			if up.warden.Asked(a.ProcessID, a.HeldStep); up.step > 0 {
+				up.warden.Given(a.ProcessID)
 			}
 		}
-		r, err := up.source.Answer(a, up.clock(w.now))
+		r, err := up.source.Respond(a, up.clock(w.now))
 		if err != nil {
-			w.bad("%s asks %s: %v", n.name, up.name, err)
+			w.fail("%s asks %s: %v", n.name, up.name, err)
 			return
 		}
-		w.remember(up)
-		r = w.spoil(r)
-		w.in(n, func() {
-			if n.life != life {
+		w.checkHostSteps(up)
+		r = w.corrupt(r)
+		w.deliver(n, func() {
+			if n.incarnation != life {
 				return
 			}
 			x := *r
-			if before := n.before; w.calm || before == nil || w.rng.Intn(30) > 0 {
-				n.before = r
+			if before := n.previousResponse; w.calm || before == nil || w.rng.Intn(30) > 0 {
+				n.previousResponse = r
 			} else {
 				x = *before
 			}
-			if w.plant == notAdded {
-				x.Age = 0
+			if w.fault == ageNotAccumulated {
+				x.AgeMillis = 0
 			}
 			came(&x)
 		})
@@ -604,7 +610,7 @@
 }
 
 // spoil has the network turn some deltas into others, now and then.
-func (w *walk) spoil(r *Answer) *Answer {
+func (w *walk) corrupt(r *Response) *Response {
 	x := *r
 	if r.RulesDelta == nil || w.calm || w.rng.Intn(10) > 0 {
 		return &x
@@ -616,7 +622,8 @@
 	} else {
 		d.Drop = append(slices.Clone(d.Drop), "rules")
 	}
-	if w.counts["spoilt"]++; w.plant == unchecked { // the marks are made to fit, as if they were not looked at
+	// the marks are made to fit, as if they were not looked at
+	if w.counts["spoilt"]++; w.fault == digestUnchecked {
 		if d.From.None() {
 			d.To = versioned.New(d.To.Number, d.Set).Mark()
 			x.Rules = d.To
@@ -627,57 +634,57 @@
 }
 
 // remember checks that what a source knows of hosts never goes back.
-func (w *walk) remember(n *node) {
+func (w *walk) checkHostSteps(n *node) {
 	now := map[string]uint64{}
-	for _, h := range n.source.Facts() {
+	for _, h := range n.source.HostSteps() {
 		now[h.Host] = h.Step
 	}
-	if w.plant == lastWins && len(now) > 0 && w.rng.Intn(50) == 0 { // one that came late
+	if w.fault == lastHostStepWins && len(now) > 0 && w.rng.Intn(50) == 0 { // one that came late
 		for h := range now {
-			n.source.facts[h] = now[h] - 1
+			n.source.hostSteps[h] = now[h] - 1
 			now[h]--
 		}
 	}
-	for h, step := range n.facts {
+	for h, step := range n.knownHostSteps {
 		if now[h] < step {
-			w.bad("%s knew that %s has seen step %d, and now %d", n.name, h, step, now[h])
+			w.fail("%s knew that %s has seen step %d, and now %d", n.name, h, step, now[h])
 		}
 	}
-	n.facts = now
+	n.knownHostSteps = now
 }
 
 // look checks what a node goes by now, and gives it on.
-func (w *walk) look(n *node) {
-	v, ok := n.follower.View()
+func (w *walk) checkFollower(n *node) {
+	v, ok := n.follower.Snapshot()
 	if !ok {
 		return
 	}
-	w.goes(n, &v)
+	w.checkSnapshot(n, &v)
 	if n.source != nil {
-		n.source.Offer(v)
+		n.source.Publish(v)
 	}
 }
 
 // goes checks a view that a node goes by.
-func (w *walk) goes(n *node, v *View) {
+func (w *walk) checkSnapshot(n *node, v *Snapshot) {
 	if v.Step < n.step || v.Rules.Mark().Number < n.version {
-		w.bad("%s goes from step %d back to %d", n.name, n.step, v.Step)
+		w.fail("%s goes from step %d back to %d", n.name, n.step, v.Step)
 	}
 	n.step, n.version = v.Step, v.Rules.Mark().Number
 	s := w.steps[v.Step]
 	if s == nil {
-		w.bad("%s goes by step %d, which never was", n.name, v.Step)
+		w.fail("%s goes by step %d, which never was", n.name, v.Step)
 		return
 	}
-	if begun := n.moment(v.Begun); begun > s.until+slackMS {
-		w.bad("%s goes by step %d as of %.1f, and that ended at %.1f", n.name, v.Step, begun, s.until)
-	} else if begun < n.began-slackMS && n.daemon == nil {
-		w.bad("%s began at %.1f and goes by what was read at %.1f", n.name, n.began, begun)
+	if begun := n.trueTime(v.ReadStartMillis); begun > s.endedAt+clockSlackMillis {
+		w.fail("%s goes by step %d as of %.1f, and that ended at %.1f", n.name, v.Step, begun, s.endedAt)
+	} else if begun < n.startedAt-clockSlackMillis && n.daemon == nil {
+		w.fail("%s began at %.1f and goes by what was read at %.1f", n.name, n.startedAt, begun)
 	}
-	if n.viewed == v.Rules.Mark() && n.pair == [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()} {
+	if n.checkedRules == v.Rules.Mark() && n.checkedPair == [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()} {
 		return
 	}
-	n.viewed, n.pair = v.Rules.Mark(), [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()}
+	n.checkedRules, n.checkedPair = v.Rules.Mark(), [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()}
 	for i, have := range []*versioned.State{v.Rules, v.Pending} {
 		want := s.states[i]
 		if want != nil {
@@ -685,78 +692,79 @@
 		}
 		if have.Mark() != want.Mark() || have != nil && versioned.New(have.Mark().Number,
 			versioned.Whole(have).Set).Mark() != want.Mark() {
-			w.bad("%s goes by %v at step %d, where there is %v", n.name, have.Mark(), v.Step, want.Mark())
+			w.fail("%s goes by %v at step %d, where there is %v", n.name, have.Mark(), v.Step, want.Mark())
 		}
 	}
 	if n.daemon == nil && w.rng.Intn(4) > 0 { // a write that did not come to be
-		n.disk, n.coming, n.kept = v.Rules, v.Pending, *v
+		n.diskRules, n.diskPending, n.diskSnapshot = v.Rules, v.Pending, *v
 	}
 }
 
 // hold has a gatekeeper's holder decide; false: its follower has news by that.
-func (w *walk) hold(n *node) bool {
+func (w *walk) runHolder(n *node) bool {
 	holds := n.holder.Holds()
 	n.holder.Clock(n.clock(w.now))
-	w.tell(n)
+	w.feedHolder(n)
 	for {
 		d, more := n.holder.Next()
 		if !more {
 			break
 		}
 		if d.Kind == ruleset.Ask {
-			w.tell(n)
+			w.feedHolder(n)
 		}
 	}
 	now := n.holder.Holds()
-	n.follower.Holds(n.process, now)
+	n.follower.SetHeldStep(n.processID, now)
 	return now == holds
 }
 
 // tell gives the holder what the follower has.
-func (w *walk) tell(n *node) {
-	v, ok := n.follower.View()
+func (w *walk) feedHolder(n *node) {
+	v, ok := n.follower.Snapshot()
 	if !ok {
 		return
 	}
-	l := ruleset.Lease{Step: v.Step, Settled: v.Settled, Age: v.Age(n.clock(w.now))}
+	l := ruleset.Lease{Step: v.Step, Settled: v.Settled, Age: v.AgeMillis(n.clock(w.now))}
 	for i, s := range []*versioned.State{v.Rules, v.Pending} {
 		if s == nil {
-			n.mine[i] = nil
+			n.decoded[i] = nil
 			continue
 		}
 		r := w.versions[s.Mark()]
 		if r == nil {
 			x, err := ruleset.FromState(s)
 			if err != nil {
-				w.bad("%s: %v", n.name, err)
+				w.fail("%s: %v", n.name, err)
 				return
 			}
 			r = &x.Rules
 			w.versions[s.Mark()] = r
 		}
-		n.mine[i] = r
+		n.decoded[i] = r
 	}
-	l.Version, l.Pending = ruleset.Version{Number: v.Rules.Mark().Number, Rules: *n.mine[0]}, n.mine[1]
+	l.Version, l.Pending = ruleset.Version{Number: v.Rules.Mark().Number, Rules: *n.decoded[0]}, n.decoded[1]
 	n.holder.Heard(l, n.clock(w.now))
 }
 
 // trouble is something at random.
-func (w *walk) trouble() {
+func (w *walk) injectDisturbance() {
 	n := w.nodes[w.rng.Intn(len(w.nodes))]
-	base := w.truth.State().InForce.Number
+	base := w.reference.State().InForce.Number
 	switch w.rng.Intn(16) {
 	case 0, 1, 2, 3, 4, 5:
-		w.commit(ruleset.Entry{Act: ruleset.Propose, ID: fmt.Sprint(len(w.log)), Base: base, Rules: w.rules()})
+		w.commit(ruleset.Entry{Act: ruleset.Propose, ID: fmt.Sprint(len(w.log)), Base: base,
+			Rules: w.randomRules()})
 	case 6:
 		w.commit(ruleset.Entry{Act: ruleset.Withdraw, ID: fmt.Sprint(len(w.log)), Base: base})
 	case 7, 8, 9, 10:
-		n.still = w.now + w.rng.Float64()*4000
+		n.stalledUntil = w.now + w.rng.Float64()*4000
 		w.counts["stalls"]++
 	case 11, 12, 13:
 		w.start(n, w.rng.Intn(3))
 		w.counts["restarts"]++
 	case 14:
-		w.leader = w.now + w.rng.Float64()*1500
+		w.leaderFrom = w.now + w.rng.Float64()*1500
 		w.counts["leaders"]++
 	default:
 		zone := 1 + w.rng.Intn(2)
@@ -770,39 +778,41 @@
 }
 
 // pass does what is due.
-func (w *walk) pass() {
-	for i := 0; i < len(w.later); i++ {
-		if e := w.later[i]; e.at <= w.now {
-			w.later = slices.Delete(w.later, i, i+1)
+func (w *walk) deliverDue() {
+	for i := 0; i < len(w.events); i++ {
+		if e := w.events[i]; e.at <= w.now {
+			w.events = slices.Delete(w.events, i, i+1)
 			i--
-			e.do()
+			e.run()
 		}
 	}
 }
 
 // judge looks at the sum of what all may write, and by what.
-func (w *walk) judge() {
+func (w *walk) checkCeilings() {
 	var rate, credit float64
-	w.ended = slices.DeleteFunc(w.ended, func(e ended) bool { return w.now > e.at+e.bound })
-	inForce := w.truth.State().InForce.Number
-	for _, g := range w.gates {
+	w.superseded = slices.DeleteFunc(w.superseded,
+		func(e supersededVersion) bool { return w.now > e.endedAt+e.boundMillis })
+	inForce := w.reference.State().InForce.Number
+	for _, g := range w.gateways {
 		var r, c float64
-		for _, x := range g.writes {
+		for _, x := range g.permits {
 			r, c = max(r, x.rate), max(c, x.credit)
-			if x.of > 0 && x.of != inForce && !slices.ContainsFunc(w.ended, func(e ended) bool {
-				return e.number == x.of
-			}) {
-				w.bad("%s acts on version %d still", g.name, x.of)
+			if x.version > 0 && x.version != inForce && !slices.ContainsFunc(w.superseded,
+				func(e supersededVersion) bool {
+					return e.number == x.version
+				}) {
+				w.fail("%s acts on version %d still", g.name, x.version)
 			}
 		}
 		rate, credit = rate+r, credit+c
 	}
-	allowed := w.allows
-	for _, e := range w.ended {
-		allowed = max(allowed, e.allows)
+	allowed := w.ceiling
+	for _, e := range w.superseded {
+		allowed = max(allowed, e.ceiling)
 	}
 	if most := allowed * (1 + 1e-9); rate > most || credit > most {
-		w.bad("all write by %v and %v of %v", rate, credit, allowed)
+		w.fail("all write by %v and %v of %v", rate, credit, allowed)
 	}
 	if w.counts["moments"]++; allowed > 0 && rate >= allowed*(1-1e-9) {
 		w.counts["full"]++
@@ -810,38 +820,38 @@
 }
 
 // walking walks for a time in ms, and then ten seconds with no trouble; it gives what is wrong.
-func walking(seed int64, until float64, plant planted) (string, map[string]int) {
-	w := &walk{rng: rand.New(rand.NewSource(seed)), truth: ruleset.NewCouncil(), counts: map[string]int{},
-		plant: plant, steps: map[uint64]*said{}, states: map[string]*versioned.State{},
+func runWalk(seed int64, until float64, plant injectedFault) (string, map[string]int) {
+	w := &walk{rng: rand.New(rand.NewSource(seed)), reference: ruleset.NewCouncil(), counts: map[string]int{},
+		fault: plant, steps: map[uint64]*published{}, states: map[string]*versioned.State{},
 		versions: map[versioned.Mark]*ruleset.Rules{}}
 	w.replicas = seed/8%3 > 0
 	w.build(1+int(seed)%4, seed/4%2 == 0)
-	w.commit(ruleset.Entry{Act: ruleset.Propose, ID: "first", Rules: w.rules()})
-	for next := 1000.0; w.now < until && w.wrong == ""; w.now += w.rng.ExpFloat64() * 15 {
-		w.pass()
+	w.commit(ruleset.Entry{Act: ruleset.Propose, ID: "first", Rules: w.randomRules()})
+	for next := 1000.0; w.now < until && w.violation == ""; w.now += w.rng.ExpFloat64() * 15 {
+		w.deliverDue()
 		if w.now > next {
-			w.trouble()
+			w.injectDisturbance()
 			next = w.now + w.rng.ExpFloat64()*[]float64{100, 1000, 3000}[w.rng.Intn(3)]
 		}
-		w.drive()
-		w.judge()
+		w.runAll()
+		w.checkCeilings()
 	}
-	w.calm, w.leader = true, 0
+	w.calm, w.leaderFrom = true, 0
 	for _, n := range w.nodes {
-		n.still = 0
+		n.stalledUntil = 0
 	}
-	for end := w.now + 10000; w.now < end && w.wrong == ""; w.now += w.rng.ExpFloat64() * 10 {
-		w.pass()
-		w.drive()
-		w.judge()
+	for end := w.now + 10000; w.now < end && w.violation == ""; w.now += w.rng.ExpFloat64() * 10 {
+		w.deliverDue()
+		w.runAll()
+		w.checkCeilings()
 	}
-	if st := w.truth.State(); w.wrong == "" {
+	if st := w.reference.State(); w.violation == "" {
 		if st.Pending != nil {
-			w.bad("ten seconds without trouble, and it waits: %s", st.Waits())
+			w.fail("ten seconds without trouble, and it waits: %s", st.Waits())
 		}
-		for _, g := range w.gates {
+		for _, g := range w.gateways {
 			if t := g.holder.Current(); t.Mode != ruleset.Leased || t.Version != st.InForce.Number {
-				w.bad("ten seconds without trouble, and %s is %v by version %d of %d: %+v", g.name, t.Mode, t.Version,
+				w.fail("ten seconds without trouble, and %s is %v by version %d of %d: %+v", g.name, t.Mode, t.Version,
 					st.InForce.Number, g.follower.Counts())
 			}
 		}
@@ -849,25 +859,25 @@
 	for _, n := range w.nodes {
 		if n.follower != nil {
 			c := n.follower.Counts()
-			w.counts["taken"] += int(c.Taken)
+			w.counts["taken"] += int(c.Updates)
 			w.counts["deltas"] += int(c.Deltas)
-			w.counts["wholes"] += int(c.Wholes)
-			w.counts["digest"] += int(c.Digest)
-			w.counts["base"] += int(c.Base)
-			w.counts["late"] += int(c.Late)
-			w.counts["before"] += int(c.Before)
-			w.counts["busy"] += int(c.Busy)
-			w.counts["bad"] += int(c.Bad)
-			w.counts["switched"] += int(c.Switched)
+			w.counts["wholes"] += int(c.FullStates)
+			w.counts["digest"] += int(c.DigestMismatches)
+			w.counts["base"] += int(c.BaseMismatches)
+			w.counts["late"] += int(c.Stale)
+			w.counts["before"] += int(c.BeforeStart)
+			w.counts["busy"] += int(c.Deferred)
+			w.counts["bad"] += int(c.Invalid)
+			w.counts["switched"] += int(c.UpstreamSwitches)
 		}
 	}
-	return w.wrong, w.counts
+	return w.violation, w.counts
 }
 
 func TestWalks(t *testing.T) {
 	all := map[string]int{}
-	for seed := *walked; seed < *walked+int64(*walks); seed++ {
-		wrong, counts := walking(seed, 30000, none)
+	for seed := *firstSeed; seed < *firstSeed+int64(*walks); seed++ {
+		wrong, counts := runWalk(seed, 30000, noFault)
 		if wrong != "" {
 			t.Fatalf("seed %d: %s", seed, wrong)
 		}
@@ -887,17 +897,17 @@
 	}
 }
 
-func TestWalksFindPlantedBreaks(t *testing.T) {
-	for p := fromReceipt; p < plants; p++ {
+func TestWalksFindInjectedFaults(t *testing.T) {
+	for p := ageFromReceipt; p < faultCount; p++ {
 		found := false
 		for seed := int64(0); seed < 60 && !found; seed++ {
-			wrong, _ := walking(seed, 30000, p)
+			wrong, _ := runWalk(seed, 30000, p)
 			if found = wrong != ""; found {
-				t.Logf("%s: seed %d: %s", plantedNames[p], seed, wrong)
+				t.Logf("%s: seed %d: %s", faultNames[p], seed, wrong)
 			}
 		}
 		if !found {
-			t.Errorf("%s: not found", plantedNames[p])
+			t.Errorf("%s: not found", faultNames[p])
 		}
 	}
 }
@@ -907,27 +917,28 @@
 // so, and 24 is in force at 950, as nobody has a fallback that passes more. Then one host begins anew, a
 // relay that lags tells it 96 as of 900, with nothing pending, and it is cut off. From 2,200 on, when B is
 // over, its fallback of 96 is 24, and beside the other's 12 that is more than 24.
-func TestLifeBefore(t *testing.T) {
-	r := rules(2, 96)
+func TestReadBeforeStart(t *testing.T) {
+	r := testRules(2, 96)
 	r.Fallback.For = 5000
-	v1 := state(t, 1, r)
+	v1 := testState(t, 1, r)
 	for booked, most := range map[bool]float64{false: 0, true: 24} {
-		s := NewSource("lags", "c", Bounds{})
-		s.Offer(View{Step: 2, Settled: true, Begun: 900, Rules: v1, Index: -1})
-		f := NewFollower(Config{Name: "g0", Cluster: "c", Upstream: 1, Interest: ruleset.Interest{Name: "g0"},
-			Booked: booked}, 1000)
+		s := NewSource("lags", "c", SourceConfig{})
+		s.Publish(Snapshot{Step: 2, Settled: true, ReadStartMillis: 900, Rules: v1, DiscoveryIndex: -1})
+		f := NewFollower(FollowerConfig{Name: "g0", Cluster: "c", Upstreams: 1,
+			Interest:              ruleset.Interest{Name: "g0"},
+			UpstreamTracksProcess: booked}, 1000)
 		h := ruleset.NewHolder("g0", ruleset.Rules{Plans: r.Plans})
 		for now := 1000.0; now <= 2300; now += 10 {
 			if now < 1300 {
-				told(t, f, now, s)
+				exchange(t, f, now, s)
 			}
 			h.Clock(now)
-			if v, ok := f.View(); ok {
+			if v, ok := f.Snapshot(); ok {
 				x, err := ruleset.FromState(v.Rules)
 				if err != nil {
 					t.Fatal(err)
 				}
-				h.Heard(ruleset.Lease{Step: v.Step, Version: x, Settled: v.Settled, Age: v.Age(now)}, now)
+				h.Heard(ruleset.Lease{Step: v.Step, Version: x, Settled: v.Settled, Age: v.AgeMillis(now)}, now)
 			}
 			for _, more := h.Next(); more; _, more = h.Next() {
 			}
@@ -935,17 +946,17 @@
 		if got := h.Current().Plans[0].Part.Rate; !h.May(2300) || got != most {
 			t.Errorf("booked %v: %v passes under a ceiling of 24, beside 12: %+v", booked, got, h.Current())
 		}
-		if n := f.Counts().Before; (n == 0) != booked {
+		if n := f.Counts().BeforeStart; (n == 0) != booked {
 			t.Errorf("booked %v: %d of before", booked, n)
 		}
 	}
 }
 
 // switched is how often any has left its upstream.
-func (w *walk) switched() (n int64) {
+func (w *walk) upstreamSwitches() (n int64) {
 	for _, x := range w.nodes {
 		if x.follower != nil {
-			n += x.follower.Counts().Switched
+			n += x.follower.Counts().UpstreamSwitches
 		}
 	}
 	return n
@@ -953,38 +964,38 @@
 
 // A change, with all in touch and 5 ms each way, is gone by at the last gatekeeper below four hops within a
 // lease; nobody leaves its upstream.
-func TestTimeInForce(t *testing.T) {
+func TestTimeToActivation(t *testing.T) {
 	for depth := 1; depth <= 4; depth++ {
-		w := &walk{rng: rand.New(rand.NewSource(int64(depth))), truth: ruleset.NewCouncil(), calm: true,
-			counts: map[string]int{}, steps: map[uint64]*said{}, states: map[string]*versioned.State{},
+		w := &walk{rng: rand.New(rand.NewSource(int64(depth))), reference: ruleset.NewCouncil(), calm: true,
+			counts: map[string]int{}, steps: map[uint64]*published{}, states: map[string]*versioned.State{},
 			versions: map[versioned.Mark]*ruleset.Rules{}}
 		w.build(depth, true)
 		var all, old []float64
 		before := int64(0)
 		next, since := 0.0, math.Inf(1)
-		for i := 0; len(all) < 40 && w.wrong == ""; w.now += 5 {
-			w.pass()
+		for i := 0; len(all) < 40 && w.violation == ""; w.now += 5 {
+			w.deliverDue()
 			if w.now >= next {
-				r := w.rules()
+				r := w.randomRules()
 				r.Lease, r.Fallback.Part = 1000, 0.1
 				r.Members = []ruleset.Member{{Name: "a", Host: "h0"}, {Name: "b", Host: "h0"}, {Name: "c", Host: "h1"},
 					{Name: "d", Host: "h1"}}
-				w.commit(ruleset.Entry{Act: ruleset.Propose, ID: fmt.Sprint(i), Base: w.truth.State().InForce.Number,
+				w.commit(ruleset.Entry{Act: ruleset.Propose, ID: fmt.Sprint(i), Base: w.reference.State().InForce.Number,
 					Rules: r})
 				i++
 				next, since = w.now+2000+w.rng.Float64()*100, w.now
 			}
-			w.drive()
-			w.judge()
+			w.runAll()
+			w.checkCeilings()
 			if w.now == 50000 { // all that found another one still empty have gone back
-				before = w.switched()
+				before = w.upstreamSwitches()
 			}
 			last := !math.IsInf(since, 1)
-			for _, g := range w.gates {
-				if v, ok := g.follower.View(); ok && w.now > 8000 {
-					old = append(old, v.Age(g.clock(w.now)))
+			for _, g := range w.gateways {
+				if v, ok := g.follower.Snapshot(); ok && w.now > 8000 {
+					old = append(old, v.AgeMillis(g.clock(w.now)))
 				}
-				if c := g.holder.Current(); c.Version != w.truth.State().InForce.Number || c.Mode != ruleset.Leased {
+				if c := g.holder.Current(); c.Version != w.reference.State().InForce.Number || c.Mode != ruleset.Leased {
 					last = false
 				}
 			}
@@ -995,11 +1006,11 @@
 		slices.Sort(all)
 		slices.Sort(old)
 		switched := -before
-		switched += w.switched()
+		switched += w.upstreamSwitches()
 		t.Logf("%d hops, 40 changes: at the last after %.0f ms, at worst %.0f; %.0f ms old, at worst %.0f",
 			depth+1, all[len(all)/2], all[len(all)-1], old[len(old)/2], old[len(old)-1])
-		if w.wrong != "" || all[len(all)-1] > 1000 || old[len(old)-1] > 600 || switched > 0 {
-			t.Errorf("%s; %d left their upstream", w.wrong, switched)
+		if w.violation != "" || all[len(all)-1] > 1000 || old[len(old)-1] > 600 || switched > 0 {
+			t.Errorf("%s; %d left their upstream", w.violation, switched)
 		}
 	}
 }
--- a/internal/gateway/lifecycle/agree.go
+++ b/internal/gateway/lifecycle/agree.go
@@ -80,8 +80,8 @@
 
 // answer is what came on a question that was sent at a time, ms.
 type answer struct {
-	told    *distribution.Answer // nil: the lease holds, of one that tells all
-	older   bool                 // the daemon does not answer at AskPath
+	told    *distribution.Response // nil: the lease holds, of one that tells all
+	older   bool                   // the daemon does not answer at AskPath
 	lease   ruleset.Lease
 	highest int64
 	asked   float64
@@ -198,7 +198,7 @@
 		go func() { a.answer <- a.call(at, within) }()
 		return
 	}
-	changes := a.copied.Ask(boot(), holds, index)
+	changes := a.copied.NewRequest(boot(), holds, index)
 	go func() {
 		got := a.callFor(changes, within)
 		if got.older {
@@ -210,17 +210,17 @@
 }
 
 // callFor asks the daemon for changes and waits for so many ms at most.
-func (a *agreement) callFor(changes *distribution.Ask, within float64) (got answer) {
+func (a *agreement) callFor(changes *distribution.Request, within float64) (got answer) {
 	got.asked = boot()
-	got.told, got.err = a.client.Ask(0, changes, within)
+	got.told, got.err = a.client.Fetch(0, changes, within)
 	var status *relay.StatusError
 	switch {
 	case got.err == nil:
-		got.highest = got.told.Index
+		got.highest = got.told.DiscoveryIndex
 	case errors.As(got.err, &status):
 		got.older = status.Code == http.StatusNotFound || status.Code == http.StatusMethodNotAllowed
 	default:
-		got.spoilt = errors.Is(got.err, relay.ErrSpoilt)
+		got.spoilt = errors.Is(got.err, relay.ErrCorruptResponse)
 	}
 	return got
 }
@@ -323,12 +323,12 @@
 
 // replica takes what the daemon tells of changes, and gives it as a lease. Rules that it can't go by are
 // named each time; a lease without a number is no news.
-func (a *agreement) replica(told *distribution.Answer, l *ruleset.Lease) (why string) {
-	next, news, err := a.copied.Hear(told, boot())
+func (a *agreement) replica(told *distribution.Response, l *ruleset.Lease) (why string) {
+	next, news, err := a.copied.HandleResponse(told, boot())
 	counts := a.copied.Counts()
 	a.counts.Store(&counts)
 	switch {
-	case errors.Is(err, distribution.ErrBusy):
+	case errors.Is(err, distribution.ErrDeferred):
 		a.silent.Add(1)
 		return ""
 	case err != nil:
@@ -497,8 +497,8 @@
 	add("rules.unanswered", a.silent.Load())
 	add("rules.recalled", a.g.desk.Recalled())
 	t := a.client.Traffic()
-	add("rules.bytes_in", a.bytesIn.Load()+t.In)
-	add("rules.bytes_out", a.bytesOut.Load()+t.Out)
+	add("rules.bytes_in", a.bytesIn.Load()+t.ReceivedBytes)
+	add("rules.bytes_out", a.bytesOut.Load()+t.SentBytes)
 	add("rules.work_us", a.work.Load()/1000)
 	c := a.counts.Load()
 	if c == nil {
@@ -506,11 +506,11 @@
 	}
 	add("rules.renewals", c.Renewals)
 	add("rules.deltas", c.Deltas)
-	add("rules.wholes", c.Wholes)
-	add("rules.busy", c.Busy)
-	add("rules.spoilt", c.Base+c.Digest+c.Bad)
-	add("rules.spoilt.base", c.Base)
-	add("rules.spoilt.digest", c.Digest)
+	add("rules.wholes", c.FullStates)
+	add("rules.busy", c.Deferred)
+	add("rules.spoilt", c.BaseMismatches+c.DigestMismatches+c.Invalid)
+	add("rules.spoilt.base", c.BaseMismatches)
+	add("rules.spoilt.digest", c.DigestMismatches)
 	add("discovery.index", a.g.discovered())
 	add("discovery.index_highest", a.highest.Load())
 }
--- a/internal/gateway/lifecycle/ask_test.go
+++ b/internal/gateway/lifecycle/ask_test.go
@@ -22,12 +22,12 @@
 	t      *testing.T
 	at     string
 	mu     sync.Mutex
-	older  bool                        // it tells all, as a daemon of an older program does
-	tells  func(*distribution.Answer)  // what it does to an answer; nil for nothing
-	says   func(w http.ResponseWriter) // in place of one; nil for that
+	older  bool                         // it tells all, as a daemon of an older program does
+	tells  func(*distribution.Response) // what it does to an answer; nil for nothing
+	says   func(w http.ResponseWriter)  // in place of one; nil for that
 	lease  ruleset.Lease
 	source *distribution.Source
-	last   distribution.Ask
+	last   distribution.Request
 	asked  int // for changes
 	whole  int // for all
 	bare   int // with nothing here
@@ -61,7 +61,7 @@
 	return x
 }
 
-func (x *teller) answer(a *distribution.Ask) (*distribution.Answer, error) {
+func (x *teller) answer(a *distribution.Request) (*distribution.Response, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.last = *a
@@ -69,10 +69,11 @@
 		x.bare++
 	}
 	if x.source == nil {
-		return nil, &relay.Refusal{Reason: "unconfirmed", Says: "nothing is in force"}
+		return nil, &relay.RejectionError{Reason: "unconfirmed", Message: "nothing is in force"}
 	}
 	now := boot()
-	v := distribution.View{Step: x.lease.Step, Settled: x.lease.Settled, Begun: now, Index: -1}
+	v := distribution.Snapshot{Step: x.lease.Step, Settled: x.lease.Settled, ReadStartMillis: now,
+		DiscoveryIndex: -1}
 	var err error
 	if v.Rules, err = ruleset.Entries(&x.lease.Version); err == nil && x.lease.Pending != nil {
 		next := ruleset.Version{Number: x.lease.Version.Number + 1, Rules: *x.lease.Pending}
@@ -82,8 +83,8 @@
 		return nil, err
 	}
 	a.Cluster = "till"
-	x.source.Offer(v)
-	got, err := x.source.Answer(a, now)
+	x.source.Publish(v)
+	got, err := x.source.Respond(a, now)
 	if err != nil || x.tells == nil {
 		return got, err
 	}
@@ -98,7 +99,7 @@
 	defer x.mu.Unlock()
 	x.tells, x.says = nil, nil
 	if x.source == nil {
-		x.source = distribution.NewSource("h", "till", distribution.Bounds{})
+		x.source = distribution.NewSource("h", "till", distribution.SourceConfig{})
 	}
 	x.lease = ruleset.Lease{Step: x.lease.Step + 1, Version: ruleset.Version{Number: number, Rules: r},
 		Settled: true, Pending: pending}
@@ -108,11 +109,11 @@
 func (x *teller) begins(older bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.older, x.source = older, distribution.NewSource("h", "till", distribution.Bounds{})
+	x.older, x.source = older, distribution.NewSource("h", "till", distribution.SourceConfig{})
 }
 
 // does has it change its answers from now on.
-func (x *teller) does(tells func(*distribution.Answer)) {
+func (x *teller) does(tells func(*distribution.Response)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.tells = tells
@@ -125,7 +126,7 @@
 }
 
 // seen gives what it was asked last, and how often.
-func (x *teller) seen() (last distribution.Ask, asked, whole, bare int) {
+func (x *teller) seen() (last distribution.Request, asked, whole, bare int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.last, x.asked, x.whole, x.bare
@@ -148,7 +149,7 @@
 func TestFirstAnswerLate(t *testing.T) {
 	x := newTeller(t)
 	x.leases(1, rules(1000, 1000), nil)
-	x.does(func(a *distribution.Answer) {
+	x.does(func(a *distribution.Response) {
 		if a.RulesDelta != nil { // renewals come at once
 			time.Sleep(80 * time.Millisecond)
 		}
@@ -172,10 +173,13 @@
 	if n := d.figure("members"); n != 1000 {
 		t.Errorf("%d members", n)
 	}
-	until(t, "it does not say what it holds", func() bool { last, _, _, _ := x.seen(); return last.Holds == 1 })
+	until(t, "it does not say what it holds", func() bool {
+		last, _, _, _ := x.seen()
+		return last.HeldStep == 1
+	})
 	last, _, _, _ := x.seen()
-	if last.From != "n0" || last.Process == 0 ||
-		last.Interest != (ruleset.Interest{Name: "n0", Around: distribution.Around}) {
+	if last.Sender != "n0" || last.ProcessID == 0 ||
+		last.Interest != (ruleset.Interest{Name: "n0", Around: distribution.RingRadius}) {
 		t.Errorf("it asks %+v", last)
 	}
 	in, renewals := d.figure("rules.bytes_in"), d.figure("rules.renewals")
@@ -210,11 +214,11 @@
 func TestChangesSpoilt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		tells  func(*distribution.Answer)
+		tells  func(*distribution.Response)
 		figure string
 		base   bool // what is here is still a base
 	}{
-		{"another value", func(a *distribution.Answer) {
+		{"another value", func(a *distribution.Response) {
 			if a.RulesDelta != nil {
 				d := *a.RulesDelta
 				d.Set = slices.Clone(d.Set)
@@ -222,25 +226,25 @@
 				a.RulesDelta = &d
 			}
 		}, "rules.spoilt.digest", false},
-		{"a value is missing", func(a *distribution.Answer) {
+		{"a value is missing", func(a *distribution.Response) {
 			if a.RulesDelta != nil {
 				d := *a.RulesDelta
 				d.Set = d.Set[1:]
 				a.RulesDelta = &d
 			}
 		}, "rules.spoilt.digest", false},
-		{"against another base", func(a *distribution.Answer) {
+		{"against another base", func(a *distribution.Response) {
 			if a.RulesDelta != nil {
 				d := *a.RulesDelta
 				d.From.Number += 7
 				a.RulesDelta = &d
 			}
 		}, "rules.spoilt.base", false},
-		{"without the change", func(a *distribution.Answer) { a.RulesDelta = nil }, "rules.spoilt.base", false},
-		{"another pending one", func(a *distribution.Answer) {
+		{"without the change", func(a *distribution.Response) { a.RulesDelta = nil }, "rules.spoilt.base", false},
+		{"another pending one", func(a *distribution.Response) {
 			a.Pending = versioned.Mark{Number: 9, Digest: versioned.Digest{1}}
 		}, "rules.spoilt.base", false},
-		{"another form", func(a *distribution.Answer) { a.Form = 9 }, "rules.spoilt", true},
+		{"another form", func(a *distribution.Response) { a.FormatVersion = 9 }, "rules.spoilt", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -291,12 +295,12 @@
 		})},
 		{"rules that make no sense", with(func(r *ruleset.Rules) { r.Plans[0].Rate = -1 })},
 		{"an address that is none", with(func(r *ruleset.Rules) { r.Members[0].Peers = "x" })},
-		{"no time", func(x *teller) { x.does(func(a *distribution.Answer) { a.Age = -5 }) }},
+		{"no time", func(x *teller) { x.does(func(a *distribution.Response) { a.AgeMillis = -5 }) }},
 		{"garbled", bare(func(w http.ResponseWriter) { w.Write([]byte("\x81\x01")) })},
 		{"nothing", bare(func(w http.ResponseWriter) {})},
 		{"too long", bare(func(w http.ResponseWriter) {
 			w.Write(bytes.Repeat([]byte(" "),
-				distribution.MostAnswer+1))
+				distribution.MaxResponseBytes+1))
 		})},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -361,9 +365,9 @@
 	x := newTeller(t)
 	d := asksFor(t, x)
 	x.leases(1, rules(1000, 1000), nil)
-	x.does(func(a *distribution.Answer) {
+	x.does(func(a *distribution.Response) {
 		if a.RulesDelta != nil {
-			a.RulesDelta, a.Busy = nil, 400
+			a.RulesDelta, a.RetryAfterMillis = nil, 400
 		}
 	})
 	until(t, "never put off", func() bool { return d.figure("rules.busy") > 0 })
@@ -391,7 +395,7 @@
 		t.Helper()
 		until(t, fmt.Sprintf("it does not hold step %d", step), func() bool {
 			last, _, _, _ := x.seen()
-			return last.Holds == step
+			return last.HeldStep == step
 		})
 	}
 	holds(2)
--- a/internal/lab/footprint/relay.go
+++ b/internal/lab/footprint/relay.go
@@ -18,13 +18,14 @@
 	source   *distribution.Source
 	follower *distribution.Follower
 	now      float64
-	view     distribution.View
+	view     distribution.Snapshot
 }
 
 func newHop(in ruleset.Interest) *hop {
-	h := &hop{source: distribution.NewSource("above", cluster, distribution.Bounds{WholeBurst: 1e12}), now: 1000,
+	h := &hop{source: distribution.NewSource("above", cluster,
+		distribution.SourceConfig{FullStateBurstBytes: 1e12}), now: 1000,
 		follower: distribution.NewFollower(
-			distribution.Config{Name: "below", Cluster: cluster, Upstream: 1, Interest: in,
+			distribution.FollowerConfig{Name: "below", Cluster: cluster, Upstreams: 1, Interest: in,
 				Seed: seed},
 			0,
 		)}
@@ -33,19 +34,19 @@
 
 // round has one ask and be answered, and gives the bytes of both.
 func (h *hop) round() (asked, answered int, err error) {
-	h.now += 1000             // long enough for the next question to be due
-	h.view.Begun = h.now - 50 // of a lease of a second
-	h.source.Offer(h.view)
-	h.follower.Clock(h.now)
+	h.now += 1000                       // long enough for the next question to be due
+	h.view.ReadStartMillis = h.now - 50 // of a lease of a second
+	h.source.Publish(h.view)
+	h.follower.AdvanceClock(h.now)
 	for range 100 {
-		d, ok := h.follower.Next()
+		d, ok := h.follower.NextAction()
 		if !ok {
 			return 0, 0, fmt.Errorf("nothing is asked")
 		}
-		if d.Kind != distribution.AskOf {
+		if d.Kind != distribution.SendRequest {
 			continue
 		}
-		out, err := d.Ask.Bytes()
+		out, err := d.Request.Encode()
 		if err != nil {
 			return 0, 0, err
 		}
@@ -53,31 +54,32 @@
 		if err != nil {
 			return 0, 0, err
 		}
-		a, err := distribution.ReadAnswer(back)
+		a, err := distribution.DecodeResponse(back)
 		if err != nil {
 			return 0, 0, err
 		}
-		h.follower.Heard(0, h.now, a)
+		h.follower.HandleResponse(0, h.now, a)
 		return len(out), len(back), nil
 	}
 	return 0, 0, fmt.Errorf("nothing is asked in a hundred decisions")
 }
 
 func (h *hop) answer(ask []byte) ([]byte, error) {
-	q, err := distribution.ReadAsk(ask)
+	q, err := distribution.DecodeRequest(ask)
 	if err != nil {
 		return nil, err
 	}
-	a, err := h.source.Answer(q, h.now)
+	a, err := h.source.Respond(q, h.now)
 	if err != nil {
 		return nil, err
 	}
-	return a.Bytes()
+	return a.Encode()
 }
 
 func (h *hop) offer(step uint64, rules *versioned.State) {
-	h.view = distribution.View{Step: step, Settled: true, Begun: h.now, Rules: rules, Index: -1}
-	h.source.Offer(h.view)
+	h.view = distribution.Snapshot{Step: step, Settled: true, ReadStartMillis: h.now, Rules: rules,
+		DiscoveryIndex: -1}
+	h.source.Publish(h.view)
 }
 
 // hops measures what a renewal, a version and a whole cost on each hop, over members.
@@ -101,8 +103,8 @@
 	for _, who := range []struct {
 		role string
 		in   ruleset.Interest
-	}{{"gatekeeper", ruleset.Interest{Name: "gk-00007", Around: distribution.Around}},
-		{"host daemon", ruleset.Interest{Host: "host-000", Around: distribution.Around}}, {"zone relay",
+	}{{"gatekeeper", ruleset.Interest{Name: "gk-00007", Around: distribution.RingRadius}},
+		{"host daemon", ruleset.Interest{Host: "host-000", Around: distribution.RingRadius}}, {"zone relay",
 			ruleset.Interest{All: true}}} {
 		h := newHop(who.in)
 		h.offer(1, first)
@@ -119,7 +121,7 @@
 		if err != nil {
 			return nil, err
 		}
-		v, ok := h.follower.View()
+		v, ok := h.follower.Snapshot()
 		if !ok || v.Step != 2 || v.Rules.Mark().Number != 2 {
 			return nil, fmt.Errorf("%s: not on version 2: %+v, %v", who.role, v, ok)
 		}
@@ -131,9 +133,10 @@
 			continue
 		}
 		both := took(func() { _, _, _ = h.round() })
-		ask, err := (&distribution.Ask{Form: distribution.Form, Cluster: cluster, From: "below",
+		ask, err := (&distribution.Request{FormatVersion: distribution.FormatVersion, Cluster: cluster,
+			Sender:   "below",
 			Interest: who.in, Step: 2,
-			Rules: v.Rules.Mark(), Index: -1}).Bytes()
+			Rules: v.Rules.Mark(), DiscoveryIndex: -1}).Encode()
 		if err != nil {
 			return nil, err
 		}
@@ -161,8 +164,9 @@
 		h = newHop(ruleset.Interest{})
 		h.offer(1, first)
 		for i := range min(zoneHosts, (n+perHost-1)/perHost) {
-			_, _ = h.source.Answer(&distribution.Ask{Form: distribution.Form, Cluster: cluster, From: "x", Index: -1,
-				Interest: ruleset.Interest{Host: fmt.Sprintf("host-%03d", i), Around: distribution.Around}}, h.now)
+			_, _ = h.source.Respond(&distribution.Request{FormatVersion: distribution.FormatVersion, Cluster: cluster,
+				Sender: "x", DiscoveryIndex: -1,
+				Interest: ruleset.Interest{Host: fmt.Sprintf("host-%03d", i), Around: distribution.RingRadius}}, h.now)
 		}
 	})
 	return append(values, Value{"zone relay", "kept of agreed rules over members", "B", kept},
--- a/internal/lab/scale/keepers.go
+++ b/internal/lab/scale/keepers.go
@@ -58,7 +58,7 @@
 }
 
 type answered struct {
-	told   *distribution.Answer // nil: the lease holds
+	told   *distribution.Response // nil: the lease holds
 	lease  ruleset.Lease
 	asked  float64
 	err    error
@@ -116,7 +116,7 @@
 			if k.changes != nil {
 				k.changes.Close()
 				t := k.changes.Traffic()
-				x.in, x.out, x.asks = x.in+t.In, x.out+t.Out, x.asks+t.Asks
+				x.in, x.out, x.asks = x.in+t.ReceivedBytes, x.out+t.SentBytes, x.asks+t.Requests
 				k.changes = nil
 			}
 			k.over = nil
@@ -135,7 +135,7 @@
 		r.Count++
 		if k.changes != nil {
 			t := k.changes.Traffic()
-			r.In, r.Out, r.Messages = r.In+t.In, r.Out+t.Out, r.Messages+t.Asks
+			r.In, r.Out, r.Messages = r.In+t.ReceivedBytes, r.Out+t.SentBytes, r.Messages+t.Requests
 		}
 		k.mu.Lock()
 		if k.leased && k.version >= o.Version {
@@ -241,7 +241,7 @@
 	k.asks, k.again = true, false
 	lease := k.heard.Rules.Lease
 	if k.copied != nil {
-		question := k.copied.Ask(boot(), k.holder.Holds(), -1)
+		question := k.copied.NewRequest(boot(), k.holder.Holds(), -1)
 		go func() { k.answer <- k.callFor(question, lifecycle.AnswerWithin(lease)) }()
 		return
 	}
--- a/internal/lab/scale/relays.go
+++ b/internal/lab/scale/relays.go
@@ -127,7 +127,7 @@
 	tally   *Tally
 	in, out int64 // of links upward that have ended
 	client  *relay.Client
-	feed    *relay.Feed
+	feed    *relay.Subscription
 	stop    context.CancelFunc
 	wait    sync.WaitGroup
 	server  *http.Server
@@ -135,7 +135,7 @@
 	mu     sync.Mutex
 	warden ruleset.Warden
 	source *distribution.Source
-	view   distribution.View
+	view   distribution.Snapshot
 	told   uint64
 	trial  *ruleset.Version // what it tells without anybody above it
 }
@@ -159,15 +159,16 @@
 	b.trial.Rules.Plans[0].Rate += float64(b.trial.Number%2)*2 - 1
 	rules, err := ruleset.Entries(b.trial)
 	if err == nil {
-		b.view = distribution.View{Step: b.trial.Number, Settled: true, Rules: rules, Index: -1}
+		b.view = distribution.Snapshot{Step: b.trial.Number, Settled: true, Rules: rules, DiscoveryIndex: -1}
 	}
 	return err
 }
 
 func (b *branchHost) start() error {
 	f := distribution.NewFollower(
-		distribution.Config{Name: b.c.Name, Cluster: b.cluster, Upstream: len(b.c.Upstream),
-			Lease: 1000, Interest: ruleset.Interest{Host: b.c.Name, Around: distribution.Around}, Seed: rand.Int63()},
+		distribution.FollowerConfig{Name: b.c.Name, Cluster: b.cluster, Upstreams: len(b.c.Upstream),
+			LeaseMillis: 1000, Interest: ruleset.Interest{Host: b.c.Name, Around: distribution.RingRadius},
+			Seed: rand.Int63()},
 		raftlog.Clock(),
 	)
 	if b.c.Changes {
@@ -175,19 +176,19 @@
 			return err
 		}
 	}
-	b.client = relay.NewClient(b.c.Upstream, relay.AskPath)
+	b.client = relay.NewClient(b.c.Upstream, relay.RequestPath)
 	b.mu.Lock()
 	b.warden, b.told = ruleset.Warden{}, 0
 	if b.trial == nil {
-		b.view = distribution.View{}
+		b.view = distribution.Snapshot{}
 	}
 	b.source = distribution.NewSource(
 		b.cluster,
 		b.cluster,
-		distribution.Bounds{WholeRate: 64 << 20, WholeBurst: 64 << 20,
-			Life: rand.Uint64()},
+		distribution.SourceConfig{FullStateBytesPerSecond: 64 << 20, FullStateBurstBytes: 64 << 20,
+			Incarnation: rand.Uint64()},
 	)
-	feed := relay.NewFeed(f, b.client, b.news)
+	feed := relay.NewSubscription(f, b.client, b.news)
 	b.feed = feed
 	b.mu.Unlock()
 	l, err := net.Listen("tcp", b.c.Control)
@@ -217,7 +218,7 @@
 	b.stop()
 	b.wait.Wait()
 	t := b.client.Traffic()
-	b.in, b.out = b.in+t.In, b.out+t.Out
+	b.in, b.out = b.in+t.ReceivedBytes, b.out+t.SentBytes
 	b.client.Close()
 	b.server = nil
 }
@@ -228,7 +229,7 @@
 	if b.server == nil {
 		t = relay.Traffic{}
 	}
-	return b.in + t.In, b.out + t.Out, t.Asks
+	return b.in + t.ReceivedBytes, b.out + t.SentBytes, t.Requests
 }
 
 func (b *branchHost) news() {
@@ -240,40 +241,42 @@
 // take goes over to what the follower knows, and says up what all here go by; under the lock.
 func (b *branchHost) take() {
 	if b.trial != nil {
-		b.view.Begun = raftlog.Clock() - trialAge
-		b.source.Offer(b.view)
+		b.view.ReadStartMillis = raftlog.Clock() - trialAge
+		b.source.Publish(b.view)
 		return
 	}
-	v, ok := b.feed.View()
-	if !ok || v.Step < b.view.Step || v.Step == b.view.Step && v.Begun < b.view.Begun {
+	v, ok := b.feed.Snapshot()
+	if !ok || v.Step < b.view.Step || v.Step == b.view.Step && v.ReadStartMillis < b.view.ReadStartMillis {
 		return
 	}
 	b.view = v
-	b.source.Offer(v)
+	b.source.Publish(v)
 	if seen := b.warden.Seen(v.Step); seen > b.told {
 		b.told = seen
-		b.feed.With(
-			func(f *distribution.Follower) { f.Tell([]distribution.HostStep{{Host: b.c.Name, Step: seen}}) },
+		b.feed.WithFollower(
+			func(f *distribution.Follower) {
+				f.ReportHostSteps([]distribution.HostStep{{Host: b.c.Name, Step: seen}})
+			},
 		)
 	}
 }
 
 var errUnconfirmed = errors.New("no quorum has confirmed within the lease what is in force")
 
-func (b *branchHost) ask(a *distribution.Ask) (*distribution.Answer, error) {
+func (b *branchHost) ask(a *distribution.Request) (*distribution.Response, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := raftlog.Clock()
-	if !b.warden.Asked(a.Process, a.Holds) {
+	if !b.warden.Asked(a.ProcessID, a.HeldStep) {
 		return nil, errors.New("too many processes")
 	}
 	b.take()
-	if b.view.Step == 0 || !(now-b.view.Begun < ruleset.LeaseOf(b.view.Rules)) {
+	if b.view.Step == 0 || !(now-b.view.ReadStartMillis < ruleset.LeaseOf(b.view.Rules)) {
 		return nil, errUnconfirmed
 	}
-	b.warden.Given(a.Process)
-	a.Cluster, a.Seen = b.cluster, nil
-	return b.source.Answer(a, now)
+	b.warden.Given(a.ProcessID)
+	a.Cluster, a.HostSteps = b.cluster, nil
+	return b.source.Respond(a, now)
 }
 
 // ended books the ends of processes.
@@ -286,18 +289,18 @@
 }
 
 // callFor asks for changes, as lifecycle does of a daemon that answers so.
-func (k *keeper) callFor(a *distribution.Ask, within float64) (got answered) {
+func (k *keeper) callFor(a *distribution.Request, within float64) (got answered) {
 	got.asked = boot()
-	got.told, got.err = k.changes.Ask(0, a, within)
-	got.spoilt = errors.Is(got.err, relay.ErrSpoilt)
+	got.told, got.err = k.changes.Fetch(0, a, within)
+	got.spoilt = errors.Is(got.err, relay.ErrCorruptResponse)
 	return got
 }
 
 // replica takes what is told of changes, and gives it as a lease; false where there is none.
-func (k *keeper) replica(told *distribution.Answer) (l ruleset.Lease, ok bool) {
-	next, news, err := k.copied.Hear(told, boot())
+func (k *keeper) replica(told *distribution.Response) (l ruleset.Lease, ok bool) {
+	next, news, err := k.copied.HandleResponse(told, boot())
 	switch {
-	case errors.Is(err, distribution.ErrBusy):
+	case errors.Is(err, distribution.ErrDeferred):
 		k.silent.Add(1)
 		return l, false
 	case err != nil:
@@ -327,9 +330,11 @@
 	if err != nil {
 		return f, fmt.Errorf("%s: %w", c.name, err)
 	}
-	f.in, f.out, f.asks = float64(s.Down.In), float64(s.Down.Out), float64(s.Down.Asks)
-	if s.Up != nil {
-		f.in, f.out, f.asks = f.in+float64(s.Up.In), f.out+float64(s.Up.Out), f.asks+float64(s.Up.Asks)
+	f.in, f.out, f.asks = float64(s.DownstreamTraffic.ReceivedBytes), float64(s.DownstreamTraffic.SentBytes),
+		float64(s.DownstreamTraffic.Requests)
+	if s.UpstreamTraffic != nil {
+		f.in, f.out, f.asks = f.in+float64(s.UpstreamTraffic.ReceivedBytes),
+			f.out+float64(s.UpstreamTraffic.SentBytes), f.asks+float64(s.UpstreamTraffic.Requests)
 	}
 	f.cpu, f.rss, f.descriptors = usage(c.pid())
 	return f, nil
--- a/internal/supervisor/branch.go
+++ b/internal/supervisor/branch.go
@@ -33,7 +33,7 @@
 	me      string
 	log     zerolog.Logger
 	record  history.Recorder
-	copy    *relay.Copy
+	copy    *relay.Checkpoint
 	changed chan struct{}
 	ctx     context.Context
 	end     context.CancelFunc
@@ -42,13 +42,13 @@
 	mu       sync.Mutex
 	upstream []string
 	follower *distribution.Follower // by way of feed alone
-	feed     *relay.Feed
+	feed     *relay.Subscription
 	leave    context.CancelFunc // ends the feed
 	warden   ruleset.Warden
 	lag      *ruleset.Lag
 	askers   map[int]asker
 
-	view    distribution.View // as last taken
+	view    distribution.Snapshot // as last taken
 	lease   ruleset.Lease
 	bad     [2]versioned.Mark // of rules, and pending ones, that were told and make no sense
 	inForce ruleset.Version
@@ -66,9 +66,9 @@
 
 func newBranch(cluster string, r *RelayFile, record history.Recorder, log zerolog.Logger) *branch {
 	b := &branch{cluster: cluster, me: r.Me, log: log, record: record,
-		copy:    relay.NewCopy(r.Store, cluster, log),
+		copy:    relay.NewCheckpoint(r.Store, cluster, log),
 		changed: make(chan struct{}, 1), lag: ruleset.NewLag(), askers: map[int]asker{}, index: -1}
-	b.view.Index = -1
+	b.view.DiscoveryIndex = -1
 	b.ctx, b.end = context.WithCancel(context.Background())
 	b.wait.Add(1)
 	go func() {
@@ -87,18 +87,20 @@
 	if slices.Equal(upstream, b.upstream) {
 		return
 	}
-	f := distribution.NewFollower(distribution.Config{Name: b.me, Cluster: b.cluster, Upstream: len(upstream),
-		Lease: bornLease, Interest: ruleset.Interest{Host: b.me, Around: distribution.Around}, Seed: rand.Int63()},
+	f := distribution.NewFollower(distribution.FollowerConfig{Name: b.me, Cluster: b.cluster,
+		Upstreams:   len(upstream),
+		LeaseMillis: bornLease, Interest: ruleset.Interest{Host: b.me, Around: distribution.RingRadius},
+		Seed: rand.Int63()},
 		raftlog.Clock())
 	if b.feed == nil {
-		b.copy.Base(f)
+		b.copy.LoadInto(f)
 	} else {
-		f.Base(b.view.Rules, b.view.Pending)
+		f.AddBases(b.view.Rules, b.view.Pending)
 		b.leave()
 	}
-	client := relay.NewClient(upstream, relay.AskPath)
+	client := relay.NewClient(upstream, relay.RequestPath)
 	b.upstream, b.follower, b.said = slices.Clone(upstream), f, 0
-	feed := relay.NewFeed(f, client, b.news)
+	feed := relay.NewSubscription(f, client, b.news)
 	b.feed = feed
 	var ctx context.Context
 	ctx, b.leave = context.WithCancel(b.ctx)
@@ -123,9 +125,10 @@
 	if b.feed == nil {
 		return
 	}
-	v, ok := b.feed.View()
+	v, ok := b.feed.Snapshot()
 	said := [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()}
-	if !ok || v.Step < b.view.Step || v.Step == b.view.Step && v.Begun < b.view.Begun || said == b.bad {
+	if !ok || v.Step < b.view.Step || v.Step == b.view.Step && v.ReadStartMillis < b.view.ReadStartMillis ||
+		said == b.bad {
 		return
 	}
 	rules, pending := b.view.Rules.Mark(), b.view.Pending.Mark()
@@ -141,13 +144,13 @@
 				Msg("rules in force that this program does not know: instances stay as they are")
 		}
 		b.lease = l
-		b.copy.Keep(v)
+		b.copy.Save(v)
 	}
 	b.view, b.lease.Step, b.lease.Settled = v, v.Step, v.Settled
 	if v.Rules.Mark() != rules {
 		if b.record != nil {
 			b.record.Write(history.Event{Kind: history.Gives, Version: v.Rules.Mark().Number,
-				Age: raftlog.Clock() - v.Begun})
+				Age: raftlog.Clock() - v.ReadStartMillis})
 		}
 		if b.lease.Foreign == "" {
 			b.inForce = b.lease.Version
@@ -161,7 +164,7 @@
 }
 
 // leaseOf reads what a view says. Rules that this program does not know whole are left empty, and named.
-func leaseOf(v *distribution.View) (l ruleset.Lease, err error) {
+func leaseOf(v *distribution.Snapshot) (l ruleset.Lease, err error) {
 	read := func(s *versioned.State) (ruleset.Version, string, error) {
 		v, err := ruleset.FromState(s)
 		if errors.Is(err, ruleset.ErrForeign) {
@@ -191,9 +194,9 @@
 	}
 	more := seen > b.said
 	b.said, b.index = max(seen, b.said), highest
-	b.feed.With(func(f *distribution.Follower) {
-		if f.Index(highest); more {
-			f.Tell([]distribution.HostStep{{Host: b.me, Step: seen}})
+	b.feed.WithFollower(func(f *distribution.Follower) {
+		if f.SetDiscoveryIndex(highest); more {
+			f.ReportHostSteps([]distribution.HostStep{{Host: b.me, Step: seen}})
 		}
 	})
 }
@@ -242,7 +245,7 @@
 	b.take()
 	b.say()
 	l := b.lease
-	l.Age = raftlog.Clock() - b.view.Begun
+	l.Age = raftlog.Clock() - b.view.ReadStartMillis
 	if b.view.Step == 0 || !(l.Age < ruleset.LeaseOf(b.view.Rules)) {
 		return ruleset.Lease{}, false
 	}
@@ -251,7 +254,7 @@
 }
 
 // given is the view as it was last taken: of the step that a process was just booked to be given, or later.
-func (b *branch) given() distribution.View {
+func (b *branch) given() distribution.Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.view
@@ -261,7 +264,7 @@
 func (b *branch) Highest() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return max(b.index, b.view.Index, 0)
+	return max(b.index, b.view.DiscoveryIndex, 0)
 }
 
 // Close ends it.
@@ -284,15 +287,17 @@
 	Step     uint64   `json:"step"`
 	Settled  bool     `json:"settled"`
 	// ago that a quorum confirmed it; below nought nothing has been
-	ReadMS  float64             `json:"read_ms"`
-	Pending uint64              `json:"pending,omitempty"`
-	Foreign string              `json:"foreign,omitempty"` // what of the rules this program does not know
-	Seen    uint64              `json:"seen"`              // the step that all processes here go by, or later
-	Behind  map[string]uint64   `json:"behind,omitempty"`  // instances that hold an older one
-	CutOff  map[string]float64  `json:"cut_off,omitempty"` // instances here: ms since they last asked
-	Lags    []ruleset.Behind    `json:"lags,omitempty"`
-	Counts  distribution.Counts `json:"counts"`
-	Copies  struct {
+	ReadMS  float64 `json:"read_ms"`
+	Pending uint64  `json:"pending,omitempty"`
+	// what of the rules this program does not know
+	Foreign string `json:"foreign,omitempty"`
+	// the step that all processes here go by, or later
+	Seen   uint64                      `json:"seen"`
+	Behind map[string]uint64           `json:"behind,omitempty"`  // instances that hold an older one
+	CutOff map[string]float64          `json:"cut_off,omitempty"` // instances here: ms since they last asked
+	Lags   []ruleset.Behind            `json:"lags,omitempty"`
+	Counts distribution.FollowerCounts `json:"counts"`
+	Copies struct {
 		Written int64 `json:"written"`
 		Failed  int64 `json:"failed"`
 		Aside   int64 `json:"aside"`
@@ -309,13 +314,15 @@
 	if b.feed == nil {
 		return s
 	}
-	b.feed.With(func(f *distribution.Follower) { s.Asked, s.Counts = b.upstream[f.Current()], f.Counts() })
+	b.feed.WithFollower(func(f *distribution.Follower) {
+		s.Asked, s.Counts = b.upstream[f.CurrentUpstream()], f.Counts()
+	})
 	s.Copies.Written, s.Copies.Failed, s.Copies.Aside = b.copy.Counts()
 	lease := bornLease
 	if b.view.Step > 0 {
 		s.Version, s.Mark = b.view.Rules.Mark().Number, b.view.Rules.Mark().String()
 		s.Pending = b.view.Pending.Mark().Number
-		s.ReadMS, lease = raftlog.Clock()-b.view.Begun, ruleset.LeaseOf(b.view.Rules)
+		s.ReadMS, lease = raftlog.Clock()-b.view.ReadStartMillis, ruleset.LeaseOf(b.view.Rules)
 	}
 	s.Members = len(b.lease.Version.Rules.Members)
 	for _, m := range b.lease.Version.Rules.Members {
--- a/internal/supervisor/branch_test.go
+++ b/internal/supervisor/branch_test.go
@@ -229,7 +229,7 @@
 	})
 	t.Logf("a daemon killed and started with a torn copy: its instances hold the last after %v",
 		time.Since(began))
-	if s.Copies.Aside != 1 || s.Counts.Wholes != 1 {
+	if s.Copies.Aside != 1 || s.Counts.FullStates != 1 {
 		t.Errorf("the torn copy is not set aside: %+v", s)
 	}
 	x.until(3, 3, x.low...)
@@ -426,17 +426,17 @@
 	mu     sync.Mutex
 	source *distribution.Source
 	seen   uint64
-	last   distribution.Ask
+	last   distribution.Request
 }
 
-func (u *upper) answer(a *distribution.Ask) (*distribution.Answer, error) {
+func (u *upper) answer(a *distribution.Request) (*distribution.Response, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.last = *a
-	for _, h := range a.Seen {
+	for _, h := range a.HostSteps {
 		u.seen = max(u.seen, h.Step)
 	}
-	return u.source.Answer(a, raftlog.Clock())
+	return u.source.Respond(a, raftlog.Clock())
 }
 
 // says has it say that rules are in force as of now, every now and then until the test's end.
@@ -448,7 +448,8 @@
 	go func() {
 		for t.Context().Err() == nil {
 			u.mu.Lock()
-			u.source.Offer(distribution.View{Step: step, Begun: raftlog.Clock(), Rules: rules, Index: -1})
+			u.source.Publish(distribution.Snapshot{Step: step, ReadStartMillis: raftlog.Clock(), Rules: rules,
+				DiscoveryIndex: -1})
 			u.mu.Unlock()
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -465,7 +466,7 @@
 // nothing yet; one that was there before the daemon counts as holding nothing until it says what. With no
 // process it says what it would tell the first. The interest it asks with is its members', and theirs around.
 func TestBranchSays(t *testing.T) {
-	u := &upper{source: distribution.NewSource("r", "till", distribution.Bounds{})}
+	u := &upper{source: distribution.NewSource("r", "till", distribution.SourceConfig{})}
 	s := httptest.NewServer(relay.NewHandler(u.answer))
 	defer s.Close()
 	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
@@ -509,7 +510,8 @@
 	faultinject.Until(t, 3*time.Second, "step 6 is not said to be seen", func() bool { return u.told() == 6 })
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.last.Interest != (ruleset.Interest{Host: "l0", Around: distribution.Around}) || u.last.From != "l0" {
+	if u.last.Interest != (ruleset.Interest{Host: "l0", Around: distribution.RingRadius}) ||
+		u.last.Sender != "l0" {
 		t.Errorf("it asks %+v", u.last)
 	}
 	if n := b.Highest(); n != 78 {
@@ -521,7 +523,7 @@
 // make no sense, or that this program does not know, leave instances as they are; the latter are passed on
 // whole.
 func TestBranchTakes(t *testing.T) {
-	u := &upper{source: distribution.NewSource("r", "till", distribution.Bounds{})}
+	u := &upper{source: distribution.NewSource("r", "till", distribution.SourceConfig{})}
 	s := httptest.NewServer(relay.NewHandler(u.answer))
 	defer s.Close()
 	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
@@ -541,7 +543,7 @@
 	offer := func(step uint64, begun float64, x *versioned.State) {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		u.source.Offer(distribution.View{Step: step, Begun: begun, Rules: x, Index: -1})
+		u.source.Publish(distribution.Snapshot{Step: step, ReadStartMillis: begun, Rules: x, DiscoveryIndex: -1})
 	}
 	first := state(1, func(*ruleset.Rules) {})
 	offer(1, raftlog.Clock()-50, first)
@@ -599,9 +601,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	some := ruleset.Select(whole, ruleset.Interest{Host: "l0", Around: distribution.Around})
-	sent, err := (&distribution.Answer{Form: distribution.Form, Rules: some.Mark(),
-		RulesDelta: versioned.Whole(some)}).Bytes()
+	some := ruleset.Select(whole, ruleset.Interest{Host: "l0", Around: distribution.RingRadius})
+	sent, err := (&distribution.Response{FormatVersion: distribution.FormatVersion, Rules: some.Mark(),
+		RulesDelta: versioned.Whole(some)}).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -628,7 +630,7 @@
 				known++
 			}
 		}
-		if g.Charter.Gatekeepers != n || g.Charter.Me != i || known != own+2*distribution.Around ||
+		if g.Charter.Gatekeepers != n || g.Charter.Me != i || known != own+2*distribution.RingRadius ||
 			in.Listen != fmt.Sprintf("127.0.0.10:%d", 2002+i) {
 			t.Errorf("place %d of %d at %s, %d known", g.Charter.Me, g.Charter.Gatekeepers, in.Listen, known)
 		}
--- a/internal/supervisor/council.go
+++ b/internal/supervisor/council.go
@@ -518,7 +518,7 @@
 		http.Error(w, "council.serve: there is none", http.StatusNotFound)
 		return
 	}
-	relay.Show(w, d.seat.root.Status())
+	relay.WriteStatus(w, d.seat.root.Status())
 }
 
 func (d *Daemon) sitting(w http.ResponseWriter, _ *http.Request) {
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -141,8 +141,8 @@
 	d := goldenDaemon(t.TempDir())
 	d.pids.Store(4321, "golden-0")
 	for pid, want := range map[int]string{4321: "unconfirmed", 4322: "stranger"} {
-		var refused *relay.Refusal
-		if _, err := d.ask(&distribution.Ask{Process: pid, From: "golden-0"}); !errors.As(err, &refused) ||
+		var refused *relay.RejectionError
+		if _, err := d.ask(&distribution.Request{ProcessID: pid, Sender: "golden-0"}); !errors.As(err, &refused) ||
 			refused.Reason != want {
 			t.Errorf("process %d is refused with %v, want %q", pid, err, want)
 		}
--- a/internal/supervisor/teller.go
+++ b/internal/supervisor/teller.go
@@ -35,7 +35,7 @@
 const longestTold = 64 << 20
 
 // view is what a lease says as a view; rules are made entries once.
-func (t *telling) view(l *ruleset.Lease, now float64) (v distribution.View, err error) {
+func (t *telling) view(l *ruleset.Lease, now float64) (v distribution.Snapshot, err error) {
 	if n := l.Version.Number; n != t.number || t.rules == nil {
 		if t.rules, err = ruleset.Entries(&l.Version); err != nil {
 			return v, err
@@ -52,35 +52,36 @@
 		}
 		t.step = l.Step
 	}
-	return distribution.View{
-		Step:    l.Step,
-		Settled: l.Settled,
-		Begun:   now - l.Age,
-		Rules:   t.rules,
-		Pending: t.pending,
-		Index:   -1,
+	return distribution.Snapshot{
+		Step:            l.Step,
+		Settled:         l.Settled,
+		ReadStartMillis: now - l.Age,
+		Rules:           t.rules,
+		Pending:         t.pending,
+		DiscoveryIndex:  -1,
 	}, nil
 }
 
 // answer answers an instance; own: it is told what no other is.
 func (t *teller) answer(
-	a *distribution.Ask,
+	a *distribution.Request,
 	own bool,
 	now float64,
-	view func(*telling) (distribution.View, error),
+	view func(*telling) (distribution.Snapshot, error),
 ) (
-	*distribution.Answer, error) {
+	*distribution.Response, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	name := ""
 	if own {
-		name = a.From
+		name = a.Sender
 	}
 	x := t.of[name]
 	if x == nil {
 		x = &telling{
-			source: distribution.NewSource(t.cluster, t.cluster, distribution.Bounds{WholeRate: longestTold,
-				WholeBurst: longestTold, Life: rand.Uint64()}),
+			source: distribution.NewSource(t.cluster, t.cluster,
+				distribution.SourceConfig{FullStateBytesPerSecond: longestTold,
+					FullStateBurstBytes: longestTold, Incarnation: rand.Uint64()}),
 		}
 		t.of[name] = x
 	}
@@ -88,32 +89,32 @@
 	if err != nil {
 		return nil, err
 	}
-	x.source.Offer(v)
-	return x.source.Answer(a, now)
+	x.source.Publish(v)
+	return x.source.Respond(a, now)
 }
 
 // ask answers an instance with what has changed of the rules, and how long ago they were in force. It waits
 // for nothing, as asked does.
-func (d *Daemon) ask(a *distribution.Ask) (*distribution.Answer, error) {
-	if who, runs := d.pids.Load(a.Process); !runs || who != a.From {
-		return nil, &relay.Refusal{Reason: "stranger",
-			Says: fmt.Sprintf("%d is no process of %q that this daemon keeps", a.Process, a.From)}
+func (d *Daemon) ask(a *distribution.Request) (*distribution.Response, error) {
+	if who, runs := d.pids.Load(a.ProcessID); !runs || who != a.Sender {
+		return nil, &relay.RejectionError{Reason: "stranger",
+			Message: fmt.Sprintf("%d is no process of %q that this daemon keeps", a.ProcessID, a.Sender)}
 	}
 	now := raftlog.Clock() // no later than the one by which the lease's age is counted
-	l, ok := d.seat.Asked(a.Process, a.From, a.Holds, a.Index)
+	l, ok := d.seat.Asked(a.ProcessID, a.Sender, a.HeldStep, a.DiscoveryIndex)
 	if !ok {
-		return nil, &relay.Refusal{Reason: "unconfirmed", Says: notConfirmed}
+		return nil, &relay.RejectionError{Reason: "unconfirmed", Message: notConfirmed}
 	}
-	a.Cluster, a.Seen = d.seat.teller.cluster, nil // it knows of no cluster, and speaks of itself alone
-	own := d.rewrites(a.From)
-	told, err := d.seat.teller.answer(a, own, now, func(t *telling) (distribution.View, error) {
+	a.Cluster, a.HostSteps = d.seat.teller.cluster, nil // it knows of no cluster, and speaks of itself alone
+	own := d.rewrites(a.Sender)
+	told, err := d.seat.teller.answer(a, own, now, func(t *telling) (distribution.Snapshot, error) {
 		if d.seat.branch != nil && !own { // as it came, whether this program knows all of it or not
 			return d.seat.branch.given(), nil
 		}
 		if own {
-			l.Version.Rules = d.rewritten(a.From, &l.Version.Rules)
+			l.Version.Rules = d.rewritten(a.Sender, &l.Version.Rules)
 			if l.Pending != nil {
-				p := d.rewritten(a.From, l.Pending)
+				p := d.rewritten(a.Sender, l.Pending)
 				l.Pending = &p
 			}
 		}
@@ -123,6 +124,6 @@
 		return nil, err
 	}
 	answer := *told
-	answer.Index = d.seat.Highest()
+	answer.DiscoveryIndex = d.seat.Highest()
 	return &answer, nil
 }
