--- a/internal/serving/agent/agent.go
+++ b/internal/serving/agent/agent.go
@@ -32,7 +32,7 @@
 type Agent struct {
 	settingsPath string
 	logger       *zap.Logger
-	store        *stateview.Mirror // of what the core publishes; safe for concurrent use
+	store        *stateview.Store // of what the core publishes; safe for concurrent use
 	started      time.Time
 
 	mu           sync.Mutex // guards the fields below
@@ -76,9 +76,9 @@
 	go a.reloadSettings(ctx)
 	logger.Info("agent started", zap.String("edge", config.NodeName))
 	subscriber := watch.Subscriber{
-		Mirror: a.store, DialTimeout: coreDialTimeout, Providers: a.providers,
-		Status: a.status, StatusChanged: a.statusChanged, Linked: a.onLinkChange,
-		Wrap: func(request *wirepb.FeedRequest) proto.Message {
+		Store: a.store, DialTimeout: coreDialTimeout, Providers: a.providers,
+		Status: a.status, StatusChanged: a.statusChanged, OnLinkChange: a.onLinkChange,
+		WrapFirst: func(request *wirepb.FeedRequest) proto.Message {
 			return &wirepb.Envelope{Body: &wirepb.Envelope_Subscribe{Subscribe: request}}
 		},
 	}
--- a/internal/serving/agent/providers.go
+++ b/internal/serving/agent/providers.go
@@ -26,7 +26,7 @@
 	a.mu.Unlock()
 	var providers []watch.Provider
 	known := map[string]bool{}
-	for _, entry := range a.store.Of(catalog.Cores) {
+	for _, entry := range a.store.EntriesOf(catalog.Cores) {
 		core := entry.Record.GetCore()
 		if core == nil || entry.Record.Deleted || known[core.Address] {
 			continue
--- a/internal/serving/agent/proxylink.go
+++ b/internal/serving/agent/proxylink.go
@@ -35,13 +35,13 @@
 func (a *Agent) serveProxy(connection *framing.Conn) {
 	defer func() { _ = connection.Close() }() // the proxy has gone, or the connection has failed
 	subscription := &wirepb.FeedRequest{}
-	if err := connection.ReadMessage(subscription, watch.LinkSilence); err != nil {
+	if err := connection.ReadMessage(subscription, watch.LinkTimeout); err != nil {
 		return
 	}
 	a.mu.Lock()
 	a.proxyLinks++
 	a.mu.Unlock()
-	watch.Provide(connection, subscription, a.store, a.receiveProxyStatus, nil)
+	watch.Serve(connection, subscription, a.store, a.receiveProxyStatus, nil)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.proxyLinks--
@@ -54,7 +54,7 @@
 
 // receiveProxyStatus handles a heartbeat of the proxy, and publishes its state where it has changed.
 func (a *Agent) receiveProxyStatus(request *wirepb.FeedRequest) {
-	a.store.SetDemands(request.Demands)
+	a.store.MergeDemands(request.Demands)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.demands = request.Demands
--- a/internal/serving/core/core_test.go
+++ b/internal/serving/core/core_test.go
@@ -157,7 +157,7 @@
 		})
 	})
 	c := startCore(t, dataDir, false)
-	update, _ := c.engine.Mirror().Difference(stateview.Position{})
+	update, _ := c.engine.Mirror().UpdateSince(stateview.Position{})
 	if update.Configuration.GetGeneration() != 3 || len(update.Evacuated) != 1 {
 		t.Errorf("published configuration %v, evacuated %v", update.Configuration, update.Evacuated)
 	}
@@ -173,7 +173,7 @@
 	if entry := lookup(c, catalog.WorkerKey("i-2")); entry != nil && !entry.Record.Deleted {
 		t.Error("a deregistered worker is published")
 	}
-	update, _ = c.engine.Mirror().Difference(stateview.Position{})
+	update, _ = c.engine.Mirror().UpdateSince(stateview.Position{})
 	agent := stateview.New("", func() time.Duration { return 0 })
 	for range 2 { // the second time as from a provider that has settled
 		agent.Apply(update)
