--- a/internal/serving/edge/decisions.go
+++ b/internal/serving/edge/decisions.go
@@ -27,7 +27,7 @@
 	balancer *loadbalancer.Balancer
 	peers    *loadreport.Peers
 	paths    *paths
-	shares   *slowstart.Shares
+	shares   *slowstart.Limiter
 	budgets  map[string]*retrybudget.Budget // by service
 	random   *rand.Rand
 }
@@ -110,15 +110,15 @@
 func (d *decisions) tellBalancer(now time.Duration, t *table, candidates []worker) {
 	for i := range candidates {
 		instance := candidates[i].Instance
-		load, known := d.peers.Sum(now, instance, len(t.peers))
-		d.balancer.Others(instance, load.InHand, load.Unread, known && len(t.peers) > 0)
+		load, known := d.peers.Total(now, instance, len(t.peers))
+		d.balancer.Others(instance, load.InFlight, load.PrefillTokens, known && len(t.peers) > 0)
 	}
 }
 
 func (d *decisions) takeLoads(now time.Duration, report *wirepb.LoadReport) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.peers.Take(now, report)
+	d.peers.Record(now, report)
 }
 
 // takePrompt notes a prompt that another edge has sent.
@@ -185,13 +185,13 @@
 func (d *decisions) countRequest(now time.Duration, service string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.budget(service).Request(now)
+	d.budget(service).RecordRequest(now)
 }
 
 func (d *decisions) allowRepeat(now time.Duration, service string, edges int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.budget(service).Repeat(now, edges)
+	return d.budget(service).AllowRetry(now, edges)
 }
 
 func (d *decisions) firstToken(now time.Duration, request *loadbalancer.Request, instance string) {
@@ -264,11 +264,11 @@
 	for _, peer := range t.peers {
 		names[peer.name] = true
 	}
-	d.peers.Keep(func(edge string) bool { return names[edge] })
+	d.peers.Retain(func(edge string) bool { return names[edge] })
 }
 
 func (d *decisions) reports(now time.Duration, t *table) []*wirepb.Demand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.shares.Reports(now, t.edges, t.demands)
+	return d.shares.DemandReports(now, t.edges, t.demands)
 }
--- a/internal/serving/edge/golden_test.go
+++ b/internal/serving/edge/golden_test.go
@@ -116,8 +116,8 @@
 			t.Errorf("encoded to %x instead of %s, error %v", again, text, err)
 		}
 	}
-	sum, _ := e.decide.peers.Sum(e.now(), "i-0", 1)
-	if sum.InHand != 1 || sum.Unread != 200 {
+	sum, _ := e.decide.peers.Total(e.now(), "i-0", 1)
+	if sum.InFlight != 1 || sum.PrefillTokens != 200 {
 		t.Errorf("load of another edge: %+v", sum)
 	}
 }
--- a/internal/serving/edge/loads.go
+++ b/internal/serving/edge/loads.go
@@ -17,9 +17,9 @@
 	number := uint64(e.started.UnixMicro())
 	for {
 		t := e.table.Load()
-		period := loadreport.Period(0)
-		if t != nil && loadreport.Worthwhile(len(t.peers)) {
-			period = loadreport.Period(len(t.peers))
+		period := loadreport.Interval(0)
+		if t != nil && loadreport.Enabled(len(t.peers)) {
+			period = loadreport.Interval(len(t.peers))
 			number++
 			e.tellLoads(datagrams, t, number)
 		}
--- a/internal/serving/edge/notices_test.go
+++ b/internal/serving/edge/notices_test.go
@@ -28,9 +28,9 @@
 	}
 	t.Cleanup(func() { connection.Close() })
 	connection.SetReadDeadline(time.Now().Add(10 * time.Second))
-	place := pathhealth.Place{Zone: region, Region: region}
+	place := pathhealth.FailureDomain{Zone: region, Region: region}
 	return &listener{t: t, connection: connection, target: target{
-		Target:  pathhealth.Target{Name: name, Place: place, Linked: true},
+		Target:  pathhealth.Target{Name: name, FailureDomain: place, Linked: true},
 		address: netip.MustParseAddrPort(connection.LocalAddr().String()),
 	}}
 }
--- a/internal/serving/edge/paths.go
+++ b/internal/serving/edge/paths.go
@@ -21,13 +21,13 @@
 // paths is what this edge knows of the ways to other zones. What requests read is one map for all of them.
 type paths struct {
 	mu        sync.Mutex
-	watch     *pathhealth.Watch
+	watch     *pathhealth.Detector
 	zones     map[string]string               // the region of each zone
 	published atomic.Pointer[map[string]bool] // the zones that are suspected
 }
 
 func newPaths(config *settings.Settings, first uint64) *paths {
-	own := pathhealth.Place{Zone: config.Zone, Region: config.Region}
+	own := pathhealth.FailureDomain{Zone: config.Zone, Region: config.Region}
 	p := &paths{watch: pathhealth.New(own, first), zones: config.Zones}
 	p.published.Store(&map[string]bool{})
 	return p
@@ -44,7 +44,7 @@
 	for i := range t.targets {
 		targets[i] = t.targets[i].Target
 	}
-	probes := p.watch.Due(now, targets)
+	probes := p.watch.DueProbes(now, targets)
 	p.publish(now)
 	return probes
 }
@@ -52,7 +52,7 @@
 func (p *paths) answered(now time.Duration, number uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.watch.Answered(now, number)
+	p.watch.RecordAnswer(now, number)
 	p.publish(now)
 }
 
@@ -60,14 +60,14 @@
 func (p *paths) proven(sentAt time.Duration, w worker) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.watch.Proven(sentAt, pathhealth.Place{Zone: w.Zone, Region: w.Region})
+	p.watch.ConfirmPath(sentAt, pathhealth.FailureDomain{Zone: w.Zone, Region: w.Region})
 }
 
 // publish makes known which zones are suspected. The caller holds the lock.
 func (p *paths) publish(now time.Duration) {
 	suspected := map[string]bool{}
 	for zone, region := range p.zones {
-		if p.watch.Suspect(now, pathhealth.Place{Zone: zone, Region: region}) {
+		if p.watch.Suspected(now, pathhealth.FailureDomain{Zone: zone, Region: region}) {
 			suspected[zone] = true
 		}
 	}
--- a/internal/serving/edge/paths_test.go
+++ b/internal/serving/edge/paths_test.go
@@ -76,7 +76,9 @@
 	first, second := newPaths(config("e1", "127.0.0.1", "a"), 7), newPaths(config("e2", "127.0.0.1", "b"), 9)
 	address := netip.MustParseAddrPort("127.0.0.1:1")
 	other := target{
-		Target:  pathhealth.Target{Name: "e2", Place: pathhealth.Place{Zone: "b", Region: "b"}, Linked: true},
+		Target: pathhealth.Target{
+			Name: "e2", FailureDomain: pathhealth.FailureDomain{Zone: "b", Region: "b"}, Linked: true,
+		},
 		address: address,
 	}
 	view := &table{targets: []target{other}}
--- a/internal/serving/edge/table.go
+++ b/internal/serving/edge/table.go
@@ -197,9 +197,9 @@
 	if edge.Linked {
 		t.peers = append(t.peers, peer{name: edge.Name, address: address})
 	}
-	place := pathhealth.Place{Zone: edge.Zone, Region: edge.Region}
+	place := pathhealth.FailureDomain{Zone: edge.Zone, Region: edge.Region}
 	t.targets = append(t.targets, target{
-		Target: pathhealth.Target{Name: edge.Name, Place: place, Linked: edge.Linked}, address: address,
+		Target: pathhealth.Target{Name: edge.Name, FailureDomain: place, Linked: edge.Linked}, address: address,
 	})
 }
 
--- a/internal/serving/loadreport/peers.go
+++ b/internal/serving/loadreport/peers.go
@@ -1,6 +1,3 @@
-// Package loadreport adds up what other edges say that they have in hand at workers. Reports are datagrams:
-// each replaces the one before it, a lost one is made good by the next, and an edge that is not heard from
-// drops out. The package has no I/O, clock or goroutines, and is not safe for concurrent use.
 package loadreport
 
 import (
@@ -10,74 +7,76 @@
 )
 
 const (
-	shortestPeriod = 100 * time.Millisecond
-	periodPerPeer  = 15 * time.Millisecond // so that an edge's bytes do not grow with the number of edges
-	mostPeers      = 60                    // beyond which reports would be too old to be worth their bytes
-	periodsHeard   = 3.5                   // that a report counts for
+	minInterval        = 100 * time.Millisecond
+	intervalPerPeer    = 15 * time.Millisecond // so that an edge's bytes do not grow with the number of edges
+	maxPeers           = 60                    // beyond which reports would be too old to be worth their bytes
+	freshnessIntervals = 3.5                   // for which a report counts
 )
 
-// Period is how often an edge reports, by the number of others.
-func Period(peers int) time.Duration {
-	return max(shortestPeriod, time.Duration(peers)*periodPerPeer)
+// Interval returns how often an edge reports, by the number of its peers.
+func Interval(peers int) time.Duration {
+	return max(minInterval, time.Duration(peers)*intervalPerPeer)
 }
 
-// Worthwhile reports whether edges tell each other at all, by the number of others.
-func Worthwhile(peers int) bool { return peers > 0 && peers <= mostPeers }
+// Enabled reports whether edges report to each other at all, by the number of an edge's peers.
+func Enabled(peers int) bool { return peers > 0 && peers <= maxPeers }
 
-// Load is what is in hand at a worker.
+// Load is the load of a worker that some edges have caused.
 type Load struct {
-	InHand float64
-	Unread float64 // prompt tokens of requests without a first token
+	InFlight      float64 // requests
+	PrefillTokens float64 // prompt tokens of the requests in flight that have no first token yet
 }
 
 type report struct {
-	number uint64
-	heard  time.Duration
-	loads  map[string]Load
+	number     uint64 // counted by the edge
+	receivedAt time.Duration
+	loads      map[string]Load // by worker instance
 }
 
-// Peers holds the newest report of each other edge.
+// Peers holds the newest report of each peer.
 type Peers struct {
-	reports map[string]*report
+	reports map[string]*report // by edge
 }
 
-// New holds no reports.
+// New returns a Peers without reports.
 func New() *Peers { return &Peers{reports: map[string]*report{}} }
 
-// Take takes a report. Late ones are left out.
-func (p *Peers) Take(now time.Duration, message *wirepb.LoadReport) {
-	if held := p.reports[message.Edge]; held != nil && held.number >= message.Number {
+// Record records a report, unless it is not newer than the last one of its edge.
+func (p *Peers) Record(now time.Duration, message *wirepb.LoadReport) {
+	if last := p.reports[message.Edge]; last != nil && last.number >= message.Number {
 		return
 	}
-	taken := &report{number: message.Number, heard: now, loads: map[string]Load{}}
+	received := &report{number: message.Number, receivedAt: now, loads: map[string]Load{}}
 	for _, load := range message.Loads {
-		taken.loads[load.InstanceId] = Load{InHand: float64(load.InHand), Unread: float64(load.UnreadTokens)}
+		received.loads[load.InstanceId] = Load{
+			InFlight: float64(load.InHand), PrefillTokens: float64(load.UnreadTokens),
+		}
 	}
-	p.reports[message.Edge] = taken
+	p.reports[message.Edge] = received
 }
 
 // fresh reports whether a report still counts, among that many peers.
 func (r *report) fresh(now time.Duration, peers int) bool {
-	return now-r.heard < time.Duration(periodsHeard*float64(Period(peers)))
+	return now-r.receivedAt < time.Duration(freshnessIntervals*float64(Interval(peers)))
 }
 
-// Sum returns what other edges have in hand at a worker. known is false where fewer than half of them are
-// heard from: then what the worker says itself is the better guide.
-func (p *Peers) Sum(now time.Duration, instance string, peers int) (sum Load, known bool) {
-	heard := 0
+// Total returns the load of a worker that the peers report; peers is how many there are. known is false where
+// fewer than half of them have a fresh report: then the worker's own figures are the better guide.
+func (p *Peers) Total(now time.Duration, instance string, peers int) (total Load, known bool) {
+	fresh := 0
 	for _, r := range p.reports {
 		if !r.fresh(now, peers) {
 			continue
 		}
-		heard++
-		sum.InHand += r.loads[instance].InHand
-		sum.Unread += r.loads[instance].Unread
+		fresh++
+		total.InFlight += r.loads[instance].InFlight
+		total.PrefillTokens += r.loads[instance].PrefillTokens
 	}
-	return sum, 2*heard >= peers
+	return total, 2*fresh >= peers
 }
 
-// Keep forgets the edges that wanted does not name.
-func (p *Peers) Keep(wanted func(edge string) bool) {
+// Retain drops the reports of the edges that wanted rejects.
+func (p *Peers) Retain(wanted func(edge string) bool) {
 	for edge := range p.reports {
 		if !wanted(edge) {
 			delete(p.reports, edge)
--- a/internal/serving/loadreport/peers_test.go
+++ b/internal/serving/loadreport/peers_test.go
@@ -6,42 +6,42 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-func loadReport(edge string, number uint64, inHand uint32) *wirepb.LoadReport {
+func loadReport(edge string, number uint64, inFlight uint32) *wirepb.LoadReport {
 	return &wirepb.LoadReport{Edge: edge, Number: number, Loads: []*wirepb.WorkerLoad{
-		{InstanceId: "w", InHand: inHand, UnreadTokens: 100 * inHand},
+		{InstanceId: "w", InHand: inFlight, UnreadTokens: 100 * inFlight},
 	}}
 }
 
-func TestNewestReportOfEachCounts(t *testing.T) {
+func TestNewestReportOfEachEdgeCounts(t *testing.T) {
 	peers := New()
-	peers.Take(0, loadReport("a", 2, 3))
-	peers.Take(0, loadReport("a", 1, 9)) // late
-	peers.Take(0, loadReport("b", 1, 4))
-	if sum, known := peers.Sum(0, "w", 3); !known || sum.InHand != 7 || sum.Unread != 700 {
-		t.Errorf("%+v %v", sum, known)
+	peers.Record(0, loadReport("a", 2, 3))
+	peers.Record(0, loadReport("a", 1, 9)) // late
+	peers.Record(0, loadReport("b", 1, 4))
+	if total, known := peers.Total(0, "w", 3); !known || total.InFlight != 7 || total.PrefillTokens != 700 {
+		t.Errorf("%+v %v", total, known)
 	}
-	peers.Take(0, loadReport("a", 3, 0))
-	if sum, _ := peers.Sum(0, "w", 3); sum.InHand != 4 {
-		t.Errorf("%+v", sum)
+	peers.Record(0, loadReport("a", 3, 0))
+	if total, _ := peers.Total(0, "w", 3); total.InFlight != 4 {
+		t.Errorf("%+v", total)
 	}
 }
 
-func TestSilentEdgesDropOut(t *testing.T) {
+func TestReportsExpire(t *testing.T) {
 	peers := New()
-	peers.Take(0, loadReport("a", 1, 3))
-	later := 4 * Period(3)
-	peers.Take(later, loadReport("b", 1, 1))
-	if sum, known := peers.Sum(later, "w", 3); known || sum.InHand != 1 {
-		t.Errorf("one of three is heard: %+v %v", sum, known)
+	peers.Record(0, loadReport("a", 1, 3))
+	later := 4 * Interval(3)
+	peers.Record(later, loadReport("b", 1, 1))
+	if total, known := peers.Total(later, "w", 3); known || total.InFlight != 1 {
+		t.Errorf("one of three has a fresh report: %+v %v", total, known)
 	}
 }
 
-func TestBytesDoNotGrowWithPeers(t *testing.T) {
-	if Worthwhile(0) || !Worthwhile(7) || Worthwhile(329) {
-		t.Error("who reports")
+func TestTrafficDoesNotGrowWithPeers(t *testing.T) {
+	if Enabled(0) || !Enabled(7) || Enabled(329) {
+		t.Error("whether edges report")
 	}
 	for peers := 10; peers < 400; peers++ {
-		if perSecond := float64(peers) / Period(peers).Seconds(); perSecond > 100 {
+		if perSecond := float64(peers) / Interval(peers).Seconds(); perSecond > 100 {
 			t.Fatalf("%d peers: %.0f datagrams a second", peers, perSecond)
 		}
 	}
--- a/internal/serving/pathhealth/detector.go
+++ b/internal/serving/pathhealth/detector.go
@@ -1,182 +1,176 @@
-// Package pathhealth finds out which places an edge has no path to, there and back. It has one edge of each
-// other zone probed by turns, and a place is suspected once several probes in a row, to different edges, have
-// stayed without an answer. This is the failure detection of SWIM (Das, Gupta and Motivala, 2002) applied to
-// paths in place of members: the edges there stand for the workers, so that a cut or a loss of a region is
-// seen at once, and not by each worker's silence.
-//
-// A probe is answered by its receiver at once, so an answer proves both directions as of the moment at which
-// the probe was sent; so does the head of a worker's answer. A first unanswered probe is followed by others
-// in quick succession. What a place costs does not grow with the number of edges, and all probes of an edge
-// together keep within probesPerSecond.
-//
-// The package has no I/O, clock or goroutines, and is not safe for concurrent use.
 package pathhealth
 
 import (
+	"maps"
 	"slices"
 	"time"
 )
 
 const (
-	shortestPeriod  = 150 * time.Millisecond // between two probes to a region
-	probesPerSecond = 20                     // of one edge, to all regions together, while nothing is missed
-	confirmPeriod   = 40 * time.Millisecond  // between two probes while a miss is neither confirmed nor refuted
-	missesToSuspect = 3                      // unanswered probes in a row
-	firstPatience   = 250 * time.Millisecond // for an answer, before a round trip is known
-	leastPatience   = 40 * time.Millisecond
-	patienceFactor  = 2.5             // times the smoothed round trip
-	roundTripWeight = 0.2             // of a new round trip in the smoothed one
-	suspicionLife   = 3 * time.Second // without a new miss: where nobody is left to be probed
+	minProbeInterval     = 150 * time.Millisecond // between two probes to a region
+	probesPerSecond      = 20                     // of one edge, to all regions, while nothing is missed
+	confirmInterval      = 40 * time.Millisecond  // between two probes while a miss is not confirmed or refuted
+	missesToSuspect      = 3                      // unanswered probes in a row
+	initialAnswerTimeout = 250 * time.Millisecond // of a probe, before a round trip is known
+	minAnswerTimeout     = 40 * time.Millisecond
+	roundTripsToTimeout  = 2.5             // smoothed round trips until a probe counts as missed
+	roundTripWeight      = 0.2             // of a new round trip in the smoothed one
+	suspicionExpiry      = 3 * time.Second // after the last miss, for domains without an edge left to probe
 )
 
-// Place is where a machine stands.
-type Place struct{ Zone, Region string }
+// FailureDomain is the zone and the region that a machine is in.
+type FailureDomain struct{ Zone, Region string }
 
 // Target is an edge that may be probed.
 type Target struct {
 	Name string
-	Place
-	Linked bool // the core has a link to it: those without one are probed only where there is no other
+	FailureDomain
+	Linked bool // the core has a link to it; others are probed only in zones without a linked edge
 }
 
-// Probe is to be sent to an edge.
+// Probe is a probe to be sent to an edge.
 type Probe struct {
-	Target string
+	Target string // the edge's name
 	Number uint64
 }
 
-// sent is a probe whose answer may still come.
-type sent struct {
+// sentProbe is a probe whose answer may still come.
+type sentProbe struct {
 	zone   string
-	at     time.Duration
+	sentAt time.Duration
 	missed bool // the answer is overdue
 }
 
-// zonePath is what is known of the path to one zone.
+// zonePath is the state of the path to one zone.
 type zonePath struct {
-	provenAt time.Duration // when the newest message left that is known to have been answered
-	proven   bool
-	misses   []time.Duration // when the unanswered probes since then were sent
-	lastMiss time.Duration   // when the newest miss was found
-	next     int             // of the targets, by turns
+	provenAt   time.Duration   // when the newest message was sent that is known to have been answered
+	proven     bool            // provenAt was set
+	misses     []time.Duration // when the unanswered probes since then were sent; missesToSuspect at most
+	lastMiss   time.Duration   // when the newest miss was found
+	nextTarget int             // turn of the targets
 }
 
-// regionPath is what is known of the path to one region.
+// regionPath is the state of the path to one region.
 type regionPath struct {
 	zones     map[string]*zonePath
-	next      int // of the zones, by turns
-	nextProbe time.Duration
+	nextZone  int           // turn of the zones
+	nextProbe time.Duration // when the next probe is due
 	roundTrip time.Duration // smoothed; 0: not known
 }
 
-// Watch watches the paths of one edge.
-type Watch struct {
-	own     Place
-	regions map[string]*regionPath
-	number  uint64
-	waiting map[uint64]*sent
+// Detector detects which failure domains one edge has no path to.
+type Detector struct {
+	own        FailureDomain
+	regions    map[string]*regionPath
+	lastNumber uint64                // of the probes
+	pending    map[uint64]*sentProbe // by number
 }
 
-// New makes a watch for an edge at that place. Its probes are numbered from first on, which no earlier life
-// of the process may have come to.
-func New(own Place, first uint64) *Watch {
-	return &Watch{own: own, regions: map[string]*regionPath{}, number: first, waiting: map[uint64]*sent{}}
+// New returns a detector for an edge in the failure domain own. Its probes are numbered from first+1 on,
+// which must be above all numbers of earlier incarnations of the process.
+func New(own FailureDomain, first uint64) *Detector {
+	return &Detector{
+		own: own, regions: map[string]*regionPath{}, lastNumber: first, pending: map[uint64]*sentProbe{},
+	}
 }
 
-// Due returns the probes to be sent now: at most one for each region. Targets of the edge's own zone are
-// left out.
-func (w *Watch) Due(now time.Duration, targets []Target) []Probe {
-	w.noteMisses(now)
-	byZone := w.group(targets)
-	period := max(shortestPeriod, time.Duration(len(w.regions))*time.Second/probesPerSecond)
+// DueProbes returns the probes to be sent now: at most one for each region, none to the edge's own zone. It
+// counts them as sent. targets may change from call to call.
+func (d *Detector) DueProbes(now time.Duration, targets []Target) []Probe {
+	d.recordMisses(now)
+	byZone := d.groupByZone(targets)
+	interval := max(minProbeInterval, time.Duration(len(d.regions))*time.Second/probesPerSecond)
 	var probes []Probe
-	for _, name := range sortedKeys(w.regions) {
-		region := w.regions[name]
+	for _, name := range slices.Sorted(maps.Keys(d.regions)) {
+		region := d.regions[name]
 		if now < region.nextProbe {
 			continue
 		}
-		region.nextProbe = now + period
+		region.nextProbe = now + interval
 		if region.unconfirmed() {
-			region.nextProbe = now + confirmPeriod
+			region.nextProbe = now + confirmInterval
 		}
-		if probe, ok := w.probeRegion(now, region, byZone); ok {
+		if probe, ok := d.probeRegion(now, region, byZone); ok {
 			probes = append(probes, probe)
 		}
 	}
 	return probes
 }
 
-// group sorts the targets by zone, and keeps only the zones that have some.
-func (w *Watch) group(targets []Target) map[string][]Target {
+// groupByZone returns the targets outside of the edge's own zone by zone: the linked ones, or all of a zone
+// that has none. It adds the zones that are new to the detector's state.
+func (d *Detector) groupByZone(targets []Target) map[string][]Target {
 	byZone := map[string][]Target{}
 	for _, linked := range []bool{true, false} {
 		for _, target := range targets {
-			if target.Zone == w.own.Zone || target.Linked != linked {
+			if target.Zone == d.own.Zone || target.Linked != linked {
 				continue
 			}
 			if !linked && len(byZone[target.Zone]) > 0 && byZone[target.Zone][0].Linked {
 				continue
 			}
 			byZone[target.Zone] = append(byZone[target.Zone], target)
-			w.zone(target.Place)
+			d.zonePath(target.FailureDomain)
 		}
 	}
 	return byZone
 }
 
-// zone returns what is known of a zone's path.
-func (w *Watch) zone(place Place) *zonePath {
-	region := w.regions[place.Region]
+// zonePath returns the state of the path to a domain's zone, which it creates at the first call.
+func (d *Detector) zonePath(domain FailureDomain) *zonePath {
+	region := d.regions[domain.Region]
 	if region == nil {
 		region = &regionPath{zones: map[string]*zonePath{}}
-		w.regions[place.Region] = region
+		d.regions[domain.Region] = region
 	}
-	zone := region.zones[place.Zone]
+	zone := region.zones[domain.Zone]
 	if zone == nil {
 		zone = &zonePath{}
-		region.zones[place.Zone] = zone
+		region.zones[domain.Zone] = zone
 	}
 	return zone
 }
 
-// probeRegion probes the region's next zone that has somebody to be probed.
-func (w *Watch) probeRegion(now time.Duration, region *regionPath, byZone map[string][]Target) (Probe, bool) {
-	names := sortedKeys(region.zones)
+// probeRegion returns a probe to the region's next zone that has targets, and counts it as sent.
+func (d *Detector) probeRegion(
+	now time.Duration, region *regionPath, byZone map[string][]Target,
+) (Probe, bool) {
+	names := slices.Sorted(maps.Keys(region.zones))
 	for range names {
-		name := names[region.next%len(names)]
-		region.next++
+		name := names[region.nextZone%len(names)]
+		region.nextZone++
 		targets := byZone[name]
 		if len(targets) == 0 {
 			continue
 		}
 		zone := region.zones[name]
-		target := targets[zone.next%len(targets)]
-		zone.next++
-		w.number++
-		w.waiting[w.number] = &sent{zone: name, at: now}
-		return Probe{Target: target.Name, Number: w.number}, true
+		target := targets[zone.nextTarget%len(targets)]
+		zone.nextTarget++
+		d.lastNumber++
+		d.pending[d.lastNumber] = &sentProbe{zone: name, sentAt: now}
+		return Probe{Target: target.Name, Number: d.lastNumber}, true
 	}
 	return Probe{}, false
 }
 
-// noteMisses takes the probes that have waited for too long as unanswered.
-func (w *Watch) noteMisses(now time.Duration) {
-	for _, number := range sortedKeys(w.waiting) {
-		probe := w.waiting[number]
-		region, zone := w.find(probe.zone)
+// recordMisses records the pending probes whose answers have become overdue, and drops those that are old.
+func (d *Detector) recordMisses(now time.Duration) {
+	for _, number := range slices.Sorted(maps.Keys(d.pending)) {
+		probe := d.pending[number]
+		region, zone := d.findZone(probe.zone)
 		switch {
-		case now-probe.at > suspicionLife:
-			delete(w.waiting, number)
-		case !probe.missed && now-probe.at > region.patience():
+		case now-probe.sentAt > suspicionExpiry:
+			delete(d.pending, number)
+		case !probe.missed && now-probe.sentAt > region.answerTimeout():
 			probe.missed = true
-			zone.miss(now, probe.at)
+			zone.recordMiss(now, probe.sentAt)
 			region.nextProbe = min(region.nextProbe, now)
 		}
 	}
 }
 
-// miss notes that a probe is overdue, unless something that was sent later has been answered.
-func (z *zonePath) miss(now, sentAt time.Duration) {
+// recordMiss records that a probe is overdue, unless a message that was sent later has been answered.
+func (z *zonePath) recordMiss(now, sentAt time.Duration) {
 	if z.proven && z.provenAt >= sentAt {
 		return
 	}
@@ -187,8 +181,9 @@
 	}
 }
 
-func (w *Watch) find(zone string) (*regionPath, *zonePath) {
-	for _, region := range w.regions {
+// findZone returns the state of the paths to a zone that was probed, and to its region.
+func (d *Detector) findZone(zone string) (*regionPath, *zonePath) {
+	for _, region := range d.regions {
 		if path := region.zones[zone]; path != nil {
 			return region, path
 		}
@@ -196,29 +191,32 @@
 	return nil, nil
 }
 
-// Answered takes the answer to a probe. A late one proves the path as well, and teaches patience.
-func (w *Watch) Answered(now time.Duration, number uint64) {
-	probe, known := w.waiting[number]
+// RecordAnswer records the answer to a probe. A late one proves the path as well, and its round trip
+// lengthens the time-out of the region's probes.
+func (d *Detector) RecordAnswer(now time.Duration, number uint64) {
+	probe, known := d.pending[number]
 	if !known {
 		return
 	}
-	delete(w.waiting, number)
-	region, zone := w.find(probe.zone)
-	trip := now - probe.at
+	delete(d.pending, number)
+	region, zone := d.findZone(probe.zone)
+	roundTrip := now - probe.sentAt
 	if region.roundTrip == 0 {
-		region.roundTrip = trip
+		region.roundTrip = roundTrip
 	}
-	region.roundTrip += time.Duration(roundTripWeight * float64(trip-region.roundTrip))
-	zone.prove(probe.at)
+	region.roundTrip += time.Duration(roundTripWeight * float64(roundTrip-region.roundTrip))
+	zone.prove(probe.sentAt)
 }
 
-// Proven takes the word that a message which was sent to a place at that time has been answered.
-func (w *Watch) Proven(sentAt time.Duration, place Place) {
-	if place.Zone != w.own.Zone {
-		w.zone(place).prove(sentAt)
+// ConfirmPath records that a message which was sent to a domain at sentAt has been answered.
+func (d *Detector) ConfirmPath(sentAt time.Duration, domain FailureDomain) {
+	if domain.Zone != d.own.Zone {
+		d.zonePath(domain).prove(sentAt)
 	}
 }
 
+// prove records that a message sent at sentAt has been answered: misses of earlier probes do not count any
+// more.
 func (z *zonePath) prove(sentAt time.Duration) {
 	if z.proven && sentAt <= z.provenAt {
 		return
@@ -228,28 +226,29 @@
 	z.misses = slices.DeleteFunc(z.misses, func(missed time.Duration) bool { return missed <= sentAt })
 }
 
-// Suspect reports whether there seems to be no path to a place: to its zone, or to all of its region.
-func (w *Watch) Suspect(now time.Duration, place Place) bool {
-	region := w.regions[place.Region]
-	if region == nil || place.Zone == w.own.Zone {
+// Suspected reports whether there seems to be no path to a domain: to its zone, or to all of its region.
+func (d *Detector) Suspected(now time.Duration, domain FailureDomain) bool {
+	region := d.regions[domain.Region]
+	if region == nil || domain.Zone == d.own.Zone {
 		return false
 	}
-	zone := region.zones[place.Zone]
-	if zone != nil && zone.suspect(now) {
+	zone := region.zones[domain.Zone]
+	if zone != nil && zone.suspected(now) {
 		return true
 	}
-	return place.Region != w.own.Region && region.suspect(now)
+	return domain.Region != d.own.Region && region.suspected(now)
 }
 
-func (z *zonePath) suspect(now time.Duration) bool {
-	return len(z.misses) >= missesToSuspect && now-z.lastMiss < suspicionLife
+// suspected reports whether enough probes to the zone in a row were missed.
+func (z *zonePath) suspected(now time.Duration) bool {
+	return len(z.misses) >= missesToSuspect && now-z.lastMiss < suspicionExpiry
 }
 
-// suspect reports whether all zones of the region miss answers, and all together enough of them.
-func (r *regionPath) suspect(now time.Duration) bool {
+// suspected reports whether all zones of the region miss answers, and all together enough of them.
+func (r *regionPath) suspected(now time.Duration) bool {
 	misses := 0
 	for _, zone := range r.zones {
-		if len(zone.misses) == 0 || now-zone.lastMiss >= suspicionLife {
+		if len(zone.misses) == 0 || now-zone.lastMiss >= suspicionExpiry {
 			return false
 		}
 		misses += len(zone.misses)
@@ -267,10 +266,10 @@
 	return false
 }
 
-// patience is how long an answer from the region is waited for.
-func (r *regionPath) patience() time.Duration {
+// answerTimeout returns how long an answer from the region may take until the probe counts as missed.
+func (r *regionPath) answerTimeout() time.Duration {
 	if r.roundTrip == 0 {
-		return firstPatience
+		return initialAnswerTimeout
 	}
-	return max(leastPatience, time.Duration(patienceFactor*float64(r.roundTrip)))
+	return max(minAnswerTimeout, time.Duration(roundTripsToTimeout*float64(r.roundTrip)))
 }
--- a/internal/serving/pathhealth/detector_test.go
+++ b/internal/serving/pathhealth/detector_test.go
@@ -11,42 +11,48 @@
 	tick   = 10 * time.Millisecond
 )
 
-// world plays a watch against other edges: what is lost is said by path, one direction each.
-type world struct {
-	now      time.Duration
-	watch    *Watch
-	targets  []Target
-	dead     map[string]bool // edges that do not answer
-	cutThere func(Place) bool
-	cutBack  func(Place) bool
-	delay    time.Duration
-	answers  map[time.Duration][]uint64
-	sent     int
-	sentTo   map[string]int
+// simulation runs a detector against other edges. Messages are lost by failure domain and direction.
+type simulation struct {
+	now          time.Duration
+	detector     *Detector
+	targets      []Target
+	dead         map[string]bool // edges that do not answer
+	lostOutbound func(FailureDomain) bool
+	lostInbound  func(FailureDomain) bool
+	delay        time.Duration
+	answers      map[time.Duration][]uint64
+	sent         int
+	sentTo       map[string]int
 }
 
-func newWorld() *world {
-	w := &world{
-		watch: New(Place{Zone: "a1", Region: "a"}, 100), dead: map[string]bool{}, delay: 2 * oneWay,
-		cutThere: nowhere, cutBack: nowhere, answers: map[time.Duration][]uint64{}, sentTo: map[string]int{},
+func newSimulation() *simulation {
+	s := &simulation{
+		detector: New(FailureDomain{Zone: "a1", Region: "a"}, 100), dead: map[string]bool{}, delay: 2 * oneWay,
+		lostOutbound: nowhere, lostInbound: nowhere,
+		answers: map[time.Duration][]uint64{}, sentTo: map[string]int{},
 	}
 	for _, zone := range []string{"a1", "a2", "b1", "b2", "c1", "c2"} {
 		for i := range 4 {
-			place := Place{Zone: zone, Region: zone[:1]}
-			w.targets = append(w.targets, Target{Name: fmt.Sprintf("%s-%d", zone, i), Place: place, Linked: true})
+			domain := FailureDomain{Zone: zone, Region: zone[:1]}
+			name := fmt.Sprintf("%s-%d", zone, i)
+			s.targets = append(s.targets, Target{Name: name, FailureDomain: domain, Linked: true})
 		}
 	}
-	return w
+	return s
 }
 
-func nowhere(Place) bool { return false }
+func nowhere(FailureDomain) bool { return false }
 
-func region(name string) func(Place) bool { return func(p Place) bool { return p.Region == name } }
+func region(name string) func(FailureDomain) bool {
+	return func(p FailureDomain) bool { return p.Region == name }
+}
 
-func zone(name string) func(Place) bool { return func(p Place) bool { return p.Zone == name } }
+func zone(name string) func(FailureDomain) bool {
+	return func(p FailureDomain) bool { return p.Zone == name }
+}
 
-func (w *world) target(name string) Target {
-	for _, target := range w.targets {
+func (s *simulation) target(name string) Target {
+	for _, target := range s.targets {
 		if target.Name == name {
 			return target
 		}
@@ -54,163 +60,167 @@
 	return Target{}
 }
 
-// run plays for a time, and returns when the place was first suspected, as time since the start; -1: never.
-func (w *world) run(length time.Duration, place Place) time.Duration {
-	begun, first := w.now, time.Duration(-1)
-	for w.now < begun+length {
-		for _, number := range w.answers[w.now] {
-			w.watch.Answered(w.now, number)
+// run simulates for a time, and returns when the domain was first suspected, as time since the start; -1:
+// never.
+func (s *simulation) run(length time.Duration, domain FailureDomain) time.Duration {
+	begun, first := s.now, time.Duration(-1)
+	for s.now < begun+length {
+		for _, number := range s.answers[s.now] {
+			s.detector.RecordAnswer(s.now, number)
 		}
-		for _, probe := range w.watch.Due(w.now, w.targets) {
-			w.sent++
-			w.sentTo[probe.Target]++
-			target := w.target(probe.Target)
-			if !w.dead[probe.Target] && !w.cutThere(target.Place) && !w.cutBack(target.Place) {
-				at := w.now + w.delay
-				w.answers[at-at%tick+tick] = append(w.answers[at-at%tick+tick], probe.Number)
+		for _, probe := range s.detector.DueProbes(s.now, s.targets) {
+			s.sent++
+			s.sentTo[probe.Target]++
+			target := s.target(probe.Target)
+			if !s.dead[probe.Target] && !s.lostOutbound(target.FailureDomain) && !s.lostInbound(target.FailureDomain) {
+				at := s.now + s.delay
+				s.answers[at-at%tick+tick] = append(s.answers[at-at%tick+tick], probe.Number)
 			}
 		}
-		if first < 0 && w.watch.Suspect(w.now, place) {
-			first = w.now - begun
+		if first < 0 && s.detector.Suspected(s.now, domain) {
+			first = s.now - begun
 		}
-		w.now += tick
+		s.now += tick
 	}
 	return first
 }
 
-var farZone = Place{Zone: "b1", Region: "b"}
+var (
+	farZone   = FailureDomain{Zone: "b1", Region: "b"}
+	otherZone = FailureDomain{Zone: "c1", Region: "c"}
+)
 
-// TestCutRegionIsFoundSoon cuts a region off, in either direction, and lets the path come back.
-func TestCutRegionIsFoundSoon(t *testing.T) {
-	for name, cut := range map[string]func(*world, func(Place) bool){
-		"there": func(w *world, lost func(Place) bool) { w.cutThere = lost },
-		"back":  func(w *world, lost func(Place) bool) { w.cutBack = lost },
+// TestPartitionedRegionIsSuspected partitions a region, in either direction, and heals the path.
+func TestPartitionedRegionIsSuspected(t *testing.T) {
+	for name, partition := range map[string]func(*simulation, func(FailureDomain) bool){
+		"outbound": func(s *simulation, lost func(FailureDomain) bool) { s.lostOutbound = lost },
+		"inbound":  func(s *simulation, lost func(FailureDomain) bool) { s.lostInbound = lost },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld()
-			if at := w.run(5*time.Second, farZone); at >= 0 {
+			s := newSimulation()
+			if at := s.run(5*time.Second, farZone); at >= 0 {
 				t.Fatalf("suspected after %v with nothing lost", at)
 			}
-			cut(w, region("b"))
-			if at := w.run(6*time.Second, farZone); at < 0 || at > 450*time.Millisecond {
+			partition(s, region("b"))
+			if at := s.run(6*time.Second, farZone); at < 0 || at > 450*time.Millisecond {
 				t.Errorf("suspected after %v", at)
 			}
-			if !w.watch.Suspect(w.now, farZone) || w.watch.Suspect(w.now, Place{Zone: "c1", Region: "c"}) {
-				t.Error("the cut region and no other one should be suspected")
+			if !s.detector.Suspected(s.now, farZone) || s.detector.Suspected(s.now, otherZone) {
+				t.Error("the partitioned region and no other one should be suspected")
 			}
-			cut(w, nowhere)
-			w.run(500*time.Millisecond, farZone)
-			if w.watch.Suspect(w.now, farZone) {
+			partition(s, nowhere)
+			s.run(500*time.Millisecond, farZone)
+			if s.detector.Suspected(s.now, farZone) {
 				t.Error("still suspected after the path came back")
 			}
 		})
 	}
 }
 
-// TestCutZoneLeavesItsRegion cuts one zone off: the other one of its region stays usable.
-func TestCutZoneLeavesItsRegion(t *testing.T) {
-	w := newWorld()
-	w.run(time.Second, farZone)
-	w.cutThere = zone("b1")
-	if at := w.run(3*time.Second, farZone); at < 0 || at > time.Second {
+// TestPartitionedZoneLeavesItsRegion partitions one zone: the other one of its region stays usable.
+func TestPartitionedZoneLeavesItsRegion(t *testing.T) {
+	s := newSimulation()
+	s.run(time.Second, farZone)
+	s.lostOutbound = zone("b1")
+	if at := s.run(3*time.Second, farZone); at < 0 || at > time.Second {
 		t.Errorf("suspected after %v", at)
 	}
-	if w.watch.Suspect(w.now, Place{Zone: "b2", Region: "b"}) {
+	if s.detector.Suspected(s.now, FailureDomain{Zone: "b2", Region: "b"}) {
 		t.Error("the zone that answers is suspected")
 	}
 }
 
-// TestDeadEdgesAreNoCut kills half of a region's edges: their neighbours prove the path.
-func TestDeadEdgesAreNoCut(t *testing.T) {
-	w := newWorld()
+// TestDeadEdgesAreNoPartition stops half of a region's edges: the others prove the path.
+func TestDeadEdgesAreNoPartition(t *testing.T) {
+	s := newSimulation()
 	for _, zone := range []string{"b1", "b2"} {
-		w.dead[zone+"-0"], w.dead[zone+"-2"] = true, true
+		s.dead[zone+"-0"], s.dead[zone+"-2"] = true, true
 	}
-	if at := w.run(20*time.Second, farZone); at >= 0 {
+	if at := s.run(20*time.Second, farZone); at >= 0 {
 		t.Errorf("suspected after %v though every other edge answers", at)
 	}
 }
 
-// TestUnlinkedEdgesAreProbedForWantOfOthers takes the core's links to a cut region away, as a cut does: the
-// edges there are still asked, and found when the path comes back.
-func TestUnlinkedEdgesAreProbedForWantOfOthers(t *testing.T) {
-	w := newWorld()
-	w.run(time.Second, farZone)
-	w.cutBack = region("b")
-	for i := range w.targets {
-		if w.targets[i].Region == "b" {
-			w.targets[i].Linked = false
+// TestUnlinkedEdgesAreProbedWithoutLinkedOnes removes the core's links to a partitioned region, as a
+// partition does: the edges there are still probed, and the region is usable when the path comes back.
+func TestUnlinkedEdgesAreProbedWithoutLinkedOnes(t *testing.T) {
+	s := newSimulation()
+	s.run(time.Second, farZone)
+	s.lostInbound = region("b")
+	for i := range s.targets {
+		if s.targets[i].Region == "b" {
+			s.targets[i].Linked = false
 		}
 	}
-	w.targets = append(w.targets, Target{Name: "c1-left", Place: Place{Zone: "c1", Region: "c"}})
-	w.run(10*time.Second, farZone)
-	if !w.watch.Suspect(w.now, farZone) || w.sentTo["c1-left"] > 0 {
-		t.Error("the region should be suspected, and unlinked edges left alone where there are others")
+	s.targets = append(s.targets, Target{Name: "c1-unlinked", FailureDomain: otherZone})
+	s.run(10*time.Second, farZone)
+	if !s.detector.Suspected(s.now, farZone) || s.sentTo["c1-unlinked"] > 0 {
+		t.Error("the region should be suspected, and unlinked edges not probed where there are linked ones")
 	}
-	w.cutBack = nowhere
-	w.run(500*time.Millisecond, farZone)
-	if w.watch.Suspect(w.now, farZone) {
+	s.lostInbound = nowhere
+	s.run(500*time.Millisecond, farZone)
+	if s.detector.Suspected(s.now, farZone) {
 		t.Error("the region should be back")
 	}
 }
 
-// TestNobodyLeft takes all edges of a region away: what was suspected is so for a while only, since nothing
-// can prove it wrong.
-func TestNobodyLeft(t *testing.T) {
-	w := newWorld()
-	w.cutBack = region("b")
-	w.run(2*time.Second, farZone)
-	kept := w.targets[:0]
-	for _, target := range w.targets {
+// TestSuspicionExpiresWithoutTargets removes all edges of a region: its suspicion expires, since no probe can
+// refute it.
+func TestSuspicionExpiresWithoutTargets(t *testing.T) {
+	s := newSimulation()
+	s.lostInbound = region("b")
+	s.run(2*time.Second, farZone)
+	remaining := s.targets[:0]
+	for _, target := range s.targets {
 		if target.Region != "b" {
-			kept = append(kept, target)
+			remaining = append(remaining, target)
 		}
 	}
-	w.targets = kept
-	w.run(suspicionLife/2, farZone)
-	if !w.watch.Suspect(w.now, farZone) {
-		t.Error("forgotten at once")
+	s.targets = remaining
+	s.run(suspicionExpiry/2, farZone)
+	if !s.detector.Suspected(s.now, farZone) {
+		t.Error("no longer suspected, before the expiry")
 	}
-	w.run(2*suspicionLife, farZone)
-	if w.watch.Suspect(w.now, farZone) {
-		t.Error("suspected for ever")
+	s.run(2*suspicionExpiry, farZone)
+	if s.detector.Suspected(s.now, farZone) {
+		t.Error("still suspected after the expiry")
 	}
 }
 
-// TestSlowPathIsLearned makes a path slower than is borne at first: its late answers teach patience.
+// TestSlowPathIsLearned makes a path slower than the time-out: late answers lengthen the time-out.
 func TestSlowPathIsLearned(t *testing.T) {
-	w := newWorld()
-	w.delay = 20 * time.Millisecond
-	w.run(2*time.Second, farZone)
-	w.delay = 200 * time.Millisecond
-	w.run(10*time.Second, farZone)
-	if w.watch.Suspect(w.now, farZone) {
+	s := newSimulation()
+	s.delay = 20 * time.Millisecond
+	s.run(2*time.Second, farZone)
+	s.delay = 200 * time.Millisecond
+	s.run(10*time.Second, farZone)
+	if s.detector.Suspected(s.now, farZone) {
 		t.Error("a path that answers is suspected")
 	}
 }
 
-// TestLostDatagrams loses one answer in ten: no suspicion.
-func TestLostDatagrams(t *testing.T) {
-	w := newWorld()
-	w.cutBack = func(Place) bool { return w.sent%10 == 0 }
-	if at := w.run(30*time.Second, farZone); at >= 0 {
+// TestLostDatagramsAreNoPartition loses one answer in ten: no suspicion.
+func TestLostDatagramsAreNoPartition(t *testing.T) {
+	s := newSimulation()
+	s.lostInbound = func(FailureDomain) bool { return s.sent%10 == 0 }
+	if at := s.run(30*time.Second, farZone); at >= 0 {
 		t.Errorf("suspected after %v", at)
 	}
 }
 
-// TestWorkerAnswerProvesThePath lets an answer of a worker, to a request that was sent after the misses,
-// speak for the path; one to an earlier request does not.
+// TestWorkerAnswerProvesThePath confirms the path by a worker's answer: one to a request that was sent after
+// the misses ends the suspicion, one to an earlier request does not.
 func TestWorkerAnswerProvesThePath(t *testing.T) {
-	w := newWorld()
-	w.run(time.Second, farZone)
-	w.cutBack = region("b")
-	w.run(2*time.Second, farZone)
-	w.watch.Proven(w.now-1800*time.Millisecond, farZone)
-	if !w.watch.Suspect(w.now, farZone) {
+	s := newSimulation()
+	s.run(time.Second, farZone)
+	s.lostInbound = region("b")
+	s.run(2*time.Second, farZone)
+	s.detector.ConfirmPath(s.now-1800*time.Millisecond, farZone)
+	if !s.detector.Suspected(s.now, farZone) {
 		t.Error("an answer to an old request ends the suspicion")
 	}
-	w.watch.Proven(w.now, farZone)
-	if w.watch.Suspect(w.now, farZone) {
+	s.detector.ConfirmPath(s.now, farZone)
+	if s.detector.Suspected(s.now, farZone) {
 		t.Error("an answer to a new request does not end the suspicion")
 	}
 }
@@ -218,16 +228,16 @@
 // TestProbesDoNotGrowWithEdges bounds what one edge sends, by regions and by edges.
 func TestProbesDoNotGrowWithEdges(t *testing.T) {
 	for _, size := range []struct{ regions, edges int }{{3, 4}, {3, 100}, {16, 20}} {
-		w := newWorld()
-		w.targets = nil
+		s := newSimulation()
+		s.targets = nil
 		for r := range size.regions {
 			for i := range size.edges {
-				place := Place{Zone: fmt.Sprint("z", r), Region: fmt.Sprint("r", r)}
-				w.targets = append(w.targets, Target{Name: fmt.Sprint(r, "-", i), Place: place, Linked: true})
+				domain := FailureDomain{Zone: fmt.Sprint("z", r), Region: fmt.Sprint("r", r)}
+				s.targets = append(s.targets, Target{Name: fmt.Sprint(r, "-", i), FailureDomain: domain, Linked: true})
 			}
 		}
-		w.run(10*time.Second, farZone)
-		if perSecond := float64(w.sent) / 10; perSecond > probesPerSecond+1 {
+		s.run(10*time.Second, farZone)
+		if perSecond := float64(s.sent) / 10; perSecond > probesPerSecond+1 {
 			t.Errorf("%d regions with %d edges: %.0f probes a second", size.regions, size.edges, perSecond)
 		}
 	}
--- a/internal/serving/retrybudget/retrybudget_test.go
+++ b/internal/serving/retrybudget/retrybudget_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestWindowKeepsTheBound draws requests and repeats: in every window the repeats keep within the bound.
+// TestWindowKeepsTheBound sends random requests and retries: in every window the retries keep within the
+// bound.
 func TestWindowKeepsTheBound(t *testing.T) {
 	const (
 		ratio  = 0.2
@@ -17,24 +18,24 @@
 	for seed := range int64(60) {
 		random := rand.New(rand.NewSource(seed))
 		budget := New(ratio, slack, window)
-		var requests, repeats []time.Duration
+		var requests, retries []time.Duration
 		for now := time.Duration(0); now < time.Minute; now += 10 * time.Millisecond {
 			busy := (now/(7*time.Second))%2 == 0
 			if busy && random.Intn(3) == 0 {
-				budget.Request(now)
+				budget.RecordRequest(now)
 				requests = append(requests, now)
 			}
-			if random.Intn(2) == 0 && budget.Repeat(now, edges) {
-				repeats = append(repeats, now)
+			if random.Intn(2) == 0 && budget.AllowRetry(now, edges) {
+				retries = append(retries, now)
 			}
 		}
-		for _, start := range repeats {
-			used := within(repeats, start, window)
+		for _, start := range retries {
+			used := within(retries, start, window)
 			// The rule lets the requests of the window before count as well.
 			most := ratio*float64(max(within(requests, start, window), within(requests, start-window/2, window),
 				within(requests, start-window, window))) + slack/edges
 			if float64(used) > most {
-				t.Fatalf("seed %d: %d repeats from %v on, %.1f are allowed", seed, used, start, most)
+				t.Fatalf("seed %d: %d retries from %v on, %.1f are allowed", seed, used, start, most)
 			}
 		}
 	}
@@ -54,11 +55,11 @@
 	budget := New(0, 54, 10*time.Second)
 	allowed := 0
 	for range 100 {
-		if budget.Repeat(time.Second, 9) {
+		if budget.AllowRetry(time.Second, 9) {
 			allowed++
 		}
 	}
 	if allowed != 6 {
-		t.Errorf("%d repeats of one edge of nine, 6 are its part", allowed)
+		t.Errorf("%d retries of one edge of nine, 6 are its share", allowed)
 	}
 }
--- a/internal/serving/slowstart/bucket.go
+++ b/internal/serving/slowstart/bucket.go
@@ -7,15 +7,15 @@
 	"willowdeck/internal/gcra"
 )
 
-// bucket is a GCRA store of requests. Its rate and depth may change at any time; what it holds then stays
-// what it is.
+// bucket is a token bucket of requests, by GCRA. Its rate and depth may change at any time; its level then
+// stays as it is, up to the new depth.
 type bucket struct {
 	rate   float64 // requests a second
-	depth  float64 // requests that it holds
-	fullAt float64 // seconds
+	depth  float64 // requests that it holds when full
+	fullAt float64 // seconds on the caller's clock
 }
 
-// newBucket makes an empty bucket: what an earlier life has sent is not known.
+// newBucket returns an empty bucket, since what an earlier incarnation of the edge has sent is unknown.
 func newBucket(now time.Duration, rate, depth float64) bucket {
 	b := bucket{rate: rate, depth: depth}
 	b.fullAt = now.Seconds() + depth/rate
@@ -29,8 +29,8 @@
 	b.fullAt = now.Seconds() + (depth-level)/rate
 }
 
-// take takes one request out. Otherwise it returns how long until one can be had; a bucket that can never
-// hold one says so by a negative wait.
+// take takes one request out. Where the bucket does not hold one, wait is how long until it does, or negative
+// where it never will.
 func (b *bucket) take(now time.Duration) (wait time.Duration, ok bool) {
 	if b.depth < 1 {
 		return -1, false
--- a/internal/serving/slowstart/golden_test.go
+++ b/internal/serving/slowstart/golden_test.go
@@ -33,7 +33,7 @@
 	if again, err := proto.Marshal(other); err != nil || hex.EncodeToString(again) != goldenOther {
 		t.Errorf("encoded to %x, error %v", again, err)
 	}
-	reports := New("edge-1").Reports(time.Second, 2, []*wirepb.Demand{other})
+	reports := New("edge-1").DemandReports(time.Second, 2, []*wirepb.Demand{other})
 	if len(reports) != 1 {
 		t.Fatalf("reports %v", reports)
 	}
