--- a/internal/serving/edge/edge.go
+++ b/internal/serving/edge/edge.go
@@ -264,7 +264,7 @@
 			addresses[worker.Address] = true
 		}
 	}
-	e.pool.Sweep(func(address string) bool { return addresses[address] })
+	e.pool.CloseExpired(func(address string) bool { return addresses[address] })
 	e.decide.keep(t)
 }
 
--- a/internal/serving/edge/job.go
+++ b/internal/serving/edge/job.go
@@ -250,7 +250,7 @@
 func (j *job) fail(a *attempt, ctx context.Context) {
 	if ctx.Err() == nil && time.Now().Before(j.deadline) {
 		j.edge.decide.failed(j.edge.now(), a.worker.Instance)
-		j.edge.pool.Drop(a.worker.Address)
+		j.edge.pool.CloseIdle(a.worker.Address)
 		if a.connection != nil {
 			j.edge.tellBroken(a.worker)
 		}
--- a/internal/serving/edge/liveness.go
+++ b/internal/serving/edge/liveness.go
@@ -194,7 +194,7 @@
 		w.told = false
 		e.decide.alive(e.now(), instance)
 	case dead:
-		e.pool.Drop(w.address)
+		e.pool.CloseIdle(w.address)
 		if known := e.decide.dead(e.now(), instance, false); !known || w.told {
 			w.told = true // the other edges need not say the same
 			e.tellDead(w.zone, &wirepb.DeadNotice{InstanceId: instance})
--- a/internal/serving/edge/loads.go
+++ b/internal/serving/edge/loads.go
@@ -95,7 +95,7 @@
 	if notice.Broke {
 		e.decide.broke(e.now(), notice.InstanceId)
 		if t := e.table.Load(); t != nil && t.addresses[notice.InstanceId] != "" {
-			e.pool.Drop(t.addresses[notice.InstanceId])
+			e.pool.CloseIdle(t.addresses[notice.InstanceId])
 		}
 		return
 	}
--- a/internal/serving/sse/sse.go
+++ b/internal/serving/sse/sse.go
@@ -1,5 +1,3 @@
-// Package sse splits a stream of server-sent events (WHATWG HTML, "Server-sent events") into whole events,
-// as bytes.
 package sse
 
 import (
@@ -11,42 +9,42 @@
 	"github.com/pkg/errors"
 )
 
-// MaxEvent bounds an event, in bytes.
-const MaxEvent = 1 << 20
+// MaxEventBytes is how long an event may be, its blank line included.
+const MaxEventBytes = 1 << 20
 
-// ErrTooLong is returned for an event over MaxEvent.
-var ErrTooLong = errors.New("event is too long: let the worker send smaller ones")
+// ErrEventTooLong is returned for an event over MaxEventBytes.
+var ErrEventTooLong = errors.New("event is too long: have the worker send smaller events")
 
-// Event is one event as it came, its blank line included.
+// Event is one event.
 type Event struct {
-	Raw   []byte
-	ID    uint64
-	HasID bool
+	Raw   []byte // as it was received, its blank line included
+	ID    uint64 // of the last id field; valid where HasID is set
+	HasID bool   // the last id field is a decimal number
 }
 
-// Reader reads events.
+// Reader reads events from a stream.
 type Reader struct {
 	reader *bufio.Reader
 }
 
-// NewReader reads events from source.
+// NewReader returns a reader of the events of source.
 func NewReader(source io.Reader) *Reader { return &Reader{reader: bufio.NewReader(source)} }
 
-// Next returns the next whole event. With an error, io.EOF at the end of the source, it returns the bytes
-// that came after the last whole event.
+// Next returns the next complete event. With an error, which is io.EOF at the end of the source, it
+// returns the bytes that were read after the last complete event.
 func (r *Reader) Next() (Event, error) {
 	var event Event
 	for {
 		line, err := r.reader.ReadSlice('\n')
 		event.Raw = append(event.Raw, line...)
-		if errors.Is(err, bufio.ErrBufferFull) && len(event.Raw) <= MaxEvent {
+		if errors.Is(err, bufio.ErrBufferFull) && len(event.Raw) <= MaxEventBytes {
 			continue
 		}
 		if err != nil {
 			return event, err
 		}
-		if len(event.Raw) > MaxEvent {
-			return event, ErrTooLong
+		if len(event.Raw) > MaxEventBytes {
+			return event, ErrEventTooLong
 		}
 		content := bytes.TrimRight(lastLine(event.Raw), "\r\n")
 		if len(content) == 0 {
--- a/internal/serving/sse/sse_test.go
+++ b/internal/serving/sse/sse_test.go
@@ -36,17 +36,17 @@
 	}
 }
 
-// TestBreakIsCutAtTheStartOfItsEvent cuts a stream at each byte: whole events alone come out.
-func TestBreakIsCutAtTheStartOfItsEvent(t *testing.T) {
+// TestTruncatedStream truncates a stream at each byte: only complete events are returned.
+func TestTruncatedStream(t *testing.T) {
 	text := "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
-	for cut := range len(text) {
-		events, rest, _ := readAll(text[:cut])
-		whole := strings.Count(text[:cut], "\n\n")
-		if len(events) != whole {
-			t.Errorf("cut at %d: %d events, %d are whole", cut, len(events), whole)
+	for length := range len(text) {
+		events, rest, _ := readAll(text[:length])
+		complete := strings.Count(text[:length], "\n\n")
+		if len(events) != complete {
+			t.Errorf("truncated at %d: %d events, %d are complete", length, len(events), complete)
 		}
-		if whole == 1 && string(rest.Raw) != text[15:cut] {
-			t.Errorf("cut at %d: rest %q", cut, rest.Raw)
+		if complete == 1 && string(rest.Raw) != text[15:length] {
+			t.Errorf("truncated at %d: rest %q", length, rest.Raw)
 		}
 	}
 }
@@ -56,7 +56,8 @@
 	if events, _, _ := readAll(long); len(events) != 1 || len(events[0].Raw) != len(long) {
 		t.Errorf("%d events", len(events))
 	}
-	if _, _, err := readAll("data: " + strings.Repeat("x", MaxEvent+10) + "\n\n"); !errors.Is(err, ErrTooLong) {
+	tooLong := "data: " + strings.Repeat("x", MaxEventBytes+10) + "\n\n"
+	if _, _, err := readAll(tooLong); !errors.Is(err, ErrEventTooLong) {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/serving/workerlink/exchange.go
+++ b/internal/serving/workerlink/exchange.go
@@ -12,10 +12,10 @@
 
 // Errors of an exchange, by what is known of the request.
 var (
-	// ErrNotSent: no byte of the request has left: any worker may get it.
+	// ErrNotSent is returned where no byte of the request was sent: it may be sent to any worker.
 	ErrNotSent = errors.New("the worker could not be reached: try another one")
-	// ErrOutcomeUnknown: the request may have run.
-	ErrOutcomeUnknown = errors.New("the worker gave no whole answer: the request may have run")
+	// ErrOutcomeUnknown is returned where the request may have run.
+	ErrOutcomeUnknown = errors.New("the worker sent no complete response: the request may have run")
 )
 
 // Header names of the protocol.
@@ -30,56 +30,58 @@
 	HeaderPriority    = "Priority"
 )
 
-const maxSurplus = 4 // surplus answers that are skipped before a connection is given up
+// maxStaleResponses is how many responses to other requests are skipped before a connection is abandoned.
+const maxStaleResponses = 4
 
 // Request is what is sent to a worker.
 type Request struct {
 	Method string
 	URI    string // as the client sent it
 	Host   string
-	Header http.Header // without those that concern one connection
+	Header http.Header // without hop-by-hop headers, as EndToEnd returns them
 	Body   []byte
 }
 
-// hopHeaders concern one connection only.
-var hopHeaders = []string{
+// hopByHopHeaders concern one connection only.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Host", "Expect",
 }
 
-// EndToEnd returns the headers that are passed on.
+// EndToEnd returns a copy of header without the hop-by-hop headers.
 func EndToEnd(header http.Header) http.Header {
-	kept := header.Clone()
+	endToEnd := header.Clone()
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
-			kept.Del(strings.TrimSpace(name))
+			endToEnd.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
-		kept.Del(name)
+	for _, name := range hopByHopHeaders {
+		endToEnd.Del(name)
 	}
-	return kept
+	return endToEnd
 }
 
-// encode writes a request's bytes.
+// encode returns the request as it is sent.
 func (r *Request) encode() []byte {
-	var b strings.Builder
-	b.Grow(512 + len(r.Body))
-	b.WriteString(r.Method + " " + r.URI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
+	var text strings.Builder
+	text.Grow(512 + len(r.Body))
+	text.WriteString(r.Method + " " + r.URI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	for name, values := range r.Header {
 		for _, value := range values {
-			b.WriteString(name + ": " + value + "\r\n")
+			text.WriteString(name + ": " + value + "\r\n")
 		}
 	}
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
-		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
+		text.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
-	b.WriteString("\r\n")
-	b.Write(r.Body)
-	return []byte(b.String())
+	text.WriteString("\r\n")
+	text.Write(r.Body)
+	return []byte(text.String())
 }
 
-// Send writes a request. Any error leaves its outcome unknown.
+// Send sends a request. deadline bounds the whole exchange on the connection. Any error is an
+// ErrOutcomeUnknown.
 func (c *Conn) Send(r *Request, deadline time.Time) error {
 	if err := c.SetDeadline(deadline); err != nil {
 		return errors.Wrap(ErrOutcomeUnknown, err.Error())
@@ -91,11 +93,11 @@
 	return nil
 }
 
-// Receive reads the head of the answer to the request with that id. Answers to other requests are skipped:
-// they are surplus. An answer that names no request is taken where nothing else can be meant: the first one
-// on a connection that has carried one request. The body is read by the caller.
+// Receive reads the head of the response to the request with that id; the caller reads the body. Responses to
+// other requests are stale and skipped. A response that names no request is accepted only as an error, and as
+// the first on a connection that has carried one request. Any error is an ErrOutcomeUnknown.
 func (c *Conn) Receive(method, requestID string) (*http.Response, error) {
-	for range maxSurplus {
+	for range maxStaleResponses {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, errors.Wrap(ErrOutcomeUnknown, err.Error())
@@ -103,21 +105,22 @@
 		if response.StatusCode >= 100 && response.StatusCode < 200 {
 			continue
 		}
-		c.answers++
+		c.responses++
 		id := response.Header.Get(HeaderRequestID)
-		unnamed := id == "" && c.requests == 1 && c.answers == 1 && response.StatusCode >= http.StatusBadRequest
-		if id == requestID || unnamed {
+		unambiguous := id == "" && c.requests == 1 && c.responses == 1 &&
+			response.StatusCode >= http.StatusBadRequest
+		if id == requestID || unambiguous {
 			return response, nil
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil || response.Close {
-			return nil, errors.Wrap(ErrOutcomeUnknown, "a surplus answer ended the connection")
+			return nil, errors.Wrap(ErrOutcomeUnknown, "a stale response ended the connection")
 		}
 	}
-	return nil, errors.Wrap(ErrOutcomeUnknown, "too many surplus answers")
+	return nil, errors.Wrap(ErrOutcomeUnknown, "too many stale responses")
 }
 
-// KeepAlive returns how long the worker keeps an idle connection, 0 where it does not say, and whether it
-// keeps it.
+// KeepAlive returns how long the worker keeps the connection open when idle, 0 where it does not say, and
+// whether it keeps it open at all.
 func KeepAlive(response *http.Response) (time.Duration, bool) {
 	if response.Close {
 		return 0, false
@@ -134,7 +137,7 @@
 	return 0, true
 }
 
-// NotExecuted reports whether an answer says that the worker did not run the request.
+// NotExecuted reports whether a response states that the worker did not run the request.
 func NotExecuted(response *http.Response) bool {
 	return response.StatusCode == http.StatusMisdirectedRequest || response.Header.Get(HeaderNotExecuted) != ""
 }
--- a/internal/serving/workerlink/exchange_test.go
+++ b/internal/serving/workerlink/exchange_test.go
@@ -14,13 +14,13 @@
 	"github.com/pkg/errors"
 )
 
-const patience = 5 * time.Second
+const testTimeout = 5 * time.Second
 
-// script is what a worker does on one connection. It reads requests itself.
+// script is what a worker does on one connection; it reads the requests itself.
 type script func(connection net.Conn, reader *bufio.Reader)
 
-// startWorker listens, plays the script on each connection, and returns the address.
-func startWorker(t *testing.T, play script) string {
+// startWorker listens, runs the script on each connection, and returns the address.
+func startWorker(t *testing.T, run script) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -35,14 +35,14 @@
 			}
 			go func() {
 				defer connection.Close()
-				play(connection, bufio.NewReader(connection))
+				run(connection, bufio.NewReader(connection))
 			}()
 		}
 	}()
 	return listener.Addr().String()
 }
 
-// readRequest reads a request whole, and returns its id.
+// readRequest reads a complete request and returns its id.
 func readRequest(reader *bufio.Reader) string {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
@@ -52,11 +52,11 @@
 	return request.Header.Get(HeaderRequestID)
 }
 
-func answerTo(connection net.Conn, id string, status int, lines ...string) {
-	io.WriteString(connection, answerText(id, status, lines...))
+func respond(connection net.Conn, id string, status int, lines ...string) {
+	io.WriteString(connection, responseText(id, status, lines...))
 }
 
-func answerText(id string, status int, lines ...string) string {
+func responseText(id string, status int, lines ...string) string {
 	text := fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: 0\r\n", status)
 	if id != "" {
 		text += HeaderRequestID + ": " + id + "\r\n"
@@ -72,13 +72,13 @@
 	return &Request{Method: http.MethodPost, URI: "/a", Host: "h", Header: header, Body: []byte(body)}
 }
 
-// exchange sends a request and receives its answer, and gives the connection back where that is whole.
+// exchange sends a request, receives its response, and returns the connection to the pool.
 func exchange(pool *Pool, address, id string) (*http.Response, error) {
-	connection, err := pool.Get(context.Background(), address, patience)
+	connection, err := pool.Get(context.Background(), address, testTimeout)
 	if err != nil {
 		return nil, err
 	}
-	if err := connection.Send(requestWith(id, "body"), time.Now().Add(patience)); err != nil {
+	if err := connection.Send(requestWith(id, "body"), time.Now().Add(testTimeout)); err != nil {
 		connection.Close()
 		return nil, err
 	}
@@ -88,46 +88,46 @@
 		return nil, err
 	}
 	io.Copy(io.Discard, response.Body)
-	pool.Put(address, connection, patience)
+	pool.Put(address, connection, testTimeout)
 	return response, nil
 }
 
-// TestOrdersOfEvents forces each order in which a worker can answer, be silent or break off, and says what
-// is known of the second request, which goes over the connection of the first.
-func TestOrdersOfEvents(t *testing.T) {
+// TestOutcomeOfSecondRequest has a worker respond, stay silent or break off in each order, and checks what is
+// known of the second request, which is sent on the connection of the first.
+func TestOutcomeOfSecondRequest(t *testing.T) {
 	cases := []struct {
 		name   string
-		second script // behind the first exchange, once the second request was read; its id is "q-2"
+		second script // after the first exchange, once the second request was read; its id is "q-2"
 		status int    // 0: the outcome is unknown
 	}{
-		{"its own answer", func(c net.Conn, _ *bufio.Reader) { answerTo(c, "q-2", 200) }, 200},
+		{"its own response", func(c net.Conn, _ *bufio.Reader) { respond(c, "q-2", 200) }, 200},
 		{"closed before the head", func(c net.Conn, _ *bufio.Reader) {}, 0},
 		{"reset before the head", func(c net.Conn, _ *bufio.Reader) { c.(*net.TCPConn).SetLinger(0) }, 0},
 		{"reset in the head", func(c net.Conn, _ *bufio.Reader) {
 			io.WriteString(c, "HTTP/1.1 200 X\r\nRequest-Id: q-")
 			c.(*net.TCPConn).SetLinger(0)
 		}, 0},
-		{"a late 421 to the one before", func(c net.Conn, _ *bufio.Reader) { answerTo(c, "q-1", 421) }, 0},
-		{"a late refusal to the one before, then its own", func(c net.Conn, _ *bufio.Reader) {
-			answerTo(c, "q-1", 503, HeaderNotExecuted+": 1")
-			answerTo(c, "q-2", 200)
+		{"a late 421 to the previous request", func(c net.Conn, _ *bufio.Reader) { respond(c, "q-1", 421) }, 0},
+		{"a late rejection of the previous request, then its own response", func(c net.Conn, _ *bufio.Reader) {
+			respond(c, "q-1", 503, HeaderNotExecuted+": 1")
+			respond(c, "q-2", 200)
 		}, 200},
-		{"a refusal that names no request", func(c net.Conn, _ *bufio.Reader) {
-			answerTo(c, "", 503, HeaderNotExecuted+": 1")
+		{"a rejection that names no request", func(c net.Conn, _ *bufio.Reader) {
+			respond(c, "", 503, HeaderNotExecuted+": 1")
 		}, 0},
-		{"a 421 that names no request", func(c net.Conn, _ *bufio.Reader) { answerTo(c, "", 421) }, 0},
-		{"a success that names no request", func(c net.Conn, _ *bufio.Reader) { answerTo(c, "", 200) }, 0},
-		{"surplus answers without end", func(c net.Conn, _ *bufio.Reader) {
-			for range maxSurplus + 1 {
-				answerTo(c, "q-1", 200)
+		{"a 421 that names no request", func(c net.Conn, _ *bufio.Reader) { respond(c, "", 421) }, 0},
+		{"a success that names no request", func(c net.Conn, _ *bufio.Reader) { respond(c, "", 200) }, 0},
+		{"too many stale responses", func(c net.Conn, _ *bufio.Reader) {
+			for range maxStaleResponses + 1 {
+				respond(c, "q-1", 200)
 			}
-			answerTo(c, "q-2", 200)
+			respond(c, "q-2", 200)
 		}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			address := startWorker(t, func(connection net.Conn, reader *bufio.Reader) {
-				answerTo(connection, readRequest(reader), 200)
+				respond(connection, readRequest(reader), 200)
 				if readRequest(reader) == "q-2" {
 					c.second(connection, reader)
 				}
@@ -139,29 +139,29 @@
 			response, err := exchange(pool, address, "q-2")
 			switch {
 			case c.status == 0 && !errors.Is(err, ErrOutcomeUnknown):
-				t.Errorf("answer %v, error %v: the outcome is not known", response, err)
+				t.Errorf("response %v, error %v: the outcome is not known", response, err)
 			case c.status != 0 && (err != nil || response.StatusCode != c.status):
-				t.Errorf("answer %v, error %v", response, err)
+				t.Errorf("response %v, error %v", response, err)
 			}
 		})
 	}
 }
 
-// TestFirstAnswerNeedsNoName refuses the only request that a connection has carried, without its id:
-// nothing else can be meant.
-func TestFirstAnswerNeedsNoName(t *testing.T) {
+// TestFirstResponseNeedsNoID rejects the only request that a connection has carried, without its id: no other
+// request can be meant.
+func TestFirstResponseNeedsNoID(t *testing.T) {
 	address := startWorker(t, func(connection net.Conn, reader *bufio.Reader) {
 		readRequest(reader)
-		answerTo(connection, "", 400)
+		respond(connection, "", 400)
 	})
 	if response, err := exchange(NewPool(), address, "q-1"); err != nil || response.StatusCode != 400 {
-		t.Errorf("answer %v, error %v", response, err)
+		t.Errorf("response %v, error %v", response, err)
 	}
 }
 
-// TestEarlyAnswer answers before the body is read: the rest of the body still has to come, and nothing else
-// in its place.
-func TestEarlyAnswer(t *testing.T) {
+// TestEarlyResponse responds before the body is read: the rest of the body still has to be sent, and
+// nothing in its place.
+func TestEarlyResponse(t *testing.T) {
 	body := strings.Repeat("long body ", 200_000)
 	bodies := make(chan string, 1)
 	address := startWorker(t, func(connection net.Conn, reader *bufio.Reader) {
@@ -169,35 +169,35 @@
 		if err != nil {
 			return
 		}
-		answerTo(connection, "q-1", 429, HeaderNotExecuted+": 1")
+		respond(connection, "q-1", 429, HeaderNotExecuted+": 1")
 		text, _ := io.ReadAll(request.Body)
 		bodies <- string(text)
-		answerTo(connection, readRequest(reader), 200)
+		respond(connection, readRequest(reader), 200)
 	})
 	pool := NewPool()
-	connection, err := pool.Get(context.Background(), address, patience)
+	connection, err := pool.Get(context.Background(), address, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := connection.Send(requestWith("q-1", body), time.Now().Add(patience)); err != nil {
+	if err := connection.Send(requestWith("q-1", body), time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	response, err := connection.Receive(http.MethodPost, "q-1")
 	if err != nil || !NotExecuted(response) {
-		t.Fatalf("answer %v, error %v", response, err)
+		t.Fatalf("response %v, error %v", response, err)
 	}
 	io.Copy(io.Discard, response.Body)
-	pool.Put(address, connection, patience)
+	pool.Put(address, connection, testTimeout)
 	if got := <-bodies; got != body {
 		t.Errorf("the worker got %d bytes of %d", len(got), len(body))
 	}
 	if response, err := exchange(pool, address, "q-2"); err != nil || response.StatusCode != 200 {
-		t.Errorf("answer %v, error %v", response, err)
+		t.Errorf("response %v, error %v", response, err)
 	}
 }
 
-// TestUnreachableWorkerGotNothing dials a port where nobody listens.
-func TestUnreachableWorkerGotNothing(t *testing.T) {
+// TestUnreachableWorkerIsNotSentTo dials a port on which nothing listens.
+func TestUnreachableWorkerIsNotSentTo(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -209,20 +209,20 @@
 	}
 }
 
-// TestBytesBehindAnAnswerEndTheConnection sends a surplus answer right behind the first: the next request
-// goes over another connection.
-func TestBytesBehindAnAnswerEndTheConnection(t *testing.T) {
+// TestBytesAfterResponseEndTheConnection sends a second response right after the first: the next request
+// is sent on another connection.
+func TestBytesAfterResponseEndTheConnection(t *testing.T) {
 	connections := make(chan struct{}, 8)
 	address := startWorker(t, func(connection net.Conn, reader *bufio.Reader) {
 		connections <- struct{}{}
-		text := answerText(readRequest(reader), 200)
+		text := responseText(readRequest(reader), 200)
 		io.WriteString(connection, text+text)
 		readRequest(reader)
 	})
 	pool := NewPool()
 	for _, id := range []string{"q-1", "q-2"} {
 		if response, err := exchange(pool, address, id); err != nil || response.StatusCode != 200 {
-			t.Errorf("%s: answer %v, error %v", id, response, err)
+			t.Errorf("%s: response %v, error %v", id, response, err)
 		}
 	}
 	if len(connections) != 2 {
--- a/internal/serving/workerlink/golden_test.go
+++ b/internal/serving/workerlink/golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestGoldenHeaders pins the names that workers and clients go by, as of 2 December 2026.
+// TestGoldenHeaders pins the header names that workers and clients use, as of 2 December 2026.
 func TestGoldenHeaders(t *testing.T) {
 	for got, want := range map[string]string{
 		HeaderRequestID:   "Request-Id",
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestGoldenNotExecuted reads answers that say that a worker did not run the request.
+// TestGoldenNotExecuted reads responses that state that a worker did not run the request.
 func TestGoldenNotExecuted(t *testing.T) {
 	for head, want := range map[string]bool{
 		"HTTP/1.1 421 Misdirected Request\r\n\r\n":                    true,
--- a/internal/serving/workerlink/pool.go
+++ b/internal/serving/workerlink/pool.go
@@ -1,6 +1,3 @@
-// Package workerlink speaks to workers: a pool of connections per worker, one request at a time on each.
-// Nothing is ever sent a second time here: the caller decides that, from the typed error that says whether
-// the request may have run.
 package workerlink
 
 import (
@@ -17,49 +14,50 @@
 )
 
 const (
-	unacknowledged = 700 * time.Millisecond // sent bytes, until the kernel gives a worker up
-	defaultIdle    = 2 * time.Second        // that a connection is kept where the worker states no time
-	idleMargin     = 700 * time.Millisecond // under the time that a worker states
-	readBuffer     = 8 << 10
+	unacknowledgedTimeout = 700 * time.Millisecond // of sent bytes, until the kernel resets the connection
+	defaultIdleTimeout    = 2 * time.Second        // of a connection, where the worker states none
+	idleTimeoutMargin     = 700 * time.Millisecond // below the idle time-out that a worker states
+	readBufferBytes       = 8 << 10
 )
 
-// keepAlive finds out within some seconds that a worker which should send is gone: then nothing of ours is
-// on its way that could stay unacknowledged.
+// keepAlive detects within some seconds that a worker which should send is lost: then nothing of ours is in
+// flight that could stay unacknowledged.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}
 
-// Conn is a connection to a worker.
+// Conn is a connection to a worker. It carries one request at a time and is not safe for concurrent use.
 type Conn struct {
 	net.Conn
-	reader    *bufio.Reader
+	reader    *bufio.Reader // used by the idle watch between watchIdle and stopWatching
 	idleUntil time.Time
-	watch     chan bool // tells, once, whether the idle connection is still quiet
-	requests  int       // that were sent on it
-	answers   int       // that came on it
+	quiet     chan bool // receives, once, whether nothing arrived while the connection was idle
+	requests  int       // sent on it
+	responses int       // received on it, interim ones (1xx) excluded
 }
 
-// Pool holds the idle connections to workers, by address.
+// Pool holds the idle connections to workers.
 type Pool struct {
 	mu   sync.Mutex
-	idle map[string][]*Conn
+	idle map[string][]*Conn // by address, the longest idle first; guarded by mu
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool() *Pool { return &Pool{idle: map[string][]*Conn{}} }
 
-// Get returns an idle connection to address that is still good, or dials one.
+// Get returns an idle connection to address that is still usable, or dials one. Any error is an ErrNotSent.
 func (p *Pool) Get(ctx context.Context, address string, dialTimeout time.Duration) (*Conn, error) {
 	for {
 		connection := p.takeIdle(address)
 		if connection == nil {
 			return dial(ctx, address, dialTimeout)
 		}
-		if connection.wake() {
+		if connection.stopWatching() {
 			return connection, nil
 		}
 		connection.Close()
 	}
 }
 
+// takeIdle removes the newest idle connection from the pool, or returns nil.
 func (p *Pool) takeIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,56 +72,58 @@
 
 func dial(ctx context.Context, address string, timeout time.Duration) (*Conn, error) {
 	dialer := net.Dialer{
-		Timeout: timeout, KeepAliveConfig: keepAlive, Control: framing.GiveUpAfter(unacknowledged),
+		Timeout: timeout, KeepAliveConfig: keepAlive, Control: framing.GiveUpAfter(unacknowledgedTimeout),
 	}
 	connection, err := dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, errors.Wrap(ErrNotSent, err.Error())
 	}
-	return &Conn{Conn: connection, reader: bufio.NewReaderSize(connection, readBuffer)}, nil
+	return &Conn{Conn: connection, reader: bufio.NewReaderSize(connection, readBufferBytes)}, nil
 }
 
-// Put gives a connection back after a whole exchange. life is how long the worker keeps it, 0 where it did
-// not say.
-func (p *Pool) Put(address string, connection *Conn, life time.Duration) {
-	keep := defaultIdle
-	if life > 0 {
-		keep = life - idleMargin
+// Put returns a connection to the pool after a complete exchange. idleTimeout is how long the worker keeps it
+// open, 0 where it did not say.
+func (p *Pool) Put(address string, connection *Conn, idleTimeout time.Duration) {
+	keep := defaultIdleTimeout
+	if idleTimeout > 0 {
+		keep = idleTimeout - idleTimeoutMargin
 	}
 	if connection.reader.Buffered() > 0 || keep <= 0 || connection.SetDeadline(time.Time{}) != nil {
-		connection.Close() // bytes behind a whole answer belong to no request
+		connection.Close() // bytes after a complete response belong to no request
 		return
 	}
 	connection.idleUntil = time.Now().Add(keep)
-	connection.sleep()
+	connection.watchIdle()
 	p.mu.Lock()
 	p.idle[address] = append(p.idle[address], connection)
 	p.mu.Unlock()
 }
 
-// sleep watches an idle connection: whatever comes on it spoils it.
-func (c *Conn) sleep() {
-	watch := make(chan bool, 1)
-	c.watch = watch
+// watchIdle starts to watch an idle connection: whatever arrives on it, its end too, makes it unusable. The
+// goroutine ends with the connection, or by the read deadline that stopWatching sets.
+func (c *Conn) watchIdle() {
+	quiet := make(chan bool, 1)
+	c.quiet = quiet
 	go func() {
 		_, err := c.reader.Peek(1)
-		watch <- errors.Is(err, os.ErrDeadlineExceeded)
+		quiet <- errors.Is(err, os.ErrDeadlineExceeded)
 	}()
 }
 
-// wake ends the watch and reports whether the connection can carry a request.
-func (c *Conn) wake() bool {
+// stopWatching ends the idle watch and reports whether the connection can carry a request.
+func (c *Conn) stopWatching() bool {
 	if time.Now().After(c.idleUntil) {
 		return false
 	}
-	if c.SetReadDeadline(time.Unix(1, 0)) != nil || !<-c.watch || c.reader.Buffered() > 0 {
+	if c.SetReadDeadline(time.Unix(1, 0)) != nil || !<-c.quiet || c.reader.Buffered() > 0 {
 		return false
 	}
 	return c.SetReadDeadline(time.Time{}) == nil
 }
 
-// Sweep closes idle connections whose time is over, and all to addresses that are not wanted any more.
-func (p *Pool) Sweep(wanted func(address string) bool) {
+// CloseExpired closes the idle connections whose idle time-out has passed, and all to addresses that wanted
+// rejects.
+func (p *Pool) CloseExpired(wanted func(address string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -144,7 +144,7 @@
 	}
 }
 
-// Drop closes the idle connections to a worker that is in doubt.
-func (p *Pool) Drop(address string) {
-	p.Sweep(func(other string) bool { return other != address })
+// CloseIdle closes the idle connections to address, whose worker may have failed, and expired ones to others.
+func (p *Pool) CloseIdle(address string) {
+	p.CloseExpired(func(other string) bool { return other != address })
 }
