--- a/internal/distribution/relay/cost_test.go
+++ b/internal/distribution/relay/cost_test.go
@@ -62,17 +62,17 @@
 		members = append(members, ruleset.Member{Name: fmt.Sprintf("gatekeeper-%05d", i),
 			Host: fmt.Sprintf("host-%04d", i/perHost), Peers: fmt.Sprintf("10.%d.%d.7:7000", i/250, i%250)})
 	}
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
-		Fallback: ruleset.Fallback{Part: 0.5, For: 10000}, Members: members}
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
+		Fallback: ruleset.Fallback{Fraction: 0.5, DurationMillis: 10000}, Members: members}
 	if b.size > 500 {
-		r.Needs = []string{ruleset.ManyMembers}
+		r.Needs = []string{ruleset.FeatureManyMembers}
 	}
 	for i := range 20 {
 		r.Plans = append(r.Plans, ruleset.Plan{Name: fmt.Sprintf("plan-%02d", i), Rate: 100, Burst: 200,
 			CeilingRate: 1000, CeilingDepth: 2000})
 	}
 	r.Plans[number%len(r.Plans)].Rate = 100 + float64(number)
-	s, err := ruleset.Entries(&ruleset.Version{Number: uint64(number), Rules: r})
+	s, err := ruleset.VersionToState(&ruleset.Version{Number: uint64(number), Rules: r})
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -212,7 +212,7 @@
 		From:     fmt.Sprintf("asker-%d", i),
 		Interest: in,
 		Step:     1,
-		Rules:    ruleset.Select(s, in).Mark(),
+		Rules:    ruleset.Select(s, in).ID(),
 		Index:    -1,
 	}
 }
@@ -220,8 +220,8 @@
 func (b *bench) measure() {
 	t := b.t
 	renewal := func(a *distribution.Answer) bool { return a.RulesDelta == nil && a.Busy == 0 }
-	whole := func(a *distribution.Answer) bool { return a.RulesDelta != nil && a.RulesDelta.From.None() }
-	delta := func(a *distribution.Answer) bool { return a.RulesDelta != nil && !a.RulesDelta.From.None() }
+	whole := func(a *distribution.Answer) bool { return a.RulesDelta != nil && a.RulesDelta.From.IsNone() }
+	delta := func(a *distribution.Answer) bool { return a.RulesDelta != nil && !a.RulesDelta.From.IsNone() }
 	idle := b.cpu()
 	time.Sleep(4 * time.Second)
 	b.line("idle_cpu", "ms_per_s", (b.cpu()-idle)/4)
@@ -231,7 +231,7 @@
 	none := func(all bool) func(int) *distribution.Ask {
 		return func(i int) *distribution.Ask {
 			a := b.ask(i, all, nil)
-			a.Rules = versioned.Mark{}
+			a.Rules = versioned.VersionID{}
 			return a
 		}
 	}
