--- a/internal/forwardauth/authorizer/vouch.go
+++ b/internal/forwardauth/authorizer/vouch.go
@@ -30,7 +30,7 @@
 type Voucher struct {
 	asking  *config.Asking
 	charter policy.Charter
-	gate    *proxy.Gate
+	gate    *proxy.Proxy
 	client  *fasthttp.HostClient
 	flight  singleflight.Group
 	counts  [counts]atomic.Int64
@@ -56,7 +56,7 @@
 var countNames = [counts]string{"yes", "no", "recalled", "trouble", "shut", "late", "left", "open"}
 
 // New makes a voucher over a gate. The seed is for its pauses.
-func New(a *config.Asking, charter policy.Charter, g *proxy.Gate, seed int64) *Voucher {
+func New(a *config.Asking, charter policy.Charter, g *proxy.Proxy, seed int64) *Voucher {
 	limit := transport.Millis(a.Terms.Limit)
 	return &Voucher{asking: a, charter: charter, gate: g, service: authcache.NewService(a.Terms, seed),
 		client: &fasthttp.HostClient{Addr: a.Service, MaxConns: a.Connections, MaxConnWaitTimeout: limit,
@@ -105,10 +105,10 @@
 		return refusal(fasthttp.StatusBadRequest, nil, err.Error())
 	}
 	asked, patience := v.gate.Now(), v.service.Patience(t.Left)
-	var hold *proxy.Hold // of one that does not say whose it is there is nothing to keep yet
+	var hold *proxy.Reservation // of one that does not say whose it is there is nothing to keep yet
 	if !t.Nameless {
 		var end transport.Final
-		if hold, end = v.gate.Clear(t, patience+authcache.LateGrace); hold == nil {
+		if hold, end = v.gate.Reserve(t, patience+authcache.LateGrace); hold == nil {
 			return end
 		}
 	}
@@ -123,7 +123,7 @@
 }
 
 // await waits for the service's word, as long as a txn can wait and its client is there.
-func (v *Voucher) await(ask *ask, hold *proxy.Hold, patience float64) (word, *transport.Final) {
+func (v *Voucher) await(ask *ask, hold *proxy.Reservation, patience float64) (word, *transport.Final) {
 	timer := time.NewTimer(transport.Millis(patience))
 	defer timer.Stop()
 	var came <-chan singleflight.Result
@@ -136,7 +136,7 @@
 	}
 	var over <-chan inflight.Command
 	if hold != nil {
-		over = hold.Over()
+		over = hold.Ended()
 	}
 	select {
 	case r := <-came:
@@ -153,7 +153,7 @@
 }
 
 // settle goes by a word: the txn goes on with what is kept for it, or that is given back.
-func (v *Voucher) settle(t *transport.Txn, hold *proxy.Hold, w word) transport.Final {
+func (v *Voucher) settle(t *transport.Txn, hold *proxy.Reservation, w word) transport.Final {
 	a := w.answer
 	end := transport.Final{Kind: policy.Void}
 	switch {
@@ -178,7 +178,7 @@
 }
 
 // goOn carries a txn on that was vouched for, or that goes on without.
-func (v *Voucher) goOn(t *transport.Txn, hold *proxy.Hold, w word) transport.Final {
+func (v *Voucher) goOn(t *transport.Txn, hold *proxy.Reservation, w word) transport.Final {
 	if w.err != nil {
 		v.counts[openly].Add(1)
 	} else {
@@ -188,7 +188,7 @@
 		t.Customer = w.answer.Customer
 	}
 	if hold != nil {
-		if end, ok := v.gate.Claim(hold, t); ok {
+		if end, ok := v.gate.ServeReserved(hold, t); ok {
 			return end
 		}
 	}
--- a/internal/forwardauth/authserver/portal.go
+++ b/internal/forwardauth/authserver/portal.go
@@ -29,13 +29,13 @@
 	asked   *config.Asked
 	names   config.Names
 	charter atomic.Pointer[policy.Charter]
-	gate    *proxy.Gate
+	gate    *proxy.Proxy
 	next    func(*transport.Txn) transport.Final
 	server  fasthttp.Server
 	counts  [counts]atomic.Int64
 
 	mu     sync.Mutex // of what follows; never held over I/O or a call of the module
-	book   *authcache.Book[*proxy.Hold]
+	book   *authcache.Book[*proxy.Reservation]
 	limit  *transport.Limited // nil until it is bound
 	closed bool
 }
@@ -62,10 +62,10 @@
 	"no_place", "elsewhere", "came", "uncleared"}
 
 // New makes a front over a gate; next serves the txns that have no clearance and need none.
-func New(a *config.Asked, names config.Names, charter policy.Charter, g *proxy.Gate,
+func New(a *config.Asked, names config.Names, charter policy.Charter, g *proxy.Proxy,
 	next func(*transport.Txn) transport.Final) *Portal {
 	p := &Portal{asked: a, names: names, gate: g, next: next,
-		book: authcache.NewBook[*proxy.Hold](a.Life, a.Memory, a.Most)}
+		book: authcache.NewBook[*proxy.Reservation](a.Life, a.Memory, a.Most)}
 	p.charter.Store(&charter)
 	p.server = fasthttp.Server{
 		Handler:            p.handle,
@@ -161,9 +161,9 @@
 			len(c.Mark) > policy.LongestMark || !(f.Units > 0) {
 			continue
 		}
-		var h *proxy.Hold
+		var h *proxy.Reservation
 		if !c.Used {
-			h = p.gate.Cleared(arrival(f), c.Until-now)
+			h = p.gate.AdoptReservation(arrival(f), c.Until-now)
 		}
 		p.mu.Lock()
 		taken := p.book.Inherit(c, h, now)
@@ -193,7 +193,7 @@
 	p.mu.Unlock()
 	switch found {
 	case authcache.Known:
-		if end, ok := p.gate.Claim(hold, t); ok {
+		if end, ok := p.gate.ServeReserved(hold, t); ok {
 			p.counts[came].Add(1)
 			return end
 		}
@@ -293,7 +293,7 @@
 		p.say(ctx, noPlace, fasthttp.StatusServiceUnavailable, "no place for one more clearance")
 		return
 	}
-	hold, end := p.gate.Clear(t, p.book.Life())
+	hold, end := p.gate.Reserve(t, p.book.Life())
 	p.mu.Lock()
 	if hold == nil {
 		p.book.Drop(mark)
--- a/internal/gateway/lifecycle/agree.go
+++ b/internal/gateway/lifecycle/agree.go
@@ -395,10 +395,10 @@
 	a.g.seat(max(c.Gatekeepers, 1), peers, func() {
 		// Guards against what a former life spent, or others did whose share this one has now, by rules that are
 		// not those that its record is of.
-		if a.taken.Version == 0 && t.Version > 0 && a.g.desk.Knows() != t.Version {
-			a.g.desk.Govern(inflight.NewLease(0, history.Bare, math.MaxInt64), unknown(c))
+		if a.taken.Version == 0 && t.Version > 0 && a.g.desk.RestoredRulesetVersion() != t.Version {
+			a.g.desk.ApplyRuleset(inflight.NewLease(0, history.Bare, math.MaxInt64), unknown(c))
 		}
-		if !a.g.desk.Govern(terms, c) {
+		if !a.g.desk.ApplyRuleset(terms, c) {
 			a.refuse("a charter that differs in what may not change")
 		}
 	})
@@ -496,7 +496,7 @@
 	add("rules.left_ms", left)
 	add("rules.refused", a.refused.Load())
 	add("rules.unanswered", a.silent.Load())
-	add("rules.recalled", a.g.desk.Recalled())
+	add("rules.recalled", a.g.desk.RevokedAttempts())
 	t := a.client.Traffic()
 	add("rules.bytes_in", a.bytesIn.Load()+t.In)
 	add("rules.bytes_out", a.bytesOut.Load()+t.Out)
--- a/internal/gateway/lifecycle/agree_test.go
+++ b/internal/gateway/lifecycle/agree_test.go
@@ -410,8 +410,8 @@
 				x.answers(silent)
 				d.mode(ruleset.CutOff)
 			}
-			n := d.gk.desk.Copies().Written.Load()
-			until(t, "no copies are written", func() bool { return d.gk.desk.Copies().Written.Load() > n+1 })
+			n := d.gk.desk.CheckpointStats().Written.Load()
+			until(t, "no copies are written", func() bool { return d.gk.desk.CheckpointStats().Written.Load() > n+1 })
 			d.gk.limit.Close() // as at a sudden end
 			d.gk.desk.Stop()
 			close(d.gk.over)
--- a/internal/gateway/lifecycle/lend.go
+++ b/internal/gateway/lifecycle/lend.go
@@ -23,7 +23,7 @@
 // where peers that share customers can't be told from their former lives.
 func (g *Gatekeeper) lend(by []policy.Plan) {
 	c := g.conf.Charter
-	plans, any := proxy.Lines(by)
+	plans, any := proxy.CreditLines(by)
 	switch {
 	case !any || g.away.Load() || !g.lends.CompareAndSwap(false, true):
 		return
@@ -53,9 +53,9 @@
 	if g.history != nil {
 		r = g.history
 	}
-	g.desk.Lends(b, f, r, g.conf.Names.PlanNames())
+	g.desk.EnableBorrowing(b, f, r, g.conf.Names.PlanNames())
 	if g.peers != nil {
-		g.peers.Credit(g.desk.Ledger)
+		g.peers.Credit(g.desk.ReceiveCredit)
 	}
 	go func() {
 		t := time.NewTicker(transport.Millis(creditEach))
@@ -63,7 +63,7 @@
 		for {
 			select {
 			case <-t.C:
-				g.desk.Due()
+				g.desk.CollectDue()
 			case <-g.over:
 				return
 			}
@@ -73,7 +73,7 @@
 
 // creditFigures adds what operators see of credit, in units; where nothing is lent there is none.
 func (g *Gatekeeper) creditFigures(add func(name string, v int64)) {
-	f, on := g.desk.Credit()
+	f, on := g.desk.CreditFigures()
 	if !on {
 		return
 	}
--- a/internal/gateway/lifecycle/operate.go
+++ b/internal/gateway/lifecycle/operate.go
@@ -25,7 +25,7 @@
 
 // Figures gathers what operators see, from counts and copies alone.
 func (g *Gatekeeper) Figures() admin.Figures {
-	seen := g.desk.Seen()
+	seen := g.desk.CachedTally()
 	f := admin.Figures{Tries: g.links.Tries(), Active: g.front.Active(), Workers: int64(seen.Workers),
 		Avoided: int64(seen.Distrusted)}
 	f.Products = make([]admin.Product, len(g.conf.Charter.Products))
@@ -37,10 +37,10 @@
 	add := func(name string, v int64) { f.More = append(f.More, admin.Figure{Name: name, Value: v}) }
 	if g.conf.Tells {
 		add("members", g.members.Load())
-		holds := g.desk.Holds()
-		add("desk.longest.list_us", holds.List.Load())
-		add("desk.longest.change_us", holds.Change.Load())
-		add("desk.longest.rules_us", holds.Rules.Load())
+		holds := g.desk.LockTimes()
+		add("desk.longest.list_us", holds.FullListMicros.Load())
+		add("desk.longest.change_us", holds.ChangeMicros.Load())
+		add("desk.longest.rules_us", holds.RulesetMicros.Load())
 		add("peers.suspected", int64(seen.Suspected))
 		add("peers.gone", int64(seen.Lost))
 	}
@@ -48,8 +48,8 @@
 		k.Figures(add)
 	}
 	if g.conf.Residue != "" && g.conf.Recall {
-		c := g.desk.Copies()
-		add("copies.recalled", c.Recalled.Load())
+		c := g.desk.CheckpointStats()
+		add("copies.recalled", c.Restored.Load())
 		add("copies.spoilt", g.spoilt.Load())
 		add("copies.written", c.Written.Load())
 		add("copies.failed", c.Failed.Load())
--- a/internal/gateway/lifecycle/reload.go
+++ b/internal/gateway/lifecycle/reload.go
@@ -56,7 +56,7 @@
 	}
 	if len(peers) > 0 && g.peers != nil { // one that is alone is told of none, and has nobody to tell
 		for _, i := range g.peers.Among(peers) {
-			g.desk.Another(i)
+			g.desk.PeerReplaced(i)
 		}
 	}
 	if !fewer {
--- a/internal/gateway/lifecycle/replace.go
+++ b/internal/gateway/lifecycle/replace.go
@@ -96,7 +96,7 @@
 	if !whole && h.stops.Load() {
 		return
 	}
-	g.desk.Alone()
+	g.desk.PredecessorEnded()
 	if k := g.journal.Load(); whole && k != nil {
 		k.Settle()
 	}
@@ -134,7 +134,7 @@
 		return
 	}
 	g.peers.Use(c)
-	go g.peers.Hear(g.desk.Hear)
+	go g.peers.Hear(g.desk.ReceiveReports)
 }
 
 // bindPeers binds the peers' address as soon as it is free: another process may not have ended yet.
@@ -142,7 +142,7 @@
 	for {
 		err := g.peers.Bind(g.conf.PeerPort)
 		if err == nil {
-			go g.peers.Hear(g.desk.Hear)
+			go g.peers.Hear(g.desk.ReceiveReports)
 			return
 		}
 		select {
@@ -174,7 +174,7 @@
 		g.portal.Close()
 		w.Clearances = g.portal.Leave() // before the module's own, which would count them as spent
 	}
-	w.Estate, w.Workers, w.Kinds = g.desk.Retire()
+	w.Estate, w.Workers, w.Kinds = g.desk.HandOff()
 	if k := g.journal.Load(); k != nil {
 		k.Retire()
 	}
--- a/internal/gateway/lifecycle/replace_test.go
+++ b/internal/gateway/lifecycle/replace_test.go
@@ -254,8 +254,8 @@
 		return strings.TrimPrefix(status, "HTTP/1.1 ")
 	}
 	end := func(d *deployment) {
-		n := d.gk.desk.Copies().Written.Load()
-		until(t, "no copies are written", func() bool { return d.gk.desk.Copies().Written.Load() > n+1 })
+		n := d.gk.desk.CheckpointStats().Written.Load()
+		until(t, "no copies are written", func() bool { return d.gk.desk.CheckpointStats().Written.Load() > n+1 })
 		d.gk.limit.Close()
 		d.gk.desk.Stop()
 	}
@@ -265,7 +265,7 @@
 	}
 	end(d)
 	d = deployWith(t, keeps, 1, 5000)
-	s, n := of(d, "b4d65530", "2"), d.gk.desk.Copies().Recalled.Load()
+	s, n := of(d, "b4d65530", "2"), d.gk.desk.CheckpointStats().Restored.Load()
 	if s != "429 Too Many Requests" || n != 1 {
 		t.Errorf("after a sudden end: %q, %d customers", s, n)
 	}
@@ -299,13 +299,13 @@
 	}
 	second := held.second(both)
 	first.Stop()
-	n = first.desk.Copies().Written.Load()
-	if s := of(held, "b4d65532", "6"); s != "429 Too Many Requests" || second.desk.Copies().Recalled.Load() > 0 {
+	n = first.desk.CheckpointStats().Written.Load()
+	if s := of(held, "b4d65532", "6"); s != "429 Too Many Requests" || second.desk.CheckpointStats().Restored.Load() > 0 {
 		t.Errorf("handed over: %q", s)
 	}
-	m := second.desk.Copies().Written.Load()
-	until(t, "the heir writes none", func() bool { return second.desk.Copies().Written.Load() > m+1 })
-	if first.desk.Copies().Written.Load() > n+1 { // one may have been under way
+	m := second.desk.CheckpointStats().Written.Load()
+	until(t, "the heir writes none", func() bool { return second.desk.CheckpointStats().Written.Load() > m+1 })
+	if first.desk.CheckpointStats().Written.Load() > n+1 { // one may have been under way
 		t.Error("one that has handed over writes on")
 	}
 }
--- a/internal/gateway/lifecycle/speak.go
+++ b/internal/gateway/lifecycle/speak.go
@@ -38,7 +38,7 @@
 		s.word.Group = c.Group
 	}
 	s.among(c.Peers, c.Charter.Gatekeepers)
-	g.desk.Measure(forecast.NewMeter(c.Charter, crashstate.Uptime()))
+	g.desk.SetMeter(forecast.NewMeter(c.Charter, crashstate.Uptime()))
 	return s
 }
 
@@ -73,7 +73,7 @@
 		return
 	}
 	s.made = time.Now()
-	g.desk.Speak(&s.word)
+	g.desk.FillReport(&s.word)
 	b, err := forecast.Append(nil, &s.word)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("no word is told")
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -44,7 +44,7 @@
 	At      string // where clients connect
 	conf    config.Gatekeeper
 	log     zerolog.Logger
-	desk    *proxy.Desk
+	desk    *proxy.Dispatcher
 	front   *transport.Front
 	limit   *transport.Limited
 	links   *transport.Links
@@ -76,7 +76,7 @@
 	copied   atomic.Pointer[checkpoint.Left] // a former life's, until it is known which rules are in force
 	agreedOn atomic.Pointer[[]policy.Plan]   // as rules that were adopted last have them; nil before any
 
-	gate    *proxy.Gate
+	gate    *proxy.Proxy
 	journal atomic.Pointer[store.Keeper] // nil where no txn is written down
 }
 
@@ -125,14 +125,14 @@
 			return nil, err
 		}
 	}
-	g.desk = proxy.NewDesk(c.Charter, c.Seed, c.Lines.AnswerSlack+socketSlack, tell, g.links.Shed)
+	g.desk = proxy.NewDispatcher(c.Charter, c.Seed, c.Lines.AnswerSlack+socketSlack, tell, g.links.Shed)
 	if c.Hall != "" && c.Control != "" {
 		g.word = g.teller()
 	}
 	if g.history != nil {
-		g.desk.Record(g.history)
+		g.desk.RecordHistory(g.history)
 	}
-	g.desk.Roster(c.Known)
+	g.desk.ApplyEndpoints(c.Known)
 	g.list = bootstrap.NewBook(c.Known)
 	g.members.Store(int64(c.Charter.Gatekeepers))
 	g.gate = proxy.New(g.desk, g.links)
@@ -180,7 +180,7 @@
 		g.remember(true)
 		g.keepJournal(false)
 		if g.peers != nil && g.peers.Bound() {
-			go g.peers.Hear(g.desk.Hear)
+			go g.peers.Hear(g.desk.ReceiveReports)
 		} else if g.peers != nil { // a process that can't be talked to has it still
 			go g.bindPeers()
 		}
@@ -195,7 +195,7 @@
 
 // look renews the copies that operators' calls are answered from.
 func (g *Gatekeeper) look() {
-	g.desk.Look()
+	g.desk.RefreshTally()
 	if g.word != nil {
 		g.word.renew(g)
 	}
@@ -227,7 +227,7 @@
 		g.log.Warn().Err(err).Msg("nothing will outlive a sudden end")
 		return
 	}
-	g.desk.Leave(f, left)
+	g.desk.AttachCrashState(f, left)
 	if left != nil {
 		g.log.Info().Int("ceilings", len(left.Ceilings)).Float64("base_s", (g.desk.Now()-left.Base)/1000).
 			Msg("remembering what a former life has spent")
@@ -258,7 +258,7 @@
 	if g.peers != nil {
 		words = g.peers.Heard
 	}
-	g.desk.Copy(b, words)
+	g.desk.WriteCheckpoints(b, words)
 }
 
 // recollect goes by a former life's copy, if there is one, and it is of the charter in force.
@@ -268,14 +268,14 @@
 		return
 	}
 	age := g.desk.Now() - l.Estate.At
-	n, fits := g.desk.Recollect(l, g.conf.Tells)
+	n, fits := g.desk.RestoreCheckpoint(l, g.conf.Tells)
 	if !fits {
 		g.doubt(checkpoint.ErrCharter)
 		return
 	}
 	if n > 0 && g.peers != nil {
 		for _, i := range g.peers.Recall(l.Words) {
-			g.desk.Another(i)
+			g.desk.PeerReplaced(i)
 		}
 	}
 	g.log.Info().Int("customers", n).Int("of", len(l.Estate.Customers)).Float64("age_ms", age).
@@ -305,12 +305,12 @@
 	}
 	k := store.Keep(diskOf(j.Of(g.conf.Name)), j.Terms, who, beside, g.conf.Seed, g.log)
 	g.journal.Store(k)
-	g.gate.Journal(k, j.Terms, g.conf.Charter.Products, g.conf.Names.ProductNames())
+	g.gate.EnableJournal(k, j.Terms, g.conf.Charter.Products, g.conf.Names.ProductNames())
 }
 
 // forward puts forward authentication before a gate, in the roles that are on: a txn that a portal has had
 // cleared needs nobody else's word.
-func (g *Gatekeeper) forward(to *proxy.Gate) func(*transport.Txn) transport.Final {
+func (g *Gatekeeper) forward(to *proxy.Proxy) func(*transport.Txn) transport.Final {
 	serve, f := to.Serve, g.conf.Forward
 	if f != nil && f.Asking != nil {
 		g.vouch = authorizer.New(f.Asking, g.conf.Charter, to, g.conf.Seed)
@@ -356,7 +356,7 @@
 
 func (g *Gatekeeper) news(l endpoints.List) {
 	g.lists.Lock()
-	g.desk.Roster(g.list.Discovery(l, g.desk.Now()))
+	g.desk.ApplyEndpoints(g.list.Discovery(l, g.desk.Now()))
 	g.lists.Unlock()
 	g.speaks()
 	g.log.Debug().Int64("version", l.Version).Bool("whole", l.Whole).Int("workers", len(l.Workers)).Msg("list")
--- a/internal/gateway/lifecycle/stop.go
+++ b/internal/gateway/lifecycle/stop.go
@@ -51,7 +51,7 @@
 	defer time.AfterFunc(transport.Millis(min(g.conf.Lines.LongestWait, policy.StopLongest)+policy.StopAll),
 		func() {
 			g.limit.GiveUp()
-			g.desk.Turn()
+			g.desk.WakeNow()
 		}).
 		Stop()
 	if !g.handOver() {
--- a/internal/gateway/lifecycle/warm.go
+++ b/internal/gateway/lifecycle/warm.go
@@ -21,7 +21,7 @@
 	g.lists.Lock()
 	defer g.lists.Unlock()
 	if whole, changed := g.list.Alive(g.desk.Now()); changed {
-		g.desk.Roster(whole)
+		g.desk.ApplyEndpoints(whole)
 	}
 }
 
@@ -29,7 +29,7 @@
 func (g *Gatekeeper) words(all []ruleset.Word) {
 	g.lists.Lock()
 	defer g.lists.Unlock()
-	g.desk.Roster(g.list.Words(all))
+	g.desk.ApplyEndpoints(g.list.Words(all))
 }
 
 // discovered gives the index of discovery's list that is known here; below nought where it has not spoken.
@@ -93,7 +93,7 @@
 			g.lists.Lock()
 			whole, changed := g.list.Peer(l, age)
 			if changed {
-				g.desk.Roster(whole)
+				g.desk.ApplyEndpoints(whole)
 			}
 			g.lists.Unlock()
 			if changed {
--- a/internal/gateway/proxy/exchange.go
+++ b/internal/gateway/proxy/attempt.go
@@ -14,11 +14,11 @@
 // for. However it ends, its link is closed or free for others before it returns: only then may the txn be
 // submitted again. The exception is an answer whose rest is left to be passed on, which comes with its link.
 // There is no answer where it was not sent as what it was decided by had run out.
-func (g *Gate) exchange(j job, until time.Time) (a *transport.Answer, l *transport.Link, began float64) {
-	s, to, began := j.word.Attempt, j.word.Upstream, g.desk.clock.now()
+func (g *Proxy) exchange(j delivery, until time.Time) (a *transport.Answer, l *transport.Link, began float64) {
+	s, to, began := j.command.Attempt, j.command.Upstream, g.dispatcher.clock.now()
 	latest := until
-	if by := j.word.Decision.Latest; !math.IsInf(by, 1) && g.desk.clock.time(by).Before(until) {
-		latest = g.desk.clock.time(by)
+	if by := j.command.Decision.Latest; !math.IsInf(by, 1) && g.dispatcher.clock.time(by).Before(until) {
+		latest = g.dispatcher.clock.time(by)
 	}
 	if l = g.links.Idle(to.Worker); l == nil {
 		var err error
@@ -40,10 +40,10 @@
 	// Guards against a process that stood still, or waited for its connection, beyond the time of its rules.
 	// What is left is from here to the write below: some us, and however long the process is stopped between
 	// the two; the submission names its rules to the worker.
-	holds := j.word.Lease.Valid()
-	if r := g.desk.record; r != nil && holds {
+	holds := j.command.Lease.Valid()
+	if r := g.dispatcher.record; r != nil && holds {
 		r.sends(&j)
-		holds = j.word.Lease.Valid()
+		holds = j.command.Lease.Valid()
 	}
 	if !holds {
 		s.Finish()
@@ -58,10 +58,10 @@
 		g.links.Drop(l)
 		return &transport.Answer{Outcome: policy.NotSent}, nil, began
 	}
-	if j.told > 0 {
-		j.msg = transport.TellLeft(j.msg, j.told, until.Sub(now))
+	if j.deadlineOffset > 0 {
+		j.message = transport.TellLeft(j.message, j.deadlineOffset, until.Sub(now))
 	}
-	err := l.Send(j.msg)
+	err := l.Send(j.message)
 	if err == nil && j.upload != nil {
 		var whole bool
 		if a, began, whole, err = g.pour(j, l); whole || err == nil {
@@ -78,34 +78,34 @@
 		return &transport.Answer{Outcome: policy.NoRoute}, nil, began // broke before its last byte: it never ran
 	}
 	g.links.Wrote()
-	a, err = l.Receive(func() { g.desk.stirs(to.Worker) })
+	a, err = l.Receive(func() { g.dispatcher.workerResponded(to.Worker) })
 	return g.answered(j, l, a, err, began)
 }
 
 // left tells whether the client of a txn that is about to be sent has gone, and ends the txn if so.
-func (g *Gate) left(j *job) bool {
-	gone := j.txn.ClientGone()
+func (g *Proxy) left(j *delivery) bool {
+	gone := j.request.ClientGone()
 	if gone {
-		g.desk.quit(j.txn)
+		g.dispatcher.clientLeft(j.request)
 	}
 	return gone
 }
 
 // answered ends a submission that was written whole, or was answered before.
-func (g *Gate) answered(
-	j job,
+func (g *Proxy) answered(
+	j delivery,
 	l *transport.Link,
 	a *transport.Answer,
 	err error,
 	began float64,
 ) (*transport.Answer,
 	*transport.Link, float64) {
-	withdrawn := j.word.Attempt.Finish()
+	withdrawn := j.command.Attempt.Finish()
 	if err == nil && !withdrawn {
 		if a.Rest != nil {
 			return a, l, began
 		}
-		if a.Keep() && g.links.Keep(l, &j.word.Upstream) {
+		if a.Keep() && g.links.Keep(l, &j.command.Upstream) {
 			return a, nil, began
 		}
 	}
@@ -130,9 +130,9 @@
 
 // pour sends the body of a txn on as it comes, while the worker may already answer, and tells whether it was
 // written whole. If not, it never ran.
-func (g *Gate) pour(j job, l *transport.Link) (a *transport.Answer, began float64, whole bool, err error) {
-	n := j.word.Decision.N
-	g.desk.poured(j.txn, n, 0)
+func (g *Proxy) pour(j delivery, l *transport.Link) (a *transport.Answer, began float64, whole bool, err error) {
+	n := j.command.Decision.N
+	g.dispatcher.bodySent(j.request, n, 0)
 	l.Until(time.Time{}) // its time has not begun
 	l.Pours()
 	sent := make(chan error, 1)
@@ -141,7 +141,7 @@
 		switch {
 		case err == nil:
 			g.links.Wrote()
-			l.Until(g.desk.poured(j.txn, n, j.left))
+			l.Until(g.dispatcher.bodySent(j.request, n, j.clientMillis))
 		case j.upload.Fault() != nil:
 			l.Abort()
 		default: // what the worker has said is read, and no more is waited for: nothing else would end that
@@ -149,14 +149,14 @@
 		}
 		sent <- err
 	}()
-	a, err = l.Receive(func() { g.desk.stirs(j.word.Upstream.Worker) })
-	began = g.desk.clock.now()
+	a, err = l.Receive(func() { g.dispatcher.workerResponded(j.command.Upstream.Worker) })
+	began = g.dispatcher.clock.now()
 	j.upload.Stop() // what is answered early needs no more of it
 	l.Halt()
 	fail := <-sent
 	switch {
 	case fail == nil:
-		if began = g.desk.whole(j.txn); err == nil && a.Early() {
+		if began = g.dispatcher.bodySentMillis(j.request); err == nil && a.Early() {
 			err = errEarly // of another submission, or made up: it says nothing of this one, which may run
 		}
 	case err == nil && a.Outcome == policy.Settled:
--- a/internal/gateway/proxy/told_test.go
+++ b/internal/gateway/proxy/attempt_deadline_test.go
@@ -28,18 +28,18 @@
 )
 
 // waits is how long the client of each txn here waits, ms.
-const waits = 4000
+const clientWaitMillis = 4000
 
 // told is a gate behind a front, before workers on loopback, that notes what each submission told and what
 // was left of its client's time: when its first byte was about to go out, and when the worker had its head.
-type told struct {
+type deadlineRig struct {
 	*testing.T
-	d     *Desk
+	dispatcher     *Dispatcher
 	links *transport.Links
 	at    string // the front's address
 
 	mu     sync.Mutex
-	before hook      // called ahead of each first byte, if set
+	beforeSend onSend      // called ahead of each first byte, if set
 	most   []float64 // by submission, ms
 	told   []float64
 	least  []float64
@@ -49,47 +49,47 @@
 }
 
 // Write is called right before the first byte of each submission goes out, and bounds what it may tell.
-func (w *told) Write(e history.Event) {
+func (w *deadlineRig) Write(e history.Event) {
 	if e.Kind != history.Sends {
 		return
 	}
 	w.mu.Lock()
-	before := w.before
+	before := w.beforeSend
 	w.mu.Unlock()
 	if before != nil {
 		before()
 	}
-	w.d.mu.Lock()
-	defer w.d.mu.Unlock()
-	for _, h := range w.d.txns {
+	w.dispatcher.mu.Lock()
+	defer w.dispatcher.mu.Unlock()
+	for _, h := range w.dispatcher.requests {
 		w.mu.Lock()
-		w.came = min(h.ArrivedMillis, h.ExpiryMillis-waits) // less the wait for its mark, some us
-		w.most = append(w.most, w.came+waits-w.d.clock.now())
+		w.came = min(h.ArrivedMillis, h.ExpiryMillis-clientWaitMillis) // less the wait for its mark, some us
+		w.most = append(w.most, w.came+clientWaitMillis-w.dispatcher.clock.now())
 		w.mu.Unlock()
 	}
 }
 
 // tells starts one with workers at some addresses. A journal's disk may be slow.
-func tells(t *testing.T, overlap bool, disk *store.Memory, at ...netip.AddrPort) *told {
+func tells(t *testing.T, overlap bool, disk *store.Memory, at ...netip.AddrPort) *deadlineRig {
 	t.Helper()
-	c := charter()
+	c := testCharter()
 	c.Plans[0] = policy.Plan{Rate: 1000, Burst: 1000, Factor: 1}
-	sla := float64(waits) // so that nothing is moved that is only late
+	sla := float64(clientWaitMillis) // so that nothing is moved that is only late
 	if c.MayOverlap = overlap; overlap {
 		sla = 600
 	}
 	c.Products = []policy.Product{{SLA: sla, Value: 1},
-		{SLA: sla, Value: 1, Repeat: policy.Referenced, Window: waits},
+		{SLA: sla, Value: 1, Repeat: policy.Referenced, Window: clientWaitMillis},
 		{SLA: 1000, Value: 1, Repeat: policy.OnceOnly}}
-	w := &told{T: t, heard: make(chan struct{}, 9), links: transport.NewLinks(8, 5*time.Second, 3*time.Second)}
-	w.d = NewDesk(c, 1, 5, func(int, []byte) {}, w.links.Shed)
-	w.d.Record(w)
+	w := &deadlineRig{T: t, heard: make(chan struct{}, 9), links: transport.NewLinks(8, 5*time.Second, 3*time.Second)}
+	w.dispatcher = NewDispatcher(c, 1, 5, func(int, []byte) {}, w.links.Shed)
+	w.dispatcher.RecordHistory(w)
 	list := endpoints.List{Whole: true}
 	for i, a := range at {
 		list.Workers = append(list.Workers, endpoints.Worker{Name: fmt.Sprint("w", i), Address: a, Active: true})
 	}
-	w.d.Roster(list)
-	g := New(w.d, w.links)
+	w.dispatcher.ApplyEndpoints(list)
+	g := New(w.dispatcher, w.links)
 	names := config.Names{Products: map[string]int{"check": 0, "store": 1, "issue": 2},
 		Plans: map[string]int{"basic": 0}}
 	if disk != nil {
@@ -97,7 +97,7 @@
 		terms.Wait = 1000
 		k := store.Keep(disk, terms, store.Who{Name: "g"}, false, 1, zerolog.Nop())
 		t.Cleanup(k.Close)
-		g.Journal(k, terms, c.Products, []string{"check", "store", "issue"})
+		g.EnableJournal(k, terms, c.Products, []string{"check", "store", "issue"})
 	}
 	f := transport.NewFront(names, c, g.Serve, func() bool { return true })
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -109,18 +109,18 @@
 	t.Cleanup(func() {
 		limited.Close()
 		limited.GiveUp()
-		w.d.Turn()
+		w.dispatcher.WakeNow()
 		limited.Drain()
 		f.Close()
 		f.Wait()
-		w.d.Stop()
+		w.dispatcher.Stop()
 	})
 	w.at = l.Addr().String()
 	return w
 }
 
 // asks sends a txn and gives its answer's status, and what went wrong.
-func (w *told) asks(head, body string) <-chan string {
+func (w *deadlineRig) asks(head, body string) <-chan string {
 	c, err := net.Dial("tcp", w.at)
 	if err != nil {
 		w.Fatal(err)
@@ -132,7 +132,7 @@
 	}
 	fmt.Fprintf(c, "%s HTTP/1.1\r\n%sHost: h\r\nX-Request-Id: 1\r\nPlan: basic\r\n"+
 		"Cookie: key=00000000b4d65521\r\nX-Deadline: %dm\r\n"+
-		"Quota-Info: units=1,spread=1,first=0\r\n\r\n%s", line, more, waits, body)
+		"Quota-Info: units=1,spread=1,first=0\r\n\r\n%s", line, more, clientWaitMillis, body)
 	got := make(chan string, 1)
 	go func() {
 		defer c.Close()
@@ -147,7 +147,7 @@
 }
 
 // reads is a worker's side of a connection: each submission's figure is noted, and answered as the test says.
-func (w *told) reads(c net.Conn) {
+func (w *deadlineRig) reads(c net.Conn) {
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(8 * time.Second))
 	in := bufio.NewReader(c)
@@ -162,7 +162,7 @@
 			w.Errorf("told %q", r.Header.Get("X-Deadline"))
 		}
 		w.mu.Lock()
-		w.told, w.least = append(w.told, float64(us)/1000), append(w.least, w.came+waits-w.d.clock.now())
+		w.told, w.least = append(w.told, float64(us)/1000), append(w.least, w.came+clientWaitMillis-w.dispatcher.clock.now())
 		n, answer := len(w.told), w.answer
 		w.mu.Unlock()
 		w.heard <- struct{}{}
@@ -170,7 +170,7 @@
 			w.Error(err)
 		}
 		if on = answer == nil || answer(n); on {
-			c.Write([]byte(okay))
+			c.Write([]byte(answerBytes))
 		} else {
 			c.(*net.TCPConn).CloseWrite() // its descriptor is another's too, and would keep it up
 		}
@@ -178,7 +178,7 @@
 }
 
 // takes has a worker read from the connections that have come up.
-func (w *told) takes(fds []int) {
+func (w *deadlineRig) takes(fds []int) {
 	for _, fd := range fds {
 		if dup, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0); err == nil {
 			f := os.NewFile(uintptr(dup), "worker")
@@ -194,7 +194,7 @@
 }
 
 // judge compares, once so many submissions have come.
-func (w *told) judge(n int, late float64) {
+func (w *deadlineRig) judge(n int, late float64) {
 	w.Helper()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -207,14 +207,14 @@
 				w.most[i], w.least[i])
 		}
 	}
-	if last := w.most[n-1]; last > waits-late {
+	if last := w.most[n-1]; last > clientWaitMillis-late {
 		w.Errorf("%.3f ms were left: the last was not late", last)
 	}
 }
 
 // serves has workers at narrow listeners take what comes up from when a first SYN of a submission was dropped
 // there, so that it comes a second later.
-func (w *told) serves(held int, takes ...func() []int) (stop func()) {
+func (w *deadlineRig) serves(held int, takes ...func() []int) (stop func()) {
 	over, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -260,7 +260,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			at, fill, take := narrow(t)
+			at, fill, take := singleSlotListener(t)
 			var disk *store.Memory
 			if c.name == "once-only, written down" {
 				disk = store.NewMemory(1)
@@ -299,12 +299,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			at1, fill1, take1 := narrow(t)
-			at2, fill2, take2 := narrow(t)
+			at1, fill1, take1 := singleSlotListener(t)
+			at2, fill2, take2 := singleSlotListener(t)
 			w := tells(t, c.overlap, nil, at1, at2)
 			first := true
 			w.mu.Lock()
-			w.before = func() {
+			w.beforeSend = func() {
 				if first { // its own connection is up
 					first = false
 					w.takes(take1())
@@ -354,7 +354,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			at, _, take := narrow(t)
+			at, _, take := singleSlotListener(t)
 			var disk *store.Memory
 			var slow atomic.Bool
 			if c.written {
@@ -374,7 +374,7 @@
 			w.mu.Lock()
 			w.most, w.told, w.least = nil, nil, nil
 			if slow.Store(c.written); !c.written {
-				w.before = func() { time.Sleep(wait) }
+				w.beforeSend = func() { time.Sleep(wait) }
 			}
 			w.mu.Unlock()
 			if s := <-w.asks(c.head, ""); s != "200 OK" {
@@ -395,17 +395,17 @@
 	}{{"window", true}, {"time", false}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := before(t, time.Second, 4)
-			w := b.kept()
-			j := b.takes()
+			b := newWorkerRig(t, time.Second, 4)
+			w := b.idleConnection()
+			j := b.admitAttempt()
 			until := time.Now().Add(time.Second)
 			if c.window {
-				j.word.Decision.Latest = b.g.desk.Now() + float64(soon.Milliseconds())
+				j.command.Decision.Latest = b.proxy.dispatcher.Now() + float64(soon.Milliseconds())
 			} else {
 				until = time.Now().Add(soon)
 			}
-			b.at = func() { time.Sleep(2 * soon) }
-			a, l, _ := b.g.exchange(j, until)
+			b.beforeSend = func() { time.Sleep(2 * soon) }
+			a, l, _ := b.proxy.exchange(j, until)
 			if n, _ := io.Copy(io.Discard, w); l != nil || a == nil || a.Outcome != policy.NotSent || n != 0 {
 				t.Errorf("ended with %+v, %d bytes written", a, n)
 			}
--- a/internal/gateway/proxy/exchange_test.go
+++ b/internal/gateway/proxy/attempt_test.go
@@ -15,14 +15,14 @@
 	"willowdeck/internal/testkit/history"
 )
 
-func charter() policy.Charter {
+func testCharter() policy.Charter {
 	return policy.Charter{Gatekeepers: 1, LargestUnits: 1, MaxSubmissions: 3, MayWithdraw: true,
 		Products: []policy.Product{{SLA: 1000, Value: 1}},
 		Plans:    []policy.Plan{{Rate: 1000, Burst: 1000, CeilingRate: 1000, CeilingDepth: 1000, Factor: 1}}}
 }
 
 // worker counts the bytes that come to it.
-func worker(t *testing.T) (endpoints.List, <-chan int) {
+func countingWorker(t *testing.T) (endpoints.List, <-chan int) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,28 +55,28 @@
 
 // What was decided by terms that run out while the connection comes up is not written, and is decided anew by
 // those that hold then. Guards against a submission by rules that are no more.
-func TestTermsRunOutBeforeTheWrite(t *testing.T) {
-	list, came := worker(t)
+func TestLeaseExpiresBeforeWrite(t *testing.T) {
+	list, came := countingWorker(t)
 	links := transport.NewLinks(8, time.Second, time.Second)
-	d := NewDesk(charter(), 1, 5, func(int, []byte) {}, links.Shed)
+	d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, links.Shed)
 	t.Cleanup(d.Stop)
 	var past history.Memory
-	d.Record(past.As("n", 1))
-	d.Roster(list)
+	d.RecordHistory(past.As("n", 1))
+	d.ApplyEndpoints(list)
 	first := inflight.NewLease(1, history.Leased, bootclock.Nanos()+3600e9)
 	second := inflight.NewLease(2, history.Leased, bootclock.Nanos()+3600e9)
-	if !d.Govern(first, charter()) {
+	if !d.ApplyRuleset(first, testCharter()) {
 		t.Fatal("not governed")
 	}
 	time.Sleep(20 * time.Millisecond) // what a start takes as spent
 	g := New(d, links)
-	h := d.take(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
+	h := d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
 	w := <-h.Commands
 	if w.Decision.Kind != policy.Submit || w.Lease != first {
 		t.Fatalf("decided %+v by %+v", w.Decision, w.Lease)
 	}
-	d.Govern(second, charter())
-	j := job{txn: h, word: w, msg: []byte("GET / HTTP/1.1\r\n\r\n")}
+	d.ApplyRuleset(second, testCharter())
+	j := delivery{request: h, command: w, message: []byte("GET / HTTP/1.1\r\n\r\n")}
 	a, l, _ := g.exchange(j, time.Now().Add(time.Second))
 	if a != nil || l != nil {
 		t.Fatalf("ended with %+v", a)
@@ -84,13 +84,13 @@
 	if n := <-came; n > 0 {
 		t.Errorf("%d bytes came to the worker", n)
 	}
-	d.recall(h, w.Decision.N)
+	d.attemptRevoked(h, w.Decision.N)
 	if w = <-h.Commands; w.Decision.Kind != policy.Submit || w.Lease != second || w.Decision.N != 0 ||
-		d.Recalled() != 1 {
+		d.RevokedAttempts() != 1 {
 		t.Errorf("then decided %+v by %+v", w.Decision, w.Lease)
 	}
 	second.Revoke() // and what is decided after the end of all terms is by none of them
-	h = d.take(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
+	h = d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
 	if w = <-h.Commands; w.Decision.Kind != policy.Decline {
 		t.Errorf("without terms decided %+v", w.Decision)
 	}
@@ -109,20 +109,20 @@
 
 // again gives a gate of three submissions a txn over a stand-in that counts what comes, and a txn whose first
 // submission may have run.
-func again(t *testing.T, p policy.Product) (g *Gate, h *inflight.Request, w inflight.Command,
+func retriedRequest(t *testing.T, p policy.Product) (g *Proxy, h *inflight.Request, w inflight.Command,
 	came <-chan int) {
 	t.Helper()
-	list, came := worker(t)
+	list, came := countingWorker(t)
 	links := transport.NewLinks(8, time.Second, time.Second)
-	c := charter()
+	c := testCharter()
 	c.Products = []policy.Product{p}
-	d := NewDesk(c, 1, 5, func(int, []byte) {}, links.Shed)
+	d := NewDispatcher(c, 1, 5, func(int, []byte) {}, links.Shed)
 	t.Cleanup(d.Stop)
-	d.Roster(list)
+	d.ApplyEndpoints(list)
 	time.Sleep(20 * time.Millisecond) // what a start takes as spent
-	h = d.take(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
+	h = d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
 	w = <-h.Commands
-	d.ended(h, w.Decision.N, w.Decision.Worker, &transport.Answer{Outcome: policy.Cut}, 1)
+	d.attemptEnded(h, w.Decision.N, w.Decision.Worker, &transport.Answer{Outcome: policy.Cut}, 1)
 	if w = <-h.Commands; w.Decision.Kind != policy.Submit || w.Decision.N != 1 {
 		t.Fatalf("then decided %+v", w.Decision)
 	}
@@ -130,7 +130,7 @@
 }
 
 // none fails where a worker got bytes over a connection that has ended, if there was one.
-func none(t *testing.T, came <-chan int) {
+func assertNothingReceived(t *testing.T, came <-chan int) {
 	t.Helper()
 	select {
 	case n := <-came:
@@ -144,59 +144,59 @@
 // A further submission of a referenced txn is decided on inside its window, and its connection is up after
 // it: nothing is written. Guards against a look at the window when it is decided alone: on one bench day a
 // connection took 230 ms, and its submission went out 1,106 ms after the first with a window of 1,000.
-func TestWindowOverBeforeTheWrite(t *testing.T) {
-	g, h, w, came := again(t, policy.Product{SLA: 4000, Value: 1, Repeat: policy.Referenced, Window: 200})
-	if left := w.Decision.Latest - g.desk.Now(); !(left > 0 && left < 200) {
+func TestRetryWindowEndsBeforeWrite(t *testing.T) {
+	g, h, w, came := retriedRequest(t, policy.Product{SLA: 4000, Value: 1, Repeat: policy.Referenced, Window: 200})
+	if left := w.Decision.Latest - g.dispatcher.Now(); !(left > 0 && left < 200) {
 		t.Fatalf("the first byte may go out %.1f ms from now on", left)
 	}
-	for g.desk.Now() < w.Decision.Latest { // as long as its connection takes
+	for g.dispatcher.Now() < w.Decision.Latest { // as long as its connection takes
 		time.Sleep(time.Millisecond)
 	}
-	j := job{txn: h, word: w, msg: []byte("GET / HTTP/1.1\r\n\r\n")}
+	j := delivery{request: h, command: w, message: []byte("GET / HTTP/1.1\r\n\r\n")}
 	a, l, _ := g.exchange(j, time.Now().Add(time.Second))
 	if a == nil || a.Outcome != policy.NotSent || l != nil {
 		t.Fatalf("ended with %+v", a)
 	}
-	g.desk.ended(h, 1, w.Decision.Worker, a, 1)
+	g.dispatcher.attemptEnded(h, 1, w.Decision.Worker, a, 1)
 	if w = <-h.Commands; w.Decision.Kind != policy.Decline { // all workers drop a repeat
 		t.Errorf("then decided %+v", w.Decision)
 	}
-	none(t, came)
+	assertNothingReceived(t, came)
 }
 
 // A worker moves to another zone, or cell, while the connection of a further submission of a referenced txn
 // comes up: nothing is written. Guards against a repeat where nobody has the txn's mark.
-func TestMovedBeforeTheWrite(t *testing.T) {
+func TestWorkerMovesBeforeWrite(t *testing.T) {
 	for of, move := range map[policy.Group]func(*endpoints.Worker){
 		policy.GroupZone: func(w *endpoints.Worker) { w.Zone = "another" },
 		policy.GroupCell: func(w *endpoints.Worker) { w.Cell = 5 },
 	} {
-		g, h, w, came := again(t, policy.Product{SLA: 4000, Value: 1, Repeat: policy.Referenced, Group: of,
+		g, h, w, came := retriedRequest(t, policy.Product{SLA: 4000, Value: 1, Repeat: policy.Referenced, Group: of,
 			Window: 4000})
 		x := endpoints.Worker{Name: "w", Address: w.Upstream.Addr, Active: true}
 		move(&x)
-		g.desk.Roster(endpoints.List{Whole: true, Workers: []endpoints.Worker{x}})
-		j := job{txn: h, word: w, msg: []byte("GET / HTTP/1.1\r\n\r\n")}
+		g.dispatcher.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{x}})
+		j := delivery{request: h, command: w, message: []byte("GET / HTTP/1.1\r\n\r\n")}
 		a, l, _ := g.exchange(j, time.Now().Add(time.Second))
 		if a == nil || a.Outcome != policy.NotSent || l != nil {
 			t.Fatalf("group %d: ended with %+v", of, a)
 		}
-		g.desk.ended(h, 1, w.Decision.Worker, a, 1)
+		g.dispatcher.attemptEnded(h, 1, w.Decision.Worker, a, 1)
 		if w = <-h.Commands; w.Decision.Kind != policy.Void { // its group has nobody left
 			t.Errorf("group %d: then decided %+v", of, w.Decision)
 		}
-		none(t, came)
+		assertNothingReceived(t, came)
 	}
 }
 
 // A client leaves while the connection of a further submission comes up: nothing is written, and the txn
 // ends. Guards against a look at clients at the module's wake alone, which is up to 100 ms old then.
-func TestClientLeftBeforeTheWrite(t *testing.T) {
-	g, h, w, came := again(t, policy.Product{SLA: 4000, Value: 1})
-	g.desk.mu.Lock()
+func TestClientLeavesBeforeWrite(t *testing.T) {
+	g, h, w, came := retriedRequest(t, policy.Product{SLA: 4000, Value: 1})
+	g.dispatcher.mu.Lock()
 	h.ClientGone = func() bool { return true }
-	g.desk.mu.Unlock()
-	j := job{txn: h, word: w, msg: []byte("GET / HTTP/1.1\r\n\r\n")}
+	g.dispatcher.mu.Unlock()
+	j := delivery{request: h, command: w, message: []byte("GET / HTTP/1.1\r\n\r\n")}
 	a, l, _ := g.exchange(j, time.Now().Add(time.Second))
 	if a == nil || a.Outcome != policy.NotSent || l != nil {
 		t.Fatalf("ended with %+v", a)
@@ -204,22 +204,22 @@
 	if w = <-h.Commands; w.Decision.Kind != policy.Void || !h.Answered {
 		t.Errorf("then decided %+v", w.Decision)
 	}
-	g.desk.ended(h, 1, 0, a, 1)
-	if len(g.desk.txns) != 0 || g.desk.Tally().Final[policy.ByClient] != 1 {
-		t.Errorf("%d txns in hand, finals %v", len(g.desk.txns), g.desk.Tally().Final)
+	g.dispatcher.attemptEnded(h, 1, 0, a, 1)
+	if len(g.dispatcher.requests) != 0 || g.dispatcher.Tally().Final[policy.ByClient] != 1 {
+		t.Errorf("%d txns in hand, finals %v", len(g.dispatcher.requests), g.dispatcher.Tally().Final)
 	}
-	none(t, came)
+	assertNothingReceived(t, came)
 }
 
 // A txn tells whether something may have been sent for it: its mark is not another's where it was.
 func TestSent(t *testing.T) {
-	list, _ := worker(t)
+	list, _ := countingWorker(t)
 	for _, sent := range []bool{false, true} {
 		links := transport.NewLinks(8, time.Second, time.Second)
-		d := NewDesk(charter(), 1, 5, func(int, []byte) {}, links.Shed)
+		d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, links.Shed)
 		t.Cleanup(d.Stop)
 		if sent {
-			d.Roster(list)
+			d.ApplyEndpoints(list)
 		}
 		time.Sleep(20 * time.Millisecond) // what a start takes as spent
 		x := &transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900},
@@ -232,32 +232,32 @@
 
 // A first submission whose connection is still coming up when its copy goes out is never sent. Guards against
 // one that comes up later than the copy's window: it bears no limit of its own, as nothing was out before it.
-func TestLateBehindItsCopy(t *testing.T) {
-	list, came := worker(t)
-	other, there := worker(t)
+func TestFirstAttemptConnectsAfterHedge(t *testing.T) {
+	list, came := countingWorker(t)
+	other, there := countingWorker(t)
 	other.Workers[0].Name = "v"
 	list.Workers = append(list.Workers, other.Workers[0])
 	links := transport.NewLinks(8, time.Second, time.Second)
-	c := charter()
+	c := testCharter()
 	c.MayOverlap = true
 	c.Products = []policy.Product{{SLA: 100, Value: 1, Repeat: policy.Referenced, Window: 5000}}
-	d := NewDesk(c, 1, 5, func(int, []byte) {}, links.Shed)
+	d := NewDispatcher(c, 1, 5, func(int, []byte) {}, links.Shed)
 	t.Cleanup(d.Stop)
-	d.Roster(list)
+	d.ApplyEndpoints(list)
 	time.Sleep(20 * time.Millisecond) // what a start takes as spent
-	h := d.take(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
+	h := d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
 	first := <-h.Commands
 	second := <-h.Commands // the first one's worker is silent
 	if second.Decision.Kind != policy.Submit || second.Decision.N != 1 {
 		t.Fatalf("then decided %+v", second.Decision)
 	}
 	g := New(d, links)
-	j := job{txn: h, word: first, msg: []byte("GET / HTTP/1.1\r\n\r\n")}
+	j := delivery{request: h, command: first, message: []byte("GET / HTTP/1.1\r\n\r\n")}
 	a, l, _ := g.exchange(j, time.Now().Add(time.Second))
 	if a == nil || a.Outcome != policy.NotSent || l != nil {
 		t.Fatalf("ended with %+v", a)
 	}
-	j = job{txn: h, word: second, msg: j.msg}
+	j = delivery{request: h, command: second, message: j.message}
 	until := time.Now().Add(50 * time.Millisecond)
 	if a, _, _ := g.exchange(j, until); a == nil || a.Outcome != policy.TimedOut {
 		t.Errorf("the copy ended with %+v", a)
@@ -265,45 +265,45 @@
 	if first.Decision.Worker == 1 {
 		came = there
 	}
-	none(t, came)
+	assertNothingReceived(t, came)
 }
 
 // shelf keeps nothing.
-type shelf struct{ from time.Time }
+type nullCreditStore struct{ from time.Time }
 
-func (s shelf) Now() float64                         { return float64(time.Since(s.from)) / 1e6 }
-func (s shelf) Keep(int, *borrowing.Record)          {}
-func (s shelf) Hear(int, incarnation.MessageID) bool { return true }
-func (s shelf) Close()                               {}
+func (s nullCreditStore) Now() float64                         { return float64(time.Since(s.from)) / 1e6 }
+func (s nullCreditStore) Keep(int, *borrowing.Record)          {}
+func (s nullCreditStore) Hear(int, incarnation.MessageID) bool { return true }
+func (s nullCreditStore) Close()                               {}
 
 // The ordinary path with agreement off and on: the decision, and both looks at the terms; and with credit on,
 // within the quota and lent.
-func BenchmarkTake(b *testing.B) {
+func BenchmarkAdmit(b *testing.B) {
 	for _, name := range []string{"off", "on", "credit", "lent"} {
 		on := name == "on"
 		b.Run(name, func(b *testing.B) {
-			d := NewDesk(charter(), 1, 5, func(int, []byte) {}, func(int) {})
+			d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, func(int) {})
 			defer d.Stop()
-			c := charter()
+			c := testCharter()
 			c.Plans[0] = policy.Plan{Rate: 1e9, Burst: 1e9, CeilingRate: 1e9, CeilingDepth: 1e9, Factor: 1}
-			d.gk = policy.New(c, 1)
-			d.Roster(endpoints.List{Whole: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
+			d.policy = policy.New(c, 1)
+			d.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
 			if name == "credit" || name == "lent" {
 				if c.Plans[0].Credit, c.Plans[0].Repay = 1, 2e3; name == "lent" {
 					c.Plans[0] = policy.Plan{Rate: 1e-3, Credit: 1e12, Repay: 2e15, Factor: 1}
 				}
-				d.gk = policy.New(c, 1)
-				d.Roster(endpoints.List{Whole: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
-				lines, _ := Lines(c.Plans)
-				d.Lends(
+				d.policy = policy.New(c, 1)
+				d.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
+				lines, _ := CreditLines(c.Plans)
+				d.EnableBorrowing(
 					borrowing.New(borrowing.Terms{Gatekeepers: 1, Plans: lines}, 1, -1e18),
-					shelf{time.Now()},
+					nullCreditStore{time.Now()},
 					nil,
 					nil,
 				)
 			}
 			if on {
-				d.Govern(inflight.NewLease(1, history.Leased, bootclock.Nanos()+3600e9), c)
+				d.ApplyRuleset(inflight.NewLease(1, history.Leased, bootclock.Nanos()+3600e9), c)
 			}
 			time.Sleep(10 * time.Millisecond)
 			t := &transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}}
@@ -311,7 +311,7 @@
 			msg := make([]byte, 0, 512)
 			b.ReportAllocs()
 			for b.Loop() {
-				h := d.take(t)
+				h := d.admit(t)
 				w := <-h.Commands
 				if w.Decision.Kind != policy.Submit || !w.Lease.Valid() {
 					b.Fatal(w.Decision)
@@ -323,14 +323,14 @@
 				var at int
 				msg, at = transport.AppendSubmission(msg[:0], t, rules)
 				transport.TellLeft(msg, at, transport.Millis(w.Decision.At-d.clock.now()))
-				d.ended(h, 0, w.Decision.Worker, &transport.Answer{Outcome: policy.Settled, Heard: true}, 1)
+				d.attemptEnded(h, 0, w.Decision.Worker, &transport.Answer{Outcome: policy.Settled, Heard: true}, 1)
 			}
 		})
 	}
 }
 
 // What is left from the last look at the terms until the kernel has a submission.
-func BenchmarkLookAndWrite(b *testing.B) {
+func BenchmarkLeaseCheckAndWrite(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/gateway/proxy/copies.go
+++ b/internal/gateway/proxy/checkpoint.go
@@ -14,32 +14,32 @@
 const copyShare = 49
 
 // Copies counts what is kept of what fades, for operators.
-type Copies struct{ Recalled, Written, Failed atomic.Int64 }
+type CheckpointStats struct{ Restored, Written, Failed atomic.Int64 }
 
 // Copies gives the counts.
-func (d *Desk) Copies() *Copies { return &d.copies }
+func (d *Dispatcher) CheckpointStats() *CheckpointStats { return &d.copies }
 
 // Recollect takes a former life's copy of what fades, after Leave, and gives how many customers it goes by;
 // it is false where that is of another charter than the one in force, or of other rules. told tells that
 // peers know this for a new life.
-func (d *Desk) Recollect(l *checkpoint.Left, told bool) (customers int, fits bool) {
-	d.enter()
+func (d *Dispatcher) RestoreCheckpoint(l *checkpoint.Left, told bool) (customers int, fits bool) {
+	d.lockPolicy()
 	if fits = l.Of == checkpoint.Digest(d.charter, d.terms.Version()); fits {
-		customers = d.gk.Recollect(l.Estate, told)
+		customers = d.policy.Recollect(l.Estate, told)
 	}
-	d.leave()
-	d.copies.Recalled.Add(int64(customers))
+	d.flushAndUnlock()
+	d.copies.Restored.Add(int64(customers))
 	return customers, fits
 }
 
 // Copy writes copies of what fades from here on, until Stop or Retire, and closes the book then. Each is
 // taken in pieces, so that the lock is held for some microseconds at a time; bytes are put together, and
 // written, outside of it.
-func (d *Desk) Copy(b *checkpoint.Book, words func([]incarnation.MessageID) []incarnation.MessageID) {
-	go d.copying(b, words)
+func (d *Dispatcher) WriteCheckpoints(b *checkpoint.Book, words func([]incarnation.MessageID) []incarnation.MessageID) {
+	go d.checkpointLoop(b, words)
 }
 
-func (d *Desk) copying(b *checkpoint.Book, words func([]incarnation.MessageID) []incarnation.MessageID) {
+func (d *Dispatcher) checkpointLoop(b *checkpoint.Book, words func([]incarnation.MessageID) []incarnation.MessageID) {
 	defer b.Close()
 	var l checkpoint.Left
 	timer := time.NewTimer(0)
@@ -51,7 +51,7 @@
 		case <-timer.C:
 		}
 		began := time.Now()
-		of, goes := d.copy(&l.Estate)
+		of, goes := d.snapshot(&l.Estate)
 		if !goes {
 			return
 		}
@@ -81,14 +81,14 @@
 
 // copy takes a copy, and tells whether this process still spends. Guards against pieces of one that are
 // reckoned by another charter than the rest: it begins anew.
-func (d *Desk) copy(e *policy.Estate) (of inForce, goes bool) {
+func (d *Dispatcher) snapshot(e *policy.Estate) (of inForce, goes bool) {
 	for from := 0; ; {
 		d.mu.Lock()
 		if of.count != d.charters {
 			of, from = inForce{d.charter, d.terms.Version(), d.charters}, 0
 		}
 		if goes = !d.left; goes {
-			from = d.gk.Copy(e, from, d.clock.now())
+			from = d.policy.Copy(e, from, d.clock.now())
 		}
 		if d.mu.Unlock(); !goes || from == 0 {
 			return of, goes
--- a/internal/gateway/proxy/pieces_test.go
+++ b/internal/gateway/proxy/endpoints_test.go
@@ -14,12 +14,12 @@
 // Guards against a list that is taken in pieces, among txns, and of which something is not gone by once it is
 // taken: a txn that comes then goes to no worker that drains or is gone, and all workers that are on the list
 // are there again. While it is taken the desk stays ready, and no txn lacks a worker.
-func TestListInPieces(t *testing.T) {
+func TestListInChunks(t *testing.T) {
 	const all, part = 6 * policy.ListPiece, 5 * policy.ListPiece / 2
-	d := NewDesk(charter(), 1, 5, func(int, []byte) {}, func(int) {})
+	d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, func(int) {})
 	t.Cleanup(d.Stop)
-	l := vast(all)
-	d.Roster(l)
+	l := listOf(all)
+	d.ApplyEndpoints(l)
 	time.Sleep(20 * time.Millisecond)        // what a start takes as spent
 	var away atomic.Pointer[map[string]bool] // workers that are off, once a list that says so has been taken
 	away.Store(&map[string]bool{})
@@ -35,7 +35,7 @@
 				default:
 				}
 				off := away.Load()
-				h := d.take(&transport.Txn{Arrival: policy.Arrival{Customer: uint64(1000*k + n), Units: 1, SetSize: 1,
+				h := d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: uint64(1000*k + n), Units: 1, SetSize: 1,
 					Left: 900}})
 				w := <-h.Commands
 				if w.Decision.Kind != policy.Submit {
@@ -45,7 +45,7 @@
 				if sent.Add(1); (*off)[w.Upstream.Name()] && away.Load() == off { // they are not told of as back yet
 					wrong.Add(1)
 				}
-				d.ended(h, w.Decision.N, w.Decision.Worker, &transport.Answer{Outcome: policy.Settled}, 20)
+				d.attemptEnded(h, w.Decision.N, w.Decision.Worker, &transport.Answer{Outcome: policy.Settled}, 20)
 				if !d.Ready() {
 					t.Error("not ready")
 				}
@@ -70,14 +70,14 @@
 			}
 			off.Whole = true
 		}
-		d.Roster(off)
+		d.ApplyEndpoints(off)
 		away.Store(&next)
 		time.Sleep(20 * time.Millisecond)
 		if n := d.Tally().Workers; n != all-part {
 			t.Errorf("round %d: %d workers are left", round, n)
 		}
 		away.Store(&map[string]bool{})
-		d.Roster(on)
+		d.ApplyEndpoints(on)
 		if n := d.Tally().Workers; n != all {
 			t.Errorf("round %d: %d workers are back", round, n)
 		}
--- a/internal/gateway/proxy/record.go
+++ b/internal/gateway/proxy/history.go
@@ -49,11 +49,11 @@
 }
 
 // sends writes that a submission goes out.
-func (r *record) sends(j *job) {
-	j.word.Attempt.Recorded = true
-	r.to.Write(history.Event{Kind: history.Sends, Txn: j.mark, Customer: j.txn.Customer,
-		Worker:  j.word.Upstream.Name(),
-		Version: j.word.Lease.Version(), Mode: j.word.Lease.ModeName(), Serial: j.serial})
+func (r *record) sends(j *delivery) {
+	j.command.Attempt.Recorded = true
+	r.to.Write(history.Event{Kind: history.Sends, Txn: j.requestMark, Customer: j.request.Customer,
+		Worker:  j.command.Upstream.Name(),
+		Version: j.command.Lease.Version(), Mode: j.command.Lease.ModeName(), Serial: j.ordinal})
 }
 
 // proves is what the end of a submission says of it.
@@ -62,9 +62,9 @@
 	policy.Cut: history.MayRun, policy.Withdrawn: history.MayRun, policy.NotSent: history.NeverRan}
 
 // back writes that a submission is out no more.
-func (r *record) back(j *job, o policy.Outcome) {
-	if r != nil && j.word.Attempt.Recorded {
-		r.to.Write(history.Event{Kind: history.Back, Txn: j.mark, Worker: j.word.Upstream.Name(), Serial: j.serial,
+func (r *record) back(j *delivery, o policy.Outcome) {
+	if r != nil && j.command.Attempt.Recorded {
+		r.to.Write(history.Event{Kind: history.Back, Txn: j.requestMark, Worker: j.command.Upstream.Name(), Serial: j.ordinal,
 			Says: proves[o]})
 	}
 }
--- a/internal/gateway/proxy/journal.go
+++ b/internal/gateway/proxy/journal.go
@@ -26,25 +26,25 @@
 
 // Journal has once-only txns written down from here on. It is to be called before the first txn, if at all.
 // Names are the products', by their places.
-func (g *Gate) Journal(k *store.Keeper, t txnjournal.Terms, products []policy.Product, names []string) {
+func (g *Proxy) EnableJournal(k *store.Keeper, t txnjournal.Terms, products []policy.Product, names []string) {
 	l := &notes{Keeper: k, names: names, keeps: t.Answer}
 	for _, p := range products {
 		l.once = append(l.once, p.Repeat == policy.OnceOnly)
 	}
-	g.notes = l
+	g.journal = l
 }
 
 // note is a txn as the journal names it; nil where it is not written down. What it names is copied: the txn's
 // own bytes end before a submission that may not be withdrawn.
-func (g *Gate) note(t *transport.Txn) *txnjournal.Txn {
-	if g.notes == nil || !g.notes.once[t.Product] {
+func (g *Proxy) note(t *transport.Txn) *txnjournal.Txn {
+	if g.journal == nil || !g.journal.once[t.Product] {
 		return nil
 	}
 	sum := crc32.NewIEEE()
 	_, _ = sum.Write(t.Target)
 	_, _ = sum.Write([]byte{0})
 	_, _ = sum.Write(t.Body)
-	return &txnjournal.Txn{Customer: t.Customer, Mark: string(t.Mark), Product: g.notes.names[t.Product],
+	return &txnjournal.Txn{Customer: t.Customer, Mark: string(t.Mark), Product: g.journal.names[t.Product],
 		Digest: sum.Sum32()}
 }
 
@@ -56,24 +56,24 @@
 
 // mention names a submission of a txn apart from all others of this life: one that was called back is sent
 // under the same number again.
-func (g *Gate) mention(t *txnjournal.Txn, n int) *mention {
+func (g *Proxy) mention(t *txnjournal.Txn, n int) *mention {
 	if t == nil {
 		return nil
 	}
-	return &mention{*t, txnjournal.Sub{Number: g.notes.subs.Add(1), N: n}}
+	return &mention{*t, txnjournal.Sub{Number: g.journal.subs.Add(1), N: n}}
 }
 
 // remembered answers a txn that is known to have gone out before, and is not submitted again: with its own
 // answer where that is kept, else nothing is promised. Nor is anything where the journal can't say: a decline
 // would tell that it never ran.
-func (g *Gate) remembered(t *transport.Txn, n *txnjournal.Txn) (end transport.Final, known bool) {
+func (g *Proxy) remembered(t *transport.Txn, n *txnjournal.Txn) (end transport.Final, known bool) {
 	if n == nil {
 		return end, false
 	}
-	asked := g.desk.clock.now()
-	e, v, ok := g.notes.Known(n.Customer, n.Mark, transport.Millis(t.Left*readPart))
+	asked := g.dispatcher.clock.now()
+	e, v, ok := g.journal.Known(n.Customer, n.Mark, transport.Millis(t.Left*readPart))
 	if !t.Streams {
-		t.Left = max(t.Left-(g.desk.clock.now()-asked), 0)
+		t.Left = max(t.Left-(g.dispatcher.clock.now()-asked), 0)
 	}
 	a := e.Answer
 	switch {
@@ -88,31 +88,31 @@
 
 // meant tells whether a submission may go out: it does not have to be written down, or now is. The wait for
 // that is not its worker's.
-func (g *Gate) meant(j *job, until time.Time, began *float64) bool {
-	if j.note == nil {
+func (g *Proxy) meant(j *delivery, until time.Time, began *float64) bool {
+	if j.entry == nil {
 		return true
 	}
-	defer func() { *began = g.desk.clock.now() }()
+	defer func() { *began = g.dispatcher.clock.now() }()
 	var expiry float64
 	if !until.IsZero() {
 		expiry = float64(until.UnixMicro()) / 1000
 	}
-	return g.notes.Meant(j.note.Txn, j.note.sub, j.word.Upstream.Name(), expiry, until)
+	return g.journal.Meant(j.entry.Txn, j.entry.sub, j.command.Upstream.Name(), expiry, until)
 }
 
 // noted writes down how a submission ended. It waits for nothing.
-func (g *Gate) noted(j *job, a *transport.Answer) {
-	if j.note == nil {
+func (g *Proxy) noted(j *delivery, a *transport.Answer) {
+	if j.entry == nil {
 		return
 	}
 	end, kept := txnjournal.MayRun, txnjournal.Answer{}
 	switch a.Outcome {
 	case policy.Settled:
-		if end = txnjournal.Settled; a.Rest == nil && len(a.Body) <= g.notes.keeps {
+		if end = txnjournal.Settled; a.Rest == nil && len(a.Body) <= g.journal.keeps {
 			kept = txnjournal.Answer{Type: a.Type, Coding: a.Coding, Body: append([]byte(nil), a.Body...), Whole: true}
 		}
 	case policy.NotSent, policy.NoRoute, policy.Full:
 		end = txnjournal.Never
 	}
-	g.notes.Ended(j.note.Txn, j.note.sub, j.word.Upstream.Name(), end, kept)
+	g.journal.Ended(j.entry.Txn, j.entry.sub, j.command.Upstream.Name(), end, kept)
 }
--- a/internal/gateway/proxy/gate.go
+++ b/internal/gateway/proxy/proxy.go
@@ -13,85 +13,85 @@
 )
 
 // Gate is one gatekeeper at work.
-type Gate struct {
-	desk  *Desk
+type Proxy struct {
+	dispatcher  *Dispatcher
 	links *transport.Links
-	jobs  chan job
-	notes *notes // nil where no txn is written down
+	deliveries  chan delivery
+	journal *notes // nil where no txn is written down
 }
 
 // errGone tells that an answer came when its txn had its final one.
 var errGone = errors.New("the txn has its answer")
 
 // job is one submission to carry.
-type job struct {
-	txn    *inflight.Request
-	word   inflight.Command
-	msg    []byte
-	told   int               // the place in it of the time that is left; 0 where it tells none
+type delivery struct {
+	request    *inflight.Request
+	command   inflight.Command
+	message    []byte
+	deadlineOffset   int               // the place in it of the time that is left; 0 where it tells none
 	upload *transport.Upload // what follows on it, or nil
-	note   *mention          // where it is written down, else nil
-	left   float64           // ms that the client waits from then on
-	mark   string            // of the txn, where submissions are recorded
-	serial uint64            // and how many went to the same worker before
+	entry   *mention          // where it is written down, else nil
+	clientMillis   float64           // ms that the client waits from then on
+	requestMark   string            // of the txn, where submissions are recorded
+	ordinal uint64            // and how many went to the same worker before
 }
 
 // New makes a gate over a desk and connections to workers.
-func New(d *Desk, links *transport.Links) *Gate {
-	return &Gate{desk: d, links: links, jobs: make(chan job)}
+func New(d *Dispatcher, links *transport.Links) *Proxy {
+	return &Proxy{dispatcher: d, links: links, deliveries: make(chan delivery)}
 }
 
 // Serve is a txn's life: it is taken, submitted where the module says and as often, and answered once.
-func (g *Gate) Serve(t *transport.Txn) transport.Final {
+func (g *Proxy) Serve(t *transport.Txn) transport.Final {
 	n := g.note(t)
 	if end, known := g.remembered(t, n); known {
 		return end
 	}
-	return g.carry(g.desk.take(t), t, n)
+	return g.serve(g.dispatcher.admit(t), t, n)
 }
 
 // Hold is a txn that is cleared ahead of its coming: its units are kept for it.
-type Hold struct{ txn *inflight.Request }
+type Reservation struct{ request *inflight.Request }
 
 // Over gives a word when a clearance ends unasked: it has lapsed, or the client has left.
-func (h *Hold) Over() <-chan inflight.Command { return h.txn.Commands }
+func (h *Reservation) Ended() <-chan inflight.Command { return h.request.Commands }
 
 // Now is the time by which clearances are reckoned, Unix ms.
-func (g *Gate) Now() float64 { return g.desk.Now() }
+func (g *Proxy) Now() float64 { return g.dispatcher.Now() }
 
 // Clear asks the module whether a txn may come within so many ms. If not there is no hold, and the final
 // answer is the module's.
-func (g *Gate) Clear(t *transport.Txn, life float64) (*Hold, transport.Final) {
-	h, may := g.desk.clear(t, life)
+func (g *Proxy) Reserve(t *transport.Txn, life float64) (*Reservation, transport.Final) {
+	h, may := g.dispatcher.reserve(t, life)
 	if !may {
 		d := (<-h.Commands).Decision
 		return nil, transport.Final{Kind: d.Kind, Wait: d.Wait}
 	}
-	return &Hold{h}, transport.Final{}
+	return &Reservation{h}, transport.Final{}
 }
 
 // Cleared takes over a clearance that another process has given, for so many ms more.
-func (g *Gate) Cleared(a policy.Arrival, life float64) *Hold { return &Hold{g.desk.cleared(a, life)} }
+func (g *Proxy) AdoptReservation(a policy.Arrival, life float64) *Reservation { return &Reservation{g.dispatcher.adoptReservation(a, life)} }
 
 // Claim is the life of a cleared txn from its coming on. It is false where the clearance is no more: then
 // nothing has become of it.
-func (g *Gate) Claim(h *Hold, t *transport.Txn) (transport.Final, bool) {
+func (g *Proxy) ServeReserved(h *Reservation, t *transport.Txn) (transport.Final, bool) {
 	n := g.note(t)
 	if end, known := g.remembered(t, n); known {
 		g.Release(h)
 		return end, true
 	}
-	if !g.desk.claim(h.txn, t) {
+	if !g.dispatcher.redeem(h.request, t) {
 		return transport.Final{}, false
 	}
-	return g.carry(h.txn, t, n), true
+	return g.serve(h.request, t, n), true
 }
 
 // Release gives a cleared txn up: it will not come.
-func (g *Gate) Release(h *Hold) { g.desk.release(h.txn) }
+func (g *Proxy) Release(h *Reservation) { g.dispatcher.release(h.request) }
 
 // carry carries a txn that is the module's to its final answer.
-func (g *Gate) carry(h *inflight.Request, t *transport.Txn, n *txnjournal.Txn) transport.Final {
+func (g *Proxy) serve(h *inflight.Request, t *transport.Txn, n *txnjournal.Txn) transport.Final {
 	if t.Upload != nil {
 		defer t.Upload.Settle()
 	}
@@ -110,13 +110,13 @@
 		if v := w.Lease.Version(); v > 0 {
 			rules = int64(v)
 		}
-		j := job{txn: h, word: w, upload: t.Upload, note: g.mention(n, d.N), left: t.Left}
-		j.msg, j.told = transport.AppendSubmission(nil, t, rules)
-		if g.desk.record != nil {
-			j.mark = string(t.Mark)
+		j := delivery{request: h, command: w, upload: t.Upload, entry: g.mention(n, d.N), clientMillis: t.Left}
+		j.message, j.deadlineOffset = transport.AppendSubmission(nil, t, rules)
+		if g.dispatcher.record != nil {
+			j.requestMark = string(t.Mark)
 			for _, name := range sent {
 				if name == w.Upstream.Name() {
-					j.serial++
+					j.ordinal++
 				}
 			}
 			sent = append(sent, w.Upstream.Name())
@@ -125,7 +125,7 @@
 			t.Upload.Begin()
 		}
 		select {
-		case g.jobs <- j:
+		case g.deliveries <- j:
 		default:
 			go g.work(j)
 		}
@@ -135,35 +135,35 @@
 
 // work carries one submission after another. There come to be as many that do as submissions were ever out at
 // once; each keeps the stack that its first one grew.
-func (g *Gate) work(j job) {
+func (g *Proxy) work(j delivery) {
 	for {
-		g.submit(j)
-		j = <-g.jobs
+		g.deliver(j)
+		j = <-g.deliveries
 	}
 }
 
 // submit carries one submission to its worker and its end to the desk.
-func (g *Gate) submit(j job) {
-	d := &j.word.Decision
-	a, l, began := g.exchange(j, g.desk.clock.time(d.At))
+func (g *Proxy) deliver(j delivery) {
+	d := &j.command.Decision
+	a, l, began := g.exchange(j, g.dispatcher.clock.time(d.At))
 	if j.upload != nil {
 		j.upload.End()
 	}
 	if a == nil {
 		g.noted(&j, &transport.Answer{Outcome: policy.NotSent})
-		g.desk.record.back(&j, policy.NotSent)
-		g.desk.recall(j.txn, d.N)
+		g.dispatcher.record.back(&j, policy.NotSent)
+		g.dispatcher.attemptRevoked(j.request, d.N)
 		return
 	}
-	took := g.desk.clock.now() - began
+	took := g.dispatcher.clock.now() - began
 	if l != nil { // the answer is the client's from here on, and its rest goes through the client's function
 		passed := make(chan error, 1)
 		a.Then(func(err error) { passed <- err })
 		var err error = errGone
-		if g.desk.begun(j.txn, d.N, a) {
+		if g.dispatcher.answerStarted(j.request, d.N, a) {
 			err = <-passed
 		}
-		if err != nil || !a.Keep() || !g.links.Keep(l, &j.word.Upstream) {
+		if err != nil || !a.Keep() || !g.links.Keep(l, &j.command.Upstream) {
 			g.links.Drop(l)
 		}
 		if errors.Is(err, transport.ErrBrokenOff) {
@@ -171,6 +171,6 @@
 		}
 	}
 	g.noted(&j, a)
-	g.desk.record.back(&j, a.Outcome)
-	g.desk.ended(j.txn, d.N, d.Worker, a, took)
+	g.dispatcher.record.back(&j, a.Outcome)
+	g.dispatcher.attemptEnded(j.request, d.N, d.Worker, a, took)
 }
