--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -7,166 +7,133 @@
 	"time"
 
 	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/gateway/workers"
 	"willowdeck/internal/policy"
 )
 
-// exchange sends a submission and waits for its answer, and gives the time at which that began to be waited
-// for. However it ends, its link is closed or free for others before it returns: only then may the txn be
-// submitted again. The exception is an answer whose rest is left to be passed on, which comes with its link.
-// There is no answer where it was not sent as what it was decided by had run out.
-func (g *Proxy) exchange(j delivery, until time.Time) (a *transport.Answer, l *transport.Link, began float64) {
-	s, to, began := j.command.Attempt, j.command.Upstream, g.dispatcher.clock.now()
-	latest := until
-	if by := j.command.Decision.Latest; !math.IsInf(by, 1) && g.dispatcher.clock.time(by).Before(until) {
-		latest = g.dispatcher.clock.time(by)
+// exchange sends an attempt and waits for its answer, until a deadline. It gives the time from which the
+// worker counts as being waited for. However the attempt ends, its connection is closed or free for others
+// before exchange returns: only then may the request be attempted again. The exception is an answer whose
+// body is still to be read, which comes with its connection. There is no answer where the attempt was not
+// sent as the lease that it was decided by had expired.
+func (p *Proxy) exchange(v delivery, deadline time.Time) (
+	answer *transport.Answer, link *transport.Link, startedMillis float64) {
+	clock := p.dispatcher.clock
+	attempt, upstream, startedMillis := v.command.Attempt, v.command.Upstream, clock.now()
+	latest := deadline // for the first byte
+	if by := v.command.Decision.Latest; !math.IsInf(by, 1) && clock.time(by).Before(deadline) {
+		latest = clock.time(by)
 	}
-	if l = g.links.Idle(to.Worker); l == nil {
-		var err error
-		if l, err = g.links.Dial(to.Worker, to.Addr, latest); err != nil {
-			if errors.Is(err, transport.ErrNoRoom) || !time.Now().Before(latest) {
-				return &transport.Answer{Outcome: policy.NotSent}, nil, began
-			}
-			return &transport.Answer{Outcome: policy.NoRoute}, nil, began
+	if link = p.links.Idle(upstream.Worker); link == nil {
+		var failed *transport.Answer
+		if link, failed = p.dial(&upstream, latest); failed != nil {
+			return failed, nil, startedMillis
 		}
 	}
-	l.Until(until)
-	// Guards against what was learned while the connection came up: the txn was given up on, the window for its
-	// repeats is over, or the worker drains or has started anew, cold. What is to be written down before it goes
-	// out is now. A client that has left is looked for last, and the module hears of it before the end.
-	if !g.meant(&j, until, &began) || !to.Valid() || !time.Now().Before(latest) || g.left(&j) || !s.Start(l) {
-		g.links.Drop(l)
-		return &transport.Answer{Outcome: policy.NotSent}, nil, began
+	link.Until(deadline)
+	// Guards against what changed while the connection came up: the request was abandoned, the window for its
+	// retries is over, or the worker drains, moved or restarted with empty caches. The journal is written now.
+	// The client is checked last, and the policy hears that it has gone before the attempt's end.
+	if !p.journalStart(&v, deadline, &startedMillis) || !upstream.Valid() || !time.Now().Before(latest) ||
+		p.clientLeft(&v) || !attempt.Start(link) {
+		p.links.Drop(link)
+		return &transport.Answer{Outcome: policy.NotSent}, nil, startedMillis
 	}
-	// Guards against a process that stood still, or waited for its connection, beyond the time of its rules.
-	// What is left is from here to the write below: some us, and however long the process is stopped between
-	// the two; the submission names its rules to the worker.
-	holds := j.command.Lease.Valid()
-	if r := g.dispatcher.record; r != nil && holds {
-		r.sends(&j)
-		holds = j.command.Lease.Valid()
+	if !p.leaseValid(&v) {
+		attempt.Finish()
+		p.links.Drop(link)
+		return nil, nil, startedMillis
 	}
-	if !holds {
-		s.Finish()
-		g.links.Drop(l)
-		return nil, nil, began
-	}
-	// Guards against a time that was right when this was decided: its goroutine, the connection, the journal and
-	// the record have been waited for since, and the worker is told what the client has left now.
+	// Guards against a time that was right at the decision: the goroutine, the connection, the journal and
+	// history were waited for since, and the worker gets the time that its client has left now.
 	now := time.Now()
 	if !now.Before(latest) {
-		s.Finish()
-		g.links.Drop(l)
-		return &transport.Answer{Outcome: policy.NotSent}, nil, began
+		attempt.Finish()
+		p.links.Drop(link)
+		return &transport.Answer{Outcome: policy.NotSent}, nil, startedMillis
 	}
-	if j.deadlineOffset > 0 {
-		j.message = transport.TellLeft(j.message, j.deadlineOffset, until.Sub(now))
+	if v.deadlineOffset > 0 {
+		v.message = transport.TellLeft(v.message, v.deadlineOffset, deadline.Sub(now))
 	}
-	err := l.Send(j.message)
-	if err == nil && j.upload != nil {
-		var whole bool
-		if a, began, whole, err = g.pour(j, l); whole || err == nil {
-			return g.answered(j, l, a, err, began)
+	err := link.Send(v.message)
+	if err == nil && v.upload != nil {
+		var sent bool
+		if answer, startedMillis, sent, err = p.streamBody(v, link); sent || err == nil {
+			return p.finishAttempt(v, link, answer, err, startedMillis)
 		}
 	}
 	if err != nil {
-		withdrawn := s.Finish()
-		g.links.Drop(l)
-		if withdrawn || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, errClient) ||
+		cancelled := attempt.Finish()
+		p.links.Drop(link)
+		if cancelled || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, errClientBody) ||
 			errors.Is(err, transport.ErrStale) {
-			return &transport.Answer{Outcome: policy.NotSent}, nil, began
+			return &transport.Answer{Outcome: policy.NotSent}, nil, startedMillis
 		}
-		return &transport.Answer{Outcome: policy.NoRoute}, nil, began // broke before its last byte: it never ran
+		// The connection broke before the last byte: the worker never ran it.
+		return &transport.Answer{Outcome: policy.NoRoute}, nil, startedMillis
+	}
+	p.links.Wrote()
+	answer, err = link.Receive(func() { p.dispatcher.workerResponded(upstream.Worker) })
+	return p.finishAttempt(v, link, answer, err, startedMillis)
+}
+
+// dial opens a connection to a worker, or gives the attempt's end where it can't.
+func (p *Proxy) dial(upstream *workers.Upstream, latest time.Time) (*transport.Link, *transport.Answer) {
+	link, err := p.links.Dial(upstream.Worker, upstream.Addr, latest)
+	switch {
+	case err == nil:
+		return link, nil
+	case errors.Is(err, transport.ErrNoRoom) || !time.Now().Before(latest):
+		return nil, &transport.Answer{Outcome: policy.NotSent}
+	}
+	return nil, &transport.Answer{Outcome: policy.NoRoute}
+}
+
+// leaseValid tells whether the lease that an attempt was decided by is valid right before the attempt is
+// sent, and records its start. Guards against a process that was stopped, or waited for its connection,
+// beyond the lease's expiry. What is left is from here to the write: some us, and however long the process
+// is stopped between the two; the message names its ruleset to the worker.
+func (p *Proxy) leaseValid(v *delivery) bool {
+	valid := v.command.Lease.Valid()
+	if h := p.dispatcher.history; h != nil && valid {
+		h.attemptStarts(v)
+		valid = v.command.Lease.Valid()
 	}
-	g.links.Wrote()
-	a, err = l.Receive(func() { g.dispatcher.workerResponded(to.Worker) })
-	return g.answered(j, l, a, err, began)
+	return valid
 }
 
-// left tells whether the client of a txn that is about to be sent has gone, and ends the txn if so.
-func (g *Proxy) left(j *delivery) bool {
-	gone := j.request.ClientGone()
+// clientLeft tells whether the client of a request that is about to be sent has gone, and ends the request
+// if so.
+func (p *Proxy) clientLeft(v *delivery) bool {
+	gone := v.request.ClientGone()
 	if gone {
-		g.dispatcher.clientLeft(j.request)
+		p.dispatcher.clientLeft(v.request)
 	}
 	return gone
 }
 
-// answered ends a submission that was written whole, or was answered before.
-func (g *Proxy) answered(
-	j delivery,
-	l *transport.Link,
-	a *transport.Answer,
-	err error,
-	began float64,
-) (*transport.Answer,
-	*transport.Link, float64) {
-	withdrawn := j.command.Attempt.Finish()
-	if err == nil && !withdrawn {
-		if a.Rest != nil {
-			return a, l, began
+// finishAttempt classifies the end of an attempt that was sent completely, or answered before, and releases
+// its connection.
+func (p *Proxy) finishAttempt(v delivery, link *transport.Link, answer *transport.Answer, err error,
+	startedMillis float64) (*transport.Answer, *transport.Link, float64) {
+	cancelled := v.command.Attempt.Finish()
+	if err == nil && !cancelled {
+		if answer.Rest != nil {
+			return answer, link, startedMillis
 		}
-		if a.Keep() && g.links.Keep(l, &j.command.Upstream) {
-			return a, nil, began
+		if answer.Keep() && p.links.Keep(link, &v.command.Upstream) {
+			return answer, nil, startedMillis
 		}
 	}
-	g.links.Drop(l)
+	p.links.Drop(link)
 	switch {
-	case err == nil && a.Rest == nil:
-	case err == nil || withdrawn:
-		a = &transport.Answer{Outcome: policy.Withdrawn}
-	case errors.Is(err, os.ErrDeadlineExceeded) && l.Overdue():
-		a = &transport.Answer{Outcome: policy.TimedOut}
+	case err == nil && answer.Rest == nil:
+	case err == nil || cancelled:
+		answer = &transport.Answer{Outcome: policy.Withdrawn}
+	case errors.Is(err, os.ErrDeadlineExceeded) && link.Overdue():
+		answer = &transport.Answer{Outcome: policy.TimedOut}
 	default:
-		a = &transport.Answer{Outcome: policy.Cut} // one that stalls is cut from here
-	}
-	return a, nil, began
-}
-
-var (
-	errClient  = errors.New("the client has not finished its txn")
-	errStalled = errors.New("the worker takes no more of the body")
-	errEarly   = errors.New("an answer to a body that had not gone out")
-)
-
-// pour sends the body of a txn on as it comes, while the worker may already answer, and tells whether it was
-// written whole. If not, it never ran.
-func (g *Proxy) pour(j delivery, l *transport.Link) (a *transport.Answer, began float64, whole bool, err error) {
-	n := j.command.Decision.N
-	g.dispatcher.bodySent(j.request, n, 0)
-	l.Until(time.Time{}) // its time has not begun
-	l.Pours()
-	sent := make(chan error, 1)
-	go func() {
-		err := l.Pour(j.upload)
-		switch {
-		case err == nil:
-			g.links.Wrote()
-			l.Until(g.dispatcher.bodySent(j.request, n, j.clientMillis))
-		case j.upload.Fault() != nil:
-			l.Abort()
-		default: // what the worker has said is read, and no more is waited for: nothing else would end that
-			l.Until(time.Now().Add(transport.Millis(policy.AnswerPause)))
-		}
-		sent <- err
-	}()
-	a, err = l.Receive(func() { g.dispatcher.workerResponded(j.command.Upstream.Worker) })
-	began = g.dispatcher.clock.now()
-	j.upload.Stop() // what is answered early needs no more of it
-	l.Halt()
-	fail := <-sent
-	switch {
-	case fail == nil:
-		if began = g.dispatcher.bodySentMillis(j.request); err == nil && a.Early() {
-			err = errEarly // of another submission, or made up: it says nothing of this one, which may run
-		}
-	case err == nil && a.Outcome == policy.Settled:
-		err = errEarly // a worker that has not got it whole has made no answer for it
-	case err == nil:
-		a.Last()
-	case j.upload.Fault() != nil:
-		err = errClient
-	case errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(fail, transport.ErrBrokenOff):
-		err = errStalled
+		answer = &transport.Answer{Outcome: policy.Cut} // one that stalls is cut from here
 	}
-	return a, began, fail == nil, err
+	return answer, nil, startedMillis
 }
--- a/internal/gateway/proxy/attempt_connection_test.go
+++ b/internal/gateway/proxy/attempt_connection_test.go
@@ -20,7 +20,7 @@
 
 const (
 	requestBytes = "GET / HTTP/1.1\r\n\r\n"
-	answerBytes    = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+	answerBytes  = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 )
 
 // hook is called right before the first byte of each submission goes out.
@@ -36,10 +36,10 @@
 // bed is a gate before one worker on loopback, which does what a test says.
 type workerRig struct {
 	*testing.T
-	proxy    *Proxy
-	listener    net.Listener
-	endpoints endpoints.List
-	beforeSend   onSend
+	proxy      *Proxy
+	listener   net.Listener
+	endpoints  endpoints.List
+	beforeSend onSend
 }
 
 // before makes one whose connections come up within so long.
--- a/internal/gateway/proxy/attempt_deadline_test.go
+++ b/internal/gateway/proxy/attempt_deadline_test.go
@@ -34,18 +34,18 @@
 // was left of its client's time: when its first byte was about to go out, and when the worker had its head.
 type deadlineRig struct {
 	*testing.T
-	dispatcher     *Dispatcher
-	links *transport.Links
-	at    string // the front's address
+	dispatcher *Dispatcher
+	links      *transport.Links
+	at         string // the front's address
 
-	mu     sync.Mutex
-	beforeSend onSend      // called ahead of each first byte, if set
-	most   []float64 // by submission, ms
-	told   []float64
-	least  []float64
-	came   float64          // when the txn was taken, by the desk's clock
-	heard  chan struct{}    // a word for each submission that a worker has got
-	answer func(n int) bool // what a worker does with the n-th, and whether it reads on
+	mu         sync.Mutex
+	beforeSend onSend    // called ahead of each first byte, if set
+	most       []float64 // by submission, ms
+	told       []float64
+	least      []float64
+	came       float64          // when the txn was taken, by the desk's clock
+	heard      chan struct{}    // a word for each submission that a worker has got
+	answer     func(n int) bool // what a worker does with the n-th, and whether it reads on
 }
 
 // Write is called right before the first byte of each submission goes out, and bounds what it may tell.
@@ -61,7 +61,7 @@
 	}
 	w.dispatcher.mu.Lock()
 	defer w.dispatcher.mu.Unlock()
-	for _, h := range w.dispatcher.requests {
+	for _, h := range w.dispatcher.requests.byID {
 		w.mu.Lock()
 		w.came = min(h.ArrivedMillis, h.ExpiryMillis-clientWaitMillis) // less the wait for its mark, some us
 		w.most = append(w.most, w.came+clientWaitMillis-w.dispatcher.clock.now())
--- a/internal/gateway/proxy/attempt_test.go
+++ b/internal/gateway/proxy/attempt_test.go
@@ -205,8 +205,8 @@
 		t.Errorf("then decided %+v", w.Decision)
 	}
 	g.dispatcher.attemptEnded(h, 1, 0, a, 1)
-	if len(g.dispatcher.requests) != 0 || g.dispatcher.Tally().Final[policy.ByClient] != 1 {
-		t.Errorf("%d txns in hand, finals %v", len(g.dispatcher.requests), g.dispatcher.Tally().Final)
+	if len(g.dispatcher.requests.byID) != 0 || g.dispatcher.Tally().Final[policy.ByClient] != 1 {
+		t.Errorf("%d txns in hand, finals %v", len(g.dispatcher.requests.byID), g.dispatcher.Tally().Final)
 	}
 	assertNothingReceived(t, came)
 }
--- a/internal/gateway/proxy/checkpoint.go
+++ b/internal/gateway/proxy/checkpoint.go
@@ -9,89 +9,97 @@
 	"willowdeck/internal/policy"
 )
 
-// copyShare is how many times longer than a copy took the pause after it is, at least: copies of very many
-// customers come more rarely, and take no more than a fiftieth of a core.
-const copyShare = 49
+// checkpointPauseRatio is how many times longer than a checkpoint took the pause after it is, at least:
+// checkpoints of very many customers are taken less often, and use no more than a fiftieth of a core.
+const checkpointPauseRatio = 49
 
-// Copies counts what is kept of what fades, for operators.
-type CheckpointStats struct{ Restored, Written, Failed atomic.Int64 }
+// CheckpointStats counts what is kept of the state that decays, for operators.
+type CheckpointStats struct {
+	Restored atomic.Int64 // customers
+	Written  atomic.Int64 // checkpoints
+	Failed   atomic.Int64 // checkpoints that could not be written
+}
 
-// Copies gives the counts.
-func (d *Dispatcher) CheckpointStats() *CheckpointStats { return &d.copies }
+// CheckpointStats gives the counts.
+func (d *Dispatcher) CheckpointStats() *CheckpointStats { return &d.checkpointStats }
 
-// Recollect takes a former life's copy of what fades, after Leave, and gives how many customers it goes by;
-// it is false where that is of another charter than the one in force, or of other rules. told tells that
-// peers know this for a new life.
-func (d *Dispatcher) RestoreCheckpoint(l *checkpoint.Left, told bool) (customers int, fits bool) {
+// RestoreCheckpoint restores an earlier run's checkpoint, after AttachCrashState, and gives the number of
+// restored customers. It is false where the checkpoint is of another charter or ruleset than those in
+// force. peersKnow tells that the peers see this process as a new incarnation.
+func (d *Dispatcher) RestoreCheckpoint(c *checkpoint.Left, peersKnow bool) (customers int, fits bool) {
 	d.lockPolicy()
-	if fits = l.Of == checkpoint.Digest(d.charter, d.terms.Version()); fits {
-		customers = d.policy.Recollect(l.Estate, told)
+	if fits = c.Of == checkpoint.Digest(d.ruleset.charter, d.ruleset.lease.Version()); fits {
+		customers = d.policy.Recollect(c.Estate, peersKnow)
 	}
 	d.flushAndUnlock()
-	d.copies.Restored.Add(int64(customers))
+	d.checkpointStats.Restored.Add(int64(customers))
 	return customers, fits
 }
 
-// Copy writes copies of what fades from here on, until Stop or Retire, and closes the book then. Each is
-// taken in pieces, so that the lock is held for some microseconds at a time; bytes are put together, and
-// written, outside of it.
-func (d *Dispatcher) WriteCheckpoints(b *checkpoint.Book, words func([]incarnation.MessageID) []incarnation.MessageID) {
-	go d.checkpointLoop(b, words)
+// WriteCheckpoints writes checkpoints of the state that decays from here on, until Stop or HandOff, and
+// closes the book then. latest gives the peers' newest messages. A checkpoint is taken in parts, so that
+// the lock is held for some microseconds at a time; it is encoded and written without the lock.
+func (d *Dispatcher) WriteCheckpoints(b *checkpoint.Book,
+	latest func([]incarnation.MessageID) []incarnation.MessageID) {
+	go d.checkpointLoop(b, latest)
 }
 
-func (d *Dispatcher) checkpointLoop(b *checkpoint.Book, words func([]incarnation.MessageID) []incarnation.MessageID) {
+func (d *Dispatcher) checkpointLoop(b *checkpoint.Book,
+	latest func([]incarnation.MessageID) []incarnation.MessageID) {
 	defer b.Close()
-	var l checkpoint.Left
+	var c checkpoint.Left
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	for charters, idle := 0, false; ; {
+	for generation, idle := 0, false; ; {
 		select {
 		case <-d.stop:
 			return
 		case <-timer.C:
 		}
 		began := time.Now()
-		of, goes := d.snapshot(&l.Estate)
-		if !goes {
+		of, owner := d.snapshot(&c.Estate)
+		if !owner {
 			return
 		}
-		l.Words = words(l.Words)
-		if charters != of.count {
-			charters, idle = of.count, false
-			l.Of = checkpoint.Digest(of.charter, of.rules)
+		c.Words = latest(c.Words)
+		if generation != of.generation {
+			generation, idle = of.generation, false
+			c.Of = checkpoint.Digest(of.charter, of.rulesetVersion)
 		}
-		if none := len(l.Estate.Customers) == 0; !none || !idle { // one copy says that there are none
-			if err := b.Write(&l); err != nil {
-				d.copies.Failed.Add(1)
+		if empty := len(c.Estate.Customers) == 0; !empty || !idle { // an empty state is written once
+			if err := b.Write(&c); err != nil {
+				d.checkpointStats.Failed.Add(1)
 			} else {
-				d.copies.Written.Add(1)
+				d.checkpointStats.Written.Add(1)
 			}
-			idle = none
+			idle = empty
 		}
-		timer.Reset(max(time.Duration(policy.CopyEach*float64(time.Millisecond)), copyShare*time.Since(began)))
+		timer.Reset(max(time.Duration(policy.CopyEach*float64(time.Millisecond)),
+			checkpointPauseRatio*time.Since(began)))
 	}
 }
 
-// inForce is what a copy is of.
-type inForce struct {
-	charter policy.Charter
-	rules   uint64 // their version; 0 where none are agreed on, or gone by
-	count   int    // of charters so far
+// snapshotBase is what a snapshot's figures are relative to.
+type snapshotBase struct {
+	charter        policy.Charter
+	rulesetVersion uint64 // 0 where none is in force
+	generation     int    // of the charter
 }
 
-// copy takes a copy, and tells whether this process still spends. Guards against pieces of one that are
-// reckoned by another charter than the rest: it begins anew.
-func (d *Dispatcher) snapshot(e *policy.Estate) (of inForce, goes bool) {
+// snapshot copies the state that decays, and tells whether this process still owns it. Guards against parts
+// of a snapshot that are relative to another charter than the rest: it begins anew.
+func (d *Dispatcher) snapshot(state *policy.Estate) (of snapshotBase, owner bool) {
 	for from := 0; ; {
 		d.mu.Lock()
-		if of.count != d.charters {
-			of, from = inForce{d.charter, d.terms.Version(), d.charters}, 0
+		if of.generation != d.ruleset.generation {
+			of = snapshotBase{d.ruleset.charter, d.ruleset.lease.Version(), d.ruleset.generation}
+			from = 0
 		}
-		if goes = !d.left; goes {
-			from = d.policy.Copy(e, from, d.clock.now())
+		if owner = !d.handedOff; owner {
+			from = d.policy.Copy(state, from, d.clock.now())
 		}
-		if d.mu.Unlock(); !goes || from == 0 {
-			return of, goes
+		if d.mu.Unlock(); !owner || from == 0 {
+			return of, owner
 		}
 	}
 }
--- a/internal/gateway/proxy/history.go
+++ b/internal/gateway/proxy/history.go
@@ -7,64 +7,70 @@
 	"willowdeck/internal/testkit/history"
 )
 
-// record is what this process writes down while it runs, where it does. Acts and Told are written under the
-// desk's lock: a process that keeps a record waits for its disk, which is for tests.
-type record struct {
-	to   history.Recorder
-	told map[string]bool // workers that may be sent to, as last written
+// historyLog records what this process acts on and sends, for the invariants of tests. Rulesets and workers
+// are recorded under the dispatcher's lock: a process that records waits for its disk. A nil log records
+// nothing.
+type historyLog struct {
+	recorder history.Recorder
+	active   map[string]bool // workers that take attempts, as last recorded; guarded by the dispatcher's lock
 }
 
-// acts writes by what is gone from now on.
-func (r *record) acts(t *inflight.Lease) {
-	if r != nil {
-		r.to.Write(history.Event{Kind: history.Acts, Version: t.RulesetVersion, Mode: t.Mode})
+// RecordHistory has all that is acted on and sent recorded. It is to be called before the first request.
+func (d *Dispatcher) RecordHistory(r history.Recorder) {
+	d.history = &historyLog{recorder: r, active: map[string]bool{}}
+}
+
+// rulesetInForce records the ruleset that is in force from now on.
+func (h *historyLog) rulesetInForce(lease *inflight.Lease) {
+	if h != nil {
+		h.recorder.Write(history.Event{Kind: history.Acts, Version: lease.RulesetVersion, Mode: lease.Mode})
 	}
 }
 
-// roster writes which workers may be sent to, and no more.
-func (r *record) roster(l endpoints.List) {
-	if r == nil {
+// workersListed records which workers take attempts now and did not before, or the other way round.
+func (h *historyLog) workersListed(list endpoints.List) {
+	if h == nil {
 		return
 	}
-	named := map[string]bool{}
-	tell := func(name string, active bool) {
-		if r.told[name] == active {
+	listed := map[string]bool{}
+	record := func(name string, active bool) {
+		if h.active[name] == active {
 			return
 		}
 		mode := ""
-		if r.told[name] = active; active {
+		if h.active[name] = active; active {
 			mode = history.Active
 		}
-		r.to.Write(history.Event{Kind: history.Told, Worker: name, Mode: mode})
+		h.recorder.Write(history.Event{Kind: history.Told, Worker: name, Mode: mode})
 	}
-	for _, w := range l.Workers {
-		named[w.Name] = true
-		tell(w.Name, w.Active && !w.Gone)
+	for _, w := range list.Workers {
+		listed[w.Name] = true
+		record(w.Name, w.Active && !w.Gone)
 	}
-	for name := range r.told {
-		if l.Whole && !named[name] {
-			tell(name, false)
+	for name := range h.active {
+		if list.Whole && !listed[name] {
+			record(name, false)
 		}
 	}
 }
 
-// sends writes that a submission goes out.
-func (r *record) sends(j *delivery) {
-	j.command.Attempt.Recorded = true
-	r.to.Write(history.Event{Kind: history.Sends, Txn: j.requestMark, Customer: j.request.Customer,
-		Worker:  j.command.Upstream.Name(),
-		Version: j.command.Lease.Version(), Mode: j.command.Lease.ModeName(), Serial: j.ordinal})
+// attemptStarts records that an attempt is sent.
+func (h *historyLog) attemptStarts(v *delivery) {
+	v.command.Attempt.Recorded = true
+	h.recorder.Write(history.Event{Kind: history.Sends, Txn: v.requestMark, Customer: v.request.Customer,
+		Worker: v.command.Upstream.Name(), Version: v.command.Lease.Version(), Mode: v.command.Lease.ModeName(),
+		Serial: v.ordinal})
 }
 
-// proves is what the end of a submission says of it.
-var proves = map[policy.Outcome]string{policy.Settled: history.Answered, policy.Fault: history.MayRun,
+// executionEvidence is what each end of an attempt proves of its execution.
+var executionEvidence = map[policy.Outcome]string{policy.Settled: history.Answered, policy.Fault: history.MayRun,
 	policy.Full: history.NeverRan, policy.TimedOut: history.MayRun, policy.NoRoute: history.NeverRan,
 	policy.Cut: history.MayRun, policy.Withdrawn: history.MayRun, policy.NotSent: history.NeverRan}
 
-// back writes that a submission is out no more.
-func (r *record) back(j *delivery, o policy.Outcome) {
-	if r != nil && j.command.Attempt.Recorded {
-		r.to.Write(history.Event{Kind: history.Back, Txn: j.requestMark, Worker: j.command.Upstream.Name(), Serial: j.ordinal,
-			Says: proves[o]})
+// attemptEnded records the end of an attempt whose start was recorded.
+func (h *historyLog) attemptEnded(v *delivery, o policy.Outcome) {
+	if h != nil && v.command.Attempt.Recorded {
+		h.recorder.Write(history.Event{Kind: history.Back, Txn: v.requestMark, Worker: v.command.Upstream.Name(),
+			Serial: v.ordinal, Says: executionEvidence[o]})
 	}
 }
--- a/internal/gateway/proxy/journal.go
+++ b/internal/gateway/proxy/journal.go
@@ -11,108 +11,109 @@
 	"willowdeck/internal/txnjournal/store"
 )
 
-// readPart is the part of a txn's time for which it waits for a journal that is still being read, at a start
-// alone. A worker needs the rest.
-const readPart = 0.5
+// journalReadShare is the share of a request's time for which it waits for a journal that is still being
+// read, which happens after a start only. The worker needs the rest.
+const journalReadShare = 0.5
 
-// notes is where once-only txns are written down before they go out.
-type notes struct {
+// requestJournal keeps a durable record of non-idempotent requests, written before an attempt is sent.
+type requestJournal struct {
 	*store.Keeper
-	names []string      // of products
-	once  []bool        // by product
-	keeps int           // bytes of an answer, at most
-	subs  atomic.Uint64 // submissions named so far
+	productNames   []string
+	nonIdempotent  []bool        // by product
+	maxAnswerBytes int           // of an answer that is kept
+	lastAttempt    atomic.Uint64 // number of the last attempt
 }
 
-// Journal has once-only txns written down from here on. It is to be called before the first txn, if at all.
-// Names are the products', by their places.
-func (g *Proxy) EnableJournal(k *store.Keeper, t txnjournal.Terms, products []policy.Product, names []string) {
-	l := &notes{Keeper: k, names: names, keeps: t.Answer}
-	for _, p := range products {
-		l.once = append(l.once, p.Repeat == policy.OnceOnly)
+// EnableJournal has non-idempotent requests journaled from here on. It is to be called before the first
+// request, if at all. Names are the products', by index.
+func (p *Proxy) EnableJournal(k *store.Keeper, t txnjournal.Terms, products []policy.Product, names []string) {
+	j := &requestJournal{Keeper: k, productNames: names, maxAnswerBytes: t.Answer}
+	for _, product := range products {
+		j.nonIdempotent = append(j.nonIdempotent, product.Repeat == policy.OnceOnly)
 	}
-	g.journal = l
+	p.journal = j
 }
 
-// note is a txn as the journal names it; nil where it is not written down. What it names is copied: the txn's
-// own bytes end before a submission that may not be withdrawn.
-func (g *Proxy) note(t *transport.Txn) *txnjournal.Txn {
-	if g.journal == nil || !g.journal.once[t.Product] {
+// journalEntry is a request as the journal names it; nil where it is not journaled. It is a copy: the
+// request's own bytes end before an attempt that may not be cancelled.
+func (p *Proxy) journalEntry(t *transport.Txn) *txnjournal.Txn {
+	if p.journal == nil || !p.journal.nonIdempotent[t.Product] {
 		return nil
 	}
 	sum := crc32.NewIEEE()
 	_, _ = sum.Write(t.Target)
 	_, _ = sum.Write([]byte{0})
 	_, _ = sum.Write(t.Body)
-	return &txnjournal.Txn{Customer: t.Customer, Mark: string(t.Mark), Product: g.journal.names[t.Product],
+	return &txnjournal.Txn{Customer: t.Customer, Mark: string(t.Mark), Product: p.journal.productNames[t.Product],
 		Digest: sum.Sum32()}
 }
 
-// mention is a submission as the journal names it.
-type mention struct {
+// journalAttempt is an attempt as the journal names it.
+type journalAttempt struct {
 	txnjournal.Txn
-	sub txnjournal.Sub
+	number txnjournal.Sub
 }
 
-// mention names a submission of a txn apart from all others of this life: one that was called back is sent
-// under the same number again.
-func (g *Proxy) mention(t *txnjournal.Txn, n int) *mention {
-	if t == nil {
+// journalAttempt names attempt n of a request, apart from all others of this process: an attempt that was
+// revoked is sent under the same n again.
+func (p *Proxy) journalAttempt(entry *txnjournal.Txn, n int) *journalAttempt {
+	if entry == nil {
 		return nil
 	}
-	return &mention{*t, txnjournal.Sub{Number: g.journal.subs.Add(1), N: n}}
+	return &journalAttempt{*entry, txnjournal.Sub{Number: p.journal.lastAttempt.Add(1), N: n}}
 }
 
-// remembered answers a txn that is known to have gone out before, and is not submitted again: with its own
-// answer where that is kept, else nothing is promised. Nor is anything where the journal can't say: a decline
-// would tell that it never ran.
-func (g *Proxy) remembered(t *transport.Txn, n *txnjournal.Txn) (end transport.Final, known bool) {
-	if n == nil {
-		return end, false
+// answerFromJournal answers a request that was sent before, which is not sent again: with its own answer
+// where that is kept, else with one that promises nothing. So it does where the journal can't be read: a
+// rejection would tell that the request never ran.
+func (p *Proxy) answerFromJournal(t *transport.Txn, entry *txnjournal.Txn) (final transport.Final, known bool) {
+	if entry == nil {
+		return final, false
 	}
-	asked := g.dispatcher.clock.now()
-	e, v, ok := g.journal.Known(n.Customer, n.Mark, transport.Millis(t.Left*readPart))
+	askedMillis := p.dispatcher.clock.now()
+	found, state, ok := p.journal.Known(entry.Customer, entry.Mark, transport.Millis(t.Left*journalReadShare))
 	if !t.Streams {
-		t.Left = max(t.Left-(g.dispatcher.clock.now()-asked), 0)
+		t.Left = max(t.Left-(p.dispatcher.clock.now()-askedMillis), 0)
 	}
-	a := e.Answer
+	a := found.Answer
 	switch {
-	case ok && v == txnjournal.NotSent:
-		return end, false
-	case ok && v == txnjournal.SentSettled && a.Whole && e.Digest == n.Digest && e.Product == n.Product:
+	case ok && state == txnjournal.NotSent:
+		return final, false
+	case ok && state == txnjournal.SentSettled && a.Whole && found.Digest == entry.Digest &&
+		found.Product == entry.Product:
 		return transport.Final{Kind: policy.Submit, Answer: &transport.Answer{Outcome: policy.Settled, Type: a.Type,
 			Coding: a.Coding, Body: a.Body, Length: len(a.Body)}}, true
 	}
 	return transport.Final{Kind: policy.Void}, true
 }
 
-// meant tells whether a submission may go out: it does not have to be written down, or now is. The wait for
-// that is not its worker's.
-func (g *Proxy) meant(j *delivery, until time.Time, began *float64) bool {
-	if j.entry == nil {
+// journalStart tells whether an attempt may be sent: it is not journaled, or its start now is. The wait for
+// that does not count as its worker's, so startedMillis is set anew.
+func (p *Proxy) journalStart(v *delivery, deadline time.Time, startedMillis *float64) bool {
+	if v.entry == nil {
 		return true
 	}
-	defer func() { *began = g.dispatcher.clock.now() }()
-	var expiry float64
-	if !until.IsZero() {
-		expiry = float64(until.UnixMicro()) / 1000
+	defer func() { *startedMillis = p.dispatcher.clock.now() }()
+	var expiryMillis float64
+	if !deadline.IsZero() {
+		expiryMillis = float64(deadline.UnixMicro()) / 1000
 	}
-	return g.journal.Meant(j.entry.Txn, j.entry.sub, j.command.Upstream.Name(), expiry, until)
+	return p.journal.Meant(v.entry.Txn, v.entry.number, v.command.Upstream.Name(), expiryMillis, deadline)
 }
 
-// noted writes down how a submission ended. It waits for nothing.
-func (g *Proxy) noted(j *delivery, a *transport.Answer) {
-	if j.entry == nil {
+// journalEnd journals how an attempt ended. It does not wait for the disk.
+func (p *Proxy) journalEnd(v *delivery, a *transport.Answer) {
+	if v.entry == nil {
 		return
 	}
 	end, kept := txnjournal.MayRun, txnjournal.Answer{}
 	switch a.Outcome {
 	case policy.Settled:
-		if end = txnjournal.Settled; a.Rest == nil && len(a.Body) <= g.journal.keeps {
+		if end = txnjournal.Settled; a.Rest == nil && len(a.Body) <= p.journal.maxAnswerBytes {
 			kept = txnjournal.Answer{Type: a.Type, Coding: a.Coding, Body: append([]byte(nil), a.Body...), Whole: true}
 		}
 	case policy.NotSent, policy.NoRoute, policy.Full:
 		end = txnjournal.Never
 	}
-	g.journal.Ended(j.entry.Txn, j.entry.sub, j.command.Upstream.Name(), end, kept)
+	p.journal.Ended(v.entry.Txn, v.entry.number, v.command.Upstream.Name(), end, kept)
 }
--- a/internal/gateway/proxy/lending.go
+++ b/internal/gateway/proxy/lending.go
@@ -11,105 +11,108 @@
 	"willowdeck/internal/testkit/history"
 )
 
-// Shelf keeps records of credit: what Keep has returned from outlives the process.
+// CreditStore keeps the records of credit: what Keep has returned from outlives the process.
 type CreditStore interface {
-	Now() float64 // ms of a clock that goes on over lives
+	// Now is a clock that goes on over restarts, ms.
+	Now() float64
+	// Keep stores a record at its place.
 	Keep(place int, r *borrowing.Record)
-	Hear(from int, w incarnation.MessageID) bool // notes a peer's word, and tells whether it is news
+	// Hear records a peer's message, and tells whether it is fresh.
+	Hear(from int, id incarnation.MessageID) bool
 	Close()
 }
 
-// lending is a desk's book of credit, under the desk's lock.
+// lender is the book of credit with its store, under the dispatcher's lock.
 type lender struct {
 	book     *borrowing.Book
-	shelf    CreditStore
-	recorder history.Recorder
-	plans    []string
+	store    CreditStore
+	recorder history.Recorder // nil where no history is recorded
+	plans    []string         // names, by plan
 }
 
-// Lend asks the book; the module calls it. What follows is kept before the module's next decision is carried
-// out.
+// Lend asks the book for units of credit; the policy calls it. Its entries are stored before the policy's
+// next decision is executed.
 func (l *lender) Lend(customer uint64, plan, first, n int, units float64) bool {
-	l.book.Clock(l.shelf.Now())
+	l.book.Clock(l.store.Now())
 	return l.book.Lend(customer, plan, first, n, units) == borrowing.Lent
 }
 
-// Undo gives a loan back that was not used.
+// Undo returns a loan that was not used; the policy calls it.
 func (l *lender) Undo(customer uint64, units float64) { l.book.Undo(customer, units) }
 
-// Lends has the module borrow from a book that is kept on a shelf from here on. Plans gives their names, for
-// the record, which may be nil.
+// EnableBorrowing has the policy borrow from a book from here on. Plans gives the plans' names for the
+// recorder, which may be nil.
 func (d *Dispatcher) EnableBorrowing(b *borrowing.Book, s CreditStore, r history.Recorder, plans []string) {
 	d.lockPolicy()
 	d.stopLending()
-	d.lending = &lender{book: b, shelf: s, recorder: r, plans: plans}
+	d.lender = &lender{book: b, store: s, recorder: r, plans: plans}
 	b.Noting(r != nil)
 	b.Clock(s.Now())
-	d.policy.Borrow(d.lending)
+	d.policy.Borrow(d.lender)
 	d.flushAndUnlock()
 }
 
-// endLending lets the book go, under the lock: nothing is lent from here on.
+// stopLending closes the book, under the lock: nothing is lent from here on.
 func (d *Dispatcher) stopLending() {
-	if d.lending == nil {
+	if d.lender == nil {
 		return
 	}
 	d.policy.Borrow(nil)
 	d.flushLending()
-	d.lending.shelf.Close()
-	d.lending = nil
+	d.lender.store.Close()
+	d.lender = nil
 }
 
-// Ledger takes a peer's words on credit.
-func (d *Dispatcher) ReceiveCredit(from int, w incarnation.MessageID, entries []borrowing.Entry) {
+// ReceiveCredit takes a peer's message on credit.
+func (d *Dispatcher) ReceiveCredit(peer int, id incarnation.MessageID, entries []borrowing.Entry) {
 	d.lockPolicy()
-	if l := d.lending; l != nil && l.shelf.Hear(from, w) {
-		l.book.Clock(l.shelf.Now())
-		l.book.Hear(from, entries)
+	if l := d.lender; l != nil && l.store.Hear(peer, id) {
+		l.book.Clock(l.store.Now())
+		l.book.Hear(peer, entries)
 	}
 	d.flushAndUnlock()
 }
 
-// Due has the book look after what is owed, where anything is.
+// CollectDue has the book collect what is due.
 func (d *Dispatcher) CollectDue() {
 	d.lockPolicy()
-	if l := d.lending; l != nil {
-		l.book.Clock(l.shelf.Now())
+	if l := d.lender; l != nil {
+		l.book.Clock(l.store.Now())
 	}
 	d.flushAndUnlock()
 }
 
-// Credit gives the book's figures; false where nothing is lent.
+// CreditFigures gives the book's figures; false where nothing is lent.
 func (d *Dispatcher) CreditFigures() (borrowing.Figures, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.lending == nil {
+	if d.lender == nil {
 		return borrowing.Figures{}, false
 	}
-	return d.lending.book.Figures(), true
+	return d.lender.book.Figures(), true
 }
 
-// Lines gives plans' lines of credit as the book has them, and whether any lends.
-func CreditLines(plans []policy.Plan) (all []borrowing.Plan, any bool) {
+// CreditLines gives the plans' lines of credit as the book has them, and whether any plan lends.
+func CreditLines(plans []policy.Plan) (lines []borrowing.Plan, lends bool) {
 	for _, p := range plans {
-		all = append(all, borrowing.Plan{Line: p.Credit * p.Rate, Repay: p.Repay})
-		any = any || p.Credit > 0 && p.Rate > 0
+		lines = append(lines, borrowing.Plan{Line: p.Credit * p.Rate, Repay: p.Repay})
+		lends = lends || p.Credit > 0 && p.Rate > 0
 	}
-	return all, any
+	return lines, lends
 }
 
-// relend has the book go by a charter that has changed in service.
-func (l *lender) relend(c *policy.Charter) {
-	all, _ := CreditLines(c.Plans)
-	l.book.Clock(l.shelf.Now())
+// applyCharter has the book go by a charter that has changed in service.
+func (l *lender) applyCharter(c *policy.Charter) {
+	lines, _ := CreditLines(c.Plans)
+	l.book.Clock(l.store.Now())
 	l.book.Resize(max(c.Gatekeepers, 1))
-	l.book.Replan(all)
+	l.book.Replan(lines)
 }
 
-// settle pulls the book's decisions, under the lock. What is to be kept is kept before it returns; what is
-// said goes out after the lock.
+// flushLending executes the book's decisions, under the lock. Records are stored before it returns;
+// messages go out after the lock is released.
 func (d *Dispatcher) flushLending() {
-	l := d.lending
+	l := d.lender
 	for {
 		v, ok := l.book.Next()
 		if !ok {
@@ -117,15 +120,15 @@
 		}
 		switch v.Act {
 		case borrowing.Store:
-			l.shelf.Keep(v.Place, v.Record)
+			l.store.Keep(v.Place, v.Record)
 		case borrowing.Note:
-			l.write(v)
+			l.recordEvent(v)
 		case borrowing.Tell:
 			for rest := v.Entries; len(rest) > 0; {
 				var b []byte
 				b, rest = creditwire.Append(nil, rest)
 				inflight.Check(len(b) <= creditwire.Limit, inflight.DatagramFits)
-				d.speech = append(d.speech, speech{v.Peer, b})
+				d.outbox.add(v.Peer, b)
 			}
 		case borrowing.Collect:
 			took, fill := d.policy.Repay(uint64(v.Customer), v.Plan, v.N, v.Need, v.Most, v.Span)
@@ -134,8 +137,9 @@
 	}
 }
 
-// write writes down what was done. Base is the form: sets and lines that differ have rights of their own.
-func (l *lender) write(v borrowing.Decision) {
+// recordEvent records what the book did. Base is the form: sets and lines that differ have rights of their
+// own.
+func (l *lender) recordEvent(v borrowing.Decision) {
 	kind, says := v.Event.Written()
 	e := history.Event{Kind: history.Kind(kind), Says: says, Customer: uint64(v.Customer), Units: v.Units,
 		Serial: v.Serial, Base: uint64(v.Form)}
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -1,6 +1,3 @@
-// Package proxy carries each txn from its arrival to its final answer. The module makes every choice; the
-// desk
-// owns it, and the txns' functions call it there.
 package proxy
 
 import (
@@ -12,165 +9,135 @@
 	"willowdeck/internal/txnjournal"
 )
 
-// Gate is one gatekeeper at work.
+// Proxy serves requests: it has the dispatcher decide on each, and carries the attempts to workers.
 type Proxy struct {
-	dispatcher  *Dispatcher
-	links *transport.Links
-	deliveries  chan delivery
-	journal *notes // nil where no txn is written down
+	dispatcher *Dispatcher
+	links      *transport.Links
+	deliveries chan delivery
+	journal    *requestJournal // nil where no request is journaled
 }
 
-// errGone tells that an answer came when its txn had its final one.
-var errGone = errors.New("the txn has its answer")
+// errAlreadyAnswered is the end of an answer whose request had its final one.
+var errAlreadyAnswered = errors.New("the request has its final answer")
 
-// job is one submission to carry.
+// delivery is one attempt to be carried to a worker.
 type delivery struct {
-	request    *inflight.Request
-	command   inflight.Command
-	message    []byte
-	deadlineOffset   int               // the place in it of the time that is left; 0 where it tells none
-	upload *transport.Upload // what follows on it, or nil
-	entry   *mention          // where it is written down, else nil
-	clientMillis   float64           // ms that the client waits from then on
-	requestMark   string            // of the txn, where submissions are recorded
-	ordinal uint64            // and how many went to the same worker before
+	request        *inflight.Request
+	command        inflight.Command
+	message        []byte
+	deadlineOffset int               // offset in message of the time that is left; 0 where it has none
+	upload         *transport.Upload // the body that follows on message, or nil
+	entry          *journalAttempt   // nil where the attempt is not journaled
+	clientMillis   float64           // how long the client waits once the body has been sent
+	requestMark    string            // the request's mark, where history is recorded
+	ordinal        uint64            // attempts of the request at the same worker before, where history is recorded
 }
 
-// New makes a gate over a desk and connections to workers.
+// New makes a proxy over a dispatcher and the connections to workers.
 func New(d *Dispatcher, links *transport.Links) *Proxy {
 	return &Proxy{dispatcher: d, links: links, deliveries: make(chan delivery)}
 }
 
-// Serve is a txn's life: it is taken, submitted where the module says and as often, and answered once.
-func (g *Proxy) Serve(t *transport.Txn) transport.Final {
-	n := g.note(t)
-	if end, known := g.remembered(t, n); known {
-		return end
-	}
-	return g.serve(g.dispatcher.admit(t), t, n)
-}
-
-// Hold is a txn that is cleared ahead of its coming: its units are kept for it.
-type Reservation struct{ request *inflight.Request }
-
-// Over gives a word when a clearance ends unasked: it has lapsed, or the client has left.
-func (h *Reservation) Ended() <-chan inflight.Command { return h.request.Commands }
-
-// Now is the time by which clearances are reckoned, Unix ms.
-func (g *Proxy) Now() float64 { return g.dispatcher.Now() }
+// Now is the time by which reservations expire, Unix ms.
+func (p *Proxy) Now() float64 { return p.dispatcher.Now() }
 
-// Clear asks the module whether a txn may come within so many ms. If not there is no hold, and the final
-// answer is the module's.
-func (g *Proxy) Reserve(t *transport.Txn, life float64) (*Reservation, transport.Final) {
-	h, may := g.dispatcher.reserve(t, life)
-	if !may {
-		d := (<-h.Commands).Decision
-		return nil, transport.Final{Kind: d.Kind, Wait: d.Wait}
-	}
-	return &Reservation{h}, transport.Final{}
-}
-
-// Cleared takes over a clearance that another process has given, for so many ms more.
-func (g *Proxy) AdoptReservation(a policy.Arrival, life float64) *Reservation { return &Reservation{g.dispatcher.adoptReservation(a, life)} }
-
-// Claim is the life of a cleared txn from its coming on. It is false where the clearance is no more: then
-// nothing has become of it.
-func (g *Proxy) ServeReserved(h *Reservation, t *transport.Txn) (transport.Final, bool) {
-	n := g.note(t)
-	if end, known := g.remembered(t, n); known {
-		g.Release(h)
-		return end, true
-	}
-	if !g.dispatcher.redeem(h.request, t) {
-		return transport.Final{}, false
+// Serve serves a request until its final answer.
+func (p *Proxy) Serve(t *transport.Txn) transport.Final {
+	entry := p.journalEntry(t)
+	if final, known := p.answerFromJournal(t, entry); known {
+		return final
 	}
-	return g.serve(h.request, t, n), true
+	return p.serve(p.dispatcher.admit(t), t, entry)
 }
 
-// Release gives a cleared txn up: it will not come.
-func (g *Proxy) Release(h *Reservation) { g.dispatcher.release(h.request) }
-
-// carry carries a txn that is the module's to its final answer.
-func (g *Proxy) serve(h *inflight.Request, t *transport.Txn, n *txnjournal.Txn) transport.Final {
+// serve executes the commands for a request that the policy has, until the final answer.
+func (p *Proxy) serve(r *inflight.Request, t *transport.Txn, entry *txnjournal.Txn) transport.Final {
 	if t.Upload != nil {
 		defer t.Upload.Settle()
 	}
-	var sent []string // workers, where submissions are recorded
-	for w := range h.Commands {
-		if w.Answer != nil {
-			return transport.Final{Kind: policy.Submit, Answer: w.Answer}
+	var workersTried []string // by attempt, where history is recorded
+	for c := range r.Commands {
+		if c.Answer != nil {
+			return transport.Final{Kind: policy.Submit, Answer: c.Answer}
 		}
-		d := w.Decision
+		d := c.Decision
 		if d.Kind != policy.Submit {
 			return transport.Final{Kind: d.Kind, Wait: d.Wait}
 		}
-		// What passes on is copied here: the txn's own bytes end with this function, which a submission that may
-		// not be withdrawn outlives.
-		rules := int64(transport.Ruleless)
-		if v := w.Lease.Version(); v > 0 {
-			rules = int64(v)
+		// The message is a copy: the request's own bytes end with this function, and an attempt that may not be
+		// cancelled outlives it.
+		version := int64(transport.Ruleless)
+		if v := c.Lease.Version(); v > 0 {
+			version = int64(v)
 		}
-		j := delivery{request: h, command: w, upload: t.Upload, entry: g.mention(n, d.N), clientMillis: t.Left}
-		j.message, j.deadlineOffset = transport.AppendSubmission(nil, t, rules)
-		if g.dispatcher.record != nil {
-			j.requestMark = string(t.Mark)
-			for _, name := range sent {
-				if name == w.Upstream.Name() {
-					j.ordinal++
+		v := delivery{request: r, command: c, upload: t.Upload, entry: p.journalAttempt(entry, d.N),
+			clientMillis: t.Left}
+		v.message, v.deadlineOffset = transport.AppendSubmission(nil, t, version)
+		if p.dispatcher.history != nil {
+			v.requestMark = string(t.Mark)
+			for _, name := range workersTried {
+				if name == c.Upstream.Name() {
+					v.ordinal++
 				}
 			}
-			sent = append(sent, w.Upstream.Name())
+			workersTried = append(workersTried, c.Upstream.Name())
 		}
 		if t.Sent = true; t.Upload != nil {
 			t.Upload.Begin()
 		}
 		select {
-		case g.deliveries <- j:
+		case p.deliveries <- v:
 		default:
-			go g.work(j)
+			go p.deliverLoop(v)
 		}
 	}
 	return transport.Final{Kind: policy.Void}
 }
 
-// work carries one submission after another. There come to be as many that do as submissions were ever out at
-// once; each keeps the stack that its first one grew.
-func (g *Proxy) work(j delivery) {
+// deliverLoop carries one attempt after another. There are as many of these goroutines as attempts were
+// ever in flight at once; each keeps the stack that its first attempt grew.
+func (p *Proxy) deliverLoop(v delivery) {
 	for {
-		g.deliver(j)
-		j = <-g.deliveries
+		p.deliver(v)
+		v = <-p.deliveries
 	}
 }
 
-// submit carries one submission to its worker and its end to the desk.
-func (g *Proxy) deliver(j delivery) {
-	d := &j.command.Decision
-	a, l, began := g.exchange(j, g.dispatcher.clock.time(d.At))
-	if j.upload != nil {
-		j.upload.End()
+// deliver carries an attempt to its worker, and tells the dispatcher how it ended.
+func (p *Proxy) deliver(v delivery) {
+	d := &v.command.Decision
+	answer, link, startedMillis := p.exchange(v, p.dispatcher.clock.time(d.At))
+	if v.upload != nil {
+		v.upload.End()
 	}
-	if a == nil {
-		g.noted(&j, &transport.Answer{Outcome: policy.NotSent})
-		g.dispatcher.record.back(&j, policy.NotSent)
-		g.dispatcher.attemptRevoked(j.request, d.N)
+	if answer == nil {
+		p.journalEnd(&v, &transport.Answer{Outcome: policy.NotSent})
+		p.dispatcher.history.attemptEnded(&v, policy.NotSent)
+		p.dispatcher.attemptRevoked(v.request, d.N)
 		return
 	}
-	took := g.dispatcher.clock.now() - began
-	if l != nil { // the answer is the client's from here on, and its rest goes through the client's function
-		passed := make(chan error, 1)
-		a.Then(func(err error) { passed <- err })
-		var err error = errGone
-		if g.dispatcher.answerStarted(j.request, d.N, a) {
-			err = <-passed
-		}
-		if err != nil || !a.Keep() || !g.links.Keep(l, &j.command.Upstream) {
-			g.links.Drop(l)
-		}
-		if errors.Is(err, transport.ErrBrokenOff) {
-			a.Outcome = policy.Cut
-		}
+	tookMillis := p.dispatcher.clock.now() - startedMillis
+	if link != nil {
+		p.passOn(&v, answer, link)
+	}
+	p.journalEnd(&v, answer)
+	p.dispatcher.history.attemptEnded(&v, answer.Outcome)
+	p.dispatcher.attemptEnded(v.request, d.N, d.Worker, answer, tookMillis)
+}
+
+// passOn hands an answer whose body is still being read to the request's goroutine, and waits until that has
+// streamed it to the client.
+func (p *Proxy) passOn(v *delivery, answer *transport.Answer, link *transport.Link) {
+	passed := make(chan error, 1)
+	answer.Then(func(err error) { passed <- err })
+	err := errAlreadyAnswered
+	if p.dispatcher.answerStarted(v.request, v.command.Decision.N, answer) {
+		err = <-passed
+	}
+	if err != nil || !answer.Keep() || !p.links.Keep(link, &v.command.Upstream) {
+		p.links.Drop(link)
+	}
+	if errors.Is(err, transport.ErrBrokenOff) {
+		answer.Outcome = policy.Cut
 	}
-	g.noted(&j, a)
-	g.dispatcher.record.back(&j, a.Outcome)
-	g.dispatcher.attemptEnded(j.request, d.N, d.Worker, a, took)
 }
