--- a/internal/gateway/lifecycle/replace_test.go
+++ b/internal/gateway/lifecycle/replace_test.go
@@ -300,7 +300,8 @@
 	second := held.second(both)
 	first.Stop()
 	n = first.desk.CheckpointStats().Written.Load()
-	if s := of(held, "b4d65532", "6"); s != "429 Too Many Requests" || second.desk.CheckpointStats().Restored.Load() > 0 {
+	if s := of(held, "b4d65532", "6"); s != "429 Too Many Requests" ||
+		second.desk.CheckpointStats().Restored.Load() > 0 {
 		t.Errorf("handed over: %q", s)
 	}
 	m := second.desk.CheckpointStats().Written.Load()
--- a/internal/gateway/proxy/attempt_connection_test.go
+++ b/internal/gateway/proxy/attempt_connection_test.go
@@ -23,7 +23,7 @@
 	answerBytes  = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 )
 
-// hook is called right before the first byte of each submission goes out.
+// onSend is called right before the first byte of each attempt is sent.
 type onSend func()
 
 // Write calls it.
@@ -33,7 +33,7 @@
 	}
 }
 
-// bed is a gate before one worker on loopback, which does what a test says.
+// workerRig is a proxy before one worker on loopback, whose side a test plays.
 type workerRig struct {
 	*testing.T
 	proxy      *Proxy
@@ -42,103 +42,107 @@
 	beforeSend onSend
 }
 
-// before makes one whose connections come up within so long.
-func newWorkerRig(t *testing.T, connect time.Duration, most int) *workerRig {
+// newWorkerRig makes a rig with a time-out for connecting and a limit of connections.
+func newWorkerRig(t *testing.T, connectTimeout time.Duration, maxConnections int) *workerRig {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	b := &workerRig{T: t, listener: l}
-	b.connectTo(l.Addr().(*net.TCPAddr).AddrPort(), connect, most)
-	return b
+	t.Cleanup(func() { listener.Close() })
+	rig := &workerRig{T: t, listener: listener}
+	rig.connectTo(listener.Addr().(*net.TCPAddr).AddrPort(), connectTimeout, maxConnections)
+	return rig
 }
 
-func (b *workerRig) connectTo(at netip.AddrPort, connect time.Duration, most int) {
-	links := transport.NewLinks(most, 5*time.Second, connect)
-	c := testCharter() // without a ceiling, as that is spent at a start
-	c.Plans[0] = policy.Plan{Rate: 1000, Burst: 1000, Factor: 1}
-	d := NewDispatcher(c, 1, 5, func(int, []byte) {}, links.Shed)
-	b.Cleanup(d.Stop)
-	d.RecordHistory(onSend(func() {
-		if b.beforeSend != nil {
-			b.beforeSend()
+// connectTo makes the rig's proxy, with one worker at an address.
+func (rig *workerRig) connectTo(address netip.AddrPort, connectTimeout time.Duration, maxConnections int) {
+	links := transport.NewLinks(maxConnections, 5*time.Second, connectTimeout)
+	charter := testCharter() // without a rate limit, as that counts as used up at a start
+	charter.Plans[0] = policy.Plan{Rate: 1000, Burst: 1000, Factor: 1}
+	dispatcher := NewDispatcher(charter, 1, 5, func(int, []byte) {}, links.Shed)
+	rig.Cleanup(dispatcher.Stop)
+	dispatcher.RecordHistory(onSend(func() {
+		if rig.beforeSend != nil {
+			rig.beforeSend()
 		}
 	}))
-	b.endpoints = endpoints.List{Whole: true, Workers: []endpoints.Worker{{Name: "w", Address: at, Active: true}}}
-	d.ApplyEndpoints(b.endpoints)
-	b.proxy = New(d, links)
+	only := endpoints.Worker{Name: "w", Address: address, Active: true}
+	rig.endpoints = endpoints.List{Whole: true, Workers: []endpoints.Worker{only}}
+	dispatcher.ApplyEndpoints(rig.endpoints)
+	rig.proxy = New(dispatcher, links)
 }
 
-// takes gives a decision to submit a txn.
-func (b *workerRig) admitAttempt() delivery {
-	b.Helper()
-	h := b.proxy.dispatcher.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
-	w := <-h.Commands
-	if w.Decision.Kind != policy.Submit {
-		b.Fatalf("decided %+v", w.Decision)
+// admitAttempt admits a request, and gives its first attempt.
+func (rig *workerRig) admitAttempt() delivery {
+	rig.Helper()
+	arrival := policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}
+	request := rig.proxy.dispatcher.admit(&transport.Txn{Arrival: arrival})
+	command := <-request.Commands
+	if command.Decision.Kind != policy.Submit {
+		rig.Fatalf("decided %+v", command.Decision)
 	}
-	return delivery{request: h, command: w, message: []byte(requestBytes)}
+	return delivery{request: request, command: command, message: []byte(requestBytes)}
 }
 
-// end is how an exchange ended.
+// exchangeEnd is how an exchange ended.
 type exchangeEnd struct {
 	outcome policy.Outcome
 	body    string
 }
 
-// goes carries a submission out.
-func (b *workerRig) startExchange(j delivery) <-chan exchangeEnd {
-	got := make(chan exchangeEnd, 1)
+// startExchange carries an attempt out, and gives its end.
+func (rig *workerRig) startExchange(attempt delivery) <-chan exchangeEnd {
+	ended := make(chan exchangeEnd, 1)
 	go func() {
-		a, l, _ := b.proxy.exchange(j, time.Now().Add(5*time.Second))
-		if l != nil {
-			b.Error("an answer that is not whole")
+		answer, link, _ := rig.proxy.exchange(attempt, time.Now().Add(5*time.Second))
+		if link != nil {
+			rig.Error("an answer that is not complete")
 		}
-		got <- exchangeEnd{a.Outcome, string(a.Body)}
+		ended <- exchangeEnd{answer.Outcome, string(answer.Body)}
 	}()
-	return got
+	return ended
 }
 
 // accept gives the worker's side of the next connection.
-func (b *workerRig) accept() *net.TCPConn {
-	b.Helper()
-	_ = b.listener.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
-	c, err := b.listener.Accept()
+func (rig *workerRig) accept() *net.TCPConn {
+	rig.Helper()
+	_ = rig.listener.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
+	conn, err := rig.listener.Accept()
 	if err != nil {
-		b.Fatal(err)
+		rig.Fatal(err)
 	}
-	b.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	return c.(*net.TCPConn)
+	rig.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	return conn.(*net.TCPConn)
 }
 
-// asked reads one submission.
-func (b *workerRig) readRequest(c net.Conn) {
-	b.Helper()
-	if _, err := io.ReadFull(c, make([]byte, len(requestBytes))); err != nil {
-		b.Error(err)
+// readRequest reads one attempt's request.
+func (rig *workerRig) readRequest(conn net.Conn) {
+	rig.Helper()
+	if _, err := io.ReadFull(conn, make([]byte, len(requestBytes))); err != nil {
+		rig.Error(err)
 	}
 }
 
-// kept has one submission answered on a connection, which stands idle then.
-func (b *workerRig) idleConnection() *net.TCPConn {
-	b.Helper()
-	got := b.startExchange(b.admitAttempt())
-	c := b.accept()
-	b.readRequest(c)
-	c.Write([]byte(answerBytes))
-	if e := <-got; e.outcome != policy.Settled || b.proxy.links.Open() != 1 {
-		b.Fatalf("the first ended %+v", e)
+// idleConnection has one attempt answered, and gives its connection, which is idle then.
+func (rig *workerRig) idleConnection() *net.TCPConn {
+	rig.Helper()
+	ended := rig.startExchange(rig.admitAttempt())
+	conn := rig.accept()
+	rig.readRequest(conn)
+	conn.Write([]byte(answerBytes))
+	if end := <-ended; end.outcome != policy.Settled || rig.proxy.links.Open() != 1 {
+		rig.Fatalf("the first attempt ended %+v", end)
 	}
-	return c
+	return conn
 }
 
-// arrives waits until the gate's machine has what a worker wrote, or its end.
-func awaitArrival(t *testing.T, c *net.TCPConn) {
+// awaitArrival waits until the proxy's host has what a worker wrote, or the connection's end.
+func awaitArrival(t *testing.T, conn *net.TCPConn) {
+	t.Helper()
 	const finWait2, closed = 5, 7
-	raw, err := c.SyscallConn()
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		t.Error(err)
 		return
@@ -153,176 +157,178 @@
 	}
 }
 
-// What a worker does to an idle connection between the look at it and the first byte: nothing is written
-// then, and the submission never ran. Guards against once-only txns lost on a connection that has ended, and
-// against bytes that would be read as the next answer.
+// A worker closes or writes to an idle connection between its check and the first byte: nothing is written
+// then, and the attempt never ran. Guards against non-idempotent requests lost on a connection that has
+// ended, and against bytes that would be read as the next answer.
 func TestIdleConnectionEndsBeforeFirstByte(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(*net.TCPConn)
 	}{
-		{"an end", func(c *net.TCPConn) { c.CloseWrite() }},
+		{"closed", func(c *net.TCPConn) { c.CloseWrite() }},
 		{"half a status line", func(c *net.TCPConn) { c.Write([]byte("HTTP/1.1 2")) }},
 		{"a second answer", func(c *net.TCPConn) { c.Write([]byte(answerBytes)) }},
-		{"a second answer and an end", func(c *net.TCPConn) {
+		{"a second answer, then closed", func(c *net.TCPConn) {
 			c.Write([]byte(answerBytes))
 			c.CloseWrite()
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := newWorkerRig(t, time.Second, 4)
-			w := b.idleConnection()
-			b.beforeSend = func() {
-				c.do(w)
-				awaitArrival(t, w)
+			rig := newWorkerRig(t, time.Second, 4)
+			conn := rig.idleConnection()
+			rig.beforeSend = func() {
+				c.do(conn)
+				awaitArrival(t, conn)
 			}
-			e := <-b.startExchange(b.admitAttempt())
-			b.beforeSend = nil
-			if n, _ := io.Copy(io.Discard, w); e.outcome != policy.NotSent || n != 0 {
-				t.Errorf("ended %+v with %d bytes written", e, n)
+			end := <-rig.startExchange(rig.admitAttempt())
+			rig.beforeSend = nil
+			if n, _ := io.Copy(io.Discard, conn); end.outcome != policy.NotSent || n != 0 {
+				t.Errorf("ended %+v with %d bytes written", end, n)
 			}
-			if n := b.proxy.links.Open(); n != 0 {
-				t.Errorf("%d connections are held", n)
+			if n := rig.proxy.links.Open(); n != 0 {
+				t.Errorf("%d connections are open", n)
 			}
-			got := b.startExchange(b.admitAttempt())
-			w = b.accept()
-			b.readRequest(w)
-			w.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nmy"))
-			if e := <-got; e.outcome != policy.Settled || e.body != "my" {
-				t.Errorf("the next ended %+v", e)
+			ended := rig.startExchange(rig.admitAttempt())
+			conn = rig.accept()
+			rig.readRequest(conn)
+			conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nmy"))
+			if end := <-ended; end.outcome != policy.Settled || end.body != "my" {
+				t.Errorf("the next attempt ended %+v", end)
 			}
 		})
 	}
 }
 
-// A worker that ends a connection which has just come up could not be connected to; that it stood idle is no
-// excuse for it.
+// A worker that closes a new connection counts as unreachable: the exemption for idle connections does not
+// apply.
 func TestNewConnectionEndsBeforeFirstByte(t *testing.T) {
-	b := newWorkerRig(t, time.Second, 4)
-	b.beforeSend = func() {
-		w := b.accept()
-		w.CloseWrite()
-		awaitArrival(t, w)
+	rig := newWorkerRig(t, time.Second, 4)
+	rig.beforeSend = func() {
+		conn := rig.accept()
+		conn.CloseWrite()
+		awaitArrival(t, conn)
 	}
-	if e := <-b.startExchange(b.admitAttempt()); e.outcome != policy.NoRoute || b.proxy.links.Open() != 0 {
-		t.Errorf("ended %+v, %d connections", e, b.proxy.links.Open())
+	end := <-rig.startExchange(rig.admitAttempt())
+	if end.outcome != policy.NoRoute || rig.proxy.links.Open() != 0 {
+		t.Errorf("ended %+v, %d connections", end, rig.proxy.links.Open())
 	}
 }
 
-// What is learned between the decision and the first byte keeps it from going out, on a connection that stood
-// idle and on a new one: the worker drains, is gone, has moved or started anew, cold; the submission was
-// withdrawn, or barred by its txn's final answer.
+// A change between the decision and the first byte keeps an attempt from being sent, on an idle connection
+// and on a new one: the worker drains, is removed, has moved or restarted with empty caches; the attempt
+// was cancelled, or cancelled unsent by its request's final answer.
 func TestChangesAfterDecisionPreventSend(t *testing.T) {
-	told := func(change func(*endpoints.Worker)) func(*workerRig, *delivery) {
-		return func(b *workerRig, _ *delivery) {
-			w := b.endpoints.Workers[0]
+	listed := func(change func(*endpoints.Worker)) func(*workerRig, *delivery) {
+		return func(rig *workerRig, _ *delivery) {
+			w := rig.endpoints.Workers[0]
 			change(&w)
-			b.proxy.dispatcher.ApplyEndpoints(endpoints.List{Workers: []endpoints.Worker{w}})
+			rig.proxy.dispatcher.ApplyEndpoints(endpoints.List{Workers: []endpoints.Worker{w}})
 		}
 	}
 	for _, c := range []struct {
 		name string
 		do   func(*workerRig, *delivery)
 	}{
-		{"drains", told(func(w *endpoints.Worker) { w.Active = false })},
-		{"gone", told(func(w *endpoints.Worker) { w.Active, w.Gone = false, true })},
-		{"left out of a whole list, and it still answers", func(b *workerRig, _ *delivery) {
-			other := endpoints.Worker{Name: "v", Address: b.endpoints.Workers[0].Address, Active: true}
-			b.proxy.dispatcher.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{other}})
+		{"drains", listed(func(w *endpoints.Worker) { w.Active = false })},
+		{"removed", listed(func(w *endpoints.Worker) { w.Active, w.Gone = false, true })},
+		{"left out of a full list while it still answers", func(rig *workerRig, _ *delivery) {
+			other := endpoints.Worker{Name: "v", Address: rig.endpoints.Workers[0].Address, Active: true}
+			rig.proxy.dispatcher.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{other}})
 		}},
-		{"started anew", told(func(w *endpoints.Worker) { w.Since = 9 })},
-		{"moved", told(func(w *endpoints.Worker) { w.Address = netip.MustParseAddrPort("127.0.0.1:1") })},
-		{"withdrawn", func(_ *workerRig, j *delivery) { j.command.Attempt.Cancel() }},
-		{"barred", func(_ *workerRig, j *delivery) { j.command.Attempt.CancelUnsent() }},
+		{"restarted", listed(func(w *endpoints.Worker) { w.Since = 9 })},
+		{"moved", listed(func(w *endpoints.Worker) { w.Address = netip.MustParseAddrPort("127.0.0.1:1") })},
+		{"cancelled", func(_ *workerRig, attempt *delivery) { attempt.command.Attempt.Cancel() }},
+		{"cancelled unsent", func(_ *workerRig, attempt *delivery) { attempt.command.Attempt.CancelUnsent() }},
 	} {
 		for _, idle := range []string{", idle", ", new"} {
 			t.Run(c.name+idle, func(t *testing.T) {
-				b := newWorkerRig(t, time.Second, 4)
+				rig := newWorkerRig(t, time.Second, 4)
 				var w *net.TCPConn
 				if idle == ", idle" {
-					w = b.idleConnection()
+					w = rig.idleConnection()
 				}
-				j := b.admitAttempt()
-				c.do(b, &j)
-				if e := <-b.startExchange(j); e.outcome != policy.NotSent {
-					t.Errorf("ended %+v", e)
+				attempt := rig.admitAttempt()
+				c.do(rig, &attempt)
+				if end := <-rig.startExchange(attempt); end.outcome != policy.NotSent {
+					t.Errorf("ended %+v", end)
 				}
 				if w == nil {
-					w = b.accept()
+					w = rig.accept()
 				}
-				if n, err := io.Copy(io.Discard, w); n != 0 || err != nil || b.proxy.links.Open() != 0 {
-					t.Errorf("%d bytes were written, %v; %d connections are held", n, err, b.proxy.links.Open())
+				if n, err := io.Copy(io.Discard, w); n != 0 || err != nil || rig.proxy.links.Open() != 0 {
+					t.Errorf("%d bytes were written, %v; %d connections are open", n, err, rig.proxy.links.Open())
 				}
 			})
 		}
 	}
 }
 
-// A withdrawal that crosses an answer: whichever of the two comes first counts, once, and the other changes
-// nothing. Its connection is of no more use unless the answer had been read whole before.
+// A cancellation that crosses an answer: whichever of the two comes first counts, once, and the other changes
+// nothing. The connection is not reused unless the answer had been read completely before.
 func TestCancellationCrossesAnswer(t *testing.T) {
 	t.Run("before", func(t *testing.T) {
-		b := newWorkerRig(t, time.Second, 4)
-		j := b.admitAttempt()
-		got := b.startExchange(j)
-		w := b.accept()
-		b.readRequest(w)
-		j.command.Attempt.Cancel()
-		if e := <-got; e.outcome != policy.Withdrawn || b.proxy.links.Open() != 0 {
-			t.Errorf("ended %+v, %d connections", e, b.proxy.links.Open())
+		rig := newWorkerRig(t, time.Second, 4)
+		attempt := rig.admitAttempt()
+		ended := rig.startExchange(attempt)
+		conn := rig.accept()
+		rig.readRequest(conn)
+		attempt.command.Attempt.Cancel()
+		if end := <-ended; end.outcome != policy.Withdrawn || rig.proxy.links.Open() != 0 {
+			t.Errorf("ended %+v, %d connections", end, rig.proxy.links.Open())
 		}
-		w.Write([]byte(answerBytes))
-		got = b.startExchange(b.admitAttempt())
-		w = b.accept()
-		b.readRequest(w)
-		w.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nmy"))
-		if e := <-got; e.outcome != policy.Settled || e.body != "my" {
-			t.Errorf("the next ended %+v", e)
+		conn.Write([]byte(answerBytes))
+		ended = rig.startExchange(rig.admitAttempt())
+		conn = rig.accept()
+		rig.readRequest(conn)
+		conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nmy"))
+		if end := <-ended; end.outcome != policy.Settled || end.body != "my" {
+			t.Errorf("the next attempt ended %+v", end)
 		}
 	})
-	t.Run("at once", func(t *testing.T) { // the machine has both before the reader is told of either
-		b := newWorkerRig(t, time.Second, 4)
-		j := b.admitAttempt()
-		got := b.startExchange(j)
-		w := b.accept()
-		b.readRequest(w)
-		j.command.Attempt.Cancel()
-		w.Write([]byte(answerBytes))
-		if e := <-got; e.outcome != policy.Withdrawn && e.body != "ok" || b.proxy.links.Open() != 0 {
-			t.Errorf("ended %+v, %d connections", e, b.proxy.links.Open())
+	t.Run("at once", func(t *testing.T) { // the kernel has both before the reader sees either
+		rig := newWorkerRig(t, time.Second, 4)
+		attempt := rig.admitAttempt()
+		ended := rig.startExchange(attempt)
+		conn := rig.accept()
+		rig.readRequest(conn)
+		attempt.command.Attempt.Cancel()
+		conn.Write([]byte(answerBytes))
+		if end := <-ended; end.outcome != policy.Withdrawn && end.body != "ok" || rig.proxy.links.Open() != 0 {
+			t.Errorf("ended %+v, %d connections", end, rig.proxy.links.Open())
 		}
 	})
 	t.Run("after", func(t *testing.T) {
-		b := newWorkerRig(t, time.Second, 4)
-		j := b.admitAttempt()
-		got := b.startExchange(j)
-		w := b.accept()
-		b.readRequest(w)
-		w.Write([]byte(answerBytes))
-		e := <-got
-		j.command.Attempt.Cancel() // and does not touch what another may use by now
-		if e.outcome != policy.Settled || b.proxy.links.Open() != 1 {
-			t.Errorf("ended %+v, %d connections", e, b.proxy.links.Open())
+		rig := newWorkerRig(t, time.Second, 4)
+		attempt := rig.admitAttempt()
+		ended := rig.startExchange(attempt)
+		conn := rig.accept()
+		rig.readRequest(conn)
+		conn.Write([]byte(answerBytes))
+		end := <-ended
+		attempt.command.Attempt.Cancel() // and does not touch a connection that another attempt may use by now
+		if end.outcome != policy.Settled || rig.proxy.links.Open() != 1 {
+			t.Errorf("ended %+v, %d connections", end, rig.proxy.links.Open())
 		}
-		got = b.startExchange(b.admitAttempt())
-		b.readRequest(w)
-		w.Write([]byte(answerBytes))
-		if e := <-got; e.outcome != policy.Settled {
-			t.Errorf("the next ended %+v", e)
+		ended = rig.startExchange(rig.admitAttempt())
+		rig.readRequest(conn)
+		conn.Write([]byte(answerBytes))
+		if end := <-ended; end.outcome != policy.Settled {
+			t.Errorf("the next attempt ended %+v", end)
 		}
 	})
 }
 
-// full listens on loopback, and takes no connection that comes until take is called.
-func unreachableListener(t *testing.T) (at netip.AddrPort, take func() []int) {
+// unreachableListener listens on loopback, and accepts no connection until acceptAll is called.
+func unreachableListener(t *testing.T) (address netip.AddrPort, acceptAll func() []int) {
 	t.Helper()
-	at, fill, take := singleSlotListener(t)
+	address, fill, acceptAll := singleSlotListener(t)
 	fill()
-	return at, take
+	return address, acceptAll
 }
 
-// narrow listens on loopback for one connection; after fill one more does not come up until take is called.
-func singleSlotListener(t *testing.T) (at netip.AddrPort, fill func(), take func() []int) {
+// singleSlotListener listens on loopback with a backlog of one; after fill no connection comes up until
+// acceptAll is called.
+func singleSlotListener(t *testing.T) (address netip.AddrPort, fill func(), acceptAll func() []int) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
@@ -339,76 +345,76 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(name.(*unix.SockaddrInet4).Port))
+	address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(name.(*unix.SockaddrInet4).Port))
 	fill = func() {
-		for range 9 { // until one more does not come up
-			c, err := net.DialTimeout("tcp", at.String(), 50*time.Millisecond)
+		for range 9 { // until a connection does not come up
+			conn, err := net.DialTimeout("tcp", address.String(), 50*time.Millisecond)
 			if err != nil {
 				break
 			}
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { conn.Close() })
 		}
 	}
-	return at, fill, func() (all []int) {
+	return address, fill, func() (all []int) {
 		_ = unix.SetNonblock(fd, true)
 		for {
-			c, _, err := unix.Accept(fd)
+			conn, _, err := unix.Accept(fd)
 			if err != nil {
 				return all
 			}
-			all = append(all, c)
-			t.Cleanup(func() { unix.Close(c) })
+			all = append(all, conn)
+			t.Cleanup(func() { unix.Close(conn) })
 		}
 	}
 }
 
-// A connection that does not come up is given up on at the stated limit, or at the txn's end if that is
-// sooner, and its place is free.
+// A connection that does not come up times out at the limit, or at the request's end if that is sooner, and
+// does not count as open any more.
 func TestConnectTimeout(t *testing.T) {
 	const limit = 150 * time.Millisecond
-	at, _ := unreachableListener(t)
+	address, _ := unreachableListener(t)
 	for _, c := range []struct {
 		name    string
 		until   time.Duration
 		outcome policy.Outcome
 	}{{"limit", 5 * time.Second, policy.NoRoute}, {"expiry", limit / 3, policy.NotSent}} {
 		t.Run(c.name, func(t *testing.T) {
-			b := &workerRig{T: t}
-			b.connectTo(at, limit, 4)
+			rig := &workerRig{T: t}
+			rig.connectTo(address, limit, 4)
 			start := time.Now()
-			a, l, _ := b.proxy.exchange(b.admitAttempt(), start.Add(c.until))
+			answer, link, _ := rig.proxy.exchange(rig.admitAttempt(), start.Add(c.until))
 			took, due := time.Since(start), min(limit, c.until)
-			if l != nil || a.Outcome != c.outcome || took < due || took > due+time.Second {
-				t.Errorf("ended %+v after %v, due at %v", a, took, due)
+			if link != nil || answer.Outcome != c.outcome || took < due || took > due+time.Second {
+				t.Errorf("ended %+v after %v, due at %v", answer, took, due)
 			}
-			if n := b.proxy.links.Open(); n != 0 {
-				t.Errorf("%d connections are held", n)
+			if n := rig.proxy.links.Open(); n != 0 {
+				t.Errorf("%d connections are open", n)
 			}
 		})
 	}
 }
 
-// One that comes up after its txn was given up on, a second later, is closed with nothing written. That
-// it comes late is forced: its first SYN meets a full queue, which is emptied before the next.
+// A connection that comes up after its attempt was cancelled, a second later, is closed with nothing
+// written. The delay is forced: its first SYN meets a full backlog, which is emptied before the next.
 func TestConnectionAfterCancellation(t *testing.T) {
-	at, take := unreachableListener(t)
-	b := &workerRig{T: t}
-	b.connectTo(at, 4*time.Second, 4)
-	j := b.admitAttempt()
-	start, got := time.Now(), b.startExchange(j)
-	for b.proxy.links.Open() == 0 {
+	address, acceptAll := unreachableListener(t)
+	rig := &workerRig{T: t}
+	rig.connectTo(address, 4*time.Second, 4)
+	attempt := rig.admitAttempt()
+	start, ended := time.Now(), rig.startExchange(attempt)
+	for rig.proxy.links.Open() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(100 * time.Millisecond) // its first SYN has been sent, and dropped
-	j.command.Attempt.CancelUnsent()
-	before := len(take())
-	e := <-got
-	if took := time.Since(start); e.outcome != policy.NotSent || took < 500*time.Millisecond {
-		t.Errorf("ended %+v after %v", e, took)
+	attempt.command.Attempt.CancelUnsent()
+	before := len(acceptAll())
+	end := <-ended
+	if took := time.Since(start); end.outcome != policy.NotSent || took < 500*time.Millisecond {
+		t.Errorf("ended %+v after %v", end, took)
 	}
-	late := take()
-	if len(late) != 1 || before == 0 || b.proxy.links.Open() != 0 {
-		t.Fatalf("%d came late, %d connections are held", len(late), b.proxy.links.Open())
+	late := acceptAll()
+	if len(late) != 1 || before == 0 || rig.proxy.links.Open() != 0 {
+		t.Fatalf("%d came up late, %d connections are open", len(late), rig.proxy.links.Open())
 	}
 	_ = unix.SetNonblock(late[0], false)
 	if n, err := unix.Read(late[0], make([]byte, 1)); n != 0 || err != nil {
@@ -416,30 +422,31 @@
 	}
 }
 
-// Where the gatekeeper has no place for one more connection, the submission was not sent, and nothing is held
-// against its worker. TestNoDescriptor has the same of descriptors.
+// At the limit of connections an attempt counts as not sent, and its worker is not blamed. TestNoDescriptor
+// has the same of file descriptors.
 func TestConnectionLimit(t *testing.T) {
-	b := newWorkerRig(t, time.Second, 1)
-	got := b.startExchange(b.admitAttempt())
-	w := b.accept()
-	b.readRequest(w)
-	if e := <-b.startExchange(b.admitAttempt()); e.outcome != policy.NotSent {
-		t.Errorf("without a place it ended %+v", e)
+	rig := newWorkerRig(t, time.Second, 1)
+	ended := rig.startExchange(rig.admitAttempt())
+	conn := rig.accept()
+	rig.readRequest(conn)
+	if end := <-rig.startExchange(rig.admitAttempt()); end.outcome != policy.NotSent {
+		t.Errorf("at the limit it ended %+v", end)
 	}
-	w.Write([]byte(answerBytes))
-	if e := <-got; e.outcome != policy.Settled || b.proxy.links.Open() != 1 {
-		t.Errorf("the other ended %+v, %d connections", e, b.proxy.links.Open())
+	conn.Write([]byte(answerBytes))
+	if end := <-ended; end.outcome != policy.Settled || rig.proxy.links.Open() != 1 {
+		t.Errorf("the other ended %+v, %d connections", end, rig.proxy.links.Open())
 	}
 }
 
-// Terms of which the time is over call a submission back, also on a connection that has ended meanwhile.
+// An attempt whose lease has expired is revoked, also on a connection that has ended meanwhile.
 func TestExpiredLeaseOnClosedIdleConnection(t *testing.T) {
-	b := newWorkerRig(t, time.Second, 4)
-	w := b.idleConnection()
-	j := b.admitAttempt()
-	j.command.Lease = inflight.NewLease(1, history.Leased, 0)
-	a, l, _ := b.proxy.exchange(j, time.Now().Add(time.Second))
-	if n, err := io.Copy(io.Discard, w); a != nil || l != nil || n != 0 || b.proxy.links.Open() != 0 {
-		t.Errorf("ended %+v, %d bytes, %v", a, n, errors.Join(err))
+	rig := newWorkerRig(t, time.Second, 4)
+	conn := rig.idleConnection()
+	attempt := rig.admitAttempt()
+	attempt.command.Lease = inflight.NewLease(1, history.Leased, 0)
+	answer, link, _ := rig.proxy.exchange(attempt, time.Now().Add(time.Second))
+	n, err := io.Copy(io.Discard, conn)
+	if answer != nil || link != nil || n != 0 || rig.proxy.links.Open() != 0 {
+		t.Errorf("ended %+v, %d bytes, %v", answer, n, errors.Join(err))
 	}
 }
--- a/internal/gateway/proxy/attempt_deadline_test.go
+++ b/internal/gateway/proxy/attempt_deadline_test.go
@@ -27,247 +27,254 @@
 	"willowdeck/internal/txnjournal/store"
 )
 
-// waits is how long the client of each txn here waits, ms.
+// clientWaitMillis is how long the client of each request here waits.
 const clientWaitMillis = 4000
 
-// told is a gate behind a front, before workers on loopback, that notes what each submission told and what
-// was left of its client's time: when its first byte was about to go out, and when the worker had its head.
+// deadlineRig is a proxy behind a frontend, before workers on loopback. It records the time left that each
+// attempt told its worker, and what was left of the client's time when the first byte was about to be sent
+// and when the worker had read the head.
 type deadlineRig struct {
 	*testing.T
 	dispatcher *Dispatcher
 	links      *transport.Links
-	at         string // the front's address
+	address    string // the frontend's address
 
-	mu         sync.Mutex
-	beforeSend onSend    // called ahead of each first byte, if set
-	most       []float64 // by submission, ms
-	told       []float64
-	least      []float64
-	came       float64          // when the txn was taken, by the desk's clock
-	heard      chan struct{}    // a word for each submission that a worker has got
-	answer     func(n int) bool // what a worker does with the n-th, and whether it reads on
+	mu              sync.Mutex
+	beforeSend      onSend    // called before each first byte, if set
+	atSendMillis    []float64 // by attempt, as the two below
+	toldMillis      []float64
+	atReceiptMillis []float64
+	arrivedMillis   float64          // when the request was admitted, by the dispatcher's clock
+	received        chan struct{}    // one value for each attempt that a worker has read
+	answers         func(n int) bool // whether a worker answers the n-th attempt and reads on
 }
 
-// Write is called right before the first byte of each submission goes out, and bounds what it may tell.
-func (w *deadlineRig) Write(e history.Event) {
+// Write is called right before the first byte of each attempt is sent, and records the upper bound of what
+// it may tell.
+func (rig *deadlineRig) Write(e history.Event) {
 	if e.Kind != history.Sends {
 		return
 	}
-	w.mu.Lock()
-	before := w.beforeSend
-	w.mu.Unlock()
+	rig.mu.Lock()
+	before := rig.beforeSend
+	rig.mu.Unlock()
 	if before != nil {
 		before()
 	}
-	w.dispatcher.mu.Lock()
-	defer w.dispatcher.mu.Unlock()
-	for _, h := range w.dispatcher.requests.byID {
-		w.mu.Lock()
-		w.came = min(h.ArrivedMillis, h.ExpiryMillis-clientWaitMillis) // less the wait for its mark, some us
-		w.most = append(w.most, w.came+clientWaitMillis-w.dispatcher.clock.now())
-		w.mu.Unlock()
+	rig.dispatcher.mu.Lock()
+	defer rig.dispatcher.mu.Unlock()
+	for _, r := range rig.dispatcher.requests.byID {
+		rig.mu.Lock()
+		// less the wait for the request's mark, some us
+		rig.arrivedMillis = min(r.ArrivedMillis, r.ExpiryMillis-clientWaitMillis)
+		rig.atSendMillis = append(rig.atSendMillis, rig.arrivedMillis+clientWaitMillis-rig.dispatcher.clock.now())
+		rig.mu.Unlock()
 	}
 }
 
-// tells starts one with workers at some addresses. A journal's disk may be slow.
-func tells(t *testing.T, overlap bool, disk *store.Memory, at ...netip.AddrPort) *deadlineRig {
+// newDeadlineRig starts a rig with workers at some addresses, and a journal on disk unless that is nil.
+func newDeadlineRig(t *testing.T, overlap bool, disk *store.Memory, at ...netip.AddrPort) *deadlineRig {
 	t.Helper()
-	c := testCharter()
-	c.Plans[0] = policy.Plan{Rate: 1000, Burst: 1000, Factor: 1}
-	sla := float64(clientWaitMillis) // so that nothing is moved that is only late
-	if c.MayOverlap = overlap; overlap {
-		sla = 600
+	charter := testCharter()
+	charter.Plans[0] = policy.Plan{Rate: 1000, Burst: 1000, Factor: 1}
+	targetMillis := float64(clientWaitMillis) // so that no request is retried only for being late
+	if charter.MayOverlap = overlap; overlap {
+		targetMillis = 600
 	}
-	c.Products = []policy.Product{{SLA: sla, Value: 1},
-		{SLA: sla, Value: 1, Repeat: policy.Referenced, Window: clientWaitMillis},
+	charter.Products = []policy.Product{{SLA: targetMillis, Value: 1},
+		{SLA: targetMillis, Value: 1, Repeat: policy.Referenced, Window: clientWaitMillis},
 		{SLA: 1000, Value: 1, Repeat: policy.OnceOnly}}
-	w := &deadlineRig{T: t, heard: make(chan struct{}, 9), links: transport.NewLinks(8, 5*time.Second, 3*time.Second)}
-	w.dispatcher = NewDispatcher(c, 1, 5, func(int, []byte) {}, w.links.Shed)
-	w.dispatcher.RecordHistory(w)
+	rig := &deadlineRig{T: t, received: make(chan struct{}, 9),
+		links: transport.NewLinks(8, 5*time.Second, 3*time.Second)}
+	rig.dispatcher = NewDispatcher(charter, 1, 5, func(int, []byte) {}, rig.links.Shed)
+	rig.dispatcher.RecordHistory(rig)
 	list := endpoints.List{Whole: true}
 	for i, a := range at {
 		list.Workers = append(list.Workers, endpoints.Worker{Name: fmt.Sprint("w", i), Address: a, Active: true})
 	}
-	w.dispatcher.ApplyEndpoints(list)
-	g := New(w.dispatcher, w.links)
+	rig.dispatcher.ApplyEndpoints(list)
+	proxy := New(rig.dispatcher, rig.links)
 	names := config.Names{Products: map[string]int{"check": 0, "store": 1, "issue": 2},
 		Plans: map[string]int{"basic": 0}}
 	if disk != nil {
 		terms := txnjournal.DefaultTerms()
 		terms.Wait = 1000
-		k := store.Keep(disk, terms, store.Who{Name: "g"}, false, 1, zerolog.Nop())
-		t.Cleanup(k.Close)
-		g.EnableJournal(k, terms, c.Products, []string{"check", "store", "issue"})
+		keeper := store.Keep(disk, terms, store.Who{Name: "g"}, false, 1, zerolog.Nop())
+		t.Cleanup(keeper.Close)
+		proxy.EnableJournal(keeper, terms, charter.Products, []string{"check", "store", "issue"})
 	}
-	f := transport.NewFront(names, c, g.Serve, func() bool { return true })
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	frontend := transport.NewFront(names, charter, proxy.Serve, func() bool { return true })
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	limited := transport.Limit(l, 9)
-	go f.Serve(limited)
+	limited := transport.Limit(listener, 9)
+	go frontend.Serve(limited)
 	t.Cleanup(func() {
 		limited.Close()
 		limited.GiveUp()
-		w.dispatcher.WakeNow()
+		rig.dispatcher.WakeNow()
 		limited.Drain()
-		f.Close()
-		f.Wait()
-		w.dispatcher.Stop()
+		frontend.Close()
+		frontend.Wait()
+		rig.dispatcher.Stop()
 	})
-	w.at = l.Addr().String()
-	return w
+	rig.address = listener.Addr().String()
+	return rig
 }
 
-// asks sends a txn and gives its answer's status, and what went wrong.
-func (w *deadlineRig) asks(head, body string) <-chan string {
-	c, err := net.Dial("tcp", w.at)
+// sendRequest sends a request, and gives its answer's status or the error.
+func (rig *deadlineRig) sendRequest(head, body string) <-chan string {
+	conn, err := net.Dial("tcp", rig.address)
 	if err != nil {
-		w.Fatal(err)
+		rig.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(8 * time.Second))
-	line, more, _ := strings.Cut(head, "\r\n")
-	if more != "" {
-		more += "\r\n"
+	conn.SetDeadline(time.Now().Add(8 * time.Second))
+	line, headers, _ := strings.Cut(head, "\r\n")
+	if headers != "" {
+		headers += "\r\n"
 	}
-	fmt.Fprintf(c, "%s HTTP/1.1\r\n%sHost: h\r\nX-Request-Id: 1\r\nPlan: basic\r\n"+
+	fmt.Fprintf(conn, "%s HTTP/1.1\r\n%sHost: h\r\nX-Request-Id: 1\r\nPlan: basic\r\n"+
 		"Cookie: key=00000000b4d65521\r\nX-Deadline: %dm\r\n"+
-		"Quota-Info: units=1,spread=1,first=0\r\n\r\n%s", line, more, clientWaitMillis, body)
-	got := make(chan string, 1)
+		"Quota-Info: units=1,spread=1,first=0\r\n\r\n%s", line, headers, clientWaitMillis, body)
+	status := make(chan string, 1)
 	go func() {
-		defer c.Close()
-		r, err := http.ReadResponse(bufio.NewReader(c), nil)
+		defer conn.Close()
+		r, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil {
-			got <- err.Error()
+			status <- err.Error()
 			return
 		}
-		got <- r.Status
+		status <- r.Status
 	}()
-	return got
+	return status
 }
 
-// reads is a worker's side of a connection: each submission's figure is noted, and answered as the test says.
-func (w *deadlineRig) reads(c net.Conn) {
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(8 * time.Second))
-	in := bufio.NewReader(c)
-	for on := true; on; {
-		r, err := http.ReadRequest(in)
+// serveConnection is a worker's side of a connection: it records the time left of each attempt, and answers
+// as the test says.
+func (rig *deadlineRig) serveConnection(conn net.Conn) {
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(8 * time.Second))
+	reader := bufio.NewReader(conn)
+	for keepAlive := true; keepAlive; {
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
 		figure, unit := strings.CutSuffix(r.Header.Get("X-Deadline"), "u")
-		us, err := strconv.ParseInt(figure, 10, 64)
+		micros, err := strconv.ParseInt(figure, 10, 64)
 		if err != nil || !unit {
-			w.Errorf("told %q", r.Header.Get("X-Deadline"))
+			rig.Errorf("told %q", r.Header.Get("X-Deadline"))
 		}
-		w.mu.Lock()
-		w.told, w.least = append(w.told, float64(us)/1000), append(w.least, w.came+clientWaitMillis-w.dispatcher.clock.now())
-		n, answer := len(w.told), w.answer
-		w.mu.Unlock()
-		w.heard <- struct{}{}
+		rig.mu.Lock()
+		leftMillis := rig.arrivedMillis + clientWaitMillis - rig.dispatcher.clock.now()
+		rig.toldMillis = append(rig.toldMillis, float64(micros)/1000)
+		rig.atReceiptMillis = append(rig.atReceiptMillis, leftMillis)
+		n, answer := len(rig.toldMillis), rig.answers
+		rig.mu.Unlock()
+		rig.received <- struct{}{}
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
-			w.Error(err)
+			rig.Error(err)
 		}
-		if on = answer == nil || answer(n); on {
-			c.Write([]byte(answerBytes))
+		if keepAlive = answer == nil || answer(n); keepAlive {
+			conn.Write([]byte(answerBytes))
 		} else {
-			c.(*net.TCPConn).CloseWrite() // its descriptor is another's too, and would keep it up
+			conn.(*net.TCPConn).CloseWrite() // the descriptor is duplicated, so that a close would not end it
 		}
 	}
 }
 
-// takes has a worker read from the connections that have come up.
-func (w *deadlineRig) takes(fds []int) {
+// acceptAll serves the connections that have come up.
+func (rig *deadlineRig) acceptAll(fds []int) {
 	for _, fd := range fds {
 		if dup, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0); err == nil {
 			f := os.NewFile(uintptr(dup), "worker")
-			c, err := net.FileConn(f)
+			conn, err := net.FileConn(f)
 			f.Close()
 			if err != nil {
-				w.Error(err)
+				rig.Error(err)
 				continue
 			}
-			go w.reads(c)
+			go rig.serveConnection(conn)
 		}
 	}
 }
 
-// judge compares, once so many submissions have come.
-func (w *deadlineRig) judge(n int, late float64) {
-	w.Helper()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.told) != n || len(w.most) != n {
-		w.Fatalf("%d submissions came, and %d went out; want %d", len(w.told), len(w.most), n)
+// check compares what n attempts told with the bounds. The last was sent at least lateMillis after its
+// arrival.
+func (rig *deadlineRig) check(n int, lateMillis float64) {
+	rig.Helper()
+	rig.mu.Lock()
+	defer rig.mu.Unlock()
+	if len(rig.toldMillis) != n || len(rig.atSendMillis) != n {
+		rig.Fatalf("%d attempts were received, and %d sent; want %d", len(rig.toldMillis), len(rig.atSendMillis), n)
 	}
-	for i, v := range w.told {
-		if v > w.most[i] || v < w.least[i]-0.001 { // it is in whole us
-			w.Errorf("submission %d told %.3f ms; %.3f were left before its first byte, %.3f behind its head", i, v,
-				w.most[i], w.least[i])
+	for i, told := range rig.toldMillis {
+		if told > rig.atSendMillis[i] || told < rig.atReceiptMillis[i]-0.001 { // it is told in whole us
+			rig.Errorf("attempt %d told %.3f ms; %.3f were left before its first byte, %.3f after its head", i, told,
+				rig.atSendMillis[i], rig.atReceiptMillis[i])
 		}
 	}
-	if last := w.most[n-1]; last > clientWaitMillis-late {
-		w.Errorf("%.3f ms were left: the last was not late", last)
+	if last := rig.atSendMillis[n-1]; last > clientWaitMillis-lateMillis {
+		rig.Errorf("%.3f ms were left: the last attempt was not late", last)
 	}
 }
 
-// serves has workers at narrow listeners take what comes up from when a first SYN of a submission was dropped
-// there, so that it comes a second later.
-func (w *deadlineRig) serves(held int, takes ...func() []int) (stop func()) {
-	over, done := make(chan struct{}), make(chan struct{})
+// serveLate has workers at single-slot listeners accept connections once the first SYN of an attempt was
+// dropped there, so that it comes up a second later.
+func (rig *deadlineRig) serveLate(openBefore int, accepts ...func() []int) (stop func()) {
+	stopping, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
-		for w.links.Open() <= held {
+		for rig.links.Open() <= openBefore {
 			select {
-			case <-over:
+			case <-stopping:
 				return
 			case <-time.After(time.Millisecond):
 			}
 		}
 		time.Sleep(100 * time.Millisecond) // its first SYN has been sent, and dropped
 		for {
-			for _, take := range takes {
-				w.takes(take())
+			for _, accept := range accepts {
+				rig.acceptAll(accept())
 			}
 			select {
-			case <-over:
+			case <-stopping:
 				return
 			case <-time.After(time.Millisecond):
 			}
 		}
 	}()
 	return func() {
-		close(over)
+		close(stopping)
 		<-done
 	}
 }
 
-// What a submission tells its worker is what is left of its client's time right before its first byte,
-// however late its connection came up, for each kind of txn. That it comes late is forced: its first SYN
-// meets a full queue, which is emptied before the next, a second later. Guards against a figure of the moment
-// at which the submission was decided on: on two of the bench's short days over a fifth of the further
-// submissions told more than was left.
-func TestTellsWhatIsLeft(t *testing.T) {
+// An attempt tells its worker what is left of its client's time right before its first byte, however late
+// its connection came up, for each kind of request. The delay is forced: its first SYN meets a full
+// backlog, which is emptied before the next, a second later. Guards against a figure of the time of the
+// decision: on two of the bench's short days over a fifth of the retries told more than was left.
+func TestDeadlineHeader(t *testing.T) {
 	long := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", 100<<10, strings.Repeat("x", 100<<10))
 	for _, c := range []struct{ name, head, body string }{
-		{"inquiry-like", "GET /check", ""},
-		{"referenced", "POST /store", ""},
-		{"once-only", "POST /issue", ""},
-		{"once-only, written down", "POST /issue", ""},
-		{"body that passes on as it comes", "POST /issue", long},
-		{"body of a stated length that passes on", "POST /issue", strings.Repeat("x", 100<<10)},
+		{"read-only", "GET /check", ""},
+		{"idempotency key", "POST /store", ""},
+		{"non-idempotent", "POST /issue", ""},
+		{"non-idempotent, journaled", "POST /issue", ""},
+		{"streamed body, chunked", "POST /issue", long},
+		{"streamed body of a known length", "POST /issue", strings.Repeat("x", 100<<10)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			at, fill, take := singleSlotListener(t)
+			address, fill, accept := singleSlotListener(t)
 			var disk *store.Memory
-			if c.name == "once-only, written down" {
+			if c.name == "non-idempotent, journaled" {
 				disk = store.NewMemory(1)
 			}
-			w := tells(t, false, disk, at)
+			rig := newDeadlineRig(t, false, disk, address)
 			fill()
-			stop := w.serves(0, take)
+			stop := rig.serveLate(0, accept)
 			defer stop()
 			head := c.head
 			switch {
@@ -278,86 +285,86 @@
 			case c.head != "GET /check":
 				head += fmt.Sprintf("\r\nContent-Length: %d", len(c.body))
 			}
-			if s := <-w.asks(head, c.body); s != "200 OK" {
-				t.Errorf("answered %s", s)
+			if status := <-rig.sendRequest(head, c.body); status != "200 OK" {
+				t.Errorf("answered %s", status)
 			}
-			w.judge(1, 500)
+			rig.check(1, 500)
 		})
 	}
 }
 
-// The same of further submissions: of a copy beside one that is out, and of one behind another that was cut.
-func TestFurtherTellsWhatIsLeft(t *testing.T) {
+// The same for later attempts: a hedged request, and a retry after an attempt that was cut.
+func TestDeadlineHeaderOfRetries(t *testing.T) {
 	for _, c := range []struct {
 		name, head string
 		overlap    bool
 	}{
-		{"copy, inquiry-like", "GET /check", true},
-		{"copy, referenced", "POST /store\r\nIdempotency-Key: k\r\nContent-Length: 0", true},
-		{"behind a cut, inquiry-like", "GET /check", false},
-		{"behind a cut, referenced", "POST /store\r\nIdempotency-Key: k\r\nContent-Length: 0", false},
+		{"hedged, read-only", "GET /check", true},
+		{"hedged, idempotency key", "POST /store\r\nIdempotency-Key: k\r\nContent-Length: 0", true},
+		{"retry after a cut, read-only", "GET /check", false},
+		{"retry after a cut, idempotency key", "POST /store\r\nIdempotency-Key: k\r\nContent-Length: 0", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			at1, fill1, take1 := singleSlotListener(t)
-			at2, fill2, take2 := singleSlotListener(t)
-			w := tells(t, c.overlap, nil, at1, at2)
+			address1, fill1, accept1 := singleSlotListener(t)
+			address2, fill2, accept2 := singleSlotListener(t)
+			rig := newDeadlineRig(t, c.overlap, nil, address1, address2)
 			first := true
-			w.mu.Lock()
-			w.beforeSend = func() {
-				if first { // its own connection is up
+			rig.mu.Lock()
+			rig.beforeSend = func() {
+				if first { // the first attempt's connection is up
 					first = false
-					w.takes(take1())
-					w.takes(take2())
+					rig.acceptAll(accept1())
+					rig.acceptAll(accept2())
 					fill1()
 					fill2()
 				}
 			}
-			over := make(chan struct{})
-			w.answer = func(n int) bool {
+			releaseFirst := make(chan struct{})
+			rig.answers = func(n int) bool {
 				if n == 1 && c.overlap {
-					<-over
+					<-releaseFirst
 				}
 				return n > 1
 			}
-			w.mu.Unlock()
-			got := w.asks(c.head, "")
+			rig.mu.Unlock()
+			answered := rig.sendRequest(c.head, "")
 			select {
-			case <-w.heard:
-			case s := <-got:
-				t.Fatalf("answered %s before a worker had it", s)
+			case <-rig.received:
+			case status := <-answered:
+				t.Fatalf("answered %s before a worker had it", status)
 			}
-			held := 1
+			openBefore := 1
 			if !c.overlap {
-				held = 0
+				openBefore = 0
 			}
-			stop := w.serves(held, take1, take2)
+			stop := rig.serveLate(openBefore, accept1, accept2)
 			defer stop()
-			if s := <-got; s != "200 OK" {
-				t.Errorf("answered %s", s)
+			if status := <-answered; status != "200 OK" {
+				t.Errorf("answered %s", status)
 			}
-			close(over)
-			w.judge(2, 500)
+			close(releaseFirst)
+			rig.check(2, 500)
 		})
 	}
 }
 
-// The same where a connection stands idle, and something else is waited for: the journal, or the record.
-func TestTellsWhatIsLeftBehindWaits(t *testing.T) {
+// The same on an idle connection, where the attempt waits for the journal or for history instead.
+func TestDeadlineHeaderAfterWaits(t *testing.T) {
 	const wait = 60 * time.Millisecond
 	for _, c := range []struct {
 		name, head string
-		written    bool
+		journaled  bool
 	}{
-		{"the record", "GET /check", false},
-		{"the journal", "POST /issue\r\nContent-Length: 0", true},
+		{"history", "GET /check", false},
+		{"journal", "POST /issue\r\nContent-Length: 0", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			at, _, take := singleSlotListener(t)
+			address, _, accept := singleSlotListener(t)
 			var disk *store.Memory
 			var slow atomic.Bool
-			if c.written {
+			if c.journaled {
 				disk = store.NewMemory(1)
 				disk.Slow = func() {
 					if slow.Load() {
@@ -365,49 +372,51 @@
 					}
 				}
 			}
-			w := tells(t, false, disk, at)
-			stop := w.serves(-1, take)
+			rig := newDeadlineRig(t, false, disk, address)
+			stop := rig.serveLate(-1, accept)
 			defer stop()
-			if s := <-w.asks(strings.Replace(c.head, "issue", "check", 1), ""); c.written == (s == "200 OK") {
-				t.Fatalf("the first was answered %s", s)
+			status := <-rig.sendRequest(strings.Replace(c.head, "issue", "check", 1), "")
+			if c.journaled == (status == "200 OK") {
+				t.Fatalf("the first request was answered %s", status)
 			}
-			w.mu.Lock()
-			w.most, w.told, w.least = nil, nil, nil
-			if slow.Store(c.written); !c.written {
-				w.beforeSend = func() { time.Sleep(wait) }
+			rig.mu.Lock()
+			rig.atSendMillis, rig.toldMillis, rig.atReceiptMillis = nil, nil, nil
+			if slow.Store(c.journaled); !c.journaled {
+				rig.beforeSend = func() { time.Sleep(wait) }
 			}
-			w.mu.Unlock()
-			if s := <-w.asks(c.head, ""); s != "200 OK" {
-				t.Errorf("answered %s", s)
+			rig.mu.Unlock()
+			if status := <-rig.sendRequest(c.head, ""); status != "200 OK" {
+				t.Errorf("answered %s", status)
 			}
-			w.judge(1, float64(wait.Milliseconds()))
+			rig.check(1, float64(wait.Milliseconds()))
 		})
 	}
 }
 
-// Nothing goes out once the window of a repeat, or the txn's time, has passed between the last look at what
-// is learned and the first byte. Guards against a wait for the record there.
-func TestNothingGoesOutLate(t *testing.T) {
-	const soon = 20 * time.Millisecond
+// Nothing is sent once the window of a retry, or the request's time, has passed between the last check and
+// the first byte. Guards against a wait for history there.
+func TestNothingSentAfterDeadline(t *testing.T) {
+	const limit = 20 * time.Millisecond
 	for _, c := range []struct {
 		name   string
 		window bool
-	}{{"window", true}, {"time", false}} {
+	}{{"retry window", true}, {"expiry", false}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newWorkerRig(t, time.Second, 4)
-			w := b.idleConnection()
-			j := b.admitAttempt()
-			until := time.Now().Add(time.Second)
+			rig := newWorkerRig(t, time.Second, 4)
+			conn := rig.idleConnection()
+			attempt := rig.admitAttempt()
+			deadline := time.Now().Add(time.Second)
 			if c.window {
-				j.command.Decision.Latest = b.proxy.dispatcher.Now() + float64(soon.Milliseconds())
+				attempt.command.Decision.Latest = rig.proxy.dispatcher.Now() + float64(limit.Milliseconds())
 			} else {
-				until = time.Now().Add(soon)
+				deadline = time.Now().Add(limit)
 			}
-			b.beforeSend = func() { time.Sleep(2 * soon) }
-			a, l, _ := b.proxy.exchange(j, until)
-			if n, _ := io.Copy(io.Discard, w); l != nil || a == nil || a.Outcome != policy.NotSent || n != 0 {
-				t.Errorf("ended with %+v, %d bytes written", a, n)
+			rig.beforeSend = func() { time.Sleep(2 * limit) }
+			answer, link, _ := rig.proxy.exchange(attempt, deadline)
+			n, _ := io.Copy(io.Discard, conn)
+			if link != nil || answer == nil || answer.Outcome != policy.NotSent || n != 0 {
+				t.Errorf("ended with %+v, %d bytes written", answer, n)
 			}
 		})
 	}
--- a/internal/gateway/proxy/attempt_test.go
+++ b/internal/gateway/proxy/attempt_test.go
@@ -21,85 +21,85 @@
 		Plans:    []policy.Plan{{Rate: 1000, Burst: 1000, CeilingRate: 1000, CeilingDepth: 1000, Factor: 1}}}
 }
 
-// worker counts the bytes that come to it.
+// countingWorker gives the bytes that each connection to a worker has carried, once it ends.
 func countingWorker(t *testing.T) (endpoints.List, <-chan int) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	got := make(chan int, 100)
+	t.Cleanup(func() { listener.Close() })
+	received := make(chan int, 100)
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
 				buf, n := make([]byte, 4096), 0
 				for {
-					m, err := c.Read(buf)
+					m, err := conn.Read(buf)
 					if n += m; err != nil {
-						got <- n
+						received <- n
 						return
 					}
 				}
 			}()
 		}
 	}()
-	at := l.Addr().(*net.TCPAddr).AddrPort()
+	at := listener.Addr().(*net.TCPAddr).AddrPort()
 	return endpoints.List{Whole: true, Workers: []endpoints.Worker{{Name: "w", Address: at, Active: true}}},
-		got
+		received
 }
 
-// What was decided by terms that run out while the connection comes up is not written, and is decided anew by
-// those that hold then. Guards against a submission by rules that are no more.
+// An attempt whose lease expires while the connection comes up is not written, and is decided anew under
+// the lease that is valid then. Guards against an attempt by a ruleset that is not in force any more.
 func TestLeaseExpiresBeforeWrite(t *testing.T) {
-	list, came := countingWorker(t)
+	list, received := countingWorker(t)
 	links := transport.NewLinks(8, time.Second, time.Second)
 	d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, links.Shed)
 	t.Cleanup(d.Stop)
-	var past history.Memory
-	d.RecordHistory(past.As("n", 1))
+	var recorded history.Memory
+	d.RecordHistory(recorded.As("n", 1))
 	d.ApplyEndpoints(list)
 	first := inflight.NewLease(1, history.Leased, bootclock.Nanos()+3600e9)
 	second := inflight.NewLease(2, history.Leased, bootclock.Nanos()+3600e9)
 	if !d.ApplyRuleset(first, testCharter()) {
-		t.Fatal("not governed")
+		t.Fatal("the ruleset was not applied")
 	}
-	time.Sleep(20 * time.Millisecond) // what a start takes as spent
-	g := New(d, links)
-	h := d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
-	w := <-h.Commands
-	if w.Decision.Kind != policy.Submit || w.Lease != first {
-		t.Fatalf("decided %+v by %+v", w.Decision, w.Lease)
+	time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
+	proxy := New(d, links)
+	request := d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
+	command := <-request.Commands
+	if command.Decision.Kind != policy.Submit || command.Lease != first {
+		t.Fatalf("decided %+v under %+v", command.Decision, command.Lease)
 	}
 	d.ApplyRuleset(second, testCharter())
-	j := delivery{request: h, command: w, message: []byte("GET / HTTP/1.1\r\n\r\n")}
-	a, l, _ := g.exchange(j, time.Now().Add(time.Second))
-	if a != nil || l != nil {
-		t.Fatalf("ended with %+v", a)
+	attempt := delivery{request: request, command: command, message: []byte("GET / HTTP/1.1\r\n\r\n")}
+	answer, link, _ := proxy.exchange(attempt, time.Now().Add(time.Second))
+	if answer != nil || link != nil {
+		t.Fatalf("ended with %+v", answer)
 	}
-	if n := <-came; n > 0 {
+	if n := <-received; n > 0 {
 		t.Errorf("%d bytes came to the worker", n)
 	}
-	d.attemptRevoked(h, w.Decision.N)
-	if w = <-h.Commands; w.Decision.Kind != policy.Submit || w.Lease != second || w.Decision.N != 0 ||
-		d.RevokedAttempts() != 1 {
-		t.Errorf("then decided %+v by %+v", w.Decision, w.Lease)
+	d.attemptRevoked(request, command.Decision.N)
+	if command = <-request.Commands; command.Decision.Kind != policy.Submit || command.Lease != second ||
+		command.Decision.N != 0 || d.RevokedAttempts() != 1 {
+		t.Errorf("then decided %+v under %+v", command.Decision, command.Lease)
 	}
-	second.Revoke() // and what is decided after the end of all terms is by none of them
-	h = d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
-	if w = <-h.Commands; w.Decision.Kind != policy.Decline {
-		t.Errorf("without terms decided %+v", w.Decision)
+	second.Revoke() // what is decided after the end of all leases is under none of them
+	request = d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
+	if command = <-request.Commands; command.Decision.Kind != policy.Decline {
+		t.Errorf("without a lease decided %+v", command.Decision)
 	}
-	modes, backs := "", 0
-	for _, e := range past.Record().Events {
+	modes, neverRan := "", 0
+	for _, e := range recorded.Record().Events {
 		if e.Kind == history.Acts {
 			modes += e.Mode + " "
 		} else if e.Kind == history.Back && e.Says == history.NeverRan {
-			backs++
+			neverRan++
 		}
 	}
 	if modes != "lease lease bare " {
@@ -107,33 +107,34 @@
 	}
 }
 
-// again gives a gate of three submissions a txn over a stand-in that counts what comes, and a txn whose first
-// submission may have run.
-func retriedRequest(t *testing.T, p policy.Product) (g *Proxy, h *inflight.Request, w inflight.Command,
-	came <-chan int) {
+// retriedRequest gives a proxy of three attempts a request before a counting worker, and a request whose
+// first attempt may have run with the command for its second.
+func retriedRequest(t *testing.T, product policy.Product) (proxy *Proxy, request *inflight.Request,
+	command inflight.Command, received <-chan int) {
 	t.Helper()
-	list, came := countingWorker(t)
+	list, received := countingWorker(t)
 	links := transport.NewLinks(8, time.Second, time.Second)
-	c := testCharter()
-	c.Products = []policy.Product{p}
-	d := NewDispatcher(c, 1, 5, func(int, []byte) {}, links.Shed)
+	charter := testCharter()
+	charter.Products = []policy.Product{product}
+	d := NewDispatcher(charter, 1, 5, func(int, []byte) {}, links.Shed)
 	t.Cleanup(d.Stop)
 	d.ApplyEndpoints(list)
-	time.Sleep(20 * time.Millisecond) // what a start takes as spent
-	h = d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
-	w = <-h.Commands
-	d.attemptEnded(h, w.Decision.N, w.Decision.Worker, &transport.Answer{Outcome: policy.Cut}, 1)
-	if w = <-h.Commands; w.Decision.Kind != policy.Submit || w.Decision.N != 1 {
-		t.Fatalf("then decided %+v", w.Decision)
+	time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
+	request = d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
+	command = <-request.Commands
+	cut := &transport.Answer{Outcome: policy.Cut}
+	d.attemptEnded(request, command.Decision.N, command.Decision.Worker, cut, 1)
+	if command = <-request.Commands; command.Decision.Kind != policy.Submit || command.Decision.N != 1 {
+		t.Fatalf("then decided %+v", command.Decision)
 	}
-	return New(d, links), h, w, came
+	return New(d, links), request, command, received
 }
 
-// none fails where a worker got bytes over a connection that has ended, if there was one.
-func assertNothingReceived(t *testing.T, came <-chan int) {
+// assertNothingReceived fails where a worker got bytes over a connection that has ended, if there was one.
+func assertNothingReceived(t *testing.T, received <-chan int) {
 	t.Helper()
 	select {
-	case n := <-came:
+	case n := <-received:
 		if n > 0 {
 			t.Errorf("%d bytes came to the worker", n)
 		}
@@ -141,78 +142,80 @@
 	}
 }
 
-// A further submission of a referenced txn is decided on inside its window, and its connection is up after
-// it: nothing is written. Guards against a look at the window when it is decided alone: on one bench day a
-// connection took 230 ms, and its submission went out 1,106 ms after the first with a window of 1,000.
+// A retry of a request with an idempotency key is decided on inside its window, and its connection is up
+// after it: nothing is written. Guards against a check of the window at the decision alone: on one bench
+// day a connection took 230 ms, and its attempt was sent 1,106 ms after the first with a window of 1,000.
 func TestRetryWindowEndsBeforeWrite(t *testing.T) {
-	g, h, w, came := retriedRequest(t, policy.Product{SLA: 4000, Value: 1, Repeat: policy.Referenced, Window: 200})
-	if left := w.Decision.Latest - g.dispatcher.Now(); !(left > 0 && left < 200) {
-		t.Fatalf("the first byte may go out %.1f ms from now on", left)
+	proxy, request, command, received := retriedRequest(t,
+		policy.Product{SLA: 4000, Value: 1, Repeat: policy.Referenced, Window: 200})
+	if leftMillis := command.Decision.Latest - proxy.dispatcher.Now(); !(leftMillis > 0 && leftMillis < 200) {
+		t.Fatalf("the first byte may be sent for %.1f ms from now on", leftMillis)
 	}
-	for g.dispatcher.Now() < w.Decision.Latest { // as long as its connection takes
+	for proxy.dispatcher.Now() < command.Decision.Latest { // as long as its connection takes
 		time.Sleep(time.Millisecond)
 	}
-	j := delivery{request: h, command: w, message: []byte("GET / HTTP/1.1\r\n\r\n")}
-	a, l, _ := g.exchange(j, time.Now().Add(time.Second))
-	if a == nil || a.Outcome != policy.NotSent || l != nil {
-		t.Fatalf("ended with %+v", a)
+	attempt := delivery{request: request, command: command, message: []byte("GET / HTTP/1.1\r\n\r\n")}
+	answer, link, _ := proxy.exchange(attempt, time.Now().Add(time.Second))
+	if answer == nil || answer.Outcome != policy.NotSent || link != nil {
+		t.Fatalf("ended with %+v", answer)
 	}
-	g.dispatcher.attemptEnded(h, 1, w.Decision.Worker, a, 1)
-	if w = <-h.Commands; w.Decision.Kind != policy.Decline { // all workers drop a repeat
-		t.Errorf("then decided %+v", w.Decision)
+	proxy.dispatcher.attemptEnded(request, 1, command.Decision.Worker, answer, 1)
+	if command = <-request.Commands; command.Decision.Kind != policy.Decline { // all workers drop a repeat
+		t.Errorf("then decided %+v", command.Decision)
 	}
-	assertNothingReceived(t, came)
+	assertNothingReceived(t, received)
 }
 
-// A worker moves to another zone, or cell, while the connection of a further submission of a referenced txn
-// comes up: nothing is written. Guards against a repeat where nobody has the txn's mark.
+// A worker moves to another zone, or cell, while the connection of a retry with an idempotency key comes
+// up: nothing is written. Guards against a repeated request where no worker knows its key.
 func TestWorkerMovesBeforeWrite(t *testing.T) {
-	for of, move := range map[policy.Group]func(*endpoints.Worker){
-		policy.GroupZone: func(w *endpoints.Worker) { w.Zone = "another" },
-		policy.GroupCell: func(w *endpoints.Worker) { w.Cell = 5 },
+	for group, move := range map[policy.Group]func(*endpoints.Worker){
+		policy.GroupZone: func(command *endpoints.Worker) { command.Zone = "another" },
+		policy.GroupCell: func(command *endpoints.Worker) { command.Cell = 5 },
 	} {
-		g, h, w, came := retriedRequest(t, policy.Product{SLA: 4000, Value: 1, Repeat: policy.Referenced, Group: of,
-			Window: 4000})
-		x := endpoints.Worker{Name: "w", Address: w.Upstream.Addr, Active: true}
-		move(&x)
-		g.dispatcher.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{x}})
-		j := delivery{request: h, command: w, message: []byte("GET / HTTP/1.1\r\n\r\n")}
-		a, l, _ := g.exchange(j, time.Now().Add(time.Second))
-		if a == nil || a.Outcome != policy.NotSent || l != nil {
-			t.Fatalf("group %d: ended with %+v", of, a)
+		proxy, request, command, received := retriedRequest(t, policy.Product{SLA: 4000, Value: 1,
+			Repeat: policy.Referenced, Group: group, Window: 4000})
+		moved := endpoints.Worker{Name: "w", Address: command.Upstream.Addr, Active: true}
+		move(&moved)
+		proxy.dispatcher.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{moved}})
+		attempt := delivery{request: request, command: command, message: []byte("GET / HTTP/1.1\r\n\r\n")}
+		answer, link, _ := proxy.exchange(attempt, time.Now().Add(time.Second))
+		if answer == nil || answer.Outcome != policy.NotSent || link != nil {
+			t.Fatalf("group %d: ended with %+v", group, answer)
 		}
-		g.dispatcher.attemptEnded(h, 1, w.Decision.Worker, a, 1)
-		if w = <-h.Commands; w.Decision.Kind != policy.Void { // its group has nobody left
-			t.Errorf("group %d: then decided %+v", of, w.Decision)
+		proxy.dispatcher.attemptEnded(request, 1, command.Decision.Worker, answer, 1)
+		if command = <-request.Commands; command.Decision.Kind != policy.Void { // its group has no worker left
+			t.Errorf("group %d: then decided %+v", group, command.Decision)
 		}
-		assertNothingReceived(t, came)
+		assertNothingReceived(t, received)
 	}
 }
 
-// A client leaves while the connection of a further submission comes up: nothing is written, and the txn
-// ends. Guards against a look at clients at the module's wake alone, which is up to 100 ms old then.
+// A client leaves while the connection of a retry comes up: nothing is written, and the request ends.
+// Guards against a check of clients at the policy's wake-ups alone, which is up to 100 ms old then.
 func TestClientLeavesBeforeWrite(t *testing.T) {
-	g, h, w, came := retriedRequest(t, policy.Product{SLA: 4000, Value: 1})
-	g.dispatcher.mu.Lock()
-	h.ClientGone = func() bool { return true }
-	g.dispatcher.mu.Unlock()
-	j := delivery{request: h, command: w, message: []byte("GET / HTTP/1.1\r\n\r\n")}
-	a, l, _ := g.exchange(j, time.Now().Add(time.Second))
-	if a == nil || a.Outcome != policy.NotSent || l != nil {
-		t.Fatalf("ended with %+v", a)
+	proxy, request, command, received := retriedRequest(t, policy.Product{SLA: 4000, Value: 1})
+	proxy.dispatcher.mu.Lock()
+	request.ClientGone = func() bool { return true }
+	proxy.dispatcher.mu.Unlock()
+	attempt := delivery{request: request, command: command, message: []byte("GET / HTTP/1.1\r\n\r\n")}
+	answer, link, _ := proxy.exchange(attempt, time.Now().Add(time.Second))
+	if answer == nil || answer.Outcome != policy.NotSent || link != nil {
+		t.Fatalf("ended with %+v", answer)
 	}
-	if w = <-h.Commands; w.Decision.Kind != policy.Void || !h.Answered {
-		t.Errorf("then decided %+v", w.Decision)
+	if command = <-request.Commands; command.Decision.Kind != policy.Void || !request.Answered {
+		t.Errorf("then decided %+v", command.Decision)
 	}
-	g.dispatcher.attemptEnded(h, 1, 0, a, 1)
-	if len(g.dispatcher.requests.byID) != 0 || g.dispatcher.Tally().Final[policy.ByClient] != 1 {
-		t.Errorf("%d txns in hand, finals %v", len(g.dispatcher.requests.byID), g.dispatcher.Tally().Final)
+	proxy.dispatcher.attemptEnded(request, 1, 0, answer, 1)
+	if len(proxy.dispatcher.requests.byID) != 0 || proxy.dispatcher.Tally().Final[policy.ByClient] != 1 {
+		t.Errorf("%d requests in flight, finals %v", len(proxy.dispatcher.requests.byID),
+			proxy.dispatcher.Tally().Final)
 	}
-	assertNothingReceived(t, came)
+	assertNothingReceived(t, received)
 }
 
-// A txn tells whether something may have been sent for it: its mark is not another's where it was.
-func TestSent(t *testing.T) {
+// A request is marked as sent where an attempt may have been sent: its mark is not used for another one then.
+func TestSentIsMarked(t *testing.T) {
 	list, _ := countingWorker(t)
 	for _, sent := range []bool{false, true} {
 		links := transport.NewLinks(8, time.Second, time.Second)
@@ -221,80 +224,81 @@
 		if sent {
 			d.ApplyEndpoints(list)
 		}
-		time.Sleep(20 * time.Millisecond) // what a start takes as spent
-		x := &transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900},
+		time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
+		request := &transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900},
 			Method: []byte("GET"), Target: []byte("/a"), Mark: []byte("1")}
-		if end := New(d, links).Serve(x); x.Sent != sent {
-			t.Errorf("sent %v, want %v; ended with %+v", x.Sent, sent, end)
+		if final := New(d, links).Serve(request); request.Sent != sent {
+			t.Errorf("sent %v, want %v; ended with %+v", request.Sent, sent, final)
 		}
 	}
 }
 
-// A first submission whose connection is still coming up when its copy goes out is never sent. Guards against
-// one that comes up later than the copy's window: it bears no limit of its own, as nothing was out before it.
+// A first attempt whose connection is still coming up when the hedged request is sent is never sent. Guards
+// against one that comes up later than the window of the hedge: it has no limit of its own, as nothing was
+// sent before it.
 func TestFirstAttemptConnectsAfterHedge(t *testing.T) {
-	list, came := countingWorker(t)
-	other, there := countingWorker(t)
+	list, received := countingWorker(t)
+	other, otherReceived := countingWorker(t)
 	other.Workers[0].Name = "v"
 	list.Workers = append(list.Workers, other.Workers[0])
 	links := transport.NewLinks(8, time.Second, time.Second)
-	c := testCharter()
-	c.MayOverlap = true
-	c.Products = []policy.Product{{SLA: 100, Value: 1, Repeat: policy.Referenced, Window: 5000}}
-	d := NewDispatcher(c, 1, 5, func(int, []byte) {}, links.Shed)
+	charter := testCharter()
+	charter.MayOverlap = true
+	charter.Products = []policy.Product{{SLA: 100, Value: 1, Repeat: policy.Referenced, Window: 5000}}
+	d := NewDispatcher(charter, 1, 5, func(int, []byte) {}, links.Shed)
 	t.Cleanup(d.Stop)
 	d.ApplyEndpoints(list)
-	time.Sleep(20 * time.Millisecond) // what a start takes as spent
-	h := d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
-	first := <-h.Commands
-	second := <-h.Commands // the first one's worker is silent
+	time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
+	request := d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
+	first := <-request.Commands
+	second := <-request.Commands // the first attempt's worker is silent
 	if second.Decision.Kind != policy.Submit || second.Decision.N != 1 {
 		t.Fatalf("then decided %+v", second.Decision)
 	}
-	g := New(d, links)
-	j := delivery{request: h, command: first, message: []byte("GET / HTTP/1.1\r\n\r\n")}
-	a, l, _ := g.exchange(j, time.Now().Add(time.Second))
-	if a == nil || a.Outcome != policy.NotSent || l != nil {
-		t.Fatalf("ended with %+v", a)
+	proxy := New(d, links)
+	attempt := delivery{request: request, command: first, message: []byte("GET / HTTP/1.1\r\n\r\n")}
+	answer, link, _ := proxy.exchange(attempt, time.Now().Add(time.Second))
+	if answer == nil || answer.Outcome != policy.NotSent || link != nil {
+		t.Fatalf("ended with %+v", answer)
 	}
-	j = delivery{request: h, command: second, message: j.message}
-	until := time.Now().Add(50 * time.Millisecond)
-	if a, _, _ := g.exchange(j, until); a == nil || a.Outcome != policy.TimedOut {
-		t.Errorf("the copy ended with %+v", a)
+	attempt = delivery{request: request, command: second, message: attempt.message}
+	deadline := time.Now().Add(50 * time.Millisecond)
+	if answer, _, _ := proxy.exchange(attempt, deadline); answer == nil || answer.Outcome != policy.TimedOut {
+		t.Errorf("the hedged request ended with %+v", answer)
 	}
 	if first.Decision.Worker == 1 {
-		came = there
+		received = otherReceived
 	}
-	assertNothingReceived(t, came)
+	assertNothingReceived(t, received)
 }
 
-// shelf keeps nothing.
-type nullCreditStore struct{ from time.Time }
+// nullCreditStore stores nothing.
+type nullCreditStore struct{ started time.Time }
 
-func (s nullCreditStore) Now() float64                         { return float64(time.Since(s.from)) / 1e6 }
+func (s nullCreditStore) Now() float64                         { return float64(time.Since(s.started)) / 1e6 }
 func (s nullCreditStore) Keep(int, *borrowing.Record)          {}
 func (s nullCreditStore) Hear(int, incarnation.MessageID) bool { return true }
 func (s nullCreditStore) Close()                               {}
 
-// The ordinary path with agreement off and on: the decision, and both looks at the terms; and with credit on,
-// within the quota and lent.
+// BenchmarkAdmit is the ordinary path without and with a ruleset's lease: the decision, and both checks of
+// the lease; and with credit enabled, within the quota and borrowed.
 func BenchmarkAdmit(b *testing.B) {
 	for _, name := range []string{"off", "on", "credit", "lent"} {
-		on := name == "on"
+		leased := name == "on"
 		b.Run(name, func(b *testing.B) {
 			d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, func(int) {})
 			defer d.Stop()
-			c := testCharter()
-			c.Plans[0] = policy.Plan{Rate: 1e9, Burst: 1e9, CeilingRate: 1e9, CeilingDepth: 1e9, Factor: 1}
-			d.policy = policy.New(c, 1)
+			charter := testCharter()
+			charter.Plans[0] = policy.Plan{Rate: 1e9, Burst: 1e9, CeilingRate: 1e9, CeilingDepth: 1e9, Factor: 1}
+			d.policy = policy.New(charter, 1)
 			d.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
 			if name == "credit" || name == "lent" {
-				if c.Plans[0].Credit, c.Plans[0].Repay = 1, 2e3; name == "lent" {
-					c.Plans[0] = policy.Plan{Rate: 1e-3, Credit: 1e12, Repay: 2e15, Factor: 1}
+				if charter.Plans[0].Credit, charter.Plans[0].Repay = 1, 2e3; name == "lent" {
+					charter.Plans[0] = policy.Plan{Rate: 1e-3, Credit: 1e12, Repay: 2e15, Factor: 1}
 				}
-				d.policy = policy.New(c, 1)
+				d.policy = policy.New(charter, 1)
 				d.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
-				lines, _ := CreditLines(c.Plans)
+				lines, _ := CreditLines(charter.Plans)
 				d.EnableBorrowing(
 					borrowing.New(borrowing.Terms{Gatekeepers: 1, Plans: lines}, 1, -1e18),
 					nullCreditStore{time.Now()},
@@ -302,57 +306,58 @@
 					nil,
 				)
 			}
-			if on {
-				d.ApplyRuleset(inflight.NewLease(1, history.Leased, bootclock.Nanos()+3600e9), c)
+			if leased {
+				d.ApplyRuleset(inflight.NewLease(1, history.Leased, bootclock.Nanos()+3600e9), charter)
 			}
 			time.Sleep(10 * time.Millisecond)
 			t := &transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}}
 			t.Mark = []byte("0123456789abcdef")
-			msg := make([]byte, 0, 512)
+			message := make([]byte, 0, 512)
 			b.ReportAllocs()
 			for b.Loop() {
-				h := d.admit(t)
-				w := <-h.Commands
-				if w.Decision.Kind != policy.Submit || !w.Lease.Valid() {
-					b.Fatal(w.Decision)
+				request := d.admit(t)
+				command := <-request.Commands
+				if command.Decision.Kind != policy.Submit || !command.Lease.Valid() {
+					b.Fatal(command.Decision)
 				}
-				rules := int64(transport.Ruleless)
-				if w.Lease != nil {
-					rules = int64(w.Lease.RulesetVersion)
+				version := int64(transport.Ruleless)
+				if command.Lease != nil {
+					version = int64(command.Lease.RulesetVersion)
 				}
-				var at int
-				msg, at = transport.AppendSubmission(msg[:0], t, rules)
-				transport.TellLeft(msg, at, transport.Millis(w.Decision.At-d.clock.now()))
-				d.attemptEnded(h, 0, w.Decision.Worker, &transport.Answer{Outcome: policy.Settled, Heard: true}, 1)
+				var offset int
+				message, offset = transport.AppendSubmission(message[:0], t, version)
+				transport.TellLeft(message, offset, transport.Millis(command.Decision.At-d.clock.now()))
+				d.attemptEnded(request, 0, command.Decision.Worker,
+					&transport.Answer{Outcome: policy.Settled, Heard: true}, 1)
 			}
 		})
 	}
 }
 
-// What is left from the last look at the terms until the kernel has a submission.
+// BenchmarkLeaseCheckAndWrite is the time from the last check of the lease until the kernel has an attempt.
 func BenchmarkLeaseCheckAndWrite(b *testing.B) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	go func() {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		for buf := make([]byte, 1<<16); err == nil; {
-			_, err = c.Read(buf)
+			_, err = conn.Read(buf)
 		}
 	}()
-	c, err := net.Dial("tcp", l.Addr().String())
+	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer c.Close()
-	terms, msg := inflight.NewLease(1, history.Leased, bootclock.Nanos()+3600e9), make([]byte, 200)
+	defer conn.Close()
+	lease, message := inflight.NewLease(1, history.Leased, bootclock.Nanos()+3600e9), make([]byte, 200)
 	for b.Loop() {
-		if !terms.Valid() {
-			b.Fatal("they do not hold")
+		if !lease.Valid() {
+			b.Fatal("the lease is not valid")
 		}
-		if _, err := c.Write(msg); err != nil {
+		if _, err := conn.Write(message); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/gateway/proxy/checkpoint_test.go
+++ b/internal/gateway/proxy/checkpoint_test.go
@@ -13,26 +13,28 @@
 	"willowdeck/internal/testkit/history"
 )
 
-// desk is one that knows so many customers.
+// newDispatcherWith makes a dispatcher that knows some number of customers.
 func newDispatcherWith(t *testing.T, customers int) *Dispatcher {
 	t.Helper()
-	d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, func(int) {})
-	t.Cleanup(d.Stop)
-	d.lockPolicy()
+	dispatcher := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, func(int) {})
+	t.Cleanup(dispatcher.Stop)
+	dispatcher.lockPolicy()
 	for i := range customers {
-		d.policy.Take(policy.Arrival{ID: 1e6 + uint64(i), Customer: uint64(i), Units: 1, SetSize: 1, Left: 1000})
-		d.policy.Left(1e6 + uint64(i))
+		dispatcher.policy.Take(policy.Arrival{ID: 1e6 + uint64(i), Customer: uint64(i), Units: 1, SetSize: 1,
+			Left: 1000})
+		dispatcher.policy.Left(1e6 + uint64(i))
 	}
-	d.flushAndUnlock()
-	return d
+	dispatcher.flushAndUnlock()
+	return dispatcher
 }
 
 func leaseOf(version uint64) *inflight.Lease {
 	return inflight.NewLease(version, history.Leased, bootclock.Nanos()+3600e9)
 }
 
-// Copies are of the charter that is in force as they are taken, and so is what is gone by: one of another
-// version of the rules, or of plans that have changed in service, is not.
+// A checkpoint names the charter and the ruleset that are in force as it is taken, and is restored under
+// the same ones alone: not under another version of the ruleset, nor under plans that have changed in
+// service.
 func TestCheckpointNamesItsCharter(t *testing.T) {
 	other, narrow := testCharter(), testCharter()
 	other.Plans[0].Rate, narrow.Narrow = 500, true
@@ -42,56 +44,56 @@
 		by, now policy.Charter
 		fits    bool
 	}{
-		{"no rules", nil, nil, testCharter(), testCharter(), true},
+		{"no ruleset", nil, nil, testCharter(), testCharter(), true},
 		{"the same version", leaseOf(3), leaseOf(3), testCharter(), testCharter(), true},
 		{"another version", leaseOf(3), leaseOf(4), testCharter(), testCharter(), false},
-		{"none any more", leaseOf(3), nil, testCharter(), testCharter(), false},
-		{"none before", nil, leaseOf(3), testCharter(), testCharter(), false},
+		{"no ruleset any more", leaseOf(3), nil, testCharter(), testCharter(), false},
+		{"no ruleset before", nil, leaseOf(3), testCharter(), testCharter(), false},
 		{"other plans", leaseOf(3), leaseOf(3), other, testCharter(), false},
 		{"the same other plans", leaseOf(3), leaseOf(3), other, other, true},
-		{"cut off", leaseOf(3), leaseOf(3), narrow, testCharter(), false},
+		{"restricted charter", leaseOf(3), leaseOf(3), narrow, testCharter(), false},
 	} {
 		path := filepath.Join(t.TempDir(), "copy")
-		words := func(all []incarnation.MessageID) []incarnation.MessageID { return all[:0] }
-		d := newDispatcherWith(t, 5)
-		b, _, _, err := checkpoint.Open(path, d.Now())
+		noMessages := func(all []incarnation.MessageID) []incarnation.MessageID { return all[:0] }
+		writer := newDispatcherWith(t, 5)
+		book, _, _, err := checkpoint.Open(path, writer.Now())
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.WriteCheckpoints(b, words)
-		written := func(more int64) {
-			n, until := d.CheckpointStats().Written.Load(), time.Now().Add(10*time.Second)
-			for d.CheckpointStats().Written.Load() < n+more && time.Now().Before(until) {
+		writer.WriteCheckpoints(book, noMessages)
+		awaitWritten := func(more int64) {
+			restored, until := writer.CheckpointStats().Written.Load(), time.Now().Add(10*time.Second)
+			for writer.CheckpointStats().Written.Load() < restored+more && time.Now().Before(until) {
 				time.Sleep(5 * time.Millisecond)
 			}
 		}
-		written(1) // its charter changes while it writes
+		awaitWritten(1) // the charter changes between checkpoints
 		if c.was != nil {
-			d.ApplyRuleset(c.was, c.by)
+			writer.ApplyRuleset(c.was, c.by)
 		}
-		written(2)
-		next := newDispatcherWith(t, 0)
+		awaitWritten(2)
+		restorer := newDispatcherWith(t, 0)
 		if c.is != nil {
-			next.ApplyRuleset(c.is, c.now)
+			restorer.ApplyRuleset(c.is, c.now)
 		}
-		b, l, none, err := checkpoint.Open(path, next.Now())
-		if err != nil || none != nil {
-			t.Fatal(err, none)
+		book, left, rejected, err := checkpoint.Open(path, restorer.Now())
+		if err != nil || rejected != nil {
+			t.Fatal(err, rejected)
 		}
-		b.Close()
-		n, fits := next.RestoreCheckpoint(l, false)
+		book.Close()
+		restored, fits := restorer.RestoreCheckpoint(left, false)
 		want := map[bool]int{true: 5}[c.fits]
-		if fits != c.fits || n != want || next.CheckpointStats().Restored.Load() != int64(n) {
-			t.Errorf("%s: %t, %d customers", c.name, fits, n)
+		if fits != c.fits || restored != want || restorer.CheckpointStats().Restored.Load() != int64(restored) {
+			t.Errorf("%s: %t, %d customers", c.name, fits, restored)
 		}
 	}
 }
 
-// A charter that changes in the middle of a copy has it begin anew. Guards against one whose first pieces are
-// reckoned by the charter before, and that passes for one of the charter after.
+// A snapshot begins anew where the charter changes in the middle. Guards against one whose first parts are
+// relative to the charter before, and that passes for one of the charter after.
 func TestCheckpointDuringCharterChange(t *testing.T) {
 	d := newDispatcherWith(t, 2000)
-	var e policy.Estate
+	var state policy.Estate
 	other := testCharter()
 	other.Plans[0].Rate, other.Plans[0].Burst = 100, 10
 	for range 20 {
@@ -111,14 +113,14 @@
 				going = false
 			default:
 			}
-			of, _ := d.snapshot(&e)
-			for i := range e.Customers {
-				if most := of.charter.Plans[0].Burst; e.Customers[i].Whole > most+1e-9 {
-					t.Fatalf("customer %d holds %v by a charter of %v", i, e.Customers[i].Whole, most)
+			of, _ := d.snapshot(&state)
+			for i := range state.Customers {
+				if burst := of.charter.Plans[0].Burst; state.Customers[i].Whole > burst+1e-9 {
+					t.Fatalf("customer %d has %v under a burst of %v", i, state.Customers[i].Whole, burst)
 				}
 			}
-			if len(e.Customers) != 2000 {
-				t.Fatalf("%d customers", len(e.Customers))
+			if len(state.Customers) != 2000 {
+				t.Fatalf("%d customers", len(state.Customers))
 			}
 		}
 	}
--- a/internal/gateway/proxy/endpoints_bench_test.go
+++ b/internal/gateway/proxy/endpoints_bench_test.go
@@ -16,6 +16,7 @@
 
 const zoneSize = 7900 // workers of one zone
 
+// listOf gives a full list of n workers.
 func listOf(n int) endpoints.List {
 	l := endpoints.List{Whole: true}
 	for i := range n {
@@ -29,36 +30,36 @@
 	return l
 }
 
-// held gives how long a call holds the desk's lock at the longest, in ms, as one who asks for it all the time
-// finds it, and the processor time of the call.
-func (d *Dispatcher) lockTimeDuring(call func()) (longest, took float64) {
-	done, over := make(chan struct{}), make(chan float64)
+// lockTimeDuring gives the longest wait for the dispatcher's lock during a call, as seen by a goroutine
+// that takes it all the time, and the processor time of the call.
+func (d *Dispatcher) lockTimeDuring(call func()) (longestMillis, cpuMillis float64) {
+	done, longestWait := make(chan struct{}), make(chan float64)
 	go func() {
 		most := time.Duration(0)
 		for {
 			select {
 			case <-done:
-				over <- float64(most) / float64(time.Millisecond)
+				longestWait <- float64(most) / float64(time.Millisecond)
 				return
 			default:
 			}
 			began := time.Now()
-			d.mu.Lock()
-			d.mu.Unlock() //lint:ignore SA2001 the wait for the lock is what is measured
+			d.mu.Lock() // the wait for it is what is measured
 			most = max(most, time.Since(began))
+			d.mu.Unlock()
 		}
 	}()
 	time.Sleep(time.Millisecond)
 	runtime.LockOSThread()
 	began := threadCPUTime()
 	call()
-	took = float64(threadCPUTime()-began) / float64(time.Millisecond)
+	cpuMillis = float64(threadCPUTime()-began) / float64(time.Millisecond)
 	runtime.UnlockOSThread()
 	close(done)
-	return <-over, took
+	return <-longestWait, cpuMillis
 }
 
-// threadTime is the processor time of this thread.
+// threadCPUTime is the processor time of this thread.
 func threadCPUTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
@@ -67,66 +68,67 @@
 	return time.Duration(t.Nano())
 }
 
-// BenchmarkDeskHold gives the longest wait for the desk's lock while it takes a list: the first one, the same
-// told again, one worker's change, and a zone's workers that drain and come back, cold. Least, median and
-// worst of the rounds, and the median of the call's processor time, which other work on the machine hardly
-// changes: a list is taken in pieces, each of which holds the lock for its part of that.
+// BenchmarkLockTime gives the longest wait for the dispatcher's lock while it applies a list: the first
+// one, the same again, one worker's change, and a zone's workers that drain and come back with empty
+// caches. It gives the least, the median and the worst of the rounds, and the median of the call's
+// processor time, which other work on the machine hardly changes: a list is applied in chunks, each of
+// which holds the lock for its part of that.
 func BenchmarkLockTime(b *testing.B) {
 	for _, n := range []int{200, 2000, 6000, 20000, 60000, 110000} {
-		for _, what := range []string{"first", "again", "one", "drain", "back"} {
-			if what == "drain" || what == "back" {
+		for _, step := range []string{"first", "again", "one", "drain", "back"} {
+			if step == "drain" || step == "back" {
 				if n < 2*zoneSize {
 					continue
 				}
 			}
-			b.Run(fmt.Sprintf("%s/%d", what, n), func(b *testing.B) {
-				l := listOf(n)
+			b.Run(fmt.Sprintf("%s/%d", step, n), func(b *testing.B) {
+				list := listOf(n)
 				c := policy.Charter{Gatekeepers: 7900, LargestUnits: 8, MaxSubmissions: 3, MayTell: true,
 					PeerInPerS: 60, ReportsPerTell: 20, ColdFrom: 0.2, WarmUp: 20000, Whole: 1,
 					Products: []policy.Product{{SLA: 500, Value: 1}}, Plans: []policy.Plan{{Rate: 1000, Burst: 2000}}}
-				make := func() *Dispatcher {
+				newDispatcher := func() *Dispatcher {
 					return NewDispatcher(c, 1, 2, func(int, []byte) {}, func(int) {})
 				}
-				d := make()
+				d := newDispatcher()
 				defer func() { d.Stop() }()
-				var holds, calls []float64
-				d.ApplyEndpoints(l)
+				var lockTimes, cpuTimes []float64
+				d.ApplyEndpoints(list)
 				for i := range b.N {
-					change := endpoints.List{Workers: slices.Clone(l.Workers[:min(zoneSize, n)])}
+					change := endpoints.List{Workers: slices.Clone(list.Workers[:min(zoneSize, n)])}
 					for k := range change.Workers {
 						change.Workers[k].Active = false
 					}
-					var hold, took float64
-					switch what {
+					var lockMillis, cpuMillis float64
+					switch step {
 					case "first":
 						d.Stop()
-						d = make()
-						hold, took = d.lockTimeDuring(func() { d.ApplyEndpoints(l) })
+						d = newDispatcher()
+						lockMillis, cpuMillis = d.lockTimeDuring(func() { d.ApplyEndpoints(list) })
 					case "again":
-						hold, took = d.lockTimeDuring(func() { d.ApplyEndpoints(l) })
+						lockMillis, cpuMillis = d.lockTimeDuring(func() { d.ApplyEndpoints(list) })
 					case "one":
-						at := i % min(zoneSize, n)
-						change.Workers = change.Workers[at : at+1]
-						hold, took = d.lockTimeDuring(func() { d.ApplyEndpoints(change) })
+						worker := i % min(zoneSize, n)
+						change.Workers = change.Workers[worker : worker+1]
+						lockMillis, cpuMillis = d.lockTimeDuring(func() { d.ApplyEndpoints(change) })
 					case "drain", "back":
-						back := endpoints.List{Workers: slices.Clone(l.Workers[:zoneSize])}
+						back := endpoints.List{Workers: slices.Clone(list.Workers[:zoneSize])}
 						for k := range back.Workers {
 							back.Workers[k].Since = d.Now()
 						}
-						hold, took = d.lockTimeDuring(func() { d.ApplyEndpoints(change) })
+						lockMillis, cpuMillis = d.lockTimeDuring(func() { d.ApplyEndpoints(change) })
 						h, c := d.lockTimeDuring(func() { d.ApplyEndpoints(back) })
-						if what == "back" {
-							hold, took = h, c
+						if step == "back" {
+							lockMillis, cpuMillis = h, c
 						}
 					}
-					holds, calls = append(holds, hold), append(calls, took)
+					lockTimes, cpuTimes = append(lockTimes, lockMillis), append(cpuTimes, cpuMillis)
 				}
-				slices.Sort(holds)
-				slices.Sort(calls)
-				b.ReportMetric(holds[0], "least-hold-ms")
-				b.ReportMetric(holds[len(holds)/2], "hold-ms")
-				b.ReportMetric(holds[len(holds)-1], "worst-hold-ms")
-				b.ReportMetric(calls[len(calls)/2], "call-cpu-ms")
+				slices.Sort(lockTimes)
+				slices.Sort(cpuTimes)
+				b.ReportMetric(lockTimes[0], "least-hold-ms")
+				b.ReportMetric(lockTimes[len(lockTimes)/2], "hold-ms")
+				b.ReportMetric(lockTimes[len(lockTimes)-1], "worst-hold-ms")
+				b.ReportMetric(cpuTimes[len(cpuTimes)/2], "call-cpu-ms")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
--- a/internal/gateway/proxy/endpoints_test.go
+++ b/internal/gateway/proxy/endpoints_test.go
@@ -11,41 +11,43 @@
 	"willowdeck/internal/policy"
 )
 
-// Guards against a list that is taken in pieces, among txns, and of which something is not gone by once it is
-// taken: a txn that comes then goes to no worker that drains or is gone, and all workers that are on the list
-// are there again. While it is taken the desk stays ready, and no txn lacks a worker.
+// A list that is applied in chunks, beside requests, is in force completely afterwards: later requests go
+// to no worker that drains or is removed, and all workers that are on the list are used again. Meanwhile
+// the dispatcher stays ready, and no request lacks a worker.
 func TestListInChunks(t *testing.T) {
-	const all, part = 6 * policy.ListPiece, 5 * policy.ListPiece / 2
+	const total, changed = 6 * policy.ListPiece, 5 * policy.ListPiece / 2
 	d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, func(int) {})
 	t.Cleanup(d.Stop)
-	l := listOf(all)
-	d.ApplyEndpoints(l)
-	time.Sleep(20 * time.Millisecond)        // what a start takes as spent
-	var away atomic.Pointer[map[string]bool] // workers that are off, once a list that says so has been taken
-	away.Store(&map[string]bool{})
-	var ends sync.WaitGroup
+	list := listOf(total)
+	d.ApplyEndpoints(list)
+	time.Sleep(20 * time.Millisecond)            // until what counts as used up at a start is over
+	var inactive atomic.Pointer[map[string]bool] // workers that take nothing, once that list is applied
+	inactive.Store(&map[string]bool{})
+	var clients sync.WaitGroup
 	done := make(chan struct{})
-	var sent, wrong, none atomic.Int64
+	var sent, toInactive, notSent atomic.Int64
 	for k := range 4 {
-		ends.Go(func() {
+		clients.Go(func() {
 			for n := 0; ; n++ {
 				select {
 				case <-done:
 					return
 				default:
 				}
-				off := away.Load()
-				h := d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: uint64(1000*k + n), Units: 1, SetSize: 1,
-					Left: 900}})
-				w := <-h.Commands
-				if w.Decision.Kind != policy.Submit {
-					none.Add(1)
+				excluded := inactive.Load()
+				request := d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: uint64(1000*k + n), Units: 1,
+					SetSize: 1, Left: 900}})
+				command := <-request.Commands
+				if command.Decision.Kind != policy.Submit {
+					notSent.Add(1)
 					continue
 				}
-				if sent.Add(1); (*off)[w.Upstream.Name()] && away.Load() == off { // they are not told of as back yet
-					wrong.Add(1)
+				// The workers are inactive still where inactive has not been replaced meanwhile.
+				if sent.Add(1); (*excluded)[command.Upstream.Name()] && inactive.Load() == excluded {
+					toInactive.Add(1)
 				}
-				d.attemptEnded(h, w.Decision.N, w.Decision.Worker, &transport.Answer{Outcome: policy.Settled}, 20)
+				d.attemptEnded(request, command.Decision.N, command.Decision.Worker,
+					&transport.Answer{Outcome: policy.Settled}, 20)
 				if !d.Ready() {
 					t.Error("not ready")
 				}
@@ -53,39 +55,39 @@
 		})
 	}
 	for round := range 6 {
-		off, on, next := endpoints.List{}, endpoints.List{}, map[string]bool{}
-		for i := range part {
-			e := l.Workers[(round*part/3+i)%all]
-			on.Workers = append(on.Workers, e)
-			if e.Active, e.Gone = false, i%2 == 0; !e.Gone || round%2 == 0 {
-				off.Workers = append(off.Workers, e)
+		removal, restoration, removed := endpoints.List{}, endpoints.List{}, map[string]bool{}
+		for i := range changed {
+			entry := list.Workers[(round*changed/3+i)%total]
+			restoration.Workers = append(restoration.Workers, entry)
+			if entry.Active, entry.Gone = false, i%2 == 0; !entry.Gone || round%2 == 0 {
+				removal.Workers = append(removal.Workers, entry)
 			}
-			next[e.Name] = true
+			removed[entry.Name] = true
 		}
-		if round%2 > 0 { // a whole list, which leaves out those gone
-			for _, e := range l.Workers {
-				if !next[e.Name] {
-					off.Workers = append(off.Workers, e)
+		if round%2 > 0 { // a full list, which leaves out the removed workers
+			for _, entry := range list.Workers {
+				if !removed[entry.Name] {
+					removal.Workers = append(removal.Workers, entry)
 				}
 			}
-			off.Whole = true
+			removal.Whole = true
 		}
-		d.ApplyEndpoints(off)
-		away.Store(&next)
+		d.ApplyEndpoints(removal)
+		inactive.Store(&removed)
 		time.Sleep(20 * time.Millisecond)
-		if n := d.Tally().Workers; n != all-part {
+		if n := d.Tally().Workers; n != total-changed {
 			t.Errorf("round %d: %d workers are left", round, n)
 		}
-		away.Store(&map[string]bool{})
-		d.ApplyEndpoints(on)
-		if n := d.Tally().Workers; n != all {
+		inactive.Store(&map[string]bool{})
+		d.ApplyEndpoints(restoration)
+		if n := d.Tally().Workers; n != total {
 			t.Errorf("round %d: %d workers are back", round, n)
 		}
 	}
 	close(done)
-	ends.Wait()
-	if sent.Load() < 1000 || wrong.Load() > 0 || d.Tally().Final[policy.ByNoWorker] > 0 {
-		t.Errorf("%d sent, %d of them to workers that were off; %d not sent, %d for want of a worker", sent.Load(),
-			wrong.Load(), none.Load(), d.Tally().Final[policy.ByNoWorker])
+	clients.Wait()
+	if sent.Load() < 1000 || toInactive.Load() > 0 || d.Tally().Final[policy.ByNoWorker] > 0 {
+		t.Errorf("%d sent, %d of them to inactive workers; %d not sent, %d for lack of a worker", sent.Load(),
+			toInactive.Load(), notSent.Load(), d.Tally().Final[policy.ByNoWorker])
 	}
 }
--- a/internal/gateway/proxy/journal.go
+++ b/internal/gateway/proxy/journal.go
@@ -26,7 +26,8 @@
 
 // EnableJournal has non-idempotent requests journaled from here on. It is to be called before the first
 // request, if at all. Names are the products', by index.
-func (p *Proxy) EnableJournal(k *store.Keeper, t txnjournal.Terms, products []policy.Product, names []string) {
+func (p *Proxy) EnableJournal(k *store.Keeper, t txnjournal.Terms, products []policy.Product,
+	names []string) {
 	j := &requestJournal{Keeper: k, productNames: names, maxAnswerBytes: t.Answer}
 	for _, product := range products {
 		j.nonIdempotent = append(j.nonIdempotent, product.Repeat == policy.OnceOnly)
@@ -44,8 +45,8 @@
 	_, _ = sum.Write(t.Target)
 	_, _ = sum.Write([]byte{0})
 	_, _ = sum.Write(t.Body)
-	return &txnjournal.Txn{Customer: t.Customer, Mark: string(t.Mark), Product: p.journal.productNames[t.Product],
-		Digest: sum.Sum32()}
+	return &txnjournal.Txn{Customer: t.Customer, Mark: string(t.Mark),
+		Product: p.journal.productNames[t.Product], Digest: sum.Sum32()}
 }
 
 // journalAttempt is an attempt as the journal names it.
@@ -66,7 +67,8 @@
 // answerFromJournal answers a request that was sent before, which is not sent again: with its own answer
 // where that is kept, else with one that promises nothing. So it does where the journal can't be read: a
 // rejection would tell that the request never ran.
-func (p *Proxy) answerFromJournal(t *transport.Txn, entry *txnjournal.Txn) (final transport.Final, known bool) {
+func (p *Proxy) answerFromJournal(t *transport.Txn, entry *txnjournal.Txn) (final transport.Final,
+	known bool) {
 	if entry == nil {
 		return final, false
 	}
--- a/internal/gateway/proxy/locktimes_test.go
+++ b/internal/gateway/proxy/locktimes_test.go
@@ -7,28 +7,29 @@
 	"willowdeck/internal/policy"
 )
 
-// What holds the lock up for lists and for their changes is told apart, and grows only.
+// The lock times of full lists and of changes are recorded separately, and only grow.
 func TestLockTimes(t *testing.T) {
 	c := policy.Charter{Gatekeepers: 1, Products: []policy.Product{{SLA: 500}}, Plans: []policy.Plan{{}}}
 	d := NewDispatcher(c, 1, 0,
 		func(int, []byte) {}, func(int) {})
 	defer d.Stop()
-	h := d.LockTimes()
-	if l, c, r := h.FullListMicros.Load(), h.ChangeMicros.Load(), h.RulesetMicros.Load(); l != 0 || c != 0 || r != 0 {
-		t.Errorf("at first: %d, %d, %d us", l, c, r)
+	lockTimes := d.LockTimes()
+	fullList, change := lockTimes.FullListMicros.Load(), lockTimes.ChangeMicros.Load()
+	if ruleset := lockTimes.RulesetMicros.Load(); fullList != 0 || change != 0 || ruleset != 0 {
+		t.Errorf("at first: %d, %d, %d us", fullList, change, ruleset)
 	}
-	l := listOf(20000)
-	d.ApplyEndpoints(l)
-	first := h.FullListMicros.Load()
-	if first == 0 || h.ChangeMicros.Load() != 0 {
-		t.Errorf("after a list: %d and %d us", first, h.ChangeMicros.Load())
+	list := listOf(20000)
+	d.ApplyEndpoints(list)
+	first := lockTimes.FullListMicros.Load()
+	if first == 0 || lockTimes.ChangeMicros.Load() != 0 {
+		t.Errorf("after a list: %d and %d us", first, lockTimes.ChangeMicros.Load())
 	}
-	w := l.Workers[:5000]
+	w := list.Workers[:5000]
 	for i := range w {
 		w[i].Active = false
 	}
 	d.ApplyEndpoints(endpoints.List{Version: 2, Workers: w})
-	if h.ChangeMicros.Load() == 0 || h.FullListMicros.Load() != first {
-		t.Errorf("after changes: %d and %d us", h.FullListMicros.Load(), h.ChangeMicros.Load())
+	if lockTimes.ChangeMicros.Load() == 0 || lockTimes.FullListMicros.Load() != first {
+		t.Errorf("after changes: %d and %d us", lockTimes.FullListMicros.Load(), lockTimes.ChangeMicros.Load())
 	}
 }
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -30,7 +30,7 @@
 	entry          *journalAttempt   // nil where the attempt is not journaled
 	clientMillis   float64           // how long the client waits once the body has been sent
 	requestMark    string            // the request's mark, where history is recorded
-	ordinal        uint64            // attempts of the request at the same worker before, where history is recorded
+	ordinal        uint64            // earlier attempts at the same worker, where history is recorded
 }
 
 // New makes a proxy over a dispatcher and the connections to workers.
--- a/internal/gateway/proxy/requests.go
+++ b/internal/gateway/proxy/requests.go
@@ -138,7 +138,8 @@
 }
 
 // attemptEnded tells the policy how attempt n ended. A worker's first answer settles the request.
-func (d *Dispatcher) attemptEnded(r *inflight.Request, n, worker int, a *transport.Answer, tookMillis float64) {
+func (d *Dispatcher) attemptEnded(r *inflight.Request, n, worker int, a *transport.Answer,
+	tookMillis float64) {
 	now := d.lockPolicy()
 	d.meter.Answered(d.workers.Zone(worker), r.Product, a.Outcome, tookMillis, r.Answered)
 	if a.Heard {
