--- a/internal/supervisor/branch.go
+++ b/internal/supervisor/branch.go
@@ -44,13 +44,13 @@
 	follower *distribution.Follower // by way of feed alone
 	feed     *relay.Feed
 	leave    context.CancelFunc // ends the feed
-	warden   ruleset.Warden
-	lag      *ruleset.Lag
+	warden   ruleset.LeaseGrantor
+	lag      *ruleset.IndexLag
 	askers   map[int]asker
 
 	view    distribution.View // as last taken
 	lease   ruleset.Lease
-	bad     [2]versioned.Mark // of rules, and pending ones, that were told and make no sense
+	bad     [2]versioned.VersionID // of rules, and pending ones, that were told and make no sense
 	inForce ruleset.Version
 	said    uint64 // the step that was last told to have been seen
 	index   int64  // of discovery's list, the highest here
@@ -67,7 +67,7 @@
 func newBranch(cluster string, r *RelayFile, record history.Recorder, log zerolog.Logger) *branch {
 	b := &branch{cluster: cluster, me: r.Me, log: log, record: record,
 		copy:    relay.NewCopy(r.Store, cluster, log),
-		changed: make(chan struct{}, 1), lag: ruleset.NewLag(), askers: map[int]asker{}, index: -1}
+		changed: make(chan struct{}, 1), lag: ruleset.NewIndexLag(), askers: map[int]asker{}, index: -1}
 	b.view.Index = -1
 	b.ctx, b.end = context.WithCancel(context.Background())
 	b.wait.Add(1)
@@ -89,7 +89,7 @@
 	}
 	f := distribution.NewFollower(distribution.Config{Name: b.me, Cluster: b.cluster, Upstream: len(upstream),
 		Lease: bornLease, Interest: ruleset.Interest{Host: b.me, Around: distribution.Around}, Seed: rand.Int63()},
-		raftlog.Clock())
+		raftlog.BootClockMillis())
 	if b.feed == nil {
 		b.copy.Base(f)
 	} else {
@@ -124,32 +124,32 @@
 		return
 	}
 	v, ok := b.feed.View()
-	said := [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()}
+	said := [2]versioned.VersionID{v.Rules.ID(), v.Pending.ID()}
 	if !ok || v.Step < b.view.Step || v.Step == b.view.Step && v.Begun < b.view.Begun || said == b.bad {
 		return
 	}
-	rules, pending := b.view.Rules.Mark(), b.view.Pending.Mark()
-	if v.Rules.Mark() != rules || v.Pending.Mark() != pending {
+	rules, pending := b.view.Rules.ID(), b.view.Pending.ID()
+	if v.Rules.ID() != rules || v.Pending.ID() != pending {
 		l, err := leaseOf(&v)
 		if err != nil {
 			b.bad = said
 			b.log.Error().Err(err).Msg("rules that make no sense: those before go on until their time")
 			return
 		}
-		if l.Foreign != "" {
-			b.log.Error().Str("needs", l.Foreign).
+		if l.UnsupportedFeature != "" {
+			b.log.Error().Str("needs", l.UnsupportedFeature).
 				Msg("rules in force that this program does not know: instances stay as they are")
 		}
 		b.lease = l
 		b.copy.Keep(v)
 	}
-	b.view, b.lease.Step, b.lease.Settled = v, v.Step, v.Settled
-	if v.Rules.Mark() != rules {
+	b.view, b.lease.Step, b.lease.TransitionComplete = v, v.Step, v.Settled
+	if v.Rules.ID() != rules {
 		if b.record != nil {
-			b.record.Write(history.Event{Kind: history.Gives, Version: v.Rules.Mark().Number,
-				Age: raftlog.Clock() - v.Begun})
+			b.record.Write(history.Event{Kind: history.Gives, Version: v.Rules.ID().Number,
+				Age: raftlog.BootClockMillis() - v.Begun})
 		}
-		if b.lease.Foreign == "" {
+		if b.lease.UnsupportedFeature == "" {
 			b.inForce = b.lease.Version
 			select {
 			case b.changed <- struct{}{}:
@@ -163,26 +163,26 @@
 // leaseOf reads what a view says. Rules that this program does not know whole are left empty, and named.
 func leaseOf(v *distribution.View) (l ruleset.Lease, err error) {
 	read := func(s *versioned.State) (ruleset.Version, string, error) {
-		v, err := ruleset.FromState(s)
-		if errors.Is(err, ruleset.ErrForeign) {
-			return ruleset.Version{Number: s.Mark().Number}, err.Error(), nil
+		v, err := ruleset.VersionFromState(s)
+		if errors.Is(err, ruleset.ErrUnsupported) {
+			return ruleset.Version{Number: s.ID().Number}, err.Error(), nil
 		}
 		if err == nil {
-			err = ruleset.CheckPart(&v.Rules)
+			err = ruleset.ValidateSubset(&v.Rules)
 		}
 		return v, "", err
 	}
-	if l.Version, l.Foreign, err = read(v.Rules); err != nil || v.Pending == nil {
+	if l.Version, l.UnsupportedFeature, err = read(v.Rules); err != nil || v.Pending == nil {
 		return l, err
 	}
 	p, strange, err := read(v.Pending)
-	l.Pending, l.Strange = &p.Rules, strange
+	l.Pending, l.PendingUnsupportedFeature = &p.Rules, strange
 	return l, err
 }
 
 // say has the follower tell what all processes of this host go by, where that is news; under the lock.
 func (b *branch) say() {
-	seen, highest := b.warden.Seen(b.view.Step), int64(-1)
+	seen, highest := b.warden.AckedStep(b.view.Step), int64(-1)
 	for _, a := range b.askers {
 		highest = max(highest, a.index)
 	}
@@ -208,45 +208,45 @@
 	return b.inForce
 }
 
-// Began tells of a process of this host's gatekeepers; before: it ran before this daemon did.
-func (b *branch) Began(pid int, before bool) {
+// ProcessStarted tells of a process of this host's gatekeepers; before: it ran before this daemon did.
+func (b *branch) ProcessStarted(pid int, before bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.warden.Began(pid, before)
+	b.warden.ProcessStarted(pid, before)
 }
 
-// Ended tells that a process is no more.
-func (b *branch) Ended(pid int) {
+// ProcessExited tells that a process is no more.
+func (b *branch) ProcessExited(pid int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.warden.Ended(pid)
+	b.warden.ProcessExited(pid)
 	if a, there := b.askers[pid]; there {
-		b.lag.Left(a.name)
+		b.lag.Remove(a.name)
 		delete(b.askers, pid)
 	}
 	b.say()
 }
 
-// Asked answers a process of a gatekeeper, as raftlog.Seat's does.
-func (b *branch) Asked(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
+// RenewLease answers a process of a gatekeeper, as raftlog.RulesetNode's does.
+func (b *branch) RenewLease(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := raftlog.Clock()
-	if !b.warden.Asked(pid, holds) {
+	now := raftlog.BootClockMillis()
+	if !b.warden.RecordRequest(pid, holds) {
 		return ruleset.Lease{}, false
 	}
 	b.askers[pid] = asker{name, holds, index, time.Now()}
 	if index >= 0 {
-		b.lag.Told(name, index, now)
+		b.lag.Report(name, index, now)
 	}
 	b.take()
 	b.say()
 	l := b.lease
-	l.Age = raftlog.Clock() - b.view.Begun
-	if b.view.Step == 0 || !(l.Age < ruleset.LeaseOf(b.view.Rules)) {
+	l.AgeMillis = raftlog.BootClockMillis() - b.view.Begun
+	if b.view.Step == 0 || !(l.AgeMillis < ruleset.StateLeaseMillis(b.view.Rules)) {
 		return ruleset.Lease{}, false
 	}
-	b.warden.Given(pid)
+	b.warden.RecordGrant(pid)
 	return l, true
 }
 
@@ -257,8 +257,8 @@
 	return b.view
 }
 
-// Highest gives the highest index of discovery's list that any process has told, here or elsewhere.
-func (b *branch) Highest() int64 {
+// HighestDiscoveryIndex gives the highest index of discovery's list that any process has told, here or elsewhere.
+func (b *branch) HighestDiscoveryIndex() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return max(b.index, b.view.Index, 0)
@@ -284,15 +284,16 @@
 	Step     uint64   `json:"step"`
 	Settled  bool     `json:"settled"`
 	// ago that a quorum confirmed it; below nought nothing has been
-	ReadMS  float64             `json:"read_ms"`
-	Pending uint64              `json:"pending,omitempty"`
-	Foreign string              `json:"foreign,omitempty"` // what of the rules this program does not know
-	Seen    uint64              `json:"seen"`              // the step that all processes here go by, or later
-	Behind  map[string]uint64   `json:"behind,omitempty"`  // instances that hold an older one
-	CutOff  map[string]float64  `json:"cut_off,omitempty"` // instances here: ms since they last asked
-	Lags    []ruleset.Behind    `json:"lags,omitempty"`
-	Counts  distribution.Counts `json:"counts"`
-	Copies  struct {
+	ReadMS  float64 `json:"read_ms"`
+	Pending uint64  `json:"pending,omitempty"`
+	Foreign string  `json:"foreign,omitempty"` // what of the rules this program does not know
+	// the step that all processes here go by, or later
+	Seen   uint64                  `json:"seen"`
+	Behind map[string]uint64       `json:"behind,omitempty"`  // instances that hold an older one
+	CutOff map[string]float64      `json:"cut_off,omitempty"` // instances here: ms since they last asked
+	Lags   []ruleset.LaggingMember `json:"lags,omitempty"`
+	Counts distribution.Counts     `json:"counts"`
+	Copies struct {
 		Written int64 `json:"written"`
 		Failed  int64 `json:"failed"`
 		Aside   int64 `json:"aside"`
@@ -304,7 +305,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := Following{Cluster: b.cluster, Me: b.me, Upstream: b.upstream, Depth: b.view.Depth, ReadMS: -1,
-		Step: b.view.Step, Settled: b.view.Settled, Foreign: b.lease.Foreign, Seen: b.said,
+		Step: b.view.Step, Settled: b.view.Settled, Foreign: b.lease.UnsupportedFeature, Seen: b.said,
 		Behind: map[string]uint64{}, CutOff: map[string]float64{}}
 	if b.feed == nil {
 		return s
@@ -313,9 +314,9 @@
 	s.Copies.Written, s.Copies.Failed, s.Copies.Aside = b.copy.Counts()
 	lease := bornLease
 	if b.view.Step > 0 {
-		s.Version, s.Mark = b.view.Rules.Mark().Number, b.view.Rules.Mark().String()
-		s.Pending = b.view.Pending.Mark().Number
-		s.ReadMS, lease = raftlog.Clock()-b.view.Begun, ruleset.LeaseOf(b.view.Rules)
+		s.Version, s.Mark = b.view.Rules.ID().Number, b.view.Rules.ID().String()
+		s.Pending = b.view.Pending.ID().Number
+		s.ReadMS, lease = raftlog.BootClockMillis()-b.view.Begun, ruleset.StateLeaseMillis(b.view.Rules)
 	}
 	s.Members = len(b.lease.Version.Rules.Members)
 	for _, m := range b.lease.Version.Rules.Members {
@@ -332,7 +333,7 @@
 			s.CutOff[a.name] = age
 		}
 	}
-	s.Lags = b.lag.Late(raftlog.Clock(), lagAfter)
+	s.Lags = b.lag.Lagging(raftlog.BootClockMillis(), lagAfter)
 	return s
 }
 
