--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -55,15 +55,22 @@
 	if v.deadlineOffset > 0 {
 		v.message = transport.TellLeft(v.message, v.deadlineOffset, deadline.Sub(now))
 	}
+	return p.sendAndReceive(&v, link, startedMillis)
+}
+
+// sendAndReceive writes an attempt to its connection, and waits for the answer.
+func (p *Proxy) sendAndReceive(v *delivery, link *transport.Link, startedMillis float64) (
+	*transport.Answer, *transport.Link, float64) {
+	var answer *transport.Answer
 	err := link.Send(v.message)
 	if err == nil && v.upload != nil {
 		var sent bool
-		if answer, startedMillis, sent, err = p.streamBody(v, link); sent || err == nil {
-			return p.finishAttempt(v, link, answer, err, startedMillis)
+		if answer, startedMillis, sent, err = p.streamBody(*v, link); sent || err == nil {
+			return p.finishAttempt(*v, link, answer, err, startedMillis)
 		}
 	}
 	if err != nil {
-		cancelled := attempt.Finish()
+		cancelled := v.command.Attempt.Finish()
 		p.links.Drop(link)
 		if cancelled || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, errClientBody) ||
 			errors.Is(err, transport.ErrStale) {
@@ -73,8 +80,9 @@
 		return &transport.Answer{Outcome: policy.NoRoute}, nil, startedMillis
 	}
 	p.links.Wrote()
-	answer, err = link.Receive(func() { p.dispatcher.workerResponded(upstream.Worker) })
-	return p.finishAttempt(v, link, answer, err, startedMillis)
+	worker := v.command.Upstream.Worker
+	answer, err = link.Receive(func() { p.dispatcher.workerResponded(worker) })
+	return p.finishAttempt(*v, link, answer, err, startedMillis)
 }
 
 // dial opens a connection to a worker, or gives the attempt's end where it can't.
