--- a/internal/serving/stateview/store.go
+++ b/internal/serving/stateview/store.go
@@ -127,6 +127,7 @@
 	s.confirmQuorumContact(synced)
 }
 
+// confirmQuorumContact is ConfirmQuorumContact for callers that hold s.mu.
 func (s *Store) confirmQuorumContact(synced bool) {
 	s.synced = synced
 	s.hadContact = true
@@ -141,10 +142,12 @@
 	return s.hasQuorumContact()
 }
 
+// hasQuorumContact is HasQuorumContact for callers that hold s.mu.
 func (s *Store) hasQuorumContact() bool {
 	return s.hadContact && s.clock()-s.quorumContactAt < quorumContactTimeout
 }
 
+// setDocument puts a configuration in force. s.mu must be held.
 func (s *Store) setDocument(document *configuration.Document) {
 	s.document = document
 	s.history = append(s.history, document)
--- a/internal/serving/stateview/updates.go
+++ b/internal/serving/stateview/updates.go
@@ -26,8 +26,8 @@
 }
 
 // Apply applies an update from a provider. It returns false where the configuration's base is not the one in
-// force here: the rest was applied, and the subscriber has to subscribe again to get a full update. Committed
-// state that is older than the store's is ignored.
+// force here: the committed state then stays as it was, and the subscriber has to subscribe again to get a
+// full update. Committed state that is older than the store's is ignored.
 func (s *Store) Apply(update *wirepb.FeedUpdate) (usable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/serving/watch/subscriber.go
+++ b/internal/serving/watch/subscriber.go
@@ -26,7 +26,9 @@
 	Distance int // the smaller the better
 }
 
-// Subscriber keeps a store up to date from one provider at a time. X// use.
+// Subscriber keeps a store up to date from one provider at a time. Its fields must not be changed once
+// Run was called. Status and StatusChanged are called from two goroutines, the other callbacks from Run's
+// alone.
 type Subscriber struct {
 	Store       *stateview.Store
 	DialTimeout time.Duration
