--- a/internal/serving/configuration/route.go
+++ b/internal/serving/configuration/route.go
@@ -9,20 +9,20 @@
 
 // Route states which services answer the requests to a host below a path prefix, and how.
 type Route struct {
-	Name            string   `json:"name"`
-	Hostname        string   `json:"hostname"`
-	PathPrefix      string   `json:"path_prefix"`
-	RouteType       string   `json:"route_type"`
-	TimeoutMs       float64  `json:"timeout_ms"`
-	TargetLatencyMs float64  `json:"target_latency_ms"`
+	Name            string   `json:"name"`              // for messages only
+	Hostname        string   `json:"hostname"`          // compared without regard to case
+	PathPrefix      string   `json:"path_prefix"`       // begins and ends with a slash; the longest match wins
+	RouteType       string   `json:"route_type"`        // Idempotent, NonIdempotent or Streaming
+	TimeoutMs       float64  `json:"timeout_ms"`        // of a request with all its attempts
+	TargetLatencyMs float64  `json:"target_latency_ms"` // 0: none
 	Priority        int      `json:"priority"`
-	Backend         string   `json:"backend"`
-	TrafficSplit    []Split  `json:"traffic_split"`
-	MaxAttempts     int      `json:"max_attempts"`
+	Backend         string   `json:"backend"`       // the service; ignored where TrafficSplit is not empty
+	TrafficSplit    []Split  `json:"traffic_split"` // the services by weight
+	MaxAttempts     int      `json:"max_attempts"`  // of a request; 0 counts as 1
 	SessionAffinity bool     `json:"session_affinity"`
-	Resumable       bool     `json:"resumable"`
-	TargetGapMs     float64  `json:"gap_aim_ms"`
-	AllowedRegions  []string `json:"allowed_regions"`
+	Resumable       bool     `json:"resumable"`       // streams may go on at another worker, by Last-Event-Id
+	TargetGapMs     float64  `json:"gap_aim_ms"`      // between two events of a stream; 0: none
+	AllowedRegions  []string `json:"allowed_regions"` // of the workers; empty: all
 }
 
 // Split is one service's share of a route's requests, in proportion to the weights.
