--- a/internal/serving/workerlink/pool.go
+++ b/internal/serving/workerlink/pool.go
@@ -72,7 +72,7 @@
 
 func dial(ctx context.Context, address string, timeout time.Duration) (*Conn, error) {
 	dialer := net.Dialer{
-		Timeout: timeout, KeepAliveConfig: keepAlive, Control: framing.GiveUpAfter(unacknowledgedTimeout),
+		Timeout: timeout, KeepAliveConfig: keepAlive, Control: framing.UserTimeout(unacknowledgedTimeout),
 	}
 	connection, err := dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
