--- a/internal/serving/slowstart/demand.go
+++ b/internal/serving/slowstart/demand.go
@@ -2,37 +2,23 @@
 
 import (
 	"maps"
-	"math"
 	"slices"
 	"time"
 
 	"willowdeck/internal/serving/wirepb"
 )
 
-// demandTimeConstant is the time constant of the demand estimate.
-const demandTimeConstant = time.Second
+const (
+	// demandTimeConstant is the time constant of the demand estimate.
+	demandTimeConstant = time.Second
+	// requestPerSecond is what one request adds to a demand, which is a decaying count over its time constant.
+	requestPerSecond = float64(time.Second) / float64(demandTimeConstant)
+)
 
 // maxReportingEdges is how many edges there may be for them to report demands to each other. Beyond it a
 // split by demand is worth less than its messages, whose number grows with the square of the edges.
 const maxReportingEdges = 30
 
-// decayingRate estimates a rate of events by a count that decays exponentially with demandTimeConstant.
-type decayingRate struct {
-	value     float64 // events a second, as of updatedAt
-	updatedAt time.Duration
-}
-
-// add counts one event.
-func (r *decayingRate) add(now time.Duration) {
-	r.value = r.perSecond(now) + 1/demandTimeConstant.Seconds()
-	r.updatedAt = now
-}
-
-// perSecond returns the estimate at now.
-func (r *decayingRate) perSecond(now time.Duration) float64 {
-	return r.value * math.Exp(-(now-r.updatedAt).Seconds()/demandTimeConstant.Seconds())
-}
-
 // DemandReports returns what this edge reports to the others: its demand for each worker that is hot here
 // or, zero included, that another edge has reported. demands are the newest reports of all edges. It must
 // be called once a report interval, and forgets the workers that are idle.
@@ -58,7 +44,7 @@
 	for _, instance := range slices.Sorted(maps.Keys(instances)) {
 		perSecond := 0.0
 		if w := l.workers[instance]; w != nil {
-			perSecond = w.demand.perSecond(now)
+			perSecond = w.demand.At(now)
 			w.reported = [2]float64{perSecond, w.reported[0]}
 		}
 		reports = append(reports, &wirepb.Demand{
--- a/internal/serving/slowstart/doc.go
+++ b/internal/serving/slowstart/doc.go
@@ -11,5 +11,5 @@
 //     once.
 //
 // A Limiter is owned by the edge's decisions and is not safe for concurrent use. The package has no I/O,
-// clock or goroutines, and imports nothing of the project but gcra and the messages' types (wirepb).
+// clock or goroutines, and imports nothing of the project but gcra, decay and the messages' types (wirepb).
 package slowstart
--- a/internal/serving/slowstart/limiter.go
+++ b/internal/serving/slowstart/limiter.go
@@ -4,6 +4,7 @@
 	"math"
 	"time"
 
+	"willowdeck/internal/serving/decay"
 	"willowdeck/internal/serving/wirepb"
 )
 
@@ -28,7 +29,7 @@
 // worker is the state of one worker that is warming up.
 type worker struct {
 	bucket        bucket
-	demand        decayingRate // of requests for it at this edge, admitted or not
+	demand        decay.Sum // requests a second for it at this edge, admitted or not
 	hot           bool
 	lastHotDemand time.Duration // when demand was last high enough for hot; at first, when the worker came
 	lastRequest   time.Duration
@@ -53,11 +54,11 @@
 ) (wait time.Duration, ok bool) {
 	w := l.workers[instance]
 	if w == nil {
-		w = &worker{demand: decayingRate{updatedAt: now}, lastHotDemand: now}
+		w = &worker{demand: decay.NewSum(demandTimeConstant), lastHotDemand: now}
 		l.workers[instance] = w
 	}
 	w.lastRequest = now
-	w.demand.add(now)
+	w.demand.Add(now, requestPerSecond)
 	w.updateHot(now, limits, edges)
 	rate := l.rate(w, instance, limits, edges, demands)
 	depth := rate*math.Max(limits.Overshoot-1, 0) + limits.Slack/float64(edges)
@@ -75,7 +76,7 @@
 // updateHot turns the worker hot by this edge's demand, and back after the cooldown.
 func (w *worker) updateHot(now time.Duration, limits Limits, edges int) {
 	quietShare := limits.PerSecond * usableFraction * quietFraction / float64(edges)
-	if w.demand.perSecond(now) >= quietShare*hotFraction {
+	if w.demand.At(now) >= quietShare*hotFraction {
 		w.hot = true
 		w.lastHotDemand = now
 	} else if now-w.lastHotDemand > cooldown {
