--- a/internal/serving/decay/sum.go
+++ b/internal/serving/decay/sum.go
@@ -8,13 +8,13 @@
 // Sum is a sum of amounts that decay exponentially with one time constant. Times are those of the caller's
 // clock. The zero Sum is not usable; NewSum makes one.
 type Sum struct {
-	timeConstant time.Duration
-	value        float64 // as of updatedAt
-	updatedAt    time.Duration
+	timeConstantSeconds float64
+	value               float64 // as of updatedAt
+	updatedAt           time.Duration
 }
 
 // NewSum returns an empty sum whose amounts are down to 1/e after timeConstant, which must be positive.
-func NewSum(timeConstant time.Duration) Sum { return Sum{timeConstant: timeConstant} }
+func NewSum(timeConstant time.Duration) Sum { return Sum{timeConstantSeconds: timeConstant.Seconds()} }
 
 // Add adds an amount at now.
 func (s *Sum) Add(now time.Duration, amount float64) {
@@ -23,9 +23,6 @@
 }
 
 // At returns the sum at now.
-func (s *Sum) At(now time.Duration) float64 { return s.value * Factor(now-s.updatedAt, s.timeConstant) }
-
-// Factor returns the part that is left of an amount after a time, between 0 and 1.
-func Factor(elapsed, timeConstant time.Duration) float64 {
-	return math.Exp(-elapsed.Seconds() / timeConstant.Seconds())
+func (s *Sum) At(now time.Duration) float64 {
+	return s.value * math.Exp(-(now-s.updatedAt).Seconds()/s.timeConstantSeconds)
 }
--- a/internal/serving/edge/decisions.go
+++ b/internal/serving/edge/decisions.go
@@ -79,7 +79,7 @@
 func (d *decisions) choose(
 	now time.Duration, t *table, service string, route *configuration.Route, request *loadbalancer.Request,
 	excluded map[string]bool,
-) (chosen worker, sent loadbalancer.Prompt, wait time.Duration, ok bool) {
+) (chosen worker, sent loadbalancer.PrefillNotice, wait time.Duration, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var candidates []worker
@@ -90,7 +90,7 @@
 	}
 	wait = noWorkerWait
 	for i := range candidates {
-		candidates[i].PathInDoubt = d.paths.suspected(candidates[i].Zone)
+		candidates[i].PathSuspected = d.paths.suspected(candidates[i].Zone)
 	}
 	d.tellBalancer(now, t, candidates)
 	for len(candidates) > 0 {
@@ -98,12 +98,12 @@
 		candidate := candidates[index]
 		admitted, shortest := d.admitCold(now, t, service, candidate)
 		if admitted {
-			return candidate, d.balancer.Sent(now, request, candidate.Instance), 0, true
+			return candidate, d.balancer.RecordSent(now, request, candidate.Instance), 0, true
 		}
 		wait = min(wait, shortest)
 		candidates = slices.Delete(candidates, index, index+1)
 	}
-	return worker{}, loadbalancer.Prompt{}, wait, false
+	return worker{}, loadbalancer.PrefillNotice{}, wait, false
 }
 
 // tellBalancer brings what the other edges say of the candidates.
@@ -111,7 +111,7 @@
 	for i := range candidates {
 		instance := candidates[i].Instance
 		load, known := d.peers.Total(now, instance, len(t.peers))
-		d.balancer.Others(instance, load.InFlight, load.PrefillTokens, known && len(t.peers) > 0)
+		d.balancer.SetPeerLoad(instance, load.InFlight, load.PrefillTokens, known && len(t.peers) > 0)
 	}
 }
 
@@ -125,8 +125,9 @@
 func (d *decisions) takePrompt(now time.Duration, notice *wirepb.PromptNotice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	prompt := loadbalancer.Prompt{Instance: notice.InstanceId, ReadMs: float64(notice.ReadMs), Long: notice.Long}
-	d.balancer.Read(now, prompt)
+	d.balancer.RecordPeerPrefill(now, loadbalancer.PrefillNotice{
+		Instance: notice.InstanceId, PrefillMillis: float64(notice.ReadMs), Long: notice.Long,
+	})
 }
 
 // loadReport returns what this edge has in hand, at most at so many workers.
@@ -134,12 +135,12 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	report := &wirepb.LoadReport{}
-	for _, load := range d.balancer.InHand() {
+	for _, load := range d.balancer.OwnLoads() {
 		if len(report.Loads) == most {
 			break
 		}
 		report.Loads = append(report.Loads, &wirepb.WorkerLoad{
-			InstanceId: load.Instance, InHand: uint32(load.InHand), UnreadTokens: uint32(load.Unread),
+			InstanceId: load.Instance, InHand: uint32(load.InFlight), UnreadTokens: uint32(load.PrefillTokens),
 		})
 	}
 	return report
@@ -198,34 +199,34 @@
 func (d *decisions) firstToken(now time.Duration, request *loadbalancer.Request, instance string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.balancer.FirstToken(now, request, instance)
-	d.balancer.Succeeded(now, instance)
+	d.balancer.RecordFirstToken(now, request, instance)
+	d.balancer.RecordSuccess(now, instance)
 }
 
 // firstTokenGone notes that a request leaves a worker before its prompt was read.
 func (d *decisions) firstTokenGone(request *loadbalancer.Request, instance string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.balancer.Left(request, instance)
+	d.balancer.ReleasePrefill(request, instance)
 }
 
 func (d *decisions) done(instance string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.balancer.Done(instance)
+	d.balancer.Release(instance)
 }
 
 // alive notes that a worker can be reached.
 func (d *decisions) alive(now time.Duration, instance string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.balancer.Succeeded(now, instance)
+	d.balancer.RecordSuccess(now, instance)
 }
 
 func (d *decisions) broke(now time.Duration, instance string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.balancer.Broke(now, instance)
+	d.balancer.RecordConnectionBreak(now, instance)
 }
 
 // dead notes that a worker does not answer probes, of this edge's or, by hearsay, of another's. It returns
@@ -233,34 +234,34 @@
 func (d *decisions) dead(now time.Duration, instance string, hearsay bool) (known bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.balancer.Dead(now, instance, hearsay)
+	return d.balancer.RecordUnresponsive(now, instance, hearsay)
 }
 
 // gone notes that a worker is no longer at its address.
 func (d *decisions) gone(now time.Duration, instance string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.balancer.Gone(now, instance)
+	d.balancer.RecordReplaced(now, instance)
 }
 
 func (d *decisions) failed(now time.Duration, instance string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.balancer.Failed(now, instance)
+	d.balancer.RecordFailure(now, instance)
 }
 
 func (d *decisions) load(now time.Duration, instance string, running, waiting float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !math.IsNaN(running) && !math.IsNaN(waiting) {
-		d.balancer.Load(now, instance, running, waiting)
+		d.balancer.RecordSelfReport(now, instance, running, waiting)
 	}
 }
 
 func (d *decisions) keep(t *table) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.balancer.Keep(func(instance string) bool { return t.instances[instance] })
+	d.balancer.Retain(func(instance string) bool { return t.instances[instance] })
 	names := map[string]bool{}
 	for _, peer := range t.peers {
 		names[peer.name] = true
--- a/internal/serving/edge/golden_test.go
+++ b/internal/serving/edge/golden_test.go
@@ -45,7 +45,8 @@
 	here := worker{Worker: loadbalancer.Worker{Instance: "w-1", Zone: "a", Region: "south", Engine: true}}
 	e.tellBroken(here)
 	e.tellDead("a", &wirepb.DeadNotice{InstanceId: "w-2"})
-	e.tellPrompt(e.table.Load(), here, loadbalancer.Prompt{Instance: "w-3", ReadMs: 900, Long: true})
+	long := loadbalancer.PrefillNotice{Instance: "w-3", PrefillMillis: 900, Long: true}
+	e.tellPrompt(e.table.Load(), here, long)
 	probe := &wirepb.EdgeDatagram{}
 	decodeGolden(t, goldenProbe, probe)
 	e.takeDatagram(e.datagrams.Load(), near.target.address, probe)
--- a/internal/serving/edge/handler.go
+++ b/internal/serving/edge/handler.go
@@ -61,7 +61,7 @@
 		edge: e, writer: w, client: r, route: route, id: id, service: service,
 		deadline: arrived.Add(patience(r, route)), excluded: map[string]bool{},
 		prompt: &loadbalancer.Request{
-			Parts: loadbalancer.ParsePrompt(r.Header.Get("Prompt-Prefix")), PauseMs: t.pauses[service],
+			Parts: loadbalancer.ParsePrompt(r.Header.Get("Prompt-Prefix")), MaxStreamGapMillis: t.pauses[service],
 		},
 		request: &workerlink.Request{
 			Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: workerlink.EndToEnd(r.Header), Body: body,
--- a/internal/serving/edge/job.go
+++ b/internal/serving/edge/job.go
@@ -113,7 +113,7 @@
 		if !ok {
 			return nil, &refusalError{http.StatusServiceUnavailable, wait}
 		}
-		if chosen.PathInDoubt && !j.route.IsIdempotent() {
+		if chosen.PathSuspected && !j.route.IsIdempotent() {
 			j.end(&attempt{worker: chosen}, false)
 			return nil, &refusalError{http.StatusServiceUnavailable, noPathWait}
 		}
--- a/internal/serving/edge/loads.go
+++ b/internal/serving/edge/loads.go
@@ -48,9 +48,9 @@
 
 // tellPrompt tells other edges of a prompt that has just been given to a worker, so that they wait for it no
 // longer than they have to: those of its region, and all where it is long, since all avoid such workers.
-func (e *Edge) tellPrompt(t *table, chosen worker, sent loadbalancer.Prompt) {
+func (e *Edge) tellPrompt(t *table, chosen worker, sent loadbalancer.PrefillNotice) {
 	datagrams := e.datagrams.Load()
-	if datagrams == nil || !chosen.Engine || sent.ReadMs < noticedRead {
+	if datagrams == nil || !chosen.Engine || sent.PrefillMillis < noticedRead {
 		return
 	}
 	var addresses []netip.AddrPort
@@ -59,7 +59,9 @@
 			addresses = append(addresses, target.address)
 		}
 	}
-	notice := &wirepb.PromptNotice{InstanceId: sent.Instance, ReadMs: uint32(sent.ReadMs), Long: sent.Long}
+	notice := &wirepb.PromptNotice{
+		InstanceId: sent.Instance, ReadMs: uint32(sent.PrefillMillis), Long: sent.Long,
+	}
 	datagrams.send(&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Prompt{Prompt: notice}}, addresses...)
 }
 
--- a/internal/serving/edge/notices_test.go
+++ b/internal/serving/edge/notices_test.go
@@ -77,7 +77,8 @@
 	e.tellDead(broken.Zone, &wirepb.DeadNotice{InstanceId: "behind a cut"})
 	e.paths.published.Store(&map[string]bool{})
 	e.tellBroken(broken)
-	e.tellPrompt(e.table.Load(), broken, loadbalancer.Prompt{Instance: "long", ReadMs: 900, Long: true})
+	long := loadbalancer.PrefillNotice{Instance: "long", PrefillMillis: 900, Long: true}
+	e.tellPrompt(e.table.Load(), broken, long)
 	if notice := near.next().GetDead(); notice.GetInstanceId() != "broken" || !notice.GetBroke() {
 		t.Errorf("the near edge hears %v first", notice)
 	}
@@ -93,10 +94,10 @@
 	here := worker{Worker: loadbalancer.Worker{Instance: "i", Zone: "a", Region: "south", Engine: true}}
 	plain := worker{Worker: loadbalancer.Worker{Instance: "i", Zone: "a", Region: "south"}}
 	known := e.table.Load()
-	e.tellPrompt(known, here, loadbalancer.Prompt{Instance: "soon read", ReadMs: noticedRead - 1})
-	e.tellPrompt(known, plain, loadbalancer.Prompt{Instance: "no engine", ReadMs: 900})
-	e.tellPrompt(known, here, loadbalancer.Prompt{Instance: "some time", ReadMs: noticedRead})
-	e.tellPrompt(known, here, loadbalancer.Prompt{Instance: "long", ReadMs: 900, Long: true})
+	e.tellPrompt(known, here, loadbalancer.PrefillNotice{Instance: "soon read", PrefillMillis: noticedRead - 1})
+	e.tellPrompt(known, plain, loadbalancer.PrefillNotice{Instance: "no engine", PrefillMillis: 900})
+	e.tellPrompt(known, here, loadbalancer.PrefillNotice{Instance: "some time", PrefillMillis: noticedRead})
+	e.tellPrompt(known, here, loadbalancer.PrefillNotice{Instance: "long", PrefillMillis: 900, Long: true})
 	for _, want := range []string{"some time", "long"} {
 		if got := near.next().GetPrompt().GetInstanceId(); got != want {
 			t.Errorf("the near edge hears of %q, not of %q", got, want)
--- a/internal/serving/edge/paths_test.go
+++ b/internal/serving/edge/paths_test.go
@@ -123,13 +123,13 @@
 	long := &wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Prompt{Prompt: notice}}
 	e.takeDatagram(nil, netip.AddrPort{}, long)
 	e.takeDatagram(nil, netip.AddrPort{}, &wirepb.EdgeDatagram{})
-	if shares := e.decide.balancer.LongShares(e.now()); len(shares) != 0 {
-		t.Errorf("one long prompt makes a share of %v", shares)
+	if e.decide.balancer.ServesLongPrompts(e.now(), "i-0") {
+		t.Error("one long prompt bars affinity")
 	}
 	for range 3 {
 		e.takeDatagram(nil, netip.AddrPort{}, long)
 	}
-	if shares := e.decide.balancer.LongShares(e.now()); len(shares) != 1 {
-		t.Errorf("shares %v", shares)
+	if !e.decide.balancer.ServesLongPrompts(e.now(), "i-0") {
+		t.Error("several long prompts do not bar affinity")
 	}
 }
--- a/internal/serving/loadbalancer/balancer_test.go
+++ b/internal/serving/loadbalancer/balancer_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestEdgesAgreeOnHomes lets edges that know nothing of one another choose for the same shared prompts.
-func TestEdgesAgreeOnHomes(t *testing.T) {
+// TestEdgesAgreeOnAffinity has edges without reports of each other select for the same shared prompts.
+func TestEdgesAgreeOnAffinity(t *testing.T) {
 	first, second := newBalancer(1), newBalancer(2)
 	candidates := workers(10)
 	counts := map[int]int{}
@@ -54,13 +54,13 @@
 	}
 	for i := range candidates {
 		if counts[i] < 5 || counts[i] > 50 {
-			t.Errorf("worker %d is home of %d parts of 200", i, counts[i])
+			t.Errorf("worker %d has affinity for %d prompts of 200", i, counts[i])
 		}
 	}
 }
 
-// TestHomesStayWhenAWorkerGoes removes a worker: only its own parts move.
-func TestHomesStayWhenAWorkerGoes(t *testing.T) {
+// TestAffinityStaysWhenWorkerLeaves removes a worker: only the prompts with affinity to it move.
+func TestAffinityStaysWhenWorkerLeaves(t *testing.T) {
 	b := newBalancer(1)
 	candidates := workers(10)
 	for i := range 200 {
@@ -73,46 +73,49 @@
 	}
 }
 
+// TestLoadMovesRequestsAway loads or ejects the worker that a prompt has affinity to: another one is
+// selected.
 func TestLoadMovesRequestsAway(t *testing.T) {
 	candidates := workers(4)
-	cases := map[string]func(b *Balancer, home string){
-		"own requests": func(b *Balancer, home string) {
+	cases := map[string]func(b *Balancer, target string){
+		"own requests": func(b *Balancer, target string) {
 			for i := range 6 {
-				b.Sent(0, prompt(fmt.Sprintf("x%d", i)), home)
+				b.RecordSent(0, prompt(fmt.Sprintf("x%d", i)), target)
 			}
 		},
-		"requests of other edges": func(b *Balancer, home string) { b.Others(home, 5, 60_000, true) },
-		"requests that wait":      func(b *Balancer, home string) { b.Load(0, home, 10, 20) },
-		"doubt":                   func(b *Balancer, home string) { b.Failed(0, home) },
-		"another edge's doubt":    func(b *Balancer, home string) { b.Dead(0, home, true) },
-		"full places":             func(b *Balancer, home string) { b.Others(home, 64, 0, true) },
+		"requests of other edges":     func(b *Balancer, target string) { b.SetPeerLoad(target, 5, 60_000, true) },
+		"queued requests":             func(b *Balancer, target string) { b.RecordSelfReport(0, target, 10, 20) },
+		"ejection after a failure":    func(b *Balancer, target string) { b.RecordFailure(0, target) },
+		"ejection reported by a peer": func(b *Balancer, target string) { b.RecordUnresponsive(0, target, true) },
+		"saturation":                  func(b *Balancer, target string) { b.SetPeerLoad(target, 64, 0, true) },
 	}
-	for name, press := range cases {
+	for name, apply := range cases {
 		b := newBalancer(1)
-		home := candidates[b.Choose(0, prompt("p"), candidates)].Instance
-		press(b, home)
-		if candidates[b.Choose(0, prompt("p"), candidates)].Instance == home {
-			t.Errorf("%s: the request still goes to its home", name)
+		affinity := candidates[b.Choose(0, prompt("p"), candidates)].Instance
+		apply(b, affinity)
+		if candidates[b.Choose(0, prompt("p"), candidates)].Instance == affinity {
+			t.Errorf("%s: the request still goes to the worker of its affinity", name)
 		}
 	}
 }
 
-func TestDoubtEnds(t *testing.T) {
+func TestEjectionEnds(t *testing.T) {
 	b := newBalancer(1)
 	now := time.Duration(0)
 	for range 10 {
-		b.Failed(now, "i-1")
-		if !b.tracked("i-1").inDoubt(now+firstDoubt/2) || b.tracked("i-1").inDoubt(now+longestDoubt+1) {
-			t.Fatal("doubt does not last for its time")
+		b.RecordFailure(now, "i-1")
+		if !b.state("i-1").health.ejected(now+baseEjectionTime/2) ||
+			b.state("i-1").health.ejected(now+maxEjectionTime+1) {
+			t.Fatal("the ejection does not last for its time")
 		}
 	}
-	b.Succeeded(0, "i-1")
-	if b.tracked("i-1").inDoubt(now) {
-		t.Error("doubt outlasts a sign of life")
+	b.RecordSuccess(0, "i-1")
+	if b.state("i-1").health.ejected(now) {
+		t.Error("ejected after a success")
 	}
 }
 
-func TestOtherRegionsAreDear(t *testing.T) {
+func TestOtherRegionsCostMore(t *testing.T) {
 	b := newBalancer(1)
 	candidates := workers(2)
 	candidates[0].Zone, candidates[0].Region = "n", "north"
@@ -122,27 +125,27 @@
 			t.Fatal("a short prompt goes to another region")
 		}
 	}
-	b.Others("i-1", 30, 30_000, true)
+	b.SetPeerLoad("i-1", 30, 30_000, true)
 	if b.Choose(0, prompt("x"), candidates) != 0 {
 		t.Error("an overloaded region keeps its requests")
 	}
 }
 
-func TestWhatIsInHandAddsUp(t *testing.T) {
+func TestOwnLoadsAddUp(t *testing.T) {
 	b := newBalancer(1)
 	request := prompt("p")
 	b.Choose(0, request, workers(1))
-	b.Sent(0, request, "i-0")
-	if list := b.InHand(); len(list) != 1 || list[0].InHand != 1 || list[0].Unread != 6000 {
-		t.Errorf("%+v: the home keeps the shared parts", list)
+	b.RecordSent(0, request, "i-0")
+	if loads := b.OwnLoads(); len(loads) != 1 || loads[0].InFlight != 1 || loads[0].PrefillTokens != 6000 {
+		t.Errorf("%+v: the shared parts count as cached", loads)
 	}
-	b.FirstToken(0, request, "i-0")
-	b.FirstToken(0, request, "i-0")
-	if list := b.InHand(); list[0].Unread != 0 {
-		t.Errorf("%+v", list)
+	b.RecordFirstToken(0, request, "i-0")
+	b.RecordFirstToken(0, request, "i-0")
+	if loads := b.OwnLoads(); loads[0].PrefillTokens != 0 {
+		t.Errorf("%+v", loads)
 	}
-	b.Done("i-0")
-	if list := b.InHand(); len(list) != 0 {
-		t.Errorf("%+v", list)
+	b.Release("i-0")
+	if loads := b.OwnLoads(); len(loads) != 0 {
+		t.Errorf("%+v", loads)
 	}
 }
--- a/internal/serving/loadbalancer/prefillmodel.go
+++ b/internal/serving/loadbalancer/prefillmodel.go
@@ -5,62 +5,71 @@
 	"time"
 )
 
-// The neutral model of how long an engine takes to read a prompt: tokens at a fixed rate, the more slowly the
-// more of them stand before. What differs from it is learned as one factor.
+// The prior of the model: an engine prefills tokens at a fixed rate, the more slowly the more tokens stand
+// before them. How an engine differs from it is learned as one factor.
 const (
-	neutralPerMs   = 90.0     // tokens
-	contextDoubles = 32_000.0 // tokens before a token, with which reading it takes twice as long
+	priorTokensPerMillisecond = 90.0
+	contextDoublingTokens     = 32_000.0 // context length at which prefilling a token takes twice as long
+)
+
+// How the model learns. Steps are of an estimate's logarithm, for one observation.
+const (
+	minFactorStep     = 0.1
+	initialFactorStep = 1.0  // of the first observation; the step falls with their number
+	factorQuantile    = 0.25 // of observed times: the higher ones hold queueing
+	minFactor         = 1.0 / 16
+	maxFactor         = 8.0
 
-	learnStep       = 0.1  // of the factor's logarithm, for one observation
-	firstSteps      = 1.0  // the same for the first one; it falls with their number
-	learnQuantile   = 0.25 // of observed times: the others have waited for something
-	smallestFactor  = 1.0 / 16
-	largestFactor   = 8.0
-	baseStep        = 0.05 // of the time that does not grow with the prompt, for one observation
-	baseQuantile    = 0.3
-	startingBase    = 70.0 // ms
-	smallestBase    = 1.0  // ms
-	baseTokens      = 500.0
-	longestObserved = 10_000.0 // ms
+	baseStep          = 0.05
+	baseQuantile      = 0.3
+	initialBaseMillis = 70.0
+	minBaseMillis     = 1.0
+	maxBaseTokens     = 500.0 // prompts with fewer uncached tokens show the base time
+
+	maxPrefillMillis = 10_000.0 // of one prompt: an observation is cut off there, a longer notice is invalid
 )
 
-// readTimes learns how long engines take to read prompts, from the times to the first token that this edge
-// sees itself. It follows a low quantile of them by small steps (stochastic approximation after Robbins and
-// Monro, 1951), since most of the higher ones hold waiting.
-type readTimes struct {
-	factor float64 // of the neutral time
-	seen   int     // observations that the factor rests on
-	base   float64 // ms to the first token that a prompt of no length would take
+// prefillModel estimates how long engines take to prefill prompts. It learns from the times to the first
+// token that this edge observes, and follows a low quantile of them by small steps (stochastic approximation
+// after Robbins and Monro, 1951), since most of the higher ones hold queueing.
+type prefillModel struct {
+	factor       float64 // of the prior's time
+	observations int     // that factor is based on
+	baseMillis   float64 // time to the first token of a prompt without uncached tokens
 }
 
-func newReadTimes() readTimes { return readTimes{factor: 1, base: startingBase} }
+func newPrefillModel() prefillModel { return prefillModel{factor: 1, baseMillis: initialBaseMillis} }
 
-// neutralTime returns the ms that the neutral model gives for the unread tokens of a prompt.
-func neutralTime(unread, all float64) float64 {
-	return unread / neutralPerMs * (1 + all/contextDoubles)
+// priorMillis returns the time that the prior gives for the uncached tokens of a prompt.
+func priorMillis(uncachedTokens, totalTokens float64) float64 {
+	return uncachedTokens / priorTokensPerMillisecond * (1 + totalTokens/contextDoublingTokens)
 }
 
-// estimate returns the ms that an engine is busy with reading, about.
-func (r *readTimes) estimate(unread, all float64) float64 { return r.factor * neutralTime(unread, all) }
+// estimateMillis returns how long an engine is busy with prefilling the uncached tokens of a prompt.
+func (m *prefillModel) estimateMillis(uncachedTokens, totalTokens float64) float64 {
+	return m.factor * priorMillis(uncachedTokens, totalTokens)
+}
 
-// observe takes the time to a first token that was seen.
-func (r *readTimes) observe(took time.Duration, unread, all float64) {
-	observed := math.Min(float64(took)/float64(time.Millisecond), longestObserved)
-	if unread < baseTokens {
-		r.base = math.Max(smallestBase, follow(r.base, observed, baseStep, baseQuantile))
+// observe learns from an observed time to the first token.
+func (m *prefillModel) observe(timeToFirstToken time.Duration, uncachedTokens, totalTokens float64) {
+	observedMillis := math.Min(float64(timeToFirstToken)/float64(time.Millisecond), maxPrefillMillis)
+	if uncachedTokens < maxBaseTokens {
+		base := stepTowardQuantile(m.baseMillis, observedMillis, baseStep, baseQuantile)
+		m.baseMillis = math.Max(minBaseMillis, base)
 	}
-	neutral := neutralTime(unread, all)
-	if neutral < r.base {
-		return // what is read so soon tells more of other delays
+	prior := priorMillis(uncachedTokens, totalTokens)
+	if prior < m.baseMillis {
+		return // other delays outweigh so short a prefill
 	}
-	r.seen++
-	step := math.Max(learnStep, firstSteps/float64(r.seen))
-	factor := follow(r.factor, math.Max(observed-r.base, 0)/neutral, step, learnQuantile)
-	r.factor = math.Min(math.Max(factor, smallestFactor), largestFactor)
+	m.observations++
+	step := math.Max(minFactorStep, initialFactorStep/float64(m.observations))
+	observedFactor := math.Max(observedMillis-m.baseMillis, 0) / prior
+	factor := stepTowardQuantile(m.factor, observedFactor, step, factorQuantile)
+	m.factor = math.Min(math.Max(factor, minFactor), maxFactor)
 }
 
-// follow moves an estimate of a quantile towards an observation by a step of its logarithm.
-func follow(estimate, observed, step, quantile float64) float64 {
+// stepTowardQuantile moves the estimate of a quantile by one observation, by a step of its logarithm.
+func stepTowardQuantile(estimate, observed, step, quantile float64) float64 {
 	if observed < estimate {
 		return estimate * math.Exp(-step*(1-quantile))
 	}
--- a/internal/serving/loadbalancer/prompt.go
+++ b/internal/serving/loadbalancer/prompt.go
@@ -5,19 +5,23 @@
 	"strings"
 )
 
-// Part is one part of a prompt, as Prompt-Prefix names it.
+// maxPartTokens bounds the stated length of a prompt part; a longer one does not parse.
+const maxPartTokens = 1e9
+
+// Part is one part of a prompt, as the Prompt-Prefix header names it.
 type Part struct {
 	ID     string
 	Tokens float64
 }
 
-// ParsePrompt reads a Prompt-Prefix header. Parts that do not parse end the list.
+// ParsePrompt parses a Prompt-Prefix header: ID:TOKENS, separated by commas. The first part that does not
+// parse ends the list.
 func ParsePrompt(header string) []Part {
 	var parts []Part
 	for field := range strings.SplitSeq(header, ",") {
 		id, count, ok := strings.Cut(strings.TrimSpace(field), ":")
 		tokens, err := strconv.ParseFloat(count, 64)
-		if !ok || err != nil || !(tokens >= 0 && tokens < 1e9) {
+		if !ok || err != nil || !(tokens >= 0 && tokens < maxPartTokens) {
 			return parts
 		}
 		parts = append(parts, Part{ID: id, Tokens: tokens})
@@ -25,17 +29,16 @@
 	return parts
 }
 
-// sharedTokens adds up the parts that other requests share: all but the last.
+// sharedTokens adds up the parts that other requests may share: all but the last.
 func sharedTokens(parts []Part) float64 {
-	sum := 0.0
-	for i := 0; i+1 < len(parts); i++ {
-		sum += parts[i].Tokens
+	if len(parts) == 0 {
+		return 0
 	}
-	return sum
+	return totalTokens(parts[:len(parts)-1])
 }
 
-// allTokens adds up all parts.
-func allTokens(parts []Part) float64 {
+// totalTokens adds up all parts.
+func totalTokens(parts []Part) float64 {
 	sum := 0.0
 	for _, part := range parts {
 		sum += part.Tokens
@@ -43,9 +46,9 @@
 	return sum
 }
 
-// homeKey names what requests of the same shared prompt have in common: the last shared part, or "" without
-// one.
-func homeKey(parts []Part) string {
+// affinityKey returns what requests with the same shared parts have in common: the ID of the last shared
+// part, or "" without one.
+func affinityKey(parts []Part) string {
 	if len(parts) < 2 {
 		return ""
 	}
