--- a/internal/serving/consensus/election.go
+++ b/internal/serving/consensus/election.go
@@ -7,46 +7,46 @@
 )
 
 // startPreVote asks the others whether they would vote, without raising the term.
-func (n *Node) startPreVote() {
+func (n *Node) preCampaign() {
 	n.role = PreCandidate
 	n.leader = ""
 	n.votes = map[string]bool{n.id: true}
-	if n.elected() {
-		n.startVote(false)
+	if n.wonElection() {
+		n.campaign(false)
 		return
 	}
 	request := wirepb.Consensus{Kind: wirepb.ConsensusKind_CONSENSUS_PRE_VOTE, Term: n.term + 1}
-	for _, m := range n.requestsForVotes(&request) {
+	for _, m := range n.voteRequests(&request) {
 		n.send(m)
 	}
 }
 
 // startVote raises the term and stands for election. The requests go out once the own vote is on disk.
 // takeOver says that the leader has asked for it.
-func (n *Node) startVote(takeOver bool) {
+func (n *Node) campaign(leadershipTransfer bool) {
 	n.role = Candidate
 	n.leader = ""
 	n.term++
 	n.votedFor = n.id
 	n.votes = map[string]bool{n.id: true}
-	n.resetDeadline()
+	n.resetElectionDeadline()
 	request := wirepb.Consensus{
-		Kind: wirepb.ConsensusKind_CONSENSUS_VOTE, Term: n.term, From: n.id, TakeOver: takeOver,
+		Kind: wirepb.ConsensusKind_CONSENSUS_VOTE, Term: n.term, From: n.id, TakeOver: leadershipTransfer,
 	}
-	n.persist(Persist{HardState: n.hardState(), Messages: n.requestsForVotes(&request)})
-	if n.elected() {
+	n.enqueueWrite(WriteBatch{HardState: n.hardState(), Messages: n.voteRequests(&request)})
+	if n.wonElection() {
 		n.becomeLeader()
 	}
 }
 
-func (n *Node) elected() bool {
-	return n.members.quorum(func(id string) bool { return n.votes[id] })
+func (n *Node) wonElection() bool {
+	return n.membership.hasQuorum(func(id string) bool { return n.votes[id] })
 }
 
 // requestsForVotes addresses a request to each other voter.
-func (n *Node) requestsForVotes(request *wirepb.Consensus) []*wirepb.Consensus {
+func (n *Node) voteRequests(request *wirepb.Consensus) []*wirepb.Consensus {
 	var requests []*wirepb.Consensus
-	for _, voter := range n.members.voters() {
+	for _, voter := range n.membership.voters() {
 		if voter == n.id {
 			continue
 		}
@@ -59,7 +59,7 @@
 }
 
 // notBehind reports whether the log of the candidate in m holds all that this replica's may have committed.
-func (n *Node) notBehind(m *wirepb.Consensus) bool {
+func (n *Node) logIsUpToDate(m *wirepb.Consensus) bool {
 	if m.LogTerm != n.log.lastTerm() {
 		return m.LogTerm > n.log.lastTerm()
 	}
@@ -68,14 +68,14 @@
 
 // stepPreVote answers any candidate that asks: whose vote counts is for the candidate's log to say, since
 // this replica may have been admitted by an entry that it has not received yet.
-func (n *Node) stepPreVote(m *wirepb.Consensus) {
-	if n.heardLeaderLately() {
+func (n *Node) handlePreVote(m *wirepb.Consensus) {
+	if n.leaderRecentlyActive() {
 		return
 	}
-	granted := m.Term > n.term && n.notBehind(m)
+	granted := m.Term > n.term && n.logIsUpToDate(m)
 	term := m.Term
 	if granted {
-		n.yieldTo(m.From)
+		n.deferTo(m.From)
 	} else {
 		term = n.term
 	}
@@ -85,17 +85,17 @@
 }
 
 // yieldTo leaves the election to a candidate that comes earlier in the order, so that votes do not split.
-func (n *Node) yieldTo(candidate string) {
-	voters := n.members.voters()
+func (n *Node) deferTo(candidate string) {
+	voters := n.membership.voters()
 	if slices.Index(voters, candidate) < slices.Index(voters, n.id) {
-		n.deadline = max(n.deadline, n.now+voteTimeout)
+		n.electionDeadline = max(n.electionDeadline, n.now+voteTimeout)
 		if n.role == PreCandidate {
 			n.role = Follower
 		}
 	}
 }
 
-func (n *Node) stepPreVoteReply(m *wirepb.Consensus) {
+func (n *Node) handlePreVoteReply(m *wirepb.Consensus) {
 	if m.Reject {
 		if m.Term > n.term {
 			n.becomeFollower(m.Term, "")
@@ -106,17 +106,17 @@
 		return
 	}
 	n.votes[m.From] = true
-	if n.elected() {
-		n.startVote(false)
+	if n.wonElection() {
+		n.campaign(false)
 	}
 }
 
-func (n *Node) stepVote(m *wirepb.Consensus) {
+func (n *Node) handleVote(m *wirepb.Consensus) {
 	if m.Term < n.term {
 		return
 	}
-	free := n.votedFor == "" || n.votedFor == m.From
-	granted := free && n.notBehind(m) && n.role != Leader
+	canVote := n.votedFor == "" || n.votedFor == m.From
+	granted := canVote && n.logIsUpToDate(m) && n.role != Leader
 	reply := &wirepb.Consensus{
 		Kind: wirepb.ConsensusKind_CONSENSUS_VOTE_REPLY, From: n.id, To: m.From, Term: n.term, Reject: !granted,
 	}
@@ -125,16 +125,16 @@
 		return
 	}
 	n.votedFor = m.From
-	n.resetDeadline()
-	n.persist(Persist{HardState: n.hardState(), Messages: []*wirepb.Consensus{reply}})
+	n.resetElectionDeadline()
+	n.enqueueWrite(WriteBatch{HardState: n.hardState(), Messages: []*wirepb.Consensus{reply}})
 }
 
-func (n *Node) stepVoteReply(m *wirepb.Consensus) {
+func (n *Node) handleVoteReply(m *wirepb.Consensus) {
 	if n.role != Candidate || m.Term != n.term || m.Reject {
 		return
 	}
 	n.votes[m.From] = true
-	if n.elected() {
+	if n.wonElection() {
 		n.becomeLeader()
 	}
 }
@@ -142,15 +142,15 @@
 func (n *Node) becomeLeader() {
 	n.role = Leader
 	n.leader = n.id
-	n.round = 0
-	n.leadsSince = n.now
-	n.everLed = true
-	n.incoming = nil
-	n.peers = map[string]*peer{}
-	for _, voter := range n.members.voters() {
-		n.addPeer(voter)
-	}
-	n.termStart = n.appendEntry(wirepb.EntryKind_ENTRY_NOOP, nil)
-	n.marks = commitMarks{older: n.termStart, newer: n.termStart}
-	n.startRound()
+	n.heartbeatRound = 0
+	n.leaderSince = n.now
+	n.leaderSeen = true
+	n.incomingSnapshot = nil
+	n.progress = map[string]*progress{}
+	for _, voter := range n.membership.voters() {
+		n.trackProgress(voter)
+	}
+	n.termStartIndex = n.appendEntry(wirepb.EntryKind_ENTRY_NOOP, nil)
+	n.commitSamples = commitSamples{older: n.termStartIndex, newer: n.termStartIndex}
+	n.broadcastHeartbeat()
 }
--- a/internal/serving/consensus/log.go
+++ b/internal/serving/consensus/log.go
@@ -11,7 +11,7 @@
 	entries   []*wirepb.Entry
 }
 
-func newLog(stored Stored) replicatedLog {
+func newLog(stored DurableState) replicatedLog {
 	snapshot := stored.Snapshot
 	if snapshot == nil {
 		snapshot = &wirepb.Snapshot{}
@@ -38,13 +38,13 @@
 	if index < l.baseIndex || index > l.lastIndex() {
 		return 0, false
 	}
-	return l.at(index).Term, true
+	return l.entryAt(index).Term, true
 }
 
-func (l *replicatedLog) at(index uint64) *wirepb.Entry { return l.entries[index-l.firstIndex()] }
+func (l *replicatedLog) entryAt(index uint64) *wirepb.Entry { return l.entries[index-l.firstIndex()] }
 
 // from returns the entries beginning at index, up to about limit bytes but at least one.
-func (l *replicatedLog) from(index uint64, limit int) []*wirepb.Entry {
+func (l *replicatedLog) entriesFrom(index uint64, limit int) []*wirepb.Entry {
 	if index < l.firstIndex() || index > l.lastIndex() {
 		return nil
 	}
@@ -60,16 +60,16 @@
 }
 
 // after returns all entries behind index, which the log must reach.
-func (l *replicatedLog) after(index uint64) []*wirepb.Entry {
+func (l *replicatedLog) entriesAfter(index uint64) []*wirepb.Entry {
 	tail := l.entries[index-l.baseIndex:]
 	return tail[:len(tail):len(tail)]
 }
 
 // bytes returns the size of the entries between two indexes, the first one left out.
-func (l *replicatedLog) bytes(after, last uint64) int {
+func (l *replicatedLog) sizeBetween(after, last uint64) int {
 	size := 0
 	for index := max(after, l.baseIndex) + 1; index <= min(last, l.lastIndex()); index++ {
-		size += len(l.at(index).Data)
+		size += len(l.entryAt(index).Data)
 	}
 	return size
 }
@@ -89,17 +89,17 @@
 
 // compact makes snapshot, which the log reaches, its snapshot, and keeps about keep bytes of the entries that
 // it covers.
-func (l *replicatedLog) compact(snapshot *wirepb.Snapshot, keep int) {
+func (l *replicatedLog) compact(snapshot *wirepb.Snapshot, retainBytes int) {
 	l.snapshot = snapshot
 	base := snapshot.Index
 	for size := 0; base > l.baseIndex; base-- {
-		size += len(l.at(base).Data)
-		if size > keep {
+		size += len(l.entryAt(base).Data)
+		if size > retainBytes {
 			break
 		}
 	}
 	term, _ := l.term(base)
-	l.entries = append([]*wirepb.Entry(nil), l.after(base)...)
+	l.entries = append([]*wirepb.Entry(nil), l.entriesAfter(base)...)
 	l.baseIndex, l.baseTerm = base, term
 }
 
@@ -111,9 +111,9 @@
 // membershipAt returns the newest membership up to an index that is not before the snapshot's.
 func (l *replicatedLog) membershipAt(index uint64) (membership, uint64) {
 	for ; index > l.snapshot.Index; index-- {
-		if entry := l.at(index); entry.Kind == wirepb.EntryKind_ENTRY_MEMBERSHIP {
+		if entry := l.entryAt(index); entry.Kind == wirepb.EntryKind_ENTRY_MEMBERSHIP {
 			return decodeMembership(entry.Data), index
 		}
 	}
-	return membershipOf(l.snapshot.Membership), l.snapshot.Index
+	return membershipFromProto(l.snapshot.Membership), l.snapshot.Index
 }
--- a/internal/serving/consensus/membership.go
+++ b/internal/serving/consensus/membership.go
@@ -16,8 +16,8 @@
 	outgoing []string // the replicas before the change that is under way; empty: there is none
 }
 
-func membershipOf(told *wirepb.Membership) membership {
-	return membership{replicas: told.GetReplicas(), outgoing: told.GetOutgoing()}
+func membershipFromProto(message *wirepb.Membership) membership {
+	return membership{replicas: message.GetReplicas(), outgoing: message.GetOutgoing()}
 }
 
 func (m membership) message() *wirepb.Membership {
@@ -25,11 +25,11 @@
 }
 
 func decodeMembership(data []byte) membership {
-	var told wirepb.Membership
-	if err := proto.Unmarshal(data, &told); err != nil {
+	var message wirepb.Membership
+	if err := proto.Unmarshal(data, &message); err != nil {
 		panic("consensus: membership entry does not decode: " + err.Error())
 	}
-	return membershipOf(&told)
+	return membershipFromProto(&message)
 }
 
 func (m membership) encode() []byte {
@@ -40,7 +40,7 @@
 	return data
 }
 
-func (m membership) joint() bool { return len(m.outgoing) > 0 }
+func (m membership) isJoint() bool { return len(m.outgoing) > 0 }
 
 // voters returns all whose votes count, in their agreed order.
 func (m membership) voters() []string {
@@ -53,19 +53,19 @@
 	return voters
 }
 
-func (m membership) has(id string) bool {
+func (m membership) contains(id string) bool {
 	return slices.Contains(m.replicas, id) || slices.Contains(m.outgoing, id)
 }
 
 // quorum reports whether those for whom holds is true are a quorum.
-func (m membership) quorum(holds func(id string) bool) bool {
-	return majority(m.replicas, holds) && (!m.joint() || majority(m.outgoing, holds))
+func (m membership) hasQuorum(satisfies func(id string) bool) bool {
+	return hasMajority(m.replicas, satisfies) && (!m.isJoint() || hasMajority(m.outgoing, satisfies))
 }
 
-func majority(ids []string, holds func(id string) bool) bool {
+func hasMajority(ids []string, satisfies func(id string) bool) bool {
 	count := 0
 	for _, id := range ids {
-		if holds(id) {
+		if satisfies(id) {
 			count++
 		}
 	}
@@ -73,39 +73,39 @@
 }
 
 // quorumIndex returns the greatest index that a quorum has reached.
-func (m membership) quorumIndex(reached func(id string) uint64) uint64 {
-	index := majorityIndex(m.replicas, reached)
-	if m.joint() {
-		index = min(index, majorityIndex(m.outgoing, reached))
+func (m membership) quorumIndex(indexOf func(id string) uint64) uint64 {
+	index := majorityIndex(m.replicas, indexOf)
+	if m.isJoint() {
+		index = min(index, majorityIndex(m.outgoing, indexOf))
 	}
 	return index
 }
 
-func majorityIndex(ids []string, reached func(id string) uint64) uint64 {
+func majorityIndex(ids []string, indexOf func(id string) uint64) uint64 {
 	if len(ids) == 0 {
 		return 0
 	}
 	indexes := make([]uint64, 0, len(ids))
 	for _, id := range ids {
-		indexes = append(indexes, reached(id))
+		indexes = append(indexes, indexOf(id))
 	}
 	slices.Sort(indexes)
 	return indexes[(len(indexes)-1)/2]
 }
 
 // with returns the membership with one more replica. Quorums before and after it overlap, since it is one.
-func (m membership) with(id string) membership {
+func (m membership) withVoter(id string) membership {
 	return membership{replicas: append(slices.Clone(m.replicas), id)}
 }
 
 // replacing returns the joint membership in which successor takes the seat of a replica.
-func (m membership) replacing(seat, successor string) membership {
+func (m membership) withReplacement(voter, successor string) membership {
 	replicas := slices.Clone(m.replicas)
-	replicas[slices.Index(replicas, seat)] = successor
+	replicas[slices.Index(replicas, voter)] = successor
 	return membership{replicas: replicas, outgoing: m.replicas}
 }
 
 // settled returns the membership that follows a joint one.
-func (m membership) settled() membership {
+func (m membership) afterJoint() membership {
 	return membership{replicas: m.replicas}
 }
--- a/internal/serving/consensus/reconfiguration.go
+++ b/internal/serving/consensus/reconfiguration.go
@@ -18,34 +18,34 @@
 // silent seat; one that was only cut off as well.
 
 const (
-	learnerSilence  = 2200 * time.Millisecond // after which a learner is forgotten
-	silentSeat      = 2200 * time.Millisecond // of silence, after which a learner may take a seat
-	learnerPatience = 1500 * time.Millisecond // that a learner waits for a seat which is free for sure
-	plannedMargin   = 600 * time.Millisecond  // by which a learner may be heard of after the order to stop
-	learnersKnown   = 1200 * time.Millisecond // of leading, until all learners have asked to join
-	markInterval    = 400 * time.Millisecond
+	learnerTimeout           = 2200 * time.Millisecond // after which a learner is forgotten
+	unresponsiveVoterTimeout = 2200 * time.Millisecond // of silence, after which a learner may take a seat
+	learnerMinimumWait       = 1500 * time.Millisecond // that a learner waits for a seat which is free for sure
+	plannedReplacementMargin = 600 * time.Millisecond  // by which a learner may be heard of after the order to stop
+	learnerDiscoveryTime     = 1200 * time.Millisecond // of leading, until all learners have asked to join
+	commitSampleInterval     = 400 * time.Millisecond
 )
 
 // Learner is a replica that waits for a seat.
 type Learner struct {
-	Replica  string
-	Since    time.Duration // when this replica first heard of it
-	Match    uint64        // the index up to which it has the log
-	CaughtUp bool
-	Leaving  bool
+	Replica      string
+	Since        time.Duration // when this replica first heard of it
+	MatchIndex   uint64        // the index up to which it has the log
+	CaughtUp     bool
+	ShuttingDown bool
 }
 
 // Learners returns those that the leader knows of, in the order of their coming.
 func (n *Node) Learners() []Learner {
 	var learners []Learner
-	for _, id := range n.sortedPeers() {
-		p := n.peers[id]
-		if n.members.has(id) {
+	for _, id := range n.trackedReplicas() {
+		p := n.progress[id]
+		if n.membership.contains(id) {
 			continue
 		}
 		learners = append(learners, Learner{
-			Replica: id, Since: n.firstSeen(id), Match: p.match, Leaving: p.leaving,
-			CaughtUp: p.match >= n.marks.older && n.answers(id),
+			Replica: id, Since: n.firstContact(id), MatchIndex: p.matchIndex, ShuttingDown: p.shuttingDown,
+			CaughtUp: p.matchIndex >= n.commitSamples.older && n.recentlyActive(id),
 		})
 	}
 	slices.SortStableFunc(learners, func(x, y Learner) int { return cmp.Compare(x.Since, y.Since) })
@@ -54,82 +54,82 @@
 
 // commitMarks remembers what was committed a little while ago: a learner that has as much follows closely,
 // however fast entries come.
-type commitMarks struct {
+type commitSamples struct {
 	older, newer uint64
 	nextAt       time.Duration
 }
 
-func (m *commitMarks) note(now time.Duration, commit uint64) {
+func (m *commitSamples) observe(now time.Duration, commit uint64) {
 	if now >= m.nextAt {
 		m.older, m.newer = m.newer, commit
-		m.nextAt = now + markInterval
+		m.nextAt = now + commitSampleInterval
 	}
 }
 
 // Seated reports whether this replica has a seat, as far as it knows.
-func (n *Node) Seated() bool { return n.members.has(n.id) }
+func (n *Node) IsVoter() bool { return n.membership.contains(n.id) }
 
 // stepJoin takes up a replica that no leader speaks to. Others hand its word on to the leader.
-func (n *Node) stepJoin(m *wirepb.Consensus) {
+func (n *Node) handleJoin(m *wirepb.Consensus) {
 	if n.role != Leader {
 		n.forwardJoin(m)
 		return
 	}
-	if n.peers[m.From] == nil {
-		n.addPeer(m.From)
-		n.peers[m.From].next = min(m.LogIndex, n.log.lastIndex()) + 1
+	if n.progress[m.From] == nil {
+		n.trackProgress(m.From)
+		n.progress[m.From].nextIndex = min(m.LogIndex, n.log.lastIndex()) + 1
 	}
-	n.peers[m.From].leaving = false
+	n.progress[m.From].shuttingDown = false
 	n.sendAppend(m.From, true)
 }
 
 func (n *Node) forwardJoin(m *wirepb.Consensus) {
-	if m.To != "" || n.leader == m.From || !n.heardLeaderLately() {
+	if m.To != "" || n.leader == m.From || !n.leaderRecentlyActive() {
 		return
 	}
-	n.output.Messages = append(n.output.Messages, &wirepb.Consensus{
+	n.ready.Messages = append(n.ready.Messages, &wirepb.Consensus{
 		Kind: m.Kind, From: m.From, To: n.leader, Term: m.Term, LogIndex: m.LogIndex,
 	})
 }
 
 // changeMembership carries out one step where one is due and the step before it is committed.
 func (n *Node) changeMembership() {
-	if !n.Acting() || n.commit < n.membersIndex {
+	if !n.IsEstablishedLeader() || n.commitIndex < n.membershipIndex {
 		return
 	}
-	n.forgetSilentLearners()
+	n.removeInactiveLearners()
 	next, due := n.nextMembership()
-	if !due || !next.quorum(n.answers) {
+	if !due || !next.hasQuorum(n.recentlyActive) {
 		return
 	}
 	for _, id := range next.voters() {
-		n.addPeer(id)
+		n.trackProgress(id)
 	}
-	n.members = next
-	n.membersIndex = n.appendEntry(wirepb.EntryKind_ENTRY_MEMBERSHIP, next.encode())
-	n.broadcast()
+	n.membership = next
+	n.membershipIndex = n.appendEntry(wirepb.EntryKind_ENTRY_MEMBERSHIP, next.encode())
+	n.broadcastAppend()
 }
 
-func (n *Node) answers(id string) bool { return n.heardWithin(id, ElectionTimeout) }
+func (n *Node) recentlyActive(id string) bool { return n.respondedWithin(id, ElectionTimeout) }
 
-func (n *Node) forgetSilentLearners() {
-	for id, p := range n.peers {
-		if !n.members.has(id) && n.now-p.heard > learnerSilence {
-			delete(n.peers, id)
+func (n *Node) removeInactiveLearners() {
+	for id, p := range n.progress {
+		if !n.membership.contains(id) && n.now-p.lastContact > learnerTimeout {
+			delete(n.progress, id)
 		}
 	}
 }
 
 // nextMembership returns the membership that should follow the present one, and whether there is one.
 func (n *Node) nextMembership() (membership, bool) {
-	if n.members.joint() {
-		return n.members.settled(), true
+	if n.membership.isJoint() {
+		return n.membership.afterJoint(), true
 	}
 	for _, learner := range n.Learners() {
-		if !learner.CaughtUp || learner.Leaving {
+		if !learner.CaughtUp || learner.ShuttingDown {
 			continue
 		}
-		if next, due := n.seat(learner); due {
+		if next, due := n.replaced(learner); due {
 			return next, true
 		}
 	}
@@ -137,46 +137,46 @@
 }
 
 // seat returns the membership in which a learner has a seat, and whether there is one for it.
-func (n *Node) seat(learner Learner) (membership, bool) {
-	if seat := n.seatAt(Address(learner.Replica)); seat != "" && seat != n.id {
-		return n.members.replacing(seat, learner.Replica), true
+func (n *Node) replaced(learner Learner) (membership, bool) {
+	if replaced := n.voterAt(Address(learner.Replica)); replaced != "" && replaced != n.id {
+		return n.membership.withReplacement(replaced, learner.Replica), true
 	}
-	if len(n.members.replicas) < n.options.Seats {
-		return n.members.with(learner.Replica), true
+	if len(n.membership.replicas) < n.options.Voters {
+		return n.membership.withVoter(learner.Replica), true
 	}
-	seat := n.leavingSeat(learner)
-	if seat == "" && n.now-learner.Since >= learnerPatience {
-		seat = n.silentSeat()
+	replaced := n.shuttingDownVoter(learner)
+	if replaced == "" && n.now-learner.Since >= learnerMinimumWait {
+		replaced = n.unresponsiveVoter()
 	}
-	if seat == "" {
+	if replaced == "" {
 		return membership{}, false
 	}
-	return n.members.replacing(seat, learner.Replica), true
+	return n.membership.withReplacement(replaced, learner.Replica), true
 }
 
 // successorOf reports whether a replica that leaves should wait: there may be one that takes its seat over.
 // One that the leader does not know to leave may have been told to stop meanwhile.
-func (n *Node) successorOf(id string) bool {
-	if p := n.peers[id]; p != nil && p.leaving {
-		return n.hasSuccessor(p.leftAt)
+func (n *Node) reportsSuccessor(id string) bool {
+	if p := n.progress[id]; p != nil && p.shuttingDown {
+		return n.mayHaveSuccessor(p.shutdownAt)
 	}
-	return n.hasSuccessor(n.now)
+	return n.mayHaveSuccessor(n.now)
 }
 
 // hasSuccessor reports whether there may be a replica for the seat of one that was told to stop at a
 // moment. A leader that has just been elected does not know yet.
-func (n *Node) hasSuccessor(leftAt time.Duration) bool {
-	if n.members.joint() || n.now-n.leadsSince < learnersKnown {
+func (n *Node) mayHaveSuccessor(shutdownAt time.Duration) bool {
+	if n.membership.isJoint() || n.now-n.leaderSince < learnerDiscoveryTime {
 		return true
 	}
 	return slices.ContainsFunc(n.Learners(), func(learner Learner) bool {
-		return !learner.Leaving && n.cameBefore(learner, leftAt) && n.seatAt(Address(learner.Replica)) == ""
+		return !learner.ShuttingDown && n.joinedBefore(learner, shutdownAt) && n.voterAt(Address(learner.Replica)) == ""
 	})
 }
 
 // seatAt returns the replica with a seat at an address.
-func (n *Node) seatAt(address string) string {
-	for _, id := range n.members.replicas {
+func (n *Node) voterAt(address string) string {
+	for _, id := range n.membership.replicas {
 		if Address(id) == address {
 			return id
 		}
@@ -186,15 +186,15 @@
 
 // cameBefore reports whether a learner was there when a replica was told to stop. Learners that were there
 // when this life began may have been.
-func (n *Node) cameBefore(learner Learner, leftAt time.Duration) bool {
-	return learner.Since <= max(leftAt+plannedMargin, n.born+learnersKnown)
+func (n *Node) joinedBefore(learner Learner, shutdownAt time.Duration) bool {
+	return learner.Since <= max(shutdownAt+plannedReplacementMargin, n.startedAt+learnerDiscoveryTime)
 }
 
 // leavingSeat returns a replica that was told to stop after a learner came. One that leads hands the lead
 // over first.
-func (n *Node) leavingSeat(learner Learner) string {
-	for _, id := range n.members.replicas {
-		if p := n.peers[id]; p != nil && p.leaving && n.cameBefore(learner, p.leftAt) {
+func (n *Node) shuttingDownVoter(learner Learner) string {
+	for _, id := range n.membership.replicas {
+		if p := n.progress[id]; p != nil && p.shuttingDown && n.joinedBefore(learner, p.shutdownAt) {
 			return id
 		}
 	}
@@ -203,23 +203,23 @@
 
 // silentSeat returns the replica that became silent last, among those that have been silent for long. A seat
 // whose address has a new disk is left to that one.
-func (n *Node) silentSeat() string {
-	seat, newest := "", time.Duration(0)
-	for _, id := range n.members.replicas {
-		p := n.peers[id]
-		if p == nil || n.now-p.heard <= silentSeat || n.learnerAt(Address(id)) {
+func (n *Node) unresponsiveVoter() string {
+	voter, newestContact := "", time.Duration(0)
+	for _, id := range n.membership.replicas {
+		p := n.progress[id]
+		if p == nil || n.now-p.lastContact <= unresponsiveVoterTimeout || n.learnerAt(Address(id)) {
 			continue
 		}
-		if seat == "" || p.heard > newest {
-			seat, newest = id, p.heard
+		if voter == "" || p.lastContact > newestContact {
+			voter, newestContact = id, p.lastContact
 		}
 	}
-	return seat
+	return voter
 }
 
 func (n *Node) learnerAt(address string) bool {
-	for id := range n.peers {
-		if Address(id) == address && !n.members.has(id) {
+	for id := range n.progress {
+		if Address(id) == address && !n.membership.contains(id) {
 			return true
 		}
 	}
--- a/internal/serving/consensus/storage.go
+++ b/internal/serving/consensus/storage.go
@@ -7,30 +7,30 @@
 )
 
 // Persist is what has to be on disk before Messages may be sent. Nil parts are unchanged.
-type Persist struct {
+type WriteBatch struct {
 	HardState *wirepb.HardState
 	Entries   []*wirepb.Entry  // replace all stored entries from the first one's index on
 	Snapshot  *wirepb.Snapshot // replaces the stored log as a whole
 	Messages  []*wirepb.Consensus
 
-	number uint64 // counted by the node
+	sequence uint64 // counted by the node
 }
 
 // Stored is what a disk holds of a replica.
-type Stored struct {
+type DurableState struct {
 	HardState *wirepb.HardState
 	Snapshot  *wirepb.Snapshot
 	Entries   []*wirepb.Entry
 }
 
 // Founding returns what the disk of a founder holds before the first entry.
-func Founding(founders []string) Stored {
-	return Stored{Snapshot: &wirepb.Snapshot{Membership: &wirepb.Membership{Replicas: founders}}}
+func BootstrapState(founders []string) DurableState {
+	return DurableState{Snapshot: &wirepb.Snapshot{Membership: &wirepb.Membership{Replicas: founders}}}
 }
 
 // Apply carries a batch out on what a disk holds. It fails, and changes nothing, where the entries of the
 // batch do not follow what is stored.
-func (s *Stored) Apply(batch Persist) error {
+func (s *DurableState) Apply(batch WriteBatch) error {
 	next := *s
 	if batch.Snapshot != nil {
 		next.Snapshot = batch.Snapshot
@@ -54,7 +54,7 @@
 }
 
 // lastOf returns the index and term up to which a batch brings the log on disk, or 0.
-func lastOf(batch Persist) (uint64, uint64) {
+func lastEntryOf(batch WriteBatch) (uint64, uint64) {
 	if count := len(batch.Entries); count > 0 {
 		return batch.Entries[count-1].Index, batch.Entries[count-1].Term
 	}
--- a/internal/serving/control/engine.go
+++ b/internal/serving/control/engine.go
@@ -35,9 +35,9 @@
 	// Send sends an envelope to another core's internal address. It may be lost.
 	Send(address string, envelope *wirepb.Envelope)
 	// Write puts a batch on disk, behind those before it, and calls done on the engine's goroutine.
-	Write(batch consensus.Persist, done func())
+	Write(batch consensus.WriteBatch, done func())
 	// Rewrite begins a new segment that holds stored, behind the writes before it, and calls done likewise.
-	Rewrite(stored consensus.Stored, done func())
+	Rewrite(stored consensus.DurableState, done func())
 	// SegmentBytes returns the size of the present segment.
 	SegmentBytes() int64
 	// SaveWorkers writes the list of workers whole or not at all, and calls done likewise.
@@ -92,7 +92,7 @@
 }
 
 // New makes an engine of what a disk holds.
-func New(options Options, stored consensus.Stored, environment Environment) (*Engine, error) {
+func New(options Options, stored consensus.DurableState, environment Environment) (*Engine, error) {
 	e := &Engine{
 		options: options, environment: environment, logger: options.Logger, machine: statemachine.New(),
 		orders: newOrderTable(), asked: newAskedTable(), workers: newWorkerTable(), joining: newJoinWatch(),
@@ -123,7 +123,7 @@
 func (e *Engine) Tick() {
 	now := e.awake()
 	e.lastTick = now
-	if e.node.InTouch() {
+	if e.node.InSync() {
 		e.mirror.Touch(e.settled())
 	}
 	e.noteLeader()
@@ -132,7 +132,7 @@
 	if now >= e.nextPresence {
 		e.nextPresence = now + presenceInterval
 		e.tellPresence()
-		e.writers.publish(now, e.node.InTouch() && e.settled())
+		e.writers.publish(now, e.node.InSync() && e.settled())
 	}
 	if now >= e.nextSweep {
 		e.nextSweep = now + sweepInterval
@@ -203,35 +203,35 @@
 
 // carryOut does what the replica has decided.
 func (e *Engine) carryOut() {
-	output := e.node.Take()
+	output := e.node.Ready()
 	for _, message := range output.Messages {
 		e.sendConsensus(message)
 	}
-	for _, batch := range output.Persist {
+	for _, batch := range output.Writes {
 		e.environment.Write(batch, func() { e.written(batch) })
 	}
-	if output.Restore != nil {
-		if err := e.machine.Restore(output.Restore.Data); err != nil {
+	if output.Snapshot != nil {
+		if err := e.machine.Restore(output.Snapshot.Data); err != nil {
 			e.logger.Fatal("cannot take a snapshot", zap.Error(err))
 		}
 	}
-	for _, entry := range output.Committed {
+	for _, entry := range output.CommittedEntries {
 		e.apply(entry)
 	}
-	if output.Restore != nil {
+	if output.Snapshot != nil {
 		e.applyDepartures()
 	}
-	if output.Restore != nil || len(output.Committed) > 0 {
+	if output.Snapshot != nil || len(output.CommittedEntries) > 0 {
 		e.tellCommitted()
 		e.compact()
 	}
-	for _, read := range output.Reads {
-		e.finishRead(read.ID)
+	for _, read := range output.ReadStates {
+		e.finishRead(read.RequestID)
 	}
 }
 
 // written goes on once a batch is on disk.
-func (e *Engine) written(batch consensus.Persist) {
+func (e *Engine) written(batch consensus.WriteBatch) {
 	e.awake()
 	for _, message := range batch.Messages {
 		e.sendConsensus(message)
@@ -281,9 +281,9 @@
 		e.logger.Error("cannot take a snapshot", zap.Error(err))
 		return
 	}
-	snapshot := e.node.SnapshotAt(data)
+	snapshot := e.node.CreateSnapshot(data)
 	e.compacting = true
-	e.environment.Rewrite(e.node.Tail(snapshot), func() {
+	e.environment.Rewrite(e.node.DurableStateAfter(snapshot), func() {
 		e.compacting = false
 		e.node.Compact(snapshot)
 	})
@@ -296,9 +296,9 @@
 	if !e.leaving {
 		e.leaving = true
 		e.leavingSince = e.now()
-		e.logger.Info("leaving", zap.Bool("seated", e.node.Seated()))
+		e.logger.Info("leaving", zap.Bool("seated", e.node.IsVoter()))
 	}
-	e.node.Leave()
+	e.node.BeginShutdown()
 	e.carryOut()
 }
 
@@ -311,7 +311,7 @@
 // MayStop reports whether a leaving core is not needed any more, or has no time left.
 func (e *Engine) MayStop() bool {
 	passed := e.now() - e.leavingSince
-	return passed > leaveLinger && e.node.MayStop() || passed > e.options.Grace-graceMargin
+	return passed > leaveLinger && e.node.SafeToStop() || passed > e.options.Grace-graceMargin
 }
 
 func (e *Engine) uniqueID(number uint64) string {
--- a/internal/serving/control/golden_test.go
+++ b/internal/serving/control/golden_test.go
@@ -49,9 +49,9 @@
 	environment := &savingEnvironment{}
 	e, err := New(Options{
 		Identity: "10.0.0.1#founder", Life: goldenLife, Clock: func() time.Duration { return 0 },
-		AddressOf: func(host string) string { return host }, Consensus: consensus.Options{Seats: 2},
+		AddressOf: func(host string) string { return host }, Consensus: consensus.Options{Voters: 2},
 		Random: rand.New(rand.NewSource(1)), Logger: zap.NewNop(), SavedWorkers: saved,
-	}, consensus.Founding([]string{"10.0.0.1#founder", "10.0.0.2#founder"}), environment)
+	}, consensus.BootstrapState([]string{"10.0.0.1#founder", "10.0.0.2#founder"}), environment)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serving/control/joining.go
+++ b/internal/serving/control/joining.go
@@ -22,11 +22,11 @@
 // WaitReason says why this replica has no seat, "" where it has one.
 func (e *Engine) WaitReason() string {
 	switch {
-	case e.node.Seated():
+	case e.node.IsVoter():
 		return ""
 	case e.node.Leader() == "":
 		return "no leader has answered: check the seeds and the links to the other cores"
-	case !e.node.UpToDate():
+	case !e.node.HasCaughtUp():
 		return "catching up with the leader"
 	}
 	return "caught up: waits until a seat is free"
@@ -37,30 +37,30 @@
 	if reason := e.WaitReason(); reason != e.joining.reason && !e.leaving {
 		e.joining.reason = reason
 		if reason == "" {
-			e.logger.Info("has a seat", zap.Strings("members", e.node.Members()))
+			e.logger.Info("has a seat", zap.Strings("members", e.node.Voters()))
 		} else {
 			e.logger.Info("waits for a seat", zap.String("reason", reason))
 		}
 	}
-	if !e.node.Acting() {
+	if !e.node.IsEstablishedLeader() {
 		clear(e.joining.warnings)
 		return
 	}
 	now := e.now()
 	for _, learner := range e.node.Learners() {
-		late := now-learner.Since > e.options.CatchUp && !learner.CaughtUp && !learner.Leaving
+		late := now-learner.Since > e.options.CatchUp && !learner.CaughtUp && !learner.ShuttingDown
 		if !late || now < e.joining.warnings[learner.Replica] {
 			continue
 		}
 		e.joining.warnings[learner.Replica] = now + repeatWarning
 		e.logger.Warn("a replica makes no progress: check its link and its disk", zap.String("replica",
-			learner.Replica), zap.Uint64("has", learner.Match), zap.Uint64("of", e.node.Applied()))
+			learner.Replica), zap.Uint64("has", learner.MatchIndex), zap.Uint64("of", e.node.Applied()))
 	}
 }
 
 // Learners returns the replicas that wait for a seat, as far as this core leads and knows of them.
 func (e *Engine) Learners() []consensus.Learner {
-	if !e.node.Acting() {
+	if !e.node.IsEstablishedLeader() {
 		return nil
 	}
 	return e.node.Learners()
--- a/internal/serving/control/orders.go
+++ b/internal/serving/control/orders.go
@@ -163,14 +163,14 @@
 
 // ask proposes a command, or registers a read, at this core. It returns false where that cannot be.
 func (e *Engine) ask(command *wirepb.Command, by asker, expires time.Duration) bool {
-	if !e.node.Acting() || e.asked.full() {
+	if !e.node.IsEstablishedLeader() || e.asked.full() {
 		return false
 	}
 	entry := asked{asker: by, expires: expires}
 	if command == nil {
 		e.orders.next++
 		e.asked.reads[e.orders.next] = entry
-		return e.node.Read(e.orders.next)
+		return e.node.ReadIndex(e.orders.next)
 	}
 	_, proposed := e.asked.commands[command.Id]
 	e.asked.commands[command.Id] = entry
--- a/internal/serving/control/presence.go
+++ b/internal/serving/control/presence.go
@@ -123,7 +123,7 @@
 	address := presence.Node.GetAddress()
 	e.heardCores[address] = now
 	e.writers.heard(now, presence.Life)
-	e.node.Sighted(presence.Node.GetReplica(), now)
+	e.node.ObserveReplica(presence.Node.GetReplica(), now)
 	for _, heard := range presence.Heard {
 		e.workers.hear(heard.InstanceId, address, now-time.Duration(heard.AgeMs)*time.Millisecond)
 	}
--- a/internal/serving/control/saved.go
+++ b/internal/serving/control/saved.go
@@ -46,7 +46,7 @@
 // committed: it may have been acknowledged.
 func (e *Engine) unconfirmedDepartures() map[string]bool {
 	departures := map[string]bool{}
-	for _, entry := range e.node.Unconfirmed() {
+	for _, entry := range e.node.UncommittedEntries() {
 		var command wirepb.Command
 		if entry.Kind != wirepb.EntryKind_ENTRY_COMMAND || proto.Unmarshal(entry.Data, &command) != nil {
 			continue
--- a/internal/serving/control/saved_test.go
+++ b/internal/serving/control/saved_test.go
@@ -18,9 +18,9 @@
 
 func (silentEnvironment) Send(string, *wirepb.Envelope) {}
 
-func (silentEnvironment) Write(consensus.Persist, func()) {}
+func (silentEnvironment) Write(consensus.WriteBatch, func()) {}
 
-func (silentEnvironment) Rewrite(consensus.Stored, func()) {}
+func (silentEnvironment) Rewrite(consensus.DurableState, func()) {}
 
 func (silentEnvironment) SegmentBytes() int64 { return 0 }
 
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored := consensus.Founding([]string{"10.0.0.1#founder", "10.0.0.2#founder"})
+	stored := consensus.BootstrapState([]string{"10.0.0.1#founder", "10.0.0.2#founder"})
 	stored.HardState = &wirepb.HardState{Term: 1, Commit: 2}
 	stored.Entries = []*wirepb.Entry{
 		departureEntry(t, 1, &wirepb.Departure{InstanceId: "committed", Order: catalog.Final, Final: true}),
@@ -59,7 +59,7 @@
 	}
 	e, err := New(Options{
 		Identity: "10.0.0.1#founder", Life: "life", Clock: func() time.Duration { return 0 },
-		AddressOf: func(host string) string { return host }, Consensus: consensus.Options{Seats: 2},
+		AddressOf: func(host string) string { return host }, Consensus: consensus.Options{Voters: 2},
 		Random: rand.New(rand.NewSource(1)), Logger: zap.NewNop(), SavedWorkers: saved,
 	}, stored, silentEnvironment{})
 	if err != nil {
--- a/internal/serving/control/scenarios_test.go
+++ b/internal/serving/control/scenarios_test.go
@@ -100,7 +100,7 @@
 		gone.kill(true, 0)
 		gone.gone = true
 		w.run(simCatchUp)
-		if members := w.leader().process.engine.node.Members(); !slices.Contains(members, identityOf(fresh)) {
+		if members := w.leader().process.engine.node.Voters(); !slices.Contains(members, identityOf(fresh)) {
 			t.Errorf("seed %d: members %v without %s", seed, members, identityOf(fresh))
 		}
 	}
--- a/internal/serving/control/sim_machine_test.go
+++ b/internal/serving/control/sim_machine_test.go
@@ -72,8 +72,8 @@
 
 // simTask is something for the disk.
 type simTask struct {
-	batch   consensus.Persist
-	rewrite *consensus.Stored
+	batch   consensus.WriteBatch
+	rewrite *consensus.DurableState
 	done    func()
 }
 
@@ -84,7 +84,7 @@
 	p.machine.world.network.send(p.machine.host, hostPart(address), envelope)
 }
 
-func (p *process) Write(batch consensus.Persist, done func()) {
+func (p *process) Write(batch consensus.WriteBatch, done func()) {
 	if p.machine.world.planted.ackAtOnce {
 		p.tasks = append(p.tasks, simTask{batch: batch, done: func() {}})
 		p.post(func(*Engine) { done() })
@@ -93,7 +93,7 @@
 	p.tasks = append(p.tasks, simTask{batch: batch, done: done})
 }
 
-func (p *process) Rewrite(stored consensus.Stored, done func()) {
+func (p *process) Rewrite(stored consensus.DurableState, done func()) {
 	p.tasks = append(p.tasks, simTask{rewrite: &stored, done: done})
 }
 
@@ -214,7 +214,7 @@
 	if p.repairs {
 		return p.store.Repair()
 	}
-	var batches []consensus.Persist
+	var batches []consensus.WriteBatch
 	var err error
 	for _, task := range p.running {
 		if task.rewrite == nil {
--- a/internal/serving/control/sim_plants_test.go
+++ b/internal/serving/control/sim_plants_test.go
@@ -40,7 +40,7 @@
 	},
 	"1: an order is confirmed before a majority has it": {
 		submit: func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool {
-			if command == nil || !e.node.Acting() {
+			if command == nil || !e.node.IsEstablishedLeader() {
 				return false
 			}
 			e.Submit(command, func(*wirepb.CallReply) {})
@@ -50,7 +50,7 @@
 	},
 	"1: a core without a leader refuses": {
 		submit: func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool {
-			if command.GetReplace() == nil || e.node.InTouch() {
+			if command.GetReplace() == nil || e.node.InSync() {
 				return false
 			}
 			done(&wirepb.CallReply{Outcome: wirepb.Outcome_OUTCOME_CONFLICT})
--- a/internal/serving/control/sim_test.go
+++ b/internal/serving/control/sim_test.go
@@ -118,7 +118,7 @@
 		default:
 			e := m.process.engine
 			text += fmt.Sprintf(" [%s role %v term %d leader %s members %v index %d lost %v frozen %v leaving %v]",
-				e.options.Identity[5:14], e.node.InTouch(), e.node.Term(), e.node.Leader(), e.node.Members(),
+				e.options.Identity[5:14], e.node.InSync(), e.node.Term(), e.node.Leader(), e.node.Voters(),
 				e.node.Applied(), m.diskLost, m.frozenUntil > w.now, m.process.leaving)
 		}
 	}
--- a/internal/serving/control/sim_troubles_test.go
+++ b/internal/serving/control/sim_troubles_test.go
@@ -377,7 +377,7 @@
 			running = append(running, m.process.engine.options.Identity)
 		}
 	}
-	seated := e.node.Members()
+	seated := e.node.Voters()
 	for _, member := range seated {
 		if !slices.Contains(running, member) {
 			w.problem("%s has a seat and does not run; machines %v, seats %v", member, running, seated)
--- a/internal/serving/control/sim_world_test.go
+++ b/internal/serving/control/sim_world_test.go
@@ -74,9 +74,9 @@
 
 // consensusOptions make snapshots travel, and in many parts, where configurations are large.
 func (w *world) consensusOptions() consensus.Options {
-	options := consensus.Options{Seats: w.shape.cores}
+	options := consensus.Options{Voters: w.shape.cores}
 	if w.shape.large {
-		options.KeptBytes, options.PartBytes = 2000, 700
+		options.RetainedLogBytes, options.SnapshotChunkBytes = 2000, 700
 	}
 	return options
 }
@@ -247,7 +247,7 @@
 // leader returns the machine that acts, or nil.
 func (w *world) leader() *machine {
 	for _, m := range w.machines {
-		if m.process != nil && m.frozenUntil <= w.now && m.process.engine.node.Acting() {
+		if m.process != nil && m.frozenUntil <= w.now && m.process.engine.node.IsEstablishedLeader() {
 			return m
 		}
 	}
--- a/internal/serving/control/status.go
+++ b/internal/serving/control/status.go
@@ -53,13 +53,13 @@
 // Status describes the core as it is now.
 func (e *Engine) Status() Status {
 	status := Status{
-		Replica: e.options.Identity, Leader: e.node.Leader(), Epoch: e.node.Term(), InTouch: e.node.InTouch(),
-		Members: slices.Clone(e.node.Members()), Waits: e.WaitReason(), Index: e.node.Applied(),
+		Replica: e.options.Identity, Leader: e.node.Leader(), Epoch: e.node.Term(), InTouch: e.node.InSync(),
+		Members: slices.Clone(e.node.Voters()), Waits: e.WaitReason(), Index: e.node.Applied(),
 		Generation: e.machine.Generation(), Evacuated: e.machine.Evacuated(),
 	}
 	for _, learner := range e.Learners() {
 		status.Learners = append(status.Learners, LearnerStatus{
-			Replica: learner.Replica, WaitsS: (e.now() - learner.Since).Seconds(), Index: learner.Match,
+			Replica: learner.Replica, WaitsS: (e.now() - learner.Since).Seconds(), Index: learner.MatchIndex,
 			CaughtUp: learner.CaughtUp,
 		})
 	}
--- a/internal/serving/control/sweep.go
+++ b/internal/serving/control/sweep.go
@@ -23,7 +23,7 @@
 		held.Expire(now)
 		return false
 	})
-	if !e.node.Acting() || !e.settled() {
+	if !e.node.IsEstablishedLeader() || !e.settled() {
 		return
 	}
 	e.sweepWorkers(now)
--- a/internal/serving/core/core.go
+++ b/internal/serving/core/core.go
@@ -82,7 +82,7 @@
 	options := control.Options{
 		Identity: opened.Identity, Life: config.NodeName + "/" + randomTag(),
 		Address: c.internal, AddressOf: c.internalAddress, Zone: config.Zone, Region: config.Region,
-		Seeds: hostsOf(config.Seeds), Consensus: consensus.Options{Seats: seats(config)},
+		Seeds: hostsOf(config.Seeds), Consensus: consensus.Options{Voters: seats(config)},
 		HeartbeatEvery: config.HeartbeatEvery,
 		CatchUp:        config.Bounds.CatchUp, Grace: config.Bounds.Grace,
 		Clock:  func() time.Duration { return time.Since(c.started) },
--- a/internal/serving/core/disk.go
+++ b/internal/serving/core/disk.go
@@ -47,8 +47,8 @@
 
 // diskTask is something for the disk, and what follows once it is done.
 type diskTask struct {
-	batch   consensus.Persist
-	rewrite *consensus.Stored // instead of the batch
+	batch   consensus.WriteBatch
+	rewrite *consensus.DurableState // instead of the batch
 	done    func()
 }
 
@@ -99,7 +99,7 @@
 }
 
 func (d *disk) carryOut(tasks []diskTask, stop <-chan struct{}) {
-	var batches []consensus.Persist
+	var batches []consensus.WriteBatch
 	for _, task := range tasks {
 		if task.rewrite == nil {
 			batches = append(batches, task.batch)
@@ -145,11 +145,11 @@
 // environment is what the engine needs of this process.
 type environment struct{ core *Core }
 
-func (v *environment) Write(batch consensus.Persist, done func()) {
+func (v *environment) Write(batch consensus.WriteBatch, done func()) {
 	v.core.disk.submit(diskTask{batch: batch, done: done})
 }
 
-func (v *environment) Rewrite(stored consensus.Stored, done func()) {
+func (v *environment) Rewrite(stored consensus.DurableState, done func()) {
 	v.core.disk.submit(diskTask{rewrite: &stored, done: done})
 }
 
--- a/internal/serving/wal/golden_test.go
+++ b/internal/serving/wal/golden_test.go
@@ -105,8 +105,8 @@
 		t.Fatal(err)
 	}
 	entries := goldenEntries()
-	rewrites := []consensus.Stored{
-		consensus.Founding([]string{goldenIdentity}),
+	rewrites := []consensus.DurableState{
+		consensus.BootstrapState([]string{goldenIdentity}),
 		{
 			Snapshot:  goldenSnapshot(t),
 			HardState: &wirepb.HardState{Term: 5, VotedFor: goldenThird, Commit: 20},
@@ -121,7 +121,7 @@
 	replaced := &wirepb.Entry{
 		Index: 23, Term: 5, Kind: wirepb.EntryKind_ENTRY_COMMAND, Data: []byte("replaced below"),
 	}
-	appends := [][]consensus.Persist{
+	appends := [][]consensus.WriteBatch{
 		{
 			{Entries: []*wirepb.Entry{entries[1], replaced}},
 			{HardState: &wirepb.HardState{Term: 5, VotedFor: goldenThird, Commit: 21}},
--- a/internal/serving/wal/identity.go
+++ b/internal/serving/wal/identity.go
@@ -13,7 +13,7 @@
 type Opened struct {
 	Identity string
 	Store    *Store
-	Stored   consensus.Stored
+	Stored   consensus.DurableState
 	Damage   error // what was found wrong with the disk, which joins anew then
 }
 
@@ -36,13 +36,13 @@
 		return Opened{Identity: identity, Store: NewStore(log, stored), Stored: stored}, nil
 	}
 	if identity == "" && slices.Contains(founders, founder) {
-		return begin(files, folder, founder, consensus.Founding(founders))
+		return begin(files, folder, founder, consensus.BootstrapState(founders))
 	}
 	// The new identity is saved before the old log is removed: an identity never stands over less than it held.
 	if saveErr := SaveIdentity(files, folder, fresh); saveErr != nil {
 		return Opened{}, saveErr
 	}
-	opened, beginErr := begin(files, folder, fresh, consensus.Stored{Snapshot: &wirepb.Snapshot{}})
+	opened, beginErr := begin(files, folder, fresh, consensus.DurableState{Snapshot: &wirepb.Snapshot{}})
 	if identity != "" {
 		opened.Damage = err
 		if err == nil {
@@ -54,7 +54,7 @@
 
 // begin makes a disk hold exactly stored, under an identity. What a life before it left unfinished was never
 // told to anyone.
-func begin(files FileSystem, folder, identity string, stored consensus.Stored) (Opened, error) {
+func begin(files FileSystem, folder, identity string, stored consensus.DurableState) (Opened, error) {
 	if err := Clear(files, folder); err != nil {
 		return Opened{}, err
 	}
--- a/internal/serving/wal/power_test.go
+++ b/internal/serving/wal/power_test.go
@@ -38,7 +38,7 @@
 		random := rand.New(rand.NewSource(seed))
 		files := waltest.New(random)
 		opened := openReplica(t, files, true, "10.0.0.1#fresh")
-		var acknowledged, trying consensus.Stored
+		var acknowledged, trying consensus.DurableState
 		acknowledged = opened.Stored
 		for life := 0; life < 3; life++ {
 			files.CutPowerAfter(random.Intn(30))
@@ -58,8 +58,8 @@
 
 // writeUntilPowerGoes returns what the disk has acknowledged, and that with the write that failed.
 func writeUntilPowerGoes(
-	random *rand.Rand, files *waltest.Files, store *wal.Store, held consensus.Stored,
-) (acknowledged, trying consensus.Stored) {
+	random *rand.Rand, files *waltest.Files, store *wal.Store, held consensus.DurableState,
+) (acknowledged, trying consensus.DurableState) {
 	acknowledged = held
 	for {
 		files.FailSyncs = max(0, random.Intn(8)-6)
@@ -72,7 +72,7 @@
 		if random.Intn(5) == 0 {
 			err = store.Rewrite(trying)
 		} else {
-			err = store.Write([]consensus.Persist{batch})
+			err = store.Write([]consensus.WriteBatch{batch})
 		}
 		for err != nil {
 			before := err
@@ -85,10 +85,10 @@
 }
 
 // drawBatch draws votes, and entries that follow or replace the last ones.
-func drawBatch(random *rand.Rand, held consensus.Stored) consensus.Persist {
+func drawBatch(random *rand.Rand, held consensus.DurableState) consensus.WriteBatch {
 	last := held.Snapshot.GetIndex() + uint64(len(held.Entries))
 	first := last + 1 - min(uint64(random.Intn(2)), uint64(len(held.Entries)))
-	batch := consensus.Persist{HardState: &wirepb.HardState{Term: held.HardState.GetTerm() + 1}}
+	batch := consensus.WriteBatch{HardState: &wirepb.HardState{Term: held.HardState.GetTerm() + 1}}
 	for i := range uint64(random.Intn(3)) {
 		data := make([]byte, random.Intn(50))
 		random.Read(data)
@@ -98,7 +98,7 @@
 	return batch
 }
 
-func same(x, y consensus.Stored) bool {
+func same(x, y consensus.DurableState) bool {
 	if x.HardState.GetTerm() != y.HardState.GetTerm() || len(x.Entries) != len(y.Entries) {
 		return false
 	}
@@ -140,8 +140,8 @@
 func damage(t *testing.T, files *waltest.Files, opened wal.Opened) {
 	t.Helper()
 	for term := uint64(1); term <= 3; term++ {
-		batch := consensus.Persist{HardState: &wirepb.HardState{Term: term, VotedFor: "someone"}}
-		if err := opened.Store.Write([]consensus.Persist{batch}); err != nil {
+		batch := consensus.WriteBatch{HardState: &wirepb.HardState{Term: term, VotedFor: "someone"}}
+		if err := opened.Store.Write([]consensus.WriteBatch{batch}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/serving/wal/store.go
+++ b/internal/serving/wal/store.go
@@ -6,14 +6,14 @@
 // replaced by a whole one. It is not safe for concurrent use.
 type Store struct {
 	log  *Log
-	held consensus.Stored
+	held consensus.DurableState
 }
 
 // NewStore makes a store of an open log and what it holds.
-func NewStore(log *Log, held consensus.Stored) *Store { return &Store{log: log, held: held} }
+func NewStore(log *Log, held consensus.DurableState) *Store { return &Store{log: log, held: held} }
 
 // Write puts batches on disk. After an error nothing of them counts before Repair has succeeded.
-func (s *Store) Write(batches []consensus.Persist) error {
+func (s *Store) Write(batches []consensus.WriteBatch) error {
 	for _, batch := range batches {
 		if err := s.held.Apply(batch); err != nil {
 			return err
@@ -27,7 +27,7 @@
 
 // Rewrite begins a new segment that holds exactly stored. After an error nothing of it counts before Repair
 // has succeeded.
-func (s *Store) Rewrite(stored consensus.Stored) error {
+func (s *Store) Rewrite(stored consensus.DurableState) error {
 	s.held = stored
 	return s.Repair()
 }
--- a/internal/serving/wal/wal.go
+++ b/internal/serving/wal/wal.go
@@ -77,7 +77,7 @@
 
 // Open reads the newest segment in folder. exists is false where there is none; the caller then begins with
 // Rewrite.
-func Open(files FileSystem, folder string) (log *Log, stored consensus.Stored, exists bool, err error) {
+func Open(files FileSystem, folder string) (log *Log, stored consensus.DurableState, exists bool, err error) {
 	log = &Log{files: files, folder: folder}
 	numbers, err := segmentNumbers(files, folder)
 	if err != nil {
@@ -101,7 +101,7 @@
 
 // readSegment returns what a segment holds. complete is false where not even its beginning is whole: it was
 // being written when the power went, and the segment before it still counts.
-func readSegment(files FileSystem, path string) (stored consensus.Stored, complete bool, err error) {
+func readSegment(files FileSystem, path string) (stored consensus.DurableState, complete bool, err error) {
 	data, err := files.ReadFile(path)
 	if err != nil {
 		return stored, false, errors.Wrapf(err, "cannot read %s: check the disk", path)
@@ -123,13 +123,13 @@
 	return stored, complete, nil
 }
 
-func replayFrame(stored *consensus.Stored, payload []byte) error {
+func replayFrame(stored *consensus.DurableState, payload []byte) error {
 	var frame wirepb.LogFrame
 	if err := proto.Unmarshal(payload, &frame); err != nil {
 		return err
 	}
 	for _, part := range frame.Parts {
-		batch := consensus.Persist{Snapshot: part.Snapshot, HardState: part.HardState, Entries: part.Entries}
+		batch := consensus.WriteBatch{Snapshot: part.Snapshot, HardState: part.HardState, Entries: part.Entries}
 		if err := stored.Apply(batch); err != nil {
 			return err
 		}
@@ -144,7 +144,7 @@
 func (l *Log) Healthy() bool { return l.file != nil }
 
 // Append writes batches and syncs them. After an error the segment is not used again.
-func (l *Log) Append(batches []consensus.Persist) error {
+func (l *Log) Append(batches []consensus.WriteBatch) error {
 	if l.file == nil {
 		return errors.New("the segment has failed before: write the log anew first")
 	}
@@ -162,7 +162,7 @@
 	return nil
 }
 
-func encodeFrame(batches []consensus.Persist) ([]byte, error) {
+func encodeFrame(batches []consensus.WriteBatch) ([]byte, error) {
 	var frame wirepb.LogFrame
 	for _, batch := range batches {
 		frame.Parts = append(frame.Parts, &wirepb.LogPart{
@@ -183,7 +183,7 @@
 }
 
 // Rewrite begins a new segment that holds exactly stored, and removes the ones before it once it is synced.
-func (l *Log) Rewrite(stored consensus.Stored) error {
+func (l *Log) Rewrite(stored consensus.DurableState) error {
 	if l.file != nil {
 		l.file.Close()
 		l.file = nil
@@ -196,8 +196,8 @@
 	if hardState == nil {
 		hardState = &wirepb.HardState{}
 	}
-	batch := consensus.Persist{Snapshot: snapshot, HardState: hardState, Entries: stored.Entries}
-	buffer, err := encodeFrame([]consensus.Persist{batch})
+	batch := consensus.WriteBatch{Snapshot: snapshot, HardState: hardState, Entries: stored.Entries}
+	buffer, err := encodeFrame([]consensus.WriteBatch{batch})
 	if err != nil {
 		return err
 	}
--- a/internal/serving/wal/wal_test.go
+++ b/internal/serving/wal/wal_test.go
@@ -24,10 +24,10 @@
 	if err != nil || exists {
 		t.Fatal(exists, err)
 	}
-	if err := log.Rewrite(consensus.Founding([]string{"a", "b"})); err != nil {
+	if err := log.Rewrite(consensus.BootstrapState([]string{"a", "b"})); err != nil {
 		t.Fatal(err)
 	}
-	steps := [][]consensus.Persist{
+	steps := [][]consensus.WriteBatch{
 		{{HardState: &wirepb.HardState{Term: 1, VotedFor: "a"}}, {Entries: []*wirepb.Entry{
 			entry(1, 1, "x"), entry(2, 1, "y"), entry(3, 1, "z"),
 		}}},
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 	log.file.Close() // the next write fails
-	batch := []consensus.Persist{{Entries: []*wirepb.Entry{entry(3, 2, "late")}}}
+	batch := []consensus.WriteBatch{{Entries: []*wirepb.Entry{entry(3, 2, "late")}}}
 	if log.Append(batch) == nil || log.Healthy() || log.Append(batch) == nil {
 		t.Fatal("a segment that had failed was written")
 	}
