--- a/internal/serving/consensus/doc.go
+++ b/internal/serving/consensus/doc.go
@@ -1,15 +1,17 @@
-// Package consensus decides how the replicas of the core agree on one log: which replica acts, which
-// entries are committed, and who belongs to the quorum. It has no I/O, no clock and no goroutines: its
-// caller brings time and messages, and carries out what Take returns. One seed therefore replays a whole
-// run.
+// Package consensus implements raft for the replicas of the core: leader election, replication of one log,
+// snapshots, and changes of the set of voters. It owns the state of one replica in memory (term, vote, log,
+// commit index, progress of the other replicas). Like etcd's raft library it has no I/O, no clock and no
+// goroutines, and must not import anything that has: the caller passes the time and received messages to
+// Tick and Step, carries out what Ready returns, and reports completed writes with Persisted. A run is
+// therefore determined by its seed. It logs nothing.
 //
-// Method: the replicated log of Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm"
-// (2014), with pre-votes and one-at-a-time membership changes of Ongaro's dissertation (2014, sections 4
-// and 9.6). The term is the epoch that fences the acting replica. Two things differ:
+// Method: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), with pre-vote,
+// leadership transfer and joint consensus of Ongaro's dissertation (2014, sections 9.6, 3.10 and 4.3). The
+// term is the epoch that fences the leader. Two things differ:
 //
-//   - Replicas stand for election in an agreed order (the order of the membership): each further replica
-//     waits longer, so that the first live one acts.
-//   - A replica's identity is that of its disk. A wiped disk is a new replica: it votes for nothing until
-//     the acting replica has brought it up to date and a majority has admitted it (compare Liskov and
-//     Cowling, "Viewstamped Replication Revisited", 2012, section 4.3 on recovery).
+//   - Replicas campaign in the order of the membership: each further voter waits longer, so that normally
+//     the first live one becomes the leader.
+//   - A replica's identity is that of its disk. A wiped disk is a new replica: it is a learner without a vote
+//     until it has caught up and a quorum has committed its admission (compare Liskov and Cowling,
+//     "Viewstamped Replication Revisited", 2012, section 4.3 on recovery).
 package consensus
--- a/internal/serving/consensus/election.go
+++ b/internal/serving/consensus/election.go
@@ -6,7 +6,7 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// startPreVote asks the others whether they would vote, without raising the term.
+// preCampaign requests pre-votes: it asks the other voters whether they would vote, without raising the term.
 func (n *Node) preCampaign() {
 	n.role = PreCandidate
 	n.leader = ""
@@ -21,8 +21,8 @@
 	}
 }
 
-// startVote raises the term and stands for election. The requests go out once the own vote is on disk.
-// takeOver says that the leader has asked for it.
+// campaign raises the term and requests votes. The requests are sent once the own vote is durable.
+// leadershipTransfer says that the leader has asked for the election.
 func (n *Node) campaign(leadershipTransfer bool) {
 	n.role = Candidate
 	n.leader = ""
@@ -39,11 +39,12 @@
 	}
 }
 
+// wonElection reports whether a quorum has granted its vote, or pre-vote.
 func (n *Node) wonElection() bool {
 	return n.membership.hasQuorum(func(id string) bool { return n.votes[id] })
 }
 
-// requestsForVotes addresses a request to each other voter.
+// voteRequests returns a copy of a request, completed with the end of the log, for each other voter.
 func (n *Node) voteRequests(request *wirepb.Consensus) []*wirepb.Consensus {
 	var requests []*wirepb.Consensus
 	for _, voter := range n.membership.voters() {
@@ -58,7 +59,8 @@
 	return requests
 }
 
-// notBehind reports whether the log of the candidate in m holds all that this replica's may have committed.
+// logIsUpToDate reports whether the candidate's log, described by m, is at least as up to date as this
+// replica's (Ongaro and Ousterhout, section 5.4.1).
 func (n *Node) logIsUpToDate(m *wirepb.Consensus) bool {
 	if m.LogTerm != n.log.lastTerm() {
 		return m.LogTerm > n.log.lastTerm()
@@ -66,8 +68,9 @@
 	return m.LogIndex >= n.log.lastIndex()
 }
 
-// stepPreVote answers any candidate that asks: whose vote counts is for the candidate's log to say, since
-// this replica may have been admitted by an entry that it has not received yet.
+// handlePreVote replies to any candidate. It does not check that the candidate or this replica is a voter:
+// whose vote counts is determined by the candidate's log, since this replica may not have received yet the
+// entry that admitted it.
 func (n *Node) handlePreVote(m *wirepb.Consensus) {
 	if n.leaderRecentlyActive() {
 		return
@@ -84,7 +87,8 @@
 	})
 }
 
-// yieldTo leaves the election to a candidate that comes earlier in the order, so that votes do not split.
+// deferTo postpones this replica's own campaign in favour of a candidate that precedes it in the order of
+// voters, so that votes do not split.
 func (n *Node) deferTo(candidate string) {
 	voters := n.membership.voters()
 	if slices.Index(voters, candidate) < slices.Index(voters, n.id) {
@@ -95,6 +99,7 @@
 	}
 }
 
+// handlePreVoteReply counts a pre-vote, and campaigns once a quorum has granted one.
 func (n *Node) handlePreVoteReply(m *wirepb.Consensus) {
 	if m.Reject {
 		if m.Term > n.term {
@@ -111,6 +116,8 @@
 	}
 }
 
+// handleVote grants the vote of this term to the first candidate whose log is up to date. The reply is sent
+// once the vote is durable.
 func (n *Node) handleVote(m *wirepb.Consensus) {
 	if m.Term < n.term {
 		return
@@ -129,6 +136,7 @@
 	n.enqueueWrite(WriteBatch{HardState: n.hardState(), Messages: []*wirepb.Consensus{reply}})
 }
 
+// handleVoteReply counts a vote, and becomes the leader once a quorum has granted one.
 func (n *Node) handleVoteReply(m *wirepb.Consensus) {
 	if n.role != Candidate || m.Term != n.term || m.Reject {
 		return
@@ -139,6 +147,8 @@
 	}
 }
 
+// becomeLeader begins to lead the present term: it appends an empty entry, whose commitment commits all
+// entries of earlier terms, and sends the first heartbeat.
 func (n *Node) becomeLeader() {
 	n.role = Leader
 	n.leader = n.id
--- a/internal/serving/consensus/follower.go
+++ b/internal/serving/consensus/follower.go
@@ -2,7 +2,7 @@
 
 import "willowdeck/internal/serving/wirepb"
 
-// followLeader notes that the leader of the present term has spoken.
+// acceptLeader records a message of the leader of the present term.
 func (n *Node) acceptLeader(m *wirepb.Consensus) {
 	if n.role != Follower || n.leader != m.From {
 		n.becomeFollower(m.Term, m.From)
@@ -14,6 +14,8 @@
 	n.resetElectionDeadline()
 }
 
+// handleAppend appends the leader's entries if the log matches at the entry before them, and advances the
+// commit index.
 func (n *Node) handleAppend(m *wirepb.Consensus) {
 	if m.Term < n.term {
 		n.rejectStaleTerm(m.From)
@@ -38,14 +40,14 @@
 	n.sendAppendReply(m.From, m.Round)
 }
 
-// refuseOldTerm tells a leader of an earlier term that its time is over.
+// rejectStaleTerm replies to a leader of an earlier term with the present one, so that it steps down.
 func (n *Node) rejectStaleTerm(to string) {
 	n.send(&wirepb.Consensus{
 		Kind: wirepb.ConsensusKind_CONSENSUS_APPEND_REPLY, To: to, Term: n.term, Reject: true,
 	})
 }
 
-// skipKnown leaves out of m the entries that are committed here already.
+// skipCommitted removes from m the entries that are committed here already.
 func (n *Node) skipCommitted(m *wirepb.Consensus) {
 	for len(m.Entries) > 0 && m.LogIndex < n.commitIndex {
 		m.LogIndex = m.Entries[0].Index
@@ -58,6 +60,8 @@
 	}
 }
 
+// sendAppendRejection tells the leader that the log does not match at the entry before those of m, with a
+// hint where it may.
 func (n *Node) sendAppendRejection(m *wirepb.Consensus) {
 	hint := min(m.LogIndex, n.log.lastIndex()+1)
 	if hint > 0 {
@@ -70,7 +74,7 @@
 	})
 }
 
-// takeEntries appends what is new, after dropping what contradicts it.
+// appendEntries appends the entries that the log lacks, after truncating it where it conflicts with them.
 func (n *Node) appendEntries(entries []*wirepb.Entry) {
 	for i, entry := range entries {
 		term, exists := n.log.term(entry.Index)
@@ -92,12 +96,12 @@
 	}
 }
 
-// replyAppend tells the leader what is on this disk. Entries that contradict the leader's are never among
-// it: they were dropped when its first message after them was taken.
+// sendAppendReply reports to the leader how far its log is durable here. Entries that conflict with the
+// leader's are not counted: they were truncated when its first message after them was handled.
 func (n *Node) sendAppendReply(leader string, round uint64) {
 	n.send(&wirepb.Consensus{
 		Kind: wirepb.ConsensusKind_CONSENSUS_APPEND_REPLY, To: leader, Term: n.term,
-		LogIndex: min(n.durableIndex, n.matchIndex), Received: n.matchIndex, Round: round, Leaving: n.shutdown.requested,
-		LeavingMs: n.shutdown.elapsedMillis(n.now),
+		LogIndex: min(n.durableIndex, n.matchIndex), Received: n.matchIndex, Round: round,
+		Leaving: n.shutdown.requested, LeavingMs: n.shutdown.elapsedMillis(n.now),
 	})
 }
--- a/internal/serving/consensus/golden_test.go
+++ b/internal/serving/consensus/golden_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestGoldenIdentity pins the form of a replica's identity, which stands on disks, in memberships and in
-// messages as of 2 December 2026.
+// TestGoldenIdentity pins the form of a replica's identity as of 2 December 2026. It is part of files on
+// disk, memberships and messages.
 func TestGoldenIdentity(t *testing.T) {
 	if got := Identity("10.0.0.1", "0a1b2c3d4e5f"); got != "10.0.0.1#0a1b2c3d4e5f" {
 		t.Errorf("identity %s", got)
--- a/internal/serving/consensus/leader_contact.go
+++ b/internal/serving/consensus/leader_contact.go
@@ -2,27 +2,30 @@
 
 import "time"
 
-// floorPeriod is how long the least delay of a leader's messages is remembered at least: clocks drift.
+// delayWindow is the minimum time for which the smallest observed message delay is remembered. Clocks drift,
+// so it is not remembered for good.
 const delayWindow = 10 * time.Second
 
-// contact follows when the leader last spoke. Messages carry the leader's clock; one that comes later than
-// its like, because a link or this process stood still, counts from when it should have come. So a replica
-// that wakes does not take what waited for it for news.
+// leaderContact records when the leader last sent a message. Messages carry the leader's clock; one with more
+// delay than the smallest one observed, because a link or this process was stalled, counts from when it
+// should have arrived. A replica that resumes after a stall therefore does not count queued messages as
+// recent contact.
 type leaderContact struct {
-	leader           string // the leader, and its term: another one has another clock
+	leader           string // its identity and term: another leader has another clock
 	term             uint64
-	lastContact      time.Duration // when the newest message should have come, on this replica's clock
-	minDelay         time.Duration // the least difference between this clock and the leader's, lately
-	previousMinDelay time.Duration // the same in the period before
+	lastContact      time.Duration // when the newest message should have arrived, by this replica's clock
+	minDelay         time.Duration // the smallest difference between this clock and the leader's in this window
+	previousMinDelay time.Duration // the same in the window before
 	windowEnds       time.Duration
 }
 
-// note takes a message that carries the leader's clock.
+// observe records a message that carries the leader's clock, round, in microseconds.
 func (c *leaderContact) observe(now time.Duration, leader string, term, round uint64) {
 	delay := now - time.Duration(round)*time.Microsecond
 	if c.leader != leader || c.term != term {
 		*c = leaderContact{
-			leader: leader, term: term, lastContact: now, minDelay: delay, previousMinDelay: delay, windowEnds: now + delayWindow,
+			leader: leader, term: term, lastContact: now, minDelay: delay, previousMinDelay: delay,
+			windowEnds: now + delayWindow,
 		}
 		return
 	}
@@ -35,12 +38,12 @@
 	c.lastContact = max(c.lastContact, now-excessDelay)
 }
 
-// within reports whether the leader has spoken within a time.
+// within reports whether the leader has sent a message within a duration before now.
 func (c *leaderContact) within(now, duration time.Duration) bool {
 	return c.leader != "" && now-c.lastContact < duration
 }
 
-// leaderClock returns what the leader's clock shows at least, in microseconds.
+// leaderClock returns a lower bound of the leader's clock, in microseconds.
 func (c *leaderContact) leaderClock(now time.Duration) uint64 {
 	return uint64((now - min(c.minDelay, c.previousMinDelay)) / time.Microsecond)
 }
--- a/internal/serving/consensus/log.go
+++ b/internal/serving/consensus/log.go
@@ -2,8 +2,8 @@
 
 import "willowdeck/internal/serving/wirepb"
 
-// replicatedLog holds a snapshot and entries. Some entries that the snapshot covers are kept, so that a
-// replica which is a little behind needs no snapshot.
+// replicatedLog holds a snapshot and entries in memory. Some entries that the snapshot covers are retained,
+// so that a replica which lags a little needs no snapshot.
 type replicatedLog struct {
 	snapshot  *wirepb.Snapshot // never nil
 	baseIndex uint64           // of the entry before entries[0]; at most snapshot.Index
@@ -11,6 +11,7 @@
 	entries   []*wirepb.Entry
 }
 
+// newLog returns the log of a durable state.
 func newLog(stored DurableState) replicatedLog {
 	snapshot := stored.Snapshot
 	if snapshot == nil {
@@ -30,7 +31,7 @@
 	return term
 }
 
-// term returns the term of the entry at index, and false where the log does not hold it.
+// term returns the term of the entry at index, and false if the log does not have it.
 func (l *replicatedLog) term(index uint64) (uint64, bool) {
 	if index == l.baseIndex {
 		return l.baseTerm, true
@@ -41,9 +42,11 @@
 	return l.entryAt(index).Term, true
 }
 
+// entryAt returns the entry at an index, which the log must have.
 func (l *replicatedLog) entryAt(index uint64) *wirepb.Entry { return l.entries[index-l.firstIndex()] }
 
-// from returns the entries beginning at index, up to about limit bytes but at least one.
+// entriesFrom returns the entries from index on, up to about limit bytes but at least one; none if the log
+// does not have index.
 func (l *replicatedLog) entriesFrom(index uint64, limit int) []*wirepb.Entry {
 	if index < l.firstIndex() || index > l.lastIndex() {
 		return nil
@@ -59,13 +62,13 @@
 	return tail[:len(tail):len(tail)]
 }
 
-// after returns all entries behind index, which the log must reach.
+// entriesAfter returns all entries after index, which must not be before the base.
 func (l *replicatedLog) entriesAfter(index uint64) []*wirepb.Entry {
 	tail := l.entries[index-l.baseIndex:]
 	return tail[:len(tail):len(tail)]
 }
 
-// bytes returns the size of the entries between two indexes, the first one left out.
+// sizeBetween returns the size in bytes of the entries after one index and up to another.
 func (l *replicatedLog) sizeBetween(after, last uint64) int {
 	size := 0
 	for index := max(after, l.baseIndex) + 1; index <= min(last, l.lastIndex()); index++ {
@@ -76,19 +79,19 @@
 
 func (l *replicatedLog) append(entries ...*wirepb.Entry) { l.entries = append(l.entries, entries...) }
 
-// truncate drops the entries at index and after it.
+// truncate removes the entries from index on.
 func (l *replicatedLog) truncate(index uint64) {
 	kept := l.entries[:index-l.firstIndex()]
 	l.entries = append([]*wirepb.Entry(nil), kept...)
 }
 
-// reset makes snapshot all that the log holds.
+// reset replaces the log by a snapshot.
 func (l *replicatedLog) reset(snapshot *wirepb.Snapshot) {
 	*l = replicatedLog{snapshot: snapshot, baseIndex: snapshot.Index, baseTerm: snapshot.Term}
 }
 
-// compact makes snapshot, which the log reaches, its snapshot, and keeps about keep bytes of the entries that
-// it covers.
+// compact replaces the log's snapshot by one that the log reaches, and retains about retainBytes of the
+// entries that it covers.
 func (l *replicatedLog) compact(snapshot *wirepb.Snapshot, retainBytes int) {
 	l.snapshot = snapshot
 	base := snapshot.Index
@@ -103,7 +106,7 @@
 	l.baseIndex, l.baseTerm = base, term
 }
 
-// membership returns the newest membership that the log holds, committed or not, and its index.
+// membership returns the newest membership in the log, committed or not, and its index.
 func (l *replicatedLog) membership() (membership, uint64) {
 	return l.membershipAt(l.lastIndex())
 }
--- a/internal/serving/consensus/membership.go
+++ b/internal/serving/consensus/membership.go
@@ -8,22 +8,26 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// membership says whose votes and copies count. While a seat changes hands, it is joint: a majority of the
+// membership says which replicas are voters. While one replaces another it is joint: a majority of the
 // replicas and a majority of the outgoing ones are needed (Ongaro's dissertation, section 4.3). A joint
-// membership is followed by one that holds its replicas alone.
+// membership is followed by one that has its replicas alone.
 type membership struct {
-	replicas []string // that vote, in their agreed order
-	outgoing []string // the replicas before the change that is under way; empty: there is none
+	replicas []string // the voters, in their agreed order
+	outgoing []string // the voters before the change in progress; empty: not joint
 }
 
+// membershipFromProto returns the membership of a message.
 func membershipFromProto(message *wirepb.Membership) membership {
 	return membership{replicas: message.GetReplicas(), outgoing: message.GetOutgoing()}
 }
 
+// message returns the message of a membership.
 func (m membership) message() *wirepb.Membership {
 	return &wirepb.Membership{Replicas: m.replicas, Outgoing: m.outgoing}
 }
 
+// decodeMembership decodes the data of a membership entry. It panics on damage, since the entry was checked
+// when it was read.
 func decodeMembership(data []byte) membership {
 	var message wirepb.Membership
 	if err := proto.Unmarshal(data, &message); err != nil {
@@ -32,6 +36,7 @@
 	return membershipFromProto(&message)
 }
 
+// encode returns the data of a membership entry.
 func (m membership) encode() []byte {
 	data, err := proto.Marshal(m.message())
 	if err != nil {
@@ -42,7 +47,7 @@
 
 func (m membership) isJoint() bool { return len(m.outgoing) > 0 }
 
-// voters returns all whose votes count, in their agreed order.
+// voters returns the replicas of both lists, each once, in their agreed order.
 func (m membership) voters() []string {
 	voters := slices.Clone(m.replicas)
 	for _, id := range m.outgoing {
@@ -53,11 +58,12 @@
 	return voters
 }
 
+// contains reports whether a replica is a voter.
 func (m membership) contains(id string) bool {
 	return slices.Contains(m.replicas, id) || slices.Contains(m.outgoing, id)
 }
 
-// quorum reports whether those for whom holds is true are a quorum.
+// hasQuorum reports whether the voters for which satisfies is true are a quorum.
 func (m membership) hasQuorum(satisfies func(id string) bool) bool {
 	return hasMajority(m.replicas, satisfies) && (!m.isJoint() || hasMajority(m.outgoing, satisfies))
 }
@@ -93,19 +99,19 @@
 	return indexes[(len(indexes)-1)/2]
 }
 
-// with returns the membership with one more replica. Quorums before and after it overlap, since it is one.
+// withVoter returns the membership with one more voter. Its quorums and those of m overlap, since it is one.
 func (m membership) withVoter(id string) membership {
 	return membership{replicas: append(slices.Clone(m.replicas), id)}
 }
 
-// replacing returns the joint membership in which successor takes the seat of a replica.
+// withReplacement returns the joint membership in which successor replaces a voter.
 func (m membership) withReplacement(voter, successor string) membership {
 	replicas := slices.Clone(m.replicas)
 	replicas[slices.Index(replicas, voter)] = successor
 	return membership{replicas: replicas, outgoing: m.replicas}
 }
 
-// settled returns the membership that follows a joint one.
+// afterJoint returns the membership that follows a joint one.
 func (m membership) afterJoint() membership {
 	return membership{replicas: m.replicas}
 }
--- a/internal/serving/consensus/node_test.go
+++ b/internal/serving/consensus/node_test.go
@@ -24,15 +24,17 @@
 	return &wirepb.Entry{Index: index, Term: term, Kind: wirepb.EntryKind_ENTRY_COMMAND}
 }
 
-// appendOf is what the leader of a term sends.
-func appendMessage(from string, term, previous, previousTerm uint64, entries ...*wirepb.Entry) *wirepb.Consensus {
+// appendMessage returns an append message of the leader of a term.
+func appendMessage(
+	from string, term, previous, previousTerm uint64, entries ...*wirepb.Entry,
+) *wirepb.Consensus {
 	return &wirepb.Consensus{
 		Kind: wirepb.ConsensusKind_CONSENSUS_APPEND, From: from, To: ownID, Term: term, LogIndex: previous,
 		LogTerm: previousTerm, Entries: entries, Round: 1,
 	}
 }
 
-// lastReply returns what the node has said last to a leader.
+// lastAppendReply returns the newest append reply of a node.
 func lastAppendReply(t *testing.T, ready Ready) *wirepb.Consensus {
 	t.Helper()
 	for i := len(ready.Messages) - 1; i >= 0; i-- {
@@ -44,8 +46,9 @@
 	return nil
 }
 
-// TestReplacedBatchSaysNothing brings an entry, replaces it, and brings it again by a third leader, while the
-// disk is slow. The first batch, once written, proves nothing: the second is still to be written over it.
+// TestReplacedWriteIsNotAcknowledged appends an entry, replaces it, and appends it again by a third leader,
+// while the disk is slow. The first batch, once durable, proves nothing: the second is still to be written
+// over it.
 func TestReplacedWriteIsNotAcknowledged(t *testing.T) {
 	n := newNode(ownID, threeVoters())
 	now := time.Millisecond
@@ -60,18 +63,18 @@
 	}
 	n.Step(now, appendMessage(leaderID, 3, 2, 3))
 	if reply := lastAppendReply(t, n.Ready()); reply.LogIndex != 0 {
-		t.Fatalf("claims index %d while a batch that replaces it is still to be written", reply.LogIndex)
+		t.Fatalf("acknowledged index %d while a batch that replaces it is still to be written", reply.LogIndex)
 	}
 	for _, batch := range append(second, third...) {
 		n.Persisted(now, batch)
 	}
 	if reply := lastAppendReply(t, n.Ready()); reply.LogIndex != 2 {
-		t.Fatalf("claims index %d once all is on disk", reply.LogIndex)
+		t.Fatalf("acknowledged index %d once all batches are durable", reply.LogIndex)
 	}
 }
 
-// TestVotesWithoutKnowingOfItsSeat asks a replica for its vote whose log does not hold yet that it was
-// admitted: the candidate's log does, and may need it.
+// TestVotesBeforeReceivingOwnAdmission requests a vote of a replica whose log does not have the entry yet
+// that admitted it. The candidate's log has the entry, and the candidate may need the vote.
 func TestVotesBeforeReceivingOwnAdmission(t *testing.T) {
 	n := newNode("10.0.0.4#d", DurableState{})
 	n.Step(time.Second, &wirepb.Consensus{
@@ -87,7 +90,7 @@
 	t.Fatal("no vote")
 }
 
-// elect makes a node the leader of three.
+// elect makes a node the leader of three voters.
 func elect(t *testing.T, n *Node, now time.Duration) {
 	t.Helper()
 	n.campaign(false)
@@ -99,14 +102,15 @@
 	}
 }
 
+// heartbeatReply returns the reply of a replica to a heartbeat round.
 func heartbeatReply(from string, term, round, index uint64) *wirepb.Consensus {
 	return &wirepb.Consensus{
 		Kind: wirepb.ConsensusKind_CONSENSUS_APPEND_REPLY, From: from, Term: term, Round: round, LogIndex: index,
 	}
 }
 
-// TestLeaderThatStoodStill lets a leader's process stand still while answers wait for it. They say how old
-// they are: at its first tick it leads no more, and it drops, confirms and admits nothing.
+// TestStalledLeaderStepsDown stalls a leader's process while replies wait for it. They show how old they are:
+// at its first tick it steps down, and it confirms no read.
 func TestStalledLeaderStepsDown(t *testing.T) {
 	n := newNode(ownID, threeVoters())
 	elect(t, n, 100*time.Millisecond)
@@ -115,7 +119,7 @@
 	}
 	n.Step(200*time.Millisecond, heartbeatReply(leaderID, n.Term(), n.heartbeatRound, n.log.lastIndex()))
 	if !n.IsEstablishedLeader() {
-		t.Fatal("does not act")
+		t.Fatal("not an established leader")
 	}
 	resumedAt := 20 * time.Second
 	n.ReadIndex(1)
@@ -127,11 +131,11 @@
 	}
 	n.Tick(resumedAt)
 	if n.IsEstablishedLeader() || n.InSync() {
-		t.Error("leads on by answers that waited for it")
+		t.Error("still leads by replies that waited for it")
 	}
 }
 
-// TestFollowerThatStoodStill lets heartbeats wait for a follower's process: they are no contact.
+// TestStalledFollowerIsNotInSync lets heartbeats wait for a stalled follower: they are no contact.
 func TestStalledFollowerIsNotInSync(t *testing.T) {
 	n := newNode(ownID, threeVoters())
 	heartbeat := func(round time.Duration) *wirepb.Consensus {
@@ -144,22 +148,22 @@
 		n.Step(at+3*time.Millisecond, heartbeat(at))
 	}
 	if !n.InSync() {
-		t.Fatal("not in touch")
+		t.Fatal("not in sync")
 	}
 	resumedAt := 20 * time.Second
 	n.Tick(resumedAt)
 	n.Step(resumedAt, heartbeat(2*time.Second))
 	n.Tick(resumedAt + time.Millisecond)
 	if n.InSync() {
-		t.Error("in touch by a heartbeat that waited for 18 s")
+		t.Error("in sync by a heartbeat that waited for 18 s")
 	}
 	n.Step(resumedAt+5*time.Millisecond, heartbeat(resumedAt))
 	if !n.InSync() {
-		t.Error("not in touch by a new heartbeat")
+		t.Error("not in sync by a new heartbeat")
 	}
 }
 
-// TestJoinIsHandedOn asks a follower to join: the leader may be none of those that a newcomer knows.
+// TestJoinIsForwarded asks a follower to join: the replicas that a new one knows need not include the leader.
 func TestJoinIsForwarded(t *testing.T) {
 	n := newNode(ownID, threeVoters())
 	n.Step(time.Second, appendMessage(leaderID, 1, 0, 0))
@@ -168,12 +172,12 @@
 	n.Step(time.Second, join)
 	messages := n.Ready().Messages
 	if len(messages) != 1 || messages[0].To != leaderID || messages[0].From != join.From {
-		t.Fatalf("handed on as %v", messages)
+		t.Fatalf("forwarded as %v", messages)
 	}
 	forwarded := messages[0]
 	forwarded.To = ownID
 	n.Step(time.Second, forwarded)
 	if messages := n.Ready().Messages; len(messages) > 0 {
-		t.Errorf("a JOIN that was handed on goes round: %v", messages)
+		t.Errorf("a JOIN that was forwarded is forwarded again: %v", messages)
 	}
 }
--- a/internal/serving/consensus/reconfiguration.go
+++ b/internal/serving/consensus/reconfiguration.go
@@ -1,98 +1,31 @@
 package consensus
 
 import (
-	"cmp"
 	"slices"
 	"time"
 
 	"willowdeck/internal/serving/wirepb"
 )
 
-// The seats of the quorum. A seat passes from one replica to another in one joint change, never by silence
-// alone: there has to be a learner, a replica without a vote, that holds all that is committed. The number of
-// seats never falls.
+// A learner replaces a voter in one joint change, never by the voter's silence alone: there has to be a
+// learner that has caught up with the commit index. The number of voters never falls.
 //
-// Nothing says which seat a learner is meant for. It gets that of the disk before it at its address; else
-// that of one which was told to stop after it came, as in a planned replacement; else that of the one which
-// fell silent last. A replica that was told to stop and comes back with its disk is at once the next for a
-// silent seat; one that was only cut off as well.
+// Nothing says which voter a learner is meant to replace. It replaces the voter at its own address, to whose
+// disk it succeeds; otherwise one whose shutdown was requested after the learner joined, as in a planned
+// replacement; otherwise the one that became silent last. A former voter that comes back with its disk, after
+// a shutdown or a partition, is the next learner to replace a silent voter.
 
 const (
-	learnerTimeout           = 2200 * time.Millisecond // after which a learner is forgotten
-	unresponsiveVoterTimeout = 2200 * time.Millisecond // of silence, after which a learner may take a seat
-	learnerMinimumWait       = 1500 * time.Millisecond // that a learner waits for a seat which is free for sure
-	plannedReplacementMargin = 600 * time.Millisecond  // by which a learner may be heard of after the order to stop
+	unresponsiveVoterTimeout = 2200 * time.Millisecond // of silence, after which a learner may replace a voter
+	learnerMinimumWait       = 1500 * time.Millisecond // of a learner, until it may replace a silent voter
+	plannedReplacementMargin = 600 * time.Millisecond  // after a shutdown request, for learners to be seen
 	learnerDiscoveryTime     = 1200 * time.Millisecond // of leading, until all learners have asked to join
-	commitSampleInterval     = 400 * time.Millisecond
 )
 
-// Learner is a replica that waits for a seat.
-type Learner struct {
-	Replica      string
-	Since        time.Duration // when this replica first heard of it
-	MatchIndex   uint64        // the index up to which it has the log
-	CaughtUp     bool
-	ShuttingDown bool
-}
-
-// Learners returns those that the leader knows of, in the order of their coming.
-func (n *Node) Learners() []Learner {
-	var learners []Learner
-	for _, id := range n.trackedReplicas() {
-		p := n.progress[id]
-		if n.membership.contains(id) {
-			continue
-		}
-		learners = append(learners, Learner{
-			Replica: id, Since: n.firstContact(id), MatchIndex: p.matchIndex, ShuttingDown: p.shuttingDown,
-			CaughtUp: p.matchIndex >= n.commitSamples.older && n.recentlyActive(id),
-		})
-	}
-	slices.SortStableFunc(learners, func(x, y Learner) int { return cmp.Compare(x.Since, y.Since) })
-	return learners
-}
-
-// commitMarks remembers what was committed a little while ago: a learner that has as much follows closely,
-// however fast entries come.
-type commitSamples struct {
-	older, newer uint64
-	nextAt       time.Duration
-}
-
-func (m *commitSamples) observe(now time.Duration, commit uint64) {
-	if now >= m.nextAt {
-		m.older, m.newer = m.newer, commit
-		m.nextAt = now + commitSampleInterval
-	}
-}
-
-// Seated reports whether this replica has a seat, as far as it knows.
+// IsVoter reports whether this replica is a voter by the newest membership in its log.
 func (n *Node) IsVoter() bool { return n.membership.contains(n.id) }
 
-// stepJoin takes up a replica that no leader speaks to. Others hand its word on to the leader.
-func (n *Node) handleJoin(m *wirepb.Consensus) {
-	if n.role != Leader {
-		n.forwardJoin(m)
-		return
-	}
-	if n.progress[m.From] == nil {
-		n.trackProgress(m.From)
-		n.progress[m.From].nextIndex = min(m.LogIndex, n.log.lastIndex()) + 1
-	}
-	n.progress[m.From].shuttingDown = false
-	n.sendAppend(m.From, true)
-}
-
-func (n *Node) forwardJoin(m *wirepb.Consensus) {
-	if m.To != "" || n.leader == m.From || !n.leaderRecentlyActive() {
-		return
-	}
-	n.ready.Messages = append(n.ready.Messages, &wirepb.Consensus{
-		Kind: m.Kind, From: m.From, To: n.leader, Term: m.Term, LogIndex: m.LogIndex,
-	})
-}
-
-// changeMembership carries out one step where one is due and the step before it is committed.
+// changeMembership proposes the next membership if one is due and the one before it is committed.
 func (n *Node) changeMembership() {
 	if !n.IsEstablishedLeader() || n.commitIndex < n.membershipIndex {
 		return
@@ -110,16 +43,6 @@
 	n.broadcastAppend()
 }
 
-func (n *Node) recentlyActive(id string) bool { return n.respondedWithin(id, ElectionTimeout) }
-
-func (n *Node) removeInactiveLearners() {
-	for id, p := range n.progress {
-		if !n.membership.contains(id) && n.now-p.lastContact > learnerTimeout {
-			delete(n.progress, id)
-		}
-	}
-}
-
 // nextMembership returns the membership that should follow the present one, and whether there is one.
 func (n *Node) nextMembership() (membership, bool) {
 	if n.membership.isJoint() {
@@ -129,15 +52,15 @@
 		if !learner.CaughtUp || learner.ShuttingDown {
 			continue
 		}
-		if next, due := n.replaced(learner); due {
+		if next, due := n.membershipWith(learner); due {
 			return next, true
 		}
 	}
 	return membership{}, false
 }
 
-// seat returns the membership in which a learner has a seat, and whether there is one for it.
-func (n *Node) replaced(learner Learner) (membership, bool) {
+// membershipWith returns the membership in which a learner is a voter, and whether it may become one now.
+func (n *Node) membershipWith(learner Learner) (membership, bool) {
 	if replaced := n.voterAt(Address(learner.Replica)); replaced != "" && replaced != n.id {
 		return n.membership.withReplacement(replaced, learner.Replica), true
 	}
@@ -154,8 +77,8 @@
 	return n.membership.withReplacement(replaced, learner.Replica), true
 }
 
-// successorOf reports whether a replica that leaves should wait: there may be one that takes its seat over.
-// One that the leader does not know to leave may have been told to stop meanwhile.
+// reportsSuccessor reports whether the leader tells a replica that a learner may replace it, so that it waits
+// if it is shutting down. A shutdown may have been requested that the leader does not know of yet.
 func (n *Node) reportsSuccessor(id string) bool {
 	if p := n.progress[id]; p != nil && p.shuttingDown {
 		return n.mayHaveSuccessor(p.shutdownAt)
@@ -163,18 +86,19 @@
 	return n.mayHaveSuccessor(n.now)
 }
 
-// hasSuccessor reports whether there may be a replica for the seat of one that was told to stop at a
-// moment. A leader that has just been elected does not know yet.
+// mayHaveSuccessor reports whether there may be a learner to replace a voter whose shutdown was requested at
+// shutdownAt. A leader that has just been elected does not know its learners yet.
 func (n *Node) mayHaveSuccessor(shutdownAt time.Duration) bool {
 	if n.membership.isJoint() || n.now-n.leaderSince < learnerDiscoveryTime {
 		return true
 	}
 	return slices.ContainsFunc(n.Learners(), func(learner Learner) bool {
-		return !learner.ShuttingDown && n.joinedBefore(learner, shutdownAt) && n.voterAt(Address(learner.Replica)) == ""
+		return !learner.ShuttingDown && n.joinedBefore(learner, shutdownAt) &&
+			n.voterAt(Address(learner.Replica)) == ""
 	})
 }
 
-// seatAt returns the replica with a seat at an address.
+// voterAt returns the voter at an address, or "".
 func (n *Node) voterAt(address string) string {
 	for _, id := range n.membership.replicas {
 		if Address(id) == address {
@@ -184,14 +108,14 @@
 	return ""
 }
 
-// cameBefore reports whether a learner was there when a replica was told to stop. Learners that were there
-// when this life began may have been.
+// joinedBefore reports whether a learner was there when a shutdown was requested. Learners that were there
+// when this incarnation began may have been.
 func (n *Node) joinedBefore(learner Learner, shutdownAt time.Duration) bool {
 	return learner.Since <= max(shutdownAt+plannedReplacementMargin, n.startedAt+learnerDiscoveryTime)
 }
 
-// leavingSeat returns a replica that was told to stop after a learner came. One that leads hands the lead
-// over first.
+// shuttingDownVoter returns a voter whose shutdown was requested after a learner joined, or "". A leader that
+// shuts down transfers the leadership first.
 func (n *Node) shuttingDownVoter(learner Learner) string {
 	for _, id := range n.membership.replicas {
 		if p := n.progress[id]; p != nil && p.shuttingDown && n.joinedBefore(learner, p.shutdownAt) {
@@ -201,8 +125,9 @@
 	return ""
 }
 
-// silentSeat returns the replica that became silent last, among those that have been silent for long. A seat
-// whose address has a new disk is left to that one.
+// unresponsiveVoter returns the voter that became silent last, of those that have been silent for
+// unresponsiveVoterTimeout, or "". A voter whose address has a learner with a new disk is left to that
+// learner.
 func (n *Node) unresponsiveVoter() string {
 	voter, newestContact := "", time.Duration(0)
 	for _, id := range n.membership.replicas {
@@ -216,12 +141,3 @@
 	}
 	return voter
 }
-
-func (n *Node) learnerAt(address string) bool {
-	for id := range n.progress {
-		if Address(id) == address && !n.membership.contains(id) {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/serving/consensus/replica_contact.go
+++ b/internal/serving/consensus/replica_contact.go
@@ -5,33 +5,37 @@
 	"time"
 )
 
-// forgetSighting is how long a replica that says nothing is remembered.
+// replicaContactRetention is how long the contact of a silent replica is remembered.
 const replicaContactRetention = time.Minute
 
-// sighting is when another replica was heard, by whatever it said.
+// replicaContact is when the first and the last message of another replica arrived, of whatever kind.
 type replicaContact struct{ first, last time.Duration }
 
-// sightings are by replica. Each replica keeps them, whoever leads, so that a new leader knows who has been
-// silent and who is new.
+// replicaContacts are by replica identity. Followers record them as well, so that a new leader knows which
+// replicas have been silent and which are new.
 type replicaContacts map[string]replicaContact
 
+// observe records a message, and removes contacts that are too old when a new replica appears.
 func (s replicaContacts) observe(id string, now time.Duration) {
 	known, ok := s[id]
 	if !ok {
-		maps.DeleteFunc(s, func(_ string, old replicaContact) bool { return now-old.last > replicaContactRetention })
+		maps.DeleteFunc(s, func(_ string, old replicaContact) bool {
+			return now-old.last > replicaContactRetention
+		})
 		known.first = now
 	}
 	known.last = now
 	s[id] = known
 }
 
-// Sighted notes that another replica lives, by something that was no message of the consensus.
+// ObserveReplica records that another replica is alive, on the evidence of a message that is not one of this
+// package.
 func (n *Node) ObserveReplica(replica string, now time.Duration) {
 	n.replicaContacts.observe(replica, now)
 }
 
-// lastSeen returns when a replica was heard last. One that this life has not heard has been silent since that
-// began, for all that this life can know.
+// lastContact returns when the last message of a replica arrived. One that has sent nothing to this
+// incarnation counts as silent since this incarnation began.
 func (n *Node) lastContact(id string) time.Duration {
 	if known, ok := n.replicaContacts[id]; ok {
 		return known.last
@@ -40,6 +44,7 @@
 	return n.startedAt
 }
 
+// firstContact returns when the first message of a replica arrived.
 func (n *Node) firstContact(id string) time.Duration {
 	if known, ok := n.replicaContacts[id]; ok {
 		return known.first
--- /dev/null
+++ b/internal/serving/consensus/replication.go
@@ -0,0 +1,131 @@
+package consensus
+
+import (
+	"time"
+
+	"willowdeck/internal/serving/wirepb"
+)
+
+const (
+	maxAppendBytes    = 64 << 10               // of entries in one message
+	maxInFlightBytes  = 192 << 10              // of entries that were sent and not acknowledged
+	retransmitTimeout = 600 * time.Millisecond // without progress
+)
+
+// broadcastAppend sends every replica the entries that it lacks.
+func (n *Node) broadcastAppend() {
+	for _, id := range n.trackedReplicas() {
+		n.sendAppend(id, false)
+	}
+	n.advanceCommit()
+}
+
+// appendEntry appends an entry to the leader's log and returns its index.
+func (n *Node) appendEntry(kind wirepb.EntryKind, data []byte) uint64 {
+	entry := &wirepb.Entry{Index: n.log.lastIndex() + 1, Term: n.term, Kind: kind, Data: data}
+	n.log.append(entry)
+	n.enqueueWrite(WriteBatch{Entries: []*wirepb.Entry{entry}})
+	return entry.Index
+}
+
+// sendAppend sends a replica the entries, or the snapshot, that it lacks. A heartbeat is sent even if there
+// are none.
+func (n *Node) sendAppend(id string, heartbeat bool) {
+	p := n.progress[id]
+	if _, available := n.log.term(p.nextIndex - 1); !available {
+		n.sendSnapshotChunks(id, p)
+		if heartbeat {
+			n.sendEntries(id, 0, nil)
+		}
+		return
+	}
+	p.snapshotTransfer = nil
+	if !p.replicating {
+		if heartbeat {
+			n.sendEntries(id, p.nextIndex-1, nil)
+		}
+		return
+	}
+	if n.replicateEntries(id, p) == 0 && heartbeat {
+		n.sendEntries(id, min(p.receivedIndex, p.nextIndex-1), nil)
+	}
+}
+
+// replicateEntries sends entries while few bytes are in flight, and returns the number of messages sent. A
+// replica that does not respond may still receive: it gets one message now and then.
+func (n *Node) replicateEntries(id string, p *progress) int {
+	if !n.recentlyActive(id) {
+		return n.sendToUnresponsive(id, p)
+	}
+	if p.nextIndex-1 > p.receivedIndex && n.now-p.lastProgressAt > retransmitTimeout {
+		p.nextIndex = p.receivedIndex + 1
+		p.lastProgressAt = n.now
+	}
+	sent := 0
+	for n.log.sizeBetween(p.receivedIndex, p.nextIndex-1) < maxInFlightBytes {
+		entries := n.log.entriesFrom(p.nextIndex, maxAppendBytes)
+		if len(entries) == 0 {
+			break
+		}
+		if p.nextIndex == p.receivedIndex+1 {
+			p.lastProgressAt = n.now
+		}
+		n.sendEntries(id, p.nextIndex-1, entries)
+		p.nextIndex += uint64(len(entries))
+		sent++
+	}
+	return sent
+}
+
+// sendToUnresponsive sends one message of entries to a replica that does not respond, at most one per
+// retransmitTimeout. It returns the number of messages sent.
+func (n *Node) sendToUnresponsive(id string, p *progress) int {
+	entries := n.log.entriesFrom(p.receivedIndex+1, maxAppendBytes)
+	if len(entries) == 0 || n.now-p.lastProgressAt < retransmitTimeout {
+		return 0
+	}
+	p.lastProgressAt = n.now
+	n.sendEntries(id, p.receivedIndex, entries)
+	return 1
+}
+
+// sendEntries sends the entries that follow index previous; without entries the message is a heartbeat.
+func (n *Node) sendEntries(id string, previous uint64, entries []*wirepb.Entry) {
+	m := &wirepb.Consensus{
+		Kind: wirepb.ConsensusKind_CONSENSUS_APPEND, To: id, Term: n.term, Round: n.heartbeatRound,
+		LogIndex: previous, Entries: entries, Commit: n.commitIndex, Acting: n.IsEstablishedLeader(),
+		Successor: n.reportsSuccessor(id),
+	}
+	m.LogTerm, _ = n.log.term(previous)
+	n.send(m)
+}
+
+// handleAppendReply updates a replica's progress, advances the commit index and sends what the replica lacks.
+func (n *Node) handleAppendReply(m *wirepb.Consensus) {
+	p := n.progress[m.From]
+	if n.role != Leader || m.Term != n.term || p == nil {
+		return
+	}
+	wasInactive := !n.recentlyActive(m.From)
+	n.recordResponse(p, m.Round)
+	p.shuttingDown = m.Leaving
+	p.shutdownAt = n.now - time.Duration(m.LeavingMs)*time.Millisecond
+	n.confirmReads()
+	if m.Reject {
+		if p.handleRejection(m) {
+			n.sendAppend(m.From, true)
+		}
+		return
+	}
+	p.updateReceived(n.now, m.Received)
+	if wasInactive && p.replicating {
+		p.nextIndex = p.receivedIndex + 1 // what was in flight is taken for lost
+	}
+	if m.LogIndex > p.matchIndex {
+		p.matchIndex = m.LogIndex
+		n.advanceCommit()
+	}
+	if n.role == Leader && n.progress[m.From] != nil {
+		n.sendAppend(m.From, false)
+	}
+}
--- a/internal/serving/consensus/shutdown.go
+++ b/internal/serving/consensus/shutdown.go
@@ -8,16 +8,16 @@
 
 const leadershipTransferInterval = 250 * time.Millisecond
 
-// departure is what a replica that is to stop goes by.
+// shutdownState is the progress of a replica's graceful shutdown.
 type shutdownState struct {
 	requested       bool
 	requestedAt     time.Duration
-	leaderContacted bool // the leader has spoken since
-	successorKnown  bool // and knows a replica that may take over a seat
+	leaderContacted bool // the leader has sent a message since the request
+	successorKnown  bool // the leader knows a learner that may replace this voter
 	nextTransferAt  time.Duration
 }
 
-// milliseconds returns for how long the departure has been under way.
+// elapsedMillis returns the time since the shutdown was requested in milliseconds, 0 if it was not.
 func (d *shutdownState) elapsedMillis(now time.Duration) uint64 {
 	if !d.requested {
 		return 0
@@ -25,14 +25,14 @@
 	return uint64((now - d.requestedAt) / time.Millisecond)
 }
 
-// heard notes what the leader says.
+// observeLeader records a message of the leader.
 func (d *shutdownState) observeLeader(successorKnown bool) {
 	d.leaderContacted = d.requested
 	d.successorKnown = successorKnown
 }
 
-// Leave begins the end of this replica's part: it hands the lead over, and asks that its seat be taken over.
-// Its caller goes on with it until MayStop.
+// BeginShutdown begins the graceful shutdown of this replica: it transfers the leadership, and asks the
+// leader to replace it as a voter. Its caller goes on calling Tick and Step until SafeToStop.
 func (n *Node) BeginShutdown() {
 	if n.shutdown.requested {
 		return
@@ -44,8 +44,9 @@
 	n.transferLeadership()
 }
 
-// MayStop reports whether a leaving replica is not needed any more: its seat was taken over and the change is
-// committed, or a leader has said that there is nobody to take it over. Without a leader it is needed.
+// SafeToStop reports whether a replica whose shutdown has begun is not needed any more: another voter has
+// replaced it and the change is committed, or a leader has reported that no learner can replace it. Without a
+// leader it is needed.
 func (n *Node) SafeToStop() bool {
 	if !n.membership.contains(n.id) && n.commitIndex >= n.membershipIndex {
 		return true
@@ -56,12 +57,14 @@
 	return n.shutdown.leaderContacted && n.InSync() && !n.shutdown.successorKnown
 }
 
-// handingOver reports whether this replica leads and is to pass the lead on.
+// transferringLeadership reports whether this replica leads, is shutting down and has a replica to transfer
+// the leadership to.
 func (n *Node) transferringLeadership() bool {
 	return n.role == Leader && n.shutdown.requested && n.transferTarget() != ""
 }
 
-// handOver asks a replica that has the whole log to take the lead over (Ongaro's dissertation, section 3.10).
+// transferLeadership asks a replica that has the entire log to campaign at once (Ongaro's dissertation,
+// section 3.10). It repeats the request every leadershipTransferInterval.
 func (n *Node) transferLeadership() {
 	if !n.transferringLeadership() || n.now < n.shutdown.nextTransferAt {
 		return
@@ -74,8 +77,8 @@
 	n.send(&wirepb.Consensus{Kind: wirepb.ConsensusKind_CONSENSUS_TAKE_OVER, To: target, Term: n.term})
 }
 
-// successorInLead returns the replica that has the most of the log among those that answer, the first in the
-// agreed order of several.
+// transferTarget returns the recently active voter with the greatest match index, the first in the agreed
+// order of several, or "" if there is none.
 func (n *Node) transferTarget() string {
 	target := ""
 	for _, id := range n.membership.replicas {
@@ -90,9 +93,10 @@
 	return target
 }
 
-// stepTakeOver stands for election at once.
+// handleTimeoutNow campaigns at once, at the request of the leader (TimeoutNow of Ongaro's dissertation).
 func (n *Node) handleTimeoutNow(m *wirepb.Consensus) {
-	if m.Term != n.term || m.From != n.leader || n.role != Follower || n.shutdown.requested || !n.membership.contains(n.id) {
+	if m.Term != n.term || m.From != n.leader || n.role != Follower || n.shutdown.requested ||
+		!n.membership.contains(n.id) {
 		return
 	}
 	n.campaign(true)
--- a/internal/serving/consensus/simulator_schedules_test.go
+++ b/internal/serving/consensus/simulator_schedules_test.go
@@ -18,8 +18,8 @@
 	longestPartition   = 5 * time.Second
 )
 
-// play runs one schedule: rounds of one trouble each, within what is to be borne, and calm at the end.
-// tolerated is how many machines may be lost at once.
+// runSchedule runs one schedule: rounds of one fault each, within the tolerance, and none at the end.
+// tolerated is the number of machines that may be lost at once. It returns the violations found.
 func runSchedule(seed int64, planted plantedFault, cores, tolerated int) []string {
 	s := newSimulation(seed, planted, cores)
 	s.run(3 * time.Second)
@@ -41,7 +41,7 @@
 	return s.violations
 }
 
-// trouble plants one trouble on machines that are up.
+// injectFault injects one fault on machines that are up.
 func (s *simulation) injectFault(tolerated int) {
 	switch s.random.Intn(13) {
 	case 0:
@@ -62,11 +62,11 @@
 		for _, m := range s.machines {
 			s.kill(m, s.random.Intn(2) == 0, s.drawDuration(900))
 		}
-	case 7: // the acting one, right after a change was sent to it
+	case 7: // the leader loses power right after a change was sent to it
 		s.propose()
 		s.run(s.drawDuration(80))
 		s.kill(s.leadingMachine(), true, s.drawDuration(3000))
-	case 8: // the acting one loses its disk, and the others their power
+	case 8: // the leader loses its disk, and the others lose power
 		s.propose()
 		s.run(s.drawDuration(150))
 		leading := s.leadingMachine()
@@ -87,8 +87,8 @@
 	}
 }
 
-// lossAfterPlan loses disks right after a replica has left whose successor has had its time to catch up. The
-// others lose their power.
+// loseDisksAfterReplacement wipes disks right after a planned replacement whose new replica has had its time
+// to catch up. The other machines lose power.
 func (s *simulation) loseDisksAfterReplacement(tolerated int) {
 	old := s.drawMachine()
 	s.replacePlanned(old)
@@ -118,8 +118,8 @@
 	return present
 }
 
-// overlap cuts off as many replicas as may be lost; while they are, others lose their disks, and the rest
-// their power. Service may rest, but no more disks are lost than are to be borne.
+// overlapPartitionAndLoss partitions as many replicas as may be lost; meanwhile others lose their disks, and
+// the rest lose power. The service may be unavailable, but no more disks are lost than are tolerated.
 func (s *simulation) overlapPartitionAndLoss(tolerated int) {
 	present := s.shuffledMachines()
 	for _, m := range present[:tolerated] {
@@ -137,7 +137,7 @@
 	}
 }
 
-// closing is the fault at the end, right after a change.
+// injectFinalFault injects the fault at the end, right after a change.
 func (s *simulation) injectFinalFault(tolerated int) {
 	s.propose()
 	s.run(s.drawDuration(400))
@@ -195,14 +195,15 @@
 
 func TestSchedulesOfFiveReplicas(t *testing.T) { runSchedules(t, scheduleCount/3, 5, 2) }
 
-// playAll plays the seeds from 0 on, in shards beside one another.
+// runSchedules runs the seeds from 0 on, in parallel shards.
 func runSchedules(t *testing.T, seeds int64, cores, tolerated int) {
+	t.Helper()
 	for shard := range int64(shardCount) {
 		t.Run(strconv.FormatInt(shard, 10), func(t *testing.T) {
 			t.Parallel()
 			for seed := shard; seed < seeds; seed += shardCount {
-				if problems := runSchedule(seed, noFault, cores, tolerated); len(problems) > 0 {
-					t.Fatalf("seed %d: %s", seed, strings.Join(problems, "\n"))
+				if violations := runSchedule(seed, noFault, cores, tolerated); len(violations) > 0 {
+					t.Fatalf("seed %d: %s", seed, strings.Join(violations, "\n"))
 				}
 			}
 		})
@@ -211,20 +212,20 @@
 
 func TestPlantedFaultsAreFound(t *testing.T) {
 	planted := map[string]plantedFault{
-		"a wiped disk votes":                 wipedDiskKeepsIdentity,
+		"a wiped disk keeps its identity":    wipedDiskKeepsIdentity,
 		"an acknowledgement before the sync": ackBeforeSync,
-		"a missing fence":                    noTermCheck,
-		"a replacement counted at once":      voterBeforeCaughtUp,
-		"a read without a majority":          staleReads,
-		"a seat given up for silence":        voterRemovedOnSilence,
-		"a farewell that waits for nobody":   shutdownWithoutWaiting,
-		"lost parts of snapshots":            snapshotChunksLost,
+		"no check of terms":                  noTermCheck,
+		"a replacement that counts at once":  voterBeforeCaughtUp,
+		"a read without a quorum":            staleReads,
+		"a voter removed for silence":        voterRemovedOnSilence,
+		"a shutdown that does not wait":      shutdownWithoutWaiting,
+		"lost chunks of snapshots":           snapshotChunksLost,
 	}
 	for name, fault := range planted {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range int64(plantedFaultSeeds) {
-				if problems := runFaultySchedule(seed, fault); len(problems) > 0 {
+				if violations := runFaultySchedule(seed, fault); len(violations) > 0 {
 					return
 				}
 			}
@@ -233,11 +234,12 @@
 	}
 }
 
-// playFaulty counts a panic as found: a broken premise may end the program before a check sees its effect.
-func runFaultySchedule(seed int64, planted plantedFault) (problems []string) {
+// runFaultySchedule runs a schedule with a planted fault. A panic counts as a violation: a broken assumption
+// may end the program before a check sees its effect.
+func runFaultySchedule(seed int64, planted plantedFault) (violations []string) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
-			problems = []string{"panic"}
+			violations = []string{"panic"}
 		}
 	}()
 	return runSchedule(seed, planted, 3, 1)
--- a/internal/serving/consensus/simulator_test.go
+++ b/internal/serving/consensus/simulator_test.go
@@ -13,25 +13,25 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// The simulator plays replicas over links that lose, delay and cut, on disks that stall, lose unsynced
-// writes and are wiped, with kills, losses of power and replacements. One seed is one schedule. It checks
-// that nothing acknowledged is lost, that no two replicas apply different commands at an index, that
-// versions never go back, that of two changes on one version one at most is taken, and that calm brings
-// progress. Planted faults show that the checks find them.
+// The simulator runs replicas over links that lose and delay messages and partition, on disks that stall,
+// lose unsynced writes and are wiped, with kills, power losses and replacements. One seed is one schedule. It
+// checks that nothing acknowledged is lost, that no two replicas apply different commands at an index, that
+// versions never decrease, that of two changes on one version at most one is accepted, and that the system
+// makes progress without faults. Planted faults show that the checks find violations.
 
-// fault is a deliberate mistake in the programs that the simulator plays.
+// plantedFault is a deliberate mistake in the replicas that the simulator runs.
 type plantedFault int
 
 const (
 	noFault                plantedFault = iota
-	wipedDiskKeepsIdentity              // a wiped disk comes back under its old identity
-	ackBeforeSync                       // batches count as written at once
-	noTermCheck                         // messages of older epochs are taken as if they were of this one
-	voterBeforeCaughtUp                 // a new replica is a member before it holds anything
-	staleReads                          // reads are answered without asking a majority
-	voterRemovedOnSilence               // a seat is given up for silence alone
-	shutdownWithoutWaiting              // a leaving replica stops without waiting
-	snapshotChunksLost                  // parts of snapshots but the first never arrive
+	wipedDiskKeepsIdentity              // a wiped disk returns with its old identity
+	ackBeforeSync                       // batches count as durable at once
+	noTermCheck                         // messages of older terms are handled as if they were of this one
+	voterBeforeCaughtUp                 // a new replica is a voter before it has any entry
+	staleReads                          // reads are served without a heartbeat round
+	voterRemovedOnSilence               // a voter is removed for silence alone
+	shutdownWithoutWaiting              // a replica that shuts down does not wait until it is safe
+	snapshotChunksLost                  // all chunks of snapshots but the first are lost
 )
 
 const (
@@ -44,7 +44,7 @@
 	identity      string
 	durable       DurableState
 	pendingWrites []simWrite
-	stalledUntil  time.Duration // until when it answers nothing
+	stalledUntil  time.Duration // no write completes before
 }
 
 type simWrite struct {
@@ -55,28 +55,28 @@
 // simProcess is a replica's process, nil while it is down.
 type simProcess struct {
 	node            *Node
-	appliedCommands []string // ids of commands, in order; the state
+	appliedCommands []string // ids of accepted commands, in order: the state
 	version         int
 	accepted        map[string]bool
-	acceptedOnBase  map[int]string // version to the id that was taken on it
+	acceptedOnBase  map[int]string // version to the id that was accepted on it
 }
 
 type simMachine struct {
 	address   string
 	disk      *simDisk
 	process   *simProcess
-	restartAt time.Duration // when it starts again, where it is down
-	removed   bool          // for good
-	wipedAt   time.Duration // when its disk was lost last
-	shutdown  *simShutdown  // what it was told, nil: nothing
+	restartAt time.Duration // when it restarts, if it is down
+	removed   bool          // it never restarts
+	wipedAt   time.Duration // when its disk was last wiped
+	shutdown  *simShutdown  // nil: none requested
 }
 
-// simLeave is an order to stop.
+// simShutdown is a graceful shutdown.
 type simShutdown struct {
-	startAt   time.Duration // when it comes
+	startAt   time.Duration // when it is requested of the process
 	requested bool
 	permanent bool
-	downtime  time.Duration // until it starts again
+	downtime  time.Duration // until it restarts, unless permanent
 }
 
 const (
@@ -98,11 +98,11 @@
 	now              time.Duration
 	machines         []*simMachine
 	inFlight         []simMessage
-	partitionedUntil map[[2]string]time.Duration // from, to: until when
+	partitionedUntil map[[2]string]time.Duration // from, to
 	lossRate         float64                     // of messages
 	founders         []string
 
-	delayOneIn int // while messages are lost, one in so many comes late and out of order
+	delayOneIn int // while messages are lost, one in so many is late and out of order
 
 	lastCommand   int
 	acknowledged  map[string]int // id to version
@@ -118,10 +118,11 @@
 	s := &simulation{
 		random: rand.New(rand.NewSource(seed)), fault: planted, partitionedUntil: map[[2]string]time.Duration{},
 		acknowledged: map[string]int{}, ackedAt: map[string]time.Duration{}, committed: map[uint64]string{},
-		pendingReads: map[uint64]int{}, delayOneIn: 50, options: Options{Voters: cores, RetainedLogBytes: 40, SnapshotChunkBytes: 150},
+		pendingReads: map[uint64]int{}, delayOneIn: 50,
+		options: Options{Voters: cores, RetainedLogBytes: 40, SnapshotChunkBytes: 150},
 	}
 	if planted == noTermCheck {
-		s.delayOneIn = 5 // what a fence is for
+		s.delayOneIn = 5 // so that messages of older terms arrive
 	}
 	for i := range cores {
 		if i < simFounders {
@@ -157,7 +158,7 @@
 	m.process.node = New(m.disk.identity, stored, s.options, s.now, s.random)
 }
 
-// restore reads a snapshot: the ids applied so far.
+// restore replaces the state by that of a snapshot: the ids applied so far.
 func (p *simProcess) restore(data []byte) {
 	p.appliedCommands, p.version = nil, 0
 	p.accepted, p.acceptedOnBase = map[string]bool{}, map[int]string{}
@@ -182,7 +183,7 @@
 	return data
 }
 
-// take applies a change on a version; it returns whether it was taken, now or before.
+// applyChange applies a change on a version. It returns whether the change was accepted, now or before.
 func (p *simProcess) applyChange(id string, base int) bool {
 	if p.accepted[id] {
 		return true
@@ -197,7 +198,7 @@
 	return true
 }
 
-// step plays the next few milliseconds.
+// step simulates the next simStep.
 func (s *simulation) step() {
 	s.now += simStep
 	for _, m := range s.machines {
@@ -220,13 +221,14 @@
 	}
 }
 
-// dropSilent plants the fault of a seat that is given up for silence alone.
+// removeSilentVoter plants the fault of a voter that is removed for silence alone.
 func (s *simulation) removeSilentVoter(node *Node) {
 	if !node.IsEstablishedLeader() || node.commitIndex < node.membershipIndex || node.membership.isJoint() {
 		return
 	}
 	for i, id := range node.membership.replicas {
-		if p := node.progress[id]; p != nil && s.now-p.lastContact > unresponsiveVoterTimeout && len(node.membership.replicas) > 1 {
+		p := node.progress[id]
+		if p != nil && s.now-p.lastContact > unresponsiveVoterTimeout && len(node.membership.replicas) > 1 {
 			replicas := slices.Delete(slices.Clone(node.membership.replicas), i, i+1)
 			node.membership = membership{replicas: replicas}
 			node.membershipIndex = node.appendEntry(wirepb.EntryKind_ENTRY_MEMBERSHIP, node.membership.encode())
@@ -236,7 +238,7 @@
 	}
 }
 
-// leave tells a replica to stop at a moment.
+// requestShutdown has a replica shut down gracefully after a time.
 func (s *simulation) requestShutdown(m *simMachine, after time.Duration, permanent bool) {
 	m.shutdown = &simShutdown{startAt: s.now + after, permanent: permanent, downtime: s.drawDuration(1000)}
 }
@@ -252,14 +254,15 @@
 		s.processReady(m)
 	}
 	elapsed := s.now - shutdown.startAt
-	if s.fault == shutdownWithoutWaiting || elapsed > simMinimumShutdown && m.process.node.SafeToStop() || elapsed > simShutdownGrace {
+	if s.fault == shutdownWithoutWaiting ||
+		elapsed > simMinimumShutdown && m.process.node.SafeToStop() || elapsed > simShutdownGrace {
 		m.shutdown = nil
 		s.kill(m, false, shutdown.downtime)
 		m.removed = shutdown.permanent
 	}
 }
 
-// plan brings an empty machine, and tells another to stop for good later.
+// replacePlanned adds an empty machine, and has another shut down permanently later.
 func (s *simulation) replacePlanned(m *simMachine) {
 	fresh := &simMachine{address: simAddress(len(s.machines)), restartAt: s.now}
 	fresh.disk = &simDisk{identity: Identity(fresh.address, "planned")}
@@ -304,14 +307,15 @@
 	}
 }
 
-// drops reports whether a planted fault loses a message.
+// drops reports whether a planted fault drops a message.
 func (s *simulation) drops(message *wirepb.Consensus) bool {
 	return s.fault == snapshotChunksLost && message.Part.GetOffset() > 0
 }
 
-// writeDisk completes the writes whose time has come.
+// writeDisk completes the writes that are due.
 func (s *simulation) writeDisk(m *simMachine) {
-	for len(m.disk.pendingWrites) > 0 && m.disk.pendingWrites[0].completeAt <= s.now && m.disk.stalledUntil <= s.now {
+	for len(m.disk.pendingWrites) > 0 && m.disk.pendingWrites[0].completeAt <= s.now &&
+		m.disk.stalledUntil <= s.now {
 		write := m.disk.pendingWrites[0]
 		m.disk.pendingWrites = m.disk.pendingWrites[1:]
 		m.disk.apply(write.batch)
@@ -341,13 +345,15 @@
 	}
 	delay := time.Duration(1+s.random.Intn(60)) * time.Millisecond
 	if s.lossRate > 0 && s.random.Intn(s.delayOneIn) == 0 {
-		delay += time.Duration(s.random.Intn(2000)) * time.Millisecond // out of order, late
+		delay += time.Duration(s.random.Intn(2000)) * time.Millisecond // late, out of order
 	}
 	to := ""
 	if message.To != "" {
 		to = Address(message.To)
 	}
-	s.inFlight = append(s.inFlight, simMessage{deliverAt: s.now + delay, message: message, from: m.address, to: to})
+	s.inFlight = append(s.inFlight, simMessage{
+		deliverAt: s.now + delay, message: message, from: m.address, to: to,
+	})
 }
 
 func (s *simulation) processReady(m *simMachine) {
@@ -397,7 +403,8 @@
 	m.process.node.Compact(snapshot)
 }
 
-// apply checks what is committed at an index, and acknowledges the change at the replica that acts.
+// applyEntry checks a committed entry against those that other replicas applied at its index, and
+// acknowledges the change if the replica leads.
 func (s *simulation) applyEntry(m *simMachine, entry *wirepb.Entry) {
 	if known, ok := s.committed[entry.Index]; ok && known != string(entry.Data) {
 		s.violation("%s applies %q at %d, where %q was applied", m.disk.identity, entry.Data, entry.Index, known)
@@ -435,8 +442,8 @@
 	return id, base
 }
 
-// propose lets an operator change the version that a replica which believes that it acts has in force. Two
-// operators may choose the same one.
+// propose has an operator change the version that is in force at each replica that takes itself for the
+// leader. Two operators may base a change on the same version.
 func (s *simulation) propose() {
 	for _, m := range s.machines {
 		if m.process == nil || !m.process.node.IsEstablishedLeader() {
@@ -480,7 +487,7 @@
 	m.shutdown = nil
 	m.restartAt = s.now + downtime
 	if !losePower {
-		for _, write := range m.disk.pendingWrites { // the kernel finishes what it was given
+		for _, write := range m.disk.pendingWrites { // the kernel completes the writes that it has accepted
 			m.disk.apply(write.batch)
 		}
 	}
@@ -497,7 +504,7 @@
 	}
 }
 
-// replace takes a machine away for good; an empty one comes at another address.
+// replace removes a machine permanently; an empty one starts at another address.
 func (s *simulation) replace(m *simMachine) {
 	s.kill(m, true, 0)
 	m.removed = true
@@ -516,9 +523,9 @@
 	s.machines = append(s.machines, fresh)
 }
 
-// swapMember plants the fault of a replacement that counts at once: in everyone's membership, without
-// agreement.
-func (s *simulation) replaceVoterEverywhere(old, new string) {
+// replaceVoterEverywhere plants the fault of a replacement that counts at once: it changes the membership of
+// all replicas without a committed entry.
+func (s *simulation) replaceVoterEverywhere(old, replacement string) {
 	for _, m := range s.machines {
 		if m.process == nil {
 			continue
@@ -527,7 +534,7 @@
 		for i, member := range node.membership.replicas {
 			if member == old {
 				node.membership.replicas = slices.Clone(node.membership.replicas)
-				node.membership.replicas[i] = new
+				node.membership.replicas[i] = replacement
 				node.log.snapshot.Membership = node.membership.message()
 			}
 		}
@@ -540,8 +547,7 @@
 	}
 }
 
-// checkNothingLost looks at the end that what was acknowledged is in the state of every replica that is up
-// to date.
+// checkNothingLost checks at the end that all acknowledged changes are in the state of the leader.
 func (s *simulation) checkNothingLost() {
 	checked := false
 	for _, m := range s.machines {
@@ -560,7 +566,7 @@
 	}
 }
 
-// checkProgress looks that a calm majority takes a change.
+// checkProgress checks that a majority without faults accepts a change.
 func (s *simulation) checkProgress() {
 	before := len(s.acknowledged)
 	for range 40 {
--- a/internal/serving/consensus/snapshot.go
+++ b/internal/serving/consensus/snapshot.go
@@ -6,37 +6,38 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// A snapshot travels in parts, a few of them on their way at a time, so that heartbeats and calls on the same
-// link wait for little. What has arrived is kept over lost parts and links. One replica at a time gets one.
+// A snapshot is sent in chunks, a few of them in flight at a time, so that heartbeats and calls on the same
+// link are hardly delayed. Chunks that have arrived are kept when others or the link are lost. One replica at
+// a time is sent a snapshot.
 const (
 	defaultSnapshotChunkBytes = 32 << 10
 	maxChunksInFlight         = 6
-	chunkRetransmitTimeout    = 600 * time.Millisecond // without progress, after which parts are sent again
-	transferStallTimeout      = time.Second            // without progress, after which another replica has its turn
-	maxSnapshotBytes          = 256 << 20              // bytes; more is taken for damage
+	chunkRetransmitTimeout    = 600 * time.Millisecond // without progress
+	transferStallTimeout      = time.Second            // without progress, until another replica has its turn
+	maxSnapshotBytes          = 256 << 20              // a greater size counts as damaged
 )
 
-// outgoingSnapshot is a snapshot on its way to a replica.
+// outgoingSnapshot is the transfer of a snapshot to another replica.
 type outgoingSnapshot struct {
 	snapshot       *wirepb.Snapshot
-	ackedBytes     uint64 // bytes that the replica has said it holds
-	sentBytes      uint64 // bytes that were sent
+	ackedBytes     uint64 // bytes that the replica has acknowledged
+	sentBytes      uint64 // bytes that were sent once at least
 	started        bool
-	retransmitAt   time.Duration // when parts are sent again, without progress until then
-	lastProgressAt time.Duration // when held last grew
+	retransmitAt   time.Duration // when chunks are sent again unless acknowledgements arrive
+	lastProgressAt time.Duration // when ackedBytes last grew
 }
 
-// incomingSnapshot is what has arrived of a snapshot.
+// incomingSnapshot is the part of a snapshot that has arrived.
 type incomingSnapshot struct {
 	leader      string
 	index, term uint64
 	data        []byte
 }
 
-// pumpSnapshot sends the next parts to a replica that the log does not reach.
+// sendSnapshotChunks sends the next chunks to a replica that needs entries which the log has dropped.
 func (n *Node) sendSnapshotChunks(id string, p *progress) {
 	if p.snapshotTransfer != nil && p.matchIndex >= p.snapshotTransfer.snapshot.Index {
-		p.snapshotTransfer = nil // it has that one; the log has moved on meanwhile
+		p.snapshotTransfer = nil // it has that one, and the log was compacted meanwhile
 	}
 	if !n.recentlyActive(id) || p.snapshotTransfer == nil && n.snapshotTransferActive() {
 		return
@@ -47,14 +48,17 @@
 	transfer := p.snapshotTransfer
 	size := uint64(len(transfer.snapshot.Data))
 	if n.now >= transfer.retransmitAt {
-		transfer.sentBytes, transfer.started, transfer.retransmitAt = transfer.ackedBytes, false, n.now+chunkRetransmitTimeout
+		transfer.sentBytes, transfer.started = transfer.ackedBytes, false
+		transfer.retransmitAt = n.now + chunkRetransmitTimeout
 	}
-	for !transfer.started || transfer.sentBytes < size && transfer.sentBytes-transfer.ackedBytes < maxChunksInFlight*uint64(n.options.SnapshotChunkBytes) {
+	window := maxChunksInFlight * uint64(n.options.SnapshotChunkBytes)
+	for !transfer.started || transfer.sentBytes < size && transfer.sentBytes-transfer.ackedBytes < window {
 		transfer.started = true
 		n.sendSnapshotChunk(id, transfer, size)
 	}
 }
 
+// sendSnapshotChunk sends the chunk after those that were sent.
 func (n *Node) sendSnapshotChunk(id string, transfer *outgoingSnapshot, size uint64) {
 	end := min(transfer.sentBytes+uint64(n.options.SnapshotChunkBytes), size)
 	n.send(&wirepb.Consensus{
@@ -68,6 +72,7 @@
 	transfer.sentBytes = end
 }
 
+// snapshotTransferActive reports whether a transfer to any replica makes progress.
 func (n *Node) snapshotTransferActive() bool {
 	for _, p := range n.progress {
 		if p.snapshotTransfer != nil && n.now-p.snapshotTransfer.lastProgressAt < transferStallTimeout {
@@ -77,6 +82,7 @@
 	return false
 }
 
+// handleSnapshotReply records acknowledged bytes and sends the next chunks.
 func (n *Node) handleSnapshotReply(m *wirepb.Consensus) {
 	p := n.progress[m.From]
 	if n.role != Leader || m.Term != n.term || p == nil {
@@ -96,6 +102,7 @@
 	n.sendSnapshotChunks(m.From, p)
 }
 
+// handleSnapshotChunk stores a chunk, and installs the snapshot once it is complete.
 func (n *Node) handleSnapshotChunk(m *wirepb.Consensus) {
 	if m.Term < n.term {
 		n.rejectStaleTerm(m.From)
@@ -122,17 +129,18 @@
 	}
 }
 
-// logReaches reports whether the log holds all that a snapshot covers: it came late, and what was
-// acknowledged behind it has to stay.
+// logCoversSnapshot reports whether the log has all that a snapshot covers. Such a snapshot is late, and must
+// not replace entries after it that were acknowledged.
 func (n *Node) logCoversSnapshot(chunk *wirepb.SnapshotPart) bool {
 	term, exists := n.log.term(chunk.Index)
 	return chunk.Index <= n.commitIndex || exists && term == chunk.Term
 }
 
-// takePart keeps the part that follows what has arrived of the same snapshot.
+// appendSnapshotChunk appends a chunk that follows what has arrived of the same snapshot.
 func (n *Node) appendSnapshotChunk(leader string, chunk *wirepb.SnapshotPart) {
 	incoming := n.incomingSnapshot
-	if incoming == nil || incoming.leader != leader || incoming.index != chunk.Index || incoming.term != chunk.Term {
+	if incoming == nil || incoming.leader != leader || incoming.index != chunk.Index ||
+		incoming.term != chunk.Term {
 		incoming = &incomingSnapshot{leader: leader, index: chunk.Index, term: chunk.Term}
 		n.incomingSnapshot = incoming
 	}
@@ -141,7 +149,7 @@
 	}
 }
 
-// install makes a snapshot all that this replica holds.
+// installSnapshot replaces the log and the applied state by a snapshot.
 func (n *Node) installSnapshot(snapshot *wirepb.Snapshot) {
 	n.incomingSnapshot = nil
 	n.log.reset(snapshot)
--- a/internal/serving/consensus/storage.go
+++ b/internal/serving/consensus/storage.go
@@ -6,30 +6,30 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// Persist is what has to be on disk before Messages may be sent. Nil parts are unchanged.
+// WriteBatch is what has to be durable before Messages may be sent. Nil parts are unchanged.
 type WriteBatch struct {
 	HardState *wirepb.HardState
 	Entries   []*wirepb.Entry  // replace all stored entries from the first one's index on
-	Snapshot  *wirepb.Snapshot // replaces the stored log as a whole
+	Snapshot  *wirepb.Snapshot // replaces the entire stored log
 	Messages  []*wirepb.Consensus
 
-	sequence uint64 // counted by the node
+	sequence uint64 // of the batches that the node has made, from 1
 }
 
-// Stored is what a disk holds of a replica.
+// DurableState is what the disk of a replica stores.
 type DurableState struct {
 	HardState *wirepb.HardState
 	Snapshot  *wirepb.Snapshot
 	Entries   []*wirepb.Entry
 }
 
-// Founding returns what the disk of a founder holds before the first entry.
+// BootstrapState returns the durable state of a founder before the first entry.
 func BootstrapState(founders []string) DurableState {
 	return DurableState{Snapshot: &wirepb.Snapshot{Membership: &wirepb.Membership{Replicas: founders}}}
 }
 
-// Apply carries a batch out on what a disk holds. It fails, and changes nothing, where the entries of the
-// batch do not follow what is stored.
+// Apply applies a batch. It fails, and changes nothing, if the entries of the batch do not follow the stored
+// ones.
 func (s *DurableState) Apply(batch WriteBatch) error {
 	next := *s
 	if batch.Snapshot != nil {
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// lastOf returns the index and term up to which a batch brings the log on disk, or 0.
+// lastEntryOf returns the index and term of the last entry of the log once a batch is durable, 0 and 0 for a
+// batch without entries and snapshot.
 func lastEntryOf(batch WriteBatch) (uint64, uint64) {
 	if count := len(batch.Entries); count > 0 {
 		return batch.Entries[count-1].Index, batch.Entries[count-1].Term
