--- a/internal/serving/control/engine.go
+++ b/internal/serving/control/engine.go
@@ -18,16 +18,16 @@
 const (
 	TickInterval     = 25 * time.Millisecond
 	presenceInterval = 500 * time.Millisecond
-	sweepInterval    = 500 * time.Millisecond
-	settledAfter     = 5 * time.Second        // of a core's life: workers were heard several times
-	stoodStill       = 500 * time.Millisecond // between ticks, after which a life counts as begun anew
-	lagMemory        = time.Second            // callers wait no longer for an answer
+	expiryInterval    = 500 * time.Millisecond
+	settlingTime     = 5 * time.Second        // of a core's life: workers were heard several times
+	stallThreshold       = 500 * time.Millisecond // between ticks, after which a life counts as begun anew
+	tickGapRetention        = time.Second            // callers wait no longer for an answer
 )
 
 // Log sizes, in bytes, after which a snapshot is taken.
 const (
-	compactLog     = 2 << 20 // of entries
-	compactSegment = 8 << 20 // of a segment
+	maxLogBytes     = 2 << 20 // of entries
+	maxSegmentBytes = 8 << 20 // of a segment
 )
 
 // Environment is what an engine needs of its process.
@@ -47,15 +47,15 @@
 // Options describe a core.
 type Options struct {
 	Identity       string // of its disk
-	Life           string // new with each life of the process
+	Incarnation           string // new with each life of the process
 	Address        string // where other cores reach it, IP:PORT
 	AddressOf      func(host string) string
 	Zone, Region   string
 	Seeds          []string // hosts of cores
 	Consensus      consensus.Options
-	HeartbeatEvery time.Duration // of workers
-	CatchUp        time.Duration // within which a new replica should have its seat
-	Grace          time.Duration // from the order to stop to the end of the process
+	WorkerHeartbeatInterval time.Duration // of workers
+	CatchUpTimeout        time.Duration // within which a new replica should have its seat
+	ShutdownGrace          time.Duration // from the order to stop to the end of the process
 	Clock          func() time.Duration
 	Random         *rand.Rand
 	Logger         *zap.Logger
@@ -70,44 +70,44 @@
 	node        *consensus.Node
 	machine     *statemachine.Machine
 	mirror      *stateview.Mirror
-	orders      orderTable
-	asked       askedTable
+	requests      requestTable
+	leaderRequests       leaderRequestTable
 	workers     workerTable
 	edges       map[string]*EdgeLink     // by edge name: links of agents to this core
-	heardCores  map[string]time.Duration // by internal address: when a core last spoke
-	writers     writerTable
-	saved       savedWorkers
-	joining     joinWatch
+	coreContacts  map[string]time.Duration // by internal address: when a core last spoke
+	origins     originTable
+	savedWorkers       savedWorkersState
+	learnerMonitor     learnerMonitor
 
 	lastTick     time.Duration
-	lag          time.Duration // the longest time between two ticks, lately
-	lagUntil     time.Duration // when that is forgotten
-	steadySince  time.Duration // since when the process has not stood still
-	nextPresence time.Duration
-	nextSweep    time.Duration
+	longestTickGap          time.Duration // the longest time between two ticks, lately
+	tickGapExpiry     time.Duration // when that is forgotten
+	runningSince  time.Duration // since when the process has not stood still
+	nextPresenceAt time.Duration
+	nextExpiryAt    time.Duration
 	lastLeader   string
 	compacting   bool
-	leavingSince time.Duration
-	leaving      bool
+	shutdownAt time.Duration
+	shuttingDown      bool
 }
 
 // New makes an engine of what a disk holds.
 func New(options Options, stored consensus.DurableState, environment Environment) (*Engine, error) {
 	e := &Engine{
 		options: options, environment: environment, logger: options.Logger, machine: statemachine.New(),
-		orders: newOrderTable(), asked: newAskedTable(), workers: newWorkerTable(), joining: newJoinWatch(),
-		edges: map[string]*EdgeLink{}, heardCores: map[string]time.Duration{},
-		writers:  newWriterTable(),
-		lastTick: options.Clock(), steadySince: options.Clock(),
+		requests: newRequestTable(), leaderRequests: newLeaderRequestTable(), workers: newWorkerTable(), learnerMonitor: newLearnerMonitor(),
+		edges: map[string]*EdgeLink{}, coreContacts: map[string]time.Duration{},
+		origins:  newOriginTable(),
+		lastTick: options.Clock(), runningSince: options.Clock(),
 	}
-	e.mirror = stateview.New(options.Life, options.Clock)
+	e.mirror = stateview.New(options.Incarnation, options.Clock)
 	if err := e.machine.Restore(stored.Snapshot.GetData()); err != nil {
 		return nil, errors.Wrap(err, "cannot read the snapshot: empty data_dir, so that the replica joins anew")
 	}
 	e.node = consensus.New(options.Identity, stored, options.Consensus, options.Clock(), options.Random)
-	e.carryOut()
-	e.loadSavedWorkers(options.SavedWorkers)
-	e.tellCommitted()
+	e.processReady()
+	e.restoreWorkers(options.SavedWorkers)
+	e.publishCommitted()
 	return e, nil
 }
 
@@ -121,34 +121,34 @@
 
 // Tick tells that time has passed. It is called every TickInterval.
 func (e *Engine) Tick() {
-	now := e.awake()
+	now := e.advanceTime()
 	e.lastTick = now
 	if e.node.InSync() {
 		e.mirror.Touch(e.settled())
 	}
-	e.noteLeader()
-	e.pursueOrders()
-	e.watchJoining()
-	if now >= e.nextPresence {
-		e.nextPresence = now + presenceInterval
-		e.tellPresence()
-		e.writers.publish(now, e.node.InSync() && e.settled())
+	e.logLeaderChange()
+	e.retryRequests()
+	e.monitorLearners()
+	if now >= e.nextPresenceAt {
+		e.nextPresenceAt = now + presenceInterval
+		e.broadcastPresence()
+		e.origins.publish(now, e.node.InSync() && e.settled())
 	}
-	if now >= e.nextSweep {
-		e.nextSweep = now + sweepInterval
-		e.sweep()
+	if now >= e.nextExpiryAt {
+		e.nextExpiryAt = now + expiryInterval
+		e.expireRecords()
 		e.saveWorkers()
 	}
-	e.carryOut()
+	e.processReady()
 }
 
 // awake brings the replica to the present before anything else is asked of it: the process may have stood
 // still, and a leader that has must not act before it has noticed.
-func (e *Engine) awake() time.Duration {
+func (e *Engine) advanceTime() time.Duration {
 	now := e.now()
-	e.noteLag(now)
-	if now-e.lastTick > stoodStill {
-		e.steadySince = now
+	e.recordTickGap(now)
+	if now-e.lastTick > stallThreshold {
+		e.runningSince = now
 		e.lastTick = now
 	}
 	e.node.Tick(now)
@@ -156,18 +156,18 @@
 }
 
 // noteLag keeps how long an order may have waited for this process before it was taken up.
-func (e *Engine) noteLag(now time.Duration) {
+func (e *Engine) recordTickGap(now time.Duration) {
 	gap := now - e.lastTick
-	if gap >= e.lag || now >= e.lagUntil {
-		e.lag = gap
-		e.lagUntil = now + lagMemory
+	if gap >= e.longestTickGap || now >= e.tickGapExpiry {
+		e.longestTickGap = gap
+		e.tickGapExpiry = now + tickGapRetention
 	}
 }
 
 // settled reports whether this core has run for long enough to have heard of all that lives.
-func (e *Engine) settled() bool { return e.now()-e.steadySince > settledAfter }
+func (e *Engine) settled() bool { return e.now()-e.runningSince > settlingTime }
 
-func (e *Engine) noteLeader() {
+func (e *Engine) logLeaderChange() {
 	if leader := e.node.Leader(); leader != e.lastLeader {
 		e.lastLeader = leader
 		e.logger.Info("leader", zap.String("replica", leader), zap.Uint64("epoch", e.node.Term()))
@@ -175,24 +175,24 @@
 }
 
 // Take carries out what another core says.
-func (e *Engine) Take(envelope *wirepb.Envelope) {
-	e.awake()
+func (e *Engine) HandleEnvelope(envelope *wirepb.Envelope) {
+	e.advanceTime()
 	switch body := envelope.Body.(type) {
 	case *wirepb.Envelope_Consensus:
-		e.takeConsensus(body.Consensus)
+		e.handleConsensus(body.Consensus)
 	case *wirepb.Envelope_Catalog:
-		e.takeCatalog(body.Catalog)
+		e.handleCatalog(body.Catalog)
 	case *wirepb.Envelope_Presence:
-		e.takePresence(body.Presence)
+		e.handlePresence(body.Presence)
 	case *wirepb.Envelope_Call:
-		e.takeCall(body.Call)
+		e.handleCall(body.Call)
 	case *wirepb.Envelope_Reply:
-		e.takeReply(body.Reply)
+		e.handleReply(body.Reply)
 	}
-	e.carryOut()
+	e.processReady()
 }
 
-func (e *Engine) takeConsensus(message *wirepb.Consensus) {
+func (e *Engine) handleConsensus(message *wirepb.Consensus) {
 	if message.To != "" && message.To != e.options.Identity {
 		return // meant for another disk at this address
 	}
@@ -202,42 +202,42 @@
 }
 
 // carryOut does what the replica has decided.
-func (e *Engine) carryOut() {
-	output := e.node.Ready()
-	for _, message := range output.Messages {
+func (e *Engine) processReady() {
+	ready := e.node.Ready()
+	for _, message := range ready.Messages {
 		e.sendConsensus(message)
 	}
-	for _, batch := range output.Writes {
-		e.environment.Write(batch, func() { e.written(batch) })
+	for _, batch := range ready.Writes {
+		e.environment.Write(batch, func() { e.completeWrite(batch) })
 	}
-	if output.Snapshot != nil {
-		if err := e.machine.Restore(output.Snapshot.Data); err != nil {
+	if ready.Snapshot != nil {
+		if err := e.machine.Restore(ready.Snapshot.Data); err != nil {
 			e.logger.Fatal("cannot take a snapshot", zap.Error(err))
 		}
 	}
-	for _, entry := range output.CommittedEntries {
+	for _, entry := range ready.CommittedEntries {
 		e.apply(entry)
 	}
-	if output.Snapshot != nil {
+	if ready.Snapshot != nil {
 		e.applyDepartures()
 	}
-	if output.Snapshot != nil || len(output.CommittedEntries) > 0 {
-		e.tellCommitted()
+	if ready.Snapshot != nil || len(ready.CommittedEntries) > 0 {
+		e.publishCommitted()
 		e.compact()
 	}
-	for _, read := range output.ReadStates {
-		e.finishRead(read.RequestID)
+	for _, read := range ready.ReadStates {
+		e.completeRead(read.RequestID)
 	}
 }
 
 // written goes on once a batch is on disk.
-func (e *Engine) written(batch consensus.WriteBatch) {
-	e.awake()
+func (e *Engine) completeWrite(batch consensus.WriteBatch) {
+	e.advanceTime()
 	for _, message := range batch.Messages {
 		e.sendConsensus(message)
 	}
 	e.node.Persisted(e.now(), batch)
-	e.carryOut()
+	e.processReady()
 }
 
 func (e *Engine) sendConsensus(message *wirepb.Consensus) {
@@ -264,16 +264,16 @@
 	if departure := result.Departure; departure != nil {
 		e.applyDeparture(departure)
 	}
-	e.finishCommand(result)
+	e.completeCommand(result)
 }
 
-func (e *Engine) tellCommitted() {
+func (e *Engine) publishCommitted() {
 	e.mirror.SetCommitted(e.node.Applied(), e.machine.Document(), e.machine.Evacuated())
 }
 
 // compact takes a snapshot where the log has grown long.
 func (e *Engine) compact() {
-	if e.compacting || e.node.LogBytes() < compactLog && e.environment.SegmentBytes() < compactSegment {
+	if e.compacting || e.node.LogBytes() < maxLogBytes && e.environment.SegmentBytes() < maxSegmentBytes {
 		return
 	}
 	data, err := e.machine.Snapshot()
@@ -291,29 +291,29 @@
 
 // Leave begins the end of this core's part: it hands the lead over and asks that its seat be taken over. Its
 // caller goes on with everything until MayStop.
-func (e *Engine) Leave() {
-	e.awake()
-	if !e.leaving {
-		e.leaving = true
-		e.leavingSince = e.now()
+func (e *Engine) BeginShutdown() {
+	e.advanceTime()
+	if !e.shuttingDown {
+		e.shuttingDown = true
+		e.shutdownAt = e.now()
 		e.logger.Info("leaving", zap.Bool("seated", e.node.IsVoter()))
 	}
 	e.node.BeginShutdown()
-	e.carryOut()
+	e.processReady()
 }
 
 // Times of leaving.
 const (
-	leaveLinger = 600 * time.Millisecond  // at least, so that a replica that has just started is heard of
-	graceMargin = 1300 * time.Millisecond // under the time after which the process is killed
+	minimumShutdown = 600 * time.Millisecond  // at least, so that a replica that has just started is heard of
+	shutdownGraceMargin = 1300 * time.Millisecond // under the time after which the process is killed
 )
 
 // MayStop reports whether a leaving core is not needed any more, or has no time left.
-func (e *Engine) MayStop() bool {
-	passed := e.now() - e.leavingSince
-	return passed > leaveLinger && e.node.SafeToStop() || passed > e.options.Grace-graceMargin
+func (e *Engine) SafeToStop() bool {
+	elapsed := e.now() - e.shutdownAt
+	return elapsed > minimumShutdown && e.node.SafeToStop() || elapsed > e.options.ShutdownGrace-shutdownGraceMargin
 }
 
 func (e *Engine) uniqueID(number uint64) string {
-	return e.options.Life + "/" + strconv.FormatUint(number, 10)
+	return e.options.Incarnation + "/" + strconv.FormatUint(number, 10)
 }
--- a/internal/serving/control/expiry.go
+++ b/internal/serving/control/expiry.go
@@ -8,17 +8,17 @@
 
 const (
 	missedHeartbeats = 3.6                     // heartbeat intervals of silence at all cores
-	silentCore       = 1500 * time.Millisecond // of a core, after which what it may hear is not known
-	doubtLife        = time.Minute             // that a silent worker is kept while its silence proves nothing
-	doubtfulShare    = 0.5                     // of a zone's workers, above which their silence proves nothing
-	edgeLife         = 90 * time.Second        // of an edge's record after its last link was lost
-	coreLife         = 20 * time.Second        // of a core's record after it last spoke
+	silentCoreTimeout       = 1500 * time.Millisecond // of a core, after which what it may hear is not known
+	inconclusiveRetention        = time.Minute             // that a silent worker is kept while its silence proves nothing
+	inconclusiveFraction    = 0.5                     // of a zone's workers, above which their silence proves nothing
+	unlinkedEdgeRetention         = 90 * time.Second        // of an edge's record after its last link was lost
+	silentCoreRetention         = 20 * time.Second        // of a core's record after it last spoke
 )
 
 // sweep is the leader's care: it drops workers that are gone, and edges and cores.
-func (e *Engine) sweep() {
+func (e *Engine) expireRecords() {
 	now := e.now()
-	e.workers.forgetOld(now)
+	e.workers.removeOld(now)
 	e.mirror.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
 		held.Expire(now)
 		return false
@@ -26,26 +26,26 @@
 	if !e.node.IsEstablishedLeader() || !e.settled() {
 		return
 	}
-	e.sweepWorkers(now)
+	e.expireWorkers(now)
 	for _, entry := range e.mirror.Of(catalog.Edges) {
 		edge := entry.Record.GetEdge()
-		if !entry.Record.Deleted && !edge.GetLinked() && now-entry.Merged > edgeLife {
+		if !entry.Record.Deleted && !edge.GetLinked() && now-entry.Merged > unlinkedEdgeRetention {
 			e.publishDeletion(entry.Record, entry.Record.Order)
 		}
 	}
 	for _, entry := range e.mirror.Of(catalog.Cores) {
 		core := entry.Record.GetCore()
-		if entry.Record.Deleted || core.GetReplica() == e.options.Identity || now-entry.Merged <= coreLife {
+		if entry.Record.Deleted || core.GetReplica() == e.options.Identity || now-entry.Merged <= silentCoreRetention {
 			continue
 		}
-		if heard, known := e.heardCores[core.GetAddress()]; !known || now-heard > coreLife {
+		if lastContact, known := e.coreContacts[core.GetAddress()]; !known || now-lastContact > silentCoreRetention {
 			e.publishDeletion(entry.Record, entry.Record.Order)
 		}
 	}
 }
 
 // zoneSilence counts a zone's workers, and those that are silent.
-type zoneSilence struct{ known, silent int }
+type zoneCounts struct{ workers, silent int }
 
 // sweepWorkers drops workers that no core hears. Silence proves nothing where the core that heard a worker
 // last is silent itself, or where most of a zone is silent at once: control may be what is cut off. Such
@@ -53,9 +53,9 @@
 // threshold of Envoy's load balancing and the self-preservation of Eureka's registry, as their
 // documentation has them). Once silence proves something again, a worker has as long to be heard as any
 // other: the workers behind a cut that has healed are heard one after the other.
-func (e *Engine) sweepWorkers(now time.Duration) {
-	limit := time.Duration(missedHeartbeats * float64(e.options.HeartbeatEvery))
-	zones := map[string]*zoneSilence{}
+func (e *Engine) expireWorkers(now time.Duration) {
+	limit := time.Duration(missedHeartbeats * float64(e.options.WorkerHeartbeatInterval))
+	zones := map[string]*zoneCounts{}
 	var silent []*catalog.Entry
 	for _, entry := range e.mirror.Of(catalog.Workers) {
 		if entry.Record.Deleted {
@@ -63,10 +63,10 @@
 		}
 		zone := entry.Record.GetWorker().GetZone()
 		if zones[zone] == nil {
-			zones[zone] = &zoneSilence{}
+			zones[zone] = &zoneCounts{}
 		}
-		zones[zone].known++
-		if now-e.lastHeard(entry) > limit {
+		zones[zone].workers++
+		if now-e.lastWorkerContact(entry) > limit {
 			zones[zone].silent++
 			silent = append(silent, entry)
 		}
@@ -74,26 +74,26 @@
 	for _, entry := range silent {
 		worker := entry.Record.GetWorker()
 		zone := zones[worker.GetZone()]
-		if float64(zone.silent) > doubtfulShare*float64(zone.known) || e.heardBySilentCore(now, entry) {
-			e.workers.doubtedAt[worker.GetInstanceId()] = now
+		if float64(zone.silent) > inconclusiveFraction*float64(zone.workers) || e.lastSeenBySilentCore(now, entry) {
+			e.workers.inconclusiveAt[worker.GetInstanceId()] = now
 		}
-		silence := now - max(e.lastHeard(entry), e.workers.doubtedAt[worker.GetInstanceId()])
-		if silence > limit || now-e.lastHeard(entry) > doubtLife {
+		silence := now - max(e.lastWorkerContact(entry), e.workers.inconclusiveAt[worker.GetInstanceId()])
+		if silence > limit || now-e.lastWorkerContact(entry) > inconclusiveRetention {
 			e.publishDeletion(entry.Record, entry.Record.Order)
 		}
 	}
 }
 
-func (e *Engine) lastHeard(entry *catalog.Entry) time.Duration {
-	return max(e.workers.heard[entry.Record.GetWorker().GetInstanceId()].at, entry.Merged)
+func (e *Engine) lastWorkerContact(entry *catalog.Entry) time.Duration {
+	return max(e.workers.contacts[entry.Record.GetWorker().GetInstanceId()].at, entry.Merged)
 }
 
 // heardBySilentCore reports whether the core that heard a worker last does not speak any more.
-func (e *Engine) heardBySilentCore(now time.Duration, entry *catalog.Entry) bool {
-	core := e.workers.heard[entry.Record.GetWorker().GetInstanceId()].core
+func (e *Engine) lastSeenBySilentCore(now time.Duration, entry *catalog.Entry) bool {
+	core := e.workers.contacts[entry.Record.GetWorker().GetInstanceId()].core
 	if core == "" {
 		return false
 	}
-	heard, known := e.heardCores[core]
-	return !known || now-heard > silentCore
+	lastContact, known := e.coreContacts[core]
+	return !known || now-lastContact > silentCoreTimeout
 }
--- a/internal/serving/control/golden_test.go
+++ b/internal/serving/control/golden_test.go
@@ -37,7 +37,7 @@
 
 // savingEnvironment keeps what is saved, and carries nothing else out.
 type savingEnvironment struct {
-	silentEnvironment
+	discardingEnvironment
 	saved []byte
 }
 
@@ -48,7 +48,7 @@
 	t.Helper()
 	environment := &savingEnvironment{}
 	e, err := New(Options{
-		Identity: "10.0.0.1#founder", Life: goldenLife, Clock: func() time.Duration { return 0 },
+		Identity: "10.0.0.1#founder", Incarnation: goldenLife, Clock: func() time.Duration { return 0 },
 		AddressOf: func(host string) string { return host }, Consensus: consensus.Options{Voters: 2},
 		Random: rand.New(rand.NewSource(1)), Logger: zap.NewNop(), SavedWorkers: saved,
 	}, consensus.BootstrapState([]string{"10.0.0.1#founder", "10.0.0.2#founder"}), environment)
@@ -114,9 +114,9 @@
 // goldenStatusValue has no field that is zero.
 func goldenStatusValue() Status {
 	return Status{
-		Replica: "10.0.0.1#a", Leader: "10.0.0.2#b", Epoch: 3, InTouch: true,
-		Members: []string{"10.0.0.2#b", "10.0.0.3#c"}, Waits: "catching up",
-		Learners: []LearnerStatus{{Replica: "10.0.0.4#d", WaitsS: 1.5, Index: 40, CaughtUp: true}},
+		Replica: "10.0.0.1#a", Leader: "10.0.0.2#b", Term: 3, InSync: true,
+		Members: []string{"10.0.0.2#b", "10.0.0.3#c"}, WaitReason: "catching up",
+		Learners: []LearnerStatus{{Replica: "10.0.0.4#d", WaitSeconds: 1.5, Index: 40, CaughtUp: true}},
 		Index:    41, Generation: 7, Evacuated: []string{"z"},
 		Edges: []EdgeStatus{{
 			Name: "edge-1", Address: "10.0.2.1:80", Zone: "a", Ready: true, Linked: true, Generation: 6,
--- a/internal/serving/control/learners.go
+++ b/internal/serving/control/learners.go
@@ -9,15 +9,15 @@
 )
 
 // repeatWarning is the pause between two warnings of the same replica.
-const repeatWarning = 10 * time.Second
+const learnerWarningInterval = 10 * time.Second
 
 // joinWatch remembers what was said of replicas that wait for a seat.
-type joinWatch struct {
-	reason   string                   // why this replica has no seat, as it was logged last
-	warnings map[string]time.Duration // at the leader, by replica: when the next one is due
+type learnerMonitor struct {
+	loggedReason   string                   // why this replica has no seat, as it was logged last
+	nextWarningAt map[string]time.Duration // at the leader, by replica: when the next one is due
 }
 
-func newJoinWatch() joinWatch { return joinWatch{warnings: map[string]time.Duration{}} }
+func newLearnerMonitor() learnerMonitor { return learnerMonitor{nextWarningAt: map[string]time.Duration{}} }
 
 // WaitReason says why this replica has no seat, "" where it has one.
 func (e *Engine) WaitReason() string {
@@ -33,9 +33,9 @@
 }
 
 // watchJoining logs why this replica waits, and at the leader which replicas make no progress.
-func (e *Engine) watchJoining() {
-	if reason := e.WaitReason(); reason != e.joining.reason && !e.leaving {
-		e.joining.reason = reason
+func (e *Engine) monitorLearners() {
+	if reason := e.WaitReason(); reason != e.learnerMonitor.loggedReason && !e.shuttingDown {
+		e.learnerMonitor.loggedReason = reason
 		if reason == "" {
 			e.logger.Info("has a seat", zap.Strings("members", e.node.Voters()))
 		} else {
@@ -43,16 +43,16 @@
 		}
 	}
 	if !e.node.IsEstablishedLeader() {
-		clear(e.joining.warnings)
+		clear(e.learnerMonitor.nextWarningAt)
 		return
 	}
 	now := e.now()
 	for _, learner := range e.node.Learners() {
-		late := now-learner.Since > e.options.CatchUp && !learner.CaughtUp && !learner.ShuttingDown
-		if !late || now < e.joining.warnings[learner.Replica] {
+		late := now-learner.Since > e.options.CatchUpTimeout && !learner.CaughtUp && !learner.ShuttingDown
+		if !late || now < e.learnerMonitor.nextWarningAt[learner.Replica] {
 			continue
 		}
-		e.joining.warnings[learner.Replica] = now + repeatWarning
+		e.learnerMonitor.nextWarningAt[learner.Replica] = now + learnerWarningInterval
 		e.logger.Warn("a replica makes no progress: check its link and its disk", zap.String("replica",
 			learner.Replica), zap.Uint64("has", learner.MatchIndex), zap.Uint64("of", e.node.Applied()))
 	}
--- a/internal/serving/control/origins_test.go
+++ b/internal/serving/control/origins_test.go
@@ -7,18 +7,18 @@
 
 // TestSilentWriters lets one core fall silent, in the view of another that is sure of its own footing, and
 // of one that is not.
-func TestSilentWriters(t *testing.T) {
-	e := &Engine{writers: newWriterTable()}
-	if e.SilentWriter("a") {
+func TestSilentOrigins(t *testing.T) {
+	e := &Engine{origins: newOriginTable()}
+	if e.OriginSilent("a") {
 		t.Error("silent before anything was published")
 	}
-	e.writers.heard(0, "a")
-	e.writers.heard(0, "")
-	e.writers.heard(2*time.Second, "b")
+	e.origins.observe(0, "a")
+	e.origins.observe(0, "")
+	e.origins.observe(2*time.Second, "b")
 	cases := []struct {
 		name   string
 		now    time.Duration
-		sure   bool
+		inSync   bool
 		silent map[string]bool
 	}{
 		{"both speak", time.Second, true, map[string]bool{}},
@@ -27,16 +27,16 @@
 		{"both are silent", 9 * time.Second, true, map[string]bool{"a": true, "b": true}},
 	}
 	for _, c := range cases {
-		e.writers.publish(c.now, c.sure)
-		for _, life := range []string{"a", "b", "", "never heard"} {
-			if e.SilentWriter(life) != c.silent[life] {
-				t.Errorf("%s: %q silent: %v", c.name, life, e.SilentWriter(life))
+		e.origins.publish(c.now, c.inSync)
+		for _, incarnation := range []string{"a", "b", "", "never heard"} {
+			if e.OriginSilent(incarnation) != c.silent[incarnation] {
+				t.Errorf("%s: %q silent: %v", c.name, incarnation, e.OriginSilent(incarnation))
 			}
 		}
 	}
-	e.writers.heard(10*time.Second, "a")
-	e.writers.publish(10*time.Second, true)
-	if e.SilentWriter("a") {
+	e.origins.observe(10*time.Second, "a")
+	e.origins.publish(10*time.Second, true)
+	if e.OriginSilent("a") {
 		t.Error("silent although it has spoken again")
 	}
 }
--- a/internal/serving/control/presence.go
+++ b/internal/serving/control/presence.go
@@ -11,7 +11,7 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-const forgetCore = 30 * time.Second // after it last spoke, unless something else names it
+const coreContactRetention = 30 * time.Second // after it last spoke, unless something else names it
 
 // Links returns the internal addresses of the cores to speak to, in order: those that have a seat or wait for
 // one, those that the settings name, those that the catalog knows, and those that have spoken lately.
@@ -28,11 +28,11 @@
 			wanted[entry.Record.GetCore().GetAddress()] = true
 		}
 	}
-	for address, heard := range e.heardCores {
-		if e.now()-heard < forgetCore {
+	for address, lastContact := range e.coreContacts {
+		if e.now()-lastContact < coreContactRetention {
 			wanted[address] = true
 		} else {
-			delete(e.heardCores, address)
+			delete(e.coreContacts, address)
 		}
 	}
 	delete(wanted, e.options.Address)
@@ -51,7 +51,7 @@
 	}
 }
 
-func (e *Engine) takeCatalog(batch *wirepb.CatalogBatch) {
+func (e *Engine) handleCatalog(batch *wirepb.CatalogBatch) {
 	var changed []*catalog.Entry
 	e.mirror.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
 		changed = held.Merge(now, batch.Records, batch.Vector)
@@ -84,13 +84,13 @@
 }
 
 // tellPresence tells the other cores that this one lives, what it holds, and which workers it hears.
-func (e *Engine) tellPresence() {
-	e.tellSelf()
+func (e *Engine) broadcastPresence() {
+	e.publishSelf()
 	presence := &wirepb.Presence{
 		Node:   e.selfRecord(),
 		Vector: e.mirror.Position().Vector,
-		Heard:  e.workers.heardLately(e.now(), presenceInterval),
-		Life:   e.options.Life,
+		Heard:  e.workers.recentLocalContacts(e.now(), presenceInterval),
+		Life:   e.options.Incarnation,
 	}
 	e.broadcast(&wirepb.Envelope{Body: &wirepb.Envelope_Presence{Presence: presence}})
 }
@@ -102,7 +102,7 @@
 }
 
 // tellSelf keeps this core's own record in the catalog.
-func (e *Engine) tellSelf() {
+func (e *Engine) publishSelf() {
 	own := e.selfRecord()
 	record := &wirepb.Record{
 		Key: catalog.CoreKey(e.options.Identity), Order: 1, Value: &wirepb.Record_Core{Core: own},
@@ -118,14 +118,14 @@
 
 // takePresence hands over what the other core lacks (the repair that hinted handoff stands for: the hint is
 // the vector), and notes which workers it hears.
-func (e *Engine) takePresence(presence *wirepb.Presence) {
+func (e *Engine) handlePresence(presence *wirepb.Presence) {
 	now := e.now()
 	address := presence.Node.GetAddress()
-	e.heardCores[address] = now
-	e.writers.heard(now, presence.Life)
+	e.coreContacts[address] = now
+	e.origins.observe(now, presence.Life)
 	e.node.ObserveReplica(presence.Node.GetReplica(), now)
 	for _, heard := range presence.Heard {
-		e.workers.hear(heard.InstanceId, address, now-time.Duration(heard.AgeMs)*time.Millisecond)
+		e.workers.observe(heard.InstanceId, address, now-time.Duration(heard.AgeMs)*time.Millisecond)
 	}
 	var missing []*wirepb.Record
 	var vector *wirepb.VersionVector
--- a/internal/serving/control/saved_workers_test.go
+++ b/internal/serving/control/saved_workers_test.go
@@ -14,17 +14,17 @@
 )
 
 // silentEnvironment carries nothing out.
-type silentEnvironment struct{}
+type discardingEnvironment struct{}
 
-func (silentEnvironment) Send(string, *wirepb.Envelope) {}
+func (discardingEnvironment) Send(string, *wirepb.Envelope) {}
 
-func (silentEnvironment) Write(consensus.WriteBatch, func()) {}
+func (discardingEnvironment) Write(consensus.WriteBatch, func()) {}
 
-func (silentEnvironment) Rewrite(consensus.DurableState, func()) {}
+func (discardingEnvironment) Rewrite(consensus.DurableState, func()) {}
 
-func (silentEnvironment) SegmentBytes() int64 { return 0 }
+func (discardingEnvironment) SegmentBytes() int64 { return 0 }
 
-func (silentEnvironment) SaveWorkers([]byte, func()) {}
+func (discardingEnvironment) SaveWorkers([]byte, func()) {}
 
 func departureEntry(t *testing.T, index uint64, departure *wirepb.Departure) *wirepb.Entry {
 	t.Helper()
@@ -38,7 +38,7 @@
 
 // TestSavedWorkersWithoutTheDeparted starts a core whose log holds the leaving of workers, one of them
 // known to be committed, and whose saved list is from before. Nobody speaks to it yet.
-func TestSavedWorkersWithoutTheDeparted(t *testing.T) {
+func TestRestoredWorkersExcludeDeparted(t *testing.T) {
 	var batch wirepb.CatalogBatch
 	for _, name := range []string{"stays", "committed", "unconfirmed", "draining"} {
 		batch.Records = append(batch.Records, &wirepb.Record{
@@ -58,20 +58,20 @@
 		departureEntry(t, 3, &wirepb.Departure{InstanceId: "unconfirmed", Order: catalog.Final, Final: true}),
 	}
 	e, err := New(Options{
-		Identity: "10.0.0.1#founder", Life: "life", Clock: func() time.Duration { return 0 },
+		Identity: "10.0.0.1#founder", Incarnation: "life", Clock: func() time.Duration { return 0 },
 		AddressOf: func(host string) string { return host }, Consensus: consensus.Options{Voters: 2},
 		Random: rand.New(rand.NewSource(1)), Logger: zap.NewNop(), SavedWorkers: saved,
-	}, stored, silentEnvironment{})
+	}, stored, discardingEnvironment{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := map[string]bool{}
+	restored := map[string]bool{}
 	for _, entry := range e.Mirror().Of(catalog.Workers) {
 		if worker := entry.Record.GetWorker(); !entry.Record.Deleted {
-			told[worker.InstanceId] = worker.Draining
+			restored[worker.InstanceId] = worker.Draining
 		}
 	}
-	if draining, known := told["draining"]; len(told) != 2 || !known || !draining || told["stays"] {
-		t.Errorf("told (draining): %v", told)
+	if draining, known := restored["draining"]; len(restored) != 2 || !known || !draining || restored["stays"] {
+		t.Errorf("told (draining): %v", restored)
 	}
 }
--- a/internal/serving/control/scenarios_test.go
+++ b/internal/serving/control/scenarios_test.go
@@ -16,39 +16,39 @@
 
 const (
 	scenarioSeeds = 12
-	begun         = 4 * time.Second // until a world's quorum has all its seats
+	startupTime         = 4 * time.Second // until a world's quorum has all its seats
 )
 
-func begin(seed int64, s shape) *world {
-	w := newWorld(seed, s, plant{})
-	w.run(begun)
+func startWorld(seed int64, s shape) *world {
+	w := newWorld(seed, s, plantedFault{})
+	w.run(startupTime)
 	return w
 }
 
 // settle lets a world come to rest and looks at all that should hold then.
-func settle(t *testing.T, w *world, name string) {
+func finishWorld(t *testing.T, w *world, name string) {
 	t.Helper()
-	w.settle()
-	if len(w.problems) > 0 {
-		t.Errorf("%s: %s", name, strings.Join(w.problems, "\n"))
+	w.finish()
+	if len(w.violations) > 0 {
+		t.Errorf("%s: %s", name, strings.Join(w.violations, "\n"))
 	}
 }
 
 // TestCutThenDisksLost cuts two of five off for four seconds, then takes two disks of the other three, and
 // the power of the third. Three disks that know something are left: nothing is lost, and someone leads
 // again.
-func TestCutThenDisksLost(t *testing.T) {
+func TestPartitionThenDisksLost(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(scenarioSeeds) {
-		w := begin(seed, shape{cores: 5, tolerated: 2, edges: 2})
+		w := startWorld(seed, shape{cores: 5, tolerated: 2, edges: 2})
 		until := w.now + 4*time.Second
-		w.cutMachine(cutOff, w.machines[1], until)
-		w.cutMachine(cutOff, w.machines[2], until)
+		w.partitionMachine(partitionBoth, w.machines[1], until)
+		w.partitionMachine(partitionBoth, w.machines[2], until)
 		w.run(4 * time.Second)
 		w.machines[0].wipe(800 * time.Millisecond)
 		w.machines[3].wipe(900 * time.Millisecond)
 		w.machines[4].kill(true, 700*time.Millisecond)
-		settle(t, w, fmt.Sprintf("seed %d", seed))
+		finishWorld(t, w, fmt.Sprintf("seed %d", seed))
 	}
 }
 
@@ -60,36 +60,36 @@
 	pauses := []time.Duration{0, 20, 100, 200, 1000, 2000, 3000}
 	for seed := range int64(scenarioSeeds) {
 		for _, pause := range pauses {
-			w := begin(seed, shape{cores: 3, tolerated: 1, edges: 2})
+			w := startWorld(seed, shape{cores: 3, tolerated: 1, edges: 2})
 			old := w.machines[seed%3]
 			w.addSuccessor(0)
-			w.run(simCatchUp)
-			w.stop(old, func() { old.gone = true })
-			for !old.gone {
+			w.run(catchUpTimeout)
+			w.requestStop(old, func() { old.removed = true })
+			for !old.removed {
 				w.step()
 			}
 			w.run(pause * time.Millisecond)
-			present := w.present()
+			present := w.presentMachines()
 			present[seed%2].wipe(800 * time.Millisecond)
 			present[1-seed%2].kill(true, 700*time.Millisecond)
 			present[2].kill(true, 700*time.Millisecond)
-			settle(t, w, fmt.Sprintf("seed %d, %v ms after the stop", seed, int(pause)))
+			finishWorld(t, w, fmt.Sprintf("seed %d, %v ms after the stop", seed, int(pause)))
 		}
 	}
 }
 
 // TestSeatWhileNoSeedLeads replaces a core while the leader is none of the newcomer's seeds. It gets its
 // seat within the time to catch up.
-func TestSeatWhileNoSeedLeads(t *testing.T) {
+func TestJoinWhileNoSeedLeads(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(scenarioSeeds) {
-		w := begin(seed, shape{cores: 5, tolerated: 2, edges: 2})
+		w := startWorld(seed, shape{cores: 5, tolerated: 2, edges: 2})
 		leader := w.leader()
 		w.addSuccessor(0)
 		fresh := w.machines[len(w.machines)-1]
 		fresh.seeds = nil
 		for _, m := range w.machines[:5] {
-			if m != leader && len(fresh.seeds) < foundingSeeds {
+			if m != leader && len(fresh.seeds) < founderCount {
 				fresh.seeds = append(fresh.seeds, m.host)
 			}
 		}
@@ -98,8 +98,8 @@
 			gone = w.machines[(seed+1)%5]
 		}
 		gone.kill(true, 0)
-		gone.gone = true
-		w.run(simCatchUp)
+		gone.removed = true
+		w.run(catchUpTimeout)
 		if members := w.leader().process.engine.node.Voters(); !slices.Contains(members, identityOf(fresh)) {
 			t.Errorf("seed %d: members %v without %s", seed, members, identityOf(fresh))
 		}
@@ -110,19 +110,19 @@
 
 // TestWorkersOfCutOffCore cuts a core off from the others, and with it the only place where some workers
 // are heard. They live: nobody drops them.
-func TestWorkersOfCutOffCore(t *testing.T) {
+func TestWorkersOfPartitionedCore(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(scenarioSeeds) {
-		w := begin(seed, shape{cores: 3, tolerated: 1, edges: 2})
-		cutOffCore := w.machines[2]
-		for _, worker := range w.callers.workers {
+		w := startWorld(seed, shape{cores: 3, tolerated: 1, edges: 2})
+		partitioned := w.machines[2]
+		for _, worker := range w.clients.workers {
 			worker.drainAt = time.Hour
-			worker.core = cutOffCore.host
+			worker.core = partitioned.host
 		}
-		w.run(settledAfter)
-		w.cutMachine(cutNear, cutOffCore, w.now+20*time.Second)
+		w.run(settlingTime)
+		w.partitionMachine(partitionWithEdges, partitioned, w.now+20*time.Second)
 		w.run(19 * time.Second)
-		for _, worker := range w.callers.workers {
+		for _, worker := range w.clients.workers {
 			for _, m := range w.machines[:2] {
 				held := m.process.engine.mirror.Get(catalog.WorkerKey(worker.name()))
 				if held == nil || held.Record.Deleted {
@@ -135,11 +135,11 @@
 
 // TestWorkersBehindHealedCut has all workers of a zone silent, which proves nothing, and then most of them
 // heard again, as after a cut: the last one has a full time to be heard before it is dropped.
-func TestWorkersBehindHealedCut(t *testing.T) {
+func TestWorkersAfterHealedPartition(t *testing.T) {
 	t.Parallel()
-	w := begin(1, shape{cores: 3, tolerated: 1, edges: 1})
+	w := startWorld(1, shape{cores: 3, tolerated: 1, edges: 1})
 	names := []string{"first", "second", "third", "last"}
-	w.run(settledAfter)
+	w.run(settlingTime)
 	e := w.leader().process.engine
 	for i, name := range names {
 		address := fmt.Sprintf("10.8.0.%d:80", i+1)
@@ -147,20 +147,20 @@
 		e.Heartbeat(Heartbeat{Worker: worker, Sequence: 1}, func(bool) {})
 	}
 	dropped := func(name string) bool { return e.mirror.Get(catalog.WorkerKey(name)).Record.Deleted }
-	limit := time.Duration(missedHeartbeats * float64(e.options.HeartbeatEvery))
+	limit := time.Duration(missedHeartbeats * float64(e.options.WorkerHeartbeatInterval))
 	now := e.now() + 2*limit
-	e.sweepWorkers(now)
+	e.expireWorkers(now)
 	for _, name := range names[:3] {
-		e.workers.hear(name, "", now)
+		e.workers.observe(name, "", now)
 	}
 	for _, c := range []struct {
 		after   time.Duration
 		dropped bool
 	}{{0, false}, {limit / 2, false}, {limit + time.Millisecond, true}} {
 		for _, name := range names[:3] {
-			e.workers.hear(name, "", now+c.after)
+			e.workers.observe(name, "", now+c.after)
 		}
-		e.sweepWorkers(now + c.after)
+		e.expireWorkers(now + c.after)
 		if dropped("last") != c.dropped || dropped("first") {
 			t.Errorf("%v after the others were heard: dropped is not %v", c.after, c.dropped)
 		}
@@ -170,16 +170,16 @@
 // TestDeadWorkerIsDropped lets one worker of several fall silent while control hears the rest of its zone.
 func TestDeadWorkerIsDropped(t *testing.T) {
 	t.Parallel()
-	w := begin(1, shape{cores: 3, tolerated: 1, edges: 1})
+	w := startWorld(1, shape{cores: 3, tolerated: 1, edges: 1})
 	silent := &wirepb.Worker{InstanceId: "silent", Service: "s", Address: "10.8.0.1:80", Zone: w.zoneName(0)}
 	w.machines[0].process.post(func(e *Engine) {
 		e.Heartbeat(Heartbeat{Worker: silent, Sequence: 1}, func(bool) {})
 	})
-	for _, worker := range w.callers.workers {
+	for _, worker := range w.clients.workers {
 		worker.drainAt = time.Hour
 		worker.number = 0 // all in that zone
 	}
-	w.run(settledAfter + 5*simHeartbeat)
+	w.run(settlingTime + 5*simHeartbeat)
 	held := w.leader().process.engine.mirror.Get(catalog.WorkerKey("silent"))
 	if held == nil || !held.Record.Deleted {
 		t.Error("a worker that no core hears is kept")
@@ -187,7 +187,7 @@
 }
 
 // changes puts so many configurations in force, each on the one before, and returns once all are.
-func (w *world) changes(t *testing.T, count, bodyBytes int) {
+func (w *world) replaceConfigurations(t *testing.T, count, bodyBytes int) {
 	t.Helper()
 	generation := w.leader().process.engine.machine.Generation()
 	for target := generation + uint64(count); generation < target; {
@@ -219,21 +219,21 @@
 func TestCatchesUpOnSlowLinks(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{10_000, 500_000, 3_000_000} {
-		w := newWorld(1, shape{cores: 3, tolerated: 1, slow: true}, plant{})
-		w.callers.quiet = true
-		w.run(begun)
-		behind := w.machines[1]
-		w.cutMachine(cutOff, behind, w.now+time.Hour)
-		w.changes(t, 3000, size)
+		w := newWorld(1, shape{cores: 3, tolerated: 1, slow: true}, plantedFault{})
+		w.clients.idle = true
+		w.run(startupTime)
+		lagging := w.machines[1]
+		w.partitionMachine(partitionBoth, lagging, w.now+time.Hour)
+		w.replaceConfigurations(t, 3000, size)
 		w.run(2 * time.Second)
 		leader := w.leader()
 		term := leader.process.engine.node.Term()
-		for d := range w.network.cutUntil {
-			w.network.cutUntil[d] = w.now
+		for d := range w.network.partitionedUntil {
+			w.network.partitionedUntil[d] = w.now
 		}
 		healed, answered := w.now, 0
 		target := leader.process.engine.machine.Generation()
-		for behind.process.engine.machine.Generation() < target && w.now < healed+30*time.Second {
+		for lagging.process.engine.machine.Generation() < target && w.now < healed+30*time.Second {
 			before := w.now
 			leader.process.engine.Submit(nil, func(reply *wirepb.CallReply) {
 				if reply.Outcome == wirepb.Outcome_OUTCOME_TAKEN {
@@ -245,16 +245,16 @@
 				t.Fatal("time stands still")
 			}
 		}
-		took := w.now - healed
-		t.Logf("3,000 changes and %d bytes: %v", size, took)
-		if took > simCatchUp {
-			t.Errorf("3,000 changes and %d bytes: caught up after %v", size, took)
+		elapsed := w.now - healed
+		t.Logf("3,000 changes and %d bytes: %v", size, elapsed)
+		if elapsed > catchUpTimeout {
+			t.Errorf("3,000 changes and %d bytes: caught up after %v", size, elapsed)
 		}
 		if w.leader() != leader || leader.process.engine.node.Term() != term {
 			t.Errorf("%d bytes: the lead changed meanwhile", size)
 		}
-		if answered < int(took/(200*time.Millisecond)) {
-			t.Errorf("%d bytes: %d reads were answered in %v", size, answered, took)
+		if answered < int(elapsed/(200*time.Millisecond)) {
+			t.Errorf("%d bytes: %d reads were answered in %v", size, answered, elapsed)
 		}
 	}
 }
@@ -264,10 +264,10 @@
 func TestDeparturesOutlastPower(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(scenarioSeeds) {
-		w := begin(seed, shape{cores: 3, tolerated: 1, edges: 2})
-		worker := w.callers.workers[0]
+		w := startWorld(seed, shape{cores: 3, tolerated: 1, edges: 2})
+		worker := w.clients.workers[0]
 		worker.drainAt = w.now
-		for w.callers.departures[worker.name()] == 0 {
+		for w.clients.departures[worker.name()] == 0 {
 			w.step()
 		}
 		for i, m := range w.machines {
@@ -280,14 +280,14 @@
 		for _, e := range w.edges {
 			e.restart(500 * time.Millisecond)
 		}
-		settle(t, w, fmt.Sprintf("seed %d", seed))
+		finishWorld(t, w, fmt.Sprintf("seed %d", seed))
 	}
 }
 
 // TestAnswerToAnotherLife gives a core the answer to a call of its earlier life, which had the same number.
 // It ends nothing; the one to its own life does.
-func TestAnswerToAnotherLife(t *testing.T) {
-	w := begin(3, shape{cores: 3, tolerated: 1})
+func TestReplyToAnotherIncarnation(t *testing.T) {
+	w := startWorld(3, shape{cores: 3, tolerated: 1})
 	follower := w.machines[0]
 	if follower == w.leader() {
 		follower = w.machines[1]
@@ -297,23 +297,23 @@
 	e.Submit(statemachine.EvacuationCommand("zone-0", true), func(reply *wirepb.CallReply) {
 		outcomes = append(outcomes, reply.Outcome)
 	})
-	number := e.orders.open[len(e.orders.open)-1].number
+	number := e.requests.pending[len(e.requests.pending)-1].number
 	reply := &wirepb.CallReply{Number: number, Life: "an earlier life", Outcome: wirepb.Outcome_OUTCOME_TAKEN}
-	e.Take(&wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: reply}})
+	e.HandleEnvelope(&wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: reply}})
 	if len(outcomes) > 0 {
 		t.Fatal("an answer to another life has ended an order")
 	}
-	reply.Life = e.options.Life
-	e.Take(&wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: reply}})
-	e.Take(&wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: reply}})
+	reply.Life = e.options.Incarnation
+	e.HandleEnvelope(&wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: reply}})
+	e.HandleEnvelope(&wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: reply}})
 	if len(outcomes) != 1 {
 		t.Fatalf("outcomes %v", outcomes)
 	}
 }
 
 // TestLateCallDoesNothing holds a call up until its caller has given up: the leader does not begin with it.
-func TestLateCallDoesNothing(t *testing.T) {
-	w := begin(4, shape{cores: 3, tolerated: 1})
+func TestLateCallIsRejected(t *testing.T) {
+	w := startWorld(4, shape{cores: 3, tolerated: 1})
 	leader := w.leader()
 	follower := w.machines[0]
 	if follower == leader {
@@ -321,17 +321,17 @@
 	}
 	e := follower.process.engine
 	command := statemachine.EvacuationCommand("zone-1", true)
-	o := &order{command: command, deadline: e.now() + orderTimeout, number: 1}
-	call := e.callOf(o)
-	w.run(orderTimeout)
-	asked := len(leader.process.engine.asked.commands)
-	leader.process.engine.Take(call)
-	if len(leader.process.engine.asked.commands) != asked {
+	o := &pendingRequest{command: command, deadline: e.now() + requestTimeout, number: 1}
+	call := e.callEnvelope(o)
+	w.run(requestTimeout)
+	asked := len(leader.process.engine.leaderRequests.commands)
+	leader.process.engine.HandleEnvelope(call)
+	if len(leader.process.engine.leaderRequests.commands) != asked {
 		t.Error("a call was begun whose caller had given up")
 	}
-	call = e.callOf(&order{command: o.command, deadline: e.now() + orderTimeout, number: 2})
-	leader.process.engine.Take(call)
-	if len(leader.process.engine.asked.commands) != asked+1 {
+	call = e.callEnvelope(&pendingRequest{command: o.command, deadline: e.now() + requestTimeout, number: 2})
+	leader.process.engine.HandleEnvelope(call)
+	if len(leader.process.engine.leaderRequests.commands) != asked+1 {
 		t.Error("a call in time was not begun")
 	}
 }
@@ -339,18 +339,18 @@
 // TestTablesAreBounded asks a leader that hears nobody for as long as it leads, and a follower without a
 // leader.
 func TestTablesAreBounded(t *testing.T) {
-	w := begin(5, shape{cores: 3, tolerated: 1})
+	w := startWorld(5, shape{cores: 3, tolerated: 1})
 	e := w.leader().process.engine
-	w.cutMachine(cutOff, w.leader(), w.now+time.Hour)
+	w.partitionMachine(partitionBoth, w.leader(), w.now+time.Hour)
 	done := 0
 	for range 50 {
 		e.Submit(statemachine.EvacuationCommand("zone-1", true), func(*wirepb.CallReply) { done++ })
 		w.step()
 	}
-	w.callers.quiet = true
+	w.clients.idle = true
 	w.run(3 * time.Second)
-	if done != 50 || len(e.orders.open)+len(e.asked.commands)+len(e.asked.reads) > 0 {
-		t.Errorf("%d of 50 orders ended; %d, %d and %d kept", done, len(e.orders.open), len(e.asked.commands),
-			len(e.asked.reads))
+	if done != 50 || len(e.requests.pending)+len(e.leaderRequests.commands)+len(e.leaderRequests.reads) > 0 {
+		t.Errorf("%d of 50 orders ended; %d, %d and %d kept", done, len(e.requests.pending), len(e.leaderRequests.commands),
+			len(e.leaderRequests.reads))
 	}
 }
--- a/internal/serving/control/sim_clients_test.go
+++ b/internal/serving/control/sim_clients_test.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	callTimeout   = time.Second // until a caller goes on to another core
-	callDelay     = 5 * time.Millisecond
-	patience      = 6 * time.Second // of an operator
+	clientCallTimeout   = time.Second // until a caller goes on to another core
+	clientCallDelay     = 5 * time.Millisecond
+	operatorTimeout      = 6 * time.Second // of an operator
 	operatorCount = 2
 	workerCount   = 3
 	simZones      = 2
@@ -37,43 +37,43 @@
 	body       string // sent, or read
 	zone       int
 	active     bool
-	start, end time.Duration
+	startedAt, completedAt time.Duration
 	outcome    wirepb.Outcome // UNKNOWN: no clear answer
 }
 
 // operator makes one order after the other.
 type operator struct {
-	number   int
-	known    uint64 // the version that it builds on
+	id   int
+	baseVersion    uint64 // the version that it builds on
 	mustRead bool
 	current  *operation
 	command  *wirepb.Command
-	nextTry  time.Duration
+	nextAttempt  time.Duration
 	deadline time.Duration
-	pause    time.Duration
-	tries    int
+	backoff    time.Duration
+	attempts    int
 }
 
 // callers are the operators and the workers, and what they were told.
-type callers struct {
+type clients struct {
 	world      *world
 	operators  []*operator
 	workers    []*simWorker
 	history    []*operation
-	next       uint64 // marks configurations
-	loss       float64
-	quiet      bool                     // nobody begins anything new
+	lastConfiguration       uint64 // marks configurations
+	replyLossRate       float64
+	idle      bool                     // nobody begins anything new
 	departures map[string]time.Duration // by instance: when its leaving was acknowledged
-	sent       map[uint64]bool          // versions that were sent
-	acked      []*operation             // configurations, in the order of their acknowledgement
+	sentVersions       map[uint64]bool          // versions that were sent
+	acknowledged      []*operation             // configurations, in the order of their acknowledgement
 }
 
-func newCallers(w *world) *callers {
-	c := &callers{
-		world: w, departures: map[string]time.Duration{}, sent: map[uint64]bool{0: true},
+func newClients(w *world) *clients {
+	c := &clients{
+		world: w, departures: map[string]time.Duration{}, sentVersions: map[uint64]bool{0: true},
 	}
 	for i := range operatorCount {
-		c.operators = append(c.operators, &operator{number: i, nextTry: 3 * time.Second})
+		c.operators = append(c.operators, &operator{id: i, nextAttempt: 3 * time.Second})
 	}
 	for i := range workerCount {
 		c.workers = append(c.workers, newSimWorker(c, i))
@@ -81,7 +81,7 @@
 	return c
 }
 
-func (c *callers) step() {
+func (c *clients) step() {
 	for _, o := range c.operators {
 		c.stepOperator(o)
 	}
@@ -91,26 +91,26 @@
 }
 
 // possible reports whether a version may be in force anywhere.
-func (c *callers) possible(generation uint64) bool { return c.sent[generation] }
+func (c *clients) wasSent(generation uint64) bool { return c.sentVersions[generation] }
 
 // dueVersion returns the newest version that was acknowledged before a moment.
-func (c *callers) dueVersion(before time.Duration) uint64 {
+func (c *clients) acknowledgedVersion(before time.Duration) uint64 {
 	newest := uint64(0)
-	for _, o := range c.acked {
-		if o.end < before {
+	for _, o := range c.acknowledged {
+		if o.completedAt < before {
 			newest = max(newest, o.generation)
 		}
 	}
 	return newest
 }
 
-func (c *callers) stepOperator(o *operator) {
+func (c *clients) stepOperator(o *operator) {
 	w := c.world
-	if w.now < o.nextTry {
+	if w.now < o.nextAttempt {
 		return
 	}
 	if o.current == nil {
-		if c.quiet {
+		if c.idle {
 			return
 		}
 		c.begin(o)
@@ -119,16 +119,16 @@
 		c.end(o, wirepb.Outcome_OUTCOME_UNKNOWN)
 		return
 	}
-	o.tries++
-	o.nextTry = w.now + callTimeout + o.pause
-	o.pause = min(2*o.pause, time.Second)
-	c.call(o)
+	o.attempts++
+	o.nextAttempt = w.now + clientCallTimeout + o.backoff
+	o.backoff = min(2*o.backoff, time.Second)
+	c.submit(o)
 }
 
 // begin draws the next order.
-func (c *callers) begin(o *operator) {
+func (c *clients) begin(o *operator) {
 	w := c.world
-	op := &operation{operator: o.number, start: w.now, kind: readConfiguration}
+	op := &operation{operator: o.id, startedAt: w.now, kind: readConfiguration}
 	o.command = nil
 	switch draw := w.random.Intn(10); {
 	case o.mustRead || draw < 2:
@@ -139,16 +139,16 @@
 		op.zone, op.active = w.random.Intn(simZones), w.random.Intn(2) == 0
 		o.command = statemachine.EvacuationCommand(w.zoneName(op.zone), op.active)
 	}
-	o.current, o.tries, o.pause, o.deadline = op, 0, 50*time.Millisecond, w.now+patience
+	o.current, o.attempts, o.backoff, o.deadline = op, 0, 50*time.Millisecond, w.now+operatorTimeout
 	c.history = append(c.history, op)
 }
 
-func (c *callers) beginReplace(o *operator, op *operation) {
+func (c *clients) beginReplace(o *operator, op *operation) {
 	op.kind = replaceConfiguration
-	op.base = o.known
-	op.generation = o.known + 1 + uint64(c.world.random.Intn(2))
-	c.next++
-	mark := fmt.Sprintf("%d-%d", o.number, c.next)
+	op.base = o.baseVersion
+	op.generation = o.baseVersion + 1 + uint64(c.world.random.Intn(2))
+	c.lastConfiguration++
+	mark := fmt.Sprintf("%d-%d", o.id, c.lastConfiguration)
 	if c.world.shape.large {
 		mark += hex.EncodeToString(randomBytes(c.world.random, c.world.random.Intn(2000)))
 	}
@@ -159,32 +159,32 @@
 		panic(err)
 	}
 	o.command = command
-	c.sent[op.generation] = true
+	c.sentVersions[op.generation] = true
 }
 
 // call sends the order to some core. Its answer may be lost on the way.
-func (c *callers) call(o *operator) {
+func (c *clients) submit(o *operator) {
 	w := c.world
-	present := w.present()
+	present := w.presentMachines()
 	m := present[w.random.Intn(len(present))]
 	if m.process == nil {
-		o.nextTry = w.now + callDelay + o.pause
+		o.nextAttempt = w.now + clientCallDelay + o.backoff
 		return
 	}
-	op, try, lost := o.current, o.tries, w.random.Float64() < c.loss
+	op, attempt, lost := o.current, o.attempts, w.random.Float64() < c.replyLossRate
 	answered := func(reply *wirepb.CallReply) {
 		if lost || o.current != op {
 			return
 		}
 		if reply.Outcome == wirepb.Outcome_OUTCOME_UNKNOWN {
-			if try == o.tries {
-				o.nextTry = w.now + o.pause
+			if attempt == o.attempts {
+				o.nextAttempt = w.now + o.backoff
 			}
 			return
 		}
 		if op.kind == readConfiguration {
 			op.generation = reply.Generation
-			op.body = unpacked(reply.Body)
+			op.body = decompressed(reply.Body)
 		}
 		c.end(o, reply.Outcome)
 	}
@@ -202,7 +202,7 @@
 	return data
 }
 
-func unpacked(body []byte) string {
+func decompressed(body []byte) string {
 	if len(body) == 0 {
 		return ""
 	}
@@ -214,27 +214,27 @@
 }
 
 // end notes the outcome of an order.
-func (c *callers) end(o *operator, outcome wirepb.Outcome) {
+func (c *clients) end(o *operator, outcome wirepb.Outcome) {
 	w := c.world
 	op := o.current
 	o.current = nil
-	o.nextTry = w.now + time.Duration(50+w.random.Intn(600))*time.Millisecond
-	op.end, op.outcome = w.now, outcome
+	o.nextAttempt = w.now + time.Duration(50+w.random.Intn(600))*time.Millisecond
+	op.completedAt, op.outcome = w.now, outcome
 	o.mustRead = outcome != wirepb.Outcome_OUTCOME_TAKEN
 	if outcome != wirepb.Outcome_OUTCOME_TAKEN {
 		return
 	}
 	switch op.kind {
 	case replaceConfiguration:
-		o.known = op.generation
-		c.acked = append(c.acked, op)
+		o.baseVersion = op.generation
+		c.acknowledged = append(c.acknowledged, op)
 	case readConfiguration:
-		o.known = op.generation
+		o.baseVersion = op.generation
 	}
 }
 
 // busy reports whether an order is under way.
-func (c *callers) busy() bool {
+func (c *clients) busy() bool {
 	for _, o := range c.operators {
 		if o.current != nil {
 			return true
@@ -245,77 +245,77 @@
 
 // simWorker is a worker: one incarnation after the other.
 type simWorker struct {
-	callers     *callers
+	clients     *clients
 	number      int
 	incarnation int
 	sequence    uint64
 	core        string
-	nextBeat    time.Duration
+	nextHeartbeat    time.Duration
 	drainAt     time.Duration
-	leaveAt     time.Duration // when it deregisters, once it has said that it drains
-	left        bool
-	born        time.Duration
-	answered    time.Duration // when a heartbeat was acknowledged last
-	lateSince   time.Duration // the last time that it went unanswered for long
+	deregisterAt     time.Duration // when it deregisters, once it has said that it drains
+	deregistered        bool
+	startedAt        time.Duration
+	acknowledgedAt    time.Duration // when a heartbeat was acknowledged last
+	lastUnansweredAt   time.Duration // the last time that it went unanswered for long
 }
 
-func newSimWorker(c *callers, number int) *simWorker {
-	worker := &simWorker{callers: c, number: number}
-	worker.begin()
+func newSimWorker(c *clients, number int) *simWorker {
+	worker := &simWorker{clients: c, number: number}
+	worker.startIncarnation()
 	return worker
 }
 
 func (s *simWorker) name() string { return fmt.Sprintf("worker-%d-%d", s.number, s.incarnation) }
 
-func (s *simWorker) begin() {
-	w := s.callers.world
+func (s *simWorker) startIncarnation() {
+	w := s.clients.world
 	s.incarnation++
 	s.sequence = 0
-	s.left = false
+	s.deregistered = false
 	s.drainAt = w.now + time.Duration(6000+w.random.Intn(20000))*time.Millisecond
-	s.leaveAt = 0
-	s.born, s.answered, s.lateSince = w.now, w.now, w.now
-	s.nextBeat = w.now + 500*time.Millisecond
+	s.deregisterAt = 0
+	s.startedAt, s.acknowledgedAt, s.lastUnansweredAt = w.now, w.now, w.now
+	s.nextHeartbeat = w.now + 500*time.Millisecond
 }
 
 // steady reports whether the worker lives and was answered all the while.
-func (s *simWorker) steady() bool {
-	return !s.left && s.leaveAt == 0 && s.sequence > 0 && s.callers.world.now-s.lateSince > calmContact
+func (s *simWorker) continuouslyAnswered() bool {
+	return !s.deregistered && s.deregisterAt == 0 && s.sequence > 0 && s.clients.world.now-s.lastUnansweredAt > settlingAfterFault
 }
 
 func (s *simWorker) step() {
-	w := s.callers.world
-	if w.now-s.answered > 2*simHeartbeat {
-		s.lateSince = w.now
+	w := s.clients.world
+	if w.now-s.acknowledgedAt > 2*simHeartbeat {
+		s.lastUnansweredAt = w.now
 	}
-	if w.now < s.nextBeat {
+	if w.now < s.nextHeartbeat {
 		return
 	}
-	s.nextBeat = w.now + simHeartbeat
-	if s.left {
-		s.begin()
+	s.nextHeartbeat = w.now + simHeartbeat
+	if s.deregistered {
+		s.startIncarnation()
 		return
 	}
 	m := w.byHost[s.core]
-	if m == nil || m.gone || m.process == nil || w.now-s.answered > simHeartbeat+callTimeout/2 {
-		present := w.present()
+	if m == nil || m.removed || m.process == nil || w.now-s.acknowledgedAt > simHeartbeat+clientCallTimeout/2 {
+		present := w.presentMachines()
 		m = present[w.random.Intn(len(present))]
 		s.core = m.host
 	}
 	if m.process == nil {
-		s.nextBeat = w.now + 100*time.Millisecond
+		s.nextHeartbeat = w.now + 100*time.Millisecond
 		return
 	}
 	s.sequence++
-	if s.leaveAt > 0 && w.now >= s.leaveAt {
+	if s.deregisterAt > 0 && w.now >= s.deregisterAt {
 		s.deregister(m)
 		return
 	}
-	s.beat(m)
+	s.heartbeat(m)
 }
 
-func (s *simWorker) beat(m *machine) {
-	w := s.callers.world
+func (s *simWorker) heartbeat(m *machine) {
+	w := s.clients.world
 	name, incarnation, began := s.name(), s.incarnation, w.now
 	draining := w.now >= s.drainAt
 	heartbeat := Heartbeat{Sequence: s.sequence, Worker: &wirepb.Worker{
@@ -323,21 +323,21 @@
 		Zone: w.zoneName(s.number), Draining: draining,
 	}}
 	answered := func(acknowledged bool) {
-		if !acknowledged || w.now-began > callTimeout || incarnation != s.incarnation {
+		if !acknowledged || w.now-began > clientCallTimeout || incarnation != s.incarnation {
 			return
 		}
-		s.answered = w.now
+		s.acknowledgedAt = w.now
 		if draining {
-			s.callers.departures[name] = minTime(s.callers.departures, name, w.now)
-			if s.leaveAt == 0 {
-				s.leaveAt = w.now + 4*time.Second
+			s.clients.departures[name] = earlierOf(s.clients.departures, name, w.now)
+			if s.deregisterAt == 0 {
+				s.deregisterAt = w.now + 4*time.Second
 			}
 		}
 	}
 	m.process.post(func(e *Engine) { e.Heartbeat(heartbeat, answered) })
 }
 
-func minTime(times map[string]time.Duration, key string, at time.Duration) time.Duration {
+func earlierOf(times map[string]time.Duration, key string, at time.Duration) time.Duration {
 	if known, ok := times[key]; ok {
 		return known
 	}
@@ -349,7 +349,7 @@
 	m.process.post(func(e *Engine) {
 		e.Deregister(name, func(acknowledged bool) {
 			if acknowledged && incarnation == s.incarnation {
-				s.left = true
+				s.deregistered = true
 			}
 		})
 	})
--- a/internal/serving/control/sim_edges_test.go
+++ b/internal/serving/control/sim_edges_test.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	feedInterval = 100 * time.Millisecond
-	linkSilence  = 1300 * time.Millisecond
-	calmContact  = 5 * time.Second // after trouble, until what is promised to machines in touch holds
-	simConfig    = 3 * time.Second // until a configuration is in force at machines in touch
-	simDrain     = 3 * time.Second // until nothing is sent to a worker that is leaving
+	watchInterval = 100 * time.Millisecond
+	linkTimeout  = 1300 * time.Millisecond
+	settlingAfterFault  = 5 * time.Second // after trouble, until what is promised to machines in touch holds
+	configurationDeadline    = 3 * time.Second // until a configuration is in force at machines in touch
+	drainDeadline     = 3 * time.Second // until nothing is sent to a worker that is leaving
 )
 
 // simEdge is an edge machine: a copy of the core's state, fed by a core.
@@ -25,11 +25,11 @@
 	started    time.Duration
 	downUntil  time.Duration
 	core       *machine
-	coreLife   int
+	coreIncarnation   int
 	link       *EdgeLink
 	order      uint64
-	heard      time.Duration
-	nextFeed   time.Duration
+	lastContact      time.Duration
+	nextPull   time.Duration
 	generation uint64 // the newest that this life has seen
 }
 
@@ -50,36 +50,36 @@
 
 func (e *simEdge) step() {
 	w := e.world
-	if w.now < e.downUntil || w.now < e.nextFeed {
+	if w.now < e.downUntil || w.now < e.nextPull {
 		return
 	}
-	e.nextFeed = w.now + feedInterval
+	e.nextPull = w.now + watchInterval
 	if e.core == nil {
 		e.connect()
 	}
 	if e.core == nil {
 		return
 	}
-	if e.core.process == nil || e.core.life != e.coreLife || w.now-e.heard > linkSilence {
+	if e.core.process == nil || e.core.incarnation != e.coreIncarnation || w.now-e.lastContact > linkTimeout {
 		e.disconnect()
 		return
 	}
 	if e.core.frozenUntil > w.now || !w.network.reaches(e.name, e.core.host) {
 		return
 	}
-	e.heard = w.now
+	e.lastContact = w.now
 	e.pull()
 	e.check()
 }
 
 // connect links to a core that can be reached.
 func (e *simEdge) connect() {
-	present := e.world.present()
+	present := e.world.presentMachines()
 	m := present[e.world.random.Intn(len(present))]
 	if !m.up() || !e.world.network.reaches(e.name, m.host) {
 		return
 	}
-	e.core, e.coreLife, e.heard = m, m.life, e.world.now
+	e.core, e.coreIncarnation, e.lastContact = m, m.incarnation, e.world.now
 	e.link = &EdgeLink{}
 	e.order += 10
 	edge := &wirepb.Edge{Name: e.name, Address: e.name + ":80", Ready: true}
@@ -89,7 +89,7 @@
 }
 
 func (e *simEdge) disconnect() {
-	if p := e.core.process; p != nil && e.core.life == e.coreLife {
+	if p := e.core.process; p != nil && e.core.incarnation == e.coreIncarnation {
 		link := e.link
 		p.post(func(engine *Engine) { engine.UnlinkEdge(link) })
 	}
@@ -112,20 +112,20 @@
 		generation = view.Document.Generation
 	}
 	if generation < e.generation {
-		w.problem("%s went back from version %d to %d", e.name, e.generation, generation)
+		w.violation("%s went back from version %d to %d", e.name, e.generation, generation)
 	}
 	e.generation = generation
-	if !w.callers.possible(generation) {
-		w.problem("%s has version %d, which was never sent or was refused", e.name, generation)
+	if !w.clients.wasSent(generation) {
+		w.violation("%s has version %d, which was never sent or was refused", e.name, generation)
 	}
 	if !view.InTouch {
 		return
 	}
 	e.checkLiveWorkers()
-	if due := w.callers.dueVersion(w.now - simConfig); generation < due {
-		w.problem("%s is in touch with version %d long after %d was acknowledged", e.name, generation, due)
+	if due := w.clients.acknowledgedVersion(w.now - configurationDeadline); generation < due {
+		w.violation("%s is in touch with version %d long after %d was acknowledged", e.name, generation, due)
 	}
-	if w.now-w.lastTrouble < calmContact || w.now-e.started < calmContact {
+	if w.now-w.lastFaultAt < settlingAfterFault || w.now-e.started < settlingAfterFault {
 		return
 	}
 	e.checkWorkers(view)
@@ -138,8 +138,8 @@
 		if worker == nil || entry.Record.Deleted || worker.Draining {
 			continue
 		}
-		if at, leaving := w.callers.departures[worker.InstanceId]; leaving && w.now-at > simDrain {
-			w.problem("%s still uses %s, whose leaving was acknowledged at %v", e.name, worker.InstanceId, at)
+		if at, leaving := w.clients.departures[worker.InstanceId]; leaving && w.now-at > drainDeadline {
+			w.violation("%s still uses %s, whose leaving was acknowledged at %v", e.name, worker.InstanceId, at)
 		}
 	}
 }
@@ -147,10 +147,10 @@
 // checkLiveWorkers looks that no worker is dropped which lives and is answered by some core.
 func (e *simEdge) checkLiveWorkers() {
 	w := e.world
-	for _, worker := range w.callers.workers {
+	for _, worker := range w.clients.workers {
 		held := e.mirror.Get(catalog.WorkerKey(worker.name()))
-		if held != nil && held.Record.Deleted && worker.steady() {
-			w.problem("%s has dropped %s, which is alive and was answered all the while", e.name, worker.name())
+		if held != nil && held.Record.Deleted && worker.continuouslyAnswered() {
+			w.violation("%s has dropped %s, which is alive and was answered all the while", e.name, worker.name())
 		}
 	}
 }
--- a/internal/serving/control/sim_history_test.go
+++ b/internal/serving/control/sim_history_test.go
@@ -35,10 +35,10 @@
 		}
 		return nil
 	}
-	takes := op.base == state.generation && op.generation > state.generation
+	accepted := op.base == state.generation && op.generation > state.generation
 	switch op.outcome {
 	case wirepb.Outcome_OUTCOME_TAKEN:
-		if takes {
+		if accepted {
 			return []any{next}
 		}
 	case wirepb.Outcome_OUTCOME_CONFLICT:
@@ -46,7 +46,7 @@
 			return []any{state}
 		}
 	case wirepb.Outcome_OUTCOME_UNKNOWN:
-		if takes {
+		if accepted {
 			return []any{state, next}
 		}
 		return []any{state}
@@ -78,12 +78,12 @@
 func (w *world) checkHistories(final []*operation) {
 	var configuration []porcupine.Operation
 	zones := make([][]porcupine.Operation, simZones)
-	for _, op := range w.callers.history {
-		unclear := op.end == 0 || op.outcome == wirepb.Outcome_OUTCOME_UNKNOWN
+	for _, op := range w.clients.history {
+		unclear := op.completedAt == 0 || op.outcome == wirepb.Outcome_OUTCOME_UNKNOWN
 		if op.kind == readConfiguration && unclear {
 			continue
 		}
-		entry := porcupine.Operation{ClientId: op.operator, Input: op, Call: int64(op.start), Return: int64(op.end)}
+		entry := porcupine.Operation{ClientId: op.operator, Input: op, Call: int64(op.startedAt), Return: int64(op.completedAt)}
 		if unclear {
 			entry.Return = math.MaxInt64 // each has a client of its own then
 			entry.ClientId = operatorCount + len(configuration) + len(zones[op.zone])
@@ -109,7 +109,7 @@
 ) {
 	plain := model.ToModel()
 	if result := porcupine.CheckOperationsTimeout(plain, ops, checkTimeout); result != porcupine.Ok {
-		w.problem("%s: what operators were told is %s: %s", what, result, describe(ops))
+		w.violation("%s: what operators were told is %s: %s", what, result, describe(ops))
 	}
 }
 
@@ -120,7 +120,7 @@
 		op := entry.Input.(*operation)
 		text += fmt.Sprintf("\n  operator %d, kind %d, %d -> %d, zone %d %v, %v to %v: %v", op.operator, op.kind,
 			op.base,
-			op.generation, op.zone, op.active, op.start, op.end, op.outcome)
+			op.generation, op.zone, op.active, op.startedAt, op.completedAt, op.outcome)
 	}
 	return text
 }
--- a/internal/serving/control/sim_machine_test.go
+++ b/internal/serving/control/sim_machine_test.go
@@ -16,17 +16,17 @@
 const (
 	dataFolder    = "data"
 	workersFile   = "workers"
-	usualDisk     = 4 * time.Millisecond
-	slowDiskTime  = 120 * time.Millisecond
-	repairPause   = 100 * time.Millisecond
-	powerLossOps  = 6 // operations at most that a disk does between the last whole task and a loss of power
+	normalWriteTime     = 4 * time.Millisecond
+	slowWriteTime  = 120 * time.Millisecond
+	repairInterval   = 100 * time.Millisecond
+	maxOperationsBeforePowerLoss  = 6 // operations at most that a disk does between the last whole task and a loss of power
 	simHeartbeat  = 1200 * time.Millisecond
-	simCatchUp    = 4 * time.Second
-	simGrace      = 8 * time.Second
+	catchUpTimeout    = 4 * time.Second
+	shutdownGrace      = 8 * time.Second
 	internalPort  = ":7660"
-	savedAfter    = 10 * time.Millisecond
-	restartPause  = 300 * time.Millisecond
-	foundingSeeds = 3
+	saveDelay    = 10 * time.Millisecond
+	restartDelay  = 300 * time.Millisecond
+	founderCount = 3
 )
 
 // machine is one core machine, with its disk.
@@ -36,9 +36,9 @@
 	zone    int
 	files   *waltest.FileSystem
 	process *process // nil: down
-	life    int      // counted from 1
-	upAt    time.Duration
-	gone    bool // for good
+	incarnation    int      // counted from 1
+	restartAt    time.Duration
+	removed    bool // for good
 	seeds   []string
 
 	bootstrap    bool
@@ -47,9 +47,9 @@
 	slowUntil    time.Duration
 	fullUntil    time.Duration
 
-	steady   time.Duration // for how long it has run and reached all others
+	healthyFor   time.Duration // for how long it has run and reached all others
 	diskLost bool          // its disk was lost and it has not had its time to catch up
-	caughtUp time.Duration // how much of that time it has had
+	catchUpTime time.Duration // how much of that time it has had
 }
 
 // process is one life of a core.
@@ -61,13 +61,13 @@
 	nextTick time.Duration
 	tasks    []simTask
 	running  []simTask
-	doneAt   time.Duration
-	repairs  bool
+	completeAt   time.Duration
+	repairing  bool
 	store    *wal.Store
-	leaving  bool
-	ends     func() // what happens when a leaving process stops
+	shuttingDown  bool
+	onStop     func() // what happens when a leaving process stops
 	killAt   time.Duration
-	checked  uint64 // index of the log at which the state was looked at last
+	checkedIndex  uint64 // index of the log at which the state was looked at last
 }
 
 // simTask is something for the disk.
@@ -85,7 +85,7 @@
 }
 
 func (p *process) Write(batch consensus.WriteBatch, done func()) {
-	if p.machine.world.planted.ackAtOnce {
+	if p.machine.world.planted.ackBeforeSync {
 		p.tasks = append(p.tasks, simTask{batch: batch, done: func() {}})
 		p.post(func(*Engine) { done() })
 		return
@@ -111,7 +111,7 @@
 // start begins a life.
 func (m *machine) start() {
 	w := m.world
-	m.life++
+	m.incarnation++
 	m.files.Restart()
 	var founders wal.InitialMembers
 	if m.bootstrap {
@@ -126,23 +126,23 @@
 	m.files.Full = false // a start on a full disk waits for it
 	opened, err := wal.OpenReplica(m.files, dataFolder, consensus.FounderIdentity(m.host), founders, fresh)
 	if err != nil {
-		m.upAt = w.now + restartPause // the platform starts it again
+		m.restartAt = w.now + restartDelay // the platform starts it again
 		return
 	}
 	m.bootstrap = false
 	p := &process{machine: m, started: w.now, nextTick: w.now, store: opened.Store}
 	saved, _ := m.files.ReadFile(dataFolder + "/" + workersFile)
 	options := Options{
-		Identity: opened.Identity, Life: m.host + "/" + strconv.Itoa(m.life), Address: m.host + internalPort,
+		Identity: opened.Identity, Incarnation: m.host + "/" + strconv.Itoa(m.incarnation), Address: m.host + internalPort,
 		AddressOf: func(host string) string { return host + internalPort }, Zone: w.zoneName(m.zone),
-		Region: "r", Seeds: m.seeds, Consensus: w.consensusOptions(), HeartbeatEvery: simHeartbeat,
-		CatchUp: simCatchUp,
-		Grace:   simGrace, Clock: func() time.Duration { return w.now - p.started },
+		Region: "r", Seeds: m.seeds, Consensus: w.consensusOptions(), WorkerHeartbeatInterval: simHeartbeat,
+		CatchUpTimeout: catchUpTimeout,
+		ShutdownGrace:   shutdownGrace, Clock: func() time.Duration { return w.now - p.started },
 		Random: rand.New(rand.NewSource(w.random.Int63())), Logger: zap.NewNop(), SavedWorkers: saved,
 	}
 	p.engine, err = New(options, opened.State, p)
 	if err != nil {
-		w.problem("%s cannot start: %v", m.host, err)
+		w.violation("%s cannot start: %v", m.host, err)
 		return
 	}
 	m.process = p
@@ -168,14 +168,14 @@
 		p.nextTick = m.world.now + TickInterval
 		p.engine.Tick()
 	}
-	if m.process == p && p.leaving && (p.mayStop() || m.world.now >= p.killAt) {
-		ends := p.ends
+	if m.process == p && p.shuttingDown && (p.safeToStop() || m.world.now >= p.killAt) {
+		ends := p.onStop
 		m.kill(false, 0)
 		ends()
 	}
 }
 
-func (p *process) mayStop() bool { return p.machine.world.planted.stopAtOnce || p.engine.MayStop() }
+func (p *process) safeToStop() bool { return p.machine.world.planted.stopImmediately || p.engine.SafeToStop() }
 
 // stepDisk begins and completes writes. Tasks that wait together are written together.
 func (m *machine) stepDisk() {
@@ -185,22 +185,22 @@
 	}
 	if len(p.running) == 0 && len(p.tasks) > 0 {
 		p.running, p.tasks = p.tasks, nil
-		took := usualDisk
+		duration := normalWriteTime
 		if m.slowUntil > w.now {
-			took = slowDiskTime
+			duration = slowWriteTime
 		}
-		p.doneAt = w.now + took
+		p.completeAt = w.now + duration
 	}
-	if len(p.running) == 0 || p.doneAt > w.now {
+	if len(p.running) == 0 || p.completeAt > w.now {
 		return
 	}
-	if m.carryOut() != nil {
-		p.repairs = true
-		p.doneAt = w.now + repairPause
+	if m.writeTasks() != nil {
+		p.repairing = true
+		p.completeAt = w.now + repairInterval
 		return
 	}
 	tasks := p.running
-	p.running, p.repairs = nil, false
+	p.running, p.repairing = nil, false
 	p.post(func(*Engine) {
 		for _, task := range tasks {
 			task.done()
@@ -209,9 +209,9 @@
 }
 
 // carryOut does what the disk has at hand, as the program's disk goroutine does.
-func (m *machine) carryOut() error {
+func (m *machine) writeTasks() error {
 	p := m.process
-	if p.repairs {
+	if p.repairing {
 		return p.store.Repair()
 	}
 	var batches []consensus.WriteBatch
@@ -232,42 +232,42 @@
 
 // kill ends the process. power: what the disk has not synced is lost as well. The machine comes back after
 // down, or not before something starts it where that is 0.
-func (m *machine) kill(power bool, down time.Duration) {
-	if m.gone {
+func (m *machine) kill(losePower bool, downtime time.Duration) {
+	if m.removed {
 		return
 	}
 	w := m.world
 	if p := m.process; p != nil {
-		m.files.CutPowerAfter(w.random.Intn(powerLossOps))
+		m.files.CutPowerAfter(w.random.Intn(maxOperationsBeforePowerLoss))
 		if len(p.running) > 0 {
-			m.carryOut()
+			m.writeTasks()
 		}
-		w.network.forget(m.host, power)
+		w.network.dropUnsent(m.host, losePower)
 	}
-	if power {
+	if losePower {
 		m.files.LosePower()
 	}
 	m.process = nil
 	m.frozenUntil = 0
-	if down > 0 {
-		m.upAt = max(m.upAt, w.now+down)
+	if downtime > 0 {
+		m.restartAt = max(m.restartAt, w.now+downtime)
 	}
 }
 
 // wipe takes the disk away.
-func (m *machine) wipe(down time.Duration) {
-	m.kill(true, down)
+func (m *machine) wipe(downtime time.Duration) {
+	m.kill(true, downtime)
 	m.files = waltest.New(m.world.random)
 	m.bootstrap = false
-	m.diskLost, m.caughtUp = true, 0
+	m.diskLost, m.catchUpTime = true, 0
 }
 
 // diskTrouble reports whether the disk does not take writes as it should.
-func (m *machine) diskTrouble() bool {
+func (m *machine) diskFaulty() bool {
 	return max(m.stalledUntil, m.slowUntil, m.fullUntil) > m.world.now
 }
 
 // up reports whether the machine runs and can speak.
 func (m *machine) up() bool {
-	return m.process != nil && m.frozenUntil <= m.world.now && !m.process.leaving
+	return m.process != nil && m.frozenUntil <= m.world.now && !m.process.shuttingDown
 }
--- a/internal/serving/control/sim_network_test.go
+++ b/internal/serving/control/sim_network_test.go
@@ -13,19 +13,19 @@
 const (
 	nearDelay      = time.Millisecond
 	farDelay       = 55 * time.Millisecond
-	unacknowledged = 1500 * time.Millisecond // after which a connection is given up
-	redialMost     = 600 * time.Millisecond
-	queueMost      = 512 // envelopes
-	frameBytes     = 60  // of headers
+	connectionTimeout = 1500 * time.Millisecond // after which a connection is given up
+	maxRedialDelay     = 600 * time.Millisecond
+	maxQueuedEnvelopes      = 512 // envelopes
+	headerBytes     = 60  // of headers
 )
 
 // direction is one way between two machines.
 type direction struct{ from, to string }
 
 // flight is an envelope on its way.
-type flight struct {
-	sent, at time.Duration
-	life     int // of the receiver
+type transit struct {
+	sentAt, deliverAt time.Duration
+	receiverIncarnation     int // of the receiver
 	envelope *wirepb.Envelope
 }
 
@@ -35,7 +35,7 @@
 	urgent, bulk []*wirepb.Envelope
 	freeAt       time.Duration
 	lastArrival  time.Duration
-	inFlight     []flight
+	inFlight     []transit
 }
 
 // simNetwork carries envelopes between cores.
@@ -46,30 +46,30 @@
 	acksPass  bool    // a cut of one way leaves connections of the other way as they are
 	order     []direction
 	pipes     map[direction]*pipe
-	cutSince  map[direction]time.Duration
-	cutUntil  map[direction]time.Duration
+	partitionedSince  map[direction]time.Duration
+	partitionedUntil  map[direction]time.Duration
 }
 
 func newNetwork(w *world, random *rand.Rand, bandwidth float64) *simNetwork {
 	return &simNetwork{
 		world: w, random: random, bandwidth: bandwidth, acksPass: random.Intn(2) == 0, pipes: map[direction]*pipe{},
-		cutSince: map[direction]time.Duration{}, cutUntil: map[direction]time.Duration{},
+		partitionedSince: map[direction]time.Duration{}, partitionedUntil: map[direction]time.Duration{},
 	}
 }
 
-func (n *simNetwork) cut(d direction, until time.Duration) {
-	if n.cutUntil[d] <= n.world.now {
-		n.cutSince[d] = n.world.now
+func (n *simNetwork) partition(d direction, until time.Duration) {
+	if n.partitionedUntil[d] <= n.world.now {
+		n.partitionedSince[d] = n.world.now
 	}
-	n.cutUntil[d] = max(n.cutUntil[d], until)
+	n.partitionedUntil[d] = max(n.partitionedUntil[d], until)
 }
 
-func (n *simNetwork) isCut(from, to string) bool {
-	return n.cutUntil[direction{from, to}] > n.world.now
+func (n *simNetwork) isPartitioned(from, to string) bool {
+	return n.partitionedUntil[direction{from, to}] > n.world.now
 }
 
 // reaches reports whether two machines can speak to each other.
-func (n *simNetwork) reaches(x, y string) bool { return x == y || !n.isCut(x, y) && !n.isCut(y, x) }
+func (n *simNetwork) reaches(x, y string) bool { return x == y || !n.isPartitioned(x, y) && !n.isPartitioned(y, x) }
 
 func (n *simNetwork) pipe(d direction) *pipe {
 	p := n.pipes[d]
@@ -82,7 +82,7 @@
 }
 
 func (n *simNetwork) send(from, to string, envelope *wirepb.Envelope) {
-	envelope = detached(envelope)
+	envelope = copyConsensus(envelope)
 	if change := n.world.planted.send; change != nil {
 		if envelope = change(n.world, to, envelope); envelope == nil {
 			return
@@ -90,21 +90,21 @@
 	}
 	p := n.pipe(direction{from, to})
 	queue := &p.urgent
-	if envelope.GetCatalog() != nil || isPart(envelope) {
+	if envelope.GetCatalog() != nil || isSnapshotChunk(envelope) {
 		queue = &p.bulk
 	}
 	*queue = append(*queue, envelope)
-	if len(*queue) > queueMost {
+	if len(*queue) > maxQueuedEnvelopes {
 		*queue = (*queue)[1:]
 	}
 }
 
-func isPart(envelope *wirepb.Envelope) bool {
+func isSnapshotChunk(envelope *wirepb.Envelope) bool {
 	return envelope.GetConsensus().GetKind() == wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_PART
 }
 
 // detached copies what a receiver changes in an envelope.
-func detached(envelope *wirepb.Envelope) *wirepb.Envelope {
+func copyConsensus(envelope *wirepb.Envelope) *wirepb.Envelope {
 	m := envelope.GetConsensus()
 	if m == nil {
 		return envelope
@@ -137,7 +137,7 @@
 		}
 		envelope := (*queue)[0]
 		*queue = (*queue)[1:]
-		size := float64(proto.Size(envelope) + frameBytes)
+		size := float64(proto.Size(envelope) + headerBytes)
 		p.freeAt = max(p.freeAt, now-simStep) + time.Duration(size/n.bandwidth*float64(time.Second))
 		at := p.freeAt + n.world.delay(d) + time.Duration(n.random.Intn(3000))*time.Microsecond
 		p.lastArrival = max(p.lastArrival, at)
@@ -145,40 +145,40 @@
 		if to == nil {
 			continue
 		}
-		p.inFlight = append(p.inFlight, flight{sent: now, at: p.lastArrival, life: to.life, envelope: envelope})
+		p.inFlight = append(p.inFlight, transit{sentAt: now, deliverAt: p.lastArrival, receiverIncarnation: to.incarnation, envelope: envelope})
 	}
 }
 
 func (n *simNetwork) deliver(d direction, p *pipe) {
 	now := n.world.now
-	for len(p.inFlight) > 0 && p.inFlight[0].at <= now {
+	for len(p.inFlight) > 0 && p.inFlight[0].deliverAt <= now {
 		head := p.inFlight[0]
 		back := direction{d.to, d.from}
-		deaf := !n.acksPass && n.isCut(d.to, d.from) && now-n.cutSince[back] > unacknowledged
-		if n.isCut(d.from, d.to) || deaf {
-			if now-head.sent > unacknowledged {
+		acksLost := !n.acksPass && n.isPartitioned(d.to, d.from) && now-n.partitionedSince[back] > connectionTimeout
+		if n.isPartitioned(d.from, d.to) || acksLost {
+			if now-head.sentAt > connectionTimeout {
 				n.reset(p)
 			}
 			return
 		}
 		to := n.world.machine(d.to)
-		if to.process == nil || to.life != head.life {
+		if to.process == nil || to.incarnation != head.receiverIncarnation {
 			n.reset(p)
 			return
 		}
 		p.inFlight = p.inFlight[1:]
-		to.process.post(func(e *Engine) { e.Take(head.envelope) })
+		to.process.post(func(e *Engine) { e.HandleEnvelope(head.envelope) })
 	}
 }
 
 // reset breaks a connection: what is on its way is lost, and the next one takes a while.
 func (n *simNetwork) reset(p *pipe) {
 	p.inFlight, p.urgent, p.bulk = nil, nil, nil
-	p.freeAt = n.world.now + time.Duration(n.random.Int63n(int64(redialMost)))
+	p.freeAt = n.world.now + time.Duration(n.random.Int63n(int64(maxRedialDelay)))
 }
 
 // forget drops what a machine without power has not sent.
-func (n *simNetwork) forget(host string, power bool) {
+func (n *simNetwork) dropUnsent(host string, power bool) {
 	for _, d := range n.order {
 		if d.from != host {
 			continue
--- a/internal/serving/control/sim_planted_test.go
+++ b/internal/serving/control/sim_planted_test.go
@@ -12,21 +12,21 @@
 
 // plant is a deliberate mistake in the programs that a world plays, to show that its checks find it. Nil
 // parts are as they should be.
-type plant struct {
+type plantedFault struct {
 	afterStep func(w *world)
 	// send may change an envelope on its way out, or drop it by returning nil.
 	send func(w *world, to string, envelope *wirepb.Envelope) *wirepb.Envelope
 	// submit answers an operator's order in place of the engine, if it returns true.
 	submit     func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool
 	identity   func(m *machine, fresh string) string // of a disk without one
-	ackAtOnce  bool                                  // batches count as on disk before they are
-	stopAtOnce bool                                  // a process that is told to stop does so
+	ackBeforeSync  bool                                  // batches count as on disk before they are
+	stopImmediately bool                                  // a process that is told to stop does so
 }
 
-const plantedSchedules = 400
+const plantedFaultSchedules = 400
 
 // plants are by the point of the operators' letter that they break.
-var plants = map[string]plant{
+var plantedFaults = map[string]plantedFault{
 	"1: a read without a majority": {
 		submit: func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool {
 			if command != nil {
@@ -63,7 +63,7 @@
 				return false
 			}
 			other := proto.Clone(command).(*wirepb.Command)
-			other.GetReplace().Digest = []byte(strconv.FormatUint(e.orders.next, 10) + e.options.Life)
+			other.GetReplace().Digest = []byte(strconv.FormatUint(e.requests.lastNumber, 10) + e.options.Incarnation)
 			e.Submit(other, done)
 			return true
 		},
@@ -78,7 +78,7 @@
 			return true
 		},
 	},
-	"3: a leaving replica stops at once": {stopAtOnce: true},
+	"3: a leaving replica stops at once": {stopImmediately: true},
 	"3: a replica is seated before it has caught up": {
 		send: func(_ *world, _ string, envelope *wirepb.Envelope) *wirepb.Envelope {
 			m := envelope.GetConsensus()
@@ -91,7 +91,7 @@
 	},
 	"4: parts of a snapshot are lost for good": {
 		send: func(_ *world, _ string, envelope *wirepb.Envelope) *wirepb.Envelope {
-			if isPart(envelope) {
+			if isSnapshotChunk(envelope) {
 				return nil
 			}
 			return envelope
@@ -100,7 +100,7 @@
 	"4: a wiped disk comes back as who it was": {
 		identity: func(m *machine, _ string) string { return consensus.FounderIdentity(m.host) },
 	},
-	"4: what is not synced counts": {ackAtOnce: true},
+	"4: what is not synced counts": {ackBeforeSync: true},
 	"5: an answer to another life counts": {
 		send: func(w *world, to string, envelope *wirepb.Envelope) *wirepb.Envelope {
 			reply := envelope.GetReply()
@@ -109,10 +109,10 @@
 				return envelope
 			}
 			other := proto.Clone(reply).(*wirepb.CallReply)
-			other.Life = m.process.engine.options.Life
+			other.Life = m.process.engine.options.Incarnation
 			return &wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: other}}
 		},
-		afterStep: restartCallersOften,
+		afterStep: restartForwardingCores,
 	},
 	"5: answers go to whoever asked last": {
 		send: func(_ *world, _ string, envelope *wirepb.Envelope) *wirepb.Envelope {
@@ -128,13 +128,13 @@
 }
 
 // restartCallersOften ends lives in the middle of orders, so that answers to them are on their way.
-func restartCallersOften(w *world) {
-	for _, m := range w.present() {
+func restartForwardingCores(w *world) {
+	for _, m := range w.presentMachines() {
 		p := m.process
-		if p == nil || p.leaving || p.engine.node.Leader() == p.engine.options.Identity {
+		if p == nil || p.shuttingDown || p.engine.node.Leader() == p.engine.options.Identity {
 			continue
 		}
-		if len(p.engine.orders.open) > 0 && w.random.Intn(40) == 0 {
+		if len(p.engine.requests.pending) > 0 && w.random.Intn(40) == 0 {
 			m.kill(false, 2*simStep)
 		}
 	}
@@ -142,27 +142,27 @@
 
 // TestPlantsAreFound looks that each planted mistake is found in some schedule. A panic counts: a broken
 // premise may end a program before a check sees its effect.
-func TestPlantsAreFound(t *testing.T) {
-	for name, planted := range plants {
+func TestPlantedFaultsAreFound(t *testing.T) {
+	for name, planted := range plantedFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range int64(plantedSchedules) {
-				if problems := playPlanted(seed, planted); len(problems) > 0 {
+			for seed := range int64(plantedFaultSchedules) {
+				if problems := runPlanted(seed, planted); len(problems) > 0 {
 					t.Logf("seed %d: %s", seed, problems[0])
 					return
 				}
 			}
-			t.Errorf("not found in %d schedules", plantedSchedules)
+			t.Errorf("not found in %d schedules", plantedFaultSchedules)
 		})
 	}
 }
 
-func playPlanted(seed int64, planted plant) (problems []string) {
+func runPlanted(seed int64, planted plantedFault) (problems []string) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
 			problems = []string{"a panic"}
 		}
 	}()
 	s, schedule := drawRun(seed)
-	return play(seed, s, schedule, planted)
+	return runSchedule(seed, s, schedule, planted)
 }
--- a/internal/serving/control/sim_test.go
+++ b/internal/serving/control/sim_test.go
@@ -24,7 +24,7 @@
 type keptSchedule struct {
 	Name     string    `json:"name"`
 	Seed     int64     `json:"seed"`
-	Schedule []trouble `json:"schedule"`
+	Schedule []faultEvent `json:"schedule"`
 }
 
 // TestKeptSchedules plays the schedules that failed once, with the luck they had then and with others'.
@@ -43,7 +43,7 @@
 			for luck := range int64(4) {
 				seed := k.Seed + luck*int64(len(shapes)) // of the same shape
 				s, _ := drawRun(seed)
-				if problems := play(seed, s, k.Schedule, plant{}); len(problems) > 0 {
+				if problems := runSchedule(seed, s, k.Schedule, plantedFault{}); len(problems) > 0 {
 					t.Errorf("seed %d: %s", seed, strings.Join(problems, "\n"))
 				}
 			}
@@ -54,10 +54,10 @@
 // traceSeed prints what happens in one schedule, for whoever looks for a cause.
 var (
 	traceSeed = flag.Int64("trace", -1, "seed of the schedule of which each half second is printed")
-	traced    = flag.String("troubles", "", "its troubles, as JSON; empty: those drawn")
+	traceFaults    = flag.String("troubles", "", "its troubles, as JSON; empty: those drawn")
 )
 
-const shards = 8
+const shardCount = 8
 
 var shapes = []shape{
 	{cores: 3, tolerated: 1, edges: 2},
@@ -67,18 +67,18 @@
 }
 
 // drawRun returns the shape and the troubles of a seed.
-func drawRun(seed int64) (shape, []trouble) {
+func drawRun(seed int64) (shape, []faultEvent) {
 	return shapes[seed%int64(len(shapes))], drawSchedule(rand.New(rand.NewSource(seed)))
 }
 
 func TestSchedules(t *testing.T) {
-	for shard := range int64(shards) {
+	for shard := range int64(shardCount) {
 		t.Run(strconv.FormatInt(shard, 10), func(t *testing.T) {
 			t.Parallel()
-			for seed := *firstSeed + shard; seed < *firstSeed+int64(*scheduleCount); seed += shards {
+			for seed := *firstSeed + shard; seed < *firstSeed+int64(*scheduleCount); seed += shardCount {
 				s, schedule := drawRun(seed)
-				if problems := play(seed, s, schedule, plant{}); len(problems) > 0 {
-					t.Errorf("seed %d: %s\n%s", seed, strings.Join(problems, "\n"), reduced(seed, s, schedule))
+				if problems := runSchedule(seed, s, schedule, plantedFault{}); len(problems) > 0 {
+					t.Errorf("seed %d: %s\n%s", seed, strings.Join(problems, "\n"), minimize(seed, s, schedule))
 					return
 				}
 			}
@@ -92,13 +92,13 @@
 		t.Skip("no -trace")
 	}
 	s, schedule := drawRun(*traceSeed)
-	if *traced != "" {
-		if err := json.Unmarshal([]byte(*traced), &schedule); err != nil {
+	if *traceFaults != "" {
+		if err := json.Unmarshal([]byte(*traceFaults), &schedule); err != nil {
 			t.Fatal(err)
 		}
 	}
 	next := time.Duration(0)
-	problems := play(*traceSeed, s, schedule, plant{afterStep: func(w *world) {
+	problems := runSchedule(*traceSeed, s, schedule, plantedFault{afterStep: func(w *world) {
 		if w.now < next {
 			return
 		}
@@ -111,7 +111,7 @@
 // describe tells the state of each machine in a line.
 func (w *world) describe() string {
 	text := fmt.Sprintf("%v lost %d:", w.now, w.disksLost())
-	for _, m := range w.present() {
+	for _, m := range w.presentMachines() {
 		switch {
 		case m.process == nil:
 			text += fmt.Sprintf(" [%s down]", m.host)
@@ -119,18 +119,18 @@
 			e := m.process.engine
 			text += fmt.Sprintf(" [%s role %v term %d leader %s members %v index %d lost %v frozen %v leaving %v]",
 				e.options.Identity[5:14], e.node.InSync(), e.node.Term(), e.node.Leader(), e.node.Voters(),
-				e.node.Applied(), m.diskLost, m.frozenUntil > w.now, m.process.leaving)
+				e.node.Applied(), m.diskLost, m.frozenUntil > w.now, m.process.shuttingDown)
 		}
 	}
 	return text
 }
 
 // reduced leaves out troubles for as long as what is left still fails, and returns it as text.
-func reduced(seed int64, s shape, schedule []trouble) string {
+func minimize(seed int64, s shape, schedule []faultEvent) string {
 	for i := 0; i < len(schedule); {
-		shorter := append(append([]trouble(nil), schedule[:i]...), schedule[i+1:]...)
-		if len(play(seed, s, shorter, plant{})) > 0 {
-			schedule = shorter
+		candidate := append(append([]faultEvent(nil), schedule[:i]...), schedule[i+1:]...)
+		if len(runSchedule(seed, s, candidate, plantedFault{})) > 0 {
+			schedule = candidate
 			i = 0
 			continue
 		}
--- a/internal/serving/control/sim_world_test.go
+++ b/internal/serving/control/sim_world_test.go
@@ -34,16 +34,16 @@
 	byHost       map[string]*machine
 	network      *simNetwork
 	edges        []*simEdge
-	callers      *callers
+	clients      *clients
 	states       map[uint64]string // by log index
 	segmentScale int64             // makes segments look larger, so that snapshots are taken often
-	planted      plant
-	problems     []string
-	lastTrouble  time.Duration
-	delayed      []delayed
+	planted      plantedFault
+	violations     []string
+	lastFaultAt  time.Duration
+	scheduled      []scheduledAction
 }
 
-func newWorld(seed int64, s shape, planted plant) *world {
+func newWorld(seed int64, s shape, planted plantedFault) *world {
 	random := rand.New(rand.NewSource(seed))
 	w := &world{
 		shape: s, random: random, byHost: map[string]*machine{}, states: map[uint64]string{}, planted: planted,
@@ -57,9 +57,9 @@
 		w.segmentScale = 400
 	}
 	w.network = newNetwork(w, rand.New(rand.NewSource(random.Int63())), bandwidth)
-	w.callers = newCallers(w)
+	w.clients = newClients(w)
 	var seeds []string
-	for i := range min(s.cores, foundingSeeds) {
+	for i := range min(s.cores, founderCount) {
 		seeds = append(seeds, hostName(i))
 	}
 	for range s.cores {
@@ -88,7 +88,7 @@
 func (w *world) addMachine(seeds []string) *machine {
 	m := &machine{
 		world: w, host: hostName(len(w.machines)), zone: len(w.machines) % w.shape.cores, seeds: seeds,
-		files: waltest.New(w.random), upAt: w.now,
+		files: waltest.New(w.random), restartAt: w.now,
 	}
 	w.machines = append(w.machines, m)
 	w.byHost[m.host] = m
@@ -105,17 +105,17 @@
 	return nearDelay
 }
 
-func (w *world) problem(format string, arguments ...any) {
-	if len(w.problems) < 6 {
-		w.problems = append(w.problems, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, arguments...))
+func (w *world) violation(format string, arguments ...any) {
+	if len(w.violations) < 6 {
+		w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, arguments...))
 	}
 }
 
 // present returns the machines that are not gone for good.
-func (w *world) present() []*machine {
+func (w *world) presentMachines() []*machine {
 	var present []*machine
 	for _, m := range w.machines {
-		if !m.gone {
+		if !m.removed {
 			present = append(present, m)
 		}
 	}
@@ -125,7 +125,7 @@
 func (w *world) step() {
 	w.now += simStep
 	for _, m := range w.machines {
-		if m.process == nil && !m.gone && w.now >= m.upAt {
+		if m.process == nil && !m.removed && w.now >= m.restartAt {
 			m.start()
 		}
 	}
@@ -134,12 +134,12 @@
 		m.step()
 		w.checkState(m)
 	}
-	w.noteTrouble()
-	w.payDisks()
+	w.recordFault()
+	w.creditCatchUp()
 	for _, e := range w.edges {
 		e.step()
 	}
-	w.callers.step()
+	w.clients.step()
 	if w.planted.afterStep != nil {
 		w.planted.afterStep(w)
 	}
@@ -153,61 +153,61 @@
 
 // checkState looks that no two machines have different states at the same index of the log.
 func (w *world) checkState(m *machine) {
-	if m.process == nil || m.process.checked == m.process.engine.node.Applied() {
+	if m.process == nil || m.process.checkedIndex == m.process.engine.node.Applied() {
 		return
 	}
 	e := m.process.engine
-	m.process.checked = e.node.Applied()
+	m.process.checkedIndex = e.node.Applied()
 	state := fmt.Sprintf("version %d (%x), evacuated %v, departures %d", e.machine.Generation(),
 		sha256.Sum256(e.machine.Body()), e.machine.Evacuated(), len(e.machine.Departures()))
 	known, seen := w.states[e.node.Applied()]
 	if seen && known != state {
-		w.problem("%s has another state at index %d: %s, not %s", m.host, e.node.Applied(), state, known)
+		w.violation("%s has another state at index %d: %s, not %s", m.host, e.node.Applied(), state, known)
 	}
 	w.states[e.node.Applied()] = state
 }
 
 // noteTrouble keeps the moment at which anything was out of order last.
-func (w *world) noteTrouble() {
-	for _, m := range w.present() {
-		if !m.up() || m.diskTrouble() {
-			w.lastTrouble = w.now
+func (w *world) recordFault() {
+	for _, m := range w.presentMachines() {
+		if !m.up() || m.diskFaulty() {
+			w.lastFaultAt = w.now
 		}
 	}
 	for _, d := range w.network.order {
-		if w.network.cutUntil[d] > w.now {
-			w.lastTrouble = w.now
+		if w.network.partitionedUntil[d] > w.now {
+			w.lastFaultAt = w.now
 		}
 	}
 }
 
 // payDisks counts how long machines with new disks have been up and in reach of all others, with a majority
 // of whole ones among them. Those that have had their time do not count as lost any more.
-func (w *world) payDisks() {
+func (w *world) creditCatchUp() {
 	for _, m := range w.machines {
-		m.steady += simStep
-		if !m.up() || m.diskTrouble() || !w.reachesAll(m) {
-			m.steady = 0
+		m.healthyFor += simStep
+		if !m.up() || m.diskFaulty() || !w.reachesAll(m) {
+			m.healthyFor = 0
 		}
-		if !m.diskLost || m.gone {
+		if !m.diskLost || m.removed {
 			continue
 		}
-		if m.steady == 0 {
-			m.caughtUp = 0
+		if m.healthyFor == 0 {
+			m.catchUpTime = 0
 			continue
 		}
-		if w.company(m) < w.shape.cores/2+1 {
+		if w.connectedIntact(m) < w.shape.cores/2+1 {
 			continue
 		}
-		m.caughtUp += simStep
-		if m.caughtUp > simCatchUp {
+		m.catchUpTime += simStep
+		if m.catchUpTime > catchUpTimeout {
 			m.diskLost = false
 		}
 	}
 }
 
 func (w *world) reachesAll(m *machine) bool {
-	for _, other := range w.present() {
+	for _, other := range w.presentMachines() {
 		if !w.network.reaches(m.host, other.host) {
 			return false
 		}
@@ -216,28 +216,28 @@
 }
 
 // company counts the machines with whole disks that run, reach m, and reach one another.
-func (w *world) company(m *machine) int {
-	var together []*machine
+func (w *world) connectedIntact(m *machine) int {
+	var connected []*machine
 	for _, other := range w.machines {
-		if other.diskLost || !other.up() || other.diskTrouble() || !w.network.reaches(m.host, other.host) {
+		if other.diskLost || !other.up() || other.diskFaulty() || !w.network.reaches(m.host, other.host) {
 			continue
 		}
 		reached := true
-		for _, third := range together {
+		for _, third := range connected {
 			reached = reached && w.network.reaches(third.host, other.host)
 		}
 		if reached {
-			together = append(together, other)
+			connected = append(connected, other)
 		}
 	}
-	return len(together)
+	return len(connected)
 }
 
 // disksLost counts the machines whose disk counts as lost, those that are gone without a successor included.
 func (w *world) disksLost() int {
 	lost := 0
 	for _, m := range w.machines {
-		if m.diskLost && !m.gone {
+		if m.diskLost && !m.removed {
 			lost++
 		}
 	}
--- a/internal/serving/control/status.go
+++ b/internal/serving/control/status.go
@@ -11,10 +11,10 @@
 type Status struct {
 	Replica    string          `json:"replica"`
 	Leader     string          `json:"acting"`
-	Epoch      uint64          `json:"epoch"`
-	InTouch    bool            `json:"in_touch"`
+	Term      uint64          `json:"epoch"`
+	InSync    bool            `json:"in_touch"`
 	Members    []string        `json:"members"`
-	Waits      string          `json:"waits,omitempty"`    // why this replica has no seat
+	WaitReason      string          `json:"waits,omitempty"`    // why this replica has no seat
 	Learners   []LearnerStatus `json:"learners,omitempty"` // at the leader: replicas that wait for a seat
 	Index      uint64          `json:"index"`
 	Generation uint64          `json:"generation"`
@@ -26,7 +26,7 @@
 // LearnerStatus is what is told of a replica that waits for a seat.
 type LearnerStatus struct {
 	Replica  string  `json:"replica"`
-	WaitsS   float64 `json:"waits_s"`
+	WaitSeconds   float64 `json:"waits_s"`
 	Index    uint64  `json:"index"` // up to which it has the log
 	CaughtUp bool    `json:"caught_up"`
 }
@@ -53,13 +53,13 @@
 // Status describes the core as it is now.
 func (e *Engine) Status() Status {
 	status := Status{
-		Replica: e.options.Identity, Leader: e.node.Leader(), Epoch: e.node.Term(), InTouch: e.node.InSync(),
-		Members: slices.Clone(e.node.Voters()), Waits: e.WaitReason(), Index: e.node.Applied(),
+		Replica: e.options.Identity, Leader: e.node.Leader(), Term: e.node.Term(), InSync: e.node.InSync(),
+		Members: slices.Clone(e.node.Voters()), WaitReason: e.WaitReason(), Index: e.node.Applied(),
 		Generation: e.machine.Generation(), Evacuated: e.machine.Evacuated(),
 	}
 	for _, learner := range e.Learners() {
 		status.Learners = append(status.Learners, LearnerStatus{
-			Replica: learner.Replica, WaitsS: (e.now() - learner.Since).Seconds(), Index: learner.MatchIndex,
+			Replica: learner.Replica, WaitSeconds: (e.now() - learner.Since).Seconds(), Index: learner.MatchIndex,
 			CaughtUp: learner.CaughtUp,
 		})
 	}
--- a/internal/serving/control/workers.go
+++ b/internal/serving/control/workers.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	coldTolerance = 200 * time.Millisecond
-	forgetWorker  = 10 * time.Minute
+	slowStartTolerance = 200 * time.Millisecond
+	workerContactRetention  = 10 * time.Minute
 )
 
 // Heartbeat is what a worker says of itself.
@@ -24,51 +24,51 @@
 
 // workerTable notes when each incarnation was last heard, and at which core.
 type workerTable struct {
-	heard     map[string]heardWorker   // anywhere
-	doubtedAt map[string]time.Duration // when a silence proved nothing, last
-	heardHere map[string]time.Duration // at this core
+	contacts     map[string]workerContact   // anywhere
+	inconclusiveAt map[string]time.Duration // when a silence proved nothing, last
+	localContacts map[string]time.Duration // at this core
 }
 
-type heardWorker struct {
+type workerContact struct {
 	at   time.Duration
 	core string // internal address; "": this one
 }
 
 func newWorkerTable() workerTable {
 	return workerTable{
-		heard: map[string]heardWorker{}, heardHere: map[string]time.Duration{},
-		doubtedAt: map[string]time.Duration{},
+		contacts: map[string]workerContact{}, localContacts: map[string]time.Duration{},
+		inconclusiveAt: map[string]time.Duration{},
 	}
 }
 
-func (t *workerTable) hear(instance, core string, at time.Duration) {
-	if known, ok := t.heard[instance]; !ok || at >= known.at {
-		t.heard[instance] = heardWorker{at: at, core: core}
+func (t *workerTable) observe(instance, core string, at time.Duration) {
+	if known, ok := t.contacts[instance]; !ok || at >= known.at {
+		t.contacts[instance] = workerContact{at: at, core: core}
 	}
 }
 
-func (t *workerTable) hearHere(instance string, at time.Duration) {
-	t.hear(instance, "", at)
-	t.heardHere[instance] = at
+func (t *workerTable) observeLocal(instance string, at time.Duration) {
+	t.observe(instance, "", at)
+	t.localContacts[instance] = at
 }
 
-func (t *workerTable) heardLately(now, within time.Duration) []*wirepb.Heard {
-	var list []*wirepb.Heard
-	for instance, at := range t.heardHere {
+func (t *workerTable) recentLocalContacts(now, within time.Duration) []*wirepb.Heard {
+	var recent []*wirepb.Heard
+	for instance, at := range t.localContacts {
 		if age := now - at; age < within+100*time.Millisecond {
-			list = append(list, &wirepb.Heard{InstanceId: instance, AgeMs: uint32(age / time.Millisecond)})
+			recent = append(recent, &wirepb.Heard{InstanceId: instance, AgeMs: uint32(age / time.Millisecond)})
 		}
 	}
-	slices.SortFunc(list, func(x, y *wirepb.Heard) int { return strings.Compare(x.InstanceId, y.InstanceId) })
-	return list
+	slices.SortFunc(recent, func(x, y *wirepb.Heard) int { return strings.Compare(x.InstanceId, y.InstanceId) })
+	return recent
 }
 
-func (t *workerTable) forgetOld(now time.Duration) {
-	for instance, heard := range t.heard {
-		if now-heard.at > forgetWorker {
-			delete(t.heard, instance)
-			delete(t.heardHere, instance)
-			delete(t.doubtedAt, instance)
+func (t *workerTable) removeOld(now time.Duration) {
+	for instance, contact := range t.contacts {
+		if now-contact.at > workerContactRetention {
+			delete(t.contacts, instance)
+			delete(t.localContacts, instance)
+			delete(t.inconclusiveAt, instance)
 		}
 	}
 }
@@ -76,25 +76,25 @@
 // Heartbeat takes a worker's word. done is called once: with true where the worker may rely on it that all
 // cores know, or will know, what it has said.
 func (e *Engine) Heartbeat(heartbeat Heartbeat, done func(acknowledged bool)) {
-	now := e.awake()
+	now := e.advanceTime()
 	worker := heartbeat.Worker
 	instance := worker.InstanceId
-	e.workers.hearHere(instance, now)
+	e.workers.observeLocal(instance, now)
 	departure := e.machine.Departure(instance)
 	if departure.GetFinal() {
-		e.carryOut()
+		e.processReady()
 		done(true)
 		return
 	}
-	said := worker.Draining
-	worker.Draining = said || departure != nil && heartbeat.Sequence <= departure.Order
+	draining := worker.Draining
+	worker.Draining = draining || departure != nil && heartbeat.Sequence <= departure.Order
 	e.publishWorker(now, heartbeat)
-	if !said || departure != nil {
-		e.carryOut()
+	if !draining || departure != nil {
+		e.processReady()
 		done(true)
 		return
 	}
-	e.depart(&wirepb.Departure{InstanceId: instance, Order: heartbeat.Sequence}, done)
+	e.commitDeparture(&wirepb.Departure{InstanceId: instance, Order: heartbeat.Sequence}, done)
 }
 
 // publishWorker tells the others where a heartbeat says something new.
@@ -105,22 +105,22 @@
 		Value: &wirepb.Record_Worker{Worker: worker},
 	}
 	held := e.mirror.Get(record.Key)
-	if held != nil && (held.Record.Order >= heartbeat.Sequence || sameWorker(now, held, worker)) {
+	if held != nil && (held.Record.Order >= heartbeat.Sequence || unchanged(now, held, worker)) {
 		return
 	}
 	if e.publish(record) {
-		e.dropPredecessors(worker)
+		e.deletePredecessors(worker)
 	}
 }
 
 // sameWorker reports whether a heartbeat says nothing new.
-func sameWorker(now time.Duration, held *catalog.Entry, worker *wirepb.Worker) bool {
+func unchanged(now time.Duration, held *catalog.Entry, worker *wirepb.Worker) bool {
 	known := held.Record.GetWorker()
 	if held.Record.Deleted || known == nil {
 		return false
 	}
-	coldUntil := now + time.Duration(worker.ColdRemainingMs)*time.Millisecond
-	if difference := max(coldUntil, now) - max(held.ColdUntil, now); difference.Abs() > coldTolerance {
+	slowStartUntil := now + time.Duration(worker.ColdRemainingMs)*time.Millisecond
+	if difference := max(slowStartUntil, now) - max(held.ColdUntil, now); difference.Abs() > slowStartTolerance {
 		return false
 	}
 	compared := proto.Clone(worker).(*wirepb.Worker)
@@ -129,13 +129,13 @@
 }
 
 // dropPredecessors drops earlier incarnations at a worker's address: it has been given to this one.
-func (e *Engine) dropPredecessors(worker *wirepb.Worker) {
-	var present []*catalog.Entry
+func (e *Engine) deletePredecessors(worker *wirepb.Worker) {
+	var entries []*catalog.Entry
 	e.mirror.WithCatalog(func(_ time.Duration, held *catalog.Catalog) bool {
-		present = held.AtAddress(worker.Address)
+		entries = held.AtAddress(worker.Address)
 		return false
 	})
-	for _, entry := range present {
+	for _, entry := range entries {
 		if entry.Record.GetWorker().InstanceId != worker.InstanceId {
 			e.publishDeletion(entry.Record, catalog.Final)
 		}
@@ -148,14 +148,14 @@
 
 // Deregister takes a worker out for good. done is called as for Heartbeat.
 func (e *Engine) Deregister(instance string, done func(acknowledged bool)) {
-	e.awake()
+	e.advanceTime()
 	e.publishDeregistration(instance)
 	if e.machine.Departure(instance).GetFinal() {
-		e.carryOut()
+		e.processReady()
 		done(true)
 		return
 	}
-	e.depart(&wirepb.Departure{InstanceId: instance, Order: catalog.Final, Final: true}, done)
+	e.commitDeparture(&wirepb.Departure{InstanceId: instance, Order: catalog.Final, Final: true}, done)
 }
 
 func (e *Engine) publishDeregistration(instance string) {
@@ -167,7 +167,7 @@
 
 // depart has the replicas agree on it that a worker leaves, so that whoever was told so can rely on it
 // whatever machines are lost.
-func (e *Engine) depart(departure *wirepb.Departure, done func(acknowledged bool)) {
+func (e *Engine) commitDeparture(departure *wirepb.Departure, done func(acknowledged bool)) {
 	command := &wirepb.Command{Change: &wirepb.Command_Departure{Departure: departure}}
 	e.Submit(command, func(reply *wirepb.CallReply) {
 		done(reply.Outcome == wirepb.Outcome_OUTCOME_TAKEN)
--- a/internal/serving/core/core.go
+++ b/internal/serving/core/core.go
@@ -80,11 +80,11 @@
 	}
 	c.disk = newDisk(opened.Store, c.events)
 	options := control.Options{
-		Identity: opened.Identity, Life: config.NodeName + "/" + randomTag(),
+		Identity: opened.Identity, Incarnation: config.NodeName + "/" + randomTag(),
 		Address: c.internal, AddressOf: c.internalAddress, Zone: config.Zone, Region: config.Region,
 		Seeds: hostsOf(config.Seeds), Consensus: consensus.Options{Voters: seats(config)},
-		HeartbeatEvery: config.HeartbeatInterval,
-		CatchUp:        config.Bounds.CatchUpTimeout, Grace: config.Bounds.GracePeriod,
+		WorkerHeartbeatInterval: config.HeartbeatInterval,
+		CatchUpTimeout:        config.Bounds.CatchUpTimeout, ShutdownGrace: config.Bounds.GracePeriod,
 		Clock:  func() time.Duration { return time.Since(c.started) },
 		Random: mathrand.New(mathrand.NewSource(randomSeed())), Logger: logger,
 		SavedWorkers: savedWorkers(config.DataDir),
@@ -165,7 +165,7 @@
 	ticker := time.NewTicker(control.TickInterval)
 	defer ticker.Stop()
 	leaving := false
-	for !leaving || !c.engine.MayStop() {
+	for !leaving || !c.engine.SafeToStop() {
 		select {
 		case event := <-c.events:
 			event()
@@ -177,7 +177,7 @@
 				break
 			}
 			leaving = true
-			c.engine.Leave()
+			c.engine.BeginShutdown()
 		}
 	}
 	close(c.stop) // feeds end, so that agents go elsewhere
--- a/internal/serving/core/directory.go
+++ b/internal/serving/core/directory.go
@@ -34,7 +34,7 @@
 func (c *Core) resolve(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	edges := c.engine.Mirror().Of(catalog.Edges)
-	near := nearEdges(edges, c.engine.SilentWriter, query.Get("zone"), query.Get("region"))
+	near := nearEdges(edges, c.engine.OriginSilent, query.Get("zone"), query.Get("region"))
 	if len(near) == 0 {
 		refuse(w, http.StatusServiceUnavailable, "no edge is known yet: ask again soon")
 		return
--- a/internal/serving/core/golden_test.go
+++ b/internal/serving/core/golden_test.go
@@ -51,7 +51,7 @@
 func TestGoldenDataFolder(t *testing.T) {
 	c, _ := goldenCore(t)
 	status := c.engine.Status()
-	if status.Replica != goldenIdentity || status.Epoch != 6 || status.Generation != 7 || status.Index != 22 {
+	if status.Replica != goldenIdentity || status.Term != 6 || status.Generation != 7 || status.Index != 22 {
 		t.Errorf("status %+v", status)
 	}
 	members := []string{goldenIdentity, "10.0.0.2#founder", "10.0.0.3#founder"}
--- a/internal/serving/core/peers.go
+++ b/internal/serving/core/peers.go
@@ -214,7 +214,7 @@
 			c.serveAgent(connection, request)
 			return
 		}
-		if !c.do(func() { c.engine.Take(envelope) }) {
+		if !c.do(func() { c.engine.HandleEnvelope(envelope) }) {
 			return
 		}
 	}
