--- a/internal/serving/control/doc.go
+++ b/internal/serving/control/doc.go
@@ -1,6 +1,7 @@
-// Package control is what a core decides: it puts the replicated log, the committed state and the catalog
-// together, follows orders of operators and workers until their outcome is known, and tells the other cores
-// what they lack. It has no I/O, no goroutines and no clock of its own: its caller brings time, messages and
-// orders, on one goroutine, and an Environment carries out what it wants sent and written. One seed therefore
-// replays a whole core; package core runs it as a program.
+// Package control implements the decisions of a core: it combines the replicated log, the committed state
+// machine and the catalog, forwards the requests of operators and workers to the leader until their outcome
+// is known, and sends the other cores the records that they lack. It owns the Engine, the state of one core
+// in memory. It has no I/O, no goroutines and no clock: its caller passes time, messages and requests on one
+// goroutine, and an Environment sends and writes. It must not import core, which runs it as a program. A run
+// is determined by its seed.
 package control
--- a/internal/serving/control/edges.go
+++ b/internal/serving/control/edges.go
@@ -7,17 +7,18 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// edgeOrderReserve is added to an edge's own order when its link is lost.
+// edgeOrderReserve is added to an edge's own order when its link is lost, so that the record which says so is
+// newer.
 const edgeOrderReserve = 1
 
 // EdgeLink is one agent's link to this core.
 type EdgeLink struct {
 	edge       *wirepb.Edge
 	order      uint64
-	generation uint64 // of the configuration that the agent has
+	generation uint64 // of the configuration that the agent has in force
 }
 
-// LinkEdge takes what an agent says of its edge.
+// LinkEdge publishes what an agent reports of its edge.
 func (e *Engine) LinkEdge(link *EdgeLink, request *wirepb.FeedRequest) {
 	link.generation = request.Generation
 	if link.edge != nil && link.order == request.EdgeOrder && proto.Equal(link.edge, request.Edge) {
@@ -33,8 +34,8 @@
 	})
 }
 
-// UnlinkEdge notes that an agent's link is lost: no client is sent to its edge until the agent links anew,
-// here or at another core.
+// UnlinkEdge publishes that an agent's link is lost: no client is directed to its edge until the agent
+// connects again, to this or another core.
 func (e *Engine) UnlinkEdge(link *EdgeLink) {
 	if link.edge == nil || e.edges[link.edge.Name] != link {
 		return
@@ -49,6 +50,7 @@
 	})
 }
 
+// linkedGeneration returns the generation in force at an edge that is linked to this core, otherwise 0.
 func (e *Engine) linkedGeneration(name string) uint64 {
 	if link := e.edges[name]; link != nil {
 		return link.generation
--- a/internal/serving/control/expiry.go
+++ b/internal/serving/control/expiry.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	missedHeartbeats = 3.6                     // heartbeat intervals of silence at all cores
-	silentCoreTimeout       = 1500 * time.Millisecond // of a core, after which what it may hear is not known
-	inconclusiveRetention        = time.Minute             // that a silent worker is kept while its silence proves nothing
-	inconclusiveFraction    = 0.5                     // of a zone's workers, above which their silence proves nothing
-	unlinkedEdgeRetention         = 90 * time.Second        // of an edge's record after its last link was lost
-	silentCoreRetention         = 20 * time.Second        // of a core's record after it last spoke
+	missedHeartbeats      = 3.6                     // heartbeat intervals without a heartbeat at any core
+	silentCoreTimeout     = 1500 * time.Millisecond // without a presence message, until a core counts as silent
+	inconclusiveRetention = time.Minute             // of a silent worker while its silence is inconclusive
+	inconclusiveFraction  = 0.5                     // of a zone; more silent workers are inconclusive
+	unlinkedEdgeRetention = 90 * time.Second        // of an edge's record after its last link was lost
+	silentCoreRetention   = 20 * time.Second        // of a core's record after its last presence message
 )
 
-// sweep is the leader's care: it drops workers that are gone, and edges and cores.
+// expireRecords removes contacts that are too old. The leader also deletes the records of workers, edges and
+// cores that are gone.
 func (e *Engine) expireRecords() {
 	now := e.now()
 	e.workers.removeOld(now)
@@ -35,24 +36,27 @@
 	}
 	for _, entry := range e.mirror.Of(catalog.Cores) {
 		core := entry.Record.GetCore()
-		if entry.Record.Deleted || core.GetReplica() == e.options.Identity || now-entry.Merged <= silentCoreRetention {
+		if entry.Record.Deleted || core.GetReplica() == e.options.Identity ||
+			now-entry.Merged <= silentCoreRetention {
 			continue
 		}
-		if lastContact, known := e.coreContacts[core.GetAddress()]; !known || now-lastContact > silentCoreRetention {
+		lastContact, known := e.coreContacts[core.GetAddress()]
+		if !known || now-lastContact > silentCoreRetention {
 			e.publishDeletion(entry.Record, entry.Record.Order)
 		}
 	}
 }
 
-// zoneSilence counts a zone's workers, and those that are silent.
+// zoneCounts counts a zone's workers, and those of them that are silent.
 type zoneCounts struct{ workers, silent int }
 
-// sweepWorkers drops workers that no core hears. Silence proves nothing where the core that heard a worker
-// last is silent itself, or where most of a zone is silent at once: control may be what is cut off. Such
-// workers stay for a while, and edges find out by themselves which of them answer (compare the panic
-// threshold of Envoy's load balancing and the self-preservation of Eureka's registry, as their
-// documentation has them). Once silence proves something again, a worker has as long to be heard as any
-// other: the workers behind a cut that has healed are heard one after the other.
+// expireWorkers deletes workers whose heartbeats reach no core. Silence is inconclusive if the core that
+// received a worker's last heartbeat is silent itself, or if most of a zone is silent at once: the control
+// side may be what is partitioned. Such workers are kept for inconclusiveRetention, and edges find out by
+// themselves which of them respond (compare the panic threshold of Envoy's load balancing and the
+// self-preservation of Eureka's registry, as their documentation has them). Once silence is conclusive again,
+// a worker has the full time-out from then on, since heartbeats from behind a healed partition arrive one
+// after the other.
 func (e *Engine) expireWorkers(now time.Duration) {
 	limit := time.Duration(missedHeartbeats * float64(e.options.WorkerHeartbeatInterval))
 	zones := map[string]*zoneCounts{}
@@ -84,11 +88,12 @@
 	}
 }
 
+// lastWorkerContact returns when a worker's last heartbeat came to any core, or its record was merged.
 func (e *Engine) lastWorkerContact(entry *catalog.Entry) time.Duration {
 	return max(e.workers.contacts[entry.Record.GetWorker().GetInstanceId()].at, entry.Merged)
 }
 
-// heardBySilentCore reports whether the core that heard a worker last does not speak any more.
+// lastSeenBySilentCore reports whether the core that received a worker's last heartbeat is silent.
 func (e *Engine) lastSeenBySilentCore(now time.Duration, entry *catalog.Entry) bool {
 	core := e.workers.contacts[entry.Record.GetWorker().GetInstanceId()].core
 	if core == "" {
--- a/internal/serving/control/golden_test.go
+++ b/internal/serving/control/golden_test.go
@@ -43,7 +43,7 @@
 
 func (v *savingEnvironment) SaveWorkers(data []byte, _ func()) { v.saved = data }
 
-// goldenEngine makes an engine, with an empty log and a clock that stands, of saved workers.
+// goldenEngine returns an engine with saved workers, an empty log and a stopped clock.
 func goldenEngine(t *testing.T, saved []byte) (*Engine, *savingEnvironment) {
 	t.Helper()
 	environment := &savingEnvironment{}
@@ -127,7 +127,7 @@
 	}
 }
 
-// TestGoldenStatus pins the keys of /status, and their order.
+// TestGoldenStatus pins the keys of /status and their order.
 func TestGoldenStatus(t *testing.T) {
 	text, err := json.MarshalIndent(goldenStatusValue(), "", "  ")
 	if err != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-// TestGoldenWorkerStates pins the words for states of workers in /status.
+// TestGoldenWorkerStates pins the states of workers in /status.
 func TestGoldenWorkerStates(t *testing.T) {
 	e, _ := goldenEngine(t, goldenFile(t, goldenWorkers))
 	status := e.Status()
--- /dev/null
+++ b/internal/serving/control/leader_requests.go
@@ -0,0 +1,121 @@
+package control
+
+import (
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"willowdeck/internal/serving/statemachine"
+	"willowdeck/internal/serving/wirepb"
+)
+
+// requester identifies who waits for an outcome. A number is unique within one incarnation of one core.
+type requester struct {
+	address     string // "": this core
+	incarnation string
+	number      uint64
+}
+
+// leaderRequest is a request that the leader has accepted.
+type leaderRequest struct {
+	requester requester
+	expiresAt time.Duration
+}
+
+// leaderRequestTable holds the accepted requests: commands by their id, reads by number.
+type leaderRequestTable struct {
+	commands map[string]leaderRequest
+	reads    map[uint64]leaderRequest
+}
+
+// newLeaderRequestTable returns an empty table.
+func newLeaderRequestTable() leaderRequestTable {
+	return leaderRequestTable{commands: map[string]leaderRequest{}, reads: map[uint64]leaderRequest{}}
+}
+
+// full reports whether no further request can be accepted.
+func (t *leaderRequestTable) full() bool { return len(t.commands)+len(t.reads) >= maxLeaderRequests }
+
+// removeExpired removes the requests whose requester has timed out.
+func (t *leaderRequestTable) removeExpired(now time.Duration) {
+	for id, entry := range t.commands {
+		if now >= entry.expiresAt {
+			delete(t.commands, id)
+		}
+	}
+	for id, entry := range t.reads {
+		if now >= entry.expiresAt {
+			delete(t.reads, id)
+		}
+	}
+}
+
+// accept proposes a command, or registers a read, at this core. It returns false if this core is not an
+// established leader or its table is full.
+func (e *Engine) accept(command *wirepb.Command, from requester, expires time.Duration) bool {
+	if !e.node.IsEstablishedLeader() || e.leaderRequests.full() {
+		return false
+	}
+	entry := leaderRequest{requester: from, expiresAt: expires}
+	if command == nil {
+		e.requests.lastNumber++
+		e.leaderRequests.reads[e.requests.lastNumber] = entry
+		return e.node.ReadIndex(e.requests.lastNumber)
+	}
+	_, proposed := e.leaderRequests.commands[command.Id]
+	e.leaderRequests.commands[command.Id] = entry
+	if proposed {
+		return true // an earlier attempt of the same request is in progress
+	}
+	data, err := proto.Marshal(command)
+	if err != nil {
+		return false
+	}
+	if _, proposed = e.node.Propose(data); !proposed {
+		delete(e.leaderRequests.commands, command.Id)
+	}
+	return proposed
+}
+
+// handleCall accepts a request that another core has forwarded, unless its requester has timed out.
+func (e *Engine) handleCall(call *wirepb.Call) {
+	from := requester{address: call.From, incarnation: call.Life, number: call.Number}
+	late := call.Term != e.node.Term() || e.node.LeaderClock() >= call.NotAfter
+	if late || !e.accept(call.GetCommand(), from, e.now()+requestTimeout) {
+		e.reply(from, &wirepb.CallReply{})
+	}
+}
+
+// reply sends an outcome to a requester.
+func (e *Engine) reply(to requester, outcome *wirepb.CallReply) {
+	outcome.Number = to.number
+	outcome.Life = to.incarnation
+	if to.address == "" {
+		outcome.Life = e.options.Incarnation
+		e.handleReply(outcome)
+		return
+	}
+	e.environment.Send(to.address, &wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: outcome}})
+}
+
+// completeCommand replies with the outcome of a committed command, if it was accepted here.
+func (e *Engine) completeCommand(result statemachine.Result) {
+	entry, waiting := e.leaderRequests.commands[result.ID]
+	if !waiting {
+		return
+	}
+	delete(e.leaderRequests.commands, result.ID)
+	e.reply(entry.requester, &wirepb.CallReply{Outcome: result.Outcome})
+}
+
+// completeRead replies with the configuration in force, now that a quorum has confirmed the leader.
+func (e *Engine) completeRead(id uint64) {
+	entry, waiting := e.leaderRequests.reads[id]
+	if !waiting {
+		return
+	}
+	delete(e.leaderRequests.reads, id)
+	e.reply(entry.requester, &wirepb.CallReply{
+		Outcome: wirepb.Outcome_OUTCOME_TAKEN, Body: e.machine.Body(), Generation: e.machine.Generation(),
+	})
+}
--- a/internal/serving/control/learners.go
+++ b/internal/serving/control/learners.go
@@ -8,18 +8,21 @@
 	"willowdeck/internal/serving/consensus"
 )
 
-// repeatWarning is the pause between two warnings of the same replica.
+// learnerWarningInterval is the time between two warnings of the same learner.
 const learnerWarningInterval = 10 * time.Second
 
-// joinWatch remembers what was said of replicas that wait for a seat.
+// learnerMonitor remembers what was logged of replicas that are not voters.
 type learnerMonitor struct {
-	loggedReason   string                   // why this replica has no seat, as it was logged last
-	nextWarningAt map[string]time.Duration // at the leader, by replica: when the next one is due
+	loggedReason  string                   // why this replica is not a voter, as logged last
+	nextWarningAt map[string]time.Duration // on the leader, by learner
 }
 
-func newLearnerMonitor() learnerMonitor { return learnerMonitor{nextWarningAt: map[string]time.Duration{}} }
+// newLearnerMonitor returns a monitor that has logged nothing.
+func newLearnerMonitor() learnerMonitor {
+	return learnerMonitor{nextWarningAt: map[string]time.Duration{}}
+}
 
-// WaitReason says why this replica has no seat, "" where it has one.
+// WaitReason returns why this replica is not a voter, or "" if it is one.
 func (e *Engine) WaitReason() string {
 	switch {
 	case e.node.IsVoter():
@@ -29,17 +32,18 @@
 	case !e.node.HasCaughtUp():
 		return "catching up with the leader"
 	}
-	return "caught up: waits until a seat is free"
+	return "caught up: waits until a seat is free" // as /status shows it
 }
 
-// watchJoining logs why this replica waits, and at the leader which replicas make no progress.
+// monitorLearners logs why this replica is not a voter, and on the leader which learners have not caught up
+// in time.
 func (e *Engine) monitorLearners() {
 	if reason := e.WaitReason(); reason != e.learnerMonitor.loggedReason && !e.shuttingDown {
 		e.learnerMonitor.loggedReason = reason
 		if reason == "" {
-			e.logger.Info("has a seat", zap.Strings("members", e.node.Voters()))
+			e.logger.Info("is a voter", zap.Strings("voters", e.node.Voters()))
 		} else {
-			e.logger.Info("waits for a seat", zap.String("reason", reason))
+			e.logger.Info("is a learner", zap.String("reason", reason))
 		}
 	}
 	if !e.node.IsEstablishedLeader() {
@@ -53,12 +57,13 @@
 			continue
 		}
 		e.learnerMonitor.nextWarningAt[learner.Replica] = now + learnerWarningInterval
-		e.logger.Warn("a replica makes no progress: check its link and its disk", zap.String("replica",
-			learner.Replica), zap.Uint64("has", learner.MatchIndex), zap.Uint64("of", e.node.Applied()))
+		e.logger.Warn("learner has not caught up: check its link and its disk",
+			zap.String("replica", learner.Replica), zap.Uint64("match_index", learner.MatchIndex),
+			zap.Uint64("applied_index", e.node.Applied()))
 	}
 }
 
-// Learners returns the replicas that wait for a seat, as far as this core leads and knows of them.
+// Learners returns the learners that this core tracks as the leader; none on other cores.
 func (e *Engine) Learners() []consensus.Learner {
 	if !e.node.IsEstablishedLeader() {
 		return nil
--- a/internal/serving/control/origins.go
+++ b/internal/serving/control/origins.go
@@ -6,26 +6,30 @@
 	"time"
 )
 
-// writerTable holds when each core's present life last spoke. The records that a silent core has written may
-// be out of date: nobody else takes back what it has said of the edges that were linked to it.
+// originTable records when each core's present incarnation last sent a presence message. Records of a silent
+// core may be out of date: no other core corrects what it has published of the edges that were linked to it.
 type originTable struct {
-	lastContact map[string]time.Duration            // by the life that its records name as their origin
-	silent    atomic.Pointer[map[string]struct{}] // lives; not changed once published
+	lastContact map[string]time.Duration            // by the incarnation, which its records name as their origin
+	silent      atomic.Pointer[map[string]struct{}] // incarnations; not modified once published
 }
 
+// newOriginTable returns an empty table.
 func newOriginTable() originTable { return originTable{lastContact: map[string]time.Duration{}} }
 
+// observe records a presence message of an incarnation.
 func (t *originTable) observe(now time.Duration, incarnation string) {
 	if incarnation != "" {
 		t.lastContact[incarnation] = now
 	}
 }
 
-// publish makes known which writers are silent. Where this core is not sure of its own footing, none counts
-// as silent: it is this core that is cut off, and the others go on.
+// publish makes available which origins are silent. If this core is not in sync itself none counts as silent:
+// this core may be the one that is partitioned.
 func (t *originTable) publish(now time.Duration, inSync bool) {
 	silent := map[string]struct{}{}
-	maps.DeleteFunc(t.lastContact, func(_ string, at time.Duration) bool { return now-at > unlinkedEdgeRetention })
+	maps.DeleteFunc(t.lastContact, func(_ string, at time.Duration) bool {
+		return now-at > unlinkedEdgeRetention
+	})
 	for incarnation, at := range t.lastContact {
 		if inSync && now-at > silentCoreTimeout {
 			silent[incarnation] = struct{}{}
@@ -34,8 +38,8 @@
 	t.silent.Store(&silent)
 }
 
-// SilentWriter reports whether the core that wrote records with this origin does not speak any more. It is
-// safe for concurrent use.
+// OriginSilent reports whether the core that published records with this origin is silent. It is safe for
+// concurrent use.
 func (e *Engine) OriginSilent(origin string) bool {
 	silent := e.origins.silent.Load()
 	if silent == nil {
--- a/internal/serving/control/origins_test.go
+++ b/internal/serving/control/origins_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// TestSilentWriters lets one core fall silent, in the view of another that is sure of its own footing, and
-// of one that is not.
+// TestSilentOrigins lets one core fall silent, in the view of a core that is in sync and of one that is not.
 func TestSilentOrigins(t *testing.T) {
 	e := &Engine{origins: newOriginTable()}
 	if e.OriginSilent("a") {
@@ -18,17 +17,17 @@
 	cases := []struct {
 		name   string
 		now    time.Duration
-		inSync   bool
+		inSync bool
 		silent map[string]bool
 	}{
-		{"both speak", time.Second, true, map[string]bool{}},
+		{"both are alive", time.Second, true, map[string]bool{}},
 		{"one has fallen silent", 2 * time.Second, true, map[string]bool{"a": true}},
-		{"this core is cut off itself", 9 * time.Second, false, map[string]bool{}},
+		{"this core is partitioned itself", 9 * time.Second, false, map[string]bool{}},
 		{"both are silent", 9 * time.Second, true, map[string]bool{"a": true, "b": true}},
 	}
 	for _, c := range cases {
 		e.origins.publish(c.now, c.inSync)
-		for _, incarnation := range []string{"a", "b", "", "never heard"} {
+		for _, incarnation := range []string{"a", "b", "", "never seen"} {
 			if e.OriginSilent(incarnation) != c.silent[incarnation] {
 				t.Errorf("%s: %q silent: %v", c.name, incarnation, e.OriginSilent(incarnation))
 			}
@@ -37,6 +36,6 @@
 	e.origins.observe(10*time.Second, "a")
 	e.origins.publish(10*time.Second, true)
 	if e.OriginSilent("a") {
-		t.Error("silent although it has spoken again")
+		t.Error("silent although it has sent a message again")
 	}
 }
--- a/internal/serving/control/presence.go
+++ b/internal/serving/control/presence.go
@@ -1,89 +1,20 @@
 package control
 
 import (
-	"slices"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
 	"willowdeck/internal/serving/catalog"
-	"willowdeck/internal/serving/consensus"
 	"willowdeck/internal/serving/wirepb"
 )
 
-const coreContactRetention = 30 * time.Second // after it last spoke, unless something else names it
+// coreContactRetention is how long a core is connected to after its last presence message, unless another
+// source names it.
+const coreContactRetention = 30 * time.Second
 
-// Links returns the internal addresses of the cores to speak to, in order: those that have a seat or wait for
-// one, those that the settings name, those that the catalog knows, and those that have spoken lately.
-func (e *Engine) Links() []string {
-	wanted := map[string]bool{}
-	for _, replica := range e.node.Peers() {
-		wanted[e.options.AddressOf(consensus.Address(replica))] = true
-	}
-	for _, host := range e.options.Seeds {
-		wanted[e.options.AddressOf(host)] = true
-	}
-	for _, entry := range e.mirror.Of(catalog.Cores) {
-		if !entry.Record.Deleted {
-			wanted[entry.Record.GetCore().GetAddress()] = true
-		}
-	}
-	for address, lastContact := range e.coreContacts {
-		if e.now()-lastContact < coreContactRetention {
-			wanted[address] = true
-		} else {
-			delete(e.coreContacts, address)
-		}
-	}
-	delete(wanted, e.options.Address)
-	delete(wanted, "")
-	addresses := make([]string, 0, len(wanted))
-	for address := range wanted {
-		addresses = append(addresses, address)
-	}
-	slices.Sort(addresses)
-	return addresses
-}
-
-func (e *Engine) broadcast(envelope *wirepb.Envelope) {
-	for _, address := range e.Links() {
-		e.environment.Send(address, envelope)
-	}
-}
-
-func (e *Engine) handleCatalog(batch *wirepb.CatalogBatch) {
-	var changed []*catalog.Entry
-	e.mirror.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
-		changed = held.Merge(now, batch.Records, batch.Vector)
-		return len(changed) > 0
-	})
-	for _, entry := range changed {
-		if departure := e.machine.Departure(entry.Record.GetWorker().GetInstanceId()); departure != nil {
-			e.applyDeparture(departure)
-		}
-	}
-}
-
-// publish writes a record and hands it to the other cores.
-func (e *Engine) publish(record *wirepb.Record) bool {
-	var published *wirepb.Record
-	e.mirror.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
-		published = held.Publish(now, record)
-		return published != nil
-	})
-	if published == nil {
-		return false
-	}
-	e.broadcast(catalogEnvelope([]*wirepb.Record{published}, nil))
-	return true
-}
-
-func catalogEnvelope(records []*wirepb.Record, vector *wirepb.VersionVector) *wirepb.Envelope {
-	batch := &wirepb.CatalogBatch{Records: records, Vector: vector}
-	return &wirepb.Envelope{Body: &wirepb.Envelope_Catalog{Catalog: batch}}
-}
-
-// tellPresence tells the other cores that this one lives, what it holds, and which workers it hears.
+// broadcastPresence tells the other cores that this one is alive, what its catalog contains, and which
+// workers it has recently received heartbeats from.
 func (e *Engine) broadcastPresence() {
 	e.publishSelf()
 	presence := &wirepb.Presence{
@@ -95,13 +26,14 @@
 	e.broadcast(&wirepb.Envelope{Body: &wirepb.Envelope_Presence{Presence: presence}})
 }
 
+// selfRecord returns this core's own entry of the catalog.
 func (e *Engine) selfRecord() *wirepb.CoreNode {
 	return &wirepb.CoreNode{
 		Replica: e.options.Identity, Address: e.options.Address, Zone: e.options.Zone, Region: e.options.Region,
 	}
 }
 
-// tellSelf keeps this core's own record in the catalog.
+// publishSelf keeps this core's own record in the catalog up to date.
 func (e *Engine) publishSelf() {
 	own := e.selfRecord()
 	record := &wirepb.Record{
@@ -116,8 +48,8 @@
 	e.publish(record)
 }
 
-// takePresence hands over what the other core lacks (the repair that hinted handoff stands for: the hint is
-// the vector), and notes which workers it hears.
+// handlePresence records the contact of another core and of its workers, and sends it the records that its
+// version vector lacks (anti-entropy; the vector does the work of hinted handoff).
 func (e *Engine) handlePresence(presence *wirepb.Presence) {
 	now := e.now()
 	address := presence.Node.GetAddress()
--- a/internal/serving/control/saved_workers.go
+++ b/internal/serving/control/saved_workers.go
@@ -12,22 +12,22 @@
 
 const saveWorkersInterval = time.Second
 
-// savedWorkers keeps the known workers on disk, so that a core that has lost power can tell the edges of
-// them before they have sent a heartbeat again. Nothing depends on it: a list that is old, or lost, is made
-// good by heartbeats and by the log.
+// savedWorkersState keeps the known workers on disk, so that after a power loss a core can send edges the
+// list before the workers have sent a heartbeat again. Nothing depends on it: a list that is old or lost is
+// corrected by heartbeats and by the log.
 type savedWorkersState struct {
-	sequence uint64 // of the catalog's state that was saved last
-	nextAt     time.Duration
-	writing     bool
+	sequence uint64 // sum of the version vector that was saved last
+	nextAt   time.Duration
+	writing  bool
 }
 
-// loadSavedWorkers takes over the list that an earlier life has saved, as writes of this life: those who
-// are told of them need to know their writer. Workers are left out whose leaving this replica's log holds,
-// whether it is known to be committed or not.
+// restoreWorkers publishes the list that an earlier incarnation has saved, as records of this incarnation, so
+// that receivers can attribute them. Workers are left out whose departure is in this replica's log, committed
+// or not.
 func (e *Engine) restoreWorkers(data []byte) {
 	var batch wirepb.CatalogBatch
 	if err := proto.Unmarshal(data, &batch); err != nil {
-		e.logger.Warn("saved workers left alone: the file is damaged", zap.Error(err))
+		e.logger.Warn("saved workers ignored: the file is damaged", zap.Error(err))
 		return
 	}
 	uncommitted := e.uncommittedDepartures()
@@ -42,8 +42,8 @@
 	})
 }
 
-// unconfirmedDepartures returns the workers whose leaving stands in the log behind what is known to be
-// committed: it may have been acknowledged.
+// uncommittedDepartures returns the workers whose departure is in the log after the commit index: it may have
+// been acknowledged by an earlier leader.
 func (e *Engine) uncommittedDepartures() map[string]bool {
 	departures := map[string]bool{}
 	for _, entry := range e.node.UncommittedEntries() {
@@ -58,8 +58,8 @@
 	return departures
 }
 
-// departed reports whether a saved record is of a worker that has deregistered, and marks those that are
-// leaving.
+// applySavedDeparture marks a saved record as draining if the worker's departure is committed. It returns
+// true if the worker has deregistered.
 func (e *Engine) applySavedDeparture(record *wirepb.Record) bool {
 	departure := e.machine.Departure(record.GetWorker().GetInstanceId())
 	if departure != nil && !record.Deleted && record.Order <= departure.Order {
@@ -68,7 +68,7 @@
 	return departure.GetFinal()
 }
 
-// saveWorkers writes the list where it has changed.
+// saveWorkers saves the list if it has changed.
 func (e *Engine) saveWorkers() {
 	if e.savedWorkers.writing || e.now() < e.savedWorkers.nextAt {
 		return
--- a/internal/serving/control/saved_workers_test.go
+++ b/internal/serving/control/saved_workers_test.go
@@ -13,7 +13,7 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// silentEnvironment carries nothing out.
+// discardingEnvironment sends and writes nothing.
 type discardingEnvironment struct{}
 
 func (discardingEnvironment) Send(string, *wirepb.Envelope) {}
@@ -36,8 +36,8 @@
 	return &wirepb.Entry{Index: index, Term: 1, Kind: wirepb.EntryKind_ENTRY_COMMAND, Data: data}
 }
 
-// TestSavedWorkersWithoutTheDeparted starts a core whose log holds the leaving of workers, one of them
-// known to be committed, and whose saved list is from before. Nobody speaks to it yet.
+// TestRestoredWorkersExcludeDeparted starts a core whose log has departures of workers, one of them known to
+// be committed, and whose saved list is older. It has received no message yet.
 func TestRestoredWorkersExcludeDeparted(t *testing.T) {
 	var batch wirepb.CatalogBatch
 	for _, name := range []string{"stays", "committed", "unconfirmed", "draining"} {
@@ -72,6 +72,6 @@
 		}
 	}
 	if draining, known := restored["draining"]; len(restored) != 2 || !known || !draining || restored["stays"] {
-		t.Errorf("told (draining): %v", restored)
+		t.Errorf("restored (draining): %v", restored)
 	}
 }
--- a/internal/serving/control/scenarios_test.go
+++ b/internal/serving/control/scenarios_test.go
@@ -12,11 +12,11 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// The faults that were met on drawn days and on reading, each brought about in a world.
+// Faults that were found on drawn days and by reading, each forced in a simulated world.
 
 const (
 	scenarioSeeds = 12
-	startupTime         = 4 * time.Second // until a world's quorum has all its seats
+	startupTime   = 4 * time.Second // until all replicas of a world are voters
 )
 
 func startWorld(seed int64, s shape) *world {
@@ -25,7 +25,7 @@
 	return w
 }
 
-// settle lets a world come to rest and looks at all that should hold then.
+// finishWorld ends all faults and checks what has to hold then.
 func finishWorld(t *testing.T, w *world, name string) {
 	t.Helper()
 	w.finish()
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestCutThenDisksLost cuts two of five off for four seconds, then takes two disks of the other three, and
-// the power of the third. Three disks that know something are left: nothing is lost, and someone leads
-// again.
+// TestPartitionThenDisksLost partitions two of five cores for four seconds, then wipes the disks of two of
+// the other three, while the third loses power. Three disks with data are left: nothing is lost, and a leader
+// is elected again.
 func TestPartitionThenDisksLost(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(scenarioSeeds) {
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestLossAfterPlannedReplacement brings a new core, tells an old one to stop four seconds later, and takes
-// the disk of another one some time after the old one has stopped, while the rest lose their power. The
-// successor had its time to catch up: the loss is to be borne at any moment.
+// TestLossAfterPlannedReplacement adds a core, shuts an old one down four seconds later, and wipes the disk
+// of another one some time after the old one has stopped, while the rest lose power. The successor had its
+// time to catch up, so the loss has to be tolerated at any moment.
 func TestLossAfterPlannedReplacement(t *testing.T) {
 	t.Parallel()
 	pauses := []time.Duration{0, 20, 100, 200, 1000, 2000, 3000}
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestSeatWhileNoSeedLeads replaces a core while the leader is none of the newcomer's seeds. It gets its
-// seat within the time to catch up.
+// TestJoinWhileNoSeedLeads replaces a core while the leader is none of the new core's seeds. The new core
+// becomes a voter within the time to catch up.
 func TestJoinWhileNoSeedLeads(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(scenarioSeeds) {
@@ -101,15 +101,15 @@
 		gone.removed = true
 		w.run(catchUpTimeout)
 		if members := w.leader().process.engine.node.Voters(); !slices.Contains(members, identityOf(fresh)) {
-			t.Errorf("seed %d: members %v without %s", seed, members, identityOf(fresh))
+			t.Errorf("seed %d: voters %v without %s", seed, members, identityOf(fresh))
 		}
 	}
 }
 
 func identityOf(m *machine) string { return m.process.engine.options.Identity }
 
-// TestWorkersOfCutOffCore cuts a core off from the others, and with it the only place where some workers
-// are heard. They live: nobody drops them.
+// TestWorkersOfPartitionedCore partitions a core, the only one that receives the heartbeats of some workers.
+// They are alive: no core deletes them.
 func TestWorkersOfPartitionedCore(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(scenarioSeeds) {
@@ -133,8 +133,9 @@
 	}
 }
 
-// TestWorkersBehindHealedCut has all workers of a zone silent, which proves nothing, and then most of them
-// heard again, as after a cut: the last one has a full time to be heard before it is dropped.
+// TestWorkersAfterHealedPartition has all workers of a zone silent, which is inconclusive, and then the
+// heartbeats of most of them again, as after a partition: the last one has the full time-out before it is
+// deleted.
 func TestWorkersAfterHealedPartition(t *testing.T) {
 	t.Parallel()
 	w := startWorld(1, shape{cores: 3, tolerated: 1, edges: 1})
@@ -162,12 +163,13 @@
 		}
 		e.expireWorkers(now + c.after)
 		if dropped("last") != c.dropped || dropped("first") {
-			t.Errorf("%v after the others were heard: dropped is not %v", c.after, c.dropped)
+			t.Errorf("%v after the heartbeats of the others: dropped is not %v", c.after, c.dropped)
 		}
 	}
 }
 
-// TestDeadWorkerIsDropped lets one worker of several fall silent while control hears the rest of its zone.
+// TestDeadWorkerIsDropped lets one worker of several fall silent while heartbeats of the rest of its zone
+// arrive.
 func TestDeadWorkerIsDropped(t *testing.T) {
 	t.Parallel()
 	w := startWorld(1, shape{cores: 3, tolerated: 1, edges: 1})
@@ -182,11 +184,12 @@
 	w.run(settlingTime + 5*simHeartbeat)
 	held := w.leader().process.engine.mirror.Get(catalog.WorkerKey("silent"))
 	if held == nil || !held.Record.Deleted {
-		t.Error("a worker that no core hears is kept")
+		t.Error("a worker without heartbeats at any core is kept")
 	}
 }
 
-// changes puts so many configurations in force, each on the one before, and returns once all are.
+// replaceConfigurations puts count configurations in force, each on the one before, and returns once the last
+// one is applied. The last one has a body of about bodyBytes bytes.
 func (w *world) replaceConfigurations(t *testing.T, count, bodyBytes int) {
 	t.Helper()
 	generation := w.leader().process.engine.machine.Generation()
@@ -213,9 +216,9 @@
 	}
 }
 
-// TestCatchesUpOnSlowLinks cuts a core off while thousands of changes are made, the last of them with a
-// large configuration, and looks how long it takes to have them all, over links of 10 Mbit/s and 55 ms.
-// Meanwhile nobody else takes the lead, and orders are answered.
+// TestCatchesUpOnSlowLinks partitions a core while thousands of changes are made, the last of them with a
+// large configuration, and bounds the time that it takes to catch up over links of 10 Mbit/s and 55 ms.
+// Meanwhile the leader does not change, and requests are served.
 func TestCatchesUpOnSlowLinks(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{10_000, 500_000, 3_000_000} {
@@ -242,7 +245,7 @@
 			})
 			w.run(100 * time.Millisecond)
 			if w.now == before {
-				t.Fatal("time stands still")
+				t.Fatal("the time does not advance")
 			}
 		}
 		elapsed := w.now - healed
@@ -251,7 +254,7 @@
 			t.Errorf("3,000 changes and %d bytes: caught up after %v", size, elapsed)
 		}
 		if w.leader() != leader || leader.process.engine.node.Term() != term {
-			t.Errorf("%d bytes: the lead changed meanwhile", size)
+			t.Errorf("%d bytes: the leader changed meanwhile", size)
 		}
 		if answered < int(elapsed/(200*time.Millisecond)) {
 			t.Errorf("%d bytes: %d reads were answered in %v", size, answered, elapsed)
@@ -259,8 +262,8 @@
 	}
 }
 
-// TestDeparturesOutlastPower has a worker acknowledged as leaving, and takes the power of everything right
-// then, and the disk of one core.
+// TestDeparturesOutlastPower acknowledges a worker's departure; right then everything loses power, and one
+// core its disk.
 func TestDeparturesOutlastPower(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(scenarioSeeds) {
@@ -284,8 +287,8 @@
 	}
 }
 
-// TestAnswerToAnotherLife gives a core the answer to a call of its earlier life, which had the same number.
-// It ends nothing; the one to its own life does.
+// TestReplyToAnotherIncarnation gives a core the reply to a call of its earlier incarnation, which had the
+// same number. It is ignored; the one to its own incarnation completes the request.
 func TestReplyToAnotherIncarnation(t *testing.T) {
 	w := startWorld(3, shape{cores: 3, tolerated: 1})
 	follower := w.machines[0]
@@ -301,7 +304,7 @@
 	reply := &wirepb.CallReply{Number: number, Life: "an earlier life", Outcome: wirepb.Outcome_OUTCOME_TAKEN}
 	e.HandleEnvelope(&wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: reply}})
 	if len(outcomes) > 0 {
-		t.Fatal("an answer to another life has ended an order")
+		t.Fatal("a reply to another incarnation has completed a request")
 	}
 	reply.Life = e.options.Incarnation
 	e.HandleEnvelope(&wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: reply}})
@@ -311,7 +314,7 @@
 	}
 }
 
-// TestLateCallDoesNothing holds a call up until its caller has given up: the leader does not begin with it.
+// TestLateCallIsRejected delays a call until its caller has timed out: the leader does not accept it.
 func TestLateCallIsRejected(t *testing.T) {
 	w := startWorld(4, shape{cores: 3, tolerated: 1})
 	leader := w.leader()
@@ -327,17 +330,16 @@
 	asked := len(leader.process.engine.leaderRequests.commands)
 	leader.process.engine.HandleEnvelope(call)
 	if len(leader.process.engine.leaderRequests.commands) != asked {
-		t.Error("a call was begun whose caller had given up")
+		t.Error("a call was accepted whose caller had timed out")
 	}
 	call = e.callEnvelope(&pendingRequest{command: o.command, deadline: e.now() + requestTimeout, number: 2})
 	leader.process.engine.HandleEnvelope(call)
 	if len(leader.process.engine.leaderRequests.commands) != asked+1 {
-		t.Error("a call in time was not begun")
+		t.Error("a call in time was not accepted")
 	}
 }
 
-// TestTablesAreBounded asks a leader that hears nobody for as long as it leads, and a follower without a
-// leader.
+// TestTablesAreBounded submits requests to a partitioned leader while it leads and after it has stepped down.
 func TestTablesAreBounded(t *testing.T) {
 	w := startWorld(5, shape{cores: 3, tolerated: 1})
 	e := w.leader().process.engine
@@ -350,7 +352,7 @@
 	w.clients.idle = true
 	w.run(3 * time.Second)
 	if done != 50 || len(e.requests.pending)+len(e.leaderRequests.commands)+len(e.leaderRequests.reads) > 0 {
-		t.Errorf("%d of 50 orders ended; %d, %d and %d kept", done, len(e.requests.pending), len(e.leaderRequests.commands),
-			len(e.leaderRequests.reads))
+		t.Errorf("%d of 50 requests ended; %d, %d and %d kept", done, len(e.requests.pending),
+			len(e.leaderRequests.commands), len(e.leaderRequests.reads))
 	}
 }
--- a/internal/serving/control/sim_clients_test.go
+++ b/internal/serving/control/sim_clients_test.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	clientCallTimeout   = time.Second // until a caller goes on to another core
-	clientCallDelay     = 5 * time.Millisecond
-	operatorTimeout      = 6 * time.Second // of an operator
-	operatorCount = 2
-	workerCount   = 3
-	simZones      = 2
+	clientCallTimeout = time.Second // until a client retries with another core
+	clientCallDelay   = 5 * time.Millisecond
+	operatorTimeout   = 6 * time.Second // for one operation
+	operatorCount     = 2
+	workerCount       = 3
+	simZones          = 2
 )
 
 // operationKind is what an operator does.
@@ -28,43 +28,43 @@
 	setEvacuation
 )
 
-// operation is one order of an operator, with all its tries.
+// operation is one request of an operator, with all its attempts.
 type operation struct {
-	operator   int
-	kind       operationKind
-	base       uint64
-	generation uint64
-	body       string // sent, or read
-	zone       int
-	active     bool
+	operator               int
+	kind                   operationKind
+	base                   uint64
+	generation             uint64
+	body                   string // sent, or read
+	zone                   int
+	active                 bool
 	startedAt, completedAt time.Duration
-	outcome    wirepb.Outcome // UNKNOWN: no clear answer
+	outcome                wirepb.Outcome // UNKNOWN: no clear answer
 }
 
-// operator makes one order after the other.
+// operator submits one operation after the other.
 type operator struct {
-	id   int
-	baseVersion    uint64 // the version that it builds on
-	mustRead bool
-	current  *operation
-	command  *wirepb.Command
-	nextAttempt  time.Duration
-	deadline time.Duration
-	backoff    time.Duration
+	id          int
+	baseVersion uint64 // that its next configuration replaces
+	mustRead    bool
+	current     *operation
+	command     *wirepb.Command
+	nextAttempt time.Duration
+	deadline    time.Duration
+	backoff     time.Duration
 	attempts    int
 }
 
-// callers are the operators and the workers, and what they were told.
+// clients are the operators and the workers, and the outcomes that they received.
 type clients struct {
-	world      *world
-	operators  []*operator
-	workers    []*simWorker
-	history    []*operation
-	lastConfiguration       uint64 // marks configurations
-	replyLossRate       float64
-	idle      bool                     // nobody begins anything new
-	departures map[string]time.Duration // by instance: when its leaving was acknowledged
-	sentVersions       map[uint64]bool          // versions that were sent
+	world             *world
+	operators         []*operator
+	workers           []*simWorker
+	history           []*operation
+	lastConfiguration uint64 // number of the newest one, which makes it unique
+	replyLossRate     float64
+	idle              bool                     // operators begin nothing new
+	departures        map[string]time.Duration // by instance: when its departure was acknowledged
+	sentVersions      map[uint64]bool          // versions that were sent
 	acknowledged      []*operation             // configurations, in the order of their acknowledgement
 }
 
@@ -90,10 +90,10 @@
 	}
 }
 
-// possible reports whether a version may be in force anywhere.
+// wasSent reports whether a version was submitted, so that it may be in force.
 func (c *clients) wasSent(generation uint64) bool { return c.sentVersions[generation] }
 
-// dueVersion returns the newest version that was acknowledged before a moment.
+// acknowledgedVersion returns the newest version that was acknowledged before a moment.
 func (c *clients) acknowledgedVersion(before time.Duration) uint64 {
 	newest := uint64(0)
 	for _, o := range c.acknowledged {
@@ -125,7 +125,7 @@
 	c.submit(o)
 }
 
-// begin draws the next order.
+// begin draws the next operation.
 func (c *clients) begin(o *operator) {
 	w := c.world
 	op := &operation{operator: o.id, startedAt: w.now, kind: readConfiguration}
@@ -162,7 +162,7 @@
 	c.sentVersions[op.generation] = true
 }
 
-// call sends the order to some core. Its answer may be lost on the way.
+// submit sends the operation to a random core. The reply may be lost.
 func (c *clients) submit(o *operator) {
 	w := c.world
 	present := w.presentMachines()
@@ -213,7 +213,7 @@
 	return string(text)
 }
 
-// end notes the outcome of an order.
+// end records the outcome of an operation.
 func (c *clients) end(o *operator, outcome wirepb.Outcome) {
 	w := c.world
 	op := o.current
@@ -233,7 +233,7 @@
 	}
 }
 
-// busy reports whether an order is under way.
+// busy reports whether an operation is in progress.
 func (c *clients) busy() bool {
 	for _, o := range c.operators {
 		if o.current != nil {
@@ -245,18 +245,18 @@
 
 // simWorker is a worker: one incarnation after the other.
 type simWorker struct {
-	clients     *clients
-	number      int
-	incarnation int
-	sequence    uint64
-	core        string
+	clients          *clients
+	number           int
+	incarnation      int
+	sequence         uint64
+	core             string
 	nextHeartbeat    time.Duration
-	drainAt     time.Duration
-	deregisterAt     time.Duration // when it deregisters, once it has said that it drains
-	deregistered        bool
+	drainAt          time.Duration
+	deregisterAt     time.Duration // when it deregisters, once its draining was acknowledged
+	deregistered     bool
 	startedAt        time.Duration
-	acknowledgedAt    time.Duration // when a heartbeat was acknowledged last
-	lastUnansweredAt   time.Duration // the last time that it went unanswered for long
+	acknowledgedAt   time.Duration // when a heartbeat was last acknowledged
+	lastUnansweredAt time.Duration // when it was last without an acknowledgement for long
 }
 
 func newSimWorker(c *clients, number int) *simWorker {
@@ -278,9 +278,10 @@
 	s.nextHeartbeat = w.now + 500*time.Millisecond
 }
 
-// steady reports whether the worker lives and was answered all the while.
+// continuouslyAnswered reports whether the worker is alive and its heartbeats were acknowledged all the time.
 func (s *simWorker) continuouslyAnswered() bool {
-	return !s.deregistered && s.deregisterAt == 0 && s.sequence > 0 && s.clients.world.now-s.lastUnansweredAt > settlingAfterFault
+	return !s.deregistered && s.deregisterAt == 0 && s.sequence > 0 &&
+		s.clients.world.now-s.lastUnansweredAt > settlingAfterFault
 }
 
 func (s *simWorker) step() {
--- a/internal/serving/control/sim_edges_test.go
+++ b/internal/serving/control/sim_edges_test.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	watchInterval = 100 * time.Millisecond
-	linkTimeout  = 1300 * time.Millisecond
-	settlingAfterFault  = 5 * time.Second // after trouble, until what is promised to machines in touch holds
-	configurationDeadline    = 3 * time.Second // until a configuration is in force at machines in touch
-	drainDeadline     = 3 * time.Second // until nothing is sent to a worker that is leaving
+	watchInterval         = 100 * time.Millisecond
+	linkTimeout           = 1300 * time.Millisecond
+	settlingAfterFault    = 5 * time.Second // after a fault, until the guarantees to machines in sync hold
+	configurationDeadline = 3 * time.Second // until a configuration is in force at edges in sync
+	drainDeadline         = 3 * time.Second // until nothing is sent to a worker that has departed
 )
 
-// simEdge is an edge machine: a copy of the core's state, fed by a core.
+// simEdge is an edge machine: a replica of the core's state that follows a core.
 type simEdge struct {
-	world      *world
-	name       string
-	mirror     *stateview.Mirror
-	started    time.Duration
-	downUntil  time.Duration
-	core       *machine
-	coreIncarnation   int
-	link       *EdgeLink
-	order      uint64
-	lastContact      time.Duration
-	nextPull   time.Duration
-	generation uint64 // the newest that this life has seen
+	world           *world
+	name            string
+	mirror          *stateview.Mirror
+	started         time.Duration
+	downUntil       time.Duration
+	core            *machine
+	coreIncarnation int
+	link            *EdgeLink
+	order           uint64
+	lastContact     time.Duration
+	nextPull        time.Duration
+	generation      uint64 // newest one that this incarnation has seen
 }
 
 func newSimEdge(w *world, i int) *simEdge {
@@ -39,7 +39,7 @@
 	return e
 }
 
-// restart begins a life that knows nothing.
+// restart begins an incarnation without any state.
 func (e *simEdge) restart(down time.Duration) {
 	e.downUntil = e.world.now + down
 	e.started = e.downUntil
@@ -72,7 +72,7 @@
 	e.check()
 }
 
-// connect links to a core that can be reached.
+// connect links the edge to a random core if that can be reached.
 func (e *simEdge) connect() {
 	present := e.world.presentMachines()
 	m := present[e.world.random.Intn(len(present))]
@@ -96,14 +96,14 @@
 	e.core = nil
 }
 
-// pull takes what is missing.
+// pull applies the updates that the edge lacks.
 func (e *simEdge) pull() {
 	update, _ := e.core.process.engine.Mirror().Difference(e.mirror.Position())
 	e.mirror.Apply(update)
 }
 
-// check looks that versions never go back in one life, and that what was acknowledged holds at an edge in
-// touch.
+// check checks that versions never decrease in one incarnation, and that an edge in sync has what was
+// acknowledged.
 func (e *simEdge) check() {
 	w := e.world
 	view := e.mirror.View()
@@ -112,18 +112,18 @@
 		generation = view.Document.Generation
 	}
 	if generation < e.generation {
-		w.violation("%s went back from version %d to %d", e.name, e.generation, generation)
+		w.violation("%s decreased its version from %d to %d", e.name, e.generation, generation)
 	}
 	e.generation = generation
 	if !w.clients.wasSent(generation) {
-		w.violation("%s has version %d, which was never sent or was refused", e.name, generation)
+		w.violation("%s has version %d, which was never sent or was rejected", e.name, generation)
 	}
 	if !view.InTouch {
 		return
 	}
 	e.checkLiveWorkers()
 	if due := w.clients.acknowledgedVersion(w.now - configurationDeadline); generation < due {
-		w.violation("%s is in touch with version %d long after %d was acknowledged", e.name, generation, due)
+		w.violation("%s is in sync with version %d long after %d was acknowledged", e.name, generation, due)
 	}
 	if w.now-w.lastFaultAt < settlingAfterFault || w.now-e.started < settlingAfterFault {
 		return
@@ -139,18 +139,18 @@
 			continue
 		}
 		if at, leaving := w.clients.departures[worker.InstanceId]; leaving && w.now-at > drainDeadline {
-			w.violation("%s still uses %s, whose leaving was acknowledged at %v", e.name, worker.InstanceId, at)
+			w.violation("%s still uses %s, whose departure was acknowledged at %v", e.name, worker.InstanceId, at)
 		}
 	}
 }
 
-// checkLiveWorkers looks that no worker is dropped which lives and is answered by some core.
+// checkLiveWorkers checks that no worker is deleted that is alive and acknowledged by some core.
 func (e *simEdge) checkLiveWorkers() {
 	w := e.world
 	for _, worker := range w.clients.workers {
 		held := e.mirror.Get(catalog.WorkerKey(worker.name()))
 		if held != nil && held.Record.Deleted && worker.continuouslyAnswered() {
-			w.violation("%s has dropped %s, which is alive and was answered all the while", e.name, worker.name())
+			w.violation("%s has dropped %s, which is alive and was acknowledged all the time", e.name, worker.name())
 		}
 	}
 }
--- a/internal/serving/control/sim_faults_test.go
+++ b/internal/serving/control/sim_faults_test.go
@@ -6,59 +6,59 @@
 	"time"
 )
 
-// trouble is one thing that happens in a run. Times are in milliseconds, so that a schedule can be kept as
-// text.
+// faultEvent is one fault of a run. Times are in milliseconds, and the JSON form is that of kept schedules.
 type faultEvent struct {
-	At      int    `json:"at"`
-	Kind    string `json:"kind"`
-	Machine int    `json:"machine"` // among those present; leaderMachine: the one that acts
-	Duration     int    `json:"for"`
-	X       int    `json:"x"`
+	At       int    `json:"at"`
+	Kind     string `json:"kind"`
+	Machine  int    `json:"machine"` // index among those present, or currentLeader
+	Duration int    `json:"for"`
+	X        int    `json:"x"`
 }
 
 const currentLeader = -1
 
-// The kinds of trouble.
+// The kinds of faults, with their names in kept schedules.
 const (
-	killProcess  = "kill"
-	losePower    = "power"
-	loseDisk     = "wipe"
-	replaceUnplanned  = "replace" // gone for good; an empty one comes x later
-	replacePlanned  = "planned" // an empty one comes; x later the old one is told to stop, for good
-	restartPlanned  = "roll"    // told to stop, and started again
-	stallDisk    = "stall"
-	slowDisk     = "slow"
-	diskFull     = "full"
-	failSyncs    = "syncs"
-	partitionBoth       = "cut"     // from the other cores
-	partitionOutbound       = "cut-out" // what it says is lost
-	partitionInbound        = "cut-in"  // what it is told is lost
-	partitionWithEdges      = "near"    // also from the edges but one
-	splitCores        = "split"   // half of the cores from the others
-	freezeProcess       = "freeze"
-	resetLinks   = "reset"
-	killAll      = "kill-all"
-	powerAll     = "power-all"
-	laggingMinority     = "behind" // a minority misses changes; one of the others loses its disk, the rest their power
-	loseReplies  = "answers"
-	restartEdges = "edges"
+	killProcess        = "kill"
+	losePower          = "power"
+	loseDisk           = "wipe"
+	replaceUnplanned   = "replace" // removed; an empty one starts x later
+	replacePlanned     = "planned" // an empty one starts; x later the old one is shut down and removed
+	restartPlanned     = "roll"    // shut down and started again
+	stallDisk          = "stall"
+	slowDisk           = "slow"
+	diskFull           = "full"
+	failSyncs          = "syncs"
+	partitionBoth      = "cut"     // from the other cores
+	partitionOutbound  = "cut-out" // its own messages are lost
+	partitionInbound   = "cut-in"  // messages to it are lost
+	partitionWithEdges = "near"    // also from the edges but one
+	splitCores         = "split"   // half of the cores from the others
+	freezeProcess      = "freeze"
+	resetLinks         = "reset"
+	killAll            = "kill-all"
+	powerAll           = "power-all"
+	laggingMinority    = "behind" // misses changes; one of the others loses its disk, the rest lose power
+	loseReplies        = "answers"
+	restartEdges       = "edges"
 )
 
 var faultKinds = []string{
-	killProcess, losePower, loseDisk, loseDisk, replaceUnplanned, replaceUnplanned, replacePlanned, replacePlanned, restartPlanned,
-	stallDisk, slowDisk, diskFull, failSyncs, partitionBoth, partitionBoth, partitionOutbound, partitionInbound, partitionWithEdges, splitCores, splitCores,
+	killProcess, losePower, loseDisk, loseDisk, replaceUnplanned, replaceUnplanned, replacePlanned,
+	replacePlanned, restartPlanned, stallDisk, slowDisk, diskFull, failSyncs, partitionBoth, partitionBoth,
+	partitionOutbound, partitionInbound, partitionWithEdges, splitCores, splitCores,
 	freezeProcess, freezeProcess,
 	resetLinks, killAll, powerAll, laggingMinority, loseReplies, restartEdges,
 }
 
 const (
 	firstFaultMillis = 4000  // ms
-	lastFaultMillis   = 26000 // ms
-	maxFaults  = 9
+	lastFaultMillis  = 26000 // ms
+	maxFaults        = 9
 	faultFreeEnd     = 9 * time.Second
 )
 
-// drawSchedule draws the troubles of a run, in the order of their times.
+// drawSchedule draws the faults of a run, in the order of their times.
 func drawSchedule(random *rand.Rand) []faultEvent {
 	schedule := make([]faultEvent, 2+random.Intn(maxFaults-1))
 	for i := range schedule {
@@ -91,8 +91,8 @@
 
 func milliseconds(count int) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// begin carries a trouble out. It returns false where that would lose more disks than are to be borne: the
-// trouble waits then.
+// injectFault injects a fault. It returns false, and injects nothing, if more disks would be lost than are
+// tolerated; the fault waits then.
 func (w *world) injectFault(t faultEvent) bool {
 	m := w.target(t)
 	span := milliseconds(t.Duration)
@@ -136,11 +136,11 @@
 	return true
 }
 
-// beginLoss takes a disk away, if one more may be lost.
+// injectDiskLoss loses a disk, if one more may be lost.
 func (w *world) injectDiskLoss(t faultEvent, m *machine) bool {
 	if m.diskLost {
-		// The same loss once more. It is to be borne while no other machine counts as lost: else the quorum had
-		// to guess whose seat the newcomer was to take (docs/control-safety.md, "Bound").
+		// The same loss once more. It is tolerated while no other machine counts as lost; otherwise the quorum
+		// would have to guess which voter the learner replaces (docs/control-safety.md, "Bound").
 		if !w.othersHealthy(m) {
 			return false
 		}
@@ -175,8 +175,8 @@
 	return true
 }
 
-// behind lets a minority miss changes; then another machine loses its disk, and the rest their power, until
-// the cut has healed.
+// lagThenLoseDisks lets a minority miss changes; then another machine loses its disk, and the rest lose
+// power, until the partition has healed.
 func (w *world) lagThenLoseDisks(t faultEvent, m *machine) {
 	w.partitionMachine(partitionBoth, m, w.now+milliseconds(t.Duration))
 	w.schedule(milliseconds(t.Duration)*3/4, func() {
@@ -206,7 +206,7 @@
 	fresh.diskLost = true
 }
 
-// stop tells a process to stop, as SIGTERM does.
+// requestStop requests a graceful shutdown of a process, as SIGTERM does.
 func (w *world) requestStop(m *machine, onStop func()) {
 	p := m.process
 	if p == nil || p.shuttingDown {
@@ -250,9 +250,9 @@
 	}
 }
 
-// delayed is something that happens later in a run.
+// scheduledAction is an action at a later time of a run.
 type scheduledAction struct {
-	at time.Duration
+	at  time.Duration
 	run func()
 }
 
@@ -272,7 +272,7 @@
 	}
 }
 
-// play runs a schedule, a fault at the end, and a calm time, and returns what is wrong.
+// runSchedule runs a schedule, a final fault and a time without faults, and returns the violations found.
 func runSchedule(seed int64, s shape, schedule []faultEvent, planted plantedFault) []string {
 	w := newWorld(seed, s, planted)
 	waiting := slices.Clone(schedule)
@@ -290,7 +290,7 @@
 	return w.violations
 }
 
-// settle brings calm, lets what is under way end, and looks at what should hold then.
+// finish runs without faults, lets operations in progress end, and checks what has to hold then.
 func (w *world) finish() {
 	w.run(faultFreeEnd)
 	w.clients.idle = true
@@ -301,8 +301,8 @@
 	w.checkEnd()
 }
 
-// close is the fault at the end: right after an acknowledgement, or a change that may not have been, disks
-// are lost and all other machines lose power.
+// injectFinalFault injects the fault at the end: right after an acknowledgement, or a change whose outcome
+// may be unknown, disks are lost and all other machines lose power.
 func (w *world) injectFinalFault() {
 	acknowledged := len(w.clients.acknowledged)
 	for limit := w.now + 2*time.Second; len(w.clients.acknowledged) == acknowledged && w.now < limit; {
@@ -330,11 +330,11 @@
 	}
 }
 
-// checkEnd looks at what calm should have brought.
+// checkEnd checks what has to hold after a time without faults.
 func (w *world) checkEnd() {
 	leader := w.leader()
 	if leader == nil {
-		w.violation("nobody leads after a calm time")
+		w.violation("no leader after a time without faults")
 		return
 	}
 	e := leader.process.engine
@@ -361,15 +361,15 @@
 	w.checkHistories(final)
 	for instance := range w.clients.departures {
 		if e.machine.Departure(instance) == nil {
-			w.violation("the leaving of %s was acknowledged and is forgotten", instance)
+			w.violation("the departure of %s was acknowledged and is lost", instance)
 		}
 	}
 	if len(w.clients.acknowledged) == 0 {
-		w.violation("no order was taken in the whole run")
+		w.violation("no configuration was accepted in the entire run")
 	}
 }
 
-// checkSeats looks that all seats are taken by machines that run.
+// checkVoters checks that all voters run, and that there are as many as intended.
 func (w *world) checkVoters(e *Engine) {
 	var running []string
 	for _, m := range w.presentMachines() {
@@ -380,10 +380,10 @@
 	voters := e.node.Voters()
 	for _, member := range voters {
 		if !slices.Contains(running, member) {
-			w.violation("%s has a seat and does not run; machines %v, seats %v", member, running, voters)
+			w.violation("%s is a voter and does not run; machines %v, voters %v", member, running, voters)
 		}
 	}
 	if len(voters) != w.shape.cores {
-		w.violation("%d seats: %v", len(voters), voters)
+		w.violation("%d voters: %v", len(voters), voters)
 	}
 }
--- a/internal/serving/control/sim_history_test.go
+++ b/internal/serving/control/sim_history_test.go
@@ -12,14 +12,14 @@
 
 const checkTimeout = 20 * time.Second
 
-// versionState is the configuration in force, as the model has it.
+// versionState is the configuration in force in the model.
 type versionState struct {
 	generation uint64
 	body       string
 }
 
-// configurationModel is a register with compare-and-set on its version. An order without a clear answer may
-// have been carried out or not.
+// configurationModel is a register with compare-and-set on its version. An operation without a known outcome
+// may have taken effect or not.
 var configurationModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{versionState{}} },
 	Step: func(state, input, _ any) []any {
@@ -74,7 +74,7 @@
 	},
 }
 
-// checkHistories looks that what operators were told is linearizable.
+// checkHistories checks that the outcomes that operators received are linearizable.
 func (w *world) checkHistories(final []*operation) {
 	var configuration []porcupine.Operation
 	zones := make([][]porcupine.Operation, simZones)
@@ -83,9 +83,11 @@
 		if op.kind == readConfiguration && unclear {
 			continue
 		}
-		entry := porcupine.Operation{ClientId: op.operator, Input: op, Call: int64(op.startedAt), Return: int64(op.completedAt)}
+		entry := porcupine.Operation{
+			ClientId: op.operator, Input: op, Call: int64(op.startedAt), Return: int64(op.completedAt),
+		}
 		if unclear {
-			entry.Return = math.MaxInt64 // each has a client of its own then
+			entry.Return = math.MaxInt64 // such an operation has a client of its own
 			entry.ClientId = operatorCount + len(configuration) + len(zones[op.zone])
 		}
 		if op.kind == setEvacuation {
@@ -109,11 +111,11 @@
 ) {
 	plain := model.ToModel()
 	if result := porcupine.CheckOperationsTimeout(plain, ops, checkTimeout); result != porcupine.Ok {
-		w.violation("%s: what operators were told is %s: %s", what, result, describe(ops))
+		w.violation("%s: the history is %s: %s", what, result, describe(ops))
 	}
 }
 
-// describe tells a history in short.
+// describe returns a history as text.
 func describe(ops []porcupine.Operation) string {
 	text := ""
 	for _, entry := range ops {
--- a/internal/serving/control/sim_machine_test.go
+++ b/internal/serving/control/sim_machine_test.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	dataFolder    = "data"
-	workersFile   = "workers"
-	normalWriteTime     = 4 * time.Millisecond
-	slowWriteTime  = 120 * time.Millisecond
-	repairInterval   = 100 * time.Millisecond
-	maxOperationsBeforePowerLoss  = 6 // operations at most that a disk does between the last whole task and a loss of power
-	simHeartbeat  = 1200 * time.Millisecond
-	catchUpTimeout    = 4 * time.Second
-	shutdownGrace      = 8 * time.Second
-	internalPort  = ":7660"
-	saveDelay    = 10 * time.Millisecond
-	restartDelay  = 300 * time.Millisecond
-	founderCount = 3
+	dataFolder                   = "data"
+	workersFile                  = "workers"
+	normalWriteTime              = 4 * time.Millisecond
+	slowWriteTime                = 120 * time.Millisecond
+	repairInterval               = 100 * time.Millisecond
+	maxOperationsBeforePowerLoss = 6 // operations of a disk between its last completed task and a power loss
+	simHeartbeat                 = 1200 * time.Millisecond
+	catchUpTimeout               = 4 * time.Second
+	shutdownGrace                = 8 * time.Second
+	internalPort                 = ":7660"
+	saveDelay                    = 10 * time.Millisecond
+	restartDelay                 = 300 * time.Millisecond
+	founderCount                 = 3
 )
 
 // machine is one core machine, with its disk.
 type machine struct {
-	world   *world
-	host    string
-	zone    int
-	files   *waltest.FileSystem
-	process *process // nil: down
-	incarnation    int      // counted from 1
-	restartAt    time.Duration
-	removed    bool // for good
-	seeds   []string
+	world       *world
+	host        string
+	zone        int
+	files       *waltest.FileSystem
+	process     *process // nil: down
+	incarnation int      // from 1
+	restartAt   time.Duration
+	removed     bool // it never restarts
+	seeds       []string
 
 	bootstrap    bool
 	frozenUntil  time.Duration
@@ -47,30 +47,30 @@
 	slowUntil    time.Duration
 	fullUntil    time.Duration
 
-	healthyFor   time.Duration // for how long it has run and reached all others
-	diskLost bool          // its disk was lost and it has not had its time to catch up
-	catchUpTime time.Duration // how much of that time it has had
+	healthyFor  time.Duration // for how long it has run and been able to reach all others
+	diskLost    bool          // and it has not had its time to catch up yet
+	catchUpTime time.Duration // that it has had
 }
 
-// process is one life of a core.
+// process is one incarnation of a core.
 type process struct {
-	machine  *machine
-	engine   *Engine
-	started  time.Duration
-	inbox    []func(e *Engine)
-	nextTick time.Duration
-	tasks    []simTask
-	running  []simTask
+	machine      *machine
+	engine       *Engine
+	started      time.Duration
+	inbox        []func(e *Engine)
+	nextTick     time.Duration
+	tasks        []simTask
+	running      []simTask
 	completeAt   time.Duration
-	repairing  bool
-	store    *wal.Store
-	shuttingDown  bool
-	onStop     func() // what happens when a leaving process stops
-	killAt   time.Duration
-	checkedIndex  uint64 // index of the log at which the state was looked at last
+	repairing    bool
+	store        *wal.Store
+	shuttingDown bool
+	onStop       func() // called when a process that shuts down has stopped
+	killAt       time.Duration
+	checkedIndex uint64 // log index at which the state was last checked
 }
 
-// simTask is something for the disk.
+// simTask is a write of the disk.
 type simTask struct {
 	batch   consensus.WriteBatch
 	rewrite *consensus.DurableState
@@ -108,7 +108,7 @@
 
 func hostPart(address string) string { return address[:len(address)-len(internalPort)] }
 
-// start begins a life.
+// start begins an incarnation.
 func (m *machine) start() {
 	w := m.world
 	m.incarnation++
@@ -123,21 +123,22 @@
 	if w.planted.identity != nil {
 		fresh = w.planted.identity(m, fresh)
 	}
-	m.files.Full = false // a start on a full disk waits for it
+	m.files.Full = false // a start needs space
 	opened, err := wal.OpenReplica(m.files, dataFolder, consensus.FounderIdentity(m.host), founders, fresh)
 	if err != nil {
-		m.restartAt = w.now + restartDelay // the platform starts it again
+		m.restartAt = w.now + restartDelay // the platform restarts it
 		return
 	}
 	m.bootstrap = false
 	p := &process{machine: m, started: w.now, nextTick: w.now, store: opened.Store}
 	saved, _ := m.files.ReadFile(dataFolder + "/" + workersFile)
 	options := Options{
-		Identity: opened.Identity, Incarnation: m.host + "/" + strconv.Itoa(m.incarnation), Address: m.host + internalPort,
+		Identity: opened.Identity, Incarnation: m.host + "/" + strconv.Itoa(m.incarnation),
+		Address:   m.host + internalPort,
 		AddressOf: func(host string) string { return host + internalPort }, Zone: w.zoneName(m.zone),
 		Region: "r", Seeds: m.seeds, Consensus: w.consensusOptions(), WorkerHeartbeatInterval: simHeartbeat,
 		CatchUpTimeout: catchUpTimeout,
-		ShutdownGrace:   shutdownGrace, Clock: func() time.Duration { return w.now - p.started },
+		ShutdownGrace:  shutdownGrace, Clock: func() time.Duration { return w.now - p.started },
 		Random: rand.New(rand.NewSource(w.random.Int63())), Logger: zap.NewNop(), SavedWorkers: saved,
 	}
 	p.engine, err = New(options, opened.State, p)
@@ -148,7 +149,7 @@
 	m.process = p
 }
 
-// step plays the disk, and the process unless it stands still.
+// step simulates the disk, and the process unless it is frozen.
 func (m *machine) step() {
 	p := m.process
 	if p == nil {
@@ -175,7 +176,9 @@
 	}
 }
 
-func (p *process) safeToStop() bool { return p.machine.world.planted.stopImmediately || p.engine.SafeToStop() }
+func (p *process) safeToStop() bool {
+	return p.machine.world.planted.stopImmediately || p.engine.SafeToStop()
+}
 
 // stepDisk begins and completes writes. Tasks that wait together are written together.
 func (m *machine) stepDisk() {
@@ -208,7 +211,7 @@
 	})
 }
 
-// carryOut does what the disk has at hand, as the program's disk goroutine does.
+// writeTasks writes the tasks that are running, as the program's disk goroutine does.
 func (m *machine) writeTasks() error {
 	p := m.process
 	if p.repairing {
@@ -230,8 +233,8 @@
 	return err
 }
 
-// kill ends the process. power: what the disk has not synced is lost as well. The machine comes back after
-// down, or not before something starts it where that is 0.
+// kill ends the process. With losePower the unsynced writes of the disk are lost as well. The machine
+// restarts after downtime; with 0 its restart time does not change.
 func (m *machine) kill(losePower bool, downtime time.Duration) {
 	if m.removed {
 		return
@@ -254,7 +257,7 @@
 	}
 }
 
-// wipe takes the disk away.
+// wipe loses the disk.
 func (m *machine) wipe(downtime time.Duration) {
 	m.kill(true, downtime)
 	m.files = waltest.New(m.world.random)
@@ -262,12 +265,12 @@
 	m.diskLost, m.catchUpTime = true, 0
 }
 
-// diskTrouble reports whether the disk does not take writes as it should.
+// diskFaulty reports whether the disk is stalled, slow or full.
 func (m *machine) diskFaulty() bool {
 	return max(m.stalledUntil, m.slowUntil, m.fullUntil) > m.world.now
 }
 
-// up reports whether the machine runs and can speak.
+// up reports whether the machine runs, is not frozen and is not shutting down.
 func (m *machine) up() bool {
 	return m.process != nil && m.frozenUntil <= m.world.now && !m.process.shuttingDown
 }
--- a/internal/serving/control/sim_network_test.go
+++ b/internal/serving/control/sim_network_test.go
@@ -11,25 +11,25 @@
 
 // Times and sizes of the simulated network.
 const (
-	nearDelay      = time.Millisecond
-	farDelay       = 55 * time.Millisecond
-	connectionTimeout = 1500 * time.Millisecond // after which a connection is given up
+	nearDelay          = time.Millisecond
+	farDelay           = 55 * time.Millisecond
+	connectionTimeout  = 1500 * time.Millisecond // without acknowledgements, until a connection is reset
 	maxRedialDelay     = 600 * time.Millisecond
-	maxQueuedEnvelopes      = 512 // envelopes
-	headerBytes     = 60  // of headers
+	maxQueuedEnvelopes = 512 // envelopes
+	headerBytes        = 60  // of headers
 )
 
-// direction is one way between two machines.
+// direction is an ordered pair of machines.
 type direction struct{ from, to string }
 
-// flight is an envelope on its way.
+// transit is an envelope in flight.
 type transit struct {
-	sentAt, deliverAt time.Duration
-	receiverIncarnation     int // of the receiver
-	envelope *wirepb.Envelope
+	sentAt, deliverAt   time.Duration
+	receiverIncarnation int // of the receiver
+	envelope            *wirepb.Envelope
 }
 
-// pipe is a connection from one core to another: envelopes wait, take their time by the bandwidth, and arrive
+// pipe is a connection from one core to another: envelopes are queued, delayed by the bandwidth, and arrive
 // in order.
 type pipe struct {
 	urgent, bulk []*wirepb.Envelope
@@ -40,14 +40,14 @@
 
 // simNetwork carries envelopes between cores.
 type simNetwork struct {
-	world     *world
-	random    *rand.Rand
-	bandwidth float64 // bytes a second of each connection
-	acksPass  bool    // a cut of one way leaves connections of the other way as they are
-	order     []direction
-	pipes     map[direction]*pipe
-	partitionedSince  map[direction]time.Duration
-	partitionedUntil  map[direction]time.Duration
+	world            *world
+	random           *rand.Rand
+	bandwidth        float64 // bytes a second of each connection
+	acksPass         bool    // a partition of one direction leaves connections of the other one intact
+	order            []direction
+	pipes            map[direction]*pipe
+	partitionedSince map[direction]time.Duration
+	partitionedUntil map[direction]time.Duration
 }
 
 func newNetwork(w *world, random *rand.Rand, bandwidth float64) *simNetwork {
@@ -68,8 +68,10 @@
 	return n.partitionedUntil[direction{from, to}] > n.world.now
 }
 
-// reaches reports whether two machines can speak to each other.
-func (n *simNetwork) reaches(x, y string) bool { return x == y || !n.isPartitioned(x, y) && !n.isPartitioned(y, x) }
+// reaches reports whether there is no partition between two machines in either direction.
+func (n *simNetwork) reaches(x, y string) bool {
+	return x == y || !n.isPartitioned(x, y) && !n.isPartitioned(y, x)
+}
 
 func (n *simNetwork) pipe(d direction) *pipe {
 	p := n.pipes[d]
@@ -103,7 +105,7 @@
 	return envelope.GetConsensus().GetKind() == wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_PART
 }
 
-// detached copies what a receiver changes in an envelope.
+// copyConsensus copies the part of an envelope that a receiver modifies.
 func copyConsensus(envelope *wirepb.Envelope) *wirepb.Envelope {
 	m := envelope.GetConsensus()
 	if m == nil {
@@ -145,7 +147,9 @@
 		if to == nil {
 			continue
 		}
-		p.inFlight = append(p.inFlight, transit{sentAt: now, deliverAt: p.lastArrival, receiverIncarnation: to.incarnation, envelope: envelope})
+		p.inFlight = append(p.inFlight, transit{
+			sentAt: now, deliverAt: p.lastArrival, receiverIncarnation: to.incarnation, envelope: envelope,
+		})
 	}
 }
 
@@ -171,13 +175,13 @@
 	}
 }
 
-// reset breaks a connection: what is on its way is lost, and the next one takes a while.
+// reset breaks a connection: what is in flight is lost, and it takes a while to reconnect.
 func (n *simNetwork) reset(p *pipe) {
 	p.inFlight, p.urgent, p.bulk = nil, nil, nil
 	p.freeAt = n.world.now + time.Duration(n.random.Int63n(int64(maxRedialDelay)))
 }
 
-// forget drops what a machine without power has not sent.
+// dropUnsent drops what a stopped machine has not sent, and after a power loss also what is in flight.
 func (n *simNetwork) dropUnsent(host string, power bool) {
 	for _, d := range n.order {
 		if d.from != host {
--- a/internal/serving/control/sim_planted_test.go
+++ b/internal/serving/control/sim_planted_test.go
@@ -10,24 +10,24 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// plant is a deliberate mistake in the programs that a world plays, to show that its checks find it. Nil
-// parts are as they should be.
+// plantedFault is a deliberate mistake in the simulated programs, to show that the checks find it. Fields
+// that are zero change nothing.
 type plantedFault struct {
 	afterStep func(w *world)
 	// send may change an envelope on its way out, or drop it by returning nil.
 	send func(w *world, to string, envelope *wirepb.Envelope) *wirepb.Envelope
 	// submit answers an operator's order in place of the engine, if it returns true.
-	submit     func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool
-	identity   func(m *machine, fresh string) string // of a disk without one
-	ackBeforeSync  bool                                  // batches count as on disk before they are
-	stopImmediately bool                                  // a process that is told to stop does so
+	submit          func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool
+	identity        func(m *machine, fresh string) string // of a disk without one
+	ackBeforeSync   bool                                  // batches count as durable before they are
+	stopImmediately bool                                  // a process that is to shut down does not wait
 }
 
 const plantedFaultSchedules = 400
 
-// plants are by the point of the operators' letter that they break.
+// plantedFaults are named after the section of docs/control-safety.md that they violate.
 var plantedFaults = map[string]plantedFault{
-	"1: a read without a majority": {
+	"1: a read without a quorum": {
 		submit: func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool {
 			if command != nil {
 				return false
@@ -38,7 +38,7 @@
 			return true
 		},
 	},
-	"1: an order is confirmed before a majority has it": {
+	"1: a command is acknowledged before a quorum has it": {
 		submit: func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool {
 			if command == nil || !e.node.IsEstablishedLeader() {
 				return false
@@ -48,7 +48,7 @@
 			return true
 		},
 	},
-	"1: a core without a leader refuses": {
+	"1: a core without a leader rejects": {
 		submit: func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool {
 			if command.GetReplace() == nil || e.node.InSync() {
 				return false
@@ -57,7 +57,7 @@
 			return true
 		},
 	},
-	"2: an order that is sent again is not known": {
+	"2: a retried command is not recognized": {
 		submit: func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool {
 			if command.GetReplace() == nil {
 				return false
@@ -78,18 +78,18 @@
 			return true
 		},
 	},
-	"3: a leaving replica stops at once": {stopImmediately: true},
-	"3: a replica is seated before it has caught up": {
+	"3: a replica that shuts down stops at once": {stopImmediately: true},
+	"3: a replica becomes a voter before it has caught up": {
 		send: func(_ *world, _ string, envelope *wirepb.Envelope) *wirepb.Envelope {
 			m := envelope.GetConsensus()
 			if m.GetKind() != wirepb.ConsensusKind_CONSENSUS_APPEND_REPLY || m.Reject {
 				return envelope
 			}
-			m.LogIndex += 3 // it says that it has more than it has
+			m.LogIndex += 3 // it acknowledges more than it has
 			return envelope
 		},
 	},
-	"4: parts of a snapshot are lost for good": {
+	"4: chunks of snapshots are never delivered": {
 		send: func(_ *world, _ string, envelope *wirepb.Envelope) *wirepb.Envelope {
 			if isSnapshotChunk(envelope) {
 				return nil
@@ -97,11 +97,11 @@
 			return envelope
 		},
 	},
-	"4: a wiped disk comes back as who it was": {
+	"4: a wiped disk keeps its identity": {
 		identity: func(m *machine, _ string) string { return consensus.FounderIdentity(m.host) },
 	},
-	"4: what is not synced counts": {ackBeforeSync: true},
-	"5: an answer to another life counts": {
+	"4: an acknowledgement before the sync": {ackBeforeSync: true},
+	"5: a reply to another incarnation counts": {
 		send: func(w *world, to string, envelope *wirepb.Envelope) *wirepb.Envelope {
 			reply := envelope.GetReply()
 			m := w.machine(to)
@@ -114,7 +114,7 @@
 		},
 		afterStep: restartForwardingCores,
 	},
-	"5: answers go to whoever asked last": {
+	"5: replies go to the next request": {
 		send: func(_ *world, _ string, envelope *wirepb.Envelope) *wirepb.Envelope {
 			reply := envelope.GetReply()
 			if reply == nil {
@@ -127,7 +127,8 @@
 	},
 }
 
-// restartCallersOften ends lives in the middle of orders, so that answers to them are on their way.
+// restartForwardingCores restarts cores while requests are pending, so that replies to an earlier incarnation
+// arrive.
 func restartForwardingCores(w *world) {
 	for _, m := range w.presentMachines() {
 		p := m.process
@@ -140,8 +141,8 @@
 	}
 }
 
-// TestPlantsAreFound looks that each planted mistake is found in some schedule. A panic counts: a broken
-// premise may end a program before a check sees its effect.
+// TestPlantedFaultsAreFound checks that each planted fault is found in some schedule. A panic counts: a
+// broken assumption may end a program before a check sees its effect.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	for name, planted := range plantedFaults {
 		t.Run(name, func(t *testing.T) {
--- a/internal/serving/control/sim_test.go
+++ b/internal/serving/control/sim_test.go
@@ -14,20 +14,20 @@
 
 // The long form: go test ./internal/serving/control -run TestSchedules -args -schedules 100000 -first 0
 var (
-	scheduleCount = flag.Int("schedules", 320, "schedules to play, shared out over the shapes")
+	scheduleCount = flag.Int("schedules", 320, "number of schedules to run, over all shapes")
 	firstSeed     = flag.Int64("first", 0, "seed of the first schedule")
 )
 
 const keptSchedules = "testdata/schedules.json"
 
-// keptSchedule is one that failed once, cut down.
+// keptSchedule is a minimized schedule that failed once.
 type keptSchedule struct {
-	Name     string    `json:"name"`
-	Seed     int64     `json:"seed"`
+	Name     string       `json:"name"`
+	Seed     int64        `json:"seed"`
 	Schedule []faultEvent `json:"schedule"`
 }
 
-// TestKeptSchedules plays the schedules that failed once, with the luck they had then and with others'.
+// TestKeptSchedules runs the schedules that failed once, with the seed of the failure and with others.
 func TestKeptSchedules(t *testing.T) {
 	text, err := os.ReadFile(keptSchedules)
 	if err != nil {
@@ -51,10 +51,10 @@
 	}
 }
 
-// traceSeed prints what happens in one schedule, for whoever looks for a cause.
+// Flags of TestTrace.
 var (
-	traceSeed = flag.Int64("trace", -1, "seed of the schedule of which each half second is printed")
-	traceFaults    = flag.String("troubles", "", "its troubles, as JSON; empty: those drawn")
+	traceSeed   = flag.Int64("trace", -1, "seed of the schedule of which each half second is printed")
+	traceFaults = flag.String("troubles", "", "its faults, as JSON; empty: those drawn")
 )
 
 const shardCount = 8
@@ -66,7 +66,7 @@
 	{cores: 5, tolerated: 2, edges: 2, large: true},
 }
 
-// drawRun returns the shape and the troubles of a seed.
+// drawRun returns the shape and the faults of a seed.
 func drawRun(seed int64) (shape, []faultEvent) {
 	return shapes[seed%int64(len(shapes))], drawSchedule(rand.New(rand.NewSource(seed)))
 }
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestTrace plays the schedule that -trace names, and prints its course.
+// TestTrace runs the schedule of -trace and logs the state of all machines twice a second.
 func TestTrace(t *testing.T) {
 	if *traceSeed < 0 {
 		t.Skip("no -trace")
@@ -108,24 +108,24 @@
 	t.Log(strings.Join(problems, "\n"))
 }
 
-// describe tells the state of each machine in a line.
+// describe returns the state of each machine in a line.
 func (w *world) describe() string {
 	text := fmt.Sprintf("%v lost %d:", w.now, w.disksLost())
 	for _, m := range w.presentMachines() {
-		switch {
-		case m.process == nil:
+		if m.process == nil {
 			text += fmt.Sprintf(" [%s down]", m.host)
-		default:
-			e := m.process.engine
-			text += fmt.Sprintf(" [%s role %v term %d leader %s members %v index %d lost %v frozen %v leaving %v]",
-				e.options.Identity[5:14], e.node.InSync(), e.node.Term(), e.node.Leader(), e.node.Voters(),
-				e.node.Applied(), m.diskLost, m.frozenUntil > w.now, m.process.shuttingDown)
+			continue
 		}
+		e := m.process.engine
+		text += fmt.Sprintf(
+			" [%s in sync %v term %d leader %s voters %v index %d lost %v frozen %v shutting down %v]",
+			e.options.Identity[5:14], e.node.InSync(), e.node.Term(), e.node.Leader(), e.node.Voters(),
+			e.node.Applied(), m.diskLost, m.frozenUntil > w.now, m.process.shuttingDown)
 	}
 	return text
 }
 
-// reduced leaves out troubles for as long as what is left still fails, and returns it as text.
+// minimize removes faults from a schedule for as long as the rest still fails, and returns it as text.
 func minimize(seed int64, s shape, schedule []faultEvent) string {
 	for i := 0; i < len(schedule); {
 		candidate := append(append([]faultEvent(nil), schedule[:i]...), schedule[i+1:]...)
--- a/internal/serving/control/sim_world_test.go
+++ b/internal/serving/control/sim_world_test.go
@@ -25,7 +25,8 @@
 	large     bool // configurations of some kilobytes, so that snapshots are taken
 }
 
-// world is a core with its machines, network, edges, workers and operators. One seed is one run.
+// world is a simulated deployment: core machines, their network, edges, workers and operators. One seed is
+// one run.
 type world struct {
 	shape        shape
 	random       *rand.Rand
@@ -36,11 +37,11 @@
 	edges        []*simEdge
 	clients      *clients
 	states       map[uint64]string // by log index
-	segmentScale int64             // makes segments look larger, so that snapshots are taken often
+	segmentScale int64             // multiplies the size of segments, so that snapshots are taken often
 	planted      plantedFault
-	violations     []string
+	violations   []string
 	lastFaultAt  time.Duration
-	scheduled      []scheduledAction
+	scheduled    []scheduledAction
 }
 
 func newWorld(seed int64, s shape, planted plantedFault) *world {
@@ -72,7 +73,7 @@
 	return w
 }
 
-// consensusOptions make snapshots travel, and in many parts, where configurations are large.
+// consensusOptions have snapshots sent, in many chunks, if configurations are large.
 func (w *world) consensusOptions() consensus.Options {
 	options := consensus.Options{Voters: w.shape.cores}
 	if w.shape.large {
@@ -97,7 +98,7 @@
 
 func (w *world) machine(host string) *machine { return w.byHost[host] }
 
-// delay is that of a link: machines with odd zones stand in another region.
+// delay returns the delay of a link: machines in odd zones are in another region.
 func (w *world) delay(d direction) time.Duration {
 	if w.byHost[d.from] != nil && w.byHost[d.to] != nil && (w.byHost[d.from].zone+w.byHost[d.to].zone)%2 == 1 {
 		return farDelay
@@ -111,7 +112,7 @@
 	}
 }
 
-// present returns the machines that are not gone for good.
+// presentMachines returns the machines that are not removed.
 func (w *world) presentMachines() []*machine {
 	var present []*machine
 	for _, m := range w.machines {
@@ -151,7 +152,7 @@
 	}
 }
 
-// checkState looks that no two machines have different states at the same index of the log.
+// checkState checks that no two machines have different states at the same log index.
 func (w *world) checkState(m *machine) {
 	if m.process == nil || m.process.checkedIndex == m.process.engine.node.Applied() {
 		return
@@ -167,7 +168,7 @@
 	w.states[e.node.Applied()] = state
 }
 
-// noteTrouble keeps the moment at which anything was out of order last.
+// recordFault records when any machine, disk or link was last faulty.
 func (w *world) recordFault() {
 	for _, m := range w.presentMachines() {
 		if !m.up() || m.diskFaulty() {
@@ -181,8 +182,9 @@
 	}
 }
 
-// payDisks counts how long machines with new disks have been up and in reach of all others, with a majority
-// of whole ones among them. Those that have had their time do not count as lost any more.
+// creditCatchUp counts how long machines with new disks have been up and able to reach all others, with a
+// majority of intact ones among them. Those that have had their time to catch up do not count as lost any
+// more.
 func (w *world) creditCatchUp() {
 	for _, m := range w.machines {
 		m.healthyFor += simStep
@@ -215,7 +217,7 @@
 	return true
 }
 
-// company counts the machines with whole disks that run, reach m, and reach one another.
+// connectedIntact counts the machines with intact disks that run, reach m, and reach one another.
 func (w *world) connectedIntact(m *machine) int {
 	var connected []*machine
 	for _, other := range w.machines {
@@ -233,7 +235,7 @@
 	return len(connected)
 }
 
-// disksLost counts the machines whose disk counts as lost, those that are gone without a successor included.
+// disksLost counts the machines whose disk counts as lost.
 func (w *world) disksLost() int {
 	lost := 0
 	for _, m := range w.machines {
@@ -244,7 +246,7 @@
 	return lost
 }
 
-// leader returns the machine that acts, or nil.
+// leader returns the machine that is the established leader, or nil.
 func (w *world) leader() *machine {
 	for _, m := range w.machines {
 		if m.process != nil && m.frozenUntil <= w.now && m.process.engine.node.IsEstablishedLeader() {
--- a/internal/serving/control/status.go
+++ b/internal/serving/control/status.go
@@ -7,15 +7,15 @@
 	"willowdeck/internal/serving/catalog"
 )
 
-// Status is what an operator is told of a core.
+// Status is the state of a core as /status shows it. The keys are part of the operators' interface.
 type Status struct {
 	Replica    string          `json:"replica"`
 	Leader     string          `json:"acting"`
-	Term      uint64          `json:"epoch"`
-	InSync    bool            `json:"in_touch"`
+	Term       uint64          `json:"epoch"`
+	InSync     bool            `json:"in_touch"`
 	Members    []string        `json:"members"`
-	WaitReason      string          `json:"waits,omitempty"`    // why this replica has no seat
-	Learners   []LearnerStatus `json:"learners,omitempty"` // at the leader: replicas that wait for a seat
+	WaitReason string          `json:"waits,omitempty"`    // why this replica is not a voter
+	Learners   []LearnerStatus `json:"learners,omitempty"` // on the leader
 	Index      uint64          `json:"index"`
 	Generation uint64          `json:"generation"`
 	Evacuated  []string        `json:"evacuated"`
@@ -23,25 +23,25 @@
 	Workers    []WorkerStatus  `json:"workers"`
 }
 
-// LearnerStatus is what is told of a replica that waits for a seat.
+// LearnerStatus is the state of a learner.
 type LearnerStatus struct {
-	Replica  string  `json:"replica"`
-	WaitSeconds   float64 `json:"waits_s"`
-	Index    uint64  `json:"index"` // up to which it has the log
-	CaughtUp bool    `json:"caught_up"`
+	Replica     string  `json:"replica"`
+	WaitSeconds float64 `json:"waits_s"`
+	Index       uint64  `json:"index"` // up to which the log is durable there
+	CaughtUp    bool    `json:"caught_up"`
 }
 
-// EdgeStatus is what is told of an edge.
+// EdgeStatus is the state of an edge.
 type EdgeStatus struct {
 	Name       string `json:"name"`
 	Address    string `json:"address"`
 	Zone       string `json:"zone"`
 	Ready      bool   `json:"ready"`
 	Linked     bool   `json:"linked"`
-	Generation uint64 `json:"generation,omitempty"` // of edges whose agents are linked to this core
+	Generation uint64 `json:"generation,omitempty"` // only of edges whose agents are linked to this core
 }
 
-// WorkerStatus is what is told of a worker.
+// WorkerStatus is the state of a worker.
 type WorkerStatus struct {
 	Instance string `json:"instance"`
 	Service  string `json:"service"`
@@ -50,7 +50,7 @@
 	State    string `json:"state"` // ready, cold or draining
 }
 
-// Status describes the core as it is now.
+// Status returns the present state of the core.
 func (e *Engine) Status() Status {
 	status := Status{
 		Replica: e.options.Identity, Leader: e.node.Leader(), Term: e.node.Term(), InSync: e.node.InSync(),
@@ -83,6 +83,7 @@
 	return status
 }
 
+// workerState returns a worker's state as /status shows it.
 func workerState(now time.Duration, entry *catalog.Entry) string {
 	switch {
 	case entry.Record.GetWorker().Draining:
--- /dev/null
+++ b/internal/serving/control/worker_table.go
@@ -0,0 +1,66 @@
+package control
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"willowdeck/internal/serving/wirepb"
+)
+
+// workerTable records when the last heartbeat of each incarnation of a worker came, and to which core.
+type workerTable struct {
+	contacts       map[string]workerContact // at any core
+	inconclusiveAt map[string]time.Duration // when its silence was last inconclusive
+	localContacts  map[string]time.Duration // at this core
+}
+
+// workerContact is the last heartbeat of a worker that any core is known to have received.
+type workerContact struct {
+	at   time.Duration
+	core string // internal address; "": this one
+}
+
+// newWorkerTable returns an empty table.
+func newWorkerTable() workerTable {
+	return workerTable{
+		contacts: map[string]workerContact{}, localContacts: map[string]time.Duration{},
+		inconclusiveAt: map[string]time.Duration{},
+	}
+}
+
+// observe records a heartbeat that a core has received.
+func (t *workerTable) observe(instance, core string, at time.Duration) {
+	if known, ok := t.contacts[instance]; !ok || at >= known.at {
+		t.contacts[instance] = workerContact{at: at, core: core}
+	}
+}
+
+// observeLocal records a heartbeat that this core has received.
+func (t *workerTable) observeLocal(instance string, at time.Duration) {
+	t.observe(instance, "", at)
+	t.localContacts[instance] = at
+}
+
+// recentLocalContacts returns the workers whose heartbeats this core has received within a duration, sorted.
+func (t *workerTable) recentLocalContacts(now, within time.Duration) []*wirepb.Heard {
+	var recent []*wirepb.Heard
+	for instance, at := range t.localContacts {
+		if age := now - at; age < within+100*time.Millisecond {
+			recent = append(recent, &wirepb.Heard{InstanceId: instance, AgeMs: uint32(age / time.Millisecond)})
+		}
+	}
+	slices.SortFunc(recent, func(x, y *wirepb.Heard) int { return strings.Compare(x.InstanceId, y.InstanceId) })
+	return recent
+}
+
+// removeOld removes the workers without a heartbeat for workerContactRetention.
+func (t *workerTable) removeOld(now time.Duration) {
+	for instance, contact := range t.contacts {
+		if now-contact.at > workerContactRetention {
+			delete(t.contacts, instance)
+			delete(t.localContacts, instance)
+			delete(t.inconclusiveAt, instance)
+		}
+	}
+}
--- a/internal/serving/control/workers.go
+++ b/internal/serving/control/workers.go
@@ -1,8 +1,6 @@
 package control
 
 import (
-	"slices"
-	"strings"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -12,69 +10,18 @@
 )
 
 const (
-	slowStartTolerance = 200 * time.Millisecond
-	workerContactRetention  = 10 * time.Minute
+	slowStartTolerance     = 200 * time.Millisecond
+	workerContactRetention = 10 * time.Minute
 )
 
-// Heartbeat is what a worker says of itself.
+// Heartbeat is what a worker reports of itself.
 type Heartbeat struct {
 	Worker   *wirepb.Worker
-	Sequence uint64 // rises with each heartbeat of an incarnation
+	Sequence uint64 // increases with each heartbeat of an incarnation
 }
 
-// workerTable notes when each incarnation was last heard, and at which core.
-type workerTable struct {
-	contacts     map[string]workerContact   // anywhere
-	inconclusiveAt map[string]time.Duration // when a silence proved nothing, last
-	localContacts map[string]time.Duration // at this core
-}
-
-type workerContact struct {
-	at   time.Duration
-	core string // internal address; "": this one
-}
-
-func newWorkerTable() workerTable {
-	return workerTable{
-		contacts: map[string]workerContact{}, localContacts: map[string]time.Duration{},
-		inconclusiveAt: map[string]time.Duration{},
-	}
-}
-
-func (t *workerTable) observe(instance, core string, at time.Duration) {
-	if known, ok := t.contacts[instance]; !ok || at >= known.at {
-		t.contacts[instance] = workerContact{at: at, core: core}
-	}
-}
-
-func (t *workerTable) observeLocal(instance string, at time.Duration) {
-	t.observe(instance, "", at)
-	t.localContacts[instance] = at
-}
-
-func (t *workerTable) recentLocalContacts(now, within time.Duration) []*wirepb.Heard {
-	var recent []*wirepb.Heard
-	for instance, at := range t.localContacts {
-		if age := now - at; age < within+100*time.Millisecond {
-			recent = append(recent, &wirepb.Heard{InstanceId: instance, AgeMs: uint32(age / time.Millisecond)})
-		}
-	}
-	slices.SortFunc(recent, func(x, y *wirepb.Heard) int { return strings.Compare(x.InstanceId, y.InstanceId) })
-	return recent
-}
-
-func (t *workerTable) removeOld(now time.Duration) {
-	for instance, contact := range t.contacts {
-		if now-contact.at > workerContactRetention {
-			delete(t.contacts, instance)
-			delete(t.localContacts, instance)
-			delete(t.inconclusiveAt, instance)
-		}
-	}
-}
-
-// Heartbeat takes a worker's word. done is called once: with true where the worker may rely on it that all
-// cores know, or will know, what it has said.
+// Heartbeat handles a worker's heartbeat. done is called once: with true if the worker may rely on all cores
+// knowing, now or later, what it has reported.
 func (e *Engine) Heartbeat(heartbeat Heartbeat, done func(acknowledged bool)) {
 	now := e.advanceTime()
 	worker := heartbeat.Worker
@@ -97,7 +44,7 @@
 	e.commitDeparture(&wirepb.Departure{InstanceId: instance, Order: heartbeat.Sequence}, done)
 }
 
-// publishWorker tells the others where a heartbeat says something new.
+// publishWorker publishes a worker's record if the heartbeat differs from it.
 func (e *Engine) publishWorker(now time.Duration, heartbeat Heartbeat) {
 	worker := heartbeat.Worker
 	record := &wirepb.Record{
@@ -113,7 +60,7 @@
 	}
 }
 
-// sameWorker reports whether a heartbeat says nothing new.
+// unchanged reports whether a heartbeat agrees with the worker's record.
 func unchanged(now time.Duration, held *catalog.Entry, worker *wirepb.Worker) bool {
 	known := held.Record.GetWorker()
 	if held.Record.Deleted || known == nil {
@@ -128,7 +75,7 @@
 	return proto.Equal(compared, known)
 }
 
-// dropPredecessors drops earlier incarnations at a worker's address: it has been given to this one.
+// deletePredecessors deletes earlier incarnations at a worker's address, which now belongs to this one.
 func (e *Engine) deletePredecessors(worker *wirepb.Worker) {
 	var entries []*catalog.Entry
 	e.mirror.WithCatalog(func(_ time.Duration, held *catalog.Catalog) bool {
@@ -142,11 +89,7 @@
 	}
 }
 
-func (e *Engine) publishDeletion(record *wirepb.Record, order uint64) {
-	e.publish(&wirepb.Record{Key: record.Key, Order: order, Deleted: true, Value: record.Value})
-}
-
-// Deregister takes a worker out for good. done is called as for Heartbeat.
+// Deregister removes a worker for good. done is called as for Heartbeat.
 func (e *Engine) Deregister(instance string, done func(acknowledged bool)) {
 	e.advanceTime()
 	e.publishDeregistration(instance)
@@ -158,47 +101,10 @@
 	e.commitDeparture(&wirepb.Departure{InstanceId: instance, Order: catalog.Final, Final: true}, done)
 }
 
+// publishDeregistration publishes that a worker has deregistered.
 func (e *Engine) publishDeregistration(instance string) {
 	e.publish(&wirepb.Record{
 		Key: catalog.WorkerKey(instance), Order: catalog.Final, Deleted: true,
 		Value: &wirepb.Record_Worker{Worker: &wirepb.Worker{InstanceId: instance}},
 	})
 }
-
-// depart has the replicas agree on it that a worker leaves, so that whoever was told so can rely on it
-// whatever machines are lost.
-func (e *Engine) commitDeparture(departure *wirepb.Departure, done func(acknowledged bool)) {
-	command := &wirepb.Command{Change: &wirepb.Command_Departure{Departure: departure}}
-	e.Submit(command, func(reply *wirepb.CallReply) {
-		done(reply.Outcome == wirepb.Outcome_OUTCOME_TAKEN)
-	})
-}
-
-// applyDeparture makes the catalog agree with a committed departure. It mostly does so already.
-func (e *Engine) applyDeparture(departure *wirepb.Departure) {
-	held := e.mirror.Get(catalog.WorkerKey(departure.InstanceId))
-	if held == nil {
-		return // the table of departures is asked when the worker is told of again
-	}
-	if departure.Final {
-		if held.Record.Order < catalog.Final {
-			e.publishDeregistration(departure.InstanceId)
-		}
-		return
-	}
-	if held.Record.Deleted || held.Record.GetWorker().GetDraining() ||
-		held.Record.Order >= departure.Order {
-		return
-	}
-	record := proto.Clone(held.Record).(*wirepb.Record)
-	record.Order = departure.Order
-	record.GetWorker().Draining = true
-	record.GetWorker().ColdRemainingMs = int64(max(held.ColdUntil-e.now(), 0) / time.Millisecond)
-	e.publish(record)
-}
-
-func (e *Engine) applyDepartures() {
-	for _, departure := range e.machine.Departures() {
-		e.applyDeparture(departure)
-	}
-}
