--- a/internal/distribution/relay/relayd_test.go
+++ b/internal/distribution/relay/relayd_test.go
@@ -93,7 +93,7 @@
 // stateOf makes a state of a generation.
 func stateOf(t testing.TB, number uint64, gen int, members []ruleset.Member) *versioned.State {
 	t.Helper()
-	s, err := ruleset.Entries(&ruleset.Version{Number: number, Rules: generation(gen, members)})
+	s, err := ruleset.VersionToState(&ruleset.Version{Number: number, Rules: generation(gen, members)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,8 +112,8 @@
 			t.Fatal(err)
 		}
 		r, q, err := readCopy(path, "till")
-		if err != nil || r.Mark() != rules.Mark() || q.Mark() != p.Mark() {
-			t.Errorf("%v and %v came back as %v and %v: %v", rules.Mark(), p.Mark(), r.Mark(), q.Mark(), err)
+		if err != nil || r.ID() != rules.ID() || q.ID() != p.ID() {
+			t.Errorf("%v and %v came back as %v and %v: %v", rules.ID(), p.ID(), r.ID(), q.ID(), err)
 		}
 	}
 	if _, _, err := readCopy(path, "mill"); err == nil {
--- a/internal/supervisor/council_hard_test.go
+++ b/internal/supervisor/council_hard_test.go
@@ -190,7 +190,7 @@
 	began := time.Now()
 	h.propose(r)
 	x.rules = r
-	for s, ok := h.sitting(); !ok || s.Rules.Mark != raftlog.Mark(&r); s, ok = h.sitting() {
+	for s, ok := h.sitting(); !ok || s.Rules.Digest != raftlog.RulesDigest(&r); s, ok = h.sitting() {
 		if time.Since(began) > 20*time.Second {
 			log, _ := os.ReadFile(h.Log())
 			x.t.Fatalf("%s has not what it proposed in force: %+v\n%s", h.name, s, log)
@@ -219,7 +219,7 @@
 	capped := x.capped()
 	bare := map[string]bool{}         // sent by no version: under no ceiling, then
 	for i, e := range record.Events { // the names of the modes are the instances' own
-		if e.Kind == history.Sends && e.Mode == ruleset.Bare.String() {
+		if e.Kind == history.Sends && e.Mode == ruleset.ModeNoLease.String() {
 			bare[e.Txn+e.Worker] = true
 			if record.Events[i].Version = 0; capped[e.Txn] {
 				x.t.Errorf("%v: sent bare, under a ceiling", e)
@@ -229,11 +229,11 @@
 			record.Events[i].Version = 0
 		}
 		switch e.Mode {
-		case ruleset.Leased.String():
+		case ruleset.ModeLeased.String():
 			record.Events[i].Mode = history.Leased
-		case ruleset.CutOff.String():
+		case ruleset.ModeFallback.String():
 			record.Events[i].Mode = history.Fallback
-		case ruleset.Bare.String():
+		case ruleset.ModeNoLease.String():
 			record.Events[i].Mode = history.Bare
 		}
 	}
@@ -363,7 +363,7 @@
 // A side of one host keeps serving while the other two take the ceiling down, then up.
 func TestMinorityServes(t *testing.T) {
 	hard(t)
-	x := try(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.For = 4000 })
+	x := try(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 4000 })
 	x.loads(14 * time.Second)
 	rules := map[uint64]ruleset.Rules{1: x.rules}
 	few, many := x.hosts[2], x.hosts[:2]
@@ -373,7 +373,7 @@
 	t.Logf("down, with a host cut off: in force after %v", x.enforced(many[0], rules[2]))
 	x.until(2, 4, many...)
 	for _, i := range faultinject.Instances(few.run()) {
-		if f, ok := look(i); !ok || f.version != 1 || f.mode == int64(ruleset.Leased) {
+		if f, ok := look(i); !ok || f.version != 1 || f.mode == int64(ruleset.ModeLeased) {
 			t.Errorf("%s, cut off, goes by %+v", i.Name, f)
 		}
 	}
@@ -419,7 +419,7 @@
 		var other *host
 		faultinject.Until(t, 10*time.Second, "another leads", func() bool {
 			for _, o := range x.hosts {
-				if s, ok := o.sitting(); ok && o != h && s.Leader == s.Me {
+				if s, ok := o.sitting(); ok && o != h && s.LeaderName == s.HostName {
 					other = o
 				}
 			}
@@ -503,7 +503,8 @@
 		x.back(h)
 		t.Logf("%s: leased again after %v", how, x.until(int64(n), 3, x.hosts...))
 		s, ok := h.sitting()
-		if !ok || how == faultinject.Old && s.Aside["old"] != 1 || how == faultinject.Torn && s.Aside["torn"] != 1 {
+		if !ok || how == faultinject.Old && s.MovedAside["old"] != 1 || how == faultinject.Torn &&
+			s.MovedAside["torn"] != 1 {
 			t.Errorf("%s: %+v", how, s)
 		}
 	}
@@ -513,7 +514,7 @@
 // Three of five hosts are lost, then back: the two go by the fallback and then bare.
 func TestThreeOfFiveHosts(t *testing.T) {
 	hard(t)
-	x := try(t, 5, 1, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+	x := try(t, 5, 1, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 1000 })
 	x.loads(9 * time.Second)
 	rules := map[uint64]ruleset.Rules{1: x.rules}
 	for _, h := range x.hosts[:3] {
@@ -528,14 +529,14 @@
 	faultinject.Until(t, 8*time.Second, "two are bare", func() bool {
 		for _, h := range x.hosts[3:] {
 			for _, i := range faultinject.Instances(h.run()) {
-				if f, ok := look(i); !ok || f.mode != int64(ruleset.Bare) {
+				if f, ok := look(i); !ok || f.mode != int64(ruleset.ModeNoLease) {
 					return false
 				}
 			}
 		}
 		return true
 	})
-	if s, ok := x.hosts[3].sitting(); !ok || s.State != "no leader" || len(s.Rules.CutOff) != 1 {
+	if s, ok := x.hosts[3].sitting(); !ok || s.State != "no leader" || len(s.Rules.CutOffInstances) != 1 {
 		t.Errorf("%+v", s)
 	}
 	for _, h := range x.hosts[:3] {
@@ -559,12 +560,12 @@
 		if round > 10 {
 			t.Fatal("never two at once")
 		}
-		heard := func(h *host) []raftlog.Heard {
+		heard := func(h *host) []raftlog.ProposalOutcome {
 			s, _ := h.sitting()
-			return s.Rules.Outcomes
+			return s.Rules.ProposalOutcomes
 		}
 		before := [2]int{len(heard(x.hosts[1])), len(heard(x.hosts[2]))}
-		var answers [2]raftlog.Heard
+		var answers [2]raftlog.ProposalOutcome
 		for i, h := range x.hosts[1:] {
 			f := 1 - 0.02*float64(2*round+i)
 			h.propose(x.ceilings(ceiling*f, depth*f))
@@ -581,13 +582,13 @@
 		})
 		for i, a := range answers {
 			f := 1 - 0.02*float64(2*round+i)
-			if a.Refused == "" {
-				rules[a.Number], last = x.ceilings(ceiling*f, depth*f), max(last, a.Number)
+			if a.Rejection == "" {
+				rules[a.Version], last = x.ceilings(ceiling*f, depth*f), max(last, a.Version)
 			}
 		}
 		x.until(int64(last), 3, x.hosts...)
-		if a, b := answers[0], answers[1]; a.Base == b.Base {
-			if (a.Refused == "") == (b.Refused == "") || !strings.HasPrefix(a.Refused+b.Refused, "base: ") {
+		if a, b := answers[0], answers[1]; a.BaseVersion == b.BaseVersion {
+			if (a.Rejection == "") == (b.Rejection == "") || !strings.HasPrefix(a.Rejection+b.Rejection, "base: ") {
 				t.Errorf("%+v and %+v", a, b)
 			}
 			break
@@ -704,7 +705,7 @@
 // for it.
 func TestOlderProgram(t *testing.T) {
 	hard(t)
-	x := ready(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.For = 2000 })
+	x := ready(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 2000 })
 	h := x.hosts[2]
 	at, on := older(t, h.control)
 	script := filepath.Join(h.dir, "older")
@@ -729,13 +730,13 @@
 	faultinject.Until(t, 10*time.Second, "the older one is cut off, and says why", func() bool {
 		f, ok := look(old)
 		n, _ := faultinject.Figure(old.Control, "svc.rules.refused")
-		return ok && f.mode != int64(ruleset.Leased) && n > 0
+		return ok && f.mode != int64(ruleset.ModeLeased) && n > 0
 	})
 	rules[2] = x.ceilings(ceiling/4, depth/4)
 	took := x.enforced(x.hosts[0], rules[2])
 	x.until(2, 2, x.hosts[:2]...)
 	t.Logf("with an older one that can't go by it: in force after %v", took)
-	if f, ok := look(old); !ok || f.version != 1 || f.mode == int64(ruleset.Leased) {
+	if f, ok := look(old); !ok || f.version != 1 || f.mode == int64(ruleset.ModeLeased) {
 		t.Errorf("the older one goes by %+v", f)
 	}
 	on.Store(false) // replaced by a newer program
@@ -747,7 +748,7 @@
 // others go on; with room again it is back by itself.
 func TestFullHost(t *testing.T) {
 	hard(t)
-	x := try(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+	x := try(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 1000 })
 	x.loads(8 * time.Second)
 	rules := map[uint64]ruleset.Rules{1: x.rules}
 	h := x.leader()
@@ -759,13 +760,14 @@
 	big := &ruleset.Rules{}
 	*big = x.rules
 	for i := range 2000 { // more than its store has room for
-		big.Words = append(big.Words, ruleset.Word{Worker: fmt.Sprintf("%0100d", i), Weight: 1})
+		big.WorkerOverrides = append(big.WorkerOverrides, ruleset.WorkerOverride{Worker: fmt.Sprintf("%0100d", i),
+			Weight: 1})
 	}
 	rules[2] = *big
 	x.enforced(others[0], *big)
 	faultinject.Until(t, 10*time.Second, "it is mute", func() bool {
 		s, ok := h.sitting()
-		return ok && s.State == "mute" && strings.Contains(s.Why, "too large")
+		return ok && s.State == "mute" && strings.Contains(s.Reason, "too large")
 	})
 	began := time.Now()
 	x.until(2, 2, others...)
@@ -774,7 +776,7 @@
 	own := faultinject.Instances(h.run())[0]
 	faultinject.Until(t, 5*time.Second, "its instance is cut off", func() bool {
 		f, ok := look(own)
-		return ok && f.mode != int64(ruleset.Leased)
+		return ok && f.mode != int64(ruleset.ModeLeased)
 	})
 	rules[3] = x.ceilings(ceiling/2, depth/2)
 	x.enforced(others[1], rules[3])
@@ -797,7 +799,7 @@
 }
 
 func drawn(t *testing.T, seed int64) {
-	x := try(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+	x := try(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 1000 })
 	const span = 20000
 	x.loads(span * time.Millisecond)
 	rig := &faultinject.Rig{
@@ -857,7 +859,8 @@
 		last = 0
 		for _, h := range x.hosts {
 			s, ok := h.sitting()
-			if !ok || s.Rules.Pending > 0 || s.Rules.Wanted != "" || last > 0 && s.Rules.Version != last {
+			if !ok || s.Rules.PendingVersion > 0 || s.Rules.WantedProposal != "" || last > 0 &&
+				s.Rules.Version != last {
 				return false
 			}
 			last = s.Rules.Version
@@ -896,7 +899,7 @@
 	}
 	for _, e := range record.Events {
 		for _, r := range wanted {
-			if e.Kind == history.Taken && e.Says == "" && e.Mark == raftlog.Mark(&r) {
+			if e.Kind == history.Taken && e.Says == "" && e.Mark == raftlog.RulesDigest(&r) {
 				rules[e.Version] = r
 			}
 		}
@@ -918,7 +921,7 @@
 			calm := func() { // eight that may be fallen back to are as many as the council lets come together
 				faultinject.Until(t, 10*time.Second, "no version before may be gone by", func() bool {
 					s, ok := a.hosts[0].sitting()
-					return ok && len(s.Rules.Held) == 0
+					return ok && len(s.Rules.HeldVersions) == 0
 				})
 			}
 			for i := range 6 {
