--- a/internal/serving/control/engine.go
+++ b/internal/serving/control/engine.go
@@ -16,12 +16,12 @@
 
 // Intervals and durations of an engine.
 const (
-	TickInterval     = 25 * time.Millisecond
-	presenceInterval = 500 * time.Millisecond
-	expiryInterval   = 500 * time.Millisecond
-	settlingTime     = 5 * time.Second        // after which each worker has had time for several heartbeats
-	stallThreshold   = 500 * time.Millisecond // between ticks, after which the process counts as just started
-	tickGapRetention = time.Second            // callers do not wait longer for a reply
+	TickInterval      = 25 * time.Millisecond
+	presenceInterval  = 500 * time.Millisecond
+	expiryInterval    = 500 * time.Millisecond
+	stabilizationTime = 5 * time.Second        // after which each worker has had time for several heartbeats
+	stallThreshold    = 500 * time.Millisecond // between ticks, after which the process counts as just started
+	tickGapRetention  = time.Second            // callers do not wait longer for a reply
 )
 
 // Log sizes, in bytes, after which a snapshot is taken.
--- a/internal/serving/control/expiry.go
+++ b/internal/serving/control/expiry.go
@@ -24,7 +24,7 @@
 		held.Expire(now)
 		return false
 	})
-	if !e.node.IsEstablishedLeader() || !e.settled() {
+	if !e.node.IsEstablishedLeader() || !e.stabilized() {
 		return
 	}
 	e.expireWorkers(now)
--- a/internal/serving/control/scenarios_test.go
+++ b/internal/serving/control/scenarios_test.go
@@ -119,7 +119,7 @@
 			worker.drainAt = time.Hour
 			worker.core = partitioned.host
 		}
-		w.run(settlingTime)
+		w.run(stabilizationTime)
 		w.partitionMachine(partitionWithEdges, partitioned, w.now+20*time.Second)
 		w.run(19 * time.Second)
 		for _, worker := range w.clients.workers {
@@ -140,7 +140,7 @@
 	t.Parallel()
 	w := startWorld(1, shape{cores: 3, tolerated: 1, edges: 1})
 	names := []string{"first", "second", "third", "last"}
-	w.run(settlingTime)
+	w.run(stabilizationTime)
 	e := w.leader().process.engine
 	for i, name := range names {
 		address := fmt.Sprintf("10.8.0.%d:80", i+1)
@@ -181,7 +181,7 @@
 		worker.drainAt = time.Hour
 		worker.number = 0 // all in that zone
 	}
-	w.run(settlingTime + 5*simHeartbeat)
+	w.run(stabilizationTime + 5*simHeartbeat)
 	held := w.leader().process.engine.mirror.Get(catalog.WorkerKey("silent"))
 	if held == nil || !held.Record.Deleted {
 		t.Error("a worker without heartbeats at any core is kept")
--- a/internal/serving/control/tick.go
+++ b/internal/serving/control/tick.go
@@ -11,7 +11,7 @@
 	now := e.advanceTime()
 	e.lastTick = now
 	if e.node.InSync() {
-		e.mirror.Touch(e.settled())
+		e.mirror.Touch(e.stabilized())
 	}
 	e.logLeaderChange()
 	e.retryRequests()
@@ -19,7 +19,7 @@
 	if now >= e.nextPresenceAt {
 		e.nextPresenceAt = now + presenceInterval
 		e.broadcastPresence()
-		e.origins.publish(now, e.node.InSync() && e.settled())
+		e.origins.publish(now, e.node.InSync() && e.stabilized())
 	}
 	if now >= e.nextExpiryAt {
 		e.nextExpiryAt = now + expiryInterval
@@ -51,9 +51,9 @@
 	}
 }
 
-// settled reports whether this core has run without a stall for long enough to have received from all live
+// stabilized reports whether this core has run without a stall for long enough to have received from all live
 // cores and workers.
-func (e *Engine) settled() bool { return e.now()-e.runningSince > settlingTime }
+func (e *Engine) stabilized() bool { return e.now()-e.runningSince > stabilizationTime }
 
 // logLeaderChange logs a new leader.
 func (e *Engine) logLeaderChange() {
