--- a/internal/serving/control/departures.go
+++ b/internal/serving/control/departures.go
@@ -24,7 +24,7 @@
 		return // the departure is applied when a record of the worker is merged
 	}
 	if departure.Final {
-		if held.Record.Order < catalog.Final {
+		if held.Record.Order < catalog.FinalOrder {
 			e.publishDeregistration(departure.InstanceId)
 		}
 		return
@@ -36,7 +36,7 @@
 	record := proto.Clone(held.Record).(*wirepb.Record)
 	record.Order = departure.Order
 	record.GetWorker().Draining = true
-	record.GetWorker().ColdRemainingMs = int64(max(held.ColdUntil-e.now(), 0) / time.Millisecond)
+	record.GetWorker().ColdRemainingMs = int64(max(held.WarmingUntil-e.now(), 0) / time.Millisecond)
 	e.publish(record)
 }
 
--- a/internal/serving/control/engine.go
+++ b/internal/serving/control/engine.go
@@ -71,7 +71,7 @@
 	logger         *zap.Logger
 	node           *consensus.Node
 	machine        *statemachine.Machine
-	mirror         *stateview.Mirror
+	mirror         *stateview.Store
 	requests       requestTable
 	leaderRequests leaderRequestTable
 	workers        workerTable
@@ -117,7 +117,7 @@
 func (e *Engine) now() time.Duration { return e.options.Clock() }
 
 // Mirror returns the view of the core's state that watches are served from. It is safe for concurrent use.
-func (e *Engine) Mirror() *stateview.Mirror { return e.mirror }
+func (e *Engine) Mirror() *stateview.Store { return e.mirror }
 
 // SetSeeds replaces the hosts of cores that the settings name.
 func (e *Engine) SetSeeds(hosts []string) { e.options.Seeds = hosts }
--- a/internal/serving/control/expiry.go
+++ b/internal/serving/control/expiry.go
@@ -21,23 +21,23 @@
 	now := e.now()
 	e.workers.removeOld(now)
 	e.mirror.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
-		held.Expire(now)
+		held.ExpireTombstones(now)
 		return false
 	})
 	if !e.node.IsEstablishedLeader() || !e.stabilized() {
 		return
 	}
 	e.expireWorkers(now)
-	for _, entry := range e.mirror.Of(catalog.Edges) {
+	for _, entry := range e.mirror.EntriesOf(catalog.Edges) {
 		edge := entry.Record.GetEdge()
-		if !entry.Record.Deleted && !edge.GetLinked() && now-entry.Merged > unlinkedEdgeRetention {
+		if !entry.Record.Deleted && !edge.GetLinked() && now-entry.ReceivedAt > unlinkedEdgeRetention {
 			e.publishDeletion(entry.Record, entry.Record.Order)
 		}
 	}
-	for _, entry := range e.mirror.Of(catalog.Cores) {
+	for _, entry := range e.mirror.EntriesOf(catalog.Cores) {
 		core := entry.Record.GetCore()
 		if entry.Record.Deleted || core.GetReplica() == e.options.Identity ||
-			now-entry.Merged <= silentCoreRetention {
+			now-entry.ReceivedAt <= silentCoreRetention {
 			continue
 		}
 		lastContact, known := e.coreContacts[core.GetAddress()]
@@ -61,7 +61,7 @@
 	limit := time.Duration(missedHeartbeats * float64(e.options.WorkerHeartbeatInterval))
 	zones := map[string]*zoneCounts{}
 	var silent []*catalog.Entry
-	for _, entry := range e.mirror.Of(catalog.Workers) {
+	for _, entry := range e.mirror.EntriesOf(catalog.Workers) {
 		if entry.Record.Deleted {
 			continue
 		}
@@ -90,7 +90,7 @@
 
 // lastWorkerContact returns when a worker's last heartbeat came to any core, or its record was merged.
 func (e *Engine) lastWorkerContact(entry *catalog.Entry) time.Duration {
-	return max(e.workers.contacts[entry.Record.GetWorker().GetInstanceId()].at, entry.Merged)
+	return max(e.workers.contacts[entry.Record.GetWorker().GetInstanceId()].at, entry.ReceivedAt)
 }
 
 // lastSeenBySilentCore reports whether the core that received a worker's last heartbeat is silent.
--- a/internal/serving/control/workers.go
+++ b/internal/serving/control/workers.go
@@ -66,8 +66,9 @@
 	if held.Record.Deleted || known == nil {
 		return false
 	}
-	slowStartUntil := now + time.Duration(worker.ColdRemainingMs)*time.Millisecond
-	if difference := max(slowStartUntil, now) - max(held.ColdUntil, now); difference.Abs() > slowStartTolerance {
+	warmingUntil := now + time.Duration(worker.ColdRemainingMs)*time.Millisecond
+	difference := max(warmingUntil, now) - max(held.WarmingUntil, now)
+	if difference.Abs() > slowStartTolerance {
 		return false
 	}
 	compared := proto.Clone(worker).(*wirepb.Worker)
@@ -79,12 +80,12 @@
 func (e *Engine) deletePredecessors(worker *wirepb.Worker) {
 	var entries []*catalog.Entry
 	e.mirror.WithCatalog(func(_ time.Duration, held *catalog.Catalog) bool {
-		entries = held.AtAddress(worker.Address)
+		entries = held.WorkersAtAddress(worker.Address)
 		return false
 	})
 	for _, entry := range entries {
 		if entry.Record.GetWorker().InstanceId != worker.InstanceId {
-			e.publishDeletion(entry.Record, catalog.Final)
+			e.publishDeletion(entry.Record, catalog.FinalOrder)
 		}
 	}
 }
@@ -98,13 +99,13 @@
 		done(true)
 		return
 	}
-	e.commitDeparture(&wirepb.Departure{InstanceId: instance, Order: catalog.Final, Final: true}, done)
+	e.commitDeparture(&wirepb.Departure{InstanceId: instance, Order: catalog.FinalOrder, Final: true}, done)
 }
 
 // publishDeregistration publishes that a worker has deregistered.
 func (e *Engine) publishDeregistration(instance string) {
 	e.publish(&wirepb.Record{
-		Key: catalog.WorkerKey(instance), Order: catalog.Final, Deleted: true,
+		Key: catalog.WorkerKey(instance), Order: catalog.FinalOrder, Deleted: true,
 		Value: &wirepb.Record_Worker{Worker: &wirepb.Worker{InstanceId: instance}},
 	})
 }
--- a/internal/serving/edge/job.go
+++ b/internal/serving/edge/job.go
@@ -113,7 +113,7 @@
 		if !ok {
 			return nil, &refusalError{http.StatusServiceUnavailable, wait}
 		}
-		if chosen.PathInDoubt && !j.route.Repeatable() {
+		if chosen.PathInDoubt && !j.route.IsIdempotent() {
 			j.end(&attempt{worker: chosen}, false)
 			return nil, &refusalError{http.StatusServiceUnavailable, noPathWait}
 		}
@@ -133,7 +133,7 @@
 		}
 		if !errors.Is(err, errNotExecuted) {
 			j.unknown = true
-			if !j.route.Repeatable() {
+			if !j.route.IsIdempotent() {
 				return nil, err
 			}
 		}
@@ -198,7 +198,7 @@
 // watch has the worker's life watched for as long as it has the request.
 func (j *job) watch(a *attempt, probeTimeout time.Duration) {
 	var interrupt func()
-	if j.route.Repeatable() {
+	if j.route.IsIdempotent() {
 		interrupt = func() { a.connection.Close() }
 	}
 	j.edge.liveness.begin(a, probeTimeout, interrupt)
@@ -250,7 +250,7 @@
 func (j *job) fail(a *attempt, ctx context.Context) {
 	if ctx.Err() == nil && time.Now().Before(j.deadline) {
 		j.edge.decide.failed(j.edge.now(), a.worker.Instance)
-		j.edge.pool.Drop(a.worker.Address)
+		j.edge.pool.CloseIdle(a.worker.Address)
 		if a.connection != nil {
 			j.edge.tellBroken(a.worker)
 		}
--- a/internal/supervisor/branch_test.go
+++ b/internal/supervisor/branch_test.go
@@ -229,7 +229,7 @@
 	})
 	t.Logf("a daemon killed and started with a torn copy: its instances hold the last after %v",
 		time.Since(began))
-	if s.Copies.Aside != 1 || s.Counts.Wholes != 1 {
+	if s.Copies.Aside != 1 || s.Counts.FullStates != 1 {
 		t.Errorf("the torn copy is not set aside: %+v", s)
 	}
 	x.until(3, 3, x.low...)
@@ -427,17 +427,17 @@
 	mu     sync.Mutex
 	source *distribution.Source
 	seen   uint64
-	last   distribution.Ask
+	last   distribution.Request
 }
 
-func (u *upper) answer(a *distribution.Ask) (*distribution.Answer, error) {
+func (u *upper) answer(a *distribution.Request) (*distribution.Response, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.last = *a
-	for _, h := range a.Seen {
+	for _, h := range a.HostSteps {
 		u.seen = max(u.seen, h.Step)
 	}
-	return u.source.Answer(a, raftlog.BootClockMillis())
+	return u.source.Respond(a, raftlog.BootClockMillis())
 }
 
 // says has it say that rules are in force as of now, every now and then until the test's end.
@@ -449,7 +449,8 @@
 	go func() {
 		for t.Context().Err() == nil {
 			u.mu.Lock()
-			u.source.Offer(distribution.View{Step: step, Begun: raftlog.BootClockMillis(), Rules: rules, Index: -1})
+			u.source.Publish(distribution.Snapshot{Step: step, ReadStartMillis: raftlog.BootClockMillis(), Rules: rules,
+				DiscoveryIndex: -1})
 			u.mu.Unlock()
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -466,7 +467,7 @@
 // nothing yet; one that was there before the daemon counts as holding nothing until it says what. With no
 // process it says what it would tell the first. The interest it asks with is its members', and theirs around.
 func TestBranchSays(t *testing.T) {
-	u := &upper{source: distribution.NewSource("r", "till", distribution.Bounds{})}
+	u := &upper{source: distribution.NewSource("r", "till", distribution.SourceConfig{})}
 	s := httptest.NewServer(relay.NewHandler(u.answer))
 	defer s.Close()
 	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
@@ -510,7 +511,8 @@
 	faultinject.Until(t, 3*time.Second, "step 6 is not said to be seen", func() bool { return u.told() == 6 })
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.last.Interest != (ruleset.Interest{Host: "l0", Around: distribution.Around}) || u.last.From != "l0" {
+	if u.last.Interest != (ruleset.Interest{Host: "l0", Around: distribution.RingRadius}) ||
+		u.last.Sender != "l0" {
 		t.Errorf("it asks %+v", u.last)
 	}
 	if n := b.HighestDiscoveryIndex(); n != 78 {
@@ -522,7 +524,7 @@
 // make no sense, or that this program does not know, leave instances as they are; the latter are passed on
 // whole.
 func TestBranchTakes(t *testing.T) {
-	u := &upper{source: distribution.NewSource("r", "till", distribution.Bounds{})}
+	u := &upper{source: distribution.NewSource("r", "till", distribution.SourceConfig{})}
 	s := httptest.NewServer(relay.NewHandler(u.answer))
 	defer s.Close()
 	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
@@ -542,7 +544,7 @@
 	offer := func(step uint64, begun float64, x *versioned.State) {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		u.source.Offer(distribution.View{Step: step, Begun: begun, Rules: x, Index: -1})
+		u.source.Publish(distribution.Snapshot{Step: step, ReadStartMillis: begun, Rules: x, DiscoveryIndex: -1})
 	}
 	first := state(1, func(*ruleset.Rules) {})
 	offer(1, raftlog.BootClockMillis()-50, first)
@@ -601,9 +603,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	some := ruleset.Select(whole, ruleset.Interest{Host: "l0", Around: distribution.Around})
-	sent, err := (&distribution.Answer{Form: distribution.Form, Rules: some.ID(),
-		RulesDelta: versioned.FullDelta(some)}).Bytes()
+	some := ruleset.Select(whole, ruleset.Interest{Host: "l0", Around: distribution.RingRadius})
+	sent, err := (&distribution.Response{FormatVersion: distribution.FormatVersion, Rules: some.ID(),
+		RulesDelta: versioned.FullDelta(some)}).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -630,7 +632,7 @@
 				known++
 			}
 		}
-		if g.Charter.Gatekeepers != n || g.Charter.Me != i || known != own+2*distribution.Around ||
+		if g.Charter.Gatekeepers != n || g.Charter.Me != i || known != own+2*distribution.RingRadius ||
 			in.Listen != fmt.Sprintf("127.0.0.10:%d", 2002+i) {
 			t.Errorf("place %d of %d at %s, %d known", g.Charter.Me, g.Charter.Gatekeepers, in.Listen, known)
 		}
