--- a/internal/serving/control/catalog.go
+++ b/internal/serving/control/catalog.go
@@ -10,7 +10,7 @@
 // handleCatalog merges records of another core. Records of workers with a committed departure are corrected.
 func (e *Engine) handleCatalog(batch *wirepb.CatalogBatch) {
 	var changed []*catalog.Entry
-	e.mirror.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
+	e.stateView.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
 		changed = held.Merge(now, batch.Records, batch.Vector)
 		return len(changed) > 0
 	})
@@ -25,7 +25,7 @@
 // the catalog has a newer one.
 func (e *Engine) publish(record *wirepb.Record) bool {
 	var published *wirepb.Record
-	e.mirror.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
+	e.stateView.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
 		published = held.Publish(now, record)
 		return published != nil
 	})
--- a/internal/serving/control/departures.go
+++ b/internal/serving/control/departures.go
@@ -19,7 +19,7 @@
 
 // applyDeparture updates the catalog by a committed departure, if it does not agree already.
 func (e *Engine) applyDeparture(departure *wirepb.Departure) {
-	held := e.mirror.Get(catalog.WorkerKey(departure.InstanceId))
+	held := e.stateView.Get(catalog.WorkerKey(departure.InstanceId))
 	if held == nil {
 		return // the departure is applied when a record of the worker is merged
 	}
--- a/internal/serving/control/engine.go
+++ b/internal/serving/control/engine.go
@@ -63,15 +63,15 @@
 	SavedWorkers            []byte // as an earlier incarnation passed it to Environment.SaveWorkers
 }
 
-// Engine is one core. All methods are called on one goroutine, except Mirror, OriginSilent and the methods of
-// the mirror, which are safe for concurrent use.
+// Engine is one core. All methods are called on one goroutine, except StateView and OriginSilent, which are
+// safe for concurrent use.
 type Engine struct {
 	options        Options
 	environment    Environment
 	logger         *zap.Logger
 	node           *consensus.Node
 	machine        *statemachine.Machine
-	mirror         *stateview.Store
+	stateView      *stateview.Store
 	requests       requestTable
 	leaderRequests leaderRequestTable
 	workers        workerTable
@@ -102,7 +102,7 @@
 		coreContacts: map[string]time.Duration{}, origins: newOriginTable(),
 		lastTick: options.Clock(), runningSince: options.Clock(),
 	}
-	e.mirror = stateview.New(options.Incarnation, options.Clock)
+	e.stateView = stateview.New(options.Incarnation, options.Clock)
 	if err := e.machine.Restore(stored.Snapshot.GetData()); err != nil {
 		return nil, errors.Wrap(err, "cannot read the snapshot: empty data_dir, so that the replica joins anew")
 	}
@@ -116,8 +116,8 @@
 // now returns the time since the start of the process.
 func (e *Engine) now() time.Duration { return e.options.Clock() }
 
-// Mirror returns the view of the core's state that watches are served from. It is safe for concurrent use.
-func (e *Engine) Mirror() *stateview.Store { return e.mirror }
+// StateView returns the view of the core's state that watches are served from. It is safe for concurrent use.
+func (e *Engine) StateView() *stateview.Store { return e.stateView }
 
 // SetSeeds replaces the hosts of cores that the settings name.
 func (e *Engine) SetSeeds(hosts []string) { e.options.Seeds = hosts }
--- a/internal/serving/control/expiry.go
+++ b/internal/serving/control/expiry.go
@@ -20,7 +20,7 @@
 func (e *Engine) expireRecords() {
 	now := e.now()
 	e.workers.removeOld(now)
-	e.mirror.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
+	e.stateView.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
 		held.ExpireTombstones(now)
 		return false
 	})
@@ -28,13 +28,13 @@
 		return
 	}
 	e.expireWorkers(now)
-	for _, entry := range e.mirror.EntriesOf(catalog.Edges) {
+	for _, entry := range e.stateView.EntriesOf(catalog.Edges) {
 		edge := entry.Record.GetEdge()
 		if !entry.Record.Deleted && !edge.GetLinked() && now-entry.ReceivedAt > unlinkedEdgeRetention {
 			e.publishDeletion(entry.Record, entry.Record.Order)
 		}
 	}
-	for _, entry := range e.mirror.EntriesOf(catalog.Cores) {
+	for _, entry := range e.stateView.EntriesOf(catalog.Cores) {
 		core := entry.Record.GetCore()
 		if entry.Record.Deleted || core.GetReplica() == e.options.Identity ||
 			now-entry.ReceivedAt <= silentCoreRetention {
@@ -61,7 +61,7 @@
 	limit := time.Duration(missedHeartbeats * float64(e.options.WorkerHeartbeatInterval))
 	zones := map[string]*zoneCounts{}
 	var silent []*catalog.Entry
-	for _, entry := range e.mirror.EntriesOf(catalog.Workers) {
+	for _, entry := range e.stateView.EntriesOf(catalog.Workers) {
 		if entry.Record.Deleted {
 			continue
 		}
--- a/internal/serving/control/golden_test.go
+++ b/internal/serving/control/golden_test.go
@@ -82,7 +82,7 @@
 func TestGoldenWorkers(t *testing.T) {
 	e, _ := goldenEngine(t, goldenFile(t, goldenWorkers))
 	held := map[string]*wirepb.Record{}
-	for _, entry := range e.Mirror().Snapshot().Entries {
+	for _, entry := range e.StateView().Snapshot().Entries {
 		held[entry.Record.Key] = entry.Record
 	}
 	keys := []string{"w-1", "w-2", "w-3", "w-draining", "w-gone", "w-unconfirmed"}
--- a/internal/serving/control/links.go
+++ b/internal/serving/control/links.go
@@ -18,7 +18,7 @@
 	for _, host := range e.options.Seeds {
 		wanted[e.options.AddressOf(host)] = true
 	}
-	for _, entry := range e.mirror.EntriesOf(catalog.Cores) {
+	for _, entry := range e.stateView.EntriesOf(catalog.Cores) {
 		if !entry.Record.Deleted {
 			wanted[entry.Record.GetCore().GetAddress()] = true
 		}
--- a/internal/serving/control/presence.go
+++ b/internal/serving/control/presence.go
@@ -19,7 +19,7 @@
 	e.publishSelf()
 	presence := &wirepb.Presence{
 		Node:   e.selfRecord(),
-		Vector: e.mirror.Position().Vector,
+		Vector: e.stateView.Position().Vector,
 		Heard:  e.workers.recentLocalContacts(e.now(), presenceInterval),
 		Life:   e.options.Incarnation,
 	}
@@ -39,7 +39,7 @@
 	record := &wirepb.Record{
 		Key: catalog.CoreKey(e.options.Identity), Order: 1, Value: &wirepb.Record_Core{Core: own},
 	}
-	if held := e.mirror.Get(record.Key); held != nil {
+	if held := e.stateView.Get(record.Key); held != nil {
 		if !held.Record.Deleted && proto.Equal(held.Record.GetCore(), own) {
 			return
 		}
@@ -61,7 +61,7 @@
 	}
 	var missing []*wirepb.Record
 	var vector *wirepb.VersionVector
-	e.mirror.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
+	e.stateView.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
 		missing = held.Since(now, presence.Vector)
 		vector = held.Vector()
 		return false
--- a/internal/serving/control/replication.go
+++ b/internal/serving/control/replication.go
@@ -87,9 +87,9 @@
 	e.completeCommand(result)
 }
 
-// publishCommitted publishes the committed state to the mirror.
+// publishCommitted publishes the committed state to the state view.
 func (e *Engine) publishCommitted() {
-	e.mirror.SetCommitted(e.node.Applied(), e.machine.Document(), e.machine.Evacuated())
+	e.stateView.SetCommitted(e.node.Applied(), e.machine.Document(), e.machine.Evacuated())
 }
 
 // compact takes a snapshot if the log or the segment has become large.
--- a/internal/serving/control/saved_workers.go
+++ b/internal/serving/control/saved_workers.go
@@ -31,7 +31,7 @@
 		return
 	}
 	uncommitted := e.uncommittedDepartures()
-	e.mirror.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
+	e.stateView.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
 		for _, record := range batch.Records {
 			if uncommitted[record.GetWorker().GetInstanceId()] || e.applySavedDeparture(record) {
 				continue
@@ -74,14 +74,14 @@
 		return
 	}
 	sum := uint64(0)
-	for _, sequence := range e.mirror.Position().Vector.GetSequences() {
+	for _, sequence := range e.stateView.Position().Vector.GetSequences() {
 		sum += sequence
 	}
 	if sum == e.savedWorkers.sequence {
 		return
 	}
 	var batch wirepb.CatalogBatch
-	e.mirror.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
+	e.stateView.WithCatalog(func(now time.Duration, held *catalog.Catalog) bool {
 		for _, record := range held.Since(now, &wirepb.VersionVector{}) {
 			if record.GetWorker() != nil {
 				batch.Records = append(batch.Records, record)
--- a/internal/serving/control/saved_workers_test.go
+++ b/internal/serving/control/saved_workers_test.go
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	restored := map[string]bool{}
-	for _, entry := range e.Mirror().EntriesOf(catalog.Workers) {
+	for _, entry := range e.StateView().EntriesOf(catalog.Workers) {
 		if worker := entry.Record.GetWorker(); !entry.Record.Deleted {
 			restored[worker.InstanceId] = worker.Draining
 		}
--- a/internal/serving/control/scenarios_test.go
+++ b/internal/serving/control/scenarios_test.go
@@ -124,7 +124,7 @@
 		w.run(19 * time.Second)
 		for _, worker := range w.clients.workers {
 			for _, m := range w.machines[:2] {
-				held := m.process.engine.mirror.Get(catalog.WorkerKey(worker.name()))
+				held := m.process.engine.stateView.Get(catalog.WorkerKey(worker.name()))
 				if held == nil || held.Record.Deleted {
 					t.Errorf("seed %d: %s does not know %s any more", seed, m.host, worker.name())
 				}
@@ -147,7 +147,7 @@
 		worker := &wirepb.Worker{InstanceId: name, Service: "s", Address: address, Zone: "cut off"}
 		e.Heartbeat(Heartbeat{Worker: worker, Sequence: 1}, func(bool) {})
 	}
-	dropped := func(name string) bool { return e.mirror.Get(catalog.WorkerKey(name)).Record.Deleted }
+	dropped := func(name string) bool { return e.stateView.Get(catalog.WorkerKey(name)).Record.Deleted }
 	limit := time.Duration(missedHeartbeats * float64(e.options.WorkerHeartbeatInterval))
 	now := e.now() + 2*limit
 	e.expireWorkers(now)
@@ -182,7 +182,7 @@
 		worker.number = 0 // all in that zone
 	}
 	w.run(stabilizationTime + 5*simHeartbeat)
-	held := w.leader().process.engine.mirror.Get(catalog.WorkerKey("silent"))
+	held := w.leader().process.engine.stateView.Get(catalog.WorkerKey("silent"))
 	if held == nil || !held.Record.Deleted {
 		t.Error("a worker without heartbeats at any core is kept")
 	}
--- a/internal/serving/control/sim_edges_test.go
+++ b/internal/serving/control/sim_edges_test.go
@@ -21,7 +21,7 @@
 type simEdge struct {
 	world           *world
 	name            string
-	mirror          *stateview.Store
+	stateView       *stateview.Store
 	started         time.Duration
 	downUntil       time.Duration
 	core            *machine
@@ -43,7 +43,7 @@
 func (e *simEdge) restart(down time.Duration) {
 	e.downUntil = e.world.now + down
 	e.started = e.downUntil
-	e.mirror = stateview.New("", func() time.Duration { return e.world.now - e.started })
+	e.stateView = stateview.New("", func() time.Duration { return e.world.now - e.started })
 	e.core = nil
 	e.generation = 0
 }
@@ -98,15 +98,15 @@
 
 // pull applies the updates that the edge lacks.
 func (e *simEdge) pull() {
-	update, _ := e.core.process.engine.Mirror().UpdateSince(e.mirror.Position())
-	e.mirror.Apply(update)
+	update, _ := e.core.process.engine.StateView().UpdateSince(e.stateView.Position())
+	e.stateView.Apply(update)
 }
 
 // check checks that versions never decrease in one incarnation, and that an edge in sync has what was
 // acknowledged.
 func (e *simEdge) check() {
 	w := e.world
-	view := e.mirror.Snapshot()
+	view := e.stateView.Snapshot()
 	generation := uint64(0)
 	if view.Document != nil {
 		generation = view.Document.Generation
@@ -148,7 +148,7 @@
 func (e *simEdge) checkLiveWorkers() {
 	w := e.world
 	for _, worker := range w.clients.workers {
-		held := e.mirror.Get(catalog.WorkerKey(worker.name()))
+		held := e.stateView.Get(catalog.WorkerKey(worker.name()))
 		if held != nil && held.Record.Deleted && worker.continuouslyAnswered() {
 			w.violation("%s has dropped %s, which is alive and was acknowledged all the time", e.name, worker.name())
 		}
--- a/internal/serving/control/status.go
+++ b/internal/serving/control/status.go
@@ -63,7 +63,7 @@
 			CaughtUp: learner.CaughtUp,
 		})
 	}
-	for _, entry := range e.mirror.Snapshot().Entries {
+	for _, entry := range e.stateView.Snapshot().Entries {
 		if entry.Record.Deleted {
 			continue
 		}
--- a/internal/serving/control/tick.go
+++ b/internal/serving/control/tick.go
@@ -11,7 +11,7 @@
 	now := e.advanceTime()
 	e.lastTick = now
 	if e.node.InSync() {
-		e.mirror.ConfirmQuorumContact(e.stabilized())
+		e.stateView.ConfirmQuorumContact(e.stabilized())
 	}
 	e.logLeaderChange()
 	e.retryRequests()
--- a/internal/serving/control/workers.go
+++ b/internal/serving/control/workers.go
@@ -51,7 +51,7 @@
 		Key: catalog.WorkerKey(worker.InstanceId), Order: heartbeat.Sequence,
 		Value: &wirepb.Record_Worker{Worker: worker},
 	}
-	held := e.mirror.Get(record.Key)
+	held := e.stateView.Get(record.Key)
 	if held != nil && (held.Record.Order >= heartbeat.Sequence || unchanged(now, held, worker)) {
 		return
 	}
@@ -79,7 +79,7 @@
 // deletePredecessors deletes earlier incarnations at a worker's address, which now belongs to this one.
 func (e *Engine) deletePredecessors(worker *wirepb.Worker) {
 	var entries []*catalog.Entry
-	e.mirror.WithCatalog(func(_ time.Duration, held *catalog.Catalog) bool {
+	e.stateView.WithCatalog(func(_ time.Duration, held *catalog.Catalog) bool {
 		entries = held.WorkersAtAddress(worker.Address)
 		return false
 	})
--- a/internal/serving/core/core_test.go
+++ b/internal/serving/core/core_test.go
@@ -157,13 +157,13 @@
 		})
 	})
 	c := startCore(t, dataDir, false)
-	update, _ := c.engine.Mirror().UpdateSince(stateview.Position{})
+	update, _ := c.engine.StateView().UpdateSince(stateview.Position{})
 	if update.Configuration.GetGeneration() != 3 || len(update.Evacuated) != 1 {
 		t.Errorf("published configuration %v, evacuated %v", update.Configuration, update.Evacuated)
 	}
 	deadline := time.After(10 * time.Second)
 	for lookup(c, catalog.WorkerKey("i-1")) == nil {
-		changed := c.engine.Mirror().Changed()
+		changed := c.engine.StateView().Changed()
 		select {
 		case <-changed:
 		case <-deadline:
@@ -173,7 +173,7 @@
 	if entry := lookup(c, catalog.WorkerKey("i-2")); entry != nil && !entry.Record.Deleted {
 		t.Error("a deregistered worker is published")
 	}
-	update, _ = c.engine.Mirror().UpdateSince(stateview.Position{})
+	update, _ = c.engine.StateView().UpdateSince(stateview.Position{})
 	agent := stateview.New("", func() time.Duration { return 0 })
 	for range 2 { // the second time as from a provider that has settled
 		agent.Apply(update)
@@ -185,7 +185,7 @@
 }
 
 // lookup returns the entry in the core's view, or nil.
-func lookup(c *Core, key string) *catalog.Entry { return c.engine.Mirror().Get(key) }
+func lookup(c *Core, key string) *catalog.Entry { return c.engine.StateView().Get(key) }
 
 func heartbeatBody(address, state string, sequence int) string {
 	return fmt.Sprintf(`{"backend":"s","address":%q,"zone":"a","capacity":4,"state":%q,"sequence":%d}`,
@@ -284,7 +284,7 @@
 	t.Helper()
 	deadline := time.After(10 * time.Second)
 	for {
-		changed := c.engine.Mirror().Changed()
+		changed := c.engine.StateView().Changed()
 		if len(resolved()) == count {
 			return
 		}
--- a/internal/serving/core/directory.go
+++ b/internal/serving/core/directory.go
@@ -25,7 +25,7 @@
 // resolve returns the addresses of the edges that a client in a zone and region should use.
 func (c *Core) resolve(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	edges := c.engine.Mirror().EntriesOf(catalog.Edges)
+	edges := c.engine.StateView().EntriesOf(catalog.Edges)
 	selected := selectEdges(edges, c.engine.OriginSilent, query.Get("zone"), query.Get("region"))
 	if len(selected) == 0 {
 		writeError(w, http.StatusServiceUnavailable, "no edge is known yet: retry later")
--- a/internal/serving/core/links.go
+++ b/internal/serving/core/links.go
@@ -68,7 +68,7 @@
 
 // serveAgent streams updates to an agent until its link or the process ends.
 func (c *Core) serveAgent(connection *framing.Conn, subscription *wirepb.FeedRequest) {
-	view := c.engine.Mirror()
+	view := c.engine.StateView()
 	link := &control.EdgeLink{}
 	onRequest := func(request *wirepb.FeedRequest) {
 		view.MergeDemands(request.Demands)
