--- /dev/null
+++ b/internal/serving/control/learners.go
@@ -0,0 +1,72 @@
+package control
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"willowdeck/internal/serving/consensus"
+)
+
+// learnerWarningInterval is the time between two warnings of the same learner.
+const learnerWarningInterval = 10 * time.Second
+
+// learnerMonitor remembers what was logged of replicas that are not voters.
+type learnerMonitor struct {
+	loggedReason  string                   // why this replica is not a voter, as logged last
+	nextWarningAt map[string]time.Duration // on the leader, by learner
+}
+
+// newLearnerMonitor returns a monitor that has logged nothing.
+func newLearnerMonitor() learnerMonitor {
+	return learnerMonitor{nextWarningAt: map[string]time.Duration{}}
+}
+
+// WaitReason returns why this replica is not a voter, or "" if it is one.
+func (e *Engine) WaitReason() string {
+	switch {
+	case e.node.IsVoter():
+		return ""
+	case e.node.Leader() == "":
+		return "no leader has answered: check the seeds and the links to the other cores"
+	case !e.node.HasCaughtUp():
+		return "catching up with the leader"
+	}
+	return "caught up: waits until a seat is free" // as /status shows it
+}
+
+// monitorLearners logs why this replica is not a voter, and on the leader which learners have not caught up
+// in time.
+func (e *Engine) monitorLearners() {
+	if reason := e.WaitReason(); reason != e.learnerMonitor.loggedReason && !e.shuttingDown {
+		e.learnerMonitor.loggedReason = reason
+		if reason == "" {
+			e.logger.Info("is a voter", zap.Strings("voters", e.node.Voters()))
+		} else {
+			e.logger.Info("is a learner", zap.String("reason", reason))
+		}
+	}
+	if !e.node.IsEstablishedLeader() {
+		clear(e.learnerMonitor.nextWarningAt)
+		return
+	}
+	now := e.now()
+	for _, learner := range e.node.Learners() {
+		late := now-learner.Since > e.options.CatchUpTimeout && !learner.CaughtUp && !learner.ShuttingDown
+		if !late || now < e.learnerMonitor.nextWarningAt[learner.Replica] {
+			continue
+		}
+		e.learnerMonitor.nextWarningAt[learner.Replica] = now + learnerWarningInterval
+		e.logger.Warn("learner has not caught up: check its link and its disk",
+			zap.String("replica", learner.Replica), zap.Uint64("match_index", learner.MatchIndex),
+			zap.Uint64("applied_index", e.node.Applied()))
+	}
+}
+
+// Learners returns the learners that this core tracks as the leader; none on other cores.
+func (e *Engine) Learners() []consensus.Learner {
+	if !e.node.IsEstablishedLeader() {
+		return nil
+	}
+	return e.node.Learners()
+}
--- a/internal/serving/control/saved_test.go
+++ b/internal/serving/control/saved_workers_test.go
@@ -13,18 +13,18 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// silentEnvironment carries nothing out.
-type silentEnvironment struct{}
+// discardingEnvironment sends and writes nothing.
+type discardingEnvironment struct{}
 
-func (silentEnvironment) Send(string, *wirepb.Envelope) {}
+func (discardingEnvironment) Send(string, *wirepb.Envelope) {}
 
-func (silentEnvironment) Write(consensus.Persist, func()) {}
+func (discardingEnvironment) Write(consensus.WriteBatch, func()) {}
 
-func (silentEnvironment) Rewrite(consensus.Stored, func()) {}
+func (discardingEnvironment) Rewrite(consensus.DurableState, func()) {}
 
-func (silentEnvironment) SegmentBytes() int64 { return 0 }
+func (discardingEnvironment) SegmentBytes() int64 { return 0 }
 
-func (silentEnvironment) SaveWorkers([]byte, func()) {}
+func (discardingEnvironment) SaveWorkers([]byte, func()) {}
 
 func departureEntry(t *testing.T, index uint64, departure *wirepb.Departure) *wirepb.Entry {
 	t.Helper()
@@ -36,9 +36,9 @@
 	return &wirepb.Entry{Index: index, Term: 1, Kind: wirepb.EntryKind_ENTRY_COMMAND, Data: data}
 }
 
-// TestSavedWorkersWithoutTheDeparted starts a core whose log holds the leaving of workers, one of them
-// known to be committed, and whose saved list is from before. Nobody speaks to it yet.
-func TestSavedWorkersWithoutTheDeparted(t *testing.T) {
+// TestRestoredWorkersExcludeDeparted starts a core whose log has departures of workers, one of them known to
+// be committed, and whose saved list is older. It has received no message yet.
+func TestRestoredWorkersExcludeDeparted(t *testing.T) {
 	var batch wirepb.CatalogBatch
 	for _, name := range []string{"stays", "committed", "unconfirmed", "draining"} {
 		batch.Records = append(batch.Records, &wirepb.Record{
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stored := consensus.Founding([]string{"10.0.0.1#founder", "10.0.0.2#founder"})
+	stored := consensus.BootstrapState([]string{"10.0.0.1#founder", "10.0.0.2#founder"})
 	stored.HardState = &wirepb.HardState{Term: 1, Commit: 2}
 	stored.Entries = []*wirepb.Entry{
 		departureEntry(t, 1, &wirepb.Departure{InstanceId: "committed", Order: catalog.FinalOrder, Final: true}),
@@ -58,20 +58,20 @@
 		departureEntry(t, 3, &wirepb.Departure{InstanceId: "unconfirmed", Order: catalog.FinalOrder, Final: true}),
 	}
 	e, err := New(Options{
-		Identity: "10.0.0.1#founder", Life: "life", Clock: func() time.Duration { return 0 },
-		AddressOf: func(host string) string { return host }, Consensus: consensus.Options{Seats: 2},
+		Identity: "10.0.0.1#founder", Incarnation: "life", Clock: func() time.Duration { return 0 },
+		AddressOf: func(host string) string { return host }, Consensus: consensus.Options{Voters: 2},
 		Random: rand.New(rand.NewSource(1)), Logger: zap.NewNop(), SavedWorkers: saved,
-	}, stored, silentEnvironment{})
+	}, stored, discardingEnvironment{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := map[string]bool{}
-	for _, entry := range e.Mirror().EntriesOf(catalog.Workers) {
+	restored := map[string]bool{}
+	for _, entry := range e.StateView().EntriesOf(catalog.Workers) {
 		if worker := entry.Record.GetWorker(); !entry.Record.Deleted {
-			told[worker.InstanceId] = worker.Draining
+			restored[worker.InstanceId] = worker.Draining
 		}
 	}
-	if draining, known := told["draining"]; len(told) != 2 || !known || !draining || told["stays"] {
-		t.Errorf("told (draining): %v", told)
+	if draining, known := restored["draining"]; len(restored) != 2 || !known || !draining || restored["stays"] {
+		t.Errorf("restored (draining): %v", restored)
 	}
 }
--- a/internal/serving/wal/replica.go
+++ b/internal/serving/wal/replica.go
@@ -13,7 +13,7 @@
 type OpenedReplica struct {
 	Identity   string
 	Store      *Store
-	State      consensus.Stored
+	State      consensus.DurableState
 	Corruption error // why the previous state was discarded, or nil; Identity is a new one then
 }
 
@@ -39,13 +39,13 @@
 		return OpenedReplica{Identity: identity, Store: NewStore(log, state), State: state}, nil
 	}
 	if identity == "" && slices.Contains(initialMembers, initialIdentity) {
-		return initialize(fsys, dir, initialIdentity, consensus.Founding(initialMembers))
+		return initialize(fsys, dir, initialIdentity, consensus.BootstrapState(initialMembers))
 	}
 	// The new identity is durable before the old log is removed: an identity never loses acknowledged data.
 	if saveErr := SaveIdentity(fsys, dir, newIdentity); saveErr != nil {
 		return OpenedReplica{}, saveErr
 	}
-	opened, initErr := initialize(fsys, dir, newIdentity, consensus.Stored{Snapshot: &wirepb.Snapshot{}})
+	opened, initErr := initialize(fsys, dir, newIdentity, consensus.DurableState{Snapshot: &wirepb.Snapshot{}})
 	if identity != "" {
 		opened.Corruption = err
 		if err == nil {
@@ -57,7 +57,7 @@
 
 // initialize makes dir contain exactly state under identity. Segments of an incomplete initialization are
 // removed: a process acknowledges nothing before its identity is durable.
-func initialize(fsys FileSystem, dir, identity string, state consensus.Stored) (OpenedReplica, error) {
+func initialize(fsys FileSystem, dir, identity string, state consensus.DurableState) (OpenedReplica, error) {
 	if err := RemoveSegments(fsys, dir); err != nil {
 		return OpenedReplica{}, err
 	}
