--- a/internal/ruleset/index_lag.go
+++ b/internal/ruleset/index_lag.go
@@ -2,50 +2,53 @@
 
 import "slices"
 
-// mostHighest is of how many of discovery's indices the time is kept. Where more came, one that is behind all
-// of them counts from the oldest kept: 128 changes of the list are a minute of a rolling deploy.
+// maxTrackedIndexes is for how many indexes of the endpoint list the time of the first report is kept. A
+// member behind all of them counts from the oldest one: 128 changes of the list are a minute of a rolling
+// deploy.
 const maxTrackedIndexes = 128
 
-// Behind is one whose list of discovery's lags.
+// LaggingMember is a member whose endpoint list is behind another member's.
 type LaggingMember struct {
 	Name         string  `json:"Who"`
 	Index        int64   `json:"Index"`
-	HighestIndex int64   `json:"Highest"`
-	LagMillis    float64 `json:"For"` // ms since a newer index than its own was first told
+	HighestIndex int64   `json:"Highest"` // that any member has reported
+	LagMillis    float64 `json:"For"`     // since an index newer than Index was first reported
 }
 
-// Lag knows which index of discovery's list each process has told. What discovery itself has is not known
-// here: where all lag, none does.
+// IndexLag tracks which index of service discovery's endpoint list each member has reported. It does not know
+// discovery's own index: where all members lag, none is named.
 type IndexLag struct {
-	latest              map[string]int64
-	indexes             []int64   // each higher than the one before
-	firstReportedMillis []float64 // when it was first told, ms
+	latest              map[string]int64 // by member
+	indexes             []int64          // ascending
+	firstReportedMillis []float64        // of each of indexes
 }
 
-// NewLag makes one that knows of none.
+// NewIndexLag makes one without members.
 func NewIndexLag() *IndexLag { return &IndexLag{latest: map[string]int64{}} }
 
-// Told takes what one says of its list, at a time, ms. An index that goes back is taken: it has begun anew.
+// Report takes a member's index of the endpoint list at a time. An index that goes back is taken: discovery
+// has begun anew. Beyond twice maxMembers new names are ignored.
 func (l *IndexLag) Report(name string, index int64, nowMillis float64) {
 	if _, known := l.latest[name]; !known && len(l.latest) >= 2*maxMembers {
 		return
 	}
 	l.latest[name] = index
-	n := len(l.indexes)
-	if n > 0 && index <= l.indexes[n-1] {
+	count := len(l.indexes)
+	if count > 0 && index <= l.indexes[count-1] {
 		return
 	}
-	if n == maxTrackedIndexes {
-		l.indexes, l.firstReportedMillis = slices.Delete(l.indexes, 0, 1), slices.Delete(l.firstReportedMillis, 0,
-			1)
+	if count == maxTrackedIndexes {
+		l.indexes = slices.Delete(l.indexes, 0, 1)
+		l.firstReportedMillis = slices.Delete(l.firstReportedMillis, 0, 1)
 	}
-	l.indexes, l.firstReportedMillis = append(l.indexes, index), append(l.firstReportedMillis, nowMillis)
+	l.indexes = append(l.indexes, index)
+	l.firstReportedMillis = append(l.firstReportedMillis, nowMillis)
 }
 
-// Left takes one out.
+// Remove forgets a member.
 func (l *IndexLag) Remove(name string) { delete(l.latest, name) }
 
-// Late names those that have been behind the highest index for longer than a time, ms, by name.
+// Lagging names the members that have been behind the highest index for longer than minLagMillis, by name.
 func (l *IndexLag) Lagging(nowMillis, minLagMillis float64) []LaggingMember {
 	var lagging []LaggingMember
 	for name, index := range l.latest {
--- a/internal/ruleset/lease_grantor.go
+++ b/internal/ruleset/lease_grantor.go
@@ -2,65 +2,65 @@
 
 import "maps"
 
-// process is one process of a gatekeeper on a daemon's host.
+// leaseProcess is one gatekeeper process on a daemon's host.
 type leaseProcess struct {
-	granted   bool   // it may go by something
-	ackedStep uint64 // as it last said
+	granted   bool   // it may hold a lease
+	ackedStep uint64 // the latest fencing step that it has acknowledged
 }
 
-// Warden is a daemon's books on the processes of its host's gatekeepers: what they may go by. Only the
-// host's own daemon can keep them, as it alone knows which processes there are. It may be lost and begun
-// anew, if it is told of all that run. The zero value knows of none. It is not safe for concurrent use.
+// LeaseGrantor records which gatekeeper processes of a daemon's host may hold leases, and what they have
+// acknowledged. Only the host's own daemon can, as it alone knows which processes there are. The records may
+// be lost if the new LeaseGrantor is told of all processes that run. The zero value has none.
 type LeaseGrantor struct{ processes map[int]leaseProcess }
 
-// Began tells of a process of a gatekeeper. One that ran before this daemon did may go by anything until it
-// says what it holds.
-func (w *LeaseGrantor) ProcessStarted(id int, ranBefore bool) {
-	if _, known := w.processes[id]; !known {
-		w.setProcess(id, leaseProcess{granted: ranBefore})
+// ProcessStarted adds a gatekeeper process. One that ran before this daemon did may hold any lease until it
+// acknowledges a step.
+func (g *LeaseGrantor) ProcessStarted(id int, ranBefore bool) {
+	if _, known := g.processes[id]; !known {
+		g.setProcess(id, leaseProcess{granted: ranBefore})
 	}
 }
 
-func (w *LeaseGrantor) setProcess(id int, p leaseProcess) {
-	if w.processes == nil {
-		w.processes = map[int]leaseProcess{}
+// setProcess stores the record of a process.
+func (g *LeaseGrantor) setProcess(id int, process leaseProcess) {
+	if g.processes == nil {
+		g.processes = map[int]leaseProcess{}
 	}
-	w.processes[id] = p
+	g.processes[id] = process
 }
 
-// Ended tells that a process is no more.
-func (w *LeaseGrantor) ProcessExited(id int) { delete(w.processes, id) }
+// ProcessExited removes a process that has ended.
+func (g *LeaseGrantor) ProcessExited(id int) { delete(g.processes, id) }
 
-// Asked takes a process's question, with the step that it holds; false where there are too many of them, and
-// it is to be told nothing. One that is not known to have ended counts.
-func (w *LeaseGrantor) RecordRequest(id int, ackedStep uint64) bool {
-	p, known := w.processes[id]
-	if !known && len(w.processes) >= maxProcesses {
+// RecordRequest notes a process's lease request with the step that it acknowledges. It is false where there
+// are too many processes: then no lease may be granted. A process counts until ProcessExited.
+func (g *LeaseGrantor) RecordRequest(id int, ackedStep uint64) bool {
+	process, known := g.processes[id]
+	if !known && len(g.processes) >= maxProcesses {
 		return false
 	}
-	p.ackedStep = max(p.ackedStep, ackedStep)
-	w.setProcess(id, p)
+	process.ackedStep = max(process.ackedStep, ackedStep)
+	g.setProcess(id, process)
 	return true
 }
 
-// Given notes that a process has been told something, and may go by it. To be called before the answer goes
-// out.
-func (w *LeaseGrantor) RecordGrant(id int) {
-	p := w.processes[id]
-	p.granted = true
-	w.setProcess(id, p)
+// RecordGrant notes that a process may hold a lease. It is called before the lease is sent.
+func (g *LeaseGrantor) RecordGrant(id int) {
+	process := g.processes[id]
+	process.granted = true
+	g.setProcess(id, process)
 }
 
-// Seen is the step that no process of the host goes by anything older than, where told is the step that the
-// next one that asks is told; it is to be no lower than any that was told before.
-func (w *LeaseGrantor) AckedStep(grantedStep uint64) uint64 {
-	for _, p := range w.processes {
-		if p.granted {
-			grantedStep = min(grantedStep, p.ackedStep)
+// AckedStep is the fencing step that no process of the host acts on anything older than, where grantedStep
+// is that of the lease which the next request gets; it may be no lower than any that was granted before.
+func (g *LeaseGrantor) AckedStep(grantedStep uint64) uint64 {
+	for _, process := range g.processes {
+		if process.granted {
+			grantedStep = min(grantedStep, process.ackedStep)
 		}
 	}
 	return grantedStep
 }
 
-// clone is for those that try what may come next.
-func (w *LeaseGrantor) clone() LeaseGrantor { return LeaseGrantor{maps.Clone(w.processes)} }
+// clone gives an independent copy.
+func (g *LeaseGrantor) clone() LeaseGrantor { return LeaseGrantor{maps.Clone(g.processes)} }
--- a/internal/ruleset/lease_holder.go
+++ b/internal/ruleset/lease_holder.go
@@ -1,110 +1,49 @@
 package ruleset
 
-import (
-	"math"
-)
+import "math"
 
-// Mode is by what a gatekeeper goes.
-type LeaseMode uint8
-
-// The modes. Any but Leased has no new credit, and quotas at the slice that needs no word of peers; all keep
-// the operators' words.
-const (
-	ModeNoLease  LeaseMode = iota // nothing of a ceiling is surely its own: nothing passes under one
-	ModeFallback                  // it has lost touch: of ceilings what its version's fallback leaves it
-	ModeLeased                    // its version
-)
-
-var modeNames = [...]string{"bare", "cut off", "leased"}
-
-func (m LeaseMode) String() string { return modeNames[m] }
-
-// PlanTerms are what a gatekeeper goes by in one plan.
-type EffectivePlan struct {
-	Plan                // as the version has it, for all gatekeepers
-	Allowance Allowance // what this one may let through, of all
-	// by this its even part of a ceiling is multiplied to be that, 0 to 1; 1 where there is none
-	CeilingFraction float64
-	CreditFraction  float64 // and by this its even part of the credit line
-}
-
-// Terms are what a gatekeeper goes by from when it has adopted them.
-type EffectiveRules struct {
-	Version uint64 // 0: what it was born with
-	Step    uint64 // of the council's word that they rest on
-	Mode    LeaseMode
-	// its place and how many there are; Me is -1 where it has none, and no ceiling's part
-	MemberIndex, MemberCount int
-	Plans                    []EffectivePlan
-	LendingAllowed           bool // it may lend anew
-	WorkerOverrides          []WorkerOverride
-	ExpiresAtMillis          float64 // ms, by its own clock, for which they hold at first; see Holder.May
-	// Raised: its share has grown since the terms before, as others have less or are no more. They may have
-	// spent theirs just now, so that what it has more counts as spent: it fills at its rate. So it is at the
-	// first lease of a life, unless this one knows what the one before it had spent under the same version.
-	AllowanceGrew bool
+// LeaseCounters count what a LeaseHolder has received.
+type LeaseCounters struct {
+	Stale              int64 // leases older than the one held, or expired on arrival
+	Invalid            int64 // leases with an impossible age or request time
+	Unsupported        int64 // leases on rules that this program does not support
+	UnsupportedPending int64 // leases whose pending rules it does not support
+	Expirations        int64 // times that the lease ran out
 }
 
-// Kind is what a Decision asks of the host.
-type ActionKind uint8
+// LeaseHolder decides what one gatekeeper goes by. It relies on its own clock alone: what was in force when
+// its daemon began the read may be acted on until LeaseMillis after that moment (Gray and Cheriton 1989),
+// where a quorum's read (Ongaro 2014, 6.4) is the grant, so that nobody records who holds a lease.
+type LeaseHolder struct {
+	name        string
+	nowMillis   float64 // set by SetTime; never goes back
+	mode        LeaseMode
+	step        uint64 // fencing step of the latest lease
+	version     Version
+	memberIndex int         // in version; -1 if not a member
+	allowances  []Allowance // by plan, while leased
 
-// The kinds.
-const (
-	ActionAdopt        ActionKind = iota + 1 // Terms: go by them from now on
-	ActionRequestLease                       // the daemon, for its word; the time is Asked's
-	ActionSubmit                             // Entry to the council's log
-	// what the council says, once a quorum has confirmed that it is the latest
-	ActionReadState
-	ActionWake // call Clock again at time At
-)
+	pending            *Rules // accepted but not in force, as far as the leases say
+	pendingIndex       int    // this gatekeeper's index in pending
+	pendingUnsupported bool   // pending can't be read here: nothing of a limit is allowed as a fallback
 
-// Decision is one thing for the host to do.
-type Action struct {
-	Kind         ActionKind
-	Effective    EffectiveRules // Adopt
-	Entry        LogEntry       // Submit
-	WakeAtMillis float64        // Wake
-}
+	leaseExpiryMillis     float64
+	effective             EffectiveRules // as last adopted
+	effectiveExpiryMillis float64        // until which effective may be acted on
+	adoptDue              bool           // effective is not what applies now
+	allowanceGrew         bool           // since the last adoption
 
-// Counts are what a holder has met.
-type LeaseCounters struct {
-	Stale              int64 // words that were older than what it had, or whose time was up
-	Invalid            int64 // words with an age that is none, or longer than any is good for
-	Unsupported        int64 // words of rules in force that this program does not know whole
-	UnsupportedPending int64 // words of pending ones that it does not
-	Expirations        int64 // times that it lost touch
-}
+	ackedStep          uint64  // all that this process does rests on this fencing step or a later one
+	nextAckStep        uint64  // becomes ackedStep once writes decided before nextAckSinceMillis are done
+	nextAckSinceMillis float64 // when nextAckStep was adopted
 
-// Holder decides what one gatekeeper goes by. It trusts nothing but its own clock: what was in force when its
-// daemon began to read may be acted on until a lease after that moment: Gray and Cheriton 1989, with a
-// quorum's read (Ongaro 2014, 6.4) for the grant, so that nobody keeps books of who holds a lease. It is not
-// safe for concurrent use.
-type LeaseHolder struct {
-	name                  string
-	nowMillis             float64
-	mode                  LeaseMode
-	step                  uint64
-	version               Version
-	memberIndex           int
-	allowances            []Allowance // by plan, what it may let through while it is leased
-	allowanceGrew         bool        // some of it has grown since it last adopted terms
-	pending               *Rules      // what waits, as far as it is known here
-	pendingIndex          int         // this one's place by it
-	pendingUnsupported    bool        // and is not known whole, so that no part of it is either
-	leaseExpiryMillis     float64
-	adoptDue              bool    // what is adopted is not what holds now
-	effectiveExpiryMillis float64 // what was adopted last may be acted on
-	effective             EffectiveRules
-	lastRequestMillis     float64 // when it last asked
-	ackedStep             uint64  // surely gone by; see Holds
-	nextAckStep           uint64  // and this too
-	nextAckSinceMillis    float64 // a step after this moment
-	scheduledWakeMillis   float64 // the time that it has asked to be woken at
-	counters              LeaseCounters
+	lastRequestMillis   float64
+	scheduledWakeMillis float64 // of the last ActionWake
+	counters            LeaseCounters
 }
 
-// NewHolder makes one for the gatekeeper of a name, that goes by what it was born with, bare, until it hears.
-// Of those rules a plan has to have a ceiling where the council's rules give it one.
+// NewLeaseHolder makes one for the gatekeeper of a name. It goes by the initial rules, without a lease,
+// until it receives one. A plan of these has to have a rate limit where the agreed rules give it one.
 func NewLeaseHolder(name string, initial Rules) *LeaseHolder {
 	holder := &LeaseHolder{name: name, version: Version{Rules: initial}, leaseExpiryMillis: math.Inf(-1),
 		effectiveExpiryMillis: math.Inf(-1), adoptDue: true,
@@ -114,17 +53,17 @@
 	return holder
 }
 
-// Clock sets the time of what follows, ms. The clock has to go on while the process stands still.
+// SetTime sets the time of what follows. The clock has to go on while the process is suspended.
 func (h *LeaseHolder) SetTime(nowMillis float64) {
 	h.nowMillis = math.Max(h.nowMillis, nowMillis)
 	if h.nextAckStep > h.ackedStep && !h.adoptDue && h.nowMillis >= h.nextAckSinceMillis+conflictBoundMillis(0) {
-		// the daemon is told at once, as a change may wait for it
+		// request at once, since a change may wait for this acknowledgement
 		h.ackedStep, h.lastRequestMillis = h.nextAckStep, math.Inf(-1)
 	}
 	h.expire()
 }
 
-// lapse ends what has run out.
+// expire ends the lease or the fallback whose time is up.
 func (h *LeaseHolder) expire() {
 	mode := h.mode
 	if mode == ModeLeased && h.nowMillis >= h.leaseExpiryMillis {
@@ -140,9 +79,10 @@
 	}
 }
 
+// requireAdoption has NextAction adopt what applies now; nothing may be acted on until then.
 func (h *LeaseHolder) requireAdoption() { h.adoptDue, h.effectiveExpiryMillis = true, math.Inf(-1) }
 
-// part is what it may let through of a plan as it stands now.
+// allowance is what it may let through of a plan as of now.
 func (h *LeaseHolder) allowance(plan int) Allowance {
 	if plan >= len(h.allowances) {
 		return Allowance{}
@@ -164,8 +104,8 @@
 	return LeasedAllowance(rules, plan, -1)
 }
 
-// Heard takes a daemon's word that came on a question that was sent at a time by this one's clock, ms: read
-// before it was sent. Clock has to be told of a later one first, and Next pulled before anything is decided.
+// ReceiveLease takes a lease that answers a request sent at a time by this holder's clock, read before the
+// request was sent. SetTime has to be called before it, and NextAction after it before anything is decided.
 func (h *LeaseHolder) ReceiveLease(lease Lease, requestedAtMillis float64) {
 	rules := &lease.Version.Rules
 	switch {
@@ -175,7 +115,7 @@
 	case lease.Step < h.step || lease.Version.Number < h.version.Number:
 		h.counters.Stale++
 		return
-	case lease.UnsupportedFeature != "": // what it has is not in force any more, and what is can't be gone by
+	case lease.UnsupportedFeature != "": // its own is superseded, and it can't act on the new one
 		h.counters.Unsupported++
 		if lease.Version.Number > h.version.Number && h.mode == ModeLeased {
 			h.leaseExpiryMillis = math.Min(h.leaseExpiryMillis, h.nowMillis)
@@ -214,7 +154,8 @@
 	}
 }
 
-// take goes over to another version: down at once, and up only when it has settled.
+// switchVersion goes over to another version: smaller allowances apply at once, larger ones when the
+// transition is complete.
 func (h *LeaseHolder) switchVersion(lease Lease) {
 	rules := &lease.Version.Rules
 	memberIndex := MemberIndex(rules, h.name)
@@ -231,7 +172,7 @@
 	h.requireAdoption()
 }
 
-// raise gives it all of its share: nobody acts on another version any more.
+// growAllowances gives it all of its share: nobody acts on another version any more.
 func (h *LeaseHolder) growAllowances() {
 	for i := range h.allowances {
 		if allowance := LeasedAllowance(&h.version.Rules, i, h.memberIndex); h.allowances[i] != allowance {
@@ -241,12 +182,12 @@
 	}
 }
 
-// Asked notes that the daemon has been asked at a time.
+// RecordRequest notes that a lease was requested at a time.
 func (h *LeaseHolder) RecordRequest(atMillis float64) {
 	h.lastRequestMillis = math.Max(h.lastRequestMillis, atMillis)
 }
 
-// Next gives what follows; call it until there is nothing more.
+// NextAction gives what follows; it is called until there is nothing more.
 func (h *LeaseHolder) NextAction() (Action, bool) {
 	if h.adoptDue {
 		h.adoptDue, h.scheduledWakeMillis = false, math.Inf(-1)
@@ -259,7 +200,7 @@
 			h.effectiveExpiryMillis = math.Inf(1)
 		}
 		if h.nextAckStep > h.ackedStep {
-			h.nextAckSinceMillis = h.nowMillis // from here on, and not from when it was heard
+			h.nextAckSinceMillis = h.nowMillis // from the adoption on, not from the receipt
 		}
 		h.effective, h.allowanceGrew = h.buildEffective(), false
 		return Action{Kind: ActionAdopt, Effective: h.effective}, true
@@ -280,7 +221,7 @@
 	return Action{Kind: ActionWake, WakeAtMillis: wakeAtMillis}, true
 }
 
-// draw makes the terms as they stand.
+// buildEffective derives the rules that apply now.
 func (h *LeaseHolder) buildEffective() EffectiveRules {
 	rules := &h.version.Rules
 	effective := EffectiveRules{Version: h.version.Number, Step: h.step, Mode: h.mode,
@@ -303,21 +244,21 @@
 	return effective
 }
 
-// Current gives the terms last adopted.
+// Effective gives the rules last adopted.
 func (h *LeaseHolder) Effective() EffectiveRules { return h.effective }
 
-// May tells whether the terms last adopted may be acted on at a time, ms. To be asked at each decision and
-// once more before the write. There the terms have to be those of the decision still, or it is made anew.
-// Where it is false, Clock and Next say by what to go.
+// MayAct tells whether the rules last adopted may be acted on at a time. It is asked at each decision and
+// once more before the write; there the rules have to be those of the decision still, or it is made anew.
+// Where it is false, SetTime and NextAction give what applies.
 func (h *LeaseHolder) MayAct(nowMillis float64) bool { return nowMillis < h.effectiveExpiryMillis }
 
-// Holds gives the step that all this one does from now on rests on, with what it had decided before and might
-// not have written yet: the daemon is told it with each question.
+// ExpiresAtMillis gives the time until which the rules last adopted may be acted on; each lease on them
+// moves it on. See MayAct.
+func (h *LeaseHolder) ExpiresAtMillis() float64 { return h.effectiveExpiryMillis }
+
+// AckedStep gives the fencing step that all rests on which this gatekeeper does from now on, including what
+// it had decided before and may not have written yet. Each lease request carries it.
 func (h *LeaseHolder) AckedStep() uint64 { return h.ackedStep }
 
-// Counts gives what it has met.
+// Counters gives what it has counted.
 func (h *LeaseHolder) Counters() LeaseCounters { return h.counters }
-
-// Until gives the time up to which the terms last adopted may be acted on, ms; it moves on with each word
-// that they are still in force. See May.
-func (h *LeaseHolder) ExpiresAtMillis() float64 { return h.effectiveExpiryMillis }
--- /dev/null
+++ b/internal/ruleset/state_index.go
@@ -0,0 +1,224 @@
+package ruleset
+
+import (
+	"bytes"
+	"fmt"
+	"slices"
+	"strings"
+
+	"willowdeck/internal/versioned"
+)
+
+// Interest selects the part of a version that a receiver needs: header, plans and overrides, and of the
+// members those of a host, the one of a name, and Around indexes on either side of each of these on the ring
+// of all indexes, where gatekeepers share customers with their neighbours. The zero Interest selects no
+// members. It is sent as a CBOR array: the order of the fields is the encoding.
+type Interest struct {
+	_      struct{} `cbor:",toarray"`
+	All    bool     // the whole version, whatever is in it
+	Host   string
+	Name   string
+	Around int
+}
+
+// StateIndex finds the members of a state by name and host, so that subsets can be named and compared for
+// many interests without being built. It is immutable and safe for concurrent use.
+type StateIndex struct {
+	state         *versioned.State
+	memberCount   int               // indexes, vacant ones included
+	common        []versioned.Entry // of every subset, by key
+	commonDigest  versioned.Digest
+	commonBytes   int
+	members       []versioned.Entry // by member index; without a key where it is vacant
+	memberDigests []versioned.Digest
+	indexByName   map[string]int32
+	indexesByHost map[string][]int32
+}
+
+// StateSubset is the part of a state that an Interest selects. It is immutable.
+type StateSubset struct {
+	index         *StateIndex
+	all           bool    // the state itself
+	memberIndexes []int32 // ascending
+	mark          versioned.Mark
+	bytes         int
+}
+
+// Check validates an interest that came from another process.
+func (i Interest) Check() error {
+	if len(i.Host) > maxNameBytes || len(i.Name) > maxNameBytes || i.Around < 0 || i.Around > maxMembers {
+		return fmt.Errorf("interest: names of %d and %d bytes, %d around", len(i.Host), len(i.Name), i.Around)
+	}
+	return nil
+}
+
+// NewStateIndex indexes a state. Where the header can't be read there are the common entries alone, which is
+// how rules of a later format are passed on.
+func NewStateIndex(s *versioned.State) *StateIndex {
+	header, _ := decodeHeader(s)
+	x := &StateIndex{state: s, memberCount: min(max(header.Members, 0), maxMembers)}
+	x.indexByName, x.indexesByHost = make(map[string]int32, x.memberCount), make(map[string][]int32,
+		x.memberCount)
+	x.members, x.memberDigests = make([]versioned.Entry, x.memberCount), make([]versioned.Digest, x.memberCount)
+	for key, raw := range s.All() {
+		entry := versioned.Entry{Key: key, Value: raw}
+		if !strings.HasPrefix(key, memberKey) {
+			x.common = append(x.common, entry)
+			x.commonDigest, x.commonBytes = x.commonDigest.Plus(entry.Digest()), x.commonBytes+len(key)+len(raw)
+			continue
+		}
+		i, err := parseIndexedKey(memberKey, memberDigits, key, x.memberCount)
+		var m Member
+		if err == nil && headerDecMode.Unmarshal(raw, &m) == nil {
+			x.members[i], x.memberDigests[i] = entry, entry.Digest()
+			x.indexByName[m.Name] = int32(i)
+			x.indexesByHost[m.Host] = append(x.indexesByHost[m.Host], int32(i))
+		}
+	}
+	return x
+}
+
+// Subset gives the part that an interest selects, under the state's own number. A subset of a subset is the
+// same as one of the whole state, where the first has all that the second needs.
+func (x *StateIndex) Subset(interest Interest) *StateSubset {
+	subset := &StateSubset{index: x}
+	switch i, found := x.indexByName[interest.Name]; {
+	case interest.All:
+		subset.all, subset.mark, subset.bytes = true, x.state.Mark(), x.state.Bytes()
+		return subset
+	case found && interest.Name != "":
+		subset.addNeighbours(i, interest.Around)
+	}
+	if interest.Host != "" {
+		for _, i := range x.indexesByHost[interest.Host] {
+			subset.addNeighbours(i, interest.Around)
+		}
+	}
+	slices.Sort(subset.memberIndexes)
+	subset.memberIndexes = slices.Compact(subset.memberIndexes)
+	subset.mark, subset.bytes = versioned.Mark{Number: x.state.Mark().Number, Digest: x.commonDigest},
+		x.commonBytes
+	for _, i := range subset.memberIndexes {
+		entry := x.members[i]
+		subset.mark.Digest, subset.bytes = subset.mark.Digest.Plus(x.memberDigests[i]),
+			subset.bytes+len(entry.Key)+len(entry.Value)
+	}
+	return subset
+}
+
+// addNeighbours adds the members around an index on the ring.
+func (p *StateSubset) addNeighbours(centre int32, around int) {
+	memberCount := p.index.memberCount
+	around = min(max(around, 0), memberCount/2)
+	for i := int(centre) - around; i <= int(centre)+around; i++ {
+		if index := ((i % memberCount) + memberCount) % memberCount; p.index.members[index].Key != "" {
+			p.memberIndexes = append(p.memberIndexes, int32(index))
+		}
+	}
+}
+
+// Mark names the subset; that of nil is zero.
+func (p *StateSubset) Mark() versioned.Mark {
+	if p == nil {
+		return versioned.Mark{}
+	}
+	return p.mark
+}
+
+// Bytes is the size of its keys and values.
+func (p *StateSubset) Bytes() int { return p.bytes }
+
+// entries are all of its entries, by key.
+func (p *StateSubset) entries() []versioned.Entry {
+	if p == nil {
+		return nil
+	}
+	entries := make([]versioned.Entry, 0, len(p.index.common)+len(p.memberIndexes))
+	entries = append(entries, p.index.common...)
+	for _, i := range p.memberIndexes {
+		entries = append(entries, p.index.members[i])
+	}
+	slices.SortFunc(entries, func(a, b versioned.Entry) int { return strings.Compare(a.Key, b.Key) })
+	return entries
+}
+
+// State builds the subset as a state; that of nil is nil.
+func (p *StateSubset) State() *versioned.State {
+	switch {
+	case p == nil:
+		return nil
+	case p.all:
+		return p.index.state
+	}
+	return versioned.New(p.mark.Number, p.entries())
+}
+
+// DeltaFrom is the delta from another subset, or from nothing where that is nil.
+func (p *StateSubset) DeltaFrom(from *StateSubset) *versioned.Delta {
+	if p.all || from != nil && from.all {
+		return versioned.Between(from.State(), p.State())
+	}
+	delta := &versioned.Delta{From: from.Mark(), To: p.mark}
+	if from == nil {
+		delta.Set = p.entries()
+		return delta
+	}
+	if from.index != p.index {
+		delta.Set, delta.Drop = appendChanges(delta.Set, delta.Drop, from.index.common, p.index.common)
+	}
+	previous := from.memberIndexes
+	for _, i := range p.memberIndexes {
+		for ; len(previous) > 0 && previous[0] < i; previous = previous[1:] {
+			delta.Drop = append(delta.Drop, from.index.members[previous[0]].Key)
+		}
+		unchanged := len(previous) > 0 && previous[0] == i
+		if unchanged {
+			previous = previous[1:]
+		}
+		if entry := p.index.members[i]; !unchanged || from.index.memberDigests[i] != p.index.memberDigests[i] {
+			delta.Set = append(delta.Set, entry)
+		}
+	}
+	for _, i := range previous {
+		delta.Drop = append(delta.Drop, from.index.members[i].Key)
+	}
+	return delta
+}
+
+// appendChanges appends what turns some entries into others, both by key.
+func appendChanges(set []versioned.Entry, drop []string, from, to []versioned.Entry) ([]versioned.Entry,
+	[]string) {
+	for _, e := range to {
+		for ; len(from) > 0 && from[0].Key < e.Key; from = from[1:] {
+			drop = append(drop, from[0].Key)
+		}
+		if len(from) > 0 && from[0].Key == e.Key {
+			if !bytes.Equal(from[0].Value, e.Value) {
+				set = append(set, e)
+			}
+			from = from[1:]
+			continue
+		}
+		set = append(set, e)
+	}
+	for _, e := range from {
+		drop = append(drop, e.Key)
+	}
+	return set, drop
+}
+
+// Select builds the part of the state that an interest selects; see Subset.
+func (x *StateIndex) Select(interest Interest) *versioned.State {
+	if interest.All {
+		return x.state
+	}
+	return x.Subset(interest).State()
+}
+
+// Select builds the part of a state that an interest selects; see StateIndex.Select.
+func Select(s *versioned.State, interest Interest) *versioned.State {
+	if interest.All {
+		return s
+	}
+	return NewStateIndex(s).Select(interest)
+}
