--- a/internal/ruleset/golden_test.go
+++ b/internal/ruleset/golden_test.go
@@ -27,8 +27,9 @@
 	return raw
 }
 
-// fullOf fails where any field below v is zero: a field that is zero could drop out of a form unseen.
-func fullOf(t *testing.T, path string, v reflect.Value) {
+// requireNoZeroField fails where any field below v is zero: a field that is zero could drop out of a form
+// unseen.
+func requireNoZeroField(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() || (v.Kind() == reflect.Slice || v.Kind() == reflect.Map) && v.Len() == 0 {
 		t.Errorf("%s is zero", path)
@@ -36,20 +37,20 @@
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
-		fullOf(t, path, v.Elem())
+		requireNoZeroField(t, path, v.Elem())
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if f := v.Type().Field(i); f.Name != "_" {
-				fullOf(t, path+"."+f.Name, v.Field(i))
+				requireNoZeroField(t, path+"."+f.Name, v.Field(i))
 			}
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			fullOf(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+			requireNoZeroField(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 		}
 	case reflect.Map:
 		for _, k := range v.MapKeys() {
-			fullOf(t, fmt.Sprintf("%s[%v]", path, k), v.MapIndex(k))
+			requireNoZeroField(t, fmt.Sprintf("%s[%v]", path, k), v.MapIndex(k))
 		}
 	}
 }
@@ -65,7 +66,7 @@
 // goldenSame compares what a file was decoded to with the value that was written, all of which is not zero.
 func goldenSame(t *testing.T, name string, got, want any, err error) {
 	t.Helper()
-	fullOf(t, name, reflect.ValueOf(want))
+	requireNoZeroField(t, name, reflect.ValueOf(want))
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%s: decoded to\n%+v\nnot to\n%+v\n%v", name, got, want, err)
 	}
@@ -107,7 +108,7 @@
 	}
 }
 
-// goldenEntries has by file an entry of each act; the acts are given by their numbers in the log.
+// goldenEntries has by file an entry of each type; one gives the type by its number in the log.
 func goldenEntries() map[string]LogEntry {
 	rules := goldenRules(11)
 	return map[string]LogEntry{
@@ -124,7 +125,7 @@
 
 func TestGoldenLogEntry(t *testing.T) {
 	full := goldenEntries()["entry-all.json"]
-	fullOf(t, "entry", reflect.ValueOf(full))
+	requireNoZeroField(t, "entry", reflect.ValueOf(full))
 	for name, want := range goldenEntries() {
 		got, err := DecodeLogEntry(goldenFile(t, name))
 		if err != nil || !reflect.DeepEqual(got, want) {
@@ -141,7 +142,7 @@
 	}
 }
 
-func TestGoldenCouncilSnapshot(t *testing.T) {
+func TestGoldenSnapshot(t *testing.T) {
 	c := NewStateMachine()
 	err := c.Restore(goldenFile(t, "snapshot.json"))
 	goldenSame(t, "snapshot.json", *c.State(), goldenState(), err)
@@ -161,7 +162,7 @@
 	goldenBytes(t, "lease.json", raw, err)
 }
 
-func TestGoldenBehind(t *testing.T) {
+func TestGoldenLaggingMember(t *testing.T) {
 	want := LaggingMember{Name: "gk1", Index: 5, HighestIndex: 9, LagMillis: 3100.5}
 	var got LaggingMember
 	err := json.Unmarshal(goldenFile(t, "behind.json"), &got)
@@ -170,7 +171,7 @@
 	goldenBytes(t, "behind.json", raw, err)
 }
 
-// goldenVersion has a vacant place, which has no entry of its own.
+// goldenVersion has a vacant index, which has no entry of its own.
 func goldenVersion() Version {
 	v := Version{Number: 7, Rules: goldenRules(11)}
 	v.Rules.Members = append(v.Rules.Members, Member{},
@@ -188,7 +189,7 @@
 	return []byte(b.String())
 }
 
-func TestGoldenEntries(t *testing.T) {
+func TestGoldenVersionState(t *testing.T) {
 	lines := strings.Split(strings.TrimSpace(string(goldenFile(t, "state.cbor.txt"))), "\n")
 	var all []versioned.Entry
 	for _, line := range lines[1:] {
@@ -200,7 +201,7 @@
 		all = append(all, versioned.Entry{Key: key, Value: raw})
 	}
 	stored := versioned.New(7, all)
-	fullOf(t, "rules", reflect.ValueOf(goldenRules(11)))
+	requireNoZeroField(t, "rules", reflect.ValueOf(goldenRules(11)))
 	if v, err := VersionFromState(stored); err != nil || !reflect.DeepEqual(v, goldenVersion()) {
 		t.Errorf("decoded to %+v, not to %+v: %v", v, goldenVersion(), err)
 	}
@@ -212,7 +213,7 @@
 	goldenBytes(t, "state.cbor.txt", stateText(s), err)
 }
 
-// Interest and HostStep go to relays as arrays, so that the order of their fields is the form.
+// Interest and HostAck go to relays as arrays, so that the order of their fields is the form.
 func TestGoldenArrays(t *testing.T) {
 	interest, step := Interest{All: true, Host: "h1", Name: "gk1", Around: 3}, HostAck{Host: "h2", Step: 4}
 	for _, c := range []struct {
--- a/internal/ruleset/host_agent.go
+++ b/internal/ruleset/host_agent.go
@@ -99,7 +99,7 @@
 // is recent enough. SetTime has to be called after the request came. An answer that is delayed after that
 // does no harm, as the requester counts from when it asked.
 func (a *HostAgent) GrantLease(id int, ackedStep uint64) (Lease, bool) {
-	if !a.LeaseGrantor.RecordRequest(id, ackedStep) {
+	if !a.RecordRequest(id, ackedStep) {
 		return Lease{}, false
 	}
 	lease := a.lease
--- a/internal/ruleset/lease_holder.go
+++ b/internal/ruleset/lease_holder.go
@@ -45,12 +45,18 @@
 // NewLeaseHolder makes one for the gatekeeper of a name. It goes by the initial rules, without a lease,
 // until it receives one. A plan of these has to have a rate limit where the agreed rules give it one.
 func NewLeaseHolder(name string, initial Rules) *LeaseHolder {
-	holder := &LeaseHolder{name: name, version: Version{Rules: initial}, leaseExpiryMillis: math.Inf(-1),
-		effectiveExpiryMillis: math.Inf(-1), adoptDue: true,
-		lastRequestMillis: math.Inf(-1), scheduledWakeMillis: math.Inf(-1)}
-	holder.memberIndex = MemberIndex(&initial, name)
-	holder.allowances = make([]Allowance, len(initial.Plans))
-	return holder
+	never := math.Inf(-1)
+	return &LeaseHolder{
+		name:                  name,
+		version:               Version{Rules: initial},
+		memberIndex:           MemberIndex(&initial, name),
+		allowances:            make([]Allowance, len(initial.Plans)),
+		leaseExpiryMillis:     never,
+		effectiveExpiryMillis: never,
+		adoptDue:              true,
+		lastRequestMillis:     never,
+		scheduledWakeMillis:   never,
+	}
 }
 
 // SetTime sets the time of what follows. The clock has to go on while the process is suspended.
@@ -167,8 +173,8 @@
 		}
 		allowances[i] = current.min(LeasedAllowance(rules, i, memberIndex))
 	}
-	h.version, h.memberIndex, h.allowances, h.leaseExpiryMillis = lease.Version, memberIndex, allowances,
-		math.Inf(-1)
+	h.version, h.memberIndex, h.allowances = lease.Version, memberIndex, allowances
+	h.leaseExpiryMillis = math.Inf(-1)
 	h.requireAdoption()
 }
 
@@ -224,14 +230,20 @@
 // buildEffective derives the rules that apply now.
 func (h *LeaseHolder) buildEffective() EffectiveRules {
 	rules := &h.version.Rules
-	effective := EffectiveRules{Version: h.version.Number, Step: h.step, Mode: h.mode,
-		MemberIndex: h.memberIndex, MemberCount: len(rules.Members),
-		WorkerOverrides: rules.WorkerOverrides, ExpiresAtMillis: h.effectiveExpiryMillis,
-		LendingAllowed: h.mode == ModeLeased,
-		AllowanceGrew:  h.allowanceGrew}
+	effective := EffectiveRules{
+		Version:         h.version.Number,
+		Step:            h.step,
+		Mode:            h.mode,
+		MemberIndex:     h.memberIndex,
+		MemberCount:     len(rules.Members),
+		LendingAllowed:  h.mode == ModeLeased,
+		WorkerOverrides: rules.WorkerOverrides,
+		ExpiresAtMillis: h.effectiveExpiryMillis,
+		AllowanceGrew:   h.allowanceGrew,
+	}
 	for i, plan := range rules.Plans {
-		effectivePlan, evenShare := EffectivePlan{Plan: plan, Allowance: h.allowance(i), CeilingFraction: 1},
-			LeasedAllowance(rules, i, 0)
+		effectivePlan := EffectivePlan{Plan: plan, Allowance: h.allowance(i), CeilingFraction: 1}
+		evenShare := LeasedAllowance(rules, i, 0)
 		if plan.CeilingRate > 0 {
 			effectivePlan.CeilingFraction = math.Min(effectivePlan.Allowance.Rate/evenShare.Rate,
 				effectivePlan.Allowance.Depth/evenShare.Depth)
--- a/internal/ruleset/model_check_test.go
+++ b/internal/ruleset/model_check_test.go
@@ -14,15 +14,15 @@
 	"time"
 )
 
-// tick is the unit of the exploration's time, ms: the step of the protocol, so that what was checked at one
-// tick may be written up to the next.
-const tick = maxWriteDelayMillis
+// actionInterval is the unit of the model's time, ms: the delay that a write may have, so that what was
+// checked at one tick may be written up to the next.
+const actionInterval = maxWriteDelayMillis
 
-// rules in short: one plan of a ceiling, and who is a member; a dot is a vacant place. A lease is just under
-// two ticks and the fallback goes on for one, so that each runs out between ticks.
-func small(ceiling float64, members string) *Rules {
+// smallRules have one plan with a rate limit, and a member for each letter; a dot is a vacant index. A lease
+// is just under two ticks and the fallback lasts one, so that each expires between ticks.
+func smallRules(ceiling float64, members string) *Rules {
 	r := &Rules{Format: SupportedFormat, ConflictBoundMillis: DefaultConflictBoundMillis,
-		LeaseMillis: 2*tick - 1, Fallback: Fallback{Fraction: 0.5, DurationMillis: tick},
+		LeaseMillis: 2*actionInterval - 1, Fallback: Fallback{Fraction: 0.5, DurationMillis: actionInterval},
 		Plans: []Plan{{Name: "p", Rate: ceiling, Burst: 1, CeilingRate: ceiling, CeilingDepth: ceiling,
 			CreditSeconds: 1,
 			RepayMillis:   2000}}}
@@ -36,430 +36,445 @@
 	return r
 }
 
-// bare is rules by which one that is cut off has nothing of a ceiling.
-func bare(ceiling float64, members string) *Rules {
-	r := small(ceiling, members)
+// rulesWithoutFallback allow nothing of a rate limit once the lease has expired.
+func rulesWithoutFallback(ceiling float64, members string) *Rules {
+	r := smallRules(ceiling, members)
 	r.Fallback.Fraction = 0
 	return r
 }
 
-// planted is a break of the protocol that the exploration has to find.
-type planted uint8
+// injectedFault is a fault of the protocol that the model check has to find.
+type injectedFault uint8
 
 const (
-	none          planted = iota
-	fromReceipt           // the lease is counted from when the answer came
-	raisedAtOnce          // parts go up before all others are off the former version
-	enforcedEarly         // the council waits for nobody
-	notNarrowed           // what waits is not told, so that fallbacks stay as they are
-	heldAtOnce            // the daemon reports what an instance has heard, not what it surely goes by
-	mixedAtOnce           // the council lets places change twice while the first is not settled
-	plants
+	noFault                 injectedFault = iota
+	leaseCountedFromReceipt               // the lease is counted from the receipt, not from the request
+	grownBeforeTransition                 // allowances grow before all others have left the former version
+	activatedAtOnce                       // the pending version is activated without waiting
+	// leases leave the pending version out, so that fallbacks are not narrowed
+	pendingNotSent
+	// a holder acknowledges what it has received, not what all its writes rest on
+	ackedOnReceipt
+	// a second change of members is activated before the first transition is complete
+	activatedDuringTransition
+	faultCount
 )
 
-var plantedNames = [...]string{"none", "lease from receipt", "raised at once", "enforced early",
-	"fallback not narrowed", "seen before the last write",
-	"mixed at once"}
+var faultNames = [...]string{"none", "lease from receipt", "grown before the transition", "activated at once",
+	"fallback not narrowed", "acknowledged before the last write",
+	"activated during a transition"}
 
-// early puts in force what waits, where that is the break.
-func (p planted) early(c *StateMachine) bool {
-	coming := c.state.Pending
-	if coming == nil || p != enforcedEarly && (p != mixedAtOnce || coming.ConflictingPlan != "") {
+// activatesEarly activates the pending version where that is the fault.
+func (fault injectedFault) activatesEarly(machine *StateMachine) bool {
+	pending := machine.state.Pending
+	if pending == nil || fault != activatedAtOnce && (fault != activatedDuringTransition ||
+		pending.ConflictingPlan != "") {
 		return false
 	}
-	c.activate(false)
+	machine.activate(false)
 	return true
 }
 
-// note is an answer on its way to an instance.
-type note struct {
-	there bool
-	lease Lease
-	asked float64
+// leaseInFlight is a lease on its way to a holder.
+type leaseInFlight struct {
+	exists            bool
+	lease             Lease
+	requestedAtMillis float64
 }
 
-// site is one instance with its host's daemon. All that may be lost is.
-type site struct {
-	name    string
-	holder  *LeaseHolder
-	steward *HostAgent
-	process int
-	mail    note
-	may     Allowance // the most that it might write by at this tick
-	might   Allowance // and might have at the last
+// modelHost is one gatekeeper with its host's daemon. All messages may be lost, delayed and duplicated.
+type modelHost struct {
+	name               string
+	holder             *LeaseHolder
+	agent              *HostAgent
+	process            int
+	inFlight           leaseInFlight
+	writable           Allowance // the most that it may write at this tick
+	previouslyWritable Allowance // and might have at the last one
 }
 
-// ended is a version that is not in force any more.
-type ended struct {
-	at, allows, bound float64
-	number            uint64
+// supersededAt is a version that is no longer in force, with its limit and its bound on conflicts.
+type supersededAt struct {
+	atMillis, allowedRate, boundMillis float64
+	number                             uint64
 }
 
-// world is one council with all of its sites; clone it to try what may come next.
-type world struct {
-	now     float64
-	council *StateMachine
-	sites   []site
-	script  []*Rules
-	said    int // proposals of the script that have been made
-	crashes int // that may come still
-	plant   planted
-	ended   []ended // versions that are not in force any more
-	allows  float64 // what the version in force does
-	last    int     // the site that acted last, since all of them could see it
+// modelState is one state machine with all hosts; a clone of it tries what may come next.
+type modelState struct {
+	nowMillis   float64
+	machine     *StateMachine
+	hosts       []modelHost
+	versions    []*Rules
+	proposed    int // of versions
+	crashesLeft int // crashes that may still come
+	fault       injectedFault
+	superseded  []supersededAt // by at least one version
+	allowedRate float64        // by the version in force
+	lastHost    int            // the host that acted last, since all hosts were affected by an action
 }
 
-func newWorld(plant planted, crashes int, script ...*Rules) *world {
-	w := &world{council: NewStateMachine(), script: script[1:], crashes: crashes, plant: plant,
-		allows: script[0].Plans[0].CeilingRate}
-	if o := w.council.Apply(LogEntry{Type: EntryPropose, ID: "0", Rules: script[0]}); o.Activated != 1 {
-		panic(o.Rejection)
+func newModelState(fault injectedFault, crashesLeft int, versions ...*Rules) *modelState {
+	state := &modelState{machine: NewStateMachine(), versions: versions[1:], crashesLeft: crashesLeft,
+		fault:       fault,
+		allowedRate: versions[0].Plans[0].CeilingRate}
+	if outcome := state.machine.Apply(LogEntry{Type: EntryPropose, ID: "0",
+		Rules: versions[0]}); outcome.Activated != 1 {
+		panic(outcome.Rejection)
 	}
 	seen := map[string]bool{}
-	for _, r := range script {
+	for _, r := range versions {
 		for _, m := range r.Members {
 			if m.Name != "" && !seen[m.Name] {
 				seen[m.Name] = true
-				w.sites = append(w.sites, site{name: m.Name, holder: NewLeaseHolder(m.Name, Rules{}),
-					steward: NewHostAgent("host-"+m.Name, w.council)})
+				state.hosts = append(state.hosts, modelHost{name: m.Name, holder: NewLeaseHolder(m.Name, Rules{}),
+					agent: NewHostAgent("host-"+m.Name, state.machine)})
 			}
 		}
 	}
-	for i := range w.sites {
-		w.sites[i].steward.SetLeader(true) // whoever thinks that it leads may say that time has run out
-		w.ask(i)
-		w.deliver(i)
+	for i := range state.hosts {
+		state.hosts[i].agent.SetLeader(true) // any daemon may believe that it leads
+		state.requestLease(i)
+		state.deliverLease(i)
 	}
-	return w
+	return state
 }
 
-func (w *world) clone() *world {
-	c := *w
-	k := *w.council
-	k.state.Superseded, k.state.RecentOutcomes, k.state.AckedSteps = slices.Clone(k.state.Superseded), nil,
-		maps.Clone(k.state.AckedSteps)
-	c.council = &k
-	c.sites = slices.Clone(w.sites)
-	c.ended = slices.Clone(w.ended)
-	for i := range c.sites {
-		h, s := *c.sites[i].holder, *c.sites[i].steward
-		h.allowances = slices.Clone(h.allowances)
-		s.machine = &k
-		s.LeaseGrantor, s.expirations = s.LeaseGrantor.clone(), slices.Clone(s.expirations)
-		c.sites[i].holder, c.sites[i].steward = &h, &s
-	}
-	return &c
+func (m *modelState) clone() *modelState {
+	copied := *m
+	machine := *m.machine
+	machine.state.Superseded = slices.Clone(machine.state.Superseded)
+	machine.state.RecentOutcomes = nil
+	machine.state.AckedSteps = maps.Clone(machine.state.AckedSteps)
+	copied.machine = &machine
+	copied.hosts = slices.Clone(m.hosts)
+	copied.superseded = slices.Clone(m.superseded)
+	for i := range copied.hosts {
+		holder, agent := *copied.hosts[i].holder, *copied.hosts[i].agent
+		holder.allowances = slices.Clone(holder.allowances)
+		agent.machine = &machine
+		agent.LeaseGrantor, agent.expirations = agent.clone(), slices.Clone(agent.expirations)
+		copied.hosts[i].holder, copied.hosts[i].agent = &holder, &agent
+	}
+	return &copied
 }
 
-// run has an instance look at its clock and take up what follows.
-func (w *world) run(i int) {
-	s := &w.sites[i]
-	s.holder.SetTime(w.now)
+// runHolder has a holder read its clock and take all actions.
+func (m *modelState) runHolder(i int) {
+	host := &m.hosts[i]
+	host.holder.SetTime(m.nowMillis)
 	for {
-		d, more := s.holder.NextAction()
+		action, more := host.holder.NextAction()
 		if !more {
 			break
 		}
-		if d.Kind == ActionAdopt {
-			w.record(i)
+		if action.Kind == ActionAdopt {
+			m.recordWritable(i)
 		}
 	}
 }
 
-// record notes what an instance might write by.
-func (w *world) record(i int) {
-	if s := &w.sites[i]; s.holder.MayAct(w.now) && len(s.holder.effective.Plans) > 0 {
-		s.may = s.may.max(s.holder.effective.Plans[0].Allowance)
+// recordWritable records what a gatekeeper may write.
+func (m *modelState) recordWritable(i int) {
+	if host := &m.hosts[i]; host.holder.MayAct(m.nowMillis) && len(host.holder.effective.Plans) > 0 {
+		host.writable = host.writable.max(host.holder.effective.Plans[0].Allowance)
 	}
 }
 
-// ask has a daemon read and answer a question that its instance sends now.
-func (w *world) ask(i int) {
-	s := &w.sites[i]
-	s.steward.SetTime(w.now)
-	s.steward.ReadConfirmed(w.now)
-	s.holder.SetTime(w.now)
-	holds := s.holder.AckedStep()
-	if w.plant == heldAtOnce {
-		holds = s.holder.step
-	}
-	if l, ok := s.steward.GrantLease(s.process, holds); ok {
-		switch w.plant {
-		case raisedAtOnce:
-			l.TransitionComplete = true
-		case notNarrowed:
-			l.Pending = nil
+// requestLease has a daemon read and answer a request that its gatekeeper sends now.
+func (m *modelState) requestLease(i int) {
+	host := &m.hosts[i]
+	host.agent.SetTime(m.nowMillis)
+	host.agent.ReadConfirmed(m.nowMillis)
+	host.holder.SetTime(m.nowMillis)
+	ackedStep := host.holder.AckedStep()
+	if m.fault == ackedOnReceipt {
+		ackedStep = host.holder.step
+	}
+	if lease, ok := host.agent.GrantLease(host.process, ackedStep); ok {
+		switch m.fault {
+		case grownBeforeTransition:
+			lease.TransitionComplete = true
+		case pendingNotSent:
+			lease.Pending = nil
 		}
-		s.mail = note{true, l, w.now}
+		host.inFlight = leaseInFlight{true, lease, m.nowMillis}
 	}
 }
 
-func (w *world) deliver(i int) {
-	s := &w.sites[i]
-	s.holder.SetTime(w.now)
-	if w.plant == fromReceipt {
-		s.mail.asked, s.mail.lease.AgeMillis = w.now, 0
-	}
-	s.holder.ReceiveLease(s.mail.lease, s.mail.asked)
-	w.run(i)
+// deliverLease delivers the lease in flight, which stays there: it may come twice.
+func (m *modelState) deliverLease(i int) {
+	host := &m.hosts[i]
+	host.holder.SetTime(m.nowMillis)
+	if m.fault == leaseCountedFromReceipt {
+		host.inFlight.requestedAtMillis, host.inFlight.lease.AgeMillis = m.nowMillis, 0
+	}
+	host.holder.ReceiveLease(host.inFlight.lease, host.inFlight.requestedAtMillis)
+	m.runHolder(i)
 }
 
-// enter has the council take an entry.
-func (w *world) enter(e LogEntry) Outcome {
-	old := w.council.state.InForce
-	o := w.council.Apply(e)
-	if w.plant.early(w.council) {
-		o.Activated = w.council.state.InForce.Number
-	}
-	if o.Activated > 0 {
-		w.ended = append(w.ended, ended{w.now, w.allows, ConflictBoundMillis(&old.Rules), old.Number})
-		w.allows = w.council.state.InForce.Rules.Plans[0].CeilingRate
-	}
-	for i := range w.sites {
-		w.sites[i].steward.SetTime(w.now)
-		w.sites[i].steward.EntriesApplied()
-	}
-	return o
+// apply has the state machine apply an entry.
+func (m *modelState) apply(entry LogEntry) Outcome {
+	former := m.machine.state.InForce
+	outcome := m.machine.Apply(entry)
+	if m.fault.activatesEarly(m.machine) {
+		outcome.Activated = m.machine.state.InForce.Number
+	}
+	if outcome.Activated > 0 {
+		m.superseded = append(m.superseded, supersededAt{m.nowMillis, m.allowedRate,
+			ConflictBoundMillis(&former.Rules), former.Number})
+		m.allowedRate = m.machine.state.InForce.Rules.Plans[0].CeilingRate
+	}
+	for i := range m.hosts {
+		m.hosts[i].agent.SetTime(m.nowMillis)
+		m.hosts[i].agent.EntriesApplied()
+	}
+	return outcome
 }
 
-// can tells whether an action is to be tried. What sites do without the council changes nothing for the
-// others, so it is tried in one order of sites alone.
-func (w *world) can(action int) bool {
+// enabled tells whether an action is to be tried. What hosts do without the state machine changes nothing
+// for the others, so that it is tried in one order of hosts alone.
+func (m *modelState) enabled(action int) bool {
 	if action < 3 {
-		return action != 1 || w.said < len(w.script)
+		return action != 1 || m.proposed < len(m.versions)
 	}
 	i := (action - 3) / 4
 	switch (action - 3) % 4 {
 	case 1:
-		return i >= w.last && w.sites[i].mail.there
+		return i >= m.lastHost && m.hosts[i].inFlight.exists
 	case 3:
-		return i >= w.last && w.crashes > 0
+		return i >= m.lastHost && m.crashesLeft > 0
 	}
-	return i >= w.last
+	return i >= m.lastHost
 }
 
-// step does one of the things that may come next; false where it changes nothing.
-func (w *world) step(action int) (name string, done bool) {
-	w.last = 0
+// take takes one of the possible actions; false where it changes nothing.
+func (m *modelState) take(action int) (name string, done bool) {
+	m.lastHost = 0
 	switch action {
 	case 0:
-		w.now += tick
-		w.ended = slices.DeleteFunc(w.ended, func(e ended) bool { return w.now > e.at+e.bound })
-		for i := range w.sites {
-			s := &w.sites[i]
-			s.might, s.may = s.may, Allowance{}
-			w.record(i) // by one that stands still
-			w.run(i)    // and by one that does not
-			if s.mail.there && w.now >= s.mail.asked-s.mail.lease.AgeMillis+s.mail.lease.Version.Rules.LeaseMillis &&
-				w.plant != fromReceipt {
-				s.mail = note{} // it can do nothing any more
+		m.nowMillis += actionInterval
+		m.superseded = slices.DeleteFunc(m.superseded,
+			func(e supersededAt) bool { return m.nowMillis > e.atMillis+e.boundMillis })
+		for i := range m.hosts {
+			host := &m.hosts[i]
+			host.previouslyWritable, host.writable = host.writable, Allowance{}
+			m.recordWritable(i) // by one that is suspended
+			m.runHolder(i)      // and by one that is not
+			lease := &host.inFlight.lease
+			expiryMillis := host.inFlight.requestedAtMillis - lease.AgeMillis + lease.Version.Rules.LeaseMillis
+			if host.inFlight.exists && m.nowMillis >= expiryMillis && m.fault != leaseCountedFromReceipt {
+				host.inFlight = leaseInFlight{} // it has expired
 			}
 		}
 		return "tick", true
 	case 1:
-		w.said++
-		o := w.enter(LogEntry{Type: EntryPropose, ID: fmt.Sprint(w.said), Base: w.council.state.InForce.Number,
-			Rules: w.script[w.said-1]})
+		m.proposed++
+		o := m.apply(LogEntry{Type: EntryPropose, ID: fmt.Sprint(m.proposed), Base: m.machine.state.InForce.Number,
+			Rules: m.versions[m.proposed-1]})
 		return "propose" + o.Rejection, o.Rejection == ""
-	case 2: // what the daemons have to say to the council gets there now
-		any := false
-		for i := range w.sites {
-			s := w.sites[i].steward
+	case 2: // what the daemons submit reaches the log now
+		submitted := false
+		for i := range m.hosts {
+			agent := m.hosts[i].agent
 			for {
-				s.SetTime(w.now)
-				d, more := s.NextAction()
+				agent.SetTime(m.nowMillis)
+				next, more := agent.NextAction()
 				if !more {
 					break
 				}
-				if d.Kind == ActionSubmit {
-					any = true
-					w.enter(d.Entry)
+				if next.Kind == ActionSubmit {
+					submitted = true
+					m.apply(next.Entry)
 				}
 			}
-			for k := range s.expirations {
-				s.expirations[k].lastSubmitMillis = math.Inf(-1) // it may be said again at any time
+			for k := range agent.expirations {
+				agent.expirations[k].lastSubmitMillis = math.Inf(-1) // it may be submitted again at any time
 			}
-			s.lastAckMillis, s.lastAckStep = math.Inf(-1), 0
+			agent.lastAckMillis, agent.lastAckStep = math.Inf(-1), 0
 		}
-		return "submit", any
+		return "submit", submitted
 	}
 	i := (action - 3) / 4
-	s := &w.sites[i]
-	w.last = i
+	host := &m.hosts[i]
+	m.lastHost = i
 	switch (action - 3) % 4 {
 	case 0:
-		w.ask(i)
-		return "ask " + s.name, true
+		m.requestLease(i)
+		return "request " + host.name, true
 	case 1:
-		w.deliver(i) // and it stays: it may come twice
-		return "deliver " + s.name, true
+		m.deliverLease(i)
+		return "deliver " + host.name, true
 	case 2:
-		w.ask(i)
-		w.deliver(i)
-		return "hear " + s.name, true
+		m.requestLease(i)
+		m.deliverLease(i)
+		return "request and deliver " + host.name, true
 	default:
-		w.crashes--
-		s.steward.ProcessExited(s.process)
-		s.process++
-		s.steward.ProcessStarted(s.process, false)
-		s.holder, s.mail = NewLeaseHolder(s.name, Rules{}), note{}
-		s.may, s.might = Allowance{}, Allowance{} // the daemon has seen it end, and with it all that it could write
-		return "crash " + s.name, true
+		m.crashesLeft--
+		host.agent.ProcessExited(host.process)
+		host.process++
+		host.agent.ProcessStarted(host.process, false)
+		host.holder, host.inFlight = NewLeaseHolder(host.name, Rules{}), leaseInFlight{}
+		// the daemon has seen the process exit, which can write nothing any more
+		host.writable, host.previouslyWritable = Allowance{}, Allowance{}
+		return "crash " + host.name, true
 	}
 }
 
-// wrong tells what does not hold: what all might write by now is never more than the most that a version
-// allows which is in force, or was until no longer ago than its bound.
-func (w *world) wrong() string {
+// violation names the invariant that does not hold, if any: what all might write now is never more than the
+// most that a version allows which is in force, or was until no longer ago than its bound on conflicts.
+func (m *modelState) violation() string {
 	var sum Allowance
-	for _, s := range w.sites {
-		sum = sum.plus(s.may.max(s.might))
+	for _, host := range m.hosts {
+		sum = sum.plus(host.writable.max(host.previouslyWritable))
 	}
-	allowed := w.allows
-	for _, e := range w.ended {
-		if w.now <= e.at+e.bound {
-			allowed = max(allowed, e.allows)
+	allowed := m.allowedRate
+	for _, e := range m.superseded {
+		if m.nowMillis <= e.atMillis+e.boundMillis {
+			allowed = max(allowed, e.allowedRate)
 		}
 	}
 	if sum.Rate > allowed*(1+roundingTolerance) || sum.Depth > allowed*(1+roundingTolerance) ||
 		sum.Credit > allowed*(1+roundingTolerance) {
 		return fmt.Sprintf("all write by %v of %v", sum, allowed)
 	}
-	for _, s := range w.sites {
-		n := s.holder.effective.Version
-		if s.holder.MayAct(w.now) && s.holder.effective.Mode == ModeLeased && n != w.council.state.InForce.Number &&
-			!slices.ContainsFunc(w.ended, func(e ended) bool { return e.number == n }) {
-			return fmt.Sprintf("%s acts on version %d still", s.name, n)
+	for _, host := range m.hosts {
+		n := host.holder.effective.Version
+		if host.holder.MayAct(m.nowMillis) && host.holder.effective.Mode == ModeLeased &&
+			n != m.machine.state.InForce.Number &&
+			!slices.ContainsFunc(m.superseded, func(e supersededAt) bool { return e.number == n }) {
+			return fmt.Sprintf("%s acts on version %d still", host.name, n)
 		}
 	}
 	return ""
 }
 
-// key is a world but for what can't matter: times are told from now, and those that are long past as one.
-func (w *world) key(b []byte) []byte {
-	num := func(v float64) { b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(v))) }
-	when := func(v, last float64) { num(math.Max(v-w.now, -last)) }
-	small := func(v ...uint64) {
+// fingerprint encodes a state without what can't matter: times count from now, and those long past are one.
+func (m *modelState) fingerprint(b []byte) []byte {
+	appendFloat := func(v float64) { b = binary.LittleEndian.AppendUint32(b, math.Float32bits(float32(v))) }
+	appendTime := func(v, last float64) { appendFloat(math.Max(v-m.nowMillis, -last)) }
+	appendSmall := func(v ...uint64) {
 		for _, v := range v {
 			b = append(b, byte(v))
 		}
 	}
-	yes := func(all ...bool) {
+	appendBools := func(all ...bool) {
 		for _, v := range all {
 			if b = append(b, 0); v {
 				b[len(b)-1] = 1
 			}
 		}
 	}
-	part := func(p Allowance) { num(p.Rate); num(p.Credit) }
-	lease := func(l *Lease) {
-		small(l.Step, l.Version.Number)
-		yes(l.TransitionComplete, l.Pending != nil)
-	}
-	st := w.council.State()
-	small(st.Step, st.InForce.Number, uint64(w.said), uint64(w.crashes), uint64(len(st.Superseded)),
-		uint64(w.last))
-	if yes(st.Pending != nil); st.Pending != nil {
-		small(st.Pending.Step)
-	}
-	for _, h := range st.Superseded {
-		small(h.Step)
-		yes(h.MayBeActive)
-		part(h.Fallback.Allowances[0])
-	}
-	for _, e := range w.ended {
-		when(e.at, 99*tick)
-		num(e.allows)
-	}
-	for i := range w.sites {
-		s := &w.sites[i]
-		small(st.AckedSteps[s.steward.host], s.steward.lease.Step)
-		part(s.may)
-		part(s.might)
-		if yes(s.mail.there); s.mail.there {
-			lease(&s.mail.lease)
-			when(s.mail.asked-s.mail.lease.AgeMillis, 99*tick)
+	appendAllowance := func(p Allowance) { appendFloat(p.Rate); appendFloat(p.Credit) }
+	appendLease := func(l *Lease) {
+		appendSmall(l.Step, l.Version.Number)
+		appendBools(l.TransitionComplete, l.Pending != nil)
+	}
+	state := m.machine.State()
+	appendSmall(state.Step, state.InForce.Number, uint64(m.proposed), uint64(m.crashesLeft),
+		uint64(len(state.Superseded)),
+		uint64(m.lastHost))
+	if appendBools(state.Pending != nil); state.Pending != nil {
+		appendSmall(state.Pending.Step)
+	}
+	for _, h := range state.Superseded {
+		appendSmall(h.Step)
+		appendBools(h.MayBeActive)
+		appendAllowance(h.Fallback.Allowances[0])
+	}
+	for _, e := range m.superseded {
+		appendTime(e.atMillis, 99*actionInterval)
+		appendFloat(e.allowedRate)
+	}
+	for i := range m.hosts {
+		host := &m.hosts[i]
+		appendSmall(state.AckedSteps[host.agent.host], host.agent.lease.Step)
+		appendAllowance(host.writable)
+		appendAllowance(host.previouslyWritable)
+		if appendBools(host.inFlight.exists); host.inFlight.exists {
+			appendLease(&host.inFlight.lease)
+			appendTime(host.inFlight.requestedAtMillis-host.inFlight.lease.AgeMillis, 99*actionInterval)
 		}
-		h := s.holder
-		small(uint64(h.mode), h.step, h.version.Number, h.ackedStep, h.nextAckStep)
+		h := host.holder
+		appendSmall(uint64(h.mode), h.step, h.version.Number, h.ackedStep, h.nextAckStep)
 		if h.mode != ModeNoLease {
-			when(h.leaseExpiryMillis, 99*tick)
+			appendTime(h.leaseExpiryMillis, 99*actionInterval)
 		}
-		when(h.nextAckSinceMillis, tick)
-		yes(h.adoptDue, h.pending != nil)
+		appendTime(h.nextAckSinceMillis, actionInterval)
+		appendBools(h.adoptDue, h.pending != nil)
 		for _, p := range h.allowances {
-			part(p)
+			appendAllowance(p)
 		}
-		for _, id := range slices.Sorted(maps.Keys(s.steward.processes)) {
-			p := s.steward.processes[id]
-			yes(p.granted)
-			small(p.ackedStep)
+		for _, id := range slices.Sorted(maps.Keys(host.agent.processes)) {
+			p := host.agent.processes[id]
+			appendBools(p.granted)
+			appendSmall(p.ackedStep)
 		}
 	}
-	for _, e := range w.sites[0].steward.expirations { // all see them at once
-		small(e.step)
-		when(e.startMillis, e.fallbackMillis)
+	for _, e := range m.hosts[0].agent.expirations { // all see them at once
+		appendSmall(e.step)
+		appendTime(e.startMillis, e.fallbackMillis)
 	}
 	return b
 }
 
-// explore tries all orders of actions up to a depth, and gives the shortest that ends in a wrong state, the
-// states that it has met, and how deep it came before they were too many.
-func explore(first *world, depth, most int) (trace []string, wrong string, states, reached int) {
-	type met struct {
+// exploreStates tries all orders of actions up to a depth, breadth first, and gives the shortest that ends
+// in a violation, the number of states visited, and the depth reached before they were too many.
+func exploreStates(first *modelState, depth, maxStates int) (trace []string, violation string, states,
+	reached int) {
+	type visit struct {
 		from int32
 		by   string
 	}
-	var all []met
+	var visits []visit
 	type edge struct {
-		w  *world
+		w  *modelState
 		at int32
 	}
 	seen := map[[2]uint64]bool{}
 	front := []edge{{first, 0}}
-	all = append(all, met{-1, ""})
+	visits = append(visits, visit{-1, ""})
 	var raw []byte
-	actions := 3 + 4*len(first.sites)
+	actions := 3 + 4*len(first.hosts)
 	for d := 1; d <= depth; d++ {
 		var next []edge
 		for _, e := range front {
 			for a := range actions {
-				if !e.w.can(a) {
+				if !e.w.enabled(a) {
 					continue
 				}
 				w := e.w.clone()
-				name, ok := w.step(a)
+				name, ok := w.take(a)
 				if !ok {
 					continue
 				}
-				raw = w.key(raw[:0])
-				h := hashed(raw)
+				raw = w.fingerprint(raw[:0])
+				h := hashFingerprint(raw)
 				if seen[h] {
 					continue
 				}
 				seen[h] = true
-				at := int32(len(all))
-				all = append(all, met{e.at, name})
-				if bad := w.wrong(); bad != "" {
-					for ; at > 0; at = all[at].from {
-						trace = append(trace, all[at].by)
+				at := int32(len(visits))
+				visits = append(visits, visit{e.at, name})
+				if violated := w.violation(); violated != "" {
+					for ; at > 0; at = visits[at].from {
+						trace = append(trace, visits[at].by)
 					}
 					slices.Reverse(trace)
-					return trace, bad, len(all), d
+					return trace, violated, len(visits), d
 				}
 				next = append(next, edge{w, at})
 			}
-			if len(all) > most {
-				return nil, "", len(all), d - 1
+			if len(visits) > maxStates {
+				return nil, "", len(visits), d - 1
 			}
 		}
 		front = next
 	}
-	return nil, "", len(all), depth
+	return nil, "", len(visits), depth
 }
 
-// hashed is 128 bits of a key: of some million states none is taken for another.
-func hashed(raw []byte) [2]uint64 {
+// hashFingerprint is 128 bits of a fingerprint: of some million states none is taken for another.
+func hashFingerprint(raw []byte) [2]uint64 {
 	a, b := fnv.New64a(), crc64.New(crcTable)
 	a.Write(raw)
 	b.Write(raw)
@@ -468,50 +483,53 @@
 
 var crcTable = crc64.MakeTable(crc64.ECMA)
 
-// scripts are sequences of versions with something to go wrong in each.
-var scripts = []struct {
+// versionSequences are sequences of versions with something to go wrong in each.
+var versionSequences = []struct {
 	name  string
 	rules []*Rules
 }{
-	{"down below the fallback, then up", []*Rules{small(96, "ab"), small(24, "ab"), small(96, "ab")}},
-	{"down as far as the fallback, then up", []*Rules{small(96, "ab"), small(48, "ab"), small(96, "ab")}},
-	{"one more, then alone", []*Rules{small(96, "a"), small(96, "ab"), small(96, "a")}},
-	{"one more, then one less", []*Rules{small(96, "ab"), small(96, "abc"), small(96, "a.c")}},
-	{"one for the other, twice", []*Rules{bare(96, "ab"), bare(40, ".b"), bare(40, "a")}},
-	{"three to two, and up", []*Rules{small(96, "abc"), small(96, "ab"), small(192, "ab")}},
+	{"down below the fallback, then up", []*Rules{smallRules(96, "ab"), smallRules(24, "ab"),
+		smallRules(96, "ab")}},
+	{"down as far as the fallback, then up", []*Rules{smallRules(96, "ab"), smallRules(48, "ab"),
+		smallRules(96, "ab")}},
+	{"one more, then alone", []*Rules{smallRules(96, "a"), smallRules(96, "ab"), smallRules(96, "a")}},
+	{"one more, then one less", []*Rules{smallRules(96, "ab"), smallRules(96, "abc"), smallRules(96, "a.c")}},
+	{"one for the other, twice", []*Rules{rulesWithoutFallback(96, "ab"), rulesWithoutFallback(40, ".b"),
+		rulesWithoutFallback(40, "a")}},
+	{"three to two, and up", []*Rules{smallRules(96, "abc"), smallRules(96, "ab"), smallRules(192, "ab")}},
 }
 
-var walks = flag.Int("walks", 250, "at random, of a minute each")
+var randomRuns = flag.Int("walks", 250, "at random, of a minute each")
 
-var mostStates = flag.Int("states", 50000, "that the exploration may meet in each script")
+var maxStates = flag.Int("states", 50000, "that the exploration may meet in each script")
 
-func TestExplored(t *testing.T) {
-	for _, s := range scripts {
+func TestModelCheck(t *testing.T) {
+	for _, s := range versionSequences {
 		start := time.Now()
-		trace, wrong, states, depth := explore(newWorld(none, 1, s.rules...), 40, *mostStates)
+		trace, violation, states, depth := exploreStates(newModelState(noFault, 1, s.rules...), 40, *maxStates)
 		t.Logf("%s: %d states, all up to %d actions, %v", s.name, states, depth, time.Since(start))
-		if wrong != "" {
-			t.Errorf("%s: %s after %s", s.name, wrong, strings.Join(trace, ", "))
+		if violation != "" {
+			t.Errorf("%s: %s after %s", s.name, violation, strings.Join(trace, ", "))
 		}
 	}
 }
 
-// Each break of the protocol is found: guards against an exploration that can't fail.
-func TestPlantedBreaksAreFound(t *testing.T) {
-	for p := fromReceipt; p < plants; p++ {
+// Each injected fault is found: guards against a model check that can't fail.
+func TestModelCheckFindsInjectedFaults(t *testing.T) {
+	for fault := leaseCountedFromReceipt; fault < faultCount; fault++ {
 		found := false
-		for _, s := range scripts {
+		for _, s := range versionSequences {
 			start := time.Now()
-			trace, wrong, states, _ := explore(newWorld(p, 0, s.rules...), 40, 30000)
-			if wrong != "" {
+			trace, violation, states, _ := exploreStates(newModelState(fault, 0, s.rules...), 40, 30000)
+			if violation != "" {
 				found = true
-				t.Logf("%s: %s: %s after %s (%d states, %v)", plantedNames[p], s.name, wrong, strings.Join(trace, ", "),
-					states, time.Since(start))
+				t.Logf("%s: %s: %s after %s (%d states, %v)", faultNames[fault], s.name, violation,
+					strings.Join(trace, ", "), states, time.Since(start))
 				break
 			}
 		}
 		if !found {
-			t.Errorf("%s: not found", plantedNames[p])
+			t.Errorf("%s: not found", faultNames[fault])
 		}
 	}
 }
--- a/internal/ruleset/rulefile/golden_test.go
+++ b/internal/ruleset/rulefile/golden_test.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// noZeroField fails where a struct, or an element of its lists, has a field that is zero: only the second
-// word of operators may.
-func noZeroField(t *testing.T, v reflect.Value) {
+// requireNoZeroField fails where a struct, or an element of its lists, has a field that is zero: only the
+// second worker override may.
+func requireNoZeroField(t *testing.T, v reflect.Value) {
 	t.Helper()
 	for i := range v.NumField() {
 		f := v.Field(i)
@@ -37,10 +37,10 @@
 			t.Errorf("%s.%s is zero", v.Type(), v.Type().Field(i).Name)
 		}
 		if f.Kind() == reflect.Slice && f.Len() > 0 && f.Index(0).Kind() == reflect.Struct {
-			noZeroField(t, f.Index(0))
+			requireNoZeroField(t, f.Index(0))
 		}
 		if f.Kind() == reflect.Struct {
-			noZeroField(t, f)
+			requireNoZeroField(t, f)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 func TestGoldenFile(t *testing.T) {
 	path := filepath.Join("testdata", "golden", "rules.toml")
 	want := goldenRules()
-	noZeroField(t, reflect.ValueOf(want))
+	requireNoZeroField(t, reflect.ValueOf(want))
 	got, err := Read(path)
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as\n%+v\nnot as\n%+v\n%v", got, want, err)
--- a/internal/ruleset/rulefile/rulefile.go
+++ b/internal/ruleset/rulefile/rulefile.go
@@ -1,4 +1,5 @@
-// Package rulefile is the one file form of the rules that gatekeepers agree on.
+// Package rulefile reads and writes the rules that gatekeepers agree on as TOML, the only file form of them.
+// It owns no state; it does no I/O but to read the file that Read names.
 package rulefile
 
 import (
@@ -12,16 +13,17 @@
 	"willowdeck/internal/strictoml"
 )
 
-// What a file need not name.
+// The values of keys that a file leaves out, and the bound of its size.
 const (
-	DefaultLeaseMillis      = 1000.0  // ms: with the step and drift it keeps a bound well under two seconds
-	DefaultFallbackFraction = 0.5     // of a ceiling's part: ceilings may be halved at once, whoever is cut off
-	DefaultFallbackMillis   = 10000.0 // ms: longer than a daemon's restart or a new leader takes
-	MaxFileBytes            = 4 << 20 // bytes of a file; the longest rules that pass ruleset.Check fit
-	millisPerSecond         = 1000.0  // ms in one
+	// with the write delay and drift it stays well under DefaultConflictBoundMillis
+	DefaultLeaseMillis      = 1000.0
+	DefaultFallbackFraction = 0.5     // so that a rate limit may be halved at once, whoever is on its fallback
+	DefaultFallbackMillis   = 10000.0 // longer than a daemon's restart or an election takes
+	MaxFileBytes            = 4 << 20 // the longest rules that pass ruleset.Validate fit
+	millisPerSecond         = 1000.0
 )
 
-// file is the rules as their file says them.
+// rulesTOML is the rules file. Its keys are the operators'.
 type rulesTOML struct {
 	Format   int      `toml:"form"`
 	Needs    []string `toml:"needs"`
@@ -73,7 +75,7 @@
 	return rules, nil
 }
 
-// Decode takes rules from a file's text. An error names the line or the key.
+// Decode reads and checks rules from a file's text. An error names the line or the key.
 func Decode(text string) (ruleset.Rules, error) {
 	if len(text) > MaxFileBytes {
 		return ruleset.Rules{}, fmt.Errorf("%d bytes are more than %d", len(text), MaxFileBytes)
@@ -105,7 +107,8 @@
 	return rules, nil
 }
 
-// Encode is rules as a file's text, which Decode takes: for operators that change what is in force.
+// Encode writes rules as a file's text, which Decode reads: operators start from it to change what is in
+// force.
 func Encode(rules *ruleset.Rules) (string, error) {
 	file := rulesTOML{Format: rules.Format, Needs: rules.Needs, LeaseMS: rules.LeaseMillis,
 		BoundMS: rules.ConflictBoundMillis}
--- a/internal/ruleset/rulefile/rulefile_test.go
+++ b/internal/ruleset/rulefile/rulefile_test.go
@@ -7,24 +7,25 @@
 	"testing"
 )
 
-const least = "[[members]]\nname = \"a\"\nhost = \"h\"\n"
+const minimalFile = "[[members]]\nname = \"a\"\nhost = \"h\"\n"
 
-// What is wrong is named by line or key, and gives no rules: guards against a change that is half taken.
+// An error names the line or the key, and there are no rules beside it: guards against a change that is
+// applied in part.
 func TestDecode(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{least, ""},
-		{"leese_ms = 5\n" + least, "line 1: leese_ms: unknown key"},
-		{"lease_ms = \"x\"\n" + least, "lease_ms"},
+		{minimalFile, ""},
+		{"leese_ms = 5\n" + minimalFile, "line 1: leese_ms: unknown key"},
+		{"lease_ms = \"x\"\n" + minimalFile, "lease_ms"},
 		{"lease_ms = \n", "line 1"},
-		{"lease_ms = 1800\n" + least, "lease_ms: 1800"},
-		{"lease_ms = nan\n" + least, "lease_ms: NaN"},
-		{"form = 2\n" + least, `needs: "form 2"`},
-		{"needs = [\"tides\"]\n" + least, `needs: "tides"`},
-		{"[fallback]\npart = 1.5\n" + least, "fallback.part: 1.5"},
-		{"[[plans]]\nname = \"p\"\nceiling_rate = 5\n" + least, "plans.p.ceiling_rate"},
-		{"[[plans]]\nname = \"p\"\nrate = 5\ncredit_s = 1\n" + least, "plans.p.repay_s"},
-		{least + "peers = \"x\"\n" + least, "members.1.name"},
-		{least + "[[words]]\nbarred = true\n", "words.0.worker"},
+		{"lease_ms = 1800\n" + minimalFile, "lease_ms: 1800"},
+		{"lease_ms = nan\n" + minimalFile, "lease_ms: NaN"},
+		{"form = 2\n" + minimalFile, `needs: "form 2"`},
+		{"needs = [\"tides\"]\n" + minimalFile, `needs: "tides"`},
+		{"[fallback]\npart = 1.5\n" + minimalFile, "fallback.part: 1.5"},
+		{"[[plans]]\nname = \"p\"\nceiling_rate = 5\n" + minimalFile, "plans.p.ceiling_rate"},
+		{"[[plans]]\nname = \"p\"\nrate = 5\ncredit_s = 1\n" + minimalFile, "plans.p.repay_s"},
+		{minimalFile + "peers = \"x\"\n" + minimalFile, "members.1.name"},
+		{minimalFile + "[[words]]\nbarred = true\n", "words.0.worker"},
 		{strings.Repeat("#", MaxFileBytes+1), "more than"},
 		{"", "members"},
 	} {
@@ -38,7 +39,7 @@
 	}
 }
 
-// The operators' example holds, says every key, and comes back from its own encoding as it was.
+// The operators' example is valid, and the same after encoding and decoding.
 func TestExample(t *testing.T) {
 	r, err := Read("../../../deploy/rules.toml")
 	if err != nil {
@@ -58,8 +59,8 @@
 	}
 }
 
-// members are rules' text with so many.
-func members(n int) string {
+// fileWithMembers is a rules file with n members.
+func fileWithMembers(n int) string {
 	var b strings.Builder
 	b.WriteString("needs = [\"members\"]\n[[plans]]\nname = \"p\"\nrate = 10\nburst = 5\n")
 	for i := range n {
@@ -69,9 +70,10 @@
 	return b.String()
 }
 
-// The coming fleet's file is read, and written as it was; without what it needs it is refused by key.
+// A file of the planned fleet's size is the same after encoding and decoding; without the feature that it
+// needs it is rejected by key.
 func TestManyMembers(t *testing.T) {
-	text := members(7900)
+	text := fileWithMembers(7900)
 	r, err := Decode(text)
 	if err != nil || len(r.Members) != 7900 {
 		t.Fatalf("%v, %d members", err, len(r.Members))
@@ -94,7 +96,7 @@
 
 func BenchmarkDecode(b *testing.B) {
 	for _, n := range []int{100, 300, 1000, 3000, 7900} {
-		text := members(n)
+		text := fileWithMembers(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			b.SetBytes(int64(len(text)))
--- a/internal/ruleset/scaling_test.go
+++ b/internal/ruleset/scaling_test.go
@@ -20,8 +20,8 @@
 	capacityCommit = flag.String("commit", "", "commit in that file")
 )
 
-// many are rules of so many members, one on each host, and five plans.
-func many(n int, ceiling float64) *Rules {
+// manyRules have n members, one on each host, and five plans.
+func manyRules(n int, ceiling float64) *Rules {
 	r := &Rules{Format: SupportedFormat, Needs: []string{FeatureManyMembers},
 		ConflictBoundMillis: DefaultConflictBoundMillis, LeaseMillis: 1000,
 		Fallback: Fallback{Fraction: 0.5, DurationMillis: 10000}}
@@ -36,8 +36,8 @@
 	return r
 }
 
-// The former ways, squared in members, which those of today have to give the same as.
-func formerKeep(next *Rules, former []Member) error {
+// The quadratic functions are the straightforward ones, which the linear ones have to agree with.
+func quadraticMemberIndexes(next *Rules, former []Member) error {
 	for i, m := range next.Members {
 		for j, o := range former {
 			if m.Name != "" && o.Name == m.Name && i != j {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-func formerHosts(members []Member) []string {
+func quadraticHosts(members []Member) []string {
 	var all []string
 	for _, m := range members {
 		if m.Name != "" && !slices.Contains(all, m.Host) {
@@ -58,7 +58,7 @@
 	return all
 }
 
-func formerUnion(some, more []string) []string {
+func quadraticUnion(some, more []string) []string {
 	for _, host := range more {
 		if !slices.Contains(some, host) {
 			some = append(some, host)
@@ -67,7 +67,7 @@
 	return some
 }
 
-func formerNarrowed(s AllowanceSet, coming *Rules) AllowanceSet {
+func quadraticNarrowed(s AllowanceSet, coming *Rules) AllowanceSet {
 	var n AllowanceSet
 	for _, m := range s.Members {
 		if MemberIndex(coming, m.Name) >= 0 {
@@ -80,7 +80,7 @@
 	return n
 }
 
-func formerPasses(all []AllowanceSet, allowed []Allowance, next *Rules) string {
+func quadraticOverAllocated(all []AllowanceSet, allowed []Allowance, next *Rules) string {
 	member := map[string][]int{}
 	var names []string
 	for i, s := range all {
@@ -112,8 +112,8 @@
 	return ""
 }
 
-// formerWanted is the steward's own reckoning of whether the council gains by a host's word.
-func formerWanted(s *State, host string, step uint64) bool {
+// ackUsefulForOneHost tells of one acknowledgement what UsefulAcks tells of many.
+func ackUsefulForOneHost(s *State, host string, step uint64) bool {
 	known, there := s.AckedSteps[host]
 	if !there || step <= known {
 		return false
@@ -127,11 +127,11 @@
 	return p != nil && slices.Contains(p.Hosts, host) && known < p.Step && p.Step <= step
 }
 
-// What is linear in members now gives the same as what was squared.
-func TestSameAsFormerWays(t *testing.T) {
+// What is linear in members gives the same as the quadratic functions.
+func TestLinearEqualsQuadratic(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	draw := func() *Rules {
-		r := small([]float64{12, 24, 48, 96}[rng.Intn(4)], "a")
+		r := smallRules([]float64{12, 24, 48, 96}[rng.Intn(4)], "a")
 		r.Members = nil
 		used := map[string]bool{}
 		for range 1 + rng.Intn(12) {
@@ -148,27 +148,27 @@
 	differ := map[string]int{}
 	for range 20000 {
 		a, b, c := draw(), draw(), draw()
-		was := fmt.Sprint(formerKeep(a, b.Members))
+		was := fmt.Sprint(quadraticMemberIndexes(a, b.Members))
 		if got, want := fmt.Sprint(validateMemberIndexes(a, AllowanceSet{Members: b.Members})), was; got != want {
 			t.Fatalf("keep: %s, not %s", got, want)
 		} else if want != "<nil>" {
 			differ["keep"]++
 		}
-		if got, want := memberHosts(a.Members), formerHosts(a.Members); !reflect.DeepEqual(got, want) {
+		if got, want := memberHosts(a.Members), quadraticHosts(a.Members); !reflect.DeepEqual(got, want) {
 			t.Fatalf("hosts: %v, not %v", got, want)
 		}
 		got, want := unionHosts(memberHosts(a.Members), memberHosts(b.Members)),
-			formerUnion(memberHosts(a.Members), memberHosts(b.Members))
+			quadraticUnion(memberHosts(a.Members), memberHosts(b.Members))
 		if !slices.Equal(got, want) {
 			t.Fatalf("union: %v, not %v", got, want)
 		}
 		n := fallbackAllowances(a).narrowed(b)
-		if want := formerNarrowed(fallbackAllowances(a), b); !reflect.DeepEqual(n, want) {
+		if want := quadraticNarrowed(fallbackAllowances(a), b); !reflect.DeepEqual(n, want) {
 			t.Fatalf("narrowed: %v, not %v", n, want)
 		}
 		all, allowed := []AllowanceSet{leasedAllowances(c), fallbackAllowances(a), n, leasedAllowances(b)},
 			[]Allowance{TotalAllowance(&c.Plans[0]).scale(1.5)}
-		x, y := overAllocatedPlan(all, allowed, c), formerPasses(all, allowed, c)
+		x, y := overAllocatedPlan(all, allowed, c), quadraticOverAllocated(all, allowed, c)
 		if x != y {
 			t.Fatalf("passes: %q, not %q", x, y)
 		} else if x != "" {
@@ -180,8 +180,8 @@
 	}
 }
 
-// What the council gains by is reckoned for many hosts at once as for each alone.
-func TestGains(t *testing.T) {
+// UsefulAcks gives the same for many hosts at once as for each alone.
+func TestUsefulAcks(t *testing.T) {
 	rng := rand.New(rand.NewSource(2))
 	met := map[bool]int{}
 	for range 5000 {
@@ -208,7 +208,7 @@
 			all = append(all, HostAck{Host: fmt.Sprint("h", i), Step: uint64(rng.Intn(10))})
 		}
 		for _, h := range all {
-			yes := formerWanted(s, h.Host, h.Step) && h.Step <= s.Step
+			yes := ackUsefulForOneHost(s, h.Host, h.Step) && h.Step <= s.Step
 			if met[yes]++; yes {
 				want = append(want, h)
 			}
@@ -222,10 +222,11 @@
 	}
 }
 
-// Facts of many hosts in one entry come to the same as each in its own; one that is no host keeps none out.
-func TestSeenAll(t *testing.T) {
-	first := LogEntry{Type: EntryPropose, ID: "1", Rules: small(96, "abc")}
-	next := LogEntry{Type: EntryPropose, ID: "2", Base: 1, Rules: small(24, "abc")}
+// Acknowledgements of many hosts in one entry come to the same as one entry each; one of an unknown host
+// rejects none of the others.
+func TestAckBatch(t *testing.T) {
+	first := LogEntry{Type: EntryPropose, ID: "1", Rules: smallRules(96, "abc")}
+	next := LogEntry{Type: EntryPropose, ID: "2", Base: 1, Rules: smallRules(24, "abc")}
 	one, all := NewStateMachine(), NewStateMachine()
 	for _, c := range []*StateMachine{one, all} {
 		c.Apply(first)
@@ -238,7 +239,7 @@
 		facts = append(facts, HostAck{Host: h, Step: 3})
 		one.Apply(LogEntry{Type: EntryAck, Host: h, Step: 3})
 	}
-	facts = append(facts, HostAck{Host: "host-c", Step: 99}) // later than anything that was said
+	facts = append(facts, HostAck{Host: "host-c", Step: 99}) // later than any step so far
 	same := func() {
 		t.Helper()
 		x, _ := one.Snapshot()
@@ -275,8 +276,8 @@
 	}
 }
 
-// Rules of more members than programs once knew have to say that they need it, so that one which would refuse
-// them stops at the entry instead of parting from the others.
+// Rules with more members than earlier programs support have to name the feature, so that such a program
+// stops at the entry instead of rejecting what others accept.
 func TestManyMembers(t *testing.T) {
 	for _, c := range []struct {
 		n     int
@@ -284,7 +285,7 @@
 		want  string
 	}{{500, false, ""}, {501, false, `needs: 501 members`}, {501, true, ""}, {maxMembers, true, ""},
 		{maxMembers + 1, true, "members: 10001 are more"}} {
-		r := many(c.n, 96)
+		r := manyRules(c.n, 96)
 		if !c.needs {
 			r.Needs = nil
 		}
@@ -294,14 +295,13 @@
 	}
 }
 
-// A fallback that was narrowed to what a version that waited names leaves members out. Guards against one
-// who stays being taken for one that has moved up: the next change was refused by a key that nobody had
-// touched.
-func TestPlacesOfThoseThatStay(t *testing.T) {
+// A fallback that was narrowed to a pending version leaves members out. Guards against one that remains being
+// taken for one that has another index: the next change was rejected by a key that nobody had touched.
+func TestIndexesOfRemainingMembers(t *testing.T) {
 	for _, needs := range [][]string{{FeatureManyMembers}, nil} {
 		c, id := NewStateMachine(), 0
 		propose := func(ceiling float64, members string) Outcome {
-			r := small(ceiling, members)
+			r := smallRules(ceiling, members)
 			r.Needs = needs
 			id++
 			return c.Apply(LogEntry{Type: EntryPropose, ID: fmt.Sprint(id), Base: c.state.InForce.Number, Rules: r})
@@ -333,51 +333,52 @@
 	}
 }
 
-// sized are the things whose cost grows with the members; each gives what is to be measured at a size.
-var sized = []struct {
+// sizedOperations are the operations whose cost grows with the members; each gives what is measured at a
+// size. The names are keys of docs/capacity/accord.csv.
+var sizedOperations = []struct {
 	name string
 	make func(n int) func()
 }{
 	{"keep, former", func(n int) func() {
-		r := many(n, 96)
-		return func() { _ = formerKeep(r, r.Members) }
+		r := manyRules(n, 96)
+		return func() { _ = quadraticMemberIndexes(r, r.Members) }
 	}},
 	{"keep", func(n int) func() {
-		r := many(n, 96)
+		r := manyRules(n, 96)
 		return func() { _ = validateMemberIndexes(r, AllowanceSet{Members: r.Members}) }
 	}},
 	{"hosts, former", func(n int) func() {
-		r := many(n, 96)
-		return func() { formerHosts(r.Members) }
+		r := manyRules(n, 96)
+		return func() { quadraticHosts(r.Members) }
 	}},
 	{"hosts", func(n int) func() {
-		r := many(n, 96)
+		r := manyRules(n, 96)
 		return func() { memberHosts(r.Members) }
 	}},
 	{"union, former", func(n int) func() {
-		a, b := memberHosts(many(n, 96).Members), memberHosts(many(n, 96).Members)
-		return func() { formerUnion(slices.Clone(a), b) }
+		a, b := memberHosts(manyRules(n, 96).Members), memberHosts(manyRules(n, 96).Members)
+		return func() { quadraticUnion(slices.Clone(a), b) }
 	}},
 	{"union", func(n int) func() {
-		a, b := memberHosts(many(n, 96).Members), memberHosts(many(n, 96).Members)
+		a, b := memberHosts(manyRules(n, 96).Members), memberHosts(manyRules(n, 96).Members)
 		return func() { unionHosts(slices.Clone(a), b) }
 	}},
 	{"narrowed, former", func(n int) func() {
-		r, s := many(n, 96), fallbackAllowances(many(n, 96))
-		return func() { formerNarrowed(s, r) }
+		r, s := manyRules(n, 96), fallbackAllowances(manyRules(n, 96))
+		return func() { quadraticNarrowed(s, r) }
 	}},
 	{"narrowed", func(n int) func() {
-		r, s := many(n, 96), fallbackAllowances(many(n, 96))
+		r, s := manyRules(n, 96), fallbackAllowances(manyRules(n, 96))
 		return func() { s.narrowed(r) }
 	}},
 	{"contradicts, 4 held", func(n int) func() {
-		r := many(n, 96)
+		r := manyRules(n, 96)
 		held := []AllowanceSet{fallbackAllowances(r), fallbackAllowances(r), fallbackAllowances(r),
 			fallbackAllowances(r)}
 		return func() { ConflictingPlan(held, r) }
 	}},
 	{"check", func(n int) func() {
-		r := many(n, 96)
+		r := manyRules(n, 96)
 		return func() {
 			if err := Validate(r); err != nil {
 				panic(err)
@@ -385,7 +386,7 @@
 		}
 	}},
 	{"a change applied, with all hosts' words", func(n int) func() {
-		c, low, high := NewStateMachine(), many(n, 24), many(n, 96)
+		c, low, high := NewStateMachine(), manyRules(n, 24), manyRules(n, 96)
 		c.Apply(LogEntry{Type: EntryPropose, ID: "first", Rules: high})
 		i := 0
 		return func() {
@@ -410,8 +411,8 @@
 		}
 	}},
 	{"gains of all hosts' words", func(n int) func() {
-		c, low := NewStateMachine(), many(n, 24)
-		c.Apply(LogEntry{Type: EntryPropose, ID: "first", Rules: many(n, 96)})
+		c, low := NewStateMachine(), manyRules(n, 24)
+		c.Apply(LogEntry{Type: EntryPropose, ID: "first", Rules: manyRules(n, 96)})
 		c.Apply(LogEntry{Type: EntryPropose, ID: "low", Base: 1, Rules: low})
 		var facts []HostAck
 		for _, m := range low.Members {
@@ -424,11 +425,11 @@
 		}
 	}},
 	{"snapshot", func(n int) func() {
-		c := held4(n)
+		c := machineWithFourSuperseded(n)
 		return func() { _, _ = c.Snapshot() }
 	}},
 	{"restore", func(n int) func() {
-		raw, _ := held4(n).Snapshot()
+		raw, _ := machineWithFourSuperseded(n).Snapshot()
 		return func() {
 			if err := NewStateMachine().Restore(raw); err != nil {
 				panic(err)
@@ -436,7 +437,7 @@
 		}
 	}},
 	{"entry read", func(n int) func() {
-		raw, _ := LogEntry{Type: EntryPropose, ID: "1", Rules: many(n, 96)}.Encode()
+		raw, _ := LogEntry{Type: EntryPropose, ID: "1", Rules: manyRules(n, 96)}.Encode()
 		return func() {
 			if _, err := DecodeLogEntry(raw); err != nil {
 				panic(err)
@@ -444,44 +445,45 @@
 		}
 	}},
 	{"version to entries", func(n int) func() {
-		v := &Version{Number: 1, Rules: *many(n, 96)}
+		v := &Version{Number: 1, Rules: *manyRules(n, 96)}
 		return func() { _, _ = VersionToState(v) }
 	}},
 	{"entries to version", func(n int) func() {
-		s, _ := VersionToState(&Version{Number: 1, Rules: *many(n, 96)})
+		s, _ := VersionToState(&Version{Number: 1, Rules: *manyRules(n, 96)})
 		return func() { _, _ = VersionFromState(s) }
 	}},
 	{"index of parts", func(n int) func() {
-		s, _ := VersionToState(&Version{Number: 1, Rules: *many(n, 96)})
+		s, _ := VersionToState(&Version{Number: 1, Rules: *manyRules(n, 96)})
 		return func() { NewStateIndex(s) }
 	}},
 	{"part of a gatekeeper, 20 around", func(n int) func() {
-		s, _ := VersionToState(&Version{Number: 1, Rules: *many(n, 96)})
+		s, _ := VersionToState(&Version{Number: 1, Rules: *manyRules(n, 96)})
 		x := NewStateIndex(s)
 		return func() { x.Select(Interest{Name: "gk-0050", Around: 20}) }
 	}},
 	{"part to version", func(n int) func() {
-		s, _ := VersionToState(&Version{Number: 1, Rules: *many(n, 96)})
+		s, _ := VersionToState(&Version{Number: 1, Rules: *manyRules(n, 96)})
 		p := Select(s, Interest{Name: "gk-0050", Around: 20})
 		return func() { _, _ = VersionFromState(p) }
 	}},
 }
 
-// held4 is a council with four versions that may still be gone by.
-func held4(n int) *StateMachine {
-	c := NewStateMachine()
+// machineWithFourSuperseded has four versions that may still be acted on.
+func machineWithFourSuperseded(n int) *StateMachine {
+	machine := NewStateMachine()
 	for i := range 5 {
-		c.Apply(LogEntry{Type: EntryPropose, ID: fmt.Sprint(i), Base: c.state.InForce.Number, Rules: many(n,
-			96-float64(i))})
+		machine.Apply(LogEntry{Type: EntryPropose, ID: fmt.Sprint(i), Base: machine.state.InForce.Number,
+			Rules: manyRules(n,
+				96-float64(i))})
 	}
-	if len(c.state.Superseded) != 4 {
-		panic(fmt.Sprintf("%d held: %s", len(c.state.Superseded), c.state.PendingReason()))
+	if len(machine.state.Superseded) != 4 {
+		panic(fmt.Sprintf("%d held: %s", len(machine.state.Superseded), machine.state.PendingReason()))
 	}
-	return c
+	return machine
 }
 
 func BenchmarkSizes(b *testing.B) {
-	for _, s := range sized {
+	for _, s := range sizedOperations {
 		for _, n := range []int{100, 300, 1000, 3000, 7900} {
 			b.Run(fmt.Sprintf("%s/%d", s.name, n), func(b *testing.B) {
 				do := s.make(n)
@@ -494,11 +496,11 @@
 	}
 }
 
-// lengths are sizes in bytes.
-func lengths(n int) map[string]int {
-	r := many(n, 96)
+// encodedSizes are sizes in bytes.
+func encodedSizes(n int) map[string]int {
+	r := manyRules(n, 96)
 	rules, _ := json.Marshal(r)
-	snapshot, _ := held4(n).Snapshot()
+	snapshot, _ := machineWithFourSuperseded(n).Snapshot()
 	s, _ := VersionToState(&Version{Number: 1, Rules: *r})
 	return map[string]int{"rules as JSON": len(rules), "snapshot, 4 held": len(snapshot), "state": s.Bytes(),
 		"part of a gatekeeper, 20 around": Select(s, Interest{Name: "gk-0050", Around: 20}).Bytes()}
@@ -522,10 +524,11 @@
 	}
 	_ = w.Write([]string{"run", "commit", "distribution", "size", "role", "figure", "unit", "value"})
 	for _, n := range []int{100, 300, 1000, 3000, 7900} {
-		for _, s := range sized {
+		for _, s := range sizedOperations {
 			do := s.make(n)
 			runtime.GC()
 			res := testing.Benchmark(func(b *testing.B) {
+				b.Helper()
 				b.ReportAllocs()
 				for b.Loop() {
 					do()
@@ -534,7 +537,7 @@
 			line(n, s.name, "ms", fmt.Sprintf("%.4g", float64(res.T.Nanoseconds())/1e6/float64(res.N)))
 			line(n, s.name+", allocated", "KB", fmt.Sprintf("%.4g", float64(res.AllocedBytesPerOp())/1024))
 		}
-		all := lengths(n)
+		all := encodedSizes(n)
 		for _, name := range []string{"rules as JSON", "snapshot, 4 held", "state",
 			"part of a gatekeeper, 20 around"} {
 			line(n, name, "B", fmt.Sprint(all[name]))
--- a/internal/ruleset/simulation_test.go
+++ b/internal/ruleset/simulation_test.go
@@ -10,329 +10,382 @@
 	"testing"
 )
 
-// walker is one host of a random walk: an instance and a daemon with its own copy of the council, each with a
-// clock of its own that runs fast or slow by as much as the protocol allows for.
-type walker struct {
-	name           string
-	holder         *LeaseHolder
-	steward        *HostAgent
-	council        *StateMachine
-	applied        int // of the log
-	process        int
-	fast, offset   float64
-	stalled, still float64 // until when the instance stands still, and the daemon
-	writes         []write
+// simHost is one host of a simulation: a gatekeeper and a daemon with its own replica of the state machine.
+// Its clock runs fast or slow by as much as the protocol allows for.
+type simHost struct {
+	name                         string
+	holder                       *LeaseHolder
+	agent                        *HostAgent
+	machine                      *StateMachine
+	applied                      int // of the log
+	process                      int
+	clockRate, clockOffsetMillis float64
+	// Until when the gatekeeper is suspended, and the daemon, in the simulation's time.
+	instanceStalledUntilMillis, daemonStalledUntilMillis float64
+	writes                                               []pendingWrite
 }
 
-// write is what was checked at a time and may be written up to a step later.
-type write struct {
-	at   float64
-	part Allowance
-	of   uint64 // the version that it is acted on by; 0 where it is not
+// pendingWrite was checked at a time and may be written up to maxWriteDelayMillis later.
+type pendingWrite struct {
+	atMillis  float64
+	allowance Allowance
+	version   uint64 // 0 where it does not rest on a lease
 }
 
-func (w *walker) clock(now float64) float64 { return now*w.fast + w.offset }
+func (host *simHost) localMillis(now float64) float64 {
+	return now*host.clockRate + host.clockOffsetMillis
+}
 
-// walk is many events at random, far beyond the depth of the exploration.
-type walk struct {
-	rng    *rand.Rand
-	now    float64
-	log    []LogEntry
-	truth  *StateMachine // all of the log, at the moment of each commit
-	hosts  []*walker
-	later  []event
-	ended  []ended
-	allows float64
-	counts map[string]int
-	plant  planted
-	calm   float64 // ms that each way takes where there is no trouble; 0: there is
+// simulation is a long random sequence of events, far beyond the depth of the model check.
+type simulation struct {
+	rng         *rand.Rand
+	nowMillis   float64
+	log         []LogEntry
+	reference   *StateMachine // applies each entry at the moment of its commit
+	hosts       []*simHost
+	events      []timedEvent
+	superseded  []supersededAt
+	allowedRate float64
+	counts      map[string]int
+	fault       injectedFault
+	delayMillis float64 // that each message takes where no faults are injected; 0 where they are
 }
 
-type event struct {
-	at float64
-	do func()
+type timedEvent struct {
+	atMillis float64
+	run      func()
 }
 
-// in does something after a random time, mostly soon and sometimes very late; sometimes never, or twice.
-func (w *walk) in(do func()) {
-	if w.calm > 0 {
-		w.later = append(w.later, event{w.now + w.calm, do})
+// schedule runs something after a random time, mostly soon and sometimes very late; sometimes never, or
+// twice.
+func (sim *simulation) schedule(run func()) {
+	if sim.delayMillis > 0 {
+		sim.events = append(sim.events, timedEvent{sim.nowMillis + sim.delayMillis, run})
 		return
 	}
-	for n := []int{0, 1, 1, 1, 1, 1, 1, 1, 1, 2}[w.rng.Intn(10)]; n > 0; n-- {
-		late := w.rng.ExpFloat64() * 20
-		if w.rng.Intn(12) == 0 {
-			late = w.rng.Float64() * 2500
+	for count := []int{0, 1, 1, 1, 1, 1, 1, 1, 1, 2}[sim.rng.Intn(10)]; count > 0; count-- {
+		delayMillis := sim.rng.ExpFloat64() * 20
+		if sim.rng.Intn(12) == 0 {
+			delayMillis = sim.rng.Float64() * 2500
 		}
-		w.later = append(w.later, event{w.now + late, do})
+		sim.events = append(sim.events, timedEvent{sim.nowMillis + delayMillis, run})
 	}
 }
 
-func (w *walk) commit(e LogEntry) {
-	old := w.truth.state.InForce
-	o := w.truth.Apply(e)
-	w.log = append(w.log, e)
-	if o.Rejection != "" {
-		w.counts["refused"]++
+func (sim *simulation) commit(entry LogEntry) {
+	former := sim.reference.state.InForce
+	outcome := sim.reference.Apply(entry)
+	sim.log = append(sim.log, entry)
+	if outcome.Rejection != "" {
+		sim.counts["refused"]++
 	}
-	if o.PendingReason != "" {
-		w.counts["waited"]++
+	if outcome.PendingReason != "" {
+		sim.counts["waited"]++
 	}
-	if w.plant.early(w.truth) {
-		o.Activated = w.truth.state.InForce.Number
+	if sim.fault.activatesEarly(sim.reference) {
+		outcome.Activated = sim.reference.state.InForce.Number
 	}
-	if o.Activated > 0 {
-		w.counts["in force"]++
-		w.ended = append(w.ended, ended{w.now, w.allows, ConflictBoundMillis(&old.Rules), old.Number})
-		w.allows = w.truth.state.InForce.Rules.Plans[0].CeilingRate
+	if outcome.Activated > 0 {
+		sim.counts["in force"]++
+		sim.superseded = append(sim.superseded, supersededAt{sim.nowMillis, sim.allowedRate,
+			ConflictBoundMillis(&former.Rules), former.Number})
+		sim.allowedRate = sim.reference.state.InForce.Rules.Plans[0].CeilingRate
 	}
 }
 
-func (w *walk) rules() *Rules {
+func (sim *simulation) randomRules() *Rules {
 	members := []string{"abcd", "abc", "ab.d", "a", "ab", ".bc"}
-	r := small([]float64{12, 24, 48, 96, 192}[w.rng.Intn(5)], members[w.rng.Intn(len(members))])
-	r.LeaseMillis = 100 + w.rng.Float64()*1500
-	r.Fallback = Fallback{Fraction: w.rng.Float64(), DurationMillis: w.rng.Float64() * 3000}
+	r := smallRules([]float64{12, 24, 48, 96, 192}[sim.rng.Intn(5)], members[sim.rng.Intn(len(members))])
+	r.LeaseMillis = 100 + sim.rng.Float64()*1500
+	r.Fallback = Fallback{Fraction: sim.rng.Float64(), DurationMillis: sim.rng.Float64() * 3000}
 	return r
 }
 
-// drive is one look at the clock by each that does not stand still.
-func (w *walk) drive() {
-	for _, s := range w.hosts {
-		if s.still <= w.now {
-			w.daemon(s)
+// runHosts has each process that is not suspended read its clock once.
+func (sim *simulation) runHosts() {
+	for _, host := range sim.hosts {
+		if host.daemonStalledUntilMillis <= sim.nowMillis {
+			sim.runDaemon(host)
 		}
-		if s.stalled <= w.now {
-			w.instance(s)
+		if host.instanceStalledUntilMillis <= sim.nowMillis {
+			sim.runInstance(host)
 		}
-		// One that stands still, and goes on between two of its own lines, writes what May allows.
-		if s.holder.MayAct(s.clock(w.now)) && len(s.holder.effective.Plans) > 0 {
-			x := write{w.now, s.holder.effective.Plans[0].Allowance, 0}
-			if s.holder.effective.Mode == ModeLeased {
-				x.of = s.holder.effective.Version
+		// One that is suspended between its check and its write still writes what MayAct allowed.
+		if host.holder.MayAct(host.localMillis(sim.nowMillis)) && len(host.holder.effective.Plans) > 0 {
+			pending := pendingWrite{sim.nowMillis, host.holder.effective.Plans[0].Allowance, 0}
+			if host.holder.effective.Mode == ModeLeased {
+				pending.version = host.holder.effective.Version
 			}
-			s.writes = append(s.writes, x)
+			host.writes = append(host.writes, pending)
 		}
-		s.writes = slices.DeleteFunc(s.writes, func(x write) bool { return x.at+maxWriteDelayMillis < w.now })
+		host.writes = slices.DeleteFunc(host.writes,
+			func(pending pendingWrite) bool { return pending.atMillis+maxWriteDelayMillis < sim.nowMillis })
 	}
 }
 
-func (w *walk) daemon(s *walker) {
-	for s.applied < len(w.log) && w.rng.Intn(3) > 0 {
-		w.apply(s)
+func (sim *simulation) runDaemon(host *simHost) {
+	for host.applied < len(sim.log) && sim.rng.Intn(3) > 0 {
+		sim.apply(host)
 	}
-	s.steward.SetTime(s.clock(w.now))
-	s.steward.SetLeader(w.rng.Intn(2) == 0)
+	host.agent.SetTime(host.localMillis(sim.nowMillis))
+	host.agent.SetLeader(sim.rng.Intn(2) == 0)
 	for {
-		d, more := s.steward.NextAction()
+		action, more := host.agent.NextAction()
 		if !more {
 			return
 		}
-		switch d.Kind {
+		switch action.Kind {
 		case ActionSubmit:
-			w.in(func() { w.commit(d.Entry) })
+			sim.schedule(func() { sim.commit(action.Entry) })
 		case ActionReadState:
-			steward, began, index := s.steward, s.clock(w.now), len(w.log)
-			w.in(func() {
-				if s.steward != steward || s.still > w.now {
+			agent, startedAtMillis, index := host.agent, host.localMillis(sim.nowMillis), len(sim.log)
+			sim.schedule(func() {
+				if host.agent != agent || host.daemonStalledUntilMillis > sim.nowMillis {
 					return
 				}
-				for s.applied < index {
-					w.apply(s)
+				for host.applied < index {
+					sim.apply(host)
 				}
-				s.steward.SetTime(s.clock(w.now))
-				s.steward.ReadConfirmed(began)
+				host.agent.SetTime(host.localMillis(sim.nowMillis))
+				host.agent.ReadConfirmed(startedAtMillis)
 			})
 		}
 	}
 }
 
-func (w *walk) apply(s *walker) {
-	s.council.Apply(w.log[s.applied])
-	s.applied++
-	w.plant.early(s.council)
-	s.steward.SetTime(s.clock(w.now))
-	s.steward.EntriesApplied()
+func (sim *simulation) apply(host *simHost) {
+	host.machine.Apply(sim.log[host.applied])
+	host.applied++
+	sim.fault.activatesEarly(host.machine)
+	host.agent.SetTime(host.localMillis(sim.nowMillis))
+	host.agent.EntriesApplied()
 }
 
-func (w *walk) instance(s *walker) {
-	s.holder.SetTime(s.clock(w.now))
+func (sim *simulation) runInstance(host *simHost) {
+	host.holder.SetTime(host.localMillis(sim.nowMillis))
 	for {
-		d, more := s.holder.NextAction()
+		action, more := host.holder.NextAction()
 		if !more {
 			return
 		}
-		if d.Kind == ActionRequestLease {
-			holder, process, asked, holds := s.holder, s.process, s.clock(w.now), s.holder.AckedStep()
-			if w.plant == heldAtOnce {
-				holds = s.holder.step
+		if action.Kind == ActionRequestLease {
+			holder, process, requestedAtMillis, ackedStep := host.holder, host.process,
+				host.localMillis(sim.nowMillis), host.holder.AckedStep()
+			if sim.fault == ackedOnReceipt {
+				ackedStep = host.holder.step
 			}
-			w.in(func() {
-				if s.still > w.now || s.process != process { // a daemon knows which of its processes have ended
+			sim.schedule(func() {
+				// a daemon knows which of its processes have exited
+				if host.daemonStalledUntilMillis > sim.nowMillis || host.process != process {
 					return
 				}
-				s.steward.SetTime(s.clock(w.now))
-				l, ok := s.steward.GrantLease(process, holds)
+				host.agent.SetTime(host.localMillis(sim.nowMillis))
+				lease, ok := host.agent.GrantLease(process, ackedStep)
 				if !ok {
 					return
 				}
-				switch w.plant {
-				case raisedAtOnce:
-					l.TransitionComplete = true
-				case notNarrowed:
-					l.Pending = nil
+				switch sim.fault {
+				case grownBeforeTransition:
+					lease.TransitionComplete = true
+				case pendingNotSent:
+					lease.Pending = nil
 				}
-				w.in(func() {
-					if s.holder != holder || s.stalled > w.now {
+				sim.schedule(func() {
+					if host.holder != holder || host.instanceStalledUntilMillis > sim.nowMillis {
 						return
 					}
-					s.holder.SetTime(s.clock(w.now))
-					if w.plant == fromReceipt {
-						l.AgeMillis, asked = 0, s.clock(w.now)
+					host.holder.SetTime(host.localMillis(sim.nowMillis))
+					if sim.fault == leaseCountedFromReceipt {
+						lease.AgeMillis, requestedAtMillis = 0, host.localMillis(sim.nowMillis)
 					}
-					s.holder.ReceiveLease(l, asked)
+					host.holder.ReceiveLease(lease, requestedAtMillis)
 				})
 			})
 		}
 	}
 }
 
-// trouble is something at random: a proposal, a stall, a crash of an instance or of a daemon.
-func (w *walk) trouble() {
-	s := w.hosts[w.rng.Intn(len(w.hosts))]
-	switch w.rng.Intn(14) {
+// injectFault is a random one of: a proposal, a withdrawal, a stall, a crash of a gatekeeper or of a daemon.
+func (sim *simulation) injectFault() {
+	host := sim.hosts[sim.rng.Intn(len(sim.hosts))]
+	switch sim.rng.Intn(14) {
 	case 0, 1, 2, 3, 4, 5:
-		w.commit(LogEntry{Type: EntryPropose, ID: fmt.Sprint(len(w.log)), Base: w.truth.state.InForce.Number,
-			Rules: w.rules()})
+		sim.commit(LogEntry{Type: EntryPropose, ID: fmt.Sprint(len(sim.log)),
+			Base:  sim.reference.state.InForce.Number,
+			Rules: sim.randomRules()})
 	case 6:
-		w.commit(LogEntry{Type: EntryWithdraw, ID: fmt.Sprint(len(w.log)), Base: w.truth.state.InForce.Number})
+		sim.commit(LogEntry{Type: EntryWithdraw, ID: fmt.Sprint(len(sim.log)),
+			Base: sim.reference.state.InForce.Number})
 	case 7, 8, 9:
-		s.stalled = w.now + w.rng.Float64()*4000
+		host.instanceStalledUntilMillis = sim.nowMillis + sim.rng.Float64()*4000
 	case 10:
-		s.still = w.now + w.rng.Float64()*4000
+		host.daemonStalledUntilMillis = sim.nowMillis + sim.rng.Float64()*4000
 	case 11, 12:
-		s.steward.ProcessExited(s.process)
-		s.process++
-		s.holder, s.stalled, s.writes = NewLeaseHolder(s.name, Rules{}), 0, nil
-		s.steward.ProcessStarted(s.process, false)
+		host.agent.ProcessExited(host.process)
+		host.process++
+		host.holder, host.instanceStalledUntilMillis, host.writes = NewLeaseHolder(host.name, Rules{}), 0, nil
+		host.agent.ProcessStarted(host.process, false)
 	default: // the daemon comes back with what its disk has: a snapshot, or nothing
-		raw, err := s.council.Snapshot()
-		if s.council = NewStateMachine(); err != nil || s.council.Restore(raw) != nil {
+		snapshot, err := host.machine.Snapshot()
+		if host.machine = NewStateMachine(); err != nil || host.machine.Restore(snapshot) != nil {
 			panic("snapshot")
 		}
-		if w.rng.Intn(2) == 0 {
-			s.council, s.applied = NewStateMachine(), 0
+		if sim.rng.Intn(2) == 0 {
+			host.machine, host.applied = NewStateMachine(), 0
 		}
-		s.steward, s.still = NewHostAgent("host-"+s.name, s.council), 0
-		s.steward.ProcessStarted(s.process, true)
-		s.steward.SetTime(s.clock(w.now))
-		s.steward.EntriesApplied()
+		host.agent, host.daemonStalledUntilMillis = NewHostAgent("host-"+host.name, host.machine), 0
+		host.agent.ProcessStarted(host.process, true)
+		host.agent.SetTime(host.localMillis(sim.nowMillis))
+		host.agent.EntriesApplied()
 	}
 }
 
-// people makes a host of each name.
-func (w *walk) people(names string) {
+// addHosts adds a host for each letter.
+func (sim *simulation) addHosts(names string) {
 	for _, n := range strings.Split(names, "") {
-		s := &walker{name: n, holder: NewLeaseHolder(n, Rules{}), council: NewStateMachine(),
-			fast: 1 + (2*w.rng.Float64()-1)*maxClockDrift, offset: w.rng.Float64() * 1e6}
-		s.steward = NewHostAgent("host-"+n, s.council)
-		s.steward.ProcessStarted(0, false)
-		w.hosts = append(w.hosts, s)
+		host := &simHost{name: n, holder: NewLeaseHolder(n, Rules{}), machine: NewStateMachine(),
+			clockRate: 1 + (2*sim.rng.Float64()-1)*maxClockDrift, clockOffsetMillis: sim.rng.Float64() * 1e6}
+		host.agent = NewHostAgent("host-"+n, host.machine)
+		host.agent.ProcessStarted(0, false)
+		sim.hosts = append(sim.hosts, host)
 	}
 }
 
-// pass does what is due.
-func (w *walk) pass() {
-	for i := 0; i < len(w.later); i++ {
-		if e := w.later[i]; e.at <= w.now {
-			w.later = slices.Delete(w.later, i, i+1)
+// runDueEvents runs what is due.
+func (sim *simulation) runDueEvents() {
+	for i := 0; i < len(sim.events); i++ {
+		if e := sim.events[i]; e.atMillis <= sim.nowMillis {
+			sim.events = slices.Delete(sim.events, i, i+1)
 			i--
-			e.do()
+			e.run()
 		}
 	}
 }
 
-// walked walks for a time in ms; it gives what is wrong.
-func walked(seed int64, until float64, plant planted) (string, map[string]int) {
-	w := &walk{rng: rand.New(rand.NewSource(seed)), truth: NewStateMachine(), counts: map[string]int{},
-		plant: plant}
-	w.people("abcd")
-	w.commit(LogEntry{Type: EntryPropose, ID: "first", Rules: w.rules()})
-	for next := 1000.0; w.now < until; w.now += w.rng.ExpFloat64() * 20 {
-		w.pass()
-		if w.now > next {
-			w.trouble()
-			next = w.now + w.rng.ExpFloat64()*[]float64{100, 1000, 4000}[w.rng.Intn(3)]
+// simulate runs a simulation until endMillis; it gives the violation, if any, and counts of what happened.
+func simulate(seed int64, endMillis float64, fault injectedFault) (string, map[string]int) {
+	sim := &simulation{rng: rand.New(rand.NewSource(seed)), reference: NewStateMachine(),
+		counts: map[string]int{},
+		fault:  fault}
+	sim.addHosts("abcd")
+	sim.commit(LogEntry{Type: EntryPropose, ID: "first", Rules: sim.randomRules()})
+	for next := 1000.0; sim.nowMillis < endMillis; sim.nowMillis += sim.rng.ExpFloat64() * 20 {
+		sim.runDueEvents()
+		if sim.nowMillis > next {
+			sim.injectFault()
+			next = sim.nowMillis + sim.rng.ExpFloat64()*[]float64{100, 1000, 4000}[sim.rng.Intn(3)]
 		}
-		w.drive()
+		sim.runHosts()
 		var sum Allowance
-		w.ended = slices.DeleteFunc(w.ended, func(e ended) bool { return w.now > e.at+e.bound })
-		for _, s := range w.hosts {
-			var most Allowance
-			for _, x := range s.writes {
-				most = most.max(x.part)
-				if x.of > 0 && x.of != w.truth.state.InForce.Number && !slices.ContainsFunc(w.ended, func(e ended) bool {
-					return e.number == x.of
-				}) {
-					return fmt.Sprintf("at %.0f %s acts on version %d still", w.now, s.name, x.of), w.counts
+		sim.superseded = slices.DeleteFunc(sim.superseded,
+			func(e supersededAt) bool { return sim.nowMillis > e.atMillis+e.boundMillis })
+		for _, host := range sim.hosts {
+			var largest Allowance
+			for _, pending := range host.writes {
+				largest = largest.max(pending.allowance)
+				if pending.version > 0 && pending.version != sim.reference.state.InForce.Number &&
+					!slices.ContainsFunc(sim.superseded, func(e supersededAt) bool {
+						return e.number == pending.version
+					}) {
+					return fmt.Sprintf("at %.0f %s acts on version %d still", sim.nowMillis, host.name, pending.version),
+						sim.counts
 				}
 			}
-			sum = sum.plus(most)
+			sum = sum.plus(largest)
 		}
-		allowed := w.allows
-		for _, e := range w.ended {
-			allowed = math.Max(allowed, e.allows)
+		allowed := sim.allowedRate
+		for _, e := range sim.superseded {
+			allowed = math.Max(allowed, e.allowedRate)
 		}
 		if sum.Rate > allowed*(1+roundingTolerance) || sum.Credit > allowed*(1+roundingTolerance) {
-			return fmt.Sprintf("at %.0f all write by %v of %v", w.now, sum, allowed), w.counts
+			return fmt.Sprintf("at %.0f all write by %v of %v", sim.nowMillis, sum, allowed), sim.counts
 		}
-		w.counts["moments"]++
+		sim.counts["moments"]++
 		if allowed > 0 && sum.Rate >= allowed*(1-roundingTolerance) {
-			w.counts["full"]++
+			sim.counts["full"]++
 		}
 	}
-	// Once all copies have the whole log they are the same.
-	want, _ := w.truth.Snapshot()
-	for _, s := range w.hosts {
-		for s.applied < len(w.log) {
-			w.apply(s)
+	// Once all replicas have applied the whole log they are the same.
+	want, _ := sim.reference.Snapshot()
+	for _, host := range sim.hosts {
+		for host.applied < len(sim.log) {
+			sim.apply(host)
 		}
-		if got, _ := s.council.Snapshot(); !bytes.Equal(got, want) {
-			return fmt.Sprintf("the council of %s is another:\n%s\n%s", s.name, got, want), w.counts
+		if got, _ := host.machine.Snapshot(); !bytes.Equal(got, want) {
+			return fmt.Sprintf("the state machine of %s differs:\n%s\n%s", host.name, got, want), sim.counts
 		}
 	}
-	return "", w.counts
+	return "", sim.counts
 }
 
-func TestWalks(t *testing.T) {
+func TestRandomSimulations(t *testing.T) {
 	all := map[string]int{}
-	for seed := range int64(*walks) {
-		wrong, counts := walked(seed, 60000, none)
-		if wrong != "" {
-			t.Fatalf("seed %d: %s", seed, wrong)
+	for seed := range int64(*randomRuns) {
+		violation, counts := simulate(seed, 60000, noFault)
+		if violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
 		for k, n := range counts {
 			all[k] += n
 		}
 	}
-	t.Logf("%d walks of a minute: %v", *walks, all)
-	if all["full"] < all["moments"]/10 || all["waited"] == 0 || all["in force"] < *walks {
-		t.Errorf("walks in which too little happens: %v", all)
+	t.Logf("%d simulations of a minute: %v", *randomRuns, all)
+	if all["full"] < all["moments"]/10 || all["waited"] == 0 || all["in force"] < *randomRuns {
+		t.Errorf("simulations in which too little happens: %v", all)
 	}
 }
 
-// Chance finds all breaks but the last, which takes places that swap twice within a lease.
-func TestWalksFindPlantedBreaks(t *testing.T) {
-	for p := fromReceipt; p < mixedAtOnce; p++ {
+// Random simulations find all faults but the last, which takes members that swap twice within a lease.
+func TestSimulationsFindInjectedFaults(t *testing.T) {
+	for fault := leaseCountedFromReceipt; fault < activatedDuringTransition; fault++ {
 		found := false
 		for seed := int64(0); seed < 40 && !found; seed++ {
-			wrong, _ := walked(seed, 60000, p)
-			if found = wrong != ""; found {
-				t.Logf("%s: seed %d: %s", plantedNames[p], seed, wrong)
+			violation, _ := simulate(seed, 60000, fault)
+			if found = violation != ""; found {
+				t.Logf("%s: seed %d: %s", faultNames[fault], seed, violation)
 			}
 		}
 		if !found {
-			t.Errorf("%s: not found", plantedNames[p])
+			t.Errorf("%s: not found", faultNames[fault])
+		}
+	}
+}
+
+// How long changes take without faults, in simulated time and with 10 ms for each message. One that
+// conflicts with no fallback applies everywhere, its transition complete, after two requests and a delayed
+// write; one that conflicts takes as much again.
+func TestTimeToActivation(t *testing.T) {
+	for _, c := range []struct {
+		ceiling, inForceMillis, all float64 // ms, at most
+	}{{48, 20, 850}, {24, 600, 1400}} {
+		sim := &simulation{rng: rand.New(rand.NewSource(1)), reference: NewStateMachine(),
+			counts: map[string]int{}, delayMillis: 10}
+		sim.addHosts("abc")
+		first, second := smallRules(96, "abc"), smallRules(c.ceiling, "abc")
+		first.LeaseMillis, second.LeaseMillis = 1000, 1000
+		sim.commit(LogEntry{Type: EntryPropose, ID: "1", Rules: first})
+		inForceMillis, completeMillis := 0.0, 0.0
+		for at := 3000.0; sim.nowMillis < at+5000 && completeMillis == 0; sim.nowMillis++ {
+			if sim.nowMillis == at {
+				sim.commit(LogEntry{Type: EntryPropose, ID: "2", Base: 1, Rules: second})
+			}
+			sim.runDueEvents()
+			sim.runHosts()
+			if inForceMillis == 0 && sim.reference.state.InForce.Number == 2 {
+				inForceMillis = sim.nowMillis - at
+			}
+			all := sim.reference.state.TransitionComplete()
+			for _, host := range sim.hosts {
+				all = all && host.holder.effective.Version == 2 && host.holder.effective.Mode == ModeLeased
+			}
+			if all {
+				completeMillis = sim.nowMillis - at
+			}
+		}
+		t.Logf("from 96 to %v: in force after %v ms, with all and settled after %v", c.ceiling, inForceMillis,
+			completeMillis)
+		if inForceMillis > c.inForceMillis || completeMillis == 0 || completeMillis > c.all {
+			t.Errorf("in force after %v, with all after %v", inForceMillis, completeMillis)
 		}
 	}
 }
--- /dev/null
+++ b/internal/ruleset/state_index_test.go
@@ -0,0 +1,48 @@
+package ruleset
+
+import (
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"willowdeck/internal/versioned"
+)
+
+// A subset is named and compared without being built: both results are those of the built states.
+func TestStateSubsets(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		a, b := drawRules(t), drawRules(t)
+		if rapid.Bool().Draw(t, "little changes") {
+			b = &Rules{}
+			*b = *a
+			b.Members = slices.Clone(a.Members)
+			b.Members[rapid.IntRange(0, len(b.Members)-1).Draw(t, "who")] = Member{Name: "new", Host: "h1"}
+		}
+		x, err := VersionToState(&Version{Number: 1, Rules: *a})
+		y, bad := VersionToState(&Version{Number: 2, Rules: *b})
+		if err != nil || bad != nil {
+			t.Fatal(err, bad)
+		}
+		in := Interest{All: rapid.IntRange(0, 5).Draw(t, "all") == 0, Host: "h1",
+			Name:   rapid.SampledFrom([]string{"", "g0", "g3"}).Draw(t, "name"),
+			Around: rapid.IntRange(0, 9).Draw(t, "around")}
+		from, to := NewStateIndex(x).Subset(in), NewStateIndex(y).Subset(in)
+		for _, p := range []*StateSubset{from, to} {
+			if s := p.State(); s.Mark() != p.Mark() || s.Bytes() != p.Bytes() {
+				t.Fatalf("%v of %d bytes, and its state is %v of %d", p.Mark(), p.Bytes(), s.Mark(), s.Bytes())
+			}
+		}
+		if got, err := from.State().Apply(to.DeltaFrom(from)); err != nil || got.Mark() != to.Mark() {
+			t.Fatal(err)
+		}
+		d, want := to.DeltaFrom(from), versioned.Between(from.State(), to.State())
+		if len(d.Set) != len(want.Set) || len(d.Drop) != len(want.Drop) {
+			t.Fatalf("%+v, not %+v", d, want)
+		}
+		var none *StateSubset
+		if got, err := none.State().Apply(to.DeltaFrom(none)); err != nil || got.Mark() != to.Mark() {
+			t.Fatal(err)
+		}
+	})
+}
--- a/internal/ruleset/validate.go
+++ b/internal/ruleset/validate.go
@@ -162,11 +162,11 @@
 		if err := checkRange(key+".weight", override.Weight, 0, 1e6); err != nil {
 			return err
 		}
-		if target := [2]string{override.Worker, override.Region}; seen[target] {
+		target := [2]string{override.Worker, override.Region}
+		if seen[target] {
 			return fmt.Errorf("%s.worker: there are two words on %s%s", key, override.Worker, override.Region)
-		} else {
-			seen[target] = true
 		}
+		seen[target] = true
 	}
 	return nil
 }
--- a/internal/ruleset/version_state.go
+++ b/internal/ruleset/version_state.go
@@ -115,7 +115,7 @@
 		return header, fmt.Errorf("%w: %s", ErrUnsupported, feature)
 	}
 	if err := entryDecMode.Unmarshal(raw, &header); err != nil {
-		return header, fmt.Errorf("%w: %s: %v", ErrUnsupported, headerKey, err)
+		return header, fmt.Errorf("%w: %s: %w", ErrUnsupported, headerKey, err)
 	}
 	return header, nil
 }
@@ -201,7 +201,7 @@
 		return err
 	}
 	if err := entryDecMode.Unmarshal(raw, into); err != nil {
-		return fmt.Errorf("%w: %s: %v", ErrUnsupported, key, err)
+		return fmt.Errorf("%w: %s: %w", ErrUnsupported, key, err)
 	}
 	return nil
 }
--- a/internal/ruleset/version_state_test.go
+++ b/internal/ruleset/version_state_test.go
@@ -14,7 +14,7 @@
 )
 
 func drawRules(t *rapid.T) *Rules {
-	r := small(float64(rapid.IntRange(1, 100).Draw(t, "ceiling")), "a")
+	r := smallRules(float64(rapid.IntRange(1, 100).Draw(t, "ceiling")), "a")
 	r.Members = nil
 	for i := range rapid.IntRange(1, 14).Draw(t, "places") {
 		m := Member{}
@@ -35,9 +35,9 @@
 	return r
 }
 
-// A version comes back from its entries as it was; a part of it has all plans and words, its own members in
-// their places and nobody else, and so has a part of a part.
-func TestVersionsAsEntries(t *testing.T) {
+// A version is the same after encoding and decoding; a subset of it has all plans and overrides, its own
+// members at their indexes and no others, and so has a subset of a subset.
+func TestVersionRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := Version{Number: 7, Rules: *drawRules(t)}
 		if v.Rules.WorkerOverrides == nil { // as an empty list comes back
@@ -95,9 +95,9 @@
 	})
 }
 
-// One member that comes, goes or moves is one entry, whatever their number.
+// A member that is added, removed or changed is one entry of the delta, whatever their number.
 func TestDeltaOfOneMember(t *testing.T) {
-	a, b := many(1000, 96), many(1000, 96)
+	a, b := manyRules(1000, 96), manyRules(1000, 96)
 	b.Members[500].Peers = "10.9.9.9:1"
 	b.Members[501] = Member{}
 	x, _ := VersionToState(&Version{Number: 1, Rules: *a})
@@ -108,9 +108,9 @@
 	}
 }
 
-// Entries that are no version are refused by key, and those of a later program are named as that.
-func TestEntriesThatAreNoVersion(t *testing.T) {
-	good, err := VersionToState(&Version{Number: 1, Rules: *small(96, "ab")})
+// States that are no version are rejected by key, and those of a later program are ErrUnsupported.
+func TestInvalidStates(t *testing.T) {
+	good, err := VersionToState(&Version{Number: 1, Rules: *smallRules(96, "ab")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,94 +164,7 @@
 		if err == nil || !strings.Contains(err.Error(), c.want) || errors.Is(err, ErrUnsupported) != c.foreign {
 			t.Errorf("%s: %v", name, err)
 		}
-		Select(s, Interest{Name: "a", Around: 3}) // it goes through, whatever it is
+		Select(s, Interest{Name: "a", Around: 3}) // it is passed on, whatever it is
 		StateLeaseMillis(s)
 	}
 }
-
-// A part of rules has vacant places where others have members; Check would refuse it for that alone.
-func TestCheckPart(t *testing.T) {
-	s, _ := VersionToState(&Version{Number: 1, Rules: *small(96, "abc")})
-	for _, in := range []Interest{{Name: "a"}, {}} {
-		v, err := VersionFromState(Select(s, in))
-		if err != nil || ValidateSubset(&v.Rules) != nil || Validate(&v.Rules) == nil {
-			t.Errorf("%v, %v, %v", err, ValidateSubset(&v.Rules), Validate(&v.Rules))
-		}
-	}
-	bad := small(-1, "a")
-	if ValidateSubset(bad) == nil {
-		t.Error("a rate below nought is taken")
-	}
-}
-
-// A warden says no step that one of its processes may be behind of.
-func TestWarden(t *testing.T) {
-	var w LeaseGrantor
-	w.ProcessStarted(1, false)
-	if s := w.AckedStep(5); s != 5 {
-		t.Errorf("nobody goes by anything: %d", s)
-	}
-	w.RecordRequest(1, 0)
-	if s := w.AckedStep(5); s != 5 {
-		t.Errorf("it has been told nothing: %d", s)
-	}
-	w.RecordGrant(1)
-	if s := w.AckedStep(5); s != 0 {
-		t.Errorf("it may go by anything: %d", s)
-	}
-	w.RecordRequest(1, 4)
-	w.RecordRequest(1, 3) // late
-	w.ProcessStarted(1, true)
-	w.ProcessStarted(2, true) // of before
-	if s := w.AckedStep(5); s != 0 {
-		t.Errorf("one of before may go by anything: %d", s)
-	}
-	w.ProcessExited(2)
-	if s := w.AckedStep(5); s != 4 {
-		t.Errorf("%d, not 4", s)
-	}
-	for i := range maxProcesses {
-		w.RecordRequest(i, 0)
-	}
-	if w.RecordRequest(maxProcesses, 9) || !w.RecordRequest(1, 9) {
-		t.Error("the books are not bounded")
-	}
-}
-
-// A part is named, and its delta made, without the part being made: both are those of the states.
-func TestPortions(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		a, b := drawRules(t), drawRules(t)
-		if rapid.Bool().Draw(t, "little changes") {
-			b = &Rules{}
-			*b = *a
-			b.Members = slices.Clone(a.Members)
-			b.Members[rapid.IntRange(0, len(b.Members)-1).Draw(t, "who")] = Member{Name: "new", Host: "h1"}
-		}
-		x, err := VersionToState(&Version{Number: 1, Rules: *a})
-		y, bad := VersionToState(&Version{Number: 2, Rules: *b})
-		if err != nil || bad != nil {
-			t.Fatal(err, bad)
-		}
-		in := Interest{All: rapid.IntRange(0, 5).Draw(t, "all") == 0, Host: "h1",
-			Name:   rapid.SampledFrom([]string{"", "g0", "g3"}).Draw(t, "name"),
-			Around: rapid.IntRange(0, 9).Draw(t, "around")}
-		from, to := NewStateIndex(x).Subset(in), NewStateIndex(y).Subset(in)
-		for _, p := range []*StateSubset{from, to} {
-			if s := p.State(); s.Mark() != p.Mark() || s.Bytes() != p.Bytes() {
-				t.Fatalf("%v of %d bytes, and its state is %v of %d", p.Mark(), p.Bytes(), s.Mark(), s.Bytes())
-			}
-		}
-		if got, err := from.State().Apply(to.DeltaFrom(from)); err != nil || got.Mark() != to.Mark() {
-			t.Fatal(err)
-		}
-		d, want := to.DeltaFrom(from), versioned.Between(from.State(), to.State())
-		if len(d.Set) != len(want.Set) || len(d.Drop) != len(want.Drop) {
-			t.Fatalf("%+v, not %+v", d, want)
-		}
-		var none *StateSubset
-		if got, err := none.State().Apply(to.DeltaFrom(none)); err != nil || got.Mark() != to.Mark() {
-			t.Fatal(err)
-		}
-	})
-}
