--- a/internal/gateway/proxy/copies.go
+++ b/internal/gateway/proxy/copies.go
@@ -24,7 +24,7 @@
 // peers know this for a new life.
 func (d *Desk) Recollect(l *checkpoint.Left, told bool) (customers int, fits bool) {
 	d.enter()
-	if fits = l.Of == checkpoint.Digest(d.charter, d.terms.Number()); fits {
+	if fits = l.Of == checkpoint.Digest(d.charter, d.terms.Version()); fits {
 		customers = d.gk.Recollect(l.Estate, told)
 	}
 	d.leave()
@@ -35,11 +35,11 @@
 // Copy writes copies of what fades from here on, until Stop or Retire, and closes the book then. Each is
 // taken in pieces, so that the lock is held for some microseconds at a time; bytes are put together, and
 // written, outside of it.
-func (d *Desk) Copy(b *checkpoint.Book, words func([]incarnation.Word) []incarnation.Word) {
+func (d *Desk) Copy(b *checkpoint.Book, words func([]incarnation.MessageID) []incarnation.MessageID) {
 	go d.copying(b, words)
 }
 
-func (d *Desk) copying(b *checkpoint.Book, words func([]incarnation.Word) []incarnation.Word) {
+func (d *Desk) copying(b *checkpoint.Book, words func([]incarnation.MessageID) []incarnation.MessageID) {
 	defer b.Close()
 	var l checkpoint.Left
 	timer := time.NewTimer(0)
@@ -85,7 +85,7 @@
 	for from := 0; ; {
 		d.mu.Lock()
 		if of.count != d.charters {
-			of, from = inForce{d.charter, d.terms.Number(), d.charters}, 0
+			of, from = inForce{d.charter, d.terms.Version(), d.charters}, 0
 		}
 		if goes = !d.left; goes {
 			from = d.gk.Copy(e, from, d.clock.now())
--- a/internal/ruleset/state_index.go
+++ b/internal/ruleset/state_index.go
@@ -40,7 +40,7 @@
 	index         *StateIndex
 	all           bool    // the state itself
 	memberIndexes []int32 // ascending
-	mark          versioned.Mark
+	mark          versioned.VersionID
 	bytes         int
 }
 
@@ -64,7 +64,7 @@
 		entry := versioned.Entry{Key: key, Value: raw}
 		if !strings.HasPrefix(key, memberKey) {
 			x.common = append(x.common, entry)
-			x.commonDigest, x.commonBytes = x.commonDigest.Plus(entry.Digest()), x.commonBytes+len(key)+len(raw)
+			x.commonDigest, x.commonBytes = x.commonDigest.Add(entry.Digest()), x.commonBytes+len(key)+len(raw)
 			continue
 		}
 		i, err := parseIndexedKey(memberKey, memberDigits, key, x.memberCount)
@@ -84,7 +84,7 @@
 	subset := &StateSubset{index: x}
 	switch i, found := x.indexByName[interest.Name]; {
 	case interest.All:
-		subset.all, subset.mark, subset.bytes = true, x.state.Mark(), x.state.Bytes()
+		subset.all, subset.mark, subset.bytes = true, x.state.ID(), x.state.Bytes()
 		return subset
 	case found && interest.Name != "":
 		subset.addNeighbours(i, interest.Around)
@@ -96,11 +96,11 @@
 	}
 	slices.Sort(subset.memberIndexes)
 	subset.memberIndexes = slices.Compact(subset.memberIndexes)
-	subset.mark, subset.bytes = versioned.Mark{Number: x.state.Mark().Number, Digest: x.commonDigest},
+	subset.mark, subset.bytes = versioned.VersionID{Number: x.state.ID().Number, Digest: x.commonDigest},
 		x.commonBytes
 	for _, i := range subset.memberIndexes {
 		entry := x.members[i]
-		subset.mark.Digest, subset.bytes = subset.mark.Digest.Plus(x.memberDigests[i]),
+		subset.mark.Digest, subset.bytes = subset.mark.Digest.Add(x.memberDigests[i]),
 			subset.bytes+len(entry.Key)+len(entry.Value)
 	}
 	return subset
@@ -118,9 +118,9 @@
 }
 
 // Mark names the subset; that of nil is zero.
-func (p *StateSubset) Mark() versioned.Mark {
+func (p *StateSubset) Mark() versioned.VersionID {
 	if p == nil {
-		return versioned.Mark{}
+		return versioned.VersionID{}
 	}
 	return p.mark
 }
@@ -156,7 +156,7 @@
 // DeltaFrom is the delta from another subset, or from nothing where that is nil.
 func (p *StateSubset) DeltaFrom(from *StateSubset) *versioned.Delta {
 	if p.all || from != nil && from.all {
-		return versioned.Between(from.State(), p.State())
+		return versioned.Diff(from.State(), p.State())
 	}
 	delta := &versioned.Delta{From: from.Mark(), To: p.mark}
 	if from == nil {
@@ -164,12 +164,12 @@
 		return delta
 	}
 	if from.index != p.index {
-		delta.Set, delta.Drop = appendChanges(delta.Set, delta.Drop, from.index.common, p.index.common)
+		delta.Set, delta.Delete = appendChanges(delta.Set, delta.Delete, from.index.common, p.index.common)
 	}
 	previous := from.memberIndexes
 	for _, i := range p.memberIndexes {
 		for ; len(previous) > 0 && previous[0] < i; previous = previous[1:] {
-			delta.Drop = append(delta.Drop, from.index.members[previous[0]].Key)
+			delta.Delete = append(delta.Delete, from.index.members[previous[0]].Key)
 		}
 		unchanged := len(previous) > 0 && previous[0] == i
 		if unchanged {
@@ -180,7 +180,7 @@
 		}
 	}
 	for _, i := range previous {
-		delta.Drop = append(delta.Drop, from.index.members[i].Key)
+		delta.Delete = append(delta.Delete, from.index.members[i].Key)
 	}
 	return delta
 }
--- a/internal/ruleset/version_state.go
+++ b/internal/ruleset/version_state.go
@@ -130,7 +130,7 @@
 	if err := header.checkCounts(); err != nil {
 		return Version{}, err
 	}
-	version := Version{Number: s.Mark().Number, Rules: Rules{
+	version := Version{Number: s.ID().Number, Rules: Rules{
 		Format: header.Format, Needs: header.Needs, LeaseMillis: header.LeaseMillis,
 		ConflictBoundMillis: header.ConflictBoundMillis, Fallback: header.Fallback,
 		Plans: make([]Plan, header.Plans), Members: make([]Member, header.Members),
--- a/internal/ruleset/version_state_test.go
+++ b/internal/ruleset/version_state_test.go
@@ -50,7 +50,7 @@
 		if got, err := VersionFromState(s); err != nil || !reflect.DeepEqual(got, v) {
 			t.Fatalf("%v\n%+v\n%+v", err, got, v)
 		}
-		if again, _ := VersionToState(&v); again.Mark() != s.Mark() || s.Mark().Number != 7 {
+		if again, _ := VersionToState(&v); again.ID() != s.ID() || s.ID().Number != 7 {
 			t.Fatal("the same has another mark")
 		}
 		if l := StateLeaseMillis(s); l != v.Rules.LeaseMillis {
@@ -85,7 +85,7 @@
 		host := Interest{Host: "h1", Around: in.Around}
 		for _, m := range v.Rules.Members {
 			own := Interest{Name: m.Name, Around: in.Around}
-			if m.Host == "h1" && Select(Select(s, host), own).Mark() != Select(s, own).Mark() {
+			if m.Host == "h1" && Select(Select(s, host), own).ID() != Select(s, own).ID() {
 				t.Fatal("a part of a part is another")
 			}
 		}
@@ -102,8 +102,8 @@
 	b.Members[501] = Member{}
 	x, _ := VersionToState(&Version{Number: 1, Rules: *a})
 	y, _ := VersionToState(&Version{Number: 2, Rules: *b})
-	d := versioned.Between(x, y)
-	if len(d.Set) != 1 || !slices.Equal(d.Drop, []string{"member/000501"}) {
+	d := versioned.Diff(x, y)
+	if len(d.Set) != 1 || !slices.Equal(d.Delete, []string{"member/000501"}) {
 		t.Errorf("%+v", d)
 	}
 }
