--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -162,7 +162,7 @@
 }
 
 func (s *Source) delta(from, to *ruleset.StateSubset) *versioned.Delta {
-	key := pair{from.Mark(), to.Mark()}
+	key := pair{from.ID(), to.ID()}
 	d := s.deltas[key]
 	if d == nil {
 		d = to.DeltaFrom(from)
@@ -181,14 +181,14 @@
 	}
 	if p := s.former[in]; p != nil {
 		for _, o := range []*ruleset.StateSubset{p.rules, p.pending} {
-			if o.Mark() == m {
+			if o.ID() == m {
 				return o
 			}
 		}
 	}
 	for _, k := range s.versions {
 		if k.state.ID().Number == m.Number {
-			if p := k.part(in); p.Mark() == m {
+			if p := k.part(in); p.ID() == m {
 				return p
 			}
 		}
@@ -213,7 +213,7 @@
 	p := s.part(a.Interest)
 	r.Depth, r.Step, r.Settled = s.v.Depth, s.v.Step, s.v.Settled
 	r.Age, r.Index = math.Max(now-s.v.Begun, 0), max(s.v.Index, s.Highest(now))
-	r.Rules, r.Pending = p.rules.Mark(), p.pending.Mark()
+	r.Rules, r.Pending = p.rules.ID(), p.pending.ID()
 	if r.Rules == a.Rules && (r.Pending.IsNone() || r.Pending == a.Pending) || a.Quiet {
 		s.n.Renewals++
 		return r, nil
--- a/internal/ruleset/rulefile/rulefile.go
+++ b/internal/ruleset/rulefile/rulefile.go
@@ -25,13 +25,13 @@
 
 // rulesTOML is the rules file. Its keys are the operators'.
 type rulesTOML struct {
-	Format   int      `toml:"form"`
-	Needs    []string `toml:"needs"`
-	LeaseMS  float64  `toml:"lease_ms"`
-	BoundMS  float64  `toml:"bound_ms"`
-	Fallback struct {
-		Part  float64 `toml:"part"`
-		ForMS float64 `toml:"for_ms"`
+	Format              int      `toml:"form"`
+	Needs               []string `toml:"needs"`
+	LeaseMillis         float64  `toml:"lease_ms"`
+	ConflictBoundMillis float64  `toml:"bound_ms"`
+	Fallback            struct {
+		Fraction       float64 `toml:"part"`
+		DurationMillis float64 `toml:"for_ms"`
 	} `toml:"fallback"`
 	Plans           []planTOML     `toml:"plans"`
 	Members         []memberTOML   `toml:"members"`
@@ -39,13 +39,13 @@
 }
 
 type planTOML struct {
-	Name         string  `toml:"name"`
-	Rate         float64 `toml:"rate"`
-	Burst        float64 `toml:"burst"`
-	CeilingRate  float64 `toml:"ceiling_rate"`
-	CeilingDepth float64 `toml:"ceiling_depth"`
-	CreditS      float64 `toml:"credit_s"`
-	RepayS       float64 `toml:"repay_s"`
+	Name          string  `toml:"name"`
+	Rate          float64 `toml:"rate"`
+	Burst         float64 `toml:"burst"`
+	CeilingRate   float64 `toml:"ceiling_rate"`
+	CeilingDepth  float64 `toml:"ceiling_depth"`
+	CreditSeconds float64 `toml:"credit_s"`
+	RepaySeconds  float64 `toml:"repay_s"`
 }
 
 type memberTOML struct {
@@ -80,20 +80,25 @@
 	if len(text) > MaxFileBytes {
 		return ruleset.Rules{}, fmt.Errorf("%d bytes are more than %d", len(text), MaxFileBytes)
 	}
-	parsed := rulesTOML{Format: ruleset.SupportedFormat, LeaseMS: DefaultLeaseMillis,
-		BoundMS: ruleset.DefaultConflictBoundMillis}
-	parsed.Fallback.Part, parsed.Fallback.ForMS = DefaultFallbackFraction, DefaultFallbackMillis
+	parsed := rulesTOML{Format: ruleset.SupportedFormat, LeaseMillis: DefaultLeaseMillis,
+		ConflictBoundMillis: ruleset.DefaultConflictBoundMillis}
+	parsed.Fallback.Fraction, parsed.Fallback.DurationMillis = DefaultFallbackFraction, DefaultFallbackMillis
 	if err := strictoml.Decode(text, &parsed); err != nil {
 		return ruleset.Rules{}, err
 	}
-	rules := ruleset.Rules{Format: parsed.Format, Needs: parsed.Needs, LeaseMillis: parsed.LeaseMS,
-		ConflictBoundMillis: parsed.BoundMS,
-		Fallback: ruleset.Fallback{Fraction: parsed.Fallback.Part,
-			DurationMillis: parsed.Fallback.ForMS}}
+	rules := ruleset.Rules{
+		Format:              parsed.Format,
+		Needs:               parsed.Needs,
+		Fallback:            ruleset.Fallback(parsed.Fallback),
+		LeaseMillis:         parsed.LeaseMillis,
+		ConflictBoundMillis: parsed.ConflictBoundMillis,
+	}
 	for _, plan := range parsed.Plans {
-		rules.Plans = append(rules.Plans, ruleset.Plan{Name: plan.Name, Rate: plan.Rate, Burst: plan.Burst,
-			CeilingRate: plan.CeilingRate, CeilingDepth: plan.CeilingDepth, CreditSeconds: plan.CreditS,
-			RepayMillis: plan.RepayS * millisPerSecond})
+		rules.Plans = append(rules.Plans, ruleset.Plan{
+			Name: plan.Name, Rate: plan.Rate, Burst: plan.Burst, CeilingRate: plan.CeilingRate,
+			CeilingDepth: plan.CeilingDepth, CreditSeconds: plan.CreditSeconds,
+			RepayMillis: plan.RepaySeconds * millisPerSecond,
+		})
 	}
 	for _, member := range parsed.Members {
 		rules.Members = append(rules.Members, ruleset.Member(member))
@@ -110,13 +115,15 @@
 // Encode writes rules as a file's text, which Decode reads: operators start from it to change what is in
 // force.
 func Encode(rules *ruleset.Rules) (string, error) {
-	file := rulesTOML{Format: rules.Format, Needs: rules.Needs, LeaseMS: rules.LeaseMillis,
-		BoundMS: rules.ConflictBoundMillis}
-	file.Fallback.Part, file.Fallback.ForMS = rules.Fallback.Fraction, rules.Fallback.DurationMillis
+	file := rulesTOML{Format: rules.Format, Needs: rules.Needs, LeaseMillis: rules.LeaseMillis,
+		ConflictBoundMillis: rules.ConflictBoundMillis}
+	file.Fallback.Fraction, file.Fallback.DurationMillis = rules.Fallback.Fraction, rules.Fallback.DurationMillis
 	for _, plan := range rules.Plans {
-		file.Plans = append(file.Plans, planTOML{plan.Name, plan.Rate, plan.Burst, plan.CeilingRate,
-			plan.CeilingDepth, plan.CreditSeconds,
-			plan.RepayMillis / millisPerSecond})
+		file.Plans = append(file.Plans, planTOML{
+			Name: plan.Name, Rate: plan.Rate, Burst: plan.Burst, CeilingRate: plan.CeilingRate,
+			CeilingDepth: plan.CeilingDepth, CreditSeconds: plan.CreditSeconds,
+			RepaySeconds: plan.RepayMillis / millisPerSecond,
+		})
 	}
 	for _, member := range rules.Members {
 		file.Members = append(file.Members, memberTOML(member))
--- a/internal/ruleset/state_index.go
+++ b/internal/ruleset/state_index.go
@@ -40,7 +40,7 @@
 	index         *StateIndex
 	all           bool    // the state itself
 	memberIndexes []int32 // ascending
-	mark          versioned.VersionID
+	id            versioned.VersionID
 	bytes         int
 }
 
@@ -57,14 +57,16 @@
 func NewStateIndex(s *versioned.State) *StateIndex {
 	header, _ := decodeHeader(s)
 	x := &StateIndex{state: s, memberCount: min(max(header.Members, 0), maxMembers)}
-	x.indexByName, x.indexesByHost = make(map[string]int32, x.memberCount), make(map[string][]int32,
-		x.memberCount)
-	x.members, x.memberDigests = make([]versioned.Entry, x.memberCount), make([]versioned.Digest, x.memberCount)
+	x.indexByName = make(map[string]int32, x.memberCount)
+	x.indexesByHost = make(map[string][]int32, x.memberCount)
+	x.members = make([]versioned.Entry, x.memberCount)
+	x.memberDigests = make([]versioned.Digest, x.memberCount)
 	for key, raw := range s.All() {
 		entry := versioned.Entry{Key: key, Value: raw}
 		if !strings.HasPrefix(key, memberKey) {
 			x.common = append(x.common, entry)
-			x.commonDigest, x.commonBytes = x.commonDigest.Add(entry.Digest()), x.commonBytes+len(key)+len(raw)
+			x.commonDigest = x.commonDigest.Add(entry.Digest())
+			x.commonBytes += len(key) + len(raw)
 			continue
 		}
 		i, err := parseIndexedKey(memberKey, memberDigits, key, x.memberCount)
@@ -84,7 +86,7 @@
 	subset := &StateSubset{index: x}
 	switch i, found := x.indexByName[interest.Name]; {
 	case interest.All:
-		subset.all, subset.mark, subset.bytes = true, x.state.ID(), x.state.Bytes()
+		subset.all, subset.id, subset.bytes = true, x.state.ID(), x.state.Bytes()
 		return subset
 	case found && interest.Name != "":
 		subset.addNeighbours(i, interest.Around)
@@ -96,12 +98,12 @@
 	}
 	slices.Sort(subset.memberIndexes)
 	subset.memberIndexes = slices.Compact(subset.memberIndexes)
-	subset.mark, subset.bytes = versioned.VersionID{Number: x.state.ID().Number, Digest: x.commonDigest},
-		x.commonBytes
+	subset.id = versioned.VersionID{Number: x.state.ID().Number, Digest: x.commonDigest}
+	subset.bytes = x.commonBytes
 	for _, i := range subset.memberIndexes {
 		entry := x.members[i]
-		subset.mark.Digest, subset.bytes = subset.mark.Digest.Add(x.memberDigests[i]),
-			subset.bytes+len(entry.Key)+len(entry.Value)
+		subset.id.Digest = subset.id.Digest.Add(x.memberDigests[i])
+		subset.bytes += len(entry.Key) + len(entry.Value)
 	}
 	return subset
 }
@@ -117,12 +119,12 @@
 	}
 }
 
-// Mark names the subset; that of nil is zero.
-func (p *StateSubset) Mark() versioned.VersionID {
+// ID names the subset by the state's number and its own digest; that of nil is zero.
+func (p *StateSubset) ID() versioned.VersionID {
 	if p == nil {
 		return versioned.VersionID{}
 	}
-	return p.mark
+	return p.id
 }
 
 // Bytes is the size of its keys and values.
@@ -150,7 +152,7 @@
 	case p.all:
 		return p.index.state
 	}
-	return versioned.New(p.mark.Number, p.entries())
+	return versioned.New(p.id.Number, p.entries())
 }
 
 // DeltaFrom is the delta from another subset, or from nothing where that is nil.
@@ -158,7 +160,7 @@
 	if p.all || from != nil && from.all {
 		return versioned.Diff(from.State(), p.State())
 	}
-	delta := &versioned.Delta{From: from.Mark(), To: p.mark}
+	delta := &versioned.Delta{From: from.ID(), To: p.id}
 	if from == nil {
 		delta.Set = p.entries()
 		return delta
--- a/internal/ruleset/state_index_test.go
+++ b/internal/ruleset/state_index_test.go
@@ -29,11 +29,11 @@
 			Around: rapid.IntRange(0, 9).Draw(t, "around")}
 		from, to := NewStateIndex(x).Subset(in), NewStateIndex(y).Subset(in)
 		for _, p := range []*StateSubset{from, to} {
-			if s := p.State(); s.ID() != p.Mark() || s.Bytes() != p.Bytes() {
-				t.Fatalf("%v of %d bytes, and its state is %v of %d", p.Mark(), p.Bytes(), s.ID(), s.Bytes())
+			if s := p.State(); s.ID() != p.ID() || s.Bytes() != p.Bytes() {
+				t.Fatalf("%v of %d bytes, and its state is %v of %d", p.ID(), p.Bytes(), s.ID(), s.Bytes())
 			}
 		}
-		if got, err := from.State().Apply(to.DeltaFrom(from)); err != nil || got.ID() != to.Mark() {
+		if got, err := from.State().Apply(to.DeltaFrom(from)); err != nil || got.ID() != to.ID() {
 			t.Fatal(err)
 		}
 		d, want := to.DeltaFrom(from), versioned.Diff(from.State(), to.State())
@@ -41,7 +41,7 @@
 			t.Fatalf("%+v, not %+v", d, want)
 		}
 		var none *StateSubset
-		if got, err := none.State().Apply(to.DeltaFrom(none)); err != nil || got.ID() != to.Mark() {
+		if got, err := none.State().Apply(to.DeltaFrom(none)); err != nil || got.ID() != to.ID() {
 			t.Fatal(err)
 		}
 	})
--- a/internal/ruleset/version_state_test.go
+++ b/internal/ruleset/version_state_test.go
@@ -51,7 +51,7 @@
 			t.Fatalf("%v\n%+v\n%+v", err, got, v)
 		}
 		if again, _ := VersionToState(&v); again.ID() != s.ID() || s.ID().Number != 7 {
-			t.Fatal("the same has another mark")
+			t.Fatal("the same has another ID")
 		}
 		if l := StateLeaseMillis(s); l != v.Rules.LeaseMillis {
 			t.Fatalf("a lease of %v", l)
@@ -86,11 +86,11 @@
 		for _, m := range v.Rules.Members {
 			own := Interest{Name: m.Name, Around: in.Around}
 			if m.Host == "h1" && Select(Select(s, host), own).ID() != Select(s, own).ID() {
-				t.Fatal("a part of a part is another")
+				t.Fatal("a subset of a subset differs")
 			}
 		}
 		if Select(s, Interest{All: true}) != s {
-			t.Fatal("all is another")
+			t.Fatal("all differs")
 		}
 	})
 }
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -57,7 +57,7 @@
 	return ruleset.Lease{}, false
 }
 
-// goldenVersion has a value that is not zero in each field, and passes ruleset.CheckPart.
+// goldenVersion has a value that is not zero in each field, and passes ruleset.ValidateSubset.
 func goldenVersion() ruleset.Version {
 	v := ruleset.Version{}
 	goldenform.Fill(&v)
