--- /dev/null
+++ b/internal/gateway/proxy/lending.go
@@ -0,0 +1,153 @@
+package proxy
+
+import (
+	"strconv"
+
+	"willowdeck/internal/borrowing"
+	"willowdeck/internal/gateway/incarnation"
+	"willowdeck/internal/gateway/inflight"
+	"willowdeck/internal/gateway/transport/creditwire"
+	"willowdeck/internal/policy"
+	"willowdeck/internal/testkit/history"
+)
+
+// CreditStore keeps the records of credit: what Keep has returned from outlives the process.
+type CreditStore interface {
+	// Now is a clock that goes on over restarts, ms.
+	Now() float64
+	// Keep stores a record at its place.
+	Keep(place int, r *borrowing.Record)
+	// Hear records a peer's message, and tells whether it is fresh.
+	Hear(from int, id incarnation.MessageID) bool
+	Close()
+}
+
+// lender is the book of credit with its store, under the dispatcher's lock.
+type lender struct {
+	book     *borrowing.Book
+	store    CreditStore
+	recorder history.Recorder // nil where no history is recorded
+	plans    []string         // names, by plan
+}
+
+// Lend asks the book for units of credit; the policy calls it. Its entries are stored before the policy's
+// next decision is executed.
+func (l *lender) Lend(customer uint64, plan, first, n int, units float64) bool {
+	l.book.Clock(l.store.Now())
+	return l.book.Lend(customer, plan, first, n, units) == borrowing.Lent
+}
+
+// Undo returns a loan that was not used; the policy calls it.
+func (l *lender) Undo(customer uint64, units float64) { l.book.Undo(customer, units) }
+
+// EnableBorrowing has the policy borrow from a book from here on. Plans gives the plans' names for the
+// recorder, which may be nil.
+func (d *Dispatcher) EnableBorrowing(b *borrowing.Book, s CreditStore, r history.Recorder, plans []string) {
+	d.lockPolicy()
+	d.stopLending()
+	d.lender = &lender{book: b, store: s, recorder: r, plans: plans}
+	b.Noting(r != nil)
+	b.Clock(s.Now())
+	d.policy.Borrow(d.lender)
+	d.flushAndUnlock()
+}
+
+// stopLending closes the book, under the lock: nothing is lent from here on.
+func (d *Dispatcher) stopLending() {
+	if d.lender == nil {
+		return
+	}
+	d.policy.Borrow(nil)
+	d.flushLending()
+	d.lender.store.Close()
+	d.lender = nil
+}
+
+// ReceiveCredit takes a peer's message on credit.
+func (d *Dispatcher) ReceiveCredit(peer int, id incarnation.MessageID, entries []borrowing.Entry) {
+	d.lockPolicy()
+	if l := d.lender; l != nil && l.store.Hear(peer, id) {
+		l.book.Clock(l.store.Now())
+		l.book.Hear(peer, entries)
+	}
+	d.flushAndUnlock()
+}
+
+// CollectDue has the book collect what is due.
+func (d *Dispatcher) CollectDue() {
+	d.lockPolicy()
+	if l := d.lender; l != nil {
+		l.book.Clock(l.store.Now())
+	}
+	d.flushAndUnlock()
+}
+
+// CreditFigures gives the book's figures; false where nothing is lent.
+func (d *Dispatcher) CreditFigures() (borrowing.Figures, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.lender == nil {
+		return borrowing.Figures{}, false
+	}
+	return d.lender.book.Figures(), true
+}
+
+// CreditLines gives the plans' lines of credit as the book has them, and whether any plan lends.
+func CreditLines(plans []policy.Plan) (lines []borrowing.Plan, lends bool) {
+	for _, p := range plans {
+		lines = append(lines, borrowing.Plan{Line: p.Credit * p.Rate, Repay: p.Repay})
+		lends = lends || p.Credit > 0 && p.Rate > 0
+	}
+	return lines, lends
+}
+
+// applyCharter has the book go by a charter that has changed in service.
+func (l *lender) applyCharter(c *policy.Charter) {
+	lines, _ := CreditLines(c.Plans)
+	l.book.Clock(l.store.Now())
+	l.book.Resize(max(c.Gatekeepers, 1))
+	l.book.Replan(lines)
+}
+
+// flushLending executes the book's decisions, under the lock. Records are stored before it returns;
+// messages go out after the lock is released.
+func (d *Dispatcher) flushLending() {
+	l := d.lender
+	for {
+		v, ok := l.book.Next()
+		if !ok {
+			return
+		}
+		switch v.Act {
+		case borrowing.Store:
+			l.store.Keep(v.Place, v.Record)
+		case borrowing.Note:
+			l.recordEvent(v)
+		case borrowing.Tell:
+			for rest := v.Entries; len(rest) > 0; {
+				var b []byte
+				b, rest = creditwire.Append(nil, rest)
+				inflight.Check(len(b) <= creditwire.Limit, inflight.DatagramFits)
+				d.outbox.add(v.Peer, b)
+			}
+		case borrowing.Collect:
+			took, fill := d.policy.Repay(uint64(v.Customer), v.Plan, v.N, v.Need, v.Most, v.Span)
+			l.book.Paid(v.Customer, took, fill)
+		}
+	}
+}
+
+// recordEvent records what the book did. Base is the form: sets and lines that differ have rights of their
+// own.
+func (l *lender) recordEvent(v borrowing.Decision) {
+	kind, says := v.Event.Written()
+	e := history.Event{Kind: history.Kind(kind), Says: says, Customer: uint64(v.Customer), Units: v.Units,
+		Serial: v.Serial, Base: uint64(v.Form)}
+	if v.Plan < len(l.plans) {
+		e.Plan = l.plans[v.Plan]
+	}
+	if v.Event.Of() {
+		e.Peer = strconv.Itoa(v.Peer)
+	}
+	l.recorder.Write(e)
+}
