--- a/internal/supervisor/council.go
+++ b/internal/supervisor/council.go
@@ -32,21 +32,21 @@
 
 // CouncilFile is what a fleet's file says of the council; nil where there is none.
 type CouncilFile struct {
-	Me     string // this host among the hosts
-	Listen string // HOST:PORT for the other daemons
-	Store  string // the file of the log
-	Rules  string // the file of the rules that this daemon proposes
-	Found  bool   // on a first start: a council is founded once all hosts are there with empty stores
-	Serve  string // HOST:PORT for relays that follow this daemon; empty: none do
-	Hosts  []struct{ Name, Address string }
+	Me     string                           `toml:"me"`     // this host among the hosts
+	Listen string                           `toml:"listen"` // HOST:PORT for the other daemons
+	Store  string                           `toml:"store"`  // the file of the log
+	Rules  string                           `toml:"rules"`  // the file of the rules that this daemon proposes
+	Found  bool                             `toml:"found"`  // on a first start: a council is founded once all hosts are there with empty stores
+	Serve  string                           `toml:"serve"`  // HOST:PORT for relays that follow this daemon; empty: none do
+	Hosts  []struct{ Name, Address string } `toml:"hosts"`
 }
 
 // RelayFile is what a fleet's file says of a host that hears by relays what a council has agreed on; nil
 // where there is none.
 type RelayFile struct {
-	Me       string   // this host, as members name it
-	Upstream []string // HOST:PORT of relays, or of council daemons that serve: each may be asked
-	Store    string   // the file of what was heard last, as a base for changes of it
+	Me       string   `toml:"me"`       // this host, as members name it
+	Upstream []string `toml:"upstream"` // HOST:PORT of relays, or of council daemons that serve: each may be asked
+	Store    string   `toml:"store"`    // the file of what was heard last, as a base for changes of it
 }
 
 // Agreed is a fleet's part in rules that are agreed on, as it is carried out: by a seat in the council, or
--- a/internal/supervisor/file.go
+++ b/internal/supervisor/file.go
@@ -19,37 +19,37 @@
 
 // File is a fleet as its file says it.
 type File struct {
-	Name      string
-	Instances int
-	Program   string // the gatekeeper's; empty is the daemon's own
-	Config    string // what each is told, but for its own name, number and addresses
-	RunDir    string `toml:"run_dir"` // of what the daemon writes
-	Control   string // the daemon's own operators' port
-	Listen    string // the first instance's address for clients; each next one has the next port
-	Operators string // the first instance's operators' port; each has two, as one process may follow another
-	Peers     string // the first instance's address for peers' datagrams
+	Name      string `toml:"name"`
+	Instances int    `toml:"instances"`
+	Program   string `toml:"program"`   // the gatekeeper's; empty is the daemon's own
+	Config    string `toml:"config"`    // what each is told, but for its own name, number and addresses
+	RunDir    string `toml:"run_dir"`   // of what the daemon writes
+	Control   string `toml:"control"`   // the daemon's own operators' port
+	Listen    string `toml:"listen"`    // the first instance's address for clients; each next one has the next port
+	Operators string `toml:"operators"` // the first instance's operators' port; each has two, as one process may follow another
+	Peers     string `toml:"peers"`     // the first instance's address for peers' datagrams
 	Host      struct {
 		MemoryMB int `toml:"memory_mb"` // that all instances may have together; 0 is not checked
-		Sockets  int
-	}
+		Sockets  int `toml:"sockets"`
+	} `toml:"host"`
 	Restart struct {
 		FirstMS float64 `toml:"first_ms"`
 		MostMS  float64 `toml:"most_ms"`
 		CalmS   float64 `toml:"calm_s"`
-	}
+	} `toml:"restart"`
 	ReadyS float64 `toml:"ready_s"`
 	GraceS float64 `toml:"grace_s"`
-	Step   int
+	Step   int     `toml:"step"`
 
-	Remember bool // instances keep what outlives a sudden end
-	Recall   bool // of quotas and demand too
-	Warm     bool // and ask others for their list until discovery has spoken
-	Hall     string
-	Outlook  Looks
+	Remember bool   `toml:"remember"` // instances keep what outlives a sudden end
+	Recall   bool   `toml:"recall"`   // of quotas and demand too
+	Warm     bool   `toml:"warm"`     // and ask others for their list until discovery has spoken
+	Hall     string `toml:"hall"`
+	Outlook  Looks  `toml:"outlook"`
 
-	Council *CouncilFile                 // several hosts agree on the rules
-	Relay   *RelayFile                   // others do, and this host hears of them by relays
-	Reach   map[string]map[string]string // by instance, and for the council: address in place of another
+	Council *CouncilFile                 `toml:"council"` // several hosts agree on the rules
+	Relay   *RelayFile                   `toml:"relay"`   // others do, and this host hears of them by relays
+	Reach   map[string]map[string]string `toml:"reach"`   // by instance, and for the council: address in place of another
 }
 
 // Read reads and checks a fleet's file, and the configuration that it names. An error names the file, and
--- a/internal/supervisor/outlook.go
+++ b/internal/supervisor/outlook.go
@@ -33,18 +33,18 @@
 
 // Looks is what a fleet's file says of looking ahead.
 type Looks struct {
-	EachMS     float64  `toml:"each_ms"` // between two rounds of asking
-	Neighbours []string // other daemons' operators' ports
-	Ask        []string // operators' ports of instances that no daemon keeps
+	EachMS     float64  `toml:"each_ms"`    // between two rounds of asking
+	Neighbours []string `toml:"neighbours"` // other daemons' operators' ports
+	Ask        []string `toml:"ask"`        // operators' ports of instances that no daemon keeps
 	OldMS      float64  `toml:"old_ms"`
 	Cores      float64  `toml:"worker_cores"`
 	PerS       float64  `toml:"worker_per_s"`
 	WayMS      float64  `toml:"way_ms"`
-	Tries      int
-	BackMS     float64 `toml:"back_ms"`
-	TakeoverMS float64 `toml:"takeover_ms"`
-	Elsewhere  bool
-	Slow       float64
+	Tries      int      `toml:"tries"`
+	BackMS     float64  `toml:"back_ms"`
+	TakeoverMS float64  `toml:"takeover_ms"`
+	Elsewhere  bool     `toml:"elsewhere"`
+	Slow       float64  `toml:"slow"`
 }
 
 func usualLooks() Looks {
@@ -99,10 +99,10 @@
 
 // told is what a daemon tells another: the words of the instances that it asks itself, no hearsay.
 type told struct {
-	Form  int
-	Host  string
-	Words []json.RawMessage
-	Ages  []float64 // ms since each was last heard
+	Form  int               `json:"Form"`
+	Host  string            `json:"Host"`
+	Words []json.RawMessage `json:"Words"`
+	Ages  []float64         `json:"Ages"` // ms since each was last heard
 }
 
 // watcher gathers words and answers from them. Nothing that serves clients waits for it.
