--- a/cmd/willowdeck/main.go
+++ b/cmd/willowdeck/main.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		return err
 	}
-	f, err := supervisor.Read(c.String("file"))
+	f, err := supervisor.LoadSettings(c.String("file"))
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	p, err := d.Open()
+	p, err := d.ServeControl()
 	if err != nil {
 		d.Stop()
 		return err
@@ -154,7 +154,7 @@
 	for {
 		select {
 		case <-reload:
-			d.Reload(supervisor.Read(c.String("file")))
+			d.Reload(supervisor.LoadSettings(c.String("file")))
 		case s := <-stop:
 			log.Info().Str("signal", s.String()).Msg("stopping")
 			over := make(chan struct{})
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -228,7 +228,7 @@
 }
 
 // sitting asks a host's daemon how the council stands.
-func (h *host) sitting() (s supervisor.Sitting, ok bool) {
+func (h *host) sitting() (s supervisor.CouncilStatus, ok bool) {
 	page, err := faultinject.Ask(h.control, "/fleet/council")
 	return s, err == nil && json.Unmarshal([]byte(page), &s) == nil
 }
--- a/internal/lab/footprint/rules.go
+++ b/internal/lab/footprint/rules.go
@@ -116,7 +116,7 @@
 
 // fleetOf writes the files of a host's daemon for a council of so many hosts, and reads them as it does at
 // its start.
-func fleetOf(dir string, members, hosts int) (*supervisor.Fleet, error) {
+func fleetOf(dir string, members, hosts int) (*supervisor.Settings, error) {
 	conf, err := settings(20, usualPlans, 3, 0)
 	if err != nil {
 		return nil, err
@@ -141,7 +141,7 @@
 			return nil, err
 		}
 	}
-	return supervisor.Read(filepath.Join(dir, "fleet.toml"))
+	return supervisor.LoadSettings(filepath.Join(dir, "fleet.toml"))
 }
 
 // fleetFile measures what a host's daemon with some perHost gatekeepers reads at its start, and carries
@@ -159,12 +159,12 @@
 		return nil, err
 	}
 	path := filepath.Join(dir, "fleet.toml")
-	_, kept := keeps(func() *supervisor.Fleet {
-		f, _ := supervisor.Read(path)
+	_, kept := keeps(func() *supervisor.Settings {
+		f, _ := supervisor.LoadSettings(path)
 		return f
 	})
 	return []Value{{"host daemon", "reading the fleet's files over members", "ms",
-		took(func() { _, _ = supervisor.Read(path) })},
+		took(func() { _, _ = supervisor.LoadSettings(path) })},
 		{"host daemon", "kept of the fleet's files over members", "B", kept}}, nil
 }
 
--- a/internal/supervisor/branch.go
+++ b/internal/supervisor/branch.go
@@ -21,133 +21,133 @@
 )
 
 const (
-	bornLease = 1000.0 // ms, until rules have told theirs
-	lagAfter  = 3000.0 // ms behind another's list of discovery until one is named
+	initialLeaseMillis = 1000.0 // ms, until rules have told theirs
+	discoveryLagMillis = 3000.0 // ms behind another's list of discovery until one is named
 )
 
 // branch is the part in agreed rules of a daemon without a seat: it follows relays, tells the processes of
 // its host what those say, and says up the chain what all of its processes go by. It has no vote, and no
 // other host waits for it but for that word. It is safe for concurrent use, and nothing of it waits.
-type branch struct {
-	cluster string
-	me      string
-	log     zerolog.Logger
-	record  history.Recorder
-	copy    *relay.Copy
-	changed chan struct{}
-	ctx     context.Context
-	end     context.CancelFunc
-	wait    sync.WaitGroup
+type subscription struct {
+	cluster    string
+	hostName   string
+	log        zerolog.Logger
+	history    history.Recorder
+	replica    *relay.Copy
+	changed    chan struct{}
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
-	mu       sync.Mutex
-	upstream []string
-	follower *distribution.Follower // by way of feed alone
-	feed     *relay.Feed
-	leave    context.CancelFunc // ends the feed
-	warden   ruleset.Warden
-	lag      *ruleset.Lag
-	askers   map[int]asker
+	mu           sync.Mutex
+	upstreams    []string
+	follower     *distribution.Follower // by way of feed alone
+	feed         *relay.Feed
+	stopFeed     context.CancelFunc // ends the feed
+	grantor      ruleset.Warden
+	discoveryLag *ruleset.Lag
+	requesters   map[int]requester
 
-	view    distribution.View // as last taken
-	lease   ruleset.Lease
-	bad     [2]versioned.Mark // of rules, and pending ones, that were told and make no sense
-	inForce ruleset.Version
-	said    uint64 // the step that was last told to have been seen
-	index   int64  // of discovery's list, the highest here
+	view          distribution.View // as last taken
+	lease         ruleset.Lease
+	rejected      [2]versioned.Mark // of rules, and pending ones, that were told and make no sense
+	inForce       ruleset.Version
+	reportedStep  uint64 // the step that was last told to have been seen
+	reportedIndex int64  // of discovery's list, the highest here
 }
 
 // asker is a process that has asked.
-type asker struct {
-	name  string
-	holds uint64
-	index int64
-	at    time.Time
+type requester struct {
+	name           string
+	heldStep       uint64
+	discoveryIndex int64
+	requestedAt    time.Time
 }
 
-func newBranch(cluster string, r *RelayFile, record history.Recorder, log zerolog.Logger) *branch {
-	b := &branch{cluster: cluster, me: r.Me, log: log, record: record,
-		copy:    relay.NewCopy(r.Store, cluster, log),
-		changed: make(chan struct{}, 1), lag: ruleset.NewLag(), askers: map[int]asker{}, index: -1}
-	b.view.Index = -1
-	b.ctx, b.end = context.WithCancel(context.Background())
-	b.wait.Add(1)
+func newSubscription(cluster string, relaySettings *RelaySettings, record history.Recorder, log zerolog.Logger) *subscription {
+	s := &subscription{cluster: cluster, hostName: relaySettings.HostName, log: log, history: record,
+		replica: relay.NewCopy(relaySettings.StorePath, cluster, log),
+		changed: make(chan struct{}, 1), discoveryLag: ruleset.NewLag(), requesters: map[int]requester{}, reportedIndex: -1}
+	s.view.Index = -1
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	s.goroutines.Add(1)
 	go func() {
-		defer b.wait.Done()
-		b.copy.Run(b.ctx)
+		defer s.goroutines.Done()
+		s.replica.Run(s.ctx)
 	}()
-	return b
+	return s
 }
 
 // follows has it ask these from now on. What was heard goes on until its time. It is to be called first when
 // all processes have been booked that a daemon before this one has left: what their daemon has seen is told
 // up the chain as soon as it is known here, and can't be taken back.
-func (b *branch) follows(upstream []string) {
+func (b *subscription) setUpstreams(upstreams []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if slices.Equal(upstream, b.upstream) {
+	if slices.Equal(upstreams, b.upstreams) {
 		return
 	}
-	f := distribution.NewFollower(distribution.Config{Name: b.me, Cluster: b.cluster, Upstream: len(upstream),
-		Lease: bornLease, Interest: ruleset.Interest{Host: b.me, Around: distribution.Around}, Seed: rand.Int63()},
+	follower := distribution.NewFollower(distribution.Config{Name: b.hostName, Cluster: b.cluster, Upstream: len(upstreams),
+		Lease: initialLeaseMillis, Interest: ruleset.Interest{Host: b.hostName, Around: distribution.Around}, Seed: rand.Int63()},
 		raftlog.Clock())
 	if b.feed == nil {
-		b.copy.Base(f)
+		b.replica.Base(follower)
 	} else {
-		f.Base(b.view.Rules, b.view.Pending)
-		b.leave()
+		follower.Base(b.view.Rules, b.view.Pending)
+		b.stopFeed()
 	}
-	client := relay.NewClient(upstream, relay.AskPath)
-	b.upstream, b.follower, b.said = slices.Clone(upstream), f, 0
-	feed := relay.NewFeed(f, client, b.news)
+	client := relay.NewClient(upstreams, relay.AskPath)
+	b.upstreams, b.follower, b.reportedStep = slices.Clone(upstreams), follower, 0
+	feed := relay.NewFeed(follower, client, b.onUpdate)
 	b.feed = feed
 	var ctx context.Context
-	ctx, b.leave = context.WithCancel(b.ctx)
-	b.wait.Add(1)
+	ctx, b.stopFeed = context.WithCancel(b.ctx)
+	b.goroutines.Add(1)
 	go func() {
-		defer b.wait.Done()
+		defer b.goroutines.Done()
 		feed.Run(ctx)
 		client.Close()
 	}()
 }
 
 // news takes what the follower has come to know.
-func (b *branch) news() {
+func (b *subscription) onUpdate() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.take()
+	b.applyView()
 }
 
 // take goes over to what the follower knows, if that is later, and says up the chain what there is to say;
 // under the lock.
-func (b *branch) take() {
+func (b *subscription) applyView() {
 	if b.feed == nil {
 		return
 	}
-	v, ok := b.feed.View()
-	said := [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()}
-	if !ok || v.Step < b.view.Step || v.Step == b.view.Step && v.Begun < b.view.Begun || said == b.bad {
+	view, ok := b.feed.View()
+	digests := [2]versioned.Mark{view.Rules.Mark(), view.Pending.Mark()}
+	if !ok || view.Step < b.view.Step || view.Step == b.view.Step && view.Begun < b.view.Begun || digests == b.rejected {
 		return
 	}
 	rules, pending := b.view.Rules.Mark(), b.view.Pending.Mark()
-	if v.Rules.Mark() != rules || v.Pending.Mark() != pending {
-		l, err := leaseOf(&v)
+	if view.Rules.Mark() != rules || view.Pending.Mark() != pending {
+		lease, err := leaseFromView(&view)
 		if err != nil {
-			b.bad = said
+			b.rejected = digests
 			b.log.Error().Err(err).Msg("rules that make no sense: those before go on until their time")
 			return
 		}
-		if l.Foreign != "" {
-			b.log.Error().Str("needs", l.Foreign).
+		if lease.Foreign != "" {
+			b.log.Error().Str("needs", lease.Foreign).
 				Msg("rules in force that this program does not know: instances stay as they are")
 		}
-		b.lease = l
-		b.copy.Keep(v)
+		b.lease = lease
+		b.replica.Keep(view)
 	}
-	b.view, b.lease.Step, b.lease.Settled = v, v.Step, v.Settled
-	if v.Rules.Mark() != rules {
-		if b.record != nil {
-			b.record.Write(history.Event{Kind: history.Gives, Version: v.Rules.Mark().Number,
-				Age: raftlog.Clock() - v.Begun})
+	b.view, b.lease.Step, b.lease.Settled = view, view.Step, view.Settled
+	if view.Rules.Mark() != rules {
+		if b.history != nil {
+			b.history.Write(history.Event{Kind: history.Gives, Version: view.Rules.Mark().Number,
+				Age: raftlog.Clock() - view.Begun})
 		}
 		if b.lease.Foreign == "" {
 			b.inForce = b.lease.Version
@@ -157,189 +157,191 @@
 			}
 		}
 	}
-	b.say()
+	b.reportSeen()
 }
 
 // leaseOf reads what a view says. Rules that this program does not know whole are left empty, and named.
-func leaseOf(v *distribution.View) (l ruleset.Lease, err error) {
+func leaseFromView(view *distribution.View) (lease ruleset.Lease, err error) {
 	read := func(s *versioned.State) (ruleset.Version, string, error) {
-		v, err := ruleset.FromState(s)
+		view, err := ruleset.FromState(s)
 		if errors.Is(err, ruleset.ErrForeign) {
 			return ruleset.Version{Number: s.Mark().Number}, err.Error(), nil
 		}
 		if err == nil {
-			err = ruleset.CheckPart(&v.Rules)
+			err = ruleset.CheckPart(&view.Rules)
 		}
-		return v, "", err
+		return view, "", err
 	}
-	if l.Version, l.Foreign, err = read(v.Rules); err != nil || v.Pending == nil {
-		return l, err
+	if lease.Version, lease.Foreign, err = read(view.Rules); err != nil || view.Pending == nil {
+		return lease, err
 	}
-	p, strange, err := read(v.Pending)
-	l.Pending, l.Strange = &p.Rules, strange
-	return l, err
+	pending, unknown, err := read(view.Pending)
+	lease.Pending, lease.Strange = &pending.Rules, unknown
+	return lease, err
 }
 
 // say has the follower tell what all processes of this host go by, where that is news; under the lock.
-func (b *branch) say() {
-	seen, highest := b.warden.Seen(b.view.Step), int64(-1)
-	for _, a := range b.askers {
-		highest = max(highest, a.index)
+func (b *subscription) reportSeen() {
+	seenStep, highestIndex := b.grantor.Seen(b.view.Step), int64(-1)
+	for _, request := range b.requesters {
+		highestIndex = max(highestIndex, request.discoveryIndex)
 	}
-	if b.feed == nil || seen <= b.said && highest == b.index {
+	if b.feed == nil || seenStep <= b.reportedStep && highestIndex == b.reportedIndex {
 		return
 	}
-	more := seen > b.said
-	b.said, b.index = max(seen, b.said), highest
+	newStep := seenStep > b.reportedStep
+	b.reportedStep, b.reportedIndex = max(seenStep, b.reportedStep), highestIndex
 	b.feed.With(func(f *distribution.Follower) {
-		if f.Index(highest); more {
-			f.Tell([]distribution.HostStep{{Host: b.me, Step: seen}})
+		if f.Index(highestIndex); newStep {
+			f.Tell([]distribution.HostStep{{Host: b.hostName, Step: seenStep}})
 		}
 	})
 }
 
 // Changed tells that another version than before is in force.
-func (b *branch) Changed() <-chan struct{} { return b.changed }
+func (b *subscription) Changed() <-chan struct{} { return b.changed }
 
 // InForce gives the version in force as far as it is known here: the part that this host needs.
-func (b *branch) InForce() ruleset.Version {
+func (b *subscription) InForce() ruleset.Version {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.inForce
 }
 
 // Began tells of a process of this host's gatekeepers; before: it ran before this daemon did.
-func (b *branch) Began(pid int, before bool) {
+func (b *subscription) Began(pid int, adopted bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.warden.Began(pid, before)
+	b.grantor.Began(pid, adopted)
 }
 
 // Ended tells that a process is no more.
-func (b *branch) Ended(pid int) {
+func (b *subscription) Ended(pid int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.warden.Ended(pid)
-	if a, there := b.askers[pid]; there {
-		b.lag.Left(a.name)
-		delete(b.askers, pid)
+	b.grantor.Ended(pid)
+	if request, known := b.requesters[pid]; known {
+		b.discoveryLag.Left(request.name)
+		delete(b.requesters, pid)
 	}
-	b.say()
+	b.reportSeen()
 }
 
 // Asked answers a process of a gatekeeper, as raftlog.Seat's does.
-func (b *branch) Asked(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
+func (b *subscription) Asked(pid int, name string, heldStep uint64, discoveryIndex int64) (ruleset.Lease, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := raftlog.Clock()
-	if !b.warden.Asked(pid, holds) {
+	if !b.grantor.Asked(pid, heldStep) {
 		return ruleset.Lease{}, false
 	}
-	b.askers[pid] = asker{name, holds, index, time.Now()}
-	if index >= 0 {
-		b.lag.Told(name, index, now)
+	b.requesters[pid] = requester{name, heldStep, discoveryIndex, time.Now()}
+	if discoveryIndex >= 0 {
+		b.discoveryLag.Told(name, discoveryIndex, now)
 	}
-	b.take()
-	b.say()
-	l := b.lease
-	l.Age = raftlog.Clock() - b.view.Begun
-	if b.view.Step == 0 || !(l.Age < ruleset.LeaseOf(b.view.Rules)) {
+	b.applyView()
+	b.reportSeen()
+	lease := b.lease
+	lease.Age = raftlog.Clock() - b.view.Begun
+	if b.view.Step == 0 || !(lease.Age < ruleset.LeaseOf(b.view.Rules)) {
 		return ruleset.Lease{}, false
 	}
-	b.warden.Given(pid)
-	return l, true
+	b.grantor.Given(pid)
+	return lease, true
 }
 
 // given is the view as it was last taken: of the step that a process was just booked to be given, or later.
-func (b *branch) given() distribution.View {
+func (b *subscription) currentView() distribution.View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.view
 }
 
 // Highest gives the highest index of discovery's list that any process has told, here or elsewhere.
-func (b *branch) Highest() int64 {
+func (b *subscription) Highest() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return max(b.index, b.view.Index, 0)
+	return max(b.reportedIndex, b.view.Index, 0)
 }
 
 // Close ends it.
-func (b *branch) Close() {
-	b.end()
-	b.wait.Wait()
+func (b *subscription) Close() {
+	b.cancel()
+	b.goroutines.Wait()
 }
 
 // Following is how a daemon below relays stands, for operators.
-type Following struct {
-	Cluster  string   `json:"cluster"`
-	Me       string   `json:"me"`
-	Upstream []string `json:"upstream"`
-	Asked    string   `json:"asked"` // of them, the one that is asked now
-	Depth    int      `json:"depth"` // of relays from here to the council
-	Version  uint64   `json:"version"`
-	Mark     string   `json:"mark,omitempty"` // of the part that this host needs
-	Members  int      `json:"members"`        // of all that there are places for
-	Known    int      `json:"known"`          // and those that this host is told of
-	Step     uint64   `json:"step"`
-	Settled  bool     `json:"settled"`
+type SubscriptionStatus struct {
+	Cluster         string   `json:"cluster"`
+	HostName        string   `json:"me"`
+	Upstreams       []string `json:"upstream"`
+	CurrentUpstream string   `json:"asked"` // of them, the one that is asked now
+	Depth           int      `json:"depth"` // of relays from here to the council
+	Version         uint64   `json:"version"`
+	Digest          string   `json:"mark,omitempty"` // of the part that this host needs
+	Members         int      `json:"members"`        // of all that there are places for
+	KnownMembers    int      `json:"known"`          // and those that this host is told of
+	Step            uint64   `json:"step"`
+	Settled         bool     `json:"settled"`
 	// ago that a quorum confirmed it; below nought nothing has been
-	ReadMS  float64             `json:"read_ms"`
-	Pending uint64              `json:"pending,omitempty"`
-	Foreign string              `json:"foreign,omitempty"` // what of the rules this program does not know
-	Seen    uint64              `json:"seen"`              // the step that all processes here go by, or later
-	Behind  map[string]uint64   `json:"behind,omitempty"`  // instances that hold an older one
-	CutOff  map[string]float64  `json:"cut_off,omitempty"` // instances here: ms since they last asked
-	Lags    []ruleset.Behind    `json:"lags,omitempty"`
-	Counts  distribution.Counts `json:"counts"`
-	Copies  struct {
-		Written int64 `json:"written"`
-		Failed  int64 `json:"failed"`
-		Aside   int64 `json:"aside"`
+	ConfirmedAgoMillis    float64             `json:"read_ms"`
+	PendingVersion        uint64              `json:"pending,omitempty"`
+	UnknownRules          string              `json:"foreign,omitempty"` // what of the rules this program does not know
+	SeenStep              uint64              `json:"seen"`              // the step that all processes here go by, or later
+	OutdatedInstances     map[string]uint64   `json:"behind,omitempty"`  // instances that hold an older one
+	DisconnectedInstances map[string]float64  `json:"cut_off,omitempty"` // instances here: ms since they last asked
+	DiscoveryLags         []ruleset.Behind    `json:"lags,omitempty"`
+	Counts                distribution.Counts `json:"counts"`
+	Replica               struct {
+		Written  int64 `json:"written"`
+		Failed   int64 `json:"failed"`
+		SetAside int64 `json:"aside"`
 	} `json:"copies"`
 }
 
 // stands tells how it stands.
-func (b *branch) stands() Following {
+func (b *subscription) status() SubscriptionStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := Following{Cluster: b.cluster, Me: b.me, Upstream: b.upstream, Depth: b.view.Depth, ReadMS: -1,
-		Step: b.view.Step, Settled: b.view.Settled, Foreign: b.lease.Foreign, Seen: b.said,
-		Behind: map[string]uint64{}, CutOff: map[string]float64{}}
+	status := SubscriptionStatus{Cluster: b.cluster, HostName: b.hostName, Upstreams: b.upstreams, Depth: b.view.Depth, ConfirmedAgoMillis: -1,
+		Step: b.view.Step, Settled: b.view.Settled, UnknownRules: b.lease.Foreign, SeenStep: b.reportedStep,
+		OutdatedInstances: map[string]uint64{}, DisconnectedInstances: map[string]float64{}}
 	if b.feed == nil {
-		return s
+		return status
 	}
-	b.feed.With(func(f *distribution.Follower) { s.Asked, s.Counts = b.upstream[f.Current()], f.Counts() })
-	s.Copies.Written, s.Copies.Failed, s.Copies.Aside = b.copy.Counts()
-	lease := bornLease
+	b.feed.With(func(f *distribution.Follower) {
+		status.CurrentUpstream, status.Counts = b.upstreams[f.Current()], f.Counts()
+	})
+	status.Replica.Written, status.Replica.Failed, status.Replica.SetAside = b.replica.Counts()
+	leaseMillis := initialLeaseMillis
 	if b.view.Step > 0 {
-		s.Version, s.Mark = b.view.Rules.Mark().Number, b.view.Rules.Mark().String()
-		s.Pending = b.view.Pending.Mark().Number
-		s.ReadMS, lease = raftlog.Clock()-b.view.Begun, ruleset.LeaseOf(b.view.Rules)
+		status.Version, status.Digest = b.view.Rules.Mark().Number, b.view.Rules.Mark().String()
+		status.PendingVersion = b.view.Pending.Mark().Number
+		status.ConfirmedAgoMillis, leaseMillis = raftlog.Clock()-b.view.Begun, ruleset.LeaseOf(b.view.Rules)
 	}
-	s.Members = len(b.lease.Version.Rules.Members)
-	for _, m := range b.lease.Version.Rules.Members {
-		if m.Name != "" {
-			s.Known++
+	status.Members = len(b.lease.Version.Rules.Members)
+	for _, member := range b.lease.Version.Rules.Members {
+		if member.Name != "" {
+			status.KnownMembers++
 		}
 	}
-	for _, a := range b.askers {
-		if a.holds < b.view.Step {
-			s.Behind[a.name] = a.holds
+	for _, request := range b.requesters {
+		if request.heldStep < b.view.Step {
+			status.OutdatedInstances[request.name] = request.heldStep
 		}
-		age := float64(time.Since(a.at)) / float64(time.Millisecond)
-		if age > lease || s.ReadMS < 0 || s.ReadMS > lease {
-			s.CutOff[a.name] = age
+		ageMillis := float64(time.Since(request.requestedAt)) / float64(time.Millisecond)
+		if ageMillis > leaseMillis || status.ConfirmedAgoMillis < 0 || status.ConfirmedAgoMillis > leaseMillis {
+			status.DisconnectedInstances[request.name] = ageMillis
 		}
 	}
-	s.Lags = b.lag.Late(raftlog.Clock(), lagAfter)
-	return s
+	status.DiscoveryLags = b.discoveryLag.Late(raftlog.Clock(), discoveryLagMillis)
+	return status
 }
 
 // follows answers operators.
-func (d *Daemon) follows(w http.ResponseWriter, _ *http.Request) {
+func (d *Daemon) handleSubscriptionStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
-	_ = e.Encode(d.seat.branch.stands())
+	_ = e.Encode(d.rules.subscription.status())
 }
--- a/internal/supervisor/branch_test.go
+++ b/internal/supervisor/branch_test.go
@@ -113,7 +113,7 @@
 }
 
 // following asks a host's daemon how it stands below the relays.
-func (h *host) following() (s Following, ok bool) {
+func (h *host) following() (s SubscriptionStatus, ok bool) {
 	page, err := faultinject.Ask(h.control, "/fleet/relay")
 	return s, err == nil && json.Unmarshal([]byte(page), &s) == nil
 }
@@ -184,17 +184,17 @@
 	}
 
 	h := x.low[0]
-	var s Following
+	var s SubscriptionStatus
 	faultinject.Until(t, 3*time.Second, "what all hold is not said", func() (ok bool) {
 		s, ok = h.following()
-		return ok && s.Seen == s.Step && len(s.Behind) == 0
+		return ok && s.SeenStep == s.Step && len(s.OutdatedInstances) == 0
 	})
-	if s.Version != 3 || s.Depth != 2 || s.Members != 3 || s.Known != 3 || s.ReadMS < 0 || len(s.CutOff) > 0 {
+	if s.Version != 3 || s.Depth != 2 || s.Members != 3 || s.KnownMembers != 3 || s.ConfirmedAgoMillis < 0 || len(s.DisconnectedInstances) > 0 {
 		t.Errorf("it stands so: %+v", s)
 	}
-	asked := slices.Index(x.at, s.Asked)
+	asked := slices.Index(x.at, s.CurrentUpstream)
 	if asked < 0 {
-		t.Fatalf("%q is asked, none of %v", s.Asked, x.at)
+		t.Fatalf("%q is asked, none of %v", s.CurrentUpstream, x.at)
 	}
 	if err := x.relays[asked].Stall(); err != nil {
 		t.Fatal(err)
@@ -205,7 +205,7 @@
 			t.Fatal("a lease is lost as one relay stands still")
 		}
 	}
-	if s, _ = h.following(); s.Asked == x.at[asked] {
+	if s, _ = h.following(); s.CurrentUpstream == x.at[asked] {
 		t.Error("a relay that stands still is asked on")
 	}
 	if err := x.relays[asked].Resume(); err != nil {
@@ -225,11 +225,11 @@
 	began = time.Now()
 	faultinject.Until(t, 5*time.Second, "it does not tell its instances anything", func() bool {
 		s, _ = h.following()
-		return s.Version == 3 && s.Seen == s.Step
+		return s.Version == 3 && s.SeenStep == s.Step
 	})
 	t.Logf("a daemon killed and started with a torn copy: its instances hold the last after %v",
 		time.Since(began))
-	if s.Copies.Aside != 1 || s.Counts.Wholes != 1 {
+	if s.Replica.SetAside != 1 || s.Counts.Wholes != 1 {
 		t.Errorf("the torn copy is not set aside: %+v", s)
 	}
 	x.until(3, 3, x.low...)
@@ -268,7 +268,7 @@
 		if s, ok := x.top.sitting(); ok && s.Rules.Version != 1 {
 			t.Fatalf("in force while %s may go by what was before: %+v", still.Name, s.Rules)
 		}
-		if s, ok := h.following(); ok && s.Seen >= pending.Rules.Step {
+		if s, ok := h.following(); ok && s.SeenStep >= pending.Rules.Step {
 			t.Fatalf("said to be seen: %+v\n%s", s, h.Output())
 		}
 		if time.Since(began) > time.Duration(restarts+1)*1500*time.Millisecond && restarts < 2 {
@@ -287,8 +287,8 @@
 	if err := still.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	var s Following
-	for end := time.Now().Add(4 * time.Second); time.Now().Before(end) && s.Seen < pending.Rules.Step; {
+	var s SubscriptionStatus
+	for end := time.Now().Add(4 * time.Second); time.Now().Before(end) && s.SeenStep < pending.Rules.Step; {
 		s, _ = h.following()
 	}
 	top, _ := x.top.sitting()
@@ -330,7 +330,7 @@
 	faultinject.Until(t, 5*time.Second, "not all are cut off", modes(ruleset.CutOff))
 	faultinject.Until(t, 5*time.Second, "not all are bare", modes(ruleset.Bare))
 	h := x.low[0]
-	if s, ok := h.following(); !ok || len(s.CutOff) != 2 {
+	if s, ok := h.following(); !ok || len(s.DisconnectedInstances) != 2 {
 		t.Errorf("%+v", s)
 	}
 	r := <-x.loaded
@@ -361,7 +361,7 @@
 	}
 	faultinject.Until(t, 5*time.Second, "the other relay is not asked", func() bool {
 		s, ok := h.following()
-		return ok && s.Asked == x.at[1] && s.ReadMS >= 0 && s.ReadMS < 1000
+		return ok && s.CurrentUpstream == x.at[1] && s.ConfirmedAgoMillis >= 0 && s.ConfirmedAgoMillis < 1000
 	})
 	x.until(1, 3, x.low...)
 	x.change(h, `me = "l0"`, `me = "l9"`)
@@ -472,12 +472,12 @@
 		Members: []ruleset.Member{
 			{Name: "a", Host: "l0"},
 		}, Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
-	b := newBranch("till", &RelayFile{Me: "l0", Store: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
+	b := newSubscription("till", &RelaySettings{HostName: "l0", StorePath: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
 	defer b.Close()
 	b.Began(1, true)
 	b.Began(2, true)
 	u.says(t, 5, r)
-	b.follows([]string{strings.TrimPrefix(s.URL, "http://")})
+	b.setUpstreams([]string{strings.TrimPrefix(s.URL, "http://")})
 	faultinject.Until(t, 3*time.Second, "it hears nothing", func() bool { return b.InForce().Number == 1 })
 	never := func(why string) {
 		t.Helper()
@@ -545,9 +545,9 @@
 	}
 	first := state(1, func(*ruleset.Rules) {})
 	offer(1, raftlog.Clock()-50, first)
-	b := newBranch("till", &RelayFile{Me: "l0", Store: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
+	b := newSubscription("till", &RelaySettings{HostName: "l0", StorePath: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
 	defer b.Close()
-	b.follows([]string{strings.TrimPrefix(s.URL, "http://")})
+	b.setUpstreams([]string{strings.TrimPrefix(s.URL, "http://")})
 	time.Sleep(400 * time.Millisecond)
 	if _, ok := b.Asked(1, "a", 0, -1); ok {
 		t.Fatal("it gives on what was read before it began")
@@ -567,10 +567,10 @@
 		l, ok := b.Asked(1, "a", 0, -1)
 		return ok && l.Version.Number == 3 && strings.Contains(l.Foreign, "moon")
 	})
-	if v := b.given(); b.InForce().Number != 1 || v.Rules.Mark().Number != 3 {
+	if v := b.currentView(); b.InForce().Number != 1 || v.Rules.Mark().Number != 3 {
 		t.Errorf("in force %d, passed on %v", b.InForce().Number, v.Rules.Mark())
 	}
-	if s := b.stands(); s.Foreign == "" || s.Version != 3 {
+	if s := b.status(); s.UnknownRules == "" || s.Version != 3 {
 		t.Errorf("operators are told %+v", s)
 	}
 	offer(4, raftlog.Clock(), state(4, func(*ruleset.Rules) {}))
@@ -585,7 +585,7 @@
 	h := &host{a: &assembly{t: t, list: d.list, first: 2000, places: n}, name: "l0", ip: "127.0.0.10",
 		dir: d.dir}
 	h.below([]string{"127.0.0.20:1"})
-	f, err := Read(filepath.Join(d.dir, "fleet.toml"))
+	f, err := LoadSettings(filepath.Join(d.dir, "fleet.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -612,7 +612,7 @@
 		t.Fatal(err, ruleset.CheckPart(&part.Rules))
 	}
 	began := time.Now()
-	all, err := f.file.members(&part.Rules)
+	all, err := f.file.instancesOf(&part.Rules)
 	if err != nil || len(all) != own {
 		t.Fatalf("%d instances: %v", len(all), err)
 	}
@@ -629,8 +629,8 @@
 			}
 		}
 		if g.Charter.Gatekeepers != n || g.Charter.Me != i || known != own+2*distribution.Around ||
-			in.Listen != fmt.Sprintf("127.0.0.10:%d", 2002+i) {
-			t.Errorf("place %d of %d at %s, %d known", g.Charter.Me, g.Charter.Gatekeepers, in.Listen, known)
+			in.ListenAddress != fmt.Sprintf("127.0.0.10:%d", 2002+i) {
+			t.Errorf("place %d of %d at %s, %d known", g.Charter.Me, g.Charter.Gatekeepers, in.ListenAddress, known)
 		}
 	}
 	if last := 2000 + 2 + 3*n; last > 32768 {
@@ -656,7 +656,7 @@
 		{"no relays", `["127.0.0.20:1","127.0.0.21:1"]`, `[]`, "relay.upstream"},
 		{"a relay twice", `127.0.0.21:1`, `127.0.0.20:1`, "relay.upstream.1"},
 		{"an address that is none", `127.0.0.21:1`, `there`, "relay.upstream.1"},
-		{"too many relays", `["127.0.0.20:1",`, `[` + strings.Repeat(`"x",`, mostUpstreams), "relay.upstream"},
+		{"too many relays", `["127.0.0.20:1",`, `[` + strings.Repeat(`"x",`, maxUpstreams), "relay.upstream"},
 		{"a number of instances", "step = 2", "step = 2\ninstances = 3", "instances: the rules"},
 		{"addresses of peers", "step = 2", "step = 2\npeers = \"127.0.0.1:1\"", "peers: the rules"},
 		{"a council too", "[relay]", "[council]\nme = \"l0\"\n[relay]", "relay: there is a council"},
@@ -667,7 +667,7 @@
 			t.Fatalf("%s changes nothing", c.name)
 		}
 		os.WriteFile(file, []byte(strings.Replace(string(raw), c.old, c.new, 1)), 0o600)
-		if f, err := Read(file); err == nil || f != nil || !strings.Contains(err.Error(), c.says) {
+		if f, err := LoadSettings(file); err == nil || f != nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.says)
 		}
 	}
@@ -679,11 +679,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f, err := Read(filepath.Join(h.dir, "host.toml")); err != nil || f.Agreed.Relay.Me != "south-7" {
+	if f, err := LoadSettings(filepath.Join(h.dir, "host.toml")); err != nil || f.Rules.Relay.HostName != "south-7" {
 		t.Errorf("deploy/host.toml: %v", err)
 	}
-	f, err := Read(file)
-	if err != nil || f.resume() != nil || len(f.Instances) != 0 {
+	f, err := LoadSettings(file)
+	if err != nil || f.restoreAppliedRules() != nil || len(f.Instances) != 0 {
 		t.Fatalf("a first start: %v, %+v", err, f)
 	}
 	r := a.rules
@@ -694,21 +694,21 @@
 		err = os.MkdirAll(run, 0o700)
 	}
 	if err == nil {
-		err = os.WriteFile(filepath.Join(run, lastRules), last, 0o600)
+		err = os.WriteFile(filepath.Join(run, appliedRulesFile), last, 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.resume(); err != nil || len(f.Instances) != 1 || f.places != 3 || f.Instances[0].Name != "g1" {
+	if err := f.restoreAppliedRules(); err != nil || len(f.Instances) != 1 || f.fleetSize != 3 || f.Instances[0].Name != "g1" {
 		t.Errorf("a daemon that knows its part of rules does not go on with it: %v, %+v", err, f)
 	}
-	d := &Daemon{log: zerolog.Nop(), fleet: f}
+	d := &Daemon{log: zerolog.Nop(), settings: f}
 	sits := *f
-	sits.Agreed = &Agreed{}
-	if d.fleet = &sits; d.seat == nil {
-		d.seat = &seat{}
+	sits.Rules = &RulesSettings{}
+	if d.settings = &sits; d.rules == nil {
+		d.rules = &rulesParticipant{}
 	}
-	if err := d.recall(f); err == nil || !strings.Contains(err.Error(), "council, relay:") {
+	if err := d.reloadRules(f); err == nil || !strings.Contains(err.Error(), "council, relay:") {
 		t.Errorf("a council becomes relays as it runs: %v", err)
 	}
 }
--- a/internal/supervisor/control_test.go
+++ b/internal/supervisor/control_test.go
@@ -138,11 +138,11 @@
 	}
 	v.lease.Version.Rules = r
 	v.say(1, 500)
-	daemon := &Daemon{log: zerolog.Nop(), seat: &seat{voice: v, teller: newTeller("till")}}
+	daemon := &Daemon{log: zerolog.Nop(), rules: &rulesParticipant{rulesSource: v, publisher: newPublisher("till")}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+lifecycle.LeasePath, daemon.lease)
+	mux.HandleFunc("GET "+lifecycle.LeasePath, daemon.handleLease)
 	if way == "relays" {
-		mux.Handle("POST "+lifecycle.AskPath, relay.NewHandler(daemon.ask))
+		mux.Handle("POST "+lifecycle.AskPath, relay.NewHandler(daemon.answerUpdateRequest))
 	}
 	s := httptest.NewServer(mux)
 	defer s.Close()
@@ -154,7 +154,7 @@
 	p := faultinject.Start(t, faultinject.Spec{Name: "g", Program: program(t), Dir: dir, Args: []string{"serve"},
 		Env: env})
 	defer func() { _ = p.Kill() }()
-	daemon.pids.Store(p.Pid(), fmt.Sprintf("g%d", n/2))
+	daemon.instanceByPID.Store(p.Pid(), fmt.Sprintf("g%d", n/2))
 	if err := faultinject.Healthy(control, 10*time.Second); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/supervisor/council.go
+++ b/internal/supervisor/council.go
@@ -22,114 +22,114 @@
 
 const (
 	// nobody stands in a configuration for a peer that has no address: what is sent to it is dropped here.
-	nobody = "0.0.0.0:0"
+	unroutableAddress = "0.0.0.0:0"
 	// toCouncil is the name under reach by which the council's own addresses are rewritten.
-	toCouncil     = "council"
-	mostHosts     = 31 // of a council: each entry waits for half of them
-	mostUpstreams = 16 // of a host's: each is asked in turn while none is fresh
-	lastRules     = "rules.json"
+	raftOverridesKey = "council"
+	maxVoters        = 31 // of a council: each entry waits for half of them
+	maxUpstreams     = 16 // of a host's: each is asked in turn while none is fresh
+	appliedRulesFile = "rules.json"
 )
 
 // CouncilFile is what a fleet's file says of the council; nil where there is none.
-type CouncilFile struct {
-	Me     string                           `toml:"me"`     // this host among the hosts
-	Listen string                           `toml:"listen"` // HOST:PORT for the other daemons
-	Store  string                           `toml:"store"`  // the file of the log
-	Rules  string                           `toml:"rules"`  // the file of the rules that this daemon proposes
-	Found  bool                             `toml:"found"`  // on a first start: a council is founded once all hosts are there with empty stores
-	Serve  string                           `toml:"serve"`  // HOST:PORT for relays that follow this daemon; empty: none do
-	Hosts  []struct{ Name, Address string } `toml:"hosts"`
+type CouncilSettings struct {
+	HostName         string                           `toml:"me"`     // this host among the hosts
+	RaftListen       string                           `toml:"listen"` // HOST:PORT for the other daemons
+	StorePath        string                           `toml:"store"`  // the file of the log
+	RulesPath        string                           `toml:"rules"`  // the file of the rules that this daemon proposes
+	BootstrapCluster bool                             `toml:"found"`  // on a first start: a council is founded once all hosts are there with empty stores
+	RelayListen      string                           `toml:"serve"`  // HOST:PORT for relays that follow this daemon; empty: none do
+	Hosts            []struct{ Name, Address string } `toml:"hosts"`
 }
 
 // RelayFile is what a fleet's file says of a host that hears by relays what a council has agreed on; nil
 // where there is none.
-type RelayFile struct {
-	Me       string   `toml:"me"`       // this host, as members name it
-	Upstream []string `toml:"upstream"` // HOST:PORT of relays, or of council daemons that serve: each may be asked
-	Store    string   `toml:"store"`    // the file of what was heard last, as a base for changes of it
+type RelaySettings struct {
+	HostName  string   `toml:"me"`       // this host, as members name it
+	Upstreams []string `toml:"upstream"` // HOST:PORT of relays, or of council daemons that serve: each may be asked
+	StorePath string   `toml:"store"`    // the file of what was heard last, as a base for changes of it
 }
 
 // Agreed is a fleet's part in rules that are agreed on, as it is carried out: by a seat in the council, or
 // below relays.
-type Agreed struct {
-	Charter raftlog.Charter
-	Relay   *RelayFile // nil in a council
-	Rules   *ruleset.Rules
-	Wrong   error  // what is wrong with the rules' file: it keeps a daemon from starting only on its first start
-	Stamp   string // of the rules' file: what has not been written since is not proposed anew
-	Reach   map[string]map[string]string
-	Serve   string // HOST:PORT for relays; empty: none follow
+type RulesSettings struct {
+	Raft             raftlog.Charter
+	Relay            *RelaySettings // nil in a council
+	Proposed         *ruleset.Rules
+	ProposedErr      error  // what is wrong with the rules' file: it keeps a daemon from starting only on its first start
+	ProposedStamp    string // of the rules' file: what has not been written since is not proposed anew
+	AddressOverrides map[string]map[string]string
+	RelayListen      string // HOST:PORT for relays; empty: none follow
 }
 
 // agreed checks what the file says of the council, or of relays.
-func (f *File) agreed() (*Agreed, error) {
-	c := f.Council
+func (f *FleetFile) rulesSettings() (*RulesSettings, error) {
+	council := f.Council
 	switch {
-	case c == nil && f.Relay == nil && len(f.Reach) > 0:
+	case council == nil && f.Relay == nil && len(f.AddressOverrides) > 0:
 		return nil, errors.New("reach: it is for agreed rules, and there are none")
-	case c == nil && f.Relay == nil:
+	case council == nil && f.Relay == nil:
 		return nil, nil
-	case c != nil && f.Relay != nil:
+	case council != nil && f.Relay != nil:
 		return nil, errors.New("relay: there is a council, and a host that sits in it hears its own word")
-	case f.Instances != 0:
+	case f.InstanceCount != 0:
 		return nil, errors.New("instances: the rules say which there are")
-	case f.Peers != "":
+	case f.FirstPeer != "":
 		return nil, errors.New("peers: the rules say where they hear")
 	case f.Relay != nil:
-		return f.below()
-	case c.Store == "":
+		return f.relayRulesSettings()
+	case council.StorePath == "":
 		return nil, errors.New("council.store: there is none")
-	case c.Rules == "":
+	case council.RulesPath == "":
 		return nil, errors.New("council.rules: there is none")
-	case len(c.Hosts) == 0 || len(c.Hosts) > mostHosts:
-		return nil, fmt.Errorf("council.hosts: %d are not from 1 to %d", len(c.Hosts), mostHosts)
+	case len(council.Hosts) == 0 || len(council.Hosts) > maxVoters:
+		return nil, fmt.Errorf("council.hosts: %d are not from 1 to %d", len(council.Hosts), maxVoters)
 	}
-	a := &Agreed{Reach: f.Reach, Serve: c.Serve, Charter: raftlog.Charter{Cluster: f.Name, Me: c.Me,
-		Listen: c.Listen,
-		Store:  c.Store, Found: c.Found, Reach: f.Reach[toCouncil]}}
-	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
+	settings := &RulesSettings{AddressOverrides: f.AddressOverrides, RelayListen: council.RelayListen, Raft: raftlog.Charter{Cluster: f.Name, Me: council.HostName,
+		Listen: council.RaftListen,
+		Store:  council.StorePath, Found: council.BootstrapCluster, Reach: f.AddressOverrides[raftOverridesKey]}}
+	if _, err := netip.ParseAddrPort(council.RaftListen); err != nil {
 		return nil, fmt.Errorf("council.listen: %w", err)
 	}
-	if _, err := netip.ParseAddrPort(c.Serve); err != nil && c.Serve != "" {
+	if _, err := netip.ParseAddrPort(council.RelayListen); err != nil && council.RelayListen != "" {
 		return nil, fmt.Errorf("council.serve: %w", err)
 	}
-	names, at := map[string]bool{}, map[string]bool{}
-	for i, h := range c.Hosts {
-		if h.Name == "" || names[h.Name] {
-			return nil, fmt.Errorf("council.hosts.%d.name: %q is none, or another's", i, h.Name)
+	names, addresses := map[string]bool{}, map[string]bool{}
+	for i, host := range council.Hosts {
+		if host.Name == "" || names[host.Name] {
+			return nil, fmt.Errorf("council.hosts.%d.name: %q is none, or another's", i, host.Name)
 		}
-		if _, err := netip.ParseAddrPort(h.Address); err != nil || at[h.Address] {
-			return nil, fmt.Errorf("council.hosts.%d.address: %q is none, or another's", i, h.Address)
+		if _, err := netip.ParseAddrPort(host.Address); err != nil || addresses[host.Address] {
+			return nil, fmt.Errorf("council.hosts.%d.address: %q is none, or another's", i, host.Address)
 		}
-		names[h.Name], at[h.Address] = true, true
-		a.Charter.Hosts = append(a.Charter.Hosts, raftlog.Host{Name: h.Name, Address: h.Address})
+		names[host.Name], addresses[host.Address] = true, true
+		settings.Raft.Hosts = append(settings.Raft.Hosts, raftlog.Host{Name: host.Name, Address: host.Address})
 	}
-	if !names[c.Me] {
-		return nil, fmt.Errorf("council.me: %q is none of the hosts", c.Me)
+	if !names[council.HostName] {
+		return nil, fmt.Errorf("council.me: %q is none of the hosts", council.HostName)
 	}
-	if err := f.ways(); err != nil {
+	if err := f.checkAddressOverrides(); err != nil {
 		return nil, err
 	}
-	info, err := os.Stat(c.Rules)
+	info, err := os.Stat(council.RulesPath)
 	if err != nil {
 		return nil, fmt.Errorf("council.rules: %w", err)
 	}
-	a.Stamp = fmt.Sprint(info.ModTime().UnixNano(), info.Size())
-	r, err := rulefile.Read(c.Rules)
-	if a.Rules = &r; err != nil {
-		a.Rules, a.Wrong = nil, fmt.Errorf("council.rules: %w", err)
+	settings.ProposedStamp = fmt.Sprint(info.ModTime().UnixNano(), info.Size())
+	rules, err := rulefile.Read(council.RulesPath)
+	if settings.Proposed = &rules; err != nil {
+		settings.Proposed, settings.ProposedErr = nil, fmt.Errorf("council.rules: %w", err)
 	}
-	return a, nil
+	return settings, nil
 }
 
 // ways checks the addresses that are reached in place of others.
-func (f *File) ways() error {
-	for who, ways := range f.Reach {
-		for from, to := range ways {
-			_, bad := netip.ParseAddrPort(from)
-			_, worse := netip.ParseAddrPort(to)
-			if err := errors.Join(bad, worse); err != nil {
-				return fmt.Errorf("reach.%s: %w", who, err)
+func (f *FleetFile) checkAddressOverrides() error {
+	for name, overrides := range f.AddressOverrides {
+		for from, to := range overrides {
+			_, fromErr := netip.ParseAddrPort(from)
+			_, toErr := netip.ParseAddrPort(to)
+			if err := errors.Join(fromErr, toErr); err != nil {
+				return fmt.Errorf("reach.%s: %w", name, err)
 			}
 		}
 	}
@@ -137,95 +137,95 @@
 }
 
 // below checks what the file says of relays.
-func (f *File) below() (*Agreed, error) {
-	r, seen := f.Relay, map[string]bool{}
+func (f *FleetFile) relayRulesSettings() (*RulesSettings, error) {
+	relay, seen := f.Relay, map[string]bool{}
 	switch {
-	case r.Me == "":
+	case relay.HostName == "":
 		return nil, errors.New("relay.me: there is none")
-	case r.Store == "":
+	case relay.StorePath == "":
 		return nil, errors.New("relay.store: there is none")
-	case len(r.Upstream) == 0 || len(r.Upstream) > mostUpstreams:
-		return nil, fmt.Errorf("relay.upstream: %d are not from 1 to %d", len(r.Upstream), mostUpstreams)
+	case len(relay.Upstreams) == 0 || len(relay.Upstreams) > maxUpstreams:
+		return nil, fmt.Errorf("relay.upstream: %d are not from 1 to %d", len(relay.Upstreams), maxUpstreams)
 	}
-	for i, at := range r.Upstream {
-		if _, err := netip.ParseAddrPort(at); err != nil || seen[at] {
-			return nil, fmt.Errorf("relay.upstream.%d: %q is no address, or there twice", i, at)
+	for i, address := range relay.Upstreams {
+		if _, err := netip.ParseAddrPort(address); err != nil || seen[address] {
+			return nil, fmt.Errorf("relay.upstream.%d: %q is no address, or there twice", i, address)
 		}
-		seen[at] = true
+		seen[address] = true
 	}
-	return &Agreed{Reach: f.Reach, Relay: r}, f.ways()
+	return &RulesSettings{AddressOverrides: f.AddressOverrides, Relay: relay}, f.checkAddressOverrides()
 }
 
 // me is this host, as members name it.
-func (f *File) me() string {
+func (f *FleetFile) hostName() string {
 	if f.Relay != nil {
-		return f.Relay.Me
+		return f.Relay.HostName
 	}
-	return f.Council.Me
+	return f.Council.HostName
 }
 
 // members gives this host's instances by rules. A member's place gives its ports, as it keeps it for life:
 // the address for clients is place ports above the first, the two operators' ports twice that.
-func (f *File) members(r *ruleset.Rules) ([]Instance, error) {
-	n, taken := len(r.Members), []span(nil)
-	if _, err := spanOf("control", f.Control, 1, &taken); err != nil {
+func (f *FleetFile) instancesOf(r *ruleset.Rules) ([]Instance, error) {
+	count, taken := len(r.Members), []portRange(nil)
+	if _, err := reservePortRange("control", f.ControlAddress, 1, &taken); err != nil {
 		return nil, err
 	}
-	clients, err := spanOf("listen", f.Listen, n, &taken)
+	listens, err := reservePortRange("listen", f.FirstListen, count, &taken)
 	if err != nil {
 		return nil, err
 	}
-	operators, err := spanOf("operators", f.Operators, 2*n, &taken)
+	admins, err := reservePortRange("operators", f.FirstAdmin, 2*count, &taken)
 	if err != nil {
 		return nil, err
 	}
-	raw, err := os.ReadFile(f.Config)
+	raw, err := os.ReadFile(f.GatewayConfig)
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	var all []Instance
-	for place, m := range r.Members {
-		if m.Name == "" || m.Host != f.me() {
+	var instances []Instance
+	for slot, member := range r.Members {
+		if member.Name == "" || member.Host != f.hostName() {
 			continue
 		}
 		var peers []string
-		if m.Peers != "" {
-			for _, o := range r.Members {
-				peers = append(peers, f.reaches(m.Name, o.Peers))
+		if member.Peers != "" {
+			for _, other := range r.Members {
+				peers = append(peers, f.peerAddress(member.Name, other.Peers))
 			}
 		}
-		in, g, err := f.instance(raw, m.Name, place, n, clients.at(place), m.Peers, peers)
+		instance, gateway, err := f.buildInstance(raw, member.Name, slot, count, listens.address(slot), member.Peers, peers)
 		if err != nil {
 			return nil, err
 		}
-		in.Operators = [2]string{operators.at(2 * place), operators.at(2*place + 1)}
-		for _, p := range r.Plans {
-			if _, known := g.Names.Plans[p.Name]; !known {
-				return nil, fmt.Errorf("rules: plans.%s: %s has no such tariff", p.Name, f.Config)
+		instance.AdminAddresses = [2]string{admins.address(2 * slot), admins.address(2*slot + 1)}
+		for _, plan := range r.Plans {
+			if _, known := gateway.Names.Plans[plan.Name]; !known {
+				return nil, fmt.Errorf("rules: plans.%s: %s has no such tariff", plan.Name, f.GatewayConfig)
 			}
 		}
-		if err := f.roomFor(g, len(all)+1); err != nil {
+		if err := f.checkHostCapacity(gateway, len(instances)+1); err != nil {
 			return nil, err
 		}
-		all = append(all, in)
+		instances = append(instances, instance)
 	}
-	return all, nil
+	return instances, nil
 }
 
 // reaches is where a peer hears that one instance speaks to.
-func (f *File) reaches(name, peer string) string {
+func (f *FleetFile) peerAddress(name, peer string) string {
 	if peer == "" {
-		return nobody
+		return unroutableAddress
 	}
-	if to := f.Reach[name][peer]; to != "" {
-		return to
+	if override := f.AddressOverrides[name][peer]; override != "" {
+		return override
 	}
 	return peer
 }
 
 // voice is where a daemon hears which rules are in force, and says what its processes go by: its seat in the
 // council, or the relays above it. It is safe for concurrent use, and nothing of it waits.
-type voice interface {
+type rulesSource interface {
 	Changed() <-chan struct{}
 	InForce() ruleset.Version
 	Began(pid int, before bool)
@@ -236,127 +236,127 @@
 }
 
 // seat is a daemon's part in agreed rules.
-type seat struct {
-	voice
-	council *raftlog.Seat // nil below relays
-	branch  *branch       // nil in a council
-	teller  *teller
-	file    *File
-	record  *history.Log
-	stamp   string
-	ended   chan struct{}
-	root    *relay.Root // nil where no relay follows
+type rulesParticipant struct {
+	rulesSource
+	voter         *raftlog.Seat // nil below relays
+	subscription  *subscription // nil in a council
+	publisher     *publisher
+	file          *FleetFile
+	history       *history.Log
+	proposedStamp string
+	followEnded   chan struct{}
+	relayRoot     *relay.Root // nil where no relay follows
 }
 
 // convene takes this host's seat, or its place below relays. Its instances are those of the version that a
 // daemon before this one knew last, or of the file.
-func (d *Daemon) convene(f *Fleet) error {
-	a := f.Agreed
-	if err := f.resume(); err != nil {
+func (d *Daemon) joinRules(settings *Settings) error {
+	rulesSettings := settings.Rules
+	if err := settings.restoreAppliedRules(); err != nil {
 		return err
 	}
-	if a.Wrong != nil {
-		d.log.Error().Err(a.Wrong).Msg("going on with the rules that were carried out last")
+	if rulesSettings.ProposedErr != nil {
+		d.log.Error().Err(rulesSettings.ProposedErr).Msg("going on with the rules that were carried out last")
 	}
-	s := &seat{file: f.file, stamp: a.Stamp, ended: make(chan struct{})}
+	participant := &rulesParticipant{file: settings.file, proposedStamp: rulesSettings.ProposedStamp, followEnded: make(chan struct{})}
 	var record history.Recorder
 	if dir := os.Getenv("WILLOWDECK_HISTORY"); dir != "" {
 		var err error
-		path := filepath.Join(dir, fmt.Sprintf("%s.%d.jsonl", f.file.me(), os.Getpid()))
-		if s.record, err = history.Open(path, f.file.me(), crashstate.Uptime()); err != nil {
+		path := filepath.Join(dir, fmt.Sprintf("%s.%d.jsonl", settings.file.hostName(), os.Getpid()))
+		if participant.history, err = history.Open(path, settings.file.hostName(), crashstate.Uptime()); err != nil {
 			return err
 		}
-		record = s.record
+		record = participant.history
 	}
 	var err error
-	if a.Relay != nil {
-		s.branch = newBranch(f.Name, a.Relay, record, d.log)
-		s.voice = s.branch
+	if rulesSettings.Relay != nil {
+		participant.subscription = newSubscription(settings.Name, rulesSettings.Relay, record, d.log)
+		participant.rulesSource = participant.subscription
 	} else {
-		s.council, err = raftlog.NewSeat(a.Charter, a.Rules, record, d.log)
-		s.voice = s.council
+		participant.voter, err = raftlog.NewSeat(rulesSettings.Raft, rulesSettings.Proposed, record, d.log)
+		participant.rulesSource = participant.voter
 	}
 	if err != nil {
-		_ = s.record.Close()
+		_ = participant.history.Close()
 		return err
 	}
-	s.teller = newTeller(f.Name)
-	if a.Serve != "" {
-		if s.root, err = relay.NewRoot(s.council, a.Charter.Me, a.Charter.Cluster, a.Serve, d.log); err != nil {
-			s.Close()
-			_ = s.record.Close()
+	participant.publisher = newPublisher(settings.Name)
+	if rulesSettings.RelayListen != "" {
+		if participant.relayRoot, err = relay.NewRoot(participant.voter, rulesSettings.Raft.Me, rulesSettings.Raft.Cluster, rulesSettings.RelayListen, d.log); err != nil {
+			participant.Close()
+			_ = participant.history.Close()
 			return fmt.Errorf("council.serve: %w", err)
 		}
 	}
-	d.seat = s
+	d.rules = participant
 	return nil
 }
 
 // resume has the instances be those of the rules that were carried out last on this host, if there were any;
 // else those of the rules' file, which has to be right then.
-func (f *Fleet) resume() error {
-	last, err := f.last()
+func (f *Settings) restoreAppliedRules() error {
+	applied, err := f.readAppliedRules()
 	if err == nil {
-		var all []Instance
-		if all, err = f.file.members(last); err == nil {
-			f.Instances, f.places = all, len(last.Members)
+		var instances []Instance
+		if instances, err = f.file.instancesOf(applied); err == nil {
+			f.Instances, f.fleetSize = instances, len(applied.Members)
 			return nil
 		}
 	}
-	return f.Agreed.Wrong
+	return f.Rules.ProposedErr
 }
 
 // last gives the rules that were carried out last on this host.
-func (f *Fleet) last() (*ruleset.Rules, error) {
-	raw, err := os.ReadFile(filepath.Join(f.RunDir, lastRules))
+func (f *Settings) readAppliedRules() (*ruleset.Rules, error) {
+	raw, err := os.ReadFile(filepath.Join(f.RunDir, appliedRulesFile))
 	if err != nil {
 		return nil, err
 	}
-	var v ruleset.Version
-	if err := json.Unmarshal(raw, &v); err != nil {
+	var version ruleset.Version
+	if err := json.Unmarshal(raw, &version); err != nil {
 		return nil, err
 	}
-	if f.Agreed.Relay != nil { // a part of them is all that this host is told
-		return &v.Rules, ruleset.CheckPart(&v.Rules)
+	if f.Rules.Relay != nil { // a part of them is all that this host is told
+		return &version.Rules, ruleset.CheckPart(&version.Rules)
 	}
-	return &v.Rules, ruleset.Check(&v.Rules)
+	return &version.Rules, ruleset.Check(&version.Rules)
 }
 
 // follow carries out each version that comes in force.
-func (d *Daemon) follow() {
-	defer close(d.seat.ended)
+func (d *Daemon) followRules() {
+	defer close(d.rules.followEnded)
 	for {
 		select {
-		case <-d.done:
+		case <-d.allStopped:
 			return
-		case <-d.seat.Changed():
+		case <-d.rules.Changed():
 		}
 		d.mu.Lock()
-		if err := d.carry(); err != nil {
+		if err := d.applyRules(); err != nil {
 			d.log.Error().Err(err).Msg("rules in force that can't be carried out here: instances stay as they are")
 		}
-		d.turn()
+		d.reconcile()
 		d.mu.Unlock()
 	}
 }
 
 // carry has the instances be those of the version in force, under the lock.
-func (d *Daemon) carry() error {
-	s := d.seat
-	v := s.InForce()
-	if v.Number == 0 {
+func (d *Daemon) applyRules() error {
+	participant := d.rules
+	version := participant.InForce()
+	if version.Number == 0 {
 		return nil
 	}
-	all, err := s.file.members(&v.Rules)
+	instances, err := participant.file.instancesOf(&version.Rules)
 	if err != nil {
 		return err
 	}
-	f := *d.fleet
-	f.Instances = all
-	f.places = len(v.Rules.Members)
-	d.want(&f)
-	raw, err := json.Marshal(v)
-	path := filepath.Join(f.RunDir, lastRules)
+	settings := *d.settings
+	settings.Instances = instances
+	settings.fleetSize = len(version.Rules.Members)
+	d.setDesired(&settings)
+	raw, err := json.Marshal(version)
+	path := filepath.Join(settings.RunDir, appliedRulesFile)
 	if err == nil {
 		err = os.WriteFile(path+".part", raw, 0o600)
 	}
@@ -370,74 +370,74 @@
 }
 
 // recall takes up a file that has been read anew: where the others are, and the rules that it proposes.
-func (d *Daemon) recall(f *Fleet) error {
-	s, was, a := d.seat, d.fleet.Agreed, f.Agreed
+func (d *Daemon) reloadRules(settings *Settings) error {
+	participant, old, updated := d.rules, d.settings.Rules, settings.Rules
 	switch {
-	case (was == nil) != (a == nil) || a != nil && (was.Relay == nil) != (a.Relay == nil):
+	case (old == nil) != (updated == nil) || updated != nil && (old.Relay == nil) != (updated.Relay == nil):
 		return errors.New("council, relay: neither can come or go while the daemon runs")
-	case a == nil:
+	case updated == nil:
 		return nil
-	case a.Relay != nil:
-		if was.Relay.Me != a.Relay.Me || was.Relay.Store != a.Relay.Store {
+	case updated.Relay != nil:
+		if old.Relay.HostName != updated.Relay.HostName || old.Relay.StorePath != updated.Relay.StorePath {
 			return errors.New("relay.me and relay.store can't change while the daemon runs")
 		}
-		s.file = f.file
-		s.branch.follows(a.Relay.Upstream)
+		participant.file = settings.file
+		participant.subscription.setUpstreams(updated.Relay.Upstreams)
 		return nil
 	}
-	if a.Wrong != nil {
-		return a.Wrong
+	if updated.ProposedErr != nil {
+		return updated.ProposedErr
 	}
-	x, y := was.Charter, a.Charter
-	if x.Me != y.Me || x.Listen != y.Listen || x.Store != y.Store || was.Serve != a.Serve {
+	oldRaft, newRaft := old.Raft, updated.Raft
+	if oldRaft.Me != newRaft.Me || oldRaft.Listen != newRaft.Listen || oldRaft.Store != newRaft.Store || old.RelayListen != updated.RelayListen {
 		return errors.New("council.me, .listen, .store and .serve can't change while the daemon runs")
 	}
-	s.council.Hosts(y.Hosts, y.Reach)
-	s.file = f.file
-	if a.Stamp == s.stamp {
+	participant.voter.Hosts(newRaft.Hosts, newRaft.Reach)
+	participant.file = settings.file
+	if updated.ProposedStamp == participant.proposedStamp {
 		return nil
 	}
-	s.stamp = a.Stamp
-	id, err := s.council.Propose(a.Rules)
+	participant.proposedStamp = updated.ProposedStamp
+	proposalID, err := participant.voter.Propose(updated.Proposed)
 	if err != nil {
 		return fmt.Errorf("council.rules: %w", err)
 	}
-	d.log.Info().Str("proposal", id).Msg("council: to be proposed")
+	d.log.Info().Str("proposal", proposalID).Msg("council: to be proposed")
 	return nil
 }
 
 // adjourn gives the seat up, once all instances have ended.
-func (d *Daemon) adjourn() {
-	if d.seat == nil {
+func (d *Daemon) leaveRules() {
+	if d.rules == nil {
 		return
 	}
-	<-d.seat.ended
-	if d.seat.root != nil {
-		d.seat.root.Close()
+	<-d.rules.followEnded
+	if d.rules.relayRoot != nil {
+		d.rules.relayRoot.Close()
 	}
-	d.seat.Close()
-	if err := d.seat.record.Close(); err != nil {
+	d.rules.Close()
+	if err := d.rules.history.Close(); err != nil {
 		d.log.Warn().Err(err).Msg("record")
 	}
 }
 
 // leaves books a process that a daemon before this one has left and that is to end: until it has, it may go
 // by what it was told.
-func (d *Daemon) leaves(r *running) {
-	if d.seat != nil {
-		d.began(r, true)
-		d.strays = append(d.strays, r)
+func (d *Daemon) trackOrphan(process *processRecord) {
+	if d.rules != nil {
+		d.recordStart(process, true)
+		d.orphans = append(d.orphans, process)
 	}
 }
 
 // left books the ends of those, under the lock.
-func (d *Daemon) left() {
-	d.strays = slices.DeleteFunc(d.strays, func(r *running) bool {
-		if born(r.Pid) == r.Born {
+func (d *Daemon) reapOrphans() {
+	d.orphans = slices.DeleteFunc(d.orphans, func(process *processRecord) bool {
+		if processStartTime(process.PID) == process.StartTime {
 			return false
 		}
-		d.pids.Delete(r.Pid)
-		d.seat.Ended(r.Pid)
+		d.instanceByPID.Delete(process.PID)
+		d.rules.Ended(process.PID)
 		return true
 	})
 }
@@ -447,57 +447,57 @@
 // asked reads what an instance's question says beside its path, books it, and gives the lease to answer it
 // by; false: it has been answered. It waits for nothing: what it says is what a quorum has confirmed last,
 // and how long ago that is.
-func (d *Daemon) asked(w http.ResponseWriter, r *http.Request) (name string, l ruleset.Lease, ok bool) {
-	q := r.URL.Query()
-	name = q.Get("instance")
-	pid, err := strconv.Atoi(q.Get("pid"))
-	holds, bad := strconv.ParseUint(q.Get("holds"), 10, 64)
-	index, worse := strconv.ParseInt(q.Get("index"), 10, 64)
-	if err := errors.Join(err, bad, worse); err != nil {
+func (d *Daemon) readLeaseRequest(w http.ResponseWriter, r *http.Request) (name string, lease ruleset.Lease, ok bool) {
+	query := r.URL.Query()
+	name = query.Get("instance")
+	pid, err := strconv.Atoi(query.Get("pid"))
+	heldStep, holdsErr := strconv.ParseUint(query.Get("holds"), 10, 64)
+	index, indexErr := strconv.ParseInt(query.Get("index"), 10, 64)
+	if err := errors.Join(err, holdsErr, indexErr); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
-		return name, l, false
+		return name, lease, false
 	}
-	if who, runs := d.pids.Load(pid); !runs || who != name {
+	if owner, known := d.instanceByPID.Load(pid); !known || owner != name {
 		http.Error(w, fmt.Sprintf("%d is no process of %q that this daemon keeps", pid, name), http.StatusForbidden)
-		return name, l, false
+		return name, lease, false
 	}
-	w.Header().Set(lifecycle.IndexHeader, strconv.FormatInt(d.seat.Highest(), 10))
-	if l, ok = d.seat.Asked(pid, name, holds, index); !ok {
+	w.Header().Set(lifecycle.IndexHeader, strconv.FormatInt(d.rules.Highest(), 10))
+	if lease, ok = d.rules.Asked(pid, name, heldStep, index); !ok {
 		http.Error(w, notConfirmed, http.StatusServiceUnavailable)
 	}
-	return name, l, ok
+	return name, lease, ok
 }
 
 // rewrites tells whether an instance reaches others at other addresses than they are known by.
-func (d *Daemon) rewrites(name string) bool {
-	ways := d.reach.Load()
-	return ways != nil && len((*ways)[name]) > 0
+func (d *Daemon) hasAddressOverrides(name string) bool {
+	overrides := d.addressOverrides.Load()
+	return overrides != nil && len((*overrides)[name]) > 0
 }
 
 // rewritten are rules with the addresses by which one instance reaches the others.
-func (d *Daemon) rewritten(name string, r *ruleset.Rules) ruleset.Rules {
+func (d *Daemon) withAddressOverrides(name string, r *ruleset.Rules) ruleset.Rules {
 	rules := *r
-	if !d.rewrites(name) {
+	if !d.hasAddressOverrides(name) {
 		return rules
 	}
-	ways := (*d.reach.Load())[name]
+	overrides := (*d.addressOverrides.Load())[name]
 	rules.Members = slices.Clone(r.Members)
-	for i, m := range rules.Members {
-		if to := ways[m.Peers]; to != "" {
-			rules.Members[i].Peers = to
+	for i, member := range rules.Members {
+		if address := overrides[member.Peers]; address != "" {
+			rules.Members[i].Peers = address
 		}
 	}
 	return rules
 }
 
 // lease answers an instance of an older program: with all rules, each time.
-func (d *Daemon) lease(w http.ResponseWriter, r *http.Request) {
-	name, l, ok := d.asked(w, r)
+func (d *Daemon) handleLease(w http.ResponseWriter, r *http.Request) {
+	name, lease, ok := d.readLeaseRequest(w, r)
 	if !ok {
 		return
 	}
-	l.Version.Rules = d.rewritten(name, &l.Version.Rules)
-	raw, err := l.Bytes()
+	lease.Version.Rules = d.withAddressOverrides(name, &lease.Version.Rules)
+	raw, err := lease.Bytes()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -507,38 +507,38 @@
 }
 
 // Sitting is how the council and its rules stand.
-type Sitting struct {
+type CouncilStatus struct {
 	raftlog.View
 	Rules raftlog.Agreement `json:"rules"`
 }
 
 // relays tells how those stand that follow this daemon.
-func (d *Daemon) relays(w http.ResponseWriter, _ *http.Request) {
-	if d.seat.root == nil {
+func (d *Daemon) handleRelayStatus(w http.ResponseWriter, _ *http.Request) {
+	if d.rules.relayRoot == nil {
 		http.Error(w, "council.serve: there is none", http.StatusNotFound)
 		return
 	}
-	relay.Show(w, d.seat.root.Status())
+	relay.Show(w, d.rules.relayRoot.Status())
 }
 
-func (d *Daemon) sitting(w http.ResponseWriter, _ *http.Request) {
+func (d *Daemon) handleCouncilStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
-	_ = e.Encode(Sitting{d.seat.council.View(), d.seat.council.Agreement()})
+	_ = e.Encode(CouncilStatus{d.rules.voter.View(), d.rules.voter.Agreement()})
 }
 
 // rulesText is the version in force as a file of rules, for operators that change it.
-func (d *Daemon) rulesText(w http.ResponseWriter, _ *http.Request) {
-	v := d.seat.InForce()
-	if v.Number == 0 {
+func (d *Daemon) handleRules(w http.ResponseWriter, _ *http.Request) {
+	version := d.rules.InForce()
+	if version.Number == 0 {
 		http.Error(w, "no version is in force", http.StatusServiceUnavailable)
 		return
 	}
-	text, err := rulefile.Encode(&v.Rules)
+	text, err := rulefile.Encode(&version.Rules)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	fmt.Fprintf(w, "# version %d\n%s", v.Number, text)
+	fmt.Fprintf(w, "# version %d\n%s", version.Number, text)
 }
--- a/internal/supervisor/council_golden_test.go
+++ b/internal/supervisor/council_golden_test.go
@@ -57,7 +57,7 @@
 }
 
 // goldenLeaseVoice says what is in force; its other methods are not called.
-type goldenLeaseVoice struct{ voice }
+type goldenLeaseVoice struct{ rulesSource }
 
 func (goldenLeaseVoice) Highest() int64 { return 91 }
 
@@ -76,31 +76,31 @@
 func goldenCouncilDaemon(t *testing.T) *Daemon {
 	t.Helper()
 	dir := t.TempDir()
-	file := &File{Control: "127.0.0.1:7100", Listen: "127.0.0.1:7200", Operators: "127.0.0.1:7300",
-		Config: filepath.Join(dir, "gatekeeper.toml"), Council: &CouncilFile{Me: "h9"}}
-	if err := os.WriteFile(file.Config, nil, 0o600); err != nil {
+	file := &FleetFile{ControlAddress: "127.0.0.1:7100", FirstListen: "127.0.0.1:7200", FirstAdmin: "127.0.0.1:7300",
+		GatewayConfig: filepath.Join(dir, "gatekeeper.toml"), Council: &CouncilSettings{HostName: "h9"}}
+	if err := os.WriteFile(file.GatewayConfig, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d := &Daemon{fleet: &Fleet{RunDir: dir, Agreed: &Agreed{}, file: file}, by: map[string]*place{},
-		seat: &seat{voice: goldenLeaseVoice{}, file: file}, keeper: NewKeeper(Pace{}, 1)}
-	d.pids.Store(4711, "gk1")
+	d := &Daemon{settings: &Settings{RunDir: dir, Rules: &RulesSettings{}, file: file}, slots: map[string]*instanceSlot{},
+		rules: &rulesParticipant{rulesSource: goldenLeaseVoice{}, file: file}, reconciler: NewReconciler(Policy{}, 1)}
+	d.instanceByPID.Store(4711, "gk1")
 	return d
 }
 
 // A daemon starts with the rules that one before it has carried out last.
 func TestGoldenLastRulesOfCouncil(t *testing.T) {
 	d := goldenCouncilDaemon(t)
-	path := filepath.Join(d.fleet.RunDir, "rules.json")
+	path := filepath.Join(d.settings.RunDir, "rules.json")
 	if err := os.WriteFile(path, goldenCouncilFile(t, "rules.json"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got, err := d.fleet.last()
+	got, err := d.settings.readAppliedRules()
 	want := goldenAgreedRules(11)
 	goldenCouncilSame(t, "rules.json", got, &want, err)
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.carry(); err != nil {
+	if err := d.applyRules(); err != nil {
 		t.Fatal(err)
 	}
 	raw, err := os.ReadFile(path)
@@ -117,8 +117,8 @@
 		name, path string
 		answer     http.HandlerFunc
 	}{
-		{"lease.json", "/?instance=gk1&pid=4711&holds=40&index=90", d.lease},
-		{"rules.txt", "/", d.rulesText},
+		{"lease.json", "/?instance=gk1&pid=4711&holds=40&index=90", d.handleLease},
+		{"rules.txt", "/", d.handleRules},
 	} {
 		w := httptest.NewRecorder()
 		c.answer(w, httptest.NewRequest(http.MethodGet, c.path, nil))
@@ -139,8 +139,8 @@
 		Settled: true, Pending: &pending, Age: 12.5}, err)
 }
 
-func goldenSitting() Sitting {
-	return Sitting{
+func goldenSitting() CouncilStatus {
+	return CouncilStatus{
 		View: raftlog.View{State: "member", Why: "why", Me: "h1", Disk: "a1", Council: "c", Leader: "h2",
 			Term: 3, Applied: 44, Hosts: []raftlog.HostView{{Name: "h2", Address: "10.0.0.2:9000", Disk: "a2",
 				Member: true, Leads: true, HeardMS: 12.5, Why: "late"}}},
@@ -150,7 +150,7 @@
 }
 
 func TestGoldenSitting(t *testing.T) {
-	var got Sitting
+	var got CouncilStatus
 	err := json.Unmarshal(goldenCouncilFile(t, "sitting.json"), &got)
 	goldenCouncilSame(t, "sitting.json", got, goldenSitting(), err)
 	raw, err := json.MarshalIndent(goldenSitting(), "", " ")
@@ -162,15 +162,15 @@
 
 // The settings of a council and of relays in a fleet's file have no tags either.
 func TestGoldenCouncilSettings(t *testing.T) {
-	var f File
+	var f FleetFile
 	if err := strictoml.Decode(string(goldenCouncilFile(t, "fleet.toml")), &f); err != nil {
 		t.Fatal(err)
 	}
-	goldenCouncilSame(t, "council", f.Council, &CouncilFile{Me: "h1", Listen: "10.0.0.1:9000",
-		Store: "council.db", Rules: "rules.toml", Found: true, Serve: "10.0.0.1:9100",
+	goldenCouncilSame(t, "council", f.Council, &CouncilSettings{HostName: "h1", RaftListen: "10.0.0.1:9000",
+		StorePath: "council.db", RulesPath: "rules.toml", BootstrapCluster: true, RelayListen: "10.0.0.1:9100",
 		Hosts: []struct{ Name, Address string }{{"h1", "10.0.0.1:9000"}, {"h2", "10.0.0.2:9000"}}}, nil)
-	goldenCouncilSame(t, "relay", f.Relay, &RelayFile{Me: "h3", Upstream: []string{"10.0.0.1:9100"},
-		Store: "relay.db"}, nil)
-	goldenCouncilSame(t, "reach", f.Reach, map[string]map[string]string{
+	goldenCouncilSame(t, "relay", f.Relay, &RelaySettings{HostName: "h3", Upstreams: []string{"10.0.0.1:9100"},
+		StorePath: "relay.db"}, nil)
+	goldenCouncilSame(t, "reach", f.AddressOverrides, map[string]map[string]string{
 		"gk1": {"10.0.0.2:7002": "127.0.0.1:7002"}}, nil)
 }
--- a/internal/supervisor/council_test.go
+++ b/internal/supervisor/council_test.go
@@ -194,7 +194,7 @@
 }
 
 // sitting asks a host's daemon how the council stands; false where it does not say.
-func (h *host) sitting() (s Sitting, ok bool) {
+func (h *host) sitting() (s CouncilStatus, ok bool) {
 	page, err := faultinject.Ask(h.control, "/fleet/council")
 	return s, err == nil && json.Unmarshal([]byte(page), &s) == nil
 }
@@ -356,7 +356,7 @@
 			t.Fatalf("%s changes nothing", c.name)
 		}
 		os.WriteFile(file, []byte(strings.Replace(string(raw), c.old, c.new, 1)), 0o600)
-		if f, err := Read(file); err == nil || f != nil || !strings.Contains(err.Error(), c.says) {
+		if f, err := LoadSettings(file); err == nil || f != nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.says)
 		}
 	}
@@ -371,7 +371,7 @@
 			t.Fatalf("%s changes nothing:\n%s", c.name, text)
 		}
 		os.WriteFile(rules, []byte(strings.Replace(string(text), c.old, c.new, 1)), 0o600)
-		f, err := Read(file)
+		f, err := LoadSettings(file)
 		if err == nil {
 			_, err = NewDaemon(f, zerolog.Nop())
 		}
@@ -385,14 +385,14 @@
 	}
 	run := filepath.Join(h.dir, "run")
 	if err = os.MkdirAll(run, 0o700); err == nil {
-		err = os.WriteFile(filepath.Join(run, lastRules), last, 0o600)
+		err = os.WriteFile(filepath.Join(run, appliedRulesFile), last, 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	os.WriteFile(rules, []byte("lease_ms = 1"), 0o600)
-	f, err := Read(file)
-	if err != nil || f.resume() != nil || len(f.Instances) != 1 || f.places != 2 {
+	f, err := LoadSettings(file)
+	if err != nil || f.restoreAppliedRules() != nil || len(f.Instances) != 1 || f.fleetSize != 2 {
 		t.Errorf("a daemon that knows rules does not go on with them: %v, %+v", err, f)
 	}
 }
--- a/internal/supervisor/fleet_test.go
+++ b/internal/supervisor/fleet_test.go
@@ -140,7 +140,7 @@
 
 func (d *deployed) daemon() *Daemon {
 	d.t.Helper()
-	f, err := Read(d.file)
+	f, err := LoadSettings(d.file)
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -156,8 +156,8 @@
 	d.t.Helper()
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		n := 0
-		for _, s := range x.Standings() {
-			if s.State == Ready && !s.Behind {
+		for _, s := range x.Statuses() {
+			if s.State == Ready && !s.Outdated {
 				n++
 			}
 		}
@@ -165,7 +165,7 @@
 			return
 		}
 	}
-	d.t.Fatalf("not %d are ready: %+v", ready, x.Standings())
+	d.t.Fatalf("not %d are ready: %+v", ready, x.Statuses())
 }
 
 func (d *deployed) targets(n int) (all []string) {
@@ -233,17 +233,17 @@
 		case <-wait.C:
 		}
 		x.mu.Lock()
-		for _, s := range x.keeper.Standings() {
+		for _, s := range x.reconciler.Statuses() {
 			half := tick%20 == 10 // half of them at one moment, in the middle of it
-			if r := x.runs[s.Process]; r != nil && (half && rng.Intn(2) == 0 || !half && rng.Intn(4*d.n) == 0) {
-				syscall.Kill(r.Pid, syscall.SIGKILL)
+			if r := x.processes[s.ProcessNumber]; r != nil && (half && rng.Intn(2) == 0 || !half && rng.Intn(4*d.n) == 0) {
+				syscall.Kill(r.PID, syscall.SIGKILL)
 				kills++
 			}
 		}
 		x.mu.Unlock()
 		if tick == 15 {
 			d.config(map[string]any{"weight_source": "none"}) // another text, the same sense
-			x.Reload(Read(d.file))
+			x.Reload(LoadSettings(d.file))
 		}
 	}
 	d.until(x, d.n)
@@ -272,7 +272,7 @@
 		settled += n[loadgen.Settled]
 	}
 	restarts := 0
-	for _, s := range x.Standings() {
+	for _, s := range x.Statuses() {
 		restarts += s.Restarts
 	}
 	t.Logf("%d kills, %d restarts, %d asked, %d settled, %d sent to workers, %d under the ceiling",
@@ -293,13 +293,13 @@
 	pid := func() int {
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		return x.runs[x.keeper.Standings()[0].Process].Pid
+		return x.processes[x.reconciler.Statuses()[0].ProcessNumber].PID
 	}
 	first := pid()
 	grow := func(n int) {
 		t.Helper()
 		d.write(n, "")
-		x.Reload(Read(d.file))
+		x.Reload(LoadSettings(d.file))
 		d.until(x, n)
 		if pid() != first {
 			b, _ := os.ReadFile(filepath.Join(d.dir, "run", "g-0", "log"))
@@ -331,7 +331,7 @@
 	time.Sleep(200 * time.Millisecond)
 	for end := time.Now().Add(6 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 		x.mu.Lock()
-		n := len(x.runs)
+		n := len(x.processes)
 		x.mu.Unlock()
 		if n == 1 {
 			break
@@ -340,14 +340,14 @@
 			t.Fatalf("%d processes run", n)
 		}
 	}
-	p, err := x.Open()
+	p, err := x.ServeControl()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
 	for path, says := range map[string]string{"/fleet/health": "ready",
 		"/fleet/stats": "fleet.g-0.state=ready\n"} {
-		res, err := http.Get("http://" + p.At + path)
+		res, err := http.Get("http://" + p.Address + path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -367,32 +367,32 @@
 	d.until(first, 2)
 	pids := map[int]bool{}
 	first.mu.Lock()
-	for _, r := range first.runs {
-		pids[r.Pid] = true
+	for _, r := range first.processes {
+		pids[r.PID] = true
 	}
-	close(first.done) // as if it were killed: it looks at nothing any more
+	close(first.allStopped) // as if it were killed: it looks at nothing any more
 	first.mu.Unlock()
-	<-first.stopped
-	for _, p := range first.by {
+	<-first.loopEnded
+	for _, p := range first.slots {
 		p.listener.Close()
 	}
 	second := d.daemon()
 	defer second.Stop()
 	d.until(second, 2)
 	second.mu.Lock()
-	for _, r := range second.runs {
-		if !pids[r.Pid] {
+	for _, r := range second.processes {
+		if !pids[r.PID] {
 			t.Errorf("%s was started anew", r.Instance)
 		}
 	}
 	second.mu.Unlock()
 	d.config(map[string]any{"weight_source": "none"})
-	second.Reload(Read(d.file))
+	second.Reload(LoadSettings(d.file))
 	d.until(second, 2)
 	second.mu.Lock()
 	defer second.mu.Unlock()
-	for _, r := range second.runs {
-		if pids[r.Pid] {
+	for _, r := range second.processes {
+		if pids[r.PID] {
 			t.Errorf("%s was not replaced", r.Instance)
 		}
 	}
@@ -427,7 +427,7 @@
 				t.Fatal("the case changes nothing")
 			}
 			os.WriteFile(d.file, []byte(strings.Replace(good, c.old, c.new, 1)), 0o600)
-			if f, err := Read(d.file); err == nil || f != nil || !strings.Contains(err.Error(), c.says) ||
+			if f, err := LoadSettings(d.file); err == nil || f != nil || !strings.Contains(err.Error(), c.says) ||
 				!strings.HasPrefix(err.Error(), d.file) {
 				t.Errorf("got %v, want %q", err, c.says)
 			}
@@ -435,7 +435,7 @@
 	}
 	os.WriteFile(d.file, []byte(good), 0o600)
 	os.WriteFile(filepath.Join(d.dir, "gatekeeper.json"), []byte(`{"settings":{"classes":[]}}`), 0o600)
-	if _, err := Read(d.file); err == nil || !strings.Contains(err.Error(), "settings.classes") {
+	if _, err := LoadSettings(d.file); err == nil || !strings.Contains(err.Error(), "settings.classes") {
 		t.Errorf("a configuration that a gatekeeper would refuse: %v", err)
 	}
 }
@@ -469,15 +469,15 @@
 		time.Sleep(300 * time.Millisecond)
 		d.list.Down(true)
 		x.mu.Lock()
-		for _, s := range x.keeper.Standings() {
-			if r := x.runs[s.Process]; s.Name == "g-1" {
-				syscall.Kill(r.Pid, syscall.SIGKILL)
+		for _, s := range x.reconciler.Statuses() {
+			if r := x.processes[s.ProcessNumber]; s.Name == "g-1" {
+				syscall.Kill(r.PID, syscall.SIGKILL)
 			}
 		}
 		x.mu.Unlock()
 		for range 100 {
 			time.Sleep(20 * time.Millisecond)
-			if all := x.Standings(); all[1].Restarts == 1 && all[1].State == Ready {
+			if all := x.Statuses(); all[1].Restarts == 1 && all[1].State == Ready {
 				break
 			}
 		}
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -30,10 +30,10 @@
 // test that fails here is met by a tag or a type of the old form.
 
 var goldenForms = []goldenform.Form{
-	{File: "instance.run", New: func() any { return &running{} }, Encode: json.Marshal, Decode: json.Unmarshal},
-	{File: "words.json", New: func() any { return &told{} }, Encode: json.Marshal, Decode: json.Unmarshal},
-	{File: "relay.json", New: func() any { return &Following{} }, Encode: json.Marshal, Decode: json.Unmarshal},
-	{File: "fleet.toml", New: func() any { return &File{} },
+	{File: "instance.run", New: func() any { return &processRecord{} }, Encode: json.Marshal, Decode: json.Unmarshal},
+	{File: "words.json", New: func() any { return &reportExchange{} }, Encode: json.Marshal, Decode: json.Unmarshal},
+	{File: "relay.json", New: func() any { return &SubscriptionStatus{} }, Encode: json.Marshal, Decode: json.Unmarshal},
+	{File: "fleet.toml", New: func() any { return &FleetFile{} },
 		Decode: func(raw []byte, into any) error { return strictoml.Decode(string(raw), into) }},
 }
 
@@ -45,7 +45,7 @@
 
 // goldenVoice says that one version is in force.
 type goldenVoice struct {
-	voice
+	rulesSource
 	version ruleset.Version
 }
 
@@ -77,26 +77,26 @@
 }
 
 func goldenDaemon(dir string) *Daemon {
-	f := &File{Name: "golden", Config: os.DevNull, Control: "127.0.0.1:7", Listen: "127.0.0.1:100",
-		Operators: "127.0.0.1:200", Relay: &RelayFile{Me: "host"}}
-	fl := &Fleet{Name: "golden", Program: filepath.Join(dir, "program"), RunDir: dir, Control: f.Control,
-		Remember: true, Recall: true, Warm: true, Hall: "north", Agreed: &Agreed{Relay: f.Relay}, file: f}
+	f := &FleetFile{Name: "golden", GatewayConfig: os.DevNull, ControlAddress: "127.0.0.1:7", FirstListen: "127.0.0.1:100",
+		FirstAdmin: "127.0.0.1:200", Relay: &RelaySettings{HostName: "host"}}
+	fl := &Settings{Name: "golden", Program: filepath.Join(dir, "program"), RunDir: dir, ControlAddress: f.ControlAddress,
+		CrashState: true, RestoreCheckpoint: true, PeerBootstrap: true, Region: "north", Rules: &RulesSettings{Relay: f.Relay}, file: f}
 	ended := make(chan struct{})
 	close(ended)
-	return &Daemon{log: zerolog.Nop(), program: fl.Program, fleet: fl, by: map[string]*place{},
-		runs: map[int]*running{}, start: time.Now(), timer: time.NewTimer(time.Hour), done: make(chan struct{}),
-		keeper: NewKeeper(Pace{First: 1, Most: 1, Calm: 1, Within: 1, Grace: 1, Step: 1}, 1),
-		seat:   &seat{voice: goldenVoice{version: goldenVersion()}, branch: &branch{}, file: f, ended: ended}}
+	return &Daemon{log: zerolog.Nop(), program: fl.Program, settings: fl, slots: map[string]*instanceSlot{},
+		processes: map[int]*processRecord{}, startedAt: time.Now(), wakeTimer: time.NewTimer(time.Hour), allStopped: make(chan struct{}),
+		reconciler: NewReconciler(Policy{InitialBackoffMillis: 1, MaxBackoffMillis: 1, BackoffResetMillis: 1, ReadyTimeoutMillis: 1, StopTimeoutMillis: 1, MaxReplacing: 1}, 1),
+		rules:      &rulesParticipant{rulesSource: goldenVoice{version: goldenVersion()}, subscription: &subscription{}, file: f, followEnded: ended}}
 }
 
 // TestGoldenLastRules: rules.json is what a daemon starts with before it hears which rules are in force.
 func TestGoldenLastRules(t *testing.T) {
 	golden, want := goldenform.Read(t, "rules.json"), goldenVersion()
 	d := goldenDaemon(t.TempDir())
-	if err := os.WriteFile(filepath.Join(d.fleet.RunDir, "rules.json"), golden, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(d.settings.RunDir, "rules.json"), golden, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := d.fleet.last(); err != nil || !reflect.DeepEqual(got, &want.Rules) {
+	if got, err := d.settings.readAppliedRules(); err != nil || !reflect.DeepEqual(got, &want.Rules) {
 		t.Errorf("%v: rules are read as\n%+v\nwant\n%+v", err, got, &want.Rules)
 	}
 	var whole ruleset.Version
@@ -104,10 +104,10 @@
 		t.Errorf("%v: version %d, want %d", err, whole.Number, want.Number)
 	}
 	d = goldenDaemon(t.TempDir())
-	if err := d.carry(); err != nil {
+	if err := d.applyRules(); err != nil {
 		t.Fatal(err)
 	}
-	got, err := os.ReadFile(filepath.Join(d.fleet.RunDir, "rules.json"))
+	got, err := os.ReadFile(filepath.Join(d.settings.RunDir, "rules.json"))
 	if err != nil || !bytes.Equal(got, golden) {
 		t.Errorf("%v: rules are written as\n%s\nwant\n%s", err, got, golden)
 	}
@@ -116,18 +116,18 @@
 // goldenFigures is a daemon with one instance that is ready, and words of others.
 func goldenFigures(dir string) *Daemon {
 	d := goldenDaemon(dir)
-	d.keeper.Want([]string{"golden-0"}, nil)
-	number := d.keeper.Adopt("golden-0")
-	d.keeper.Ready("golden-0", number)
-	d.runs[number] = &running{Instance: "golden-0", Pid: 4321, Control: "127.0.0.1:8", number: number}
-	d.watcher = &watcher{all: map[string]heard{"a": {}, "b": {}}, silent: 3,
-		refused: map[string]int{"version": 4, "spoilt": 5, "stranger": 6,
+	d.reconciler.SetDesired([]string{"golden-0"}, nil)
+	number := d.reconciler.Adopt("golden-0")
+	d.reconciler.ProcessReady("golden-0", number)
+	d.processes[number] = &processRecord{Instance: "golden-0", PID: 4321, AdminAddress: "127.0.0.1:8", number: number}
+	d.forecasts = &forecastCollector{reports: map[string]receivedReport{"a": {}, "b": {}}, unreachable: 3,
+		rejected: map[string]int{"version": 4, "spoilt": 5, "stranger": 6,
 			"ahead": 7, "too_long": 8, "too_many": 9}}
 	return d
 }
 
 func TestGoldenStats(t *testing.T) {
-	if got, want := goldenFigures(t.TempDir()).text(), string(goldenform.Read(t, "stats.txt")); got != want {
+	if got, want := goldenFigures(t.TempDir()).statsText(), string(goldenform.Read(t, "stats.txt")); got != want {
 		t.Errorf("the figures are\n%s\nwant\n%s", got, want)
 	}
 	if got, want := stateNames[:], []string{"waiting", "starting", "ready", "replacing", "leaving",
@@ -139,10 +139,10 @@
 // TestGoldenRefusals: the reasons by which refused questions are counted at operators' ports.
 func TestGoldenRefusals(t *testing.T) {
 	d := goldenDaemon(t.TempDir())
-	d.pids.Store(4321, "golden-0")
+	d.instanceByPID.Store(4321, "golden-0")
 	for pid, want := range map[int]string{4321: "unconfirmed", 4322: "stranger"} {
 		var refused *relay.Refusal
-		if _, err := d.ask(&distribution.Ask{Process: pid, From: "golden-0"}); !errors.As(err, &refused) ||
+		if _, err := d.answerUpdateRequest(&distribution.Ask{Process: pid, From: "golden-0"}); !errors.As(err, &refused) ||
 			refused.Reason != want {
 			t.Errorf("process %d is refused with %v, want %q", pid, err, want)
 		}
@@ -152,15 +152,15 @@
 // TestGoldenPaths: what is asked at the operators' port of a daemon below relays that looks ahead.
 func TestGoldenPaths(t *testing.T) {
 	d := goldenFigures(t.TempDir())
-	d.fleet.Control = "127.0.0.1:0"
-	port, err := d.Open()
+	d.settings.ControlAddress = "127.0.0.1:0"
+	port, err := d.ServeControl()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer port.Close()
 	for path, want := range map[string]int{"/fleet/health": 200, "/fleet/stats": 200, "/fleet/relay": 200,
 		"/fleet/words": 200, "/fleet/ask": 405, "/fleet/lease": 400, "/fleet/other": 404} {
-		response, err := http.Get("http://" + port.At + path)
+		response, err := http.Get("http://" + port.Address + path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -186,25 +186,25 @@
 	if err := os.WriteFile(d.program, []byte(goldenProgram), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	d.keeper.Want([]string{"golden-0", "golden-1"}, nil)
-	d.runs[99] = &running{Instance: "golden-1", Control: "127.0.0.1:10", ready: true, number: 99}
-	d.by["golden-0"] = &place{in: Instance{Name: "golden-0", Listen: "127.0.0.1:0",
-		Operators: [2]string{"127.0.0.1:8", "127.0.0.1:9"}, Config: []byte(`{"name":"golden-0"}`)}}
-	number := d.keeper.Adopt("golden-0")
-	d.keeper.Stop()
+	d.reconciler.SetDesired([]string{"golden-0", "golden-1"}, nil)
+	d.processes[99] = &processRecord{Instance: "golden-1", AdminAddress: "127.0.0.1:10", ready: true, number: 99}
+	d.slots["golden-0"] = &instanceSlot{instance: Instance{Name: "golden-0", ListenAddress: "127.0.0.1:0",
+		AdminAddresses: [2]string{"127.0.0.1:8", "127.0.0.1:9"}, Config: []byte(`{"name":"golden-0"}`)}}
+	number := d.reconciler.Adopt("golden-0")
+	d.reconciler.Stop()
 	d.mu.Lock()
 	err := d.spawn("golden-0", number)
 	d.mu.Unlock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.by["golden-0"].listener.Close()
-	pid := d.runs[number].Pid
+	defer d.slots["golden-0"].listener.Close()
+	pid := d.processes[number].PID
 	stop := func() bool {
 		_ = syscall.Kill(pid, syscall.SIGKILL)
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return d.runs[number] == nil
+		return d.processes[number] == nil
 	}
 	defer func() {
 		for end := time.Now().Add(5 * time.Second); !stop() && time.Now().Before(end); {
--- a/internal/supervisor/host.go
+++ b/internal/supervisor/host.go
@@ -25,57 +25,57 @@
 
 // lookEach is how often instances are asked for their health, and those that are not the daemon's own
 // children looked at: a fifth of the shortest pause before a start, at some 0.1 ms of a core each.
-const lookEach = 50 * time.Millisecond
+const checkInterval = 50 * time.Millisecond
 
 // Daemon keeps a fleet.
 type Daemon struct {
-	log     zerolog.Logger
-	program string
-	client  http.Client
-
-	mu      sync.Mutex
-	keeper  *Keeper
-	fleet   *Fleet
-	by      map[string]*place
-	runs    map[int]*running
-	start   time.Time
-	timer   *time.Timer
-	done    chan struct{}
-	ended   bool
-	stopped chan struct{}
-	watcher *watcher // nil where it looks ahead at nothing
-
-	seat   *seat      // nil where there is no council
-	strays []*running // are to end, and are none of the fleet's
-	pids   sync.Map   // of processes that run, to the names of their instances
-	reach  atomic.Pointer[map[string]map[string]string]
+	log        zerolog.Logger
+	program    string
+	httpClient http.Client
+
+	mu               sync.Mutex
+	reconciler       *Reconciler
+	settings         *Settings
+	slots            map[string]*instanceSlot
+	processes        map[int]*processRecord
+	startedAt        time.Time
+	wakeTimer        *time.Timer
+	allStopped       chan struct{}
+	allStoppedClosed bool
+	loopEnded        chan struct{}
+	forecasts        *forecastCollector // nil where it looks ahead at nothing
+
+	rules            *rulesParticipant // nil where there is no council
+	orphans          []*processRecord  // are to end, and are none of the fleet's
+	instanceByPID    sync.Map          // of processes that run, to the names of their instances
+	addressOverrides atomic.Pointer[map[string]map[string]string]
 }
 
 // place is what an instance has besides its processes.
-type place struct {
-	in       Instance
-	listener *os.File // held for it, and handed to each process
-	turn     int      // of its two operators' ports
+type instanceSlot struct {
+	instance   Instance
+	listener   *os.File // held for it, and handed to each process
+	adminIndex int      // of its two operators' ports
 }
 
 // running is a process that runs.
-type running struct {
-	Instance string `json:"instance"`
-	Pid      int    `json:"pid"`
-	Born     string `json:"born"` // the kernel's start time of it: a pid may be another's by now
-	Control  string `json:"control"`
-	Config   []byte `json:"config"`
-	number   int
-	ready    bool
-	child    bool
-	renewing bool // it has been told to read its configuration anew
+type processRecord struct {
+	Instance     string `json:"instance"`
+	PID          int    `json:"pid"`
+	StartTime    string `json:"born"` // the kernel's start time of it: a pid may be another's by now
+	AdminAddress string `json:"control"`
+	Config       []byte `json:"config"`
+	number       int
+	ready        bool
+	child        bool
+	reloading    bool // it has been told to read its configuration anew
 }
 
 // NewDaemon starts a daemon: it takes over the instances that one before it has left, and starts the others.
-func NewDaemon(f *Fleet, log zerolog.Logger) (*Daemon, error) {
-	d := &Daemon{log: log, program: f.Program, fleet: f, by: map[string]*place{}, runs: map[int]*running{},
-		start: time.Now(), done: make(chan struct{}), stopped: make(chan struct{}),
-		keeper: NewKeeper(f.Pace, time.Now().UnixNano()), client: http.Client{Timeout: time.Second,
+func NewDaemon(settings *Settings, log zerolog.Logger) (*Daemon, error) {
+	d := &Daemon{log: log, program: settings.Program, settings: settings, slots: map[string]*instanceSlot{}, processes: map[int]*processRecord{},
+		startedAt: time.Now(), allStopped: make(chan struct{}), loopEnded: make(chan struct{}),
+		reconciler: NewReconciler(settings.Policy, time.Now().UnixNano()), httpClient: http.Client{Timeout: time.Second,
 			Transport: &http.Transport{DisableKeepAlives: true}}}
 	if d.program == "" {
 		self, err := os.Executable()
@@ -84,67 +84,69 @@
 		}
 		d.program = self
 	}
-	if err := os.MkdirAll(f.RunDir, 0o700); err != nil {
+	if err := os.MkdirAll(settings.RunDir, 0o700); err != nil {
 		return nil, fmt.Errorf("run_dir: %w", err)
 	}
-	if f.Agreed != nil {
-		if err := d.convene(f); err != nil {
+	if settings.Rules != nil {
+		if err := d.joinRules(settings); err != nil {
 			return nil, err
 		}
-		d.reach.Store(&f.Agreed.Reach)
+		d.addressOverrides.Store(&settings.Rules.AddressOverrides)
 	}
-	d.timer = time.NewTimer(time.Hour)
+	d.wakeTimer = time.NewTimer(time.Hour)
 	d.mu.Lock()
-	d.want(f)
+	d.setDesired(settings)
 	d.adopt()
-	if d.seat != nil && d.seat.branch != nil {
-		d.seat.branch.follows(f.Agreed.Relay.Upstream)
+	if d.rules != nil && d.rules.subscription != nil {
+		d.rules.subscription.setUpstreams(settings.Rules.Relay.Upstreams)
 	}
-	d.turn()
+	d.reconcile()
 	d.mu.Unlock()
-	if f.Hall != "" {
-		d.watcher = d.watches()
-		go d.watcher.loop(d)
+	if settings.Region != "" {
+		d.forecasts = d.newForecastCollector()
+		go d.forecasts.run(d)
 	}
-	go d.loop()
-	if d.seat != nil {
-		go d.follow()
+	go d.run()
+	if d.rules != nil {
+		go d.followRules()
 	}
 	return d, nil
 }
 
-func (d *Daemon) now() float64 { return float64(time.Since(d.start)) / float64(time.Millisecond) }
+func (d *Daemon) nowMillis() float64 {
+	return float64(time.Since(d.startedAt)) / float64(time.Millisecond)
+}
 
 // turn tells the keeper the time and carries its decisions out, under the lock.
-func (d *Daemon) turn() {
-	d.keeper.Clock(d.now())
+func (d *Daemon) reconcile() {
+	d.reconciler.SetTime(d.nowMillis())
 	for {
-		v, ok := d.keeper.Next()
+		action, ok := d.reconciler.Next()
 		if !ok {
 			return
 		}
-		switch v.Kind {
-		case Start:
-			if err := d.spawn(v.Instance, v.Process); err != nil {
-				d.log.Error().Err(err).Str("instance", v.Instance).Msg("not started")
-				d.keeper.Ended(v.Instance, v.Process)
+		switch action.Kind {
+		case StartProcess:
+			if err := d.spawn(action.Instance, action.ProcessNumber); err != nil {
+				d.log.Error().Err(err).Str("instance", action.Instance).Msg("not started")
+				d.reconciler.ProcessEnded(action.Instance, action.ProcessNumber)
 			}
-		case Term:
-			d.signal(v.Process, syscall.SIGTERM)
-		case Kill:
-			d.log.Warn().Str("instance", v.Instance).Msg("ended by force")
-			d.signal(v.Process, syscall.SIGKILL)
-		case Renew:
-			if err := d.renew(v.Instance, v.Process); err != nil {
-				d.log.Error().Err(err).Str("instance", v.Instance).Msg("not renewed")
+		case TerminateProcess:
+			d.signal(action.ProcessNumber, syscall.SIGTERM)
+		case KillProcess:
+			d.log.Warn().Str("instance", action.Instance).Msg("ended by force")
+			d.signal(action.ProcessNumber, syscall.SIGKILL)
+		case ReloadProcess:
+			if err := d.reloadProcess(action.Instance, action.ProcessNumber); err != nil {
+				d.log.Error().Err(err).Str("instance", action.Instance).Msg("not renewed")
 			}
-		case Wake:
-			d.timer.Reset(time.Duration((v.At - d.now()) * float64(time.Millisecond)))
+		case WakeUp:
+			d.wakeTimer.Reset(time.Duration((action.AtMillis - d.nowMillis()) * float64(time.Millisecond)))
 			return
-		case Done:
-			if !d.ended {
-				d.ended = true
-				close(d.done)
+		case AllStopped:
+			if !d.allStoppedClosed {
+				d.allStoppedClosed = true
+				close(d.allStopped)
 			}
 			return
 		}
@@ -152,107 +154,107 @@
 }
 
 // loop looks at processes until the fleet has ended.
-func (d *Daemon) loop() {
-	defer close(d.stopped)
-	t := time.NewTicker(lookEach)
+func (d *Daemon) run() {
+	defer close(d.loopEnded)
+	t := time.NewTicker(checkInterval)
 	defer t.Stop()
 	for {
 		select {
-		case <-d.done:
+		case <-d.allStopped:
 			return
-		case <-d.timer.C:
+		case <-d.wakeTimer.C:
 		case <-t.C:
-			d.look()
+			d.checkProcesses()
 		}
 		d.mu.Lock()
-		d.turn()
+		d.reconcile()
 		d.mu.Unlock()
 	}
 }
 
 // look asks those that are not ready for their health, and finds adopted ones that are no more.
-func (d *Daemon) look() {
+func (d *Daemon) checkProcesses() {
 	d.mu.Lock()
-	d.left()
-	var ask, renewing []*running
-	for _, r := range d.runs {
-		if !r.child && born(r.Pid) != r.Born {
-			d.gone(r)
-		} else if !r.ready {
-			ask = append(ask, r)
-		} else if r.renewing {
-			renewing = append(renewing, r)
+	d.reapOrphans()
+	var starting, renewing []*processRecord
+	for _, process := range d.processes {
+		if !process.child && processStartTime(process.PID) != process.StartTime {
+			d.recordExit(process)
+		} else if !process.ready {
+			starting = append(starting, process)
+		} else if process.reloading {
+			renewing = append(renewing, process)
 		}
 	}
-	members := fmt.Sprintf("svc.members=%d\n", d.fleet.places)
+	wantedStat := fmt.Sprintf("svc.members=%d\n", d.settings.fleetSize)
 	d.mu.Unlock()
-	for _, r := range renewing {
-		if figures, err := d.call(r, "/admin/stats"); err == nil && strings.Contains(figures, members) {
+	for _, process := range renewing {
+		if stats, err := d.getAdmin(process, "/admin/stats"); err == nil && strings.Contains(stats, wantedStat) {
 			d.mu.Lock()
-			if r.renewing && bytes.Equal(r.Config, d.by[r.Instance].in.Config) {
-				r.renewing = false
-				d.keeper.Renewed(r.Instance, r.number)
-				d.log.Info().Str("instance", r.Instance).Int("pid", r.Pid).Msg("has taken up who the others are")
+			if process.reloading && bytes.Equal(process.Config, d.slots[process.Instance].instance.Config) {
+				process.reloading = false
+				d.reconciler.ProcessReloaded(process.Instance, process.number)
+				d.log.Info().Str("instance", process.Instance).Int("pid", process.PID).Msg("has taken up who the others are")
 			}
 			d.mu.Unlock()
 		}
 	}
-	for _, r := range ask {
-		if _, err := d.call(r, "/admin/health"); err == nil {
+	for _, process := range starting {
+		if _, err := d.getAdmin(process, "/admin/health"); err == nil {
 			d.mu.Lock()
-			r.ready = true
-			d.keeper.Ready(r.Instance, r.number)
-			d.log.Info().Str("instance", r.Instance).Int("pid", r.Pid).Msg("ready")
+			process.ready = true
+			d.reconciler.ProcessReady(process.Instance, process.number)
+			d.log.Info().Str("instance", process.Instance).Int("pid", process.PID).Msg("ready")
 			d.mu.Unlock()
 		}
 	}
 }
 
 // call asks a process at its operators' port. An error is any answer but a yes.
-func (d *Daemon) call(r *running, path string) (string, error) {
-	res, err := d.client.Get("http://" + r.Control + path)
+func (d *Daemon) getAdmin(process *processRecord, path string) (string, error) {
+	response, err := d.httpClient.Get("http://" + process.AdminAddress + path)
 	if err != nil {
 		return "", err
 	}
-	defer res.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(res.Body, 1<<20))
-	if err == nil && res.StatusCode != http.StatusOK {
-		err = fmt.Errorf("status %d", res.StatusCode)
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, 1<<20))
+	if err == nil && response.StatusCode != http.StatusOK {
+		err = fmt.Errorf("status %d", response.StatusCode)
 	}
-	return string(b), err
+	return string(body), err
 }
 
 // want takes a fleet's file up, under the lock. What an instance is told decides whether it has changed.
-func (d *Daemon) want(f *Fleet) {
+func (d *Daemon) setDesired(settings *Settings) {
 	var names []string
-	changed := map[string]Change{}
-	for _, in := range f.Instances {
+	changed := map[string]ConfigChange{}
+	for _, in := range settings.Instances {
 		names = append(names, in.Name)
-		p := d.by[in.Name]
-		if p == nil {
-			p = &place{}
-			d.by[in.Name] = p
-		} else if !bytes.Equal(p.in.Config, in.Config) {
-			if changed[in.Name] = changeOf(p.in.Config, in.Config); !f.Warm { // they do not say what they reckon with
-				changed[in.Name] = More
+		slot := d.slots[in.Name]
+		if slot == nil {
+			slot = &instanceSlot{}
+			d.slots[in.Name] = slot
+		} else if !bytes.Equal(slot.instance.Config, in.Config) {
+			if changed[in.Name] = classifyChange(slot.instance.Config, in.Config); !settings.PeerBootstrap { // they do not say what they reckon with
+				changed[in.Name] = RestartNeeded
 			}
 		}
-		if p.listener != nil && p.in.Listen != in.Listen {
-			_ = p.listener.Close()
-			p.listener = nil
+		if slot.listener != nil && slot.instance.ListenAddress != in.ListenAddress {
+			_ = slot.listener.Close()
+			slot.listener = nil
 		}
-		p.in = in
+		slot.instance = in
 	}
-	d.fleet = f
-	d.keeper.Pace(f.Pace)
-	d.keeper.Want(names, changed)
+	d.settings = settings
+	d.reconciler.SetPolicy(settings.Policy)
+	d.reconciler.SetDesired(names, changed)
 }
 
 // changeOf tells in what two configurations differ.
-func changeOf(old, now []byte) Change {
+func classifyChange(old, now []byte) ConfigChange {
 	var a, b map[string]any
 	if json.Unmarshal(old, &a) != nil || json.Unmarshal(now, &b) != nil {
-		return More
+		return RestartNeeded
 	}
 	for _, c := range []map[string]any{a, b} {
 		delete(c, "peers")
@@ -261,15 +263,15 @@
 		}
 	}
 	if reflect.DeepEqual(a, b) {
-		return Members
+		return MembershipChanged
 	}
-	return More
+	return RestartNeeded
 }
 
 // Reload takes a fleet's file up that has been read anew; where it could not be, the old one stays in force.
-func (d *Daemon) Reload(f *Fleet, err error) {
-	if err == nil && (f.RunDir != d.fleet.RunDir || f.Control != d.fleet.Control || f.Name != d.fleet.Name ||
-		f.Hall != d.fleet.Hall) {
+func (d *Daemon) Reload(settings *Settings, err error) {
+	if err == nil && (settings.RunDir != d.settings.RunDir || settings.ControlAddress != d.settings.ControlAddress || settings.Name != d.settings.Name ||
+		settings.Region != d.settings.Region) {
 		err = errors.New("name, run_dir, control and hall can't change while the daemon runs")
 	}
 	if err != nil {
@@ -278,51 +280,51 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.recall(f); err != nil {
+	if err := d.reloadRules(settings); err != nil {
 		d.log.Error().Err(err).Msg("file not taken up, the old one stays")
 		return
 	}
-	if d.seat != nil { // whatever the file says, the version in force says which there are
-		d.reach.Store(&f.Agreed.Reach)
-		f.Instances, f.places = d.fleet.Instances, d.fleet.places
-		d.fleet = f
-		err = d.carry()
+	if d.rules != nil { // whatever the file says, the version in force says which there are
+		d.addressOverrides.Store(&settings.Rules.AddressOverrides)
+		settings.Instances, settings.fleetSize = d.settings.Instances, d.settings.fleetSize
+		d.settings = settings
+		err = d.applyRules()
 	} else {
-		d.want(f)
+		d.setDesired(settings)
 	}
 	if err != nil {
 		d.log.Error().Err(err).Msg("instances stay as they are")
 	}
-	d.turn()
-	d.log.Info().Int("instances", len(f.Instances)).Msg("file taken up")
+	d.reconcile()
+	d.log.Info().Int("instances", len(settings.Instances)).Msg("file taken up")
 }
 
 // Stop ends all instances, and returns when they have ended.
 func (d *Daemon) Stop() {
 	d.mu.Lock()
-	d.keeper.Stop()
-	d.turn()
+	d.reconciler.Stop()
+	d.reconcile()
 	d.mu.Unlock()
-	<-d.stopped
-	for _, p := range d.by {
-		if p.listener != nil {
-			_ = p.listener.Close()
+	<-d.loopEnded
+	for _, slot := range d.slots {
+		if slot.listener != nil {
+			_ = slot.listener.Close()
 		}
 	}
-	d.adjourn()
+	d.leaveRules()
 }
 
 // renew has a process read its configuration anew, under the lock.
-func (d *Daemon) renew(name string, number int) error {
-	r, p := d.runs[number], d.by[name]
-	if r == nil {
+func (d *Daemon) reloadProcess(name string, number int) error {
+	process, slot := d.processes[number], d.slots[name]
+	if process == nil {
 		return nil
 	}
-	if err := d.write(name, p.in.Config); err != nil {
+	if err := d.writeGatewayConfig(name, slot.instance.Config); err != nil {
 		return err
 	}
-	r.Config, r.renewing = p.in.Config, true
-	if err := d.note(r); err != nil {
+	process.Config, process.reloading = slot.instance.Config, true
+	if err := d.writeNote(process); err != nil {
 		d.log.Warn().Err(err).Msg("a daemon after this one will find the process as it was")
 	}
 	d.signal(number, syscall.SIGHUP)
@@ -330,38 +332,38 @@
 }
 
 // write writes an instance's configuration, whole or not at all.
-func (d *Daemon) write(name string, config []byte) error {
-	file := d.configOf(name)
+func (d *Daemon) writeGatewayConfig(name string, config []byte) error {
+	file := d.gatewayConfigPath(name)
 	if err := os.WriteFile(file+".part", config, 0o600); err != nil {
 		return err
 	}
 	return os.Rename(file+".part", file)
 }
 
-func (d *Daemon) configOf(name string) string {
-	return filepath.Join(d.fleet.RunDir, name, "config.json")
+func (d *Daemon) gatewayConfigPath(name string) string {
+	return filepath.Join(d.settings.RunDir, name, "config.json")
 }
 
 // spawn starts a process, under the lock.
 func (d *Daemon) spawn(name string, number int) error {
-	p := d.by[name]
-	if p.listener == nil {
-		l, err := net.Listen("tcp", p.in.Listen)
+	slot := d.slots[name]
+	if slot.listener == nil {
+		l, err := net.Listen("tcp", slot.instance.ListenAddress)
 		if err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
-		p.listener, err = l.(*net.TCPListener).File()
+		slot.listener, err = l.(*net.TCPListener).File()
 		_ = l.Close()
 		if err != nil {
 			return err
 		}
 	}
-	dir := filepath.Join(d.fleet.RunDir, name)
+	dir := filepath.Join(d.settings.RunDir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	file := d.configOf(name)
-	if err := d.write(name, p.in.Config); err != nil {
+	file := d.gatewayConfigPath(name)
+	if err := d.writeGatewayConfig(name, slot.instance.Config); err != nil {
 		return err
 	}
 	log, err := os.OpenFile(filepath.Join(dir, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -369,99 +371,99 @@
 		return err
 	}
 	defer log.Close()
-	p.turn = 1 - p.turn
-	r := &running{Instance: name, Control: p.in.Operators[p.turn], Config: p.in.Config, number: number,
+	slot.adminIndex = 1 - slot.adminIndex
+	process := &processRecord{Instance: name, AdminAddress: slot.instance.AdminAddresses[slot.adminIndex], Config: slot.instance.Config, number: number,
 		child: true}
 	cmd := exec.Command(d.program, "serve")
-	cmd.Env = append(os.Environ(), "NODE_CONFIG="+file, "NODE_NAME="+name, "NODE_CONTROL="+r.Control,
+	cmd.Env = append(os.Environ(), "NODE_CONFIG="+file, "NODE_NAME="+name, "NODE_CONTROL="+process.AdminAddress,
 		"NODE_FD=3",
 		"TMPDIR="+dir)
-	if d.fleet.Warm {
+	if d.settings.PeerBootstrap {
 		cmd.Env = append(cmd.Env, "WILLOWDECK_TELL=true")
-		if ask := d.running(name); len(ask) > 0 {
+		if ask := d.readyAdminAddresses(name); len(ask) > 0 {
 			cmd.Env = append(cmd.Env, "WILLOWDECK_ASK="+strings.Join(ask, ","))
 		}
 	}
-	if d.fleet.Hall != "" {
-		cmd.Env = append(cmd.Env, "WILLOWDECK_HALL="+d.fleet.Hall, "WILLOWDECK_HOST="+d.fleet.Name)
+	if d.settings.Region != "" {
+		cmd.Env = append(cmd.Env, "WILLOWDECK_HALL="+d.settings.Region, "WILLOWDECK_HOST="+d.settings.Name)
 	}
-	if d.fleet.Hall != "" && d.seat != nil && d.seat.branch != nil { // each knows other addresses than its peers
-		cmd.Env = append(cmd.Env, "WILLOWDECK_GROUP="+d.fleet.Name)
+	if d.settings.Region != "" && d.rules != nil && d.rules.subscription != nil { // each knows other addresses than its peers
+		cmd.Env = append(cmd.Env, "WILLOWDECK_GROUP="+d.settings.Name)
 	}
-	if d.fleet.Remember {
+	if d.settings.CrashState {
 		cmd.Env = append(cmd.Env, "WILLOWDECK_RESIDUE="+filepath.Join(dir, "residue"),
-			fmt.Sprintf("WILLOWDECK_RECALL=%t", d.fleet.Recall))
+			fmt.Sprintf("WILLOWDECK_RECALL=%t", d.settings.RestoreCheckpoint))
 	}
-	if d.seat != nil {
-		cmd.Env = append(cmd.Env, "WILLOWDECK_AGREE="+d.fleet.Control)
+	if d.rules != nil {
+		cmd.Env = append(cmd.Env, "WILLOWDECK_AGREE="+d.settings.ControlAddress)
 	}
-	cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = log, log, []*os.File{p.listener}
+	cmd.Stdout, cmd.Stderr, cmd.ExtraFiles = log, log, []*os.File{slot.listener}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a signal to the daemon's group is not theirs
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	r.Pid = cmd.Process.Pid
-	r.Born = born(r.Pid)
-	d.runs[number] = r
-	d.began(r, false)
-	if err := d.note(r); err != nil {
+	process.PID = cmd.Process.Pid
+	process.StartTime = processStartTime(process.PID)
+	d.processes[number] = process
+	d.recordStart(process, false)
+	if err := d.writeNote(process); err != nil {
 		d.log.Warn().Err(err).Msg("a daemon after this one will not find the process")
-		if d.seat != nil { // and would take it for one that holds nothing
+		if d.rules != nil { // and would take it for one that holds nothing
 			_ = cmd.Process.Kill()
 		}
 	}
-	d.log.Info().Str("instance", name).Int("pid", r.Pid).Str("control", r.Control).Msg("started")
+	d.log.Info().Str("instance", name).Int("pid", process.PID).Str("control", process.AdminAddress).Msg("started")
 	go func() {
 		err := cmd.Wait()
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.log.Info().Str("instance", name).Int("pid", r.Pid).AnErr("as", err).Msg("ended")
-		d.gone(r)
-		d.turn()
+		d.log.Info().Str("instance", name).Int("pid", process.PID).AnErr("as", err).Msg("ended")
+		d.recordExit(process)
+		d.reconcile()
 	}()
 	return nil
 }
 
 // running gives the operators' ports of a few other instances that serve, under the lock.
-func (d *Daemon) running(but string) (all []string) {
-	for _, r := range d.runs {
-		if r.ready && r.Instance != but && len(all) < bootstrap.Peers {
-			all = append(all, r.Control)
+func (d *Daemon) readyAdminAddresses(except string) (all []string) {
+	for _, process := range d.processes {
+		if process.ready && process.Instance != except && len(all) < bootstrap.Peers {
+			all = append(all, process.AdminAddress)
 		}
 	}
 	return all
 }
 
 // gone books the end of a process, under the lock.
-func (d *Daemon) gone(r *running) {
-	if _, there := d.runs[r.number]; !there {
+func (d *Daemon) recordExit(process *processRecord) {
+	if _, known := d.processes[process.number]; !known {
 		return
 	}
-	delete(d.runs, r.number)
-	d.pids.Delete(r.Pid)
-	if d.seat != nil {
-		d.seat.Ended(r.Pid)
+	delete(d.processes, process.number)
+	d.instanceByPID.Delete(process.PID)
+	if d.rules != nil {
+		d.rules.Ended(process.PID)
 	}
-	_ = os.Remove(d.noteOf(r))
-	d.keeper.Ended(r.Instance, r.number)
+	_ = os.Remove(d.notePath(process))
+	d.reconciler.ProcessEnded(process.Instance, process.number)
 }
 
 // began books that a process runs; before: it did before this daemon.
-func (d *Daemon) began(r *running, before bool) {
-	if d.seat != nil {
-		d.seat.Began(r.Pid, before)
+func (d *Daemon) recordStart(process *processRecord, adopted bool) {
+	if d.rules != nil {
+		d.rules.Began(process.PID, adopted)
 	}
-	d.pids.Store(r.Pid, r.Instance)
+	d.instanceByPID.Store(process.PID, process.Instance)
 }
 
 func (d *Daemon) signal(number int, s syscall.Signal) {
-	if r := d.runs[number]; r != nil && born(r.Pid) == r.Born {
-		_ = syscall.Kill(r.Pid, s)
+	if process := d.processes[number]; process != nil && processStartTime(process.PID) == process.StartTime {
+		_ = syscall.Kill(process.PID, s)
 	}
 }
 
 // born gives when the kernel started a process, or nothing where there is none: a pid alone may be another's.
-func born(pid int) string {
+func processStartTime(pid int) string {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return ""
@@ -475,18 +477,18 @@
 	return f[since]
 }
 
-func (d *Daemon) noteOf(r *running) string {
-	return filepath.Join(d.fleet.RunDir, fmt.Sprintf("%s.%d.run", r.Instance, r.Pid))
+func (d *Daemon) notePath(process *processRecord) string {
+	return filepath.Join(d.settings.RunDir, fmt.Sprintf("%s.%d.run", process.Instance, process.PID))
 }
 
 // note writes what a daemon after this one needs to find a process.
-func (d *Daemon) note(r *running) error {
-	b, err := json.Marshal(r)
+func (d *Daemon) writeNote(process *processRecord) error {
+	raw, err := json.Marshal(process)
 	if err == nil {
-		err = os.WriteFile(d.noteOf(r)+".part", b, 0o600)
+		err = os.WriteFile(d.notePath(process)+".part", raw, 0o600)
 	}
 	if err == nil {
-		err = os.Rename(d.noteOf(r)+".part", d.noteOf(r))
+		err = os.Rename(d.notePath(process)+".part", d.notePath(process))
 	}
 	return err
 }
@@ -494,38 +496,38 @@
 // adopt takes over the processes that a daemon before this one has left, under the lock. One of two for an
 // instance is ended, and so is one that is none of the fleet's any more.
 func (d *Daemon) adopt() {
-	files, _ := filepath.Glob(filepath.Join(d.fleet.RunDir, "*.run"))
+	files, _ := filepath.Glob(filepath.Join(d.settings.RunDir, "*.run"))
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
-		r := &running{}
-		if err != nil || json.Unmarshal(raw, r) != nil || r.Pid <= 1 || born(r.Pid) != r.Born || r.Born == "" {
+		process := &processRecord{}
+		if err != nil || json.Unmarshal(raw, process) != nil || process.PID <= 1 || processStartTime(process.PID) != process.StartTime || process.StartTime == "" {
 			_ = os.Remove(file)
 			continue
 		}
-		p, has := d.by[r.Instance], false
-		for _, other := range d.runs {
-			has = has || other.Instance == r.Instance
+		slot, duplicate := d.slots[process.Instance], false
+		for _, other := range d.processes {
+			duplicate = duplicate || other.Instance == process.Instance
 		}
-		if p == nil || has {
-			_ = syscall.Kill(r.Pid, syscall.SIGTERM)
-			d.leaves(r)
+		if slot == nil || duplicate {
+			_ = syscall.Kill(process.PID, syscall.SIGTERM)
+			d.trackOrphan(process)
 			continue
 		}
-		r.number = d.keeper.Adopt(r.Instance)
-		d.runs[r.number] = r
-		d.began(r, true)
-		if r.Control == p.in.Operators[1] {
-			p.turn = 1
+		process.number = d.reconciler.Adopt(process.Instance)
+		d.processes[process.number] = process
+		d.recordStart(process, true)
+		if process.AdminAddress == slot.instance.AdminAddresses[1] {
+			slot.adminIndex = 1
 		}
-		if !bytes.Equal(r.Config, p.in.Config) { // the file has changed meanwhile
-			d.keeper.Want(d.names(), map[string]Change{r.Instance: More})
+		if !bytes.Equal(process.Config, slot.instance.Config) { // the file has changed meanwhile
+			d.reconciler.SetDesired(d.instanceNames(), map[string]ConfigChange{process.Instance: RestartNeeded})
 		}
-		d.log.Info().Str("instance", r.Instance).Int("pid", r.Pid).Msg("taken over")
+		d.log.Info().Str("instance", process.Instance).Int("pid", process.PID).Msg("taken over")
 	}
 }
 
-func (d *Daemon) names() (all []string) {
-	for _, in := range d.fleet.Instances {
+func (d *Daemon) instanceNames() (all []string) {
+	for _, in := range d.settings.Instances {
 		all = append(all, in.Name)
 	}
 	return all
--- a/internal/supervisor/keeper.go
+++ b/internal/supervisor/keeper.go
@@ -16,8 +16,8 @@
 	Starting               // its process runs and is not ready yet
 	Ready                  // it serves
 	Replacing              // it serves while another process gets ready to take its place
-	Leaving                // its process has been told to end, and what is wanted is none
-	Gone                   // there is none, and none is wanted
+	Stopping               // its process has been told to end, and what is wanted is none
+	Stopped                // there is none, and none is wanted
 )
 
 var stateNames = [...]string{"waiting", "starting", "ready", "replacing", "leaving", "gone"}
@@ -25,141 +25,141 @@
 func (s State) String() string { return stateNames[s] }
 
 // Pace is how processes are started and ended. Times in ms.
-type Pace struct {
-	First, Most float64 // the pause before a start that follows a failure, and what it doubles up to
-	Calm        float64 // an instance that has been up for so long has no failures any more
-	Within      float64 // in which a process has to be ready, or counts as failed
-	Grace       float64 // in which one has to end
-	Step        int     // instances that are replaced at once
+type Policy struct {
+	InitialBackoffMillis, MaxBackoffMillis float64 // the pause before a start that follows a failure, and what it doubles up to
+	BackoffResetMillis                     float64 // an instance that has been up for so long has no failures any more
+	ReadyTimeoutMillis                     float64 // in which a process has to be ready, or counts as failed
+	StopTimeoutMillis                      float64 // in which one has to end
+	MaxReplacing                           int     // instances that are replaced at once
 }
 
 // Kind is what a Decision asks of the host.
-type Kind uint8
+type ActionKind uint8
 
 // The kinds.
 const (
-	Start Kind = iota + 1 // a process for an instance; it gets a new number
-	Term                  // tell a process to end
-	Kill                  // end it
-	Renew                 // have it take up what is wanted as it runs
-	Wake                  // call Clock again at time At
-	Done                  // all have ended that were to
+	StartProcess     ActionKind = iota + 1 // a process for an instance; it gets a new number
+	TerminateProcess                       // tell a process to end
+	KillProcess                            // end it
+	ReloadProcess                          // have it take up what is wanted as it runs
+	WakeUp                                 // call Clock again at time At
+	AllStopped                             // all have ended that were to
 )
 
 // Decision is one thing for the host to do.
-type Decision struct {
-	Kind     Kind
-	Instance string
-	Process  int // Start: the number of the new one
-	At       float64
+type Action struct {
+	Kind          ActionKind
+	Instance      string
+	ProcessNumber int // Start: the number of the new one
+	AtMillis      float64
 }
 
 // process is one process of an instance.
-type process struct {
-	number  int
-	began   float64
-	ready   bool
-	told    float64 // when it was told to end; below nought it was not
-	killed  bool
-	version int     // of the wanted, when it was started or took it up
-	renewed float64 // when it was last told to take up what is wanted; below nought it was not
+type processState struct {
+	number            int
+	startedAt         float64
+	ready             bool
+	stopRequestedAt   float64 // when it was told to end; below nought it was not
+	killed            bool
+	generation        int     // of the wanted, when it was started or took it up
+	reloadRequestedAt float64 // when it was last told to take up what is wanted; below nought it was not
 }
 
 // Change tells how what is wanted of an instance has changed.
-type Change uint8
+type ConfigChange uint8
 
 // The changes.
 const (
-	Same    Change = iota
-	Members        // in who the others are alone: it can take that up as it runs
-	More           // in more: another process has to take its place
+	Unchanged         ConfigChange = iota
+	MembershipChanged              // in who the others are alone: it can take that up as it runs
+	RestartNeeded                  // in more: another process has to take its place
 )
 
 // instance is one gatekeeper of the fleet, through its processes.
-type instance struct {
-	name     string
-	wanted   bool
-	version  int  // what it is to run; grows with each change
-	renews   bool // what runs can take that up
-	now      *process
-	next     *process // gets ready to take the place of now
-	failures int
-	due      float64 // the earliest next start
-	restarts int
-	alone    bool // two processes can't be there at once
-	served   bool // it has had a process
+type instanceState struct {
+	name        string
+	desired     bool
+	generation  int  // what it is to run; grows with each change
+	reloadable  bool // what runs can take that up
+	current     *processState
+	successor   *processState // gets ready to take the place of now
+	failures    int
+	nextStartAt float64 // the earliest next start
+	restarts    int
+	exclusive   bool // two processes can't be there at once
+	hasServed   bool // it has had a process
 }
 
 // Keeper decides which processes run. It is told what happens, and pulled for decisions; the same seed
 // and inputs give the same ones.
-type Keeper struct {
-	pace     Pace
-	rng      *rand.Rand
-	at       float64
-	order    []*instance
-	by       map[string]*instance
-	numbers  int
-	stopping bool
-	done     bool
-	wake     float64
-	behind   bool // some wanted one runs what it should not any more
-	unwanted bool // some that is not wanted runs still
+type Reconciler struct {
+	policy              Policy
+	rng                 *rand.Rand
+	nowMillis           float64
+	instances           []*instanceState
+	byName              map[string]*instanceState
+	lastProcessNumber   int
+	stopping            bool
+	allStoppedReported  bool
+	wakeAt              float64
+	anyOutdated         bool // some wanted one runs what it should not any more
+	anyUndesiredRunning bool // some that is not wanted runs still
 }
 
 // NewKeeper makes a keeper of none.
-func NewKeeper(p Pace, seed int64) *Keeper {
-	return &Keeper{pace: p, rng: rand.New(rand.NewSource(seed)), by: map[string]*instance{}}
+func NewReconciler(policy Policy, seed int64) *Reconciler {
+	return &Reconciler{policy: policy, rng: rand.New(rand.NewSource(seed)), byName: map[string]*instanceState{}}
 }
 
 // Clock sets the time, ms, of what follows.
-func (k *Keeper) Clock(now float64) { k.at = math.Max(k.at, now) }
+func (k *Reconciler) SetTime(nowMillis float64) { k.nowMillis = math.Max(k.nowMillis, nowMillis) }
 
 // Want says which instances there are to be, and which of them have changed since they were last wanted.
-func (k *Keeper) Want(names []string, changed map[string]Change) {
-	for _, i := range k.order {
-		i.wanted = slices.Contains(names, i.name)
-		i.served = i.served && (i.wanted || i.now != nil)
+func (k *Reconciler) SetDesired(names []string, changed map[string]ConfigChange) {
+	for _, i := range k.instances {
+		i.desired = slices.Contains(names, i.name)
+		i.hasServed = i.hasServed && (i.desired || i.current != nil)
 	}
 	for _, name := range names {
-		i := k.by[name]
+		i := k.byName[name]
 		if i == nil {
-			i = &instance{name: name, wanted: true, due: k.at}
-			k.by[name] = i
-			k.order = append(k.order, i)
+			i = &instanceState{name: name, desired: true, nextStartAt: k.nowMillis}
+			k.byName[name] = i
+			k.instances = append(k.instances, i)
 		}
-		if c := changed[name]; c != Same {
-			current := i.now != nil && i.now.version == i.version
-			i.renews = c == Members && (current || i.renews)
-			i.version++
-			i.failures, i.due = 0, math.Min(i.due, k.at) // what failed before may not any more
+		if c := changed[name]; c != Unchanged {
+			current := i.current != nil && i.current.generation == i.generation
+			i.reloadable = c == MembershipChanged && (current || i.reloadable)
+			i.generation++
+			i.failures, i.nextStartAt = 0, math.Min(i.nextStartAt, k.nowMillis) // what failed before may not any more
 		}
 	}
 }
 
 // Adopt takes a process as it is, that runs for an instance already. The host does not hold what a second
 // process beside it would need: it has to end before another starts.
-func (k *Keeper) Adopt(name string) int {
-	k.numbers++
-	if i := k.by[name]; i != nil {
-		i.now = &process{number: k.numbers, began: k.at, told: -1, renewed: -1, version: i.version}
-		i.alone, i.served = true, true
+func (k *Reconciler) Adopt(name string) int {
+	k.lastProcessNumber++
+	if i := k.byName[name]; i != nil {
+		i.current = &processState{number: k.lastProcessNumber, startedAt: k.nowMillis, stopRequestedAt: -1, reloadRequestedAt: -1, generation: i.generation}
+		i.exclusive, i.hasServed = true, true
 	}
-	return k.numbers
+	return k.lastProcessNumber
 }
 
 // Pace changes the pace.
-func (k *Keeper) Pace(p Pace) { k.pace = p }
+func (k *Reconciler) SetPolicy(policy Policy) { k.policy = policy }
 
 // Stop says that all are to end.
-func (k *Keeper) Stop() { k.stopping = true }
+func (k *Reconciler) Stop() { k.stopping = true }
 
 // Ready tells that a process is ready to serve.
-func (k *Keeper) Ready(name string, number int) {
-	i := k.by[name]
+func (k *Reconciler) ProcessReady(name string, number int) {
+	i := k.byName[name]
 	if i == nil {
 		return
 	}
-	for _, p := range []*process{i.now, i.next} {
+	for _, p := range []*processState{i.current, i.successor} {
 		if p != nil && p.number == number {
 			p.ready = true
 		}
@@ -167,191 +167,191 @@
 }
 
 // Renewed tells that a process has taken up what is wanted.
-func (k *Keeper) Renewed(name string, number int) {
-	if i := k.by[name]; i != nil && i.now != nil && i.now.number == number && i.now.renewed >= 0 {
-		i.now.version, i.now.renewed, i.renews = i.version, -1, false
+func (k *Reconciler) ProcessReloaded(name string, number int) {
+	if i := k.byName[name]; i != nil && i.current != nil && i.current.number == number && i.current.reloadRequestedAt >= 0 {
+		i.current.generation, i.current.reloadRequestedAt, i.reloadable = i.generation, -1, false
 	}
 }
 
 // Ended tells that a process is no more.
-func (k *Keeper) Ended(name string, number int) {
-	i := k.by[name]
+func (k *Reconciler) ProcessEnded(name string, number int) {
+	i := k.byName[name]
 	if i == nil {
 		return
 	}
 	switch {
-	case i.next != nil && i.next.number == number:
-		if i.next.told < 0 || i.next.killed {
-			k.failed(i)
+	case i.successor != nil && i.successor.number == number:
+		if i.successor.stopRequestedAt < 0 || i.successor.killed {
+			k.recordFailure(i)
 		}
-		i.next = nil
-	case i.now != nil && i.now.number == number:
-		if i.now.told < 0 {
-			if k.at-i.now.began > k.pace.Calm {
+		i.successor = nil
+	case i.current != nil && i.current.number == number:
+		if i.current.stopRequestedAt < 0 {
+			if k.nowMillis-i.current.startedAt > k.policy.BackoffResetMillis {
 				i.failures = 0
 			}
-			k.failed(i)
+			k.recordFailure(i)
 			i.restarts++
 		}
-		i.now, i.next = i.next, nil // one that waited for its place has it now
-		i.served = i.served && i.wanted
+		i.current, i.successor = i.successor, nil // one that waited for its place has it now
+		i.hasServed = i.hasServed && i.desired
 	}
 }
 
 // failed books a failure: the next start waits, longer each time, and not for as long as others that fell
 // with it.
-func (k *Keeper) failed(i *instance) {
-	pause := math.Min(k.pace.First*math.Pow(2, float64(min(i.failures, 30))), k.pace.Most)
+func (k *Reconciler) recordFailure(i *instanceState) {
+	backoff := math.Min(k.policy.InitialBackoffMillis*math.Pow(2, float64(min(i.failures, 30))), k.policy.MaxBackoffMillis)
 	i.failures++
-	i.due = k.at + pause*(0.5+k.rng.Float64())
+	i.nextStartAt = k.nowMillis + backoff*(0.5+k.rng.Float64())
 }
 
 // Next gives the next decision, or none.
-func (k *Keeper) Next() (Decision, bool) {
-	k.wake = math.Inf(1)
-	busy := 0 // replaced at once
-	k.behind, k.unwanted = false, false
-	for _, i := range k.order {
-		k.behind = k.behind || i.wanted && i.now != nil && i.now.version != i.version
-		k.unwanted = k.unwanted || !i.wanted && i.now != nil
-		if i.next != nil || i.now != nil && i.now.told >= 0 {
-			busy++
+func (k *Reconciler) Next() (Action, bool) {
+	k.wakeAt = math.Inf(1)
+	replacing := 0 // replaced at once
+	k.anyOutdated, k.anyUndesiredRunning = false, false
+	for _, i := range k.instances {
+		k.anyOutdated = k.anyOutdated || i.desired && i.current != nil && i.current.generation != i.generation
+		k.anyUndesiredRunning = k.anyUndesiredRunning || !i.desired && i.current != nil
+		if i.successor != nil || i.current != nil && i.current.stopRequestedAt >= 0 {
+			replacing++
 		}
 	}
-	left := false
-	for _, i := range k.order {
-		if d, ok := k.decide(i, &busy); ok {
-			return d, true
+	anyRunning := false
+	for _, i := range k.instances {
+		if action, ok := k.nextForInstance(i, &replacing); ok {
+			return action, true
 		}
-		left = left || i.now != nil || i.next != nil
+		anyRunning = anyRunning || i.current != nil || i.successor != nil
 	}
-	if k.stopping && !left && !k.done {
-		k.done = true
-		return Decision{Kind: Done}, true
+	if k.stopping && !anyRunning && !k.allStoppedReported {
+		k.allStoppedReported = true
+		return Action{Kind: AllStopped}, true
 	}
-	if !math.IsInf(k.wake, 1) {
-		return Decision{Kind: Wake, At: k.wake}, true
+	if !math.IsInf(k.wakeAt, 1) {
+		return Action{Kind: WakeUp, AtMillis: k.wakeAt}, true
 	}
-	return Decision{}, false
+	return Action{}, false
 }
 
 // decide gives the next decision on one instance.
-func (k *Keeper) decide(i *instance, busy *int) (Decision, bool) {
-	for _, p := range []*process{i.next, i.now} {
-		if d, ok := k.overdue(i, p); ok {
-			return d, true
+func (k *Reconciler) nextForInstance(i *instanceState, replacing *int) (Action, bool) {
+	for _, p := range []*processState{i.successor, i.current} {
+		if action, ok := k.killIfOverdue(i, p); ok {
+			return action, true
 		}
 	}
-	if k.stopping || !i.wanted {
-		for _, p := range []*process{i.next, i.now} {
-			if p != nil && p.told < 0 {
-				return k.term(i, p), true
+	if k.stopping || !i.desired {
+		for _, p := range []*processState{i.successor, i.current} {
+			if p != nil && p.stopRequestedAt < 0 {
+				return k.terminate(i, p), true
 			}
 		}
-		return Decision{}, false
+		return Action{}, false
 	}
 	switch {
-	case i.now == nil && !i.served && k.behind: // its part is the others' until they reckon with it
-	case i.now == nil && k.at >= i.due:
-		i.now, i.alone, i.served = k.process(i), false, true
-		return Decision{Kind: Start, Instance: i.name, Process: i.now.number}, true
-	case i.now == nil:
-		k.look(i.due)
-	case i.next != nil && i.next.ready && i.now.told < 0: // its heir is ready: it leaves its place
-		return k.term(i, i.now), true
-	case i.now.ready && i.now.told < 0 && i.next == nil && i.now.version != i.version && i.renews:
+	case i.current == nil && !i.hasServed && k.anyOutdated: // its part is the others' until they reckon with it
+	case i.current == nil && k.nowMillis >= i.nextStartAt:
+		i.current, i.exclusive, i.hasServed = k.newProcess(i), false, true
+		return Action{Kind: StartProcess, Instance: i.name, ProcessNumber: i.current.number}, true
+	case i.current == nil:
+		k.wakeNoLaterThan(i.nextStartAt)
+	case i.successor != nil && i.successor.ready && i.current.stopRequestedAt < 0: // its heir is ready: it leaves its place
+		return k.terminate(i, i.current), true
+	case i.current.ready && i.current.stopRequestedAt < 0 && i.successor == nil && i.current.generation != i.generation && i.reloadable:
 		switch {
-		case k.unwanted: // their parts are not its yet
-		case i.now.renewed < 0:
-			i.now.renewed = k.at
-			return Decision{Kind: Renew, Instance: i.name, Process: i.now.number}, true
-		case k.at >= i.now.renewed+k.pace.Within: // it does not: another process takes its place after all
-			i.renews = false
-			return k.decide(i, busy)
+		case k.anyUndesiredRunning: // their parts are not its yet
+		case i.current.reloadRequestedAt < 0:
+			i.current.reloadRequestedAt = k.nowMillis
+			return Action{Kind: ReloadProcess, Instance: i.name, ProcessNumber: i.current.number}, true
+		case k.nowMillis >= i.current.reloadRequestedAt+k.policy.ReadyTimeoutMillis: // it does not: another process takes its place after all
+			i.reloadable = false
+			return k.nextForInstance(i, replacing)
 		default:
-			k.look(i.now.renewed + k.pace.Within)
+			k.wakeNoLaterThan(i.current.reloadRequestedAt + k.policy.ReadyTimeoutMillis)
 		}
-	case i.now.ready && i.now.told < 0 && i.next == nil && i.now.version != i.version:
-		if *busy >= max(k.pace.Step, 1) || k.unwanted { // and theirs are not its yet
+	case i.current.ready && i.current.stopRequestedAt < 0 && i.successor == nil && i.current.generation != i.generation:
+		if *replacing >= max(k.policy.MaxReplacing, 1) || k.anyUndesiredRunning { // and theirs are not its yet
 			break
 		}
-		if k.at < i.due {
-			k.look(i.due)
+		if k.nowMillis < i.nextStartAt {
+			k.wakeNoLaterThan(i.nextStartAt)
 			break
 		}
-		*busy++
-		if i.alone {
-			return k.term(i, i.now), true
+		*replacing++
+		if i.exclusive {
+			return k.terminate(i, i.current), true
 		}
-		i.next = k.process(i)
-		return Decision{Kind: Start, Instance: i.name, Process: i.next.number}, true
+		i.successor = k.newProcess(i)
+		return Action{Kind: StartProcess, Instance: i.name, ProcessNumber: i.successor.number}, true
 	}
-	return Decision{}, false
+	return Action{}, false
 }
 
 // overdue ends a process that was told to end and has not, or is not ready in time.
-func (k *Keeper) overdue(i *instance, p *process) (Decision, bool) {
+func (k *Reconciler) killIfOverdue(i *instanceState, p *processState) (Action, bool) {
 	if p == nil || p.killed {
-		return Decision{}, false
+		return Action{}, false
 	}
-	end := p.began + k.pace.Within
-	if p.told >= 0 {
-		end = p.told + k.pace.Grace
+	deadline := p.startedAt + k.policy.ReadyTimeoutMillis
+	if p.stopRequestedAt >= 0 {
+		deadline = p.stopRequestedAt + k.policy.StopTimeoutMillis
 	} else if p.ready {
-		return Decision{}, false
+		return Action{}, false
 	}
-	if k.at < end {
-		k.look(end)
-		return Decision{}, false
+	if k.nowMillis < deadline {
+		k.wakeNoLaterThan(deadline)
+		return Action{}, false
 	}
 	p.killed = true
-	return Decision{Kind: Kill, Instance: i.name, Process: p.number}, true
+	return Action{Kind: KillProcess, Instance: i.name, ProcessNumber: p.number}, true
 }
 
-func (k *Keeper) look(at float64) { k.wake = math.Min(k.wake, at) }
+func (k *Reconciler) wakeNoLaterThan(atMillis float64) { k.wakeAt = math.Min(k.wakeAt, atMillis) }
 
-func (k *Keeper) term(i *instance, p *process) Decision {
-	p.told = k.at
-	return Decision{Kind: Term, Instance: i.name, Process: p.number}
+func (k *Reconciler) terminate(i *instanceState, p *processState) Action {
+	p.stopRequestedAt = k.nowMillis
+	return Action{Kind: TerminateProcess, Instance: i.name, ProcessNumber: p.number}
 }
 
-func (k *Keeper) process(i *instance) *process {
-	k.numbers++
-	return &process{number: k.numbers, began: k.at, told: -1, renewed: -1, version: i.version}
+func (k *Reconciler) newProcess(i *instanceState) *processState {
+	k.lastProcessNumber++
+	return &processState{number: k.lastProcessNumber, startedAt: k.nowMillis, stopRequestedAt: -1, reloadRequestedAt: -1, generation: i.generation}
 }
 
 // Standing is how an instance stands, for operators.
-type Standing struct {
-	Name     string
-	State    State
-	Process  int // the one that serves
-	Failures int // in a row
-	Restarts int // after ends that nobody asked for
-	Version  int
-	Behind   bool // it does not run what is wanted yet
+type InstanceStatus struct {
+	Name          string
+	State         State
+	ProcessNumber int // the one that serves
+	Failures      int // in a row
+	Restarts      int // after ends that nobody asked for
+	Generation    int
+	Outdated      bool // it does not run what is wanted yet
 }
 
 // Standings gives how all stand, in their order.
-func (k *Keeper) Standings() []Standing {
-	var all []Standing
-	for _, i := range k.order {
-		s := Standing{Name: i.name, Failures: i.failures, Restarts: i.restarts, Version: i.version}
+func (k *Reconciler) Statuses() []InstanceStatus {
+	var all []InstanceStatus
+	for _, i := range k.instances {
+		s := InstanceStatus{Name: i.name, Failures: i.failures, Restarts: i.restarts, Generation: i.generation}
 		switch {
-		case i.now == nil && (!i.wanted || k.stopping):
-			s.State = Gone
-		case i.now == nil:
+		case i.current == nil && (!i.desired || k.stopping):
+			s.State = Stopped
+		case i.current == nil:
 			s.State = Waiting
-		case !i.wanted || k.stopping:
-			s.State = Leaving
-		case i.next != nil || i.now.told >= 0:
+		case !i.desired || k.stopping:
+			s.State = Stopping
+		case i.successor != nil || i.current.stopRequestedAt >= 0:
 			s.State = Replacing
-		case i.now.ready:
+		case i.current.ready:
 			s.State = Ready
 		default:
 			s.State = Starting
 		}
-		if i.now != nil {
-			s.Process, s.Behind = i.now.number, i.now.version != i.version
+		if i.current != nil {
+			s.ProcessNumber, s.Outdated = i.current.number, i.current.generation != i.generation
 		}
 		all = append(all, s)
 	}
--- a/internal/supervisor/keeper_test.go
+++ b/internal/supervisor/keeper_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-var pace = Pace{First: 100, Most: 1000, Calm: 5000, Within: 2000, Grace: 3000, Step: 2}
+var pace = Policy{InitialBackoffMillis: 100, MaxBackoffMillis: 1000, BackoffResetMillis: 5000, ReadyTimeoutMillis: 2000, StopTimeoutMillis: 3000, MaxReplacing: 2}
 
 // bench drives a keeper: processes come up after a while, and end a while after they are told to.
 type bench struct {
 	t      *testing.T
-	k      *Keeper
+	k      *Reconciler
 	now    float64
 	up     map[int]string  // processes that run
 	ready  map[int]float64 // when they will be
@@ -28,11 +28,11 @@
 }
 
 func newBench(t *testing.T, names ...string) *bench {
-	b := &bench{t: t, k: NewKeeper(pace, 1), up: map[int]string{}, ready: map[int]float64{},
+	b := &bench{t: t, k: NewReconciler(pace, 1), up: map[int]string{}, ready: map[int]float64{},
 		ends:   map[int]float64{},
 		starts: map[string]int{}, sick: map[string]bool{}, deaf: map[string]bool{},
 		parts: map[int]float64{}, renews: map[int]float64{}}
-	b.k.Want(names, nil)
+	b.k.SetDesired(names, nil)
 	return b
 }
 
@@ -40,28 +40,28 @@
 func (b *bench) run(ms float64) {
 	b.t.Helper()
 	for end := b.now + ms; b.now < end; b.now += 10 {
-		b.k.Clock(b.now)
-		for p := 1; p <= b.k.numbers; p++ {
+		b.k.SetTime(b.now)
+		for p := 1; p <= b.k.lastProcessNumber; p++ {
 			name, runs := b.up[p]
 			if at, due := b.ready[p]; runs && due && at <= b.now {
 				delete(b.ready, p)
-				b.k.Ready(name, p)
+				b.k.ProcessReady(name, p)
 			}
 			if at, due := b.renews[p]; runs && due && at <= b.now {
 				delete(b.renews, p)
 				b.parts[p] = b.wanted()
-				b.k.Renewed(name, p)
+				b.k.ProcessReloaded(name, p)
 			}
 			if at, due := b.ends[p]; runs && due && at <= b.now {
 				delete(b.up, p)
-				b.k.Ended(name, p)
+				b.k.ProcessEnded(name, p)
 			}
 		}
 		for range 1000 {
 			d, ok := b.k.Next()
-			if !ok || d.Kind == Wake {
-				if ok && d.At < b.now {
-					b.t.Fatalf("woken at %v, %v ms ago", d.At, b.now-d.At)
+			if !ok || d.Kind == WakeUp {
+				if ok && d.AtMillis < b.now {
+					b.t.Fatalf("woken at %v, %v ms ago", d.AtMillis, b.now-d.AtMillis)
 				}
 				break
 			}
@@ -70,14 +70,14 @@
 	}
 }
 
-func (b *bench) carry(d Decision) {
+func (b *bench) carry(d Action) {
 	switch d.Kind {
-	case Start:
+	case StartProcess:
 		b.starts[d.Instance]++
-		b.parts[d.Process] = b.wanted()
-		b.up[d.Process], b.ready[d.Process] = d.Instance, b.now+200
+		b.parts[d.ProcessNumber] = b.wanted()
+		b.up[d.ProcessNumber], b.ready[d.ProcessNumber] = d.Instance, b.now+200
 		if b.sick[d.Instance] {
-			b.ends[d.Process] = b.now + 20
+			b.ends[d.ProcessNumber] = b.now + 20
 		}
 		n := 0
 		for _, name := range b.up {
@@ -88,26 +88,26 @@
 		if n > 2 {
 			b.t.Fatalf("%d processes for %s", n, d.Instance)
 		}
-	case Term:
+	case TerminateProcess:
 		if !b.deaf[d.Instance] {
-			b.ends[d.Process] = b.now + 300
+			b.ends[d.ProcessNumber] = b.now + 300
 		}
-	case Renew:
+	case ReloadProcess:
 		if !b.deaf[d.Instance] {
-			b.renews[d.Process] = b.now + 60
+			b.renews[d.ProcessNumber] = b.now + 60
 		}
-	case Kill:
+	case KillProcess:
 		b.killed++
-		b.ends[d.Process] = b.now + 10
-	case Done:
+		b.ends[d.ProcessNumber] = b.now + 10
+	case AllStopped:
 		b.done = true
 	}
 }
 
 // wanted counts the instances that there are to be.
 func (b *bench) wanted() (n float64) {
-	for _, i := range b.k.order {
-		if i.wanted {
+	for _, i := range b.k.instances {
+		if i.desired {
 			n++
 		}
 	}
@@ -117,7 +117,7 @@
 func (b *bench) states() string { return fmt.Sprint(b.list()) }
 
 func (b *bench) list() (all []string) {
-	for _, s := range b.k.Standings() {
+	for _, s := range b.k.Statuses() {
 		all = append(all, s.State.String())
 	}
 	return all
@@ -165,13 +165,13 @@
 	}
 	b.run(10)
 	var due []float64
-	for _, i := range b.k.order {
+	for _, i := range b.k.instances {
 		if i.failures != 1 {
 			t.Errorf("%s: %d failures in a row after it was up", i.name, i.failures)
 		}
-		due = append(due, i.due)
+		due = append(due, i.nextStartAt)
 	}
-	if slices.Max(due)-slices.Min(due) < 0.3*pace.First {
+	if slices.Max(due)-slices.Min(due) < 0.3*pace.InitialBackoffMillis {
 		t.Errorf("all come back at %v", due)
 	}
 	b.run(1000)
@@ -185,30 +185,30 @@
 	names := []string{"n0", "n1", "n2", "n3", "n4"}
 	b := newBench(t, names...)
 	b.run(500)
-	all := map[string]Change{}
+	all := map[string]ConfigChange{}
 	for _, n := range names {
-		all[n] = More
+		all[n] = RestartNeeded
 	}
-	b.k.Want(names, all)
+	b.k.SetDesired(names, all)
 	for range 400 {
 		b.run(10)
 		replacing, serving := 0, 0
-		for _, s := range b.k.Standings() {
+		for _, s := range b.k.Statuses() {
 			if s.State == Replacing {
 				replacing++
 			}
 		}
-		for _, i := range b.k.order {
-			if i.now != nil && i.now.ready || i.next != nil && i.next.ready {
+		for _, i := range b.k.instances {
+			if i.current != nil && i.current.ready || i.successor != nil && i.successor.ready {
 				serving++
 			}
 		}
-		if replacing > pace.Step || serving != len(names) {
+		if replacing > pace.MaxReplacing || serving != len(names) {
 			t.Fatalf("%d are replaced at once, %d serve", replacing, serving)
 		}
 	}
-	for _, s := range b.k.Standings() {
-		if s.State != Ready || s.Behind || b.starts[s.Name] != 2 {
+	for _, s := range b.k.Statuses() {
+		if s.State != Ready || s.Outdated || b.starts[s.Name] != 2 {
 			t.Errorf("%+v after %d starts", s, b.starts[s.Name])
 		}
 	}
@@ -219,17 +219,17 @@
 func TestReloadMeets(t *testing.T) {
 	b := newBench(t, "n0", "n1")
 	b.run(500)
-	b.k.Want([]string{"n0", "n1"}, map[string]Change{"n0": More, "n1": More})
+	b.k.SetDesired([]string{"n0", "n1"}, map[string]ConfigChange{"n0": RestartNeeded, "n1": RestartNeeded})
 	b.run(100)
-	b.k.Want([]string{"n0", "n2"}, map[string]Change{"n0": More}) // again, one less, one more
+	b.k.SetDesired([]string{"n0", "n2"}, map[string]ConfigChange{"n0": RestartNeeded}) // again, one less, one more
 	b.run(4000)
-	if b.states() != "[ready gone ready]" || b.k.Standings()[0].Behind || b.starts["n0"] != 3 {
+	if b.states() != "[ready gone ready]" || b.k.Statuses()[0].Outdated || b.starts["n0"] != 3 {
 		t.Errorf("%s, n0 started %d times", b.states(), b.starts["n0"])
 	}
 	b.sick["n0"] = true
-	b.k.Want([]string{"n0", "n2"}, map[string]Change{"n0": More})
+	b.k.SetDesired([]string{"n0", "n2"}, map[string]ConfigChange{"n0": RestartNeeded})
 	b.run(5000)
-	if s := b.k.Standings()[0]; !s.Behind || b.k.by["n0"].now == nil || !b.k.by["n0"].now.ready ||
+	if s := b.k.Statuses()[0]; !s.Outdated || b.k.byName["n0"].current == nil || !b.k.byName["n0"].current.ready ||
 		s.Restarts > 0 {
 		t.Errorf("while its new process dies: %+v", s)
 	}
@@ -245,21 +245,21 @@
 // one has ended. Where they can take it up as they run, none is started for it, but one that does not.
 func TestPartsWhileTheNumberChanges(t *testing.T) {
 	names := []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6"}
-	for _, change := range []Change{More, Members} {
+	for _, change := range []ConfigChange{RestartNeeded, MembershipChanged} {
 		b := newBench(t, names[:3]...)
-		b.deaf["n1"] = change == Members
+		b.deaf["n1"] = change == MembershipChanged
 		for _, n := range []int{7, 2, 5, 5, 1, 7} {
 			b.run(500)
-			all := map[string]Change{}
+			all := map[string]ConfigChange{}
 			for _, name := range names[:n] {
 				all[name] = change
 			}
-			b.k.Want(names[:n], all)
+			b.k.SetDesired(names[:n], all)
 			for range 1200 {
 				b.run(10)
 				sum := 0.0
 				for p, name := range b.up {
-					if i := b.k.by[name]; i.now != nil && i.now.number == p {
+					if i := b.k.byName[name]; i.current != nil && i.current.number == p {
 						sum += 1 / b.parts[p]
 					}
 				}
@@ -268,8 +268,8 @@
 				}
 			}
 			serving := 0
-			for _, s := range b.k.Standings() {
-				if s.State == Ready && !s.Behind {
+			for _, s := range b.k.Statuses() {
+				if s.State == Ready && !s.Outdated {
 					serving++
 				}
 			}
@@ -277,7 +277,7 @@
 				t.Errorf("%d of %d serve: %s", serving, n, b.states())
 			}
 		}
-		if one := b.starts["n0"] == 1; one != (change == Members) || b.starts["n1"] < 3 {
+		if one := b.starts["n0"] == 1; one != (change == MembershipChanged) || b.starts["n1"] < 3 {
 			t.Errorf("change %d: %d and %d starts", change, b.starts["n0"], b.starts["n1"])
 		}
 	}
@@ -288,11 +288,11 @@
 	b := newBench(t, "n0", "n1")
 	p := b.k.Adopt("n1")
 	b.up[p], b.ready[p] = "n1", 50
-	b.k.Clock(0)
+	b.k.SetTime(0)
 	for range 3 {
-		if d, ok := b.k.Next(); ok && d.Kind == Start {
+		if d, ok := b.k.Next(); ok && d.Kind == StartProcess {
 			b.carry(d)
-			delete(b.ready, d.Process)
+			delete(b.ready, d.ProcessNumber)
 		}
 	}
 	b.run(2100)
@@ -317,20 +317,20 @@
 		for range 5 + rng.Intn(40) {
 			switch who := names[rng.Intn(len(names))]; rng.Intn(8) {
 			case 0, 1: // killed
-				for p := 1; p <= b.k.numbers; p++ {
+				for p := 1; p <= b.k.lastProcessNumber; p++ {
 					if b.up[p] == who {
 						b.ends[p] = b.now
 					}
 				}
 			case 2, 3: // other members, and all are told of it
 				wanted = slices.DeleteFunc(slices.Clone(names), func(string) bool { return rng.Intn(4) == 0 })
-				changed := map[string]Change{}
+				changed := map[string]ConfigChange{}
 				for _, n := range wanted {
-					changed[n] = Members
+					changed[n] = MembershipChanged
 				}
-				b.k.Want(wanted, changed)
+				b.k.SetDesired(wanted, changed)
 			case 4:
-				b.k.Want(wanted, map[string]Change{who: Change(rng.Intn(3))})
+				b.k.SetDesired(wanted, map[string]ConfigChange{who: ConfigChange(rng.Intn(3))})
 			case 5:
 				b.deaf[who] = !b.deaf[who]
 			case 6:
@@ -342,10 +342,10 @@
 		}
 		b.sick, b.deaf = map[string]bool{}, map[string]bool{}
 		b.run(40000)
-		for _, s := range b.k.Standings() {
-			if want := slices.Contains(wanted, s.Name); want != (s.State == Ready) || want && s.Behind {
-				t.Fatalf("seed %d: %s of %v is %v, behind %v, of %v", seed, s.Name, wanted, s.State, s.Behind,
-					b.k.Standings())
+		for _, s := range b.k.Statuses() {
+			if want := slices.Contains(wanted, s.Name); want != (s.State == Ready) || want && s.Outdated {
+				t.Fatalf("seed %d: %s of %v is %v, behind %v, of %v", seed, s.Name, wanted, s.State, s.Outdated,
+					b.k.Statuses())
 			}
 		}
 	}
@@ -353,17 +353,17 @@
 
 // adopted has another keeper take over what runs: one process each, the others are told to end.
 func (b *bench) adopted(wanted []string, rng *rand.Rand) {
-	was, from := b.up, b.k.numbers
-	b.k = NewKeeper(pace, rng.Int63())
-	b.k.Clock(b.now)
+	was, from := b.up, b.k.lastProcessNumber
+	b.k = NewReconciler(pace, rng.Int63())
+	b.k.SetTime(b.now)
 	b.up, b.ready, b.ends, b.renews = map[int]string{}, map[int]float64{}, map[int]float64{}, map[int]float64{}
-	b.k.Want(wanted, nil)
+	b.k.SetDesired(wanted, nil)
 	for p := 1; p <= from; p++ {
 		name := was[p]
 		if slices.Contains(wanted, name) && !slices.Contains(slices.Collect(maps.Values(b.up)), name) {
 			n := b.k.Adopt(name)
 			if b.up[n], b.ready[n] = name, b.now+100; rng.Intn(3) == 0 { // what is wanted has changed meanwhile
-				b.k.Want(wanted, map[string]Change{name: More})
+				b.k.SetDesired(wanted, map[string]ConfigChange{name: RestartNeeded})
 			}
 		}
 	}
--- a/internal/supervisor/outlook_test.go
+++ b/internal/supervisor/outlook_test.go
@@ -35,7 +35,7 @@
 	keepers []*faultinject.Process // number i stands in hall i % 3
 	targets []string
 	daemons []*Daemon
-	ports   []*Port
+	ports   []*ControlServer
 }
 
 const (
@@ -136,7 +136,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			x.t.Fatal(err)
 		}
-		f, err := Read(file)
+		f, err := LoadSettings(file)
 		if err != nil {
 			x.t.Fatal(err)
 		}
@@ -145,7 +145,7 @@
 			x.t.Fatal(err)
 		}
 		x.t.Cleanup(d.Stop)
-		p, err := d.Open()
+		p, err := d.ServeControl()
 		if err != nil {
 			x.t.Fatal(err)
 		}
@@ -170,7 +170,7 @@
 
 // ask gets a daemon's answer.
 func (x *trio) ask(daemon int, path string) string {
-	text, err := faultinject.Ask(x.ports[daemon].At, path)
+	text, err := faultinject.Ask(x.ports[daemon].Address, path)
 	if err != nil {
 		x.t.Fatal(err)
 	}
@@ -375,7 +375,7 @@
 	}
 	x := d.daemon()
 	defer x.Stop()
-	p, err := x.Open()
+	p, err := x.ServeControl()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -394,19 +394,19 @@
 	}
 	var o forecast.Outlook
 	faultinject.Until(t, 10*time.Second, "words of both instances with answers in them", func() bool {
-		text, err := faultinject.Ask(p.At, "/fleet/outlook")
+		text, err := faultinject.Ask(p.Address, "/fleet/outlook")
 		return err == nil && json.Unmarshal([]byte(text), &o) == nil && len(o.Rests) == 2 && o.Now.InTime > 20 &&
 			len(o.Losses) > 0
 	})
 	if s := o.Rests[0]; s.Name != "g-0" || s.Host != "g" || s.Hall != "z" || len(o.Unheard) != 0 {
 		t.Errorf("%+v, unheard %v", o.Rests, o.Unheard)
 	}
-	page, err := faultinject.Ask(p.At, "/fleet/outlook?form=text")
+	page, err := faultinject.Ask(p.Address, "/fleet/outlook?form=text")
 	if err != nil || !strings.Contains(page, "rests on 2 words") || !strings.Contains(page, "loss of hall: z") {
 		t.Errorf("%v: %s", err, page)
 	}
 	t.Log(page)
-	if stats, err := faultinject.Ask(p.At, "/fleet/stats"); err != nil ||
+	if stats, err := faultinject.Ask(p.Address, "/fleet/stats"); err != nil ||
 		!strings.Contains(stats, "fleet.outlook.words=2") {
 		t.Errorf("%v: %s", err, stats)
 	}
--- a/internal/supervisor/port.go
+++ b/internal/supervisor/port.go
@@ -12,22 +12,22 @@
 )
 
 // Port answers operators of the whole fleet.
-type Port struct {
-	At     string
-	server *http.Server
+type ControlServer struct {
+	Address string
+	server  *http.Server
 }
 
 // Open listens at the daemon's own operators' address until Close.
-func (d *Daemon) Open() (*Port, error) {
-	l, err := net.Listen("tcp", d.fleet.Control)
+func (d *Daemon) ServeControl() (*ControlServer, error) {
+	listener, err := net.Listen("tcp", d.settings.ControlAddress)
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /fleet/health", func(w http.ResponseWriter, _ *http.Request) {
-		for _, s := range d.Standings() {
-			if s.State != Ready && s.State != Replacing && s.State != Gone {
-				http.Error(w, s.Name+" is "+s.State.String(), http.StatusServiceUnavailable)
+		for _, status := range d.Statuses() {
+			if status.State != Ready && status.State != Replacing && status.State != Stopped {
+				http.Error(w, status.Name+" is "+status.State.String(), http.StatusServiceUnavailable)
 				return
 			}
 		}
@@ -35,62 +35,62 @@
 	})
 	mux.HandleFunc("GET /fleet/stats", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain")
-		fmt.Fprint(w, d.text())
+		fmt.Fprint(w, d.statsText())
 	})
-	if d.seat != nil {
-		mux.HandleFunc("GET "+lifecycle.LeasePath, d.lease)
-		mux.Handle("POST "+lifecycle.AskPath, relay.NewHandler(d.ask))
+	if d.rules != nil {
+		mux.HandleFunc("GET "+lifecycle.LeasePath, d.handleLease)
+		mux.Handle("POST "+lifecycle.AskPath, relay.NewHandler(d.answerUpdateRequest))
 	}
-	if d.seat != nil && d.seat.council != nil {
-		mux.HandleFunc("GET /fleet/council", d.sitting)
-		mux.HandleFunc("GET /fleet/rules", d.rulesText)
-		mux.HandleFunc("GET /relay/status", d.relays)
+	if d.rules != nil && d.rules.voter != nil {
+		mux.HandleFunc("GET /fleet/council", d.handleCouncilStatus)
+		mux.HandleFunc("GET /fleet/rules", d.handleRules)
+		mux.HandleFunc("GET /relay/status", d.handleRelayStatus)
 	}
-	if d.seat != nil && d.seat.branch != nil {
-		mux.HandleFunc("GET /fleet/relay", d.follows)
+	if d.rules != nil && d.rules.subscription != nil {
+		mux.HandleFunc("GET /fleet/relay", d.handleSubscriptionStatus)
 	}
-	if d.watcher != nil {
-		mux.HandleFunc("GET /fleet/words", d.watcher.words)
-		mux.HandleFunc("GET /fleet/outlook", d.watcher.outlook)
+	if d.forecasts != nil {
+		mux.HandleFunc("GET /fleet/words", d.forecasts.handleReports)
+		mux.HandleFunc("GET /fleet/outlook", d.forecasts.handleForecast)
 	}
-	p := &Port{At: l.Addr().String(), server: &http.Server{Handler: mux, ReadTimeout: time.Second,
+	server := &ControlServer{Address: listener.Addr().String(), server: &http.Server{Handler: mux, ReadTimeout: time.Second,
 		WriteTimeout: time.Second, MaxHeaderBytes: 4096}}
-	p.server.SetKeepAlivesEnabled(d.seat != nil) // instances ask five times in each lease
-	p.server.IdleTimeout = time.Minute
-	go func() { _ = p.server.Serve(l) }()
-	return p, nil
+	server.server.SetKeepAlivesEnabled(d.rules != nil) // instances ask five times in each lease
+	server.server.IdleTimeout = time.Minute
+	go func() { _ = server.server.Serve(listener) }()
+	return server, nil
 }
 
 // Close ends the port.
-func (p *Port) Close() { _ = p.server.Close() }
+func (p *ControlServer) Close() { _ = p.server.Close() }
 
 // Standings gives how all instances stand.
-func (d *Daemon) Standings() []Standing {
+func (d *Daemon) Statuses() []InstanceStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.keeper.Standings()
+	return d.reconciler.Statuses()
 }
 
 // text is the fleet's figures, a line each.
-func (d *Daemon) text() string {
+func (d *Daemon) statsText() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var b strings.Builder
-	counts := map[State]int{}
-	for _, s := range d.keeper.Standings() {
-		counts[s.State]++
+	countByState := map[State]int{}
+	for _, status := range d.reconciler.Statuses() {
+		countByState[status.State]++
 		fmt.Fprintf(&b, "fleet.%s.state=%s\nfleet.%s.restarts=%d\nfleet.%s.failures=%d\nfleet.%s.behind=%t\n",
-			s.Name,
-			s.State, s.Name, s.Restarts, s.Name, s.Failures, s.Name, s.Behind)
-		if r := d.runs[s.Process]; r != nil {
-			fmt.Fprintf(&b, "fleet.%s.pid=%d\nfleet.%s.control=%s\n", s.Name, r.Pid, s.Name, r.Control)
+			status.Name,
+			status.State, status.Name, status.Restarts, status.Name, status.Failures, status.Name, status.Outdated)
+		if process := d.processes[status.ProcessNumber]; process != nil {
+			fmt.Fprintf(&b, "fleet.%s.pid=%d\nfleet.%s.control=%s\n", status.Name, process.PID, status.Name, process.AdminAddress)
 		}
 	}
-	for s, name := range stateNames {
-		fmt.Fprintf(&b, "fleet.%s=%d\n", name, counts[State(s)])
+	for status, name := range stateNames {
+		fmt.Fprintf(&b, "fleet.%s=%d\n", name, countByState[State(status)])
 	}
-	if d.watcher != nil {
-		d.watcher.figures(&b)
+	if d.forecasts != nil {
+		d.forecasts.writeStats(&b)
 	}
 	return b.String()
 }
--- a/internal/supervisor/recall_test.go
+++ b/internal/supervisor/recall_test.go
@@ -40,9 +40,9 @@
 func (d *deployed) kill(x *Daemon, those func(i int) bool) (n int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for i, s := range x.keeper.Standings() {
-		if r := x.runs[s.Process]; r != nil && those(i) {
-			_ = syscall.Kill(r.Pid, syscall.SIGKILL)
+	for i, s := range x.reconciler.Statuses() {
+		if r := x.processes[s.ProcessNumber]; r != nil && those(i) {
+			_ = syscall.Kill(r.PID, syscall.SIGKILL)
 			n++
 		}
 	}
@@ -78,7 +78,7 @@
 	before := ask()
 	time.Sleep(500 * time.Millisecond) // some copies' time
 	d.kill(x, func(int) bool { return true })
-	for end := time.Now().Add(10 * time.Second); x.Standings()[0].Restarts == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(10 * time.Second); x.Statuses()[0].Restarts == 0 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	d.until(x, 1)
--- a/internal/supervisor/teller.go
+++ b/internal/supervisor/teller.go
@@ -14,48 +14,50 @@
 
 // teller tells instances what has changed of the rules since they last asked, from what this daemon may tell.
 // It is safe for concurrent use.
-type teller struct {
-	cluster string
-	mu      sync.Mutex
-	of      map[string]*telling
+type publisher struct {
+	cluster      string
+	mu           sync.Mutex
+	publications map[string]*publication
 }
 
 // telling is what instances are told: one for all of them, and one of its own for each that reaches others at
 // other addresses.
-type telling struct {
+type publication struct {
 	source         *distribution.Source
-	step, number   uint64
+	step, version  uint64
 	rules, pending *versioned.State
 }
 
-func newTeller(cluster string) *teller { return &teller{cluster: cluster, of: map[string]*telling{}} }
+func newPublisher(cluster string) *publisher {
+	return &publisher{cluster: cluster, publications: map[string]*publication{}}
+}
 
 // longestTold is for how many bytes of whole rules a second instances may be answered with: they are
 // processes of this host, as many at most as it keeps, and each asks for the whole once in its life.
-const longestTold = 64 << 20
+const fullStateBytesPerSecond = 64 << 20
 
 // view is what a lease says as a view; rules are made entries once.
-func (t *telling) view(l *ruleset.Lease, now float64) (v distribution.View, err error) {
-	if n := l.Version.Number; n != t.number || t.rules == nil {
-		if t.rules, err = ruleset.Entries(&l.Version); err != nil {
-			return v, err
+func (t *publication) viewOf(lease *ruleset.Lease, now float64) (view distribution.View, err error) {
+	if number := lease.Version.Number; number != t.version || t.rules == nil {
+		if t.rules, err = ruleset.Entries(&lease.Version); err != nil {
+			return view, err
 		}
-		t.number = n
+		t.version = number
 	}
-	if l.Step != t.step {
+	if lease.Step != t.step {
 		t.pending = nil
-		if l.Pending != nil {
-			if t.pending, err = ruleset.Entries(&ruleset.Version{Number: l.Version.Number + 1,
-				Rules: *l.Pending}); err != nil {
-				return v, err
+		if lease.Pending != nil {
+			if t.pending, err = ruleset.Entries(&ruleset.Version{Number: lease.Version.Number + 1,
+				Rules: *lease.Pending}); err != nil {
+				return view, err
 			}
 		}
-		t.step = l.Step
+		t.step = lease.Step
 	}
 	return distribution.View{
-		Step:    l.Step,
-		Settled: l.Settled,
-		Begun:   now - l.Age,
+		Step:    lease.Step,
+		Settled: lease.Settled,
+		Begun:   now - lease.Age,
 		Rules:   t.rules,
 		Pending: t.pending,
 		Index:   -1,
@@ -63,66 +65,66 @@
 }
 
 // answer answers an instance; own: it is told what no other is.
-func (t *teller) answer(
-	a *distribution.Ask,
-	own bool,
+func (t *publisher) answer(
+	request *distribution.Ask,
+	overridden bool,
 	now float64,
-	view func(*telling) (distribution.View, error),
+	view func(*publication) (distribution.View, error),
 ) (
 	*distribution.Answer, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	name := ""
-	if own {
-		name = a.From
+	if overridden {
+		name = request.From
 	}
-	x := t.of[name]
-	if x == nil {
-		x = &telling{
-			source: distribution.NewSource(t.cluster, t.cluster, distribution.Bounds{WholeRate: longestTold,
-				WholeBurst: longestTold, Life: rand.Uint64()}),
+	pub := t.publications[name]
+	if pub == nil {
+		pub = &publication{
+			source: distribution.NewSource(t.cluster, t.cluster, distribution.Bounds{WholeRate: fullStateBytesPerSecond,
+				WholeBurst: fullStateBytesPerSecond, Life: rand.Uint64()}),
 		}
-		t.of[name] = x
+		t.publications[name] = pub
 	}
-	v, err := view(x)
+	current, err := view(pub)
 	if err != nil {
 		return nil, err
 	}
-	x.source.Offer(v)
-	return x.source.Answer(a, now)
+	pub.source.Offer(current)
+	return pub.source.Answer(request, now)
 }
 
 // ask answers an instance with what has changed of the rules, and how long ago they were in force. It waits
 // for nothing, as asked does.
-func (d *Daemon) ask(a *distribution.Ask) (*distribution.Answer, error) {
-	if who, runs := d.pids.Load(a.Process); !runs || who != a.From {
+func (d *Daemon) answerUpdateRequest(request *distribution.Ask) (*distribution.Answer, error) {
+	if owner, known := d.instanceByPID.Load(request.Process); !known || owner != request.From {
 		return nil, &relay.Refusal{Reason: "stranger",
-			Says: fmt.Sprintf("%d is no process of %q that this daemon keeps", a.Process, a.From)}
+			Says: fmt.Sprintf("%d is no process of %q that this daemon keeps", request.Process, request.From)}
 	}
 	now := raftlog.Clock() // no later than the one by which the lease's age is counted
-	l, ok := d.seat.Asked(a.Process, a.From, a.Holds, a.Index)
+	lease, ok := d.rules.Asked(request.Process, request.From, request.Holds, request.Index)
 	if !ok {
 		return nil, &relay.Refusal{Reason: "unconfirmed", Says: notConfirmed}
 	}
-	a.Cluster, a.Seen = d.seat.teller.cluster, nil // it knows of no cluster, and speaks of itself alone
-	own := d.rewrites(a.From)
-	told, err := d.seat.teller.answer(a, own, now, func(t *telling) (distribution.View, error) {
-		if d.seat.branch != nil && !own { // as it came, whether this program knows all of it or not
-			return d.seat.branch.given(), nil
+	request.Cluster, request.Seen = d.rules.publisher.cluster, nil // it knows of no cluster, and speaks of itself alone
+	overridden := d.hasAddressOverrides(request.From)
+	published, err := d.rules.publisher.answer(request, overridden, now, func(publication *publication) (distribution.View, error) {
+		if d.rules.subscription != nil && !overridden { // as it came, whether this program knows all of it or not
+			return d.rules.subscription.currentView(), nil
 		}
-		if own {
-			l.Version.Rules = d.rewritten(a.From, &l.Version.Rules)
-			if l.Pending != nil {
-				p := d.rewritten(a.From, l.Pending)
-				l.Pending = &p
+		if overridden {
+			lease.Version.Rules = d.withAddressOverrides(request.From, &lease.Version.Rules)
+			if lease.Pending != nil {
+				pending := d.withAddressOverrides(request.From, lease.Pending)
+				lease.Pending = &pending
 			}
 		}
-		return t.view(&l, now)
+		return publication.viewOf(&lease, now)
 	})
 	if err != nil {
 		return nil, err
 	}
-	answer := *told
-	answer.Index = d.seat.Highest()
+	answer := *published
+	answer.Index = d.rules.Highest()
 	return &answer, nil
 }
--- a/internal/supervisor/watcher_test.go
+++ b/internal/supervisor/watcher_test.go
@@ -69,25 +69,25 @@
 				return
 			}
 			all := c.answer.([]json.RawMessage)
-			_ = json.NewEncoder(out).Encode(told{wordsForm, "there", all, make([]float64, len(all))})
+			_ = json.NewEncoder(out).Encode(reportExchange{reportsFormat, "there", all, make([]float64, len(all))})
 		}))
 		var log bytes.Buffer
-		d := &Daemon{log: zerolog.New(&log), fleet: &Fleet{Name: "here", Hall: "west", Looks: usualLooks()}}
-		w := d.watches()
-		w.round(Looks{OldMS: 10000, Neighbours: []string{s.Listener.Addr().String()}}, nil)
+		d := &Daemon{log: zerolog.New(&log), settings: &Settings{Name: "here", Region: "west", Forecast: defaultForecastSettings()}}
+		w := d.newForecastCollector()
+		w.collect(ForecastSettings{MaxReportAgeMillis: 10000, Neighbours: []string{s.Listener.Addr().String()}}, nil)
 		s.Close()
-		w.stop()
+		w.cancel()
 		var stats strings.Builder
-		w.figures(&stats)
-		if c.why != "" && (w.refused[c.why] != 1 || !strings.Contains(log.String(), c.says) ||
+		w.writeStats(&stats)
+		if c.why != "" && (w.rejected[c.why] != 1 || !strings.Contains(log.String(), c.says) ||
 			!strings.Contains(stats.String(), "refused."+c.why+"=1")) {
-			t.Errorf("%s: counted %v, log %s", c.why, w.refused, log.String())
+			t.Errorf("%s: counted %v, log %s", c.why, w.rejected, log.String())
 		}
-		if c.why == "" && len(w.refused) != 0 {
-			t.Errorf("counted %v: %s", w.refused, log.String())
+		if c.why == "" && len(w.rejected) != 0 {
+			t.Errorf("counted %v: %s", w.rejected, log.String())
 		}
-		if len(w.all) != c.words {
-			t.Errorf("%s, %s: %d words are kept, not %d", c.why, c.says, len(w.all), c.words)
+		if len(w.reports) != c.words {
+			t.Errorf("%s, %s: %d words are kept, not %d", c.why, c.says, len(w.reports), c.words)
 		}
 	}
 }
@@ -97,27 +97,27 @@
 func TestOwnWords(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/fleet/words" {
-			_ = json.NewEncoder(out).Encode(told{wordsForm, "there", []json.RawMessage{told1(2, nil)}, []float64{40}})
+			_ = json.NewEncoder(out).Encode(reportExchange{reportsFormat, "there", []json.RawMessage{told1(2, nil)}, []float64{40}})
 			return
 		}
 		_, _ = out.Write(told1(0, func(w *forecast.Word) { w.Host = "here" }))
 	}))
 	defer s.Close()
 	at := s.Listener.Addr().String()
-	d := &Daemon{log: zerolog.Nop(), fleet: &Fleet{Name: "here", Hall: "west", Looks: usualLooks()}}
-	w := d.watches()
-	defer w.stop()
-	looks := Looks{OldMS: 10000, Neighbours: []string{at}}
-	w.round(looks, map[string]string{at: "g1", "127.0.0.1:1": "g7"})
-	if w.refused["stranger"] != 1 || w.silent != 1 || len(w.all) != 1 {
-		t.Errorf("refused %v, %d silent, %d words", w.refused, w.silent, len(w.all))
+	d := &Daemon{log: zerolog.Nop(), settings: &Settings{Name: "here", Region: "west", Forecast: defaultForecastSettings()}}
+	w := d.newForecastCollector()
+	defer w.cancel()
+	looks := ForecastSettings{MaxReportAgeMillis: 10000, Neighbours: []string{at}}
+	w.collect(looks, map[string]string{at: "g1", "127.0.0.1:1": "g7"})
+	if w.rejected["stranger"] != 1 || w.unreachable != 1 || len(w.reports) != 1 {
+		t.Errorf("refused %v, %d silent, %d words", w.rejected, w.unreachable, len(w.reports))
 	}
-	w.round(looks, map[string]string{at: "g0"})
+	w.collect(looks, map[string]string{at: "g0"})
 	out := httptest.NewRecorder()
-	w.words(out, nil)
-	var back told
-	if err := json.Unmarshal(out.Body.Bytes(), &back); err != nil || len(back.Words) != 1 ||
-		back.Host != "here" || len(w.all) != 2 || !strings.Contains(string(back.Words[0]), `"g0"`) {
+	w.handleReports(out, nil)
+	var back reportExchange
+	if err := json.Unmarshal(out.Body.Bytes(), &back); err != nil || len(back.Reports) != 1 ||
+		back.Host != "here" || len(w.reports) != 2 || !strings.Contains(string(back.Reports[0]), `"g0"`) {
 		t.Errorf("%v: %+v", err, back)
 	}
 }
@@ -148,11 +148,11 @@
 		if err := os.WriteFile(file, []byte(whole), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Read(file); err == nil || !strings.Contains(err.Error(), says) {
+		if _, err := LoadSettings(file); err == nil || !strings.Contains(err.Error(), says) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	if _, err := Read("../../deploy/outlook.toml"); err != nil {
+	if _, err := LoadSettings("../../deploy/outlook.toml"); err != nil {
 		t.Error(err)
 	}
 }
