--- a/internal/supervisor/branch.go
+++ b/internal/supervisor/branch.go
@@ -81,83 +81,83 @@
 // follows has it ask these from now on. What was heard goes on until its time. It is to be called first when
 // all processes have been booked that a daemon before this one has left: what their daemon has seen is told
 // up the chain as soon as it is known here, and can't be taken back.
-func (b *subscription) setUpstreams(upstreams []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if slices.Equal(upstreams, b.upstreams) {
+func (s *subscription) setUpstreams(upstreams []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if slices.Equal(upstreams, s.upstreams) {
 		return
 	}
-	follower := distribution.NewFollower(distribution.Config{Name: b.hostName, Cluster: b.cluster, Upstream: len(upstreams),
-		Lease: initialLeaseMillis, Interest: ruleset.Interest{Host: b.hostName, Around: distribution.Around}, Seed: rand.Int63()},
+	follower := distribution.NewFollower(distribution.Config{Name: s.hostName, Cluster: s.cluster, Upstream: len(upstreams),
+		Lease: initialLeaseMillis, Interest: ruleset.Interest{Host: s.hostName, Around: distribution.Around}, Seed: rand.Int63()},
 		raftlog.Clock())
-	if b.feed == nil {
-		b.replica.Base(follower)
+	if s.feed == nil {
+		s.replica.Base(follower)
 	} else {
-		follower.Base(b.view.Rules, b.view.Pending)
-		b.stopFeed()
+		follower.Base(s.view.Rules, s.view.Pending)
+		s.stopFeed()
 	}
 	client := relay.NewClient(upstreams, relay.AskPath)
-	b.upstreams, b.follower, b.reportedStep = slices.Clone(upstreams), follower, 0
-	feed := relay.NewFeed(follower, client, b.onUpdate)
-	b.feed = feed
+	s.upstreams, s.follower, s.reportedStep = slices.Clone(upstreams), follower, 0
+	feed := relay.NewFeed(follower, client, s.onUpdate)
+	s.feed = feed
 	var ctx context.Context
-	ctx, b.stopFeed = context.WithCancel(b.ctx)
-	b.goroutines.Add(1)
+	ctx, s.stopFeed = context.WithCancel(s.ctx)
+	s.goroutines.Add(1)
 	go func() {
-		defer b.goroutines.Done()
+		defer s.goroutines.Done()
 		feed.Run(ctx)
 		client.Close()
 	}()
 }
 
 // news takes what the follower has come to know.
-func (b *subscription) onUpdate() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.applyView()
+func (s *subscription) onUpdate() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.applyView()
 }
 
 // take goes over to what the follower knows, if that is later, and says up the chain what there is to say;
 // under the lock.
-func (b *subscription) applyView() {
-	if b.feed == nil {
+func (s *subscription) applyView() {
+	if s.feed == nil {
 		return
 	}
-	view, ok := b.feed.View()
+	view, ok := s.feed.View()
 	digests := [2]versioned.Mark{view.Rules.Mark(), view.Pending.Mark()}
-	if !ok || view.Step < b.view.Step || view.Step == b.view.Step && view.Begun < b.view.Begun || digests == b.rejected {
+	if !ok || view.Step < s.view.Step || view.Step == s.view.Step && view.Begun < s.view.Begun || digests == s.rejected {
 		return
 	}
-	rules, pending := b.view.Rules.Mark(), b.view.Pending.Mark()
+	rules, pending := s.view.Rules.Mark(), s.view.Pending.Mark()
 	if view.Rules.Mark() != rules || view.Pending.Mark() != pending {
 		lease, err := leaseFromView(&view)
 		if err != nil {
-			b.rejected = digests
-			b.log.Error().Err(err).Msg("rules that make no sense: those before go on until their time")
+			s.rejected = digests
+			s.log.Error().Err(err).Msg("rules that make no sense: those before go on until their time")
 			return
 		}
 		if lease.Foreign != "" {
-			b.log.Error().Str("needs", lease.Foreign).
+			s.log.Error().Str("needs", lease.Foreign).
 				Msg("rules in force that this program does not know: instances stay as they are")
 		}
-		b.lease = lease
-		b.replica.Keep(view)
+		s.lease = lease
+		s.replica.Keep(view)
 	}
-	b.view, b.lease.Step, b.lease.Settled = view, view.Step, view.Settled
+	s.view, s.lease.Step, s.lease.Settled = view, view.Step, view.Settled
 	if view.Rules.Mark() != rules {
-		if b.history != nil {
-			b.history.Write(history.Event{Kind: history.Gives, Version: view.Rules.Mark().Number,
+		if s.history != nil {
+			s.history.Write(history.Event{Kind: history.Gives, Version: view.Rules.Mark().Number,
 				Age: raftlog.Clock() - view.Begun})
 		}
-		if b.lease.Foreign == "" {
-			b.inForce = b.lease.Version
+		if s.lease.Foreign == "" {
+			s.inForce = s.lease.Version
 			select {
-			case b.changed <- struct{}{}:
+			case s.changed <- struct{}{}:
 			default:
 			}
 		}
 	}
-	b.reportSeen()
+	s.reportSeen()
 }
 
 // leaseOf reads what a view says. Rules that this program does not know whole are left empty, and named.
@@ -181,93 +181,93 @@
 }
 
 // say has the follower tell what all processes of this host go by, where that is news; under the lock.
-func (b *subscription) reportSeen() {
-	seenStep, highestIndex := b.grantor.Seen(b.view.Step), int64(-1)
-	for _, request := range b.requesters {
+func (s *subscription) reportSeen() {
+	seenStep, highestIndex := s.grantor.Seen(s.view.Step), int64(-1)
+	for _, request := range s.requesters {
 		highestIndex = max(highestIndex, request.discoveryIndex)
 	}
-	if b.feed == nil || seenStep <= b.reportedStep && highestIndex == b.reportedIndex {
+	if s.feed == nil || seenStep <= s.reportedStep && highestIndex == s.reportedIndex {
 		return
 	}
-	newStep := seenStep > b.reportedStep
-	b.reportedStep, b.reportedIndex = max(seenStep, b.reportedStep), highestIndex
-	b.feed.With(func(f *distribution.Follower) {
+	newStep := seenStep > s.reportedStep
+	s.reportedStep, s.reportedIndex = max(seenStep, s.reportedStep), highestIndex
+	s.feed.With(func(f *distribution.Follower) {
 		if f.Index(highestIndex); newStep {
-			f.Tell([]distribution.HostStep{{Host: b.hostName, Step: seenStep}})
+			f.Tell([]distribution.HostStep{{Host: s.hostName, Step: seenStep}})
 		}
 	})
 }
 
 // Changed tells that another version than before is in force.
-func (b *subscription) Changed() <-chan struct{} { return b.changed }
+func (s *subscription) Changed() <-chan struct{} { return s.changed }
 
 // InForce gives the version in force as far as it is known here: the part that this host needs.
-func (b *subscription) InForce() ruleset.Version {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.inForce
+func (s *subscription) InForce() ruleset.Version {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.inForce
 }
 
 // Began tells of a process of this host's gatekeepers; before: it ran before this daemon did.
-func (b *subscription) Began(pid int, adopted bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.grantor.Began(pid, adopted)
+func (s *subscription) Began(pid int, adopted bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.grantor.Began(pid, adopted)
 }
 
 // Ended tells that a process is no more.
-func (b *subscription) Ended(pid int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.grantor.Ended(pid)
-	if request, known := b.requesters[pid]; known {
-		b.discoveryLag.Left(request.name)
-		delete(b.requesters, pid)
+func (s *subscription) Ended(pid int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.grantor.Ended(pid)
+	if request, known := s.requesters[pid]; known {
+		s.discoveryLag.Left(request.name)
+		delete(s.requesters, pid)
 	}
-	b.reportSeen()
+	s.reportSeen()
 }
 
 // Asked answers a process of a gatekeeper, as raftlog.Seat's does.
-func (b *subscription) Asked(pid int, name string, heldStep uint64, discoveryIndex int64) (ruleset.Lease, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (s *subscription) Asked(pid int, name string, heldStep uint64, discoveryIndex int64) (ruleset.Lease, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := raftlog.Clock()
-	if !b.grantor.Asked(pid, heldStep) {
+	if !s.grantor.Asked(pid, heldStep) {
 		return ruleset.Lease{}, false
 	}
-	b.requesters[pid] = requester{name, heldStep, discoveryIndex, time.Now()}
+	s.requesters[pid] = requester{name, heldStep, discoveryIndex, time.Now()}
 	if discoveryIndex >= 0 {
-		b.discoveryLag.Told(name, discoveryIndex, now)
+		s.discoveryLag.Told(name, discoveryIndex, now)
 	}
-	b.applyView()
-	b.reportSeen()
-	lease := b.lease
-	lease.Age = raftlog.Clock() - b.view.Begun
-	if b.view.Step == 0 || !(lease.Age < ruleset.LeaseOf(b.view.Rules)) {
+	s.applyView()
+	s.reportSeen()
+	lease := s.lease
+	lease.Age = raftlog.Clock() - s.view.Begun
+	if s.view.Step == 0 || !(lease.Age < ruleset.LeaseOf(s.view.Rules)) {
 		return ruleset.Lease{}, false
 	}
-	b.grantor.Given(pid)
+	s.grantor.Given(pid)
 	return lease, true
 }
 
 // given is the view as it was last taken: of the step that a process was just booked to be given, or later.
-func (b *subscription) currentView() distribution.View {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.view
+func (s *subscription) currentView() distribution.View {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.view
 }
 
 // Highest gives the highest index of discovery's list that any process has told, here or elsewhere.
-func (b *subscription) Highest() int64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return max(b.reportedIndex, b.view.Index, 0)
+func (s *subscription) Highest() int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return max(s.reportedIndex, s.view.Index, 0)
 }
 
 // Close ends it.
-func (b *subscription) Close() {
-	b.cancel()
-	b.goroutines.Wait()
+func (s *subscription) Close() {
+	s.cancel()
+	s.goroutines.Wait()
 }
 
 // Following is how a daemon below relays stands, for operators.
@@ -300,48 +300,48 @@
 }
 
 // stands tells how it stands.
-func (b *subscription) status() SubscriptionStatus {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	status := SubscriptionStatus{Cluster: b.cluster, HostName: b.hostName, Upstreams: b.upstreams, Depth: b.view.Depth, ConfirmedAgoMillis: -1,
-		Step: b.view.Step, Settled: b.view.Settled, UnknownRules: b.lease.Foreign, SeenStep: b.reportedStep,
+func (s *subscription) status() SubscriptionStatus {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	report := SubscriptionStatus{Cluster: s.cluster, HostName: s.hostName, Upstreams: s.upstreams, Depth: s.view.Depth, ConfirmedAgoMillis: -1,
+		Step: s.view.Step, Settled: s.view.Settled, UnknownRules: s.lease.Foreign, SeenStep: s.reportedStep,
 		OutdatedInstances: map[string]uint64{}, DisconnectedInstances: map[string]float64{}}
-	if b.feed == nil {
-		return status
+	if s.feed == nil {
+		return report
 	}
-	b.feed.With(func(f *distribution.Follower) {
-		status.CurrentUpstream, status.Counts = b.upstreams[f.Current()], f.Counts()
+	s.feed.With(func(f *distribution.Follower) {
+		report.CurrentUpstream, report.Counts = s.upstreams[f.Current()], f.Counts()
 	})
-	status.Replica.Written, status.Replica.Failed, status.Replica.SetAside = b.replica.Counts()
+	report.Replica.Written, report.Replica.Failed, report.Replica.SetAside = s.replica.Counts()
 	leaseMillis := initialLeaseMillis
-	if b.view.Step > 0 {
-		status.Version, status.Digest = b.view.Rules.Mark().Number, b.view.Rules.Mark().String()
-		status.PendingVersion = b.view.Pending.Mark().Number
-		status.ConfirmedAgoMillis, leaseMillis = raftlog.Clock()-b.view.Begun, ruleset.LeaseOf(b.view.Rules)
+	if s.view.Step > 0 {
+		report.Version, report.Digest = s.view.Rules.Mark().Number, s.view.Rules.Mark().String()
+		report.PendingVersion = s.view.Pending.Mark().Number
+		report.ConfirmedAgoMillis, leaseMillis = raftlog.Clock()-s.view.Begun, ruleset.LeaseOf(s.view.Rules)
 	}
-	status.Members = len(b.lease.Version.Rules.Members)
-	for _, member := range b.lease.Version.Rules.Members {
+	report.Members = len(s.lease.Version.Rules.Members)
+	for _, member := range s.lease.Version.Rules.Members {
 		if member.Name != "" {
-			status.KnownMembers++
+			report.KnownMembers++
 		}
 	}
-	for _, request := range b.requesters {
-		if request.heldStep < b.view.Step {
-			status.OutdatedInstances[request.name] = request.heldStep
+	for _, request := range s.requesters {
+		if request.heldStep < s.view.Step {
+			report.OutdatedInstances[request.name] = request.heldStep
 		}
 		ageMillis := float64(time.Since(request.requestedAt)) / float64(time.Millisecond)
-		if ageMillis > leaseMillis || status.ConfirmedAgoMillis < 0 || status.ConfirmedAgoMillis > leaseMillis {
-			status.DisconnectedInstances[request.name] = ageMillis
+		if ageMillis > leaseMillis || report.ConfirmedAgoMillis < 0 || report.ConfirmedAgoMillis > leaseMillis {
+			report.DisconnectedInstances[request.name] = ageMillis
 		}
 	}
-	status.DiscoveryLags = b.discoveryLag.Late(raftlog.Clock(), discoveryLagMillis)
-	return status
+	report.DiscoveryLags = s.discoveryLag.Late(raftlog.Clock(), discoveryLagMillis)
+	return report
 }
 
 // follows answers operators.
 func (d *Daemon) handleSubscriptionStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	e := json.NewEncoder(w)
-	e.SetIndent("", " ")
-	_ = e.Encode(d.rules.subscription.status())
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", " ")
+	_ = encoder.Encode(d.rules.subscription.status())
 }
--- a/internal/supervisor/branch_test.go
+++ b/internal/supervisor/branch_test.go
@@ -30,36 +30,36 @@
 
 // tree is a council of one daemon, two relays below it, and below these two hosts without a seat, with two
 // instances and with one: all of them real processes.
-type tree struct {
-	*trial
-	top    *host
-	relays []*faultinject.Process
-	at     []string // where the relays answer
-	low    []*host
+type relayTree struct {
+	*clusterTrial
+	councilHost    *testHost
+	relays         []*faultinject.Process
+	relayAddresses []string // where the relays answer
+	leafHosts      []*testHost
 }
 
-func grow(t *testing.T, change func(*ruleset.Rules)) *tree {
+func newRelayTree(t *testing.T, change func(*ruleset.Rules)) *relayTree {
 	t.Helper()
-	x := &tree{trial: ready(t, 1, 3, change)}
-	x.top = x.hosts[0]
+	tree := &relayTree{clusterTrial: newTrial(t, 1, 3, change)}
+	tree.councilHost = tree.hosts[0]
 	hosts := []string{"l0", "l0", "l1"}
 	for i, name := range hosts {
-		if len(x.low) == 0 || x.low[len(x.low)-1].name != name {
-			ip := fmt.Sprintf("127.0.0.%d", 10+len(x.low))
-			x.low = append(x.low, &host{a: x.assembly, name: name, ip: ip, dir: filepath.Join(x.dir, name),
-				control: fmt.Sprintf("%s:%d", ip, x.first)})
+		if len(tree.leafHosts) == 0 || tree.leafHosts[len(tree.leafHosts)-1].name != name {
+			ip := fmt.Sprintf("127.0.0.%d", 10+len(tree.leafHosts))
+			tree.leafHosts = append(tree.leafHosts, &testHost{cluster: tree.testCluster, name: name, ip: ip, dir: filepath.Join(tree.dir, name),
+				controlAddress: fmt.Sprintf("%s:%d", ip, tree.basePort)})
 		}
-		x.rules.Members[i] = x.member(x.low[len(x.low)-1], i)
+		tree.rules.Members[i] = tree.newMember(tree.leafHosts[len(tree.leafHosts)-1], i)
 	}
-	x.top.write(x.rules)
-	serve := fmt.Sprintf("%s:%d", x.top.ip, x.first+2)
-	x.change(x.top, "found = true", fmt.Sprintf("found = true\nserve = %q", serve))
+	tree.councilHost.writeRules(tree.rules)
+	serve := fmt.Sprintf("%s:%d", tree.councilHost.ip, tree.basePort+2)
+	tree.editFleetFile(tree.councilHost, "found = true", fmt.Sprintf("found = true\nserve = %q", serve))
 	for i := range 2 {
 		name, ip := fmt.Sprintf("r%d", i), fmt.Sprintf("127.0.0.%d", 20+i)
-		x.at = append(x.at, fmt.Sprintf("%s:%d", ip, x.first))
-		dir := filepath.Join(x.dir, name)
+		tree.relayAddresses = append(tree.relayAddresses, fmt.Sprintf("%s:%d", ip, tree.basePort))
+		dir := filepath.Join(tree.dir, name)
 		text := fmt.Sprintf("name = %q\ncluster = \"till\"\nlisten = %q\ncontrol = \"%s:%d\"\nupstream = [%q]\n"+
-			"store = \"copy\"\n", name, x.at[i], ip, x.first+1, serve)
+			"store = \"copy\"\n", name, tree.relayAddresses[i], ip, tree.basePort+1, serve)
 		err := os.Mkdir(dir, 0o700)
 		if err == nil {
 			err = os.WriteFile(filepath.Join(dir, "relay.toml"), []byte(text), 0o600)
@@ -67,173 +67,173 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		x.relays = append(x.relays, faultinject.Start(t, faultinject.Spec{Name: name, Program: program(t), Dir: dir,
-			Args: []string{"relay", "--config", "relay.toml"}, Env: []string{"WILLOWDECK_HISTORY=" + x.records}}))
+		tree.relays = append(tree.relays, faultinject.Start(t, faultinject.Spec{Name: name, Program: gatewayProgram(t), Dir: dir,
+			Args: []string{"relay", "--config", "relay.toml"}, Env: []string{"WILLOWDECK_HISTORY=" + tree.historyDir}}))
 	}
-	for _, h := range x.low {
-		h.below(x.at)
+	for _, h := range tree.leafHosts {
+		h.writeRelayFiles(tree.relayAddresses)
 	}
-	x.hosts = append(x.hosts, x.low...)
-	return x
+	tree.hosts = append(tree.hosts, tree.leafHosts...)
+	return tree
 }
 
 // below writes the files of a host that follows relays.
-func (h *host) below(relays []string) {
-	a := h.a
-	a.t.Helper()
+func (h *testHost) writeRelayFiles(relays []string) {
+	c := h.cluster
+	c.t.Helper()
 	if err := os.MkdirAll(filepath.Join(h.dir, "store"), 0o700); err != nil {
-		a.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	d := &deployed{t: a.t, dir: h.dir, list: a.list}
-	d.config(map[string]any{})
-	at := func(port int) string { return fmt.Sprintf("\"%s:%d\"", h.ip, a.first+port) }
-	up, err := json.Marshal(relays)
+	f := &testFleet{t: c.t, dir: h.dir, discovery: c.discovery}
+	f.writeGatewayConfig(map[string]any{})
+	at := func(port int) string { return fmt.Sprintf("\"%s:%d\"", h.ip, c.basePort+port) }
+	upstreams, err := json.Marshal(relays)
 	if err != nil {
-		a.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	text := fmt.Sprintf("name = \"till\"\nconfig = \"gatekeeper.json\"\nrun_dir = \"run\"\ncontrol = %s\n"+
 		"listen = %s\noperators = %s\nstep = 2\n[restart]\nfirst_ms = 50\nmost_ms = 500\ncalm_s = 5\n"+
-		"[relay]\nme = %q\nupstream = %s\nstore = \"store/rules.copy\"\n", at(0), at(2), at(2+a.places), h.name, up)
+		"[relay]\nme = %q\nupstream = %s\nstore = \"store/rules.copy\"\n", at(0), at(2), at(2+c.memberSlots), h.name, upstreams)
 	if err := os.WriteFile(filepath.Join(h.dir, "fleet.toml"), []byte(text), 0o600); err != nil {
-		a.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 }
 
 // change changes a host's file.
-func (x *tree) change(h *host, old, now string) {
-	x.t.Helper()
+func (tree *relayTree) editFleetFile(h *testHost, old, updated string) {
+	tree.t.Helper()
 	file := filepath.Join(h.dir, "fleet.toml")
 	raw, err := os.ReadFile(file)
 	if err != nil || !strings.Contains(string(raw), old) {
-		x.t.Fatalf("%q is not in %s: %v", old, file, err)
+		tree.t.Fatalf("%q is not in %s: %v", old, file, err)
 	}
-	if err = os.WriteFile(file, []byte(strings.Replace(string(raw), old, now, 1)), 0o600); err != nil {
-		x.t.Fatal(err)
+	if err = os.WriteFile(file, []byte(strings.Replace(string(raw), old, updated, 1)), 0o600); err != nil {
+		tree.t.Fatal(err)
 	}
 }
 
 // following asks a host's daemon how it stands below the relays.
-func (h *host) following() (s SubscriptionStatus, ok bool) {
-	page, err := faultinject.Ask(h.control, "/fleet/relay")
-	return s, err == nil && json.Unmarshal([]byte(page), &s) == nil
+func (h *testHost) subscriptionStatus() (status SubscriptionStatus, ok bool) {
+	page, err := faultinject.Ask(h.controlAddress, "/fleet/relay")
+	return status, err == nil && json.Unmarshal([]byte(page), &status) == nil
 }
 
 // loaded begins a load on the lower hosts' members.
-func (x *tree) loadsLow(span time.Duration) {
+func (tree *relayTree) startLeafLoad(span time.Duration) {
 	for at := 0.0; at < float64(span/time.Millisecond); at += 10 {
-		a := workload.Arrival{At: at, Customer: len(x.all) % 7, Units: 1, Set: len(x.all)}
-		if len(x.all)%2 == 0 {
-			a.Customer, a.Plan = 100, 1
+		arrival := workload.Arrival{At: at, Customer: len(tree.arrivals) % 7, Units: 1, Set: len(tree.arrivals)}
+		if len(tree.arrivals)%2 == 0 {
+			arrival.Customer, arrival.Plan = 100, 1
 		}
-		x.all = append(x.all, a)
+		tree.arrivals = append(tree.arrivals, arrival)
 	}
-	targets := x.targets(x.low...)
-	j := &loadgen.Job{
-		Arrivals: x.all,
+	targets := tree.targets(tree.leafHosts...)
+	job := &loadgen.Job{
+		Arrivals: tree.arrivals,
 		Targets:  targets,
 		Spread:   len(targets),
 		Plans:    []string{"basic", "capped"},
 		Most:     500,
 		Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}},
 	}
-	x.loaded = make(chan *loadgen.Report, 1)
+	tree.loadReport = make(chan *loadgen.Report, 1)
 	go func() {
-		r, err := j.Run(x.t.Context())
-		if err != nil && x.t.Context().Err() == nil {
-			x.t.Error(err)
+		r, err := job.Run(tree.t.Context())
+		if err != nil && tree.t.Context().Err() == nil {
+			tree.t.Error(err)
 		}
-		x.loaded <- r
+		tree.loadReport <- r
 	}()
 }
 
 // leased tells whether all instances of the lower hosts are, and how many there are.
-func (x *tree) leased() (all int, ok bool) {
+func (tree *relayTree) leafInstancesLeased() (count int, ok bool) {
 	ok = true
-	for _, h := range x.low {
-		for _, i := range faultinject.Instances(h.run()) {
-			f, there := look(i)
+	for _, h := range tree.leafHosts {
+		for _, i := range faultinject.Instances(h.runDir()) {
+			f, there := readRuleStats(i)
 			ok = ok && there && f.mode == int64(ruleset.Leased)
-			all++
+			count++
 		}
 	}
-	return all, ok
+	return count, ok
 }
 
 // Below relays instances go by each version as those of a council's hosts do, and a change that waits for
 // their word comes in force by it, long before its time is up: what has been seen goes up the chain. The
 // relay that is asked may stand still or die, the daemon may be killed and started, with a copy that is torn
 // too: nobody loses the lease by the first, and the others are as in a council. Their records are judged.
-func TestBelowRelays(t *testing.T) {
+func TestRelaySubscription(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 4000 })
-	x.start()
-	t.Logf("from nothing to all leased: %v", x.until(1, 3, x.low...))
-	x.loadsLow(9 * time.Second)
-	rules := map[uint64]ruleset.Rules{1: x.rules}
-	rules[2] = x.quota(400)
+	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.For = 4000 })
+	tree.start()
+	t.Logf("from nothing to all leased: %v", tree.waitVersion(1, 3, tree.leafHosts...))
+	tree.startLeafLoad(9 * time.Second)
+	rules := map[uint64]ruleset.Rules{1: tree.rules}
+	rules[2] = tree.withQuota(400)
 	began := time.Now()
-	x.enforced(x.top, rules[2])
-	x.until(2, 3, x.low...)
+	tree.proposeAndWait(tree.councilHost, rules[2])
+	tree.waitVersion(2, 3, tree.leafHosts...)
 	t.Logf("a quota: from the proposal to all: %v", time.Since(began))
-	rules[3] = x.ceilings(ceiling/4, depth/4)
-	took := x.enforced(x.top, rules[3])
-	x.until(3, 3, x.low...)
+	rules[3] = tree.withLimit(limitRate/4, limitBurst/4)
+	took := tree.proposeAndWait(tree.councilHost, rules[3])
+	tree.waitVersion(3, 3, tree.leafHosts...)
 	t.Logf("a ceiling down beyond the fallback, by what hosts below have seen: %v", took)
 	if took > 3*time.Second {
 		t.Error("it waited until its time was up")
 	}
 
-	h := x.low[0]
-	var s SubscriptionStatus
+	h := tree.leafHosts[0]
+	var status SubscriptionStatus
 	faultinject.Until(t, 3*time.Second, "what all hold is not said", func() (ok bool) {
-		s, ok = h.following()
-		return ok && s.SeenStep == s.Step && len(s.OutdatedInstances) == 0
+		status, ok = h.subscriptionStatus()
+		return ok && status.SeenStep == status.Step && len(status.OutdatedInstances) == 0
 	})
-	if s.Version != 3 || s.Depth != 2 || s.Members != 3 || s.KnownMembers != 3 || s.ConfirmedAgoMillis < 0 || len(s.DisconnectedInstances) > 0 {
-		t.Errorf("it stands so: %+v", s)
+	if status.Version != 3 || status.Depth != 2 || status.Members != 3 || status.KnownMembers != 3 || status.ConfirmedAgoMillis < 0 || len(status.DisconnectedInstances) > 0 {
+		t.Errorf("it stands so: %+v", status)
 	}
-	asked := slices.Index(x.at, s.CurrentUpstream)
+	asked := slices.Index(tree.relayAddresses, status.CurrentUpstream)
 	if asked < 0 {
-		t.Fatalf("%q is asked, none of %v", s.CurrentUpstream, x.at)
+		t.Fatalf("%q is asked, none of %v", status.CurrentUpstream, tree.relayAddresses)
 	}
-	if err := x.relays[asked].Stall(); err != nil {
+	if err := tree.relays[asked].Stall(); err != nil {
 		t.Fatal(err)
 	}
 	const stays = 1500 * time.Millisecond
 	for began := time.Now(); time.Since(began) < stays; time.Sleep(5 * time.Millisecond) {
-		if n, ok := x.leased(); !ok || n != 3 {
+		if n, ok := tree.leafInstancesLeased(); !ok || n != 3 {
 			t.Fatal("a lease is lost as one relay stands still")
 		}
 	}
-	if s, _ = h.following(); s.CurrentUpstream == x.at[asked] {
+	if status, _ = h.subscriptionStatus(); status.CurrentUpstream == tree.relayAddresses[asked] {
 		t.Error("a relay that stands still is asked on")
 	}
-	if err := x.relays[asked].Resume(); err != nil {
+	if err := tree.relays[asked].Resume(); err != nil {
 		t.Fatal(err)
 	}
 
-	x.kill(h)
-	copied := filepath.Join(h.dir, "store", "rules.copy")
-	raw, err := os.ReadFile(copied)
+	tree.kill(h)
+	replicaPath := filepath.Join(h.dir, "store", "rules.copy")
+	raw, err := os.ReadFile(replicaPath)
 	if err != nil || len(raw) < 40 {
 		t.Fatalf("a copy of %d bytes: %v", len(raw), err)
 	}
-	if err := os.WriteFile(copied, raw[:len(raw)/2], 0o600); err != nil {
+	if err := os.WriteFile(replicaPath, raw[:len(raw)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x.back(h)
+	tree.restart(h)
 	began = time.Now()
 	faultinject.Until(t, 5*time.Second, "it does not tell its instances anything", func() bool {
-		s, _ = h.following()
-		return s.Version == 3 && s.SeenStep == s.Step
+		status, _ = h.subscriptionStatus()
+		return status.Version == 3 && status.SeenStep == status.Step
 	})
 	t.Logf("a daemon killed and started with a torn copy: its instances hold the last after %v",
 		time.Since(began))
-	if s.Replica.SetAside != 1 || s.Counts.Wholes != 1 {
-		t.Errorf("the torn copy is not set aside: %+v", s)
+	if status.Replica.SetAside != 1 || status.Counts.Wholes != 1 {
+		t.Errorf("the torn copy is not set aside: %+v", status)
 	}
-	x.until(3, 3, x.low...)
-	if sent := x.check(rules); sent < 30 {
+	tree.waitVersion(3, 3, tree.leafHosts...)
+	if sent := tree.check(rules); sent < 30 {
 		t.Errorf("%d sent under the ceiling", sent)
 	}
 }
@@ -242,59 +242,59 @@
 // before, whatever its daemon does: killed and started again meanwhile, it says nothing for what it can't
 // know. Once that instance is no more the change is in force, before its time is up. Guards against a word
 // that is given too early.
-func TestSeenNeverEarly(t *testing.T) {
+func TestSeenStepNeverReportedEarly(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 12000 })
-	x.start()
-	x.until(1, 3, x.low...)
-	h := x.low[0]
-	own := faultinject.Instances(h.run())
-	if len(own) != 2 {
-		t.Fatalf("%d instances", len(own))
-	}
-	still := own[0]
-	if err := still.Stall(); err != nil {
+	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.For = 12000 })
+	tree.start()
+	tree.waitVersion(1, 3, tree.leafHosts...)
+	h := tree.leafHosts[0]
+	instances := faultinject.Instances(h.runDir())
+	if len(instances) != 2 {
+		t.Fatalf("%d instances", len(instances))
+	}
+	stalled := instances[0]
+	if err := stalled.Stall(); err != nil {
 		t.Fatal(err)
 	}
-	next := x.ceilings(ceiling/4, depth/4)
-	x.top.propose(next)
+	next := tree.withLimit(limitRate/4, limitBurst/4)
+	tree.councilHost.propose(next)
 	faultinject.Until(t, 5*time.Second, "the change does not wait", func() bool {
-		s, ok := x.top.sitting()
-		return ok && s.Rules.Pending == 2
+		status, ok := tree.councilHost.councilStatus()
+		return ok && status.Rules.Pending == 2
 	})
 	began := time.Now()
-	pending, _ := x.top.sitting()
+	pending, _ := tree.councilHost.councilStatus()
 	for restarts := 0; time.Since(began) < 5*time.Second; time.Sleep(20 * time.Millisecond) {
-		if s, ok := x.top.sitting(); ok && s.Rules.Version != 1 {
-			t.Fatalf("in force while %s may go by what was before: %+v", still.Name, s.Rules)
+		if status, ok := tree.councilHost.councilStatus(); ok && status.Rules.Version != 1 {
+			t.Fatalf("in force while %s may go by what was before: %+v", stalled.Name, status.Rules)
 		}
-		if s, ok := h.following(); ok && s.SeenStep >= pending.Rules.Step {
-			t.Fatalf("said to be seen: %+v\n%s", s, h.Output())
+		if status, ok := h.subscriptionStatus(); ok && status.SeenStep >= pending.Rules.Step {
+			t.Fatalf("said to be seen: %+v\n%s", status, h.Output())
 		}
 		if time.Since(began) > time.Duration(restarts+1)*1500*time.Millisecond && restarts < 2 {
 			restarts++
-			x.kill(h)
-			if err := still.Stall(); err != nil { // the kernel has it go on as its parent ends
+			tree.kill(h)
+			if err := stalled.Stall(); err != nil { // the kernel has it go on as its parent ends
 				t.Fatal(err)
 			}
-			x.back(h)
+			tree.restart(h)
 		}
 	}
-	if n, ok := x.leased(); ok || n != 3 { // the one that stands still does not answer
+	if n, ok := tree.leafInstancesLeased(); ok || n != 3 { // the one that stands still does not answer
 		t.Errorf("%d instances, all leased: %t", n, ok)
 	}
 	began = time.Now()
-	if err := still.Kill(); err != nil {
+	if err := stalled.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	var s SubscriptionStatus
-	for end := time.Now().Add(4 * time.Second); time.Now().Before(end) && s.SeenStep < pending.Rules.Step; {
-		s, _ = h.following()
+	var status SubscriptionStatus
+	for end := time.Now().Add(4 * time.Second); time.Now().Before(end) && status.SeenStep < pending.Rules.Step; {
+		status, _ = h.subscriptionStatus()
 	}
-	top, _ := x.top.sitting()
-	x.until(2, 3, x.low...)
+	councilStatus, _ := tree.councilHost.councilStatus()
+	tree.waitVersion(2, 3, tree.leafHosts...)
 	if took := time.Since(began); took > 4*time.Second {
-		t.Errorf("in force %v after the instance's end; %+v below, %+v above", took, s, top.Rules)
+		t.Errorf("in force %v after the instance's end; %+v below, %+v above", took, status, councilStatus.Rules)
 	} else {
 		t.Logf("in force at all %v after the instance's end", took)
 	}
@@ -303,23 +303,23 @@
 // With all relays gone instances go by the fallback and then bare, and answer at once all the while; with one
 // back they are leased again by themselves. A file with other relays is taken up by SIGHUP, one that changes
 // what may not change is refused, by its key.
-func TestRelaysGone(t *testing.T) {
+func TestAllRelaysDown(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
-	x.start()
-	x.until(1, 3, x.low...)
-	x.loadsLow(4 * time.Second)
-	for _, r := range x.relays {
+	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+	tree.start()
+	tree.waitVersion(1, 3, tree.leafHosts...)
+	tree.startLeafLoad(4 * time.Second)
+	for _, r := range tree.relays {
 		if err := r.Kill(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	modes := func(want ruleset.Mode) func() bool {
+	allInMode := func(want ruleset.Mode) func() bool {
 		return func() bool {
 			n := 0
-			for _, h := range x.low {
-				for _, i := range faultinject.Instances(h.run()) {
-					if f, ok := look(i); ok && f.mode == int64(want) {
+			for _, h := range tree.leafHosts {
+				for _, i := range faultinject.Instances(h.runDir()) {
+					if f, ok := readRuleStats(i); ok && f.mode == int64(want) {
 						n++
 					}
 				}
@@ -327,91 +327,91 @@
 			return n == 3
 		}
 	}
-	faultinject.Until(t, 5*time.Second, "not all are cut off", modes(ruleset.CutOff))
-	faultinject.Until(t, 5*time.Second, "not all are bare", modes(ruleset.Bare))
-	h := x.low[0]
-	if s, ok := h.following(); !ok || len(s.DisconnectedInstances) != 2 {
+	faultinject.Until(t, 5*time.Second, "not all are cut off", allInMode(ruleset.CutOff))
+	faultinject.Until(t, 5*time.Second, "not all are bare", allInMode(ruleset.Bare))
+	h := tree.leafHosts[0]
+	if s, ok := h.subscriptionStatus(); !ok || len(s.DisconnectedInstances) != 2 {
 		t.Errorf("%+v", s)
 	}
-	r := <-x.loaded
+	r := <-tree.loadReport
 	if r == nil {
 		t.Fatal("no load")
 	}
-	x.loaded = nil
+	tree.loadReport = nil
 	// One that waited for control would wait until its client is gone, and so would all of these seconds. A busy
 	// machine makes some of them late.
-	c := r.Counts["check"]
-	if c[loadgen.Settled] < 100 || c[loadgen.NoAnswer]*20 > int64(len(x.all)) { // the customer without a ceiling
-		t.Errorf("%v", c)
+	counts := r.Counts["check"]
+	if counts[loadgen.Settled] < 100 || counts[loadgen.NoAnswer]*20 > int64(len(tree.arrivals)) { // the customer without a ceiling
+		t.Errorf("%v", counts)
 	}
 	if late := time.Duration(r.Latency.ValueAtQuantile(80)) * time.Microsecond; late > 200*time.Millisecond {
 		t.Errorf("one txn in five took %v or more", late)
 	}
-	if err := x.relays[0].Restart(nil); err != nil {
+	if err := tree.relays[0].Restart(nil); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("a relay is back: all leased after %v", x.until(1, 3, x.low...))
+	t.Logf("a relay is back: all leased after %v", tree.waitVersion(1, 3, tree.leafHosts...))
 
-	x.change(h, x.at[0], "127.0.0.1:1") // the other one and one that is none
-	if err := x.relays[1].Restart(nil); err != nil {
+	tree.editFleetFile(h, tree.relayAddresses[0], "127.0.0.1:1") // the other one and one that is none
+	if err := tree.relays[1].Restart(nil); err != nil {
 		t.Fatal(err)
 	}
 	if err := h.Renew(); err != nil {
 		t.Fatal(err)
 	}
 	faultinject.Until(t, 5*time.Second, "the other relay is not asked", func() bool {
-		s, ok := h.following()
-		return ok && s.CurrentUpstream == x.at[1] && s.ConfirmedAgoMillis >= 0 && s.ConfirmedAgoMillis < 1000
+		s, ok := h.subscriptionStatus()
+		return ok && s.CurrentUpstream == tree.relayAddresses[1] && s.ConfirmedAgoMillis >= 0 && s.ConfirmedAgoMillis < 1000
 	})
-	x.until(1, 3, x.low...)
-	x.change(h, `me = "l0"`, `me = "l9"`)
+	tree.waitVersion(1, 3, tree.leafHosts...)
+	tree.editFleetFile(h, `me = "l0"`, `me = "l9"`)
 	if err := h.Renew(); err != nil {
 		t.Fatal(err)
 	}
 	faultinject.Until(t, 5*time.Second, "another name is not refused", func() bool {
 		return strings.Contains(h.Output(), "relay.me and relay.store can't change")
 	})
-	x.until(1, 3, x.low...)
+	tree.waitVersion(1, 3, tree.leafHosts...)
 }
 
 // An instance of an older program below a daemon without a seat is told all that its host knows, each time,
 // and what it holds counts as any other's.
-func TestOlderInstanceBelow(t *testing.T) {
+func TestOlderInstanceBelowRelays(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 6000 })
-	h := x.low[1]
-	at, _ := older(t, h.control)
+	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.For = 6000 })
+	h := tree.leafHosts[1]
+	at, _ := newOlderProgramProxy(t, h.controlAddress)
 	script := filepath.Join(h.dir, "older")
-	text := fmt.Sprintf("#!/bin/sh\nWILLOWDECK_AGREE=%s exec %s \"$@\"\n", at, program(t))
+	text := fmt.Sprintf("#!/bin/sh\nWILLOWDECK_AGREE=%s exec %s \"$@\"\n", at, gatewayProgram(t))
 	if err := os.WriteFile(script, []byte(text), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	x.change(h, "config = ", fmt.Sprintf("program = %q\nconfig = ", script))
-	x.start()
-	x.until(1, 3, x.low...)
-	old := faultinject.Instances(h.run())[0]
+	tree.editFleetFile(h, "config = ", fmt.Sprintf("program = %q\nconfig = ", script))
+	tree.start()
+	tree.waitVersion(1, 3, tree.leafHosts...)
+	old := faultinject.Instances(h.runDir())[0]
 	if n, ok := faultinject.Figure(old.Control, "svc.rules.wholes"); !ok || n != 0 {
 		t.Errorf("the older one is told changes: %d", n)
 	}
-	next := x.ceilings(ceiling/4, depth/4)
-	if took := x.enforced(x.top, next); took > 4*time.Second {
+	next := tree.withLimit(limitRate/4, limitBurst/4)
+	if took := tree.proposeAndWait(tree.councilHost, next); took > 4*time.Second {
 		t.Errorf("in force after %v: its word counts for nothing", took)
 	}
-	x.until(2, 3, x.low...)
+	tree.waitVersion(2, 3, tree.leafHosts...)
 
-	res, err := http.Get(fmt.Sprintf("http://%s%s?instance=%s&pid=%d&holds=0&index=-1", h.control,
+	res, err := http.Get(fmt.Sprintf("http://%s%s?instance=%s&pid=%d&holds=0&index=-1", h.controlAddress,
 		lifecycle.LeasePath, old.Name, old.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
 	raw, err := io.ReadAll(res.Body)
 	res.Body.Close()
-	l, bad := ruleset.ReadLease(raw)
-	if err != nil || bad != nil || l.Version.Number != 2 || len(l.Version.Rules.Members) != 3 || l.Age <= 0 {
-		t.Errorf("%v, %v: %s", err, bad, raw)
+	lease, leaseErr := ruleset.ReadLease(raw)
+	if err != nil || leaseErr != nil || lease.Version.Number != 2 || len(lease.Version.Rules.Members) != 3 || lease.Age <= 0 {
+		t.Errorf("%v, %v: %s", err, leaseErr, raw)
 	}
 	for _, who := range []string{"instance=g9&pid=1", fmt.Sprintf("instance=%s&pid=1", old.Name)} {
-		res, err := http.Get(fmt.Sprintf("http://%s%s?%s&holds=9&index=-1", h.control, lifecycle.LeasePath, who))
+		res, err := http.Get(fmt.Sprintf("http://%s%s?%s&holds=9&index=-1", h.controlAddress, lifecycle.LeasePath, who))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -422,25 +422,25 @@
 }
 
 // upper stands in for a relay, and books what it is told to have been seen.
-type upper struct {
-	mu     sync.Mutex
-	source *distribution.Source
-	seen   uint64
-	last   distribution.Ask
+type fakeUpstream struct {
+	mu          sync.Mutex
+	source      *distribution.Source
+	seen        uint64
+	lastRequest distribution.Ask
 }
 
-func (u *upper) answer(a *distribution.Ask) (*distribution.Answer, error) {
+func (u *fakeUpstream) answer(request *distribution.Ask) (*distribution.Answer, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.last = *a
-	for _, h := range a.Seen {
+	u.lastRequest = *request
+	for _, h := range request.Seen {
 		u.seen = max(u.seen, h.Step)
 	}
-	return u.source.Answer(a, raftlog.Clock())
+	return u.source.Answer(request, raftlog.Clock())
 }
 
 // says has it say that rules are in force as of now, every now and then until the test's end.
-func (u *upper) says(t *testing.T, step uint64, r ruleset.Rules) {
+func (u *fakeUpstream) publishPeriodically(t *testing.T, step uint64, r ruleset.Rules) {
 	rules, err := ruleset.Entries(&ruleset.Version{Number: 1, Rules: r})
 	if err != nil {
 		t.Fatal(err)
@@ -455,7 +455,7 @@
 	}()
 }
 
-func (u *upper) told() uint64 {
+func (u *fakeUpstream) reportedStep() uint64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.seen
@@ -464,55 +464,55 @@
 // A host says that it has seen a step when each process there holds it, or is no more, or has been told
 // nothing yet; one that was there before the daemon counts as holding nothing until it says what. With no
 // process it says what it would tell the first. The interest it asks with is its members', and theirs around.
-func TestBranchSays(t *testing.T) {
-	u := &upper{source: distribution.NewSource("r", "till", distribution.Bounds{})}
-	s := httptest.NewServer(relay.NewHandler(u.answer))
-	defer s.Close()
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+func TestSubscriptionReportsSeenStep(t *testing.T) {
+	upstream := &fakeUpstream{source: distribution.NewSource("r", "till", distribution.Bounds{})}
+	server := httptest.NewServer(relay.NewHandler(upstream.answer))
+	defer server.Close()
+	rules := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
 		Members: []ruleset.Member{
 			{Name: "a", Host: "l0"},
 		}, Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
-	b := newSubscription("till", &RelaySettings{HostName: "l0", StorePath: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
-	defer b.Close()
-	b.Began(1, true)
-	b.Began(2, true)
-	u.says(t, 5, r)
-	b.setUpstreams([]string{strings.TrimPrefix(s.URL, "http://")})
-	faultinject.Until(t, 3*time.Second, "it hears nothing", func() bool { return b.InForce().Number == 1 })
-	never := func(why string) {
+	sub := newSubscription("till", &RelaySettings{HostName: "l0", StorePath: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
+	defer sub.Close()
+	sub.Began(1, true)
+	sub.Began(2, true)
+	upstream.publishPeriodically(t, 5, rules)
+	sub.setUpstreams([]string{strings.TrimPrefix(server.URL, "http://")})
+	faultinject.Until(t, 3*time.Second, "it hears nothing", func() bool { return sub.InForce().Number == 1 })
+	checkNotReported := func(why string) {
 		t.Helper()
 		time.Sleep(250 * time.Millisecond)
-		if got := u.told(); got >= 5 {
+		if got := upstream.reportedStep(); got >= 5 {
 			t.Fatalf("step %d is said to be seen, %s", got, why)
 		}
 	}
-	never("and two may hold anything")
-	if _, ok := b.Asked(1, "a", 5, -1); !ok {
+	checkNotReported("and two may hold anything")
+	if _, ok := sub.Asked(1, "a", 5, -1); !ok {
 		t.Fatal("it tells nothing")
 	}
-	never("and one may hold anything")
-	b.Ended(2)
-	faultinject.Until(t, 3*time.Second, "step 5 is not said to be seen", func() bool { return u.told() == 5 })
+	checkNotReported("and one may hold anything")
+	sub.Ended(2)
+	faultinject.Until(t, 3*time.Second, "step 5 is not said to be seen", func() bool { return upstream.reportedStep() == 5 })
 
-	b.Began(3, false)
-	u.says(t, 6, r)
+	sub.Began(3, false)
+	upstream.publishPeriodically(t, 6, rules)
 	faultinject.Until(t, 3*time.Second, "it does not go on", func() bool {
-		l, ok := b.Asked(3, "a", 0, -1)
+		l, ok := sub.Asked(3, "a", 0, -1)
 		return ok && l.Step == 6
 	})
 	time.Sleep(250 * time.Millisecond)
-	if got := u.told(); got != 5 {
+	if got := upstream.reportedStep(); got != 5 {
 		t.Errorf("step %d is said to be seen while one holds 5, and one nothing", got)
 	}
-	b.Asked(1, "a", 6, 77)
-	b.Asked(3, "a", 6, 78)
-	faultinject.Until(t, 3*time.Second, "step 6 is not said to be seen", func() bool { return u.told() == 6 })
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.last.Interest != (ruleset.Interest{Host: "l0", Around: distribution.Around}) || u.last.From != "l0" {
-		t.Errorf("it asks %+v", u.last)
+	sub.Asked(1, "a", 6, 77)
+	sub.Asked(3, "a", 6, 78)
+	faultinject.Until(t, 3*time.Second, "step 6 is not said to be seen", func() bool { return upstream.reportedStep() == 6 })
+	upstream.mu.Lock()
+	defer upstream.mu.Unlock()
+	if upstream.lastRequest.Interest != (ruleset.Interest{Host: "l0", Around: distribution.Around}) || upstream.lastRequest.From != "l0" {
+		t.Errorf("it asks %+v", upstream.lastRequest)
 	}
-	if n := b.Highest(); n != 78 {
+	if n := sub.Highest(); n != 78 {
 		t.Errorf("highest index %d", n)
 	}
 }
@@ -520,10 +520,10 @@
 // A word that was read before this daemon began is given to nobody, however fresh it looks, and rules that
 // make no sense, or that this program does not know, leave instances as they are; the latter are passed on
 // whole.
-func TestBranchTakes(t *testing.T) {
-	u := &upper{source: distribution.NewSource("r", "till", distribution.Bounds{})}
-	s := httptest.NewServer(relay.NewHandler(u.answer))
-	defer s.Close()
+func TestSubscriptionAppliesViews(t *testing.T) {
+	upstream := &fakeUpstream{source: distribution.NewSource("r", "till", distribution.Bounds{})}
+	server := httptest.NewServer(relay.NewHandler(upstream.answer))
+	defer server.Close()
 	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
 		Members: []ruleset.Member{
 			{Name: "a", Host: "l0"},
@@ -539,80 +539,80 @@
 		return x
 	}
 	offer := func(step uint64, begun float64, x *versioned.State) {
-		u.mu.Lock()
-		defer u.mu.Unlock()
-		u.source.Offer(distribution.View{Step: step, Begun: begun, Rules: x, Index: -1})
+		upstream.mu.Lock()
+		defer upstream.mu.Unlock()
+		upstream.source.Offer(distribution.View{Step: step, Begun: begun, Rules: x, Index: -1})
 	}
 	first := state(1, func(*ruleset.Rules) {})
 	offer(1, raftlog.Clock()-50, first)
-	b := newSubscription("till", &RelaySettings{HostName: "l0", StorePath: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
-	defer b.Close()
-	b.setUpstreams([]string{strings.TrimPrefix(s.URL, "http://")})
+	sub := newSubscription("till", &RelaySettings{HostName: "l0", StorePath: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
+	defer sub.Close()
+	sub.setUpstreams([]string{strings.TrimPrefix(server.URL, "http://")})
 	time.Sleep(400 * time.Millisecond)
-	if _, ok := b.Asked(1, "a", 0, -1); ok {
+	if _, ok := sub.Asked(1, "a", 0, -1); ok {
 		t.Fatal("it gives on what was read before it began")
 	}
 	offer(1, raftlog.Clock(), first)
 	faultinject.Until(t, 3*time.Second, "it gives nothing", func() bool {
-		_, ok := b.Asked(1, "a", 0, -1)
+		_, ok := sub.Asked(1, "a", 0, -1)
 		return ok
 	})
 	offer(2, raftlog.Clock(), state(2, func(r *ruleset.Rules) { r.Plans[0].Rate = -1 }))
 	time.Sleep(400 * time.Millisecond)
-	if l, ok := b.Asked(1, "a", 0, -1); ok && l.Version.Number != 1 || b.InForce().Number != 1 {
+	if l, ok := sub.Asked(1, "a", 0, -1); ok && l.Version.Number != 1 || sub.InForce().Number != 1 {
 		t.Errorf("rules that make no sense are gone by: %+v", l)
 	}
 	offer(3, raftlog.Clock(), state(3, func(r *ruleset.Rules) { r.Needs = []string{"moon"} }))
 	faultinject.Until(t, 3*time.Second, "what is not known here is not passed on", func() bool {
-		l, ok := b.Asked(1, "a", 0, -1)
+		l, ok := sub.Asked(1, "a", 0, -1)
 		return ok && l.Version.Number == 3 && strings.Contains(l.Foreign, "moon")
 	})
-	if v := b.currentView(); b.InForce().Number != 1 || v.Rules.Mark().Number != 3 {
-		t.Errorf("in force %d, passed on %v", b.InForce().Number, v.Rules.Mark())
+	if v := sub.currentView(); sub.InForce().Number != 1 || v.Rules.Mark().Number != 3 {
+		t.Errorf("in force %d, passed on %v", sub.InForce().Number, v.Rules.Mark())
 	}
-	if s := b.status(); s.UnknownRules == "" || s.Version != 3 {
-		t.Errorf("operators are told %+v", s)
+	if server := sub.status(); server.UnknownRules == "" || server.Version != 3 {
+		t.Errorf("operators are told %+v", server)
 	}
 	offer(4, raftlog.Clock(), state(4, func(*ruleset.Rules) {}))
-	faultinject.Until(t, 3*time.Second, "it does not go on", func() bool { return b.InForce().Number == 4 })
+	faultinject.Until(t, 3*time.Second, "it does not go on", func() bool { return sub.InForce().Number == 4 })
 }
 
 // A host's part of rules of 7,900 members: its instances have the ports of their places, know where those are
 // that the part names, and reckon with all. The whole fits below the system's own range of ports.
-func TestManyPlaces(t *testing.T) {
+func TestLargeMembership(t *testing.T) {
 	const n, own = 7900, 14
-	d := prepare(t, 1)
-	h := &host{a: &assembly{t: t, list: d.list, first: 2000, places: n}, name: "l0", ip: "127.0.0.10",
-		dir: d.dir}
-	h.below([]string{"127.0.0.20:1"})
-	f, err := LoadSettings(filepath.Join(d.dir, "fleet.toml"))
+	fleet := newTestFleet(t, 1)
+	h := &testHost{cluster: &testCluster{t: t, discovery: fleet.discovery, basePort: 2000, memberSlots: n}, name: "l0", ip: "127.0.0.10",
+		dir: fleet.dir}
+	h.writeRelayFiles([]string{"127.0.0.20:1"})
+	settings, err := LoadSettings(filepath.Join(fleet.dir, "fleet.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := ruleset.Rules{Form: ruleset.Form, Needs: []string{ruleset.ManyMembers}, Lease: 1000, Bound: 2000,
+	rules := ruleset.Rules{Form: ruleset.Form, Needs: []string{ruleset.ManyMembers}, Lease: 1000, Bound: 2000,
 		Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
 	for i := range n {
-		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprint("g", i), Host: fmt.Sprint("l", i/own),
+		rules.Members = append(rules.Members, ruleset.Member{Name: fmt.Sprint("g", i), Host: fmt.Sprint("l", i/own),
 			Peers: fmt.Sprintf("10.%d.%d.1:7000", i/250, i%250)})
 	}
-	whole, err := ruleset.Entries(&ruleset.Version{Number: 1, Rules: r})
+	whole, err := ruleset.Entries(&ruleset.Version{Number: 1, Rules: rules})
 	if err != nil {
 		t.Fatal(err)
 	}
-	some := ruleset.Select(whole, ruleset.Interest{Host: "l0", Around: distribution.Around})
-	sent, err := (&distribution.Answer{Form: distribution.Form, Rules: some.Mark(),
-		RulesDelta: versioned.Whole(some)}).Bytes()
+	interesting := ruleset.Select(whole, ruleset.Interest{Host: "l0", Around: distribution.Around})
+	sent, err := (&distribution.Answer{Form: distribution.Form, Rules: interesting.Mark(),
+		RulesDelta: versioned.Whole(interesting)}).Bytes()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("the whole has %d bytes, a host's part %d, and %d as it is sent", whole.Bytes(), some.Bytes(),
+	t.Logf("the whole has %d bytes, a host's part %d, and %d as it is sent", whole.Bytes(), interesting.Bytes(),
 		len(sent))
-	part, err := ruleset.FromState(some)
+	part, err := ruleset.FromState(interesting)
 	if err != nil || ruleset.CheckPart(&part.Rules) != nil {
 		t.Fatal(err, ruleset.CheckPart(&part.Rules))
 	}
 	began := time.Now()
-	all, err := f.file.instancesOf(&part.Rules)
+	all, err := settings.file.instancesOf(&part.Rules)
 	if err != nil || len(all) != own {
 		t.Fatalf("%d instances: %v", len(all), err)
 	}
@@ -640,16 +640,16 @@
 
 // What is wrong in the file of a host below relays is named by its line or key, and nothing is started. With
 // no rules known yet, it starts with no instances; with those that were carried out last, with theirs.
-func TestBadBranches(t *testing.T) {
-	a := assemble(t, 1, 3, nil)
-	h := &host{a: a, name: "l0", ip: "127.0.0.10", dir: filepath.Join(a.dir, "l0")}
-	h.below([]string{"127.0.0.20:1", "127.0.0.21:1"})
+func TestInvalidRelaySettings(t *testing.T) {
+	cluster := newTestCluster(t, 1, 3, nil)
+	h := &testHost{cluster: cluster, name: "l0", ip: "127.0.0.10", dir: filepath.Join(cluster.dir, "l0")}
+	h.writeRelayFiles([]string{"127.0.0.20:1", "127.0.0.21:1"})
 	file := filepath.Join(h.dir, "fleet.toml")
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ name, old, new, says string }{
+	for _, test := range []struct{ name, old, new, says string }{
 		{"an unknown key", `me = "l0"`, "me = \"l0\"\nlost = true", "relay.lost: unknown key"},
 		{"no name", `me = "l0"`, `me = ""`, "relay.me"},
 		{"no store", `"store/rules.copy"`, `""`, "relay.store"},
@@ -663,52 +663,52 @@
 		{"a way that is none", "[relay]", "[reach.g0]\n\"here\" = \"127.0.0.1:1\"\n[relay]", "reach.g0"},
 		{"no configuration", "gatekeeper.json", "none.json", "config: open"},
 	} {
-		if !strings.Contains(string(raw), c.old) {
-			t.Fatalf("%s changes nothing", c.name)
+		if !strings.Contains(string(raw), test.old) {
+			t.Fatalf("%s changes nothing", test.name)
 		}
-		os.WriteFile(file, []byte(strings.Replace(string(raw), c.old, c.new, 1)), 0o600)
-		if f, err := LoadSettings(file); err == nil || f != nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v, want %q", c.name, err, c.says)
+		os.WriteFile(file, []byte(strings.Replace(string(raw), test.old, test.new, 1)), 0o600)
+		if settings, err := LoadSettings(file); err == nil || settings != nil || !strings.Contains(err.Error(), test.says) {
+			t.Errorf("%s: %v, want %q", test.name, err, test.says)
 		}
 	}
 	os.WriteFile(file, raw, 0o600)
-	shown, err := os.ReadFile("../../deploy/host.toml") // and the file that operators begin with is right
+	example, err := os.ReadFile("../../deploy/host.toml") // and the file that operators begin with is right
 	if err == nil {
-		err = os.WriteFile(filepath.Join(h.dir, "host.toml"), shown, 0o600)
+		err = os.WriteFile(filepath.Join(h.dir, "host.toml"), example, 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f, err := LoadSettings(filepath.Join(h.dir, "host.toml")); err != nil || f.Rules.Relay.HostName != "south-7" {
+	if settings, err := LoadSettings(filepath.Join(h.dir, "host.toml")); err != nil || settings.Rules.Relay.HostName != "south-7" {
 		t.Errorf("deploy/host.toml: %v", err)
 	}
-	f, err := LoadSettings(file)
-	if err != nil || f.restoreAppliedRules() != nil || len(f.Instances) != 0 {
-		t.Fatalf("a first start: %v, %+v", err, f)
+	settings, err := LoadSettings(file)
+	if err != nil || settings.restoreAppliedRules() != nil || len(settings.Instances) != 0 {
+		t.Fatalf("a first start: %v, %+v", err, settings)
 	}
-	r := a.rules
-	r.Members = []ruleset.Member{{}, {Name: "g1", Host: "l0", Peers: "127.0.0.10:9"}, {}}
-	last, err := json.Marshal(ruleset.Version{Number: 1, Rules: r})
+	rules := cluster.rules
+	rules.Members = []ruleset.Member{{}, {Name: "g1", Host: "l0", Peers: "127.0.0.10:9"}, {}}
+	applied, err := json.Marshal(ruleset.Version{Number: 1, Rules: rules})
 	run := filepath.Join(h.dir, "run")
 	if err == nil {
 		err = os.MkdirAll(run, 0o700)
 	}
 	if err == nil {
-		err = os.WriteFile(filepath.Join(run, appliedRulesFile), last, 0o600)
+		err = os.WriteFile(filepath.Join(run, appliedRulesFile), applied, 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.restoreAppliedRules(); err != nil || len(f.Instances) != 1 || f.fleetSize != 3 || f.Instances[0].Name != "g1" {
-		t.Errorf("a daemon that knows its part of rules does not go on with it: %v, %+v", err, f)
+	if err := settings.restoreAppliedRules(); err != nil || len(settings.Instances) != 1 || settings.fleetSize != 3 || settings.Instances[0].Name != "g1" {
+		t.Errorf("a daemon that knows its part of rules does not go on with it: %v, %+v", err, settings)
 	}
-	d := &Daemon{log: zerolog.Nop(), settings: f}
-	sits := *f
-	sits.Rules = &RulesSettings{}
-	if d.settings = &sits; d.rules == nil {
+	d := &Daemon{log: zerolog.Nop(), settings: settings}
+	councilSettings := *settings
+	councilSettings.Rules = &RulesSettings{}
+	if d.settings = &councilSettings; d.rules == nil {
 		d.rules = &rulesParticipant{}
 	}
-	if err := d.reloadRules(f); err == nil || !strings.Contains(err.Error(), "council, relay:") {
+	if err := d.reloadRules(settings); err == nil || !strings.Contains(err.Error(), "council, relay:") {
 		t.Errorf("a council becomes relays as it runs: %v", err)
 	}
 }
--- a/internal/supervisor/control_test.go
+++ b/internal/supervisor/control_test.go
@@ -25,38 +25,42 @@
 )
 
 var (
-	controlTo = flag.String("control", "", "measure a gatekeeper's control, and write it to a CSV file")
-	commit    = flag.String("commit", "", "that the file is to name")
+	controlCSV = flag.String("control", "", "measure a gatekeeper's control, and write it to a CSV file")
+	commit     = flag.String("commit", "", "that the file is to name")
 )
 
 // fixed is a voice that says what it is given, as old as a daemon's word below relays is.
-type fixed struct {
+type fixedSource struct {
 	mu    sync.Mutex
 	lease ruleset.Lease
 }
 
-func (v *fixed) Changed() <-chan struct{} { return nil }
-func (v *fixed) InForce() ruleset.Version { return v.lease.Version }
-func (v *fixed) Began(int, bool)          {}
-func (v *fixed) Ended(int)                {}
-func (v *fixed) Highest() int64           { return 0 }
-func (v *fixed) Close()                   {}
-func (v *fixed) say(number, rate int)     { v.mu.Lock(); defer v.mu.Unlock(); v.set(number, rate) }
-func (v *fixed) Asked(int, string, uint64, int64) (ruleset.Lease, bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	l := v.lease
+func (s *fixedSource) Changed() <-chan struct{} { return nil }
+func (s *fixedSource) InForce() ruleset.Version { return s.lease.Version }
+func (s *fixedSource) Began(int, bool)          {}
+func (s *fixedSource) Ended(int)                {}
+func (s *fixedSource) Highest() int64           { return 0 }
+func (s *fixedSource) Close()                   {}
+func (s *fixedSource) publish(number, rate int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.set(number, rate)
+}
+func (s *fixedSource) Asked(int, string, uint64, int64) (ruleset.Lease, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.lease
 	l.Age = 300
 	return l, true
 }
 
-func (v *fixed) set(number, rate int) {
-	r := v.lease.Version.Rules
+func (s *fixedSource) set(number, rate int) {
+	r := s.lease.Version.Rules
 	r.Plans = append([]ruleset.Plan(nil), r.Plans...)
 	r.Plans[0].Rate = float64(rate)
-	v.lease.Version = ruleset.Version{Number: uint64(number), Rules: r}
-	v.lease.Step++
-	v.lease.Settled = true
+	s.lease.Version = ruleset.Version{Number: uint64(number), Rules: r}
+	s.lease.Step++
+	s.lease.Settled = true
 }
 
 // What a gatekeeper's control costs it, as a real process of its own before a daemon's real answers, by how
@@ -65,10 +69,10 @@
 //
 //	go test ./internal/supervisor -run TestControlCost -v -timeout 10m -args -control FILE -commit COMMIT
 func TestControlCost(t *testing.T) {
-	if *controlTo == "" {
+	if *controlCSV == "" {
 		t.Skip("-args -control FILE")
 	}
-	file, err := os.Create(*controlTo)
+	file, err := os.Create(*controlCSV)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,85 +80,85 @@
 	w := csv.NewWriter(file)
 	defer w.Flush()
 	_ = w.Write([]string{"run", "commit", "distribution", "size", "role", "figure", "unit", "value"})
-	for _, n := range []int{20, 300, 1000, 3000, 7900} {
-		for _, way := range []string{"none", "direct", "relays"} {
-			for _, f := range measured(t, n, way) {
-				_ = w.Write([]string{"TestControlCost", *commit, way, strconv.Itoa(n), "gatekeeper", f.name, f.unit,
-					strconv.FormatFloat(f.value, 'g', 4, 64)})
-				t.Logf("%5d members, %-6s: %s = %.4g %s", n, way, f.name, f.value, f.unit)
+	for _, members := range []int{20, 300, 1000, 3000, 7900} {
+		for _, distribution := range []string{"none", "direct", "relays"} {
+			for _, figure := range measureControlCost(t, members, distribution) {
+				_ = w.Write([]string{"TestControlCost", *commit, distribution, strconv.Itoa(members), "gatekeeper", figure.name, figure.unit,
+					strconv.FormatFloat(figure.value, 'g', 4, 64)})
+				t.Logf("%5d members, %-6s: %s = %.4g %s", members, distribution, figure.name, figure.value, figure.unit)
 			}
 			w.Flush()
 		}
 	}
 }
 
-type controlFigure struct {
+type controlCost struct {
 	name, unit string
 	value      float64
 }
 
 // measured runs a gatekeeper for some seconds in which nothing changes, and for some in which a version comes
 // each half second.
-func measured(t *testing.T, n int, way string) (all []controlFigure) {
-	const still, change, versions = 4 * time.Second, 500 * time.Millisecond, 6
+func measureControlCost(t *testing.T, members int, distribution string) (figures []controlCost) {
+	const idleTime, changeInterval, versions = 4 * time.Second, 500 * time.Millisecond, 6
 	dir := t.TempDir()
 	worker, err := fakes.NewWorker("w0", 5*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer worker.Close()
-	list, err := fakes.NewDiscovery(worker.Of("z"))
+	discovery, err := fakes.NewDiscovery(worker.Of("z"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer list.Close()
-	d := &deployed{t: t, dir: dir, list: list}
-	d.config(map[string]any{"me": n / 2, "balancers": n, "family_info": map[string]any{"largest": 1}})
+	defer discovery.Close()
+	f := &testFleet{t: t, dir: dir, discovery: discovery}
+	f.writeGatewayConfig(map[string]any{"me": members / 2, "balancers": members, "family_info": map[string]any{"largest": 1}})
 	port := faultinject.Ports(t, 3)
 	raw, err := os.ReadFile(filepath.Join(dir, "gatekeeper.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	head := fmt.Sprintf(`{"name":"g%d","listen":"127.0.0.1:%d",`, n/2, port)
+	head := fmt.Sprintf(`{"name":"g%d","listen":"127.0.0.1:%d",`, members/2, port)
 	text := strings.Replace(string(raw), "{", head, 1)
 	text = strings.Replace(text, `"peers":true`, `"peers":false`, 1)
 	if err := os.WriteFile(filepath.Join(dir, "gatekeeper.json"), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	v := &fixed{}
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+	source := &fixedSource{}
+	rules := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
 		Fallback: ruleset.Fallback{Part: 0.5, For: 3000},
 		Plans: []ruleset.Plan{{Name: "basic", Rate: 500, Burst: 500},
-			{Name: "capped", Rate: 200, Burst: 200, CeilingRate: ceiling, CeilingDepth: depth}}}
-	if n > 500 {
-		r.Needs = []string{ruleset.ManyMembers}
+			{Name: "capped", Rate: 200, Burst: 200, CeilingRate: limitRate, CeilingDepth: limitBurst}}}
+	if members > 500 {
+		rules.Needs = []string{ruleset.ManyMembers}
 	}
-	for i := range n {
-		r.Members = append(
-			r.Members,
+	for i := range members {
+		rules.Members = append(
+			rules.Members,
 			ruleset.Member{Name: fmt.Sprintf("g%d", i), Host: fmt.Sprintf("host-%d", i/14),
 				Peers: fmt.Sprintf("10.%d.%d.1:7000", i/250, i%250)},
 		)
 	}
-	v.lease.Version.Rules = r
-	v.say(1, 500)
-	daemon := &Daemon{log: zerolog.Nop(), rules: &rulesParticipant{rulesSource: v, publisher: newPublisher("till")}}
+	source.lease.Version.Rules = rules
+	source.publish(1, 500)
+	daemon := &Daemon{log: zerolog.Nop(), rules: &rulesParticipant{rulesSource: source, publisher: newPublisher("till")}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+lifecycle.LeasePath, daemon.handleLease)
-	if way == "relays" {
+	if distribution == "relays" {
 		mux.Handle("POST "+lifecycle.AskPath, relay.NewHandler(daemon.answerUpdateRequest))
 	}
-	s := httptest.NewServer(mux)
-	defer s.Close()
+	server := httptest.NewServer(mux)
+	defer server.Close()
 	control := fmt.Sprintf("127.0.0.1:%d", port+1)
 	env := []string{"NODE_CONFIG=gatekeeper.json", "NODE_CONTROL=" + control}
-	if way != "none" {
-		env = append(env, "WILLOWDECK_AGREE="+strings.TrimPrefix(s.URL, "http://"))
+	if distribution != "none" {
+		env = append(env, "WILLOWDECK_AGREE="+strings.TrimPrefix(server.URL, "http://"))
 	}
-	p := faultinject.Start(t, faultinject.Spec{Name: "g", Program: program(t), Dir: dir, Args: []string{"serve"},
+	process := faultinject.Start(t, faultinject.Spec{Name: "g", Program: gatewayProgram(t), Dir: dir, Args: []string{"serve"},
 		Env: env})
-	defer func() { _ = p.Kill() }()
-	daemon.instanceByPID.Store(p.Pid(), fmt.Sprintf("g%d", n/2))
+	defer func() { _ = process.Kill() }()
+	daemon.instanceByPID.Store(process.Pid(), fmt.Sprintf("g%d", members/2))
 	if err := faultinject.Healthy(control, 10*time.Second); err != nil {
 		t.Fatal(err)
 	}
@@ -162,49 +166,49 @@
 		x, _ := faultinject.Figure(control, "svc.rules."+name)
 		return float64(x)
 	}
-	by := func(version int) {
-		if way == "none" {
+	waitVersion := func(version int) {
+		if distribution == "none" {
 			return
 		}
 		faultinject.Until(t, 10*time.Second, "not by the version", func() bool {
 			return figure("version") == float64(version)
 		})
 	}
-	by(1)
+	waitVersion(1)
 	time.Sleep(2 * time.Second) // what a start costs is told apart
-	type at struct{ in, out, cpu, work, wall float64 }
-	now := func() at {
-		return at{figure("bytes_in"), figure("bytes_out"), processor(t, p.Pid()), figure("work_us"),
+	type sample struct{ in, out, cpu, work, wall float64 }
+	takeSample := func() sample {
+		return sample{figure("bytes_in"), figure("bytes_out"), cpuMillis(t, process.Pid()), figure("work_us"),
 			raftlog.Clock()}
 	}
-	add := func(name, unit string, value float64) { all = append(all, controlFigure{name, unit, value}) }
+	add := func(name, unit string, value float64) { figures = append(figures, controlCost{name, unit, value}) }
 	add("start_bytes", "B", figure("bytes_in"))
-	still0 := now()
-	time.Sleep(still)
-	a, b := still0, now()
-	span := (b.wall - a.wall) / 1000
-	add("bytes_in_per_s", "B/s", (b.in-a.in)/span)
-	add("bytes_out_per_s", "B/s", (b.out-a.out)/span)
-	add("cpu", "% of a core", (b.cpu-a.cpu)/span/10)
-	add("work", "% of a core", (b.work-a.work)/1000/span/10)
-	if way != "none" {
-		a = now()
+	idleStart := takeSample()
+	time.Sleep(idleTime)
+	start, end := idleStart, takeSample()
+	span := (end.wall - start.wall) / 1000
+	add("bytes_in_per_s", "B/s", (end.in-start.in)/span)
+	add("bytes_out_per_s", "B/s", (end.out-start.out)/span)
+	add("cpu", "% of a core", (end.cpu-start.cpu)/span/10)
+	add("work", "% of a core", (end.work-start.work)/1000/span/10)
+	if distribution != "none" {
+		start = takeSample()
 		for i := range versions {
-			v.say(2+i, 500-i)
-			time.Sleep(change)
+			source.publish(2+i, 500-i)
+			time.Sleep(changeInterval)
 		}
-		by(1 + versions)
-		c := now()
-		part := (c.wall - a.wall) / 1000 / span // of what the same time costs with no change
-		add("change_bytes", "B", ((c.in-a.in)-part*(b.in-still0.in))/versions)
-		add("change_cpu", "ms", ((c.cpu-a.cpu)-part*(b.cpu-still0.cpu))/versions)
-	}
-	add("rss", "MB", resident(t, p.Pid()))
-	return all
+		waitVersion(1 + versions)
+		changed := takeSample()
+		timeRatio := (changed.wall - start.wall) / 1000 / span // of what the same time costs with no change
+		add("change_bytes", "B", ((changed.in-start.in)-timeRatio*(end.in-idleStart.in))/versions)
+		add("change_cpu", "ms", ((changed.cpu-start.cpu)-timeRatio*(end.cpu-idleStart.cpu))/versions)
+	}
+	add("rss", "MB", residentMegabytes(t, process.Pid()))
+	return figures
 }
 
 // processor is what a process has used of cores since its start, ms.
-func processor(t *testing.T, pid int) (ms float64) {
+func cpuMillis(t *testing.T, pid int) (total float64) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no schedstat of %d: %v", pid, err)
@@ -218,13 +222,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ms += ns / 1e6
+		total += ns / 1e6
 	}
-	return ms
+	return total
 }
 
 // resident is a process's memory, MB.
-func resident(t *testing.T, pid int) float64 {
+func residentMegabytes(t *testing.T, pid int) float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/supervisor/council.go
+++ b/internal/supervisor/council.go
@@ -523,9 +523,9 @@
 
 func (d *Daemon) handleCouncilStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	e := json.NewEncoder(w)
-	e.SetIndent("", " ")
-	_ = e.Encode(CouncilStatus{d.rules.voter.View(), d.rules.voter.Agreement()})
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", " ")
+	_ = encoder.Encode(CouncilStatus{d.rules.voter.View(), d.rules.voter.Agreement()})
 }
 
 // rulesText is the version in force as a file of rules, for operators that change it.
--- a/internal/supervisor/council_golden_test.go
+++ b/internal/supervisor/council_golden_test.go
@@ -21,7 +21,7 @@
 // written by hand. They stand for what old programs have stored or send, so that there is no flag that writes
 // them again: if a test here fails, the code has changed the form, not the file.
 
-func goldenCouncilFile(t *testing.T, name string) []byte {
+func readGoldenCouncilFile(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", "golden", "council", name))
 	if err != nil {
@@ -30,14 +30,14 @@
 	return raw
 }
 
-func goldenCouncilBytes(t *testing.T, name string, got []byte) {
+func checkGoldenCouncilBytes(t *testing.T, name string, got []byte) {
 	t.Helper()
-	if want := goldenCouncilFile(t, name); !bytes.Equal(got, want) {
+	if want := readGoldenCouncilFile(t, name); !bytes.Equal(got, want) {
 		t.Errorf("%s: the code writes\n%s\nnot\n%s", name, got, want)
 	}
 }
 
-func goldenCouncilSame(t *testing.T, name string, got, want any, err error) {
+func checkGoldenCouncilValue(t *testing.T, name string, got, want any, err error) {
 	t.Helper()
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%s: read as\n%+v\nnot as\n%+v\n%v", name, got, want, err)
@@ -45,7 +45,7 @@
 }
 
 // goldenAgreedRules have no field that is zero.
-func goldenAgreedRules(rate float64) ruleset.Rules {
+func goldenCouncilRules(rate float64) ruleset.Rules {
 	return ruleset.Rules{
 		Form: 1, Needs: []string{"members"},
 		Plans: []ruleset.Plan{{Name: "gold", Rate: rate, Burst: 12, CeilingRate: 13, CeilingDepth: 14,
@@ -57,19 +57,19 @@
 }
 
 // goldenLeaseVoice says what is in force; its other methods are not called.
-type goldenLeaseVoice struct{ rulesSource }
+type goldenLeaseSource struct{ rulesSource }
 
-func (goldenLeaseVoice) Highest() int64 { return 91 }
+func (goldenLeaseSource) Highest() int64 { return 91 }
 
-func (goldenLeaseVoice) InForce() ruleset.Version {
-	return ruleset.Version{Number: 7, Rules: goldenAgreedRules(11)}
+func (goldenLeaseSource) InForce() ruleset.Version {
+	return ruleset.Version{Number: 7, Rules: goldenCouncilRules(11)}
 }
 
 // Asked answers only if each value of the query has come under its own name.
-func (v goldenLeaseVoice) Asked(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
-	pending := goldenAgreedRules(11.5)
-	return ruleset.Lease{Step: 41, Version: v.InForce(), Settled: true, Pending: &pending, Age: 12.5},
-		pid == 4711 && name == "gk1" && holds == 40 && index == 90
+func (s goldenLeaseSource) Asked(pid int, name string, heldStep uint64, discoveryIndex int64) (ruleset.Lease, bool) {
+	pending := goldenCouncilRules(11.5)
+	return ruleset.Lease{Step: 41, Version: s.InForce(), Settled: true, Pending: &pending, Age: 12.5},
+		pid == 4711 && name == "gk1" && heldStep == 40 && discoveryIndex == 90
 }
 
 // goldenCouncilDaemon keeps no instance: the members of the rules are of another host.
@@ -82,21 +82,21 @@
 		t.Fatal(err)
 	}
 	d := &Daemon{settings: &Settings{RunDir: dir, Rules: &RulesSettings{}, file: file}, slots: map[string]*instanceSlot{},
-		rules: &rulesParticipant{rulesSource: goldenLeaseVoice{}, file: file}, reconciler: NewReconciler(Policy{}, 1)}
+		rules: &rulesParticipant{rulesSource: goldenLeaseSource{}, file: file}, reconciler: NewReconciler(Policy{}, 1)}
 	d.instanceByPID.Store(4711, "gk1")
 	return d
 }
 
 // A daemon starts with the rules that one before it has carried out last.
-func TestGoldenLastRulesOfCouncil(t *testing.T) {
+func TestGoldenAppliedRulesOfCouncil(t *testing.T) {
 	d := goldenCouncilDaemon(t)
 	path := filepath.Join(d.settings.RunDir, "rules.json")
-	if err := os.WriteFile(path, goldenCouncilFile(t, "rules.json"), 0o600); err != nil {
+	if err := os.WriteFile(path, readGoldenCouncilFile(t, "rules.json"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	got, err := d.settings.readAppliedRules()
-	want := goldenAgreedRules(11)
-	goldenCouncilSame(t, "rules.json", got, &want, err)
+	want := goldenCouncilRules(11)
+	checkGoldenCouncilValue(t, "rules.json", got, &want, err)
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenCouncilBytes(t, "rules.json", raw)
+	checkGoldenCouncilBytes(t, "rules.json", raw)
 }
 
 // What instances of an older program ask, and what operators read.
@@ -125,7 +125,7 @@
 		if w.Code != http.StatusOK {
 			t.Errorf("%s: %d", c.name, w.Code)
 		}
-		goldenCouncilBytes(t, c.name, w.Body.Bytes())
+		checkGoldenCouncilBytes(t, c.name, w.Body.Bytes())
 		if index := w.Header().Get("X-Discovery-Index"); c.name == "lease.json" && index != "91" {
 			t.Errorf("%s: the header of the highest index says %q", c.name, index)
 		}
@@ -133,13 +133,13 @@
 	if lifecycle.LeasePath != "/fleet/lease" {
 		t.Errorf("instances of an older program ask at /fleet/lease, not at %s", lifecycle.LeasePath)
 	}
-	pending := goldenAgreedRules(11.5)
-	got, err := ruleset.ReadLease(goldenCouncilFile(t, "lease.json"))
-	goldenCouncilSame(t, "lease.json", got, ruleset.Lease{Step: 41, Version: goldenLeaseVoice{}.InForce(),
+	pending := goldenCouncilRules(11.5)
+	got, err := ruleset.ReadLease(readGoldenCouncilFile(t, "lease.json"))
+	checkGoldenCouncilValue(t, "lease.json", got, ruleset.Lease{Step: 41, Version: goldenLeaseSource{}.InForce(),
 		Settled: true, Pending: &pending, Age: 12.5}, err)
 }
 
-func goldenSitting() CouncilStatus {
+func goldenCouncilStatus() CouncilStatus {
 	return CouncilStatus{
 		View: raftlog.View{State: "member", Why: "why", Me: "h1", Disk: "a1", Council: "c", Leader: "h2",
 			Term: 3, Applied: 44, Hosts: []raftlog.HostView{{Name: "h2", Address: "10.0.0.2:9000", Disk: "a2",
@@ -149,28 +149,28 @@
 	}
 }
 
-func TestGoldenSitting(t *testing.T) {
+func TestGoldenCouncilStatus(t *testing.T) {
 	var got CouncilStatus
-	err := json.Unmarshal(goldenCouncilFile(t, "sitting.json"), &got)
-	goldenCouncilSame(t, "sitting.json", got, goldenSitting(), err)
-	raw, err := json.MarshalIndent(goldenSitting(), "", " ")
+	err := json.Unmarshal(readGoldenCouncilFile(t, "sitting.json"), &got)
+	checkGoldenCouncilValue(t, "sitting.json", got, goldenCouncilStatus(), err)
+	raw, err := json.MarshalIndent(goldenCouncilStatus(), "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenCouncilBytes(t, "sitting.json", raw)
+	checkGoldenCouncilBytes(t, "sitting.json", raw)
 }
 
 // The settings of a council and of relays in a fleet's file have no tags either.
 func TestGoldenCouncilSettings(t *testing.T) {
 	var f FleetFile
-	if err := strictoml.Decode(string(goldenCouncilFile(t, "fleet.toml")), &f); err != nil {
+	if err := strictoml.Decode(string(readGoldenCouncilFile(t, "fleet.toml")), &f); err != nil {
 		t.Fatal(err)
 	}
-	goldenCouncilSame(t, "council", f.Council, &CouncilSettings{HostName: "h1", RaftListen: "10.0.0.1:9000",
+	checkGoldenCouncilValue(t, "council", f.Council, &CouncilSettings{HostName: "h1", RaftListen: "10.0.0.1:9000",
 		StorePath: "council.db", RulesPath: "rules.toml", BootstrapCluster: true, RelayListen: "10.0.0.1:9100",
 		Hosts: []struct{ Name, Address string }{{"h1", "10.0.0.1:9000"}, {"h2", "10.0.0.2:9000"}}}, nil)
-	goldenCouncilSame(t, "relay", f.Relay, &RelaySettings{HostName: "h3", Upstreams: []string{"10.0.0.1:9100"},
+	checkGoldenCouncilValue(t, "relay", f.Relay, &RelaySettings{HostName: "h3", Upstreams: []string{"10.0.0.1:9100"},
 		StorePath: "relay.db"}, nil)
-	goldenCouncilSame(t, "reach", f.AddressOverrides, map[string]map[string]string{
+	checkGoldenCouncilValue(t, "reach", f.AddressOverrides, map[string]map[string]string{
 		"gk1": {"10.0.0.2:7002": "127.0.0.1:7002"}}, nil)
 }
--- a/internal/supervisor/council_hard_test.go
+++ b/internal/supervisor/council_hard_test.go
@@ -31,82 +31,82 @@
 )
 
 var (
-	long  = flag.Duration("long", 0, "all hard cases of the council, and then drawn ones for so long")
-	first = flag.Int64("seed", 1, "of the first drawn one")
+	longDuration = flag.Duration("long", 0, "all hard cases of the council, and then drawn ones for so long")
+	firstSeed    = flag.Int64("seed", 1, "of the first drawn one")
 )
 
 const (
-	promised = 2000.0 // ms for which two gatekeepers may go by rules that contradict
-	between  = 300.0  // ms from a decision to the worker's line of it, on a busy machine
+	maxContradictionMillis = 2000.0 // ms for which two gatekeepers may go by rules that contradict
+	observationSlackMillis = 300.0  // ms from a decision to the worker's line of it, on a busy machine
 )
 
 // trial is an assembly under load, whose records are checked at its end.
-type trial struct {
-	*assembly
-	rig    *history.Log // what the rig does
-	loaded chan *loadgen.Report
-	all    []workload.Arrival
+type clusterTrial struct {
+	*testCluster
+	rigLog     *history.Log // what the rig does
+	loadReport chan *loadgen.Report
+	arrivals   []workload.Arrival
 }
 
 // hard leaves a case to the long form.
-func hard(t *testing.T) {
+func requireLong(t *testing.T) {
 	t.Helper()
-	if *long == 0 {
+	if *longDuration == 0 {
 		t.Skip("-args -long 1m")
 	}
 }
 
 // try starts hosts and waits until all are leased; instances are k each.
-func try(t *testing.T, n, k int, change func(*ruleset.Rules)) *trial {
+func startTrial(t *testing.T, hosts, perHost int, change func(*ruleset.Rules)) *clusterTrial {
 	t.Helper()
-	x := ready(t, n, k, change)
-	x.start()
-	x.until(1, n*k, x.hosts...)
-	return x
+	trial := newTrial(t, hosts, perHost, change)
+	trial.start()
+	trial.waitVersion(1, hosts*perHost, trial.hosts...)
+	return trial
 }
 
 // ready has all there but the daemons.
-func ready(t *testing.T, n, k int, change func(*ruleset.Rules)) *trial {
+func newTrial(t *testing.T, hosts, perHost int, change func(*ruleset.Rules)) *clusterTrial {
 	t.Helper()
-	x := &trial{assembly: assemble(t, n, k, change)}
+	trial := &clusterTrial{testCluster: newTestCluster(t, hosts, perHost, change)}
 	record := func(name string) *history.Log {
-		l, err := history.Open(filepath.Join(x.records, name+".jsonl"), name, 1)
+		l, err := history.Open(filepath.Join(trial.historyDir, name+".jsonl"), name, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return l
 	}
-	x.rig = record("rig")
-	for _, w := range x.workers {
+	trial.rigLog = record("rig")
+	for _, w := range trial.workers {
 		w.Record = record(w.Name)
 	}
-	return x
+	return trial
 }
 
 // targets are where the members of some hosts take clients.
-func (x *trial) targets(hosts ...*host) (all []string) {
-	for place, m := range x.rules.Members {
+func (trial *clusterTrial) targets(hosts ...*testHost) (addresses []string) {
+	for slot, member := range trial.rules.Members {
 		for _, h := range hosts {
-			if m.Host == h.name {
-				all = append(all, fmt.Sprintf("%s:%d", h.ip, x.first+2+place))
+			if member.Host == h.name {
+				addresses = append(addresses, fmt.Sprintf("%s:%d", h.ip, trial.basePort+2+slot))
 			}
 		}
 	}
-	return all
+	return addresses
 }
 
 // loads begins a load on all members: half of it one customer's that asks for more than its ceiling at all.
-func (x *trial) loads(span time.Duration) {
+func (trial *clusterTrial) startLoad(span time.Duration) {
 	for at := 0.0; at < float64(span/time.Millisecond); at += 5 {
-		a := workload.Arrival{At: at, Customer: len(x.all) % 7, Units: 1, Set: len(x.all)}
-		if len(x.all)%2 == 0 {
-			a.Customer, a.Plan = 100, 1
+		arrival := workload.Arrival{At: at, Customer: len(trial.arrivals) % 7, Units: 1, Set: len(trial.arrivals)}
+		if len(trial.arrivals)%2 == 0 {
+			arrival.Customer, arrival.Plan = 100, 1
 		}
-		x.all = append(x.all, a)
+		trial.arrivals = append(trial.arrivals, arrival)
 	}
-	targets := x.targets(x.hosts...)
-	j := &loadgen.Job{
-		Arrivals: x.all,
+	targets := trial.targets(trial.hosts...)
+	job := &loadgen.Job{
+		Arrivals: trial.arrivals,
 		Targets:  targets,
 		Spread:   len(targets),
 		Plans:    []string{"basic", "capped"},
@@ -114,86 +114,86 @@
 		Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	x.loaded = make(chan *loadgen.Report, 1)
-	x.t.Cleanup(cancel)
+	trial.loadReport = make(chan *loadgen.Report, 1)
+	trial.t.Cleanup(cancel)
 	go func() {
-		r, err := j.Run(ctx)
+		r, err := job.Run(ctx)
 		if err != nil && ctx.Err() == nil {
-			x.t.Error(err)
+			trial.t.Error(err)
 		}
-		x.loaded <- r
+		trial.loadReport <- r
 	}()
 }
 
 // part cuts hosts and their instances off from all others, both ways; join makes all whole.
-func (x *trial) part(hosts ...*host) { x.links(hosts, faultinject.Silent) }
-func (x *trial) join(hosts ...*host) { x.links(hosts, faultinject.Whole) }
+func (trial *clusterTrial) partition(hosts ...*testHost) { trial.setLinks(hosts, faultinject.Silent) }
+func (trial *clusterTrial) heal(hosts ...*testHost)      { trial.setLinks(hosts, faultinject.Whole) }
 
-func (x *trial) links(hosts []*host, how faultinject.Cut) {
+func (trial *clusterTrial) setLinks(hosts []*testHost, cut faultinject.Cut) {
 	for _, h := range hosts {
-		for _, o := range x.hosts {
-			if slices.Contains(hosts, o) {
+		for _, other := range trial.hosts {
+			if slices.Contains(hosts, other) {
 				continue
 			}
-			x.net.Part(h.name, o.name, how)
-			for _, m := range x.rules.Members {
-				for _, n := range x.rules.Members {
-					if m.Host == h.name && n.Host == o.name {
-						x.net.Part(m.Name, n.Name, how)
+			trial.network.Part(h.name, other.name, cut)
+			for _, m := range trial.rules.Members {
+				for _, n := range trial.rules.Members {
+					if m.Host == h.name && n.Host == other.name {
+						trial.network.Part(m.Name, n.Name, cut)
 					}
 				}
 			}
 		}
 	}
-	x.rig.Write(history.Event{Kind: history.Faults, Says: fmt.Sprint(how)})
+	trial.rigLog.Write(history.Event{Kind: history.Faults, Says: fmt.Sprint(cut)})
 }
 
-func (x *trial) kill(h *host) {
-	x.t.Helper()
+func (trial *clusterTrial) kill(h *testHost) {
+	trial.t.Helper()
 	if err := h.Kill(); err != nil {
-		x.t.Fatal(err)
+		trial.t.Fatal(err)
 	}
-	x.rig.Write(history.Event{Kind: history.Died, Peer: h.name})
+	trial.rigLog.Write(history.Event{Kind: history.Died, Peer: h.name})
 }
 
-func (x *trial) back(h *host) {
-	x.t.Helper()
+func (trial *clusterTrial) restart(h *testHost) {
+	trial.t.Helper()
 	if err := h.Restart(nil); err != nil {
-		x.t.Fatal(err)
+		trial.t.Fatal(err)
 	}
 }
 
 // version gives the version in force at a host's daemon; 0 where it does not say.
-func (h *host) version() uint64 {
-	s, _ := h.sitting()
-	return s.Rules.Version
+func (h *testHost) versionInForce() uint64 {
+	status, _ := h.councilStatus()
+	return status.Rules.Version
 }
 
 // ceilings gives rules with another ceiling of the capped plan.
-func (x *trial) ceilings(rate, depth float64) ruleset.Rules {
-	r := x.rules
-	r.Plans = slices.Clone(r.Plans)
-	r.Plans[1].CeilingRate, r.Plans[1].CeilingDepth = rate, depth
-	return r
+func (trial *clusterTrial) withLimit(rate, burst float64) ruleset.Rules {
+	rules := trial.rules
+	rules.Plans = slices.Clone(rules.Plans)
+	rules.Plans[1].CeilingRate, rules.Plans[1].CeilingDepth = rate, burst
+	return rules
 }
 
-func (x *trial) quota(rate float64) ruleset.Rules {
-	r := x.rules
-	r.Plans = slices.Clone(r.Plans)
-	r.Plans[0].Rate = rate
-	return r
+func (trial *clusterTrial) withQuota(rate float64) ruleset.Rules {
+	rules := trial.rules
+	rules.Plans = slices.Clone(rules.Plans)
+	rules.Plans[0].Rate = rate
+	return rules
 }
 
 // enforced proposes rules at a host and waits until its daemon has them in force; how long that took.
-func (x *trial) enforced(h *host, r ruleset.Rules) time.Duration {
-	x.t.Helper()
+func (trial *clusterTrial) proposeAndWait(h *testHost, rules ruleset.Rules) time.Duration {
+	trial.t.Helper()
 	began := time.Now()
-	h.propose(r)
-	x.rules = r
-	for s, ok := h.sitting(); !ok || s.Rules.Mark != raftlog.Mark(&r); s, ok = h.sitting() {
+	h.propose(rules)
+	trial.rules = rules
+	for status, ok := h.councilStatus(); !ok || status.Rules.Mark != raftlog.Mark(&rules); status, ok = h.councilStatus() {
 		if time.Since(began) > 20*time.Second {
 			log, _ := os.ReadFile(h.Log())
-			x.t.Fatalf("%s has not what it proposed in force: %+v\n%s", h.name, s, log)
+			trial.t.Fatalf("%s has not what it proposed in force: %+v\n%s", h.name, status, log)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -203,26 +203,26 @@
 // check ends the load and checks all that was written down: versions are one register, no two gatekeepers
 // go by rules that contradict for longer than is promised, and no customer goes beyond a ceiling by what
 // the workers themselves were sent.
-func (x *trial) check(ceilings map[uint64]ruleset.Rules) (sent int) {
-	x.t.Helper()
-	if x.loaded != nil {
-		r := <-x.loaded
+func (trial *clusterTrial) check(rules map[uint64]ruleset.Rules) (sent int) {
+	trial.t.Helper()
+	if trial.loadReport != nil {
+		r := <-trial.loadReport
 		if r == nil {
-			x.t.Fatal("no load")
+			trial.t.Fatal("no load")
 		}
-		x.t.Logf("%v", r.Counts["check"])
+		trial.t.Logf("%v", r.Counts["check"])
 	}
-	record, err := history.Read(x.records)
+	record, err := history.Read(trial.historyDir)
 	if err != nil {
-		x.t.Fatal(err)
+		trial.t.Fatal(err)
 	}
-	capped := x.capped()
+	capped := trial.limitedRequests()
 	bare := map[string]bool{}         // sent by no version: under no ceiling, then
 	for i, e := range record.Events { // the names of the modes are the instances' own
 		if e.Kind == history.Sends && e.Mode == ruleset.Bare.String() {
 			bare[e.Txn+e.Worker] = true
 			if record.Events[i].Version = 0; capped[e.Txn] {
-				x.t.Errorf("%v: sent bare, under a ceiling", e)
+				trial.t.Errorf("%v: sent bare, under a ceiling", e)
 			}
 		}
 		if e.Kind == history.Got && bare[e.Txn+e.Worker] {
@@ -238,340 +238,343 @@
 		}
 	}
 	if v := history.Versions(record); v.Count > 0 || v.Reads == 0 || v.Checker == "Illegal" {
-		x.t.Errorf("versions: %+v", v.Found)
+		trial.t.Errorf("versions: %+v", v.Found)
 	} else {
-		x.t.Logf("%d versions, %d reads, porcupine: %s", v.InForce, v.Reads, v.Checker)
+		trial.t.Logf("%d versions, %d reads, porcupine: %s", v.InForce, v.Reads, v.Checker)
 	}
-	c := history.Contradiction(record, history.Leases(ceilings), promised, between)
+	c := history.Contradiction(record, history.Leases(rules), maxContradictionMillis, observationSlackMillis)
 	if c.Count > 0 || c.Spans == 0 {
-		x.t.Errorf("contradictions: %+v", c.Found)
+		trial.t.Errorf("contradictions: %+v", c.Found)
 	}
-	x.t.Logf("longest contradiction %.0f ms, submission after its version %.0f ms, %d spans", c.Longest, c.Lag,
+	trial.t.Logf("longest contradiction %.0f ms, submission after its version %.0f ms, %d spans", c.Longest, c.Lag,
 		c.Spans)
-	over, sent := x.beyond(record, ceilings)
+	over, sent := trial.unitsOverLimit(record, rules)
 	if over > 0 {
-		x.t.Errorf("%.1f units beyond the ceilings, of %d", over, sent)
+		trial.t.Errorf("%.1f units beyond the ceilings, of %d", over, sent)
 	}
-	tight := map[uint64]ruleset.Rules{} // and the check bites
-	for n, r := range ceilings {
+	lowered := map[uint64]ruleset.Rules{} // and the check bites
+	for n, r := range rules {
 		r.Plans = slices.Clone(r.Plans)
 		r.Plans[1].CeilingRate, r.Plans[1].CeilingDepth = r.Plans[1].CeilingRate/4, r.Plans[1].CeilingDepth/4
-		tight[n] = r
+		lowered[n] = r
 	}
-	if over, _ := x.beyond(record, tight); over <= 0 && sent > 100 {
-		x.t.Errorf("%d sent under a quarter of the ceilings, and the check finds nothing", sent)
+	if over, _ := trial.unitsOverLimit(record, lowered); over <= 0 && sent > 100 {
+		trial.t.Errorf("%d sent under a quarter of the ceilings, and the check finds nothing", sent)
 	}
 	return sent
 }
 
 // capped are the txns of the customer with a ceiling, as the workers know them.
-func (x *trial) capped() map[string]bool {
-	capped := map[string]bool{}
-	for _, w := range x.workers {
+func (trial *clusterTrial) limitedRequests() map[string]bool {
+	limited := map[string]bool{}
+	for _, w := range trial.workers {
 		for _, got := range w.Got() {
 			n := 0
 			_, query, _ := strings.Cut(got.Target, "?n=")
-			if _, err := fmt.Sscan(query, &n); err == nil && n < len(x.all) && x.all[n].Plan == 1 {
-				capped[got.ID] = true
+			if _, err := fmt.Sscan(query, &n); err == nil && n < len(trial.arrivals) && trial.arrivals[n].Plan == 1 {
+				limited[got.ID] = true
 			}
 		}
 	}
-	return capped
+	return limited
 }
 
 // beyond tells by how many units what workers were sent went beyond the ceiling in force. The slack is
 // what its rate gives in 500 ms, as in TestChaos. A higher ceiling holds from when it is in force, a lower
 // one from so long after that as is promised.
-func (x *trial) beyond(record history.Record, rules map[uint64]ruleset.Rules) (most float64, sent int) {
-	capped := x.capped()
-	type turn struct {
-		at      int64
-		version uint64
-		txn     bool
-	}
-	var turns []turn
+func (trial *clusterTrial) unitsOverLimit(record history.Record, rules map[uint64]ruleset.Rules) (worst float64, sent int) {
+	limited := trial.limitedRequests()
+	type event struct {
+		advanceTo int64
+		version   uint64
+		txn       bool
+	}
+	var events []event
 	first := map[uint64]bool{}
 	for _, e := range record.Events {
 		if e.Kind == history.Taken && e.Says == "" && !first[e.Version] {
 			first[e.Version] = true
-			turns = append(turns, turn{at: e.At, version: e.Version})
+			events = append(events, event{advanceTo: e.At, version: e.Version})
 		}
-		if e.Kind == history.Got && capped[e.Txn] {
-			turns = append(turns, turn{at: e.At, txn: true})
+		if e.Kind == history.Got && limited[e.Txn] {
+			events = append(events, event{advanceTo: e.At, txn: true})
 		}
 	}
-	rate, room, level, last := 0.0, 0.0, 0.0, int64(0)
-	var lower []turn
-	set := func(r ruleset.Rules) {
+	rate, capacity, level, last := 0.0, 0.0, 0.0, int64(0)
+	var loweringEvents []event
+	setLimit := func(r ruleset.Rules) {
 		full := r.Plans[1].CeilingDepth + r.Plans[1].CeilingRate*0.5
-		level += max(full-room, 0)
-		rate, room = r.Plans[1].CeilingRate, full
-		level = min(level, room)
+		level += max(full-capacity, 0)
+		rate, capacity = r.Plans[1].CeilingRate, full
+		level = min(level, capacity)
 	}
-	at := func(now int64) {
-		level, last = min(level+float64(now-last)/1e9*rate, room), now
+	advanceTo := func(now int64) {
+		level, last = min(level+float64(now-last)/1e9*rate, capacity), now
 	}
-	for _, t := range turns {
-		for len(lower) > 0 && lower[0].at <= t.at {
-			at(lower[0].at)
-			set(rules[lower[0].version])
-			lower = lower[1:]
+	for _, t := range events {
+		for len(loweringEvents) > 0 && loweringEvents[0].advanceTo <= t.advanceTo {
+			advanceTo(loweringEvents[0].advanceTo)
+			setLimit(rules[loweringEvents[0].version])
+			loweringEvents = loweringEvents[1:]
 		}
-		at(t.at)
+		advanceTo(t.advanceTo)
 		switch r := rules[t.version]; {
 		case t.txn:
 			sent++
 			level--
-			most = max(most, -level)
+			worst = max(worst, -level)
 		case len(r.Plans) < 2:
-			x.t.Fatalf("version %d is not known to the check", t.version)
+			trial.t.Fatalf("version %d is not known to the check", t.version)
 		case r.Plans[1].CeilingRate >= rate:
-			lower = nil
-			set(r)
+			loweringEvents = nil
+			setLimit(r)
 		default:
-			lower = append(lower, turn{at: t.at + int64(promised*1e6), version: t.version})
+			loweringEvents = append(loweringEvents, event{advanceTo: t.advanceTo + int64(maxContradictionMillis*1e6), version: t.version})
 		}
 	}
-	return most, sent
+	return worst, sent
 }
 
 // A change while the proposer dies between commit and telling, at two of three or one that leads: it is in
 // force once for all, and its own instances are told by nobody until it is back.
-func TestProposerDies(t *testing.T) {
+func TestProposerCrash(t *testing.T) {
 	t.Parallel()
-	x := try(t, 3, 2, nil)
-	x.loads(7 * time.Second)
-	h := x.leader()
-	others := slices.DeleteFunc(slices.Clone(x.hosts), func(o *host) bool { return o == h })
-	next := x.ceilings(ceiling*0.75, depth*0.75)
-	h.propose(next)
+	trial := startTrial(t, 3, 2, nil)
+	trial.startLoad(7 * time.Second)
+	proposer := trial.leader()
+	others := slices.DeleteFunc(slices.Clone(trial.hosts), func(o *testHost) bool { return o == proposer })
+	next := trial.withLimit(limitRate*0.75, limitBurst*0.75)
+	proposer.propose(next)
 	faultinject.Until(t, 5*time.Second, "another has it", func() bool {
-		return others[0].version() == 2 || others[1].version() == 2
+		return others[0].versionInForce() == 2 || others[1].versionInForce() == 2
 	})
-	x.kill(h)
+	trial.kill(proposer)
 	began := time.Now()
-	x.until(2, 4, others...)
-	x.leader()
+	trial.waitVersion(2, 4, others...)
+	trial.leader()
 	t.Logf("the others go on after %v", time.Since(began))
-	x.back(h)
-	t.Logf("all leased %v after the proposer is back", x.until(2, 6, x.hosts...))
-	if n := x.check(map[uint64]ruleset.Rules{1: x.rules, 2: next}); n < 100 {
+	trial.restart(proposer)
+	t.Logf("all leased %v after the proposer is back", trial.waitVersion(2, 6, trial.hosts...))
+	if n := trial.check(map[uint64]ruleset.Rules{1: trial.rules, 2: next}); n < 100 {
 		t.Errorf("%d sent under the ceiling", n)
 	}
 }
 
 // A side of one host keeps serving while the other two take the ceiling down, then up.
-func TestMinorityServes(t *testing.T) {
-	hard(t)
-	x := try(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.For = 4000 })
-	x.loads(14 * time.Second)
-	rules := map[uint64]ruleset.Rules{1: x.rules}
-	few, many := x.hosts[2], x.hosts[:2]
+func TestMinorityPartition(t *testing.T) {
+	requireLong(t)
+	trial := startTrial(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.For = 4000 })
+	trial.startLoad(14 * time.Second)
+	rules := map[uint64]ruleset.Rules{1: trial.rules}
+	minority, majority := trial.hosts[2], trial.hosts[:2]
 	cut := history.Now()
-	x.part(few)
-	rules[2] = x.ceilings(ceiling/4, depth/4) // less than the fallback's half: it has to wait
-	t.Logf("down, with a host cut off: in force after %v", x.enforced(many[0], rules[2]))
-	x.until(2, 4, many...)
-	for _, i := range faultinject.Instances(few.run()) {
-		if f, ok := look(i); !ok || f.version != 1 || f.mode == int64(ruleset.Leased) {
+	trial.partition(minority)
+	rules[2] = trial.withLimit(limitRate/4, limitBurst/4) // less than the fallback's half: it has to wait
+	t.Logf("down, with a host cut off: in force after %v", trial.proposeAndWait(majority[0], rules[2]))
+	trial.waitVersion(2, 4, majority...)
+	for _, i := range faultinject.Instances(minority.runDir()) {
+		if f, ok := readRuleStats(i); !ok || f.version != 1 || f.mode == int64(ruleset.Leased) {
 			t.Errorf("%s, cut off, goes by %+v", i.Name, f)
 		}
 	}
-	rules[3] = x.ceilings(ceiling, depth)
-	t.Logf("up again: in force after %v", x.enforced(many[1], rules[3]))
-	x.until(3, 4, many...)
-	x.join(few)
-	t.Logf("healed: all leased after %v", x.until(3, 6, x.hosts...))
-	if n := x.check(rules); n < 150 {
+	rules[3] = trial.withLimit(limitRate, limitBurst)
+	t.Logf("up again: in force after %v", trial.proposeAndWait(majority[1], rules[3]))
+	trial.waitVersion(3, 4, majority...)
+	trial.heal(minority)
+	t.Logf("healed: all leased after %v", trial.waitVersion(3, 6, trial.hosts...))
+	if n := trial.check(rules); n < 150 {
 		t.Errorf("%d sent under the ceiling", n)
 	}
-	record, err := history.Read(x.records)
+	record, err := history.Read(trial.historyDir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	alone := 0
+	sentByMinority := 0
 	for _, e := range record.Events {
 		if e.Kind == history.Sends && (e.Who == "g4" || e.Who == "g5") && e.At > cut+2e9 && e.Version == 1 {
-			alone++
+			sentByMinority++
 		}
 	}
-	if alone < 20 {
-		t.Errorf("cut off, its instances sent %d", alone)
+	if sentByMinority < 20 {
+		t.Errorf("cut off, its instances sent %d", sentByMinority)
 	}
 }
 
 // Links that carry one way alone, and then the other, each time with a change.
-func TestOneWayLinks(t *testing.T) {
-	hard(t)
-	x := try(t, 3, 2, nil)
-	x.loads(8 * time.Second)
-	rules := map[uint64]ruleset.Rules{1: x.rules}
-	h := x.leader()
-	for i, way := range []func(o *host){
-		func(o *host) { x.net.Cut(h.name, o.name, faultinject.Silent) },
-		func(o *host) { x.net.Heal(h.name, o.name); x.net.Cut(o.name, h.name, faultinject.Silent) },
+func TestAsymmetricPartition(t *testing.T) {
+	requireLong(t)
+	trial := startTrial(t, 3, 2, nil)
+	trial.startLoad(8 * time.Second)
+	rules := map[uint64]ruleset.Rules{1: trial.rules}
+	h := trial.leader()
+	for i, way := range []func(o *testHost){
+		func(o *testHost) { trial.network.Cut(h.name, o.name, faultinject.Silent) },
+		func(o *testHost) {
+			trial.network.Heal(h.name, o.name)
+			trial.network.Cut(o.name, h.name, faultinject.Silent)
+		},
 	} {
-		for _, o := range x.hosts {
+		for _, o := range trial.hosts {
 			if o != h {
 				way(o)
 			}
 		}
-		var other *host
+		var other *testHost
 		faultinject.Until(t, 10*time.Second, "another leads", func() bool {
-			for _, o := range x.hosts {
-				if s, ok := o.sitting(); ok && o != h && s.Leader == s.Me {
+			for _, o := range trial.hosts {
+				if s, ok := o.councilStatus(); ok && o != h && s.Leader == s.Me {
 					other = o
 				}
 			}
 			return other != nil
 		})
-		r := x.ceilings(ceiling*(0.9-0.1*float64(i)), depth*(0.9-0.1*float64(i)))
+		r := trial.withLimit(limitRate*(0.9-0.1*float64(i)), limitBurst*(0.9-0.1*float64(i)))
 		rules[uint64(2+i)] = r
-		t.Logf("a change with one-way links: %v", x.enforced(other, r))
+		t.Logf("a change with one-way links: %v", trial.proposeAndWait(other, r))
 	}
-	for _, o := range x.hosts {
+	for _, o := range trial.hosts {
 		if o != h {
-			x.net.Join(h.name, o.name)
+			trial.network.Join(h.name, o.name)
 		}
 	}
-	t.Logf("healed: all leased after %v", x.until(3, 6, x.hosts...))
-	x.check(rules)
+	t.Logf("healed: all leased after %v", trial.waitVersion(3, 6, trial.hosts...))
+	trial.check(rules)
 }
 
 // An instance stands still over two changes; once it goes on, nothing is sent by the version that it had.
-func TestInstanceStalls(t *testing.T) {
+func TestInstanceStall(t *testing.T) {
 	t.Parallel()
-	x := try(t, 3, 2, nil)
+	trial := startTrial(t, 3, 2, nil)
 	rounds := 1
-	if *long > 0 {
+	if *longDuration > 0 {
 		rounds = 3
 	}
-	x.loads(time.Duration(rounds) * 4500 * time.Millisecond)
-	rules := map[uint64]ruleset.Rules{1: x.rules}
+	trial.startLoad(time.Duration(rounds) * 4500 * time.Millisecond)
+	rules := map[uint64]ruleset.Rules{1: trial.rules}
 	for range rounds {
-		still := faultinject.Instances(x.hosts[1].run())[0]
-		if err := still.Stall(); err != nil {
+		stalled := faultinject.Instances(trial.hosts[1].runDir())[0]
+		if err := stalled.Stall(); err != nil {
 			t.Fatal(err)
 		}
-		x.rig.Write(history.Event{Kind: history.Stalls, Peer: still.Name})
+		trial.rigLog.Write(history.Event{Kind: history.Stalls, Peer: stalled.Name})
 		for range 2 {
 			n := uint64(len(rules) + 1)
-			rules[n] = x.ceilings(ceiling*(1-0.08*float64(n)), depth*(1-0.08*float64(n)))
-			t.Logf("a change with an instance that stands still: %v", x.enforced(x.hosts[0], rules[n]))
+			rules[n] = trial.withLimit(limitRate*(1-0.08*float64(n)), limitBurst*(1-0.08*float64(n)))
+			t.Logf("a change with an instance that stands still: %v", trial.proposeAndWait(trial.hosts[0], rules[n]))
 		}
-		x.rig.Write(history.Event{Kind: history.Wakes, Peer: still.Name})
-		if err := still.Resume(); err != nil {
+		trial.rigLog.Write(history.Event{Kind: history.Wakes, Peer: stalled.Name})
+		if err := stalled.Resume(); err != nil {
 			t.Fatal(err)
 		}
-		x.until(int64(len(rules)), 6, x.hosts...)
+		trial.waitVersion(int64(len(rules)), 6, trial.hosts...)
 	}
-	x.check(rules)
+	trial.check(rules)
 }
 
 // A daemon is killed and comes back with its disk, an old one, an empty one and a torn one, a change each
 // time.
-func TestDaemonsDisks(t *testing.T) {
-	hard(t)
-	x := try(t, 3, 1, nil)
-	x.loads(14 * time.Second)
-	rules := map[uint64]ruleset.Rules{1: x.rules}
+func TestDaemonDiskFaults(t *testing.T) {
+	requireLong(t)
+	trial := startTrial(t, 3, 1, nil)
+	trial.startLoad(14 * time.Second)
+	rules := map[uint64]ruleset.Rules{1: trial.rules}
 	for i, how := range []string{"kept", faultinject.Old, faultinject.Empty, faultinject.Torn} {
-		h := x.hosts[i%3]
+		h := trial.hosts[i%3]
 		disk := faultinject.NewDisk(t, filepath.Join(h.dir, "store"))
 		if how == faultinject.Old { // a copy from before a change
-			x.kill(h)
+			trial.kill(h)
 			if err := disk.Keep(); err != nil {
 				t.Fatal(err)
 			}
-			x.back(h)
-			x.until(int64(len(rules)), 3, x.hosts...)
+			trial.restart(h)
+			trial.waitVersion(int64(len(rules)), 3, trial.hosts...)
 		}
 		n := uint64(len(rules) + 1)
-		rules[n] = x.quota(500 + float64(n))
-		x.enforced(x.hosts[(i+1)%3], rules[n])
-		x.until(int64(n), 3, x.hosts...) // it has written that too
-		x.kill(h)
+		rules[n] = trial.withQuota(500 + float64(n))
+		trial.proposeAndWait(trial.hosts[(i+1)%3], rules[n])
+		trial.waitVersion(int64(n), 3, trial.hosts...) // it has written that too
+		trial.kill(h)
 		if how != "kept" {
 			if err := disk.Spoil(faultinject.Damage{What: how, Bytes: 9000, Seed: int64(i)}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		n++
-		rules[n] = x.quota(500 + float64(n))
-		x.leader()
-		x.enforced(x.hosts[(i+1)%3], rules[n])
-		x.back(h)
-		t.Logf("%s: leased again after %v", how, x.until(int64(n), 3, x.hosts...))
-		s, ok := h.sitting()
-		if !ok || how == faultinject.Old && s.Aside["old"] != 1 || how == faultinject.Torn && s.Aside["torn"] != 1 {
-			t.Errorf("%s: %+v", how, s)
+		rules[n] = trial.withQuota(500 + float64(n))
+		trial.leader()
+		trial.proposeAndWait(trial.hosts[(i+1)%3], rules[n])
+		trial.restart(h)
+		t.Logf("%s: leased again after %v", how, trial.waitVersion(int64(n), 3, trial.hosts...))
+		status, ok := h.councilStatus()
+		if !ok || how == faultinject.Old && status.Aside["old"] != 1 || how == faultinject.Torn && status.Aside["torn"] != 1 {
+			t.Errorf("%s: %+v", how, status)
 		}
 	}
-	x.check(rules)
+	trial.check(rules)
 }
 
 // Three of five hosts are lost, then back: the two go by the fallback and then bare.
-func TestThreeOfFiveHosts(t *testing.T) {
-	hard(t)
-	x := try(t, 5, 1, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
-	x.loads(9 * time.Second)
-	rules := map[uint64]ruleset.Rules{1: x.rules}
-	for _, h := range x.hosts[:3] {
-		x.kill(h)
-		for _, i := range faultinject.Instances(h.run()) {
+func TestThreeOfFiveHostsLost(t *testing.T) {
+	requireLong(t)
+	trial := startTrial(t, 5, 1, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+	trial.startLoad(9 * time.Second)
+	rules := map[uint64]ruleset.Rules{1: trial.rules}
+	for _, h := range trial.hosts[:3] {
+		trial.kill(h)
+		for _, i := range faultinject.Instances(h.runDir()) {
 			if err := i.Kill(); err != nil {
 				t.Fatal(err)
 			}
-			x.rig.Write(history.Event{Kind: history.Died, Peer: i.Name})
+			trial.rigLog.Write(history.Event{Kind: history.Died, Peer: i.Name})
 		}
 	}
 	faultinject.Until(t, 8*time.Second, "two are bare", func() bool {
-		for _, h := range x.hosts[3:] {
-			for _, i := range faultinject.Instances(h.run()) {
-				if f, ok := look(i); !ok || f.mode != int64(ruleset.Bare) {
+		for _, h := range trial.hosts[3:] {
+			for _, i := range faultinject.Instances(h.runDir()) {
+				if f, ok := readRuleStats(i); !ok || f.mode != int64(ruleset.Bare) {
 					return false
 				}
 			}
 		}
 		return true
 	})
-	if s, ok := x.hosts[3].sitting(); !ok || s.State != "no leader" || len(s.Rules.CutOff) != 1 {
+	if s, ok := trial.hosts[3].councilStatus(); !ok || s.State != "no leader" || len(s.Rules.CutOff) != 1 {
 		t.Errorf("%+v", s)
 	}
-	for _, h := range x.hosts[:3] {
-		x.back(h)
+	for _, h := range trial.hosts[:3] {
+		trial.restart(h)
 	}
-	t.Logf("back: all leased after %v", x.until(1, 5, x.hosts...))
-	rules[2] = x.ceilings(ceiling/2, depth/2)
-	x.enforced(x.hosts[4], rules[2])
-	x.until(2, 5, x.hosts...)
-	x.check(rules)
+	t.Logf("back: all leased after %v", trial.waitVersion(1, 5, trial.hosts...))
+	rules[2] = trial.withLimit(limitRate/2, limitBurst/2)
+	trial.proposeAndWait(trial.hosts[4], rules[2])
+	trial.waitVersion(2, 5, trial.hosts...)
+	trial.check(rules)
 }
 
 // Of two proposals at once, on top of the same version, one is taken, and the other is told why it is not.
 // Two that come one after the other are put again.
-func TestTwoProposals(t *testing.T) {
+func TestConcurrentProposals(t *testing.T) {
 	t.Parallel()
-	x := try(t, 3, 1, nil)
-	x.loads(4 * time.Second)
-	rules, last := map[uint64]ruleset.Rules{1: x.rules}, uint64(1)
+	trial := startTrial(t, 3, 1, nil)
+	trial.startLoad(4 * time.Second)
+	rules, last := map[uint64]ruleset.Rules{1: trial.rules}, uint64(1)
 	for round := 1; ; round++ {
 		if round > 10 {
 			t.Fatal("never two at once")
 		}
-		heard := func(h *host) []raftlog.Heard {
-			s, _ := h.sitting()
+		outcomes := func(h *testHost) []raftlog.Heard {
+			s, _ := h.councilStatus()
 			return s.Rules.Outcomes
 		}
-		before := [2]int{len(heard(x.hosts[1])), len(heard(x.hosts[2]))}
+		before := [2]int{len(outcomes(trial.hosts[1])), len(outcomes(trial.hosts[2]))}
 		var answers [2]raftlog.Heard
-		for i, h := range x.hosts[1:] {
+		for i, h := range trial.hosts[1:] {
 			f := 1 - 0.02*float64(2*round+i)
-			h.propose(x.ceilings(ceiling*f, depth*f))
+			h.propose(trial.withLimit(limitRate*f, limitBurst*f))
 		}
 		faultinject.Until(t, 10*time.Second, "both have an answer", func() bool {
-			for i, h := range x.hosts[1:] {
-				all := heard(h)
+			for i, h := range trial.hosts[1:] {
+				all := outcomes(h)
 				if len(all) <= before[i] {
 					return false
 				}
@@ -582,10 +585,10 @@
 		for i, a := range answers {
 			f := 1 - 0.02*float64(2*round+i)
 			if a.Refused == "" {
-				rules[a.Number], last = x.ceilings(ceiling*f, depth*f), max(last, a.Number)
+				rules[a.Number], last = trial.withLimit(limitRate*f, limitBurst*f), max(last, a.Number)
 			}
 		}
-		x.until(int64(last), 3, x.hosts...)
+		trial.waitVersion(int64(last), 3, trial.hosts...)
 		if a, b := answers[0], answers[1]; a.Base == b.Base {
 			if (a.Refused == "") == (b.Refused == "") || !strings.HasPrefix(a.Refused+b.Refused, "base: ") {
 				t.Errorf("%+v and %+v", a, b)
@@ -593,83 +596,83 @@
 			break
 		}
 	}
-	x.check(rules)
+	trial.check(rules)
 }
 
 // A change in the middle of growing from three members to five and back to four, which takes the sum of
 // parts over the ceiling where places change at different moments.
-func TestGrowsAndChanges(t *testing.T) {
-	hard(t)
-	x := try(t, 3, 1, nil)
-	rules := map[uint64]ruleset.Rules{1: x.rules}
-	x.loads(4 * time.Second)
-	more := x.rules
-	more.Members = append(slices.Clone(more.Members), x.member(x.hosts[0], 3), x.member(x.hosts[1], 4))
+func TestRulesChangeDuringResize(t *testing.T) {
+	requireLong(t)
+	trial := startTrial(t, 3, 1, nil)
+	rules := map[uint64]ruleset.Rules{1: trial.rules}
+	trial.startLoad(4 * time.Second)
+	grown := trial.rules
+	grown.Members = append(slices.Clone(grown.Members), trial.newMember(trial.hosts[0], 3), trial.newMember(trial.hosts[1], 4))
 	began := time.Now()
-	x.hosts[0].propose(more)
-	rules[2], x.rules = more, more
-	faultinject.Until(t, 10*time.Second, "it is in force", func() bool { return x.hosts[0].version() == 2 })
-	rules[3] = x.ceilings(ceiling/2, depth/2)
-	x.enforced(x.hosts[2], rules[3]) // the new ones may not have come up yet
-	x.until(3, 5, x.hosts...)
+	trial.hosts[0].propose(grown)
+	rules[2], trial.rules = grown, grown
+	faultinject.Until(t, 10*time.Second, "it is in force", func() bool { return trial.hosts[0].versionInForce() == 2 })
+	rules[3] = trial.withLimit(limitRate/2, limitBurst/2)
+	trial.proposeAndWait(trial.hosts[2], rules[3]) // the new ones may not have come up yet
+	trial.waitVersion(3, 5, trial.hosts...)
 	t.Logf("three to five with a change meanwhile: %v", time.Since(began))
-	<-x.loaded
-	x.all = nil
-	for _, w := range x.workers {
+	<-trial.loadReport
+	trial.arrivals = nil
+	for _, w := range trial.workers {
 		if n := len(w.Got()); n == 0 {
 			t.Error("a worker got nothing")
 		}
 	}
-	x.loads(5 * time.Second) // on five
-	less := x.rules
-	less.Members = less.Members[:4]
-	rules[4] = less
+	trial.startLoad(5 * time.Second) // on five
+	shrunk := trial.rules
+	shrunk.Members = shrunk.Members[:4]
+	rules[4] = shrunk
 	began = time.Now()
-	x.enforced(x.hosts[1], less)
-	x.until(4, 4, x.hosts...)
+	trial.proposeAndWait(trial.hosts[1], shrunk)
+	trial.waitVersion(4, 4, trial.hosts...)
 	t.Logf("five to four: %v", time.Since(began))
-	x.check(rules)
+	trial.check(rules)
 }
 
 // A change that would take the sum of parts over a ceiling for a moment: fewer members at a time when one is
 // cut off, and a ceiling that goes down, up and down while gatekeepers hear of it at different moments.
-func TestSumOfParts(t *testing.T) {
-	hard(t)
-	x := try(t, 3, 2, nil)
-	x.loads(14 * time.Second)
-	rules := map[uint64]ruleset.Rules{1: x.rules}
-	var wanted []ruleset.Rules
-	put := func(h *host, r ruleset.Rules) {
+func TestSumOfQuotaShares(t *testing.T) {
+	requireLong(t)
+	trial := startTrial(t, 3, 2, nil)
+	trial.startLoad(14 * time.Second)
+	rules := map[uint64]ruleset.Rules{1: trial.rules}
+	var proposed []ruleset.Rules
+	propose := func(h *testHost, r ruleset.Rules) {
 		t.Helper()
-		wanted = append(wanted, r)
-		t.Logf("a ceiling of %v in force after %v", r.Plans[1].CeilingRate, x.enforced(h, r))
+		proposed = append(proposed, r)
+		t.Logf("a ceiling of %v in force after %v", r.Plans[1].CeilingRate, trial.proposeAndWait(h, r))
 	}
 	for i, f := range []float64{0.5, 0.99, 0.25, 0.98, 0.4} {
-		put(x.hosts[i%2], x.ceilings(ceiling*f, depth*f))
+		propose(trial.hosts[i%2], trial.withLimit(limitRate*f, limitBurst*f))
 	}
-	lone := faultinject.Instances(x.hosts[2].run())[0]
-	if err := lone.Stall(); err != nil { // it says nothing any more
+	stalled := faultinject.Instances(trial.hosts[2].runDir())[0]
+	if err := stalled.Stall(); err != nil { // it says nothing any more
 		t.Fatal(err)
 	}
-	x.rig.Write(history.Event{Kind: history.Stalls, Peer: lone.Name})
-	put(x.hosts[0], x.ceilings(ceiling*0.1, depth*0.1))
-	x.rig.Write(history.Event{Kind: history.Wakes, Peer: lone.Name})
-	if err := lone.Resume(); err != nil {
+	trial.rigLog.Write(history.Event{Kind: history.Stalls, Peer: stalled.Name})
+	propose(trial.hosts[0], trial.withLimit(limitRate*0.1, limitBurst*0.1))
+	trial.rigLog.Write(history.Event{Kind: history.Wakes, Peer: stalled.Name})
+	if err := stalled.Resume(); err != nil {
 		t.Fatal(err)
 	}
-	put(x.hosts[1], x.ceilings(ceiling*0.97, depth*0.97))
-	x.until(8, 6, x.hosts...)
-	x.known(rules, wanted)
-	if n := x.check(rules); n < 100 {
+	propose(trial.hosts[1], trial.withLimit(limitRate*0.97, limitBurst*0.97))
+	trial.waitVersion(8, 6, trial.hosts...)
+	trial.identifyVersions(rules, proposed)
+	if n := trial.check(rules); n < 100 {
 		t.Errorf("%d sent under the ceiling", n)
 	}
 }
 
 // older stands between a daemon and an instance of it that is of an older program: from a moment on, the
 // rules that it tells have a key that this one does not know.
-func older(t *testing.T, daemon string) (at string, on *atomic.Bool) {
+func newOlderProgramProxy(t *testing.T, daemon string) (address string, addUnknownKey *atomic.Bool) {
 	t.Helper()
-	on = &atomic.Bool{}
+	addUnknownKey = &atomic.Bool{}
 	to, err := url.Parse("http://" + daemon)
 	if err != nil {
 		t.Fatal(err)
@@ -681,7 +684,7 @@
 		if err != nil {
 			return err
 		}
-		if on.Load() {
+		if addUnknownKey.Load() {
 			raw = bytes.Replace(raw, []byte(`"Rules":{`), []byte(`"Rules":{"Tide":3,`), 1)
 		}
 		res.Body, res.ContentLength = io.NopCloser(bytes.NewReader(raw)), int64(len(raw))
@@ -696,19 +699,19 @@
 		proxy.ServeHTTP(w, r)
 	}))
 	t.Cleanup(s.Close)
-	return strings.TrimPrefix(s.URL, "http://"), on
+	return strings.TrimPrefix(s.URL, "http://"), addUnknownKey
 }
 
 // An instance of an older program meets rules with a key that it does not know: it goes by none of them,
 // falls back, says so, and serves on; the others go by them; and a change that contradicts its fallback waits
 // for it.
 func TestOlderProgram(t *testing.T) {
-	hard(t)
-	x := ready(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.For = 2000 })
-	h := x.hosts[2]
-	at, on := older(t, h.control)
+	requireLong(t)
+	trial := newTrial(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.For = 2000 })
+	h := trial.hosts[2]
+	proxyAddress, addUnknownKey := newOlderProgramProxy(t, h.controlAddress)
 	script := filepath.Join(h.dir, "older")
-	text := fmt.Sprintf("#!/bin/sh\nWILLOWDECK_AGREE=%s exec %s \"$@\"\n", at, program(t))
+	text := fmt.Sprintf("#!/bin/sh\nWILLOWDECK_AGREE=%s exec %s \"$@\"\n", proxyAddress, gatewayProgram(t))
 	file := filepath.Join(h.dir, "fleet.toml")
 	raw, err := os.ReadFile(file)
 	if err == nil {
@@ -720,112 +723,112 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x.start()
-	x.until(1, 3, x.hosts...)
-	x.loads(9 * time.Second)
-	rules := map[uint64]ruleset.Rules{1: x.rules}
-	on.Store(true)
-	old := faultinject.Instances(h.run())[0]
+	trial.start()
+	trial.waitVersion(1, 3, trial.hosts...)
+	trial.startLoad(9 * time.Second)
+	rules := map[uint64]ruleset.Rules{1: trial.rules}
+	addUnknownKey.Store(true)
+	old := faultinject.Instances(h.runDir())[0]
 	faultinject.Until(t, 10*time.Second, "the older one is cut off, and says why", func() bool {
-		f, ok := look(old)
+		f, ok := readRuleStats(old)
 		n, _ := faultinject.Figure(old.Control, "svc.rules.refused")
 		return ok && f.mode != int64(ruleset.Leased) && n > 0
 	})
-	rules[2] = x.ceilings(ceiling/4, depth/4)
-	took := x.enforced(x.hosts[0], rules[2])
-	x.until(2, 2, x.hosts[:2]...)
-	t.Logf("with an older one that can't go by it: in force after %v", took)
-	if f, ok := look(old); !ok || f.version != 1 || f.mode == int64(ruleset.Leased) {
+	rules[2] = trial.withLimit(limitRate/4, limitBurst/4)
+	elapsed := trial.proposeAndWait(trial.hosts[0], rules[2])
+	trial.waitVersion(2, 2, trial.hosts[:2]...)
+	t.Logf("with an older one that can't go by it: in force after %v", elapsed)
+	if f, ok := readRuleStats(old); !ok || f.version != 1 || f.mode == int64(ruleset.Leased) {
 		t.Errorf("the older one goes by %+v", f)
 	}
-	on.Store(false) // replaced by a newer program
-	t.Logf("replaced: leased after %v", x.until(2, 3, x.hosts...))
-	x.check(rules)
+	addUnknownKey.Store(false) // replaced by a newer program
+	t.Logf("replaced: leased after %v", trial.waitVersion(2, 3, trial.hosts...))
+	trial.check(rules)
 }
 
 // A host whose disk takes nothing more has no voice and no lease, its instances go by the fallback, and the
 // others go on; with room again it is back by itself.
-func TestFullHost(t *testing.T) {
-	hard(t)
-	x := try(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
-	x.loads(8 * time.Second)
-	rules := map[uint64]ruleset.Rules{1: x.rules}
-	h := x.leader()
-	others := slices.DeleteFunc(slices.Clone(x.hosts), func(o *host) bool { return o == h })
-	if err := h.Limit(96 << 10); err != nil {
+func TestFullDisk(t *testing.T) {
+	requireLong(t)
+	trial := startTrial(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+	trial.startLoad(8 * time.Second)
+	rules := map[uint64]ruleset.Rules{1: trial.rules}
+	full := trial.leader()
+	others := slices.DeleteFunc(slices.Clone(trial.hosts), func(o *testHost) bool { return o == full })
+	if err := full.Limit(96 << 10); err != nil {
 		t.Fatal(err)
 	}
-	rules[2] = x.rules
+	rules[2] = trial.rules
 	big := &ruleset.Rules{}
-	*big = x.rules
+	*big = trial.rules
 	for i := range 2000 { // more than its store has room for
 		big.Words = append(big.Words, ruleset.Word{Worker: fmt.Sprintf("%0100d", i), Weight: 1})
 	}
 	rules[2] = *big
-	x.enforced(others[0], *big)
+	trial.proposeAndWait(others[0], *big)
 	faultinject.Until(t, 10*time.Second, "it is mute", func() bool {
-		s, ok := h.sitting()
+		s, ok := full.councilStatus()
 		return ok && s.State == "mute" && strings.Contains(s.Why, "too large")
 	})
 	began := time.Now()
-	x.until(2, 2, others...)
-	x.leader()
+	trial.waitVersion(2, 2, others...)
+	trial.leader()
 	t.Logf("the others go on after %v", time.Since(began))
-	own := faultinject.Instances(h.run())[0]
+	instance := faultinject.Instances(full.runDir())[0]
 	faultinject.Until(t, 5*time.Second, "its instance is cut off", func() bool {
-		f, ok := look(own)
+		f, ok := readRuleStats(instance)
 		return ok && f.mode != int64(ruleset.Leased)
 	})
-	rules[3] = x.ceilings(ceiling/2, depth/2)
-	x.enforced(others[1], rules[3])
-	if err := h.Limit(0); err != nil {
+	rules[3] = trial.withLimit(limitRate/2, limitBurst/2)
+	trial.proposeAndWait(others[1], rules[3])
+	if err := full.Limit(0); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("room again: all leased after %v", x.until(3, 3, x.hosts...))
-	x.check(rules)
+	t.Logf("room again: all leased after %v", trial.waitVersion(3, 3, trial.hosts...))
+	trial.check(rules)
 }
 
 // -long plays schedules that are drawn from seeds at daemons, links and disks, while changes go on; each for
 // some 20 s, until the time is up. A break names the seed.
-func TestLong(t *testing.T) {
-	hard(t)
-	for end, seed := time.Now().Add(*long), *first; time.Now().Before(end); seed++ {
-		if !t.Run(fmt.Sprint(seed), func(t *testing.T) { drawn(t, seed) }) {
+func TestRandomTrials(t *testing.T) {
+	requireLong(t)
+	for end, seed := time.Now().Add(*longDuration), *firstSeed; time.Now().Before(end); seed++ {
+		if !t.Run(fmt.Sprint(seed), func(t *testing.T) { runRandomTrial(t, seed) }) {
 			return
 		}
 	}
 }
 
-func drawn(t *testing.T, seed int64) {
-	x := try(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+func runRandomTrial(t *testing.T, seed int64) {
+	trial := startTrial(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
 	const span = 20000
-	x.loads(span * time.Millisecond)
+	trial.startLoad(span * time.Millisecond)
 	rig := &faultinject.Rig{
-		Net:       x.net,
+		Net:       trial.network,
 		Processes: map[string]*faultinject.Process{},
 		Disks:     map[string]*faultinject.Disk{},
 	}
-	cast := faultinject.Cast{
+	scheduleOptions := faultinject.Cast{
 		Steps: 8,
 		Kinds: []faultinject.Kind{faultinject.Cuts, faultinject.Parts, faultinject.Splits, faultinject.Shapes,
 			faultinject.Stalls, faultinject.Crashes, faultinject.Spoils},
 	} // a full disk would cut records short: TestFullHost
-	for _, h := range x.hosts {
+	for _, h := range trial.hosts {
 		rig.Processes[h.name], rig.Disks[h.name] = h.Process, faultinject.NewDisk(t, filepath.Join(h.dir, "store"))
-		cast.Ends, cast.Processes = append(cast.Ends, h.name), append(cast.Processes, h.name)
+		scheduleOptions.Ends, scheduleOptions.Processes = append(scheduleOptions.Ends, h.name), append(scheduleOptions.Processes, h.name)
 	}
-	cast.Disks = cast.Processes[:1] // a majority keeps its disks, as the council rests on that
-	for _, m := range x.rules.Members {
-		cast.Ends = append(cast.Ends, m.Name)
+	scheduleOptions.Disks = scheduleOptions.Processes[:1] // a majority keeps its disks, as the council rests on that
+	for _, m := range trial.rules.Members {
+		scheduleOptions.Ends = append(scheduleOptions.Ends, m.Name)
 	}
-	s := faultinject.Draw(seed, cast, span)
-	t.Logf("%s", s)
+	schedule := faultinject.Draw(seed, scheduleOptions, span)
+	t.Logf("%s", schedule)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	played := make(chan error, 1)
-	go func() { played <- (&faultinject.Player{Stage: rig, Record: x.rig}).Play(ctx, s) }()
-	rules := map[uint64]ruleset.Rules{1: x.rules}
-	var wanted []ruleset.Rules
+	go func() { played <- (&faultinject.Player{Stage: rig, Record: trial.rigLog}).Play(ctx, schedule) }()
+	rules := map[uint64]ruleset.Rules{1: trial.rules}
+	var proposed []ruleset.Rules
 	rng := rand.New(rand.NewSource(seed))
 	for done := false; !done; {
 		select {
@@ -835,67 +838,67 @@
 			}
 		case <-time.After(time.Duration(500+rng.Intn(2000)) * time.Millisecond):
 			f := 0.1 + 0.9*rng.Float64()
-			r := x.ceilings(ceiling*f, depth*f)
-			h := x.hosts[rng.Intn(3)]
-			if all := faultinject.Instances(h.run()); len(all) > 0 {
-				x.hurts(all[rng.Intn(len(all))], rng)
+			r := trial.withLimit(limitRate*f, limitBurst*f)
+			h := trial.hosts[rng.Intn(3)]
+			if all := faultinject.Instances(h.runDir()); len(all) > 0 {
+				trial.injectFault(all[rng.Intn(len(all))], rng)
 			}
 			if h.Running() {
-				h.write(r)
+				h.writeRules(r)
 				_ = h.Renew()
-				wanted = append(wanted, r)
+				proposed = append(proposed, r)
 			}
 		}
 	}
-	for _, h := range x.hosts { // what a step has left down
+	for _, h := range trial.hosts { // what a step has left down
 		if !h.Running() {
-			x.back(h)
+			trial.restart(h)
 		}
 	}
 	var last uint64
 	faultinject.Until(t, 20*time.Second, "one version at all, and nothing waits", func() bool {
 		last = 0
-		for _, h := range x.hosts {
-			s, ok := h.sitting()
-			if !ok || s.Rules.Pending > 0 || s.Rules.Wanted != "" || last > 0 && s.Rules.Version != last {
+		for _, h := range trial.hosts {
+			schedule, ok := h.councilStatus()
+			if !ok || schedule.Rules.Pending > 0 || schedule.Rules.Wanted != "" || last > 0 && schedule.Rules.Version != last {
 				return false
 			}
-			last = s.Rules.Version
+			last = schedule.Rules.Version
 		}
 		return true
 	})
-	x.until(int64(last), 6, x.hosts...)
-	x.known(rules, wanted)
-	x.check(rules)
+	trial.waitVersion(int64(last), 6, trial.hosts...)
+	trial.identifyVersions(rules, proposed)
+	trial.check(rules)
 }
 
 // hurts has an instance stand still for a while, or ends it, or lets it be.
-func (x *trial) hurts(i faultinject.Instance, rng *rand.Rand) {
-	switch still := time.Duration(100+rng.Intn(1500)) * time.Millisecond; rng.Intn(4) {
+func (trial *clusterTrial) injectFault(instance faultinject.Instance, rng *rand.Rand) {
+	switch stallTime := time.Duration(100+rng.Intn(1500)) * time.Millisecond; rng.Intn(4) {
 	case 0:
-		if i.Stall() != nil {
+		if instance.Stall() != nil {
 			return
 		}
-		x.rig.Write(history.Event{Kind: history.Stalls, Peer: i.Name})
-		time.Sleep(still)
-		x.rig.Write(history.Event{Kind: history.Wakes, Peer: i.Name})
-		_ = i.Resume()
+		trial.rigLog.Write(history.Event{Kind: history.Stalls, Peer: instance.Name})
+		time.Sleep(stallTime)
+		trial.rigLog.Write(history.Event{Kind: history.Wakes, Peer: instance.Name})
+		_ = instance.Resume()
 	case 1:
-		if i.Kill() == nil {
-			x.rig.Write(history.Event{Kind: history.Died, Peer: i.Name})
+		if instance.Kill() == nil {
+			trial.rigLog.Write(history.Event{Kind: history.Died, Peer: instance.Name})
 		}
 	}
 }
 
 // known finds which of the wanted rules each version has, by its digest.
-func (x *trial) known(rules map[uint64]ruleset.Rules, wanted []ruleset.Rules) {
-	x.t.Helper()
-	record, err := history.Read(x.records)
+func (trial *clusterTrial) identifyVersions(rules map[uint64]ruleset.Rules, proposed []ruleset.Rules) {
+	trial.t.Helper()
+	record, err := history.Read(trial.historyDir)
 	if err != nil {
-		x.t.Fatal(err)
+		trial.t.Fatal(err)
 	}
 	for _, e := range record.Events {
-		for _, r := range wanted {
+		for _, r := range proposed {
 			if e.Kind == history.Taken && e.Says == "" && e.Mark == raftlog.Mark(&r) {
 				rules[e.Version] = r
 			}
@@ -904,44 +907,44 @@
 }
 
 // How long it takes from a proposal until a version is in force, and until all instances go by it.
-func TestTimeInForce(t *testing.T) {
-	hard(t)
-	for _, k := range []int{1, 7, 33} {
-		t.Run(fmt.Sprint(3*k), func(t *testing.T) {
-			a := assemble(t, 3, k, nil)
+func TestTimeToEnforce(t *testing.T) {
+	requireLong(t)
+	for _, perHost := range []int{1, 7, 33} {
+		t.Run(fmt.Sprint(3*perHost), func(t *testing.T) {
+			c := newTestCluster(t, 3, perHost, nil)
 			began := time.Now()
-			a.start()
-			a.until(1, 3*k, a.hosts...)
-			t.Logf("from nothing to %d leased: %v", 3*k, time.Since(began).Round(time.Millisecond))
-			x := &trial{assembly: a}
-			var lows, all, quotas []float64
-			calm := func() { // eight that may be fallen back to are as many as the council lets come together
+			c.start()
+			c.waitVersion(1, 3*perHost, c.hosts...)
+			t.Logf("from nothing to %d leased: %v", 3*perHost, time.Since(began).Round(time.Millisecond))
+			trial := &clusterTrial{testCluster: c}
+			var limitTimes, allTimes, quotaTimes []float64
+			waitNoPreviousVersion := func() { // eight that may be fallen back to are as many as the council lets come together
 				faultinject.Until(t, 10*time.Second, "no version before may be gone by", func() bool {
-					s, ok := a.hosts[0].sitting()
+					s, ok := c.hosts[0].councilStatus()
 					return ok && len(s.Rules.Held) == 0
 				})
 			}
 			for i := range 6 {
-				calm()
+				waitNoPreviousVersion()
 				f := 1 - 0.3*float64(i%2)
-				r := x.quota(499 - float64(i))
+				r := trial.withQuota(499 - float64(i))
 				began := time.Now()
-				x.enforced(a.hosts[i%3], r)
-				quotas = append(quotas, time.Since(began).Seconds()*1000)
-				calm()
-				r = x.ceilings(ceiling*f*0.99, depth*f*0.99)
+				trial.proposeAndWait(c.hosts[i%3], r)
+				quotaTimes = append(quotaTimes, time.Since(began).Seconds()*1000)
+				waitNoPreviousVersion()
+				r = trial.withLimit(limitRate*f*0.99, limitBurst*f*0.99)
 				began = time.Now()
-				x.enforced(a.hosts[(i+1)%3], r)
-				lows = append(lows, time.Since(began).Seconds()*1000)
-				a.until(int64(3+2*i), 3*k, a.hosts...)
-				all = append(all, time.Since(began).Seconds()*1000)
+				trial.proposeAndWait(c.hosts[(i+1)%3], r)
+				limitTimes = append(limitTimes, time.Since(began).Seconds()*1000)
+				c.waitVersion(int64(3+2*i), 3*perHost, c.hosts...)
+				allTimes = append(allTimes, time.Since(began).Seconds()*1000)
 			}
-			for _, s := range [][]float64{quotas, lows, all} {
+			for _, s := range [][]float64{quotaTimes, limitTimes, allTimes} {
 				slices.Sort(s)
 			}
-			for what, s := range map[string][]float64{"a quota in force": quotas, "a ceiling in force": lows,
-				"all by it": all} {
-				t.Logf("%d instances: %s after %.0f ms (median; %.0f to %.0f)", 3*k, what, s[3], s[0], s[5])
+			for what, s := range map[string][]float64{"a quota in force": quotaTimes, "a ceiling in force": limitTimes,
+				"all by it": allTimes} {
+				t.Logf("%d instances: %s after %.0f ms (median; %.0f to %.0f)", 3*perHost, what, s[3], s[0], s[5])
 			}
 		})
 	}
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -44,16 +44,16 @@
 }
 
 // goldenVoice says that one version is in force.
-type goldenVoice struct {
+type goldenSource struct {
 	rulesSource
 	version ruleset.Version
 }
 
-func (v goldenVoice) InForce() ruleset.Version { return v.version }
-func (goldenVoice) Began(int, bool)            {}
-func (goldenVoice) Ended(int)                  {}
+func (s goldenSource) InForce() ruleset.Version { return s.version }
+func (goldenSource) Began(int, bool)            {}
+func (goldenSource) Ended(int)                  {}
 
-func (goldenVoice) Asked(int, string, uint64, int64) (ruleset.Lease, bool) {
+func (goldenSource) Asked(int, string, uint64, int64) (ruleset.Lease, bool) {
 	return ruleset.Lease{}, false
 }
 
@@ -86,11 +86,11 @@
 	return &Daemon{log: zerolog.Nop(), program: fl.Program, settings: fl, slots: map[string]*instanceSlot{},
 		processes: map[int]*processRecord{}, startedAt: time.Now(), wakeTimer: time.NewTimer(time.Hour), allStopped: make(chan struct{}),
 		reconciler: NewReconciler(Policy{InitialBackoffMillis: 1, MaxBackoffMillis: 1, BackoffResetMillis: 1, ReadyTimeoutMillis: 1, StopTimeoutMillis: 1, MaxReplacing: 1}, 1),
-		rules:      &rulesParticipant{rulesSource: goldenVoice{version: goldenVersion()}, subscription: &subscription{}, file: f, followEnded: ended}}
+		rules:      &rulesParticipant{rulesSource: goldenSource{version: goldenVersion()}, subscription: &subscription{}, file: f, followEnded: ended}}
 }
 
 // TestGoldenLastRules: rules.json is what a daemon starts with before it hears which rules are in force.
-func TestGoldenLastRules(t *testing.T) {
+func TestGoldenAppliedRules(t *testing.T) {
 	golden, want := goldenform.Read(t, "rules.json"), goldenVersion()
 	d := goldenDaemon(t.TempDir())
 	if err := os.WriteFile(filepath.Join(d.settings.RunDir, "rules.json"), golden, 0o600); err != nil {
@@ -99,9 +99,9 @@
 	if got, err := d.settings.readAppliedRules(); err != nil || !reflect.DeepEqual(got, &want.Rules) {
 		t.Errorf("%v: rules are read as\n%+v\nwant\n%+v", err, got, &want.Rules)
 	}
-	var whole ruleset.Version
-	if err := json.Unmarshal(golden, &whole); err != nil || whole.Number != want.Number || whole.Number == 0 {
-		t.Errorf("%v: version %d, want %d", err, whole.Number, want.Number)
+	var version ruleset.Version
+	if err := json.Unmarshal(golden, &version); err != nil || version.Number != want.Number || version.Number == 0 {
+		t.Errorf("%v: version %d, want %d", err, version.Number, want.Number)
 	}
 	d = goldenDaemon(t.TempDir())
 	if err := d.applyRules(); err != nil {
@@ -114,7 +114,7 @@
 }
 
 // goldenFigures is a daemon with one instance that is ready, and words of others.
-func goldenFigures(dir string) *Daemon {
+func goldenStatsDaemon(dir string) *Daemon {
 	d := goldenDaemon(dir)
 	d.reconciler.SetDesired([]string{"golden-0"}, nil)
 	number := d.reconciler.Adopt("golden-0")
@@ -127,7 +127,7 @@
 }
 
 func TestGoldenStats(t *testing.T) {
-	if got, want := goldenFigures(t.TempDir()).statsText(), string(goldenform.Read(t, "stats.txt")); got != want {
+	if got, want := goldenStatsDaemon(t.TempDir()).statsText(), string(goldenform.Read(t, "stats.txt")); got != want {
 		t.Errorf("the figures are\n%s\nwant\n%s", got, want)
 	}
 	if got, want := stateNames[:], []string{"waiting", "starting", "ready", "replacing", "leaving",
@@ -151,7 +151,7 @@
 
 // TestGoldenPaths: what is asked at the operators' port of a daemon below relays that looks ahead.
 func TestGoldenPaths(t *testing.T) {
-	d := goldenFigures(t.TempDir())
+	d := goldenStatsDaemon(t.TempDir())
 	d.settings.ControlAddress = "127.0.0.1:0"
 	port, err := d.ServeControl()
 	if err != nil {
--- a/internal/supervisor/host.go
+++ b/internal/supervisor/host.go
@@ -156,14 +156,14 @@
 // loop looks at processes until the fleet has ended.
 func (d *Daemon) run() {
 	defer close(d.loopEnded)
-	t := time.NewTicker(checkInterval)
-	defer t.Stop()
+	ticker := time.NewTicker(checkInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-d.allStopped:
 			return
 		case <-d.wakeTimer.C:
-		case <-t.C:
+		case <-ticker.C:
 			d.checkProcesses()
 		}
 		d.mu.Lock()
@@ -228,22 +228,22 @@
 func (d *Daemon) setDesired(settings *Settings) {
 	var names []string
 	changed := map[string]ConfigChange{}
-	for _, in := range settings.Instances {
-		names = append(names, in.Name)
-		slot := d.slots[in.Name]
+	for _, instance := range settings.Instances {
+		names = append(names, instance.Name)
+		slot := d.slots[instance.Name]
 		if slot == nil {
 			slot = &instanceSlot{}
-			d.slots[in.Name] = slot
-		} else if !bytes.Equal(slot.instance.Config, in.Config) {
-			if changed[in.Name] = classifyChange(slot.instance.Config, in.Config); !settings.PeerBootstrap { // they do not say what they reckon with
-				changed[in.Name] = RestartNeeded
+			d.slots[instance.Name] = slot
+		} else if !bytes.Equal(slot.instance.Config, instance.Config) {
+			if changed[instance.Name] = classifyChange(slot.instance.Config, instance.Config); !settings.PeerBootstrap { // they do not say what they reckon with
+				changed[instance.Name] = RestartNeeded
 			}
 		}
-		if slot.listener != nil && slot.instance.ListenAddress != in.ListenAddress {
+		if slot.listener != nil && slot.instance.ListenAddress != instance.ListenAddress {
 			_ = slot.listener.Close()
 			slot.listener = nil
 		}
-		slot.instance = in
+		slot.instance = instance
 	}
 	d.settings = settings
 	d.reconciler.SetPolicy(settings.Policy)
@@ -251,15 +251,15 @@
 }
 
 // changeOf tells in what two configurations differ.
-func classifyChange(old, now []byte) ConfigChange {
+func classifyChange(old, updated []byte) ConfigChange {
 	var a, b map[string]any
-	if json.Unmarshal(old, &a) != nil || json.Unmarshal(now, &b) != nil {
+	if json.Unmarshal(old, &a) != nil || json.Unmarshal(updated, &b) != nil {
 		return RestartNeeded
 	}
-	for _, c := range []map[string]any{a, b} {
-		delete(c, "peers")
-		if s, ok := c["settings"].(map[string]any); ok {
-			delete(s, "balancers")
+	for _, document := range []map[string]any{a, b} {
+		delete(document, "peers")
+		if settings, ok := document["settings"].(map[string]any); ok {
+			delete(settings, "balancers")
 		}
 	}
 	if reflect.DeepEqual(a, b) {
@@ -425,13 +425,13 @@
 }
 
 // running gives the operators' ports of a few other instances that serve, under the lock.
-func (d *Daemon) readyAdminAddresses(except string) (all []string) {
+func (d *Daemon) readyAdminAddresses(except string) (addresses []string) {
 	for _, process := range d.processes {
-		if process.ready && process.Instance != except && len(all) < bootstrap.Peers {
-			all = append(all, process.AdminAddress)
+		if process.ready && process.Instance != except && len(addresses) < bootstrap.Peers {
+			addresses = append(addresses, process.AdminAddress)
 		}
 	}
-	return all
+	return addresses
 }
 
 // gone books the end of a process, under the lock.
@@ -456,9 +456,9 @@
 	d.instanceByPID.Store(process.PID, process.Instance)
 }
 
-func (d *Daemon) signal(number int, s syscall.Signal) {
+func (d *Daemon) signal(number int, signal syscall.Signal) {
 	if process := d.processes[number]; process != nil && processStartTime(process.PID) == process.StartTime {
-		_ = syscall.Kill(process.PID, s)
+		_ = syscall.Kill(process.PID, signal)
 	}
 }
 
@@ -469,12 +469,12 @@
 		return ""
 	}
 	_, rest, _ := strings.Cut(string(raw), ") ")
-	f := strings.Fields(rest)
+	fields := strings.Fields(rest)
 	const state, since = 0, 19 // behind the name: the state, and the start time
-	if len(f) <= since || f[state] == "Z" {
+	if len(fields) <= since || fields[state] == "Z" {
 		return ""
 	}
-	return f[since]
+	return fields[since]
 }
 
 func (d *Daemon) notePath(process *processRecord) string {
@@ -526,9 +526,9 @@
 	}
 }
 
-func (d *Daemon) instanceNames() (all []string) {
-	for _, in := range d.settings.Instances {
-		all = append(all, in.Name)
+func (d *Daemon) instanceNames() (names []string) {
+	for _, instance := range d.settings.Instances {
+		names = append(names, instance.Name)
 	}
-	return all
+	return names
 }
--- a/internal/supervisor/keeper.go
+++ b/internal/supervisor/keeper.go
@@ -112,212 +112,212 @@
 }
 
 // Clock sets the time, ms, of what follows.
-func (k *Reconciler) SetTime(nowMillis float64) { k.nowMillis = math.Max(k.nowMillis, nowMillis) }
+func (r *Reconciler) SetTime(nowMillis float64) { r.nowMillis = math.Max(r.nowMillis, nowMillis) }
 
 // Want says which instances there are to be, and which of them have changed since they were last wanted.
-func (k *Reconciler) SetDesired(names []string, changed map[string]ConfigChange) {
-	for _, i := range k.instances {
-		i.desired = slices.Contains(names, i.name)
-		i.hasServed = i.hasServed && (i.desired || i.current != nil)
+func (r *Reconciler) SetDesired(names []string, changed map[string]ConfigChange) {
+	for _, instance := range r.instances {
+		instance.desired = slices.Contains(names, instance.name)
+		instance.hasServed = instance.hasServed && (instance.desired || instance.current != nil)
 	}
 	for _, name := range names {
-		i := k.byName[name]
-		if i == nil {
-			i = &instanceState{name: name, desired: true, nextStartAt: k.nowMillis}
-			k.byName[name] = i
-			k.instances = append(k.instances, i)
+		instance := r.byName[name]
+		if instance == nil {
+			instance = &instanceState{name: name, desired: true, nextStartAt: r.nowMillis}
+			r.byName[name] = instance
+			r.instances = append(r.instances, instance)
 		}
-		if c := changed[name]; c != Unchanged {
-			current := i.current != nil && i.current.generation == i.generation
-			i.reloadable = c == MembershipChanged && (current || i.reloadable)
-			i.generation++
-			i.failures, i.nextStartAt = 0, math.Min(i.nextStartAt, k.nowMillis) // what failed before may not any more
+		if change := changed[name]; change != Unchanged {
+			current := instance.current != nil && instance.current.generation == instance.generation
+			instance.reloadable = change == MembershipChanged && (current || instance.reloadable)
+			instance.generation++
+			instance.failures, instance.nextStartAt = 0, math.Min(instance.nextStartAt, r.nowMillis) // what failed before may not any more
 		}
 	}
 }
 
 // Adopt takes a process as it is, that runs for an instance already. The host does not hold what a second
 // process beside it would need: it has to end before another starts.
-func (k *Reconciler) Adopt(name string) int {
-	k.lastProcessNumber++
-	if i := k.byName[name]; i != nil {
-		i.current = &processState{number: k.lastProcessNumber, startedAt: k.nowMillis, stopRequestedAt: -1, reloadRequestedAt: -1, generation: i.generation}
-		i.exclusive, i.hasServed = true, true
+func (r *Reconciler) Adopt(name string) int {
+	r.lastProcessNumber++
+	if instance := r.byName[name]; instance != nil {
+		instance.current = &processState{number: r.lastProcessNumber, startedAt: r.nowMillis, stopRequestedAt: -1, reloadRequestedAt: -1, generation: instance.generation}
+		instance.exclusive, instance.hasServed = true, true
 	}
-	return k.lastProcessNumber
+	return r.lastProcessNumber
 }
 
 // Pace changes the pace.
-func (k *Reconciler) SetPolicy(policy Policy) { k.policy = policy }
+func (r *Reconciler) SetPolicy(policy Policy) { r.policy = policy }
 
 // Stop says that all are to end.
-func (k *Reconciler) Stop() { k.stopping = true }
+func (r *Reconciler) Stop() { r.stopping = true }
 
 // Ready tells that a process is ready to serve.
-func (k *Reconciler) ProcessReady(name string, number int) {
-	i := k.byName[name]
-	if i == nil {
+func (r *Reconciler) ProcessReady(name string, number int) {
+	instance := r.byName[name]
+	if instance == nil {
 		return
 	}
-	for _, p := range []*processState{i.current, i.successor} {
-		if p != nil && p.number == number {
-			p.ready = true
+	for _, process := range []*processState{instance.current, instance.successor} {
+		if process != nil && process.number == number {
+			process.ready = true
 		}
 	}
 }
 
 // Renewed tells that a process has taken up what is wanted.
-func (k *Reconciler) ProcessReloaded(name string, number int) {
-	if i := k.byName[name]; i != nil && i.current != nil && i.current.number == number && i.current.reloadRequestedAt >= 0 {
-		i.current.generation, i.current.reloadRequestedAt, i.reloadable = i.generation, -1, false
+func (r *Reconciler) ProcessReloaded(name string, number int) {
+	if instance := r.byName[name]; instance != nil && instance.current != nil && instance.current.number == number && instance.current.reloadRequestedAt >= 0 {
+		instance.current.generation, instance.current.reloadRequestedAt, instance.reloadable = instance.generation, -1, false
 	}
 }
 
 // Ended tells that a process is no more.
-func (k *Reconciler) ProcessEnded(name string, number int) {
-	i := k.byName[name]
-	if i == nil {
+func (r *Reconciler) ProcessEnded(name string, number int) {
+	instance := r.byName[name]
+	if instance == nil {
 		return
 	}
 	switch {
-	case i.successor != nil && i.successor.number == number:
-		if i.successor.stopRequestedAt < 0 || i.successor.killed {
-			k.recordFailure(i)
+	case instance.successor != nil && instance.successor.number == number:
+		if instance.successor.stopRequestedAt < 0 || instance.successor.killed {
+			r.recordFailure(instance)
 		}
-		i.successor = nil
-	case i.current != nil && i.current.number == number:
-		if i.current.stopRequestedAt < 0 {
-			if k.nowMillis-i.current.startedAt > k.policy.BackoffResetMillis {
-				i.failures = 0
+		instance.successor = nil
+	case instance.current != nil && instance.current.number == number:
+		if instance.current.stopRequestedAt < 0 {
+			if r.nowMillis-instance.current.startedAt > r.policy.BackoffResetMillis {
+				instance.failures = 0
 			}
-			k.recordFailure(i)
-			i.restarts++
+			r.recordFailure(instance)
+			instance.restarts++
 		}
-		i.current, i.successor = i.successor, nil // one that waited for its place has it now
-		i.hasServed = i.hasServed && i.desired
+		instance.current, instance.successor = instance.successor, nil // one that waited for its place has it now
+		instance.hasServed = instance.hasServed && instance.desired
 	}
 }
 
 // failed books a failure: the next start waits, longer each time, and not for as long as others that fell
 // with it.
-func (k *Reconciler) recordFailure(i *instanceState) {
-	backoff := math.Min(k.policy.InitialBackoffMillis*math.Pow(2, float64(min(i.failures, 30))), k.policy.MaxBackoffMillis)
-	i.failures++
-	i.nextStartAt = k.nowMillis + backoff*(0.5+k.rng.Float64())
+func (r *Reconciler) recordFailure(instance *instanceState) {
+	backoff := math.Min(r.policy.InitialBackoffMillis*math.Pow(2, float64(min(instance.failures, 30))), r.policy.MaxBackoffMillis)
+	instance.failures++
+	instance.nextStartAt = r.nowMillis + backoff*(0.5+r.rng.Float64())
 }
 
 // Next gives the next decision, or none.
-func (k *Reconciler) Next() (Action, bool) {
-	k.wakeAt = math.Inf(1)
+func (r *Reconciler) Next() (Action, bool) {
+	r.wakeAt = math.Inf(1)
 	replacing := 0 // replaced at once
-	k.anyOutdated, k.anyUndesiredRunning = false, false
-	for _, i := range k.instances {
-		k.anyOutdated = k.anyOutdated || i.desired && i.current != nil && i.current.generation != i.generation
-		k.anyUndesiredRunning = k.anyUndesiredRunning || !i.desired && i.current != nil
-		if i.successor != nil || i.current != nil && i.current.stopRequestedAt >= 0 {
+	r.anyOutdated, r.anyUndesiredRunning = false, false
+	for _, instance := range r.instances {
+		r.anyOutdated = r.anyOutdated || instance.desired && instance.current != nil && instance.current.generation != instance.generation
+		r.anyUndesiredRunning = r.anyUndesiredRunning || !instance.desired && instance.current != nil
+		if instance.successor != nil || instance.current != nil && instance.current.stopRequestedAt >= 0 {
 			replacing++
 		}
 	}
 	anyRunning := false
-	for _, i := range k.instances {
-		if action, ok := k.nextForInstance(i, &replacing); ok {
+	for _, instance := range r.instances {
+		if action, ok := r.nextForInstance(instance, &replacing); ok {
 			return action, true
 		}
-		anyRunning = anyRunning || i.current != nil || i.successor != nil
+		anyRunning = anyRunning || instance.current != nil || instance.successor != nil
 	}
-	if k.stopping && !anyRunning && !k.allStoppedReported {
-		k.allStoppedReported = true
+	if r.stopping && !anyRunning && !r.allStoppedReported {
+		r.allStoppedReported = true
 		return Action{Kind: AllStopped}, true
 	}
-	if !math.IsInf(k.wakeAt, 1) {
-		return Action{Kind: WakeUp, AtMillis: k.wakeAt}, true
+	if !math.IsInf(r.wakeAt, 1) {
+		return Action{Kind: WakeUp, AtMillis: r.wakeAt}, true
 	}
 	return Action{}, false
 }
 
 // decide gives the next decision on one instance.
-func (k *Reconciler) nextForInstance(i *instanceState, replacing *int) (Action, bool) {
-	for _, p := range []*processState{i.successor, i.current} {
-		if action, ok := k.killIfOverdue(i, p); ok {
+func (r *Reconciler) nextForInstance(instance *instanceState, replacing *int) (Action, bool) {
+	for _, process := range []*processState{instance.successor, instance.current} {
+		if action, ok := r.killIfOverdue(instance, process); ok {
 			return action, true
 		}
 	}
-	if k.stopping || !i.desired {
-		for _, p := range []*processState{i.successor, i.current} {
-			if p != nil && p.stopRequestedAt < 0 {
-				return k.terminate(i, p), true
+	if r.stopping || !instance.desired {
+		for _, process := range []*processState{instance.successor, instance.current} {
+			if process != nil && process.stopRequestedAt < 0 {
+				return r.terminate(instance, process), true
 			}
 		}
 		return Action{}, false
 	}
 	switch {
-	case i.current == nil && !i.hasServed && k.anyOutdated: // its part is the others' until they reckon with it
-	case i.current == nil && k.nowMillis >= i.nextStartAt:
-		i.current, i.exclusive, i.hasServed = k.newProcess(i), false, true
-		return Action{Kind: StartProcess, Instance: i.name, ProcessNumber: i.current.number}, true
-	case i.current == nil:
-		k.wakeNoLaterThan(i.nextStartAt)
-	case i.successor != nil && i.successor.ready && i.current.stopRequestedAt < 0: // its heir is ready: it leaves its place
-		return k.terminate(i, i.current), true
-	case i.current.ready && i.current.stopRequestedAt < 0 && i.successor == nil && i.current.generation != i.generation && i.reloadable:
+	case instance.current == nil && !instance.hasServed && r.anyOutdated: // its part is the others' until they reckon with it
+	case instance.current == nil && r.nowMillis >= instance.nextStartAt:
+		instance.current, instance.exclusive, instance.hasServed = r.newProcess(instance), false, true
+		return Action{Kind: StartProcess, Instance: instance.name, ProcessNumber: instance.current.number}, true
+	case instance.current == nil:
+		r.wakeNoLaterThan(instance.nextStartAt)
+	case instance.successor != nil && instance.successor.ready && instance.current.stopRequestedAt < 0: // its heir is ready: it leaves its place
+		return r.terminate(instance, instance.current), true
+	case instance.current.ready && instance.current.stopRequestedAt < 0 && instance.successor == nil && instance.current.generation != instance.generation && instance.reloadable:
 		switch {
-		case k.anyUndesiredRunning: // their parts are not its yet
-		case i.current.reloadRequestedAt < 0:
-			i.current.reloadRequestedAt = k.nowMillis
-			return Action{Kind: ReloadProcess, Instance: i.name, ProcessNumber: i.current.number}, true
-		case k.nowMillis >= i.current.reloadRequestedAt+k.policy.ReadyTimeoutMillis: // it does not: another process takes its place after all
-			i.reloadable = false
-			return k.nextForInstance(i, replacing)
+		case r.anyUndesiredRunning: // their parts are not its yet
+		case instance.current.reloadRequestedAt < 0:
+			instance.current.reloadRequestedAt = r.nowMillis
+			return Action{Kind: ReloadProcess, Instance: instance.name, ProcessNumber: instance.current.number}, true
+		case r.nowMillis >= instance.current.reloadRequestedAt+r.policy.ReadyTimeoutMillis: // it does not: another process takes its place after all
+			instance.reloadable = false
+			return r.nextForInstance(instance, replacing)
 		default:
-			k.wakeNoLaterThan(i.current.reloadRequestedAt + k.policy.ReadyTimeoutMillis)
+			r.wakeNoLaterThan(instance.current.reloadRequestedAt + r.policy.ReadyTimeoutMillis)
 		}
-	case i.current.ready && i.current.stopRequestedAt < 0 && i.successor == nil && i.current.generation != i.generation:
-		if *replacing >= max(k.policy.MaxReplacing, 1) || k.anyUndesiredRunning { // and theirs are not its yet
+	case instance.current.ready && instance.current.stopRequestedAt < 0 && instance.successor == nil && instance.current.generation != instance.generation:
+		if *replacing >= max(r.policy.MaxReplacing, 1) || r.anyUndesiredRunning { // and theirs are not its yet
 			break
 		}
-		if k.nowMillis < i.nextStartAt {
-			k.wakeNoLaterThan(i.nextStartAt)
+		if r.nowMillis < instance.nextStartAt {
+			r.wakeNoLaterThan(instance.nextStartAt)
 			break
 		}
 		*replacing++
-		if i.exclusive {
-			return k.terminate(i, i.current), true
+		if instance.exclusive {
+			return r.terminate(instance, instance.current), true
 		}
-		i.successor = k.newProcess(i)
-		return Action{Kind: StartProcess, Instance: i.name, ProcessNumber: i.successor.number}, true
+		instance.successor = r.newProcess(instance)
+		return Action{Kind: StartProcess, Instance: instance.name, ProcessNumber: instance.successor.number}, true
 	}
 	return Action{}, false
 }
 
 // overdue ends a process that was told to end and has not, or is not ready in time.
-func (k *Reconciler) killIfOverdue(i *instanceState, p *processState) (Action, bool) {
-	if p == nil || p.killed {
+func (r *Reconciler) killIfOverdue(instance *instanceState, process *processState) (Action, bool) {
+	if process == nil || process.killed {
 		return Action{}, false
 	}
-	deadline := p.startedAt + k.policy.ReadyTimeoutMillis
-	if p.stopRequestedAt >= 0 {
-		deadline = p.stopRequestedAt + k.policy.StopTimeoutMillis
-	} else if p.ready {
+	deadline := process.startedAt + r.policy.ReadyTimeoutMillis
+	if process.stopRequestedAt >= 0 {
+		deadline = process.stopRequestedAt + r.policy.StopTimeoutMillis
+	} else if process.ready {
 		return Action{}, false
 	}
-	if k.nowMillis < deadline {
-		k.wakeNoLaterThan(deadline)
+	if r.nowMillis < deadline {
+		r.wakeNoLaterThan(deadline)
 		return Action{}, false
 	}
-	p.killed = true
-	return Action{Kind: KillProcess, Instance: i.name, ProcessNumber: p.number}, true
+	process.killed = true
+	return Action{Kind: KillProcess, Instance: instance.name, ProcessNumber: process.number}, true
 }
 
-func (k *Reconciler) wakeNoLaterThan(atMillis float64) { k.wakeAt = math.Min(k.wakeAt, atMillis) }
+func (r *Reconciler) wakeNoLaterThan(atMillis float64) { r.wakeAt = math.Min(r.wakeAt, atMillis) }
 
-func (k *Reconciler) terminate(i *instanceState, p *processState) Action {
-	p.stopRequestedAt = k.nowMillis
-	return Action{Kind: TerminateProcess, Instance: i.name, ProcessNumber: p.number}
+func (r *Reconciler) terminate(instance *instanceState, process *processState) Action {
+	process.stopRequestedAt = r.nowMillis
+	return Action{Kind: TerminateProcess, Instance: instance.name, ProcessNumber: process.number}
 }
 
-func (k *Reconciler) newProcess(i *instanceState) *processState {
-	k.lastProcessNumber++
-	return &processState{number: k.lastProcessNumber, startedAt: k.nowMillis, stopRequestedAt: -1, reloadRequestedAt: -1, generation: i.generation}
+func (r *Reconciler) newProcess(instance *instanceState) *processState {
+	r.lastProcessNumber++
+	return &processState{number: r.lastProcessNumber, startedAt: r.nowMillis, stopRequestedAt: -1, reloadRequestedAt: -1, generation: instance.generation}
 }
 
 // Standing is how an instance stands, for operators.
@@ -332,28 +332,28 @@
 }
 
 // Standings gives how all stand, in their order.
-func (k *Reconciler) Statuses() []InstanceStatus {
-	var all []InstanceStatus
-	for _, i := range k.instances {
-		s := InstanceStatus{Name: i.name, Failures: i.failures, Restarts: i.restarts, Generation: i.generation}
+func (r *Reconciler) Statuses() []InstanceStatus {
+	var statuses []InstanceStatus
+	for _, instance := range r.instances {
+		status := InstanceStatus{Name: instance.name, Failures: instance.failures, Restarts: instance.restarts, Generation: instance.generation}
 		switch {
-		case i.current == nil && (!i.desired || k.stopping):
-			s.State = Stopped
-		case i.current == nil:
-			s.State = Waiting
-		case !i.desired || k.stopping:
-			s.State = Stopping
-		case i.successor != nil || i.current.stopRequestedAt >= 0:
-			s.State = Replacing
-		case i.current.ready:
-			s.State = Ready
+		case instance.current == nil && (!instance.desired || r.stopping):
+			status.State = Stopped
+		case instance.current == nil:
+			status.State = Waiting
+		case !instance.desired || r.stopping:
+			status.State = Stopping
+		case instance.successor != nil || instance.current.stopRequestedAt >= 0:
+			status.State = Replacing
+		case instance.current.ready:
+			status.State = Ready
 		default:
-			s.State = Starting
+			status.State = Starting
 		}
-		if i.current != nil {
-			s.ProcessNumber, s.Outdated = i.current.number, i.current.generation != i.generation
+		if instance.current != nil {
+			status.ProcessNumber, status.Outdated = instance.current.number, instance.current.generation != instance.generation
 		}
-		all = append(all, s)
+		statuses = append(statuses, status)
 	}
-	return all
+	return statuses
 }
--- a/internal/supervisor/keeper_test.go
+++ b/internal/supervisor/keeper_test.go
@@ -8,362 +8,362 @@
 	"testing"
 )
 
-var pace = Policy{InitialBackoffMillis: 100, MaxBackoffMillis: 1000, BackoffResetMillis: 5000, ReadyTimeoutMillis: 2000, StopTimeoutMillis: 3000, MaxReplacing: 2}
+var testPolicy = Policy{InitialBackoffMillis: 100, MaxBackoffMillis: 1000, BackoffResetMillis: 5000, ReadyTimeoutMillis: 2000, StopTimeoutMillis: 3000, MaxReplacing: 2}
 
 // bench drives a keeper: processes come up after a while, and end a while after they are told to.
-type bench struct {
-	t      *testing.T
-	k      *Reconciler
-	now    float64
-	up     map[int]string  // processes that run
-	ready  map[int]float64 // when they will be
-	ends   map[int]float64
-	starts map[string]int
-	sick   map[string]bool // their processes end at once
-	deaf   map[string]bool // their processes heed no word
-	killed int
-	done   bool
-	parts  map[int]float64 // how many instances a process reckons with
-	renews map[int]float64 // when they will take up what is wanted
+type simulation struct {
+	t                *testing.T
+	reconciler       *Reconciler
+	nowMillis        float64
+	running          map[int]string  // processes that run
+	readyAt          map[int]float64 // when they will be
+	exitAt           map[int]float64
+	startCount       map[string]int
+	crashing         map[string]bool // their processes end at once
+	unresponsive     map[string]bool // their processes heed no word
+	killCount        int
+	allStopped       bool
+	assumedFleetSize map[int]float64 // how many instances a process reckons with
+	reloadedAt       map[int]float64 // when they will take up what is wanted
 }
 
-func newBench(t *testing.T, names ...string) *bench {
-	b := &bench{t: t, k: NewReconciler(pace, 1), up: map[int]string{}, ready: map[int]float64{},
-		ends:   map[int]float64{},
-		starts: map[string]int{}, sick: map[string]bool{}, deaf: map[string]bool{},
-		parts: map[int]float64{}, renews: map[int]float64{}}
-	b.k.SetDesired(names, nil)
-	return b
+func newSimulation(t *testing.T, names ...string) *simulation {
+	s := &simulation{t: t, reconciler: NewReconciler(testPolicy, 1), running: map[int]string{}, readyAt: map[int]float64{},
+		exitAt:     map[int]float64{},
+		startCount: map[string]int{}, crashing: map[string]bool{}, unresponsive: map[string]bool{},
+		assumedFleetSize: map[int]float64{}, reloadedAt: map[int]float64{}}
+	s.reconciler.SetDesired(names, nil)
+	return s
 }
 
 // run passes time in steps of 10 ms.
-func (b *bench) run(ms float64) {
-	b.t.Helper()
-	for end := b.now + ms; b.now < end; b.now += 10 {
-		b.k.SetTime(b.now)
-		for p := 1; p <= b.k.lastProcessNumber; p++ {
-			name, runs := b.up[p]
-			if at, due := b.ready[p]; runs && due && at <= b.now {
-				delete(b.ready, p)
-				b.k.ProcessReady(name, p)
+func (s *simulation) advance(millis float64) {
+	s.t.Helper()
+	for end := s.nowMillis + millis; s.nowMillis < end; s.nowMillis += 10 {
+		s.reconciler.SetTime(s.nowMillis)
+		for number := 1; number <= s.reconciler.lastProcessNumber; number++ {
+			name, runs := s.running[number]
+			if at, scheduled := s.readyAt[number]; runs && scheduled && at <= s.nowMillis {
+				delete(s.readyAt, number)
+				s.reconciler.ProcessReady(name, number)
 			}
-			if at, due := b.renews[p]; runs && due && at <= b.now {
-				delete(b.renews, p)
-				b.parts[p] = b.wanted()
-				b.k.ProcessReloaded(name, p)
+			if at, scheduled := s.reloadedAt[number]; runs && scheduled && at <= s.nowMillis {
+				delete(s.reloadedAt, number)
+				s.assumedFleetSize[number] = s.desiredCount()
+				s.reconciler.ProcessReloaded(name, number)
 			}
-			if at, due := b.ends[p]; runs && due && at <= b.now {
-				delete(b.up, p)
-				b.k.ProcessEnded(name, p)
+			if at, scheduled := s.exitAt[number]; runs && scheduled && at <= s.nowMillis {
+				delete(s.running, number)
+				s.reconciler.ProcessEnded(name, number)
 			}
 		}
 		for range 1000 {
-			d, ok := b.k.Next()
-			if !ok || d.Kind == WakeUp {
-				if ok && d.AtMillis < b.now {
-					b.t.Fatalf("woken at %v, %v ms ago", d.AtMillis, b.now-d.AtMillis)
+			action, ok := s.reconciler.Next()
+			if !ok || action.Kind == WakeUp {
+				if ok && action.AtMillis < s.nowMillis {
+					s.t.Fatalf("woken at %v, %v ms ago", action.AtMillis, s.nowMillis-action.AtMillis)
 				}
 				break
 			}
-			b.carry(d)
+			s.perform(action)
 		}
 	}
 }
 
-func (b *bench) carry(d Action) {
-	switch d.Kind {
+func (s *simulation) perform(action Action) {
+	switch action.Kind {
 	case StartProcess:
-		b.starts[d.Instance]++
-		b.parts[d.ProcessNumber] = b.wanted()
-		b.up[d.ProcessNumber], b.ready[d.ProcessNumber] = d.Instance, b.now+200
-		if b.sick[d.Instance] {
-			b.ends[d.ProcessNumber] = b.now + 20
+		s.startCount[action.Instance]++
+		s.assumedFleetSize[action.ProcessNumber] = s.desiredCount()
+		s.running[action.ProcessNumber], s.readyAt[action.ProcessNumber] = action.Instance, s.nowMillis+200
+		if s.crashing[action.Instance] {
+			s.exitAt[action.ProcessNumber] = s.nowMillis + 20
 		}
-		n := 0
-		for _, name := range b.up {
-			if name == d.Instance {
-				n++
+		count := 0
+		for _, name := range s.running {
+			if name == action.Instance {
+				count++
 			}
 		}
-		if n > 2 {
-			b.t.Fatalf("%d processes for %s", n, d.Instance)
+		if count > 2 {
+			s.t.Fatalf("%d processes for %s", count, action.Instance)
 		}
 	case TerminateProcess:
-		if !b.deaf[d.Instance] {
-			b.ends[d.ProcessNumber] = b.now + 300
+		if !s.unresponsive[action.Instance] {
+			s.exitAt[action.ProcessNumber] = s.nowMillis + 300
 		}
 	case ReloadProcess:
-		if !b.deaf[d.Instance] {
-			b.renews[d.ProcessNumber] = b.now + 60
+		if !s.unresponsive[action.Instance] {
+			s.reloadedAt[action.ProcessNumber] = s.nowMillis + 60
 		}
 	case KillProcess:
-		b.killed++
-		b.ends[d.ProcessNumber] = b.now + 10
+		s.killCount++
+		s.exitAt[action.ProcessNumber] = s.nowMillis + 10
 	case AllStopped:
-		b.done = true
+		s.allStopped = true
 	}
 }
 
 // wanted counts the instances that there are to be.
-func (b *bench) wanted() (n float64) {
-	for _, i := range b.k.instances {
-		if i.desired {
-			n++
+func (s *simulation) desiredCount() (count float64) {
+	for _, instance := range s.reconciler.instances {
+		if instance.desired {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (b *bench) states() string { return fmt.Sprint(b.list()) }
+func (s *simulation) stateText() string { return fmt.Sprint(s.states()) }
 
-func (b *bench) list() (all []string) {
-	for _, s := range b.k.Statuses() {
-		all = append(all, s.State.String())
+func (s *simulation) states() (states []string) {
+	for _, status := range s.reconciler.Statuses() {
+		states = append(states, status.State.String())
 	}
-	return all
+	return states
 }
 
-func TestStartsAndStops(t *testing.T) {
-	b := newBench(t, "n0", "n1", "n2")
-	b.run(100)
-	if b.states() != "[starting starting starting]" {
-		t.Error(b.states())
+func TestStartAndStop(t *testing.T) {
+	s := newSimulation(t, "n0", "n1", "n2")
+	s.advance(100)
+	if s.stateText() != "[starting starting starting]" {
+		t.Error(s.stateText())
 	}
-	b.run(300)
-	if b.states() != "[ready ready ready]" || len(b.up) != 3 {
-		t.Error(b.states())
+	s.advance(300)
+	if s.stateText() != "[ready ready ready]" || len(s.running) != 3 {
+		t.Error(s.stateText())
 	}
-	b.deaf["n1"] = true
-	b.k.Stop()
-	b.run(2000)
-	if b.done || b.states() != "[gone leaving gone]" {
-		t.Errorf("done %v, %s", b.done, b.states())
+	s.unresponsive["n1"] = true
+	s.reconciler.Stop()
+	s.advance(2000)
+	if s.allStopped || s.stateText() != "[gone leaving gone]" {
+		t.Errorf("done %v, %s", s.allStopped, s.stateText())
 	}
-	b.run(2000)
-	if !b.done || b.killed != 1 || len(b.up) > 0 {
-		t.Errorf("done %v, %d killed, %d left", b.done, b.killed, len(b.up))
+	s.advance(2000)
+	if !s.allStopped || s.killCount != 1 || len(s.running) > 0 {
+		t.Errorf("done %v, %d killed, %d left", s.allStopped, s.killCount, len(s.running))
 	}
 }
 
 // One that crashes at every start comes ever more rarely, up to a bound, and the others do not notice;
 // those that fall together do not come back together.
-func TestRestartPace(t *testing.T) {
-	b := newBench(t, "n0", "n1", "n2", "n3", "n4", "n5")
-	b.sick["n1"] = true
-	b.run(20000)
-	if n := b.starts["n1"]; n < 12 || n > 40 || b.starts["n0"] != 1 {
-		t.Errorf("%d starts of the sick one in 20 s, %d of the other", n, b.starts["n0"])
+func TestRestartBackoff(t *testing.T) {
+	s := newSimulation(t, "n0", "n1", "n2", "n3", "n4", "n5")
+	s.crashing["n1"] = true
+	s.advance(20000)
+	if n := s.startCount["n1"]; n < 12 || n > 40 || s.startCount["n0"] != 1 {
+		t.Errorf("%d starts of the sick one in 20 s, %d of the other", n, s.startCount["n0"])
 	}
-	b.sick["n1"] = false
-	b.run(8000)
+	s.crashing["n1"] = false
+	s.advance(8000)
 	const all = "[ready ready ready ready ready ready]"
-	if b.states() != all {
-		t.Error(b.states())
+	if s.stateText() != all {
+		t.Error(s.stateText())
 	}
-	for p := range b.up {
-		b.ends[p] = b.now
+	for number := range s.running {
+		s.exitAt[number] = s.nowMillis
 	}
-	b.run(10)
-	var due []float64
-	for _, i := range b.k.instances {
-		if i.failures != 1 {
-			t.Errorf("%s: %d failures in a row after it was up", i.name, i.failures)
+	s.advance(10)
+	var startTimes []float64
+	for _, instance := range s.reconciler.instances {
+		if instance.failures != 1 {
+			t.Errorf("%s: %d failures in a row after it was up", instance.name, instance.failures)
 		}
-		due = append(due, i.nextStartAt)
+		startTimes = append(startTimes, instance.nextStartAt)
 	}
-	if slices.Max(due)-slices.Min(due) < 0.3*pace.InitialBackoffMillis {
-		t.Errorf("all come back at %v", due)
+	if slices.Max(startTimes)-slices.Min(startTimes) < 0.3*testPolicy.InitialBackoffMillis {
+		t.Errorf("all come back at %v", startTimes)
 	}
-	b.run(1000)
-	if b.states() != all {
-		t.Error(b.states())
+	s.advance(1000)
+	if s.stateText() != all {
+		t.Error(s.stateText())
 	}
 }
 
 // A reload replaces some at a time, each by a process that is ready before the old one leaves.
-func TestReloadInSteps(t *testing.T) {
+func TestRollingReload(t *testing.T) {
 	names := []string{"n0", "n1", "n2", "n3", "n4"}
-	b := newBench(t, names...)
-	b.run(500)
-	all := map[string]ConfigChange{}
+	s := newSimulation(t, names...)
+	s.advance(500)
+	changes := map[string]ConfigChange{}
 	for _, n := range names {
-		all[n] = RestartNeeded
+		changes[n] = RestartNeeded
 	}
-	b.k.SetDesired(names, all)
+	s.reconciler.SetDesired(names, changes)
 	for range 400 {
-		b.run(10)
+		s.advance(10)
 		replacing, serving := 0, 0
-		for _, s := range b.k.Statuses() {
-			if s.State == Replacing {
+		for _, status := range s.reconciler.Statuses() {
+			if status.State == Replacing {
 				replacing++
 			}
 		}
-		for _, i := range b.k.instances {
-			if i.current != nil && i.current.ready || i.successor != nil && i.successor.ready {
+		for _, instance := range s.reconciler.instances {
+			if instance.current != nil && instance.current.ready || instance.successor != nil && instance.successor.ready {
 				serving++
 			}
 		}
-		if replacing > pace.MaxReplacing || serving != len(names) {
+		if replacing > testPolicy.MaxReplacing || serving != len(names) {
 			t.Fatalf("%d are replaced at once, %d serve", replacing, serving)
 		}
 	}
-	for _, s := range b.k.Statuses() {
-		if s.State != Ready || s.Outdated || b.starts[s.Name] != 2 {
-			t.Errorf("%+v after %d starts", s, b.starts[s.Name])
+	for _, status := range s.reconciler.Statuses() {
+		if status.State != Ready || status.Outdated || s.startCount[status.Name] != 2 {
+			t.Errorf("%+v after %d starts", status, s.startCount[status.Name])
 		}
 	}
 }
 
 // What is wanted changes while a reload is under way: the newest holds. A new one that dies before it is
 // ready leaves the old one serving.
-func TestReloadMeets(t *testing.T) {
-	b := newBench(t, "n0", "n1")
-	b.run(500)
-	b.k.SetDesired([]string{"n0", "n1"}, map[string]ConfigChange{"n0": RestartNeeded, "n1": RestartNeeded})
-	b.run(100)
-	b.k.SetDesired([]string{"n0", "n2"}, map[string]ConfigChange{"n0": RestartNeeded}) // again, one less, one more
-	b.run(4000)
-	if b.states() != "[ready gone ready]" || b.k.Statuses()[0].Outdated || b.starts["n0"] != 3 {
-		t.Errorf("%s, n0 started %d times", b.states(), b.starts["n0"])
+func TestReloadDuringReload(t *testing.T) {
+	s := newSimulation(t, "n0", "n1")
+	s.advance(500)
+	s.reconciler.SetDesired([]string{"n0", "n1"}, map[string]ConfigChange{"n0": RestartNeeded, "n1": RestartNeeded})
+	s.advance(100)
+	s.reconciler.SetDesired([]string{"n0", "n2"}, map[string]ConfigChange{"n0": RestartNeeded}) // again, one less, one more
+	s.advance(4000)
+	if s.stateText() != "[ready gone ready]" || s.reconciler.Statuses()[0].Outdated || s.startCount["n0"] != 3 {
+		t.Errorf("%s, n0 started %d times", s.stateText(), s.startCount["n0"])
 	}
-	b.sick["n0"] = true
-	b.k.SetDesired([]string{"n0", "n2"}, map[string]ConfigChange{"n0": RestartNeeded})
-	b.run(5000)
-	if s := b.k.Statuses()[0]; !s.Outdated || b.k.byName["n0"].current == nil || !b.k.byName["n0"].current.ready ||
-		s.Restarts > 0 {
-		t.Errorf("while its new process dies: %+v", s)
+	s.crashing["n0"] = true
+	s.reconciler.SetDesired([]string{"n0", "n2"}, map[string]ConfigChange{"n0": RestartNeeded})
+	s.advance(5000)
+	if status := s.reconciler.Statuses()[0]; !status.Outdated || s.reconciler.byName["n0"].current == nil || !s.reconciler.byName["n0"].current.ready ||
+		status.Restarts > 0 {
+		t.Errorf("while its new process dies: %+v", status)
 	}
-	b.k.Stop()
-	b.run(5000)
-	if !b.done || len(b.up) > 0 {
-		t.Errorf("a stop in the middle: done %v, %d left", b.done, len(b.up))
+	s.reconciler.Stop()
+	s.advance(5000)
+	if !s.allStopped || len(s.running) > 0 {
+		t.Errorf("a stop in the middle: done %v, %d left", s.allStopped, len(s.running))
 	}
 }
 
 // While the number of instances changes, the parts that those which serve reckon with never add up to
 // more than the whole: a new one starts once the others reckon with it, and the others grow once an old
 // one has ended. Where they can take it up as they run, none is started for it, but one that does not.
-func TestPartsWhileTheNumberChanges(t *testing.T) {
+func TestQuotaSharesDuringResize(t *testing.T) {
 	names := []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6"}
 	for _, change := range []ConfigChange{RestartNeeded, MembershipChanged} {
-		b := newBench(t, names[:3]...)
-		b.deaf["n1"] = change == MembershipChanged
+		s := newSimulation(t, names[:3]...)
+		s.unresponsive["n1"] = change == MembershipChanged
 		for _, n := range []int{7, 2, 5, 5, 1, 7} {
-			b.run(500)
-			all := map[string]ConfigChange{}
+			s.advance(500)
+			changes := map[string]ConfigChange{}
 			for _, name := range names[:n] {
-				all[name] = change
+				changes[name] = change
 			}
-			b.k.SetDesired(names[:n], all)
+			s.reconciler.SetDesired(names[:n], changes)
 			for range 1200 {
-				b.run(10)
+				s.advance(10)
 				sum := 0.0
-				for p, name := range b.up {
-					if i := b.k.byName[name]; i.current != nil && i.current.number == p {
-						sum += 1 / b.parts[p]
+				for number, name := range s.running {
+					if instance := s.reconciler.byName[name]; instance.current != nil && instance.current.number == number {
+						sum += 1 / s.assumedFleetSize[number]
 					}
 				}
 				if sum > 1+1e-9 {
-					t.Fatalf("on the way to %d the parts add up to %.3f: %s", n, sum, b.states())
+					t.Fatalf("on the way to %d the parts add up to %.3f: %s", n, sum, s.stateText())
 				}
 			}
 			serving := 0
-			for _, s := range b.k.Statuses() {
-				if s.State == Ready && !s.Outdated {
+			for _, status := range s.reconciler.Statuses() {
+				if status.State == Ready && !status.Outdated {
 					serving++
 				}
 			}
 			if serving != n {
-				t.Errorf("%d of %d serve: %s", serving, n, b.states())
+				t.Errorf("%d of %d serve: %s", serving, n, s.stateText())
 			}
 		}
-		if one := b.starts["n0"] == 1; one != (change == MembershipChanged) || b.starts["n1"] < 3 {
-			t.Errorf("change %d: %d and %d starts", change, b.starts["n0"], b.starts["n1"])
+		if startedOnce := s.startCount["n0"] == 1; startedOnce != (change == MembershipChanged) || s.startCount["n1"] < 3 {
+			t.Errorf("change %d: %d and %d starts", change, s.startCount["n0"], s.startCount["n1"])
 		}
 	}
 }
 
 // One that never gets ready is ended and counts as failed; one that is adopted is kept as it is.
-func TestNeverReadyAndAdopted(t *testing.T) {
-	b := newBench(t, "n0", "n1")
-	p := b.k.Adopt("n1")
-	b.up[p], b.ready[p] = "n1", 50
-	b.k.SetTime(0)
+func TestReadyTimeoutAndAdoption(t *testing.T) {
+	s := newSimulation(t, "n0", "n1")
+	number := s.reconciler.Adopt("n1")
+	s.running[number], s.readyAt[number] = "n1", 50
+	s.reconciler.SetTime(0)
 	for range 3 {
-		if d, ok := b.k.Next(); ok && d.Kind == StartProcess {
-			b.carry(d)
-			delete(b.ready, d.ProcessNumber)
+		if action, ok := s.reconciler.Next(); ok && action.Kind == StartProcess {
+			s.perform(action)
+			delete(s.readyAt, action.ProcessNumber)
 		}
 	}
-	b.run(2100)
-	if b.killed != 1 || b.starts["n1"] != 0 || b.states() == "[starting ready]" {
-		t.Errorf("%d killed, n1 started %d times, %s", b.killed, b.starts["n1"], b.states())
+	s.advance(2100)
+	if s.killCount != 1 || s.startCount["n1"] != 0 || s.stateText() == "[starting ready]" {
+		t.Errorf("%d killed, n1 started %d times, %s", s.killCount, s.startCount["n1"], s.stateText())
 	}
-	b.run(1000)
-	if b.states() != "[ready ready]" {
-		t.Error(b.states())
+	s.advance(1000)
+	if s.stateText() != "[ready ready]" {
+		t.Error(s.stateText())
 	}
 }
 
 // Whatever was wanted, killed, deaf or never ready before, and however often the daemon itself was started
 // anew over what ran, once that is over all that are wanted come to run what is wanted. Guards against
 // instances that wait for one another for ever.
-func TestWalksOfKeeper(t *testing.T) {
+func TestReconcilerRandomWalks(t *testing.T) {
 	names := []string{"n0", "n1", "n2", "n3"}
 	for seed := range int64(400) {
 		rng := rand.New(rand.NewSource(seed))
-		b := newBench(t, names...)
-		wanted := names
+		s := newSimulation(t, names...)
+		desired := names
 		for range 5 + rng.Intn(40) {
-			switch who := names[rng.Intn(len(names))]; rng.Intn(8) {
+			switch name := names[rng.Intn(len(names))]; rng.Intn(8) {
 			case 0, 1: // killed
-				for p := 1; p <= b.k.lastProcessNumber; p++ {
-					if b.up[p] == who {
-						b.ends[p] = b.now
+				for number := 1; number <= s.reconciler.lastProcessNumber; number++ {
+					if s.running[number] == name {
+						s.exitAt[number] = s.nowMillis
 					}
 				}
 			case 2, 3: // other members, and all are told of it
-				wanted = slices.DeleteFunc(slices.Clone(names), func(string) bool { return rng.Intn(4) == 0 })
+				desired = slices.DeleteFunc(slices.Clone(names), func(string) bool { return rng.Intn(4) == 0 })
 				changed := map[string]ConfigChange{}
-				for _, n := range wanted {
+				for _, n := range desired {
 					changed[n] = MembershipChanged
 				}
-				b.k.SetDesired(wanted, changed)
+				s.reconciler.SetDesired(desired, changed)
 			case 4:
-				b.k.SetDesired(wanted, map[string]ConfigChange{who: ConfigChange(rng.Intn(3))})
+				s.reconciler.SetDesired(desired, map[string]ConfigChange{name: ConfigChange(rng.Intn(3))})
 			case 5:
-				b.deaf[who] = !b.deaf[who]
+				s.unresponsive[name] = !s.unresponsive[name]
 			case 6:
-				b.sick[who] = !b.sick[who]
+				s.crashing[name] = !s.crashing[name]
 			case 7: // the daemon is started anew, over what runs
-				b.adopted(wanted, rng)
+				s.restartDaemon(desired, rng)
 			}
-			b.run(float64(rng.Intn(150)) * 10)
+			s.advance(float64(rng.Intn(150)) * 10)
 		}
-		b.sick, b.deaf = map[string]bool{}, map[string]bool{}
-		b.run(40000)
-		for _, s := range b.k.Statuses() {
-			if want := slices.Contains(wanted, s.Name); want != (s.State == Ready) || want && s.Outdated {
-				t.Fatalf("seed %d: %s of %v is %v, behind %v, of %v", seed, s.Name, wanted, s.State, s.Outdated,
-					b.k.Statuses())
+		s.crashing, s.unresponsive = map[string]bool{}, map[string]bool{}
+		s.advance(40000)
+		for _, status := range s.reconciler.Statuses() {
+			if isDesired := slices.Contains(desired, status.Name); isDesired != (status.State == Ready) || isDesired && status.Outdated {
+				t.Fatalf("seed %d: %s of %v is %v, behind %v, of %v", seed, status.Name, desired, status.State, status.Outdated,
+					s.reconciler.Statuses())
 			}
 		}
 	}
 }
 
 // adopted has another keeper take over what runs: one process each, the others are told to end.
-func (b *bench) adopted(wanted []string, rng *rand.Rand) {
-	was, from := b.up, b.k.lastProcessNumber
-	b.k = NewReconciler(pace, rng.Int63())
-	b.k.SetTime(b.now)
-	b.up, b.ready, b.ends, b.renews = map[int]string{}, map[int]float64{}, map[int]float64{}, map[int]float64{}
-	b.k.SetDesired(wanted, nil)
-	for p := 1; p <= from; p++ {
-		name := was[p]
-		if slices.Contains(wanted, name) && !slices.Contains(slices.Collect(maps.Values(b.up)), name) {
-			n := b.k.Adopt(name)
-			if b.up[n], b.ready[n] = name, b.now+100; rng.Intn(3) == 0 { // what is wanted has changed meanwhile
-				b.k.SetDesired(wanted, map[string]ConfigChange{name: RestartNeeded})
+func (s *simulation) restartDaemon(desired []string, rng *rand.Rand) {
+	previous, lastNumber := s.running, s.reconciler.lastProcessNumber
+	s.reconciler = NewReconciler(testPolicy, rng.Int63())
+	s.reconciler.SetTime(s.nowMillis)
+	s.running, s.readyAt, s.exitAt, s.reloadedAt = map[int]string{}, map[int]float64{}, map[int]float64{}, map[int]float64{}
+	s.reconciler.SetDesired(desired, nil)
+	for number := 1; number <= lastNumber; number++ {
+		name := previous[number]
+		if slices.Contains(desired, name) && !slices.Contains(slices.Collect(maps.Values(s.running)), name) {
+			adopted := s.reconciler.Adopt(name)
+			if s.running[adopted], s.readyAt[adopted] = name, s.nowMillis+100; rng.Intn(3) == 0 { // what is wanted has changed meanwhile
+				s.reconciler.SetDesired(desired, map[string]ConfigChange{name: RestartNeeded})
 			}
 		}
 	}
--- a/internal/supervisor/outlook.go
+++ b/internal/supervisor/outlook.go
@@ -134,12 +134,12 @@
 }
 
 // loop asks around until the daemon has ended.
-func (w *forecastCollector) run(d *Daemon) {
+func (c *forecastCollector) run(d *Daemon) {
 	go func() {
 		<-d.loopEnded
-		w.cancel()
+		c.cancel()
 	}()
-	for w.ctx.Err() == nil {
+	for c.ctx.Err() == nil {
 		d.mu.Lock()
 		local := map[string]string{} // operators' port: the instance that is there
 		for _, process := range d.processes {
@@ -149,19 +149,19 @@
 		}
 		settings := d.settings.Forecast
 		d.mu.Unlock()
-		w.collect(settings, local)
+		c.collect(settings, local)
 		select {
-		case <-w.ctx.Done():
+		case <-c.ctx.Done():
 		case <-time.After(time.Duration(settings.IntervalMillis * float64(time.Millisecond))):
 		}
 	}
 }
 
 // round asks every source once, a few at a time.
-func (w *forecastCollector) collect(settings ForecastSettings, local map[string]string) {
-	w.mu.Lock()
-	w.settings = settings
-	w.mu.Unlock()
+func (c *forecastCollector) collect(settings ForecastSettings, local map[string]string) {
+	c.mu.Lock()
+	c.settings = settings
+	c.mu.Unlock()
 	unreachable := 0
 	var queries sync.WaitGroup
 	var unreachableMu sync.Mutex
@@ -176,39 +176,39 @@
 				unreachableMu.Lock()
 				unreachable++
 				unreachableMu.Unlock()
-				w.warn(source, "no word", err)
+				c.warn(source, "no word", err)
 			}
 		}()
 	}
 	for address, name := range local {
-		query(address, func() error { return w.queryInstance(address, name) })
+		query(address, func() error { return c.queryInstance(address, name) })
 	}
 	for _, address := range settings.UnmanagedInstances {
-		query(address, func() error { return w.queryInstance(address, "") })
+		query(address, func() error { return c.queryInstance(address, "") })
 	}
 	for _, address := range settings.Neighbours {
-		query(address, func() error { return w.queryNeighbour(address) })
+		query(address, func() error { return c.queryNeighbour(address) })
 	}
 	queries.Wait()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.unreachable = unreachable
-	for id, report := range w.reports {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.unreachable = unreachable
+	for id, report := range c.reports {
 		if time.Since(report.receivedAt) > reportRetention {
-			delete(w.reports, id)
+			delete(c.reports, id)
 		}
 	}
 }
 
 // get reads an answer of at most so many bytes.
-func (w *forecastCollector) fetch(url string, timeout time.Duration, maxBytes int) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(w.ctx, timeout)
+func (c *forecastCollector) fetch(url string, timeout time.Duration, maxBytes int) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(c.ctx, timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	response, err := w.client.Do(request)
+	response, err := c.client.Do(request)
 	if err != nil {
 		return nil, err
 	}
@@ -218,18 +218,18 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, int64(maxBytes)+1))
 	if err == nil && len(body) > maxBytes {
-		w.reject(url, "too_long", fmt.Errorf("over %d bytes", maxBytes))
+		c.reject(url, "too_long", fmt.Errorf("over %d bytes", maxBytes))
 		return nil, errors.New("too long")
 	}
 	return body, err
 }
 
 // askInstance asks one instance for its word. Where its name is known it has to be that one's.
-func (w *forecastCollector) queryInstance(address, name string) error {
-	raw, err := w.fetch("http://"+address+admin.WordPath, instanceTimeout, forecast.LongestWord)
+func (c *forecastCollector) queryInstance(address, name string) error {
+	raw, err := c.fetch("http://"+address+admin.WordPath, instanceTimeout, forecast.LongestWord)
 	if err == nil {
-		w.accept(address, raw, 0, true, func(report *forecast.Word) error {
-			if name != "" && (report.Name != name || report.Host != w.host) {
+		c.accept(address, raw, 0, true, func(report *forecast.Word) error {
+			if name != "" && (report.Name != name || report.Host != c.host) {
 				return fmt.Errorf("it is said by %s of %s, not by %s", report.Name, report.Host, name)
 			}
 			return nil
@@ -239,158 +239,158 @@
 }
 
 // askNeighbour asks another daemon for the words of its instances.
-func (w *forecastCollector) queryNeighbour(address string) error {
-	raw, err := w.fetch("http://"+address+"/fleet/words", neighbourTimeout, forecast.LongestWords)
+func (c *forecastCollector) queryNeighbour(address string) error {
+	raw, err := c.fetch("http://"+address+"/fleet/words", neighbourTimeout, forecast.LongestWords)
 	if err != nil {
 		return err
 	}
 	var exchange reportExchange
 	if err := json.Unmarshal(raw, &exchange); err != nil {
-		w.reject(address, "spoilt", err)
+		c.reject(address, "spoilt", err)
 		return nil
 	}
 	if exchange.Format != reportsFormat {
-		w.reject(address, "version", fmt.Errorf("form %d of words, not %d", exchange.Format, reportsFormat))
+		c.reject(address, "version", fmt.Errorf("form %d of words, not %d", exchange.Format, reportsFormat))
 		return nil
 	}
 	if len(exchange.AgesMillis) != len(exchange.Reports) {
-		w.reject(address, "spoilt", fmt.Errorf("%d ages for %d words", len(exchange.AgesMillis), len(exchange.Reports)))
+		c.reject(address, "spoilt", fmt.Errorf("%d ages for %d words", len(exchange.AgesMillis), len(exchange.Reports)))
 		return nil
 	}
 	for i, report := range exchange.Reports {
 		if !(exchange.AgesMillis[i] >= 0 && exchange.AgesMillis[i] <= float64(reportRetention.Milliseconds())) {
-			w.reject(address, "spoilt", fmt.Errorf("a word of an age of %v ms", exchange.AgesMillis[i]))
+			c.reject(address, "spoilt", fmt.Errorf("a word of an age of %v ms", exchange.AgesMillis[i]))
 			continue
 		}
 		age := time.Duration(exchange.AgesMillis[i] * float64(time.Millisecond))
-		w.accept(address, report, age, false, func(*forecast.Word) error { return nil })
+		c.accept(address, report, age, false, func(*forecast.Word) error { return nil })
 	}
 	return nil
 }
 
 // hear takes a word that was said so long ago, unless something is wrong with it.
-func (w *forecastCollector) accept(source string, raw []byte, age time.Duration, local bool, checkIdentity func(*forecast.Word) error) {
+func (c *forecastCollector) accept(source string, raw []byte, age time.Duration, local bool, checkIdentity func(*forecast.Word) error) {
 	report, err := forecast.Decode(raw)
 	switch {
 	case errors.Is(err, forecast.ErrForm):
-		w.reject(source, "version", err)
+		c.reject(source, "version", err)
 		return
 	case err != nil:
-		w.reject(source, "spoilt", err)
+		c.reject(source, "spoilt", err)
 		return
 	}
 	if err := checkIdentity(report); err != nil {
-		w.reject(source, "stranger", err)
+		c.reject(source, "stranger", err)
 		return
 	}
 	if ahead := report.At - time.Now().UnixMilli(); ahead > forecast.MostAhead {
-		w.reject(source, "ahead", fmt.Errorf("%s: its clock is %d ms ahead", report.Name, ahead))
+		c.reject(source, "ahead", fmt.Errorf("%s: its clock is %d ms ahead", report.Name, ahead))
 		return
 	}
 	id, receivedAt := fmt.Sprintf("%s/%d", report.Group, report.Number), time.Now().Add(-age)
-	w.mu.Lock()
-	previous, known := w.reports[id]
+	c.mu.Lock()
+	previous, known := c.reports[id]
 	if known && (report.Name != previous.report.Name || report.Host != previous.report.Host) &&
-		time.Since(previous.receivedAt) < time.Duration(w.settings.MaxReportAgeMillis*float64(time.Millisecond)) {
-		w.mu.Unlock()
-		w.reject(source, "stranger", fmt.Errorf("%s of %s says that it is number %d of %s, and so does %s of %s",
+		time.Since(previous.receivedAt) < time.Duration(c.settings.MaxReportAgeMillis*float64(time.Millisecond)) {
+		c.mu.Unlock()
+		c.reject(source, "stranger", fmt.Errorf("%s of %s says that it is number %d of %s, and so does %s of %s",
 			report.Name, report.Host, report.Number, report.Group, previous.report.Name, previous.report.Host))
 		return
 	}
-	defer w.mu.Unlock()
-	if !known && len(w.reports) >= maxReports {
-		w.rejected["too_many"]++
+	defer c.mu.Unlock()
+	if !known && len(c.reports) >= maxReports {
+		c.rejected["too_many"]++
 		return
 	}
 	if known && !report.Newer(previous.report) {
 		if previous.local = previous.local || local; report.Life == previous.report.Life && report.Seq == previous.report.Seq && receivedAt.After(previous.receivedAt) {
 			previous.receivedAt = receivedAt
 		}
-		w.reports[id] = previous
+		c.reports[id] = previous
 		return
 	}
-	w.reports[id] = receivedReport{report, bytes.Clone(raw), receivedAt, local}
+	c.reports[id] = receivedReport{report, bytes.Clone(raw), receivedAt, local}
 }
 
 // refuse counts and names what is not taken.
-func (w *forecastCollector) reject(source, reason string, err error) {
-	w.mu.Lock()
-	w.rejected[reason]++
-	w.mu.Unlock()
-	w.warn(source, reason, err)
+func (c *forecastCollector) reject(source, reason string, err error) {
+	c.mu.Lock()
+	c.rejected[reason]++
+	c.mu.Unlock()
+	c.warn(source, reason, err)
 }
 
 // complain logs a source's trouble, not too often.
-func (w *forecastCollector) warn(source, reason string, err error) {
-	if w.ctx.Err() != nil {
+func (c *forecastCollector) warn(source, reason string, err error) {
+	if c.ctx.Err() != nil {
 		return
 	}
-	w.mu.Lock()
+	c.mu.Lock()
 	key := source + reason
-	due := time.Since(w.lastWarning[key]) > warningInterval
+	due := time.Since(c.lastWarning[key]) > warningInterval
 	if due {
-		if len(w.lastWarning) > 1000 {
-			clear(w.lastWarning)
+		if len(c.lastWarning) > 1000 {
+			clear(c.lastWarning)
 		}
-		w.lastWarning[key] = time.Now()
+		c.lastWarning[key] = time.Now()
 	}
-	w.mu.Unlock()
+	c.mu.Unlock()
 	if due {
-		w.log.Warn().Err(err).Str("source", source).Str("why", reason).Msg("a word for the outlook was not taken")
+		c.log.Warn().Err(err).Str("source", source).Str("why", reason).Msg("a word for the outlook was not taken")
 	}
 }
 
 // words answers a neighbour.
-func (w *forecastCollector) handleReports(response http.ResponseWriter, _ *http.Request) {
-	exchange := reportExchange{Format: reportsFormat, Host: w.host, Reports: []json.RawMessage{}}
-	w.mu.Lock()
-	for _, report := range w.reports {
+func (c *forecastCollector) handleReports(response http.ResponseWriter, _ *http.Request) {
+	exchange := reportExchange{Format: reportsFormat, Host: c.host, Reports: []json.RawMessage{}}
+	c.mu.Lock()
+	for _, report := range c.reports {
 		if report.local {
 			exchange.Reports = append(exchange.Reports, report.raw)
 			exchange.AgesMillis = append(exchange.AgesMillis, float64(time.Since(report.receivedAt).Milliseconds()))
 		}
 	}
-	w.mu.Unlock()
+	c.mu.Unlock()
 	response.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(response).Encode(exchange)
 }
 
 // outlook answers operators. Where no word is new the answer is the one before.
-func (w *forecastCollector) handleForecast(response http.ResponseWriter, r *http.Request) {
-	w.mu.Lock()
+func (c *forecastCollector) handleForecast(response http.ResponseWriter, r *http.Request) {
+	c.mu.Lock()
 	var reports []*forecast.Word
 	var ids []string
-	for id, received := range w.reports {
+	for id, received := range c.reports {
 		reports = append(reports, received.report)
 		ids = append(ids, fmt.Sprintf("%s %d %d", id, received.report.Life, received.report.Seq))
 	}
-	rules := w.settings.projectionRules()
-	w.mu.Unlock()
+	rules := c.settings.projectionRules()
+	c.mu.Unlock()
 	slices.Sort(ids)
 	key := fmt.Sprint(ids, rules)
-	w.projectionMu.Lock()
-	if w.projectionKey != key {
-		w.projectionKey, w.projection = key, forecast.Project(reports, rules)
+	c.projectionMu.Lock()
+	if c.projectionKey != key {
+		c.projectionKey, c.projection = key, forecast.Project(reports, rules)
 	}
-	projection := w.projection
-	w.projectionMu.Unlock()
+	projection := c.projection
+	c.projectionMu.Unlock()
 	if r.FormValue("form") == "text" {
 		response.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		_, _ = response.Write(forecast.AppendText(nil, projection))
 		return
 	}
 	response.Header().Set("Content-Type", "application/json")
-	e := json.NewEncoder(response)
-	e.SetIndent("", " ")
-	_ = e.Encode(projection)
+	encoder := json.NewEncoder(response)
+	encoder.SetIndent("", " ")
+	_ = encoder.Encode(projection)
 }
 
 // figures adds the watcher's own to the fleet's.
-func (w *forecastCollector) writeStats(b *strings.Builder) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	fmt.Fprintf(b, "fleet.outlook.words=%d\nfleet.outlook.silent=%d\n", len(w.reports), w.unreachable)
+func (c *forecastCollector) writeStats(out *strings.Builder) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	fmt.Fprintf(out, "fleet.outlook.words=%d\nfleet.outlook.silent=%d\n", len(c.reports), c.unreachable)
 	for _, reason := range []string{"version", "spoilt", "stranger", "ahead", "too_long", "too_many"} {
-		fmt.Fprintf(b, "fleet.outlook.refused.%s=%d\n", reason, w.rejected[reason])
+		fmt.Fprintf(out, "fleet.outlook.refused.%s=%d\n", reason, c.rejected[reason])
 	}
 }
