--- a/internal/supervisor/outlook_test.go
+++ b/internal/supervisor/outlook_test.go
@@ -24,52 +24,52 @@
 	"willowdeck/internal/testkit/faultinject"
 )
 
-var foresee = flag.Bool("foresee", false, "each kind of loss of a hall, until shares have moved; minutes")
+var longForecast = flag.Bool("foresee", false, "each kind of loss of a hall, until shares have moved; minutes")
 
 // trio is three halls of real gatekeepers before stand-ins, all links between halls through relays, and a
 // daemon in each hall that looks ahead.
-type trio struct {
-	t       *testing.T
-	net     *faultinject.Net
-	workers [3][]*fakes.Worker
-	keepers []*faultinject.Process // number i stands in hall i % 3
-	targets []string
-	daemons []*Daemon
-	ports   []*ControlServer
+type threeRegions struct {
+	t        *testing.T
+	network  *faultinject.Net
+	workers  [3][]*fakes.Worker
+	gateways []*faultinject.Process // number i stands in hall i % 3
+	targets  []string
+	daemons  []*Daemon
+	servers  []*ControlServer
 }
 
 const (
-	trioKeepers = 6
-	trioWorkers = 2 // of a hall
-	trioCores   = 2
-	trioTakes   = 40 * time.Millisecond
+	gatewayCount      = 6
+	workersPerRegion  = 2 // of a hall
+	coresPerWorker    = 2
+	workerServiceTime = 40 * time.Millisecond
 )
 
-var trioValues = []float64{1, 2, 4}
+var productValues = []float64{1, 2, 4}
 
-func hallOf(i int) string { return fmt.Sprintf("hall%d", i%3) }
+func regionName(i int) string { return fmt.Sprintf("hall%d", i%3) }
 
-func newTrio(t *testing.T, rate float64) *trio {
-	x := &trio{t: t, net: faultinject.NewNet(t, 1)}
+func newThreeRegions(t *testing.T, rate float64) *threeRegions {
+	r := &threeRegions{t: t, network: faultinject.NewNet(t, 1)}
 	for h := range 3 {
-		for i := range trioWorkers {
-			w, err := fakes.NewWorker(fmt.Sprintf("w%d-%d", h, i), trioTakes)
+		for i := range workersPerRegion {
+			worker, err := fakes.NewWorker(fmt.Sprintf("w%d-%d", h, i), workerServiceTime)
 			if err != nil {
 				t.Fatal(err)
 			}
-			w.Cores(trioCores)
-			t.Cleanup(w.Close)
-			x.workers[h] = append(x.workers[h], w)
+			worker.Cores(coresPerWorker)
+			t.Cleanup(worker.Close)
+			r.workers[h] = append(r.workers[h], worker)
 		}
 	}
-	var lists [3]*fakes.Discovery
+	var discoveries [3]*fakes.Discovery
 	for h := range 3 {
 		var entries []fakes.Entry
 		for o := range 3 {
-			for _, w := range x.workers[o] {
-				e := w.Of(hallOf(o))
+			for _, worker := range r.workers[o] {
+				e := worker.Of(regionName(o))
 				if o != h {
-					e.Address = x.net.Stream(hallOf(h), hallOf(o), w.At)
+					e.Address = r.network.Stream(regionName(h), regionName(o), worker.At)
 				}
 				entries = append(entries, e)
 			}
@@ -79,23 +79,23 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(d.Close)
-		lists[h] = d
+		discoveries[h] = d
 	}
-	from := faultinject.Ports(t, 3*trioKeepers)
+	basePort := faultinject.Ports(t, 3*gatewayCount)
 	var names []string
-	at := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", from+i) }
-	for i := range trioKeepers {
+	at := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", basePort+i) }
+	for i := range gatewayCount {
 		names = append(names, fmt.Sprintf("g%d", i))
-		x.net.Place(names[i], netip.MustParseAddrPort(at(2*trioKeepers+i)))
-		x.targets = append(x.targets, at(i))
+		r.network.Place(names[i], netip.MustParseAddrPort(at(2*gatewayCount+i)))
+		r.targets = append(r.targets, at(i))
 	}
-	var asks [3][]string
+	var adminAddresses [3][]string
 	for i, name := range names {
-		asks[i%3] = append(asks[i%3], at(trioKeepers+i))
-		b, err := json.Marshal(map[string]any{"name": name, "listen": at(i), "control": at(trioKeepers + i),
-			"discovery": lists[i%3].At, "known": lists[i%3].List(), "seed": "5",
-			"peer_listen": at(2*trioKeepers + i), "peers": x.net.Peers(name, names),
-			"limits": map[string]any{"sockets": 512, "memory_mb": 64}, "settings": trioSettings(i, rate)})
+		adminAddresses[i%3] = append(adminAddresses[i%3], at(gatewayCount+i))
+		b, err := json.Marshal(map[string]any{"name": name, "listen": at(i), "control": at(gatewayCount + i),
+			"discovery": discoveries[i%3].At, "known": discoveries[i%3].List(), "seed": "5",
+			"peer_listen": at(2*gatewayCount + i), "peers": r.network.Peers(name, names),
+			"limits": map[string]any{"sockets": 512, "memory_mb": 64}, "settings": gatewaySettings(i, rate)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -104,63 +104,63 @@
 		if err := os.WriteFile(file, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		x.keepers = append(x.keepers, faultinject.Start(t, faultinject.Spec{Name: name, Dir: dir,
-			Args: []string{"serve", "--config", file, "--hall", hallOf(i), "--host", "d" + hallOf(i),
+		r.gateways = append(r.gateways, faultinject.Start(t, faultinject.Spec{Name: name, Dir: dir,
+			Args: []string{"serve", "--config", file, "--hall", regionName(i), "--host", "d" + regionName(i),
 				"--group", "trio"}}))
 	}
 	for i := range names {
-		if err := faultinject.Healthy(at(trioKeepers+i), 10*time.Second); err != nil {
+		if err := faultinject.Healthy(at(gatewayCount+i), 10*time.Second); err != nil {
 			t.Fatalf("%s: %v", names[i], err)
 		}
 	}
-	x.watch(asks)
-	return x
+	r.startDaemons(adminAddresses)
+	return r
 }
 
 // watch starts a daemon in each hall that keeps no instance, and looks ahead.
-func (x *trio) watch(asks [3][]string) {
-	from := faultinject.Ports(x.t, 3)
+func (r *threeRegions) startDaemons(adminAddresses [3][]string) {
+	basePort := faultinject.Ports(r.t, 3)
 	quoted := func(all []string) string { return "[\"" + strings.Join(all, "\", \"") + "\"]" }
 	for h := range 3 {
 		var others []string
 		for o := range 3 {
 			if o != h {
-				others = append(others, fmt.Sprintf("127.0.0.1:%d", from+o))
+				others = append(others, fmt.Sprintf("127.0.0.1:%d", basePort+o))
 			}
 		}
-		dir := x.t.TempDir()
+		dir := r.t.TempDir()
 		file := filepath.Join(dir, "fleet.toml")
 		text := fmt.Sprintf("name = %q\ninstances = 0\nrun_dir = \"run\"\ncontrol = \"127.0.0.1:%d\"\nhall = %q\n"+
-			"[outlook]\neach_ms = 100\nneighbours = %s\nask = %s\nworker_cores = %d\nway_ms = 1\n", "d"+hallOf(h),
-			from+h, hallOf(h), quoted(others), quoted(asks[h]), trioCores)
+			"[outlook]\neach_ms = 100\nneighbours = %s\nask = %s\nworker_cores = %d\nway_ms = 1\n", "d"+regionName(h),
+			basePort+h, regionName(h), quoted(others), quoted(adminAddresses[h]), coresPerWorker)
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-			x.t.Fatal(err)
+			r.t.Fatal(err)
 		}
-		f, err := LoadSettings(file)
+		settings, err := LoadSettings(file)
 		if err != nil {
-			x.t.Fatal(err)
+			r.t.Fatal(err)
 		}
-		d, err := NewDaemon(f, zerolog.Nop())
+		daemon, err := NewDaemon(settings, zerolog.Nop())
 		if err != nil {
-			x.t.Fatal(err)
+			r.t.Fatal(err)
 		}
-		x.t.Cleanup(d.Stop)
-		p, err := d.ServeControl()
+		r.t.Cleanup(daemon.Stop)
+		server, err := daemon.ServeControl()
 		if err != nil {
-			x.t.Fatal(err)
+			r.t.Fatal(err)
 		}
-		x.t.Cleanup(p.Close)
-		x.daemons, x.ports = append(x.daemons, d), append(x.ports, p)
+		r.t.Cleanup(server.Close)
+		r.daemons, r.servers = append(r.daemons, daemon), append(r.servers, server)
 	}
 }
 
-func trioSettings(me int, rate float64) map[string]any {
-	return map[string]any{"me": me, "balancers": trioKeepers,
+func gatewaySettings(index int, rate float64) map[string]any {
+	return map[string]any{"me": index, "balancers": gatewayCount,
 		"classes": []map[string]any{
-			{"name": "check", "aim_us": 500e3, "effect": "read_like", "worth": trioValues[0]},
+			{"name": "check", "aim_us": 500e3, "effect": "read_like", "worth": productValues[0]},
 			{"name": "sale", "aim_us": 500e3, "effect": "idempotency_key", "group": "all", "window_us": 5e6,
-				"worth": trioValues[1]},
-			{"name": "issue", "aim_us": 500e3, "effect": "non_idempotent", "worth": trioValues[2]}},
+				"worth": productValues[1]},
+			{"name": "issue", "aim_us": 500e3, "effect": "non_idempotent", "worth": productValues[2]}},
 		"tariffs": []map[string]any{{"name": "basic", "rate": rate, "most_at_once": 2 * rate, "worth_factor": 1}},
 		"allowed": map[string]any{"max_attempts": 3, "cancel": true, "retry_after": true, "max_retry_after_us": 9e6,
 			"keepalive_us": 5e6, "connect_timeout_us": 100e3, "peers": true},
@@ -169,59 +169,59 @@
 }
 
 // ask gets a daemon's answer.
-func (x *trio) ask(daemon int, path string) string {
-	text, err := faultinject.Ask(x.ports[daemon].Address, path)
+func (r *threeRegions) get(daemon int, path string) string {
+	text, err := faultinject.Ask(r.servers[daemon].Address, path)
 	if err != nil {
-		x.t.Fatal(err)
+		r.t.Fatal(err)
 	}
 	return text
 }
 
 // agree waits until all daemons rest on the same words, of all gatekeepers, and fails unless they then say
 // the same to the byte.
-func (x *trio) agree() *forecast.Outlook {
-	var o forecast.Outlook
-	faultinject.Until(x.t, 10*time.Second, "three daemons that have heard the same words", func() bool {
+func (r *threeRegions) waitForAgreement() *forecast.Outlook {
+	var projection forecast.Outlook
+	faultinject.Until(r.t, 10*time.Second, "three daemons that have heard the same words", func() bool {
 		var texts [3]string
-		var rests [3]string
+		var basis [3]string
 		for i := range 3 {
 			var each forecast.Outlook
-			texts[i] = x.ask(i, "/fleet/outlook")
+			texts[i] = r.get(i, "/fleet/outlook")
 			if err := json.Unmarshal([]byte(texts[i]), &each); err != nil {
-				x.t.Fatal(err)
+				r.t.Fatal(err)
 			}
-			rests[i] = fmt.Sprint(each.Rests)
-			o = each
+			basis[i] = fmt.Sprint(each.Rests)
+			projection = each
 		}
-		if rests[0] != rests[1] || rests[1] != rests[2] || len(o.Rests) != trioKeepers || o.Now.Value == 0 {
+		if basis[0] != basis[1] || basis[1] != basis[2] || len(projection.Rests) != gatewayCount || projection.Now.Value == 0 {
 			return false
 		}
 		for i := range 3 {
 			if texts[i] != texts[0] {
-				x.t.Fatalf("the same words, and not the same outlook:\n%s\n%s", texts[0], texts[i])
+				r.t.Fatalf("the same words, and not the same outlook:\n%s\n%s", texts[0], texts[i])
 			}
 		}
 		return true
 	})
-	return &o
+	return &projection
 }
 
 // seen is what became of requests by when they were due.
-type seen struct {
-	mu    sync.Mutex
-	at    []float64 // ms
-	value []float64
-	got   []bool
+type requestOutcomes struct {
+	mu        sync.Mutex
+	dueMillis []float64 // ms
+	value     []float64
+	settled   []bool
 }
 
 // share gives the part of the value that was settled of what was due in a span, and that value a second.
-func (s *seen) share(from, to float64) (part, perS float64) {
+func (s *requestOutcomes) settledShare(from, to float64) (share, valuePerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all, got := 0.0, 0.0
-	for i, at := range s.at {
+	for i, at := range s.dueMillis {
 		if at >= from && at < to {
-			if all += s.value[i]; s.got[i] {
+			if all += s.value[i]; s.settled[i] {
 				got += s.value[i]
 			}
 		}
@@ -231,86 +231,86 @@
 
 // send sends a steady load for so many seconds: until the loss to all gatekeepers, and from then on, where
 // some are lost, to the next one of each set that lives.
-func (x *trio) send(perS, lossS, endS float64, lost func(i int) bool) (*seen, func()) {
+func (r *threeRegions) startLoad(perS, lossS, endS float64, lost func(i int) bool) (*requestOutcomes, func()) {
 	group := workload.Group{Customers: 12, Rate: perS / 12, Products: []float64{6, 3, 1}, Units: 1, Spread: 3}
-	all := workload.Plan([]workload.Group{group}, nil, endS*1000, 7)
-	s := &seen{}
+	arrivals := workload.Plan([]workload.Group{group}, nil, endS*1000, 7)
+	outcomes := &requestOutcomes{}
 	var done sync.WaitGroup
 	for part := range 2 {
 		var mine []workload.Arrival
 		base := 0
-		for _, a := range all {
+		for _, a := range arrivals {
 			if late := a.At >= lossS*1000; late != (part == 1) {
 				continue
 			}
-			first := int(uint64(a.Customer+1) * 0x9E3779B97F4A7C15 >> 33 % trioKeepers) // as the sender has it
-			for a.Set %= 3; part == 1 && lost((first+a.Set)%trioKeepers); a.Set = (a.Set + 1) % 3 {
+			first := int(uint64(a.Customer+1) * 0x9E3779B97F4A7C15 >> 33 % gatewayCount) // as the sender has it
+			for a.Set %= 3; part == 1 && lost((first+a.Set)%gatewayCount); a.Set = (a.Set + 1) % 3 {
 			}
 			mine = append(mine, a)
 		}
-		s.mu.Lock()
-		base = len(s.at)
+		outcomes.mu.Lock()
+		base = len(outcomes.dueMillis)
 		for _, a := range mine {
-			s.at, s.value, s.got = append(s.at, a.At), append(s.value, trioValues[a.Product]), append(s.got, false)
+			outcomes.dueMillis, outcomes.value, outcomes.settled = append(outcomes.dueMillis, a.At), append(outcomes.value, productValues[a.Product]), append(outcomes.settled, false)
 		}
-		s.mu.Unlock()
-		j := &loadgen.Job{Arrivals: mine, Targets: x.targets, Spread: 3, Plans: []string{"basic"}, Most: 2000,
+		outcomes.mu.Unlock()
+		job := &loadgen.Job{Arrivals: mine, Targets: r.targets, Spread: 3, Plans: []string{"basic"}, Most: 2000,
 			Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 500 * time.Millisecond},
 				{Name: "sale", Repeat: "referenced", Waits: 500 * time.Millisecond, Body: 20},
 				{Name: "issue", Repeat: "once", Waits: 500 * time.Millisecond, Body: 20}},
 			Each: func(i int, o loadgen.Outcome, _ time.Duration) {
-				s.mu.Lock()
-				s.got[base+i] = o == loadgen.Settled
-				s.mu.Unlock()
+				outcomes.mu.Lock()
+				outcomes.settled[base+i] = o == loadgen.Settled
+				outcomes.mu.Unlock()
 			}}
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			if _, err := j.Run(context.Background()); err != nil {
-				x.t.Error(err)
+			if _, err := job.Run(context.Background()); err != nil {
+				r.t.Error(err)
 			}
 		}()
 	}
-	return s, done.Wait
+	return outcomes, done.Wait
 }
 
 // take takes from the rig what a loss takes.
-func (x *trio) take(l forecast.Loss) {
+func (r *threeRegions) applyLoss(loss forecast.Loss) {
 	for h := range 3 {
-		lost := slices.Contains(l.Halls, hallOf(h))
+		lost := slices.Contains(loss.Halls, regionName(h))
 		switch {
-		case lost && l.Kind == forecast.Links:
+		case lost && loss.Kind == forecast.Links:
 			for o := range 3 {
 				if o != h {
-					x.net.Part(hallOf(h), hallOf(o), faultinject.Silent)
+					r.network.Part(regionName(h), regionName(o), faultinject.Silent)
 				}
 			}
-			for i := range trioKeepers {
+			for i := range gatewayCount {
 				for k := range i {
 					if (i%3 == h) != (k%3 == h) {
-						x.net.Part(fmt.Sprintf("g%d", i), fmt.Sprintf("g%d", k), faultinject.Silent)
+						r.network.Part(fmt.Sprintf("g%d", i), fmt.Sprintf("g%d", k), faultinject.Silent)
 					}
 				}
 			}
 			continue
-		case lost && l.Kind != forecast.Keepers:
-			for _, w := range x.workers[h] {
+		case lost && loss.Kind != forecast.Keepers:
+			for _, w := range r.workers[h] {
 				w.Down()
 			}
 			for o := range 3 { // a relay takes connections for workers that are no more
 				if o != h {
-					x.net.Part(hallOf(h), hallOf(o), faultinject.Reset)
+					r.network.Part(regionName(h), regionName(o), faultinject.Reset)
 				}
 			}
-		case !lost && l.Kind == forecast.Slowed:
-			for _, w := range x.workers[h] {
-				w.Takes(2 * trioTakes)
+		case !lost && loss.Kind == forecast.Slowed:
+			for _, w := range r.workers[h] {
+				w.Takes(2 * workerServiceTime)
 			}
 		}
 		if lost {
-			for i := h; i < trioKeepers; i += 3 {
-				if err := x.keepers[i].Kill(); err != nil {
-					x.t.Fatal(err)
+			for i := h; i < gatewayCount; i += 3 {
+				if err := r.gateways[i].Kill(); err != nil {
+					r.t.Fatal(err)
 				}
 			}
 		}
@@ -319,131 +319,131 @@
 
 // Real processes in three halls: what the daemons foretell of a loss is held against what clients got and
 // workers were sent. In the usual form one loss, over some seconds and with wide bounds.
-func TestForetold(t *testing.T) {
-	type form struct {
+func TestForecastMatchesMeasuredLoss(t *testing.T) {
+	type scenario struct {
 		kind        forecast.Kind
 		perS, measS float64
 		rate        float64 // of each of twelve customers' quota
 		halls       []string
 	}
-	one, two := []string{hallOf(1)}, []string{hallOf(1), hallOf(2)}
-	forms := []form{{forecast.Whole, 210, 4, 30, one}}
-	if *foresee {
-		forms = nil
+	one, two := []string{regionName(1)}, []string{regionName(1), regionName(2)}
+	scenarios := []scenario{{forecast.Whole, 210, 4, 30, one}}
+	if *longForecast {
+		scenarios = nil
 		for k := forecast.Whole; k <= forecast.Slowed; k++ {
 			for _, perS := range []float64{140, 210, 270} {
-				forms = append(forms, form{k, perS, 16, 40, one})
+				scenarios = append(scenarios, scenario{k, perS, 16, 40, one})
 			}
-			forms = append(forms, form{k, 140, 16, 40, two})
-			forms = append(forms, form{k, 180, 16, 16, one})
+			scenarios = append(scenarios, scenario{k, 140, 16, 40, two})
+			scenarios = append(scenarios, scenario{k, 180, 16, 16, one})
 		}
 	}
-	for _, f := range forms {
-		t.Run(fmt.Sprintf("%v at %v of %v, %d", f.kind, f.perS, 12*f.rate, len(f.halls)), func(t *testing.T) {
-			x := newTrio(t, f.rate)
-			loss := forecast.Loss{Kind: f.kind, Halls: f.halls}
-			warm := 4.0
-			if *foresee {
-				warm = 11
+	for _, s := range scenarios {
+		t.Run(fmt.Sprintf("%v at %v of %v, %d", s.kind, s.perS, 12*s.rate, len(s.halls)), func(t *testing.T) {
+			r := newThreeRegions(t, s.rate)
+			loss := forecast.Loss{Kind: s.kind, Halls: s.halls}
+			warmUpSeconds := 4.0
+			if *longForecast {
+				warmUpSeconds = 11
 			}
-			s, wait := x.send(f.perS, warm, warm+f.measS, func(i int) bool {
-				return f.kind != forecast.Links && slices.Contains(f.halls, hallOf(i))
+			outcomes, wait := r.startLoad(s.perS, warmUpSeconds, warmUpSeconds+s.measS, func(i int) bool {
+				return s.kind != forecast.Links && slices.Contains(s.halls, regionName(i))
 			})
 			began := time.Now()
-			time.Sleep(time.Until(began.Add(time.Duration((warm - 1) * float64(time.Second)))))
-			o := x.agree()
-			time.Sleep(time.Until(began.Add(time.Duration(warm * float64(time.Second)))))
-			x.take(loss)
-			taken := time.Now()
+			time.Sleep(time.Until(began.Add(time.Duration((warmUpSeconds - 1) * float64(time.Second)))))
+			projection := r.waitForAgreement()
+			time.Sleep(time.Until(began.Add(time.Duration(warmUpSeconds * float64(time.Second)))))
+			r.applyLoss(loss)
+			lossTime := time.Now()
 			wait()
-			x.hold(o, loss, s, warm*1000, f.measS*1000, taken)
+			r.checkForecast(projection, loss, outcomes, warmUpSeconds*1000, s.measS*1000, lossTime)
 		})
 	}
 }
 
 // A daemon tells its instances to say their words, and gathers them: each is named as the daemon names it.
-func TestInstancesSpeak(t *testing.T) {
-	d := prepare(t, 2)
-	d.write(2, "hall = \"z\"")
-	text, err := os.ReadFile(d.file)
+func TestInstancesReport(t *testing.T) {
+	f := newTestFleet(t, 2)
+	f.writeFleetFile(2, "hall = \"z\"")
+	text, err := os.ReadFile(f.file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	text = append(text, "[outlook]\neach_ms = 100\nworker_cores = 4\n"...)
-	if err := os.WriteFile(d.file, text, 0o600); err != nil {
+	if err := os.WriteFile(f.file, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	x := d.daemon()
-	defer x.Stop()
-	p, err := x.ServeControl()
+	daemon := f.startDaemon()
+	defer daemon.Stop()
+	server, err := daemon.ServeControl()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.Close()
-	d.until(x, 2)
-	var all []workload.Arrival
+	defer server.Close()
+	f.waitReady(daemon, 2)
+	var arrivals []workload.Arrival
 	for i := range 300 {
-		all = append(all, workload.Arrival{At: float64(10 * i), Customer: i % 5, Product: i % 3, Units: 1, Set: i})
+		arrivals = append(arrivals, workload.Arrival{At: float64(10 * i), Customer: i % 5, Product: i % 3, Units: 1, Set: i})
 	}
-	j := &loadgen.Job{Arrivals: all, Targets: d.targets(2), Spread: 2, Plans: []string{"basic", "capped"},
+	job := &loadgen.Job{Arrivals: arrivals, Targets: f.targets(2), Spread: 2, Plans: []string{"basic", "capped"},
 		Most: 100, Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond},
 			{Name: "sale", Repeat: "referenced", Waits: 400 * time.Millisecond, Body: 20},
 			{Name: "issue", Repeat: "once", Waits: 400 * time.Millisecond, Body: 20}}}
-	if _, err := j.Run(t.Context()); err != nil {
+	if _, err := job.Run(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	var o forecast.Outlook
+	var projection forecast.Outlook
 	faultinject.Until(t, 10*time.Second, "words of both instances with answers in them", func() bool {
-		text, err := faultinject.Ask(p.Address, "/fleet/outlook")
-		return err == nil && json.Unmarshal([]byte(text), &o) == nil && len(o.Rests) == 2 && o.Now.InTime > 20 &&
-			len(o.Losses) > 0
+		text, err := faultinject.Ask(server.Address, "/fleet/outlook")
+		return err == nil && json.Unmarshal([]byte(text), &projection) == nil && len(projection.Rests) == 2 && projection.Now.InTime > 20 &&
+			len(projection.Losses) > 0
 	})
-	if s := o.Rests[0]; s.Name != "g-0" || s.Host != "g" || s.Hall != "z" || len(o.Unheard) != 0 {
-		t.Errorf("%+v, unheard %v", o.Rests, o.Unheard)
+	if s := projection.Rests[0]; s.Name != "g-0" || s.Host != "g" || s.Hall != "z" || len(projection.Unheard) != 0 {
+		t.Errorf("%+v, unheard %v", projection.Rests, projection.Unheard)
 	}
-	page, err := faultinject.Ask(p.Address, "/fleet/outlook?form=text")
+	page, err := faultinject.Ask(server.Address, "/fleet/outlook?form=text")
 	if err != nil || !strings.Contains(page, "rests on 2 words") || !strings.Contains(page, "loss of hall: z") {
 		t.Errorf("%v: %s", err, page)
 	}
 	t.Log(page)
-	if stats, err := faultinject.Ask(p.Address, "/fleet/stats"); err != nil ||
+	if stats, err := faultinject.Ask(server.Address, "/fleet/stats"); err != nil ||
 		!strings.Contains(stats, "fleet.outlook.words=2") {
 		t.Errorf("%v: %s", err, stats)
 	}
 }
 
 // hold holds a forecast against what was seen.
-func (x *trio) hold(o *forecast.Outlook, l forecast.Loss, s *seen, at, span float64, taken time.Time) {
-	t := x.t
-	for _, c := range o.Losses {
-		if !c.Loss.Same(l) {
+func (r *threeRegions) checkForecast(projection *forecast.Outlook, loss forecast.Loss, outcomes *requestOutcomes, at, span float64, lossTime time.Time) {
+	t := r.t
+	for _, c := range projection.Losses {
+		if !c.Loss.Same(loss) {
 			continue
 		}
-		before, _ := s.share(at-3000, at)
-		after, asked := s.share(at, at+span)
-		found := (before - after) * asked
+		before, _ := outcomes.settledShare(at-3000, at)
+		after, asked := outcomes.settledShare(at, at+span)
+		measured := (before - after) * asked
 		foretold := c.First.Lost + c.AtOnce/span*1000
-		t.Logf("%v: asked %.1f, lost foretold %.1f, found %.1f, error %.3f of asked", l.Kind, asked, foretold,
-			found, (foretold-found)/asked)
-		if math.Abs(foretold-found) > 0.3*asked {
-			t.Errorf("foretold %v of %v, found %v", foretold, asked, found)
+		t.Logf("%v: asked %.1f, lost foretold %.1f, found %.1f, error %.3f of asked", loss.Kind, asked, foretold,
+			measured, (foretold-measured)/asked)
+		if math.Abs(foretold-measured) > 0.3*asked {
+			t.Errorf("foretold %v of %v, found %v", foretold, asked, measured)
 		}
-		for h, hall := range c.First.Halls {
+		for region, forecastRegion := range c.First.Halls {
 			n := 0
-			for _, w := range x.workers[h] {
+			for _, w := range r.workers[region] {
 				for _, g := range w.Got() {
-					if d := g.At.Sub(taken); d >= 0 && d < time.Duration(span)*time.Millisecond {
+					if d := g.At.Sub(lossTime); d >= 0 && d < time.Duration(span)*time.Millisecond {
 						n++
 					}
 				}
 			}
-			run := float64(n) / span * 1000
-			t.Logf("  %s: foretold %.1f/s, found %.1f/s, use foretold %.2f", hall.Name, hall.Run, run, hall.Use)
-			if hall.Workers > 0 && math.Abs(hall.Run-run) > 0.5*run {
-				t.Errorf("%s: foretold %v a second, found %v", hall.Name, hall.Run, run)
+			measuredPerSecond := float64(n) / span * 1000
+			t.Logf("  %s: foretold %.1f/s, found %.1f/s, use foretold %.2f", forecastRegion.Name, forecastRegion.Run, measuredPerSecond, forecastRegion.Use)
+			if forecastRegion.Workers > 0 && math.Abs(forecastRegion.Run-measuredPerSecond) > 0.5*measuredPerSecond {
+				t.Errorf("%s: foretold %v a second, found %v", forecastRegion.Name, forecastRegion.Run, measuredPerSecond)
 			}
 		}
 		return
 	}
-	t.Fatalf("%v is not foretold: %v", l, o.Unknown)
+	t.Fatalf("%v is not foretold: %v", loss, projection.Unknown)
 }
--- a/internal/supervisor/port.go
+++ b/internal/supervisor/port.go
@@ -62,7 +62,7 @@
 }
 
 // Close ends the port.
-func (p *ControlServer) Close() { _ = p.server.Close() }
+func (s *ControlServer) Close() { _ = s.server.Close() }
 
 // Standings gives how all instances stand.
 func (d *Daemon) Statuses() []InstanceStatus {
--- a/internal/supervisor/teller.go
+++ b/internal/supervisor/teller.go
@@ -65,26 +65,26 @@
 }
 
 // answer answers an instance; own: it is told what no other is.
-func (t *publisher) answer(
+func (p *publisher) answer(
 	request *distribution.Ask,
 	overridden bool,
 	now float64,
 	view func(*publication) (distribution.View, error),
 ) (
 	*distribution.Answer, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	name := ""
 	if overridden {
 		name = request.From
 	}
-	pub := t.publications[name]
+	pub := p.publications[name]
 	if pub == nil {
 		pub = &publication{
-			source: distribution.NewSource(t.cluster, t.cluster, distribution.Bounds{WholeRate: fullStateBytesPerSecond,
+			source: distribution.NewSource(p.cluster, p.cluster, distribution.Bounds{WholeRate: fullStateBytesPerSecond,
 				WholeBurst: fullStateBytesPerSecond, Life: rand.Uint64()}),
 		}
-		t.publications[name] = pub
+		p.publications[name] = pub
 	}
 	current, err := view(pub)
 	if err != nil {
--- a/internal/supervisor/watcher_test.go
+++ b/internal/supervisor/watcher_test.go
@@ -19,17 +19,17 @@
 )
 
 // told1 is a word that is in order, of one of three gatekeepers.
-func told1(number int, change func(*forecast.Word)) json.RawMessage {
-	w := &forecast.Word{Form: forecast.Form, Name: fmt.Sprintf("g%d", number), Host: "there", Hall: "east",
+func encodeReport(number int, change func(*forecast.Word)) json.RawMessage {
+	report := &forecast.Word{Form: forecast.Form, Name: fmt.Sprintf("g%d", number), Host: "there", Hall: "east",
 		Group: "all", Number: number, Life: 4, Seq: 9, At: time.Now().UnixMilli(), Span: 10000,
 		Charter: policy.Charter{Gatekeepers: 3, Products: []policy.Product{{SLA: 500, Value: 1}},
 			Plans: []policy.Plan{{Rate: 10, Burst: 10, Factor: 1}}},
 		Products: []string{"check"}, Plans: []string{"basic"}, Flows: make([]forecast.Flow, 1),
 		Customers: make([]policy.PlanSight, 1)}
 	if change != nil {
-		change(w)
+		change(report)
 	}
-	b, err := json.Marshal(w)
+	b, err := json.Marshal(report)
 	if err != nil {
 		panic(err)
 	}
@@ -38,92 +38,92 @@
 
 // What is wrong with a word is counted by kind and named in the log, the word is let alone, and those beside
 // it count.
-func TestBadNeighbours(t *testing.T) {
-	good := told1(0, nil)
-	later := func(w *forecast.Word) { w.Seq = 10 }
-	for _, c := range []struct {
+func TestInvalidNeighbourReports(t *testing.T) {
+	good := encodeReport(0, nil)
+	later := func(collector *forecast.Word) { collector.Seq = 10 }
+	for _, test := range []struct {
 		why, says string
 		answer    any // told, or what is sent as it stands
 		words     int
 	}{
-		{"version", "said by another version", []json.RawMessage{good, told1(1, func(w *forecast.Word) {
-			w.Form = 9
+		{"version", "said by another version", []json.RawMessage{good, encodeReport(1, func(collector *forecast.Word) {
+			collector.Form = 9
 		})}, 1},
-		{"spoilt", "window: -1", []json.RawMessage{told1(1, func(w *forecast.Word) { w.Window = -1 }), good}, 1},
+		{"spoilt", "window: -1", []json.RawMessage{encodeReport(1, func(collector *forecast.Word) { collector.Window = -1 }), good}, 1},
 		{"spoilt", "word:", []json.RawMessage{good, json.RawMessage(`{"Form":1,"At":"x"}`)}, 1},
 		{"spoilt", "unexpected end", "{", 0},
 		{"spoilt", "invalid character", `{"Form":1,"Host":"there","Words":[{"Form":1,"Window":NaN}]}`, 0},
 		{"spoilt", "0 ages for 1 words", `{"Form":1,"Host":"there","Words":[{"Form":1}]}`, 0},
 		{"spoilt", "age of -5 ms", `{"Form":1,"Host":"there","Words":[{"Form":1}],"Ages":[-5]}`, 0},
 		{"version", "form 2 of words", `{"Form":2,"Words":[]}`, 0},
-		{"stranger", "and so does g0 of there", []json.RawMessage{good, told1(0, func(w *forecast.Word) {
-			w.Name, w.Life = "intruder", 99
+		{"stranger", "and so does g0 of there", []json.RawMessage{good, encodeReport(0, func(collector *forecast.Word) {
+			collector.Name, collector.Life = "intruder", 99
 		})}, 1},
-		{"ahead", "clock is", []json.RawMessage{good, told1(1, func(w *forecast.Word) { w.At += 60000 })}, 1},
+		{"ahead", "clock is", []json.RawMessage{good, encodeReport(1, func(collector *forecast.Word) { collector.At += 60000 })}, 1},
 		{"too_long", "over", strings.Repeat(" ", forecast.LongestWords+1), 0},
-		{"", "", []json.RawMessage{good, told1(0, later), told1(2, nil)}, 2},
+		{"", "", []json.RawMessage{good, encodeReport(0, later), encodeReport(2, nil)}, 2},
 	} {
 		s := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
-			if text, ok := c.answer.(string); ok {
+			if text, ok := test.answer.(string); ok {
 				_, _ = out.Write([]byte(text))
 				return
 			}
-			all := c.answer.([]json.RawMessage)
+			all := test.answer.([]json.RawMessage)
 			_ = json.NewEncoder(out).Encode(reportExchange{reportsFormat, "there", all, make([]float64, len(all))})
 		}))
 		var log bytes.Buffer
 		d := &Daemon{log: zerolog.New(&log), settings: &Settings{Name: "here", Region: "west", Forecast: defaultForecastSettings()}}
-		w := d.newForecastCollector()
-		w.collect(ForecastSettings{MaxReportAgeMillis: 10000, Neighbours: []string{s.Listener.Addr().String()}}, nil)
+		collector := d.newForecastCollector()
+		collector.collect(ForecastSettings{MaxReportAgeMillis: 10000, Neighbours: []string{s.Listener.Addr().String()}}, nil)
 		s.Close()
-		w.cancel()
+		collector.cancel()
 		var stats strings.Builder
-		w.writeStats(&stats)
-		if c.why != "" && (w.rejected[c.why] != 1 || !strings.Contains(log.String(), c.says) ||
-			!strings.Contains(stats.String(), "refused."+c.why+"=1")) {
-			t.Errorf("%s: counted %v, log %s", c.why, w.rejected, log.String())
+		collector.writeStats(&stats)
+		if test.why != "" && (collector.rejected[test.why] != 1 || !strings.Contains(log.String(), test.says) ||
+			!strings.Contains(stats.String(), "refused."+test.why+"=1")) {
+			t.Errorf("%s: counted %v, log %s", test.why, collector.rejected, log.String())
 		}
-		if c.why == "" && len(w.rejected) != 0 {
-			t.Errorf("counted %v: %s", w.rejected, log.String())
+		if test.why == "" && len(collector.rejected) != 0 {
+			t.Errorf("counted %v: %s", collector.rejected, log.String())
 		}
-		if len(w.reports) != c.words {
-			t.Errorf("%s, %s: %d words are kept, not %d", c.why, c.says, len(w.reports), c.words)
+		if len(collector.reports) != test.words {
+			t.Errorf("%s, %s: %d words are kept, not %d", test.why, test.says, len(collector.reports), test.words)
 		}
 	}
 }
 
 // An own instance's word has to be that instance's, and one that is silent is counted. Its word goes to
 // neighbours; what came from neighbours does not go round.
-func TestOwnWords(t *testing.T) {
+func TestInstanceReportIdentity(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/fleet/words" {
-			_ = json.NewEncoder(out).Encode(reportExchange{reportsFormat, "there", []json.RawMessage{told1(2, nil)}, []float64{40}})
+			_ = json.NewEncoder(out).Encode(reportExchange{reportsFormat, "there", []json.RawMessage{encodeReport(2, nil)}, []float64{40}})
 			return
 		}
-		_, _ = out.Write(told1(0, func(w *forecast.Word) { w.Host = "here" }))
+		_, _ = out.Write(encodeReport(0, func(collector *forecast.Word) { collector.Host = "here" }))
 	}))
 	defer s.Close()
 	at := s.Listener.Addr().String()
 	d := &Daemon{log: zerolog.Nop(), settings: &Settings{Name: "here", Region: "west", Forecast: defaultForecastSettings()}}
-	w := d.newForecastCollector()
-	defer w.cancel()
-	looks := ForecastSettings{MaxReportAgeMillis: 10000, Neighbours: []string{at}}
-	w.collect(looks, map[string]string{at: "g1", "127.0.0.1:1": "g7"})
-	if w.rejected["stranger"] != 1 || w.unreachable != 1 || len(w.reports) != 1 {
-		t.Errorf("refused %v, %d silent, %d words", w.rejected, w.unreachable, len(w.reports))
+	collector := d.newForecastCollector()
+	defer collector.cancel()
+	settings := ForecastSettings{MaxReportAgeMillis: 10000, Neighbours: []string{at}}
+	collector.collect(settings, map[string]string{at: "g1", "127.0.0.1:1": "g7"})
+	if collector.rejected["stranger"] != 1 || collector.unreachable != 1 || len(collector.reports) != 1 {
+		t.Errorf("refused %v, %d silent, %d words", collector.rejected, collector.unreachable, len(collector.reports))
 	}
-	w.collect(looks, map[string]string{at: "g0"})
+	collector.collect(settings, map[string]string{at: "g0"})
 	out := httptest.NewRecorder()
-	w.handleReports(out, nil)
-	var back reportExchange
-	if err := json.Unmarshal(out.Body.Bytes(), &back); err != nil || len(back.Reports) != 1 ||
-		back.Host != "here" || len(w.reports) != 2 || !strings.Contains(string(back.Reports[0]), `"g0"`) {
-		t.Errorf("%v: %+v", err, back)
+	collector.handleReports(out, nil)
+	var exchange reportExchange
+	if err := json.Unmarshal(out.Body.Bytes(), &exchange); err != nil || len(exchange.Reports) != 1 ||
+		exchange.Host != "here" || len(collector.reports) != 2 || !strings.Contains(string(exchange.Reports[0]), `"g0"`) {
+		t.Errorf("%v: %+v", err, exchange)
 	}
 }
 
 // A key that makes no sense is refused by its name.
-func TestBadLooks(t *testing.T) {
+func TestInvalidForecastSettings(t *testing.T) {
 	for text, says := range map[string]string{
 		"hall = \"a\"\n[outlook]\neach_ms = 10":                     "outlook.each_ms: 10",
 		"hall = \"a\"\n[outlook]\nold_ms = 0":                       "outlook.old_ms: 0",
