--- /dev/null
+++ b/internal/supervisor/adoption.go
@@ -0,0 +1,65 @@
+package supervisor
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"slices"
+	"syscall"
+)
+
+// adopt takes over the processes that an earlier daemon has left, by their notes. The caller holds the lock.
+// A second process of an instance, and one of an instance that is not desired any more, is terminated.
+func (d *Daemon) adopt() {
+	files, _ := filepath.Glob(filepath.Join(d.settings.RunDir, "*.run"))
+	for _, file := range files {
+		raw, err := os.ReadFile(file)
+		process := &processRecord{}
+		if err != nil || json.Unmarshal(raw, process) != nil || process.PID <= 1 || !process.alive() ||
+			process.StartTime == "" {
+			_ = os.Remove(file)
+			continue
+		}
+		slot, duplicate := d.slots[process.Instance], false
+		for _, other := range d.processes {
+			duplicate = duplicate || other.Instance == process.Instance
+		}
+		if slot == nil || duplicate {
+			_ = syscall.Kill(process.PID, syscall.SIGTERM)
+			d.trackOrphan(process)
+			continue
+		}
+		process.number = d.reconciler.Adopt(process.Instance)
+		d.processes[process.number] = process
+		d.recordStart(process, true)
+		if process.AdminAddress == slot.instance.AdminAddresses[1] {
+			slot.adminIndex = 1
+		}
+		if !bytes.Equal(process.Config, slot.instance.Config) { // the settings have changed since it was started
+			d.reconciler.SetDesired(d.instanceNames(), map[string]ConfigChange{process.Instance: RestartNeeded})
+		}
+		d.log.Info().Str("instance", process.Instance).Int("pid", process.PID).Msg("instance process adopted")
+	}
+}
+
+// trackOrphan books a process of an earlier daemon that has been terminated: until it has ended, it may act
+// on the rules that it was given. The caller holds the lock.
+func (d *Daemon) trackOrphan(process *processRecord) {
+	if d.rules != nil {
+		d.recordStart(process, true)
+		d.orphans = append(d.orphans, process)
+	}
+}
+
+// reapOrphans books the orphans that have ended. The caller holds the lock.
+func (d *Daemon) reapOrphans() {
+	d.orphans = slices.DeleteFunc(d.orphans, func(process *processRecord) bool {
+		if process.alive() {
+			return false
+		}
+		d.instanceByPID.Delete(process.PID)
+		d.rules.Ended(process.PID)
+		return true
+	})
+}
--- a/internal/supervisor/control.go
+++ b/internal/supervisor/control.go
@@ -1,6 +1,7 @@
 package supervisor
 
 import (
+	"encoding/json"
 	"fmt"
 	"net"
 	"net/http"
@@ -9,34 +10,47 @@
 
 	"willowdeck/internal/distribution/relay"
 	"willowdeck/internal/gateway/lifecycle"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset/rulefile"
 )
 
-// Port answers operators of the whole fleet.
+const (
+	controlTimeout     = time.Second // for a request, and for its answer
+	controlIdleTimeout = time.Minute
+	maxControlHeader   = 4096 // bytes
+)
+
+// ControlServer is the daemon's control port, for operators and for this host's instances.
 type ControlServer struct {
-	Address string
+	Address string // HOST:PORT
 	server  *http.Server
 }
 
-// Open listens at the daemon's own operators' address until Close.
+// ServeControl opens the control port at the address of the settings, and serves it until Close.
 func (d *Daemon) ServeControl() (*ControlServer, error) {
 	listener, err := net.Listen("tcp", d.settings.ControlAddress)
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
+	server := &ControlServer{
+		Address: listener.Addr().String(),
+		server: &http.Server{Handler: d.controlHandler(), ReadTimeout: controlTimeout,
+			WriteTimeout: controlTimeout, IdleTimeout: controlIdleTimeout, MaxHeaderBytes: maxControlHeader},
+	}
+	server.server.SetKeepAlivesEnabled(d.rules != nil) // instances ask five times in each lease
+	go func() { _ = server.server.Serve(listener) }()
+	return server, nil
+}
+
+// Close closes the port and its connections.
+func (s *ControlServer) Close() { _ = s.server.Close() }
+
+// controlHandler returns the handler of what this daemon has: the ruleset's and the forecast's paths are
+// there only with the settings for them.
+func (d *Daemon) controlHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /fleet/health", func(w http.ResponseWriter, _ *http.Request) {
-		for _, status := range d.Statuses() {
-			if status.State != Ready && status.State != Replacing && status.State != Stopped {
-				http.Error(w, status.Name+" is "+status.State.String(), http.StatusServiceUnavailable)
-				return
-			}
-		}
-		fmt.Fprintln(w, "ready")
-	})
-	mux.HandleFunc("GET /fleet/stats", func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Type", "text/plain")
-		fmt.Fprint(w, d.statsText())
-	})
+	mux.HandleFunc("GET /fleet/health", d.handleHealth)
+	mux.HandleFunc("GET /fleet/stats", d.handleStats)
 	if d.rules != nil {
 		mux.HandleFunc("GET "+lifecycle.LeasePath, d.handleLease)
 		mux.Handle("POST "+lifecycle.AskPath, relay.NewHandler(d.answerUpdateRequest))
@@ -50,47 +64,97 @@
 		mux.HandleFunc("GET /fleet/relay", d.handleSubscriptionStatus)
 	}
 	if d.forecasts != nil {
-		mux.HandleFunc("GET /fleet/words", d.forecasts.handleReports)
+		mux.HandleFunc("GET "+reportsPath, d.forecasts.handleReports)
 		mux.HandleFunc("GET /fleet/outlook", d.forecasts.handleForecast)
 	}
-	server := &ControlServer{Address: listener.Addr().String(), server: &http.Server{Handler: mux, ReadTimeout: time.Second,
-		WriteTimeout: time.Second, MaxHeaderBytes: 4096}}
-	server.server.SetKeepAlivesEnabled(d.rules != nil) // instances ask five times in each lease
-	server.server.IdleTimeout = time.Minute
-	go func() { _ = server.server.Serve(listener) }()
-	return server, nil
+	return mux
 }
 
-// Close ends the port.
-func (s *ControlServer) Close() { _ = s.server.Close() }
+// handleHealth answers 200 if all desired instances serve, else 503 with the first that does not.
+func (d *Daemon) handleHealth(w http.ResponseWriter, _ *http.Request) {
+	for _, status := range d.Statuses() {
+		if status.State != Ready && status.State != Replacing && status.State != Stopped {
+			http.Error(w, status.Name+" is "+status.State.String(), http.StatusServiceUnavailable)
+			return
+		}
+	}
+	fmt.Fprintln(w, "ready")
+}
 
-// Standings gives how all instances stand.
-func (d *Daemon) Statuses() []InstanceStatus {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.reconciler.Statuses()
+func (d *Daemon) handleStats(w http.ResponseWriter, _ *http.Request) {
+	w.Header().Set("Content-Type", "text/plain")
+	fmt.Fprint(w, d.statsText())
 }
 
-// text is the fleet's figures, a line each.
+// statsText returns the figures of the daemon and its instances, one in a line.
 func (d *Daemon) statsText() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var b strings.Builder
+	var text strings.Builder
 	countByState := map[State]int{}
 	for _, status := range d.reconciler.Statuses() {
+		name := status.Name
 		countByState[status.State]++
-		fmt.Fprintf(&b, "fleet.%s.state=%s\nfleet.%s.restarts=%d\nfleet.%s.failures=%d\nfleet.%s.behind=%t\n",
-			status.Name,
-			status.State, status.Name, status.Restarts, status.Name, status.Failures, status.Name, status.Outdated)
+		fmt.Fprintf(&text, "fleet.%s.state=%s\n", name, status.State)
+		fmt.Fprintf(&text, "fleet.%s.restarts=%d\n", name, status.Restarts)
+		fmt.Fprintf(&text, "fleet.%s.failures=%d\n", name, status.Failures)
+		fmt.Fprintf(&text, "fleet.%s.behind=%t\n", name, status.Outdated)
 		if process := d.processes[status.ProcessNumber]; process != nil {
-			fmt.Fprintf(&b, "fleet.%s.pid=%d\nfleet.%s.control=%s\n", status.Name, process.PID, status.Name, process.AdminAddress)
+			fmt.Fprintf(&text, "fleet.%s.pid=%d\n", name, process.PID)
+			fmt.Fprintf(&text, "fleet.%s.control=%s\n", name, process.AdminAddress)
 		}
 	}
-	for status, name := range stateNames {
-		fmt.Fprintf(&b, "fleet.%s=%d\n", name, countByState[State(status)])
+	for state, name := range stateNames {
+		fmt.Fprintf(&text, "fleet.%s=%d\n", name, countByState[State(state)])
 	}
 	if d.forecasts != nil {
-		d.forecasts.writeStats(&b)
+		d.forecasts.writeStats(&text)
+	}
+	return text.String()
+}
+
+// CouncilStatus is the status of the raft group and of the ruleset, as /fleet/council shows it.
+type CouncilStatus struct {
+	raftlog.View
+	Rules raftlog.Agreement `json:"rules"`
+}
+
+func (d *Daemon) handleCouncilStatus(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, CouncilStatus{d.rules.voter.View(), d.rules.voter.Agreement()})
+}
+
+// handleRules answers with the version in force as a rules file, for operators who change it.
+func (d *Daemon) handleRules(w http.ResponseWriter, _ *http.Request) {
+	version := d.rules.InForce()
+	if version.Number == 0 {
+		http.Error(w, "no version is in force", http.StatusServiceUnavailable)
+		return
 	}
-	return b.String()
+	text, err := rulefile.Encode(&version.Rules)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusInternalServerError)
+		return
+	}
+	fmt.Fprintf(w, "# version %d\n%s", version.Number, text)
+}
+
+// handleRelayStatus answers with the status of the relays that subscribe to this daemon.
+func (d *Daemon) handleRelayStatus(w http.ResponseWriter, _ *http.Request) {
+	if d.rules.relayRoot == nil {
+		http.Error(w, "council.serve: there is none", http.StatusNotFound)
+		return
+	}
+	relay.Show(w, d.rules.relayRoot.Status())
+}
+
+func (d *Daemon) handleSubscriptionStatus(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, d.rules.subscription.status())
+}
+
+// writeJSON answers with a value as indented JSON.
+func writeJSON(w http.ResponseWriter, value any) {
+	w.Header().Set("Content-Type", "application/json")
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", " ")
+	_ = encoder.Encode(value)
 }
--- /dev/null
+++ b/internal/supervisor/forecast_reports.go
@@ -0,0 +1,117 @@
+package supervisor
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"time"
+
+	"willowdeck/internal/forecast"
+)
+
+// maxReports bounds the reports that are kept, one for each instance.
+const maxReports = 5000
+
+// The reasons for which reports are rejected, as the stats name them.
+const (
+	rejectVersion   = "version"  // of another format
+	rejectMalformed = "spoilt"   // it cannot be decoded, or has values out of bounds
+	rejectIdentity  = "stranger" // from another instance than it should be, or of a number that is taken
+	rejectClock     = "ahead"    // made in the future
+	rejectTooLong   = "too_long"
+	rejectTooMany   = "too_many" // maxReports are kept already
+)
+
+// rejectReasons are all of them, in the order of the stats.
+var rejectReasons = []string{
+	rejectVersion, rejectMalformed, rejectIdentity, rejectClock, rejectTooLong, rejectTooMany,
+}
+
+// receivedReport is the latest report of an instance.
+type receivedReport struct {
+	report     *forecast.Word
+	raw        json.RawMessage
+	receivedAt time.Time
+	local      bool // this daemon asks the instance itself
+}
+
+// accept takes a report that its instance has made so long ago, unless it is invalid, older than the one that
+// is kept, or from an instance that is not the one it should be.
+func (c *forecastCollector) accept(source string, raw []byte, age time.Duration, local bool,
+	checkIdentity func(*forecast.Word) error) {
+	report, err := forecast.Decode(raw)
+	switch {
+	case errors.Is(err, forecast.ErrForm):
+		c.reject(source, rejectVersion, err)
+		return
+	case err != nil:
+		c.reject(source, rejectMalformed, err)
+		return
+	}
+	if err := checkIdentity(report); err != nil {
+		c.reject(source, rejectIdentity, err)
+		return
+	}
+	if ahead := report.At - time.Now().UnixMilli(); ahead > forecast.MostAhead {
+		c.reject(source, rejectClock, fmt.Errorf("%s: its clock is %d ms ahead", report.Name, ahead))
+		return
+	}
+	received := receivedReport{report, raw, time.Now().Add(-age), local}
+	if err := c.keep(received); err != nil {
+		c.reject(source, rejectIdentity, err)
+	}
+}
+
+// keep keeps a report if it is newer than the one of its instance that is kept. It is an error if another
+// instance has reported under the same number, not long ago.
+func (c *forecastCollector) keep(received receivedReport) error {
+	report := received.report
+	id := fmt.Sprintf("%s/%d", report.Group, report.Number)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	kept, known := c.reports[id]
+	maxAge := time.Duration(c.settings.MaxReportAgeMillis * float64(time.Millisecond))
+	otherInstance := known && (report.Name != kept.report.Name || report.Host != kept.report.Host)
+	switch {
+	case !known && len(c.reports) >= maxReports:
+		c.rejected[rejectTooMany]++
+	case !known:
+		c.store(id, received)
+	case otherInstance && time.Since(kept.receivedAt) < maxAge:
+		return fmt.Errorf(
+			"%s of %s says that it is number %d of %s, and so does %s of %s",
+			report.Name,
+			report.Host,
+			report.Number,
+			report.Group,
+			kept.report.Name,
+			kept.report.Host,
+		)
+	case report.Newer(kept.report):
+		c.store(id, received)
+	default:
+		kept.local = kept.local || received.local
+		same := report.Life == kept.report.Life && report.Seq == kept.report.Seq
+		if same && received.receivedAt.After(kept.receivedAt) {
+			kept.receivedAt = received.receivedAt
+		}
+		c.reports[id] = kept
+	}
+	return nil
+}
+
+// store keeps a report with a copy of its bytes, which are a part of a longer answer. The caller holds the
+// lock.
+func (c *forecastCollector) store(id string, received receivedReport) {
+	received.raw = bytes.Clone(received.raw)
+	c.reports[id] = received
+}
+
+// reject counts and logs what is not accepted.
+func (c *forecastCollector) reject(source string, reason string, err error) {
+	c.mu.Lock()
+	c.rejected[reason]++
+	c.mu.Unlock()
+	c.warn(source, reason, err)
+}
--- a/internal/supervisor/publisher.go
+++ b/internal/supervisor/publisher.go
@@ -1,130 +1,89 @@
 package supervisor
 
 import (
-	"fmt"
 	"math/rand"
 	"sync"
 
 	"willowdeck/internal/distribution"
-	"willowdeck/internal/distribution/relay"
-	"willowdeck/internal/raftlog"
 	"willowdeck/internal/ruleset"
 	"willowdeck/internal/versioned"
 )
 
-// teller tells instances what has changed of the rules since they last asked, from what this daemon may tell.
-// It is safe for concurrent use.
+// fullStateBytesPerSecond bounds the answers with a full version, in bytes a second and as a burst: instances
+// are processes of this host, and each needs the full version once in its life.
+const fullStateBytesPerSecond = 64 << 20
+
+// publisher answers instances with what has changed of the rules since they last asked. It is safe for
+// concurrent use.
 type publisher struct {
-	cluster      string
+	cluster string
+
 	mu           sync.Mutex
-	publications map[string]*publication
+	publications map[string]*publication // by the instance's name; "" is that of all without address overrides
 }
 
-// telling is what instances are told: one for all of them, and one of its own for each that reaches others at
-// other addresses.
+// publication is what is published to instances: one for all of them, and one for each with address
+// overrides. The lock of the publisher guards it.
 type publication struct {
-	source         *distribution.Source
-	step, version  uint64
-	rules, pending *versioned.State
+	source  *distribution.Source
+	step    uint64 // of pending
+	version uint64 // of rules
+	rules   *versioned.State
+	pending *versioned.State
 }
 
 func newPublisher(cluster string) *publisher {
 	return &publisher{cluster: cluster, publications: map[string]*publication{}}
 }
 
-// longestTold is for how many bytes of whole rules a second instances may be answered with: they are
-// processes of this host, as many at most as it keeps, and each asks for the whole once in its life.
-const fullStateBytesPerSecond = 64 << 20
-
-// view is what a lease says as a view; rules are made entries once.
-func (t *publication) viewOf(lease *ruleset.Lease, now float64) (view distribution.View, err error) {
-	if number := lease.Version.Number; number != t.version || t.rules == nil {
-		if t.rules, err = ruleset.Entries(&lease.Version); err != nil {
-			return view, err
-		}
-		t.version = number
-	}
-	if lease.Step != t.step {
-		t.pending = nil
-		if lease.Pending != nil {
-			if t.pending, err = ruleset.Entries(&ruleset.Version{Number: lease.Version.Number + 1,
-				Rules: *lease.Pending}); err != nil {
-				return view, err
-			}
-		}
-		t.step = lease.Step
-	}
-	return distribution.View{
-		Step:    lease.Step,
-		Settled: lease.Settled,
-		Begun:   now - lease.Age,
-		Rules:   t.rules,
-		Pending: t.pending,
-		Index:   -1,
-	}, nil
-}
-
-// answer answers an instance; own: it is told what no other is.
-func (p *publisher) answer(
-	request *distribution.Ask,
-	overridden bool,
-	now float64,
-	view func(*publication) (distribution.View, error),
-) (
-	*distribution.Answer, error) {
+// answer answers an instance by the view that is current under the publisher's lock. An instance with address
+// overrides has a publication of its own. The time is milliseconds of raftlog.Clock.
+func (p *publisher) answer(request *distribution.Ask, overridden bool, nowMillis float64,
+	currentView func(*publication) (distribution.View, error)) (*distribution.Answer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	name := ""
 	if overridden {
 		name = request.From
 	}
-	pub := p.publications[name]
-	if pub == nil {
-		pub = &publication{
-			source: distribution.NewSource(p.cluster, p.cluster, distribution.Bounds{WholeRate: fullStateBytesPerSecond,
-				WholeBurst: fullStateBytesPerSecond, Life: rand.Uint64()}),
-		}
-		p.publications[name] = pub
+	current := p.publications[name]
+	if current == nil {
+		current = &publication{source: distribution.NewSource(p.cluster, p.cluster, distribution.Bounds{
+			WholeRate: fullStateBytesPerSecond, WholeBurst: fullStateBytesPerSecond, Life: rand.Uint64()})}
+		p.publications[name] = current
 	}
-	current, err := view(pub)
+	view, err := currentView(current)
 	if err != nil {
 		return nil, err
 	}
-	pub.source.Offer(current)
-	return pub.source.Answer(request, now)
+	current.source.Offer(view)
+	return current.source.Answer(request, nowMillis)
 }
 
-// ask answers an instance with what has changed of the rules, and how long ago they were in force. It waits
-// for nothing, as asked does.
-func (d *Daemon) answerUpdateRequest(request *distribution.Ask) (*distribution.Answer, error) {
-	if owner, known := d.instanceByPID.Load(request.Process); !known || owner != request.From {
-		return nil, &relay.Refusal{Reason: "stranger",
-			Says: fmt.Sprintf("%d is no process of %q that this daemon keeps", request.Process, request.From)}
-	}
-	now := raftlog.Clock() // no later than the one by which the lease's age is counted
-	lease, ok := d.rules.Asked(request.Process, request.From, request.Holds, request.Index)
-	if !ok {
-		return nil, &relay.Refusal{Reason: "unconfirmed", Says: notConfirmed}
-	}
-	request.Cluster, request.Seen = d.rules.publisher.cluster, nil // it knows of no cluster, and speaks of itself alone
-	overridden := d.hasAddressOverrides(request.From)
-	published, err := d.rules.publisher.answer(request, overridden, now, func(publication *publication) (distribution.View, error) {
-		if d.rules.subscription != nil && !overridden { // as it came, whether this program knows all of it or not
-			return d.rules.subscription.currentView(), nil
+// viewOf returns the view of a lease. The entries of a version are made once.
+func (p *publication) viewOf(lease *ruleset.Lease, nowMillis float64) (view distribution.View, err error) {
+	if number := lease.Version.Number; number != p.version || p.rules == nil {
+		if p.rules, err = ruleset.Entries(&lease.Version); err != nil {
+			return view, err
 		}
-		if overridden {
-			lease.Version.Rules = d.withAddressOverrides(request.From, &lease.Version.Rules)
-			if lease.Pending != nil {
-				pending := d.withAddressOverrides(request.From, lease.Pending)
-				lease.Pending = &pending
+		p.version = number
+	}
+	if lease.Step != p.step {
+		p.pending = nil
+		if lease.Pending != nil {
+			next := ruleset.Version{Number: lease.Version.Number + 1, Rules: *lease.Pending}
+			if p.pending, err = ruleset.Entries(&next); err != nil {
+				return view, err
 			}
 		}
-		return publication.viewOf(&lease, now)
-	})
-	if err != nil {
-		return nil, err
+		p.step = lease.Step
 	}
-	answer := *published
-	answer.Index = d.rules.Highest()
-	return &answer, nil
+	return distribution.View{
+		Step:    lease.Step,
+		Settled: lease.Settled,
+		Begun:   nowMillis - lease.Age,
+		Rules:   p.rules,
+		Pending: p.pending,
+		Index:   -1,
+	}, nil
 }
--- a/internal/supervisor/reconciler.go
+++ b/internal/supervisor/reconciler.go
@@ -1,4 +1,3 @@
-// Package supervisor is the daemon that keeps many instances of the gatekeeper on one host.
 package supervisor
 
 import (
@@ -7,114 +6,92 @@
 	"slices"
 )
 
-// State is how an instance stands.
-type State uint8
+// never marks a request that has not been made; times on the reconciler's clock are not negative.
+const never = -1
 
-// The states.
-const (
-	Waiting   State = iota // to be started, after a pause if it has failed
-	Starting               // its process runs and is not ready yet
-	Ready                  // it serves
-	Replacing              // it serves while another process gets ready to take its place
-	Stopping               // its process has been told to end, and what is wanted is none
-	Stopped                // there is none, and none is wanted
-)
-
-var stateNames = [...]string{"waiting", "starting", "ready", "replacing", "leaving", "gone"}
+// maxBackoffDoublings bounds the exponent of the backoff, whatever MaxBackoffMillis is.
+const maxBackoffDoublings = 30
 
-func (s State) String() string { return stateNames[s] }
-
-// Pace is how processes are started and ended. Times in ms.
+// Policy is how processes are started, replaced and stopped.
 type Policy struct {
-	InitialBackoffMillis, MaxBackoffMillis float64 // the pause before a start that follows a failure, and what it doubles up to
-	BackoffResetMillis                     float64 // an instance that has been up for so long has no failures any more
-	ReadyTimeoutMillis                     float64 // in which a process has to be ready, or counts as failed
-	StopTimeoutMillis                      float64 // in which one has to end
-	MaxReplacing                           int     // instances that are replaced at once
+	InitialBackoffMillis float64 // before the start that follows a first failure
+	MaxBackoffMillis     float64 // bound of the backoff, which doubles with each consecutive failure
+	BackoffResetMillis   float64 // an instance that has run this long has no consecutive failures any more
+	ReadyTimeoutMillis   float64 // a process that is not ready within it is killed and counts as failed
+	StopTimeoutMillis    float64 // a process that has not stopped within it is killed
+	MaxReplacing         int     // instances that are replaced at once; under 1 counts as 1
 }
 
-// Kind is what a Decision asks of the host.
-type ActionKind uint8
+// ConfigChange says in what the desired configuration of an instance has changed.
+type ConfigChange uint8
 
-// The kinds.
+// The changes of a configuration.
 const (
-	StartProcess     ActionKind = iota + 1 // a process for an instance; it gets a new number
-	TerminateProcess                       // tell a process to end
-	KillProcess                            // end it
-	ReloadProcess                          // have it take up what is wanted as it runs
-	WakeUp                                 // call Clock again at time At
-	AllStopped                             // all have ended that were to
+	Unchanged         ConfigChange = iota
+	MembershipChanged              // only in the fleet's members: a running process can reload it
+	RestartNeeded                  // in more than that: another process has to replace the current one
 )
 
-// Decision is one thing for the host to do.
-type Action struct {
-	Kind          ActionKind
-	Instance      string
-	ProcessNumber int // Start: the number of the new one
-	AtMillis      float64
-}
-
-// process is one process of an instance.
+// processState is one process of an instance. Times are milliseconds on the reconciler's clock.
 type processState struct {
 	number            int
 	startedAt         float64
 	ready             bool
-	stopRequestedAt   float64 // when it was told to end; below nought it was not
+	stopRequestedAt   float64 // never if it was not
 	killed            bool
-	generation        int     // of the wanted, when it was started or took it up
-	reloadRequestedAt float64 // when it was last told to take up what is wanted; below nought it was not
+	generation        int     // of the configuration that it runs
+	reloadRequestedAt float64 // never if no reload is pending
 }
 
-// Change tells how what is wanted of an instance has changed.
-type ConfigChange uint8
+func (p *processState) stopRequested() bool { return p.stopRequestedAt >= 0 }
 
-// The changes.
-const (
-	Unchanged         ConfigChange = iota
-	MembershipChanged              // in who the others are alone: it can take that up as it runs
-	RestartNeeded                  // in more: another process has to take its place
-)
-
-// instance is one gatekeeper of the fleet, through its processes.
+// instanceState is the desired and the actual state of one instance.
 type instanceState struct {
 	name        string
 	desired     bool
-	generation  int  // what it is to run; grows with each change
-	reloadable  bool // what runs can take that up
-	current     *processState
-	successor   *processState // gets ready to take the place of now
-	failures    int
-	nextStartAt float64 // the earliest next start
+	generation  int           // of the desired configuration; grows with each change
+	reloadable  bool          // the current process can reload the desired configuration
+	current     *processState // nil if none runs
+	successor   *processState // becomes ready to replace current; nil if there is none
+	failures    int           // consecutive
+	nextStartAt float64       // ms; the earliest start of a process
 	restarts    int
-	exclusive   bool // two processes can't be there at once
-	hasServed   bool // it has had a process
+	exclusive   bool // two processes cannot run at once, since the daemon does not hold the listener
+	hasServed   bool // it has had a process since it was last desired
 }
 
-// Keeper decides which processes run. It is told what happens, and pulled for decisions; the same seed
-// and inputs give the same ones.
+// outdated reports whether a process runs that does not run the desired configuration.
+func (i *instanceState) outdated() bool {
+	return i.current != nil && i.current.generation != i.generation
+}
+
+// Reconciler decides which processes run. It is told the desired state and the events of processes, and Next
+// returns the actions that lead from the actual state to the desired one. It does no I/O and reads no clock:
+// the same seed and inputs give the same actions. It is not safe for concurrent use.
 type Reconciler struct {
 	policy              Policy
 	rng                 *rand.Rand
 	nowMillis           float64
-	instances           []*instanceState
+	instances           []*instanceState // in the order in which they were first desired
 	byName              map[string]*instanceState
 	lastProcessNumber   int
 	stopping            bool
 	allStoppedReported  bool
-	wakeAt              float64
-	anyOutdated         bool // some wanted one runs what it should not any more
-	anyUndesiredRunning bool // some that is not wanted runs still
+	wakeAt              float64 // ms; infinite if no wake-up is needed
+	anyOutdated         bool    // a desired instance runs an old configuration
+	anyUndesiredRunning bool    // an instance that is not desired has a process
 }
 
-// NewKeeper makes a keeper of none.
+// NewReconciler returns a reconciler without instances. The seed is that of the backoff's jitter.
 func NewReconciler(policy Policy, seed int64) *Reconciler {
 	return &Reconciler{policy: policy, rng: rand.New(rand.NewSource(seed)), byName: map[string]*instanceState{}}
 }
 
-// Clock sets the time, ms, of what follows.
+// SetTime sets the time of the following inputs and actions, in milliseconds. Time does not go back.
 func (r *Reconciler) SetTime(nowMillis float64) { r.nowMillis = math.Max(r.nowMillis, nowMillis) }
 
-// Want says which instances there are to be, and which of them have changed since they were last wanted.
+// SetDesired sets the names of the desired instances, and in what their configurations have changed since
+// they were last desired; those that are not in changed are unchanged.
 func (r *Reconciler) SetDesired(names []string, changed map[string]ConfigChange) {
 	for _, instance := range r.instances {
 		instance.desired = slices.Contains(names, instance.name)
@@ -128,32 +105,36 @@
 			r.instances = append(r.instances, instance)
 		}
 		if change := changed[name]; change != Unchanged {
-			current := instance.current != nil && instance.current.generation == instance.generation
-			instance.reloadable = change == MembershipChanged && (current || instance.reloadable)
+			upToDate := instance.current != nil && !instance.outdated()
+			instance.reloadable = change == MembershipChanged && (upToDate || instance.reloadable)
 			instance.generation++
-			instance.failures, instance.nextStartAt = 0, math.Min(instance.nextStartAt, r.nowMillis) // what failed before may not any more
+			// Whatever made it fail may be gone with the old configuration.
+			instance.failures = 0
+			instance.nextStartAt = math.Min(instance.nextStartAt, r.nowMillis)
 		}
 	}
 }
 
-// Adopt takes a process as it is, that runs for an instance already. The host does not hold what a second
-// process beside it would need: it has to end before another starts.
+// Adopt books a process that already runs for an instance, and returns its process number. The daemon does
+// not hold the listener that a second process would need, so this process has to stop before another starts.
 func (r *Reconciler) Adopt(name string) int {
-	r.lastProcessNumber++
-	if instance := r.byName[name]; instance != nil {
-		instance.current = &processState{number: r.lastProcessNumber, startedAt: r.nowMillis, stopRequestedAt: -1, reloadRequestedAt: -1, generation: instance.generation}
-		instance.exclusive, instance.hasServed = true, true
+	instance := r.byName[name]
+	if instance == nil {
+		r.lastProcessNumber++
+		return r.lastProcessNumber
 	}
-	return r.lastProcessNumber
+	instance.current = r.newProcess(instance)
+	instance.exclusive, instance.hasServed = true, true
+	return instance.current.number
 }
 
-// Pace changes the pace.
+// SetPolicy replaces the policy.
 func (r *Reconciler) SetPolicy(policy Policy) { r.policy = policy }
 
-// Stop says that all are to end.
+// Stop says that no instance is desired any more; it cannot be undone.
 func (r *Reconciler) Stop() { r.stopping = true }
 
-// Ready tells that a process is ready to serve.
+// ProcessReady says that a process is ready to serve.
 func (r *Reconciler) ProcessReady(name string, number int) {
 	instance := r.byName[name]
 	if instance == nil {
@@ -166,14 +147,19 @@
 	}
 }
 
-// Renewed tells that a process has taken up what is wanted.
+// ProcessReloaded says that a process has reloaded the desired configuration.
 func (r *Reconciler) ProcessReloaded(name string, number int) {
-	if instance := r.byName[name]; instance != nil && instance.current != nil && instance.current.number == number && instance.current.reloadRequestedAt >= 0 {
-		instance.current.generation, instance.current.reloadRequestedAt, instance.reloadable = instance.generation, -1, false
+	instance := r.byName[name]
+	if instance == nil || instance.current == nil || instance.current.number != number ||
+		instance.current.reloadRequestedAt < 0 {
+		return
 	}
+	instance.current.generation = instance.generation
+	instance.current.reloadRequestedAt = never
+	instance.reloadable = false
 }
 
-// Ended tells that a process is no more.
+// ProcessEnded says that a process has exited. An exit that was not requested is a failure.
 func (r *Reconciler) ProcessEnded(name string, number int) {
 	instance := r.byName[name]
 	if instance == nil {
@@ -181,46 +167,39 @@
 	}
 	switch {
 	case instance.successor != nil && instance.successor.number == number:
-		if instance.successor.stopRequestedAt < 0 || instance.successor.killed {
+		if !instance.successor.stopRequested() || instance.successor.killed {
 			r.recordFailure(instance)
 		}
 		instance.successor = nil
 	case instance.current != nil && instance.current.number == number:
-		if instance.current.stopRequestedAt < 0 {
+		if !instance.current.stopRequested() {
 			if r.nowMillis-instance.current.startedAt > r.policy.BackoffResetMillis {
 				instance.failures = 0
 			}
 			r.recordFailure(instance)
 			instance.restarts++
 		}
-		instance.current, instance.successor = instance.successor, nil // one that waited for its place has it now
+		instance.current, instance.successor = instance.successor, nil
 		instance.hasServed = instance.hasServed && instance.desired
 	}
 }
 
-// failed books a failure: the next start waits, longer each time, and not for as long as others that fell
-// with it.
+// recordFailure counts a failure and sets the next start: the backoff doubles with each one, with a jitter of
+// half of it either way, so that instances that failed together do not start together.
 func (r *Reconciler) recordFailure(instance *instanceState) {
-	backoff := math.Min(r.policy.InitialBackoffMillis*math.Pow(2, float64(min(instance.failures, 30))), r.policy.MaxBackoffMillis)
+	doublings := min(instance.failures, maxBackoffDoublings)
+	backoff := math.Min(r.policy.InitialBackoffMillis*math.Pow(2, float64(doublings)), r.policy.MaxBackoffMillis)
 	instance.failures++
 	instance.nextStartAt = r.nowMillis + backoff*(0.5+r.rng.Float64())
 }
 
-// Next gives the next decision, or none.
+// Next returns the next action, or false if there is nothing to do until the next input.
 func (r *Reconciler) Next() (Action, bool) {
 	r.wakeAt = math.Inf(1)
-	replacing := 0 // replaced at once
-	r.anyOutdated, r.anyUndesiredRunning = false, false
-	for _, instance := range r.instances {
-		r.anyOutdated = r.anyOutdated || instance.desired && instance.current != nil && instance.current.generation != instance.generation
-		r.anyUndesiredRunning = r.anyUndesiredRunning || !instance.desired && instance.current != nil
-		if instance.successor != nil || instance.current != nil && instance.current.stopRequestedAt >= 0 {
-			replacing++
-		}
-	}
+	replacing := r.survey()
 	anyRunning := false
 	for _, instance := range r.instances {
-		if action, ok := r.nextForInstance(instance, &replacing); ok {
+		if action, ok := r.nextForInstance(instance, replacing); ok {
 			return action, true
 		}
 		anyRunning = anyRunning || instance.current != nil || instance.successor != nil
@@ -235,67 +214,124 @@
 	return Action{}, false
 }
 
-// decide gives the next decision on one instance.
-func (r *Reconciler) nextForInstance(instance *instanceState, replacing *int) (Action, bool) {
+// survey finds what the decision on one instance has to know of the others, and counts those that are being
+// replaced.
+func (r *Reconciler) survey() (replacing int) {
+	r.anyOutdated, r.anyUndesiredRunning = false, false
+	for _, instance := range r.instances {
+		r.anyOutdated = r.anyOutdated || instance.desired && instance.outdated()
+		r.anyUndesiredRunning = r.anyUndesiredRunning || !instance.desired && instance.current != nil
+		if instance.successor != nil || instance.current != nil && instance.current.stopRequested() {
+			replacing++
+		}
+	}
+	return replacing
+}
+
+// nextForInstance returns the next action on one instance, while so many are being replaced.
+func (r *Reconciler) nextForInstance(instance *instanceState, replacing int) (Action, bool) {
 	for _, process := range []*processState{instance.successor, instance.current} {
 		if action, ok := r.killIfOverdue(instance, process); ok {
 			return action, true
 		}
 	}
 	if r.stopping || !instance.desired {
-		for _, process := range []*processState{instance.successor, instance.current} {
-			if process != nil && process.stopRequestedAt < 0 {
-				return r.terminate(instance, process), true
-			}
-		}
+		return r.stopInstance(instance)
+	}
+	current := instance.current
+	if current == nil {
+		return r.startInstance(instance)
+	}
+	if current.stopRequested() {
 		return Action{}, false
 	}
-	switch {
-	case instance.current == nil && !instance.hasServed && r.anyOutdated: // its part is the others' until they reckon with it
-	case instance.current == nil && r.nowMillis >= instance.nextStartAt:
-		instance.current, instance.exclusive, instance.hasServed = r.newProcess(instance), false, true
-		return Action{Kind: StartProcess, Instance: instance.name, ProcessNumber: instance.current.number}, true
-	case instance.current == nil:
-		r.wakeNoLaterThan(instance.nextStartAt)
-	case instance.successor != nil && instance.successor.ready && instance.current.stopRequestedAt < 0: // its heir is ready: it leaves its place
-		return r.terminate(instance, instance.current), true
-	case instance.current.ready && instance.current.stopRequestedAt < 0 && instance.successor == nil && instance.current.generation != instance.generation && instance.reloadable:
-		switch {
-		case r.anyUndesiredRunning: // their parts are not its yet
-		case instance.current.reloadRequestedAt < 0:
-			instance.current.reloadRequestedAt = r.nowMillis
-			return Action{Kind: ReloadProcess, Instance: instance.name, ProcessNumber: instance.current.number}, true
-		case r.nowMillis >= instance.current.reloadRequestedAt+r.policy.ReadyTimeoutMillis: // it does not: another process takes its place after all
-			instance.reloadable = false
-			return r.nextForInstance(instance, replacing)
-		default:
-			r.wakeNoLaterThan(instance.current.reloadRequestedAt + r.policy.ReadyTimeoutMillis)
-		}
-	case instance.current.ready && instance.current.stopRequestedAt < 0 && instance.successor == nil && instance.current.generation != instance.generation:
-		if *replacing >= max(r.policy.MaxReplacing, 1) || r.anyUndesiredRunning { // and theirs are not its yet
-			break
+	if instance.successor != nil {
+		if instance.successor.ready {
+			return r.terminate(instance, current), true
 		}
-		if r.nowMillis < instance.nextStartAt {
-			r.wakeNoLaterThan(instance.nextStartAt)
-			break
+		return Action{}, false
+	}
+	if !current.ready || !instance.outdated() {
+		return Action{}, false
+	}
+	// The quota shares of instances that still run and are not desired are not this one's yet.
+	if r.anyUndesiredRunning {
+		return Action{}, false
+	}
+	if instance.reloadable {
+		if action, pending := r.reload(instance); pending {
+			return action, action.Kind != 0
 		}
-		*replacing++
-		if instance.exclusive {
-			return r.terminate(instance, instance.current), true
+	}
+	return r.replace(instance, replacing)
+}
+
+// stopInstance returns the action that stops an instance which is not desired.
+func (r *Reconciler) stopInstance(instance *instanceState) (Action, bool) {
+	for _, process := range []*processState{instance.successor, instance.current} {
+		if process != nil && !process.stopRequested() {
+			return r.terminate(instance, process), true
 		}
-		instance.successor = r.newProcess(instance)
-		return Action{Kind: StartProcess, Instance: instance.name, ProcessNumber: instance.successor.number}, true
 	}
 	return Action{}, false
 }
 
-// overdue ends a process that was told to end and has not, or is not ready in time.
+// startInstance returns the action that starts an instance without a process, once its backoff has passed. An
+// instance that has not served yet waits until all others run the configuration that counts it: until then
+// its quota share is theirs.
+func (r *Reconciler) startInstance(instance *instanceState) (Action, bool) {
+	switch {
+	case !instance.hasServed && r.anyOutdated:
+		return Action{}, false
+	case r.nowMillis < instance.nextStartAt:
+		r.wakeNoLaterThan(instance.nextStartAt)
+		return Action{}, false
+	}
+	instance.current, instance.exclusive, instance.hasServed = r.newProcess(instance), false, true
+	return r.start(instance, instance.current), true
+}
+
+// reload has the current process reload the desired configuration; pending is false once it has not done so
+// in time, and the process has to be replaced. While it is awaited the action is empty.
+func (r *Reconciler) reload(instance *instanceState) (action Action, pending bool) {
+	current := instance.current
+	if current.reloadRequestedAt < 0 {
+		current.reloadRequestedAt = r.nowMillis
+		return Action{Kind: ReloadProcess, Instance: instance.name, ProcessNumber: current.number}, true
+	}
+	deadline := current.reloadRequestedAt + r.policy.ReadyTimeoutMillis
+	if r.nowMillis < deadline {
+		r.wakeNoLaterThan(deadline)
+		return Action{}, true
+	}
+	instance.reloadable = false
+	return Action{}, false
+}
+
+// replace returns the action that begins the replacement of the current process, unless enough others are
+// being replaced: the start of its successor, or its own stop if two processes cannot run at once.
+func (r *Reconciler) replace(instance *instanceState, replacing int) (Action, bool) {
+	if replacing >= max(r.policy.MaxReplacing, 1) {
+		return Action{}, false
+	}
+	if r.nowMillis < instance.nextStartAt {
+		r.wakeNoLaterThan(instance.nextStartAt)
+		return Action{}, false
+	}
+	if instance.exclusive {
+		return r.terminate(instance, instance.current), true
+	}
+	instance.successor = r.newProcess(instance)
+	return r.start(instance, instance.successor), true
+}
+
+// killIfOverdue kills a process that has not stopped after a request, or is not ready, in time.
 func (r *Reconciler) killIfOverdue(instance *instanceState, process *processState) (Action, bool) {
 	if process == nil || process.killed {
 		return Action{}, false
 	}
 	deadline := process.startedAt + r.policy.ReadyTimeoutMillis
-	if process.stopRequestedAt >= 0 {
+	if process.stopRequested() {
 		deadline = process.stopRequestedAt + r.policy.StopTimeoutMillis
 	} else if process.ready {
 		return Action{}, false
@@ -310,50 +346,23 @@
 
 func (r *Reconciler) wakeNoLaterThan(atMillis float64) { r.wakeAt = math.Min(r.wakeAt, atMillis) }
 
+func (r *Reconciler) start(instance *instanceState, process *processState) Action {
+	return Action{Kind: StartProcess, Instance: instance.name, ProcessNumber: process.number}
+}
+
 func (r *Reconciler) terminate(instance *instanceState, process *processState) Action {
 	process.stopRequestedAt = r.nowMillis
 	return Action{Kind: TerminateProcess, Instance: instance.name, ProcessNumber: process.number}
 }
 
+// newProcess returns the state of a new process that runs the desired configuration.
 func (r *Reconciler) newProcess(instance *instanceState) *processState {
 	r.lastProcessNumber++
-	return &processState{number: r.lastProcessNumber, startedAt: r.nowMillis, stopRequestedAt: -1, reloadRequestedAt: -1, generation: instance.generation}
-}
-
-// Standing is how an instance stands, for operators.
-type InstanceStatus struct {
-	Name          string
-	State         State
-	ProcessNumber int // the one that serves
-	Failures      int // in a row
-	Restarts      int // after ends that nobody asked for
-	Generation    int
-	Outdated      bool // it does not run what is wanted yet
-}
-
-// Standings gives how all stand, in their order.
-func (r *Reconciler) Statuses() []InstanceStatus {
-	var statuses []InstanceStatus
-	for _, instance := range r.instances {
-		status := InstanceStatus{Name: instance.name, Failures: instance.failures, Restarts: instance.restarts, Generation: instance.generation}
-		switch {
-		case instance.current == nil && (!instance.desired || r.stopping):
-			status.State = Stopped
-		case instance.current == nil:
-			status.State = Waiting
-		case !instance.desired || r.stopping:
-			status.State = Stopping
-		case instance.successor != nil || instance.current.stopRequestedAt >= 0:
-			status.State = Replacing
-		case instance.current.ready:
-			status.State = Ready
-		default:
-			status.State = Starting
-		}
-		if instance.current != nil {
-			status.ProcessNumber, status.Outdated = instance.current.number, instance.current.generation != instance.generation
-		}
-		statuses = append(statuses, status)
+	return &processState{
+		number:            r.lastProcessNumber,
+		startedAt:         r.nowMillis,
+		stopRequestedAt:   never,
+		reloadRequestedAt: never,
+		generation:        instance.generation,
 	}
-	return statuses
 }
--- a/internal/supervisor/settings.go
+++ b/internal/supervisor/settings.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net/netip"
 	"os"
 	"path/filepath"
 
@@ -13,23 +12,35 @@
 	"willowdeck/internal/strictoml"
 )
 
-// mostInstances is of one host without rules that are agreed on: each is a process of some 20 MB, and the
-// daemon looks at all of them in each turn. It is no bound on the gatekeepers that agreed rules name.
+// maxInstances bounds the instances of a host without a ruleset: each is a process of some 20 MB, and the
+// daemon looks at all of them in each check. It does not bound the members of a ruleset.
 const maxInstances = 500
 
-// File is a fleet as its file says it.
+// The defaults of fleet.toml.
+const (
+	defaultInitialBackoffMillis = 200
+	defaultMaxBackoffMillis     = 10000
+	defaultBackoffResetSeconds  = 30
+	defaultReadyTimeoutSeconds  = 6
+	defaultStopTimeoutSeconds   = 4
+	defaultMaxReplacing         = 1
+)
+
+// FleetFile is the content of fleet.toml.
 type FleetFile struct {
-	Name           string `toml:"name"`
-	InstanceCount  int    `toml:"instances"`
-	Program        string `toml:"program"`   // the gatekeeper's; empty is the daemon's own
-	GatewayConfig  string `toml:"config"`    // what each is told, but for its own name, number and addresses
-	RunDir         string `toml:"run_dir"`   // of what the daemon writes
-	ControlAddress string `toml:"control"`   // the daemon's own operators' port
-	FirstListen    string `toml:"listen"`    // the first instance's address for clients; each next one has the next port
-	FirstAdmin     string `toml:"operators"` // the first instance's operators' port; each has two, as one process may follow another
-	FirstPeer      string `toml:"peers"`     // the first instance's address for peers' datagrams
-	Host           struct {
-		MemoryMB int `toml:"memory_mb"` // that all instances may have together; 0 is not checked
+	Name          string `toml:"name"`
+	InstanceCount int    `toml:"instances"`
+	Program       string `toml:"program"` // path of the gateway's program; empty: the daemon's own
+	GatewayConfig string `toml:"config"`  // path of what all instances share: all but name, number and addresses
+	RunDir        string `toml:"run_dir"` // directory of the files that the daemon writes
+
+	ControlAddress string `toml:"control"`   // HOST:PORT of the daemon's control port
+	FirstListen    string `toml:"listen"`    // HOST:PORT for clients of the first instance; the next ones follow
+	FirstAdmin     string `toml:"operators"` // HOST:PORT of the first admin port; each instance has two
+	FirstPeer      string `toml:"peers"`     // HOST:PORT for peers' datagrams of the first instance
+
+	Host struct { // what all instances together may use; 0 is not checked
+		MemoryMB int `toml:"memory_mb"`
 		Sockets  int `toml:"sockets"`
 	} `toml:"host"`
 	Restart struct {
@@ -41,41 +52,70 @@
 	StopTimeoutSeconds  float64 `toml:"grace_s"`
 	MaxReplacing        int     `toml:"step"`
 
-	CrashState        bool             `toml:"remember"` // instances keep what outlives a sudden end
-	RestoreCheckpoint bool             `toml:"recall"`   // of quotas and demand too
-	PeerBootstrap     bool             `toml:"warm"`     // and ask others for their list until discovery has spoken
+	CrashState        bool             `toml:"remember"` // instances keep what a kill must not lose
+	RestoreCheckpoint bool             `toml:"recall"`   // and a checkpoint of quotas and demand
+	PeerBootstrap     bool             `toml:"warm"`     // new instances ask others for endpoints
 	Region            string           `toml:"hall"`
 	Forecast          ForecastSettings `toml:"outlook"`
 
-	Council          *CouncilSettings             `toml:"council"` // several hosts agree on the rules
-	Relay            *RelaySettings               `toml:"relay"`   // others do, and this host hears of them by relays
-	AddressOverrides map[string]map[string]string `toml:"reach"`   // by instance, and for the council: address in place of another
+	Council *CouncilSettings `toml:"council"` // this host is a voter on the ruleset; nil: it is not
+	Relay   *RelaySettings   `toml:"relay"`   // this host subscribes to the ruleset; nil: it does not
+	// AddressOverrides are, by instance's name and for the raft group by raftOverridesKey, the addresses to
+	// use in place of others (HOST:PORT to HOST:PORT).
+	AddressOverrides map[string]map[string]string `toml:"reach"`
+}
+
+// Settings are the checked settings of a daemon.
+type Settings struct {
+	Name           string
+	Program        string // path of the gateway's program; empty: the daemon's own
+	RunDir         string
+	ControlAddress string // HOST:PORT
+	Policy         Policy
+	Instances      []Instance
+
+	CrashState        bool
+	RestoreCheckpoint bool
+	PeerBootstrap     bool
+	Region            string // empty: no forecast is made
+	Forecast          ForecastSettings
+	Rules             *RulesSettings // nil if there is no ruleset
+
+	file      *FleetFile
+	fleetSize int // members of the fleet, on all hosts
+}
+
+// Instance is one gateway instance of this host.
+type Instance struct {
+	Name           string
+	ListenAddress  string    // HOST:PORT for clients
+	AdminAddresses [2]string // HOST:PORT, used in turn: a process and its successor run at once
+	Config         []byte    // the whole configuration but the admin address, as JSON
 }
 
-// Read reads and checks a fleet's file, and the configuration that it names. An error names the file, and
-// the line or the key.
+// LoadSettings reads and checks a fleet.toml and the configuration that it names. An error names the file,
+// and the line or the key.
 func LoadSettings(path string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	file := FleetFile{ReadyTimeoutSeconds: 6, StopTimeoutSeconds: 4, MaxReplacing: 1, CrashState: true, RestoreCheckpoint: true, PeerBootstrap: true, Forecast: defaultForecastSettings()}
-	file.Restart.InitialBackoffMillis, file.Restart.MaxBackoffMillis, file.Restart.BackoffResetSeconds = 200, 10000, 30
+	file := FleetFile{
+		ReadyTimeoutSeconds: defaultReadyTimeoutSeconds,
+		StopTimeoutSeconds:  defaultStopTimeoutSeconds,
+		MaxReplacing:        defaultMaxReplacing,
+		CrashState:          true,
+		RestoreCheckpoint:   true,
+		PeerBootstrap:       true,
+		Forecast:            defaultForecastSettings(),
+	}
+	file.Restart.InitialBackoffMillis = defaultInitialBackoffMillis
+	file.Restart.MaxBackoffMillis = defaultMaxBackoffMillis
+	file.Restart.BackoffResetSeconds = defaultBackoffResetSeconds
 	if err := strictoml.Decode(string(raw), &file); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	paths := []*string{&file.GatewayConfig, &file.RunDir}
-	if file.Council != nil {
-		paths = append(paths, &file.Council.StorePath, &file.Council.RulesPath)
-	}
-	if file.Relay != nil {
-		paths = append(paths, &file.Relay.StorePath)
-	}
-	for _, p := range paths {
-		if *p != "" && !filepath.IsAbs(*p) {
-			*p = filepath.Join(filepath.Dir(path), *p)
-		}
-	}
+	file.resolvePaths(filepath.Dir(path))
 	settings, err := file.resolve()
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -83,117 +123,113 @@
 	return settings, nil
 }
 
-// Fleet is a fleet's file as it is carried out.
-type Settings struct {
-	Name, Program, RunDir, ControlAddress        string
-	Policy                                       Policy
-	Instances                                    []Instance
-	CrashState, RestoreCheckpoint, PeerBootstrap bool
-	Region                                       string // where it stands; empty where it looks ahead at nothing
-	Forecast                                     ForecastSettings
-	Rules                                        *RulesSettings // nil where no rules are agreed on
-
-	file      *FleetFile
-	fleetSize int // gatekeepers that there are, on all hosts
-}
-
-// Instance is one gatekeeper of it.
-type Instance struct {
-	Name           string
-	ListenAddress  string
-	AdminAddresses [2]string // in turn, so that two processes can be there at once
-	Config         []byte    // all that it is told, but for the operators' port
-}
-
-// span is n addresses in a row, each one port above the one before.
-type portRange struct {
-	key   string
-	first netip.AddrPort
-	count int
-}
-
-// spanOf reads one, that meets none of those taken before it.
-func reservePortRange(key, first string, count int, taken *[]portRange) (portRange, error) {
-	address, err := netip.ParseAddrPort(first)
-	if err != nil {
-		return portRange{}, fmt.Errorf("%s: %w", key, err)
+// resolvePaths makes relative paths start at the file's directory.
+func (f *FleetFile) resolvePaths(dir string) {
+	paths := []*string{&f.GatewayConfig, &f.RunDir}
+	if f.Council != nil {
+		paths = append(paths, &f.Council.StorePath, &f.Council.RulesPath)
 	}
-	if address.Port() == 0 || int(address.Port())+count > 65536 {
-		return portRange{}, fmt.Errorf("%s: there are no %d ports from %d on", key, count, address.Port())
+	if f.Relay != nil {
+		paths = append(paths, &f.Relay.StorePath)
 	}
-	reserved := portRange{key, address, count}
-	for _, other := range *taken {
-		if from := max(int(other.first.Port()), int(address.Port())); other.first.Addr() == address.Addr() &&
-			from < min(int(other.first.Port())+other.count, int(address.Port())+count) {
-			return portRange{}, fmt.Errorf("%s: %s is one of %s", key, netip.AddrPortFrom(address.Addr(), uint16(from)), other.key)
+	for _, path := range paths {
+		if *path != "" && !filepath.IsAbs(*path) {
+			*path = filepath.Join(dir, *path)
 		}
 	}
-	*taken = append(*taken, reserved)
-	return reserved, nil
-}
-
-// at gives the i-th address.
-func (s portRange) address(i int) string {
-	return netip.AddrPortFrom(s.first.Addr(), s.first.Port()+uint16(i)).String()
 }
 
+// resolve checks the file and returns the settings that it stands for.
 func (f *FleetFile) resolve() (*Settings, error) {
-	agreed, err := f.rulesSettings()
-	switch {
-	case err != nil:
+	rules, err := f.rulesSettings()
+	if err != nil {
 		return nil, err
-	case f.Name == "":
-		return nil, errors.New("name: there is none")
-	case agreed == nil && (f.InstanceCount < 0 || f.InstanceCount > maxInstances || f.InstanceCount == 0 && f.Region == ""):
-		return nil, fmt.Errorf("instances: %d is not from 1 to %d, nor nought beside a hall", f.InstanceCount,
-			maxInstances)
-	case f.RunDir == "":
-		return nil, errors.New("run_dir: there is none")
-	case !(f.Restart.InitialBackoffMillis > 0) || !(f.Restart.MaxBackoffMillis >= f.Restart.InitialBackoffMillis):
-		return nil, fmt.Errorf("restart.most_ms: %v is under restart.first_ms, or that is nought", f.Restart.MaxBackoffMillis)
-	case !(f.Restart.BackoffResetSeconds > 0):
-		return nil, fmt.Errorf("restart.calm_s: %v is not above nought", f.Restart.BackoffResetSeconds)
-	case !(f.ReadyTimeoutSeconds > 0) || !(f.StopTimeoutSeconds > 0):
-		return nil, errors.New("ready_s, grace_s: they must be above nought")
-	case f.MaxReplacing < 1:
-		return nil, fmt.Errorf("step: %d is under one", f.MaxReplacing)
 	}
-	settings := &Settings{CrashState: f.CrashState, RestoreCheckpoint: f.RestoreCheckpoint, PeerBootstrap: f.PeerBootstrap, Rules: agreed, file: f,
-		fleetSize: f.InstanceCount, Name: f.Name, Program: f.Program, RunDir: f.RunDir, ControlAddress: f.ControlAddress,
-		Policy: Policy{InitialBackoffMillis: f.Restart.InitialBackoffMillis, MaxBackoffMillis: f.Restart.MaxBackoffMillis, BackoffResetMillis: f.Restart.BackoffResetSeconds * 1000,
-			ReadyTimeoutMillis: f.ReadyTimeoutSeconds * 1000, StopTimeoutMillis: f.StopTimeoutSeconds * 1000, MaxReplacing: f.MaxReplacing}}
+	if err := f.check(rules != nil); err != nil {
+		return nil, err
+	}
+	settings := &Settings{
+		Name:           f.Name,
+		Program:        f.Program,
+		RunDir:         f.RunDir,
+		ControlAddress: f.ControlAddress,
+		Policy: Policy{
+			InitialBackoffMillis: f.Restart.InitialBackoffMillis,
+			MaxBackoffMillis:     f.Restart.MaxBackoffMillis,
+			BackoffResetMillis:   f.Restart.BackoffResetSeconds * 1000,
+			ReadyTimeoutMillis:   f.ReadyTimeoutSeconds * 1000,
+			StopTimeoutMillis:    f.StopTimeoutSeconds * 1000,
+			MaxReplacing:         f.MaxReplacing,
+		},
+		CrashState:        f.CrashState,
+		RestoreCheckpoint: f.RestoreCheckpoint,
+		PeerBootstrap:     f.PeerBootstrap,
+		Rules:             rules,
+		file:              f,
+		fleetSize:         f.InstanceCount,
+	}
 	if err := f.resolveForecast(settings); err != nil {
 		return nil, err
 	}
 	switch {
-	case agreed == nil:
-	case agreed.Proposed != nil:
-		settings.fleetSize = len(agreed.Proposed.Members)
-		settings.Instances, err = f.instancesOf(agreed.Proposed)
-	case agreed.Relay != nil: // which there are the relays say; what they will be told is checked now
+	case rules == nil:
+		settings.Instances, err = f.numberedInstances()
+	case rules.Proposed != nil:
+		settings.fleetSize = len(rules.Proposed.Members)
+		settings.Instances, err = f.instancesOf(rules.Proposed)
+	case rules.Relay != nil: // which members there are is not known yet; the rest of a configuration is checked
 		_, err = f.instancesOf(&ruleset.Rules{Members: []ruleset.Member{{Name: f.Name, Host: f.Relay.HostName}}})
 	}
-	if agreed != nil {
-		return settings, err
+	if err != nil {
+		return nil, err
+	}
+	return settings, nil
+}
+
+// check checks the keys that need no other file.
+func (f *FleetFile) check(hasRules bool) error {
+	tooFew := f.InstanceCount < 0 || f.InstanceCount == 0 && f.Region == ""
+	switch {
+	case f.Name == "":
+		return errors.New("name: missing")
+	case !hasRules && (tooFew || f.InstanceCount > maxInstances):
+		return fmt.Errorf("instances: %d is not from 1 to %d, nor 0 with a hall", f.InstanceCount, maxInstances)
+	case f.RunDir == "":
+		return errors.New("run_dir: missing")
+	case !(f.Restart.InitialBackoffMillis > 0):
+		return fmt.Errorf("restart.first_ms: %v is not above 0", f.Restart.InitialBackoffMillis)
+	case !(f.Restart.MaxBackoffMillis >= f.Restart.InitialBackoffMillis):
+		return fmt.Errorf("restart.most_ms: %v is under restart.first_ms", f.Restart.MaxBackoffMillis)
+	case !(f.Restart.BackoffResetSeconds > 0):
+		return fmt.Errorf("restart.calm_s: %v is not above 0", f.Restart.BackoffResetSeconds)
+	case !(f.ReadyTimeoutSeconds > 0) || !(f.StopTimeoutSeconds > 0):
+		return errors.New("ready_s, grace_s: they must be above 0")
+	case f.MaxReplacing < 1:
+		return fmt.Errorf("step: %d is under 1", f.MaxReplacing)
 	}
-	var taken []portRange
-	if _, err := reservePortRange("control", f.ControlAddress, 1, &taken); err != nil {
+	return nil
+}
+
+// numberedInstances returns the instances of a host without a ruleset, with consecutive numbers and ports.
+func (f *FleetFile) numberedInstances() ([]Instance, error) {
+	var reserved []portRange
+	if _, err := reservePortRange("control", f.ControlAddress, 1, &reserved); err != nil {
 		return nil, err
 	}
-	if f.InstanceCount == 0 { // it only looks ahead
-		return settings, nil
+	if f.InstanceCount == 0 { // the daemon only forecasts
+		return nil, nil
 	}
-	listens, err := reservePortRange("listen", f.FirstListen, f.InstanceCount, &taken)
+	listens, err := reservePortRange("listen", f.FirstListen, f.InstanceCount, &reserved)
 	if err != nil {
 		return nil, err
 	}
-	admins, err := reservePortRange("operators", f.FirstAdmin, 2*f.InstanceCount, &taken)
+	admins, err := reservePortRange("operators", f.FirstAdmin, 2*f.InstanceCount, &reserved)
 	if err != nil {
 		return nil, err
 	}
 	var peers []string
 	if f.FirstPeer != "" {
-		peerRange, err := reservePortRange("peers", f.FirstPeer, f.InstanceCount, &[]portRange{}) // datagrams
+		peerRange, err := reservePortRange("peers", f.FirstPeer, f.InstanceCount, &[]portRange{}) // UDP
 		if err != nil {
 			return nil, err
 		}
@@ -201,17 +237,23 @@
 			peers = append(peers, peerRange.address(i))
 		}
 	}
-	raw, err := os.ReadFile(f.GatewayConfig)
+	shared, err := os.ReadFile(f.GatewayConfig)
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
+	var instances []Instance
 	for i := range f.InstanceCount {
-		listen := ""
+		spec := instanceSpec{
+			name:          fmt.Sprintf("%s-%d", f.Name, i),
+			index:         i,
+			fleetSize:     f.InstanceCount,
+			listenAddress: listens.address(i),
+			peers:         peers,
+		}
 		if len(peers) > 0 {
-			listen = peers[i]
+			spec.peerListen = peers[i]
 		}
-		instance, gateway, err := f.buildInstance(raw, fmt.Sprintf("%s-%d", f.Name, i), i, f.InstanceCount, listens.address(i), listen,
-			peers)
+		instance, gateway, err := f.buildInstance(shared, spec)
 		if err != nil {
 			return nil, err
 		}
@@ -219,46 +261,59 @@
 		if err := f.checkHostCapacity(gateway, f.InstanceCount); err != nil {
 			return nil, err
 		}
-		settings.Instances = append(settings.Instances, instance)
+		instances = append(instances, instance)
 	}
-	return settings, nil
+	return instances, nil
+}
+
+// instanceSpec is what is particular to an instance's configuration.
+type instanceSpec struct {
+	name          string
+	index         int // its number in the fleet
+	fleetSize     int
+	listenAddress string   // HOST:PORT for clients
+	peerListen    string   // HOST:PORT for peers' datagrams
+	peers         []string // HOST:PORT of all members by number; empty: the instance has no peers
 }
 
-// instance makes one of what all are told: the i-th of n.
-func (f *FleetFile) buildInstance(raw []byte, name string, index, count int, listen, peerListen string, peers []string) (instance Instance,
-	gateway config.Gatekeeper, err error) {
-	instance = Instance{Name: name, ListenAddress: listen}
+// buildInstance returns an instance, but for its admin addresses, and its decoded configuration: the shared
+// one with what is particular to the instance.
+func (f *FleetFile) buildInstance(shared []byte, spec instanceSpec) (Instance, config.Gatekeeper, error) {
+	instance := Instance{Name: spec.name, ListenAddress: spec.listenAddress}
 	var document map[string]any
-	if err := json.Unmarshal(raw, &document); err != nil {
-		return instance, gateway, fmt.Errorf("config: %s: %w", f.GatewayConfig, err)
+	if err := json.Unmarshal(shared, &document); err != nil {
+		return instance, config.Gatekeeper{}, fmt.Errorf("config: %s: %w", f.GatewayConfig, err)
 	}
 	settings, ok := document["settings"].(map[string]any)
 	if !ok {
-		return instance, gateway, fmt.Errorf("config: %s: settings is missing", f.GatewayConfig)
+		return instance, config.Gatekeeper{}, fmt.Errorf("config: %s: settings is missing", f.GatewayConfig)
 	}
-	settings["me"], settings["balancers"] = index, count
+	settings["me"], settings["balancers"] = spec.index, spec.fleetSize
 	document["name"], document["listen"] = instance.Name, instance.ListenAddress
 	delete(document, "control")
-	if len(peers) > 0 {
-		document["peer_listen"], document["peers"] = peerListen, peers
+	if len(spec.peers) > 0 {
+		document["peer_listen"], document["peers"] = spec.peerListen, spec.peers
 	}
+	var err error
 	if instance.Config, err = json.MarshalIndent(document, "", " "); err != nil {
-		return instance, gateway, fmt.Errorf("config: %w", err)
+		return instance, config.Gatekeeper{}, fmt.Errorf("config: %w", err)
 	}
-	if gateway, err = config.Decode(instance.Config, func(string) string { return "" }); err != nil {
+	gateway, err := config.Decode(instance.Config, func(string) string { return "" })
+	if err != nil {
 		err = fmt.Errorf("config: %s: %w", f.GatewayConfig, err)
 	}
 	return instance, gateway, err
 }
 
-// roomFor checks that the host has room for n of them.
+// checkHostCapacity checks that so many instances of a configuration fit on the host.
 func (f *FleetFile) checkHostCapacity(gateway config.Gatekeeper, count int) error {
 	if total := gateway.MemoryMB * count; f.Host.MemoryMB > 0 && total > f.Host.MemoryMB {
-		return fmt.Errorf("host.memory_mb: %d instances of %d MB have %d, over %d", count, gateway.MemoryMB, total,
+		return fmt.Errorf("host.memory_mb: %d instances of %d MB need %d, over %d", count, gateway.MemoryMB, total,
 			f.Host.MemoryMB)
 	}
 	if total := gateway.Sockets * count; f.Host.Sockets > 0 && total > f.Host.Sockets {
-		return fmt.Errorf("host.sockets: %d instances of %d have %d, over %d", count, gateway.Sockets, total, f.Host.Sockets)
+		return fmt.Errorf("host.sockets: %d instances of %d need %d, over %d", count, gateway.Sockets, total,
+			f.Host.Sockets)
 	}
 	return nil
 }
--- a/internal/supervisor/subscription.go
+++ b/internal/supervisor/subscription.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"math/rand"
-	"net/http"
 	"slices"
 	"sync"
 	"time"
@@ -21,53 +19,68 @@
 )
 
 const (
-	initialLeaseMillis = 1000.0 // ms, until rules have told theirs
-	discoveryLagMillis = 3000.0 // ms behind another's list of discovery until one is named
+	initialLeaseMillis = 1000.0 // until the first rules name theirs
+	// discoveryLagMillis is how long an instance may be behind another's discovery index before it is listed.
+	discoveryLagMillis = 3000.0
 )
 
-// branch is the part in agreed rules of a daemon without a seat: it follows relays, tells the processes of
-// its host what those say, and says up the chain what all of its processes go by. It has no vote, and no
-// other host waits for it but for that word. It is safe for concurrent use, and nothing of it waits.
+// subscription is a host's part in the ruleset below relays: it follows the relays, grants leases to the
+// host's processes by what they send, and reports up the chain which step all processes of the host hold. The
+// host has no vote, and others wait for it only by that report. It is safe for concurrent use, and no method
+// blocks.
 type subscription struct {
 	cluster    string
 	hostName   string
 	log        zerolog.Logger
-	history    history.Recorder
-	replica    *relay.Copy
-	changed    chan struct{}
-	ctx        context.Context
+	history    history.Recorder // nil if no history is written
+	replica    *relay.Copy      // on disk, of the version received last
+	changed    chan struct{}    // has room for one value
+	ctx        context.Context  // ended by Close
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards all below
 	upstreams    []string
-	follower     *distribution.Follower // by way of feed alone
-	feed         *relay.Feed
+	feed         *relay.Feed        // nil until the first setUpstreams
 	stopFeed     context.CancelFunc // ends the feed
-	grantor      ruleset.Warden
+	grantor      ruleset.Warden     // which step each process holds
 	discoveryLag *ruleset.Lag
-	requesters   map[int]requester
+	requesters   map[int]requester // by PID
 
-	view          distribution.View // as last taken
-	lease         ruleset.Lease
-	rejected      [2]versioned.Mark // of rules, and pending ones, that were told and make no sense
-	inForce       ruleset.Version
-	reportedStep  uint64 // the step that was last told to have been seen
-	reportedIndex int64  // of discovery's list, the highest here
+	view          distribution.View // as applied last
+	lease         ruleset.Lease     // of the view
+	rejected      [2]versioned.Mark // of the rules and the pending ones that were invalid
+	inForce       ruleset.Version   // the last one that this program knows all of
+	reportedStep  uint64            // the step last reported as seen
+	reportedIndex int64             // the highest discovery index on this host as last reported; -1: none
 }
 
-// asker is a process that has asked.
+// requester is a process that has asked for its lease.
 type requester struct {
 	name           string
 	heldStep       uint64
-	discoveryIndex int64
+	discoveryIndex int64 // -1: none
 	requestedAt    time.Time
 }
 
-func newSubscription(cluster string, relaySettings *RelaySettings, record history.Recorder, log zerolog.Logger) *subscription {
-	s := &subscription{cluster: cluster, hostName: relaySettings.HostName, log: log, history: record,
-		replica: relay.NewCopy(relaySettings.StorePath, cluster, log),
-		changed: make(chan struct{}, 1), discoveryLag: ruleset.NewLag(), requesters: map[int]requester{}, reportedIndex: -1}
+// newSubscription returns a subscription without upstreams. The recorder may be nil.
+func newSubscription(
+	cluster string,
+	settings *RelaySettings,
+	recorder history.Recorder,
+	log zerolog.Logger,
+) *subscription {
+	s := &subscription{
+		cluster:       cluster,
+		hostName:      settings.HostName,
+		log:           log,
+		history:       recorder,
+		replica:       relay.NewCopy(settings.StorePath, cluster, log),
+		changed:       make(chan struct{}, 1),
+		discoveryLag:  ruleset.NewLag(),
+		requesters:    map[int]requester{},
+		reportedIndex: -1,
+	}
 	s.view.Index = -1
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.goroutines.Add(1)
@@ -78,18 +91,23 @@
 	return s
 }
 
-// follows has it ask these from now on. What was heard goes on until its time. It is to be called first when
-// all processes have been booked that a daemon before this one has left: what their daemon has seen is told
-// up the chain as soon as it is known here, and can't be taken back.
+// setUpstreams makes the subscription ask these relays from now on; what was received before holds until its
+// lease expires. The first call has to come after all processes that an earlier daemon has left have been
+// booked: what the host has seen is reported up the chain at once, and cannot be taken back.
 func (s *subscription) setUpstreams(upstreams []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if slices.Equal(upstreams, s.upstreams) {
 		return
 	}
-	follower := distribution.NewFollower(distribution.Config{Name: s.hostName, Cluster: s.cluster, Upstream: len(upstreams),
-		Lease: initialLeaseMillis, Interest: ruleset.Interest{Host: s.hostName, Around: distribution.Around}, Seed: rand.Int63()},
-		raftlog.Clock())
+	follower := distribution.NewFollower(distribution.Config{
+		Name:     s.hostName,
+		Cluster:  s.cluster,
+		Upstream: len(upstreams),
+		Lease:    initialLeaseMillis,
+		Interest: ruleset.Interest{Host: s.hostName, Around: distribution.Around},
+		Seed:     rand.Int63(),
+	}, raftlog.Clock())
 	if s.feed == nil {
 		s.replica.Base(follower)
 	} else {
@@ -97,7 +115,7 @@
 		s.stopFeed()
 	}
 	client := relay.NewClient(upstreams, relay.AskPath)
-	s.upstreams, s.follower, s.reportedStep = slices.Clone(upstreams), follower, 0
+	s.upstreams, s.reportedStep = slices.Clone(upstreams), 0
 	feed := relay.NewFeed(follower, client, s.onUpdate)
 	s.feed = feed
 	var ctx context.Context
@@ -110,77 +128,91 @@
 	}()
 }
 
-// news takes what the follower has come to know.
+// onUpdate is called by the feed when the follower has received something.
 func (s *subscription) onUpdate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.applyView()
 }
 
-// take goes over to what the follower knows, if that is later, and says up the chain what there is to say;
-// under the lock.
+// applyView takes over the follower's view, if it is later than the one applied last, and reports what there
+// is to report. An invalid view is logged once and changes nothing. The caller holds the lock.
 func (s *subscription) applyView() {
 	if s.feed == nil {
 		return
 	}
 	view, ok := s.feed.View()
 	digests := [2]versioned.Mark{view.Rules.Mark(), view.Pending.Mark()}
-	if !ok || view.Step < s.view.Step || view.Step == s.view.Step && view.Begun < s.view.Begun || digests == s.rejected {
+	earlier := view.Step < s.view.Step || view.Step == s.view.Step && view.Begun < s.view.Begun
+	if !ok || earlier || digests == s.rejected {
 		return
 	}
-	rules, pending := s.view.Rules.Mark(), s.view.Pending.Mark()
-	if view.Rules.Mark() != rules || view.Pending.Mark() != pending {
+	previous := [2]versioned.Mark{s.view.Rules.Mark(), s.view.Pending.Mark()}
+	if digests != previous {
 		lease, err := leaseFromView(&view)
 		if err != nil {
 			s.rejected = digests
-			s.log.Error().Err(err).Msg("rules that make no sense: those before go on until their time")
+			s.log.Error().Err(err).
+				Msg("invalid rules received: the previous ones stay in force until their lease expires")
 			return
 		}
 		if lease.Foreign != "" {
 			s.log.Error().Str("needs", lease.Foreign).
-				Msg("rules in force that this program does not know: instances stay as they are")
+				Msg("rules in force that this version does not know: instances stay as they are")
 		}
 		s.lease = lease
 		s.replica.Keep(view)
 	}
 	s.view, s.lease.Step, s.lease.Settled = view, view.Step, view.Settled
-	if view.Rules.Mark() != rules {
-		if s.history != nil {
-			s.history.Write(history.Event{Kind: history.Gives, Version: view.Rules.Mark().Number,
-				Age: raftlog.Clock() - view.Begun})
-		}
-		if s.lease.Foreign == "" {
-			s.inForce = s.lease.Version
-			select {
-			case s.changed <- struct{}{}:
-			default:
-			}
-		}
+	if digests[0] != previous[0] {
+		s.enterForce()
 	}
 	s.reportSeen()
 }
 
-// leaseOf reads what a view says. Rules that this program does not know whole are left empty, and named.
-func leaseFromView(view *distribution.View) (lease ruleset.Lease, err error) {
-	read := func(s *versioned.State) (ruleset.Version, string, error) {
-		view, err := ruleset.FromState(s)
-		if errors.Is(err, ruleset.ErrForeign) {
-			return ruleset.Version{Number: s.Mark().Number}, err.Error(), nil
-		}
-		if err == nil {
-			err = ruleset.CheckPart(&view.Rules)
-		}
-		return view, "", err
+// enterForce records that the view has other rules in force than before, and signals it if this program knows
+// all of them. The caller holds the lock.
+func (s *subscription) enterForce() {
+	if s.history != nil {
+		s.history.Write(history.Event{Kind: history.Gives, Version: s.view.Rules.Mark().Number,
+			Age: raftlog.Clock() - s.view.Begun})
+	}
+	if s.lease.Foreign != "" {
+		return
+	}
+	s.inForce = s.lease.Version
+	select {
+	case s.changed <- struct{}{}:
+	default:
 	}
-	if lease.Version, lease.Foreign, err = read(view.Rules); err != nil || view.Pending == nil {
+}
+
+// leaseFromView returns the lease that a view stands for, without its age. Rules that this program does not
+// know all of are left empty, with what it does not know in Foreign or, of the pending ones, in Strange.
+func leaseFromView(view *distribution.View) (lease ruleset.Lease, err error) {
+	if lease.Version, lease.Foreign, err = versionOf(view.Rules); err != nil || view.Pending == nil {
 		return lease, err
 	}
-	pending, unknown, err := read(view.Pending)
+	pending, unknown, err := versionOf(view.Pending)
 	lease.Pending, lease.Strange = &pending.Rules, unknown
 	return lease, err
 }
 
-// say has the follower tell what all processes of this host go by, where that is news; under the lock.
+// versionOf returns the version that a state holds; if this program does not know all of its rules, only its
+// number, and what is not known.
+func versionOf(state *versioned.State) (version ruleset.Version, unknown string, err error) {
+	version, err = ruleset.FromState(state)
+	if errors.Is(err, ruleset.ErrForeign) {
+		return ruleset.Version{Number: state.Mark().Number}, err.Error(), nil
+	}
+	if err == nil {
+		err = ruleset.CheckPart(&version.Rules)
+	}
+	return version, "", err
+}
+
+// reportSeen has the follower report the step that all processes of this host hold, and their highest
+// discovery index, if either has changed. The caller holds the lock.
 func (s *subscription) reportSeen() {
 	seenStep, highestIndex := s.grantor.Seen(s.view.Step), int64(-1)
 	for _, request := range s.requesters {
@@ -198,24 +230,24 @@
 	})
 }
 
-// Changed tells that another version than before is in force.
+// Changed receives a value when another version has come in force.
 func (s *subscription) Changed() <-chan struct{} { return s.changed }
 
-// InForce gives the version in force as far as it is known here: the part that this host needs.
+// InForce returns the part of the version in force that this host needs; its number is 0 until one is known.
 func (s *subscription) InForce() ruleset.Version {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inForce
 }
 
-// Began tells of a process of this host's gatekeepers; before: it ran before this daemon did.
+// Began books a process of this host; adopted says that it ran before this daemon did.
 func (s *subscription) Began(pid int, adopted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.grantor.Began(pid, adopted)
 }
 
-// Ended tells that a process is no more.
+// Ended books the end of a process.
 func (s *subscription) Ended(pid int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,8 +259,14 @@
 	s.reportSeen()
 }
 
-// Asked answers a process of a gatekeeper, as raftlog.Seat's does.
-func (s *subscription) Asked(pid int, name string, heldStep uint64, discoveryIndex int64) (ruleset.Lease, bool) {
+// Asked books the step that a process holds and its discovery index (-1: none), and returns the lease for it,
+// or false if none can be granted: no rules have been received, or their lease has expired.
+func (s *subscription) Asked(
+	pid int,
+	name string,
+	heldStep uint64,
+	discoveryIndex int64,
+) (ruleset.Lease, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := raftlog.Clock()
@@ -250,98 +288,24 @@
 	return lease, true
 }
 
-// given is the view as it was last taken: of the step that a process was just booked to be given, or later.
+// currentView returns the view that was applied last: of the step for which a lease was granted last, or
+// later.
 func (s *subscription) currentView() distribution.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view
 }
 
-// Highest gives the highest index of discovery's list that any process has told, here or elsewhere.
+// Highest returns the highest discovery index that any process has reported, on this host or elsewhere; 0 if
+// none has.
 func (s *subscription) Highest() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(s.reportedIndex, s.view.Index, 0)
 }
 
-// Close ends it.
+// Close ends the subscription, and returns when its goroutines have ended.
 func (s *subscription) Close() {
 	s.cancel()
 	s.goroutines.Wait()
 }
-
-// Following is how a daemon below relays stands, for operators.
-type SubscriptionStatus struct {
-	Cluster         string   `json:"cluster"`
-	HostName        string   `json:"me"`
-	Upstreams       []string `json:"upstream"`
-	CurrentUpstream string   `json:"asked"` // of them, the one that is asked now
-	Depth           int      `json:"depth"` // of relays from here to the council
-	Version         uint64   `json:"version"`
-	Digest          string   `json:"mark,omitempty"` // of the part that this host needs
-	Members         int      `json:"members"`        // of all that there are places for
-	KnownMembers    int      `json:"known"`          // and those that this host is told of
-	Step            uint64   `json:"step"`
-	Settled         bool     `json:"settled"`
-	// ago that a quorum confirmed it; below nought nothing has been
-	ConfirmedAgoMillis    float64             `json:"read_ms"`
-	PendingVersion        uint64              `json:"pending,omitempty"`
-	UnknownRules          string              `json:"foreign,omitempty"` // what of the rules this program does not know
-	SeenStep              uint64              `json:"seen"`              // the step that all processes here go by, or later
-	OutdatedInstances     map[string]uint64   `json:"behind,omitempty"`  // instances that hold an older one
-	DisconnectedInstances map[string]float64  `json:"cut_off,omitempty"` // instances here: ms since they last asked
-	DiscoveryLags         []ruleset.Behind    `json:"lags,omitempty"`
-	Counts                distribution.Counts `json:"counts"`
-	Replica               struct {
-		Written  int64 `json:"written"`
-		Failed   int64 `json:"failed"`
-		SetAside int64 `json:"aside"`
-	} `json:"copies"`
-}
-
-// stands tells how it stands.
-func (s *subscription) status() SubscriptionStatus {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	report := SubscriptionStatus{Cluster: s.cluster, HostName: s.hostName, Upstreams: s.upstreams, Depth: s.view.Depth, ConfirmedAgoMillis: -1,
-		Step: s.view.Step, Settled: s.view.Settled, UnknownRules: s.lease.Foreign, SeenStep: s.reportedStep,
-		OutdatedInstances: map[string]uint64{}, DisconnectedInstances: map[string]float64{}}
-	if s.feed == nil {
-		return report
-	}
-	s.feed.With(func(f *distribution.Follower) {
-		report.CurrentUpstream, report.Counts = s.upstreams[f.Current()], f.Counts()
-	})
-	report.Replica.Written, report.Replica.Failed, report.Replica.SetAside = s.replica.Counts()
-	leaseMillis := initialLeaseMillis
-	if s.view.Step > 0 {
-		report.Version, report.Digest = s.view.Rules.Mark().Number, s.view.Rules.Mark().String()
-		report.PendingVersion = s.view.Pending.Mark().Number
-		report.ConfirmedAgoMillis, leaseMillis = raftlog.Clock()-s.view.Begun, ruleset.LeaseOf(s.view.Rules)
-	}
-	report.Members = len(s.lease.Version.Rules.Members)
-	for _, member := range s.lease.Version.Rules.Members {
-		if member.Name != "" {
-			report.KnownMembers++
-		}
-	}
-	for _, request := range s.requesters {
-		if request.heldStep < s.view.Step {
-			report.OutdatedInstances[request.name] = request.heldStep
-		}
-		ageMillis := float64(time.Since(request.requestedAt)) / float64(time.Millisecond)
-		if ageMillis > leaseMillis || report.ConfirmedAgoMillis < 0 || report.ConfirmedAgoMillis > leaseMillis {
-			report.DisconnectedInstances[request.name] = ageMillis
-		}
-	}
-	report.DiscoveryLags = s.discoveryLag.Late(raftlog.Clock(), discoveryLagMillis)
-	return report
-}
-
-// follows answers operators.
-func (d *Daemon) handleSubscriptionStatus(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set("Content-Type", "application/json")
-	encoder := json.NewEncoder(w)
-	encoder.SetIndent("", " ")
-	_ = encoder.Encode(d.rules.subscription.status())
-}
--- /dev/null
+++ b/internal/supervisor/subscription_status.go
@@ -0,0 +1,95 @@
+package supervisor
+
+import (
+	"time"
+
+	"willowdeck/internal/distribution"
+	"willowdeck/internal/raftlog"
+	"willowdeck/internal/ruleset"
+)
+
+// SubscriptionStatus is the status of a subscription, as /fleet/relay shows it.
+type SubscriptionStatus struct {
+	Cluster         string   `json:"cluster"`
+	HostName        string   `json:"me"`
+	Upstreams       []string `json:"upstream"`
+	CurrentUpstream string   `json:"asked"` // the one of Upstreams that is asked now
+	Depth           int      `json:"depth"` // number of relays from here to the raft group
+	Version         uint64   `json:"version"`
+	Digest          string   `json:"mark,omitempty"` // of the part of the rules that this host needs
+	Members         int      `json:"members"`        // of the fleet
+	KnownMembers    int      `json:"known"`          // those of them in this host's part of the rules
+	Step            uint64   `json:"step"`
+	Settled         bool     `json:"settled"`
+	// ConfirmedAgoMillis is how long ago a quorum confirmed the rules; negative: never.
+	ConfirmedAgoMillis float64 `json:"read_ms"`
+	PendingVersion     uint64  `json:"pending,omitempty"`
+	UnknownRules       string  `json:"foreign,omitempty"` // what of the rules this program does not know
+	SeenStep           uint64  `json:"seen"`              // reported: all processes here hold it, or a later one
+	// OutdatedInstances are the instances that hold an older step than Step, with that step.
+	OutdatedInstances map[string]uint64 `json:"behind,omitempty"`
+	// DisconnectedInstances are the instances without a lease, with the milliseconds since they last asked.
+	DisconnectedInstances map[string]float64  `json:"cut_off,omitempty"`
+	DiscoveryLags         []ruleset.Behind    `json:"lags,omitempty"`
+	Counts                distribution.Counts `json:"counts"`
+	Replica               struct {            // on disk, since the daemon's start
+		Written  int64 `json:"written"`
+		Failed   int64 `json:"failed"`
+		SetAside int64 `json:"aside"` // unreadable files
+	} `json:"copies"`
+}
+
+// status returns the status of the subscription.
+func (s *subscription) status() SubscriptionStatus {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	status := SubscriptionStatus{
+		Cluster:               s.cluster,
+		HostName:              s.hostName,
+		Upstreams:             s.upstreams,
+		Depth:                 s.view.Depth,
+		ConfirmedAgoMillis:    -1,
+		Step:                  s.view.Step,
+		Settled:               s.view.Settled,
+		UnknownRules:          s.lease.Foreign,
+		SeenStep:              s.reportedStep,
+		OutdatedInstances:     map[string]uint64{},
+		DisconnectedInstances: map[string]float64{},
+	}
+	if s.feed == nil {
+		return status
+	}
+	s.feed.With(func(f *distribution.Follower) {
+		status.CurrentUpstream, status.Counts = s.upstreams[f.Current()], f.Counts()
+	})
+	status.Replica.Written, status.Replica.Failed, status.Replica.SetAside = s.replica.Counts()
+	leaseMillis := initialLeaseMillis
+	if s.view.Step > 0 {
+		status.Version, status.Digest = s.view.Rules.Mark().Number, s.view.Rules.Mark().String()
+		status.PendingVersion = s.view.Pending.Mark().Number
+		status.ConfirmedAgoMillis, leaseMillis = raftlog.Clock()-s.view.Begun, ruleset.LeaseOf(s.view.Rules)
+	}
+	status.Members = len(s.lease.Version.Rules.Members)
+	for _, member := range s.lease.Version.Rules.Members {
+		if member.Name != "" {
+			status.KnownMembers++
+		}
+	}
+	s.addInstances(&status, leaseMillis)
+	status.DiscoveryLags = s.discoveryLag.Late(raftlog.Clock(), discoveryLagMillis)
+	return status
+}
+
+// addInstances adds the outdated and the disconnected instances. The caller holds the lock.
+func (s *subscription) addInstances(status *SubscriptionStatus, leaseMillis float64) {
+	noLease := status.ConfirmedAgoMillis < 0 || status.ConfirmedAgoMillis > leaseMillis
+	for _, request := range s.requesters {
+		if request.heldStep < s.view.Step {
+			status.OutdatedInstances[request.name] = request.heldStep
+		}
+		ageMillis := float64(time.Since(request.requestedAt)) / float64(time.Millisecond)
+		if noLease || ageMillis > leaseMillis {
+			status.DisconnectedInstances[request.name] = ageMillis
+		}
+	}
+}
