--- a/internal/supervisor/checkpoint_test.go
+++ b/internal/supervisor/checkpoint_test.go
@@ -13,9 +13,14 @@
 	"willowdeck/internal/lab/workload"
 )
 
-var quotaKillDuration = flag.Duration("recall", 0, "how long instances are killed while too much of a quota is asked")
+var quotaKillDuration = flag.Duration(
+	"recall",
+	0,
+	"how long instances are killed while too much of a quota is asked",
+)
 
-// quota has a plan whose store is good as never full again, and one that is asked for more than it gives.
+// writeQuotaConfig writes a configuration with a plan whose burst is practically never refilled (slow), and
+// one that is asked for more than it gives (pressed).
 func (f *testFleet) writeQuotaConfig() {
 	f.writeGatewayConfig(map[string]any{"tariffs": []map[string]any{
 		{"name": "basic", "rate": 500, "most_at_once": 500, "worth_factor": 1},
@@ -23,7 +28,7 @@
 		{"name": "pressed", "rate": 40, "most_at_once": 80, "worth_factor": 1}}})
 }
 
-// job asks as arrivals say.
+// runLoad sends the arrivals to all instances and returns the report.
 func (f *testFleet) runLoad(arrivals []workload.Arrival) *loadgen.Report {
 	f.t.Helper()
 	job := &loadgen.Job{Arrivals: arrivals, Targets: f.targets(f.maxInstances), Spread: f.maxInstances,
@@ -36,7 +41,7 @@
 	return report
 }
 
-// kill ends an instance's process with SIGKILL.
+// killInstances kills the processes of the selected instances, and returns how many there were.
 func (f *testFleet) killInstances(daemon *Daemon, selected func(i int) bool) (killed int) {
 	daemon.mu.Lock()
 	defer daemon.mu.Unlock()
@@ -49,10 +54,10 @@
 	return killed
 }
 
-// A process that is killed comes back with its customer's store as it was: what was spent is not let in
-// again. Without a copy it is.
+// TestQuotaSurvivesKill checks that a killed instance comes back with its customers' quotas as they were:
+// what was spent is not admitted again. Without a checkpoint it is.
 func TestQuotaSurvivesKill(t *testing.T) {
-	gatewayProgram(t) // once for both
+	gatewayProgram(t) // built once for both
 	for _, restore := range []bool{true, false} {
 		t.Run(fmt.Sprintf("recall %t", restore), func(t *testing.T) {
 			t.Parallel()
@@ -61,7 +66,9 @@
 	}
 }
 
+// testQuotaSurvivesKill spends a quota, kills the instance, and asks for the quota again.
 func testQuotaSurvivesKill(t *testing.T, restore bool) {
+	t.Helper()
 	f := newTestFleet(t, 1)
 	f.writeQuotaConfig()
 	f.writeFleetFile(1, fmt.Sprintf("recall = %t", restore))
@@ -76,19 +83,21 @@
 		return f.runLoad(arrivals).Counts["check"][loadgen.Settled]
 	}
 	settledBefore := settled()
-	time.Sleep(500 * time.Millisecond) // some copies' time
+	time.Sleep(500 * time.Millisecond) // time for some checkpoints
 	f.killInstances(daemon, func(int) bool { return true })
 	for end := time.Now().Add(10 * time.Second); daemon.Statuses()[0].Restarts == 0 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	f.waitReady(daemon, 1)
-	if settledAfter := settled(); settledBefore < 10 || (settledAfter == 0) != restore || !restore && settledAfter < 10 {
+	if settledAfter := settled(); settledBefore < 10 || (settledAfter == 0) != restore ||
+		!restore && settledAfter < 10 {
 		t.Errorf("%d settled before, %d after", settledBefore, settledAfter)
 	}
 }
 
-// Instances are killed at random while a customer asks for three times its quota. With copies it gets no more
-// of it than without, within the spread of such runs, and others are served as well.
+// TestQuotaUnderKills kills instances at random while a customer asks for three times its quota. With
+// checkpoints it gets no more of it than without, within the spread of such runs, and others are served as
+// well.
 func TestQuotaUnderKills(t *testing.T) {
 	if *quotaKillDuration == 0 {
 		t.Skip("the long form, by -recall")
--- a/internal/supervisor/cluster_fault_test.go
+++ b/internal/supervisor/cluster_fault_test.go
@@ -36,19 +36,19 @@
 )
 
 const (
-	maxContradictionMillis = 2000.0 // ms for which two gatekeepers may go by rules that contradict
-	observationSlackMillis = 300.0  // ms from a decision to the worker's line of it, on a busy machine
+	maxContradictionMillis = 2000.0 // for which two gateways may act on contradicting rules
+	observationSlackMillis = 300.0  // from a decision until a worker records it, on a busy machine
 )
 
-// trial is an assembly under load, whose records are checked at its end.
+// clusterTrial is a cluster under load, whose history is checked at its end.
 type clusterTrial struct {
 	*testCluster
-	rigLog     *history.Log // what the rig does
+	rigLog     *history.Log // what the test does
 	loadReport chan *loadgen.Report
 	arrivals   []workload.Arrival
 }
 
-// hard leaves a case to the long form.
+// requireLong skips a test unless the long form is asked for.
 func requireLong(t *testing.T) {
 	t.Helper()
 	if *longDuration == 0 {
@@ -56,7 +56,7 @@
 	}
 }
 
-// try starts hosts and waits until all are leased; instances are k each.
+// startTrial starts a cluster and waits until all instances have a lease.
 func startTrial(t *testing.T, hosts, perHost int, change func(*ruleset.Rules)) *clusterTrial {
 	t.Helper()
 	trial := newTrial(t, hosts, perHost, change)
@@ -65,7 +65,7 @@
 	return trial
 }
 
-// ready has all there but the daemons.
+// newTrial prepares a trial without starting the daemons.
 func newTrial(t *testing.T, hosts, perHost int, change func(*ruleset.Rules)) *clusterTrial {
 	t.Helper()
 	trial := &clusterTrial{testCluster: newTestCluster(t, hosts, perHost, change)}
@@ -83,7 +83,7 @@
 	return trial
 }
 
-// targets are where the members of some hosts take clients.
+// targets returns the client addresses of the members of some hosts.
 func (trial *clusterTrial) targets(hosts ...*testHost) (addresses []string) {
 	for slot, member := range trial.rules.Members {
 		for _, h := range hosts {
@@ -95,7 +95,8 @@
 	return addresses
 }
 
-// loads begins a load on all members: half of it one customer's that asks for more than its ceiling at all.
+// startLoad starts a load on all members; half of it is of one customer that asks for more than its rate
+// limit.
 func (trial *clusterTrial) startLoad(span time.Duration) {
 	for at := 0.0; at < float64(span/time.Millisecond); at += 5 {
 		arrival := workload.Arrival{At: at, Customer: len(trial.arrivals) % 7, Units: 1, Set: len(trial.arrivals)}
@@ -125,10 +126,11 @@
 	}()
 }
 
-// part cuts hosts and their instances off from all others, both ways; join makes all whole.
+// partition cuts hosts and their instances off from all others, in both directions; heal ends that.
 func (trial *clusterTrial) partition(hosts ...*testHost) { trial.setLinks(hosts, faultinject.Silent) }
 func (trial *clusterTrial) heal(hosts ...*testHost)      { trial.setLinks(hosts, faultinject.Whole) }
 
+// setLinks sets the state of all links between some hosts and the others.
 func (trial *clusterTrial) setLinks(hosts []*testHost, cut faultinject.Cut) {
 	for _, h := range hosts {
 		for _, other := range trial.hosts {
@@ -148,6 +150,7 @@
 	trial.rigLog.Write(history.Event{Kind: history.Faults, Says: fmt.Sprint(cut)})
 }
 
+// kill kills a host's daemon.
 func (trial *clusterTrial) kill(h *testHost) {
 	trial.t.Helper()
 	if err := h.Kill(); err != nil {
@@ -156,6 +159,7 @@
 	trial.rigLog.Write(history.Event{Kind: history.Died, Peer: h.name})
 }
 
+// restart starts a host's daemon again.
 func (trial *clusterTrial) restart(h *testHost) {
 	trial.t.Helper()
 	if err := h.Restart(nil); err != nil {
@@ -163,13 +167,13 @@
 	}
 }
 
-// version gives the version in force at a host's daemon; 0 where it does not say.
+// versionInForce returns the version in force at a host's daemon; 0 if the daemon does not answer.
 func (h *testHost) versionInForce() uint64 {
 	status, _ := h.councilStatus()
 	return status.Rules.Version
 }
 
-// ceilings gives rules with another ceiling of the capped plan.
+// withLimit returns the rules with another rate limit of the capped plan.
 func (trial *clusterTrial) withLimit(rate, burst float64) ruleset.Rules {
 	rules := trial.rules
 	rules.Plans = slices.Clone(rules.Plans)
@@ -177,6 +181,7 @@
 	return rules
 }
 
+// withQuota returns the rules with another quota of the basic plan.
 func (trial *clusterTrial) withQuota(rate float64) ruleset.Rules {
 	rules := trial.rules
 	rules.Plans = slices.Clone(rules.Plans)
@@ -184,31 +189,33 @@
 	return rules
 }
 
-// enforced proposes rules at a host and waits until its daemon has them in force; how long that took.
+// proposeAndWait proposes rules at a host, waits until its daemon has them in force, and returns how long
+// that took.
 func (trial *clusterTrial) proposeAndWait(h *testHost, rules ruleset.Rules) time.Duration {
 	trial.t.Helper()
 	began := time.Now()
 	h.propose(rules)
 	trial.rules = rules
-	for status, ok := h.councilStatus(); !ok || status.Rules.Mark != raftlog.Mark(&rules); status, ok = h.councilStatus() {
+	digest := raftlog.Mark(&rules)
+	for status, ok := h.councilStatus(); !ok || status.Rules.Mark != digest; status, ok = h.councilStatus() {
 		if time.Since(began) > 20*time.Second {
 			log, _ := os.ReadFile(h.Log())
-			trial.t.Fatalf("%s has not what it proposed in force: %+v\n%s", h.name, status, log)
+			trial.t.Fatalf("%s does not have in force what it proposed: %+v\n%s", h.name, status, log)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// check ends the load and checks all that was written down: versions are one register, no two gatekeepers
-// go by rules that contradict for longer than is promised, and no customer goes beyond a ceiling by what
-// the workers themselves were sent.
+// check ends the load and checks the history: versions are linearizable, no two gateways act on contradicting
+// rules for longer than maxContradictionMillis, and no customer exceeds its rate limit by what workers
+// received.
 func (trial *clusterTrial) check(rules map[uint64]ruleset.Rules) (sent int) {
 	trial.t.Helper()
 	if trial.loadReport != nil {
 		r := <-trial.loadReport
 		if r == nil {
-			trial.t.Fatal("no load")
+			trial.t.Fatal("the load has failed")
 		}
 		trial.t.Logf("%v", r.Counts["check"])
 	}
@@ -217,12 +224,12 @@
 		trial.t.Fatal(err)
 	}
 	capped := trial.limitedRequests()
-	bare := map[string]bool{}         // sent by no version: under no ceiling, then
-	for i, e := range record.Events { // the names of the modes are the instances' own
+	bare := map[string]bool{}         // sent without rules, so under no rate limit
+	for i, e := range record.Events { // the modes have the instances' own names
 		if e.Kind == history.Sends && e.Mode == ruleset.Bare.String() {
 			bare[e.Txn+e.Worker] = true
 			if record.Events[i].Version = 0; capped[e.Txn] {
-				trial.t.Errorf("%v: sent bare, under a ceiling", e)
+				trial.t.Errorf("%v: sent without rules, under a rate limit", e)
 			}
 		}
 		if e.Kind == history.Got && bare[e.Txn+e.Worker] {
@@ -246,25 +253,25 @@
 	if c.Count > 0 || c.Spans == 0 {
 		trial.t.Errorf("contradictions: %+v", c.Found)
 	}
-	trial.t.Logf("longest contradiction %.0f ms, submission after its version %.0f ms, %d spans", c.Longest, c.Lag,
+	trial.t.Logf("longest contradiction %.0f ms, sent after its version %.0f ms, %d spans", c.Longest, c.Lag,
 		c.Spans)
 	over, sent := trial.unitsOverLimit(record, rules)
 	if over > 0 {
-		trial.t.Errorf("%.1f units beyond the ceilings, of %d", over, sent)
+		trial.t.Errorf("%.1f units over the rate limits, of %d", over, sent)
 	}
-	lowered := map[uint64]ruleset.Rules{} // and the check bites
+	lowered := map[uint64]ruleset.Rules{} // the check finds an excess
 	for n, r := range rules {
 		r.Plans = slices.Clone(r.Plans)
 		r.Plans[1].CeilingRate, r.Plans[1].CeilingDepth = r.Plans[1].CeilingRate/4, r.Plans[1].CeilingDepth/4
 		lowered[n] = r
 	}
 	if over, _ := trial.unitsOverLimit(record, lowered); over <= 0 && sent > 100 {
-		trial.t.Errorf("%d sent under a quarter of the ceilings, and the check finds nothing", sent)
+		trial.t.Errorf("%d sent under a quarter of the rate limits, and the check finds nothing", sent)
 	}
 	return sent
 }
 
-// capped are the txns of the customer with a ceiling, as the workers know them.
+// limitedRequests returns the requests of the rate-limited customer, by the ids that workers received.
 func (trial *clusterTrial) limitedRequests() map[string]bool {
 	limited := map[string]bool{}
 	for _, w := range trial.workers {
@@ -279,25 +286,28 @@
 	return limited
 }
 
-// beyond tells by how many units what workers were sent went beyond the ceiling in force. The slack is
-// what its rate gives in 500 ms, as in TestChaos. A higher ceiling holds from when it is in force, a lower
-// one from so long after that as is promised.
-func (trial *clusterTrial) unitsOverLimit(record history.Record, rules map[uint64]ruleset.Rules) (worst float64, sent int) {
+// unitsOverLimit returns by how many units the requests that workers received exceeded the rate limit in
+// force. The slack is what the rate gives in 500 ms, as in TestChaos. A higher limit holds from when it is in
+// force, a lower one from maxContradictionMillis after that.
+func (trial *clusterTrial) unitsOverLimit(
+	record history.Record,
+	rules map[uint64]ruleset.Rules,
+) (worst float64, sent int) {
 	limited := trial.limitedRequests()
 	type event struct {
-		advanceTo int64
-		version   uint64
-		txn       bool
+		at      int64
+		version uint64
+		txn     bool
 	}
 	var events []event
 	first := map[uint64]bool{}
 	for _, e := range record.Events {
 		if e.Kind == history.Taken && e.Says == "" && !first[e.Version] {
 			first[e.Version] = true
-			events = append(events, event{advanceTo: e.At, version: e.Version})
+			events = append(events, event{at: e.At, version: e.Version})
 		}
 		if e.Kind == history.Got && limited[e.Txn] {
-			events = append(events, event{advanceTo: e.At, txn: true})
+			events = append(events, event{at: e.At, txn: true})
 		}
 	}
 	rate, capacity, level, last := 0.0, 0.0, 0.0, int64(0)
@@ -312,12 +322,12 @@
 		level, last = min(level+float64(now-last)/1e9*rate, capacity), now
 	}
 	for _, t := range events {
-		for len(loweringEvents) > 0 && loweringEvents[0].advanceTo <= t.advanceTo {
-			advanceTo(loweringEvents[0].advanceTo)
+		for len(loweringEvents) > 0 && loweringEvents[0].at <= t.at {
+			advanceTo(loweringEvents[0].at)
 			setLimit(rules[loweringEvents[0].version])
 			loweringEvents = loweringEvents[1:]
 		}
-		advanceTo(t.advanceTo)
+		advanceTo(t.at)
 		switch r := rules[t.version]; {
 		case t.txn:
 			sent++
@@ -329,14 +339,17 @@
 			loweringEvents = nil
 			setLimit(r)
 		default:
-			loweringEvents = append(loweringEvents, event{advanceTo: t.advanceTo + int64(maxContradictionMillis*1e6), version: t.version})
+			loweringEvents = append(
+				loweringEvents,
+				event{at: t.at + int64(maxContradictionMillis*1e6), version: t.version},
+			)
 		}
 	}
 	return worst, sent
 }
 
-// A change while the proposer dies between commit and telling, at two of three or one that leads: it is in
-// force once for all, and its own instances are told by nobody until it is back.
+// TestProposerCrash kills the proposer between commit and publication, at two of three hosts or as the
+// leader: the change stays in force, and the proposer's own instances hear of it once it is back.
 func TestProposerCrash(t *testing.T) {
 	t.Parallel()
 	trial := startTrial(t, 3, 2, nil)
@@ -345,22 +358,23 @@
 	others := slices.DeleteFunc(slices.Clone(trial.hosts), func(o *testHost) bool { return o == proposer })
 	next := trial.withLimit(limitRate*0.75, limitBurst*0.75)
 	proposer.propose(next)
-	faultinject.Until(t, 5*time.Second, "another has it", func() bool {
+	faultinject.Until(t, 5*time.Second, "the version is not in force at another host", func() bool {
 		return others[0].versionInForce() == 2 || others[1].versionInForce() == 2
 	})
 	trial.kill(proposer)
 	began := time.Now()
 	trial.waitVersion(2, 4, others...)
 	trial.leader()
-	t.Logf("the others go on after %v", time.Since(began))
+	t.Logf("the others continue after %v", time.Since(began))
 	trial.restart(proposer)
 	t.Logf("all leased %v after the proposer is back", trial.waitVersion(2, 6, trial.hosts...))
 	if n := trial.check(map[uint64]ruleset.Rules{1: trial.rules, 2: next}); n < 100 {
-		t.Errorf("%d sent under the ceiling", n)
+		t.Errorf("%d sent under the rate limit", n)
 	}
 }
 
-// A side of one host keeps serving while the other two take the ceiling down, then up.
+// TestMinorityPartition checks that a host that is cut off keeps serving while the other two lower the rate
+// limit and raise it again.
 func TestMinorityPartition(t *testing.T) {
 	requireLong(t)
 	trial := startTrial(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.For = 4000 })
@@ -369,21 +383,21 @@
 	minority, majority := trial.hosts[2], trial.hosts[:2]
 	cut := history.Now()
 	trial.partition(minority)
-	rules[2] = trial.withLimit(limitRate/4, limitBurst/4) // less than the fallback's half: it has to wait
-	t.Logf("down, with a host cut off: in force after %v", trial.proposeAndWait(majority[0], rules[2]))
+	rules[2] = trial.withLimit(limitRate/4, limitBurst/4) // less than the fallback's half, so it has to wait
+	t.Logf("lowered, with a host cut off: in force after %v", trial.proposeAndWait(majority[0], rules[2]))
 	trial.waitVersion(2, 4, majority...)
 	for _, i := range faultinject.Instances(minority.runDir()) {
 		if f, ok := readRuleStats(i); !ok || f.version != 1 || f.mode == int64(ruleset.Leased) {
-			t.Errorf("%s, cut off, goes by %+v", i.Name, f)
+			t.Errorf("%s, cut off, applies %+v", i.Name, f)
 		}
 	}
 	rules[3] = trial.withLimit(limitRate, limitBurst)
-	t.Logf("up again: in force after %v", trial.proposeAndWait(majority[1], rules[3]))
+	t.Logf("raised again: in force after %v", trial.proposeAndWait(majority[1], rules[3]))
 	trial.waitVersion(3, 4, majority...)
 	trial.heal(minority)
 	t.Logf("healed: all leased after %v", trial.waitVersion(3, 6, trial.hosts...))
 	if n := trial.check(rules); n < 150 {
-		t.Errorf("%d sent under the ceiling", n)
+		t.Errorf("%d sent under the rate limit", n)
 	}
 	record, err := history.Read(trial.historyDir)
 	if err != nil {
@@ -400,7 +414,7 @@
 	}
 }
 
-// Links that carry one way alone, and then the other, each time with a change.
+// TestAsymmetricPartition has links that carry one direction only, then the other, each with a change.
 func TestAsymmetricPartition(t *testing.T) {
 	requireLong(t)
 	trial := startTrial(t, 3, 2, nil)
@@ -420,7 +434,7 @@
 			}
 		}
 		var other *testHost
-		faultinject.Until(t, 10*time.Second, "another leads", func() bool {
+		faultinject.Until(t, 10*time.Second, "no other host leads", func() bool {
 			for _, o := range trial.hosts {
 				if s, ok := o.councilStatus(); ok && o != h && s.Leader == s.Me {
 					other = o
@@ -441,7 +455,8 @@
 	trial.check(rules)
 }
 
-// An instance stands still over two changes; once it goes on, nothing is sent by the version that it had.
+// TestInstanceStall stalls an instance over two changes: once it resumes, it sends nothing by the version
+// that it had.
 func TestInstanceStall(t *testing.T) {
 	t.Parallel()
 	trial := startTrial(t, 3, 2, nil)
@@ -460,7 +475,7 @@
 		for range 2 {
 			n := uint64(len(rules) + 1)
 			rules[n] = trial.withLimit(limitRate*(1-0.08*float64(n)), limitBurst*(1-0.08*float64(n)))
-			t.Logf("a change with an instance that stands still: %v", trial.proposeAndWait(trial.hosts[0], rules[n]))
+			t.Logf("a change with a stalled instance: %v", trial.proposeAndWait(trial.hosts[0], rules[n]))
 		}
 		trial.rigLog.Write(history.Event{Kind: history.Wakes, Peer: stalled.Name})
 		if err := stalled.Resume(); err != nil {
@@ -471,8 +486,8 @@
 	trial.check(rules)
 }
 
-// A daemon is killed and comes back with its disk, an old one, an empty one and a torn one, a change each
-// time.
+// TestDaemonDiskFaults kills a daemon and restarts it with its disk, an old one, an empty one and a torn one,
+// with a change each time.
 func TestDaemonDiskFaults(t *testing.T) {
 	requireLong(t)
 	trial := startTrial(t, 3, 1, nil)
@@ -481,7 +496,7 @@
 	for i, how := range []string{"kept", faultinject.Old, faultinject.Empty, faultinject.Torn} {
 		h := trial.hosts[i%3]
 		disk := faultinject.NewDisk(t, filepath.Join(h.dir, "store"))
-		if how == faultinject.Old { // a copy from before a change
+		if how == faultinject.Old { // from before a change
 			trial.kill(h)
 			if err := disk.Keep(); err != nil {
 				t.Fatal(err)
@@ -492,7 +507,7 @@
 		n := uint64(len(rules) + 1)
 		rules[n] = trial.withQuota(500 + float64(n))
 		trial.proposeAndWait(trial.hosts[(i+1)%3], rules[n])
-		trial.waitVersion(int64(n), 3, trial.hosts...) // it has written that too
+		trial.waitVersion(int64(n), 3, trial.hosts...) // so that it has written that too
 		trial.kill(h)
 		if how != "kept" {
 			if err := disk.Spoil(faultinject.Damage{What: how, Bytes: 9000, Seed: int64(i)}); err != nil {
@@ -506,14 +521,16 @@
 		trial.restart(h)
 		t.Logf("%s: leased again after %v", how, trial.waitVersion(int64(n), 3, trial.hosts...))
 		status, ok := h.councilStatus()
-		if !ok || how == faultinject.Old && status.Aside["old"] != 1 || how == faultinject.Torn && status.Aside["torn"] != 1 {
+		if !ok || how == faultinject.Old && status.Aside["old"] != 1 ||
+			how == faultinject.Torn && status.Aside["torn"] != 1 {
 			t.Errorf("%s: %+v", how, status)
 		}
 	}
 	trial.check(rules)
 }
 
-// Three of five hosts are lost, then back: the two go by the fallback and then bare.
+// TestThreeOfFiveHostsLost loses three of five hosts and gets them back: meanwhile the other two use the
+// fallback, and then no rules.
 func TestThreeOfFiveHostsLost(t *testing.T) {
 	requireLong(t)
 	trial := startTrial(t, 5, 1, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
@@ -528,7 +545,7 @@
 			trial.rigLog.Write(history.Event{Kind: history.Died, Peer: i.Name})
 		}
 	}
-	faultinject.Until(t, 8*time.Second, "two are bare", func() bool {
+	faultinject.Until(t, 8*time.Second, "two hosts still have rules", func() bool {
 		for _, h := range trial.hosts[3:] {
 			for _, i := range faultinject.Instances(h.runDir()) {
 				if f, ok := readRuleStats(i); !ok || f.mode != int64(ruleset.Bare) {
@@ -551,8 +568,8 @@
 	trial.check(rules)
 }
 
-// Of two proposals at once, on top of the same version, one is taken, and the other is told why it is not.
-// Two that come one after the other are put again.
+// TestConcurrentProposals checks that of two concurrent proposals on the same base version one is accepted,
+// and the other is refused with the reason. Proposals that turn out to be consecutive are repeated.
 func TestConcurrentProposals(t *testing.T) {
 	t.Parallel()
 	trial := startTrial(t, 3, 1, nil)
@@ -560,7 +577,7 @@
 	rules, last := map[uint64]ruleset.Rules{1: trial.rules}, uint64(1)
 	for round := 1; ; round++ {
 		if round > 10 {
-			t.Fatal("never two at once")
+			t.Fatal("no two proposals on the same base")
 		}
 		outcomes := func(h *testHost) []raftlog.Heard {
 			s, _ := h.councilStatus()
@@ -572,7 +589,7 @@
 			f := 1 - 0.02*float64(2*round+i)
 			h.propose(trial.withLimit(limitRate*f, limitBurst*f))
 		}
-		faultinject.Until(t, 10*time.Second, "both have an answer", func() bool {
+		faultinject.Until(t, 10*time.Second, "not both proposals have an outcome", func() bool {
 			for i, h := range trial.hosts[1:] {
 				all := outcomes(h)
 				if len(all) <= before[i] {
@@ -599,28 +616,37 @@
 	trial.check(rules)
 }
 
-// A change in the middle of growing from three members to five and back to four, which takes the sum of
-// parts over the ceiling where places change at different moments.
+// TestRulesChangeDuringResize changes a rate limit while the fleet grows from three members to five, and then
+// shrinks it to four. Quota shares that do not change together would exceed the limit.
 func TestRulesChangeDuringResize(t *testing.T) {
 	requireLong(t)
 	trial := startTrial(t, 3, 1, nil)
 	rules := map[uint64]ruleset.Rules{1: trial.rules}
 	trial.startLoad(4 * time.Second)
 	grown := trial.rules
-	grown.Members = append(slices.Clone(grown.Members), trial.newMember(trial.hosts[0], 3), trial.newMember(trial.hosts[1], 4))
+	grown.Members = append(
+		slices.Clone(grown.Members),
+		trial.newMember(trial.hosts[0], 3),
+		trial.newMember(trial.hosts[1], 4),
+	)
 	began := time.Now()
 	trial.hosts[0].propose(grown)
 	rules[2], trial.rules = grown, grown
-	faultinject.Until(t, 10*time.Second, "it is in force", func() bool { return trial.hosts[0].versionInForce() == 2 })
+	faultinject.Until(
+		t,
+		10*time.Second,
+		"it is not in force",
+		func() bool { return trial.hosts[0].versionInForce() == 2 },
+	)
 	rules[3] = trial.withLimit(limitRate/2, limitBurst/2)
-	trial.proposeAndWait(trial.hosts[2], rules[3]) // the new ones may not have come up yet
+	trial.proposeAndWait(trial.hosts[2], rules[3]) // the new ones may not be ready yet
 	trial.waitVersion(3, 5, trial.hosts...)
-	t.Logf("three to five with a change meanwhile: %v", time.Since(began))
+	t.Logf("three to five, with a change meanwhile: %v", time.Since(began))
 	<-trial.loadReport
 	trial.arrivals = nil
 	for _, w := range trial.workers {
 		if n := len(w.Got()); n == 0 {
-			t.Error("a worker got nothing")
+			t.Error("a worker received nothing")
 		}
 	}
 	trial.startLoad(5 * time.Second) // on five
@@ -634,8 +660,9 @@
 	trial.check(rules)
 }
 
-// A change that would take the sum of parts over a ceiling for a moment: fewer members at a time when one is
-// cut off, and a ceiling that goes down, up and down while gatekeepers hear of it at different moments.
+// TestSumOfQuotaShares changes a rate limit down, up and down while gateways receive the versions at
+// different times, and lowers it while an instance is stalled: the sum of quota shares never exceeds the
+// limit.
 func TestSumOfQuotaShares(t *testing.T) {
 	requireLong(t)
 	trial := startTrial(t, 3, 2, nil)
@@ -645,13 +672,13 @@
 	propose := func(h *testHost, r ruleset.Rules) {
 		t.Helper()
 		proposed = append(proposed, r)
-		t.Logf("a ceiling of %v in force after %v", r.Plans[1].CeilingRate, trial.proposeAndWait(h, r))
+		t.Logf("a rate limit of %v in force after %v", r.Plans[1].CeilingRate, trial.proposeAndWait(h, r))
 	}
 	for i, f := range []float64{0.5, 0.99, 0.25, 0.98, 0.4} {
 		propose(trial.hosts[i%2], trial.withLimit(limitRate*f, limitBurst*f))
 	}
 	stalled := faultinject.Instances(trial.hosts[2].runDir())[0]
-	if err := stalled.Stall(); err != nil { // it says nothing any more
+	if err := stalled.Stall(); err != nil { // it acknowledges nothing any more
 		t.Fatal(err)
 	}
 	trial.rigLog.Write(history.Event{Kind: history.Stalls, Peer: stalled.Name})
@@ -664,12 +691,12 @@
 	trial.waitVersion(8, 6, trial.hosts...)
 	trial.identifyVersions(rules, proposed)
 	if n := trial.check(rules); n < 100 {
-		t.Errorf("%d sent under the ceiling", n)
+		t.Errorf("%d sent under the rate limit", n)
 	}
 }
 
-// older stands between a daemon and an instance of it that is of an older program: from a moment on, the
-// rules that it tells have a key that this one does not know.
+// newOlderProgramProxy stands between a daemon and an instance, and makes the instance look like one of an
+// older program: while addUnknownKey is set, the rules that it receives have a key that it does not know.
 func newOlderProgramProxy(t *testing.T, daemon string) (address string, addUnknownKey *atomic.Bool) {
 	t.Helper()
 	addUnknownKey = &atomic.Bool{}
@@ -692,7 +719,7 @@
 		return nil
 	}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path == lifecycle.AskPath { // an older program does not ask there
+		if r.URL.Path == lifecycle.AskPath { // an older program does not use this path
 			http.NotFound(w, r)
 			return
 		}
@@ -702,9 +729,9 @@
 	return strings.TrimPrefix(s.URL, "http://"), addUnknownKey
 }
 
-// An instance of an older program meets rules with a key that it does not know: it goes by none of them,
-// falls back, says so, and serves on; the others go by them; and a change that contradicts its fallback waits
-// for it.
+// TestOlderProgram gives an instance rules with a key that it does not know: it applies none of them, uses
+// the fallback, reports it, and serves on; the others apply them; and a change that contradicts the fallback
+// waits for it.
 func TestOlderProgram(t *testing.T) {
 	requireLong(t)
 	trial := newTrial(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.For = 2000 })
@@ -729,7 +756,7 @@
 	rules := map[uint64]ruleset.Rules{1: trial.rules}
 	addUnknownKey.Store(true)
 	old := faultinject.Instances(h.runDir())[0]
-	faultinject.Until(t, 10*time.Second, "the older one is cut off, and says why", func() bool {
+	faultinject.Until(t, 10*time.Second, "the older one is not cut off, or does not count why", func() bool {
 		f, ok := readRuleStats(old)
 		n, _ := faultinject.Figure(old.Control, "svc.rules.refused")
 		return ok && f.mode != int64(ruleset.Leased) && n > 0
@@ -737,17 +764,17 @@
 	rules[2] = trial.withLimit(limitRate/4, limitBurst/4)
 	elapsed := trial.proposeAndWait(trial.hosts[0], rules[2])
 	trial.waitVersion(2, 2, trial.hosts[:2]...)
-	t.Logf("with an older one that can't go by it: in force after %v", elapsed)
+	t.Logf("with an older one that cannot apply it: in force after %v", elapsed)
 	if f, ok := readRuleStats(old); !ok || f.version != 1 || f.mode == int64(ruleset.Leased) {
-		t.Errorf("the older one goes by %+v", f)
+		t.Errorf("the older one applies %+v", f)
 	}
 	addUnknownKey.Store(false) // replaced by a newer program
 	t.Logf("replaced: leased after %v", trial.waitVersion(2, 3, trial.hosts...))
 	trial.check(rules)
 }
 
-// A host whose disk takes nothing more has no voice and no lease, its instances go by the fallback, and the
-// others go on; with room again it is back by itself.
+// TestFullDisk fills the disk of a host: it has neither vote nor lease, its instances use the fallback, and
+// the others go on; with space again it recovers by itself.
 func TestFullDisk(t *testing.T) {
 	requireLong(t)
 	trial := startTrial(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
@@ -761,21 +788,21 @@
 	rules[2] = trial.rules
 	big := &ruleset.Rules{}
 	*big = trial.rules
-	for i := range 2000 { // more than its store has room for
+	for i := range 2000 { // more than its store has space for
 		big.Words = append(big.Words, ruleset.Word{Worker: fmt.Sprintf("%0100d", i), Weight: 1})
 	}
 	rules[2] = *big
 	trial.proposeAndWait(others[0], *big)
-	faultinject.Until(t, 10*time.Second, "it is mute", func() bool {
+	faultinject.Until(t, 10*time.Second, "it still has a vote", func() bool {
 		s, ok := full.councilStatus()
 		return ok && s.State == "mute" && strings.Contains(s.Why, "too large")
 	})
 	began := time.Now()
 	trial.waitVersion(2, 2, others...)
 	trial.leader()
-	t.Logf("the others go on after %v", time.Since(began))
+	t.Logf("the others continue after %v", time.Since(began))
 	instance := faultinject.Instances(full.runDir())[0]
-	faultinject.Until(t, 5*time.Second, "its instance is cut off", func() bool {
+	faultinject.Until(t, 5*time.Second, "its instance is not cut off", func() bool {
 		f, ok := readRuleStats(instance)
 		return ok && f.mode != int64(ruleset.Leased)
 	})
@@ -784,12 +811,12 @@
 	if err := full.Limit(0); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("room again: all leased after %v", trial.waitVersion(3, 3, trial.hosts...))
+	t.Logf("space again: all leased after %v", trial.waitVersion(3, 3, trial.hosts...))
 	trial.check(rules)
 }
 
-// -long plays schedules that are drawn from seeds at daemons, links and disks, while changes go on; each for
-// some 20 s, until the time is up. A break names the seed.
+// TestRandomTrials (-long) plays schedules of faults drawn from seeds at daemons, links and disks, with
+// changes meanwhile; each takes some 20 s, until the time is up. A failure names the seed.
 func TestRandomTrials(t *testing.T) {
 	requireLong(t)
 	for end, seed := time.Now().Add(*longDuration), *firstSeed; time.Now().Before(end); seed++ {
@@ -799,7 +826,9 @@
 	}
 }
 
+// runRandomTrial plays the schedule of one seed.
 func runRandomTrial(t *testing.T, seed int64) {
+	t.Helper()
 	trial := startTrial(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
 	const span = 20000
 	trial.startLoad(span * time.Millisecond)
@@ -812,12 +841,18 @@
 		Steps: 8,
 		Kinds: []faultinject.Kind{faultinject.Cuts, faultinject.Parts, faultinject.Splits, faultinject.Shapes,
 			faultinject.Stalls, faultinject.Crashes, faultinject.Spoils},
-	} // a full disk would cut records short: TestFullHost
+	} // a full disk would cut the history short: TestFullDisk
 	for _, h := range trial.hosts {
 		rig.Processes[h.name], rig.Disks[h.name] = h.Process, faultinject.NewDisk(t, filepath.Join(h.dir, "store"))
-		scheduleOptions.Ends, scheduleOptions.Processes = append(scheduleOptions.Ends, h.name), append(scheduleOptions.Processes, h.name)
-	}
-	scheduleOptions.Disks = scheduleOptions.Processes[:1] // a majority keeps its disks, as the council rests on that
+		scheduleOptions.Ends, scheduleOptions.Processes = append(
+			scheduleOptions.Ends,
+			h.name,
+		), append(
+			scheduleOptions.Processes,
+			h.name,
+		)
+	}
+	scheduleOptions.Disks = scheduleOptions.Processes[:1] // a majority keeps its disks, which raft needs
 	for _, m := range trial.rules.Members {
 		scheduleOptions.Ends = append(scheduleOptions.Ends, m.Name)
 	}
@@ -834,7 +869,7 @@
 		select {
 		case err := <-played:
 			if done = true; err != nil {
-				t.Logf("not all was done: %v", err)
+				t.Logf("not all steps were played: %v", err)
 			}
 		case <-time.After(time.Duration(500+rng.Intn(2000)) * time.Millisecond):
 			f := 0.1 + 0.9*rng.Float64()
@@ -850,20 +885,21 @@
 			}
 		}
 	}
-	for _, h := range trial.hosts { // what a step has left down
+	for _, h := range trial.hosts { // those that a step has left down
 		if !h.Running() {
 			trial.restart(h)
 		}
 	}
 	var last uint64
-	faultinject.Until(t, 20*time.Second, "one version at all, and nothing waits", func() bool {
+	faultinject.Until(t, 20*time.Second, "not one version at all hosts, or one is pending", func() bool {
 		last = 0
 		for _, h := range trial.hosts {
-			schedule, ok := h.councilStatus()
-			if !ok || schedule.Rules.Pending > 0 || schedule.Rules.Wanted != "" || last > 0 && schedule.Rules.Version != last {
+			status, ok := h.councilStatus()
+			if !ok || status.Rules.Pending > 0 || status.Rules.Wanted != "" ||
+				last > 0 && status.Rules.Version != last {
 				return false
 			}
-			last = schedule.Rules.Version
+			last = status.Rules.Version
 		}
 		return true
 	})
@@ -872,7 +908,7 @@
 	trial.check(rules)
 }
 
-// hurts has an instance stand still for a while, or ends it, or lets it be.
+// injectFault stalls an instance for a while, kills it, or does nothing.
 func (trial *clusterTrial) injectFault(instance faultinject.Instance, rng *rand.Rand) {
 	switch stallTime := time.Duration(100+rng.Intn(1500)) * time.Millisecond; rng.Intn(4) {
 	case 0:
@@ -890,7 +926,7 @@
 	}
 }
 
-// known finds which of the wanted rules each version has, by its digest.
+// identifyVersions finds which of the proposed rules each version has, by digest.
 func (trial *clusterTrial) identifyVersions(rules map[uint64]ruleset.Rules, proposed []ruleset.Rules) {
 	trial.t.Helper()
 	record, err := history.Read(trial.historyDir)
@@ -906,7 +942,8 @@
 	}
 }
 
-// How long it takes from a proposal until a version is in force, and until all instances go by it.
+// TestTimeToEnforce measures the time from a proposal until a version is in force, and until all instances
+// apply it.
 func TestTimeToEnforce(t *testing.T) {
 	requireLong(t)
 	for _, perHost := range []int{1, 7, 33} {
@@ -918,8 +955,8 @@
 			t.Logf("from nothing to %d leased: %v", 3*perHost, time.Since(began).Round(time.Millisecond))
 			trial := &clusterTrial{testCluster: c}
 			var limitTimes, allTimes, quotaTimes []float64
-			waitNoPreviousVersion := func() { // eight that may be fallen back to are as many as the council lets come together
-				faultinject.Until(t, 10*time.Second, "no version before may be gone by", func() bool {
+			waitNoPreviousVersion := func() { // the leader admits eight versions that instances may fall back to
+				faultinject.Until(t, 10*time.Second, "an earlier version may still be applied", func() bool {
 					s, ok := c.hosts[0].councilStatus()
 					return ok && len(s.Rules.Held) == 0
 				})
@@ -942,8 +979,9 @@
 			for _, s := range [][]float64{quotaTimes, limitTimes, allTimes} {
 				slices.Sort(s)
 			}
-			for what, s := range map[string][]float64{"a quota in force": quotaTimes, "a ceiling in force": limitTimes,
-				"all by it": allTimes} {
+			for what, s := range map[string][]float64{"a quota in force": quotaTimes,
+				"a rate limit in force": limitTimes,
+				"applied by all":        allTimes} {
 				t.Logf("%d instances: %s after %.0f ms (median; %.0f to %.0f)", 3*perHost, what, s[3], s[0], s[5])
 			}
 		})
--- a/internal/supervisor/cluster_test.go
+++ b/internal/supervisor/cluster_test.go
@@ -19,8 +19,9 @@
 	"willowdeck/internal/testkit/faultinject"
 )
 
-// assembly is several hosts' daemons, each with its instances, before stand-ins: all of them real processes.
-// Each host has an address of its own; what goes between daemons, and between instances, goes through relays.
+// testCluster is several hosts' daemons with their instances, all real processes, and fake workers. Each host
+// has its own loopback address; traffic between daemons, and between instances, passes through proxies that
+// can cut it.
 type testCluster struct {
 	t           *testing.T
 	dir         string
@@ -29,12 +30,13 @@
 	workers     []*fakes.Worker
 	discovery   *fakes.Discovery
 	historyDir  string
-	basePort    int  // port of each host's first
-	memberSlots int  // that ports are kept for
-	unproxied   bool // instances speak to each other without relays
+	basePort    int  // the first port of each host
+	memberSlots int  // positions that ports are reserved for
+	unproxied   bool // traffic between instances does not pass through proxies
 	rules       ruleset.Rules
 }
 
+// testHost is one host of a testCluster.
 type testHost struct {
 	*faultinject.Process
 	cluster        *testCluster
@@ -45,16 +47,22 @@
 	raftAddress    string
 }
 
-// assemble prepares n hosts with k instances each; ports are kept for more.
+// newTestCluster prepares so many hosts with so many instances each; ports are reserved for one more instance
+// on each.
 func newTestCluster(t *testing.T, hosts, perHost int, change func(*ruleset.Rules)) *testCluster {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "wdc") // sockets' paths are short
+	dir, err := os.MkdirTemp("", "wdc") // paths of Unix sockets have to be short
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	c := &testCluster{t: t, dir: dir, network: faultinject.NewNet(t, 1), historyDir: filepath.Join(dir, "records"),
-		memberSlots: hosts * (perHost + 1)}
+	c := &testCluster{
+		t:           t,
+		dir:         dir,
+		network:     faultinject.NewNet(t, 1),
+		historyDir:  filepath.Join(dir, "records"),
+		memberSlots: hosts * (perHost + 1),
+	}
 	if err := os.Mkdir(c.historyDir, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -79,8 +87,14 @@
 			{Name: "capped", Rate: 200, Burst: 200, CeilingRate: limitRate, CeilingDepth: limitBurst}}}
 	for i := range hosts {
 		ip := fmt.Sprintf("127.0.0.%d", 2+i)
-		h := &testHost{cluster: c, name: fmt.Sprintf("h%d", i), ip: ip, dir: filepath.Join(dir, fmt.Sprintf("h%d", i)),
-			controlAddress: fmt.Sprintf("%s:%d", ip, c.basePort), raftAddress: fmt.Sprintf("%s:%d", ip, c.basePort+1)}
+		h := &testHost{
+			cluster:        c,
+			name:           fmt.Sprintf("h%d", i),
+			ip:             ip,
+			dir:            filepath.Join(dir, fmt.Sprintf("h%d", i)),
+			controlAddress: fmt.Sprintf("%s:%d", ip, c.basePort),
+			raftAddress:    fmt.Sprintf("%s:%d", ip, c.basePort+1),
+		}
 		c.hosts = append(c.hosts, h)
 		for range perHost {
 			c.rules.Members = append(c.rules.Members, c.newMember(h, len(c.rules.Members)))
@@ -96,13 +110,13 @@
 	return c
 }
 
-// member is one of a host's, at a place.
+// newMember returns the member at a position, on a host.
 func (c *testCluster) newMember(h *testHost, slot int) ruleset.Member {
 	return ruleset.Member{Name: fmt.Sprintf("g%d", slot), Host: h.name,
 		Peers: fmt.Sprintf("%s:%d", h.ip, c.basePort+2+3*c.memberSlots+slot)}
 }
 
-// prepare writes a host's files: its own and what its instances are told.
+// writeFiles writes a host's fleet.toml, rules file and gateway configuration.
 func (h *testHost) writeFiles() {
 	c := h.cluster
 	c.t.Helper()
@@ -128,7 +142,7 @@
 			fmt.Fprintf(&text, "%q = %q\n", other.raftAddress, c.network.Stream(h.name, other.name, other.raftAddress))
 		}
 	}
-	for slot := range c.memberSlots { // whoever may come to be
+	for slot := range c.memberSlots { // also for members that are added later
 		name := fmt.Sprintf("g%d", slot)
 		i := slices.IndexFunc(c.rules.Members, func(m ruleset.Member) bool { return m.Name == name })
 		if i < 0 || c.rules.Members[i].Host != h.name || c.unproxied {
@@ -150,6 +164,7 @@
 	h.writeRules(c.rules)
 }
 
+// placeMember tells the network a member's address.
 func (c *testCluster) placeMember(name string) {
 	for _, member := range c.rules.Members {
 		if member.Name == name {
@@ -158,7 +173,7 @@
 	}
 }
 
-// write writes a host's rules' file.
+// writeRules writes a host's rules file.
 func (h *testHost) writeRules(rules ruleset.Rules) {
 	h.cluster.t.Helper()
 	text, err := rulefile.Encode(&rules)
@@ -182,10 +197,18 @@
 // start starts a host's daemon.
 func (h *testHost) start() {
 	h.cluster.t.Helper()
-	h.Process = faultinject.Start(h.cluster.t, faultinject.Spec{Name: h.name, Program: gatewayProgram(h.cluster.t), Dir: h.dir,
-		Args: []string{"fleet", "--file", "fleet.toml"}, Env: []string{"WILLOWDECK_HISTORY=" + h.cluster.historyDir}})
+	h.Process = faultinject.Start(
+		h.cluster.t,
+		faultinject.Spec{Name: h.name, Program: gatewayProgram(h.cluster.t), Dir: h.dir,
+			Args: []string{
+				"fleet",
+				"--file",
+				"fleet.toml",
+			}, Env: []string{"WILLOWDECK_HISTORY=" + h.cluster.historyDir}},
+	)
 }
 
+// start starts all daemons.
 func (c *testCluster) start() {
 	c.t.Helper()
 	for _, h := range c.hosts {
@@ -193,24 +216,27 @@
 	}
 }
 
-// sitting asks a host's daemon how the council stands; false where it does not say.
+// councilStatus returns /fleet/council of a host's daemon; false if it does not answer.
 func (h *testHost) councilStatus() (status CouncilStatus, ok bool) {
 	page, err := faultinject.Ask(h.controlAddress, "/fleet/council")
 	return status, err == nil && json.Unmarshal([]byte(page), &status) == nil
 }
 
+// runDir is the host's run directory.
 func (h *testHost) runDir() string { return filepath.Join(h.dir, "run") }
 
-// figures are what an instance says of the rules that it goes by.
+// ruleStats are the figures of an instance on the rules that it applies.
 type ruleStats struct{ version, mode, members int64 }
 
+// readRuleStats reads an instance's ruleStats; false if it does not answer.
 func readRuleStats(instance faultinject.Instance) (stats ruleStats, ok bool) {
 	page, err := faultinject.Ask(instance.Control, "/admin/stats")
 	if err != nil {
 		return stats, false
 	}
-	for key, value := range map[string]*int64{"svc.rules.version=": &stats.version, "svc.rules.mode=": &stats.mode,
-		"svc.members=": &stats.members} {
+	for key, value := range map[string]*int64{"svc.rules.version=": &stats.version,
+		"svc.rules.mode=": &stats.mode,
+		"svc.members=":    &stats.members} {
 		_, after, found := strings.Cut("\n"+page, "\n"+key)
 		if !found {
 			return stats, false
@@ -220,7 +246,8 @@
 	return stats, true
 }
 
-// until waits for all instances of some hosts to go by a version, leased.
+// waitVersion waits until so many instances of some hosts apply a version under a lease, and returns how long
+// that took.
 func (c *testCluster) waitVersion(version int64, instances int, hosts ...*testHost) time.Duration {
 	c.t.Helper()
 	start, observed := time.Now(), ""
@@ -252,7 +279,7 @@
 	return 0
 }
 
-// leader gives the host whose daemon leads.
+// leader returns the host whose daemon leads the raft group.
 func (c *testCluster) leader() *testHost {
 	c.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -269,8 +296,8 @@
 	return nil
 }
 
-// Three daemons agree, their instances go by each version, and a daemon that is killed leaves its own to the
-// fallback and then bare; back, they are leased again.
+// TestCouncilAgreement has three daemons agree on versions that their instances apply. The instances of a
+// killed daemon use the fallback, then no rules, and get a lease again when it is back.
 func TestCouncilAgreement(t *testing.T) {
 	t.Parallel()
 	c := newTestCluster(t, 3, 2, nil)
@@ -284,22 +311,22 @@
 	c.waitVersion(2, 6, c.hosts...)
 	t.Logf("a quota: from the proposal to all: %v", time.Since(began))
 	rules.Plans = slices.Clone(rules.Plans)
-	rules.Plans[1].CeilingRate, rules.Plans[1].CeilingDepth = limitRate/4, limitBurst/4 // the fallback's half is more
+	rules.Plans[1].CeilingRate, rules.Plans[1].CeilingDepth = limitRate/4, limitBurst/4 // under the fallback's
 	began = time.Now()
 	c.hosts[2].propose(rules)
 	c.waitVersion(3, 6, c.hosts...)
-	t.Logf("a ceiling down beyond the fallback: %v", time.Since(began))
+	t.Logf("a rate limit lowered below the fallback's: %v", time.Since(began))
 	c.hosts[0].propose(ruleset.Rules{Form: ruleset.Form})
 	time.Sleep(100 * time.Millisecond)
 	if s, ok := c.hosts[0].councilStatus(); !ok || s.Rules.Version != 3 || s.Rules.Pending != 0 {
-		t.Errorf("rules that are wrong change something: %+v", s)
+		t.Errorf("invalid rules change something: %+v", s)
 	}
 	killed := c.leader()
 	if err := killed.Kill(); err != nil {
 		t.Fatal(err)
 	}
 	instances := faultinject.Instances(killed.runDir())
-	faultinject.Until(t, 5*time.Second, "its instances are cut off", func() bool {
+	faultinject.Until(t, 5*time.Second, "its instances are not cut off", func() bool {
 		for _, i := range instances {
 			if f, ok := readRuleStats(i); !ok || f.mode != int64(ruleset.CutOff) {
 				return false
@@ -326,8 +353,8 @@
 	t.Logf("a daemon killed and started: leased again after %v", c.waitVersion(4, 6, c.hosts...))
 }
 
-// What is wrong in the file of a council is named by its line or key, and nothing is started. Rules that are
-// wrong keep only a daemon from starting that has carried out none yet.
+// TestInvalidCouncilSettings checks that what is wrong in the file of a voter is named by line or key, and
+// that nothing is started. Invalid rules prevent the start only of a daemon that has applied none yet.
 func TestInvalidCouncilSettings(t *testing.T) {
 	c := newTestCluster(t, 2, 1, nil)
 	h := c.hosts[0]
@@ -343,17 +370,17 @@
 	cases := []struct{ name, old, new, says string }{
 		{"an unknown key", "found = true", "found = true\nlost = true", "council.lost: unknown key"},
 		{"a number of instances", "step = 2", "step = 2\ninstances = 3", "instances: the rules"},
-		{"addresses of peers", "step = 2", "step = 2\npeers = \"127.0.0.1:1\"", "peers: the rules"},
-		{"a host that is none", "me = \"h0\"", "me = \"h9\"", "council.me"},
+		{"a peer address", "step = 2", "step = 2\npeers = \"127.0.0.1:1\"", "peers: the rules"},
+		{"an unknown host", "me = \"h0\"", "me = \"h9\"", "council.me"},
 		{"a host twice", "name = \"h1\"", "name = \"h0\"", "council.hosts.1.name"},
-		{"an address that is none", c.hosts[1].raftAddress, "there", "council.hosts.1.address"},
+		{"an invalid address", c.hosts[1].raftAddress, "there", "council.hosts.1.address"},
 		{"no store", "store/council.db", "", "council.store"},
-		{"no rules", "rules.toml", "none.toml", "council.rules"},
-		{"a way that is none", "[reach.g0]", "[reach.g0]\n\"here\" = \"127.0.0.1:1\"", "reach.g0"},
+		{"no rules file", "rules.toml", "none.toml", "council.rules"},
+		{"an invalid override", "[reach.g0]", "[reach.g0]\n\"here\" = \"127.0.0.1:1\"", "reach.g0"},
 	}
 	for _, test := range cases {
 		if !strings.Contains(string(raw), test.old) {
-			t.Fatalf("%s changes nothing", test.name)
+			t.Fatalf("the case %s changes nothing", test.name)
 		}
 		os.WriteFile(file, []byte(strings.Replace(string(raw), test.old, test.new, 1)), 0o600)
 		if f, err := LoadSettings(file); err == nil || f != nil || !strings.Contains(err.Error(), test.says) {
@@ -365,10 +392,10 @@
 		{"an unknown key of a rule", "lease_ms", "leash_ms", "leash_ms"},
 		{"a lease beyond the bound", "lease_ms = 1000.0", "lease_ms = 1990.0", "lease_ms"},
 		{"two of a name", `name = "g1"`, `name = "g0"`, "members.1.name"},
-		{"a plan that the configuration has not", `name = "basic"`, `name = "cheap"`, "plans.cheap"},
+		{"a plan that the configuration lacks", `name = "basic"`, `name = "cheap"`, "plans.cheap"},
 	} {
 		if !strings.Contains(string(text), test.old) {
-			t.Fatalf("%s changes nothing:\n%s", test.name, text)
+			t.Fatalf("the case %s changes nothing:\n%s", test.name, text)
 		}
 		os.WriteFile(rules, []byte(strings.Replace(string(text), test.old, test.new, 1)), 0o600)
 		f, err := LoadSettings(file)
@@ -393,6 +420,6 @@
 	os.WriteFile(rules, []byte("lease_ms = 1"), 0o600)
 	f, err := LoadSettings(file)
 	if err != nil || f.restoreAppliedRules() != nil || len(f.Instances) != 1 || f.fleetSize != 2 {
-		t.Errorf("a daemon that knows rules does not go on with them: %v, %+v", err, f)
+		t.Errorf("a daemon with applied rules does not start with them: %v, %+v", err, f)
 	}
 }
--- a/internal/supervisor/control_cost_test.go
+++ b/internal/supervisor/control_cost_test.go
@@ -29,7 +29,7 @@
 	commit     = flag.String("commit", "", "that the file is to name")
 )
 
-// fixed is a voice that says what it is given, as old as a daemon's word below relays is.
+// fixedSource is a rulesSource with a given lease, as old as one below relays is.
 type fixedSource struct {
 	mu    sync.Mutex
 	lease ruleset.Lease
@@ -83,8 +83,18 @@
 	for _, members := range []int{20, 300, 1000, 3000, 7900} {
 		for _, distribution := range []string{"none", "direct", "relays"} {
 			for _, figure := range measureControlCost(t, members, distribution) {
-				_ = w.Write([]string{"TestControlCost", *commit, distribution, strconv.Itoa(members), "gatekeeper", figure.name, figure.unit,
-					strconv.FormatFloat(figure.value, 'g', 4, 64)})
+				_ = w.Write(
+					[]string{
+						"TestControlCost",
+						*commit,
+						distribution,
+						strconv.Itoa(members),
+						"gatekeeper",
+						figure.name,
+						figure.unit,
+						strconv.FormatFloat(figure.value, 'g', 4, 64),
+					},
+				)
 				t.Logf("%5d members, %-6s: %s = %.4g %s", members, distribution, figure.name, figure.value, figure.unit)
 			}
 			w.Flush()
@@ -92,14 +102,16 @@
 	}
 }
 
+// controlCost is one measured figure.
 type controlCost struct {
 	name, unit string
 	value      float64
 }
 
-// measured runs a gatekeeper for some seconds in which nothing changes, and for some in which a version comes
-// each half second.
+// measureControlCost runs a gateway for some seconds without a change, and for some with a version each half
+// second.
 func measureControlCost(t *testing.T, members int, distribution string) (figures []controlCost) {
+	t.Helper()
 	const idleTime, changeInterval, versions = 4 * time.Second, 500 * time.Millisecond, 6
 	dir := t.TempDir()
 	worker, err := fakes.NewWorker("w0", 5*time.Millisecond)
@@ -113,7 +125,9 @@
 	}
 	defer discovery.Close()
 	f := &testFleet{t: t, dir: dir, discovery: discovery}
-	f.writeGatewayConfig(map[string]any{"me": members / 2, "balancers": members, "family_info": map[string]any{"largest": 1}})
+	f.writeGatewayConfig(
+		map[string]any{"me": members / 2, "balancers": members, "family_info": map[string]any{"largest": 1}},
+	)
 	port := faultinject.Ports(t, 3)
 	raw, err := os.ReadFile(filepath.Join(dir, "gatekeeper.json"))
 	if err != nil {
@@ -142,7 +156,10 @@
 	}
 	source.lease.Version.Rules = rules
 	source.publish(1, 500)
-	daemon := &Daemon{log: zerolog.Nop(), rules: &rulesParticipant{rulesSource: source, publisher: newPublisher("till")}}
+	daemon := &Daemon{
+		log:   zerolog.Nop(),
+		rules: &rulesParticipant{rulesSource: source, publisher: newPublisher("till")},
+	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+lifecycle.LeasePath, daemon.handleLease)
 	if distribution == "relays" {
@@ -155,8 +172,11 @@
 	if distribution != "none" {
 		env = append(env, "WILLOWDECK_AGREE="+strings.TrimPrefix(server.URL, "http://"))
 	}
-	process := faultinject.Start(t, faultinject.Spec{Name: "g", Program: gatewayProgram(t), Dir: dir, Args: []string{"serve"},
-		Env: env})
+	process := faultinject.Start(
+		t,
+		faultinject.Spec{Name: "g", Program: gatewayProgram(t), Dir: dir, Args: []string{"serve"},
+			Env: env},
+	)
 	defer func() { _ = process.Kill() }()
 	daemon.instanceByPID.Store(process.Pid(), fmt.Sprintf("g%d", members/2))
 	if err := faultinject.Healthy(control, 10*time.Second); err != nil {
@@ -170,12 +190,12 @@
 		if distribution == "none" {
 			return
 		}
-		faultinject.Until(t, 10*time.Second, "not by the version", func() bool {
+		faultinject.Until(t, 10*time.Second, "it does not apply the version", func() bool {
 			return figure("version") == float64(version)
 		})
 	}
 	waitVersion(1)
-	time.Sleep(2 * time.Second) // what a start costs is told apart
+	time.Sleep(2 * time.Second) // what the start costs is measured apart
 	type sample struct{ in, out, cpu, work, wall float64 }
 	takeSample := func() sample {
 		return sample{figure("bytes_in"), figure("bytes_out"), cpuMillis(t, process.Pid()), figure("work_us"),
@@ -199,7 +219,7 @@
 		}
 		waitVersion(1 + versions)
 		changed := takeSample()
-		timeRatio := (changed.wall - start.wall) / 1000 / span // of what the same time costs with no change
+		timeRatio := (changed.wall - start.wall) / 1000 / span // of what the same time costs without a change
 		add("change_bytes", "B", ((changed.in-start.in)-timeRatio*(end.in-idleStart.in))/versions)
 		add("change_cpu", "ms", ((changed.cpu-start.cpu)-timeRatio*(end.cpu-idleStart.cpu))/versions)
 	}
@@ -207,15 +227,16 @@
 	return figures
 }
 
-// processor is what a process has used of cores since its start, ms.
+// cpuMillis returns the processor time that a process has used since its start.
 func cpuMillis(t *testing.T, pid int) (total float64) {
+	t.Helper()
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no schedstat of %d: %v", pid, err)
+		t.Fatalf("no schedstat of process %d: %v", pid, err)
 	}
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
-		if err != nil { // a thread that has ended
+		if err != nil { // the thread has ended
 			continue
 		}
 		ns, err := strconv.ParseFloat(strings.Fields(string(raw))[0], 64)
@@ -227,8 +248,9 @@
 	return total
 }
 
-// resident is a process's memory, MB.
+// residentMegabytes returns the resident memory of a process.
 func residentMegabytes(t *testing.T, pid int) float64 {
+	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/supervisor/daemon_test.go
+++ b/internal/supervisor/daemon_test.go
@@ -32,7 +32,7 @@
 	instanceCount     = flag.Int("instances", 5, "how many there are")
 )
 
-// deployed is a fleet of real processes on loopback before stand-ins.
+// testFleet is one host's fleet of real processes on loopback with fake workers.
 type testFleet struct {
 	t            *testing.T
 	dir          string
@@ -43,11 +43,12 @@
 	maxInstances int
 }
 
-// program builds the gatekeeper once.
+// gatewayProgram builds the gateway once, and returns the path of the program.
 var gatewayProgram = func() func(t *testing.T) string {
 	built := ""
 	var mu sync.Mutex
 	return func(t *testing.T) string {
+		t.Helper()
 		mu.Lock()
 		defer mu.Unlock()
 		if built == "" {
@@ -68,9 +69,10 @@
 
 const limitRate, limitBurst = 40.0, 20.0
 
+// newTestFleet prepares a fleet of so many instances, at most.
 func newTestFleet(t *testing.T, n int) *testFleet {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "wdf") // sockets' paths are short
+	dir, err := os.MkdirTemp("", "wdf") // paths of Unix sockets have to be short
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,7 +103,7 @@
 	return f
 }
 
-// config writes what all instances are told.
+// writeGatewayConfig writes the configuration that all instances share.
 func (f *testFleet) writeGatewayConfig(overrides map[string]any) {
 	settings := map[string]any{"me": 0, "balancers": 1,
 		"classes": []map[string]any{
@@ -119,25 +121,31 @@
 	for k, v := range overrides {
 		settings[k] = v
 	}
-	raw, err := json.Marshal(map[string]any{"discovery": f.discovery.At, "seed": "5", "known": f.discovery.List(),
-		"limits": map[string]any{"sockets": 256, "memory_mb": 64}, "settings": settings})
+	raw, err := json.Marshal(
+		map[string]any{"discovery": f.discovery.At, "seed": "5", "known": f.discovery.List(),
+			"limits": map[string]any{"sockets": 256, "memory_mb": 64}, "settings": settings},
+	)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	os.WriteFile(filepath.Join(f.dir, "gatekeeper.json"), raw, 0o600)
 }
 
+// writeFleetFile writes a fleet.toml with so many instances and extra keys.
 func (f *testFleet) writeFleetFile(instances int, extra string) {
 	at := func(i int) string { return fmt.Sprintf("\"127.0.0.1:%d\"", f.basePort+i) }
 	text := strings.Join([]string{"name = \"g\"", fmt.Sprintf("instances = %d", instances),
 		fmt.Sprintf("program = %q", gatewayProgram(f.t)), "config = \"gatekeeper.json\"", "run_dir = \"run\"",
-		"control = " + at(0), "listen = " + at(1), "operators = " + at(1+f.maxInstances), "peers = " + at(1), "step = 2", extra,
+		"control = " + at(
+			0,
+		), "listen = " + at(1), "operators = " + at(1+f.maxInstances), "peers = " + at(1), "step = 2", extra,
 		"[restart]", "first_ms = 50", "most_ms = 500", "calm_s = 5", ""}, "\n")
 	if err := os.WriteFile(f.file, []byte(text), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
+// startDaemon starts a daemon by the fleet.toml.
 func (f *testFleet) startDaemon() *Daemon {
 	f.t.Helper()
 	settings, err := LoadSettings(f.file)
@@ -151,7 +159,7 @@
 	return daemon
 }
 
-// until waits for all that are wanted to be ready, with what is wanted.
+// waitReady waits until so many instances are ready with the desired configuration.
 func (f *testFleet) waitReady(daemon *Daemon, ready int) {
 	f.t.Helper()
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -165,9 +173,10 @@
 			return
 		}
 	}
-	f.t.Fatalf("not %d are ready: %+v", ready, daemon.Statuses())
+	f.t.Fatalf("not %d instances are ready: %+v", ready, daemon.Statuses())
 }
 
+// targets returns the client addresses of the first n instances.
 func (f *testFleet) targets(n int) (addresses []string) {
 	for i := range n {
 		addresses = append(addresses, fmt.Sprintf("127.0.0.1:%d", f.basePort+1+i))
@@ -175,8 +184,9 @@
 	return addresses
 }
 
-// beyond tells by how many units sends went beyond the ceiling. The slack is what its rate gives in 500
-// ms: the rule's 150, and what a busy machine may bunch on the way to a worker, where they are seen.
+// unitsOverLimit returns by how many units the sends exceeded the rate limit. The slack is what its rate
+// gives in 500 ms: the 150 ms of the requirement, and what a busy machine may bunch on the way to a worker,
+// where they are observed.
 func unitsOverLimit(sentAt []time.Time) (worst float64) {
 	slices.SortFunc(sentAt, time.Time.Compare)
 	capacity := limitBurst + limitRate*0.5
@@ -191,9 +201,9 @@
 	return worst
 }
 
-// Instances are killed at random under load and come back, a reload replaces all of them meanwhile, and
-// half fall at once. Counted from the workers' own records: no once-only txn runs twice, and no customer
-// goes beyond its ceiling by more than the stated slack.
+// TestChaos kills instances at random under load, and half of them at once, and replaces all by a reload
+// meanwhile. By the workers' own records no non-idempotent request runs twice, and no customer exceeds its
+// rate limit by more than the stated slack.
 func TestChaos(t *testing.T) {
 	f := newTestFleet(t, *instanceCount)
 	f.writeFleetFile(*instanceCount, fmt.Sprintf("remember = %t", *crashStateEnabled))
@@ -203,17 +213,28 @@
 	var arrivals []workload.Arrival
 	span := float64(*chaosDuration / time.Millisecond)
 	for at := 0.0; at < span; at += 6 {
-		arrival := workload.Arrival{At: at, Customer: len(arrivals) % 7, Product: len(arrivals) % 3, Units: 1, Set: len(arrivals)}
-		if len(arrivals)%2 == 0 { // one customer that asks for twice its ceiling, at all gatekeepers
+		arrival := workload.Arrival{
+			At:       at,
+			Customer: len(arrivals) % 7,
+			Product:  len(arrivals) % 3,
+			Units:    1,
+			Set:      len(arrivals),
+		}
+		if len(arrivals)%2 == 0 { // one customer asks for twice its rate limit, at all gateways
 			arrival.Customer, arrival.Plan = 100, 1
 		}
 		arrivals = append(arrivals, arrival)
 	}
-	job := &loadgen.Job{Arrivals: arrivals, Targets: f.targets(f.maxInstances), Spread: f.maxInstances, Plans: []string{"basic", "capped"},
-		Most: 2000,
+	job := &loadgen.Job{
+		Arrivals: arrivals,
+		Targets:  f.targets(f.maxInstances),
+		Spread:   f.maxInstances,
+		Plans:    []string{"basic", "capped"},
+		Most:     2000,
 		Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond},
 			{Name: "sale", Repeat: "referenced", Waits: 400 * time.Millisecond, Body: 20},
-			{Name: "issue", Repeat: "once", Waits: 400 * time.Millisecond, Body: 20}}}
+			{Name: "issue", Repeat: "once", Waits: 400 * time.Millisecond, Body: 20}},
+	}
 	done := make(chan *loadgen.Report, 1)
 	go func() {
 		process, err := job.Run(context.Background())
@@ -234,27 +255,28 @@
 		}
 		daemon.mu.Lock()
 		for _, s := range daemon.reconciler.Statuses() {
-			half := tick%20 == 10 // half of them at one moment, in the middle of it
-			if process := daemon.processes[s.ProcessNumber]; process != nil && (half && rng.Intn(2) == 0 || !half && rng.Intn(4*f.maxInstances) == 0) {
+			half := tick%20 == 10 // half of them at once, in the middle
+			if process := daemon.processes[s.ProcessNumber]; process != nil &&
+				(half && rng.Intn(2) == 0 || !half && rng.Intn(4*f.maxInstances) == 0) {
 				syscall.Kill(process.PID, syscall.SIGKILL)
 				kills++
 			}
 		}
 		daemon.mu.Unlock()
 		if tick == 15 {
-			f.writeGatewayConfig(map[string]any{"weight_source": "none"}) // another text, the same sense
+			f.writeGatewayConfig(map[string]any{"weight_source": "none"}) // another text with the same meaning
 			daemon.Reload(LoadSettings(f.file))
 		}
 	}
 	f.waitReady(daemon, f.maxInstances)
 	ran := map[string]int{}
-	var capped []time.Time // what was sent of the customer with a ceiling
+	var capped []time.Time // when requests of the rate-limited customer were sent
 	total := 0
 	for _, worker := range f.workers {
 		for _, got := range worker.Got() {
 			total++
 			if ran[got.ID]++; got.Product == "issue" && ran[got.ID] > 1 {
-				t.Errorf("once-only %s was run %d times", got.ID, ran[got.ID])
+				t.Errorf("non-idempotent %s ran %d times", got.ID, ran[got.ID])
 			}
 			n := 0
 			_, query, _ := strings.Cut(got.Target, "?n=")
@@ -265,7 +287,7 @@
 	}
 	over := unitsOverLimit(capped)
 	if over > 0 || len(capped) < 20 {
-		t.Errorf("%.1f units beyond the ceiling, of %d", over, len(capped))
+		t.Errorf("%.1f units over the rate limit, of %d", over, len(capped))
 	}
 	settled := int64(0)
 	for _, n := range report.Counts {
@@ -275,7 +297,7 @@
 	for _, s := range daemon.Statuses() {
 		restarts += s.Restarts
 	}
-	t.Logf("%d kills, %d restarts, %d asked, %d settled, %d sent to workers, %d under the ceiling",
+	t.Logf("%d kills, %d restarts, %d asked, %d settled, %d sent to workers, %d under the rate limit",
 		kills, restarts, len(arrivals),
 		settled, total, len(capped))
 	if kills < 3 || restarts < kills/2 || settled < int64(len(arrivals))/2 {
@@ -283,7 +305,8 @@
 	}
 }
 
-// The number of instances changes in service; one that is taken away ends, and its port is free.
+// TestScaleUpAndDown changes the number of instances while they serve; one that is removed stops, and its
+// port is free.
 func TestScaleUpAndDown(t *testing.T) {
 	f := newTestFleet(t, 4)
 	f.writeFleetFile(2, "")
@@ -307,7 +330,7 @@
 		}
 	}
 	resize(4)
-	// All reckon with four: a set of four is taken by each, under one ceiling.
+	// All count four members: each takes a set of four, under one rate limit.
 	var arrivals []workload.Arrival
 	for i := range 600 {
 		arrivals = append(arrivals, workload.Arrival{At: float64(i * 3), Customer: 100, Plan: 1, Units: 1, Set: i})
@@ -324,8 +347,9 @@
 		capped = append(capped, got.At)
 	}
 	c := report.Counts["check"]
-	if over := unitsOverLimit(capped); over > 0 || len(capped) < 30 || c[loadgen.Voided]+c[loadgen.NoAnswer] > 0 {
-		t.Errorf("%.1f units beyond the ceiling, of %d; %v", over, len(capped), c)
+	if over := unitsOverLimit(capped); over > 0 || len(capped) < 30 ||
+		c[loadgen.Voided]+c[loadgen.NoAnswer] > 0 {
+		t.Errorf("%.1f units over the rate limit, of %d; %v", over, len(capped), c)
 	}
 	resize(1)
 	time.Sleep(200 * time.Millisecond)
@@ -357,10 +381,11 @@
 		}
 	}
 	daemon.Reload(nil, fmt.Errorf("unreadable"))
-	f.waitReady(daemon, 1) // the old one stays in force
+	f.waitReady(daemon, 1) // the old settings stay in force
 }
 
-// A daemon that is gone leaves its instances serving; the next one finds them, and can replace and end them.
+// TestDaemonRestartAdoptsInstances checks that the instances of a killed daemon go on, and that the next
+// daemon adopts, replaces and stops them.
 func TestDaemonRestartAdoptsInstances(t *testing.T) {
 	f := newTestFleet(t, 2)
 	first := f.startDaemon()
@@ -370,7 +395,7 @@
 	for _, process := range first.processes {
 		pids[process.PID] = true
 	}
-	close(first.allStopped) // as if it were killed: it looks at nothing any more
+	close(first.allStopped) // as if it were killed: its loop ends
 	first.mu.Unlock()
 	<-first.loopEnded
 	for _, slot := range first.slots {
@@ -382,7 +407,7 @@
 	second.mu.Lock()
 	for _, process := range second.processes {
 		if !pids[process.PID] {
-			t.Errorf("%s was started anew", process.Instance)
+			t.Errorf("%s was started again", process.Instance)
 		}
 	}
 	second.mu.Unlock()
@@ -398,7 +423,7 @@
 	}
 }
 
-// What is wrong in a fleet's file is named by its line or key, and nothing is started.
+// TestInvalidFleetFile checks that what is wrong in a fleet.toml is named by line or key.
 func TestInvalidFleetFile(t *testing.T) {
 	f := newTestFleet(t, 3)
 	raw, err := os.ReadFile(f.file)
@@ -408,18 +433,18 @@
 	good := string(raw)
 	control := fmt.Sprintf("control = \"127.0.0.1:%d\"", f.basePort)
 	cases := []struct{ name, old, new, says string }{
-		{"no TOML", "instances = 3", "instances =", "line 2"},
+		{"invalid TOML", "instances = 3", "instances =", "line 2"},
 		{"unknown key", "instances = 3", "instances = 3\ncolour = 1", "colour: unknown key"},
-		{"none", "instances = 3", "instances = 0", "instances"},
-		{"a port twice", control, fmt.Sprintf("control = \"127.0.0.1:%d\"", f.basePort+2), "listen"},
-		{"no address", control, "control = \"here\"", "control"},
+		{"no instance", "instances = 3", "instances = 0", "instances"},
+		{"a port in two ranges", control, fmt.Sprintf("control = \"127.0.0.1:%d\"", f.basePort+2), "listen"},
+		{"an invalid address", control, "control = \"here\"", "control"},
 		{"ports beyond the last", fmt.Sprintf("operators = \"127.0.0.1:%d\"", f.basePort+4),
 			"operators = \"127.0.0.1:65533\"", "operators"},
 		{"no configuration", "gatekeeper.json", "none.json", "config: open"},
-		{"more memory than there is", "step = 2", "step = 2\n[host]\nmemory_mb = 100", "host.memory_mb"},
-		{"more descriptors than there are", "step = 2", "step = 2\n[host]\nsockets = 100", "host.sockets"},
-		{"a bound under the first pause", "most_ms = 500", "most_ms = 5", "restart.most_ms"},
-		{"no step", "step = 2", "step = 0", "step"},
+		{"more memory than the host has", "step = 2", "step = 2\n[host]\nmemory_mb = 100", "host.memory_mb"},
+		{"more sockets than the host has", "step = 2", "step = 2\n[host]\nsockets = 100", "host.sockets"},
+		{"a bound under the initial backoff", "most_ms = 500", "most_ms = 5", "restart.most_ms"},
+		{"no replacement at once", "step = 2", "step = 0", "step"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -427,7 +452,8 @@
 				t.Fatal("the case changes nothing")
 			}
 			os.WriteFile(f.file, []byte(strings.Replace(good, c.old, c.new, 1)), 0o600)
-			if settings, err := LoadSettings(f.file); err == nil || settings != nil || !strings.Contains(err.Error(), c.says) ||
+			if settings, err := LoadSettings(f.file); err == nil || settings != nil ||
+				!strings.Contains(err.Error(), c.says) ||
 				!strings.HasPrefix(err.Error(), f.file) {
 				t.Errorf("got %v, want %q", err, c.says)
 			}
@@ -436,12 +462,12 @@
 	os.WriteFile(f.file, []byte(good), 0o600)
 	os.WriteFile(filepath.Join(f.dir, "gatekeeper.json"), []byte(`{"settings":{"classes":[]}}`), 0o600)
 	if _, err := LoadSettings(f.file); err == nil || !strings.Contains(err.Error(), "settings.classes") {
-		t.Errorf("a configuration that a gatekeeper would refuse: %v", err)
+		t.Errorf("a configuration that a gateway would refuse: %v", err)
 	}
 }
 
-// What counts sends beyond a ceiling counts them: a part that two instances both take shows, an even
-// stream does not.
+// TestUnitsOverLimit checks the measure itself: a quota share that two instances both take exceeds the limit,
+// an even stream does not.
 func TestUnitsOverLimit(t *testing.T) {
 	var even, burst, twice []time.Time
 	start := time.Now()
@@ -455,8 +481,9 @@
 	}
 }
 
-// A worker drains, discovery falls silent, one instance is killed: it comes back with the list of its file,
-// in which the worker is well. Told by the others, it sends it nothing; without them it does.
+// TestRestartedInstanceBootstrapsFromPeers drains a worker, stops discovery and kills an instance, which
+// comes back with the endpoints of its file, where the worker is healthy. With endpoints from its peers it
+// sends that worker nothing; without them it does.
 func TestRestartedInstanceBootstrapsFromPeers(t *testing.T) {
 	for _, bootstrap := range []bool{true, false} {
 		f := newTestFleet(t, 3)
@@ -482,21 +509,27 @@
 			}
 		}
 		f.waitReady(daemon, 3)
-		time.Sleep(100 * time.Millisecond) // it is told within some ms; nothing waits for it
+		time.Sleep(100 * time.Millisecond) // bootstrap takes some ms, and nothing waits for it
 		before := len(f.workers[0].Got())
 		var arrivals []workload.Arrival
-		for i := range 300 { // the other two know of the drain
+		for i := range 300 { // the other two instances know of the drain
 			arrivals = append(arrivals, workload.Arrival{At: float64(i), Customer: i % 50, Units: 1, Set: i})
 		}
-		job := &loadgen.Job{Arrivals: arrivals, Targets: f.targets(3), Spread: 3, Plans: []string{"basic"}, Most: 100,
-			Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}}}
+		job := &loadgen.Job{
+			Arrivals: arrivals,
+			Targets:  f.targets(3),
+			Spread:   3,
+			Plans:    []string{"basic"},
+			Most:     100,
+			Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}},
+		}
 		process, err := job.Run(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
 		n := len(f.workers[0].Got()) - before
 		if settled := process.Counts["check"][loadgen.Settled]; settled < 100 || (n == 0) != bootstrap {
-			t.Errorf("told %v: %d settled, %d sent to the worker that drains", bootstrap, settled, n)
+			t.Errorf("bootstrap %t: %d settled, %d sent to the draining worker", bootstrap, settled, n)
 		}
 		daemon.Stop()
 	}
--- a/internal/supervisor/forecast_collector_test.go
+++ b/internal/supervisor/forecast_collector_test.go
@@ -18,7 +18,7 @@
 	"willowdeck/internal/policy"
 )
 
-// told1 is a word that is in order, of one of three gatekeepers.
+// encodeReport returns a valid report of one of three gateways, after a change of it.
 func encodeReport(number int, change func(*forecast.Word)) json.RawMessage {
 	report := &forecast.Word{Form: forecast.Form, Name: fmt.Sprintf("g%d", number), Host: "there", Hall: "east",
 		Group: "all", Number: number, Life: 4, Seq: 9, At: time.Now().UnixMilli(), Span: 10000,
@@ -36,30 +36,33 @@
 	return b
 }
 
-// What is wrong with a word is counted by kind and named in the log, the word is let alone, and those beside
-// it count.
+// TestInvalidNeighbourReports checks that an invalid report is counted by reason and logged, and that those
+// beside it are accepted.
 func TestInvalidNeighbourReports(t *testing.T) {
 	good := encodeReport(0, nil)
-	later := func(collector *forecast.Word) { collector.Seq = 10 }
+	later := func(report *forecast.Word) { report.Seq = 10 }
 	for _, test := range []struct {
 		why, says string
-		answer    any // told, or what is sent as it stands
+		answer    any // reports, or the answer's text
 		words     int
 	}{
-		{"version", "said by another version", []json.RawMessage{good, encodeReport(1, func(collector *forecast.Word) {
-			collector.Form = 9
+		{"version", "said by another version", []json.RawMessage{good, encodeReport(1, func(report *forecast.Word) {
+			report.Form = 9
 		})}, 1},
-		{"spoilt", "window: -1", []json.RawMessage{encodeReport(1, func(collector *forecast.Word) { collector.Window = -1 }), good}, 1},
+		{"spoilt", "window: -1",
+			[]json.RawMessage{encodeReport(1, func(report *forecast.Word) { report.Window = -1 }), good}, 1},
 		{"spoilt", "word:", []json.RawMessage{good, json.RawMessage(`{"Form":1,"At":"x"}`)}, 1},
 		{"spoilt", "unexpected end", "{", 0},
 		{"spoilt", "invalid character", `{"Form":1,"Host":"there","Words":[{"Form":1,"Window":NaN}]}`, 0},
 		{"spoilt", "0 ages for 1 words", `{"Form":1,"Host":"there","Words":[{"Form":1}]}`, 0},
 		{"spoilt", "age of -5 ms", `{"Form":1,"Host":"there","Words":[{"Form":1}],"Ages":[-5]}`, 0},
 		{"version", "form 2 of words", `{"Form":2,"Words":[]}`, 0},
-		{"stranger", "and so does g0 of there", []json.RawMessage{good, encodeReport(0, func(collector *forecast.Word) {
-			collector.Name, collector.Life = "intruder", 99
-		})}, 1},
-		{"ahead", "clock is", []json.RawMessage{good, encodeReport(1, func(collector *forecast.Word) { collector.At += 60000 })}, 1},
+		{"stranger", "and so does g0 of there",
+			[]json.RawMessage{good, encodeReport(0, func(report *forecast.Word) {
+				report.Name, report.Life = "intruder", 99
+			})}, 1},
+		{"ahead", "clock is",
+			[]json.RawMessage{good, encodeReport(1, func(report *forecast.Word) { report.At += 60000 })}, 1},
 		{"too_long", "over", strings.Repeat(" ", forecast.LongestWords+1), 0},
 		{"", "", []json.RawMessage{good, encodeReport(0, later), encodeReport(2, nil)}, 2},
 	} {
@@ -72,9 +75,15 @@
 			_ = json.NewEncoder(out).Encode(reportExchange{reportsFormat, "there", all, make([]float64, len(all))})
 		}))
 		var log bytes.Buffer
-		d := &Daemon{log: zerolog.New(&log), settings: &Settings{Name: "here", Region: "west", Forecast: defaultForecastSettings()}}
+		d := &Daemon{
+			log:      zerolog.New(&log),
+			settings: &Settings{Name: "here", Region: "west", Forecast: defaultForecastSettings()},
+		}
 		collector := d.newForecastCollector()
-		collector.collect(ForecastSettings{MaxReportAgeMillis: 10000, Neighbours: []string{s.Listener.Addr().String()}}, nil)
+		collector.collect(
+			ForecastSettings{MaxReportAgeMillis: 10000, Neighbours: []string{s.Listener.Addr().String()}},
+			nil,
+		)
 		s.Close()
 		collector.cancel()
 		var stats strings.Builder
@@ -87,42 +96,52 @@
 			t.Errorf("counted %v: %s", collector.rejected, log.String())
 		}
 		if len(collector.reports) != test.words {
-			t.Errorf("%s, %s: %d words are kept, not %d", test.why, test.says, len(collector.reports), test.words)
+			t.Errorf("%s, %s: %d reports are kept, not %d", test.why, test.says, len(collector.reports), test.words)
 		}
 	}
 }
 
-// An own instance's word has to be that instance's, and one that is silent is counted. Its word goes to
-// neighbours; what came from neighbours does not go round.
+// TestInstanceReportIdentity checks that an own instance's report has to be from that instance, that sources
+// without an answer are counted, and that only own reports are passed to neighbours.
 func TestInstanceReportIdentity(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/fleet/words" {
-			_ = json.NewEncoder(out).Encode(reportExchange{reportsFormat, "there", []json.RawMessage{encodeReport(2, nil)}, []float64{40}})
+			_ = json.NewEncoder(out).
+				Encode(reportExchange{reportsFormat, "there", []json.RawMessage{encodeReport(2, nil)}, []float64{40}})
 			return
 		}
-		_, _ = out.Write(encodeReport(0, func(collector *forecast.Word) { collector.Host = "here" }))
+		_, _ = out.Write(encodeReport(0, func(report *forecast.Word) { report.Host = "here" }))
 	}))
 	defer s.Close()
 	at := s.Listener.Addr().String()
-	d := &Daemon{log: zerolog.Nop(), settings: &Settings{Name: "here", Region: "west", Forecast: defaultForecastSettings()}}
+	d := &Daemon{
+		log:      zerolog.Nop(),
+		settings: &Settings{Name: "here", Region: "west", Forecast: defaultForecastSettings()},
+	}
 	collector := d.newForecastCollector()
 	defer collector.cancel()
 	settings := ForecastSettings{MaxReportAgeMillis: 10000, Neighbours: []string{at}}
 	collector.collect(settings, map[string]string{at: "g1", "127.0.0.1:1": "g7"})
 	if collector.rejected["stranger"] != 1 || collector.unreachable != 1 || len(collector.reports) != 1 {
-		t.Errorf("refused %v, %d silent, %d words", collector.rejected, collector.unreachable, len(collector.reports))
+		t.Errorf(
+			"rejected %v, %d unreachable, %d reports",
+			collector.rejected,
+			collector.unreachable,
+			len(collector.reports),
+		)
 	}
 	collector.collect(settings, map[string]string{at: "g0"})
 	out := httptest.NewRecorder()
 	collector.handleReports(out, nil)
 	var exchange reportExchange
 	if err := json.Unmarshal(out.Body.Bytes(), &exchange); err != nil || len(exchange.Reports) != 1 ||
-		exchange.Host != "here" || len(collector.reports) != 2 || !strings.Contains(string(exchange.Reports[0]), `"g0"`) {
+		exchange.Host != "here" || len(collector.reports) != 2 ||
+		!strings.Contains(string(exchange.Reports[0]), `"g0"`) {
 		t.Errorf("%v: %+v", err, exchange)
 	}
 }
 
-// A key that makes no sense is refused by its name.
+// TestInvalidForecastSettings checks that an invalid key is named.
 func TestInvalidForecastSettings(t *testing.T) {
 	for text, says := range map[string]string{
 		"hall = \"a\"\n[outlook]\neach_ms = 10":                     "outlook.each_ms: 10",
--- a/internal/supervisor/forecast_test.go
+++ b/internal/supervisor/forecast_test.go
@@ -24,15 +24,19 @@
 	"willowdeck/internal/testkit/faultinject"
 )
 
-var longForecast = flag.Bool("foresee", false, "each kind of loss of a hall, until shares have moved; minutes")
+var longForecast = flag.Bool(
+	"foresee",
+	false,
+	"all kinds of a region's loss, until quota shares have moved; takes minutes",
+)
 
-// trio is three halls of real gatekeepers before stand-ins, all links between halls through relays, and a
-// daemon in each hall that looks ahead.
+// threeRegions is three regions of real gateways with fake workers, all links between regions through
+// proxies, and a daemon in each region that makes the forecast.
 type threeRegions struct {
 	t        *testing.T
 	network  *faultinject.Net
 	workers  [3][]*fakes.Worker
-	gateways []*faultinject.Process // number i stands in hall i % 3
+	gateways []*faultinject.Process // number i is in region i % 3
 	targets  []string
 	daemons  []*Daemon
 	servers  []*ControlServer
@@ -40,16 +44,19 @@
 
 const (
 	gatewayCount      = 6
-	workersPerRegion  = 2 // of a hall
+	workersPerRegion  = 2 // of a region
 	coresPerWorker    = 2
 	workerServiceTime = 40 * time.Millisecond
 )
 
 var productValues = []float64{1, 2, 4}
 
+// regionName is the name of the region of gateway or region i.
 func regionName(i int) string { return fmt.Sprintf("hall%d", i%3) }
 
+// newThreeRegions starts the regions; rate is that of each customer's quota.
 func newThreeRegions(t *testing.T, rate float64) *threeRegions {
+	t.Helper()
 	r := &threeRegions{t: t, network: faultinject.NewNet(t, 1)}
 	for h := range 3 {
 		for i := range workersPerRegion {
@@ -117,7 +124,7 @@
 	return r
 }
 
-// watch starts a daemon in each hall that keeps no instance, and looks ahead.
+// startDaemons starts a daemon in each region, which keeps no instance and asks those at the admin addresses.
 func (r *threeRegions) startDaemons(adminAddresses [3][]string) {
 	basePort := faultinject.Ports(r.t, 3)
 	quoted := func(all []string) string { return "[\"" + strings.Join(all, "\", \"") + "\"]" }
@@ -154,6 +161,7 @@
 	}
 }
 
+// gatewaySettings are the settings of one gateway.
 func gatewaySettings(index int, rate float64) map[string]any {
 	return map[string]any{"me": index, "balancers": gatewayCount,
 		"classes": []map[string]any{
@@ -168,7 +176,7 @@
 		"safety":      map[string]any{"answer_slack_us": 5000}, "score_parts": map[string]any{"whole": 1}}
 }
 
-// ask gets a daemon's answer.
+// get gets a page of a daemon's control port.
 func (r *threeRegions) get(daemon int, path string) string {
 	text, err := faultinject.Ask(r.servers[daemon].Address, path)
 	if err != nil {
@@ -177,11 +185,11 @@
 	return text
 }
 
-// agree waits until all daemons rest on the same words, of all gatekeepers, and fails unless they then say
-// the same to the byte.
+// waitForAgreement waits until all daemons have the same reports of all gateways, and fails unless their
+// forecasts are then the same, byte for byte.
 func (r *threeRegions) waitForAgreement() *forecast.Outlook {
 	var projection forecast.Outlook
-	faultinject.Until(r.t, 10*time.Second, "three daemons that have heard the same words", func() bool {
+	faultinject.Until(r.t, 10*time.Second, "the daemons do not have the same reports", func() bool {
 		var texts [3]string
 		var basis [3]string
 		for i := range 3 {
@@ -193,12 +201,13 @@
 			basis[i] = fmt.Sprint(each.Rests)
 			projection = each
 		}
-		if basis[0] != basis[1] || basis[1] != basis[2] || len(projection.Rests) != gatewayCount || projection.Now.Value == 0 {
+		if basis[0] != basis[1] || basis[1] != basis[2] || len(projection.Rests) != gatewayCount ||
+			projection.Now.Value == 0 {
 			return false
 		}
 		for i := range 3 {
 			if texts[i] != texts[0] {
-				r.t.Fatalf("the same words, and not the same outlook:\n%s\n%s", texts[0], texts[i])
+				r.t.Fatalf("the same reports, and not the same forecast:\n%s\n%s", texts[0], texts[i])
 			}
 		}
 		return true
@@ -206,7 +215,7 @@
 	return &projection
 }
 
-// seen is what became of requests by when they were due.
+// requestOutcomes are the outcomes of requests, by when they were due.
 type requestOutcomes struct {
 	mu        sync.Mutex
 	dueMillis []float64 // ms
@@ -214,7 +223,7 @@
 	settled   []bool
 }
 
-// share gives the part of the value that was settled of what was due in a span, and that value a second.
+// settledShare returns the settled share of the value that was due in a span, and that value per second.
 func (s *requestOutcomes) settledShare(from, to float64) (share, valuePerSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,9 +238,12 @@
 	return got / math.Max(all, 1e-9), all / (to - from) * 1000
 }
 
-// send sends a steady load for so many seconds: until the loss to all gatekeepers, and from then on, where
-// some are lost, to the next one of each set that lives.
-func (r *threeRegions) startLoad(perS, lossS, endS float64, lost func(i int) bool) (*requestOutcomes, func()) {
+// startLoad sends a steady load for endS seconds: until the loss to all gateways, and then, if some are lost,
+// to the next one of each set that is up.
+func (r *threeRegions) startLoad(
+	perS, lossS, endS float64,
+	lost func(i int) bool,
+) (*requestOutcomes, func()) {
 	group := workload.Group{Customers: 12, Rate: perS / 12, Products: []float64{6, 3, 1}, Units: 1, Spread: 3}
 	arrivals := workload.Plan([]workload.Group{group}, nil, endS*1000, 7)
 	outcomes := &requestOutcomes{}
@@ -243,7 +255,9 @@
 			if late := a.At >= lossS*1000; late != (part == 1) {
 				continue
 			}
-			first := int(uint64(a.Customer+1) * 0x9E3779B97F4A7C15 >> 33 % gatewayCount) // as the sender has it
+			first := int(
+				uint64(a.Customer+1) * 0x9E3779B97F4A7C15 >> 33 % gatewayCount,
+			) // as the load generator chooses it
 			for a.Set %= 3; part == 1 && lost((first+a.Set)%gatewayCount); a.Set = (a.Set + 1) % 3 {
 			}
 			mine = append(mine, a)
@@ -251,7 +265,16 @@
 		outcomes.mu.Lock()
 		base = len(outcomes.dueMillis)
 		for _, a := range mine {
-			outcomes.dueMillis, outcomes.value, outcomes.settled = append(outcomes.dueMillis, a.At), append(outcomes.value, productValues[a.Product]), append(outcomes.settled, false)
+			outcomes.dueMillis, outcomes.value, outcomes.settled = append(
+				outcomes.dueMillis,
+				a.At,
+			), append(
+				outcomes.value,
+				productValues[a.Product],
+			), append(
+				outcomes.settled,
+				false,
+			)
 		}
 		outcomes.mu.Unlock()
 		job := &loadgen.Job{Arrivals: mine, Targets: r.targets, Spread: 3, Plans: []string{"basic"}, Most: 2000,
@@ -274,7 +297,7 @@
 	return outcomes, done.Wait
 }
 
-// take takes from the rig what a loss takes.
+// applyLoss takes down what a loss takes.
 func (r *threeRegions) applyLoss(loss forecast.Loss) {
 	for h := range 3 {
 		lost := slices.Contains(loss.Halls, regionName(h))
@@ -297,7 +320,7 @@
 			for _, w := range r.workers[h] {
 				w.Down()
 			}
-			for o := range 3 { // a relay takes connections for workers that are no more
+			for o := range 3 { // a proxy accepts connections for workers that are down
 				if o != h {
 					r.network.Part(regionName(h), regionName(o), faultinject.Reset)
 				}
@@ -317,13 +340,14 @@
 	}
 }
 
-// Real processes in three halls: what the daemons foretell of a loss is held against what clients got and
-// workers were sent. In the usual form one loss, over some seconds and with wide bounds.
+// TestForecastMatchesMeasuredLoss compares the daemons' forecast of a loss, with real processes in three
+// regions, with what clients got and workers received. The usual form has one loss over some seconds, with
+// wide bounds.
 func TestForecastMatchesMeasuredLoss(t *testing.T) {
 	type scenario struct {
 		kind        forecast.Kind
 		perS, measS float64
-		rate        float64 // of each of twelve customers' quota
+		rate        float64 // quota of each of twelve customers
 		halls       []string
 	}
 	one, two := []string{regionName(1)}, []string{regionName(1), regionName(2)}
@@ -361,7 +385,8 @@
 	}
 }
 
-// A daemon tells its instances to say their words, and gathers them: each is named as the daemon names it.
+// TestInstancesReport checks that a daemon has its instances report, collects the reports, and finds each
+// under the name that it gave.
 func TestInstancesReport(t *testing.T) {
 	f := newTestFleet(t, 2)
 	f.writeFleetFile(2, "hall = \"z\"")
@@ -383,7 +408,10 @@
 	f.waitReady(daemon, 2)
 	var arrivals []workload.Arrival
 	for i := range 300 {
-		arrivals = append(arrivals, workload.Arrival{At: float64(10 * i), Customer: i % 5, Product: i % 3, Units: 1, Set: i})
+		arrivals = append(
+			arrivals,
+			workload.Arrival{At: float64(10 * i), Customer: i % 5, Product: i % 3, Units: 1, Set: i},
+		)
 	}
 	job := &loadgen.Job{Arrivals: arrivals, Targets: f.targets(2), Spread: 2, Plans: []string{"basic", "capped"},
 		Most: 100, Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond},
@@ -393,12 +421,14 @@
 		t.Fatal(err)
 	}
 	var projection forecast.Outlook
-	faultinject.Until(t, 10*time.Second, "words of both instances with answers in them", func() bool {
+	faultinject.Until(t, 10*time.Second, "no reports of both instances with answers in them", func() bool {
 		text, err := faultinject.Ask(server.Address, "/fleet/outlook")
-		return err == nil && json.Unmarshal([]byte(text), &projection) == nil && len(projection.Rests) == 2 && projection.Now.InTime > 20 &&
+		return err == nil && json.Unmarshal([]byte(text), &projection) == nil && len(projection.Rests) == 2 &&
+			projection.Now.InTime > 20 &&
 			len(projection.Losses) > 0
 	})
-	if s := projection.Rests[0]; s.Name != "g-0" || s.Host != "g" || s.Hall != "z" || len(projection.Unheard) != 0 {
+	if s := projection.Rests[0]; s.Name != "g-0" || s.Host != "g" || s.Hall != "z" ||
+		len(projection.Unheard) != 0 {
 		t.Errorf("%+v, unheard %v", projection.Rests, projection.Unheard)
 	}
 	page, err := faultinject.Ask(server.Address, "/fleet/outlook?form=text")
@@ -412,8 +442,14 @@
 	}
 }
 
-// hold holds a forecast against what was seen.
-func (r *threeRegions) checkForecast(projection *forecast.Outlook, loss forecast.Loss, outcomes *requestOutcomes, at, span float64, lossTime time.Time) {
+// checkForecast compares a forecast with what was measured.
+func (r *threeRegions) checkForecast(
+	projection *forecast.Outlook,
+	loss forecast.Loss,
+	outcomes *requestOutcomes,
+	at, span float64,
+	lossTime time.Time,
+) {
 	t := r.t
 	for _, c := range projection.Losses {
 		if !c.Loss.Same(loss) {
@@ -423,10 +459,10 @@
 		after, asked := outcomes.settledShare(at, at+span)
 		measured := (before - after) * asked
 		foretold := c.First.Lost + c.AtOnce/span*1000
-		t.Logf("%v: asked %.1f, lost foretold %.1f, found %.1f, error %.3f of asked", loss.Kind, asked, foretold,
+		t.Logf("%v: asked %.1f, loss forecast %.1f, measured %.1f, error %.3f of asked", loss.Kind, asked, foretold,
 			measured, (foretold-measured)/asked)
 		if math.Abs(foretold-measured) > 0.3*asked {
-			t.Errorf("foretold %v of %v, found %v", foretold, asked, measured)
+			t.Errorf("forecast %v of %v, measured %v", foretold, asked, measured)
 		}
 		for region, forecastRegion := range c.First.Halls {
 			n := 0
@@ -438,12 +474,23 @@
 				}
 			}
 			measuredPerSecond := float64(n) / span * 1000
-			t.Logf("  %s: foretold %.1f/s, found %.1f/s, use foretold %.2f", forecastRegion.Name, forecastRegion.Run, measuredPerSecond, forecastRegion.Use)
+			t.Logf(
+				"  %s: forecast %.1f/s, measured %.1f/s, use forecast %.2f",
+				forecastRegion.Name,
+				forecastRegion.Run,
+				measuredPerSecond,
+				forecastRegion.Use,
+			)
 			if forecastRegion.Workers > 0 && math.Abs(forecastRegion.Run-measuredPerSecond) > 0.5*measuredPerSecond {
-				t.Errorf("%s: foretold %v a second, found %v", forecastRegion.Name, forecastRegion.Run, measuredPerSecond)
+				t.Errorf(
+					"%s: forecast %v a second, measured %v",
+					forecastRegion.Name,
+					forecastRegion.Run,
+					measuredPerSecond,
+				)
 			}
 		}
 		return
 	}
-	t.Fatalf("%v is not foretold: %v", loss, projection.Unknown)
+	t.Fatalf("no forecast of %v: %v", loss, projection.Unknown)
 }
--- a/internal/supervisor/golden_council_test.go
+++ b/internal/supervisor/golden_council_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// goldenAgreedRules have no field that is zero.
+// goldenCouncilRules have no field that is zero.
 func goldenCouncilRules(rate float64) ruleset.Rules {
 	return ruleset.Rules{
 		Form: 1, Needs: []string{"members"},
@@ -56,7 +56,7 @@
 	}
 }
 
-// goldenLeaseVoice says what is in force; its other methods are not called.
+// goldenLeaseSource is a rulesSource with a version in force; the methods that it lacks are not called.
 type goldenLeaseSource struct{ rulesSource }
 
 func (goldenLeaseSource) Highest() int64 { return 91 }
@@ -66,28 +66,45 @@
 }
 
 // Asked answers only if each value of the query has come under its own name.
-func (s goldenLeaseSource) Asked(pid int, name string, heldStep uint64, discoveryIndex int64) (ruleset.Lease, bool) {
+func (s goldenLeaseSource) Asked(
+	pid int,
+	name string,
+	heldStep uint64,
+	discoveryIndex int64,
+) (ruleset.Lease, bool) {
 	pending := goldenCouncilRules(11.5)
 	return ruleset.Lease{Step: 41, Version: s.InForce(), Settled: true, Pending: &pending, Age: 12.5},
 		pid == 4711 && name == "gk1" && heldStep == 40 && discoveryIndex == 90
 }
 
-// goldenCouncilDaemon keeps no instance: the members of the rules are of another host.
+// goldenCouncilDaemon is a voter's daemon without instances: the members of the rules are of another host.
 func goldenCouncilDaemon(t *testing.T) *Daemon {
 	t.Helper()
 	dir := t.TempDir()
-	file := &FleetFile{ControlAddress: "127.0.0.1:7100", FirstListen: "127.0.0.1:7200", FirstAdmin: "127.0.0.1:7300",
-		GatewayConfig: filepath.Join(dir, "gatekeeper.toml"), Council: &CouncilSettings{HostName: "h9"}}
+	file := &FleetFile{
+		ControlAddress: "127.0.0.1:7100",
+		FirstListen:    "127.0.0.1:7200",
+		FirstAdmin:     "127.0.0.1:7300",
+		GatewayConfig:  filepath.Join(dir, "gatekeeper.toml"),
+		Council:        &CouncilSettings{HostName: "h9"},
+	}
 	if err := os.WriteFile(file.GatewayConfig, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d := &Daemon{settings: &Settings{RunDir: dir, Rules: &RulesSettings{}, file: file}, slots: map[string]*instanceSlot{},
-		rules: &rulesParticipant{rulesSource: goldenLeaseSource{}, file: file}, reconciler: NewReconciler(Policy{}, 1)}
+	d := &Daemon{
+		settings: &Settings{RunDir: dir, Rules: &RulesSettings{}, file: file},
+		slots:    map[string]*instanceSlot{},
+		rules: &rulesParticipant{
+			rulesSource: goldenLeaseSource{},
+			file:        file,
+		},
+		reconciler: NewReconciler(Policy{}, 1),
+	}
 	d.instanceByPID.Store(4711, "gk1")
 	return d
 }
 
-// A daemon starts with the rules that one before it has carried out last.
+// TestGoldenAppliedRulesOfCouncil checks rules.json as a voter's daemon reads and writes it.
 func TestGoldenAppliedRulesOfCouncil(t *testing.T) {
 	d := goldenCouncilDaemon(t)
 	path := filepath.Join(d.settings.RunDir, "rules.json")
@@ -110,7 +127,7 @@
 	checkGoldenCouncilBytes(t, "rules.json", raw)
 }
 
-// What instances of an older program ask, and what operators read.
+// TestGoldenCouncilAnswers checks what instances of an older program ask, and what operators read.
 func TestGoldenCouncilAnswers(t *testing.T) {
 	d := goldenCouncilDaemon(t)
 	for _, c := range []struct {
@@ -160,17 +177,29 @@
 	checkGoldenCouncilBytes(t, "sitting.json", raw)
 }
 
-// The settings of a council and of relays in a fleet's file have no tags either.
+// TestGoldenCouncilSettings checks the settings of a voter and of a subscription.
 func TestGoldenCouncilSettings(t *testing.T) {
 	var f FleetFile
 	if err := strictoml.Decode(string(readGoldenCouncilFile(t, "fleet.toml")), &f); err != nil {
 		t.Fatal(err)
 	}
-	checkGoldenCouncilValue(t, "council", f.Council, &CouncilSettings{HostName: "h1", RaftListen: "10.0.0.1:9000",
-		StorePath: "council.db", RulesPath: "rules.toml", BootstrapCluster: true, RelayListen: "10.0.0.1:9100",
-		Hosts: []struct{ Name, Address string }{{"h1", "10.0.0.1:9000"}, {"h2", "10.0.0.2:9000"}}}, nil)
-	checkGoldenCouncilValue(t, "relay", f.Relay, &RelaySettings{HostName: "h3", Upstreams: []string{"10.0.0.1:9100"},
-		StorePath: "relay.db"}, nil)
+	checkGoldenCouncilValue(
+		t,
+		"council",
+		f.Council,
+		&CouncilSettings{HostName: "h1", RaftListen: "10.0.0.1:9000",
+			StorePath: "council.db", RulesPath: "rules.toml", BootstrapCluster: true, RelayListen: "10.0.0.1:9100",
+			Hosts: []struct{ Name, Address string }{{"h1", "10.0.0.1:9000"}, {"h2", "10.0.0.2:9000"}}},
+		nil,
+	)
+	checkGoldenCouncilValue(
+		t,
+		"relay",
+		f.Relay,
+		&RelaySettings{HostName: "h3", Upstreams: []string{"10.0.0.1:9100"},
+			StorePath: "relay.db"},
+		nil,
+	)
 	checkGoldenCouncilValue(t, "reach", f.AddressOverrides, map[string]map[string]string{
 		"gk1": {"10.0.0.2:7002": "127.0.0.1:7002"}}, nil)
 }
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -30,20 +30,36 @@
 // test that fails here is met by a tag or a type of the old form.
 
 var goldenForms = []goldenform.Form{
-	{File: "instance.run", New: func() any { return &processRecord{} }, Encode: json.Marshal, Decode: json.Unmarshal},
-	{File: "words.json", New: func() any { return &reportExchange{} }, Encode: json.Marshal, Decode: json.Unmarshal},
-	{File: "relay.json", New: func() any { return &SubscriptionStatus{} }, Encode: json.Marshal, Decode: json.Unmarshal},
+	{
+		File:   "instance.run",
+		New:    func() any { return &processRecord{} },
+		Encode: json.Marshal,
+		Decode: json.Unmarshal,
+	},
+	{
+		File:   "words.json",
+		New:    func() any { return &reportExchange{} },
+		Encode: json.Marshal,
+		Decode: json.Unmarshal,
+	},
+	{
+		File:   "relay.json",
+		New:    func() any { return &SubscriptionStatus{} },
+		Encode: json.Marshal,
+		Decode: json.Unmarshal,
+	},
 	{File: "fleet.toml", New: func() any { return &FleetFile{} },
 		Decode: func(raw []byte, into any) error { return strictoml.Decode(string(raw), into) }},
 }
 
+// TestGoldenForms checks the forms that are read and written as a whole.
 func TestGoldenForms(t *testing.T) {
 	for _, form := range goldenForms {
 		t.Run(form.File, form.Check)
 	}
 }
 
-// goldenVoice says that one version is in force.
+// goldenSource is a rulesSource with one version in force.
 type goldenSource struct {
 	rulesSource
 	version ruleset.Version
@@ -76,20 +92,53 @@
 	return v
 }
 
+// goldenDaemon is a daemon below relays that is not started.
 func goldenDaemon(dir string) *Daemon {
-	f := &FleetFile{Name: "golden", GatewayConfig: os.DevNull, ControlAddress: "127.0.0.1:7", FirstListen: "127.0.0.1:100",
-		FirstAdmin: "127.0.0.1:200", Relay: &RelaySettings{HostName: "host"}}
-	fl := &Settings{Name: "golden", Program: filepath.Join(dir, "program"), RunDir: dir, ControlAddress: f.ControlAddress,
-		CrashState: true, RestoreCheckpoint: true, PeerBootstrap: true, Region: "north", Rules: &RulesSettings{Relay: f.Relay}, file: f}
+	f := &FleetFile{
+		Name:           "golden",
+		GatewayConfig:  os.DevNull,
+		ControlAddress: "127.0.0.1:7",
+		FirstListen:    "127.0.0.1:100",
+		FirstAdmin:     "127.0.0.1:200",
+		Relay:          &RelaySettings{HostName: "host"},
+	}
+	fl := &Settings{
+		Name:              "golden",
+		Program:           filepath.Join(dir, "program"),
+		RunDir:            dir,
+		ControlAddress:    f.ControlAddress,
+		CrashState:        true,
+		RestoreCheckpoint: true,
+		PeerBootstrap:     true,
+		Region:            "north",
+		Rules:             &RulesSettings{Relay: f.Relay},
+		file:              f,
+	}
 	ended := make(chan struct{})
 	close(ended)
 	return &Daemon{log: zerolog.Nop(), program: fl.Program, settings: fl, slots: map[string]*instanceSlot{},
-		processes: map[int]*processRecord{}, startedAt: time.Now(), wakeTimer: time.NewTimer(time.Hour), allStopped: make(chan struct{}),
-		reconciler: NewReconciler(Policy{InitialBackoffMillis: 1, MaxBackoffMillis: 1, BackoffResetMillis: 1, ReadyTimeoutMillis: 1, StopTimeoutMillis: 1, MaxReplacing: 1}, 1),
-		rules:      &rulesParticipant{rulesSource: goldenSource{version: goldenVersion()}, subscription: &subscription{}, file: f, followEnded: ended}}
+		processes: map[int]*processRecord{}, startedAt: time.Now(), wakeTimer: time.NewTimer(time.Hour),
+		allStopped: make(chan struct{}),
+		reconciler: NewReconciler(
+			Policy{
+				InitialBackoffMillis: 1,
+				MaxBackoffMillis:     1,
+				BackoffResetMillis:   1,
+				ReadyTimeoutMillis:   1,
+				StopTimeoutMillis:    1,
+				MaxReplacing:         1,
+			},
+			1,
+		),
+		rules: &rulesParticipant{
+			rulesSource:  goldenSource{version: goldenVersion()},
+			subscription: &subscription{},
+			file:         f,
+			followEnded:  ended,
+		}}
 }
 
-// TestGoldenLastRules: rules.json is what a daemon starts with before it hears which rules are in force.
+// TestGoldenAppliedRules checks rules.json, with which a daemon starts before it receives the rules in force.
 func TestGoldenAppliedRules(t *testing.T) {
 	golden, want := goldenform.Read(t, "rules.json"), goldenVersion()
 	d := goldenDaemon(t.TempDir())
@@ -100,7 +149,8 @@
 		t.Errorf("%v: rules are read as\n%+v\nwant\n%+v", err, got, &want.Rules)
 	}
 	var version ruleset.Version
-	if err := json.Unmarshal(golden, &version); err != nil || version.Number != want.Number || version.Number == 0 {
+	if err := json.Unmarshal(golden, &version); err != nil || version.Number != want.Number ||
+		version.Number == 0 {
 		t.Errorf("%v: version %d, want %d", err, version.Number, want.Number)
 	}
 	d = goldenDaemon(t.TempDir())
@@ -113,21 +163,28 @@
 	}
 }
 
-// goldenFigures is a daemon with one instance that is ready, and words of others.
+// goldenStatsDaemon is a daemon with a ready instance and forecast reports.
 func goldenStatsDaemon(dir string) *Daemon {
 	d := goldenDaemon(dir)
 	d.reconciler.SetDesired([]string{"golden-0"}, nil)
 	number := d.reconciler.Adopt("golden-0")
 	d.reconciler.ProcessReady("golden-0", number)
-	d.processes[number] = &processRecord{Instance: "golden-0", PID: 4321, AdminAddress: "127.0.0.1:8", number: number}
+	d.processes[number] = &processRecord{
+		Instance:     "golden-0",
+		PID:          4321,
+		AdminAddress: "127.0.0.1:8",
+		number:       number,
+	}
 	d.forecasts = &forecastCollector{reports: map[string]receivedReport{"a": {}, "b": {}}, unreachable: 3,
 		rejected: map[string]int{"version": 4, "spoilt": 5, "stranger": 6,
 			"ahead": 7, "too_long": 8, "too_many": 9}}
 	return d
 }
 
+// TestGoldenStats checks the text of /fleet/stats.
 func TestGoldenStats(t *testing.T) {
-	if got, want := goldenStatsDaemon(t.TempDir()).statsText(), string(goldenform.Read(t, "stats.txt")); got != want {
+	got, want := goldenStatsDaemon(t.TempDir()).statsText(), string(goldenform.Read(t, "stats.txt"))
+	if got != want {
 		t.Errorf("the figures are\n%s\nwant\n%s", got, want)
 	}
 	if got, want := stateNames[:], []string{"waiting", "starting", "ready", "replacing", "leaving",
@@ -136,20 +193,23 @@
 	}
 }
 
-// TestGoldenRefusals: the reasons by which refused questions are counted at operators' ports.
+// TestGoldenRefusals checks the reasons by which refused requests are counted at control ports.
 func TestGoldenRefusals(t *testing.T) {
 	d := goldenDaemon(t.TempDir())
 	d.instanceByPID.Store(4321, "golden-0")
 	for pid, want := range map[int]string{4321: "unconfirmed", 4322: "stranger"} {
 		var refused *relay.Refusal
-		if _, err := d.answerUpdateRequest(&distribution.Ask{Process: pid, From: "golden-0"}); !errors.As(err, &refused) ||
+		if _, err := d.answerUpdateRequest(&distribution.Ask{Process: pid, From: "golden-0"}); !errors.As(
+			err,
+			&refused,
+		) ||
 			refused.Reason != want {
 			t.Errorf("process %d is refused with %v, want %q", pid, err, want)
 		}
 	}
 }
 
-// TestGoldenPaths: what is asked at the operators' port of a daemon below relays that looks ahead.
+// TestGoldenPaths checks the paths of the control port of a daemon below relays that makes forecasts.
 func TestGoldenPaths(t *testing.T) {
 	d := goldenStatsDaemon(t.TempDir())
 	d.settings.ControlAddress = "127.0.0.1:0"
@@ -171,7 +231,7 @@
 	}
 }
 
-// goldenProgram notes the environment and the arguments that it is started with, and waits.
+// goldenProgram is a program that records its environment and arguments, and waits.
 const goldenProgram = `#!/bin/sh
 env > "$TMPDIR/env.part"
 echo "arguments=$*" >> "$TMPDIR/env.part"
@@ -179,7 +239,7 @@
 exec sleep 60
 `
 
-// TestGoldenSpawn: what a process is given by a daemon that tells it all that it can.
+// TestGoldenSpawn checks what a process is given by a daemon with all settings on.
 func TestGoldenSpawn(t *testing.T) {
 	dir := t.TempDir()
 	d := goldenDaemon(dir)
--- a/internal/supervisor/reconciler_test.go
+++ b/internal/supervisor/reconciler_test.go
@@ -8,35 +8,53 @@
 	"testing"
 )
 
-var testPolicy = Policy{InitialBackoffMillis: 100, MaxBackoffMillis: 1000, BackoffResetMillis: 5000, ReadyTimeoutMillis: 2000, StopTimeoutMillis: 3000, MaxReplacing: 2}
+var testPolicy = Policy{
+	InitialBackoffMillis: 100,
+	MaxBackoffMillis:     1000,
+	BackoffResetMillis:   5000,
+	ReadyTimeoutMillis:   2000,
+	StopTimeoutMillis:    3000,
+	MaxReplacing:         2,
+}
 
-// bench drives a keeper: processes come up after a while, and end a while after they are told to.
+// simulation drives a reconciler: processes become ready some time after their start, and end some time after
+// a stop request.
 type simulation struct {
 	t                *testing.T
 	reconciler       *Reconciler
 	nowMillis        float64
-	running          map[int]string  // processes that run
-	readyAt          map[int]float64 // when they will be
+	running          map[int]string  // running processes, to their instances
+	readyAt          map[int]float64 // when a process becomes ready, ms
 	exitAt           map[int]float64
 	startCount       map[string]int
-	crashing         map[string]bool // their processes end at once
-	unresponsive     map[string]bool // their processes heed no word
+	crashing         map[string]bool // their processes end right after the start
+	unresponsive     map[string]bool // their processes ignore signals but SIGKILL
 	killCount        int
 	allStopped       bool
-	assumedFleetSize map[int]float64 // how many instances a process reckons with
-	reloadedAt       map[int]float64 // when they will take up what is wanted
+	assumedFleetSize map[int]float64 // the fleet size that a process assumes
+	reloadedAt       map[int]float64 // when a process has reloaded, ms
 }
 
+// newSimulation returns a simulation in which these instances are desired.
 func newSimulation(t *testing.T, names ...string) *simulation {
-	s := &simulation{t: t, reconciler: NewReconciler(testPolicy, 1), running: map[int]string{}, readyAt: map[int]float64{},
-		exitAt:     map[int]float64{},
-		startCount: map[string]int{}, crashing: map[string]bool{}, unresponsive: map[string]bool{},
-		assumedFleetSize: map[int]float64{}, reloadedAt: map[int]float64{}}
+	t.Helper()
+	s := &simulation{
+		t:                t,
+		reconciler:       NewReconciler(testPolicy, 1),
+		running:          map[int]string{},
+		readyAt:          map[int]float64{},
+		exitAt:           map[int]float64{},
+		startCount:       map[string]int{},
+		crashing:         map[string]bool{},
+		unresponsive:     map[string]bool{},
+		assumedFleetSize: map[int]float64{},
+		reloadedAt:       map[int]float64{},
+	}
 	s.reconciler.SetDesired(names, nil)
 	return s
 }
 
-// run passes time in steps of 10 ms.
+// advance lets time pass, in steps of 10 ms.
 func (s *simulation) advance(millis float64) {
 	s.t.Helper()
 	for end := s.nowMillis + millis; s.nowMillis < end; s.nowMillis += 10 {
@@ -61,7 +79,7 @@
 			action, ok := s.reconciler.Next()
 			if !ok || action.Kind == WakeUp {
 				if ok && action.AtMillis < s.nowMillis {
-					s.t.Fatalf("woken at %v, %v ms ago", action.AtMillis, s.nowMillis-action.AtMillis)
+					s.t.Fatalf("a wake-up at %v, %v ms ago", action.AtMillis, s.nowMillis-action.AtMillis)
 				}
 				break
 			}
@@ -70,6 +88,7 @@
 	}
 }
 
+// perform performs an action of the reconciler.
 func (s *simulation) perform(action Action) {
 	switch action.Kind {
 	case StartProcess:
@@ -104,7 +123,7 @@
 	}
 }
 
-// wanted counts the instances that there are to be.
+// desiredCount counts the desired instances.
 func (s *simulation) desiredCount() (count float64) {
 	for _, instance := range s.reconciler.instances {
 		if instance.desired {
@@ -114,6 +133,7 @@
 	return count
 }
 
+// stateText returns the states of all instances, for a comparison.
 func (s *simulation) stateText() string { return fmt.Sprint(s.states()) }
 
 func (s *simulation) states() (states []string) {
@@ -123,6 +143,7 @@
 	return states
 }
 
+// TestStartAndStop starts three instances and stops them; one does not heed the stop request and is killed.
 func TestStartAndStop(t *testing.T) {
 	s := newSimulation(t, "n0", "n1", "n2")
 	s.advance(100)
@@ -145,14 +166,14 @@
 	}
 }
 
-// One that crashes at every start comes ever more rarely, up to a bound, and the others do not notice;
-// those that fall together do not come back together.
+// TestRestartBackoff checks that an instance that crashes at every start is started ever more rarely, up to a
+// bound, without an effect on the others, and that instances which fail together do not start together.
 func TestRestartBackoff(t *testing.T) {
 	s := newSimulation(t, "n0", "n1", "n2", "n3", "n4", "n5")
 	s.crashing["n1"] = true
 	s.advance(20000)
 	if n := s.startCount["n1"]; n < 12 || n > 40 || s.startCount["n0"] != 1 {
-		t.Errorf("%d starts of the sick one in 20 s, %d of the other", n, s.startCount["n0"])
+		t.Errorf("%d starts of the crashing one in 20 s, %d of the other", n, s.startCount["n0"])
 	}
 	s.crashing["n1"] = false
 	s.advance(8000)
@@ -167,12 +188,12 @@
 	var startTimes []float64
 	for _, instance := range s.reconciler.instances {
 		if instance.failures != 1 {
-			t.Errorf("%s: %d failures in a row after it was up", instance.name, instance.failures)
+			t.Errorf("%s: %d consecutive failures after it was up", instance.name, instance.failures)
 		}
 		startTimes = append(startTimes, instance.nextStartAt)
 	}
 	if slices.Max(startTimes)-slices.Min(startTimes) < 0.3*testPolicy.InitialBackoffMillis {
-		t.Errorf("all come back at %v", startTimes)
+		t.Errorf("all start again at %v", startTimes)
 	}
 	s.advance(1000)
 	if s.stateText() != all {
@@ -180,7 +201,8 @@
 	}
 }
 
-// A reload replaces some at a time, each by a process that is ready before the old one leaves.
+// TestRollingReload checks that a reload replaces a few instances at a time, each by a process that is ready
+// before the old one stops.
 func TestRollingReload(t *testing.T) {
 	names := []string{"n0", "n1", "n2", "n3", "n4"}
 	s := newSimulation(t, names...)
@@ -199,7 +221,8 @@
 			}
 		}
 		for _, instance := range s.reconciler.instances {
-			if instance.current != nil && instance.current.ready || instance.successor != nil && instance.successor.ready {
+			if instance.current != nil && instance.current.ready ||
+				instance.successor != nil && instance.successor.ready {
 				serving++
 			}
 		}
@@ -214,14 +237,20 @@
 	}
 }
 
-// What is wanted changes while a reload is under way: the newest holds. A new one that dies before it is
-// ready leaves the old one serving.
+// TestReloadDuringReload changes the desired state during a reload: the newest holds. A successor that dies
+// before it is ready leaves the old process serving.
 func TestReloadDuringReload(t *testing.T) {
 	s := newSimulation(t, "n0", "n1")
 	s.advance(500)
-	s.reconciler.SetDesired([]string{"n0", "n1"}, map[string]ConfigChange{"n0": RestartNeeded, "n1": RestartNeeded})
+	s.reconciler.SetDesired(
+		[]string{"n0", "n1"},
+		map[string]ConfigChange{"n0": RestartNeeded, "n1": RestartNeeded},
+	)
 	s.advance(100)
-	s.reconciler.SetDesired([]string{"n0", "n2"}, map[string]ConfigChange{"n0": RestartNeeded}) // again, one less, one more
+	s.reconciler.SetDesired(
+		[]string{"n0", "n2"},
+		map[string]ConfigChange{"n0": RestartNeeded},
+	) // changed again, one fewer, one more
 	s.advance(4000)
 	if s.stateText() != "[ready gone ready]" || s.reconciler.Statuses()[0].Outdated || s.startCount["n0"] != 3 {
 		t.Errorf("%s, n0 started %d times", s.stateText(), s.startCount["n0"])
@@ -229,20 +258,21 @@
 	s.crashing["n0"] = true
 	s.reconciler.SetDesired([]string{"n0", "n2"}, map[string]ConfigChange{"n0": RestartNeeded})
 	s.advance(5000)
-	if status := s.reconciler.Statuses()[0]; !status.Outdated || s.reconciler.byName["n0"].current == nil || !s.reconciler.byName["n0"].current.ready ||
+	if status := s.reconciler.Statuses()[0]; !status.Outdated || s.reconciler.byName["n0"].current == nil ||
+		!s.reconciler.byName["n0"].current.ready ||
 		status.Restarts > 0 {
-		t.Errorf("while its new process dies: %+v", status)
+		t.Errorf("while its successor dies: %+v", status)
 	}
 	s.reconciler.Stop()
 	s.advance(5000)
 	if !s.allStopped || len(s.running) > 0 {
-		t.Errorf("a stop in the middle: done %v, %d left", s.allStopped, len(s.running))
+		t.Errorf("a stop during a reload: done %v, %d left", s.allStopped, len(s.running))
 	}
 }
 
-// While the number of instances changes, the parts that those which serve reckon with never add up to
-// more than the whole: a new one starts once the others reckon with it, and the others grow once an old
-// one has ended. Where they can take it up as they run, none is started for it, but one that does not.
+// TestQuotaSharesDuringResize checks that while the number of instances changes, the quota shares that the
+// serving ones assume never add up to more than 1: a new one starts once the others count it, and the others
+// grow once an old one has ended. Where processes can reload, none is replaced but the one that does not.
 func TestQuotaSharesDuringResize(t *testing.T) {
 	names := []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6"}
 	for _, change := range []ConfigChange{RestartNeeded, MembershipChanged} {
@@ -264,7 +294,7 @@
 					}
 				}
 				if sum > 1+1e-9 {
-					t.Fatalf("on the way to %d the parts add up to %.3f: %s", n, sum, s.stateText())
+					t.Fatalf("on the way to %d the quota shares add up to %.3f: %s", n, sum, s.stateText())
 				}
 			}
 			serving := 0
@@ -277,13 +307,15 @@
 				t.Errorf("%d of %d serve: %s", serving, n, s.stateText())
 			}
 		}
-		if startedOnce := s.startCount["n0"] == 1; startedOnce != (change == MembershipChanged) || s.startCount["n1"] < 3 {
+		if startedOnce := s.startCount["n0"] == 1; startedOnce != (change == MembershipChanged) ||
+			s.startCount["n1"] < 3 {
 			t.Errorf("change %d: %d and %d starts", change, s.startCount["n0"], s.startCount["n1"])
 		}
 	}
 }
 
-// One that never gets ready is ended and counts as failed; one that is adopted is kept as it is.
+// TestReadyTimeoutAndAdoption checks that a process which never becomes ready is killed and counts as failed,
+// and that an adopted one is kept.
 func TestReadyTimeoutAndAdoption(t *testing.T) {
 	s := newSimulation(t, "n0", "n1")
 	number := s.reconciler.Adopt("n1")
@@ -305,9 +337,9 @@
 	}
 }
 
-// Whatever was wanted, killed, deaf or never ready before, and however often the daemon itself was started
-// anew over what ran, once that is over all that are wanted come to run what is wanted. Guards against
-// instances that wait for one another for ever.
+// TestReconcilerRandomWalks checks that after any sequence of changes, kills, crashing and unresponsive
+// processes and restarts of the daemon, all desired instances come to run the desired configuration once the
+// faults are over. It guards against instances that wait for one another for ever.
 func TestReconcilerRandomWalks(t *testing.T) {
 	names := []string{"n0", "n1", "n2", "n3"}
 	for seed := range int64(400) {
@@ -322,7 +354,7 @@
 						s.exitAt[number] = s.nowMillis
 					}
 				}
-			case 2, 3: // other members, and all are told of it
+			case 2, 3: // other members, and all instances have to know
 				desired = slices.DeleteFunc(slices.Clone(names), func(string) bool { return rng.Intn(4) == 0 })
 				changed := map[string]ConfigChange{}
 				for _, n := range desired {
@@ -335,7 +367,7 @@
 				s.unresponsive[name] = !s.unresponsive[name]
 			case 6:
 				s.crashing[name] = !s.crashing[name]
-			case 7: // the daemon is started anew, over what runs
+			case 7: // the daemon is restarted
 				s.restartDaemon(desired, rng)
 			}
 			s.advance(float64(rng.Intn(150)) * 10)
@@ -343,26 +375,37 @@
 		s.crashing, s.unresponsive = map[string]bool{}, map[string]bool{}
 		s.advance(40000)
 		for _, status := range s.reconciler.Statuses() {
-			if isDesired := slices.Contains(desired, status.Name); isDesired != (status.State == Ready) || isDesired && status.Outdated {
-				t.Fatalf("seed %d: %s of %v is %v, behind %v, of %v", seed, status.Name, desired, status.State, status.Outdated,
-					s.reconciler.Statuses())
+			if isDesired := slices.Contains(desired, status.Name); isDesired != (status.State == Ready) ||
+				isDesired && status.Outdated {
+				t.Fatalf(
+					"seed %d: %s of %v is %v, outdated %v, of %v",
+					seed,
+					status.Name,
+					desired,
+					status.State,
+					status.Outdated,
+					s.reconciler.Statuses(),
+				)
 			}
 		}
 	}
 }
 
-// adopted has another keeper take over what runs: one process each, the others are told to end.
+// restartDaemon has another reconciler adopt what runs: one process of each instance, the others are stopped.
 func (s *simulation) restartDaemon(desired []string, rng *rand.Rand) {
 	previous, lastNumber := s.running, s.reconciler.lastProcessNumber
 	s.reconciler = NewReconciler(testPolicy, rng.Int63())
 	s.reconciler.SetTime(s.nowMillis)
-	s.running, s.readyAt, s.exitAt, s.reloadedAt = map[int]string{}, map[int]float64{}, map[int]float64{}, map[int]float64{}
+	s.running, s.readyAt = map[int]string{}, map[int]float64{}
+	s.exitAt, s.reloadedAt = map[int]float64{}, map[int]float64{}
 	s.reconciler.SetDesired(desired, nil)
 	for number := 1; number <= lastNumber; number++ {
 		name := previous[number]
 		if slices.Contains(desired, name) && !slices.Contains(slices.Collect(maps.Values(s.running)), name) {
 			adopted := s.reconciler.Adopt(name)
-			if s.running[adopted], s.readyAt[adopted] = name, s.nowMillis+100; rng.Intn(3) == 0 { // what is wanted has changed meanwhile
+			if s.running[adopted], s.readyAt[adopted] = name, s.nowMillis+100; rng.Intn(
+				3,
+			) == 0 { // the desired state has changed meanwhile
 				s.reconciler.SetDesired(desired, map[string]ConfigChange{name: RestartNeeded})
 			}
 		}
--- a/internal/supervisor/subscription_test.go
+++ b/internal/supervisor/subscription_test.go
@@ -28,16 +28,17 @@
 	"willowdeck/internal/versioned"
 )
 
-// tree is a council of one daemon, two relays below it, and below these two hosts without a seat, with two
-// instances and with one: all of them real processes.
+// relayTree is a raft group of one daemon, two relays below it, and below these two leaf hosts without a
+// vote, with two instances and with one; all are real processes.
 type relayTree struct {
 	*clusterTrial
 	councilHost    *testHost
 	relays         []*faultinject.Process
-	relayAddresses []string // where the relays answer
+	relayAddresses []string // HOST:PORT
 	leafHosts      []*testHost
 }
 
+// newRelayTree prepares the tree with running relays; the daemons are not started.
 func newRelayTree(t *testing.T, change func(*ruleset.Rules)) *relayTree {
 	t.Helper()
 	tree := &relayTree{clusterTrial: newTrial(t, 1, 3, change)}
@@ -46,8 +47,11 @@
 	for i, name := range hosts {
 		if len(tree.leafHosts) == 0 || tree.leafHosts[len(tree.leafHosts)-1].name != name {
 			ip := fmt.Sprintf("127.0.0.%d", 10+len(tree.leafHosts))
-			tree.leafHosts = append(tree.leafHosts, &testHost{cluster: tree.testCluster, name: name, ip: ip, dir: filepath.Join(tree.dir, name),
-				controlAddress: fmt.Sprintf("%s:%d", ip, tree.basePort)})
+			tree.leafHosts = append(
+				tree.leafHosts,
+				&testHost{cluster: tree.testCluster, name: name, ip: ip, dir: filepath.Join(tree.dir, name),
+					controlAddress: fmt.Sprintf("%s:%d", ip, tree.basePort)},
+			)
 		}
 		tree.rules.Members[i] = tree.newMember(tree.leafHosts[len(tree.leafHosts)-1], i)
 	}
@@ -67,8 +71,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		tree.relays = append(tree.relays, faultinject.Start(t, faultinject.Spec{Name: name, Program: gatewayProgram(t), Dir: dir,
-			Args: []string{"relay", "--config", "relay.toml"}, Env: []string{"WILLOWDECK_HISTORY=" + tree.historyDir}}))
+		tree.relays = append(
+			tree.relays,
+			faultinject.Start(t, faultinject.Spec{Name: name, Program: gatewayProgram(t), Dir: dir,
+				Args: []string{
+					"relay",
+					"--config",
+					"relay.toml",
+				}, Env: []string{"WILLOWDECK_HISTORY=" + tree.historyDir}}),
+		)
 	}
 	for _, h := range tree.leafHosts {
 		h.writeRelayFiles(tree.relayAddresses)
@@ -77,7 +88,7 @@
 	return tree
 }
 
-// below writes the files of a host that follows relays.
+// writeRelayFiles writes the files of a host that subscribes to relays.
 func (h *testHost) writeRelayFiles(relays []string) {
 	c := h.cluster
 	c.t.Helper()
@@ -93,13 +104,14 @@
 	}
 	text := fmt.Sprintf("name = \"till\"\nconfig = \"gatekeeper.json\"\nrun_dir = \"run\"\ncontrol = %s\n"+
 		"listen = %s\noperators = %s\nstep = 2\n[restart]\nfirst_ms = 50\nmost_ms = 500\ncalm_s = 5\n"+
-		"[relay]\nme = %q\nupstream = %s\nstore = \"store/rules.copy\"\n", at(0), at(2), at(2+c.memberSlots), h.name, upstreams)
+		"[relay]\nme = %q\nupstream = %s\nstore = \"store/rules.copy\"\n", at(0), at(2),
+		at(2+c.memberSlots), h.name, upstreams)
 	if err := os.WriteFile(filepath.Join(h.dir, "fleet.toml"), []byte(text), 0o600); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// change changes a host's file.
+// editFleetFile replaces a text in a host's fleet.toml.
 func (tree *relayTree) editFleetFile(h *testHost, old, updated string) {
 	tree.t.Helper()
 	file := filepath.Join(h.dir, "fleet.toml")
@@ -112,13 +124,13 @@
 	}
 }
 
-// following asks a host's daemon how it stands below the relays.
+// subscriptionStatus returns /fleet/relay of a host's daemon; false if it does not answer.
 func (h *testHost) subscriptionStatus() (status SubscriptionStatus, ok bool) {
 	page, err := faultinject.Ask(h.controlAddress, "/fleet/relay")
 	return status, err == nil && json.Unmarshal([]byte(page), &status) == nil
 }
 
-// loaded begins a load on the lower hosts' members.
+// startLeafLoad starts a load on the members of the leaf hosts.
 func (tree *relayTree) startLeafLoad(span time.Duration) {
 	for at := 0.0; at < float64(span/time.Millisecond); at += 10 {
 		arrival := workload.Arrival{At: at, Customer: len(tree.arrivals) % 7, Units: 1, Set: len(tree.arrivals)}
@@ -146,7 +158,7 @@
 	}()
 }
 
-// leased tells whether all instances of the lower hosts are, and how many there are.
+// leafInstancesLeased counts the instances of the leaf hosts, and reports whether all have a lease.
 func (tree *relayTree) leafInstancesLeased() (count int, ok bool) {
 	ok = true
 	for _, h := range tree.leafHosts {
@@ -159,10 +171,10 @@
 	return count, ok
 }
 
-// Below relays instances go by each version as those of a council's hosts do, and a change that waits for
-// their word comes in force by it, long before its time is up: what has been seen goes up the chain. The
-// relay that is asked may stand still or die, the daemon may be killed and started, with a copy that is torn
-// too: nobody loses the lease by the first, and the others are as in a council. Their records are judged.
+// TestRelaySubscription checks that instances below relays apply each version as those of voters do, and that
+// a change which waits for their acknowledgement comes in force by it, long before its time-out. A relay
+// stalls, and a daemon is killed and restarted with a torn replica on disk: no lease is lost by the first.
+// The history is checked.
 func TestRelaySubscription(t *testing.T) {
 	t.Parallel()
 	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.For = 4000 })
@@ -178,19 +190,21 @@
 	rules[3] = tree.withLimit(limitRate/4, limitBurst/4)
 	took := tree.proposeAndWait(tree.councilHost, rules[3])
 	tree.waitVersion(3, 3, tree.leafHosts...)
-	t.Logf("a ceiling down beyond the fallback, by what hosts below have seen: %v", took)
+	t.Logf("a rate limit lowered below the fallback's, by the leaf hosts' acknowledgement: %v", took)
 	if took > 3*time.Second {
-		t.Error("it waited until its time was up")
+		t.Error("it waited for its time-out")
 	}
 
 	h := tree.leafHosts[0]
 	var status SubscriptionStatus
-	faultinject.Until(t, 3*time.Second, "what all hold is not said", func() (ok bool) {
+	faultinject.Until(t, 3*time.Second, "the step that all hold is not reported", func() (ok bool) {
 		status, ok = h.subscriptionStatus()
 		return ok && status.SeenStep == status.Step && len(status.OutdatedInstances) == 0
 	})
-	if status.Version != 3 || status.Depth != 2 || status.Members != 3 || status.KnownMembers != 3 || status.ConfirmedAgoMillis < 0 || len(status.DisconnectedInstances) > 0 {
-		t.Errorf("it stands so: %+v", status)
+	if status.Version != 3 || status.Depth != 2 || status.Members != 3 || status.KnownMembers != 3 ||
+		status.ConfirmedAgoMillis < 0 ||
+		len(status.DisconnectedInstances) > 0 {
+		t.Errorf("status %+v", status)
 	}
 	asked := slices.Index(tree.relayAddresses, status.CurrentUpstream)
 	if asked < 0 {
@@ -202,11 +216,11 @@
 	const stays = 1500 * time.Millisecond
 	for began := time.Now(); time.Since(began) < stays; time.Sleep(5 * time.Millisecond) {
 		if n, ok := tree.leafInstancesLeased(); !ok || n != 3 {
-			t.Fatal("a lease is lost as one relay stands still")
+			t.Fatal("a lease is lost while one relay is stalled")
 		}
 	}
 	if status, _ = h.subscriptionStatus(); status.CurrentUpstream == tree.relayAddresses[asked] {
-		t.Error("a relay that stands still is asked on")
+		t.Error("a stalled relay is still the current upstream")
 	}
 	if err := tree.relays[asked].Resume(); err != nil {
 		t.Fatal(err)
@@ -216,32 +230,32 @@
 	replicaPath := filepath.Join(h.dir, "store", "rules.copy")
 	raw, err := os.ReadFile(replicaPath)
 	if err != nil || len(raw) < 40 {
-		t.Fatalf("a copy of %d bytes: %v", len(raw), err)
+		t.Fatalf("a replica of %d bytes: %v", len(raw), err)
 	}
 	if err := os.WriteFile(replicaPath, raw[:len(raw)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	tree.restart(h)
 	began = time.Now()
-	faultinject.Until(t, 5*time.Second, "it does not tell its instances anything", func() bool {
+	faultinject.Until(t, 5*time.Second, "its instances do not hold the version", func() bool {
 		status, _ = h.subscriptionStatus()
 		return status.Version == 3 && status.SeenStep == status.Step
 	})
-	t.Logf("a daemon killed and started with a torn copy: its instances hold the last after %v",
+	t.Logf("a daemon killed and restarted with a torn replica: its instances hold the version after %v",
 		time.Since(began))
 	if status.Replica.SetAside != 1 || status.Counts.Wholes != 1 {
-		t.Errorf("the torn copy is not set aside: %+v", status)
+		t.Errorf("the torn replica is not set aside: %+v", status)
 	}
 	tree.waitVersion(3, 3, tree.leafHosts...)
 	if sent := tree.check(rules); sent < 30 {
-		t.Errorf("%d sent under the ceiling", sent)
+		t.Errorf("%d sent under the rate limit", sent)
 	}
 }
 
-// A change that waits for a host is not in force while an instance there stands still and may go by what was
-// before, whatever its daemon does: killed and started again meanwhile, it says nothing for what it can't
-// know. Once that instance is no more the change is in force, before its time is up. Guards against a word
-// that is given too early.
+// TestSeenStepNeverReportedEarly checks that a change which waits for a host is not in force while an
+// instance there is stalled and may act on the version before, also if its daemon is killed and restarted
+// meanwhile. Once that instance has ended the change is in force, before its time-out. It guards against an
+// acknowledgement that is given too early.
 func TestSeenStepNeverReportedEarly(t *testing.T) {
 	t.Parallel()
 	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.For = 12000 })
@@ -258,7 +272,7 @@
 	}
 	next := tree.withLimit(limitRate/4, limitBurst/4)
 	tree.councilHost.propose(next)
-	faultinject.Until(t, 5*time.Second, "the change does not wait", func() bool {
+	faultinject.Until(t, 5*time.Second, "the change is not pending", func() bool {
 		status, ok := tree.councilHost.councilStatus()
 		return ok && status.Rules.Pending == 2
 	})
@@ -266,21 +280,21 @@
 	pending, _ := tree.councilHost.councilStatus()
 	for restarts := 0; time.Since(began) < 5*time.Second; time.Sleep(20 * time.Millisecond) {
 		if status, ok := tree.councilHost.councilStatus(); ok && status.Rules.Version != 1 {
-			t.Fatalf("in force while %s may go by what was before: %+v", stalled.Name, status.Rules)
+			t.Fatalf("in force while %s may act on the version before: %+v", stalled.Name, status.Rules)
 		}
 		if status, ok := h.subscriptionStatus(); ok && status.SeenStep >= pending.Rules.Step {
-			t.Fatalf("said to be seen: %+v\n%s", status, h.Output())
+			t.Fatalf("reported as seen: %+v\n%s", status, h.Output())
 		}
 		if time.Since(began) > time.Duration(restarts+1)*1500*time.Millisecond && restarts < 2 {
 			restarts++
 			tree.kill(h)
-			if err := stalled.Stall(); err != nil { // the kernel has it go on as its parent ends
+			if err := stalled.Stall(); err != nil { // the kernel resumes it when its parent ends
 				t.Fatal(err)
 			}
 			tree.restart(h)
 		}
 	}
-	if n, ok := tree.leafInstancesLeased(); ok || n != 3 { // the one that stands still does not answer
+	if n, ok := tree.leafInstancesLeased(); ok || n != 3 { // the stalled one does not answer
 		t.Errorf("%d instances, all leased: %t", n, ok)
 	}
 	began = time.Now()
@@ -300,9 +314,9 @@
 	}
 }
 
-// With all relays gone instances go by the fallback and then bare, and answer at once all the while; with one
-// back they are leased again by themselves. A file with other relays is taken up by SIGHUP, one that changes
-// what may not change is refused, by its key.
+// TestAllRelaysDown checks that without relays instances use the fallback and then no rules, and answer at
+// once all the while; with a relay back they get a lease again. SIGHUP puts a file with other relays in
+// force, and refuses one that changes what cannot change, by its key.
 func TestAllRelaysDown(t *testing.T) {
 	t.Parallel()
 	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
@@ -328,54 +342,60 @@
 		}
 	}
 	faultinject.Until(t, 5*time.Second, "not all are cut off", allInMode(ruleset.CutOff))
-	faultinject.Until(t, 5*time.Second, "not all are bare", allInMode(ruleset.Bare))
+	faultinject.Until(t, 5*time.Second, "not all are without rules", allInMode(ruleset.Bare))
 	h := tree.leafHosts[0]
 	if s, ok := h.subscriptionStatus(); !ok || len(s.DisconnectedInstances) != 2 {
 		t.Errorf("%+v", s)
 	}
 	r := <-tree.loadReport
 	if r == nil {
-		t.Fatal("no load")
+		t.Fatal("the load has failed")
 	}
 	tree.loadReport = nil
-	// One that waited for control would wait until its client is gone, and so would all of these seconds. A busy
-	// machine makes some of them late.
+	// An instance that blocked on its lease would answer nothing in these seconds. A busy machine delays some
+	// answers.
 	counts := r.Counts["check"]
-	if counts[loadgen.Settled] < 100 || counts[loadgen.NoAnswer]*20 > int64(len(tree.arrivals)) { // the customer without a ceiling
+	if counts[loadgen.Settled] < 100 ||
+		counts[loadgen.NoAnswer]*20 > int64(len(tree.arrivals)) { // the customer without a rate limit
 		t.Errorf("%v", counts)
 	}
 	if late := time.Duration(r.Latency.ValueAtQuantile(80)) * time.Microsecond; late > 200*time.Millisecond {
-		t.Errorf("one txn in five took %v or more", late)
+		t.Errorf("one request in five took %v or more", late)
 	}
 	if err := tree.relays[0].Restart(nil); err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("a relay is back: all leased after %v", tree.waitVersion(1, 3, tree.leafHosts...))
 
-	tree.editFleetFile(h, tree.relayAddresses[0], "127.0.0.1:1") // the other one and one that is none
+	tree.editFleetFile(
+		h,
+		tree.relayAddresses[0],
+		"127.0.0.1:1",
+	) // the other relay, and an address where there is none
 	if err := tree.relays[1].Restart(nil); err != nil {
 		t.Fatal(err)
 	}
 	if err := h.Renew(); err != nil {
 		t.Fatal(err)
 	}
-	faultinject.Until(t, 5*time.Second, "the other relay is not asked", func() bool {
+	faultinject.Until(t, 5*time.Second, "the other relay is not the current upstream", func() bool {
 		s, ok := h.subscriptionStatus()
-		return ok && s.CurrentUpstream == tree.relayAddresses[1] && s.ConfirmedAgoMillis >= 0 && s.ConfirmedAgoMillis < 1000
+		return ok && s.CurrentUpstream == tree.relayAddresses[1] && s.ConfirmedAgoMillis >= 0 &&
+			s.ConfirmedAgoMillis < 1000
 	})
 	tree.waitVersion(1, 3, tree.leafHosts...)
 	tree.editFleetFile(h, `me = "l0"`, `me = "l9"`)
 	if err := h.Renew(); err != nil {
 		t.Fatal(err)
 	}
-	faultinject.Until(t, 5*time.Second, "another name is not refused", func() bool {
+	faultinject.Until(t, 5*time.Second, "another host name is not refused", func() bool {
 		return strings.Contains(h.Output(), "relay.me and relay.store can't change")
 	})
 	tree.waitVersion(1, 3, tree.leafHosts...)
 }
 
-// An instance of an older program below a daemon without a seat is told all that its host knows, each time,
-// and what it holds counts as any other's.
+// TestOlderInstanceBelowRelays checks that an instance of an older program below relays receives all that its
+// host knows each time, and that the step which it holds counts as any other's.
 func TestOlderInstanceBelowRelays(t *testing.T) {
 	t.Parallel()
 	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.For = 6000 })
@@ -391,11 +411,11 @@
 	tree.waitVersion(1, 3, tree.leafHosts...)
 	old := faultinject.Instances(h.runDir())[0]
 	if n, ok := faultinject.Figure(old.Control, "svc.rules.wholes"); !ok || n != 0 {
-		t.Errorf("the older one is told changes: %d", n)
+		t.Errorf("the older one receives changes: %d", n)
 	}
 	next := tree.withLimit(limitRate/4, limitBurst/4)
 	if took := tree.proposeAndWait(tree.councilHost, next); took > 4*time.Second {
-		t.Errorf("in force after %v: its word counts for nothing", took)
+		t.Errorf("in force after %v: its acknowledgement does not count", took)
 	}
 	tree.waitVersion(2, 3, tree.leafHosts...)
 
@@ -407,11 +427,14 @@
 	raw, err := io.ReadAll(res.Body)
 	res.Body.Close()
 	lease, leaseErr := ruleset.ReadLease(raw)
-	if err != nil || leaseErr != nil || lease.Version.Number != 2 || len(lease.Version.Rules.Members) != 3 || lease.Age <= 0 {
+	if err != nil || leaseErr != nil || lease.Version.Number != 2 || len(lease.Version.Rules.Members) != 3 ||
+		lease.Age <= 0 {
 		t.Errorf("%v, %v: %s", err, leaseErr, raw)
 	}
 	for _, who := range []string{"instance=g9&pid=1", fmt.Sprintf("instance=%s&pid=1", old.Name)} {
-		res, err := http.Get(fmt.Sprintf("http://%s%s?%s&holds=9&index=-1", h.controlAddress, lifecycle.LeasePath, who))
+		res, err := http.Get(
+			fmt.Sprintf("http://%s%s?%s&holds=9&index=-1", h.controlAddress, lifecycle.LeasePath, who),
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -421,7 +444,7 @@
 	}
 }
 
-// upper stands in for a relay, and books what it is told to have been seen.
+// fakeUpstream is a fake relay that records which steps are reported as seen.
 type fakeUpstream struct {
 	mu          sync.Mutex
 	source      *distribution.Source
@@ -439,8 +462,9 @@
 	return u.source.Answer(request, raftlog.Clock())
 }
 
-// says has it say that rules are in force as of now, every now and then until the test's end.
+// publishPeriodically publishes rules as in force now, every 20 ms until the test's end.
 func (u *fakeUpstream) publishPeriodically(t *testing.T, step uint64, r ruleset.Rules) {
+	t.Helper()
 	rules, err := ruleset.Entries(&ruleset.Version{Number: 1, Rules: r})
 	if err != nil {
 		t.Fatal(err)
@@ -455,15 +479,17 @@
 	}()
 }
 
+// reportedStep returns the highest step that was reported as seen.
 func (u *fakeUpstream) reportedStep() uint64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.seen
 }
 
-// A host says that it has seen a step when each process there holds it, or is no more, or has been told
-// nothing yet; one that was there before the daemon counts as holding nothing until it says what. With no
-// process it says what it would tell the first. The interest it asks with is its members', and theirs around.
+// TestSubscriptionReportsSeenStep checks that a host reports a step as seen when each process there holds it,
+// has ended, or has received nothing yet; an adopted process counts as holding anything until it says what.
+// Without a process the host reports the step that it would grant next. Its interest is that of its members
+// and those around them.
 func TestSubscriptionReportsSeenStep(t *testing.T) {
 	upstream := &fakeUpstream{source: distribution.NewSource("r", "till", distribution.Bounds{})}
 	server := httptest.NewServer(relay.NewHandler(upstream.answer))
@@ -472,54 +498,70 @@
 		Members: []ruleset.Member{
 			{Name: "a", Host: "l0"},
 		}, Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
-	sub := newSubscription("till", &RelaySettings{HostName: "l0", StorePath: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
+	sub := newSubscription(
+		"till",
+		&RelaySettings{HostName: "l0", StorePath: filepath.Join(t.TempDir(), "copy")},
+		nil,
+		zerolog.Nop(),
+	)
 	defer sub.Close()
 	sub.Began(1, true)
 	sub.Began(2, true)
 	upstream.publishPeriodically(t, 5, rules)
 	sub.setUpstreams([]string{strings.TrimPrefix(server.URL, "http://")})
-	faultinject.Until(t, 3*time.Second, "it hears nothing", func() bool { return sub.InForce().Number == 1 })
+	faultinject.Until(t, 3*time.Second, "it receives nothing", func() bool { return sub.InForce().Number == 1 })
 	checkNotReported := func(why string) {
 		t.Helper()
 		time.Sleep(250 * time.Millisecond)
 		if got := upstream.reportedStep(); got >= 5 {
-			t.Fatalf("step %d is said to be seen, %s", got, why)
+			t.Fatalf("step %d is reported as seen, %s", got, why)
 		}
 	}
-	checkNotReported("and two may hold anything")
+	checkNotReported("while two processes may hold anything")
 	if _, ok := sub.Asked(1, "a", 5, -1); !ok {
-		t.Fatal("it tells nothing")
+		t.Fatal("it grants no lease")
 	}
-	checkNotReported("and one may hold anything")
+	checkNotReported("while one process may hold anything")
 	sub.Ended(2)
-	faultinject.Until(t, 3*time.Second, "step 5 is not said to be seen", func() bool { return upstream.reportedStep() == 5 })
+	faultinject.Until(
+		t,
+		3*time.Second,
+		"step 5 is not reported as seen",
+		func() bool { return upstream.reportedStep() == 5 },
+	)
 
 	sub.Began(3, false)
 	upstream.publishPeriodically(t, 6, rules)
-	faultinject.Until(t, 3*time.Second, "it does not go on", func() bool {
+	faultinject.Until(t, 3*time.Second, "it does not continue", func() bool {
 		l, ok := sub.Asked(3, "a", 0, -1)
 		return ok && l.Step == 6
 	})
 	time.Sleep(250 * time.Millisecond)
 	if got := upstream.reportedStep(); got != 5 {
-		t.Errorf("step %d is said to be seen while one holds 5, and one nothing", got)
+		t.Errorf("step %d is reported as seen while one holds 5, and one nothing", got)
 	}
 	sub.Asked(1, "a", 6, 77)
 	sub.Asked(3, "a", 6, 78)
-	faultinject.Until(t, 3*time.Second, "step 6 is not said to be seen", func() bool { return upstream.reportedStep() == 6 })
+	faultinject.Until(
+		t,
+		3*time.Second,
+		"step 6 is not reported as seen",
+		func() bool { return upstream.reportedStep() == 6 },
+	)
 	upstream.mu.Lock()
 	defer upstream.mu.Unlock()
-	if upstream.lastRequest.Interest != (ruleset.Interest{Host: "l0", Around: distribution.Around}) || upstream.lastRequest.From != "l0" {
-		t.Errorf("it asks %+v", upstream.lastRequest)
+	if upstream.lastRequest.Interest != (ruleset.Interest{Host: "l0", Around: distribution.Around}) ||
+		upstream.lastRequest.From != "l0" {
+		t.Errorf("its request is %+v", upstream.lastRequest)
 	}
 	if n := sub.Highest(); n != 78 {
 		t.Errorf("highest index %d", n)
 	}
 }
 
-// A word that was read before this daemon began is given to nobody, however fresh it looks, and rules that
-// make no sense, or that this program does not know, leave instances as they are; the latter are passed on
-// whole.
+// TestSubscriptionAppliesViews checks that a view read before the daemon began is granted to no process,
+// however fresh it looks, and that invalid and unknown rules leave instances as they are; the latter are
+// passed on in full.
 func TestSubscriptionAppliesViews(t *testing.T) {
 	upstream := &fakeUpstream{source: distribution.NewSource("r", "till", distribution.Bounds{})}
 	server := httptest.NewServer(relay.NewHandler(upstream.answer))
@@ -545,45 +587,55 @@
 	}
 	first := state(1, func(*ruleset.Rules) {})
 	offer(1, raftlog.Clock()-50, first)
-	sub := newSubscription("till", &RelaySettings{HostName: "l0", StorePath: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
+	sub := newSubscription(
+		"till",
+		&RelaySettings{HostName: "l0", StorePath: filepath.Join(t.TempDir(), "copy")},
+		nil,
+		zerolog.Nop(),
+	)
 	defer sub.Close()
 	sub.setUpstreams([]string{strings.TrimPrefix(server.URL, "http://")})
 	time.Sleep(400 * time.Millisecond)
 	if _, ok := sub.Asked(1, "a", 0, -1); ok {
-		t.Fatal("it gives on what was read before it began")
+		t.Fatal("it grants a lease on a view read before it began")
 	}
 	offer(1, raftlog.Clock(), first)
-	faultinject.Until(t, 3*time.Second, "it gives nothing", func() bool {
+	faultinject.Until(t, 3*time.Second, "it grants no lease", func() bool {
 		_, ok := sub.Asked(1, "a", 0, -1)
 		return ok
 	})
 	offer(2, raftlog.Clock(), state(2, func(r *ruleset.Rules) { r.Plans[0].Rate = -1 }))
 	time.Sleep(400 * time.Millisecond)
 	if l, ok := sub.Asked(1, "a", 0, -1); ok && l.Version.Number != 1 || sub.InForce().Number != 1 {
-		t.Errorf("rules that make no sense are gone by: %+v", l)
+		t.Errorf("invalid rules are applied: %+v", l)
 	}
 	offer(3, raftlog.Clock(), state(3, func(r *ruleset.Rules) { r.Needs = []string{"moon"} }))
-	faultinject.Until(t, 3*time.Second, "what is not known here is not passed on", func() bool {
+	faultinject.Until(t, 3*time.Second, "unknown rules are not passed on", func() bool {
 		l, ok := sub.Asked(1, "a", 0, -1)
 		return ok && l.Version.Number == 3 && strings.Contains(l.Foreign, "moon")
 	})
 	if v := sub.currentView(); sub.InForce().Number != 1 || v.Rules.Mark().Number != 3 {
 		t.Errorf("in force %d, passed on %v", sub.InForce().Number, v.Rules.Mark())
 	}
-	if server := sub.status(); server.UnknownRules == "" || server.Version != 3 {
-		t.Errorf("operators are told %+v", server)
+	if status := sub.status(); status.UnknownRules == "" || status.Version != 3 {
+		t.Errorf("the status is %+v", status)
 	}
 	offer(4, raftlog.Clock(), state(4, func(*ruleset.Rules) {}))
-	faultinject.Until(t, 3*time.Second, "it does not go on", func() bool { return sub.InForce().Number == 4 })
+	faultinject.Until(t, 3*time.Second, "it does not continue", func() bool { return sub.InForce().Number == 4 })
 }
 
-// A host's part of rules of 7,900 members: its instances have the ports of their places, know where those are
-// that the part names, and reckon with all. The whole fits below the system's own range of ports.
+// TestLargeMembership reads a host's part of rules with 7,900 members: its instances have the ports of their
+// positions, know the members that the part names, and count all. All ports are below the system's ephemeral
+// range.
 func TestLargeMembership(t *testing.T) {
 	const n, own = 7900, 14
 	fleet := newTestFleet(t, 1)
-	h := &testHost{cluster: &testCluster{t: t, discovery: fleet.discovery, basePort: 2000, memberSlots: n}, name: "l0", ip: "127.0.0.10",
-		dir: fleet.dir}
+	h := &testHost{
+		cluster: &testCluster{t: t, discovery: fleet.discovery, basePort: 2000, memberSlots: n},
+		name:    "l0",
+		ip:      "127.0.0.10",
+		dir:     fleet.dir,
+	}
 	h.writeRelayFiles([]string{"127.0.0.20:1"})
 	settings, err := LoadSettings(filepath.Join(fleet.dir, "fleet.toml"))
 	if err != nil {
@@ -605,7 +657,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("the whole has %d bytes, a host's part %d, and %d as it is sent", whole.Bytes(), interesting.Bytes(),
+	t.Logf("all rules have %d bytes, a host's part %d, and %d as an answer", whole.Bytes(), interesting.Bytes(),
 		len(sent))
 	part, err := ruleset.FromState(interesting)
 	if err != nil || ruleset.CheckPart(&part.Rules) != nil {
@@ -630,7 +682,7 @@
 		}
 		if g.Charter.Gatekeepers != n || g.Charter.Me != i || known != own+2*distribution.Around ||
 			in.ListenAddress != fmt.Sprintf("127.0.0.10:%d", 2002+i) {
-			t.Errorf("place %d of %d at %s, %d known", g.Charter.Me, g.Charter.Gatekeepers, in.ListenAddress, known)
+			t.Errorf("position %d of %d at %s, %d known", g.Charter.Me, g.Charter.Gatekeepers, in.ListenAddress, known)
 		}
 	}
 	if last := 2000 + 2 + 3*n; last > 32768 {
@@ -638,8 +690,8 @@
 	}
 }
 
-// What is wrong in the file of a host below relays is named by its line or key, and nothing is started. With
-// no rules known yet, it starts with no instances; with those that were carried out last, with theirs.
+// TestInvalidRelaySettings checks that what is wrong in the file of a host below relays is named by line or
+// key. A daemon without known rules starts without instances; one with applied rules starts with theirs.
 func TestInvalidRelaySettings(t *testing.T) {
 	cluster := newTestCluster(t, 1, 3, nil)
 	h := &testHost{cluster: cluster, name: "l0", ip: "127.0.0.10", dir: filepath.Join(cluster.dir, "l0")}
@@ -655,31 +707,33 @@
 		{"no store", `"store/rules.copy"`, `""`, "relay.store"},
 		{"no relays", `["127.0.0.20:1","127.0.0.21:1"]`, `[]`, "relay.upstream"},
 		{"a relay twice", `127.0.0.21:1`, `127.0.0.20:1`, "relay.upstream.1"},
-		{"an address that is none", `127.0.0.21:1`, `there`, "relay.upstream.1"},
+		{"an invalid address", `127.0.0.21:1`, `there`, "relay.upstream.1"},
 		{"too many relays", `["127.0.0.20:1",`, `[` + strings.Repeat(`"x",`, maxUpstreams), "relay.upstream"},
 		{"a number of instances", "step = 2", "step = 2\ninstances = 3", "instances: the rules"},
-		{"addresses of peers", "step = 2", "step = 2\npeers = \"127.0.0.1:1\"", "peers: the rules"},
-		{"a council too", "[relay]", "[council]\nme = \"l0\"\n[relay]", "relay: there is a council"},
-		{"a way that is none", "[relay]", "[reach.g0]\n\"here\" = \"127.0.0.1:1\"\n[relay]", "reach.g0"},
+		{"a peer address", "step = 2", "step = 2\npeers = \"127.0.0.1:1\"", "peers: the rules"},
+		{"a council as well", "[relay]", "[council]\nme = \"l0\"\n[relay]", "relay: there is a council"},
+		{"an invalid override", "[relay]", "[reach.g0]\n\"here\" = \"127.0.0.1:1\"\n[relay]", "reach.g0"},
 		{"no configuration", "gatekeeper.json", "none.json", "config: open"},
 	} {
 		if !strings.Contains(string(raw), test.old) {
-			t.Fatalf("%s changes nothing", test.name)
+			t.Fatalf("the case %s changes nothing", test.name)
 		}
 		os.WriteFile(file, []byte(strings.Replace(string(raw), test.old, test.new, 1)), 0o600)
-		if settings, err := LoadSettings(file); err == nil || settings != nil || !strings.Contains(err.Error(), test.says) {
+		if settings, err := LoadSettings(file); err == nil || settings != nil ||
+			!strings.Contains(err.Error(), test.says) {
 			t.Errorf("%s: %v, want %q", test.name, err, test.says)
 		}
 	}
 	os.WriteFile(file, raw, 0o600)
-	example, err := os.ReadFile("../../deploy/host.toml") // and the file that operators begin with is right
+	example, err := os.ReadFile("../../deploy/host.toml") // the example for operators is valid
 	if err == nil {
 		err = os.WriteFile(filepath.Join(h.dir, "host.toml"), example, 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	if settings, err := LoadSettings(filepath.Join(h.dir, "host.toml")); err != nil || settings.Rules.Relay.HostName != "south-7" {
+	if settings, err := LoadSettings(filepath.Join(h.dir, "host.toml")); err != nil ||
+		settings.Rules.Relay.HostName != "south-7" {
 		t.Errorf("deploy/host.toml: %v", err)
 	}
 	settings, err := LoadSettings(file)
@@ -699,8 +753,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := settings.restoreAppliedRules(); err != nil || len(settings.Instances) != 1 || settings.fleetSize != 3 || settings.Instances[0].Name != "g1" {
-		t.Errorf("a daemon that knows its part of rules does not go on with it: %v, %+v", err, settings)
+	if err := settings.restoreAppliedRules(); err != nil || len(settings.Instances) != 1 ||
+		settings.fleetSize != 3 ||
+		settings.Instances[0].Name != "g1" {
+		t.Errorf("a daemon with applied rules does not start with them: %v, %+v", err, settings)
 	}
 	d := &Daemon{log: zerolog.Nop(), settings: settings}
 	councilSettings := *settings
@@ -709,6 +765,6 @@
 		d.rules = &rulesParticipant{}
 	}
 	if err := d.reloadRules(settings); err == nil || !strings.Contains(err.Error(), "council, relay:") {
-		t.Errorf("a council becomes relays as it runs: %v", err)
+		t.Errorf("a voter becomes a subscriber while it runs: %v", err)
 	}
 }
