--- a/internal/supervisor/adoption.go
+++ b/internal/supervisor/adoption.go
@@ -59,7 +59,7 @@
 			return false
 		}
 		d.instanceByPID.Delete(process.PID)
-		d.rules.Ended(process.PID)
+		d.rules.ProcessExited(process.PID)
 		return true
 	})
 }
--- a/internal/supervisor/cluster_fault_test.go
+++ b/internal/supervisor/cluster_fault_test.go
@@ -196,8 +196,8 @@
 	began := time.Now()
 	h.propose(rules)
 	trial.rules = rules
-	digest := raftlog.Mark(&rules)
-	for status, ok := h.councilStatus(); !ok || status.Rules.Mark != digest; status, ok = h.councilStatus() {
+	digest := raftlog.RulesDigest(&rules)
+	for status, ok := h.councilStatus(); !ok || status.Rules.Digest != digest; status, ok = h.councilStatus() {
 		if time.Since(began) > 20*time.Second {
 			log, _ := os.ReadFile(h.Log())
 			trial.t.Fatalf("%s does not have in force what it proposed: %+v\n%s", h.name, status, log)
@@ -226,7 +226,7 @@
 	capped := trial.limitedRequests()
 	bare := map[string]bool{}         // sent without rules, so under no rate limit
 	for i, e := range record.Events { // the modes have the instances' own names
-		if e.Kind == history.Sends && e.Mode == ruleset.Bare.String() {
+		if e.Kind == history.Sends && e.Mode == ruleset.ModeNoLease.String() {
 			bare[e.Txn+e.Worker] = true
 			if record.Events[i].Version = 0; capped[e.Txn] {
 				trial.t.Errorf("%v: sent without rules, under a rate limit", e)
@@ -236,11 +236,11 @@
 			record.Events[i].Version = 0
 		}
 		switch e.Mode {
-		case ruleset.Leased.String():
+		case ruleset.ModeLeased.String():
 			record.Events[i].Mode = history.Leased
-		case ruleset.CutOff.String():
+		case ruleset.ModeFallback.String():
 			record.Events[i].Mode = history.Fallback
-		case ruleset.Bare.String():
+		case ruleset.ModeNoLease.String():
 			record.Events[i].Mode = history.Bare
 		}
 	}
@@ -377,7 +377,7 @@
 // limit and raise it again.
 func TestMinorityPartition(t *testing.T) {
 	requireLong(t)
-	trial := startTrial(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.For = 4000 })
+	trial := startTrial(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 4000 })
 	trial.startLoad(14 * time.Second)
 	rules := map[uint64]ruleset.Rules{1: trial.rules}
 	minority, majority := trial.hosts[2], trial.hosts[:2]
@@ -387,7 +387,7 @@
 	t.Logf("lowered, with a host cut off: in force after %v", trial.proposeAndWait(majority[0], rules[2]))
 	trial.waitVersion(2, 4, majority...)
 	for _, i := range faultinject.Instances(minority.runDir()) {
-		if f, ok := readRuleStats(i); !ok || f.version != 1 || f.mode == int64(ruleset.Leased) {
+		if f, ok := readRuleStats(i); !ok || f.version != 1 || f.mode == int64(ruleset.ModeLeased) {
 			t.Errorf("%s, cut off, applies %+v", i.Name, f)
 		}
 	}
@@ -436,7 +436,7 @@
 		var other *testHost
 		faultinject.Until(t, 10*time.Second, "no other host leads", func() bool {
 			for _, o := range trial.hosts {
-				if s, ok := o.councilStatus(); ok && o != h && s.Leader == s.Me {
+				if s, ok := o.councilStatus(); ok && o != h && s.LeaderName == s.HostName {
 					other = o
 				}
 			}
@@ -521,8 +521,8 @@
 		trial.restart(h)
 		t.Logf("%s: leased again after %v", how, trial.waitVersion(int64(n), 3, trial.hosts...))
 		status, ok := h.councilStatus()
-		if !ok || how == faultinject.Old && status.Aside["old"] != 1 ||
-			how == faultinject.Torn && status.Aside["torn"] != 1 {
+		if !ok || how == faultinject.Old && status.MovedAside["old"] != 1 ||
+			how == faultinject.Torn && status.MovedAside["torn"] != 1 {
 			t.Errorf("%s: %+v", how, status)
 		}
 	}
@@ -533,7 +533,7 @@
 // fallback, and then no rules.
 func TestThreeOfFiveHostsLost(t *testing.T) {
 	requireLong(t)
-	trial := startTrial(t, 5, 1, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+	trial := startTrial(t, 5, 1, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 1000 })
 	trial.startLoad(9 * time.Second)
 	rules := map[uint64]ruleset.Rules{1: trial.rules}
 	for _, h := range trial.hosts[:3] {
@@ -548,14 +548,15 @@
 	faultinject.Until(t, 8*time.Second, "two hosts still have rules", func() bool {
 		for _, h := range trial.hosts[3:] {
 			for _, i := range faultinject.Instances(h.runDir()) {
-				if f, ok := readRuleStats(i); !ok || f.mode != int64(ruleset.Bare) {
+				if f, ok := readRuleStats(i); !ok || f.mode != int64(ruleset.ModeNoLease) {
 					return false
 				}
 			}
 		}
 		return true
 	})
-	if s, ok := trial.hosts[3].councilStatus(); !ok || s.State != "no leader" || len(s.Rules.CutOff) != 1 {
+	if s, ok := trial.hosts[3].councilStatus(); !ok || s.State != "no leader" ||
+		len(s.Rules.CutOffInstances) != 1 {
 		t.Errorf("%+v", s)
 	}
 	for _, h := range trial.hosts[:3] {
@@ -579,12 +580,12 @@
 		if round > 10 {
 			t.Fatal("no two proposals on the same base")
 		}
-		outcomes := func(h *testHost) []raftlog.Heard {
+		outcomes := func(h *testHost) []raftlog.ProposalOutcome {
 			s, _ := h.councilStatus()
-			return s.Rules.Outcomes
+			return s.Rules.ProposalOutcomes
 		}
 		before := [2]int{len(outcomes(trial.hosts[1])), len(outcomes(trial.hosts[2]))}
-		var answers [2]raftlog.Heard
+		var answers [2]raftlog.ProposalOutcome
 		for i, h := range trial.hosts[1:] {
 			f := 1 - 0.02*float64(2*round+i)
 			h.propose(trial.withLimit(limitRate*f, limitBurst*f))
@@ -601,13 +602,13 @@
 		})
 		for i, a := range answers {
 			f := 1 - 0.02*float64(2*round+i)
-			if a.Refused == "" {
-				rules[a.Number], last = trial.withLimit(limitRate*f, limitBurst*f), max(last, a.Number)
+			if a.Rejection == "" {
+				rules[a.Version], last = trial.withLimit(limitRate*f, limitBurst*f), max(last, a.Version)
 			}
 		}
 		trial.waitVersion(int64(last), 3, trial.hosts...)
-		if a, b := answers[0], answers[1]; a.Base == b.Base {
-			if (a.Refused == "") == (b.Refused == "") || !strings.HasPrefix(a.Refused+b.Refused, "base: ") {
+		if a, b := answers[0], answers[1]; a.BaseVersion == b.BaseVersion {
+			if (a.Rejection == "") == (b.Rejection == "") || !strings.HasPrefix(a.Rejection+b.Rejection, "base: ") {
 				t.Errorf("%+v and %+v", a, b)
 			}
 			break
@@ -734,7 +735,7 @@
 // waits for it.
 func TestOlderProgram(t *testing.T) {
 	requireLong(t)
-	trial := newTrial(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.For = 2000 })
+	trial := newTrial(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 2000 })
 	h := trial.hosts[2]
 	proxyAddress, addUnknownKey := newOlderProgramProxy(t, h.controlAddress)
 	script := filepath.Join(h.dir, "older")
@@ -759,13 +760,13 @@
 	faultinject.Until(t, 10*time.Second, "the older one is not cut off, or does not count why", func() bool {
 		f, ok := readRuleStats(old)
 		n, _ := faultinject.Figure(old.Control, "svc.rules.refused")
-		return ok && f.mode != int64(ruleset.Leased) && n > 0
+		return ok && f.mode != int64(ruleset.ModeLeased) && n > 0
 	})
 	rules[2] = trial.withLimit(limitRate/4, limitBurst/4)
 	elapsed := trial.proposeAndWait(trial.hosts[0], rules[2])
 	trial.waitVersion(2, 2, trial.hosts[:2]...)
 	t.Logf("with an older one that cannot apply it: in force after %v", elapsed)
-	if f, ok := readRuleStats(old); !ok || f.version != 1 || f.mode == int64(ruleset.Leased) {
+	if f, ok := readRuleStats(old); !ok || f.version != 1 || f.mode == int64(ruleset.ModeLeased) {
 		t.Errorf("the older one applies %+v", f)
 	}
 	addUnknownKey.Store(false) // replaced by a newer program
@@ -777,7 +778,7 @@
 // the others go on; with space again it recovers by itself.
 func TestFullDisk(t *testing.T) {
 	requireLong(t)
-	trial := startTrial(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+	trial := startTrial(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 1000 })
 	trial.startLoad(8 * time.Second)
 	rules := map[uint64]ruleset.Rules{1: trial.rules}
 	full := trial.leader()
@@ -789,13 +790,16 @@
 	big := &ruleset.Rules{}
 	*big = trial.rules
 	for i := range 2000 { // more than its store has space for
-		big.Words = append(big.Words, ruleset.Word{Worker: fmt.Sprintf("%0100d", i), Weight: 1})
+		big.WorkerOverrides = append(
+			big.WorkerOverrides,
+			ruleset.WorkerOverride{Worker: fmt.Sprintf("%0100d", i), Weight: 1},
+		)
 	}
 	rules[2] = *big
 	trial.proposeAndWait(others[0], *big)
 	faultinject.Until(t, 10*time.Second, "it still has a vote", func() bool {
 		s, ok := full.councilStatus()
-		return ok && s.State == "mute" && strings.Contains(s.Why, "too large")
+		return ok && s.State == "mute" && strings.Contains(s.Reason, "too large")
 	})
 	began := time.Now()
 	trial.waitVersion(2, 2, others...)
@@ -804,7 +808,7 @@
 	instance := faultinject.Instances(full.runDir())[0]
 	faultinject.Until(t, 5*time.Second, "its instance is not cut off", func() bool {
 		f, ok := readRuleStats(instance)
-		return ok && f.mode != int64(ruleset.Leased)
+		return ok && f.mode != int64(ruleset.ModeLeased)
 	})
 	rules[3] = trial.withLimit(limitRate/2, limitBurst/2)
 	trial.proposeAndWait(others[1], rules[3])
@@ -829,7 +833,7 @@
 // runRandomTrial plays the schedule of one seed.
 func runRandomTrial(t *testing.T, seed int64) {
 	t.Helper()
-	trial := startTrial(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+	trial := startTrial(t, 3, 2, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 1000 })
 	const span = 20000
 	trial.startLoad(span * time.Millisecond)
 	rig := &faultinject.Rig{
@@ -895,7 +899,7 @@
 		last = 0
 		for _, h := range trial.hosts {
 			status, ok := h.councilStatus()
-			if !ok || status.Rules.Pending > 0 || status.Rules.Wanted != "" ||
+			if !ok || status.Rules.PendingVersion > 0 || status.Rules.WantedProposal != "" ||
 				last > 0 && status.Rules.Version != last {
 				return false
 			}
@@ -935,7 +939,7 @@
 	}
 	for _, e := range record.Events {
 		for _, r := range proposed {
-			if e.Kind == history.Taken && e.Says == "" && e.Mark == raftlog.Mark(&r) {
+			if e.Kind == history.Taken && e.Says == "" && e.Mark == raftlog.RulesDigest(&r) {
 				rules[e.Version] = r
 			}
 		}
@@ -958,7 +962,7 @@
 			waitNoPreviousVersion := func() { // the leader admits eight versions that instances may fall back to
 				faultinject.Until(t, 10*time.Second, "an earlier version may still be applied", func() bool {
 					s, ok := c.hosts[0].councilStatus()
-					return ok && len(s.Rules.Held) == 0
+					return ok && len(s.Rules.HeldVersions) == 0
 				})
 			}
 			for i := range 6 {
--- a/internal/supervisor/cluster_test.go
+++ b/internal/supervisor/cluster_test.go
@@ -81,8 +81,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.discovery.Close)
-	c.rules = ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
-		Fallback: ruleset.Fallback{Part: 0.5, For: 3000},
+	c.rules = ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
+		Fallback: ruleset.Fallback{Fraction: 0.5, DurationMillis: 3000},
 		Plans: []ruleset.Plan{{Name: "basic", Rate: 500, Burst: 500},
 			{Name: "capped", Rate: 200, Burst: 200, CeilingRate: limitRate, CeilingDepth: limitBurst}}}
 	for i := range hosts {
@@ -258,7 +258,7 @@
 			for _, instance := range faultinject.Instances(h.runDir()) {
 				stats, ok := readRuleStats(instance)
 				observed += fmt.Sprintf("%s %+v %t; ", instance.Name, stats, ok)
-				if ok && stats.version == version && stats.mode == int64(ruleset.Leased) {
+				if ok && stats.version == version && stats.mode == int64(ruleset.ModeLeased) {
 					count++
 				}
 			}
@@ -287,7 +287,7 @@
 			if !h.Running() {
 				continue
 			}
-			if s, ok := h.councilStatus(); ok && s.Leader == s.Me && s.State == "member" {
+			if s, ok := h.councilStatus(); ok && s.LeaderName == s.HostName && s.State == "member" {
 				return h
 			}
 		}
@@ -316,9 +316,9 @@
 	c.hosts[2].propose(rules)
 	c.waitVersion(3, 6, c.hosts...)
 	t.Logf("a rate limit lowered below the fallback's: %v", time.Since(began))
-	c.hosts[0].propose(ruleset.Rules{Form: ruleset.Form})
+	c.hosts[0].propose(ruleset.Rules{Format: ruleset.SupportedFormat})
 	time.Sleep(100 * time.Millisecond)
-	if s, ok := c.hosts[0].councilStatus(); !ok || s.Rules.Version != 3 || s.Rules.Pending != 0 {
+	if s, ok := c.hosts[0].councilStatus(); !ok || s.Rules.Version != 3 || s.Rules.PendingVersion != 0 {
 		t.Errorf("invalid rules change something: %+v", s)
 	}
 	killed := c.leader()
@@ -328,7 +328,7 @@
 	instances := faultinject.Instances(killed.runDir())
 	faultinject.Until(t, 5*time.Second, "its instances are not cut off", func() bool {
 		for _, i := range instances {
-			if f, ok := readRuleStats(i); !ok || f.mode != int64(ruleset.CutOff) {
+			if f, ok := readRuleStats(i); !ok || f.mode != int64(ruleset.ModeFallback) {
 				return false
 			}
 		}
--- a/internal/supervisor/control.go
+++ b/internal/supervisor/control.go
@@ -115,12 +115,12 @@
 
 // CouncilStatus is the status of the raft group and of the ruleset, as /fleet/council shows it.
 type CouncilStatus struct {
-	raftlog.View
-	Rules raftlog.Agreement `json:"rules"`
+	raftlog.Status
+	Rules raftlog.ActivationStatus `json:"rules"`
 }
 
 func (d *Daemon) handleCouncilStatus(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, CouncilStatus{d.rules.voter.View(), d.rules.voter.Agreement()})
+	writeJSON(w, CouncilStatus{d.rules.voter.Status(), d.rules.voter.ActivationStatus()})
 }
 
 // handleRules answers with the version in force as a rules file, for operators who change it.
--- a/internal/supervisor/control_cost_test.go
+++ b/internal/supervisor/control_cost_test.go
@@ -35,22 +35,22 @@
 	lease ruleset.Lease
 }
 
-func (s *fixedSource) Changed() <-chan struct{} { return nil }
-func (s *fixedSource) InForce() ruleset.Version { return s.lease.Version }
-func (s *fixedSource) Began(int, bool)          {}
-func (s *fixedSource) Ended(int)                {}
-func (s *fixedSource) Highest() int64           { return 0 }
-func (s *fixedSource) Close()                   {}
+func (s *fixedSource) Changed() <-chan struct{}     { return nil }
+func (s *fixedSource) InForce() ruleset.Version     { return s.lease.Version }
+func (s *fixedSource) ProcessStarted(int, bool)     {}
+func (s *fixedSource) ProcessExited(int)            {}
+func (s *fixedSource) HighestDiscoveryIndex() int64 { return 0 }
+func (s *fixedSource) Close()                       {}
 func (s *fixedSource) publish(number, rate int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.set(number, rate)
 }
-func (s *fixedSource) Asked(int, string, uint64, int64) (ruleset.Lease, bool) {
+func (s *fixedSource) RenewLease(int, string, uint64, int64) (ruleset.Lease, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.lease
-	l.Age = 300
+	l.AgeMillis = 300
 	return l, true
 }
 
@@ -60,7 +60,7 @@
 	r.Plans[0].Rate = float64(rate)
 	s.lease.Version = ruleset.Version{Number: uint64(number), Rules: r}
 	s.lease.Step++
-	s.lease.Settled = true
+	s.lease.TransitionComplete = true
 }
 
 // What a gatekeeper's control costs it, as a real process of its own before a daemon's real answers, by how
@@ -140,12 +140,12 @@
 		t.Fatal(err)
 	}
 	source := &fixedSource{}
-	rules := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
-		Fallback: ruleset.Fallback{Part: 0.5, For: 3000},
+	rules := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
+		Fallback: ruleset.Fallback{Fraction: 0.5, DurationMillis: 3000},
 		Plans: []ruleset.Plan{{Name: "basic", Rate: 500, Burst: 500},
 			{Name: "capped", Rate: 200, Burst: 200, CeilingRate: limitRate, CeilingDepth: limitBurst}}}
 	if members > 500 {
-		rules.Needs = []string{ruleset.ManyMembers}
+		rules.Needs = []string{ruleset.FeatureManyMembers}
 	}
 	for i := range members {
 		rules.Members = append(
@@ -199,7 +199,7 @@
 	type sample struct{ in, out, cpu, work, wall float64 }
 	takeSample := func() sample {
 		return sample{figure("bytes_in"), figure("bytes_out"), cpuMillis(t, process.Pid()), figure("work_us"),
-			raftlog.Clock()}
+			raftlog.BootClockMillis()}
 	}
 	add := func(name, unit string, value float64) { figures = append(figures, controlCost{name, unit, value}) }
 	add("start_bytes", "B", figure("bytes_in"))
--- a/internal/supervisor/lease_requests.go
+++ b/internal/supervisor/lease_requests.go
@@ -35,7 +35,7 @@
 		return
 	}
 	lease.Version.Rules = d.withAddressOverrides(name, &lease.Version.Rules)
-	raw, err := lease.Bytes()
+	raw, err := lease.Encode()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -64,8 +64,8 @@
 		http.Error(w, notKept(pid, name), http.StatusForbidden)
 		return name, lease, false
 	}
-	w.Header().Set(lifecycle.IndexHeader, strconv.FormatInt(d.rules.Highest(), 10))
-	if lease, ok = d.rules.Asked(pid, name, heldStep, index); !ok {
+	w.Header().Set(lifecycle.IndexHeader, strconv.FormatInt(d.rules.HighestDiscoveryIndex(), 10))
+	if lease, ok = d.rules.RenewLease(pid, name, heldStep, index); !ok {
 		http.Error(w, notConfirmed, http.StatusServiceUnavailable)
 	}
 	return name, lease, ok
@@ -77,8 +77,8 @@
 	if owner, known := d.instanceByPID.Load(request.Process); !known || owner != request.From {
 		return nil, &relay.Refusal{Reason: reasonUnknownProcess, Says: notKept(request.Process, request.From)}
 	}
-	now := raftlog.Clock() // not later than the time by which the lease's age is counted
-	lease, ok := d.rules.Asked(request.Process, request.From, request.Holds, request.Index)
+	now := raftlog.BootClockMillis() // not later than the time by which the lease's age is counted
+	lease, ok := d.rules.RenewLease(request.Process, request.From, request.Holds, request.Index)
 	if !ok {
 		return nil, &relay.Refusal{Reason: reasonUnconfirmed, Says: notConfirmed}
 	}
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	answer := *published
-	answer.Index = d.rules.Highest()
+	answer.Index = d.rules.HighestDiscoveryIndex()
 	return &answer, nil
 }
 
--- a/internal/supervisor/participant.go
+++ b/internal/supervisor/participant.go
@@ -24,23 +24,23 @@
 	Changed() <-chan struct{}
 	// InForce returns the version in force; its number is 0 if none is known.
 	InForce() ruleset.Version
-	// Began books a process of this host; before says that it ran before this daemon did.
-	Began(pid int, before bool)
-	// Ended books the end of a process.
-	Ended(pid int)
-	// Asked books the step that a process holds and the index of its discovery endpoints (-1: none), and returns
-	// the lease for it, or false if none can be granted.
-	Asked(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool)
-	// Highest returns the highest discovery index that any process has reported.
-	Highest() int64
+	// ProcessStarted books a process of this host; before says that it ran before this daemon did.
+	ProcessStarted(pid int, before bool)
+	// ProcessExited books the end of a process.
+	ProcessExited(pid int)
+	// RenewLease books the step that a process holds and the index of its discovery endpoints (-1: none), and
+	// returns the lease for it, or false if none can be granted.
+	RenewLease(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool)
+	// HighestDiscoveryIndex returns the highest discovery index that any process has reported.
+	HighestDiscoveryIndex() int64
 	Close()
 }
 
 // rulesParticipant is a daemon's part in the ruleset.
 type rulesParticipant struct {
 	rulesSource
-	voter         *raftlog.Seat // nil below relays
-	subscription  *subscription // nil for a voter
+	voter         *raftlog.RulesetNode // nil below relays
+	subscription  *subscription        // nil for a voter
 	publisher     *publisher
 	relayRoot     *relay.Root   // nil if no relay subscribes to this daemon
 	history       *history.Log  // nil if no history is written
@@ -75,7 +75,7 @@
 		participant.subscription = newSubscription(settings.Name, rules.Relay, recorder, d.log)
 		participant.rulesSource = participant.subscription
 	} else {
-		participant.voter, err = raftlog.NewSeat(rules.Raft, rules.Proposed, recorder, d.log)
+		participant.voter, err = raftlog.NewRulesetNode(rules.Raft, rules.Proposed, recorder, d.log)
 		participant.rulesSource = participant.voter
 	}
 	if err != nil {
@@ -83,7 +83,7 @@
 		return err
 	}
 	if rules.RelayListen != "" {
-		participant.relayRoot, err = relay.NewRoot(participant.voter, rules.Raft.Me, rules.Raft.Cluster,
+		participant.relayRoot, err = relay.NewRoot(participant.voter, rules.Raft.HostName, rules.Raft.Cluster,
 			rules.RelayListen, d.log)
 		if err != nil {
 			participant.Close()
@@ -184,11 +184,11 @@
 	if updated.ProposedErr != nil {
 		return updated.ProposedErr
 	}
-	if old.Raft.Me != updated.Raft.Me || old.Raft.Listen != updated.Raft.Listen ||
-		old.Raft.Store != updated.Raft.Store || old.RelayListen != updated.RelayListen {
+	if old.Raft.HostName != updated.Raft.HostName || old.Raft.Listen != updated.Raft.Listen ||
+		old.Raft.StorePath != updated.Raft.StorePath || old.RelayListen != updated.RelayListen {
 		return errors.New("council.me, .listen, .store and .serve can't change while the daemon runs")
 	}
-	d.rules.voter.Hosts(updated.Raft.Hosts, updated.Raft.Reach)
+	d.rules.voter.SetHosts(updated.Raft.Hosts, updated.Raft.AddressOverrides)
 	d.rules.file = settings.file
 	if updated.ProposedStamp == d.rules.proposedStamp {
 		return nil
--- a/internal/supervisor/process.go
+++ b/internal/supervisor/process.go
@@ -167,7 +167,7 @@
 // holds the lock.
 func (d *Daemon) recordStart(process *processRecord, adopted bool) {
 	if d.rules != nil {
-		d.rules.Began(process.PID, adopted)
+		d.rules.ProcessStarted(process.PID, adopted)
 	}
 	d.instanceByPID.Store(process.PID, process.Instance)
 }
@@ -180,7 +180,7 @@
 	delete(d.processes, process.number)
 	d.instanceByPID.Delete(process.PID)
 	if d.rules != nil {
-		d.rules.Ended(process.PID)
+		d.rules.ProcessExited(process.PID)
 	}
 	_ = os.Remove(d.notePath(process))
 	d.reconciler.ProcessEnded(process.Instance, process.number)
--- a/internal/supervisor/publisher.go
+++ b/internal/supervisor/publisher.go
@@ -37,7 +37,7 @@
 }
 
 // answer answers an instance by the view that is current under the publisher's lock. An instance with address
-// overrides has a publication of its own. The time is milliseconds of raftlog.Clock.
+// overrides has a publication of its own. The time is milliseconds of raftlog.BootClockMillis.
 func (p *publisher) answer(request *distribution.Ask, overridden bool, nowMillis float64,
 	currentView func(*publication) (distribution.View, error)) (*distribution.Answer, error) {
 	p.mu.Lock()
@@ -63,7 +63,7 @@
 // viewOf returns the view of a lease. The entries of a version are made once.
 func (p *publication) viewOf(lease *ruleset.Lease, nowMillis float64) (view distribution.View, err error) {
 	if number := lease.Version.Number; number != p.version || p.rules == nil {
-		if p.rules, err = ruleset.Entries(&lease.Version); err != nil {
+		if p.rules, err = ruleset.VersionToState(&lease.Version); err != nil {
 			return view, err
 		}
 		p.version = number
@@ -72,7 +72,7 @@
 		p.pending = nil
 		if lease.Pending != nil {
 			next := ruleset.Version{Number: lease.Version.Number + 1, Rules: *lease.Pending}
-			if p.pending, err = ruleset.Entries(&next); err != nil {
+			if p.pending, err = ruleset.VersionToState(&next); err != nil {
 				return view, err
 			}
 		}
@@ -80,8 +80,8 @@
 	}
 	return distribution.View{
 		Step:    lease.Step,
-		Settled: lease.Settled,
-		Begun:   nowMillis - lease.Age,
+		Settled: lease.TransitionComplete,
+		Begun:   nowMillis - lease.AgeMillis,
 		Rules:   p.rules,
 		Pending: p.pending,
 		Index:   -1,
--- a/internal/supervisor/rundir.go
+++ b/internal/supervisor/rundir.go
@@ -58,9 +58,9 @@
 		return nil, err
 	}
 	if s.Rules.Relay != nil { // below relays a host receives only its part of the rules
-		return &version.Rules, ruleset.CheckPart(&version.Rules)
+		return &version.Rules, ruleset.ValidateSubset(&version.Rules)
 	}
-	return &version.Rules, ruleset.Check(&version.Rules)
+	return &version.Rules, ruleset.Validate(&version.Rules)
 }
 
 // replaceFile writes a file so that a reader, and a start after the daemon's own crash, finds either the old
--- a/internal/supervisor/settings_rules.go
+++ b/internal/supervisor/settings_rules.go
@@ -44,11 +44,11 @@
 
 // RulesSettings are the checked settings of a host's part in the ruleset: as a voter, or by a subscription.
 type RulesSettings struct {
-	Raft             raftlog.Charter // of a voter
-	Relay            *RelaySettings  // nil for a voter
-	Proposed         *ruleset.Rules  // content of the rules file; nil if it is invalid, or below relays
-	ProposedErr      error           // what is wrong with the rules file; it only prevents the first start
-	ProposedStamp    string          // of the rules file; the same one is not proposed again
+	Raft             raftlog.Config // of a voter
+	Relay            *RelaySettings // nil for a voter
+	Proposed         *ruleset.Rules // content of the rules file; nil if it is invalid, or below relays
+	ProposedErr      error          // what is wrong with the rules file; it only prevents the first start
+	ProposedStamp    string         // of the rules file; the same one is not proposed again
 	AddressOverrides map[string]map[string]string
 	RelayListen      string // HOST:PORT for relays; empty: none subscribes
 }
@@ -100,9 +100,9 @@
 	settings := &RulesSettings{
 		AddressOverrides: f.AddressOverrides,
 		RelayListen:      council.RelayListen,
-		Raft: raftlog.Charter{Cluster: f.Name, Me: council.HostName, Listen: council.RaftListen,
-			Store: council.StorePath, Found: council.BootstrapCluster, Hosts: hosts,
-			Reach: f.AddressOverrides[raftOverridesKey]},
+		Raft: raftlog.Config{Cluster: f.Name, HostName: council.HostName, Listen: council.RaftListen,
+			StorePath: council.StorePath, Bootstrap: council.BootstrapCluster, Hosts: hosts,
+			AddressOverrides: f.AddressOverrides[raftOverridesKey]},
 	}
 	info, err := os.Stat(council.RulesPath)
 	if err != nil {
--- a/internal/supervisor/subscription.go
+++ b/internal/supervisor/subscription.go
@@ -41,18 +41,18 @@
 
 	mu           sync.Mutex // guards all below
 	upstreams    []string
-	feed         *relay.Feed        // nil until the first setUpstreams
-	stopFeed     context.CancelFunc // ends the feed
-	grantor      ruleset.Warden     // which step each process holds
-	discoveryLag *ruleset.Lag
+	feed         *relay.Feed          // nil until the first setUpstreams
+	stopFeed     context.CancelFunc   // ends the feed
+	grantor      ruleset.LeaseGrantor // which step each process holds
+	discoveryLag *ruleset.IndexLag
 	requesters   map[int]requester // by PID
 
-	view          distribution.View // as applied last
-	lease         ruleset.Lease     // of the view
-	rejected      [2]versioned.Mark // of the rules and the pending ones that were invalid
-	inForce       ruleset.Version   // the last one that this program knows all of
-	reportedStep  uint64            // the step last reported as seen
-	reportedIndex int64             // the highest discovery index on this host as last reported; -1: none
+	view          distribution.View      // as applied last
+	lease         ruleset.Lease          // of the view
+	rejected      [2]versioned.VersionID // of the rules and the pending ones that were invalid
+	inForce       ruleset.Version        // the last one that this program knows all of
+	reportedStep  uint64                 // the step last reported as seen
+	reportedIndex int64                  // the highest discovery index on this host as last reported; -1: none
 }
 
 // requester is a process that has asked for its lease.
@@ -77,7 +77,7 @@
 		history:       recorder,
 		replica:       relay.NewCopy(settings.StorePath, cluster, log),
 		changed:       make(chan struct{}, 1),
-		discoveryLag:  ruleset.NewLag(),
+		discoveryLag:  ruleset.NewIndexLag(),
 		requesters:    map[int]requester{},
 		reportedIndex: -1,
 	}
@@ -107,7 +107,7 @@
 		Lease:    initialLeaseMillis,
 		Interest: ruleset.Interest{Host: s.hostName, Around: distribution.Around},
 		Seed:     rand.Int63(),
-	}, raftlog.Clock())
+	}, raftlog.BootClockMillis())
 	if s.feed == nil {
 		s.replica.Base(follower)
 	} else {
@@ -142,12 +142,12 @@
 		return
 	}
 	view, ok := s.feed.View()
-	digests := [2]versioned.Mark{view.Rules.Mark(), view.Pending.Mark()}
+	digests := [2]versioned.VersionID{view.Rules.ID(), view.Pending.ID()}
 	earlier := view.Step < s.view.Step || view.Step == s.view.Step && view.Begun < s.view.Begun
 	if !ok || earlier || digests == s.rejected {
 		return
 	}
-	previous := [2]versioned.Mark{s.view.Rules.Mark(), s.view.Pending.Mark()}
+	previous := [2]versioned.VersionID{s.view.Rules.ID(), s.view.Pending.ID()}
 	if digests != previous {
 		lease, err := leaseFromView(&view)
 		if err != nil {
@@ -156,14 +156,14 @@
 				Msg("invalid rules received: the previous ones stay in force until their lease expires")
 			return
 		}
-		if lease.Foreign != "" {
-			s.log.Error().Str("needs", lease.Foreign).
+		if lease.UnsupportedFeature != "" {
+			s.log.Error().Str("needs", lease.UnsupportedFeature).
 				Msg("rules in force that this version does not know: instances stay as they are")
 		}
 		s.lease = lease
 		s.replica.Keep(view)
 	}
-	s.view, s.lease.Step, s.lease.Settled = view, view.Step, view.Settled
+	s.view, s.lease.Step, s.lease.TransitionComplete = view, view.Step, view.Settled
 	if digests[0] != previous[0] {
 		s.enterForce()
 	}
@@ -174,10 +174,10 @@
 // all of them. The caller holds the lock.
 func (s *subscription) enterForce() {
 	if s.history != nil {
-		s.history.Write(history.Event{Kind: history.Gives, Version: s.view.Rules.Mark().Number,
-			Age: raftlog.Clock() - s.view.Begun})
+		s.history.Write(history.Event{Kind: history.Gives, Version: s.view.Rules.ID().Number,
+			Age: raftlog.BootClockMillis() - s.view.Begun})
 	}
-	if s.lease.Foreign != "" {
+	if s.lease.UnsupportedFeature != "" {
 		return
 	}
 	s.inForce = s.lease.Version
@@ -188,25 +188,26 @@
 }
 
 // leaseFromView returns the lease that a view stands for, without its age. Rules that this program does not
-// know all of are left empty, with what it does not know in Foreign or, of the pending ones, in Strange.
+// know all of are left empty, with what it does not know in UnsupportedFeature or, of the pending ones, in
+// PendingUnsupportedFeature.
 func leaseFromView(view *distribution.View) (lease ruleset.Lease, err error) {
-	if lease.Version, lease.Foreign, err = versionOf(view.Rules); err != nil || view.Pending == nil {
+	if lease.Version, lease.UnsupportedFeature, err = versionOf(view.Rules); err != nil || view.Pending == nil {
 		return lease, err
 	}
 	pending, unknown, err := versionOf(view.Pending)
-	lease.Pending, lease.Strange = &pending.Rules, unknown
+	lease.Pending, lease.PendingUnsupportedFeature = &pending.Rules, unknown
 	return lease, err
 }
 
 // versionOf returns the version that a state holds; if this program does not know all of its rules, only its
 // number, and what is not known.
 func versionOf(state *versioned.State) (version ruleset.Version, unknown string, err error) {
-	version, err = ruleset.FromState(state)
-	if errors.Is(err, ruleset.ErrForeign) {
-		return ruleset.Version{Number: state.Mark().Number}, err.Error(), nil
+	version, err = ruleset.VersionFromState(state)
+	if errors.Is(err, ruleset.ErrUnsupported) {
+		return ruleset.Version{Number: state.ID().Number}, err.Error(), nil
 	}
 	if err == nil {
-		err = ruleset.CheckPart(&version.Rules)
+		err = ruleset.ValidateSubset(&version.Rules)
 	}
 	return version, "", err
 }
@@ -214,7 +215,7 @@
 // reportSeen has the follower report the step that all processes of this host hold, and their highest
 // discovery index, if either has changed. The caller holds the lock.
 func (s *subscription) reportSeen() {
-	seenStep, highestIndex := s.grantor.Seen(s.view.Step), int64(-1)
+	seenStep, highestIndex := s.grantor.AckedStep(s.view.Step), int64(-1)
 	for _, request := range s.requesters {
 		highestIndex = max(highestIndex, request.discoveryIndex)
 	}
@@ -240,28 +241,28 @@
 	return s.inForce
 }
 
-// Began books a process of this host; adopted says that it ran before this daemon did.
-func (s *subscription) Began(pid int, adopted bool) {
+// ProcessStarted books a process of this host; adopted says that it ran before this daemon did.
+func (s *subscription) ProcessStarted(pid int, adopted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.grantor.Began(pid, adopted)
+	s.grantor.ProcessStarted(pid, adopted)
 }
 
-// Ended books the end of a process.
-func (s *subscription) Ended(pid int) {
+// ProcessExited books the end of a process.
+func (s *subscription) ProcessExited(pid int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.grantor.Ended(pid)
+	s.grantor.ProcessExited(pid)
 	if request, known := s.requesters[pid]; known {
-		s.discoveryLag.Left(request.name)
+		s.discoveryLag.Remove(request.name)
 		delete(s.requesters, pid)
 	}
 	s.reportSeen()
 }
 
-// Asked books the step that a process holds and its discovery index (-1: none), and returns the lease for it,
-// or false if none can be granted: no rules have been received, or their lease has expired.
-func (s *subscription) Asked(
+// RenewLease books the step that a process holds and its discovery index (-1: none), and returns the lease
+// for it, or false if none can be granted: no rules have been received, or their lease has expired.
+func (s *subscription) RenewLease(
 	pid int,
 	name string,
 	heldStep uint64,
@@ -269,22 +270,22 @@
 ) (ruleset.Lease, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := raftlog.Clock()
-	if !s.grantor.Asked(pid, heldStep) {
+	now := raftlog.BootClockMillis()
+	if !s.grantor.RecordRequest(pid, heldStep) {
 		return ruleset.Lease{}, false
 	}
 	s.requesters[pid] = requester{name, heldStep, discoveryIndex, time.Now()}
 	if discoveryIndex >= 0 {
-		s.discoveryLag.Told(name, discoveryIndex, now)
+		s.discoveryLag.Report(name, discoveryIndex, now)
 	}
 	s.applyView()
 	s.reportSeen()
 	lease := s.lease
-	lease.Age = raftlog.Clock() - s.view.Begun
-	if s.view.Step == 0 || !(lease.Age < ruleset.LeaseOf(s.view.Rules)) {
+	lease.AgeMillis = raftlog.BootClockMillis() - s.view.Begun
+	if s.view.Step == 0 || !(lease.AgeMillis < ruleset.StateLeaseMillis(s.view.Rules)) {
 		return ruleset.Lease{}, false
 	}
-	s.grantor.Given(pid)
+	s.grantor.RecordGrant(pid)
 	return lease, true
 }
 
@@ -296,9 +297,9 @@
 	return s.view
 }
 
-// Highest returns the highest discovery index that any process has reported, on this host or elsewhere; 0 if
-// none has.
-func (s *subscription) Highest() int64 {
+// HighestDiscoveryIndex returns the highest discovery index that any process has reported, on this host or
+// elsewhere; 0 if none has.
+func (s *subscription) HighestDiscoveryIndex() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(s.reportedIndex, s.view.Index, 0)
--- a/internal/supervisor/subscription_status.go
+++ b/internal/supervisor/subscription_status.go
@@ -29,10 +29,10 @@
 	// OutdatedInstances are the instances that hold an older step than Step, with that step.
 	OutdatedInstances map[string]uint64 `json:"behind,omitempty"`
 	// DisconnectedInstances are the instances without a lease, with the milliseconds since they last asked.
-	DisconnectedInstances map[string]float64  `json:"cut_off,omitempty"`
-	DiscoveryLags         []ruleset.Behind    `json:"lags,omitempty"`
-	Counts                distribution.Counts `json:"counts"`
-	Replica               struct {            // on disk, since the daemon's start
+	DisconnectedInstances map[string]float64      `json:"cut_off,omitempty"`
+	DiscoveryLags         []ruleset.LaggingMember `json:"lags,omitempty"`
+	Counts                distribution.Counts     `json:"counts"`
+	Replica               struct {                // on disk, since the daemon's start
 		Written  int64 `json:"written"`
 		Failed   int64 `json:"failed"`
 		SetAside int64 `json:"aside"` // unreadable files
@@ -51,7 +51,7 @@
 		ConfirmedAgoMillis:    -1,
 		Step:                  s.view.Step,
 		Settled:               s.view.Settled,
-		UnknownRules:          s.lease.Foreign,
+		UnknownRules:          s.lease.UnsupportedFeature,
 		SeenStep:              s.reportedStep,
 		OutdatedInstances:     map[string]uint64{},
 		DisconnectedInstances: map[string]float64{},
@@ -65,9 +65,11 @@
 	status.Replica.Written, status.Replica.Failed, status.Replica.SetAside = s.replica.Counts()
 	leaseMillis := initialLeaseMillis
 	if s.view.Step > 0 {
-		status.Version, status.Digest = s.view.Rules.Mark().Number, s.view.Rules.Mark().String()
-		status.PendingVersion = s.view.Pending.Mark().Number
-		status.ConfirmedAgoMillis, leaseMillis = raftlog.Clock()-s.view.Begun, ruleset.LeaseOf(s.view.Rules)
+		status.Version, status.Digest = s.view.Rules.ID().Number, s.view.Rules.ID().String()
+		status.PendingVersion = s.view.Pending.ID().Number
+		status.ConfirmedAgoMillis, leaseMillis = raftlog.BootClockMillis()-s.view.Begun, ruleset.StateLeaseMillis(
+			s.view.Rules,
+		)
 	}
 	status.Members = len(s.lease.Version.Rules.Members)
 	for _, member := range s.lease.Version.Rules.Members {
@@ -76,7 +78,7 @@
 		}
 	}
 	s.addInstances(&status, leaseMillis)
-	status.DiscoveryLags = s.discoveryLag.Late(raftlog.Clock(), discoveryLagMillis)
+	status.DiscoveryLags = s.discoveryLag.Lagging(raftlog.BootClockMillis(), discoveryLagMillis)
 	return status
 }
 
--- a/internal/supervisor/subscription_test.go
+++ b/internal/supervisor/subscription_test.go
@@ -164,7 +164,7 @@
 	for _, h := range tree.leafHosts {
 		for _, i := range faultinject.Instances(h.runDir()) {
 			f, there := readRuleStats(i)
-			ok = ok && there && f.mode == int64(ruleset.Leased)
+			ok = ok && there && f.mode == int64(ruleset.ModeLeased)
 			count++
 		}
 	}
@@ -177,7 +177,7 @@
 // The history is checked.
 func TestRelaySubscription(t *testing.T) {
 	t.Parallel()
-	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.For = 4000 })
+	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 4000 })
 	tree.start()
 	t.Logf("from nothing to all leased: %v", tree.waitVersion(1, 3, tree.leafHosts...))
 	tree.startLeafLoad(9 * time.Second)
@@ -258,7 +258,7 @@
 // acknowledgement that is given too early.
 func TestSeenStepNeverReportedEarly(t *testing.T) {
 	t.Parallel()
-	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.For = 12000 })
+	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 12000 })
 	tree.start()
 	tree.waitVersion(1, 3, tree.leafHosts...)
 	h := tree.leafHosts[0]
@@ -274,7 +274,7 @@
 	tree.councilHost.propose(next)
 	faultinject.Until(t, 5*time.Second, "the change is not pending", func() bool {
 		status, ok := tree.councilHost.councilStatus()
-		return ok && status.Rules.Pending == 2
+		return ok && status.Rules.PendingVersion == 2
 	})
 	began := time.Now()
 	pending, _ := tree.councilHost.councilStatus()
@@ -319,7 +319,7 @@
 // force, and refuses one that changes what cannot change, by its key.
 func TestAllRelaysDown(t *testing.T) {
 	t.Parallel()
-	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 1000 })
 	tree.start()
 	tree.waitVersion(1, 3, tree.leafHosts...)
 	tree.startLeafLoad(4 * time.Second)
@@ -328,7 +328,7 @@
 			t.Fatal(err)
 		}
 	}
-	allInMode := func(want ruleset.Mode) func() bool {
+	allInMode := func(want ruleset.LeaseMode) func() bool {
 		return func() bool {
 			n := 0
 			for _, h := range tree.leafHosts {
@@ -341,8 +341,8 @@
 			return n == 3
 		}
 	}
-	faultinject.Until(t, 5*time.Second, "not all are cut off", allInMode(ruleset.CutOff))
-	faultinject.Until(t, 5*time.Second, "not all are without rules", allInMode(ruleset.Bare))
+	faultinject.Until(t, 5*time.Second, "not all are cut off", allInMode(ruleset.ModeFallback))
+	faultinject.Until(t, 5*time.Second, "not all are without rules", allInMode(ruleset.ModeNoLease))
 	h := tree.leafHosts[0]
 	if s, ok := h.subscriptionStatus(); !ok || len(s.DisconnectedInstances) != 2 {
 		t.Errorf("%+v", s)
@@ -398,7 +398,7 @@
 // host knows each time, and that the step which it holds counts as any other's.
 func TestOlderInstanceBelowRelays(t *testing.T) {
 	t.Parallel()
-	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.For = 6000 })
+	tree := newRelayTree(t, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 6000 })
 	h := tree.leafHosts[1]
 	at, _ := newOlderProgramProxy(t, h.controlAddress)
 	script := filepath.Join(h.dir, "older")
@@ -426,9 +426,9 @@
 	}
 	raw, err := io.ReadAll(res.Body)
 	res.Body.Close()
-	lease, leaseErr := ruleset.ReadLease(raw)
+	lease, leaseErr := ruleset.DecodeLease(raw)
 	if err != nil || leaseErr != nil || lease.Version.Number != 2 || len(lease.Version.Rules.Members) != 3 ||
-		lease.Age <= 0 {
+		lease.AgeMillis <= 0 {
 		t.Errorf("%v, %v: %s", err, leaseErr, raw)
 	}
 	for _, who := range []string{"instance=g9&pid=1", fmt.Sprintf("instance=%s&pid=1", old.Name)} {
@@ -459,20 +459,20 @@
 	for _, h := range request.Seen {
 		u.seen = max(u.seen, h.Step)
 	}
-	return u.source.Answer(request, raftlog.Clock())
+	return u.source.Answer(request, raftlog.BootClockMillis())
 }
 
 // publishPeriodically publishes rules as in force now, every 20 ms until the test's end.
 func (u *fakeUpstream) publishPeriodically(t *testing.T, step uint64, r ruleset.Rules) {
 	t.Helper()
-	rules, err := ruleset.Entries(&ruleset.Version{Number: 1, Rules: r})
+	rules, err := ruleset.VersionToState(&ruleset.Version{Number: 1, Rules: r})
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() {
 		for t.Context().Err() == nil {
 			u.mu.Lock()
-			u.source.Offer(distribution.View{Step: step, Begun: raftlog.Clock(), Rules: rules, Index: -1})
+			u.source.Offer(distribution.View{Step: step, Begun: raftlog.BootClockMillis(), Rules: rules, Index: -1})
 			u.mu.Unlock()
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -494,7 +494,7 @@
 	upstream := &fakeUpstream{source: distribution.NewSource("r", "till", distribution.Bounds{})}
 	server := httptest.NewServer(relay.NewHandler(upstream.answer))
 	defer server.Close()
-	rules := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+	rules := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
 		Members: []ruleset.Member{
 			{Name: "a", Host: "l0"},
 		}, Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
@@ -505,8 +505,8 @@
 		zerolog.Nop(),
 	)
 	defer sub.Close()
-	sub.Began(1, true)
-	sub.Began(2, true)
+	sub.ProcessStarted(1, true)
+	sub.ProcessStarted(2, true)
 	upstream.publishPeriodically(t, 5, rules)
 	sub.setUpstreams([]string{strings.TrimPrefix(server.URL, "http://")})
 	faultinject.Until(t, 3*time.Second, "it receives nothing", func() bool { return sub.InForce().Number == 1 })
@@ -518,11 +518,11 @@
 		}
 	}
 	checkNotReported("while two processes may hold anything")
-	if _, ok := sub.Asked(1, "a", 5, -1); !ok {
+	if _, ok := sub.RenewLease(1, "a", 5, -1); !ok {
 		t.Fatal("it grants no lease")
 	}
 	checkNotReported("while one process may hold anything")
-	sub.Ended(2)
+	sub.ProcessExited(2)
 	faultinject.Until(
 		t,
 		3*time.Second,
@@ -530,18 +530,18 @@
 		func() bool { return upstream.reportedStep() == 5 },
 	)
 
-	sub.Began(3, false)
+	sub.ProcessStarted(3, false)
 	upstream.publishPeriodically(t, 6, rules)
 	faultinject.Until(t, 3*time.Second, "it does not continue", func() bool {
-		l, ok := sub.Asked(3, "a", 0, -1)
+		l, ok := sub.RenewLease(3, "a", 0, -1)
 		return ok && l.Step == 6
 	})
 	time.Sleep(250 * time.Millisecond)
 	if got := upstream.reportedStep(); got != 5 {
 		t.Errorf("step %d is reported as seen while one holds 5, and one nothing", got)
 	}
-	sub.Asked(1, "a", 6, 77)
-	sub.Asked(3, "a", 6, 78)
+	sub.RenewLease(1, "a", 6, 77)
+	sub.RenewLease(3, "a", 6, 78)
 	faultinject.Until(
 		t,
 		3*time.Second,
@@ -554,7 +554,7 @@
 		upstream.lastRequest.From != "l0" {
 		t.Errorf("its request is %+v", upstream.lastRequest)
 	}
-	if n := sub.Highest(); n != 78 {
+	if n := sub.HighestDiscoveryIndex(); n != 78 {
 		t.Errorf("highest index %d", n)
 	}
 }
@@ -566,7 +566,7 @@
 	upstream := &fakeUpstream{source: distribution.NewSource("r", "till", distribution.Bounds{})}
 	server := httptest.NewServer(relay.NewHandler(upstream.answer))
 	defer server.Close()
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
 		Members: []ruleset.Member{
 			{Name: "a", Host: "l0"},
 		}, Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
@@ -574,7 +574,7 @@
 		other := r
 		other.Plans = slices.Clone(r.Plans)
 		change(&other)
-		x, err := ruleset.Entries(&ruleset.Version{Number: number, Rules: other})
+		x, err := ruleset.VersionToState(&ruleset.Version{Number: number, Rules: other})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -586,7 +586,7 @@
 		upstream.source.Offer(distribution.View{Step: step, Begun: begun, Rules: x, Index: -1})
 	}
 	first := state(1, func(*ruleset.Rules) {})
-	offer(1, raftlog.Clock()-50, first)
+	offer(1, raftlog.BootClockMillis()-50, first)
 	sub := newSubscription(
 		"till",
 		&RelaySettings{HostName: "l0", StorePath: filepath.Join(t.TempDir(), "copy")},
@@ -596,31 +596,31 @@
 	defer sub.Close()
 	sub.setUpstreams([]string{strings.TrimPrefix(server.URL, "http://")})
 	time.Sleep(400 * time.Millisecond)
-	if _, ok := sub.Asked(1, "a", 0, -1); ok {
+	if _, ok := sub.RenewLease(1, "a", 0, -1); ok {
 		t.Fatal("it grants a lease on a view read before it began")
 	}
-	offer(1, raftlog.Clock(), first)
+	offer(1, raftlog.BootClockMillis(), first)
 	faultinject.Until(t, 3*time.Second, "it grants no lease", func() bool {
-		_, ok := sub.Asked(1, "a", 0, -1)
+		_, ok := sub.RenewLease(1, "a", 0, -1)
 		return ok
 	})
-	offer(2, raftlog.Clock(), state(2, func(r *ruleset.Rules) { r.Plans[0].Rate = -1 }))
+	offer(2, raftlog.BootClockMillis(), state(2, func(r *ruleset.Rules) { r.Plans[0].Rate = -1 }))
 	time.Sleep(400 * time.Millisecond)
-	if l, ok := sub.Asked(1, "a", 0, -1); ok && l.Version.Number != 1 || sub.InForce().Number != 1 {
+	if l, ok := sub.RenewLease(1, "a", 0, -1); ok && l.Version.Number != 1 || sub.InForce().Number != 1 {
 		t.Errorf("invalid rules are applied: %+v", l)
 	}
-	offer(3, raftlog.Clock(), state(3, func(r *ruleset.Rules) { r.Needs = []string{"moon"} }))
+	offer(3, raftlog.BootClockMillis(), state(3, func(r *ruleset.Rules) { r.Needs = []string{"moon"} }))
 	faultinject.Until(t, 3*time.Second, "unknown rules are not passed on", func() bool {
-		l, ok := sub.Asked(1, "a", 0, -1)
-		return ok && l.Version.Number == 3 && strings.Contains(l.Foreign, "moon")
+		l, ok := sub.RenewLease(1, "a", 0, -1)
+		return ok && l.Version.Number == 3 && strings.Contains(l.UnsupportedFeature, "moon")
 	})
-	if v := sub.currentView(); sub.InForce().Number != 1 || v.Rules.Mark().Number != 3 {
-		t.Errorf("in force %d, passed on %v", sub.InForce().Number, v.Rules.Mark())
+	if v := sub.currentView(); sub.InForce().Number != 1 || v.Rules.ID().Number != 3 {
+		t.Errorf("in force %d, passed on %v", sub.InForce().Number, v.Rules.ID())
 	}
 	if status := sub.status(); status.UnknownRules == "" || status.Version != 3 {
 		t.Errorf("the status is %+v", status)
 	}
-	offer(4, raftlog.Clock(), state(4, func(*ruleset.Rules) {}))
+	offer(4, raftlog.BootClockMillis(), state(4, func(*ruleset.Rules) {}))
 	faultinject.Until(t, 3*time.Second, "it does not continue", func() bool { return sub.InForce().Number == 4 })
 }
 
@@ -641,27 +641,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rules := ruleset.Rules{Form: ruleset.Form, Needs: []string{ruleset.ManyMembers}, Lease: 1000, Bound: 2000,
-		Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
+	rules := ruleset.Rules{
+		Format:              ruleset.SupportedFormat,
+		Needs:               []string{ruleset.FeatureManyMembers},
+		LeaseMillis:         1000,
+		ConflictBoundMillis: 2000,
+		Plans:               []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}},
+	}
 	for i := range n {
 		rules.Members = append(rules.Members, ruleset.Member{Name: fmt.Sprint("g", i), Host: fmt.Sprint("l", i/own),
 			Peers: fmt.Sprintf("10.%d.%d.1:7000", i/250, i%250)})
 	}
-	whole, err := ruleset.Entries(&ruleset.Version{Number: 1, Rules: rules})
+	whole, err := ruleset.VersionToState(&ruleset.Version{Number: 1, Rules: rules})
 	if err != nil {
 		t.Fatal(err)
 	}
 	interesting := ruleset.Select(whole, ruleset.Interest{Host: "l0", Around: distribution.Around})
-	sent, err := (&distribution.Answer{Form: distribution.Form, Rules: interesting.Mark(),
-		RulesDelta: versioned.Whole(interesting)}).Bytes()
+	sent, err := (&distribution.Answer{Form: distribution.Form, Rules: interesting.ID(),
+		RulesDelta: versioned.FullDelta(interesting)}).Bytes()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("all rules have %d bytes, a host's part %d, and %d as an answer", whole.Bytes(), interesting.Bytes(),
 		len(sent))
-	part, err := ruleset.FromState(interesting)
-	if err != nil || ruleset.CheckPart(&part.Rules) != nil {
-		t.Fatal(err, ruleset.CheckPart(&part.Rules))
+	part, err := ruleset.VersionFromState(interesting)
+	if err != nil || ruleset.ValidateSubset(&part.Rules) != nil {
+		t.Fatal(err, ruleset.ValidateSubset(&part.Rules))
 	}
 	began := time.Now()
 	all, err := settings.file.instancesOf(&part.Rules)
