--- a/internal/supervisor/settings.go
+++ b/internal/supervisor/settings.go
@@ -227,15 +227,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var peers []string
-	if f.FirstPeer != "" {
-		peerRange, err := reservePortRange("peers", f.FirstPeer, f.InstanceCount, &[]portRange{}) // UDP
-		if err != nil {
-			return nil, err
-		}
-		for i := range f.InstanceCount {
-			peers = append(peers, peerRange.address(i))
-		}
+	peers, err := f.numberedPeers()
+	if err != nil {
+		return nil, err
 	}
 	shared, err := os.ReadFile(f.GatewayConfig)
 	if err != nil {
@@ -266,6 +260,22 @@
 	return instances, nil
 }
 
+// numberedPeers returns the addresses for peers' datagrams of a host without a ruleset; nil if there are none.
+// They are UDP, and may overlap the ports of the other ranges.
+func (f *FleetFile) numberedPeers() (peers []string, err error) {
+	if f.FirstPeer == "" {
+		return nil, nil
+	}
+	ports, err := reservePortRange("peers", f.FirstPeer, f.InstanceCount, &[]portRange{})
+	if err != nil {
+		return nil, err
+	}
+	for i := range f.InstanceCount {
+		peers = append(peers, ports.address(i))
+	}
+	return peers, nil
+}
+
 // instanceSpec is what is particular to an instance's configuration.
 type instanceSpec struct {
 	name          string
--- a/internal/supervisor/subscription_status.go
+++ b/internal/supervisor/subscription_status.go
@@ -10,17 +10,17 @@
 
 // SubscriptionStatus is the status of a subscription, as /fleet/relay shows it.
 type SubscriptionStatus struct {
-	Cluster         string   `json:"cluster"`
-	HostName        string   `json:"me"`
-	Upstreams       []string `json:"upstream"`
-	CurrentUpstream string   `json:"asked"` // the one of Upstreams that is asked now
-	Depth           int      `json:"depth"` // number of relays from here to the raft group
-	Version         uint64   `json:"version"`
-	Digest          string   `json:"mark,omitempty"` // of the part of the rules that this host needs
-	Members         int      `json:"members"`        // of the fleet
-	KnownMembers    int      `json:"known"`          // those of them in this host's part of the rules
-	Step            uint64   `json:"step"`
-	Settled         bool     `json:"settled"`
+	Cluster            string   `json:"cluster"`
+	HostName           string   `json:"me"`
+	Upstreams          []string `json:"upstream"`
+	CurrentUpstream    string   `json:"asked"` // the one of Upstreams that is asked now
+	Depth              int      `json:"depth"` // number of relays from here to the raft group
+	Version            uint64   `json:"version"`
+	Digest             string   `json:"mark,omitempty"` // of the part of the rules that this host needs
+	Members            int      `json:"members"`        // of the fleet
+	KnownMembers       int      `json:"known"`          // those of them in this host's part of the rules
+	Step               uint64   `json:"step"`
+	TransitionComplete bool     `json:"settled"`
 	// ConfirmedAgoMillis is how long ago a quorum confirmed the rules; negative: never.
 	ConfirmedAgoMillis float64 `json:"read_ms"`
 	PendingVersion     uint64  `json:"pending,omitempty"`
@@ -50,7 +50,7 @@
 		Depth:                 s.view.Depth,
 		ConfirmedAgoMillis:    -1,
 		Step:                  s.view.Step,
-		Settled:               s.view.Settled,
+		TransitionComplete:    s.view.Settled,
 		UnknownRules:          s.lease.UnsupportedFeature,
 		SeenStep:              s.reportedStep,
 		OutdatedInstances:     map[string]uint64{},
