--- a/internal/supervisor/adoption.go
+++ b/internal/supervisor/adoption.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// trackOrphan books a process of an earlier daemon that has been terminated: until it has ended, it may act
+// trackOrphan records a process of an earlier daemon that has been terminated: until it has ended, it may act
 // on the rules that it was given. The caller holds the lock.
 func (d *Daemon) trackOrphan(process *processRecord) {
 	if d.rules != nil {
@@ -52,7 +52,7 @@
 	}
 }
 
-// reapOrphans books the orphans that have ended. The caller holds the lock.
+// reapOrphans records the orphans that have ended. The caller holds the lock.
 func (d *Daemon) reapOrphans() {
 	d.orphans = slices.DeleteFunc(d.orphans, func(process *processRecord) bool {
 		if process.alive() {
--- a/internal/supervisor/cluster_fault_test.go
+++ b/internal/supervisor/cluster_fault_test.go
@@ -224,15 +224,15 @@
 		trial.t.Fatal(err)
 	}
 	capped := trial.limitedRequests()
-	bare := map[string]bool{}         // sent without rules, so under no rate limit
+	withoutRules := map[string]bool{} // sent without rules, so under no rate limit
 	for i, e := range record.Events { // the modes have the instances' own names
 		if e.Kind == history.Sends && e.Mode == ruleset.ModeNoLease.String() {
-			bare[e.Txn+e.Worker] = true
+			withoutRules[e.Txn+e.Worker] = true
 			if record.Events[i].Version = 0; capped[e.Txn] {
 				trial.t.Errorf("%v: sent without rules, under a rate limit", e)
 			}
 		}
-		if e.Kind == history.Got && bare[e.Txn+e.Worker] {
+		if e.Kind == history.Got && withoutRules[e.Txn+e.Worker] {
 			record.Events[i].Version = 0
 		}
 		switch e.Mode {
@@ -349,7 +349,7 @@
 }
 
 // TestProposerCrash kills the proposer between commit and publication, at two of three hosts or as the
-// leader: the change stays in force, and the proposer's own instances hear of it once it is back.
+// leader: the change stays in force, and the proposer's own instances apply it once it is back.
 func TestProposerCrash(t *testing.T) {
 	t.Parallel()
 	trial := startTrial(t, 3, 2, nil)
@@ -696,8 +696,8 @@
 	}
 }
 
-// newOlderProgramProxy stands between a daemon and an instance, and makes the instance look like one of an
-// older program: while addUnknownKey is set, the rules that it receives have a key that it does not know.
+// newOlderProgramProxy is a proxy between a daemon and an instance, and makes the instance look like one of
+// an older program: while addUnknownKey is set, the rules that it receives have a key that it does not know.
 func newOlderProgramProxy(t *testing.T, daemon string) (address string, addUnknownKey *atomic.Bool) {
 	t.Helper()
 	addUnknownKey = &atomic.Bool{}
--- a/internal/supervisor/control_cost_test.go
+++ b/internal/supervisor/control_cost_test.go
@@ -63,9 +63,9 @@
 	s.lease.TransitionComplete = true
 }
 
-// What a gatekeeper's control costs it, as a real process of its own before a daemon's real answers, by how
-// many members the rules have: all of them told each time, and changes alone. It takes two and a half
-// minutes:
+// TestControlCost measures what the ruleset costs a gateway, as a real process with a daemon's real answers,
+// by how many members the rules have, once with all rules in each answer and once with changes alone. It
+// takes two and a half minutes:
 //
 //	go test ./internal/supervisor -run TestControlCost -v -timeout 10m -args -control FILE -commit COMMIT
 func TestControlCost(t *testing.T) {
--- a/internal/supervisor/forecast_collector_test.go
+++ b/internal/supervisor/forecast_collector_test.go
@@ -42,9 +42,9 @@
 	good := encodeReport(0, nil)
 	later := func(report *forecast.Word) { report.Seq = 10 }
 	for _, test := range []struct {
-		why, says string
-		answer    any // reports, or the answer's text
-		words     int
+		why, says   string
+		answer      any // reports, or the answer's text
+		reportCount int
 	}{
 		{"version", "said by another version", []json.RawMessage{good, encodeReport(1, func(report *forecast.Word) {
 			report.Form = 9
@@ -95,8 +95,14 @@
 		if test.why == "" && len(collector.rejected) != 0 {
 			t.Errorf("counted %v: %s", collector.rejected, log.String())
 		}
-		if len(collector.reports) != test.words {
-			t.Errorf("%s, %s: %d reports are kept, not %d", test.why, test.says, len(collector.reports), test.words)
+		if len(collector.reports) != test.reportCount {
+			t.Errorf(
+				"%s, %s: %d reports are kept, not %d",
+				test.why,
+				test.says,
+				len(collector.reports),
+				test.reportCount,
+			)
 		}
 	}
 }
@@ -162,9 +168,9 @@
 		if strings.HasPrefix(text, "[outlook]") {
 			n = 1
 		}
-		whole := fmt.Sprintf("name = \"g\"\ninstances = %d\n", n) +
+		document := fmt.Sprintf("name = \"g\"\ninstances = %d\n", n) +
 			"run_dir = \"run\"\ncontrol = \"127.0.0.1:6000\"\n" + text
-		if err := os.WriteFile(file, []byte(whole), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(document), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := LoadSettings(file); err == nil || !strings.Contains(err.Error(), says) {
--- a/internal/supervisor/forecast_test.go
+++ b/internal/supervisor/forecast_test.go
@@ -241,18 +241,24 @@
 // startLoad sends a steady load for endS seconds: until the loss to all gateways, and then, if some are lost,
 // to the next one of each set that is up.
 func (r *threeRegions) startLoad(
-	perS, lossS, endS float64,
+	perSecond, lossSeconds, endSeconds float64,
 	lost func(i int) bool,
 ) (*requestOutcomes, func()) {
-	group := workload.Group{Customers: 12, Rate: perS / 12, Products: []float64{6, 3, 1}, Units: 1, Spread: 3}
-	arrivals := workload.Plan([]workload.Group{group}, nil, endS*1000, 7)
+	group := workload.Group{
+		Customers: 12,
+		Rate:      perSecond / 12,
+		Products:  []float64{6, 3, 1},
+		Units:     1,
+		Spread:    3,
+	}
+	arrivals := workload.Plan([]workload.Group{group}, nil, endSeconds*1000, 7)
 	outcomes := &requestOutcomes{}
 	var done sync.WaitGroup
 	for part := range 2 {
 		var mine []workload.Arrival
 		base := 0
 		for _, a := range arrivals {
-			if late := a.At >= lossS*1000; late != (part == 1) {
+			if late := a.At >= lossSeconds*1000; late != (part == 1) {
 				continue
 			}
 			first := int(
@@ -345,43 +351,51 @@
 // wide bounds.
 func TestForecastMatchesMeasuredLoss(t *testing.T) {
 	type scenario struct {
-		kind        forecast.Kind
-		perS, measS float64
-		rate        float64 // quota of each of twelve customers
-		halls       []string
+		kind                       forecast.Kind
+		perSecond, measuredSeconds float64
+		rate                       float64 // quota of each of twelve customers
+		regions                    []string
 	}
 	one, two := []string{regionName(1)}, []string{regionName(1), regionName(2)}
 	scenarios := []scenario{{forecast.Whole, 210, 4, 30, one}}
 	if *longForecast {
 		scenarios = nil
 		for k := forecast.Whole; k <= forecast.Slowed; k++ {
-			for _, perS := range []float64{140, 210, 270} {
-				scenarios = append(scenarios, scenario{k, perS, 16, 40, one})
+			for _, perSecond := range []float64{140, 210, 270} {
+				scenarios = append(scenarios, scenario{k, perSecond, 16, 40, one})
 			}
 			scenarios = append(scenarios, scenario{k, 140, 16, 40, two})
 			scenarios = append(scenarios, scenario{k, 180, 16, 16, one})
 		}
 	}
 	for _, s := range scenarios {
-		t.Run(fmt.Sprintf("%v at %v of %v, %d", s.kind, s.perS, 12*s.rate, len(s.halls)), func(t *testing.T) {
-			r := newThreeRegions(t, s.rate)
-			loss := forecast.Loss{Kind: s.kind, Halls: s.halls}
-			warmUpSeconds := 4.0
-			if *longForecast {
-				warmUpSeconds = 11
-			}
-			outcomes, wait := r.startLoad(s.perS, warmUpSeconds, warmUpSeconds+s.measS, func(i int) bool {
-				return s.kind != forecast.Links && slices.Contains(s.halls, regionName(i))
-			})
-			began := time.Now()
-			time.Sleep(time.Until(began.Add(time.Duration((warmUpSeconds - 1) * float64(time.Second)))))
-			projection := r.waitForAgreement()
-			time.Sleep(time.Until(began.Add(time.Duration(warmUpSeconds * float64(time.Second)))))
-			r.applyLoss(loss)
-			lossTime := time.Now()
-			wait()
-			r.checkForecast(projection, loss, outcomes, warmUpSeconds*1000, s.measS*1000, lossTime)
-		})
+		t.Run(
+			fmt.Sprintf("%v at %v of %v, %d", s.kind, s.perSecond, 12*s.rate, len(s.regions)),
+			func(t *testing.T) {
+				r := newThreeRegions(t, s.rate)
+				loss := forecast.Loss{Kind: s.kind, Halls: s.regions}
+				warmUpSeconds := 4.0
+				if *longForecast {
+					warmUpSeconds = 11
+				}
+				outcomes, wait := r.startLoad(
+					s.perSecond,
+					warmUpSeconds,
+					warmUpSeconds+s.measuredSeconds,
+					func(i int) bool {
+						return s.kind != forecast.Links && slices.Contains(s.regions, regionName(i))
+					},
+				)
+				began := time.Now()
+				time.Sleep(time.Until(began.Add(time.Duration((warmUpSeconds - 1) * float64(time.Second)))))
+				projection := r.waitForAgreement()
+				time.Sleep(time.Until(began.Add(time.Duration(warmUpSeconds * float64(time.Second)))))
+				r.applyLoss(loss)
+				lossTime := time.Now()
+				wait()
+				r.checkForecast(projection, loss, outcomes, warmUpSeconds*1000, s.measuredSeconds*1000, lossTime)
+			},
+		)
 	}
 }
 
@@ -456,13 +470,19 @@
 			continue
 		}
 		before, _ := outcomes.settledShare(at-3000, at)
-		after, asked := outcomes.settledShare(at, at+span)
-		measured := (before - after) * asked
-		foretold := c.First.Lost + c.AtOnce/span*1000
-		t.Logf("%v: asked %.1f, loss forecast %.1f, measured %.1f, error %.3f of asked", loss.Kind, asked, foretold,
-			measured, (foretold-measured)/asked)
-		if math.Abs(foretold-measured) > 0.3*asked {
-			t.Errorf("forecast %v of %v, measured %v", foretold, asked, measured)
+		after, askedPerSecond := outcomes.settledShare(at, at+span)
+		measuredLoss := (before - after) * askedPerSecond
+		forecastLoss := c.First.Lost + c.AtOnce/span*1000
+		t.Logf(
+			"%v: asked %.1f, loss forecast %.1f, measured %.1f, error %.3f of asked",
+			loss.Kind,
+			askedPerSecond,
+			forecastLoss,
+			measuredLoss,
+			(forecastLoss-measuredLoss)/askedPerSecond,
+		)
+		if math.Abs(forecastLoss-measuredLoss) > 0.3*askedPerSecond {
+			t.Errorf("forecast %v of %v, measured %v", forecastLoss, askedPerSecond, measuredLoss)
 		}
 		for region, forecastRegion := range c.First.Halls {
 			n := 0
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -52,7 +52,7 @@
 		Decode: func(raw []byte, into any) error { return strictoml.Decode(string(raw), into) }},
 }
 
-// TestGoldenForms checks the forms that are read and written as a whole.
+// TestGoldenForms checks the forms that are encoded as one value.
 func TestGoldenForms(t *testing.T) {
 	for _, form := range goldenForms {
 		t.Run(form.File, form.Check)
--- a/internal/supervisor/health.go
+++ b/internal/supervisor/health.go
@@ -49,7 +49,8 @@
 	d.log.Info().Str("instance", process.Instance).Int("pid", process.PID).Msg("instance process ready")
 }
 
-// recordReload books that a process has reloaded its configuration, unless that has changed again meanwhile.
+// recordReload records that a process has reloaded its configuration, unless that has changed again
+// meanwhile.
 func (d *Daemon) recordReload(process *processRecord) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/supervisor/lease_requests.go
+++ b/internal/supervisor/lease_requests.go
@@ -44,9 +44,9 @@
 	_, _ = w.Write(raw)
 }
 
-// readLeaseRequest reads and books an instance's request, and returns the lease to answer it with; false: it
-// has been answered with an error. It does not block: the lease holds what a quorum has confirmed last, and
-// how long ago.
+// readLeaseRequest reads and records an instance's request, and returns the lease to answer it with; false:
+// it has been answered with an error. It does not block: the lease holds what a quorum has confirmed last,
+// and how long ago.
 func (d *Daemon) readLeaseRequest(
 	w http.ResponseWriter,
 	r *http.Request,
--- a/internal/supervisor/participant.go
+++ b/internal/supervisor/participant.go
@@ -24,11 +24,11 @@
 	Changed() <-chan struct{}
 	// InForce returns the version in force; its number is 0 if none is known.
 	InForce() ruleset.Version
-	// ProcessStarted books a process of this host; before says that it ran before this daemon did.
+	// ProcessStarted records a process of this host; before says that it ran before this daemon did.
 	ProcessStarted(pid int, before bool)
-	// ProcessExited books the end of a process.
+	// ProcessExited records the end of a process.
 	ProcessExited(pid int)
-	// RenewLease books the step that a process holds and the index of its discovery endpoints (-1: none), and
+	// RenewLease records the step that a process holds and the index of its discovery endpoints (-1: none), and
 	// returns the lease for it, or false if none can be granted.
 	RenewLease(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool)
 	// HighestDiscoveryIndex returns the highest discovery index that any process has reported.
--- a/internal/supervisor/process.go
+++ b/internal/supervisor/process.go
@@ -95,7 +95,7 @@
 	return err
 }
 
-// environment returns what a process is told besides its configuration. The caller holds the lock.
+// environment returns the variables that a process gets besides its configuration. The caller holds the lock.
 func (d *Daemon) environment(process *processRecord) []string {
 	name, dir := process.Instance, d.instanceDir(process.Instance)
 	env := []string{"NODE_CONFIG=" + d.gatewayConfigPath(name), "NODE_NAME=" + name,
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// recordStart books that a process runs; adopted says that it was started by an earlier daemon. The caller
+// recordStart records that a process runs; adopted says that it was started by an earlier daemon. The caller
 // holds the lock.
 func (d *Daemon) recordStart(process *processRecord, adopted bool) {
 	if d.rules != nil {
@@ -172,7 +172,7 @@
 	d.instanceByPID.Store(process.PID, process.Instance)
 }
 
-// recordExit books the exit of a process, unless that has been done. The caller holds the lock.
+// recordExit records the exit of a process, unless that has been done. The caller holds the lock.
 func (d *Daemon) recordExit(process *processRecord) {
 	if _, known := d.processes[process.number]; !known {
 		return
--- a/internal/supervisor/reconciler.go
+++ b/internal/supervisor/reconciler.go
@@ -65,7 +65,7 @@
 	return i.current != nil && i.current.generation != i.generation
 }
 
-// Reconciler decides which processes run. It is told the desired state and the events of processes, and Next
+// Reconciler decides which processes run. Its inputs are the desired state and the events of processes; Next
 // returns the actions that lead from the actual state to the desired one. It does no I/O and reads no clock:
 // the same seed and inputs give the same actions. It is not safe for concurrent use.
 type Reconciler struct {
@@ -115,7 +115,7 @@
 	}
 }
 
-// Adopt books a process that already runs for an instance, and returns its process number. The daemon does
+// Adopt records a process that already runs for an instance, and returns its process number. The daemon does
 // not hold the listener that a second process would need, so this process has to stop before another starts.
 func (r *Reconciler) Adopt(name string) int {
 	instance := r.byName[name]
--- a/internal/supervisor/settings.go
+++ b/internal/supervisor/settings.go
@@ -90,7 +90,7 @@
 	Name           string
 	ListenAddress  string    // HOST:PORT for clients
 	AdminAddresses [2]string // HOST:PORT, used in turn: a process and its successor run at once
-	Config         []byte    // the whole configuration but the admin address, as JSON
+	Config         []byte    // the complete configuration but the admin address, as JSON
 }
 
 // LoadSettings reads and checks a fleet.toml and the configuration that it names. An error names the file,
@@ -139,7 +139,7 @@
 	}
 }
 
-// resolve checks the file and returns the settings that it stands for.
+// resolve checks the file and returns the resolved settings.
 func (f *FleetFile) resolve() (*Settings, error) {
 	rules, err := f.rulesSettings()
 	if err != nil {
@@ -260,8 +260,8 @@
 	return instances, nil
 }
 
-// numberedPeers returns the addresses for peers' datagrams of a host without a ruleset; nil if there are none.
-// They are UDP, and may overlap the ports of the other ranges.
+// numberedPeers returns the addresses for peers' datagrams of a host without a ruleset; nil if there are
+// none. They are UDP, and may overlap the ports of the other ranges.
 func (f *FleetFile) numberedPeers() (peers []string, err error) {
 	if f.FirstPeer == "" {
 		return nil, nil
--- a/internal/supervisor/settings_rules.go
+++ b/internal/supervisor/settings_rules.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// unroutableAddress stands in an instance's configuration for a member without a peer address: what is sent
-	// to it is dropped on this host.
+	// unroutableAddress replaces, in an instance's configuration, the address of a member without a peer
+	// address: what is sent to it is dropped on this host.
 	unroutableAddress = "0.0.0.0:0"
 	// raftOverridesKey is the name in FleetFile.AddressOverrides of the raft group's own overrides.
 	raftOverridesKey = "council"
--- a/internal/supervisor/subscription.go
+++ b/internal/supervisor/subscription.go
@@ -187,7 +187,7 @@
 	}
 }
 
-// leaseFromView returns the lease that a view stands for, without its age. Rules that this program does not
+// leaseFromView returns the lease by a view, without its age. Rules that this program does not
 // know all of are left empty, with what it does not know in UnsupportedFeature or, of the pending ones, in
 // PendingUnsupportedFeature.
 func leaseFromView(view *distribution.View) (lease ruleset.Lease, err error) {
@@ -241,14 +241,14 @@
 	return s.inForce
 }
 
-// ProcessStarted books a process of this host; adopted says that it ran before this daemon did.
+// ProcessStarted records a process of this host; adopted says that it ran before this daemon did.
 func (s *subscription) ProcessStarted(pid int, adopted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.grantor.ProcessStarted(pid, adopted)
 }
 
-// ProcessExited books the end of a process.
+// ProcessExited records the end of a process.
 func (s *subscription) ProcessExited(pid int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -260,7 +260,7 @@
 	s.reportSeen()
 }
 
-// RenewLease books the step that a process holds and its discovery index (-1: none), and returns the lease
+// RenewLease records the step that a process holds and its discovery index (-1: none), and returns the lease
 // for it, or false if none can be granted: no rules have been received, or their lease has expired.
 func (s *subscription) RenewLease(
 	pid int,
--- a/internal/supervisor/subscription_test.go
+++ b/internal/supervisor/subscription_test.go
@@ -206,11 +206,11 @@
 		len(status.DisconnectedInstances) > 0 {
 		t.Errorf("status %+v", status)
 	}
-	asked := slices.Index(tree.relayAddresses, status.CurrentUpstream)
-	if asked < 0 {
+	current := slices.Index(tree.relayAddresses, status.CurrentUpstream)
+	if current < 0 {
 		t.Fatalf("%q is asked, none of %v", status.CurrentUpstream, tree.relayAddresses)
 	}
-	if err := tree.relays[asked].Stall(); err != nil {
+	if err := tree.relays[current].Stall(); err != nil {
 		t.Fatal(err)
 	}
 	const stays = 1500 * time.Millisecond
@@ -219,10 +219,10 @@
 			t.Fatal("a lease is lost while one relay is stalled")
 		}
 	}
-	if status, _ = h.subscriptionStatus(); status.CurrentUpstream == tree.relayAddresses[asked] {
+	if status, _ = h.subscriptionStatus(); status.CurrentUpstream == tree.relayAddresses[current] {
 		t.Error("a stalled relay is still the current upstream")
 	}
-	if err := tree.relays[asked].Resume(); err != nil {
+	if err := tree.relays[current].Resume(); err != nil {
 		t.Fatal(err)
 	}
 
@@ -628,7 +628,7 @@
 // positions, know the members that the part names, and count all. All ports are below the system's ephemeral
 // range.
 func TestLargeMembership(t *testing.T) {
-	const n, own = 7900, 14
+	const n, perHost = 7900, 14
 	fleet := newTestFleet(t, 1)
 	h := &testHost{
 		cluster: &testCluster{t: t, discovery: fleet.discovery, basePort: 2000, memberSlots: n},
@@ -649,20 +649,23 @@
 		Plans:               []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}},
 	}
 	for i := range n {
-		rules.Members = append(rules.Members, ruleset.Member{Name: fmt.Sprint("g", i), Host: fmt.Sprint("l", i/own),
-			Peers: fmt.Sprintf("10.%d.%d.1:7000", i/250, i%250)})
+		rules.Members = append(
+			rules.Members,
+			ruleset.Member{Name: fmt.Sprint("g", i), Host: fmt.Sprint("l", i/perHost),
+				Peers: fmt.Sprintf("10.%d.%d.1:7000", i/250, i%250)},
+		)
 	}
-	whole, err := ruleset.VersionToState(&ruleset.Version{Number: 1, Rules: rules})
+	full, err := ruleset.VersionToState(&ruleset.Version{Number: 1, Rules: rules})
 	if err != nil {
 		t.Fatal(err)
 	}
-	interesting := ruleset.Select(whole, ruleset.Interest{Host: "l0", Around: distribution.Around})
+	interesting := ruleset.Select(full, ruleset.Interest{Host: "l0", Around: distribution.Around})
 	sent, err := (&distribution.Answer{Form: distribution.Form, Rules: interesting.ID(),
 		RulesDelta: versioned.FullDelta(interesting)}).Bytes()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("all rules have %d bytes, a host's part %d, and %d as an answer", whole.Bytes(), interesting.Bytes(),
+	t.Logf("all rules have %d bytes, a host's part %d, and %d as an answer", full.Bytes(), interesting.Bytes(),
 		len(sent))
 	part, err := ruleset.VersionFromState(interesting)
 	if err != nil || ruleset.ValidateSubset(&part.Rules) != nil {
@@ -670,10 +673,10 @@
 	}
 	began := time.Now()
 	all, err := settings.file.instancesOf(&part.Rules)
-	if err != nil || len(all) != own {
+	if err != nil || len(all) != perHost {
 		t.Fatalf("%d instances: %v", len(all), err)
 	}
-	t.Logf("%d instances of %d members made in %v", own, n, time.Since(began))
+	t.Logf("%d instances of %d members made in %v", perHost, n, time.Since(began))
 	for i, in := range all {
 		g, err := config.Decode(in.Config, func(string) string { return "" })
 		if err != nil {
@@ -685,7 +688,7 @@
 				known++
 			}
 		}
-		if g.Charter.Gatekeepers != n || g.Charter.Me != i || known != own+2*distribution.Around ||
+		if g.Charter.Gatekeepers != n || g.Charter.Me != i || known != perHost+2*distribution.Around ||
 			in.ListenAddress != fmt.Sprintf("127.0.0.10:%d", 2002+i) {
 			t.Errorf("position %d of %d at %s, %d known", g.Charter.Me, g.Charter.Gatekeepers, in.ListenAddress, known)
 		}
