--- a/internal/serving/edge/paths_test.go
+++ b/internal/serving/edge/paths_test.go
@@ -76,7 +76,9 @@
 	first, second := newPaths(config("e1", "127.0.0.1", "a"), 7), newPaths(config("e2", "127.0.0.1", "b"), 9)
 	address := netip.MustParseAddrPort("127.0.0.1:1")
 	other := target{
-		Target:  pathhealth.Target{Name: "e2", Place: pathhealth.Place{Zone: "b", Region: "b"}, Linked: true},
+		Target: pathhealth.Target{
+			Name: "e2", FailureDomain: pathhealth.FailureDomain{Zone: "b", Region: "b"}, Linked: true,
+		},
 		address: address,
 	}
 	view := &table{targets: []target{other}}
@@ -104,8 +106,8 @@
 func TestStrictestPauseCounts(t *testing.T) {
 	table := &table{pauses: map[string]float64{}}
 	for _, route := range []*configuration.Route{
-		{Backend: "s", GapAimMs: 600}, {Backend: "s"}, {Backend: "other", GapAimMs: 100},
-		{TrafficSplit: []configuration.Split{{Backend: "s"}, {Backend: "new", Weight: 1}}, GapAimMs: 400},
+		{Backend: "s", TargetGapMs: 600}, {Backend: "s"}, {Backend: "other", TargetGapMs: 100},
+		{TrafficSplit: []configuration.Split{{Backend: "s"}, {Backend: "new", Weight: 1}}, TargetGapMs: 400},
 	} {
 		table.notePause(route)
 	}
--- a/internal/serving/statemachine/compression.go
+++ b/internal/serving/statemachine/compression.go
@@ -37,5 +37,5 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "committed configuration does not decompress")
 	}
-	return configuration.Read(body)
+	return configuration.Parse(body)
 }
--- a/internal/supervisor/control.go
+++ b/internal/supervisor/control.go
@@ -144,7 +144,7 @@
 		http.Error(w, "council.serve: there is none", http.StatusNotFound)
 		return
 	}
-	relay.Show(w, d.rules.relayRoot.Status())
+	relay.WriteStatus(w, d.rules.relayRoot.Status())
 }
 
 func (d *Daemon) handleSubscriptionStatus(w http.ResponseWriter, _ *http.Request) {
--- a/internal/supervisor/golden_test.go
+++ b/internal/supervisor/golden_test.go
@@ -198,8 +198,8 @@
 	d := goldenDaemon(t.TempDir())
 	d.instanceByPID.Store(4321, "golden-0")
 	for pid, want := range map[int]string{4321: "unconfirmed", 4322: "stranger"} {
-		var refused *relay.Refusal
-		if _, err := d.answerUpdateRequest(&distribution.Ask{Process: pid, From: "golden-0"}); !errors.As(
+		var refused *relay.RejectionError
+		if _, err := d.answerUpdateRequest(&distribution.Request{ProcessID: pid, Sender: "golden-0"}); !errors.As(
 			err,
 			&refused,
 		) ||
--- a/internal/supervisor/lease_requests.go
+++ b/internal/supervisor/lease_requests.go
@@ -73,25 +73,25 @@
 
 // answerUpdateRequest answers an instance that asks what has changed of the rules since the version that it
 // holds. It does not block, as readLeaseRequest does not.
-func (d *Daemon) answerUpdateRequest(request *distribution.Ask) (*distribution.Answer, error) {
-	if owner, known := d.instanceByPID.Load(request.Process); !known || owner != request.From {
-		return nil, &relay.Refusal{Reason: reasonUnknownProcess, Says: notKept(request.Process, request.From)}
+func (d *Daemon) answerUpdateRequest(request *distribution.Request) (*distribution.Response, error) {
+	if owner, known := d.instanceByPID.Load(request.ProcessID); !known || owner != request.Sender {
+		return nil, &relay.RejectionError{Reason: reasonUnknownProcess, Message: notKept(request.ProcessID, request.Sender)}
 	}
 	now := raftlog.BootClockMillis() // not later than the time by which the lease's age is counted
-	lease, ok := d.rules.RenewLease(request.Process, request.From, request.Holds, request.Index)
+	lease, ok := d.rules.RenewLease(request.ProcessID, request.Sender, request.HeldStep, request.DiscoveryIndex)
 	if !ok {
-		return nil, &relay.Refusal{Reason: reasonUnconfirmed, Says: notConfirmed}
+		return nil, &relay.RejectionError{Reason: reasonUnconfirmed, Message: notConfirmed}
 	}
 	// An instance does not know the cluster's name, and reports nothing for other hosts.
-	request.Cluster, request.Seen = d.rules.publisher.cluster, nil
-	overridden := d.hasAddressOverrides(request.From)
+	request.Cluster, request.HostSteps = d.rules.publisher.cluster, nil
+	overridden := d.hasAddressOverrides(request.Sender)
 	published, err := d.rules.publisher.answer(request, overridden, now,
-		func(p *publication) (distribution.View, error) {
+		func(p *publication) (distribution.Snapshot, error) {
 			if d.rules.subscription != nil && !overridden { // as received, known to this version or not
 				return d.rules.subscription.currentView(), nil
 			}
 			if overridden {
-				d.overrideLeaseAddresses(request.From, &lease)
+				d.overrideLeaseAddresses(request.Sender, &lease)
 			}
 			return p.viewOf(&lease, now)
 		})
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	answer := *published
-	answer.Index = d.rules.HighestDiscoveryIndex()
+	answer.DiscoveryIndex = d.rules.HighestDiscoveryIndex()
 	return &answer, nil
 }
 
--- a/internal/supervisor/publisher.go
+++ b/internal/supervisor/publisher.go
@@ -38,30 +38,30 @@
 
 // answer answers an instance by the view that is current under the publisher's lock. An instance with address
 // overrides has a publication of its own. The time is milliseconds of raftlog.BootClockMillis.
-func (p *publisher) answer(request *distribution.Ask, overridden bool, nowMillis float64,
-	currentView func(*publication) (distribution.View, error)) (*distribution.Answer, error) {
+func (p *publisher) answer(request *distribution.Request, overridden bool, nowMillis float64,
+	currentView func(*publication) (distribution.Snapshot, error)) (*distribution.Response, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	name := ""
 	if overridden {
-		name = request.From
+		name = request.Sender
 	}
 	current := p.publications[name]
 	if current == nil {
-		current = &publication{source: distribution.NewSource(p.cluster, p.cluster, distribution.Bounds{
-			WholeRate: fullStateBytesPerSecond, WholeBurst: fullStateBytesPerSecond, Life: rand.Uint64()})}
+		current = &publication{source: distribution.NewSource(p.cluster, p.cluster, distribution.SourceConfig{
+			FullStateBytesPerSecond: fullStateBytesPerSecond, FullStateBurstBytes: fullStateBytesPerSecond, Incarnation: rand.Uint64()})}
 		p.publications[name] = current
 	}
 	view, err := currentView(current)
 	if err != nil {
 		return nil, err
 	}
-	current.source.Offer(view)
-	return current.source.Answer(request, nowMillis)
+	current.source.Publish(view)
+	return current.source.Respond(request, nowMillis)
 }
 
 // viewOf returns the view of a lease. The entries of a version are made once.
-func (p *publication) viewOf(lease *ruleset.Lease, nowMillis float64) (view distribution.View, err error) {
+func (p *publication) viewOf(lease *ruleset.Lease, nowMillis float64) (view distribution.Snapshot, err error) {
 	if number := lease.Version.Number; number != p.version || p.rules == nil {
 		if p.rules, err = ruleset.VersionToState(&lease.Version); err != nil {
 			return view, err
@@ -78,12 +78,12 @@
 		}
 		p.step = lease.Step
 	}
-	return distribution.View{
+	return distribution.Snapshot{
 		Step:    lease.Step,
 		Settled: lease.TransitionComplete,
-		Begun:   nowMillis - lease.AgeMillis,
+		ReadStartMillis:   nowMillis - lease.AgeMillis,
 		Rules:   p.rules,
 		Pending: p.pending,
-		Index:   -1,
+		DiscoveryIndex: -1,
 	}, nil
 }
--- a/internal/supervisor/subscription.go
+++ b/internal/supervisor/subscription.go
@@ -33,7 +33,7 @@
 	hostName   string
 	log        zerolog.Logger
 	history    history.Recorder // nil if no history is written
-	replica    *relay.Copy      // on disk, of the version received last
+	replica    *relay.Checkpoint      // on disk, of the version received last
 	changed    chan struct{}    // has room for one value
 	ctx        context.Context  // ended by Close
 	cancel     context.CancelFunc
@@ -41,13 +41,13 @@
 
 	mu           sync.Mutex // guards all below
 	upstreams    []string
-	feed         *relay.Feed          // nil until the first setUpstreams
+	feed         *relay.Subscription          // nil until the first setUpstreams
 	stopFeed     context.CancelFunc   // ends the feed
 	grantor      ruleset.LeaseGrantor // which step each process holds
 	discoveryLag *ruleset.IndexLag
 	requesters   map[int]requester // by PID
 
-	view          distribution.View      // as applied last
+	view          distribution.Snapshot      // as applied last
 	lease         ruleset.Lease          // of the view
 	rejected      [2]versioned.VersionID // of the rules and the pending ones that were invalid
 	inForce       ruleset.Version        // the last one that this program knows all of
@@ -75,13 +75,13 @@
 		hostName:      settings.HostName,
 		log:           log,
 		history:       recorder,
-		replica:       relay.NewCopy(settings.StorePath, cluster, log),
+		replica:       relay.NewCheckpoint(settings.StorePath, cluster, log),
 		changed:       make(chan struct{}, 1),
 		discoveryLag:  ruleset.NewIndexLag(),
 		requesters:    map[int]requester{},
 		reportedIndex: -1,
 	}
-	s.view.Index = -1
+	s.view.DiscoveryIndex = -1
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.goroutines.Add(1)
 	go func() {
@@ -100,23 +100,23 @@
 	if slices.Equal(upstreams, s.upstreams) {
 		return
 	}
-	follower := distribution.NewFollower(distribution.Config{
+	follower := distribution.NewFollower(distribution.FollowerConfig{
 		Name:     s.hostName,
 		Cluster:  s.cluster,
-		Upstream: len(upstreams),
-		Lease:    initialLeaseMillis,
-		Interest: ruleset.Interest{Host: s.hostName, Around: distribution.Around},
+		Upstreams: len(upstreams),
+		LeaseMillis: initialLeaseMillis,
+		Interest: ruleset.Interest{Host: s.hostName, Around: distribution.RingRadius},
 		Seed:     rand.Int63(),
 	}, raftlog.BootClockMillis())
 	if s.feed == nil {
-		s.replica.Base(follower)
+		s.replica.LoadInto(follower)
 	} else {
-		follower.Base(s.view.Rules, s.view.Pending)
+		follower.AddBases(s.view.Rules, s.view.Pending)
 		s.stopFeed()
 	}
-	client := relay.NewClient(upstreams, relay.AskPath)
+	client := relay.NewClient(upstreams, relay.RequestPath)
 	s.upstreams, s.reportedStep = slices.Clone(upstreams), 0
-	feed := relay.NewFeed(follower, client, s.onUpdate)
+	feed := relay.NewSubscription(follower, client, s.onUpdate)
 	s.feed = feed
 	var ctx context.Context
 	ctx, s.stopFeed = context.WithCancel(s.ctx)
@@ -141,9 +141,9 @@
 	if s.feed == nil {
 		return
 	}
-	view, ok := s.feed.View()
+	view, ok := s.feed.Snapshot()
 	digests := [2]versioned.VersionID{view.Rules.ID(), view.Pending.ID()}
-	earlier := view.Step < s.view.Step || view.Step == s.view.Step && view.Begun < s.view.Begun
+	earlier := view.Step < s.view.Step || view.Step == s.view.Step && view.ReadStartMillis < s.view.ReadStartMillis
 	if !ok || earlier || digests == s.rejected {
 		return
 	}
@@ -161,7 +161,7 @@
 				Msg("rules in force that this version does not know: instances stay as they are")
 		}
 		s.lease = lease
-		s.replica.Keep(view)
+		s.replica.Save(view)
 	}
 	s.view, s.lease.Step, s.lease.TransitionComplete = view, view.Step, view.Settled
 	if digests[0] != previous[0] {
@@ -175,7 +175,7 @@
 func (s *subscription) enterForce() {
 	if s.history != nil {
 		s.history.Write(history.Event{Kind: history.Gives, Version: s.view.Rules.ID().Number,
-			Age: raftlog.BootClockMillis() - s.view.Begun})
+			Age: raftlog.BootClockMillis() - s.view.ReadStartMillis})
 	}
 	if s.lease.UnsupportedFeature != "" {
 		return
@@ -190,7 +190,7 @@
 // leaseFromView returns the lease by a view, without its age. Rules that this program does not
 // know all of are left empty, with what it does not know in UnsupportedFeature or, of the pending ones, in
 // PendingUnsupportedFeature.
-func leaseFromView(view *distribution.View) (lease ruleset.Lease, err error) {
+func leaseFromView(view *distribution.Snapshot) (lease ruleset.Lease, err error) {
 	if lease.Version, lease.UnsupportedFeature, err = versionOf(view.Rules); err != nil || view.Pending == nil {
 		return lease, err
 	}
@@ -224,9 +224,9 @@
 	}
 	newStep := seenStep > s.reportedStep
 	s.reportedStep, s.reportedIndex = max(seenStep, s.reportedStep), highestIndex
-	s.feed.With(func(f *distribution.Follower) {
-		if f.Index(highestIndex); newStep {
-			f.Tell([]distribution.HostStep{{Host: s.hostName, Step: seenStep}})
+	s.feed.WithFollower(func(f *distribution.Follower) {
+		if f.SetDiscoveryIndex(highestIndex); newStep {
+			f.ReportHostSteps([]distribution.HostStep{{Host: s.hostName, Step: seenStep}})
 		}
 	})
 }
@@ -281,7 +281,7 @@
 	s.applyView()
 	s.reportSeen()
 	lease := s.lease
-	lease.AgeMillis = raftlog.BootClockMillis() - s.view.Begun
+	lease.AgeMillis = raftlog.BootClockMillis() - s.view.ReadStartMillis
 	if s.view.Step == 0 || !(lease.AgeMillis < ruleset.StateLeaseMillis(s.view.Rules)) {
 		return ruleset.Lease{}, false
 	}
@@ -291,7 +291,7 @@
 
 // currentView returns the view that was applied last: of the step for which a lease was granted last, or
 // later.
-func (s *subscription) currentView() distribution.View {
+func (s *subscription) currentView() distribution.Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view
@@ -302,7 +302,7 @@
 func (s *subscription) HighestDiscoveryIndex() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(s.reportedIndex, s.view.Index, 0)
+	return max(s.reportedIndex, s.view.DiscoveryIndex, 0)
 }
 
 // Close ends the subscription, and returns when its goroutines have ended.
--- a/internal/supervisor/subscription_status.go
+++ b/internal/supervisor/subscription_status.go
@@ -31,7 +31,7 @@
 	// DisconnectedInstances are the instances without a lease, with the milliseconds since they last asked.
 	DisconnectedInstances map[string]float64      `json:"cut_off,omitempty"`
 	DiscoveryLags         []ruleset.LaggingMember `json:"lags,omitempty"`
-	Counts                distribution.Counts     `json:"counts"`
+	Counts                distribution.FollowerCounts     `json:"counts"`
 	Replica               struct {                // on disk, since the daemon's start
 		Written  int64 `json:"written"`
 		Failed   int64 `json:"failed"`
@@ -59,15 +59,15 @@
 	if s.feed == nil {
 		return status
 	}
-	s.feed.With(func(f *distribution.Follower) {
-		status.CurrentUpstream, status.Counts = s.upstreams[f.Current()], f.Counts()
+	s.feed.WithFollower(func(f *distribution.Follower) {
+		status.CurrentUpstream, status.Counts = s.upstreams[f.CurrentUpstream()], f.Counts()
 	})
 	status.Replica.Written, status.Replica.Failed, status.Replica.SetAside = s.replica.Counts()
 	leaseMillis := initialLeaseMillis
 	if s.view.Step > 0 {
 		status.Version, status.Digest = s.view.Rules.ID().Number, s.view.Rules.ID().String()
 		status.PendingVersion = s.view.Pending.ID().Number
-		status.ConfirmedAgoMillis, leaseMillis = raftlog.BootClockMillis()-s.view.Begun, ruleset.StateLeaseMillis(
+		status.ConfirmedAgoMillis, leaseMillis = raftlog.BootClockMillis()-s.view.ReadStartMillis, ruleset.StateLeaseMillis(
 			s.view.Rules,
 		)
 	}
--- a/internal/supervisor/subscription_test.go
+++ b/internal/supervisor/subscription_test.go
@@ -243,7 +243,7 @@
 	})
 	t.Logf("a daemon killed and restarted with a torn replica: its instances hold the version after %v",
 		time.Since(began))
-	if status.Replica.SetAside != 1 || status.Counts.Wholes != 1 {
+	if status.Replica.SetAside != 1 || status.Counts.FullStates != 1 {
 		t.Errorf("the torn replica is not set aside: %+v", status)
 	}
 	tree.waitVersion(3, 3, tree.leafHosts...)
@@ -449,17 +449,17 @@
 	mu          sync.Mutex
 	source      *distribution.Source
 	seen        uint64
-	lastRequest distribution.Ask
+	lastRequest distribution.Request
 }
 
-func (u *fakeUpstream) answer(request *distribution.Ask) (*distribution.Answer, error) {
+func (u *fakeUpstream) answer(request *distribution.Request) (*distribution.Response, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.lastRequest = *request
-	for _, h := range request.Seen {
+	for _, h := range request.HostSteps {
 		u.seen = max(u.seen, h.Step)
 	}
-	return u.source.Answer(request, raftlog.BootClockMillis())
+	return u.source.Respond(request, raftlog.BootClockMillis())
 }
 
 // publishPeriodically publishes rules as in force now, every 20 ms until the test's end.
@@ -472,7 +472,7 @@
 	go func() {
 		for t.Context().Err() == nil {
 			u.mu.Lock()
-			u.source.Offer(distribution.View{Step: step, Begun: raftlog.BootClockMillis(), Rules: rules, Index: -1})
+			u.source.Publish(distribution.Snapshot{Step: step, ReadStartMillis: raftlog.BootClockMillis(), Rules: rules, DiscoveryIndex: -1})
 			u.mu.Unlock()
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -491,7 +491,7 @@
 // Without a process the host reports the step that it would grant next. Its interest is that of its members
 // and those around them.
 func TestSubscriptionReportsSeenStep(t *testing.T) {
-	upstream := &fakeUpstream{source: distribution.NewSource("r", "till", distribution.Bounds{})}
+	upstream := &fakeUpstream{source: distribution.NewSource("r", "till", distribution.SourceConfig{})}
 	server := httptest.NewServer(relay.NewHandler(upstream.answer))
 	defer server.Close()
 	rules := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
@@ -550,8 +550,8 @@
 	)
 	upstream.mu.Lock()
 	defer upstream.mu.Unlock()
-	if upstream.lastRequest.Interest != (ruleset.Interest{Host: "l0", Around: distribution.Around}) ||
-		upstream.lastRequest.From != "l0" {
+	if upstream.lastRequest.Interest != (ruleset.Interest{Host: "l0", Around: distribution.RingRadius}) ||
+		upstream.lastRequest.Sender != "l0" {
 		t.Errorf("its request is %+v", upstream.lastRequest)
 	}
 	if n := sub.HighestDiscoveryIndex(); n != 78 {
@@ -563,7 +563,7 @@
 // however fresh it looks, and that invalid and unknown rules leave instances as they are; the latter are
 // passed on in full.
 func TestSubscriptionAppliesViews(t *testing.T) {
-	upstream := &fakeUpstream{source: distribution.NewSource("r", "till", distribution.Bounds{})}
+	upstream := &fakeUpstream{source: distribution.NewSource("r", "till", distribution.SourceConfig{})}
 	server := httptest.NewServer(relay.NewHandler(upstream.answer))
 	defer server.Close()
 	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
@@ -583,7 +583,7 @@
 	offer := func(step uint64, begun float64, x *versioned.State) {
 		upstream.mu.Lock()
 		defer upstream.mu.Unlock()
-		upstream.source.Offer(distribution.View{Step: step, Begun: begun, Rules: x, Index: -1})
+		upstream.source.Publish(distribution.Snapshot{Step: step, ReadStartMillis: begun, Rules: x, DiscoveryIndex: -1})
 	}
 	first := state(1, func(*ruleset.Rules) {})
 	offer(1, raftlog.BootClockMillis()-50, first)
@@ -659,9 +659,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	interesting := ruleset.Select(full, ruleset.Interest{Host: "l0", Around: distribution.Around})
-	sent, err := (&distribution.Answer{Form: distribution.Form, Rules: interesting.ID(),
-		RulesDelta: versioned.FullDelta(interesting)}).Bytes()
+	interesting := ruleset.Select(full, ruleset.Interest{Host: "l0", Around: distribution.RingRadius})
+	sent, err := (&distribution.Response{FormatVersion: distribution.FormatVersion, Rules: interesting.ID(),
+		RulesDelta: versioned.FullDelta(interesting)}).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -688,7 +688,7 @@
 				known++
 			}
 		}
-		if g.Charter.Gatekeepers != n || g.Charter.Me != i || known != perHost+2*distribution.Around ||
+		if g.Charter.Gatekeepers != n || g.Charter.Me != i || known != perHost+2*distribution.RingRadius ||
 			in.ListenAddress != fmt.Sprintf("127.0.0.10:%d", 2002+i) {
 			t.Errorf("position %d of %d at %s, %d known", g.Charter.Me, g.Charter.Gatekeepers, in.ListenAddress, known)
 		}
