--- a/internal/supervisor/lease_requests.go
+++ b/internal/supervisor/lease_requests.go
@@ -75,7 +75,10 @@
 // holds. It does not block, as readLeaseRequest does not.
 func (d *Daemon) answerUpdateRequest(request *distribution.Request) (*distribution.Response, error) {
 	if owner, known := d.instanceByPID.Load(request.ProcessID); !known || owner != request.Sender {
-		return nil, &relay.RejectionError{Reason: reasonUnknownProcess, Message: notKept(request.ProcessID, request.Sender)}
+		return nil, &relay.RejectionError{
+			Reason:  reasonUnknownProcess,
+			Message: notKept(request.ProcessID, request.Sender),
+		}
 	}
 	now := raftlog.BootClockMillis() // not later than the time by which the lease's age is counted
 	lease, ok := d.rules.RenewLease(request.ProcessID, request.Sender, request.HeldStep, request.DiscoveryIndex)
@@ -88,12 +91,12 @@
 	published, err := d.rules.publisher.answer(request, overridden, now,
 		func(p *publication) (distribution.Snapshot, error) {
 			if d.rules.subscription != nil && !overridden { // as received, known to this version or not
-				return d.rules.subscription.currentView(), nil
+				return d.rules.subscription.currentSnapshot(), nil
 			}
 			if overridden {
 				d.overrideLeaseAddresses(request.Sender, &lease)
 			}
-			return p.viewOf(&lease, now)
+			return p.snapshotOf(&lease, now)
 		})
 	if err != nil {
 		return nil, err
--- a/internal/supervisor/publisher.go
+++ b/internal/supervisor/publisher.go
@@ -36,10 +36,10 @@
 	return &publisher{cluster: cluster, publications: map[string]*publication{}}
 }
 
-// answer answers an instance by the view that is current under the publisher's lock. An instance with address
-// overrides has a publication of its own. The time is milliseconds of raftlog.BootClockMillis.
+// answer answers an instance by the snapshot that is current under the publisher's lock. An instance with
+// address overrides has a publication of its own. The time is milliseconds of raftlog.BootClockMillis.
 func (p *publisher) answer(request *distribution.Request, overridden bool, nowMillis float64,
-	currentView func(*publication) (distribution.Snapshot, error)) (*distribution.Response, error) {
+	currentSnapshot func(*publication) (distribution.Snapshot, error)) (*distribution.Response, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	name := ""
@@ -49,22 +49,28 @@
 	current := p.publications[name]
 	if current == nil {
 		current = &publication{source: distribution.NewSource(p.cluster, p.cluster, distribution.SourceConfig{
-			FullStateBytesPerSecond: fullStateBytesPerSecond, FullStateBurstBytes: fullStateBytesPerSecond, Incarnation: rand.Uint64()})}
+			FullStateBytesPerSecond: fullStateBytesPerSecond,
+			FullStateBurstBytes:     fullStateBytesPerSecond,
+			Incarnation:             rand.Uint64(),
+		})}
 		p.publications[name] = current
 	}
-	view, err := currentView(current)
+	snapshot, err := currentSnapshot(current)
 	if err != nil {
 		return nil, err
 	}
-	current.source.Publish(view)
+	current.source.Publish(snapshot)
 	return current.source.Respond(request, nowMillis)
 }
 
-// viewOf returns the view of a lease. The entries of a version are made once.
-func (p *publication) viewOf(lease *ruleset.Lease, nowMillis float64) (view distribution.Snapshot, err error) {
+// snapshotOf returns the snapshot of a lease. The entries of a version are made once.
+func (p *publication) snapshotOf(
+	lease *ruleset.Lease,
+	nowMillis float64,
+) (snapshot distribution.Snapshot, err error) {
 	if number := lease.Version.Number; number != p.version || p.rules == nil {
 		if p.rules, err = ruleset.VersionToState(&lease.Version); err != nil {
-			return view, err
+			return snapshot, err
 		}
 		p.version = number
 	}
@@ -73,17 +79,17 @@
 		if lease.Pending != nil {
 			next := ruleset.Version{Number: lease.Version.Number + 1, Rules: *lease.Pending}
 			if p.pending, err = ruleset.VersionToState(&next); err != nil {
-				return view, err
+				return snapshot, err
 			}
 		}
 		p.step = lease.Step
 	}
 	return distribution.Snapshot{
-		Step:    lease.Step,
-		Settled: lease.TransitionComplete,
-		ReadStartMillis:   nowMillis - lease.AgeMillis,
-		Rules:   p.rules,
-		Pending: p.pending,
-		DiscoveryIndex: -1,
+		Step:            lease.Step,
+		Settled:         lease.TransitionComplete,
+		ReadStartMillis: nowMillis - lease.AgeMillis,
+		Rules:           p.rules,
+		Pending:         p.pending,
+		DiscoveryIndex:  -1,
 	}, nil
 }
--- a/internal/supervisor/subscription.go
+++ b/internal/supervisor/subscription.go
@@ -32,23 +32,23 @@
 	cluster    string
 	hostName   string
 	log        zerolog.Logger
-	history    history.Recorder // nil if no history is written
-	replica    *relay.Checkpoint      // on disk, of the version received last
-	changed    chan struct{}    // has room for one value
-	ctx        context.Context  // ended by Close
+	history    history.Recorder  // nil if no history is written
+	checkpoint *relay.Checkpoint // on disk, of the version received last
+	changed    chan struct{}     // has room for one value
+	ctx        context.Context   // ended by Close
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 
 	mu           sync.Mutex // guards all below
 	upstreams    []string
-	feed         *relay.Subscription          // nil until the first setUpstreams
+	feed         *relay.Subscription  // nil until the first setUpstreams
 	stopFeed     context.CancelFunc   // ends the feed
 	grantor      ruleset.LeaseGrantor // which step each process holds
 	discoveryLag *ruleset.IndexLag
 	requesters   map[int]requester // by PID
 
-	view          distribution.Snapshot      // as applied last
-	lease         ruleset.Lease          // of the view
+	snapshot      distribution.Snapshot  // as applied last
+	lease         ruleset.Lease          // of the snapshot
 	rejected      [2]versioned.VersionID // of the rules and the pending ones that were invalid
 	inForce       ruleset.Version        // the last one that this program knows all of
 	reportedStep  uint64                 // the step last reported as seen
@@ -75,18 +75,18 @@
 		hostName:      settings.HostName,
 		log:           log,
 		history:       recorder,
-		replica:       relay.NewCheckpoint(settings.StorePath, cluster, log),
+		checkpoint:    relay.NewCheckpoint(settings.StorePath, cluster, log),
 		changed:       make(chan struct{}, 1),
 		discoveryLag:  ruleset.NewIndexLag(),
 		requesters:    map[int]requester{},
 		reportedIndex: -1,
 	}
-	s.view.DiscoveryIndex = -1
+	s.snapshot.DiscoveryIndex = -1
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.goroutines.Add(1)
 	go func() {
 		defer s.goroutines.Done()
-		s.replica.Run(s.ctx)
+		s.checkpoint.Run(s.ctx)
 	}()
 	return s
 }
@@ -101,17 +101,17 @@
 		return
 	}
 	follower := distribution.NewFollower(distribution.FollowerConfig{
-		Name:     s.hostName,
-		Cluster:  s.cluster,
-		Upstreams: len(upstreams),
+		Name:        s.hostName,
+		Cluster:     s.cluster,
+		Upstreams:   len(upstreams),
 		LeaseMillis: initialLeaseMillis,
-		Interest: ruleset.Interest{Host: s.hostName, Around: distribution.RingRadius},
-		Seed:     rand.Int63(),
+		Interest:    ruleset.Interest{Host: s.hostName, Around: distribution.RingRadius},
+		Seed:        rand.Int63(),
 	}, raftlog.BootClockMillis())
 	if s.feed == nil {
-		s.replica.LoadInto(follower)
+		s.checkpoint.LoadInto(follower)
 	} else {
-		follower.AddBases(s.view.Rules, s.view.Pending)
+		follower.AddBases(s.snapshot.Rules, s.snapshot.Pending)
 		s.stopFeed()
 	}
 	client := relay.NewClient(upstreams, relay.RequestPath)
@@ -132,24 +132,25 @@
 func (s *subscription) onUpdate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.applyView()
+	s.applySnapshot()
 }
 
-// applyView takes over the follower's view, if it is later than the one applied last, and reports what there
-// is to report. An invalid view is logged once and changes nothing. The caller holds the lock.
-func (s *subscription) applyView() {
+// applySnapshot takes over the follower's snapshot, if it is later than the one applied last, and reports
+// what there is to report. An invalid snapshot is logged once and changes nothing. The caller holds the lock.
+func (s *subscription) applySnapshot() {
 	if s.feed == nil {
 		return
 	}
-	view, ok := s.feed.Snapshot()
-	digests := [2]versioned.VersionID{view.Rules.ID(), view.Pending.ID()}
-	earlier := view.Step < s.view.Step || view.Step == s.view.Step && view.ReadStartMillis < s.view.ReadStartMillis
+	snapshot, ok := s.feed.Snapshot()
+	digests := [2]versioned.VersionID{snapshot.Rules.ID(), snapshot.Pending.ID()}
+	earlier := snapshot.Step < s.snapshot.Step ||
+		snapshot.Step == s.snapshot.Step && snapshot.ReadStartMillis < s.snapshot.ReadStartMillis
 	if !ok || earlier || digests == s.rejected {
 		return
 	}
-	previous := [2]versioned.VersionID{s.view.Rules.ID(), s.view.Pending.ID()}
+	previous := [2]versioned.VersionID{s.snapshot.Rules.ID(), s.snapshot.Pending.ID()}
 	if digests != previous {
-		lease, err := leaseFromView(&view)
+		lease, err := leaseFromSnapshot(&snapshot)
 		if err != nil {
 			s.rejected = digests
 			s.log.Error().Err(err).
@@ -161,21 +162,21 @@
 				Msg("rules in force that this version does not know: instances stay as they are")
 		}
 		s.lease = lease
-		s.replica.Save(view)
+		s.checkpoint.Save(snapshot)
 	}
-	s.view, s.lease.Step, s.lease.TransitionComplete = view, view.Step, view.Settled
+	s.snapshot, s.lease.Step, s.lease.TransitionComplete = snapshot, snapshot.Step, snapshot.Settled
 	if digests[0] != previous[0] {
 		s.enterForce()
 	}
 	s.reportSeen()
 }
 
-// enterForce records that the view has other rules in force than before, and signals it if this program knows
-// all of them. The caller holds the lock.
+// enterForce records that the snapshot has other rules in force than before, and signals it if this program
+// knows all of them. The caller holds the lock.
 func (s *subscription) enterForce() {
 	if s.history != nil {
-		s.history.Write(history.Event{Kind: history.Gives, Version: s.view.Rules.ID().Number,
-			Age: raftlog.BootClockMillis() - s.view.ReadStartMillis})
+		s.history.Write(history.Event{Kind: history.Gives, Version: s.snapshot.Rules.ID().Number,
+			Age: raftlog.BootClockMillis() - s.snapshot.ReadStartMillis})
 	}
 	if s.lease.UnsupportedFeature != "" {
 		return
@@ -187,14 +188,15 @@
 	}
 }
 
-// leaseFromView returns the lease by a view, without its age. Rules that this program does not
+// leaseFromSnapshot returns the lease by a snapshot, without its age. Rules that this program does not
 // know all of are left empty, with what it does not know in UnsupportedFeature or, of the pending ones, in
 // PendingUnsupportedFeature.
-func leaseFromView(view *distribution.Snapshot) (lease ruleset.Lease, err error) {
-	if lease.Version, lease.UnsupportedFeature, err = versionOf(view.Rules); err != nil || view.Pending == nil {
+func leaseFromSnapshot(snapshot *distribution.Snapshot) (lease ruleset.Lease, err error) {
+	if lease.Version, lease.UnsupportedFeature, err = versionOf(snapshot.Rules); err != nil ||
+		snapshot.Pending == nil {
 		return lease, err
 	}
-	pending, unknown, err := versionOf(view.Pending)
+	pending, unknown, err := versionOf(snapshot.Pending)
 	lease.Pending, lease.PendingUnsupportedFeature = &pending.Rules, unknown
 	return lease, err
 }
@@ -215,7 +217,7 @@
 // reportSeen has the follower report the step that all processes of this host hold, and their highest
 // discovery index, if either has changed. The caller holds the lock.
 func (s *subscription) reportSeen() {
-	seenStep, highestIndex := s.grantor.AckedStep(s.view.Step), int64(-1)
+	seenStep, highestIndex := s.grantor.AckedStep(s.snapshot.Step), int64(-1)
 	for _, request := range s.requesters {
 		highestIndex = max(highestIndex, request.discoveryIndex)
 	}
@@ -278,23 +280,23 @@
 	if discoveryIndex >= 0 {
 		s.discoveryLag.Report(name, discoveryIndex, now)
 	}
-	s.applyView()
+	s.applySnapshot()
 	s.reportSeen()
 	lease := s.lease
-	lease.AgeMillis = raftlog.BootClockMillis() - s.view.ReadStartMillis
-	if s.view.Step == 0 || !(lease.AgeMillis < ruleset.StateLeaseMillis(s.view.Rules)) {
+	lease.AgeMillis = raftlog.BootClockMillis() - s.snapshot.ReadStartMillis
+	if s.snapshot.Step == 0 || !(lease.AgeMillis < ruleset.StateLeaseMillis(s.snapshot.Rules)) {
 		return ruleset.Lease{}, false
 	}
 	s.grantor.RecordGrant(pid)
 	return lease, true
 }
 
-// currentView returns the view that was applied last: of the step for which a lease was granted last, or
-// later.
-func (s *subscription) currentView() distribution.Snapshot {
+// currentSnapshot returns the snapshot that was applied last: of the step for which a lease was granted last,
+// or later.
+func (s *subscription) currentSnapshot() distribution.Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.view
+	return s.snapshot
 }
 
 // HighestDiscoveryIndex returns the highest discovery index that any process has reported, on this host or
@@ -302,7 +304,7 @@
 func (s *subscription) HighestDiscoveryIndex() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(s.reportedIndex, s.view.DiscoveryIndex, 0)
+	return max(s.reportedIndex, s.snapshot.DiscoveryIndex, 0)
 }
 
 // Close ends the subscription, and returns when its goroutines have ended.
--- a/internal/supervisor/subscription_status.go
+++ b/internal/supervisor/subscription_status.go
@@ -29,10 +29,10 @@
 	// OutdatedInstances are the instances that hold an older step than Step, with that step.
 	OutdatedInstances map[string]uint64 `json:"behind,omitempty"`
 	// DisconnectedInstances are the instances without a lease, with the milliseconds since they last asked.
-	DisconnectedInstances map[string]float64      `json:"cut_off,omitempty"`
-	DiscoveryLags         []ruleset.LaggingMember `json:"lags,omitempty"`
-	Counts                distribution.FollowerCounts     `json:"counts"`
-	Replica               struct {                // on disk, since the daemon's start
+	DisconnectedInstances map[string]float64          `json:"cut_off,omitempty"`
+	DiscoveryLags         []ruleset.LaggingMember     `json:"lags,omitempty"`
+	Counts                distribution.FollowerCounts `json:"counts"`
+	Checkpoint            struct {                    // on disk, since the daemon's start
 		Written  int64 `json:"written"`
 		Failed   int64 `json:"failed"`
 		SetAside int64 `json:"aside"` // unreadable files
@@ -47,10 +47,10 @@
 		Cluster:               s.cluster,
 		HostName:              s.hostName,
 		Upstreams:             s.upstreams,
-		Depth:                 s.view.Depth,
+		Depth:                 s.snapshot.Depth,
 		ConfirmedAgoMillis:    -1,
-		Step:                  s.view.Step,
-		TransitionComplete:    s.view.Settled,
+		Step:                  s.snapshot.Step,
+		TransitionComplete:    s.snapshot.Settled,
 		UnknownRules:          s.lease.UnsupportedFeature,
 		SeenStep:              s.reportedStep,
 		OutdatedInstances:     map[string]uint64{},
@@ -62,14 +62,13 @@
 	s.feed.WithFollower(func(f *distribution.Follower) {
 		status.CurrentUpstream, status.Counts = s.upstreams[f.CurrentUpstream()], f.Counts()
 	})
-	status.Replica.Written, status.Replica.Failed, status.Replica.SetAside = s.replica.Counts()
+	status.Checkpoint.Written, status.Checkpoint.Failed, status.Checkpoint.SetAside = s.checkpoint.Counts()
 	leaseMillis := initialLeaseMillis
-	if s.view.Step > 0 {
-		status.Version, status.Digest = s.view.Rules.ID().Number, s.view.Rules.ID().String()
-		status.PendingVersion = s.view.Pending.ID().Number
-		status.ConfirmedAgoMillis, leaseMillis = raftlog.BootClockMillis()-s.view.ReadStartMillis, ruleset.StateLeaseMillis(
-			s.view.Rules,
-		)
+	if s.snapshot.Step > 0 {
+		status.Version, status.Digest = s.snapshot.Rules.ID().Number, s.snapshot.Rules.ID().String()
+		status.PendingVersion = s.snapshot.Pending.ID().Number
+		status.ConfirmedAgoMillis = raftlog.BootClockMillis() - s.snapshot.ReadStartMillis
+		leaseMillis = ruleset.StateLeaseMillis(s.snapshot.Rules)
 	}
 	status.Members = len(s.lease.Version.Rules.Members)
 	for _, member := range s.lease.Version.Rules.Members {
@@ -86,7 +85,7 @@
 func (s *subscription) addInstances(status *SubscriptionStatus, leaseMillis float64) {
 	noLease := status.ConfirmedAgoMillis < 0 || status.ConfirmedAgoMillis > leaseMillis
 	for _, request := range s.requesters {
-		if request.heldStep < s.view.Step {
+		if request.heldStep < s.snapshot.Step {
 			status.OutdatedInstances[request.name] = request.heldStep
 		}
 		ageMillis := float64(time.Since(request.requestedAt)) / float64(time.Millisecond)
--- a/internal/supervisor/subscription_test.go
+++ b/internal/supervisor/subscription_test.go
@@ -173,7 +173,7 @@
 
 // TestRelaySubscription checks that instances below relays apply each version as those of voters do, and that
 // a change which waits for their acknowledgement comes in force by it, long before its time-out. A relay
-// stalls, and a daemon is killed and restarted with a torn replica on disk: no lease is lost by the first.
+// stalls, and a daemon is killed and restarted with a torn checkpoint on disk: no lease is lost by the first.
 // The history is checked.
 func TestRelaySubscription(t *testing.T) {
 	t.Parallel()
@@ -227,12 +227,12 @@
 	}
 
 	tree.kill(h)
-	replicaPath := filepath.Join(h.dir, "store", "rules.copy")
-	raw, err := os.ReadFile(replicaPath)
+	checkpointPath := filepath.Join(h.dir, "store", "rules.copy")
+	raw, err := os.ReadFile(checkpointPath)
 	if err != nil || len(raw) < 40 {
-		t.Fatalf("a replica of %d bytes: %v", len(raw), err)
+		t.Fatalf("a checkpoint of %d bytes: %v", len(raw), err)
 	}
-	if err := os.WriteFile(replicaPath, raw[:len(raw)/2], 0o600); err != nil {
+	if err := os.WriteFile(checkpointPath, raw[:len(raw)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	tree.restart(h)
@@ -241,10 +241,10 @@
 		status, _ = h.subscriptionStatus()
 		return status.Version == 3 && status.SeenStep == status.Step
 	})
-	t.Logf("a daemon killed and restarted with a torn replica: its instances hold the version after %v",
+	t.Logf("a daemon killed and restarted with a torn checkpoint: its instances hold the version after %v",
 		time.Since(began))
-	if status.Replica.SetAside != 1 || status.Counts.FullStates != 1 {
-		t.Errorf("the torn replica is not set aside: %+v", status)
+	if status.Checkpoint.SetAside != 1 || status.Counts.FullStates != 1 {
+		t.Errorf("the torn checkpoint is not set aside: %+v", status)
 	}
 	tree.waitVersion(3, 3, tree.leafHosts...)
 	if sent := tree.check(rules); sent < 30 {
@@ -472,7 +472,14 @@
 	go func() {
 		for t.Context().Err() == nil {
 			u.mu.Lock()
-			u.source.Publish(distribution.Snapshot{Step: step, ReadStartMillis: raftlog.BootClockMillis(), Rules: rules, DiscoveryIndex: -1})
+			u.source.Publish(
+				distribution.Snapshot{
+					Step:            step,
+					ReadStartMillis: raftlog.BootClockMillis(),
+					Rules:           rules,
+					DiscoveryIndex:  -1,
+				},
+			)
 			u.mu.Unlock()
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -559,10 +566,10 @@
 	}
 }
 
-// TestSubscriptionAppliesViews checks that a view read before the daemon began is granted to no process,
-// however fresh it looks, and that invalid and unknown rules leave instances as they are; the latter are
-// passed on in full.
-func TestSubscriptionAppliesViews(t *testing.T) {
+// TestSubscriptionAppliesSnapshots checks that a snapshot read before the daemon began is granted to no
+// process, however fresh it looks, and that invalid and unknown rules leave instances as they are; the latter
+// are passed on in full.
+func TestSubscriptionAppliesSnapshots(t *testing.T) {
 	upstream := &fakeUpstream{source: distribution.NewSource("r", "till", distribution.SourceConfig{})}
 	server := httptest.NewServer(relay.NewHandler(upstream.answer))
 	defer server.Close()
@@ -583,7 +590,9 @@
 	offer := func(step uint64, begun float64, x *versioned.State) {
 		upstream.mu.Lock()
 		defer upstream.mu.Unlock()
-		upstream.source.Publish(distribution.Snapshot{Step: step, ReadStartMillis: begun, Rules: x, DiscoveryIndex: -1})
+		upstream.source.Publish(
+			distribution.Snapshot{Step: step, ReadStartMillis: begun, Rules: x, DiscoveryIndex: -1},
+		)
 	}
 	first := state(1, func(*ruleset.Rules) {})
 	offer(1, raftlog.BootClockMillis()-50, first)
@@ -597,7 +606,7 @@
 	sub.setUpstreams([]string{strings.TrimPrefix(server.URL, "http://")})
 	time.Sleep(400 * time.Millisecond)
 	if _, ok := sub.RenewLease(1, "a", 0, -1); ok {
-		t.Fatal("it grants a lease on a view read before it began")
+		t.Fatal("it grants a lease on a snapshot read before it began")
 	}
 	offer(1, raftlog.BootClockMillis(), first)
 	faultinject.Until(t, 3*time.Second, "it grants no lease", func() bool {
@@ -614,8 +623,8 @@
 		l, ok := sub.RenewLease(1, "a", 0, -1)
 		return ok && l.Version.Number == 3 && strings.Contains(l.UnsupportedFeature, "moon")
 	})
-	if v := sub.currentView(); sub.InForce().Number != 1 || v.Rules.ID().Number != 3 {
-		t.Errorf("in force %d, passed on %v", sub.InForce().Number, v.Rules.ID())
+	if snapshot := sub.currentSnapshot(); sub.InForce().Number != 1 || snapshot.Rules.ID().Number != 3 {
+		t.Errorf("in force %d, passed on %v", sub.InForce().Number, snapshot.Rules.ID())
 	}
 	if status := sub.status(); status.UnknownRules == "" || status.Version != 3 {
 		t.Errorf("the status is %+v", status)
