--- a/internal/gateway/proxy/dispatcher.go
+++ b/internal/gateway/proxy/dispatcher.go
@@ -158,7 +158,7 @@
 	case policy.Withdraw:
 		r.Attempts[v.N].Cancel()
 	case policy.Submit:
-		d.startAttempt(r, v)
+		d.startAttempt(r, &v)
 	case policy.Decline, policy.Void:
 		d.finalize(r, inflight.Command{Decision: v}, d.clock.now())
 		d.forgetIfDone(r)
@@ -166,7 +166,7 @@
 }
 
 // startAttempt commands an attempt, under the lock.
-func (d *Dispatcher) startAttempt(r *inflight.Request, v policy.Decision) {
+func (d *Dispatcher) startAttempt(r *inflight.Request, v *policy.Decision) {
 	inflight.Check(!r.Answered && len(r.Attempts) == v.N, inflight.NoAttemptAfterFinalAnswer)
 	// Guards against a connection that comes up when the window that a hedged request has opened is over.
 	if d.ruleset.charter.Products[r.Product].Repeat == policy.Referenced {
@@ -180,7 +180,7 @@
 	if d.crash.file != nil && v.Full > 0 { // before it can be sent
 		d.crash.file.Spend(r.Customer, r.Plan, v.Full, d.clock.now())
 	}
-	r.Commands <- inflight.Command{Decision: v, Upstream: d.workers.Upstream(v.Worker), Attempt: attempt,
+	r.Commands <- inflight.Command{Decision: *v, Upstream: d.workers.Upstream(v.Worker), Attempt: attempt,
 		Lease: d.ruleset.lease}
 }
 
