--- /dev/null
+++ b/internal/serving/core/controlplane.go
@@ -0,0 +1,113 @@
+package core
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/gorilla/mux"
+	"github.com/pkg/errors"
+
+	"willowdeck/internal/serving/configuration"
+	"willowdeck/internal/serving/statemachine"
+	"willowdeck/internal/serving/wirepb"
+)
+
+const (
+	maxConfigurationBytes = 16 << 20
+	maxHeartbeatBytes     = 64 << 10
+	configurationTimeout  = 20 * time.Second // for the body of a request
+)
+
+// controlHandler returns the handler of the control plane, which operators and workers call.
+func (c *Core) controlHandler() http.Handler {
+	router := mux.NewRouter()
+	router.SkipClean(true)
+	router.HandleFunc("/Config.Replace", c.replaceConfiguration).Methods(http.MethodPost)
+	router.HandleFunc("/Config.Get", c.getConfiguration).Methods(http.MethodGet)
+	router.HandleFunc("/Evacuations.Start/{zone}", c.setEvacuation(true)).Methods(http.MethodPost)
+	router.HandleFunc("/Evacuations.Stop/{zone}", c.setEvacuation(false)).Methods(http.MethodPost)
+	router.HandleFunc("/Instances.Heartbeat/{id}", c.heartbeat).Methods(http.MethodPost)
+	router.HandleFunc("/Instances.Deregister/{id}", c.deregister).Methods(http.MethodPost)
+	router.HandleFunc("/status", c.status).Methods(http.MethodGet)
+	return router
+}
+
+// replaceConfiguration replaces the configuration. A change that may have been accepted is never rejected:
+// where the outcome is not known in time, the status is 503, and the operator may retry at any core.
+func (c *Core) replaceConfiguration(w http.ResponseWriter, r *http.Request) {
+	base, err := strconv.ParseUint(r.Header.Get("Base-Version"), 10, 64)
+	if err != nil {
+		writeError(w, http.StatusBadRequest, "Base-Version: give the generation that this builds on, or 0")
+		return
+	}
+	// Writers without deadlines, as in tests, need no limit.
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(configurationTimeout))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigurationBytes))
+	if err != nil {
+		var tooLarge *http.MaxBytesError
+		if errors.As(err, &tooLarge) {
+			writeError(w, http.StatusRequestEntityTooLarge, "configuration: send at most 16 MiB")
+			return
+		}
+		writeError(w, http.StatusBadRequest, "configuration: send the complete body")
+		return
+	}
+	document, err := configuration.ParseAndValidate(body)
+	if err != nil {
+		writeError(w, http.StatusBadRequest, err.Error())
+		return
+	}
+	command, err := statemachine.ReplaceCommand(base, document.Generation, body)
+	if err != nil {
+		writeError(w, http.StatusInternalServerError, err.Error())
+		return
+	}
+	writeOutcome(w, c.submitAndWait(command).Outcome)
+}
+
+// submitAndWait submits a command, or a linearizable read where command is nil, and waits for its outcome.
+// The outcome is unknown where the process stops meanwhile.
+func (c *Core) submitAndWait(command *wirepb.Command) *wirepb.CallReply {
+	replies := make(chan *wirepb.CallReply, 1)
+	if c.enqueue(func() { c.engine.Submit(command, func(reply *wirepb.CallReply) { replies <- reply }) }) {
+		select {
+		case reply := <-replies:
+			return reply
+		case <-c.stop:
+		}
+	}
+	return &wirepb.CallReply{}
+}
+
+// getConfiguration returns the configuration in force, as the operator has sent it.
+func (c *Core) getConfiguration(w http.ResponseWriter, _ *http.Request) {
+	reply := c.submitAndWait(nil)
+	if reply.Outcome != wirepb.Outcome_OUTCOME_TAKEN {
+		writeOutcome(w, wirepb.Outcome_OUTCOME_UNKNOWN)
+		return
+	}
+	if reply.Generation == 0 {
+		writeError(w, http.StatusNotFound, "there is no configuration yet: send one with Base-Version 0")
+		return
+	}
+	body, err := statemachine.Decompress(reply.Body)
+	if err != nil {
+		writeError(w, http.StatusInternalServerError, err.Error())
+		return
+	}
+	writeBody(w, http.StatusOK, body)
+}
+
+// setEvacuation returns the handler that starts (active) or stops the evacuation of a zone.
+func (c *Core) setEvacuation(active bool) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		zone := mux.Vars(r)["zone"]
+		if _, known := c.settings.Zones[zone]; !known {
+			writeError(w, http.StatusNotFound, "zone "+zone+": name one of the settings")
+			return
+		}
+		writeOutcome(w, c.submitAndWait(statemachine.EvacuationCommand(zone, active)).Outcome)
+	}
+}
