--- a/internal/gateway/proxy/journal.go
+++ b/internal/gateway/proxy/journal.go
@@ -55,9 +55,9 @@
 	number txnjournal.Sub
 }
 
-// journalAttempt names attempt n of a request, apart from all others of this process: an attempt that was
+// newJournalAttempt names attempt n of a request, apart from all others of this process: an attempt that was
 // revoked is sent under the same n again.
-func (p *Proxy) journalAttempt(entry *txnjournal.Txn, n int) *journalAttempt {
+func (p *Proxy) newJournalAttempt(entry *txnjournal.Txn, n int) *journalAttempt {
 	if entry == nil {
 		return nil
 	}
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -70,7 +70,7 @@
 		if v := c.Lease.Version(); v > 0 {
 			version = int64(v)
 		}
-		v := delivery{request: r, command: c, upload: t.Upload, entry: p.journalAttempt(entry, d.N),
+		v := delivery{request: r, command: c, upload: t.Upload, entry: p.newJournalAttempt(entry, d.N),
 			clientMillis: t.Left}
 		v.message, v.deadlineOffset = transport.AppendSubmission(nil, t, version)
 		if p.dispatcher.history != nil {
