--- a/internal/raftlog/followers.go
+++ b/internal/raftlog/followers.go
@@ -8,110 +8,111 @@
 	"willowdeck/internal/ruleset"
 )
 
-// batchEach is the least pause between two entries that say what hosts below have seen: a change reaches a
-// zone's hosts over some hundred ms, and each entry is written by most daemons.
-const hostStepsInterval = 100 * time.Millisecond
-
-// mostBelow bounds the hosts whose word is kept here; members name no more.
-const maxReportingHosts = 16384
+const (
+	// hostStepsInterval is the least time between two entries with the steps of hosts below: a change reaches
+	// a zone's hosts within some hundred milliseconds, and most daemons write each entry.
+	hostStepsInterval = 100 * time.Millisecond
+	// maxReportingHosts bounds the hosts whose steps are kept here; a ruleset's members name no more.
+	maxReportingHosts = 16384
+)
 
-// Word is what a quorum has confirmed last, for those that follow this daemon.
+// ConfirmedState is what a quorum has confirmed last, for the hosts that follow this daemon through relays.
 type ConfirmedState struct {
 	Step            uint64
-	ReadStartMillis float64 // ms of Clock's: when the reading began
+	ReadStartMillis float64 // of BootClockMillis: when the read began that confirmed it
 	Settled         bool
-	InForce         ruleset.Version  // not to be changed
-	Pending         *ruleset.Version // agreed and waiting; nil: none is
+	InForce         ruleset.Version  // must not be changed
+	Pending         *ruleset.Version // accepted and not in force yet; nil: none
 }
 
-// below is what those that follow this daemon have told.
+// followerReports is what the hosts that follow this daemon have reported. RulesetNode.mu guards it.
 type followerReports struct {
-	hostSteps      map[string]uint64 // by host: what all of its processes go by, or later
-	discoveryIndex int64             // the highest of discovery's list among them
-	lastProposed   time.Time         // when some of it was last put to the log
+	hostSteps      map[string]uint64 // by host: a step that all of its processes have applied
+	discoveryIndex int64             // the highest of the discovery list among them
+	lastProposed   time.Time         // of an entry with steps
 }
 
-// confirmed keeps what is in force as of a reading, under the lock. A daemon whose log is behind what it has
-// told before (its store was given up) says nothing of it.
-func (s *RulesetNode) recordConfirmed(begun float64) {
-	st := s.activation.State()
-	if begun <= s.confirmed.ReadStartMillis || st.Step < s.confirmed.Step || st.InForce.Number == 0 {
+// recordConfirmed keeps the state as of a confirmed read; the caller holds n.mu. A daemon whose log is behind
+// what it has confirmed before, as its store was abandoned, keeps the earlier state.
+func (n *RulesetNode) recordConfirmed(startMillis float64) {
+	state := n.activation.State()
+	if startMillis <= n.confirmed.ReadStartMillis || state.Step < n.confirmed.Step || state.InForce.Number == 0 {
 		return
 	}
-	s.confirmed = ConfirmedState{Step: st.Step, ReadStartMillis: begun, Settled: st.Settled(),
-		InForce: st.InForce}
-	if st.Pending != nil {
-		v := st.Pending.Version
-		s.confirmed.Pending = &v
-	}
-	select {
-	case s.confirmations <- struct{}{}:
-	default:
+	n.confirmed = ConfirmedState{Step: state.Step, ReadStartMillis: startMillis, Settled: state.Settled(),
+		InForce: state.InForce}
+	if state.Pending != nil {
+		version := state.Pending.Version
+		n.confirmed.Pending = &version
 	}
+	signal(n.confirmations)
 }
 
-// Word gives what a quorum has confirmed last; false where it has nothing yet.
-func (s *RulesetNode) LastConfirmed() (ConfirmedState, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.confirmed, s.confirmed.InForce.Number > 0
+// LastConfirmed returns what a quorum has confirmed last; false if nothing is confirmed yet.
+func (n *RulesetNode) LastConfirmed() (ConfirmedState, bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.confirmed, n.confirmed.InForce.Number > 0
 }
 
-// Often has a quorum read more often than the gatekeepers of this host need, for those that follow.
-func (s *RulesetNode) RequestFrequentReads() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.grantor.Often(true)
+// RequestFrequentReads has a quorum read more often than the gateways of this host need, for the hosts that
+// follow.
+func (n *RulesetNode) RequestFrequentReads() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.grantor.Often(true)
 }
 
-// Confirmed tells that another reading was confirmed since it was last taken from.
-func (s *RulesetNode) Confirmations() <-chan struct{} { return s.confirmations }
+// Confirmations is ready when another read was confirmed since it was last received from.
+func (n *RulesetNode) Confirmations() <-chan struct{} { return n.confirmations }
 
-// Told takes what all processes of hosts below go by, or something later, and the highest index of
-// discovery's list there. What the council gains by goes into the log. Twice, late and in any order is fine.
-func (s *RulesetNode) RecordHostSteps(all []ruleset.HostStep, index int64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, h := range all {
-		if _, there := s.followers.hostSteps[h.Host]; there || len(s.followers.hostSteps) < maxReportingHosts {
-			s.followers.hostSteps[h.Host] = max(s.followers.hostSteps[h.Host], h.Step)
+// RecordHostSteps records, for hosts below, a step that all processes of the host have applied, and the highest
+// index of the discovery list there. What is new to the group goes into the log. Reports may be repeated, late or
+// out of order.
+func (n *RulesetNode) RecordHostSteps(steps []ruleset.HostStep, discoveryIndex int64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	hostSteps := n.followers.hostSteps
+	for _, report := range steps {
+		if _, known := hostSteps[report.Host]; known || len(hostSteps) < maxReportingHosts {
+			hostSteps[report.Host] = max(hostSteps[report.Host], report.Step)
 		}
 	}
-	if index > s.followers.discoveryIndex {
-		s.followers.discoveryIndex = index
-		s.publishDiscoveryIndex()
+	if discoveryIndex > n.followers.discoveryIndex {
+		n.followers.discoveryIndex = discoveryIndex
+		n.publishDiscoveryIndex()
 	}
 }
 
-// newest has the other daemons told of the highest index of discovery's list here, under the lock.
-func (s *RulesetNode) publishDiscoveryIndex() {
-	most := s.followers.discoveryIndex
-	for _, t := range s.clients {
-		most = max(most, t.discoveryIndex)
+// publishDiscoveryIndex has the peers told the highest index of the discovery list here; the caller holds n.mu.
+func (n *RulesetNode) publishDiscoveryIndex() {
+	highest := n.followers.discoveryIndex
+	for _, client := range n.clients {
+		highest = max(highest, client.discoveryIndex)
 	}
-	s.Node.discoveryIndex.Store(most)
+	n.discoveryIndex.Store(highest)
 }
 
-// batch gives the entry by which the council learns what hosts below have seen, if it gains by any, under the
-// lock. It may be lost: it is put again until the council has it.
-func (s *RulesetNode) hostStepsEntry(now time.Time) []byte {
-	if len(s.followers.hostSteps) == 0 || now.Sub(s.followers.lastProposed) < hostStepsInterval {
+// hostStepsEntry returns the entry with the steps of hosts below, if the group gains by any; nil otherwise. It
+// may be lost: it is proposed again until it is applied. The caller holds n.mu.
+func (n *RulesetNode) hostStepsEntry(now time.Time) []byte {
+	if len(n.followers.hostSteps) == 0 || now.Sub(n.followers.lastProposed) < hostStepsInterval {
 		return nil
 	}
-	s.followers.lastProposed = now
-	st := s.activation.State()
-	if st.Pending == nil && len(st.Held) == 0 {
+	n.followers.lastProposed = now
+	state := n.activation.State()
+	if state.Pending == nil && len(state.Held) == 0 {
 		return nil
 	}
-	all := make([]ruleset.HostStep, 0, len(s.followers.hostSteps))
-	for _, h := range slices.Sorted(maps.Keys(s.followers.hostSteps)) {
-		all = append(all, ruleset.HostStep{Host: h, Step: min(s.followers.hostSteps[h], st.Step)})
+	steps := make([]ruleset.HostStep, 0, len(n.followers.hostSteps))
+	for _, host := range slices.Sorted(maps.Keys(n.followers.hostSteps)) {
+		steps = append(steps, ruleset.HostStep{Host: host, Step: min(n.followers.hostSteps[host], state.Step)})
 	}
-	if all = st.Gains(all); len(all) == 0 {
+	if steps = state.Gains(steps); len(steps) == 0 {
 		return nil
 	}
-	all = all[:min(len(all), ruleset.MostSeen)]
-	raw, err := ruleset.Entry{Act: ruleset.SeenAll, Hosts: all}.Bytes()
+	steps = steps[:min(len(steps), ruleset.MostSeen)]
+	raw, err := ruleset.Entry{Act: ruleset.SeenAll, Hosts: steps}.Bytes()
 	if err != nil {
 		return nil
 	}
--- a/internal/raftlog/golden_test.go
+++ b/internal/raftlog/golden_test.go
@@ -218,8 +218,9 @@
 // buildGoldenStore writes the values above as a daemon does.
 func buildGoldenStore(t *testing.T, path string) {
 	t.Helper()
-	s, _, _, err := openStore(path, goldenName)
+	opened, err := openStore(path, goldenName)
 	requireNoError(t, err)
+	s := opened.store
 	defer s.close()
 	s.identity, s.peerSeqs = goldenIdentity(), goldenPeerSeqs()
 	requireNoError(t, s.save(raftpb.HardState{}, nil, goldenSnapshot(t)))
@@ -262,7 +263,8 @@
 func TestGoldenStore(t *testing.T) {
 	path := copyGoldenStore(t)
 	stored := dumpStore(t, path)
-	s, aside, why, err := openStore(path, goldenName)
+	opened, err := openStore(path, goldenName)
+	s, aside, why := opened.store, opened.movedTo, opened.corruption
 	if err != nil || aside != "" {
 		t.Fatalf("the store of an old program is not opened, or set aside as %q: %v, %v", aside, why, err)
 	}
@@ -299,8 +301,9 @@
 
 // A daemon takes up the version in force, the members and those gone from an old program's store.
 func TestGoldenStoreLoaded(t *testing.T) {
-	s, _, _, err := openStore(copyGoldenStore(t), goldenName)
+	opened, err := openStore(copyGoldenStore(t), goldenName)
 	requireNoError(t, err)
+	s := opened.store
 	defer s.close()
 	seat := &RulesetNode{activation: ruleset.NewCouncil(), changed: make(chan struct{}, 1)}
 	seat.grantor = ruleset.NewSteward(goldenName, seat.activation)
--- a/internal/raftlog/ruleset_node.go
+++ b/internal/raftlog/ruleset_node.go
@@ -1,13 +1,9 @@
 package raftlog
 
 import (
-	"bytes"
 	"crypto/rand"
-	"crypto/sha256"
 	"encoding/hex"
-	"encoding/json"
 	"fmt"
-	"math"
 	"sync"
 	"time"
 
@@ -18,164 +14,166 @@
 )
 
 const (
-	// proposeEach is how often what was proposed and not answered is proposed again.
-	proposalRetryInterval = 500 * time.Millisecond
-	lagThresholdMillis    = 3000.0 // ms behind another's list of discovery until one is named
+	proposalRetryInterval = 500 * time.Millisecond // between two submissions of an unanswered proposal
+	proposalReadInterval  = 100 * time.Millisecond // between two reads that a proposal waits for
+	proposalOverheadBytes = 1024                   // of an entry, beyond the ruleset in it
+	maxProposalOutcomes   = 16                     // that are remembered
 )
 
-// Seat is a daemon's part in agreeing on the rules: accord's council on the log, its steward for the
-// gatekeepers of this host, and the daemon's own proposal. It is safe for concurrent use, and nothing of
-// it waits.
+// RulesetNode is a daemon's part in the activation of rulesets: a Node, whose state machine is the activation's
+// (ruleset.Council); the leases of this host's gateway processes (ruleset.Steward); and the daemon's own proposal.
+// It is safe for concurrent use, and only Close waits.
 type RulesetNode struct {
 	*Node
 	log      zerolog.Logger
-	history  history.Recorder
+	history  history.Recorder // nil: nothing is recorded
 	hostName string
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards the fields below
 	activation     *ruleset.Council
 	grantor        *ruleset.Steward
 	discoveryLag   *ruleset.Lag
-	groupState     GroupState
 	proposal       *pendingProposal
-	lastReadMillis float64 // of the last read that was confirmed; below nought there was none
-	inForceDigest  string  // of the version in force
-	changed        chan struct{}
+	outcomes       []ProposalOutcome // of this daemon's proposals, the latest last
+	lastReadMillis float64           // when the last confirmed read began; negative: there was none
+	inForceDigest  string            // RulesDigest of the version in force
 	clients        map[int]leaseClient
-	outcomes       []ProposalOutcome
-	confirmed      ConfirmedState // as last confirmed
-	confirmations  chan struct{}  // told with each
+	confirmed      ConfirmedState
 	followers      followerReports
+
+	changed       chan struct{} // signals that another version is in force
+	confirmations chan struct{} // signals that a read was confirmed
 }
 
-// teller is a process that has asked.
+// leaseClient is a gateway process that has asked for its lease.
 type leaseClient struct {
 	name           string
 	appliedStep    uint64
-	discoveryIndex int64
+	discoveryIndex int64 // negative: it has no list
 	lastRequest    time.Time
 }
 
-// wanted is a proposal of this daemon's that is not answered yet.
-type pendingProposal struct {
-	id              string
-	act             ruleset.Act
-	onlyAsFirst     bool // only where no version is in force
-	rules           *ruleset.Rules
-	entry           []byte
-	baseVersion     uint64
-	createdMillis   float64
-	lastProposed    time.Time
-	lastReadRequest time.Time // when the reading was asked for that it waits for
-}
-
-// Heard is what became of a proposal of this daemon's, for operators.
-type ProposalOutcome struct {
-	ID          string `json:"id"`
-	BaseVersion uint64 `json:"base"`
-	Version     uint64 `json:"number,omitempty"`
-	Rejection   string `json:"refused,omitempty"`
-	WaitReason  string `json:"waits,omitempty"`
-}
-
-// NewSeat opens a daemon's part. Where no version is in force yet, rules are proposed as the first one;
-// they may be nil. The record may be nil.
-func NewRulesetNode(ch Config, rules *ruleset.Rules, record history.Recorder, log zerolog.Logger) (*RulesetNode, error) {
-	s := &RulesetNode{log: log, history: record, hostName: ch.HostName, lastReadMillis: -1,
-		activation:   ruleset.NewCouncil(),
-		discoveryLag: ruleset.NewLag(), changed: make(chan struct{}, 1), clients: map[int]leaseClient{},
-		confirmations: make(chan struct{}, 1), followers: followerReports{hostSteps: map[string]uint64{}}}
-	s.grantor = ruleset.NewSteward(ch.HostName, s.activation)
+// NewRulesetNode opens a daemon's node. While no version is in force, rules are proposed as the first one; they
+// may be nil. The recorder may be nil. Errors are those of New, and those of rules that are not valid.
+func NewRulesetNode(
+	config Config, rules *ruleset.Rules, recorder history.Recorder, log zerolog.Logger,
+) (*RulesetNode, error) {
+	n := &RulesetNode{
+		log:            log,
+		history:        recorder,
+		hostName:       config.HostName,
+		activation:     ruleset.NewCouncil(),
+		discoveryLag:   ruleset.NewLag(),
+		lastReadMillis: -1,
+		clients:        map[int]leaseClient{},
+		followers:      followerReports{hostSteps: map[string]uint64{}},
+		changed:        make(chan struct{}, 1),
+		confirmations:  make(chan struct{}, 1),
+	}
+	n.grantor = ruleset.NewSteward(config.HostName, n.activation)
 	if rules != nil {
 		if err := ruleset.Check(rules); err != nil {
 			return nil, err
 		}
-		s.proposal = &pendingProposal{id: newProposalID(ch.HostName), act: ruleset.Propose, onlyAsFirst: true,
+		n.proposal = &pendingProposal{id: newProposalID(config.HostName), act: ruleset.Propose, onlyAsFirst: true,
 			rules: rules, createdMillis: BootClockMillis()}
 	}
-	c, err := New(ch, (*rulesetMachine)(s), log)
+	node, err := New(config, (*rulesetMachine)(n), log)
 	if err != nil {
 		return nil, err
 	}
-	s.Node = c
-	return s, nil
+	n.Node = node
+	return n, nil
 }
 
-func newProposalID(host string) string {
+func newProposalID(hostName string) string {
 	b := make([]byte, 8)
-	_, _ = rand.Read(b)
-	return host + "-" + hex.EncodeToString(b)
+	_, _ = rand.Read(b) // it never fails
+	return hostName + "-" + hex.EncodeToString(b)
 }
 
-func (s *RulesetNode) recordEvent(e history.Event) {
-	if s.history != nil {
-		s.history.Write(e)
+// recordEvent writes an event to the history, if one is recorded.
+func (n *RulesetNode) recordEvent(event history.Event) {
+	if n.history != nil {
+		n.history.Write(event)
 	}
 }
 
-// clock sets the steward's time, under the lock.
-func (s *RulesetNode) advanceClock() { s.grantor.Clock(BootClockMillis()) }
+// advanceClock sets the grantor's time; the caller holds n.mu.
+func (n *RulesetNode) advanceClock() { n.grantor.Clock(BootClockMillis()) }
+
+// signal makes a channel of capacity 1 ready, and does not wait.
+func signal(channel chan<- struct{}) {
+	select {
+	case channel <- struct{}{}:
+	default:
+	}
+}
 
-// Changed tells that another version than before is in force, or none is agreed any more.
-func (s *RulesetNode) Changed() <-chan struct{} { return s.changed }
+// Changed is ready when another version than before is in force, or none any more.
+func (n *RulesetNode) Changed() <-chan struct{} { return n.changed }
 
-// InForce gives the version in force, as far as the log has come here; its rules are not to be changed.
-func (s *RulesetNode) InForce() ruleset.Version {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.activation.State().InForce
+// InForce returns the version in force as far as the log is applied here. Its rules must not be changed.
+func (n *RulesetNode) InForce() ruleset.Version {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.activation.State().InForce
 }
 
-// Began tells of a process of this host's gatekeepers; before: it ran before this daemon did.
-func (s *RulesetNode) ProcessStarted(pid int, before bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.advanceClock()
-	s.grantor.Began(pid, before)
+// ProcessStarted reports a gateway process of this host. The caller says whether it ran before this daemon did: it
+// may hold a lease from then.
+func (n *RulesetNode) ProcessStarted(pid int, beforeDaemon bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.advanceClock()
+	n.grantor.Began(pid, beforeDaemon)
 }
 
-// Ended tells that a process is no more.
-func (s *RulesetNode) ProcessExited(pid int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.advanceClock()
-	s.grantor.Ended(pid)
-	if t, there := s.clients[pid]; there {
-		s.discoveryLag.Left(t.name)
-		delete(s.clients, pid)
+// ProcessExited reports that a gateway process of this host has ended.
+func (n *RulesetNode) ProcessExited(pid int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.advanceClock()
+	n.grantor.Ended(pid)
+	if client, ok := n.clients[pid]; ok {
+		n.discoveryLag.Left(client.name)
+		delete(n.clients, pid)
 	}
 }
 
-// Asked answers a process of a gatekeeper that holds a step and has discovery's list of an index; below
-// nought it has none. False: there is nothing that may be believed.
-func (s *RulesetNode) RenewLease(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.advanceClock()
-	now := time.Now()
-	s.clients[pid] = leaseClient{name, holds, index, now}
-	if index >= 0 {
-		s.discoveryLag.Told(name, index, BootClockMillis())
+// RenewLease grants a gateway process its lease on the version in force. The process has applied a step, and has
+// the discovery list of an index, negative if it has none. It returns false if no lease can be granted, as no
+// version is confirmed.
+func (n *RulesetNode) RenewLease(
+	pid int, name string, appliedStep uint64, discoveryIndex int64,
+) (ruleset.Lease, bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.advanceClock()
+	n.clients[pid] = leaseClient{name, appliedStep, discoveryIndex, time.Now()}
+	if discoveryIndex >= 0 {
+		n.discoveryLag.Told(name, discoveryIndex, BootClockMillis())
 	}
-	s.publishDiscoveryIndex()
-	return s.grantor.Asked(pid, holds)
+	n.publishDiscoveryIndex()
+	return n.grantor.Asked(pid, appliedStep)
 }
 
-// Highest gives the highest index of discovery's list that any process has told, here or to another daemon.
-func (s *RulesetNode) HighestDiscoveryIndex() int64 {
-	s.Node.mu.Lock()
-	defer s.Node.mu.Unlock()
-	most := s.Node.discoveryIndex.Load()
-	for _, p := range s.Node.peers {
-		most = max(most, p.DiscoveryIndex)
+// HighestDiscoveryIndex returns the highest index of the discovery list that any gateway process has reported,
+// here or to another daemon.
+func (n *RulesetNode) HighestDiscoveryIndex() int64 {
+	n.Node.mu.Lock()
+	defer n.Node.mu.Unlock()
+	highest := n.discoveryIndex.Load()
+	for _, peer := range n.peers {
+		highest = max(highest, peer.DiscoveryIndex)
 	}
-	return most
+	return highest
 }
 
-// Propose has rules follow the version in force; they stay this daemon's wish until they are taken or
-// refused, or others are proposed here. Those in force already take back what waits to follow them. It
-// returns the proposal's id, or nothing where there is nothing to agree on.
-func (s *RulesetNode) Propose(rules *ruleset.Rules) (string, error) {
+// Propose proposes rules to follow the version in force, and returns the proposal's ID. It is submitted until it
+// is accepted or rejected, or another one is proposed here. Rules that are in force already are not proposed:
+// they withdraw a version that is pending. An error says what is wrong with the rules.
+func (n *RulesetNode) Propose(rules *ruleset.Rules) (string, error) {
 	if err := ruleset.Check(rules); err != nil {
 		return "", err
 	}
@@ -183,297 +181,19 @@
 	if err != nil {
 		return "", err
 	}
-	if len(raw) > maxEntryBytes-1024 {
-		return "", fmt.Errorf("rules of %d bytes, more than %d", len(raw), maxEntryBytes-1024)
+	if len(raw) > maxEntryBytes-proposalOverheadBytes {
+		return "", fmt.Errorf("rules of %d bytes, more than %d", len(raw), maxEntryBytes-proposalOverheadBytes)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.proposal = &pendingProposal{id: newProposalID(s.hostName), act: ruleset.Propose, rules: rules,
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.proposal = &pendingProposal{id: newProposalID(n.hostName), act: ruleset.Propose, rules: rules,
 		createdMillis: BootClockMillis()}
-	return s.proposal.id, nil
-}
-
-// same tells whether two rules say the same.
-func sameRules(a, b *ruleset.Rules) bool {
-	x, err := json.Marshal(a)
-	y, bad := json.Marshal(b)
-	return err == nil && bad == nil && bytes.Equal(x, y)
-}
-
-// Outcomes gives what became of this daemon's last proposals, the latest last.
-func (s *RulesetNode) ProposalOutcomes() []ProposalOutcome {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]ProposalOutcome(nil), s.outcomes...)
-}
-
-// bench is the seat as the log sees it.
-type rulesetMachine RulesetNode
-
-func (b *rulesetMachine) node() *RulesetNode { return (*RulesetNode)(b) }
-
-// Apply takes an entry of the log.
-func (b *rulesetMachine) Apply(data []byte) error {
-	e, err := ruleset.ReadEntry(data)
-	if err != nil {
-		return err
-	}
-	s := b.node()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.advanceClock()
-	id := e.ID
-	if p := s.activation.State().Pending; p != nil {
-		id = p.ID
-	}
-	o := s.activation.Apply(e)
-	s.grantor.Applied()
-	if o.InForce > 0 && !o.Again {
-		in := s.activation.State().InForce
-		s.inForceDigest = RulesDigest(&in.Rules)
-		s.recordEvent(history.Event{Kind: history.Taken, Version: o.InForce, Base: o.InForce - 1, Txn: id,
-			Mark: s.inForceDigest})
-		s.log.Info().Uint64("version", o.InForce).Int("members", len(in.Rules.Members)).Msg("council: in force")
-		s.notifyChanged()
-	}
-	if s.proposal != nil && e.ID == s.proposal.id {
-		s.resolveProposal(o)
-	}
-	return nil
-}
-
-func (s *RulesetNode) notifyChanged() {
-	select {
-	case s.changed <- struct{}{}:
-	default:
-	}
-}
-
-// heard books what the council has made of this daemon's proposal.
-func (s *RulesetNode) resolveProposal(o ruleset.Outcome) {
-	h := ProposalOutcome{ID: s.proposal.id, BaseVersion: s.proposal.baseVersion, Version: o.Number,
-		Rejection: o.Refused, WaitReason: o.Waits}
-	if s.outcomes = append(s.outcomes, h); len(s.outcomes) > 16 {
-		s.outcomes = s.outcomes[1:]
-	}
-	if o.Refused != "" {
-		s.recordEvent(history.Event{Kind: history.Taken, Version: s.proposal.baseVersion + 1,
-			Base: s.proposal.baseVersion, Txn: h.ID,
-			Says: o.Refused})
-		level := zerolog.ErrorLevel
-		if s.proposal.onlyAsFirst { // another's came first
-			level = zerolog.InfoLevel
-		}
-		s.log.WithLevel(level).Str("proposal", h.ID).Uint64("base",
-			h.BaseVersion).Msg("council: refused: " + o.Refused)
-	} else {
-		s.log.Info().Str("proposal", h.ID).Uint64("version", h.Version).Str("waits",
-			h.WaitReason).Msg("council: agreed")
-	}
-	s.proposal = nil
-}
-
-// Save gives accord's state.
-func (b *rulesetMachine) Snapshot() ([]byte, error) {
-	s := b.node()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.activation.Snapshot()
-}
-
-// Load takes accord's state.
-func (b *rulesetMachine) Restore(raw []byte) error {
-	s := b.node()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.advanceClock()
-	before := s.activation.State().InForce.Number
-	if len(raw) == 0 {
-		raw, _ = ruleset.NewCouncil().Snapshot()
-	}
-	if err := s.activation.Restore(raw); err != nil {
-		return err
-	}
-	s.grantor.Applied()
-	s.inForceDigest = ""
-	if in := s.activation.State().InForce; in.Number > 0 {
-		s.inForceDigest = RulesDigest(&in.Rules)
-	}
-	if s.activation.State().InForce.Number != before {
-		s.notifyChanged()
-	}
-	if s.proposal != nil { // it may have been answered in what the snapshot stands for
-		for _, a := range s.activation.State().Answered {
-			if a.ID == s.proposal.id {
-				s.resolveProposal(a.Outcome)
-				break
-			}
-		}
-	}
-	return nil
-}
-
-// Read tells that what is applied was the latest at begun.
-func (b *rulesetMachine) ReadConfirmed(begun float64) {
-	s := b.node()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.advanceClock()
-	s.grantor.ReadDone(begun)
-	n := s.activation.State().InForce.Number
-	s.lastReadMillis = begun
-	s.recordConfirmed(begun)
-	s.recordEvent(history.Event{Kind: history.Gives, Version: n, Mark: s.inForceDigest,
-		Age: BootClockMillis() - begun})
-}
-
-// Mark is a digest of rules, as records name versions.
-func RulesDigest(r *ruleset.Rules) string {
-	c := *r // a list that is empty is none
-	c.Needs, c.Plans, c.Words = nilIfEmpty(c.Needs), nilIfEmpty(c.Plans), nilIfEmpty(c.Words)
-	raw, err := json.Marshal(c)
-	if err != nil {
-		return ""
-	}
-	h := sha256.Sum256(raw)
-	return hex.EncodeToString(h[:6])
-}
-
-func nilIfEmpty[T any](all []T) []T {
-	if len(all) == 0 {
-		return nil
-	}
-	return all
-}
-
-// Turn gives what the steward and this daemon's proposal ask for.
-func (b *rulesetMachine) Poll(t GroupState) (w Requests) {
-	s := b.node()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.groupState = t
-	s.advanceClock()
-	s.grantor.Leads(t.IsLeader)
-	for {
-		d, ok := s.grantor.Next()
-		if !ok || d.Kind == ruleset.Wake { // it is asked again within a tick
-			break
-		}
-		switch d.Kind {
-		case ruleset.Read:
-			w.ReadIndex = true
-		case ruleset.Submit:
-			if raw, err := d.Entry.Bytes(); err == nil {
-				w.Proposals = append(w.Proposals, raw)
-			}
-		}
-	}
-	if p := s.proposal; p != nil && s.lastReadMillis <= p.createdMillis &&
-		t.Now.Sub(p.lastReadRequest) > 100*time.Millisecond {
-		p.lastReadRequest, w.ReadIndex = t.Now, true
-	}
-	if raw := s.proposalEntry(t); raw != nil {
-		w.Proposals = append(w.Proposals, raw)
-	}
-	if raw := s.hostStepsEntry(t.Now); raw != nil {
-		w.Proposals = append(w.Proposals, raw)
-	}
-	return w
+	return n.proposal.id, nil
 }
 
-// want gives this daemon's proposal where it is to be put (again). It is put on top of what was in force
-// at a read since it was wished for, so that a daemon that was away does not undo what it has not seen.
-func (s *RulesetNode) proposalEntry(t GroupState) []byte {
-	p := s.proposal
-	if p == nil || t.LeaderName == "" || !t.IsVoter || t.Now.Sub(p.lastProposed) < proposalRetryInterval ||
-		s.lastReadMillis <= p.createdMillis {
-		return nil
-	}
-	st := s.activation.State()
-	if p.onlyAsFirst && st.InForce.Number > 0 {
-		s.proposal = nil
-		return nil
-	}
-	if p.entry == nil && st.InForce.Number > 0 && sameRules(&st.InForce.Rules, p.rules) {
-		if st.Pending == nil {
-			s.resolveProposal(ruleset.Outcome{Number: st.InForce.Number, Again: true})
-			return nil
-		}
-		p.act, p.rules = ruleset.Withdraw, nil
-	}
-	if p.entry == nil {
-		p.baseVersion = s.activation.State().InForce.Number
-		var err error
-		if p.entry, err = (ruleset.Entry{Act: p.act, ID: p.id, Base: p.baseVersion,
-			Rules: p.rules}).Bytes(); err != nil {
-			s.resolveProposal(ruleset.Outcome{Refused: err.Error()})
-			return nil
-		}
-		if p.act == ruleset.Propose {
-			s.recordEvent(history.Event{Kind: history.Wants, Version: p.baseVersion + 1, Base: p.baseVersion,
-				Txn: p.id})
-		}
-	}
-	p.lastProposed = t.Now
-	return p.entry
-}
-
-// Agreement is how the rules stand, as this daemon sees it.
-type ActivationStatus struct {
-	Version          uint64             `json:"version"`
-	Digest           string             `json:"mark,omitempty"` // a digest of it, the same at all daemons
-	Step             uint64             `json:"step"`
-	Settled          bool               `json:"settled"`
-	ReadAgeMillis    float64            `json:"read_ms"` // ago; below nought nothing has been confirmed
-	PendingVersion   uint64             `json:"pending,omitempty"`
-	PendingReason    string             `json:"pending_waits,omitempty"`
-	HeldVersions     []uint64           `json:"held,omitempty"` // versions that may still be gone by
-	WantedProposal   string             `json:"wanted,omitempty"`
-	ProposalOutcomes []ProposalOutcome  `json:"proposals,omitempty"`
-	CutOffInstances  map[string]float64 `json:"cut_off,omitempty"` // instances here: ms since they last asked
-	Lags             []ruleset.Behind   `json:"lags,omitempty"`
-	HostSteps        map[string]uint64  `json:"seen,omitempty"`
-}
-
-// Agreement tells how the rules stand.
-func (s *RulesetNode) ActivationStatus() ActivationStatus {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := time.Now()
-	st := s.activation.State()
-	a := ActivationStatus{Version: st.InForce.Number, Digest: s.inForceDigest, Step: st.Step,
-		Settled: st.Settled(), ReadAgeMillis: -1,
-		ProposalOutcomes: append([]ProposalOutcome(nil),
-			s.outcomes...), CutOffInstances: map[string]float64{}, HostSteps: map[string]uint64{}}
-	if s.lastReadMillis >= 0 {
-		a.ReadAgeMillis = BootClockMillis() - s.lastReadMillis
-	}
-	for _, h := range st.Held {
-		a.HeldVersions = append(a.HeldVersions, h.Number)
-	}
-	for h, n := range st.Seen {
-		a.HostSteps[h] = n
-	}
-	if p := st.Pending; p != nil {
-		a.PendingVersion, a.PendingReason = p.Version.Number, st.Waits()
-	}
-	if s.proposal != nil {
-		a.WantedProposal = s.proposal.id
-	}
-	lease := math.Max(st.InForce.Rules.Lease, 100)
-	for _, t := range s.clients {
-		age := float64(now.Sub(t.lastRequest)) / float64(time.Millisecond)
-		if age > lease || a.ReadAgeMillis < 0 || a.ReadAgeMillis > lease {
-			a.CutOffInstances[t.name] = age
-		}
-	}
-	s.Node.mu.Lock()
-	for name, p := range s.Node.peers { // another host's newest, as if it were a process's
-		if p.DiscoveryIndex > 0 {
-			s.discoveryLag.Told("host "+name, p.DiscoveryIndex, BootClockMillis())
-		}
-	}
-	s.Node.mu.Unlock()
-	a.Lags = s.discoveryLag.Late(BootClockMillis(), lagThresholdMillis)
-	return a
+// ProposalOutcomes returns what became of this daemon's last proposals, the latest last.
+func (n *RulesetNode) ProposalOutcomes() []ProposalOutcome {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return append([]ProposalOutcome(nil), n.outcomes...)
 }
--- a/internal/raftlog/store_test.go
+++ b/internal/raftlog/store_test.go
@@ -21,8 +21,9 @@
 	t.Parallel()
 	dir := t.TempDir()
 	good := filepath.Join(dir, "good")
-	s, _, _, err := openStore(good, "h0")
+	opened, err := openStore(good, "h0")
 	requireNoError(t, err)
+	s := opened.store
 	next := uint64(1)
 	for range 40 {
 		var entries []raftpb.Entry
@@ -58,7 +59,8 @@
 		}
 		path := filepath.Join(dir, fmt.Sprint("s", seed))
 		requireNoError(t, os.WriteFile(path, b, 0o600))
-		s, aside, why, err := openStore(path, "h0")
+		opened, err := openStore(path, "h0")
+		s, aside, why := opened.store, opened.movedTo, opened.corruption
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
--- a/internal/versioned/state_test.go
+++ b/internal/versioned/state_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// entries draws some of few keys, so that states overlap.
+// drawEntries draws entries of few keys, so that states overlap.
 func drawEntries(t *rapid.T, label string) []Entry {
 	n := rapid.IntRange(0, 12).Draw(t, label)
 	var all []Entry
@@ -21,7 +21,7 @@
 	return all
 }
 
-// held is what a state has, as a map.
+// contents returns a state's entries as a map.
 func contents(s *State) map[string]string {
 	m := map[string]string{}
 	for k, v := range s.All() {
@@ -44,7 +44,7 @@
 		if got := contents(s); !maps.Equal(got, want) || s.Len() != len(want) || s.Bytes() != bytes {
 			t.Fatalf("%v, not %v", got, want)
 		}
-		var again []Entry // in another order, each once, and some twice
+		var again []Entry // in another order, each twice
 		for _, k := range slices.Backward(slices.Sorted(maps.Keys(want))) {
 			again = append(again, Entry{Key: k, Value: []byte(want[k])}, Entry{Key: k, Value: []byte(want[k])})
 		}
@@ -52,17 +52,17 @@
 			t.Fatalf("%v and %v of the same", o.ID(), s.ID())
 		}
 		if New(4, all).ID() == s.ID() {
-			t.Fatal("another number has the same mark")
+			t.Fatal("another number has the same ID")
 		}
 	})
 }
 
-// A delta makes the one state of the other, against that base alone, and once; another base or anything
-// spoilt is refused, and the base stays as it was.
+// A delta leads from its base to its target, once, and from no other state. A corrupt delta is rejected, and the
+// base does not change.
 func TestDeltaRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		from, to, third := New(1, drawEntries(t, "from")), New(2, drawEntries(t, "to")), New(3,
-			drawEntries(t, "third"))
+		from, to := New(1, drawEntries(t, "from")), New(2, drawEntries(t, "to"))
+		third := New(3, drawEntries(t, "third"))
 		before := contents(from)
 		d := Diff(from, to)
 		got, err := from.Apply(d)
@@ -70,10 +70,10 @@
 			got.Bytes() != to.Bytes() {
 			t.Fatalf("%v: %v, not %v", err, got.ID(), to.ID())
 		}
-		if _, err := got.Apply(d); !errors.Is(err, ErrBaseMismatch) { // doubled
+		if _, err := got.Apply(d); !errors.Is(err, ErrBaseMismatch) { // a duplicate
 			t.Fatalf("twice: %v", err)
 		}
-		if _, err := third.Apply(d); !errors.Is(err, ErrBaseMismatch) { // the wrong base, or one before it was lost
+		if _, err := third.Apply(d); !errors.Is(err, ErrBaseMismatch) { // another base, or a delta before it was lost
 			t.Fatalf("on another: %v", err)
 		}
 		if _, err := (*State)(nil).Apply(d); !errors.Is(err, ErrBaseMismatch) {
@@ -81,13 +81,13 @@
 		}
 		w, err := third.Apply(FullDelta(to))
 		if err != nil || w.ID() != to.ID() || !maps.Equal(contents(w), contents(to)) {
-			t.Fatalf("whole: %v", err)
+			t.Fatalf("full delta: %v", err)
 		}
 		if x := corruptDelta(t, d); x != nil {
 			if o, err := from.Apply(x); err == nil && !maps.Equal(contents(o), contents(to)) {
-				t.Fatalf("spoilt: %+v gives %v", x, contents(o))
+				t.Fatalf("corrupt: %+v leads to %v", x, contents(o))
 			} else if err == nil && o.ID() != to.ID() {
-				t.Fatalf("spoilt: %v", o.ID())
+				t.Fatalf("corrupt: %v", o.ID())
 			}
 		}
 		if !maps.Equal(contents(from), before) || from.ID() != New(1, FullDelta(from).Set).ID() {
@@ -96,7 +96,7 @@
 	})
 }
 
-// spoil gives a delta with something else in it; its marks stay. nil: there is nothing to be spoilt.
+// corruptDelta returns a corrupt copy of a delta with its IDs; nil if there is nothing to corrupt.
 func corruptDelta(t *rapid.T, d *Delta) *Delta {
 	x := &Delta{From: d.From, To: d.To, Set: slices.Clone(d.Set), Delete: slices.Clone(d.Delete)}
 	switch how := rapid.IntRange(0, 5).Draw(t, "spoilt"); {
@@ -118,7 +118,7 @@
 	return x
 }
 
-// A chain of deltas gives what a whole does, and the states on the way stay as they are.
+// A chain of deltas leads to the same as a full state, and the states on the way do not change.
 func TestDeltaChain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(1, drawEntries(t, "first"))
@@ -134,7 +134,7 @@
 		}
 		for i, o := range all {
 			if o.ID() != New(uint64(i+1), FullDelta(o).Set).ID() {
-				t.Fatalf("state %d is another than its mark", i+1)
+				t.Fatalf("state %d does not match its ID", i+1)
 			}
 		}
 	})
@@ -153,24 +153,24 @@
 		t.Errorf("%s %v", v, there)
 	}
 	if _, there := s.Get("a/"); there {
-		t.Error("a prefix is no entry")
+		t.Error("a prefix is taken for an entry")
 	}
-	for range s.All() { // ends at once where one breaks off
+	for range s.All() { // a loop may be left early
 		break
 	}
 	var none *State
 	if none.Len()+none.Bytes() != 0 || !none.ID().IsNone() {
-		t.Error("nil is no empty state")
+		t.Error("nil is not an empty state")
 	}
 	if _, there := none.Get("b"); there {
-		t.Error("nil has something")
+		t.Error("nil has an entry")
 	}
 	if empty := New(1, nil); empty.ID().IsNone() || empty.Len() != 0 {
-		t.Error("an empty state of a number has no mark")
+		t.Error("an empty state with a number has no ID")
 	}
 }
 
-// A delta costs what it changes of a large state, not what that has.
+// Applying a delta costs what it changes of a state, not the state's size.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range []int{100, 1000, 7900} {
 		var all []Entry
