--- a/internal/raftlog/activation_status.go
+++ b/internal/raftlog/activation_status.go
@@ -18,7 +18,7 @@
 	Digest           string             `json:"mark,omitempty"` // RulesDigest of it, the same at all daemons
 	Step             uint64             `json:"step"`
 	Settled          bool               `json:"settled"`
-	ReadAgeMillis    float64            `json:"read_ms"` // since the last confirmed read began; negative: none yet
+	ReadAgeMillis    float64            `json:"read_ms"` // of the last confirmed read; negative: none yet
 	PendingVersion   uint64             `json:"pending,omitempty"`
 	PendingReason    string             `json:"pending_waits,omitempty"`
 	HeldVersions     []uint64           `json:"held,omitempty"`   // that instances may still act on
@@ -72,8 +72,8 @@
 	return status
 }
 
-// recordPeerIndices records the discovery indices of the other hosts, each as if an instance had reported it; the
-// caller holds n.mu.
+// recordPeerIndices records the discovery indices of the other hosts, each as if an instance had reported
+// it; the caller holds n.mu.
 func (n *RulesetNode) recordPeerIndices() {
 	n.Node.mu.Lock()
 	defer n.Node.mu.Unlock()
--- a/internal/raftlog/apply.go
+++ b/internal/raftlog/apply.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// processUpdates writes, sends and applies what raft has ready, and carries out what the state machine requests.
-// It does so at most twice: on a slow disk a state machine that repeats its requests would else keep the
-// goroutine from the inbound messages.
+// processUpdates writes, sends and applies what raft has ready, and carries out what the state machine
+// requests. It does so at most twice: on a slow disk a state machine that repeats its requests would else
+// keep the goroutine from the inbound messages.
 func (s *session) processUpdates() error {
 	for range 2 {
 		if err := s.drainReady(); err != nil {
@@ -91,7 +91,7 @@
 		}
 		s.publish()
 		status := s.rawNode.BasicStatus()
-		s.noteLeader(status)
+		s.observeLeader(status)
 		s.updateState(status)
 		requests := s.node.stateMachine.Poll(GroupState{
 			Now:        time.Now(),
@@ -113,8 +113,8 @@
 	return s.drainReady()
 }
 
-// noteLeader logs a change of the leader, and has the reads repeated that the last one did not confirm.
-func (s *session) noteLeader(status raft.BasicStatus) {
+// observeLeader logs a change of the leader, and has the reads repeated that the last one did not confirm.
+func (s *session) observeLeader(status raft.BasicStatus) {
 	if status.Lead == s.leaderID {
 		return
 	}
@@ -202,8 +202,8 @@
 	}
 }
 
-// propose submits an entry to raft. It is dropped while no leader is known or too much is unapplied: the state
-// machine proposes again what it still needs.
+// propose submits an entry to raft. It is dropped while no leader is known or too much is unapplied: the
+// state machine proposes again what it still needs.
 func (s *session) propose(data []byte) {
 	if s.rawNode == nil {
 		return
@@ -214,7 +214,8 @@
 	}
 }
 
-// requestRead requests a linearizable read (ReadIndex): confirmation by a quorum of what is committed from now on.
+// requestRead requests a linearizable read (ReadIndex): confirmation by a quorum of what is committed from
+// now on.
 func (s *session) requestRead() {
 	s.readDue = false
 	s.lastReadID++
--- a/internal/raftlog/client.go
+++ b/internal/raftlog/client.go
@@ -61,8 +61,8 @@
 	return answer, nil
 }
 
-// sendQueue is the bounded queue of raft messages to one peer's disk. One goroutine sends them, one request at a
-// time, so that they arrive in order.
+// sendQueue is the bounded queue of raft messages to one peer's disk. One goroutine sends them, one request
+// at a time, so that they arrive in order.
 type sendQueue struct {
 	diskID uint64
 	wake   chan struct{}      // signals that messages were pushed
@@ -99,8 +99,8 @@
 	return messages
 }
 
-// sendQueueTo returns the queue to a disk, with a new goroutine if there was none. The session's goroutine alone
-// calls it.
+// sendQueueTo returns the queue to a disk, with a new goroutine if there was none. The session's goroutine
+// alone calls it.
 func (s *session) sendQueueTo(diskID uint64) *sendQueue {
 	queue := s.sendQueues[diskID]
 	if queue == nil {
@@ -163,8 +163,8 @@
 	}
 }
 
-// helloLoop sends a hello to each other host in every HelloInterval until ctx ends. So a daemon without a group
-// finds one, and a stale disk is found out.
+// helloLoop sends a hello to each other host in every HelloInterval until ctx ends. So a daemon without a
+// group finds one, and a stale disk is found out.
 func (n *Node) helloLoop(ctx context.Context) {
 	defer n.goroutines.Done()
 	ticker := time.NewTicker(n.config.HelloInterval)
--- a/internal/raftlog/config.go
+++ b/internal/raftlog/config.go
@@ -41,8 +41,8 @@
 // Host is a host of the raft group: its name, and the HOST:PORT at which its daemon serves the others.
 type Host struct{ Name, Address string }
 
-// Config is a daemon's configuration of the raft group. Intervals and SnapshotEntries that are zero take their
-// defaults.
+// Config is a daemon's configuration of the raft group. Intervals and SnapshotEntries that are zero take
+// their defaults.
 type Config struct {
 	Cluster          string            // the group's name, the same at all its daemons
 	HostName         string            // this daemon's name among Hosts
--- a/internal/raftlog/followers.go
+++ b/internal/raftlog/followers.go
@@ -66,9 +66,9 @@
 // Confirmations is ready when another read was confirmed since it was last received from.
 func (n *RulesetNode) Confirmations() <-chan struct{} { return n.confirmations }
 
-// RecordHostSteps records, for hosts below, a step that all processes of the host have applied, and the highest
-// index of the discovery list there. What is new to the group goes into the log. Reports may be repeated, late or
-// out of order.
+// RecordHostSteps records, for hosts below, a step that all processes of the host have applied, and the
+// highest index of the discovery list there. What is new to the group goes into the log. Reports may be
+// repeated, late or out of order.
 func (n *RulesetNode) RecordHostSteps(steps []ruleset.HostStep, discoveryIndex int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,7 +84,8 @@
 	}
 }
 
-// publishDiscoveryIndex has the peers told the highest index of the discovery list here; the caller holds n.mu.
+// publishDiscoveryIndex has the peers told the highest index of the discovery list here; the caller holds
+// n.mu.
 func (n *RulesetNode) publishDiscoveryIndex() {
 	highest := n.followers.discoveryIndex
 	for _, client := range n.clients {
@@ -93,8 +94,8 @@
 	n.discoveryIndex.Store(highest)
 }
 
-// hostStepsEntry returns the entry with the steps of hosts below, if the group gains by any; nil otherwise. It
-// may be lost: it is proposed again until it is applied. The caller holds n.mu.
+// hostStepsEntry returns the entry with the steps of hosts below, if the group gains by any; nil otherwise.
+// It may be lost: it is proposed again until it is applied. The caller holds n.mu.
 func (n *RulesetNode) hostStepsEntry(now time.Time) []byte {
 	if len(n.followers.hostSteps) == 0 || now.Sub(n.followers.lastProposed) < hostStepsInterval {
 		return nil
--- a/internal/raftlog/followers_test.go
+++ b/internal/raftlog/followers_test.go
@@ -7,36 +7,36 @@
 	"willowdeck/internal/ruleset"
 )
 
-// TestTold: what hosts without a vote have seen puts a version in force that waits for them, and nothing less
-// than all of them does. What is told to those that follow is of the last confirmed reading.
+// A pending version comes in force once all hosts without a vote have reported that they have applied its
+// step, and not before. Followers are given the state of the last confirmed read.
 func TestHostStepsActivateVersion(t *testing.T) {
 	t.Parallel()
-	p := newTestGroup(t, 3)
-	p.startAllNodes()
-	s := p.nodes["h1"]
+	group := newTestGroup(t, 3)
+	group.startAllNodes()
+	s := group.nodes["h1"]
 	s.RequestFrequentReads()
 	below := func(rate, ceiling float64) *ruleset.Rules {
 		r := testRules(rate)
-		r.Fallback.For = 60000 // its time is not up here
+		r.Fallback.For = 60000 // it does not expire during the test
 		r.Plans[1].CeilingRate = ceiling
 		r.Members = []ruleset.Member{{Name: "g0", Host: "x"}, {Name: "g1", Host: "y"}}
 		return r
 	}
-	p.waitUntil("a leader", func() bool { return p.leader() != nil })
+	group.waitUntil("a leader", func() bool { return group.leader() != nil })
 	if _, err := s.Propose(below(10, 40)); err != nil {
 		t.Fatal(err)
 	}
-	p.waitForVersion(1)
+	group.waitForVersion(1)
 	if _, err := s.Propose(below(10, 10)); err != nil {
 		t.Fatal(err)
 	}
 	var w ConfirmedState
-	p.waitUntil("the second waits", func() bool {
+	group.waitUntil("the second waits", func() bool {
 		w, _ = s.LastConfirmed()
 		return w.Pending != nil
 	})
 	if w.InForce.Number != 1 || w.Pending.Number != 2 || w.Pending.Rules.Plans[1].CeilingRate != 10 {
-		t.Fatalf("told: %+v", w)
+		t.Fatalf("confirmed: %+v", w)
 	}
 	s.RecordHostSteps([]ruleset.HostStep{{Host: "x", Step: w.Step}, {Host: "nobody", Step: w.Step},
 		{Host: "y", Step: w.Step - 1}}, 7)
@@ -49,9 +49,9 @@
 	if a := s.ActivationStatus(); a.HostSteps["x"] != w.Step || a.HostSteps["nobody"] != 0 {
 		t.Errorf("seen: %v at step %d", a.HostSteps, w.Step)
 	}
-	// One that is late, and one of a step that is not said yet, which is of the last one too.
+	// A late report, and one of a step that is not confirmed yet, which counts as of the last one.
 	s.RecordHostSteps([]ruleset.HostStep{{Host: "x", Step: 1}, {Host: "y", Step: w.Step + 50}}, 3)
-	p.waitForVersion(2)
+	group.waitForVersion(2)
 	if s.HighestDiscoveryIndex() != 7 {
 		t.Errorf("the highest index is %d, of 7 and 3", s.HighestDiscoveryIndex())
 	}
@@ -67,6 +67,6 @@
 		last = now
 	}
 	if last.InForce.Number != 2 || last.Pending != nil {
-		t.Errorf("told in the end: %+v", last)
+		t.Errorf("confirmed in the end: %+v", last)
 	}
 }
--- a/internal/raftlog/golden_test.go
+++ b/internal/raftlog/golden_test.go
@@ -30,7 +30,7 @@
 	return raw
 }
 
-// fullOf fails where any field below v is zero: a field that is zero could drop out of a form unseen.
+// requireNonZero fails where any field below v is zero: a field that is zero could drop out of a form unseen.
 func requireNonZero(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() || (v.Kind() == reflect.Slice || v.Kind() == reflect.Map) && v.Len() == 0 {
@@ -105,7 +105,7 @@
 	}
 }
 
-// Operators count what was refused by these names.
+// Operators count rejections by these names.
 func TestGoldenRejectionReasons(t *testing.T) {
 	requireEqual(t, "reasons", []string{reasonTooLong, reasonMalformed, reasonProtocolVersion,
 		reasonOtherCluster, reasonUnknownHost, reasonOtherDisk, reasonQueueFull},
@@ -134,7 +134,7 @@
 		HostSteps:       map[string]uint64{"h1": 40}}
 }
 
-// What operators' ports show.
+// The forms at operators' ports.
 func TestGoldenStatuses(t *testing.T) {
 	goldenJSON(t, "view.json", goldenStatus())
 	goldenJSON(t, "agreement.json", goldenActivationStatus())
@@ -151,12 +151,12 @@
 	}
 }
 
-// The mark of rules is a digest of their JSON, and daemons of two versions compare it in records.
+// The digest of rules is that of their JSON, and daemons of two versions compare it in records.
 func TestGoldenRulesDigest(t *testing.T) {
 	rules := goldenRules()
 	requireNonZero(t, "rules", reflect.ValueOf(rules))
 	if got, want := RulesDigest(&rules), string(goldenFile(t, "mark.txt")); got != want {
-		t.Errorf("the mark is %s, not %s", got, want)
+		t.Errorf("the digest is %s, not %s", got, want)
 	}
 }
 
@@ -173,7 +173,8 @@
 	return raftpb.HardState{Term: 3, Vote: goldenIdentity().diskID(), Commit: 12}
 }
 
-// goldenMachine is a state of accord.s with a version in force; accord has golden files of all its fields.
+// goldenRulesetState is an activation state with a version in force; ruleset has golden files of all its
+// fields.
 func goldenRulesetState() ruleset.State {
 	return ruleset.State{Step: 41, InForce: ruleset.Version{Number: 7, Rules: goldenRules()},
 		Seen: map[string]uint64{"h1": 38}}
@@ -227,7 +228,7 @@
 	requireNoError(t, s.save(goldenHardState(), goldenEntries(t), raftpb.Snapshot{}))
 }
 
-// storeText is all that a store's file holds, a line for each key.
+// dumpStore returns all that a store's file holds, a line for each key.
 func dumpStore(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
@@ -245,7 +246,7 @@
 	return text.String()
 }
 
-// copiedStore is a copy of the stored file: opening writes to it.
+// copyGoldenStore returns the path of a copy of the stored file: opening writes to it.
 func copyGoldenStore(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "council.db")
@@ -299,7 +300,7 @@
 	requireEqual(t, "what this code writes", dumpStore(t, again), stored)
 }
 
-// A daemon takes up the version in force, the members and those gone from an old program's store.
+// A node restores the version in force, the members and the removed ones from an old program's store.
 func TestGoldenStoreLoaded(t *testing.T) {
 	opened, err := openStore(copyGoldenStore(t), goldenName)
 	requireNoError(t, err)
--- a/internal/raftlog/membership.go
+++ b/internal/raftlog/membership.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// joinOrBootstrap finds a blank store its group: it asks the leader of an existing one for membership, or forms a
-// new one if this is the first of the hosts by name and all of them are up with blank stores.
+// joinOrBootstrap finds a blank store its group: it asks the leader of an existing one for membership, or
+// forms a new one if this is the first of the hosts by name and all of them are up with blank stores.
 func (s *session) joinOrBootstrap() error {
 	n := s.node
 	hosts := *n.hosts.Load()
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// surveyPeers returns the leader that a peer in contact knows, with its group, and how many hosts are blank, this
-// one included. A blank peer counts only if it is configured with the same hosts.
+// surveyPeers returns the leader that a peer in contact knows, with its group, and how many hosts are
+// blank, this one included. A blank peer counts only if it is configured with the same hosts.
 func (s *session) surveyPeers(hosts []Host) (leader, groupID string, blankHosts int) {
 	n := s.node
 	blankHosts = 1
@@ -105,9 +105,9 @@
 	return true
 }
 
-// bootstrap forms a new group: this host, the first by name, writes a snapshot that names all members, and the
-// others receive it. It can happen only once, as it needs every host to be up with a blank store, and all of them
-// to be configured with the same hosts.
+// bootstrap forms a new group: this host, the first by name, writes a snapshot that names all members, and
+// the others receive it. It can happen only once, as it needs every host to be up with a blank store, and
+// all of them to be configured with the same hosts.
 func (s *session) bootstrap() error {
 	n := s.node
 	if !s.collectFounders() {
@@ -178,8 +178,8 @@
 	}
 }
 
-// handleJoin handles a disk's request to become a member. It rejects one while another disk of the same host is
-// in contact: two processes must not alternate under one name.
+// handleJoin handles a disk's request to become a member. It rejects one while another disk of the same
+// host is in contact: two processes must not alternate under one name.
 func (n *Node) handleJoin(r *request) (message string, err error) {
 	current := n.published.Load()
 	if current == nil || current.leaderName != n.config.HostName {
--- a/internal/raftlog/message.go
+++ b/internal/raftlog/message.go
@@ -25,7 +25,7 @@
 	WriteSeq        uint64   `json:"seq"`               // write sequence number of the sender's disk
 	IsBlank         bool     `json:"blank,omitempty"`   // the sender's disk belongs to no group yet
 	Hosts           []string `json:"hosts,omitempty"`   // names of the hosts, as configured
-	DiscoveryIndex  int64    `json:"index,omitempty"`   // the highest of the discovery list at the sender's instances
+	DiscoveryIndex  int64    `json:"index,omitempty"`   // the highest at the sender's instances
 }
 
 // response answers a request, with what the peer knows of the requesting disk.
--- a/internal/raftlog/node.go
+++ b/internal/raftlog/node.go
@@ -44,7 +44,7 @@
 	hosts            atomic.Pointer[[]Host]
 	addressOverrides atomic.Pointer[map[string]string]
 	writeSeq         atomic.Uint64                  // of the open store, as of the last publish
-	discoveryIndex   atomic.Int64                   // the highest index of the discovery list here, sent to peers
+	discoveryIndex   atomic.Int64                   // the highest discovery index here, sent to peers
 	published        atomic.Pointer[publishedState] // nil between sessions
 	currentStore     atomic.Pointer[store]          // nil between sessions
 
@@ -55,9 +55,9 @@
 	movedAside  map[string]int // stores moved aside, by reason
 }
 
-// New opens a daemon's replica and starts it. It returns an error for what waiting does not cure: an address in
-// use, or a store that is locked or another host's. When the store fails later, the node is mute until the store
-// can be opened again.
+// New opens a daemon's replica and starts it. It returns an error for what waiting does not cure: an
+// address in use, or a store that is locked or another host's. When the store fails later, the node is mute
+// until the store can be opened again.
 func New(config Config, machine StateMachine, log zerolog.Logger) (*Node, error) {
 	config = config.withDefaults()
 	opened, err := openStore(config.StorePath, config.HostName)
--- a/internal/raftlog/peers.go
+++ b/internal/raftlog/peers.go
@@ -82,8 +82,8 @@
 	n.peerLocked(name).lastError = err.Error()
 }
 
-// handleResponse records a response, and ends the session if the peer knows that this disk may not take part: it
-// has seen more writes of the disk than the disk has, or the disk was removed from the group.
+// handleResponse records a response, and ends the session if the peer knows that this disk may not take
+// part: it has seen more writes of the disk than the disk has, or the disk was removed from the group.
 func (n *Node) handleResponse(r *response) {
 	id, err := parseDiskID(r.DiskID)
 	if err != nil { // the peer has no open store
--- a/internal/raftlog/proposal.go
+++ b/internal/raftlog/proposal.go
@@ -41,8 +41,8 @@
 }
 
 // needsRead tells whether the proposal waits for a read, and notes that one is requested now. A proposal is
-// encoded on top of what a read since its creation has shown to be in force, so that a daemon that was away does
-// not undo what it has not seen.
+// encoded on top of what a read since its creation has shown to be in force, so that a daemon that was away
+// does not undo what it has not seen.
 func (p *pendingProposal) needsRead(lastReadMillis float64, now time.Time) bool {
 	if lastReadMillis > p.createdMillis || now.Sub(p.lastReadRequest) <= proposalReadInterval {
 		return false
@@ -89,7 +89,8 @@
 		return false
 	}
 	if p.act == ruleset.Propose {
-		n.recordEvent(history.Event{Kind: history.Wants, Version: p.baseVersion + 1, Base: p.baseVersion, Txn: p.id})
+		n.recordEvent(history.Event{Kind: history.Wants, Version: p.baseVersion + 1, Base: p.baseVersion,
+			Txn: p.id})
 	}
 	return true
 }
--- a/internal/raftlog/ruleset_machine.go
+++ b/internal/raftlog/ruleset_machine.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// RulesDigest returns a digest of rules, 12 hex digits, by which records and operators compare versions: daemons
-// of two versions must compute the same.
+// RulesDigest returns a digest of rules, 12 hex digits, by which records and operators compare versions:
+// daemons of two versions must compute the same.
 func RulesDigest(rules *ruleset.Rules) string {
 	normalized := *rules // an empty list is encoded like none
 	normalized.Needs = nilIfEmpty(normalized.Needs)
--- a/internal/raftlog/ruleset_node.go
+++ b/internal/raftlog/ruleset_node.go
@@ -20,9 +20,9 @@
 	maxProposalOutcomes   = 16                     // that are remembered
 )
 
-// RulesetNode is a daemon's part in the activation of rulesets: a Node, whose state machine is the activation's
-// (ruleset.Council); the leases of this host's gateway processes (ruleset.Steward); and the daemon's own proposal.
-// It is safe for concurrent use, and only Close waits.
+// RulesetNode is a daemon's part in the activation of rulesets: a Node, whose state machine is the
+// activation's (ruleset.Council); the leases of this host's gateway processes (ruleset.Steward); and the
+// daemon's own proposal. It is safe for concurrent use, and only Close waits.
 type RulesetNode struct {
 	*Node
 	log      zerolog.Logger
@@ -53,8 +53,8 @@
 	lastRequest    time.Time
 }
 
-// NewRulesetNode opens a daemon's node. While no version is in force, rules are proposed as the first one; they
-// may be nil. The recorder may be nil. Errors are those of New, and those of rules that are not valid.
+// NewRulesetNode opens a daemon's node. While no version is in force, rules are proposed as the first one;
+// they may be nil. The recorder may be nil. Errors are those of New, and those of rules that are not valid.
 func NewRulesetNode(
 	config Config, rules *ruleset.Rules, recorder history.Recorder, log zerolog.Logger,
 ) (*RulesetNode, error) {
@@ -120,8 +120,8 @@
 	return n.activation.State().InForce
 }
 
-// ProcessStarted reports a gateway process of this host. The caller says whether it ran before this daemon did: it
-// may hold a lease from then.
+// ProcessStarted reports a gateway process of this host. The caller says whether it ran before this daemon
+// did: it may hold a lease from then.
 func (n *RulesetNode) ProcessStarted(pid int, beforeDaemon bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -141,9 +141,9 @@
 	}
 }
 
-// RenewLease grants a gateway process its lease on the version in force. The process has applied a step, and has
-// the discovery list of an index, negative if it has none. It returns false if no lease can be granted, as no
-// version is confirmed.
+// RenewLease grants a gateway process its lease on the version in force. The process has applied a step,
+// and has the discovery list of an index, negative if it has none. It returns false if no lease can be
+// granted, as no version is confirmed.
 func (n *RulesetNode) RenewLease(
 	pid int, name string, appliedStep uint64, discoveryIndex int64,
 ) (ruleset.Lease, bool) {
@@ -158,8 +158,8 @@
 	return n.grantor.Asked(pid, appliedStep)
 }
 
-// HighestDiscoveryIndex returns the highest index of the discovery list that any gateway process has reported,
-// here or to another daemon.
+// HighestDiscoveryIndex returns the highest index of the discovery list that any gateway process has
+// reported, here or to another daemon.
 func (n *RulesetNode) HighestDiscoveryIndex() int64 {
 	n.Node.mu.Lock()
 	defer n.Node.mu.Unlock()
@@ -170,9 +170,9 @@
 	return highest
 }
 
-// Propose proposes rules to follow the version in force, and returns the proposal's ID. It is submitted until it
-// is accepted or rejected, or another one is proposed here. Rules that are in force already are not proposed:
-// they withdraw a version that is pending. An error says what is wrong with the rules.
+// Propose proposes rules to follow the version in force, and returns the proposal's ID. It is submitted
+// until it is accepted or rejected, or another one is proposed here. Rules that are in force already are
+// not proposed: they withdraw a version that is pending. An error says what is wrong with the rules.
 func (n *RulesetNode) Propose(rules *ruleset.Rules) (string, error) {
 	if err := ruleset.Check(rules); err != nil {
 		return "", err
--- a/internal/raftlog/server.go
+++ b/internal/raftlog/server.go
@@ -13,8 +13,8 @@
 // requestHandler handles a decoded request and returns the response's message. An error is a *rejectionError.
 type requestHandler func(*request) (message string, err error)
 
-// handler serves the other daemons. It never waits for the session: raft messages are queued, and responses are
-// made of what the session has last published.
+// handler serves the other daemons. It never waits for the session: raft messages are queued, and responses
+// are made of what the session has last published.
 func (n *Node) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+helloPath, n.serve(func(*request) (string, error) { return "", nil }))
@@ -70,8 +70,9 @@
 		return nil, &rejectionError{reasonMalformed, fmt.Sprintf("not a message of a raft group: %v", err)}
 	}
 	if versionOnly.ProtocolVersion != ProtocolVersion {
-		return nil, &rejectionError{reasonProtocolVersion, fmt.Sprintf("a message of form %d, this daemon speaks form %d",
-			versionOnly.ProtocolVersion, ProtocolVersion)}
+		return nil, &rejectionError{reasonProtocolVersion,
+			fmt.Sprintf("a message of form %d, this daemon speaks form %d",
+				versionOnly.ProtocolVersion, ProtocolVersion)}
 	}
 	r := &request{}
 	if err := json.Unmarshal(raw, r); err != nil {
@@ -157,7 +158,8 @@
 	header := messageHeader{ProtocolVersion: ProtocolVersion, Cluster: n.config.Cluster,
 		HostName: n.config.HostName, WriteSeq: n.writeSeq.Load(), DiscoveryIndex: n.discoveryIndex.Load()}
 	if current := n.published.Load(); current != nil {
-		header.DiskID, header.GroupID, header.IsBlank = formatDiskID(current.diskID), current.groupID, current.isBlank
+		header.DiskID, header.GroupID = formatDiskID(current.diskID), current.groupID
+		header.IsBlank = current.isBlank
 	}
 	for _, host := range *n.hosts.Load() {
 		header.Hosts = append(header.Hosts, host.Name)
--- a/internal/raftlog/session.go
+++ b/internal/raftlog/session.go
@@ -72,12 +72,12 @@
 	}
 }
 
-// runSession takes part in the group with one store until that fails, may not take part any more, or the node is
-// closed.
+// runSession takes part in the group with one store until that fails, may not take part any more, or the
+// node is closed.
 func (n *Node) runSession(st *store) (err error) {
 	ctx, cancel := context.WithCancel(n.ctx)
-	s := &session{node: n, ctx: ctx, store: st, sendQueues: map[uint64]*sendQueue{}, members: map[uint64]string{},
-		requestedReads: map[uint64]float64{}, startedAt: time.Now()}
+	s := &session{node: n, ctx: ctx, store: st, sendQueues: map[uint64]*sendQueue{},
+		members: map[uint64]string{}, requestedReads: map[uint64]float64{}, startedAt: time.Now()}
 	// A leader keeps reads by their IDs, and responses to those of an earlier session may still be in flight.
 	s.lastReadID = randomUint64()
 	st.writeFault = n.config.writeFault
@@ -127,8 +127,8 @@
 	s.node.published.Store(published)
 }
 
-// waitUntil serves calls until a condition holds, and drops raft messages meanwhile. It returns false when the
-// session ends first.
+// waitUntil serves calls until a condition holds, and drops raft messages meanwhile. It returns false when
+// the session ends first.
 func (s *session) waitUntil(condition func() bool) bool {
 	ticker := time.NewTicker(s.node.config.TickInterval)
 	defer ticker.Stop()
@@ -149,9 +149,9 @@
 	return true
 }
 
-// peerReportsComplete tells whether the peers have reported what they have seen of this disk: all of them, or
-// most after peerReportsTimeout. A stale copy of a disk could else vote a second time in a term, or lack entries
-// that it has acknowledged.
+// peerReportsComplete tells whether the peers have reported what they have seen of this disk: all of them,
+// or most after peerReportsTimeout. A stale copy of a disk could else vote a second time in a term, or lack
+// entries that it has acknowledged.
 func (s *session) peerReportsComplete() bool {
 	n := s.node
 	hosts, diskID := *n.hosts.Load(), formatDiskID(s.store.identity.diskID())
--- a/internal/raftlog/snapshot.go
+++ b/internal/raftlog/snapshot.go
@@ -24,7 +24,8 @@
 	return s.restoreSnapshot(snapshot)
 }
 
-// restoreSnapshot replaces membership and state machine by those of a snapshot. An error wraps errCorruptStore.
+// restoreSnapshot replaces membership and state machine by those of a snapshot. An error wraps
+// errCorruptStore.
 func (s *session) restoreSnapshot(snapshot raftpb.Snapshot) error {
 	data := snapshotData{Members: map[uint64]string{}}
 	if !raft.IsEmptySnap(snapshot) {
@@ -49,8 +50,8 @@
 	return json.Marshal(snapshotData{Members: s.members, Removed: s.removed, StateMachine: machine})
 }
 
-// compactIfDue writes a snapshot and drops the log before it, after every SnapshotEntries entries and after each
-// change of membership: a new member must not receive a snapshot that does not name it.
+// compactIfDue writes a snapshot and drops the log before it, after every SnapshotEntries entries and after
+// each change of membership: a new member must not receive a snapshot that does not name it.
 func (s *session) compactIfDue() error {
 	if s.appliedIndex-s.snapshotIndex < s.node.config.SnapshotEntries && !s.membershipChanged {
 		return nil
--- a/internal/raftlog/statemachine.go
+++ b/internal/raftlog/statemachine.go
@@ -19,8 +19,8 @@
 	// Poll is called whenever something may have changed, at least once a tick, and returns what the state
 	// machine wants done.
 	Poll(GroupState) Requests
-	// ReadConfirmed reports that all that was committed when a read began, at startMillis of BootClockMillis, has
-	// been applied.
+	// ReadConfirmed reports that all that was committed when a read began, at startMillis of BootClockMillis,
+	// has been applied.
 	ReadConfirmed(startMillis float64)
 }
 
@@ -33,14 +33,14 @@
 	IsVoter    bool   // this replica's disk is a voter
 }
 
-// Requests is what a StateMachine wants done. Each request may be lost: the state machine repeats what it still
-// needs.
+// Requests is what a StateMachine wants done. Each request may be lost: the state machine repeats what it
+// still needs.
 type Requests struct {
 	ReadIndex bool     // confirm with a quorum that the state applied here is the latest
 	Proposals [][]byte // entries to be appended
 }
 
-// BootClockMillis is the clock by which the age of reads is counted, in milliseconds since the machine's boot. It
-// goes on while the process is stalled and while the machine sleeps, as do the clocks of the gateways that act on
-// leases.
+// BootClockMillis is the clock by which the age of reads is counted, in milliseconds since the machine's
+// boot. It goes on while the process is stalled and while the machine sleeps, as do the clocks of the
+// gateways that act on leases.
 func BootClockMillis() float64 { return float64(inflight.Boot()) / 1e6 }
--- a/internal/raftlog/store.go
+++ b/internal/raftlog/store.go
@@ -47,9 +47,9 @@
 	return binary.BigEndian.Uint64(digest[:8])&(math.MaxUint64>>1) | 1
 }
 
-// store holds the log, the hard state and the snapshot in one bbolt file, and a copy of them in memory that raft
-// reads. Each write is one transaction, synced before it returns. Every value carries a checksum of its key and
-// itself, as bbolt has checksums of its meta pages alone.
+// store holds the log, the hard state and the snapshot in one bbolt file, and a copy of them in memory that
+// raft reads. Each write is one transaction, synced before it returns. Every value carries a checksum of
+// its key and itself, as bbolt has checksums of its meta pages alone.
 //
 // The session's goroutine alone writes it. recordPeerSeq may be called by any goroutine.
 type store struct {
@@ -120,8 +120,8 @@
 	return s.db.Update(write)
 }
 
-// save writes what raft wants to outlive a crash, with the peers' sequence numbers. After an error the file holds
-// what it held before, and no message that depends on the write may be sent.
+// save writes what raft wants to outlive a crash, with the peers' sequence numbers. After an error the file
+// holds what it held before, and no message that depends on the write may be sent.
 func (s *store) save(hardState raftpb.HardState, entries []raftpb.Entry, snapshot raftpb.Snapshot) error {
 	if s.writeFault != nil {
 		if err := s.writeFault(); err != nil {
@@ -202,8 +202,8 @@
 	return nil
 }
 
-// putWriteState writes what is part of every transaction: the identity, the peers' sequence numbers, the store's
-// own and the log's last index.
+// putWriteState writes what is part of every transaction: the identity, the peers' sequence numbers, the
+// store's own and the log's last index.
 func (s *store) putWriteState(state *bbolt.Bucket, writeSeq, lastIndex uint64) error {
 	identityJSON, err := json.Marshal(s.identity)
 	if err != nil {
@@ -224,8 +224,8 @@
 	)
 }
 
-// compact writes a snapshot of the state applied up to index in place of the log, and retains the last entries
-// before it for followers that are a little behind.
+// compact writes a snapshot of the state applied up to index in place of the log, and retains the last
+// entries before it for followers that are a little behind.
 func (s *store) compact(index uint64, confState *raftpb.ConfState, data []byte, retained uint64) error {
 	snapshot, err := s.memory.CreateSnapshot(index, confState, data)
 	if err != nil {
@@ -263,8 +263,10 @@
 func deleteEntries(log *bbolt.Bucket, first, last uint64) error {
 	var keys [][]byte // deleted after the walk: a cursor skips keys when one is deleted under it
 	c := log.Cursor()
-	for key, _ := c.Seek(encodeUint64(first)); key != nil && binary.BigEndian.Uint64(key) <= last; key, _ = c.Next() {
+	key, _ := c.Seek(encodeUint64(first))
+	for key != nil && binary.BigEndian.Uint64(key) <= last {
 		keys = append(keys, key)
+		key, _ = c.Next()
 	}
 	for _, key := range keys {
 		if err := log.Delete(key); err != nil {
@@ -292,7 +294,8 @@
 	})
 }
 
-// recordPeerSeq records the write sequence number of another disk, and returns the highest that was seen before.
+// recordPeerSeq records the write sequence number of another disk, and returns the highest that was seen
+// before.
 func (s *store) recordPeerSeq(diskID, writeSeq uint64) (highest uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/raftlog/store_open.go
+++ b/internal/raftlog/store_open.go
@@ -30,8 +30,8 @@
 	corruption error  // what was wrong with that file
 }
 
-// openStore opens a host's store, and creates a new one if there is none. A corrupt file is moved aside, and the
-// store is a new one, with a new identity.
+// openStore opens a host's store, and creates a new one if there is none. A corrupt file is moved aside,
+// and the store is a new one, with a new identity.
 func openStore(path, hostName string) (opened openedStore, err error) {
 	opened.store, err = loadStore(path, hostName)
 	if !errors.Is(err, errCorruptStore) {
@@ -53,8 +53,8 @@
 	return movedTo, os.Rename(path, movedTo)
 }
 
-// loadStore opens a host's store, or creates it. An error wraps errCorruptStore if the file is not to be used any
-// more; otherwise it is left alone.
+// loadStore opens a host's store, or creates it. An error wraps errCorruptStore if the file is not to be
+// used any more; otherwise it is left alone.
 func loadStore(path, hostName string) (s *store, err error) {
 	if _, missing := os.Stat(path); missing == nil {
 		if err := verifyFile(path); err != nil {
@@ -99,8 +99,8 @@
 	}
 }
 
-// recoverAsCorrupt turns a panic of the library, such as a fault on a mapped page beyond the file's end, into an
-// error. It is called by defer.
+// recoverAsCorrupt turns a panic of the library, such as a fault on a mapped page beyond the file's end,
+// into an error. It is called by defer.
 func recoverAsCorrupt(err *error) {
 	if p := recover(); p != nil {
 		*err = fmt.Errorf("%w: %v", errCorruptStore, p)
--- a/internal/raftlog/store_test.go
+++ b/internal/raftlog/store_test.go
@@ -11,12 +11,12 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-var corruptStores = flag.Int("spoils", 150, "how many spoilt stores are opened")
+var corruptStores = flag.Int("spoils", 150, "how many corrupted stores are opened")
 
-// A store that is spoilt anywhere, by bytes that are others, by a page of nought or by an end that is
-// missing, is either as it was or set aside: nothing of it is believed that was not written, and nothing
-// breaks. Where the newer of its two first pages alone is spoilt, it is as it was before the last write: an
-// old disk, as the others have heard of that write.
+// A store that is corrupted anywhere, by changed bytes, a page of zeros, a misplaced page or a missing end,
+// is either loaded as it was or moved aside: nothing is loaded that was not written, and nothing panics.
+// Where the newer of its two meta pages alone is corrupt, it is loaded as before the last write: a stale
+// disk, as the peers have seen that write.
 func TestCorruptStores(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -39,7 +39,7 @@
 	s.close()
 	raw, err := os.ReadFile(good)
 	requireNoError(t, err)
-	torn := 0
+	corrupt := 0
 	for seed := range *corruptStores {
 		rng := rand.New(rand.NewSource(int64(seed)))
 		b := append([]byte(nil), raw...)
@@ -55,7 +55,7 @@
 			clear(b[from : from+4096])
 		case 3:
 			from, to := rng.Intn(len(b)/4096)*4096, rng.Intn(len(b)/4096)*4096
-			copy(b[to:to+4096], raw[from:from+4096]) // a page where another belongs
+			copy(b[to:to+4096], raw[from:from+4096]) // a page in another's place
 		}
 		path := filepath.Join(dir, fmt.Sprint("s", seed))
 		requireNoError(t, os.WriteFile(path, b, 0o600))
@@ -67,12 +67,12 @@
 		last, _ := s.memory.LastIndex()
 		switch {
 		case aside != "":
-			torn++
+			corrupt++
 			if why == nil || s.identity.diskID() == id || last != 0 {
-				t.Errorf("seed %d: set aside, and id %x, log to %d, %v", seed, s.identity.diskID(), last, why)
+				t.Errorf("seed %d: moved aside, and ID %x, log to %d, %v", seed, s.identity.diskID(), last, why)
 			}
 		case s.identity.diskID() != id || s.writeSeq != seq && s.writeSeq != seq-1 || last != next-1:
-			t.Errorf("seed %d: taken for whole: id %x, write %d of %d, log to %d of %d", seed, s.identity.diskID(),
+			t.Errorf("seed %d: taken for intact: ID %x, write %d of %d, log to %d of %d", seed, s.identity.diskID(),
 				s.writeSeq, seq,
 				last, next-1)
 		default:
@@ -81,15 +81,15 @@
 			requireNoError(t, err)
 			for _, e := range all {
 				if want := fmt.Sprint("entry ", e.Index, " and some more"); string(e.Data) != want {
-					t.Errorf("seed %d: taken for whole, and entry %d says %q", seed, e.Index, e.Data)
+					t.Errorf("seed %d: taken for intact, and entry %d is %q", seed, e.Index, e.Data)
 				}
 			}
 		}
 		s.close()
 		_ = os.Remove(path)
 	}
-	if torn < *corruptStores/4 {
-		t.Errorf("%d of %d were found to be spoilt", torn, *corruptStores)
+	if corrupt < *corruptStores/4 {
+		t.Errorf("%d of %d were found to be corrupt", corrupt, *corruptStores)
 	}
-	t.Logf("%d of %d set aside, the others whole", torn, *corruptStores)
+	t.Logf("%d of %d moved aside, the others intact", corrupt, *corruptStores)
 }
--- a/internal/versioned/delta.go
+++ b/internal/versioned/delta.go
@@ -65,9 +65,10 @@
 	return d
 }
 
-// Apply returns the state that a delta leads to from this one, whose ID must be the delta's From; a full delta is
-// applied to nothing, whatever this state is. The result has the ID that the delta names; otherwise the error is
-// ErrBaseMismatch or ErrDigestMismatch, and there is no result. The delta's values are kept, not copied.
+// Apply returns the state that a delta leads to from this one, whose ID must be the delta's From; a full
+// delta is applied to nothing, whatever this state is. The result has the ID that the delta names;
+// otherwise the error is ErrBaseMismatch or ErrDigestMismatch, and there is no result. The delta's values
+// are kept, not copied.
 func (s *State) Apply(d *Delta) (*State, error) {
 	base := s
 	if d.From.IsNone() {
--- a/internal/versioned/digest.go
+++ b/internal/versioned/digest.go
@@ -6,11 +6,12 @@
 	"math/bits"
 )
 
-// Digest is the digest of a set of entries: the sum of their hashes modulo 2^128, each the first half of SHA-256
-// of the key's length, the key and the value (AdHash: Bellare and Micciancio, "A New Paradigm for Collision-Free
-// Hashing", EUROCRYPT 1997). The order of the entries does not matter, and an entry is added or removed at the
-// cost of its own hash. It detects lost, duplicated and corrupt entries. It is no signature: against an attacker
-// who chooses entries so that sums collide, 128 bits are too few (Wagner 2002).
+// Digest is the digest of a set of entries: the sum of their hashes modulo 2^128, each the first half of
+// SHA-256 of the key's length, the key and the value (AdHash: Bellare and Micciancio, "A New Paradigm for
+// Collision-Free Hashing", EUROCRYPT 1997). The order of the entries does not matter, and an entry is added
+// or removed at the cost of its own hash. It detects lost, duplicated and corrupt entries. It is no
+// signature: against an attacker who chooses entries so that sums collide, 128 bits are too few (Wagner
+// 2002).
 type Digest [16]byte
 
 // Digest returns the entry's part of the digest of a set.
--- a/internal/versioned/state.go
+++ b/internal/versioned/state.go
@@ -7,8 +7,8 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// VersionID identifies a state: a number that its maker assigns, and its digest. The zero value is none: the ID of
-// no state.
+// VersionID identifies a state: a number that its maker assigns, and its digest. The zero value is none:
+// the ID of no state.
 type VersionID struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
--- a/internal/versioned/state_test.go
+++ b/internal/versioned/state_test.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// A delta leads from its base to its target, once, and from no other state. A corrupt delta is rejected, and the
-// base does not change.
+// A delta leads from its base to its target, once, and from no other state. A corrupt delta is rejected,
+// and the base does not change.
 func TestDeltaRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := New(1, drawEntries(t, "from")), New(2, drawEntries(t, "to"))
@@ -73,7 +73,8 @@
 		if _, err := got.Apply(d); !errors.Is(err, ErrBaseMismatch) { // a duplicate
 			t.Fatalf("twice: %v", err)
 		}
-		if _, err := third.Apply(d); !errors.Is(err, ErrBaseMismatch) { // another base, or a delta before it was lost
+		// Another base, as if a delta before it was lost.
+		if _, err := third.Apply(d); !errors.Is(err, ErrBaseMismatch) {
 			t.Fatalf("on another: %v", err)
 		}
 		if _, err := (*State)(nil).Apply(d); !errors.Is(err, ErrBaseMismatch) {
