--- a/internal/gateway/lifecycle/ask_test.go
+++ b/internal/gateway/lifecycle/ask_test.go
@@ -22,12 +22,12 @@
 	t      *testing.T
 	at     string
 	mu     sync.Mutex
-	older  bool                        // it tells all, as a daemon of an older program does
-	tells  func(*distribution.Answer)  // what it does to an answer; nil for nothing
-	says   func(w http.ResponseWriter) // in place of one; nil for that
+	older  bool                         // it tells all, as a daemon of an older program does
+	tells  func(*distribution.Response) // what it does to an answer; nil for nothing
+	says   func(w http.ResponseWriter)  // in place of one; nil for that
 	lease  ruleset.Lease
 	source *distribution.Source
-	last   distribution.Ask
+	last   distribution.Request
 	asked  int // for changes
 	whole  int // for all
 	bare   int // with nothing here
@@ -51,7 +51,7 @@
 		case r.URL.Path == AskPath:
 			handler.ServeHTTP(w, r)
 		default:
-			b, err := lease.Bytes()
+			b, err := lease.Encode()
 			if err != nil {
 				t.Error(err)
 			}
@@ -61,7 +61,7 @@
 	return x
 }
 
-func (x *teller) answer(a *distribution.Ask) (*distribution.Answer, error) {
+func (x *teller) answer(a *distribution.Request) (*distribution.Response, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.last = *a
@@ -69,21 +69,22 @@
 		x.bare++
 	}
 	if x.source == nil {
-		return nil, &relay.Refusal{Reason: "unconfirmed", Says: "nothing is in force"}
+		return nil, &relay.RejectionError{Reason: "unconfirmed", Message: "nothing is in force"}
 	}
 	now := boot()
-	v := distribution.View{Step: x.lease.Step, Settled: x.lease.Settled, Begun: now, Index: -1}
+	v := distribution.Snapshot{Step: x.lease.Step, Settled: x.lease.TransitionComplete, ReadStartMillis: now,
+		DiscoveryIndex: -1}
 	var err error
-	if v.Rules, err = ruleset.Entries(&x.lease.Version); err == nil && x.lease.Pending != nil {
+	if v.Rules, err = ruleset.VersionToState(&x.lease.Version); err == nil && x.lease.Pending != nil {
 		next := ruleset.Version{Number: x.lease.Version.Number + 1, Rules: *x.lease.Pending}
-		v.Pending, err = ruleset.Entries(&next)
+		v.Pending, err = ruleset.VersionToState(&next)
 	}
 	if err != nil {
 		return nil, err
 	}
 	a.Cluster = "till"
-	x.source.Offer(v)
-	got, err := x.source.Answer(a, now)
+	x.source.Publish(v)
+	got, err := x.source.Respond(a, now)
 	if err != nil || x.tells == nil {
 		return got, err
 	}
@@ -98,21 +99,21 @@
 	defer x.mu.Unlock()
 	x.tells, x.says = nil, nil
 	if x.source == nil {
-		x.source = distribution.NewSource("h", "till", distribution.Bounds{})
+		x.source = distribution.NewSource("h", "till", distribution.SourceConfig{})
 	}
 	x.lease = ruleset.Lease{Step: x.lease.Step + 1, Version: ruleset.Version{Number: number, Rules: r},
-		Settled: true, Pending: pending}
+		TransitionComplete: true, Pending: pending}
 }
 
 // begins anew has it forget all that it has given, as a daemon that starts does.
 func (x *teller) begins(older bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.older, x.source = older, distribution.NewSource("h", "till", distribution.Bounds{})
+	x.older, x.source = older, distribution.NewSource("h", "till", distribution.SourceConfig{})
 }
 
 // does has it change its answers from now on.
-func (x *teller) does(tells func(*distribution.Answer)) {
+func (x *teller) does(tells func(*distribution.Response)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.tells = tells
@@ -125,7 +126,7 @@
 }
 
 // seen gives what it was asked last, and how often.
-func (x *teller) seen() (last distribution.Ask, asked, whole, bare int) {
+func (x *teller) seen() (last distribution.Request, asked, whole, bare int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.last, x.asked, x.whole, x.bare
@@ -148,12 +149,12 @@
 func TestFirstAnswerLate(t *testing.T) {
 	x := newTeller(t)
 	x.leases(1, rules(1000, 1000), nil)
-	x.does(func(a *distribution.Answer) {
+	x.does(func(a *distribution.Response) {
 		if a.RulesDelta != nil { // renewals come at once
 			time.Sleep(80 * time.Millisecond)
 		}
 	})
-	asksFor(t, x).mode(ruleset.Leased)
+	asksFor(t, x).mode(ruleset.ModeLeased)
 }
 
 // An instance is told the rules whole once. While nothing changes an answer is small, whatever is in force;
@@ -162,20 +163,23 @@
 	x := newTeller(t)
 	d := asksFor(t, x)
 	r := rules(1000, 1000)
-	r.Needs = []string{ruleset.ManyMembers}
+	r.Needs = []string{ruleset.FeatureManyMembers}
 	for i := range 999 {
 		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprint("m", i), Host: fmt.Sprint("h", i/10),
 			Peers: fmt.Sprintf("127.0.0.1:%d", 2000+i)})
 	}
 	x.leases(1, r, nil)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 	if n := d.figure("members"); n != 1000 {
 		t.Errorf("%d members", n)
 	}
-	until(t, "it does not say what it holds", func() bool { last, _, _, _ := x.seen(); return last.Holds == 1 })
+	until(t, "it does not say what it holds", func() bool {
+		last, _, _, _ := x.seen()
+		return last.HeldStep == 1
+	})
 	last, _, _, _ := x.seen()
-	if last.From != "n0" || last.Process == 0 ||
-		last.Interest != (ruleset.Interest{Name: "n0", Around: distribution.Around}) {
+	if last.Sender != "n0" || last.ProcessID == 0 ||
+		last.Interest != (ruleset.Interest{Name: "n0", Around: distribution.RingRadius}) {
 		t.Errorf("it asks %+v", last)
 	}
 	in, renewals := d.figure("rules.bytes_in"), d.figure("rules.renewals")
@@ -210,11 +214,11 @@
 func TestChangesSpoilt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		tells  func(*distribution.Answer)
+		tells  func(*distribution.Response)
 		figure string
 		base   bool // what is here is still a base
 	}{
-		{"another value", func(a *distribution.Answer) {
+		{"another value", func(a *distribution.Response) {
 			if a.RulesDelta != nil {
 				d := *a.RulesDelta
 				d.Set = slices.Clone(d.Set)
@@ -222,32 +226,32 @@
 				a.RulesDelta = &d
 			}
 		}, "rules.spoilt.digest", false},
-		{"a value is missing", func(a *distribution.Answer) {
+		{"a value is missing", func(a *distribution.Response) {
 			if a.RulesDelta != nil {
 				d := *a.RulesDelta
 				d.Set = d.Set[1:]
 				a.RulesDelta = &d
 			}
 		}, "rules.spoilt.digest", false},
-		{"against another base", func(a *distribution.Answer) {
+		{"against another base", func(a *distribution.Response) {
 			if a.RulesDelta != nil {
 				d := *a.RulesDelta
 				d.From.Number += 7
 				a.RulesDelta = &d
 			}
 		}, "rules.spoilt.base", false},
-		{"without the change", func(a *distribution.Answer) { a.RulesDelta = nil }, "rules.spoilt.base", false},
-		{"another pending one", func(a *distribution.Answer) {
+		{"without the change", func(a *distribution.Response) { a.RulesDelta = nil }, "rules.spoilt.base", false},
+		{"another pending one", func(a *distribution.Response) {
 			a.Pending = versioned.VersionID{Number: 9, Digest: versioned.Digest{1}}
 		}, "rules.spoilt.base", false},
-		{"another form", func(a *distribution.Answer) { a.Form = 9 }, "rules.spoilt", true},
+		{"another form", func(a *distribution.Response) { a.FormatVersion = 9 }, "rules.spoilt", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			x := newTeller(t)
 			d := asksFor(t, x)
 			x.leases(1, rules(1000, 1000), nil)
-			d.mode(ruleset.Leased)
+			d.mode(ruleset.ModeLeased)
 			_, _, _, before := x.seen()
 			x.leases(2, rules(500, 500), nil)
 			x.does(c.tells)
@@ -262,7 +266,7 @@
 				t.Errorf("asked for all %d times, for a whole %d times and given %d", whole, bare-before,
 					d.figure("rules.wholes"))
 			}
-			d.mode(ruleset.Leased)
+			d.mode(ruleset.ModeLeased)
 		})
 	}
 }
@@ -284,19 +288,19 @@
 		name string
 		does func(x *teller)
 	}{
-		{"another form", with(func(r *ruleset.Rules) { r.Form = 7 })},
+		{"another form", with(func(r *ruleset.Rules) { r.Format = 7 })},
 		{"needs what is not known", with(func(r *ruleset.Rules) { r.Needs = []string{"moon"} })},
 		{"a stranger's place", with(func(r *ruleset.Rules) {
 			r.Members = []ruleset.Member{{Name: "m0", Host: "h"}, {Name: "n0", Host: "h"}}
 		})},
 		{"rules that make no sense", with(func(r *ruleset.Rules) { r.Plans[0].Rate = -1 })},
 		{"an address that is none", with(func(r *ruleset.Rules) { r.Members[0].Peers = "x" })},
-		{"no time", func(x *teller) { x.does(func(a *distribution.Answer) { a.Age = -5 }) }},
+		{"no time", func(x *teller) { x.does(func(a *distribution.Response) { a.AgeMillis = -5 }) }},
 		{"garbled", bare(func(w http.ResponseWriter) { w.Write([]byte("\x81\x01")) })},
 		{"nothing", bare(func(w http.ResponseWriter) {})},
 		{"too long", bare(func(w http.ResponseWriter) {
 			w.Write(bytes.Repeat([]byte(" "),
-				distribution.MostAnswer+1))
+				distribution.MaxResponseBytes+1))
 		})},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -304,16 +308,17 @@
 			x := newTeller(t)
 			d := asksFor(t, x)
 			x.leases(1, rules(1000, 1000), nil)
-			d.mode(ruleset.Leased)
+			d.mode(ruleset.ModeLeased)
 			before := d.figure("rules.refused")
 			c.does(x)
 			until(t, "not counted", func() bool { return d.figure("rules.refused") > before })
 			if v := d.figure("rules.version"); v != 1 {
 				t.Errorf("by version %d", v)
 			}
-			until(t, "the lease does not end", func() bool { return d.figure("rules.mode") != int64(ruleset.Leased) })
+			until(t, "the lease does not end",
+				func() bool { return d.figure("rules.mode") != int64(ruleset.ModeLeased) })
 			x.leases(51, rules(1000, 1000), nil)
-			d.mode(ruleset.Leased)
+			d.mode(ruleset.ModeLeased)
 		})
 	}
 }
@@ -326,7 +331,7 @@
 	x.begins(true)
 	d := asksFor(t, x)
 	x.leases(1, rules(1000, 1000), nil)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 	if _, asked, whole, _ := x.seen(); asked != 0 || whole == 0 || d.figure("rules.wholes") != 0 {
 		t.Errorf("asked for changes %d times, for all %d times", asked, whole)
 	}
@@ -338,7 +343,7 @@
 		if time.Now().After(end) {
 			t.Fatal("a newer daemon is never asked for changes")
 		}
-		if d.figure("rules.mode") != int64(ruleset.Leased) {
+		if d.figure("rules.mode") != int64(ruleset.ModeLeased) {
 			t.Fatal("the lease is lost")
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -350,7 +355,7 @@
 	until(t, "never asked for all", func() bool { _, _, n, _ := x.seen(); return n > before+5 })
 	x.leases(3, rules(800, 800), nil)
 	until(t, "not by version 3", func() bool { return d.figure("rules.version") == 3 })
-	if d.figure("rules.mode") != int64(ruleset.Leased) || d.gk.agreed.holder.Counts().Lapses > 0 {
+	if d.figure("rules.mode") != int64(ruleset.ModeLeased) || d.gk.agreed.holder.Counters().Expirations > 0 {
 		t.Error("the lease was lost on the way")
 	}
 }
@@ -361,13 +366,13 @@
 	x := newTeller(t)
 	d := asksFor(t, x)
 	x.leases(1, rules(1000, 1000), nil)
-	x.does(func(a *distribution.Answer) {
+	x.does(func(a *distribution.Response) {
 		if a.RulesDelta != nil {
-			a.RulesDelta, a.Busy = nil, 400
+			a.RulesDelta, a.RetryAfterMillis = nil, 400
 		}
 	})
 	until(t, "never put off", func() bool { return d.figure("rules.busy") > 0 })
-	if d.figure("rules.mode") != int64(ruleset.Bare) {
+	if d.figure("rules.mode") != int64(ruleset.ModeNoLease) {
 		t.Error("it goes by what it was not told")
 	}
 	began := time.Now()
@@ -375,7 +380,7 @@
 		t.Errorf("a txn took %v", time.Since(began))
 	}
 	x.does(nil)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 }
 
 // Of pending rules a gatekeeper narrows its fallback, and says that it holds their step; withdrawn, the
@@ -384,14 +389,14 @@
 	x := newTeller(t)
 	d := asksFor(t, x)
 	x.leases(1, rules(1000, 1000), nil)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 	p := rules(10, 10)
 	x.leases(1, rules(1000, 1000), &p)
 	holds := func(step uint64) {
 		t.Helper()
 		until(t, fmt.Sprintf("it does not hold step %d", step), func() bool {
 			last, _, _, _ := x.seen()
-			return last.Holds == step
+			return last.HeldStep == step
 		})
 	}
 	holds(2)
@@ -400,12 +405,12 @@
 		t.Errorf("%+v, %d wholes, %d deltas", last, d.figure("rules.wholes"), d.figure("rules.deltas"))
 	}
 	x.answers(silent)
-	d.mode(ruleset.CutOff)
+	d.mode(ruleset.ModeFallback)
 	if n := d.flood(100 * time.Millisecond); n > 12 {
 		t.Errorf("%d pass by a fallback that is to be within ten", n)
 	}
 	x.leases(1, rules(1000, 1000), nil)
-	d.mode(ruleset.Leased)
+	d.mode(ruleset.ModeLeased)
 	holds(3)
 	x.leases(1, rules(1000, 1000), &p)
 	holds(4)
@@ -452,7 +457,7 @@
 			r.Members = append(r.Members, ruleset.Member{}, ruleset.Member{})
 			x.leases(1, r, nil)
 			d := asksFor(t, x)
-			d.mode(ruleset.Leased)
+			d.mode(ruleset.ModeLeased)
 			if n := d.figure("members"); n != 3 || d.figure("rules.refused") > 0 {
 				t.Errorf("%d members, %d refused", n, d.figure("rules.refused"))
 			}
--- a/internal/raftlog/activation_status.go
+++ b/internal/raftlog/activation_status.go
@@ -14,19 +14,19 @@
 
 // ActivationStatus is the activation of rulesets as this daemon sees it, for operators.
 type ActivationStatus struct {
-	Version          uint64             `json:"version"`        // in force
-	Digest           string             `json:"mark,omitempty"` // RulesDigest of it, the same at all daemons
-	Step             uint64             `json:"step"`
-	Settled          bool               `json:"settled"`
-	ReadAgeMillis    float64            `json:"read_ms"` // of the last confirmed read; negative: none yet
-	PendingVersion   uint64             `json:"pending,omitempty"`
-	PendingReason    string             `json:"pending_waits,omitempty"`
-	HeldVersions     []uint64           `json:"held,omitempty"`   // that instances may still act on
-	WantedProposal   string             `json:"wanted,omitempty"` // this daemon's unanswered one
-	ProposalOutcomes []ProposalOutcome  `json:"proposals,omitempty"`
-	CutOffInstances  map[string]float64 `json:"cut_off,omitempty"` // here: ms since their last request
-	Lags             []ruleset.Behind   `json:"lags,omitempty"`
-	HostSteps        map[string]uint64  `json:"seen,omitempty"`
+	Version          uint64                  `json:"version"`        // in force
+	Digest           string                  `json:"mark,omitempty"` // RulesDigest of it, the same at all daemons
+	Step             uint64                  `json:"step"`
+	Settled          bool                    `json:"settled"`
+	ReadAgeMillis    float64                 `json:"read_ms"` // of the last confirmed read; negative: none yet
+	PendingVersion   uint64                  `json:"pending,omitempty"`
+	PendingReason    string                  `json:"pending_waits,omitempty"`
+	HeldVersions     []uint64                `json:"held,omitempty"`   // that instances may still act on
+	WantedProposal   string                  `json:"wanted,omitempty"` // this daemon's unanswered one
+	ProposalOutcomes []ProposalOutcome       `json:"proposals,omitempty"`
+	CutOffInstances  map[string]float64      `json:"cut_off,omitempty"` // here: ms since their last request
+	Lags             []ruleset.LaggingMember `json:"lags,omitempty"`
+	HostSteps        map[string]uint64       `json:"seen,omitempty"`
 }
 
 // ActivationStatus returns the activation of rulesets as this daemon sees it.
@@ -39,7 +39,7 @@
 		Version:          state.InForce.Number,
 		Digest:           n.inForceDigest,
 		Step:             state.Step,
-		Settled:          state.Settled(),
+		Settled:          state.TransitionComplete(),
 		ReadAgeMillis:    -1,
 		ProposalOutcomes: append([]ProposalOutcome(nil), n.outcomes...),
 		CutOffInstances:  map[string]float64{},
@@ -48,19 +48,19 @@
 	if n.lastReadMillis >= 0 {
 		status.ReadAgeMillis = BootClockMillis() - n.lastReadMillis
 	}
-	for _, held := range state.Held {
+	for _, held := range state.Superseded {
 		status.HeldVersions = append(status.HeldVersions, held.Number)
 	}
-	for host, step := range state.Seen {
+	for host, step := range state.AckedSteps {
 		status.HostSteps[host] = step
 	}
 	if pending := state.Pending; pending != nil {
-		status.PendingVersion, status.PendingReason = pending.Version.Number, state.Waits()
+		status.PendingVersion, status.PendingReason = pending.Version.Number, state.PendingReason()
 	}
 	if n.proposal != nil {
 		status.WantedProposal = n.proposal.id
 	}
-	leaseMillis := math.Max(state.InForce.Rules.Lease, minLeaseMillis)
+	leaseMillis := math.Max(state.InForce.Rules.LeaseMillis, minLeaseMillis)
 	for _, client := range n.clients {
 		sinceRequest := float64(now.Sub(client.lastRequest)) / float64(time.Millisecond)
 		if sinceRequest > leaseMillis || status.ReadAgeMillis < 0 || status.ReadAgeMillis > leaseMillis {
@@ -68,7 +68,7 @@
 		}
 	}
 	n.recordPeerIndices()
-	status.Lags = n.discoveryLag.Late(BootClockMillis(), lagThresholdMillis)
+	status.Lags = n.discoveryLag.Lagging(BootClockMillis(), lagThresholdMillis)
 	return status
 }
 
@@ -79,7 +79,7 @@
 	defer n.Node.mu.Unlock()
 	for name, peer := range n.peers {
 		if peer.DiscoveryIndex > 0 {
-			n.discoveryLag.Told("host "+name, peer.DiscoveryIndex, BootClockMillis())
+			n.discoveryLag.Report("host "+name, peer.DiscoveryIndex, BootClockMillis())
 		}
 	}
 }
--- a/internal/raftlog/activation_status_test.go
+++ b/internal/raftlog/activation_status_test.go
@@ -16,7 +16,7 @@
 	group.waitUntil("the lagging instance is listed", func() bool {
 		group.nodes["h0"].RenewLease(1, "g0", 0, 5)
 		for _, b := range group.nodes["h0"].ActivationStatus().Lags {
-			if b.Who == "g0" && b.Highest == 9 && b.For > lagThresholdMillis {
+			if b.Name == "g0" && b.HighestIndex == 9 && b.LagMillis > lagThresholdMillis {
 				return true
 			}
 		}
@@ -24,7 +24,7 @@
 	})
 	group.nodes["h0"].RenewLease(1, "g0", 0, 9)
 	for _, b := range group.nodes["h0"].ActivationStatus().Lags {
-		if b.Who == "g0" {
+		if b.Name == "g0" {
 			t.Errorf("%+v, which has caught up", b)
 		}
 	}
--- a/internal/raftlog/doc.go
+++ b/internal/raftlog/doc.go
@@ -14,6 +14,5 @@
 // the one that its host had before. A store that is corrupt, that has fallen behind what its peers have
 // seen of it, or that was removed from the group is moved aside and never votes again.
 //
-// The package must not import the supervisor, the distribution tree or any part of the gateway but the
-// clock of gateway/inflight.
+// The package must not import the supervisor, the distribution tree or any part of the gateway.
 package raftlog
--- a/internal/raftlog/followers.go
+++ b/internal/raftlog/followers.go
@@ -39,7 +39,8 @@
 	if startMillis <= n.confirmed.ReadStartMillis || state.Step < n.confirmed.Step || state.InForce.Number == 0 {
 		return
 	}
-	n.confirmed = ConfirmedState{Step: state.Step, ReadStartMillis: startMillis, Settled: state.Settled(),
+	n.confirmed = ConfirmedState{Step: state.Step, ReadStartMillis: startMillis,
+		Settled: state.TransitionComplete(),
 		InForce: state.InForce}
 	if state.Pending != nil {
 		version := state.Pending.Version
@@ -60,7 +61,7 @@
 func (n *RulesetNode) RequestFrequentReads() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.grantor.Often(true)
+	n.grantor.SetFrequentReads(true)
 }
 
 // Confirmations is ready when another read was confirmed since it was last received from.
@@ -69,7 +70,7 @@
 // RecordHostSteps records, for hosts below, a step that all processes of the host have applied, and the
 // highest index of the discovery list there. What is new to the group goes into the log. Reports may be
 // repeated, late or out of order.
-func (n *RulesetNode) RecordHostSteps(steps []ruleset.HostStep, discoveryIndex int64) {
+func (n *RulesetNode) RecordHostSteps(steps []ruleset.HostAck, discoveryIndex int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	hostSteps := n.followers.hostSteps
@@ -102,18 +103,18 @@
 	}
 	n.followers.lastProposed = now
 	state := n.activation.State()
-	if state.Pending == nil && len(state.Held) == 0 {
+	if state.Pending == nil && len(state.Superseded) == 0 {
 		return nil
 	}
-	steps := make([]ruleset.HostStep, 0, len(n.followers.hostSteps))
+	steps := make([]ruleset.HostAck, 0, len(n.followers.hostSteps))
 	for _, host := range slices.Sorted(maps.Keys(n.followers.hostSteps)) {
-		steps = append(steps, ruleset.HostStep{Host: host, Step: min(n.followers.hostSteps[host], state.Step)})
+		steps = append(steps, ruleset.HostAck{Host: host, Step: min(n.followers.hostSteps[host], state.Step)})
 	}
-	if steps = state.Gains(steps); len(steps) == 0 {
+	if steps = state.UsefulAcks(steps); len(steps) == 0 {
 		return nil
 	}
-	steps = steps[:min(len(steps), ruleset.MostSeen)]
-	raw, err := ruleset.Entry{Act: ruleset.SeenAll, Hosts: steps}.Bytes()
+	steps = steps[:min(len(steps), ruleset.MaxAcksPerEntry)]
+	raw, err := ruleset.LogEntry{Type: ruleset.EntryAckBatch, Acks: steps}.Encode()
 	if err != nil {
 		return nil
 	}
--- a/internal/raftlog/followers_test.go
+++ b/internal/raftlog/followers_test.go
@@ -17,7 +17,7 @@
 	s.RequestFrequentReads()
 	below := func(rate, ceiling float64) *ruleset.Rules {
 		r := testRules(rate)
-		r.Fallback.For = 60000 // it does not expire during the test
+		r.Fallback.DurationMillis = 60000 // it does not expire during the test
 		r.Plans[1].CeilingRate = ceiling
 		r.Members = []ruleset.Member{{Name: "g0", Host: "x"}, {Name: "g1", Host: "y"}}
 		return r
@@ -38,7 +38,7 @@
 	if w.InForce.Number != 1 || w.Pending.Number != 2 || w.Pending.Rules.Plans[1].CeilingRate != 10 {
 		t.Fatalf("confirmed: %+v", w)
 	}
-	s.RecordHostSteps([]ruleset.HostStep{{Host: "x", Step: w.Step}, {Host: "nobody", Step: w.Step},
+	s.RecordHostSteps([]ruleset.HostAck{{Host: "x", Step: w.Step}, {Host: "nobody", Step: w.Step},
 		{Host: "y", Step: w.Step - 1}}, 7)
 	for end := time.Now().Add(700 * time.Millisecond); time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
@@ -50,7 +50,7 @@
 		t.Errorf("seen: %v at step %d", a.HostSteps, w.Step)
 	}
 	// A late report, and one of a step that is not confirmed yet, which counts as of the last one.
-	s.RecordHostSteps([]ruleset.HostStep{{Host: "x", Step: 1}, {Host: "y", Step: w.Step + 50}}, 3)
+	s.RecordHostSteps([]ruleset.HostAck{{Host: "x", Step: 1}, {Host: "y", Step: w.Step + 50}}, 3)
 	group.waitForVersion(2)
 	if s.HighestDiscoveryIndex() != 7 {
 		t.Errorf("the highest index is %d, of 7 and 3", s.HighestDiscoveryIndex())
--- a/internal/raftlog/golden_test.go
+++ b/internal/raftlog/golden_test.go
@@ -130,7 +130,7 @@
 		ProposalOutcomes: []ProposalOutcome{{ID: "h1-b", BaseVersion: 6, Version: 7, Rejection: "no",
 			WaitReason: "it waits too"}},
 		CutOffInstances: map[string]float64{"gk1": 1200.5},
-		Lags:            []ruleset.Behind{{Who: "gk2", Index: 5, Highest: 9, For: 3100.5}},
+		Lags:            []ruleset.LaggingMember{{Name: "gk2", Index: 5, HighestIndex: 9, LagMillis: 3100.5}},
 		HostSteps:       map[string]uint64{"h1": 40}}
 }
 
@@ -142,12 +142,14 @@
 
 func goldenRules() ruleset.Rules {
 	return ruleset.Rules{
-		Form: 1, Needs: []string{"members"},
+		Format: 1, Needs: []string{"members"},
 		Plans: []ruleset.Plan{{Name: "gold", Rate: 11, Burst: 12, CeilingRate: 13, CeilingDepth: 14,
-			Credit: 0.5, Repay: 15000}},
-		Members:  []ruleset.Member{{Name: "gk1", Host: "h1", Peers: "10.0.0.1:7001"}},
-		Words:    []ruleset.Word{{Worker: "w1", Hall: "hall1", Barred: true, Drained: true, Weight: 2.5}},
-		Fallback: ruleset.Fallback{Part: 0.25, For: 9000}, Lease: 1200, Bound: 1900,
+			CreditSeconds: 0.5, RepayMillis: 15000}},
+		Members: []ruleset.Member{{Name: "gk1", Host: "h1", Peers: "10.0.0.1:7001"}},
+		WorkerOverrides: []ruleset.WorkerOverride{{Worker: "w1", Region: "hall1", Barred: true, Drained: true,
+			Weight: 2.5}},
+		Fallback: ruleset.Fallback{Fraction: 0.25, DurationMillis: 9000}, LeaseMillis: 1200,
+		ConflictBoundMillis: 1900,
 	}
 }
 
@@ -177,7 +179,7 @@
 // fields.
 func goldenRulesetState() ruleset.State {
 	return ruleset.State{Step: 41, InForce: ruleset.Version{Number: 7, Rules: goldenRules()},
-		Seen: map[string]uint64{"h1": 38}}
+		AckedSteps: map[string]uint64{"h1": 38}}
 }
 
 func goldenSnapshotData(t *testing.T) snapshotData {
@@ -197,15 +199,15 @@
 		ConfState: raftpb.ConfState{Voters: []uint64{goldenIdentity().diskID(), 162}}}}
 }
 
-func goldenEntry() ruleset.Entry {
+func goldenEntry() ruleset.LogEntry {
 	rules := goldenRules()
 	rules.Plans[0].Rate = 21
-	return ruleset.Entry{Act: ruleset.Propose, ID: "h1-a", Base: 7, Rules: &rules}
+	return ruleset.LogEntry{Type: ruleset.EntryPropose, ID: "h1-a", Base: 7, Rules: &rules}
 }
 
 func goldenEntries(t *testing.T) []raftpb.Entry {
 	t.Helper()
-	proposed, err := goldenEntry().Bytes()
+	proposed, err := goldenEntry().Encode()
 	requireNoError(t, err)
 	names, err := json.Marshal(map[uint64]string{162: "h2"})
 	requireNoError(t, err)
@@ -285,13 +287,13 @@
 	requireNoError(t, json.Unmarshal(snap.Data, &k))
 	requireNonZero(t, "kept", reflect.ValueOf(k))
 	requireEqual(t, "kept", k, goldenSnapshotData(t))
-	c := ruleset.NewCouncil()
+	c := ruleset.NewStateMachine()
 	requireNoError(t, c.Restore(k.StateMachine))
 	requireEqual(t, "machine", *c.State(), goldenRulesetState())
 	entries, err := s.memory.Entries(11, 13, 1<<20)
 	requireNoError(t, err)
 	requireEqual(t, "entries", entries, goldenEntries(t))
-	e, err := ruleset.ReadEntry(entries[1].Data)
+	e, err := ruleset.DecodeLogEntry(entries[1].Data)
 	requireNoError(t, err)
 	requireEqual(t, "proposal", e, goldenEntry())
 
@@ -306,8 +308,8 @@
 	requireNoError(t, err)
 	s := opened.store
 	defer s.close()
-	seat := &RulesetNode{activation: ruleset.NewCouncil(), changed: make(chan struct{}, 1)}
-	seat.grantor = ruleset.NewSteward(goldenName, seat.activation)
+	seat := &RulesetNode{activation: ruleset.NewStateMachine(), changed: make(chan struct{}, 1)}
+	seat.grantor = ruleset.NewHostAgent(goldenName, seat.activation)
 	v := &session{node: &Node{stateMachine: (*rulesetMachine)(seat)}, store: s}
 	requireNoError(t, v.restoreFromStore())
 	requireEqual(t, "members", v.members, goldenSnapshotData(t).Members)
--- a/internal/raftlog/proposal.go
+++ b/internal/raftlog/proposal.go
@@ -14,7 +14,7 @@
 // pendingProposal is a proposal of this daemon that is not answered yet.
 type pendingProposal struct {
 	id              string
-	act             ruleset.Act
+	act             ruleset.EntryType
 	onlyAsFirst     bool // it is dropped if a version is in force already
 	rules           *ruleset.Rules
 	entry           []byte // encoded, once the base is known
@@ -76,19 +76,19 @@
 func (n *RulesetNode) encodeProposal(p *pendingProposal, state *ruleset.State) bool {
 	if state.InForce.Number > 0 && sameRules(&state.InForce.Rules, p.rules) {
 		if state.Pending == nil {
-			n.resolveProposal(ruleset.Outcome{Number: state.InForce.Number, Again: true})
+			n.resolveProposal(ruleset.Outcome{Version: state.InForce.Number, Duplicate: true})
 			return false
 		}
-		p.act, p.rules = ruleset.Withdraw, nil
+		p.act, p.rules = ruleset.EntryWithdraw, nil
 	}
 	p.baseVersion = state.InForce.Number
 	var err error
-	p.entry, err = (ruleset.Entry{Act: p.act, ID: p.id, Base: p.baseVersion, Rules: p.rules}).Bytes()
+	p.entry, err = (ruleset.LogEntry{Type: p.act, ID: p.id, Base: p.baseVersion, Rules: p.rules}).Encode()
 	if err != nil {
-		n.resolveProposal(ruleset.Outcome{Refused: err.Error()})
+		n.resolveProposal(ruleset.Outcome{Rejection: err.Error()})
 		return false
 	}
-	if p.act == ruleset.Propose {
+	if p.act == ruleset.EntryPropose {
 		n.recordEvent(history.Event{Kind: history.Wants, Version: p.baseVersion + 1, Base: p.baseVersion,
 			Txn: p.id})
 	}
@@ -98,22 +98,22 @@
 // resolveProposal records the outcome of this daemon's proposal; the caller holds n.mu.
 func (n *RulesetNode) resolveProposal(result ruleset.Outcome) {
 	p := n.proposal
-	outcome := ProposalOutcome{ID: p.id, BaseVersion: p.baseVersion, Version: result.Number,
-		Rejection: result.Refused, WaitReason: result.Waits}
+	outcome := ProposalOutcome{ID: p.id, BaseVersion: p.baseVersion, Version: result.Version,
+		Rejection: result.Rejection, WaitReason: result.PendingReason}
 	if n.outcomes = append(n.outcomes, outcome); len(n.outcomes) > maxProposalOutcomes {
 		n.outcomes = n.outcomes[1:]
 	}
-	if result.Refused != "" {
+	if result.Rejection != "" {
 		n.recordEvent(history.Event{Kind: history.Taken, Version: p.baseVersion + 1, Base: p.baseVersion,
-			Txn: p.id, Says: result.Refused})
+			Txn: p.id, Says: result.Rejection})
 		level := zerolog.ErrorLevel
 		if p.onlyAsFirst { // another daemon's was the first
 			level = zerolog.InfoLevel
 		}
-		n.log.WithLevel(level).Str("proposal", p.id).Uint64("base", p.baseVersion).Str("why", result.Refused).
+		n.log.WithLevel(level).Str("proposal", p.id).Uint64("base", p.baseVersion).Str("why", result.Rejection).
 			Msg("ruleset proposal rejected")
 	} else {
-		n.log.Info().Str("proposal", p.id).Uint64("version", result.Number).Str("waits", result.Waits).
+		n.log.Info().Str("proposal", p.id).Uint64("version", result.Version).Str("waits", result.PendingReason).
 			Msg("ruleset proposal accepted")
 	}
 	n.proposal = nil
--- a/internal/raftlog/ruleset_machine.go
+++ b/internal/raftlog/ruleset_machine.go
@@ -16,7 +16,7 @@
 
 // Apply applies an entry to the activation.
 func (m *rulesetMachine) Apply(data []byte) error {
-	entry, err := ruleset.ReadEntry(data)
+	entry, err := ruleset.DecodeLogEntry(data)
 	if err != nil {
 		return err
 	}
@@ -26,12 +26,12 @@
 	n.advanceClock()
 	proposalID := entry.ID // the proposal that comes in force by this entry, if any does
 	if pending := n.activation.State().Pending; pending != nil {
-		proposalID = pending.ID
+		proposalID = pending.ProposalID
 	}
 	outcome := n.activation.Apply(entry)
-	n.grantor.Applied()
-	if outcome.InForce > 0 && !outcome.Again {
-		n.activated(outcome.InForce, proposalID)
+	n.grantor.EntriesApplied()
+	if outcome.Activated > 0 && !outcome.Duplicate {
+		n.activated(outcome.Activated, proposalID)
 	}
 	if n.proposal != nil && entry.ID == n.proposal.id {
 		n.resolveProposal(outcome)
@@ -66,12 +66,12 @@
 	n.advanceClock()
 	before := n.activation.State().InForce.Number
 	if len(data) == 0 {
-		data, _ = ruleset.NewCouncil().Snapshot() // of the initial state: it has no error
+		data, _ = ruleset.NewStateMachine().Snapshot() // of the initial state: it has no error
 	}
 	if err := n.activation.Restore(data); err != nil {
 		return err
 	}
-	n.grantor.Applied()
+	n.grantor.EntriesApplied()
 	n.inForceDigest = ""
 	state := n.activation.State()
 	if state.InForce.Number > 0 {
@@ -89,8 +89,8 @@
 	if n.proposal == nil {
 		return
 	}
-	for _, answered := range state.Answered {
-		if answered.ID == n.proposal.id {
+	for _, answered := range state.RecentOutcomes {
+		if answered.ProposalID == n.proposal.id {
 			n.resolveProposal(answered.Outcome)
 			return
 		}
@@ -103,7 +103,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.advanceClock()
-	n.grantor.ReadDone(startMillis)
+	n.grantor.ReadConfirmed(startMillis)
 	version := n.activation.State().InForce.Number
 	n.lastReadMillis = startMillis
 	n.recordConfirmed(startMillis)
@@ -117,7 +117,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.advanceClock()
-	n.grantor.Leads(group.IsLeader)
+	n.grantor.SetLeader(group.IsLeader)
 	n.collectGrantorRequests(&requests)
 	if p := n.proposal; p != nil && p.needsRead(n.lastReadMillis, group.Now) {
 		requests.ReadIndex = true
@@ -134,15 +134,15 @@
 // collectGrantorRequests adds what the grantor requests; the caller holds n.mu.
 func (n *RulesetNode) collectGrantorRequests(requests *Requests) {
 	for {
-		request, ok := n.grantor.Next()
-		if !ok || request.Kind == ruleset.Wake { // Poll comes again within a tick
+		request, ok := n.grantor.NextAction()
+		if !ok || request.Kind == ruleset.ActionWake { // Poll comes again within a tick
 			return
 		}
 		switch request.Kind {
-		case ruleset.Read:
+		case ruleset.ActionReadState:
 			requests.ReadIndex = true
-		case ruleset.Submit:
-			if raw, err := request.Entry.Bytes(); err == nil {
+		case ruleset.ActionSubmit:
+			if raw, err := request.Entry.Encode(); err == nil {
 				requests.Proposals = append(requests.Proposals, raw)
 			}
 		}
@@ -155,7 +155,7 @@
 	normalized := *rules // an empty list is encoded like none
 	normalized.Needs = nilIfEmpty(normalized.Needs)
 	normalized.Plans = nilIfEmpty(normalized.Plans)
-	normalized.Words = nilIfEmpty(normalized.Words)
+	normalized.WorkerOverrides = nilIfEmpty(normalized.WorkerOverrides)
 	raw, err := json.Marshal(normalized)
 	if err != nil {
 		return ""
--- a/internal/raftlog/ruleset_node.go
+++ b/internal/raftlog/ruleset_node.go
@@ -21,8 +21,8 @@
 )
 
 // RulesetNode is a daemon's part in the activation of rulesets: a Node, whose state machine is the
-// activation's (ruleset.Council); the leases of this host's gateway processes (ruleset.Steward); and the
-// daemon's own proposal. It is safe for concurrent use, and only Close waits.
+// activation's (ruleset.StateMachine); the leases of this host's gateway processes (ruleset.HostAgent); and
+// the daemon's own proposal. It is safe for concurrent use, and only Close waits.
 type RulesetNode struct {
 	*Node
 	log      zerolog.Logger
@@ -30,9 +30,9 @@
 	hostName string
 
 	mu             sync.Mutex // guards the fields below
-	activation     *ruleset.Council
-	grantor        *ruleset.Steward
-	discoveryLag   *ruleset.Lag
+	activation     *ruleset.StateMachine
+	grantor        *ruleset.HostAgent
+	discoveryLag   *ruleset.IndexLag
 	proposal       *pendingProposal
 	outcomes       []ProposalOutcome // of this daemon's proposals, the latest last
 	lastReadMillis float64           // when the last confirmed read began; negative: there was none
@@ -62,21 +62,22 @@
 		log:            log,
 		history:        recorder,
 		hostName:       config.HostName,
-		activation:     ruleset.NewCouncil(),
-		discoveryLag:   ruleset.NewLag(),
+		activation:     ruleset.NewStateMachine(),
+		discoveryLag:   ruleset.NewIndexLag(),
 		lastReadMillis: -1,
 		clients:        map[int]leaseClient{},
 		followers:      followerReports{hostSteps: map[string]uint64{}},
 		changed:        make(chan struct{}, 1),
 		confirmations:  make(chan struct{}, 1),
 	}
-	n.grantor = ruleset.NewSteward(config.HostName, n.activation)
+	n.grantor = ruleset.NewHostAgent(config.HostName, n.activation)
 	if rules != nil {
-		if err := ruleset.Check(rules); err != nil {
+		if err := ruleset.Validate(rules); err != nil {
 			return nil, err
 		}
-		n.proposal = &pendingProposal{id: newProposalID(config.HostName), act: ruleset.Propose, onlyAsFirst: true,
-			rules: rules, createdMillis: BootClockMillis()}
+		n.proposal = &pendingProposal{id: newProposalID(config.HostName), act: ruleset.EntryPropose,
+			onlyAsFirst: true,
+			rules:       rules, createdMillis: BootClockMillis()}
 	}
 	node, err := New(config, (*rulesetMachine)(n), log)
 	if err != nil {
@@ -100,7 +101,7 @@
 }
 
 // advanceClock sets the grantor's time; the caller holds n.mu.
-func (n *RulesetNode) advanceClock() { n.grantor.Clock(BootClockMillis()) }
+func (n *RulesetNode) advanceClock() { n.grantor.SetTime(BootClockMillis()) }
 
 // signal makes a channel of capacity 1 ready, and does not wait.
 func signal(channel chan<- struct{}) {
@@ -126,7 +127,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.advanceClock()
-	n.grantor.Began(pid, beforeDaemon)
+	n.grantor.ProcessStarted(pid, beforeDaemon)
 }
 
 // ProcessExited reports that a gateway process of this host has ended.
@@ -134,9 +135,9 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.advanceClock()
-	n.grantor.Ended(pid)
+	n.grantor.ProcessExited(pid)
 	if client, ok := n.clients[pid]; ok {
-		n.discoveryLag.Left(client.name)
+		n.discoveryLag.Remove(client.name)
 		delete(n.clients, pid)
 	}
 }
@@ -152,10 +153,10 @@
 	n.advanceClock()
 	n.clients[pid] = leaseClient{name, appliedStep, discoveryIndex, time.Now()}
 	if discoveryIndex >= 0 {
-		n.discoveryLag.Told(name, discoveryIndex, BootClockMillis())
+		n.discoveryLag.Report(name, discoveryIndex, BootClockMillis())
 	}
 	n.publishDiscoveryIndex()
-	return n.grantor.Asked(pid, appliedStep)
+	return n.grantor.GrantLease(pid, appliedStep)
 }
 
 // HighestDiscoveryIndex returns the highest index of the discovery list that any gateway process has
@@ -174,10 +175,10 @@
 // until it is accepted or rejected, or another one is proposed here. Rules that are in force already are
 // not proposed: they withdraw a version that is pending. An error says what is wrong with the rules.
 func (n *RulesetNode) Propose(rules *ruleset.Rules) (string, error) {
-	if err := ruleset.Check(rules); err != nil {
+	if err := ruleset.Validate(rules); err != nil {
 		return "", err
 	}
-	raw, err := ruleset.Entry{Act: ruleset.Propose, Rules: rules}.Bytes()
+	raw, err := ruleset.LogEntry{Type: ruleset.EntryPropose, Rules: rules}.Encode()
 	if err != nil {
 		return "", err
 	}
@@ -186,7 +187,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.proposal = &pendingProposal{id: newProposalID(n.hostName), act: ruleset.Propose, rules: rules,
+	n.proposal = &pendingProposal{id: newProposalID(n.hostName), act: ruleset.EntryPropose, rules: rules,
 		createdMillis: BootClockMillis()}
 	return n.proposal.id, nil
 }
--- a/internal/raftlog/server_test.go
+++ b/internal/raftlog/server_test.go
@@ -65,7 +65,7 @@
 	}
 	group.waitForOutcome(me, group.propose(me, 200)) // the group goes on
 	group.waitForVersion(2)
-	if _, err := me.Propose(&ruleset.Rules{Form: 2}); err == nil {
+	if _, err := me.Propose(&ruleset.Rules{Format: 2}); err == nil {
 		t.Error("rules of another form are proposed")
 	}
 	if err := me.Node.Propose(make([]byte, maxEntryBytes+1)); err == nil {
--- a/internal/raftlog/snapshot_test.go
+++ b/internal/raftlog/snapshot_test.go
@@ -30,7 +30,7 @@
 	group.waitForLeader()
 	many := func(rate float64) *ruleset.Rules {
 		r := testRules(rate)
-		r.Needs = []string{ruleset.ManyMembers}
+		r.Needs = []string{ruleset.FeatureManyMembers}
 		for i := len(r.Members); i < 7900; i++ {
 			r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprintf("g%04d", i),
 				Host: fmt.Sprintf("host-%04d", i), Peers: fmt.Sprintf("10.0.%d.%d:9000", i>>8, i&255)})
--- a/internal/raftlog/statemachine.go
+++ b/internal/raftlog/statemachine.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"willowdeck/internal/gateway/inflight"
+	"willowdeck/internal/bootclock"
 )
 
 // StateMachine gives the log's entries a meaning. The session's goroutine alone calls its methods, which must
@@ -43,4 +43,4 @@
 // BootClockMillis is the clock by which the age of reads is counted, in milliseconds since the machine's
 // boot. It goes on while the process is stalled and while the machine sleeps, as do the clocks of the
 // gateways that act on leases.
-func BootClockMillis() float64 { return float64(inflight.Boot()) / 1e6 }
+func BootClockMillis() float64 { return float64(bootclock.Nanos()) / 1e6 }
--- a/internal/raftlog/testgroup_test.go
+++ b/internal/raftlog/testgroup_test.go
@@ -213,11 +213,11 @@
 
 // testRules returns rules that differ by a rate, which never contradicts a fallback.
 func testRules(rate float64) *ruleset.Rules {
-	return &ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+	return &ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
 		Plans: []ruleset.Plan{{Name: "basic", Rate: rate, Burst: 10},
 			{Name: "capped", Rate: 100, Burst: 10, CeilingRate: 40, CeilingDepth: 20}},
 		Members:  []ruleset.Member{{Name: "g0", Host: "h0"}, {Name: "g1", Host: "h1"}, {Name: "g2", Host: "h2"}},
-		Fallback: ruleset.Fallback{Part: 0.5, For: 1000}}
+		Fallback: ruleset.Fallback{Fraction: 0.5, DurationMillis: 1000}}
 }
 
 // propose proposes testRules at a node, and returns the proposal's ID.
