--- a/internal/distribution/relay/root.go
+++ b/internal/distribution/relay/root.go
@@ -17,7 +17,7 @@
 type Quorum interface {
 	LastConfirmed() (raftlog.ConfirmedState, bool)
 	Confirmations() <-chan struct{}
-	RecordHostSteps(all []ruleset.HostAck, index int64)
+	RecordHostAcks(all []ruleset.HostAck, index int64)
 	HighestDiscoveryIndex() int64
 	RequestFrequentReads()
 }
@@ -47,7 +47,7 @@
 	r := &Root{name: name, cluster: cluster, log: log, quorum: q}
 	g, err := startServer(listen, rootMaxConnections, rootLeaseMillis, distribution.NewSource(name, cluster,
 		distribution.SourceConfig{FullStateBytesPerSecond: rootFullStateBytesPerSecond,
-			FullStateBurstBytes: rootFullStateBytesPerSecond, Incarnation: rand.Uint64()}), q.RecordHostSteps)
+			FullStateBurstBytes: rootFullStateBytesPerSecond, Incarnation: rand.Uint64()}), q.RecordHostAcks)
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := distribution.Snapshot{Step: w.Step, Settled: w.Settled, ReadStartMillis: w.ReadStartMillis,
+	v := distribution.Snapshot{Step: w.Step, Settled: w.TransitionComplete, ReadStartMillis: w.ReadStartMillis,
 		DiscoveryIndex: r.quorum.HighestDiscoveryIndex()}
 	if w.Step != r.snapshot.Step || r.rules == nil {
 		rules, err := r.stateOf(r.rules, &w.InForce)
--- a/internal/raftlog/activation_status.go
+++ b/internal/raftlog/activation_status.go
@@ -14,19 +14,19 @@
 
 // ActivationStatus is the activation of rulesets as this daemon sees it, for operators.
 type ActivationStatus struct {
-	Version          uint64                  `json:"version"`        // in force
-	Digest           string                  `json:"mark,omitempty"` // RulesDigest of it, the same at all daemons
-	Step             uint64                  `json:"step"`
-	Settled          bool                    `json:"settled"`
-	ReadAgeMillis    float64                 `json:"read_ms"` // of the last confirmed read; negative: none yet
-	PendingVersion   uint64                  `json:"pending,omitempty"`
-	PendingReason    string                  `json:"pending_waits,omitempty"`
-	HeldVersions     []uint64                `json:"held,omitempty"`   // that instances may still act on
-	WantedProposal   string                  `json:"wanted,omitempty"` // this daemon's unanswered one
-	ProposalOutcomes []ProposalOutcome       `json:"proposals,omitempty"`
-	CutOffInstances  map[string]float64      `json:"cut_off,omitempty"` // here: ms since their last request
-	Lags             []ruleset.LaggingMember `json:"lags,omitempty"`
-	HostSteps        map[string]uint64       `json:"seen,omitempty"`
+	Version            uint64                  `json:"version"`        // in force
+	Digest             string                  `json:"mark,omitempty"` // RulesDigest of it
+	Step               uint64                  `json:"step"`
+	TransitionComplete bool                    `json:"settled"`
+	ReadAgeMillis      float64                 `json:"read_ms"` // of the last confirmed read; negative: none yet
+	PendingVersion     uint64                  `json:"pending,omitempty"`
+	PendingReason      string                  `json:"pending_waits,omitempty"`
+	SupersededVersions []uint64                `json:"held,omitempty"`   // that instances may still act on
+	WantedProposal     string                  `json:"wanted,omitempty"` // this daemon's unanswered one
+	ProposalOutcomes   []ProposalOutcome       `json:"proposals,omitempty"`
+	CutOffInstances    map[string]float64      `json:"cut_off,omitempty"` // here: ms since their last request
+	LaggingMembers     []ruleset.LaggingMember `json:"lags,omitempty"`
+	AckedSteps         map[string]uint64       `json:"seen,omitempty"`
 }
 
 // ActivationStatus returns the activation of rulesets as this daemon sees it.
@@ -36,23 +36,23 @@
 	now := time.Now()
 	state := n.activation.State()
 	status := ActivationStatus{
-		Version:          state.InForce.Number,
-		Digest:           n.inForceDigest,
-		Step:             state.Step,
-		Settled:          state.TransitionComplete(),
-		ReadAgeMillis:    -1,
-		ProposalOutcomes: append([]ProposalOutcome(nil), n.outcomes...),
-		CutOffInstances:  map[string]float64{},
-		HostSteps:        map[string]uint64{},
+		Version:            state.InForce.Number,
+		Digest:             n.inForceDigest,
+		Step:               state.Step,
+		TransitionComplete: state.TransitionComplete(),
+		ReadAgeMillis:      -1,
+		ProposalOutcomes:   append([]ProposalOutcome(nil), n.outcomes...),
+		CutOffInstances:    map[string]float64{},
+		AckedSteps:         map[string]uint64{},
 	}
 	if n.lastReadMillis >= 0 {
 		status.ReadAgeMillis = BootClockMillis() - n.lastReadMillis
 	}
 	for _, held := range state.Superseded {
-		status.HeldVersions = append(status.HeldVersions, held.Number)
+		status.SupersededVersions = append(status.SupersededVersions, held.Number)
 	}
 	for host, step := range state.AckedSteps {
-		status.HostSteps[host] = step
+		status.AckedSteps[host] = step
 	}
 	if pending := state.Pending; pending != nil {
 		status.PendingVersion, status.PendingReason = pending.Version.Number, state.PendingReason()
@@ -68,7 +68,7 @@
 		}
 	}
 	n.recordPeerIndices()
-	status.Lags = n.discoveryLag.Lagging(BootClockMillis(), lagThresholdMillis)
+	status.LaggingMembers = n.discoveryLag.Lagging(BootClockMillis(), lagThresholdMillis)
 	return status
 }
 
--- a/internal/raftlog/activation_status_test.go
+++ b/internal/raftlog/activation_status_test.go
@@ -15,7 +15,7 @@
 	})
 	group.waitUntil("the lagging instance is listed", func() bool {
 		group.nodes["h0"].RenewLease(1, "g0", 0, 5)
-		for _, b := range group.nodes["h0"].ActivationStatus().Lags {
+		for _, b := range group.nodes["h0"].ActivationStatus().LaggingMembers {
 			if b.Name == "g0" && b.HighestIndex == 9 && b.LagMillis > lagThresholdMillis {
 				return true
 			}
@@ -23,7 +23,7 @@
 		return false
 	})
 	group.nodes["h0"].RenewLease(1, "g0", 0, 9)
-	for _, b := range group.nodes["h0"].ActivationStatus().Lags {
+	for _, b := range group.nodes["h0"].ActivationStatus().LaggingMembers {
 		if b.Name == "g0" {
 			t.Errorf("%+v, which has caught up", b)
 		}
--- a/internal/raftlog/disk_test.go
+++ b/internal/raftlog/disk_test.go
@@ -146,7 +146,7 @@
 }
 
 // Disks that take 300 ms for each write delay the activation, and no more. Guards against a session that is
-// kept from its inbound messages by repeated requests: it was so from 300 ms on, when the grantor repeats
+// kept from its inbound messages by repeated requests: it was so from 300 ms on, when the host agent repeats
 // what it has not seen applied.
 func TestSlowDisks(t *testing.T) {
 	t.Parallel()
--- a/internal/raftlog/followers_test.go
+++ b/internal/raftlog/followers_test.go
@@ -9,7 +9,7 @@
 
 // A pending version comes in force once all hosts without a vote have reported that they have applied its
 // step, and not before. Followers are given the state of the last confirmed read.
-func TestHostStepsActivateVersion(t *testing.T) {
+func TestHostAcksActivateVersion(t *testing.T) {
 	t.Parallel()
 	group := newTestGroup(t, 3)
 	group.startAllNodes()
@@ -38,7 +38,7 @@
 	if w.InForce.Number != 1 || w.Pending.Number != 2 || w.Pending.Rules.Plans[1].CeilingRate != 10 {
 		t.Fatalf("confirmed: %+v", w)
 	}
-	s.RecordHostSteps([]ruleset.HostAck{{Host: "x", Step: w.Step}, {Host: "nobody", Step: w.Step},
+	s.RecordHostAcks([]ruleset.HostAck{{Host: "x", Step: w.Step}, {Host: "nobody", Step: w.Step},
 		{Host: "y", Step: w.Step - 1}}, 7)
 	for end := time.Now().Add(700 * time.Millisecond); time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
@@ -46,11 +46,11 @@
 			t.Fatalf("in force without the word of host y: %+v", a)
 		}
 	}
-	if a := s.ActivationStatus(); a.HostSteps["x"] != w.Step || a.HostSteps["nobody"] != 0 {
-		t.Errorf("seen: %v at step %d", a.HostSteps, w.Step)
+	if a := s.ActivationStatus(); a.AckedSteps["x"] != w.Step || a.AckedSteps["nobody"] != 0 {
+		t.Errorf("seen: %v at step %d", a.AckedSteps, w.Step)
 	}
 	// A late report, and one of a step that is not confirmed yet, which counts as of the last one.
-	s.RecordHostSteps([]ruleset.HostAck{{Host: "x", Step: 1}, {Host: "y", Step: w.Step + 50}}, 3)
+	s.RecordHostAcks([]ruleset.HostAck{{Host: "x", Step: 1}, {Host: "y", Step: w.Step + 50}}, 3)
 	group.waitForVersion(2)
 	if s.HighestDiscoveryIndex() != 7 {
 		t.Errorf("the highest index is %d, of 7 and 3", s.HighestDiscoveryIndex())
--- a/internal/raftlog/golden_test.go
+++ b/internal/raftlog/golden_test.go
@@ -123,15 +123,15 @@
 }
 
 func goldenActivationStatus() ActivationStatus {
-	return ActivationStatus{Version: 7, Digest: "abc", Step: 41, Settled: true, ReadAgeMillis: 3.5,
-		PendingVersion: 8,
-		PendingReason:  "it waits",
-		HeldVersions:   []uint64{5, 6}, WantedProposal: "h1-a",
+	return ActivationStatus{Version: 7, Digest: "abc", Step: 41, TransitionComplete: true, ReadAgeMillis: 3.5,
+		PendingVersion:     8,
+		PendingReason:      "it waits",
+		SupersededVersions: []uint64{5, 6}, WantedProposal: "h1-a",
 		ProposalOutcomes: []ProposalOutcome{{ID: "h1-b", BaseVersion: 6, Version: 7, Rejection: "no",
-			WaitReason: "it waits too"}},
+			PendingReason: "it waits too"}},
 		CutOffInstances: map[string]float64{"gk1": 1200.5},
-		Lags:            []ruleset.LaggingMember{{Name: "gk2", Index: 5, HighestIndex: 9, LagMillis: 3100.5}},
-		HostSteps:       map[string]uint64{"h1": 40}}
+		LaggingMembers:  []ruleset.LaggingMember{{Name: "gk2", Index: 5, HighestIndex: 9, LagMillis: 3100.5}},
+		AckedSteps:      map[string]uint64{"h1": 40}}
 }
 
 // The forms at operators' ports.
@@ -309,7 +309,7 @@
 	s := opened.store
 	defer s.close()
 	seat := &RulesetNode{activation: ruleset.NewStateMachine(), changed: make(chan struct{}, 1)}
-	seat.grantor = ruleset.NewHostAgent(goldenName, seat.activation)
+	seat.hostAgent = ruleset.NewHostAgent(goldenName, seat.activation)
 	v := &session{node: &Node{stateMachine: (*rulesetMachine)(seat)}, store: s}
 	requireNoError(t, v.restoreFromStore())
 	requireEqual(t, "members", v.members, goldenSnapshotData(t).Members)
--- a/internal/raftlog/proposal.go
+++ b/internal/raftlog/proposal.go
@@ -14,7 +14,7 @@
 // pendingProposal is a proposal of this daemon that is not answered yet.
 type pendingProposal struct {
 	id              string
-	act             ruleset.EntryType
+	entryType       ruleset.EntryType
 	onlyAsFirst     bool // it is dropped if a version is in force already
 	rules           *ruleset.Rules
 	entry           []byte // encoded, once the base is known
@@ -26,11 +26,11 @@
 
 // ProposalOutcome is what became of a proposal of this daemon, for operators.
 type ProposalOutcome struct {
-	ID          string `json:"id"`
-	BaseVersion uint64 `json:"base"`              // the version in force that it was to follow
-	Version     uint64 `json:"number,omitempty"`  // the number that it was accepted as
-	Rejection   string `json:"refused,omitempty"` // why it was rejected
-	WaitReason  string `json:"waits,omitempty"`   // why it was accepted and is not in force at once
+	ID            string `json:"id"`
+	BaseVersion   uint64 `json:"base"`              // the version in force that it was to follow
+	Version       uint64 `json:"number,omitempty"`  // the number that it was accepted as
+	Rejection     string `json:"refused,omitempty"` // why it was rejected
+	PendingReason string `json:"waits,omitempty"`   // why it was accepted and is not in force at once
 }
 
 // sameRules tells whether two rulesets have the same JSON.
@@ -79,16 +79,16 @@
 			n.resolveProposal(ruleset.Outcome{Version: state.InForce.Number, Duplicate: true})
 			return false
 		}
-		p.act, p.rules = ruleset.EntryWithdraw, nil
+		p.entryType, p.rules = ruleset.EntryWithdraw, nil
 	}
 	p.baseVersion = state.InForce.Number
 	var err error
-	p.entry, err = (ruleset.LogEntry{Type: p.act, ID: p.id, Base: p.baseVersion, Rules: p.rules}).Encode()
+	p.entry, err = (ruleset.LogEntry{Type: p.entryType, ID: p.id, Base: p.baseVersion, Rules: p.rules}).Encode()
 	if err != nil {
 		n.resolveProposal(ruleset.Outcome{Rejection: err.Error()})
 		return false
 	}
-	if p.act == ruleset.EntryPropose {
+	if p.entryType == ruleset.EntryPropose {
 		n.recordEvent(history.Event{Kind: history.Wants, Version: p.baseVersion + 1, Base: p.baseVersion,
 			Txn: p.id})
 	}
@@ -99,7 +99,7 @@
 func (n *RulesetNode) resolveProposal(result ruleset.Outcome) {
 	p := n.proposal
 	outcome := ProposalOutcome{ID: p.id, BaseVersion: p.baseVersion, Version: result.Version,
-		Rejection: result.Rejection, WaitReason: result.PendingReason}
+		Rejection: result.Rejection, PendingReason: result.PendingReason}
 	if n.outcomes = append(n.outcomes, outcome); len(n.outcomes) > maxProposalOutcomes {
 		n.outcomes = n.outcomes[1:]
 	}
--- a/internal/raftlog/proposal_test.go
+++ b/internal/raftlog/proposal_test.go
@@ -70,7 +70,7 @@
 	group.nodes["h0"].ProcessStarted(1, true)
 	id, err := group.nodes["h1"].Propose(low)
 	requireNoError(t, err)
-	if h := group.waitForOutcome(group.nodes["h1"], id); h.Version != 4 || h.WaitReason == "" {
+	if h := group.waitForOutcome(group.nodes["h1"], id); h.Version != 4 || h.PendingReason == "" {
 		t.Errorf("%+v", h)
 	}
 	group.waitForOutcome(group.nodes["h2"], group.propose(group.nodes["h2"], 100))
--- a/internal/raftlog/ruleset_machine.go
+++ b/internal/raftlog/ruleset_machine.go
@@ -29,7 +29,7 @@
 		proposalID = pending.ProposalID
 	}
 	outcome := n.activation.Apply(entry)
-	n.grantor.EntriesApplied()
+	n.hostAgent.EntriesApplied()
 	if outcome.Activated > 0 && !outcome.Duplicate {
 		n.activated(outcome.Activated, proposalID)
 	}
@@ -71,7 +71,7 @@
 	if err := n.activation.Restore(data); err != nil {
 		return err
 	}
-	n.grantor.EntriesApplied()
+	n.hostAgent.EntriesApplied()
 	n.inForceDigest = ""
 	state := n.activation.State()
 	if state.InForce.Number > 0 {
@@ -97,13 +97,13 @@
 	}
 }
 
-// ReadConfirmed renews what leases may be granted on: the state applied here was the latest at startMillis.
+// ReadConfirmed renews what leases are granted on: the state applied here was the latest at startMillis.
 func (m *rulesetMachine) ReadConfirmed(startMillis float64) {
 	n := m.node()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.advanceClock()
-	n.grantor.ReadConfirmed(startMillis)
+	n.hostAgent.ReadConfirmed(startMillis)
 	version := n.activation.State().InForce.Number
 	n.lastReadMillis = startMillis
 	n.recordConfirmed(startMillis)
@@ -111,30 +111,30 @@
 		Age: BootClockMillis() - startMillis})
 }
 
-// Poll returns what the grantor, this daemon's proposal and the followers' reports request.
+// Poll returns what the host agent, this daemon's proposal and the followers' reports request.
 func (m *rulesetMachine) Poll(group GroupState) (requests Requests) {
 	n := m.node()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.advanceClock()
-	n.grantor.SetLeader(group.IsLeader)
-	n.collectGrantorRequests(&requests)
+	n.hostAgent.SetLeader(group.IsLeader)
+	n.collectAgentActions(&requests)
 	if p := n.proposal; p != nil && p.needsRead(n.lastReadMillis, group.Now) {
 		requests.ReadIndex = true
 	}
 	if entry := n.proposalEntry(group); entry != nil {
 		requests.Proposals = append(requests.Proposals, entry)
 	}
-	if entry := n.hostStepsEntry(group.Now); entry != nil {
+	if entry := n.hostAcksEntry(group.Now); entry != nil {
 		requests.Proposals = append(requests.Proposals, entry)
 	}
 	return requests
 }
 
-// collectGrantorRequests adds what the grantor requests; the caller holds n.mu.
-func (n *RulesetNode) collectGrantorRequests(requests *Requests) {
+// collectAgentActions adds what the host agent requests; the caller holds n.mu.
+func (n *RulesetNode) collectAgentActions(requests *Requests) {
 	for {
-		request, ok := n.grantor.NextAction()
+		request, ok := n.hostAgent.NextAction()
 		if !ok || request.Kind == ruleset.ActionWake { // Poll comes again within a tick
 			return
 		}
--- a/internal/raftlog/ruleset_node.go
+++ b/internal/raftlog/ruleset_node.go
@@ -31,7 +31,7 @@
 
 	mu             sync.Mutex // guards the fields below
 	activation     *ruleset.StateMachine
-	grantor        *ruleset.HostAgent
+	hostAgent      *ruleset.HostAgent
 	discoveryLag   *ruleset.IndexLag
 	proposal       *pendingProposal
 	outcomes       []ProposalOutcome // of this daemon's proposals, the latest last
@@ -66,16 +66,16 @@
 		discoveryLag:   ruleset.NewIndexLag(),
 		lastReadMillis: -1,
 		clients:        map[int]leaseClient{},
-		followers:      followerReports{hostSteps: map[string]uint64{}},
+		followers:      followerReports{ackedSteps: map[string]uint64{}},
 		changed:        make(chan struct{}, 1),
 		confirmations:  make(chan struct{}, 1),
 	}
-	n.grantor = ruleset.NewHostAgent(config.HostName, n.activation)
+	n.hostAgent = ruleset.NewHostAgent(config.HostName, n.activation)
 	if rules != nil {
 		if err := ruleset.Validate(rules); err != nil {
 			return nil, err
 		}
-		n.proposal = &pendingProposal{id: newProposalID(config.HostName), act: ruleset.EntryPropose,
+		n.proposal = &pendingProposal{id: newProposalID(config.HostName), entryType: ruleset.EntryPropose,
 			onlyAsFirst: true,
 			rules:       rules, createdMillis: BootClockMillis()}
 	}
@@ -100,8 +100,8 @@
 	}
 }
 
-// advanceClock sets the grantor's time; the caller holds n.mu.
-func (n *RulesetNode) advanceClock() { n.grantor.SetTime(BootClockMillis()) }
+// advanceClock sets the host agent's time; the caller holds n.mu.
+func (n *RulesetNode) advanceClock() { n.hostAgent.SetTime(BootClockMillis()) }
 
 // signal makes a channel of capacity 1 ready, and does not wait.
 func signal(channel chan<- struct{}) {
@@ -127,7 +127,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.advanceClock()
-	n.grantor.ProcessStarted(pid, beforeDaemon)
+	n.hostAgent.ProcessStarted(pid, beforeDaemon)
 }
 
 // ProcessExited reports that a gateway process of this host has ended.
@@ -135,7 +135,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.advanceClock()
-	n.grantor.ProcessExited(pid)
+	n.hostAgent.ProcessExited(pid)
 	if client, ok := n.clients[pid]; ok {
 		n.discoveryLag.Remove(client.name)
 		delete(n.clients, pid)
@@ -156,7 +156,7 @@
 		n.discoveryLag.Report(name, discoveryIndex, BootClockMillis())
 	}
 	n.publishDiscoveryIndex()
-	return n.grantor.GrantLease(pid, appliedStep)
+	return n.hostAgent.GrantLease(pid, appliedStep)
 }
 
 // HighestDiscoveryIndex returns the highest index of the discovery list that any gateway process has
@@ -187,7 +187,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.proposal = &pendingProposal{id: newProposalID(n.hostName), act: ruleset.EntryPropose, rules: rules,
+	n.proposal = &pendingProposal{id: newProposalID(n.hostName), entryType: ruleset.EntryPropose, rules: rules,
 		createdMillis: BootClockMillis()}
 	return n.proposal.id, nil
 }
--- a/internal/supervisor/council_hard_test.go
+++ b/internal/supervisor/council_hard_test.go
@@ -921,7 +921,7 @@
 			calm := func() { // eight that may be fallen back to are as many as the council lets come together
 				faultinject.Until(t, 10*time.Second, "no version before may be gone by", func() bool {
 					s, ok := a.hosts[0].sitting()
-					return ok && len(s.Rules.HeldVersions) == 0
+					return ok && len(s.Rules.SupersededVersions) == 0
 				})
 			}
 			for i := range 6 {
