--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -169,7 +169,7 @@
 }
 
 func (s *Source) delta(from, to *ruleset.StateSubset) *versioned.Delta {
-	key := markPair{from.Mark(), to.Mark()}
+	key := markPair{from.ID(), to.ID()}
 	d := s.deltas[key]
 	if d == nil {
 		d = to.DeltaFrom(from)
@@ -188,14 +188,14 @@
 	}
 	if p := s.previousSelections[in]; p != nil {
 		for _, o := range []*ruleset.StateSubset{p.rules, p.pending} {
-			if o.Mark() == m {
+			if o.ID() == m {
 				return o
 			}
 		}
 	}
 	for _, k := range s.versions {
 		if k.state.ID().Number == m.Number {
-			if p := k.portion(in); p.Mark() == m {
+			if p := k.portion(in); p.ID() == m {
 				return p
 			}
 		}
@@ -222,7 +222,7 @@
 	r.Depth, r.Step, r.Settled = s.snapshot.Depth, s.snapshot.Step, s.snapshot.Settled
 	r.AgeMillis, r.DiscoveryIndex = math.Max(now-s.snapshot.ReadStartMillis, 0),
 		max(s.snapshot.DiscoveryIndex, s.HighestDiscoveryIndex(now))
-	r.Rules, r.Pending = p.rules.Mark(), p.pending.Mark()
+	r.Rules, r.Pending = p.rules.ID(), p.pending.ID()
 	if r.Rules == a.Rules && (r.Pending.IsNone() || r.Pending == a.Pending) || a.RenewalOnly {
 		s.counts.Renewals++
 		return r, nil
--- a/internal/serving/control/sim_machine_test.go
+++ b/internal/serving/control/sim_machine_test.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	dataFolder    = "data"
-	workersFile   = "workers"
-	usualDisk     = 4 * time.Millisecond
-	slowDiskTime  = 120 * time.Millisecond
-	repairPause   = 100 * time.Millisecond
-	powerLossOps  = 6 // operations at most that a disk does between the last whole task and a loss of power
-	simHeartbeat  = 1200 * time.Millisecond
-	simCatchUp    = 4 * time.Second
-	simGrace      = 8 * time.Second
-	internalPort  = ":7660"
-	savedAfter    = 10 * time.Millisecond
-	restartPause  = 300 * time.Millisecond
-	foundingSeeds = 3
+	dataFolder                   = "data"
+	workersFile                  = "workers"
+	normalWriteTime              = 4 * time.Millisecond
+	slowWriteTime                = 120 * time.Millisecond
+	repairInterval               = 100 * time.Millisecond
+	maxOperationsBeforePowerLoss = 6 // operations of a disk between its last completed task and a power loss
+	simHeartbeat                 = 1200 * time.Millisecond
+	catchUpTimeout               = 4 * time.Second
+	shutdownGrace                = 8 * time.Second
+	internalPort                 = ":7660"
+	saveDelay                    = 10 * time.Millisecond
+	restartDelay                 = 300 * time.Millisecond
+	founderCount                 = 3
 )
 
 // machine is one core machine, with its disk.
 type machine struct {
-	world   *world
-	host    string
-	zone    int
-	files   *waltest.FileSystem
-	process *process // nil: down
-	life    int      // counted from 1
-	upAt    time.Duration
-	gone    bool // for good
-	seeds   []string
+	world       *world
+	host        string
+	zone        int
+	files       *waltest.FileSystem
+	process     *process // nil: down
+	incarnation int      // from 1
+	restartAt   time.Duration
+	removed     bool // it never restarts
+	seeds       []string
 
 	bootstrap    bool
 	frozenUntil  time.Duration
@@ -47,33 +47,33 @@
 	slowUntil    time.Duration
 	fullUntil    time.Duration
 
-	steady   time.Duration // for how long it has run and reached all others
-	diskLost bool          // its disk was lost and it has not had its time to catch up
-	caughtUp time.Duration // how much of that time it has had
+	healthyFor  time.Duration // for how long it has run and been able to reach all others
+	diskLost    bool          // and it has not had its time to catch up yet
+	catchUpTime time.Duration // that it has had
 }
 
-// process is one life of a core.
+// process is one incarnation of a core.
 type process struct {
-	machine  *machine
-	engine   *Engine
-	started  time.Duration
-	inbox    []func(e *Engine)
-	nextTick time.Duration
-	tasks    []simTask
-	running  []simTask
-	doneAt   time.Duration
-	repairs  bool
-	store    *wal.Store
-	leaving  bool
-	ends     func() // what happens when a leaving process stops
-	killAt   time.Duration
-	checked  uint64 // index of the log at which the state was looked at last
+	machine      *machine
+	engine       *Engine
+	started      time.Duration
+	inbox        []func(e *Engine)
+	nextTick     time.Duration
+	tasks        []simTask
+	running      []simTask
+	completeAt   time.Duration
+	repairing    bool
+	store        *wal.Store
+	shuttingDown bool
+	onStop       func() // called when a process that shuts down has stopped
+	killAt       time.Duration
+	checkedIndex uint64 // log index at which the state was last checked
 }
 
-// simTask is something for the disk.
+// simTask is a write of the disk.
 type simTask struct {
-	batch   consensus.Persist
-	rewrite *consensus.Stored
+	batch   consensus.WriteBatch
+	rewrite *consensus.DurableState
 	done    func()
 }
 
@@ -84,8 +84,8 @@
 	p.machine.world.network.send(p.machine.host, hostPart(address), envelope)
 }
 
-func (p *process) Write(batch consensus.Persist, done func()) {
-	if p.machine.world.planted.ackAtOnce {
+func (p *process) Write(batch consensus.WriteBatch, done func()) {
+	if p.machine.world.planted.ackBeforeSync {
 		p.tasks = append(p.tasks, simTask{batch: batch, done: func() {}})
 		p.post(func(*Engine) { done() })
 		return
@@ -93,7 +93,7 @@
 	p.tasks = append(p.tasks, simTask{batch: batch, done: done})
 }
 
-func (p *process) Rewrite(stored consensus.Stored, done func()) {
+func (p *process) Rewrite(stored consensus.DurableState, done func()) {
 	p.tasks = append(p.tasks, simTask{rewrite: &stored, done: done})
 }
 
@@ -108,10 +108,10 @@
 
 func hostPart(address string) string { return address[:len(address)-len(internalPort)] }
 
-// start begins a life.
+// start begins an incarnation.
 func (m *machine) start() {
 	w := m.world
-	m.life++
+	m.incarnation++
 	m.files.Restart()
 	var founders wal.InitialMembers
 	if m.bootstrap {
@@ -123,32 +123,33 @@
 	if w.planted.identity != nil {
 		fresh = w.planted.identity(m, fresh)
 	}
-	m.files.Full = false // a start on a full disk waits for it
+	m.files.Full = false // a start needs space
 	opened, err := wal.OpenReplica(m.files, dataFolder, consensus.FounderIdentity(m.host), founders, fresh)
 	if err != nil {
-		m.upAt = w.now + restartPause // the platform starts it again
+		m.restartAt = w.now + restartDelay // the platform restarts it
 		return
 	}
 	m.bootstrap = false
 	p := &process{machine: m, started: w.now, nextTick: w.now, store: opened.Store}
 	saved, _ := m.files.ReadFile(dataFolder + "/" + workersFile)
 	options := Options{
-		Identity: opened.Identity, Life: m.host + "/" + strconv.Itoa(m.life), Address: m.host + internalPort,
+		Identity: opened.Identity, Incarnation: m.host + "/" + strconv.Itoa(m.incarnation),
+		Address:   m.host + internalPort,
 		AddressOf: func(host string) string { return host + internalPort }, Zone: w.zoneName(m.zone),
-		Region: "r", Seeds: m.seeds, Consensus: w.consensusOptions(), HeartbeatEvery: simHeartbeat,
-		CatchUp: simCatchUp,
-		Grace:   simGrace, Clock: func() time.Duration { return w.now - p.started },
+		Region: "r", Seeds: m.seeds, Consensus: w.consensusOptions(), WorkerHeartbeatInterval: simHeartbeat,
+		CatchUpTimeout: catchUpTimeout,
+		ShutdownGrace:  shutdownGrace, Clock: func() time.Duration { return w.now - p.started },
 		Random: rand.New(rand.NewSource(w.random.Int63())), Logger: zap.NewNop(), SavedWorkers: saved,
 	}
 	p.engine, err = New(options, opened.State, p)
 	if err != nil {
-		w.problem("%s cannot start: %v", m.host, err)
+		w.violation("%s cannot start: %v", m.host, err)
 		return
 	}
 	m.process = p
 }
 
-// step plays the disk, and the process unless it stands still.
+// step simulates the disk, and the process unless it is frozen.
 func (m *machine) step() {
 	p := m.process
 	if p == nil {
@@ -168,14 +169,16 @@
 		p.nextTick = m.world.now + TickInterval
 		p.engine.Tick()
 	}
-	if m.process == p && p.leaving && (p.mayStop() || m.world.now >= p.killAt) {
-		ends := p.ends
+	if m.process == p && p.shuttingDown && (p.safeToStop() || m.world.now >= p.killAt) {
+		ends := p.onStop
 		m.kill(false, 0)
 		ends()
 	}
 }
 
-func (p *process) mayStop() bool { return p.machine.world.planted.stopAtOnce || p.engine.MayStop() }
+func (p *process) safeToStop() bool {
+	return p.machine.world.planted.stopImmediately || p.engine.SafeToStop()
+}
 
 // stepDisk begins and completes writes. Tasks that wait together are written together.
 func (m *machine) stepDisk() {
@@ -185,22 +188,22 @@
 	}
 	if len(p.running) == 0 && len(p.tasks) > 0 {
 		p.running, p.tasks = p.tasks, nil
-		took := usualDisk
+		duration := normalWriteTime
 		if m.slowUntil > w.now {
-			took = slowDiskTime
+			duration = slowWriteTime
 		}
-		p.doneAt = w.now + took
+		p.completeAt = w.now + duration
 	}
-	if len(p.running) == 0 || p.doneAt > w.now {
+	if len(p.running) == 0 || p.completeAt > w.now {
 		return
 	}
-	if m.carryOut() != nil {
-		p.repairs = true
-		p.doneAt = w.now + repairPause
+	if m.writeTasks() != nil {
+		p.repairing = true
+		p.completeAt = w.now + repairInterval
 		return
 	}
 	tasks := p.running
-	p.running, p.repairs = nil, false
+	p.running, p.repairing = nil, false
 	p.post(func(*Engine) {
 		for _, task := range tasks {
 			task.done()
@@ -208,13 +211,13 @@
 	})
 }
 
-// carryOut does what the disk has at hand, as the program's disk goroutine does.
-func (m *machine) carryOut() error {
+// writeTasks writes the tasks that are running, as the program's disk goroutine does.
+func (m *machine) writeTasks() error {
 	p := m.process
-	if p.repairs {
+	if p.repairing {
 		return p.store.Repair()
 	}
-	var batches []consensus.Persist
+	var batches []consensus.WriteBatch
 	var err error
 	for _, task := range p.running {
 		if task.rewrite == nil {
@@ -230,44 +233,44 @@
 	return err
 }
 
-// kill ends the process. power: what the disk has not synced is lost as well. The machine comes back after
-// down, or not before something starts it where that is 0.
-func (m *machine) kill(power bool, down time.Duration) {
-	if m.gone {
+// kill ends the process. With losePower the unsynced writes of the disk are lost as well. The machine
+// restarts after downtime; with 0 its restart time does not change.
+func (m *machine) kill(losePower bool, downtime time.Duration) {
+	if m.removed {
 		return
 	}
 	w := m.world
 	if p := m.process; p != nil {
-		m.files.CutPowerAfter(w.random.Intn(powerLossOps))
+		m.files.CutPowerAfter(w.random.Intn(maxOperationsBeforePowerLoss))
 		if len(p.running) > 0 {
-			m.carryOut()
+			m.writeTasks()
 		}
-		w.network.forget(m.host, power)
+		w.network.dropUnsent(m.host, losePower)
 	}
-	if power {
+	if losePower {
 		m.files.LosePower()
 	}
 	m.process = nil
 	m.frozenUntil = 0
-	if down > 0 {
-		m.upAt = max(m.upAt, w.now+down)
+	if downtime > 0 {
+		m.restartAt = max(m.restartAt, w.now+downtime)
 	}
 }
 
-// wipe takes the disk away.
-func (m *machine) wipe(down time.Duration) {
-	m.kill(true, down)
+// wipe loses the disk.
+func (m *machine) wipe(downtime time.Duration) {
+	m.kill(true, downtime)
 	m.files = waltest.New(m.world.random)
 	m.bootstrap = false
-	m.diskLost, m.caughtUp = true, 0
+	m.diskLost, m.catchUpTime = true, 0
 }
 
-// diskTrouble reports whether the disk does not take writes as it should.
-func (m *machine) diskTrouble() bool {
+// diskFaulty reports whether the disk is stalled, slow or full.
+func (m *machine) diskFaulty() bool {
 	return max(m.stalledUntil, m.slowUntil, m.fullUntil) > m.world.now
 }
 
-// up reports whether the machine runs and can speak.
+// up reports whether the machine runs, is not frozen and is not shutting down.
 func (m *machine) up() bool {
-	return m.process != nil && m.frozenUntil <= m.world.now && !m.process.leaving
+	return m.process != nil && m.frozenUntil <= m.world.now && !m.process.shuttingDown
 }
--- a/internal/serving/core/diskwriter.go
+++ b/internal/serving/core/diskwriter.go
@@ -15,9 +15,9 @@
 
 // diskTask is a write of the log.
 type diskTask struct {
-	batch   consensus.Persist
-	rewrite *consensus.Stored // the complete new content, instead of the batch
-	done    func()            // called on the core's goroutine once the write is durable
+	batch   consensus.WriteBatch
+	rewrite *consensus.DurableState // the complete new content, instead of the batch
+	done    func()                  // called on the core's goroutine once the write is durable
 }
 
 // diskWriter writes the log in order in a goroutine of its own, so that a slow disk does not block the
@@ -70,7 +70,7 @@
 
 // execute makes tasks durable and calls their functions done on the core's goroutine.
 func (d *diskWriter) execute(tasks []diskTask, stop <-chan struct{}) {
-	var batches []consensus.Persist
+	var batches []consensus.WriteBatch
 	for _, task := range tasks {
 		if task.rewrite == nil {
 			batches = append(batches, task.batch)
--- a/internal/serving/wal/segment.go
+++ b/internal/serving/wal/segment.go
@@ -57,7 +57,7 @@
 
 // readSegment replays the segment at path up to a torn write. usable is false where not even its first frame
 // is valid: the power failed while the segment was created, and the previous one is still in force.
-func readSegment(fsys FileSystem, path string) (state consensus.Stored, usable bool, err error) {
+func readSegment(fsys FileSystem, path string) (state consensus.DurableState, usable bool, err error) {
 	data, err := fsys.ReadFile(path)
 	if err != nil {
 		return state, false, errors.Wrapf(err, "cannot read %s: check the disk", path)
@@ -80,13 +80,13 @@
 }
 
 // replayFrame applies the batches of one frame to state.
-func replayFrame(state *consensus.Stored, payload []byte) error {
+func replayFrame(state *consensus.DurableState, payload []byte) error {
 	var frame wirepb.LogFrame
 	if err := proto.Unmarshal(payload, &frame); err != nil {
 		return err
 	}
 	for _, part := range frame.Parts {
-		batch := consensus.Persist{Snapshot: part.Snapshot, HardState: part.HardState, Entries: part.Entries}
+		batch := consensus.WriteBatch{Snapshot: part.Snapshot, HardState: part.HardState, Entries: part.Entries}
 		if err := state.Apply(batch); err != nil {
 			return err
 		}
@@ -95,7 +95,7 @@
 }
 
 // encodeFrame returns the frame that contains batches. It is replayed completely or not at all.
-func encodeFrame(batches []consensus.Persist) ([]byte, error) {
+func encodeFrame(batches []consensus.WriteBatch) ([]byte, error) {
 	var frame wirepb.LogFrame
 	for _, batch := range batches {
 		frame.Parts = append(frame.Parts, &wirepb.LogPart{
