--- a/internal/supervisor/cluster_fault_test.go
+++ b/internal/supervisor/cluster_fault_test.go
@@ -962,7 +962,7 @@
 			waitNoPreviousVersion := func() { // the leader admits eight versions that instances may fall back to
 				faultinject.Until(t, 10*time.Second, "an earlier version may still be applied", func() bool {
 					s, ok := c.hosts[0].councilStatus()
-					return ok && len(s.Rules.HeldVersions) == 0
+					return ok && len(s.Rules.SupersededVersions) == 0
 				})
 			}
 			for i := range 6 {
