--- a/internal/ruleset/rulefile/rulefile.go
+++ b/internal/ruleset/rulefile/rulefile.go
@@ -1,4 +1,5 @@
-// Package rulefile is the one file form of the rules that gatekeepers agree on.
+// Package rulefile reads and writes the rules that gatekeepers agree on as TOML, the only file form of them.
+// It owns no state; it does no I/O but to read the file that Read names.
 package rulefile
 
 import (
@@ -12,24 +13,25 @@
 	"willowdeck/internal/strictoml"
 )
 
-// What a file need not name.
+// The values of keys that a file leaves out, and the bound of its size.
 const (
-	DefaultLeaseMillis      = 1000.0  // ms: with the step and drift it keeps a bound well under two seconds
-	DefaultFallbackFraction = 0.5     // of a ceiling's part: ceilings may be halved at once, whoever is cut off
-	DefaultFallbackMillis   = 10000.0 // ms: longer than a daemon's restart or a new leader takes
-	MaxFileBytes            = 4 << 20 // bytes of a file; the longest rules that pass ruleset.Check fit
-	millisPerSecond         = 1000.0  // ms in one
+	// with the write delay and drift it stays well under DefaultConflictBoundMillis
+	DefaultLeaseMillis      = 1000.0
+	DefaultFallbackFraction = 0.5     // so that a rate limit may be halved at once, whoever is on its fallback
+	DefaultFallbackMillis   = 10000.0 // longer than a daemon's restart or an election takes
+	MaxFileBytes            = 4 << 20 // the longest rules that pass ruleset.Validate fit
+	millisPerSecond         = 1000.0
 )
 
-// file is the rules as their file says them.
+// rulesTOML is the rules file. Its keys are the operators'.
 type rulesTOML struct {
-	Format   int      `toml:"form"`
-	Needs    []string `toml:"needs"`
-	LeaseMS  float64  `toml:"lease_ms"`
-	BoundMS  float64  `toml:"bound_ms"`
-	Fallback struct {
-		Part  float64 `toml:"part"`
-		ForMS float64 `toml:"for_ms"`
+	Format              int      `toml:"form"`
+	Needs               []string `toml:"needs"`
+	LeaseMillis         float64  `toml:"lease_ms"`
+	ConflictBoundMillis float64  `toml:"bound_ms"`
+	Fallback            struct {
+		Fraction       float64 `toml:"part"`
+		DurationMillis float64 `toml:"for_ms"`
 	} `toml:"fallback"`
 	Plans           []planTOML     `toml:"plans"`
 	Members         []memberTOML   `toml:"members"`
@@ -37,13 +39,13 @@
 }
 
 type planTOML struct {
-	Name         string  `toml:"name"`
-	Rate         float64 `toml:"rate"`
-	Burst        float64 `toml:"burst"`
-	CeilingRate  float64 `toml:"ceiling_rate"`
-	CeilingDepth float64 `toml:"ceiling_depth"`
-	CreditS      float64 `toml:"credit_s"`
-	RepayS       float64 `toml:"repay_s"`
+	Name          string  `toml:"name"`
+	Rate          float64 `toml:"rate"`
+	Burst         float64 `toml:"burst"`
+	CeilingRate   float64 `toml:"ceiling_rate"`
+	CeilingDepth  float64 `toml:"ceiling_depth"`
+	CreditSeconds float64 `toml:"credit_s"`
+	RepaySeconds  float64 `toml:"repay_s"`
 }
 
 type memberTOML struct {
@@ -73,25 +75,30 @@
 	return rules, nil
 }
 
-// Decode takes rules from a file's text. An error names the line or the key.
+// Decode reads and checks rules from a file's text. An error names the line or the key.
 func Decode(text string) (ruleset.Rules, error) {
 	if len(text) > MaxFileBytes {
 		return ruleset.Rules{}, fmt.Errorf("%d bytes are more than %d", len(text), MaxFileBytes)
 	}
-	parsed := rulesTOML{Format: ruleset.SupportedFormat, LeaseMS: DefaultLeaseMillis,
-		BoundMS: ruleset.DefaultConflictBoundMillis}
-	parsed.Fallback.Part, parsed.Fallback.ForMS = DefaultFallbackFraction, DefaultFallbackMillis
+	parsed := rulesTOML{Format: ruleset.SupportedFormat, LeaseMillis: DefaultLeaseMillis,
+		ConflictBoundMillis: ruleset.DefaultConflictBoundMillis}
+	parsed.Fallback.Fraction, parsed.Fallback.DurationMillis = DefaultFallbackFraction, DefaultFallbackMillis
 	if err := strictoml.Decode(text, &parsed); err != nil {
 		return ruleset.Rules{}, err
 	}
-	rules := ruleset.Rules{Format: parsed.Format, Needs: parsed.Needs, LeaseMillis: parsed.LeaseMS,
-		ConflictBoundMillis: parsed.BoundMS,
-		Fallback: ruleset.Fallback{Fraction: parsed.Fallback.Part,
-			DurationMillis: parsed.Fallback.ForMS}}
+	rules := ruleset.Rules{
+		Format:              parsed.Format,
+		Needs:               parsed.Needs,
+		Fallback:            ruleset.Fallback(parsed.Fallback),
+		LeaseMillis:         parsed.LeaseMillis,
+		ConflictBoundMillis: parsed.ConflictBoundMillis,
+	}
 	for _, plan := range parsed.Plans {
-		rules.Plans = append(rules.Plans, ruleset.Plan{Name: plan.Name, Rate: plan.Rate, Burst: plan.Burst,
-			CeilingRate: plan.CeilingRate, CeilingDepth: plan.CeilingDepth, CreditSeconds: plan.CreditS,
-			RepayMillis: plan.RepayS * millisPerSecond})
+		rules.Plans = append(rules.Plans, ruleset.Plan{
+			Name: plan.Name, Rate: plan.Rate, Burst: plan.Burst, CeilingRate: plan.CeilingRate,
+			CeilingDepth: plan.CeilingDepth, CreditSeconds: plan.CreditSeconds,
+			RepayMillis: plan.RepaySeconds * millisPerSecond,
+		})
 	}
 	for _, member := range parsed.Members {
 		rules.Members = append(rules.Members, ruleset.Member(member))
@@ -105,15 +112,18 @@
 	return rules, nil
 }
 
-// Encode is rules as a file's text, which Decode takes: for operators that change what is in force.
+// Encode writes rules as a file's text, which Decode reads: operators start from it to change what is in
+// force.
 func Encode(rules *ruleset.Rules) (string, error) {
-	file := rulesTOML{Format: rules.Format, Needs: rules.Needs, LeaseMS: rules.LeaseMillis,
-		BoundMS: rules.ConflictBoundMillis}
-	file.Fallback.Part, file.Fallback.ForMS = rules.Fallback.Fraction, rules.Fallback.DurationMillis
+	file := rulesTOML{Format: rules.Format, Needs: rules.Needs, LeaseMillis: rules.LeaseMillis,
+		ConflictBoundMillis: rules.ConflictBoundMillis}
+	file.Fallback.Fraction, file.Fallback.DurationMillis = rules.Fallback.Fraction, rules.Fallback.DurationMillis
 	for _, plan := range rules.Plans {
-		file.Plans = append(file.Plans, planTOML{plan.Name, plan.Rate, plan.Burst, plan.CeilingRate,
-			plan.CeilingDepth, plan.CreditSeconds,
-			plan.RepayMillis / millisPerSecond})
+		file.Plans = append(file.Plans, planTOML{
+			Name: plan.Name, Rate: plan.Rate, Burst: plan.Burst, CeilingRate: plan.CeilingRate,
+			CeilingDepth: plan.CeilingDepth, CreditSeconds: plan.CreditSeconds,
+			RepaySeconds: plan.RepayMillis / millisPerSecond,
+		})
 	}
 	for _, member := range rules.Members {
 		file.Members = append(file.Members, memberTOML(member))
--- a/internal/serving/control/sim_edges_test.go
+++ b/internal/serving/control/sim_edges_test.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	feedInterval = 100 * time.Millisecond
-	linkSilence  = 1300 * time.Millisecond
-	calmContact  = 5 * time.Second // after trouble, until what is promised to machines in touch holds
-	simConfig    = 3 * time.Second // until a configuration is in force at machines in touch
-	simDrain     = 3 * time.Second // until nothing is sent to a worker that is leaving
+	watchInterval         = 100 * time.Millisecond
+	linkTimeout           = 1300 * time.Millisecond
+	settlingAfterFault    = 5 * time.Second // after a fault, until the guarantees to machines in sync hold
+	configurationDeadline = 3 * time.Second // until a configuration is in force at edges in sync
+	drainDeadline         = 3 * time.Second // until nothing is sent to a worker that has departed
 )
 
-// simEdge is an edge machine: a copy of the core's state, fed by a core.
+// simEdge is an edge machine: a replica of the core's state that follows a core.
 type simEdge struct {
-	world      *world
-	name       string
-	mirror     *stateview.Store
-	started    time.Duration
-	downUntil  time.Duration
-	core       *machine
-	coreLife   int
-	link       *EdgeLink
-	order      uint64
-	heard      time.Duration
-	nextFeed   time.Duration
-	generation uint64 // the newest that this life has seen
+	world           *world
+	name            string
+	stateView       *stateview.Store
+	started         time.Duration
+	downUntil       time.Duration
+	core            *machine
+	coreIncarnation int
+	link            *EdgeLink
+	order           uint64
+	lastContact     time.Duration
+	nextPull        time.Duration
+	generation      uint64 // newest one that this incarnation has seen
 }
 
 func newSimEdge(w *world, i int) *simEdge {
@@ -39,47 +39,47 @@
 	return e
 }
 
-// restart begins a life that knows nothing.
+// restart begins an incarnation without any state.
 func (e *simEdge) restart(down time.Duration) {
 	e.downUntil = e.world.now + down
 	e.started = e.downUntil
-	e.mirror = stateview.New("", func() time.Duration { return e.world.now - e.started })
+	e.stateView = stateview.New("", func() time.Duration { return e.world.now - e.started })
 	e.core = nil
 	e.generation = 0
 }
 
 func (e *simEdge) step() {
 	w := e.world
-	if w.now < e.downUntil || w.now < e.nextFeed {
+	if w.now < e.downUntil || w.now < e.nextPull {
 		return
 	}
-	e.nextFeed = w.now + feedInterval
+	e.nextPull = w.now + watchInterval
 	if e.core == nil {
 		e.connect()
 	}
 	if e.core == nil {
 		return
 	}
-	if e.core.process == nil || e.core.life != e.coreLife || w.now-e.heard > linkSilence {
+	if e.core.process == nil || e.core.incarnation != e.coreIncarnation || w.now-e.lastContact > linkTimeout {
 		e.disconnect()
 		return
 	}
 	if e.core.frozenUntil > w.now || !w.network.reaches(e.name, e.core.host) {
 		return
 	}
-	e.heard = w.now
+	e.lastContact = w.now
 	e.pull()
 	e.check()
 }
 
-// connect links to a core that can be reached.
+// connect links the edge to a random core if that can be reached.
 func (e *simEdge) connect() {
-	present := e.world.present()
+	present := e.world.presentMachines()
 	m := present[e.world.random.Intn(len(present))]
 	if !m.up() || !e.world.network.reaches(e.name, m.host) {
 		return
 	}
-	e.core, e.coreLife, e.heard = m, m.life, e.world.now
+	e.core, e.coreIncarnation, e.lastContact = m, m.incarnation, e.world.now
 	e.link = &EdgeLink{}
 	e.order += 10
 	edge := &wirepb.Edge{Name: e.name, Address: e.name + ":80", Ready: true}
@@ -89,43 +89,43 @@
 }
 
 func (e *simEdge) disconnect() {
-	if p := e.core.process; p != nil && e.core.life == e.coreLife {
+	if p := e.core.process; p != nil && e.core.incarnation == e.coreIncarnation {
 		link := e.link
 		p.post(func(engine *Engine) { engine.UnlinkEdge(link) })
 	}
 	e.core = nil
 }
 
-// pull takes what is missing.
+// pull applies the updates that the edge lacks.
 func (e *simEdge) pull() {
-	update, _ := e.core.process.engine.Mirror().UpdateSince(e.mirror.Position())
-	e.mirror.Apply(update)
+	update, _ := e.core.process.engine.StateView().UpdateSince(e.stateView.Position())
+	e.stateView.Apply(update)
 }
 
-// check looks that versions never go back in one life, and that what was acknowledged holds at an edge in
-// touch.
+// check checks that versions never decrease in one incarnation, and that an edge in sync has what was
+// acknowledged.
 func (e *simEdge) check() {
 	w := e.world
-	view := e.mirror.Snapshot()
+	view := e.stateView.Snapshot()
 	generation := uint64(0)
 	if view.Document != nil {
 		generation = view.Document.Generation
 	}
 	if generation < e.generation {
-		w.problem("%s went back from version %d to %d", e.name, e.generation, generation)
+		w.violation("%s decreased its version from %d to %d", e.name, e.generation, generation)
 	}
 	e.generation = generation
-	if !w.callers.possible(generation) {
-		w.problem("%s has version %d, which was never sent or was refused", e.name, generation)
+	if !w.clients.wasSent(generation) {
+		w.violation("%s has version %d, which was never sent or was rejected", e.name, generation)
 	}
 	if !view.QuorumContact {
 		return
 	}
 	e.checkLiveWorkers()
-	if due := w.callers.dueVersion(w.now - simConfig); generation < due {
-		w.problem("%s is in touch with version %d long after %d was acknowledged", e.name, generation, due)
+	if due := w.clients.acknowledgedVersion(w.now - configurationDeadline); generation < due {
+		w.violation("%s is in sync with version %d long after %d was acknowledged", e.name, generation, due)
 	}
-	if w.now-w.lastTrouble < calmContact || w.now-e.started < calmContact {
+	if w.now-w.lastFaultAt < settlingAfterFault || w.now-e.started < settlingAfterFault {
 		return
 	}
 	e.checkWorkers(view)
@@ -138,19 +138,19 @@
 		if worker == nil || entry.Record.Deleted || worker.Draining {
 			continue
 		}
-		if at, leaving := w.callers.departures[worker.InstanceId]; leaving && w.now-at > simDrain {
-			w.problem("%s still uses %s, whose leaving was acknowledged at %v", e.name, worker.InstanceId, at)
+		if at, leaving := w.clients.departures[worker.InstanceId]; leaving && w.now-at > drainDeadline {
+			w.violation("%s still uses %s, whose departure was acknowledged at %v", e.name, worker.InstanceId, at)
 		}
 	}
 }
 
-// checkLiveWorkers looks that no worker is dropped which lives and is answered by some core.
+// checkLiveWorkers checks that no worker is deleted that is alive and acknowledged by some core.
 func (e *simEdge) checkLiveWorkers() {
 	w := e.world
-	for _, worker := range w.callers.workers {
-		held := e.mirror.Get(catalog.WorkerKey(worker.name()))
-		if held != nil && held.Record.Deleted && worker.steady() {
-			w.problem("%s has dropped %s, which is alive and was answered all the while", e.name, worker.name())
+	for _, worker := range w.clients.workers {
+		held := e.stateView.Get(catalog.WorkerKey(worker.name()))
+		if held != nil && held.Record.Deleted && worker.continuouslyAnswered() {
+			w.violation("%s has dropped %s, which is alive and was acknowledged all the time", e.name, worker.name())
 		}
 	}
 }
--- a/internal/serving/control/sim_test.go
+++ b/internal/serving/control/sim_test.go
@@ -14,20 +14,20 @@
 
 // The long form: go test ./internal/serving/control -run TestSchedules -args -schedules 100000 -first 0
 var (
-	scheduleCount = flag.Int("schedules", 320, "schedules to play, shared out over the shapes")
+	scheduleCount = flag.Int("schedules", 320, "number of schedules to run, over all shapes")
 	firstSeed     = flag.Int64("first", 0, "seed of the first schedule")
 )
 
 const keptSchedules = "testdata/schedules.json"
 
-// keptSchedule is one that failed once, cut down.
+// keptSchedule is a minimized schedule that failed once.
 type keptSchedule struct {
-	Name     string    `json:"name"`
-	Seed     int64     `json:"seed"`
-	Schedule []trouble `json:"schedule"`
+	Name     string       `json:"name"`
+	Seed     int64        `json:"seed"`
+	Schedule []faultEvent `json:"schedule"`
 }
 
-// TestKeptSchedules plays the schedules that failed once, with the luck they had then and with others'.
+// TestKeptSchedules runs the schedules that failed once, with the seed of the failure and with others.
 func TestKeptSchedules(t *testing.T) {
 	text, err := os.ReadFile(keptSchedules)
 	if err != nil {
@@ -43,7 +43,7 @@
 			for luck := range int64(4) {
 				seed := k.Seed + luck*int64(len(shapes)) // of the same shape
 				s, _ := drawRun(seed)
-				if problems := play(seed, s, k.Schedule, plant{}); len(problems) > 0 {
+				if problems := runSchedule(seed, s, k.Schedule, plantedFault{}); len(problems) > 0 {
 					t.Errorf("seed %d: %s", seed, strings.Join(problems, "\n"))
 				}
 			}
@@ -51,13 +51,13 @@
 	}
 }
 
-// traceSeed prints what happens in one schedule, for whoever looks for a cause.
+// Flags of TestTrace.
 var (
-	traceSeed = flag.Int64("trace", -1, "seed of the schedule of which each half second is printed")
-	traced    = flag.String("troubles", "", "its troubles, as JSON; empty: those drawn")
+	traceSeed   = flag.Int64("trace", -1, "seed of the schedule of which each half second is printed")
+	traceFaults = flag.String("troubles", "", "its faults, as JSON; empty: those drawn")
 )
 
-const shards = 8
+const shardCount = 8
 
 var shapes = []shape{
 	{cores: 3, tolerated: 1, edges: 2},
@@ -66,19 +66,19 @@
 	{cores: 5, tolerated: 2, edges: 2, large: true},
 }
 
-// drawRun returns the shape and the troubles of a seed.
-func drawRun(seed int64) (shape, []trouble) {
+// drawRun returns the shape and the faults of a seed.
+func drawRun(seed int64) (shape, []faultEvent) {
 	return shapes[seed%int64(len(shapes))], drawSchedule(rand.New(rand.NewSource(seed)))
 }
 
 func TestSchedules(t *testing.T) {
-	for shard := range int64(shards) {
+	for shard := range int64(shardCount) {
 		t.Run(strconv.FormatInt(shard, 10), func(t *testing.T) {
 			t.Parallel()
-			for seed := *firstSeed + shard; seed < *firstSeed+int64(*scheduleCount); seed += shards {
+			for seed := *firstSeed + shard; seed < *firstSeed+int64(*scheduleCount); seed += shardCount {
 				s, schedule := drawRun(seed)
-				if problems := play(seed, s, schedule, plant{}); len(problems) > 0 {
-					t.Errorf("seed %d: %s\n%s", seed, strings.Join(problems, "\n"), reduced(seed, s, schedule))
+				if problems := runSchedule(seed, s, schedule, plantedFault{}); len(problems) > 0 {
+					t.Errorf("seed %d: %s\n%s", seed, strings.Join(problems, "\n"), minimize(seed, s, schedule))
 					return
 				}
 			}
@@ -86,19 +86,19 @@
 	}
 }
 
-// TestTrace plays the schedule that -trace names, and prints its course.
+// TestTrace runs the schedule of -trace and logs the state of all machines twice a second.
 func TestTrace(t *testing.T) {
 	if *traceSeed < 0 {
 		t.Skip("no -trace")
 	}
 	s, schedule := drawRun(*traceSeed)
-	if *traced != "" {
-		if err := json.Unmarshal([]byte(*traced), &schedule); err != nil {
+	if *traceFaults != "" {
+		if err := json.Unmarshal([]byte(*traceFaults), &schedule); err != nil {
 			t.Fatal(err)
 		}
 	}
 	next := time.Duration(0)
-	problems := play(*traceSeed, s, schedule, plant{afterStep: func(w *world) {
+	problems := runSchedule(*traceSeed, s, schedule, plantedFault{afterStep: func(w *world) {
 		if w.now < next {
 			return
 		}
@@ -108,29 +108,29 @@
 	t.Log(strings.Join(problems, "\n"))
 }
 
-// describe tells the state of each machine in a line.
+// describe returns the state of each machine in a line.
 func (w *world) describe() string {
 	text := fmt.Sprintf("%v lost %d:", w.now, w.disksLost())
-	for _, m := range w.present() {
-		switch {
-		case m.process == nil:
+	for _, m := range w.presentMachines() {
+		if m.process == nil {
 			text += fmt.Sprintf(" [%s down]", m.host)
-		default:
-			e := m.process.engine
-			text += fmt.Sprintf(" [%s role %v term %d leader %s members %v index %d lost %v frozen %v leaving %v]",
-				e.options.Identity[5:14], e.node.InTouch(), e.node.Term(), e.node.Leader(), e.node.Members(),
-				e.node.Applied(), m.diskLost, m.frozenUntil > w.now, m.process.leaving)
+			continue
 		}
+		e := m.process.engine
+		text += fmt.Sprintf(
+			" [%s in sync %v term %d leader %s voters %v index %d lost %v frozen %v shutting down %v]",
+			e.options.Identity[5:14], e.node.InSync(), e.node.Term(), e.node.Leader(), e.node.Voters(),
+			e.node.Applied(), m.diskLost, m.frozenUntil > w.now, m.process.shuttingDown)
 	}
 	return text
 }
 
-// reduced leaves out troubles for as long as what is left still fails, and returns it as text.
-func reduced(seed int64, s shape, schedule []trouble) string {
+// minimize removes faults from a schedule for as long as the rest still fails, and returns it as text.
+func minimize(seed int64, s shape, schedule []faultEvent) string {
 	for i := 0; i < len(schedule); {
-		shorter := append(append([]trouble(nil), schedule[:i]...), schedule[i+1:]...)
-		if len(play(seed, s, shorter, plant{})) > 0 {
-			schedule = shorter
+		candidate := append(append([]faultEvent(nil), schedule[:i]...), schedule[i+1:]...)
+		if len(runSchedule(seed, s, candidate, plantedFault{})) > 0 {
+			schedule = candidate
 			i = 0
 			continue
 		}
--- a/internal/serving/core/core.go
+++ b/internal/serving/core/core.go
@@ -80,11 +80,11 @@
 	}
 	c.diskWriter = newDiskWriter(opened.Store, c.events)
 	options := control.Options{
-		Identity: opened.Identity, Life: config.NodeName + "/" + randomTag(),
+		Identity: opened.Identity, Incarnation: config.NodeName + "/" + randomTag(),
 		Address: c.internalAddress, AddressOf: c.peerAddress, Zone: config.Zone, Region: config.Region,
-		Seeds: hostsOf(config.Seeds), Consensus: consensus.Options{Seats: voterCount(config)},
-		HeartbeatEvery: config.HeartbeatInterval,
-		CatchUp:        config.Bounds.CatchUpTimeout, Grace: config.Bounds.GracePeriod,
+		Seeds: hostsOf(config.Seeds), Consensus: consensus.Options{Voters: voterCount(config)},
+		WorkerHeartbeatInterval: config.HeartbeatInterval,
+		CatchUpTimeout:          config.Bounds.CatchUpTimeout, ShutdownGrace: config.Bounds.GracePeriod,
 		Clock:  func() time.Duration { return time.Since(c.started) },
 		Random: mathrand.New(mathrand.NewSource(randomSeed())), Logger: logger,
 		SavedWorkers: loadSavedWorkers(config.DataDir),
@@ -160,7 +160,7 @@
 	ticker := time.NewTicker(control.TickInterval)
 	defer ticker.Stop()
 	stopping := false
-	for !stopping || !c.engine.MayStop() {
+	for !stopping || !c.engine.SafeToStop() {
 		select {
 		case event := <-c.events:
 			event()
@@ -172,7 +172,7 @@
 				break
 			}
 			stopping = true
-			c.engine.Leave()
+			c.engine.BeginShutdown()
 		}
 	}
 	close(c.stop) // ends the streams to agents, so that they connect to another core
--- a/internal/serving/wal/log.go
+++ b/internal/serving/wal/log.go
@@ -27,7 +27,7 @@
 
 // Open replays the newest usable segment in dir. exists is false where there is no segment. The log accepts
 // Append only after Rewrite: a segment from before a restart is never written again.
-func Open(fsys FileSystem, dir string) (log *Log, state consensus.Stored, exists bool, err error) {
+func Open(fsys FileSystem, dir string) (log *Log, state consensus.DurableState, exists bool, err error) {
 	log = &Log{fsys: fsys, dir: dir}
 	numbers, err := segmentNumbers(fsys, dir)
 	if err != nil {
@@ -56,7 +56,7 @@
 func (l *Log) Healthy() bool { return l.file != nil }
 
 // Append writes batches as one frame and syncs it. After an error the segment is not written again.
-func (l *Log) Append(batches []consensus.Persist) error {
+func (l *Log) Append(batches []consensus.WriteBatch) error {
 	if l.file == nil {
 		return errSegmentFailed
 	}
@@ -87,7 +87,7 @@
 }
 
 // Rewrite begins a new segment that contains exactly state, and removes the older ones once it is durable.
-func (l *Log) Rewrite(state consensus.Stored) error {
+func (l *Log) Rewrite(state consensus.DurableState) error {
 	if l.file != nil {
 		l.closeSegment()
 	}
@@ -99,8 +99,8 @@
 	if hardState == nil {
 		hardState = &wirepb.HardState{}
 	}
-	batch := consensus.Persist{Snapshot: snapshot, HardState: hardState, Entries: state.Entries}
-	buffer, err := encodeFrame([]consensus.Persist{batch})
+	batch := consensus.WriteBatch{Snapshot: snapshot, HardState: hardState, Entries: state.Entries}
+	buffer, err := encodeFrame([]consensus.WriteBatch{batch})
 	if err != nil {
 		return err
 	}
--- a/internal/serving/wal/power_loss_test.go
+++ b/internal/serving/wal/power_loss_test.go
@@ -40,7 +40,7 @@
 		random := rand.New(rand.NewSource(seed))
 		fsys := waltest.New(random)
 		opened := openReplica(t, fsys, true, "10.0.0.1#fresh")
-		var acknowledged, attempted consensus.Stored
+		var acknowledged, attempted consensus.DurableState
 		acknowledged = opened.State
 		for restart := 0; restart < 3; restart++ {
 			fsys.CutPowerAfter(random.Intn(30))
@@ -61,8 +61,8 @@
 
 // writeUntilPowerLoss returns the acknowledged state, and the state with the write that failed.
 func writeUntilPowerLoss(
-	random *rand.Rand, fsys *waltest.FileSystem, store *wal.Store, state consensus.Stored,
-) (acknowledged, attempted consensus.Stored) {
+	random *rand.Rand, fsys *waltest.FileSystem, store *wal.Store, state consensus.DurableState,
+) (acknowledged, attempted consensus.DurableState) {
 	acknowledged = state
 	for {
 		fsys.FailSyncs = max(0, random.Intn(8)-6)
@@ -75,7 +75,7 @@
 		if random.Intn(5) == 0 {
 			err = store.Rewrite(attempted)
 		} else {
-			err = store.Write([]consensus.Persist{batch})
+			err = store.Write([]consensus.WriteBatch{batch})
 		}
 		for err != nil {
 			previous := err
@@ -88,10 +88,10 @@
 }
 
 // randomBatch returns a batch with the next term and entries that follow or replace the last one.
-func randomBatch(random *rand.Rand, state consensus.Stored) consensus.Persist {
+func randomBatch(random *rand.Rand, state consensus.DurableState) consensus.WriteBatch {
 	last := state.Snapshot.GetIndex() + uint64(len(state.Entries))
 	first := last + 1 - min(uint64(random.Intn(2)), uint64(len(state.Entries)))
-	batch := consensus.Persist{HardState: &wirepb.HardState{Term: state.HardState.GetTerm() + 1}}
+	batch := consensus.WriteBatch{HardState: &wirepb.HardState{Term: state.HardState.GetTerm() + 1}}
 	for i := range uint64(random.Intn(3)) {
 		data := make([]byte, random.Intn(50))
 		random.Read(data)
@@ -101,7 +101,7 @@
 	return batch
 }
 
-func sameState(x, y consensus.Stored) bool {
+func sameState(x, y consensus.DurableState) bool {
 	if x.HardState.GetTerm() != y.HardState.GetTerm() || len(x.Entries) != len(y.Entries) {
 		return false
 	}
@@ -145,8 +145,8 @@
 func corrupt(t *testing.T, fsys *waltest.FileSystem, opened wal.OpenedReplica) {
 	t.Helper()
 	for term := uint64(1); term <= 3; term++ {
-		batch := consensus.Persist{HardState: &wirepb.HardState{Term: term, VotedFor: "someone"}}
-		if err := opened.Store.Write([]consensus.Persist{batch}); err != nil {
+		batch := consensus.WriteBatch{HardState: &wirepb.HardState{Term: term, VotedFor: "someone"}}
+		if err := opened.Store.Write([]consensus.WriteBatch{batch}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- /dev/null
+++ b/internal/supervisor/cluster_test.go
@@ -0,0 +1,425 @@
+package supervisor
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/ruleset/rulefile"
+	"willowdeck/internal/testkit/fakes"
+	"willowdeck/internal/testkit/faultinject"
+)
+
+// testCluster is several hosts' daemons with their instances, all real processes, and fake workers. Each host
+// has its own loopback address; traffic between daemons, and between instances, passes through proxies that
+// can cut it.
+type testCluster struct {
+	t           *testing.T
+	dir         string
+	network     *faultinject.Net
+	hosts       []*testHost
+	workers     []*fakes.Worker
+	discovery   *fakes.Discovery
+	historyDir  string
+	basePort    int  // the first port of each host
+	memberSlots int  // positions that ports are reserved for
+	unproxied   bool // traffic between instances does not pass through proxies
+	rules       ruleset.Rules
+}
+
+// testHost is one host of a testCluster.
+type testHost struct {
+	*faultinject.Process
+	cluster        *testCluster
+	name           string
+	ip             string
+	dir            string
+	controlAddress string
+	raftAddress    string
+}
+
+// newTestCluster prepares so many hosts with so many instances each; ports are reserved for one more instance
+// on each.
+func newTestCluster(t *testing.T, hosts, perHost int, change func(*ruleset.Rules)) *testCluster {
+	t.Helper()
+	dir, err := os.MkdirTemp("", "wdc") // paths of Unix sockets have to be short
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { os.RemoveAll(dir) })
+	c := &testCluster{
+		t:           t,
+		dir:         dir,
+		network:     faultinject.NewNet(t, 1),
+		historyDir:  filepath.Join(dir, "records"),
+		memberSlots: hosts * (perHost + 1),
+	}
+	if err := os.Mkdir(c.historyDir, 0o700); err != nil {
+		t.Fatal(err)
+	}
+	c.basePort = faultinject.Ports(t, 4*c.memberSlots+2)
+	var entries []fakes.Entry
+	for i := range 3 {
+		worker, err := fakes.NewWorker(fmt.Sprintf("w%d", i), 5*time.Millisecond)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(worker.Close)
+		c.workers = append(c.workers, worker)
+		entries = append(entries, worker.Of("z"))
+	}
+	if c.discovery, err = fakes.NewDiscovery(entries...); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(c.discovery.Close)
+	c.rules = ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
+		Fallback: ruleset.Fallback{Fraction: 0.5, DurationMillis: 3000},
+		Plans: []ruleset.Plan{{Name: "basic", Rate: 500, Burst: 500},
+			{Name: "capped", Rate: 200, Burst: 200, CeilingRate: limitRate, CeilingDepth: limitBurst}}}
+	for i := range hosts {
+		ip := fmt.Sprintf("127.0.0.%d", 2+i)
+		h := &testHost{
+			cluster:        c,
+			name:           fmt.Sprintf("h%d", i),
+			ip:             ip,
+			dir:            filepath.Join(dir, fmt.Sprintf("h%d", i)),
+			controlAddress: fmt.Sprintf("%s:%d", ip, c.basePort),
+			raftAddress:    fmt.Sprintf("%s:%d", ip, c.basePort+1),
+		}
+		c.hosts = append(c.hosts, h)
+		for range perHost {
+			c.rules.Members = append(c.rules.Members, c.newMember(h, len(c.rules.Members)))
+		}
+	}
+	if change != nil {
+		change(&c.rules)
+	}
+	c.unproxied = hosts*perHost > 10
+	for _, h := range c.hosts {
+		h.writeFiles()
+	}
+	return c
+}
+
+// newMember returns the member at a position, on a host.
+func (c *testCluster) newMember(h *testHost, slot int) ruleset.Member {
+	return ruleset.Member{Name: fmt.Sprintf("g%d", slot), Host: h.name,
+		Peers: fmt.Sprintf("%s:%d", h.ip, c.basePort+2+3*c.memberSlots+slot)}
+}
+
+// writeFiles writes a host's fleet.toml, rules file and gateway configuration.
+func (h *testHost) writeFiles() {
+	c := h.cluster
+	c.t.Helper()
+	if err := os.MkdirAll(filepath.Join(h.dir, "store"), 0o700); err != nil {
+		c.t.Fatal(err)
+	}
+	f := &testFleet{t: c.t, dir: h.dir, discovery: c.discovery}
+	f.writeGatewayConfig(map[string]any{})
+	var text strings.Builder
+	at := func(port int) string { return fmt.Sprintf("\"%s:%d\"", h.ip, c.basePort+port) }
+	fmt.Fprintf(&text, "name = \"till\"\nconfig = \"gatekeeper.json\"\nrun_dir = \"run\"\ncontrol = %s\n"+
+		"listen = %s\noperators = %s\nstep = 2\n", at(0), at(2), at(2+c.memberSlots))
+	fmt.Fprintf(&text, "[restart]\nfirst_ms = 50\nmost_ms = 500\ncalm_s = 5\n")
+	fmt.Fprintf(&text, "[council]\nme = %q\nlisten = %s\nstore = \"store/council.db\"\nrules = \"rules.toml\"\n"+
+		"found = true\n", h.name, at(1))
+	fmt.Fprint(&text, "hosts = [")
+	for _, other := range c.hosts {
+		fmt.Fprintf(&text, "{name = %q, address = %q}, ", other.name, other.raftAddress)
+	}
+	fmt.Fprint(&text, "]\n[reach.council]\n")
+	for _, other := range c.hosts {
+		if other != h {
+			fmt.Fprintf(&text, "%q = %q\n", other.raftAddress, c.network.Stream(h.name, other.name, other.raftAddress))
+		}
+	}
+	for slot := range c.memberSlots { // also for members that are added later
+		name := fmt.Sprintf("g%d", slot)
+		i := slices.IndexFunc(c.rules.Members, func(m ruleset.Member) bool { return m.Name == name })
+		if i < 0 || c.rules.Members[i].Host != h.name || c.unproxied {
+			continue
+		}
+		fmt.Fprintf(&text, "[reach.%s]\n", name)
+		for _, other := range c.rules.Members {
+			if other.Name != name && other.Name != "" {
+				c.placeMember(name)
+				c.placeMember(other.Name)
+				to, _ := c.network.Datagrams(name, other.Name)
+				fmt.Fprintf(&text, "%q = %q\n", other.Peers, to)
+			}
+		}
+	}
+	if err := os.WriteFile(filepath.Join(h.dir, "fleet.toml"), []byte(text.String()), 0o600); err != nil {
+		c.t.Fatal(err)
+	}
+	h.writeRules(c.rules)
+}
+
+// placeMember tells the network a member's address.
+func (c *testCluster) placeMember(name string) {
+	for _, member := range c.rules.Members {
+		if member.Name == name {
+			c.network.Place(name, netip.MustParseAddrPort(member.Peers))
+		}
+	}
+}
+
+// writeRules writes a host's rules file.
+func (h *testHost) writeRules(rules ruleset.Rules) {
+	h.cluster.t.Helper()
+	text, err := rulefile.Encode(&rules)
+	if err == nil {
+		err = os.WriteFile(filepath.Join(h.dir, "rules.toml"), []byte(text), 0o600)
+	}
+	if err != nil {
+		h.cluster.t.Fatal(err)
+	}
+}
+
+// propose has a host's daemon propose rules.
+func (h *testHost) propose(rules ruleset.Rules) {
+	h.cluster.t.Helper()
+	h.writeRules(rules)
+	if err := h.Renew(); err != nil {
+		h.cluster.t.Fatal(err)
+	}
+}
+
+// start starts a host's daemon.
+func (h *testHost) start() {
+	h.cluster.t.Helper()
+	h.Process = faultinject.Start(
+		h.cluster.t,
+		faultinject.Spec{Name: h.name, Program: gatewayProgram(h.cluster.t), Dir: h.dir,
+			Args: []string{
+				"fleet",
+				"--file",
+				"fleet.toml",
+			}, Env: []string{"WILLOWDECK_HISTORY=" + h.cluster.historyDir}},
+	)
+}
+
+// start starts all daemons.
+func (c *testCluster) start() {
+	c.t.Helper()
+	for _, h := range c.hosts {
+		h.start()
+	}
+}
+
+// councilStatus returns /fleet/council of a host's daemon; false if it does not answer.
+func (h *testHost) councilStatus() (status CouncilStatus, ok bool) {
+	page, err := faultinject.Ask(h.controlAddress, "/fleet/council")
+	return status, err == nil && json.Unmarshal([]byte(page), &status) == nil
+}
+
+// runDir is the host's run directory.
+func (h *testHost) runDir() string { return filepath.Join(h.dir, "run") }
+
+// ruleStats are the figures of an instance on the rules that it applies.
+type ruleStats struct{ version, mode, members int64 }
+
+// readRuleStats reads an instance's ruleStats; false if it does not answer.
+func readRuleStats(instance faultinject.Instance) (stats ruleStats, ok bool) {
+	page, err := faultinject.Ask(instance.Control, "/admin/stats")
+	if err != nil {
+		return stats, false
+	}
+	for key, value := range map[string]*int64{"svc.rules.version=": &stats.version,
+		"svc.rules.mode=": &stats.mode,
+		"svc.members=":    &stats.members} {
+		_, after, found := strings.Cut("\n"+page, "\n"+key)
+		if !found {
+			return stats, false
+		}
+		fmt.Sscan(after, value)
+	}
+	return stats, true
+}
+
+// waitVersion waits until so many instances of some hosts apply a version under a lease, and returns how long
+// that took.
+func (c *testCluster) waitVersion(version int64, instances int, hosts ...*testHost) time.Duration {
+	c.t.Helper()
+	start, observed := time.Now(), ""
+	for time.Since(start) < 25*time.Second {
+		count := 0
+		observed = ""
+		for _, h := range hosts {
+			for _, instance := range faultinject.Instances(h.runDir()) {
+				stats, ok := readRuleStats(instance)
+				observed += fmt.Sprintf("%s %+v %t; ", instance.Name, stats, ok)
+				if ok && stats.version == version && stats.mode == int64(ruleset.ModeLeased) {
+					count++
+				}
+			}
+		}
+		if count == instances {
+			return time.Since(start)
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+	for _, h := range c.hosts {
+		if s, ok := h.councilStatus(); ok {
+			c.t.Logf("%s: %+v", h.name, s)
+		}
+		log, _ := os.ReadFile(filepath.Join(h.dir, h.name+".log"))
+		c.t.Logf("%s: %.4000s", h.name, log)
+	}
+	c.t.Fatalf("not %d instances go by version %d: %s", instances, version, observed)
+	return 0
+}
+
+// leader returns the host whose daemon leads the raft group.
+func (c *testCluster) leader() *testHost {
+	c.t.Helper()
+	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		for _, h := range c.hosts {
+			if !h.Running() {
+				continue
+			}
+			if s, ok := h.councilStatus(); ok && s.LeaderName == s.HostName && s.State == "member" {
+				return h
+			}
+		}
+	}
+	c.t.Fatal("no daemon leads")
+	return nil
+}
+
+// TestCouncilAgreement has three daemons agree on versions that their instances apply. The instances of a
+// killed daemon use the fallback, then no rules, and get a lease again when it is back.
+func TestCouncilAgreement(t *testing.T) {
+	t.Parallel()
+	c := newTestCluster(t, 3, 2, nil)
+	c.start()
+	t.Logf("from nothing to all leased: %v", c.waitVersion(1, 6, c.hosts...))
+	rules := c.rules
+	rules.Plans = slices.Clone(c.rules.Plans)
+	rules.Plans[0].Rate = 400
+	began := time.Now()
+	c.hosts[1].propose(rules)
+	c.waitVersion(2, 6, c.hosts...)
+	t.Logf("a quota: from the proposal to all: %v", time.Since(began))
+	rules.Plans = slices.Clone(rules.Plans)
+	rules.Plans[1].CeilingRate, rules.Plans[1].CeilingDepth = limitRate/4, limitBurst/4 // under the fallback's
+	began = time.Now()
+	c.hosts[2].propose(rules)
+	c.waitVersion(3, 6, c.hosts...)
+	t.Logf("a rate limit lowered below the fallback's: %v", time.Since(began))
+	c.hosts[0].propose(ruleset.Rules{Format: ruleset.SupportedFormat})
+	time.Sleep(100 * time.Millisecond)
+	if s, ok := c.hosts[0].councilStatus(); !ok || s.Rules.Version != 3 || s.Rules.PendingVersion != 0 {
+		t.Errorf("invalid rules change something: %+v", s)
+	}
+	killed := c.leader()
+	if err := killed.Kill(); err != nil {
+		t.Fatal(err)
+	}
+	instances := faultinject.Instances(killed.runDir())
+	faultinject.Until(t, 5*time.Second, "its instances are not cut off", func() bool {
+		for _, i := range instances {
+			if f, ok := readRuleStats(i); !ok || f.mode != int64(ruleset.ModeFallback) {
+				return false
+			}
+		}
+		return len(instances) == 2
+	})
+	var others []*testHost
+	for _, h := range c.hosts {
+		if h != killed {
+			others = append(others, h)
+		}
+	}
+	c.leader()
+	rules.Plans = slices.Clone(rules.Plans)
+	rules.Plans[0].Rate = 300
+	began = time.Now()
+	others[0].propose(rules)
+	c.waitVersion(4, 4, others...)
+	t.Logf("a quota while a host is away: %v", time.Since(began))
+	if err := killed.Restart(nil); err != nil {
+		t.Fatal(err)
+	}
+	t.Logf("a daemon killed and started: leased again after %v", c.waitVersion(4, 6, c.hosts...))
+}
+
+// TestInvalidCouncilSettings checks that what is wrong in the file of a voter is named by line or key, and
+// that nothing is started. Invalid rules prevent the start only of a daemon that has applied none yet.
+func TestInvalidCouncilSettings(t *testing.T) {
+	c := newTestCluster(t, 2, 1, nil)
+	h := c.hosts[0]
+	file, rules := filepath.Join(h.dir, "fleet.toml"), filepath.Join(h.dir, "rules.toml")
+	raw, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(rules)
+	if err != nil {
+		t.Fatal(err)
+	}
+	cases := []struct{ name, old, new, says string }{
+		{"an unknown key", "found = true", "found = true\nlost = true", "council.lost: unknown key"},
+		{"a number of instances", "step = 2", "step = 2\ninstances = 3", "instances: the rules"},
+		{"a peer address", "step = 2", "step = 2\npeers = \"127.0.0.1:1\"", "peers: the rules"},
+		{"an unknown host", "me = \"h0\"", "me = \"h9\"", "council.me"},
+		{"a host twice", "name = \"h1\"", "name = \"h0\"", "council.hosts.1.name"},
+		{"an invalid address", c.hosts[1].raftAddress, "there", "council.hosts.1.address"},
+		{"no store", "store/council.db", "", "council.store"},
+		{"no rules file", "rules.toml", "none.toml", "council.rules"},
+		{"an invalid override", "[reach.g0]", "[reach.g0]\n\"here\" = \"127.0.0.1:1\"", "reach.g0"},
+	}
+	for _, test := range cases {
+		if !strings.Contains(string(raw), test.old) {
+			t.Fatalf("the case %s changes nothing", test.name)
+		}
+		os.WriteFile(file, []byte(strings.Replace(string(raw), test.old, test.new, 1)), 0o600)
+		if f, err := LoadSettings(file); err == nil || f != nil || !strings.Contains(err.Error(), test.says) {
+			t.Errorf("%s: %v, want %q", test.name, err, test.says)
+		}
+	}
+	os.WriteFile(file, raw, 0o600)
+	for _, test := range []struct{ name, old, new, says string }{
+		{"an unknown key of a rule", "lease_ms", "leash_ms", "leash_ms"},
+		{"a lease beyond the bound", "lease_ms = 1000.0", "lease_ms = 1990.0", "lease_ms"},
+		{"two of a name", `name = "g1"`, `name = "g0"`, "members.1.name"},
+		{"a plan that the configuration lacks", `name = "basic"`, `name = "cheap"`, "plans.cheap"},
+	} {
+		if !strings.Contains(string(text), test.old) {
+			t.Fatalf("the case %s changes nothing:\n%s", test.name, text)
+		}
+		os.WriteFile(rules, []byte(strings.Replace(string(text), test.old, test.new, 1)), 0o600)
+		f, err := LoadSettings(file)
+		if err == nil {
+			_, err = NewDaemon(f, zerolog.Nop())
+		}
+		if err == nil || !strings.Contains(err.Error(), test.says) {
+			t.Errorf("%s: %v, want %q", test.name, err, test.says)
+		}
+	}
+	applied, err := json.Marshal(ruleset.Version{Number: 1, Rules: c.rules})
+	if err != nil {
+		t.Fatal(err)
+	}
+	run := filepath.Join(h.dir, "run")
+	if err = os.MkdirAll(run, 0o700); err == nil {
+		err = os.WriteFile(filepath.Join(run, appliedRulesFile), applied, 0o600)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	os.WriteFile(rules, []byte("lease_ms = 1"), 0o600)
+	f, err := LoadSettings(file)
+	if err != nil || f.restoreAppliedRules() != nil || len(f.Instances) != 1 || f.fleetSize != 2 {
+		t.Errorf("a daemon with applied rules does not start with them: %v, %+v", err, f)
+	}
+}
