--- /dev/null
+++ b/internal/serving/edge/attempt.go
@@ -0,0 +1,172 @@
+package edge
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"willowdeck/internal/serving/workerlink"
+)
+
+// Dial time-outs, by the round trip to the worker.
+const (
+	sameRegionDialTimeout  = 250 * time.Millisecond
+	crossRegionDialTimeout = 450 * time.Millisecond
+)
+
+// attempt is one delivery of a request to a worker.
+type attempt struct {
+	worker     worker
+	connection *workerlink.Conn // nil: there was none
+	response   *http.Response   // nil: none has begun
+	// stopWatch ends the watch that closes the connection when the client disconnects. It returns false where
+	// the client has done so.
+	stopWatch       func() bool
+	prefillReleased bool // the first token has come, or the attempt has ended before
+}
+
+// errNotExecuted says that a worker has promised not to have executed the request.
+var errNotExecuted = errors.New("the worker did not execute the request: try another one")
+
+// attempt sends the request to one worker and reads the head of its response. On an error the attempt has
+// ended: workerlink.ErrNotSent, errNotExecuted, or one after which the request may have been executed.
+func (p *proxiedRequest) attempt(chosen worker) (*attempt, error) {
+	a := &attempt{worker: chosen}
+	dialTimeout := crossRegionDialTimeout
+	if chosen.Region == p.edge.settings.Region {
+		dialTimeout = sameRegionDialTimeout
+	}
+	dialTimeout = min(dialTimeout, time.Until(p.deadline))
+	ctx := p.clientRequest.Context()
+	connection, err := p.edge.connections.Get(ctx, chosen.Address, dialTimeout)
+	if err != nil {
+		p.edge.healthChecker.recordUnreachable(a, dialTimeout)
+		p.failAttempt(a)
+		return nil, err
+	}
+	a.connection = connection
+	a.stopWatch = context.AfterFunc(ctx, func() { connection.Close() })
+	p.monitorHealth(a, dialTimeout)
+	p.attempts++
+	sentAt := p.edge.now()
+	if err := connection.Send(p.workerRequestFor(chosen), p.deadline); err != nil {
+		p.failAttempt(a)
+		return nil, err
+	}
+	a.response, err = connection.Receive(p.workerRequest.Method, p.id)
+	if err != nil {
+		p.failAttempt(a)
+		return nil, err
+	}
+	p.edge.healthChecker.recordActivity(chosen.Instance)
+	p.edge.paths.confirm(sentAt, chosen)
+	p.recordSelfReport(a)
+	if workerlink.NotExecuted(a.response) {
+		return nil, p.endNotExecuted(a)
+	}
+	return a, nil
+}
+
+// monitorHealth has the worker's health checked while it has the request. An idempotent request is
+// interrupted where the worker becomes unresponsive.
+func (p *proxiedRequest) monitorHealth(a *attempt, dialTimeout time.Duration) {
+	var interrupt func()
+	if p.route.IsIdempotent() {
+		interrupt = func() { a.connection.Close() }
+	}
+	p.edge.healthChecker.startRequest(a, dialTimeout, interrupt)
+}
+
+// workerRequestFor returns the request with the headers that the edge adds for a worker.
+func (p *proxiedRequest) workerRequestFor(chosen worker) *workerlink.Request {
+	request := *p.workerRequest
+	request.Header = p.workerRequest.Header.Clone()
+	leftMillis := max(time.Until(p.deadline).Milliseconds(), 1)
+	request.Header[workerlink.HeaderDeadline] = []string{strconv.FormatInt(leftMillis, 10)}
+	request.Header[workerlink.HeaderTarget] = []string{chosen.Instance}
+	if chosen.Engine {
+		request.Header[workerlink.HeaderPriority] = []string{priority(p.route)}
+	}
+	if p.hasLastEventID {
+		request.Header[workerlink.HeaderLastEvent] = []string{strconv.FormatUint(p.lastEventID, 10)}
+	}
+	return &request
+}
+
+// endNotExecuted ends an attempt that the worker has rejected without executing it.
+func (p *proxiedRequest) endNotExecuted(a *attempt) error {
+	if a.response.StatusCode == http.StatusMisdirectedRequest {
+		p.edge.decisions.recordReplaced(p.edge.now(), a.worker.Instance)
+		p.attempts-- // it went to a worker that the route does not mean
+		p.misdirectedAttempts++
+	}
+	_, err := io.Copy(io.Discard, io.LimitReader(a.response.Body, maxBufferedBodyBytes))
+	p.endAttempt(a, err == nil)
+	return errNotExecuted
+}
+
+// recordSelfReport records the load that the worker states in its response: requests running, and waiting.
+func (p *proxiedRequest) recordSelfReport(a *attempt) {
+	fields := strings.Split(a.response.Header.Get(workerlink.HeaderLoad), ",")
+	if len(fields) < 2 {
+		return
+	}
+	running, runningErr := strconv.ParseFloat(strings.TrimSpace(fields[0]), 64)
+	waiting, waitingErr := strconv.ParseFloat(strings.TrimSpace(fields[1]), 64)
+	if runningErr == nil && waitingErr == nil {
+		p.edge.decisions.recordSelfReport(p.edge.now(), a.worker.Instance, running, waiting)
+	}
+}
+
+// failAttempt ends an attempt whose worker could not be reached, or broke off. The worker is not blamed where
+// the client has disconnected or the deadline has passed.
+func (p *proxiedRequest) failAttempt(a *attempt) {
+	if p.clientRequest.Context().Err() == nil && time.Now().Before(p.deadline) {
+		p.edge.decisions.recordFailure(p.edge.now(), a.worker.Instance)
+		p.edge.connections.CloseIdle(a.worker.Address)
+		if a.connection != nil {
+			p.edge.reportConnectionBreak(a.worker)
+		}
+	}
+	p.endAttempt(a, false)
+}
+
+// endAttempt releases what the attempt holds at its worker. The connection is reused where the response is
+// complete, and closed otherwise.
+func (p *proxiedRequest) endAttempt(a *attempt, complete bool) {
+	if !a.prefillReleased {
+		p.edge.decisions.releasePrefill(p.prompt, a.worker.Instance)
+		a.prefillReleased = true
+	}
+	p.edge.decisions.release(a.worker.Instance)
+	p.edge.healthChecker.endRequest(a)
+	if a.connection == nil {
+		return
+	}
+	if !a.stopWatch() {
+		complete = false // the client has disconnected: the connection is being closed
+	}
+	if !complete || a.response == nil {
+		a.connection.Close()
+		return
+	}
+	idleTimeout, reusable := workerlink.KeepAlive(a.response)
+	if !reusable {
+		a.connection.Close()
+		return
+	}
+	p.edge.connections.Put(a.worker.Address, a.connection, idleTimeout)
+}
+
+// recordFirstToken records, once, that the worker has sent the first part of a response's body.
+func (p *proxiedRequest) recordFirstToken(a *attempt) {
+	if !a.prefillReleased {
+		a.prefillReleased = true
+		p.edge.decisions.recordFirstToken(p.edge.now(), p.prompt, a.worker.Instance)
+	}
+}
--- a/internal/serving/edge/datagrams.go
+++ b/internal/serving/edge/datagrams.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	datagramPortOffset = 2 // from the first internal port
-	maxDatagram        = 1400
+	datagramPortOffset = 2    // from the first internal port
+	maxDatagramBytes   = 1400 // fits into an Ethernet frame
 )
 
-// datagrams is the socket that edges speak to each other by. A loss is made good by the next message.
-type datagrams struct{ connection *net.UDPConn }
+// datagramSocket is the socket by which edges exchange datagrams. A loss is made good by a later datagram.
+type datagramSocket struct{ connection *net.UDPConn }
 
-// datagramAddress is where this edge hears the others.
+// datagramAddress returns where this edge receives datagrams.
 func (e *Edge) datagramAddress() string {
 	return net.JoinHostPort(e.settings.IP, strconv.Itoa(e.settings.FirstInternalPort+datagramPortOffset))
 }
 
-func listenDatagrams(address string) (*datagrams, error) {
+func listenDatagrams(address string) (*datagramSocket, error) {
 	resolved, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
 		return nil, err
@@ -34,62 +34,67 @@
 	if err != nil {
 		return nil, err
 	}
-	return &datagrams{connection: connection}, nil
+	return &datagramSocket{connection: connection}, nil
 }
 
-// send sends a message to each of the addresses, unless it is too long for one datagram.
-func (d *datagrams) send(message *wirepb.EdgeDatagram, addresses ...netip.AddrPort) {
+// close ends the socket and the goroutine that receives from it.
+func (s *datagramSocket) close() { _ = s.connection.Close() } // nothing is buffered that could be lost
+
+// send sends a message to each of the addresses. One that is too long for a datagram is dropped.
+func (s *datagramSocket) send(message *wirepb.EdgeDatagram, addresses ...netip.AddrPort) {
 	data, err := proto.Marshal(message)
-	if err != nil || len(data) > maxDatagram {
+	if err != nil || len(data) > maxDatagramBytes {
 		return
 	}
 	for _, address := range addresses {
-		d.connection.WriteToUDPAddrPort(data, address)
+		_, _ = s.connection.WriteToUDPAddrPort(data, address) // as if it were lost on its way
 	}
 }
 
-// exchangeDatagrams tells the other edges what this one has in hand, proves the paths to them, and hears
-// them, until the context ends.
+// exchangeDatagrams reports this edge's load to its peers, probes the paths to them, and receives what they
+// send, until the context ends.
 func (e *Edge) exchangeDatagrams(ctx context.Context) {
-	datagrams, err := listenDatagrams(e.datagramAddress())
+	socket, err := listenDatagrams(e.datagramAddress())
 	if err != nil {
-		e.logger.Warn("other edges are not heard: free the port or change internal_port_range", zap.Error(err))
+		e.logger.Warn("cannot receive datagrams of other edges: free the port or change internal_port_range",
+			zap.Error(err))
 		return
 	}
-	defer datagrams.connection.Close()
-	e.datagrams.Store(datagrams)
-	go e.hearDatagrams(datagrams)
-	go e.watchPaths(ctx, datagrams)
-	e.shareLoads(ctx, datagrams)
+	defer socket.close()
+	e.datagrams.Store(socket)
+	go e.receiveDatagrams(socket)
+	go e.monitorPaths(ctx, socket)
+	e.reportLoads(ctx, socket)
 }
 
-func (e *Edge) hearDatagrams(datagrams *datagrams) {
-	buffer := make([]byte, maxDatagram+1)
+// receiveDatagrams handles datagrams until the socket is closed.
+func (e *Edge) receiveDatagrams(socket *datagramSocket) {
+	buffer := make([]byte, maxDatagramBytes+1)
 	for {
-		length, from, err := datagrams.connection.ReadFromUDPAddrPort(buffer)
+		length, from, err := socket.connection.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			return
 		}
 		message := &wirepb.EdgeDatagram{}
 		if proto.Unmarshal(buffer[:length], message) == nil {
-			e.takeDatagram(datagrams, from, message)
+			e.handleDatagram(socket, from, message)
 		}
 	}
 }
 
-func (e *Edge) takeDatagram(datagrams *datagrams, from netip.AddrPort, message *wirepb.EdgeDatagram) {
+func (e *Edge) handleDatagram(socket *datagramSocket, from netip.AddrPort, message *wirepb.EdgeDatagram) {
 	switch body := message.Body.(type) {
 	case *wirepb.EdgeDatagram_Load:
 		if body.Load.GetEdge() != "" {
-			e.decide.takeLoads(e.now(), body.Load)
+			e.decisions.recordPeerLoads(e.now(), body.Load)
 		}
 	case *wirepb.EdgeDatagram_Probe:
-		datagrams.send(&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Answer{Answer: body.Probe}}, from)
+		socket.send(&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Answer{Answer: body.Probe}}, from)
 	case *wirepb.EdgeDatagram_Prompt:
-		e.decide.takePrompt(e.now(), body.Prompt)
+		e.decisions.recordPeerPrefill(e.now(), body.Prompt)
 	case *wirepb.EdgeDatagram_Dead:
-		e.takeDead(body.Dead)
+		e.handleUnhealthyNotice(body.Dead)
 	case *wirepb.EdgeDatagram_Answer:
-		e.paths.answered(e.now(), body.Answer.GetNumber())
+		e.paths.recordAnswer(e.now(), body.Answer.GetNumber())
 	}
 }
--- a/internal/serving/edge/edge.go
+++ b/internal/serving/edge/edge.go
@@ -1,6 +1,3 @@
-// Package edge is the proxy: it takes clients' requests, chooses a worker for each, and passes the answer
-// on. What it goes by comes from the agent beside it; it decides alone, and waits for nobody but the
-// worker.
 package edge
 
 import (
@@ -17,57 +14,51 @@
 	"github.com/pkg/errors"
 	"go.uber.org/zap"
 
-	"willowdeck/internal/serving/agent"
 	"willowdeck/internal/serving/framing"
 	"willowdeck/internal/serving/settings"
 	"willowdeck/internal/serving/stateview"
-	"willowdeck/internal/serving/watch"
 	"willowdeck/internal/serving/wirepb"
 	"willowdeck/internal/serving/workerlink"
 )
 
 const (
-	agentDialTimeout = 300 * time.Millisecond
-	headTimeout      = 6 * time.Second
-	idleTimeout      = 60 * time.Second // clients take up connections that rested for as long as the limits say
-	maxHeadBytes     = 128 << 10
-	sweepInterval    = 500 * time.Millisecond
-	reportInterval   = time.Second // of demands for cold workers
-	tableRest        = 2           // times as long as a table took to make, until the next one
-	longestTableRest = 150 * time.Millisecond
-	stopPoll         = 50 * time.Millisecond
-	stopMargin       = 400 * time.Millisecond  // before SIGKILL
-	directoryLag     = 3300 * time.Millisecond // until clients with old answers have gone elsewhere
-	evacuationMargin = 0.5                     // seconds
+	requestHeadTimeout = 6 * time.Second
+	// clientIdleTimeout lets clients reuse connections for as long as the configuration's limits say.
+	clientIdleTimeout   = 60 * time.Second
+	maxRequestHeadBytes = 128 << 10
+	// clientDirectoryLag is how long clients with old answers of the directory still come to an edge.
+	clientDirectoryLag   = 3300 * time.Millisecond
+	shutdownPollInterval = 50 * time.Millisecond
+	shutdownMargin       = 400 * time.Millisecond // kept before the platform's SIGKILL
 )
 
 // Edge is the process.
 type Edge struct {
-	settings *settings.Settings
-	logger   *zap.Logger
-	started  time.Time
-	mirror   *stateview.Store
-	table    atomic.Pointer[table]
+	settings  *settings.Settings
+	logger    *zap.Logger
+	startedAt time.Time
+	store     *stateview.Store // fed by the agent
 
-	firstTable chan struct{} // closed once there is a table
+	table      atomic.Pointer[routingTable] // nil: no configuration was received
+	tableReady chan struct{}                // closed once there is a table
 
-	decide    *decisions
-	pool      *workerlink.Pool
-	liveness  *liveness
-	paths     *paths
-	datagrams atomic.Pointer[datagrams] // nil until the socket is there
-	draining  atomic.Bool
-	impaired  atomic.Bool // some route has no worker that there is a path to
+	decisions     *decisions
+	connections   *workerlink.Pool
+	healthChecker *healthChecker
+	paths         *pathMonitor
+	datagrams     atomic.Pointer[datagramSocket] // nil until the socket is open
+	draining      atomic.Bool
+	inFlight      atomic.Int64 // client requests
 
-	impairment impairment // of the goroutine that watches paths
-	inHand     atomic.Int64
+	unreachableRoute  atomic.Bool       // some route has workers, but none that there is a path to
+	reachabilityInput reachabilityInput // of the last check; only monitorPaths uses it
 
-	mu      sync.Mutex
-	changed chan struct{} // closed when what the agent is told changes
-	demands []*wirepb.Demand
+	mu            sync.Mutex       // guards what follows
+	statusChanged chan struct{}    // closed when status has changed
+	demands       []*wirepb.Demand // for workers that are warming up, as reported last
 }
 
-// Run serves until the process is told to stop.
+// Run serves until the process receives SIGTERM or SIGINT.
 func Run(settingsPath string, logger *zap.Logger) error {
 	config, err := settings.Load(settingsPath)
 	if err != nil {
@@ -82,22 +73,23 @@
 
 func newEdge(config *settings.Settings, logger *zap.Logger) *Edge {
 	e := &Edge{
-		settings: config, logger: logger, started: time.Now(),
-		pool: workerlink.NewPool(), liveness: newLiveness(),
-		changed: make(chan struct{}), firstTable: make(chan struct{}),
+		settings: config, logger: logger, startedAt: time.Now(),
+		connections: workerlink.NewPool(), healthChecker: newHealthChecker(),
+		statusChanged: make(chan struct{}), tableReady: make(chan struct{}),
 	}
-	e.mirror = stateview.New("", e.now)
-	e.paths = newPaths(config, uint64(e.started.UnixMicro()))
-	e.decide = newDecisions(config, e.paths, rand.New(rand.NewSource(time.Now().UnixNano())))
+	e.store = stateview.New("", e.now)
+	e.paths = newPathMonitor(config, uint64(e.startedAt.UnixMicro()))
+	e.decisions = newDecisions(config, e.paths, rand.New(rand.NewSource(time.Now().UnixNano())))
 	return e
 }
 
-func (e *Edge) now() time.Duration { return time.Since(e.started) }
+// now returns the time since the process started, the clock of all packages that decide.
+func (e *Edge) now() time.Duration { return time.Since(e.startedAt) }
 
 func (e *Edge) serve() error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	signal.Ignore(syscall.SIGHUP) // nothing that may change is read from the settings
+	signal.Ignore(syscall.SIGHUP) // no setting can be reloaded
 	front, err := framing.Listen(e.settings.FrontAddress)
 	if err != nil {
 		return errors.Wrap(err, "cannot listen for clients: free the port or change listen.front")
@@ -107,48 +99,50 @@
 		if err != nil {
 			return errors.Wrap(err, "cannot listen for readiness checks: free the port or change listen.readiness")
 		}
-		go http.Serve(readiness, http.HandlerFunc(e.readyz))
+		go func() { _ = http.Serve(readiness, http.HandlerFunc(e.readyz)) }() // ends with the process
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go e.subscribe(ctx)
-	go e.keepTable(ctx)
-	go e.keepHouse(ctx)
-	go e.keepLiveness(ctx)
+	go e.keepTableCurrent(ctx)
+	go e.runMaintenance(ctx)
+	go e.runHealthChecks(ctx)
 	go e.exchangeDatagrams(ctx)
 	server := e.frontServer()
-	go server.Serve(front)
+	go func() { _ = server.Serve(front) }() // returns after Shutdown
 	e.logger.Info("edge started", zap.String("front", e.settings.FrontAddress))
 	<-signals
 	e.drain(server)
-	e.logger.Info("edge stopped", zap.Int64("unfinished", e.inHand.Load()))
+	e.logger.Info("edge stopped", zap.Int64("unfinished", e.inFlight.Load()))
 	return nil
 }
 
 func (e *Edge) frontServer() *http.Server {
 	return &http.Server{
-		Handler: e, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeadBytes,
-		ErrorLog: zap.NewStdLog(zap.NewNop()),
+		Handler: e, ReadHeaderTimeout: requestHeadTimeout, IdleTimeout: clientIdleTimeout,
+		MaxHeaderBytes: maxRequestHeadBytes, ErrorLog: zap.NewStdLog(zap.NewNop()),
 	}
 }
 
-// drain lets clients go elsewhere, and ends what is in hand, within the grace of the platform.
+// drain lets clients move to other edges and waits for the requests in flight, within the platform's grace
+// period.
 func (e *Edge) drain(server *http.Server) {
 	e.draining.Store(true)
-	e.tellAgent()
-	began := time.Now()
-	limit := e.settings.Bounds.GracePeriod - stopMargin
-	for time.Since(began) < limit {
-		if time.Since(began) > directoryLag && e.inHand.Load() == 0 {
+	e.notifyStatusChange()
+	begun := time.Now()
+	limit := e.settings.Bounds.GracePeriod - shutdownMargin
+	for time.Since(begun) < limit {
+		if time.Since(begun) > clientDirectoryLag && e.inFlight.Load() == 0 {
 			break
 		}
-		time.Sleep(stopPoll)
+		time.Sleep(shutdownPollInterval)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), stopMargin/2)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownMargin/2)
 	defer cancel()
-	server.Shutdown(ctx)
+	_ = server.Shutdown(ctx) // requests that outlast it are cut off by the end of the process
 }
 
+// ready reports whether new clients may come.
 func (e *Edge) ready() bool { return e.table.Load() != nil && !e.draining.Load() }
 
 func (e *Edge) readyz(w http.ResponseWriter, _ *http.Request) {
@@ -158,131 +152,3 @@
 	}
 	w.WriteHeader(http.StatusOK)
 }
-
-// subscribe keeps the mirror up to date from the agent.
-func (e *Edge) subscribe(ctx context.Context) {
-	address := agent.LoopbackAddress(e.settings)
-	subscriber := watch.Subscriber{
-		Store: e.mirror, DialTimeout: agentDialTimeout,
-		Providers:     func() []watch.Provider { return []watch.Provider{{Address: address}} },
-		Status:        e.status,
-		StatusChanged: e.statusChanged,
-		OnLinkChange:  func(string) {},
-	}
-	subscriber.Run(ctx)
-}
-
-func (e *Edge) status() *wirepb.FeedRequest {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return &wirepb.FeedRequest{
-		Subscriber: e.settings.NodeName,
-		Demands:    e.demands,
-		Edge: &wirepb.Edge{
-			Name: e.settings.NodeName, Address: e.settings.FrontAddress,
-			Zone: e.settings.Zone, Region: e.settings.Region,
-			Ready: e.ready() && !e.impaired.Load(), InternalAddress: e.datagramAddress(),
-		},
-	}
-}
-
-func (e *Edge) statusChanged() <-chan struct{} {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.changed
-}
-
-func (e *Edge) tellAgent() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	close(e.changed)
-	e.changed = make(chan struct{})
-}
-
-// keepTable makes a new table whenever the mirror changes.
-func (e *Edge) keepTable(ctx context.Context) {
-	builder := newTableBuilder(e.settings)
-	for {
-		changed := e.mirror.Changed()
-		begun := time.Now()
-		e.makeTable(builder)
-		rest := min(tableRest*time.Since(begun), longestTableRest)
-		select {
-		case <-ctx.Done():
-			return
-		case <-changed:
-		}
-		time.Sleep(rest) // many changes in a row make one table
-	}
-}
-
-func (e *Edge) makeTable(builder *tableBuilder) {
-	before := e.table.Load()
-	next, err := builder.build(e.now(), e.mirror.Snapshot())
-	if err != nil {
-		e.logger.Error("configuration kept as it was", zap.Error(err))
-		return
-	}
-	if next == nil {
-		return
-	}
-	e.table.Store(next)
-	if before == nil {
-		close(e.firstTable)
-		e.tellAgent()
-	}
-	if before == nil || before.generation != next.generation {
-		e.logger.Info("configuration in force", zap.Uint64("generation", next.generation))
-	}
-}
-
-// keepHouse closes what is idle, and reports demands for cold workers.
-func (e *Edge) keepHouse(ctx context.Context) {
-	sweep := time.NewTicker(sweepInterval)
-	defer sweep.Stop()
-	report := time.NewTicker(reportInterval)
-	defer report.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-sweep.C:
-			e.sweep()
-		case <-report.C:
-			e.reportDemands()
-		}
-	}
-}
-
-func (e *Edge) sweep() {
-	t := e.table.Load()
-	if t == nil {
-		return
-	}
-	addresses := map[string]bool{}
-	for _, workers := range t.workers {
-		for _, worker := range workers {
-			addresses[worker.Address] = true
-		}
-	}
-	e.pool.CloseExpired(func(address string) bool { return addresses[address] })
-	e.decide.keep(t)
-}
-
-func (e *Edge) reportDemands() {
-	t := e.table.Load()
-	if t == nil {
-		return
-	}
-	demands := e.decide.reports(e.now(), t)
-	e.mu.Lock()
-	changed := len(demands) > 0 || len(e.demands) > 0
-	e.demands = demands
-	e.mu.Unlock()
-	if changed {
-		e.tellAgent()
-	}
-}
-
-// mayDeny reports whether what this edge knows is fresh enough to say that a route does not exist.
-func (e *Edge) mayDeny() bool { return e.mirror.HasQuorumContact() }
--- a/internal/serving/edge/edge_test.go
+++ b/internal/serving/edge/edge_test.go
@@ -21,26 +21,26 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// exchange is what a stand-in worker does with one request: it reads the request and writes bytes, or closes.
-type exchange func(connection net.Conn, request *http.Request, body string)
+// responder is what a fake worker does with a request that it has read: it writes bytes, or closes.
+type responder func(connection net.Conn, request *http.Request, body string)
 
-// standInWorker takes connections and answers by its exchanges in turn; the last one stays.
-type standInWorker struct {
+// fakeWorker accepts connections and responds by its responders in turn; the last one is repeated.
+type fakeWorker struct {
 	listener net.Listener
 
-	mu        sync.Mutex
-	exchanges []exchange
-	requests  []*http.Request
-	bodies    []string
+	mu         sync.Mutex
+	responders []responder
+	requests   []*http.Request
+	bodies     []string
 }
 
-func newStandInWorker(t *testing.T, exchanges ...exchange) *standInWorker {
+func newFakeWorker(t *testing.T, responders ...responder) *fakeWorker {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &standInWorker{listener: listener, exchanges: exchanges}
+	w := &fakeWorker{listener: listener, responders: responders}
 	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
@@ -54,7 +54,7 @@
 	return w
 }
 
-func (w *standInWorker) serve(connection net.Conn) {
+func (w *fakeWorker) serve(connection net.Conn) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
 	for {
@@ -66,29 +66,31 @@
 		if err != nil {
 			return
 		}
-		w.take(request, string(body))(connection, request, string(body))
+		w.nextResponder(request, string(body))(connection, request, string(body))
 	}
 }
 
-func (w *standInWorker) take(request *http.Request, body string) exchange {
+// nextResponder records a request and returns the responder for it.
+func (w *fakeWorker) nextResponder(request *http.Request, body string) responder {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.requests = append(w.requests, request)
 	w.bodies = append(w.bodies, body)
-	next := w.exchanges[0]
-	if len(w.exchanges) > 1 {
-		w.exchanges = w.exchanges[1:]
+	next := w.responders[0]
+	if len(w.responders) > 1 {
+		w.responders = w.responders[1:]
 	}
 	return next
 }
 
-func (w *standInWorker) count() int {
+// count returns how many requests the worker has got.
+func (w *fakeWorker) count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.requests)
 }
 
-// head is the beginning of an answer, with further header lines.
+// head is the head of a response, with further header lines.
 func head(request *http.Request, status int, lines ...string) string {
 	text := fmt.Sprintf("HTTP/1.1 %d X\r\nRequest-Id: %s\r\n", status, request.Header.Get("Request-Id"))
 	for _, line := range lines {
@@ -97,7 +99,8 @@
 	return text + "\r\n"
 }
 
-func whole(status int, body string, lines ...string) exchange {
+// complete responds with a complete body.
+func complete(status int, body string, lines ...string) responder {
 	return func(connection net.Conn, request *http.Request, _ string) {
 		lines = append(lines, fmt.Sprintf("Content-Length: %d", len(body)))
 		io.WriteString(connection, head(request, status, lines...)+body)
@@ -110,11 +113,12 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-// stream sends the events from first to last, whole or broken off behind broken, a part of the next one.
-func stream(first, last int, broken string) exchange {
+// stream sends the events from first to last. It breaks off behind broken, a part of the next one, unless
+// that is empty.
+func stream(first, last int, broken string) responder {
 	return func(connection net.Conn, request *http.Request, _ string) {
-		stamp := "Server-Signature: by-" + fmt.Sprint(first)
-		text := head(request, 200, streamHead, "Transfer-Encoding: chunked", stamp)
+		signature := "Server-Signature: by-" + fmt.Sprint(first)
+		text := head(request, 200, streamHead, "Transfer-Encoding: chunked", signature)
 		for id := first; id <= last; id++ {
 			text += chunk(event(id))
 		}
@@ -127,10 +131,10 @@
 	}
 }
 
-func reset(connection net.Conn, _ *http.Request, _ string) { connection.Close() }
+func closeConnection(connection net.Conn, _ *http.Request, _ string) { connection.Close() }
 
-// route kinds of the tests, by path.
-var testRoutes = map[string]string{
+// routeSettings are the settings of the tests' routes, by path prefix.
+var routeSettings = map[string]string{
 	"/idem/":   `"route_type":"idempotent","max_attempts":2`,
 	"/once/":   `"route_type":"non_idempotent","max_attempts":1`,
 	"/twice/":  `"route_type":"non_idempotent","max_attempts":2`,
@@ -138,8 +142,8 @@
 	"/resume/": `"route_type":"streaming","resumable":true,"max_attempts":2`,
 }
 
-// startEdge runs an edge that knows the workers, and returns where clients find it.
-func startEdge(t *testing.T, workers ...*standInWorker) (*Edge, *httptest.Server) {
+// startEdge runs an edge with the workers i-0, i-1 and so on, and a server that clients connect to.
+func startEdge(t *testing.T, workers ...*fakeWorker) (*Edge, *httptest.Server) {
 	t.Helper()
 	config := &settings.Settings{NodeName: "e1", IP: "127.0.0.1", Zone: "a", Region: "south",
 		Zones: map[string]string{"a": "south"}, Bounds: settings.Bounds{
@@ -148,9 +152,9 @@
 		}}
 	e := newEdge(config, zap.NewNop())
 	var routes []string
-	for prefix, kind := range testRoutes {
+	for prefix, settings := range routeSettings {
 		routes = append(routes, fmt.Sprintf(
-			`{"hostname":"h","path_prefix":%q,%s,"timeout_ms":5000,"backend":"s"}`, prefix, kind))
+			`{"hostname":"h","path_prefix":%q,%s,"timeout_ms":5000,"backend":"s"}`, prefix, settings))
 	}
 	document, err := configuration.ParseAndValidate([]byte(
 		`{"generation":1,"routes":[` + strings.Join(routes, ",") +
@@ -158,11 +162,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.mirror.SetCommitted(1, document, nil)
+	e.store.SetCommitted(1, document, nil)
 	for i, w := range workers {
 		publishWorker(e, fmt.Sprintf("i-%d", i), w.listener.Addr().String(), &wirepb.Worker{})
 	}
-	e.makeTable(newTableBuilder(config))
+	e.updateTable(newTableBuilder(config))
 	server := httptest.NewUnstartedServer(e)
 	server.Config = e.frontServer()
 	server.Start()
@@ -173,7 +177,7 @@
 func publishWorker(e *Edge, instance, address string, worker *wirepb.Worker) {
 	worker.InstanceId, worker.Service, worker.Address = instance, "s", address
 	worker.Zone, worker.Capacity = "a", 8
-	e.mirror.WithCatalog(func(now time.Duration, c *catalog.Catalog) bool {
+	e.store.WithCatalog(func(now time.Duration, c *catalog.Catalog) bool {
 		c.Merge(now, []*wirepb.Record{{
 			Key: catalog.WorkerKey(instance), Origin: "core", Order: 1, Sequence: 1,
 			Value: &wirepb.Record_Worker{Worker: worker},
@@ -182,15 +186,15 @@
 	})
 }
 
-// answer is what a client has got.
-type answer struct {
+// clientResponse is what a client has received.
+type clientResponse struct {
 	status int
 	header http.Header
 	body   string
-	broken bool // the answer ended early
+	broken bool // the response was incomplete
 }
 
-func ask(t *testing.T, server *httptest.Server, path string, lines ...string) answer {
+func post(t *testing.T, server *httptest.Server, path string, lines ...string) clientResponse {
 	t.Helper()
 	request, err := http.NewRequest("POST", server.URL+path, strings.NewReader("question"))
 	if err != nil {
@@ -204,21 +208,23 @@
 	}
 	response, err := (&http.Transport{DisableCompression: true, DisableKeepAlives: true}).RoundTrip(request)
 	if err != nil {
-		return answer{broken: true}
+		return clientResponse{broken: true}
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return answer{status: response.StatusCode, header: response.Header, body: string(body), broken: err != nil}
+	return clientResponse{
+		status: response.StatusCode, header: response.Header, body: string(body), broken: err != nil,
+	}
 }
 
 func TestRequestReachesWorkerUnchanged(t *testing.T) {
-	good := whole(207, "answer", "Server-Signature: sig", "X-Other: kept", "Keep-Alive: timeout=5")
-	w := newStandInWorker(t, good)
+	good := complete(207, "answer", "Server-Signature: sig", "X-Other: kept", "Keep-Alive: timeout=5")
+	w := newFakeWorker(t, good)
 	_, server := startEdge(t, w)
-	got := ask(t, server, "/once/a%2Fb//c?x=%20y", "X-Mine: 1", "Deadline-Ms: 900")
+	got := post(t, server, "/once/a%2Fb//c?x=%20y", "X-Mine: 1", "Deadline-Ms: 900")
 	if got.status != 207 || got.body != "answer" || got.header.Get("Server-Signature") != "sig" ||
 		got.header.Get("X-Other") != "kept" || got.header.Get("Keep-Alive") != "" {
-		t.Errorf("answer %+v", got)
+		t.Errorf("response %+v", got)
 	}
 	request := w.requests[0]
 	if request.RequestURI != "/once/a%2Fb//c?x=%20y" || request.Host != "h" || w.bodies[0] != "question" ||
@@ -230,21 +236,21 @@
 	}
 }
 
-// TestEachBadOrder mutates one thing at a time in what a worker does, and says what the client has to get.
-func TestEachBadOrder(t *testing.T) {
-	notExecuted := whole(503, "full", "Not-Executed: 1", "Server-Signature: s")
-	surplus := func(connection net.Conn, request *http.Request, body string) {
-		late := request.Clone(request.Context())
-		late.Header.Set("Request-Id", "of another request")
-		whole(200, "not yours", "Server-Signature: s")(connection, late, body)
-		whole(200, "yours", "Server-Signature: s")(connection, request, body)
+// TestWorkerFaults has a worker do one thing wrong at a time, and says what the client has to get.
+func TestWorkerFaults(t *testing.T) {
+	notExecuted := complete(503, "full", "Not-Executed: 1", "Server-Signature: s")
+	stale := func(connection net.Conn, request *http.Request, body string) {
+		other := request.Clone(request.Context())
+		other.Header.Set("Request-Id", "of another request")
+		complete(200, "not yours", "Server-Signature: s")(connection, other, body)
+		complete(200, "yours", "Server-Signature: s")(connection, request, body)
 	}
-	onlyOthers := func(connection net.Conn, request *http.Request, body string) {
+	onlyStale := func(connection net.Conn, request *http.Request, body string) {
 		request.Header.Set("Request-Id", "of another request")
-		whole(200, "not yours", "Server-Signature: s")(connection, request, body)
+		complete(200, "not yours", "Server-Signature: s")(connection, request, body)
 		connection.Close()
 	}
-	short := func(connection net.Conn, request *http.Request, _ string) {
+	truncated := func(connection net.Conn, request *http.Request, _ string) {
 		io.WriteString(connection, head(request, 200, "Content-Length: 100", "Server-Signature: s")+"begun")
 		connection.Close()
 	}
@@ -254,66 +260,66 @@
 	}
 	interim := func(connection net.Conn, request *http.Request, body string) {
 		io.WriteString(connection, "HTTP/1.1 103 Early\r\n\r\n")
-		whole(200, "good", "Server-Signature: s")(connection, request, body)
+		complete(200, "good", "Server-Signature: s")(connection, request, body)
 	}
-	good := whole(200, "good", "Server-Signature: s")
-	bad := whole(500, "bad", "Server-Signature: s")
-	misdirected := whole(421, "", "Server-Signature: s")
+	good := complete(200, "good", "Server-Signature: s")
+	failed := complete(500, "bad", "Server-Signature: s")
+	misdirected := complete(421, "", "Server-Signature: s")
 	cases := []struct {
 		name, path    string
-		first, second exchange
+		first, second responder
 		status        int
 		body          string
 		sent          int
 	}{
-		{"a reset of what may be repeated", "/idem/", reset, good, 200, "good", 2},
-		{"a reset of what may run once", "/once/", reset, good, 502, "", 1},
-		{"a reset of what may run once, with two attempts", "/twice/", reset, good, 502, "", 1},
-		{"a full worker", "/twice/", notExecuted, good, 200, "good", 2},
-		{"a full worker, one attempt", "/once/", notExecuted, good, 503, "", 1},
-		{"another worker at the address", "/twice/", misdirected, good, 200, "good", 2},
-		{"another worker at the address, one attempt", "/once/", misdirected, good, 200, "good", 2},
-		{"its own failure of what may be repeated", "/idem/", bad, good, 200, "good", 2},
-		{"its own failure of what may run once", "/once/", bad, good, 500, "bad", 1},
-		{"a surplus answer before its own", "/once/", surplus, good, 200, "yours", 1},
-		{"only surplus answers", "/once/", onlyOthers, good, 502, "", 1},
-		{"an answer that ends early", "/once/", short, good, 502, "", 1},
-		{"an answer that ends early, repeated", "/idem/", short, good, 200, "good", 2},
-		{"bytes that are no answer", "/once/", garbage, good, 502, "", 1},
-		{"an interim answer", "/once/", interim, good, 200, "good", 1},
+		{"connection closed, idempotent", "/idem/", closeConnection, good, 200, "good", 2},
+		{"connection closed, non-idempotent", "/once/", closeConnection, good, 502, "", 1},
+		{"connection closed, non-idempotent with two attempts", "/twice/", closeConnection, good, 502, "", 1},
+		{"saturated worker", "/twice/", notExecuted, good, 200, "good", 2},
+		{"saturated worker, one attempt", "/once/", notExecuted, good, 503, "", 1},
+		{"misdirected", "/twice/", misdirected, good, 200, "good", 2},
+		{"misdirected, one attempt", "/once/", misdirected, good, 200, "good", 2},
+		{"status 500, idempotent", "/idem/", failed, good, 200, "good", 2},
+		{"status 500, non-idempotent", "/once/", failed, good, 500, "bad", 1},
+		{"stale response before its own", "/once/", stale, good, 200, "yours", 1},
+		{"only stale responses", "/once/", onlyStale, good, 502, "", 1},
+		{"truncated response, non-idempotent", "/once/", truncated, good, 502, "", 1},
+		{"truncated response, idempotent", "/idem/", truncated, good, 200, "good", 2},
+		{"bytes that are no HTTP response", "/once/", garbage, good, 502, "", 1},
+		{"informational response", "/once/", interim, good, 200, "good", 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			script := []exchange{c.first, c.second}
-			shared := &standInScript{script: script}
-			first, second := newStandInWorker(t, shared.next), newStandInWorker(t, shared.next)
+			script := []responder{c.first, c.second}
+			shared := &responderScript{script: script}
+			first, second := newFakeWorker(t, shared.next), newFakeWorker(t, shared.next)
 			_, server := startEdge(t, first, second)
-			got := ask(t, server, c.path)
+			got := post(t, server, c.path)
 			if got.status != c.status || got.body != c.body || got.broken {
-				t.Errorf("answer %+v", got)
+				t.Errorf("response %+v", got)
 			}
 			if sent := first.count() + second.count(); sent != c.sent {
 				t.Errorf("sent %d times instead of %d", sent, c.sent)
 			}
 			if c.status == 502 || c.status == 503 {
 				if got.header.Get("Server-Signature") != "" {
-					t.Error("a failure of ours bears a worker's stamp")
+					t.Error("the edge's own response bears a worker's signature")
 				}
 			}
-			if promised := got.header.Get("Retry-After") != ""; promised != (c.status == 503) {
+			if stated := got.header.Get("Retry-After") != ""; stated != (c.status == 503) {
 				t.Errorf("Retry-After %q", got.header.Get("Retry-After"))
 			}
 		})
 	}
 }
 
-// standInScript gives exchanges in turn, whichever worker is asked.
-type standInScript struct {
+// responderScript uses responders in turn, whichever of its workers is requested.
+type responderScript struct {
 	mu     sync.Mutex
-	script []exchange
+	script []responder
 }
 
-func (s *standInScript) next(connection net.Conn, request *http.Request, body string) {
+func (s *responderScript) next(connection net.Conn, request *http.Request, body string) {
 	s.mu.Lock()
 	step := s.script[0]
 	if len(s.script) > 1 {
@@ -327,36 +333,36 @@
 	all := event(1) + event(2) + event(3)
 	cases := []struct {
 		name, path    string
-		first, second exchange
+		first, second responder
 		body          string
 		broken        bool
 		resumedAt     string
 	}{
-		{"whole", "/stream/", stream(1, 3, ""), nil, all, false, ""},
+		{"complete", "/stream/", stream(1, 3, ""), nil, all, false, ""},
 		{"broken inside an event", "/stream/", stream(1, 2, "id: 3\nda"), nil, event(1) + event(2), true, ""},
-		{"taken up elsewhere", "/resume/", stream(1, 1, "id: 2\nda"), stream(2, 3, ""), all, false, "1"},
-		{"taken up at the wrong event", "/resume/", stream(1, 1, "x"), stream(3, 3, ""), event(1), true, "1"},
-		{"joined with a failure", "/resume/", stream(1, 1, "x"), whole(500, "bad"), event(1), true, "1"},
+		{"resumed at another worker", "/resume/", stream(1, 1, "id: 2\nda"), stream(2, 3, ""), all, false, "1"},
+		{"resumed at the wrong event", "/resume/", stream(1, 1, "x"), stream(3, 3, ""), event(1), true, "1"},
+		{"resumed with a failure", "/resume/", stream(1, 1, "x"), complete(500, "bad"), event(1), true, "1"},
 		{"broken before its first event", "/resume/", stream(1, 0, "id:"), stream(1, 3, ""), all, false, ""},
 		{"broken before its first event, once", "/stream/", stream(1, 0, "id:"), stream(1, 3, ""), "", false, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			shared := &standInScript{script: []exchange{c.first, c.second}}
-			first, second := newStandInWorker(t, shared.next), newStandInWorker(t, shared.next)
+			shared := &responderScript{script: []responder{c.first, c.second}}
+			first, second := newFakeWorker(t, shared.next), newFakeWorker(t, shared.next)
 			_, server := startEdge(t, first, second)
-			got := ask(t, server, c.path)
+			got := post(t, server, c.path)
 			if got.body != c.body || got.broken != c.broken {
-				t.Errorf("answer %+v", got)
+				t.Errorf("response %+v", got)
 			}
 			if c.body != "" && got.header.Get("Server-Signature") != "by-1" {
-				t.Errorf("stamp %q: the first worker's head has to stay", got.header.Get("Server-Signature"))
+				t.Errorf("signature %q: the first worker's head has to stay", got.header.Get("Server-Signature"))
 			}
 			requests := append(first.requests, second.requests...)
 			if c.resumedAt != "" {
 				for _, request := range requests {
 					if id := request.Header.Get("Last-Event-Id"); id != "" && id != c.resumedAt {
-						t.Errorf("taken up behind %s", id)
+						t.Errorf("resumed after %s", id)
 					}
 				}
 			}
@@ -364,9 +370,9 @@
 	}
 }
 
-func TestClientThatLeavesEndsItsRequest(t *testing.T) {
+func TestClientDisconnectEndsItsRequest(t *testing.T) {
 	ended := make(chan struct{})
-	w := newStandInWorker(t, func(connection net.Conn, request *http.Request, _ string) {
+	w := newFakeWorker(t, func(connection net.Conn, request *http.Request, _ string) {
 		io.WriteString(connection, head(request, 200, streamHead, "Transfer-Encoding: chunked")+chunk(event(1)))
 		connection.Read(make([]byte, 1)) // returns when the edge closes
 		close(ended)
@@ -391,36 +397,36 @@
 }
 
 func TestUnknownRoutes(t *testing.T) {
-	e, server := startEdge(t, newStandInWorker(t, whole(200, "good")))
-	if got := ask(t, server, "/nowhere/"); got.status != 503 || got.header.Get("Retry-After") == "" {
-		t.Errorf("out of touch: %+v", got)
+	e, server := startEdge(t, newFakeWorker(t, complete(200, "good")))
+	if got := post(t, server, "/nowhere/"); got.status != 503 || got.header.Get("Retry-After") == "" {
+		t.Errorf("without quorum contact: %+v", got)
 	}
-	e.mirror.ConfirmQuorumContact(true)
-	if got := ask(t, server, "/nowhere/"); got.status != 404 {
-		t.Errorf("in touch: %+v", got)
+	e.store.ConfirmQuorumContact(true)
+	if got := post(t, server, "/nowhere/"); got.status != 404 {
+		t.Errorf("with quorum contact: %+v", got)
 	}
 }
 
-func TestWorkersThatMayNotGetRequests(t *testing.T) {
-	w := newStandInWorker(t, whole(200, "good"))
+func TestIneligibleWorkersGetNoRequests(t *testing.T) {
+	w := newFakeWorker(t, complete(200, "good"))
 	address := w.listener.Addr().String()
 	cases := map[string]func(e *Edge){
 		"draining": func(e *Edge) { publishWorker(e, "i-1", address, &wirepb.Worker{Draining: true}) },
-		"cold":     func(e *Edge) { publishWorker(e, "i-1", address, &wirepb.Worker{ColdRemainingMs: 60_000}) },
+		"warming":  func(e *Edge) { publishWorker(e, "i-1", address, &wirepb.Worker{ColdRemainingMs: 60_000}) },
 		"evacuated": func(e *Edge) {
 			publishWorker(e, "i-1", address, &wirepb.Worker{})
-			e.mirror.SetCommitted(2, nil, []string{"a"})
+			e.store.SetCommitted(2, nil, []string{"a"})
 		},
-		"gone": func(e *Edge) {},
+		"unknown": func(e *Edge) {},
 	}
 	for name, prepare := range cases {
 		t.Run(name, func(t *testing.T) {
 			e, server := startEdge(t)
 			prepare(e)
-			e.makeTable(newTableBuilder(e.settings))
-			got := ask(t, server, "/once/")
+			e.updateTable(newTableBuilder(e.settings))
+			got := post(t, server, "/once/")
 			if got.status != 503 || got.header.Get("Retry-After") == "" || w.count() != 0 {
-				t.Errorf("answer %+v, the worker got %d", got, w.count())
+				t.Errorf("response %+v, the worker got %d requests", got, w.count())
 			}
 		})
 	}
@@ -438,15 +444,15 @@
 	}
 	e.draining.Store(true)
 	if status() != 503 {
-		t.Error("an edge that stops is ready")
+		t.Error("a draining edge is ready")
 	}
 	if status := newEdge(e.settings, zap.NewNop()).ready(); status {
 		t.Error("an edge without a configuration is ready")
 	}
 }
 
-func TestStoppingEdgeClosesConnections(t *testing.T) {
-	e, server := startEdge(t, newStandInWorker(t, whole(200, "good")))
+func TestDrainingEdgeClosesConnections(t *testing.T) {
+	e, server := startEdge(t, newFakeWorker(t, complete(200, "good")))
 	e.draining.Store(true)
 	request, err := http.NewRequest("POST", server.URL+"/once/", nil)
 	if err != nil {
@@ -460,33 +466,33 @@
 	}
 }
 
-// TestColdWorkersWaitForTheNumberOfEdges starts an edge whose core has only just begun, so that edges may
-// be missing in what it tells: no cold worker may get anything before the core has settled.
-func TestColdWorkersWaitForTheNumberOfEdges(t *testing.T) {
-	w := newStandInWorker(t, whole(200, "good", "Server-Signature: s"))
+// TestSlowStartNeedsTheNumberOfEdges starts an edge whose core has only just started, so that edges may be
+// missing in its state: no worker that warms up may get a request before the core has synced.
+func TestSlowStartNeedsTheNumberOfEdges(t *testing.T) {
+	w := newFakeWorker(t, complete(200, "good", "Server-Signature: s"))
 	e, _ := startEdge(t)
 	publishWorker(e, "i-1", w.listener.Addr().String(), &wirepb.Worker{ColdRemainingMs: 60_000})
 	builder := newTableBuilder(e.settings)
 	route := &configuration.Route{Backend: "s"}
 	admitted := func() bool {
-		e.makeTable(builder)
+		e.updateTable(builder)
 		for second := range 20 {
 			now := time.Duration(second) * time.Second
-			if _, _, _, ok := e.decide.choose(now, e.table.Load(), "s", route, &loadbalancer.Request{}, nil); ok {
+			if _, _, _, ok := e.decisions.choose(now, e.table.Load(), "s", route, &loadbalancer.Request{}, nil); ok {
 				return true
 			}
 		}
 		return false
 	}
-	e.mirror.ConfirmQuorumContact(false)
+	e.store.ConfirmQuorumContact(false)
 	if admitted() {
-		t.Error("a cold worker got a request before the core had settled")
+		t.Error("a warming worker got a request before the core had synced")
 	}
-	e.mirror.ConfirmQuorumContact(true)
+	e.store.ConfirmQuorumContact(true)
 	if !admitted() {
-		t.Error("a cold worker gets nothing")
+		t.Error("a warming worker gets no requests")
 	}
-	e.mirror.ConfirmQuorumContact(false) // another core, which has only just begun: what is known stays
+	e.store.ConfirmQuorumContact(false) // another core, which has only just started: what is known stays
 	if !admitted() {
 		t.Error("the number of edges was forgotten")
 	}
--- a/internal/serving/edge/golden_test.go
+++ b/internal/serving/edge/golden_test.go
@@ -21,36 +21,36 @@
 // Datagrams as edges of 2 December 2026 send them. Edges of different versions speak to each other while
 // one replaces the other: the bytes stay. Package wirepb pins the numbers of all fields.
 const (
-	goldenBroke  = "2a070a03772d311001"                       // worker w-1 has broken off
-	goldenDead   = "2a050a03772d32"                           // worker w-2 does not answer
-	goldenPrompt = "220a0a03772d331084071801"                 // w-3 reads a long prompt for 900 ms
-	goldenProbe  = "1203088827"                               // number 5000
-	goldenAnswer = "1a03088827"                               // to it
-	goldenLoad   = "0a120a02653110071a0a0a03692d30100118c801" // of e1, number 7: 1 request, 200 tokens at i-0
+	goldenBreak    = "2a070a03772d311001"                       // worker w-1 has broken a connection
+	goldenNoAnswer = "2a050a03772d32"                           // worker w-2 does not answer
+	goldenPrefill  = "220a0a03772d331084071801"                 // w-3 prefills a long prompt for 900 ms
+	goldenProbe    = "1203088827"                               // number 5000
+	goldenAnswer   = "1a03088827"                               // to it
+	goldenLoad     = "0a120a02653110071a0a0a03692d30100118c801" // of e1, number 7: 1 request, 200 tokens: i-0
 )
 
-func (l *listener) nextBytes() string {
-	l.t.Helper()
-	buffer := make([]byte, maxDatagram)
-	length, err := l.connection.Read(buffer)
+func (p *fakePeer) nextBytes() string {
+	p.t.Helper()
+	buffer := make([]byte, maxDatagramBytes)
+	length, err := p.connection.Read(buffer)
 	if err != nil {
-		l.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	return hex.EncodeToString(buffer[:length])
 }
 
 // TestGoldenDatagramsSent compares the bytes of notices and of the answer to a probe.
 func TestGoldenDatagramsSent(t *testing.T) {
-	e, near, _ := startNoticing(t)
+	e, near, _ := startEdgeWithPeers(t)
 	here := worker{Worker: loadbalancer.Worker{Instance: "w-1", Zone: "a", Region: "south", Engine: true}}
-	e.tellBroken(here)
-	e.tellDead("a", &wirepb.DeadNotice{InstanceId: "w-2"})
+	e.reportConnectionBreak(here)
+	e.notifyUnhealthy("a", &wirepb.DeadNotice{InstanceId: "w-2"})
 	long := loadbalancer.PrefillNotice{Instance: "w-3", PrefillMillis: 900, Long: true}
-	e.tellPrompt(e.table.Load(), here, long)
+	e.notifyPrefill(e.table.Load(), here, long)
 	probe := &wirepb.EdgeDatagram{}
 	decodeGolden(t, goldenProbe, probe)
-	e.takeDatagram(e.datagrams.Load(), near.target.address, probe)
-	for _, want := range []string{goldenBroke, goldenDead, goldenPrompt, goldenAnswer} {
+	e.handleDatagram(e.datagrams.Load(), near.peer.address, probe)
+	for _, want := range []string{goldenBreak, goldenNoAnswer, goldenPrefill, goldenAnswer} {
 		if got := near.nextBytes(); got != want {
 			t.Errorf("datagram %s instead of %s", got, want)
 		}
@@ -72,7 +72,7 @@
 // may share, which does not count, and 200 tokens of its own.
 func TestGoldenLoadSent(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
-	w := newStandInWorker(t, func(connection net.Conn, _ *http.Request, _ string) {
+	w := newFakeWorker(t, func(connection net.Conn, _ *http.Request, _ string) {
 		close(arrived)
 		<-release
 		fmt.Fprint(connection, "HTTP/1.1 200 OK\r\nRequest-Id: id-1\r\nContent-Length: 0\r\n\r\n")
@@ -94,7 +94,7 @@
 		answered <- err
 	}()
 	<-arrived
-	report := e.decide.loadReport(mostLoads)
+	report := e.decisions.loadReport(maxReportedLoads)
 	report.Edge, report.Number = "e1", 7
 	data, err := proto.Marshal(&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Load{Load: report}})
 	if got := hex.EncodeToString(data); err != nil || got != goldenLoad {
@@ -106,24 +106,24 @@
 	}
 }
 
-// TestGoldenDatagramsTaken hears notices and compares what the edge makes of them.
-func TestGoldenDatagramsTaken(t *testing.T) {
-	e, near, _ := startNoticing(t)
-	for _, text := range []string{goldenLoad, goldenPrompt, goldenBroke, goldenDead, goldenAnswer} {
+// TestGoldenDatagramsReceived handles notices and compares what the edge makes of them.
+func TestGoldenDatagramsReceived(t *testing.T) {
+	e, near, _ := startEdgeWithPeers(t)
+	for _, text := range []string{goldenLoad, goldenPrefill, goldenBreak, goldenNoAnswer, goldenAnswer} {
 		message := &wirepb.EdgeDatagram{}
 		decodeGolden(t, text, message)
-		e.takeDatagram(e.datagrams.Load(), near.target.address, message)
+		e.handleDatagram(e.datagrams.Load(), near.peer.address, message)
 		if again, err := proto.Marshal(message); err != nil || hex.EncodeToString(again) != text {
 			t.Errorf("encoded to %x instead of %s, error %v", again, text, err)
 		}
 	}
-	sum, _ := e.decide.peers.Total(e.now(), "i-0", 1)
-	if sum.InFlight != 1 || sum.PrefillTokens != 200 {
-		t.Errorf("load of another edge: %+v", sum)
+	total, _ := e.decisions.peerLoads.Total(e.now(), "i-0", 1)
+	if total.InFlight != 1 || total.PrefillTokens != 200 {
+		t.Errorf("load of another edge: %+v", total)
 	}
 }
 
-// TestGoldenStatus compares what an edge tells its agent of itself, and where it hears datagrams.
+// TestGoldenStatus compares what an edge reports of itself to its agent, and where it receives datagrams.
 func TestGoldenStatus(t *testing.T) {
 	config := &settings.Settings{
 		NodeName: "edge-1", IP: "10.0.0.1", Zone: "a", Region: "south", FrontAddress: "10.0.0.1:80",
@@ -141,13 +141,14 @@
 	}
 }
 
-// TestGoldenHeaders compares what a worker is told, and what is taken of what it says.
+// TestGoldenHeaders compares the headers that a worker gets, and how a client's deadline is read.
 func TestGoldenHeaders(t *testing.T) {
-	j := &job{
-		request: &workerlink.Request{Header: http.Header{"Request-Id": {"id-1"}}}, lastEvent: 41, eventKnown: true,
+	p := &proxiedRequest{
+		workerRequest: &workerlink.Request{Header: http.Header{"Request-Id": {"id-1"}}},
+		lastEventID:   41, hasLastEventID: true,
 		route: &configuration.Route{TargetLatencyMs: 1600}, deadline: time.Now().Add(time.Hour),
 	}
-	got := j.prepare(worker{Worker: loadbalancer.Worker{Instance: "w-1", Engine: true}}).Header
+	got := p.workerRequestFor(worker{Worker: loadbalancer.Worker{Instance: "w-1", Engine: true}}).Header
 	for name, want := range map[string]string{
 		"Request-Id": "id-1", "Target-Instance": "w-1", "Priority": "4", "Last-Event-Id": "41",
 	} {
@@ -161,7 +162,7 @@
 	}
 	r := httptest.NewRequest(http.MethodGet, "/", nil)
 	r.Header.Set("Deadline-Ms", "1500")
-	if got := patience(r, &configuration.Route{}); got != 1500*time.Millisecond {
-		t.Errorf("patience %v", got)
+	if got := requestTimeout(r, &configuration.Route{}); got != 1500*time.Millisecond {
+		t.Errorf("time-out %v", got)
 	}
 }
--- a/internal/serving/edge/handler.go
+++ b/internal/serving/edge/handler.go
@@ -17,111 +17,120 @@
 )
 
 const (
-	firstTableWait  = 1200 * time.Millisecond // for the first configuration of a life
-	unknownWait     = 700 * time.Millisecond  // told to clients while this edge does not know enough
-	defaultBodyMost = 8 << 20                 // bytes, where the limits say nothing
-	defaultDeadline = 30 * time.Second
-	highestPriority = 9
-	usualPriority   = 5
-	tightestAim     = 400.0 // ms: routes with this aim or a shorter one are the most urgent
-	priorityStep    = 2.0   // ranks for each doubling of the aim
+	headerPromptPrefix = "Prompt-Prefix"
+
+	firstTableTimeout      = 1200 * time.Millisecond // for the first configuration after the process's start
+	notReadyRetryAfter     = 700 * time.Millisecond  // stated while this edge lacks current state
+	defaultMaxBodyBytes    = 8 << 20                 // where the configuration's limits say nothing
+	defaultRequestTimeout  = 30 * time.Second        // where neither client nor route says one
+	maxStatedTimeoutMillis = 1e9                     // of a client's deadline, so that it fits a Duration
 )
 
-// ServeHTTP is the life of a client's request.
+// Priority ranks of requests at a worker; the lowest rank is the most urgent.
+const (
+	maxPriorityRank        = 9
+	defaultPriorityRank    = 5     // of routes without a latency target
+	mostUrgentTargetMillis = 400.0 // routes with this latency target or a tighter one have rank 0
+	ranksPerDoubling       = 2.0   // of the latency target
+)
+
+// ServeHTTP handles a client's request.
 func (e *Edge) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e.inHand.Add(1)
-	defer e.inHand.Add(-1)
-	arrived := time.Now()
+	e.inFlight.Add(1)
+	defer e.inFlight.Add(-1)
+	arrivedAt := time.Now()
 	if e.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	t := e.awaitTable(r.Context())
-	if t == nil {
-		refuse(w, http.StatusServiceUnavailable, unknownWait)
+	table := e.awaitTable(r.Context())
+	if table == nil {
+		reject(w, http.StatusServiceUnavailable, notReadyRetryAfter)
 		return
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
-	route := t.route(r.Host, path)
+	route := table.route(r.Host, path)
 	if route == nil {
-		e.refuseUnknownRoute(w)
+		e.rejectUnknownRoute(w)
 		return
 	}
-	body, status := readBody(w, r, t.limits)
+	body, status := readBody(w, r, table.limits)
 	if status != 0 {
-		refuse(w, status, 0)
+		reject(w, status, 0)
 		return
 	}
 	id := r.Header.Get(workerlink.HeaderRequestID)
 	if id == "" {
-		refuse(w, http.StatusBadRequest, 0)
+		reject(w, http.StatusBadRequest, 0)
 		return
 	}
-	service := e.decide.service(t, route)
-	j := &job{
-		edge: e, writer: w, client: r, route: route, id: id, service: service,
-		deadline: arrived.Add(patience(r, route)), excluded: map[string]bool{},
+	service := e.decisions.drawService(table, route)
+	p := &proxiedRequest{
+		edge: e, writer: w, clientRequest: r, route: route, id: id, service: service,
+		deadline: arrivedAt.Add(requestTimeout(r, route)), excluded: map[string]bool{},
 		prompt: &loadbalancer.Request{
-			Parts: loadbalancer.ParsePrompt(r.Header.Get("Prompt-Prefix")), MaxStreamGapMillis: t.pauses[service],
+			Parts:              loadbalancer.ParsePrompt(r.Header.Get(headerPromptPrefix)),
+			MaxStreamGapMillis: table.maxStreamGapMillis[service],
 		},
-		request: &workerlink.Request{
+		workerRequest: &workerlink.Request{
 			Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: workerlink.EndToEnd(r.Header), Body: body,
 		},
 	}
-	j.run()
+	p.run()
 }
 
-// awaitTable returns what requests are handled by. An edge that has just started waits a little for its
-// first configuration: the request can be served then, which is better than sending a client away that may
-// not come back.
-func (e *Edge) awaitTable(ctx context.Context) *table {
-	if t := e.table.Load(); t != nil {
-		return t
-	}
-	timer := time.NewTimer(firstTableWait)
+// awaitTable returns the table in force, or nil. An edge that has just started waits a little for its first
+// one: the client's request can then be served, while a rejected client may not come back.
+func (e *Edge) awaitTable(ctx context.Context) *routingTable {
+	if table := e.table.Load(); table != nil {
+		return table
+	}
+	timer := time.NewTimer(firstTableTimeout)
 	defer timer.Stop()
 	select {
-	case <-e.firstTable:
+	case <-e.tableReady:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return e.table.Load()
 }
 
-// refuseUnknownRoute answers a request for which no route is known: with 404 only where that is known for
-// sure.
-func (e *Edge) refuseUnknownRoute(w http.ResponseWriter) {
-	if e.mayDeny() {
-		refuse(w, http.StatusNotFound, 0)
+// rejectUnknownRoute rejects a request that has no route: with 404 only where this edge's configuration is
+// current, so that the route cannot exist.
+func (e *Edge) rejectUnknownRoute(w http.ResponseWriter) {
+	if e.store.HasQuorumContact() {
+		reject(w, http.StatusNotFound, 0)
 		return
 	}
-	refuse(w, http.StatusServiceUnavailable, unknownWait)
+	reject(w, http.StatusServiceUnavailable, notReadyRetryAfter)
 }
 
-// patience is how long a request may take: what the client waits, and at most what the route allows.
-func patience(r *http.Request, route *configuration.Route) time.Duration {
-	limit := defaultDeadline
-	if stated, err := strconv.ParseFloat(r.Header.Get(workerlink.HeaderDeadline), 64); err == nil && stated > 0 {
-		limit = time.Duration(min(stated, 1e9) * float64(time.Millisecond))
+// requestTimeout returns how long a request may take: what the client states, and at most what the route
+// allows.
+func requestTimeout(r *http.Request, route *configuration.Route) time.Duration {
+	timeout := defaultRequestTimeout
+	statedMillis, err := strconv.ParseFloat(r.Header.Get(workerlink.HeaderDeadline), 64)
+	if err == nil && statedMillis > 0 {
+		timeout = time.Duration(min(statedMillis, maxStatedTimeoutMillis) * float64(time.Millisecond))
 	}
 	if route.TimeoutMs > 0 {
-		limit = min(limit, time.Duration(route.TimeoutMs*float64(time.Millisecond)))
+		timeout = min(timeout, time.Duration(route.TimeoutMs*float64(time.Millisecond)))
 	}
-	return limit
+	return timeout
 }
 
-// readBody reads a request's body whole. It returns the status of a refusal, or 0.
+// readBody reads a request's body completely. It returns the status of a rejection, or 0.
 func readBody(w http.ResponseWriter, r *http.Request, limits configuration.Limits) ([]byte, int) {
-	most := int64(defaultBodyMost)
+	maxBytes := int64(defaultMaxBodyBytes)
 	if limits.MaxBodyBytes > 0 {
-		most = int64(limits.MaxBodyBytes)
+		maxBytes = int64(limits.MaxBodyBytes)
 	}
-	if r.ContentLength > most {
+	if r.ContentLength > maxBytes {
 		return nil, http.StatusRequestEntityTooLarge
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
-	var tooLong *http.MaxBytesError
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &tooLong):
+	case errors.As(err, &tooLarge):
 		return nil, http.StatusRequestEntityTooLarge
 	case err != nil:
 		return nil, http.StatusBadRequest
@@ -129,21 +138,21 @@
 	return body, 0
 }
 
-// refuse gives an answer of our own. A wait tells the client when to come back.
-func refuse(w http.ResponseWriter, status int, wait time.Duration) {
-	if wait > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
+// reject writes a response without a body. retryAfter tells the client when to come back; 0: it is not told.
+func reject(w http.ResponseWriter, status int, retryAfter time.Duration) {
+	if retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
 	w.Header().Set("Content-Length", "0")
 	w.WriteHeader(status)
 }
 
-// priority ranks requests at a worker by their aim: what has to begin soon goes before what can wait. Such
-// requests are the small ones, too: they hold the others up least.
+// priority returns a request's rank at a worker, by the route's latency target: what has to begin soon goes
+// before what can wait. Such requests are the small ones, too, which delay the others least.
 func priority(route *configuration.Route) string {
 	if route.TargetLatencyMs <= 0 {
-		return strconv.Itoa(usualPriority)
+		return strconv.Itoa(defaultPriorityRank)
 	}
-	rank := math.Round(priorityStep * math.Log2(route.TargetLatencyMs/tightestAim))
-	return strconv.Itoa(int(min(max(rank, 0), highestPriority)))
+	rank := math.Round(ranksPerDoubling * math.Log2(route.TargetLatencyMs/mostUrgentTargetMillis))
+	return strconv.Itoa(int(min(max(rank, 0), maxPriorityRank)))
 }
--- a/internal/serving/edge/healthcheck.go
+++ b/internal/serving/edge/healthcheck.go
@@ -10,154 +10,171 @@
 )
 
 const (
-	livenessInterval = 60 * time.Millisecond
-	// of a worker that has requests of ours in hand, until it is probed
-	silenceMost   = 280 * time.Millisecond
-	probeFraction = 2                      // of a request's time to connect: a probe is repeated
-	probesFailed  = 2                      // in a row, after which a worker counts as dead
-	probeAgain    = 500 * time.Millisecond // between probes of a dead worker
-	probeFor      = 20 * time.Second       // after which a dead worker is left to the core's word
+	healthCheckTick = 60 * time.Millisecond // at which due checks are looked for
+	// activityTimeout is how long a worker with requests in flight may send nothing before it is checked.
+	activityTimeout = 280 * time.Millisecond
+	// checkTimeoutDivisor divides a request's dial time-out for a check, which is repeated.
+	checkTimeoutDivisor = 2
+	// unresponsiveThreshold is how many checks in a row fail before a worker counts as unresponsive.
+	unresponsiveThreshold = 2
+	recheckInterval       = 500 * time.Millisecond // of an unresponsive worker
+	// maxRecheckTime is how long an unresponsive worker without requests is checked; then it is left to the
+	// core's health checks.
+	maxRecheckTime = 20 * time.Second
 )
 
-// liveness watches the workers that have requests of this edge in hand. One that says nothing on any
-// connection is probed by a new connection. If that fails as well, requests that may be repeated are taken
-// away from it; others stay, since silence is no reason to end an answer. A dead worker is probed until it
-// answers, so that no request has to.
-type liveness struct {
-	mu      sync.Mutex
-	workers map[string]*watchedWorker // by instance
+// healthChecker monitors the workers that have requests of this edge in flight. One that sends nothing on any
+// connection is checked by a new connection. If that fails as well, its idempotent requests are interrupted;
+// others stay, since silence does not prove that a response is lost. An unresponsive worker is checked until
+// it answers, so that no request has to find out. It is safe for concurrent use.
+type healthChecker struct {
+	mu      sync.Mutex                  // guards what follows, monitoredWorkers included
+	workers map[string]*monitoredWorker // by instance
 }
 
-type watchedWorker struct {
-	address   string
-	zone      string
-	timeout   time.Duration // of a probe
-	heard     time.Time
-	failed    int       // probes in a row
-	deadSince time.Time // zero: alive, as far as known
-	nextProbe time.Time
-	probing   bool
-	told      bool                // to the other edges, by this one; belongs to whoever probes
-	requests  map[*attempt]func() // in hand; what ends one that may be repeated, or nil
-}
+// monitoredWorker is a worker with requests in flight, or one that is unresponsive.
+type monitoredWorker struct {
+	address     string
+	zone        string
+	dialTimeout time.Duration // of requests; a check has a part of it
 
-func newWatchedWorker(w worker, timeout time.Duration) *watchedWorker {
-	return &watchedWorker{
-		address: w.Address, zone: w.Zone, timeout: timeout, requests: map[*attempt]func(){},
-	}
+	lastActivityAt    time.Time
+	failedChecks      int       // in a row
+	unresponsiveSince time.Time // zero: responsive, as far as known
+	nextCheckAt       time.Time
+	checking          bool
+	requests          map[*attempt]func() // in flight; the function interrupts an idempotent one, else nil
+
+	peersNotified bool // by this edge, that it is unresponsive; only the running check uses it
 }
 
-func newLiveness() *liveness { return &liveness{workers: map[string]*watchedWorker{}} }
+func newHealthChecker() *healthChecker {
+	return &healthChecker{workers: map[string]*monitoredWorker{}}
+}
 
-// begin notes that a request is in hand at a worker. interrupt ends it where the worker is found dead; nil:
-// it stays.
-func (l *liveness) begin(a *attempt, timeout time.Duration, interrupt func()) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	w := l.workers[a.worker.Instance]
+// worker returns the monitored worker of an attempt, which it creates for a new one. h.mu must be held.
+func (h *healthChecker) worker(a *attempt, dialTimeout time.Duration) *monitoredWorker {
+	w := h.workers[a.worker.Instance]
 	if w == nil {
-		w = newWatchedWorker(a.worker, timeout)
-		l.workers[a.worker.Instance] = w
+		w = &monitoredWorker{
+			address: a.worker.Address, zone: a.worker.Zone, dialTimeout: dialTimeout,
+			requests: map[*attempt]func(){},
+		}
+		h.workers[a.worker.Instance] = w
 	}
+	return w
+}
+
+// recordActivity records that the worker sent something. The checker's mu must be held.
+func (w *monitoredWorker) recordActivity() {
+	w.lastActivityAt = time.Now()
+	w.failedChecks = 0
+	w.unresponsiveSince = time.Time{}
+}
+
+// responsive reports whether the worker answers, as far as known. The checker's mu must be held.
+func (w *monitoredWorker) responsive() bool { return w.unresponsiveSince.IsZero() }
+
+// startRequest monitors a worker for as long as it has the request. interrupt ends the request where the
+// worker becomes unresponsive; nil: the request stays.
+func (h *healthChecker) startRequest(a *attempt, dialTimeout time.Duration, interrupt func()) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	w := h.worker(a, dialTimeout)
 	if len(w.requests) == 0 {
-		w.heard = time.Now()
+		w.lastActivityAt = time.Now()
 	}
 	w.requests[a] = interrupt
 }
 
-// end notes that a request has left a worker.
-func (l *liveness) end(a *attempt) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	w := l.workers[a.worker.Instance]
+// endRequest records that a request is no longer in flight.
+func (h *healthChecker) endRequest(a *attempt) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	w := h.workers[a.worker.Instance]
 	if w == nil {
 		return
 	}
 	delete(w.requests, a)
-	if len(w.requests) == 0 && w.deadSince.IsZero() && !w.probing {
-		delete(l.workers, a.worker.Instance)
+	if len(w.requests) == 0 && w.responsive() && !w.checking {
+		delete(h.workers, a.worker.Instance)
 	}
 }
 
-// hear notes a sign of life.
-func (l *liveness) hear(instance string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if w := l.workers[instance]; w != nil {
-		w.heard = time.Now()
-		w.failed = 0
-		w.deadSince = time.Time{}
+// recordActivity records that a worker sent something on a connection.
+func (h *healthChecker) recordActivity(instance string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if w := h.workers[instance]; w != nil {
+		w.recordActivity()
 	}
 }
 
-// suspect has a worker probed that could not be reached.
-func (l *liveness) suspect(a *attempt, timeout time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	w := l.workers[a.worker.Instance]
-	if w == nil {
-		w = newWatchedWorker(a.worker, timeout)
-		l.workers[a.worker.Instance] = w
-	}
-	if w.deadSince.IsZero() {
-		w.deadSince = time.Now()
-		w.nextProbe = time.Now().Add(probeAgain)
+// recordUnreachable has a worker checked to which a request could not connect.
+func (h *healthChecker) recordUnreachable(a *attempt, dialTimeout time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	w := h.worker(a, dialTimeout)
+	if w.responsive() {
+		w.unresponsiveSince = time.Now()
+		w.nextCheckAt = time.Now().Add(recheckInterval)
 	}
 }
 
-// hint has a worker that has requests in hand probed soon: another edge finds it dead.
-func (l *liveness) hint(instance string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if w := l.workers[instance]; w != nil && len(w.requests) > 0 && w.deadSince.IsZero() {
-		w.heard = time.Time{}
+// expedite has a worker with requests in flight checked at once: another edge reports it unresponsive.
+func (h *healthChecker) expedite(instance string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if w := h.workers[instance]; w != nil && len(w.requests) > 0 && w.responsive() {
+		w.lastActivityAt = time.Time{}
 	}
 }
 
-// due returns the instances to be probed now, and marks them.
-func (l *liveness) due() map[string]*watchedWorker {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// startDueChecks returns the workers to be checked now, by instance. recordCheck must follow for each.
+func (h *healthChecker) startDueChecks() map[string]*monitoredWorker {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	now := time.Now()
-	list := map[string]*watchedWorker{}
-	for instance, w := range l.workers {
-		if !w.deadSince.IsZero() && now.Sub(w.deadSince) > probeFor && len(w.requests) == 0 && !w.probing {
-			delete(l.workers, instance)
+	due := map[string]*monitoredWorker{}
+	for instance, w := range h.workers {
+		expired := !w.responsive() && now.Sub(w.unresponsiveSince) > maxRecheckTime
+		if expired && len(w.requests) == 0 && !w.checking {
+			delete(h.workers, instance)
 			continue
 		}
-		silent := len(w.requests) > 0 && now.Sub(w.heard) > silenceMost
-		if w.probing || now.Before(w.nextProbe) || !silent && w.deadSince.IsZero() {
+		silent := len(w.requests) > 0 && now.Sub(w.lastActivityAt) > activityTimeout
+		if w.checking || now.Before(w.nextCheckAt) || !silent && w.responsive() {
 			continue
 		}
-		w.probing = true
-		list[instance] = w
+		w.checking = true
+		due[instance] = w
 	}
-	return list
+	return due
 }
 
-// probed takes a probe's outcome. It returns what ends the requests of a worker that has just been found
-// dead.
-func (l *liveness) probed(instance string, w *watchedWorker, alive bool) (interrupts []func(), dead bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	w.probing = false
-	if alive {
-		w.heard = time.Now()
-		w.failed = 0
-		w.deadSince = time.Time{}
+// recordCheck records the result of a check. It returns whether the worker is unresponsive, and the functions
+// that interrupt its requests, each of them once.
+func (h *healthChecker) recordCheck(
+	instance string, w *monitoredWorker, answered bool,
+) (interrupts []func(), unresponsive bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	w.checking = false
+	if answered {
+		w.recordActivity()
 		if len(w.requests) == 0 {
-			delete(l.workers, instance)
+			delete(h.workers, instance)
 		}
 		return nil, false
 	}
-	w.failed++
-	if w.failed < probesFailed && w.deadSince.IsZero() {
+	w.failedChecks++
+	if w.failedChecks < unresponsiveThreshold && w.responsive() {
 		return nil, false
 	}
-	if w.deadSince.IsZero() {
-		w.deadSince = time.Now()
+	if w.responsive() {
+		w.unresponsiveSince = time.Now()
 	}
-	w.nextProbe = time.Now().Add(probeAgain)
+	w.nextCheckAt = time.Now().Add(recheckInterval)
 	for a, interrupt := range w.requests {
 		if interrupt != nil {
 			interrupts = append(interrupts, interrupt)
@@ -167,9 +184,9 @@
 	return interrupts, true
 }
 
-// keepLiveness probes silent workers until the context ends.
-func (e *Edge) keepLiveness(ctx context.Context) {
-	ticker := time.NewTicker(livenessInterval)
+// runHealthChecks checks workers when that is due, until the context ends.
+func (e *Edge) runHealthChecks(ctx context.Context) {
+	ticker := time.NewTicker(healthCheckTick)
 	defer ticker.Stop()
 	for {
 		select {
@@ -177,27 +194,29 @@
 			return
 		case <-ticker.C:
 		}
-		for instance, w := range e.liveness.due() {
-			go e.probe(instance, w)
+		for instance, w := range e.healthChecker.startDueChecks() {
+			go e.checkHealth(instance, w)
 		}
 	}
 }
 
-func (e *Edge) probe(instance string, w *watchedWorker) {
-	connection, err := net.DialTimeout("tcp4", w.address, w.timeout/probeFraction)
+// checkHealth checks one worker by a new connection, and acts on the result.
+func (e *Edge) checkHealth(instance string, w *monitoredWorker) {
+	connection, err := net.DialTimeout("tcp4", w.address, w.dialTimeout/checkTimeoutDivisor)
 	if err == nil {
 		connection.Close()
 	}
-	interrupts, dead := e.liveness.probed(instance, w, err == nil)
+	interrupts, unresponsive := e.healthChecker.recordCheck(instance, w, err == nil)
 	switch {
 	case err == nil:
-		w.told = false
-		e.decide.alive(e.now(), instance)
-	case dead:
-		e.pool.CloseIdle(w.address)
-		if known := e.decide.dead(e.now(), instance, false); !known || w.told {
-			w.told = true // the other edges need not say the same
-			e.tellDead(w.zone, &wirepb.DeadNotice{InstanceId: instance})
+		w.peersNotified = false
+		e.decisions.recordSuccess(e.now(), instance)
+	case unresponsive:
+		e.connections.CloseIdle(w.address)
+		alreadyKnown := e.decisions.recordUnresponsive(e.now(), instance, false)
+		if !alreadyKnown || w.peersNotified {
+			w.peersNotified = true // one edge notifies the others, as long as the worker is unresponsive
+			e.notifyUnhealthy(w.zone, &wirepb.DeadNotice{InstanceId: instance})
 		}
 	}
 	for _, interrupt := range interrupts {
--- a/internal/serving/edge/healthcheck_test.go
+++ b/internal/serving/edge/healthcheck_test.go
@@ -11,88 +11,91 @@
 	return &attempt{worker: worker{Worker: loadbalancer.Worker{Instance: instance, Address: "10.0.0.1:80"}}}
 }
 
-// silence makes a watched worker silent for longer than is borne.
-func silence(l *liveness, instance string) {
-	l.workers[instance].heard = time.Now().Add(-2 * silenceMost)
-	l.workers[instance].nextProbe = time.Time{}
+// silence makes a monitored worker silent for longer than activityTimeout.
+func silence(checker *healthChecker, instance string) {
+	checker.workers[instance].lastActivityAt = time.Now().Add(-2 * activityTimeout)
+	checker.workers[instance].nextCheckAt = time.Time{}
 }
 
-func TestSilentWorkerIsProbedAndLeft(t *testing.T) {
-	l := newLiveness()
-	repeatable, once := attemptAt("w"), attemptAt("w")
+func TestSilentWorkerIsCheckedAndInterrupted(t *testing.T) {
+	checker := newHealthChecker()
+	idempotent, nonIdempotent := attemptAt("w"), attemptAt("w")
 	interrupted := 0
-	l.begin(repeatable, time.Second, func() { interrupted++ })
-	l.begin(once, time.Second, nil)
-	if len(l.due()) != 0 {
-		t.Fatal("probed before it was silent")
+	checker.startRequest(idempotent, time.Second, func() { interrupted++ })
+	checker.startRequest(nonIdempotent, time.Second, nil)
+	if len(checker.startDueChecks()) != 0 {
+		t.Fatal("checked before it was silent")
 	}
-	for probe := range probesFailed {
-		silence(l, "w")
-		due := l.due()
-		if len(due) != 1 || len(l.due()) != 0 {
-			t.Fatalf("probe %d: %d due, and due again while it is under way", probe, len(due))
+	for check := range unresponsiveThreshold {
+		silence(checker, "w")
+		due := checker.startDueChecks()
+		if len(due) != 1 || len(checker.startDueChecks()) != 0 {
+			t.Fatalf("check %d: %d due, and due again while it is running", check, len(due))
 		}
-		interrupts, dead := l.probed("w", due["w"], false)
-		if last := probe == probesFailed-1; dead != last || len(interrupts) != map[bool]int{true: 1}[last] {
-			t.Fatalf("probe %d: dead %v, %d interrupted", probe, dead, len(interrupts))
+		interrupts, unresponsive := checker.recordCheck("w", due["w"], false)
+		last := check == unresponsiveThreshold-1
+		if unresponsive != last || len(interrupts) != map[bool]int{true: 1}[last] {
+			t.Fatalf("check %d: unresponsive %v, %d interrupted", check, unresponsive, len(interrupts))
 		}
 		for _, interrupt := range interrupts {
 			interrupt()
 		}
 	}
-	if interrupted != 1 || l.workers["w"].deadSince.IsZero() {
-		t.Errorf("%d interrupted, dead %v: what may run once has to stay", interrupted, l.workers["w"].deadSince)
+	if interrupted != 1 || checker.workers["w"].unresponsiveSince.IsZero() {
+		t.Errorf("%d interrupted, unresponsive since %v: a non-idempotent request has to stay", interrupted,
+			checker.workers["w"].unresponsiveSince)
 	}
-	l.hear("w")
-	if !l.workers["w"].deadSince.IsZero() {
-		t.Error("dead after a sign of life")
+	checker.recordActivity("w")
+	if !checker.workers["w"].unresponsiveSince.IsZero() {
+		t.Error("unresponsive after activity")
 	}
 }
 
-func TestProbeThatSucceedsEndsTheDoubt(t *testing.T) {
-	l := newLiveness()
+func TestAnsweredCheckKeepsWorkerResponsive(t *testing.T) {
+	checker := newHealthChecker()
 	a := attemptAt("w")
-	l.begin(a, time.Second, func() { t.Error("interrupted") })
-	silence(l, "w")
-	due := l.due()
-	if _, dead := l.probed("w", due["w"], true); dead || len(l.due()) != 0 {
-		t.Error("a worker that answers is doubted")
+	checker.startRequest(a, time.Second, func() { t.Error("interrupted") })
+	silence(checker, "w")
+	due := checker.startDueChecks()
+	_, unresponsive := checker.recordCheck("w", due["w"], true)
+	if unresponsive || len(checker.startDueChecks()) != 0 {
+		t.Error("a worker that answers is unresponsive")
 	}
-	l.end(a)
-	if len(l.workers) != 0 {
-		t.Error("a worker without requests is still watched")
+	checker.endRequest(a)
+	if len(checker.workers) != 0 {
+		t.Error("a worker without requests is still monitored")
 	}
 }
 
-func TestUnreachableWorkerIsProbedWithoutRequests(t *testing.T) {
-	l := newLiveness()
-	l.suspect(attemptAt("w"), time.Second)
-	if len(l.due()) != 0 {
-		t.Error("probed at once again")
+func TestUnreachableWorkerIsCheckedWithoutRequests(t *testing.T) {
+	checker := newHealthChecker()
+	checker.recordUnreachable(attemptAt("w"), time.Second)
+	if len(checker.startDueChecks()) != 0 {
+		t.Error("checked again at once")
 	}
-	l.workers["w"].nextProbe = time.Time{}
-	if len(l.due()) != 1 {
-		t.Error("not probed")
+	checker.workers["w"].nextCheckAt = time.Time{}
+	if len(checker.startDueChecks()) != 1 {
+		t.Error("not checked")
 	}
-	l.workers["w"].probing = false
-	l.workers["w"].deadSince = time.Now().Add(-2 * probeFor)
-	l.due()
-	if len(l.workers) != 0 {
-		t.Error("probed for ever")
+	checker.workers["w"].checking = false
+	checker.workers["w"].unresponsiveSince = time.Now().Add(-2 * maxRecheckTime)
+	checker.startDueChecks()
+	if len(checker.workers) != 0 {
+		t.Error("checked for ever")
 	}
 }
 
-// TestHintHasAWorkerProbed takes another edge's word: only where requests of this one are in hand is it worth
-// a look of its own.
-func TestHintHasAWorkerProbed(t *testing.T) {
-	l := newLiveness()
-	l.hint("w")
-	l.begin(attemptAt("w"), time.Second, nil)
-	if len(l.due()) != 0 {
-		t.Fatal("probed without a reason")
+// TestPeerReportExpeditesCheck has another edge report a worker: it is checked only where requests of this
+// edge are in flight.
+func TestPeerReportExpeditesCheck(t *testing.T) {
+	checker := newHealthChecker()
+	checker.expedite("w")
+	checker.startRequest(attemptAt("w"), time.Second, nil)
+	if len(checker.startDueChecks()) != 0 {
+		t.Fatal("checked without a reason")
 	}
-	l.hint("w")
-	if len(l.due()) != 1 {
-		t.Error("not probed")
+	checker.expedite("w")
+	if len(checker.startDueChecks()) != 1 {
+		t.Error("not checked")
 	}
 }
--- a/internal/serving/edge/notices.go
+++ b/internal/serving/edge/notices.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/netip"
 	"time"
 
 	"willowdeck/internal/serving/loadbalancer"
@@ -10,97 +9,89 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-const mostLoads = 40 // workers in a report; the datagram stays under an Ethernet frame
+const (
+	maxReportedLoads = 40 // workers in a report, which has to fit into a datagram
+	// minNoticedPrefillMillis is the prefill time from which a prompt is announced to other edges: below, the
+	// next load report is soon enough.
+	minNoticedPrefillMillis = 30.0
+)
 
-// shareLoads tells the other edges what this one has in hand, until the context ends.
-func (e *Edge) shareLoads(ctx context.Context, datagrams *datagrams) {
-	number := uint64(e.started.UnixMicro())
+// reportLoads reports to the peers what this edge has in flight, until the context ends.
+func (e *Edge) reportLoads(ctx context.Context, socket *datagramSocket) {
+	number := uint64(e.startedAt.UnixMicro())
 	for {
-		t := e.table.Load()
-		period := loadreport.Interval(0)
-		if t != nil && loadreport.Enabled(len(t.peers)) {
-			period = loadreport.Interval(len(t.peers))
+		table := e.table.Load()
+		interval := loadreport.Interval(0)
+		if table != nil && loadreport.Enabled(table.linkedPeers) {
+			interval = loadreport.Interval(table.linkedPeers)
 			number++
-			e.tellLoads(datagrams, t, number)
+			e.sendLoadReport(socket, table, number)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(period):
+		case <-time.After(interval):
 		}
 	}
 }
 
-func (e *Edge) tellLoads(datagrams *datagrams, t *table, number uint64) {
-	report := e.decide.loadReport(mostLoads)
+// sendLoadReport sends one report. A report replaces those of lower numbers at its receivers.
+func (e *Edge) sendLoadReport(socket *datagramSocket, table *routingTable, number uint64) {
+	report := e.decisions.loadReport(maxReportedLoads)
 	report.Edge = e.settings.NodeName
 	report.Number = number
 	message := &wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Load{Load: report}}
-	addresses := make([]netip.AddrPort, len(t.peers))
-	for i, peer := range t.peers {
-		addresses[i] = peer.address
-	}
-	datagrams.send(message, addresses...)
+	socket.send(message, table.linkedPeerAddresses(func(string) bool { return true })...)
 }
 
-// noticedRead is the ms of a worker's time from which a prompt is told to other edges.
-const noticedRead = 30.0
-
-// tellPrompt tells other edges of a prompt that has just been given to a worker, so that they wait for it no
-// longer than they have to: those of its region, and all where it is long, since all avoid such workers.
-func (e *Edge) tellPrompt(t *table, chosen worker, sent loadbalancer.PrefillNotice) {
-	datagrams := e.datagrams.Load()
-	if datagrams == nil || !chosen.Engine || sent.PrefillMillis < noticedRead {
+// notifyPrefill announces a prompt that has just been assigned to a worker, so that other edges account for
+// its prefill before their next load report: those of the worker's region, and all where the prompt is long,
+// since all avoid such workers.
+func (e *Edge) notifyPrefill(table *routingTable, chosen worker, assigned loadbalancer.PrefillNotice) {
+	socket := e.datagrams.Load()
+	if socket == nil || !chosen.Engine || assigned.PrefillMillis < minNoticedPrefillMillis {
 		return
 	}
-	var addresses []netip.AddrPort
-	for _, target := range t.targets {
-		if target.Linked && (sent.Long || target.Region == chosen.Region) {
-			addresses = append(addresses, target.address)
-		}
-	}
+	addresses := table.linkedPeerAddresses(func(region string) bool {
+		return assigned.Long || region == chosen.Region
+	})
 	notice := &wirepb.PromptNotice{
-		InstanceId: sent.Instance, ReadMs: uint32(sent.PrefillMillis), Long: sent.Long,
+		InstanceId: assigned.Instance, ReadMs: uint32(assigned.PrefillMillis), Long: assigned.Long,
 	}
-	datagrams.send(&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Prompt{Prompt: notice}}, addresses...)
+	socket.send(&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Prompt{Prompt: notice}}, addresses...)
 }
 
-// tellBroken tells other edges of a worker that has just broken off a connection, so that what may not be
-// repeated is not risked on others which they have kept.
-func (e *Edge) tellBroken(w worker) {
+// reportConnectionBreak records that a worker broke off a connection, and notifies other edges, so that they
+// do not risk non-idempotent requests on their idle connections to it.
+func (e *Edge) reportConnectionBreak(w worker) {
 	if e.paths.suspected(w.Zone) {
 		return // the path broke, not the worker
 	}
-	e.decide.broke(e.now(), w.Instance)
-	e.tellDead(w.Zone, &wirepb.DeadNotice{InstanceId: w.Instance, Broke: true})
+	e.decisions.recordConnectionBreak(e.now(), w.Instance)
+	e.notifyUnhealthy(w.Zone, &wirepb.DeadNotice{InstanceId: w.Instance, Broke: true})
 }
 
-// tellDead tells the other edges of this region of a worker that stands in a zone: they see it from where
-// this one does. Others may well have a path to it that this one lacks.
-func (e *Edge) tellDead(zone string, notice *wirepb.DeadNotice) {
-	datagrams, t := e.datagrams.Load(), e.table.Load()
-	if datagrams == nil || t == nil || e.paths.suspected(zone) {
+// notifyUnhealthy notifies the other edges of this region of an unhealthy worker in a zone: they share the
+// path to it. Edges elsewhere may reach it where this one cannot.
+func (e *Edge) notifyUnhealthy(zone string, notice *wirepb.DeadNotice) {
+	socket, table := e.datagrams.Load(), e.table.Load()
+	if socket == nil || table == nil || e.paths.suspected(zone) {
 		return
 	}
-	var addresses []netip.AddrPort
-	for _, target := range t.targets {
-		if target.Linked && target.Region == e.settings.Region {
-			addresses = append(addresses, target.address)
-		}
-	}
-	datagrams.send(&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Dead{Dead: notice}}, addresses...)
+	addresses := table.linkedPeerAddresses(func(region string) bool { return region == e.settings.Region })
+	socket.send(&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Dead{Dead: notice}}, addresses...)
 }
 
-// takeDead takes another edge's word that a worker does not answer. Where this one has requests there, it
-// looks itself at once.
-func (e *Edge) takeDead(notice *wirepb.DeadNotice) {
+// handleUnhealthyNotice handles another edge's notice of an unhealthy worker. Where this edge has requests
+// there, it checks the worker itself at once.
+func (e *Edge) handleUnhealthyNotice(notice *wirepb.DeadNotice) {
 	if notice.Broke {
-		e.decide.broke(e.now(), notice.InstanceId)
-		if t := e.table.Load(); t != nil && t.addresses[notice.InstanceId] != "" {
-			e.pool.CloseIdle(t.addresses[notice.InstanceId])
+		e.decisions.recordConnectionBreak(e.now(), notice.InstanceId)
+		if table := e.table.Load(); table != nil && table.addresses[notice.InstanceId] != "" {
+			e.connections.CloseIdle(table.addresses[notice.InstanceId])
 		}
 		return
 	}
-	e.decide.dead(e.now(), notice.InstanceId, true)
-	e.liveness.hint(notice.InstanceId)
+	e.decisions.recordUnresponsive(e.now(), notice.InstanceId, true)
+	e.healthChecker.expedite(notice.InstanceId)
 }
--- a/internal/serving/edge/notices_test.go
+++ b/internal/serving/edge/notices_test.go
@@ -13,14 +13,14 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// listener is another edge that hears datagrams.
-type listener struct {
+// fakePeer is another edge, which receives datagrams.
+type fakePeer struct {
 	t          *testing.T
 	connection *net.UDPConn
-	target     target
+	peer       peer
 }
 
-func newListener(t *testing.T, name, region string) *listener {
+func newFakePeer(t *testing.T, name, region string) *fakePeer {
 	t.Helper()
 	connection, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -28,35 +28,35 @@
 	}
 	t.Cleanup(func() { connection.Close() })
 	connection.SetReadDeadline(time.Now().Add(10 * time.Second))
-	place := pathhealth.FailureDomain{Zone: region, Region: region}
-	return &listener{t: t, connection: connection, target: target{
-		Target:  pathhealth.Target{Name: name, FailureDomain: place, Linked: true},
+	domain := pathhealth.FailureDomain{Zone: region, Region: region}
+	return &fakePeer{t: t, connection: connection, peer: peer{
+		Target:  pathhealth.Target{Name: name, FailureDomain: domain, Linked: true},
 		address: netip.MustParseAddrPort(connection.LocalAddr().String()),
 	}}
 }
 
-// next returns the next message that comes.
-func (l *listener) next() *wirepb.EdgeDatagram {
-	l.t.Helper()
-	buffer := make([]byte, maxDatagram)
-	length, err := l.connection.Read(buffer)
+// next returns the next message received.
+func (p *fakePeer) next() *wirepb.EdgeDatagram {
+	p.t.Helper()
+	buffer := make([]byte, maxDatagramBytes)
+	length, err := p.connection.Read(buffer)
 	if err != nil {
-		l.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	message := &wirepb.EdgeDatagram{}
 	if err := proto.Unmarshal(buffer[:length], message); err != nil {
-		l.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	return message
 }
 
-// startNoticing makes an edge of the region south that knows one edge there and one in the north.
-func startNoticing(t *testing.T) (e *Edge, near, far *listener) {
+// startEdgeWithPeers runs an edge of the region south with one peer there and one in the north.
+func startEdgeWithPeers(t *testing.T) (e *Edge, near, far *fakePeer) {
 	t.Helper()
 	e, _ = startEdge(t)
-	near, far = newListener(t, "near", "south"), newListener(t, "far", "north")
+	near, far = newFakePeer(t, "near", "south"), newFakePeer(t, "far", "north")
 	known := *e.table.Load()
-	known.targets = []target{near.target, far.target}
+	known.peers = []peer{near.peer, far.peer}
 	e.table.Store(&known)
 	sender, err := listenDatagrams("127.0.0.1:0")
 	if err != nil {
@@ -67,43 +67,44 @@
 	return e, near, far
 }
 
-// TestDeadWorkersAreToldWithinTheRegion breaks a worker off, once behind a suspected path: only edges that
-// see it from where this one does are told, and none where the path may be what broke.
-func TestDeadWorkersAreToldWithinTheRegion(t *testing.T) {
-	e, near, far := startNoticing(t)
+// TestUnhealthyNoticesStayInTheRegion has a worker break a connection, once behind a suspected path: only the
+// peers of the edge's own region are notified, and none where the path may be what broke.
+func TestUnhealthyNoticesStayInTheRegion(t *testing.T) {
+	e, near, far := startEdgeWithPeers(t)
 	broken := worker{Worker: loadbalancer.Worker{Instance: "broken", Zone: "n", Region: "north", Engine: true}}
-	e.paths.published.Store(&map[string]bool{"n": true})
-	e.tellBroken(broken)
-	e.tellDead(broken.Zone, &wirepb.DeadNotice{InstanceId: "behind a cut"})
-	e.paths.published.Store(&map[string]bool{})
-	e.tellBroken(broken)
+	e.paths.suspectedZones.Store(&map[string]bool{"n": true})
+	e.reportConnectionBreak(broken)
+	e.notifyUnhealthy(broken.Zone, &wirepb.DeadNotice{InstanceId: "behind a suspected path"})
+	e.paths.suspectedZones.Store(&map[string]bool{})
+	e.reportConnectionBreak(broken)
 	long := loadbalancer.PrefillNotice{Instance: "long", PrefillMillis: 900, Long: true}
-	e.tellPrompt(e.table.Load(), broken, long)
+	e.notifyPrefill(e.table.Load(), broken, long)
 	if notice := near.next().GetDead(); notice.GetInstanceId() != "broken" || !notice.GetBroke() {
-		t.Errorf("the near edge hears %v first", notice)
+		t.Errorf("the near peer receives %v first", notice)
 	}
 	if got := far.next(); got.GetPrompt().GetInstanceId() != "long" {
-		t.Errorf("the far edge hears %v first", got)
+		t.Errorf("the far peer receives %v first", got)
 	}
 }
 
-// TestPromptsAreToldWhereTheyMatter sends a prompt that is soon read, one that takes some time, and a long
-// one.
-func TestPromptsAreToldWhereTheyMatter(t *testing.T) {
-	e, near, far := startNoticing(t)
+// TestPrefillNoticesReachAffectedPeers announces a short prompt, a longer one, and a long one.
+func TestPrefillNoticesReachAffectedPeers(t *testing.T) {
+	e, near, far := startEdgeWithPeers(t)
 	here := worker{Worker: loadbalancer.Worker{Instance: "i", Zone: "a", Region: "south", Engine: true}}
 	plain := worker{Worker: loadbalancer.Worker{Instance: "i", Zone: "a", Region: "south"}}
 	known := e.table.Load()
-	e.tellPrompt(known, here, loadbalancer.PrefillNotice{Instance: "soon read", PrefillMillis: noticedRead - 1})
-	e.tellPrompt(known, plain, loadbalancer.PrefillNotice{Instance: "no engine", PrefillMillis: 900})
-	e.tellPrompt(known, here, loadbalancer.PrefillNotice{Instance: "some time", PrefillMillis: noticedRead})
-	e.tellPrompt(known, here, loadbalancer.PrefillNotice{Instance: "long", PrefillMillis: 900, Long: true})
+	tooShort := loadbalancer.PrefillNotice{Instance: "short", PrefillMillis: minNoticedPrefillMillis - 1}
+	longEnough := loadbalancer.PrefillNotice{Instance: "some time", PrefillMillis: minNoticedPrefillMillis}
+	e.notifyPrefill(known, here, tooShort)
+	e.notifyPrefill(known, plain, loadbalancer.PrefillNotice{Instance: "no engine", PrefillMillis: 900})
+	e.notifyPrefill(known, here, longEnough)
+	e.notifyPrefill(known, here, loadbalancer.PrefillNotice{Instance: "long", PrefillMillis: 900, Long: true})
 	for _, want := range []string{"some time", "long"} {
 		if got := near.next().GetPrompt().GetInstanceId(); got != want {
-			t.Errorf("the near edge hears of %q, not of %q", got, want)
+			t.Errorf("the near peer receives %q, not %q", got, want)
 		}
 	}
 	if got := far.next().GetPrompt().GetInstanceId(); got != "long" {
-		t.Errorf("the far edge hears of %q first", got)
+		t.Errorf("the far peer receives %q first", got)
 	}
 }
--- a/internal/serving/edge/proxiedrequest.go
+++ b/internal/serving/edge/proxiedrequest.go
@@ -1,11 +1,8 @@
 package edge
 
 import (
-	"context"
-	"io"
 	"net/http"
 	"strconv"
-	"strings"
 	"time"
 
 	"github.com/pkg/errors"
@@ -16,277 +13,150 @@
 )
 
 const (
-	nearDial        = 250 * time.Millisecond // to workers of the own region
-	farDial         = 450 * time.Millisecond
-	mostDials       = 4                      // workers that are tried in vain before a request is refused
-	mostMisdirected = 3                      // workers whose address another one has
-	leastTime       = 5 * time.Millisecond   // left, under which nothing is sent any more
-	noPathWait      = 700 * time.Millisecond // told to clients when there is no path to a worker
-	fullWait        = 250 * time.Millisecond // told to clients when a worker was full
-	wholeAnswerMost = 256 << 10              // bytes of an answer that is read whole before it is passed on
+	maxFailedDials         = 4                      // workers that could not be reached, of one request
+	maxMisdirectedAttempts = 3                      // of one request
+	minAttemptTime         = 5 * time.Millisecond   // left until the deadline, below which nothing is sent
+	noPathRetryAfter       = 700 * time.Millisecond // stated where there is no path to a worker
+	saturatedRetryAfter    = 250 * time.Millisecond // stated where no further attempt is allowed
 )
 
-// job is one client's request on its way.
-type job struct {
-	edge     *Edge
-	writer   http.ResponseWriter
-	client   *http.Request
-	route    *configuration.Route
-	service  string
-	id       string
-	request  *workerlink.Request
-	prompt   *loadbalancer.Request
-	deadline time.Time
-	excluded map[string]bool // workers that are not tried again
-
-	attempts    int  // workers that the request was sent to and that may have run it
-	dials       int  // workers that could not be reached
-	misdirected int  // workers whose address another one has
-	unknown     bool // an attempt may have run
-
-	lastEvent  uint64 // id of the last event passed on, of resumable streams
-	eventKnown bool
-	committed  bool // the head has gone to the client
+// proxiedRequest is a client's request while the edge proxies it. One goroutine uses it, that of the client's
+// connection.
+type proxiedRequest struct {
+	edge          *Edge
+	writer        http.ResponseWriter
+	clientRequest *http.Request
+	route         *configuration.Route
+	service       string
+	id            string
+	workerRequest *workerlink.Request // as received from the client; attempts add headers
+	prompt        *loadbalancer.Request
+	deadline      time.Time
+	excluded      map[string]bool // workers that get no further attempt, by instance
+
+	attempts            int  // that were sent to a worker of the route and may have been executed
+	failedDials         int  // workers that could not be reached
+	misdirectedAttempts int  // sent to an address that another worker has
+	mayHaveExecuted     bool // some attempt may have been executed, and its response is lost
+
+	lastEventID    uint64 // of the last event relayed, of resumable streams
+	hasLastEventID bool
+	headWritten    bool // the response's head has been written to the client
 }
 
-// attempt is one sending of a request to a worker.
-type attempt struct {
-	worker     worker
-	connection *workerlink.Conn
-	response   *http.Response
-	release    func() bool // ends the care for a client that goes
-	firstSeen  bool        // the first token has come
+// rejectionError ends a request by a response of the edge, since no further worker may get it.
+type rejectionError struct {
+	status     int
+	retryAfter time.Duration
 }
 
-// run sends the request until there is an answer that stands.
-func (j *job) run() {
-	j.edge.decide.countRequest(j.edge.now(), j.service)
+// Error says the status that the client gets.
+func (e *rejectionError) Error() string { return "rejected with status " + strconv.Itoa(e.status) }
+
+// errSaturated rejects a request that may get no further attempt.
+var errSaturated = &rejectionError{http.StatusServiceUnavailable, saturatedRetryAfter}
+
+// errClientDisconnected ends a request whose client has disconnected.
+var errClientDisconnected = errors.New("the client has disconnected")
+
+// run attempts the request until there is a final response.
+func (p *proxiedRequest) run() {
+	p.edge.decisions.recordRequest(p.edge.now(), p.service)
 	for {
-		a, err := j.send()
+		a, err := p.attemptWorkers()
 		if err != nil {
-			j.giveUp(err)
+			p.end(err)
 			return
 		}
-		if j.finish(a) {
+		if p.relayResponse(a) {
 			return
 		}
 	}
 }
 
-// refusalError ends a request with an answer of our own, since no further worker may get it.
-type refusalError struct {
-	status int
-	wait   time.Duration
-}
-
-// Error says what the client is told.
-func (e *refusalError) Error() string { return "refused with " + strconv.Itoa(e.status) }
-
-// errClientGone ends a request whose client has left.
-var errClientGone = errors.New("the client has left")
-
-// giveUp answers at once. A request that may have run gets no promise that it has not.
-func (j *job) giveUp(err error) {
-	var refusal *refusalError
+// end responds to a request that gets no response of a worker. The client of a request that may have been
+// executed is not told to retry. It panics with http.ErrAbortHandler where the connection has to be cut.
+func (p *proxiedRequest) end(err error) {
+	var rejection *rejectionError
 	switch {
-	case errors.Is(err, errClientGone) || j.committed:
+	case errors.Is(err, errClientDisconnected) || p.headWritten:
 		panic(http.ErrAbortHandler)
-	case errors.As(err, &refusal) && !j.unknown:
-		refuse(j.writer, refusal.status, refusal.wait)
-	case time.Now().After(j.deadline.Add(-leastTime)):
-		refuse(j.writer, http.StatusGatewayTimeout, 0)
+	case errors.As(err, &rejection) && !p.mayHaveExecuted:
+		reject(p.writer, rejection.status, rejection.retryAfter)
+	case time.Now().After(p.deadline.Add(-minAttemptTime)):
+		reject(p.writer, http.StatusGatewayTimeout, 0)
 	default:
-		refuse(j.writer, http.StatusBadGateway, 0)
+		reject(p.writer, http.StatusBadGateway, 0)
 	}
 }
 
-// send finds a worker that takes the request and returns once the head of its answer is there. Attempts
-// that did not run, or may be repeated, are followed by others as far as the route and the budget allow.
-func (j *job) send() (*attempt, error) {
+// attemptWorkers sends the request to workers until one has sent the head of a response. An attempt that was
+// not executed, or is idempotent, is followed by others as far as the route and the retry budget allow.
+func (p *proxiedRequest) attemptWorkers() (*attempt, error) {
 	for {
-		if err := j.mayGoOn(); err != nil {
+		chosen, err := p.chooseWorker()
+		if err != nil {
 			return nil, err
 		}
-		t := j.edge.table.Load()
-		now := j.edge.now()
-		chosen, sent, wait, ok := j.edge.decide.choose(now, t, j.service, j.route, j.prompt, j.excluded)
-		if !ok {
-			return nil, &refusalError{http.StatusServiceUnavailable, wait}
-		}
-		if chosen.PathSuspected && !j.route.IsIdempotent() {
-			j.end(&attempt{worker: chosen}, false)
-			return nil, &refusalError{http.StatusServiceUnavailable, noPathWait}
-		}
-		if j.attempts+j.misdirected > 0 && !j.edge.decide.allowRepeat(now, j.service, t.budgetEdges()) {
-			j.end(&attempt{worker: chosen}, false)
-			return nil, &refusalError{http.StatusServiceUnavailable, fullWait}
-		}
-		j.edge.tellPrompt(t, chosen, sent)
-		a, err := j.try(chosen)
+		a, err := p.attempt(chosen)
 		if err == nil {
 			return a, nil
 		}
-		j.excluded[chosen.Instance] = true
+		p.excluded[chosen.Instance] = true
 		if errors.Is(err, workerlink.ErrNotSent) {
-			j.dials++
+			p.failedDials++
 			continue
 		}
 		if !errors.Is(err, errNotExecuted) {
-			j.unknown = true
-			if !j.route.IsIdempotent() {
+			p.mayHaveExecuted = true
+			if !p.route.IsIdempotent() {
 				return nil, err
 			}
 		}
 	}
 }
 
-// mayGoOn reports whether a further worker may be tried.
-func (j *job) mayGoOn() error {
-	if j.client.Context().Err() != nil {
-		return errClientGone
-	}
-	if time.Until(j.deadline) < leastTime {
-		return &refusalError{http.StatusServiceUnavailable, fullWait}
-	}
-	if j.dials >= mostDials || j.misdirected >= mostMisdirected || j.attempts >= max(j.route.MaxAttempts, 1) {
-		return &refusalError{http.StatusServiceUnavailable, fullWait}
-	}
-	return nil
+// chooseWorker selects the worker of the next attempt and announces the prompt to other edges.
+func (p *proxiedRequest) chooseWorker() (worker, error) {
+	if err := p.checkAttemptAllowed(); err != nil {
+		return worker{}, err
+	}
+	table := p.edge.table.Load()
+	now := p.edge.now()
+	decisions := p.edge.decisions
+	chosen, assigned, retryAfter, ok := decisions.choose(now, table, p.service, p.route, p.prompt, p.excluded)
+	if !ok {
+		return worker{}, &rejectionError{http.StatusServiceUnavailable, retryAfter}
+	}
+	if chosen.PathSuspected && !p.route.IsIdempotent() {
+		p.endAttempt(&attempt{worker: chosen}, false)
+		return worker{}, &rejectionError{http.StatusServiceUnavailable, noPathRetryAfter}
+	}
+	retry := p.attempts+p.misdirectedAttempts > 0
+	if retry && !decisions.allowRetry(now, p.service, table.retryBudgetEdges()) {
+		p.endAttempt(&attempt{worker: chosen}, false)
+		return worker{}, errSaturated
+	}
+	p.edge.notifyPrefill(table, chosen, assigned)
+	return chosen, nil
 }
 
-// errNotExecuted says that a worker has promised not to have run the request.
-var errNotExecuted = errors.New("the worker did not run the request: try another one")
-
-// try sends the request to one worker and reads the head of its answer.
-func (j *job) try(chosen worker) (*attempt, error) {
-	a := &attempt{worker: chosen}
-	dialTimeout := farDial
-	if chosen.Region == j.edge.settings.Region {
-		dialTimeout = nearDial
+// checkAttemptAllowed returns why no further attempt may be made, or nil.
+func (p *proxiedRequest) checkAttemptAllowed() error {
+	if p.clientRequest.Context().Err() != nil {
+		return errClientDisconnected
 	}
-	dialTimeout = min(dialTimeout, time.Until(j.deadline))
-	ctx := j.client.Context()
-	connection, err := j.edge.pool.Get(ctx, chosen.Address, dialTimeout)
-	if err != nil {
-		j.edge.liveness.suspect(a, dialTimeout)
-		j.fail(a, ctx)
-		return nil, err
+	if time.Until(p.deadline) < minAttemptTime {
+		return errSaturated
 	}
-	a.connection = connection
-	a.release = context.AfterFunc(ctx, func() { connection.Close() })
-	j.watch(a, dialTimeout)
-	j.attempts++
-	sentAt := j.edge.now()
-	if err := connection.Send(j.prepare(chosen), j.deadline); err != nil {
-		j.fail(a, ctx)
-		return nil, err
+	if p.failedDials >= maxFailedDials || p.misdirectedAttempts >= maxMisdirectedAttempts ||
+		p.attempts >= max(p.route.MaxAttempts, 1) {
+		return errSaturated
 	}
-	a.response, err = connection.Receive(j.request.Method, j.id)
-	if err != nil {
-		j.fail(a, ctx)
-		return nil, err
-	}
-	j.edge.liveness.hear(chosen.Instance)
-	j.edge.paths.proven(sentAt, chosen)
-	j.noteLoad(a)
-	if workerlink.NotExecuted(a.response) {
-		return nil, j.passBy(a)
-	}
-	return a, nil
-}
-
-// watch has the worker's life watched for as long as it has the request.
-func (j *job) watch(a *attempt, probeTimeout time.Duration) {
-	var interrupt func()
-	if j.route.IsIdempotent() {
-		interrupt = func() { a.connection.Close() }
-	}
-	j.edge.liveness.begin(a, probeTimeout, interrupt)
-}
-
-// prepare adds what the worker is told by us.
-func (j *job) prepare(chosen worker) *workerlink.Request {
-	request := *j.request
-	request.Header = j.request.Header.Clone()
-	left := max(time.Until(j.deadline).Milliseconds(), 1)
-	request.Header[workerlink.HeaderDeadline] = []string{strconv.FormatInt(left, 10)}
-	request.Header[workerlink.HeaderTarget] = []string{chosen.Instance}
-	if chosen.Engine {
-		request.Header[workerlink.HeaderPriority] = []string{priority(j.route)}
-	}
-	if j.eventKnown {
-		request.Header[workerlink.HeaderLastEvent] = []string{strconv.FormatUint(j.lastEvent, 10)}
-	}
-	return &request
-}
-
-// passBy ends an attempt that the worker has refused without running it.
-func (j *job) passBy(a *attempt) error {
-	if a.response.StatusCode == http.StatusMisdirectedRequest {
-		j.edge.decide.gone(j.edge.now(), a.worker.Instance) // another worker has its address
-		j.attempts--                                        // it was never sent to a worker that the route means
-		j.misdirected++
-	}
-	_, err := io.Copy(io.Discard, io.LimitReader(a.response.Body, wholeAnswerMost))
-	j.end(a, err == nil)
-	return errNotExecuted
-}
-
-// noteLoad takes up what the worker says of its load: requests running, waiting, and its places.
-func (j *job) noteLoad(a *attempt) {
-	fields := strings.Split(a.response.Header.Get(workerlink.HeaderLoad), ",")
-	if len(fields) < 2 {
-		return
-	}
-	running, runningErr := strconv.ParseFloat(strings.TrimSpace(fields[0]), 64)
-	waiting, waitingErr := strconv.ParseFloat(strings.TrimSpace(fields[1]), 64)
-	if runningErr == nil && waitingErr == nil {
-		j.edge.decide.load(j.edge.now(), a.worker.Instance, running, waiting)
-	}
-}
-
-// fail ends an attempt whose worker could not be reached, or broke off. A client that left is no fault of
-// the worker.
-func (j *job) fail(a *attempt, ctx context.Context) {
-	if ctx.Err() == nil && time.Now().Before(j.deadline) {
-		j.edge.decide.failed(j.edge.now(), a.worker.Instance)
-		j.edge.pool.CloseIdle(a.worker.Address)
-		if a.connection != nil {
-			j.edge.tellBroken(a.worker)
-		}
-	}
-	j.end(a, false)
-}
-
-// end gives the worker's place back, and the connection where it is whole.
-func (j *job) end(a *attempt, whole bool) {
-	if !a.firstSeen {
-		j.edge.decide.firstTokenGone(j.prompt, a.worker.Instance)
-		a.firstSeen = true
-	}
-	j.edge.decide.done(a.worker.Instance)
-	j.edge.liveness.end(a)
-	if a.connection == nil {
-		return
-	}
-	if !a.release() {
-		whole = false // the client has left: the connection is being closed
-	}
-	if !whole || a.response == nil {
-		a.connection.Close()
-		return
-	}
-	life, keep := workerlink.KeepAlive(a.response)
-	if !keep {
-		a.connection.Close()
-		return
-	}
-	j.edge.pool.Put(a.worker.Address, a.connection, life)
+	return nil
 }
 
-func (j *job) sawFirstToken(a *attempt) {
-	if !a.firstSeen {
-		a.firstSeen = true
-		j.edge.decide.firstToken(j.edge.now(), j.prompt, a.worker.Instance)
-	}
+// mayRetry reports whether a request that may have been executed may be attempted again.
+func (p *proxiedRequest) mayRetry() bool {
+	return p.route.IsIdempotent() && p.checkAttemptAllowed() == nil
 }
--- a/internal/serving/edge/response.go
+++ b/internal/serving/edge/response.go
@@ -7,153 +7,88 @@
 	"net/http"
 	"strconv"
 
-	"github.com/pkg/errors"
-
-	"willowdeck/internal/serving/sse"
 	"willowdeck/internal/serving/workerlink"
 )
 
-// finish passes an answer on. It returns false where the request has to be sent again: nothing of the
-// answer has gone to the client then, or the stream may be taken up elsewhere.
-func (j *job) finish(a *attempt) bool {
-	if isStream(a.response) {
-		return j.finishStream(a)
+// maxBufferedBodyBytes is the length up to which a response is read completely before it is relayed, so that
+// it can still be replaced by another attempt's.
+const maxBufferedBodyBytes = 256 << 10
+
+// relayResponse relays a response to the client. It returns false where the request has to be attempted
+// again: nothing of the response has been written then, or the stream may be resumed at another worker.
+func (p *proxiedRequest) relayResponse(a *attempt) (done bool) {
+	if isEventStream(a.response) {
+		return p.relayStream(a)
 	}
-	body, err := io.ReadAll(io.LimitReader(a.response.Body, wholeAnswerMost+1))
+	body, err := io.ReadAll(io.LimitReader(a.response.Body, maxBufferedBodyBytes+1))
 	if err != nil {
-		j.unknown = true
-		j.fail(a, j.client.Context())
-		return j.answerBroken()
+		p.mayHaveExecuted = true
+		p.failAttempt(a)
+		return p.endUnlessRetried()
 	}
-	if j.committed { // a stream cannot go on with an answer that is none
-		j.end(a, false)
-		return j.answerBroken()
+	if p.headWritten { // a stream cannot go on with a response that is none
+		p.endAttempt(a, false)
+		return p.endUnlessRetried()
 	}
-	if len(body) > wholeAnswerMost {
-		j.passLong(a, body)
+	if len(body) > maxBufferedBodyBytes {
+		p.relayLongBody(a, body)
 		return true
 	}
-	j.sawFirstToken(a)
-	j.end(a, true)
-	if a.response.StatusCode >= http.StatusInternalServerError && j.mayRepeatFailure() {
-		j.excluded[a.worker.Instance] = true
+	p.recordFirstToken(a)
+	p.endAttempt(a, true)
+	if a.response.StatusCode >= http.StatusInternalServerError && p.mayRetry() {
+		p.excluded[a.worker.Instance] = true
 		return false
 	}
-	j.writeHead(a.response, len(body))
-	j.writer.Write(body)
+	p.writeHead(a.response, len(body))
+	p.writer.Write(body)
 	return true
 }
 
-// mayRepeatFailure reports whether a request that a worker failed may go to another one.
-func (j *job) mayRepeatFailure() bool {
-	return j.route.IsIdempotent() && j.mayGoOn() == nil
-}
-
-// answerBroken handles an answer that broke off: another attempt where that is allowed, else the end.
-func (j *job) answerBroken() bool {
-	if j.route.IsIdempotent() && j.mayGoOn() == nil {
+// endUnlessRetried handles a lost response: it returns false where the request may be attempted again, and
+// ends it otherwise.
+func (p *proxiedRequest) endUnlessRetried() (done bool) {
+	if p.mayRetry() {
 		return false
 	}
-	j.giveUp(workerlink.ErrOutcomeUnknown)
+	p.end(workerlink.ErrOutcomeUnknown)
 	return true
 }
 
-// passLong passes on an answer that is too long to be read whole first. One that breaks off looks broken.
-func (j *job) passLong(a *attempt, begun []byte) {
-	j.writeHead(a.response, -1)
-	_, err := io.Copy(j.writer, io.MultiReader(bytes.NewReader(begun), a.response.Body))
-	j.sawFirstToken(a)
-	j.end(a, err == nil)
+// relayLongBody relays a response that is too long to be buffered; begun is its beginning. Where the worker
+// breaks off, it panics with http.ErrAbortHandler, so that the client sees an incomplete response.
+func (p *proxiedRequest) relayLongBody(a *attempt, begun []byte) {
+	p.writeHead(a.response, unknownLength)
+	_, err := io.Copy(p.writer, io.MultiReader(bytes.NewReader(begun), a.response.Body))
+	p.recordFirstToken(a)
+	p.endAttempt(a, err == nil)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func isStream(response *http.Response) bool {
-	kind, _, err := mime.ParseMediaType(response.Header.Get("Content-Type"))
-	return err == nil && kind == "text/event-stream" && response.StatusCode == http.StatusOK
+// isEventStream reports whether a response is a stream of server-sent events.
+func isEventStream(response *http.Response) bool {
+	mediaType, _, err := mime.ParseMediaType(response.Header.Get("Content-Type"))
+	return err == nil && mediaType == "text/event-stream" && response.StatusCode == http.StatusOK
 }
 
-// writeHead passes the head of an answer on, without what concerns the worker's connection alone. A
-// negative length is not known beforehand.
-func (j *job) writeHead(response *http.Response, length int) {
-	header := j.writer.Header()
+// unknownLength is the length of a body for writeHead that is not known beforehand.
+const unknownLength = -1
+
+// writeHead writes the head of a worker's response to the client, without the hop-by-hop headers. length is
+// that of the body.
+func (p *proxiedRequest) writeHead(response *http.Response, length int) {
+	header := p.writer.Header()
 	for name, values := range workerlink.EndToEnd(response.Header) {
 		header[name] = values
 	}
 	if _, stated := header["Content-Type"]; !stated {
-		header["Content-Type"] = nil // none is to be guessed
+		header["Content-Type"] = nil // keeps net/http from guessing one
 	}
-	if length >= 0 && j.request.Method != http.MethodHead {
+	if length >= 0 && p.workerRequest.Method != http.MethodHead {
 		header.Set("Content-Length", strconv.Itoa(length))
 	}
-	j.committed = true
-	j.writer.WriteHeader(response.StatusCode)
-}
-
-// finishStream passes events on as they come, whole ones only. It returns false where the stream is to be
-// taken up at another worker.
-func (j *job) finishStream(a *attempt) bool {
-	events := sse.NewReader(a.response.Body)
-	for {
-		event, err := events.Next()
-		if err != nil {
-			return j.endStream(a, event, err)
-		}
-		j.sawFirstToken(a)
-		j.edge.liveness.hear(a.worker.Instance)
-		if !j.inOrder(event) {
-			j.fail(a, j.client.Context())
-			return j.answerBroken()
-		}
-		if !j.passEvent(a, event) {
-			return true
-		}
-	}
-}
-
-// inOrder checks the id of an event that is passed on behind others.
-func (j *job) inOrder(event sse.Event) bool {
-	if !event.HasID {
-		return true
-	}
-	if j.eventKnown && event.ID != j.lastEvent+1 {
-		return false
-	}
-	j.lastEvent = event.ID
-	j.eventKnown = true
-	return true
-}
-
-// passEvent writes an event to the client. It returns false where the client has left.
-func (j *job) passEvent(a *attempt, event sse.Event) bool {
-	if !j.committed {
-		j.writeHead(a.response, -1)
-	}
-	_, err := j.writer.Write(event.Raw)
-	if err == nil {
-		err = http.NewResponseController(j.writer).Flush()
-	}
-	if err != nil {
-		j.end(a, false)
-		return false
-	}
-	return true
-}
-
-// endStream ends a stream that is complete, or broken.
-func (j *job) endStream(a *attempt, rest sse.Event, err error) bool {
-	if errors.Is(err, io.EOF) {
-		if !j.committed {
-			j.writeHead(a.response, -1)
-		}
-		j.writer.Write(rest.Raw)
-		j.sawFirstToken(a)
-		j.end(a, true)
-		return true
-	}
-	j.excluded[a.worker.Instance] = true
-	j.unknown = true
-	j.fail(a, j.client.Context())
-	return j.answerBroken()
+	p.headWritten = true
+	p.writer.WriteHeader(response.StatusCode)
 }
