--- a/internal/distribution/codec.go
+++ b/internal/distribution/codec.go
@@ -14,34 +14,39 @@
 	"willowdeck/internal/versioned"
 )
 
-// MostAsk and MostAnswer are the longest that are read, bytes: as sent and, where it was compressed, as
-// written. An answer with 10,000 members, 4,096 words and a pending version is 2 MB. MostTold is the most
-// facts in a question; of names of 200 bytes they fit.
+// Bounds of messages. The bytes hold for a message as it is sent and, where it was compressed, for its
+// content: a response with 10,000 members, 4,096 worker entries and a pending version has 2 MB. MaxHostSteps
+// facts fit into a request with host names of 200 bytes.
 const (
 	MaxRequestBytes  = 1 << 20
 	MaxResponseBytes = 8 << 20
 	MaxHostSteps     = 2000
 )
 
-// A message is a byte that says how it is written, CBOR (RFC 8949, core deterministic), and a CRC-32C over
-// both: a bit of an age or a step that has turned would be believed else.
+// A message is a byte that names its encoding, the CBOR of its value (RFC 8949, core deterministic) and a
+// CRC-32C over both. Without the checksum a flipped bit of an age or a step would go unnoticed.
 const (
 	encodingPlain         = 0x01
-	encodingZstd          = 0x02 // zstd (RFC 8878)
-	compressFromBytes     = 1024 // bytes from which packing gains something
-	checksumBytes         = 4
-	compressorWindowBytes = 1 << 20 // of the compressor: it bounds its memory
+	encodingZstd          = 0x02    // RFC 8878
+	compressFromBytes     = 1024    // shorter messages are sent plain
+	checksumBytes         = 4       // big endian, at the end
+	compressorWindowBytes = 1 << 20 // bounds the compressor's memory
 )
 
 var (
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 	encodeMode = must(cbor.CoreDetEncOptions().EncMode())
-	// An unknown key is passed over, so that a later program may say more to an earlier one; what an earlier one
-	// has to know has another Form.
-	decodeMode = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF,
-		IndefLength: cbor.IndefLengthForbidden,
-		TagsMd:      cbor.TagsForbidden, MaxArrayElements: maxEntries, MaxMapPairs: 64, MaxNestedLevels: 8,
-		UTF8: cbor.UTF8RejectInvalid}.DecMode())
+	// Unknown keys are ignored, so that a later program may add keys. A change that an earlier program has to
+	// know of gets another FormatVersion.
+	decodeMode = must(cbor.DecOptions{
+		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
+		IndefLength:      cbor.IndefLengthForbidden,
+		TagsMd:           cbor.TagsForbidden,
+		MaxArrayElements: maxEntries,
+		MaxMapPairs:      64,
+		MaxNestedLevels:  8,
+		UTF8:             cbor.UTF8RejectInvalid,
+	}.DecMode())
 	compressor = sync.OnceValue(func() *zstd.Encoder {
 		return must(zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(compressorWindowBytes),
 			zstd.WithLowerEncoderMem(true), zstd.WithEncoderCRC(false)))
@@ -52,11 +57,11 @@
 	})
 )
 
-// Why a message can't be read.
+// Reasons why a message can't be decoded.
 var (
-	ErrTooLong   = errors.New("it is too long")
-	ErrChecksum  = errors.New("its checksum is another")
-	ErrMalformed = errors.New("it is no such message")
+	ErrTooLong   = errors.New("message too long")
+	ErrChecksum  = errors.New("checksum mismatch")
+	ErrMalformed = errors.New("malformed message")
 )
 
 func must[T any](v T, err error) T {
@@ -81,93 +86,106 @@
 	return binary.BigEndian.AppendUint32(out, crc32.Checksum(out, castagnoli)), nil
 }
 
-func decode(what string, raw []byte, most int, into any) error {
-	if len(raw) > most {
+// decode decodes a message of maxBytes at most into a value. What names the message in errors, which wrap
+// ErrTooLong, ErrChecksum or ErrMalformed.
+func decode(what string, raw []byte, maxBytes int, into any) error {
+	if len(raw) > maxBytes {
 		return fmt.Errorf("%s: %w: %d bytes", what, ErrTooLong, len(raw))
 	}
 	if len(raw) < 1+checksumBytes {
 		return fmt.Errorf("%s: %w: %d bytes", what, ErrMalformed, len(raw))
 	}
-	body, sum := raw[:len(raw)-checksumBytes], raw[len(raw)-checksumBytes:]
-	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(sum) {
+	body, checksum := raw[:len(raw)-checksumBytes], raw[len(raw)-checksumBytes:]
+	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(checksum) {
 		return fmt.Errorf("%s: %w", what, ErrChecksum)
 	}
-	how, body := body[0], body[1:]
-	switch how {
+	encoding, body := body[0], body[1:]
+	switch encoding {
 	case encodingPlain:
 	case encodingZstd:
-		var h zstd.Header
-		if err := h.Decode(body); err != nil {
-			return fmt.Errorf("%s: %w: %v", what, ErrMalformed, err)
-		}
-		if h.HasFCS && h.FrameContentSize > uint64(most) {
-			return fmt.Errorf("%s: %w: %d bytes", what, ErrTooLong, h.FrameContentSize)
-		}
 		var err error
-		if body, err = decompressor().DecodeAll(body, nil); errors.Is(err, zstd.ErrDecoderSizeExceeded) {
-			return fmt.Errorf("%s: %w", what, ErrTooLong)
-		} else if err != nil {
-			return fmt.Errorf("%s: %w: %v", what, ErrMalformed, err)
-		}
-		if len(body) > most {
-			return fmt.Errorf("%s: %w: %d bytes", what, ErrTooLong, len(body))
+		if body, err = decompress(body, maxBytes); err != nil {
+			return fmt.Errorf("%s: %w", what, err)
 		}
 	default:
-		return fmt.Errorf("%s: %w: written in way %d", what, ErrMalformed, how)
+		return fmt.Errorf("%s: %w: encoding %d", what, ErrMalformed, encoding)
 	}
 	if err := decodeMode.Unmarshal(body, into); err != nil {
-		return fmt.Errorf("%s: %w: %v", what, ErrMalformed, err)
+		return fmt.Errorf("%s: %w: %w", what, ErrMalformed, err)
 	}
 	return nil
 }
 
-// Bytes is a question as it is sent.
-func (a *Request) Encode() ([]byte, error) { return encode(a) }
+// decompress gives the content of a zstd frame. A frame that declares more than maxBytes is rejected before
+// anything is allocated for it.
+func decompress(frame []byte, maxBytes int) ([]byte, error) {
+	var header zstd.Header
+	if err := header.Decode(frame); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
+	}
+	if header.HasFCS && header.FrameContentSize > uint64(maxBytes) {
+		return nil, fmt.Errorf("%w: %d bytes", ErrTooLong, header.FrameContentSize)
+	}
+	content, err := decompressor().DecodeAll(frame, nil)
+	switch {
+	case errors.Is(err, zstd.ErrDecoderSizeExceeded):
+		return nil, ErrTooLong
+	case err != nil:
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
+	case len(content) > maxBytes:
+		return nil, fmt.Errorf("%w: %d bytes", ErrTooLong, len(content))
+	}
+	return content, nil
+}
 
-// ReadAsk reads one; the error names what is wrong. What it says is checked by Source.Answer.
+// Encode gives the request as it is sent.
+func (r *Request) Encode() ([]byte, error) { return encode(r) }
+
+// DecodeRequest decodes a request. Its content is validated by Source.Respond.
 func DecodeRequest(raw []byte) (*Request, error) {
-	a := &Request{DiscoveryIndex: -1}
-	if err := decode("ask", raw, MaxRequestBytes, a); err != nil {
+	r := &Request{DiscoveryIndex: -1}
+	if err := decode("request", raw, MaxRequestBytes, r); err != nil {
 		return nil, err
 	}
-	return a, nil
+	return r, nil
 }
 
-// Bytes is an answer as it is sent.
-func (a *Response) Encode() ([]byte, error) { return encode(a) }
+// Encode gives the response as it is sent.
+func (r *Response) Encode() ([]byte, error) { return encode(r) }
 
-// ReadAnswer reads one; the error names what is wrong. What it says is checked by Follower.Heard.
+// DecodeResponse decodes a response. Its content is validated by Follower.HandleResponse.
 func DecodeResponse(raw []byte) (*Response, error) {
-	a := &Response{DiscoveryIndex: -1}
-	if err := decode("answer", raw, MaxResponseBytes, a); err != nil {
+	r := &Response{DiscoveryIndex: -1}
+	if err := decode("response", raw, MaxResponseBytes, r); err != nil {
 		return nil, err
 	}
-	if math.IsNaN(a.AgeMillis) || math.IsInf(a.AgeMillis, 0) || math.IsNaN(a.RetryAfterMillis) ||
-		math.IsInf(a.RetryAfterMillis, 0) {
-		return nil, fmt.Errorf("answer: %w: an age that is none", ErrMalformed)
+	if !finite(r.AgeMillis) || !finite(r.RetryAfterMillis) {
+		return nil, fmt.Errorf("response: %w: an age or a pause that is not finite", ErrMalformed)
 	}
-	return a, nil
+	return r, nil
 }
 
-// StateBytes is a state as a disk copy has it, with a checksum; nil is an empty one.
+func finite(x float64) bool { return !math.IsNaN(x) && !math.IsInf(x, 0) }
+
+// EncodeState gives a state as a checkpoint stores it, with a checksum; nil is a state without a mark.
 func EncodeState(s *versioned.State) ([]byte, error) {
-	var d *versioned.Delta
+	var full *versioned.Delta
 	if s != nil {
-		d = versioned.Whole(s)
+		full = versioned.Whole(s)
 	}
-	return encode(d)
+	return encode(full)
 }
 
-// ReadState reads one, which may be nil. What is torn or spoilt is an error.
+// DecodeState decodes what EncodeState wrote, and may give nil.
 func DecodeState(raw []byte) (*versioned.State, error) {
-	var d *versioned.Delta
-	if err := decode("state", raw, MaxResponseBytes, &d); err != nil || d == nil {
+	var full *versioned.Delta
+	if err := decode("state", raw, MaxResponseBytes, &full); err != nil || full == nil {
 		return nil, err
 	}
-	if !d.From.None() {
-		return nil, fmt.Errorf("state: %w: it is a part of one", ErrMalformed)
+	if !full.From.None() {
+		return nil, fmt.Errorf("state: %w: a delta and not a full state", ErrMalformed)
 	}
-	s, err := (*versioned.State)(nil).Apply(d)
+	s, err := (*versioned.State)(nil).Apply(full)
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
--- a/internal/distribution/replica.go
+++ b/internal/distribution/replica.go
@@ -9,167 +9,171 @@
 	"willowdeck/internal/versioned"
 )
 
-// Around is how many places of the ring on either side of its own a gatekeeper is told the members of. A
-// customer's set is a row of the ring with this gatekeeper in it, so that of one as wide as Around + 1 all
-// others lie there. No setting bounds a set but the number of gatekeepers: this covers every set in a fleet
-// of 501, which was the largest before there were relays, and a set lent credit has 64 at most. Of a wider
-// one those beyond are to this gatekeeper as peers that have never spoken.
+// RingRadius is how many positions of the ring on either side of its own a gateway knows the members of. The
+// instances that share a customer's quota are adjacent on the ring, this gateway among them, so that the
+// radius covers every group of up to RingRadius + 1: all groups of a fleet of 501, and those of 64 at most
+// that lend credit. To a gateway in a wider group the members beyond are like peers that have never sent
+// anything.
 const RingRadius = 250
 
-// Replica is a gatekeeper's copy of its part of the rules, as its host's daemon tells them. When to ask is
-// ruleset.Holder's to say, and what to go by; the daemon keeps books on this very process, so that it may go
-// by what was read before it began. It is not safe for concurrent use.
+// Replica is a gateway's copy of its part of the ruleset, as the daemon of its host sends it. When to send a
+// request, and whether to act on the result, is up to ruleset.Holder. The daemon tracks this very process, so
+// that it may act on what was read before it started. It is not safe for concurrent use.
 type Replica struct {
 	name             string
 	processID        int
 	rng              *rand.Rand
 	rules, pending   *versioned.State
-	lease            ruleset.Lease // of these, without an age
-	renewalOnlyUntil float64       // ms until when no whole is asked for
+	lease            ruleset.Lease // of these states, without an age
+	renewalOnlyUntil float64       // a full state was deferred until then; point in time
 	counts           ReplicaCounts
 }
 
-// ReplicaCounts are what a replica has met. What is spoilt changes nothing, and the next question asks for
-// all.
-type ReplicaCounts struct {
-	Renewals   int64 // answers with what is here already
-	Deltas     int64 // rules made of those before
-	FullStates int64 // rules that came whole
-	Stale      int64 // answers of a lower step
-	Deferred   int64 // answers that put a whole off
-	// spoilt: changes of other rules than are here, or rules that are not here without any
-	BaseMismatches   int64
-	DigestMismatches int64 // spoilt: what a change makes is not what the answer says
-	Invalid          int64 // spoilt: an answer of another form, or one that makes no sense
-}
-
-// What an answer may come to beside resource's errors.
+// Errors of HandleResponse beside those of package versioned.
 var (
-	ErrDeferred        = errors.New("the whole rules are put off")
-	ErrInvalidResponse = errors.New("an answer that makes no sense")
+	ErrDeferred        = errors.New("the full state is deferred")
+	ErrInvalidResponse = errors.New("invalid response")
 )
 
-// NewReplica makes one that has nothing, for a process of a gatekeeper.
-func NewReplica(name string, process int, seed int64) *Replica {
-	return &Replica{name: name, processID: process, rng: rand.New(rand.NewSource(seed))}
+// NewReplica makes an empty replica for a process of a gateway.
+func NewReplica(name string, processID int, seed int64) *Replica {
+	return &Replica{name: name, processID: processID, rng: rand.New(rand.NewSource(seed))}
 }
 
-// Counts gives what it has met.
+// Counts gives what the replica has met.
 func (r *Replica) Counts() ReplicaCounts { return r.counts }
 
-// Ask is what the daemon is to be asked at a time, ms; holds is ruleset.Holder's, and index that of
-// discovery's list.
-func (r *Replica) NewRequest(now float64, holds uint64, index int64) *Request {
-	return &Request{FormatVersion: FormatVersion, Sender: r.name,
-		Interest: ruleset.Interest{Name: r.name, Around: RingRadius},
-		Step:     r.lease.Step, Rules: r.rules.Mark(), Pending: r.pending.Mark(), RenewalOnly: now < r.renewalOnlyUntil,
-		DiscoveryIndex: index,
-		ProcessID:      r.processID, HeldStep: holds}
+// NewRequest gives the request to the daemon at a time. The held step is what ruleset.Holder.Holds returns;
+// the index is that of the discovery service's list, and negative where none is known.
+func (r *Replica) NewRequest(now float64, heldStep uint64, discoveryIndex int64) *Request {
+	return &Request{
+		FormatVersion:  FormatVersion,
+		Sender:         r.name,
+		Interest:       ruleset.Interest{Name: r.name, Around: RingRadius},
+		Step:           r.lease.Step,
+		Rules:          r.rules.Mark(),
+		Pending:        r.pending.Mark(),
+		RenewalOnly:    now < r.renewalOnlyUntil,
+		DiscoveryIndex: discoveryIndex,
+		ProcessID:      r.processID,
+		HeldStep:       heldStep,
+	}
 }
 
-// Hear takes an answer that came at a time, and gives what it says as a lease for the Holder. News: the rules
-// are others than before. An error changes nothing.
-func (r *Replica) HandleResponse(a *Response, now float64) (l ruleset.Lease, news bool, err error) {
+// HandleResponse applies a response that came at a time, and gives its content as a lease for ruleset.Holder.
+// Updated reports whether the rules or the pending rules are others than before. After an error but
+// ErrDeferred the replica is as it was, and its next request asks for a full state.
+func (r *Replica) HandleResponse(response *Response, now float64) (
+	lease ruleset.Lease, updated bool, err error) {
 	switch {
-	case a.FormatVersion != FormatVersion:
+	case response.FormatVersion != FormatVersion:
 		r.counts.Invalid++
-		return l, false, fmt.Errorf("%w: form %d", ErrInvalidResponse, a.FormatVersion)
-	case a.Step < r.lease.Step: // it came late: no news, and no base for any
+		return lease, false, fmt.Errorf("%w: format version %d", ErrInvalidResponse, response.FormatVersion)
+	case response.Step < r.lease.Step: // a late response holds nothing new and is no base
 		r.counts.Stale++
-		return ruleset.Lease{Step: a.Step, Age: a.AgeMillis}, false, nil
-	case a.RetryAfterMillis > 0:
+		return ruleset.Lease{Step: response.Step, Age: response.AgeMillis}, false, nil
+	case response.RetryAfterMillis > 0:
 		r.counts.Deferred++
-		r.renewalOnlyUntil = now + r.rng.Float64()*a.RetryAfterMillis // full jitter
-		return l, false, ErrDeferred
-	case now < r.renewalOnlyUntil && a.Rules != r.rules.Mark():
-		return l, false, ErrDeferred
+		r.renewalOnlyUntil = now + r.rng.Float64()*response.RetryAfterMillis // full jitter
+		return lease, false, ErrDeferred
+	case now < r.renewalOnlyUntil && response.Rules != r.rules.Mark():
+		return lease, false, ErrDeferred
 	}
-	rules, pending, err := r.resolveStates(a)
+	rules, pending, err := r.resolveStates(response)
 	next := r.lease
 	if err == nil {
 		next, err = r.leaseOf(rules, pending)
 	}
 	if err != nil {
-		switch {
-		case errors.Is(err, versioned.ErrBase):
-			r.counts.BaseMismatches++
-		case errors.Is(err, versioned.ErrDigest):
-			r.counts.DigestMismatches++
-		default:
-			r.counts.Invalid++
-		}
+		r.countError(err)
 		r.rules, r.pending = nil, nil
-		return l, false, err
+		return lease, false, err
+	}
+	r.countAccepted(response)
+	updated = rules.Mark() != r.rules.Mark() || pending.Mark() != r.pending.Mark()
+	next.Step, next.Settled = response.Step, response.Settled
+	r.rules, r.pending, r.lease = rules, pending, next
+	next.Age = response.AgeMillis
+	return next, updated, nil
+}
+
+func (r *Replica) countError(err error) {
+	switch {
+	case errors.Is(err, versioned.ErrBase):
+		r.counts.BaseMismatches++
+	case errors.Is(err, versioned.ErrDigest):
+		r.counts.DigestMismatches++
+	default:
+		r.counts.Invalid++
 	}
-	switch d := a.RulesDelta; {
-	case d == nil && a.PendingDelta == nil:
+}
+
+func (r *Replica) countAccepted(response *Response) {
+	switch delta := response.RulesDelta; {
+	case delta == nil && response.PendingDelta == nil:
 		r.counts.Renewals++
-	case d != nil && d.From.None():
+	case delta != nil && delta.From.None():
 		r.counts.FullStates++
 	default:
 		r.counts.Deltas++
 	}
-	news = rules.Mark() != r.rules.Mark() || pending.Mark() != r.pending.Mark()
-	next.Step, next.Settled = a.Step, a.Settled
-	r.rules, r.pending, r.lease = rules, pending, next
-	next.Age = a.AgeMillis
-	return next, news, nil
 }
 
-// apply makes of what is here what an answer is of.
-func (r *Replica) resolveStates(a *Response) (rules, pending *versioned.State, err error) {
+// resolveStates gives the states that a response names: those that are here, or what its deltas make.
+func (r *Replica) resolveStates(response *Response) (rules, pending *versioned.State, err error) {
 	switch rules = r.rules; {
-	case a.RulesDelta != nil:
-		if rules, err = r.rules.Apply(a.RulesDelta); err != nil {
+	case response.RulesDelta != nil:
+		if rules, err = r.rules.Apply(response.RulesDelta); err != nil {
 			return nil, nil, fmt.Errorf("rules: %w", err)
 		}
-	case a.Rules == r.pending.Mark(): // what was pending has come in force
+	case response.Rules == r.pending.Mark(): // the pending version has come in force
 		rules = r.pending
 	}
 	switch {
-	case a.Pending.None():
-	case a.PendingDelta != nil:
-		if pending, err = rules.Apply(a.PendingDelta); err != nil {
+	case response.Pending.None():
+	case response.PendingDelta != nil:
+		if pending, err = rules.Apply(response.PendingDelta); err != nil {
 			return nil, nil, fmt.Errorf("pending rules: %w", err)
 		}
 	default:
 		pending = r.pending
 	}
-	if rules.Mark() != a.Rules || rules.Mark().None() || pending.Mark() != a.Pending {
-		return nil, nil, fmt.Errorf("%w: %v and %v are told of", versioned.ErrBase, a.Rules, a.Pending)
+	if rules.Mark() != response.Rules || rules.Mark().None() || pending.Mark() != response.Pending {
+		return nil, nil, fmt.Errorf("%w: the response names %v and %v", versioned.ErrBase, response.Rules,
+			response.Pending)
 	}
 	return rules, pending, nil
 }
 
-// read makes a lease of states; what was read before is not read again.
-func (r *Replica) leaseOf(rules, pending *versioned.State) (l ruleset.Lease, err error) {
-	if l = r.lease; rules.Mark() != r.rules.Mark() {
-		if l.Version, l.Foreign, err = decodeVersion(rules); err != nil {
-			return l, err
+// leaseOf decodes states into a lease. What was decoded for the last lease is used again.
+func (r *Replica) leaseOf(rules, pending *versioned.State) (lease ruleset.Lease, err error) {
+	if lease = r.lease; rules.Mark() != r.rules.Mark() {
+		if lease.Version, lease.Foreign, err = decodeVersion(rules); err != nil {
+			return lease, err
 		}
 	}
 	switch {
 	case pending == nil:
-		l.Pending, l.Strange = nil, ""
+		lease.Pending, lease.Strange = nil, ""
 	case pending.Mark() != r.pending.Mark():
-		v, strange, err := decodeVersion(pending)
+		version, unsupported, err := decodeVersion(pending)
 		if err != nil {
-			return l, err
+			return lease, err
 		}
-		l.Pending, l.Strange = &v.Rules, strange
+		lease.Pending, lease.Strange = &version.Rules, unsupported
 	}
-	return l, nil
+	return lease, nil
 }
 
-// readState reads a version. One that this program does not know whole is left empty, and what it needs
-// named.
-func decodeVersion(s *versioned.State) (v ruleset.Version, foreign string, err error) {
-	v, err = ruleset.FromState(s)
+// decodeVersion decodes a version. Of one that needs what this program does not support, the rules are left
+// empty, and what it needs is named.
+func decodeVersion(s *versioned.State) (version ruleset.Version, unsupported string, err error) {
+	version, err = ruleset.FromState(s)
 	switch {
 	case errors.Is(err, ruleset.ErrForeign):
 		return ruleset.Version{Number: s.Mark().Number}, err.Error(), nil
 	case err != nil:
-		return v, "", fmt.Errorf("%w: %w", ErrInvalidResponse, err)
+		return version, "", fmt.Errorf("%w: %w", ErrInvalidResponse, err)
 	}
-	return v, "", nil
+	return version, "", nil
 }
--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -1,377 +1,186 @@
 package distribution
 
 import (
+	"cmp"
 	"fmt"
 	"math"
 	"slices"
-
-	"willowdeck/internal/ruleset"
-	"willowdeck/internal/versioned"
 )
 
-// What a Source's Bounds are where they are 0, and what of it is fixed.
-const (
-	// at 5,600 changes a day four minutes' worth; longer away, and it is the whole
-	defaultRetainedVersions        = 16
-	defaultCachedSelections        = 2048     // a region's hosts, of some 3 KB each
-	maxPortionIndexes              = 4        // of 2.5 MB at 7,900 members
-	defaultTrackedClients          = 8192     // a region's hosts and relays, four times over
-	defaultFullStateBytesPerSecond = 16 << 20 // bytes a second: a tenth of a link of a gigabit and some
-	defaultFullStateBurstBytes     = 4 << 20  // bytes: a zone's 564 parts of 4 KB and a few relays' wholes
-	discoveryIndexTTLMillis        = 10000.0  // ms for which one's word on discovery's list counts
-	discoveryIndexScanMillis       = 1000.0   // ms between two looks at all of them for the highest
-	minRetryAfterMillis            = 100.0    // ms
-	deferralWindowMillis           = 1000.0   // ms in which those without room are counted
-	maxNameBytes                   = 200      // bytes of a cluster's or asker's name
-)
+// maxNameBytes bounds the names of clusters, senders and hosts.
+const maxNameBytes = 200
 
-// kept is a state from which deltas are made, with what finds parts of it.
-type retainedVersion struct {
-	state        *versioned.State
-	portionIndex *ruleset.Index
-}
+// Source responds to requests from below with a snapshot, which is a raft group's own or a Follower's. It is
+// not safe for concurrent use.
+type Source struct {
+	name, cluster string
+	config        SourceConfig
 
-func (k *retainedVersion) portion(in ruleset.Interest) *ruleset.Portion {
-	if k.portionIndex == nil {
-		k.portionIndex = ruleset.NewIndex(k.state)
-	}
-	return k.portionIndex.Portion(in)
-}
+	hasSnapshot bool
+	snapshot    Snapshot
+	versions    versionCache
 
-// part is what one interest needs of a view.
-type selection struct {
-	rules, pending *ruleset.Portion
-	pendingDelta   *versioned.Delta // of pending against rules
-}
+	hostSteps  map[string]uint64 // highest known step by host
+	unreported map[string]bool   // hosts whose step is newer than at the last TakeHostSteps
 
-// teller is what one asker has said of discovery's list.
-type clientIndex struct {
-	index      int64
-	reportedAt float64
+	indexes    indexTracker
+	fullStates fullStateLimiter
+	counts     SourceCounts
 }
 
-type markPair struct{ from, to versioned.Mark }
-
-// Source answers those below by a view, which is a council's own or a Follower's. It is not safe for
-// concurrent use.
-type Source struct {
-	name, cluster             string
-	config                    SourceConfig
-	hasSnapshot               bool
-	snapshot                  Snapshot
-	versions                  []*retainedVersion // the latest first
-	selections                map[ruleset.Interest]*selection
-	previousSelections        map[ruleset.Interest]*selection // of the view before, which most have
-	deltas                    map[markPair]*versioned.Delta
-	hostSteps                 map[string]uint64
-	unreported                map[string]bool
-	clients                   map[string]clientIndex
-	highestIndex              int64   // of their indices
-	highestIndexAt            float64 // when that was last gone over
-	fullStateBudget, budgetAt float64 // bytes of wholes that may be served, and as of when
-	deferredInWindow          float64 // those told to wait within the window that began at
-	windowStart               float64
-	counts                    SourceCounts
-}
-
-// NewSource makes one that knows nothing yet.
-func NewSource(name, cluster string, b SourceConfig) *Source {
-	preset := func(v *int, to int) {
-		if *v <= 0 {
-			*v = to
-		}
-	}
-	preset(&b.RetainedVersions, defaultRetainedVersions)
-	b.RetainedVersions = max(b.RetainedVersions, 2) // the one in force, and one that waits
-	preset(&b.CachedSelections, defaultCachedSelections)
-	preset(&b.TrackedClients, defaultTrackedClients)
-	preset(&b.TrackedHosts, maxHosts)
-	if !(b.FullStateBytesPerSecond > 0) {
-		b.FullStateBytesPerSecond = defaultFullStateBytesPerSecond
+// NewSource makes a source that has no snapshot yet.
+func NewSource(name, cluster string, config SourceConfig) *Source {
+	config = config.withDefaults()
+	return &Source{
+		name:       name,
+		cluster:    cluster,
+		config:     config,
+		snapshot:   Snapshot{DiscoveryIndex: -1},
+		versions:   newVersionCache(config.RetainedVersions, config.CachedSelections),
+		hostSteps:  map[string]uint64{},
+		unreported: map[string]bool{},
+		indexes:    newIndexTracker(config.TrackedClients),
+		fullStates: newFullStateLimiter(config.FullStateBytesPerSecond, config.FullStateBurstBytes),
 	}
-	if !(b.FullStateBurstBytes > 0) {
-		b.FullStateBurstBytes = defaultFullStateBurstBytes
-	}
-	if b.Incarnation == 0 {
-		b.Incarnation = 1
-	}
-	return &Source{name: name, cluster: cluster, config: b, snapshot: Snapshot{DiscoveryIndex: -1},
-		selections: map[ruleset.Interest]*selection{},
-		deltas:     map[markPair]*versioned.Delta{}, hostSteps: map[string]uint64{}, unreported: map[string]bool{},
-		clients: map[string]clientIndex{}, highestIndex: -1, highestIndexAt: never,
-		fullStateBudget: b.FullStateBurstBytes, budgetAt: never, windowStart: never}
 }
 
-// Offer gives it the view to answer by. One of a lower step, or of the same and an older read, is passed
-// over.
-func (s *Source) Publish(v Snapshot) {
-	if v.Rules == nil || s.hasSnapshot && (v.Step < s.snapshot.Step || v.Step == s.snapshot.Step &&
-		v.ReadStartMillis < s.snapshot.ReadStartMillis) {
+// Publish replaces the snapshot. One of a lower step, or of the same step and an older read, is ignored.
+func (s *Source) Publish(next Snapshot) {
+	if next.Rules == nil || s.hasSnapshot && (next.Step < s.snapshot.Step ||
+		next.Step == s.snapshot.Step && next.ReadStartMillis < s.snapshot.ReadStartMillis) {
 		return
 	}
-	if !s.hasSnapshot || v.Rules.Mark() != s.snapshot.Rules.Mark() ||
-		v.Pending.Mark() != s.snapshot.Pending.Mark() {
-		s.previousSelections, s.selections = s.selections, map[ruleset.Interest]*selection{}
-		clear(s.deltas)
-		s.retain(v.Pending)
-		s.retain(v.Rules)
+	if !s.hasSnapshot || next.Rules.Mark() != s.snapshot.Rules.Mark() ||
+		next.Pending.Mark() != s.snapshot.Pending.Mark() {
+		s.versions.replace(next.Rules, next.Pending)
 	}
 	if s.hasSnapshot {
-		v.ReadStartMillis = math.Max(v.ReadStartMillis, s.snapshot.ReadStartMillis)
-	}
-	s.hasSnapshot, s.snapshot = true, v
-}
-
-func (s *Source) retain(state *versioned.State) {
-	if state == nil {
-		return
-	}
-	k := &retainedVersion{state: state}
-	if i := slices.IndexFunc(s.versions,
-		func(o *retainedVersion) bool { return o.state.Mark() == state.Mark() }); i >= 0 {
-		k = s.versions[i]
-		s.versions = slices.Delete(s.versions, i, i+1)
-	}
-	s.versions = slices.Insert(s.versions, 0, k)
-	if len(s.versions) > s.config.RetainedVersions {
-		s.versions = slices.Delete(s.versions, s.config.RetainedVersions, len(s.versions))
-	}
-	// seldom asked for, and made anew then
-	for _, o := range s.versions[min(maxPortionIndexes, len(s.versions)):] {
-		o.portionIndex = nil
-	}
-}
-
-// of gives the kept state of a mark.
-func (s *Source) retained(m versioned.Mark) *retainedVersion {
-	for _, k := range s.versions {
-		if k.state.Mark() == m {
-			return k
-		}
+		next.ReadStartMillis = math.Max(next.ReadStartMillis, s.snapshot.ReadStartMillis)
 	}
-	return nil
+	s.hasSnapshot, s.snapshot = true, next
 }
 
-// part gives what an interest needs of the view.
-func (s *Source) selection(in ruleset.Interest) *selection {
-	if p := s.selections[in]; p != nil {
-		return p
-	}
-	p := &selection{rules: s.retained(s.snapshot.Rules.Mark()).portion(in)}
-	if s.snapshot.Pending != nil {
-		p.pending = s.retained(s.snapshot.Pending.Mark()).portion(in)
-		p.pendingDelta = s.delta(p.rules, p.pending)
-	}
-	if len(s.selections) < s.config.CachedSelections { // of more, each is made anew
-		s.selections[in] = p
-	}
-	return p
-}
-
-func (s *Source) delta(from, to *ruleset.Portion) *versioned.Delta {
-	key := markPair{from.Mark(), to.Mark()}
-	d := s.deltas[key]
-	if d == nil {
-		d = to.Since(from)
-		if len(s.deltas) < s.config.CachedSelections {
-			s.deltas[key] = d
-		}
-	}
-	return d
-}
-
-// base gives what an asker has by its marks, if it can be made here: what it needed of a version that is
-// kept.
-func (s *Source) basePortion(m versioned.Mark, in ruleset.Interest) *ruleset.Portion {
-	if m.None() {
-		return nil
-	}
-	if p := s.previousSelections[in]; p != nil {
-		for _, o := range []*ruleset.Portion{p.rules, p.pending} {
-			if o.Mark() == m {
-				return o
-			}
-		}
-	}
-	for _, k := range s.versions {
-		if k.state.Mark().Number == m.Number {
-			if p := k.portion(in); p.Mark() == m {
-				return p
-			}
-		}
-	}
-	return nil
-}
-
-// Answer answers a question at a time, ms, by the clock of the view's Begun, taken after the question came.
-// What it gives is not to be changed. An error is for one who asks what can't be answered, and names the
-// reason.
-func (s *Source) Respond(a *Request, now float64) (*Response, error) {
+// Respond answers a request at a time that was taken after the request had come, by the clock of the
+// snapshot's ReadStartMillis. The response is not to be changed. An error names what is wrong with the
+// request.
+func (s *Source) Respond(request *Request, now float64) (*Response, error) {
 	s.counts.Requests++
-	if err := s.validate(a); err != nil {
+	if err := s.validate(request); err != nil {
 		s.counts.Rejected++
 		return nil, err
 	}
-	s.recordReports(a, now)
-	r := &Response{FormatVersion: FormatVersion, Cluster: s.cluster, Sender: s.name,
-		Incarnation: s.config.Incarnation, DiscoveryIndex: -1, Nonce: a.Nonce}
+	s.recordHostSteps(request.HostSteps)
+	s.indexes.record(request.Sender, request.DiscoveryIndex, now)
+	r := &Response{
+		FormatVersion:  FormatVersion,
+		Cluster:        s.cluster,
+		Sender:         s.name,
+		Incarnation:    s.config.Incarnation,
+		DiscoveryIndex: -1,
+		Nonce:          request.Nonce,
+	}
 	if !s.hasSnapshot {
 		return r, nil
 	}
-	p := s.selection(a.Interest)
+	selected := s.versions.selection(request.Interest)
 	r.Depth, r.Step, r.Settled = s.snapshot.Depth, s.snapshot.Step, s.snapshot.Settled
-	r.AgeMillis, r.DiscoveryIndex = math.Max(now-s.snapshot.ReadStartMillis, 0),
-		max(s.snapshot.DiscoveryIndex, s.HighestDiscoveryIndex(now))
-	r.Rules, r.Pending = p.rules.Mark(), p.pending.Mark()
-	if r.Rules == a.Rules && (r.Pending.None() || r.Pending == a.Pending) || a.RenewalOnly {
+	r.AgeMillis = math.Max(now-s.snapshot.ReadStartMillis, 0)
+	r.DiscoveryIndex = max(s.snapshot.DiscoveryIndex, s.HighestDiscoveryIndex(now))
+	r.Rules, r.Pending = selected.rules.Mark(), selected.pending.Mark()
+	if r.Rules == request.Rules && (r.Pending.None() || r.Pending == request.Pending) || request.RenewalOnly {
 		s.counts.Renewals++
 		return r, nil
 	}
-	if r.Rules != a.Rules && r.Rules != a.Pending {
-		switch base := s.basePortion(a.Rules, a.Interest); {
-		case base != nil:
-			r.RulesDelta = s.delta(base, p.rules)
-			s.counts.Deltas++
-		case s.takeFullStateBudget(p.rules.Bytes(), now):
-			r.RulesDelta = s.delta(nil, p.rules)
-			s.counts.FullStates++
-			s.counts.FullStateBytes += int64(p.rules.Bytes())
-		default:
-			r.RetryAfterMillis = s.retryAfter(p.rules.Bytes())
-			s.counts.Deferred++
-			return r, nil
-		}
+	if r.Rules != request.Rules && r.Rules != request.Pending && !s.addRules(r, request, selected, now) {
+		return r, nil
 	}
-	if r.Pending != a.Pending {
-		r.PendingDelta = p.pendingDelta
+	if r.Pending != request.Pending {
+		r.PendingDelta = selected.pendingDelta
 	}
 	return r, nil
 }
 
-func (s *Source) validate(a *Request) error {
-	switch {
-	case a.FormatVersion != FormatVersion:
-		return fmt.Errorf("form: %d is not known here", a.FormatVersion)
-	case a.Cluster != s.cluster:
-		return fmt.Errorf("cluster: %q is not this one", a.Cluster)
-	case a.Sender == "" || len(a.Sender) > maxNameBytes:
-		return fmt.Errorf("from: a name has 1 to %d bytes, not %d", maxNameBytes, len(a.Sender))
-	case len(a.HostSteps) > MaxHostSteps:
-		return fmt.Errorf("seen: %d are more than %d", len(a.HostSteps), MaxHostSteps)
+// addRules adds the selected rules to a response: as a delta where the requester's base is retained, and in
+// full else. Without capacity for a full state it defers the requester and returns false.
+func (s *Source) addRules(r *Response, request *Request, selected *selection, now float64) bool {
+	rules := selected.rules
+	switch base := s.versions.basePortion(request.Rules, request.Interest); {
+	case base != nil:
+		r.RulesDelta = s.versions.delta(base, rules)
+		s.counts.Deltas++
+	case s.fullStates.take(rules.Bytes(), now):
+		r.RulesDelta = s.versions.delta(nil, rules)
+		s.counts.FullStates++
+		s.counts.FullStateBytes += int64(rules.Bytes())
+	default:
+		r.RetryAfterMillis = s.fullStates.retryAfter(rules.Bytes())
+		s.counts.Deferred++
+		return false
 	}
-	return a.Interest.Check()
+	return true
 }
 
-// hear takes what a question says beside what it asks.
-func (s *Source) recordReports(a *Request, now float64) {
-	for _, h := range a.HostSteps {
-		known, there := s.hostSteps[h.Host]
-		if h.Step <= known || h.Host == "" || len(h.Host) > maxNameBytes {
+// validate returns an error that begins with the key of the first field that is wrong.
+func (s *Source) validate(r *Request) error {
+	switch {
+	case r.FormatVersion != FormatVersion:
+		return fmt.Errorf("form: %d is not supported", r.FormatVersion)
+	case r.Cluster != s.cluster:
+		return fmt.Errorf("cluster: %q is not this one", r.Cluster)
+	case r.Sender == "" || len(r.Sender) > maxNameBytes:
+		return fmt.Errorf("from: a name has 1 to %d bytes, not %d", maxNameBytes, len(r.Sender))
+	case len(r.HostSteps) > MaxHostSteps:
+		return fmt.Errorf("seen: %d are more than %d", len(r.HostSteps), MaxHostSteps)
+	}
+	return r.Interest.Check()
+}
+
+// recordHostSteps merges facts by the highest step of each host.
+func (s *Source) recordHostSteps(facts []HostStep) {
+	for _, fact := range facts {
+		known, exists := s.hostSteps[fact.Host]
+		if fact.Step <= known || fact.Host == "" || len(fact.Host) > maxNameBytes {
 			continue
 		}
-		if !there && len(s.hostSteps) >= s.config.TrackedHosts {
+		if !exists && len(s.hostSteps) >= s.config.TrackedHosts {
 			s.counts.DroppedHosts++
-			least := lowestStepHost(s.hostSteps)
-			delete(s.hostSteps, least)
-			delete(s.unreported, least)
+			host := lowestStepHost(s.hostSteps)
+			delete(s.hostSteps, host)
+			delete(s.unreported, host)
 		}
-		s.hostSteps[h.Host], s.unreported[h.Host] = h.Step, true
+		s.hostSteps[fact.Host], s.unreported[fact.Host] = fact.Step, true
 		s.counts.HostSteps++
 	}
-	if a.DiscoveryIndex >= 0 {
-		if _, there := s.clients[a.Sender]; !there && len(s.clients) >= s.config.TrackedClients {
-			for who, t := range s.clients {
-				if now-t.reportedAt > discoveryIndexTTLMillis {
-					delete(s.clients, who)
-				}
-			}
-		}
-		if _, there := s.clients[a.Sender]; there || len(s.clients) < s.config.TrackedClients {
-			s.clients[a.Sender] = clientIndex{a.DiscoveryIndex, now}
-			s.highestIndex = max(s.highestIndex, a.DiscoveryIndex)
-		}
-	}
-}
-
-// spend takes room for a whole state. The last one may take more than there is, so that any size fits.
-func (s *Source) takeFullStateBudget(size int, now float64) bool {
-	if s.budgetAt != never {
-		s.fullStateBudget = math.Min(s.fullStateBudget+(now-s.budgetAt)/1000*s.config.FullStateBytesPerSecond,
-			s.config.FullStateBurstBytes)
-	}
-	s.budgetAt = now
-	if now-s.windowStart > deferralWindowMillis {
-		s.windowStart, s.deferredInWindow = now, 0
-	}
-	if s.fullStateBudget <= 0 {
-		return false
-	}
-	s.fullStateBudget -= float64(size)
-	return true
 }
 
-// busy is for how long one is to ask for no whole: until those that wait could all have theirs, ms.
-func (s *Source) retryAfter(size int) float64 {
-	s.deferredInWindow++
-	missing := s.deferredInWindow*float64(size) - s.fullStateBudget
-	return minRetryAfterMillis + 1000*missing/s.config.FullStateBytesPerSecond
-}
-
-// Told gives what those below have said anew since it was last called: to Follower.Tell, or to the council.
+// TakeHostSteps gives the facts that are new since its last call, for Follower.ReportHostSteps or the raft
+// group.
 func (s *Source) TakeHostSteps() []HostStep {
-	all := make([]HostStep, 0, len(s.unreported))
-	for h := range s.unreported {
-		all = append(all, HostStep{Host: h, Step: s.hostSteps[h]})
+	facts := make([]HostStep, 0, len(s.unreported))
+	for host := range s.unreported {
+		facts = append(facts, HostStep{Host: host, Step: s.hostSteps[host]})
 	}
 	clear(s.unreported)
-	return sortByHost(all)
+	return sortByHost(facts)
 }
 
-// Facts gives all that those below have said.
+// HostSteps gives all facts.
 func (s *Source) HostSteps() []HostStep {
-	all := make([]HostStep, 0, len(s.hostSteps))
-	for h, step := range s.hostSteps {
-		all = append(all, HostStep{Host: h, Step: step})
+	facts := make([]HostStep, 0, len(s.hostSteps))
+	for host, step := range s.hostSteps {
+		facts = append(facts, HostStep{Host: host, Step: step})
 	}
-	return sortByHost(all)
-}
-
-func sortByHost(all []HostStep) []HostStep {
-	slices.SortFunc(all, func(a, b HostStep) int {
-		if a.Host < b.Host {
-			return -1
-		}
-		return 1
-	})
-	return all
+	return sortByHost(facts)
 }
 
-// Highest gives the highest index of discovery's list that those below have told lately; below nought: none.
-func (s *Source) HighestDiscoveryIndex(now float64) int64 {
-	if now-s.highestIndexAt > discoveryIndexScanMillis {
-		s.highestIndexAt, s.highestIndex = now, -1
-		for _, t := range s.clients {
-			if now-t.reportedAt <= discoveryIndexTTLMillis {
-				s.highestIndex = max(s.highestIndex, t.index)
-			}
-		}
-	}
-	return s.highestIndex
+func sortByHost(facts []HostStep) []HostStep {
+	slices.SortFunc(facts, func(a, b HostStep) int { return cmp.Compare(a.Host, b.Host) })
+	return facts
 }
 
-// SourceCounts are what a Source has met.
-type SourceCounts struct {
-	Requests       int64 `json:"Asks"`
-	Renewals       int64 `json:"Renewals"` // answers with nothing but step, marks and age
-	Deltas         int64 `json:"Deltas"`
-	FullStates     int64 `json:"Wholes"`
-	FullStateBytes int64 `json:"WholeSize"` // bytes of them
-	Deferred       int64 `json:"Busy"`
-	// questions of another form or cluster, or with an interest that is none
-	Rejected     int64 `json:"Refused"`
-	HostSteps    int64 `json:"Seen"`    // facts that were news
-	DroppedHosts int64 `json:"Dropped"` // facts on hosts beyond the bound
-}
+// HighestDiscoveryIndex gives the highest index of the discovery service's list that clients have reported
+// lately; negative: none.
+func (s *Source) HighestDiscoveryIndex(now float64) int64 { return s.indexes.highestAt(now) }
 
-// Counts gives what it has met.
+// Counts gives what the source has met.
 func (s *Source) Counts() SourceCounts { return s.counts }
--- /dev/null
+++ b/internal/distribution/versions.go
@@ -0,0 +1,147 @@
+package distribution
+
+import (
+	"slices"
+
+	"willowdeck/internal/ruleset"
+	"willowdeck/internal/versioned"
+)
+
+// maxPortionIndexes bounds the retained versions that have an index, of 2.5 MB at 7,900 members each. Older
+// versions are rarely asked for, and theirs are built anew.
+const maxPortionIndexes = 4
+
+// retainedVersion is a state that deltas can be made from.
+type retainedVersion struct {
+	state        *versioned.State
+	portionIndex *ruleset.Index // finds portions of the state; nil: not built
+}
+
+func (v *retainedVersion) portion(interest ruleset.Interest) *ruleset.Portion {
+	if v.portionIndex == nil {
+		v.portionIndex = ruleset.NewIndex(v.state)
+	}
+	return v.portionIndex.Portion(interest)
+}
+
+// selection is the part of a snapshot that one interest needs.
+type selection struct {
+	rules, pending *ruleset.Portion
+	pendingDelta   *versioned.Delta // of pending against rules
+}
+
+// markPair names a delta.
+type markPair struct{ from, to versioned.Mark }
+
+// versionCache holds the states of the current snapshot and of earlier ones, with the selections and deltas
+// that were made of them. It is owned by one Source.
+type versionCache struct {
+	maxVersions, maxSelections int
+
+	rules, pending *versioned.State   // of the current snapshot
+	versions       []*retainedVersion // the latest first
+	selections     map[ruleset.Interest]*selection
+	// previousSelections are those of the snapshot before, which most requesters have.
+	previousSelections map[ruleset.Interest]*selection
+	deltas             map[markPair]*versioned.Delta
+}
+
+func newVersionCache(maxVersions, maxSelections int) versionCache {
+	return versionCache{
+		maxVersions:   maxVersions,
+		maxSelections: maxSelections,
+		selections:    map[ruleset.Interest]*selection{},
+		deltas:        map[markPair]*versioned.Delta{},
+	}
+}
+
+// replace makes states the current ones. Pending may be nil.
+func (c *versionCache) replace(rules, pending *versioned.State) {
+	c.rules, c.pending = rules, pending
+	c.previousSelections, c.selections = c.selections, map[ruleset.Interest]*selection{}
+	clear(c.deltas)
+	c.retain(pending)
+	c.retain(rules)
+}
+
+// retain makes a state the latest one, and drops what is beyond the bounds.
+func (c *versionCache) retain(state *versioned.State) {
+	if state == nil {
+		return
+	}
+	version := &retainedVersion{state: state}
+	hasMark := func(v *retainedVersion) bool { return v.state.Mark() == state.Mark() }
+	if i := slices.IndexFunc(c.versions, hasMark); i >= 0 {
+		version = c.versions[i]
+		c.versions = slices.Delete(c.versions, i, i+1)
+	}
+	c.versions = slices.Insert(c.versions, 0, version)
+	if len(c.versions) > c.maxVersions {
+		c.versions = slices.Delete(c.versions, c.maxVersions, len(c.versions))
+	}
+	for _, old := range c.versions[min(maxPortionIndexes, len(c.versions)):] {
+		old.portionIndex = nil
+	}
+}
+
+// retained gives the version with a mark; nil where it is not retained.
+func (c *versionCache) retained(mark versioned.Mark) *retainedVersion {
+	for _, v := range c.versions {
+		if v.state.Mark() == mark {
+			return v
+		}
+	}
+	return nil
+}
+
+// selection gives what an interest needs of the current states.
+func (c *versionCache) selection(interest ruleset.Interest) *selection {
+	if cached := c.selections[interest]; cached != nil {
+		return cached
+	}
+	s := &selection{rules: c.retained(c.rules.Mark()).portion(interest)}
+	if c.pending != nil {
+		s.pending = c.retained(c.pending.Mark()).portion(interest)
+		s.pendingDelta = c.delta(s.rules, s.pending)
+	}
+	if len(c.selections) < c.maxSelections {
+		c.selections[interest] = s
+	}
+	return s
+}
+
+// delta gives what makes one portion of another; from nil it is a full state.
+func (c *versionCache) delta(from, to *ruleset.Portion) *versioned.Delta {
+	key := markPair{from.Mark(), to.Mark()}
+	d := c.deltas[key]
+	if d == nil {
+		d = to.Since(from)
+		if len(c.deltas) < c.maxSelections {
+			c.deltas[key] = d
+		}
+	}
+	return d
+}
+
+// basePortion gives the portion with a mark that an interest needed of a retained version; nil: there is
+// none.
+func (c *versionCache) basePortion(mark versioned.Mark, interest ruleset.Interest) *ruleset.Portion {
+	if mark.None() {
+		return nil
+	}
+	if previous := c.previousSelections[interest]; previous != nil {
+		for _, portion := range []*ruleset.Portion{previous.rules, previous.pending} {
+			if portion.Mark() == mark {
+				return portion
+			}
+		}
+	}
+	for _, v := range c.versions {
+		if v.state.Mark().Number == mark.Number {
+			if portion := v.portion(interest); portion.Mark() == mark {
+				return portion
+			}
+		}
+	}
+	return nil
+}
