--- a/internal/distribution/relay/checkpoint.go
+++ b/internal/distribution/relay/checkpoint.go
@@ -8,7 +8,6 @@
 	"fmt"
 	"io"
 	"os"
-	"path/filepath"
 	"sync/atomic"
 	"time"
 
@@ -19,41 +18,40 @@
 	"willowdeck/internal/versioned"
 )
 
-// A copy on disk is a base for deltas and nothing else: what it holds is gone by only where a parent has said
-// since this process began that the mark of it is in force. So an old copy does no harm, and a torn one, or
-// one of another cluster, is set aside.
-
-// copyMagic begins a copy, with the number of its form; a digest of all that follows comes next.
+// checkpointMagic begins a stored checkpoint, with the version of its form. The SHA-256 of all that follows
+// comes next.
 var checkpointMagic = []byte("willowdeck relay copy 1\n")
 
-const maxCheckpointBytes = 2 * distribution.MaxResponseBytes // bytes
-
-// copyAgain is the pause before a copy is tried again that could not be written.
-const checkpointRetryPause = 5 * time.Second
+const (
+	maxCheckpointBytes   = 2 * distribution.MaxResponseBytes
+	checkpointRetryPause = 5 * time.Second // after a write that failed
+)
 
-// Copy is a follower's copy on disk.
+// Checkpoint stores the latest states of a follower in a file. They are bases for deltas after a restart, and
+// are acted on only once an upstream has confirmed their marks since this process started. So an old
+// checkpoint does no harm, and a damaged one, or one of another cluster, is moved aside.
 type Checkpoint struct {
-	path, cluster string
+	path, cluster string // with an empty path nothing is stored
 	log           zerolog.Logger
-	lastMarks     [2]versioned.Mark // of Keep's caller alone
+	lastMarks     [2]versioned.Mark // rules and pending; used by Save's caller alone
 	latest        atomic.Pointer[distribution.Snapshot]
 	saveRequested chan struct{}
 
 	written, failed, quarantined atomic.Int64
 }
 
-// NewCopy is one at a path; where that is empty, none is kept.
+// NewCheckpoint makes a checkpoint in a file; with an empty path nothing is stored.
 func NewCheckpoint(path, cluster string, log zerolog.Logger) *Checkpoint {
 	return &Checkpoint{path: path, cluster: cluster, log: log, saveRequested: make(chan struct{}, 1)}
 }
 
-// Counts gives how many were written, could not be written, and could not be used.
-func (c *Checkpoint) Counts() (written, failed, aside int64) {
+// Counts gives how many checkpoints were written, could not be written, and could not be used.
+func (c *Checkpoint) Counts() (written, failed, quarantined int64) {
 	return c.written.Load(), c.failed.Load(), c.quarantined.Load()
 }
 
-// Base has a follower begin with the copy, if there is one that can be used. One that can't is set aside.
-func (c *Checkpoint) LoadInto(f *distribution.Follower) {
+// LoadInto gives a follower the stored states as bases. A checkpoint that can't be used is moved aside.
+func (c *Checkpoint) LoadInto(follower *distribution.Follower) {
 	if c.path == "" {
 		return
 	}
@@ -62,23 +60,24 @@
 	case errors.Is(err, errNoCheckpoint):
 	case err != nil:
 		c.quarantined.Add(1)
-		aside, moved := quarantineCheckpoint(c.path)
-		c.log.Warn().Err(err).Str("aside", aside).AnErr("moved", moved).Msg("copy set aside: all is asked for anew")
+		aside, moveErr := quarantineCheckpoint(c.path)
+		c.log.Warn().Err(err).Str("aside", aside).AnErr("moved", moveErr).
+			Msg("checkpoint moved aside: a full state is requested")
 	default:
-		f.AddBases(rules, pending)
-		c.log.Info().Uint64("version", rules.Mark().Number).Msg("copy taken as a base")
+		follower.AddBases(rules, pending)
+		c.log.Info().Uint64("version", rules.Mark().Number).Msg("checkpoint loaded as a base for deltas")
 	}
 }
 
-// Keep has the states of a view written, where they are others than before. It does not wait, and is to be
-// called from one goroutine.
-func (c *Checkpoint) Save(v distribution.Snapshot) {
-	now := [2]versioned.Mark{v.Rules.Mark(), v.Pending.Mark()}
-	if c.path == "" || now == c.lastMarks {
+// Save has Run write the states of a snapshot, where they are others than before. It does not wait, and is to
+// be called from one goroutine.
+func (c *Checkpoint) Save(snapshot distribution.Snapshot) {
+	marks := [2]versioned.Mark{snapshot.Rules.Mark(), snapshot.Pending.Mark()}
+	if c.path == "" || marks == c.lastMarks {
 		return
 	}
-	c.lastMarks = now
-	c.latest.Store(&v)
+	c.lastMarks = marks
+	c.latest.Store(&snapshot)
 	c.requestSave()
 }
 
@@ -89,7 +88,7 @@
 	}
 }
 
-// Run writes until the context ends.
+// Run writes what Save was given last, until the context ends.
 func (c *Checkpoint) Run(ctx context.Context) {
 	for {
 		select {
@@ -97,14 +96,14 @@
 			return
 		case <-c.saveRequested:
 		}
-		v := c.latest.Load()
-		err := writeCheckpoint(c.path, c.cluster, v.Rules, v.Pending)
+		latest := c.latest.Load()
+		err := writeCheckpoint(c.path, c.cluster, latest.Rules, latest.Pending)
 		if err == nil {
 			c.written.Add(1)
 			continue
 		}
 		c.failed.Add(1)
-		c.log.Error().Err(err).Msg("copy not written: a start after this one asks for all anew")
+		c.log.Error().Err(err).Msg("checkpoint not written: after a restart a full state is requested")
 		select {
 		case <-ctx.Done():
 			return
@@ -114,99 +113,84 @@
 	}
 }
 
-// errNoCopy tells that there is none, which is no fault.
-var errNoCheckpoint = errors.New("no copy")
+// errNoCheckpoint says that there is no file, which is no fault.
+var errNoCheckpoint = errors.New("no checkpoint")
 
-// copied is what a copy holds.
+// checkpointContent is the stored form: a CBOR array of the fields in this order.
 type checkpointContent struct {
 	_              struct{} `cbor:",toarray"`
 	Cluster        string
-	Rules, Pending []byte // as distribution.StateBytes has them
+	Rules, Pending []byte // of distribution.EncodeState
 }
 
-// keepCopy writes states aside, has them on the disk, and then in place of the copy before. Pending may be
-// nil.
+// writeCheckpoint replaces the file at a path. Pending may be nil.
 func writeCheckpoint(path, cluster string, rules, pending *versioned.State) error {
-	c := checkpointContent{Cluster: cluster}
-	var err, bad error
-	c.Rules, err = distribution.EncodeState(rules)
-	c.Pending, bad = distribution.EncodeState(pending)
-	if err = errors.Join(err, bad); err != nil {
-		return err
-	}
-	body, err := cbor.Marshal(c)
-	if err != nil {
+	rulesBytes, err := distribution.EncodeState(rules)
+	pendingBytes, pendingErr := distribution.EncodeState(pending)
+	if err = errors.Join(err, pendingErr); err != nil {
 		return err
 	}
-	sum := sha256.Sum256(body)
-	part := path + ".part"
-	f, err := os.OpenFile(part, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	body, err := cbor.Marshal(checkpointContent{Cluster: cluster, Rules: rulesBytes, Pending: pendingBytes})
 	if err != nil {
 		return err
 	}
-	for _, b := range [][]byte{checkpointMagic, sum[:], body} {
-		if err == nil {
-			_, err = f.Write(b)
-		}
-	}
-	if err == nil {
-		err = f.Sync()
-	}
-	if err = errors.Join(err, f.Close()); err != nil {
-		_ = os.Remove(part)
-		return err
-	}
-	if err = os.Rename(part, path); err != nil {
-		return err
-	}
-	dir, err := os.Open(filepath.Dir(path))
-	if err != nil {
-		return err
-	}
-	return errors.Join(dir.Sync(), dir.Close())
+	digest := sha256.Sum256(body)
+	return writeFileAtomic(path, checkpointMagic, digest[:], body)
 }
 
-// readCopy gives what a copy holds. errNoCopy: there is no file; any other error: it can't be used.
+// readCheckpoint gives the stored states. The error is errNoCheckpoint where there is no file; after any
+// other the file can't be used.
 func readCheckpoint(path, cluster string) (rules, pending *versioned.State, err error) {
-	f, err := os.Open(path)
+	raw, err := readBounded(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil, errNoCheckpoint
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	defer f.Close()
-	raw, err := io.ReadAll(io.LimitReader(f, maxCheckpointBytes+1))
+	content, err := decodeCheckpoint(raw)
 	if err != nil {
 		return nil, nil, err
 	}
-	head := len(checkpointMagic) + sha256.Size
-	switch {
-	case len(raw) > maxCheckpointBytes:
-		return nil, nil, fmt.Errorf("a copy of more than %d bytes", maxCheckpointBytes)
-	case len(raw) < head || !bytes.Equal(raw[:len(checkpointMagic)], checkpointMagic):
-		return nil, nil, errors.New("no copy of this form")
-	}
-	body := raw[head:]
-	if sum := sha256.Sum256(body); !bytes.Equal(sum[:], raw[len(checkpointMagic):head]) {
-		return nil, nil, errors.New("a copy that is torn: its digest is another")
+	if content.Cluster != cluster {
+		return nil, nil, fmt.Errorf("checkpoint of cluster %q, this is %q", content.Cluster, cluster)
 	}
-	var c checkpointContent
-	if err := cbor.Unmarshal(body, &c); err != nil {
+	rules, err = distribution.DecodeState(content.Rules)
+	pending, pendingErr := distribution.DecodeState(content.Pending)
+	if err = errors.Join(err, pendingErr); err != nil {
 		return nil, nil, err
 	}
-	if c.Cluster != cluster {
-		return nil, nil, fmt.Errorf("a copy of cluster %q, this is %q", c.Cluster, cluster)
+	return rules, pending, nil
+}
+
+// readBounded reads a file, of which it holds one byte more than maxCheckpointBytes at most.
+func readBounded(path string) ([]byte, error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
 	}
-	rules, err = distribution.DecodeState(c.Rules)
-	pending, bad := distribution.DecodeState(c.Pending)
-	if err = errors.Join(err, bad); err != nil {
-		return nil, nil, err
+	raw, err := io.ReadAll(io.LimitReader(file, maxCheckpointBytes+1))
+	_ = file.Close() // it was only read
+	return raw, err
+}
+
+// decodeCheckpoint checks the form and the digest of a stored checkpoint.
+func decodeCheckpoint(raw []byte) (content checkpointContent, err error) {
+	headerBytes := len(checkpointMagic) + sha256.Size
+	switch {
+	case len(raw) > maxCheckpointBytes:
+		return content, fmt.Errorf("checkpoint of more than %d bytes", maxCheckpointBytes)
+	case len(raw) < headerBytes || !bytes.Equal(raw[:len(checkpointMagic)], checkpointMagic):
+		return content, errors.New("not a checkpoint of this form")
 	}
-	return rules, pending, nil
+	body := raw[headerBytes:]
+	if digest := sha256.Sum256(body); !bytes.Equal(digest[:], raw[len(checkpointMagic):headerBytes]) {
+		return content, errors.New("damaged checkpoint: digest mismatch")
+	}
+	return content, cbor.Unmarshal(body, &content)
 }
 
-// setCopyAside moves a copy that can't be used out of the way, in place of one moved before it.
+// quarantineCheckpoint moves a checkpoint that can't be used aside, in place of one that was moved before.
 func quarantineCheckpoint(path string) (string, error) {
 	aside := path + ".torn"
 	return aside, os.Rename(path, aside)
--- a/internal/distribution/relay/client.go
+++ b/internal/distribution/relay/client.go
@@ -1,6 +1,3 @@
-// Package distribution carries versions of the rules from a council's daemon down a tree of relays, and what
-// has
-// been seen of them up: the I/O of package distribution, which decides. See docs/relay-design.md.
 package relay
 
 import (
@@ -8,158 +5,90 @@
 	"fmt"
 	"math/rand"
 	"net"
-	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/valyala/fasthttp"
 
 	"willowdeck/internal/distribution"
-	"willowdeck/internal/gateway/inflight"
 )
 
 const (
-	// AskPath is where relays and a council's daemons are asked: POST of an Ask, answered with an Answer.
+	// RequestPath is where relays and the raft group's daemons respond: POST of an encoded Request, answered
+	// with an encoded Response.
 	RequestPath = "/relay/ask"
 
 	contentType = "application/cbor"
 
-	maxErrorMessageBytes      = 200             // bytes of a refusal that are kept
-	maxConnectionsPerUpstream = 2               // connections to one upstream: one may hang until its time is up
-	idleConnectionTimeout     = 5 * time.Second // asks come several in a lease: only those to others lie idle
+	maxErrorMessageBytes      = 200             // of the body of an error response that are kept
+	maxConnectionsPerUpstream = 2               // one may hang until its time-out
+	idleConnectionTimeout     = 5 * time.Second // longer than the interval of requests to the current upstream
 )
 
-// Clock is the time by which ages are counted, ms: it goes on while the process stands still and the machine
-// sleeps.
-func nowMillis() float64 { return float64(inflight.Boot()) / 1e6 }
-
-// millis is a time in ms as the library has it.
-func toDuration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
-
-// StatusError is an answer that is none. Code is HTTP's; 404 is of a program that does not speak this.
+// StatusError is a response with another status than 200. With 404 the upstream does not speak this protocol.
 type StatusError struct {
-	Code    int
-	Message string
+	Code    int    // of HTTP
+	Message string // the beginning of the body
 }
 
+// Error is error's.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Code, e.Message) }
 
-// ErrSpoilt is of an answer that came and can't be gone by: garbled, too long, or with another's digest.
-var ErrCorruptResponse = errors.New("an answer that can't be gone by")
-
-// Reasons why an ask has no answer, as they are counted.
-const (
-	reasonTimeout    = "late"    // no answer in its time
-	reasonStatus     = "refused" // one with another status than 200
-	reasonMalformed  = "garbled" // one that can't be read
-	reasonConnection = "lost"    // the connection failed
-	reasonWrongNonce = "other"   // it is to another question
-	reasonChecksum   = "spoilt"  // its checksum is another than that of what came
-)
-
-// Traffic is what has passed in one direction since the start.
-type Traffic struct {
-	Requests      int64            `json:"asks"`
-	Responses     int64            `json:"answers"`
-	RequestBytes  int64            `json:"ask_bytes"`    // bodies, without HTTP's headers
-	ResponseBytes int64            `json:"answer_bytes"` // the same
-	ReceivedBytes int64            `json:"in"`           // bytes on the wire that came here, heads too
-	SentBytes     int64            `json:"out"`
-	Failures      map[string]int64 `json:"failed"` // without an answer that can be gone by, by reason
-}
-
-// traffic counts as it passes.
-type trafficCounters struct {
-	requests, responses, requestBytes, responseBytes, receivedBytes, sentBytes atomic.Int64
-
-	mu       sync.Mutex
-	failures map[string]int64
-}
-
-func (t *trafficCounters) countFailure(reason string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.failures == nil {
-		t.failures = map[string]int64{}
-	}
-	t.failures[reason]++
-}
-
-func (t *trafficCounters) snapshot() Traffic {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	c := Traffic{Requests: t.requests.Load(), Responses: t.responses.Load(), RequestBytes: t.requestBytes.Load(),
-		ResponseBytes: t.responseBytes.Load(), ReceivedBytes: t.receivedBytes.Load(), SentBytes: t.sentBytes.Load(),
-		Failures: map[string]int64{}}
-	for k, n := range t.failures {
-		c.Failures[k] = n
-	}
-	return c
-}
-
-// counted counts the bytes that pass, heads and all.
-type countingConn struct {
-	net.Conn
-	received, sent *atomic.Int64
-}
-
-func (c countingConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	c.received.Add(int64(n))
-	return n, err
-}
-
-func (c countingConn) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
-	c.sent.Add(int64(n))
-	return n, err
-}
+// ErrCorruptResponse is wrapped by the error of a response that came and can't be used: it is malformed, too
+// long, has a wrong checksum, or is to another request.
+var ErrCorruptResponse = errors.New("corrupt response")
 
-// Client asks upstreams, over connections that are kept. It is safe for concurrent use.
+// Client sends requests to upstreams over connections that are kept. It is safe for concurrent use.
 type Client struct {
 	traffic   trafficCounters
-	nonce     atomic.Uint64 // of the last question
+	nonce     atomic.Uint64 // of the last request that came without one
 	upstreams []*fasthttp.HostClient
-	urls      []string
+	urls      []string // by upstream
 }
 
-// NewClient makes one for upstreams at HOST:PORT each, that answer at a path. An address may be any: it is
-// dialled when it is asked.
-func NewClient(at []string, path string) *Client {
+// NewClient makes a client of upstreams at HOST:PORT each, which respond at a path. An upstream is dialled
+// when a request is sent to it.
+func NewClient(addresses []string, path string) *Client {
 	c := &Client{}
-	c.nonce.Store(rand.Uint64()) // those of a former life may be on the way
-	for _, a := range at {
-		c.urls = append(c.urls, "http://"+a+path)
-		c.upstreams = append(c.upstreams, &fasthttp.HostClient{Addr: a, MaxConns: maxConnectionsPerUpstream,
+	c.nonce.Store(rand.Uint64()) // responses to an earlier incarnation may be on the way
+	for _, address := range addresses {
+		c.urls = append(c.urls, "http://"+address+path)
+		c.upstreams = append(c.upstreams, &fasthttp.HostClient{
+			Addr:                      address,
+			MaxConns:                  maxConnectionsPerUpstream,
 			MaxIdleConnDuration:       idleConnectionTimeout,
-			MaxIdemponentCallAttempts: 1, MaxResponseBodySize: distribution.MaxResponseBytes,
-			NoDefaultUserAgentHeader: true,
-			DisablePathNormalizing:   true, DialTimeout: c.dial})
+			MaxIdemponentCallAttempts: 1,
+			MaxResponseBodySize:       distribution.MaxResponseBytes,
+			NoDefaultUserAgentHeader:  true,
+			DisablePathNormalizing:    true,
+			DialTimeout:               c.dial,
+		})
 	}
 	return c
 }
 
-// dial connects to an upstream within an ask's own time.
-func (c *Client) dial(at string, within time.Duration) (net.Conn, error) {
-	n, err := net.DialTimeout("tcp", at, within)
+// dial connects to an upstream within the time-out of the request.
+func (c *Client) dial(address string, timeout time.Duration) (net.Conn, error) {
+	conn, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return countingConn{n, &c.traffic.receivedBytes, &c.traffic.sentBytes}, nil
+	return countingConn{conn, &c.traffic.receivedBytes, &c.traffic.sentBytes}, nil
 }
 
-// Ask asks one upstream and waits for its answer, for so many ms at most. An error is a *StatusError where it
-// has answered with another status than 200, and an ErrSpoilt where its answer can't be gone by. An ask
-// without a Number gets one, and the answer has to bear it: its age counts from when its question came, so
-// that one which is given again for a later question (by a cache, or a box that has lost count) would make
-// what it says younger than it is.
-func (c *Client) Fetch(upstream int, a *distribution.Request, within float64) (*distribution.Response,
-	error) {
-	q := *a
-	if q.Nonce == 0 {
-		q.Nonce = c.nonce.Add(1)
+// Fetch sends a request to an upstream and waits for the response. The error is a *StatusError for another
+// status than 200, and wraps ErrCorruptResponse for a response that can't be used.
+//
+// A request without a nonce gets one, and the response has to bear it. Its age counts from when its request
+// was sent: a response that is delivered again for a later request, by a cache or a confused proxy, would
+// count as younger than it is.
+func (c *Client) Fetch(upstream int, request *distribution.Request, timeoutMillis float64) (
+	*distribution.Response, error) {
+	sent := *request
+	if sent.Nonce == 0 {
+		sent.Nonce = c.nonce.Add(1)
 	}
-	raw, err := q.Encode()
+	body, err := sent.Encode()
 	if err != nil {
 		return nil, err
 	}
@@ -169,54 +98,56 @@
 	req.SetRequestURI(c.urls[upstream])
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetContentType(contentType)
-	req.SetBodyRaw(raw)
+	req.SetBodyRaw(body)
 	c.traffic.requests.Add(1)
-	c.traffic.requestBytes.Add(int64(len(raw)))
-	if err := c.upstreams[upstream].DoTimeout(req, res, toDuration(within)); err != nil {
-		switch {
-		case errors.Is(err, fasthttp.ErrTimeout):
-			c.traffic.countFailure(reasonTimeout)
-		case errors.Is(err, fasthttp.ErrBodyTooLarge):
-			c.traffic.countFailure(reasonMalformed)
-			return nil, fmt.Errorf("%w: %w", ErrCorruptResponse, err)
-		default:
-			c.traffic.countFailure(reasonConnection)
-		}
-		return nil, err
+	c.traffic.requestBytes.Add(int64(len(body)))
+	if err := c.upstreams[upstream].DoTimeout(req, res, toDuration(timeoutMillis)); err != nil {
+		return nil, c.countTransportError(err)
 	}
+	return c.decodeResponse(res, sent.Nonce)
+}
+
+// countTransportError counts the error of an exchange, and gives that of Fetch.
+func (c *Client) countTransportError(err error) error {
+	switch {
+	case errors.Is(err, fasthttp.ErrTimeout):
+		c.traffic.countFailure(reasonTimeout)
+	case errors.Is(err, fasthttp.ErrBodyTooLarge):
+		c.traffic.countFailure(reasonMalformed)
+		return fmt.Errorf("%w: %w", ErrCorruptResponse, err)
+	default:
+		c.traffic.countFailure(reasonConnection)
+	}
+	return err
+}
+
+// decodeResponse gives the content of a response to the request with a nonce.
+func (c *Client) decodeResponse(res *fasthttp.Response, nonce uint64) (*distribution.Response, error) {
 	body := res.Body()
 	c.traffic.responses.Add(1)
 	c.traffic.responseBytes.Add(int64(len(body)))
-	if s := res.StatusCode(); s != fasthttp.StatusOK {
+	if code := res.StatusCode(); code != fasthttp.StatusOK {
 		c.traffic.countFailure(reasonStatus)
-		return nil, &StatusError{Code: s, Message: string(body[:min(len(body), maxErrorMessageBytes)])}
+		return nil, &StatusError{Code: code, Message: string(body[:min(len(body), maxErrorMessageBytes)])}
 	}
-	got, err := distribution.DecodeResponse(body)
+	response, err := distribution.DecodeResponse(body)
 	if err != nil {
 		c.traffic.countFailure(decodeFailureReason(err))
 		return nil, fmt.Errorf("%w: %w", ErrCorruptResponse, err)
 	}
-	if got.Nonce != q.Nonce {
+	if response.Nonce != nonce {
 		c.traffic.countFailure(reasonWrongNonce)
-		return nil, fmt.Errorf("%w: it is to question %d, this was %d", ErrCorruptResponse, got.Nonce, q.Nonce)
-	}
-	return got, nil
-}
-
-// unread is the reason by which something is counted that can't be read.
-func decodeFailureReason(err error) string {
-	if errors.Is(err, distribution.ErrChecksum) {
-		return reasonChecksum
+		return nil, fmt.Errorf("%w: it has nonce %d, the request %d", ErrCorruptResponse, response.Nonce, nonce)
 	}
-	return reasonMalformed
+	return response, nil
 }
 
 // Traffic gives what has passed so far.
 func (c *Client) Traffic() Traffic { return c.traffic.snapshot() }
 
-// Close ends connections that lie idle. One that an ask is on ends with that ask.
+// Close closes idle connections. One that is in use closes with its request.
 func (c *Client) Close() {
-	for _, w := range c.upstreams {
-		w.CloseIdleConnections()
+	for _, upstream := range c.upstreams {
+		upstream.CloseIdleConnections()
 	}
 }
--- a/internal/distribution/relay/command_test.go
+++ b/internal/distribution/relay/command_test.go
@@ -12,8 +12,8 @@
 	"willowdeck/internal/testkit/faultinject"
 )
 
-// TestCommand: a file that is wrong ends the process with status 1 and the key, and --check tells what a
-// right one holds without listening.
+// TestCommand: with an invalid configuration the process exits with status 1 and names the key; --check
+// prints what a valid one holds without listening.
 func TestCommand(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/distribution/relay/config.go
+++ b/internal/distribution/relay/config.go
@@ -10,93 +10,120 @@
 	"willowdeck/internal/strictoml"
 )
 
+// Bounds of a configuration.
 const (
 	maxUpstreams   = 16
-	maxNameBytes   = 64 // bytes, as members' names
+	maxNameBytes   = 64 // as of a member of the ruleset
 	maxConnections = 65536
 	maxFullStateKB = 1 << 20
-	minLeaseMillis = 100.0   // ms, as rules have it
-	maxLeaseMillis = 60000.0 // ms
+	minLeaseMillis = 100.0 // as of a ruleset
+	maxLeaseMillis = 60000.0
+
+	// Defaults of the keys that may be left out.
+	defaultLeaseMillis          = 1000
+	defaultConnections          = 4096
+	defaultFullStateKBPerSecond = 8192
+	defaultFullStateBurstKB     = 8192
 )
 
-// File is a relay as its file says it.
+// Config is a relay's configuration file.
 type Config struct {
 	Name           string
-	Cluster        string   // the council's name
-	Listen         string   // HOST:PORT for those below
+	Cluster        string   // the raft group's name
+	Listen         string   // HOST:PORT for requests from below
 	Control        string   // HOST:PORT for operators
-	Upstreams      []string `toml:"upstream"` // HOST:PORT of those above, in the order in which they are asked
-	CheckpointPath string   `toml:"store"`    // the file of the copy; none where empty
-	LeaseMillis    float64  `toml:"lease_ms"` // of the rules: until some are known, and then theirs holds
-	Seed           int64    // of the pauses' jitter; 0 is drawn
+	Upstreams      []string `toml:"upstream"` // HOST:PORT of each
+	CheckpointPath string   `toml:"store"`    // with an empty one no checkpoint is kept
+	LeaseMillis    float64  `toml:"lease_ms"` // until a ruleset says its own
+	Seed           int64    // of the order of upstreams and of jitter; 0: drawn
 	Limits         struct {
 		Connections          int     // from below, at once
-		FullStateKBPerSecond float64 `toml:"whole_kb_s"` // kB a second of states that are given whole
-		FullStateBurstKB     float64 `toml:"whole_kb"`   // and kB of them at once
+		FullStateKBPerSecond float64 `toml:"whole_kb_s"` // rate limit of full states
+		FullStateBurstKB     float64 `toml:"whole_kb"`   // burst of that limit
 	}
 }
 
-// Read reads and checks a relay's file. An error names the file, and the line or the key.
+// ReadConfig reads and checks a configuration file. A relative CheckpointPath is taken from the file's
+// folder. An error names the file, and the line or the key.
 func ReadConfig(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	f := &Config{LeaseMillis: 1000}
-	f.Limits.Connections, f.Limits.FullStateKBPerSecond, f.Limits.FullStateBurstKB = 4096, 8192, 8192
-	if err := strictoml.Decode(string(raw), f); err != nil {
+	c := &Config{LeaseMillis: defaultLeaseMillis}
+	c.Limits.Connections = defaultConnections
+	c.Limits.FullStateKBPerSecond = defaultFullStateKBPerSecond
+	c.Limits.FullStateBurstKB = defaultFullStateBurstKB
+	if err := strictoml.Decode(string(raw), c); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if f.CheckpointPath != "" && !filepath.IsAbs(f.CheckpointPath) {
-		f.CheckpointPath = filepath.Join(filepath.Dir(path), f.CheckpointPath)
+	if c.CheckpointPath != "" && !filepath.IsAbs(c.CheckpointPath) {
+		c.CheckpointPath = filepath.Join(filepath.Dir(path), c.CheckpointPath)
 	}
-	if err := f.check(); err != nil {
+	if err := c.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return f, nil
+	return c, nil
 }
 
-// check names the first key that is wrong.
-func (f *Config) check() error {
+// check returns an error that begins with the first key that is wrong.
+func (c *Config) check() error {
 	switch {
-	case f.Name == "" || len(f.Name) > maxNameBytes:
-		return fmt.Errorf("name: it has 1 to %d bytes, not %d", maxNameBytes, len(f.Name))
-	case f.Cluster == "" || len(f.Cluster) > maxNameBytes:
-		return fmt.Errorf("cluster: it has 1 to %d bytes, not %d", maxNameBytes, len(f.Cluster))
-	case len(f.Upstreams) == 0 || len(f.Upstreams) > maxUpstreams:
-		return fmt.Errorf("upstream: %d are not from 1 to %d", len(f.Upstreams), maxUpstreams)
-	case !(f.LeaseMillis >= minLeaseMillis && f.LeaseMillis <= maxLeaseMillis):
-		return fmt.Errorf("lease_ms: %v is not from %v to %v", f.LeaseMillis, minLeaseMillis, maxLeaseMillis)
-	case f.Limits.Connections < 1 || f.Limits.Connections > maxConnections:
-		return fmt.Errorf("limits.connections: %d is not from 1 to %d", f.Limits.Connections, maxConnections)
-	case !(f.Limits.FullStateKBPerSecond >= 1 && f.Limits.FullStateKBPerSecond <= maxFullStateKB):
-		return fmt.Errorf("limits.whole_kb_s: %v is not from 1 to %d", f.Limits.FullStateKBPerSecond,
-			maxFullStateKB)
-	case !(f.Limits.FullStateBurstKB >= 1 && f.Limits.FullStateBurstKB <= maxFullStateKB):
-		return fmt.Errorf("limits.whole_kb: %v is not from 1 to %d", f.Limits.FullStateBurstKB, maxFullStateKB)
+	case c.Name == "" || len(c.Name) > maxNameBytes:
+		return fmt.Errorf("name: it has 1 to %d bytes, not %d", maxNameBytes, len(c.Name))
+	case c.Cluster == "" || len(c.Cluster) > maxNameBytes:
+		return fmt.Errorf("cluster: it has 1 to %d bytes, not %d", maxNameBytes, len(c.Cluster))
+	case len(c.Upstreams) == 0 || len(c.Upstreams) > maxUpstreams:
+		return fmt.Errorf("upstream: %d are not from 1 to %d", len(c.Upstreams), maxUpstreams)
+	case !(c.LeaseMillis >= minLeaseMillis && c.LeaseMillis <= maxLeaseMillis):
+		return fmt.Errorf("lease_ms: %v is not from %v to %v", c.LeaseMillis, minLeaseMillis, maxLeaseMillis)
+	}
+	if err := c.checkLimits(); err != nil {
+		return err
 	}
-	for _, at := range []struct{ key, value string }{{"listen", f.Listen}, {"control", f.Control}} {
-		if _, err := netip.ParseAddrPort(at.value); err != nil {
-			return fmt.Errorf("%s: %w", at.key, err)
+	if err := c.checkAddresses(); err != nil {
+		return err
+	}
+	if c.CheckpointPath != "" {
+		folder := filepath.Dir(c.CheckpointPath)
+		if info, err := os.Stat(folder); err == nil && !info.IsDir() {
+			return fmt.Errorf("store: %s is no folder", folder)
 		}
 	}
-	if f.Listen == f.Control {
+	return nil
+}
+
+func (c *Config) checkLimits() error {
+	l := &c.Limits
+	switch {
+	case l.Connections < 1 || l.Connections > maxConnections:
+		return fmt.Errorf("limits.connections: %d is not from 1 to %d", l.Connections, maxConnections)
+	case !(l.FullStateKBPerSecond >= 1 && l.FullStateKBPerSecond <= maxFullStateKB):
+		return fmt.Errorf("limits.whole_kb_s: %v is not from 1 to %d", l.FullStateKBPerSecond, maxFullStateKB)
+	case !(l.FullStateBurstKB >= 1 && l.FullStateBurstKB <= maxFullStateKB):
+		return fmt.Errorf("limits.whole_kb: %v is not from 1 to %d", l.FullStateBurstKB, maxFullStateKB)
+	}
+	return nil
+}
+
+func (c *Config) checkAddresses() error {
+	for _, address := range []struct{ key, value string }{{"listen", c.Listen}, {"control", c.Control}} {
+		if _, err := netip.ParseAddrPort(address.value); err != nil {
+			return fmt.Errorf("%s: %w", address.key, err)
+		}
+	}
+	if c.Listen == c.Control {
 		return errors.New("control: it is the same as listen")
 	}
 	seen := map[string]bool{}
-	for i, at := range f.Upstreams {
-		if _, err := netip.ParseAddrPort(at); err != nil {
+	for i, address := range c.Upstreams {
+		if _, err := netip.ParseAddrPort(address); err != nil {
 			return fmt.Errorf("upstream.%d: %w", i, err)
 		}
-		if seen[at] || at == f.Listen {
-			return fmt.Errorf("upstream.%d: %s is there twice, or this relay's own", i, at)
-		}
-		seen[at] = true
-	}
-	if f.CheckpointPath != "" {
-		if info, err := os.Stat(filepath.Dir(f.CheckpointPath)); err == nil && !info.IsDir() {
-			return fmt.Errorf("store: %s is no folder", filepath.Dir(f.CheckpointPath))
+		if seen[address] || address == c.Listen {
+			return fmt.Errorf("upstream.%d: %s is there twice, or this relay's own", i, address)
 		}
+		seen[address] = true
 	}
 	return nil
 }
--- a/internal/distribution/relay/cost_test.go
+++ b/internal/distribution/relay/cost_test.go
@@ -21,17 +21,17 @@
 )
 
 var (
-	costs   = flag.Bool("costs", false, "measure what an ask costs a relay, at several sizes")
-	commit  = flag.String("commit", "", "named in the figures' lines")
-	runName = flag.String("run", "trial", "and this, in their first column")
+	costs   = flag.Bool("costs", false, "measure what a request costs a relay, at several sizes")
+	commit  = flag.String("commit", "", "commit, in the lines of figures")
+	runName = flag.String("run", "trial", "run, in the first column of the lines")
 )
 
 const (
-	gatewaysPerBenchHost = 18 // gatekeepers: a zone's 564 on 31 hosts
+	gatewaysPerBenchHost = 18 // a zone's 564 gateways on 31 hosts
 	benchClients         = 64 // connections
 )
 
-// bench is a relay process below a root in this one.
+// benchRelay is a relay process below a root in this process.
 type benchRelay struct {
 	t            *testing.T
 	size         int
@@ -44,8 +44,8 @@
 	rules        *versioned.State
 }
 
-// TestCosts measures a relay process, whose root and askers are in this one: processor time, bytes on the
-// wire and memory, by the number of members. Its lines are those of docs/capacity/relay.csv.
+// TestRequestCosts measures a relay process, whose root and clients are in this process: processor time,
+// bytes on the wire and memory, by the number of members. Its lines are those of docs/capacity/relay.csv.
 func TestRequestCosts(t *testing.T) {
 	if !*costs {
 		t.Skip("-args -costs -commit HASH")
@@ -88,9 +88,9 @@
 		FullStateBurstBytes: 1 << 30})
 	b.root = startTestServer(t, s, nil)
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(stopped)
 		for ctx.Err() == nil {
 			b.mu.Lock()
 			b.root.publish(distribution.Snapshot{Step: b.step, Settled: true, ReadStartMillis: nowMillis(),
@@ -101,7 +101,7 @@
 	}()
 	t.Cleanup(func() {
 		stop()
-		<-over
+		<-stopped
 	})
 	port := ports.Span(t, 2)
 	b.address, b.adminAddress = fmt.Sprintf("127.0.0.1:%d", port), fmt.Sprintf("127.0.0.1:%d", port+1)
@@ -129,13 +129,13 @@
 
 func (b *benchRelay) waitForStep(step uint64) {
 	b.t.Helper()
-	faultinject.Until(b.t, activationTimeout, "the relay knows of it", func() bool {
+	faultinject.Until(b.t, activationTimeout, "the relay has the step", func() bool {
 		s, err := b.status()
 		return err == nil && s.Step == step
 	})
 }
 
-// cpu is the processor time of the relay's threads, ms.
+// cpuMillis gives the processor time of the relay's threads.
 func (b *benchRelay) cpuMillis() (ms float64) {
 	all, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", b.process.Pid()))
 	if err != nil || len(all) == 0 {
@@ -155,15 +155,16 @@
 	return ms
 }
 
-// asking has askers send so many asks each, and gives what each cost the relay: ms, bytes in, bytes out.
-func (b *benchRelay) measureRequests(each int, ask func(i int) *distribution.Request,
-	answers func(*distribution.Response) bool) (ms, in, out float64) {
+// measureRequests has clients send so many requests each, and gives what a request cost the relay:
+// milliseconds of processor time, bytes received and bytes sent.
+func (b *benchRelay) measureRequests(perClient int, request func(i int) *distribution.Request,
+	accept func(*distribution.Response) bool) (ms, in, out float64) {
 	b.t.Helper()
 	before, err := b.status()
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	began := b.cpuMillis()
+	cpuBefore := b.cpuMillis()
 	var wait sync.WaitGroup
 	for i := range benchClients {
 		wait.Add(1)
@@ -171,10 +172,10 @@
 			defer wait.Done()
 			c := NewClient([]string{b.address}, RequestPath)
 			defer c.Close()
-			a := ask(i)
-			for range each {
+			a := request(i)
+			for range perClient {
 				got, err := c.Fetch(0, a, 5000)
-				if err != nil || !answers(got) {
+				if err != nil || !accept(got) {
 					b.t.Errorf("size %d: %+v, %v", b.size, got, err)
 					return
 				}
@@ -182,14 +183,15 @@
 		}()
 	}
 	wait.Wait()
-	spent := b.cpuMillis() - began
+	cpuSpent := b.cpuMillis() - cpuBefore
 	after, err := b.status()
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	n := float64(benchClients * each)
-	return spent / n, float64(after.DownstreamTraffic.ReceivedBytes-before.DownstreamTraffic.ReceivedBytes) / n,
-		float64(after.DownstreamTraffic.SentBytes-before.DownstreamTraffic.SentBytes) / n
+	n := float64(benchClients * perClient)
+	received := after.DownstreamTraffic.ReceivedBytes - before.DownstreamTraffic.ReceivedBytes
+	sent := after.DownstreamTraffic.SentBytes - before.DownstreamTraffic.SentBytes
+	return cpuSpent / n, float64(received) / n, float64(sent) / n
 }
 
 func (b *benchRelay) printFigure(figure, unit string, value float64) {
@@ -202,7 +204,7 @@
 	b.printFigure(what+"_out", "bytes", out)
 }
 
-// interest is of a host, or of all.
+// interest gives that of a host, or of all.
 func (b *benchRelay) interest(i int, all bool) ruleset.Interest {
 	if all {
 		return ruleset.Interest{All: true}
@@ -226,9 +228,9 @@
 
 func (b *benchRelay) measure() {
 	t := b.t
-	renewal := func(a *distribution.Response) bool { return a.RulesDelta == nil && a.RetryAfterMillis == 0 }
-	whole := func(a *distribution.Response) bool { return a.RulesDelta != nil && a.RulesDelta.From.None() }
-	delta := func(a *distribution.Response) bool { return a.RulesDelta != nil && !a.RulesDelta.From.None() }
+	isRenewal := func(a *distribution.Response) bool { return a.RulesDelta == nil && a.RetryAfterMillis == 0 }
+	isFullState := func(a *distribution.Response) bool { return a.RulesDelta != nil && a.RulesDelta.From.None() }
+	isDelta := func(a *distribution.Response) bool { return a.RulesDelta != nil && !a.RulesDelta.From.None() }
 	idle := b.cpuMillis()
 	time.Sleep(4 * time.Second)
 	b.printFigure("idle_cpu", "ms_per_s", (b.cpuMillis()-idle)/4)
@@ -236,24 +238,24 @@
 	ms, in, out := b.measureRequests(400, func(i int) *distribution.Request {
 		return b.request(i, false,
 			b.rules)
-	}, renewal)
+	}, isRenewal)
 	b.printFigures("renewal", ms, in, out)
-	none := func(all bool) func(int) *distribution.Request {
+	withoutBase := func(all bool) func(int) *distribution.Request {
 		return func(i int) *distribution.Request {
 			a := b.request(i, all, nil)
 			a.Rules = versioned.Mark{}
 			return a
 		}
 	}
-	ms, in, out = b.measureRequests(50, none(false), whole)
+	ms, in, out = b.measureRequests(50, withoutBase(false), isFullState)
 	b.printFigures("whole_host", ms, in, out)
-	ms, in, out = b.measureRequests(4, none(true), whole)
+	ms, in, out = b.measureRequests(4, withoutBase(true), isFullState)
 	b.printFigures("whole_all", ms, in, out)
 	const versions = 10
 	var sums [2][3]float64
-	taking := 0.0
+	applyingMillis := 0.0
 	for n := range versions {
-		was := b.rules
+		former := b.rules
 		next := b.version(n + 2)
 		began := b.cpuMillis()
 		b.mu.Lock()
@@ -262,15 +264,15 @@
 		step := b.step
 		b.mu.Unlock()
 		b.waitForStep(step)
-		time.Sleep(200 * time.Millisecond) // and its copy is written
-		taking += b.cpuMillis() - began
+		time.Sleep(200 * time.Millisecond) // and its checkpoint is written
+		applyingMillis += b.cpuMillis() - began
 		for i, all := range []bool{false, true} {
-			ms, in, out := b.measureRequests(4, func(i int) *distribution.Request { return b.request(i, all, was) },
-				delta)
+			ms, in, out := b.measureRequests(4, func(i int) *distribution.Request { return b.request(i, all, former) },
+				isDelta)
 			sums[i][0], sums[i][1], sums[i][2] = sums[i][0]+ms, sums[i][1]+in, sums[i][2]+out
 		}
 	}
-	b.printFigure("version_cpu", "ms", taking/versions)
+	b.printFigure("version_cpu", "ms", applyingMillis/versions)
 	for i, what := range []string{"delta_host", "delta_all"} {
 		b.printFigures(what, sums[i][0]/versions, sums[i][1]/versions, sums[i][2]/versions)
 	}
--- a/internal/distribution/relay/faultyproxy_test.go
+++ b/internal/distribution/relay/faultyproxy_test.go
@@ -14,30 +14,30 @@
 	"willowdeck/internal/versioned"
 )
 
-// What a middle man makes of answers.
+// Faults that a faultyProxy injects into responses.
 const (
-	corruptByte    = "flips"   // a byte on its way
-	swapValue      = "swaps"   // a value within a delta, and has the checksum of the answer right
-	changeBase     = "rebases" // a delta: it is against another state
-	dropDelta      = "loses"   // a delta
-	repeatResponse = "doubles" // gives an answer for the next ask as well
-	delayResponse  = "delays"  // an answer for longer than is waited for
+	corruptByte    = "flips"   // flips a bit
+	swapValue      = "swaps"   // changes a value within a delta, with a valid checksum of the message
+	changeBase     = "rebases" // has a delta be against another state
+	dropDelta      = "loses"   // removes a delta
+	repeatResponse = "doubles" // delivers a response to the next request as well
+	delayResponse  = "delays"  // delays a response beyond the time-out
 )
 
-// middleMan stands between a relay and those above it.
+// faultyProxy is a proxy between a relay and its upstreams that corrupts responses.
 type faultyProxy struct {
 	t *testing.T
 
 	mu        sync.Mutex
 	fault     string
-	remaining int // left to do so
+	remaining int // responses that are still to be corrupted
 	injected  int
 	last      []byte
 }
 
-// open listens in front of a real upstream.
-func (m *faultyProxy) listen(target string) string {
-	m.t.Helper()
+// listen starts a proxy in front of a real upstream, and gives its address.
+func (p *faultyProxy) listen(target string) string {
+	p.t.Helper()
 	client := &http.Client{Timeout: 2 * time.Second}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		req, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+target+r.URL.Path, r.Body)
@@ -56,13 +56,13 @@
 			return
 		}
 		if res.StatusCode == http.StatusOK {
-			body = m.corrupt(body)
+			body = p.corrupt(body)
 		}
 		w.Header().Set("Content-Type", contentType)
 		w.WriteHeader(res.StatusCode)
 		_, _ = w.Write(body)
 	}))
-	m.t.Cleanup(func() {
+	p.t.Cleanup(func() {
 		s.CloseClientConnections()
 		s.Close()
 		client.CloseIdleConnections()
@@ -70,78 +70,78 @@
 	return s.Listener.Addr().(*net.TCPAddr).String()
 }
 
-// begin has answers spoilt, so many of them.
-func (m *faultyProxy) inject(how string, times int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.fault, m.remaining, m.injected = how, times, 0
+// inject has the next responses corrupted, so many of them.
+func (p *faultyProxy) inject(fault string, count int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.fault, p.remaining, p.injected = fault, count, 0
 }
 
-// done tells how many it has spoilt since.
-func (m *faultyProxy) injectedCount() int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.injected
+// injectedCount gives how many were corrupted since.
+func (p *faultyProxy) injectedCount() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.injected
 }
 
-func (m *faultyProxy) corrupt(came []byte) []byte {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	was := m.last
-	m.last = came
-	if m.remaining == 0 {
-		return came
+func (p *faultyProxy) corrupt(body []byte) []byte {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	previous := p.last
+	p.last = body
+	if p.remaining == 0 {
+		return body
 	}
-	a, err := distribution.DecodeResponse(came)
+	response, err := distribution.DecodeResponse(body)
 	if err != nil {
-		m.t.Error(err)
-		return came
+		p.t.Error(err)
+		return body
 	}
-	whole := func() []byte {
-		m.remaining--
-		m.injected++
-		raw, err := a.Encode()
+	encoded := func() []byte {
+		p.remaining--
+		p.injected++
+		raw, err := response.Encode()
 		if err != nil {
-			m.t.Error(err)
+			p.t.Error(err)
 		}
 		return raw
 	}
-	d := a.RulesDelta
-	switch m.fault {
+	delta := response.RulesDelta
+	switch p.fault {
 	case corruptByte:
-		m.remaining--
-		m.injected++
-		came = bytes.Clone(came)
-		came[len(came)/2] ^= 0x10
+		p.remaining--
+		p.injected++
+		body = bytes.Clone(body)
+		body[len(body)/2] ^= 0x10
 	case repeatResponse:
-		if was != nil {
-			m.remaining--
-			m.injected++
-			return was
+		if previous != nil {
+			p.remaining--
+			p.injected++
+			return previous
 		}
 	case delayResponse:
-		m.remaining--
-		m.injected++
-		m.mu.Unlock()
+		p.remaining--
+		p.injected++
+		p.mu.Unlock()
 		time.Sleep(600 * time.Millisecond)
-		m.mu.Lock()
+		p.mu.Lock()
 	case swapValue:
-		if d != nil && len(d.Set) > 0 {
-			v := bytes.Clone(d.Set[0].Value)
-			v[len(v)-1] ^= 1
-			d.Set[0].Value = v
-			return whole()
+		if delta != nil && len(delta.Set) > 0 {
+			value := bytes.Clone(delta.Set[0].Value)
+			value[len(value)-1] ^= 1
+			delta.Set[0].Value = value
+			return encoded()
 		}
 	case changeBase:
-		if d != nil && !d.From.None() {
-			d.From = versioned.Mark{Number: d.From.Number, Digest: versioned.Digest{1}}
-			return whole()
+		if delta != nil && !delta.From.None() {
+			delta.From = versioned.Mark{Number: delta.From.Number, Digest: versioned.Digest{1}}
+			return encoded()
 		}
 	case dropDelta:
-		if d != nil {
-			a.RulesDelta = nil
-			return whole()
+		if delta != nil {
+			response.RulesDelta = nil
+			return encoded()
 		}
 	}
-	return came
+	return body
 }
--- a/internal/distribution/relay/format_test.go
+++ b/internal/distribution/relay/format_test.go
@@ -13,34 +13,36 @@
 	"willowdeck/internal/versioned"
 )
 
-// TestLaterForm: rules of a form that this program does not know go through its relays as they are, to those
-// below that may know it; what it can't read of them it says in its record.
+// TestLaterFormat: rules of a format that this program does not support pass its relays unchanged, to those
+// below that may support it; the relay records that it can't decode them.
 func TestLaterFormat(t *testing.T) {
 	r := generation(7, membersOf(2, "h"))
-	r.Form, r.Needs = ruleset.Form+8, []string{"what comes later"}
+	r.Form, r.Needs = ruleset.Form+8, []string{"later feature"}
 	rules, err := ruleset.Entries(&ruleset.Version{Number: 7, Rules: r})
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := []versioned.Entry{{Key: "what/0000", Value: []byte("is not known here")}}
+	all := []versioned.Entry{{Key: "later/0000", Value: []byte("unsupported value")}}
 	for k, v := range rules.All() {
 		all = append(all, versioned.Entry{Key: k, Value: v})
 	}
 	rules = versioned.New(7, all)
-	s := distribution.NewSource("root", "till", distribution.SourceConfig{})
-	up := startTestServer(t, s, nil)
-	f := &Config{Name: "r", Cluster: "till", Listen: "127.0.0.1:0", Control: "127.0.0.1:0", LeaseMillis: 1000,
-		Upstreams: []string{up.address}, CheckpointPath: filepath.Join(t.TempDir(), "copy")}
-	f.Limits.Connections, f.Limits.FullStateBurstKB, f.Limits.FullStateKBPerSecond = 16, 1024, 1024
-	m := &history.Memory{}
-	below, err := Start(f, m.As("r", 1), zerolog.Nop())
+	source := distribution.NewSource("root", "till", distribution.SourceConfig{})
+	upstream := startTestServer(t, source, nil)
+	config := &Config{Name: "r", Cluster: "till", Listen: "127.0.0.1:0", Control: "127.0.0.1:0",
+		LeaseMillis: 1000,
+		Upstreams:   []string{upstream.address}, CheckpointPath: filepath.Join(t.TempDir(), "copy")}
+	config.Limits.Connections, config.Limits.FullStateBurstKB, config.Limits.FullStateKBPerSecond = 16, 1024,
+		1024
+	recorded := &history.Memory{}
+	relay, err := Start(config, recorded.As("r", 1), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer below.Close()
-	c := NewClient([]string{below.Address()}, RequestPath)
-	defer c.Close()
-	a := distribution.Request{
+	defer relay.Close()
+	client := NewClient([]string{relay.Address()}, RequestPath)
+	defer client.Close()
+	request := distribution.Request{
 		FormatVersion:  distribution.FormatVersion,
 		Cluster:        "till",
 		Sender:         "h",
@@ -49,27 +51,27 @@
 	}
 	var got *versioned.State
 	for end := time.Now().Add(3 * time.Second); got == nil && time.Now().Before(end); {
-		up.publish(distribution.Snapshot{Step: 1, ReadStartMillis: nowMillis(), Settled: true, Rules: rules,
+		upstream.publish(distribution.Snapshot{Step: 1, ReadStartMillis: nowMillis(), Settled: true, Rules: rules,
 			DiscoveryIndex: -1})
-		if an, err := c.Fetch(0, &a, 500); err == nil && an.RulesDelta != nil {
+		if response, err := client.Fetch(0, &request, 500); err == nil && response.RulesDelta != nil {
 			var none *versioned.State
-			if got, err = none.Apply(an.RulesDelta); err != nil {
+			if got, err = none.Apply(response.RulesDelta); err != nil {
 				t.Fatal(err)
 			}
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if v, there := got.Get("what/0000"); !there || string(v) != "is not known here" {
-		t.Errorf("an entry of a later form has come through as %q", v)
+	if v, there := got.Get("later/0000"); !there || string(v) != "unsupported value" {
+		t.Errorf("an entry of a later format is received as %q", v)
 	}
 	if l := ruleset.LeaseOf(got); l != 1000 {
-		t.Errorf("the lease is %v in rules of a later form", l)
+		t.Errorf("the lease is %v in rules of a later format", l)
 	}
-	said := false
-	for _, e := range m.Record().Events {
-		said = said || e.Kind == history.Gives && e.Version == 7 && e.Says != ""
+	recordedError := false
+	for _, e := range recorded.Record().Events {
+		recordedError = recordedError || e.Kind == history.Gives && e.Version == 7 && e.Says != ""
 	}
-	if !said {
-		t.Errorf("the record does not say that the rules can't be read here: %v", m.Record().Events)
+	if !recordedError {
+		t.Errorf("it is not recorded that the rules can't be decoded: %v", recorded.Record().Events)
 	}
 }
--- a/internal/distribution/relay/golden_test.go
+++ b/internal/distribution/relay/golden_test.go
@@ -15,9 +15,9 @@
 )
 
 // The golden files were written once, at commit d6a566a, by a test that was not kept: it wrote what
-// Form.Encode made of Form.Value, the stored copy by keepCopy, and relay.toml as TOML with its keys in lower
-// case. They stand for what an earlier program stored and sent, and are never written again; a test that
-// fails here is met by a tag or a type of the old form.
+// Form.Encode made of Form.Value, the stored checkpoint by keepCopy, now writeCheckpoint, and relay.toml as
+// TOML with its keys in lower case. They stand for what an earlier program stored and sent, and are never
+// written again; a test that fails here is met by a tag or a type of the old form.
 
 const goldenCluster = "golden cluster"
 
--- a/internal/distribution/relay/handler.go
+++ b/internal/distribution/relay/handler.go
@@ -10,79 +10,79 @@
 	"willowdeck/internal/distribution"
 )
 
-// Refusal is why an ask is not answered, with the word that it is counted by.
+// RejectionError is why a request gets no response. Reason is the key by which it is counted.
 type RejectionError struct{ Reason, Message string }
 
-func (r *RejectionError) Error() string { return r.Message }
+// Error is error's.
+func (e *RejectionError) Error() string { return e.Message }
 
-// Reasons why an ask is refused, beside those of whoever answers.
-const (
-	reasonTooLong      = "too_long"
-	reasonUnacceptable = "unfit"      // of another form or cluster, or with an interest that is none
-	reasonNoResponse   = "unanswered" // an answer that can't be written, or an error without a reason
-)
-
-// Handler answers asks. It is safe for concurrent use.
+// Handler serves requests over HTTP. It is safe for concurrent use.
 type Handler struct {
 	respond func(*distribution.Request) (*distribution.Response, error)
 	traffic trafficCounters
 }
 
-// NewHandler makes one that has asks answered by a function, which is called from many goroutines. An ask
-// that it refuses is answered with 403 and the error's text, and counted by its reason where it is a
-// *Refusal.
-func NewHandler(answer func(*distribution.Request) (*distribution.Response, error)) *Handler {
-	return &Handler{respond: answer}
+// NewHandler makes a handler that has a function respond, which is called from many goroutines. For an error
+// the HTTP status is 403 and the body the error's text; it is counted by its reason where it is a
+// *RejectionError.
+func NewHandler(respond func(*distribution.Request) (*distribution.Response, error)) *Handler {
+	return &Handler{respond: respond}
 }
 
 // Traffic gives what has passed so far.
 func (h *Handler) Traffic() Traffic { return h.traffic.snapshot() }
 
-// serve answers the body of a request: a status and a body.
-func (h *Handler) serve(body []byte) (int, []byte) {
+// serve gives the status and the body for the body of a request.
+func (h *Handler) serve(body []byte) (status int, responseBody []byte) {
 	h.traffic.requests.Add(1)
 	h.traffic.requestBytes.Add(int64(len(body)))
-	a, err := distribution.DecodeRequest(body)
+	request, err := distribution.DecodeRequest(body)
 	if err != nil {
 		h.traffic.countFailure(decodeFailureReason(err))
 		return http.StatusBadRequest, []byte(err.Error())
 	}
-	got, err := h.respond(a)
-	var raw []byte
-	if err == nil {
-		named := *got // it may be another's too
-		named.Nonce = a.Nonce
-		raw, err = named.Encode()
-	}
+	responseBody, err = h.encodedResponse(request)
 	if err != nil {
 		reason := reasonNoResponse
-		var why *RejectionError
-		if errors.As(err, &why) {
-			reason = why.Reason
+		var rejection *RejectionError
+		if errors.As(err, &rejection) {
+			reason = rejection.Reason
 		}
 		h.traffic.countFailure(reason)
 		return http.StatusForbidden, []byte(err.Error())
 	}
 	h.traffic.responses.Add(1)
-	h.traffic.responseBytes.Add(int64(len(raw)))
-	return http.StatusOK, raw
+	h.traffic.responseBytes.Add(int64(len(responseBody)))
+	return http.StatusOK, responseBody
+}
+
+// encodedResponse gives the response to a request, with its nonce.
+func (h *Handler) encodedResponse(request *distribution.Request) ([]byte, error) {
+	response, err := h.respond(request)
+	if err != nil {
+		return nil, err
+	}
+	withNonce := *response // the response may be shared with other requests
+	withNonce.Nonce = request.Nonce
+	return withNonce.Encode()
 }
 
-// Fast answers at a port of its own. The server's MaxRequestBodySize bounds the body.
+// ServeFastHTTP serves a request whose path and method have been checked. The server's MaxRequestBodySize
+// bounds the body.
 func (h *Handler) ServeFastHTTP(ctx *fasthttp.RequestCtx) {
-	status, raw := h.serve(ctx.PostBody())
+	status, body := h.serve(ctx.PostBody())
 	ctx.SetStatusCode(status)
 	if status == http.StatusOK {
 		ctx.SetContentType(contentType)
 	}
-	ctx.Response.SetBodyRaw(raw)
+	ctx.Response.SetBodyRaw(body)
 }
 
-// ServeHTTP answers at a port that is there already.
+// ServeHTTP serves a request at a port of net/http.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, distribution.MaxRequestBytes))
-	var long *http.MaxBytesError
-	if errors.As(err, &long) {
+	var tooLong *http.MaxBytesError
+	if errors.As(err, &tooLong) {
 		h.traffic.countFailure(reasonTooLong)
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
@@ -92,10 +92,10 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	status, raw := h.serve(body)
+	status, responseBody := h.serve(body)
 	if status == http.StatusOK {
 		w.Header().Set("Content-Type", contentType)
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(raw)
+	_, _ = w.Write(responseBody)
 }
--- a/internal/distribution/relay/hollow_test.go
+++ b/internal/distribution/relay/hollow_test.go
@@ -16,13 +16,14 @@
 	"willowdeck/internal/versioned"
 )
 
-// generation is rules that say in each part which generation they are of, so that a mix of two shows.
+// generation gives a ruleset that encodes its generation in each part, so that a mix of two shows.
 func generation(i int, members []ruleset.Member) ruleset.Rules {
 	x := float64(i)
 	return generationOf(i, members, 1000-x, 1000-x)
 }
 
-// generationOf has ceilings of its own: one that is lower than its fallback allows has to wait.
+// generationOf is generation with ceilings of its own: one that is lower than the fallback allows has to be
+// pending first.
 func generationOf(i int, members []ruleset.Member, ceiling, depth float64) ruleset.Rules {
 	x := float64(i)
 	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
@@ -37,7 +38,7 @@
 	return r
 }
 
-// generations gives those that rules are of: one where they are whole.
+// generationsIn gives the generations of the parts of a ruleset: one where it is consistent.
 func generationsIn(r *ruleset.Rules) map[int]bool {
 	all := map[int]bool{}
 	for i, p := range r.Plans {
@@ -56,8 +57,9 @@
 	return all
 }
 
-// hollowHost is a host's daemon with its gatekeepers, without processes, links or txns: it follows relays by
-// the real client, keeps the real books, and each gatekeeper has the real holder.
+// hollowHost is a host's daemon with its gateways, without processes and without requests of customers: it
+// follows relays by the real client and grants leases by the real warden, and each gateway has the real
+// holder.
 type hollowHost struct {
 	name         string
 	client       *Client
@@ -74,7 +76,7 @@
 	pending      *ruleset.Rules
 }
 
-// hollowKeeper is a gatekeeper of one.
+// hollowGateway is a gateway of a hollowHost.
 type hollowGateway struct {
 	t         testing.TB
 	name      string
@@ -84,7 +86,7 @@
 
 	mu          sync.Mutex
 	holder      *ruleset.Holder
-	generations map[uint64]int // generation by version
+	generations map[uint64]int // by version
 }
 
 var (
@@ -92,7 +94,7 @@
 	incarnations   = map[string]uint32{}
 )
 
-// lifeOf counts the lives of a name.
+// nextIncarnation counts the incarnations of a name.
 func nextIncarnation(name string) uint32 {
 	incarnationsMu.Lock()
 	defer incarnationsMu.Unlock()
@@ -100,56 +102,57 @@
 	return incarnations[name]
 }
 
-// newHollowHost starts one with its members; records go to a folder.
-func newHollowHost(t testing.TB, host, cluster, records string, upstream []string,
-	members []ruleset.Member, copied *Checkpoint) *hollowHost {
-	t.Helper()
-	h := &hollowHost{name: host, client: NewClient(upstream, RequestPath)}
-	f := distribution.NewFollower(distribution.FollowerConfig{Name: host, Cluster: cluster,
+// newHollowHost starts a host with its members; history goes to the records folder.
+func newHollowHost(tb testing.TB, host, cluster, records string, upstream []string,
+	members []ruleset.Member, checkpoint *Checkpoint) *hollowHost {
+	tb.Helper()
+	hollow := &hollowHost{name: host, client: NewClient(upstream, RequestPath)}
+	follower := distribution.NewFollower(distribution.FollowerConfig{Name: host, Cluster: cluster,
 		Upstreams: len(upstream),
 		Interest:  ruleset.Interest{Host: host}, LeaseMillis: 1000,
 		Seed: int64(len(host)) + int64(host[len(host)-1])},
 		nowMillis())
-	if copied == nil {
-		copied = NewCheckpoint("", cluster, zerolog.Nop())
+	if checkpoint == nil {
+		checkpoint = NewCheckpoint("", cluster, zerolog.Nop())
 	}
-	copied.LoadInto(f)
-	h.subscription = NewSubscription(f, h.client, func() {
-		if v, ok := h.subscription.Snapshot(); ok {
-			copied.Save(v)
+	checkpoint.LoadInto(follower)
+	hollow.subscription = NewSubscription(follower, hollow.client, func() {
+		if v, ok := hollow.subscription.Snapshot(); ok {
+			checkpoint.Save(v)
 		}
 	})
 	ctx, stop := context.WithCancel(context.Background())
-	h.stop = stop
-	run := func(f func(context.Context)) {
-		h.wait.Add(1)
+	hollow.stop = stop
+	run := func(follower func(context.Context)) {
+		hollow.wait.Add(1)
 		go func() {
-			defer h.wait.Done()
-			f(ctx)
+			defer hollow.wait.Done()
+			follower(ctx)
 		}()
 	}
-	run(h.subscription.Run)
-	run(copied.Run)
+	run(hollow.subscription.Run)
+	run(checkpoint.Run)
 	for place, m := range members {
 		if m.Host != host {
 			continue
 		}
-		k := &hollowGateway{t: t, name: m.Name, processID: place + 1, host: h, generations: map[uint64]int{},
-			holder: ruleset.NewHolder(m.Name, generation(0, members))}
-		life := nextIncarnation(m.Name)
+		gateway := &hollowGateway{t: tb, name: m.Name, processID: place + 1, host: hollow,
+			generations: map[uint64]int{},
+			holder:      ruleset.NewHolder(m.Name, generation(0, members))}
+		incarnation := nextIncarnation(m.Name)
 		var err error
-		path := filepath.Join(records, fmt.Sprintf("%s.%d.jsonl", m.Name, life))
-		if k.log, err = history.Open(path, m.Name, life); err != nil {
-			t.Fatal(err)
+		path := filepath.Join(records, fmt.Sprintf("%s.%d.jsonl", m.Name, incarnation))
+		if gateway.log, err = history.Open(path, m.Name, incarnation); err != nil {
+			tb.Fatal(err)
 		}
-		h.warden.Began(k.processID, false)
-		h.gateways = append(h.gateways, k)
-		run(k.run)
+		hollow.warden.Began(gateway.processID, false)
+		hollow.gateways = append(hollow.gateways, gateway)
+		run(gateway.run)
 	}
-	return h
+	return hollow
 }
 
-// end ends it with all of its gatekeepers.
+// close stops the host and all of its gateways.
 func (h *hollowHost) close() {
 	h.stop()
 	h.wait.Wait()
@@ -159,49 +162,50 @@
 	}
 }
 
-// lease answers one of its gatekeepers, as a host's daemon does.
-func (h *hollowHost) lease(t testing.TB, pid int, holds uint64) (ruleset.Lease, bool) {
+// lease grants a lease to a gateway, as a host's daemon does.
+func (h *hollowHost) lease(tb testing.TB, processID int, heldStep uint64) (ruleset.Lease, bool) {
+	tb.Helper()
 	h.mu.Lock()
-	v, ok := h.subscription.Snapshot()
-	if !ok || !h.warden.Asked(pid, holds) {
+	snapshot, ok := h.subscription.Snapshot()
+	if !ok || !h.warden.Asked(processID, heldStep) {
 		h.mu.Unlock()
 		return ruleset.Lease{}, false
 	}
-	if now := [2]*versioned.State{v.Rules, v.Pending}; now != h.lastStates {
-		whole, err := ruleset.FromState(v.Rules)
+	if states := [2]*versioned.State{snapshot.Rules, snapshot.Pending}; states != h.lastStates {
+		whole, err := ruleset.FromState(snapshot.Rules)
 		if err != nil {
-			t.Errorf("%s: %v", h.name, err)
+			tb.Errorf("%s: %v", h.name, err)
 		}
-		h.lastStates, h.rules, h.pending = now, whole, nil
-		if v.Pending != nil {
-			p, err := ruleset.FromState(v.Pending)
+		h.lastStates, h.rules, h.pending = states, whole, nil
+		if snapshot.Pending != nil {
+			p, err := ruleset.FromState(snapshot.Pending)
 			if err != nil {
-				t.Errorf("%s: %v", h.name, err)
+				tb.Errorf("%s: %v", h.name, err)
 			}
 			h.pending = &p.Rules
 		}
 	}
-	l := ruleset.Lease{
-		Step:    v.Step,
+	lease := ruleset.Lease{
+		Step:    snapshot.Step,
 		Version: h.rules,
-		Settled: v.Settled,
+		Settled: snapshot.Settled,
 		Pending: h.pending,
-		Age:     v.AgeMillis(nowMillis()),
+		Age:     snapshot.AgeMillis(nowMillis()),
 	}
-	h.warden.Given(pid)
-	seen := h.warden.Seen(v.Step)
-	news := seen > h.reportedStep
+	h.warden.Given(processID)
+	seen := h.warden.Seen(snapshot.Step)
+	newlySeen := seen > h.reportedStep
 	h.reportedStep = max(h.reportedStep, seen)
 	h.mu.Unlock()
-	if news {
+	if newlySeen {
 		h.subscription.WithFollower(func(f *distribution.Follower) {
 			f.ReportHostSteps([]distribution.HostStep{{Host: h.name, Step: seen}})
 		})
 	}
-	return l, true
+	return lease, true
 }
 
-// run goes by rules until it ends.
+// run acts on rulesets until the context ends.
 func (k *hollowGateway) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -222,10 +226,10 @@
 			case ruleset.Adopt:
 				k.adopt(d.Terms)
 			case ruleset.Ask:
-				asked := nowMillis()
+				sentAt := nowMillis()
 				if l, ok := k.host.lease(k.t, k.processID, k.holder.Holds()); ok {
 					k.holder.Clock(nowMillis())
-					k.holder.Heard(l, asked)
+					k.holder.Heard(l, sentAt)
 				}
 			case ruleset.Wake:
 				timer.Reset(max(toDuration(d.At-nowMillis()), 0))
@@ -235,31 +239,31 @@
 	}
 }
 
-// adopt records what it goes by, and finds a mix of two versions.
-func (k *hollowGateway) adopt(t ruleset.Terms) {
+// adopt records the terms that the gateway acts on, and fails at a mix of two versions.
+func (k *hollowGateway) adopt(terms ruleset.Terms) {
 	mode := [...]string{ruleset.Bare: history.Bare, ruleset.CutOff: history.Fallback,
-		ruleset.Leased: history.Leased}[t.Mode]
-	k.log.Write(history.Event{Kind: history.Acts, Version: t.Version, Mode: mode})
-	if t.Version == 0 {
+		ruleset.Leased: history.Leased}[terms.Mode]
+	k.log.Write(history.Event{Kind: history.Acts, Version: terms.Version, Mode: mode})
+	if terms.Version == 0 {
 		return
 	}
-	r := ruleset.Rules{Words: t.Words}
-	for _, p := range t.Plans {
+	r := ruleset.Rules{Words: terms.Words}
+	for _, p := range terms.Plans {
 		r.Plans = append(r.Plans, p.Plan)
 	}
-	all := generationsIn(&r)
-	if len(all) != 1 {
-		k.t.Errorf("%s goes by version %d with parts of generations %v", k.name, t.Version, all)
+	mixed := generationsIn(&r)
+	if len(mixed) != 1 {
+		k.t.Errorf("%s acts on version %d with parts of generations %v", k.name, terms.Version, mixed)
 	}
-	for i := range all {
-		if was, there := k.generations[t.Version]; there && was != i {
-			k.t.Errorf("%s knew version %d as generation %d, and now as %d", k.name, t.Version, was, i)
+	for i := range mixed {
+		if known, there := k.generations[terms.Version]; there && known != i {
+			k.t.Errorf("%s had version %d as generation %d, and now as %d", k.name, terms.Version, known, i)
 		}
-		k.generations[t.Version] = i
+		k.generations[terms.Version] = i
 	}
 }
 
-// stands tells the generation that it is leased by; false where it has no lease.
+// leasedGeneration gives the generation that the gateway has a lease on; false where it has none.
 func (k *hollowGateway) leasedGeneration() (int, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -270,21 +274,21 @@
 	return k.generations[t.Version], true
 }
 
-// mode tells how it goes.
+// mode gives the holder's mode.
 func (k *hollowGateway) mode() ruleset.Mode {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.holder.Current().Mode
 }
 
-// lapses tells how often it lost its lease.
+// lapses gives how often the gateway lost its lease.
 func (k *hollowGateway) lapses() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.holder.Counts().Lapses
 }
 
-// known gives the generations by version that it has gone by.
+// knownGenerations gives the generations that the gateway has acted on, by version.
 func (k *hollowGateway) knownGenerations() map[uint64]int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/distribution/relay/relay.go
+++ b/internal/distribution/relay/relay.go
@@ -18,59 +18,51 @@
 	"willowdeck/internal/versioned"
 )
 
-// perLease is how often one above is asked in a lease. A gatekeeper's host asks half as often: each level
-// adds to the age of what the next one is told.
+// requestsPerLease is how often a relay asks its upstream in a lease. A host's daemon asks half as often:
+// each level of the tree adds its interval to the age of what the next one gets.
 const requestsPerLease = 20
 
-// Relay is one that runs: it follows upstreams, and answers those below.
+const bytesPerKB = 1024
+
+// Relay is a relay process: it follows upstreams, and serves those below.
 type Relay struct {
 	config       *Config
 	log          zerolog.Logger
-	recorder     history.Recorder
+	recorder     history.Recorder // nil: nothing is recorded
 	client       *Client
 	subscription *Subscription
 	server       *server
+	checkpoint   *Checkpoint
 	adminServer  *http.Server
 	cancel       context.CancelFunc
 	goroutines   sync.WaitGroup
 
-	lastLogged loggedState // of Feed.Run's goroutine alone
-
-	checkpoint *Checkpoint
+	lastLogged loggedState // used by the subscription's goroutine alone
 }
 
-// view is what was last made known of a View.
-type loggedState struct {
-	rules, pending versioned.Mark
-	step           uint64
-}
+// loggedState is what onUpdate last made known of a snapshot.
+type loggedState struct{ rules, pending versioned.Mark }
 
-// Start starts a relay. The record may be nil.
-func Start(f *Config, record history.Recorder, log zerolog.Logger) (*Relay, error) {
-	if f.CheckpointPath != "" {
-		if err := os.MkdirAll(filepath.Dir(f.CheckpointPath), 0o700); err != nil {
+// Start starts a relay. The recorder may be nil.
+func Start(config *Config, recorder history.Recorder, log zerolog.Logger) (*Relay, error) {
+	if config.CheckpointPath != "" {
+		if err := os.MkdirAll(filepath.Dir(config.CheckpointPath), 0o700); err != nil {
 			return nil, fmt.Errorf("store: %w", err)
 		}
 	}
-	r := &Relay{config: f, log: log, recorder: record, client: NewClient(f.Upstreams, RequestPath),
-		checkpoint: NewCheckpoint(f.CheckpointPath, f.Cluster, log)}
-	seed := f.Seed
-	if seed == 0 {
-		seed = rand.Int63()
+	r := &Relay{
+		config:     config,
+		log:        log,
+		recorder:   recorder,
+		client:     NewClient(config.Upstreams, RequestPath),
+		checkpoint: NewCheckpoint(config.CheckpointPath, config.Cluster, log),
 	}
-	follower := distribution.NewFollower(
-		distribution.FollowerConfig{Name: f.Name, Cluster: f.Cluster, Upstreams: len(f.Upstreams),
-			Interest: ruleset.Interest{All: true}, LeaseMillis: f.LeaseMillis, RequestsPerLease: requestsPerLease,
-			Seed: seed},
-		nowMillis(),
-	)
+	follower := newFollower(config)
 	r.checkpoint.LoadInto(follower)
 	r.subscription = NewSubscription(follower, r.client, r.onUpdate)
 	var err error
-	r.server, err = startServer(f.Listen, f.Limits.Connections, f.LeaseMillis,
-		distribution.NewSource(f.Name, f.Cluster, distribution.SourceConfig{
-			FullStateBytesPerSecond: f.Limits.FullStateKBPerSecond * 1024,
-			FullStateBurstBytes:     f.Limits.FullStateBurstKB * 1024, Incarnation: rand.Uint64()}), r.reportUpstream)
+	r.server, err = startServer(config.Listen, config.Limits.Connections, config.LeaseMillis, newSource(config),
+		r.reportUpstream)
 	if err != nil {
 		return nil, err
 	}
@@ -78,8 +70,8 @@
 		r.server.close()
 		return nil, err
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	r.cancel = stop
+	ctx, cancel := context.WithCancel(context.Background())
+	r.cancel = cancel
 	r.goroutines.Add(2)
 	go func() {
 		defer r.goroutines.Done()
@@ -89,59 +81,84 @@
 		defer r.goroutines.Done()
 		r.checkpoint.Run(ctx)
 	}()
-	log.Info().Str("listen", r.server.address).Strs("upstream", f.Upstreams).Msg("relay: begun")
+	log.Info().Str("listen", r.server.address).Strs("upstream", config.Upstreams).Msg("relay: started")
 	return r, nil
 }
 
-// At is where it listens for those below.
+func newFollower(config *Config) *distribution.Follower {
+	seed := config.Seed
+	if seed == 0 {
+		seed = rand.Int63()
+	}
+	return distribution.NewFollower(distribution.FollowerConfig{
+		Name:             config.Name,
+		Cluster:          config.Cluster,
+		Upstreams:        len(config.Upstreams),
+		Interest:         ruleset.Interest{All: true},
+		LeaseMillis:      config.LeaseMillis,
+		RequestsPerLease: requestsPerLease,
+		Seed:             seed,
+	}, nowMillis())
+}
+
+func newSource(config *Config) *distribution.Source {
+	return distribution.NewSource(config.Name, config.Cluster, distribution.SourceConfig{
+		FullStateBytesPerSecond: config.Limits.FullStateKBPerSecond * bytesPerKB,
+		FullStateBurstBytes:     config.Limits.FullStateBurstKB * bytesPerKB,
+		Incarnation:             rand.Uint64(),
+	})
+}
+
+// Address is where the relay listens for requests from below.
 func (r *Relay) Address() string { return r.server.address }
 
-// Close ends it and waits for all of its goroutines.
+// Close stops the relay and waits for all of its goroutines.
 func (r *Relay) Close() {
 	r.cancel()
 	r.server.close()
-	_ = r.adminServer.Close()
+	_ = r.adminServer.Close() // its connections serve operators alone
 	r.goroutines.Wait()
 	r.client.Close()
 }
 
-// told sends up what those below have seen.
-func (r *Relay) reportUpstream(all []distribution.HostStep, index int64) {
+// reportUpstream sends up what was reported from below.
+func (r *Relay) reportUpstream(facts []distribution.HostStep, highestIndex int64) {
 	r.subscription.WithFollower(func(f *distribution.Follower) {
-		f.ReportHostSteps(all)
-		f.SetDiscoveryIndex(index)
+		f.ReportHostSteps(facts)
+		f.SetDiscoveryIndex(highestIndex)
 	})
 }
 
-// news gives on what the follower has come to know.
+// onUpdate publishes the follower's snapshot to those below, stores it, and logs and records new versions.
 func (r *Relay) onUpdate() {
-	v, ok := r.subscription.Snapshot()
+	snapshot, ok := r.subscription.Snapshot()
 	if !ok {
 		return
 	}
-	r.server.publish(v)
-	r.checkpoint.Save(v)
-	now := loggedState{rules: v.Rules.Mark(), pending: v.Pending.Mark(), step: v.Step}
-	if now.rules != r.lastLogged.rules {
-		r.recordVersion(&v)
+	r.server.publish(snapshot)
+	r.checkpoint.Save(snapshot)
+	state := loggedState{rules: snapshot.Rules.Mark(), pending: snapshot.Pending.Mark()}
+	if state.rules != r.lastLogged.rules {
+		r.recordVersion(&snapshot)
 	}
-	if now.rules != r.lastLogged.rules || now.pending != r.lastLogged.pending {
-		r.log.Info().Uint64("version", now.rules.Number).Uint64("pending", now.pending.Number).
-			Uint64("step", v.Step).Int("bytes", v.Rules.Bytes()).Msg("relay: in force")
+	if state != r.lastLogged {
+		r.log.Info().Uint64("version", state.rules.Number).Uint64("pending", state.pending.Number).
+			Uint64("step", snapshot.Step).Int("bytes", snapshot.Rules.Bytes()).Msg("relay: version in force")
 	}
-	r.lastLogged = now
+	r.lastLogged = state
 }
 
-// tells records a version that is given on from here.
-func (r *Relay) recordVersion(v *distribution.Snapshot) {
+// recordVersion records that a version is published from here.
+func (r *Relay) recordVersion(snapshot *distribution.Snapshot) {
 	if r.recorder == nil {
 		return
 	}
-	e := history.Event{Kind: history.Gives, Version: v.Rules.Mark().Number, Age: nowMillis() - v.ReadStartMillis}
-	if whole, err := ruleset.FromState(v.Rules); err == nil {
-		e.Mark = raftlog.Mark(&whole.Rules)
+	event := history.Event{Kind: history.Gives, Version: snapshot.Rules.Mark().Number,
+		Age: nowMillis() - snapshot.ReadStartMillis}
+	if version, err := ruleset.FromState(snapshot.Rules); err == nil {
+		event.Mark = raftlog.Mark(&version.Rules)
 	} else {
-		e.Says = fmt.Sprintf("not rules of this program: %v", err)
+		event.Says = fmt.Sprintf("not a ruleset of this program: %v", err)
 	}
-	r.recorder.Write(e)
+	r.recorder.Write(event)
 }
--- a/internal/distribution/relay/relay_test.go
+++ b/internal/distribution/relay/relay_test.go
@@ -22,7 +22,7 @@
 	"willowdeck/internal/versioned"
 )
 
-// fullFile has every key.
+// completeConfig has every key.
 const completeConfig = `name = "south-1"
 cluster = "till"
 listen = "127.0.0.1:7900"
@@ -36,9 +36,9 @@
 whole_kb = 8192
 `
 
-// TestFile: what is wrong in a relay's file is named by its key.
+// TestConfig: an error of a configuration names its key.
 func TestConfig(t *testing.T) {
-	for _, c := range []struct{ was, is, says string }{
+	for _, test := range []struct{ old, replacement, wantError string }{
 		{"", "", ""},
 		{"", "colour = 1\n", "colour: unknown key"},
 		{`name = "south-1"`, `name = ""`, "name:"},
@@ -57,50 +57,52 @@
 		{"whole_kb = 8192", "whole_kb = inf", "limits.whole_kb:"},
 		{"whole_kb = 8192", "whole_kb = \"8\"", "whole_kb"},
 	} {
-		text := strings.Replace(completeConfig, c.was, c.is, 1)
+		text := strings.Replace(completeConfig, test.old, test.replacement, 1)
 		path := filepath.Join(t.TempDir(), "relay.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		f, err := ReadConfig(path)
-		if c.says == "" {
-			if err != nil || f.CheckpointPath != filepath.Join(filepath.Dir(path), "relay.copy") {
-				t.Errorf("the whole file: %+v, %v", f, err)
+		config, err := ReadConfig(path)
+		if test.wantError == "" {
+			if err != nil || config.CheckpointPath != filepath.Join(filepath.Dir(path), "relay.copy") {
+				t.Errorf("the complete file: %+v, %v", config, err)
 			}
 			continue
 		}
-		if err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s in place of %s: %v, not %q", c.is, c.was, err, c.says)
+		if err == nil || !strings.Contains(err.Error(), test.wantError) {
+			t.Errorf("%s in place of %s: %v, not %q", test.replacement, test.old, err, test.wantError)
 		}
 	}
 }
 
-// TestDeployed: the file that operators begin with is right.
+// TestDeployedConfig: the file that operators begin with is valid.
 func TestDeployedConfig(t *testing.T) {
 	if _, err := ReadConfig("../../../deploy/relay.toml"); err != nil {
 		t.Error(err)
 	}
 }
 
-// some gives members of one host.
-func membersOf(n int, host string) (all []ruleset.Member) {
+// membersOf gives members of one host.
+func membersOf(n int, host string) (members []ruleset.Member) {
 	for i := range n {
-		all = append(all, ruleset.Member{Name: fmt.Sprintf("g%d", i), Host: host})
+		members = append(members, ruleset.Member{Name: fmt.Sprintf("g%d", i), Host: host})
 	}
-	return all
+	return members
 }
 
-// stateOf makes a state of a generation.
-func testState(t testing.TB, number uint64, gen int, members []ruleset.Member) *versioned.State {
-	t.Helper()
-	s, err := ruleset.Entries(&ruleset.Version{Number: number, Rules: generation(gen, members)})
+// testState gives the state of a version with the rules of a generation.
+func testState(tb testing.TB, number uint64, generationNumber int,
+	members []ruleset.Member) *versioned.State {
+	tb.Helper()
+	s, err := ruleset.Entries(&ruleset.Version{Number: number, Rules: generation(generationNumber, members)})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return s
 }
 
-// TestCopy: a copy comes back as it was; one that is spoilt anywhere, or is another's, is none.
+// TestCheckpoint: a checkpoint is read as it was written; a damaged one, or one of another cluster, is an
+// error.
 func TestCheckpoint(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "relay.copy")
 	if _, _, err := readCheckpoint(path, "till"); !errors.Is(err, errNoCheckpoint) {
@@ -113,55 +115,58 @@
 		}
 		r, q, err := readCheckpoint(path, "till")
 		if err != nil || r.Mark() != rules.Mark() || q.Mark() != p.Mark() {
-			t.Errorf("%v and %v came back as %v and %v: %v", rules.Mark(), p.Mark(), r.Mark(), q.Mark(), err)
+			t.Errorf("%v and %v are read as %v and %v: %v", rules.Mark(), p.Mark(), r.Mark(), q.Mark(), err)
 		}
 	}
 	if _, _, err := readCheckpoint(path, "mill"); err == nil {
-		t.Error("a copy of another cluster was taken")
+		t.Error("a checkpoint of another cluster was accepted")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range raw {
-		spoilt := bytes.Clone(raw)
-		spoilt[i] ^= 0x40
-		for what, b := range map[string][]byte{"flipped": spoilt, "torn": raw[:i]} {
+		flipped := bytes.Clone(raw)
+		flipped[i] ^= 0x40
+		for damage, b := range map[string][]byte{"flipped": flipped, "truncated": raw[:i]} {
 			if err := os.WriteFile(path, b, 0o600); err != nil {
 				t.Fatal(err)
 			}
 			if _, _, err := readCheckpoint(path, "till"); err == nil || errors.Is(err, errNoCheckpoint) {
-				t.Fatalf("a copy that is %s at byte %d was taken: %v", what, i, err)
+				t.Fatalf("a checkpoint that is %s at byte %d was accepted: %v", damage, i, err)
 			}
 		}
 	}
 }
 
-// server answers asks from a source, at a port of its own.
-func startTestServer(t testing.TB, s *distribution.Source, told func([]distribution.HostStep,
+// startTestServer serves a source at a port of its own.
+func startTestServer(tb testing.TB, source *distribution.Source, onReports func([]distribution.HostStep,
 	int64)) *server {
-	t.Helper()
-	if told == nil {
-		told = func([]distribution.HostStep, int64) {}
+	tb.Helper()
+	if onReports == nil {
+		onReports = func([]distribution.HostStep, int64) {}
 	}
-	g, err := startServer("127.0.0.1:0", 64, 1000, s, told)
+	server, err := startServer("127.0.0.1:0", 64, 1000, source, onReports)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(g.close)
-	return g
+	tb.Cleanup(server.close)
+	return server
 }
 
-// TestSpoilt: a body with a byte changed anywhere is refused at either end, and what is refused is counted.
+// TestCorruptMessages: a body with any byte changed is rejected at either end, and counted.
 func TestCorruptMessages(t *testing.T) {
-	s := distribution.NewSource("root", "till", distribution.SourceConfig{})
-	s.Publish(
+	source := distribution.NewSource("root", "till", distribution.SourceConfig{})
+	source.Publish(
 		distribution.Snapshot{Step: 3, ReadStartMillis: nowMillis(), Settled: true,
 			Rules: testState(t, 1, 1, membersOf(2, "h")), DiscoveryIndex: -1},
 	)
-	var news []distribution.HostStep
-	g := startTestServer(t, s, func(all []distribution.HostStep, _ int64) { news = append(news, all...) })
-	ask := distribution.Request{
+	var facts []distribution.HostStep
+	server := startTestServer(t, source, func(all []distribution.HostStep,
+		_ int64) {
+		facts = append(facts, all...)
+	})
+	request := distribution.Request{
 		FormatVersion:  distribution.FormatVersion,
 		Cluster:        "till",
 		Sender:         "h",
@@ -169,12 +174,12 @@
 		HostSteps:      []distribution.HostStep{{Host: "h", Step: 3}},
 		DiscoveryIndex: -1,
 	}
-	raw, err := ask.Encode()
+	raw, err := request.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	post := func(body []byte) int {
-		res, err := http.Post("http://"+g.address+RequestPath, contentType, bytes.NewReader(body))
+		res, err := http.Post("http://"+server.address+RequestPath, contentType, bytes.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -185,153 +190,159 @@
 		b := bytes.Clone(raw)
 		b[i] ^= 1
 		if status := post(b); status != http.StatusBadRequest {
-			t.Fatalf("byte %d is another: status %d", i, status)
+			t.Fatalf("byte %d changed: status %d", i, status)
 		}
 	}
-	if len(news) != 0 {
-		t.Errorf("believed of spoilt asks: %v", news)
+	if len(facts) != 0 {
+		t.Errorf("facts of corrupt requests: %v", facts)
 	}
-	if f := g.handler.Traffic().Failures; f[reasonChecksum]+f[reasonMalformed] != int64(len(raw)) {
-		t.Errorf("%v are counted of %d", f, len(raw))
+	if f := server.handler.Traffic().Failures; f[reasonChecksum]+f[reasonMalformed] != int64(len(raw)) {
+		t.Errorf("%v are counted of %d corrupt messages", f, len(raw))
 	}
-	if status := post(raw); status != http.StatusOK || len(news) != 1 {
-		t.Errorf("a whole ask: status %d, news %v", status, news)
+	if status := post(raw); status != http.StatusOK || len(facts) != 1 {
+		t.Errorf("a valid request: status %d, facts %v", status, facts)
 	}
 
-	// An upstream that answers rightly, but for what is done with its answer.
-	spoil := func(b []byte) []byte { return b }
-	up := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	// An upstream whose responses are valid before corrupt changes them.
+	corrupt := func(b []byte) []byte { return b }
+	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		raw, _ := io.ReadAll(r.Body)
-		_, b := g.handler.serve(raw)
-		_, _ = w.Write(spoil(b))
+		_, b := server.handler.serve(raw)
+		_, _ = w.Write(corrupt(b))
 	}))
-	t.Cleanup(up.Close)
-	c := NewClient([]string{up.Listener.Addr().String()}, RequestPath)
-	t.Cleanup(c.Close)
-	var last []byte
-	spoil = func(b []byte) []byte { last = b; return b }
-	if _, err := c.Fetch(0, &ask, 1000); err != nil {
+	t.Cleanup(upstream.Close)
+	client := NewClient([]string{upstream.Listener.Addr().String()}, RequestPath)
+	t.Cleanup(client.Close)
+	var lastBody []byte
+	corrupt = func(b []byte) []byte { lastBody = b; return b }
+	if _, err := client.Fetch(0, &request, 1000); err != nil {
 		t.Fatal(err)
 	}
-	for i := range last {
-		spoil = func(b []byte) []byte { b[i%len(b)] ^= 1; return b }
-		if _, err := c.Fetch(0, &ask, 1000); !errors.Is(err, ErrCorruptResponse) {
-			t.Fatalf("byte %d of an answer is another: %v", i, err)
+	for i := range lastBody {
+		corrupt = func(b []byte) []byte { b[i%len(b)] ^= 1; return b }
+		if _, err := client.Fetch(0, &request, 1000); !errors.Is(err, ErrCorruptResponse) {
+			t.Fatalf("byte %d of a response changed: %v", i, err)
 		}
 	}
-	if f := c.Traffic().Failures; f[reasonChecksum]+f[reasonMalformed] != int64(len(last)) {
-		t.Errorf("%v are counted of %d", f, len(last))
+	if f := client.Traffic().Failures; f[reasonChecksum]+f[reasonMalformed] != int64(len(lastBody)) {
+		t.Errorf("%v are counted of %d corrupt messages", f, len(lastBody))
 	}
-	// Guards against an answer that is given again for a later question: its age would count from then.
-	spoil = func([]byte) []byte { return last }
-	if _, err := c.Fetch(0, &ask, 1000); !errors.Is(err, ErrCorruptResponse) ||
-		c.Traffic().Failures[reasonWrongNonce] != 1 {
-		t.Errorf("the answer to a question before: %v", err)
+	// Guards against a response that is delivered again for a later request: its age would count from that.
+	corrupt = func([]byte) []byte { return lastBody }
+	if _, err := client.Fetch(0, &request, 1000); !errors.Is(err, ErrCorruptResponse) ||
+		client.Traffic().Failures[reasonWrongNonce] != 1 {
+		t.Errorf("the response to an earlier request: %v", err)
 	}
 }
 
-// TestRefused: what is no ask, or one of another form or cluster, has a status and a reason.
+// TestRejectedRequests: an invalid request, or one of another format version or cluster, has a status and a
+// reason.
 func TestRejectedRequests(t *testing.T) {
-	g := startTestServer(t, distribution.NewSource("root", "till", distribution.SourceConfig{}), nil)
-	c := NewClient([]string{g.address}, RequestPath)
-	t.Cleanup(c.Close)
-	whole := distribution.Request{FormatVersion: distribution.FormatVersion, Cluster: "till", Sender: "h",
+	server := startTestServer(t, distribution.NewSource("root", "till", distribution.SourceConfig{}), nil)
+	client := NewClient([]string{server.address}, RequestPath)
+	t.Cleanup(client.Close)
+	valid := distribution.Request{FormatVersion: distribution.FormatVersion, Cluster: "till", Sender: "h",
 		DiscoveryIndex: -1}
 	for what, change := range map[string]func(*distribution.Request){
-		"other form":    func(a *distribution.Request) { a.FormatVersion = distribution.FormatVersion + 1 },
-		"other cluster": func(a *distribution.Request) { a.Cluster = "mill" },
+		"other format version": func(a *distribution.Request) { a.FormatVersion = distribution.FormatVersion + 1 },
+		"other cluster":        func(a *distribution.Request) { a.Cluster = "mill" },
 	} {
-		a := whole
+		a := valid
 		change(&a)
-		_, err := c.Fetch(0, &a, 1000)
+		_, err := client.Fetch(0, &a, 1000)
 		var status *StatusError
 		if !errors.As(err, &status) || status.Code == http.StatusOK || status.Code == http.StatusNotFound {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	if f := g.handler.Traffic().Failures; f[reasonUnacceptable]+f[reasonMalformed] != 2 {
-		t.Errorf("counted: %v", f)
+	if f := server.handler.Traffic().Failures; f[reasonUnacceptable]+f[reasonMalformed] != 2 {
+		t.Errorf("counted by reason: %v", f)
 	}
-	other := NewClient([]string{g.address}, "/fleet/ask")
-	t.Cleanup(other.Close)
+	otherPath := NewClient([]string{server.address}, "/fleet/ask")
+	t.Cleanup(otherPath.Close)
 	var status *StatusError
-	if _, err := other.Fetch(0, &whole, 1000); !errors.As(err, &status) || status.Code != http.StatusNotFound {
+	if _, err := otherPath.Fetch(0, &valid, 1000); !errors.As(err, &status) ||
+		status.Code != http.StatusNotFound {
 		t.Errorf("another path: %v", err)
 	}
-	long := bytes.Repeat([]byte("a"), distribution.MaxRequestBytes+1)
-	res, err := http.Post("http://"+g.address+RequestPath, contentType, bytes.NewReader(long))
+	tooLong := bytes.Repeat([]byte("a"), distribution.MaxRequestBytes+1)
+	res, err := http.Post("http://"+server.address+RequestPath, contentType, bytes.NewReader(tooLong))
 	if err == nil {
 		res.Body.Close()
 		if res.StatusCode != http.StatusRequestEntityTooLarge {
-			t.Errorf("too long an ask: status %d", res.StatusCode)
+			t.Errorf("too long a request: status %d", res.StatusCode)
 		}
 	}
 }
 
-// TestStill: an upstream that takes connections and says nothing costs no more than its time, and no more
-// than its connections.
+// TestSilentUpstream: an upstream that accepts connections and never responds costs no more than its
+// time-out, and no more than its connections.
 func TestSilentUpstream(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	c := NewClient([]string{l.Addr().String()}, RequestPath)
-	defer c.Close()
+	defer listener.Close()
+	client := NewClient([]string{listener.Addr().String()}, RequestPath)
+	defer client.Close()
 	for range 3 {
-		began := time.Now()
-		if _, err := c.Fetch(0, &distribution.Request{FormatVersion: distribution.FormatVersion, Cluster: "till",
-			Sender: "h"},
+		start := time.Now()
+		if _, err := client.Fetch(0, &distribution.Request{FormatVersion: distribution.FormatVersion,
+			Cluster: "till",
+			Sender:  "h"},
 			100); err == nil {
-			t.Error("an answer from one that lies still")
+			t.Error("a response from a silent upstream")
 		}
-		if took := time.Since(began); took > time.Second {
-			t.Errorf("waited %v for 100 ms", took)
+		if elapsed := time.Since(start); elapsed > time.Second {
+			t.Errorf("waited %v for 100 ms", elapsed)
 		}
 	}
-	if n := c.Traffic().Failures[reasonTimeout]; n != 3 {
-		t.Errorf("%d of 3 are counted as late", n)
+	if n := client.Traffic().Failures[reasonTimeout]; n != 3 {
+		t.Errorf("%d of 3 are counted as timed out", n)
 	}
 }
 
-// TestNothingLeft: a relay that is ended leaves no goroutine, however its upstream stands, and its address
-// can be taken again at once.
+// TestCloseLeavesNoGoroutines: a closed relay leaves no goroutine, whether or not its upstreams respond, and
+// its address can be used again at once.
 func TestCloseLeavesNoGoroutines(t *testing.T) {
-	s := distribution.NewSource("root", "till", distribution.SourceConfig{})
-	s.Publish(distribution.Snapshot{Step: 1, ReadStartMillis: nowMillis(),
+	source := distribution.NewSource("root", "till", distribution.SourceConfig{})
+	source.Publish(distribution.Snapshot{Step: 1, ReadStartMillis: nowMillis(),
 		Rules: testState(t, 1, 1, membersOf(2, "h")), DiscoveryIndex: -1})
-	up := startTestServer(t, s, nil)
-	still, err := net.Listen("tcp", "127.0.0.1:0")
+	upstream := startTestServer(t, source, nil)
+	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer still.Close()
-	first := NewClient([]string{up.address}, RequestPath)
+	defer silent.Close()
+	first := NewClient([]string{upstream.address}, RequestPath)
 	defer first.Close()
-	any := distribution.Request{FormatVersion: distribution.FormatVersion, Cluster: "till", Sender: "h",
+	request := distribution.Request{FormatVersion: distribution.FormatVersion, Cluster: "till", Sender: "h",
 		DiscoveryIndex: -1}
-	if _, err := first.Fetch(0, &any, 1000); err != nil {
-		t.Fatal(err) // its port is there with all of its goroutines
-	}
-	none := goleak.IgnoreCurrent()
-	f := &Config{Name: "r", Cluster: "till", Listen: "127.0.0.1:0", Control: "127.0.0.1:0", LeaseMillis: 1000,
-		Upstreams: []string{up.address, still.Addr().String()}, CheckpointPath: filepath.Join(t.TempDir(), "copy")}
-	f.Limits.Connections, f.Limits.FullStateBurstKB, f.Limits.FullStateKBPerSecond = 16, 1024, 1024
+	if _, err := first.Fetch(0, &request, 1000); err != nil {
+		t.Fatal(err) // the upstream now has all of its goroutines
+	}
+	before := goleak.IgnoreCurrent()
+	config := &Config{Name: "r", Cluster: "till", Listen: "127.0.0.1:0", Control: "127.0.0.1:0",
+		LeaseMillis:    1000,
+		Upstreams:      []string{upstream.address, silent.Addr().String()},
+		CheckpointPath: filepath.Join(t.TempDir(), "copy")}
+	config.Limits.Connections, config.Limits.FullStateBurstKB, config.Limits.FullStateKBPerSecond = 16, 1024,
+		1024
 	for range 2 {
-		r, err := Start(f, nil, zerolog.Nop())
+		relay, err := Start(config, nil, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Listen = r.Address()
-		c := NewClient([]string{r.Address()}, RequestPath)
-		_, _ = c.Fetch(0, &any, 1000)
+		config.Listen = relay.Address()
+		c := NewClient([]string{relay.Address()}, RequestPath)
+		_, _ = c.Fetch(0, &request, 1000)
 		time.Sleep(300 * time.Millisecond)
 		c.Close()
-		r.Close()
+		relay.Close()
 	}
-	// The library's own goroutines sleep for a while before they look whether they are still of use.
-	for end := time.Now().Add(2 * idleConnectionTimeout); goleak.Find(none) != nil && time.Now().Before(end); {
+	// The library's own goroutines sleep for a while before they check whether they are still used.
+	for end := time.Now().Add(2 * idleConnectionTimeout); goleak.Find(before) != nil && time.Now().Before(end); {
 		time.Sleep(100 * time.Millisecond)
 	}
-	goleak.VerifyNone(t, none)
+	goleak.VerifyNone(t, before)
 }
--- a/internal/distribution/relay/root.go
+++ b/internal/distribution/relay/root.go
@@ -13,7 +13,7 @@
 	"willowdeck/internal/versioned"
 )
 
-// Quorum is what a Root needs of a council's daemon; see raftlog.Seat.
+// Quorum is what a Root needs of a member of the raft group; raftlog.Seat implements it.
 type Quorum interface {
 	Word() (raftlog.Word, bool)
 	Confirmed() <-chan struct{}
@@ -23,12 +23,13 @@
 }
 
 const (
-	rootMaxConnections          = 4096
-	rootFullStateBytesPerSecond = 8 << 20 // bytes of whole states in a second, and at once: a tenth of a core
-	rootLeaseMillis             = 1000.0  // ms, for who counts as below
+	rootMaxConnections = 4096
+	// rootFullStateBytesPerSecond is the rate limit of full states and its burst: a tenth of a core.
+	rootFullStateBytesPerSecond = 8 << 20
+	rootLeaseMillis             = 1000.0 // by which active clients are counted
 )
 
-// Root serves what a quorum has confirmed to those that follow it.
+// Root serves what a quorum has confirmed. It is the upstream of the first level of relays.
 type Root struct {
 	name, cluster string
 	log           zerolog.Logger
@@ -37,24 +38,27 @@
 	cancel        context.CancelFunc
 	goroutines    sync.WaitGroup
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards what follows
 	snapshot       distribution.Snapshot
-	rules, pending *versioned.State
+	rules, pending *versioned.State // of the snapshot, or of one that could not be published completely
 }
 
-// NewRoot begins to listen at an address. Name is the daemon's host.
-func NewRoot(q Quorum, name, cluster, listen string, log zerolog.Logger) (*Root, error) {
-	r := &Root{name: name, cluster: cluster, log: log, quorum: q}
-	g, err := startServer(listen, rootMaxConnections, rootLeaseMillis, distribution.NewSource(name, cluster,
-		distribution.SourceConfig{FullStateBytesPerSecond: rootFullStateBytesPerSecond,
-			FullStateBurstBytes: rootFullStateBytesPerSecond, Incarnation: rand.Uint64()}), q.Told)
+// NewRoot listens at an address. Name is the host of the daemon.
+func NewRoot(quorum Quorum, name, cluster, listen string, log zerolog.Logger) (*Root, error) {
+	r := &Root{name: name, cluster: cluster, log: log, quorum: quorum}
+	source := distribution.NewSource(name, cluster, distribution.SourceConfig{
+		FullStateBytesPerSecond: rootFullStateBytesPerSecond,
+		FullStateBurstBytes:     rootFullStateBytesPerSecond,
+		Incarnation:             rand.Uint64(),
+	})
+	var err error
+	r.server, err = startServer(listen, rootMaxConnections, rootLeaseMillis, source, quorum.Told)
 	if err != nil {
 		return nil, err
 	}
-	r.server = g
-	q.Often()
-	ctx, stop := context.WithCancel(context.Background())
-	r.cancel = stop
+	quorum.Often()
+	ctx, cancel := context.WithCancel(context.Background())
+	r.cancel = cancel
 	r.goroutines.Add(1)
 	go func() {
 		defer r.goroutines.Done()
@@ -62,7 +66,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-q.Confirmed():
+			case <-quorum.Confirmed():
 				r.publish()
 			}
 		}
@@ -70,60 +74,52 @@
 	return r, nil
 }
 
-// At is where it listens.
+// Address is where the root listens.
 func (r *Root) Address() string { return r.server.address }
 
-// Close ends it and waits for all of its goroutines.
+// Close stops the root and waits for all of its goroutines.
 func (r *Root) Close() {
 	r.cancel()
 	r.server.close()
 	r.goroutines.Wait()
 }
 
-// offer gives on what was confirmed last. A version is made entries once; what waits has its own number, and
-// one that was withdrawn may have had the same.
+// publish publishes what the quorum confirmed last. The rules of a version are made a state once. A pending
+// version is made one at each step, as a withdrawn one may have had its number.
 func (r *Root) publish() {
-	w, ok := r.quorum.Word()
+	confirmed, ok := r.quorum.Word()
 	if !ok {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := distribution.Snapshot{Step: w.Step, Settled: w.Settled, ReadStartMillis: w.Begun,
-		DiscoveryIndex: r.quorum.Highest()}
-	if w.Step != r.snapshot.Step || r.rules == nil {
-		rules, err := r.stateOf(r.rules, &w.InForce)
+	snapshot := distribution.Snapshot{
+		Step:            confirmed.Step,
+		Settled:         confirmed.Settled,
+		ReadStartMillis: confirmed.Begun,
+		DiscoveryIndex:  r.quorum.Highest(),
+	}
+	if confirmed.Step != r.snapshot.Step || r.rules == nil {
+		rules, err := stateOf(r.rules, &confirmed.InForce)
 		var pending *versioned.State
-		if err == nil && w.Pending != nil {
-			pending, err = ruleset.Entries(w.Pending)
+		if err == nil && confirmed.Pending != nil {
+			pending, err = ruleset.Entries(confirmed.Pending)
 		}
 		if err != nil {
-			r.log.Error().Err(err).Uint64("step", w.Step).Msg("what is in force can't be given on")
+			r.log.Error().Err(err).Uint64("step", confirmed.Step).Msg("version in force can't be encoded")
 			return
 		}
 		r.rules, r.pending = rules, pending
 	}
-	v.Rules, v.Pending = r.rules, r.pending
-	r.snapshot = v
-	r.server.publish(v)
+	snapshot.Rules, snapshot.Pending = r.rules, r.pending
+	r.snapshot = snapshot
+	r.server.publish(snapshot)
 }
 
-// entries gives a version as a state, or the one that is there already.
-func (r *Root) stateOf(had *versioned.State, v *ruleset.Version) (*versioned.State, error) {
-	if had != nil && had.Mark().Number == v.Number {
-		return had, nil
-	}
-	return ruleset.Entries(v)
-}
-
-// Status tells how it stands.
-func (r *Root) Status() Status {
-	s := Status{Name: r.name, Cluster: r.cluster, FormatVersion: distribution.FormatVersion, AgeMillis: -1}
-	r.mu.Lock()
-	if r.snapshot.Rules != nil {
-		s.setSnapshot(&r.snapshot)
+// stateOf gives the state of a version, which may be the known one.
+func stateOf(known *versioned.State, version *ruleset.Version) (*versioned.State, error) {
+	if known != nil && known.Mark().Number == version.Number {
+		return known, nil
 	}
-	r.mu.Unlock()
-	r.server.fillStatus(&s)
-	return s
+	return ruleset.Entries(version)
 }
--- a/internal/distribution/relay/server.go
+++ b/internal/distribution/relay/server.go
@@ -14,44 +14,55 @@
 )
 
 const (
-	maxTrackedClients     = 16384 // names of those below that are kept
-	clientActiveLeases    = 5.0   // leases after which one that was not heard of is none below any more
-	readTimeout           = 5 * time.Second
-	writeTimeout          = 5 * time.Second
-	idleTimeout           = time.Minute
-	maxIdleWorkerDuration = 2 * time.Second // the library's goroutines go so long after they were last used
-	shutdownTimeout       = time.Second
+	maxTrackedClients  = 16384
+	clientActiveLeases = 5.0 // leases without a request after which a client no longer counts as active
+
+	readTimeout     = 5 * time.Second
+	writeTimeout    = 5 * time.Second
+	idleTimeout     = time.Minute
+	shutdownTimeout = time.Second
+	// maxIdleWorkerDuration is how long the library keeps goroutines that are not used.
+	maxIdleWorkerDuration = 2 * time.Second
 )
 
-// giver answers those below from a distribution.Source, at a port of its own.
+// server responds to requests from below out of a distribution.Source, at a port of its own.
 type server struct {
 	handler     *Handler
 	httpServer  *fasthttp.Server
-	address     string
+	address     string // HOST:PORT where it listens
 	leaseMillis float64
-	onReports   func(news []distribution.HostStep, highest int64)
-	stopped     chan struct{}
+	onReports   reportFunc
+	stopped     chan struct{} // closed once httpServer has returned
 
-	mu             sync.Mutex
-	source         *distribution.Source
-	lastRequestAt  map[string]float64 // by name, when it last asked
-	discoveryIndex int64              // the highest of discovery's list that any of them has told
+	mu             sync.Mutex           // guards what follows
+	source         *distribution.Source // its snapshot is set by publish
+	lastRequestAt  map[string]float64   // by client, at most maxTrackedClients; of nowMillis
+	discoveryIndex int64                // the highest that a client has reported; negative: none
 }
 
-// give listens for those below. What they have seen, where it is news, goes to told, with the highest index
-// of discovery's list among them.
-func startServer(listen string, connections int, lease float64, s *distribution.Source,
-	told func(news []distribution.HostStep, highest int64)) (*server, error) {
-	l, err := net.Listen("tcp", listen)
+// reportFunc takes the facts that are new from below, and the highest index of the discovery service's list
+// that was reported.
+type reportFunc func(facts []distribution.HostStep, highestIndex int64)
+
+// startServer listens at an address. OnReports is called, without a lock, when clients report something new.
+func startServer(listen string, connections int, leaseMillis float64, source *distribution.Source,
+	onReports reportFunc) (*server, error) {
+	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	g := &server{address: l.Addr().String(), leaseMillis: lease, onReports: told, source: s,
+	s := &server{
+		address:        listener.Addr().String(),
+		leaseMillis:    leaseMillis,
+		onReports:      onReports,
+		stopped:        make(chan struct{}),
+		source:         source,
 		lastRequestAt:  map[string]float64{},
-		discoveryIndex: -1, stopped: make(chan struct{})}
-	g.handler = NewHandler(g.respond)
-	g.httpServer = &fasthttp.Server{
-		Handler:                      g.route,
+		discoveryIndex: -1,
+	}
+	s.handler = NewHandler(s.respond)
+	s.httpServer = &fasthttp.Server{
+		Handler:                      s.route,
 		Concurrency:                  connections,
 		MaxRequestBodySize:           distribution.MaxRequestBytes,
 		ReadTimeout:                  readTimeout,
@@ -63,107 +74,94 @@
 		DisablePreParseMultipartForm: true,
 		Logger:                       discardLogger{},
 		MaxIdleWorkerDuration:        maxIdleWorkerDuration,
-		ErrorHandler:                 g.handleError,
+		ErrorHandler:                 s.handleError,
 	}
 	go func() {
-		defer close(g.stopped)
-		_ = g.httpServer.Serve(countingListener{l, &g.handler.traffic})
+		defer close(s.stopped)
+		_ = s.httpServer.Serve(countingListener{listener, &s.handler.traffic}) // it ends with close
 	}()
-	return g, nil
-}
-
-// countedListener counts what passes over its connections.
-type countingListener struct {
-	net.Listener
-	traffic *trafficCounters
-}
-
-func (l countingListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	return countingConn{c, &l.traffic.receivedBytes, &l.traffic.sentBytes}, nil
+	return s, nil
 }
 
-// quiet drops what the library says of each connection: it is counted.
+// discardLogger drops the library's messages on single connections, which are counted.
 type discardLogger struct{}
 
+// Printf is fasthttp.Logger's.
 func (discardLogger) Printf(string, ...any) {}
 
-// garbled answers what is no request.
-func (g *server) handleError(ctx *fasthttp.RequestCtx, err error) {
+// handleError responds to what is no request of HTTP.
+func (s *server) handleError(ctx *fasthttp.RequestCtx, err error) {
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
-		g.handler.traffic.countFailure(reasonTooLong)
+		s.handler.traffic.countFailure(reasonTooLong)
 		ctx.Error(err.Error(), fasthttp.StatusRequestEntityTooLarge)
 		return
 	}
-	var n net.Error
-	if errors.As(err, &n) && n.Timeout() { // a connection on which nothing whole has come
-		g.handler.traffic.countFailure(reasonTimeout)
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() { // no complete request came in time
+		s.handler.traffic.countFailure(reasonTimeout)
 		ctx.Error(err.Error(), fasthttp.StatusRequestTimeout)
 		return
 	}
-	g.handler.traffic.countFailure(reasonMalformed)
+	s.handler.traffic.countFailure(reasonMalformed)
 	ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 }
 
-func (g *server) route(ctx *fasthttp.RequestCtx) {
+func (s *server) route(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) != RequestPath || !ctx.IsPost() {
 		ctx.Error("only POST "+RequestPath+" is answered here", fasthttp.StatusNotFound)
 		return
 	}
-	g.handler.ServeFastHTTP(ctx)
+	s.handler.ServeFastHTTP(ctx)
 }
 
-// answer answers one ask. The time is taken after it has come.
-func (g *server) respond(a *distribution.Request) (*distribution.Response, error) {
-	g.mu.Lock()
+// respond answers a request. The time is taken after the request has come.
+func (s *server) respond(request *distribution.Request) (*distribution.Response, error) {
+	s.mu.Lock()
 	now := nowMillis()
-	got, err := g.source.Respond(a, now)
+	response, err := s.source.Respond(request, now)
 	if err != nil {
-		g.mu.Unlock()
+		s.mu.Unlock()
 		return nil, &RejectionError{reasonUnacceptable, err.Error()}
 	}
-	news, other := g.source.TakeHostSteps(), false
-	if a.DiscoveryIndex > g.discoveryIndex {
-		g.discoveryIndex, other = a.DiscoveryIndex, true
+	facts, newIndex := s.source.TakeHostSteps(), false
+	if request.DiscoveryIndex > s.discoveryIndex {
+		s.discoveryIndex, newIndex = request.DiscoveryIndex, true
 	}
-	highest := g.discoveryIndex
-	if _, there := g.lastRequestAt[a.Sender]; there || len(g.lastRequestAt) < maxTrackedClients {
-		g.lastRequestAt[a.Sender] = now
+	highestIndex := s.discoveryIndex
+	if _, known := s.lastRequestAt[request.Sender]; known || len(s.lastRequestAt) < maxTrackedClients {
+		s.lastRequestAt[request.Sender] = now
 	}
-	g.mu.Unlock()
-	if len(news) > 0 || other {
-		g.onReports(news, highest)
+	s.mu.Unlock()
+	if len(facts) > 0 || newIndex {
+		s.onReports(facts, highestIndex)
 	}
-	return got, nil
+	return response, nil
 }
 
-// offer takes what may be given on from here on.
-func (g *server) publish(v distribution.Snapshot) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.source.Publish(v)
+// publish makes a snapshot the one that requests are answered with.
+func (s *server) publish(snapshot distribution.Snapshot) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.source.Publish(snapshot)
 }
 
-// count tells how many are below, and forgets those that have not asked for a while.
-func (g *server) activeClients() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// activeClients gives how many clients have sent a request lately, and forgets the others.
+func (s *server) activeClients() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := nowMillis()
-	for name, at := range g.lastRequestAt {
-		if now-at > clientActiveLeases*g.leaseMillis {
-			delete(g.lastRequestAt, name)
+	for client, at := range s.lastRequestAt {
+		if now-at > clientActiveLeases*s.leaseMillis {
+			delete(s.lastRequestAt, client)
 		}
 	}
-	return len(g.lastRequestAt)
+	return len(s.lastRequestAt)
 }
 
-// close ends the port and waits for it.
-func (g *server) close() {
+// close closes the port and waits for the server.
+func (s *server) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	_ = g.httpServer.ShutdownWithContext(ctx)
-	<-g.stopped
+	_ = s.httpServer.ShutdownWithContext(ctx) // connections that are left close with their requests
+	<-s.stopped
 }
--- a/internal/distribution/relay/status.go
+++ b/internal/distribution/relay/status.go
@@ -4,145 +4,125 @@
 	"encoding/json"
 	"fmt"
 	"maps"
-	"net"
 	"net/http"
 	"slices"
 	"strings"
-	"time"
 
 	"willowdeck/internal/distribution"
 )
 
-// Status is how a relay, or a council's daemon that serves relays, stands; for operators.
+// Status is the state of a relay, or of a raft group's daemon that serves relays, for operators.
 type Status struct {
 	Name            string  `json:"name"`
 	Cluster         string  `json:"cluster"`
-	FormatVersion   int     `json:"form"` // of what it says and reads
-	Known           bool    `json:"known"`
-	Depth           int     `json:"depth"` // relays between it and the council, itself too
+	FormatVersion   int     `json:"form"`  // of messages
+	Known           bool    `json:"known"` // there is a snapshot whose lease runs
+	Depth           int     `json:"depth"` // relays up to the raft group, this one included
 	Step            uint64  `json:"step"`
 	Version         uint64  `json:"version"`
 	Mark            string  `json:"mark,omitempty"`
-	Pending         uint64  `json:"pending"` // 0: nothing waits
+	Pending         uint64  `json:"pending"` // version; 0: none
 	Settled         bool    `json:"settled"`
-	AgeMillis       float64 `json:"age_ms"` // since the quorum's read began which it rests on; -1: none
+	AgeMillis       float64 `json:"age_ms"` // since the quorum read began; -1: there is no snapshot
 	StateBytes      int     `json:"bytes"`  // of the version
-	ActiveClients   int     `json:"below"`  // who has asked within the last five leases
+	ActiveClients   int     `json:"below"`
 	CurrentUpstream string  `json:"upstream,omitempty"`
 
-	UpstreamTraffic   *Traffic                     `json:"up,omitempty"`
-	DownstreamTraffic Traffic                      `json:"down"`
-	Follower          *distribution.FollowerCounts `json:"follow,omitempty"` // what has come from above
-	Source            distribution.SourceCounts    `json:"give"`             // what was given below
-	Checkpoint        *CheckpointCounts            `json:"copy,omitempty"`
+	UpstreamTraffic   *Traffic                     `json:"up,omitempty"`     // nil at a root
+	DownstreamTraffic Traffic                      `json:"down"`             // with those below
+	Follower          *distribution.FollowerCounts `json:"follow,omitempty"` // nil at a root
+	Source            distribution.SourceCounts    `json:"give"`
+	Checkpoint        *CheckpointCounts            `json:"copy,omitempty"` // nil at a root
 }
 
-// Copies counts copies on disk.
+// CheckpointCounts counts checkpoints since the start.
 type CheckpointCounts struct {
 	Written     int64 `json:"written"`
 	Failed      int64 `json:"failed"` // could not be written
-	Quarantined int64 `json:"aside"`  // could not be used at the start
+	Quarantined int64 `json:"aside"`  // could not be used, and were moved aside
 }
 
-// of fills in what a view says.
-func (s *Status) setSnapshot(v *distribution.Snapshot) {
-	s.Known, s.Depth, s.Step, s.Settled, s.AgeMillis = true, v.Depth, v.Step, v.Settled, v.AgeMillis(nowMillis())
-	m := v.Rules.Mark()
-	s.Version, s.Mark, s.StateBytes, s.Pending = m.Number, m.String(), v.Rules.Bytes(), v.Pending.Mark().Number
+// setSnapshot fills in what is known of a snapshot.
+func (s *Status) setSnapshot(snapshot *distribution.Snapshot) {
+	mark := snapshot.Rules.Mark()
+	s.Known = true
+	s.Depth, s.Step, s.Settled = snapshot.Depth, snapshot.Step, snapshot.Settled
+	s.AgeMillis = snapshot.AgeMillis(nowMillis())
+	s.Version, s.Mark, s.StateBytes = mark.Number, mark.String(), snapshot.Rules.Bytes()
+	s.Pending = snapshot.Pending.Mark().Number
 }
 
-// Status tells how the relay stands.
+// Status gives the state of the relay.
 func (r *Relay) Status() Status {
 	s := Status{Name: r.config.Name, Cluster: r.config.Cluster, FormatVersion: distribution.FormatVersion,
 		AgeMillis: -1}
-	if v, ok := r.subscription.Snapshot(); ok {
-		s.setSnapshot(&v)
+	if snapshot, ok := r.subscription.Snapshot(); ok {
+		s.setSnapshot(&snapshot)
 	}
-	up := r.client.Traffic()
-	s.UpstreamTraffic, s.Checkpoint = &up, &CheckpointCounts{}
+	traffic := r.client.Traffic()
+	s.UpstreamTraffic, s.Checkpoint = &traffic, &CheckpointCounts{}
 	s.Checkpoint.Written, s.Checkpoint.Failed, s.Checkpoint.Quarantined = r.checkpoint.Counts()
 	r.subscription.WithFollower(func(f *distribution.Follower) {
-		c := f.Counts()
-		s.Follower, s.CurrentUpstream = &c, r.config.Upstreams[f.CurrentUpstream()]
+		counts := f.Counts()
+		s.Follower, s.CurrentUpstream = &counts, r.config.Upstreams[f.CurrentUpstream()]
 	})
 	r.server.fillStatus(&s)
 	return s
 }
 
-// stands fills in what is known of those below.
-func (g *server) fillStatus(s *Status) {
-	s.ActiveClients, s.DownstreamTraffic = g.activeClients(), g.handler.Traffic()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	s.Source = g.source.Counts()
+// Status gives the state of the root.
+func (r *Root) Status() Status {
+	s := Status{Name: r.name, Cluster: r.cluster, FormatVersion: distribution.FormatVersion, AgeMillis: -1}
+	r.mu.Lock()
+	if r.snapshot.Rules != nil {
+		s.setSnapshot(&r.snapshot)
+	}
+	r.mu.Unlock()
+	r.server.fillStatus(&s)
+	return s
 }
 
-// Lines gives a status as plain figures, a line each, in the order of their names.
+// fillStatus fills in what is known of those below.
+func (s *server) fillStatus(status *Status) {
+	status.ActiveClients, status.DownstreamTraffic = s.activeClients(), s.handler.Traffic()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	status.Source = s.source.Counts()
+}
+
+// Lines gives the status as plain figures, a line each, in the order of their names.
 func (s Status) Lines() string {
 	raw, err := json.Marshal(s)
-	var all map[string]any
+	var figures map[string]any
 	if err == nil {
-		err = json.Unmarshal(raw, &all)
+		err = json.Unmarshal(raw, &figures)
 	}
 	if err != nil {
 		return ""
 	}
 	var b strings.Builder
-	writeLines(&b, "relay", all)
+	writeLines(&b, "relay", figures)
 	return b.String()
 }
 
-func writeLines(b *strings.Builder, prefix string, all map[string]any) {
-	for _, k := range slices.Sorted(maps.Keys(all)) {
-		name := prefix + "." + strings.ToLower(k)
-		switch v := all[k].(type) {
+func writeLines(b *strings.Builder, prefix string, figures map[string]any) {
+	for _, key := range slices.Sorted(maps.Keys(figures)) {
+		name := prefix + "." + strings.ToLower(key)
+		switch value := figures[key].(type) {
 		case map[string]any:
-			writeLines(b, name, v)
+			writeLines(b, name, value)
 		case float64:
-			fmt.Fprintf(b, "%s=%.10g\n", name, v)
+			fmt.Fprintf(b, "%s=%.10g\n", name, value)
 		default:
-			fmt.Fprintf(b, "%s=%v\n", name, v)
+			fmt.Fprintf(b, "%s=%v\n", name, value)
 		}
 	}
 }
 
-// Show writes a status as JSON.
+// WriteStatus writes a status as JSON.
 func WriteStatus(w http.ResponseWriter, s Status) {
 	w.Header().Set("Content-Type", "application/json")
-	e := json.NewEncoder(w)
-	e.SetIndent("", " ")
-	_ = e.Encode(s)
-}
-
-// open listens for operators.
-func (r *Relay) serveAdmin() error {
-	l, err := net.Listen("tcp", r.config.Control)
-	if err != nil {
-		return fmt.Errorf("control: %w", err)
-	}
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /relay/status", func(w http.ResponseWriter,
-		_ *http.Request) {
-		WriteStatus(w, r.Status())
-	})
-	mux.HandleFunc("GET /relay/stats", func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Type", "text/plain")
-		fmt.Fprint(w, r.Status().Lines())
-	})
-	mux.HandleFunc("GET /relay/health", func(w http.ResponseWriter, _ *http.Request) {
-		if _, ok := r.subscription.Snapshot(); !ok {
-			http.Error(w, "nothing is known from above within the lease", http.StatusServiceUnavailable)
-			return
-		}
-		fmt.Fprintln(w, "ready")
-	})
-	r.adminServer = &http.Server{Handler: mux, ReadTimeout: time.Second, WriteTimeout: time.Second,
-		MaxHeaderBytes: 4096}
-	r.adminServer.SetKeepAlivesEnabled(false)
-	r.goroutines.Add(1)
-	go func() {
-		defer r.goroutines.Done()
-		_ = r.adminServer.Serve(l)
-	}()
-	return nil
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", " ")
+	_ = encoder.Encode(s) // the reader has gone
 }
--- a/internal/distribution/relay/subscription.go
+++ b/internal/distribution/relay/subscription.go
@@ -8,122 +8,131 @@
 	"willowdeck/internal/distribution"
 )
 
-// Feed asks upstreams as a distribution.Follower decides. Its methods are safe for concurrent use.
+// Subscription runs a distribution.Follower: it sends its requests and applies the responses. Its methods are
+// safe for concurrent use.
 type Subscription struct {
 	client   *Client
 	onUpdate func()
 	results  chan fetchResult
 	wake     chan struct{}
 	timer    *time.Timer
-	requests sync.WaitGroup
+	requests sync.WaitGroup // one for each request in flight
 
 	mu       sync.Mutex
-	follower *distribution.Follower
+	follower *distribution.Follower // guarded by mu
 }
 
-// heard is what came of an ask, sent no earlier than asked, ms of Clock's.
+// fetchResult is the end of a request that was sent no earlier than sentAt. Its response is nil where there
+// was none that can be used.
 type fetchResult struct {
 	upstream int
-	sentAt   float64
+	sentAt   float64 // of nowMillis
 	response *distribution.Response
 }
 
-// NewFeed makes one. News is called from Run's goroutine, without a lock, each time that what View gives may
-// have changed; it may be nil.
-func NewSubscription(f *distribution.Follower, c *Client, news func()) *Subscription {
-	if news == nil {
-		news = func() {}
+// NewSubscription makes a subscription. OnUpdate may be nil; it is called from Run's goroutine, without a
+// lock, each time that what Snapshot gives may have changed.
+func NewSubscription(follower *distribution.Follower, client *Client, onUpdate func()) *Subscription {
+	if onUpdate == nil {
+		onUpdate = func() {}
+	}
+	return &Subscription{
+		client:   client,
+		onUpdate: onUpdate,
+		follower: follower,
+		results:  make(chan fetchResult, maxUpstreams),
+		wake:     make(chan struct{}, 1),
+		timer:    time.NewTimer(time.Hour),
 	}
-	return &Subscription{client: c, onUpdate: news, follower: f, results: make(chan fetchResult, maxUpstreams),
-		wake: make(chan struct{}, 1), timer: time.NewTimer(time.Hour)}
 }
 
-// Run follows until the context ends, and returns once nothing of it is left but idle connections.
-func (f *Subscription) Run(ctx context.Context) {
-	defer f.requests.Wait()
-	came := false
+// Run runs the follower until the context ends. When it returns its requests have ended.
+func (s *Subscription) Run(ctx context.Context) {
+	defer s.requests.Wait()
+	responded := false
 	for {
-		// A renewal is no news of the follower's, and makes what it knows younger all the same: those below
-		// would else see an age that grows up to the next change.
-		if f.runActions(ctx) || came {
-			f.onUpdate()
+		// A renewal is no update of the follower's, and makes its snapshot younger all the same: without being
+		// passed on, the ages below would grow up to the next change.
+		if s.runActions(ctx) || responded {
+			s.onUpdate()
 		}
-		came = false
+		responded = false
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.timer.C:
-		case <-f.wake:
-		case h := <-f.results:
-			f.handleResult(h)
-			came = h.response != nil
+		case <-s.timer.C:
+		case <-s.wake:
+		case result := <-s.results:
+			s.handleResult(result)
+			responded = result.response != nil
 		}
 	}
 }
 
-// turn carries out what the follower decides, and tells whether there is news.
-func (f *Subscription) runActions(ctx context.Context) (news bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// runActions carries out what the follower decides, and reports whether it has an update.
+func (s *Subscription) runActions(ctx context.Context) (updated bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := nowMillis()
-	f.follower.AdvanceClock(now)
+	s.follower.AdvanceClock(now)
 	for {
-		d, ok := f.follower.NextAction()
+		action, ok := s.follower.NextAction()
 		if !ok {
-			return news
+			return updated
 		}
-		switch d.Kind {
+		switch action.Kind {
 		case distribution.SendRequest:
-			f.fetch(ctx, d, now)
+			s.fetch(ctx, action, now)
 		case distribution.NotifyUpdate:
-			news = true
+			updated = true
 		case distribution.ScheduleWake:
-			f.timer.Reset(max(toDuration(d.WakeAtMillis-nowMillis()), 0))
+			s.timer.Reset(max(toDuration(action.WakeAtMillis-nowMillis()), 0))
 		}
 	}
 }
 
-// ask asks beside all else: its answer counts from the time at which it was decided on, which is no later
-// than the one at which it is sent.
-func (f *Subscription) fetch(ctx context.Context, d distribution.Action, now float64) {
-	f.requests.Add(1)
+// fetch sends a request in a goroutine of its own. The response counts from the time of the decision, which
+// is no later than that of the sending.
+func (s *Subscription) fetch(ctx context.Context, action distribution.Action, now float64) {
+	s.requests.Add(1)
 	go func() {
-		defer f.requests.Done()
-		h := fetchResult{upstream: d.Upstream, sentAt: now}
-		h.response, _ = f.client.Fetch(d.Upstream, d.Request, d.TimeoutMillis)
+		defer s.requests.Done()
+		result := fetchResult{upstream: action.Upstream, sentAt: now}
+		result.response, _ = s.client.Fetch(action.Upstream, action.Request, action.TimeoutMillis)
 		select {
-		case f.results <- h:
+		case s.results <- result:
 		case <-ctx.Done():
 		}
 	}()
 }
 
-func (f *Subscription) handleResult(h fetchResult) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.follower.AdvanceClock(nowMillis())
-	if h.response == nil {
-		f.follower.RequestFailed(h.upstream, h.sentAt)
+func (s *Subscription) handleResult(result fetchResult) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.follower.AdvanceClock(nowMillis())
+	if result.response == nil {
+		s.follower.RequestFailed(result.upstream, result.sentAt)
 	} else {
-		f.follower.HandleResponse(h.upstream, h.sentAt, h.response)
+		s.follower.HandleResponse(result.upstream, result.sentAt, result.response)
 	}
 }
 
-// View gives what may be given on, or gone by; false where there is nothing.
-func (f *Subscription) Snapshot() (distribution.Snapshot, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.follower.Snapshot()
+// Snapshot gives the follower's snapshot; false where there is none whose lease still runs.
+func (s *Subscription) Snapshot() (distribution.Snapshot, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.follower.Snapshot()
 }
 
-// With has something done with the follower, and what it decides then carried out.
-func (f *Subscription) WithFollower(do func(*distribution.Follower)) {
-	f.mu.Lock()
-	f.follower.AdvanceClock(nowMillis())
-	do(f.follower)
-	f.mu.Unlock()
+// WithFollower calls a function with the follower under the lock, and has Run carry out what the follower
+// then decides.
+func (s *Subscription) WithFollower(do func(*distribution.Follower)) {
+	s.mu.Lock()
+	s.follower.AdvanceClock(nowMillis())
+	do(s.follower)
+	s.mu.Unlock()
 	select {
-	case f.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
--- a/internal/distribution/relay/testtree_test.go
+++ b/internal/distribution/relay/testtree_test.go
@@ -22,16 +22,16 @@
 )
 
 const (
-	activationTimeout    = 10 * time.Second // a change is in force everywhere, once links allow it
+	activationTimeout    = 10 * time.Second // until a change is in force everywhere without partitions
 	councilDaemons       = 3
-	hostsPerZone         = 2 // of a zone
-	gatewaysPerHost      = 2 // of a host
+	hostsPerZone         = 2 // per zone
+	gatewaysPerHost      = 2 // per host
 	clockToleranceMillis = 300.0
 )
 
-// tree is a council, two region relays below it, and two zones of two relays each, all of them real
-// processes; below each zone's relays are hollow hosts with their gatekeepers. What goes to regions and zones
-// passes through links that can be cut, and through a middle man that spoils answers where it is told to.
+// testTree is a raft group, two region relays below it, and two zones of two relays each, all of them real
+// processes; below each zone's relays are hollow hosts with their gateways. Responses to regions and zones
+// pass links that can be partitioned, and those to one zone a faulty proxy as well.
 type testTree struct {
 	t             *testing.T
 	dir           string
@@ -40,10 +40,10 @@
 	firstPort     int
 	council       []*faultinject.Process
 	relays        map[string]*faultinject.Process
-	adminAddress  map[string]string // of relays
-	listenAddress map[string]string // where relays listen
+	adminAddress  map[string]string // by relay
+	listenAddress map[string]string // by relay
 	disks         map[string]*faultinject.Disk
-	proxies       map[string]*faultyProxy // by zone relay
+	proxies       map[string]*faultyProxy // by relay of zone b
 	members       []ruleset.Member
 	zones         map[string][]*hollowHost
 	generation    int
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("127.0.0.%d:%d", 2+i, x.firstPort+port)
 }
 
-// plant starts a tree with its first rules in force.
+// startTree starts a tree with its first rules in force.
 func startTree(t *testing.T) *testTree {
 	t.Helper()
 	dir := t.TempDir()
@@ -124,7 +124,7 @@
 	return x
 }
 
-// daemon starts one of the council's.
+// startDaemon starts a voter of the raft group.
 func (x *testTree) startDaemon(i int) {
 	x.t.Helper()
 	name := fmt.Sprintf("c%d", i)
@@ -150,7 +150,7 @@
 		Env:  []string{"WILLOWDECK_HISTORY=" + x.records}}))
 }
 
-// relay starts a relay at two ports of the first address.
+// startRelay starts a relay at two ports of the first address.
 func (x *testTree) startRelay(name string, port int, upstream []string) {
 	x.t.Helper()
 	dir := filepath.Join(x.dir, name)
@@ -168,15 +168,15 @@
 		Env:  []string{"WILLOWDECK_HISTORY=" + x.records}})
 }
 
-// people starts a zone's hollow hosts, with copies on disk.
-func (x *testTree) startHosts(z string) {
+// startHosts starts a zone's hollow hosts, with checkpoints.
+func (x *testTree) startHosts(zone string) {
 	x.t.Helper()
-	x.zones[z] = nil
+	x.zones[zone] = nil
 	for h := range hostsPerZone {
-		name := fmt.Sprintf("%s-host%d", z, h)
-		c := NewCheckpoint(filepath.Join(x.dir, name+".copy"), "till", zerolog.Nop())
-		x.zones[z] = append(x.zones[z], newHollowHost(x.t, name, "till", x.records,
-			[]string{x.listenAddress[z+"0"], x.listenAddress[z+"1"]}, x.members, c))
+		name := fmt.Sprintf("%s-host%d", zone, h)
+		checkpoint := NewCheckpoint(filepath.Join(x.dir, name+".copy"), "till", zerolog.Nop())
+		x.zones[zone] = append(x.zones[zone], newHollowHost(x.t, name, "till", x.records,
+			[]string{x.listenAddress[zone+"0"], x.listenAddress[zone+"1"]}, x.members, checkpoint))
 	}
 }
 
@@ -206,21 +206,21 @@
 	x.submitRules(daemon, r)
 }
 
-// put writes rules as a daemon's file, and has it read that.
+// submitRules writes a daemon's rules file, and has the daemon reload it.
 func (x *testTree) submitRules(daemon int, r ruleset.Rules) {
 	x.t.Helper()
-	p := x.council[daemon]
-	x.waitFor(p.Name+" answers", func() bool {
+	voter := x.council[daemon]
+	x.waitFor(voter.Name+" responds", func() bool {
 		_, err := faultinject.Ask(x.address(daemon, 0), "/fleet/council")
 		return err == nil
 	})
-	x.writeFile(filepath.Join(p.Dir(), "rules.toml"), x.encodeRules(r))
-	if err := p.Renew(); err != nil {
+	x.writeFile(filepath.Join(voter.Dir(), "rules.toml"), x.encodeRules(r))
+	if err := voter.Renew(); err != nil {
 		x.t.Fatal(err)
 	}
 }
 
-// all gives the gatekeepers of zones; of all where none is named.
+// gateways gives the gateways of zones; of all where none is named.
 func (x *testTree) gateways(zones ...string) (all []*hollowGateway) {
 	if len(zones) == 0 {
 		zones = slices.Sorted(maps.Keys(x.zones))
@@ -233,33 +233,34 @@
 	return all
 }
 
-// settled waits until all gatekeepers of zones are leased by a generation, and books how long that took.
-func (x *testTree) waitForGeneration(what string, gen int, zones ...string) time.Duration {
+// waitForGeneration waits until all gateways of zones have a lease on a generation, and reports how long that
+// took.
+func (x *testTree) waitForGeneration(what string, generation int, zones ...string) time.Duration {
 	x.t.Helper()
-	began := time.Now()
+	start := time.Now()
 	for {
-		var late []string
+		var missing []string
 		for _, k := range x.gateways(zones...) {
-			if i, ok := k.leasedGeneration(); !ok || i != gen {
-				late = append(late, fmt.Sprintf("%s: %d %v", k.name, i, k.mode()))
+			if i, ok := k.leasedGeneration(); !ok || i != generation {
+				missing = append(missing, fmt.Sprintf("%s: %d %v", k.name, i, k.mode()))
 			}
 		}
-		took := time.Since(began)
-		if len(late) == 0 {
+		elapsed := time.Since(start)
+		if len(missing) == 0 {
 			x.report = append(x.report, fmt.Sprintf("%-54s %6d ms, %d leases lost so far", what,
-				took.Milliseconds(), x.leaseLosses()))
-			x.slowest = max(x.slowest, took)
-			return took
+				elapsed.Milliseconds(), x.leaseLosses()))
+			x.slowest = max(x.slowest, elapsed)
+			return elapsed
 		}
-		if took > activationTimeout {
+		if elapsed > activationTimeout {
 			x.logState()
-			x.t.Fatalf("%s: not all go by generation %d after %v: %v", what, gen, activationTimeout, late)
+			x.t.Fatalf("%s: not all act on generation %d after %v: %v", what, generation, activationTimeout, missing)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// tells prints how all stand, for a failure.
+// logState logs the state of all processes, for a failure.
 func (x *testTree) logState() {
 	for _, name := range slices.Sorted(maps.Keys(x.relays)) {
 		s, err := x.status(name)
@@ -295,7 +296,7 @@
 	return s
 }
 
-// until waits for something to hold, and tells how all stand where it does not.
+// waitFor waits for a condition, and fails with the state of all processes.
 func (x *testTree) waitFor(what string, holds func() bool) {
 	x.t.Helper()
 	for end := time.Now().Add(activationTimeout); !holds(); time.Sleep(10 * time.Millisecond) {
@@ -306,10 +307,10 @@
 	}
 }
 
-// up waits until a relay knows of a version no older than a step.
+// waitForRelay waits until a relay has a snapshot no older than a step.
 func (x *testTree) waitForRelay(name string, step uint64) {
 	x.t.Helper()
-	x.waitFor(name+" is there again", func() bool {
+	x.waitFor(name+" is back", func() bool {
 		s, err := x.status(name)
 		return err == nil && s.Known && s.Step >= step
 	})
@@ -329,7 +330,7 @@
 	return n
 }
 
-// leader gives the daemon that leads.
+// leader gives the voter that leads.
 func (x *testTree) leader() int {
 	x.t.Helper()
 	lead := -1
@@ -353,24 +354,24 @@
 	return lead
 }
 
-// cut cuts a zone off from both regions, or joins it.
-func (x *testTree) partition(z string, how faultinject.Cut) {
-	for _, a := range []string{z + "0", z + "1"} {
-		for _, r := range []string{"r0", "r1"} {
-			x.network.Part(a, r, how)
+// partition partitions a zone from both regions, or heals the links.
+func (x *testTree) partition(zone string, cut faultinject.Cut) {
+	for _, zoneRelay := range []string{zone + "0", zone + "1"} {
+		for _, regionRelay := range []string{"r0", "r1"} {
+			x.network.Part(zoneRelay, regionRelay, cut)
 		}
 	}
 }
 
-// judge ends all and holds the records of all processes against what is promised.
+// checkHistory stops all and checks the history of all processes.
 func (x *testTree) checkHistory() {
 	t := x.t
 	t.Helper()
 	known, lapses := map[uint64]int{}, x.leaseLosses()
 	for _, k := range x.gateways() {
 		for v, i := range k.knownGenerations() {
-			if was, there := known[v]; there && was != i {
-				t.Errorf("version %d is generation %d and %d", v, was, i)
+			if first, there := known[v]; there && first != i {
+				t.Errorf("version %d is generation %d and %d", v, first, i)
 			}
 			known[v] = i
 		}
@@ -383,13 +384,13 @@
 		p := x.relays[name]
 		x.require(p.Term())
 		if !p.Wait(5*time.Second) || !p.Exit().Success() {
-			t.Errorf("%s did not end cleanly: %s", name, tail(p.Output()))
+			t.Errorf("%s did not exit cleanly: %s", name, tail(p.Output()))
 		}
 	}
 	for _, p := range x.council {
 		x.require(p.Term())
 		if !p.Wait(10 * time.Second) {
-			t.Errorf("%s did not end: %s", p.Name, tail(p.Output()))
+			t.Errorf("%s did not exit: %s", p.Name, tail(p.Output()))
 		}
 	}
 	x.require(x.rigLog.Close())
@@ -402,12 +403,12 @@
 		rules[v] = x.rules[i]
 	}
 	v := checkRecord(r, rules)
-	for _, broken := range v.violations {
-		t.Error(broken)
+	for _, violation := range v.violations {
+		t.Error(violation)
 	}
 	for name := range x.relays {
 		if v.forwardedVersions[name] == 0 {
-			t.Errorf("%s has recorded nothing", name)
+			t.Errorf("%s has no history", name)
 		}
 	}
 	if len(v.violations) == 0 {
@@ -421,10 +422,10 @@
 		x.slowest.Round(time.Millisecond))
 }
 
-// bounded is B for the lease of these rules.
+// contradictionBound is how long two gateways may act on contradicting versions, ms.
 var contradictionBound = ruleset.Bound(&ruleset.Rules{Lease: 1000})
 
-// verdict is what is found in a record.
+// findings are what is found in a history.
 type findings struct {
 	violations        []string
 	versions          history.Versioned
@@ -432,100 +433,100 @@
 	forwardedVersions map[string]int
 }
 
-// judged holds a record against what is promised, with the rules by version.
+// checkRecord checks a history, with the rules by version.
 func checkRecord(r history.Record, rules map[uint64]ruleset.Rules) findings {
 	v := findings{versions: history.Versions(r), forwardedVersions: map[string]int{},
 		contradictions: history.Contradiction(r, history.Leases(rules), contradictionBound, clockToleranceMillis)}
-	says := func(format string, args ...any) {
+	fail := func(format string, args ...any) {
 		v.violations = append(v.violations,
 			fmt.Sprintf(format, args...))
 	}
 	if v.versions.Count > 0 || v.versions.Seen == 0 || v.versions.Checker == "Illegal" {
-		says("versions: %v (%s)", v.versions.Found, v.versions.Checker)
+		fail("versions: %v (%s)", v.versions.Found, v.versions.Checker)
 	}
 	if v.contradictions.Count > 0 || v.contradictions.Seen == 0 {
-		says("contradictions: %v", v.contradictions.Found)
+		fail("contradictions: %v", v.contradictions.Found)
 	}
-	type life struct {
-		who  string
-		life uint32
+	type process struct {
+		who     string
+		process uint32
 	}
-	newest := map[life]uint64{}
-	for _, e := range r.Events {
-		if e.Kind != history.Acts && e.Kind != history.Gives || e.Mode == history.Bare {
+	newest := map[process]uint64{}
+	for _, event := range r.Events {
+		if event.Kind != history.Acts && event.Kind != history.Gives || event.Mode == history.Bare {
 			continue
 		}
-		if e.Kind == history.Gives && e.Says != "" {
-			says("%s gives what is no rules: %s", e.Who, e.Says)
+		if event.Kind == history.Gives && event.Says != "" {
+			fail("%s publishes an invalid ruleset: %s", event.Who, event.Says)
 		}
-		l := life{e.Who, e.Life}
-		if e.Version < newest[l] {
-			says("%s went back from version %d to %d", e.Who, newest[l], e.Version)
+		p := process{event.Who, event.Life}
+		if event.Version < newest[p] {
+			fail("%s went back from version %d to %d", event.Who, newest[p], event.Version)
 		}
-		newest[l] = max(newest[l], e.Version)
-		if e.Kind == history.Gives {
-			v.forwardedVersions[e.Who]++
+		newest[p] = max(newest[p], event.Version)
+		if event.Kind == history.Gives {
+			v.forwardedVersions[event.Who]++
 		}
 	}
 	return v
 }
 
-// planted puts breaks into a record without any, one at a time: each has to be found.
+// checkInjectedViolations injects violations into a valid history, one at a time: each has to be found.
 func checkInjectedViolations(t *testing.T, r history.Record, rules map[uint64]ruleset.Rules) {
 	t.Helper()
-	find := func(holds func(history.Event) bool) int {
+	indexOf := func(holds func(history.Event) bool) int {
 		i := slices.IndexFunc(r.Events, holds)
 		if i < 0 {
-			t.Fatal("nothing in the record to plant a break by")
+			t.Fatal("no event in the history to inject a violation at")
 		}
 		return i
 	}
-	relays := func(e history.Event) bool { return e.Kind == history.Gives && e.Mark != "" && e.Who[0] == 'a' }
+	fromRelay := func(e history.Event) bool { return e.Kind == history.Gives && e.Mark != "" && e.Who[0] == 'a' }
 	last := r.Events[len(r.Events)-1].At
-	for what, plant := range map[string]func([]history.Event) []history.Event{
-		"a gatekeeper goes back": func(all []history.Event) []history.Event {
-			i := find(func(e history.Event) bool { return e.Kind == history.Acts && e.Version >= 3 })
-			e := all[i]
+	for what, inject := range map[string]func([]history.Event) []history.Event{
+		"a gateway goes back": func(events []history.Event) []history.Event {
+			i := indexOf(func(e history.Event) bool { return e.Kind == history.Acts && e.Version >= 3 })
+			e := events[i]
 			e.Version, e.Mode = 1, history.Leased
-			return slices.Insert(all, i+1, e)
+			return slices.Insert(events, i+1, e)
 		},
-		"a relay goes back": func(all []history.Event) []history.Event {
-			i := find(func(e history.Event) bool { return relays(e) && e.Version >= 3 })
-			e := all[i]
+		"a relay goes back": func(events []history.Event) []history.Event {
+			i := indexOf(func(e history.Event) bool { return fromRelay(e) && e.Version >= 3 })
+			e := events[i]
 			e.Version, e.Mark = 1, ""
-			return slices.Insert(all, i+1, e)
+			return slices.Insert(events, i+1, e)
 		},
-		"a relay gives other rules under a version's number": func(all []history.Event) []history.Event {
-			all[find(relays)].Mark = "000000000000"
-			return all
+		"a relay publishes other rules under a version's number": func(events []history.Event) []history.Event {
+			events[indexOf(fromRelay)].Mark = "000000000000"
+			return events
 		},
-		"a relay gives a version long after its time": func(all []history.Event) []history.Event {
-			i := find(func(e history.Event) bool { return relays(e) && e.Version == 1 })
-			e := all[i]
+		"a relay publishes a superseded version": func(events []history.Event) []history.Event {
+			i := indexOf(func(e history.Event) bool { return fromRelay(e) && e.Version == 1 })
+			e := events[i]
 			e.At, e.Who = last, "z9"
-			return append(all, e)
+			return append(events, e)
 		},
-		"a gatekeeper keeps to its lease": func(all []history.Event) []history.Event {
-			i := find(func(e history.Event) bool { return e.Kind == history.Acts && e.Version == 2 })
-			e := all[i]
+		"a gateway acts on an expired lease": func(events []history.Event) []history.Event {
+			i := indexOf(func(e history.Event) bool { return e.Kind == history.Acts && e.Version == 2 })
+			e := events[i]
 			e.Who, e.Mode = "z9", history.Leased
-			return slices.Insert(all, i+1, e)
+			return slices.Insert(events, i+1, e)
 		},
 	} {
 		broken := r
-		broken.Events = plant(slices.Clone(r.Events))
+		broken.Events = inject(slices.Clone(r.Events))
 		if len(checkRecord(broken, rules).violations) == 0 {
-			t.Errorf("planted and not found: %s", what)
+			t.Errorf("injected and not found: %s", what)
 		}
 	}
 }
 
-// TestGenerations: a mix of two generations shows in each part of the rules.
+// TestGenerations: a mix of two generations shows in each part of a ruleset.
 func TestGenerations(t *testing.T) {
-	whole := func() ruleset.Rules { return generation(3, membersOf(2, "h")) }
+	complete := func() ruleset.Rules { return generation(3, membersOf(2, "h")) }
 	other := generation(4, membersOf(2, "h"))
-	if r := whole(); len(generationsIn(&r)) != 1 || !generationsIn(&r)[3] {
-		t.Errorf("whole rules of generation 3 are of %v", generationsIn(&r))
+	if r := complete(); len(generationsIn(&r)) != 1 || !generationsIn(&r)[3] {
+		t.Errorf("consistent rules of generation 3 are of %v", generationsIn(&r))
 	}
 	for i, mix := range []func(*ruleset.Rules){
 		func(r *ruleset.Rules) { r.Plans[0] = other.Plans[0] },
@@ -533,9 +534,9 @@
 		func(r *ruleset.Rules) { r.Words = other.Words },
 		func(r *ruleset.Rules) { r.Members[1] = other.Members[1] },
 	} {
-		r := whole()
+		r := complete()
 		if mix(&r); len(generationsIn(&r)) != 2 {
-			t.Errorf("mix %d is not seen", i)
+			t.Errorf("mix %d is not found", i)
 		}
 	}
 }
--- a/internal/distribution/relay/tree_test.go
+++ b/internal/distribution/relay/tree_test.go
@@ -13,26 +13,27 @@
 )
 
 var (
-	long = flag.Duration("long", 0, "drawn faults on the tree for so long")
-	seed = flag.Int64("seed", 1, "of them")
+	long = flag.Duration("long", 0, "run random faults on the tree for so long")
+	seed = flag.Int64("seed", 1, "seed of the random faults")
 )
 
-// TestTree breaks a tree of real processes in one way after the other, with a change of the rules at each.
+// TestTree injects one fault after the other into a tree of real processes, with a change of the rules at
+// each.
 func TestTree(t *testing.T) {
 	x := startTree(t)
 	x.propose(0)
-	x.waitForGeneration("a change, all well", x.generation)
+	x.waitForGeneration("a change without a fault", x.generation)
 
-	// A ceiling under the fallback waits for all hosts below to have seen it, and not for its time to be up.
+	// A ceiling under the fallback is pending until all hosts have reported it, and not until its time-out.
 	x.proposeRules(0, generationOf(x.generation+1, x.members, 400, 400))
-	if took := x.waitForGeneration("a ceiling under the fallback, all well",
-		x.generation); took > 2500*time.Millisecond {
-		t.Errorf("in force after %v: what hosts below have seen does not come up", took)
+	if elapsed := x.waitForGeneration("a ceiling under the fallback, without a fault",
+		x.generation); elapsed > 2500*time.Millisecond {
+		t.Errorf("in force after %v: the reports of hosts do not arrive", elapsed)
 	}
 	x.propose(0)
-	x.waitForGeneration("the ceiling up, all well", x.generation)
+	x.waitForGeneration("the ceiling raised, without a fault", x.generation)
 
-	// A region's relay is killed, and comes back with its copy of a version before.
+	// A region's relay is killed, and restarts with the checkpoint of an earlier version.
 	x.require(x.disks["r0"].Keep())
 	x.require(x.relays["r0"].Kill())
 	x.propose(1)
@@ -41,40 +42,40 @@
 	x.waitForRelay("r0", 1)
 	if s := x.mustStatus("r0"); s.Follower.FullStates != 0 || s.Checkpoint.Quarantined != 0 ||
 		s.Follower.Deltas == 0 {
-		t.Errorf("a relay with an old copy was not brought up by a delta: %+v", s.Follower)
+		t.Errorf("a relay with an old checkpoint was not updated by a delta: %+v", s.Follower)
 	}
 
-	// A zone's relay lies still: those below leave it; then it goes on.
+	// A zone's relay is stalled, and those below switch to the other; then it goes on.
 	x.require(x.relays["a0"].Stall())
 	x.propose(2)
-	x.waitForGeneration("a zone's relay lies still", x.generation)
+	x.waitForGeneration("a zone's relay stalled", x.generation)
 	x.require(x.relays["a0"].Resume())
 	x.waitForRelay("a0", x.mustStatus("a1").Step)
 
-	// A region's relay hears nothing from above, and answers on with ages that grow.
+	// A region's relay gets nothing from above, and goes on responding with growing ages.
 	for i := range councilDaemons {
 		x.network.Part("r0", fmt.Sprintf("c%d", i), faultinject.Silent)
 	}
 	x.propose(0)
-	x.waitForGeneration("a region's relay cut off from the council", x.generation)
+	x.waitForGeneration("a region's relay partitioned from the raft group", x.generation)
 	for i := range councilDaemons {
 		x.network.Join("r0", fmt.Sprintf("c%d", i))
 	}
 	x.waitForRelay("r0", x.mustStatus("r1").Step)
 
-	// The leader is killed, with a change at another daemon at once.
-	lead := x.leader()
-	x.require(x.council[lead].Kill())
-	x.propose((lead + 1) % councilDaemons)
+	// The leader is killed, with a change proposed to another voter at once.
+	leader := x.leader()
+	x.require(x.council[leader].Kill())
+	x.propose((leader + 1) % councilDaemons)
 	x.waitForGeneration("the leader killed", x.generation)
-	x.require(x.council[lead].Restart(nil))
+	x.require(x.council[leader].Restart(nil))
 
 	x.damagedCheckpoints()
 	x.partitionedZone()
 	x.corruptedResponses()
 	x.rejectedRules()
 
-	// All of a zone is there anew at once.
+	// All of a zone restarts at once.
 	for _, h := range x.zones["b"] {
 		h.close()
 	}
@@ -84,44 +85,46 @@
 	x.require(x.relays["b0"].Restart(nil))
 	x.require(x.relays["b1"].Restart(nil))
 	x.startHosts("b")
-	x.waitForGeneration("all of a zone anew, with a change", x.generation)
+	x.waitForGeneration("all of a zone restarted, with a change", x.generation)
 
 	x.councilOutage()
 	x.checkHistory()
 }
 
-// copies starts a zone's relay with disks that are torn, flipped, old and empty.
+// damagedCheckpoints restarts a zone's relay with disks that are torn, flipped, old and empty.
 func (x *testTree) damagedCheckpoints() {
 	const name = "a1"
-	aside := map[string]int64{faultinject.Torn: 1, faultinject.Flipped: 1}
+	wantQuarantined := map[string]int64{faultinject.Torn: 1, faultinject.Flipped: 1}
 	x.require(x.relays[name].Kill())
 	x.require(x.disks[name].Keep())
-	for _, what := range []string{faultinject.Torn, faultinject.Flipped, faultinject.Old, faultinject.Empty} {
+	for _, damage := range []string{faultinject.Torn, faultinject.Flipped, faultinject.Old, faultinject.Empty} {
 		x.propose(0)
-		x.waitForGeneration("a zone's relay away, then with a disk that is "+what, x.generation)
-		x.require(x.disks[name].Spoil(faultinject.Damage{What: what, Bytes: 5, Seed: 3}))
+		x.waitForGeneration("a zone's relay killed, then with a disk that is "+damage, x.generation)
+		x.require(x.disks[name].Spoil(faultinject.Damage{What: damage, Bytes: 5, Seed: 3}))
 		x.require(x.relays[name].Restart(nil))
 		x.waitForRelay(name, x.mustStatus("a0").Step)
-		s := x.mustStatus(name)
-		if s.Checkpoint.Quarantined != aside[what] {
-			x.t.Errorf("a disk that is %s: %d copies set aside, not %d", what, s.Checkpoint.Quarantined, aside[what])
+		status := x.mustStatus(name)
+		if status.Checkpoint.Quarantined != wantQuarantined[damage] {
+			x.t.Errorf("a disk that is %s: %d checkpoints moved aside, not %d", damage, status.Checkpoint.Quarantined,
+				wantQuarantined[damage])
 		}
-		if whole := what != faultinject.Old; (s.Follower.FullStates > 0) != whole ||
-			(s.Follower.Deltas > 0) == whole {
-			x.t.Errorf("a disk that is %s: %d wholes and %d deltas", what, s.Follower.FullStates, s.Follower.Deltas)
+		if wantFullState := damage != faultinject.Old; (status.Follower.FullStates > 0) != wantFullState ||
+			(status.Follower.Deltas > 0) == wantFullState {
+			x.t.Errorf("a disk that is %s: %d full states and %d deltas", damage, status.Follower.FullStates,
+				status.Follower.Deltas)
 		}
-		x.waitFor("the copy is written", func() bool { return x.mustStatus(name).Checkpoint.Written > 0 })
+		x.waitFor("the checkpoint is written", func() bool { return x.mustStatus(name).Checkpoint.Written > 0 })
 		x.require(x.relays[name].Kill())
 	}
 	x.require(x.relays[name].Restart(nil))
 	x.waitForRelay(name, 1)
 }
 
-// cutOff cuts a zone off over a change that has to wait for it, and heals the links.
+// partitionedZone partitions a zone during a change that has to wait for it, and heals the links.
 func (x *testTree) partitionedZone() {
 	x.partition("a", faultinject.Silent)
-	began := time.Now()
-	x.waitFor("those cut off have no lease", func() bool {
+	start := time.Now()
+	x.waitFor("partitioned gateways have no lease", func() bool {
 		for _, k := range x.gateways("a") {
 			if k.mode() == ruleset.Leased {
 				return false
@@ -129,10 +132,10 @@
 		}
 		return true
 	})
-	x.proposeRules(0, generationOf(x.generation+1, x.members, 300, 300)) // under the fallback of a half
-	x.waitForGeneration("a ceiling under the fallback, a zone cut off", x.generation, "b")
-	if took := time.Since(began); took < 2*time.Second {
-		x.t.Errorf("a change that contradicts the fallback of those cut off was in force after %v", took)
+	x.proposeRules(0, generationOf(x.generation+1, x.members, 300, 300)) // under the fallback of one half
+	x.waitForGeneration("a ceiling under the fallback, a zone partitioned", x.generation, "b")
+	if elapsed := time.Since(start); elapsed < 2*time.Second {
+		x.t.Errorf("a change that contradicts the fallback of the partitioned zone was in force after %v", elapsed)
 	}
 	for _, k := range x.gateways("a") {
 		if m := k.mode(); m != ruleset.Bare {
@@ -140,47 +143,48 @@
 		}
 	}
 	x.partition("a", faultinject.Whole)
-	x.waitForGeneration("the zone is back", x.generation)
+	x.waitForGeneration("the partition healed", x.generation)
 	x.proposeRules(1, generation(x.generation+1, x.members))
-	x.waitForGeneration("the ceiling up again", x.generation)
+	x.waitForGeneration("the ceiling raised again", x.generation)
 }
 
-// spoils has a middle man spoil what goes to a zone, in all ways.
+// corruptedResponses injects each fault of the proxy into the responses to a zone.
 func (x *testTree) corruptedResponses() {
-	for _, how := range []string{corruptByte, swapValue, changeBase, dropDelta, repeatResponse, delayResponse} {
+	for _, fault := range []string{corruptByte, swapValue, changeBase, dropDelta, repeatResponse,
+		delayResponse} {
 		before := map[string]Status{}
-		for name, m := range x.proxies {
+		for name, proxy := range x.proxies {
 			before[name] = x.mustStatus(name)
-			m.inject(how, 2)
+			proxy.inject(fault, 2)
 		}
 		x.propose(0)
-		x.waitForGeneration("answers on their way to a zone: "+how, x.generation)
-		// Of both relays together: an answer that is spoilt and late as well is counted as late.
-		did, all := 0, int64(0)
-		for name, m := range x.proxies {
-			s, b := x.mustStatus(name), before[name]
-			failures, failuresBefore := s.UpstreamTraffic.Failures, b.UpstreamTraffic.Failures
-			did += m.injectedCount()
-			all += map[string]int64{
+		x.waitForGeneration("corrupted responses to a zone: "+fault, x.generation)
+		// Of both relays together: a response that is corrupt and late as well is counted as timed out.
+		injected, counted := 0, int64(0)
+		for name, proxy := range x.proxies {
+			after, statusBefore := x.mustStatus(name), before[name]
+			failures, failuresBefore := after.UpstreamTraffic.Failures, statusBefore.UpstreamTraffic.Failures
+			injected += proxy.injectedCount()
+			counted += map[string]int64{
 				corruptByte: failures[reasonChecksum] + failures[reasonMalformed] -
 					failuresBefore[reasonChecksum] - failuresBefore[reasonMalformed],
-				swapValue:      s.Follower.DigestMismatches - b.Follower.DigestMismatches,
-				changeBase:     s.Follower.BaseMismatches - b.Follower.BaseMismatches,
-				dropDelta:      s.Follower.MissingDeltas - b.Follower.MissingDeltas,
+				swapValue:      after.Follower.DigestMismatches - statusBefore.Follower.DigestMismatches,
+				changeBase:     after.Follower.BaseMismatches - statusBefore.Follower.BaseMismatches,
+				dropDelta:      after.Follower.MissingDeltas - statusBefore.Follower.MissingDeltas,
 				repeatResponse: failures[reasonWrongNonce] - failuresBefore[reasonWrongNonce],
 				delayResponse:  failures[reasonTimeout] - failuresBefore[reasonTimeout],
-			}[how]
-			m.inject("", 0)
+			}[fault]
+			proxy.inject("", 0)
 		}
-		if did == 0 || all == 0 {
-			x.t.Errorf("answers on their way: %s, %d times, and %d are counted", how, did, all)
+		if injected == 0 || counted == 0 {
+			x.t.Errorf("corrupted responses: %s, %d times, and %d are counted", fault, injected, counted)
 		}
 	}
 }
 
-// bounds proposes what breaks a bound: it is refused by its key, and nothing changes.
+// rejectedRules proposes rulesets beyond a bound: they are rejected by their key, and nothing changes.
 func (x *testTree) rejectedRules() {
-	was := x.mustStatus("a0")
+	before := x.mustStatus("a0")
 	for key, change := range map[string]func(*ruleset.Rules){
 		"lease_ms:":         func(r *ruleset.Rules) { r.Lease, r.Bound = 5000, 2000 },
 		"plans.basic.rate:": func(r *ruleset.Rules) { r.Plans[0].Rate = -1 },
@@ -189,25 +193,26 @@
 		change(&r)
 		x.submitRules(0, r)
 		p := x.council[0]
-		x.waitFor("a word on "+key, func() bool { return strings.Contains(p.Output(), "rules.toml: "+key) })
+		x.waitFor("a message on "+key, func() bool { return strings.Contains(p.Output(), "rules.toml: "+key) })
 	}
 	time.Sleep(500 * time.Millisecond)
-	if now := x.mustStatus("a0"); now.Mark != was.Mark || now.Pending != 0 {
-		x.t.Errorf("refused rules have changed %s to %s", was.Mark, now.Mark)
+	if after := x.mustStatus("a0"); after.Mark != before.Mark || after.Pending != 0 {
+		x.t.Errorf("rejected rules have changed %s to %s", before.Mark, after.Mark)
 	}
-	x.waitForGeneration("rules that break a bound: nothing changes", x.generation)
+	x.waitForGeneration("rules beyond a bound, nothing changed", x.generation)
 }
 
-// alone kills the whole council for longer than lease and fallback: all go by their fallback, then by
-// nothing, and come back without a wave: no state is given again, and nobody asks faster.
+// councilOutage kills the raft group for longer than lease and fallback: all gateways act on their fallback,
+// then on nothing, and recover without a storm: no full state is sent again, and the request rate stays the
+// same.
 func (x *testTree) councilOutage() {
-	count := func() (wholes, asks int64) {
+	count := func() (fullStates, requests int64) {
 		for name := range x.relays {
 			s := x.mustStatus(name)
-			wholes += s.Source.FullStates
-			asks += s.DownstreamTraffic.Requests
+			fullStates += s.Source.FullStates
+			requests += s.DownstreamTraffic.Requests
 		}
-		return wholes, asks
+		return fullStates, requests
 	}
 	rate := func() float64 {
 		_, a := count()
@@ -216,35 +221,36 @@
 		_, b := count()
 		return float64(b-a) / time.Since(began).Seconds()
 	}
-	usual := rate()
+	usualRate := rate()
 	for _, p := range x.council {
 		x.require(p.Kill())
 	}
-	x.waitFor("all go by a fallback", func() bool { return x.allInMode(ruleset.CutOff) })
-	x.waitFor("all go by nothing", func() bool { return x.allInMode(ruleset.Bare) })
-	gone := rate()
-	wholes, _ := count()
+	x.waitFor("all act on a fallback", func() bool { return x.allInMode(ruleset.CutOff) })
+	x.waitFor("all act on nothing", func() bool { return x.allInMode(ruleset.Bare) })
+	rateDuringOutage := rate()
+	fullStates, _ := count()
 	for _, p := range x.council {
 		x.require(p.Restart(nil))
 	}
-	x.waitForGeneration("control wholly gone for lease and fallback, back", x.generation)
-	back := rate()
-	if after, _ := count(); after != wholes {
-		x.t.Errorf("%d states were given whole as the council came back", after-wholes)
+	x.waitForGeneration("the raft group back after lease and fallback", x.generation)
+	rateAfter := rate()
+	if after, _ := count(); after != fullStates {
+		x.t.Errorf("%d full states were sent as the raft group came back", after-fullStates)
 	}
-	for what, r := range map[string]float64{"gone": gone, "back": back} {
-		if r > 1.5*usual {
-			x.t.Errorf("%.0f asks a second with control %s, %.0f before", r, what, usual)
+	for what, r := range map[string]float64{"down": rateDuringOutage, "back": rateAfter} {
+		if r > 1.5*usualRate {
+			x.t.Errorf("%.0f requests a second with the raft group %s, %.0f before", r, what, usualRate)
 		}
 	}
-	x.report = append(x.report, fmt.Sprintf("asks a second at all relays: %.0f, control gone %.0f, back %.0f",
-		usual,
-		gone, back))
+	x.report = append(x.report,
+		fmt.Sprintf("requests a second at all relays: %.0f, raft group down %.0f, back %.0f",
+			usualRate,
+			rateDuringOutage, rateAfter))
 	x.propose(0)
-	x.waitForGeneration("a change after it", x.generation)
+	x.waitForGeneration("a change after the outage", x.generation)
 }
 
-// modes tells whether all gatekeepers go in a mode.
+// allInMode reports whether all gateways are in a mode.
 func (x *testTree) allInMode(m ruleset.Mode) bool {
 	for _, k := range x.gateways() {
 		if k.mode() != m {
@@ -254,7 +260,7 @@
 	return true
 }
 
-// TestTreeLong breaks the tree by draws: a fault or two for some seconds, then a change, over and over.
+// TestTreeRandomFaults injects a random fault or two for some seconds, then proposes a change, over and over.
 func TestTreeRandomFaults(t *testing.T) {
 	if *long == 0 {
 		t.Skip("-args -long 1m")
@@ -263,58 +269,59 @@
 	x := startTree(t)
 	names := []string{"r0", "r1", "a0", "a1", "b0", "b1"}
 	for end := time.Now().Add(*long); time.Now().Before(end) && x.generation < 95; {
-		what := ""
-		var heal []func()
+		description := ""
+		var repairs []func()
 		for range 1 + rng.Intn(2) {
 			name := names[rng.Intn(len(names))]
 			p := x.relays[name]
 			switch rng.Intn(6) {
 			case 0:
-				what += " stall " + name
+				description += " stall " + name
 				x.require(p.Stall())
-				heal = append(heal, func() { x.require(p.Resume()) })
+				repairs = append(repairs, func() { x.require(p.Resume()) })
 			case 1:
-				what += " kill " + name
+				description += " kill " + name
 				x.require(p.Kill())
-				heal = append(heal, func() { x.require(p.Restart(nil)) })
+				repairs = append(repairs, func() { x.require(p.Restart(nil)) })
 			case 2:
 				d := faultinject.Damage{
 					What:  []string{faultinject.Torn, faultinject.Flipped, faultinject.Empty}[rng.Intn(3)],
 					Bytes: 1 + rng.Int63n(200),
 					Seed:  rng.Int63(),
 				}
-				what += " spoil " + name + " " + d.What
+				description += " spoil " + name + " " + d.What
 				x.require(p.Kill())
-				_ = x.disks[name].Spoil(d) // one that has nothing can't be spoilt
-				heal = append(heal, func() { x.require(p.Restart(nil)) })
+				_ = x.disks[name].Spoil(d) // an empty disk can't be damaged
+				repairs = append(repairs, func() { x.require(p.Restart(nil)) })
 			case 3:
 				z := []string{"a", "b"}[rng.Intn(2)]
-				how := []faultinject.Cut{faultinject.Silent, faultinject.Reset, faultinject.Refused}[rng.Intn(3)]
-				what += " cut " + z + " " + how.String()
-				x.partition(z, how)
-				heal = append(heal, func() { x.partition(z, faultinject.Whole) })
+				fault := []faultinject.Cut{faultinject.Silent, faultinject.Reset, faultinject.Refused}[rng.Intn(3)]
+				description += " cut " + z + " " + fault.String()
+				x.partition(z, fault)
+				repairs = append(repairs, func() { x.partition(z, faultinject.Whole) })
 			case 4:
 				c := x.council[rng.Intn(councilDaemons)]
-				if len(heal) > 0 {
+				if len(repairs) > 0 {
 					continue
 				}
-				what += " kill " + c.Name
+				description += " kill " + c.Name
 				x.require(c.Kill())
-				heal = append(heal, func() { x.require(c.Restart(nil)) })
+				repairs = append(repairs, func() { x.require(c.Restart(nil)) })
 			case 5:
-				how := []string{corruptByte, swapValue, changeBase, dropDelta, repeatResponse, delayResponse}[rng.Intn(6)]
-				what += " " + how
+				fault := []string{corruptByte, swapValue, changeBase, dropDelta, repeatResponse,
+					delayResponse}[rng.Intn(6)]
+				description += " " + fault
 				for _, m := range x.proxies {
-					m.inject(how, 1+rng.Intn(3))
+					m.inject(fault, 1+rng.Intn(3))
 				}
 			}
 		}
 		time.Sleep(time.Duration(rng.Intn(3000)) * time.Millisecond)
-		for _, h := range heal {
+		for _, h := range repairs {
 			h()
 		}
 		x.propose(rng.Intn(councilDaemons))
-		x.waitForGeneration(fmt.Sprintf("%d:%s", x.generation, what), x.generation)
+		x.waitForGeneration(fmt.Sprintf("%d:%s", x.generation, description), x.generation)
 	}
 	x.checkHistory()
 }
