--- a/internal/distribution/codec_test.go
+++ b/internal/distribution/codec_test.go
@@ -183,8 +183,8 @@
 		in        ruleset.Interest
 		fullState int
 	}{{"a relay", ruleset.Interest{All: true}, 300000},
-		{"a gatekeeper", ruleset.Interest{Name: "g77", Around: 20}, 2500},
-		{"a gatekeeper with 250 on either side", ruleset.Interest{Name: "g777", Around: 250}, 12000},
+		{"a gateway", ruleset.Interest{Name: "g77", Around: 20}, 2500},
+		{"a gateway with 250 on either side", ruleset.Interest{Name: "g777", Around: 250}, 12000},
 		{"a host", ruleset.Interest{Host: "h77", Around: 20}, 2500}} {
 		a := &Request{FormatVersion: FormatVersion, Cluster: "fleet", Sender: "host-0077", Interest: test.in,
 			Step:           80,
--- a/internal/distribution/simulation_test.go
+++ b/internal/distribution/simulation_test.go
@@ -73,7 +73,7 @@
 	warden                 *ruleset.Warden
 	submittedAt            float64
 	gateways               []*node // of a host's daemon
-	daemon                 *node   // of a gatekeeper
+	daemon                 *node   // of a gateway
 	holder                 *ruleset.Holder
 	permits                []permit
 	processID              int
@@ -709,7 +709,8 @@
 	}
 }
 
-// runHolder has a gateway's holder decide; false: it now holds a step that its follower has to be told.
+// runHolder has a gateway's holder decide; false: it now holds a step that its follower has
+// to be given.
 func (w *walk) runHolder(n *node) bool {
 	heldBefore := n.holder.Holds()
 	n.holder.Clock(n.clock(w.now))
