--- a/internal/distribution/codec.go
+++ b/internal/distribution/codec.go
@@ -171,7 +171,7 @@
 func EncodeState(s *versioned.State) ([]byte, error) {
 	var full *versioned.Delta
 	if s != nil {
-		full = versioned.Whole(s)
+		full = versioned.FullDelta(s)
 	}
 	return encode(full)
 }
@@ -182,7 +182,7 @@
 	if err := decode("state", raw, MaxResponseBytes, &full); err != nil || full == nil {
 		return nil, err
 	}
-	if !full.From.None() {
+	if !full.From.IsNone() {
 		return nil, fmt.Errorf("state: %w: a delta and not a full state", ErrMalformed)
 	}
 	s, err := (*versioned.State)(nil).Apply(full)
--- a/internal/distribution/codec_test.go
+++ b/internal/distribution/codec_test.go
@@ -16,8 +16,8 @@
 	"willowdeck/internal/versioned"
 )
 
-func drawMark(t *rapid.T) versioned.Mark {
-	m := versioned.Mark{Number: uint64(rapid.IntRange(0, 3).Draw(t, "number"))}
+func drawMark(t *rapid.T) versioned.VersionID {
+	m := versioned.VersionID{Number: uint64(rapid.IntRange(0, 3).Draw(t, "number"))}
 	if m.Number > 0 {
 		copy(m.Digest[:], rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, "digest"))
 	}
@@ -34,7 +34,7 @@
 			Value: rapid.SliceOfN(rapid.Byte(), 1, 600).Draw(t, "value")})
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "drop") {
-		d.Drop = append(d.Drop, rapid.StringN(0, 9, 20).Draw(t, "key"))
+		d.Delete = append(d.Delete, rapid.StringN(0, 9, 20).Draw(t, "key"))
 	}
 	return d
 }
@@ -100,7 +100,7 @@
 		t.Errorf("%v", err)
 	}
 	tooManyEntries, err := encode(&Response{FormatVersion: FormatVersion,
-		RulesDelta: &versioned.Delta{Drop: make([]string, maxEntries+1)}})
+		RulesDelta: &versioned.Delta{Delete: make([]string, maxEntries+1)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := DecodeState(raw); err != nil || got.Mark() != s.Mark() {
+	if got, err := DecodeState(raw); err != nil || got.ID() != s.ID() {
 		t.Errorf("%v", err)
 	}
 	if raw, err = EncodeState(nil); err != nil {
@@ -145,19 +145,19 @@
 	if got, err := DecodeState(raw); err != nil || got != nil {
 		t.Errorf("%v %v", err, got)
 	}
-	delta, err := encode(versioned.Between(s, testState(t, 8, testRules(300, 48))))
+	delta, err := encode(versioned.Diff(s, testState(t, 8, testRules(300, 48))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := DecodeState(delta); err == nil {
 		t.Error("a delta is decoded as a state")
 	}
-	d := versioned.Whole(s)
+	d := versioned.FullDelta(s)
 	d.Set = d.Set[1:]
 	if raw, err = encode(d); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := DecodeState(raw); !errors.Is(err, versioned.ErrDigest) {
+	if _, err := DecodeState(raw); !errors.Is(err, versioned.ErrDigestMismatch) {
 		t.Errorf("%v", err)
 	}
 }
@@ -192,7 +192,7 @@
 			ProcessID:      4321, HeldStep: 80, Nonce: 1 << 60}
 		s.Publish(Snapshot{Step: 80, ReadStartMillis: 1900, Rules: v1, DiscoveryIndex: 123456})
 		_, fullState := size(a)
-		a.Rules = ruleset.Select(v1, test.in).Mark()
+		a.Rules = ruleset.Select(v1, test.in).ID()
 		request, renewal := size(a)
 		s.Publish(Snapshot{Step: 81, ReadStartMillis: 1900, Rules: v2, DiscoveryIndex: 123456})
 		_, delta := size(a)
@@ -214,8 +214,8 @@
 
 func FuzzDecodeResponse(f *testing.F) {
 	s := testState(f, 1, testRules(3, 96))
-	raw, _ := (&Response{FormatVersion: FormatVersion, Cluster: "c", Step: 2, Rules: s.Mark(),
-		RulesDelta: versioned.Whole(s)}).Encode()
+	raw, _ := (&Response{FormatVersion: FormatVersion, Cluster: "c", Step: 2, Rules: s.ID(),
+		RulesDelta: versioned.FullDelta(s)}).Encode()
 	f.Add(raw[1 : len(raw)-checksumBytes])
 	f.Fuzz(func(t *testing.T, body []byte) {
 		raw := addChecksum(body)
@@ -227,8 +227,8 @@
 			Interest: ruleset.Interest{All: true}}, 0)
 		fl.AdvanceClock(1000)
 		fl.HandleResponse(0, 1000, a)
-		if v, ok := fl.Snapshot(); ok && (v.Rules.Mark() != a.Rules || v.Pending.Mark() != a.Pending ||
-			versioned.New(v.Rules.Mark().Number, versioned.Whole(v.Rules).Set).Mark() != a.Rules) {
+		if v, ok := fl.Snapshot(); ok && (v.Rules.ID() != a.Rules || v.Pending.ID() != a.Pending ||
+			versioned.New(v.Rules.ID().Number, versioned.FullDelta(v.Rules).Set).ID() != a.Rules) {
 			t.Fatalf("%+v of %+v", v, a)
 		}
 	})
@@ -261,7 +261,7 @@
 	s.Publish(Snapshot{Step: 80, ReadStartMillis: 1900, Rules: v, DiscoveryIndex: 123456})
 	a := &Request{FormatVersion: FormatVersion, Cluster: "fleet", Sender: "host-0077", Interest: in, Step: 80,
 		DiscoveryIndex: 123456,
-		ProcessID:      4321, HeldStep: 80, Rules: ruleset.Select(v, in).Mark(), Nonce: 1 << 60}
+		ProcessID:      4321, HeldStep: 80, Rules: ruleset.Select(v, in).ID(), Nonce: 1 << 60}
 	raw, err := a.Encode()
 	if err != nil {
 		b.Fatal(err)
@@ -334,7 +334,7 @@
 		requests = append(requests, &Request{FormatVersion: FormatVersion, Cluster: "fleet", Sender: in.Host,
 			Interest:       in,
 			DiscoveryIndex: -1,
-			Rules:          ruleset.Select(from, in).Mark()})
+			Rules:          ruleset.Select(from, in).ID()})
 	}
 	for b.Loop() {
 		b.StopTimer()
@@ -348,7 +348,7 @@
 		b.StartTimer()
 		s.Publish(Snapshot{Step: 81, ReadStartMillis: 1900, Rules: to, DiscoveryIndex: -1})
 		for _, a := range requests {
-			if r, err := s.Respond(a, 1900); err != nil || r.RulesDelta == nil || r.RulesDelta.From.None() {
+			if r, err := s.Respond(a, 1900); err != nil || r.RulesDelta == nil || r.RulesDelta.From.IsNone() {
 				b.Fatal(err, r)
 			}
 		}
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -101,7 +101,7 @@
 	if state == nil {
 		return
 	}
-	f.bases = slices.DeleteFunc(f.bases, func(base *versioned.State) bool { return base.Mark() == state.Mark() })
+	f.bases = slices.DeleteFunc(f.bases, func(base *versioned.State) bool { return base.ID() == state.ID() })
 	f.bases = slices.Insert(f.bases, 0, state)
 	if len(f.bases) > maxBases {
 		f.bases = slices.Delete(f.bases, maxBases, len(f.bases))
@@ -109,9 +109,9 @@
 }
 
 // base gives the base with a mark; nil where there is none.
-func (f *Follower) base(mark versioned.Mark) *versioned.State {
+func (f *Follower) base(mark versioned.VersionID) *versioned.State {
 	for _, base := range f.bases {
-		if base.Mark() == mark {
+		if base.ID() == mark {
 			return base
 		}
 	}
@@ -242,7 +242,7 @@
 		RenewalOnly:    !isCurrent || f.now < f.renewalOnlyUntil,
 	}
 	if rules, pending := f.LatestStates(); !f.needFullState {
-		r.Rules, r.Pending = rules.Mark(), pending.Mark()
+		r.Rules, r.Pending = rules.ID(), pending.ID()
 	}
 	if isCurrent {
 		r.HostSteps = f.unacknowledgedSteps()
--- a/internal/distribution/follower_test.go
+++ b/internal/distribution/follower_test.go
@@ -11,9 +11,11 @@
 
 // testRules gives a ruleset of so many members, two on a host, with one plan.
 func testRules(members int, limit float64) ruleset.Rules {
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: ruleset.MostBound,
-		Fallback: ruleset.Fallback{Part: 0.5, For: 500},
-		Plans:    []ruleset.Plan{{Name: "p", Rate: limit, Burst: 1, CeilingRate: limit, CeilingDepth: limit}}}
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000,
+		ConflictBoundMillis: ruleset.DefaultConflictBoundMillis,
+		Fallback:            ruleset.Fallback{Fraction: 0.5, DurationMillis: 500},
+		Plans: []ruleset.Plan{
+			{Name: "p", Rate: limit, Burst: 1, CeilingRate: limit, CeilingDepth: limit}}}
 	for i := range members {
 		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprintf("g%d", i), Host: fmt.Sprintf("h%d", i/2),
 			Peers: fmt.Sprintf("127.0.%d.%d:9000", i/250, i%250)})
@@ -23,7 +25,7 @@
 
 func testState(tb testing.TB, number uint64, rules ruleset.Rules) *versioned.State {
 	tb.Helper()
-	state, err := ruleset.Entries(&ruleset.Version{Number: number, Rules: rules})
+	state, err := ruleset.VersionToState(&ruleset.Version{Number: number, Rules: rules})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -98,19 +100,19 @@
 	if !ok || v.Step != 2 || v.ReadStartMillis != 500 || v.Depth != 2 || v.DiscoveryIndex != 7 {
 		t.Fatalf("%+v %v", v, ok)
 	}
-	got, err := ruleset.FromState(v.Rules)
-	if err != nil || len(got.Rules.Members) != 20 || ruleset.Place(&got.Rules, "g5") != 5 ||
-		ruleset.Place(&got.Rules, "g8") != 8 || ruleset.Place(&got.Rules, "g9") != -1 {
+	got, err := ruleset.VersionFromState(v.Rules)
+	if err != nil || len(got.Rules.Members) != 20 || ruleset.MemberIndex(&got.Rules, "g5") != 5 ||
+		ruleset.MemberIndex(&got.Rules, "g8") != 8 || ruleset.MemberIndex(&got.Rules, "g9") != -1 {
 		t.Fatalf("%v %+v", err, got.Rules.Members)
 	}
 	root.Publish(Snapshot{Step: 3, ReadStartMillis: now, Rules: v1, Pending: v2, DiscoveryIndex: 7})
 	runSteps(6)
-	if v, _ = lowFollower.Snapshot(); v.Step != 3 || v.Pending.Mark().Number != 2 {
+	if v, _ = lowFollower.Snapshot(); v.Step != 3 || v.Pending.ID().Number != 2 {
 		t.Fatalf("%+v", v)
 	}
 	root.Publish(Snapshot{Step: 4, ReadStartMillis: now, Rules: v2, DiscoveryIndex: 7})
 	runSteps(6)
-	if v, _ = lowFollower.Snapshot(); v.Step != 4 || v.Pending != nil || v.Rules.Mark().Number != 2 {
+	if v, _ = lowFollower.Snapshot(); v.Step != 4 || v.Pending != nil || v.Rules.ID().Number != 2 {
 		t.Fatalf("%+v", v)
 	}
 	if n := lowFollower.Counts(); n.FullStates != 1 || n.Deltas != 1 ||
@@ -143,9 +145,9 @@
 	v1 := testState(t, 1, testRules(6, 96))
 	f.AdvanceClock(1000)
 	f.HandleResponse(f.CurrentUpstream(), 1000, &Response{FormatVersion: FormatVersion, Cluster: "c", Step: 2,
-		AgeMillis: 50, Rules: v1.Mark(), Incarnation: 1,
-		RulesDelta: versioned.Whole(v1), DiscoveryIndex: -1})
-	if v, ok := f.Snapshot(); !ok || v.ReadStartMillis != 950 || v.Rules.Mark() != v1.Mark() {
+		AgeMillis: 50, Rules: v1.ID(), Incarnation: 1,
+		RulesDelta: versioned.FullDelta(v1), DiscoveryIndex: -1})
+	if v, ok := f.Snapshot(); !ok || v.ReadStartMillis != 950 || v.Rules.ID() != v1.ID() {
 		t.Fatalf("%+v %v %+v", v, ok, f.Counts())
 	}
 	return f, v1
@@ -156,9 +158,9 @@
 	v2, other := testState(t, 2, testRules(6, 48)), testState(t, 1, testRules(6, 12))
 	_, v1 := leasedFollower(t)
 	r := testRules(6, 48)
-	r.Lease = 100
+	r.LeaseMillis = 100
 	shortLease := testState(t, 2, r)
-	corrupt := versioned.Between(v1, v2)
+	corrupt := versioned.Diff(v1, v2)
 	corrupt.Set = corrupt.Set[1:]
 	for _, test := range []struct {
 		name          string
@@ -178,12 +180,12 @@
 			func(counts FollowerCounts) int64 { return counts.Stale }, false},
 		{"an older read of the same step", func(response *Response) {
 			response.Step, response.AgeMillis,
-				response.Rules = 2, 160, v1.Mark()
+				response.Rules = 2, 160, v1.ID()
 		},
 			func(counts FollowerCounts) int64 { return counts.Stale }, false},
 		{"an expired lease", func(response *Response) {
-			response.AgeMillis, response.Rules, response.RulesDelta = 120, shortLease.Mark(),
-				versioned.Whole(shortLease)
+			response.AgeMillis, response.Rules, response.RulesDelta = 120, shortLease.ID(),
+				versioned.FullDelta(shortLease)
 		}, func(counts FollowerCounts) int64 { return counts.Expired }, false},
 		{"a cycle of relays", func(response *Response) { response.Depth = maxDepth },
 			func(counts FollowerCounts) int64 { return counts.Invalid }, false},
@@ -191,25 +193,25 @@
 			func(counts FollowerCounts) int64 { return counts.BeforeStart }, false},
 		{"other rules at the same step", func(response *Response) {
 			response.Step, response.Rules = 2,
-				other.Mark()
+				other.ID()
 		},
 			func(counts FollowerCounts) int64 { return counts.Invalid }, false},
 		{"another pending version at the same step", func(response *Response) {
-			response.Step, response.Rules, response.Pending = 2, v1.Mark(), v2.Mark()
+			response.Step, response.Rules, response.Pending = 2, v1.ID(), v2.ID()
 		}, func(counts FollowerCounts) int64 { return counts.Invalid }, false},
 		{"a lower version", func(response *Response) { response.Rules.Number = 0 },
 			func(counts FollowerCounts) int64 { return counts.Invalid }, false},
-		{"no version", func(response *Response) { response.Rules = versioned.Mark{} },
+		{"no version", func(response *Response) { response.Rules = versioned.VersionID{} },
 			func(counts FollowerCounts) int64 { return counts.Invalid },
 			false},
-		{"a pending version that is not the next one", func(response *Response) { response.Pending = v2.Mark() },
+		{"a pending version that is not the next one", func(response *Response) { response.Pending = v2.ID() },
 			func(counts FollowerCounts) int64 { return counts.Invalid }, false},
 		{"a version without a delta", func(response *Response) { response.RulesDelta = nil },
 			func(counts FollowerCounts) int64 { return counts.MissingDeltas }, false},
 		{"a delta of another mark", func(response *Response) { response.Rules.Digest[0]++ },
 			func(counts FollowerCounts) int64 { return counts.Invalid }, true},
 		{"a delta against another state", func(response *Response) {
-			response.RulesDelta = versioned.Between(other,
+			response.RulesDelta = versioned.Diff(other,
 				v2)
 		},
 			func(counts FollowerCounts) int64 { return counts.BaseMismatches }, true},
@@ -217,7 +219,7 @@
 			func(counts FollowerCounts) int64 { return counts.DigestMismatches }, true},
 		{"a corrupt pending delta", func(response *Response) {
 			v3 := testState(t, 3, testRules(6, 24))
-			response.Pending, response.PendingDelta = v3.Mark(), versioned.Between(v2, v3)
+			response.Pending, response.PendingDelta = v3.ID(), versioned.Diff(v2, v3)
 			response.PendingDelta.Set = nil
 		}, func(counts FollowerCounts) int64 { return counts.DigestMismatches }, true},
 		{"deferred", func(response *Response) { response.RulesDelta, response.RetryAfterMillis = nil, 3000 },
@@ -225,8 +227,8 @@
 	} {
 		f, v1 := leasedFollower(t)
 		response := &Response{FormatVersion: FormatVersion, Cluster: "c", Step: 3, AgeMillis: 10, Incarnation: 1,
-			Rules:      v2.Mark(),
-			RulesDelta: versioned.Between(v1, v2), DiscoveryIndex: -1}
+			Rules:      v2.ID(),
+			RulesDelta: versioned.Diff(v1, v2), DiscoveryIndex: -1}
 		before, _ := f.Snapshot()
 		test.change(response)
 		f.AdvanceClock(1100)
@@ -238,13 +240,13 @@
 			t.Errorf("%s: %+v", test.name, counts)
 		}
 		requests := requestsAt(f, 1200)
-		if len(requests) == 0 || requests[0].Rules.None() != test.wantFullState {
+		if len(requests) == 0 || requests[0].Rules.IsNone() != test.wantFullState {
 			t.Errorf("%s: requests %+v", test.name, requests)
 		}
 		f.AdvanceClock(1300) // and the same version is accepted once it is correct
 		f.HandleResponse(f.CurrentUpstream(), 1300, &Response{FormatVersion: FormatVersion, Cluster: "c", Step: 3,
-			AgeMillis: 10, Incarnation: 1, Rules: v2.Mark(),
-			RulesDelta: versioned.Whole(v2), DiscoveryIndex: -1})
+			AgeMillis: 10, Incarnation: 1, Rules: v2.ID(),
+			RulesDelta: versioned.FullDelta(v2), DiscoveryIndex: -1})
 		if v, ok := f.Snapshot(); !ok || v.Step != 3 {
 			t.Errorf("%s: then %+v", test.name, v)
 		}
@@ -295,8 +297,8 @@
 	v := testState(t, 1, testRules(6, 96))
 	f.AdvanceClock(1000)
 	f.HandleResponse(0, 1000, &Response{FormatVersion: FormatVersion, Cluster: "c", Step: 2, AgeMillis: 300,
-		Rules: v.Mark(), Incarnation: 1,
-		RulesDelta: versioned.Whole(v), DiscoveryIndex: -1})
+		Rules: v.ID(), Incarnation: 1,
+		RulesDelta: versioned.FullDelta(v), DiscoveryIndex: -1})
 	if got, ok := f.Snapshot(); !ok || got.ReadStartMillis != 700 || f.lease != 1000 || f.interval != 100 {
 		t.Errorf("%+v %v, lease %v", got, ok, f.lease)
 	}
@@ -308,8 +310,8 @@
 	v2 := testState(t, 2, testRules(6, 48))
 	first := f.CurrentUpstream()
 	good := &Response{FormatVersion: FormatVersion, Cluster: "c", Step: 3, AgeMillis: 10, Incarnation: 1,
-		Rules:      v2.Mark(),
-		RulesDelta: versioned.Between(v1, v2), DiscoveryIndex: -1}
+		Rules:      v2.ID(),
+		RulesDelta: versioned.Diff(v1, v2), DiscoveryIndex: -1}
 	for allCorrupt, wantUpdate := range map[bool]bool{false: true, true: false} {
 		f, _ = leasedFollower(t)
 		requests := 0
@@ -325,7 +327,7 @@
 				}
 				response := *good
 				if requests++; allCorrupt || d.Upstream == first {
-					response.RulesDelta = &versioned.Delta{From: d.Request.Rules, To: v2.Mark(), Drop: []string{"rules"}}
+					response.RulesDelta = &versioned.Delta{From: d.Request.Rules, To: v2.ID(), Delete: []string{"rules"}}
 				}
 				f.HandleResponse(d.Upstream, now, &response)
 			}
@@ -343,15 +345,15 @@
 	v2, v3 := testState(t, 2, testRules(6, 48)), testState(t, 3, testRules(6, 24))
 	respond := func(step uint64, v *versioned.State, d *versioned.Delta) {
 		f.HandleResponse(f.CurrentUpstream(), 1100, &Response{FormatVersion: FormatVersion, Cluster: "c",
-			Step: step, AgeMillis: 10, Incarnation: 1, Rules: v.Mark(),
+			Step: step, AgeMillis: 10, Incarnation: 1, Rules: v.ID(),
 			RulesDelta: d, DiscoveryIndex: -1})
 	}
 	f.AdvanceClock(1100)
-	respond(3, v2, versioned.Between(v1, v2))
-	respond(3, v2, versioned.Between(v1, v2)) // duplicate: a renewal
-	respond(4, v3, versioned.Between(v1, v3)) // against an earlier base that is still kept
-	respond(3, v2, versioned.Between(v1, v2)) // late
-	if v, _ := f.Snapshot(); v.Step != 4 || v.Rules.Mark() != v3.Mark() {
+	respond(3, v2, versioned.Diff(v1, v2))
+	respond(3, v2, versioned.Diff(v1, v2)) // duplicate: a renewal
+	respond(4, v3, versioned.Diff(v1, v3)) // against an earlier base that is still kept
+	respond(3, v2, versioned.Diff(v1, v2)) // late
+	if v, _ := f.Snapshot(); v.Step != 4 || v.Rules.ID() != v3.ID() {
 		t.Errorf("%+v", v)
 	}
 	if n := f.Counts(); n.Updates != 3 || n.Renewals != 1 || n.Stale != 1 ||
@@ -369,7 +371,7 @@
 	exchange(t, f, 1200, s, s)
 	s.Publish(Snapshot{Step: 4, ReadStartMillis: 1200, Rules: v2, DiscoveryIndex: -1})
 	exchange(t, f, 1400, s, s)
-	if v, _ := f.Snapshot(); v.Step != 4 || v.Rules.Mark() != v2.Mark() || v.Pending != nil {
+	if v, _ := f.Snapshot(); v.Step != 4 || v.Rules.ID() != v2.ID() || v.Pending != nil {
 		t.Errorf("%+v", v)
 	}
 	if n := s.Counts(); n.FullStates+n.Deltas != 0 {
@@ -598,11 +600,11 @@
 func TestSourceRetainsVersions(t *testing.T) {
 	s := NewSource("s", "c", SourceConfig{RetainedVersions: 3})
 	in := ruleset.Interest{Host: "h1"}
-	var marks []versioned.Mark
+	var marks []versioned.VersionID
 	for i := range 5 {
 		v := testState(t, uint64(i+1), testRules(20, 96-float64(i)))
 		s.Publish(Snapshot{Step: uint64(i + 1), ReadStartMillis: 0, Rules: v, DiscoveryIndex: -1})
-		marks = append(marks, ruleset.Select(v, in).Mark())
+		marks = append(marks, ruleset.Select(v, in).ID())
 	}
 	for i, m := range marks {
 		r, err := s.Respond(&Request{FormatVersion: FormatVersion, Cluster: "c", Sender: "f", Interest: in,
@@ -613,7 +615,7 @@
 		switch {
 		case i == 4 && r.RulesDelta == nil:
 		case i < 4 && i >= 2 && r.RulesDelta.From == m && len(r.RulesDelta.Set) == 1:
-		case i < 2 && r.RulesDelta.From.None() && len(r.RulesDelta.Set) == 4: // header, plan, two members
+		case i < 2 && r.RulesDelta.From.IsNone() && len(r.RulesDelta.Set) == 4: // header, plan, two members
 		default:
 			t.Errorf("from version %d: %+v", i+1, r.RulesDelta)
 		}
@@ -622,7 +624,7 @@
 	unknown.Digest[0]++
 	r, _ := s.Respond(&Request{FormatVersion: FormatVersion, Cluster: "c", Sender: "f", Interest: in,
 		Rules: unknown, DiscoveryIndex: -1}, 10)
-	if r.RulesDelta == nil || !r.RulesDelta.From.None() {
+	if r.RulesDelta == nil || !r.RulesDelta.From.IsNone() {
 		t.Errorf("an unknown mark: %+v", r.RulesDelta)
 	}
 	if s.Publish(Snapshot{Step: 2, Rules: testState(t, 9, testRules(2, 1))}); s.snapshot.Step != 5 {
--- a/internal/distribution/messages.go
+++ b/internal/distribution/messages.go
@@ -9,7 +9,7 @@
 const FormatVersion = 1
 
 // HostStep is the fact that all gateway processes of a host act on a step, or on a later one.
-type HostStep = ruleset.HostStep
+type HostStep = ruleset.HostAck
 
 // Request asks an upstream for its current state. Step, Rules and Pending name what the sender has, so that
 // the response carries no more than the difference.
@@ -20,8 +20,8 @@
 	Interest      ruleset.Interest `cbor:"4,keyasint"`           // the part of the ruleset that is wanted
 	Step          uint64           `cbor:"5,keyasint,omitempty"` // the requester's own; 0: it has none
 	// Rules names the state that a delta may be against. Without a mark the requester wants a full state.
-	Rules   versioned.Mark `cbor:"6,keyasint,omitzero"`
-	Pending versioned.Mark `cbor:"7,keyasint,omitzero"`
+	Rules   versioned.VersionID `cbor:"6,keyasint,omitzero"`
+	Pending versioned.VersionID `cbor:"7,keyasint,omitzero"`
 	// RenewalOnly asks for no state: the requester was deferred, or asks beside its current upstream.
 	RenewalOnly bool `cbor:"8,keyasint,omitempty"`
 	// HostSteps are facts that the upstream has not acknowledged, MaxHostSteps at most.
@@ -53,9 +53,9 @@
 	AgeMillis float64 `cbor:"8,keyasint"`
 	// DiscoveryIndex is the highest index of the discovery service's list that is known anywhere; negative:
 	// none.
-	DiscoveryIndex int64          `cbor:"9,keyasint"`
-	Rules          versioned.Mark `cbor:"10,keyasint,omitzero"`
-	Pending        versioned.Mark `cbor:"11,keyasint,omitzero"` // none: no version is pending
+	DiscoveryIndex int64               `cbor:"9,keyasint"`
+	Rules          versioned.VersionID `cbor:"10,keyasint,omitzero"`
+	Pending        versioned.VersionID `cbor:"11,keyasint,omitzero"` // none: no version is pending
 	// RulesDelta is nil where the requester has the rules, and where it is deferred. PendingDelta is against the
 	// response's Rules.
 	RulesDelta   *versioned.Delta `cbor:"12,keyasint,omitempty"`
--- a/internal/distribution/rate_test.go
+++ b/internal/distribution/rate_test.go
@@ -61,7 +61,7 @@
 	return func(f *Follower, d Action, now float64) {
 		f.HandleResponse(d.Upstream, now, &Response{FormatVersion: FormatVersion, Cluster: "till", Sender: "p",
 			Incarnation: 1, Nonce: d.Request.Nonce,
-			DiscoveryIndex: -1, Step: 3, AgeMillis: max(now-from, 0), Rules: rules.Mark(),
-			RulesDelta: versioned.Whole(rules)})
+			DiscoveryIndex: -1, Step: 3, AgeMillis: max(now-from, 0), Rules: rules.ID(),
+			RulesDelta: versioned.FullDelta(rules)})
 	}
 }
--- a/internal/distribution/relay/checkpoint.go
+++ b/internal/distribution/relay/checkpoint.go
@@ -33,7 +33,7 @@
 type Checkpoint struct {
 	path, cluster string // with an empty path nothing is stored
 	log           zerolog.Logger
-	lastMarks     [2]versioned.Mark // rules and pending; used by Save's caller alone
+	lastMarks     [2]versioned.VersionID // rules and pending; used by Save's caller alone
 	latest        atomic.Pointer[distribution.Snapshot]
 	saveRequested chan struct{}
 
@@ -65,14 +65,14 @@
 			Msg("checkpoint moved aside: a full state is requested")
 	default:
 		follower.AddBases(rules, pending)
-		c.log.Info().Uint64("version", rules.Mark().Number).Msg("checkpoint loaded as a base for deltas")
+		c.log.Info().Uint64("version", rules.ID().Number).Msg("checkpoint loaded as a base for deltas")
 	}
 }
 
 // Save has Run write the states of a snapshot, where they are others than before. It does not wait, and is to
 // be called from one goroutine.
 func (c *Checkpoint) Save(snapshot distribution.Snapshot) {
-	marks := [2]versioned.Mark{snapshot.Rules.Mark(), snapshot.Pending.Mark()}
+	marks := [2]versioned.VersionID{snapshot.Rules.ID(), snapshot.Pending.ID()}
 	if c.path == "" || marks == c.lastMarks {
 		return
 	}
--- a/internal/distribution/relay/cost_test.go
+++ b/internal/distribution/relay/cost_test.go
@@ -63,17 +63,17 @@
 			Host: fmt.Sprintf("host-%04d", i/gatewaysPerBenchHost), Peers: fmt.Sprintf("10.%d.%d.7:7000", i/250,
 				i%250)})
 	}
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
-		Fallback: ruleset.Fallback{Part: 0.5, For: 10000}, Members: members}
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
+		Fallback: ruleset.Fallback{Fraction: 0.5, DurationMillis: 10000}, Members: members}
 	if b.size > 500 {
-		r.Needs = []string{ruleset.ManyMembers}
+		r.Needs = []string{ruleset.FeatureManyMembers}
 	}
 	for i := range 20 {
 		r.Plans = append(r.Plans, ruleset.Plan{Name: fmt.Sprintf("plan-%02d", i), Rate: 100, Burst: 200,
 			CeilingRate: 1000, CeilingDepth: 2000})
 	}
 	r.Plans[number%len(r.Plans)].Rate = 100 + float64(number)
-	s, err := ruleset.Entries(&ruleset.Version{Number: uint64(number), Rules: r})
+	s, err := ruleset.VersionToState(&ruleset.Version{Number: uint64(number), Rules: r})
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -221,7 +221,7 @@
 		Sender:         fmt.Sprintf("asker-%d", i),
 		Interest:       in,
 		Step:           1,
-		Rules:          ruleset.Select(s, in).Mark(),
+		Rules:          ruleset.Select(s, in).ID(),
 		DiscoveryIndex: -1,
 	}
 }
@@ -229,8 +229,11 @@
 func (b *benchRelay) measure() {
 	t := b.t
 	isRenewal := func(a *distribution.Response) bool { return a.RulesDelta == nil && a.RetryAfterMillis == 0 }
-	isFullState := func(a *distribution.Response) bool { return a.RulesDelta != nil && a.RulesDelta.From.None() }
-	isDelta := func(a *distribution.Response) bool { return a.RulesDelta != nil && !a.RulesDelta.From.None() }
+	isFullState := func(a *distribution.Response) bool {
+		return a.RulesDelta != nil &&
+			a.RulesDelta.From.IsNone()
+	}
+	isDelta := func(a *distribution.Response) bool { return a.RulesDelta != nil && !a.RulesDelta.From.IsNone() }
 	idle := b.cpuMillis()
 	time.Sleep(4 * time.Second)
 	b.printFigure("idle_cpu", "ms_per_s", (b.cpuMillis()-idle)/4)
@@ -243,7 +246,7 @@
 	withoutBase := func(all bool) func(int) *distribution.Request {
 		return func(i int) *distribution.Request {
 			a := b.request(i, all, nil)
-			a.Rules = versioned.Mark{}
+			a.Rules = versioned.VersionID{}
 			return a
 		}
 	}
--- a/internal/distribution/relay/faultyproxy_test.go
+++ b/internal/distribution/relay/faultyproxy_test.go
@@ -133,8 +133,8 @@
 			return encoded()
 		}
 	case changeBase:
-		if delta != nil && !delta.From.None() {
-			delta.From = versioned.Mark{Number: delta.From.Number, Digest: versioned.Digest{1}}
+		if delta != nil && !delta.From.IsNone() {
+			delta.From = versioned.VersionID{Number: delta.From.Number, Digest: versioned.Digest{1}}
 			return encoded()
 		}
 	case dropDelta:
--- a/internal/distribution/relay/format_test.go
+++ b/internal/distribution/relay/format_test.go
@@ -17,8 +17,8 @@
 // below that may support it; the relay records that it can't decode them.
 func TestLaterFormat(t *testing.T) {
 	r := generation(7, membersOf(2, "h"))
-	r.Form, r.Needs = ruleset.Form+8, []string{"later feature"}
-	rules, err := ruleset.Entries(&ruleset.Version{Number: 7, Rules: r})
+	r.Format, r.Needs = ruleset.SupportedFormat+8, []string{"later feature"}
+	rules, err := ruleset.VersionToState(&ruleset.Version{Number: 7, Rules: r})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 	if v, there := got.Get("later/0000"); !there || string(v) != "unsupported value" {
 		t.Errorf("an entry of a later format is received as %q", v)
 	}
-	if l := ruleset.LeaseOf(got); l != 1000 {
+	if l := ruleset.StateLeaseMillis(got); l != 1000 {
 		t.Errorf("the lease is %v in rules of a later format", l)
 	}
 	recordedError := false
--- a/internal/distribution/relay/hollow_test.go
+++ b/internal/distribution/relay/hollow_test.go
@@ -26,11 +26,11 @@
 // pending first.
 func generationOf(i int, members []ruleset.Member, ceiling, depth float64) ruleset.Rules {
 	x := float64(i)
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
-		Fallback: ruleset.Fallback{Part: 0.5, For: 2000},
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
+		Fallback: ruleset.Fallback{Fraction: 0.5, DurationMillis: 2000},
 		Plans: []ruleset.Plan{{Name: "basic", Rate: 500 + x, Burst: 500 + x},
 			{Name: "capped", Rate: 200 + x, Burst: 200 + x, CeilingRate: ceiling, CeilingDepth: depth}},
-		Words: []ruleset.Word{{Worker: "w0", Weight: 1 + x}}}
+		WorkerOverrides: []ruleset.WorkerOverride{{Worker: "w0", Weight: 1 + x}}}
 	for place, m := range members {
 		m.Peers = fmt.Sprintf("127.0.0.1:%d", 10000+100*place+i)
 		r.Members = append(r.Members, m)
@@ -44,7 +44,7 @@
 	for i, p := range r.Plans {
 		all[int(p.Rate)-[2]int{500, 200}[i]] = true
 	}
-	for _, w := range r.Words {
+	for _, w := range r.WorkerOverrides {
 		all[int(w.Weight)-1] = true
 	}
 	for place, m := range r.Members {
@@ -69,7 +69,7 @@
 	wait         sync.WaitGroup
 
 	mu           sync.Mutex
-	warden       ruleset.Warden
+	warden       ruleset.LeaseGrantor
 	reportedStep uint64
 	lastStates   [2]*versioned.State
 	rules        ruleset.Version
@@ -85,7 +85,7 @@
 	log       *history.Log
 
 	mu          sync.Mutex
-	holder      *ruleset.Holder
+	holder      *ruleset.LeaseHolder
 	generations map[uint64]int // by version
 }
 
@@ -138,14 +138,14 @@
 		}
 		gateway := &hollowGateway{t: tb, name: m.Name, processID: place + 1, host: hollow,
 			generations: map[uint64]int{},
-			holder:      ruleset.NewHolder(m.Name, generation(0, members))}
+			holder:      ruleset.NewLeaseHolder(m.Name, generation(0, members))}
 		incarnation := nextIncarnation(m.Name)
 		var err error
 		path := filepath.Join(records, fmt.Sprintf("%s.%d.jsonl", m.Name, incarnation))
 		if gateway.log, err = history.Open(path, m.Name, incarnation); err != nil {
 			tb.Fatal(err)
 		}
-		hollow.warden.Began(gateway.processID, false)
+		hollow.warden.ProcessStarted(gateway.processID, false)
 		hollow.gateways = append(hollow.gateways, gateway)
 		run(gateway.run)
 	}
@@ -167,18 +167,18 @@
 	tb.Helper()
 	h.mu.Lock()
 	snapshot, ok := h.subscription.Snapshot()
-	if !ok || !h.warden.Asked(processID, heldStep) {
+	if !ok || !h.warden.RecordRequest(processID, heldStep) {
 		h.mu.Unlock()
 		return ruleset.Lease{}, false
 	}
 	if states := [2]*versioned.State{snapshot.Rules, snapshot.Pending}; states != h.lastStates {
-		whole, err := ruleset.FromState(snapshot.Rules)
+		whole, err := ruleset.VersionFromState(snapshot.Rules)
 		if err != nil {
 			tb.Errorf("%s: %v", h.name, err)
 		}
 		h.lastStates, h.rules, h.pending = states, whole, nil
 		if snapshot.Pending != nil {
-			p, err := ruleset.FromState(snapshot.Pending)
+			p, err := ruleset.VersionFromState(snapshot.Pending)
 			if err != nil {
 				tb.Errorf("%s: %v", h.name, err)
 			}
@@ -186,14 +186,14 @@
 		}
 	}
 	lease := ruleset.Lease{
-		Step:    snapshot.Step,
-		Version: h.rules,
-		Settled: snapshot.Settled,
-		Pending: h.pending,
-		Age:     snapshot.AgeMillis(nowMillis()),
+		Step:               snapshot.Step,
+		Version:            h.rules,
+		TransitionComplete: snapshot.Settled,
+		Pending:            h.pending,
+		AgeMillis:          snapshot.AgeMillis(nowMillis()),
 	}
-	h.warden.Given(processID)
-	seen := h.warden.Seen(snapshot.Step)
+	h.warden.RecordGrant(processID)
+	seen := h.warden.AckedStep(snapshot.Step)
 	newlySeen := seen > h.reportedStep
 	h.reportedStep = max(h.reportedStep, seen)
 	h.mu.Unlock()
@@ -216,23 +216,23 @@
 		case <-timer.C:
 		}
 		k.mu.Lock()
-		k.holder.Clock(nowMillis())
+		k.holder.SetTime(nowMillis())
 		for {
-			d, ok := k.holder.Next()
+			d, ok := k.holder.NextAction()
 			if !ok {
 				break
 			}
 			switch d.Kind {
-			case ruleset.Adopt:
-				k.adopt(d.Terms)
-			case ruleset.Ask:
+			case ruleset.ActionAdopt:
+				k.adopt(d.Effective)
+			case ruleset.ActionRequestLease:
 				sentAt := nowMillis()
-				if l, ok := k.host.lease(k.t, k.processID, k.holder.Holds()); ok {
-					k.holder.Clock(nowMillis())
-					k.holder.Heard(l, sentAt)
+				if l, ok := k.host.lease(k.t, k.processID, k.holder.AckedStep()); ok {
+					k.holder.SetTime(nowMillis())
+					k.holder.ReceiveLease(l, sentAt)
 				}
-			case ruleset.Wake:
-				timer.Reset(max(toDuration(d.At-nowMillis()), 0))
+			case ruleset.ActionWake:
+				timer.Reset(max(toDuration(d.WakeAtMillis-nowMillis()), 0))
 			}
 		}
 		k.mu.Unlock()
@@ -240,14 +240,14 @@
 }
 
 // adopt records the terms that the gateway acts on, and fails at a mix of two versions.
-func (k *hollowGateway) adopt(terms ruleset.Terms) {
-	mode := [...]string{ruleset.Bare: history.Bare, ruleset.CutOff: history.Fallback,
-		ruleset.Leased: history.Leased}[terms.Mode]
+func (k *hollowGateway) adopt(terms ruleset.EffectiveRules) {
+	mode := [...]string{ruleset.ModeNoLease: history.Bare, ruleset.ModeFallback: history.Fallback,
+		ruleset.ModeLeased: history.Leased}[terms.Mode]
 	k.log.Write(history.Event{Kind: history.Acts, Version: terms.Version, Mode: mode})
 	if terms.Version == 0 {
 		return
 	}
-	r := ruleset.Rules{Words: terms.Words}
+	r := ruleset.Rules{WorkerOverrides: terms.WorkerOverrides}
 	for _, p := range terms.Plans {
 		r.Plans = append(r.Plans, p.Plan)
 	}
@@ -267,25 +267,25 @@
 func (k *hollowGateway) leasedGeneration() (int, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	t := k.holder.Current()
-	if t.Mode != ruleset.Leased || !k.holder.May(nowMillis()) {
+	t := k.holder.Effective()
+	if t.Mode != ruleset.ModeLeased || !k.holder.MayAct(nowMillis()) {
 		return 0, false
 	}
 	return k.generations[t.Version], true
 }
 
 // mode gives the holder's mode.
-func (k *hollowGateway) mode() ruleset.Mode {
+func (k *hollowGateway) mode() ruleset.LeaseMode {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.holder.Current().Mode
+	return k.holder.Effective().Mode
 }
 
 // lapses gives how often the gateway lost its lease.
 func (k *hollowGateway) lapses() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.holder.Counts().Lapses
+	return k.holder.Counters().Expirations
 }
 
 // knownGenerations gives the generations that the gateway has acted on, by version.
--- a/internal/distribution/relay/relay.go
+++ b/internal/distribution/relay/relay.go
@@ -41,7 +41,7 @@
 }
 
 // loggedState is what onUpdate last made known of a snapshot.
-type loggedState struct{ rules, pending versioned.Mark }
+type loggedState struct{ rules, pending versioned.VersionID }
 
 // Start starts a relay. The recorder may be nil.
 func Start(config *Config, recorder history.Recorder, log zerolog.Logger) (*Relay, error) {
@@ -137,7 +137,7 @@
 	}
 	r.server.publish(snapshot)
 	r.checkpoint.Save(snapshot)
-	state := loggedState{rules: snapshot.Rules.Mark(), pending: snapshot.Pending.Mark()}
+	state := loggedState{rules: snapshot.Rules.ID(), pending: snapshot.Pending.ID()}
 	if state.rules != r.lastLogged.rules {
 		r.recordVersion(&snapshot)
 	}
@@ -153,10 +153,10 @@
 	if r.recorder == nil {
 		return
 	}
-	event := history.Event{Kind: history.Gives, Version: snapshot.Rules.Mark().Number,
+	event := history.Event{Kind: history.Gives, Version: snapshot.Rules.ID().Number,
 		Age: nowMillis() - snapshot.ReadStartMillis}
-	if version, err := ruleset.FromState(snapshot.Rules); err == nil {
-		event.Mark = raftlog.Mark(&version.Rules)
+	if version, err := ruleset.VersionFromState(snapshot.Rules); err == nil {
+		event.Mark = raftlog.RulesDigest(&version.Rules)
 	} else {
 		event.Says = fmt.Sprintf("not a ruleset of this program: %v", err)
 	}
--- a/internal/distribution/relay/relay_test.go
+++ b/internal/distribution/relay/relay_test.go
@@ -94,7 +94,8 @@
 func testState(tb testing.TB, number uint64, generationNumber int,
 	members []ruleset.Member) *versioned.State {
 	tb.Helper()
-	s, err := ruleset.Entries(&ruleset.Version{Number: number, Rules: generation(generationNumber, members)})
+	s, err := ruleset.VersionToState(&ruleset.Version{Number: number,
+		Rules: generation(generationNumber, members)})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -114,8 +115,8 @@
 			t.Fatal(err)
 		}
 		r, q, err := readCheckpoint(path, "till")
-		if err != nil || r.Mark() != rules.Mark() || q.Mark() != p.Mark() {
-			t.Errorf("%v and %v are read as %v and %v: %v", rules.Mark(), p.Mark(), r.Mark(), q.Mark(), err)
+		if err != nil || r.ID() != rules.ID() || q.ID() != p.ID() {
+			t.Errorf("%v and %v are read as %v and %v: %v", rules.ID(), p.ID(), r.ID(), q.ID(), err)
 		}
 	}
 	if _, _, err := readCheckpoint(path, "mill"); err == nil {
--- a/internal/distribution/relay/root.go
+++ b/internal/distribution/relay/root.go
@@ -13,13 +13,13 @@
 	"willowdeck/internal/versioned"
 )
 
-// Quorum is what a Root needs of a member of the raft group; raftlog.Seat implements it.
+// Quorum is what a Root needs of a member of the raft group; raftlog.RulesetNode implements it.
 type Quorum interface {
-	Word() (raftlog.Word, bool)
-	Confirmed() <-chan struct{}
-	Told(all []ruleset.HostStep, index int64)
-	Highest() int64
-	Often()
+	LastConfirmed() (raftlog.ConfirmedState, bool)
+	Confirmations() <-chan struct{}
+	RecordHostSteps(facts []ruleset.HostAck, highestIndex int64)
+	HighestDiscoveryIndex() int64
+	RequestFrequentReads()
 }
 
 const (
@@ -52,11 +52,11 @@
 		Incarnation:             rand.Uint64(),
 	})
 	var err error
-	r.server, err = startServer(listen, rootMaxConnections, rootLeaseMillis, source, quorum.Told)
+	r.server, err = startServer(listen, rootMaxConnections, rootLeaseMillis, source, quorum.RecordHostSteps)
 	if err != nil {
 		return nil, err
 	}
-	quorum.Often()
+	quorum.RequestFrequentReads()
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
 	r.goroutines.Add(1)
@@ -66,7 +66,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-quorum.Confirmed():
+			case <-quorum.Confirmations():
 				r.publish()
 			}
 		}
@@ -87,7 +87,7 @@
 // publish publishes what the quorum confirmed last. The rules of a version are made a state once. A pending
 // version is made one at each step, as a withdrawn one may have had its number.
 func (r *Root) publish() {
-	confirmed, ok := r.quorum.Word()
+	confirmed, ok := r.quorum.LastConfirmed()
 	if !ok {
 		return
 	}
@@ -96,14 +96,14 @@
 	snapshot := distribution.Snapshot{
 		Step:            confirmed.Step,
 		Settled:         confirmed.Settled,
-		ReadStartMillis: confirmed.Begun,
-		DiscoveryIndex:  r.quorum.Highest(),
+		ReadStartMillis: confirmed.ReadStartMillis,
+		DiscoveryIndex:  r.quorum.HighestDiscoveryIndex(),
 	}
 	if confirmed.Step != r.snapshot.Step || r.rules == nil {
 		rules, err := stateOf(r.rules, &confirmed.InForce)
 		var pending *versioned.State
 		if err == nil && confirmed.Pending != nil {
-			pending, err = ruleset.Entries(confirmed.Pending)
+			pending, err = ruleset.VersionToState(confirmed.Pending)
 		}
 		if err != nil {
 			r.log.Error().Err(err).Uint64("step", confirmed.Step).Msg("version in force can't be encoded")
@@ -118,8 +118,8 @@
 
 // stateOf gives the state of a version, which may be the known one.
 func stateOf(known *versioned.State, version *ruleset.Version) (*versioned.State, error) {
-	if known != nil && known.Mark().Number == version.Number {
+	if known != nil && known.ID().Number == version.Number {
 		return known, nil
 	}
-	return ruleset.Entries(version)
+	return ruleset.VersionToState(version)
 }
--- a/internal/distribution/relay/status.go
+++ b/internal/distribution/relay/status.go
@@ -44,12 +44,12 @@
 
 // setSnapshot fills in what is known of a snapshot.
 func (s *Status) setSnapshot(snapshot *distribution.Snapshot) {
-	mark := snapshot.Rules.Mark()
+	mark := snapshot.Rules.ID()
 	s.Known = true
 	s.Depth, s.Step, s.Settled = snapshot.Depth, snapshot.Step, snapshot.Settled
 	s.AgeMillis = snapshot.AgeMillis(nowMillis())
 	s.Version, s.Mark, s.StateBytes = mark.Number, mark.String(), snapshot.Rules.Bytes()
-	s.Pending = snapshot.Pending.Mark().Number
+	s.Pending = snapshot.Pending.ID().Number
 }
 
 // Status gives the state of the relay.
--- a/internal/distribution/relay/testtree_test.go
+++ b/internal/distribution/relay/testtree_test.go
@@ -423,7 +423,7 @@
 }
 
 // contradictionBound is how long two gateways may act on contradicting versions, ms.
-var contradictionBound = ruleset.Bound(&ruleset.Rules{Lease: 1000})
+var contradictionBound = ruleset.ConflictBoundMillis(&ruleset.Rules{LeaseMillis: 1000})
 
 // findings are what is found in a history.
 type findings struct {
@@ -531,7 +531,7 @@
 	for i, mix := range []func(*ruleset.Rules){
 		func(r *ruleset.Rules) { r.Plans[0] = other.Plans[0] },
 		func(r *ruleset.Rules) { r.Plans[1] = other.Plans[1] },
-		func(r *ruleset.Rules) { r.Words = other.Words },
+		func(r *ruleset.Rules) { r.WorkerOverrides = other.WorkerOverrides },
 		func(r *ruleset.Rules) { r.Members[1] = other.Members[1] },
 	} {
 		r := complete()
--- a/internal/distribution/relay/tree_test.go
+++ b/internal/distribution/relay/tree_test.go
@@ -126,7 +126,7 @@
 	start := time.Now()
 	x.waitFor("partitioned gateways have no lease", func() bool {
 		for _, k := range x.gateways("a") {
-			if k.mode() == ruleset.Leased {
+			if k.mode() == ruleset.ModeLeased {
 				return false
 			}
 		}
@@ -138,7 +138,7 @@
 		x.t.Errorf("a change that contradicts the fallback of the partitioned zone was in force after %v", elapsed)
 	}
 	for _, k := range x.gateways("a") {
-		if m := k.mode(); m != ruleset.Bare {
+		if m := k.mode(); m != ruleset.ModeNoLease {
 			x.t.Errorf("%s is %v once its fallback is over", k.name, m)
 		}
 	}
@@ -186,7 +186,7 @@
 func (x *testTree) rejectedRules() {
 	before := x.mustStatus("a0")
 	for key, change := range map[string]func(*ruleset.Rules){
-		"lease_ms:":         func(r *ruleset.Rules) { r.Lease, r.Bound = 5000, 2000 },
+		"lease_ms:":         func(r *ruleset.Rules) { r.LeaseMillis, r.ConflictBoundMillis = 5000, 2000 },
 		"plans.basic.rate:": func(r *ruleset.Rules) { r.Plans[0].Rate = -1 },
 	} {
 		r := generation(x.generation+1, x.members)
@@ -225,8 +225,8 @@
 	for _, p := range x.council {
 		x.require(p.Kill())
 	}
-	x.waitFor("all act on a fallback", func() bool { return x.allInMode(ruleset.CutOff) })
-	x.waitFor("all act on nothing", func() bool { return x.allInMode(ruleset.Bare) })
+	x.waitFor("all act on a fallback", func() bool { return x.allInMode(ruleset.ModeFallback) })
+	x.waitFor("all act on nothing", func() bool { return x.allInMode(ruleset.ModeNoLease) })
 	rateDuringOutage := rate()
 	fullStates, _ := count()
 	for _, p := range x.council {
@@ -251,7 +251,7 @@
 }
 
 // allInMode reports whether all gateways are in a mode.
-func (x *testTree) allInMode(m ruleset.Mode) bool {
+func (x *testTree) allInMode(m ruleset.LeaseMode) bool {
 	for _, k := range x.gateways() {
 		if k.mode() != m {
 			return false
--- a/internal/distribution/replica.go
+++ b/internal/distribution/replica.go
@@ -51,8 +51,8 @@
 		Sender:         r.name,
 		Interest:       ruleset.Interest{Name: r.name, Around: RingRadius},
 		Step:           r.lease.Step,
-		Rules:          r.rules.Mark(),
-		Pending:        r.pending.Mark(),
+		Rules:          r.rules.ID(),
+		Pending:        r.pending.ID(),
 		RenewalOnly:    now < r.renewalOnlyUntil,
 		DiscoveryIndex: discoveryIndex,
 		ProcessID:      r.processID,
@@ -71,12 +71,12 @@
 		return lease, false, fmt.Errorf("%w: format version %d", ErrInvalidResponse, response.FormatVersion)
 	case response.Step < r.lease.Step: // a late response holds nothing new and is no base
 		r.counts.Stale++
-		return ruleset.Lease{Step: response.Step, Age: response.AgeMillis}, false, nil
+		return ruleset.Lease{Step: response.Step, AgeMillis: response.AgeMillis}, false, nil
 	case response.RetryAfterMillis > 0:
 		r.counts.Deferred++
 		r.renewalOnlyUntil = now + r.rng.Float64()*response.RetryAfterMillis // full jitter
 		return lease, false, ErrDeferred
-	case now < r.renewalOnlyUntil && response.Rules != r.rules.Mark():
+	case now < r.renewalOnlyUntil && response.Rules != r.rules.ID():
 		return lease, false, ErrDeferred
 	}
 	rules, pending, err := r.resolveStates(response)
@@ -90,18 +90,18 @@
 		return lease, false, err
 	}
 	r.countAccepted(response)
-	updated = rules.Mark() != r.rules.Mark() || pending.Mark() != r.pending.Mark()
-	next.Step, next.Settled = response.Step, response.Settled
+	updated = rules.ID() != r.rules.ID() || pending.ID() != r.pending.ID()
+	next.Step, next.TransitionComplete = response.Step, response.Settled
 	r.rules, r.pending, r.lease = rules, pending, next
-	next.Age = response.AgeMillis
+	next.AgeMillis = response.AgeMillis
 	return next, updated, nil
 }
 
 func (r *Replica) countError(err error) {
 	switch {
-	case errors.Is(err, versioned.ErrBase):
+	case errors.Is(err, versioned.ErrBaseMismatch):
 		r.counts.BaseMismatches++
-	case errors.Is(err, versioned.ErrDigest):
+	case errors.Is(err, versioned.ErrDigestMismatch):
 		r.counts.DigestMismatches++
 	default:
 		r.counts.Invalid++
@@ -112,7 +112,7 @@
 	switch delta := response.RulesDelta; {
 	case delta == nil && response.PendingDelta == nil:
 		r.counts.Renewals++
-	case delta != nil && delta.From.None():
+	case delta != nil && delta.From.IsNone():
 		r.counts.FullStates++
 	default:
 		r.counts.Deltas++
@@ -126,11 +126,11 @@
 		if rules, err = r.rules.Apply(response.RulesDelta); err != nil {
 			return nil, nil, fmt.Errorf("rules: %w", err)
 		}
-	case response.Rules == r.pending.Mark(): // the pending version has come in force
+	case response.Rules == r.pending.ID(): // the pending version has come in force
 		rules = r.pending
 	}
 	switch {
-	case response.Pending.None():
+	case response.Pending.IsNone():
 	case response.PendingDelta != nil:
 		if pending, err = rules.Apply(response.PendingDelta); err != nil {
 			return nil, nil, fmt.Errorf("pending rules: %w", err)
@@ -138,8 +138,8 @@
 	default:
 		pending = r.pending
 	}
-	if rules.Mark() != response.Rules || rules.Mark().None() || pending.Mark() != response.Pending {
-		return nil, nil, fmt.Errorf("%w: the response names %v and %v", versioned.ErrBase, response.Rules,
+	if rules.ID() != response.Rules || rules.ID().IsNone() || pending.ID() != response.Pending {
+		return nil, nil, fmt.Errorf("%w: the response names %v and %v", versioned.ErrBaseMismatch, response.Rules,
 			response.Pending)
 	}
 	return rules, pending, nil
@@ -147,20 +147,20 @@
 
 // leaseOf decodes states into a lease. What was decoded for the last lease is used again.
 func (r *Replica) leaseOf(rules, pending *versioned.State) (lease ruleset.Lease, err error) {
-	if lease = r.lease; rules.Mark() != r.rules.Mark() {
-		if lease.Version, lease.Foreign, err = decodeVersion(rules); err != nil {
+	if lease = r.lease; rules.ID() != r.rules.ID() {
+		if lease.Version, lease.UnsupportedFeature, err = decodeVersion(rules); err != nil {
 			return lease, err
 		}
 	}
 	switch {
 	case pending == nil:
-		lease.Pending, lease.Strange = nil, ""
-	case pending.Mark() != r.pending.Mark():
+		lease.Pending, lease.PendingUnsupportedFeature = nil, ""
+	case pending.ID() != r.pending.ID():
 		version, unsupported, err := decodeVersion(pending)
 		if err != nil {
 			return lease, err
 		}
-		lease.Pending, lease.Strange = &version.Rules, unsupported
+		lease.Pending, lease.PendingUnsupportedFeature = &version.Rules, unsupported
 	}
 	return lease, nil
 }
@@ -168,10 +168,10 @@
 // decodeVersion decodes a version. Of one that needs what this program does not support, the rules are left
 // empty, and what it needs is named.
 func decodeVersion(s *versioned.State) (version ruleset.Version, unsupported string, err error) {
-	version, err = ruleset.FromState(s)
+	version, err = ruleset.VersionFromState(s)
 	switch {
-	case errors.Is(err, ruleset.ErrForeign):
-		return ruleset.Version{Number: s.Mark().Number}, err.Error(), nil
+	case errors.Is(err, ruleset.ErrUnsupported):
+		return ruleset.Version{Number: s.ID().Number}, err.Error(), nil
 	case err != nil:
 		return version, "", fmt.Errorf("%w: %w", ErrInvalidResponse, err)
 	}
--- a/internal/distribution/replica_test.go
+++ b/internal/distribution/replica_test.go
@@ -32,7 +32,7 @@
 	case 2:
 		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprint("m", len(r.Members)), Host: "h"})
 	case 3:
-		r.Words = []ruleset.Word{{Worker: fmt.Sprint("w", rng.Intn(9)), Barred: true}}
+		r.WorkerOverrides = []ruleset.WorkerOverride{{Worker: fmt.Sprint("w", rng.Intn(9)), Barred: true}}
 	}
 	return r
 }
@@ -65,7 +65,7 @@
 func runReplicaWalk(t *testing.T, seed int64) ReplicaCounts {
 	t.Helper()
 	rng := rand.New(rand.NewSource(seed))
-	rules := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+	rules := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
 		Plans: []ruleset.Plan{{Name: "a"}, {Name: "b"}}}
 	for i := range 3 + rng.Intn(40) {
 		rules.Members = append(rules.Members, ruleset.Member{Name: fmt.Sprint("m", i), Host: "h"})
@@ -82,8 +82,8 @@
 		v := Snapshot{Step: uint64(len(publications) - 1), Settled: current.settled, ReadStartMillis: now,
 			DiscoveryIndex: -1}
 		var err error
-		if v.Rules, err = ruleset.Entries(current.rules); err == nil && current.pending != nil {
-			v.Pending, err = ruleset.Entries(current.pending)
+		if v.Rules, err = ruleset.VersionToState(current.rules); err == nil && current.pending != nil {
+			v.Pending, err = ruleset.VersionToState(current.pending)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -109,7 +109,7 @@
 		default:
 			current := publications[lease.Step]
 			got, want := lease.Version, replicaPortion(t, current.rules)
-			if !reflect.DeepEqual(&got, want) || lease.Settled != current.settled ||
+			if !reflect.DeepEqual(&got, want) || lease.TransitionComplete != current.settled ||
 				(lease.Pending == nil) != (current.pending == nil) {
 				t.Fatalf("seed %d: step %d is\n%+v, not\n%+v", seed, lease.Step, got, want)
 			}
@@ -204,11 +204,11 @@
 // replicaPortion gives the part of a version that the replica has.
 func replicaPortion(t *testing.T, v *ruleset.Version) *ruleset.Version {
 	t.Helper()
-	s, err := ruleset.Entries(v)
+	s, err := ruleset.VersionToState(v)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := ruleset.FromState(ruleset.Select(s, ruleset.Interest{Name: "m1", Around: RingRadius}))
+	got, err := ruleset.VersionFromState(ruleset.Select(s, ruleset.Interest{Name: "m1", Around: RingRadius}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,7 +218,8 @@
 // TestReplicaIncompatibleVersion: a version that this program does not support is named, and so is a pending
 // one; the state that was known before is still a base.
 func TestReplicaIncompatibleVersion(t *testing.T) {
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000, Plans: []ruleset.Plan{{Name: "a"}},
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
+		Plans:   []ruleset.Plan{{Name: "a"}},
 		Members: []ruleset.Member{{Name: "m1", Host: "h"}}}
 	later := r
 	later.Needs = []string{"moon"}
@@ -227,9 +228,9 @@
 	publish := func(step uint64, rules ruleset.Rules, pending *ruleset.Rules) ruleset.Lease {
 		t.Helper()
 		v := Snapshot{Step: step, ReadStartMillis: float64(step), DiscoveryIndex: -1}
-		v.Rules, _ = ruleset.Entries(&ruleset.Version{Number: step, Rules: rules})
+		v.Rules, _ = ruleset.VersionToState(&ruleset.Version{Number: step, Rules: rules})
 		if pending != nil {
-			v.Pending, _ = ruleset.Entries(&ruleset.Version{Number: step + 1, Rules: *pending})
+			v.Pending, _ = ruleset.VersionToState(&ruleset.Version{Number: step + 1, Rules: *pending})
 		}
 		source.Publish(v)
 		request := replica.NewRequest(float64(step), 0, -1)
@@ -245,14 +246,15 @@
 		return lease
 	}
 	publish(1, r, nil)
-	if lease := publish(2, r, &later); lease.Strange == "" || lease.Foreign != "" || lease.Pending == nil {
+	if lease := publish(2, r, &later); lease.PendingUnsupportedFeature == "" || lease.UnsupportedFeature != "" ||
+		lease.Pending == nil {
 		t.Errorf("%+v", lease)
 	}
-	if lease := publish(3, later, nil); lease.Foreign == "" || lease.Version.Number != 3 ||
+	if lease := publish(3, later, nil); lease.UnsupportedFeature == "" || lease.Version.Number != 3 ||
 		len(lease.Version.Rules.Plans) > 0 {
 		t.Errorf("%+v", lease)
 	}
-	if lease := publish(4, r, nil); lease.Foreign != "" || lease.Version.Number != 4 ||
+	if lease := publish(4, r, nil); lease.UnsupportedFeature != "" || lease.Version.Number != 4 ||
 		len(lease.Version.Rules.Plans) != 1 {
 		t.Errorf("%+v", lease)
 	}
@@ -260,7 +262,7 @@
 		t.Errorf("%+v", c)
 	}
 	if _, _, err := replica.HandleResponse(&Response{FormatVersion: FormatVersion, Step: 5}, 9); !errors.Is(err,
-		versioned.ErrBase) {
+		versioned.ErrBaseMismatch) {
 		t.Errorf("a response without rules: %v", err)
 	}
 }
--- a/internal/distribution/response.go
+++ b/internal/distribution/response.go
@@ -81,7 +81,7 @@
 			f.snapshot.Settled, f.updated = true, true
 		}
 		return true
-	case f.contradictsSnapshot(r), r.Rules.None(), !r.Pending.None() && r.Pending.Number != r.Rules.Number+1:
+	case f.contradictsSnapshot(r), r.Rules.IsNone(), !r.Pending.IsNone() && r.Pending.Number != r.Rules.Number+1:
 		f.counts.Invalid++
 		return false
 	}
@@ -118,18 +118,18 @@
 // version.
 func (f *Follower) contradictsSnapshot(r *Response) bool {
 	return f.hasSnapshot && (r.Step == f.snapshot.Step && !f.namesCurrentStates(r) ||
-		r.Rules.Number < f.snapshot.Rules.Mark().Number)
+		r.Rules.Number < f.snapshot.Rules.ID().Number)
 }
 
 // namesCurrentStates reports whether a response names the states of the snapshot.
 func (f *Follower) namesCurrentStates(r *Response) bool {
-	return r.Rules == f.snapshot.Rules.Mark() && r.Pending == f.snapshot.Pending.Mark()
+	return r.Rules == f.snapshot.Rules.ID() && r.Pending == f.snapshot.Pending.ID()
 }
 
 // leaseOf gives the lease of rules that a response names, which may be longer than the present one.
 func (f *Follower) leaseOf(rules *versioned.State) float64 {
-	if !f.hasSnapshot || rules.Mark() != f.snapshot.Rules.Mark() {
-		if lease := ruleset.LeaseOf(rules); lease > 0 {
+	if !f.hasSnapshot || rules.ID() != f.snapshot.Rules.ID() {
+		if lease := ruleset.StateLeaseMillis(rules); lease > 0 {
 			return lease
 		}
 	}
@@ -170,7 +170,7 @@
 	if rules, sound = f.resolveRules(r, renewalOnly); rules == nil {
 		return nil, nil, sound
 	}
-	if r.Pending.None() {
+	if r.Pending.IsNone() {
 		return rules, nil, true
 	}
 	if pending = f.base(r.Pending); pending != nil {
@@ -211,23 +211,23 @@
 // applyDelta gives the state with a mark that a delta makes of a base. Where it can't, it counts the reason,
 // and has the next request ask for a full state. A delta against a state that is no base any more is sound:
 // it may have been asked for before.
-func (f *Follower) applyDelta(base *versioned.State, delta *versioned.Delta, want versioned.Mark) (
+func (f *Follower) applyDelta(base *versioned.State, delta *versioned.Delta, want versioned.VersionID) (
 	state *versioned.State, sound bool) {
-	if delta.To != want || len(delta.Set)+len(delta.Drop) > maxEntries || delta.Bytes() > maxStateBytes {
+	if delta.To != want || len(delta.Set)+len(delta.Delete) > maxEntries || delta.Bytes() > maxStateBytes {
 		f.counts.Invalid++
 		f.needFullState = true
 		return nil, false
 	}
 	state, err := base.Apply(delta)
 	switch {
-	case errors.Is(err, versioned.ErrBase):
+	case errors.Is(err, versioned.ErrBaseMismatch):
 		f.counts.BaseMismatches++
 		sound = true
 	case err != nil:
 		f.counts.DigestMismatches++
 	case state.Bytes() > maxStateBytes || state.Len() > maxEntries:
 		f.counts.Invalid++
-	case delta.From.None():
+	case delta.From.IsNone():
 		f.counts.FullStates++
 		return state, true
 	default:
--- a/internal/distribution/simulation_test.go
+++ b/internal/distribution/simulation_test.go
@@ -62,22 +62,22 @@
 	source                 *Source
 	step                   uint64 // highest of this incarnation
 	version                uint64
-	checkedRules           versioned.Mark
+	checkedRules           versioned.VersionID
 	knownHostSteps         map[string]uint64 // by its source, at the last check
 	diskRules, diskPending *versioned.State
 	diskSnapshot           Snapshot // of the disk's states; none may act on it
 	reportedStep           uint64   // highest that any incarnation has reported for the host
-	council                *ruleset.Council
-	steward                *ruleset.Steward
+	council                *ruleset.StateMachine
+	steward                *ruleset.HostAgent
 	applied                int
-	warden                 *ruleset.Warden
+	warden                 *ruleset.LeaseGrantor
 	submittedAt            float64
 	gateways               []*node // of a host's daemon
 	daemon                 *node   // of a gateway
-	holder                 *ruleset.Holder
+	holder                 *ruleset.LeaseHolder
 	permits                []permit
 	processID              int
-	checkedPair            [2]versioned.Mark
+	checkedPair            [2]versioned.VersionID
 	replica                *Replica  // in place of a follower's snapshot
 	previousResponse       *Response // may be delivered again in place of another
 	decoded                [2]*ruleset.Rules
@@ -101,7 +101,7 @@
 
 // published is what the raft group has at a step.
 type published struct {
-	rules, pending versioned.Mark
+	rules, pending versioned.VersionID
 	states         [2]*versioned.State
 	endedAt        float64 // when the next step came; true time
 }
@@ -114,8 +114,8 @@
 type walk struct {
 	rng        *rand.Rand
 	now        float64
-	log        []ruleset.Entry
-	reference  *ruleset.Council
+	log        []ruleset.LogEntry
+	reference  *ruleset.StateMachine
 	nodes      []*node // from the raft group downwards
 	roots      []*node
 	gateways   []*node
@@ -129,7 +129,7 @@
 	calm       bool
 	counts     map[string]int
 	violation  string
-	versions   map[versioned.Mark]*ruleset.Rules
+	versions   map[versioned.VersionID]*ruleset.Rules
 	processes  int
 	nonces     uint64
 	replicas   bool // gateways have a Replica, as in production
@@ -178,7 +178,7 @@
 func (w *walk) state(v *ruleset.Version) *versioned.State {
 	key := fmt.Sprintf("%d %+v", v.Number, v.Rules)
 	if w.states[key] == nil {
-		s, err := ruleset.Entries(v)
+		s, err := ruleset.VersionToState(v)
 		if err != nil {
 			panic(err)
 		}
@@ -195,7 +195,7 @@
 	return w.state(&st.Pending.Version)
 }
 
-func (w *walk) commit(e ruleset.Entry) {
+func (w *walk) commit(e ruleset.LogEntry) {
 	if w.leaderFrom > w.now {
 		return
 	}
@@ -203,14 +203,14 @@
 	old, stepBefore := st.InForce, st.Step
 	outcome := w.reference.Apply(e)
 	w.log = append(w.log, e)
-	if outcome.Refused != "" {
+	if outcome.Rejection != "" {
 		w.counts["rejected"]++
 	}
-	if outcome.Waits != "" {
+	if outcome.PendingReason != "" {
 		w.counts["pending"]++
 	}
-	if e.Act == ruleset.SeenAll && outcome.Refused == "" {
-		w.counts["host steps"] += len(e.Hosts)
+	if e.Type == ruleset.EntryAckBatch && outcome.Rejection == "" {
+		w.counts["host steps"] += len(e.Acks)
 	}
 	if st = w.reference.State(); st.Step != stepBefore {
 		for s := stepBefore; s < st.Step; s++ {
@@ -220,12 +220,13 @@
 		}
 		step := &published{endedAt: math.Inf(1)}
 		step.states = [2]*versioned.State{w.state(&st.InForce), w.pending(st)}
-		step.rules, step.pending = step.states[0].Mark(), step.states[1].Mark()
+		step.rules, step.pending = step.states[0].ID(), step.states[1].ID()
 		w.steps[st.Step] = step
 	}
-	if outcome.InForce > 0 {
+	if outcome.Activated > 0 {
 		w.counts["in force"]++
-		w.superseded = append(w.superseded, supersededVersion{w.now, w.ceiling, ruleset.Bound(&old.Rules),
+		w.superseded = append(w.superseded, supersededVersion{w.now, w.ceiling,
+			ruleset.ConflictBoundMillis(&old.Rules),
 			old.Number})
 		w.ceiling = st.InForce.Rules.Plans[0].CeilingRate
 	}
@@ -233,10 +234,11 @@
 
 func (w *walk) randomRules() *ruleset.Rules {
 	ceiling := []float64{12, 24, 48, 96, 192}[w.rng.Intn(5)]
-	r := &ruleset.Rules{Form: ruleset.Form, Bound: ruleset.MostBound, Lease: 600 + w.rng.Float64()*1000,
-		Fallback: ruleset.Fallback{Part: w.rng.Float64(), For: w.rng.Float64() * 3000},
+	r := &ruleset.Rules{Format: ruleset.SupportedFormat, ConflictBoundMillis: ruleset.DefaultConflictBoundMillis,
+		LeaseMillis: 600 + w.rng.Float64()*1000,
+		Fallback:    ruleset.Fallback{Fraction: w.rng.Float64(), DurationMillis: w.rng.Float64() * 3000},
 		Plans: []ruleset.Plan{{Name: "p", Rate: ceiling, Burst: 1, CeilingRate: ceiling, CeilingDepth: ceiling,
-			Credit: 1, Repay: 2000}}}
+			CreditSeconds: 1, RepayMillis: 2000}}}
 	members := []string{"abcd", "abc", "ab.d", "a", "ab", ".bc"}
 	for _, m := range strings.Split(members[w.rng.Intn(len(members))], "") {
 		if m == "." {
@@ -246,7 +248,8 @@
 		}
 	}
 	for i := range w.rng.Intn(3) {
-		r.Words = append(r.Words, ruleset.Word{Worker: fmt.Sprint("w", i), Barred: true})
+		r.WorkerOverrides = append(r.WorkerOverrides, ruleset.WorkerOverride{Worker: fmt.Sprint("w", i),
+			Barred: true})
 	}
 	return r
 }
@@ -267,7 +270,7 @@
 		return n
 	}
 	for i := range 2 {
-		w.roots = append(w.roots, add(&node{name: fmt.Sprint("root", i), council: ruleset.NewCouncil()}))
+		w.roots = append(w.roots, add(&node{name: fmt.Sprint("root", i), council: ruleset.NewStateMachine()}))
 	}
 	branches, around := [2][]*node{w.roots, w.roots}, 1
 	if w.replicas {
@@ -313,33 +316,33 @@
 func (w *walk) start(n *node, diskState int) {
 	n.incarnation++
 	n.startedAt, n.stalledUntil, n.step, n.version, n.checkedRules, n.knownHostSteps = w.now, 0, 0, 0,
-		versioned.Mark{}, nil
-	n.checkedPair, n.decoded = [2]versioned.Mark{}, [2]*ruleset.Rules{}
+		versioned.VersionID{}, nil
+	n.checkedPair, n.decoded = [2]versioned.VersionID{}, [2]*ruleset.Rules{}
 	switch {
 	case n.council != nil: // a voter restarts with a snapshot, or with nothing
 		raw, err := n.council.Snapshot()
-		if n.council = ruleset.NewCouncil(); err != nil || n.council.Restore(raw) != nil {
+		if n.council = ruleset.NewStateMachine(); err != nil || n.council.Restore(raw) != nil {
 			panic("snapshot")
 		}
 		if diskState > 0 {
-			n.council, n.applied = ruleset.NewCouncil(), 0
+			n.council, n.applied = ruleset.NewStateMachine(), 0
 		}
-		n.steward = ruleset.NewSteward(n.name, n.council)
-		n.steward.Often(true)
-		n.steward.Clock(n.clock(w.now))
-		n.steward.Applied()
+		n.steward = ruleset.NewHostAgent(n.name, n.council)
+		n.steward.SetFrequentReads(true)
+		n.steward.SetTime(n.clock(w.now))
+		n.steward.EntriesApplied()
 	case n.daemon != nil:
-		n.daemon.warden.Ended(n.processID)
+		n.daemon.warden.ProcessExited(n.processID)
 		w.processes++
 		n.processID = w.processes
-		n.daemon.warden.Began(n.processID, false)
-		n.holder, n.permits = ruleset.NewHolder(n.name, ruleset.Rules{}), nil
+		n.daemon.warden.ProcessStarted(n.processID, false)
+		n.holder, n.permits = ruleset.NewLeaseHolder(n.name, ruleset.Rules{}), nil
 	}
 	if n.gateways != nil {
-		n.warden = &ruleset.Warden{}
+		n.warden = &ruleset.LeaseGrantor{}
 		for _, g := range n.gateways {
 			if g.processID > 0 {
-				n.warden.Began(g.processID, true)
+				n.warden.ProcessStarted(g.processID, true)
 			}
 		}
 	}
@@ -371,7 +374,7 @@
 	}
 	if w.fault == checkpointTrusted && n.diskRules != nil && n.daemon == nil {
 		n.follower.hasSnapshot, n.follower.snapshot = true, n.diskSnapshot
-		n.follower.lease = ruleset.LeaseOf(n.diskRules)
+		n.follower.lease = ruleset.StateLeaseMillis(n.diskRules)
 	}
 }
 
@@ -397,10 +400,11 @@
 			continue
 		}
 		// A process may stall between its check and its write: what May allows is a permit.
-		if t := n.holder.Current(); n.holder.May(n.clock(w.now)) && len(t.Plans) > 0 {
-			permit := permit{at: w.now, rate: t.Plans[0].Part.Rate, credit: t.Plans[0].Part.Credit, step: n.step,
-				bare: t.Mode == ruleset.Bare}
-			if t.Mode == ruleset.Leased {
+		if t := n.holder.Effective(); n.holder.MayAct(n.clock(w.now)) && len(t.Plans) > 0 {
+			permit := permit{at: w.now, rate: t.Plans[0].Allowance.Rate, credit: t.Plans[0].Allowance.Credit,
+				step: n.step,
+				bare: t.Mode == ruleset.ModeNoLease}
+			if t.Mode == ruleset.ModeLeased {
 				permit.version = t.Version
 				n.leasedTurns++
 			}
@@ -418,9 +422,9 @@
 		return
 	}
 	if n.replica != nil {
-		n.holder.Clock(n.clock(w.now))
-		for action, more := n.holder.Next(); more; action, more = n.holder.Next() {
-			if action.Kind == ruleset.Ask {
+		n.holder.SetTime(n.clock(w.now))
+		for action, more := n.holder.NextAction(); more; action, more = n.holder.NextAction() {
+			if action.Kind == ruleset.ActionRequestLease {
 				w.sendReplicaRequest(n)
 			}
 		}
@@ -456,7 +460,7 @@
 
 // reportSeen has a host's daemon report the step that all of its processes act on, and checks it.
 func (w *walk) reportSeen(daemon *node) {
-	seen := daemon.warden.Seen(daemon.step)
+	seen := daemon.warden.AckedStep(daemon.step)
 	if seen == 0 {
 		return
 	}
@@ -487,17 +491,17 @@
 	for n.applied < len(w.log) && w.rng.Intn(3) > 0 {
 		w.applyEntry(n)
 	}
-	n.steward.Clock(n.clock(w.now))
-	n.steward.Leads(w.rng.Intn(2) == 0)
+	n.steward.SetTime(n.clock(w.now))
+	n.steward.SetLeader(w.rng.Intn(2) == 0)
 	for {
-		action, more := n.steward.Next()
+		action, more := n.steward.NextAction()
 		if !more {
 			break
 		}
 		switch action.Kind {
-		case ruleset.Submit:
+		case ruleset.ActionSubmit:
 			w.deliver(nil, func() { w.commit(action.Entry) })
-		case ruleset.Read:
+		case ruleset.ActionReadState:
 			readStart, index := n.clock(w.now), len(w.log)
 			w.deliver(n, func() {
 				if w.leaderFrom > w.now {
@@ -506,19 +510,19 @@
 				for n.applied < index {
 					w.applyEntry(n)
 				}
-				n.steward.Clock(n.clock(w.now))
-				n.steward.ReadDone(readStart)
+				n.steward.SetTime(n.clock(w.now))
+				n.steward.ReadConfirmed(readStart)
 				if st := n.council.State(); st.InForce.Number > 0 {
-					n.source.Publish(Snapshot{Step: st.Step, Settled: st.Settled(), ReadStartMillis: readStart,
+					n.source.Publish(Snapshot{Step: st.Step, Settled: st.TransitionComplete(), ReadStartMillis: readStart,
 						Rules: w.state(&st.InForce), Pending: w.pending(st), DiscoveryIndex: -1})
 				}
 			})
 		}
 	}
 	if w.now-n.submittedAt >= 300 {
-		if facts := n.council.State().Gains(n.source.HostSteps()); len(facts) > 0 {
+		if facts := n.council.State().UsefulAcks(n.source.HostSteps()); len(facts) > 0 {
 			n.submittedAt = w.now
-			w.deliver(nil, func() { w.commit(ruleset.Entry{Act: ruleset.SeenAll, Hosts: facts}) })
+			w.deliver(nil, func() { w.commit(ruleset.LogEntry{Type: ruleset.EntryAckBatch, Acks: facts}) })
 		}
 	}
 }
@@ -526,8 +530,8 @@
 func (w *walk) applyEntry(n *node) {
 	n.council.Apply(w.log[n.applied])
 	n.applied++
-	n.steward.Clock(n.clock(w.now))
-	n.steward.Applied()
+	n.steward.SetTime(n.clock(w.now))
+	n.steward.EntriesApplied()
 }
 
 // sendFollowerRequest sends a follower's request, and the response back.
@@ -553,7 +557,7 @@
 // sendReplicaRequest sends the request of a gateway with a Replica, as its holder wants it, and gives the
 // holder what came.
 func (w *walk) sendReplicaRequest(n *node) {
-	sentAt, request := n.clock(w.now), n.replica.NewRequest(n.clock(w.now), n.holder.Holds(), -1)
+	sentAt, request := n.clock(w.now), n.replica.NewRequest(n.clock(w.now), n.holder.AckedStep(), -1)
 	w.nonces++
 	request.Cluster, request.Nonce = "c", w.nonces
 	w.send(n, n.daemon, request, func(response *Response) {
@@ -566,12 +570,13 @@
 		case response.Nonce != request.Nonce && w.fault != nonceUnchecked: // as relay.Client has it
 			return
 		}
-		n.holder.Clock(n.clock(w.now))
+		n.holder.SetTime(n.clock(w.now))
 		if lease, _, err := n.replica.HandleResponse(response, n.clock(w.now)); err == nil &&
 			lease.Version.Number > 0 {
-			w.checkSnapshot(n, &Snapshot{Step: lease.Step, ReadStartMillis: sentAt - lease.Age, Rules: n.replica.rules,
+			w.checkSnapshot(n, &Snapshot{Step: lease.Step, ReadStartMillis: sentAt - lease.AgeMillis,
+				Rules:   n.replica.rules,
 				Pending: n.replica.pending})
-			n.holder.Heard(lease, sentAt)
+			n.holder.ReceiveLease(lease, sentAt)
 		}
 		w.runNode(n)
 	})
@@ -586,8 +591,8 @@
 			if n.incarnation != incarnation { // a daemon knows which of its processes have exited
 				return
 			}
-			if upstream.warden.Asked(request.ProcessID, request.HeldStep); upstream.step > 0 {
-				upstream.warden.Given(request.ProcessID)
+			if upstream.warden.RecordRequest(request.ProcessID, request.HeldStep); upstream.step > 0 {
+				upstream.warden.RecordGrant(request.ProcessID)
 			}
 		}
 		response, err := upstream.source.Respond(request, upstream.clock(w.now))
@@ -626,12 +631,12 @@
 		i := w.rng.Intn(len(delta.Set))
 		delta.Set = slices.Delete(delta.Set, i, i+1)
 	} else {
-		delta.Drop = append(slices.Clone(delta.Drop), "rules")
+		delta.Delete = append(slices.Clone(delta.Delete), "rules")
 	}
 	// the marks are made to fit, as if unchecked
 	if w.counts["corrupted"]++; w.fault == digestUnchecked {
-		if delta.From.None() {
-			delta.To = versioned.New(delta.To.Number, delta.Set).Mark()
+		if delta.From.IsNone() {
+			delta.To = versioned.New(delta.To.Number, delta.Set).ID()
 			corrupted.Rules = delta.To
 		}
 	}
@@ -673,10 +678,10 @@
 
 // checkSnapshot checks a snapshot that a node acts on.
 func (w *walk) checkSnapshot(n *node, snapshot *Snapshot) {
-	if snapshot.Step < n.step || snapshot.Rules.Mark().Number < n.version {
+	if snapshot.Step < n.step || snapshot.Rules.ID().Number < n.version {
 		w.fail("%s went from step %d back to %d", n.name, n.step, snapshot.Step)
 	}
-	n.step, n.version = snapshot.Step, snapshot.Rules.Mark().Number
+	n.step, n.version = snapshot.Step, snapshot.Rules.ID().Number
 	published := w.steps[snapshot.Step]
 	if published == nil {
 		w.fail("%s has step %d, which never was", n.name, snapshot.Step)
@@ -688,20 +693,20 @@
 	} else if readStart < n.startedAt-clockSlackMillis && n.daemon == nil {
 		w.fail("%s started at %.1f and acts on what was read at %.1f", n.name, n.startedAt, readStart)
 	}
-	if n.checkedRules == snapshot.Rules.Mark() && n.checkedPair == [2]versioned.Mark{snapshot.Rules.Mark(),
-		snapshot.Pending.Mark()} {
+	if n.checkedRules == snapshot.Rules.ID() && n.checkedPair == [2]versioned.VersionID{snapshot.Rules.ID(),
+		snapshot.Pending.ID()} {
 		return
 	}
-	n.checkedRules, n.checkedPair = snapshot.Rules.Mark(), [2]versioned.Mark{snapshot.Rules.Mark(),
-		snapshot.Pending.Mark()}
+	n.checkedRules, n.checkedPair = snapshot.Rules.ID(), [2]versioned.VersionID{snapshot.Rules.ID(),
+		snapshot.Pending.ID()}
 	for i, got := range []*versioned.State{snapshot.Rules, snapshot.Pending} {
 		want := published.states[i]
 		if want != nil {
 			want = ruleset.Select(want, n.interest)
 		}
-		if got.Mark() != want.Mark() || got != nil && versioned.New(got.Mark().Number,
-			versioned.Whole(got).Set).Mark() != want.Mark() {
-			w.fail("%s has %v at step %d, where there is %v", n.name, got.Mark(), snapshot.Step, want.Mark())
+		if got.ID() != want.ID() || got != nil && versioned.New(got.ID().Number,
+			versioned.FullDelta(got).Set).ID() != want.ID() {
+			w.fail("%s has %v at step %d, where there is %v", n.name, got.ID(), snapshot.Step, want.ID())
 		}
 	}
 	if n.daemon == nil && w.rng.Intn(4) > 0 { // with probability 1/4 the checkpoint was not written
@@ -712,19 +717,19 @@
 // runHolder has a gateway's holder decide; false: it now holds a step that its follower has
 // to be given.
 func (w *walk) runHolder(n *node) bool {
-	heldBefore := n.holder.Holds()
-	n.holder.Clock(n.clock(w.now))
+	heldBefore := n.holder.AckedStep()
+	n.holder.SetTime(n.clock(w.now))
 	w.feedHolder(n)
 	for {
-		d, more := n.holder.Next()
+		d, more := n.holder.NextAction()
 		if !more {
 			break
 		}
-		if d.Kind == ruleset.Ask {
+		if d.Kind == ruleset.ActionRequestLease {
 			w.feedHolder(n)
 		}
 	}
-	heldStep := n.holder.Holds()
+	heldStep := n.holder.AckedStep()
 	n.follower.SetHeldStep(n.processID, heldStep)
 	return heldStep == heldBefore
 }
@@ -735,28 +740,28 @@
 	if !ok {
 		return
 	}
-	lease := ruleset.Lease{Step: snapshot.Step, Settled: snapshot.Settled,
-		Age: snapshot.AgeMillis(n.clock(w.now))}
+	lease := ruleset.Lease{Step: snapshot.Step, TransitionComplete: snapshot.Settled,
+		AgeMillis: snapshot.AgeMillis(n.clock(w.now))}
 	for i, s := range []*versioned.State{snapshot.Rules, snapshot.Pending} {
 		if s == nil {
 			n.decoded[i] = nil
 			continue
 		}
-		r := w.versions[s.Mark()]
+		r := w.versions[s.ID()]
 		if r == nil {
-			x, err := ruleset.FromState(s)
+			x, err := ruleset.VersionFromState(s)
 			if err != nil {
 				w.fail("%s: %v", n.name, err)
 				return
 			}
 			r = &x.Rules
-			w.versions[s.Mark()] = r
+			w.versions[s.ID()] = r
 		}
 		n.decoded[i] = r
 	}
-	lease.Version, lease.Pending = ruleset.Version{Number: snapshot.Rules.Mark().Number, Rules: *n.decoded[0]},
+	lease.Version, lease.Pending = ruleset.Version{Number: snapshot.Rules.ID().Number, Rules: *n.decoded[0]},
 		n.decoded[1]
-	n.holder.Heard(lease, n.clock(w.now))
+	n.holder.ReceiveLease(lease, n.clock(w.now))
 }
 
 // injectDisturbance injects a change, a stall, a restart or the loss of a leader, at random.
@@ -765,10 +770,10 @@
 	base := w.reference.State().InForce.Number
 	switch w.rng.Intn(16) {
 	case 0, 1, 2, 3, 4, 5:
-		w.commit(ruleset.Entry{Act: ruleset.Propose, ID: fmt.Sprint(len(w.log)), Base: base,
+		w.commit(ruleset.LogEntry{Type: ruleset.EntryPropose, ID: fmt.Sprint(len(w.log)), Base: base,
 			Rules: w.randomRules()})
 	case 6:
-		w.commit(ruleset.Entry{Act: ruleset.Withdraw, ID: fmt.Sprint(len(w.log)), Base: base})
+		w.commit(ruleset.LogEntry{Type: ruleset.EntryWithdraw, ID: fmt.Sprint(len(w.log)), Base: base})
 	case 7, 8, 9, 10:
 		n.stalledUntil = w.now + w.rng.Float64()*4000
 		w.counts["stalls"]++
@@ -834,12 +839,13 @@
 // runWalk walks for a time, and then ten seconds without disturbances. It gives what is violated, and counts
 // of what happened.
 func runWalk(seed int64, end float64, fault injectedFault) (string, map[string]int) {
-	w := &walk{rng: rand.New(rand.NewSource(seed)), reference: ruleset.NewCouncil(), counts: map[string]int{},
-		fault: fault, steps: map[uint64]*published{}, states: map[string]*versioned.State{},
-		versions: map[versioned.Mark]*ruleset.Rules{}}
+	w := &walk{rng: rand.New(rand.NewSource(seed)), reference: ruleset.NewStateMachine(),
+		counts: map[string]int{},
+		fault:  fault, steps: map[uint64]*published{}, states: map[string]*versioned.State{},
+		versions: map[versioned.VersionID]*ruleset.Rules{}}
 	w.replicas = seed/8%3 > 0
 	w.build(1+int(seed)%4, seed/4%2 == 0)
-	w.commit(ruleset.Entry{Act: ruleset.Propose, ID: "first", Rules: w.randomRules()})
+	w.commit(ruleset.LogEntry{Type: ruleset.EntryPropose, ID: "first", Rules: w.randomRules()})
 	for next := 1000.0; w.now < end && w.violation == ""; w.now += w.rng.ExpFloat64() * 15 {
 		w.deliverDue()
 		if w.now > next {
@@ -860,10 +866,10 @@
 	}
 	if st := w.reference.State(); w.violation == "" {
 		if st.Pending != nil {
-			w.fail("ten seconds without disturbances, and a version is pending: %s", st.Waits())
+			w.fail("ten seconds without disturbances, and a version is pending: %s", st.PendingReason())
 		}
 		for _, g := range w.gateways {
-			if t := g.holder.Current(); t.Mode != ruleset.Leased || t.Version != st.InForce.Number {
+			if t := g.holder.Effective(); t.Mode != ruleset.ModeLeased || t.Version != st.InForce.Number {
 				w.fail("ten seconds without disturbances, and %s is %v by version %d of %d: %+v", g.name, t.Mode,
 					t.Version,
 					st.InForce.Number, g.follower.Counts())
@@ -935,7 +941,7 @@
 // 24, and beside the other's 12 that is more than 24.
 func TestReadBeforeStart(t *testing.T) {
 	r := testRules(2, 96)
-	r.Fallback.For = 5000
+	r.Fallback.DurationMillis = 5000
 	v1 := testState(t, 1, r)
 	for tracked, wantRate := range map[bool]float64{false: 0, true: 24} {
 		source := NewSource("lags", "c", SourceConfig{})
@@ -943,24 +949,25 @@
 		f := NewFollower(FollowerConfig{Name: "g0", Cluster: "c", Upstreams: 1,
 			Interest:              ruleset.Interest{Name: "g0"},
 			UpstreamTracksProcess: tracked}, 1000)
-		holder := ruleset.NewHolder("g0", ruleset.Rules{Plans: r.Plans})
+		holder := ruleset.NewLeaseHolder("g0", ruleset.Rules{Plans: r.Plans})
 		for now := 1000.0; now <= 2300; now += 10 {
 			if now < 1300 {
 				exchange(t, f, now, source)
 			}
-			holder.Clock(now)
+			holder.SetTime(now)
 			if v, ok := f.Snapshot(); ok {
-				x, err := ruleset.FromState(v.Rules)
+				x, err := ruleset.VersionFromState(v.Rules)
 				if err != nil {
 					t.Fatal(err)
 				}
-				holder.Heard(ruleset.Lease{Step: v.Step, Version: x, Settled: v.Settled, Age: v.AgeMillis(now)}, now)
+				holder.ReceiveLease(ruleset.Lease{Step: v.Step, Version: x, TransitionComplete: v.Settled,
+					AgeMillis: v.AgeMillis(now)}, now)
 			}
-			for _, more := holder.Next(); more; _, more = holder.Next() {
+			for _, more := holder.NextAction(); more; _, more = holder.NextAction() {
 			}
 		}
-		if got := holder.Current().Plans[0].Part.Rate; !holder.May(2300) || got != wantRate {
-			t.Errorf("tracked %v: %v passes under a ceiling of 24, beside 12: %+v", tracked, got, holder.Current())
+		if got := holder.Effective().Plans[0].Allowance.Rate; !holder.MayAct(2300) || got != wantRate {
+			t.Errorf("tracked %v: %v passes under a ceiling of 24, beside 12: %+v", tracked, got, holder.Effective())
 		}
 		if n := f.Counts().BeforeStart; (n == 0) != tracked {
 			t.Errorf("tracked %v: %d read before the start", tracked, n)
@@ -982,9 +989,9 @@
 // acts on a change within a lease, and no follower switches its upstream.
 func TestTimeToActivation(t *testing.T) {
 	for depth := 1; depth <= 4; depth++ {
-		w := &walk{rng: rand.New(rand.NewSource(int64(depth))), reference: ruleset.NewCouncil(), calm: true,
+		w := &walk{rng: rand.New(rand.NewSource(int64(depth))), reference: ruleset.NewStateMachine(), calm: true,
 			counts: map[string]int{}, steps: map[uint64]*published{}, states: map[string]*versioned.State{},
-			versions: map[versioned.Mark]*ruleset.Rules{}}
+			versions: map[versioned.VersionID]*ruleset.Rules{}}
 		w.build(depth, true)
 		var delays, ages []float64
 		before := int64(0)
@@ -993,10 +1000,11 @@
 			w.deliverDue()
 			if w.now >= next {
 				r := w.randomRules()
-				r.Lease, r.Fallback.Part = 1000, 0.1
+				r.LeaseMillis, r.Fallback.Fraction = 1000, 0.1
 				r.Members = []ruleset.Member{{Name: "a", Host: "h0"}, {Name: "b", Host: "h0"}, {Name: "c", Host: "h1"},
 					{Name: "d", Host: "h1"}}
-				w.commit(ruleset.Entry{Act: ruleset.Propose, ID: fmt.Sprint(i), Base: w.reference.State().InForce.Number,
+				w.commit(ruleset.LogEntry{Type: ruleset.EntryPropose, ID: fmt.Sprint(i),
+					Base:  w.reference.State().InForce.Number,
 					Rules: r})
 				i++
 				next, proposedAt = w.now+2000+w.rng.Float64()*100, w.now
@@ -1011,7 +1019,8 @@
 				if v, ok := g.follower.Snapshot(); ok && w.now > 8000 {
 					ages = append(ages, v.AgeMillis(g.clock(w.now)))
 				}
-				if c := g.holder.Current(); c.Version != w.reference.State().InForce.Number || c.Mode != ruleset.Leased {
+				if c := g.holder.Effective(); c.Version != w.reference.State().InForce.Number ||
+					c.Mode != ruleset.ModeLeased {
 					activeEverywhere = false
 				}
 			}
--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -50,8 +50,8 @@
 		next.Step == s.snapshot.Step && next.ReadStartMillis < s.snapshot.ReadStartMillis) {
 		return
 	}
-	if !s.hasSnapshot || next.Rules.Mark() != s.snapshot.Rules.Mark() ||
-		next.Pending.Mark() != s.snapshot.Pending.Mark() {
+	if !s.hasSnapshot || next.Rules.ID() != s.snapshot.Rules.ID() ||
+		next.Pending.ID() != s.snapshot.Pending.ID() {
 		s.versions.replace(next.Rules, next.Pending)
 	}
 	if s.hasSnapshot {
@@ -87,7 +87,7 @@
 	r.AgeMillis = math.Max(now-s.snapshot.ReadStartMillis, 0)
 	r.DiscoveryIndex = max(s.snapshot.DiscoveryIndex, s.HighestDiscoveryIndex(now))
 	r.Rules, r.Pending = selected.rules.Mark(), selected.pending.Mark()
-	if r.Rules == request.Rules && (r.Pending.None() || r.Pending == request.Pending) || request.RenewalOnly {
+	if r.Rules == request.Rules && (r.Pending.IsNone() || r.Pending == request.Pending) || request.RenewalOnly {
 		s.counts.Renewals++
 		return r, nil
 	}
--- a/internal/distribution/versions.go
+++ b/internal/distribution/versions.go
@@ -14,24 +14,24 @@
 // retainedVersion is a state that deltas can be made from.
 type retainedVersion struct {
 	state        *versioned.State
-	portionIndex *ruleset.Index // finds portions of the state; nil: not built
+	portionIndex *ruleset.StateIndex // finds portions of the state; nil: not built
 }
 
-func (v *retainedVersion) portion(interest ruleset.Interest) *ruleset.Portion {
+func (v *retainedVersion) portion(interest ruleset.Interest) *ruleset.StateSubset {
 	if v.portionIndex == nil {
-		v.portionIndex = ruleset.NewIndex(v.state)
+		v.portionIndex = ruleset.NewStateIndex(v.state)
 	}
-	return v.portionIndex.Portion(interest)
+	return v.portionIndex.Subset(interest)
 }
 
 // selection is the part of a snapshot that one interest needs.
 type selection struct {
-	rules, pending *ruleset.Portion
+	rules, pending *ruleset.StateSubset
 	pendingDelta   *versioned.Delta // of pending against rules
 }
 
 // markPair names a delta.
-type markPair struct{ from, to versioned.Mark }
+type markPair struct{ from, to versioned.VersionID }
 
 // versionCache holds the states of the current snapshot and of earlier ones, with the selections and deltas
 // that were made of them. It is owned by one Source.
@@ -70,7 +70,7 @@
 		return
 	}
 	version := &retainedVersion{state: state}
-	hasMark := func(v *retainedVersion) bool { return v.state.Mark() == state.Mark() }
+	hasMark := func(v *retainedVersion) bool { return v.state.ID() == state.ID() }
 	if i := slices.IndexFunc(c.versions, hasMark); i >= 0 {
 		version = c.versions[i]
 		c.versions = slices.Delete(c.versions, i, i+1)
@@ -85,9 +85,9 @@
 }
 
 // retained gives the version with a mark; nil where it is not retained.
-func (c *versionCache) retained(mark versioned.Mark) *retainedVersion {
+func (c *versionCache) retained(mark versioned.VersionID) *retainedVersion {
 	for _, v := range c.versions {
-		if v.state.Mark() == mark {
+		if v.state.ID() == mark {
 			return v
 		}
 	}
@@ -99,9 +99,9 @@
 	if cached := c.selections[interest]; cached != nil {
 		return cached
 	}
-	s := &selection{rules: c.retained(c.rules.Mark()).portion(interest)}
+	s := &selection{rules: c.retained(c.rules.ID()).portion(interest)}
 	if c.pending != nil {
-		s.pending = c.retained(c.pending.Mark()).portion(interest)
+		s.pending = c.retained(c.pending.ID()).portion(interest)
 		s.pendingDelta = c.delta(s.rules, s.pending)
 	}
 	if len(c.selections) < c.maxSelections {
@@ -111,11 +111,11 @@
 }
 
 // delta gives what makes one portion of another; from nil it is a full state.
-func (c *versionCache) delta(from, to *ruleset.Portion) *versioned.Delta {
+func (c *versionCache) delta(from, to *ruleset.StateSubset) *versioned.Delta {
 	key := markPair{from.Mark(), to.Mark()}
 	d := c.deltas[key]
 	if d == nil {
-		d = to.Since(from)
+		d = to.DeltaFrom(from)
 		if len(c.deltas) < c.maxSelections {
 			c.deltas[key] = d
 		}
@@ -125,19 +125,19 @@
 
 // basePortion gives the portion with a mark that an interest needed of a retained version; nil: there is
 // none.
-func (c *versionCache) basePortion(mark versioned.Mark, interest ruleset.Interest) *ruleset.Portion {
-	if mark.None() {
+func (c *versionCache) basePortion(mark versioned.VersionID, interest ruleset.Interest) *ruleset.StateSubset {
+	if mark.IsNone() {
 		return nil
 	}
 	if previous := c.previousSelections[interest]; previous != nil {
-		for _, portion := range []*ruleset.Portion{previous.rules, previous.pending} {
+		for _, portion := range []*ruleset.StateSubset{previous.rules, previous.pending} {
 			if portion.Mark() == mark {
 				return portion
 			}
 		}
 	}
 	for _, v := range c.versions {
-		if v.state.Mark().Number == mark.Number {
+		if v.state.ID().Number == mark.Number {
 			if portion := v.portion(interest); portion.Mark() == mark {
 				return portion
 			}
--- a/internal/lab/scale/relays.go
+++ b/internal/lab/scale/relays.go
@@ -97,7 +97,7 @@
 		}
 		text := fmt.Sprintf("name = %q\ncluster = \"scale\"\nlisten = %q\ncontrol = %q\nupstream = [%s]\n"+
 			"store = %q\nlease_ms = %g\n", r.name, r.at(relayPort), r.at(relayStatus), strings.Join(quoted, ", "),
-			filepath.Join(a.dir, r.name+".copy"), a.rules.Lease)
+			filepath.Join(a.dir, r.name+".copy"), a.rules.LeaseMillis)
 		file := r.name + ".toml"
 		if err := os.WriteFile(filepath.Join(a.dir, file), []byte(text), 0o600); err != nil {
 			return err
@@ -133,7 +133,7 @@
 	server  *http.Server
 
 	mu     sync.Mutex
-	warden ruleset.Warden
+	warden ruleset.LeaseGrantor
 	source *distribution.Source
 	view   distribution.Snapshot
 	told   uint64
@@ -157,7 +157,7 @@
 	b.trial.Number++
 	b.trial.Rules.Plans = slices.Clone(b.trial.Rules.Plans)
 	b.trial.Rules.Plans[0].Rate += float64(b.trial.Number%2)*2 - 1
-	rules, err := ruleset.Entries(b.trial)
+	rules, err := ruleset.VersionToState(b.trial)
 	if err == nil {
 		b.view = distribution.Snapshot{Step: b.trial.Number, Settled: true, Rules: rules, DiscoveryIndex: -1}
 	}
@@ -169,7 +169,7 @@
 		distribution.FollowerConfig{Name: b.c.Name, Cluster: b.cluster, Upstreams: len(b.c.Upstream),
 			LeaseMillis: 1000, Interest: ruleset.Interest{Host: b.c.Name, Around: distribution.RingRadius},
 			Seed: rand.Int63()},
-		raftlog.Clock(),
+		raftlog.BootClockMillis(),
 	)
 	if b.c.Changes {
 		if err := b.change(); err != nil {
@@ -178,7 +178,7 @@
 	}
 	b.client = relay.NewClient(b.c.Upstream, relay.RequestPath)
 	b.mu.Lock()
-	b.warden, b.told = ruleset.Warden{}, 0
+	b.warden, b.told = ruleset.LeaseGrantor{}, 0
 	if b.trial == nil {
 		b.view = distribution.Snapshot{}
 	}
@@ -241,7 +241,7 @@
 // take goes over to what the follower knows, and says up what all here go by; under the lock.
 func (b *branchHost) take() {
 	if b.trial != nil {
-		b.view.ReadStartMillis = raftlog.Clock() - trialAge
+		b.view.ReadStartMillis = raftlog.BootClockMillis() - trialAge
 		b.source.Publish(b.view)
 		return
 	}
@@ -251,7 +251,7 @@
 	}
 	b.view = v
 	b.source.Publish(v)
-	if seen := b.warden.Seen(v.Step); seen > b.told {
+	if seen := b.warden.AckedStep(v.Step); seen > b.told {
 		b.told = seen
 		b.feed.WithFollower(
 			func(f *distribution.Follower) {
@@ -266,15 +266,15 @@
 func (b *branchHost) ask(a *distribution.Request) (*distribution.Response, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := raftlog.Clock()
-	if !b.warden.Asked(a.ProcessID, a.HeldStep) {
+	now := raftlog.BootClockMillis()
+	if !b.warden.RecordRequest(a.ProcessID, a.HeldStep) {
 		return nil, errors.New("too many processes")
 	}
 	b.take()
-	if b.view.Step == 0 || !(now-b.view.ReadStartMillis < ruleset.LeaseOf(b.view.Rules)) {
+	if b.view.Step == 0 || !(now-b.view.ReadStartMillis < ruleset.StateLeaseMillis(b.view.Rules)) {
 		return nil, errUnconfirmed
 	}
-	b.warden.Given(a.ProcessID)
+	b.warden.RecordGrant(a.ProcessID)
 	a.Cluster, a.HostSteps = b.cluster, nil
 	return b.source.Respond(a, now)
 }
@@ -284,7 +284,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for pid := from; pid < to; pid++ {
-		b.warden.Ended(pid)
+		b.warden.ProcessExited(pid)
 	}
 }
 
@@ -308,8 +308,8 @@
 		k.says(err.Error())
 		return l, false
 	}
-	if news && next.Foreign == "" {
-		if why := k.misfit(&next.Version.Rules, ruleset.CheckPart); why != "" {
+	if news && next.UnsupportedFeature == "" {
+		if why := k.misfit(&next.Version.Rules, ruleset.ValidateSubset); why != "" {
 			k.spoilt.Add(1)
 			k.says(why)
 			return l, false
--- a/internal/serving/control/status.go
+++ b/internal/serving/control/status.go
@@ -63,7 +63,7 @@
 			CaughtUp: learner.CaughtUp,
 		})
 	}
-	for _, entry := range e.mirror.View().Entries {
+	for _, entry := range e.mirror.Snapshot().Entries {
 		if entry.Record.Deleted {
 			continue
 		}
@@ -87,7 +87,7 @@
 	switch {
 	case entry.Record.GetWorker().Draining:
 		return "draining"
-	case entry.ColdUntil > now:
+	case entry.WarmingUntil > now:
 		return "cold"
 	}
 	return "ready"
--- a/internal/supervisor/branch_test.go
+++ b/internal/supervisor/branch_test.go
@@ -152,7 +152,7 @@
 	for _, h := range x.low {
 		for _, i := range faultinject.Instances(h.run()) {
 			f, there := look(i)
-			ok = ok && there && f.mode == int64(ruleset.Leased)
+			ok = ok && there && f.mode == int64(ruleset.ModeLeased)
 			all++
 		}
 	}
@@ -165,7 +165,7 @@
 // too: nobody loses the lease by the first, and the others are as in a council. Their records are judged.
 func TestBelowRelays(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 4000 })
+	x := grow(t, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 4000 })
 	x.start()
 	t.Logf("from nothing to all leased: %v", x.until(1, 3, x.low...))
 	x.loadsLow(9 * time.Second)
@@ -244,7 +244,7 @@
 // that is given too early.
 func TestSeenNeverEarly(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 12000 })
+	x := grow(t, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 12000 })
 	x.start()
 	x.until(1, 3, x.low...)
 	h := x.low[0]
@@ -260,7 +260,7 @@
 	x.top.propose(next)
 	faultinject.Until(t, 5*time.Second, "the change does not wait", func() bool {
 		s, ok := x.top.sitting()
-		return ok && s.Rules.Pending == 2
+		return ok && s.Rules.PendingVersion == 2
 	})
 	began := time.Now()
 	pending, _ := x.top.sitting()
@@ -305,7 +305,7 @@
 // what may not change is refused, by its key.
 func TestRelaysGone(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 1000 })
+	x := grow(t, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 1000 })
 	x.start()
 	x.until(1, 3, x.low...)
 	x.loadsLow(4 * time.Second)
@@ -314,7 +314,7 @@
 			t.Fatal(err)
 		}
 	}
-	modes := func(want ruleset.Mode) func() bool {
+	modes := func(want ruleset.LeaseMode) func() bool {
 		return func() bool {
 			n := 0
 			for _, h := range x.low {
@@ -327,8 +327,8 @@
 			return n == 3
 		}
 	}
-	faultinject.Until(t, 5*time.Second, "not all are cut off", modes(ruleset.CutOff))
-	faultinject.Until(t, 5*time.Second, "not all are bare", modes(ruleset.Bare))
+	faultinject.Until(t, 5*time.Second, "not all are cut off", modes(ruleset.ModeFallback))
+	faultinject.Until(t, 5*time.Second, "not all are bare", modes(ruleset.ModeNoLease))
 	h := x.low[0]
 	if s, ok := h.following(); !ok || len(s.CutOff) != 2 {
 		t.Errorf("%+v", s)
@@ -378,7 +378,7 @@
 // and what it holds counts as any other's.
 func TestOlderInstanceBelow(t *testing.T) {
 	t.Parallel()
-	x := grow(t, func(r *ruleset.Rules) { r.Fallback.For = 6000 })
+	x := grow(t, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 6000 })
 	h := x.low[1]
 	at, _ := older(t, h.control)
 	script := filepath.Join(h.dir, "older")
@@ -406,8 +406,9 @@
 	}
 	raw, err := io.ReadAll(res.Body)
 	res.Body.Close()
-	l, bad := ruleset.ReadLease(raw)
-	if err != nil || bad != nil || l.Version.Number != 2 || len(l.Version.Rules.Members) != 3 || l.Age <= 0 {
+	l, bad := ruleset.DecodeLease(raw)
+	if err != nil || bad != nil || l.Version.Number != 2 || len(l.Version.Rules.Members) != 3 ||
+		l.AgeMillis <= 0 {
 		t.Errorf("%v, %v: %s", err, bad, raw)
 	}
 	for _, who := range []string{"instance=g9&pid=1", fmt.Sprintf("instance=%s&pid=1", old.Name)} {
@@ -436,19 +437,19 @@
 	for _, h := range a.HostSteps {
 		u.seen = max(u.seen, h.Step)
 	}
-	return u.source.Respond(a, raftlog.Clock())
+	return u.source.Respond(a, raftlog.BootClockMillis())
 }
 
 // says has it say that rules are in force as of now, every now and then until the test's end.
 func (u *upper) says(t *testing.T, step uint64, r ruleset.Rules) {
-	rules, err := ruleset.Entries(&ruleset.Version{Number: 1, Rules: r})
+	rules, err := ruleset.VersionToState(&ruleset.Version{Number: 1, Rules: r})
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() {
 		for t.Context().Err() == nil {
 			u.mu.Lock()
-			u.source.Publish(distribution.Snapshot{Step: step, ReadStartMillis: raftlog.Clock(), Rules: rules,
+			u.source.Publish(distribution.Snapshot{Step: step, ReadStartMillis: raftlog.BootClockMillis(), Rules: rules,
 				DiscoveryIndex: -1})
 			u.mu.Unlock()
 			time.Sleep(20 * time.Millisecond)
@@ -469,14 +470,14 @@
 	u := &upper{source: distribution.NewSource("r", "till", distribution.SourceConfig{})}
 	s := httptest.NewServer(relay.NewHandler(u.answer))
 	defer s.Close()
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
 		Members: []ruleset.Member{
 			{Name: "a", Host: "l0"},
 		}, Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
 	b := newBranch("till", &RelayFile{Me: "l0", Store: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
 	defer b.Close()
-	b.Began(1, true)
-	b.Began(2, true)
+	b.ProcessStarted(1, true)
+	b.ProcessStarted(2, true)
 	u.says(t, 5, r)
 	b.follows([]string{strings.TrimPrefix(s.URL, "http://")})
 	faultinject.Until(t, 3*time.Second, "it hears nothing", func() bool { return b.InForce().Number == 1 })
@@ -488,25 +489,25 @@
 		}
 	}
 	never("and two may hold anything")
-	if _, ok := b.Asked(1, "a", 5, -1); !ok {
+	if _, ok := b.RenewLease(1, "a", 5, -1); !ok {
 		t.Fatal("it tells nothing")
 	}
 	never("and one may hold anything")
-	b.Ended(2)
+	b.ProcessExited(2)
 	faultinject.Until(t, 3*time.Second, "step 5 is not said to be seen", func() bool { return u.told() == 5 })
 
-	b.Began(3, false)
+	b.ProcessStarted(3, false)
 	u.says(t, 6, r)
 	faultinject.Until(t, 3*time.Second, "it does not go on", func() bool {
-		l, ok := b.Asked(3, "a", 0, -1)
+		l, ok := b.RenewLease(3, "a", 0, -1)
 		return ok && l.Step == 6
 	})
 	time.Sleep(250 * time.Millisecond)
 	if got := u.told(); got != 5 {
 		t.Errorf("step %d is said to be seen while one holds 5, and one nothing", got)
 	}
-	b.Asked(1, "a", 6, 77)
-	b.Asked(3, "a", 6, 78)
+	b.RenewLease(1, "a", 6, 77)
+	b.RenewLease(3, "a", 6, 78)
 	faultinject.Until(t, 3*time.Second, "step 6 is not said to be seen", func() bool { return u.told() == 6 })
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -514,7 +515,7 @@
 		u.last.Sender != "l0" {
 		t.Errorf("it asks %+v", u.last)
 	}
-	if n := b.Highest(); n != 78 {
+	if n := b.HighestDiscoveryIndex(); n != 78 {
 		t.Errorf("highest index %d", n)
 	}
 }
@@ -526,7 +527,7 @@
 	u := &upper{source: distribution.NewSource("r", "till", distribution.SourceConfig{})}
 	s := httptest.NewServer(relay.NewHandler(u.answer))
 	defer s.Close()
-	r := ruleset.Rules{Form: ruleset.Form, Lease: 1000, Bound: 2000,
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 1000, ConflictBoundMillis: 2000,
 		Members: []ruleset.Member{
 			{Name: "a", Host: "l0"},
 		}, Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
@@ -534,7 +535,7 @@
 		other := r
 		other.Plans = slices.Clone(r.Plans)
 		change(&other)
-		x, err := ruleset.Entries(&ruleset.Version{Number: number, Rules: other})
+		x, err := ruleset.VersionToState(&ruleset.Version{Number: number, Rules: other})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -546,36 +547,36 @@
 		u.source.Publish(distribution.Snapshot{Step: step, ReadStartMillis: begun, Rules: x, DiscoveryIndex: -1})
 	}
 	first := state(1, func(*ruleset.Rules) {})
-	offer(1, raftlog.Clock()-50, first)
+	offer(1, raftlog.BootClockMillis()-50, first)
 	b := newBranch("till", &RelayFile{Me: "l0", Store: filepath.Join(t.TempDir(), "copy")}, nil, zerolog.Nop())
 	defer b.Close()
 	b.follows([]string{strings.TrimPrefix(s.URL, "http://")})
 	time.Sleep(400 * time.Millisecond)
-	if _, ok := b.Asked(1, "a", 0, -1); ok {
+	if _, ok := b.RenewLease(1, "a", 0, -1); ok {
 		t.Fatal("it gives on what was read before it began")
 	}
-	offer(1, raftlog.Clock(), first)
+	offer(1, raftlog.BootClockMillis(), first)
 	faultinject.Until(t, 3*time.Second, "it gives nothing", func() bool {
-		_, ok := b.Asked(1, "a", 0, -1)
+		_, ok := b.RenewLease(1, "a", 0, -1)
 		return ok
 	})
-	offer(2, raftlog.Clock(), state(2, func(r *ruleset.Rules) { r.Plans[0].Rate = -1 }))
+	offer(2, raftlog.BootClockMillis(), state(2, func(r *ruleset.Rules) { r.Plans[0].Rate = -1 }))
 	time.Sleep(400 * time.Millisecond)
-	if l, ok := b.Asked(1, "a", 0, -1); ok && l.Version.Number != 1 || b.InForce().Number != 1 {
+	if l, ok := b.RenewLease(1, "a", 0, -1); ok && l.Version.Number != 1 || b.InForce().Number != 1 {
 		t.Errorf("rules that make no sense are gone by: %+v", l)
 	}
-	offer(3, raftlog.Clock(), state(3, func(r *ruleset.Rules) { r.Needs = []string{"moon"} }))
+	offer(3, raftlog.BootClockMillis(), state(3, func(r *ruleset.Rules) { r.Needs = []string{"moon"} }))
 	faultinject.Until(t, 3*time.Second, "what is not known here is not passed on", func() bool {
-		l, ok := b.Asked(1, "a", 0, -1)
-		return ok && l.Version.Number == 3 && strings.Contains(l.Foreign, "moon")
+		l, ok := b.RenewLease(1, "a", 0, -1)
+		return ok && l.Version.Number == 3 && strings.Contains(l.UnsupportedFeature, "moon")
 	})
-	if v := b.given(); b.InForce().Number != 1 || v.Rules.Mark().Number != 3 {
-		t.Errorf("in force %d, passed on %v", b.InForce().Number, v.Rules.Mark())
+	if v := b.given(); b.InForce().Number != 1 || v.Rules.ID().Number != 3 {
+		t.Errorf("in force %d, passed on %v", b.InForce().Number, v.Rules.ID())
 	}
 	if s := b.stands(); s.Foreign == "" || s.Version != 3 {
 		t.Errorf("operators are told %+v", s)
 	}
-	offer(4, raftlog.Clock(), state(4, func(*ruleset.Rules) {}))
+	offer(4, raftlog.BootClockMillis(), state(4, func(*ruleset.Rules) {}))
 	faultinject.Until(t, 3*time.Second, "it does not go on", func() bool { return b.InForce().Number == 4 })
 }
 
@@ -591,27 +592,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := ruleset.Rules{Form: ruleset.Form, Needs: []string{ruleset.ManyMembers}, Lease: 1000, Bound: 2000,
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, Needs: []string{ruleset.FeatureManyMembers},
+		LeaseMillis: 1000, ConflictBoundMillis: 2000,
 		Plans: []ruleset.Plan{{Name: "basic", Rate: 1, Burst: 1}}}
 	for i := range n {
 		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprint("g", i), Host: fmt.Sprint("l", i/own),
 			Peers: fmt.Sprintf("10.%d.%d.1:7000", i/250, i%250)})
 	}
-	whole, err := ruleset.Entries(&ruleset.Version{Number: 1, Rules: r})
+	whole, err := ruleset.VersionToState(&ruleset.Version{Number: 1, Rules: r})
 	if err != nil {
 		t.Fatal(err)
 	}
 	some := ruleset.Select(whole, ruleset.Interest{Host: "l0", Around: distribution.RingRadius})
-	sent, err := (&distribution.Response{FormatVersion: distribution.FormatVersion, Rules: some.Mark(),
-		RulesDelta: versioned.Whole(some)}).Encode()
+	sent, err := (&distribution.Response{FormatVersion: distribution.FormatVersion, Rules: some.ID(),
+		RulesDelta: versioned.FullDelta(some)}).Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("the whole has %d bytes, a host's part %d, and %d as it is sent", whole.Bytes(), some.Bytes(),
 		len(sent))
-	part, err := ruleset.FromState(some)
-	if err != nil || ruleset.CheckPart(&part.Rules) != nil {
-		t.Fatal(err, ruleset.CheckPart(&part.Rules))
+	part, err := ruleset.VersionFromState(some)
+	if err != nil || ruleset.ValidateSubset(&part.Rules) != nil {
+		t.Fatal(err, ruleset.ValidateSubset(&part.Rules))
 	}
 	began := time.Now()
 	all, err := f.file.members(&part.Rules)
--- a/internal/supervisor/council_golden_test.go
+++ b/internal/supervisor/council_golden_test.go
@@ -47,28 +47,31 @@
 // goldenAgreedRules have no field that is zero.
 func goldenAgreedRules(rate float64) ruleset.Rules {
 	return ruleset.Rules{
-		Form: 1, Needs: []string{"members"},
+		Format: 1, Needs: []string{"members"},
 		Plans: []ruleset.Plan{{Name: "gold", Rate: rate, Burst: 12, CeilingRate: 13, CeilingDepth: 14,
-			Credit: 0.5, Repay: 15000}},
-		Members:  []ruleset.Member{{Name: "gk1", Host: "h1", Peers: "10.0.0.1:7001"}},
-		Words:    []ruleset.Word{{Worker: "w1", Hall: "hall1", Barred: true, Drained: true, Weight: 2.5}},
-		Fallback: ruleset.Fallback{Part: 0.25, For: 9000}, Lease: 1200, Bound: 1900,
+			CreditSeconds: 0.5, RepayMillis: 15000}},
+		Members: []ruleset.Member{{Name: "gk1", Host: "h1", Peers: "10.0.0.1:7001"}},
+		WorkerOverrides: []ruleset.WorkerOverride{{Worker: "w1", Region: "hall1", Barred: true, Drained: true,
+			Weight: 2.5}},
+		Fallback: ruleset.Fallback{Fraction: 0.25, DurationMillis: 9000}, LeaseMillis: 1200,
+		ConflictBoundMillis: 1900,
 	}
 }
 
 // goldenLeaseVoice says what is in force; its other methods are not called.
 type goldenLeaseVoice struct{ voice }
 
-func (goldenLeaseVoice) Highest() int64 { return 91 }
+func (goldenLeaseVoice) HighestDiscoveryIndex() int64 { return 91 }
 
 func (goldenLeaseVoice) InForce() ruleset.Version {
 	return ruleset.Version{Number: 7, Rules: goldenAgreedRules(11)}
 }
 
-// Asked answers only if each value of the query has come under its own name.
-func (v goldenLeaseVoice) Asked(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
+// RenewLease answers only if each value of the query has come under its own name.
+func (v goldenLeaseVoice) RenewLease(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool) {
 	pending := goldenAgreedRules(11.5)
-	return ruleset.Lease{Step: 41, Version: v.InForce(), Settled: true, Pending: &pending, Age: 12.5},
+	return ruleset.Lease{Step: 41, Version: v.InForce(), TransitionComplete: true, Pending: &pending,
+			AgeMillis: 12.5},
 		pid == 4711 && name == "gk1" && holds == 40 && index == 90
 }
 
@@ -134,18 +137,21 @@
 		t.Errorf("instances of an older program ask at /fleet/lease, not at %s", lifecycle.LeasePath)
 	}
 	pending := goldenAgreedRules(11.5)
-	got, err := ruleset.ReadLease(goldenCouncilFile(t, "lease.json"))
+	got, err := ruleset.DecodeLease(goldenCouncilFile(t, "lease.json"))
 	goldenCouncilSame(t, "lease.json", got, ruleset.Lease{Step: 41, Version: goldenLeaseVoice{}.InForce(),
-		Settled: true, Pending: &pending, Age: 12.5}, err)
+		TransitionComplete: true, Pending: &pending, AgeMillis: 12.5}, err)
 }
 
 func goldenSitting() Sitting {
 	return Sitting{
-		View: raftlog.View{State: "member", Why: "why", Me: "h1", Disk: "a1", Council: "c", Leader: "h2",
-			Term: 3, Applied: 44, Hosts: []raftlog.HostView{{Name: "h2", Address: "10.0.0.2:9000", Disk: "a2",
-				Member: true, Leads: true, HeardMS: 12.5, Why: "late"}}},
-		Rules: raftlog.Agreement{Version: 7, Mark: "abc", Step: 41, Settled: true, ReadMS: 3.5, Pending: 8,
-			Waits: "it waits"},
+		Status: raftlog.Status{State: "member", Reason: "why", HostName: "h1", DiskID: "a1", GroupID: "c",
+			LeaderName: "h2",
+			Term:       3, AppliedIndex: 44, Hosts: []raftlog.HostStatus{{Name: "h2", Address: "10.0.0.2:9000",
+				DiskID:   "a2",
+				IsMember: true, IsLeader: true, SinceContactMillis: 12.5, LastError: "late"}}},
+		Rules: raftlog.ActivationStatus{Version: 7, Digest: "abc", Step: 41, Settled: true, ReadAgeMillis: 3.5,
+			PendingVersion: 8,
+			PendingReason:  "it waits"},
 	}
 }
 
--- a/internal/supervisor/teller.go
+++ b/internal/supervisor/teller.go
@@ -37,7 +37,7 @@
 // view is what a lease says as a view; rules are made entries once.
 func (t *telling) view(l *ruleset.Lease, now float64) (v distribution.Snapshot, err error) {
 	if n := l.Version.Number; n != t.number || t.rules == nil {
-		if t.rules, err = ruleset.Entries(&l.Version); err != nil {
+		if t.rules, err = ruleset.VersionToState(&l.Version); err != nil {
 			return v, err
 		}
 		t.number = n
@@ -45,7 +45,7 @@
 	if l.Step != t.step {
 		t.pending = nil
 		if l.Pending != nil {
-			if t.pending, err = ruleset.Entries(&ruleset.Version{Number: l.Version.Number + 1,
+			if t.pending, err = ruleset.VersionToState(&ruleset.Version{Number: l.Version.Number + 1,
 				Rules: *l.Pending}); err != nil {
 				return v, err
 			}
@@ -54,8 +54,8 @@
 	}
 	return distribution.Snapshot{
 		Step:            l.Step,
-		Settled:         l.Settled,
-		ReadStartMillis: now - l.Age,
+		Settled:         l.TransitionComplete,
+		ReadStartMillis: now - l.AgeMillis,
 		Rules:           t.rules,
 		Pending:         t.pending,
 		DiscoveryIndex:  -1,
@@ -100,8 +100,8 @@
 		return nil, &relay.RejectionError{Reason: "stranger",
 			Message: fmt.Sprintf("%d is no process of %q that this daemon keeps", a.ProcessID, a.Sender)}
 	}
-	now := raftlog.Clock() // no later than the one by which the lease's age is counted
-	l, ok := d.seat.Asked(a.ProcessID, a.Sender, a.HeldStep, a.DiscoveryIndex)
+	now := raftlog.BootClockMillis() // no later than the one by which the lease's age is counted
+	l, ok := d.seat.RenewLease(a.ProcessID, a.Sender, a.HeldStep, a.DiscoveryIndex)
 	if !ok {
 		return nil, &relay.RejectionError{Reason: "unconfirmed", Message: notConfirmed}
 	}
@@ -124,6 +124,6 @@
 		return nil, err
 	}
 	answer := *told
-	answer.DiscoveryIndex = d.seat.Highest()
+	answer.DiscoveryIndex = d.seat.HighestDiscoveryIndex()
 	return &answer, nil
 }
