--- a/internal/distribution/action.go
+++ b/internal/distribution/action.go
@@ -8,8 +8,8 @@
 	// SendRequest: note the time, send the Request to the Upstream, and pass on the response to HandleResponse
 	// with that time. Without a response after TimeoutMillis, call RequestFailed.
 	SendRequest ActionKind = iota + 1
-	// NotifyUpdate: the snapshot has another step, other rules or another Settled, or has expired. A renewal
-	// makes the snapshot younger without such an action.
+	// NotifyUpdate: the snapshot has another step, other rules or another TransitionComplete, or has expired. A
+	// renewal makes the snapshot younger without such an action.
 	NotifyUpdate
 	// ScheduleWake: call AdvanceClock at WakeAtMillis, and then NextAction again.
 	ScheduleWake
--- a/internal/distribution/codec.go
+++ b/internal/distribution/codec.go
@@ -15,12 +15,12 @@
 )
 
 // Bounds of messages. The bytes hold for a message as it is sent and, where it was compressed, for its
-// content: a response with 10,000 members, 4,096 worker entries and a pending version has 2 MB. MaxHostSteps
+// content: a response with 10,000 members, 4,096 worker entries and a pending version has 2 MB. MaxHostAcks
 // facts fit into a request with host names of 200 bytes.
 const (
 	MaxRequestBytes  = 1 << 20
 	MaxResponseBytes = 8 << 20
-	MaxHostSteps     = 2000
+	MaxHostAcks      = 2000
 )
 
 // A message is a byte that names its encoding, the CBOR of its value (RFC 8949, core deterministic) and a
@@ -167,7 +167,7 @@
 
 func finite(x float64) bool { return !math.IsNaN(x) && !math.IsInf(x, 0) }
 
-// EncodeState gives a state as a checkpoint stores it, with a checksum; nil is a state without a mark.
+// EncodeState gives a state as a checkpoint stores it, with a checksum; nil is a state without an ID.
 func EncodeState(s *versioned.State) ([]byte, error) {
 	var full *versioned.Delta
 	if s != nil {
--- a/internal/distribution/codec_test.go
+++ b/internal/distribution/codec_test.go
@@ -48,14 +48,14 @@
 			Interest: ruleset.Interest{All: rapid.Bool().Draw(t, "all"), Name: "n", Around: 3},
 			Step:     rapid.Uint64().Draw(t, "step"), Rules: drawMark(t), Pending: drawMark(t),
 			RenewalOnly: rapid.Bool().Draw(t, "quiet"), DiscoveryIndex: rapid.Int64().Draw(t, "index"),
-			ProcessID: rapid.IntRange(0, 1<<22).Draw(t, "process"), HeldStep: rapid.Uint64().Draw(t, "holds")}
+			ProcessID: rapid.IntRange(0, 1<<22).Draw(t, "process"), AckedStep: rapid.Uint64().Draw(t, "holds")}
 		for range rapid.IntRange(0, 100).Draw(t, "facts") {
-			request.HostSteps = append(request.HostSteps, HostStep{Host: "host", Step: rapid.Uint64().Draw(t, "step")})
+			request.HostAcks = append(request.HostAcks, HostAck{Host: "host", Step: rapid.Uint64().Draw(t, "step")})
 		}
 		response := &Response{FormatVersion: FormatVersion, Cluster: "c", Sender: "f",
 			Incarnation: rapid.Uint64().Draw(t, "life"),
 			Depth:       rapid.IntRange(0, 9).Draw(t, "depth"), Step: rapid.Uint64().Draw(t, "step"),
-			Settled: rapid.Bool().Draw(t, "settled"), AgeMillis: rapid.Float64Range(0, 1e6).Draw(t, "age"),
+			TransitionComplete: rapid.Bool().Draw(t, "settled"), AgeMillis: rapid.Float64Range(0, 1e6).Draw(t, "age"),
 			DiscoveryIndex: rapid.Int64().Draw(t, "index"), Rules: drawMark(t), Pending: drawMark(t),
 			RulesDelta: drawDelta(t), PendingDelta: drawDelta(t), RetryAfterMillis: rapid.Float64Range(0, 1e4).Draw(t,
 				"busy")}
@@ -189,7 +189,7 @@
 		a := &Request{FormatVersion: FormatVersion, Cluster: "fleet", Sender: "host-0077", Interest: test.in,
 			Step:           80,
 			DiscoveryIndex: 123456,
-			ProcessID:      4321, HeldStep: 80, Nonce: 1 << 60}
+			ProcessID:      4321, AckedStep: 80, Nonce: 1 << 60}
 		s.Publish(Snapshot{Step: 80, ReadStartMillis: 1900, Rules: v1, DiscoveryIndex: 123456})
 		_, fullState := size(a)
 		a.Rules = ruleset.Select(v1, test.in).ID()
@@ -236,7 +236,7 @@
 
 func FuzzDecodeRequest(f *testing.F) {
 	raw, _ := (&Request{FormatVersion: FormatVersion, Cluster: "c", Sender: "f",
-		HostSteps: []HostStep{{Host: "h", Step: 1}}}).Encode()
+		HostAcks: []HostAck{{Host: "h", Step: 1}}}).Encode()
 	f.Add(raw[1 : len(raw)-checksumBytes])
 	f.Fuzz(func(t *testing.T, body []byte) {
 		a, err := DecodeRequest(addChecksum(body))
@@ -261,7 +261,7 @@
 	s.Publish(Snapshot{Step: 80, ReadStartMillis: 1900, Rules: v, DiscoveryIndex: 123456})
 	a := &Request{FormatVersion: FormatVersion, Cluster: "fleet", Sender: "host-0077", Interest: in, Step: 80,
 		DiscoveryIndex: 123456,
-		ProcessID:      4321, HeldStep: 80, Rules: ruleset.Select(v, in).ID(), Nonce: 1 << 60}
+		ProcessID:      4321, AckedStep: 80, Rules: ruleset.Select(v, in).ID(), Nonce: 1 << 60}
 	raw, err := a.Encode()
 	if err != nil {
 		b.Fatal(err)
--- a/internal/distribution/counts.go
+++ b/internal/distribution/counts.go
@@ -28,13 +28,13 @@
 // operators' ports.
 type SourceCounts struct {
 	Requests       int64 `json:"Asks"`
-	Renewals       int64 `json:"Renewals"` // responses with step, marks and age alone
+	Renewals       int64 `json:"Renewals"` // responses with step, IDs and age alone
 	Deltas         int64 `json:"Deltas"`
 	FullStates     int64 `json:"Wholes"`
 	FullStateBytes int64 `json:"WholeSize"` // of FullStates: keys and values
 	Deferred       int64 `json:"Busy"`      // full states that were put off
 	Rejected       int64 `json:"Refused"`   // requests of another format version or cluster, or invalid ones
-	HostSteps      int64 `json:"Seen"`      // facts that were new
+	HostAcks       int64 `json:"Seen"`      // acks that were new
 	DroppedHosts   int64 `json:"Dropped"`   // hosts beyond the bound whose step was dropped
 }
 
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -46,9 +46,9 @@
 
 	discoveryIndex int64 // the highest that is known here and below; negative: none
 	processID      int
-	heldStep       uint64
-	hostSteps      map[string]uint64 // highest known step by host
-	unacknowledged map[string]bool   // hosts whose step the current upstream has not acknowledged
+	ackedStep      uint64
+	hostAcks       map[string]uint64 // highest known step by host
+	undelivered    map[string]bool   // hosts whose ack the current upstream has not confirmed
 
 	lastWake float64 // of the last ScheduleWake; point in time
 	counts   FollowerCounts
@@ -65,8 +65,8 @@
 		snapshot:       Snapshot{ReadStartMillis: never, DiscoveryIndex: -1},
 		discoveryIndex: -1,
 		lastWake:       never,
-		hostSteps:      map[string]uint64{},
-		unacknowledged: map[string]bool{},
+		hostAcks:       map[string]uint64{},
+		undelivered:    map[string]bool{},
 	}
 	if !(f.lease > 0) {
 		f.lease = defaultLeaseMillis
@@ -108,10 +108,10 @@
 	}
 }
 
-// base gives the base with a mark; nil where there is none.
-func (f *Follower) base(mark versioned.VersionID) *versioned.State {
+// base gives the base with an ID; nil where there is none.
+func (f *Follower) base(id versioned.VersionID) *versioned.State {
 	for _, base := range f.bases {
-		if base.ID() == mark {
+		if base.ID() == id {
 			return base
 		}
 	}
@@ -127,25 +127,26 @@
 	}
 }
 
-// ReportHostSteps has facts sent with the next requests, until the current upstream has acknowledged them.
-func (f *Follower) ReportHostSteps(facts []HostStep) {
-	for _, fact := range facts {
-		known, exists := f.hostSteps[fact.Host]
-		if fact.Step <= known {
+// ReportHostAcks has acknowledgements sent with the next requests, until the current upstream has responded
+// to one of these.
+func (f *Follower) ReportHostAcks(acks []HostAck) {
+	for _, ack := range acks {
+		known, exists := f.hostAcks[ack.Host]
+		if ack.Step <= known {
 			continue
 		}
-		if !exists && len(f.hostSteps) >= maxHosts {
+		if !exists && len(f.hostAcks) >= maxHosts {
 			f.counts.DroppedHosts++
 			f.dropLowestHost()
 		}
-		f.hostSteps[fact.Host], f.unacknowledged[fact.Host] = fact.Step, true
+		f.hostAcks[ack.Host], f.undelivered[ack.Host] = ack.Step, true
 	}
 }
 
 func (f *Follower) dropLowestHost() {
-	host := lowestStepHost(f.hostSteps)
-	delete(f.hostSteps, host)
-	delete(f.unacknowledged, host)
+	host := lowestStepHost(f.hostAcks)
+	delete(f.hostAcks, host)
+	delete(f.undelivered, host)
 }
 
 // lowestStepHost gives the host of the lowest step, which is most likely gone. Dropping a host that is not
@@ -164,14 +165,14 @@
 // negative: none.
 func (f *Follower) SetDiscoveryIndex(highest int64) { f.discoveryIndex = highest }
 
-// SetHeldStep sets the process id of a gateway and the step that it acts on, for its requests to the daemon
+// SetAckedStep sets the process id of a gateway and the step that it acts on, for its requests to the daemon
 // of its host. It has to be called before the first NextAction, as the daemon tracks the process by that id.
 // A step above the last one makes a request due at once, since a change may wait for it.
-func (f *Follower) SetHeldStep(processID int, step uint64) {
-	if step > f.heldStep {
+func (f *Follower) SetAckedStep(processID int, step uint64) {
+	if step > f.ackedStep {
 		f.upstreams.nextRequestAt = math.Min(f.upstreams.nextRequestAt, f.now)
 	}
-	f.processID, f.heldStep = processID, step
+	f.processID, f.ackedStep = processID, step
 }
 
 // Snapshot gives the current snapshot; false where there is none whose lease still runs. A relay publishes it
@@ -226,7 +227,7 @@
 }
 
 // newRequest makes the request to an upstream by its position in the order of preference. A request beside
-// the current upstream asks for no state and carries no facts.
+// the current upstream asks for no state and carries no acks.
 func (f *Follower) newRequest(position int) Action {
 	u := &f.upstreams
 	isCurrent := position == u.current
@@ -238,14 +239,14 @@
 		Step:           f.snapshot.Step,
 		DiscoveryIndex: f.discoveryIndex,
 		ProcessID:      f.processID,
-		HeldStep:       f.heldStep,
+		AckedStep:      f.ackedStep,
 		RenewalOnly:    !isCurrent || f.now < f.renewalOnlyUntil,
 	}
 	if rules, pending := f.LatestStates(); !f.needFullState {
 		r.Rules, r.Pending = rules.ID(), pending.ID()
 	}
 	if isCurrent {
-		r.HostSteps = f.unacknowledgedSteps()
+		r.HostAcks = f.undeliveredAcks()
 	}
 	upstream := u.preference[position]
 	r.Nonce = u.sent(upstream, f.now, r)
@@ -253,36 +254,36 @@
 	return Action{Kind: SendRequest, Upstream: upstream, Request: r, TimeoutMillis: f.requestTimeout()}
 }
 
-// unacknowledgedSteps gives the facts that the current upstream lacks, by host, MaxHostSteps at most.
-func (f *Follower) unacknowledgedSteps() (steps []HostStep) {
-	hosts := make([]string, 0, len(f.unacknowledged))
-	for host := range f.unacknowledged {
+// undeliveredAcks gives the acks that the current upstream lacks, by host, MaxHostAcks at most.
+func (f *Follower) undeliveredAcks() (acks []HostAck) {
+	hosts := make([]string, 0, len(f.undelivered))
+	for host := range f.undelivered {
 		hosts = append(hosts, host)
 	}
 	slices.Sort(hosts)
-	for _, host := range hosts[:min(len(hosts), MaxHostSteps)] {
-		steps = append(steps, HostStep{Host: host, Step: f.hostSteps[host]})
+	for _, host := range hosts[:min(len(hosts), MaxHostAcks)] {
+		acks = append(acks, HostAck{Host: host, Step: f.hostAcks[host]})
 	}
-	return steps
+	return acks
 }
 
-// acknowledgeHostSteps marks the facts of a request that the current upstream has responded to as
-// acknowledged. An upstream of another incarnation has lost all that it was sent before.
-func (f *Follower) acknowledgeHostSteps(steps []HostStep, incarnation uint64) {
+// confirmDelivery notes that the current upstream has the acks of a request that it has responded to. An
+// upstream of another incarnation has lost all that it was sent before.
+func (f *Follower) confirmDelivery(acks []HostAck, incarnation uint64) {
 	if incarnation != f.upstreams.incarnation {
 		f.upstreams.incarnation = incarnation
-		f.resendHostSteps()
+		f.resendHostAcks()
 	}
-	for _, fact := range steps {
-		if f.hostSteps[fact.Host] == fact.Step {
-			delete(f.unacknowledged, fact.Host)
+	for _, ack := range acks {
+		if f.hostAcks[ack.Host] == ack.Step {
+			delete(f.undelivered, ack.Host)
 		}
 	}
 }
 
-// resendHostSteps has all facts sent again.
-func (f *Follower) resendHostSteps() {
-	for host := range f.hostSteps {
-		f.unacknowledged[host] = true
+// resendHostAcks has all acks sent again.
+func (f *Follower) resendHostAcks() {
+	for host := range f.hostAcks {
+		f.undelivered[host] = true
 	}
 }
--- a/internal/distribution/follower_test.go
+++ b/internal/distribution/follower_test.go
@@ -122,9 +122,9 @@
 	if n := midSource.Counts(); n.FullStates != 1 || n.Renewals < 3 {
 		t.Errorf("%+v", n)
 	}
-	lowFollower.ReportHostSteps([]HostStep{{Host: "h3", Step: 4}})
+	lowFollower.ReportHostAcks([]HostAck{{Host: "h3", Step: 4}})
 	runSteps(6)
-	if all := midSource.TakeHostSteps(); len(all) != 1 || all[0].Host != "h3" || all[0].Step != 4 {
+	if all := midSource.TakeHostAcks(); len(all) != 1 || all[0].Host != "h3" || all[0].Step != 4 {
 		t.Errorf("%+v", all)
 	}
 	if now += 5000; len(exchange(t, lowFollower, now, midSource)) == 0 {
@@ -496,9 +496,9 @@
 	}
 }
 
-// TestHostStepsAreForwarded: facts are sent until an upstream has responded to a request with them. All are
+// TestHostAcksAreForwarded: facts are sent until an upstream has responded to a request with them. All are
 // sent again to another upstream, and to one of another incarnation.
-func TestHostStepsAreForwarded(t *testing.T) {
+func TestHostAcksAreForwarded(t *testing.T) {
 	f, v1 := leasedFollower(t)
 	upstreams := []*Source{NewSource("a", "c", SourceConfig{Incarnation: 5}),
 		NewSource("b", "c", SourceConfig{Incarnation: 6})}
@@ -507,54 +507,54 @@
 	}
 	first, dead := f.CurrentUpstream(), -1
 	alive := func(u int, now float64) bool { return u != dead }
-	var facts []HostStep
-	for i := range MaxHostSteps + 10 {
-		facts = append(facts, HostStep{Host: fmt.Sprintf("h%05d", i), Step: uint64(1 + i%3)})
+	var facts []HostAck
+	for i := range MaxHostAcks + 10 {
+		facts = append(facts, HostAck{Host: fmt.Sprintf("h%05d", i), Step: uint64(1 + i%3)})
 	}
-	f.ReportHostSteps(facts)
-	f.ReportHostSteps([]HostStep{{Host: "h00002", Step: 1}}) // older than what is known
+	f.ReportHostAcks(facts)
+	f.ReportHostAcks([]HostAck{{Host: "h00002", Step: 1}}) // older than what is known
 	simulate(t, f, 1000, 1500, upstreams, alive, snapshotAt)
-	if got := upstreams[first].HostSteps(); len(got) != len(facts) || got[2].Step != 3 {
+	if got := upstreams[first].HostAcks(); len(got) != len(facts) || got[2].Step != 3 {
 		t.Fatalf("%d facts", len(got))
 	}
-	if n := len(upstreams[first].TakeHostSteps()); n != len(facts) ||
-		len(upstreams[first].TakeHostSteps()) != 0 {
+	if n := len(upstreams[first].TakeHostAcks()); n != len(facts) ||
+		len(upstreams[first].TakeHostAcks()) != 0 {
 		t.Errorf("%d facts taken", n)
 	}
-	if a := requestsAt(f, 1700); len(a) != 1 || len(a[0].HostSteps) != 0 {
+	if a := requestsAt(f, 1700); len(a) != 1 || len(a[0].HostAcks) != 0 {
 		t.Errorf("sent again: %+v", a)
 	}
 	dead = first
 	simulate(t, f, 1800, 3000, upstreams, alive, snapshotAt)
-	if n := len(upstreams[1-first].HostSteps()); n != len(facts) {
+	if n := len(upstreams[1-first].HostAcks()); n != len(facts) {
 		t.Errorf("%d facts at the other upstream", n)
 	}
 	upstreams[1-first] = NewSource("b", "c", SourceConfig{Incarnation: 7}) // another incarnation
 	simulate(t, f, 3000, 4000, upstreams, alive, snapshotAt)
-	if n := len(upstreams[1-first].HostSteps()); n != len(facts) {
+	if n := len(upstreams[1-first].HostAcks()); n != len(facts) {
 		t.Errorf("%d facts at the new incarnation", n)
 	}
 }
 
-// TestHostStepsAreBounded: beyond the bound the facts of the lowest steps are dropped.
-func TestHostStepsAreBounded(t *testing.T) {
+// TestHostAcksAreBounded: beyond the bound the facts of the lowest steps are dropped.
+func TestHostAcksAreBounded(t *testing.T) {
 	f := NewFollower(FollowerConfig{Name: "f", Cluster: "c", Upstreams: 1}, 0)
 	for i := range maxHosts + 1 {
-		f.ReportHostSteps([]HostStep{{Host: fmt.Sprint("h", i), Step: uint64(10 + i)}})
+		f.ReportHostAcks([]HostAck{{Host: fmt.Sprint("h", i), Step: uint64(10 + i)}})
 	}
-	if len(f.hostSteps) != maxHosts || f.hostSteps["h0"] != 0 || f.hostSteps["h1"] != 11 ||
+	if len(f.hostAcks) != maxHosts || f.hostAcks["h0"] != 0 || f.hostAcks["h1"] != 11 ||
 		f.Counts().DroppedHosts != 1 {
-		t.Errorf("%d facts, %+v", len(f.hostSteps), f.Counts())
+		t.Errorf("%d facts, %+v", len(f.hostAcks), f.Counts())
 	}
 	s := NewSource("s", "c", SourceConfig{TrackedHosts: 2})
 	for i := range 4 {
 		if _, err := s.Respond(&Request{FormatVersion: FormatVersion, Cluster: "c", Sender: "f", DiscoveryIndex: -1,
-			HostSteps: []HostStep{{Host: fmt.Sprint("h", i), Step: 1}}}, 0); err != nil {
+			HostAcks: []HostAck{{Host: fmt.Sprint("h", i), Step: 1}}}, 0); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n := s.Counts(); len(s.HostSteps()) != 2 || n.DroppedHosts != 2 {
-		t.Errorf("%v %+v", s.HostSteps(), n)
+	if n := s.Counts(); len(s.HostAcks()) != 2 || n.DroppedHosts != 2 {
+		t.Errorf("%v %+v", s.HostAcks(), n)
 	}
 }
 
@@ -653,7 +653,7 @@
 		"cluster: ": {FormatVersion: FormatVersion, Cluster: "d", Sender: "f"},
 		"from: ":    {FormatVersion: FormatVersion, Cluster: "c"},
 		"seen: 2001": {FormatVersion: FormatVersion, Cluster: "c", Sender: "f",
-			HostSteps: make([]HostStep, MaxHostSteps+1)},
+			HostAcks: make([]HostAck, MaxHostAcks+1)},
 		"interest: ": {FormatVersion: FormatVersion, Cluster: "c", Sender: "f",
 			Interest: ruleset.Interest{Around: -1}},
 	} {
--- a/internal/distribution/relay/checkpoint.go
+++ b/internal/distribution/relay/checkpoint.go
@@ -28,12 +28,12 @@
 )
 
 // Checkpoint stores the latest states of a follower in a file. They are bases for deltas after a restart, and
-// are acted on only once an upstream has confirmed their marks since this process started. So an old
+// are acted on only once an upstream has confirmed their IDs since this process started. So an old
 // checkpoint does no harm, and a damaged one, or one of another cluster, is moved aside.
 type Checkpoint struct {
 	path, cluster string // with an empty path nothing is stored
 	log           zerolog.Logger
-	lastMarks     [2]versioned.VersionID // rules and pending; used by Save's caller alone
+	lastVersions  [2]versioned.VersionID // rules and pending; used by Save's caller alone
 	latest        atomic.Pointer[distribution.Snapshot]
 	saveRequested chan struct{}
 
@@ -72,11 +72,11 @@
 // Save has Run write the states of a snapshot, where they are others than before. It does not wait, and is to
 // be called from one goroutine.
 func (c *Checkpoint) Save(snapshot distribution.Snapshot) {
-	marks := [2]versioned.VersionID{snapshot.Rules.ID(), snapshot.Pending.ID()}
-	if c.path == "" || marks == c.lastMarks {
+	versions := [2]versioned.VersionID{snapshot.Rules.ID(), snapshot.Pending.ID()}
+	if c.path == "" || versions == c.lastVersions {
 		return
 	}
-	c.lastMarks = marks
+	c.lastVersions = versions
 	c.latest.Store(&snapshot)
 	c.requestSave()
 }
--- a/internal/distribution/relay/cost_test.go
+++ b/internal/distribution/relay/cost_test.go
@@ -93,7 +93,7 @@
 		defer close(stopped)
 		for ctx.Err() == nil {
 			b.mu.Lock()
-			b.root.publish(distribution.Snapshot{Step: b.step, Settled: true, ReadStartMillis: nowMillis(),
+			b.root.publish(distribution.Snapshot{Step: b.step, TransitionComplete: true, ReadStartMillis: nowMillis(),
 				Rules: b.rules, DiscoveryIndex: -1})
 			b.mu.Unlock()
 			time.Sleep(50 * time.Millisecond)
--- a/internal/distribution/relay/format_test.go
+++ b/internal/distribution/relay/format_test.go
@@ -51,7 +51,8 @@
 	}
 	var got *versioned.State
 	for end := time.Now().Add(3 * time.Second); got == nil && time.Now().Before(end); {
-		upstream.publish(distribution.Snapshot{Step: 1, ReadStartMillis: nowMillis(), Settled: true, Rules: rules,
+		upstream.publish(distribution.Snapshot{Step: 1, ReadStartMillis: nowMillis(), TransitionComplete: true,
+			Rules:          rules,
 			DiscoveryIndex: -1})
 		if response, err := client.Fetch(0, &request, 500); err == nil && response.RulesDelta != nil {
 			var none *versioned.State
--- a/internal/distribution/relay/hollow_test.go
+++ b/internal/distribution/relay/hollow_test.go
@@ -69,7 +69,7 @@
 	wait         sync.WaitGroup
 
 	mu           sync.Mutex
-	warden       ruleset.LeaseGrantor
+	grantor      ruleset.LeaseGrantor
 	reportedStep uint64
 	lastStates   [2]*versioned.State
 	rules        ruleset.Version
@@ -145,7 +145,7 @@
 		if gateway.log, err = history.Open(path, m.Name, incarnation); err != nil {
 			tb.Fatal(err)
 		}
-		hollow.warden.ProcessStarted(gateway.processID, false)
+		hollow.grantor.ProcessStarted(gateway.processID, false)
 		hollow.gateways = append(hollow.gateways, gateway)
 		run(gateway.run)
 	}
@@ -163,11 +163,11 @@
 }
 
 // lease grants a lease to a gateway, as a host's daemon does.
-func (h *hollowHost) lease(tb testing.TB, processID int, heldStep uint64) (ruleset.Lease, bool) {
+func (h *hollowHost) lease(tb testing.TB, processID int, ackedStep uint64) (ruleset.Lease, bool) {
 	tb.Helper()
 	h.mu.Lock()
 	snapshot, ok := h.subscription.Snapshot()
-	if !ok || !h.warden.RecordRequest(processID, heldStep) {
+	if !ok || !h.grantor.RecordRequest(processID, ackedStep) {
 		h.mu.Unlock()
 		return ruleset.Lease{}, false
 	}
@@ -188,18 +188,18 @@
 	lease := ruleset.Lease{
 		Step:               snapshot.Step,
 		Version:            h.rules,
-		TransitionComplete: snapshot.Settled,
+		TransitionComplete: snapshot.TransitionComplete,
 		Pending:            h.pending,
 		AgeMillis:          snapshot.AgeMillis(nowMillis()),
 	}
-	h.warden.RecordGrant(processID)
-	seen := h.warden.AckedStep(snapshot.Step)
+	h.grantor.RecordGrant(processID)
+	seen := h.grantor.AckedStep(snapshot.Step)
 	newlySeen := seen > h.reportedStep
 	h.reportedStep = max(h.reportedStep, seen)
 	h.mu.Unlock()
 	if newlySeen {
 		h.subscription.WithFollower(func(f *distribution.Follower) {
-			f.ReportHostSteps([]distribution.HostStep{{Host: h.name, Step: seen}})
+			f.ReportHostAcks([]distribution.HostAck{{Host: h.name, Step: seen}})
 		})
 	}
 	return lease, true
--- a/internal/distribution/relay/relay.go
+++ b/internal/distribution/relay/relay.go
@@ -122,9 +122,9 @@
 }
 
 // reportUpstream sends up what was reported from below.
-func (r *Relay) reportUpstream(facts []distribution.HostStep, highestIndex int64) {
+func (r *Relay) reportUpstream(acks []distribution.HostAck, highestIndex int64) {
 	r.subscription.WithFollower(func(f *distribution.Follower) {
-		f.ReportHostSteps(facts)
+		f.ReportHostAcks(acks)
 		f.SetDiscoveryIndex(highestIndex)
 	})
 }
--- a/internal/distribution/relay/relay_test.go
+++ b/internal/distribution/relay/relay_test.go
@@ -141,11 +141,11 @@
 }
 
 // startTestServer serves a source at a port of its own.
-func startTestServer(tb testing.TB, source *distribution.Source, onReports func([]distribution.HostStep,
+func startTestServer(tb testing.TB, source *distribution.Source, onReports func([]distribution.HostAck,
 	int64)) *server {
 	tb.Helper()
 	if onReports == nil {
-		onReports = func([]distribution.HostStep, int64) {}
+		onReports = func([]distribution.HostAck, int64) {}
 	}
 	server, err := startServer("127.0.0.1:0", 64, 1000, source, onReports)
 	if err != nil {
@@ -159,11 +159,11 @@
 func TestCorruptMessages(t *testing.T) {
 	source := distribution.NewSource("root", "till", distribution.SourceConfig{})
 	source.Publish(
-		distribution.Snapshot{Step: 3, ReadStartMillis: nowMillis(), Settled: true,
+		distribution.Snapshot{Step: 3, ReadStartMillis: nowMillis(), TransitionComplete: true,
 			Rules: testState(t, 1, 1, membersOf(2, "h")), DiscoveryIndex: -1},
 	)
-	var facts []distribution.HostStep
-	server := startTestServer(t, source, func(all []distribution.HostStep,
+	var facts []distribution.HostAck
+	server := startTestServer(t, source, func(all []distribution.HostAck,
 		_ int64) {
 		facts = append(facts, all...)
 	})
@@ -172,7 +172,7 @@
 		Cluster:        "till",
 		Sender:         "h",
 		Interest:       ruleset.Interest{Host: "h"},
-		HostSteps:      []distribution.HostStep{{Host: "h", Step: 3}},
+		HostAcks:       []distribution.HostAck{{Host: "h", Step: 3}},
 		DiscoveryIndex: -1,
 	}
 	raw, err := request.Encode()
--- a/internal/distribution/relay/root.go
+++ b/internal/distribution/relay/root.go
@@ -17,7 +17,7 @@
 type Quorum interface {
 	LastConfirmed() (raftlog.ConfirmedState, bool)
 	Confirmations() <-chan struct{}
-	RecordHostSteps(facts []ruleset.HostAck, highestIndex int64)
+	RecordHostSteps(acks []ruleset.HostAck, highestIndex int64)
 	HighestDiscoveryIndex() int64
 	RequestFrequentReads()
 }
@@ -94,10 +94,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	snapshot := distribution.Snapshot{
-		Step:            confirmed.Step,
-		Settled:         confirmed.Settled,
-		ReadStartMillis: confirmed.ReadStartMillis,
-		DiscoveryIndex:  r.quorum.HighestDiscoveryIndex(),
+		Step:               confirmed.Step,
+		TransitionComplete: confirmed.Settled,
+		ReadStartMillis:    confirmed.ReadStartMillis,
+		DiscoveryIndex:     r.quorum.HighestDiscoveryIndex(),
 	}
 	if confirmed.Step != r.snapshot.Step || r.rules == nil {
 		rules, err := stateOf(r.rules, &confirmed.InForce)
--- a/internal/distribution/relay/server.go
+++ b/internal/distribution/relay/server.go
@@ -40,9 +40,9 @@
 	discoveryIndex int64                // the highest that a client has reported; negative: none
 }
 
-// reportFunc takes the facts that are new from below, and the highest index of the discovery service's list
+// reportFunc takes the acks that are new from below, and the highest index of the discovery service's list
 // that was reported.
-type reportFunc func(facts []distribution.HostStep, highestIndex int64)
+type reportFunc func(acks []distribution.HostAck, highestIndex int64)
 
 // startServer listens at an address. OnReports is called, without a lock, when clients report something new.
 func startServer(listen string, connections int, leaseMillis float64, source *distribution.Source,
@@ -123,7 +123,7 @@
 		s.mu.Unlock()
 		return nil, &RejectionError{reasonUnacceptable, err.Error()}
 	}
-	facts, newIndex := s.source.TakeHostSteps(), false
+	acks, newIndex := s.source.TakeHostAcks(), false
 	if request.DiscoveryIndex > s.discoveryIndex {
 		s.discoveryIndex, newIndex = request.DiscoveryIndex, true
 	}
@@ -132,8 +132,8 @@
 		s.lastRequestAt[request.Sender] = now
 	}
 	s.mu.Unlock()
-	if len(facts) > 0 || newIndex {
-		s.onReports(facts, highestIndex)
+	if len(acks) > 0 || newIndex {
+		s.onReports(acks, highestIndex)
 	}
 	return response, nil
 }
--- a/internal/distribution/relay/status.go
+++ b/internal/distribution/relay/status.go
@@ -13,20 +13,20 @@
 
 // Status is the state of a relay, or of a raft group's daemon that serves relays, for operators.
 type Status struct {
-	Name            string  `json:"name"`
-	Cluster         string  `json:"cluster"`
-	FormatVersion   int     `json:"form"`  // of messages
-	Known           bool    `json:"known"` // there is a snapshot whose lease runs
-	Depth           int     `json:"depth"` // relays up to the raft group, this one included
-	Step            uint64  `json:"step"`
-	Version         uint64  `json:"version"`
-	Mark            string  `json:"mark,omitempty"`
-	Pending         uint64  `json:"pending"` // version; 0: none
-	Settled         bool    `json:"settled"`
-	AgeMillis       float64 `json:"age_ms"` // since the quorum read began; -1: there is no snapshot
-	StateBytes      int     `json:"bytes"`  // of the version
-	ActiveClients   int     `json:"below"`
-	CurrentUpstream string  `json:"upstream,omitempty"`
+	Name               string  `json:"name"`
+	Cluster            string  `json:"cluster"`
+	FormatVersion      int     `json:"form"`  // of messages
+	Known              bool    `json:"known"` // there is a snapshot whose lease runs
+	Depth              int     `json:"depth"` // relays up to the raft group, this one included
+	Step               uint64  `json:"step"`
+	Version            uint64  `json:"version"`
+	VersionID          string  `json:"mark,omitempty"`
+	Pending            uint64  `json:"pending"` // version; 0: none
+	TransitionComplete bool    `json:"settled"`
+	AgeMillis          float64 `json:"age_ms"` // since the quorum read began; -1: there is no snapshot
+	StateBytes         int     `json:"bytes"`  // of the version
+	ActiveClients      int     `json:"below"`
+	CurrentUpstream    string  `json:"upstream,omitempty"`
 
 	UpstreamTraffic   *Traffic                     `json:"up,omitempty"`     // nil at a root
 	DownstreamTraffic Traffic                      `json:"down"`             // with those below
@@ -44,11 +44,11 @@
 
 // setSnapshot fills in what is known of a snapshot.
 func (s *Status) setSnapshot(snapshot *distribution.Snapshot) {
-	mark := snapshot.Rules.ID()
+	id := snapshot.Rules.ID()
 	s.Known = true
-	s.Depth, s.Step, s.Settled = snapshot.Depth, snapshot.Step, snapshot.Settled
+	s.Depth, s.Step, s.TransitionComplete = snapshot.Depth, snapshot.Step, snapshot.TransitionComplete
 	s.AgeMillis = snapshot.AgeMillis(nowMillis())
-	s.Version, s.Mark, s.StateBytes = mark.Number, mark.String(), snapshot.Rules.Bytes()
+	s.Version, s.VersionID, s.StateBytes = id.Number, id.String(), snapshot.Rules.Bytes()
 	s.Pending = snapshot.Pending.ID().Number
 }
 
--- a/internal/distribution/relay/subscription_test.go
+++ b/internal/distribution/relay/subscription_test.go
@@ -32,7 +32,8 @@
 		DiscoveryIndex: -1}
 	answered, oldest := 0, 0.0
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		upstream.publish(distribution.Snapshot{Step: 1, ReadStartMillis: nowMillis(), Settled: true, Rules: rules,
+		upstream.publish(distribution.Snapshot{Step: 1, ReadStartMillis: nowMillis(), TransitionComplete: true,
+			Rules:          rules,
 			DiscoveryIndex: -1})
 		if response, err := client.Fetch(0, &request, 500); err == nil && response.Step > 0 {
 			answered++
@@ -61,7 +62,8 @@
 			t.Fatal(err)
 		}
 		for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-			upstream.publish(distribution.Snapshot{Step: 1, ReadStartMillis: nowMillis(), Settled: true, Rules: rules,
+			upstream.publish(distribution.Snapshot{Step: 1, ReadStartMillis: nowMillis(), TransitionComplete: true,
+				Rules:          rules,
 				DiscoveryIndex: -1})
 			if status := relay.Status(); status.Known && status.Checkpoint.Written+int64(start) > 0 {
 				break
--- a/internal/distribution/relay/testtree_test.go
+++ b/internal/distribution/relay/testtree_test.go
@@ -38,7 +38,7 @@
 	records       string
 	network       *faultinject.Net
 	firstPort     int
-	council       []*faultinject.Process
+	voters        []*faultinject.Process
 	relays        map[string]*faultinject.Process
 	adminAddress  map[string]string // by relay
 	listenAddress map[string]string // by relay
@@ -145,7 +145,7 @@
 	x.writeFile(filepath.Join(dir, "fleet.toml"), b.String())
 	x.writeFile(filepath.Join(dir, "gatekeeper.json"), "{}")
 	x.writeFile(filepath.Join(dir, "rules.toml"), x.encodeRules(x.rules[1]))
-	x.council = append(x.council, faultinject.Start(x.t, faultinject.Spec{Name: name, Dir: dir,
+	x.voters = append(x.voters, faultinject.Start(x.t, faultinject.Spec{Name: name, Dir: dir,
 		Args: []string{"fleet", "--file", filepath.Join(dir, "fleet.toml")},
 		Env:  []string{"WILLOWDECK_HISTORY=" + x.records}}))
 }
@@ -209,7 +209,7 @@
 // submitRules writes a daemon's rules file, and has the daemon reload it.
 func (x *testTree) submitRules(daemon int, r ruleset.Rules) {
 	x.t.Helper()
-	voter := x.council[daemon]
+	voter := x.voters[daemon]
 	x.waitFor(voter.Name+" responds", func() bool {
 		_, err := faultinject.Ask(x.address(daemon, 0), "/fleet/council")
 		return err == nil
@@ -267,7 +267,7 @@
 		raw, _ := json.Marshal(s)
 		x.t.Logf("%s: %s %v\n%s", name, raw, err, tail(x.relays[name].Output()))
 	}
-	for _, p := range x.council {
+	for _, p := range x.voters {
 		x.t.Logf("%s: %s", p.Name, tail(p.Output()))
 	}
 	for _, line := range x.report {
@@ -335,7 +335,7 @@
 	x.t.Helper()
 	lead := -1
 	x.waitFor("a leader", func() bool {
-		for i, p := range x.council {
+		for i, p := range x.voters {
 			if !p.Running() {
 				continue
 			}
@@ -344,7 +344,7 @@
 				Leader string `json:"leader"`
 			}
 			if err == nil && json.Unmarshal([]byte(text), &s) == nil && len(s.Leader) == 2 {
-				if lead = int(s.Leader[1] - '0'); x.council[lead].Running() {
+				if lead = int(s.Leader[1] - '0'); x.voters[lead].Running() {
 					return true
 				}
 			}
@@ -387,7 +387,7 @@
 			t.Errorf("%s did not exit cleanly: %s", name, tail(p.Output()))
 		}
 	}
-	for _, p := range x.council {
+	for _, p := range x.voters {
 		x.require(p.Term())
 		if !p.Wait(10 * time.Second) {
 			t.Errorf("%s did not exit: %s", p.Name, tail(p.Output()))
--- a/internal/distribution/relay/tree_test.go
+++ b/internal/distribution/relay/tree_test.go
@@ -65,10 +65,10 @@
 
 	// The leader is killed, with a change proposed to another voter at once.
 	leader := x.leader()
-	x.require(x.council[leader].Kill())
+	x.require(x.voters[leader].Kill())
 	x.propose((leader + 1) % councilDaemons)
 	x.waitForGeneration("the leader killed", x.generation)
-	x.require(x.council[leader].Restart(nil))
+	x.require(x.voters[leader].Restart(nil))
 
 	x.damagedCheckpoints()
 	x.partitionedZone()
@@ -192,12 +192,12 @@
 		r := generation(x.generation+1, x.members)
 		change(&r)
 		x.submitRules(0, r)
-		p := x.council[0]
+		p := x.voters[0]
 		x.waitFor("a message on "+key, func() bool { return strings.Contains(p.Output(), "rules.toml: "+key) })
 	}
 	time.Sleep(500 * time.Millisecond)
-	if after := x.mustStatus("a0"); after.Mark != before.Mark || after.Pending != 0 {
-		x.t.Errorf("rejected rules have changed %s to %s", before.Mark, after.Mark)
+	if after := x.mustStatus("a0"); after.VersionID != before.VersionID || after.Pending != 0 {
+		x.t.Errorf("rejected rules have changed %s to %s", before.VersionID, after.VersionID)
 	}
 	x.waitForGeneration("rules beyond a bound, nothing changed", x.generation)
 }
@@ -222,14 +222,14 @@
 		return float64(b-a) / time.Since(began).Seconds()
 	}
 	usualRate := rate()
-	for _, p := range x.council {
+	for _, p := range x.voters {
 		x.require(p.Kill())
 	}
 	x.waitFor("all act on a fallback", func() bool { return x.allInMode(ruleset.ModeFallback) })
 	x.waitFor("all act on nothing", func() bool { return x.allInMode(ruleset.ModeNoLease) })
 	rateDuringOutage := rate()
 	fullStates, _ := count()
-	for _, p := range x.council {
+	for _, p := range x.voters {
 		x.require(p.Restart(nil))
 	}
 	x.waitForGeneration("the raft group back after lease and fallback", x.generation)
@@ -300,7 +300,7 @@
 				x.partition(z, fault)
 				repairs = append(repairs, func() { x.partition(z, faultinject.Whole) })
 			case 4:
-				c := x.council[rng.Intn(councilDaemons)]
+				c := x.voters[rng.Intn(councilDaemons)]
 				if len(repairs) > 0 {
 					continue
 				}
--- a/internal/distribution/replica.go
+++ b/internal/distribution/replica.go
@@ -17,8 +17,8 @@
 const RingRadius = 250
 
 // Replica is a gateway's copy of its part of the ruleset, as the daemon of its host sends it. When to send a
-// request, and whether to act on the result, is up to ruleset.Holder. The daemon tracks this very process, so
-// that it may act on what was read before it started. It is not safe for concurrent use.
+// request, and whether to act on the result, is up to ruleset.LeaseHolder. The daemon tracks this very
+// process, so that it may act on what was read before it started. It is not safe for concurrent use.
 type Replica struct {
 	name             string
 	processID        int
@@ -43,9 +43,10 @@
 // Counts gives what the replica has met.
 func (r *Replica) Counts() ReplicaCounts { return r.counts }
 
-// NewRequest gives the request to the daemon at a time. The held step is what ruleset.Holder.Holds returns;
-// the index is that of the discovery service's list, and negative where none is known.
-func (r *Replica) NewRequest(now float64, heldStep uint64, discoveryIndex int64) *Request {
+// NewRequest gives the request to the daemon at a time. The acknowledged step is what
+// ruleset.LeaseHolder.AckedStep returns; the index is that of the discovery service's list, and negative
+// where none is known.
+func (r *Replica) NewRequest(now float64, ackedStep uint64, discoveryIndex int64) *Request {
 	return &Request{
 		FormatVersion:  FormatVersion,
 		Sender:         r.name,
@@ -56,13 +57,13 @@
 		RenewalOnly:    now < r.renewalOnlyUntil,
 		DiscoveryIndex: discoveryIndex,
 		ProcessID:      r.processID,
-		HeldStep:       heldStep,
+		AckedStep:      ackedStep,
 	}
 }
 
-// HandleResponse applies a response that came at a time, and gives its content as a lease for ruleset.Holder.
-// Updated reports whether the rules or the pending rules are others than before. After an error but
-// ErrDeferred the replica is as it was, and its next request asks for a full state.
+// HandleResponse applies a response that came at a time, and gives its content as a lease for
+// ruleset.LeaseHolder. Updated reports whether the rules or the pending rules are others than before. After
+// an error but ErrDeferred the replica is as it was, and its next request asks for a full state.
 func (r *Replica) HandleResponse(response *Response, now float64) (
 	lease ruleset.Lease, updated bool, err error) {
 	switch {
@@ -91,7 +92,7 @@
 	}
 	r.countAccepted(response)
 	updated = rules.ID() != r.rules.ID() || pending.ID() != r.pending.ID()
-	next.Step, next.TransitionComplete = response.Step, response.Settled
+	next.Step, next.TransitionComplete = response.Step, response.TransitionComplete
 	r.rules, r.pending, r.lease = rules, pending, next
 	next.AgeMillis = response.AgeMillis
 	return next, updated, nil
--- a/internal/distribution/replica_test.go
+++ b/internal/distribution/replica_test.go
@@ -79,8 +79,9 @@
 	source := NewSource("h", "till", bounds)
 	publish := func() {
 		current := publications[len(publications)-1]
-		v := Snapshot{Step: uint64(len(publications) - 1), Settled: current.settled, ReadStartMillis: now,
-			DiscoveryIndex: -1}
+		v := Snapshot{Step: uint64(len(publications) - 1), TransitionComplete: current.settled,
+			ReadStartMillis: now,
+			DiscoveryIndex:  -1}
 		var err error
 		if v.Rules, err = ruleset.VersionToState(current.rules); err == nil && current.pending != nil {
 			v.Pending, err = ruleset.VersionToState(current.pending)
@@ -108,12 +109,12 @@
 			}
 		default:
 			current := publications[lease.Step]
-			got, want := lease.Version, replicaPortion(t, current.rules)
+			got, want := lease.Version, replicaSubset(t, current.rules)
 			if !reflect.DeepEqual(&got, want) || lease.TransitionComplete != current.settled ||
 				(lease.Pending == nil) != (current.pending == nil) {
 				t.Fatalf("seed %d: step %d is\n%+v, not\n%+v", seed, lease.Step, got, want)
 			}
-			if current.pending != nil && !reflect.DeepEqual(*lease.Pending, replicaPortion(t, current.pending).Rules) {
+			if current.pending != nil && !reflect.DeepEqual(*lease.Pending, replicaSubset(t, current.pending).Rules) {
 				t.Fatalf("seed %d: pending at step %d is %+v", seed, lease.Step, lease.Pending)
 			}
 		}
@@ -202,7 +203,7 @@
 }
 
 // replicaPortion gives the part of a version that the replica has.
-func replicaPortion(t *testing.T, v *ruleset.Version) *ruleset.Version {
+func replicaSubset(t *testing.T, v *ruleset.Version) *ruleset.Version {
 	t.Helper()
 	s, err := ruleset.VersionToState(v)
 	if err != nil {
--- a/internal/distribution/response.go
+++ b/internal/distribution/response.go
@@ -36,7 +36,7 @@
 		return
 	}
 	if upstream == u.currentUpstream() {
-		f.acknowledgeHostSteps(request.hostSteps, r.Incarnation)
+		f.confirmDelivery(request.hostAcks, r.Incarnation)
 	}
 	if r.Step == 0 {
 		f.counts.Empty++
@@ -77,8 +77,9 @@
 	case f.isStale(readStart, r):
 		f.counts.Stale++
 		// That nobody acts on an earlier version any more stays true.
-		if r.Step == f.snapshot.Step && r.Settled && !f.snapshot.Settled && f.namesCurrentStates(r) {
-			f.snapshot.Settled, f.updated = true, true
+		if r.Step == f.snapshot.Step && r.TransitionComplete && !f.snapshot.TransitionComplete &&
+			f.namesCurrentStates(r) {
+			f.snapshot.TransitionComplete, f.updated = true, true
 		}
 		return true
 	case f.contradictsSnapshot(r), r.Rules.IsNone(), !r.Pending.IsNone() && r.Pending.Number != r.Rules.Number+1:
@@ -145,18 +146,18 @@
 		f.counts.Updates++
 		f.updated = true
 	}
-	settled := r.Settled || sameStep && f.snapshot.Settled
-	if !f.hasSnapshot || settled != f.snapshot.Settled || f.expired {
+	complete := r.TransitionComplete || sameStep && f.snapshot.TransitionComplete
+	if !f.hasSnapshot || complete != f.snapshot.TransitionComplete || f.expired {
 		f.updated = true
 	}
 	f.snapshot = Snapshot{
-		Step:            r.Step,
-		Settled:         settled,
-		ReadStartMillis: math.Max(f.snapshot.ReadStartMillis, readStart),
-		Rules:           rules,
-		Pending:         pending,
-		DiscoveryIndex:  r.DiscoveryIndex,
-		Depth:           r.Depth + 1,
+		Step:               r.Step,
+		TransitionComplete: complete,
+		ReadStartMillis:    math.Max(f.snapshot.ReadStartMillis, readStart),
+		Rules:              rules,
+		Pending:            pending,
+		DiscoveryIndex:     r.DiscoveryIndex,
+		Depth:              r.Depth + 1,
 	}
 	f.hasSnapshot, f.expired, f.needFullState = true, false, false
 	f.addBase(pending)
@@ -208,7 +209,7 @@
 	return nil, true
 }
 
-// applyDelta gives the state with a mark that a delta makes of a base. Where it can't, it counts the reason,
+// applyDelta gives the state with an ID that a delta makes of a base. Where it can't, it counts the reason,
 // and has the next request ask for a full state. A delta against a state that is no base any more is sound:
 // it may have been asked for before.
 func (f *Follower) applyDelta(base *versioned.State, delta *versioned.Delta, want versioned.VersionID) (
--- a/internal/distribution/simulation_test.go
+++ b/internal/distribution/simulation_test.go
@@ -35,7 +35,7 @@
 	ageNotAccumulated
 	readBeforeStart   // responses are accepted that were read before the process started
 	digestUnchecked   // a corrupt delta is applied, as if no digest were checked
-	lastHostStepWins  // the last fact of a host wins, not the highest
+	lastHostAckWins   // the last fact of a host wins, not the highest
 	reportedForOthers // a relay reports its own step for the hosts below it
 	lowerStepAccepted // a response of a lower step is accepted
 	checkpointTrusted // the checkpoint's snapshot is acted on
@@ -63,14 +63,14 @@
 	step                   uint64 // highest of this incarnation
 	version                uint64
 	checkedRules           versioned.VersionID
-	knownHostSteps         map[string]uint64 // by its source, at the last check
+	knownHostAcks          map[string]uint64 // by its source, at the last check
 	diskRules, diskPending *versioned.State
 	diskSnapshot           Snapshot // of the disk's states; none may act on it
 	reportedStep           uint64   // highest that any incarnation has reported for the host
-	council                *ruleset.StateMachine
-	steward                *ruleset.HostAgent
+	stateMachine           *ruleset.StateMachine
+	hostAgent              *ruleset.HostAgent
 	applied                int
-	warden                 *ruleset.LeaseGrantor
+	grantor                *ruleset.LeaseGrantor
 	submittedAt            float64
 	gateways               []*node // of a host's daemon
 	daemon                 *node   // of a gateway
@@ -210,7 +210,7 @@
 		w.counts["pending"]++
 	}
 	if e.Type == ruleset.EntryAckBatch && outcome.Rejection == "" {
-		w.counts["host steps"] += len(e.Acks)
+		w.counts["host acks"] += len(e.Acks)
 	}
 	if st = w.reference.State(); st.Step != stepBefore {
 		for s := stepBefore; s < st.Step; s++ {
@@ -270,7 +270,7 @@
 		return n
 	}
 	for i := range 2 {
-		w.roots = append(w.roots, add(&node{name: fmt.Sprint("root", i), council: ruleset.NewStateMachine()}))
+		w.roots = append(w.roots, add(&node{name: fmt.Sprint("root", i), stateMachine: ruleset.NewStateMachine()}))
 	}
 	branches, around := [2][]*node{w.roots, w.roots}, 1
 	if w.replicas {
@@ -315,34 +315,34 @@
 // start begins an incarnation of a node. Its disk is as it was (0), an older one (1), or empty or torn (2).
 func (w *walk) start(n *node, diskState int) {
 	n.incarnation++
-	n.startedAt, n.stalledUntil, n.step, n.version, n.checkedRules, n.knownHostSteps = w.now, 0, 0, 0,
+	n.startedAt, n.stalledUntil, n.step, n.version, n.checkedRules, n.knownHostAcks = w.now, 0, 0, 0,
 		versioned.VersionID{}, nil
 	n.checkedPair, n.decoded = [2]versioned.VersionID{}, [2]*ruleset.Rules{}
 	switch {
-	case n.council != nil: // a voter restarts with a snapshot, or with nothing
-		raw, err := n.council.Snapshot()
-		if n.council = ruleset.NewStateMachine(); err != nil || n.council.Restore(raw) != nil {
+	case n.stateMachine != nil: // a voter restarts with a snapshot, or with nothing
+		raw, err := n.stateMachine.Snapshot()
+		if n.stateMachine = ruleset.NewStateMachine(); err != nil || n.stateMachine.Restore(raw) != nil {
 			panic("snapshot")
 		}
 		if diskState > 0 {
-			n.council, n.applied = ruleset.NewStateMachine(), 0
+			n.stateMachine, n.applied = ruleset.NewStateMachine(), 0
 		}
-		n.steward = ruleset.NewHostAgent(n.name, n.council)
-		n.steward.SetFrequentReads(true)
-		n.steward.SetTime(n.clock(w.now))
-		n.steward.EntriesApplied()
+		n.hostAgent = ruleset.NewHostAgent(n.name, n.stateMachine)
+		n.hostAgent.SetFrequentReads(true)
+		n.hostAgent.SetTime(n.clock(w.now))
+		n.hostAgent.EntriesApplied()
 	case n.daemon != nil:
-		n.daemon.warden.ProcessExited(n.processID)
+		n.daemon.grantor.ProcessExited(n.processID)
 		w.processes++
 		n.processID = w.processes
-		n.daemon.warden.ProcessStarted(n.processID, false)
+		n.daemon.grantor.ProcessStarted(n.processID, false)
 		n.holder, n.permits = ruleset.NewLeaseHolder(n.name, ruleset.Rules{}), nil
 	}
 	if n.gateways != nil {
-		n.warden = &ruleset.LeaseGrantor{}
+		n.grantor = &ruleset.LeaseGrantor{}
 		for _, g := range n.gateways {
 			if g.processID > 0 {
-				n.warden.ProcessStarted(g.processID, true)
+				n.grantor.ProcessStarted(g.processID, true)
 			}
 		}
 	}
@@ -364,7 +364,7 @@
 		n.replica = NewReplica(n.name, n.processID, config.Seed)
 	}
 	n.follower = NewFollower(config, n.clock(w.now))
-	n.follower.SetHeldStep(n.processID, 0)
+	n.follower.SetAckedStep(n.processID, 0)
 	switch {
 	case n.daemon != nil: // a gateway has no checkpoint
 	case diskState == 0:
@@ -417,7 +417,7 @@
 
 // runNode carries out what a node decides.
 func (w *walk) runNode(n *node) {
-	if n.council != nil {
+	if n.stateMachine != nil {
 		w.runRoot(n)
 		return
 	}
@@ -448,23 +448,23 @@
 		}
 	}
 	if n.source != nil && n.daemon == nil {
-		n.follower.ReportHostSteps(n.source.TakeHostSteps())
+		n.follower.ReportHostAcks(n.source.TakeHostAcks())
 	}
-	if n.warden != nil {
+	if n.grantor != nil {
 		w.reportSeen(n)
 	}
 	if w.fault == reportedForOthers && n.gateways == nil && n.daemon == nil && n.step > 0 {
-		n.follower.ReportHostSteps([]HostStep{{Host: "h0", Step: n.step}, {Host: "h1", Step: n.step}})
+		n.follower.ReportHostAcks([]HostAck{{Host: "h0", Step: n.step}, {Host: "h1", Step: n.step}})
 	}
 }
 
 // reportSeen has a host's daemon report the step that all of its processes act on, and checks it.
 func (w *walk) reportSeen(daemon *node) {
-	seen := daemon.warden.AckedStep(daemon.step)
+	seen := daemon.grantor.AckedStep(daemon.step)
 	if seen == 0 {
 		return
 	}
-	daemon.follower.ReportHostSteps([]HostStep{{Host: daemon.host, Step: seen}})
+	daemon.follower.ReportHostAcks([]HostAck{{Host: daemon.host, Step: seen}})
 	if seen > daemon.reportedStep {
 		daemon.reportedStep = seen
 		w.checkReported(daemon.host, seen)
@@ -491,10 +491,10 @@
 	for n.applied < len(w.log) && w.rng.Intn(3) > 0 {
 		w.applyEntry(n)
 	}
-	n.steward.SetTime(n.clock(w.now))
-	n.steward.SetLeader(w.rng.Intn(2) == 0)
+	n.hostAgent.SetTime(n.clock(w.now))
+	n.hostAgent.SetLeader(w.rng.Intn(2) == 0)
 	for {
-		action, more := n.steward.NextAction()
+		action, more := n.hostAgent.NextAction()
 		if !more {
 			break
 		}
@@ -510,17 +510,18 @@
 				for n.applied < index {
 					w.applyEntry(n)
 				}
-				n.steward.SetTime(n.clock(w.now))
-				n.steward.ReadConfirmed(readStart)
-				if st := n.council.State(); st.InForce.Number > 0 {
-					n.source.Publish(Snapshot{Step: st.Step, Settled: st.TransitionComplete(), ReadStartMillis: readStart,
-						Rules: w.state(&st.InForce), Pending: w.pending(st), DiscoveryIndex: -1})
+				n.hostAgent.SetTime(n.clock(w.now))
+				n.hostAgent.ReadConfirmed(readStart)
+				if st := n.stateMachine.State(); st.InForce.Number > 0 {
+					n.source.Publish(Snapshot{Step: st.Step, TransitionComplete: st.TransitionComplete(),
+						ReadStartMillis: readStart,
+						Rules:           w.state(&st.InForce), Pending: w.pending(st), DiscoveryIndex: -1})
 				}
 			})
 		}
 	}
 	if w.now-n.submittedAt >= 300 {
-		if facts := n.council.State().UsefulAcks(n.source.HostSteps()); len(facts) > 0 {
+		if facts := n.stateMachine.State().UsefulAcks(n.source.HostAcks()); len(facts) > 0 {
 			n.submittedAt = w.now
 			w.deliver(nil, func() { w.commit(ruleset.LogEntry{Type: ruleset.EntryAckBatch, Acks: facts}) })
 		}
@@ -528,10 +529,10 @@
 }
 
 func (w *walk) applyEntry(n *node) {
-	n.council.Apply(w.log[n.applied])
+	n.stateMachine.Apply(w.log[n.applied])
 	n.applied++
-	n.steward.SetTime(n.clock(w.now))
-	n.steward.EntriesApplied()
+	n.hostAgent.SetTime(n.clock(w.now))
+	n.hostAgent.EntriesApplied()
 }
 
 // sendFollowerRequest sends a follower's request, and the response back.
@@ -587,12 +588,12 @@
 	incarnation := n.incarnation
 	w.counts["requests"]++
 	w.deliver(upstream, func() {
-		if upstream.warden != nil {
+		if upstream.grantor != nil {
 			if n.incarnation != incarnation { // a daemon knows which of its processes have exited
 				return
 			}
-			if upstream.warden.RecordRequest(request.ProcessID, request.HeldStep); upstream.step > 0 {
-				upstream.warden.RecordGrant(request.ProcessID)
+			if upstream.grantor.RecordRequest(request.ProcessID, request.AckedStep); upstream.step > 0 {
+				upstream.grantor.RecordGrant(request.ProcessID)
 			}
 		}
 		response, err := upstream.source.Respond(request, upstream.clock(w.now))
@@ -600,7 +601,7 @@
 			w.fail("%s asks %s: %v", n.name, upstream.name, err)
 			return
 		}
-		w.checkHostSteps(upstream)
+		w.checkHostAcks(upstream)
 		response = w.corrupt(response)
 		w.deliver(n, func() {
 			if n.incarnation != incarnation {
@@ -644,24 +645,24 @@
 	return &corrupted
 }
 
-// checkHostSteps fails where what a source knows of a host goes back.
-func (w *walk) checkHostSteps(n *node) {
+// checkHostAcks fails where what a source knows of a host goes back.
+func (w *walk) checkHostAcks(n *node) {
 	current := map[string]uint64{}
-	for _, h := range n.source.HostSteps() {
+	for _, h := range n.source.HostAcks() {
 		current[h.Host] = h.Step
 	}
-	if w.fault == lastHostStepWins && len(current) > 0 && w.rng.Intn(50) == 0 { // a late fact
+	if w.fault == lastHostAckWins && len(current) > 0 && w.rng.Intn(50) == 0 { // a late fact
 		for h := range current {
-			n.source.hostSteps[h] = current[h] - 1
+			n.source.hostAcks[h] = current[h] - 1
 			current[h]--
 		}
 	}
-	for h, step := range n.knownHostSteps {
+	for h, step := range n.knownHostAcks {
 		if current[h] < step {
 			w.fail("%s knew step %d of %s, and now step %d", n.name, step, h, current[h])
 		}
 	}
-	n.knownHostSteps = current
+	n.knownHostAcks = current
 }
 
 // checkFollower checks the snapshot of a node, and publishes it to its source.
@@ -717,7 +718,7 @@
 // runHolder has a gateway's holder decide; false: it now holds a step that its follower has
 // to be given.
 func (w *walk) runHolder(n *node) bool {
-	heldBefore := n.holder.AckedStep()
+	ackedBefore := n.holder.AckedStep()
 	n.holder.SetTime(n.clock(w.now))
 	w.feedHolder(n)
 	for {
@@ -729,9 +730,9 @@
 			w.feedHolder(n)
 		}
 	}
-	heldStep := n.holder.AckedStep()
-	n.follower.SetHeldStep(n.processID, heldStep)
-	return heldStep == heldBefore
+	ackedStep := n.holder.AckedStep()
+	n.follower.SetAckedStep(n.processID, ackedStep)
+	return ackedStep == ackedBefore
 }
 
 // feedHolder gives the holder the follower's snapshot.
@@ -740,7 +741,7 @@
 	if !ok {
 		return
 	}
-	lease := ruleset.Lease{Step: snapshot.Step, TransitionComplete: snapshot.Settled,
+	lease := ruleset.Lease{Step: snapshot.Step, TransitionComplete: snapshot.TransitionComplete,
 		AgeMillis: snapshot.AgeMillis(n.clock(w.now))}
 	for i, s := range []*versioned.State{snapshot.Rules, snapshot.Pending} {
 		if s == nil {
@@ -906,7 +907,7 @@
 		}
 	}
 	t.Logf("%d walks of half a minute: %v", *walks, all)
-	for _, k := range []string{"pending", "in force", "host steps", "digest", "deltas", "full states", "stale",
+	for _, k := range []string{"pending", "in force", "host acks", "digest", "deltas", "full states", "stale",
 		"before start",
 		"upstream switches", "zone restarts", "leader losses", "deferred"} {
 		if all[k] == 0 {
@@ -945,7 +946,8 @@
 	v1 := testState(t, 1, r)
 	for tracked, wantRate := range map[bool]float64{false: 0, true: 24} {
 		source := NewSource("lags", "c", SourceConfig{})
-		source.Publish(Snapshot{Step: 2, Settled: true, ReadStartMillis: 900, Rules: v1, DiscoveryIndex: -1})
+		source.Publish(Snapshot{Step: 2, TransitionComplete: true, ReadStartMillis: 900, Rules: v1,
+			DiscoveryIndex: -1})
 		f := NewFollower(FollowerConfig{Name: "g0", Cluster: "c", Upstreams: 1,
 			Interest:              ruleset.Interest{Name: "g0"},
 			UpstreamTracksProcess: tracked}, 1000)
@@ -960,7 +962,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				holder.ReceiveLease(ruleset.Lease{Step: v.Step, Version: x, TransitionComplete: v.Settled,
+				holder.ReceiveLease(ruleset.Lease{Step: v.Step, Version: x, TransitionComplete: v.TransitionComplete,
 					AgeMillis: v.AgeMillis(now)}, now)
 			}
 			for _, more := holder.NextAction(); more; _, more = holder.NextAction() {
--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -20,8 +20,8 @@
 	snapshot    Snapshot
 	versions    versionCache
 
-	hostSteps  map[string]uint64 // highest known step by host
-	unreported map[string]bool   // hosts whose step is newer than at the last TakeHostSteps
+	hostAcks   map[string]uint64 // highest known step by host
+	unreported map[string]bool   // hosts whose step is newer than at the last TakeHostAcks
 
 	indexes    indexTracker
 	fullStates fullStateLimiter
@@ -37,7 +37,7 @@
 		config:     config,
 		snapshot:   Snapshot{DiscoveryIndex: -1},
 		versions:   newVersionCache(config.RetainedVersions, config.CachedSelections),
-		hostSteps:  map[string]uint64{},
+		hostAcks:   map[string]uint64{},
 		unreported: map[string]bool{},
 		indexes:    newIndexTracker(config.TrackedClients),
 		fullStates: newFullStateLimiter(config.FullStateBytesPerSecond, config.FullStateBurstBytes),
@@ -69,7 +69,7 @@
 		s.counts.Rejected++
 		return nil, err
 	}
-	s.recordHostSteps(request.HostSteps)
+	s.recordHostAcks(request.HostAcks)
 	s.indexes.record(request.Sender, request.DiscoveryIndex, now)
 	r := &Response{
 		FormatVersion:  FormatVersion,
@@ -83,7 +83,7 @@
 		return r, nil
 	}
 	selected := s.versions.selection(request.Interest)
-	r.Depth, r.Step, r.Settled = s.snapshot.Depth, s.snapshot.Step, s.snapshot.Settled
+	r.Depth, r.Step, r.TransitionComplete = s.snapshot.Depth, s.snapshot.Step, s.snapshot.TransitionComplete
 	r.AgeMillis = math.Max(now-s.snapshot.ReadStartMillis, 0)
 	r.DiscoveryIndex = max(s.snapshot.DiscoveryIndex, s.HighestDiscoveryIndex(now))
 	r.Rules, r.Pending = selected.rules.Mark(), selected.pending.Mark()
@@ -104,7 +104,7 @@
 // full else. Without capacity for a full state it defers the requester and returns false.
 func (s *Source) addRules(r *Response, request *Request, selected *selection, now float64) bool {
 	rules := selected.rules
-	switch base := s.versions.basePortion(request.Rules, request.Interest); {
+	switch base := s.versions.baseSubset(request.Rules, request.Interest); {
 	case base != nil:
 		r.RulesDelta = s.versions.delta(base, rules)
 		s.counts.Deltas++
@@ -129,53 +129,53 @@
 		return fmt.Errorf("cluster: %q is not this one", r.Cluster)
 	case r.Sender == "" || len(r.Sender) > maxNameBytes:
 		return fmt.Errorf("from: a name has 1 to %d bytes, not %d", maxNameBytes, len(r.Sender))
-	case len(r.HostSteps) > MaxHostSteps:
-		return fmt.Errorf("seen: %d are more than %d", len(r.HostSteps), MaxHostSteps)
+	case len(r.HostAcks) > MaxHostAcks:
+		return fmt.Errorf("seen: %d are more than %d", len(r.HostAcks), MaxHostAcks)
 	}
 	return r.Interest.Check()
 }
 
-// recordHostSteps merges facts by the highest step of each host.
-func (s *Source) recordHostSteps(facts []HostStep) {
-	for _, fact := range facts {
-		known, exists := s.hostSteps[fact.Host]
-		if fact.Step <= known || fact.Host == "" || len(fact.Host) > maxNameBytes {
+// recordHostAcks merges acks by the highest step of each host.
+func (s *Source) recordHostAcks(acks []HostAck) {
+	for _, ack := range acks {
+		known, exists := s.hostAcks[ack.Host]
+		if ack.Step <= known || ack.Host == "" || len(ack.Host) > maxNameBytes {
 			continue
 		}
-		if !exists && len(s.hostSteps) >= s.config.TrackedHosts {
+		if !exists && len(s.hostAcks) >= s.config.TrackedHosts {
 			s.counts.DroppedHosts++
-			host := lowestStepHost(s.hostSteps)
-			delete(s.hostSteps, host)
+			host := lowestStepHost(s.hostAcks)
+			delete(s.hostAcks, host)
 			delete(s.unreported, host)
 		}
-		s.hostSteps[fact.Host], s.unreported[fact.Host] = fact.Step, true
-		s.counts.HostSteps++
+		s.hostAcks[ack.Host], s.unreported[ack.Host] = ack.Step, true
+		s.counts.HostAcks++
 	}
 }
 
-// TakeHostSteps gives the facts that are new since its last call, for Follower.ReportHostSteps or the raft
+// TakeHostAcks gives the acks that are new since its last call, for Follower.ReportHostAcks or the raft
 // group.
-func (s *Source) TakeHostSteps() []HostStep {
-	facts := make([]HostStep, 0, len(s.unreported))
+func (s *Source) TakeHostAcks() []HostAck {
+	acks := make([]HostAck, 0, len(s.unreported))
 	for host := range s.unreported {
-		facts = append(facts, HostStep{Host: host, Step: s.hostSteps[host]})
+		acks = append(acks, HostAck{Host: host, Step: s.hostAcks[host]})
 	}
 	clear(s.unreported)
-	return sortByHost(facts)
+	return sortByHost(acks)
 }
 
-// HostSteps gives all facts.
-func (s *Source) HostSteps() []HostStep {
-	facts := make([]HostStep, 0, len(s.hostSteps))
-	for host, step := range s.hostSteps {
-		facts = append(facts, HostStep{Host: host, Step: step})
+// HostAcks gives all acks.
+func (s *Source) HostAcks() []HostAck {
+	acks := make([]HostAck, 0, len(s.hostAcks))
+	for host, step := range s.hostAcks {
+		acks = append(acks, HostAck{Host: host, Step: step})
 	}
-	return sortByHost(facts)
+	return sortByHost(acks)
 }
 
-func sortByHost(facts []HostStep) []HostStep {
-	slices.SortFunc(facts, func(a, b HostStep) int { return cmp.Compare(a.Host, b.Host) })
-	return facts
+func sortByHost(acks []HostAck) []HostAck {
+	slices.SortFunc(acks, func(a, b HostAck) int { return cmp.Compare(a.Host, b.Host) })
+	return acks
 }
 
 // HighestDiscoveryIndex gives the highest index of the discovery service's list that clients have reported
--- a/internal/distribution/upstreams.go
+++ b/internal/distribution/upstreams.go
@@ -23,7 +23,7 @@
 type pendingRequest struct {
 	active      bool
 	sentAt      float64
-	hostSteps   []HostStep // facts that it carries
+	hostAcks    []HostAck // acks that it carries
 	renewalOnly bool
 }
 
@@ -80,7 +80,7 @@
 // sent registers a request to an upstream, and gives its nonce.
 func (u *upstreamState) sent(upstream int, now float64, r *Request) uint64 {
 	u.lastNonce++
-	u.pending[upstream] = pendingRequest{active: true, sentAt: now, hostSteps: r.HostSteps,
+	u.pending[upstream] = pendingRequest{active: true, sentAt: now, hostAcks: r.HostAcks,
 		renewalOnly: r.RenewalOnly}
 	if u.recent = append(u.recent, sentRequest{u.lastNonce, upstream, now}); len(u.recent) > maxRecentRequests {
 		u.recent = slices.Delete(u.recent, 0, 1)
@@ -183,7 +183,7 @@
 	}
 }
 
-// switchUpstream makes the upstream at a position the current one. It is sent all facts, as what the former
+// switchUpstream makes the upstream at a position the current one. It is sent all acks, as what the former
 // one knew may not have gone further up.
 func (f *Follower) switchUpstream(position int) {
 	u := &f.upstreams
@@ -195,7 +195,7 @@
 	}
 	u.current, u.currentStale, u.incarnation = position, false, 0
 	f.counts.UpstreamSwitches++
-	f.resendHostSteps()
+	f.resendHostAcks()
 }
 
 // compareFreshness notes whether the current upstream is stale. It switches to an upstream that is fresher
--- a/internal/distribution/versions.go
+++ b/internal/distribution/versions.go
@@ -7,21 +7,21 @@
 	"willowdeck/internal/versioned"
 )
 
-// maxPortionIndexes bounds the retained versions that have an index, of 2.5 MB at 7,900 members each. Older
+// maxSubsetIndexes bounds the retained versions that have an index, of 2.5 MB at 7,900 members each. Older
 // versions are rarely asked for, and theirs are built anew.
-const maxPortionIndexes = 4
+const maxSubsetIndexes = 4
 
 // retainedVersion is a state that deltas can be made from.
 type retainedVersion struct {
-	state        *versioned.State
-	portionIndex *ruleset.StateIndex // finds portions of the state; nil: not built
+	state       *versioned.State
+	subsetIndex *ruleset.StateIndex // finds subsets of the state; nil: not built
 }
 
-func (v *retainedVersion) portion(interest ruleset.Interest) *ruleset.StateSubset {
-	if v.portionIndex == nil {
-		v.portionIndex = ruleset.NewStateIndex(v.state)
+func (v *retainedVersion) subset(interest ruleset.Interest) *ruleset.StateSubset {
+	if v.subsetIndex == nil {
+		v.subsetIndex = ruleset.NewStateIndex(v.state)
 	}
-	return v.portionIndex.Subset(interest)
+	return v.subsetIndex.Subset(interest)
 }
 
 // selection is the part of a snapshot that one interest needs.
@@ -30,8 +30,8 @@
 	pendingDelta   *versioned.Delta // of pending against rules
 }
 
-// markPair names a delta.
-type markPair struct{ from, to versioned.VersionID }
+// versionPair names a delta.
+type versionPair struct{ from, to versioned.VersionID }
 
 // versionCache holds the states of the current snapshot and of earlier ones, with the selections and deltas
 // that were made of them. It is owned by one Source.
@@ -43,7 +43,7 @@
 	selections     map[ruleset.Interest]*selection
 	// previousSelections are those of the snapshot before, which most requesters have.
 	previousSelections map[ruleset.Interest]*selection
-	deltas             map[markPair]*versioned.Delta
+	deltas             map[versionPair]*versioned.Delta
 }
 
 func newVersionCache(maxVersions, maxSelections int) versionCache {
@@ -51,7 +51,7 @@
 		maxVersions:   maxVersions,
 		maxSelections: maxSelections,
 		selections:    map[ruleset.Interest]*selection{},
-		deltas:        map[markPair]*versioned.Delta{},
+		deltas:        map[versionPair]*versioned.Delta{},
 	}
 }
 
@@ -70,8 +70,8 @@
 		return
 	}
 	version := &retainedVersion{state: state}
-	hasMark := func(v *retainedVersion) bool { return v.state.ID() == state.ID() }
-	if i := slices.IndexFunc(c.versions, hasMark); i >= 0 {
+	sameID := func(v *retainedVersion) bool { return v.state.ID() == state.ID() }
+	if i := slices.IndexFunc(c.versions, sameID); i >= 0 {
 		version = c.versions[i]
 		c.versions = slices.Delete(c.versions, i, i+1)
 	}
@@ -79,15 +79,15 @@
 	if len(c.versions) > c.maxVersions {
 		c.versions = slices.Delete(c.versions, c.maxVersions, len(c.versions))
 	}
-	for _, old := range c.versions[min(maxPortionIndexes, len(c.versions)):] {
-		old.portionIndex = nil
+	for _, old := range c.versions[min(maxSubsetIndexes, len(c.versions)):] {
+		old.subsetIndex = nil
 	}
 }
 
-// retained gives the version with a mark; nil where it is not retained.
-func (c *versionCache) retained(mark versioned.VersionID) *retainedVersion {
+// retained gives the version with an ID; nil where it is not retained.
+func (c *versionCache) retained(id versioned.VersionID) *retainedVersion {
 	for _, v := range c.versions {
-		if v.state.ID() == mark {
+		if v.state.ID() == id {
 			return v
 		}
 	}
@@ -99,9 +99,9 @@
 	if cached := c.selections[interest]; cached != nil {
 		return cached
 	}
-	s := &selection{rules: c.retained(c.rules.ID()).portion(interest)}
+	s := &selection{rules: c.retained(c.rules.ID()).subset(interest)}
 	if c.pending != nil {
-		s.pending = c.retained(c.pending.ID()).portion(interest)
+		s.pending = c.retained(c.pending.ID()).subset(interest)
 		s.pendingDelta = c.delta(s.rules, s.pending)
 	}
 	if len(c.selections) < c.maxSelections {
@@ -110,9 +110,9 @@
 	return s
 }
 
-// delta gives what makes one portion of another; from nil it is a full state.
+// delta gives what makes one subset of another; from nil it is a full state.
 func (c *versionCache) delta(from, to *ruleset.StateSubset) *versioned.Delta {
-	key := markPair{from.Mark(), to.Mark()}
+	key := versionPair{from.Mark(), to.Mark()}
 	d := c.deltas[key]
 	if d == nil {
 		d = to.DeltaFrom(from)
@@ -123,23 +123,23 @@
 	return d
 }
 
-// basePortion gives the portion with a mark that an interest needed of a retained version; nil: there is
+// baseSubset gives the subset with an ID that an interest needed of a retained version; nil: there is
 // none.
-func (c *versionCache) basePortion(mark versioned.VersionID, interest ruleset.Interest) *ruleset.StateSubset {
-	if mark.IsNone() {
+func (c *versionCache) baseSubset(id versioned.VersionID, interest ruleset.Interest) *ruleset.StateSubset {
+	if id.IsNone() {
 		return nil
 	}
 	if previous := c.previousSelections[interest]; previous != nil {
-		for _, portion := range []*ruleset.StateSubset{previous.rules, previous.pending} {
-			if portion.Mark() == mark {
-				return portion
+		for _, subset := range []*ruleset.StateSubset{previous.rules, previous.pending} {
+			if subset.Mark() == id {
+				return subset
 			}
 		}
 	}
 	for _, v := range c.versions {
-		if v.state.ID().Number == mark.Number {
-			if portion := v.portion(interest); portion.Mark() == mark {
-				return portion
+		if v.state.ID().Number == id.Number {
+			if subset := v.subset(interest); subset.Mark() == id {
+				return subset
 			}
 		}
 	}
--- a/internal/gateway/lifecycle/ask_test.go
+++ b/internal/gateway/lifecycle/ask_test.go
@@ -72,8 +72,9 @@
 		return nil, &relay.RejectionError{Reason: "unconfirmed", Message: "nothing is in force"}
 	}
 	now := boot()
-	v := distribution.Snapshot{Step: x.lease.Step, Settled: x.lease.TransitionComplete, ReadStartMillis: now,
-		DiscoveryIndex: -1}
+	v := distribution.Snapshot{Step: x.lease.Step, TransitionComplete: x.lease.TransitionComplete,
+		ReadStartMillis: now,
+		DiscoveryIndex:  -1}
 	var err error
 	if v.Rules, err = ruleset.VersionToState(&x.lease.Version); err == nil && x.lease.Pending != nil {
 		next := ruleset.Version{Number: x.lease.Version.Number + 1, Rules: *x.lease.Pending}
@@ -175,7 +176,7 @@
 	}
 	until(t, "it does not say what it holds", func() bool {
 		last, _, _, _ := x.seen()
-		return last.HeldStep == 1
+		return last.AckedStep == 1
 	})
 	last, _, _, _ := x.seen()
 	if last.Sender != "n0" || last.ProcessID == 0 ||
@@ -396,7 +397,7 @@
 		t.Helper()
 		until(t, fmt.Sprintf("it does not hold step %d", step), func() bool {
 			last, _, _, _ := x.seen()
-			return last.HeldStep == step
+			return last.AckedStep == step
 		})
 	}
 	holds(2)
--- a/internal/lab/footprint/relay.go
+++ b/internal/lab/footprint/relay.go
@@ -77,7 +77,7 @@
 }
 
 func (h *hop) offer(step uint64, rules *versioned.State) {
-	h.view = distribution.Snapshot{Step: step, Settled: true, ReadStartMillis: h.now, Rules: rules,
+	h.view = distribution.Snapshot{Step: step, TransitionComplete: true, ReadStartMillis: h.now, Rules: rules,
 		DiscoveryIndex: -1}
 	h.source.Publish(h.view)
 }
--- a/internal/lab/scale/relays.go
+++ b/internal/lab/scale/relays.go
@@ -159,7 +159,8 @@
 	b.trial.Rules.Plans[0].Rate += float64(b.trial.Number%2)*2 - 1
 	rules, err := ruleset.VersionToState(b.trial)
 	if err == nil {
-		b.view = distribution.Snapshot{Step: b.trial.Number, Settled: true, Rules: rules, DiscoveryIndex: -1}
+		b.view = distribution.Snapshot{Step: b.trial.Number, TransitionComplete: true, Rules: rules,
+			DiscoveryIndex: -1}
 	}
 	return err
 }
@@ -255,7 +256,7 @@
 		b.told = seen
 		b.feed.WithFollower(
 			func(f *distribution.Follower) {
-				f.ReportHostSteps([]distribution.HostStep{{Host: b.c.Name, Step: seen}})
+				f.ReportHostAcks([]distribution.HostAck{{Host: b.c.Name, Step: seen}})
 			},
 		)
 	}
@@ -267,7 +268,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := raftlog.BootClockMillis()
-	if !b.warden.RecordRequest(a.ProcessID, a.HeldStep) {
+	if !b.warden.RecordRequest(a.ProcessID, a.AckedStep) {
 		return nil, errors.New("too many processes")
 	}
 	b.take()
@@ -275,7 +276,7 @@
 		return nil, errUnconfirmed
 	}
 	b.warden.RecordGrant(a.ProcessID)
-	a.Cluster, a.HostSteps = b.cluster, nil
+	a.Cluster, a.HostAcks = b.cluster, nil
 	return b.source.Respond(a, now)
 }
 
--- a/internal/supervisor/branch.go
+++ b/internal/supervisor/branch.go
@@ -146,7 +146,7 @@
 		b.lease = l
 		b.copy.Save(v)
 	}
-	b.view, b.lease.Step, b.lease.TransitionComplete = v, v.Step, v.Settled
+	b.view, b.lease.Step, b.lease.TransitionComplete = v, v.Step, v.TransitionComplete
 	if v.Rules.ID() != rules {
 		if b.record != nil {
 			b.record.Write(history.Event{Kind: history.Gives, Version: v.Rules.ID().Number,
@@ -196,7 +196,7 @@
 	b.said, b.index = max(seen, b.said), highest
 	b.feed.WithFollower(func(f *distribution.Follower) {
 		if f.SetDiscoveryIndex(highest); more {
-			f.ReportHostSteps([]distribution.HostStep{{Host: b.me, Step: seen}})
+			f.ReportHostAcks([]distribution.HostAck{{Host: b.me, Step: seen}})
 		}
 	})
 }
@@ -309,7 +309,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := Following{Cluster: b.cluster, Me: b.me, Upstream: b.upstream, Depth: b.view.Depth, ReadMS: -1,
-		Step: b.view.Step, Settled: b.view.Settled, Foreign: b.lease.UnsupportedFeature, Seen: b.said,
+		Step: b.view.Step, Settled: b.view.TransitionComplete, Foreign: b.lease.UnsupportedFeature, Seen: b.said,
 		Behind: map[string]uint64{}, CutOff: map[string]float64{}}
 	if b.feed == nil {
 		return s
--- a/internal/supervisor/branch_test.go
+++ b/internal/supervisor/branch_test.go
@@ -434,7 +434,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.last = *a
-	for _, h := range a.HostSteps {
+	for _, h := range a.HostAcks {
 		u.seen = max(u.seen, h.Step)
 	}
 	return u.source.Respond(a, raftlog.BootClockMillis())
@@ -449,7 +449,8 @@
 	go func() {
 		for t.Context().Err() == nil {
 			u.mu.Lock()
-			u.source.Publish(distribution.Snapshot{Step: step, ReadStartMillis: raftlog.BootClockMillis(), Rules: rules,
+			u.source.Publish(distribution.Snapshot{Step: step, ReadStartMillis: raftlog.BootClockMillis(),
+				Rules:          rules,
 				DiscoveryIndex: -1})
 			u.mu.Unlock()
 			time.Sleep(20 * time.Millisecond)
--- a/internal/supervisor/teller.go
+++ b/internal/supervisor/teller.go
@@ -53,12 +53,12 @@
 		t.step = l.Step
 	}
 	return distribution.Snapshot{
-		Step:            l.Step,
-		Settled:         l.TransitionComplete,
-		ReadStartMillis: now - l.AgeMillis,
-		Rules:           t.rules,
-		Pending:         t.pending,
-		DiscoveryIndex:  -1,
+		Step:               l.Step,
+		TransitionComplete: l.TransitionComplete,
+		ReadStartMillis:    now - l.AgeMillis,
+		Rules:              t.rules,
+		Pending:            t.pending,
+		DiscoveryIndex:     -1,
 	}, nil
 }
 
@@ -101,11 +101,11 @@
 			Message: fmt.Sprintf("%d is no process of %q that this daemon keeps", a.ProcessID, a.Sender)}
 	}
 	now := raftlog.BootClockMillis() // no later than the one by which the lease's age is counted
-	l, ok := d.seat.RenewLease(a.ProcessID, a.Sender, a.HeldStep, a.DiscoveryIndex)
+	l, ok := d.seat.RenewLease(a.ProcessID, a.Sender, a.AckedStep, a.DiscoveryIndex)
 	if !ok {
 		return nil, &relay.RejectionError{Reason: "unconfirmed", Message: notConfirmed}
 	}
-	a.Cluster, a.HostSteps = d.seat.teller.cluster, nil // it knows of no cluster, and speaks of itself alone
+	a.Cluster, a.HostAcks = d.seat.teller.cluster, nil // it knows of no cluster, and speaks of itself alone
 	own := d.rewrites(a.Sender)
 	told, err := d.seat.teller.answer(a, own, now, func(t *telling) (distribution.Snapshot, error) {
 		if d.seat.branch != nil && !own { // as it came, whether this program knows all of it or not
