--- a/internal/distribution/source.go
+++ b/internal/distribution/source.go
@@ -86,7 +86,7 @@
 	r.Depth, r.Step, r.TransitionComplete = s.snapshot.Depth, s.snapshot.Step, s.snapshot.TransitionComplete
 	r.AgeMillis = math.Max(now-s.snapshot.ReadStartMillis, 0)
 	r.DiscoveryIndex = max(s.snapshot.DiscoveryIndex, s.HighestDiscoveryIndex(now))
-	r.Rules, r.Pending = selected.rules.Mark(), selected.pending.Mark()
+	r.Rules, r.Pending = selected.rules.ID(), selected.pending.ID()
 	if r.Rules == request.Rules && (r.Pending.IsNone() || r.Pending == request.Pending) || request.RenewalOnly {
 		s.counts.Renewals++
 		return r, nil
--- a/internal/distribution/versions.go
+++ b/internal/distribution/versions.go
@@ -112,7 +112,7 @@
 
 // delta gives what makes one subset of another; from nil it is a full state.
 func (c *versionCache) delta(from, to *ruleset.StateSubset) *versioned.Delta {
-	key := versionPair{from.Mark(), to.Mark()}
+	key := versionPair{from.ID(), to.ID()}
 	d := c.deltas[key]
 	if d == nil {
 		d = to.DeltaFrom(from)
@@ -131,14 +131,14 @@
 	}
 	if previous := c.previousSelections[interest]; previous != nil {
 		for _, subset := range []*ruleset.StateSubset{previous.rules, previous.pending} {
-			if subset.Mark() == id {
+			if subset.ID() == id {
 				return subset
 			}
 		}
 	}
 	for _, v := range c.versions {
 		if v.state.ID().Number == id.Number {
-			if subset := v.subset(interest); subset.Mark() == id {
+			if subset := v.subset(interest); subset.ID() == id {
 				return subset
 			}
 		}
--- a/internal/serving/control/sim_plants_test.go
+++ b/internal/serving/control/sim_planted_test.go
@@ -10,24 +10,24 @@
 	"willowdeck/internal/serving/wirepb"
 )
 
-// plant is a deliberate mistake in the programs that a world plays, to show that its checks find it. Nil
-// parts are as they should be.
-type plant struct {
+// plantedFault is a deliberate mistake in the simulated programs, to show that the checks find it. Fields
+// that are zero change nothing.
+type plantedFault struct {
 	afterStep func(w *world)
 	// send may change an envelope on its way out, or drop it by returning nil.
 	send func(w *world, to string, envelope *wirepb.Envelope) *wirepb.Envelope
 	// submit answers an operator's order in place of the engine, if it returns true.
-	submit     func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool
-	identity   func(m *machine, fresh string) string // of a disk without one
-	ackAtOnce  bool                                  // batches count as on disk before they are
-	stopAtOnce bool                                  // a process that is told to stop does so
+	submit          func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool
+	identity        func(m *machine, fresh string) string // of a disk without one
+	ackBeforeSync   bool                                  // batches count as durable before they are
+	stopImmediately bool                                  // a process that is to shut down does not wait
 }
 
-const plantedSchedules = 400
+const plantedFaultSchedules = 400
 
-// plants are by the point of the operators' letter that they break.
-var plants = map[string]plant{
-	"1: a read without a majority": {
+// plantedFaults are named after the section of docs/control-safety.md that they violate.
+var plantedFaults = map[string]plantedFault{
+	"1: a read without a quorum": {
 		submit: func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool {
 			if command != nil {
 				return false
@@ -38,9 +38,9 @@
 			return true
 		},
 	},
-	"1: an order is confirmed before a majority has it": {
+	"1: a command is acknowledged before a quorum has it": {
 		submit: func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool {
-			if command == nil || !e.node.Acting() {
+			if command == nil || !e.node.IsEstablishedLeader() {
 				return false
 			}
 			e.Submit(command, func(*wirepb.CallReply) {})
@@ -48,22 +48,22 @@
 			return true
 		},
 	},
-	"1: a core without a leader refuses": {
+	"1: a core without a leader rejects": {
 		submit: func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool {
-			if command.GetReplace() == nil || e.node.InTouch() {
+			if command.GetReplace() == nil || e.node.InSync() {
 				return false
 			}
 			done(&wirepb.CallReply{Outcome: wirepb.Outcome_OUTCOME_CONFLICT})
 			return true
 		},
 	},
-	"2: an order that is sent again is not known": {
+	"2: a retried command is not recognized": {
 		submit: func(e *Engine, command *wirepb.Command, done func(*wirepb.CallReply)) bool {
 			if command.GetReplace() == nil {
 				return false
 			}
 			other := proto.Clone(command).(*wirepb.Command)
-			other.GetReplace().Digest = []byte(strconv.FormatUint(e.orders.next, 10) + e.options.Life)
+			other.GetReplace().Digest = []byte(strconv.FormatUint(e.requests.lastNumber, 10) + e.options.Incarnation)
 			e.Submit(other, done)
 			return true
 		},
@@ -78,30 +78,30 @@
 			return true
 		},
 	},
-	"3: a leaving replica stops at once": {stopAtOnce: true},
-	"3: a replica is seated before it has caught up": {
+	"3: a replica that shuts down stops at once": {stopImmediately: true},
+	"3: a replica becomes a voter before it has caught up": {
 		send: func(_ *world, _ string, envelope *wirepb.Envelope) *wirepb.Envelope {
 			m := envelope.GetConsensus()
 			if m.GetKind() != wirepb.ConsensusKind_CONSENSUS_APPEND_REPLY || m.Reject {
 				return envelope
 			}
-			m.LogIndex += 3 // it says that it has more than it has
+			m.LogIndex += 3 // it acknowledges more than it has
 			return envelope
 		},
 	},
-	"4: parts of a snapshot are lost for good": {
+	"4: chunks of snapshots are never delivered": {
 		send: func(_ *world, _ string, envelope *wirepb.Envelope) *wirepb.Envelope {
-			if isPart(envelope) {
+			if isSnapshotChunk(envelope) {
 				return nil
 			}
 			return envelope
 		},
 	},
-	"4: a wiped disk comes back as who it was": {
+	"4: a wiped disk keeps its identity": {
 		identity: func(m *machine, _ string) string { return consensus.FounderIdentity(m.host) },
 	},
-	"4: what is not synced counts": {ackAtOnce: true},
-	"5: an answer to another life counts": {
+	"4: an acknowledgement before the sync": {ackBeforeSync: true},
+	"5: a reply to another incarnation counts": {
 		send: func(w *world, to string, envelope *wirepb.Envelope) *wirepb.Envelope {
 			reply := envelope.GetReply()
 			m := w.machine(to)
@@ -109,12 +109,12 @@
 				return envelope
 			}
 			other := proto.Clone(reply).(*wirepb.CallReply)
-			other.Life = m.process.engine.options.Life
+			other.Life = m.process.engine.options.Incarnation
 			return &wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: other}}
 		},
-		afterStep: restartCallersOften,
+		afterStep: restartForwardingCores,
 	},
-	"5: answers go to whoever asked last": {
+	"5: replies go to the next request": {
 		send: func(_ *world, _ string, envelope *wirepb.Envelope) *wirepb.Envelope {
 			reply := envelope.GetReply()
 			if reply == nil {
@@ -127,42 +127,43 @@
 	},
 }
 
-// restartCallersOften ends lives in the middle of orders, so that answers to them are on their way.
-func restartCallersOften(w *world) {
-	for _, m := range w.present() {
+// restartForwardingCores restarts cores while requests are pending, so that replies to an earlier incarnation
+// arrive.
+func restartForwardingCores(w *world) {
+	for _, m := range w.presentMachines() {
 		p := m.process
-		if p == nil || p.leaving || p.engine.node.Leader() == p.engine.options.Identity {
+		if p == nil || p.shuttingDown || p.engine.node.Leader() == p.engine.options.Identity {
 			continue
 		}
-		if len(p.engine.orders.open) > 0 && w.random.Intn(40) == 0 {
+		if len(p.engine.requests.pending) > 0 && w.random.Intn(40) == 0 {
 			m.kill(false, 2*simStep)
 		}
 	}
 }
 
-// TestPlantsAreFound looks that each planted mistake is found in some schedule. A panic counts: a broken
-// premise may end a program before a check sees its effect.
-func TestPlantsAreFound(t *testing.T) {
-	for name, planted := range plants {
+// TestPlantedFaultsAreFound checks that each planted fault is found in some schedule. A panic counts: a
+// broken assumption may end a program before a check sees its effect.
+func TestPlantedFaultsAreFound(t *testing.T) {
+	for name, planted := range plantedFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range int64(plantedSchedules) {
-				if problems := playPlanted(seed, planted); len(problems) > 0 {
+			for seed := range int64(plantedFaultSchedules) {
+				if problems := runPlanted(seed, planted); len(problems) > 0 {
 					t.Logf("seed %d: %s", seed, problems[0])
 					return
 				}
 			}
-			t.Errorf("not found in %d schedules", plantedSchedules)
+			t.Errorf("not found in %d schedules", plantedFaultSchedules)
 		})
 	}
 }
 
-func playPlanted(seed int64, planted plant) (problems []string) {
+func runPlanted(seed int64, planted plantedFault) (problems []string) {
 	defer func() {
 		if recovered := recover(); recovered != nil {
 			problems = []string{"a panic"}
 		}
 	}()
 	s, schedule := drawRun(seed)
-	return play(seed, s, schedule, planted)
+	return runSchedule(seed, s, schedule, planted)
 }
--- a/internal/serving/control/sim_world_test.go
+++ b/internal/serving/control/sim_world_test.go
@@ -25,7 +25,8 @@
 	large     bool // configurations of some kilobytes, so that snapshots are taken
 }
 
-// world is a core with its machines, network, edges, workers and operators. One seed is one run.
+// world is a simulated deployment: core machines, their network, edges, workers and operators. One seed is
+// one run.
 type world struct {
 	shape        shape
 	random       *rand.Rand
@@ -34,16 +35,16 @@
 	byHost       map[string]*machine
 	network      *simNetwork
 	edges        []*simEdge
-	callers      *callers
+	clients      *clients
 	states       map[uint64]string // by log index
-	segmentScale int64             // makes segments look larger, so that snapshots are taken often
-	planted      plant
-	problems     []string
-	lastTrouble  time.Duration
-	delayed      []delayed
+	segmentScale int64             // multiplies the size of segments, so that snapshots are taken often
+	planted      plantedFault
+	violations   []string
+	lastFaultAt  time.Duration
+	scheduled    []scheduledAction
 }
 
-func newWorld(seed int64, s shape, planted plant) *world {
+func newWorld(seed int64, s shape, planted plantedFault) *world {
 	random := rand.New(rand.NewSource(seed))
 	w := &world{
 		shape: s, random: random, byHost: map[string]*machine{}, states: map[uint64]string{}, planted: planted,
@@ -57,9 +58,9 @@
 		w.segmentScale = 400
 	}
 	w.network = newNetwork(w, rand.New(rand.NewSource(random.Int63())), bandwidth)
-	w.callers = newCallers(w)
+	w.clients = newClients(w)
 	var seeds []string
-	for i := range min(s.cores, foundingSeeds) {
+	for i := range min(s.cores, founderCount) {
 		seeds = append(seeds, hostName(i))
 	}
 	for range s.cores {
@@ -72,11 +73,11 @@
 	return w
 }
 
-// consensusOptions make snapshots travel, and in many parts, where configurations are large.
+// consensusOptions have snapshots sent, in many chunks, if configurations are large.
 func (w *world) consensusOptions() consensus.Options {
-	options := consensus.Options{Seats: w.shape.cores}
+	options := consensus.Options{Voters: w.shape.cores}
 	if w.shape.large {
-		options.KeptBytes, options.PartBytes = 2000, 700
+		options.RetainedLogBytes, options.SnapshotChunkBytes = 2000, 700
 	}
 	return options
 }
@@ -88,7 +89,7 @@
 func (w *world) addMachine(seeds []string) *machine {
 	m := &machine{
 		world: w, host: hostName(len(w.machines)), zone: len(w.machines) % w.shape.cores, seeds: seeds,
-		files: waltest.New(w.random), upAt: w.now,
+		files: waltest.New(w.random), restartAt: w.now,
 	}
 	w.machines = append(w.machines, m)
 	w.byHost[m.host] = m
@@ -97,7 +98,7 @@
 
 func (w *world) machine(host string) *machine { return w.byHost[host] }
 
-// delay is that of a link: machines with odd zones stand in another region.
+// delay returns the delay of a link: machines in odd zones are in another region.
 func (w *world) delay(d direction) time.Duration {
 	if w.byHost[d.from] != nil && w.byHost[d.to] != nil && (w.byHost[d.from].zone+w.byHost[d.to].zone)%2 == 1 {
 		return farDelay
@@ -105,17 +106,17 @@
 	return nearDelay
 }
 
-func (w *world) problem(format string, arguments ...any) {
-	if len(w.problems) < 6 {
-		w.problems = append(w.problems, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, arguments...))
+func (w *world) violation(format string, arguments ...any) {
+	if len(w.violations) < 6 {
+		w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, arguments...))
 	}
 }
 
-// present returns the machines that are not gone for good.
-func (w *world) present() []*machine {
+// presentMachines returns the machines that are not removed.
+func (w *world) presentMachines() []*machine {
 	var present []*machine
 	for _, m := range w.machines {
-		if !m.gone {
+		if !m.removed {
 			present = append(present, m)
 		}
 	}
@@ -125,7 +126,7 @@
 func (w *world) step() {
 	w.now += simStep
 	for _, m := range w.machines {
-		if m.process == nil && !m.gone && w.now >= m.upAt {
+		if m.process == nil && !m.removed && w.now >= m.restartAt {
 			m.start()
 		}
 	}
@@ -134,12 +135,12 @@
 		m.step()
 		w.checkState(m)
 	}
-	w.noteTrouble()
-	w.payDisks()
+	w.recordFault()
+	w.creditCatchUp()
 	for _, e := range w.edges {
 		e.step()
 	}
-	w.callers.step()
+	w.clients.step()
 	if w.planted.afterStep != nil {
 		w.planted.afterStep(w)
 	}
@@ -151,63 +152,64 @@
 	}
 }
 
-// checkState looks that no two machines have different states at the same index of the log.
+// checkState checks that no two machines have different states at the same log index.
 func (w *world) checkState(m *machine) {
-	if m.process == nil || m.process.checked == m.process.engine.node.Applied() {
+	if m.process == nil || m.process.checkedIndex == m.process.engine.node.Applied() {
 		return
 	}
 	e := m.process.engine
-	m.process.checked = e.node.Applied()
+	m.process.checkedIndex = e.node.Applied()
 	state := fmt.Sprintf("version %d (%x), evacuated %v, departures %d", e.machine.Generation(),
 		sha256.Sum256(e.machine.Body()), e.machine.Evacuated(), len(e.machine.Departures()))
 	known, seen := w.states[e.node.Applied()]
 	if seen && known != state {
-		w.problem("%s has another state at index %d: %s, not %s", m.host, e.node.Applied(), state, known)
+		w.violation("%s has another state at index %d: %s, not %s", m.host, e.node.Applied(), state, known)
 	}
 	w.states[e.node.Applied()] = state
 }
 
-// noteTrouble keeps the moment at which anything was out of order last.
-func (w *world) noteTrouble() {
-	for _, m := range w.present() {
-		if !m.up() || m.diskTrouble() {
-			w.lastTrouble = w.now
+// recordFault records when any machine, disk or link was last faulty.
+func (w *world) recordFault() {
+	for _, m := range w.presentMachines() {
+		if !m.up() || m.diskFaulty() {
+			w.lastFaultAt = w.now
 		}
 	}
 	for _, d := range w.network.order {
-		if w.network.cutUntil[d] > w.now {
-			w.lastTrouble = w.now
+		if w.network.partitionedUntil[d] > w.now {
+			w.lastFaultAt = w.now
 		}
 	}
 }
 
-// payDisks counts how long machines with new disks have been up and in reach of all others, with a majority
-// of whole ones among them. Those that have had their time do not count as lost any more.
-func (w *world) payDisks() {
+// creditCatchUp counts how long machines with new disks have been up and able to reach all others, with a
+// majority of intact ones among them. Those that have had their time to catch up do not count as lost any
+// more.
+func (w *world) creditCatchUp() {
 	for _, m := range w.machines {
-		m.steady += simStep
-		if !m.up() || m.diskTrouble() || !w.reachesAll(m) {
-			m.steady = 0
+		m.healthyFor += simStep
+		if !m.up() || m.diskFaulty() || !w.reachesAll(m) {
+			m.healthyFor = 0
 		}
-		if !m.diskLost || m.gone {
+		if !m.diskLost || m.removed {
 			continue
 		}
-		if m.steady == 0 {
-			m.caughtUp = 0
+		if m.healthyFor == 0 {
+			m.catchUpTime = 0
 			continue
 		}
-		if w.company(m) < w.shape.cores/2+1 {
+		if w.connectedIntact(m) < w.shape.cores/2+1 {
 			continue
 		}
-		m.caughtUp += simStep
-		if m.caughtUp > simCatchUp {
+		m.catchUpTime += simStep
+		if m.catchUpTime > catchUpTimeout {
 			m.diskLost = false
 		}
 	}
 }
 
 func (w *world) reachesAll(m *machine) bool {
-	for _, other := range w.present() {
+	for _, other := range w.presentMachines() {
 		if !w.network.reaches(m.host, other.host) {
 			return false
 		}
@@ -215,39 +217,39 @@
 	return true
 }
 
-// company counts the machines with whole disks that run, reach m, and reach one another.
-func (w *world) company(m *machine) int {
-	var together []*machine
+// connectedIntact counts the machines with intact disks that run, reach m, and reach one another.
+func (w *world) connectedIntact(m *machine) int {
+	var connected []*machine
 	for _, other := range w.machines {
-		if other.diskLost || !other.up() || other.diskTrouble() || !w.network.reaches(m.host, other.host) {
+		if other.diskLost || !other.up() || other.diskFaulty() || !w.network.reaches(m.host, other.host) {
 			continue
 		}
 		reached := true
-		for _, third := range together {
+		for _, third := range connected {
 			reached = reached && w.network.reaches(third.host, other.host)
 		}
 		if reached {
-			together = append(together, other)
+			connected = append(connected, other)
 		}
 	}
-	return len(together)
+	return len(connected)
 }
 
-// disksLost counts the machines whose disk counts as lost, those that are gone without a successor included.
+// disksLost counts the machines whose disk counts as lost.
 func (w *world) disksLost() int {
 	lost := 0
 	for _, m := range w.machines {
-		if m.diskLost && !m.gone {
+		if m.diskLost && !m.removed {
 			lost++
 		}
 	}
 	return lost
 }
 
-// leader returns the machine that acts, or nil.
+// leader returns the machine that is the established leader, or nil.
 func (w *world) leader() *machine {
 	for _, m := range w.machines {
-		if m.process != nil && m.frozenUntil <= w.now && m.process.engine.node.Acting() {
+		if m.process != nil && m.frozenUntil <= w.now && m.process.engine.node.IsEstablishedLeader() {
 			return m
 		}
 	}
