--- a/internal/supervisor/publisher.go
+++ b/internal/supervisor/publisher.go
@@ -85,11 +85,11 @@
 		p.step = lease.Step
 	}
 	return distribution.Snapshot{
-		Step:            lease.Step,
-		Settled:         lease.TransitionComplete,
-		ReadStartMillis: nowMillis - lease.AgeMillis,
-		Rules:           p.rules,
-		Pending:         p.pending,
-		DiscoveryIndex:  -1,
+		Step:               lease.Step,
+		TransitionComplete: lease.TransitionComplete,
+		ReadStartMillis:    nowMillis - lease.AgeMillis,
+		Rules:              p.rules,
+		Pending:            p.pending,
+		DiscoveryIndex:     -1,
 	}, nil
 }
--- a/internal/supervisor/subscription_test.go
+++ b/internal/supervisor/subscription_test.go
@@ -456,7 +456,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.lastRequest = *request
-	for _, h := range request.HostSteps {
+	for _, h := range request.HostAcks {
 		u.seen = max(u.seen, h.Step)
 	}
 	return u.source.Respond(request, raftlog.BootClockMillis())
