--- a/internal/lab/scale/hosts.go
+++ b/internal/lab/scale/hosts.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// lease answers as supervisor.Daemon.lease does, but for the processes: whoever asks is one.
+// lease answers as supervisor.Daemon.handleLease does, but for the processes: whoever asks is one.
 func (o *hollowHost) lease(w http.ResponseWriter, r *http.Request) {
 	name := r.FormValue("instance")
 	pid, err := strconv.Atoi(r.FormValue("pid"))
--- a/internal/supervisor/cluster_fault_test.go
+++ b/internal/supervisor/cluster_fault_test.go
@@ -781,9 +781,9 @@
 	trial := startTrial(t, 3, 1, func(r *ruleset.Rules) { r.Fallback.DurationMillis = 1000 })
 	trial.startLoad(8 * time.Second)
 	rules := map[uint64]ruleset.Rules{1: trial.rules}
-	full := trial.leader()
-	others := slices.DeleteFunc(slices.Clone(trial.hosts), func(o *testHost) bool { return o == full })
-	if err := full.Limit(96 << 10); err != nil {
+	fullHost := trial.leader()
+	others := slices.DeleteFunc(slices.Clone(trial.hosts), func(o *testHost) bool { return o == fullHost })
+	if err := fullHost.Limit(96 << 10); err != nil {
 		t.Fatal(err)
 	}
 	rules[2] = trial.rules
@@ -798,21 +798,21 @@
 	rules[2] = *big
 	trial.proposeAndWait(others[0], *big)
 	faultinject.Until(t, 10*time.Second, "it still has a vote", func() bool {
-		s, ok := full.councilStatus()
+		s, ok := fullHost.councilStatus()
 		return ok && s.State == "mute" && strings.Contains(s.Reason, "too large")
 	})
 	began := time.Now()
 	trial.waitVersion(2, 2, others...)
 	trial.leader()
 	t.Logf("the others continue after %v", time.Since(began))
-	instance := faultinject.Instances(full.runDir())[0]
+	instance := faultinject.Instances(fullHost.runDir())[0]
 	faultinject.Until(t, 5*time.Second, "its instance is not cut off", func() bool {
 		f, ok := readRuleStats(instance)
 		return ok && f.mode != int64(ruleset.ModeLeased)
 	})
 	rules[3] = trial.withLimit(limitRate/2, limitBurst/2)
 	trial.proposeAndWait(others[1], rules[3])
-	if err := full.Limit(0); err != nil {
+	if err := fullHost.Limit(0); err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("space again: all leased after %v", trial.waitVersion(3, 3, trial.hosts...))
--- a/internal/supervisor/daemon.go
+++ b/internal/supervisor/daemon.go
@@ -26,7 +26,8 @@
 	idleWake = time.Hour
 )
 
-// Daemon keeps the instances of one host. Its methods are safe for concurrent use.
+// Daemon keeps the instances of one host. Its goroutines end with Stop. Reload, Stop and ServeControl are
+// called by one goroutine.
 type Daemon struct {
 	log        zerolog.Logger
 	program    string // path of the gateway's program
--- a/internal/supervisor/daemon_test.go
+++ b/internal/supervisor/daemon_test.go
@@ -237,11 +237,11 @@
 	}
 	done := make(chan *loadgen.Report, 1)
 	go func() {
-		process, err := job.Run(context.Background())
+		result, err := job.Run(context.Background())
 		if err != nil {
 			t.Error(err)
 		}
-		done <- process
+		done <- result
 	}()
 	rng := rand.New(rand.NewSource(1))
 	kills := 0
@@ -523,12 +523,12 @@
 			Most:     100,
 			Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}},
 		}
-		process, err := job.Run(t.Context())
+		report, err := job.Run(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
 		n := len(f.workers[0].Got()) - before
-		if settled := process.Counts["check"][loadgen.Settled]; settled < 100 || (n == 0) != bootstrap {
+		if settled := report.Counts["check"][loadgen.Settled]; settled < 100 || (n == 0) != bootstrap {
 			t.Errorf("bootstrap %t: %d settled, %d sent to the draining worker", bootstrap, settled, n)
 		}
 		daemon.Stop()
--- a/internal/supervisor/forecast_test.go
+++ b/internal/supervisor/forecast_test.go
@@ -218,7 +218,7 @@
 // requestOutcomes are the outcomes of requests, by when they were due.
 type requestOutcomes struct {
 	mu        sync.Mutex
-	dueMillis []float64 // ms
+	dueMillis []float64
 	value     []float64
 	settled   []bool
 }
@@ -238,7 +238,7 @@
 	return got / math.Max(all, 1e-9), all / (to - from) * 1000
 }
 
-// startLoad sends a steady load for endS seconds: until the loss to all gateways, and then, if some are lost,
+// startLoad sends a steady load for endSeconds: until the loss to all gateways, and then, if some are lost,
 // to the next one of each set that is up.
 func (r *threeRegions) startLoad(
 	perSecond, lossSeconds, endSeconds float64,
@@ -261,9 +261,8 @@
 			if late := a.At >= lossSeconds*1000; late != (part == 1) {
 				continue
 			}
-			first := int(
-				uint64(a.Customer+1) * 0x9E3779B97F4A7C15 >> 33 % gatewayCount,
-			) // as the load generator chooses it
+			// As the load generator chooses it.
+			first := int(uint64(a.Customer+1) * 0x9E3779B97F4A7C15 >> 33 % gatewayCount)
 			for a.Set %= 3; part == 1 && lost((first+a.Set)%gatewayCount); a.Set = (a.Set + 1) % 3 {
 			}
 			mine = append(mine, a)
@@ -271,16 +270,9 @@
 		outcomes.mu.Lock()
 		base = len(outcomes.dueMillis)
 		for _, a := range mine {
-			outcomes.dueMillis, outcomes.value, outcomes.settled = append(
-				outcomes.dueMillis,
-				a.At,
-			), append(
-				outcomes.value,
-				productValues[a.Product],
-			), append(
-				outcomes.settled,
-				false,
-			)
+			outcomes.dueMillis = append(outcomes.dueMillis, a.At)
+			outcomes.value = append(outcomes.value, productValues[a.Product])
+			outcomes.settled = append(outcomes.settled, false)
 		}
 		outcomes.mu.Unlock()
 		job := &loadgen.Job{Arrivals: mine, Targets: r.targets, Spread: 3, Plans: []string{"basic"}, Most: 2000,
--- a/internal/supervisor/participant.go
+++ b/internal/supervisor/participant.go
@@ -24,13 +24,13 @@
 	Changed() <-chan struct{}
 	// InForce returns the version in force; its number is 0 if none is known.
 	InForce() ruleset.Version
-	// ProcessStarted records a process of this host; before says that it ran before this daemon did.
-	ProcessStarted(pid int, before bool)
+	// ProcessStarted records a process of this host; adopted says that it ran before this daemon did.
+	ProcessStarted(pid int, adopted bool)
 	// ProcessExited records the end of a process.
 	ProcessExited(pid int)
 	// RenewLease records the step that a process holds and the index of its discovery endpoints (-1: none), and
 	// returns the lease for it, or false if none can be granted.
-	RenewLease(pid int, name string, holds uint64, index int64) (ruleset.Lease, bool)
+	RenewLease(pid int, name string, heldStep uint64, discoveryIndex int64) (ruleset.Lease, bool)
 	// HighestDiscoveryIndex returns the highest discovery index that any process has reported.
 	HighestDiscoveryIndex() int64
 	Close()
