--- a/internal/serving/control/sim_history_test.go
+++ b/internal/serving/control/sim_history_test.go
@@ -12,14 +12,14 @@
 
 const checkTimeout = 20 * time.Second
 
-// versionState is the configuration in force, as the model has it.
+// versionState is the configuration in force in the model.
 type versionState struct {
 	generation uint64
 	body       string
 }
 
-// configurationModel is a register with compare-and-set on its version. An order without a clear answer may
-// have been carried out or not.
+// configurationModel is a register with compare-and-set on its version. An operation without a known outcome
+// may have taken effect or not.
 var configurationModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{versionState{}} },
 	Step: func(state, input, _ any) []any {
@@ -35,10 +35,10 @@
 		}
 		return nil
 	}
-	takes := op.base == state.generation && op.generation > state.generation
+	accepted := op.base == state.generation && op.generation > state.generation
 	switch op.outcome {
 	case wirepb.Outcome_OUTCOME_TAKEN:
-		if takes {
+		if accepted {
 			return []any{next}
 		}
 	case wirepb.Outcome_OUTCOME_CONFLICT:
@@ -46,7 +46,7 @@
 			return []any{state}
 		}
 	case wirepb.Outcome_OUTCOME_UNKNOWN:
-		if takes {
+		if accepted {
 			return []any{state, next}
 		}
 		return []any{state}
@@ -74,18 +74,20 @@
 	},
 }
 
-// checkHistories looks that what operators were told is linearizable.
+// checkHistories checks that the outcomes that operators received are linearizable.
 func (w *world) checkHistories(final []*operation) {
 	var configuration []porcupine.Operation
 	zones := make([][]porcupine.Operation, simZones)
-	for _, op := range w.callers.history {
-		unclear := op.end == 0 || op.outcome == wirepb.Outcome_OUTCOME_UNKNOWN
+	for _, op := range w.clients.history {
+		unclear := op.completedAt == 0 || op.outcome == wirepb.Outcome_OUTCOME_UNKNOWN
 		if op.kind == readConfiguration && unclear {
 			continue
 		}
-		entry := porcupine.Operation{ClientId: op.operator, Input: op, Call: int64(op.start), Return: int64(op.end)}
+		entry := porcupine.Operation{
+			ClientId: op.operator, Input: op, Call: int64(op.startedAt), Return: int64(op.completedAt),
+		}
 		if unclear {
-			entry.Return = math.MaxInt64 // each has a client of its own then
+			entry.Return = math.MaxInt64 // such an operation has a client of its own
 			entry.ClientId = operatorCount + len(configuration) + len(zones[op.zone])
 		}
 		if op.kind == setEvacuation {
@@ -109,18 +111,18 @@
 ) {
 	plain := model.ToModel()
 	if result := porcupine.CheckOperationsTimeout(plain, ops, checkTimeout); result != porcupine.Ok {
-		w.problem("%s: what operators were told is %s: %s", what, result, describe(ops))
+		w.violation("%s: the history is %s: %s", what, result, describe(ops))
 	}
 }
 
-// describe tells a history in short.
+// describe returns a history as text.
 func describe(ops []porcupine.Operation) string {
 	text := ""
 	for _, entry := range ops {
 		op := entry.Input.(*operation)
 		text += fmt.Sprintf("\n  operator %d, kind %d, %d -> %d, zone %d %v, %v to %v: %v", op.operator, op.kind,
 			op.base,
-			op.generation, op.zone, op.active, op.start, op.end, op.outcome)
+			op.generation, op.zone, op.active, op.startedAt, op.completedAt, op.outcome)
 	}
 	return text
 }
