--- a/internal/supervisor/lease_requests.go
+++ b/internal/supervisor/lease_requests.go
@@ -81,12 +81,12 @@
 		}
 	}
 	now := raftlog.BootClockMillis() // not later than the time by which the lease's age is counted
-	lease, ok := d.rules.RenewLease(request.ProcessID, request.Sender, request.HeldStep, request.DiscoveryIndex)
+	lease, ok := d.rules.RenewLease(request.ProcessID, request.Sender, request.AckedStep, request.DiscoveryIndex)
 	if !ok {
 		return nil, &relay.RejectionError{Reason: reasonUnconfirmed, Message: notConfirmed}
 	}
 	// An instance does not know the cluster's name, and reports nothing for other hosts.
-	request.Cluster, request.HostSteps = d.rules.publisher.cluster, nil
+	request.Cluster, request.HostAcks = d.rules.publisher.cluster, nil
 	overridden := d.hasAddressOverrides(request.Sender)
 	published, err := d.rules.publisher.answer(request, overridden, now,
 		func(p *publication) (distribution.Snapshot, error) {
--- a/internal/supervisor/subscription.go
+++ b/internal/supervisor/subscription.go
@@ -164,7 +164,7 @@
 		s.lease = lease
 		s.checkpoint.Save(snapshot)
 	}
-	s.snapshot, s.lease.Step, s.lease.TransitionComplete = snapshot, snapshot.Step, snapshot.Settled
+	s.snapshot, s.lease.Step, s.lease.TransitionComplete = snapshot, snapshot.Step, snapshot.TransitionComplete
 	if digests[0] != previous[0] {
 		s.enterForce()
 	}
@@ -228,7 +228,7 @@
 	s.reportedStep, s.reportedIndex = max(seenStep, s.reportedStep), highestIndex
 	s.feed.WithFollower(func(f *distribution.Follower) {
 		if f.SetDiscoveryIndex(highestIndex); newStep {
-			f.ReportHostSteps([]distribution.HostStep{{Host: s.hostName, Step: seenStep}})
+			f.ReportHostAcks([]distribution.HostAck{{Host: s.hostName, Step: seenStep}})
 		}
 	})
 }
--- a/internal/supervisor/subscription_status.go
+++ b/internal/supervisor/subscription_status.go
@@ -50,7 +50,7 @@
 		Depth:                 s.snapshot.Depth,
 		ConfirmedAgoMillis:    -1,
 		Step:                  s.snapshot.Step,
-		TransitionComplete:    s.snapshot.Settled,
+		TransitionComplete:    s.snapshot.TransitionComplete,
 		UnknownRules:          s.lease.UnsupportedFeature,
 		SeenStep:              s.reportedStep,
 		OutdatedInstances:     map[string]uint64{},
