--- a/internal/supervisor/golden_council_test.go
+++ b/internal/supervisor/golden_council_test.go
@@ -172,9 +172,8 @@
 			Term:       3, AppliedIndex: 44, Hosts: []raftlog.HostStatus{{Name: "h2", Address: "10.0.0.2:9000",
 				DiskID:   "a2",
 				IsMember: true, IsLeader: true, SinceContactMillis: 12.5, LastError: "late"}}},
-		Rules: raftlog.ActivationStatus{Version: 7, Digest: "abc", Step: 41, TransitionComplete: true, ReadAgeMillis: 3.5,
-			PendingVersion: 8,
-			PendingReason:  "it waits"},
+		Rules: raftlog.ActivationStatus{Version: 7, Digest: "abc", Step: 41, TransitionComplete: true,
+			ReadAgeMillis: 3.5, PendingVersion: 8, PendingReason: "it waits"},
 	}
 }
 
