--- a/internal/gateway/config/charter.go
+++ b/internal/gateway/config/charter.go
@@ -158,7 +158,7 @@
 		MaxAdvice:      s.Allowed.MaxRetryAfter / usPerMs,
 		MayTell:        s.Allowed.Peers,
 		PeerInPerS:     s.FamilyInfo.PeerInPerS,
-		ReportsPerTell: gossip.Room,
+		ReportsPerTell: gossip.MaxReports,
 		ColdFrom:       s.Safety.ColdFrom,
 		WarmUp:         s.Safety.WarmUp / usPerMs,
 		Tips:           s.Safety.Tips,
@@ -255,8 +255,8 @@
 	if len(s.Classes) == 0 {
 		return errors.New("classes: there is none")
 	}
-	if len(s.Tariffs) == 0 || len(s.Tariffs) > gossip.Plans {
-		return fmt.Errorf("tariffs: there are %d, of 1 to %d", len(s.Tariffs), gossip.Plans)
+	if len(s.Tariffs) == 0 || len(s.Tariffs) > gossip.MaxPlans {
+		return fmt.Errorf("tariffs: there are %d, of 1 to %d", len(s.Tariffs), gossip.MaxPlans)
 	}
 	seen := map[string]bool{}
 	for i, p := range s.Classes {
--- a/internal/gateway/config/config.go
+++ b/internal/gateway/config/config.go
@@ -103,7 +103,7 @@
 		if g.Known, err = endpoints.Decode(m.Known); err != nil {
 			return g, fmt.Errorf("known: %w", err)
 		}
-		g.Known.Whole = true
+		g.Known.Snapshot = true
 	}
 	if m.Seed != "" {
 		seed, err := strconv.ParseUint(m.Seed, 16, 64)
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -359,7 +359,7 @@
 	g.desk.ApplyEndpoints(g.list.Discovery(l, g.desk.Now()))
 	g.lists.Unlock()
 	g.speaks()
-	g.log.Debug().Int64("version", l.Version).Bool("whole", l.Whole).Int("workers", len(l.Workers)).Msg("list")
+	g.log.Debug().Int64("version", l.Version).Bool("whole", l.Snapshot).Int("workers", len(l.Workers)).Msg("list")
 }
 
 // unheard says at most once in WatchDue that the watch has ended: tries without end must not fill the log.
--- a/internal/gateway/proxy/attempt_connection_test.go
+++ b/internal/gateway/proxy/attempt_connection_test.go
@@ -68,7 +68,7 @@
 		}
 	}))
 	only := endpoints.Worker{Name: "w", Address: address, Active: true}
-	rig.endpoints = endpoints.List{Whole: true, Workers: []endpoints.Worker{only}}
+	rig.endpoints = endpoints.List{Snapshot: true, Workers: []endpoints.Worker{only}}
 	dispatcher.ApplyEndpoints(rig.endpoints)
 	rig.proxy = New(dispatcher, links)
 }
@@ -230,12 +230,12 @@
 		do   func(*workerRig, *delivery)
 	}{
 		{"drains", listed(func(w *endpoints.Worker) { w.Active = false })},
-		{"removed", listed(func(w *endpoints.Worker) { w.Active, w.Gone = false, true })},
+		{"removed", listed(func(w *endpoints.Worker) { w.Active, w.Removed = false, true })},
 		{"left out of a full list while it still answers", func(rig *workerRig, _ *delivery) {
 			other := endpoints.Worker{Name: "v", Address: rig.endpoints.Workers[0].Address, Active: true}
-			rig.proxy.dispatcher.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{other}})
+			rig.proxy.dispatcher.ApplyEndpoints(endpoints.List{Snapshot: true, Workers: []endpoints.Worker{other}})
 		}},
-		{"restarted", listed(func(w *endpoints.Worker) { w.Since = 9 })},
+		{"restarted", listed(func(w *endpoints.Worker) { w.StartedMillis = 9 })},
 		{"moved", listed(func(w *endpoints.Worker) { w.Address = netip.MustParseAddrPort("127.0.0.1:1") })},
 		{"cancelled", func(_ *workerRig, attempt *delivery) { attempt.command.Attempt.Cancel() }},
 		{"cancelled unsent", func(_ *workerRig, attempt *delivery) { attempt.command.Attempt.CancelUnsent() }},
--- a/internal/gateway/proxy/attempt_deadline_test.go
+++ b/internal/gateway/proxy/attempt_deadline_test.go
@@ -88,7 +88,7 @@
 		links: transport.NewLinks(8, 5*time.Second, 3*time.Second)}
 	rig.dispatcher = NewDispatcher(charter, 1, 5, func(int, []byte) {}, rig.links.Shed)
 	rig.dispatcher.RecordHistory(rig)
-	list := endpoints.List{Whole: true}
+	list := endpoints.List{Snapshot: true}
 	for i, a := range at {
 		list.Workers = append(list.Workers, endpoints.Worker{Name: fmt.Sprint("w", i), Address: a, Active: true})
 	}
--- a/internal/gateway/proxy/attempt_test.go
+++ b/internal/gateway/proxy/attempt_test.go
@@ -49,7 +49,7 @@
 		}
 	}()
 	at := listener.Addr().(*net.TCPAddr).AddrPort()
-	return endpoints.List{Whole: true, Workers: []endpoints.Worker{{Name: "w", Address: at, Active: true}}},
+	return endpoints.List{Snapshot: true, Workers: []endpoints.Worker{{Name: "w", Address: at, Active: true}}},
 		received
 }
 
@@ -177,7 +177,7 @@
 			Repeat: policy.Referenced, Group: group, Window: 4000})
 		moved := endpoints.Worker{Name: "w", Address: command.Upstream.Addr, Active: true}
 		move(&moved)
-		proxy.dispatcher.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{moved}})
+		proxy.dispatcher.ApplyEndpoints(endpoints.List{Snapshot: true, Workers: []endpoints.Worker{moved}})
 		attempt := delivery{request: request, command: command, message: []byte("GET / HTTP/1.1\r\n\r\n")}
 		answer, link, _ := proxy.exchange(attempt, time.Now().Add(time.Second))
 		if answer == nil || answer.Outcome != policy.NotSent || link != nil {
@@ -291,13 +291,13 @@
 			charter := testCharter()
 			charter.Plans[0] = policy.Plan{Rate: 1e9, Burst: 1e9, CeilingRate: 1e9, CeilingDepth: 1e9, Factor: 1}
 			d.policy = policy.New(charter, 1)
-			d.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
+			d.ApplyEndpoints(endpoints.List{Snapshot: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
 			if name == "credit" || name == "lent" {
 				if charter.Plans[0].Credit, charter.Plans[0].Repay = 1, 2e3; name == "lent" {
 					charter.Plans[0] = policy.Plan{Rate: 1e-3, Credit: 1e12, Repay: 2e15, Factor: 1}
 				}
 				d.policy = policy.New(charter, 1)
-				d.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
+				d.ApplyEndpoints(endpoints.List{Snapshot: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
 				lines, _ := CreditLines(charter.Plans)
 				d.EnableBorrowing(
 					borrowing.New(borrowing.Terms{Gatekeepers: 1, Plans: lines}, 1, -1e18),
--- a/internal/gateway/proxy/dispatcher.go
+++ b/internal/gateway/proxy/dispatcher.go
@@ -143,7 +143,7 @@
 		return
 	case policy.Tell:
 		b := gossip.Append(nil, v.Reports)
-		inflight.Check(len(b) <= gossip.Limit, inflight.DatagramFits)
+		inflight.Check(len(b) <= gossip.MaxMessageBytes, inflight.DatagramFits)
 		d.outbox.add(v.Peer, b)
 		return
 	}
--- a/internal/gateway/proxy/endpoints.go
+++ b/internal/gateway/proxy/endpoints.go
@@ -32,9 +32,9 @@
 		if i == len(chunks)-1 {
 			d.ready.Store(d.workers.AnyActive())
 		}
-		d.policy.Roster(postings, !chunk.Whole)
+		d.policy.Roster(postings, !chunk.Snapshot)
 		d.flushAndUnlock()
-		if list.Whole {
+		if list.Snapshot {
 			d.recordLockTime(lockedMillis, &d.lockTimes.FullListMicros)
 		} else {
 			d.recordLockTime(lockedMillis, &d.lockTimes.ChangeMicros)
--- a/internal/gateway/proxy/endpoints_bench_test.go
+++ b/internal/gateway/proxy/endpoints_bench_test.go
@@ -18,12 +18,12 @@
 
 // listOf gives a full list of n workers.
 func listOf(n int) endpoints.List {
-	l := endpoints.List{Whole: true}
+	l := endpoints.List{Snapshot: true}
 	for i := range n {
 		l.Workers = append(
 			l.Workers,
 			endpoints.Worker{Name: fmt.Sprint("worker-", i), Zone: fmt.Sprint("z", i/zoneSize),
-				Cell: i / 38, Kind: fmt.Sprint("k", i%5), Rating: 1, Active: true,
+				Cell: i / 38, Kind: fmt.Sprint("k", i%5), Weight: 1, Active: true,
 				Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(i >> 16), byte(i >> 8), byte(i)}), 80)},
 		)
 	}
@@ -113,7 +113,7 @@
 					case "drain", "back":
 						back := endpoints.List{Workers: slices.Clone(list.Workers[:zoneSize])}
 						for k := range back.Workers {
-							back.Workers[k].Since = d.Now()
+							back.Workers[k].StartedMillis = d.Now()
 						}
 						lockMillis, cpuMillis = d.lockTimeDuring(func() { d.ApplyEndpoints(change) })
 						h, c := d.lockTimeDuring(func() { d.ApplyEndpoints(back) })
--- a/internal/gateway/proxy/endpoints_test.go
+++ b/internal/gateway/proxy/endpoints_test.go
@@ -59,7 +59,7 @@
 		for i := range changed {
 			entry := list.Workers[(round*changed/3+i)%total]
 			restoration.Workers = append(restoration.Workers, entry)
-			if entry.Active, entry.Gone = false, i%2 == 0; !entry.Gone || round%2 == 0 {
+			if entry.Active, entry.Removed = false, i%2 == 0; !entry.Removed || round%2 == 0 {
 				removal.Workers = append(removal.Workers, entry)
 			}
 			removed[entry.Name] = true
@@ -70,7 +70,7 @@
 					removal.Workers = append(removal.Workers, entry)
 				}
 			}
-			removal.Whole = true
+			removal.Snapshot = true
 		}
 		d.ApplyEndpoints(removal)
 		inactive.Store(&removed)
--- a/internal/gateway/proxy/history.go
+++ b/internal/gateway/proxy/history.go
@@ -45,10 +45,10 @@
 	}
 	for _, w := range list.Workers {
 		listed[w.Name] = true
-		record(w.Name, w.Active && !w.Gone)
+		record(w.Name, w.Active && !w.Removed)
 	}
 	for name := range h.active {
-		if list.Whole && !listed[name] {
+		if list.Snapshot && !listed[name] {
 			record(name, false)
 		}
 	}
--- a/internal/gateway/proxy/lending.go
+++ b/internal/gateway/proxy/lending.go
@@ -127,7 +127,7 @@
 			for rest := v.Entries; len(rest) > 0; {
 				var b []byte
 				b, rest = creditwire.Append(nil, rest)
-				inflight.Check(len(b) <= creditwire.Limit, inflight.DatagramFits)
+				inflight.Check(len(b) <= creditwire.MaxMessageBytes, inflight.DatagramFits)
 				d.outbox.add(v.Peer, b)
 			}
 		case borrowing.Collect:
--- a/internal/gateway/recovery/bootstrap/golden_test.go
+++ b/internal/gateway/recovery/bootstrap/golden_test.go
@@ -19,9 +19,9 @@
 
 func goldenList() endpoints.List {
 	at := netip.MustParseAddrPort("127.0.0.9:80")
-	return endpoints.List{Version: 41, Whole: true, Workers: []endpoints.Worker{
-		{Name: "s1", Address: at, Zone: "a", Cell: 3, Kind: "k", Rating: 1.75, Active: true, Since: 12},
-		{Name: "s2", Address: at, Zone: "b", Cell: 4, Kind: "l", Rating: 2.75, Since: 13}}}
+	return endpoints.List{Version: 41, Snapshot: true, Workers: []endpoints.Worker{
+		{Name: "s1", Address: at, Zone: "a", Cell: 3, Kind: "k", Weight: 1.75, Active: true, StartedMillis: 12},
+		{Name: "s2", Address: at, Zone: "b", Cell: 4, Kind: "l", Weight: 2.75, StartedMillis: 13}}}
 }
 
 func TestGoldenList(t *testing.T) {
--- a/internal/gateway/recovery/bootstrap/size_test.go
+++ b/internal/gateway/recovery/bootstrap/size_test.go
@@ -13,12 +13,12 @@
 var sizes = []int{200, 2000, 6000, 20000, 60000, 110000}
 
 func vast(n int) endpoints.List {
-	l := endpoints.List{Whole: true}
+	l := endpoints.List{Snapshot: true}
 	for i := range n {
 		l.Workers = append(
 			l.Workers,
 			endpoints.Worker{Name: fmt.Sprint("worker-", i), Zone: fmt.Sprint("z", i/7900),
-				Cell: i / 38, Kind: fmt.Sprint("k", i%5), Rating: 1, Active: true,
+				Cell: i / 38, Kind: fmt.Sprint("k", i%5), Weight: 1, Active: true,
 				Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)},
 		)
 	}
--- a/internal/gateway/recovery/bootstrap/warm.go
+++ b/internal/gateway/recovery/bootstrap/warm.go
@@ -43,11 +43,11 @@
 }
 
 func (b *Book) take(l endpoints.List) {
-	if l.Whole {
+	if l.Snapshot {
 		clear(b.own)
 	}
 	for _, w := range l.Workers {
-		if w.Gone {
+		if w.Removed {
 			delete(b.own, w.Name)
 		} else {
 			b.own[w.Name] = w
@@ -111,15 +111,15 @@
 				continue
 			}
 			w.Active = w.Active && !x.Drained && !x.Barred
-			w.Gone = w.Gone || x.Barred
+			w.Removed = w.Removed || x.Barred
 			if x.Weight > 0 && x.Worker != "" {
 				own = x.Weight
 			} else if x.Weight > 0 {
-				w.Rating = x.Weight
+				w.Weight = x.Weight
 			}
 		}
 		if own > 0 {
-			w.Rating = own
+			w.Weight = own
 		}
 	}
 	return l
@@ -142,7 +142,7 @@
 
 // Own gives the list without hearsay, in the order of names.
 func (b *Book) Own() endpoints.List {
-	l := endpoints.List{Version: b.version, Whole: true}
+	l := endpoints.List{Version: b.version, Snapshot: true}
 	for _, w := range b.own {
 		l.Workers = append(l.Workers, w)
 	}
@@ -171,7 +171,7 @@
 // known here: guards against a peer that is wrong about a worker that drains, which must get nothing new
 // whatever anybody else says. Nor may it take all away.
 func (b *Book) Peer(l endpoints.List, age float64) (endpoints.List, bool) {
-	if b.heard && !b.behind || !l.Whole || l.Version <= max(b.version, b.hearsay.Version) || !(age >= 0) ||
+	if b.heard && !b.behind || !l.Snapshot || l.Version <= max(b.version, b.hearsay.Version) || !(age >= 0) ||
 		age > MostAge {
 		return endpoints.List{}, false
 	}
@@ -185,14 +185,14 @@
 
 // merged is the list that hearsay makes of the own one, and whether any worker on it takes submissions.
 func (b *Book) merged(l endpoints.List) (merged endpoints.List, active bool) {
-	merged = endpoints.List{Version: b.version, Whole: true}
+	merged = endpoints.List{Version: b.version, Snapshot: true}
 	for _, w := range l.Workers {
-		if w.Gone {
+		if w.Removed {
 			continue
 		}
 		if own, known := b.own[w.Name]; known {
 			w.Active = w.Active && own.Active
-			w.Since = max(w.Since, own.Since) // of two starts the later one, so that it counts as cold
+			w.StartedMillis = max(w.StartedMillis, own.StartedMillis) // of two starts the later one, so that it counts as cold
 			if !w.Active {
 				w.Address = own.Address
 			}
--- a/internal/gateway/recovery/bootstrap/warm_test.go
+++ b/internal/gateway/recovery/bootstrap/warm_test.go
@@ -15,7 +15,7 @@
 }
 
 func whole(version int64, all ...endpoints.Worker) endpoints.List {
-	return endpoints.List{Version: version, Whole: true, Workers: all}
+	return endpoints.List{Version: version, Snapshot: true, Workers: all}
 }
 
 // text is a list in short: a name alone is active, one in brackets is not.
@@ -72,16 +72,16 @@
 		t.Error("older hearsay beats newer")
 	}
 	since := worker("a", true)
-	since.Since = 500
-	if l, _ := b.Peer(whole(10, since), 1); l.Workers[0].Since != 500 {
+	since.StartedMillis = 500
+	if l, _ := b.Peer(whole(10, since), 1); l.Workers[0].StartedMillis != 500 {
 		t.Error("one that started anew does not count as cold")
 	}
-	change := endpoints.List{Version: 8, Workers: []endpoints.Worker{{Name: "c", Gone: true}}}
-	if l := b.Discovery(change, 5); !l.Whole || text(l) != "a (b) " {
+	change := endpoints.List{Version: 8, Workers: []endpoints.Worker{{Name: "c", Removed: true}}}
+	if l := b.Discovery(change, 5); !l.Snapshot || text(l) != "a (b) " {
 		t.Errorf("discovery's first word: %q", text(l))
 	}
 	change = endpoints.List{Version: 9, Workers: []endpoints.Worker{worker("e", true)}}
-	if l := b.Discovery(change, 6); l.Whole || text(l) != "e " {
+	if l := b.Discovery(change, 6); l.Snapshot || text(l) != "e " {
 		t.Errorf("discovery's next word: %q", text(l))
 	}
 	l, age, ok := b.Tells(16)
@@ -192,12 +192,12 @@
 		l := b.Discovery(list, 1)
 		gone := 0
 		for _, w := range l.Workers {
-			if w.Gone {
+			if w.Removed {
 				gone++
 			}
 		}
-		if text(l) != c.want || gone != c.gone || l.Workers[0].Rating != c.rating {
-			t.Errorf("%v: %q, %d gone, of %v", c.words, text(l), gone, l.Workers[0].Rating)
+		if text(l) != c.want || gone != c.gone || l.Workers[0].Weight != c.rating {
+			t.Errorf("%v: %q, %d gone, of %v", c.words, text(l), gone, l.Workers[0].Weight)
 		}
 		if told, _, ok := b.Tells(1); !ok || text(told) != "a b " {
 			t.Errorf("%v: told on is %q", c.words, text(told))
--- a/internal/gateway/transport/creditwire/creditwire.go
+++ b/internal/gateway/transport/creditwire/creditwire.go
@@ -19,155 +19,155 @@
 )
 
 const (
-	version = 1
-	header  = 3
+	formatVersion = 1
+	headerBytes  = 3
 
 	// Mark is a message's first byte.
-	Mark = 0xC7
+	Magic = 0xC7
 
 	// Limit is how many bytes a message may have, besides the word that it bears.
-	Limit = 256 - 9
+	MaxMessageBytes = 256 - 9
 
-	known, virgin, asks, answers = 1, 2, 4, 8
-	wants, owes, fills, spares   = 16, 32, 64, 128
-	step, least                  = 1.0 / 4, 1.0 / 1024 // of a power of two; units a second
+	flagKnown, flagVirgin, flagAsks, flagAnswers = 1, 2, 4, 8
+	flagWant, flagLeft, flagFill, flagSpare   = 16, 32, 64, 128
+	log2Step, minEncodedRate                  = 1.0 / 4, 1.0 / 1024 // of a power of two; units a second
 )
 
 // Append adds one message for as many of the entries as it holds to dst, and gives the others.
-func Append(dst []byte, entries []borrowing.Entry) (msg []byte, rest []borrowing.Entry) {
-	from := len(dst)
-	dst = append(dst, Mark, version, 0)
+func Append(dst []byte, entries []borrowing.Entry) (message []byte, rest []borrowing.Entry) {
+	start := len(dst)
+	dst = append(dst, Magic, formatVersion, 0)
 	for i := range entries {
-		before := len(dst)
-		if dst = entry(dst, &entries[i]); len(dst)-from > Limit {
-			return dst[:before], entries[i:]
+		entryStart := len(dst)
+		if dst = appendEntry(dst, &entries[i]); len(dst)-start > MaxMessageBytes {
+			return dst[:entryStart], entries[i:]
 		}
-		dst[from+2]++
+		dst[start+2]++
 	}
 	return dst, nil
 }
 
-func entry(b []byte, e *borrowing.Entry) []byte {
-	b = binary.BigEndian.AppendUint32(b, e.Customer)
-	b = append(b, e.Plan, e.N)
-	b = binary.BigEndian.AppendUint16(b, e.First)
-	b = binary.BigEndian.AppendUint16(b, e.Form)
+func appendEntry(b []byte, entry *borrowing.Entry) []byte {
+	b = binary.BigEndian.AppendUint32(b, entry.Customer)
+	b = append(b, entry.Plan, entry.N)
+	b = binary.BigEndian.AppendUint16(b, entry.First)
+	b = binary.BigEndian.AppendUint16(b, entry.Form)
 	var flags byte
-	for _, f := range []struct {
-		bit byte
-		on  bool
-	}{{known, e.Known}, {virgin, e.Virgin}, {asks, e.Asks}, {answers, e.Answers}, {wants, e.Want > 0},
-		{owes, e.GaveD > 0}, {fills, e.Fill > least}, {spares, e.Spare > least}} {
-		if f.on {
-			flags |= f.bit
+	for _, condition := range []struct {
+		flag byte
+		set  bool
+	}{{flagKnown, entry.Known}, {flagVirgin, entry.Virgin}, {flagAsks, entry.Asks}, {flagAnswers, entry.Answers}, {flagWant, entry.Want > 0},
+		{flagLeft, entry.GaveD > 0}, {flagFill, entry.Fill > minEncodedRate}, {flagSpare, entry.Spare > minEncodedRate}} {
+		if condition.set {
+			flags |= condition.flag
 		}
 	}
 	b = append(b, flags)
-	for _, v := range []uint64{e.GaveR, e.GaveD, e.GotR, e.GotD} {
-		b = binary.AppendUvarint(b, v)
+	for _, counter := range []uint64{entry.GaveR, entry.GaveD, entry.GotR, entry.GotD} {
+		b = binary.AppendUvarint(b, counter)
 	}
-	if e.Asks {
-		b = binary.BigEndian.AppendUint16(b, e.Nonce)
+	if entry.Asks {
+		b = binary.BigEndian.AppendUint16(b, entry.Nonce)
 	}
-	if e.Answers {
-		b = binary.BigEndian.AppendUint16(b, e.Echo)
+	if entry.Answers {
+		b = binary.BigEndian.AppendUint16(b, entry.Echo)
 	}
-	if e.Want > 0 {
-		b = binary.AppendUvarint(b, e.Want)
+	if entry.Want > 0 {
+		b = binary.AppendUvarint(b, entry.Want)
 	}
-	if e.GaveD > 0 { // later than told is never
-		b = append(b, byte(math.Min(math.Max(e.Left, 0), 1)*math.MaxUint8))
+	if entry.GaveD > 0 { // later than told is never
+		b = append(b, byte(math.Min(math.Max(entry.Left, 0), 1)*math.MaxUint8))
 	}
-	if e.Fill > least {
-		b = append(b, pack(e.Fill))
+	if entry.Fill > minEncodedRate {
+		b = append(b, encodeLog(entry.Fill))
 	}
-	if e.Spare > least {
-		b = append(b, pack(e.Spare))
+	if entry.Spare > minEncodedRate {
+		b = append(b, encodeLog(entry.Spare))
 	}
 	return b
 }
 
-func pack(v float64) byte {
-	return byte(math.Min(1+math.Round(math.Log2(v/least)/step), math.MaxUint8))
+func encodeLog(rate float64) byte {
+	return byte(math.Min(1+math.Round(math.Log2(rate/minEncodedRate)/log2Step), math.MaxUint8))
 }
 
-func unpack(v byte) float64 { return least * math.Exp2(float64(v)*step-step) }
+func decodeLog(code byte) float64 { return minEncodedRate * math.Exp2(float64(code)*log2Step-log2Step) }
 
-var errShort = errors.New("it ends within an entry")
+var errTruncated = errors.New("it ends within an entry")
 
 // reader takes fields off a message; after the first that is not there all are nought.
-type reader struct {
-	b   []byte
+type fieldReader struct {
+	remaining   []byte
 	err error
 }
 
-func (r *reader) take(n int) []byte {
-	if len(r.b) < n {
-		r.b, r.err = nil, errShort
+func (r *fieldReader) take(n int) []byte {
+	if len(r.remaining) < n {
+		r.remaining, r.err = nil, errTruncated
 		return make([]byte, n)
 	}
-	v := r.b[:n]
-	r.b = r.b[n:]
-	return v
+	field := r.remaining[:n]
+	r.remaining = r.remaining[n:]
+	return field
 }
 
-func (r *reader) uvarint() uint64 {
-	v, n := binary.Uvarint(r.b)
+func (r *fieldReader) uvarint() uint64 {
+	value, n := binary.Uvarint(r.remaining)
 	if n <= 0 {
-		r.b, r.err = nil, errShort
+		r.remaining, r.err = nil, errTruncated
 		return 0
 	}
-	r.b = r.b[n:]
-	return v
+	r.remaining = r.remaining[n:]
+	return value
 }
 
 // Decode reads a message into dst. One that is not whole, or of another version, gives an error and nothing
 // else.
-func Decode(dst []borrowing.Entry, b []byte) ([]borrowing.Entry, error) {
+func Decode(dst []borrowing.Entry, message []byte) ([]borrowing.Entry, error) {
 	switch {
-	case len(b) < header || b[0] != Mark:
-		return dst, fmt.Errorf("message of credit of %d bytes: it has no head", len(b))
-	case b[1] != version:
-		return dst, fmt.Errorf("message of credit of version %d, not %d", b[1], version)
-	case len(b) > Limit:
-		return dst, fmt.Errorf("message of credit of %d bytes, of %d at most", len(b), Limit)
+	case len(message) < headerBytes || message[0] != Magic:
+		return dst, fmt.Errorf("message of credit of %d bytes: it has no head", len(message))
+	case message[1] != formatVersion:
+		return dst, fmt.Errorf("message of credit of version %d, not %d", message[1], formatVersion)
+	case len(message) > MaxMessageBytes:
+		return dst, fmt.Errorf("message of credit of %d bytes, of %d at most", len(message), MaxMessageBytes)
 	}
-	none, n, r := dst, int(b[2]), reader{b: b[header:]}
-	for range n {
-		e := borrowing.Entry{Customer: binary.BigEndian.Uint32(r.take(4)), Plan: r.take(1)[0], N: r.take(1)[0],
-			First: binary.BigEndian.Uint16(r.take(2)), Form: binary.BigEndian.Uint16(r.take(2))}
-		flags := r.take(1)[0]
-		e.Known, e.Virgin, e.Asks, e.Answers = flags&known > 0, flags&virgin > 0, flags&asks > 0, flags&answers > 0
-		for _, v := range []*uint64{&e.GaveR, &e.GaveD, &e.GotR, &e.GotD} {
-			if *v = r.uvarint(); *v > math.MaxInt64 {
-				r.err = errors.New("a counter is out of bounds")
+	original, count, fields := dst, int(message[2]), fieldReader{remaining: message[headerBytes:]}
+	for range count {
+		entry := borrowing.Entry{Customer: binary.BigEndian.Uint32(fields.take(4)), Plan: fields.take(1)[0], N: fields.take(1)[0],
+			First: binary.BigEndian.Uint16(fields.take(2)), Form: binary.BigEndian.Uint16(fields.take(2))}
+		flags := fields.take(1)[0]
+		entry.Known, entry.Virgin, entry.Asks, entry.Answers = flags&flagKnown > 0, flags&flagVirgin > 0, flags&flagAsks > 0, flags&flagAnswers > 0
+		for _, counter := range []*uint64{&entry.GaveR, &entry.GaveD, &entry.GotR, &entry.GotD} {
+			if *counter = fields.uvarint(); *counter > math.MaxInt64 {
+				fields.err = errors.New("a counter is out of bounds")
 			}
 		}
-		if e.Asks {
-			e.Nonce = binary.BigEndian.Uint16(r.take(2))
+		if entry.Asks {
+			entry.Nonce = binary.BigEndian.Uint16(fields.take(2))
 		}
-		if e.Answers {
-			e.Echo = binary.BigEndian.Uint16(r.take(2))
+		if entry.Answers {
+			entry.Echo = binary.BigEndian.Uint16(fields.take(2))
 		}
-		if flags&wants > 0 {
-			e.Want = r.uvarint()
+		if flags&flagWant > 0 {
+			entry.Want = fields.uvarint()
 		}
-		if flags&owes > 0 {
-			e.Left = float64(r.take(1)[0]) / math.MaxUint8
+		if flags&flagLeft > 0 {
+			entry.Left = float64(fields.take(1)[0]) / math.MaxUint8
 		}
-		if flags&fills > 0 {
-			e.Fill = unpack(r.take(1)[0])
+		if flags&flagFill > 0 {
+			entry.Fill = decodeLog(fields.take(1)[0])
 		}
-		if flags&spares > 0 {
-			e.Spare = unpack(r.take(1)[0])
+		if flags&flagSpare > 0 {
+			entry.Spare = decodeLog(fields.take(1)[0])
 		}
-		dst = append(dst, e)
+		dst = append(dst, entry)
 	}
-	if r.err == nil && len(r.b) > 0 {
-		r.err = fmt.Errorf("%d bytes follow its last entry", len(r.b))
+	if fields.err == nil && len(fields.remaining) > 0 {
+		fields.err = fmt.Errorf("%d bytes follow its last entry", len(fields.remaining))
 	}
-	if r.err != nil {
-		return none, fmt.Errorf("message of credit of %d bytes: %w", len(b), r.err)
+	if fields.err != nil {
+		return original, fmt.Errorf("message of credit of %d bytes: %w", len(message), fields.err)
 	}
 	return dst, nil
 }
--- a/internal/gateway/transport/creditwire/golden_test.go
+++ b/internal/gateway/transport/creditwire/golden_test.go
@@ -22,31 +22,31 @@
 }
 
 func TestGoldenEntries(t *testing.T) {
-	old := goldentest.Hex(t, "entries.hex")
-	got, err := Decode(nil, old)
+	golden := goldentest.Hex(t, "entries.hex")
+	got, err := Decode(nil, golden)
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldentest.Same(t, got, goldenEntries())
-	b, rest := Append(nil, goldenEntries())
+	encoded, rest := Append(nil, goldenEntries())
 	if len(rest) > 0 {
 		t.Errorf("%d entries do not fit", len(rest))
 	}
-	goldentest.SameBytes(t, b, old)
+	goldentest.SameBytes(t, encoded, golden)
 }
 
 // Each flag stands for itself: an entry with one of them says that one and no other.
 func TestGoldenFlags(t *testing.T) {
-	for i, e := range []borrowing.Entry{{Known: true}, {Virgin: true}, {Asks: true, Nonce: 7},
+	for i, entry := range []borrowing.Entry{{Known: true}, {Virgin: true}, {Asks: true, Nonce: 7},
 		{Answers: true, Echo: 7}, {Want: 7}, {GaveD: 7, Left: 1}, {Fill: 8}, {Spare: 8}} {
-		b, _ := Append(nil, []borrowing.Entry{e})
-		if flags := b[header+10]; flags != 1<<i {
-			t.Errorf("%+v: flags %08b, want bit %d alone", e, flags, i)
+		encoded, _ := Append(nil, []borrowing.Entry{entry})
+		if flags := encoded[headerBytes+10]; flags != 1<<i {
+			t.Errorf("%+v: flags %08b, want bit %d alone", entry, flags, i)
 		}
-		got, err := Decode(nil, b)
+		got, err := Decode(nil, encoded)
 		if err != nil {
 			t.Fatal(err)
 		}
-		goldentest.SameLines(t, goldentest.Leaves(got), goldentest.Leaves([]borrowing.Entry{e}))
+		goldentest.SameLines(t, goldentest.Leaves(got), goldentest.Leaves([]borrowing.Entry{entry}))
 	}
 }
--- a/internal/gateway/transport/discovery.go
+++ b/internal/gateway/transport/discovery.go
@@ -131,9 +131,9 @@
 	w.since = time.Now() // it was reached until here
 	_ = conn.SetDeadline(w.since.Add(Millis(policy.WatchQuiet)))
 	heard := func() { _ = conn.SetDeadline(time.Now().Add(Millis(w.silent()))) }
-	bounds := endpoints.Bounds{
-		Bytes:   policy.LongestList,
-		Entry:   policy.LongestEntry,
+	bounds := endpoints.Limits{
+		ListBytes:   policy.LongestList,
+		ValueBytes:   policy.LongestEntry,
 		Workers: policy.MostWorkers,
 	}
 	lists := endpoints.NewStream(r.BodyStream(), bounds, func(empty bool) {
@@ -152,11 +152,11 @@
 			w.tell(l)
 			continue
 		}
-		if errors.As(err, &endpoints.Nonsense{}) {
+		if errors.As(err, &endpoints.MalformedError{}) {
 			w.version = 0 // what it said is unknown: ask for all
 		}
 		if w.spoke {
-			w.since = lists.Began()
+			w.since = lists.ListStarted()
 		}
 		w.quiet = w.spoke && errors.Is(err, os.ErrDeadlineExceeded)
 		if errors.Is(err, io.EOF) {
--- a/internal/gateway/transport/endpoints/decode.go
+++ b/internal/gateway/transport/endpoints/decode.go
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-const mostSame = 1000 // names of zones and kinds that are kept once
+const maxInternedNames = 1000 // names of zones and kinds that are kept once
 
 // Worker is one entry of the list.
 type Worker struct {
@@ -21,21 +21,21 @@
 	Zone    string
 	Cell    int
 	Kind    string
-	Rating  float64 // what the list says of its size; 0 says nothing
+	Weight  float64 // what the list says of its size; 0 says nothing
 	Active  bool    // neither draining nor gone
-	Gone    bool
-	Since   float64 // Unix time of its process's start, ms; 0 long ago
+	Removed    bool
+	StartedMillis   float64 // Unix time of its process's start, ms; 0 long ago
 }
 
 // List is the whole list, or the entries that changed up to a version of it.
 type List struct {
 	Version int64
-	Whole   bool
+	Snapshot   bool
 	Workers []Worker
 }
 
 // entry is a worker in the list's own form.
-type entry struct {
+type listEntry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	Zone    string  `json:"zone"`
@@ -46,40 +46,40 @@
 	SinceMs float64 `json:"since_ms"`
 }
 
-type message struct {
+type listMessage struct {
 	Index     int64   `json:"index"`
 	Snapshot  bool    `json:"snapshot"`
-	Endpoints []entry `json:"endpoints"`
+	Endpoints []listEntry `json:"endpoints"`
 }
 
 // Append encodes a list as one JSON object.
-func Append(dst []byte, l List) ([]byte, error) {
-	m := message{Index: l.Version, Snapshot: l.Whole, Endpoints: []entry{}}
-	for _, w := range l.Workers {
-		e := entry{Name: w.Name, Zone: w.Zone, Type: w.Kind, Group: w.Cell, Weight: w.Rating, SinceMs: w.Since,
+func Append(dst []byte, list List) ([]byte, error) {
+	encoded := listMessage{Index: list.Version, Snapshot: list.Snapshot, Endpoints: []listEntry{}}
+	for _, worker := range list.Workers {
+		item := listEntry{Name: worker.Name, Zone: worker.Zone, Type: worker.Kind, Group: worker.Cell, Weight: worker.Weight, SinceMs: worker.StartedMillis,
 			Status: "leaving"}
-		if w.Address.IsValid() {
-			e.Address = w.Address.String()
+		if worker.Address.IsValid() {
+			item.Address = worker.Address.String()
 		}
 		switch {
-		case w.Active:
-			e.Status = "active"
-		case w.Gone:
-			e.Status = "left"
+		case worker.Active:
+			item.Status = "active"
+		case worker.Removed:
+			item.Status = "left"
 		}
-		m.Endpoints = append(m.Endpoints, e)
+		encoded.Endpoints = append(encoded.Endpoints, item)
 	}
-	b, err := json.Marshal(m)
-	return append(dst, b...), err
+	text, err := json.Marshal(encoded)
+	return append(dst, text...), err
 }
 
 // Decode reads one JSON object. A list that breaks the form gives an error and nothing else.
 func Decode(raw []byte) (List, error) {
-	r := reader{dec: json.NewDecoder(bytes.NewReader(raw)), most: math.MaxInt}
-	l, err := r.list()
+	d := decoder{tokens: json.NewDecoder(bytes.NewReader(raw)), maxWorkers: math.MaxInt}
+	list, err := d.readList()
 	if err == nil {
-		if _, err = r.dec.Token(); err == io.EOF {
-			return l, nil
+		if _, err = d.tokens.Token(); err == io.EOF {
+			return list, nil
 		} else if err == nil {
 			err = errors.New("more than one")
 		}
@@ -88,122 +88,122 @@
 }
 
 // reader takes lists from a decoder, one entry at a time: of the text no more than an entry is held.
-type reader struct {
-	dec  *json.Decoder
-	most int               // workers of a list
-	same map[string]string // names of zones and kinds, which come again and again
+type decoder struct {
+	tokens  *json.Decoder
+	maxWorkers int               // workers of a list
+	interned map[string]string // names of zones and kinds, which come again and again
 }
 
 // list reads one list. What is well formed and no list is read to its end, and then an error: cut off, it is
 // cut off and no more.
-func (r *reader) list() (l List, err error) {
-	var wrong error
-	note := func(err error) error {
-		if err == nil || !errors.As(err, new(*json.UnmarshalTypeError)) && !errors.As(err, new(badEntry)) {
+func (d *decoder) readList() (list List, err error) {
+	var invalid error
+	recordInvalid := func(err error) error {
+		if err == nil || !errors.As(err, new(*json.UnmarshalTypeError)) && !errors.As(err, new(invalidListError)) {
 			return err
 		}
-		if wrong == nil {
-			wrong = err
+		if invalid == nil {
+			invalid = err
 		}
 		return nil
 	}
-	begin, err := r.dec.Token()
+	begin, err := d.tokens.Token()
 	if err != nil {
 		return List{}, err
 	}
 	if begin != json.Delim('{') {
-		wrong = errors.New("no object")
-		err = r.pass(begin)
+		invalid = errors.New("no object")
+		err = d.skipRest(begin)
 	}
-	for wrong == nil && err == nil && r.dec.More() {
+	for invalid == nil && err == nil && d.tokens.More() {
 		var key json.Token
-		if key, err = r.dec.Token(); err != nil {
+		if key, err = d.tokens.Token(); err != nil {
 			break
 		}
 		switch name, _ := key.(string); {
 		case strings.EqualFold(name, "index"):
-			err = note(r.dec.Decode(&l.Version))
+			err = recordInvalid(d.tokens.Decode(&list.Version))
 		case strings.EqualFold(name, "snapshot"):
-			err = note(r.dec.Decode(&l.Whole))
+			err = recordInvalid(d.tokens.Decode(&list.Snapshot))
 		case strings.EqualFold(name, "endpoints"):
-			err = r.entries(&l, note)
+			err = d.readWorkers(&list, recordInvalid)
 		default:
-			err = r.skip()
+			err = d.skipValue()
 		}
 	}
 	for depth := 1; begin == json.Delim('{') && depth > 0 && err == nil; {
-		depth, err = r.deeper(depth)
+		depth, err = d.nextDepth(depth)
 	}
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
 	if err == nil {
-		err = wrong
+		err = invalid
 	}
 	if err != nil {
 		return List{}, err
 	}
-	return l, nil
+	return list, nil
 }
 
 // entries reads the workers of a list.
-func (r *reader) entries(l *List, note func(error) error) error {
-	l.Workers = l.Workers[:0]
-	begin, err := r.dec.Token()
+func (d *decoder) readWorkers(list *List, recordInvalid func(error) error) error {
+	list.Workers = list.Workers[:0]
+	begin, err := d.tokens.Token()
 	if err != nil || begin == nil {
 		return err
 	}
 	if begin != json.Delim('[') {
-		if err = r.pass(begin); err != nil {
+		if err = d.skipRest(begin); err != nil {
 			return err
 		}
-		return note(badEntry{errors.New("endpoints: no list")})
+		return recordInvalid(invalidListError{errors.New("endpoints: no list")})
 	}
-	for i := 0; r.dec.More(); i++ {
-		var e entry
-		err := r.dec.Decode(&e)
+	for i := 0; d.tokens.More(); i++ {
+		var item listEntry
+		err := d.tokens.Decode(&item)
 		if err == nil {
-			if len(l.Workers) == r.most {
+			if len(list.Workers) == d.maxWorkers {
 				return ErrTooLong
 			}
-			var w Worker
-			if w, err = r.worker(i, &e); err == nil {
-				l.Workers = append(l.Workers, w)
+			var worker Worker
+			if worker, err = d.toWorker(i, &item); err == nil {
+				list.Workers = append(list.Workers, worker)
 			}
 		}
-		if err = note(err); err != nil {
+		if err = recordInvalid(err); err != nil {
 			return err
 		}
 	}
-	_, err = r.dec.Token()
+	_, err = d.tokens.Token()
 	return err
 }
 
 // skip reads over a value, whose beginning has not been read.
-func (r *reader) skip() error {
-	begin, err := r.dec.Token()
+func (d *decoder) skipValue() error {
+	begin, err := d.tokens.Token()
 	if err != nil {
 		return err
 	}
-	return r.pass(begin)
+	return d.skipRest(begin)
 }
 
 // pass reads over the rest of a value that has begun.
-func (r *reader) pass(begin json.Token) (err error) {
+func (d *decoder) skipRest(begin json.Token) (err error) {
 	depth := 0
 	if begin == json.Delim('{') || begin == json.Delim('[') {
 		depth = 1
 	}
 	for depth > 0 && err == nil {
-		depth, err = r.deeper(depth)
+		depth, err = d.nextDepth(depth)
 	}
 	return err
 }
 
 // deeper reads a token, and tells how deep it leads.
-func (r *reader) deeper(depth int) (int, error) {
-	t, err := r.dec.Token()
-	switch t {
+func (d *decoder) nextDepth(depth int) (int, error) {
+	token, err := d.tokens.Token()
+	switch token {
 	case json.Delim('{'), json.Delim('['):
 		depth++
 	case json.Delim('}'), json.Delim(']'):
@@ -213,38 +213,38 @@
 }
 
 // badEntry is an entry that is well formed and makes no sense.
-type badEntry struct{ error }
+type invalidListError struct{ error }
 
-func (r *reader) worker(i int, e *entry) (Worker, error) {
-	w := Worker{Name: e.Name, Zone: r.once(e.Zone), Cell: e.Group, Kind: r.once(e.Type),
-		Rating: max(e.Weight, 0), Since: max(e.SinceMs, 0)}
-	switch e.Status {
+func (d *decoder) toWorker(index int, item *listEntry) (Worker, error) {
+	worker := Worker{Name: item.Name, Zone: d.intern(item.Zone), Cell: item.Group, Kind: d.intern(item.Type),
+		Weight: max(item.Weight, 0), StartedMillis: max(item.SinceMs, 0)}
+	switch item.Status {
 	case "active":
-		w.Active = true
+		worker.Active = true
 	case "leaving":
 	case "left":
-		w.Gone = true
+		worker.Removed = true
 	default:
-		return Worker{}, badEntry{fmt.Errorf("endpoints[%d].status: %q is unknown", i, e.Status)}
+		return Worker{}, invalidListError{fmt.Errorf("endpoints[%d].status: %q is unknown", index, item.Status)}
 	}
 	var err error
-	if w.Address, err = netip.ParseAddrPort(e.Address); err != nil && w.Active {
-		return Worker{}, badEntry{fmt.Errorf("endpoints[%d].address: %w", i, err)}
+	if worker.Address, err = netip.ParseAddrPort(item.Address); err != nil && worker.Active {
+		return Worker{}, invalidListError{fmt.Errorf("endpoints[%d].address: %w", index, err)}
 	}
-	if w.Name == "" {
-		return Worker{}, badEntry{fmt.Errorf("endpoints[%d].name is missing", i)}
+	if worker.Name == "" {
+		return Worker{}, invalidListError{fmt.Errorf("endpoints[%d].name is missing", index)}
 	}
-	return w, nil
+	return worker, nil
 }
 
 // once gives a text that is the same as an earlier one in that one's memory.
-func (r *reader) once(s string) string {
-	if first, known := r.same[s]; known {
+func (d *decoder) intern(s string) string {
+	if first, known := d.interned[s]; known {
 		return first
 	}
-	if r.same == nil || len(r.same) >= mostSame {
-		r.same = map[string]string{}
+	if d.interned == nil || len(d.interned) >= maxInternedNames {
+		d.interned = map[string]string{}
 	}
-	r.same[s] = s
+	d.interned[s] = s
 	return s
 }
--- a/internal/gateway/transport/gossip/golden_test.go
+++ b/internal/gateway/transport/gossip/golden_test.go
@@ -13,26 +13,26 @@
 func goldenReports() []policy.Report {
 	return []policy.Report{
 		{Customer: 0x01020304, Plan: 5, Demand: 8, Known: 4, Spent: 2},
-		{Customer: 0xfffefdfc, Plan: Plans - 1, Demand: 0.5, Known: 1024, Spent: 65536},
+		{Customer: 0xfffefdfc, Plan: MaxPlans - 1, Demand: 0.5, Known: 1024, Spent: 65536},
 	}
 }
 
 func TestGoldenReports(t *testing.T) {
-	old := goldentest.Hex(t, "reports.hex")
-	got, err := Decode(nil, old)
+	golden := goldentest.Hex(t, "reports.hex")
+	got, err := Decode(nil, golden)
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldentest.Same(t, got, goldenReports())
-	goldentest.SameBytes(t, Append(nil, goldenReports()), old)
+	goldentest.SameBytes(t, Append(nil, goldenReports()), golden)
 }
 
 // A report of which neither is known is shorter, and the form before this one is still read.
-func TestGoldenShortAndFormerReports(t *testing.T) {
+func TestGoldenShortAndPreviousReports(t *testing.T) {
 	short := []policy.Report{{Customer: 0x01020304, Plan: 5, Demand: 8}}
-	old := goldentest.Hex(t, "short.hex")
-	goldentest.SameBytes(t, Append(nil, short), old)
-	got, err := Decode(nil, old)
+	golden := goldentest.Hex(t, "short.hex")
+	goldentest.SameBytes(t, Append(nil, short), golden)
+	got, err := Decode(nil, golden)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/transport/gossip/gossip.go
+++ b/internal/gateway/transport/gossip/gossip.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	version = 5
-	former  = 4 // version
-	header  = 2
-	entry   = 8 // at most
-	bare    = 6 // bytes of a report without known and spent
+	formatVersion = 5
+	previousFormatVersion  = 4 // version
+	headerBytes  = 2
+	maxReportBytes   = 8 // at most
+	minReportBytes    = 6 // bytes of a report without known and spent
 
-	hasKnown, hasSpent = 0x40, 0x80
-	Limit              = 256 // bytes that a peer message may have
+	knownFlag, spentFlag = 0x40, 0x80
+	MaxMessageBytes              = 256 // bytes that a peer message may have
 
-	step  = 1.0 / 8    // of a power of two, between neighbouring demands
-	least = 1.0 / 1024 // units a second; less is nought
+	log2Step  = 1.0 / 8    // of a power of two, between neighbouring demands
+	minEncodedRate = 1.0 / 1024 // units a second; less is nought
 )
 
 // Plans is how many plans a message can tell apart.
-const Plans = hasKnown
+const MaxPlans = knownFlag
 
 // Room is how many reports fit one message.
-const Room = (Limit - header) / entry
+const MaxReports = (MaxMessageBytes - headerBytes) / maxReportBytes
 
 // Append adds the message for the reports, at most Room of them, to dst.
 func Append(dst []byte, reports []policy.Report) []byte {
-	reports = reports[:min(len(reports), Room)]
-	dst = append(dst, version, byte(len(reports)))
-	for _, r := range reports {
-		dst = binary.BigEndian.AppendUint32(dst, uint32(r.Customer))
-		plan, known, spent := byte(r.Plan), pack(r.Known), pack(r.Spent)
+	reports = reports[:min(len(reports), MaxReports)]
+	dst = append(dst, formatVersion, byte(len(reports)))
+	for _, report := range reports {
+		dst = binary.BigEndian.AppendUint32(dst, uint32(report.Customer))
+		plan, known, spent := byte(report.Plan), encodeLog(report.Known), encodeLog(report.Spent)
 		if known > 0 {
-			plan |= hasKnown
+			plan |= knownFlag
 		}
 		if spent > 0 {
-			plan |= hasSpent
+			plan |= spentFlag
 		}
-		dst = append(dst, plan, pack(r.Demand))
+		dst = append(dst, plan, encodeLog(report.Demand))
 		if known > 0 {
 			dst = append(dst, known)
 		}
@@ -61,50 +61,50 @@
 // Decode reads a message into dst. A message that is not whole, or of another version, gives an error and
 // nothing else.
 func Decode(dst []policy.Report, b []byte) ([]policy.Report, error) {
-	if len(b) < header {
+	if len(b) < headerBytes {
 		return dst, fmt.Errorf("peer message of %d bytes: too short", len(b))
 	}
-	if b[0] != version && b[0] != former {
-		return dst, fmt.Errorf("peer message of version %d, not %d", b[0], version)
+	if b[0] != formatVersion && b[0] != previousFormatVersion {
+		return dst, fmt.Errorf("peer message of version %d, not %d", b[0], formatVersion)
 	}
-	whole, none, n := b, dst, int(b[1])
-	for b = b[header:]; len(b) >= bare && len(dst)-len(none) < n; {
+	message, original, count := b, dst, int(b[1])
+	for b = b[headerBytes:]; len(b) >= minReportBytes && len(dst)-len(original) < count; {
 		plan := b[4]
-		if whole[0] == former {
-			plan |= hasKnown | hasSpent
+		if message[0] == previousFormatVersion {
+			plan |= knownFlag | spentFlag
 		}
-		r := policy.Report{Customer: uint64(binary.BigEndian.Uint32(b)), Plan: int(plan &^ (hasKnown | hasSpent)),
-			Demand: unpack(b[5])}
-		b = b[bare:]
-		for _, f := range []struct {
-			bit byte
-			v   *float64
-		}{{hasKnown, &r.Known}, {hasSpent, &r.Spent}} {
-			if plan&f.bit != 0 {
+		report := policy.Report{Customer: uint64(binary.BigEndian.Uint32(b)), Plan: int(plan &^ (knownFlag | spentFlag)),
+			Demand: decodeLog(b[5])}
+		b = b[minReportBytes:]
+		for _, optional := range []struct {
+			flag byte
+			value   *float64
+		}{{knownFlag, &report.Known}, {spentFlag, &report.Spent}} {
+			if plan&optional.flag != 0 {
 				if len(b) == 0 {
-					return none, fmt.Errorf("peer message of %d bytes ends within a report", len(whole))
+					return original, fmt.Errorf("peer message of %d bytes ends within a report", len(message))
 				}
-				*f.v, b = unpack(b[0]), b[1:]
+				*optional.value, b = decodeLog(b[0]), b[1:]
 			}
 		}
-		dst = append(dst, r)
+		dst = append(dst, report)
 	}
-	if len(b) > 0 || len(dst)-len(none) != n {
-		return none, fmt.Errorf("peer message of %d bytes for %d reports", len(whole), n)
+	if len(b) > 0 || len(dst)-len(original) != count {
+		return original, fmt.Errorf("peer message of %d bytes for %d reports", len(message), count)
 	}
 	return dst, nil
 }
 
-func pack(v float64) uint8 {
-	if !(v > least) {
+func encodeLog(rate float64) uint8 {
+	if !(rate > minEncodedRate) {
 		return 0
 	}
-	return uint8(math.Min(1+math.Round(math.Log2(v/least)/step), math.MaxUint8))
+	return uint8(math.Min(1+math.Round(math.Log2(rate/minEncodedRate)/log2Step), math.MaxUint8))
 }
 
-func unpack(v uint8) float64 {
-	if v == 0 {
+func decodeLog(code uint8) float64 {
+	if code == 0 {
 		return 0
 	}
-	return least * math.Exp2(float64(v-1)*step)
+	return minEncodedRate * math.Exp2(float64(code-1)*log2Step)
 }
--- a/internal/gateway/transport/gossip/gossip_test.go
+++ b/internal/gateway/transport/gossip/gossip_test.go
@@ -10,36 +10,36 @@
 )
 
 func TestRoundTrip(t *testing.T) {
-	for _, r := range []policy.Report{{}, {Customer: 7, Plan: 3, Demand: 0.5, Known: 0.25, Spent: 8},
+	for _, report := range []policy.Report{{}, {Customer: 7, Plan: 3, Demand: 0.5, Known: 0.25, Spent: 8},
 		{Customer: math.MaxUint32, Demand: 1e6}, {Customer: 1, Demand: 12, Spent: 64}} {
-		got, err := Decode(nil, Append(nil, []policy.Report{r}))
+		got, err := Decode(nil, Append(nil, []policy.Report{report}))
 		if err != nil || len(got) != 1 {
-			t.Fatalf("%+v: got %v, %v", r, got, err)
+			t.Fatalf("%+v: got %v, %v", report, got, err)
 		}
-		g := got[0]
-		if g.Customer != r.Customer ||
-			g.Plan != r.Plan ||
-			g.Spent != r.Spent || g.Known != r.Known || math.Abs(g.Demand-r.Demand) > r.Demand*0.05 {
-			t.Errorf("%+v came back as %+v", r, g)
+		decoded := got[0]
+		if decoded.Customer != report.Customer ||
+			decoded.Plan != report.Plan ||
+			decoded.Spent != report.Spent || decoded.Known != report.Known || math.Abs(decoded.Demand-report.Demand) > report.Demand*0.05 {
+			t.Errorf("%+v came back as %+v", report, decoded)
 		}
 	}
-	if n := len(Append(nil, make([]policy.Report, 2*Room))); n > 256 {
+	if n := len(Append(nil, make([]policy.Report, 2*MaxReports))); n > 256 {
 		t.Errorf("a message of %d bytes", n)
 	}
 }
 
 // The form before is understood while builds are mixed; what is nought takes no room in the new one.
-func TestForms(t *testing.T) {
-	before := []byte{former, 2, 0, 0, 0, 7, 1, 81, 73, 0, 0, 0, 0, 9, 0, 81, 0, 65}
-	now := []byte{version, 2, 0, 0, 0, 7, 1 | hasKnown, 81, 73, 0, 0, 0, 9, hasSpent, 81, 65}
+func TestFormatVersions(t *testing.T) {
+	previous := []byte{previousFormatVersion, 2, 0, 0, 0, 7, 1, 81, 73, 0, 0, 0, 0, 9, 0, 81, 0, 65}
+	current := []byte{formatVersion, 2, 0, 0, 0, 7, 1 | knownFlag, 81, 73, 0, 0, 0, 9, spentFlag, 81, 65}
 	want := []policy.Report{{Customer: 7, Plan: 1, Demand: 1, Known: 0.5}, {Customer: 9, Demand: 1, Spent: 0.25}}
-	for name, b := range map[string][]byte{"before": before, "now": now} {
+	for name, b := range map[string][]byte{"before": previous, "now": current} {
 		if got, err := Decode(nil, b); err != nil || !slices.Equal(got, want) {
 			t.Errorf("%s: got %+v, %v", name, got, err)
 		}
 	}
-	if got := Append(nil, want); !bytes.Equal(got, now) {
-		t.Errorf("told as %v, want %v", got, now)
+	if got := Append(nil, want); !bytes.Equal(got, current) {
+		t.Errorf("told as %v, want %v", got, current)
 	}
 }
 
@@ -47,17 +47,17 @@
 	good := Append(nil, []policy.Report{{Customer: 7, Demand: 1}, {Customer: 8, Demand: 2}})
 	other := bytes.Clone(good)
 	other[0]++
-	for name, b := range map[string][]byte{"empty": nil, "one byte": {version}, "cut short": good[:len(good)-1],
+	for name, b := range map[string][]byte{"empty": nil, "one byte": {formatVersion}, "cut short": good[:len(good)-1],
 		"too long": append(bytes.Clone(good), 0), "other version": other,
-		"ends before what it announces": {version, 1, 0, 0, 0, 7, hasKnown | hasSpent, 81, 73},
-		"fewer than it counts":          {version, 2, 0, 0, 0, 7, 0, 81}} {
+		"ends before what it announces": {formatVersion, 1, 0, 0, 0, 7, knownFlag | spentFlag, 81, 73},
+		"fewer than it counts":          {formatVersion, 2, 0, 0, 0, 7, 0, 81}} {
 		t.Run(name, func(t *testing.T) {
 			if got, err := Decode(nil, b); err == nil || len(got) != 0 {
 				t.Errorf("got %v, %v", got, err)
 			}
 		})
 	}
-	b := append([]byte{former, 2}, bytes.Repeat([]byte{255}, 16)...)
+	b := append([]byte{previousFormatVersion, 2}, bytes.Repeat([]byte{255}, 16)...)
 	got, err := Decode(nil, b)
 	if err != nil || math.IsInf(got[0].Demand, 0) || math.IsNaN(got[0].Demand) {
 		t.Errorf("the largest demand reads as %v, %v", got, err)
--- a/internal/gateway/transport/listener_test.go
+++ b/internal/gateway/transport/listener_test.go
@@ -452,7 +452,7 @@
 		nil,
 		slices.Repeat([]policy.Report{{Customer: 7, Demand: 3, Known: 2, Spent: 1}}, Room),
 	)
-	if len(full)+wordBytes > gossip.Limit || len(full)+wordBytes < gossip.Limit-16 {
+	if len(full)+wordBytes > gossip.MaxMessageBytes || len(full)+wordBytes < gossip.MaxMessageBytes-16 {
 		t.Errorf("a full message has %d bytes", len(full)+wordBytes)
 	}
 	expect := func(what string, want got, dropped int64) {
--- a/internal/gateway/transport/peers.go
+++ b/internal/gateway/transport/peers.go
@@ -48,7 +48,7 @@
 }
 
 // Room is how many reports fit a message that bears a word.
-const Room = gossip.Room - (wordBytes+7)/8
+const Room = gossip.MaxReports - (wordBytes+7)/8
 
 // A message that bears a word begins with a mark that no version of the form has, and the word.
 const (
@@ -139,7 +139,7 @@
 	conn := p.conn.Load()
 	var reports []policy.Report
 	var entries []borrowing.Entry
-	buf := make([]byte, 2*gossip.Limit)
+	buf := make([]byte, 2*gossip.MaxMessageBytes)
 	for {
 		n, from, err := conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
@@ -148,7 +148,7 @@
 		who, b := p.number(from), buf[:n]
 		word, bears := wordOf(&b)
 		lends := p.credit.Load()
-		if entries = entries[:0]; lends != nil && bears && len(b) > 0 && b[0] == creditwire.Mark {
+		if entries = entries[:0]; lends != nil && bears && len(b) > 0 && b[0] == creditwire.Magic {
 			reports = reports[:0]
 			entries, err = creditwire.Decode(entries, b)
 		} else {
--- a/internal/gateway/workers/lists.go
+++ b/internal/gateway/workers/lists.go
@@ -10,7 +10,7 @@
 // list. It gives any other list as it is. It may run beside other readers of the registry, but not beside
 // Apply.
 func (r *Registry) Diff(list endpoints.List) endpoints.List {
-	if !list.Whole || len(r.workers) == 0 {
+	if !list.Snapshot || len(r.workers) == 0 {
 		return list
 	}
 	r.comparisons++
@@ -34,7 +34,7 @@
 		if target.comparedIn != r.comparisons && !target.removed {
 			change.Workers = append(change.Workers, endpoints.Worker{Name: target.name, Address: target.addr,
 				Zone: r.zones.Name(target.zone), Cell: target.cell, Kind: r.kinds.Name(target.kind),
-				Rating: target.rating, Gone: true, Since: target.startedMillis})
+				Weight: target.rating, Removed: true, StartedMillis: target.startedMillis})
 		}
 	}
 	return change
@@ -45,7 +45,7 @@
 // where it is full, where it changes half of all workers or more (the others may be none), and where it
 // names a worker twice (its last entry must come last).
 func (r *Registry) Split(list endpoints.List, limit int) []endpoints.List {
-	if list.Whole || len(list.Workers) <= limit || 2*len(list.Workers) > len(r.workers) {
+	if list.Snapshot || len(list.Workers) <= limit || 2*len(list.Workers) > len(r.workers) {
 		return []endpoints.List{list}
 	}
 	var ordered []endpoints.Worker
@@ -71,6 +71,6 @@
 // matches tells whether a worker's state equals a list's entry, but for its zone and kind. A removed worker
 // matches none, as another entry of the same list may take its slot.
 func (w *worker) matches(entry *endpoints.Worker) bool {
-	return w.addr == entry.Address && w.startedMillis == entry.Since && w.active == entry.Active &&
-		!w.removed && !entry.Gone && w.cell == entry.Cell && w.rating == entry.Rating
+	return w.addr == entry.Address && w.startedMillis == entry.StartedMillis && w.active == entry.Active &&
+		!w.removed && !entry.Removed && w.cell == entry.Cell && w.rating == entry.Weight
 }
--- a/internal/gateway/workers/lists_test.go
+++ b/internal/gateway/workers/lists_test.go
@@ -47,16 +47,16 @@
 		if !known { // no upstream refers to it in another zone or cell
 			target.zone, target.cell = zone, entry.Cell
 		}
-		if target.transition(entry.Address, entry.Since, entry.Active, zone, entry.Cell) {
+		if target.transition(entry.Address, entry.StartedMillis, entry.Active, zone, entry.Cell) {
 			ended = append(ended, slot)
 		}
-		target.removed = entry.Gone
+		target.removed = entry.Removed
 		r.postings = append(r.postings, policy.Posting{Worker: slot, Zone: zone, Cell: entry.Cell,
-			Kind: r.kinds.ID(entry.Kind), Rating: entry.Rating,
-			Active: entry.Active, Since: entry.Since, New: !known})
+			Kind: r.kinds.ID(entry.Kind), Rating: entry.Weight,
+			Active: entry.Active, Since: entry.StartedMillis, New: !known})
 	}
 	for slot, target := range r.workers {
-		if list.Whole && !listed[slot] {
+		if list.Snapshot && !listed[slot] {
 			target.removed = true
 			if target.transition(target.addr, target.startedMillis, false, target.zone, target.cell) {
 				ended = append(ended, slot)
@@ -68,7 +68,7 @@
 
 // assignSlot gives an unknown worker the slot of a removed one, or a new one.
 func (r *referenceRegistry) assignSlot(entry endpoints.Worker, vacant func(int) bool) int {
-	target := &referenceWorker{name: entry.Name, startedMillis: entry.Since, addr: entry.Address}
+	target := &referenceWorker{name: entry.Name, startedMillis: entry.StartedMillis, addr: entry.Address}
 	slot := len(r.workers)
 	for i, other := range r.workers {
 		if other.removed && vacant(i) {
@@ -138,16 +138,16 @@
 		names := 4 + rng.Intn(60)
 		last := map[string]endpoints.Worker{}
 		for range 60 {
-			list := endpoints.List{Whole: rng.Intn(3) == 0}
+			list := endpoints.List{Snapshot: rng.Intn(3) == 0}
 			for range rng.Intn(2 + names) {
 				name := fmt.Sprint(rng.Intn(2 * names))
 				entry, known := last[name]
 				if !known || rng.Intn(5) == 0 {
 					entry = endpoints.Worker{Name: name, Zone: fmt.Sprint("z", rng.Intn(3)), Cell: rng.Intn(3),
-						Kind: fmt.Sprint("k", rng.Intn(2)), Rating: float64(rng.Intn(2)), Since: float64(rng.Intn(3)),
+						Kind: fmt.Sprint("k", rng.Intn(2)), Weight: float64(rng.Intn(2)), StartedMillis: float64(rng.Intn(3)),
 						Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(rng.Intn(3)))}
 					entry.Active = rng.Intn(3) > 0
-					entry.Gone = !entry.Active && rng.Intn(2) == 0
+					entry.Removed = !entry.Active && rng.Intn(2) == 0
 				}
 				last[name] = entry
 				sameName := func(other endpoints.Worker) bool { return other.Name == name }
@@ -157,7 +157,7 @@
 				list.Workers = append(list.Workers, entry)
 			}
 			if len(list.Workers) > 0 && rng.Intn(20) == 0 { // named twice, the last time unchanged
-				list.Workers = append([]endpoints.Worker{{Name: list.Workers[0].Name, Since: 9}}, list.Workers...)
+				list.Workers = append([]endpoints.Worker{{Name: list.Workers[0].Name, StartedMillis: 9}}, list.Workers...)
 			}
 			referenced := rng.Intn(1 + names)
 			vacant := func(i int) bool { return i%7 != referenced%7 }
@@ -169,19 +169,19 @@
 			}
 			change := diffed.Diff(list)
 			diffedPostings, diffedEnded := diffed.Apply(change, vacant)
-			if list.Whole && !change.Whole {
+			if list.Snapshot && !change.Snapshot {
 				diffs++
 				if len(diffedPostings) == 0 {
 					emptyDiffs++
 				}
-			} else if list.Whole && len(diffed.workers) > 0 {
+			} else if list.Snapshot && len(diffed.workers) > 0 {
 				fullLists++
 			}
 			if !slices.Equal(referenceEnded, diffedEnded) {
 				t.Fatalf("seed %d: by the diff %v end, want %v", seed, diffedEnded, referenceEnded)
 			}
-			referenceView.apply(referencePostings, list.Whole)
-			diffedView.apply(diffedPostings, change.Whole)
+			referenceView.apply(referencePostings, list.Snapshot)
+			diffedView.apply(diffedPostings, change.Snapshot)
 			// Of a worker that is not listed the policy keeps the last posting, active or not.
 			for i, p := range diffedView.listed {
 				want := referenceView.listed[i]
@@ -234,7 +234,7 @@
 func TestSplit(t *testing.T) {
 	change := func(from, to int, active func(i int) bool) endpoints.List {
 		list := listOf(to, true)
-		list.Whole, list.Workers = false, list.Workers[from:]
+		list.Snapshot, list.Workers = false, list.Workers[from:]
 		for i := range list.Workers {
 			list.Workers[i].Active = active(i)
 		}
@@ -245,7 +245,7 @@
 	duplicate.Workers[99] = duplicate.Workers[0]
 	duplicate.Workers[99].Active = true
 	full := change(0, 100, oddActive)
-	full.Whole = true
+	full.Snapshot = true
 	for _, c := range []struct {
 		name   string
 		list   endpoints.List
@@ -291,12 +291,12 @@
 
 // listOf gives a full list of n workers.
 func listOf(n int, active bool) endpoints.List {
-	l := endpoints.List{Whole: true}
+	l := endpoints.List{Snapshot: true}
 	for i := range n {
 		l.Workers = append(
 			l.Workers,
 			endpoints.Worker{Name: fmt.Sprint("worker-", i), Zone: fmt.Sprint("z", i/7900),
-				Cell: i / 38, Kind: fmt.Sprint("k", i%5), Rating: 1, Active: active,
+				Cell: i / 38, Kind: fmt.Sprint("k", i%5), Weight: 1, Active: active,
 				Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 80)},
 		)
 	}
@@ -374,7 +374,7 @@
 			continue
 		}
 		up, down := listOf(7900, true), listOf(7900, false)
-		up.Whole, down.Whole = false, false
+		up.Snapshot, down.Snapshot = false, false
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var registry Registry
 			registry.Apply(listOf(n, true), allVacant)
--- a/internal/gateway/workers/registry.go
+++ b/internal/gateway/workers/registry.go
@@ -92,7 +92,7 @@
 func (r *Registry) Apply(list endpoints.List, vacant func(int) bool) (postings []policy.Posting,
 	ended []int) {
 	r.postings = r.postings[:0]
-	if list.Whole {
+	if list.Snapshot {
 		r.fullLists++
 	}
 	for i := range list.Workers {
@@ -106,16 +106,16 @@
 		if !known { // no upstream refers to it in another zone or cell
 			target.zone, target.cell = zone, entry.Cell
 		}
-		if r.transition(target, entry.Address, entry.Since, entry.Active, zone, entry.Cell) {
+		if r.transition(target, entry.Address, entry.StartedMillis, entry.Active, zone, entry.Cell) {
 			ended = append(ended, slot)
 		}
-		target.removed, target.kind, target.rating = entry.Gone, r.kinds.ID(entry.Kind), entry.Rating
-		r.free.set(slot, entry.Gone)
+		target.removed, target.kind, target.rating = entry.Removed, r.kinds.ID(entry.Kind), entry.Weight
+		r.free.set(slot, entry.Removed)
 		r.postings = append(r.postings, policy.Posting{Worker: slot, Zone: zone, Cell: entry.Cell,
-			Kind: target.kind, Rating: entry.Rating,
-			Active: entry.Active, Since: entry.Since, New: !known})
+			Kind: target.kind, Rating: entry.Weight,
+			Active: entry.Active, Since: entry.StartedMillis, New: !known})
 	}
-	if list.Whole {
+	if list.Snapshot {
 		ended = r.removeUnlisted(ended)
 	}
 	return r.postings, ended
@@ -140,7 +140,7 @@
 // assignSlot gives an unknown worker the first vacant slot of a removed one, or a new slot. Guards against an
 // unbounded number of workers, each under a name of its own, that fill the memory.
 func (r *Registry) assignSlot(entry *endpoints.Worker, vacant func(int) bool) int {
-	target := &worker{name: entry.Name, startedMillis: entry.Since, addr: entry.Address}
+	target := &worker{name: entry.Name, startedMillis: entry.StartedMillis, addr: entry.Address}
 	slot := r.free.takeFirst(vacant)
 	if slot < 0 {
 		slot = len(r.workers)
--- a/internal/gateway/workers/registry_test.go
+++ b/internal/gateway/workers/registry_test.go
@@ -13,7 +13,7 @@
 // group.
 func TestUpstreamValidity(t *testing.T) {
 	entry := func(name, addr string, active bool, since float64) endpoints.Worker {
-		return endpoints.Worker{Name: name, Address: netip.MustParseAddrPort(addr), Active: active, Since: since}
+		return endpoints.Worker{Name: name, Address: netip.MustParseAddrPort(addr), Active: active, StartedMillis: since}
 	}
 	zone, cell := entry("a", "127.0.0.1:1", true, 0), entry("a", "127.0.0.1:1", true, 0)
 	zone.Zone, cell.Cell = "z", 3
@@ -24,7 +24,7 @@
 		valid bool
 		ended []int
 	}{
-		{"unchanged", endpoints.List{Whole: true, Workers: []endpoints.Worker{a, b}}, true, nil},
+		{"unchanged", endpoints.List{Snapshot: true, Workers: []endpoints.Worker{a, b}}, true, nil},
 		{
 			"change of another worker",
 			endpoints.List{Workers: []endpoints.Worker{entry("b", "127.0.0.1:2", false, 5)}},
@@ -42,8 +42,8 @@
 		{"moved", endpoints.List{Workers: []endpoints.Worker{entry("a", "127.0.0.1:3", true, 0)}}, false, []int{0}},
 		{"in another zone", endpoints.List{Workers: []endpoints.Worker{zone}}, false, []int{0}},
 		{"in another cell", endpoints.List{Workers: []endpoints.Worker{cell}}, false, []int{0}},
-		{"not on the full list", endpoints.List{Whole: true, Workers: []endpoints.Worker{b}}, false, []int{0}},
-		{"empty full list", endpoints.List{Whole: true}, false, []int{0, 1}},
+		{"not on the full list", endpoints.List{Snapshot: true, Workers: []endpoints.Worker{b}}, false, []int{0}},
+		{"empty full list", endpoints.List{Snapshot: true}, false, []int{0, 1}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 			if registry.AnyActive() {
 				t.Error("active without a list")
 			}
-			registry.Apply(endpoints.List{Whole: true, Workers: []endpoints.Worker{a, b}}, noneVacant)
+			registry.Apply(endpoints.List{Snapshot: true, Workers: []endpoints.Worker{a, b}}, noneVacant)
 			upstream := registry.Upstream(0)
 			if !upstream.Valid() || !registry.AnyActive() {
 				t.Fatal("a listed worker's upstream is invalid")
@@ -84,7 +84,7 @@
 			t.Fatalf("the upstream of worker %d is valid", i-1)
 		}
 		previous, referenced = registry.Upstream(postings[0].Worker), postings[0].Worker
-		next.Active, next.Gone = false, true
+		next.Active, next.Removed = false, true
 		registry.Apply(endpoints.List{Workers: []endpoints.Worker{next}}, vacant)
 	}
 	if len(registry.slots) > 2 || len(registry.workers) > 2 {
--- a/internal/lab/footprint/module.go
+++ b/internal/lab/footprint/module.go
@@ -21,12 +21,12 @@
 
 // list is discovery's list of so many workers, over 14 zones.
 func list(n int) endpoints.List {
-	l := endpoints.List{Version: 1, Whole: true}
+	l := endpoints.List{Version: 1, Snapshot: true}
 	for i := range n {
 		l.Workers = append(l.Workers, endpoints.Worker{Name: fmt.Sprintf("worker-%06d", i),
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 8080),
-			Zone:    fmt.Sprintf("zone-%02d", i%14), Cell: i / 38, Kind: "std-4", Rating: 1, Active: true,
-			Since: 1.7e12 + float64(i)})
+			Zone:    fmt.Sprintf("zone-%02d", i%14), Cell: i / 38, Kind: "std-4", Weight: 1, Active: true,
+			StartedMillis: 1.7e12 + float64(i)})
 	}
 	return l
 }
@@ -35,7 +35,7 @@
 func charter(gatekeepers, routes, plans int) policy.Charter {
 	c := policy.Charter{Gatekeepers: gatekeepers, LargestUnits: 1, MaxSubmissions: 3, MayOverlap: true,
 		MayWithdraw: true, MayAdvise: true, MaxAdvice: 2000, MayTell: true, PeerInPerS: intake,
-		ReportsPerTell: gossip.Room, ColdFrom: 0.2, WarmUp: 10000, Whole: 1}
+		ReportsPerTell: gossip.MaxReports, ColdFrom: 0.2, WarmUp: 10000, Whole: 1}
 	for range routes {
 		c.Products = append(c.Products, policy.Product{SLA: 1000, Value: 1, Window: 5000})
 	}
