--- a/internal/forwardauth/authorizer/vouch.go
+++ b/internal/forwardauth/authorizer/vouch.go
@@ -84,11 +84,11 @@
 )
 
 // Serve is a txn's life: the service is asked unless its answer is known, and then it is as any other.
-func (v *Voucher) Serve(t *transport.Txn) transport.Final {
+func (v *Voucher) Serve(t *transport.Request) transport.FinalAnswer {
 	if !v.asking.Concerned[t.Product] {
 		return v.gate.Serve(t)
 	}
-	credential, err := t.Field(v.asking.Credential)
+	credential, err := t.Header(v.asking.Credential)
 	if err != nil {
 		return refusal(fasthttp.StatusBadRequest, nil, err.Error())
 	}
@@ -106,8 +106,8 @@
 	}
 	asked, patience := v.gate.Now(), v.service.Patience(t.Left)
 	var hold *proxy.Reservation // of one that does not say whose it is there is nothing to keep yet
-	if !t.Nameless {
-		var end transport.Final
+	if !t.Anonymous {
+		var end transport.FinalAnswer
 		if hold, end = v.gate.Reserve(t, patience+authcache.LateGrace); hold == nil {
 			return end
 		}
@@ -123,7 +123,7 @@
 }
 
 // await waits for the service's word, as long as a txn can wait and its client is there.
-func (v *Voucher) await(ask *ask, hold *proxy.Reservation, patience float64) (word, *transport.Final) {
+func (v *Voucher) await(ask *ask, hold *proxy.Reservation, patience float64) (word, *transport.FinalAnswer) {
 	timer := time.NewTimer(transport.Millis(patience))
 	defer timer.Stop()
 	var came <-chan singleflight.Result
@@ -144,7 +144,7 @@
 	case w := <-over:
 		if w.Decision.Kind == policy.Void {
 			v.counts[left].Add(1)
-			return word{}, &transport.Final{Kind: policy.Void}
+			return word{}, &transport.FinalAnswer{Kind: policy.Void}
 		}
 	case <-timer.C:
 	}
@@ -153,17 +153,17 @@
 }
 
 // settle goes by a word: the txn goes on with what is kept for it, or that is given back.
-func (v *Voucher) settle(t *transport.Txn, hold *proxy.Reservation, w word) transport.Final {
+func (v *Voucher) settle(t *transport.Request, hold *proxy.Reservation, w word) transport.FinalAnswer {
 	a := w.answer
-	end := transport.Final{Kind: policy.Void}
+	end := transport.FinalAnswer{Kind: policy.Void}
 	switch {
 	case w.err != nil && !v.asking.OpenOn[t.Product], w.err == nil && a.Status == fasthttp.StatusTooManyRequests:
 		v.counts[trouble].Add(1) // nothing was sent: to come again is harmless
-		end = transport.Final{Kind: policy.Decline, Wait: v.advice(w.wait)}
+		end = transport.FinalAnswer{Kind: policy.Decline, RetryAfterMillis: v.advice(w.wait)}
 	case w.err == nil && !a.Yes:
 		v.counts[no].Add(1)
 		end = refusal(a.Status, a.Headers, "the auth service says no")
-	case w.err == nil && a.Named && !t.Nameless && a.Customer != t.Customer:
+	case w.err == nil && a.Named && !t.Anonymous && a.Customer != t.Customer:
 		v.counts[no].Add(1)
 		end = refusal(fasthttp.StatusForbidden, nil, "Cookie: the credential is another customer's")
 	case t.Gone(): // before the yes: nothing is sent for it
@@ -178,13 +178,13 @@
 }
 
 // goOn carries a txn on that was vouched for, or that goes on without.
-func (v *Voucher) goOn(t *transport.Txn, hold *proxy.Reservation, w word) transport.Final {
+func (v *Voucher) goOn(t *transport.Request, hold *proxy.Reservation, w word) transport.FinalAnswer {
 	if w.err != nil {
 		v.counts[openly].Add(1)
 	} else {
 		v.counts[yes].Add(1)
 	}
-	if t.Nameless {
+	if t.Anonymous {
 		t.Customer = w.answer.Customer
 	}
 	if hold != nil {
@@ -203,10 +203,10 @@
 	return math.Min(wait, v.charter.MaxAdvice)
 }
 
-func refusal(status int, headers [][2]string, says string) transport.Final {
-	return transport.Final{
-		Kind:    policy.Void,
-		Refusal: &transport.Refusal{Status: status, Headers: headers, Says: says},
+func refusal(status int, headers [][2]string, says string) transport.FinalAnswer {
+	return transport.FinalAnswer{
+		Kind:      policy.Void,
+		Rejection: &transport.Rejection{Status: status, Headers: headers, Message: says},
 	}
 }
 
@@ -228,7 +228,7 @@
 
 // encode makes the question. What it says of the original is the gatekeeper's own word: a client's headers
 // of those names do not pass.
-func (v *Voucher) encode(t *transport.Txn, digest authcache.Digest, credential []byte) (*ask, error) {
+func (v *Voucher) encode(t *transport.Request, digest authcache.Digest, credential []byte) (*ask, error) {
 	a := &ask{digest: digest, named: len(credential) > 0, req: &fasthttp.Request{}}
 	h := &a.req.Header
 	h.SetMethod(fasthttp.MethodGet)
@@ -237,15 +237,15 @@
 	h.SetBytesV("X-Forwarded-Method", t.Method)
 	h.SetBytesV("X-Forwarded-Uri", t.Target)
 	h.Set("X-Forwarded-Proto", "http")
-	h.Set("X-Forwarded-For", t.From())
-	if host, err := t.Field("Host"); err == nil && len(host) > 0 {
+	h.Set("X-Forwarded-For", t.ClientIP())
+	if host, err := t.Header("Host"); err == nil && len(host) > 0 {
 		h.SetBytesV("X-Forwarded-Host", host)
 	}
 	if a.named {
 		h.SetBytesV(v.asking.Credential, credential)
 	}
 	for _, name := range v.asking.Send {
-		value, err := t.Field(name)
+		value, err := t.Header(name)
 		if err != nil {
 			return nil, err
 		}
@@ -303,7 +303,7 @@
 			return word{err: fmt.Errorf("%s: it is there %d times", v.asking.Customer, len(all)),
 				wait: v.asking.Terms.Limit}
 		}
-		c, err := transport.Customer(all[0])
+		c, err := transport.ParseCustomer(all[0])
 		if err != nil {
 			return word{err: fmt.Errorf("%s: %w", v.asking.Customer, err), wait: v.asking.Terms.Limit}
 		}
--- a/internal/forwardauth/authserver/original.go
+++ b/internal/forwardauth/authserver/original.go
@@ -53,7 +53,7 @@
 	var got [len(fields)][]byte
 	for i, f := range fields {
 		for _, name := range f.names {
-			v, err := transport.AtMostOnce(h, name)
+			v, err := transport.OptionalHeader(h, name)
 			switch {
 			case err != nil:
 				return original{}, bad("%v", err)
@@ -71,7 +71,7 @@
 			got[i] = v
 		}
 	}
-	whole, err := transport.AtMostOnce(h, "X-Original-Url")
+	whole, err := transport.OptionalHeader(h, "X-Original-Url")
 	if err != nil {
 		return original{}, bad("%v", err)
 	}
@@ -186,11 +186,11 @@
 // chain checks the client's address and those of the portals on its way: it has to be there.
 func chain(h *fasthttp.RequestHeader) error {
 	const name = "X-Forwarded-For"
-	v, err := transport.AtMostOnce(h, name)
+	v, err := transport.OptionalHeader(h, name)
 	if err != nil {
 		return bad("%v", err)
 	}
-	real, err := transport.AtMostOnce(h, "X-Real-Ip")
+	real, err := transport.OptionalHeader(h, "X-Real-Ip")
 	if err != nil {
 		return bad("%v", err)
 	}
--- a/internal/forwardauth/authserver/portal.go
+++ b/internal/forwardauth/authserver/portal.go
@@ -30,13 +30,13 @@
 	names   config.Names
 	charter atomic.Pointer[policy.Charter]
 	gate    *proxy.Proxy
-	next    func(*transport.Txn) transport.Final
+	next    func(*transport.Request) transport.FinalAnswer
 	server  fasthttp.Server
 	counts  [counts]atomic.Int64
 
 	mu     sync.Mutex // of what follows; never held over I/O or a call of the module
 	book   *authcache.Book[*proxy.Reservation]
-	limit  *transport.Limited // nil until it is bound
+	limit  *transport.LimitListener // nil until it is bound
 	closed bool
 }
 
@@ -63,7 +63,7 @@
 
 // New makes a front over a gate; next serves the txns that have no clearance and need none.
 func New(a *config.Asked, names config.Names, charter policy.Charter, g *proxy.Proxy,
-	next func(*transport.Txn) transport.Final) *Portal {
+	next func(*transport.Request) transport.FinalAnswer) *Portal {
 	p := &Portal{asked: a, names: names, gate: g, next: next,
 		book: authcache.NewBook[*proxy.Reservation](a.Life, a.Memory, a.Most)}
 	p.charter.Store(&charter)
@@ -76,7 +76,7 @@
 		WriteTimeout:       transport.Millis(authcache.CallWait),
 		IdleTimeout:        transport.Millis(authcache.IdleCaller),
 		CloseOnShutdown:    true, NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
-		Logger: transport.Silent{},
+		Logger: transport.DiscardLogger{},
 	}
 	return p
 }
@@ -114,7 +114,7 @@
 	if p.closed {
 		return l.Close()
 	}
-	p.limit = transport.Limit(l, p.asked.Callers)
+	p.limit = transport.NewLimitListener(l, p.asked.Callers)
 	go func() { _ = p.server.Serve(p.limit) }()
 	return nil
 }
@@ -174,7 +174,7 @@
 	}
 }
 
-func factsOf(t *transport.Txn) authcache.Facts {
+func factsOf(t *transport.Request) authcache.Facts {
 	return authcache.Facts{Customer: t.Customer, Product: t.Product, Plan: t.Plan, Units: t.Units,
 		SetSize: t.SetSize, First: t.First}
 }
@@ -186,10 +186,10 @@
 
 // Serve is the life of a txn at the main door: one that was cleared takes what was kept for it, and comes
 // once. The rest goes on as ever, but for products that come only if they were cleared.
-func (p *Portal) Serve(t *transport.Txn) transport.Final {
+func (p *Portal) Serve(t *transport.Request) transport.FinalAnswer {
 	once := p.asked.Only[t.Product] || p.charter.Load().Products[t.Product].Repeat != policy.InquiryLike
 	p.mu.Lock()
-	found, hold := p.book.Come(string(t.Mark), factsOf(t), once, p.gate.Now())
+	found, hold := p.book.Come(string(t.RequestID), factsOf(t), once, p.gate.Now())
 	p.mu.Unlock()
 	switch found {
 	case authcache.Known:
@@ -208,7 +208,7 @@
 	switch {
 	case !p.asked.Only[t.Product]:
 	case found == authcache.Moved: // nothing was sent, and who has the book now is there at once
-		return transport.Final{Kind: policy.Decline, Wait: authcache.RebindAgain}
+		return transport.FinalAnswer{Kind: policy.Decline, RetryAfterMillis: authcache.RebindAgain}
 	default:
 		p.counts[uncleared].Add(1)
 		return refusal(fasthttp.StatusForbidden, "this product comes only if it has been cleared")
@@ -216,8 +216,9 @@
 	return p.next(t)
 }
 
-func refusal(status int, says string) transport.Final {
-	return transport.Final{Kind: policy.Void, Refusal: &transport.Refusal{Status: status, Says: says}}
+func refusal(status int, says string) transport.FinalAnswer {
+	return transport.FinalAnswer{Kind: policy.Void, Rejection: &transport.Rejection{Status: status,
+		Message: says}}
 }
 
 // trusted tells whether a caller may speak for clients. Guards against a client that calls here itself: what
@@ -245,9 +246,9 @@
 	if err == nil && len(ctx.Request.Body()) > 0 {
 		err = bad("a call has no body")
 	}
-	var t transport.Txn
+	var t transport.Request
 	if err == nil {
-		t, err = transport.Decode(h, o.method, o.target, &p.names, p.charter.Load(), false)
+		t, err = transport.DecodeRequest(h, o.method, o.target, &p.names, p.charter.Load(), false)
 	}
 	if err != nil {
 		var f *flaw
@@ -261,8 +262,8 @@
 }
 
 // answer answers a call that makes sense.
-func (p *Portal) answer(ctx *fasthttp.RequestCtx, t *transport.Txn) {
-	mark, facts := string(t.Mark), factsOf(t)
+func (p *Portal) answer(ctx *fasthttp.RequestCtx, t *transport.Request) {
+	mark, facts := string(t.RequestID), factsOf(t)
 	c := p.charter.Load()
 	if home := authcache.Home(mark, facts, c.Gatekeepers); p.asked.Only[t.Product] && home != c.Me {
 		ctx.Response.Header.Set("X-Clear-At", strconv.Itoa(home))
@@ -303,8 +304,8 @@
 	}
 	p.mu.Unlock()
 	if hold == nil {
-		if end.Wait > 0 {
-			ctx.Response.Header.Set("Retry-After", transport.RetryAfter(end.Wait))
+		if end.RetryAfterMillis > 0 {
+			ctx.Response.Header.Set("Retry-After", transport.RetryAfter(end.RetryAfterMillis))
 		}
 		p.say(ctx, no, p.asked.NoStatus, "declined")
 		return
--- a/internal/gateway/admin/ops.go
+++ b/internal/gateway/admin/ops.go
@@ -70,7 +70,7 @@
 // Port answers operators' calls.
 type Port struct {
 	At     string
-	limit  *transport.Limited
+	limit  *transport.LimitListener
 	server fasthttp.Server
 	desk   Desk
 }
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
-	p := &Port{At: l.Addr().String(), limit: transport.Limit(l, policy.OperatorCalls), desk: desk}
+	p := &Port{At: l.Addr().String(), limit: transport.NewLimitListener(l, policy.OperatorCalls), desk: desk}
 	p.server = fasthttp.Server{
 		Handler:            p.handle,
 		ErrorHandler:       unreadable,
@@ -92,7 +92,7 @@
 		ReadTimeout:        transport.Millis(policy.OperatorWait),
 		WriteTimeout:       transport.Millis(policy.OperatorWait),
 		CloseOnShutdown:    true, NoDefaultServerHeader: true, NoDefaultDate: true,
-		Logger: transport.Silent{},
+		Logger: transport.DiscardLogger{},
 	}
 	go func() { _ = p.server.Serve(p.limit) }()
 	return p, nil
--- a/internal/gateway/config/config_test.go
+++ b/internal/gateway/config/config_test.go
@@ -43,7 +43,8 @@
 	case g.Lines != Lines{IdleLimit: 30000, ConnectTimeout: 250, AnswerSlack: 8, LongestWait: math.Inf(1),
 		ListAsked: true}:
 		t.Errorf("lines: %+v", g.Lines)
-	case !g.Known.Snapshot || g.Known.Version != 41 || len(g.Known.Workers) != 1 || g.Known.Workers[0].StartedMillis != 12:
+	case !g.Known.Snapshot || g.Known.Version != 41 || len(g.Known.Workers) != 1 ||
+		g.Known.Workers[0].StartedMillis != 12:
 		t.Errorf("known: %+v", g.Known)
 	}
 }
--- a/internal/gateway/inflight/attempt.go
+++ b/internal/gateway/inflight/attempt.go
@@ -11,12 +11,12 @@
 	Recorded bool // history has its start; belongs to the goroutine that carries the attempt
 
 	mu        sync.Mutex // guards what follows
-	link      *transport.Link
+	link      *transport.WorkerConn
 	cancelled bool
 }
 
 // Start assigns the attempt to a connection. It is false where the attempt was cancelled before.
-func (a *Attempt) Start(link *transport.Link) bool {
+func (a *Attempt) Start(link *transport.WorkerConn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.cancelled {
--- a/internal/gateway/lifecycle/agree_test.go
+++ b/internal/gateway/lifecycle/agree_test.go
@@ -314,8 +314,8 @@
 func TestMembersByRules(t *testing.T) {
 	d, x := agreed(t, 1)
 	// Guards against messages that outgrow a datagram once rules are gone by, as their word was forgotten.
-	if n := d.gk.agreed.wide.ReportsPerTell; n != transport.Room {
-		t.Errorf("%d reports to a message, where there is room for %d", n, transport.Room)
+	if n := d.gk.agreed.wide.ReportsPerTell; n != transport.MaxReportsPerMessage {
+		t.Errorf("%d reports to a message, where there is room for %d", n, transport.MaxReportsPerMessage)
 	}
 	r := rules(1000, 1000)
 	x.leases(1, r, true)
--- a/internal/gateway/lifecycle/endings_test.go
+++ b/internal/gateway/lifecycle/endings_test.go
@@ -92,7 +92,7 @@
 		}
 		return n
 	}
-	inHand := func(d *deployment) bool { return d.gk.front.Active() == 1 }
+	inHand := func(d *deployment) bool { return d.gk.front.ActiveRequests() == 1 }
 	sent := func(d *deployment) bool { return count(d) == 1 }
 	patient := func(raw string) string { return strings.Replace(raw, "300m", "900m", 1) }
 	for _, c := range []struct {
--- a/internal/gateway/lifecycle/forward_test.go
+++ b/internal/gateway/lifecycle/forward_test.go
@@ -338,7 +338,7 @@
 func (d *deployment) free() {
 	d.t.Helper()
 	until(d.t, "txns stay in hand", func() bool {
-		return d.gk.desk.Tally().InFlight == 0 && d.gk.front.Active() == 0
+		return d.gk.desk.Tally().InFlight == 0 && d.gk.front.ActiveRequests() == 0
 	})
 	r := whole(d.t, d.at, strings.Replace(check("/check", fmt.Sprint("free", time.Now().UnixNano())), "Host:",
 		"Authorization: good\r\nHost:", 1))
@@ -363,7 +363,7 @@
 	fmt.Fprint(c, tiny("1"))
 	time.Sleep(40 * time.Millisecond)
 	c.Close()
-	until(t, "the leaving is not seen", func() bool { return d.gk.front.Active() == 0 })
+	until(t, "the leaving is not seen", func() bool { return d.gk.front.ActiveRequests() == 0 })
 	time.Sleep(150 * time.Millisecond) // the yes has come
 	if n := len(d.got()); n != 0 || len(auth.Got()) != 1 {
 		t.Fatalf("%d submitted for a till that had left, asked %d times", n, len(auth.Got()))
@@ -407,7 +407,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	all.Wait()
-	until(t, "txns stay in hand", func() bool { return d.gk.front.Active() == 0 })
+	until(t, "txns stay in hand", func() bool { return d.gk.front.ActiveRequests() == 0 })
 	seen := map[string]bool{}
 	for _, raw := range d.got() {
 		_, id, _ := strings.Cut(raw, "X-Request-Id: ")
--- a/internal/gateway/lifecycle/heir_test.go
+++ b/internal/gateway/lifecycle/heir_test.go
@@ -39,7 +39,7 @@
 	}
 	busy, busyIn := dial()
 	fmt.Fprint(busy, check("/check?slow", "b1"))
-	until(t, "it is in hand", func() bool { return d.gk.front.Active() == 1 })
+	until(t, "it is in hand", func() bool { return d.gk.front.ActiveRequests() == 1 })
 	stopped := make(chan bool)
 	go func() {
 		d.gk.Stop()
--- a/internal/gateway/lifecycle/lend.go
+++ b/internal/gateway/lifecycle/lend.go
@@ -55,7 +55,7 @@
 	}
 	g.desk.EnableBorrowing(b, f, r, g.conf.Names.PlanNames())
 	if g.peers != nil {
-		g.peers.Credit(g.desk.ReceiveCredit)
+		g.peers.OnCredit(g.desk.ReceiveCredit)
 	}
 	go func() {
 		t := time.NewTicker(transport.Millis(creditEach))
--- a/internal/gateway/lifecycle/operate.go
+++ b/internal/gateway/lifecycle/operate.go
@@ -11,12 +11,12 @@
 // Quiesce sends clients away: /up says no at once, and all that still comes is served.
 func (g *Gatekeeper) Quiesce() {
 	g.drains.Store(true)
-	g.limit.SendAway()
+	g.limit.BeginSoftDrain()
 }
 
 // Resume takes clients again.
 func (g *Gatekeeper) Resume() {
-	g.limit.Welcome()
+	g.limit.EndSoftDrain()
 	g.drains.Store(false)
 }
 
@@ -26,13 +26,14 @@
 // Figures gathers what operators see, from counts and copies alone.
 func (g *Gatekeeper) Figures() admin.Figures {
 	seen := g.desk.CachedTally()
-	f := admin.Figures{Tries: g.links.Tries(), Active: g.front.Active(), Workers: int64(seen.Workers),
+	f := admin.Figures{Tries: g.links.AttemptsWritten(), Active: g.front.ActiveRequests(),
+		Workers: int64(seen.Workers),
 		Avoided: int64(seen.Distrusted)}
 	f.Products = make([]admin.Product, len(g.conf.Charter.Products))
 	for name, i := range g.conf.Names.Products {
 		p := &f.Products[i]
 		p.Name = name
-		p.Settled, p.Declined, p.Voided = g.front.Finals(i)
+		p.Settled, p.Declined, p.Voided = g.front.FinalCounts(i)
 	}
 	add := func(name string, v int64) { f.More = append(f.More, admin.Figure{Name: name, Value: v}) }
 	if g.conf.Tells {
--- a/internal/gateway/lifecycle/reload.go
+++ b/internal/gateway/lifecycle/reload.go
@@ -55,7 +55,7 @@
 		desk()
 	}
 	if len(peers) > 0 && g.peers != nil { // one that is alone is told of none, and has nobody to tell
-		for _, i := range g.peers.Among(peers) {
+		for _, i := range g.peers.SetAddresses(peers) {
 			g.desk.PeerReplaced(i)
 		}
 	}
@@ -63,7 +63,7 @@
 		desk()
 	}
 	if int64(n) != g.members.Load() {
-		g.front.Resize(n)
+		g.front.SetInstanceCount(n)
 		if g.portal != nil {
 			g.portal.Resize(n)
 		}
--- a/internal/gateway/lifecycle/replace.go
+++ b/internal/gateway/lifecycle/replace.go
@@ -74,7 +74,7 @@
 			h.took.Store(true)
 			g.desk.Resume(w.Estate, w.Workers, w.Kinds)
 			if g.peers != nil && g.conf.Tells {
-				g.peers.Bear(w.Word)
+				g.peers.Identify(w.Word)
 			}
 			g.remember(false) // the process before has let it go
 			g.keepJournal(true)
@@ -133,8 +133,8 @@
 		_ = c.Close()
 		return
 	}
-	g.peers.Use(c)
-	go g.peers.Hear(g.desk.ReceiveReports)
+	g.peers.UseSocket(c)
+	go g.peers.Receive(g.desk.ReceiveReports)
 }
 
 // bindPeers binds the peers' address as soon as it is free: another process may not have ended yet.
@@ -142,7 +142,7 @@
 	for {
 		err := g.peers.Bind(g.conf.PeerPort)
 		if err == nil {
-			go g.peers.Hear(g.desk.ReceiveReports)
+			go g.peers.Receive(g.desk.ReceiveReports)
 			return
 		}
 		select {
@@ -164,7 +164,7 @@
 	g.away.Store(true)
 	told := make(chan struct{}) // closed once the heir has the will, or could not be given it
 	var err error
-	g.front.HandOn(g.limit, func(c syscall.RawConn, proven bool, ahead []byte) bool {
+	g.front.HandOver(g.limit, func(c syscall.RawConn, proven bool, ahead []byte) bool {
 		<-told
 		return err == nil && o.Client(c, hotrestart.Client{Proven: proven, Ahead: ahead}) == nil
 	})
@@ -179,7 +179,7 @@
 		k.Retire()
 	}
 	if g.peers != nil {
-		w.Word = g.peers.Word()
+		w.Word = g.peers.LastSent()
 	}
 	if err = o.Leave(w); err != nil {
 		close(told)
@@ -189,7 +189,7 @@
 	}
 	_ = g.limit.Close() // from here on the heir is to accept
 	if g.peers != nil && g.peers.Bound() {
-		raw, failed := g.peers.Raw()
+		raw, failed := g.peers.SyscallConn()
 		if failed == nil {
 			failed = o.Peers(raw)
 		}
--- a/internal/gateway/lifecycle/replace_test.go
+++ b/internal/gateway/lifecycle/replace_test.go
@@ -104,7 +104,7 @@
 	before := len(d.got())
 	fmt.Fprint(kept, check("/check", "k2"))
 	answer("before the change", keptIn, 200)
-	if len(d.got()) != before+1 || g.links.Tries() > 0 {
+	if len(d.got()) != before+1 || g.links.AttemptsWritten() > 0 {
 		t.Error("the second process serves before the first has left")
 	}
 	stopped := make(chan bool)
@@ -114,7 +114,7 @@
 	}()
 	answer("in hand", busyIn, 200)
 	<-stopped
-	if d.gk.front.Active() > 0 {
+	if d.gk.front.ActiveRequests() > 0 {
 		t.Error("the first one ends with txns in hand")
 	}
 	fmt.Fprint(half, check("/check", "h1")[50:])
@@ -133,7 +133,7 @@
 	g.Stop()
 	fmt.Fprint(fresh, check("/check", "f2"))
 	answer("after a second change", freshIn, 200)
-	if third.links.Tries() == 0 {
+	if third.links.AttemptsWritten() == 0 {
 		t.Error("the third process serves nothing")
 	}
 }
@@ -151,7 +151,8 @@
 	again := d.second(change)
 	d.gk.owner.Load().Close() // as at a sudden end
 	d.gk.limit.Close()
-	if status, _ := d.ask(check("/check", "2")); status != "HTTP/1.1 200 OK" || again.links.Tries() != 1 {
+	if status, _ := d.ask(check("/check",
+		"2")); status != "HTTP/1.1 200 OK" || again.links.AttemptsWritten() != 1 {
 		t.Errorf("after a sudden end: %q", status)
 	}
 }
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -45,9 +45,9 @@
 	conf    config.Gatekeeper
 	log     zerolog.Logger
 	desk    *proxy.Dispatcher
-	front   *transport.Front
-	limit   *transport.Limited
-	links   *transport.Links
+	front   *transport.Frontend
+	limit   *transport.LimitListener
+	links   *transport.WorkerPool
 	port    *admin.Port        // nil where operators do not call
 	drains  atomic.Bool        // clients are sent away
 	over    chan struct{}      // closed at the end
@@ -89,14 +89,14 @@
 	g := &Gatekeeper{conf: c, log: log, served: make(chan error, 1), over: make(chan struct{}),
 		first: make(chan struct{})}
 	clients, workers := places(c)
-	g.links = transport.NewLinks(workers, transport.Millis(c.Lines.IdleLimit*policy.IdleUse),
+	g.links = transport.NewWorkerPool(workers, transport.Millis(c.Lines.IdleLimit*policy.IdleUse),
 		transport.Millis(c.Lines.ConnectTimeout))
 	tell := func(int, []byte) {}
 	if len(c.Peers) > 0 {
 		g.peers = transport.NewPeers(c.Peers, c.Charter.Me)
-		tell = g.peers.Tell
+		tell = g.peers.Send
 		if c.Charter = spoken(c); c.Tells {
-			g.peers.Bear(incarnation.MessageID{Incarnation: crashstate.Uptime()})
+			g.peers.Identify(incarnation.MessageID{Incarnation: crashstate.Uptime()})
 		}
 	}
 	l, err := listen(c.Listen, c.FD, log)
@@ -125,7 +125,7 @@
 			return nil, err
 		}
 	}
-	g.desk = proxy.NewDispatcher(c.Charter, c.Seed, c.Lines.AnswerSlack+socketSlack, tell, g.links.Shed)
+	g.desk = proxy.NewDispatcher(c.Charter, c.Seed, c.Lines.AnswerSlack+socketSlack, tell, g.links.CloseIdle)
 	if c.Hall != "" && c.Control != "" {
 		g.word = g.teller()
 	}
@@ -136,15 +136,15 @@
 	g.list = bootstrap.NewBook(c.Known)
 	g.members.Store(int64(c.Charter.Gatekeepers))
 	g.gate = proxy.New(g.desk, g.links)
-	g.front = transport.NewFront(c.Names, c.Charter, g.forward(g.gate), g.up)
-	g.front.Nameless = g.vouch != nil && c.Forward.Asking.Customer != ""
+	g.front = transport.NewFrontend(c.Names, c.Charter, g.forward(g.gate), g.up)
+	g.front.AllowAnonymous = g.vouch != nil && c.Forward.Asking.Customer != ""
 
 	g.away.Store(true) // until what was before it is known
 	if c.Agree != "" {
 		g.agree()
 	}
 
-	g.limit = transport.Limit(l, clients)
+	g.limit = transport.NewLimitListener(l, clients)
 	if err = nil; g.portal != nil && before == nil {
 		err = g.portal.Bind()
 	}
@@ -180,7 +180,7 @@
 		g.remember(true)
 		g.keepJournal(false)
 		if g.peers != nil && g.peers.Bound() {
-			go g.peers.Hear(g.desk.ReceiveReports)
+			go g.peers.Receive(g.desk.ReceiveReports)
 		} else if g.peers != nil { // a process that can't be talked to has it still
 			go g.bindPeers()
 		}
@@ -205,7 +205,7 @@
 // more to each other than the platform's, a word takes some of their room.
 func spoken(c config.Gatekeeper) policy.Charter {
 	if c.Tells {
-		c.Charter.ReportsPerTell = min(c.Charter.ReportsPerTell, transport.Room)
+		c.Charter.ReportsPerTell = min(c.Charter.ReportsPerTell, transport.MaxReportsPerMessage)
 	}
 	return c.Charter
 }
@@ -256,7 +256,7 @@
 	}
 	words := func(all []incarnation.MessageID) []incarnation.MessageID { return all[:0] }
 	if g.peers != nil {
-		words = g.peers.Heard
+		words = g.peers.LastSeen
 	}
 	g.desk.WriteCheckpoints(b, words)
 }
@@ -274,7 +274,7 @@
 		return
 	}
 	if n > 0 && g.peers != nil {
-		for _, i := range g.peers.Recall(l.Words) {
+		for _, i := range g.peers.Restore(l.Words) {
 			g.desk.PeerReplaced(i)
 		}
 	}
@@ -310,7 +310,7 @@
 
 // forward puts forward authentication before a gate, in the roles that are on: a txn that a portal has had
 // cleared needs nobody else's word.
-func (g *Gatekeeper) forward(to *proxy.Proxy) func(*transport.Txn) transport.Final {
+func (g *Gatekeeper) forward(to *proxy.Proxy) func(*transport.Request) transport.FinalAnswer {
 	serve, f := to.Serve, g.conf.Forward
 	if f != nil && f.Asking != nil {
 		g.vouch = authorizer.New(f.Asking, g.conf.Charter, to, g.conf.Seed)
@@ -328,7 +328,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	addr, ended := g.conf.Discovery, make(chan int64, 1)
 	g.unwind, g.ended = cancel, ended
-	pace := transport.Pace{Askers: g.askers, Due: due, Chance: rand.New(rand.NewSource(g.conf.Seed)).Float64}
+	pace := transport.WatchTiming{PollingInstances: g.askers, DueMillis: due,
+		Random: rand.New(rand.NewSource(g.conf.Seed)).Float64}
 	go func() {
 		ended <- transport.Watch(ctx, addr, version, g.news, g.alive, g.unheard, pace)
 	}()
@@ -359,7 +360,8 @@
 	g.desk.ApplyEndpoints(g.list.Discovery(l, g.desk.Now()))
 	g.lists.Unlock()
 	g.speaks()
-	g.log.Debug().Int64("version", l.Version).Bool("whole", l.Snapshot).Int("workers", len(l.Workers)).Msg("list")
+	g.log.Debug().Int64("version", l.Version).Bool("whole", l.Snapshot).Int("workers",
+		len(l.Workers)).Msg("list")
 }
 
 // unheard says at most once in WatchDue that the watch has ended: tries without end must not fill the log.
--- a/internal/gateway/lifecycle/stop.go
+++ b/internal/gateway/lifecycle/stop.go
@@ -50,12 +50,12 @@
 func (g *Gatekeeper) Stop() {
 	defer time.AfterFunc(transport.Millis(min(g.conf.Lines.LongestWait, policy.StopLongest)+policy.StopAll),
 		func() {
-			g.limit.GiveUp()
+			g.limit.AbandonRequests()
 			g.desk.WakeNow()
 		}).
 		Stop()
 	if !g.handOver() {
-		defer time.AfterFunc(transport.Millis(policy.AcceptOn+policy.StopIdle), g.limit.Hurry).Stop()
+		defer time.AfterFunc(transport.Millis(policy.AcceptOn+policy.StopIdle), g.limit.HurryReads).Stop()
 		time.Sleep(transport.Millis(policy.AcceptOn))
 		if g.portal != nil {
 			g.portal.Close()
@@ -86,8 +86,8 @@
 		_ = g.history.Close()
 	}
 	t := g.desk.Tally()
-	e := g.log.Info().Ints("finals", t.Final[:]).Int64("unreadable", g.front.Broken()).
-		Int64("clients_shed", g.limit.Shed()).Int64("links_spoilt", g.links.Spoilt())
+	e := g.log.Info().Ints("finals", t.Final[:]).Int64("unreadable", g.front.MalformedRequests()).
+		Int64("clients_shed", g.limit.Evicted()).Int64("links_spoilt", g.links.StaleConns())
 	for name, n := range inflight.Violations() {
 		e = e.Int64("broken_"+name, n)
 	}
--- a/internal/gateway/lifecycle/stream_test.go
+++ b/internal/gateway/lifecycle/stream_test.go
@@ -183,7 +183,7 @@
 				t.Errorf("%d bytes look whole, after %d submissions", n, subs.Load())
 			}
 			time.Sleep(20 * time.Millisecond)
-			if _, _, voided := d.gk.front.Finals(1); voided != 1 {
+			if _, _, voided := d.gk.front.FinalCounts(1); voided != 1 {
 				t.Errorf("counted as voided: %d", voided)
 			}
 		})
@@ -231,7 +231,7 @@
 	if status, body := d.ask(c); status != "HTTP/1.1 200 OK" || body != "xxxxxxxx" {
 		t.Errorf("answered %q %q", status, body)
 	}
-	if n := d.gk.links.Tries(); n != 1 {
+	if n := d.gk.links.AttemptsWritten(); n != 1 {
 		t.Errorf("%d submissions", n)
 	}
 }
--- a/internal/gateway/lifecycle/worker_ends_test.go
+++ b/internal/gateway/lifecycle/worker_ends_test.go
@@ -200,10 +200,10 @@
 func (d *deployment) open(want int) {
 	d.t.Helper()
 	end := time.Now().Add(5 * time.Second)
-	for d.gk.links.Open() != want && time.Now().Before(end) {
+	for d.gk.links.OpenConns() != want && time.Now().Before(end) {
 		time.Sleep(time.Millisecond)
 	}
-	if n := d.gk.links.Open(); n != want {
+	if n := d.gk.links.OpenConns(); n != want {
 		d.t.Errorf("%d connections are held, want %d", n, want)
 	}
 }
@@ -353,7 +353,7 @@
 				<-d.calls(soon(check("/check", "n2")))
 			}
 			d.open(c.open)
-			d.gk.links.Shed(0) // what is kept would play its script on
+			d.gk.links.CloseIdle(0) // what is kept would play its script on
 			d.open(0)
 		}
 		until(t, "scripts play on", func() bool { return b.busy.Load() == 0 })
@@ -428,7 +428,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n, err := io.Copy(io.Discard, got.Body); err == nil || n > transport.MostBody {
+	if n, err := io.Copy(io.Discard, got.Body); err == nil || n > transport.MaxBodyBytes {
 		t.Errorf("got %d bytes, %v", n, err)
 	}
 	d.open(0)
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -17,31 +17,31 @@
 // body is still to be read, which comes with its connection. There is no answer where the attempt was not
 // sent as the lease that it was decided by had expired.
 func (p *Proxy) exchange(v delivery, deadline time.Time) (
-	answer *transport.Answer, link *transport.Link, startedMillis float64) {
+	answer *transport.Answer, link *transport.WorkerConn, startedMillis float64) {
 	clock := p.dispatcher.clock
 	attempt, upstream, startedMillis := v.command.Attempt, v.command.Upstream, clock.now()
 	latest := deadline // for the first byte
 	if by := v.command.Decision.Latest; !math.IsInf(by, 1) && clock.time(by).Before(deadline) {
 		latest = clock.time(by)
 	}
-	if link = p.links.Idle(upstream.Worker); link == nil {
+	if link = p.links.TakeIdle(upstream.Worker); link == nil {
 		var failed *transport.Answer
 		if link, failed = p.dial(&upstream, latest); failed != nil {
 			return failed, nil, startedMillis
 		}
 	}
-	link.Until(deadline)
+	link.SetDeadline(deadline)
 	// Guards against what changed while the connection came up: the request was abandoned, the window for its
 	// retries is over, or the worker drains, moved or restarted with empty caches. The journal is written now.
 	// The client is checked last, and the policy hears that it has gone before the attempt's end.
 	if !p.journalStart(&v, deadline, &startedMillis) || !upstream.Valid() || !time.Now().Before(latest) ||
 		p.clientLeft(&v) || !attempt.Start(link) {
-		p.links.Drop(link)
+		p.links.Discard(link)
 		return &transport.Answer{Outcome: policy.NotSent}, nil, startedMillis
 	}
 	if !p.leaseValid(&v) {
 		attempt.Finish()
-		p.links.Drop(link)
+		p.links.Discard(link)
 		return nil, nil, startedMillis
 	}
 	// Guards against a time that was right at the decision: the goroutine, the connection, the journal and
@@ -49,18 +49,18 @@
 	now := time.Now()
 	if !now.Before(latest) {
 		attempt.Finish()
-		p.links.Drop(link)
+		p.links.Discard(link)
 		return &transport.Answer{Outcome: policy.NotSent}, nil, startedMillis
 	}
 	if v.deadlineOffset > 0 {
-		v.message = transport.TellLeft(v.message, v.deadlineOffset, deadline.Sub(now))
+		v.message = transport.SetRemaining(v.message, v.deadlineOffset, deadline.Sub(now))
 	}
 	return p.sendAndReceive(&v, link, startedMillis)
 }
 
 // sendAndReceive writes an attempt to its connection, and waits for the answer.
-func (p *Proxy) sendAndReceive(v *delivery, link *transport.Link, startedMillis float64) (
-	*transport.Answer, *transport.Link, float64) {
+func (p *Proxy) sendAndReceive(v *delivery, link *transport.WorkerConn, startedMillis float64) (
+	*transport.Answer, *transport.WorkerConn, float64) {
 	var answer *transport.Answer
 	err := link.Send(v.message)
 	if err == nil && v.upload != nil {
@@ -71,27 +71,28 @@
 	}
 	if err != nil {
 		cancelled := v.command.Attempt.Finish()
-		p.links.Drop(link)
+		p.links.Discard(link)
 		if cancelled || errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, errClientBody) ||
-			errors.Is(err, transport.ErrStale) {
+			errors.Is(err, transport.ErrStaleConn) {
 			return &transport.Answer{Outcome: policy.NotSent}, nil, startedMillis
 		}
 		// The connection broke before the last byte: the worker never ran it.
 		return &transport.Answer{Outcome: policy.NoRoute}, nil, startedMillis
 	}
-	p.links.Wrote()
+	p.links.CountAttempt()
 	worker := v.command.Upstream.Worker
 	answer, err = link.Receive(func() { p.dispatcher.workerResponded(worker) })
 	return p.finishAttempt(*v, link, answer, err, startedMillis)
 }
 
 // dial opens a connection to a worker, or gives the attempt's end where it can't.
-func (p *Proxy) dial(upstream *workers.Upstream, latest time.Time) (*transport.Link, *transport.Answer) {
+func (p *Proxy) dial(upstream *workers.Upstream, latest time.Time) (*transport.WorkerConn,
+	*transport.Answer) {
 	link, err := p.links.Dial(upstream.Worker, upstream.Addr, latest)
 	switch {
 	case err == nil:
 		return link, nil
-	case errors.Is(err, transport.ErrNoRoom) || !time.Now().Before(latest):
+	case errors.Is(err, transport.ErrPoolExhausted) || !time.Now().Before(latest):
 		return nil, &transport.Answer{Outcome: policy.NotSent}
 	}
 	return nil, &transport.Answer{Outcome: policy.NoRoute}
@@ -122,23 +123,23 @@
 
 // finishAttempt classifies the end of an attempt that was sent completely, or answered before, and releases
 // its connection.
-func (p *Proxy) finishAttempt(v delivery, link *transport.Link, answer *transport.Answer, err error,
-	startedMillis float64) (*transport.Answer, *transport.Link, float64) {
+func (p *Proxy) finishAttempt(v delivery, link *transport.WorkerConn, answer *transport.Answer, err error,
+	startedMillis float64) (*transport.Answer, *transport.WorkerConn, float64) {
 	cancelled := v.command.Attempt.Finish()
 	if err == nil && !cancelled {
-		if answer.Rest != nil {
+		if answer.Remainder != nil {
 			return answer, link, startedMillis
 		}
-		if answer.Keep() && p.links.Keep(link, &v.command.Upstream) {
+		if answer.Reusable() && p.links.Put(link, &v.command.Upstream) {
 			return answer, nil, startedMillis
 		}
 	}
-	p.links.Drop(link)
+	p.links.Discard(link)
 	switch {
-	case err == nil && answer.Rest == nil:
+	case err == nil && answer.Remainder == nil:
 	case err == nil || cancelled:
 		answer = &transport.Answer{Outcome: policy.Withdrawn}
-	case errors.Is(err, os.ErrDeadlineExceeded) && link.Overdue():
+	case errors.Is(err, os.ErrDeadlineExceeded) && link.DeadlinePassed():
 		answer = &transport.Answer{Outcome: policy.TimedOut}
 	default:
 		answer = &transport.Answer{Outcome: policy.Cut} // one that stalls is cut from here
--- a/internal/gateway/proxy/attempt_connection_test.go
+++ b/internal/gateway/proxy/attempt_connection_test.go
@@ -57,10 +57,10 @@
 
 // connectTo makes the rig's proxy, with one worker at an address.
 func (rig *workerRig) connectTo(address netip.AddrPort, connectTimeout time.Duration, maxConnections int) {
-	links := transport.NewLinks(maxConnections, 5*time.Second, connectTimeout)
+	links := transport.NewWorkerPool(maxConnections, 5*time.Second, connectTimeout)
 	charter := testCharter() // without a rate limit, as that counts as used up at a start
 	charter.Plans[0] = policy.Plan{Rate: 1000, Burst: 1000, Factor: 1}
-	dispatcher := NewDispatcher(charter, 1, 5, func(int, []byte) {}, links.Shed)
+	dispatcher := NewDispatcher(charter, 1, 5, func(int, []byte) {}, links.CloseIdle)
 	rig.Cleanup(dispatcher.Stop)
 	dispatcher.RecordHistory(onSend(func() {
 		if rig.beforeSend != nil {
@@ -77,7 +77,7 @@
 func (rig *workerRig) admitAttempt() delivery {
 	rig.Helper()
 	arrival := policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}
-	request := rig.proxy.dispatcher.admit(&transport.Txn{Arrival: arrival})
+	request := rig.proxy.dispatcher.admit(&transport.Request{Arrival: arrival})
 	command := <-request.Commands
 	if command.Decision.Kind != policy.Submit {
 		rig.Fatalf("decided %+v", command.Decision)
@@ -132,7 +132,7 @@
 	conn := rig.accept()
 	rig.readRequest(conn)
 	conn.Write([]byte(answerBytes))
-	if end := <-ended; end.outcome != policy.Settled || rig.proxy.links.Open() != 1 {
+	if end := <-ended; end.outcome != policy.Settled || rig.proxy.links.OpenConns() != 1 {
 		rig.Fatalf("the first attempt ended %+v", end)
 	}
 	return conn
@@ -185,7 +185,7 @@
 			if n, _ := io.Copy(io.Discard, conn); end.outcome != policy.NotSent || n != 0 {
 				t.Errorf("ended %+v with %d bytes written", end, n)
 			}
-			if n := rig.proxy.links.Open(); n != 0 {
+			if n := rig.proxy.links.OpenConns(); n != 0 {
 				t.Errorf("%d connections are open", n)
 			}
 			ended := rig.startExchange(rig.admitAttempt())
@@ -209,8 +209,8 @@
 		awaitArrival(t, conn)
 	}
 	end := <-rig.startExchange(rig.admitAttempt())
-	if end.outcome != policy.NoRoute || rig.proxy.links.Open() != 0 {
-		t.Errorf("ended %+v, %d connections", end, rig.proxy.links.Open())
+	if end.outcome != policy.NoRoute || rig.proxy.links.OpenConns() != 0 {
+		t.Errorf("ended %+v, %d connections", end, rig.proxy.links.OpenConns())
 	}
 }
 
@@ -255,8 +255,8 @@
 				if w == nil {
 					w = rig.accept()
 				}
-				if n, err := io.Copy(io.Discard, w); n != 0 || err != nil || rig.proxy.links.Open() != 0 {
-					t.Errorf("%d bytes were written, %v; %d connections are open", n, err, rig.proxy.links.Open())
+				if n, err := io.Copy(io.Discard, w); n != 0 || err != nil || rig.proxy.links.OpenConns() != 0 {
+					t.Errorf("%d bytes were written, %v; %d connections are open", n, err, rig.proxy.links.OpenConns())
 				}
 			})
 		}
@@ -273,8 +273,8 @@
 		conn := rig.accept()
 		rig.readRequest(conn)
 		attempt.command.Attempt.Cancel()
-		if end := <-ended; end.outcome != policy.Withdrawn || rig.proxy.links.Open() != 0 {
-			t.Errorf("ended %+v, %d connections", end, rig.proxy.links.Open())
+		if end := <-ended; end.outcome != policy.Withdrawn || rig.proxy.links.OpenConns() != 0 {
+			t.Errorf("ended %+v, %d connections", end, rig.proxy.links.OpenConns())
 		}
 		conn.Write([]byte(answerBytes))
 		ended = rig.startExchange(rig.admitAttempt())
@@ -293,8 +293,8 @@
 		rig.readRequest(conn)
 		attempt.command.Attempt.Cancel()
 		conn.Write([]byte(answerBytes))
-		if end := <-ended; end.outcome != policy.Withdrawn && end.body != "ok" || rig.proxy.links.Open() != 0 {
-			t.Errorf("ended %+v, %d connections", end, rig.proxy.links.Open())
+		if end := <-ended; end.outcome != policy.Withdrawn && end.body != "ok" || rig.proxy.links.OpenConns() != 0 {
+			t.Errorf("ended %+v, %d connections", end, rig.proxy.links.OpenConns())
 		}
 	})
 	t.Run("after", func(t *testing.T) {
@@ -306,8 +306,8 @@
 		conn.Write([]byte(answerBytes))
 		end := <-ended
 		attempt.command.Attempt.Cancel() // and does not touch a connection that another attempt may use by now
-		if end.outcome != policy.Settled || rig.proxy.links.Open() != 1 {
-			t.Errorf("ended %+v, %d connections", end, rig.proxy.links.Open())
+		if end.outcome != policy.Settled || rig.proxy.links.OpenConns() != 1 {
+			t.Errorf("ended %+v, %d connections", end, rig.proxy.links.OpenConns())
 		}
 		ended = rig.startExchange(rig.admitAttempt())
 		rig.readRequest(conn)
@@ -387,7 +387,7 @@
 			if link != nil || answer.Outcome != c.outcome || took < due || took > due+time.Second {
 				t.Errorf("ended %+v after %v, due at %v", answer, took, due)
 			}
-			if n := rig.proxy.links.Open(); n != 0 {
+			if n := rig.proxy.links.OpenConns(); n != 0 {
 				t.Errorf("%d connections are open", n)
 			}
 		})
@@ -402,7 +402,7 @@
 	rig.connectTo(address, 4*time.Second, 4)
 	attempt := rig.admitAttempt()
 	start, ended := time.Now(), rig.startExchange(attempt)
-	for rig.proxy.links.Open() == 0 {
+	for rig.proxy.links.OpenConns() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(100 * time.Millisecond) // its first SYN has been sent, and dropped
@@ -413,8 +413,8 @@
 		t.Errorf("ended %+v after %v", end, took)
 	}
 	late := acceptAll()
-	if len(late) != 1 || before == 0 || rig.proxy.links.Open() != 0 {
-		t.Fatalf("%d came up late, %d connections are open", len(late), rig.proxy.links.Open())
+	if len(late) != 1 || before == 0 || rig.proxy.links.OpenConns() != 0 {
+		t.Fatalf("%d came up late, %d connections are open", len(late), rig.proxy.links.OpenConns())
 	}
 	_ = unix.SetNonblock(late[0], false)
 	if n, err := unix.Read(late[0], make([]byte, 1)); n != 0 || err != nil {
@@ -433,8 +433,8 @@
 		t.Errorf("at the limit it ended %+v", end)
 	}
 	conn.Write([]byte(answerBytes))
-	if end := <-ended; end.outcome != policy.Settled || rig.proxy.links.Open() != 1 {
-		t.Errorf("the other ended %+v, %d connections", end, rig.proxy.links.Open())
+	if end := <-ended; end.outcome != policy.Settled || rig.proxy.links.OpenConns() != 1 {
+		t.Errorf("the other ended %+v, %d connections", end, rig.proxy.links.OpenConns())
 	}
 }
 
@@ -446,7 +446,7 @@
 	attempt.command.Lease = inflight.NewLease(1, history.Leased, 0)
 	answer, link, _ := rig.proxy.exchange(attempt, time.Now().Add(time.Second))
 	n, err := io.Copy(io.Discard, conn)
-	if answer != nil || link != nil || n != 0 || rig.proxy.links.Open() != 0 {
+	if answer != nil || link != nil || n != 0 || rig.proxy.links.OpenConns() != 0 {
 		t.Errorf("ended %+v, %d bytes, %v", answer, n, errors.Join(err))
 	}
 }
--- a/internal/gateway/proxy/attempt_deadline_test.go
+++ b/internal/gateway/proxy/attempt_deadline_test.go
@@ -36,7 +36,7 @@
 type deadlineRig struct {
 	*testing.T
 	dispatcher *Dispatcher
-	links      *transport.Links
+	links      *transport.WorkerPool
 	address    string // the frontend's address
 
 	mu              sync.Mutex
@@ -85,8 +85,8 @@
 		{SLA: targetMillis, Value: 1, Repeat: policy.Referenced, Window: clientWaitMillis},
 		{SLA: 1000, Value: 1, Repeat: policy.OnceOnly}}
 	rig := &deadlineRig{T: t, received: make(chan struct{}, 9),
-		links: transport.NewLinks(8, 5*time.Second, 3*time.Second)}
-	rig.dispatcher = NewDispatcher(charter, 1, 5, func(int, []byte) {}, rig.links.Shed)
+		links: transport.NewWorkerPool(8, 5*time.Second, 3*time.Second)}
+	rig.dispatcher = NewDispatcher(charter, 1, 5, func(int, []byte) {}, rig.links.CloseIdle)
 	rig.dispatcher.RecordHistory(rig)
 	list := endpoints.List{Snapshot: true}
 	for i, a := range at {
@@ -103,16 +103,16 @@
 		t.Cleanup(keeper.Close)
 		proxy.EnableJournal(keeper, terms, charter.Products, []string{"check", "store", "issue"})
 	}
-	frontend := transport.NewFront(names, charter, proxy.Serve, func() bool { return true })
+	frontend := transport.NewFrontend(names, charter, proxy.Serve, func() bool { return true })
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	limited := transport.Limit(listener, 9)
+	limited := transport.NewLimitListener(listener, 9)
 	go frontend.Serve(limited)
 	t.Cleanup(func() {
 		limited.Close()
-		limited.GiveUp()
+		limited.AbandonRequests()
 		rig.dispatcher.WakeNow()
 		limited.Drain()
 		frontend.Close()
@@ -226,7 +226,7 @@
 	stopping, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
-		for rig.links.Open() <= openBefore {
+		for rig.links.OpenConns() <= openBefore {
 			select {
 			case <-stopping:
 				return
--- a/internal/gateway/proxy/attempt_test.go
+++ b/internal/gateway/proxy/attempt_test.go
@@ -57,8 +57,8 @@
 // the lease that is valid then. Guards against an attempt by a ruleset that is not in force any more.
 func TestLeaseExpiresBeforeWrite(t *testing.T) {
 	list, received := countingWorker(t)
-	links := transport.NewLinks(8, time.Second, time.Second)
-	d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, links.Shed)
+	links := transport.NewWorkerPool(8, time.Second, time.Second)
+	d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, links.CloseIdle)
 	t.Cleanup(d.Stop)
 	var recorded history.Memory
 	d.RecordHistory(recorded.As("n", 1))
@@ -70,7 +70,7 @@
 	}
 	time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
 	proxy := New(d, links)
-	request := d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
+	request := d.admit(&transport.Request{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
 	command := <-request.Commands
 	if command.Decision.Kind != policy.Submit || command.Lease != first {
 		t.Fatalf("decided %+v under %+v", command.Decision, command.Lease)
@@ -90,7 +90,7 @@
 		t.Errorf("then decided %+v under %+v", command.Decision, command.Lease)
 	}
 	second.Revoke() // what is decided after the end of all leases is under none of them
-	request = d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
+	request = d.admit(&transport.Request{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
 	if command = <-request.Commands; command.Decision.Kind != policy.Decline {
 		t.Errorf("without a lease decided %+v", command.Decision)
 	}
@@ -113,14 +113,14 @@
 	command inflight.Command, received <-chan int) {
 	t.Helper()
 	list, received := countingWorker(t)
-	links := transport.NewLinks(8, time.Second, time.Second)
+	links := transport.NewWorkerPool(8, time.Second, time.Second)
 	charter := testCharter()
 	charter.Products = []policy.Product{product}
-	d := NewDispatcher(charter, 1, 5, func(int, []byte) {}, links.Shed)
+	d := NewDispatcher(charter, 1, 5, func(int, []byte) {}, links.CloseIdle)
 	t.Cleanup(d.Stop)
 	d.ApplyEndpoints(list)
 	time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
-	request = d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
+	request = d.admit(&transport.Request{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
 	command = <-request.Commands
 	cut := &transport.Answer{Outcome: policy.Cut}
 	d.attemptEnded(request, command.Decision.N, command.Decision.Worker, cut, 1)
@@ -218,17 +218,17 @@
 func TestSentIsMarked(t *testing.T) {
 	list, _ := countingWorker(t)
 	for _, sent := range []bool{false, true} {
-		links := transport.NewLinks(8, time.Second, time.Second)
-		d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, links.Shed)
+		links := transport.NewWorkerPool(8, time.Second, time.Second)
+		d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, links.CloseIdle)
 		t.Cleanup(d.Stop)
 		if sent {
 			d.ApplyEndpoints(list)
 		}
 		time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
-		request := &transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900},
-			Method: []byte("GET"), Target: []byte("/a"), Mark: []byte("1")}
-		if final := New(d, links).Serve(request); request.Sent != sent {
-			t.Errorf("sent %v, want %v; ended with %+v", request.Sent, sent, final)
+		request := &transport.Request{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900},
+			Method: []byte("GET"), Target: []byte("/a"), RequestID: []byte("1")}
+		if final := New(d, links).Serve(request); request.MaybeSent != sent {
+			t.Errorf("sent %v, want %v; ended with %+v", request.MaybeSent, sent, final)
 		}
 	}
 }
@@ -241,15 +241,16 @@
 	other, otherReceived := countingWorker(t)
 	other.Workers[0].Name = "v"
 	list.Workers = append(list.Workers, other.Workers[0])
-	links := transport.NewLinks(8, time.Second, time.Second)
+	links := transport.NewWorkerPool(8, time.Second, time.Second)
 	charter := testCharter()
 	charter.MayOverlap = true
 	charter.Products = []policy.Product{{SLA: 100, Value: 1, Repeat: policy.Referenced, Window: 5000}}
-	d := NewDispatcher(charter, 1, 5, func(int, []byte) {}, links.Shed)
+	d := NewDispatcher(charter, 1, 5, func(int, []byte) {}, links.CloseIdle)
 	t.Cleanup(d.Stop)
 	d.ApplyEndpoints(list)
 	time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
-	request := d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
+	request := d.admit(&transport.Request{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1,
+		Left: 5000}})
 	first := <-request.Commands
 	second := <-request.Commands // the first attempt's worker is silent
 	if second.Decision.Kind != policy.Submit || second.Decision.N != 1 {
@@ -310,8 +311,8 @@
 				d.ApplyRuleset(inflight.NewLease(1, history.Leased, bootclock.Nanos()+3600e9), charter)
 			}
 			time.Sleep(10 * time.Millisecond)
-			t := &transport.Txn{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}}
-			t.Mark = []byte("0123456789abcdef")
+			t := &transport.Request{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}}
+			t.RequestID = []byte("0123456789abcdef")
 			message := make([]byte, 0, 512)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -320,15 +321,15 @@
 				if command.Decision.Kind != policy.Submit || !command.Lease.Valid() {
 					b.Fatal(command.Decision)
 				}
-				version := int64(transport.Ruleless)
+				version := int64(transport.NoRuleset)
 				if command.Lease != nil {
 					version = int64(command.Lease.RulesetVersion)
 				}
 				var offset int
-				message, offset = transport.AppendSubmission(message[:0], t, version)
-				transport.TellLeft(message, offset, transport.Millis(command.Decision.At-d.clock.now()))
+				message, offset = transport.AppendAttempt(message[:0], t, version)
+				transport.SetRemaining(message, offset, transport.Millis(command.Decision.At-d.clock.now()))
 				d.attemptEnded(request, 0, command.Decision.Worker,
-					&transport.Answer{Outcome: policy.Settled, Heard: true}, 1)
+					&transport.Answer{Outcome: policy.Settled, FromWorker: true}, 1)
 			}
 		})
 	}
--- a/internal/gateway/proxy/endpoints_test.go
+++ b/internal/gateway/proxy/endpoints_test.go
@@ -35,7 +35,7 @@
 				default:
 				}
 				excluded := inactive.Load()
-				request := d.admit(&transport.Txn{Arrival: policy.Arrival{Customer: uint64(1000*k + n), Units: 1,
+				request := d.admit(&transport.Request{Arrival: policy.Arrival{Customer: uint64(1000*k + n), Units: 1,
 					SetSize: 1, Left: 900}})
 				command := <-request.Commands
 				if command.Decision.Kind != policy.Submit {
--- a/internal/gateway/proxy/journal.go
+++ b/internal/gateway/proxy/journal.go
@@ -37,7 +37,7 @@
 
 // journalEntry is a request as the journal names it; nil where it is not journaled. It is a copy: the
 // request's own bytes end before an attempt that may not be cancelled.
-func (p *Proxy) journalEntry(t *transport.Txn) *txnjournal.Txn {
+func (p *Proxy) journalEntry(t *transport.Request) *txnjournal.Txn {
 	if p.journal == nil || !p.journal.nonIdempotent[t.Product] {
 		return nil
 	}
@@ -45,7 +45,7 @@
 	_, _ = sum.Write(t.Target)
 	_, _ = sum.Write([]byte{0})
 	_, _ = sum.Write(t.Body)
-	return &txnjournal.Txn{Customer: t.Customer, Mark: string(t.Mark),
+	return &txnjournal.Txn{Customer: t.Customer, Mark: string(t.RequestID),
 		Product: p.journal.productNames[t.Product], Digest: sum.Sum32()}
 }
 
@@ -67,7 +67,7 @@
 // answerFromJournal answers a request that was sent before, which is not sent again: with its own answer
 // where that is kept, else with one that promises nothing. So it does where the journal can't be read: a
 // rejection would tell that the request never ran.
-func (p *Proxy) answerFromJournal(t *transport.Txn, entry *txnjournal.Txn) (final transport.Final,
+func (p *Proxy) answerFromJournal(t *transport.Request, entry *txnjournal.Txn) (final transport.FinalAnswer,
 	known bool) {
 	if entry == nil {
 		return final, false
@@ -83,10 +83,11 @@
 		return final, false
 	case ok && state == txnjournal.SentSettled && a.Whole && found.Digest == entry.Digest &&
 		found.Product == entry.Product:
-		return transport.Final{Kind: policy.Submit, Answer: &transport.Answer{Outcome: policy.Settled, Type: a.Type,
-			Coding: a.Coding, Body: a.Body, Length: len(a.Body)}}, true
+		return transport.FinalAnswer{Kind: policy.Submit, Answer: &transport.Answer{Outcome: policy.Settled,
+			ContentType:     a.Type,
+			ContentEncoding: a.Coding, Body: a.Body, Length: len(a.Body)}}, true
 	}
-	return transport.Final{Kind: policy.Void}, true
+	return transport.FinalAnswer{Kind: policy.Void}, true
 }
 
 // journalStart tells whether an attempt may be sent: it is not journaled, or its start now is. The wait for
@@ -111,8 +112,9 @@
 	end, kept := txnjournal.MayRun, txnjournal.Answer{}
 	switch a.Outcome {
 	case policy.Settled:
-		if end = txnjournal.Settled; a.Rest == nil && len(a.Body) <= p.journal.maxAnswerBytes {
-			kept = txnjournal.Answer{Type: a.Type, Coding: a.Coding, Body: append([]byte(nil), a.Body...), Whole: true}
+		if end = txnjournal.Settled; a.Remainder == nil && len(a.Body) <= p.journal.maxAnswerBytes {
+			kept = txnjournal.Answer{Type: a.ContentType, Coding: a.ContentEncoding,
+				Body: append([]byte(nil), a.Body...), Whole: true}
 		}
 	case policy.NotSent, policy.NoRoute, policy.Full:
 		end = txnjournal.Never
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -12,7 +12,7 @@
 // Proxy serves requests: it has the dispatcher decide on each, and carries the attempts to workers.
 type Proxy struct {
 	dispatcher *Dispatcher
-	links      *transport.Links
+	links      *transport.WorkerPool
 	deliveries chan delivery
 	journal    *requestJournal // nil where no request is journaled
 }
@@ -34,7 +34,7 @@
 }
 
 // New makes a proxy over a dispatcher and the connections to workers.
-func New(d *Dispatcher, links *transport.Links) *Proxy {
+func New(d *Dispatcher, links *transport.WorkerPool) *Proxy {
 	return &Proxy{dispatcher: d, links: links, deliveries: make(chan delivery)}
 }
 
@@ -42,7 +42,7 @@
 func (p *Proxy) Now() float64 { return p.dispatcher.Now() }
 
 // Serve serves a request until its final answer.
-func (p *Proxy) Serve(t *transport.Txn) transport.Final {
+func (p *Proxy) Serve(t *transport.Request) transport.FinalAnswer {
 	entry := p.journalEntry(t)
 	if final, known := p.answerFromJournal(t, entry); known {
 		return final
@@ -51,30 +51,31 @@
 }
 
 // serve executes the commands for a request that the policy has, until the final answer.
-func (p *Proxy) serve(r *inflight.Request, t *transport.Txn, entry *txnjournal.Txn) transport.Final {
+func (p *Proxy) serve(r *inflight.Request, t *transport.Request,
+	entry *txnjournal.Txn) transport.FinalAnswer {
 	if t.Upload != nil {
-		defer t.Upload.Settle()
+		defer t.Upload.StopAndWait()
 	}
 	var workersTried []string // by attempt, where history is recorded
 	for c := range r.Commands {
 		if c.Answer != nil {
-			return transport.Final{Kind: policy.Submit, Answer: c.Answer}
+			return transport.FinalAnswer{Kind: policy.Submit, Answer: c.Answer}
 		}
 		d := c.Decision
 		if d.Kind != policy.Submit {
-			return transport.Final{Kind: d.Kind, Wait: d.Wait}
+			return transport.FinalAnswer{Kind: d.Kind, RetryAfterMillis: d.Wait}
 		}
 		// The message is a copy: the request's own bytes end with this function, and an attempt that may not be
 		// cancelled outlives it.
-		version := int64(transport.Ruleless)
+		version := int64(transport.NoRuleset)
 		if v := c.Lease.Version(); v > 0 {
 			version = int64(v)
 		}
 		v := delivery{request: r, command: c, upload: t.Upload, entry: p.newJournalAttempt(entry, d.N),
 			clientMillis: t.Left}
-		v.message, v.deadlineOffset = transport.AppendSubmission(nil, t, version)
+		v.message, v.deadlineOffset = transport.AppendAttempt(nil, t, version)
 		if p.dispatcher.history != nil {
-			v.requestMark = string(t.Mark)
+			v.requestMark = string(t.RequestID)
 			for _, name := range workersTried {
 				if name == c.Upstream.Name() {
 					v.ordinal++
@@ -82,8 +83,8 @@
 			}
 			workersTried = append(workersTried, c.Upstream.Name())
 		}
-		if t.Sent = true; t.Upload != nil {
-			t.Upload.Begin()
+		if t.MaybeSent = true; t.Upload != nil {
+			t.Upload.AddReader()
 		}
 		select {
 		case p.deliveries <- v:
@@ -91,7 +92,7 @@
 			go p.deliverLoop(v)
 		}
 	}
-	return transport.Final{Kind: policy.Void}
+	return transport.FinalAnswer{Kind: policy.Void}
 }
 
 // deliverLoop carries one attempt after another. There are as many of these goroutines as attempts were
@@ -108,7 +109,7 @@
 	d := &v.command.Decision
 	answer, link, startedMillis := p.exchange(v, p.dispatcher.clock.time(d.At))
 	if v.upload != nil {
-		v.upload.End()
+		v.upload.RemoveReader()
 	}
 	if answer == nil {
 		p.journalEnd(&v, &transport.Answer{Outcome: policy.NotSent})
@@ -127,17 +128,17 @@
 
 // passOn hands an answer whose body is still being read to the request's goroutine, and waits until that has
 // streamed it to the client.
-func (p *Proxy) passOn(v *delivery, answer *transport.Answer, link *transport.Link) {
+func (p *Proxy) passOn(v *delivery, answer *transport.Answer, link *transport.WorkerConn) {
 	passed := make(chan error, 1)
-	answer.Then(func(err error) { passed <- err })
+	answer.OnForwarded(func(err error) { passed <- err })
 	err := errAlreadyAnswered
 	if p.dispatcher.answerStarted(v.request, v.command.Decision.N, answer) {
 		err = <-passed
 	}
-	if err != nil || !answer.Keep() || !p.links.Keep(link, &v.command.Upstream) {
-		p.links.Drop(link)
+	if err != nil || !answer.Reusable() || !p.links.Put(link, &v.command.Upstream) {
+		p.links.Discard(link)
 	}
-	if errors.Is(err, transport.ErrBrokenOff) {
+	if errors.Is(err, transport.ErrTruncated) {
 		answer.Outcome = policy.Cut
 	}
 }
--- a/internal/gateway/proxy/requests.go
+++ b/internal/gateway/proxy/requests.go
@@ -11,7 +11,7 @@
 )
 
 // admit gives a request to the policy. What is decided on it comes to its Commands.
-func (d *Dispatcher) admit(t *transport.Txn) *inflight.Request {
+func (d *Dispatcher) admit(t *transport.Request) *inflight.Request {
 	now := d.lockPolicy()
 	r := d.track(&t.Arrival, t.Gone, now)
 	r.ExpiryMillis = expiryMillis(t, now)
@@ -32,7 +32,7 @@
 }
 
 // expiryMillis is when the final answer of a request that arrives now is due.
-func expiryMillis(t *transport.Txn, now float64) float64 {
+func expiryMillis(t *transport.Request, now float64) float64 {
 	if t.Streams {
 		return math.Inf(1)
 	}
@@ -40,7 +40,7 @@
 }
 
 // reserve asks the policy whether a request may arrive within lifeMillis, and tells whether it may.
-func (d *Dispatcher) reserve(t *transport.Txn, lifeMillis float64) (*inflight.Request, bool) {
+func (d *Dispatcher) reserve(t *transport.Request, lifeMillis float64) (*inflight.Request, bool) {
 	a := t.Arrival
 	a.Clears = lifeMillis
 	now := d.lockPolicy()
@@ -62,7 +62,7 @@
 }
 
 // redeem tells the policy that a reserved request has arrived. It is false where the reservation has ended.
-func (d *Dispatcher) redeem(r *inflight.Request, t *transport.Txn) bool {
+func (d *Dispatcher) redeem(r *inflight.Request, t *transport.Request) bool {
 	now := d.lockPolicy()
 	known := !r.Answered && d.policy.Claim(r.ID, t.Left, t.Streams)
 	if known {
@@ -142,7 +142,7 @@
 	tookMillis float64) {
 	now := d.lockPolicy()
 	d.meter.Answered(d.workers.Zone(worker), r.Product, a.Outcome, tookMillis, r.Answered)
-	if a.Heard {
+	if a.FromWorker {
 		d.policy.Burden(worker, a.Load)
 		d.meter.Said(d.workers.Zone(worker), a.Load)
 	}
--- a/internal/gateway/proxy/reservation.go
+++ b/internal/gateway/proxy/reservation.go
@@ -15,13 +15,13 @@
 
 // Reserve asks the policy whether a request may arrive within lifeMillis. If not there is no reservation,
 // and the final answer is the policy's.
-func (p *Proxy) Reserve(t *transport.Txn, lifeMillis float64) (*Reservation, transport.Final) {
+func (p *Proxy) Reserve(t *transport.Request, lifeMillis float64) (*Reservation, transport.FinalAnswer) {
 	r, may := p.dispatcher.reserve(t, lifeMillis)
 	if !may {
 		d := (<-r.Commands).Decision
-		return nil, transport.Final{Kind: d.Kind, Wait: d.Wait}
+		return nil, transport.FinalAnswer{Kind: d.Kind, RetryAfterMillis: d.Wait}
 	}
-	return &Reservation{r}, transport.Final{}
+	return &Reservation{r}, transport.FinalAnswer{}
 }
 
 // AdoptReservation takes over a reservation of another process, for lifeMillis more.
@@ -31,14 +31,14 @@
 
 // ServeReserved serves a request that has a reservation, from its arrival on. It is false, and has done
 // nothing, where the reservation has ended.
-func (p *Proxy) ServeReserved(r *Reservation, t *transport.Txn) (transport.Final, bool) {
+func (p *Proxy) ServeReserved(r *Reservation, t *transport.Request) (transport.FinalAnswer, bool) {
 	entry := p.journalEntry(t)
 	if final, known := p.answerFromJournal(t, entry); known {
 		p.Release(r)
 		return final, true
 	}
 	if !p.dispatcher.redeem(r.request, t) {
-		return transport.Final{}, false
+		return transport.FinalAnswer{}, false
 	}
 	return p.serve(r.request, t, entry), true
 }
--- a/internal/gateway/proxy/stream.go
+++ b/internal/gateway/proxy/stream.go
@@ -18,30 +18,31 @@
 
 // streamBody sends a request's body on as it comes, while the worker may already answer, and tells whether
 // it was sent completely. If not, the worker never ran the request.
-func (p *Proxy) streamBody(v delivery, link *transport.Link) (answer *transport.Answer, startedMillis float64,
+func (p *Proxy) streamBody(v delivery, link *transport.WorkerConn) (answer *transport.Answer,
+	startedMillis float64,
 	sent bool, err error) {
 	n := v.command.Decision.N
 	p.dispatcher.bodySent(v.request, n, 0)
-	link.Until(time.Time{}) // the client's time begins with the end of the body
-	link.Pours()
+	link.SetDeadline(time.Time{}) // the client's time begins with the end of the body
+	link.ExpectBody()
 	uploaded := make(chan error, 1)
 	go func() {
-		err := link.Pour(v.upload)
+		err := link.SendBody(v.upload)
 		switch {
 		case err == nil:
-			p.links.Wrote()
-			link.Until(p.dispatcher.bodySent(v.request, n, v.clientMillis))
-		case v.upload.Fault() != nil:
+			p.links.CountAttempt()
+			link.SetDeadline(p.dispatcher.bodySent(v.request, n, v.clientMillis))
+		case v.upload.Err() != nil:
 			link.Abort()
 		default: // what the worker has answered is read within a limit: nothing else would end the wait
-			link.Until(time.Now().Add(transport.Millis(policy.AnswerPause)))
+			link.SetDeadline(time.Now().Add(transport.Millis(policy.AnswerPause)))
 		}
 		uploaded <- err
 	}()
 	answer, err = link.Receive(func() { p.dispatcher.workerResponded(v.command.Upstream.Worker) })
 	startedMillis = p.dispatcher.clock.now()
 	v.upload.Stop() // an early answer needs no more of the body
-	link.Halt()
+	link.StopBody()
 	uploadErr := <-uploaded
 	switch {
 	case uploadErr == nil:
@@ -51,10 +52,10 @@
 	case err == nil && answer.Outcome == policy.Settled:
 		err = errEarlyAnswer // a worker without the complete body has not run it
 	case err == nil:
-		answer.Last()
-	case v.upload.Fault() != nil:
+		answer.CloseAfter()
+	case v.upload.Err() != nil:
 		err = errClientBody
-	case errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(uploadErr, transport.ErrBrokenOff):
+	case errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(uploadErr, transport.ErrTruncated):
 		err = errWorkerStalled
 	}
 	return answer, startedMillis, uploadErr == nil, err
--- a/internal/gateway/recovery/bootstrap/warm.go
+++ b/internal/gateway/recovery/bootstrap/warm.go
@@ -192,7 +192,8 @@
 		}
 		if own, known := b.own[w.Name]; known {
 			w.Active = w.Active && own.Active
-			w.StartedMillis = max(w.StartedMillis, own.StartedMillis) // of two starts the later one, so that it counts as cold
+			w.StartedMillis = max(w.StartedMillis,
+				own.StartedMillis) // of two starts the later one, so that it counts as cold
 			if !w.Active {
 				w.Address = own.Address
 			}
--- a/internal/gateway/transport/creditwire/creditwire.go
+++ b/internal/gateway/transport/creditwire/creditwire.go
@@ -20,7 +20,7 @@
 
 const (
 	formatVersion = 1
-	headerBytes  = 3
+	headerBytes   = 3
 
 	// Mark is a message's first byte.
 	Magic = 0xC7
@@ -29,8 +29,8 @@
 	MaxMessageBytes = 256 - 9
 
 	flagKnown, flagVirgin, flagAsks, flagAnswers = 1, 2, 4, 8
-	flagWant, flagLeft, flagFill, flagSpare   = 16, 32, 64, 128
-	log2Step, minEncodedRate                  = 1.0 / 4, 1.0 / 1024 // of a power of two; units a second
+	flagWant, flagLeft, flagFill, flagSpare      = 16, 32, 64, 128
+	log2Step, minEncodedRate                     = 1.0 / 4, 1.0 / 1024 // of a power of two; units a second
 )
 
 // Append adds one message for as many of the entries as it holds to dst, and gives the others.
@@ -56,8 +56,10 @@
 	for _, condition := range []struct {
 		flag byte
 		set  bool
-	}{{flagKnown, entry.Known}, {flagVirgin, entry.Virgin}, {flagAsks, entry.Asks}, {flagAnswers, entry.Answers}, {flagWant, entry.Want > 0},
-		{flagLeft, entry.GaveD > 0}, {flagFill, entry.Fill > minEncodedRate}, {flagSpare, entry.Spare > minEncodedRate}} {
+	}{{flagKnown, entry.Known}, {flagVirgin, entry.Virgin}, {flagAsks, entry.Asks}, {flagAnswers,
+		entry.Answers}, {flagWant, entry.Want > 0},
+		{flagLeft, entry.GaveD > 0}, {flagFill, entry.Fill > minEncodedRate}, {flagSpare,
+			entry.Spare > minEncodedRate}} {
 		if condition.set {
 			flags |= condition.flag
 		}
@@ -97,8 +99,8 @@
 
 // reader takes fields off a message; after the first that is not there all are nought.
 type fieldReader struct {
-	remaining   []byte
-	err error
+	remaining []byte
+	err       error
 }
 
 func (r *fieldReader) take(n int) []byte {
@@ -134,7 +136,8 @@
 	}
 	original, count, fields := dst, int(message[2]), fieldReader{remaining: message[headerBytes:]}
 	for range count {
-		entry := borrowing.Entry{Customer: binary.BigEndian.Uint32(fields.take(4)), Plan: fields.take(1)[0], N: fields.take(1)[0],
+		entry := borrowing.Entry{Customer: binary.BigEndian.Uint32(fields.take(4)), Plan: fields.take(1)[0],
+			N:     fields.take(1)[0],
 			First: binary.BigEndian.Uint16(fields.take(2)), Form: binary.BigEndian.Uint16(fields.take(2))}
 		flags := fields.take(1)[0]
 		entry.Known, entry.Virgin, entry.Asks, entry.Answers = flags&flagKnown > 0, flags&flagVirgin > 0, flags&flagAsks > 0, flags&flagAnswers > 0
--- a/internal/gateway/transport/creditwire/creditwire_test.go
+++ b/internal/gateway/transport/creditwire/creditwire_test.go
@@ -12,7 +12,8 @@
 func TestRoundTrip(t *testing.T) {
 	var entries []borrowing.Entry
 	for i := range uint32(40) {
-		entry := borrowing.Entry{Customer: 1<<31 + i, Plan: uint8(i), N: 5, First: uint16(i * 7), Form: uint16(i * 999),
+		entry := borrowing.Entry{Customer: 1<<31 + i, Plan: uint8(i), N: 5, First: uint16(i * 7),
+			Form:  uint16(i * 999),
 			GaveR: uint64(i) << 20, GotD: uint64(i) << 40, Known: i%2 == 0, Virgin: i%3 == 0}
 		if i%4 == 0 {
 			entry.Asks, entry.Nonce, entry.Want = true, uint16(i+1), uint64(i+1)
@@ -46,8 +47,10 @@
 // What is cut, too long, of another version or not of this kind gives an error, and nothing of it is taken.
 func TestMalformedMessages(t *testing.T) {
 	valid, _ := Append(nil, []borrowing.Entry{{Customer: 1, N: 2, GaveR: 300, Asks: true}, {Customer: 2, N: 2}})
-	malformed := [][]byte{nil, {Magic}, append([]byte{Magic, formatVersion + 1}, valid[2:]...), append([]byte{5}, valid[1:]...),
-		append(append([]byte(nil), valid...), 0), append(valid[:len(valid):len(valid)], make([]byte, MaxMessageBytes)...)}
+	malformed := [][]byte{nil, {Magic}, append([]byte{Magic, formatVersion + 1}, valid[2:]...),
+		append([]byte{5}, valid[1:]...),
+		append(append([]byte(nil), valid...), 0), append(valid[:len(valid):len(valid)],
+			make([]byte, MaxMessageBytes)...)}
 	for i := range len(valid) {
 		malformed = append(malformed, valid[:i])
 	}
--- a/internal/gateway/transport/endpoints/decode.go
+++ b/internal/gateway/transport/endpoints/decode.go
@@ -16,22 +16,22 @@
 
 // Worker is one entry of the list.
 type Worker struct {
-	Name    string
-	Address netip.AddrPort // where this gatekeeper reaches it
-	Zone    string
-	Cell    int
-	Kind    string
-	Weight  float64 // what the list says of its size; 0 says nothing
-	Active  bool    // neither draining nor gone
-	Removed    bool
-	StartedMillis   float64 // Unix time of its process's start, ms; 0 long ago
+	Name          string
+	Address       netip.AddrPort // where this gatekeeper reaches it
+	Zone          string
+	Cell          int
+	Kind          string
+	Weight        float64 // what the list says of its size; 0 says nothing
+	Active        bool    // neither draining nor gone
+	Removed       bool
+	StartedMillis float64 // Unix time of its process's start, ms; 0 long ago
 }
 
 // List is the whole list, or the entries that changed up to a version of it.
 type List struct {
-	Version int64
-	Snapshot   bool
-	Workers []Worker
+	Version  int64
+	Snapshot bool
+	Workers  []Worker
 }
 
 // entry is a worker in the list's own form.
@@ -47,8 +47,8 @@
 }
 
 type listMessage struct {
-	Index     int64   `json:"index"`
-	Snapshot  bool    `json:"snapshot"`
+	Index     int64       `json:"index"`
+	Snapshot  bool        `json:"snapshot"`
 	Endpoints []listEntry `json:"endpoints"`
 }
 
@@ -56,7 +56,8 @@
 func Append(dst []byte, list List) ([]byte, error) {
 	encoded := listMessage{Index: list.Version, Snapshot: list.Snapshot, Endpoints: []listEntry{}}
 	for _, worker := range list.Workers {
-		item := listEntry{Name: worker.Name, Zone: worker.Zone, Type: worker.Kind, Group: worker.Cell, Weight: worker.Weight, SinceMs: worker.StartedMillis,
+		item := listEntry{Name: worker.Name, Zone: worker.Zone, Type: worker.Kind, Group: worker.Cell,
+			Weight: worker.Weight, SinceMs: worker.StartedMillis,
 			Status: "leaving"}
 		if worker.Address.IsValid() {
 			item.Address = worker.Address.String()
@@ -89,9 +90,9 @@
 
 // reader takes lists from a decoder, one entry at a time: of the text no more than an entry is held.
 type decoder struct {
-	tokens  *json.Decoder
+	tokens     *json.Decoder
 	maxWorkers int               // workers of a list
-	interned map[string]string // names of zones and kinds, which come again and again
+	interned   map[string]string // names of zones and kinds, which come again and again
 }
 
 // list reads one list. What is well formed and no list is read to its end, and then an error: cut off, it is
--- a/internal/gateway/transport/endpoints/golden_test.go
+++ b/internal/gateway/transport/endpoints/golden_test.go
@@ -40,7 +40,8 @@
 		t.Fatal(err)
 	}
 	goldentest.SameBytes(t, encoded, bytes.TrimSpace(golden))
-	stream := NewStream(bytes.NewReader(golden), Limits{ListBytes: 1 << 20, ValueBytes: 1 << 16, Workers: 9}, func(bool) {})
+	stream := NewStream(bytes.NewReader(golden), Limits{ListBytes: 1 << 20, ValueBytes: 1 << 16, Workers: 9},
+		func(bool) {})
 	if got, err = stream.Next(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/transport/endpoints/stream.go
+++ b/internal/gateway/transport/endpoints/stream.go
@@ -11,9 +11,9 @@
 // Bounds are what a list may have at most. What is held of one while it is read is its workers and the text
 // of one entry; so its memory is bounded by the three together.
 type Limits struct {
-	ListBytes   int // of its text
-	ValueBytes   int // of the text of one entry, or of any other single value
-	Workers int
+	ListBytes  int // of its text
+	ValueBytes int // of the text of one entry, or of any other single value
+	Workers    int
 }
 
 // ErrTooLong is the end of a stream with a list beyond its bounds.
@@ -28,22 +28,23 @@
 
 // Stream reads lists one after another, each laid out over lines as it likes.
 type Stream struct {
-	in     io.Reader
-	decoder decoder
-	deliveredBytes  int64 // bytes that the decoder has been given
-	onActivity   func(empty bool)
-	limits Limits
-	remainingBytes   int   // bytes that may still come until the list is whole
-	inList bool  // part of a list has come
-	blankLine  bool  // nothing has come in this line
-	readErr error // of in
-	listStarted  time.Time
+	in             io.Reader
+	decoder        decoder
+	deliveredBytes int64 // bytes that the decoder has been given
+	onActivity     func(empty bool)
+	limits         Limits
+	remainingBytes int   // bytes that may still come until the list is whole
+	inList         bool  // part of a list has come
+	blankLine      bool  // nothing has come in this line
+	readErr        error // of in
+	listStarted    time.Time
 }
 
 // NewStream reads lists within bounds from in. As it comes, sign hears of each empty line
 // between lists, and of each list that begins; not of how it goes on, or one that trickles would seem alive.
 func NewStream(in io.Reader, limits Limits, onActivity func(empty bool)) *Stream {
-	s := &Stream{in: in, onActivity: onActivity, limits: limits, remainingBytes: limits.ListBytes, blankLine: true}
+	s := &Stream{in: in, onActivity: onActivity, limits: limits, remainingBytes: limits.ListBytes,
+		blankLine: true}
 	s.decoder = decoder{tokens: json.NewDecoder(s), maxWorkers: limits.Workers}
 	return s
 }
--- a/internal/gateway/transport/endpoints/stream_test.go
+++ b/internal/gateway/transport/endpoints/stream_test.go
@@ -61,11 +61,12 @@
 	}
 	for _, tc := range []struct {
 		name, text string
-		emptyLines      int
+		emptyLines int
 	}{
 		{"one a line", snapshotText + "\n" + changeText + "\n", 0},
 		{"indented", indented(t, snapshotText, "  ") + "\n" + indented(t, changeText, "\t") + "\n", 0},
-		{"lines that end in CRLF", strings.ReplaceAll(indented(t, snapshotText, " ")+"\n"+changeText+"\n", "\n", "\r\n"), 0},
+		{"lines that end in CRLF", strings.ReplaceAll(indented(t, snapshotText, " ")+"\n"+changeText+"\n", "\n",
+			"\r\n"), 0},
 		{"both on a line", snapshotText + changeText, 0},
 		{"both on a line, indented", indented(t, snapshotText, " ") + " " + indented(t, changeText, " "), 0},
 		{"empty lines between", "\n" + snapshotText + "\n\n \r\n" + changeText + "\n\n", 4},
@@ -76,7 +77,8 @@
 			"the end with the last": iotest.DataErrReader(strings.NewReader(tc.text))} {
 			got, emptyLines, err := readAll(in, 1000)
 			if err != io.EOF || emptyLines != tc.emptyLines || !reflect.DeepEqual(got, want) {
-				t.Errorf("%s, %s: %d lists, %d empty lines (want %d), %v", tc.name, reader, len(got), emptyLines, tc.emptyLines, err)
+				t.Errorf("%s, %s: %d lists, %d empty lines (want %d), %v", tc.name, reader, len(got), emptyLines,
+					tc.emptyLines, err)
 			}
 		}
 	}
@@ -153,7 +155,7 @@
 func TestStreamMalformed(t *testing.T) {
 	for _, tc := range []struct {
 		name, text string
-		malformed   bool
+		malformed  bool
 	}{
 		{"no JSON", "not a list\n", true},
 		{"another inside", `{"index":` + changeText, false},
@@ -178,14 +180,17 @@
 // A list within its bounds is told, and one beyond any of them is not. Guards against a discovery that fills
 // the memory, and against a bound on the text that a list of honest size meets.
 func TestStreamLimits(t *testing.T) {
-	entry := func(nameLength int) string { return `{"name":"` + strings.Repeat("n", nameLength) + `","status":"left"}` }
+	entry := func(nameLength int) string {
+		return `{"name":"` + strings.Repeat("n", nameLength) +
+			`","status":"left"}`
+	}
 	list := func(extra string, entries ...string) string {
 		return `{"index":4,` + extra + `"endpoints":[` + strings.Join(entries, ",") + "]}"
 	}
 	limits := Limits{ListBytes: 5000, ValueBytes: 1000, Workers: 5}
 	for _, tc := range []struct {
 		nameLength, text string
-		accepted       bool
+		accepted         bool
 	}{
 		{"as many workers as may be", list("", entry(1), entry(2), entry(3), entry(4), entry(5)), true},
 		{"one more", list("", entry(1), entry(2), entry(3), entry(4), entry(5), entry(6)), false},
@@ -205,7 +210,8 @@
 			t.Fatal(err)
 		}
 		list, err := stream.Next()
-		if accepted := err == nil && list.Version == 4; accepted != tc.accepted || !accepted && (!errors.Is(err, ErrTooLong) ||
+		if accepted := err == nil && list.Version == 4; accepted != tc.accepted || !accepted && (!errors.Is(err,
+			ErrTooLong) ||
 			errors.As(err, &MalformedError{})) {
 			t.Errorf("%s: %d workers, %v", tc.nameLength, len(list.Workers), err)
 		}
@@ -238,7 +244,8 @@
 	rng := rand.New(rand.NewSource(1))
 	unusual := []string{`{"index":1,"snapshot":null,"endpoints":null}`, `{}`, `{"INDEX":3,"Endpoints":[]}`, `[]`,
 		`7`, `{"index":4,"x":{"endpoints":[{"name":"z"}],"index":9},"snapshot":true}`, `{"endpoints":[null]}`,
-		`{"endpoints":{}}`, `{"index":1.5}`, `{"index":7,"endpoints":[[]]}`, snapshotText + changeText, ` ` + snapshotText + "\n",
+		`{"endpoints":{}}`, `{"index":1.5}`, `{"index":7,"endpoints":[[]]}`, snapshotText + changeText, ` ` +
+			snapshotText + "\n",
 		`{"endpoints":[{"name":"a","status":"left","address":7}]}`, `{"index":1,"index":2}`, `"a"`, `{"a":[}`}
 	compared, accepted := 0, 0
 	check := func(raw []byte) {
@@ -286,7 +293,8 @@
 func snapshotOf(n int) []byte {
 	list := List{Version: 7, Snapshot: true}
 	for i := range n {
-		list.Workers = append(list.Workers, Worker{Name: fmt.Sprintf("worker-%06d", i), Zone: fmt.Sprint("zone-", i/7900),
+		list.Workers = append(list.Workers, Worker{Name: fmt.Sprintf("worker-%06d", i),
+			Zone: fmt.Sprint("zone-", i/7900),
 			Cell: i / 38, Kind: fmt.Sprint("m", i%5), Weight: 1, Active: true,
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 5000)})
 	}
--- a/internal/gateway/transport/frontend.go
+++ b/internal/gateway/transport/frontend.go
@@ -18,338 +18,343 @@
 )
 
 // Final is a txn's final answer. Answer is the worker's, where it is settled.
-type Final struct {
-	Kind    policy.Kind // Submit where it is settled, else Decline or Void
-	Wait    float64     // Decline: when to return, ms; 0 says nothing
-	Answer  *Answer
-	Refusal *Refusal // of Void: it was not let to the module, or not again
+type FinalAnswer struct {
+	Kind             policy.Kind // Submit where it is settled, else Decline or Void
+	RetryAfterMillis float64     // Decline: when to return, ms; 0 says nothing
+	Answer           *Answer
+	Rejection        *Rejection // of Void: it was not let to the module, or not again
 }
 
 // Refusal is a no that has nothing to do with quota, workers or time.
-type Refusal struct {
+type Rejection struct {
 	Status  int
 	Headers [][2]string
-	Says    string
+	Message string
 }
 
 // Front takes clients' connections and hands each txn to serve, which returns its final answer.
-type Front struct {
+type Frontend struct {
 	// Nameless has txns taken that don't say whose they are. To be set before Serve.
-	Nameless bool
-
-	names   config.Names
-	charter atomic.Pointer[policy.Charter]
-	serve   func(*Txn) Final
-	ready   func() bool
-	turns   sync.Pool
-	open    sync.WaitGroup // connections
-	closing atomic.Bool
-	heir    atomic.Pointer[Heir]
-	broken  atomic.Int64
-	active  atomic.Int64
-	finals  [][3]atomic.Int64 // by product: settled, declined, voided
-	marks   marks
+	AllowAnonymous bool
+
+	names        config.Names
+	charter      atomic.Pointer[policy.Charter]
+	serve        func(*Request) FinalAnswer
+	ready        func() bool
+	exchanges    sync.Pool
+	connections  sync.WaitGroup // connections
+	closing      atomic.Bool
+	successor    atomic.Pointer[HandOverFunc]
+	malformed    atomic.Int64
+	active       atomic.Int64
+	finalCounts  [][3]atomic.Int64 // by product: settled, declined, voided
+	openRequests openRequests
 }
 
 // NewFront makes a front that is up, by its own word, while ready says so.
-func NewFront(names config.Names, charter policy.Charter, serve func(*Txn) Final, ready func() bool) *Front {
-	f := &Front{names: names, serve: serve, ready: ready,
-		marks: marks{open: map[string]*mark{}}, finals: make([][3]atomic.Int64, len(charter.Products))}
+func NewFrontend(names config.Names, charter policy.Charter, serve func(*Request) FinalAnswer,
+	ready func() bool) *Frontend {
+	f := &Frontend{names: names, serve: serve, ready: ready,
+		openRequests: openRequests{byID: map[string]*openRequest{}}, finalCounts: make([][3]atomic.Int64,
+			len(charter.Products))}
 	f.charter.Store(&charter)
-	f.turns.New = func() any { return &turn{in: bufio.NewReader(nil)} }
+	f.exchanges.New = func() any { return &exchange{reader: bufio.NewReader(nil)} }
 	return f
 }
 
 // Resize tells how many gatekeepers there are from now on.
-func (f *Front) Resize(n int) {
-	c := *f.charter.Load()
-	c.Gatekeepers = n
-	f.charter.Store(&c)
+func (f *Frontend) SetInstanceCount(n int) {
+	charter := *f.charter.Load()
+	charter.Gatekeepers = n
+	f.charter.Store(&charter)
 }
 
 // Silent drops a server's own log: what callers break is counted instead.
-type Silent struct{}
+type DiscardLogger struct{}
 
 // Printf says nothing.
-func (Silent) Printf(string, ...any) {}
+func (DiscardLogger) Printf(string, ...any) {}
 
 // Serve answers clients until the listener ends.
-func (f *Front) Serve(l *Limited) error {
-	f.open.Add(1)
-	defer f.open.Done()
+func (f *Frontend) Serve(listener *LimitListener) error {
+	f.connections.Add(1)
+	defer f.connections.Done()
 	for {
-		p, err := l.next()
+		conn, err := listener.acceptConn()
 		if err != nil {
-			if l.Closed() {
+			if listener.Closed() {
 				return nil
 			}
 			return fmt.Errorf("front: %w", err)
 		}
-		f.open.Add(1)
-		go f.talk(p)
+		f.connections.Add(1)
+		go f.serveConn(conn)
 	}
 }
 
 // Heir takes a connection over, with what has been read of it and not taken up, and tells whether it has.
-type Heir func(c syscall.RawConn, proven bool, ahead []byte) bool
+type HandOverFunc func(c syscall.RawConn, proven bool, ahead []byte) bool
 
 // HandOn gives every connection of the listener to an heir as soon as no txn of it is in hand.
-func (f *Front) HandOn(l *Limited, to Heir) {
-	f.heir.Store(&to)
-	l.rouse()
+func (f *Frontend) HandOver(listener *LimitListener, successor HandOverFunc) {
+	f.successor.Store(&successor)
+	listener.interruptIdleReads()
 }
 
 // handOn gives a connection to the heir, if there is one.
-func (f *Front) handOn(p *placed, t *turn) bool {
-	heir := f.heir.Load()
-	if heir == nil {
+func (f *Frontend) handOver(conn *clientConn, x *exchange) bool {
+	successor := f.successor.Load()
+	if successor == nil {
 		return false
 	}
-	was := p.state.Load()
-	if was == ended || !p.state.CompareAndSwap(was, taken) { // none may end it here once it is the heir's
+	previous := conn.state.Load()
+	if previous == stateEnded || !conn.state.CompareAndSwap(previous,
+		stateServing) { // none may end it here once it is the heir's
 		return false
 	}
-	ahead, _ := t.in.Peek(t.in.Buffered())
-	if raw, err := p.raw(); err == nil && (*heir)(raw, p.proven, ahead) {
+	prefetched, _ := x.reader.Peek(x.reader.Buffered())
+	if raw, err := conn.syscallConn(); err == nil && (*successor)(raw, conn.proven, prefetched) {
 		return true
 	}
-	p.state.Store(was)
+	conn.state.Store(previous)
 	f.closing.Store(true) // there is none after all: it goes on here until its next answer
 	return false
 }
 
 // Adopt goes on with a connection that another process has handed on.
-func (f *Front) Adopt(l *Limited, c net.Conn, proven bool, ahead []byte) {
-	p := l.admit(c)
-	p.proven, p.ahead = proven, ahead
-	p.rest(len(ahead) > 0)
-	f.open.Add(1)
-	go f.talk(p)
+func (f *Frontend) Adopt(listener *LimitListener, raw net.Conn, proven bool, prefetched []byte) {
+	conn := listener.admit(raw)
+	conn.proven, conn.prefetched = proven, prefetched
+	conn.answered(len(prefetched) > 0)
+	f.connections.Add(1)
+	go f.serveConn(conn)
 }
 
 // Closing tells whether Close has been called.
-func (f *Front) Closing() bool { return f.closing.Load() }
+func (f *Frontend) Closing() bool { return f.closing.Load() }
 
 // Close lets connections end with their next answer.
-func (f *Front) Close() { f.closing.Store(true) }
+func (f *Frontend) Close() { f.closing.Store(true) }
 
 // Wait waits until every connection has ended.
-func (f *Front) Wait() { f.open.Wait() }
+func (f *Frontend) Wait() { f.connections.Wait() }
 
 // Broken tells how many messages of clients could not be read.
-func (f *Front) Broken() int64 { return f.broken.Load() }
+func (f *Frontend) MalformedRequests() int64 { return f.malformed.Load() }
 
 // Active tells how many txns are taken and not answered.
-func (f *Front) Active() int64 { return f.active.Load() }
+func (f *Frontend) ActiveRequests() int64 { return f.active.Load() }
 
 // Finals tells how many txns of a product were settled, declined and voided.
-func (f *Front) Finals(product int) (settled, declined, voided int64) {
-	n := &f.finals[product]
-	return n[0].Load(), n[1].Load(), n[2].Load()
+func (f *Frontend) FinalCounts(product int) (settled, declined, voided int64) {
+	counts := &f.finalCounts[product]
+	return counts[0].Load(), counts[1].Load(), counts[2].Load()
 }
 
 // talk answers one connection's requests, one after another.
-func (f *Front) talk(p *placed) {
-	defer f.open.Done()
-	t := f.turns.Get().(*turn)
-	t.in.Reset(p)
+func (f *Frontend) serveConn(conn *clientConn) {
+	defer f.connections.Done()
+	x := f.exchanges.Get().(*exchange)
+	x.reader.Reset(conn)
 	for {
-		if f.handOn(p, t) {
+		if f.handOver(conn, x) {
 			break // to be closed and no more: the heir's connection must not end
 		}
-		if !f.once(p, t) {
-			p.part()
+		if !f.serveRequest(conn, x) {
+			conn.closeGracefully()
 			break
 		}
-		p.rest(t.in.Buffered() > 0)
+		conn.answered(x.reader.Buffered() > 0)
 		if f.closing.Load() {
-			p.end(idle) // guards against one that stays behind an answer that had begun before the end
+			conn.tryEnd(stateIdle) // guards against one that stays behind an answer that had begun before the end
 		}
 	}
-	_ = p.Close()
-	t.in.Reset(nil)
-	t.req.Reset()
-	f.turns.Put(t)
+	_ = conn.Close()
+	x.reader.Reset(nil)
+	x.request.Reset()
+	f.exchanges.Put(x)
 }
 
 // once reads a request and answers it, and tells whether the connection goes on.
-func (f *Front) once(p *placed, t *turn) bool {
-	if p.over() {
+func (f *Frontend) serveRequest(conn *clientConn, x *exchange) bool {
+	if conn.isEnded() {
 		return false
 	}
-	t.req.Reset()
-	t.res.Reset()
-	t.closes = false
-	first := p.state.Load() == fresh
-	wait := policy.IdleClient
+	x.request.Reset()
+	x.responseHead.Reset()
+	x.closeAfter = false
+	first := conn.state.Load() == stateNew
+	timeout := policy.IdleClient
 	if first {
-		wait = policy.WholeTxn
+		timeout = policy.WholeTxn
 	}
-	p.await(time.Now().Add(Millis(wait)))
-	if _, err := t.in.Peek(1); err != nil {
-		if late(err) && f.heir.Load() != nil {
+	conn.setReadDeadline(time.Now().Add(Millis(timeout)))
+	if _, err := x.reader.Peek(1); err != nil {
+		if isTimeout(err) && f.successor.Load() != nil {
 			return true
 		}
-		if first && late(err) {
-			return f.unreadable(p, t, err)
+		if first && isTimeout(err) {
+			return f.rejectUnreadable(conn, x, err)
 		}
-		return late(err) && !p.end(idle) // something has come in that moment
+		return isTimeout(err) && !conn.tryEnd(stateIdle) // something has come in that moment
 	}
 	if !first {
-		p.await(time.Now().Add(Millis(policy.WholeTxn)))
+		conn.setReadDeadline(time.Now().Add(Millis(policy.WholeTxn)))
 	}
-	h := &t.req.Header
-	if err := h.Read(t.in); err != nil {
-		return late(err) && f.heir.Load() != nil || f.unreadable(p, t, err)
+	head := &x.request.Header
+	if err := head.Read(x.reader); err != nil {
+		return isTimeout(err) && f.successor.Load() != nil || f.rejectUnreadable(conn, x, err)
 	}
-	if string(h.RequestURI()) == "/up" {
-		t.closes = h.ContentLength() > 0
+	if string(head.RequestURI()) == "/up" {
+		x.closeAfter = head.ContentLength() > 0
 		status := fasthttp.StatusOK
 		if !f.ready() || f.closing.Load() {
 			status = fasthttp.StatusInternalServerError
 		}
-		return f.reply(p, t, status, nil) == nil && !t.closes
+		return f.writeResponse(conn, x, status, nil) == nil && !x.closeAfter
 	}
-	x, err := Decode(h, h.Method(), h.RequestURI(), &f.names, f.charter.Load(), f.Nameless)
+	request, err := DecodeRequest(head, head.Method(), head.RequestURI(), &f.names, f.charter.Load(),
+		f.AllowAnonymous)
 	if err != nil {
-		return f.refuse(p, t, fasthttp.StatusBadRequest, err.Error())
+		return f.reject(conn, x, fasthttp.StatusBadRequest, err.Error())
 	}
-	if !p.come() {
+	if !conn.headReceived() {
 		return false // it was ended before
 	}
-	if t.req.MayContinue() && t.in.Buffered() == 0 {
-		if _, err := (timed{p}).Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
+	if x.request.MayContinue() && x.reader.Buffered() == 0 {
+		if _, err := (stallWriter{conn}).Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 			return false
 		}
 	}
-	if x.Body, x.Upload, err = t.body(p); err != nil {
-		return f.unreadable(p, t, err)
+	if request.Body, request.Upload, err = x.readBody(conn); err != nil {
+		return f.rejectUnreadable(conn, x, err)
 	}
-	if !p.take() {
+	if !conn.requestReceived() {
 		return false // it was ended before the body came whole
 	}
-	x.client, x.Streams = p, x.Upload != nil
-	if !p.from.IsZero() {
-		if !x.Streams {
-			x.Left = max(x.Left-p.lain(), 0)
+	request.client, request.Streams = conn, request.Upload != nil
+	if !conn.waitingSince.IsZero() {
+		if !request.Streams {
+			request.Left = max(request.Left-conn.queuedMillis(), 0)
 		}
-		p.from = time.Time{} // what comes from here on is read as it comes
+		conn.waitingSince = time.Time{} // what comes from here on is read as it comes
 	}
-	free, waited := f.marks.take(&x, Millis(x.Left))
-	if !free {
-		return f.refuse(p, t, fasthttp.StatusConflict, "X-Request-Id: a txn with this one is open")
+	idReleased, waited := f.openRequests.acquire(&request, Millis(request.Left))
+	if !idReleased {
+		return f.reject(conn, x, fasthttp.StatusConflict, "X-Request-Id: a txn with this one is open")
 	}
-	free = false
-	leave := func() { // its mark, once
-		if !free {
-			f.marks.free(x.Mark)
+	idReleased = false
+	releaseID := func() { // its mark, once
+		if !idReleased {
+			f.openRequests.release(request.RequestID)
 		}
-		free = true
+		idReleased = true
 	}
-	defer leave()
-	if !x.Streams {
-		x.Left = max(x.Left-float64(waited)/float64(time.Millisecond), 0)
+	defer releaseID()
+	if !request.Streams {
+		request.Left = max(request.Left-float64(waited)/float64(time.Millisecond), 0)
 	}
 	f.active.Add(1)
 	defer f.active.Add(-1)
-	end := f.serve(&x)
+	final := f.serve(&request)
 	// Guards against a client that has its answer, and asks again under the same id before this goroutine has
 	// gone on: it was told that its txn is open. While the rest of an answer comes it is.
-	if end.Answer == nil || end.Answer.Rest == nil {
-		leave()
+	if final.Answer == nil || final.Answer.Remainder == nil {
+		releaseID()
 	}
 	// Guards against what a client that has gone sent behind its txn: nobody waits for that either.
-	t.closes = t.closes || end.Kind == policy.Void && x.Gone()
-	if up := x.Upload; up != nil && !up.rest.whole.Load() {
-		if up.Fault() != nil {
-			return f.unreadable(p, t, up.Fault())
+	x.closeAfter = x.closeAfter || final.Kind == policy.Void && request.Gone()
+	if upload := request.Upload; upload != nil && !upload.remainder.complete.Load() {
+		if upload.Err() != nil {
+			return f.rejectUnreadable(conn, x, upload.Err())
 		}
 		// It may not read its answer before it has sent all: the answer goes at once, the rest is read past.
 		// What of that is not waited for may be on its way still.
-		if !f.answer(p, t, x.Product, end) {
+		if !f.writeFinal(conn, x, request.Product, final) {
 			return false
 		}
-		p.lingers.Store(up.Skip() != nil)
-		return !p.lingers.Load() && !t.closes
+		conn.lingerOnClose.Store(upload.Discard() != nil)
+		return !conn.lingerOnClose.Load() && !x.closeAfter
 	}
-	return f.answer(p, t, x.Product, end) && !t.closes
+	return f.writeFinal(conn, x, request.Product, final) && !x.closeAfter
 }
 
 // refuse answers what is no txn, and ends its connection: what follows there may be part of it.
-func (f *Front) refuse(p *placed, t *turn, status int, says string) bool {
-	if p.over() {
+func (f *Frontend) reject(conn *clientConn, x *exchange, status int, message string) bool {
+	if conn.isEnded() {
 		return false // it was ended from here before all of it came
 	}
-	f.broken.Add(1)
-	t.closes = true
-	p.lingers.Store(true)
-	_ = f.reply(p, t, status, []byte(says+"\n"))
+	f.malformed.Add(1)
+	x.closeAfter = true
+	conn.lingerOnClose.Store(true)
+	_ = f.writeResponse(conn, x, status, []byte(message+"\n"))
 	return false
 }
 
 // unreadable answers what is no HTTP, too long, or does not come whole in time.
-func (f *Front) unreadable(p *placed, t *turn, err error) bool {
-	var small *fasthttp.ErrSmallBuffer
+func (f *Frontend) rejectUnreadable(conn *clientConn, x *exchange, err error) bool {
+	var headTooLong *fasthttp.ErrSmallBuffer
 	switch {
 	case errors.Is(err, errTooLong):
-		return f.refuse(p, t, fasthttp.StatusRequestEntityTooLarge, "the body is too long")
-	case errors.As(err, &small):
-		return f.refuse(p, t, fasthttp.StatusRequestHeaderFieldsTooLarge, "the head is too long")
-	case late(err):
-		return f.refuse(p, t, fasthttp.StatusRequestTimeout, "no whole request has come in time")
+		return f.reject(conn, x, fasthttp.StatusRequestEntityTooLarge, "the body is too long")
+	case errors.As(err, &headTooLong):
+		return f.reject(conn, x, fasthttp.StatusRequestHeaderFieldsTooLarge, "the head is too long")
+	case isTimeout(err):
+		return f.reject(conn, x, fasthttp.StatusRequestTimeout, "no whole request has come in time")
 	}
-	return f.refuse(p, t, fasthttp.StatusBadRequest, "no request could be read")
+	return f.reject(conn, x, fasthttp.StatusBadRequest, "no request could be read")
 }
 
 // reply writes an answer that is whole. What its head says besides stands in t.res.
-func (f *Front) reply(p *placed, t *turn, status int, body []byte) error {
-	f.head(p, t, status, len(body))
-	t.out = append(t.out, body...)
-	_, err := timed{p}.Write(t.out)
+func (f *Frontend) writeResponse(conn *clientConn, x *exchange, status int, body []byte) error {
+	f.encodeHead(conn, x, status, len(body))
+	x.output = append(x.output, body...)
+	_, err := stallWriter{conn}.Write(x.output)
 	return err
 }
 
 // head encodes the head of an answer with a body of so many bytes; below nought it comes in chunks.
-func (f *Front) head(p *placed, t *turn, status, length int) {
-	h := &t.req.Header
-	t.closes = t.closes || h.ConnectionClose() || !h.IsHTTP11() || p.wanted() || f.closing.Load()
-	t.res.SetStatusCode(status)
-	t.res.SetContentLength(length)
-	t.res.SetNoDefaultContentType(true)
-	if t.closes {
-		t.res.SetConnectionClose()
-	}
-	t.out = t.res.AppendBytes(t.out[:0])
+func (f *Frontend) encodeHead(conn *clientConn, x *exchange, status, length int) {
+	head := &x.request.Header
+	x.closeAfter = x.closeAfter || head.ConnectionClose() || !head.IsHTTP11() || conn.shouldClose() ||
+		f.closing.Load()
+	x.responseHead.SetStatusCode(status)
+	x.responseHead.SetContentLength(length)
+	x.responseHead.SetNoDefaultContentType(true)
+	if x.closeAfter {
+		x.responseHead.SetConnectionClose()
+	}
+	x.output = x.responseHead.AppendBytes(x.output[:0])
 }
 
 // answer gives a txn its final answer, and tells whether that was written whole. It is counted here, as what
 // its client got. Only the module's declines are 429: it says that trying again is harmless.
-func (f *Front) answer(p *placed, t *turn, product int, end Final) bool {
-	n := &f.finals[product]
+func (f *Frontend) writeFinal(conn *clientConn, x *exchange, product int, final FinalAnswer) bool {
+	counts := &f.finalCounts[product]
 	var err error
-	switch end.Kind {
+	switch final.Kind {
 	case policy.Submit:
-		if err = f.pass(p, t, end.Answer); errors.Is(err, ErrBrokenOff) {
-			n[2].Add(1)
+		if err = f.forwardAnswer(conn, x, final.Answer); errors.Is(err, ErrTruncated) {
+			counts[2].Add(1)
 		} else {
-			n[0].Add(1)
+			counts[0].Add(1)
 		}
 	case policy.Decline:
-		if end.Wait > 0 {
-			t.res.Set("Retry-After", RetryAfter(end.Wait))
+		if final.RetryAfterMillis > 0 {
+			x.responseHead.Set("Retry-After", RetryAfter(final.RetryAfterMillis))
 		}
-		err = f.reply(p, t, fasthttp.StatusTooManyRequests, nil)
-		n[1].Add(1)
+		err = f.writeResponse(conn, x, fasthttp.StatusTooManyRequests, nil)
+		counts[1].Add(1)
 	default:
-		status, says := fasthttp.StatusInternalServerError, []byte(nil)
-		if r := end.Refusal; r != nil {
-			status, says = r.Status, []byte(r.Says+"\n")
-			for _, h := range r.Headers {
-				t.res.Add(h[0], h[1])
+		status, message := fasthttp.StatusInternalServerError, []byte(nil)
+		if rejection := final.Rejection; rejection != nil {
+			status, message = rejection.Status, []byte(rejection.Message+"\n")
+			for _, header := range rejection.Headers {
+				x.responseHead.Add(header[0], header[1])
 			}
 		}
-		err = f.reply(p, t, status, says)
-		n[2].Add(1)
+		err = f.writeResponse(conn, x, status, message)
+		counts[2].Add(1)
 	}
 	return err == nil
 }
@@ -358,74 +363,74 @@
 func RetryAfter(ms float64) string { return strconv.FormatFloat(ms/1000, 'f', 3, 64) }
 
 // pass passes a worker's answer on.
-func (f *Front) pass(p *placed, t *turn, a *Answer) error {
-	if a.Type != "" {
-		t.res.SetContentType(a.Type)
+func (f *Frontend) forwardAnswer(conn *clientConn, x *exchange, answer *Answer) error {
+	if answer.ContentType != "" {
+		x.responseHead.SetContentType(answer.ContentType)
 	}
-	if a.Coding != "" {
-		t.res.SetContentEncoding(a.Coding)
+	if answer.ContentEncoding != "" {
+		x.responseHead.SetContentEncoding(answer.ContentEncoding)
 	}
-	if a.Rest == nil {
-		return f.reply(p, t, fasthttp.StatusOK, a.Body)
+	if answer.Remainder == nil {
+		return f.writeResponse(conn, x, fasthttp.StatusOK, answer.Body)
 	}
-	f.head(p, t, fasthttp.StatusOK, a.Length)
-	narrow(p.Conn)
-	_, err := timed{p}.Write(t.out)
+	f.encodeHead(conn, x, fasthttp.StatusOK, answer.Length)
+	limitSendBuffer(conn.Conn)
+	_, err := stallWriter{conn}.Write(x.output)
 	if err == nil {
-		err = a.copyTo(timed{p})
+		err = answer.writeTo(stallWriter{conn})
 	}
-	a.over(err)
+	answer.onForwarded(err)
 	return err
 }
 
 // marks are the marks of the txns that are open. Guards against a client that sends another's mark: two txns
 // of one mark could not be told apart by workers.
-type marks struct {
+type openRequests struct {
 	mu   sync.Mutex
-	open map[string]*mark
+	byID map[string]*openRequest
 }
 
 // mark is one that is open.
-type mark struct {
-	by   *Txn
-	over chan struct{} // closed once it is free; nil while nobody waits for that
+type openRequest struct {
+	request *Request
+	done    chan struct{} // closed once it is free; nil while nobody waits for that
 }
 
 // take opens a txn's mark, unless another has it. One whose client has gone is about to be given up, and
 // is waited for, for so long at most: if nothing was sent for it the mark is free. Guards against a client
 // that has cut its connection and asks once more at once.
-func (m *marks) take(by *Txn, within time.Duration) (taken bool, waited time.Duration) {
-	for from := time.Now(); ; waited = time.Since(from) {
-		m.mu.Lock()
-		was := m.open[string(by.Mark)]
-		if was == nil {
-			m.open[string(by.Mark)] = &mark{by: by}
-			m.mu.Unlock()
+func (o *openRequests) acquire(request *Request, limit time.Duration) (acquired bool, waited time.Duration) {
+	for start := time.Now(); ; waited = time.Since(start) {
+		o.mu.Lock()
+		existing := o.byID[string(request.RequestID)]
+		if existing == nil {
+			o.byID[string(request.RequestID)] = &openRequest{request: request}
+			o.mu.Unlock()
 			return true, waited
 		}
-		if was.over == nil {
-			was.over = make(chan struct{})
+		if existing.done == nil {
+			existing.done = make(chan struct{})
 		}
-		m.mu.Unlock()
-		if !was.by.Gone() {
+		o.mu.Unlock()
+		if !existing.request.Gone() {
 			return false, waited
 		}
 		select {
-		case <-was.over:
-			if was.by.Sent {
+		case <-existing.done:
+			if existing.request.MaybeSent {
 				return false, waited
 			}
-		case <-time.After(within - time.Since(from)):
+		case <-time.After(limit - time.Since(start)):
 			return false, waited
 		}
 	}
 }
 
-func (m *marks) free(name []byte) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if over := m.open[string(name)].over; over != nil {
-		close(over)
+func (o *openRequests) release(id []byte) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if done := o.byID[string(id)].done; done != nil {
+		close(done)
 	}
-	delete(m.open, string(name))
+	delete(o.byID, string(id))
 }
--- a/internal/gateway/transport/frontend_test.go
+++ b/internal/gateway/transport/frontend_test.go
@@ -18,60 +18,62 @@
 )
 
 // door is a front on loopback whose connections are the test's to spoil, with a module that serve stands for.
-type door struct {
-	*Front
-	t  *testing.T
-	l  *Limited
-	at string
+type testFrontend struct {
+	*Frontend
+	t        *testing.T
+	listener *LimitListener
+	address  string
 }
 
-func openDoor(t *testing.T, most int, serve func(*Txn) Final) *door {
+func newTestFrontend(t *testing.T, limit int, serve func(*Request) FinalAnswer) *testFrontend {
 	t.Helper()
-	raw, at := sink(t)
+	raw, address := listen(t)
 	names := config.Names{Products: map[string]int{"check": 0, "issue": 1}, Plans: map[string]int{"basic": 0}}
 	charter := policy.Charter{Gatekeepers: 1, LargestUnits: 1,
 		Products: []policy.Product{{Repeat: policy.InquiryLike}, {Repeat: policy.OnceOnly}}}
-	f := NewFront(names, charter, serve, func() bool { return true })
-	return &door{Front: f, t: t, l: Limit(raw, most), at: at.String()}
+	frontend := NewFrontend(names, charter, serve, func() bool { return true })
+	return &testFrontend{Frontend: frontend, t: t, listener: NewLimitListener(raw, limit),
+		address: address.String()}
 }
 
 // meet has a client come, and gives both sides. spoil may put another connection in the place of the
 // gatekeeper's, and take is told of the client's before it connects.
-func (d *door) meet(spoil func(*quick) net.Conn, small bool) (*net.TCPConn, *placed) {
-	d.t.Helper()
+func (f *testFrontend) connect(wrap func(*directConn) net.Conn, smallBuffer bool) (*net.TCPConn,
+	*clientConn) {
+	f.t.Helper()
 	dial := net.Dialer{}
-	if small {
-		dial.Control = func(_, _ string, c syscall.RawConn) error {
-			return c.Control(func(fd uintptr) {
+	if smallBuffer {
+		dial.Control = func(_, _ string, client syscall.RawConn) error {
+			return client.Control(func(fd uintptr) {
 				_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 			})
 		}
 	}
-	c, err := dial.Dial("tcp", d.at)
+	client, err := dial.Dial("tcp", f.address)
 	if err != nil {
-		d.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	d.t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
-	p, err := d.l.next()
+	f.t.Cleanup(func() { client.Close() })
+	_ = client.SetDeadline(time.Now().Add(5 * time.Second))
+	conn, err := f.listener.acceptConn()
 	if err != nil {
-		d.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	if spoil != nil {
-		p.Conn = spoil(p.Conn.(*quick))
+	if wrap != nil {
+		conn.Conn = wrap(conn.Conn.(*directConn))
 	}
-	d.open.Add(1)
-	go d.talk(p)
-	return c.(*net.TCPConn), p
+	f.connections.Add(1)
+	go f.serveConn(conn)
+	return client.(*net.TCPConn), conn
 }
 
-func ask(mark string) string {
-	return "GET /check HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + mark + "\r\nPlan: basic\r\n" +
+func requestText(id string) string {
+	return "GET /check HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nPlan: basic\r\n" +
 		"Cookie: key=00000000b4d65521\r\nX-Deadline: 900m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n"
 }
 
 // status reads an answer, and gives its status line.
-func status(c net.Conn) string {
+func readStatusLine(c net.Conn) string {
 	var got []byte
 	for b := make([]byte, 1); !bytes.HasSuffix(got, []byte("\r\n\r\n")); got = append(got, b[0]) {
 		if _, err := io.ReadFull(c, b); err != nil {
@@ -82,223 +84,227 @@
 	return line
 }
 
-const settles, declines = "HTTP/1.1 200 OK", "HTTP/1.1 429 Too Many Requests"
+const okStatus, declinedStatus = "HTTP/1.1 200 OK", "HTTP/1.1 429 Too Many Requests"
 
-func till(t *testing.T, what string, f func() bool) {
+func waitFor(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
 	for range 3000 {
-		if f() {
+		if condition() {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal(what)
+	t.Fatal(failure)
 }
 
 // looked is a connection on which something happens between a look at it and what follows from that.
-type looked struct {
-	*quick
-	then func()
+type peekHook struct {
+	*directConn
+	afterPeek func()
 }
 
-func (l looked) Quiet() bool {
-	quiet := l.quick.Quiet()
-	l.then()
-	return quiet
+func (h peekHook) Quiescent() bool {
+	quiescent := h.directConn.Quiescent()
+	h.afterPeek()
+	return quiescent
 }
 
 // timedOut is a connection whose next read ends by its time limit just as something has come.
-type timedOut struct {
-	*quick
-	comes func() // or nil
+type timeoutHook struct {
+	*directConn
+	beforeTimeout func() // or nil
 }
 
-func (l *timedOut) Read(b []byte) (int, error) {
-	if f := l.comes; f != nil {
-		l.comes = nil
+func (h *timeoutHook) Read(b []byte) (int, error) {
+	if f := h.beforeTimeout; f != nil {
+		h.beforeTimeout = nil
 		f()
 		return 0, os.ErrDeadlineExceeded
 	}
-	return l.quick.Read(b)
+	return h.directConn.Read(b)
 }
 
 // A txn that comes between the look at a resting connection and its end is not read, let alone sent on, and
 // its client meets an end after which it can send the txn again, not a reset. Guards against a close over
 // bytes that have come since the look.
-func TestEndCrossed(t *testing.T) {
+func TestRequestCrossesClose(t *testing.T) {
 	var served atomic.Int64
-	d := openDoor(t, 9, func(*Txn) Final {
+	f := newTestFrontend(t, 9, func(*Request) FinalAnswer {
 		served.Add(1)
-		return Final{Kind: policy.Decline}
+		return FinalAnswer{Kind: policy.Decline}
 	})
-	var c net.Conn
+	var client net.Conn
 	crosses := false
-	c, p := d.meet(func(q *quick) net.Conn {
-		return looked{q, func() {
+	client, conn := f.connect(func(direct *directConn) net.Conn {
+		return peekHook{direct, func() {
 			if !crosses {
 				crosses = true
-				fmt.Fprint(c, ask("2"))
-				till(t, "it does not come", func() bool { n, _ := q.ahead(); return n > 0 })
+				fmt.Fprint(client, requestText("2"))
+				waitFor(t, "it does not come", func() bool { n, _ := direct.peek(); return n > 0 })
 			}
 		}}
 	}, false)
-	fmt.Fprint(c, ask("1"))
-	if s := status(c); s != declines {
-		t.Fatal(s)
-	}
-	till(t, "it does not rest", func() bool { return p.state.Load() == idle })
-	p.since.Store(time.Now().Add(-time.Second).UnixNano())
-	d.l.endIdle(time.Millisecond)
-	if !crosses || p.state.Load() != ended {
+	fmt.Fprint(client, requestText("1"))
+	if status := readStatusLine(client); status != declinedStatus {
+		t.Fatal(status)
+	}
+	waitFor(t, "it does not rest", func() bool { return conn.state.Load() == stateIdle })
+	conn.lastActivityNanos.Store(time.Now().Add(-time.Second).UnixNano())
+	f.listener.closeIdle(time.Millisecond)
+	if !crosses || conn.state.Load() != stateEnded {
 		t.Fatal("it was not ended as the txn came")
 	}
-	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+	if n, err := client.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("its client meets %d bytes, %v", n, err)
 	}
-	if q := p.Conn.(looked).quick; !p.over() {
+	if direct := conn.Conn.(peekHook).directConn; !conn.isEnded() {
 		t.Error("it goes on")
-	} else if n, _ := q.ahead(); n == 0 {
+	} else if n, _ := direct.peek(); n == 0 {
 		t.Error("the txn was read")
 	}
-	from := time.Now()
-	_ = c.Close()
-	d.Wait()
-	if took := time.Since(from); served.Load() != 1 || took > Millis(policy.Linger/2) {
+	start := time.Now()
+	_ = client.Close()
+	f.Wait()
+	if took := time.Since(start); served.Load() != 1 || took > Millis(policy.Linger/2) {
 		t.Errorf("%d txns were served; closed %v after its client", served.Load(), took)
 	}
 }
 
 // Nothing is read from a connection that has been ended, though who reads from it has not heard of that.
-func TestEndReadsNothing(t *testing.T) {
-	d := openDoor(t, 9, nil)
-	c, err := net.Dial("tcp", d.at)
+func TestNoReadAfterEnd(t *testing.T) {
+	f := newTestFrontend(t, 9, nil)
+	client, err := net.Dial("tcp", f.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	p, err := d.l.next()
+	defer client.Close()
+	conn, err := f.listener.acceptConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.Close()
-	if !p.end(fresh) {
+	defer conn.Close()
+	if !conn.tryEnd(stateNew) {
 		t.Fatal("it does not end")
 	}
-	fmt.Fprint(c, ask("1"))
-	till(t, "it does not come", func() bool { n, _ := p.Conn.(*quick).ahead(); return n > 0 })
-	p.await(time.Now().Add(time.Second)) // as one who was about to read
-	if n, err := p.Read(make([]byte, 9)); n > 0 || err == nil || late(err) {
+	fmt.Fprint(client, requestText("1"))
+	waitFor(t, "it does not come", func() bool { n, _ := conn.Conn.(*directConn).peek(); return n > 0 })
+	conn.setReadDeadline(time.Now().Add(time.Second)) // as one who was about to read
+	if n, err := conn.Read(make([]byte, 9)); n > 0 || err == nil || isTimeout(err) {
 		t.Errorf("%d bytes are read, %v", n, err)
 	}
 }
 
 // A txn that comes just as a resting connection's time is out is served. Guards against a close over it.
-func TestIdleEndCrossed(t *testing.T) {
-	d := openDoor(t, 9, func(*Txn) Final { return Final{Kind: policy.Decline} })
-	rested := false
-	c, _ := d.meet(func(q *quick) net.Conn {
-		l, read := &timedOut{quick: q}, q.in.call
-		q.in.call = func(fd uintptr) bool { // the first txn is read: the next read is the resting one
+func TestRequestCrossesIdleTimeout(t *testing.T) {
+	f := newTestFrontend(t, 9, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Decline} })
+	hooked := false
+	client, _ := f.connect(func(direct *directConn) net.Conn {
+		hook, read := &timeoutHook{directConn: direct}, direct.reading.call
+		direct.reading.call = func(fd uintptr) bool { // the first txn is read: the next read is the resting one
 			done := read(fd)
-			if !rested && q.in.n > 0 {
-				rested = true
-				l.comes = func() {
-					till(t, "it does not come", func() bool { n, _ := q.ahead(); return n > 0 })
+			if !hooked && direct.reading.done > 0 {
+				hooked = true
+				hook.beforeTimeout = func() {
+					waitFor(t, "it does not come", func() bool { n, _ := direct.peek(); return n > 0 })
 				}
 			}
 			return done
 		}
-		return l
+		return hook
 	}, false)
-	fmt.Fprint(c, ask("1"))
-	if s := status(c); s != declines {
-		t.Fatal(s)
+	fmt.Fprint(client, requestText("1"))
+	if status := readStatusLine(client); status != declinedStatus {
+		t.Fatal(status)
 	}
-	fmt.Fprint(c, ask("2"))
-	if s := status(c); s != declines {
-		t.Errorf("the second txn gets %q", s)
+	fmt.Fprint(client, requestText("2"))
+	if status := readStatusLine(client); status != declinedStatus {
+		t.Errorf("the second txn gets %q", status)
 	}
 }
 
 // An answer that ends its connection reaches a client that has sent more behind its txn, and is slow to read.
 // Guards against a close over unread bytes, which would take what has not been delivered with it.
-func TestAnswerBeforeEnd(t *testing.T) {
+func TestAnswerDeliveredBeforeClose(t *testing.T) {
 	body := bytes.Repeat([]byte("txn "), 16<<10)
 	var served atomic.Int64
-	on := make(chan bool)
-	d := openDoor(t, 9, func(*Txn) Final {
+	proceed := make(chan bool)
+	f := newTestFrontend(t, 9, func(*Request) FinalAnswer {
 		served.Add(1)
-		<-on
-		return Final{Kind: policy.Submit, Answer: &Answer{Outcome: policy.Settled, Body: body, Length: len(body)}}
+		<-proceed
+		return FinalAnswer{Kind: policy.Submit, Answer: &Answer{Outcome: policy.Settled, Body: body,
+			Length: len(body)}}
 	})
-	c, p := d.meet(nil, true)
-	fmt.Fprint(c, ask("1"))
-	till(t, "it is not taken", func() bool { return p.state.Load() == taken })
-	fmt.Fprint(c, ask("2"))
-	till(t, "no more comes", func() bool { n, _ := p.Conn.(*quick).ahead(); return n > 0 })
-	d.Front.Close()
-	close(on)
-	raw, _ := p.raw()
-	till(t, "it does not end", func() bool { return p.parts.Load() || raw.Control(func(uintptr) {}) != nil })
-	got, err := io.ReadAll(c)
+	client, conn := f.connect(nil, true)
+	fmt.Fprint(client, requestText("1"))
+	waitFor(t, "it is not taken", func() bool { return conn.state.Load() == stateServing })
+	fmt.Fprint(client, requestText("2"))
+	waitFor(t, "no more comes", func() bool { n, _ := conn.Conn.(*directConn).peek(); return n > 0 })
+	f.Frontend.Close()
+	close(proceed)
+	raw, _ := conn.syscallConn()
+	waitFor(t, "it does not end", func() bool {
+		return conn.closing.Load() ||
+			raw.Control(func(uintptr) {}) != nil
+	})
+	got, err := io.ReadAll(client)
 	if _, b, _ := bytes.Cut(got, []byte("\r\n\r\n")); err != nil || !bytes.Equal(b, body) {
 		t.Errorf("%d bytes came, %v", len(got), err)
 	}
-	_ = c.Close()
-	if d.Wait(); served.Load() != 1 {
+	_ = client.Close()
+	if f.Wait(); served.Load() != 1 {
 		t.Errorf("%d txns were served", served.Load())
 	}
 }
 
 // A connection that has had its last answer goes once its client does, and no later than Linger; its place is
 // another's at once.
-func TestPart(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		do   func(c *net.TCPConn)
-		most float64
+func TestGracefulClose(t *testing.T) {
+	for _, tc := range []struct {
+		name        string
+		do          func(tc *net.TCPConn)
+		limitMillis float64
 	}{
-		{"closed", func(c *net.TCPConn) { c.Close() }, policy.Linger / 2},
-		{"more sent, and closed", func(c *net.TCPConn) { fmt.Fprint(c, "GET"); c.Close() }, policy.Linger / 2},
-		{"reset", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, policy.Linger / 2},
+		{"closed", func(tc *net.TCPConn) { tc.Close() }, policy.Linger / 2},
+		{"more sent, and closed", func(tc *net.TCPConn) { fmt.Fprint(tc, "GET"); tc.Close() }, policy.Linger / 2},
+		{"reset", func(tc *net.TCPConn) { tc.SetLinger(0); tc.Close() }, policy.Linger / 2},
 		{"kept", func(*net.TCPConn) {}, 2 * policy.Linger},
-		{"more sent, and kept", func(c *net.TCPConn) { fmt.Fprint(c, "GET") }, 2 * policy.Linger},
+		{"more sent, and kept", func(tc *net.TCPConn) { fmt.Fprint(tc, "GET") }, 2 * policy.Linger},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			d := openDoor(t, 1, func(*Txn) Final { return Final{Kind: policy.Decline} })
-			d.Front.Close()
-			client, _ := d.meet(nil, false)
-			fmt.Fprint(client, ask("1"))
-			if s := status(client); s != declines {
-				t.Fatal(s)
+		t.Run(tc.name, func(t *testing.T) {
+			f := newTestFrontend(t, 1, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Decline} })
+			f.Frontend.Close()
+			client, _ := f.connect(nil, false)
+			fmt.Fprint(client, requestText("1"))
+			if status := readStatusLine(client); status != declinedStatus {
+				t.Fatal(status)
 			}
-			from := time.Now()
-			c.do(client)
-			d.Wait()
-			if took := time.Since(from); took > Millis(c.most) || len(d.l.open) > 0 {
-				t.Errorf("gone after %v, %d open", took, len(d.l.open))
+			start := time.Now()
+			tc.do(client)
+			f.Wait()
+			if took := time.Since(start); took > Millis(tc.limitMillis) || len(f.listener.open) > 0 {
+				t.Errorf("gone after %v, %d open", took, len(f.listener.open))
 			}
 		})
 	}
 	t.Run("its place is wanted", func(t *testing.T) {
-		d := openDoor(t, 1, func(*Txn) Final { return Final{Kind: policy.Decline} })
-		d.Front.Close()
-		client, p := d.meet(nil, false)
-		fmt.Fprint(client, ask("1"))
-		status(client)
-		till(t, "it does not end", func() bool { return p.parts.Load() })
-		from := time.Now()
-		d.meet(nil, false)
-		if took := time.Since(from); took > Millis(policy.Linger/2) || d.l.Shed() > 0 {
-			t.Errorf("the next had a place after %v, %d were shed", took, d.l.Shed())
+		f := newTestFrontend(t, 1, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Decline} })
+		f.Frontend.Close()
+		client, conn := f.connect(nil, false)
+		fmt.Fprint(client, requestText("1"))
+		readStatusLine(client)
+		waitFor(t, "it does not end", func() bool { return conn.closing.Load() })
+		start := time.Now()
+		f.connect(nil, false)
+		if took := time.Since(start); took > Millis(policy.Linger/2) || f.listener.Evicted() > 0 {
+			t.Errorf("the next had a place after %v, %d were shed", took, f.listener.Evicted())
 		}
 	})
 }
 
 // What a client has done shows without a read, also behind bytes that lie unread, and whichever error its end
 // brought.
-func TestGone(t *testing.T) {
-	l, at := sink(t)
+func TestClientGone(t *testing.T) {
+	listener, address := listen(t)
 	for _, c := range []struct {
 		name string
 		do   func(c *net.TCPConn)
@@ -315,26 +321,26 @@
 		{"closed, and reset", func(c *net.TCPConn) { c.CloseWrite(); c.SetLinger(0); c.Close() }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			theirs, err := net.Dial("tcp", at.String())
+			client, err := net.Dial("tcp", address.String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer theirs.Close()
-			ours, err := l.Accept()
+			defer client.Close()
+			accepted, err := listener.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer ours.Close()
-			q := hasten(ours).(*quick)
-			c.do(theirs.(*net.TCPConn))
+			defer accepted.Close()
+			direct := bypassScheduler(accepted).(*directConn)
+			c.do(client.(*net.TCPConn))
 			if c.gone {
-				till(t, "it is not seen", q.Gone)
+				waitFor(t, "it is not seen", direct.Gone)
 			}
 			if strings.Contains(c.name, "more") && !strings.Contains(c.name, "reset") {
-				till(t, "what was sent is lost", func() bool { n, _ := q.ahead(); return n > 0 })
+				waitFor(t, "what was sent is lost", func() bool { n, _ := direct.peek(); return n > 0 })
 			}
 			for range 3 { // an error is told once by the kernel
-				if q.Gone() != c.gone {
+				if direct.Gone() != c.gone {
 					t.Errorf("gone %v, want %v", !c.gone, c.gone)
 				}
 			}
@@ -343,63 +349,63 @@
 }
 
 // scarce is a listener without descriptors for a while.
-type scarce struct {
+type exhaustedListener struct {
 	net.Listener
-	tries atomic.Int64 // that fail
+	failures atomic.Int64 // that fail
 }
 
-func (s *scarce) Accept() (net.Conn, error) {
-	if s.tries.Add(-1) >= 0 {
+func (l *exhaustedListener) Accept() (net.Conn, error) {
+	if l.failures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
-	return s.Listener.Accept()
+	return l.Listener.Accept()
 }
 
 // Clients who hold the last descriptors give some back for good, and the next take no more than are left.
 // Guards against a listener that takes each descriptor that is freed while the watch and workers get none.
 func TestOutOfDescriptors(t *testing.T) {
 	const clients = 40
-	d := openDoor(t, 5*clients, func(*Txn) Final { return Final{Kind: policy.Decline} })
-	raw := &scarce{Listener: d.l.Listener}
-	d.l.Listener = raw
-	long := time.Now().Add(-2 * Millis(policy.IdleLong)).UnixNano()
-	var all []net.Conn
+	f := newTestFrontend(t, 5*clients, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Decline} })
+	raw := &exhaustedListener{Listener: f.listener.Listener}
+	f.listener.Listener = raw
+	longAgo := time.Now().Add(-2 * Millis(policy.IdleLong)).UnixNano()
+	var accepted []net.Conn
 	for i := range clients {
-		c, p := d.meet(nil, false)
-		fmt.Fprint(c, ask(fmt.Sprint(i)))
-		if s := status(c); s != declines {
+		client, conn := f.connect(nil, false)
+		fmt.Fprint(client, requestText(fmt.Sprint(i)))
+		if s := readStatusLine(client); s != declinedStatus {
 			t.Fatal(s)
 		}
-		till(t, "it does not rest", func() bool { return p.state.Load() == idle })
-		p.since.Store(long)
-		all = append(all, c)
-	}
-	raw.tries.Store(1)
-	d.meet(nil, false)
-	d.l.mu.Lock()
-	n, most := len(d.l.open), d.l.most
-	d.l.mu.Unlock()
-	if n > clients-policy.SpareFiles || most > clients-policy.SpareFiles {
-		t.Errorf("%d are open, of at most %d", n, most)
-	}
-	if s := d.l.Shed(); s < policy.SpareFiles || s > policy.SpareFiles+1 {
+		waitFor(t, "it does not rest", func() bool { return conn.state.Load() == stateIdle })
+		conn.lastActivityNanos.Store(longAgo)
+		accepted = append(accepted, client)
+	}
+	raw.failures.Store(1)
+	f.connect(nil, false)
+	f.listener.mu.Lock()
+	open, limit := len(f.listener.open), f.listener.limit
+	f.listener.mu.Unlock()
+	if open > clients-policy.SpareFiles || limit > clients-policy.SpareFiles {
+		t.Errorf("%d are open, of at most %d", open, limit)
+	}
+	if s := f.listener.Evicted(); s < policy.SpareFiles || s > policy.SpareFiles+1 {
 		t.Errorf("%d were ended", s)
 	}
-	ends := 0
-	for _, c := range all {
-		_ = c.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
-		if _, err := c.Read(make([]byte, 1)); !late(err) {
-			ends++
+	closed := 0
+	for _, client := range accepted {
+		_ = client.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
+		if _, err := client.Read(make([]byte, 1)); !isTimeout(err) {
+			closed++
 		}
 	}
-	if int64(ends) != d.l.Shed() {
-		t.Errorf("%d clients see an end", ends)
+	if int64(closed) != f.listener.Evicted() {
+		t.Errorf("%d clients see an end", closed)
 	}
 }
 
 // The mark of a txn whose client has gone is free for the same txn once that is given up, unless something
 // was sent for it.
-func TestMarkOfOneThatHasGone(t *testing.T) {
+func TestRequestIDAfterClientGone(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		leaves bool
@@ -407,90 +413,90 @@
 		want   string
 	}{
 		{"it waits still", false, false, "HTTP/1.1 409 Conflict"},
-		{"it has gone, and nothing was sent", true, false, declines},
+		{"it has gone, and nothing was sent", true, false, declinedStatus},
 		{"it has gone, and something was sent", true, true, "HTTP/1.1 409 Conflict"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			on := make(chan bool)
+			proceed := make(chan bool)
 			var first, served atomic.Int64
 			var gone atomic.Bool
-			d := openDoor(t, 9, func(x *Txn) Final {
+			f := newTestFrontend(t, 9, func(request *Request) FinalAnswer {
 				served.Add(1)
 				if first.Add(1) > 1 {
-					return Final{Kind: policy.Decline}
+					return FinalAnswer{Kind: policy.Decline}
 				}
-				for c.leaves && !x.Gone() {
+				for c.leaves && !request.Gone() {
 					time.Sleep(time.Millisecond)
 				}
 				gone.Store(c.leaves)
-				<-on
-				x.Sent = c.sent
-				return Final{Kind: policy.Void}
+				<-proceed
+				request.MaybeSent = c.sent
+				return FinalAnswer{Kind: policy.Void}
 			})
-			a, p := d.meet(nil, false)
-			fmt.Fprint(a, ask("1"))
-			till(t, "it is not taken", func() bool { return p.state.Load() == taken })
+			a, firstConn := f.connect(nil, false)
+			fmt.Fprint(a, requestText("1"))
+			waitFor(t, "it is not taken", func() bool { return firstConn.state.Load() == stateServing })
 			if c.leaves {
 				_ = a.Close()
 			}
-			till(t, "it is not seen", func() bool { return gone.Load() == c.leaves })
-			b, q := d.meet(nil, false)
-			fmt.Fprint(b, ask("1"))
-			till(t, "it is not read", func() bool { return q.state.Load() == taken })
+			waitFor(t, "it is not seen", func() bool { return gone.Load() == c.leaves })
+			b, secondConn := f.connect(nil, false)
+			fmt.Fprint(b, requestText("1"))
+			waitFor(t, "it is not read", func() bool { return secondConn.state.Load() == stateServing })
 			if c.leaves {
 				if served.Load() > 1 {
 					t.Error("two of one mark are out")
 				}
-				close(on)
+				close(proceed)
 			} else {
-				defer close(on)
+				defer close(proceed)
 			}
-			if s := status(b); s != c.want {
-				t.Errorf("the second gets %q", s)
+			if status := readStatusLine(b); status != c.want {
+				t.Errorf("the second gets %q", status)
 			}
 		})
 	}
 }
 
 // after is a connection whose writes return once a signal has come behind them.
-type after struct {
-	*quick
-	wrote chan<- struct{}
-	on    <-chan struct{}
+type writeHook struct {
+	*directConn
+	wrote   chan<- struct{}
+	proceed <-chan struct{}
 }
 
-func (a after) Write(b []byte) (int, error) {
-	n, err := a.quick.Write(b)
-	a.wrote <- struct{}{}
-	<-a.on
+func (h writeHook) Write(b []byte) (int, error) {
+	n, err := h.directConn.Write(b)
+	h.wrote <- struct{}{}
+	<-h.proceed
 	return n, err
 }
 
 // A client that has its final answer may ask under the same id at once, on another connection, however late
 // the goroutine of the first goes on. Guards against a 409 for a txn that has ended.
-func TestMarkOfOneAnswered(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		end  Final
-		want string
+func TestRequestIDAfterAnswer(t *testing.T) {
+	for _, tc := range []struct {
+		name  string
+		final FinalAnswer
+		want  string
 	}{
-		{"declined", Final{Kind: policy.Decline}, declines},
-		{"voided", Final{Kind: policy.Void}, "HTTP/1.1 500 Internal Server Error"},
+		{"declined", FinalAnswer{Kind: policy.Decline}, declinedStatus},
+		{"voided", FinalAnswer{Kind: policy.Void}, "HTTP/1.1 500 Internal Server Error"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			d := openDoor(t, 9, func(*Txn) Final { return c.end })
-			wrote, on := make(chan struct{}, 9), make(chan struct{})
-			defer close(on)
-			a, _ := d.meet(func(q *quick) net.Conn { return after{q, wrote, on} }, false)
-			fmt.Fprint(a, ask("1"))
-			if s := status(a); s != c.want {
-				t.Fatalf("the first gets %q", s)
+		t.Run(tc.name, func(t *testing.T) {
+			f := newTestFrontend(t, 9, func(*Request) FinalAnswer { return tc.final })
+			wrote, proceed := make(chan struct{}, 9), make(chan struct{})
+			defer close(proceed)
+			a, _ := f.connect(func(direct *directConn) net.Conn { return writeHook{direct, wrote, proceed} }, false)
+			fmt.Fprint(a, requestText("1"))
+			if status := readStatusLine(a); status != tc.want {
+				t.Fatalf("the first gets %q", status)
 			}
 			<-wrote // and its goroutine stands there
-			b, _ := d.meet(nil, false)
-			fmt.Fprint(b, ask("1"))
-			if s := status(b); s != c.want {
-				t.Errorf("the second gets %q", s)
+			b, _ := f.connect(nil, false)
+			fmt.Fprint(b, requestText("1"))
+			if status := readStatusLine(b); status != tc.want {
+				t.Errorf("the second gets %q", status)
 			}
 		})
 	}
@@ -499,8 +505,8 @@
 // Small writes go out at once, on connections taken here, from a listener that was inherited, and from
 // another process. Guards against an answer that the kernel holds back and a reset takes with it.
 func TestNoDelay(t *testing.T) {
-	l, _ := sink(t)
-	file, err := l.(*net.TCPListener).File()
+	listener, _ := listen(t)
+	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -510,8 +516,8 @@
 		t.Fatal(err)
 	}
 	defer inherited.Close()
-	d := openDoor(t, 9, nil)
-	come := func(at net.Listener) net.Conn {
+	f := newTestFrontend(t, 9, nil)
+	accept := func(at net.Listener) net.Conn {
 		theirs, err := net.Dial("tcp", at.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -524,117 +530,120 @@
 		t.Cleanup(func() { ours.Close() })
 		return ours
 	}
-	handed := come(l)
+	handed := accept(listener)
 	_ = handed.(*net.TCPConn).SetNoDelay(false)
-	f, err := handed.(*net.TCPConn).File()
+	duplicate, err := handed.(*net.TCPConn).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	adopted, err := net.FileConn(f)
+	defer duplicate.Close()
+	adopted, err := net.FileConn(duplicate)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, c := range map[string]net.Conn{"taken": come(l), "inherited": come(inherited),
+	for name, c := range map[string]net.Conn{"taken": accept(listener), "inherited": accept(inherited),
 		"adopted": adopted} {
-		p := d.l.admit(c)
-		raw, err := p.raw()
+		conn := f.listener.admit(c)
+		raw, err := conn.syscallConn()
 		if err != nil {
 			t.Fatal(err)
 		}
-		on := 0
+		noDelay := 0
 		_ = raw.Control(func(fd uintptr) {
-			on, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+			noDelay, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
 		})
-		if on == 0 || err != nil {
-			t.Errorf("%s: %d, %v", name, on, err)
+		if noDelay == 0 || err != nil {
+			t.Errorf("%s: %d, %v", name, noDelay, err)
 		}
-		_ = p.Close()
+		_ = conn.Close()
 	}
 }
 
 // Once the process ends, what is being read may pause for a moment only, and what is in hand counts as given
 // up when that is said.
-func TestHurry(t *testing.T) {
-	d := openDoor(t, 9, func(x *Txn) Final {
-		for !x.Gone() {
+func TestHurryReads(t *testing.T) {
+	f := newTestFrontend(t, 9, func(request *Request) FinalAnswer {
+		for !request.Gone() {
 			time.Sleep(time.Millisecond)
 		}
-		return Final{Kind: policy.Void}
+		return FinalAnswer{Kind: policy.Void}
 	})
-	half, p := d.meet(nil, false)
-	fmt.Fprint(half, ask("1")[:40])
-	till(t, "it is not read", func() bool { return p.state.Load() == opening })
-	whole, q := d.meet(nil, false)
-	fmt.Fprint(whole, ask("2"))
-	till(t, "it is not taken", func() bool { return q.state.Load() == taken })
-	from := time.Now()
-	d.l.Hurry()
-	if s := status(half); s != "HTTP/1.1 408 Request Timeout" || time.Since(from) > Millis(policy.Linger) {
-		t.Errorf("half a txn gets %q after %v", s, time.Since(from))
-	}
-	next, _ := d.meet(nil, false)
-	fmt.Fprint(next, ask("3")[:40])
-	if s := status(next); s != "HTTP/1.1 408 Request Timeout" || time.Since(from) > 2*Millis(policy.Linger) {
-		t.Errorf("half a txn after it gets %q after %v", s, time.Since(from))
-	}
-	if q.state.Load() != taken {
+	partial, partialConn := f.connect(nil, false)
+	fmt.Fprint(partial, requestText("1")[:40])
+	waitFor(t, "it is not read", func() bool { return partialConn.state.Load() == stateReadingFirst })
+	complete, completeConn := f.connect(nil, false)
+	fmt.Fprint(complete, requestText("2"))
+	waitFor(t, "it is not taken", func() bool { return completeConn.state.Load() == stateServing })
+	start := time.Now()
+	f.listener.HurryReads()
+	if status := readStatusLine(partial); status != "HTTP/1.1 408 Request Timeout" ||
+		time.Since(start) > Millis(policy.Linger) {
+		t.Errorf("half a txn gets %q after %v", status, time.Since(start))
+	}
+	next, _ := f.connect(nil, false)
+	fmt.Fprint(next, requestText("3")[:40])
+	if status := readStatusLine(next); status != "HTTP/1.1 408 Request Timeout" ||
+		time.Since(start) > 2*Millis(policy.Linger) {
+		t.Errorf("half a txn after it gets %q after %v", status, time.Since(start))
+	}
+	if completeConn.state.Load() != stateServing {
 		t.Error("what is in hand was given up with it")
 	}
-	d.l.GiveUp()
-	if s := status(whole); s != "HTTP/1.1 "+fmt.Sprint(http.StatusInternalServerError)+" Internal Server Error" {
-		t.Errorf("what is in hand gets %q", s)
+	f.listener.AbandonRequests()
+	if status := readStatusLine(complete); status != "HTTP/1.1 "+fmt.Sprint(http.StatusInternalServerError)+" Internal Server Error" {
+		t.Errorf("what is in hand gets %q", status)
 	}
 }
 
 // A connection that is being given to another process is not ended here meanwhile. Guards against an heir
 // that reads and sends on what comes behind an end.
-func TestHandOnIsNotEnded(t *testing.T) {
-	d := openDoor(t, 9, func(*Txn) Final { return Final{Kind: policy.Decline} })
-	c, p := d.meet(nil, false)
-	fmt.Fprint(c, ask("1"))
-	if s := status(c); s != declines {
-		t.Fatal(s)
-	}
-	till(t, "it does not rest", func() bool { return p.state.Load() == idle })
-	heirs := -1
-	d.HandOn(d.l, func(raw syscall.RawConn, _ bool, _ []byte) bool {
-		p.since.Store(time.Now().Add(-time.Second).UnixNano())
-		d.l.endIdle(time.Millisecond)
-		return raw.Control(func(fd uintptr) { heirs, _ = syscall.Dup(int(fd)) }) == nil
+func TestHandOverIsNotClosed(t *testing.T) {
+	f := newTestFrontend(t, 9, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Decline} })
+	client, conn := f.connect(nil, false)
+	fmt.Fprint(client, requestText("1"))
+	if status := readStatusLine(client); status != declinedStatus {
+		t.Fatal(status)
+	}
+	waitFor(t, "it does not rest", func() bool { return conn.state.Load() == stateIdle })
+	successorFD := -1
+	f.HandOver(f.listener, func(raw syscall.RawConn, _ bool, _ []byte) bool {
+		conn.lastActivityNanos.Store(time.Now().Add(-time.Second).UnixNano())
+		f.listener.closeIdle(time.Millisecond)
+		return raw.Control(func(fd uintptr) { successorFD, _ = syscall.Dup(int(fd)) }) == nil
 	})
-	d.Wait()
-	if heirs < 0 {
+	f.Wait()
+	if successorFD < 0 {
 		t.Fatal("it is not handed on")
 	}
-	defer syscall.Close(heirs)
-	_ = c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	if n, err := c.Read(make([]byte, 1)); !late(err) {
+	defer syscall.Close(successorFD)
+	_ = client.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	if n, err := client.Read(make([]byte, 1)); !isTimeout(err) {
 		t.Errorf("its client meets %d bytes, %v", n, err)
 	}
 }
 
 // An answer ahead of a body that is not waited for any longer reaches a client that has to send all of it
 // first. Guards against a close over what is still on its way.
-func TestAnswerAheadOfLateBody(t *testing.T) {
+func TestAnswerBeforeRestOfBody(t *testing.T) {
 	const size = 800 << 10
-	d := openDoor(t, 9, func(x *Txn) Final {
-		x.Upload.Settle()
-		return Final{Kind: policy.Decline}
+	f := newTestFrontend(t, 9, func(request *Request) FinalAnswer {
+		request.Upload.StopAndWait()
+		return FinalAnswer{Kind: policy.Decline}
 	})
-	d.l.Hurry()
-	c, p := d.meet(nil, false)
-	fmt.Fprint(c, strings.Replace(strings.Replace(ask("1"), "GET /check", "POST /issue", 1), "\r\n\r\n",
+	f.listener.HurryReads()
+	client, conn := f.connect(nil, false)
+	fmt.Fprint(client, strings.Replace(strings.Replace(requestText("1"), "GET /check", "POST /issue", 1),
+		"\r\n\r\n",
 		fmt.Sprintf("\r\nContent-Length: %d\r\n\r\nx", size), 1))
-	till(t, "it is waited for", p.parts.Load)
-	_ = c.SetWriteBuffer(4096) // it is not sent before it is taken
-	if _, err := c.Write(make([]byte, size-1)); err != nil {
+	waitFor(t, "it is waited for", conn.closing.Load)
+	_ = client.SetWriteBuffer(4096) // it is not sent before it is taken
+	if _, err := client.Write(make([]byte, size-1)); err != nil {
 		t.Error(err)
 	}
-	if s := status(c); s != declines {
-		t.Errorf("it gets %q", s)
+	if status := readStatusLine(client); status != declinedStatus {
+		t.Errorf("it gets %q", status)
 	}
-	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := client.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("behind its answer: %v", err)
 	}
 }
@@ -642,34 +651,34 @@
 // A txn that lay in a connection which waited for its place has that much less of its time left, also where
 // it waited behind another in the listener's queue. Guards against a client's time that begins anew with its
 // place: its answer came late by the wait, and its worker was told more than was left.
-func TestWaitForPlaceCounts(t *testing.T) {
-	const step, all = 300 * time.Millisecond, 900 * time.Millisecond
-	const slack = 20 * time.Millisecond // of the kernel's clock
-	lefts := make(chan time.Duration, 3)
+func TestQueueingReducesDeadline(t *testing.T) {
+	const step, deadline = 300 * time.Millisecond, 900 * time.Millisecond
+	const tolerance = 20 * time.Millisecond // of the kernel's clock
+	remaining := make(chan time.Duration, 3)
 	next := make(chan struct{})
-	d := openDoor(t, 1, func(x *Txn) Final {
-		lefts <- Millis(x.Left)
+	f := newTestFrontend(t, 1, func(request *Request) FinalAnswer {
+		remaining <- Millis(request.Left)
 		<-next
-		return Final{Kind: policy.Decline}
+		return FinalAnswer{Kind: policy.Decline}
 	})
-	go d.Serve(d.l)
+	go f.Serve(f.listener)
 	var sent [3][2]time.Time // about when each was written
 	for i := range sent {
-		c, err := net.Dial("tcp", d.at)
+		client, err := net.Dial("tcp", f.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		sent[i][0] = time.Now()
-		if _, err := io.WriteString(c, ask(fmt.Sprint(i))); err != nil {
+		if _, err := io.WriteString(client, requestText(fmt.Sprint(i))); err != nil {
 			t.Fatal(err)
 		}
 		sent[i][1] = time.Now()
 		go func() {
-			defer c.Close()
-			_, _ = io.Copy(io.Discard, c)
+			defer client.Close()
+			_, _ = io.Copy(io.Discard, client)
 		}()
 		if i == 0 { // it has the one place before the others come
-			if left := <-lefts; left != all {
+			if left := <-remaining; left != deadline {
 				t.Errorf("the first has %v left", left)
 			}
 		}
@@ -678,30 +687,30 @@
 		time.Sleep(step)
 		before := time.Now()
 		next <- struct{}{}
-		left := <-lefts
-		least, most := all-time.Since(sent[i][0])-slack, all-before.Sub(sent[i][1])+slack
-		if left < least || left > most {
-			t.Errorf("txn %d has %v left, and not from %v to %v", i, left, least, most)
+		left := <-remaining
+		shortest, longest := deadline-time.Since(sent[i][0])-tolerance, deadline-before.Sub(sent[i][1])+tolerance
+		if left < shortest || left > longest {
+			t.Errorf("txn %d has %v left, and not from %v to %v", i, left, shortest, longest)
 		}
 	}
 	next <- struct{}{}
-	d.l.Close()
-	d.Wait()
+	f.listener.Close()
+	f.Wait()
 }
 
 // So has a txn that came with the one before it, and lay in the buffer until that had its answer.
-func TestWaitBehindAnotherCounts(t *testing.T) {
-	const step, all = 200 * time.Millisecond, 900 * time.Millisecond
-	lefts, next := make(chan time.Duration, 3), make(chan struct{})
-	d := openDoor(t, 9, func(x *Txn) Final {
-		lefts <- Millis(x.Left)
+func TestPipeliningReducesDeadline(t *testing.T) {
+	const step, deadline = 200 * time.Millisecond, 900 * time.Millisecond
+	remaining, next := make(chan time.Duration, 3), make(chan struct{})
+	f := newTestFrontend(t, 9, func(request *Request) FinalAnswer {
+		remaining <- Millis(request.Left)
 		<-next
-		return Final{Kind: policy.Decline}
+		return FinalAnswer{Kind: policy.Decline}
 	})
-	c, _ := d.meet(nil, false)
+	client, _ := f.connect(nil, false)
 	written := time.Now()
-	fmt.Fprint(c, ask("1")+ask("2")+ask("3"))
-	came := time.Time{}
+	fmt.Fprint(client, requestText("1")+requestText("2")+requestText("3"))
+	readBy := time.Time{}
 	for i := range 3 {
 		turn := time.Now()
 		if i > 0 {
@@ -709,18 +718,19 @@
 			turn = time.Now()
 			next <- struct{}{}
 		}
-		left := <-lefts
-		if came.IsZero() {
-			came = time.Now() // it has been read by then
+		left := <-remaining
+		if readBy.IsZero() {
+			readBy = time.Now() // it has been read by then
 		}
-		if least, most := all-time.Since(written), all-max(turn.Sub(came), 0); left < least || left > most {
-			t.Errorf("txn %d has %v left, and not from %v to %v", i, left, least, most)
+		if shortest, longest := deadline-time.Since(written), deadline-max(turn.Sub(readBy),
+			0); left < shortest || left > longest {
+			t.Errorf("txn %d has %v left, and not from %v to %v", i, left, shortest, longest)
 		}
 	}
 	next <- struct{}{}
 	for range 3 {
-		if s := status(c); s != declines {
-			t.Error(s)
+		if status := readStatusLine(client); status != declinedStatus {
+			t.Error(status)
 		}
 	}
 }
--- a/internal/gateway/transport/fuzz_test.go
+++ b/internal/gateway/transport/fuzz_test.go
@@ -16,7 +16,7 @@
 )
 
 // Whatever a client sends, a txn that is taken is one that the module can reckon with.
-func FuzzTxn(f *testing.F) {
+func FuzzRequest(f *testing.F) {
 	names := config.Names{Products: map[string]int{"check": 0, "sale": 1}, Plans: map[string]int{"basic": 0}}
 	charter := policy.Charter{Gatekeepers: 3, LargestUnits: 4,
 		Products: []policy.Product{{Repeat: policy.InquiryLike}, {Repeat: policy.Referenced}}}
@@ -28,20 +28,22 @@
 		"2\r\nab\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var req fasthttp.Request
-		if req.ReadLimitBody(bufio.NewReader(bytes.NewReader(raw)), MostBody) != nil {
+		if req.ReadLimitBody(bufio.NewReader(bytes.NewReader(raw)), MaxBodyBytes) != nil {
 			return
 		}
-		got, err := Decode(&req.Header, req.Header.Method(), req.Header.RequestURI(), &names, &charter, false)
+		request, err := DecodeRequest(&req.Header, req.Header.Method(), req.Header.RequestURI(), &names, &charter,
+			false)
 		if err != nil {
 			return
 		}
-		in := got.Units > 0 && got.Units <= charter.LargestUnits && got.Left > 0 &&
-			got.Left <= policy.LongestWait &&
-			got.SetSize > 0 && got.SetSize <= 3 && got.First < 3 &&
-			got.Customer < 1<<33
-		clean := len(got.Mark) > 0 && !bytes.ContainsAny(append(got.Mark, got.Target...), "\r\n ")
-		if !in || !clean {
-			t.Errorf("%q is taken as %+v", raw, got)
+		inBounds := request.Units > 0 && request.Units <= charter.LargestUnits && request.Left > 0 &&
+			request.Left <= policy.LongestWait &&
+			request.SetSize > 0 && request.SetSize <= 3 && request.First < 3 &&
+			request.Customer < 1<<33
+		clean := len(request.RequestID) > 0 && !bytes.ContainsAny(append(request.RequestID, request.Target...),
+			"\r\n ")
+		if !inBounds || !clean {
+			t.Errorf("%q is taken as %+v", raw, request)
 		}
 	})
 }
@@ -65,24 +67,24 @@
 			_, _ = theirs.Write(raw)
 			theirs.Close()
 		}()
-		l := newLink(ours, 0)
-		l.Until(time.Now().Add(time.Second))
-		a, err := l.Receive(nil)
-		if err != nil || a.Outcome != policy.Settled {
+		conn := newWorkerConn(ours, 0)
+		conn.SetDeadline(time.Now().Add(time.Second))
+		answer, err := conn.Receive(nil)
+		if err != nil || answer.Outcome != policy.Settled {
 			return
 		}
-		if len(a.Body) > MostBody || !bytes.Contains(raw, []byte("200")) || len(a.Body) > len(raw) {
-			t.Errorf("%q settles with %d bytes", raw, len(a.Body))
+		if len(answer.Body) > MaxBodyBytes || !bytes.Contains(raw, []byte("200")) || len(answer.Body) > len(raw) {
+			t.Errorf("%q settles with %d bytes", raw, len(answer.Body))
 		}
-		if body, status, reads := another(raw); reads && a.Rest == nil &&
-			(status != http.StatusOK || !bytes.Equal(body, a.Body)) {
-			t.Errorf("%q settles with %q, and is read as %d with %q", raw, a.Body, status, body)
+		if body, status, reads := readWithNetHTTP(raw); reads && answer.Remainder == nil &&
+			(status != http.StatusOK || !bytes.Equal(body, answer.Body)) {
+			t.Errorf("%q settles with %q, and is read as %d with %q", raw, answer.Body, status, body)
 		}
 	})
 }
 
 // another reads an answer with another library, past interim ones.
-func another(raw []byte) (body []byte, status int, reads bool) {
+func readWithNetHTTP(raw []byte) (body []byte, status int, reads bool) {
 	for in := bufio.NewReader(bytes.NewReader(raw)); ; {
 		r, err := http.ReadResponse(in, nil)
 		if err != nil {
--- a/internal/gateway/transport/golden_test.go
+++ b/internal/gateway/transport/golden_test.go
@@ -17,7 +17,7 @@
 // The golden files are datagrams as Tell sent them, with an incarnation and a sequence number ahead of what
 // they carry. They were written once, before names were changed. They are what peers of older versions say;
 // new code must never write them again.
-var goldenWord = incarnation.MessageID{Incarnation: 0x01020304, Sequence: 0x05060708}
+var goldenMessageID = incarnation.MessageID{Incarnation: 0x01020304, Sequence: 0x05060708}
 
 func goldenReports() []policy.Report {
 	return []policy.Report{{Customer: 0x11121314, Plan: 5, Demand: 8, Known: 4, Spent: 2}}
@@ -53,10 +53,11 @@
 func goldenSent(t *testing.T) (reports, entries []byte) {
 	t.Helper()
 	peers, bare := goldenPeer(t)
-	peers.Bear(incarnation.MessageID{Incarnation: goldenWord.Incarnation, Sequence: goldenWord.Sequence - 1})
-	peers.Tell(1, gossip.Append(nil, goldenReports()))
+	peers.Identify(incarnation.MessageID{Incarnation: goldenMessageID.Incarnation,
+		Sequence: goldenMessageID.Sequence - 1})
+	peers.Send(1, gossip.Append(nil, goldenReports()))
 	message, _ := creditwire.Append(nil, goldenEntries())
-	peers.Tell(1, message)
+	peers.Send(1, message)
 	read := func() []byte {
 		b := make([]byte, 1<<16)
 		n, err := bare.Read(b)
@@ -74,16 +75,19 @@
 	goldentest.SameBytes(t, entries, goldentest.Hex(t, "entries.hex"))
 }
 
-func TestGoldenDatagramsHeard(t *testing.T) {
+func TestGoldenDatagramsReceived(t *testing.T) {
 	peers, bare := goldenPeer(t)
-	peers.Bear(incarnation.MessageID{Incarnation: 1})
+	peers.Identify(incarnation.MessageID{Incarnation: 1})
 	reports, entries := make(chan []policy.Report, 1), make(chan []borrowing.Entry, 1)
 	words := make(chan incarnation.MessageID, 1)
-	peers.Credit(func(_ int, w incarnation.MessageID, all []borrowing.Entry) {
+	peers.OnCredit(func(_ int, w incarnation.MessageID, all []borrowing.Entry) {
 		words <- w
 		entries <- append([]borrowing.Entry(nil), all...)
 	})
-	go peers.Hear(func(_ int, all []policy.Report, _ bool) { reports <- append([]policy.Report(nil), all...) })
+	go peers.Receive(func(_ int, all []policy.Report, _ bool) {
+		reports <- append([]policy.Report(nil),
+			all...)
+	})
 	to := peers.conn.Load().LocalAddr().(*net.UDPAddr).AddrPort()
 	for _, name := range []string{"reports.hex", "entries.hex"} {
 		if _, err := bare.WriteToUDPAddrPort(goldentest.Hex(t, name), to); err != nil {
@@ -101,7 +105,7 @@
 		goldentest.Same(
 			t,
 			w,
-			incarnation.MessageID{Incarnation: goldenWord.Incarnation, Sequence: goldenWord.Sequence + 1},
+			incarnation.MessageID{Incarnation: goldenMessageID.Incarnation, Sequence: goldenMessageID.Sequence + 1},
 		)
 		goldentest.Same(t, <-entries, goldenEntries())
 	case <-time.After(10 * time.Second):
--- a/internal/gateway/transport/gossip/gossip.go
+++ b/internal/gateway/transport/gossip/gossip.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	formatVersion = 5
-	previousFormatVersion  = 4 // version
-	headerBytes  = 2
-	maxReportBytes   = 8 // at most
-	minReportBytes    = 6 // bytes of a report without known and spent
+	formatVersion         = 5
+	previousFormatVersion = 4 // version
+	headerBytes           = 2
+	maxReportBytes        = 8 // at most
+	minReportBytes        = 6 // bytes of a report without known and spent
 
 	knownFlag, spentFlag = 0x40, 0x80
-	MaxMessageBytes              = 256 // bytes that a peer message may have
+	MaxMessageBytes      = 256 // bytes that a peer message may have
 
-	log2Step  = 1.0 / 8    // of a power of two, between neighbouring demands
+	log2Step       = 1.0 / 8    // of a power of two, between neighbouring demands
 	minEncodedRate = 1.0 / 1024 // units a second; less is nought
 )
 
@@ -73,12 +73,13 @@
 		if message[0] == previousFormatVersion {
 			plan |= knownFlag | spentFlag
 		}
-		report := policy.Report{Customer: uint64(binary.BigEndian.Uint32(b)), Plan: int(plan &^ (knownFlag | spentFlag)),
+		report := policy.Report{Customer: uint64(binary.BigEndian.Uint32(b)),
+			Plan:   int(plan &^ (knownFlag | spentFlag)),
 			Demand: decodeLog(b[5])}
 		b = b[minReportBytes:]
 		for _, optional := range []struct {
-			flag byte
-			value   *float64
+			flag  byte
+			value *float64
 		}{{knownFlag, &report.Known}, {spentFlag, &report.Spent}} {
 			if plan&optional.flag != 0 {
 				if len(b) == 0 {
--- a/internal/gateway/transport/gossip/gossip_test.go
+++ b/internal/gateway/transport/gossip/gossip_test.go
@@ -19,7 +19,8 @@
 		decoded := got[0]
 		if decoded.Customer != report.Customer ||
 			decoded.Plan != report.Plan ||
-			decoded.Spent != report.Spent || decoded.Known != report.Known || math.Abs(decoded.Demand-report.Demand) > report.Demand*0.05 {
+			decoded.Spent != report.Spent || decoded.Known != report.Known ||
+			math.Abs(decoded.Demand-report.Demand) > report.Demand*0.05 {
 			t.Errorf("%+v came back as %+v", report, decoded)
 		}
 	}
@@ -47,8 +48,9 @@
 	good := Append(nil, []policy.Report{{Customer: 7, Demand: 1}, {Customer: 8, Demand: 2}})
 	other := bytes.Clone(good)
 	other[0]++
-	for name, b := range map[string][]byte{"empty": nil, "one byte": {formatVersion}, "cut short": good[:len(good)-1],
-		"too long": append(bytes.Clone(good), 0), "other version": other,
+	for name, b := range map[string][]byte{"empty": nil, "one byte": {formatVersion},
+		"cut short": good[:len(good)-1],
+		"too long":  append(bytes.Clone(good), 0), "other version": other,
 		"ends before what it announces": {formatVersion, 1, 0, 0, 0, 7, knownFlag | spentFlag, 81, 73},
 		"fewer than it counts":          {formatVersion, 2, 0, 0, 0, 7, 0, 81}} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/transport/listener.go
+++ b/internal/gateway/transport/listener.go
@@ -15,138 +15,139 @@
 // Limited is a listener that has no more than so many connections open at once. One more is held back: until
 // it has a place, connections end with their next answer, and one is ended that has sent no whole txn so far,
 // or else has long asked nothing. Nobody is turned away with an answer that no one decided on.
-type Limited struct {
+type LimitListener struct {
 	net.Listener
-	most   int
-	freed  chan struct{}
-	closed chan struct{}
-	once   sync.Once
-	shed   atomic.Int64
-	held   atomic.Bool // a connection waits for a place, or for a descriptor
-	ending atomic.Bool // all are to end
-	late   atomic.Bool // what is not whole by now is not waited for
-	gaveUp atomic.Bool // nor are answers: what is in hand is to be given up
+	limit     int
+	freed     chan struct{}
+	closed    chan struct{}
+	once      sync.Once
+	evicted   atomic.Int64
+	waiting   atomic.Bool // a connection waits for a place, or for a descriptor
+	draining  atomic.Bool // all are to end
+	hurried   atomic.Bool // what is not whole by now is not waited for
+	abandoned atomic.Bool // nor are answers: what is in hand is to be given up
 
-	empty time.Time // until when nobody waited to be taken; the accepting goroutine's
+	backlogEmptyAt time.Time // until when nobody waited to be taken; the accepting goroutine's
 
-	mu   sync.Mutex
-	open map[*placed]bool
-	away chan struct{} // open while clients are sent away
+	mu            sync.Mutex
+	open          map[*clientConn]bool
+	stopSoftDrain chan struct{} // open while clients are sent away
 }
 
 // Limit bounds the connections that a listener has open at once.
-func Limit(l net.Listener, most int) *Limited {
-	return &Limited{Listener: l, most: max(most, 1), freed: make(chan struct{}, 1), closed: make(chan struct{}),
-		empty: time.Now(), open: map[*placed]bool{}}
+func NewLimitListener(inner net.Listener, limit int) *LimitListener {
+	return &LimitListener{Listener: inner, limit: max(limit, 1), freed: make(chan struct{}, 1),
+		closed:         make(chan struct{}),
+		backlogEmptyAt: time.Now(), open: map[*clientConn]bool{}}
 }
 
 // Accept takes the next connection, and holds it back until there is room for it, also while the listener
 // ends: the machine has taken it.
-func (l *Limited) Accept() (net.Conn, error) {
-	p, err := l.next()
+func (l *LimitListener) Accept() (net.Conn, error) {
+	conn, err := l.acceptConn()
 	if err != nil {
 		return nil, err
 	}
-	return p, nil
+	return conn, nil
 }
 
-func (l *Limited) next() (*placed, error) {
-	called := time.Now()
-	c, err := l.Listener.Accept()
-	if now := time.Now(); err == nil && now.Sub(called) > Millis(policy.AcceptNow) {
-		l.empty = now // it has come while it was waited for
+func (l *LimitListener) acceptConn() (*clientConn, error) {
+	start := time.Now()
+	raw, err := l.Listener.Accept()
+	if now := time.Now(); err == nil && now.Sub(start) > Millis(policy.AcceptNow) {
+		l.backlogEmptyAt = now // it has come while it was waited for
 	}
-	defer l.held.Store(false)
+	defer l.waiting.Store(false)
 	for err != nil {
 		// Guards against a moment without descriptors, or a client gone before it is met: the front must not end.
 		if errors.Is(err, syscall.EMFILE) {
-			l.held.Store(true)
-			l.giveBack()
+			l.waiting.Store(true)
+			l.reduceLimit()
 		}
 		select {
 		case <-l.closed:
 			return nil, net.ErrClosed
 		case <-time.After(Millis(policy.AcceptAgain)):
 		}
-		c, err = l.Listener.Accept()
+		raw, err = l.Listener.Accept()
 	}
-	for !l.room() {
-		l.held.Store(true)
+	for !l.ensureCapacity() {
+		l.waiting.Store(true)
 		select {
 		case <-l.freed:
 		case <-time.After(Millis(policy.AcceptAgain)): // one may have become idle
 		}
 	}
-	p := l.admit(c)
-	if time.Since(l.empty) > Millis(policy.AcceptNow) {
-		p.from = l.empty
+	conn := l.admit(raw)
+	if time.Since(l.backlogEmptyAt) > Millis(policy.AcceptNow) {
+		conn.waitingSince = l.backlogEmptyAt
 	}
-	return p, nil
+	return conn, nil
 }
 
 // admit gives a connection a place.
-func (l *Limited) admit(c net.Conn) *placed {
-	p := &placed{Conn: hasten(c), of: l}
-	if q, ok := p.Conn.(watched); ok {
-		q.watch(&p.guard, func() bool { return !p.over() }, p.heard)
+func (l *LimitListener) admit(raw net.Conn) *clientConn {
+	conn := &clientConn{Conn: bypassScheduler(raw), listener: l}
+	if guarded, ok := conn.Conn.(guardedConn); ok {
+		guarded.guardReads(&conn.readMu, func() bool { return !conn.isEnded() }, conn.noteRead)
 	}
-	p.since.Store(time.Now().UnixNano())
+	conn.lastActivityNanos.Store(time.Now().UnixNano())
 	l.mu.Lock()
-	l.open[p] = true
+	l.open[conn] = true
 	l.mu.Unlock()
-	return p
+	return conn
 }
 
 // giveBack makes do with fewer places, and ends connections until that holds. Guards against clients that
 // take the process's last descriptor: each that is freed would be the next client's, and the watch, workers
 // and peers would never come by one.
-func (l *Limited) giveBack() {
+func (l *LimitListener) reduceLimit() {
 	l.mu.Lock()
-	n := len(l.open)
-	l.most = min(l.most, max(n-policy.SpareFiles, n/2, 1))
+	open := len(l.open)
+	l.limit = min(l.limit, max(open-policy.SpareFiles, open/2, 1))
 	l.mu.Unlock()
-	l.room()
+	l.ensureCapacity()
 }
 
 // room tells whether one more may be taken, and makes room if it can.
-func (l *Limited) room() bool {
+func (l *LimitListener) ensureCapacity() bool {
 	for {
 		l.mu.Lock()
-		if len(l.open) < l.most {
+		if len(l.open) < l.limit {
 			l.mu.Unlock()
 			return true
 		}
 		now := time.Now()
-		var oldest [len(yields)]*placed
-		var since [len(yields)]int64
-		for i, y := range yields {
-			since[i] = now.Add(-Millis(y.after)).UnixNano()
+		var oldest [len(evictionOrder)]*clientConn
+		var idleSince [len(evictionOrder)]int64
+		for i, candidate := range evictionOrder {
+			idleSince[i] = now.Add(-Millis(candidate.idleMillis)).UnixNano()
 		}
-		for p := range l.open {
-			for i, y := range yields {
-				if t := p.since.Load(); p.at() == y.state && t < since[i] {
-					oldest[i], since[i] = p, t
+		for conn := range l.open {
+			for i, candidate := range evictionOrder {
+				if last := conn.lastActivityNanos.Load(); conn.currentState() == candidate.state && last < idleSince[i] {
+					oldest[i], idleSince[i] = conn, last
 				}
 			}
 		}
 		l.mu.Unlock()
-		if !l.yield(oldest[:]) {
+		if !l.evictOne(oldest[:]) {
 			return false
 		}
 	}
 }
 
 // yield ends the first of these that can be, at once: its descriptor is wanted.
-func (l *Limited) yield(oldest []*placed) bool {
-	for _, p := range oldest {
-		if p == nil {
+func (l *LimitListener) evictOne(oldest []*clientConn) bool {
+	for _, conn := range oldest {
+		if conn == nil {
 			continue
 		}
-		parts := p.parts.Load()
-		if parts || p.end(fresh, idle, opening, coming) {
-			p.cut()
-			if !parts {
-				l.shed.Add(1)
+		closing := conn.closing.Load()
+		if closing || conn.tryEnd(stateNew, stateIdle, stateReadingFirst, stateReadingBody) {
+			conn.closeNow()
+			if !closing {
+				l.evicted.Add(1)
 			}
 			return true
 		}
@@ -157,53 +158,54 @@
 // yields are the states in which connections give up their places to others, in this order, and after how
 // many ms without a byte. Guards against crowds that never finish a txn; slow honest ones go on sending. One
 // that parts has had its answers, and they have had time to reach its client.
-var yields = [...]struct {
-	state int32
-	after float64
-}{{parting, policy.AcceptAgain}, {fresh, policy.Unproven}, {idle, policy.IdleLong}, {opening,
+var evictionOrder = [...]struct {
+	state      int32
+	idleMillis float64
+}{{stateClosing, policy.AcceptAgain}, {stateNew, policy.Unproven}, {stateIdle,
+	policy.IdleLong}, {stateReadingFirst,
 	policy.Unfinished},
-	{coming, policy.Unfinished}}
+	{stateReadingBody, policy.Unfinished}}
 
-func (l *Limited) crowded() bool {
+func (l *LimitListener) nearLimit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return float64(len(l.open)) > policy.CrowdedAt*float64(l.most)
+	return float64(len(l.open)) > policy.CrowdedAt*float64(l.limit)
 }
 
 // SendAway lets connections end with their next answer, and the idle ones one after another: those first
 // that have asked nothing for longest, all within DrainDone. Guards against one that is ended while a txn is
 // on its way. It does so until Welcome; a second call changes nothing.
-func (l *Limited) SendAway() {
+func (l *LimitListener) BeginSoftDrain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.away == nil {
-		l.away = make(chan struct{})
-		l.ending.Store(true)
-		go l.sendAway(l.away, time.Now())
+	if l.stopSoftDrain == nil {
+		l.stopSoftDrain = make(chan struct{})
+		l.draining.Store(true)
+		go l.softDrain(l.stopSoftDrain, time.Now())
 	}
 }
 
 // Welcome ends SendAway.
-func (l *Limited) Welcome() {
+func (l *LimitListener) EndSoftDrain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.away != nil {
-		close(l.away)
-		l.away = nil
-		l.ending.Store(false)
+	if l.stopSoftDrain != nil {
+		close(l.stopSoftDrain)
+		l.stopSoftDrain = nil
+		l.draining.Store(false)
 	}
 }
 
-func (l *Limited) sendAway(over <-chan struct{}, from time.Time) {
-	t := time.NewTicker(Millis(policy.AcceptAgain))
-	defer t.Stop()
+func (l *LimitListener) softDrain(stop <-chan struct{}, start time.Time) {
+	ticker := time.NewTicker(Millis(policy.AcceptAgain))
+	defer ticker.Stop()
 	for {
 		select {
-		case <-over:
+		case <-stop:
 			return
-		case now := <-t.C:
-			if gone := now.Sub(from); gone > Millis(policy.DrainAsked) {
-				l.endIdle(max(Millis(policy.DrainDone)-gone, Millis(policy.AcceptAgain)))
+		case now := <-ticker.C:
+			if elapsed := now.Sub(start); elapsed > Millis(policy.DrainAsked) {
+				l.closeIdle(max(Millis(policy.DrainDone)-elapsed, Millis(policy.AcceptAgain)))
 			}
 		}
 	}
@@ -212,34 +214,36 @@
 // endIdle ends the connections that have asked nothing for so long, each once nothing lies unread in it, and
 // tells whether any is left. Guards against ending one with a txn in it that the machine has taken, and new
 // ones whose first txn is on its way.
-func (l *Limited) endIdle(since time.Duration) (left bool) {
+func (l *LimitListener) closeIdle(idleFor time.Duration) (remaining bool) {
 	l.mu.Lock()
-	var waiting []*placed
-	for p := range l.open {
-		if s := p.state.Load(); s == fresh || s == idle {
-			waiting = append(waiting, p)
+	var waiting []*clientConn
+	for conn := range l.open {
+		if state := conn.state.Load(); state == stateNew || state == stateIdle {
+			waiting = append(waiting, conn)
 		}
 	}
 	l.mu.Unlock()
-	for _, p := range waiting {
-		gone := time.Since(time.Unix(0, p.since.Load()))
-		ends := gone > since && (p.end(idle) || gone > Millis(policy.Unproven) && p.end(fresh))
-		if !ends && !p.Gone() {
-			left = true
+	for _, conn := range waiting {
+		idle := time.Since(time.Unix(0, conn.lastActivityNanos.Load()))
+		ends := idle > idleFor && (conn.tryEnd(stateIdle) || idle > Millis(policy.Unproven) &&
+			conn.tryEnd(stateNew))
+		if !ends && !conn.Gone() {
+			remaining = true
 		}
 	}
-	return left
+	return remaining
 }
 
 // Drain lets connections end with their next answer, and ends the idle ones: those first that have asked
 // nothing for longest, all within StopIdle. Guards against one that is ended while a txn is on its way. It
 // returns once none is idle and none waits for a place: behind that one the machine may have taken more.
-func (l *Limited) Drain() {
-	l.ending.Store(true)
-	from := time.Now()
-	for clean := 0; clean < 2; clean++ { // looks in a row: one may fall between two that wait
-		if l.endIdle(max(Millis(policy.StopIdle)-time.Since(from), Millis(policy.AcceptAgain))) || l.held.Load() {
-			clean = -1
+func (l *LimitListener) Drain() {
+	l.draining.Store(true)
+	start := time.Now()
+	for emptyScans := 0; emptyScans < 2; emptyScans++ { // looks in a row: one may fall between two that wait
+		if l.closeIdle(max(Millis(policy.StopIdle)-time.Since(start),
+			Millis(policy.AcceptAgain))) || l.waiting.Load() {
+			emptyScans = -1
 		}
 		time.Sleep(Millis(policy.AcceptAgain))
 	}
@@ -247,34 +251,34 @@
 
 // Hurry has what is being read end: it may go on coming, but pause no longer than for a moment. Guards
 // against a txn that comes whole so late that SIGKILL finds it unanswered; one that is not was not taken.
-func (l *Limited) Hurry() {
-	l.late.Store(true)
+func (l *LimitListener) HurryReads() {
+	l.hurried.Store(true)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.open {
-		switch p.at() {
-		case opening, asking, coming, taken: // of the last, a body that passes on as it comes
-			_ = p.SetReadDeadline(time.Now().Add(Millis(policy.AcceptAgain)))
+	for conn := range l.open {
+		switch conn.currentState() {
+		case stateReadingFirst, stateReadingNext, stateReadingBody, stateServing: // of the last, a body that passes on as it comes
+			_ = conn.SetReadDeadline(time.Now().Add(Millis(policy.AcceptAgain)))
 		}
 	}
 }
 
 // GiveUp has all that is in hand given up: its clients count as gone, and get their answers at once.
-func (l *Limited) GiveUp() { l.gaveUp.Store(true) }
+func (l *LimitListener) AbandonRequests() { l.abandoned.Store(true) }
 
 // rouse ends the reads that wait on connections of which no txn is in hand.
-func (l *Limited) rouse() {
+func (l *LimitListener) interruptIdleReads() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.open {
-		if s := p.state.Load(); s != coming && s != taken && s != ended {
-			_ = p.SetReadDeadline(time.Unix(1, 0))
+	for conn := range l.open {
+		if state := conn.state.Load(); state != stateReadingBody && state != stateServing && state != stateEnded {
+			_ = conn.SetReadDeadline(time.Unix(1, 0))
 		}
 	}
 }
 
 // Closed tells whether Close has been called.
-func (l *Limited) Closed() bool {
+func (l *LimitListener) Closed() bool {
 	select {
 	case <-l.closed:
 		return true
@@ -284,60 +288,60 @@
 }
 
 // Shed tells how many idle connections were ended to make room.
-func (l *Limited) Shed() int64 { return l.shed.Load() }
+func (l *LimitListener) Evicted() int64 { return l.evicted.Load() }
 
 // Close ends Accept.
-func (l *Limited) Close() error {
+func (l *LimitListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
 // What a client's connection is about.
 const (
-	fresh   int32 = iota // it has sent nothing so far
-	opening              // it has sent part of its first txn
-	idle                 // it has had its answers
-	asking               // it has sent part of one more txn
-	coming               // it has sent a txn's head, and its body is being read
-	taken                // a txn of it is in hand
-	ended                // it has been ended from here
-	parting              // all is done, and its client has not ended it yet
+	stateNew          int32 = iota // it has sent nothing so far
+	stateReadingFirst              // it has sent part of its first txn
+	stateIdle                      // it has had its answers
+	stateReadingNext               // it has sent part of one more txn
+	stateReadingBody               // it has sent a txn's head, and its body is being read
+	stateServing                   // a txn of it is in hand
+	stateEnded                     // it has been ended from here
+	stateClosing                   // all is done, and its client has not ended it yet
 )
 
 // watched is a connection that calls took, under the guard, as soon as bytes have been read from it, and
 // reads none where may, asked under the guard before, says no.
-type watched interface {
-	watch(guard *sync.Mutex, may func() bool, took func())
+type guardedConn interface {
+	guardReads(mu *sync.Mutex, allowed func() bool, onRead func())
 }
 
 // placed is a client's connection; its place is free once it is closed.
-type placed struct {
+type clientConn struct {
 	net.Conn
-	of      *Limited
-	guard   sync.Mutex // between bytes that are read and an end from here
-	state   atomic.Int32
-	proven  bool         // it has sent more than one txn
-	ahead   []byte       // read by a process before this one
-	read    atomic.Int64 // when bytes were read from it last, Unix ns
-	from    time.Time    // what is read next may have come since then, and lain; zero where it has not
-	since   atomic.Int64 // when it came, sent its last byte or had its last answer, Unix ns
-	lingers atomic.Bool
-	parts   atomic.Bool // it waits for its client to end it too
-	once    sync.Once
+	listener          *LimitListener
+	readMu            sync.Mutex // between bytes that are read and an end from here
+	state             atomic.Int32
+	proven            bool         // it has sent more than one txn
+	prefetched        []byte       // read by a process before this one
+	lastReadNanos     atomic.Int64 // when bytes were read from it last, Unix ns
+	waitingSince      time.Time    // what is read next may have come since then, and lain; zero where it has not
+	lastActivityNanos atomic.Int64 // when it came, sent its last byte or had its last answer, Unix ns
+	lingerOnClose     atomic.Bool
+	closing           atomic.Bool // it waits for its client to end it too
+	once              sync.Once
 }
 
 // Read gives what another process had read ahead, then what comes.
-func (c *placed) Read(b []byte) (int, error) {
-	if len(c.ahead) > 0 {
-		n := copy(b, c.ahead)
-		c.ahead = c.ahead[n:]
+func (c *clientConn) Read(b []byte) (int, error) {
+	if len(c.prefetched) > 0 {
+		n := copy(b, c.prefetched)
+		c.prefetched = c.prefetched[n:]
 		return n, nil
 	}
 	return c.Conn.Read(b)
 }
 
 // raw gives the connection's descriptor.
-func (c *placed) raw() (syscall.RawConn, error) {
+func (c *clientConn) syscallConn() (syscall.RawConn, error) {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return nil, errors.ErrUnsupported
@@ -346,74 +350,77 @@
 }
 
 // heard notes that bytes have been read.
-func (c *placed) heard() {
+func (c *clientConn) noteRead() {
 	now := time.Now().UnixNano()
-	c.since.Store(now)
-	c.read.Store(now)
-	if !c.state.CompareAndSwap(fresh, opening) {
-		c.state.CompareAndSwap(idle, asking)
+	c.lastActivityNanos.Store(now)
+	c.lastReadNanos.Store(now)
+	if !c.state.CompareAndSwap(stateNew, stateReadingFirst) {
+		c.state.CompareAndSwap(stateIdle, stateReadingNext)
 	}
 }
 
 // come notes that the head of a txn has come, and tells whether the connection is still there to answer it.
-func (c *placed) come() bool {
-	if c.state.CompareAndSwap(asking, coming) {
+func (c *clientConn) headReceived() bool {
+	if c.state.CompareAndSwap(stateReadingNext, stateReadingBody) {
 		c.proven = true
 		return true
 	}
-	return c.state.CompareAndSwap(opening, coming) || c.state.CompareAndSwap(fresh, coming)
+	return c.state.CompareAndSwap(stateReadingFirst, stateReadingBody) || c.state.CompareAndSwap(stateNew,
+		stateReadingBody)
 }
 
 // take notes the same of the whole txn.
-func (c *placed) take() bool { return c.state.CompareAndSwap(coming, taken) }
+func (c *clientConn) requestReceived() bool {
+	return c.state.CompareAndSwap(stateReadingBody, stateServing)
+}
 
 // rest notes that all has been answered, and whether part of another txn has come already.
-func (c *placed) rest(more bool) {
-	c.since.Store(time.Now().UnixNano())
-	next := idle
+func (c *clientConn) answered(more bool) {
+	c.lastActivityNanos.Store(time.Now().UnixNano())
+	next := stateIdle
 	if more {
-		next = asking
-		if at := c.read.Load(); at > 0 {
-			c.from = time.Unix(0, at)
+		next = stateReadingNext
+		if lastRead := c.lastReadNanos.Load(); lastRead > 0 {
+			c.waitingSince = time.Unix(0, lastRead)
 		}
 	}
-	if s := c.state.Load(); s != ended {
-		c.state.CompareAndSwap(s, next)
+	if state := c.state.Load(); state != stateEnded {
+		c.state.CompareAndSwap(state, next)
 	}
 }
 
 // at is what the connection is about.
-func (c *placed) at() int32 {
-	if c.parts.Load() {
-		return parting
+func (c *clientConn) currentState() int32 {
+	if c.closing.Load() {
+		return stateClosing
 	}
 	return c.state.Load()
 }
 
 // over tells whether it has been ended from here: nothing is read from it any more.
-func (c *placed) over() bool { return c.state.Load() == ended }
+func (c *clientConn) isEnded() bool { return c.state.Load() == stateEnded }
 
 // end ends a connection that is in one of these states: no more is sent on it, and none read. Guards against
 // one in which a txn lies unread: the machine has taken it. One that comes in this very moment stays unread,
 // and its client, which meets the end, sends it again elsewhere. Who reads from it closes it.
-func (c *placed) end(states ...int32) bool {
-	c.guard.Lock()
-	ends := false
-	for _, s := range states {
-		ends = ends || quiet(c.Conn) && c.state.CompareAndSwap(s, ended)
+func (c *clientConn) tryEnd(states ...int32) bool {
+	c.readMu.Lock()
+	ended := false
+	for _, state := range states {
+		ended = ended || isQuiescent(c.Conn) && c.state.CompareAndSwap(state, stateEnded)
 	}
-	c.guard.Unlock()
-	if ends {
-		if t, ok := c.Conn.(interface{ CloseWrite() error }); !ok || t.CloseWrite() != nil {
+	c.readMu.Unlock()
+	if ended {
+		if socket, ok := c.Conn.(interface{ CloseWrite() error }); !ok || socket.CloseWrite() != nil {
 			_ = c.Conn.Close()
 		}
 		_ = c.SetReadDeadline(time.Unix(1, 0)) // also one that lingers would hold up whoever ends it
 	}
-	return ends
+	return ended
 }
 
 // cut closes a connection at once, also while its own goroutine waits on it.
-func (c *placed) cut() {
+func (c *clientConn) closeNow() {
 	_ = c.Conn.Close()
 	_ = c.Close()
 }
@@ -422,90 +429,91 @@
 // Guards against an answer that is lost with it: closed over unread bytes, or before bytes that are on their
 // way, the connection would be reset (Stevens, TCP/IP Illustrated, 18.7; nginx lingers for the same). Nothing
 // is read meanwhile: a txn that has crossed the end is not taken, and its client sends it again.
-func (c *placed) part() {
-	t, ok := c.Conn.(interface {
+func (c *clientConn) closeGracefully() {
+	socket, ok := c.Conn.(interface {
 		CloseWrite() error
-		Part(time.Duration)
+		AwaitPeerClose(time.Duration)
 	})
-	if ok && !c.lingers.Load() && t.CloseWrite() == nil {
-		c.parted()
-		t.Part(Millis(policy.Linger))
+	if ok && !c.lingerOnClose.Load() && socket.CloseWrite() == nil {
+		c.markClosing()
+		socket.AwaitPeerClose(Millis(policy.Linger))
 	}
 }
 
 // parted notes that all is done: its place is the first to be given to another.
-func (c *placed) parted() {
-	c.since.Store(time.Now().UnixNano())
-	c.parts.Store(true)
+func (c *clientConn) markClosing() {
+	c.lastActivityNanos.Store(time.Now().UnixNano())
+	c.closing.Store(true)
 }
 
 // await bounds the next read. Once the process ends, what is not whole may pause no longer than for a moment.
-func (c *placed) await(until time.Time) {
-	_ = c.SetReadDeadline(until)
-	if c.of.late.Load() { // asked behind the deadline, as Hurry sets it the other way round
-		if soon := time.Now().Add(Millis(policy.AcceptAgain)); soon.Before(until) {
-			_ = c.SetReadDeadline(soon)
+func (c *clientConn) setReadDeadline(deadline time.Time) {
+	_ = c.SetReadDeadline(deadline)
+	if c.listener.hurried.Load() { // asked behind the deadline, as Hurry sets it the other way round
+		if limit := time.Now().Add(Millis(policy.AcceptAgain)); limit.Before(deadline) {
+			_ = c.SetReadDeadline(limit)
 		}
 	}
 }
 
 // Gone tells whether the client has closed the connection, where that can be seen, or is given up on. One
 // that has ended its sending alone looks the same, and has gone too: its txn is given up, and answered.
-func (c *placed) Gone() bool {
-	l, ok := c.Conn.(client)
-	return c.of.gaveUp.Load() || ok && l.Gone()
+func (c *clientConn) Gone() bool {
+	socket, ok := c.Conn.(client)
+	return c.listener.abandoned.Load() || ok && socket.Gone()
 }
 
 // wanted tells whether the connection should end with its next answer. Guards against hundreds that ask once
 // and stay: idle ones may not be ended at once, and would take every place from those that go on asking.
-func (c *placed) wanted() bool {
-	return c.of.held.Load() || c.of.ending.Load() || !c.proven && c.of.crowded()
+func (c *clientConn) shouldClose() bool {
+	return c.listener.waiting.Load() || c.listener.draining.Load() || !c.proven && c.listener.nearLimit()
 }
 
 // lain is how long, ms, what was read last may have lain before: at this machine while the connection waited
 // for its place, or in its buffer behind the txn before. Guards against a client's time that is counted from
 // its turn on: what is left of it is told to workers, and bounds the answer.
-func (c *placed) lain() float64 {
-	q, ok := c.Conn.(interface{ Lain() time.Duration })
-	if c.from.IsZero() || !ok {
+func (c *clientConn) queuedMillis() float64 {
+	socket, ok := c.Conn.(interface{ SinceLastReceive() time.Duration })
+	if c.waitingSince.IsZero() || !ok {
 		return 0
 	}
-	lay := max(time.Since(c.from), 0)
-	if c.read.Load() > c.from.UnixNano() { // its last bytes have been read since
-		lay = min(lay, q.Lain())
+	queued := max(time.Since(c.waitingSince), 0)
+	if c.lastReadNanos.Load() > c.waitingSince.UnixNano() { // its last bytes have been read since
+		queued = min(queued, socket.SinceLastReceive())
 	}
-	return float64(lay) / float64(time.Millisecond)
+	return float64(queued) / float64(time.Millisecond)
 }
 
 // quiet tells whether a connection is up and nothing lies unread in it. Where that cannot be seen it counts
 // as quiet, or a stop would never end.
-func quiet(c net.Conn) bool {
-	q, ok := c.(interface{ Quiet() bool })
-	return !ok || q.Quiet()
+func isQuiescent(conn net.Conn) bool {
+	socket, ok := conn.(interface{ Quiescent() bool })
+	return !ok || socket.Quiescent()
 }
 
 // Linger has a connection end so that the answer before it reaches a caller who still sends.
-func Linger(c net.Conn) {
-	if p, ok := c.(*placed); ok {
-		p.lingers.Store(true)
+func Linger(conn net.Conn) {
+	if accepted, ok := conn.(*clientConn); ok {
+		accepted.lingerOnClose.Store(true)
 	}
 }
 
 // Close frees the place. One that lingers first says that no more will come and takes what the client was
 // still sending: closed on unread bytes, the connection would be reset and its last answer could be lost.
-func (c *placed) Close() (err error) {
+func (c *clientConn) Close() (err error) {
 	c.once.Do(func() {
-		if t, ok := c.Conn.(interface{ CloseWrite() error }); ok && c.lingers.Load() && t.CloseWrite() == nil {
-			c.parted()
+		if socket, ok := c.Conn.(interface{ CloseWrite() error }); ok && c.lingerOnClose.Load() &&
+			socket.CloseWrite() == nil {
+			c.markClosing()
 			_ = c.Conn.SetReadDeadline(time.Now().Add(Millis(policy.Linger)))
 			_, _ = io.CopyN(io.Discard, c.Conn, policy.LingerBytes)
 		}
 		err = c.Conn.Close()
-		c.of.mu.Lock()
-		delete(c.of.open, c)
-		c.of.mu.Unlock()
+		c.listener.mu.Lock()
+		delete(c.listener.open, c)
+		c.listener.mu.Unlock()
 		select {
-		case c.of.freed <- struct{}{}:
+		case c.listener.freed <- struct{}{}:
 		default:
 		}
 	})
--- a/internal/gateway/transport/peers.go
+++ b/internal/gateway/transport/peers.go
@@ -18,80 +18,80 @@
 
 // Peers exchanges datagrams with the other gatekeepers.
 type Peers struct {
-	conn    atomic.Pointer[net.UDPConn]      // nil until it is bound
-	to      atomic.Pointer[[]netip.AddrPort] // by number
-	me      int
-	dropped atomic.Int64
-
-	credit atomic.Pointer[func(int, incarnation.MessageID, []borrowing.Entry)] // nil where none is lent
-
-	bears atomic.Bool   // messages bear a word
-	life  atomic.Uint32 // incarnation
-	said  atomic.Uint32 // messages of it so far
-	mu    sync.Mutex    // of heard
-	heard *incarnation.Tracker
+	conn      atomic.Pointer[net.UDPConn]      // nil until it is bound
+	addresses atomic.Pointer[[]netip.AddrPort] // by number
+	self      int
+	dropped   atomic.Int64
+
+	onCredit atomic.Pointer[func(int, incarnation.MessageID, []borrowing.Entry)] // nil where none is lent
+
+	identified  atomic.Bool   // messages bear a word
+	incarnation atomic.Uint32 // incarnation
+	sequence    atomic.Uint32 // messages of it so far
+	mu          sync.Mutex    // of heard
+	tracker     *incarnation.Tracker
 }
 
 // Heard gives the last word of each peer in place of what is in all.
-func (p *Peers) Heard(all []incarnation.MessageID) []incarnation.MessageID {
+func (p *Peers) LastSeen(all []incarnation.MessageID) []incarnation.MessageID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.heard.Latest(all, len(*p.to.Load()))
+	return p.tracker.Latest(all, len(*p.addresses.Load()))
 }
 
 // Recall takes peers' words as a former life had heard them, and gives those that have returned since, and
 // were heard.
-func (p *Peers) Recall(all []incarnation.MessageID) (returned []int) {
+func (p *Peers) Restore(all []incarnation.MessageID) (returned []int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.heard.Restore(all)
+	return p.tracker.Restore(all)
 }
 
 // Room is how many reports fit a message that bears a word.
-const Room = gossip.MaxReports - (wordBytes+7)/8
+const MaxReportsPerMessage = gossip.MaxReports - (identityBytes+7)/8
 
 // A message that bears a word begins with a mark that no version of the form has, and the word.
 const (
-	bearing   = 0xF1
-	wordBytes = 9
+	identityMagic = 0xF1
+	identityBytes = 9
 )
 
 // Bear has messages say which life of this gatekeeper they are of, and their place in it; those that do not
 // say so are dropped from then on.
-func (p *Peers) Bear(w incarnation.MessageID) {
-	p.life.Store(w.Incarnation)
-	p.said.Store(w.Sequence)
-	p.bears.Store(true)
+func (p *Peers) Identify(id incarnation.MessageID) {
+	p.incarnation.Store(id.Incarnation)
+	p.sequence.Store(id.Sequence)
+	p.identified.Store(true)
 }
 
 // Word gives the word of the last message.
-func (p *Peers) Word() incarnation.MessageID {
-	return incarnation.MessageID{Incarnation: p.life.Load(), Sequence: p.said.Load()}
+func (p *Peers) LastSent() incarnation.MessageID {
+	return incarnation.MessageID{Incarnation: p.incarnation.Load(), Sequence: p.sequence.Load()}
 }
 
 // NewPeers exchanges nothing until it is bound.
-func NewPeers(peers []netip.AddrPort, me int) *Peers {
-	p := &Peers{me: me, heard: incarnation.NewTracker()}
-	p.Among(peers)
+func NewPeers(addresses []netip.AddrPort, self int) *Peers {
+	p := &Peers{self: self, tracker: incarnation.NewTracker()}
+	p.SetAddresses(addresses)
 	return p
 }
 
 // Among changes who the peers are; this one keeps its number. It gives the numbers of those that are others
 // now than were there before.
-func (p *Peers) Among(peers []netip.AddrPort) (others []int) {
+func (p *Peers) SetAddresses(addresses []netip.AddrPort) (replaced []int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard.Truncate(len(peers))
-	if was := p.to.Load(); was != nil {
-		for i := range min(len(*was), len(peers)) {
-			if (*was)[i] != peers[i] && i != p.me {
-				p.heard.Forget(i)
-				others = append(others, i)
+	p.tracker.Truncate(len(addresses))
+	if previous := p.addresses.Load(); previous != nil {
+		for i := range min(len(*previous), len(addresses)) {
+			if (*previous)[i] != addresses[i] && i != p.self {
+				p.tracker.Forget(i)
+				replaced = append(replaced, i)
 			}
 		}
 	}
-	p.to.Store(&peers)
-	return others
+	p.addresses.Store(&addresses)
+	return replaced
 }
 
 // Bind takes peers' datagrams at an address.
@@ -100,42 +100,42 @@
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	p.Use(conn)
+	p.UseSocket(conn)
 	return nil
 }
 
 // Use takes peers' datagrams from a socket that another process has bound.
-func (p *Peers) Use(conn *net.UDPConn) { p.conn.Store(conn) }
+func (p *Peers) UseSocket(conn *net.UDPConn) { p.conn.Store(conn) }
 
 // Bound tells whether there is a socket.
 func (p *Peers) Bound() bool { return p.conn.Load() != nil }
 
 // Raw gives the socket's descriptor.
-func (p *Peers) Raw() (syscall.RawConn, error) { return p.conn.Load().SyscallConn() }
+func (p *Peers) SyscallConn() (syscall.RawConn, error) { return p.conn.Load().SyscallConn() }
 
 // Tell sends a message to a peer. One that cannot be sent is as good as lost on the way.
-func (p *Peers) Tell(peer int, b []byte) {
-	conn, to := p.conn.Load(), *p.to.Load()
-	if conn == nil || peer >= len(to) {
+func (p *Peers) Send(peer int, message []byte) {
+	conn, addresses := p.conn.Load(), *p.addresses.Load()
+	if conn == nil || peer >= len(addresses) {
 		return
 	}
-	if p.bears.Load() {
-		head := binary.BigEndian.AppendUint32([]byte{bearing}, p.life.Load())
-		b = append(binary.BigEndian.AppendUint32(head, p.said.Add(1)), b...)
+	if p.identified.Load() {
+		head := binary.BigEndian.AppendUint32([]byte{identityMagic}, p.incarnation.Load())
+		message = append(binary.BigEndian.AppendUint32(head, p.sequence.Add(1)), message...)
 	}
-	if _, err := conn.WriteToUDPAddrPort(b, to[peer]); err != nil {
+	if _, err := conn.WriteToUDPAddrPort(message, addresses[peer]); err != nil {
 		p.dropped.Add(1)
 	}
 }
 
 // Credit has peers' words on credit be taken; until then they are dropped.
-func (p *Peers) Credit(take func(from int, w incarnation.MessageID, entries []borrowing.Entry)) {
-	p.credit.Store(&take)
+func (p *Peers) OnCredit(take func(from int, id incarnation.MessageID, entries []borrowing.Entry)) {
+	p.onCredit.Store(&take)
 }
 
 // Hear gives each peer's reports to take, until Close, and says which are the first of one that has returned.
 // What comes from elsewhere, makes no sense or is no news is dropped.
-func (p *Peers) Hear(take func(from int, reports []policy.Report, returned bool)) {
+func (p *Peers) Receive(onReports func(from int, reports []policy.Report, returned bool)) {
 	conn := p.conn.Load()
 	var reports []policy.Report
 	var entries []borrowing.Entry
@@ -145,50 +145,51 @@
 		if err != nil {
 			return
 		}
-		who, b := p.number(from), buf[:n]
-		word, bears := wordOf(&b)
-		lends := p.credit.Load()
-		if entries = entries[:0]; lends != nil && bears && len(b) > 0 && b[0] == creditwire.Magic {
+		peer, message := p.peerIndex(from), buf[:n]
+		id, identified := cutMessageID(&message)
+		onCredit := p.onCredit.Load()
+		if entries = entries[:0]; onCredit != nil && identified && len(message) > 0 &&
+			message[0] == creditwire.Magic {
 			reports = reports[:0]
-			entries, err = creditwire.Decode(entries, b)
+			entries, err = creditwire.Decode(entries, message)
 		} else {
-			reports, err = gossip.Decode(reports[:0], b)
+			reports, err = gossip.Decode(reports[:0], message)
 		}
 		verdict := incarnation.Fresh
-		if who >= 0 && err == nil && bears {
+		if peer >= 0 && err == nil && identified {
 			p.mu.Lock()
-			verdict = p.heard.Observe(who, word)
+			verdict = p.tracker.Observe(peer, id)
 			p.mu.Unlock()
 		}
-		if who < 0 || err != nil || bears != p.bears.Load() || verdict == incarnation.Stale {
+		if peer < 0 || err != nil || identified != p.identified.Load() || verdict == incarnation.Stale {
 			p.dropped.Add(1)
 			continue
 		}
 		if len(entries) == 0 || verdict == incarnation.Restarted {
-			take(who, reports, verdict == incarnation.Restarted)
+			onReports(peer, reports, verdict == incarnation.Restarted)
 		}
 		if len(entries) > 0 {
-			(*lends)(who, word, entries)
+			(*onCredit)(peer, id, entries)
 		}
 	}
 }
 
 // wordOf takes the word that a message bears off it.
-func wordOf(b *[]byte) (incarnation.MessageID, bool) {
-	m := *b
-	if len(m) < wordBytes || m[0] != bearing {
+func cutMessageID(message *[]byte) (incarnation.MessageID, bool) {
+	all := *message
+	if len(all) < identityBytes || all[0] != identityMagic {
 		return incarnation.MessageID{}, false
 	}
-	*b = m[wordBytes:]
-	w := incarnation.MessageID{Incarnation: binary.BigEndian.Uint32(m[1:])}
-	w.Sequence = binary.BigEndian.Uint32(m[5:])
-	return w, true
+	*message = all[identityBytes:]
+	id := incarnation.MessageID{Incarnation: binary.BigEndian.Uint32(all[1:])}
+	id.Sequence = binary.BigEndian.Uint32(all[5:])
+	return id, true
 }
 
-func (p *Peers) number(from netip.AddrPort) int {
+func (p *Peers) peerIndex(from netip.AddrPort) int {
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-	for i, a := range *p.to.Load() {
-		if a == from && i != p.me {
+	for i, address := range *p.addresses.Load() {
+		if address == from && i != p.self {
 			return i
 		}
 	}
--- a/internal/gateway/transport/request.go
+++ b/internal/gateway/transport/request.go
@@ -19,21 +19,21 @@
 )
 
 // Millis turns the module's form of a time span into the library's.
-func Millis(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
+func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // MostBody is how many bytes a message's body may have: 32 MB, however they are counted, and some more.
-const MostBody = 40 << 20
+const MaxBodyBytes = 40 << 20
 
 // Txn is a client's txn as it came: what the module needs of it, and the bytes that pass on unchanged.
 // The bytes are the client's connection's, good until its answer is given.
-type Txn struct {
+type Request struct {
 	policy.Arrival
-	Method, Target, Mark, Key, Body []byte
-	Upload                          *Upload // a body that is not kept
-	Nameless                        bool    // it does not say whose it is: an auth service has to
-	Sent                            bool    // something may have been sent for it
-	client                          client  // nil where it cannot be seen whether the client waits
-	head                            *fasthttp.RequestHeader
+	Method, Target, RequestID, IdempotencyKey, Body []byte
+	Upload                                          *Upload // a body that is not kept
+	Anonymous                                       bool    // it does not say whose it is: an auth service has to
+	MaybeSent                                       bool    // something may have been sent for it
+	client                                          client  // nil where it cannot be seen whether the client waits
+	head                                            *fasthttp.RequestHeader
 }
 
 // client is a connection that can tell whether its other side has closed it.
@@ -43,81 +43,82 @@
 }
 
 // From gives the client's address, without its port; empty where it is not known.
-func (t *Txn) From() string {
-	if t.client == nil {
+func (r *Request) ClientIP() string {
+	if r.client == nil {
 		return ""
 	}
-	host, _, _ := net.SplitHostPort(t.client.RemoteAddr().String())
+	host, _, _ := net.SplitHostPort(r.client.RemoteAddr().String())
 	return host
 }
 
 // Field gives the value of a header that may be there once; empty where it is not.
-func (t *Txn) Field(name string) ([]byte, error) { return AtMostOnce(t.head, name) }
+func (r *Request) Header(name string) ([]byte, error) { return OptionalHeader(r.head, name) }
 
 // Gone tells whether the client has closed its connection.
-func (t *Txn) Gone() bool { return t.client != nil && t.client.Gone() }
+func (r *Request) Gone() bool { return r.client != nil && r.client.Gone() }
 
 // inChunks is how the library says that a body comes in chunks.
-const inChunks = -1
+const chunkedLength = -1
 
 // Decode reads a txn's head; its method and target may be another's than the head's own, who asks on its
 // behalf. Where nameless txns are taken, a head may lack the customer. An error is the client's fault, and
 // says what is wrong.
-func Decode(h *fasthttp.RequestHeader, method, target []byte, names *config.Names, charter *policy.Charter,
-	nameless bool) (Txn, error) {
-	t := Txn{Method: method, Target: target, head: h}
-	err := plain(h.RawHeaders())
+func DecodeRequest(head *fasthttp.RequestHeader, method, target []byte, names *config.Names,
+	charter *policy.Charter,
+	allowAnonymous bool) (Request, error) {
+	r := Request{Method: method, Target: target, head: head}
+	err := checkUnambiguous(head.RawHeaders())
 	if err != nil {
-		return t, err
+		return r, err
 	}
-	if t.Mark, err = only(h, "X-Request-Id"); err != nil {
-		return t, err
+	if r.RequestID, err = requiredHeader(head, "X-Request-Id"); err != nil {
+		return r, err
 	}
-	if len(t.Mark) > policy.LongestMark || bytes.IndexFunc(t.Mark, unsightly) >= 0 {
-		return t, errors.New("X-Request-Id: it must be plain characters, and not many")
+	if len(r.RequestID) > policy.LongestMark || bytes.IndexFunc(r.RequestID, isUnprintable) >= 0 {
+		return r, errors.New("X-Request-Id: it must be plain characters, and not many")
 	}
-	if t.Product, err = product(t.Target, names); err != nil {
-		return t, err
+	if r.Product, err = parseProduct(r.Target, names); err != nil {
+		return r, err
 	}
-	repeat := charter.Products[t.Product].Repeat
-	if t.Key, err = keyOf(h, t.Method, repeat); err != nil {
-		return t, err
+	repeat := charter.Products[r.Product].Repeat
+	if r.IdempotencyKey, err = parseIdempotencyKey(head, r.Method, repeat); err != nil {
+		return r, err
 	}
-	if n := h.ContentLength(); repeat == policy.InquiryLike && (n > 0 || n == inChunks) {
-		return t, errors.New("body: this product takes none")
+	if n := head.ContentLength(); repeat == policy.InquiryLike && (n > 0 || n == chunkedLength) {
+		return r, errors.New("body: this product takes none")
 	}
-	plan, err := only(h, "Plan")
+	plan, err := requiredHeader(head, "Plan")
 	if err != nil {
-		return t, err
+		return r, err
 	}
-	var ok bool
-	if t.Plan, ok = names.Plans[string(plan)]; !ok {
+	var known bool
+	if r.Plan, known = names.Plans[string(plan)]; !known {
 		//lint:ignore ST1005 it begins with a header's name
-		return t, fmt.Errorf("Plan: %q is unknown", plan)
+		return r, fmt.Errorf("Plan: %q is unknown", plan)
 	}
-	if nameless && len(h.Peek("Cookie")) == 0 {
-		t.Nameless = true
-	} else if t.Customer, err = customer(h); err != nil {
-		return t, err
+	if allowAnonymous && len(head.Peek("Cookie")) == 0 {
+		r.Anonymous = true
+	} else if r.Customer, err = parseCustomerCookie(head); err != nil {
+		return r, err
 	}
-	wait, err := only(h, "X-Deadline")
+	deadline, err := requiredHeader(head, "X-Deadline")
 	if err != nil {
-		return t, err
+		return r, err
 	}
-	if t.Left, err = span(wait); err != nil {
-		return t, err
+	if r.Left, err = parseDeadlineMillis(deadline); err != nil {
+		return r, err
 	}
-	quota, err := only(h, "Quota-Info")
+	quota, err := requiredHeader(head, "Quota-Info")
 	if err != nil {
-		return t, err
+		return r, err
 	}
-	return t, t.quota(quota, charter)
+	return r, r.parseQuota(quota, charter)
 }
 
 // plain checks that a head can be read in one way only. Guards against a request that hides another in its
 // body: two statements of its length, or lines that not all readers end or begin in the same place.
-func plain(head []byte) error {
-	length, coding := false, false
+func checkUnambiguous(head []byte) error {
+	hasLength, hasTransferEncoding := false, false
 	for len(head) > 0 {
 		line, rest, _ := bytes.Cut(head, []byte("\n"))
 		head = rest
@@ -125,30 +126,30 @@
 		case !bytes.HasSuffix(line, []byte("\r")) || line[0] == ' ' || line[0] == '\t':
 			return errors.New("head: a line is folded, or does not end as it should")
 		case len(name) == len("Content-Length") && bytes.EqualFold(name, []byte("Content-Length")):
-			length = true
+			hasLength = true
 		case len(name) == len("Transfer-Encoding") && bytes.EqualFold(name, []byte("Transfer-Encoding")):
-			coding = true
+			hasTransferEncoding = true
 		}
 	}
-	if length && coding {
+	if hasLength && hasTransferEncoding {
 		return errors.New("Transfer-Encoding and Content-Length must not be given together")
 	}
 	return nil
 }
 
-func unsightly(c rune) bool { return c <= ' ' || c > '~' }
+func isUnprintable(c rune) bool { return c <= ' ' || c > '~' }
 
 // customer reads the customer's number from the cookie that names it.
-func customer(h *fasthttp.RequestHeader) (uint64, error) {
-	cookie, err := only(h, "Cookie")
+func parseCustomerCookie(head *fasthttp.RequestHeader) (uint64, error) {
+	cookie, err := requiredHeader(head, "Cookie")
 	if err != nil {
 		return 0, err
 	}
 	var key []byte
 	for seen := false; len(cookie) > 0; {
-		var part []byte
-		part, cookie, _ = bytes.Cut(cookie, []byte(";"))
-		if value, ok := bytes.CutPrefix(bytes.TrimSpace(part), []byte("key=")); ok {
+		var pair []byte
+		pair, cookie, _ = bytes.Cut(cookie, []byte(";"))
+		if value, ok := bytes.CutPrefix(bytes.TrimSpace(pair), []byte("key=")); ok {
 			if seen {
 				//lint:ignore ST1005 it begins with a header's name
 				return 0, errors.New("Cookie: key must be given once")
@@ -156,139 +157,139 @@
 			key, seen = value, true
 		}
 	}
-	v, err := Customer(key)
+	number, err := ParseCustomer(key)
 	if err != nil {
 		//lint:ignore ST1005 it begins with a header's name
 		return 0, fmt.Errorf("Cookie: key %w", err)
 	}
-	return v, nil
+	return number, nil
 }
 
 // Customer reads a customer's number.
-func Customer(key []byte) (uint64, error) {
+func ParseCustomer(key []byte) (uint64, error) {
 	const digits, bits = 16, 33
-	v, err := strconv.ParseUint(string(key), 16, bits)
+	number, err := strconv.ParseUint(string(key), 16, bits)
 	if err != nil || len(key) != digits {
 		return 0, fmt.Errorf("must be %d hex digits, below 2^%d", digits, bits)
 	}
-	return v, nil
+	return number, nil
 }
 
 // number reads a number as people write it. Guards against words and forms that the library takes for one.
-func number(b []byte) (float64, error) {
-	for _, c := range b {
+func parseDecimal(text []byte) (float64, error) {
+	for _, c := range text {
 		if (c < '0' || c > '9') && c != '.' {
 			return 0, strconv.ErrSyntax
 		}
 	}
-	return strconv.ParseFloat(string(b), 64)
+	return strconv.ParseFloat(string(text), 64)
 }
 
 // only gives the value of a header that must be there once.
-func only(h *fasthttp.RequestHeader, name string) ([]byte, error) {
-	all := h.PeekAll(name)
-	if len(all) != 1 || len(all[0]) == 0 {
+func requiredHeader(head *fasthttp.RequestHeader, name string) ([]byte, error) {
+	values := head.PeekAll(name)
+	if len(values) != 1 || len(values[0]) == 0 {
 		return nil, fmt.Errorf("%s must be given once", name)
 	}
-	return all[0], nil
+	return values[0], nil
 }
 
 // AtMostOnce gives the value of a header that may be there once; empty where it is not.
-func AtMostOnce(h *fasthttp.RequestHeader, name string) ([]byte, error) {
-	all := h.PeekAll(name)
-	switch len(all) {
+func OptionalHeader(head *fasthttp.RequestHeader, name string) ([]byte, error) {
+	values := head.PeekAll(name)
+	switch len(values) {
 	case 0:
 		return nil, nil
 	case 1:
-		return all[0], nil
+		return values[0], nil
 	}
 	return nil, fmt.Errorf("%s must be given once at most", name)
 }
 
 // product finds the product that the path's first part names.
-func product(target []byte, names *config.Names) (int, error) {
-	part, ok := bytes.CutPrefix(target, []byte("/"))
-	if end := bytes.IndexAny(part, "/?"); end >= 0 {
-		part = part[:end]
+func parseProduct(target []byte, names *config.Names) (int, error) {
+	segment, ok := bytes.CutPrefix(target, []byte("/"))
+	if end := bytes.IndexAny(segment, "/?"); end >= 0 {
+		segment = segment[:end]
 	}
-	p, known := names.Products[string(part)]
+	index, known := names.Products[string(segment)]
 	if !ok || !known {
-		return 0, fmt.Errorf("path: product %q is unknown", part)
+		return 0, fmt.Errorf("path: product %q is unknown", segment)
 	}
-	return p, nil
+	return index, nil
 }
 
 // keyOf checks that a txn comes as its product's kind asks, and gives its mark against repeats, if any.
-func keyOf(h *fasthttp.RequestHeader, name []byte, kind policy.Repeat) ([]byte, error) {
+func parseIdempotencyKey(head *fasthttp.RequestHeader, method []byte, kind policy.Repeat) ([]byte, error) {
 	want := fasthttp.MethodPost
 	if kind == policy.InquiryLike {
 		want = fasthttp.MethodGet
 	}
-	if string(name) != want {
+	if string(method) != want {
 		return nil, fmt.Errorf("method: this product takes %s", want)
 	}
 	if kind == policy.Referenced {
-		return only(h, "Idempotency-Key")
+		return requiredHeader(head, "Idempotency-Key")
 	}
-	if kind == policy.OnceOnly && len(h.Peek("Idempotency-Key")) > 0 {
+	if kind == policy.OnceOnly && len(head.Peek("Idempotency-Key")) > 0 {
 		return nil, errors.New("Idempotency-Key: this product takes none")
 	}
-	return h.Peek("Idempotency-Key"), nil
+	return head.Peek("Idempotency-Key"), nil
 }
 
 // span reads a time with its unit, as ms.
-func span(b []byte) (float64, error) {
+func parseDeadlineMillis(text []byte) (float64, error) {
 	var ms float64
-	if n := len(b) - 1; n > 0 {
-		v, err := number(b[:n])
+	if n := len(text) - 1; n > 0 {
+		number, err := parseDecimal(text[:n])
 		switch {
 		case err != nil:
-		case b[n] == 'm':
-			ms = v
-		case b[n] == 'u':
-			ms = v / 1000
+		case text[n] == 'm':
+			ms = number
+		case text[n] == 'u':
+			ms = number / 1000
 		}
 	}
 	if !(ms > 0) || ms > policy.LongestWait {
-		return 0, fmt.Errorf("X-Deadline: %q is no time ahead in m or u, or too long", b)
+		return 0, fmt.Errorf("X-Deadline: %q is no time ahead in m or u, or too long", text)
 	}
 	return ms, nil
 }
 
 // quota reads units=2,spread=3,first=1, which must be within what the charter allows.
-func (t *Txn) quota(b []byte, charter *policy.Charter) error {
-	const all = 7
+func (r *Request) parseQuota(text []byte, charter *policy.Charter) error {
+	const allFields = 7
 	seen := 0
-	for len(b) > 0 {
-		var part []byte
-		part, b, _ = bytes.Cut(b, []byte(","))
-		name, value, _ := bytes.Cut(bytes.TrimSpace(part), []byte("="))
-		v, err := number(value)
-		bit := 0
+	for len(text) > 0 {
+		var pair []byte
+		pair, text, _ = bytes.Cut(text, []byte(","))
+		name, value, _ := bytes.Cut(bytes.TrimSpace(pair), []byte("="))
+		number, err := parseDecimal(value)
+		field := 0
 		switch string(name) {
 		case "units":
-			bit, t.Units = 1, v
+			field, r.Units = 1, number
 		case "spread":
-			bit, t.SetSize = 2, int(v)
+			field, r.SetSize = 2, int(number)
 		case "first":
-			bit, t.First = 4, int(v)
+			field, r.First = 4, int(number)
 		default:
 			continue
 		}
-		if err != nil || v > math.MaxInt32 || bit > 1 && v != math.Trunc(v) || seen&bit != 0 {
+		if err != nil || number > math.MaxInt32 || field > 1 && number != math.Trunc(number) || seen&field != 0 {
 			return fmt.Errorf("Quota-Info: %s must be given once, as a number", name)
 		}
-		seen |= bit
+		seen |= field
 	}
-	n := max(charter.Gatekeepers, 1)
+	instances := max(charter.Gatekeepers, 1)
 	switch {
-	case seen != all || t.Units == 0 || t.SetSize == 0:
+	case seen != allFields || r.Units == 0 || r.SetSize == 0:
 		return errors.New("Quota-Info: units, spread and first must be given")
-	case charter.LargestUnits > 0 && t.Units > charter.LargestUnits:
+	case charter.LargestUnits > 0 && r.Units > charter.LargestUnits:
 		return fmt.Errorf("Quota-Info: units must be at most %g", charter.LargestUnits)
-	case t.SetSize > n || t.First >= n:
-		return fmt.Errorf("Quota-Info: spread and first must be of %d gatekeepers", n)
-	case (charter.Me-t.First+n)%n >= t.SetSize:
+	case r.SetSize > instances || r.First >= instances:
+		return fmt.Errorf("Quota-Info: spread and first must be of %d gatekeepers", instances)
+	case (charter.Me-r.First+instances)%instances >= r.SetSize:
 		// Guards against a slice of quota and ceiling that is none of the parts they were split in.
 		return errors.New("Quota-Info: this gatekeeper is not of the set")
 	}
