--- a/internal/gateway/transport/socket_linux.go
+++ b/internal/gateway/transport/socket_linux.go
@@ -16,42 +16,43 @@
 // quick is a TCP connection that reads and writes without a word to the runtime's scheduler. Its socket never
 // blocks, so nothing is lost by that; but each ordinary call after an idle moment wakes the runtime's monitor
 // thread, which then costs a fifth of all CPU at some tens of txns a second.
-type quick struct {
+type directConn struct {
 	*net.TCPConn
-	raw     syscall.RawConn
-	in, out transfer
+	raw              syscall.RawConn
+	reading, writing transfer
 }
 
 // transfer is one read or write; call goes to the kernel and is made once.
 type transfer struct {
-	b     []byte
-	n     int
-	errno syscall.Errno
-	call  func(fd uintptr) bool
+	buffer []byte
+	done   int
+	errno  syscall.Errno
+	call   func(fd uintptr) bool
 }
 
 // hasten makes a TCP connection quick.
-func hasten(c net.Conn) net.Conn {
-	t, ok := c.(*net.TCPConn)
+func bypassScheduler(conn net.Conn) net.Conn {
+	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		return c
+		return conn
 	}
-	raw, err := t.SyscallConn()
+	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return c
+		return conn
 	}
-	q := &quick{TCPConn: t, raw: raw}
-	q.in.call, q.out.call = q.in.read, q.out.write
-	return q
+	direct := &directConn{TCPConn: tcp, raw: raw}
+	direct.reading.call, direct.writing.call = direct.reading.read, direct.writing.write
+	return direct
 }
 
-func (t *transfer) kernel(trap, fd uintptr) bool {
+func (t *transfer) trySyscall(number, fd uintptr) bool {
 	for {
-		n, _, e := syscall.RawSyscall6(trap, fd, uintptr(unsafe.Pointer(&t.b[t.n])), uintptr(len(t.b)-t.n),
+		n, _, e := syscall.RawSyscall6(number, fd, uintptr(unsafe.Pointer(&t.buffer[t.done])),
+			uintptr(len(t.buffer)-t.done),
 			syscall.MSG_NOSIGNAL, 0, 0)
 		switch t.errno = e; e {
 		case 0:
-			t.n += int(n)
+			t.done += int(n)
 			return true
 		case syscall.EAGAIN:
 			return false
@@ -62,11 +63,11 @@
 	}
 }
 
-func (t *transfer) read(fd uintptr) bool { return t.kernel(syscall.SYS_RECVFROM, fd) }
+func (t *transfer) read(fd uintptr) bool { return t.trySyscall(syscall.SYS_RECVFROM, fd) }
 
 func (t *transfer) write(fd uintptr) bool {
-	for t.n < len(t.b) {
-		if !t.kernel(syscall.SYS_SENDTO, fd) {
+	for t.done < len(t.buffer) {
+		if !t.trySyscall(syscall.SYS_SENDTO, fd) {
 			return false
 		}
 		if t.errno != 0 {
@@ -78,41 +79,41 @@
 
 // watch has took called, under the guard, in one step with each read that brings bytes, and nothing read
 // where may says no.
-func (q *quick) watch(guard *sync.Mutex, may func() bool, took func()) {
-	q.in.call = func(fd uintptr) bool {
-		guard.Lock()
-		defer guard.Unlock()
-		if !may() {
-			q.in.errno = syscall.ECONNABORTED
+func (c *directConn) guardReads(mu *sync.Mutex, allowed func() bool, onRead func()) {
+	c.reading.call = func(fd uintptr) bool {
+		mu.Lock()
+		defer mu.Unlock()
+		if !allowed() {
+			c.reading.errno = syscall.ECONNABORTED
 			return true
 		}
-		done := q.in.read(fd)
-		if q.in.n > 0 {
-			took()
+		done := c.reading.read(fd)
+		if c.reading.done > 0 {
+			onRead()
 		}
 		return done
 	}
 }
 
-func (t *transfer) begin(b []byte) { t.b, t.n, t.errno = b, 0, 0 }
+func (t *transfer) begin(b []byte) { t.buffer, t.done, t.errno = b, 0, 0 }
 
 func (t *transfer) end(op string, err error) (int, error) {
-	t.b = nil
+	t.buffer = nil
 	if err == nil && t.errno != 0 {
 		err = &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, t.errno)}
 	}
-	return t.n, err
+	return t.done, err
 }
 
 // ahead looks at what the kernel has for the connection, and takes nothing.
-func (q *quick) ahead() (n int, e syscall.Errno) {
-	if q.raw.Control(func(fd uintptr) { n, e = peek(fd) }) != nil {
+func (c *directConn) peek() (n int, e syscall.Errno) {
+	if c.raw.Control(func(fd uintptr) { n, e = peekSocket(fd) }) != nil {
 		e = syscall.EBADF // closed here
 	}
 	return n, e
 }
 
-func peek(fd uintptr) (int, syscall.Errno) {
+func peekSocket(fd uintptr) (int, syscall.Errno) {
 	var b [1]byte
 	n, _, e := syscall.RawSyscall6(syscall.SYS_RECVFROM, fd, uintptr(unsafe.Pointer(&b[0])), 1,
 		syscall.MSG_PEEK|syscall.MSG_DONTWAIT, 0, 0)
@@ -120,11 +121,11 @@
 }
 
 // Gone tells whether the other side has closed the connection, or it has broken.
-func (q *quick) Gone() bool {
-	n, e := q.ahead()
+func (c *directConn) Gone() bool {
+	n, e := c.peek()
 	switch e {
 	case 0:
-		return n == 0 || q.left()
+		return n == 0 || c.peerHasClosed()
 	case syscall.ECONNRESET, syscall.ECONNABORTED, syscall.EPIPE, syscall.ENOTCONN, syscall.ETIMEDOUT,
 		syscall.EHOSTUNREACH, syscall.ENETUNREACH:
 		return true
@@ -134,30 +135,30 @@
 
 // left tells whether the other side has ended the connection, by its state at the kernel: bytes that lie
 // unread hide the end behind them from any look at what has come. Where the state can't be asked it is no.
-func (q *quick) left() (ended bool) {
-	_ = q.raw.Control(func(fd uintptr) {
+func (c *directConn) peerHasClosed() (closed bool) {
+	_ = c.raw.Control(func(fd uintptr) {
 		var state [8]byte
 		size := uint32(len(state))
 		_, _, e := syscall.RawSyscall6(syscall.SYS_GETSOCKOPT, fd, syscall.IPPROTO_TCP, syscall.TCP_INFO,
 			uintptr(unsafe.Pointer(&state[0])), uintptr(unsafe.Pointer(&size)), 0)
 		switch state[0] {
-		case timeWait, closed, closeWait, lastAck, closing:
-			ended = e == 0 && size > 0
+		case tcpTimeWait, tcpClose, tcpCloseWait, tcpLastAck, tcpClosing:
+			closed = e == 0 && size > 0
 		}
 	})
-	return ended
+	return closed
 }
 
 // Lain is how long ago the last bytes came, in the kernel's own steps of some ms; 0 where it can't be asked.
-func (q *quick) Lain() (since time.Duration) {
-	const at = 52 // tcpi_last_data_recv, ms, in Linux' struct tcp_info
-	_ = q.raw.Control(func(fd uintptr) {
-		var info [at + 4]byte
+func (c *directConn) SinceLastReceive() (since time.Duration) {
+	const lastDataOffset = 52 // tcpi_last_data_recv, ms, in Linux' struct tcp_info
+	_ = c.raw.Control(func(fd uintptr) {
+		var info [lastDataOffset + 4]byte
 		size := uint32(len(info))
 		_, _, e := syscall.RawSyscall6(syscall.SYS_GETSOCKOPT, fd, syscall.IPPROTO_TCP, syscall.TCP_INFO,
 			uintptr(unsafe.Pointer(&info[0])), uintptr(unsafe.Pointer(&size)), 0)
 		if e == 0 && size == uint32(len(info)) {
-			since = time.Duration(binary.NativeEndian.Uint32(info[at:])) * time.Millisecond
+			since = time.Duration(binary.NativeEndian.Uint32(info[lastDataOffset:])) * time.Millisecond
 		}
 	})
 	return since
@@ -165,28 +166,28 @@
 
 // The states of a TCP connection at the kernel in which its other side has ended.
 const (
-	timeWait  = 6
-	closed    = 7
-	closeWait = 8
-	lastAck   = 9
-	closing   = 11
+	tcpTimeWait  = 6
+	tcpClose     = 7
+	tcpCloseWait = 8
+	tcpLastAck   = 9
+	tcpClosing   = 11
 )
 
 // Part waits until the other side has ended the connection too, but for so long at most, and reads nothing.
-func (q *quick) Part(most time.Duration) {
-	for until := time.Now().Add(most); time.Now().Before(until); {
-		lies := false
-		if q.SetReadDeadline(until) != nil {
+func (c *directConn) AwaitPeerClose(limit time.Duration) {
+	for deadline := time.Now().Add(limit); time.Now().Before(deadline); {
+		unread := false
+		if c.SetReadDeadline(deadline) != nil {
 			return // closed from here
 		}
-		err := q.raw.Read(func(fd uintptr) bool {
-			n, e := peek(fd)
-			lies = n > 0 && e == 0
-			return lies || e != syscall.EAGAIN
+		err := c.raw.Read(func(fd uintptr) bool {
+			n, e := peekSocket(fd)
+			unread = n > 0 && e == 0
+			return unread || e != syscall.EAGAIN
 		})
 		switch {
-		case late(err): // or another's wake-up before
-		case err != nil || !lies || q.left():
+		case isTimeout(err): // or another's wake-up before
+		case err != nil || !unread || c.peerHasClosed():
 			return
 		default: // what lies there would end each wait for more at once
 			time.Sleep(Millis(policy.AcceptAgain))
@@ -195,27 +196,27 @@
 }
 
 // Quiet tells whether the connection is up and nothing lies unread in it.
-func (q *quick) Quiet() bool {
-	_, e := q.ahead()
+func (c *directConn) Quiescent() bool {
+	_, e := c.peek()
 	return e == syscall.EAGAIN
 }
 
-func (q *quick) Read(b []byte) (int, error) {
+func (c *directConn) Read(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
 	}
-	q.in.begin(b)
-	n, err := q.in.end("recvfrom", q.raw.Read(q.in.call))
+	c.reading.begin(b)
+	n, err := c.reading.end("recvfrom", c.raw.Read(c.reading.call))
 	if n == 0 && err == nil {
 		err = io.EOF
 	}
 	return n, err
 }
 
-func (q *quick) Write(b []byte) (int, error) {
+func (c *directConn) Write(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
 	}
-	q.out.begin(b)
-	return q.out.end("sendto", q.raw.Write(q.out.call))
+	c.writing.begin(b)
+	return c.writing.end("sendto", c.raw.Write(c.writing.call))
 }
--- a/internal/gateway/transport/socket_other.go
+++ b/internal/gateway/transport/socket_other.go
@@ -4,5 +4,5 @@
 
 import "net"
 
-// hasten leaves a connection as it is where the kernel is not Linux.
-func hasten(c net.Conn) net.Conn { return c }
+// bypassScheduler leaves a connection as it is where the kernel is not Linux.
+func bypassScheduler(c net.Conn) net.Conn { return c }
--- a/internal/gateway/transport/worker_connection.go
+++ b/internal/gateway/transport/worker_connection.go
@@ -21,461 +21,465 @@
 
 // Answer is what a worker said to a submission.
 type Answer struct {
-	Outcome      policy.Outcome
-	Type, Coding string
-	Body         []byte
-	Rest         io.Reader     // what is to come behind Body of an answer that is too long to be kept, or nil
-	Length       int           // of both; below nought it is not stated
-	Load         policy.Burden // what the worker said of its load
-	Heard        bool          // it came from the worker, and whole
-	last         bool          // the connection ends with it
-	early        bool          // it had begun before the last piece of its submission's body went out
-	over         func(error)   // to be called once the rest has been passed on, or could not be
+	Outcome                      policy.Outcome
+	ContentType, ContentEncoding string
+	Body                         []byte
+	Remainder                    io.Reader     // what is to come behind Body of an answer that is too long to be kept, or nil
+	Length                       int           // of both; below nought it is not stated
+	Load                         policy.Burden // what the worker said of its load
+	FromWorker                   bool          // it came from the worker, and whole
+	closesConn                   bool          // the connection ends with it
+	early                        bool          // it had begun before the last piece of its submission's body went out
+	onForwarded                  func(error)   // to be called once the rest has been passed on, or could not be
 }
 
 // Keep tells whether the connection can carry another submission.
-func (a *Answer) Keep() bool { return !a.last }
+func (a *Answer) Reusable() bool { return !a.closesConn }
 
 // Early tells that it was there before the last piece of a body that was poured: it is no answer to what came
 // whole after it.
 func (a *Answer) Early() bool { return a.early }
 
 // Last says that the connection is of no more use.
-func (a *Answer) Last() { a.last = true }
+func (a *Answer) CloseAfter() { a.closesConn = true }
 
 // Then has f called once the rest has been passed on or could not be, with what went wrong.
-func (a *Answer) Then(f func(error)) { a.over = f }
+func (a *Answer) OnForwarded(done func(error)) { a.onForwarded = done }
 
 var (
-	errStatus  = errors.New("no status line")
-	errInterim = errors.New("interim answers without end")
-	errSpoke   = errors.New("the worker has closed, or spoken out of turn")
+	errMalformedStatusLine = errors.New("no status line")
+	errTooManyInterim      = errors.New("interim answers without end")
+	errUnexpectedData      = errors.New("the worker has closed, or spoken out of turn")
 	// ErrStale tells that a connection that stood idle has ended, or has bytes in it, and nothing was written.
-	ErrStale = errors.New("the worker has closed an idle connection, or spoken on it")
+	ErrStaleConn = errors.New("the worker has closed an idle connection, or spoken on it")
 	// ErrBrokenOff tells that an answer has ended early at the worker's side.
-	ErrBrokenOff = errors.New("an answer that has not come whole")
+	ErrTruncated = errors.New("an answer that has not come whole")
 )
 
 // passed are the buffers that long bodies and answers go through.
-var passed = sync.Pool{New: func() any { return new([policy.PassBytes]byte) }}
+var copyBuffers = sync.Pool{New: func() any { return new([policy.PassBytes]byte) }}
 
 // copyTo passes the body on, as it comes.
-func (a *Answer) copyTo(w io.Writer) error {
+func (a *Answer) writeTo(w io.Writer) error {
 	if a.Length >= 0 {
-		return a.flow(w)
+		return a.writeBody(w)
 	}
-	out := bufio.NewWriterSize(w, policy.PassBytes)
-	in := httputil.NewChunkedWriter(out)
-	if err := a.flow(flushed{in, out}); err != nil {
+	buffered := bufio.NewWriterSize(w, policy.PassBytes)
+	chunked := httputil.NewChunkedWriter(buffered)
+	if err := a.writeBody(flushingWriter{chunked, buffered}); err != nil {
 		return err
 	}
-	_ = in.Close()
-	_, _ = out.WriteString("\r\n")
-	return out.Flush()
+	_ = chunked.Close()
+	_, _ = buffered.WriteString("\r\n")
+	return buffered.Flush()
 }
 
-func (a *Answer) flow(w io.Writer) error {
+func (a *Answer) writeBody(w io.Writer) error {
 	if _, err := w.Write(a.Body); err != nil {
 		return err
 	}
-	n, err := pour(w, a.Rest)
+	n, err := copyThroughBuffer(w, a.Remainder)
 	if n += int64(len(a.Body)); err == nil && a.Length >= 0 && n != int64(a.Length) {
-		return ErrBrokenOff
+		return ErrTruncated
 	}
 	return err
 }
 
 // pour copies r to w through one buffer. An error of r is ErrBrokenOff.
-func pour(w io.Writer, r io.Reader) (n int64, err error) {
-	buf := passed.Get().(*[policy.PassBytes]byte)
-	defer passed.Put(buf)
+func copyThroughBuffer(w io.Writer, r io.Reader) (n int64, err error) {
+	buf := copyBuffers.Get().(*[policy.PassBytes]byte)
+	defer copyBuffers.Put(buf)
 	for {
-		got, end := r.Read(buf[:])
-		if got > 0 {
-			if _, err := w.Write(buf[:got]); err != nil {
+		read, readErr := r.Read(buf[:])
+		if read > 0 {
+			if _, err := w.Write(buf[:read]); err != nil {
 				return n, err
 			}
-			n += int64(got)
+			n += int64(read)
 		}
 		switch {
-		case end == io.EOF:
+		case readErr == io.EOF:
 			return n, nil
-		case end != nil:
-			return n, fmt.Errorf("%w: %w", ErrBrokenOff, end)
+		case readErr != nil:
+			return n, fmt.Errorf("%w: %w", ErrTruncated, readErr)
 		}
 	}
 }
 
 // flushed writes through to w, and what is under it, at once: nothing that has come is held back.
-type flushed struct {
+type flushingWriter struct {
 	io.Writer
-	under *bufio.Writer
+	buffer *bufio.Writer
 }
 
-func (f flushed) Write(b []byte) (int, error) {
+func (w flushingWriter) Write(b []byte) (int, error) {
 	if len(b) == 0 { // it would end the chunks
 		return 0, nil
 	}
-	n, err := f.Writer.Write(b)
+	n, err := w.Writer.Write(b)
 	if err == nil {
-		err = f.under.Flush()
+		err = w.buffer.Flush()
 	}
 	return n, err
 }
 
 // Ruleless is no version of rules.
-const Ruleless = -1
+const NoRuleset = -1
 
 // The time that is left is told in us, in as many digits as LongestWait has.
 const (
-	leftRoom = "0000000000"
-	mostTold = 9999999999
+	remainingPlaceholder = "0000000000"
+	maxRemainingMicros   = 9999999999
 )
 
 // AppendSubmission encodes a submission of a txn to b, but for a body that is not kept. It names the version
 // of the rules that it goes by, if any. The time that is left is for TellLeft to fill in, at the place given.
-func AppendSubmission(b []byte, t *Txn, rules int64) (msg []byte, at int) {
-	b = append(append(b, t.Method...), ' ')
-	b = append(append(b, t.Target...), " HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: "...)
-	b = append(append(b, t.Mark...), "\r\nX-Deadline: "...)
-	at = len(b)
-	b = append(b, leftRoom+"u\r\n"...)
-	if rules >= 0 {
-		b = append(strconv.AppendInt(append(b, "X-Rules: "...), rules, 10), "\r\n"...)
-	}
-	if len(t.Key) > 0 {
-		b = append(append(append(b, "Idempotency-Key: "...), t.Key...), "\r\n"...)
-	}
-	length := int64(len(t.Body))
-	if t.Upload != nil {
-		length = t.Upload.Length
+func AppendAttempt(b []byte, r *Request, rulesetVersion int64) (message []byte, remainingOffset int) {
+	b = append(append(b, r.Method...), ' ')
+	b = append(append(b, r.Target...), " HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: "...)
+	b = append(append(b, r.RequestID...), "\r\nX-Deadline: "...)
+	remainingOffset = len(b)
+	b = append(b, remainingPlaceholder+"u\r\n"...)
+	if rulesetVersion >= 0 {
+		b = append(strconv.AppendInt(append(b, "X-Rules: "...), rulesetVersion, 10), "\r\n"...)
+	}
+	if len(r.IdempotencyKey) > 0 {
+		b = append(append(append(b, "Idempotency-Key: "...), r.IdempotencyKey...), "\r\n"...)
+	}
+	length := int64(len(r.Body))
+	if r.Upload != nil {
+		length = r.Upload.Length
 	}
 	switch {
 	case length < 0:
 		b = append(b, "Transfer-Encoding: chunked\r\n"...)
-	case length > 0 || string(t.Method) != fasthttp.MethodGet:
+	case length > 0 || string(r.Method) != fasthttp.MethodGet:
 		b = append(strconv.AppendInt(append(b, "Content-Length: "...), length, 10), "\r\n"...)
 	}
-	return append(append(b, "\r\n"...), t.Body...), at
+	return append(append(b, "\r\n"...), r.Body...), remainingOffset
 }
 
 // TellLeft fills in how much of its client's time is left for a submission, in whole us, and gives what is to
 // be sent. It is for the moment before the first byte, and once: room that the figure does not need is given
 // up ahead of the message, and what stands before the figure moves up to it. Nothing is allocated.
-func TellLeft(msg []byte, at int, left time.Duration) []byte {
-	var digits [len(leftRoom)]byte
-	d := strconv.AppendInt(digits[:0], min(max(left.Microseconds(), 0), mostTold), 10)
-	spare := len(leftRoom) - len(d)
-	copy(msg[spare:], msg[:at])
-	copy(msg[spare+at:], d)
-	return msg[spare:]
+func SetRemaining(message []byte, offset int, remaining time.Duration) []byte {
+	var digits [len(remainingPlaceholder)]byte
+	text := strconv.AppendInt(digits[:0], min(max(remaining.Microseconds(), 0), maxRemainingMicros), 10)
+	spare := len(remainingPlaceholder) - len(text)
+	copy(message[spare:], message[:offset])
+	copy(message[spare+offset:], text)
+	return message[spare:]
 }
 
 // Link is one connection to a worker. It carries one submission at a time, and sends nothing again by itself.
-type Link struct {
-	conn    net.Conn
-	in      *bufio.Reader
-	worker  int
-	of      Life // of its last answer; nil while there was none
-	idle    time.Time
-	until   atomic.Int64  // the moment at which whatever waits for an answer gives up, Unix ns; 0 is never
-	pause   time.Duration // how long an answer that has begun may pause; 0 while none has
-	aborted atomic.Bool
-	halted  atomic.Bool
-	passing atomic.Bool // the rest of its answer is left to be passed on
-	pouring atomic.Bool // a body goes out of which more than the last piece is to come
-	left    int64       // of its length, where that is stated; the goroutine's that pours it
-	begins  func()      // called once when an answer has begun and does not come at once; nil where none asks
+type WorkerConn struct {
+	conn          net.Conn
+	reader        *bufio.Reader
+	worker        int
+	incarnation   WorkerIncarnation // of its last answer; nil while there was none
+	idleSince     time.Time
+	deadlineNanos atomic.Int64  // the moment at which whatever waits for an answer gives up, Unix ns; 0 is never
+	stallTimeout  time.Duration // how long an answer that has begun may pause; 0 while none has
+	aborted       atomic.Bool
+	bodyStopped   atomic.Bool
+	forwarding    atomic.Bool // the rest of its answer is left to be passed on
+	sendingBody   atomic.Bool // a body goes out of which more than the last piece is to come
+	bodyRemaining int64       // of its length, where that is stated; the goroutine's that pours it
+	onAnswerStart func()      // called once when an answer has begun and does not come at once; nil where none asks
 }
 
-func newLink(conn net.Conn, worker int) *Link {
-	l := &Link{conn: conn, worker: worker}
-	l.in = bufio.NewReader(l)
-	return l
+func newWorkerConn(conn net.Conn, worker int) *WorkerConn {
+	c := &WorkerConn{conn: conn, worker: worker}
+	c.reader = bufio.NewReader(c)
+	return c
 }
 
 // Overdue tells whether the moment to give up has come.
-func (l *Link) Overdue() bool {
-	until := l.until.Load()
-	return until > 0 && time.Now().UnixNano() >= until
+func (c *WorkerConn) DeadlinePassed() bool {
+	deadline := c.deadlineNanos.Load()
+	return deadline > 0 && time.Now().UnixNano() >= deadline
 }
 
 // Abort ends the submission that is out on the link, from any goroutine.
-func (l *Link) Abort() {
-	l.aborted.Store(true)
-	_ = l.conn.SetDeadline(time.Unix(1, 0))
+func (c *WorkerConn) Abort() {
+	c.aborted.Store(true)
+	_ = c.conn.SetDeadline(time.Unix(1, 0))
 }
 
 // Until sets the moment at which whatever waits on the link gives up; the zero time is never. It changes
 // nothing for an answer of which the rest is left to be passed on: that is the client's, and has no expiry.
-func (l *Link) Until(at time.Time) {
-	l.until.Store(0)
-	if !at.IsZero() && !l.passing.Load() {
-		l.until.Store(at.UnixNano())
+func (c *WorkerConn) SetDeadline(deadline time.Time) {
+	c.deadlineNanos.Store(0)
+	if !deadline.IsZero() && !c.forwarding.Load() {
+		c.deadlineNanos.Store(deadline.UnixNano())
 	}
-	_ = l.conn.SetDeadline(at)
-	if l.passing.Load() { // it may have become so meanwhile
-		l.until.Store(0)
-		_ = l.conn.SetDeadline(time.Time{})
+	_ = c.conn.SetDeadline(deadline)
+	if c.forwarding.Load() { // it may have become so meanwhile
+		c.deadlineNanos.Store(0)
+		_ = c.conn.SetDeadline(time.Time{})
 	}
-	l.heed()
+	c.reapplyAbort()
 }
 
 // Halt ends what is written of a body, from any goroutine: more of it is of no use. The answer is read on.
-func (l *Link) Halt() {
-	l.halted.Store(true)
-	l.heed()
+func (c *WorkerConn) StopBody() {
+	c.bodyStopped.Store(true)
+	c.reapplyAbort()
 }
 
 // heed keeps an abort or a halt in force after a deadline has been set anew.
-func (l *Link) heed() {
-	if l.aborted.Load() {
-		_ = l.conn.SetDeadline(time.Unix(1, 0))
-	} else if l.halted.Load() {
-		_ = l.conn.SetWriteDeadline(time.Unix(1, 0))
+func (c *WorkerConn) reapplyAbort() {
+	if c.aborted.Load() {
+		_ = c.conn.SetDeadline(time.Unix(1, 0))
+	} else if c.bodyStopped.Load() {
+		_ = c.conn.SetWriteDeadline(time.Unix(1, 0))
 	}
 }
 
 // Read reads what the worker sends. Guards against an answer that stalls: what has begun goes on coming, or
 // is cut here.
-func (l *Link) Read(b []byte) (int, error) {
-	if l.pause > 0 {
-		if l.begins != nil {
-			l.begins()
-			l.begins = nil
+func (c *WorkerConn) Read(b []byte) (int, error) {
+	if c.stallTimeout > 0 {
+		if c.onAnswerStart != nil {
+			c.onAnswerStart()
+			c.onAnswerStart = nil
 		}
-		end := time.Now().Add(l.pause)
-		if until := time.Unix(0, l.until.Load()); l.until.Load() > 0 && until.Before(end) {
-			end = until
+		stalledAt := time.Now().Add(c.stallTimeout)
+		if deadline := time.Unix(0, c.deadlineNanos.Load()); c.deadlineNanos.Load() > 0 &&
+			deadline.Before(stalledAt) {
+			stalledAt = deadline
 		}
-		_ = l.conn.SetReadDeadline(end)
-		l.heed()
+		_ = c.conn.SetReadDeadline(stalledAt)
+		c.reapplyAbort()
 	}
-	return l.conn.Read(b)
+	return c.conn.Read(b)
 }
 
 // Write writes to the worker, which has to go on taking.
-func (l *Link) Write(b []byte) (int, error) {
-	if l.left -= int64(len(b)); l.left == 0 {
-		l.pouring.Store(false)
+func (c *WorkerConn) Write(b []byte) (int, error) {
+	if c.bodyRemaining -= int64(len(b)); c.bodyRemaining == 0 {
+		c.sendingBody.Store(false)
 	}
-	_ = l.conn.SetWriteDeadline(time.Now().Add(Millis(policy.BodyPause)))
-	l.heed()
-	return l.conn.Write(b)
+	_ = c.conn.SetWriteDeadline(time.Now().Add(Millis(policy.BodyPause)))
+	c.reapplyAbort()
+	return c.conn.Write(b)
 }
 
 // Send writes a submission, but for a body that is not kept. After an error it was not written whole: with
 // ErrStale, nothing of it on a connection that was good for the one before. Guards against an end, or bytes
 // of the worker's, that came after the link was taken: what lies there before the last piece goes out is no
 // answer to it, and a submission that the worker has not got whole never runs.
-func (l *Link) Send(b []byte) error {
-	for at := 0; at < len(b); {
-		if !quiet(l.conn) {
-			if at == 0 && l.of != nil {
-				return ErrStale
+func (c *WorkerConn) Send(message []byte) error {
+	for sent := 0; sent < len(message); {
+		if !isQuiescent(c.conn) {
+			if sent == 0 && c.incarnation != nil {
+				return ErrStaleConn
 			}
-			return errSpoke
+			return errUnexpectedData
 		}
-		n, err := l.conn.Write(b[at:min(at+policy.PassBytes, len(b))])
+		n, err := c.conn.Write(message[sent:min(sent+policy.PassBytes, len(message))])
 		if err != nil {
 			return err
 		}
-		at += n
+		sent += n
 	}
 	return nil
 }
 
 // Pour writes a body that is not kept. After an error the submission was not written whole.
-func (l *Link) Pour(u *Upload) error {
-	narrow(l.conn)
-	if l.left = u.Length; u.Length >= 0 {
-		_, err := pour(l, u)
+func (c *WorkerConn) SendBody(upload *Upload) error {
+	limitSendBuffer(c.conn)
+	if c.bodyRemaining = upload.Length; upload.Length >= 0 {
+		_, err := copyThroughBuffer(c, upload)
 		return err
 	}
-	out := bufio.NewWriterSize(l, policy.PassBytes)
-	in := httputil.NewChunkedWriter(out)
-	if _, err := pour(flushed{in, out}, u); err != nil {
+	buffered := bufio.NewWriterSize(c, policy.PassBytes)
+	chunked := httputil.NewChunkedWriter(buffered)
+	if _, err := copyThroughBuffer(flushingWriter{chunked, buffered}, upload); err != nil {
 		return err
 	}
-	l.pouring.Store(false)
-	_ = in.Close()
-	_, _ = out.WriteString("\r\n")
-	return out.Flush()
+	c.sendingBody.Store(false)
+	_ = chunked.Close()
+	_, _ = buffered.WriteString("\r\n")
+	return buffered.Flush()
 }
 
 // Pours tells that a body will be poured. To be called before Receive, where that runs beside Pour.
-func (l *Link) Pours() { l.pouring.Store(true) }
+func (c *WorkerConn) ExpectBody() { c.sendingBody.Store(true) }
 
 // Receive reads one answer, but for the rest of one that is too long to be kept. After an error the link is
 // of no more use. What lies behind a whole answer is not part of it: the answer is good, and the link's last.
 // begins is called where an answer has begun and does not come at once.
-func (l *Link) Receive(begins func()) (*Answer, error) {
-	l.begins = begins
-	r := fasthttp.AcquireResponse()
-	a := &Answer{Heard: true}
-	err := l.head(r, a)
+func (c *WorkerConn) Receive(onAnswerStart func()) (*Answer, error) {
+	c.onAnswerStart = onAnswerStart
+	response := fasthttp.AcquireResponse()
+	answer := &Answer{FromWorker: true}
+	err := c.readHead(response, answer)
 	if err == nil {
-		err = l.body(r, a)
+		err = c.readBody(response, answer)
 	}
-	if a.Rest == nil || err != nil {
-		defer fasthttp.ReleaseResponse(r)
+	if answer.Remainder == nil || err != nil {
+		defer fasthttp.ReleaseResponse(response)
 	}
 	if err != nil {
 		return nil, err
 	}
-	a.last = r.ConnectionClose() || a.last || a.Rest == nil && l.in.Buffered() > 0
-	a.Load = load(&r.Header)
-	switch code := r.StatusCode(); {
+	answer.closesConn = response.ConnectionClose() || answer.closesConn || answer.Remainder == nil &&
+		c.reader.Buffered() > 0
+	answer.Load = parseLoad(&response.Header)
+	switch code := response.StatusCode(); {
 	case code == fasthttp.StatusOK:
-		a.Outcome = policy.Settled
-		a.Type, a.Coding = string(r.Header.ContentType()), string(r.Header.ContentEncoding())
+		answer.Outcome = policy.Settled
+		answer.ContentType, answer.ContentEncoding = string(response.Header.ContentType()), string(response.Header.ContentEncoding())
 	case (code == fasthttp.StatusServiceUnavailable || code == fasthttp.StatusGatewayTimeout) &&
-		string(r.Header.Peek("X-Not-Run")) == "1":
-		a.Outcome = policy.Full
+		string(response.Header.Peek("X-Not-Run")) == "1":
+		answer.Outcome = policy.Full
 	default:
-		a.Outcome = policy.Fault
+		answer.Outcome = policy.Fault
 	}
-	return a, nil
+	return answer, nil
 }
 
 // body reads an answer's body, whole where it is short and comes at once. A longer one has gone on coming for
 // as long, or fills what is kept: the rest of it is left to be passed on.
-func (l *Link) body(r *fasthttp.Response, a *Answer) error {
-	a.Length = max(r.Header.ContentLength(), inChunks) // the library has another number for an end by connection
+func (c *WorkerConn) readBody(response *fasthttp.Response, answer *Answer) error {
+	answer.Length = max(response.Header.ContentLength(),
+		chunkedLength) // the library has another number for an end by connection
 	switch {
-	case a.Length > MostBody:
+	case answer.Length > MaxBodyBytes:
 		return errTooLong
-	case a.Length == 0 || r.StatusCode() == fasthttp.StatusNoContent ||
-		r.StatusCode() == fasthttp.StatusNotModified:
+	case answer.Length == 0 || response.StatusCode() == fasthttp.StatusNoContent ||
+		response.StatusCode() == fasthttp.StatusNotModified:
 		return nil
 	}
-	r.StreamBody = true
-	if err := r.ReadBody(l.in, MostBody); err != nil {
+	response.StreamBody = true
+	if err := response.ReadBody(c.reader, MaxBodyBytes); err != nil {
 		return err
 	}
-	rest, whole := r.BodyStream(), false
+	remainder, complete := response.BodyStream(), false
 	var err error
-	if a.Length <= MostKept {
-		a.Body, whole, err = l.keep(a.Length < 0, rest)
+	if answer.Length <= MaxBufferedBodyBytes {
+		answer.Body, complete, err = c.bufferBody(answer.Length < 0, remainder)
 	}
-	if err != nil || whole {
-		_ = r.CloseBodyStream()
+	if err != nil || complete {
+		_ = response.CloseBodyStream()
 		return err
 	}
-	l.pause = Millis(policy.BodyPause)
-	l.passing.Store(true)
-	l.Until(time.Time{})
-	a.Rest = &bounded{rest, int64(MostBody - len(a.Body))}
+	c.stallTimeout = Millis(policy.BodyPause)
+	c.forwarding.Store(true)
+	c.SetDeadline(time.Time{})
+	answer.Remainder = &limitedReader{remainder, int64(MaxBodyBytes - len(answer.Body))}
 	return nil
 }
 
 // keep reads a body until its end, or, where that is not stated, until it has filled what is kept or has been
 // coming for some time, and tells whether it is whole.
-func (l *Link) keep(unstated bool, from io.Reader) (b []byte, whole bool, err error) {
-	b = make([]byte, 0, 512)
+func (c *WorkerConn) bufferBody(unknownLength bool, source io.Reader) (body []byte, complete bool,
+	err error) {
+	body = make([]byte, 0, 512)
 	for start := time.Now(); ; {
-		if len(b) == cap(b) {
-			b = append(b, 0)[:len(b)]
+		if len(body) == cap(body) {
+			body = append(body, 0)[:len(body)]
 		}
-		n, err := from.Read(b[len(b):cap(b)])
-		b = b[:len(b)+n]
+		n, err := source.Read(body[len(body):cap(body)])
+		body = body[:len(body)+n]
 		switch {
 		case err == io.EOF:
-			return b, true, nil
+			return body, true, nil
 		case err != nil:
 			return nil, false, err
-		case unstated && (len(b) > MostKept || time.Since(start) > Millis(policy.AnswerPause)):
-			return b, false, nil
+		case unknownLength && (len(body) > MaxBufferedBodyBytes || time.Since(start) > Millis(policy.AnswerPause)):
+			return body, false, nil
 		}
 	}
 }
 
 // bounded gives no more than so many bytes. Guards against answers without end.
-type bounded struct {
-	from io.Reader
-	left int64
+type limitedReader struct {
+	source    io.Reader
+	remaining int64
 }
 
-func (r *bounded) Read(b []byte) (int, error) {
-	if r.left <= 0 {
+func (r *limitedReader) Read(b []byte) (int, error) {
+	if r.remaining <= 0 {
 		return 0, errTooLong
 	}
-	n, err := r.from.Read(b)
-	r.left -= int64(n)
+	n, err := r.source.Read(b)
+	r.remaining -= int64(n)
 	return n, err
 }
 
 // reports are the words for what is told of load: the protocol's own, and the settings' for the same.
-var reports = [...][2]string{{"inflight", "concurrent"}, {"queue", "depth"}, {"util", "load_share"}}
+var loadFieldNames = [...][2]string{{"inflight", "concurrent"}, {"queue", "depth"}, {"util", "load_share"}}
 
 // load reads what a worker said of its load. A report that is missing or cannot be read says nothing, and so
 // does what is no number of nought or more in it.
-func load(h *fasthttp.ResponseHeader) policy.Burden {
-	var says map[string]any
-	if all := h.PeekAll("X-Load"); len(all) != 1 || json.Unmarshal(all[0], &says) != nil {
-		says = nil
-	}
-	var told [len(reports)]float64
-	for i, words := range reports {
-		told[i] = -1
-		for _, word := range words {
-			if v, ok := says[word].(float64); ok && v >= 0 {
-				told[i] = v
+func parseLoad(head *fasthttp.ResponseHeader) policy.Burden {
+	var fields map[string]any
+	if values := head.PeekAll("X-Load"); len(values) != 1 || json.Unmarshal(values[0], &fields) != nil {
+		fields = nil
+	}
+	var reported [len(loadFieldNames)]float64
+	for i, names := range loadFieldNames {
+		reported[i] = -1
+		for _, name := range names {
+			if v, ok := fields[name].(float64); ok && v >= 0 {
+				reported[i] = v
 			}
 		}
 	}
-	return policy.Burden{Held: told[0], Waiting: told[1], Busy: told[2]}
+	return policy.Burden{Held: reported[0], Waiting: reported[1], Busy: reported[2]}
 }
 
 // head reads an answer's head, past the interim ones ahead of it. Until a head has begun nothing pauses, and
 // nothing does behind an interim one that came while the body of its submission still goes out.
-func (l *Link) head(r *fasthttp.Response, a *Answer) error {
-	for n := 0; ; n++ {
-		if n == 0 || a.early {
-			l.await(n > 0)
+func (c *WorkerConn) readHead(response *fasthttp.Response, answer *Answer) error {
+	for interim := 0; ; interim++ {
+		if interim == 0 || answer.early {
+			c.awaitUntilDeadline(interim > 0)
 		}
-		if _, err := l.in.Peek(1); err != nil {
+		if _, err := c.reader.Peek(1); err != nil {
 			return err
 		}
-		a.early, l.pause = l.pouring.Load(), Millis(policy.AnswerPause)
+		answer.early, c.stallTimeout = c.sendingBody.Load(), Millis(policy.AnswerPause)
 		// Guards against a status line that the library makes 200 of: it reads status 000 so, and 0200.
-		line, err := l.in.Peek(len("HTTP/1.1 200 "))
+		statusLine, err := c.reader.Peek(len("HTTP/1.1 200 "))
 		if err != nil {
 			return err
 		}
-		if !isStatus(line) {
-			return errStatus
+		if !isStatusLine(statusLine) {
+			return errMalformedStatusLine
 		}
-		if err := r.Header.Read(l.in); err != nil {
+		if err := response.Header.Read(c.reader); err != nil {
 			return err
 		}
-		if r.StatusCode() >= fasthttp.StatusOK {
+		if response.StatusCode() >= fasthttp.StatusOK {
 			return nil
 		}
-		if n == policy.MostInterim || r.StatusCode() == fasthttp.StatusSwitchingProtocols {
-			return errInterim
+		if interim == policy.MostInterim || response.StatusCode() == fasthttp.StatusSwitchingProtocols {
+			return errTooManyInterim
 		}
 	}
 }
 
 // await has reads wait until the moment to give up, and no shorter, also where a pause has been set. Guards
 // against one that is set meanwhile.
-func (l *Link) await(paused bool) {
-	for l.pause = 0; paused; {
-		until, end := l.until.Load(), time.Time{}
-		if until > 0 {
-			end = time.Unix(0, until)
+func (c *WorkerConn) awaitUntilDeadline(resetDeadline bool) {
+	for c.stallTimeout = 0; resetDeadline; {
+		deadlineNanos, deadline := c.deadlineNanos.Load(), time.Time{}
+		if deadlineNanos > 0 {
+			deadline = time.Unix(0, deadlineNanos)
 		}
-		_ = l.conn.SetReadDeadline(end)
-		l.heed()
-		if l.until.Load() == until {
+		_ = c.conn.SetReadDeadline(deadline)
+		c.reapplyAbort()
+		if c.deadlineNanos.Load() == deadlineNanos {
 			return
 		}
 	}
 }
 
 // isStatus tells whether a line begins as HTTP/1.0 or 1.1 with a status of three digits, and no more of them.
-func isStatus(line []byte) bool {
+func isStatusLine(line []byte) bool {
 	rest, ok := bytes.CutPrefix(line, []byte("HTTP/1."))
 	if !ok || rest[0] != '0' && rest[0] != '1' || rest[1] != ' ' || rest[2] < '1' || rest[2] > '5' {
 		return false
--- a/internal/gateway/transport/worker_connection_test.go
+++ b/internal/gateway/transport/worker_connection_test.go
@@ -13,31 +13,31 @@
 	"willowdeck/internal/policy"
 )
 
-const okay = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 // linked gives a link and the worker's side of it.
-func linked(t *testing.T) (*Links, *Link, net.Conn) {
+func connectedPair(t *testing.T) (*WorkerPool, *WorkerConn, net.Conn) {
 	t.Helper()
-	l, at := sink(t)
-	p := NewLinks(4, time.Second, time.Second)
-	link, err := p.Dial(0, at, time.Now().Add(time.Second))
+	listener, address := listen(t)
+	pool := NewWorkerPool(4, time.Second, time.Second)
+	conn, err := pool.Dial(0, address, time.Now().Add(time.Second))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := l.Accept()
+	worker, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	t.Cleanup(func() { c.Close() })
-	link.Until(time.Now().Add(5 * time.Second))
-	return p, link, c
+	worker.SetDeadline(time.Now().Add(5 * time.Second))
+	t.Cleanup(func() { worker.Close() })
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	return pool, conn, worker
 }
 
 // unquiet waits until a link's worker has been heard.
-func unquiet(t *testing.T, l *Link) {
+func awaitUnread(t *testing.T, conn *WorkerConn) {
 	t.Helper()
-	for end := time.Now().Add(5 * time.Second); quiet(l.conn); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); isQuiescent(conn.conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("nothing comes")
 		}
@@ -46,222 +46,224 @@
 
 // What a worker does before the first byte keeps a submission from going out: on a link that stood idle that
 // is no fault of the worker, on a new one it is.
-func TestSendMeetsAnEnd(t *testing.T) {
-	for _, c := range []struct {
+func TestSendAfterWorkerClosed(t *testing.T) {
+	for _, tc := range []struct {
 		name string
 		do   func(net.Conn)
 	}{
-		{"end", func(c net.Conn) { c.Close() }},
-		{"reset", func(c net.Conn) {
-			c.(*net.TCPConn).SetLinger(0)
-			c.Close()
+		{"end", func(tc net.Conn) { tc.Close() }},
+		{"reset", func(tc net.Conn) {
+			tc.(*net.TCPConn).SetLinger(0)
+			tc.Close()
 		}},
-		{"half a line", func(c net.Conn) { c.Write([]byte("HTTP/1")) }},
+		{"half a line", func(tc net.Conn) { tc.Write([]byte("HTTP/1")) }},
 	} {
-		for _, stood := range []bool{true, false} {
-			p, l, w := linked(t)
-			if stood {
-				p.Keep(l, standing(true))
-				if p.Idle(0) != l {
+		for _, pooled := range []bool{true, false} {
+			pool, conn, worker := connectedPair(t)
+			if pooled {
+				pool.Put(conn, fixedIncarnation(true))
+				if pool.TakeIdle(0) != conn {
 					t.Fatal("not kept")
 				}
 			}
-			c.do(w)
-			unquiet(t, l)
-			if err := l.Send([]byte("txn")); err == nil || errors.Is(err, ErrStale) != stood {
-				t.Errorf("%s, idle before %v: %v", c.name, stood, err)
+			tc.do(worker)
+			awaitUnread(t, conn)
+			if err := conn.Send([]byte("txn")); err == nil || errors.Is(err, ErrStaleConn) != pooled {
+				t.Errorf("%s, idle before %v: %v", tc.name, pooled, err)
 			}
-			w.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-			if n, _ := w.Read(make([]byte, 9)); n != 0 {
-				t.Errorf("%s: %d bytes were written", c.name, n)
+			worker.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
+			if n, _ := worker.Read(make([]byte, 9)); n != 0 {
+				t.Errorf("%s: %d bytes were written", tc.name, n)
 			}
-			p.Drop(l)
+			pool.Discard(conn)
 		}
 	}
 }
 
 // A worker that speaks while a submission goes out has not got it whole: the rest is not written, so that it
 // never runs, and what was said is not read as its answer.
-func TestSendMeetsAnAnswer(t *testing.T) {
-	_, l, w := linked(t)
+func TestSendStopsAtEarlyAnswer(t *testing.T) {
+	_, conn, worker := connectedPair(t)
 	const size = 32 << 20 // more than the kernel takes
 	sent := make(chan error)
-	go func() { sent <- l.Send(make([]byte, size)) }()
-	if _, err := io.ReadFull(w, make([]byte, 1024)); err != nil {
+	go func() { sent <- conn.Send(make([]byte, size)) }()
+	if _, err := io.ReadFull(worker, make([]byte, 1024)); err != nil {
 		t.Fatal(err)
 	}
-	w.Write([]byte(okay))
-	unquiet(t, l)
-	came := make(chan int64)
+	worker.Write([]byte(okAnswer))
+	awaitUnread(t, conn)
+	received := make(chan int64)
 	go func() {
-		n, _ := io.Copy(io.Discard, w)
-		came <- 1024 + n
+		n, _ := io.Copy(io.Discard, worker)
+		received <- 1024 + n
 	}()
 	err := <-sent
-	l.conn.Close()
-	if n := <-came; !errors.Is(err, errSpoke) || n >= size {
+	conn.conn.Close()
+	if n := <-received; !errors.Is(err, errUnexpectedData) || n >= size {
 		t.Errorf("sent with %v, %d bytes of %d came", err, n, size)
 	}
 }
 
 // An answer is early where it has begun before the last piece of a body goes out, and no other is. Interim
 // ones ahead of it are not what counts.
-func TestEarly(t *testing.T) {
+func TestEarlyAnswer(t *testing.T) {
 	const interim = "HTTP/1.1 102 On\r\n\r\n"
-	for _, c := range []struct {
-		name, before, behind string
-		early                bool
+	for _, tc := range []struct {
+		name, before, after string
+		early               bool
 	}{
-		{"early", okay, "", true},
-		{"in time", "", okay, false},
-		{"an early interim one", interim, okay, false},
-		{"an early interim one in pieces", interim[:9] + "|" + interim[9:] + "|", okay, false},
-		{"both early", interim + okay, "", true},
+		{"early", okAnswer, "", true},
+		{"in time", "", okAnswer, false},
+		{"an early interim one", interim, okAnswer, false},
+		{"an early interim one in pieces", interim[:9] + "|" + interim[9:] + "|", okAnswer, false},
+		{"both early", interim + okAnswer, "", true},
 	} {
-		_, l, w := linked(t)
-		l.Pours()
-		first, pieces, _ := strings.Cut(c.before, "|")
-		w.Write([]byte(first))
-		got, went := make(chan *Answer), make(chan struct{})
+		_, conn, worker := connectedPair(t)
+		conn.ExpectBody()
+		first, pieces, _ := strings.Cut(tc.before, "|")
+		worker.Write([]byte(first))
+		answers, written := make(chan *Answer), make(chan struct{})
 		go func() {
-			a, err := l.Receive(nil)
+			answer, err := conn.Receive(nil)
 			if err != nil {
-				t.Errorf("%s: %v", c.name, err)
+				t.Errorf("%s: %v", tc.name, err)
 			}
-			got <- a
+			answers <- answer
 		}()
-		if c.behind == "" {
-			if a := <-got; a == nil || a.Early() != c.early {
-				t.Errorf("%s: %+v", c.name, a)
+		if tc.after == "" {
+			if answer := <-answers; answer == nil || answer.Early() != tc.early {
+				t.Errorf("%s: %+v", tc.name, answer)
 			}
 			continue
 		}
-		read := func() {
-			for !quiet(l.conn) {
+		awaitRead := func() {
+			for !isQuiescent(conn.conn) {
 				time.Sleep(time.Millisecond)
 			}
 		}
-		if read(); pieces != "" { // what is set for the second has to end with it
-			w.Write([]byte(strings.TrimSuffix(pieces, "|")))
-			read()
+		if awaitRead(); pieces != "" { // what is set for the second has to end with it
+			worker.Write([]byte(strings.TrimSuffix(pieces, "|")))
+			awaitRead()
 			time.Sleep(Millis(1.5 * policy.AnswerPause))
 		}
-		l.left = 3
+		conn.bodyRemaining = 3
 		go func() {
-			l.Write([]byte("end"))
-			close(went)
+			conn.Write([]byte("end"))
+			close(written)
 		}()
-		<-went
-		w.Write([]byte(c.behind))
-		if a := <-got; a == nil || a.Early() != c.early {
-			t.Errorf("%s: %+v", c.name, a)
+		<-written
+		worker.Write([]byte(tc.after))
+		if answer := <-answers; answer == nil || answer.Early() != tc.early {
+			t.Errorf("%s: %+v", tc.name, answer)
 		}
 	}
 }
 
 // An answer that is left to be passed on has no end in time, also where one is set as it begins.
-func TestRestHasNoExpiry(t *testing.T) {
-	_, l, w := linked(t)
-	size := MostKept + 9
-	w.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 65545\r\n\r\nab"))
-	a, err := l.Receive(nil)
-	if err != nil || a.Rest == nil {
-		t.Fatalf("%+v, %v", a, err)
+func TestRemainderHasNoDeadline(t *testing.T) {
+	_, conn, worker := connectedPair(t)
+	size := MaxBufferedBodyBytes + 9
+	worker.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 65545\r\n\r\nab"))
+	answer, err := conn.Receive(nil)
+	if err != nil || answer.Remainder == nil {
+		t.Fatalf("%+v, %v", answer, err)
 	}
-	l.Until(time.Now().Add(-time.Second))
-	go w.Write([]byte(strings.Repeat("x", size-2)))
-	if b, err := io.ReadAll(a.Rest); err != nil || len(b) != size {
+	conn.SetDeadline(time.Now().Add(-time.Second))
+	go worker.Write([]byte(strings.Repeat("x", size-2)))
+	if b, err := io.ReadAll(answer.Remainder); err != nil || len(b) != size {
 		t.Errorf("%d bytes, %v", len(b), err)
 	}
 }
 
 // What is read behind an answer that was passed on as it came is not kept with its link.
-func TestKeepNothingRead(t *testing.T) {
-	p, l, w := linked(t)
-	size := MostKept + 9
-	go w.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 65545\r\n\r\n" + strings.Repeat("x", size) + okay))
-	a, err := l.Receive(nil)
-	if err != nil || a.Rest == nil {
-		t.Fatalf("%+v, %v", a, err)
+func TestPutRejectsBufferedData(t *testing.T) {
+	pool, conn, worker := connectedPair(t)
+	size := MaxBufferedBodyBytes + 9
+	go worker.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 65545\r\n\r\n" + strings.Repeat("x", size) +
+		okAnswer))
+	answer, err := conn.Receive(nil)
+	if err != nil || answer.Remainder == nil {
+		t.Fatalf("%+v, %v", answer, err)
 	}
-	if b, err := io.ReadAll(io.LimitReader(a.Rest, int64(size-100))); err != nil || len(b) != size-100 {
+	if b, err := io.ReadAll(io.LimitReader(answer.Remainder,
+		int64(size-100))); err != nil || len(b) != size-100 {
 		t.Fatalf("%d bytes, %v", len(b), err)
 	}
 	// The end of it comes with what is behind it.
-	for l.in.Buffered() < 100 {
-		if _, err := l.in.Peek(min(l.in.Buffered()+1, 100+len(okay))); err != nil {
+	for conn.reader.Buffered() < 100 {
+		if _, err := conn.reader.Peek(min(conn.reader.Buffered()+1, 100+len(okAnswer))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := l.in.Peek(100 + len(okay)); err != nil {
+	if _, err := conn.reader.Peek(100 + len(okAnswer)); err != nil {
 		t.Fatal(err)
 	}
-	if b, err := io.ReadAll(a.Rest); err != nil || len(b) != 100 {
+	if b, err := io.ReadAll(answer.Remainder); err != nil || len(b) != 100 {
 		t.Fatalf("%d bytes, %v", len(b), err)
 	}
-	if !quiet(l.conn) || p.Keep(l, standing(true)) {
+	if !isQuiescent(conn.conn) || pool.Put(conn, fixedIncarnation(true)) {
 		t.Error("it is kept")
 	}
 }
 
 // Without a descriptor for one more connection there is no room for it, which is not the worker's fault, and
 // its place is free again.
-func TestNoDescriptor(t *testing.T) {
-	_, at := sink(t)
-	p := NewLinks(4, time.Second, time.Second)
-	var was unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
+func TestDialWithoutDescriptor(t *testing.T) {
+	_, address := listen(t)
+	pool := NewWorkerPool(4, time.Second, time.Second)
+	var limit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
-	none := was
+	none := limit
 	none.Cur = 3 // those of the process itself
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &none); err != nil {
 		t.Fatal(err)
 	}
-	_, err := p.Dial(0, at, time.Now().Add(time.Second))
-	if back := unix.Setrlimit(unix.RLIMIT_NOFILE, &was); back != nil {
+	_, err := pool.Dial(0, address, time.Now().Add(time.Second))
+	if back := unix.Setrlimit(unix.RLIMIT_NOFILE, &limit); back != nil {
 		t.Fatal(back)
 	}
-	if !errors.Is(err, ErrNoRoom) || p.Open() != 0 {
-		t.Errorf("dialled with %v, %d connections", err, p.Open())
+	if !errors.Is(err, ErrPoolExhausted) || pool.OpenConns() != 0 {
+		t.Errorf("dialled with %v, %d connections", err, pool.OpenConns())
 	}
-	l, err := p.Dial(0, at, time.Now().Add(time.Second))
-	if err != nil || p.Open() != 1 {
-		t.Fatalf("then with %v, %d connections", err, p.Open())
+	conn, err := pool.Dial(0, address, time.Now().Add(time.Second))
+	if err != nil || pool.OpenConns() != 1 {
+		t.Fatalf("then with %v, %d connections", err, pool.OpenConns())
 	}
-	p.Drop(l)
+	pool.Discard(conn)
 }
 
 // A body that its worker no longer takes is ended by a halt at once, and its answer is read on.
-func TestHalt(t *testing.T) {
-	p, l, w := linked(t)
+func TestStopBody(t *testing.T) {
+	pool, conn, worker := connectedPair(t)
 	written := make(chan error)
 	go func() {
-		_, err := l.Write(make([]byte, 32<<20))
+		_, err := conn.Write(make([]byte, 32<<20))
 		written <- err
 	}()
-	if _, err := io.ReadFull(w, make([]byte, 1024)); err != nil {
+	if _, err := io.ReadFull(worker, make([]byte, 1024)); err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
-	l.Halt()
+	conn.StopBody()
 	if err := <-written; err == nil || time.Since(start) > Millis(policy.BodyPause)/2 {
 		t.Errorf("ended with %v after %v", err, time.Since(start))
 	}
-	if _, err := l.Write([]byte("more")); err == nil {
+	if _, err := conn.Write([]byte("more")); err == nil {
 		t.Error("it writes on")
 	}
-	w.Write([]byte(okay))
-	if a, err := l.Receive(nil); err != nil || string(a.Body) != "ok" {
-		t.Errorf("%+v, %v", a, err)
+	worker.Write([]byte(okAnswer))
+	if answer, err := conn.Receive(nil); err != nil || string(answer.Body) != "ok" {
+		t.Errorf("%+v, %v", answer, err)
 	}
-	go io.Copy(io.Discard, w)
-	p.Keep(l, standing(true)) // as one whose body had just gone out
-	if l = p.Idle(0); l == nil {
+	go io.Copy(io.Discard, worker)
+	pool.Put(conn, fixedIncarnation(true)) // as one whose body had just gone out
+	if conn = pool.TakeIdle(0); conn == nil {
 		t.Fatal("not kept")
 	}
-	l.Until(time.Now().Add(time.Second))
-	if err := l.Send([]byte("txn")); err != nil {
+	conn.SetDeadline(time.Now().Add(time.Second))
+	if err := conn.Send([]byte("txn")); err != nil {
 		t.Errorf("used again: %v", err)
 	}
 }
--- a/internal/gateway/transport/worker_pool.go
+++ b/internal/gateway/transport/worker_pool.go
@@ -12,175 +12,175 @@
 )
 
 // ErrNoRoom tells that the gatekeeper has no descriptor to spare for one more connection.
-var ErrNoRoom = errors.New("no connection to spare")
+var ErrPoolExhausted = errors.New("no connection to spare")
 
 // Life is one life of a worker, which ends when it drains, goes, moves or starts anew.
-type Life interface{ Valid() bool }
+type WorkerIncarnation interface{ Valid() bool }
 
 // Links keeps the connections to workers: idle ones for reuse, the most recent first, and no more in all
 // than it is given.
-type Links struct {
-	mu      sync.Mutex
-	idle    [][]*Link // by worker; the most recent last
-	open    int
-	retired bool
-	most    int
-	keep    time.Duration
-	connect time.Duration
-	spoilt  atomic.Int64
-	tries   atomic.Int64
+type WorkerPool struct {
+	mu              sync.Mutex
+	idle            [][]*WorkerConn // by worker; the most recent last
+	open            int
+	retired         bool
+	limit           int
+	idleTimeout     time.Duration
+	connectTimeout  time.Duration
+	staleConns      atomic.Int64
+	attemptsWritten atomic.Int64
 }
 
 // NewLinks makes room for so many connections, which are dropped once they have been idle for keep.
-func NewLinks(most int, keep, connect time.Duration) *Links {
-	return &Links{most: most, keep: keep, connect: connect}
+func NewWorkerPool(limit int, idleTimeout, connectTimeout time.Duration) *WorkerPool {
+	return &WorkerPool{limit: limit, idleTimeout: idleTimeout, connectTimeout: connectTimeout}
 }
 
 // Idle gives the connection to a worker that was used last, or nil. Guards against one that the worker has
 // closed without a word, on which a submission would be lost that may not be sent again, and one with bytes
 // in it that would be read as the next submission's answer.
-func (p *Links) Idle(worker int) *Link {
+func (p *WorkerPool) TakeIdle(worker int) *WorkerConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if worker >= len(p.idle) {
 		return nil
 	}
-	p.prune(worker)
-	for s := p.idle[worker]; len(s) > 0; s = p.idle[worker] {
-		l := s[len(s)-1]
-		p.idle[worker] = s[:len(s)-1]
-		if l.of.Valid() && quiet(l.conn) {
-			return l
+	p.closeExpired(worker)
+	for idle := p.idle[worker]; len(idle) > 0; idle = p.idle[worker] {
+		c := idle[len(idle)-1]
+		p.idle[worker] = idle[:len(idle)-1]
+		if c.incarnation.Valid() && isQuiescent(c.conn) {
+			return c
 		}
-		p.end(l)
-		p.spoilt.Add(1)
+		p.closeLocked(c)
+		p.staleConns.Add(1)
 	}
 	return nil
 }
 
 // Spoilt tells how many idle connections were found closed by the worker, with bytes in them, or of a life of
 // it that has ended.
-func (p *Links) Spoilt() int64 { return p.spoilt.Load() }
+func (p *WorkerPool) StaleConns() int64 { return p.staleConns.Load() }
 
 // Open tells how many connections there are, idle ones and those that come up included.
-func (p *Links) Open() int {
+func (p *WorkerPool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
 // Tries tells how many submissions have been written whole.
-func (p *Links) Tries() int64 { return p.tries.Load() }
+func (p *WorkerPool) AttemptsWritten() int64 { return p.attemptsWritten.Load() }
 
 // Wrote counts one that has.
-func (p *Links) Wrote() { p.tries.Add(1) }
+func (p *WorkerPool) CountAttempt() { p.attemptsWritten.Add(1) }
 
 // Dial opens a connection, within its own limit and until a moment.
-func (p *Links) Dial(worker int, addr netip.AddrPort, until time.Time) (*Link, error) {
+func (p *WorkerPool) Dial(worker int, addr netip.AddrPort, deadline time.Time) (*WorkerConn, error) {
 	p.mu.Lock()
-	if p.open >= p.most && !p.dropOldest() {
+	if p.open >= p.limit && !p.evictOldest() {
 		p.mu.Unlock()
-		return nil, ErrNoRoom
+		return nil, ErrPoolExhausted
 	}
 	p.open++
 	p.mu.Unlock()
-	d := net.Dialer{Timeout: p.connect, Deadline: until, KeepAlive: -1}
-	conn, err := d.Dial("tcp", addr.String())
+	dialer := net.Dialer{Timeout: p.connectTimeout, Deadline: deadline, KeepAlive: -1}
+	conn, err := dialer.Dial("tcp", addr.String())
 	if err != nil {
 		p.mu.Lock()
 		p.open--
 		p.mu.Unlock()
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			return nil, ErrNoRoom // the want is here, not at the worker
+			return nil, ErrPoolExhausted // the want is here, not at the worker
 		}
 		return nil, fmt.Errorf("worker: %w", err)
 	}
-	conn = hasten(conn)
-	return newLink(conn, worker), nil
+	conn = bypassScheduler(conn)
+	return newWorkerConn(conn, worker), nil
 }
 
 // Keep takes a connection back whose answer has been read whole, if its worker still is what it was. Guards
 // against a connection to a former life, or to another worker that had its place, and against what was read
 // behind an answer that was passed on as it came: the next submission would take it for its own.
-func (p *Links) Keep(l *Link, of Life) bool {
+func (p *WorkerPool) Put(c *WorkerConn, incarnation WorkerIncarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	// Whether it holds is asked here, as the worker's end sheds what has been kept before it.
-	if p.retired || l.in.Buffered() > 0 || !of.Valid() {
+	if p.retired || c.reader.Buffered() > 0 || !incarnation.Valid() {
 		return false
 	}
-	for len(p.idle) <= l.worker {
+	for len(p.idle) <= c.worker {
 		p.idle = append(p.idle, nil)
 	}
-	l.idle, l.of = time.Now(), of
-	l.halted.Store(false)
-	l.passing.Store(false)
-	p.idle[l.worker] = append(p.idle[l.worker], l)
-	p.prune(l.worker)
+	c.idleSince, c.incarnation = time.Now(), incarnation
+	c.bodyStopped.Store(false)
+	c.forwarding.Store(false)
+	p.idle[c.worker] = append(p.idle[c.worker], c)
+	p.closeExpired(c.worker)
 	return true
 }
 
 // Drop ends a connection.
-func (p *Links) Drop(l *Link) {
-	_ = l.conn.Close()
+func (p *WorkerPool) Discard(c *WorkerConn) {
+	_ = c.conn.Close()
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
 // Shed ends the idle connections to a worker.
-func (p *Links) Shed(worker int) {
+func (p *WorkerPool) CloseIdle(worker int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if worker < len(p.idle) {
-		p.cut(worker, len(p.idle[worker]))
+		p.closeOldest(worker, len(p.idle[worker]))
 	}
 }
 
 // Retire ends the idle connections, and keeps none from then on: what is free is another process's now.
-func (p *Links) Retire() {
+func (p *WorkerPool) Retire() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.retired = true
-	for w := range p.idle {
-		p.cut(w, len(p.idle[w]))
+	for worker := range p.idle {
+		p.closeOldest(worker, len(p.idle[worker]))
 	}
 }
 
 // prune ends those connections of a worker that have been idle for too long.
-func (p *Links) prune(worker int) {
-	n, s := 0, p.idle[worker]
-	for n < len(s) && time.Since(s[n].idle) > p.keep {
-		n++
+func (p *WorkerPool) closeExpired(worker int) {
+	expired, idle := 0, p.idle[worker]
+	for expired < len(idle) && time.Since(idle[expired].idleSince) > p.idleTimeout {
+		expired++
 	}
-	p.cut(worker, n)
+	p.closeOldest(worker, expired)
 }
 
 // cut ends the n connections of a worker that have been idle for the longest.
-func (p *Links) cut(worker, n int) {
-	s := p.idle[worker]
-	for _, l := range s[:n] {
-		p.end(l)
+func (p *WorkerPool) closeOldest(worker, n int) {
+	idle := p.idle[worker]
+	for _, c := range idle[:n] {
+		p.closeLocked(c)
 	}
-	p.idle[worker] = append(s[:0], s[n:]...)
+	p.idle[worker] = append(idle[:0], idle[n:]...)
 }
 
 // end closes a connection and frees its place, under the lock.
-func (p *Links) end(l *Link) {
-	_ = l.conn.Close()
+func (p *WorkerPool) closeLocked(c *WorkerConn) {
+	_ = c.conn.Close()
 	p.open--
 }
 
 // dropOldest ends the connection that has been idle for the longest, if there is one.
-func (p *Links) dropOldest() bool {
-	at := -1
-	for w, s := range p.idle {
-		if len(s) > 0 && (at < 0 || s[0].idle.Before(p.idle[at][0].idle)) {
-			at = w
+func (p *WorkerPool) evictOldest() bool {
+	oldest := -1
+	for worker, idle := range p.idle {
+		if len(idle) > 0 && (oldest < 0 || idle[0].idleSince.Before(p.idle[oldest][0].idleSince)) {
+			oldest = worker
 		}
 	}
-	if at >= 0 {
-		p.cut(at, 1)
+	if oldest >= 0 {
+		p.closeOldest(oldest, 1)
 	}
-	return at >= 0
+	return oldest >= 0
 }
--- a/internal/gateway/workers/registry_test.go
+++ b/internal/gateway/workers/registry_test.go
@@ -13,7 +13,8 @@
 // group.
 func TestUpstreamValidity(t *testing.T) {
 	entry := func(name, addr string, active bool, since float64) endpoints.Worker {
-		return endpoints.Worker{Name: name, Address: netip.MustParseAddrPort(addr), Active: active, StartedMillis: since}
+		return endpoints.Worker{Name: name, Address: netip.MustParseAddrPort(addr), Active: active,
+			StartedMillis: since}
 	}
 	zone, cell := entry("a", "127.0.0.1:1", true, 0), entry("a", "127.0.0.1:1", true, 0)
 	zone.Zone, cell.Cell = "z", 3
--- a/internal/lab/scale/watches.go
+++ b/internal/lab/scale/watches.go
@@ -63,7 +63,7 @@
 		}
 		x.wait.Go(func() {
 			transport.Watch(ctx, x.c.Discovery, 0, w.news, func() {}, w.ended,
-				transport.Pace{Askers: func() int { return 0 }, Chance: chance})
+				transport.WatchTiming{PollingInstances: func() int { return 0 }, Random: chance})
 		})
 	}
 	return nil
--- a/internal/lab/scale/words.go
+++ b/internal/lab/scale/words.go
@@ -87,7 +87,7 @@
 		place := (w.where + i) % n
 		c := policy.Charter{Me: place, Gatekeepers: n, LargestUnits: 1, MaxSubmissions: 3, MayWithdraw: true,
 			MayAdvise: true, MaxAdvice: 10000, MayTell: true, PeerInPerS: s.Words.TakesPerS,
-			ReportsPerTell: transport.Room, Whole: 1,
+			ReportsPerTell: transport.MaxReportsPerMessage, Whole: 1,
 			Products: []policy.Product{{SLA: wordsSLA, Value: 1}},
 			Plans:    []policy.Plan{{Rate: rate, Burst: rate * wordsBurst, Factor: 1}}}
 		x := &speaker{w: w, place: place, gk: policy.New(c, s.Seed+int64(place)), peers: map[int]bool{}}
