--- a/internal/gateway/lifecycle/worker_ends_test.go
+++ b/internal/gateway/lifecycle/worker_ends_test.go
@@ -628,7 +628,7 @@
 	defer x.Close()
 	x.SetReadBuffer(4 << 10)
 	x.begins(1 << 10)
-	write := runtime.FuncForPC(reflect.ValueOf((*transport.Link).Write).Pointer()).Name() // as in a stack
+	write := runtime.FuncForPC(reflect.ValueOf((*transport.WorkerConn).Write).Pointer()).Name() // as in a stack
 	stack := make([]byte, 1<<20)
 	until(t, "nothing more goes to it", func() bool {
 		for _, s := range strings.Split(string(stack[:runtime.Stack(stack, true)]), "\n\n") {
--- a/internal/gateway/transport/creditwire/creditwire.go
+++ b/internal/gateway/transport/creditwire/creditwire.go
@@ -22,10 +22,10 @@
 	formatVersion = 1
 	headerBytes   = 3
 
-	// Mark is a message's first byte.
+	// Magic is a message's first byte.
 	Magic = 0xC7
 
-	// Limit is how many bytes a message may have, besides the word that it bears.
+	// MaxMessageBytes is how many bytes a message may have, besides the word that it bears.
 	MaxMessageBytes = 256 - 9
 
 	flagKnown, flagVirgin, flagAsks, flagAnswers = 1, 2, 4, 8
@@ -97,7 +97,7 @@
 
 var errTruncated = errors.New("it ends within an entry")
 
-// reader takes fields off a message; after the first that is not there all are nought.
+// fieldReader takes fields off a message; after the first that is not there all are nought.
 type fieldReader struct {
 	remaining []byte
 	err       error
--- a/internal/gateway/transport/discovery.go
+++ b/internal/gateway/transport/discovery.go
@@ -16,14 +16,14 @@
 	"willowdeck/internal/policy"
 )
 
-// Pace is what the pauses of a watch go by.
+// WatchTiming is what the pauses of a watch go by.
 type WatchTiming struct {
 	PollingInstances func() int     // gatekeepers that may ask at once; none where lists are pushed
 	DueMillis        float64        // ms from the first opening on in which what discovery has to tell counts as told
 	Random           func() float64 // from 0 to 1
 }
 
-// open is the pause before an opening, so long after the first one, ms: after so many tries in a row that
+// openDelayMillis is the pause before an opening, so long after the first one, ms: after so many tries in a row that
 // cost discovery something in vain, where it has been owed what it had for so long.
 func (t WatchTiming) openDelayMillis(failures int, elapsed, owed time.Duration) float64 {
 	due := policy.WatchDue
@@ -34,7 +34,7 @@
 		t.Random())
 }
 
-// head is how long an opening may take until the answer's head is there, ms.
+// headTimeoutMillis is how long an opening may take until the answer's head is there, ms.
 func (t WatchTiming) headTimeoutMillis() float64 {
 	if t.PollingInstances() == 0 {
 		return policy.WatchHead
@@ -42,7 +42,7 @@
 	return policy.WatchQuiet
 }
 
-// silent is how long a watch that has spoken may say nothing, ms.
+// silenceTimeoutMillis is how long a watch that has spoken may say nothing, ms.
 func (t WatchTiming) silenceTimeoutMillis() float64 {
 	return policy.WatchSilent(t.PollingInstances(), t.Random())
 }
@@ -104,7 +104,7 @@
 	}
 }
 
-// once opens the watch and follows it until it ends. The answer's head has its time, and from then on the
+// watchOnce opens the watch and follows it until it ends. The answer's head has its time, and from then on the
 // first word WatchQuiet. A list that begins later has to be whole within the time for a silence.
 func (w *watch) watchOnce(ctx context.Context) error {
 	w.connected, w.received, w.wentSilent, w.owedSince = false, false, false, time.Now()
--- a/internal/gateway/transport/discovery_test.go
+++ b/internal/gateway/transport/discovery_test.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// act is what discovery does with one call after another, until the watcher leaves. In what it says "^" is
+// scriptedDiscovery is what discovery does with one call after another, until the watcher leaves. In what it says "^" is
 // the head, "~" a second's wait and "$" the end; the rest comes in chunks of a byte.
 func scriptedDiscovery(t *testing.T, scripts ...string) (dial func(context.Context, string,
 	string) (net.Conn, error),
@@ -293,7 +293,7 @@
 	return client, nil
 }
 
-// meet does what there is instead of an answer.
+// serveFault does what there is instead of an answer.
 func (o *outage) serveFault(c net.Conn) {
 	switch o.fault {
 	case "silent":
@@ -335,7 +335,7 @@
 	}
 }
 
-// say says something, and again and again something more, until the caller leaves.
+// write says something, and again and again something more, until the caller leaves.
 func (o *outage) write(c net.Conn, first string, interval time.Duration, repeated string) {
 	closed := make(chan bool)
 	go func() {
--- a/internal/gateway/transport/endpoints/decode.go
+++ b/internal/gateway/transport/endpoints/decode.go
@@ -34,7 +34,7 @@
 	Workers  []Worker
 }
 
-// entry is a worker in the list's own form.
+// listEntry is a worker in the list's own form.
 type listEntry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -88,14 +88,14 @@
 	return List{}, fmt.Errorf("list of workers: %w", err)
 }
 
-// reader takes lists from a decoder, one entry at a time: of the text no more than an entry is held.
+// decoder takes lists from a decoder, one entry at a time: of the text no more than an entry is held.
 type decoder struct {
 	tokens     *json.Decoder
 	maxWorkers int               // workers of a list
 	interned   map[string]string // names of zones and kinds, which come again and again
 }
 
-// list reads one list. What is well formed and no list is read to its end, and then an error: cut off, it is
+// readList reads one list. What is well formed and no list is read to its end, and then an error: cut off, it is
 // cut off and no more.
 func (d *decoder) readList() (list List, err error) {
 	var invalid error
@@ -147,7 +147,7 @@
 	return list, nil
 }
 
-// entries reads the workers of a list.
+// readWorkers reads the workers of a list.
 func (d *decoder) readWorkers(list *List, recordInvalid func(error) error) error {
 	list.Workers = list.Workers[:0]
 	begin, err := d.tokens.Token()
@@ -180,7 +180,7 @@
 	return err
 }
 
-// skip reads over a value, whose beginning has not been read.
+// skipValue reads over a value, whose beginning has not been read.
 func (d *decoder) skipValue() error {
 	begin, err := d.tokens.Token()
 	if err != nil {
@@ -189,7 +189,7 @@
 	return d.skipRest(begin)
 }
 
-// pass reads over the rest of a value that has begun.
+// skipRest reads over the rest of a value that has begun.
 func (d *decoder) skipRest(begin json.Token) (err error) {
 	depth := 0
 	if begin == json.Delim('{') || begin == json.Delim('[') {
@@ -201,7 +201,7 @@
 	return err
 }
 
-// deeper reads a token, and tells how deep it leads.
+// nextDepth reads a token, and tells how deep it leads.
 func (d *decoder) nextDepth(depth int) (int, error) {
 	token, err := d.tokens.Token()
 	switch token {
@@ -213,7 +213,7 @@
 	return depth, err
 }
 
-// badEntry is an entry that is well formed and makes no sense.
+// invalidListError is an entry that is well formed and makes no sense.
 type invalidListError struct{ error }
 
 func (d *decoder) toWorker(index int, item *listEntry) (Worker, error) {
@@ -238,7 +238,7 @@
 	return worker, nil
 }
 
-// once gives a text that is the same as an earlier one in that one's memory.
+// intern gives a text that is the same as an earlier one in that one's memory.
 func (d *decoder) intern(s string) string {
 	if first, known := d.interned[s]; known {
 		return first
--- a/internal/gateway/transport/endpoints/stream.go
+++ b/internal/gateway/transport/endpoints/stream.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Bounds are what a list may have at most. What is held of one while it is read is its workers and the text
+// Limits are what a list may have at most. What is held of one while it is read is its workers and the text
 // of one entry; so its memory is bounded by the three together.
 type Limits struct {
 	ListBytes  int // of its text
@@ -19,7 +19,7 @@
 // ErrTooLong is the end of a stream with a list beyond its bounds.
 var ErrTooLong = errors.New("list of workers: too long")
 
-// Nonsense is what a stream says that is no list. What it told of the workers is then unknown; after any
+// MalformedError is what a stream says that is no list. What it told of the workers is then unknown; after any
 // other error it has told all that was given, and no more.
 type MalformedError struct{ error }
 
@@ -68,7 +68,7 @@
 	return list, err
 }
 
-// Began gives when the list began that is not whole yet; zero where there is none.
+// ListStarted gives when the list began that is not whole yet; zero where there is none.
 func (s *Stream) ListStarted() time.Time { return s.listStarted }
 
 // Read reads on for the decoder, but for blanks between lists: it would keep them until the next list.
@@ -94,7 +94,7 @@
 	}
 }
 
-// look notes what has come since the last list. Blanks inside a list are no sign of life: one that is cut off
+// scan notes what has come since the last list. Blanks inside a list are no sign of life: one that is cut off
 // would seem to go on for ever.
 func (s *Stream) scan(text []byte) {
 	s.remainingBytes -= len(text)
--- a/internal/gateway/transport/endpoints/stream_test.go
+++ b/internal/gateway/transport/endpoints/stream_test.go
@@ -33,7 +33,7 @@
 	return b.String()
 }
 
-// read gives all that a stream tells, the empty lines among it, and why it ended.
+// readAll gives all that a stream tells, the empty lines among it, and why it ended.
 func readAll(in io.Reader, maxBytes int) (lists []List, emptyLines int, err error) {
 	stream := NewStream(in, Limits{maxBytes, maxBytes, 1000}, func(emptyLine bool) {
 		if emptyLine {
@@ -221,7 +221,7 @@
 	}
 }
 
-// wholeText reads a list as it was read when its text was held and taken in one go.
+// decodeAtOnce reads a list as it was read when its text was held and taken in one go.
 func decodeAtOnce(raw []byte) (list List, err error) {
 	var decoded listMessage
 	if err := json.Unmarshal(raw, &decoded); err != nil {
@@ -289,7 +289,7 @@
 	}
 }
 
-// text is a whole list of so many workers, with a new line at its end.
+// snapshotOf is a whole list of so many workers, with a new line at its end.
 func snapshotOf(n int) []byte {
 	list := List{Version: 7, Snapshot: true}
 	for i := range n {
--- a/internal/gateway/transport/frontend.go
+++ b/internal/gateway/transport/frontend.go
@@ -17,7 +17,7 @@
 	"willowdeck/internal/policy"
 )
 
-// Final is a txn's final answer. Answer is the worker's, where it is settled.
+// FinalAnswer is a txn's final answer. Answer is the worker's, where it is settled.
 type FinalAnswer struct {
 	Kind             policy.Kind // Submit where it is settled, else Decline or Void
 	RetryAfterMillis float64     // Decline: when to return, ms; 0 says nothing
@@ -25,16 +25,16 @@
 	Rejection        *Rejection // of Void: it was not let to the module, or not again
 }
 
-// Refusal is a no that has nothing to do with quota, workers or time.
+// Rejection is a no that has nothing to do with quota, workers or time.
 type Rejection struct {
 	Status  int
 	Headers [][2]string
 	Message string
 }
 
-// Front takes clients' connections and hands each txn to serve, which returns its final answer.
+// Frontend takes clients' connections and hands each txn to serve, which returns its final answer.
 type Frontend struct {
-	// Nameless has txns taken that don't say whose they are. To be set before Serve.
+	// AllowAnonymous has txns taken that don't say whose they are. To be set before Serve.
 	AllowAnonymous bool
 
 	names        config.Names
@@ -51,7 +51,7 @@
 	openRequests openRequests
 }
 
-// NewFront makes a front that is up, by its own word, while ready says so.
+// NewFrontend makes a front that is up, by its own word, while ready says so.
 func NewFrontend(names config.Names, charter policy.Charter, serve func(*Request) FinalAnswer,
 	ready func() bool) *Frontend {
 	f := &Frontend{names: names, serve: serve, ready: ready,
@@ -62,14 +62,14 @@
 	return f
 }
 
-// Resize tells how many gatekeepers there are from now on.
+// SetInstanceCount tells how many gatekeepers there are from now on.
 func (f *Frontend) SetInstanceCount(n int) {
 	charter := *f.charter.Load()
 	charter.Gatekeepers = n
 	f.charter.Store(&charter)
 }
 
-// Silent drops a server's own log: what callers break is counted instead.
+// DiscardLogger drops a server's own log: what callers break is counted instead.
 type DiscardLogger struct{}
 
 // Printf says nothing.
@@ -92,16 +92,16 @@
 	}
 }
 
-// Heir takes a connection over, with what has been read of it and not taken up, and tells whether it has.
+// HandOverFunc takes a connection over, with what has been read of it and not taken up, and tells whether it has.
 type HandOverFunc func(c syscall.RawConn, proven bool, ahead []byte) bool
 
-// HandOn gives every connection of the listener to an heir as soon as no txn of it is in hand.
+// HandOver gives every connection of the listener to an heir as soon as no txn of it is in hand.
 func (f *Frontend) HandOver(listener *LimitListener, successor HandOverFunc) {
 	f.successor.Store(&successor)
 	listener.interruptIdleReads()
 }
 
-// handOn gives a connection to the heir, if there is one.
+// handOver gives a connection to the heir, if there is one.
 func (f *Frontend) handOver(conn *clientConn, x *exchange) bool {
 	successor := f.successor.Load()
 	if successor == nil {
@@ -139,19 +139,19 @@
 // Wait waits until every connection has ended.
 func (f *Frontend) Wait() { f.connections.Wait() }
 
-// Broken tells how many messages of clients could not be read.
+// MalformedRequests tells how many messages of clients could not be read.
 func (f *Frontend) MalformedRequests() int64 { return f.malformed.Load() }
 
-// Active tells how many txns are taken and not answered.
+// ActiveRequests tells how many txns are taken and not answered.
 func (f *Frontend) ActiveRequests() int64 { return f.active.Load() }
 
-// Finals tells how many txns of a product were settled, declined and voided.
+// FinalCounts tells how many txns of a product were settled, declined and voided.
 func (f *Frontend) FinalCounts(product int) (settled, declined, voided int64) {
 	counts := &f.finalCounts[product]
 	return counts[0].Load(), counts[1].Load(), counts[2].Load()
 }
 
-// talk answers one connection's requests, one after another.
+// serveConn answers one connection's requests, one after another.
 func (f *Frontend) serveConn(conn *clientConn) {
 	defer f.connections.Done()
 	x := f.exchanges.Get().(*exchange)
@@ -175,7 +175,7 @@
 	f.exchanges.Put(x)
 }
 
-// once reads a request and answers it, and tells whether the connection goes on.
+// serveRequest reads a request and answers it, and tells whether the connection goes on.
 func (f *Frontend) serveRequest(conn *clientConn, x *exchange) bool {
 	if conn.isEnded() {
 		return false
@@ -279,7 +279,7 @@
 	return f.writeFinal(conn, x, request.Product, final) && !x.closeAfter
 }
 
-// refuse answers what is no txn, and ends its connection: what follows there may be part of it.
+// reject answers what is no txn, and ends its connection: what follows there may be part of it.
 func (f *Frontend) reject(conn *clientConn, x *exchange, status int, message string) bool {
 	if conn.isEnded() {
 		return false // it was ended from here before all of it came
@@ -291,7 +291,7 @@
 	return false
 }
 
-// unreadable answers what is no HTTP, too long, or does not come whole in time.
+// rejectUnreadable answers what is no HTTP, too long, or does not come whole in time.
 func (f *Frontend) rejectUnreadable(conn *clientConn, x *exchange, err error) bool {
 	var headTooLong *fasthttp.ErrSmallBuffer
 	switch {
@@ -305,7 +305,7 @@
 	return f.reject(conn, x, fasthttp.StatusBadRequest, "no request could be read")
 }
 
-// reply writes an answer that is whole. What its head says besides stands in t.res.
+// writeResponse writes an answer that is whole. What its head says besides stands in t.res.
 func (f *Frontend) writeResponse(conn *clientConn, x *exchange, status int, body []byte) error {
 	f.encodeHead(conn, x, status, len(body))
 	x.output = append(x.output, body...)
@@ -313,7 +313,7 @@
 	return err
 }
 
-// head encodes the head of an answer with a body of so many bytes; below nought it comes in chunks.
+// encodeHead encodes the head of an answer with a body of so many bytes; below nought it comes in chunks.
 func (f *Frontend) encodeHead(conn *clientConn, x *exchange, status, length int) {
 	head := &x.request.Header
 	x.closeAfter = x.closeAfter || head.ConnectionClose() || !head.IsHTTP11() || conn.shouldClose() ||
@@ -327,7 +327,7 @@
 	x.output = x.responseHead.AppendBytes(x.output[:0])
 }
 
-// answer gives a txn its final answer, and tells whether that was written whole. It is counted here, as what
+// writeFinal gives a txn its final answer, and tells whether that was written whole. It is counted here, as what
 // its client got. Only the module's declines are 429: it says that trying again is harmless.
 func (f *Frontend) writeFinal(conn *clientConn, x *exchange, product int, final FinalAnswer) bool {
 	counts := &f.finalCounts[product]
@@ -362,7 +362,7 @@
 // RetryAfter encodes when to return, from ms.
 func RetryAfter(ms float64) string { return strconv.FormatFloat(ms/1000, 'f', 3, 64) }
 
-// pass passes a worker's answer on.
+// forwardAnswer passes a worker's answer on.
 func (f *Frontend) forwardAnswer(conn *clientConn, x *exchange, answer *Answer) error {
 	if answer.ContentType != "" {
 		x.responseHead.SetContentType(answer.ContentType)
@@ -383,20 +383,20 @@
 	return err
 }
 
-// marks are the marks of the txns that are open. Guards against a client that sends another's mark: two txns
+// openRequests are the marks of the txns that are open. Guards against a client that sends another's mark: two txns
 // of one mark could not be told apart by workers.
 type openRequests struct {
 	mu   sync.Mutex
 	byID map[string]*openRequest
 }
 
-// mark is one that is open.
+// openRequest is one that is open.
 type openRequest struct {
 	request *Request
 	done    chan struct{} // closed once it is free; nil while nobody waits for that
 }
 
-// take opens a txn's mark, unless another has it. One whose client has gone is about to be given up, and
+// acquire opens a txn's mark, unless another has it. One whose client has gone is about to be given up, and
 // is waited for, for so long at most: if nothing was sent for it the mark is free. Guards against a client
 // that has cut its connection and asks once more at once.
 func (o *openRequests) acquire(request *Request, limit time.Duration) (acquired bool, waited time.Duration) {
--- a/internal/gateway/transport/frontend_test.go
+++ b/internal/gateway/transport/frontend_test.go
@@ -17,7 +17,7 @@
 	"willowdeck/internal/policy"
 )
 
-// door is a front on loopback whose connections are the test's to spoil, with a module that serve stands for.
+// testFrontend is a front on loopback whose connections are the test's to spoil, with a module that serve stands for.
 type testFrontend struct {
 	*Frontend
 	t        *testing.T
@@ -36,7 +36,7 @@
 		address: address.String()}
 }
 
-// meet has a client come, and gives both sides. spoil may put another connection in the place of the
+// connect has a client come, and gives both sides. spoil may put another connection in the place of the
 // gatekeeper's, and take is told of the client's before it connects.
 func (f *testFrontend) connect(wrap func(*directConn) net.Conn, smallBuffer bool) (*net.TCPConn,
 	*clientConn) {
@@ -72,7 +72,7 @@
 		"Cookie: key=00000000b4d65521\r\nX-Deadline: 900m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n"
 }
 
-// status reads an answer, and gives its status line.
+// readStatusLine reads an answer, and gives its status line.
 func readStatusLine(c net.Conn) string {
 	var got []byte
 	for b := make([]byte, 1); !bytes.HasSuffix(got, []byte("\r\n\r\n")); got = append(got, b[0]) {
@@ -97,7 +97,7 @@
 	t.Fatal(failure)
 }
 
-// looked is a connection on which something happens between a look at it and what follows from that.
+// peekHook is a connection on which something happens between a look at it and what follows from that.
 type peekHook struct {
 	*directConn
 	afterPeek func()
@@ -109,7 +109,7 @@
 	return quiescent
 }
 
-// timedOut is a connection whose next read ends by its time limit just as something has come.
+// timeoutHook is a connection whose next read ends by its time limit just as something has come.
 type timeoutHook struct {
 	*directConn
 	beforeTimeout func() // or nil
@@ -348,7 +348,7 @@
 	}
 }
 
-// scarce is a listener without descriptors for a while.
+// exhaustedListener is a listener without descriptors for a while.
 type exhaustedListener struct {
 	net.Listener
 	failures atomic.Int64 // that fail
@@ -458,7 +458,7 @@
 	}
 }
 
-// after is a connection whose writes return once a signal has come behind them.
+// writeHook is a connection whose writes return once a signal has come behind them.
 type writeHook struct {
 	*directConn
 	wrote   chan<- struct{}
--- a/internal/gateway/transport/fuzz_test.go
+++ b/internal/gateway/transport/fuzz_test.go
@@ -83,7 +83,7 @@
 	})
 }
 
-// another reads an answer with another library, past interim ones.
+// readWithNetHTTP reads an answer with another library, past interim ones.
 func readWithNetHTTP(raw []byte) (body []byte, status int, reads bool) {
 	for in := bufio.NewReader(bytes.NewReader(raw)); ; {
 		r, err := http.ReadResponse(in, nil)
--- a/internal/gateway/transport/gossip/gossip.go
+++ b/internal/gateway/transport/gossip/gossip.go
@@ -28,10 +28,10 @@
 	minEncodedRate = 1.0 / 1024 // units a second; less is nought
 )
 
-// Plans is how many plans a message can tell apart.
+// MaxPlans is how many plans a message can tell apart.
 const MaxPlans = knownFlag
 
-// Room is how many reports fit one message.
+// MaxReports is how many reports fit one message.
 const MaxReports = (MaxMessageBytes - headerBytes) / maxReportBytes
 
 // Append adds the message for the reports, at most Room of them, to dst.
--- a/internal/gateway/transport/listener.go
+++ b/internal/gateway/transport/listener.go
@@ -12,7 +12,7 @@
 	"willowdeck/internal/policy"
 )
 
-// Limited is a listener that has no more than so many connections open at once. One more is held back: until
+// LimitListener is a listener that has no more than so many connections open at once. One more is held back: until
 // it has a place, connections end with their next answer, and one is ended that has sent no whole txn so far,
 // or else has long asked nothing. Nobody is turned away with an answer that no one decided on.
 type LimitListener struct {
@@ -34,7 +34,7 @@
 	stopSoftDrain chan struct{} // open while clients are sent away
 }
 
-// Limit bounds the connections that a listener has open at once.
+// NewLimitListener bounds the connections that a listener has open at once.
 func NewLimitListener(inner net.Listener, limit int) *LimitListener {
 	return &LimitListener{Listener: inner, limit: max(limit, 1), freed: make(chan struct{}, 1),
 		closed:         make(chan struct{}),
@@ -98,7 +98,7 @@
 	return conn
 }
 
-// giveBack makes do with fewer places, and ends connections until that holds. Guards against clients that
+// reduceLimit makes do with fewer places, and ends connections until that holds. Guards against clients that
 // take the process's last descriptor: each that is freed would be the next client's, and the watch, workers
 // and peers would never come by one.
 func (l *LimitListener) reduceLimit() {
@@ -109,7 +109,7 @@
 	l.ensureCapacity()
 }
 
-// room tells whether one more may be taken, and makes room if it can.
+// ensureCapacity tells whether one more may be taken, and makes room if it can.
 func (l *LimitListener) ensureCapacity() bool {
 	for {
 		l.mu.Lock()
@@ -137,7 +137,7 @@
 	}
 }
 
-// yield ends the first of these that can be, at once: its descriptor is wanted.
+// evictOne ends the first of these that can be, at once: its descriptor is wanted.
 func (l *LimitListener) evictOne(oldest []*clientConn) bool {
 	for _, conn := range oldest {
 		if conn == nil {
@@ -155,7 +155,7 @@
 	return false
 }
 
-// yields are the states in which connections give up their places to others, in this order, and after how
+// evictionOrder are the states in which connections give up their places to others, in this order, and after how
 // many ms without a byte. Guards against crowds that never finish a txn; slow honest ones go on sending. One
 // that parts has had its answers, and they have had time to reach its client.
 var evictionOrder = [...]struct {
@@ -172,7 +172,7 @@
 	return float64(len(l.open)) > policy.CrowdedAt*float64(l.limit)
 }
 
-// SendAway lets connections end with their next answer, and the idle ones one after another: those first
+// BeginSoftDrain lets connections end with their next answer, and the idle ones one after another: those first
 // that have asked nothing for longest, all within DrainDone. Guards against one that is ended while a txn is
 // on its way. It does so until Welcome; a second call changes nothing.
 func (l *LimitListener) BeginSoftDrain() {
@@ -185,7 +185,7 @@
 	}
 }
 
-// Welcome ends SendAway.
+// EndSoftDrain ends SendAway.
 func (l *LimitListener) EndSoftDrain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -211,7 +211,7 @@
 	}
 }
 
-// endIdle ends the connections that have asked nothing for so long, each once nothing lies unread in it, and
+// closeIdle ends the connections that have asked nothing for so long, each once nothing lies unread in it, and
 // tells whether any is left. Guards against ending one with a txn in it that the machine has taken, and new
 // ones whose first txn is on its way.
 func (l *LimitListener) closeIdle(idleFor time.Duration) (remaining bool) {
@@ -249,7 +249,7 @@
 	}
 }
 
-// Hurry has what is being read end: it may go on coming, but pause no longer than for a moment. Guards
+// HurryReads has what is being read end: it may go on coming, but pause no longer than for a moment. Guards
 // against a txn that comes whole so late that SIGKILL finds it unanswered; one that is not was not taken.
 func (l *LimitListener) HurryReads() {
 	l.hurried.Store(true)
@@ -263,10 +263,10 @@
 	}
 }
 
-// GiveUp has all that is in hand given up: its clients count as gone, and get their answers at once.
+// AbandonRequests has all that is in hand given up: its clients count as gone, and get their answers at once.
 func (l *LimitListener) AbandonRequests() { l.abandoned.Store(true) }
 
-// rouse ends the reads that wait on connections of which no txn is in hand.
+// interruptIdleReads ends the reads that wait on connections of which no txn is in hand.
 func (l *LimitListener) interruptIdleReads() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -287,7 +287,7 @@
 	}
 }
 
-// Shed tells how many idle connections were ended to make room.
+// Evicted tells how many idle connections were ended to make room.
 func (l *LimitListener) Evicted() int64 { return l.evicted.Load() }
 
 // Close ends Accept.
@@ -308,13 +308,13 @@
 	stateClosing                   // all is done, and its client has not ended it yet
 )
 
-// watched is a connection that calls took, under the guard, as soon as bytes have been read from it, and
+// guardedConn is a connection that calls took, under the guard, as soon as bytes have been read from it, and
 // reads none where may, asked under the guard before, says no.
 type guardedConn interface {
 	guardReads(mu *sync.Mutex, allowed func() bool, onRead func())
 }
 
-// placed is a client's connection; its place is free once it is closed.
+// clientConn is a client's connection; its place is free once it is closed.
 type clientConn struct {
 	net.Conn
 	listener          *LimitListener
@@ -340,7 +340,7 @@
 	return c.Conn.Read(b)
 }
 
-// raw gives the connection's descriptor.
+// syscallConn gives the connection's descriptor.
 func (c *clientConn) syscallConn() (syscall.RawConn, error) {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -349,7 +349,7 @@
 	return s.SyscallConn()
 }
 
-// heard notes that bytes have been read.
+// noteRead notes that bytes have been read.
 func (c *clientConn) noteRead() {
 	now := time.Now().UnixNano()
 	c.lastActivityNanos.Store(now)
@@ -359,7 +359,7 @@
 	}
 }
 
-// come notes that the head of a txn has come, and tells whether the connection is still there to answer it.
+// headReceived notes that the head of a txn has come, and tells whether the connection is still there to answer it.
 func (c *clientConn) headReceived() bool {
 	if c.state.CompareAndSwap(stateReadingNext, stateReadingBody) {
 		c.proven = true
@@ -369,12 +369,12 @@
 		stateReadingBody)
 }
 
-// take notes the same of the whole txn.
+// requestReceived notes the same of the whole txn.
 func (c *clientConn) requestReceived() bool {
 	return c.state.CompareAndSwap(stateReadingBody, stateServing)
 }
 
-// rest notes that all has been answered, and whether part of another txn has come already.
+// answered notes that all has been answered, and whether part of another txn has come already.
 func (c *clientConn) answered(more bool) {
 	c.lastActivityNanos.Store(time.Now().UnixNano())
 	next := stateIdle
@@ -389,7 +389,7 @@
 	}
 }
 
-// at is what the connection is about.
+// currentState is what the connection is about.
 func (c *clientConn) currentState() int32 {
 	if c.closing.Load() {
 		return stateClosing
@@ -397,10 +397,10 @@
 	return c.state.Load()
 }
 
-// over tells whether it has been ended from here: nothing is read from it any more.
+// isEnded tells whether it has been ended from here: nothing is read from it any more.
 func (c *clientConn) isEnded() bool { return c.state.Load() == stateEnded }
 
-// end ends a connection that is in one of these states: no more is sent on it, and none read. Guards against
+// tryEnd ends a connection that is in one of these states: no more is sent on it, and none read. Guards against
 // one in which a txn lies unread: the machine has taken it. One that comes in this very moment stays unread,
 // and its client, which meets the end, sends it again elsewhere. Who reads from it closes it.
 func (c *clientConn) tryEnd(states ...int32) bool {
@@ -419,13 +419,13 @@
 	return ended
 }
 
-// cut closes a connection at once, also while its own goroutine waits on it.
+// closeNow closes a connection at once, also while its own goroutine waits on it.
 func (c *clientConn) closeNow() {
 	_ = c.Conn.Close()
 	_ = c.Close()
 }
 
-// part says that no more will come, and waits for a while until the client has ended the connection too.
+// closeGracefully says that no more will come, and waits for a while until the client has ended the connection too.
 // Guards against an answer that is lost with it: closed over unread bytes, or before bytes that are on their
 // way, the connection would be reset (Stevens, TCP/IP Illustrated, 18.7; nginx lingers for the same). Nothing
 // is read meanwhile: a txn that has crossed the end is not taken, and its client sends it again.
@@ -440,13 +440,13 @@
 	}
 }
 
-// parted notes that all is done: its place is the first to be given to another.
+// markClosing notes that all is done: its place is the first to be given to another.
 func (c *clientConn) markClosing() {
 	c.lastActivityNanos.Store(time.Now().UnixNano())
 	c.closing.Store(true)
 }
 
-// await bounds the next read. Once the process ends, what is not whole may pause no longer than for a moment.
+// setReadDeadline bounds the next read. Once the process ends, what is not whole may pause no longer than for a moment.
 func (c *clientConn) setReadDeadline(deadline time.Time) {
 	_ = c.SetReadDeadline(deadline)
 	if c.listener.hurried.Load() { // asked behind the deadline, as Hurry sets it the other way round
@@ -463,13 +463,13 @@
 	return c.listener.abandoned.Load() || ok && socket.Gone()
 }
 
-// wanted tells whether the connection should end with its next answer. Guards against hundreds that ask once
+// shouldClose tells whether the connection should end with its next answer. Guards against hundreds that ask once
 // and stay: idle ones may not be ended at once, and would take every place from those that go on asking.
 func (c *clientConn) shouldClose() bool {
 	return c.listener.waiting.Load() || c.listener.draining.Load() || !c.proven && c.listener.nearLimit()
 }
 
-// lain is how long, ms, what was read last may have lain before: at this machine while the connection waited
+// queuedMillis is how long, ms, what was read last may have lain before: at this machine while the connection waited
 // for its place, or in its buffer behind the txn before. Guards against a client's time that is counted from
 // its turn on: what is left of it is told to workers, and bounds the answer.
 func (c *clientConn) queuedMillis() float64 {
@@ -484,7 +484,7 @@
 	return float64(queued) / float64(time.Millisecond)
 }
 
-// quiet tells whether a connection is up and nothing lies unread in it. Where that cannot be seen it counts
+// isQuiescent tells whether a connection is up and nothing lies unread in it. Where that cannot be seen it counts
 // as quiet, or a stop would never end.
 func isQuiescent(conn net.Conn) bool {
 	socket, ok := conn.(interface{ Quiescent() bool })
--- a/internal/gateway/transport/listener_test.go
+++ b/internal/gateway/transport/listener_test.go
@@ -18,7 +18,7 @@
 	"willowdeck/internal/testkit/ports"
 )
 
-// sink listens on loopback and gives each connection that it takes.
+// listen listens on loopback and gives each connection that it takes.
 func listen(t *testing.T) (net.Listener, netip.AddrPort) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,12 +29,12 @@
 	return listener, netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// lingering is a connection of which one side can be closed.
+// halfClosable is a connection of which one side can be closed.
 type halfClosable struct{ net.Conn }
 
 func (halfClosable) CloseWrite() error { return nil }
 
-// standing is a worker that is what it was, or is not.
+// fixedIncarnation is a worker that is what it was, or is not.
 type fixedIncarnation bool
 
 func (valid fixedIncarnation) Valid() bool { return bool(valid) }
--- a/internal/gateway/transport/peers.go
+++ b/internal/gateway/transport/peers.go
@@ -32,14 +32,14 @@
 	tracker     *incarnation.Tracker
 }
 
-// Heard gives the last word of each peer in place of what is in all.
+// LastSeen gives the last word of each peer in place of what is in all.
 func (p *Peers) LastSeen(all []incarnation.MessageID) []incarnation.MessageID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.tracker.Latest(all, len(*p.addresses.Load()))
 }
 
-// Recall takes peers' words as a former life had heard them, and gives those that have returned since, and
+// Restore takes peers' words as a former life had heard them, and gives those that have returned since, and
 // were heard.
 func (p *Peers) Restore(all []incarnation.MessageID) (returned []int) {
 	p.mu.Lock()
@@ -47,7 +47,7 @@
 	return p.tracker.Restore(all)
 }
 
-// Room is how many reports fit a message that bears a word.
+// MaxReportsPerMessage is how many reports fit a message that bears a word.
 const MaxReportsPerMessage = gossip.MaxReports - (identityBytes+7)/8
 
 // A message that bears a word begins with a mark that no version of the form has, and the word.
@@ -56,7 +56,7 @@
 	identityBytes = 9
 )
 
-// Bear has messages say which life of this gatekeeper they are of, and their place in it; those that do not
+// Identify has messages say which life of this gatekeeper they are of, and their place in it; those that do not
 // say so are dropped from then on.
 func (p *Peers) Identify(id incarnation.MessageID) {
 	p.incarnation.Store(id.Incarnation)
@@ -64,7 +64,7 @@
 	p.identified.Store(true)
 }
 
-// Word gives the word of the last message.
+// LastSent gives the word of the last message.
 func (p *Peers) LastSent() incarnation.MessageID {
 	return incarnation.MessageID{Incarnation: p.incarnation.Load(), Sequence: p.sequence.Load()}
 }
@@ -76,7 +76,7 @@
 	return p
 }
 
-// Among changes who the peers are; this one keeps its number. It gives the numbers of those that are others
+// SetAddresses changes who the peers are; this one keeps its number. It gives the numbers of those that are others
 // now than were there before.
 func (p *Peers) SetAddresses(addresses []netip.AddrPort) (replaced []int) {
 	p.mu.Lock()
@@ -104,16 +104,16 @@
 	return nil
 }
 
-// Use takes peers' datagrams from a socket that another process has bound.
+// UseSocket takes peers' datagrams from a socket that another process has bound.
 func (p *Peers) UseSocket(conn *net.UDPConn) { p.conn.Store(conn) }
 
 // Bound tells whether there is a socket.
 func (p *Peers) Bound() bool { return p.conn.Load() != nil }
 
-// Raw gives the socket's descriptor.
+// SyscallConn gives the socket's descriptor.
 func (p *Peers) SyscallConn() (syscall.RawConn, error) { return p.conn.Load().SyscallConn() }
 
-// Tell sends a message to a peer. One that cannot be sent is as good as lost on the way.
+// Send sends a message to a peer. One that cannot be sent is as good as lost on the way.
 func (p *Peers) Send(peer int, message []byte) {
 	conn, addresses := p.conn.Load(), *p.addresses.Load()
 	if conn == nil || peer >= len(addresses) {
@@ -128,12 +128,12 @@
 	}
 }
 
-// Credit has peers' words on credit be taken; until then they are dropped.
+// OnCredit has peers' words on credit be taken; until then they are dropped.
 func (p *Peers) OnCredit(take func(from int, id incarnation.MessageID, entries []borrowing.Entry)) {
 	p.onCredit.Store(&take)
 }
 
-// Hear gives each peer's reports to take, until Close, and says which are the first of one that has returned.
+// Receive gives each peer's reports to take, until Close, and says which are the first of one that has returned.
 // What comes from elsewhere, makes no sense or is no news is dropped.
 func (p *Peers) Receive(onReports func(from int, reports []policy.Report, returned bool)) {
 	conn := p.conn.Load()
@@ -174,7 +174,7 @@
 	}
 }
 
-// wordOf takes the word that a message bears off it.
+// cutMessageID takes the word that a message bears off it.
 func cutMessageID(message *[]byte) (incarnation.MessageID, bool) {
 	all := *message
 	if len(all) < identityBytes || all[0] != identityMagic {
--- a/internal/gateway/transport/request.go
+++ b/internal/gateway/transport/request.go
@@ -21,10 +21,10 @@
 // Millis turns the module's form of a time span into the library's.
 func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// MostBody is how many bytes a message's body may have: 32 MB, however they are counted, and some more.
+// MaxBodyBytes is how many bytes a message's body may have: 32 MB, however they are counted, and some more.
 const MaxBodyBytes = 40 << 20
 
-// Txn is a client's txn as it came: what the module needs of it, and the bytes that pass on unchanged.
+// Request is a client's txn as it came: what the module needs of it, and the bytes that pass on unchanged.
 // The bytes are the client's connection's, good until its answer is given.
 type Request struct {
 	policy.Arrival
@@ -42,7 +42,7 @@
 	RemoteAddr() net.Addr
 }
 
-// From gives the client's address, without its port; empty where it is not known.
+// ClientIP gives the client's address, without its port; empty where it is not known.
 func (r *Request) ClientIP() string {
 	if r.client == nil {
 		return ""
@@ -51,16 +51,16 @@
 	return host
 }
 
-// Field gives the value of a header that may be there once; empty where it is not.
+// Header gives the value of a header that may be there once; empty where it is not.
 func (r *Request) Header(name string) ([]byte, error) { return OptionalHeader(r.head, name) }
 
 // Gone tells whether the client has closed its connection.
 func (r *Request) Gone() bool { return r.client != nil && r.client.Gone() }
 
-// inChunks is how the library says that a body comes in chunks.
+// chunkedLength is how the library says that a body comes in chunks.
 const chunkedLength = -1
 
-// Decode reads a txn's head; its method and target may be another's than the head's own, who asks on its
+// DecodeRequest reads a txn's head; its method and target may be another's than the head's own, who asks on its
 // behalf. Where nameless txns are taken, a head may lack the customer. An error is the client's fault, and
 // says what is wrong.
 func DecodeRequest(head *fasthttp.RequestHeader, method, target []byte, names *config.Names,
@@ -115,7 +115,7 @@
 	return r, r.parseQuota(quota, charter)
 }
 
-// plain checks that a head can be read in one way only. Guards against a request that hides another in its
+// checkUnambiguous checks that a head can be read in one way only. Guards against a request that hides another in its
 // body: two statements of its length, or lines that not all readers end or begin in the same place.
 func checkUnambiguous(head []byte) error {
 	hasLength, hasTransferEncoding := false, false
@@ -139,7 +139,7 @@
 
 func isUnprintable(c rune) bool { return c <= ' ' || c > '~' }
 
-// customer reads the customer's number from the cookie that names it.
+// parseCustomerCookie reads the customer's number from the cookie that names it.
 func parseCustomerCookie(head *fasthttp.RequestHeader) (uint64, error) {
 	cookie, err := requiredHeader(head, "Cookie")
 	if err != nil {
@@ -165,7 +165,7 @@
 	return number, nil
 }
 
-// Customer reads a customer's number.
+// ParseCustomer reads a customer's number.
 func ParseCustomer(key []byte) (uint64, error) {
 	const digits, bits = 16, 33
 	number, err := strconv.ParseUint(string(key), 16, bits)
@@ -175,7 +175,7 @@
 	return number, nil
 }
 
-// number reads a number as people write it. Guards against words and forms that the library takes for one.
+// parseDecimal reads a number as people write it. Guards against words and forms that the library takes for one.
 func parseDecimal(text []byte) (float64, error) {
 	for _, c := range text {
 		if (c < '0' || c > '9') && c != '.' {
@@ -185,7 +185,7 @@
 	return strconv.ParseFloat(string(text), 64)
 }
 
-// only gives the value of a header that must be there once.
+// requiredHeader gives the value of a header that must be there once.
 func requiredHeader(head *fasthttp.RequestHeader, name string) ([]byte, error) {
 	values := head.PeekAll(name)
 	if len(values) != 1 || len(values[0]) == 0 {
@@ -194,7 +194,7 @@
 	return values[0], nil
 }
 
-// AtMostOnce gives the value of a header that may be there once; empty where it is not.
+// OptionalHeader gives the value of a header that may be there once; empty where it is not.
 func OptionalHeader(head *fasthttp.RequestHeader, name string) ([]byte, error) {
 	values := head.PeekAll(name)
 	switch len(values) {
@@ -206,7 +206,7 @@
 	return nil, fmt.Errorf("%s must be given once at most", name)
 }
 
-// product finds the product that the path's first part names.
+// parseProduct finds the product that the path's first part names.
 func parseProduct(target []byte, names *config.Names) (int, error) {
 	segment, ok := bytes.CutPrefix(target, []byte("/"))
 	if end := bytes.IndexAny(segment, "/?"); end >= 0 {
@@ -219,7 +219,7 @@
 	return index, nil
 }
 
-// keyOf checks that a txn comes as its product's kind asks, and gives its mark against repeats, if any.
+// parseIdempotencyKey checks that a txn comes as its product's kind asks, and gives its mark against repeats, if any.
 func parseIdempotencyKey(head *fasthttp.RequestHeader, method []byte, kind policy.Repeat) ([]byte, error) {
 	want := fasthttp.MethodPost
 	if kind == policy.InquiryLike {
@@ -237,7 +237,7 @@
 	return head.Peek("Idempotency-Key"), nil
 }
 
-// span reads a time with its unit, as ms.
+// parseDeadlineMillis reads a time with its unit, as ms.
 func parseDeadlineMillis(text []byte) (float64, error) {
 	var ms float64
 	if n := len(text) - 1; n > 0 {
@@ -256,7 +256,7 @@
 	return ms, nil
 }
 
-// quota reads units=2,spread=3,first=1, which must be within what the charter allows.
+// parseQuota reads units=2,spread=3,first=1, which must be within what the charter allows.
 func (r *Request) parseQuota(text []byte, charter *policy.Charter) error {
 	const allFields = 7
 	seen := 0
--- a/internal/gateway/transport/request_body.go
+++ b/internal/gateway/transport/request_body.go
@@ -15,7 +15,7 @@
 	"willowdeck/internal/policy"
 )
 
-// MostKept is how many bytes of a body are kept. A longer one passes on as it comes.
+// MaxBufferedBodyBytes is how many bytes of a body are kept. A longer one passes on as it comes.
 const MaxBufferedBodyBytes = 64 << 10
 
 var (
@@ -46,13 +46,13 @@
 	return n, err
 }
 
-// Begin notes that a submission may read it, until End.
+// AddReader notes that a submission may read it, until End.
 func (u *Upload) AddReader() { u.readers.Add(1) }
 
-// End notes that it does not any more.
+// RemoveReader notes that it does not any more.
 func (u *Upload) RemoveReader() { u.readers.Done() }
 
-// Settle ends whatever reads it still. The client's connection is free for others then.
+// StopAndWait ends whatever reads it still. The client's connection is free for others then.
 func (u *Upload) StopAndWait() {
 	u.Stop()
 	u.readers.Wait()
@@ -65,17 +65,17 @@
 	}
 }
 
-// Skip reads past what has not come, after Settle.
+// Discard reads past what has not come, after Settle.
 func (u *Upload) Discard() error {
 	u.remainder.stopped.Store(false)
 	_, err := copyThroughBuffer(io.Discard, u)
 	return err
 }
 
-// Fault tells why the client could not finish the body, once nothing reads it any more.
+// Err tells why the client could not finish the body, once nothing reads it any more.
 func (u *Upload) Err() error { return u.err }
 
-// incoming is the rest of a body on a client's connection: it has to go on coming, and to end in time.
+// clientBody is the rest of a body on a client's connection: it has to go on coming, and to end in time.
 type clientBody struct {
 	source    io.Reader
 	conn      *clientConn
@@ -124,7 +124,7 @@
 	_ = b.conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// body reads what a client sends behind its head: whole where it is short, else as an upload.
+// readBody reads what a client sends behind its head: whole where it is short, else as an upload.
 func (x *exchange) readBody(conn *clientConn) (buffered []byte, upload *Upload, err error) {
 	length := x.request.Header.ContentLength()
 	switch {
@@ -170,7 +170,7 @@
 	return b, nil
 }
 
-// turn is what a connection needs while a request of it is read and answered.
+// exchange is what a connection needs while a request of it is read and answered.
 type exchange struct {
 	reader       *bufio.Reader
 	request      fasthttp.Request
@@ -181,7 +181,7 @@
 	closeAfter bool // the connection ends with it
 }
 
-// timed writes to a connection whose other side has to go on taking.
+// stallWriter writes to a connection whose other side has to go on taking.
 type stallWriter struct{ conn *clientConn }
 
 func (w stallWriter) Write(b []byte) (int, error) {
@@ -189,7 +189,7 @@
 	return w.conn.Write(b)
 }
 
-// narrow bounds what the kernel holds of what is sent on a connection. Guards against megabytes in hand for
+// limitSendBuffer bounds what the kernel holds of what is sent on a connection. Guards against megabytes in hand for
 // each slow reader, and a wait for room, when they are full, that looks like one that reads nothing.
 func limitSendBuffer(conn net.Conn) {
 	if socket, ok := conn.(interface{ SetWriteBuffer(int) error }); ok {
@@ -197,5 +197,5 @@
 	}
 }
 
-// late tells whether an error is a time limit that has run out.
+// isTimeout tells whether an error is a time limit that has run out.
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- a/internal/gateway/transport/socket_linux.go
+++ b/internal/gateway/transport/socket_linux.go
@@ -13,7 +13,7 @@
 	"willowdeck/internal/policy"
 )
 
-// quick is a TCP connection that reads and writes without a word to the runtime's scheduler. Its socket never
+// directConn is a TCP connection that reads and writes without a word to the runtime's scheduler. Its socket never
 // blocks, so nothing is lost by that; but each ordinary call after an idle moment wakes the runtime's monitor
 // thread, which then costs a fifth of all CPU at some tens of txns a second.
 type directConn struct {
@@ -30,7 +30,7 @@
 	call   func(fd uintptr) bool
 }
 
-// hasten makes a TCP connection quick.
+// bypassScheduler makes a TCP connection quick.
 func bypassScheduler(conn net.Conn) net.Conn {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -77,7 +77,7 @@
 	return true
 }
 
-// watch has took called, under the guard, in one step with each read that brings bytes, and nothing read
+// guardReads has took called, under the guard, in one step with each read that brings bytes, and nothing read
 // where may says no.
 func (c *directConn) guardReads(mu *sync.Mutex, allowed func() bool, onRead func()) {
 	c.reading.call = func(fd uintptr) bool {
@@ -105,7 +105,7 @@
 	return t.done, err
 }
 
-// ahead looks at what the kernel has for the connection, and takes nothing.
+// peek looks at what the kernel has for the connection, and takes nothing.
 func (c *directConn) peek() (n int, e syscall.Errno) {
 	if c.raw.Control(func(fd uintptr) { n, e = peekSocket(fd) }) != nil {
 		e = syscall.EBADF // closed here
@@ -133,7 +133,7 @@
 	return false
 }
 
-// left tells whether the other side has ended the connection, by its state at the kernel: bytes that lie
+// peerHasClosed tells whether the other side has ended the connection, by its state at the kernel: bytes that lie
 // unread hide the end behind them from any look at what has come. Where the state can't be asked it is no.
 func (c *directConn) peerHasClosed() (closed bool) {
 	_ = c.raw.Control(func(fd uintptr) {
@@ -149,7 +149,7 @@
 	return closed
 }
 
-// Lain is how long ago the last bytes came, in the kernel's own steps of some ms; 0 where it can't be asked.
+// SinceLastReceive is how long ago the last bytes came, in the kernel's own steps of some ms; 0 where it can't be asked.
 func (c *directConn) SinceLastReceive() (since time.Duration) {
 	const lastDataOffset = 52 // tcpi_last_data_recv, ms, in Linux' struct tcp_info
 	_ = c.raw.Control(func(fd uintptr) {
@@ -173,7 +173,7 @@
 	tcpClosing   = 11
 )
 
-// Part waits until the other side has ended the connection too, but for so long at most, and reads nothing.
+// AwaitPeerClose waits until the other side has ended the connection too, but for so long at most, and reads nothing.
 func (c *directConn) AwaitPeerClose(limit time.Duration) {
 	for deadline := time.Now().Add(limit); time.Now().Before(deadline); {
 		unread := false
@@ -195,7 +195,7 @@
 	}
 }
 
-// Quiet tells whether the connection is up and nothing lies unread in it.
+// Quiescent tells whether the connection is up and nothing lies unread in it.
 func (c *directConn) Quiescent() bool {
 	_, e := c.peek()
 	return e == syscall.EAGAIN
--- a/internal/gateway/transport/worker_connection.go
+++ b/internal/gateway/transport/worker_connection.go
@@ -33,33 +33,33 @@
 	onForwarded                  func(error)   // to be called once the rest has been passed on, or could not be
 }
 
-// Keep tells whether the connection can carry another submission.
+// Reusable tells whether the connection can carry another submission.
 func (a *Answer) Reusable() bool { return !a.closesConn }
 
 // Early tells that it was there before the last piece of a body that was poured: it is no answer to what came
 // whole after it.
 func (a *Answer) Early() bool { return a.early }
 
-// Last says that the connection is of no more use.
+// CloseAfter says that the connection is of no more use.
 func (a *Answer) CloseAfter() { a.closesConn = true }
 
-// Then has f called once the rest has been passed on or could not be, with what went wrong.
+// OnForwarded has f called once the rest has been passed on or could not be, with what went wrong.
 func (a *Answer) OnForwarded(done func(error)) { a.onForwarded = done }
 
 var (
 	errMalformedStatusLine = errors.New("no status line")
 	errTooManyInterim      = errors.New("interim answers without end")
 	errUnexpectedData      = errors.New("the worker has closed, or spoken out of turn")
-	// ErrStale tells that a connection that stood idle has ended, or has bytes in it, and nothing was written.
+	// ErrStaleConn tells that a connection that stood idle has ended, or has bytes in it, and nothing was written.
 	ErrStaleConn = errors.New("the worker has closed an idle connection, or spoken on it")
-	// ErrBrokenOff tells that an answer has ended early at the worker's side.
+	// ErrTruncated tells that an answer has ended early at the worker's side.
 	ErrTruncated = errors.New("an answer that has not come whole")
 )
 
-// passed are the buffers that long bodies and answers go through.
+// copyBuffers are the buffers that long bodies and answers go through.
 var copyBuffers = sync.Pool{New: func() any { return new([policy.PassBytes]byte) }}
 
-// copyTo passes the body on, as it comes.
+// writeTo passes the body on, as it comes.
 func (a *Answer) writeTo(w io.Writer) error {
 	if a.Length >= 0 {
 		return a.writeBody(w)
@@ -85,7 +85,7 @@
 	return err
 }
 
-// pour copies r to w through one buffer. An error of r is ErrBrokenOff.
+// copyThroughBuffer copies r to w through one buffer. An error of r is ErrBrokenOff.
 func copyThroughBuffer(w io.Writer, r io.Reader) (n int64, err error) {
 	buf := copyBuffers.Get().(*[policy.PassBytes]byte)
 	defer copyBuffers.Put(buf)
@@ -106,7 +106,7 @@
 	}
 }
 
-// flushed writes through to w, and what is under it, at once: nothing that has come is held back.
+// flushingWriter writes through to w, and what is under it, at once: nothing that has come is held back.
 type flushingWriter struct {
 	io.Writer
 	buffer *bufio.Writer
@@ -123,7 +123,7 @@
 	return n, err
 }
 
-// Ruleless is no version of rules.
+// NoRuleset is no version of rules.
 const NoRuleset = -1
 
 // The time that is left is told in us, in as many digits as LongestWait has.
@@ -132,7 +132,7 @@
 	maxRemainingMicros   = 9999999999
 )
 
-// AppendSubmission encodes a submission of a txn to b, but for a body that is not kept. It names the version
+// AppendAttempt encodes a submission of a txn to b, but for a body that is not kept. It names the version
 // of the rules that it goes by, if any. The time that is left is for TellLeft to fill in, at the place given.
 func AppendAttempt(b []byte, r *Request, rulesetVersion int64) (message []byte, remainingOffset int) {
 	b = append(append(b, r.Method...), ' ')
@@ -159,7 +159,7 @@
 	return append(append(b, "\r\n"...), r.Body...), remainingOffset
 }
 
-// TellLeft fills in how much of its client's time is left for a submission, in whole us, and gives what is to
+// SetRemaining fills in how much of its client's time is left for a submission, in whole us, and gives what is to
 // be sent. It is for the moment before the first byte, and once: room that the figure does not need is given
 // up ahead of the message, and what stands before the figure moves up to it. Nothing is allocated.
 func SetRemaining(message []byte, offset int, remaining time.Duration) []byte {
@@ -171,7 +171,7 @@
 	return message[spare:]
 }
 
-// Link is one connection to a worker. It carries one submission at a time, and sends nothing again by itself.
+// WorkerConn is one connection to a worker. It carries one submission at a time, and sends nothing again by itself.
 type WorkerConn struct {
 	conn          net.Conn
 	reader        *bufio.Reader
@@ -194,7 +194,7 @@
 	return c
 }
 
-// Overdue tells whether the moment to give up has come.
+// DeadlinePassed tells whether the moment to give up has come.
 func (c *WorkerConn) DeadlinePassed() bool {
 	deadline := c.deadlineNanos.Load()
 	return deadline > 0 && time.Now().UnixNano() >= deadline
@@ -206,7 +206,7 @@
 	_ = c.conn.SetDeadline(time.Unix(1, 0))
 }
 
-// Until sets the moment at which whatever waits on the link gives up; the zero time is never. It changes
+// SetDeadline sets the moment at which whatever waits on the link gives up; the zero time is never. It changes
 // nothing for an answer of which the rest is left to be passed on: that is the client's, and has no expiry.
 func (c *WorkerConn) SetDeadline(deadline time.Time) {
 	c.deadlineNanos.Store(0)
@@ -221,13 +221,13 @@
 	c.reapplyAbort()
 }
 
-// Halt ends what is written of a body, from any goroutine: more of it is of no use. The answer is read on.
+// StopBody ends what is written of a body, from any goroutine: more of it is of no use. The answer is read on.
 func (c *WorkerConn) StopBody() {
 	c.bodyStopped.Store(true)
 	c.reapplyAbort()
 }
 
-// heed keeps an abort or a halt in force after a deadline has been set anew.
+// reapplyAbort keeps an abort or a halt in force after a deadline has been set anew.
 func (c *WorkerConn) reapplyAbort() {
 	if c.aborted.Load() {
 		_ = c.conn.SetDeadline(time.Unix(1, 0))
@@ -286,7 +286,7 @@
 	return nil
 }
 
-// Pour writes a body that is not kept. After an error the submission was not written whole.
+// SendBody writes a body that is not kept. After an error the submission was not written whole.
 func (c *WorkerConn) SendBody(upload *Upload) error {
 	limitSendBuffer(c.conn)
 	if c.bodyRemaining = upload.Length; upload.Length >= 0 {
@@ -304,7 +304,7 @@
 	return buffered.Flush()
 }
 
-// Pours tells that a body will be poured. To be called before Receive, where that runs beside Pour.
+// ExpectBody tells that a body will be poured. To be called before Receive, where that runs beside Pour.
 func (c *WorkerConn) ExpectBody() { c.sendingBody.Store(true) }
 
 // Receive reads one answer, but for the rest of one that is too long to be kept. After an error the link is
@@ -340,7 +340,7 @@
 	return answer, nil
 }
 
-// body reads an answer's body, whole where it is short and comes at once. A longer one has gone on coming for
+// readBody reads an answer's body, whole where it is short and comes at once. A longer one has gone on coming for
 // as long, or fills what is kept: the rest of it is left to be passed on.
 func (c *WorkerConn) readBody(response *fasthttp.Response, answer *Answer) error {
 	answer.Length = max(response.Header.ContentLength(),
@@ -372,7 +372,7 @@
 	return nil
 }
 
-// keep reads a body until its end, or, where that is not stated, until it has filled what is kept or has been
+// bufferBody reads a body until its end, or, where that is not stated, until it has filled what is kept or has been
 // coming for some time, and tells whether it is whole.
 func (c *WorkerConn) bufferBody(unknownLength bool, source io.Reader) (body []byte, complete bool,
 	err error) {
@@ -394,7 +394,7 @@
 	}
 }
 
-// bounded gives no more than so many bytes. Guards against answers without end.
+// limitedReader gives no more than so many bytes. Guards against answers without end.
 type limitedReader struct {
 	source    io.Reader
 	remaining int64
@@ -409,10 +409,10 @@
 	return n, err
 }
 
-// reports are the words for what is told of load: the protocol's own, and the settings' for the same.
+// loadFieldNames are the words for what is told of load: the protocol's own, and the settings' for the same.
 var loadFieldNames = [...][2]string{{"inflight", "concurrent"}, {"queue", "depth"}, {"util", "load_share"}}
 
-// load reads what a worker said of its load. A report that is missing or cannot be read says nothing, and so
+// parseLoad reads what a worker said of its load. A report that is missing or cannot be read says nothing, and so
 // does what is no number of nought or more in it.
 func parseLoad(head *fasthttp.ResponseHeader) policy.Burden {
 	var fields map[string]any
@@ -431,7 +431,7 @@
 	return policy.Burden{Held: reported[0], Waiting: reported[1], Busy: reported[2]}
 }
 
-// head reads an answer's head, past the interim ones ahead of it. Until a head has begun nothing pauses, and
+// readHead reads an answer's head, past the interim ones ahead of it. Until a head has begun nothing pauses, and
 // nothing does behind an interim one that came while the body of its submission still goes out.
 func (c *WorkerConn) readHead(response *fasthttp.Response, answer *Answer) error {
 	for interim := 0; ; interim++ {
@@ -462,7 +462,7 @@
 	}
 }
 
-// await has reads wait until the moment to give up, and no shorter, also where a pause has been set. Guards
+// awaitUntilDeadline has reads wait until the moment to give up, and no shorter, also where a pause has been set. Guards
 // against one that is set meanwhile.
 func (c *WorkerConn) awaitUntilDeadline(resetDeadline bool) {
 	for c.stallTimeout = 0; resetDeadline; {
@@ -478,7 +478,7 @@
 	}
 }
 
-// isStatus tells whether a line begins as HTTP/1.0 or 1.1 with a status of three digits, and no more of them.
+// isStatusLine tells whether a line begins as HTTP/1.0 or 1.1 with a status of three digits, and no more of them.
 func isStatusLine(line []byte) bool {
 	rest, ok := bytes.CutPrefix(line, []byte("HTTP/1."))
 	if !ok || rest[0] != '0' && rest[0] != '1' || rest[1] != ' ' || rest[2] < '1' || rest[2] > '5' {
--- a/internal/gateway/transport/worker_connection_test.go
+++ b/internal/gateway/transport/worker_connection_test.go
@@ -15,7 +15,7 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// linked gives a link and the worker's side of it.
+// connectedPair gives a link and the worker's side of it.
 func connectedPair(t *testing.T) (*WorkerPool, *WorkerConn, net.Conn) {
 	t.Helper()
 	listener, address := listen(t)
@@ -34,7 +34,7 @@
 	return pool, conn, worker
 }
 
-// unquiet waits until a link's worker has been heard.
+// awaitUnread waits until a link's worker has been heard.
 func awaitUnread(t *testing.T, conn *WorkerConn) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); isQuiescent(conn.conn); time.Sleep(time.Millisecond) {
--- a/internal/gateway/transport/worker_pool.go
+++ b/internal/gateway/transport/worker_pool.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// ErrNoRoom tells that the gatekeeper has no descriptor to spare for one more connection.
+// ErrPoolExhausted tells that the gatekeeper has no descriptor to spare for one more connection.
 var ErrPoolExhausted = errors.New("no connection to spare")
 
-// Life is one life of a worker, which ends when it drains, goes, moves or starts anew.
+// WorkerIncarnation is one life of a worker, which ends when it drains, goes, moves or starts anew.
 type WorkerIncarnation interface{ Valid() bool }
 
-// Links keeps the connections to workers: idle ones for reuse, the most recent first, and no more in all
+// WorkerPool keeps the connections to workers: idle ones for reuse, the most recent first, and no more in all
 // than it is given.
 type WorkerPool struct {
 	mu              sync.Mutex
@@ -31,12 +31,12 @@
 	attemptsWritten atomic.Int64
 }
 
-// NewLinks makes room for so many connections, which are dropped once they have been idle for keep.
+// NewWorkerPool makes room for so many connections, which are dropped once they have been idle for keep.
 func NewWorkerPool(limit int, idleTimeout, connectTimeout time.Duration) *WorkerPool {
 	return &WorkerPool{limit: limit, idleTimeout: idleTimeout, connectTimeout: connectTimeout}
 }
 
-// Idle gives the connection to a worker that was used last, or nil. Guards against one that the worker has
+// TakeIdle gives the connection to a worker that was used last, or nil. Guards against one that the worker has
 // closed without a word, on which a submission would be lost that may not be sent again, and one with bytes
 // in it that would be read as the next submission's answer.
 func (p *WorkerPool) TakeIdle(worker int) *WorkerConn {
@@ -58,21 +58,21 @@
 	return nil
 }
 
-// Spoilt tells how many idle connections were found closed by the worker, with bytes in them, or of a life of
+// StaleConns tells how many idle connections were found closed by the worker, with bytes in them, or of a life of
 // it that has ended.
 func (p *WorkerPool) StaleConns() int64 { return p.staleConns.Load() }
 
-// Open tells how many connections there are, idle ones and those that come up included.
+// OpenConns tells how many connections there are, idle ones and those that come up included.
 func (p *WorkerPool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// Tries tells how many submissions have been written whole.
+// AttemptsWritten tells how many submissions have been written whole.
 func (p *WorkerPool) AttemptsWritten() int64 { return p.attemptsWritten.Load() }
 
-// Wrote counts one that has.
+// CountAttempt counts one that has.
 func (p *WorkerPool) CountAttempt() { p.attemptsWritten.Add(1) }
 
 // Dial opens a connection, within its own limit and until a moment.
@@ -99,7 +99,7 @@
 	return newWorkerConn(conn, worker), nil
 }
 
-// Keep takes a connection back whose answer has been read whole, if its worker still is what it was. Guards
+// Put takes a connection back whose answer has been read whole, if its worker still is what it was. Guards
 // against a connection to a former life, or to another worker that had its place, and against what was read
 // behind an answer that was passed on as it came: the next submission would take it for its own.
 func (p *WorkerPool) Put(c *WorkerConn, incarnation WorkerIncarnation) bool {
@@ -120,7 +120,7 @@
 	return true
 }
 
-// Drop ends a connection.
+// Discard ends a connection.
 func (p *WorkerPool) Discard(c *WorkerConn) {
 	_ = c.conn.Close()
 	p.mu.Lock()
@@ -128,7 +128,7 @@
 	p.mu.Unlock()
 }
 
-// Shed ends the idle connections to a worker.
+// CloseIdle ends the idle connections to a worker.
 func (p *WorkerPool) CloseIdle(worker int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,7 +147,7 @@
 	}
 }
 
-// prune ends those connections of a worker that have been idle for too long.
+// closeExpired ends those connections of a worker that have been idle for too long.
 func (p *WorkerPool) closeExpired(worker int) {
 	expired, idle := 0, p.idle[worker]
 	for expired < len(idle) && time.Since(idle[expired].idleSince) > p.idleTimeout {
@@ -156,7 +156,7 @@
 	p.closeOldest(worker, expired)
 }
 
-// cut ends the n connections of a worker that have been idle for the longest.
+// closeOldest ends the n connections of a worker that have been idle for the longest.
 func (p *WorkerPool) closeOldest(worker, n int) {
 	idle := p.idle[worker]
 	for _, c := range idle[:n] {
@@ -165,13 +165,13 @@
 	p.idle[worker] = append(idle[:0], idle[n:]...)
 }
 
-// end closes a connection and frees its place, under the lock.
+// closeLocked closes a connection and frees its place, under the lock.
 func (p *WorkerPool) closeLocked(c *WorkerConn) {
 	_ = c.conn.Close()
 	p.open--
 }
 
-// dropOldest ends the connection that has been idle for the longest, if there is one.
+// evictOldest ends the connection that has been idle for the longest, if there is one.
 func (p *WorkerPool) evictOldest() bool {
 	oldest := -1
 	for worker, idle := range p.idle {
