--- a/internal/gateway/hotrestart/acknowledgement_test.go
+++ b/internal/gateway/hotrestart/acknowledgement_test.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// heirOf greets an owner by hand, and does nothing else.
-func heirOf(t *testing.T) (*Owner, *net.UnixConn) {
+// idleSuccessor connects a successor that receives nothing by itself.
+func idleSuccessor(t *testing.T) (*Predecessor, *net.UnixConn) {
 	t.Helper()
-	path := Path(t.TempDir(), "n0")
-	o, err := Offer(path, "n0")
+	path := SocketPath(t.TempDir(), "n0")
+	predecessor, err := Listen(path, "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(o.Close)
-	h, err := Find(path, "n0")
+	t.Cleanup(predecessor.Close)
+	successor, err := Connect(path, "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { h.conn.Close() })
-	for end := time.Now().Add(5 * time.Second); !o.Awaited(); time.Sleep(time.Millisecond) {
+	t.Cleanup(func() { successor.conn.Close() })
+	for end := time.Now().Add(5 * time.Second); !predecessor.HasSuccessor(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the heir is not heard")
+			t.Fatal("no successor is connected")
 		}
 	}
-	return o, h.conn
+	return predecessor, successor.conn
 }
 
-// clientOf is a client's connection, to be handed on.
-func clientOf(t *testing.T) (net.Conn, syscall.RawConn) {
+// newClient is a client's connection, to be handed off.
+func newClient(t *testing.T) (net.Conn, syscall.RawConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,86 +49,86 @@
 	return c, raw
 }
 
-// atOnce is far below what one packet may wait.
-const atOnce = patience / 4
+// immediately is far below the time-out of one packet.
+const immediately = packetTimeout / 4
 
-// An heir that hangs, dies over the will or answers something else gets no client, and none waits for it.
-// Guards against a place that is left to a process that was there to be greeted, and no more.
-func TestNoYes(t *testing.T) {
-	for name, does := range map[string]func(c *net.UnixConn){
+// A successor that hangs, dies while it receives the state or answers something else gets no client, and no
+// client waits for it. Guards against a handoff to a process that has greeted and does nothing more.
+func TestStateNotAcknowledged(t *testing.T) {
+	for name, behave := range map[string]func(c *net.UnixConn){
 		"hangs": func(*net.UnixConn) {},
 		"dies":  func(c *net.UnixConn) { c.Close() },
-		"dies over the will": func(c *net.UnixConn) {
-			buf := make([]byte, pieceBytes+1)
+		"dies while it receives the state": func(c *net.UnixConn) {
+			buf := make([]byte, stateChunkBytes+1)
 			for {
-				if n, err := c.Read(buf); err != nil || n == 0 || buf[0] == last {
+				if n, err := c.Read(buf); err != nil || n == 0 || buf[0] == lastChunkPacket {
 					c.Close()
 					return
 				}
 			}
 		},
-		"says something else": func(c *net.UnixConn) { _, _ = c.Write([]byte{hello}) },
+		"answers something else": func(c *net.UnixConn) { _, _ = c.Write([]byte{greetingPacket}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			o, c := heirOf(t)
-			_, raw := clientOf(t)
-			go does(c)
-			if err := o.Leave(Will{}); err == nil {
-				t.Fatal("the place is left without a yes")
+			predecessor, conn := idleSuccessor(t)
+			_, raw := newClient(t)
+			go behave(conn)
+			if err := predecessor.SendState(HandoffState{}); err == nil {
+				t.Fatal("the handoff succeeds without an acknowledgement")
 			}
-			began := time.Now()
+			start := time.Now()
 			for range 100 {
-				if o.Client(raw, Client{}) == nil || o.Awaited() {
-					t.Fatal("it is an heir still")
+				if predecessor.SendClient(raw, ClientConnection{}) == nil || predecessor.HasSuccessor() {
+					t.Fatal("it is still a successor")
 				}
 			}
-			if took := time.Since(began); took > atOnce {
-				t.Errorf("clients have waited %v for it", took)
+			if elapsed := time.Since(start); elapsed > immediately {
+				t.Errorf("clients waited %v for it", elapsed)
 			}
 		})
 	}
 }
 
-// An heir that says yes and then takes no more holds up one client for the time of a packet, and no other.
-// One client that has gone is not the heir's failure.
-func TestHeirStops(t *testing.T) {
-	o, c := heirOf(t)
-	go func() { // yes to the will, and then nothing is read
-		buf := make([]byte, pieceBytes+1)
+// A successor that acknowledges the state and then reads nothing holds up one client for a packet's time-out,
+// and no other. One client that has gone does not count as the successor's failure.
+func TestSuccessorStopsReading(t *testing.T) {
+	predecessor, conn := idleSuccessor(t)
+	go func() { // acknowledges the state, and then reads nothing
+		buf := make([]byte, stateChunkBytes+1)
 		for {
-			if n, err := c.Read(buf); err != nil || n == 0 {
+			if n, err := conn.Read(buf); err != nil || n == 0 {
 				return
-			} else if buf[0] == last {
-				_, _ = c.Write([]byte{yes})
+			} else if buf[0] == lastChunkPacket {
+				_, _ = conn.Write([]byte{acknowledgedPacket})
 				return
 			}
 		}
 	}()
-	if err := o.Leave(Will{}); err != nil {
+	if err := predecessor.SendState(HandoffState{}); err != nil {
 		t.Fatal(err)
 	}
-	_, raw := clientOf(t)
-	gone, lost := clientOf(t)
-	gone.Close()
-	if o.Client(lost, Client{}) == nil || !o.Awaited() {
-		t.Fatal("a client that has gone is handed on, or ends the heir")
+	_, raw := newClient(t)
+	closed, closedRaw := newClient(t)
+	closed.Close()
+	if predecessor.SendClient(closedRaw, ClientConnection{}) == nil || !predecessor.HasSuccessor() {
+		t.Fatal("a client that has gone is handed off, or fails the successor")
 	}
-	const most = 100000 // far beyond what a socket holds
+	const maxClients = 100000 // far beyond what a socket's buffer holds
 	sent := 0
-	for sent < most && o.Client(raw, Client{}) == nil {
+	for sent < maxClients && predecessor.SendClient(raw, ClientConnection{}) == nil {
 		sent++
 	}
-	if sent == 0 || sent == most {
-		t.Fatalf("%d are taken by one that reads none", sent)
+	if sent == 0 || sent == maxClients {
+		t.Fatalf("%d are sent to one that reads none", sent)
 	}
-	began := time.Now()
+	start := time.Now()
 	for range 100 {
-		if o.Client(raw, Client{}) == nil {
-			t.Error("one more is taken")
+		if predecessor.SendClient(raw, ClientConnection{}) == nil {
+			t.Error("one more is sent")
 		}
 	}
-	if took := time.Since(began); took > atOnce {
-		t.Errorf("the others have waited %v", took)
+	if elapsed := time.Since(start); elapsed > immediately {
+		t.Errorf("the others waited %v", elapsed)
 	}
 }
--- a/internal/gateway/hotrestart/golden_test.go
+++ b/internal/gateway/hotrestart/golden_test.go
@@ -14,17 +14,17 @@
 )
 
 // The golden files were written once by the code of version 4, before names were changed: will.gob is what
-// Leave sent, will.txt names each field of it as it is on the wire. They were made by filling all fields by
-// reflection, in the order of declaration, with values that are distinct but for bools. They are what a
+// SendState sent, will.txt names each field of it as it is on the wire. They were made by filling all fields
+// by reflection, in the order of declaration, with values that are distinct but for bools. They are what a
 // predecessor of the old version leaves, so new code must never write them again.
 //
 // gob drops fields whose names it does not know without an error. So no value below is zero, and a field
 // whose name on the wire has changed is seen as missing on one side or the other.
 const goldenGreeting = "h4 n0" // of this conversation, on both sides
 
-// goldenWill is what will.gob holds, in today's types.
-func goldenWill() Will {
-	return Will{Drains: true, Estate: policy.Estate{Signed: policy.Charter{Me: 1, Gatekeepers: 2,
+// goldenState is what will.gob holds, in today's types.
+func goldenState() HandoffState {
+	return HandoffState{Draining: true, Policy: policy.Estate{Signed: policy.Charter{Me: 1, Gatekeepers: 2,
 		Products: []policy.Product{{SLA: 3.5, Value: 4.5, LateShare: 5.5, Repeat: 6, Group: 7, Window: 8.5},
 			{SLA: 9.5, Value: 10.5, LateShare: 11.5, Repeat: 12, Group: 13, Window: 14.5}},
 		Plans: []policy.Plan{{Rate: 15.5, Burst: 16.5, CeilingRate: 17.5, CeilingDepth: 18.5, Withheld: 19.5,
@@ -55,12 +55,12 @@
 				{Customer: 160, Plan: 161, Demand: 162.5, Known: 163.5, Spent: 164.5}}}}, Window: 165.5, Press: 166.5,
 		CutAt: 167.5, Pace: 168.5, Load: 169.5, WarmDone: 170.5, WarmEach: 171.5, WarmAt: 172.5, Long: 173.5,
 		LongAt: 174.5, Astray: 175.5, AstrayAt: 176.5, Tight: []float64{177.5, 178.5}, Stay: []float64{179.5,
-			180.5}, NextTell: 181.5}, Workers: map[int]string{182: "s182", 183: "s183"},
-		Kinds: map[int]string{184: "s184", 185: "s185"}, Clearances: []authcache.Clearance{{Mark: "s186",
+			180.5}, NextTell: 181.5}, WorkerNames: map[int]string{182: "s182", 183: "s183"},
+		KindNames: map[int]string{184: "s184", 185: "s185"}, Clearances: []authcache.Clearance{{Mark: "s186",
 			Facts: authcache.Facts{Customer: 187, Product: 188, Plan: 189, Units: 190.5, SetSize: 191, First: 192},
 			Used:  true, Until: 193.5}, {Mark: "s194", Facts: authcache.Facts{Customer: 195, Product: 196, Plan: 197,
 			Units: 198.5, SetSize: 199, First: 200}, Used: true, Until: 201.5}},
-		Word: incarnation.MessageID{Incarnation: 202,
+		LastSentToPeer: incarnation.MessageID{Incarnation: 202,
 			Sequence: 203}}
 }
 
@@ -160,7 +160,7 @@
 	}
 )
 
-// decodeOld decodes a will as the old version would, and fails where it is not the golden one.
+// decodeOld decodes a handoff state as the old version would, and fails where it is not the golden one.
 func decodeOld(t *testing.T, b []byte) {
 	t.Helper()
 	var will oldWill
@@ -169,25 +169,25 @@
 	}
 	goldentest.SameLines(t, goldentest.Leaves(will), goldentest.Lines(t, "will.txt"))
 	if zeros := goldentest.Zeros(will); len(zeros) > 0 {
-		t.Errorf("these fields do not come over: %q", zeros)
+		t.Errorf("these fields are lost: %q", zeros)
 	}
 }
 
 // The golden file holds what will.txt says, by the names that are on the wire.
-func TestGoldenWillFile(t *testing.T) { decodeOld(t, goldentest.File(t, "will.gob")) }
+func TestGoldenStateFile(t *testing.T) { decodeOld(t, goldentest.File(t, "will.gob")) }
 
-// A will that a process of the old version leaves is taken with all its fields.
-func TestGoldenWillRead(t *testing.T) {
+// A state that a process of the old version sends is decoded with all its fields.
+func TestReadGoldenState(t *testing.T) {
 	old := goldentest.File(t, "will.gob")
-	path := Path(t.TempDir(), "n0")
+	path := SocketPath(t.TempDir(), "n0")
 	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	said := make(chan string, 2)
+	received := make(chan string, 2)
 	go func() { // the old process
-		defer close(said)
+		defer close(received)
 		conn, err := listener.AcceptUnix()
 		if err != nil {
 			return
@@ -196,35 +196,36 @@
 		_ = conn.SetDeadline(time.Now().Add(10 * time.Second))
 		buf := make([]byte, 256)
 		n, _ := conn.Read(buf)
-		said <- string(buf[:n])
+		received <- string(buf[:n])
 		_, _ = conn.Write([]byte(goldenGreeting))
 		_, _ = conn.Write(append([]byte("p"), old[:1000]...))
 		_, _ = conn.Write(append([]byte("w"), old[1000:]...))
 		n, _ = conn.Read(buf)
-		said <- string(buf[:n])
+		received <- string(buf[:n])
 	}()
-	heir, err := Find(path, "n0")
+	successor, err := Connect(path, "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got Will
-	if whole, err := heir.Receive(Takes{Will: func(w Will) { got = w }}); !whole || err != nil {
-		t.Fatalf("whole %v: %v", whole, err)
+	var got HandoffState
+	complete, err := successor.Receive(Handlers{State: func(state HandoffState) { got = state }})
+	if !complete || err != nil {
+		t.Fatalf("complete %v: %v", complete, err)
 	}
-	if hello, yes := <-said, <-said; hello != goldenGreeting || yes != "y" {
-		t.Errorf("the heir says %q, %q", hello, yes)
+	if greeted, acknowledged := <-received, <-received; greeted != goldenGreeting || acknowledged != "y" {
+		t.Errorf("the successor sends %q, %q", greeted, acknowledged)
 	}
-	goldentest.Same(t, got, goldenWill())
+	goldentest.Same(t, got, goldenState())
 }
 
-// What today's code leaves is taken by a process of the old version with all its fields.
-func TestGoldenWillWrite(t *testing.T) {
-	path := Path(t.TempDir(), "n0")
-	owner, err := Offer(path, "n0")
+// A state that the current code sends is decoded by a process of the old version with all its fields.
+func TestWriteGoldenState(t *testing.T) {
+	path := SocketPath(t.TempDir(), "n0")
+	predecessor, err := Listen(path, "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer owner.Close()
+	defer predecessor.Close()
 	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
@@ -234,27 +235,27 @@
 	buf := make([]byte, 64<<10)
 	_, _ = conn.Write([]byte(goldenGreeting))
 	if n, err := conn.Read(buf); string(buf[:n]) != goldenGreeting || err != nil {
-		t.Fatalf("the owner says %q: %v", buf[:n], err)
+		t.Fatalf("the predecessor sends %q: %v", buf[:n], err)
 	}
-	for i := 0; !owner.Awaited(); i++ {
+	for i := 0; !predecessor.HasSuccessor(); i++ {
 		if i == 1000 {
-			t.Fatal("the heir is not heard")
+			t.Fatal("no successor is connected")
 		}
 		time.Sleep(time.Millisecond)
 	}
-	left := make(chan error, 1)
-	go func() { left <- owner.Leave(goldenWill()) }()
-	var will []byte
+	sent := make(chan error, 1)
+	go func() { sent <- predecessor.SendState(goldenState()) }()
+	var encoded []byte
 	for last := false; !last; {
 		n, err := conn.Read(buf)
 		if n == 0 || err != nil || buf[0] != 'p' && buf[0] != 'w' {
 			t.Fatalf("%d bytes, kind %q: %v", n, buf[0], err)
 		}
-		will, last = append(will, buf[1:n]...), buf[0] == 'w'
+		encoded, last = append(encoded, buf[1:n]...), buf[0] == 'w'
 	}
 	_, _ = conn.Write([]byte("y"))
-	if err := <-left; err != nil {
+	if err := <-sent; err != nil {
 		t.Fatal(err)
 	}
-	decodeOld(t, will)
+	decodeOld(t, encoded)
 }
--- a/internal/gateway/hotrestart/handoff_test.go
+++ b/internal/gateway/hotrestart/handoff_test.go
@@ -13,58 +13,71 @@
 	"willowdeck/internal/policy"
 )
 
-// pair is both ends of a conversation, with what the heir has taken.
-type pair struct {
-	owner   *Owner
-	wills   chan Will
-	clients chan Client
-	conns   chan net.Conn
-	ended   chan bool
+// connectedPair is a predecessor and what its successor has received from it.
+type connectedPair struct {
+	predecessor *Predecessor
+	states      chan HandoffState
+	clients     chan ClientConnection
+	sockets     chan net.Conn
+	complete    chan bool // what Receive has returned
 }
 
-func meet(t *testing.T) *pair {
+func connect(t *testing.T) *connectedPair {
 	t.Helper()
-	path := Path(t.TempDir(), "n0")
-	o, err := Offer(path, "n0")
+	path := SocketPath(t.TempDir(), "n0")
+	predecessor, err := Listen(path, "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(o.Close)
-	h, err := Find(path, "n0")
+	t.Cleanup(predecessor.Close)
+	successor, err := Connect(path, "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &pair{o, make(chan Will, 1), make(chan Client, 9), make(chan net.Conn, 9), make(chan bool, 1)}
+	p := &connectedPair{
+		predecessor: predecessor,
+		states:      make(chan HandoffState, 1),
+		clients:     make(chan ClientConnection, 9),
+		sockets:     make(chan net.Conn, 9),
+		complete:    make(chan bool, 1),
+	}
 	go func() {
-		whole, _ := h.Receive(Takes{Will: func(w Will) { p.wills <- w },
-			Client: func(c net.Conn, as Client) { p.clients <- as; p.conns <- c },
-			Peers:  func(c *net.UDPConn) { p.conns <- c }})
-		p.ended <- whole
+		complete, _ := successor.Receive(Handlers{
+			State: func(state HandoffState) { p.states <- state },
+			Client: func(conn net.Conn, connection ClientConnection) {
+				p.clients <- connection
+				p.sockets <- conn
+			},
+			PeerSocket: func(conn *net.UDPConn) { p.sockets <- conn },
+		})
+		p.complete <- complete
 	}()
 	for range 100 {
-		if o.Awaited() {
+		if predecessor.HasSuccessor() {
 			return p
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("the heir is not heard")
+	t.Fatal("no successor is connected")
 	return nil
 }
 
-// A will of any size, connections with what was read of them, and the datagram socket come over.
-func TestHandOver(t *testing.T) {
-	p := meet(t)
-	w := Will{Workers: map[int]string{3: "w3"}}
+// A state of any size, connections with what was read ahead from them, and the datagram socket are handed
+// off.
+func TestHandoff(t *testing.T) {
+	p := connect(t)
+	state := HandoffState{WorkerNames: map[int]string{3: "w3"}}
 	for i := range 5000 { // many packets
-		w.Estate.Customers = append(w.Estate.Customers, policy.Customer{Key: uint64(i), Level: float64(i) / 3})
+		customer := policy.Customer{Key: uint64(i), Level: float64(i) / 3}
+		state.Policy.Customers = append(state.Policy.Customers, customer)
 	}
-	if err := p.owner.Leave(w); err != nil {
+	if err := p.predecessor.SendState(state); err != nil {
 		t.Fatal(err)
 	}
-	got := <-p.wills
-	all := got.Estate.Customers
-	if len(all) != 5000 || all[4999].Level != 4999.0/3 || got.Workers[3] != "w3" {
-		t.Errorf("the will came as %d customers, %v", len(all), got.Workers)
+	got := <-p.states
+	customers := got.Policy.Customers
+	if len(customers) != 5000 || customers[4999].Level != 4999.0/3 || got.WorkerNames[3] != "w3" {
+		t.Errorf("received %d customers, workers %v", len(customers), got.WorkerNames)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -81,14 +94,15 @@
 		t.Fatal(err)
 	}
 	raw, _ := ours.(*net.TCPConn).SyscallConn()
-	if err := p.owner.Client(raw, Client{Proven: true, Ahead: []byte("GET /ch")}); err != nil {
+	sent := ClientConnection{Proven: true, ReadAhead: []byte("GET /ch")}
+	if err := p.predecessor.SendClient(raw, sent); err != nil {
 		t.Fatal(err)
 	}
-	ours.Close() // it lives on at the heir's
-	if as := <-p.clients; !as.Proven || string(as.Ahead) != "GET /ch" {
-		t.Errorf("the connection came as %+v", as)
+	ours.Close() // it lives on in the successor
+	if connection := <-p.clients; !connection.Proven || string(connection.ReadAhead) != "GET /ch" {
+		t.Errorf("the connection was received as %+v", connection)
 	}
-	moved := <-p.conns
+	moved := <-p.sockets
 	fmt.Fprint(moved, "hello")
 	moved.Close()
 	if b, err := io.ReadAll(theirs); string(b) != "hello" || err != nil {
@@ -100,83 +114,84 @@
 	}
 	at := u.LocalAddr()
 	raw, _ = u.SyscallConn()
-	if err := p.owner.Peers(raw); err != nil {
+	if err := p.predecessor.SendPeerSocket(raw); err != nil {
 		t.Fatal(err)
 	}
 	u.Close()
-	if c := <-p.conns; c.LocalAddr().String() != at.String() {
+	if c := <-p.sockets; c.LocalAddr().String() != at.String() {
 		t.Errorf("the datagram socket is at %v, was at %v", c.LocalAddr(), at)
 	}
-	p.owner.Close()
-	if !<-p.ended {
-		t.Error("a whole will is not told as such")
+	p.predecessor.Close()
+	if !<-p.complete {
+		t.Error("a complete state is not reported as complete")
 	}
 }
 
-// What ends early, or makes no sense, is no will: the heir starts from nothing.
-func TestNoWill(t *testing.T) {
+// A state that ends early or can't be decoded is not complete: the successor starts without one.
+func TestIncompleteState(t *testing.T) {
 	var b bytes.Buffer
-	if err := gob.NewEncoder(&b).Encode(Will{Workers: map[int]string{1: "w1"}}); err != nil {
+	state := HandoffState{WorkerNames: map[int]string{1: "w1"}}
+	if err := gob.NewEncoder(&b).Encode(encodeHandoff(state)); err != nil {
 		t.Fatal(err)
 	}
 	cases := []struct {
 		name string
-		do   func(*Owner)
+		send func(*Predecessor)
 	}{
-		{"nothing", func(*Owner) {}},
-		{"cut short", func(o *Owner) { o.send(piece, b.Bytes()[:b.Len()-1], nil) }},
-		{"ended in its middle", func(o *Owner) { o.send(last, b.Bytes()[:b.Len()-1], nil) }},
-		{"noise", func(o *Owner) { o.send(last, bytes.Repeat([]byte{7}, 900), nil) }},
+		{"nothing", func(*Predecessor) {}},
+		{"last chunk missing", func(p *Predecessor) { p.send(stateChunkPacket, b.Bytes()[:b.Len()-1], nil) }},
+		{"truncated", func(p *Predecessor) { p.send(lastChunkPacket, b.Bytes()[:b.Len()-1], nil) }},
+		{"random bytes", func(p *Predecessor) { p.send(lastChunkPacket, bytes.Repeat([]byte{7}, 900), nil) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := meet(t)
-			c.do(p.owner)
-			p.owner.Close()
-			if <-p.ended || len(p.wills) > 0 {
-				t.Error("it counts as whole")
+			p := connect(t)
+			c.send(p.predecessor)
+			p.predecessor.Close()
+			if <-p.complete || len(p.states) > 0 {
+				t.Error("it counts as complete")
 			}
 		})
 	}
 }
 
-// Others than this gatekeeper's processes of this version do not talk, and an heir that dies is noticed.
-func TestWhoTalks(t *testing.T) {
-	path := Path(t.TempDir(), "n0")
-	if _, err := Find(path, "n0"); err == nil {
-		t.Error("found where there is nobody")
+// Only processes of the same gateway and version are connected, and a successor that dies is noticed.
+func TestGreeting(t *testing.T) {
+	path := SocketPath(t.TempDir(), "n0")
+	if _, err := Connect(path, "n0"); err == nil {
+		t.Error("connected where no process listens")
 	}
-	o, err := Offer(path, "n0")
+	predecessor, err := Listen(path, "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer o.Close()
-	if _, err := Find(path, "n1"); err == nil {
-		t.Error("another gatekeeper's process is answered")
+	defer predecessor.Close()
+	if _, err := Connect(path, "n1"); err == nil {
+		t.Error("another gateway's process is connected")
 	}
 	c, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	fmt.Fprintf(c, "%c%d n0", hello, Version+1)
+	fmt.Fprintf(c, "%c%d n0", greetingPacket, Version+1)
 	buf := make([]byte, 99)
-	if n, _ := c.Read(buf); !bytes.Equal(buf[:n], greeting("n0")) || o.Awaited() {
-		t.Errorf("one of another version hears %q, and is an heir: %v", buf[:n], o.Awaited())
+	if n, _ := c.Read(buf); !bytes.Equal(buf[:n], greeting("n0")) || predecessor.HasSuccessor() {
+		t.Errorf("one of another version receives %q, and is a successor: %v", buf[:n], predecessor.HasSuccessor())
 	}
-	h, err := Find(path, "n0")
+	successor, err := Connect(path, "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.conn.Close()
+	successor.conn.Close()
 	time.Sleep(10 * time.Millisecond)
-	if o.Awaited() || o.Leave(Will{}) == nil {
-		t.Error("an heir that has died is waited for")
+	if predecessor.HasSuccessor() || predecessor.SendState(HandoffState{}) == nil {
+		t.Error("a successor that has died counts as connected")
 	}
-	if _, err := Offer(path, "n0"); err != nil {
-		t.Errorf("the path of one that is there: %v", err)
+	if _, err := Listen(path, "n0"); err != nil {
+		t.Errorf("a path at which another process listens: %v", err)
 	}
-	if _, err := Offer(filepath.Join(path, "no"), "n0"); err == nil {
-		t.Error("no path, and no error")
+	if _, err := Listen(filepath.Join(path, "no"), "n0"); err == nil {
+		t.Error("a path that can't be made, and no error")
 	}
 }
--- a/internal/gateway/hotrestart/predecessor.go
+++ b/internal/gateway/hotrestart/predecessor.go
@@ -1,6 +1,3 @@
-// Package hotrestart is the conversation between a gatekeeper's process and the one that takes its place on
-// the
-// same machine: whole packets on a Unix socket, some with a descriptor. It decides nothing.
 package hotrestart
 
 import (
@@ -8,305 +5,173 @@
 	"encoding/gob"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"os"
-	"path/filepath"
 	"sync"
 	"syscall"
 	"time"
-
-	"willowdeck/internal/forwardauth/authcache"
-	"willowdeck/internal/gateway/incarnation"
-	"willowdeck/internal/policy"
 )
 
-// Version is of the conversation and of all that is in a will. Those of different versions do not talk.
-const Version = 4
-
-// Will is what a process leaves to its heir.
-type Will struct {
-	Drains         bool // its clients are sent away
-	Estate         policy.Estate
-	Workers, Kinds map[int]string // their names, by the indices in the estate
-	Clearances     []authcache.Clearance
-	Word           incarnation.MessageID // of the last message to peers: the heir goes on from there
-}
-
-// Client is a client's connection as it is handed on.
-type Client struct {
-	Proven bool   // it has asked more than once
-	Ahead  []byte // what has been read of it and not taken up
-}
-
-// The kinds of packets, by their first byte.
-const (
-	hello  = 'h' // then the version and the name, both ways
-	piece  = 'p' // of a will
-	last   = 'w' // the last piece
-	peers  = 'u' // the datagram socket
-	client = 'c' // a client's connection: one byte says whether it is proven, the rest is what was read ahead
-	yes    = 'y' // the heir's: the will has come whole
+var (
+	errNoSuccessor     = errors.New("hot restart: no successor is connected")
+	errNotAcknowledged = errors.New("hot restart: the successor did not acknowledge the handoff state")
 )
 
-const (
-	pieceBytes = 32 << 10 // well under what the kernel takes as one packet
-	mostBytes  = 64 << 20 // of a will; a gatekeeper knows thousands of customers, not millions
-	patience   = time.Second
-)
-
-func greeting(name string) []byte { return fmt.Appendf(nil, "%c%d %s", hello, Version, name) }
-
-// Path is where a gatekeeper's process waits for its heir.
-func Path(dir, name string) string { return filepath.Join(dir, "willowdeck-"+name+".sock") }
-
-// Heir is the new process's end.
-type Heir struct{ conn *net.UnixConn }
-
-// Find greets the process that holds a gatekeeper's place. An error tells that there is none to take over
-// from.
-func Find(path, name string) (*Heir, error) {
-	conn, err := net.DialUnix("unixpacket", nil, &net.UnixAddr{Name: path, Net: "unixpacket"})
-	if err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
-	}
-	_ = conn.SetDeadline(time.Now().Add(patience))
-	buf := make([]byte, 256)
-	n := 0
-	if _, err = conn.Write(greeting(name)); err == nil {
-		n, err = conn.Read(buf)
-	}
-	if err == nil && !bytes.Equal(buf[:n], greeting(name)) {
-		err = errors.New("another version, or another gatekeeper")
-	}
-	if err != nil {
-		_ = conn.Close()
-		return nil, fmt.Errorf("handover: %w", err)
-	}
-	_ = conn.SetDeadline(time.Time{})
-	return &Heir{conn}, nil
-}
-
-// Close takes no more: the process before keeps what it has not handed on.
-func (h *Heir) Close() { _ = h.conn.Close() }
-
-// Takes is what an heir does with what it is given.
-type Takes struct {
-	Will   func(Will)
-	Peers  func(*net.UDPConn)
-	Client func(net.Conn, Client)
-}
-
-// Receive takes what the other process leaves, until that ends, and tells whether its will came whole.
-func (h *Heir) Receive(to Takes) (whole bool, err error) {
-	defer h.conn.Close()
-	buf, oob := make([]byte, pieceBytes+1), make([]byte, syscall.CmsgSpace(4))
-	var will []byte
-	for {
-		n, on, _, _, err := h.conn.ReadMsgUnix(buf, oob)
-		if n == 0 || err != nil {
-			if errors.Is(err, io.EOF) {
-				err = nil
-			}
-			return whole, err
-		}
-		kind, b := buf[0], buf[1:n]
-		file, err := descriptor(oob[:on])
-		if err != nil {
-			return whole, err
-		}
-		switch kind {
-		case piece, last:
-			if will = append(will, b...); len(will) > mostBytes {
-				return whole, errors.New("handover: a will without end")
-			}
-			if kind == last {
-				var stored storedHandoff
-				if err := gob.NewDecoder(bytes.NewReader(will)).Decode(&stored); err != nil {
-					return whole, fmt.Errorf("handover: %w", err)
-				}
-				whole, will = true, nil
-				if _, err := h.conn.Write([]byte{yes}); err != nil { // the place is not left without it
-					return false, fmt.Errorf("handover: %w", err)
-				}
-				to.Will(decodeHandoff(stored))
-			}
-		case peers, client:
-			take(file, kind, b, to)
-		}
-	}
-}
-
-// descriptor gives the descriptor that came with a packet, if any.
-func descriptor(oob []byte) (*os.File, error) {
-	msgs, err := syscall.ParseSocketControlMessage(oob)
-	if err != nil || len(msgs) == 0 {
-		return nil, err
-	}
-	fds, err := syscall.ParseUnixRights(&msgs[0])
-	if err != nil || len(fds) == 0 {
-		return nil, err
-	}
-	syscall.CloseOnExec(fds[0])
-	return os.NewFile(uintptr(fds[0]), "handover"), nil
-}
-
-// take makes a connection of a descriptor. Go duplicates it, so the one that came is closed.
-func take(f *os.File, kind byte, b []byte, to Takes) {
-	if f == nil {
-		return
-	}
-	defer f.Close()
-	if kind == peers {
-		if c, err := net.FilePacketConn(f); err == nil {
-			if u, ok := c.(*net.UDPConn); ok {
-				to.Peers(u)
-			}
-		}
-		return
-	}
-	if c, err := net.FileConn(f); err == nil {
-		to.Client(c, Client{Proven: len(b) > 0 && b[0] == 1, Ahead: append([]byte(nil), b[min(1, len(b)):]...)})
-	}
-}
-
-// Owner is the end of the process that holds the gatekeeper's place.
-type Owner struct {
+// Predecessor is the end of the process that serves until it hands off.
+type Predecessor struct {
 	listener *net.UnixListener
 	name     string
-	mu       sync.Mutex
-	heir     *net.UnixConn
-	failed   error // of the heir: nothing more is sent to it
+
+	mu        sync.Mutex    // guards the fields below, and each packet that is sent
+	successor *net.UnixConn // nil until one has greeted
+	failed    error         // why sending to the successor failed; nothing more is sent to it
 }
 
-// Offer waits at a path for an heir. What was at the path before is of a process that is gone, or of one that
-// this one has taken over from.
-func Offer(path, name string) (*Owner, error) {
+// Listen waits for a successor at a path. A socket that is at the path already belongs to a process that has
+// ended, or to one that this process has taken over from, and is replaced.
+func Listen(path, name string) (*Predecessor, error) {
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return nil, fmt.Errorf("handover: %w", err)
+		return nil, fmt.Errorf("hot restart: %w", err)
 	}
-	l, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
+	listener, err := net.ListenUnix("unixpacket", &net.UnixAddr{Name: path, Net: "unixpacket"})
 	if err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
+		return nil, fmt.Errorf("hot restart: %w", err)
 	}
-	l.SetUnlinkOnClose(false) // by then the path is the heir's
+	listener.SetUnlinkOnClose(false) // by then the path is the successor's
 	_ = os.Chmod(path, 0o600)
-	o := &Owner{listener: l, name: name}
-	go o.greet()
-	return o, nil
+	p := &Predecessor{listener: listener, name: name}
+	go p.acceptSuccessors()
+	return p, nil
 }
 
-func (o *Owner) greet() {
+// acceptSuccessors greets processes that connect, until the listener is closed. The last one that greets as
+// a successor takes the place of an earlier one.
+func (p *Predecessor) acceptSuccessors() {
 	for {
-		c, err := o.listener.AcceptUnix()
+		conn, err := p.listener.AcceptUnix()
 		if err != nil {
 			return
 		}
-		_ = c.SetDeadline(time.Now().Add(patience))
-		buf := make([]byte, 256)
-		n, err := c.Read(buf)
+		_ = conn.SetDeadline(time.Now().Add(packetTimeout))
+		received := make([]byte, maxGreetingBytes)
+		n, err := conn.Read(received)
 		if err == nil {
-			_, err = c.Write(greeting(o.name)) // one of another version learns so
+			_, err = conn.Write(greeting(p.name)) // also to one of another version, which reports it
 		}
-		if err != nil || !bytes.Equal(buf[:n], greeting(o.name)) {
-			_ = c.Close()
+		if err != nil || !bytes.Equal(received[:n], greeting(p.name)) {
+			_ = conn.Close()
 			continue
 		}
-		_ = c.SetDeadline(time.Time{})
-		o.mu.Lock()
-		if o.heir != nil {
-			_ = o.heir.Close()
-		}
-		o.heir, o.failed = c, nil
-		o.mu.Unlock()
+		_ = conn.SetDeadline(time.Time{})
+		p.setSuccessor(conn)
+	}
+}
+
+func (p *Predecessor) setSuccessor(conn *net.UnixConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.successor != nil {
+		_ = p.successor.Close()
 	}
+	p.successor, p.failed = conn, nil
 }
 
-// Awaited tells whether an heir waits, and is there still.
-func (o *Owner) Awaited() bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.heir != nil && o.send(piece, nil, nil) == nil
+// HasSuccessor reports whether a successor has greeted and is still connected.
+func (p *Predecessor) HasSuccessor() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.successor != nil && p.send(stateChunkPacket, nil, nil) == nil
 }
 
-// Leave sends a will, and waits for the heir's yes. Guards against an heir that hangs: what is sent to it
-// lies in the socket, and its clients with it.
-func (o *Owner) Leave(w Will) error {
-	var b bytes.Buffer
-	if err := gob.NewEncoder(&b).Encode(encodeHandoff(w)); err != nil {
-		return fmt.Errorf("handover: %w", err)
+// SendState sends the handoff state and waits for the acknowledgement, for packetTimeout at most. Guards
+// against a successor that hangs: the state, and the clients after it, would wait in the socket's buffer.
+func (p *Predecessor) SendState(state HandoffState) error {
+	var encoded bytes.Buffer
+	if err := gob.NewEncoder(&encoded).Encode(encodeHandoff(state)); err != nil {
+		return fmt.Errorf("hot restart: %w", err)
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for b.Len() > pieceBytes {
-		if err := o.send(piece, b.Next(pieceBytes), nil); err != nil {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for encoded.Len() > stateChunkBytes {
+		if err := p.send(stateChunkPacket, encoded.Next(stateChunkBytes), nil); err != nil {
 			return err
 		}
 	}
-	if err := o.send(last, b.Bytes(), nil); err != nil {
+	if err := p.send(lastChunkPacket, encoded.Bytes(), nil); err != nil {
 		return err
 	}
-	said := make([]byte, 8)
-	_ = o.heir.SetReadDeadline(time.Now().Add(patience))
-	n, err := o.heir.Read(said)
-	if err == nil && (n != 1 || said[0] != yes) {
-		err = errors.New("no yes")
+	p.failed = p.awaitAcknowledgement()
+	return p.failed
+}
+
+// awaitAcknowledgement reads the successor's answer to the state. The caller holds the lock.
+func (p *Predecessor) awaitAcknowledgement() error {
+	answer := make([]byte, 8)
+	_ = p.successor.SetReadDeadline(time.Now().Add(packetTimeout))
+	n, err := p.successor.Read(answer)
+	if err != nil {
+		return fmt.Errorf("hot restart: %w", err)
 	}
-	if o.failed = err; err != nil {
-		return fmt.Errorf("handover: %w", err)
+	if n != 1 || answer[0] != acknowledgedPacket {
+		return errNotAcknowledged
 	}
 	return nil
 }
 
-// Peers hands the datagram socket on.
-func (o *Owner) Peers(c syscall.RawConn) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.send(peers, nil, c)
+// SendPeerSocket hands the datagram socket off.
+func (p *Predecessor) SendPeerSocket(socket syscall.RawConn) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.send(peerSocketPacket, nil, socket)
 }
 
-// Client hands a client's connection on. The caller closes its own descriptor of it, and nothing else.
-func (o *Owner) Client(c syscall.RawConn, as Client) error {
-	b := make([]byte, 1, 1+len(as.Ahead))
-	if as.Proven {
-		b[0] = 1
+// SendClient hands a client's connection off. The caller then closes its own descriptor of it, and nothing
+// else: the connection lives on in the successor.
+func (p *Predecessor) SendClient(socket syscall.RawConn, connection ClientConnection) error {
+	payload := make([]byte, 1, 1+len(connection.ReadAhead))
+	if connection.Proven {
+		payload[0] = 1
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.send(client, append(b, as.Ahead...), c)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.send(clientPacket, append(payload, connection.ReadAhead...), socket)
 }
 
-// send writes one packet, under the lock. Guards against a wait for each of many connections, one after
-// another, before an heir that takes no more: what has failed once fails at once.
-func (o *Owner) send(kind byte, b []byte, with syscall.RawConn) error {
+// send writes one packet, with the descriptor of a socket unless that is nil. The caller holds the lock. Once
+// a packet has failed, all later ones fail at once: many connections must not each wait for packetTimeout
+// before a successor that reads nothing.
+func (p *Predecessor) send(kind byte, payload []byte, socket syscall.RawConn) error {
 	switch {
-	case o.heir == nil:
-		return errors.New("handover: there is no heir")
-	case o.failed != nil:
-		return o.failed
+	case p.successor == nil:
+		return errNoSuccessor
+	case p.failed != nil:
+		return p.failed
 	}
-	b = append([]byte{kind}, b...)
-	_ = o.heir.SetWriteDeadline(time.Now().Add(patience))
-	write := func(oob []byte) error {
-		_, _, o.failed = o.heir.WriteMsgUnix(b, oob, nil)
-		return o.failed
-	}
-	if with == nil {
-		return write(nil)
+	packet := append([]byte{kind}, payload...)
+	_ = p.successor.SetWriteDeadline(time.Now().Add(packetTimeout))
+	if socket == nil {
+		return p.writePacket(packet, nil)
 	}
 	var err error
-	if e := with.Control(func(fd uintptr) { err = write(syscall.UnixRights(int(fd))) }); e != nil {
-		return e // the client's, who has gone, not the heir's
+	controlErr := socket.Control(func(fd uintptr) { err = p.writePacket(packet, syscall.UnixRights(int(fd))) })
+	if controlErr != nil {
+		return controlErr // the client is gone; the successor has not failed
 	}
 	return err
 }
 
-// Close ends the conversation: nothing more comes.
-func (o *Owner) Close() {
-	_ = o.listener.Close()
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.heir != nil {
-		_ = o.heir.Close()
+// writePacket writes one packet with its control message. The caller holds the lock.
+func (p *Predecessor) writePacket(packet, oob []byte) error {
+	_, _, p.failed = p.successor.WriteMsgUnix(packet, oob, nil)
+	return p.failed
+}
+
+// Close stops listening and closes the connection to the successor, which takes it as the end of the handoff.
+func (p *Predecessor) Close() {
+	_ = p.listener.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.successor != nil {
+		_ = p.successor.Close()
 	}
 }
--- a/internal/gateway/hotrestart/storedform.go
+++ b/internal/gateway/hotrestart/storedform.go
@@ -198,14 +198,14 @@
 	Spent    float64
 }
 
-func encodeHandoff(live Will) storedHandoff {
+func encodeHandoff(live HandoffState) storedHandoff {
 	return storedHandoff{
-		Drains:     live.Drains,
-		Estate:     encodeEstate(live.Estate),
-		Workers:    live.Workers,
-		Kinds:      live.Kinds,
+		Drains:     live.Draining,
+		Estate:     encodeEstate(live.Policy),
+		Workers:    live.WorkerNames,
+		Kinds:      live.KindNames,
 		Clearances: convertAll(live.Clearances, encodeClearance),
-		Word:       encodeSequence(live.Word),
+		Word:       encodeSequence(live.LastSentToPeer),
 	}
 }
 
@@ -397,14 +397,14 @@
 	}
 }
 
-func decodeHandoff(stored storedHandoff) Will {
-	return Will{
-		Drains:     stored.Drains,
-		Estate:     decodeEstate(stored.Estate),
-		Workers:    stored.Workers,
-		Kinds:      stored.Kinds,
-		Clearances: convertAll(stored.Clearances, decodeClearance),
-		Word:       decodeSequence(stored.Word),
+func decodeHandoff(stored storedHandoff) HandoffState {
+	return HandoffState{
+		Draining:       stored.Drains,
+		Policy:         decodeEstate(stored.Estate),
+		WorkerNames:    stored.Workers,
+		KindNames:      stored.Kinds,
+		Clearances:     convertAll(stored.Clearances, decodeClearance),
+		LastSentToPeer: decodeSequence(stored.Word),
 	}
 }
 
--- a/internal/gateway/lifecycle/endings_test.go
+++ b/internal/gateway/lifecycle/endings_test.go
@@ -421,7 +421,7 @@
 		t.Fatal("an heir without its place does not end")
 	}
 	fmt.Fprint(kept, check("/check", "k2"))
-	if status, _ := read(kept); status != "HTTP/1.1 200 OK" || d.gk.owner.Load().Awaited() {
+	if status, _ := read(kept); status != "HTTP/1.1 200 OK" || d.gk.owner.Load().HasSuccessor() {
 		t.Errorf("the process before it answers %q", status)
 	}
 
--- a/internal/gateway/lifecycle/heir_test.go
+++ b/internal/gateway/lifecycle/heir_test.go
@@ -16,11 +16,11 @@
 // which never speaks, and against a listener that nobody takes from.
 func TestHeirHangs(t *testing.T) {
 	d, _ := heldListener(t)
-	_, err := hotrestart.Find(hotrestart.Path(d.conf.Scratch, d.conf.Name), d.conf.Name)
+	_, err := hotrestart.Connect(hotrestart.SocketPath(d.conf.Scratch, d.conf.Name), d.conf.Name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the heir is heard", func() bool { return d.gk.owner.Load().Awaited() })
+	until(t, "the heir is heard", func() bool { return d.gk.owner.Load().HasSuccessor() })
 	dial := func() (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", d.at)
 		if err != nil {
--- a/internal/gateway/lifecycle/replace.go
+++ b/internal/gateway/lifecycle/replace.go
@@ -51,7 +51,7 @@
 
 // heir is a process's part in taking over from the one before it.
 type heir struct {
-	from  *hotrestart.Heir
+	from  *hotrestart.Successor
 	took  atomic.Bool   // the place is its
 	stops atomic.Bool   // it stops, and takes no place any more
 	over  chan struct{} // closed once nothing more is handed on
@@ -69,28 +69,28 @@
 // inherit waits, ready but without clients, until the process before this one leaves its place, and takes it.
 func (g *Gatekeeper) inherit(h *heir) {
 	defer close(h.over)
-	whole, err := h.from.Receive(hotrestart.Takes{
-		Will: func(w hotrestart.Will) {
+	whole, err := h.from.Receive(hotrestart.Handlers{
+		State: func(w hotrestart.HandoffState) {
 			h.took.Store(true)
-			g.desk.Resume(w.Estate, w.Workers, w.Kinds)
+			g.desk.Resume(w.Policy, w.WorkerNames, w.KindNames)
 			if g.peers != nil && g.conf.Tells {
-				g.peers.Bear(w.Word)
+				g.peers.Bear(w.LastSentToPeer)
 			}
 			g.remember(false) // the process before has let it go
 			g.keepJournal(true)
-			g.log.Info().Int("customers", len(w.Estate.Customers)).Int("workers", len(w.Estate.Workers)).
+			g.log.Info().Int("customers", len(w.Policy.Customers)).Int("workers", len(w.Policy.Workers)).
 				Msg("taking over")
 			if g.portal != nil {
 				g.portal.Inherit(w.Clearances)
 				go g.portal.Rebind(g.over)
 			}
 			g.serve()
-			if w.Drains {
+			if w.Draining {
 				g.Quiesce()
 			}
 		},
-		Peers:  g.hear,
-		Client: func(c net.Conn, as hotrestart.Client) { g.front.Adopt(g.limit, c, as.Proven, as.Ahead) },
+		PeerSocket: g.hear,
+		Client:     func(c net.Conn, as hotrestart.ClientConnection) { g.front.Adopt(g.limit, c, as.Proven, as.ReadAhead) },
 	})
 	g.log.Info().Bool("whole", whole).Err(err).Msg("the process before has ended")
 	if !whole && h.stops.Load() {
@@ -119,7 +119,7 @@
 	if g.conf.Scratch == "" {
 		return
 	}
-	o, err := hotrestart.Offer(hotrestart.Path(g.conf.Scratch, g.conf.Name), g.conf.Name)
+	o, err := hotrestart.Listen(hotrestart.SocketPath(g.conf.Scratch, g.conf.Name), g.conf.Name)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("no process can take over from this one")
 		return
@@ -158,7 +158,7 @@
 // none that says yes: then what is there goes on here to its end, and nothing new is let in.
 func (g *Gatekeeper) handOver() bool {
 	o := g.owner.Load()
-	if o == nil || !o.Awaited() {
+	if o == nil || !o.HasSuccessor() {
 		return false
 	}
 	g.away.Store(true)
@@ -166,22 +166,22 @@
 	var err error
 	g.front.HandOn(g.limit, func(c syscall.RawConn, proven bool, ahead []byte) bool {
 		<-told
-		return err == nil && o.Client(c, hotrestart.Client{Proven: proven, Ahead: ahead}) == nil
+		return err == nil && o.SendClient(c, hotrestart.ClientConnection{Proven: proven, ReadAhead: ahead}) == nil
 	})
 	g.links.Retire()
-	w := hotrestart.Will{Drains: g.drains.Load()}
+	w := hotrestart.HandoffState{Draining: g.drains.Load()}
 	if g.portal != nil {
 		g.portal.Close()
 		w.Clearances = g.portal.Leave() // before the module's own, which would count them as spent
 	}
-	w.Estate, w.Workers, w.Kinds = g.desk.HandOff()
+	w.Policy, w.WorkerNames, w.KindNames = g.desk.HandOff()
 	if k := g.journal.Load(); k != nil {
 		k.Retire()
 	}
 	if g.peers != nil {
-		w.Word = g.peers.Word()
+		w.LastSentToPeer = g.peers.Word()
 	}
-	if err = o.Leave(w); err != nil {
+	if err = o.SendState(w); err != nil {
 		close(told)
 		o.Close()
 		g.log.Warn().Err(err).Msg("nobody has taken the place over")
@@ -191,7 +191,7 @@
 	if g.peers != nil && g.peers.Bound() {
 		raw, failed := g.peers.Raw()
 		if failed == nil {
-			failed = o.Peers(raw)
+			failed = o.SendPeerSocket(raw)
 		}
 		if failed != nil {
 			g.log.Warn().Err(failed).Msg("handing the peers' socket on")
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -55,9 +55,9 @@
 	unwind  context.CancelFunc // ends the watch
 	ended   chan int64         // the version that it got to
 	served  chan error
-	owner   atomic.Pointer[hotrestart.Owner] // where another process may take over from this one
-	members atomic.Int64                     // gatekeepers there are, this one included
-	lists   sync.Mutex                       // of list, and of what the desk is told of it
+	owner   atomic.Pointer[hotrestart.Predecessor] // where another process may take over from this one
+	members atomic.Int64                           // gatekeepers there are, this one included
+	lists   sync.Mutex                             // of list, and of what the desk is told of it
 	list    *bootstrap.Book
 	portal  *authserver.Portal  // nil where portals do not ask
 	vouch   *authorizer.Voucher // nil where no auth service is asked
@@ -110,9 +110,9 @@
 			return nil, err
 		}
 	}
-	var before *hotrestart.Heir
+	var before *hotrestart.Successor
 	if c.Scratch != "" {
-		if before, err = hotrestart.Find(hotrestart.Path(c.Scratch, c.Name), c.Name); err != nil {
+		if before, err = hotrestart.Connect(hotrestart.SocketPath(c.Scratch, c.Name), c.Name); err != nil {
 			log.Info().Err(err).Msg("starting from nothing")
 		}
 	}
