--- a/internal/serving/agent/agent.go
+++ b/internal/serving/agent/agent.go
@@ -78,7 +78,7 @@
 	subscriber := watch.Subscriber{
 		Store: a.store, DialTimeout: coreDialTimeout, Providers: a.providers,
 		Status: a.status, StatusChanged: a.statusChanged, OnLinkChange: a.onLinkChange,
-		WrapFirst: func(request *wirepb.FeedRequest) proto.Message {
+		WrapFirst: func(request *wirepb.WatchRequest) proto.Message {
 			return &wirepb.Envelope{Body: &wirepb.Envelope_Subscribe{Subscribe: request}}
 		},
 	}
--- a/internal/serving/agent/agent_test.go
+++ b/internal/serving/agent/agent_test.go
@@ -33,7 +33,7 @@
 func coreRecord(address, zone, region string) *wirepb.Record {
 	core := &wirepb.CoreNode{Replica: address, Address: address, Zone: zone, Region: region}
 	return &wirepb.Record{
-		Key: catalog.CoreKey(address), Origin: "c", Order: 1, Value: &wirepb.Record_Core{Core: core},
+		Key: catalog.CoreKey(address), Origin: "c", Version: 1, Value: &wirepb.Record_Core{Core: core},
 	}
 }
 
@@ -60,13 +60,13 @@
 // after a clock that was ahead: the agent has to publish its state with a still later one.
 func TestStatusSupersedesStaleRecord(t *testing.T) {
 	a := newAgent()
-	a.receiveProxyStatus(&wirepb.FeedRequest{Edge: &wirepb.Edge{Name: "e1", Ready: true}})
+	a.receiveProxyStatus(&wirepb.WatchRequest{Edge: &wirepb.Edge{Name: "e1", Ready: true}})
 	ahead := a.edgeVersion + 100_000
 	a.merge(&wirepb.Record{
-		Key: catalog.EdgeKey("e1"), Origin: "c", Order: ahead,
+		Key: catalog.EdgeKey("e1"), Origin: "c", Version: ahead,
 		Value: &wirepb.Record_Edge{Edge: &wirepb.Edge{Name: "e1"}},
 	})
-	if request := a.status(); request.EdgeOrder <= ahead || !request.Edge.Ready {
+	if request := a.status(); request.EdgeVersion <= ahead || !request.Edge.Ready {
 		t.Errorf("status %v after a record of version %d", request, ahead)
 	}
 }
@@ -75,7 +75,7 @@
 	a := newAgent()
 	for i, ready := range []bool{true, false, true} {
 		changed, previous := a.statusChanged(), a.edgeVersion
-		a.receiveProxyStatus(&wirepb.FeedRequest{Edge: &wirepb.Edge{Name: "e1", Ready: ready}})
+		a.receiveProxyStatus(&wirepb.WatchRequest{Edge: &wirepb.Edge{Name: "e1", Ready: ready}})
 		select {
 		case <-changed:
 		default:
@@ -86,7 +86,7 @@
 		}
 	}
 	changed := a.statusChanged()
-	a.receiveProxyStatus(&wirepb.FeedRequest{Edge: &wirepb.Edge{Name: "e1", Ready: true}})
+	a.receiveProxyStatus(&wirepb.WatchRequest{Edge: &wirepb.Edge{Name: "e1", Ready: true}})
 	select {
 	case <-changed:
 		t.Error("a heartbeat without a change is published at once")
--- a/internal/serving/agent/edgestate.go
+++ b/internal/serving/agent/edgestate.go
@@ -42,11 +42,11 @@
 }
 
 // status returns the edge's state and demands as they are reported to the core.
-func (a *Agent) status() *wirepb.FeedRequest {
+func (a *Agent) status() *wirepb.WatchRequest {
 	a.supersedeStaleRecord()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	request := &wirepb.FeedRequest{Subscriber: a.settings.NodeName, EdgeOrder: a.edgeVersion, Demands: a.demands}
+	request := &wirepb.WatchRequest{Subscriber: a.settings.NodeName, EdgeVersion: a.edgeVersion, Demands: a.demands}
 	if a.edge != nil {
 		request.Edge = proto.Clone(a.edge).(*wirepb.Edge)
 	}
@@ -61,7 +61,7 @@
 	if a.edge == nil {
 		return
 	}
-	if entry := a.store.Get(catalog.EdgeKey(a.edge.Name)); entry != nil && entry.Record.Order > a.edgeVersion {
-		a.edgeVersion = entry.Record.Order + edgeVersionStep
+	if entry := a.store.Get(catalog.EdgeKey(a.edge.Name)); entry != nil && entry.Record.Version > a.edgeVersion {
+		a.edgeVersion = entry.Record.Version + edgeVersionStep
 	}
 }
--- a/internal/serving/agent/proxylink.go
+++ b/internal/serving/agent/proxylink.go
@@ -34,7 +34,7 @@
 // published as not ready.
 func (a *Agent) serveProxy(connection *framing.Conn) {
 	defer func() { _ = connection.Close() }() // the proxy has gone, or the connection has failed
-	subscription := &wirepb.FeedRequest{}
+	subscription := &wirepb.WatchRequest{}
 	if err := connection.ReadMessage(subscription, watch.LinkTimeout); err != nil {
 		return
 	}
@@ -53,7 +53,7 @@
 }
 
 // receiveProxyStatus handles a heartbeat of the proxy, and publishes its state where it has changed.
-func (a *Agent) receiveProxyStatus(request *wirepb.FeedRequest) {
+func (a *Agent) receiveProxyStatus(request *wirepb.WatchRequest) {
 	a.store.MergeDemands(request.Demands)
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/serving/catalog/catalog.go
+++ b/internal/serving/catalog/catalog.go
@@ -133,7 +133,7 @@
 
 // mayReplace reports whether a replica may publish a in place of b.
 func mayReplace(a, b *wirepb.Record) bool {
-	return a.Order > b.Order || a.Order == b.Order && a.Deleted && !b.Deleted
+	return a.Version > b.Version || a.Version == b.Version && a.Deleted && !b.Deleted
 }
 
 // Merge adds the records of another replica and returns the entries that changed. vector is the sender's
@@ -158,8 +158,8 @@
 // newer reports whether a replaces b. It is a total order, so that all replicas choose the same version
 // whatever the order of arrival.
 func newer(a, b *wirepb.Record) bool {
-	if a.Order != b.Order {
-		return a.Order > b.Order
+	if a.Version != b.Version {
+		return a.Version > b.Version
 	}
 	if a.Deleted != b.Deleted {
 		return a.Deleted
@@ -174,7 +174,7 @@
 func (c *Catalog) put(now time.Duration, record *wirepb.Record) *Entry {
 	entry := &Entry{Record: record, ReceivedAt: now}
 	if worker := record.GetWorker(); worker != nil {
-		entry.WarmingUntil = now + time.Duration(worker.ColdRemainingMs)*time.Millisecond
+		entry.WarmingUntil = now + time.Duration(worker.WarmupRemainingMs)*time.Millisecond
 	}
 	c.remove(record.Key)
 	c.entries[record.Key] = entry
@@ -235,12 +235,12 @@
 // remaining time.
 func recordAt(now time.Duration, entry *Entry) *wirepb.Record {
 	worker := entry.Record.GetWorker()
-	if worker == nil || worker.ColdRemainingMs == 0 {
+	if worker == nil || worker.WarmupRemainingMs == 0 {
 		return entry.Record
 	}
 	record := proto.Clone(entry.Record).(*wirepb.Record)
 	remaining := (entry.WarmingUntil - now + time.Millisecond - 1) / time.Millisecond
-	record.GetWorker().ColdRemainingMs = int64(max(remaining, 0))
+	record.GetWorker().WarmupRemainingMs = int64(max(remaining, 0))
 	return record
 }
 
--- a/internal/serving/catalog/catalog_test.go
+++ b/internal/serving/catalog/catalog_test.go
@@ -11,8 +11,8 @@
 )
 
 func workerRecord(instance string, order uint64, warming time.Duration) *wirepb.Record {
-	worker := &wirepb.Worker{InstanceId: instance, ColdRemainingMs: warming.Milliseconds()}
-	return &wirepb.Record{Key: WorkerKey(instance), Order: order, Value: &wirepb.Record_Worker{Worker: worker}}
+	worker := &wirepb.Worker{InstanceId: instance, WarmupRemainingMs: warming.Milliseconds()}
+	return &wirepb.Record{Key: WorkerKey(instance), Version: order, Value: &wirepb.Record_Worker{Worker: worker}}
 }
 
 // TestReplicasConverge lets three replicas publish and pull in random orders: all end with the same records.
@@ -67,7 +67,7 @@
 	if c.Publish(0, workerRecord("w", 8, 0)) != nil {
 		t.Error("an older order was published")
 	}
-	c.Publish(0, &wirepb.Record{Key: WorkerKey("w"), Order: FinalOrder, Deleted: true})
+	c.Publish(0, &wirepb.Record{Key: WorkerKey("w"), Version: FinalOrder, Deleted: true})
 	if c.Publish(0, workerRecord("w", 100, 0)) != nil {
 		t.Error("an incarnation that has deregistered came back")
 	}
--- a/internal/serving/consensus/election.go
+++ b/internal/serving/consensus/election.go
@@ -31,7 +31,7 @@
 	n.votes = map[string]bool{n.id: true}
 	n.resetElectionDeadline()
 	request := wirepb.Consensus{
-		Kind: wirepb.ConsensusKind_CONSENSUS_VOTE, Term: n.term, From: n.id, TakeOver: leadershipTransfer,
+		Kind: wirepb.ConsensusKind_CONSENSUS_VOTE, Term: n.term, From: n.id, LeadershipTransfer: leadershipTransfer,
 	}
 	n.enqueueWrite(WriteBatch{HardState: n.hardState(), Messages: n.voteRequests(&request)})
 	if n.wonElection() {
@@ -52,7 +52,7 @@
 			continue
 		}
 		requests = append(requests, &wirepb.Consensus{
-			Kind: request.Kind, From: request.From, To: voter, Term: request.Term, TakeOver: request.TakeOver,
+			Kind: request.Kind, From: request.From, To: voter, Term: request.Term, LeadershipTransfer: request.LeadershipTransfer,
 			LogIndex: n.log.lastIndex(), LogTerm: n.log.lastTerm(),
 		})
 	}
--- a/internal/serving/consensus/follower.go
+++ b/internal/serving/consensus/follower.go
@@ -7,10 +7,10 @@
 	if n.role != Follower || n.leader != m.From {
 		n.becomeFollower(m.Term, m.From)
 	}
-	n.leaderContact.observe(n.now, m.From, m.Term, m.Round)
+	n.leaderContact.observe(n.now, m.From, m.Term, m.HeartbeatRound)
 	n.leaderSeen = true
-	n.heartbeatRound = m.Round
-	n.shutdown.observeLeader(m.Successor)
+	n.heartbeatRound = m.HeartbeatRound
+	n.shutdown.observeLeader(m.SuccessorKnown)
 	n.resetElectionDeadline()
 }
 
@@ -32,12 +32,12 @@
 	n.appendEntries(m.Entries)
 	last := m.LogIndex + uint64(len(m.Entries))
 	n.matchIndex = max(n.matchIndex, last)
-	n.commitTo(min(m.Commit, n.matchIndex))
-	if m.Acting && n.commitIndex >= m.Commit {
+	n.commitTo(min(m.CommitIndex, n.matchIndex))
+	if m.Established && n.commitIndex >= m.CommitIndex {
 		n.hasCaughtUp = true
 		n.lastInSyncAt = n.leaderContact.lastContact
 	}
-	n.sendAppendReply(m.From, m.Round)
+	n.sendAppendReply(m.From, m.HeartbeatRound)
 }
 
 // rejectStaleTerm replies to a leader of an earlier term with the present one, so that it steps down.
@@ -69,8 +69,8 @@
 	}
 	n.send(&wirepb.Consensus{
 		Kind: wirepb.ConsensusKind_CONSENSUS_APPEND_REPLY, To: m.From, Term: n.term, Reject: true,
-		LogIndex: max(hint, n.commitIndex), Rejected: m.LogIndex, Round: m.Round, Leaving: n.shutdown.requested,
-		LeavingMs: n.shutdown.elapsedMillis(n.now),
+		LogIndex: max(hint, n.commitIndex), RejectedIndex: m.LogIndex, HeartbeatRound: m.HeartbeatRound, ShuttingDown: n.shutdown.requested,
+		ShuttingDownMs: n.shutdown.elapsedMillis(n.now),
 	})
 }
 
@@ -101,7 +101,7 @@
 func (n *Node) sendAppendReply(leader string, round uint64) {
 	n.send(&wirepb.Consensus{
 		Kind: wirepb.ConsensusKind_CONSENSUS_APPEND_REPLY, To: leader, Term: n.term,
-		LogIndex: min(n.durableIndex, n.matchIndex), Received: n.matchIndex, Round: round,
-		Leaving: n.shutdown.requested, LeavingMs: n.shutdown.elapsedMillis(n.now),
+		LogIndex: min(n.durableIndex, n.matchIndex), ReceivedIndex: n.matchIndex, HeartbeatRound: round,
+		ShuttingDown: n.shutdown.requested, ShuttingDownMs: n.shutdown.elapsedMillis(n.now),
 	})
 }
--- a/internal/serving/consensus/node.go
+++ b/internal/serving/consensus/node.go
@@ -103,7 +103,7 @@
 	n.commitIndex = n.log.snapshot.Index
 	n.appliedIndex = n.commitIndex
 	n.membership, n.membershipIndex = n.log.membership()
-	n.commitTo(min(stored.HardState.GetCommit(), n.log.lastIndex()))
+	n.commitTo(min(stored.HardState.GetCommitIndex(), n.log.lastIndex()))
 	n.ready.Writes = nil // the hard state that commitTo wrote is stored already
 	n.pendingWrites = 0
 	n.resetElectionDeadline()
@@ -143,7 +143,7 @@
 		n.handlePreVoteReply(m)
 		return
 	case wirepb.ConsensusKind_CONSENSUS_VOTE:
-		if n.leaderRecentlyActive() && !m.TakeOver {
+		if n.leaderRecentlyActive() && !m.LeadershipTransfer {
 			return // the leader is alive: a candidate that was partitioned must not depose it
 		}
 	}
@@ -164,11 +164,11 @@
 		n.handleAppend(m)
 	case wirepb.ConsensusKind_CONSENSUS_APPEND_REPLY:
 		n.handleAppendReply(m)
-	case wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_PART:
+	case wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_CHUNK:
 		n.handleSnapshotChunk(m)
 	case wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_REPLY:
 		n.handleSnapshotReply(m)
-	case wirepb.ConsensusKind_CONSENSUS_TAKE_OVER:
+	case wirepb.ConsensusKind_CONSENSUS_TIMEOUT_NOW:
 		n.handleTimeoutNow(m)
 	}
 }
--- a/internal/serving/consensus/node_test.go
+++ b/internal/serving/consensus/node_test.go
@@ -30,7 +30,7 @@
 ) *wirepb.Consensus {
 	return &wirepb.Consensus{
 		Kind: wirepb.ConsensusKind_CONSENSUS_APPEND, From: from, To: ownID, Term: term, LogIndex: previous,
-		LogTerm: previousTerm, Entries: entries, Round: 1,
+		LogTerm: previousTerm, Entries: entries, HeartbeatRound: 1,
 	}
 }
 
@@ -105,7 +105,7 @@
 // heartbeatReply returns the reply of a replica to a heartbeat round.
 func heartbeatReply(from string, term, round, index uint64) *wirepb.Consensus {
 	return &wirepb.Consensus{
-		Kind: wirepb.ConsensusKind_CONSENSUS_APPEND_REPLY, From: from, Term: term, Round: round, LogIndex: index,
+		Kind: wirepb.ConsensusKind_CONSENSUS_APPEND_REPLY, From: from, Term: term, HeartbeatRound: round, LogIndex: index,
 	}
 }
 
@@ -140,8 +140,8 @@
 	n := newNode(ownID, threeVoters())
 	heartbeat := func(round time.Duration) *wirepb.Consensus {
 		m := appendMessage(leaderID, 1, 0, 0)
-		m.Round = uint64(round / time.Microsecond)
-		m.Acting = true
+		m.HeartbeatRound = uint64(round / time.Microsecond)
+		m.Established = true
 		return m
 	}
 	for at := time.Second; at < 2*time.Second; at += HeartbeatInterval {
--- a/internal/serving/consensus/progress.go
+++ b/internal/serving/consensus/progress.go
@@ -25,12 +25,12 @@
 // handleRejection moves nextIndex back to where the logs may match. It returns false for a stale rejection:
 // one that does not answer the latest probe.
 func (p *progress) handleRejection(m *wirepb.Consensus) bool {
-	if m.Rejected < p.matchIndex || !p.replicating && m.Rejected != p.nextIndex-1 {
+	if m.RejectedIndex < p.matchIndex || !p.replicating && m.RejectedIndex != p.nextIndex-1 {
 		return false
 	}
 	p.replicating = false
 	p.receivedIndex = p.matchIndex
-	p.nextIndex = max(min(m.Rejected, m.LogIndex+1), p.matchIndex+1)
+	p.nextIndex = max(min(m.RejectedIndex, m.LogIndex+1), p.matchIndex+1)
 	return true
 }
 
--- a/internal/serving/consensus/replication.go
+++ b/internal/serving/consensus/replication.go
@@ -92,9 +92,9 @@
 // sendEntries sends the entries that follow index previous; without entries the message is a heartbeat.
 func (n *Node) sendEntries(id string, previous uint64, entries []*wirepb.Entry) {
 	m := &wirepb.Consensus{
-		Kind: wirepb.ConsensusKind_CONSENSUS_APPEND, To: id, Term: n.term, Round: n.heartbeatRound,
-		LogIndex: previous, Entries: entries, Commit: n.commitIndex, Acting: n.IsEstablishedLeader(),
-		Successor: n.reportsSuccessor(id),
+		Kind: wirepb.ConsensusKind_CONSENSUS_APPEND, To: id, Term: n.term, HeartbeatRound: n.heartbeatRound,
+		LogIndex: previous, Entries: entries, CommitIndex: n.commitIndex, Established: n.IsEstablishedLeader(),
+		SuccessorKnown: n.reportsSuccessor(id),
 	}
 	m.LogTerm, _ = n.log.term(previous)
 	n.send(m)
@@ -107,9 +107,9 @@
 		return
 	}
 	wasInactive := !n.recentlyActive(m.From)
-	n.recordResponse(p, m.Round)
-	p.shuttingDown = m.Leaving
-	p.shutdownAt = n.now - time.Duration(m.LeavingMs)*time.Millisecond
+	n.recordResponse(p, m.HeartbeatRound)
+	p.shuttingDown = m.ShuttingDown
+	p.shutdownAt = n.now - time.Duration(m.ShuttingDownMs)*time.Millisecond
 	n.confirmReads()
 	if m.Reject {
 		if p.handleRejection(m) {
@@ -117,7 +117,7 @@
 		}
 		return
 	}
-	p.updateReceived(n.now, m.Received)
+	p.updateReceived(n.now, m.ReceivedIndex)
 	if wasInactive && p.replicating {
 		p.nextIndex = p.receivedIndex + 1 // what was in flight is taken for lost
 	}
--- a/internal/serving/consensus/shutdown.go
+++ b/internal/serving/consensus/shutdown.go
@@ -74,7 +74,7 @@
 	if n.progress[target].matchIndex < n.log.lastIndex() {
 		return
 	}
-	n.send(&wirepb.Consensus{Kind: wirepb.ConsensusKind_CONSENSUS_TAKE_OVER, To: target, Term: n.term})
+	n.send(&wirepb.Consensus{Kind: wirepb.ConsensusKind_CONSENSUS_TIMEOUT_NOW, To: target, Term: n.term})
 }
 
 // transferTarget returns the recently active voter with the greatest match index, the first in the agreed
--- a/internal/serving/consensus/simulator_test.go
+++ b/internal/serving/consensus/simulator_test.go
@@ -166,7 +166,7 @@
 	if err := proto.Unmarshal(data, &state); err != nil {
 		panic(err)
 	}
-	for _, change := range state.Taken {
+	for _, change := range state.Accepted {
 		p.applyChange(string(change.Digest), p.version)
 	}
 }
@@ -174,7 +174,7 @@
 func (p *simProcess) snapshot() []byte {
 	var state wirepb.StateSnapshot
 	for _, id := range p.appliedCommands {
-		state.Taken = append(state.Taken, &wirepb.TakenChange{Digest: []byte(id)})
+		state.Accepted = append(state.Accepted, &wirepb.AcceptedChange{Digest: []byte(id)})
 	}
 	data, err := proto.Marshal(&state)
 	if err != nil {
@@ -309,7 +309,7 @@
 
 // drops reports whether a planted fault drops a message.
 func (s *simulation) drops(message *wirepb.Consensus) bool {
-	return s.fault == snapshotChunksLost && message.Part.GetOffset() > 0
+	return s.fault == snapshotChunksLost && message.SnapshotChunk.GetOffset() > 0
 }
 
 // writeDisk completes the writes that are due.
--- a/internal/serving/consensus/snapshot.go
+++ b/internal/serving/consensus/snapshot.go
@@ -62,9 +62,9 @@
 func (n *Node) sendSnapshotChunk(id string, transfer *outgoingSnapshot, size uint64) {
 	end := min(transfer.sentBytes+uint64(n.options.SnapshotChunkBytes), size)
 	n.send(&wirepb.Consensus{
-		Kind: wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_PART, To: id, Term: n.term, Round: n.heartbeatRound,
-		Successor: n.reportsSuccessor(id),
-		Part: &wirepb.SnapshotPart{
+		Kind: wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_CHUNK, To: id, Term: n.term, HeartbeatRound: n.heartbeatRound,
+		SuccessorKnown: n.reportsSuccessor(id),
+		SnapshotChunk: &wirepb.SnapshotChunk{
 			Index: transfer.snapshot.Index, Term: transfer.snapshot.Term, Membership: transfer.snapshot.Membership,
 			Size: size, Offset: transfer.sentBytes, Data: transfer.snapshot.Data[transfer.sentBytes:end],
 		},
@@ -88,13 +88,13 @@
 	if n.role != Leader || m.Term != n.term || p == nil {
 		return
 	}
-	n.recordResponse(p, m.Round)
+	n.recordResponse(p, m.HeartbeatRound)
 	transfer := p.snapshotTransfer
 	if transfer == nil || transfer.snapshot.Index != m.LogIndex || transfer.snapshot.Term != m.LogTerm {
 		return
 	}
-	if m.Offset > transfer.ackedBytes && m.Offset <= uint64(len(transfer.snapshot.Data)) {
-		transfer.ackedBytes = m.Offset
+	if m.SnapshotOffset > transfer.ackedBytes && m.SnapshotOffset <= uint64(len(transfer.snapshot.Data)) {
+		transfer.ackedBytes = m.SnapshotOffset
 		transfer.sentBytes = max(transfer.sentBytes, transfer.ackedBytes)
 		transfer.lastProgressAt = n.now
 		transfer.retransmitAt = n.now + chunkRetransmitTimeout
@@ -109,18 +109,18 @@
 		return
 	}
 	n.acceptLeader(m)
-	chunk := m.Part
+	chunk := m.SnapshotChunk
 	if n.logCoversSnapshot(chunk) {
 		n.incomingSnapshot = nil
 		n.matchIndex = max(n.matchIndex, chunk.Index)
 		n.commitTo(chunk.Index)
-		n.sendAppendReply(m.From, m.Round)
+		n.sendAppendReply(m.From, m.HeartbeatRound)
 		return
 	}
 	n.appendSnapshotChunk(m.From, chunk)
 	n.send(&wirepb.Consensus{
-		Kind: wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_REPLY, To: m.From, Term: n.term, Round: m.Round,
-		LogIndex: chunk.Index, LogTerm: chunk.Term, Offset: uint64(len(n.incomingSnapshot.data)),
+		Kind: wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_REPLY, To: m.From, Term: n.term, HeartbeatRound: m.HeartbeatRound,
+		LogIndex: chunk.Index, LogTerm: chunk.Term, SnapshotOffset: uint64(len(n.incomingSnapshot.data)),
 	})
 	if uint64(len(n.incomingSnapshot.data)) == chunk.Size {
 		n.installSnapshot(&wirepb.Snapshot{
@@ -131,13 +131,13 @@
 
 // logCoversSnapshot reports whether the log has all that a snapshot covers. Such a snapshot is late, and must
 // not replace entries after it that were acknowledged.
-func (n *Node) logCoversSnapshot(chunk *wirepb.SnapshotPart) bool {
+func (n *Node) logCoversSnapshot(chunk *wirepb.SnapshotChunk) bool {
 	term, exists := n.log.term(chunk.Index)
 	return chunk.Index <= n.commitIndex || exists && term == chunk.Term
 }
 
 // appendSnapshotChunk appends a chunk that follows what has arrived of the same snapshot.
-func (n *Node) appendSnapshotChunk(leader string, chunk *wirepb.SnapshotPart) {
+func (n *Node) appendSnapshotChunk(leader string, chunk *wirepb.SnapshotChunk) {
 	incoming := n.incomingSnapshot
 	if incoming == nil || incoming.leader != leader || incoming.index != chunk.Index ||
 		incoming.term != chunk.Term {
--- a/internal/serving/consensus/writes.go
+++ b/internal/serving/consensus/writes.go
@@ -54,5 +54,5 @@
 
 // hardState returns the present hard state.
 func (n *Node) hardState() *wirepb.HardState {
-	return &wirepb.HardState{Term: n.term, VotedFor: n.votedFor, Commit: n.commitIndex}
+	return &wirepb.HardState{Term: n.term, VotedFor: n.votedFor, CommitIndex: n.commitIndex}
 }
--- a/internal/serving/control/catalog.go
+++ b/internal/serving/control/catalog.go
@@ -45,5 +45,5 @@
 
 // publishDeletion publishes the deletion of a record.
 func (e *Engine) publishDeletion(record *wirepb.Record, order uint64) {
-	e.publish(&wirepb.Record{Key: record.Key, Order: order, Deleted: true, Value: record.Value})
+	e.publish(&wirepb.Record{Key: record.Key, Version: order, Deleted: true, Value: record.Value})
 }
--- a/internal/serving/control/departures.go
+++ b/internal/serving/control/departures.go
@@ -13,7 +13,7 @@
 func (e *Engine) commitDeparture(departure *wirepb.Departure, done func(acknowledged bool)) {
 	command := &wirepb.Command{Change: &wirepb.Command_Departure{Departure: departure}}
 	e.Submit(command, func(reply *wirepb.CallReply) {
-		done(reply.Outcome == wirepb.Outcome_OUTCOME_TAKEN)
+		done(reply.Outcome == wirepb.Outcome_OUTCOME_ACCEPTED)
 	})
 }
 
@@ -24,19 +24,19 @@
 		return // the departure is applied when a record of the worker is merged
 	}
 	if departure.Final {
-		if held.Record.Order < catalog.FinalOrder {
+		if held.Record.Version < catalog.FinalOrder {
 			e.publishDeregistration(departure.InstanceId)
 		}
 		return
 	}
 	if held.Record.Deleted || held.Record.GetWorker().GetDraining() ||
-		held.Record.Order >= departure.Order {
+		held.Record.Version >= departure.Version {
 		return
 	}
 	record := proto.Clone(held.Record).(*wirepb.Record)
-	record.Order = departure.Order
+	record.Version = departure.Version
 	record.GetWorker().Draining = true
-	record.GetWorker().ColdRemainingMs = int64(max(held.WarmingUntil-e.now(), 0) / time.Millisecond)
+	record.GetWorker().WarmupRemainingMs = int64(max(held.WarmingUntil-e.now(), 0) / time.Millisecond)
 	e.publish(record)
 }
 
--- a/internal/serving/control/edges.go
+++ b/internal/serving/control/edges.go
@@ -19,18 +19,18 @@
 }
 
 // LinkEdge publishes what an agent reports of its edge.
-func (e *Engine) LinkEdge(link *EdgeLink, request *wirepb.FeedRequest) {
+func (e *Engine) LinkEdge(link *EdgeLink, request *wirepb.WatchRequest) {
 	link.generation = request.Generation
-	if link.edge != nil && link.order == request.EdgeOrder && proto.Equal(link.edge, request.Edge) {
+	if link.edge != nil && link.order == request.EdgeVersion && proto.Equal(link.edge, request.Edge) {
 		return
 	}
 	link.edge = request.Edge
-	link.order = request.EdgeOrder
+	link.order = request.EdgeVersion
 	e.edges[request.Edge.Name] = link
 	edge := proto.Clone(request.Edge).(*wirepb.Edge)
 	edge.Linked = true
 	e.publish(&wirepb.Record{
-		Key: catalog.EdgeKey(edge.Name), Order: request.EdgeOrder, Value: &wirepb.Record_Edge{Edge: edge},
+		Key: catalog.EdgeKey(edge.Name), Version: request.EdgeVersion, Value: &wirepb.Record_Edge{Edge: edge},
 	})
 }
 
@@ -45,7 +45,7 @@
 	edge.Ready = false
 	edge.Linked = false
 	e.publish(&wirepb.Record{
-		Key: catalog.EdgeKey(edge.Name), Order: link.order + edgeOrderReserve,
+		Key: catalog.EdgeKey(edge.Name), Version: link.order + edgeOrderReserve,
 		Value: &wirepb.Record_Edge{Edge: edge},
 	})
 }
--- a/internal/serving/control/expiry.go
+++ b/internal/serving/control/expiry.go
@@ -31,7 +31,7 @@
 	for _, entry := range e.stateView.EntriesOf(catalog.Edges) {
 		edge := entry.Record.GetEdge()
 		if !entry.Record.Deleted && !edge.GetLinked() && now-entry.ReceivedAt > unlinkedEdgeRetention {
-			e.publishDeletion(entry.Record, entry.Record.Order)
+			e.publishDeletion(entry.Record, entry.Record.Version)
 		}
 	}
 	for _, entry := range e.stateView.EntriesOf(catalog.Cores) {
@@ -42,7 +42,7 @@
 		}
 		lastContact, known := e.coreContacts[core.GetAddress()]
 		if !known || now-lastContact > silentCoreRetention {
-			e.publishDeletion(entry.Record, entry.Record.Order)
+			e.publishDeletion(entry.Record, entry.Record.Version)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 		}
 		silence := now - max(e.lastWorkerContact(entry), e.workers.inconclusiveAt[worker.GetInstanceId()])
 		if silence > limit || now-e.lastWorkerContact(entry) > inconclusiveRetention {
-			e.publishDeletion(entry.Record, entry.Record.Order)
+			e.publishDeletion(entry.Record, entry.Record.Version)
 		}
 	}
 }
--- a/internal/serving/control/golden_test.go
+++ b/internal/serving/control/golden_test.go
@@ -63,17 +63,17 @@
 func goldenRecords() []*wirepb.Record {
 	worker := func(worker *wirepb.Worker) *wirepb.Record_Worker { return &wirepb.Record_Worker{Worker: worker} }
 	return []*wirepb.Record{
-		{Key: "worker/w-1", Origin: goldenLife, Sequence: 1, Order: 11, Value: worker(&wirepb.Worker{
+		{Key: "worker/w-1", Origin: goldenLife, Sequence: 1, Version: 11, Value: worker(&wirepb.Worker{
 			InstanceId: "w-1", Service: "s1", Address: "10.0.1.1:8000", Zone: "a", Capacity: 64,
-			ColdRemainingMs: 4500, Software: "v2",
+			WarmupRemainingMs: 4500, Software: "v2",
 		})},
-		{Key: "worker/w-2", Origin: goldenLife, Sequence: 2, Order: 12, Value: worker(&wirepb.Worker{
+		{Key: "worker/w-2", Origin: goldenLife, Sequence: 2, Version: 12, Value: worker(&wirepb.Worker{
 			InstanceId: "w-2", Service: "s2", Address: "10.0.1.2:8000", Zone: "b", Capacity: 32, Draining: true,
-			ColdRemainingMs: 1500, Software: "v3",
+			WarmupRemainingMs: 1500, Software: "v3",
 		})},
-		{Key: "worker/w-3", Origin: goldenLife, Sequence: 3, Order: 13, Deleted: true, Value: worker(&wirepb.Worker{
+		{Key: "worker/w-3", Origin: goldenLife, Sequence: 3, Version: 13, Deleted: true, Value: worker(&wirepb.Worker{
 			InstanceId: "w-3", Service: "s2", Address: "10.0.1.3:8000", Zone: "b", Capacity: 16,
-			ColdRemainingMs: 2500, Software: "v3",
+			WarmupRemainingMs: 2500, Software: "v3",
 		})},
 	}
 }
--- a/internal/serving/control/leader_requests.go
+++ b/internal/serving/control/leader_requests.go
@@ -79,7 +79,7 @@
 
 // handleCall accepts a request that another core has forwarded, unless its requester has timed out.
 func (e *Engine) handleCall(call *wirepb.Call) {
-	from := requester{address: call.From, incarnation: call.Life, number: call.Number}
+	from := requester{address: call.From, incarnation: call.Incarnation, number: call.Number}
 	late := call.Term != e.node.Term() || e.node.LeaderClock() >= call.NotAfter
 	if late || !e.accept(call.GetCommand(), from, e.now()+requestTimeout) {
 		e.reply(from, &wirepb.CallReply{})
@@ -89,9 +89,9 @@
 // reply sends an outcome to a requester.
 func (e *Engine) reply(to requester, outcome *wirepb.CallReply) {
 	outcome.Number = to.number
-	outcome.Life = to.incarnation
+	outcome.Incarnation = to.incarnation
 	if to.address == "" {
-		outcome.Life = e.options.Incarnation
+		outcome.Incarnation = e.options.Incarnation
 		e.handleReply(outcome)
 		return
 	}
@@ -116,6 +116,6 @@
 	}
 	delete(e.leaderRequests.reads, id)
 	e.reply(entry.requester, &wirepb.CallReply{
-		Outcome: wirepb.Outcome_OUTCOME_TAKEN, Body: e.machine.Body(), Generation: e.machine.Generation(),
+		Outcome: wirepb.Outcome_OUTCOME_ACCEPTED, Body: e.machine.Body(), Generation: e.machine.Generation(),
 	})
 }
--- a/internal/serving/control/presence.go
+++ b/internal/serving/control/presence.go
@@ -18,10 +18,10 @@
 func (e *Engine) broadcastPresence() {
 	e.publishSelf()
 	presence := &wirepb.Presence{
-		Node:   e.selfRecord(),
-		Vector: e.stateView.Position().Vector,
-		Heard:  e.workers.recentLocalContacts(e.now(), presenceInterval),
-		Life:   e.options.Incarnation,
+		Node:          e.selfRecord(),
+		Vector:        e.stateView.Position().Vector,
+		HeartbeatAges: e.workers.recentLocalContacts(e.now(), presenceInterval),
+		Incarnation:   e.options.Incarnation,
 	}
 	e.broadcast(&wirepb.Envelope{Body: &wirepb.Envelope_Presence{Presence: presence}})
 }
@@ -37,13 +37,13 @@
 func (e *Engine) publishSelf() {
 	own := e.selfRecord()
 	record := &wirepb.Record{
-		Key: catalog.CoreKey(e.options.Identity), Order: 1, Value: &wirepb.Record_Core{Core: own},
+		Key: catalog.CoreKey(e.options.Identity), Version: 1, Value: &wirepb.Record_Core{Core: own},
 	}
 	if held := e.stateView.Get(record.Key); held != nil {
 		if !held.Record.Deleted && proto.Equal(held.Record.GetCore(), own) {
 			return
 		}
-		record.Order = held.Record.Order + 1
+		record.Version = held.Record.Version + 1
 	}
 	e.publish(record)
 }
@@ -54,9 +54,9 @@
 	now := e.now()
 	address := presence.Node.GetAddress()
 	e.coreContacts[address] = now
-	e.origins.observe(now, presence.Life)
+	e.origins.observe(now, presence.Incarnation)
 	e.node.ObserveReplica(presence.Node.GetReplica(), now)
-	for _, heard := range presence.Heard {
+	for _, heard := range presence.HeartbeatAges {
 		e.workers.observe(heard.InstanceId, address, now-time.Duration(heard.AgeMs)*time.Millisecond)
 	}
 	var missing []*wirepb.Record
--- a/internal/serving/control/requests.go
+++ b/internal/serving/control/requests.go
@@ -118,13 +118,13 @@
 // the leader may accept it, so that a delayed call has no effect once its caller has timed out.
 func (e *Engine) callEnvelope(request *pendingRequest) *wirepb.Envelope {
 	call := &wirepb.Call{
-		Number: request.number, From: e.options.Address, Life: e.options.Incarnation, Term: e.node.Term(),
+		Number: request.number, From: e.options.Address, Incarnation: e.options.Incarnation, Term: e.node.Term(),
 		NotAfter: e.node.LeaderClock() + uint64((request.deadline-e.now())/time.Microsecond),
 	}
 	if request.command == nil {
-		call.Order = &wirepb.Call_Read{Read: true}
+		call.Request = &wirepb.Call_Read{Read: true}
 	} else {
-		call.Order = &wirepb.Call_Command{Command: request.command}
+		call.Request = &wirepb.Call_Command{Command: request.command}
 	}
 	return &wirepb.Envelope{Body: &wirepb.Envelope_Call{Call: call}}
 }
@@ -134,7 +134,7 @@
 // later attempt of the same request cannot have another outcome.
 func (e *Engine) handleReply(reply *wirepb.CallReply) {
 	request := e.requests.find(reply.Number)
-	if request == nil || reply.Life != e.options.Incarnation {
+	if request == nil || reply.Incarnation != e.options.Incarnation {
 		return
 	}
 	if reply.Outcome == wirepb.Outcome_OUTCOME_UNKNOWN {
--- a/internal/serving/control/saved_workers.go
+++ b/internal/serving/control/saved_workers.go
@@ -62,7 +62,7 @@
 // true if the worker has deregistered.
 func (e *Engine) applySavedDeparture(record *wirepb.Record) bool {
 	departure := e.machine.Departure(record.GetWorker().GetInstanceId())
-	if departure != nil && !record.Deleted && record.Order <= departure.Order {
+	if departure != nil && !record.Deleted && record.Version <= departure.Version {
 		record.GetWorker().Draining = true
 	}
 	return departure.GetFinal()
--- a/internal/serving/control/saved_workers_test.go
+++ b/internal/serving/control/saved_workers_test.go
@@ -42,7 +42,7 @@
 	var batch wirepb.CatalogBatch
 	for _, name := range []string{"stays", "committed", "unconfirmed", "draining"} {
 		batch.Records = append(batch.Records, &wirepb.Record{
-			Key: catalog.WorkerKey(name), Order: 3,
+			Key: catalog.WorkerKey(name), Version: 3,
 			Value: &wirepb.Record_Worker{Worker: &wirepb.Worker{InstanceId: name, Address: name + ":80"}},
 		})
 	}
@@ -51,11 +51,11 @@
 		t.Fatal(err)
 	}
 	stored := consensus.BootstrapState([]string{"10.0.0.1#founder", "10.0.0.2#founder"})
-	stored.HardState = &wirepb.HardState{Term: 1, Commit: 2}
+	stored.HardState = &wirepb.HardState{Term: 1, CommitIndex: 2}
 	stored.Entries = []*wirepb.Entry{
-		departureEntry(t, 1, &wirepb.Departure{InstanceId: "committed", Order: catalog.FinalOrder, Final: true}),
-		departureEntry(t, 2, &wirepb.Departure{InstanceId: "draining", Order: 4}),
-		departureEntry(t, 3, &wirepb.Departure{InstanceId: "unconfirmed", Order: catalog.FinalOrder, Final: true}),
+		departureEntry(t, 1, &wirepb.Departure{InstanceId: "committed", Version: catalog.FinalOrder, Final: true}),
+		departureEntry(t, 2, &wirepb.Departure{InstanceId: "draining", Version: 4}),
+		departureEntry(t, 3, &wirepb.Departure{InstanceId: "unconfirmed", Version: catalog.FinalOrder, Final: true}),
 	}
 	e, err := New(Options{
 		Identity: "10.0.0.1#founder", Incarnation: "life", Clock: func() time.Duration { return 0 },
--- a/internal/serving/control/scenarios_test.go
+++ b/internal/serving/control/scenarios_test.go
@@ -239,7 +239,7 @@
 		for lagging.process.engine.machine.Generation() < target && w.now < healed+30*time.Second {
 			before := w.now
 			leader.process.engine.Submit(nil, func(reply *wirepb.CallReply) {
-				if reply.Outcome == wirepb.Outcome_OUTCOME_TAKEN {
+				if reply.Outcome == wirepb.Outcome_OUTCOME_ACCEPTED {
 					answered++
 				}
 			})
@@ -301,12 +301,12 @@
 		outcomes = append(outcomes, reply.Outcome)
 	})
 	number := e.requests.pending[len(e.requests.pending)-1].number
-	reply := &wirepb.CallReply{Number: number, Life: "an earlier life", Outcome: wirepb.Outcome_OUTCOME_TAKEN}
+	reply := &wirepb.CallReply{Number: number, Incarnation: "an earlier life", Outcome: wirepb.Outcome_OUTCOME_ACCEPTED}
 	e.HandleEnvelope(&wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: reply}})
 	if len(outcomes) > 0 {
 		t.Fatal("a reply to another incarnation has completed a request")
 	}
-	reply.Life = e.options.Incarnation
+	reply.Incarnation = e.options.Incarnation
 	e.HandleEnvelope(&wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: reply}})
 	e.HandleEnvelope(&wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: reply}})
 	if len(outcomes) != 1 {
--- a/internal/serving/control/sim_clients_test.go
+++ b/internal/serving/control/sim_clients_test.go
@@ -220,8 +220,8 @@
 	o.current = nil
 	o.nextAttempt = w.now + time.Duration(50+w.random.Intn(600))*time.Millisecond
 	op.completedAt, op.outcome = w.now, outcome
-	o.mustRead = outcome != wirepb.Outcome_OUTCOME_TAKEN
-	if outcome != wirepb.Outcome_OUTCOME_TAKEN {
+	o.mustRead = outcome != wirepb.Outcome_OUTCOME_ACCEPTED
+	if outcome != wirepb.Outcome_OUTCOME_ACCEPTED {
 		return
 	}
 	switch op.kind {
--- a/internal/serving/control/sim_edges_test.go
+++ b/internal/serving/control/sim_edges_test.go
@@ -83,7 +83,7 @@
 	e.link = &EdgeLink{}
 	e.order += 10
 	edge := &wirepb.Edge{Name: e.name, Address: e.name + ":80", Ready: true}
-	request := &wirepb.FeedRequest{Subscriber: e.name, EdgeOrder: e.order, Edge: edge}
+	request := &wirepb.WatchRequest{Subscriber: e.name, EdgeVersion: e.order, Edge: edge}
 	link := e.link
 	m.process.post(func(engine *Engine) { engine.LinkEdge(link, request) })
 }
--- a/internal/serving/control/sim_history_test.go
+++ b/internal/serving/control/sim_history_test.go
@@ -37,7 +37,7 @@
 	}
 	accepted := op.base == state.generation && op.generation > state.generation
 	switch op.outcome {
-	case wirepb.Outcome_OUTCOME_TAKEN:
+	case wirepb.Outcome_OUTCOME_ACCEPTED:
 		if accepted {
 			return []any{next}
 		}
@@ -65,7 +65,7 @@
 				return []any{state}
 			}
 			return nil
-		case op.outcome == wirepb.Outcome_OUTCOME_TAKEN:
+		case op.outcome == wirepb.Outcome_OUTCOME_ACCEPTED:
 			return []any{op.active}
 		case op.outcome == wirepb.Outcome_OUTCOME_UNKNOWN:
 			return []any{state, op.active}
--- a/internal/serving/control/sim_network_test.go
+++ b/internal/serving/control/sim_network_test.go
@@ -102,7 +102,7 @@
 }
 
 func isSnapshotChunk(envelope *wirepb.Envelope) bool {
-	return envelope.GetConsensus().GetKind() == wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_PART
+	return envelope.GetConsensus().GetKind() == wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_CHUNK
 }
 
 // copyConsensus copies the part of an envelope that a receiver modifies.
@@ -113,10 +113,10 @@
 	}
 	copied := &wirepb.Consensus{
 		Kind: m.Kind, From: m.From, To: m.To, Term: m.Term, LogIndex: m.LogIndex, LogTerm: m.LogTerm,
-		Entries: m.Entries, Commit: m.Commit, Reject: m.Reject, Round: m.Round, Part: m.Part, Offset: m.Offset,
-		Leaving: m.Leaving, LeavingMs: m.LeavingMs, Acting: m.Acting, Successor: m.Successor,
-		TakeOver: m.TakeOver, Received: m.Received,
-		Rejected: m.Rejected,
+		Entries: m.Entries, CommitIndex: m.CommitIndex, Reject: m.Reject, HeartbeatRound: m.HeartbeatRound, SnapshotChunk: m.SnapshotChunk, SnapshotOffset: m.SnapshotOffset,
+		ShuttingDown: m.ShuttingDown, ShuttingDownMs: m.ShuttingDownMs, Established: m.Established, SuccessorKnown: m.SuccessorKnown,
+		LeadershipTransfer: m.LeadershipTransfer, ReceivedIndex: m.ReceivedIndex,
+		RejectedIndex: m.RejectedIndex,
 	}
 	return &wirepb.Envelope{Body: &wirepb.Envelope_Consensus{Consensus: copied}}
 }
--- a/internal/serving/control/sim_planted_test.go
+++ b/internal/serving/control/sim_planted_test.go
@@ -33,7 +33,7 @@
 				return false
 			}
 			done(&wirepb.CallReply{
-				Outcome: wirepb.Outcome_OUTCOME_TAKEN, Generation: e.machine.Generation(), Body: e.machine.Body(),
+				Outcome: wirepb.Outcome_OUTCOME_ACCEPTED, Generation: e.machine.Generation(), Body: e.machine.Body(),
 			})
 			return true
 		},
@@ -44,7 +44,7 @@
 				return false
 			}
 			e.Submit(command, func(*wirepb.CallReply) {})
-			done(&wirepb.CallReply{Outcome: wirepb.Outcome_OUTCOME_TAKEN})
+			done(&wirepb.CallReply{Outcome: wirepb.Outcome_OUTCOME_ACCEPTED})
 			return true
 		},
 	},
@@ -109,7 +109,7 @@
 				return envelope
 			}
 			other := proto.Clone(reply).(*wirepb.CallReply)
-			other.Life = m.process.engine.options.Incarnation
+			other.Incarnation = m.process.engine.options.Incarnation
 			return &wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: other}}
 		},
 		afterStep: restartForwardingCores,
--- a/internal/serving/control/worker_table.go
+++ b/internal/serving/control/worker_table.go
@@ -43,14 +43,14 @@
 }
 
 // recentLocalContacts returns the workers whose heartbeats this core has received within a duration, sorted.
-func (t *workerTable) recentLocalContacts(now, within time.Duration) []*wirepb.Heard {
-	var recent []*wirepb.Heard
+func (t *workerTable) recentLocalContacts(now, within time.Duration) []*wirepb.HeartbeatAge {
+	var recent []*wirepb.HeartbeatAge
 	for instance, at := range t.localContacts {
 		if age := now - at; age < within+100*time.Millisecond {
-			recent = append(recent, &wirepb.Heard{InstanceId: instance, AgeMs: uint32(age / time.Millisecond)})
+			recent = append(recent, &wirepb.HeartbeatAge{InstanceId: instance, AgeMs: uint32(age / time.Millisecond)})
 		}
 	}
-	slices.SortFunc(recent, func(x, y *wirepb.Heard) int { return strings.Compare(x.InstanceId, y.InstanceId) })
+	slices.SortFunc(recent, func(x, y *wirepb.HeartbeatAge) int { return strings.Compare(x.InstanceId, y.InstanceId) })
 	return recent
 }
 
--- a/internal/serving/control/workers.go
+++ b/internal/serving/control/workers.go
@@ -34,25 +34,25 @@
 		return
 	}
 	draining := worker.Draining
-	worker.Draining = draining || departure != nil && heartbeat.Sequence <= departure.Order
+	worker.Draining = draining || departure != nil && heartbeat.Sequence <= departure.Version
 	e.publishWorker(now, heartbeat)
 	if !draining || departure != nil {
 		e.processReady()
 		done(true)
 		return
 	}
-	e.commitDeparture(&wirepb.Departure{InstanceId: instance, Order: heartbeat.Sequence}, done)
+	e.commitDeparture(&wirepb.Departure{InstanceId: instance, Version: heartbeat.Sequence}, done)
 }
 
 // publishWorker publishes a worker's record if the heartbeat differs from it.
 func (e *Engine) publishWorker(now time.Duration, heartbeat Heartbeat) {
 	worker := heartbeat.Worker
 	record := &wirepb.Record{
-		Key: catalog.WorkerKey(worker.InstanceId), Order: heartbeat.Sequence,
+		Key: catalog.WorkerKey(worker.InstanceId), Version: heartbeat.Sequence,
 		Value: &wirepb.Record_Worker{Worker: worker},
 	}
 	held := e.stateView.Get(record.Key)
-	if held != nil && (held.Record.Order >= heartbeat.Sequence || unchanged(now, held, worker)) {
+	if held != nil && (held.Record.Version >= heartbeat.Sequence || unchanged(now, held, worker)) {
 		return
 	}
 	if e.publish(record) {
@@ -66,13 +66,13 @@
 	if held.Record.Deleted || known == nil {
 		return false
 	}
-	warmingUntil := now + time.Duration(worker.ColdRemainingMs)*time.Millisecond
+	warmingUntil := now + time.Duration(worker.WarmupRemainingMs)*time.Millisecond
 	difference := max(warmingUntil, now) - max(held.WarmingUntil, now)
 	if difference.Abs() > slowStartTolerance {
 		return false
 	}
 	compared := proto.Clone(worker).(*wirepb.Worker)
-	compared.ColdRemainingMs = known.ColdRemainingMs
+	compared.WarmupRemainingMs = known.WarmupRemainingMs
 	return proto.Equal(compared, known)
 }
 
@@ -99,13 +99,13 @@
 		done(true)
 		return
 	}
-	e.commitDeparture(&wirepb.Departure{InstanceId: instance, Order: catalog.FinalOrder, Final: true}, done)
+	e.commitDeparture(&wirepb.Departure{InstanceId: instance, Version: catalog.FinalOrder, Final: true}, done)
 }
 
 // publishDeregistration publishes that a worker has deregistered.
 func (e *Engine) publishDeregistration(instance string) {
 	e.publish(&wirepb.Record{
-		Key: catalog.WorkerKey(instance), Order: catalog.FinalOrder, Deleted: true,
+		Key: catalog.WorkerKey(instance), Version: catalog.FinalOrder, Deleted: true,
 		Value: &wirepb.Record_Worker{Worker: &wirepb.Worker{InstanceId: instance}},
 	})
 }
--- a/internal/serving/core/controlplane.go
+++ b/internal/serving/core/controlplane.go
@@ -84,7 +84,7 @@
 // getConfiguration returns the configuration in force, as the operator has sent it.
 func (c *Core) getConfiguration(w http.ResponseWriter, _ *http.Request) {
 	reply := c.submitAndWait(nil)
-	if reply.Outcome != wirepb.Outcome_OUTCOME_TAKEN {
+	if reply.Outcome != wirepb.Outcome_OUTCOME_ACCEPTED {
 		writeOutcome(w, wirepb.Outcome_OUTCOME_UNKNOWN)
 		return
 	}
--- a/internal/serving/core/core_test.go
+++ b/internal/serving/core/core_test.go
@@ -177,7 +177,7 @@
 	agent := stateview.New("", func() time.Duration { return 0 })
 	for range 2 { // the second time as from a provider that has settled
 		agent.Apply(update)
-		update.Settled, update.InTouch = true, true
+		update.Synced, update.QuorumContact = true, true
 	}
 	if agent.Get(catalog.WorkerKey("i-1")) == nil {
 		t.Error("an agent takes the worker for one of a previous incarnation of the core")
@@ -272,7 +272,7 @@
 func link(t *testing.T, connection *framing.Conn, name string, order uint64) {
 	t.Helper()
 	edge := &wirepb.Edge{Name: name, Address: name + ":80", Zone: "a", Region: "south", Ready: true}
-	request := &wirepb.FeedRequest{Subscriber: name, Edge: edge, EdgeOrder: order}
+	request := &wirepb.WatchRequest{Subscriber: name, Edge: edge, EdgeVersion: order}
 	envelope := &wirepb.Envelope{Body: &wirepb.Envelope_Subscribe{Subscribe: request}}
 	if err := connection.WriteMessage(envelope); err != nil {
 		t.Fatal(err)
--- a/internal/serving/core/golden_test.go
+++ b/internal/serving/core/golden_test.go
@@ -116,7 +116,7 @@
 	got := body.heartbeat("w-1")
 	want := &wirepb.Worker{
 		InstanceId: "w-1", Service: "s1", Address: "10.0.1.1:8000", Zone: "a", Capacity: 64, Draining: true,
-		ColdRemainingMs: 4500, Software: "v2",
+		WarmupRemainingMs: 4500, Software: "v2",
 	}
 	if !proto.Equal(got.Worker, want) || got.Sequence != 12 {
 		t.Errorf("heartbeat %v, sequence %d", got.Worker, got.Sequence)
@@ -145,7 +145,7 @@
 		}
 	}
 	outcomes := map[wirepb.Outcome]int{
-		wirepb.Outcome_OUTCOME_TAKEN:    http.StatusOK,
+		wirepb.Outcome_OUTCOME_ACCEPTED: http.StatusOK,
 		wirepb.Outcome_OUTCOME_CONFLICT: http.StatusPreconditionFailed,
 		wirepb.Outcome_OUTCOME_STALE:    http.StatusBadRequest,
 		wirepb.Outcome_OUTCOME_UNKNOWN:  http.StatusServiceUnavailable,
--- a/internal/serving/core/links.go
+++ b/internal/serving/core/links.go
@@ -67,10 +67,10 @@
 }
 
 // serveAgent streams updates to an agent until its link or the process ends.
-func (c *Core) serveAgent(connection *framing.Conn, subscription *wirepb.FeedRequest) {
+func (c *Core) serveAgent(connection *framing.Conn, subscription *wirepb.WatchRequest) {
 	view := c.engine.StateView()
 	link := &control.EdgeLink{}
-	onRequest := func(request *wirepb.FeedRequest) {
+	onRequest := func(request *wirepb.WatchRequest) {
 		view.MergeDemands(request.Demands)
 		if request.Edge != nil {
 			c.enqueue(func() { c.engine.LinkEdge(link, request) })
--- a/internal/serving/core/peerlink.go
+++ b/internal/serving/core/peerlink.go
@@ -44,7 +44,7 @@
 	if envelope.GetCatalog() != nil {
 		return true
 	}
-	return envelope.GetConsensus().GetKind() == wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_PART
+	return envelope.GetConsensus().GetKind() == wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_CHUNK
 }
 
 // send queues an envelope without blocking, if the link is connected. Where the queue is full, the oldest
--- a/internal/serving/core/responses.go
+++ b/internal/serving/core/responses.go
@@ -43,7 +43,7 @@
 // writeOutcome writes the response to a command.
 func writeOutcome(w http.ResponseWriter, outcome wirepb.Outcome) {
 	switch outcome {
-	case wirepb.Outcome_OUTCOME_TAKEN:
+	case wirepb.Outcome_OUTCOME_ACCEPTED:
 		writeJSON(w, http.StatusOK, acceptedResponse{OK: true})
 	case wirepb.Outcome_OUTCOME_CONFLICT:
 		writeError(w, http.StatusPreconditionFailed, "another version is current: read it and build on it")
--- a/internal/serving/core/workers.go
+++ b/internal/serving/core/workers.go
@@ -31,7 +31,7 @@
 	worker := &wirepb.Worker{
 		InstanceId: instance, Service: r.Backend, Address: r.Address, Zone: r.Zone,
 		Capacity: uint32(max(r.Capacity, 0)), Software: r.Generation,
-		Draining: r.State == stateDraining, ColdRemainingMs: int64(r.ColdRemainingMs),
+		Draining: r.State == stateDraining, WarmupRemainingMs: int64(r.ColdRemainingMs),
 	}
 	return control.Heartbeat{Worker: worker, Sequence: r.Sequence}
 }
--- a/internal/serving/edge/datagrams.go
+++ b/internal/serving/edge/datagrams.go
@@ -92,8 +92,8 @@
 		socket.send(&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Answer{Answer: body.Probe}}, from)
 	case *wirepb.EdgeDatagram_Prompt:
 		e.decisions.recordPeerPrefill(e.now(), body.Prompt)
-	case *wirepb.EdgeDatagram_Dead:
-		e.handleUnhealthyNotice(body.Dead)
+	case *wirepb.EdgeDatagram_WorkerFailure:
+		e.handleUnhealthyNotice(body.WorkerFailure)
 	case *wirepb.EdgeDatagram_Answer:
 		e.paths.recordAnswer(e.now(), body.Answer.GetNumber())
 	}
--- a/internal/serving/edge/edge_test.go
+++ b/internal/serving/edge/edge_test.go
@@ -179,7 +179,7 @@
 	worker.Zone, worker.Capacity = "a", 8
 	e.store.WithCatalog(func(now time.Duration, c *catalog.Catalog) bool {
 		c.Merge(now, []*wirepb.Record{{
-			Key: catalog.WorkerKey(instance), Origin: "core", Order: 1, Sequence: 1,
+			Key: catalog.WorkerKey(instance), Origin: "core", Version: 1, Sequence: 1,
 			Value: &wirepb.Record_Worker{Worker: worker},
 		}}, nil)
 		return true
@@ -412,7 +412,7 @@
 	address := w.listener.Addr().String()
 	cases := map[string]func(e *Edge){
 		"draining": func(e *Edge) { publishWorker(e, "i-1", address, &wirepb.Worker{Draining: true}) },
-		"warming":  func(e *Edge) { publishWorker(e, "i-1", address, &wirepb.Worker{ColdRemainingMs: 60_000}) },
+		"warming":  func(e *Edge) { publishWorker(e, "i-1", address, &wirepb.Worker{WarmupRemainingMs: 60_000}) },
 		"evacuated": func(e *Edge) {
 			publishWorker(e, "i-1", address, &wirepb.Worker{})
 			e.store.SetCommitted(2, nil, []string{"a"})
@@ -471,7 +471,7 @@
 func TestSlowStartNeedsTheNumberOfEdges(t *testing.T) {
 	w := newFakeWorker(t, complete(200, "good", "Server-Signature: s"))
 	e, _ := startEdge(t)
-	publishWorker(e, "i-1", w.listener.Addr().String(), &wirepb.Worker{ColdRemainingMs: 60_000})
+	publishWorker(e, "i-1", w.listener.Addr().String(), &wirepb.Worker{WarmupRemainingMs: 60_000})
 	builder := newTableBuilder(e.settings)
 	route := &configuration.Route{Backend: "s"}
 	admitted := func() bool {
--- a/internal/serving/edge/golden_test.go
+++ b/internal/serving/edge/golden_test.go
@@ -44,7 +44,7 @@
 	e, near, _ := startEdgeWithPeers(t)
 	here := worker{Worker: loadbalancer.Worker{Instance: "w-1", Zone: "a", Region: "south", Engine: true}}
 	e.reportConnectionBreak(here)
-	e.notifyUnhealthy("a", &wirepb.DeadNotice{InstanceId: "w-2"})
+	e.notifyUnhealthy("a", &wirepb.WorkerFailureNotice{InstanceId: "w-2"})
 	long := loadbalancer.PrefillNotice{Instance: "w-3", PrefillMillis: 900, Long: true}
 	e.notifyPrefill(e.table.Load(), here, long)
 	probe := &wirepb.EdgeDatagram{}
@@ -95,7 +95,7 @@
 	}()
 	<-arrived
 	report := e.decisions.loadReport(maxReportedLoads)
-	report.Edge, report.Number = "e1", 7
+	report.Edge, report.Sequence = "e1", 7
 	data, err := proto.Marshal(&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Load{Load: report}})
 	if got := hex.EncodeToString(data); err != nil || got != goldenLoad {
 		t.Errorf("report %s instead of %s, error %v", got, goldenLoad, err)
--- a/internal/serving/edge/healthcheck.go
+++ b/internal/serving/edge/healthcheck.go
@@ -216,7 +216,7 @@
 		alreadyKnown := e.decisions.recordUnresponsive(e.now(), instance, false)
 		if !alreadyKnown || w.peersNotified {
 			w.peersNotified = true // one edge notifies the others, as long as the worker is unresponsive
-			e.notifyUnhealthy(w.zone, &wirepb.DeadNotice{InstanceId: instance})
+			e.notifyUnhealthy(w.zone, &wirepb.WorkerFailureNotice{InstanceId: instance})
 		}
 	}
 	for _, interrupt := range interrupts {
--- a/internal/serving/edge/notices.go
+++ b/internal/serving/edge/notices.go
@@ -39,7 +39,7 @@
 func (e *Edge) sendLoadReport(socket *datagramSocket, table *routingTable, number uint64) {
 	report := e.decisions.loadReport(maxReportedLoads)
 	report.Edge = e.settings.NodeName
-	report.Number = number
+	report.Sequence = number
 	message := &wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Load{Load: report}}
 	socket.send(message, table.linkedPeerAddresses(func(string) bool { return true })...)
 }
@@ -55,8 +55,8 @@
 	addresses := table.linkedPeerAddresses(func(region string) bool {
 		return assigned.Long || region == chosen.Region
 	})
-	notice := &wirepb.PromptNotice{
-		InstanceId: assigned.Instance, ReadMs: uint32(assigned.PrefillMillis), Long: assigned.Long,
+	notice := &wirepb.PrefillNotice{
+		InstanceId: assigned.Instance, PrefillMs: uint32(assigned.PrefillMillis), InterruptsStreams: assigned.Long,
 	}
 	socket.send(&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Prompt{Prompt: notice}}, addresses...)
 }
@@ -68,24 +68,24 @@
 		return // the path broke, not the worker
 	}
 	e.decisions.recordConnectionBreak(e.now(), w.Instance)
-	e.notifyUnhealthy(w.Zone, &wirepb.DeadNotice{InstanceId: w.Instance, Broke: true})
+	e.notifyUnhealthy(w.Zone, &wirepb.WorkerFailureNotice{InstanceId: w.Instance, ConnectionBroken: true})
 }
 
 // notifyUnhealthy notifies the other edges of this region of an unhealthy worker in a zone: they share the
 // path to it. Edges elsewhere may reach it where this one cannot.
-func (e *Edge) notifyUnhealthy(zone string, notice *wirepb.DeadNotice) {
+func (e *Edge) notifyUnhealthy(zone string, notice *wirepb.WorkerFailureNotice) {
 	socket, table := e.datagrams.Load(), e.table.Load()
 	if socket == nil || table == nil || e.paths.suspected(zone) {
 		return
 	}
 	addresses := table.linkedPeerAddresses(func(region string) bool { return region == e.settings.Region })
-	socket.send(&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Dead{Dead: notice}}, addresses...)
+	socket.send(&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_WorkerFailure{WorkerFailure: notice}}, addresses...)
 }
 
 // handleUnhealthyNotice handles another edge's notice of an unhealthy worker. Where this edge has requests
 // there, it checks the worker itself at once.
-func (e *Edge) handleUnhealthyNotice(notice *wirepb.DeadNotice) {
-	if notice.Broke {
+func (e *Edge) handleUnhealthyNotice(notice *wirepb.WorkerFailureNotice) {
+	if notice.ConnectionBroken {
 		e.decisions.recordConnectionBreak(e.now(), notice.InstanceId)
 		if table := e.table.Load(); table != nil && table.addresses[notice.InstanceId] != "" {
 			e.connections.CloseIdle(table.addresses[notice.InstanceId])
--- a/internal/serving/edge/notices_test.go
+++ b/internal/serving/edge/notices_test.go
@@ -74,12 +74,12 @@
 	broken := worker{Worker: loadbalancer.Worker{Instance: "broken", Zone: "n", Region: "north", Engine: true}}
 	e.paths.suspectedZones.Store(&map[string]bool{"n": true})
 	e.reportConnectionBreak(broken)
-	e.notifyUnhealthy(broken.Zone, &wirepb.DeadNotice{InstanceId: "behind a suspected path"})
+	e.notifyUnhealthy(broken.Zone, &wirepb.WorkerFailureNotice{InstanceId: "behind a suspected path"})
 	e.paths.suspectedZones.Store(&map[string]bool{})
 	e.reportConnectionBreak(broken)
 	long := loadbalancer.PrefillNotice{Instance: "long", PrefillMillis: 900, Long: true}
 	e.notifyPrefill(e.table.Load(), broken, long)
-	if notice := near.next().GetDead(); notice.GetInstanceId() != "broken" || !notice.GetBroke() {
+	if notice := near.next().GetWorkerFailure(); notice.GetInstanceId() != "broken" || !notice.GetConnectionBroken() {
 		t.Errorf("the near peer receives %v first", notice)
 	}
 	if got := far.next(); got.GetPrompt().GetInstanceId() != "long" {
--- a/internal/serving/edge/pathmonitor_test.go
+++ b/internal/serving/edge/pathmonitor_test.go
@@ -123,7 +123,7 @@
 // TestPrefillNoticesReachTheBalancer handles another edge's notices of a prompt, and an empty datagram.
 func TestPrefillNoticesReachTheBalancer(t *testing.T) {
 	e, _ := startEdge(t)
-	notice := &wirepb.PromptNotice{InstanceId: "i-0", ReadMs: 900, Long: true}
+	notice := &wirepb.PrefillNotice{InstanceId: "i-0", PrefillMs: 900, InterruptsStreams: true}
 	long := &wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_Prompt{Prompt: notice}}
 	e.handleDatagram(nil, netip.AddrPort{}, long)
 	e.handleDatagram(nil, netip.AddrPort{}, &wirepb.EdgeDatagram{})
--- a/internal/serving/edge/subscription.go
+++ b/internal/serving/edge/subscription.go
@@ -25,10 +25,10 @@
 }
 
 // status returns what the edge reports of itself to the agent.
-func (e *Edge) status() *wirepb.FeedRequest {
+func (e *Edge) status() *wirepb.WatchRequest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return &wirepb.FeedRequest{
+	return &wirepb.WatchRequest{
 		Subscriber: e.settings.NodeName,
 		Demands:    e.demands,
 		Edge: &wirepb.Edge{
--- a/internal/serving/edge/workerrecords.go
+++ b/internal/serving/edge/workerrecords.go
@@ -86,11 +86,11 @@
 }
 
 // recordPeerPrefill records a prompt that another edge has sent to a worker.
-func (d *decisions) recordPeerPrefill(now time.Duration, notice *wirepb.PromptNotice) {
+func (d *decisions) recordPeerPrefill(now time.Duration, notice *wirepb.PrefillNotice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.balancer.RecordPeerPrefill(now, loadbalancer.PrefillNotice{
-		Instance: notice.InstanceId, PrefillMillis: float64(notice.ReadMs), Long: notice.Long,
+		Instance: notice.InstanceId, PrefillMillis: float64(notice.PrefillMs), Long: notice.InterruptsStreams,
 	})
 }
 
@@ -104,7 +104,7 @@
 			break
 		}
 		report.Loads = append(report.Loads, &wirepb.WorkerLoad{
-			InstanceId: load.Instance, InHand: uint32(load.InFlight), UnreadTokens: uint32(load.PrefillTokens),
+			InstanceId: load.Instance, InFlight: uint32(load.InFlight), PrefillTokens: uint32(load.PrefillTokens),
 		})
 	}
 	return report
--- a/internal/serving/loadreport/golden_test.go
+++ b/internal/serving/loadreport/golden_test.go
@@ -24,7 +24,7 @@
 	if err := proto.Unmarshal(data, message); err != nil {
 		t.Fatal(err)
 	}
-	if message.Edge != "edge-1" || message.Number != 9 || len(message.Loads) != 1 {
+	if message.Edge != "edge-1" || message.Sequence != 9 || len(message.Loads) != 1 {
 		t.Errorf("report %v", message)
 	}
 	peers := New()
--- a/internal/serving/loadreport/peers.go
+++ b/internal/serving/loadreport/peers.go
@@ -43,13 +43,13 @@
 
 // Record records a report, unless it is not newer than the last one of its edge.
 func (p *Peers) Record(now time.Duration, message *wirepb.LoadReport) {
-	if last := p.reports[message.Edge]; last != nil && last.number >= message.Number {
+	if last := p.reports[message.Edge]; last != nil && last.number >= message.Sequence {
 		return
 	}
-	received := &report{number: message.Number, receivedAt: now, loads: map[string]Load{}}
+	received := &report{number: message.Sequence, receivedAt: now, loads: map[string]Load{}}
 	for _, load := range message.Loads {
 		received.loads[load.InstanceId] = Load{
-			InFlight: float64(load.InHand), PrefillTokens: float64(load.UnreadTokens),
+			InFlight: float64(load.InFlight), PrefillTokens: float64(load.PrefillTokens),
 		}
 	}
 	p.reports[message.Edge] = received
--- a/internal/serving/loadreport/peers_test.go
+++ b/internal/serving/loadreport/peers_test.go
@@ -7,8 +7,8 @@
 )
 
 func loadReport(edge string, number uint64, inFlight uint32) *wirepb.LoadReport {
-	return &wirepb.LoadReport{Edge: edge, Number: number, Loads: []*wirepb.WorkerLoad{
-		{InstanceId: "w", InHand: inFlight, UnreadTokens: 100 * inFlight},
+	return &wirepb.LoadReport{Edge: edge, Sequence: number, Loads: []*wirepb.WorkerLoad{
+		{InstanceId: "w", InFlight: inFlight, PrefillTokens: 100 * inFlight},
 	}}
 }
 
--- a/internal/serving/scale/hollow.go
+++ b/internal/serving/scale/hollow.go
@@ -103,7 +103,7 @@
 }
 
 func (f *fleet) followLink(agent *hollowAgent, link *framing.Conn, order uint64) {
-	request := &wirepb.FeedRequest{Subscriber: agent.name, EdgeOrder: order, Edge: &wirepb.Edge{
+	request := &wirepb.WatchRequest{Subscriber: agent.name, EdgeVersion: order, Edge: &wirepb.Edge{
 		Name: agent.name, Address: "127.0.3.1:80", Zone: zoneName(agent.zone), Region: regionName(agent.zone),
 		Ready: true,
 	}}
@@ -114,7 +114,7 @@
 	known := map[string]bool{}
 	nextBeat := time.Now()
 	for {
-		update := &wirepb.FeedUpdate{}
+		update := &wirepb.WatchUpdate{}
 		if link.ReadMessage(update, 10*time.Second) != nil {
 			return
 		}
@@ -128,7 +128,7 @@
 	}
 }
 
-func (a *hollowAgent) take(update *wirepb.FeedUpdate, known map[string]bool) {
+func (a *hollowAgent) take(update *wirepb.WatchUpdate, known map[string]bool) {
 	if update.Configuration != nil {
 		a.generation.Store(update.Configuration.Generation)
 	}
--- a/internal/serving/slowstart/demand.go
+++ b/internal/serving/slowstart/demand.go
@@ -48,7 +48,7 @@
 			w.reported = [2]float64{perSecond, w.reported[0]}
 		}
 		reports = append(reports, &wirepb.Demand{
-			Edge: l.edge, InstanceId: instance, PerSecond: perSecond, Number: l.number,
+			Edge: l.edge, InstanceId: instance, RequestsPerSecond: perSecond, Sequence: l.number,
 		})
 	}
 	return reports
--- a/internal/serving/slowstart/limiter.go
+++ b/internal/serving/slowstart/limiter.go
@@ -93,7 +93,7 @@
 	others, reporting := 0.0, 0
 	for _, demand := range demands {
 		if demand.InstanceId == instance && demand.Edge != l.edge {
-			others += demand.PerSecond
+			others += demand.RequestsPerSecond
 			reporting++
 		}
 	}
--- a/internal/serving/statemachine/golden_test.go
+++ b/internal/serving/statemachine/golden_test.go
@@ -68,7 +68,7 @@
 		t.Errorf("evacuated %v", zones)
 	}
 	want := []*wirepb.Departure{
-		{InstanceId: "w-draining", Order: 5}, {InstanceId: "w-gone", Order: goldenFinal, Final: true},
+		{InstanceId: "w-draining", Version: 5}, {InstanceId: "w-gone", Version: goldenFinal, Final: true},
 	}
 	got := m.Departures()
 	if !slices.EqualFunc(got, want, func(x, y *wirepb.Departure) bool { return proto.Equal(x, y) }) {
@@ -82,20 +82,20 @@
 	if err := proto.Unmarshal(goldenData(t), &state); err != nil {
 		t.Fatal(err)
 	}
-	if state.Generation != 7 || state.Forgotten != 2 || len(state.Body) == 0 || len(state.Departures) != 2 {
+	if state.Generation != 7 || state.EvictedGeneration != 2 || len(state.Body) == 0 || len(state.Departures) != 2 {
 		t.Errorf("state %v", &state)
 	}
-	if !slices.Equal(state.EvacuationOrders, []string{"order-1", "order-2", "order-3"}) {
-		t.Errorf("evacuation orders %v", state.EvacuationOrders)
+	if !slices.Equal(state.AppliedEvacuationIds, []string{"order-1", "order-2", "order-3"}) {
+		t.Errorf("evacuation orders %v", state.AppliedEvacuationIds)
 	}
 	if !slices.Equal(state.Evacuated, []string{"x"}) {
 		t.Errorf("evacuated %v", state.Evacuated)
 	}
-	if len(state.Taken) != 2 {
-		t.Fatalf("accepted %v", state.Taken)
+	if len(state.Accepted) != 2 {
+		t.Fatalf("accepted %v", state.Accepted)
 	}
 	for i, generation := range []uint64{3, 7} {
-		accepted := state.Taken[i]
+		accepted := state.Accepted[i]
 		if accepted.Generation != generation || hex.EncodeToString(accepted.Digest) != goldenDigests[i] {
 			t.Errorf("accepted %d: generation %d, digest %x", i, accepted.Generation, accepted.Digest)
 		}
@@ -111,8 +111,8 @@
 		body             string
 		want             wirepb.Outcome
 	}{
-		{2, 3, goldenPreviousBody, wirepb.Outcome_OUTCOME_TAKEN},
-		{3, 7, goldenBody, wirepb.Outcome_OUTCOME_TAKEN},
+		{2, 3, goldenPreviousBody, wirepb.Outcome_OUTCOME_ACCEPTED},
+		{3, 7, goldenBody, wirepb.Outcome_OUTCOME_ACCEPTED},
 		{1, 2, goldenPreviousBody, wirepb.Outcome_OUTCOME_UNKNOWN},
 		{2, 9, goldenBody, wirepb.Outcome_OUTCOME_CONFLICT},
 	}
@@ -180,11 +180,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := apply(t, m, data); got != wirepb.Outcome_OUTCOME_TAKEN {
+		if got := apply(t, m, data); got != wirepb.Outcome_OUTCOME_ACCEPTED {
 			t.Errorf("%s: %v", text, got)
 		}
 	}
-	if m.Generation() != 3 || !slices.Equal(m.Evacuated(), []string{"z"}) || m.Departure("w-1").GetOrder() != 5 {
+	if m.Generation() != 3 || !slices.Equal(m.Evacuated(), []string{"z"}) || m.Departure("w-1").GetVersion() != 5 {
 		t.Errorf("generation %d, evacuated %v, departures %v", m.Generation(), m.Evacuated(), m.Departures())
 	}
 	replace, err := ReplaceCommand(2, 3, []byte(goldenPreviousBody))
--- a/internal/serving/statemachine/machine.go
+++ b/internal/serving/statemachine/machine.go
@@ -31,7 +31,7 @@
 	generation         uint64                         // of the configuration in force, 0 before the first
 	body               []byte                         // the configuration in force, compressed
 	document           *configuration.Document        // the configuration in force, parsed
-	accepted           []*wirepb.TakenChange          // changes of the configuration, oldest first
+	accepted           []*wirepb.AcceptedChange       // changes of the configuration, oldest first
 	acceptedDigests    map[string]bool                // digests of accepted
 	evictedGeneration  uint64                         // the newest one that was evicted from accepted
 	evacuated          map[string]bool                // by zone
@@ -76,7 +76,7 @@
 	if err := proto.Unmarshal(data, &command); err != nil {
 		return Result{}, errors.Wrap(err, "committed command does not decode")
 	}
-	result := Result{ID: command.Id, Outcome: wirepb.Outcome_OUTCOME_TAKEN}
+	result := Result{ID: command.Id, Outcome: wirepb.Outcome_OUTCOME_ACCEPTED}
 	switch change := command.Change.(type) {
 	case *wirepb.Command_Replace:
 		outcome, err := m.replace(change.Replace)
@@ -97,7 +97,7 @@
 func (m *Machine) replace(change *wirepb.ReplaceConfiguration) (wirepb.Outcome, error) {
 	switch {
 	case m.acceptedDigests[string(change.Digest)]:
-		return wirepb.Outcome_OUTCOME_TAKEN, nil
+		return wirepb.Outcome_OUTCOME_ACCEPTED, nil
 	case change.Base < m.evictedGeneration:
 		return wirepb.Outcome_OUTCOME_UNKNOWN, nil // it may be a retry of an accepted change: its digest is evicted
 	case change.Base != m.generation:
@@ -110,12 +110,12 @@
 		return 0, err
 	}
 	m.generation, m.body, m.document = change.Generation, change.Body, document
-	m.recordAccepted(&wirepb.TakenChange{Digest: change.Digest, Generation: change.Generation})
-	return wirepb.Outcome_OUTCOME_TAKEN, nil
+	m.recordAccepted(&wirepb.AcceptedChange{Digest: change.Digest, Generation: change.Generation})
+	return wirepb.Outcome_OUTCOME_ACCEPTED, nil
 }
 
 // recordAccepted adds an accepted change, and evicts the oldest one where there are too many.
-func (m *Machine) recordAccepted(change *wirepb.TakenChange) {
+func (m *Machine) recordAccepted(change *wirepb.AcceptedChange) {
 	m.accepted = append(m.accepted, change)
 	m.acceptedDigests[string(change.Digest)] = true
 	if len(m.accepted) > maxAcceptedChanges {
@@ -144,7 +144,7 @@
 // recordDeparture keeps the newest departure of an incarnation. A deregistration is final.
 func (m *Machine) recordDeparture(departure *wirepb.Departure) {
 	previous := m.Departure(departure.InstanceId)
-	if previous != nil && (previous.Final || !departure.Final && previous.Order >= departure.Order) {
+	if previous != nil && (previous.Final || !departure.Final && previous.Version >= departure.Version) {
 		return
 	}
 	m.departures.put(departure.InstanceId, departure)
--- a/internal/serving/statemachine/machine_test.go
+++ b/internal/serving/statemachine/machine_test.go
@@ -51,7 +51,7 @@
 
 func TestReplace(t *testing.T) {
 	const (
-		accepted = wirepb.Outcome_OUTCOME_TAKEN
+		accepted = wirepb.Outcome_OUTCOME_ACCEPTED
 		conflict = wirepb.Outcome_OUTCOME_CONFLICT
 		stale    = wirepb.Outcome_OUTCOME_STALE
 	)
@@ -103,7 +103,7 @@
 	if zones := restored.Evacuated(); len(zones) != 1 || zones[0] != "x" {
 		t.Errorf("evacuated %v", zones)
 	}
-	if got := apply(t, restored, encodedReplace(t, 0, 3, "a")); got != wirepb.Outcome_OUTCOME_TAKEN {
+	if got := apply(t, restored, encodedReplace(t, 0, 3, "a")); got != wirepb.Outcome_OUTCOME_ACCEPTED {
 		t.Errorf("retry of a command that was accepted before the snapshot: %v", got)
 	}
 	body, err := Decompress(restored.Body())
@@ -118,7 +118,7 @@
 	m := New()
 	for generation := range uint64(maxAcceptedChanges + 3) {
 		got := apply(t, m, encodedReplace(t, generation, generation+1, "a"))
-		if got != wirepb.Outcome_OUTCOME_TAKEN {
+		if got != wirepb.Outcome_OUTCOME_ACCEPTED {
 			t.Fatal(generation, got)
 		}
 	}
@@ -127,7 +127,7 @@
 		if got := apply(t, machine, encodedReplace(t, 0, 1, "a")); got != wirepb.Outcome_OUTCOME_UNKNOWN {
 			t.Errorf("%s: retry of an evicted change: %v", name, got)
 		}
-		if got := apply(t, machine, encodedReplace(t, 3, 4, "a")); got != wirepb.Outcome_OUTCOME_TAKEN {
+		if got := apply(t, machine, encodedReplace(t, 3, 4, "a")); got != wirepb.Outcome_OUTCOME_ACCEPTED {
 			t.Errorf("%s: retry of the oldest change that is kept: %v", name, got)
 		}
 		if got := apply(t, machine, encodedReplace(t, 9, 20, "b")); got != wirepb.Outcome_OUTCOME_CONFLICT {
@@ -149,7 +149,7 @@
 		return data
 	}
 	for _, data := range [][]byte{encoded("start", true), encoded("stop", false), encoded("start", true)} {
-		if got := apply(t, m, data); got != wirepb.Outcome_OUTCOME_TAKEN {
+		if got := apply(t, m, data); got != wirepb.Outcome_OUTCOME_ACCEPTED {
 			t.Fatal(got)
 		}
 	}
@@ -168,7 +168,7 @@
 	m := New()
 	report := func(order uint64, final bool) {
 		command := &wirepb.Command{Change: &wirepb.Command_Departure{
-			Departure: &wirepb.Departure{InstanceId: "i", Order: order, Final: final},
+			Departure: &wirepb.Departure{InstanceId: "i", Version: order, Final: final},
 		}}
 		data, err := proto.Marshal(command)
 		if err != nil {
@@ -178,7 +178,7 @@
 	}
 	report(7, false)
 	report(5, false)
-	if got := m.Departure("i"); got.Order != 7 || got.Final {
+	if got := m.Departure("i"); got.Version != 7 || got.Final {
 		t.Errorf("%v after a late heartbeat", got)
 	}
 	report(9, true)
--- a/internal/serving/statemachine/snapshot.go
+++ b/internal/serving/statemachine/snapshot.go
@@ -10,9 +10,9 @@
 // Snapshot encodes the complete state.
 func (m *Machine) Snapshot() ([]byte, error) {
 	return proto.Marshal(&wirepb.StateSnapshot{
-		Generation: m.generation, Body: m.body, Taken: m.accepted, Evacuated: m.Evacuated(),
-		Departures: m.departures.inOrder(), Forgotten: m.evictedGeneration,
-		EvacuationOrders: m.appliedEvacuations.keys(),
+		Generation: m.generation, Body: m.body, Accepted: m.accepted, Evacuated: m.Evacuated(),
+		Departures: m.departures.inOrder(), EvictedGeneration: m.evictedGeneration,
+		AppliedEvacuationIds: m.appliedEvacuations.keys(),
 	})
 }
 
@@ -23,14 +23,14 @@
 		return errors.Wrap(err, "snapshot does not decode")
 	}
 	*m = *New()
-	for _, change := range snapshot.Taken {
+	for _, change := range snapshot.Accepted {
 		m.recordAccepted(change)
 	}
-	m.evictedGeneration = max(m.evictedGeneration, snapshot.Forgotten)
+	m.evictedGeneration = max(m.evictedGeneration, snapshot.EvictedGeneration)
 	for _, zone := range snapshot.Evacuated {
 		m.evacuated[zone] = true
 	}
-	for _, commandID := range snapshot.EvacuationOrders {
+	for _, commandID := range snapshot.AppliedEvacuationIds {
 		m.appliedEvacuations.put(commandID, true)
 	}
 	for _, departure := range snapshot.Departures {
--- a/internal/serving/stateview/demands.go
+++ b/internal/serving/stateview/demands.go
@@ -32,7 +32,7 @@
 func (s *Store) mergeDemands(demands []*wirepb.Demand) {
 	for _, demand := range demands {
 		existing, known := s.demands[demandKey(demand)]
-		if !known || existing.demand.Number < demand.Number {
+		if !known || existing.demand.Sequence < demand.Sequence {
 			s.demands[demandKey(demand)] = demandEntry{demand: demand, receivedAt: s.clock()}
 		}
 	}
@@ -62,8 +62,8 @@
 	next := make(map[string]uint64, len(unexpired))
 	for _, demand := range unexpired {
 		key := demandKey(demand)
-		next[key] = demand.Number
-		if sent[key] < demand.Number {
+		next[key] = demand.Sequence
+		if sent[key] < demand.Sequence {
 			missing = append(missing, demand)
 		}
 	}
--- a/internal/serving/stateview/store_test.go
+++ b/internal/serving/stateview/store_test.go
@@ -23,7 +23,7 @@
 }
 
 // deliver applies to the store at to what it lacks, and returns the update.
-func deliver(t *testing.T, from, to *Store, position Position) (*wirepb.FeedUpdate, Position) {
+func deliver(t *testing.T, from, to *Store, position Position) (*wirepb.WatchUpdate, Position) {
 	t.Helper()
 	update, next := from.UpdateSince(position)
 	if !to.Apply(update) {
@@ -75,7 +75,7 @@
 func TestDeltaOfUnknownBaseIsRejected(t *testing.T) {
 	subscriber := New("", (&testClock{}).read)
 	change := &wirepb.ConfigurationUpdate{From: 3, Generation: 4}
-	update := &wirepb.FeedUpdate{StateIndex: 1, Configuration: change}
+	update := &wirepb.WatchUpdate{StateIndex: 1, Configuration: change}
 	if subscriber.Apply(update) {
 		t.Error("a delta was applied without its base")
 	}
@@ -101,7 +101,7 @@
 	clock := &testClock{}
 	from := New("core", clock.read)
 	report := func(edge string, number uint64) {
-		from.MergeDemands([]*wirepb.Demand{{Edge: edge, InstanceId: "w", PerSecond: 1, Number: number}})
+		from.MergeDemands([]*wirepb.Demand{{Edge: edge, InstanceId: "w", RequestsPerSecond: 1, Sequence: number}})
 	}
 	report("a", 1)
 	report("b", 1)
@@ -112,7 +112,7 @@
 	report("a", 2)
 	report("a", 1) // late
 	update, position = from.UpdateSince(position)
-	if len(update.Demands) != 1 || update.Demands[0].Number != 2 {
+	if len(update.Demands) != 1 || update.Demands[0].Sequence != 2 {
 		t.Errorf("demands %v", update.Demands)
 	}
 	if update, _ = from.UpdateSince(position); len(update.Demands) != 0 {
@@ -132,7 +132,7 @@
 		store.WithCatalog(func(now time.Duration, c *catalog.Catalog) bool {
 			worker := &wirepb.Worker{InstanceId: instance}
 			c.Publish(now, &wirepb.Record{
-				Key: catalog.WorkerKey(instance), Order: 1, Value: &wirepb.Record_Worker{Worker: worker},
+				Key: catalog.WorkerKey(instance), Version: 1, Value: &wirepb.Record_Worker{Worker: worker},
 			})
 			return true
 		})
--- a/internal/serving/stateview/updates.go
+++ b/internal/serving/stateview/updates.go
@@ -28,13 +28,13 @@
 // Apply applies an update from a provider. It returns false where the configuration's base is not the one in
 // force here: the committed state then stays as it was, and the subscriber has to subscribe again to get a
 // full update. Committed state that is older than the store's is ignored.
-func (s *Store) Apply(update *wirepb.FeedUpdate) (usable bool) {
+func (s *Store) Apply(update *wirepb.WatchUpdate) (usable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := false
-	if update.InTouch {
-		changed = update.Settled && !s.synced
-		s.confirmQuorumContact(update.Settled)
+	if update.QuorumContact {
+		changed = update.Synced && !s.synced
+		s.confirmQuorumContact(update.Synced)
 	}
 	usable = true
 	if update.StateIndex >= s.stateIndex {
@@ -45,7 +45,7 @@
 	if len(s.catalog.Merge(s.clock(), update.Records, update.Vector)) > 0 {
 		changed = true
 	}
-	if update.Settled && update.InTouch && s.catalog.DropUnknownOrigins(update.Vector) {
+	if update.Synced && update.QuorumContact && s.catalog.DropUnknownOrigins(update.Vector) {
 		changed = true
 	}
 	s.mergeDemands(update.Demands)
@@ -56,7 +56,7 @@
 }
 
 // applyCommitted applies the parts of an update that were committed to the log.
-func (s *Store) applyCommitted(update *wirepb.FeedUpdate) (changed, usable bool) {
+func (s *Store) applyCommitted(update *wirepb.WatchUpdate) (changed, usable bool) {
 	if update.Configuration != nil {
 		document, err := s.document.Apply(update.Configuration)
 		if err != nil {
@@ -75,10 +75,10 @@
 
 // UpdateSince returns what a subscriber at position lacks, and its position once it has applied that. Where
 // nothing is missing the update is a heartbeat: it carries the vector, the log index and the evacuated zones.
-func (s *Store) UpdateSince(position Position) (*wirepb.FeedUpdate, Position) {
+func (s *Store) UpdateSince(position Position) (*wirepb.WatchUpdate, Position) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	update := &wirepb.FeedUpdate{InTouch: s.hasQuorumContact(), Settled: s.synced, StateIndex: s.stateIndex}
+	update := &wirepb.WatchUpdate{QuorumContact: s.hasQuorumContact(), Synced: s.synced, StateIndex: s.stateIndex}
 	next := position
 	if s.stateIndex >= position.StateIndex {
 		next.StateIndex = s.stateIndex
--- a/internal/serving/wal/golden_test.go
+++ b/internal/serving/wal/golden_test.go
@@ -80,7 +80,7 @@
 		t.Fatalf("identity %q, corruption %v, error %v", opened.Identity, opened.Corruption, err)
 	}
 	hardState := opened.State.HardState
-	if hardState.GetTerm() != 6 || hardState.GetVotedFor() != goldenSecond || hardState.GetCommit() != 22 {
+	if hardState.GetTerm() != 6 || hardState.GetVotedFor() != goldenSecond || hardState.GetCommitIndex() != 22 {
 		t.Errorf("hard state %v", hardState)
 	}
 	if !proto.Equal(opened.State.Snapshot, goldenSnapshot(t)) {
@@ -109,7 +109,7 @@
 		consensus.BootstrapState([]string{goldenIdentity}),
 		{
 			Snapshot:  goldenSnapshot(t),
-			HardState: &wirepb.HardState{Term: 5, VotedFor: goldenThird, Commit: 20},
+			HardState: &wirepb.HardState{Term: 5, VotedFor: goldenThird, CommitIndex: 20},
 			Entries:   entries[:1],
 		},
 	}
@@ -124,10 +124,10 @@
 	appends := [][]consensus.WriteBatch{
 		{
 			{Entries: []*wirepb.Entry{entries[1], replaced}},
-			{HardState: &wirepb.HardState{Term: 5, VotedFor: goldenThird, Commit: 21}},
+			{HardState: &wirepb.HardState{Term: 5, VotedFor: goldenThird, CommitIndex: 21}},
 		},
 		{{
-			HardState: &wirepb.HardState{Term: 6, VotedFor: goldenSecond, Commit: 22},
+			HardState: &wirepb.HardState{Term: 6, VotedFor: goldenSecond, CommitIndex: 22},
 			Entries:   entries[2:],
 		}},
 	}
--- a/internal/serving/wal/segment.go
+++ b/internal/serving/wal/segment.go
@@ -85,7 +85,7 @@
 	if err := proto.Unmarshal(payload, &frame); err != nil {
 		return err
 	}
-	for _, part := range frame.Parts {
+	for _, part := range frame.Records {
 		batch := consensus.WriteBatch{Snapshot: part.Snapshot, HardState: part.HardState, Entries: part.Entries}
 		if err := state.Apply(batch); err != nil {
 			return err
@@ -98,7 +98,7 @@
 func encodeFrame(batches []consensus.WriteBatch) ([]byte, error) {
 	var frame wirepb.LogFrame
 	for _, batch := range batches {
-		frame.Parts = append(frame.Parts, &wirepb.LogPart{
+		frame.Records = append(frame.Records, &wirepb.LogRecord{
 			Snapshot: batch.Snapshot, HardState: batch.HardState, Entries: batch.Entries,
 		})
 	}
--- a/internal/serving/watch/server.go
+++ b/internal/serving/watch/server.go
@@ -19,8 +19,8 @@
 // is called with that request and each further one, always from one goroutine, which has ended when Serve
 // returns. Serve returns when the link is lost or stop is closed.
 func Serve(
-	connection *framing.Conn, first *wirepb.FeedRequest, store *stateview.Store,
-	onRequest func(*wirepb.FeedRequest), stop <-chan struct{},
+	connection *framing.Conn, first *wirepb.WatchRequest, store *stateview.Store,
+	onRequest func(*wirepb.WatchRequest), stop <-chan struct{},
 ) {
 	defer connection.Close()
 	lost := make(chan struct{})
@@ -59,11 +59,11 @@
 
 // readRequests calls onRequest with each request until the link is lost.
 func readRequests(
-	connection *framing.Conn, request *wirepb.FeedRequest, onRequest func(*wirepb.FeedRequest),
+	connection *framing.Conn, request *wirepb.WatchRequest, onRequest func(*wirepb.WatchRequest),
 ) {
 	for {
 		onRequest(request)
-		request = &wirepb.FeedRequest{}
+		request = &wirepb.WatchRequest{}
 		if err := connection.ReadMessage(request, LinkTimeout); err != nil {
 			return
 		}
--- a/internal/serving/watch/subscriber.go
+++ b/internal/serving/watch/subscriber.go
@@ -35,12 +35,12 @@
 	// Providers returns the providers to choose from, the preferred one first.
 	Providers func() []Provider
 	// Status returns a request with the subscriber's own state, for Run to add the store's position.
-	Status func() *wirepb.FeedRequest
+	Status func() *wirepb.WatchRequest
 	// StatusChanged returns a channel that is closed when Status should be sent at once.
 	StatusChanged func() <-chan struct{}
 	// WrapFirst makes the first message of a link out of the first request, for providers that serve other
 	// kinds of links at the same address. Nil: the request itself.
-	WrapFirst func(*wirepb.FeedRequest) proto.Message
+	WrapFirst func(*wirepb.WatchRequest) proto.Message
 	// OnLinkChange is called when a link is up, with the provider's address, and when it is lost, with "".
 	OnLinkChange func(address string)
 
@@ -117,14 +117,14 @@
 func (s *Subscriber) receive(connection *framing.Conn, provider Provider) (healthy, moving bool) {
 	lastQuorumContact := time.Now()
 	for {
-		update := &wirepb.FeedUpdate{}
+		update := &wirepb.WatchUpdate{}
 		if err := connection.ReadMessage(update, LinkTimeout); err != nil {
 			return false, false
 		}
 		if !s.Store.Apply(update) {
 			return true, false // a delta of another base: the next subscription gets a full update
 		}
-		if update.InTouch {
+		if update.QuorumContact {
 			lastQuorumContact = time.Now()
 		} else if time.Since(lastQuorumContact) > quorumLossLimit {
 			return false, false
--- a/internal/serving/watch/subscriber_test.go
+++ b/internal/serving/watch/subscriber_test.go
@@ -42,13 +42,13 @@
 			return
 		}
 		connection := framing.NewConn(accepted, testTimeout)
-		first := &wirepb.FeedRequest{}
+		first := &wirepb.WatchRequest{}
 		if connection.ReadMessage(first, testTimeout) != nil {
 			continue
 		}
 		p.events <- "up " + p.name
 		go func() {
-			Serve(connection, first, store, func(*wirepb.FeedRequest) {}, nil)
+			Serve(connection, first, store, func(*wirepb.WatchRequest) {}, nil)
 			p.events <- "down " + p.name
 		}()
 	}
@@ -68,7 +68,7 @@
 			defer mu.Unlock()
 			return known
 		},
-		Status:        func() *wirepb.FeedRequest { return &wirepb.FeedRequest{Subscriber: "s"} },
+		Status:        func() *wirepb.WatchRequest { return &wirepb.WatchRequest{Subscriber: "s"} },
 		StatusChanged: func() <-chan struct{} { return nil },
 		OnLinkChange:  func(string) {},
 	}
