--- a/internal/gateway/transport/creditwire/golden_test.go
+++ b/internal/gateway/transport/creditwire/golden_test.go
@@ -7,9 +7,9 @@
 	"willowdeck/internal/testkit/goldentest"
 )
 
-// goldenEntries is what entries.hex says. The file was written once by Append, before names were changed, and
-// is what older versions say; new code must never write it again. All amounts are such that the form holds
-// them exactly.
+// goldenEntries is the content of entries.hex. The file was written once by Append of an earlier version; it
+// is what older versions send, and must never be written again. All amounts are such that the code holds them
+// exactly.
 func goldenEntries() []borrowing.Entry {
 	return []borrowing.Entry{
 		{Customer: 0x01020304, Plan: 5, N: 6, First: 0x0708, Form: 0x090a, Known: true, Virgin: true, Asks: true,
@@ -35,7 +35,7 @@
 	goldentest.SameBytes(t, encoded, golden)
 }
 
-// Each flag stands for itself: an entry with one of them says that one and no other.
+// Each flag has its own bit: an entry with one condition sets that bit alone.
 func TestGoldenFlags(t *testing.T) {
 	for i, entry := range []borrowing.Entry{{Known: true}, {Virgin: true}, {Asks: true, Nonce: 7},
 		{Answers: true, Echo: 7}, {Want: 7}, {GaveD: 7, Left: 1}, {Fill: 8}, {Spare: 8}} {
--- a/internal/gateway/transport/discovery.go
+++ b/internal/gateway/transport/discovery.go
@@ -16,25 +16,25 @@
 	"willowdeck/internal/policy"
 )
 
-// WatchTiming is what the pauses of a watch go by.
+// WatchTiming is what the pauses and time-outs of a watch depend on.
 type WatchTiming struct {
-	PollingInstances func() int     // gatekeepers that may ask at once; none where lists are pushed
-	DueMillis        float64        // ms from the first opening on in which what discovery has to tell counts as told
-	Random           func() float64 // from 0 to 1
+	PollingInstances func() int     // how many may ask at once; 0 where discovery pushes lists
+	DueMillis        float64        // bounds the delay of a change, from the first opening on
+	Random           func() float64 // gives a number from 0 to 1
 }
 
-// openDelayMillis is the pause before an opening, so long after the first one, ms: after so many tries in a row that
-// cost discovery something in vain, where it has been owed what it had for so long.
+// openDelayMillis is the pause before an opening. It depends on the attempts in a row that cost discovery work
+// for nothing, on the time since the first opening, and on how long discovery has owed its changes.
 func (t WatchTiming) openDelayMillis(failures int, elapsed, owed time.Duration) float64 {
 	due := policy.WatchDue
 	if elapsed < Millis(t.DueMillis) {
-		due = t.DueMillis // one that was moved to may only just be coming up
+		due = t.DueMillis // a discovery that the watch has moved to may still be starting
 	}
 	return policy.WatchAfter(failures, t.PollingInstances(), due-float64(owed)/float64(time.Millisecond),
 		t.Random())
 }
 
-// headTimeoutMillis is how long an opening may take until the answer's head is there, ms.
+// headTimeoutMillis bounds the time from an opening to the head of the answer.
 func (t WatchTiming) headTimeoutMillis() float64 {
 	if t.PollingInstances() == 0 {
 		return policy.WatchHead
@@ -42,26 +42,27 @@
 	return policy.WatchQuiet
 }
 
-// silenceTimeoutMillis is how long a watch that has spoken may say nothing, ms.
+// silenceTimeoutMillis bounds a silence of a watch that has received something.
 func (t WatchTiming) silenceTimeoutMillis() float64 {
 	return policy.WatchSilent(t.PollingInstances(), t.Random())
 }
 
-// Watch follows discovery's list from a version on until ctx ends, and gives each change to tell as soon as
-// it is read; alive hears of each line without news. When the watch ends or falls silent it reports why to
-// failed and opens it again, one call out at a time. Each opening, the first too, comes after a pause, but
-// for the one after a silence. It returns the version that it got to.
+// Watch follows discovery's list from a version on until ctx ends. It calls onList with each list as soon as it
+// is read and onHeartbeat for each blank line between lists. When the connection ends or falls silent it calls
+// onFailure with the reason and opens the next one; there is never more than one. A pause precedes each
+// opening, the first included, except after a silence. It returns the last version. The callbacks run on the
+// caller's goroutine.
 func Watch(ctx context.Context, addr string, version int64, onList func(endpoints.List), onHeartbeat func(),
 	onFailure func(error), timing WatchTiming) int64 {
 	dialer := net.Dialer{KeepAlive: -1}
 	w := watch{dial: dialer.DialContext, addr: addr, version: version, onList: onList,
-		onHeartbeat: onHeartbeat, onFailure: onFailure,
-		openDelay: timing.openDelayMillis, headTimeout: timing.headTimeoutMillis, silenceTimeout: timing.silenceTimeoutMillis}
+		onHeartbeat: onHeartbeat, onFailure: onFailure, openDelay: timing.openDelayMillis,
+		headTimeout: timing.headTimeoutMillis, silenceTimeout: timing.silenceTimeoutMillis}
 	w.run(ctx)
 	return w.version
 }
 
-// watch is a watch of discovery's list.
+// watch is the state of Watch. The functions give times in ms.
 type watch struct {
 	dial           func(ctx context.Context, network, addr string) (net.Conn, error)
 	addr           string
@@ -69,15 +70,18 @@
 	onList         func(endpoints.List)
 	onHeartbeat    func()
 	onFailure      func(error)
-	openDelay      func(tries int, gone, owed time.Duration) float64
+	openDelay      func(failures int, elapsed, owed time.Duration) float64
 	headTimeout    func() float64
 	silenceTimeout func() float64
-	connected      bool      // the last one that was opened came to a connection
-	received       bool      // it said something
-	wentSilent     bool      // and then no more
-	owedSince      time.Time // when what it did not tell is owed from: zero, from its end
+
+	// Of the last connection:
+	connected  bool      // it was established
+	received   bool      // a list or a heartbeat came
+	wentSilent bool      // and then nothing for silenceTimeout
+	owedSince  time.Time // from when on changes may have been missed; zero: from its end
 }
 
+// run opens one connection after another until ctx ends.
 func (w *watch) run(ctx context.Context) {
 	start, owed := time.Now(), time.Duration(0)
 	for failures := 0; ctx.Err() == nil; failures++ {
@@ -97,15 +101,15 @@
 		}
 		switch {
 		case w.wentSilent:
-			failures = -1 // the next one is a first one, without a pause
-		case w.received, !w.connected: // one that met nobody cost discovery nothing
+			failures = -1 // the next opening counts as the first, and comes without a pause
+		case w.received, !w.connected: // an attempt that was not connected cost discovery nothing
 			failures = 0
 		}
 	}
 }
 
-// watchOnce opens the watch and follows it until it ends. The answer's head has its time, and from then on the
-// first word WatchQuiet. A list that begins later has to be whole within the time for a silence.
+// watchOnce opens one connection and follows it until it ends. The head of the answer has headTimeout, and from
+// then on the first list or heartbeat has WatchQuiet.
 func (w *watch) watchOnce(ctx context.Context) error {
 	w.connected, w.received, w.wentSilent, w.owedSince = false, false, false, time.Now()
 	deadline := w.owedSince.Add(Millis(w.headTimeout()))
@@ -119,12 +123,22 @@
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	_ = conn.SetDeadline(deadline)
-	const requestFormat = "GET /discovery/hosts?stream=1&index=%d HTTP/1.1\r\nHost: %s\r\n\r\n"
-	if _, err = fmt.Fprintf(conn, requestFormat, w.version, w.addr); err != nil {
-		return fmt.Errorf("discovery: %w", err)
-	}
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(response)
+	if err := w.request(conn, response); err != nil {
+		return err
+	}
+	w.owedSince = time.Now() // discovery has been reachable until now
+	_ = conn.SetDeadline(w.owedSince.Add(Millis(policy.WatchQuiet)))
+	return w.readLists(conn, response.BodyStream())
+}
+
+// request asks for the list from the current version on and reads the head of the answer.
+func (w *watch) request(conn net.Conn, response *fasthttp.Response) error {
+	const format = "GET /discovery/hosts?stream=1&index=%d HTTP/1.1\r\nHost: %s\r\n\r\n"
+	if _, err := fmt.Fprintf(conn, format, w.version, w.addr); err != nil {
+		return fmt.Errorf("discovery: %w", err)
+	}
 	response.StreamBody = true
 	if err := response.Read(bufio.NewReader(conn)); err != nil {
 		return fmt.Errorf("discovery: %w", err)
@@ -132,15 +146,19 @@
 	if response.StatusCode() != fasthttp.StatusOK {
 		return fmt.Errorf("discovery: status %d", response.StatusCode())
 	}
-	w.owedSince = time.Now() // it was reached until here
-	_ = conn.SetDeadline(w.owedSince.Add(Millis(policy.WatchQuiet)))
+	return nil
+}
+
+// readLists reads lists until the connection ends. A list must be complete within silenceTimeout of its
+// beginning, except that the first one has what is left of WatchQuiet.
+func (w *watch) readLists(conn net.Conn, body io.Reader) error {
 	extendDeadline := func() { _ = conn.SetDeadline(time.Now().Add(Millis(w.silenceTimeout()))) }
 	limits := endpoints.Limits{
 		ListBytes:  policy.LongestList,
 		ValueBytes: policy.LongestEntry,
 		Workers:    policy.MostWorkers,
 	}
-	lists := endpoints.NewStream(response.BodyStream(), limits, func(empty bool) {
+	lists := endpoints.NewStream(body, limits, func(empty bool) {
 		if w.received = w.received || empty; w.received {
 			extendDeadline()
 		}
@@ -157,7 +175,7 @@
 			continue
 		}
 		if errors.As(err, &endpoints.MalformedError{}) {
-			w.version = 0 // what it said is unknown: ask for all
+			w.version = 0 // the state is uncertain: ask for a snapshot
 		}
 		if w.received {
 			w.owedSince = lists.ListStarted()
--- a/internal/gateway/transport/endpoints/stream.go
+++ b/internal/gateway/transport/endpoints/stream.go
@@ -8,40 +8,41 @@
 	"time"
 )
 
-// Limits are what a list may have at most. What is held of one while it is read is its workers and the text
-// of one entry; so its memory is bounded by the three together.
+// Limits bound one list. While a list is read, its workers and the text of one entry are in memory; so the
+// three together bound the memory that it takes.
 type Limits struct {
-	ListBytes  int // of its text
+	ListBytes  int // of the whole text
 	ValueBytes int // of the text of one entry, or of any other single value
-	Workers    int
+	Workers    int // number of entries
 }
 
-// ErrTooLong is the end of a stream with a list beyond its bounds.
+// ErrTooLong reports a list beyond its Limits.
 var ErrTooLong = errors.New("list of workers: too long")
 
-// MalformedError is what a stream says that is no list. What it told of the workers is then unknown; after any
-// other error it has told all that was given, and no more.
+// MalformedError reports text that is no valid list. What the stream has stated of the workers up to then is
+// uncertain, so that a snapshot is needed; after any other error each list that was given still holds.
 type MalformedError struct{ error }
 
-// Unwrap gives what is wrong with it.
+// Unwrap gives the cause.
 func (e MalformedError) Unwrap() error { return e.error }
 
-// Stream reads lists one after another, each laid out over lines as it likes.
+// Stream reads lists one after another, whatever their layout over lines. It is for one goroutine.
 type Stream struct {
 	in             io.Reader
 	decoder        decoder
 	deliveredBytes int64 // bytes that the decoder has been given
 	onActivity     func(empty bool)
 	limits         Limits
-	remainingBytes int   // bytes that may still come until the list is whole
-	inList         bool  // part of a list has come
-	blankLine      bool  // nothing has come in this line
-	readErr        error // of in
-	listStarted    time.Time
+	remainingBytes int       // that the list which is being read may still have
+	inList         bool      // part of a list has been read
+	blankLine      bool      // the line that is being read is blank up to here
+	readErr        error     // of in
+	listStarted    time.Time // when the list that is being read began; zero between lists
 }
 
-// NewStream reads lists within bounds from in. As it comes, sign hears of each empty line
-// between lists, and of each list that begins; not of how it goes on, or one that trickles would seem alive.
+// NewStream reads lists within limits from in. onActivity is called as soon as a blank line between lists has
+// been read (empty), and as soon as a list begins; not for the rest of a list, or one that trickles would
+// look like a live stream.
 func NewStream(in io.Reader, limits Limits, onActivity func(empty bool)) *Stream {
 	s := &Stream{in: in, onActivity: onActivity, limits: limits, remainingBytes: limits.ListBytes,
 		blankLine: true}
@@ -49,32 +50,33 @@
 	return s
 }
 
-// Next gives the next list. Its error is Nonsense, ErrTooLong, or else why nothing more comes: io.EOF between
-// lists, io.ErrUnexpectedEOF in one, or what the reader said.
+// Next gives the next list. Its error is a MalformedError, ErrTooLong, io.EOF at an end between lists,
+// io.ErrUnexpectedEOF at an end within one, or the reader's own error.
 func (s *Stream) Next() (List, error) {
 	list, err := s.decoder.readList()
 	switch {
 	case err == nil:
-	case err == ErrTooLong,
+	case errors.Is(err, ErrTooLong),
 		s.readErr != nil && (errors.Is(err, s.readErr) || errors.Is(err, io.ErrUnexpectedEOF)):
 		return List{}, err
 	default:
 		return List{}, MalformedError{fmt.Errorf("list of workers: %w", err)}
 	}
-	s.inList, s.blankLine = false, false // the line that it ends in is no empty one
+	s.inList, s.blankLine = false, false // the line in which the list ends is not blank
 	s.remainingBytes, s.listStarted = s.limits.ListBytes, time.Time{}
 	unread, err := io.ReadAll(s.decoder.tokens.Buffered())
 	s.scan(unread)
 	return list, err
 }
 
-// ListStarted gives when the list began that is not whole yet; zero where there is none.
+// ListStarted gives when the list that is being read began; the zero time between lists.
 func (s *Stream) ListStarted() time.Time { return s.listStarted }
 
-// Read reads on for the decoder, but for blanks between lists: it would keep them until the next list.
+// Read reads for the decoder, within the limits. Blanks between lists are left out: the decoder would return
+// only once the next list begins.
 func (s *Stream) Read(p []byte) (int, error) {
 	for {
-		pending := int(s.deliveredBytes - s.decoder.tokens.InputOffset()) // of a value that is not whole yet
+		pending := int(s.deliveredBytes - s.decoder.tokens.InputOffset()) // of the value that is being read
 		allowed := min(len(p), s.remainingBytes, s.limits.ValueBytes-pending)
 		if allowed <= 0 {
 			s.readErr = ErrTooLong
@@ -94,8 +96,8 @@
 	}
 }
 
-// scan notes what has come since the last list. Blanks inside a list are no sign of life: one that is cut off
-// would seem to go on for ever.
+// scan notes lists and blank lines in text as it is read. Blanks within a list are not activity: a list that
+// was cut off and is followed by heartbeats would look as if it went on.
 func (s *Stream) scan(text []byte) {
 	s.remainingBytes -= len(text)
 	for _, c := range text {
--- a/internal/gateway/transport/gossip/golden_test.go
+++ b/internal/gateway/transport/gossip/golden_test.go
@@ -7,9 +7,9 @@
 	"willowdeck/internal/testkit/goldentest"
 )
 
-// goldenReports is what reports.hex says. The file was written once by Append, before names were changed, and
-// is what older versions say; new code must never write it again. All amounts are powers of two, which the
-// form holds exactly.
+// goldenReports is the content of reports.hex. The file was written once by Append of an earlier version; it
+// is what older versions send, and must never be written again. All amounts are powers of two, which the code
+// holds exactly.
 func goldenReports() []policy.Report {
 	return []policy.Report{
 		{Customer: 0x01020304, Plan: 5, Demand: 8, Known: 4, Spent: 2},
@@ -27,7 +27,7 @@
 	goldentest.SameBytes(t, Append(nil, goldenReports()), golden)
 }
 
-// A report of which neither is known is shorter, and the form before this one is still read.
+// A report without the optional bytes is shorter, and the previous format is still decoded.
 func TestGoldenShortAndPreviousReports(t *testing.T) {
 	short := []policy.Report{{Customer: 0x01020304, Plan: 5, Demand: 8}}
 	golden := goldentest.Hex(t, "short.hex")
--- a/internal/gateway/transport/gossip/gossip.go
+++ b/internal/gateway/transport/gossip/gossip.go
@@ -1,9 +1,12 @@
-// Package gossip turns a gatekeeper's demand reports into the bytes of one peer message and back.
+// Package gossip encodes and decodes the demand reports that instances send each other in one datagram.
 //
-// A message is a version byte, a count byte, and for each report four bytes of the customer's number,
-// big-endian, one of its plan, with a bit each for whether what is known of the demand and the units sent on
-// follow, one of its demand, and these two. The last three are logarithmic, so that they are right within a
-// twentieth. The form before, in which all of them always follow, is still understood.
+// A message is a version byte, a count byte, and for each report the customer's number in four bytes,
+// big-endian; one byte of the plan, with a flag each for the two optional bytes; one byte of the demand; and
+// by flag one byte each of what is known of the demand and of the units forwarded. The last three are
+// logarithmic and right within a twentieth. The previous version of the format, in which both optional bytes
+// always follow, is still decoded.
+//
+// The package has no state and does no I/O; of the gateway it imports the policy's Report alone.
 package gossip
 
 import (
@@ -16,25 +19,33 @@
 
 const (
 	formatVersion         = 5
-	previousFormatVersion = 4 // version
+	previousFormatVersion = 4 // reports always carry known and spent there
 	headerBytes           = 2
-	maxReportBytes        = 8 // at most
-	minReportBytes        = 6 // bytes of a report without known and spent
+	minReportBytes        = 6 // of a report without known and spent
+	maxReportBytes        = 8 // of a report with both
+)
 
+// The flags in a report's byte of the plan: which optional bytes follow.
+const (
 	knownFlag, spentFlag = 0x40, 0x80
-	MaxMessageBytes      = 256 // bytes that a peer message may have
+)
 
-	log2Step       = 1.0 / 8    // of a power of two, between neighbouring demands
-	minEncodedRate = 1.0 / 1024 // units a second; less is nought
+// The logarithmic code of rates and units.
+const (
+	log2Step       = 1.0 / 8    // between neighbouring codes, in powers of two
+	minEncodedRate = 1.0 / 1024 // units a second; what is not above it is encoded as zero
 )
 
+// MaxMessageBytes bounds a peer message.
+const MaxMessageBytes = 256
+
 // MaxPlans is how many plans a message can tell apart.
 const MaxPlans = knownFlag
 
-// MaxReports is how many reports fit one message.
+// MaxReports is how many reports fit one message of any content.
 const MaxReports = (MaxMessageBytes - headerBytes) / maxReportBytes
 
-// Append adds the message for the reports, at most Room of them, to dst.
+// Append appends the message for the reports, the first MaxReports of them at most, to dst.
 func Append(dst []byte, reports []policy.Report) []byte {
 	reports = reports[:min(len(reports), MaxReports)]
 	dst = append(dst, formatVersion, byte(len(reports)))
@@ -58,8 +69,8 @@
 	return dst
 }
 
-// Decode reads a message into dst. A message that is not whole, or of another version, gives an error and
-// nothing else.
+// Decode appends a message's reports to dst. A message that is truncated, longer than it states, or of
+// another version gives an error and dst as it was.
 func Decode(dst []policy.Report, b []byte) ([]policy.Report, error) {
 	if len(b) < headerBytes {
 		return dst, fmt.Errorf("peer message of %d bytes: too short", len(b))
@@ -96,6 +107,7 @@
 	return dst, nil
 }
 
+// encodeLog encodes a rate as one byte; zero and below, and what is not a number, as 0.
 func encodeLog(rate float64) uint8 {
 	if !(rate > minEncodedRate) {
 		return 0
@@ -103,6 +115,7 @@
 	return uint8(math.Min(1+math.Round(math.Log2(rate/minEncodedRate)/log2Step), math.MaxUint8))
 }
 
+// decodeLog is the inverse of encodeLog, within a step.
 func decodeLog(code uint8) float64 {
 	if code == 0 {
 		return 0
