--- a/internal/gateway/transport/attempt_message.go
+++ b/internal/gateway/transport/attempt_message.go
@@ -47,9 +47,9 @@
 	return append(append(b, "\r\n"...), r.Body...), remainingOffset
 }
 
-// SetRemaining fills in how much of its client's time is left for a submission, in whole us, and gives what is to
-// be sent. It is for the moment before the first byte, and once: room that the figure does not need is given
-// up ahead of the message, and what stands before the figure moves up to it. Nothing is allocated.
+// SetRemaining fills in how much of its client's time is left for a submission, in whole us, and gives what
+// is to be sent. It is for the moment before the first byte, and once: room that the figure does not need is
+// given up ahead of the message, and what stands before the figure moves up to it. Nothing is allocated.
 func SetRemaining(message []byte, offset int, remaining time.Duration) []byte {
 	var digits [len(remainingPlaceholder)]byte
 	text := strconv.AppendInt(digits[:0], min(max(remaining.Microseconds(), 0), maxRemainingMicros), 10)
--- a/internal/gateway/transport/copy.go
+++ b/internal/gateway/transport/copy.go
@@ -97,8 +97,8 @@
 	return w.conn.Write(b)
 }
 
-// limitSendBuffer bounds the kernel's send buffer of a connection. Guards against megabytes in flight for each
-// slow reader, and against a wait for a full buffer that looks like a reader that has stalled.
+// limitSendBuffer bounds the kernel's send buffer of a connection. Guards against megabytes in flight for
+// each slow reader, and against a wait for a full buffer that looks like a reader that has stalled.
 func limitSendBuffer(conn net.Conn) {
 	if socket, ok := conn.(interface{ SetWriteBuffer(int) error }); ok {
 		_ = socket.SetWriteBuffer(policy.KernelBytes)
--- a/internal/gateway/transport/discovery.go
+++ b/internal/gateway/transport/discovery.go
@@ -23,8 +23,8 @@
 	Random           func() float64 // gives a number from 0 to 1
 }
 
-// openDelayMillis is the pause before an opening. It depends on the attempts in a row that cost discovery work
-// for nothing, on the time since the first opening, and on how long discovery has owed its changes.
+// openDelayMillis is the pause before an opening. It depends on the attempts in a row that cost discovery
+// work for nothing, on the time since the first opening, and on how long discovery has owed its changes.
 func (t WatchTiming) openDelayMillis(failures int, elapsed, owed time.Duration) float64 {
 	due := policy.WatchDue
 	if elapsed < Millis(t.DueMillis) {
@@ -47,9 +47,9 @@
 	return policy.WatchSilent(t.PollingInstances(), t.Random())
 }
 
-// Watch follows discovery's list from a version on until ctx ends. It calls onList with each list as soon as it
-// is read and onHeartbeat for each blank line between lists. When the connection ends or falls silent it calls
-// onFailure with the reason and opens the next one; there is never more than one. A pause precedes each
+// Watch follows discovery's list from a version on until ctx ends. It calls onList with each list as soon as
+// it is read and onHeartbeat for each blank line between lists. When the connection ends or falls silent it
+// calls onFailure with the reason and opens the next one; there is never more than one. A pause precedes each
 // opening, the first included, except after a silence. It returns the last version. The callbacks run on the
 // caller's goroutine.
 func Watch(ctx context.Context, addr string, version int64, onList func(endpoints.List), onHeartbeat func(),
@@ -108,8 +108,8 @@
 	}
 }
 
-// watchOnce opens one connection and follows it until it ends. The head of the answer has headTimeout, and from
-// then on the first list or heartbeat has WatchQuiet.
+// watchOnce opens one connection and follows it until it ends. The head of the answer has headTimeout, and
+// from then on the first list or heartbeat has WatchQuiet.
 func (w *watch) watchOnce(ctx context.Context) error {
 	w.connected, w.received, w.wentSilent, w.owedSince = false, false, false, time.Now()
 	deadline := w.owedSince.Add(Millis(w.headTimeout()))
--- a/internal/gateway/transport/discovery_test.go
+++ b/internal/gateway/transport/discovery_test.go
@@ -56,7 +56,8 @@
 		openDelay: func(n int, _, _ time.Duration) float64 {
 			failures = append(failures, n)
 			return 1
-		}, headTimeout: func() float64 { return policy.WatchQuiet }, silenceTimeout: func() float64 { return policy.WatchQuiet }}
+		}, headTimeout: func() float64 { return policy.WatchQuiet },
+		silenceTimeout: func() float64 { return policy.WatchQuiet }}
 	w.run(ctx)
 	version := w.version
 	if version != 6 || heartbeats != 1 || !slices.Equal(failures, []int{0, 1, 2, 1, 2, 1}) {
@@ -101,8 +102,9 @@
 				cancel()
 			}
 		}, onHeartbeat: func() {}, onFailure: func(err error) { errs = append(errs, err) },
-		openDelay:   func(int, time.Duration, time.Duration) float64 { return 1 },
-		headTimeout: func() float64 { return policy.WatchQuiet }, silenceTimeout: func() float64 { return policy.WatchQuiet }}
+		openDelay:      func(int, time.Duration, time.Duration) float64 { return 1 },
+		headTimeout:    func() float64 { return policy.WatchQuiet },
+		silenceTimeout: func() float64 { return policy.WatchQuiet }}
 	w.run(ctx)
 	if !slices.Equal(applied, []int64{4, 6}) || len(errs) == 0 || !errors.Is(errs[0], endpoints.ErrTooLong) {
 		t.Errorf("told of %v; ends: %v", applied, errs)
@@ -112,8 +114,8 @@
 	}
 }
 
-// scriptedDiscovery is what discovery does with one call after another, until the watcher leaves. In what it says "^" is
-// the head, "~" a second's wait and "$" the end; the rest comes in chunks of a byte.
+// scriptedDiscovery is what discovery does with one call after another, until the watcher leaves. In what it
+// says "^" is the head, "~" a second's wait and "$" the end; the rest comes in chunks of a byte.
 func scriptedDiscovery(t *testing.T, scripts ...string) (dial func(context.Context, string,
 	string) (net.Conn, error),
 	versions chan string) {
@@ -257,7 +259,7 @@
 	fault      string
 	recovers   time.Time
 	queueing   time.Duration
-	headSentAt time.Time // when a call was last answered with a head: it has reached discovery, and falls silent then
+	headSentAt time.Time // when a call last got a head, and nothing after it
 }
 
 const (
--- a/internal/gateway/transport/frontend.go
+++ b/internal/gateway/transport/frontend.go
@@ -208,8 +208,8 @@
 	return f.serveOpen(conn, x, &request, waited)
 }
 
-// readHead waits for a request and reads its head. Where it has read none, goesOn tells whether the connection
-// goes on all the same.
+// readHead waits for a request and reads its head. Where it has read none, goesOn tells whether the
+// connection goes on all the same.
 func (f *Frontend) readHead(conn *clientConn, x *exchange) (read, goesOn bool) {
 	first := conn.state.Load() == stateNew
 	timeout := policy.IdleClient
@@ -273,8 +273,8 @@
 	return true
 }
 
-// serveOpen has a request served whose ID has been acquired, after some wait, and answers it. It tells whether
-// the connection goes on.
+// serveOpen has a request served whose ID has been acquired, after some wait, and answers it. It tells
+// whether the connection goes on.
 func (f *Frontend) serveOpen(conn *clientConn, x *exchange, request *Request, waited time.Duration) bool {
 	idReleased := false
 	releaseID := func() {
@@ -290,9 +290,9 @@
 	f.active.Add(1)
 	defer f.active.Add(-1)
 	final := f.serve(request)
-	// The ID is free before the answer is written. Guards against a client that has its answer and sends the next
-	// request with the same ID before this goroutine goes on: it would be told that its request is open. While
-	// the remainder of an answer is forwarded the request is open.
+	// The ID is free before the answer is written. Guards against a client that has its answer and sends the
+	// next request with the same ID before this goroutine goes on: it would be told that its request is open.
+	// While the remainder of an answer is forwarded the request is open.
 	if final.Answer == nil || final.Answer.Remainder == nil {
 		releaseID()
 	}
@@ -305,8 +305,8 @@
 }
 
 // answerBeforeBody answers a request whose body has not been read to its end. The client may not read the
-// answer before it has sent all: so the answer is written at once, and then the rest of the body is discarded.
-// It tells whether the connection goes on.
+// answer before it has sent all: so the answer is written at once, and then the rest of the body is
+// discarded. It tells whether the connection goes on.
 func (f *Frontend) answerBeforeBody(conn *clientConn, x *exchange, request *Request, final FinalAnswer) bool {
 	upload := request.Upload
 	if upload.Err() != nil {
--- a/internal/gateway/transport/frontend_test.go
+++ b/internal/gateway/transport/frontend_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"io"
 	"net"
-	"net/http"
 	"os"
 	"strings"
 	"sync/atomic"
@@ -17,7 +16,8 @@
 	"willowdeck/internal/policy"
 )
 
-// testFrontend is a front on loopback whose connections are the test's to spoil, with a module that serve stands for.
+// testFrontend is a front on loopback whose connections are the test's to spoil, with a module that serve
+// stands for.
 type testFrontend struct {
 	*Frontend
 	t        *testing.T
@@ -84,7 +84,13 @@
 	return line
 }
 
-const okStatus, declinedStatus = "HTTP/1.1 200 OK", "HTTP/1.1 429 Too Many Requests"
+// The status lines that clients get.
+const (
+	declinedStatus      = "HTTP/1.1 429 Too Many Requests"
+	conflictStatus      = "HTTP/1.1 409 Conflict"
+	timeoutStatus       = "HTTP/1.1 408 Request Timeout"
+	internalErrorStatus = "HTTP/1.1 500 Internal Server Error"
+)
 
 func waitFor(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
@@ -239,7 +245,7 @@
 	waitFor(t, "it is not taken", func() bool { return conn.state.Load() == stateServing })
 	fmt.Fprint(client, requestText("2"))
 	waitFor(t, "no more comes", func() bool { n, _ := conn.Conn.(*directConn).peek(); return n > 0 })
-	f.Frontend.Close()
+	f.Close()
 	close(proceed)
 	raw, _ := conn.syscallConn()
 	waitFor(t, "it does not end", func() bool {
@@ -272,7 +278,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newTestFrontend(t, 1, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Decline} })
-			f.Frontend.Close()
+			f.Close()
 			client, _ := f.connect(nil, false)
 			fmt.Fprint(client, requestText("1"))
 			if status := readStatusLine(client); status != declinedStatus {
@@ -288,7 +294,7 @@
 	}
 	t.Run("its place is wanted", func(t *testing.T) {
 		f := newTestFrontend(t, 1, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Decline} })
-		f.Frontend.Close()
+		f.Close()
 		client, conn := f.connect(nil, false)
 		fmt.Fprint(client, requestText("1"))
 		readStatusLine(client)
@@ -412,9 +418,9 @@
 		sent   bool
 		want   string
 	}{
-		{"it waits still", false, false, "HTTP/1.1 409 Conflict"},
+		{"it waits still", false, false, conflictStatus},
 		{"it has gone, and nothing was sent", true, false, declinedStatus},
-		{"it has gone, and something was sent", true, true, "HTTP/1.1 409 Conflict"},
+		{"it has gone, and something was sent", true, true, conflictStatus},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			proceed := make(chan bool)
@@ -481,7 +487,7 @@
 		want  string
 	}{
 		{"declined", FinalAnswer{Kind: policy.Decline}, declinedStatus},
-		{"voided", FinalAnswer{Kind: policy.Void}, "HTTP/1.1 500 Internal Server Error"},
+		{"voided", FinalAnswer{Kind: policy.Void}, internalErrorStatus},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newTestFrontend(t, 9, func(*Request) FinalAnswer { return tc.final })
@@ -576,13 +582,13 @@
 	waitFor(t, "it is not taken", func() bool { return completeConn.state.Load() == stateServing })
 	start := time.Now()
 	f.listener.HurryReads()
-	if status := readStatusLine(partial); status != "HTTP/1.1 408 Request Timeout" ||
+	if status := readStatusLine(partial); status != timeoutStatus ||
 		time.Since(start) > Millis(policy.Linger) {
 		t.Errorf("half a txn gets %q after %v", status, time.Since(start))
 	}
 	next, _ := f.connect(nil, false)
 	fmt.Fprint(next, requestText("3")[:40])
-	if status := readStatusLine(next); status != "HTTP/1.1 408 Request Timeout" ||
+	if status := readStatusLine(next); status != timeoutStatus ||
 		time.Since(start) > 2*Millis(policy.Linger) {
 		t.Errorf("half a txn after it gets %q after %v", status, time.Since(start))
 	}
@@ -590,7 +596,7 @@
 		t.Error("what is in hand was given up with it")
 	}
 	f.listener.AbandonRequests()
-	if status := readStatusLine(complete); status != "HTTP/1.1 "+fmt.Sprint(http.StatusInternalServerError)+" Internal Server Error" {
+	if status := readStatusLine(complete); status != internalErrorStatus {
 		t.Errorf("what is in hand gets %q", status)
 	}
 }
--- a/internal/gateway/transport/open_requests.go
+++ b/internal/gateway/transport/open_requests.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// openRequests are the requests in flight by their X-Request-Id. Guards against two requests of one ID, of two
-// clients or of one: workers could not tell them apart.
+// openRequests are the requests in flight by their X-Request-Id. Guards against two requests of one ID, of
+// two clients or of one: workers could not tell them apart.
 type openRequests struct {
 	mu   sync.Mutex // guards byID and the fields of its values
 	byID map[string]*openRequest
@@ -18,9 +18,9 @@
 	done    chan struct{} // closed once the ID is released; nil while nobody waits for that
 }
 
-// acquire registers a request under its ID, unless another request has it. Where that one's client has gone it
-// is about to be given up, and its end is waited for, limit at most: the ID is free if nothing was sent for it.
-// Guards against a client that has closed its connection and at once sends the same request again.
+// acquire registers a request under its ID, unless another request has it. Where that one's client has gone
+// it is about to be given up, and its end is waited for, limit at most: the ID is free if nothing was sent
+// for it. Guards against a client that has closed its connection and at once sends the same request again.
 func (o *openRequests) acquire(request *Request, limit time.Duration) (acquired bool, waited time.Duration) {
 	for start := time.Now(); ; waited = time.Since(start) {
 		o.mu.Lock()
--- a/internal/gateway/transport/peers.go
+++ b/internal/gateway/transport/peers.go
@@ -16,68 +16,71 @@
 	"willowdeck/internal/policy"
 )
 
-// Peers exchanges datagrams with the other gatekeepers.
+// Peers exchanges datagrams with the other instances. Receive runs on one goroutine; all else may be called
+// from any. Datagrams of unknown senders, malformed ones and stale ones are counted and dropped.
 type Peers struct {
 	conn      atomic.Pointer[net.UDPConn]      // nil until it is bound
-	addresses atomic.Pointer[[]netip.AddrPort] // by number
-	self      int
+	addresses atomic.Pointer[[]netip.AddrPort] // by index
+	self      int                              // index
 	dropped   atomic.Int64
 
-	onCredit atomic.Pointer[func(int, incarnation.MessageID, []borrowing.Entry)] // nil where none is lent
+	onCredit atomic.Pointer[func(int, incarnation.MessageID, []borrowing.Entry)] // nil where nothing is lent
 
-	identified  atomic.Bool   // messages bear a word
-	incarnation atomic.Uint32 // incarnation
-	sequence    atomic.Uint32 // messages of it so far
-	mu          sync.Mutex    // of heard
+	identified  atomic.Bool   // messages carry the incarnation and a sequence number
+	incarnation atomic.Uint32 // of this process
+	sequence    atomic.Uint32 // of the last message that was sent
+	mu          sync.Mutex    // guards tracker
 	tracker     *incarnation.Tracker
 }
 
-// LastSeen gives the last word of each peer in place of what is in all.
-func (p *Peers) LastSeen(all []incarnation.MessageID) []incarnation.MessageID {
+// LastSeen gives the newest message of each peer that was received, by its index, in the place of what ids
+// holds.
+func (p *Peers) LastSeen(ids []incarnation.MessageID) []incarnation.MessageID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.tracker.Latest(all, len(*p.addresses.Load()))
+	return p.tracker.Latest(ids, len(*p.addresses.Load()))
 }
 
-// Restore takes peers' words as a former life had heard them, and gives those that have returned since, and
-// were heard.
-func (p *Peers) Restore(all []incarnation.MessageID) (returned []int) {
+// Restore takes over what LastSeen gave in an earlier run of this process. It gives the peers that have been
+// received since in another incarnation than at that time.
+func (p *Peers) Restore(ids []incarnation.MessageID) (restarted []int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.tracker.Restore(all)
+	return p.tracker.Restore(ids)
 }
 
-// MaxReportsPerMessage is how many reports fit a message that bears a word.
+// MaxReportsPerMessage is how many reports fit a message that carries its sender's identity.
 const MaxReportsPerMessage = gossip.MaxReports - (identityBytes+7)/8
 
-// A message that bears a word begins with a mark that no version of the form has, and the word.
+// A message with an identity begins with a byte that no format has as its version, the incarnation and the
+// sequence number.
 const (
 	identityMagic = 0xF1
 	identityBytes = 9
 )
 
-// Identify has messages say which life of this gatekeeper they are of, and their place in it; those that do not
-// say so are dropped from then on.
+// Identify has messages carry the incarnation of this process and a sequence number, which continue from id.
+// Messages of peers without these are dropped from then on.
 func (p *Peers) Identify(id incarnation.MessageID) {
 	p.incarnation.Store(id.Incarnation)
 	p.sequence.Store(id.Sequence)
 	p.identified.Store(true)
 }
 
-// LastSent gives the word of the last message.
+// LastSent numbers the last message that was sent.
 func (p *Peers) LastSent() incarnation.MessageID {
 	return incarnation.MessageID{Incarnation: p.incarnation.Load(), Sequence: p.sequence.Load()}
 }
 
-// NewPeers exchanges nothing until it is bound.
+// NewPeers makes a Peers that exchanges nothing until it has a socket. self is the index of this instance.
 func NewPeers(addresses []netip.AddrPort, self int) *Peers {
 	p := &Peers{self: self, tracker: incarnation.NewTracker()}
 	p.SetAddresses(addresses)
 	return p
 }
 
-// SetAddresses changes who the peers are; this one keeps its number. It gives the numbers of those that are others
-// now than were there before.
+// SetAddresses changes the peers, by index; this instance keeps its own. It gives the indexes whose address
+// is another than before.
 func (p *Peers) SetAddresses(addresses []netip.AddrPort) (replaced []int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,7 +97,7 @@
 	return replaced
 }
 
-// Bind takes peers' datagrams at an address.
+// Bind opens a socket at an address.
 func (p *Peers) Bind(at netip.AddrPort) error {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 	if err != nil {
@@ -104,16 +107,16 @@
 	return nil
 }
 
-// UseSocket takes peers' datagrams from a socket that another process has bound.
+// UseSocket takes a socket that another process has bound.
 func (p *Peers) UseSocket(conn *net.UDPConn) { p.conn.Store(conn) }
 
 // Bound tells whether there is a socket.
 func (p *Peers) Bound() bool { return p.conn.Load() != nil }
 
-// SyscallConn gives the socket's descriptor.
+// SyscallConn gives access to the socket's descriptor.
 func (p *Peers) SyscallConn() (syscall.RawConn, error) { return p.conn.Load().SyscallConn() }
 
-// Send sends a message to a peer. One that cannot be sent is as good as lost on the way.
+// Send sends a message to a peer. One that cannot be sent counts as dropped, as if it were lost on its way.
 func (p *Peers) Send(peer int, message []byte) {
 	conn, addresses := p.conn.Load(), *p.addresses.Load()
 	if conn == nil || peer >= len(addresses) {
@@ -128,14 +131,14 @@
 	}
 }
 
-// OnCredit has peers' words on credit be taken; until then they are dropped.
+// OnCredit sets what takes the entries of package creditwire; until then these messages are dropped.
 func (p *Peers) OnCredit(take func(from int, id incarnation.MessageID, entries []borrowing.Entry)) {
 	p.onCredit.Store(&take)
 }
 
-// Receive gives each peer's reports to take, until Close, and says which are the first of one that has returned.
-// What comes from elsewhere, makes no sense or is no news is dropped.
-func (p *Peers) Receive(onReports func(from int, reports []policy.Report, returned bool)) {
+// Receive calls onReports with the reports of each message until Close, and tells it which are the first of a
+// peer that has restarted. The slices are valid until the call returns.
+func (p *Peers) Receive(onReports func(from int, reports []policy.Report, restarted bool)) {
 	conn := p.conn.Load()
 	var reports []policy.Report
 	var entries []borrowing.Entry
@@ -174,7 +177,7 @@
 	}
 }
 
-// cutMessageID takes the word that a message bears off it.
+// cutMessageID cuts the sender's identity off a message, and tells whether it carried one.
 func cutMessageID(message *[]byte) (incarnation.MessageID, bool) {
 	all := *message
 	if len(all) < identityBytes || all[0] != identityMagic {
@@ -186,6 +189,7 @@
 	return id, true
 }
 
+// peerIndex gives the index of the peer with an address, or -1.
 func (p *Peers) peerIndex(from netip.AddrPort) int {
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	for i, address := range *p.addresses.Load() {
@@ -196,10 +200,10 @@
 	return -1
 }
 
-// Dropped tells how many datagrams went nowhere.
+// Dropped counts the datagrams that were dropped, sent and received.
 func (p *Peers) Dropped() int64 { return p.dropped.Load() }
 
-// Close ends Hear.
+// Close closes the socket, which ends Receive.
 func (p *Peers) Close() error {
 	if conn := p.conn.Load(); conn != nil {
 		return conn.Close()
--- a/internal/gateway/transport/request_body.go
+++ b/internal/gateway/transport/request_body.go
@@ -24,8 +24,8 @@
 	errBodyStopped = errors.New("the body is no longer wanted")
 )
 
-// Upload is a request body that is too long to be buffered. It is forwarded as it comes, and so only once. One
-// goroutine reads it at a time.
+// Upload is a request body that is too long to be buffered. It is forwarded as it comes, and so only once.
+// One goroutine reads it at a time.
 type Upload struct {
 	Length    int64 // -1 where it is not stated
 	buffered  []byte
@@ -125,7 +125,7 @@
 // stop ends a Read that waits, and those to come.
 func (b *clientBody) stop() {
 	b.stopped.Store(true)
-	_ = b.conn.SetReadDeadline(time.Unix(1, 0))
+	_ = b.conn.SetReadDeadline(aLongTimeAgo)
 }
 
 // readBody reads the body behind a request's head: completely where it is short, else as an Upload.
--- a/internal/gateway/transport/request_parse.go
+++ b/internal/gateway/transport/request_parse.go
@@ -21,8 +21,8 @@
 )
 
 // DecodeRequest decodes a request's head. Method and target may be other than the head's own, where somebody
-// asks on a client's behalf. allowAnonymous lets a head lack the customer. An error is the client's fault; its
-// text goes to the client.
+// asks on a client's behalf. allowAnonymous lets a head lack the customer. An error is the client's fault;
+// its text goes to the client.
 func DecodeRequest(head *fasthttp.RequestHeader, method, target []byte, names *config.Names,
 	charter *policy.Charter, allowAnonymous bool) (Request, error) {
 	r := Request{Method: method, Target: target, head: head}
@@ -132,8 +132,8 @@
 	return number, nil
 }
 
-// parseDecimal parses digits with an optional decimal point. Guards against the other forms that strconv takes:
-// signs, exponents, hex, Inf and NaN.
+// parseDecimal parses digits with an optional decimal point. Guards against the other forms that strconv
+// takes: signs, exponents, hex, Inf and NaN.
 func parseDecimal(text []byte) (float64, error) {
 	for _, c := range text {
 		if (c < '0' || c > '9') && c != '.' {
@@ -177,8 +177,8 @@
 	return index, nil
 }
 
-// parseIdempotencyKey checks that method and key are as a product of this kind requires, and gives the key, if
-// any.
+// parseIdempotencyKey checks that method and key are as a product of this kind requires, and gives the key,
+// if any.
 func parseIdempotencyKey(head *fasthttp.RequestHeader, method []byte, kind policy.Repeat) ([]byte, error) {
 	want := fasthttp.MethodPost
 	if kind == policy.InquiryLike {
--- a/internal/gateway/transport/response.go
+++ b/internal/gateway/transport/response.go
@@ -9,8 +9,8 @@
 	"willowdeck/internal/policy"
 )
 
-// reject answers what is no valid request and gives false: the connection ends, since what follows may be part
-// of the same.
+// reject answers what is no valid request and gives false: the connection ends, since what follows may be
+// part of the same.
 func (f *Frontend) reject(conn *clientConn, x *exchange, status int, message string) bool {
 	if conn.isEnded() {
 		return false // it was ended here before all of the request came
@@ -45,8 +45,8 @@
 	return err
 }
 
-// encodeHead encodes into x.output the head of a response whose body has length bytes, or comes in chunks where
-// length is negative.
+// encodeHead encodes into x.output the head of a response whose body has length bytes, or comes in chunks
+// where length is negative.
 func (f *Frontend) encodeHead(conn *clientConn, x *exchange, status, length int) {
 	head := &x.request.Header
 	x.closeAfter = x.closeAfter || head.ConnectionClose() || !head.IsHTTP11() || conn.shouldClose() ||
@@ -60,8 +60,8 @@
 	x.output = x.responseHead.AppendBytes(x.output[:0])
 }
 
-// writeFinal writes and counts a request's final answer, and tells whether it was written completely. Only the
-// policy's declines are 429: that status says that a retry is harmless.
+// writeFinal writes and counts a request's final answer, and tells whether it was written completely. Only
+// the policy's declines are 429: that status says that a retry is harmless.
 func (f *Frontend) writeFinal(conn *clientConn, x *exchange, product int, final FinalAnswer) bool {
 	counts := &f.finalCounts[product]
 	var err error
--- a/internal/gateway/transport/socket_linux.go
+++ b/internal/gateway/transport/socket_linux.go
@@ -13,16 +13,17 @@
 	"willowdeck/internal/policy"
 )
 
-// directConn is a TCP connection that reads and writes without a word to the runtime's scheduler. Its socket never
-// blocks, so nothing is lost by that; but each ordinary call after an idle moment wakes the runtime's monitor
-// thread, which then costs a fifth of all CPU at some tens of txns a second.
+// directConn is a TCP connection whose reads and writes go to the kernel without telling the runtime's
+// scheduler. The socket is non-blocking, so that nothing is lost by that; but each ordinary call after an
+// idle moment wakes the runtime's monitor thread, which costs a fifth of all CPU at some tens of requests a
+// second.
 type directConn struct {
 	*net.TCPConn
 	raw              syscall.RawConn
 	reading, writing transfer
 }
 
-// transfer is one read or write; call goes to the kernel and is made once.
+// transfer is one read or write. call is made once per connection, so that a transfer allocates nothing.
 type transfer struct {
 	buffer []byte
 	done   int
@@ -30,7 +31,7 @@
 	call   func(fd uintptr) bool
 }
 
-// bypassScheduler makes a TCP connection quick.
+// bypassScheduler turns a TCP connection into a directConn.
 func bypassScheduler(conn net.Conn) net.Conn {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -45,11 +46,12 @@
 	return direct
 }
 
+// trySyscall makes the system call once, and again where it was interrupted; false means that the socket is
+// not ready.
 func (t *transfer) trySyscall(number, fd uintptr) bool {
 	for {
 		n, _, e := syscall.RawSyscall6(number, fd, uintptr(unsafe.Pointer(&t.buffer[t.done])),
-			uintptr(len(t.buffer)-t.done),
-			syscall.MSG_NOSIGNAL, 0, 0)
+			uintptr(len(t.buffer)-t.done), syscall.MSG_NOSIGNAL, 0, 0)
 		switch t.errno = e; e {
 		case 0:
 			t.done += int(n)
@@ -63,8 +65,10 @@
 	}
 }
 
+// read is the call of a read.
 func (t *transfer) read(fd uintptr) bool { return t.trySyscall(syscall.SYS_RECVFROM, fd) }
 
+// write is the call of a write, which goes on until all is written or the socket is not ready.
 func (t *transfer) write(fd uintptr) bool {
 	for t.done < len(t.buffer) {
 		if !t.trySyscall(syscall.SYS_SENDTO, fd) {
@@ -77,8 +81,8 @@
 	return true
 }
 
-// guardReads has took called, under the guard, in one step with each read that brings bytes, and nothing read
-// where may says no.
+// guardReads calls onRead, with mu held, in one step with each read that brings bytes, and reads nothing
+// where allowed gives false.
 func (c *directConn) guardReads(mu *sync.Mutex, allowed func() bool, onRead func()) {
 	c.reading.call = func(fd uintptr) bool {
 		mu.Lock()
@@ -95,8 +99,10 @@
 	}
 }
 
+// begin prepares a transfer of b.
 func (t *transfer) begin(b []byte) { t.buffer, t.done, t.errno = b, 0, 0 }
 
+// end gives the result of a transfer.
 func (t *transfer) end(op string, err error) (int, error) {
 	t.buffer = nil
 	if err == nil && t.errno != 0 {
@@ -105,7 +111,8 @@
 	return t.done, err
 }
 
-// peek looks at what the kernel has for the connection, and takes nothing.
+// peek asks the kernel whether there are bytes to read, or the error that a read would meet, and reads
+// nothing.
 func (c *directConn) peek() (n int, e syscall.Errno) {
 	if c.raw.Control(func(fd uintptr) { n, e = peekSocket(fd) }) != nil {
 		e = syscall.EBADF // closed here
@@ -113,6 +120,7 @@
 	return n, e
 }
 
+// peekSocket is peek on a descriptor.
 func peekSocket(fd uintptr) (int, syscall.Errno) {
 	var b [1]byte
 	n, _, e := syscall.RawSyscall6(syscall.SYS_RECVFROM, fd, uintptr(unsafe.Pointer(&b[0])), 1,
@@ -120,7 +128,7 @@
 	return int(n), e
 }
 
-// Gone tells whether the other side has closed the connection, or it has broken.
+// Gone tells whether the other side has closed the connection, or it is broken.
 func (c *directConn) Gone() bool {
 	n, e := c.peek()
 	switch e {
@@ -133,8 +141,8 @@
 	return false
 }
 
-// peerHasClosed tells whether the other side has ended the connection, by its state at the kernel: bytes that lie
-// unread hide the end behind them from any look at what has come. Where the state can't be asked it is no.
+// peerHasClosed tells by the connection's state in the kernel whether the other side has closed it: unread
+// bytes hide the end behind them from peek. Where the state cannot be asked it gives false.
 func (c *directConn) peerHasClosed() (closed bool) {
 	_ = c.raw.Control(func(fd uintptr) {
 		var state [8]byte
@@ -149,7 +157,8 @@
 	return closed
 }
 
-// SinceLastReceive is how long ago the last bytes came, in the kernel's own steps of some ms; 0 where it can't be asked.
+// SinceLastReceive is how long ago the last bytes came, in the kernel's steps of some ms; 0 where that cannot
+// be asked.
 func (c *directConn) SinceLastReceive() (since time.Duration) {
 	const lastDataOffset = 52 // tcpi_last_data_recv, ms, in Linux' struct tcp_info
 	_ = c.raw.Control(func(fd uintptr) {
@@ -164,7 +173,7 @@
 	return since
 }
 
-// The states of a TCP connection at the kernel in which its other side has ended.
+// The kernel's states of a TCP connection whose other side has closed it.
 const (
 	tcpTimeWait  = 6
 	tcpClose     = 7
@@ -173,12 +182,13 @@
 	tcpClosing   = 11
 )
 
-// AwaitPeerClose waits until the other side has ended the connection too, but for so long at most, and reads nothing.
+// AwaitPeerClose waits until the other side has closed the connection too, for limit at most, and reads
+// nothing.
 func (c *directConn) AwaitPeerClose(limit time.Duration) {
 	for deadline := time.Now().Add(limit); time.Now().Before(deadline); {
 		unread := false
 		if c.SetReadDeadline(deadline) != nil {
-			return // closed from here
+			return // closed here
 		}
 		err := c.raw.Read(func(fd uintptr) bool {
 			n, e := peekSocket(fd)
@@ -186,21 +196,22 @@
 			return unread || e != syscall.EAGAIN
 		})
 		switch {
-		case isTimeout(err): // or another's wake-up before
+		case isTimeout(err): // or a deadline that was set meanwhile
 		case err != nil || !unread || c.peerHasClosed():
 			return
-		default: // what lies there would end each wait for more at once
+		default: // unread bytes would end each wait at once
 			time.Sleep(Millis(policy.AcceptAgain))
 		}
 	}
 }
 
-// Quiescent tells whether the connection is up and nothing lies unread in it.
+// Quiescent tells whether the connection is open and has no unread bytes.
 func (c *directConn) Quiescent() bool {
 	_, e := c.peek()
 	return e == syscall.EAGAIN
 }
 
+// Read reads what there is, at least one byte.
 func (c *directConn) Read(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -213,6 +224,7 @@
 	return n, err
 }
 
+// Write writes all of b.
 func (c *directConn) Write(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
--- a/internal/gateway/transport/socket_other.go
+++ b/internal/gateway/transport/socket_other.go
@@ -4,5 +4,5 @@
 
 import "net"
 
-// bypassScheduler leaves a connection as it is where the kernel is not Linux.
-func bypassScheduler(c net.Conn) net.Conn { return c }
+// bypassScheduler leaves a connection as it is on kernels other than Linux.
+func bypassScheduler(conn net.Conn) net.Conn { return conn }
--- a/internal/gateway/transport/worker_answer.go
+++ b/internal/gateway/transport/worker_answer.go
@@ -16,9 +16,10 @@
 	errTooManyInterim      = errors.New("interim answers without end")
 )
 
-// Receive reads one answer; of a long one the remainder is left to be forwarded. After an error the connection
-// is of no more use. Bytes behind a complete answer are not part of it: the answer is good, and the last one of
-// the connection. onAnswerStart, unless nil, is called where an answer has begun and does not come at once.
+// Receive reads one answer; of a long one the remainder is left to be forwarded. After an error the
+// connection is of no more use. Bytes behind a complete answer are not part of it: the answer is good, and
+// the last one of the connection. onAnswerStart, unless nil, is called where an answer has begun and does not
+// come at once.
 func (c *WorkerConn) Receive(onAnswerStart func()) (*Answer, error) {
 	c.onAnswerStart = onAnswerStart
 	response := fasthttp.AcquireResponse()
@@ -97,7 +98,8 @@
 	}
 }
 
-// isStatusLine tells whether a line of 13 bytes begins as HTTP/1.0 or 1.1 with a status of exactly three digits.
+// isStatusLine tells whether a line of 13 bytes begins as HTTP/1.0 or 1.1 with a status of exactly three
+// digits.
 func isStatusLine(line []byte) bool {
 	rest, ok := bytes.CutPrefix(line, []byte("HTTP/1."))
 	if !ok || rest[0] != '0' && rest[0] != '1' || rest[1] != ' ' || rest[2] < '1' || rest[2] > '5' {
--- a/internal/gateway/transport/worker_connection.go
+++ b/internal/gateway/transport/worker_connection.go
@@ -21,9 +21,9 @@
 // aLongTimeAgo is a deadline that ends reads and writes at once.
 var aLongTimeAgo = time.Unix(1, 0)
 
-// WorkerConn is a connection to a worker. It carries one attempt at a time and never sends one again by itself.
-// Send, SendBody and Receive belong to the attempt's goroutines; Abort, StopBody and SetDeadline may be called
-// from any.
+// WorkerConn is a connection to a worker. It carries one attempt at a time and never sends one again by
+// itself. Send, SendBody and Receive belong to the attempt's goroutines; Abort, StopBody and SetDeadline may
+// be called from any.
 type WorkerConn struct {
 	conn          net.Conn
 	reader        *bufio.Reader
@@ -120,7 +120,8 @@
 // Send writes the message of an attempt. After an error the worker does not have the complete message; after
 // ErrStaleConn it has none of it, and the connection had been good for the attempt before. Guards against an
 // end, or bytes of the worker, that came after the connection was taken from the pool: what is unread before
-// the last part is written is no answer to this attempt, and a message that is not complete is never executed.
+// the last part is written is no answer to this attempt, and a message that is not complete is never
+// executed.
 func (c *WorkerConn) Send(message []byte) error {
 	for sent := 0; sent < len(message); {
 		if !isQuiescent(c.conn) {
@@ -141,7 +142,8 @@
 // ExpectBody announces a SendBody. It must be called before a Receive that runs at the same time.
 func (c *WorkerConn) ExpectBody() { c.sendingBody.Store(true) }
 
-// SendBody forwards a body that is not buffered. After an error the worker does not have the complete request.
+// SendBody forwards a body that is not buffered. After an error the worker does not have the complete
+// request.
 func (c *WorkerConn) SendBody(upload *Upload) error {
 	limitSendBuffer(c.conn)
 	if c.bodyRemaining = upload.Length; upload.Length >= 0 {
--- a/internal/gateway/transport/worker_pool.go
+++ b/internal/gateway/transport/worker_pool.go
@@ -11,16 +11,17 @@
 	"time"
 )
 
-// ErrPoolExhausted tells that the gatekeeper has no descriptor to spare for one more connection.
+// ErrPoolExhausted reports that the pool, or the process, has no descriptor left for a connection.
 var ErrPoolExhausted = errors.New("no connection to spare")
 
-// WorkerIncarnation is one life of a worker, which ends when it drains, goes, moves or starts anew.
+// WorkerIncarnation is one incarnation of a worker: Valid gives false once it drains, is removed, moves or
+// restarts.
 type WorkerIncarnation interface{ Valid() bool }
 
-// WorkerPool keeps the connections to workers: idle ones for reuse, the most recent first, and no more in all
-// than it is given.
+// WorkerPool holds the connections to all workers, within a limit. Idle ones are reused, the most recent
+// first.
 type WorkerPool struct {
-	mu              sync.Mutex
+	mu              sync.Mutex      // guards idle, open and retired
 	idle            [][]*WorkerConn // by worker; the most recent last
 	open            int
 	retired         bool
@@ -31,14 +32,15 @@
 	attemptsWritten atomic.Int64
 }
 
-// NewWorkerPool makes room for so many connections, which are dropped once they have been idle for keep.
+// NewWorkerPool makes a pool of at most limit connections. An idle connection is closed after idleTimeout; a
+// new one has connectTimeout to be established.
 func NewWorkerPool(limit int, idleTimeout, connectTimeout time.Duration) *WorkerPool {
 	return &WorkerPool{limit: limit, idleTimeout: idleTimeout, connectTimeout: connectTimeout}
 }
 
-// TakeIdle gives the connection to a worker that was used last, or nil. Guards against one that the worker has
-// closed without a word, on which a submission would be lost that may not be sent again, and one with bytes
-// in it that would be read as the next submission's answer.
+// TakeIdle takes the connection to a worker that was used last, or gives nil. Guards against a connection
+// that the worker has closed silently, on which an attempt that may not be retried would be lost, and against
+// one with unread bytes, which would be taken for the next answer.
 func (p *WorkerPool) TakeIdle(worker int) *WorkerConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,24 +60,25 @@
 	return nil
 }
 
-// StaleConns tells how many idle connections were found closed by the worker, with bytes in them, or of a life of
-// it that has ended.
+// StaleConns counts the idle connections that were found closed by the worker, with unread bytes, or of an
+// incarnation that has ended.
 func (p *WorkerPool) StaleConns() int64 { return p.staleConns.Load() }
 
-// OpenConns tells how many connections there are, idle ones and those that come up included.
+// OpenConns is how many connections there are, idle ones and those being established included.
 func (p *WorkerPool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// AttemptsWritten tells how many submissions have been written whole.
+// AttemptsWritten counts the attempts that were written completely.
 func (p *WorkerPool) AttemptsWritten() int64 { return p.attemptsWritten.Load() }
 
-// CountAttempt counts one that has.
+// CountAttempt counts an attempt that was written completely.
 func (p *WorkerPool) CountAttempt() { p.attemptsWritten.Add(1) }
 
-// Dial opens a connection, within its own limit and until a moment.
+// Dial establishes a connection, within connectTimeout and until deadline. Its error is ErrPoolExhausted
+// where the cause is not the worker.
 func (p *WorkerPool) Dial(worker int, addr netip.AddrPort, deadline time.Time) (*WorkerConn, error) {
 	p.mu.Lock()
 	if p.open >= p.limit && !p.evictOldest() {
@@ -91,7 +94,7 @@
 		p.open--
 		p.mu.Unlock()
 		if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-			return nil, ErrPoolExhausted // the want is here, not at the worker
+			return nil, ErrPoolExhausted // the cause is here, not at the worker
 		}
 		return nil, fmt.Errorf("worker: %w", err)
 	}
@@ -99,13 +102,14 @@
 	return newWorkerConn(conn, worker), nil
 }
 
-// Put takes a connection back whose answer has been read whole, if its worker still is what it was. Guards
-// against a connection to a former life, or to another worker that had its place, and against what was read
-// behind an answer that was passed on as it came: the next submission would take it for its own.
+// Put takes a connection back whose answer has been read completely, and tells whether it did: the
+// incarnation must still be valid. Guards against a connection to an earlier incarnation, or to another
+// worker that had the index, and against bytes that were read behind a forwarded answer: the next attempt
+// would take them for its own.
 func (p *WorkerPool) Put(c *WorkerConn, incarnation WorkerIncarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// Whether it holds is asked here, as the worker's end sheds what has been kept before it.
+	// Valid is asked under the lock: CloseIdle follows the end of an incarnation.
 	if p.retired || c.reader.Buffered() > 0 || !incarnation.Valid() {
 		return false
 	}
@@ -120,7 +124,7 @@
 	return true
 }
 
-// Discard ends a connection.
+// Discard closes a connection that was dialed or taken.
 func (p *WorkerPool) Discard(c *WorkerConn) {
 	_ = c.conn.Close()
 	p.mu.Lock()
@@ -128,7 +132,7 @@
 	p.mu.Unlock()
 }
 
-// CloseIdle ends the idle connections to a worker.
+// CloseIdle closes the idle connections to a worker.
 func (p *WorkerPool) CloseIdle(worker int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,7 +141,8 @@
 	}
 }
 
-// Retire ends the idle connections, and keeps none from then on: what is free is another process's now.
+// Retire closes the idle connections and lets Put refuse all from then on: the descriptors are for the
+// successor.
 func (p *WorkerPool) Retire() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,7 +152,7 @@
 	}
 }
 
-// closeExpired ends those connections of a worker that have been idle for too long.
+// closeExpired closes the connections to a worker that have been idle for longer than idleTimeout.
 func (p *WorkerPool) closeExpired(worker int) {
 	expired, idle := 0, p.idle[worker]
 	for expired < len(idle) && time.Since(idle[expired].idleSince) > p.idleTimeout {
@@ -156,7 +161,7 @@
 	p.closeOldest(worker, expired)
 }
 
-// closeOldest ends the n connections of a worker that have been idle for the longest.
+// closeOldest closes the n connections to a worker that have been idle for longest.
 func (p *WorkerPool) closeOldest(worker, n int) {
 	idle := p.idle[worker]
 	for _, c := range idle[:n] {
@@ -165,13 +170,13 @@
 	p.idle[worker] = append(idle[:0], idle[n:]...)
 }
 
-// closeLocked closes a connection and frees its place, under the lock.
+// closeLocked closes a connection and gives its place free. The caller holds mu.
 func (p *WorkerPool) closeLocked(c *WorkerConn) {
 	_ = c.conn.Close()
 	p.open--
 }
 
-// evictOldest ends the connection that has been idle for the longest, if there is one.
+// evictOldest closes the connection that has been idle for longest, and tells whether there was one.
 func (p *WorkerPool) evictOldest() bool {
 	oldest := -1
 	for worker, idle := range p.idle {
