--- a/cmd/willowdeck/relay.go
+++ b/cmd/willowdeck/relay.go
@@ -42,7 +42,7 @@
 	var record history.Recorder
 	if dir := c.String("history"); dir != "" {
 		l, err := history.Open(filepath.Join(dir, fmt.Sprintf("%s.%d.jsonl", f.Name, os.Getpid())), f.Name,
-			crashstate.Uptime())
+			crashstate.UptimeCentiseconds())
 		if err != nil {
 			return fmt.Errorf("history: %w", err)
 		}
--- a/internal/borrowing/ledger/book.go
+++ b/internal/borrowing/ledger/book.go
@@ -61,11 +61,11 @@
 // Open opens the book of gatekeeper me, with what its former life has left. What is of another version,
 // gatekeeper or start of the machine is as nothing.
 func Open(path string, me int) (*File, error) {
-	mark, up, err := crashstate.Boot()
+	mark, up, err := crashstate.ReadBoot()
 	if err != nil {
 		return nil, fmt.Errorf("credit: %w", err)
 	}
-	held, b, was, err := crashstate.Map(path, size)
+	held, b, was, err := crashstate.MapLocked(path, size)
 	if err != nil {
 		return nil, fmt.Errorf("credit: %w", err)
 	}
--- a/internal/borrowing/ledger/book_test.go
+++ b/internal/borrowing/ledger/book_test.go
@@ -69,7 +69,7 @@
 		}
 	}
 	// Its time is the machine's since its start: a clock that is set moves nothing that is due.
-	if _, up, err := crashstate.Boot(); err != nil || math.Abs(f.Now()-up) > 2000 {
+	if _, up, err := crashstate.ReadBoot(); err != nil || math.Abs(f.Now()-up) > 2000 {
 		t.Errorf("it is %v, and the machine is up for %v", f.Now(), up)
 	}
 	f.Close()
--- a/internal/borrowing/ledger/golden_forms_test.go
+++ b/internal/borrowing/ledger/golden_forms_test.go
@@ -84,7 +84,7 @@
 
 func TestGoldenBookRead(t *testing.T) {
 	b := append(goldentest.Hex(t, "book.hex"), make([]byte, goldenSize)...)[:goldenSize]
-	mark, _, err := crashstate.Boot()
+	mark, _, err := crashstate.ReadBoot()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/admin/server.go
+++ b/internal/gateway/admin/server.go
@@ -153,7 +153,7 @@
 		say(ctx, fasthttp.StatusServiceUnavailable, "nothing to tell yet")
 		return
 	}
-	ctx.Response.Header.Set(VersionHeader, strconv.Itoa(bootstrap.Version))
+	ctx.Response.Header.Set(VersionHeader, strconv.Itoa(bootstrap.ProtocolVersion))
 	ctx.Response.Header.Set(AgeHeader, strconv.FormatFloat(age, 'f', 0, 64))
 	ctx.SetContentType("application/json")
 	ctx.SetBody(list)
--- a/internal/gateway/lifecycle/speak.go
+++ b/internal/gateway/lifecycle/speak.go
@@ -38,7 +38,7 @@
 		s.word.Group = c.Group
 	}
 	s.among(c.Peers, c.Charter.Gatekeepers)
-	g.desk.SetMeter(forecast.NewMeter(c.Charter, crashstate.Uptime()))
+	g.desk.SetMeter(forecast.NewMeter(c.Charter, crashstate.UptimeCentiseconds()))
 	return s
 }
 
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -58,7 +58,7 @@
 	owner   atomic.Pointer[hotrestart.Owner] // where another process may take over from this one
 	members atomic.Int64                     // gatekeepers there are, this one included
 	lists   sync.Mutex                       // of list, and of what the desk is told of it
-	list    *bootstrap.Book
+	list    *bootstrap.Registry
 	portal  *authserver.Portal  // nil where portals do not ask
 	vouch   *authorizer.Voucher // nil where no auth service is asked
 	spoilt  atomic.Int64        // copies of a former life that could not be gone by
@@ -73,8 +73,8 @@
 	away    atomic.Bool         // its place is another process's, still or from here on
 	heir    *heir               // nil where no process was before this one
 
-	copied   atomic.Pointer[checkpoint.Left] // a former life's, until it is known which rules are in force
-	agreedOn atomic.Pointer[[]policy.Plan]   // as rules that were adopted last have them; nil before any
+	copied   atomic.Pointer[checkpoint.Snapshot] // a former life's, until it is known which rules are in force
+	agreedOn atomic.Pointer[[]policy.Plan]       // as rules that were adopted last have them; nil before any
 
 	gate    *proxy.Proxy
 	journal atomic.Pointer[store.Keeper] // nil where no txn is written down
@@ -96,7 +96,7 @@
 		g.peers = transport.NewPeers(c.Peers, c.Charter.Me)
 		tell = g.peers.Tell
 		if c.Charter = spoken(c); c.Tells {
-			g.peers.Bear(incarnation.MessageID{Incarnation: crashstate.Uptime()})
+			g.peers.Bear(incarnation.MessageID{Incarnation: crashstate.UptimeCentiseconds()})
 		}
 	}
 	l, err := listen(c.Listen, c.FD, log)
@@ -105,7 +105,7 @@
 	}
 	if c.History != "" {
 		path := filepath.Join(c.History, fmt.Sprintf("%s.%d.jsonl", c.Name, os.Getpid()))
-		if g.history, err = history.Open(path, c.Name, crashstate.Uptime()); err != nil {
+		if g.history, err = history.Open(path, c.Name, crashstate.UptimeCentiseconds()); err != nil {
 			_ = l.Close()
 			return nil, err
 		}
@@ -133,7 +133,7 @@
 		g.desk.RecordHistory(g.history)
 	}
 	g.desk.ApplyEndpoints(c.Known)
-	g.list = bootstrap.NewBook(c.Known)
+	g.list = bootstrap.NewRegistry(c.Known)
 	g.members.Store(int64(c.Charter.Gatekeepers))
 	g.gate = proxy.New(g.desk, g.links)
 	g.front = transport.NewFront(c.Names, c.Charter, g.forward(g.gate), g.up)
@@ -267,24 +267,24 @@
 	if l == nil {
 		return
 	}
-	age := g.desk.Now() - l.Estate.At
+	age := g.desk.Now() - l.State.At
 	n, fits := g.desk.RestoreCheckpoint(l, g.conf.Tells)
 	if !fits {
-		g.doubt(checkpoint.ErrCharter)
+		g.doubt(checkpoint.ErrDigestMismatch)
 		return
 	}
 	if n > 0 && g.peers != nil {
-		for _, i := range g.peers.Recall(l.Words) {
+		for _, i := range g.peers.Recall(l.LastMessages) {
 			g.desk.PeerReplaced(i)
 		}
 	}
-	g.log.Info().Int("customers", n).Int("of", len(l.Estate.Customers)).Float64("age_ms", age).
+	g.log.Info().Int("customers", n).Int("of", len(l.State.Customers)).Float64("age_ms", age).
 		Msg("going by a copy of a former life's quotas and demand")
 }
 
 // doubt says why there is no copy to go by, and counts it where there was one.
 func (g *Gatekeeper) doubt(why error) {
-	if !errors.Is(why, checkpoint.ErrNone) {
+	if !errors.Is(why, checkpoint.ErrNotFound) {
 		g.spoilt.Add(1)
 	}
 	g.log.Info().AnErr("as", why).Msg("no copy of quotas and demand to go by")
@@ -300,7 +300,7 @@
 		return
 	}
 	who := store.Who{Name: g.conf.Name}
-	if mark, up, err := crashstate.Boot(); err == nil {
+	if mark, up, err := crashstate.ReadBoot(); err == nil {
 		who.Boot, who.Offset = crc32.ChecksumIEEE(mark), float64(time.Now().UnixMilli())-up
 	}
 	k := store.Keep(diskOf(j.Of(g.conf.Name)), j.Terms, who, beside, g.conf.Seed, g.log)
@@ -356,7 +356,7 @@
 
 func (g *Gatekeeper) news(l endpoints.List) {
 	g.lists.Lock()
-	g.desk.ApplyEndpoints(g.list.Discovery(l, g.desk.Now()))
+	g.desk.ApplyEndpoints(g.list.ApplyDiscovery(l, g.desk.Now()))
 	g.lists.Unlock()
 	g.speaks()
 	g.log.Debug().Int64("version", l.Version).Bool("whole", l.Whole).Int("workers", len(l.Workers)).Msg("list")
--- a/internal/gateway/lifecycle/warm.go
+++ b/internal/gateway/lifecycle/warm.go
@@ -20,7 +20,7 @@
 	defer g.speaks()
 	g.lists.Lock()
 	defer g.lists.Unlock()
-	if whole, changed := g.list.Alive(g.desk.Now()); changed {
+	if whole, changed := g.list.DiscoveryAlive(g.desk.Now()); changed {
 		g.desk.ApplyEndpoints(whole)
 	}
 }
@@ -29,14 +29,14 @@
 func (g *Gatekeeper) words(all []ruleset.WorkerOverride) {
 	g.lists.Lock()
 	defer g.lists.Unlock()
-	g.desk.ApplyEndpoints(g.list.Words(all))
+	g.desk.ApplyEndpoints(g.list.SetOverrides(all))
 }
 
 // discovered gives the index of discovery's list that is known here; below nought where it has not spoken.
 func (g *Gatekeeper) discovered() int64 {
 	g.lists.Lock()
 	defer g.lists.Unlock()
-	if !g.list.Heard() {
+	if !g.list.DiscoveryAnswered() {
 		return -1
 	}
 	return g.list.Version()
@@ -46,7 +46,7 @@
 // for long, it asks the others.
 func (g *Gatekeeper) lags(highest int64) {
 	g.lists.Lock()
-	late := g.list.Lags(highest, g.desk.Now()) && g.list.Waits()
+	late := g.list.ObserveIndex(highest, g.desk.Now()) && g.list.NeedsPeers()
 	g.lists.Unlock()
 	if late && len(g.conf.Ask) > 0 && g.asking.CompareAndSwap(false, true) {
 		g.log.Warn().Int64("index", g.discovered()).Int64("highest", highest).
@@ -62,7 +62,7 @@
 func (g *Gatekeeper) List() (list []byte, age float64, ok bool) {
 	g.lists.Lock()
 	defer g.lists.Unlock()
-	l, age, ok := g.list.Tells(g.desk.Now())
+	l, age, ok := g.list.Shared(g.desk.Now())
 	if ok {
 		var err error
 		if list, err = endpoints.Append(nil, l); err != nil {
@@ -75,12 +75,12 @@
 // ask asks running instances for their list until discovery has spoken. Nothing waits for it.
 func (g *Gatekeeper) ask(peers []string, rng *rand.Rand) {
 	defer g.asking.Store(false)
-	client := fasthttp.Client{MaxResponseBodySize: bootstrap.LongestOf, MaxIdemponentCallAttempts: 1,
-		NoDefaultUserAgentHeader: true, ReadTimeout: transport.Millis(bootstrap.AskWithin)}
+	client := fasthttp.Client{MaxResponseBodySize: bootstrap.MaxListBytes, MaxIdemponentCallAttempts: 1,
+		NoDefaultUserAgentHeader: true, ReadTimeout: transport.Millis(bootstrap.RequestTimeoutMillis)}
 	for {
 		for _, at := range peers {
 			g.lists.Lock()
-			waits := g.list.Waits()
+			waits := g.list.NeedsPeers()
 			g.lists.Unlock()
 			if !waits {
 				return
@@ -91,7 +91,7 @@
 				continue
 			}
 			g.lists.Lock()
-			whole, changed := g.list.Peer(l, age)
+			whole, changed := g.list.ApplyPeerList(l, age)
 			if changed {
 				g.desk.ApplyEndpoints(whole)
 			}
@@ -104,7 +104,7 @@
 		select {
 		case <-g.over:
 			return
-		case <-time.After(transport.Millis(bootstrap.AskAgain * (0.5 + rng.Float64()))):
+		case <-time.After(transport.Millis(bootstrap.RetryIntervalMillis * (0.5 + rng.Float64()))):
 		}
 	}
 }
@@ -116,11 +116,11 @@
 	defer fasthttp.ReleaseResponse(res)
 	req.SetRequestURI("http://" + at + admin.ListPath)
 	req.SetConnectionClose()
-	if err := client.DoTimeout(req, res, transport.Millis(bootstrap.AskWithin)); err != nil {
+	if err := client.DoTimeout(req, res, transport.Millis(bootstrap.RequestTimeoutMillis)); err != nil {
 		return endpoints.List{}, 0, err
 	}
 	if v := string(res.Header.Peek(admin.VersionHeader)); res.StatusCode() != fasthttp.StatusOK ||
-		v != strconv.Itoa(bootstrap.Version) {
+		v != strconv.Itoa(bootstrap.ProtocolVersion) {
 		return endpoints.List{}, 0, fmt.Errorf("status %d, version %q", res.StatusCode(), v)
 	}
 	age, err := strconv.ParseFloat(string(res.Header.Peek(admin.AgeHeader)), 64)
--- a/internal/gateway/lifecycle/watch_test.go
+++ b/internal/gateway/lifecycle/watch_test.go
@@ -214,7 +214,7 @@
 		"  {\"name\":\"a\",\"status\":\"leaving\"}\n ]\n}"
 	cut, claims := 0, 0
 	at := scripted(t, func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(admin.VersionHeader, fmt.Sprint(bootstrap.Version))
+		w.Header().Set(admin.VersionHeader, fmt.Sprint(bootstrap.ProtocolVersion))
 		w.Header().Set(admin.AgeHeader, "5")
 		w.Header().Set("Content-Length", fmt.Sprint(claims))
 		io.WriteString(w, whole[:cut])
--- a/internal/gateway/proxy/checkpoint.go
+++ b/internal/gateway/proxy/checkpoint.go
@@ -26,10 +26,10 @@
 // RestoreCheckpoint restores an earlier run's checkpoint, after AttachCrashState, and gives the number of
 // restored customers. It is false where the checkpoint is of another charter or ruleset than those in
 // force. peersKnow tells that the peers see this process as a new incarnation.
-func (d *Dispatcher) RestoreCheckpoint(c *checkpoint.Left, peersKnow bool) (customers int, fits bool) {
+func (d *Dispatcher) RestoreCheckpoint(c *checkpoint.Snapshot, peersKnow bool) (customers int, fits bool) {
 	d.lockPolicy()
-	if fits = c.Of == checkpoint.Digest(d.ruleset.charter, d.ruleset.lease.Version()); fits {
-		customers = d.policy.Recollect(c.Estate, peersKnow)
+	if fits = c.Digest == checkpoint.Digest(d.ruleset.charter, d.ruleset.lease.Version()); fits {
+		customers = d.policy.Recollect(c.State, peersKnow)
 	}
 	d.flushAndUnlock()
 	d.checkpointStats.Restored.Add(int64(customers))
@@ -39,15 +39,15 @@
 // WriteCheckpoints writes checkpoints of the state that decays from here on, until Stop or HandOff, and
 // closes the book then. latest gives the peers' newest messages. A checkpoint is taken in parts, so that
 // the lock is held for some microseconds at a time; it is encoded and written without the lock.
-func (d *Dispatcher) WriteCheckpoints(b *checkpoint.Book,
+func (d *Dispatcher) WriteCheckpoints(b *checkpoint.Writer,
 	latest func([]incarnation.MessageID) []incarnation.MessageID) {
 	go d.checkpointLoop(b, latest)
 }
 
-func (d *Dispatcher) checkpointLoop(b *checkpoint.Book,
+func (d *Dispatcher) checkpointLoop(b *checkpoint.Writer,
 	latest func([]incarnation.MessageID) []incarnation.MessageID) {
 	defer b.Close()
-	var c checkpoint.Left
+	var c checkpoint.Snapshot
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for generation, idle := 0, false; ; {
@@ -57,16 +57,16 @@
 		case <-timer.C:
 		}
 		began := time.Now()
-		of, owner := d.snapshot(&c.Estate)
+		of, owner := d.snapshot(&c.State)
 		if !owner {
 			return
 		}
-		c.Words = latest(c.Words)
+		c.LastMessages = latest(c.LastMessages)
 		if generation != of.generation {
 			generation, idle = of.generation, false
-			c.Of = checkpoint.Digest(of.charter, of.rulesetVersion)
+			c.Digest = checkpoint.Digest(of.charter, of.rulesetVersion)
 		}
-		if empty := len(c.Estate.Customers) == 0; !empty || !idle { // an empty state is written once
+		if empty := len(c.State.Customers) == 0; !empty || !idle { // an empty state is written once
 			if err := b.Write(&c); err != nil {
 				d.checkpointStats.Failed.Add(1)
 			} else {
--- a/internal/gateway/proxy/dispatcher.go
+++ b/internal/gateway/proxy/dispatcher.go
@@ -178,7 +178,7 @@
 	r.Attempts = append(r.Attempts, attempt)
 	r.Outstanding++
 	if d.crash.file != nil && v.Full > 0 { // before it can be sent
-		d.crash.file.Spend(r.Customer, r.Plan, v.Full, d.clock.now())
+		d.crash.file.RecordSpent(r.Customer, r.Plan, v.Full, d.clock.now())
 	}
 	r.Commands <- inflight.Command{Decision: *v, Upstream: d.workers.Upstream(v.Worker), Attempt: attempt,
 		Lease: d.ruleset.lease}
--- a/internal/gateway/proxy/handoff.go
+++ b/internal/gateway/proxy/handoff.go
@@ -38,15 +38,15 @@
 func (d *Dispatcher) AttachCrashState(f *crashstate.File, left *policy.Residue) {
 	d.lockPolicy()
 	// What was spent under another version's rate limits is not restored.
-	if left != nil && (d.ruleset.lastVersion == 0 || d.ruleset.lastVersion == f.Rules()) {
+	if left != nil && (d.ruleset.lastVersion == 0 || d.ruleset.lastVersion == f.RulesVersion()) {
 		d.policy.Remember(*left)
-		d.crash.restoredVersion = f.Rules()
+		d.crash.restoredVersion = f.RulesVersion()
 	}
 	if d.ruleset.lastVersion > 0 {
-		f.By(d.ruleset.lastVersion)
+		f.SetRulesVersion(d.ruleset.lastVersion)
 	}
 	base, spent := d.policy.Residue()
-	f.Inherit(base, spent, d.clock.now())
+	f.Import(base, spent, d.clock.now())
 	d.crash.file = f
 	d.flushAndUnlock()
 }
@@ -54,7 +54,7 @@
 // discardCrashState voids the crash state, under the lock: another process spends from here on.
 func (d *Dispatcher) discardCrashState() {
 	if d.crash.file != nil {
-		d.crash.file.Void()
+		d.crash.file.Invalidate()
 		d.crash.file = nil
 	}
 }
--- a/internal/gateway/proxy/ruleset.go
+++ b/internal/gateway/proxy/ruleset.go
@@ -48,9 +48,9 @@
 		d.ruleset.lastVersion = lease.RulesetVersion
 	}
 	if d.crash.file != nil { // its figures are relative to the rate limits
-		d.crash.file.By(d.ruleset.lastVersion)
+		d.crash.file.SetRulesVersion(d.ruleset.lastVersion)
 		base, spent := d.policy.Residue()
-		d.crash.file.Inherit(base, spent, d.clock.now())
+		d.crash.file.Import(base, spent, d.clock.now())
 	}
 	return true
 }
--- a/internal/gateway/proxy/wake.go
+++ b/internal/gateway/proxy/wake.go
@@ -33,7 +33,7 @@
 	now := d.lockPolicy()
 	if d.crash.file != nil {
 		window, press, pace := d.policy.Pressure()
-		d.crash.file.Pressed(window, press, pace, now)
+		d.crash.file.RecordLoad(window, press, pace, now)
 	}
 	d.watched = d.watched[:0]
 	for _, r := range d.requests.byID {
--- a/internal/gateway/recovery/bootstrap/golden_test.go
+++ b/internal/gateway/recovery/bootstrap/golden_test.go
@@ -1,4 +1,4 @@
-package bootstrap_test // ops imports warm
+package bootstrap_test // package admin imports bootstrap
 
 import (
 	"bytes"
@@ -12,11 +12,9 @@
 	"willowdeck/internal/testkit/goldenform"
 )
 
-// The golden file was written once, at commit d6a566a, by a test that was not kept: it is what
-// endpoints.Append
-// made of goldenList, as an instance tells it to a newcomer of perhaps another version. It is never written
+// goldenList is what list.json holds. The golden file was written once by endpoints.Append, at commit
+// d6a566a, as an instance sends it to a starting peer of perhaps another version. It is never written
 // again.
-
 func goldenList() endpoints.List {
 	at := netip.MustParseAddrPort("127.0.0.9:80")
 	return endpoints.List{Version: 41, Whole: true, Workers: []endpoints.Worker{
@@ -34,10 +32,10 @@
 	}
 }
 
-// Names and numbers that instances of other versions go by.
+// TestGoldenNames guards the paths, headers and numbers that instances of other versions rely on.
 func TestGoldenNames(t *testing.T) {
-	if bootstrap.Version != 1 {
-		t.Errorf("the version of what instances tell each other is %d, want 1", bootstrap.Version)
+	if bootstrap.ProtocolVersion != 1 {
+		t.Errorf("the protocol version is %d, want 1", bootstrap.ProtocolVersion)
 	}
 	for got, want := range map[string]string{admin.ListPath: "/admin/list", admin.WordPath: "/admin/word",
 		admin.VersionHeader: "X-Willowdeck-Version", admin.AgeHeader: "X-Age-Ms"} {
--- a/internal/gateway/recovery/bootstrap/registry.go
+++ b/internal/gateway/recovery/bootstrap/registry.go
@@ -1,6 +1,3 @@
-// Package bootstrap is what a newcomer goes by for its list of workers until discovery has spoken to it: its
-// own
-// list, and what running instances say of theirs. It decides what of that is believed, and is free of I/O.
 package bootstrap
 
 import (
@@ -11,194 +8,204 @@
 	"willowdeck/internal/ruleset"
 )
 
+// Bounds of the exchange with peers.
 const (
-	Version   = 1        // of what instances tell each other; another one is not heard
-	Peers     = 3        // instances that are asked; one may be down and one wrong
-	AskWithin = 300.0    // ms for one to answer; a list takes some ms
-	AskAgain  = 500.0    // ms until they are asked again while discovery says nothing, with jitter of half
-	MostAge   = 60000.0  // ms since a peer last heard discovery; longer ago its list is no news to anyone
-	LagFor    = 1000.0   // ms behind another's list until others are asked; news comes to all within less
-	LongestOf = 32 << 20 // bytes of a peer's list; discovery's own bound
+	ProtocolVersion      = 1        // of the exchange between instances; a peer with another version is ignored
+	MaxPeers             = 3        // instances that are asked; one may be down and one wrong
+	RequestTimeoutMillis = 300.0    // for one peer's answer; a list takes some ms
+	RetryIntervalMillis  = 500.0    // until peers are asked again; the caller adds jitter
+	MaxAgeMillis         = 60000.0  // since discovery last answered the peer; an older list is rejected
+	LagToleranceMillis   = 1000.0   // behind a peer's index until peers are asked; updates reach all within less
+	MaxListBytes         = 32 << 20 // of a peer's list; the bound of discovery's own
 )
 
-// Book is a newcomer's knowledge of the list. It is not safe for concurrent use.
-type Book struct {
-	version int64
-	own     map[string]endpoints.Worker // as discovery has told it, or as it was known at the start
-	heard   bool                        // discovery has spoken in this life
-	at      float64                     // when it last did, ms
-	hearsay endpoints.List              // the newest of peers' lists that is gone by
-	inForce bool
-	words   []ruleset.WorkerOverride // the operators', which hold over any list
-	highest int64                    // index that any instance is told to have
-	since   float64                  // when it first was higher than the own one, ms; 0 where it is not
-	behind  bool                     // it has been for long
+// Registry is a starting instance's knowledge of the workers. It is not safe for concurrent use; times are
+// ms of the caller's clock.
+type Registry struct {
+	version             int64
+	local               map[string]endpoints.Worker // by name, from discovery or as known at the start
+	discoveryAnswered   bool                        // discovery has answered this process
+	discoveryAnsweredAt float64                     // when it last did, ms
+	peerList            endpoints.List              // the newest accepted list of a peer
+	usesPeerList        bool
+	overrides           []ruleset.WorkerOverride // of operators; they apply to any list
+	highestIndex        int64                    // of the discovery indexes that any instance is known to have
+	behindSince         float64                  // since when it is higher than version, ms; 0 where it is not
+	lagging             bool                     // it has been for more than LagToleranceMillis
 }
 
-// NewBook begins with the list that was known at the start, which may be old.
-func NewBook(known endpoints.List) *Book {
-	b := &Book{own: map[string]endpoints.Worker{}}
-	b.take(known)
-	return b
+// NewRegistry returns a Registry with the list that was known at the start, which may be old.
+func NewRegistry(known endpoints.List) *Registry {
+	r := &Registry{local: map[string]endpoints.Worker{}}
+	r.apply(known)
+	return r
 }
 
-func (b *Book) take(l endpoints.List) {
-	if l.Whole {
-		clear(b.own)
+// apply applies a full list or a change to the local list.
+func (r *Registry) apply(update endpoints.List) {
+	if update.Whole {
+		clear(r.local)
 	}
-	for _, w := range l.Workers {
+	for _, w := range update.Workers {
 		if w.Gone {
-			delete(b.own, w.Name)
+			delete(r.local, w.Name)
 		} else {
-			b.own[w.Name] = w
+			r.local[w.Name] = w
 		}
 	}
-	b.version = l.Version
+	r.version = update.Version
 }
 
-// Discovery takes discovery's news, and gives what is to be gone by from then on: the news itself or, where
-// hearsay was in force till then, the whole list.
-func (b *Book) Discovery(l endpoints.List, now float64) endpoints.List {
-	b.take(l)
-	if whole, changed := b.Alive(now); changed {
-		return whole
-	} else if b.inForce {
-		whole, _ = b.merged(b.hearsay)
-		return b.ruled(whole)
+// ApplyDiscovery applies an update from discovery and returns what the instance has to apply: the update
+// itself or, where a peer's list was in use until now, the full list.
+func (r *Registry) ApplyDiscovery(update endpoints.List, nowMillis float64) endpoints.List {
+	r.apply(update)
+	if full, changed := r.DiscoveryAlive(nowMillis); changed {
+		return full
+	} else if r.usesPeerList {
+		full, _ = r.mergePeerList(r.peerList)
+		return r.withOverrides(full)
 	}
-	return b.ruled(l)
+	return r.withOverrides(update)
 }
 
-// Lags takes the highest index that any instance is told to have, and tells whether the own list has been
-// behind it for so long that others are to be asked, though discovery goes on being heard: what it says is
-// old.
-func (b *Book) Lags(highest int64, now float64) bool {
-	b.highest = highest
+// ObserveIndex takes the highest discovery index that any instance is known to have, and reports whether
+// the local list has been behind it for more than LagToleranceMillis. Peers are then asked although
+// discovery answers, since its answers are old.
+func (r *Registry) ObserveIndex(highestIndex int64, nowMillis float64) bool {
+	r.highestIndex = highestIndex
 	switch {
-	case highest <= b.version:
-		b.since = 0
-	case b.since == 0:
-		b.since = now
+	case highestIndex <= r.version:
+		r.behindSince = 0
+	case r.behindSince == 0:
+		r.behindSince = nowMillis
 	}
-	b.behind = b.since > 0 && now-b.since > LagFor
-	return b.behind
+	r.lagging = r.behindSince > 0 && nowMillis-r.behindSince > LagToleranceMillis
+	return r.lagging
 }
 
-// Words takes the operators' words on workers and halls, in place of those before, and gives the whole list
-// that is to be gone by.
-func (b *Book) Words(all []ruleset.WorkerOverride) endpoints.List {
-	b.words = all
-	if b.inForce {
-		l, _ := b.merged(b.hearsay)
-		return b.ruled(l)
+// SetOverrides replaces the operators' overrides of workers and regions, and returns the full list to
+// apply.
+func (r *Registry) SetOverrides(overrides []ruleset.WorkerOverride) endpoints.List {
+	r.overrides = overrides
+	if r.usesPeerList {
+		l, _ := r.mergePeerList(r.peerList)
+		return r.withOverrides(l)
 	}
-	return b.ruled(b.Own())
+	return r.withOverrides(r.Local())
 }
 
-// ruled is a list as the operators' words leave it: a worker that is barred is not on it, one that is drained
-// drains, and the weight that is said last holds, that of a worker before that of its hall.
-func (b *Book) ruled(l endpoints.List) endpoints.List {
-	if len(b.words) == 0 {
+// withOverrides returns the list with the operators' overrides applied: a barred worker is gone, a drained
+// one is inactive, and the last weight given holds, that of a worker before that of its region.
+func (r *Registry) withOverrides(l endpoints.List) endpoints.List {
+	if len(r.overrides) == 0 {
 		return l
 	}
 	l.Workers = slices.Clone(l.Workers)
 	for i := range l.Workers {
 		w := &l.Workers[i]
-		own := 0.0
-		for _, x := range b.words {
-			if x.Worker != "" && x.Worker != w.Name || x.Region != "" && x.Region != w.Zone ||
-				x.Worker+x.Region == "" {
+		workerWeight := 0.0
+		for _, o := range r.overrides {
+			if o.Worker != "" && o.Worker != w.Name || o.Region != "" && o.Region != w.Zone ||
+				o.Worker+o.Region == "" {
 				continue
 			}
-			w.Active = w.Active && !x.Drained && !x.Barred
-			w.Gone = w.Gone || x.Barred
-			if x.Weight > 0 && x.Worker != "" {
-				own = x.Weight
-			} else if x.Weight > 0 {
-				w.Rating = x.Weight
+			w.Active = w.Active && !o.Drained && !o.Barred
+			w.Gone = w.Gone || o.Barred
+			if o.Weight > 0 && o.Worker != "" {
+				workerWeight = o.Weight
+			} else if o.Weight > 0 {
+				w.Rating = o.Weight
 			}
 		}
-		if own > 0 {
-			w.Rating = own
+		if workerWeight > 0 {
+			w.Rating = workerWeight
 		}
 	}
 	return l
 }
 
-// Version gives the index of the list that discovery has told, or that was known at the start.
-func (b *Book) Version() int64 { return b.version }
+// Version returns the discovery index of the local list: that of discovery's latest update, or of the list
+// known at the start.
+func (r *Registry) Version() int64 { return r.version }
 
-// Alive notes that discovery is heard, whether it has news or not. Hearsay ends with that: where it was in
-// force, the whole list is to be gone by again.
-func (b *Book) Alive(now float64) (endpoints.List, bool) {
-	b.heard, b.at = true, now
-	b.Lags(b.highest, now)
-	if !b.inForce || b.behind && b.hearsay.Version > b.version {
+// DiscoveryAlive records that discovery has answered, with or without an update. That ends the use of a
+// peer's list: where one was in use and is no longer, it returns the full local list to apply, and true.
+func (r *Registry) DiscoveryAlive(nowMillis float64) (endpoints.List, bool) {
+	r.discoveryAnswered, r.discoveryAnsweredAt = true, nowMillis
+	r.ObserveIndex(r.highestIndex, nowMillis)
+	if !r.usesPeerList || r.lagging && r.peerList.Version > r.version {
 		return endpoints.List{}, false
 	}
-	b.inForce, b.hearsay = false, endpoints.List{}
-	return b.ruled(b.Own()), true
+	r.usesPeerList, r.peerList = false, endpoints.List{}
+	return r.withOverrides(r.Local()), true
 }
 
-// Own gives the list without hearsay, in the order of names.
-func (b *Book) Own() endpoints.List {
-	l := endpoints.List{Version: b.version, Whole: true}
-	for _, w := range b.own {
+// Local returns the local list, without a peer's, sorted by name and without overrides.
+func (r *Registry) Local() endpoints.List {
+	l := endpoints.List{Version: r.version, Whole: true}
+	for _, w := range r.local {
 		l.Workers = append(l.Workers, w)
 	}
 	slices.SortFunc(l.Workers, func(x, y endpoints.Worker) int { return strings.Compare(x.Name, y.Name) })
 	return l
 }
 
-// Tells gives what a newcomer may be told, and how old it is: only what discovery has said in this life.
-// Guards against hearsay that goes round.
-func (b *Book) Tells(now float64) (l endpoints.List, age float64, ok bool) {
-	if !b.heard {
+// Shared returns the list that a starting peer may be given, and its age: only what discovery has sent to
+// this process, so that lists learned from peers never circulate. It is false before discovery has
+// answered.
+func (r *Registry) Shared(nowMillis float64) (l endpoints.List, ageMillis float64, ok bool) {
+	if !r.discoveryAnswered {
 		return l, 0, false
 	}
-	return b.Own(), now - b.at, true
+	return r.Local(), nowMillis - r.discoveryAnsweredAt, true
 }
 
-// Waits tells whether discovery has not spoken yet, or speaks of old.
-func (b *Book) Waits() bool { return !b.heard || b.behind && b.hearsay.Version < b.highest }
-
-// Heard tells whether discovery has spoken in this life.
-func (b *Book) Heard() bool { return b.heard }
+// NeedsPeers reports whether peers have to be asked: discovery has not answered yet, or its answers are
+// old.
+func (r *Registry) NeedsPeers() bool {
+	return !r.discoveryAnswered || r.lagging && r.peerList.Version < r.highestIndex
+}
 
-// Peer takes a peer's list, of an age, and gives the whole list that is to be gone by if that changes it.
-// Own sight beats hearsay: once discovery has spoken nothing is believed, unless what it says is known to
-// lag. Newer beats older, by discovery's own versions. And hearsay only takes away, or adds what is not
-// known here: guards against a peer that is wrong about a worker that drains, which must get nothing new
-// whatever anybody else says. Nor may it take all away.
-func (b *Book) Peer(l endpoints.List, age float64) (endpoints.List, bool) {
-	if b.heard && !b.behind || !l.Whole || l.Version <= max(b.version, b.hearsay.Version) || !(age >= 0) ||
-		age > MostAge {
+// DiscoveryAnswered reports whether discovery has answered this process.
+func (r *Registry) DiscoveryAnswered() bool { return r.discoveryAnswered }
+
+// ApplyPeerList takes a peer's list and its age, and returns the full list to apply and true if it is
+// accepted. A peer's list is accepted only before discovery has answered, or while discovery's answers are
+// known to be old; it has to be full, newer by discovery's index than the lists known, and not older than
+// MaxAgeMillis. It can make workers inactive, and add unknown ones, but it never activates a worker that
+// is known to drain: a wrong peer must not send it new requests. A list without an active worker is
+// rejected.
+func (r *Registry) ApplyPeerList(peerList endpoints.List, ageMillis float64) (endpoints.List, bool) {
+	if r.discoveryAnswered && !r.lagging || !peerList.Whole ||
+		peerList.Version <= max(r.version, r.peerList.Version) || !(ageMillis >= 0) ||
+		ageMillis > MaxAgeMillis {
 		return endpoints.List{}, false
 	}
-	merged, active := b.merged(l)
+	merged, active := r.mergePeerList(peerList)
 	if !active {
 		return endpoints.List{}, false
 	}
-	b.hearsay, b.inForce = l, true
-	return b.ruled(merged), true
+	r.peerList, r.usesPeerList = peerList, true
+	return r.withOverrides(merged), true
 }
 
-// merged is the list that hearsay makes of the own one, and whether any worker on it takes submissions.
-func (b *Book) merged(l endpoints.List) (merged endpoints.List, active bool) {
-	merged = endpoints.List{Version: b.version, Whole: true}
-	for _, w := range l.Workers {
+// mergePeerList returns the local list merged with a peer's, and whether any worker on it is active.
+func (r *Registry) mergePeerList(peerList endpoints.List) (mergePeerList endpoints.List, active bool) {
+	mergePeerList = endpoints.List{Version: r.version, Whole: true}
+	for _, w := range peerList.Workers {
 		if w.Gone {
 			continue
 		}
-		if own, known := b.own[w.Name]; known {
+		if own, known := r.local[w.Name]; known {
 			w.Active = w.Active && own.Active
-			w.Since = max(w.Since, own.Since) // of two starts the later one, so that it counts as cold
+			w.Since = max(w.Since, own.Since) // the later of two starts, so that it gets a slow start
 			if !w.Active {
 				w.Address = own.Address
 			}
 		}
 		active = active || w.Active
-		merged.Workers = append(merged.Workers, w)
+		mergePeerList.Workers = append(mergePeerList.Workers, w)
 	}
-	return merged, active
+	return mergePeerList, active
 }
--- a/internal/gateway/recovery/bootstrap/registry_bench_test.go
+++ b/internal/gateway/recovery/bootstrap/registry_bench_test.go
@@ -12,9 +12,9 @@
 
 var sizes = []int{200, 2000, 6000, 20000, 60000, 110000}
 
-func vast(n int) endpoints.List {
+func largeList(workers int) endpoints.List {
 	l := endpoints.List{Whole: true}
-	for i := range n {
+	for i := range workers {
 		l.Workers = append(
 			l.Workers,
 			endpoints.Worker{Name: fmt.Sprint("worker-", i), Zone: fmt.Sprint("z", i/7900),
@@ -25,41 +25,41 @@
 	return l
 }
 
-// BenchmarkChange is one worker's change from discovery.
-func BenchmarkChange(b *testing.B) {
+// BenchmarkApplyDiscovery applies a change of one worker.
+func BenchmarkApplyDiscovery(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := vast(n)
-			k := NewBook(l)
+			l := largeList(n)
+			registry := NewRegistry(l)
 			for i := 0; b.Loop(); i++ {
-				k.Discovery(endpoints.List{Version: int64(i), Workers: l.Workers[i%n : i%n+1]}, 1)
+				registry.ApplyDiscovery(endpoints.List{Version: int64(i), Workers: l.Workers[i%n : i%n+1]}, 1)
 			}
 		})
 	}
 }
 
-// BenchmarkWords is so many of the operators' words on workers, in force over all of them.
-func BenchmarkWords(b *testing.B) {
+// BenchmarkSetOverrides replaces the overrides of so many workers.
+func BenchmarkSetOverrides(b *testing.B) {
 	for _, words := range []int{0, 1, 32, 1024} {
 		for _, n := range sizes {
 			if words > n {
 				continue
 			}
 			b.Run(fmt.Sprintf("words-%d/%d", words, n), func(b *testing.B) {
-				k := NewBook(vast(n))
+				registry := NewRegistry(largeList(n))
 				var all []ruleset.WorkerOverride
 				for i := range words {
 					all = append(all, ruleset.WorkerOverride{Worker: fmt.Sprint("worker-", i), Weight: 2})
 				}
 				for b.Loop() {
-					k.Words(all)
+					registry.SetOverrides(all)
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkMemory gives the bytes of the heap that a book keeps, beside the list's own texts.
+// BenchmarkMemory reports the heap that a Registry retains per worker, beside the list's own strings.
 func BenchmarkMemory(b *testing.B) {
 	heap := func() float64 {
 		var m runtime.MemStats
@@ -70,13 +70,13 @@
 	}
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l := vast(n)
+			l := largeList(n)
 			for range b.N {
 				before := heap()
-				k := NewBook(l)
-				kept := heap() - before
-				runtime.KeepAlive(k)
-				b.ReportMetric(kept/float64(n), "B/each")
+				registry := NewRegistry(l)
+				retained := heap() - before
+				runtime.KeepAlive(registry)
+				b.ReportMetric(retained/float64(n), "B/each")
 			}
 		})
 	}
--- a/internal/gateway/recovery/checkpoint/checkpoint.go
+++ b/internal/gateway/recovery/checkpoint/checkpoint.go
@@ -1,8 +1,3 @@
-// Package checkpoint keeps a copy of what fades in a gatekeeper's estate beside its residue: quotas, demand,
-// and what peers said. It is a file of two slots that are written in turn, each with its place in the
-// sequence, its length and a checksum: a process that is killed in the middle of a write leaves the other
-// slot. It is not synced to disk, as what a process has written outlives it, and nothing here outlives the
-// machine.
 package checkpoint
 
 import (
@@ -23,233 +18,242 @@
 )
 
 const (
-	version  = 1
-	slot     = 4 << 20 // bytes; 16,384 customers and 65,536 reports of peers have room. Disk is used as needed
-	header   = 128     // of a slot
-	perOne   = 24 + 17*8
-	perPeer  = 48
-	perWord  = 16
-	most     = (slot - header) / 4 // bytes of peers' reports; those beyond are left out
-	step     = 50.0                // ms by which the system's clock may leave the machine's own
-	atOrder  = 8                   // the fields of a header, by their place: the sequence,
-	atLength = 16                  // bytes after the header,
-	atUp     = 24                  // how long the machine was up, ms,
-	atSum    = 32                  // the checksum of all but itself; four bytes,
-	atDigest = 40                  // of what it depends on; 32 bytes,
-	atBoot   = 72                  // and the mark of the machine's start; 56 bytes
+	version        = 1
+	slotSize       = 4 << 20 // bytes; room for 16,384 customers and 65,536 reports. The file is sparse
+	headerSize     = 128     // bytes of a slot's header
+	customerSize   = 24 + 17*8
+	peerSize       = 48
+	reportSize     = 16
+	maxReportBytes = (slotSize - headerSize) / 4 // bytes of peers' reports; those beyond are left out
+	maxClockDrift  = 50.0                        // ms between clock and uptime; more is a clock that was set
+	offsetSequence = 8                           // offsets of the header's fields: sequence number,
+	offsetLength   = 16                          // bytes after the header,
+	offsetUptime   = 24                          // uptime when it was written, ms,
+	offsetChecksum = 32                          // of all other bytes; four bytes,
+	offsetDigest   = 40                          // see Digest; 32 bytes,
+	offsetBootID   = 72                          // of the machine; 56 bytes
 )
 
 var (
-	magic = binary.LittleEndian.Uint64([]byte("willowi" + string(rune('0'+version))))
-	order = binary.LittleEndian
-	table = crc32.MakeTable(crc32.Castagnoli)
+	magic      = binary.LittleEndian.Uint64([]byte("willowi" + string(rune('0'+version))))
+	byteOrder  = binary.LittleEndian
+	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Why nothing can be gone by.
+// Why there is no snapshot to restore. Open returns the first, second and last; the caller finds the third.
 var (
-	ErrNone    = errors.New("inventory: there is none")
-	ErrSpoilt  = errors.New("inventory: spoilt, cut or of another version")
-	ErrCharter = errors.New("inventory: of another charter, or other rules")
-	ErrMachine = errors.New("inventory: of another start of the machine")
+	ErrNotFound       = errors.New("checkpoint: not found")
+	ErrCorrupt        = errors.New("checkpoint: corrupt, truncated or of another version")
+	ErrDigestMismatch = errors.New("checkpoint: of another charter or ruleset")
+	ErrOtherBoot      = errors.New("checkpoint: of another boot of the machine")
 )
 
-// Left is a copy: of the estate what policy.Copy gives, and the last word heard of each peer, by its number.
-// By these a new life knows which peers have returned while it was away; without, what such a peer told in
-// its former life would count beside what it tells now.
-type Left struct {
-	Estate policy.Estate
-	Words  []incarnation.MessageID // none of those that were not heard
-	Of     [32]byte                // the digest of what it depends on, as it was written
+// Snapshot is the content of a checkpoint: the policy's state that decays, and the ID of the newest
+// message of each peer, by the peer's index. The IDs show a restarted process which peers were themselves
+// replaced while it was down; what such a peer reported in its former incarnation would otherwise be
+// counted twice.
+type Snapshot struct {
+	State        policy.Estate
+	LastMessages []incarnation.MessageID // zero for a peer that has sent nothing
+	Digest       [32]byte                // of what the snapshot depends on, when it was written
 }
 
-// Digest stands for all that a copy depends on: a charter, and the version of the agreed rules that brought
-// it; 0 where none are agreed on.
-func Digest(c policy.Charter, rules uint64) [32]byte {
-	return sha256.Sum256(fmt.Append(nil, rules, c.Me, c.Gatekeepers, c.LargestUnits, c.PeerInPerS,
-		c.ReportsPerTell, c.Narrow, c.Plans))
+// Digest identifies everything that a snapshot depends on: the charter, and the version of the ruleset
+// that brought it; 0 where there is none. It covers the printed values of charter.Plans: the order of
+// their fields must not change.
+func Digest(charter policy.Charter, rulesVersion uint64) [32]byte {
+	return sha256.Sum256(fmt.Append(nil, rulesVersion, charter.Me, charter.Gatekeepers, charter.LargestUnits,
+		charter.PeerInPerS,
+		charter.ReportsPerTell, charter.Narrow, charter.Plans))
 }
 
-// file is where copies go; another in tests.
-type file interface {
+// slotFile is what a Writer writes to; tests replace it.
+type slotFile interface {
 	io.WriterAt
 	io.Closer
 }
 
-// Book writes copies. It is not safe for concurrent use.
-type Book struct {
-	f    file
-	mark []byte
-	next uint64 // in the sequence
-	b    []byte
+// Writer writes checkpoints. It is not safe for concurrent use.
+type Writer struct {
+	file         slotFile
+	bootID       []byte
+	nextSequence uint64 // sequence number of the next checkpoint
+	buffer       []byte
 }
 
-var machine = boot // another in tests
+var readBoot = readMachineBoot // replaced in tests
 
-// boot gives what tells one start of the machine from another, and how many ms ago that was.
-func boot() (mark []byte, up float64, err error) {
-	if mark, err = os.ReadFile("/proc/sys/kernel/random/boot_id"); err != nil {
+// readMachineBoot returns the kernel's boot ID and the uptime.
+func readMachineBoot() (bootID []byte, uptimeMillis float64, err error) {
+	if bootID, err = os.ReadFile("/proc/sys/kernel/random/boot_id"); err != nil {
 		return nil, 0, err
 	}
-	up, err = uptime()
-	return bytes.TrimSpace(mark), up, err
+	uptimeMillis, err = uptime()
+	return bytes.TrimSpace(bootID), uptimeMillis, err
 }
 
-// uptime is how long the machine has been up, ms, however its clock was set.
+// uptime returns the machine's uptime in ms, which does not change when the system clock is set.
 func uptime() (float64, error) {
 	var t unix.Timespec
 	err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
 	return float64(t.Nano()) / 1e6, err
 }
 
-// Open begins a file of copies at a path, and gives the newest whole copy of a former life with its times in
-// this one's, now being Unix ms; none says why there is nothing to go by. Whether it is of the charter in
-// force is its reader's to see. The file is a new one in the former's place, with that copy in it: a process
-// that yet writes the former is not heard. An error tells that no copies can be kept.
-func Open(path string, now float64) (b *Book, l *Left, none, err error) {
-	mark, up, err := machine()
+// Open creates a checkpoint file at path and returns the newest valid snapshot of the file that was there,
+// with its times converted to this process's clock; now is Unix ms. Where snapshot is nil, rejected says
+// why: ErrNotFound, ErrCorrupt or ErrOtherBoot. The caller compares the snapshot's digest with that in
+// force. The file is a new one that holds that snapshot and replaces the former: a process that still
+// writes to the former is ignored. An error means that no checkpoints can be kept.
+func Open(path string, now float64) (writer *Writer, snapshot *Snapshot, rejected, err error) {
+	bootID, uptimeMillis, err := readBoot()
 	if err != nil {
-		return nil, nil, nil, fmt.Errorf("inventory: %w", err)
+		return nil, nil, nil, fmt.Errorf("checkpoint: %w", err)
 	}
-	b = &Book{mark: mark}
-	raw, none := newest(path)
-	if none == nil {
-		l, none = read(raw, mark, up, now)
+	writer = &Writer{bootID: bootID}
+	slot, rejected := newestSlot(path)
+	if rejected == nil {
+		snapshot, rejected = decodeSlot(slot, bootID, uptimeMillis, now)
 	}
-	if none != nil {
-		raw, l = nil, nil
+	if rejected != nil {
+		slot, snapshot = nil, nil
 	}
-	fresh := path + ".new"
-	if err = os.Remove(fresh); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return nil, nil, nil, fmt.Errorf("inventory: %w", err)
+	temporary := path + ".new"
+	if err = os.Remove(temporary); err != nil && !errors.Is(err, os.ErrNotExist) {
+		return nil, nil, nil, fmt.Errorf("checkpoint: %w", err)
 	}
-	f, err := os.OpenFile(fresh, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
+	file, err := os.OpenFile(temporary, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
-		return nil, nil, nil, fmt.Errorf("inventory: %w", err)
+		return nil, nil, nil, fmt.Errorf("checkpoint: %w", err)
 	}
-	if b.f = f; raw != nil {
-		at := order.Uint64(raw[atOrder:])
-		b.next = at + 1
-		_, err = f.WriteAt(raw, int64(at%2)*slot)
+	if writer.file = file; slot != nil {
+		sequence := byteOrder.Uint64(slot[offsetSequence:])
+		writer.nextSequence = sequence + 1
+		_, err = file.WriteAt(slot, int64(sequence%2)*slotSize)
 	}
 	if err == nil {
-		err = os.Rename(fresh, path)
+		err = os.Rename(temporary, path)
 	}
 	if err != nil {
-		_ = f.Close()
-		return nil, nil, nil, fmt.Errorf("inventory: %w", err)
+		_ = file.Close()
+		return nil, nil, nil, fmt.Errorf("checkpoint: %w", err)
 	}
-	return b, l, none, nil
+	return writer, snapshot, rejected, nil
 }
 
-// newest gives the slot that was written last of those that are whole.
-func newest(path string) (b []byte, none error) {
-	f, err := os.Open(path)
+// newestSlot returns the valid slot with the highest sequence number.
+func newestSlot(path string) (newest []byte, rejected error) {
+	file, err := os.Open(path)
 	if err != nil {
-		return nil, ErrNone
+		return nil, ErrNotFound
 	}
-	defer f.Close()
-	if info, err := f.Stat(); err == nil && info.Size() == 0 { // its life was over before its first copy
-		return nil, ErrNone
+	defer func() { _ = file.Close() }()
+	if info, err := file.Stat(); err == nil && info.Size() == 0 { // its process wrote no checkpoint
+		return nil, ErrNotFound
 	}
 	for i := range uint64(2) {
-		s := make([]byte, header)
-		if _, err := f.ReadAt(s, int64(i)*slot); err != nil || order.Uint64(s) != magic {
+		slot := make([]byte, headerSize)
+		if _, err := file.ReadAt(slot, int64(i)*slotSize); err != nil || byteOrder.Uint64(slot) != magic {
 			continue
 		}
-		at, n := order.Uint64(s[atOrder:]), order.Uint64(s[atLength:])
-		if at%2 != i || n > slot-header || b != nil && order.Uint64(b[atOrder:]) > at {
+		sequence, length := byteOrder.Uint64(slot[offsetSequence:]), byteOrder.Uint64(slot[offsetLength:])
+		if sequence%2 != i || length > slotSize-headerSize || newest != nil &&
+			byteOrder.Uint64(newest[offsetSequence:]) > sequence {
 			continue
 		}
-		s = append(s, make([]byte, n)...)
-		if _, err := f.ReadAt(s[header:], int64(i)*slot+header); err == nil && order.Uint32(s[atSum:]) == sum(s) {
-			b = s
+		slot = append(slot, make([]byte, length)...)
+		if _, err := file.ReadAt(slot[headerSize:], int64(i)*slotSize+headerSize); err == nil &&
+			byteOrder.Uint32(slot[offsetChecksum:]) == checksum(slot) {
+			newest = slot
 		}
 	}
-	if b == nil {
-		return nil, ErrSpoilt
+	if newest == nil {
+		return nil, ErrCorrupt
 	}
-	return b, nil
+	return newest, nil
 }
 
-// sum is the checksum of a slot but for the place that it has there.
-func sum(s []byte) uint32 {
-	return crc32.Update(crc32.Checksum(s[:atSum], table), table, s[atSum+4:])
+// checksum returns the checksum of a slot without its checksum field.
+func checksum(slot []byte) uint32 {
+	return crc32.Update(crc32.Checksum(slot[:offsetChecksum], castagnoli), castagnoli, slot[offsetChecksum+4:])
 }
 
-// read takes a slot. Guards against a clock that was set meanwhile: its age is by the machine's uptime, and
-// what moved the clock moves the times.
-func read(s []byte, mark []byte, up, now float64) (*Left, error) {
-	then := math.Float64frombits(order.Uint64(s[atUp:]))
-	if !bytes.Equal(bytes.TrimRight(s[atBoot:header], "\x00"), mark) || !(then <= up) {
-		return nil, ErrMachine
+// decodeSlot decodes a slot. Its age follows from the machine's uptime; if the system clock was set
+// meanwhile, all times are shifted by as much.
+func decodeSlot(slot []byte, bootID []byte, uptimeMillis, now float64) (*Snapshot, error) {
+	writtenUptime := math.Float64frombits(byteOrder.Uint64(slot[offsetUptime:]))
+	if !bytes.Equal(bytes.TrimRight(slot[offsetBootID:headerSize], "\x00"), bootID) ||
+		!(writtenUptime <= uptimeMillis) {
+		return nil, ErrOtherBoot
 	}
-	l := &Left{Of: [32]byte(s[atDigest:])}
-	e, d := &l.Estate, decoder{b: s[header:]}
-	if d.left(l); d.bad || len(d.b) > 0 {
-		return nil, ErrSpoilt
+	snapshot := &Snapshot{Digest: [32]byte(slot[offsetDigest:])}
+	state, decoding := &snapshot.State, decoder{data: slot[headerSize:]}
+	if decoding.snapshot(snapshot); decoding.failed || len(decoding.data) > 0 {
+		return nil, ErrCorrupt
 	}
-	moved := now - (up - then) - e.At
-	if math.IsNaN(moved) || math.IsInf(moved, 0) {
-		return nil, ErrSpoilt
+	clockShift := now - (uptimeMillis - writtenUptime) - state.At
+	if math.IsNaN(clockShift) || math.IsInf(clockShift, 0) {
+		return nil, ErrCorrupt
 	}
-	if math.Abs(moved) >= step {
-		shift(e, moved)
+	if math.Abs(clockShift) >= maxClockDrift {
+		shiftTimes(state, clockShift)
 	}
-	return l, nil
+	return snapshot, nil
 }
 
-// shift moves all times but those that were never.
-func shift(e *policy.Estate, by float64) {
-	move := func(all ...*float64) {
-		for _, t := range all {
-			if *t != 0 {
-				*t += by
+// shiftTimes adds a number of ms to all times but those that are 0 (never).
+func shiftTimes(state *policy.Estate, by float64) {
+	shiftAll := func(times ...*float64) {
+		for _, time := range times {
+			if *time != 0 {
+				*time += by
 			}
 		}
 	}
-	move(&e.At, &e.Started, &e.NextTell)
-	for i := range e.Peers {
-		p := &e.Peers[i]
-		move(&p.Heard, &p.Told, &p.Owes, &p.Spoke)
+	shiftAll(&state.At, &state.Started, &state.NextTell)
+	for i := range state.Peers {
+		peer := &state.Peers[i]
+		shiftAll(&peer.Heard, &peer.Told, &peer.Owes, &peer.Spoke)
 	}
-	for i := range e.Customers {
-		c := &e.Customers[i]
-		move(&c.Filled, &c.Heard, &c.Seen, &c.CoolSince, &c.SaidAt, &c.Dealt)
+	for i := range state.Customers {
+		customer := &state.Customers[i]
+		shiftAll(&customer.Filled, &customer.Heard, &customer.Seen, &customer.CoolSince, &customer.SaidAt,
+			&customer.Dealt)
 	}
 }
 
-// Write puts a copy over the older of the two. An error tells that it is not whole; the other one is.
-func (b *Book) Write(l *Left) error {
-	up, err := uptime()
+// Write writes the snapshot over the older of the two slots. After an error that slot is invalid and the
+// other one stands.
+func (w *Writer) Write(snapshot *Snapshot) error {
+	uptimeMillis, err := uptime()
 	if err != nil {
-		return fmt.Errorf("inventory: %w", err)
+		return fmt.Errorf("checkpoint: %w", err)
 	}
-	return b.write(l, up)
+	return w.writeSlot(snapshot, uptimeMillis)
 }
 
-func (b *Book) write(l *Left, up float64) error {
-	if cap(b.b) < header {
-		b.b = make([]byte, header, header<<7)
-	}
-	s := b.b[:header]
-	clear(s)
-	s = encode(s, l)
-	if b.b = s; len(s) > slot {
-		return errors.New("inventory: a copy without end")
-	}
-	order.PutUint64(s, magic)
-	order.PutUint64(s[atOrder:], b.next)
-	order.PutUint64(s[atLength:], uint64(len(s)-header))
-	order.PutUint64(s[atUp:], math.Float64bits(up))
-	copy(s[atDigest:], l.Of[:])
-	copy(s[atBoot:header], b.mark)
-	order.PutUint32(s[atSum:], sum(s))
-	if _, err := b.f.WriteAt(s, int64(b.next%2)*slot); err != nil {
-		return fmt.Errorf("inventory: %w", err)
-	}
-	b.next++
+func (w *Writer) writeSlot(snapshot *Snapshot, uptimeMillis float64) error {
+	if cap(w.buffer) < headerSize {
+		w.buffer = make([]byte, headerSize, headerSize<<7)
+	}
+	slot := w.buffer[:headerSize]
+	clear(slot)
+	slot = encode(slot, snapshot)
+	if w.buffer = slot; len(slot) > slotSize {
+		return errors.New("checkpoint: snapshot is larger than a slot")
+	}
+	byteOrder.PutUint64(slot, magic)
+	byteOrder.PutUint64(slot[offsetSequence:], w.nextSequence)
+	byteOrder.PutUint64(slot[offsetLength:], uint64(len(slot)-headerSize))
+	byteOrder.PutUint64(slot[offsetUptime:], math.Float64bits(uptimeMillis))
+	copy(slot[offsetDigest:], snapshot.Digest[:])
+	copy(slot[offsetBootID:headerSize], w.bootID)
+	byteOrder.PutUint32(slot[offsetChecksum:], checksum(slot))
+	if _, err := w.file.WriteAt(slot, int64(w.nextSequence%2)*slotSize); err != nil {
+		return fmt.Errorf("checkpoint: %w", err)
+	}
+	w.nextSequence++
 	return nil
 }
 
-// Close lets the file go. What is in it stays.
-func (b *Book) Close() { _ = b.f.Close() }
+// Close closes the file. Its content stays.
+func (w *Writer) Close() { _ = w.file.Close() }
--- a/internal/gateway/recovery/checkpoint/checkpoint_test.go
+++ b/internal/gateway/recovery/checkpoint/checkpoint_test.go
@@ -19,157 +19,163 @@
 
 var digest = Digest(policy.Charter{Gatekeepers: 2, Plans: []policy.Plan{{Rate: 10, Burst: 20}}}, 3)
 
-func clock() float64 { return float64(time.Now().UnixMicro()) / 1000 }
+func unixMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-// some is a copy at a time, with so many customers whose levels say which copy it is.
-func some(at float64, customers int, says float64) *Left {
-	l := &Left{Of: digest, Words: []incarnation.MessageID{{}, {Incarnation: 7, Sequence: 8}}}
-	e := &l.Estate
-	*e = policy.Estate{At: at, Started: at - 9000, NextTell: at + 100, Tight: []float64{0.9},
+// snapshotAt is a snapshot at a time with so many customers, whose levels tell which snapshot it is.
+func snapshotAt(at float64, customers int, level float64) *Snapshot {
+	snapshot := &Snapshot{Digest: digest, LastMessages: []incarnation.MessageID{{},
+		{Incarnation: 7, Sequence: 8}}}
+	state := &snapshot.State
+	*state = policy.Estate{At: at, Started: at - 9000, NextTell: at + 100, Tight: []float64{0.9},
 		Stay: []float64{120}, Peers: []policy.Hearing{{}, {
 			Heard: at - 10, Told: at - 20, Owes: at - 30, Spoke: at - 40, Silent: true,
 			Last: []policy.Report{{Customer: 3, Demand: 7}, {Customer: 4, Plan: 1, Demand: 8}}}}}
 	for i := range customers {
-		e.Customers = append(e.Customers, policy.Customer{Key: uint64(i), Plan: i % 3, N: 2, First: 1, Txns: i,
-			Holding: 1, Level: says, Whole: 3, Filled: at - 1, Others: 4, Flow: 5, Held: 6, Heard: at - 2, Demand: 7,
+		state.Customers = append(state.Customers, policy.Customer{Key: uint64(i), Plan: i % 3, N: 2, First: 1,
+			Txns:    i,
+			Holding: 1, Level: level, Whole: 3, Filled: at - 1, Others: 4, Flow: 5, Held: 6, Heard: at - 2, Demand: 7,
 			Lately: 8, Seen: at - 3, CoolSince: at - 4, Unsaid: 9, Said: 10, SaidAt: at - 5, Known: 11, Hot: i%2 == 0,
 			Lag: 12, Dealt: at - 6})
 	}
-	return l
+	return snapshot
 }
 
-// open opens a book at a time by the wall clock, at which the machine has been up for so many ms.
-func open(t *testing.T, path string, now, up float64) (*Book, *Left, error) {
+// openAt opens a file at a time by the system clock, at which the machine has been up for so many ms.
+func openAt(t *testing.T, path string, now, uptimeMillis float64) (*Writer, *Snapshot, error) {
 	t.Helper()
-	machine = func() ([]byte, float64, error) { return []byte("m1"), up, nil }
-	t.Cleanup(func() { machine = boot })
-	b, e, none, err := Open(path, now)
+	readBoot = func() ([]byte, float64, error) { return []byte("m1"), uptimeMillis, nil }
+	t.Cleanup(func() { readBoot = readMachineBoot })
+	writer, snapshot, rejected, err := Open(path, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b, e, none
+	return writer, snapshot, rejected
 }
 
-// What was written last is there at the next start, and at the one after it if that is killed before its
-// first copy; a clock that was set meanwhile moves its times.
-func TestInventory(t *testing.T) {
-	path, now := filepath.Join(t.TempDir(), "copy"), clock()
-	b, e, none := open(t, path, now, 1e6)
-	if e != nil || none != ErrNone {
-		t.Fatalf("a first start has %+v, %v", e, none)
+// TestRestoreNewestSlot: the last checkpoint is there at the next start, and at the one after it if the
+// process is killed before its first checkpoint; a clock that was set meanwhile shifts its times.
+func TestRestoreNewestSlot(t *testing.T) {
+	path, now := filepath.Join(t.TempDir(), "copy"), unixMillis()
+	writer, snapshot, rejected := openAt(t, path, now, 1e6)
+	if snapshot != nil || rejected != ErrNotFound { //nolint:errorlint // the bare sentinel is wanted
+		t.Fatalf("a first start has %+v, %v", snapshot, rejected)
 	}
 	for i := range 3 {
-		if err := b.write(some(now+float64(i), 5, float64(i)), 1e6+float64(i)); err != nil {
+		if err := writer.writeSlot(snapshotAt(now+float64(i), 5, float64(i)), 1e6+float64(i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b.Close()
+	writer.Close()
 	for i := range 3 {
-		b, e, none = open(t, path, now+100, 1e6+100)
-		if want := some(now+2, 5, 2); none != nil || !reflect.DeepEqual(e, want) {
-			t.Fatalf("start %d: %v %+v, want %+v", i, none, e, want)
+		writer, snapshot, rejected = openAt(t, path, now+100, 1e6+100)
+		if want := snapshotAt(now+2, 5, 2); rejected != nil || !reflect.DeepEqual(snapshot, want) {
+			t.Fatalf("start %d: %v %+v, want %+v", i, rejected, snapshot, want)
 		}
-		b.Close()
+		writer.Close()
 	}
 	for _, by := range []float64{-3600e3, 3600e3} {
-		b, e, none = open(t, path, now+100+by, 1e6+100)
-		if want := some(now+2+by, 5, 2); none != nil || math.Abs(e.Estate.At-want.Estate.At) > 1 ||
-			math.Abs(e.Estate.Customers[4].Seen-want.Estate.Customers[4].Seen) > 1 || e.Estate.Peers[0].Heard != 0 ||
-			math.Abs(e.Estate.Peers[1].Heard-want.Estate.Peers[1].Heard) > 1 {
-			t.Errorf("set by %v: %v %+v", by, none, e)
+		writer, snapshot, rejected = openAt(t, path, now+100+by, 1e6+100)
+		if want := snapshotAt(now+2+by, 5, 2); rejected != nil || math.Abs(snapshot.State.At-want.State.At) > 1 ||
+			math.Abs(snapshot.State.Customers[4].Seen-want.State.Customers[4].Seen) > 1 ||
+			snapshot.State.Peers[0].Heard != 0 ||
+			math.Abs(snapshot.State.Peers[1].Heard-want.State.Peers[1].Heard) > 1 {
+			t.Errorf("clock set by %v: %v %+v", by, rejected, snapshot)
 		}
-		b.Close()
+		writer.Close()
 	}
 }
 
-// stopped is a file that stops taking bytes after so many, as if its process were killed there.
-type stopped struct {
+// truncatingFile stops writing after so many bytes, as if its process were killed there.
+type truncatingFile struct {
 	*os.File
-	left int
+	remaining int
 }
 
-func (f *stopped) WriteAt(b []byte, at int64) (int, error) {
-	n := min(f.left, len(b))
-	f.left -= n
+func (f *truncatingFile) WriteAt(b []byte, at int64) (int, error) {
+	n := min(f.remaining, len(b))
+	f.remaining -= n
 	if _, err := f.File.WriteAt(b[:n], at); err != nil || n < len(b) {
 		return n, errors.Join(err, errors.New("killed"))
 	}
 	return n, nil
 }
 
-// A kill at any place of a write leaves the older copy or the newer one, whole.
-func TestKilledInTheMiddle(t *testing.T) {
-	path, now := filepath.Join(t.TempDir(), "copy"), clock()
-	whole := header + len(encode(nil, some(now, 3, 0)))
+// TestKilledDuringWrite: a kill at any offset of a write leaves the older checkpoint or the newer one,
+// complete.
+func TestKilledDuringWrite(t *testing.T) {
+	path, now := filepath.Join(t.TempDir(), "copy"), unixMillis()
+	slotLength := headerSize + len(encode(nil, snapshotAt(now, 3, 0)))
 	older, newer := 0, 0
-	var places []int // each field of the header, some of the body, and the end
-	for at := 0; at < whole-1; at += 4 {
-		if at <= header || at%24 == 0 {
-			places = append(places, at)
+	var cutOffsets []int // each field of the header, some of the body, and the end
+	for cutOffset := 0; cutOffset < slotLength-1; cutOffset += 4 {
+		if cutOffset <= headerSize || cutOffset%24 == 0 {
+			cutOffsets = append(cutOffsets, cutOffset)
 		}
 	}
-	for _, at := range append(places, whole-1, whole) {
+	for _, cutOffset := range append(cutOffsets, slotLength-1, slotLength) {
 		os.Remove(path)
-		b, _, _ := open(t, path, now, 1e6)
+		writer, _, _ := openAt(t, path, now, 1e6)
 		for i := range 3 { // both slots have been in use
-			if err := b.write(some(now, 3, float64(i)), 1e6); err != nil {
+			if err := writer.writeSlot(snapshotAt(now, 3, float64(i)), 1e6); err != nil {
 				t.Fatal(err)
 			}
 		}
-		b.f = &stopped{b.f.(*os.File), at}
-		err := b.write(some(now, 3, 3), 1e6)
-		b.Close()
-		b, e, none := open(t, path, now, 1e6)
-		b.Close()
-		if none != nil || (err != nil) != (at < whole) {
-			t.Fatalf("after %d bytes of %d: %v, %v", at, whole, none, err)
+		writer.file = &truncatingFile{writer.file.(*os.File), cutOffset}
+		err := writer.writeSlot(snapshotAt(now, 3, 3), 1e6)
+		writer.Close()
+		writer, snapshot, rejected := openAt(t, path, now, 1e6)
+		writer.Close()
+		if rejected != nil || (err != nil) != (cutOffset < slotLength) {
+			t.Fatalf("after %d bytes of %d: %v, %v", cutOffset, slotLength, rejected, err)
 		}
-		switch e.Estate.Customers[0].Level {
+		switch snapshot.State.Customers[0].Level {
 		case 2:
 			older++
 		case 3:
 			newer++
 		}
-		if !reflect.DeepEqual(e, some(now, 3, e.Estate.Customers[0].Level)) {
-			t.Errorf("after %d bytes: %+v", at, e)
+		if !reflect.DeepEqual(snapshot, snapshotAt(now, 3, snapshot.State.Customers[0].Level)) {
+			t.Errorf("after %d bytes: %+v", cutOffset, snapshot)
 		}
 	}
-	if newer < 1 || older < header/4 { // its last bytes are the same in each
-		t.Errorf("%d times the older, %d the newer", older, newer)
+	if newer < 1 || older < headerSize/4 { // its last bytes are the same in each
+		t.Errorf("%d times the older slot, %d times the newer", older, newer)
 	}
 }
 
-// A file that is cut, spoilt, of another version, charter or machine is as none, and the next one is good.
-func TestSpoilt(t *testing.T) {
-	now := clock()
+// TestCorruptSlotIsRejected: a file that is truncated, corrupt, or of another version or boot is rejected,
+// and the next checkpoint is valid.
+func TestCorruptSlotIsRejected(t *testing.T) {
+	now := unixMillis()
 	for _, c := range []struct {
 		name  string
 		spoil func(b []byte) []byte
 		up    float64
 		as    error
 	}{
-		{"cut in its head", func(b []byte) []byte { return b[:100] }, 1e6, ErrSpoilt},
-		{"cut in its body", func(b []byte) []byte { return b[:300] }, 1e6, ErrSpoilt},
-		{"empty", func(b []byte) []byte { return nil }, 1e6, ErrNone},
-		{"too long", func(b []byte) []byte { return make([]byte, 2*slot+1) }, 1e6, ErrSpoilt},
-		{"version", func(b []byte) []byte { b[7]++; return b }, 1e6, ErrSpoilt},
-		{"length", func(b []byte) []byte { order.PutUint64(b[atLength:], 1<<63); return b }, 1e6, ErrSpoilt},
-		{"a bit of its body", func(b []byte) []byte { b[header+40] ^= 4; return b }, 1e6, ErrSpoilt},
-		{"a bit of its sum", func(b []byte) []byte { b[atSum] ^= 4; return b }, 1e6, ErrSpoilt},
-		{"machine", func(b []byte) []byte { b[atBoot]++; return sealed(b) }, 1e6, ErrMachine},
-		{"a machine up for longer then", func(b []byte) []byte { return b }, 1e5, ErrMachine},
-		{"a count that is none", func(b []byte) []byte {
-			order.PutUint32(b[header:], 1<<31)
-			return sealed(b)
-		}, 1e6, ErrSpoilt},
-		{"a time that is none", func(b []byte) []byte {
-			order.PutUint64(b[header+12:], math.Float64bits(math.NaN()))
-			return sealed(b)
-		}, 1e6, ErrSpoilt},
+		{"truncated in the header", func(b []byte) []byte { return b[:100] }, 1e6, ErrCorrupt},
+		{"truncated in the body", func(b []byte) []byte { return b[:300] }, 1e6, ErrCorrupt},
+		{"empty", func(b []byte) []byte { return nil }, 1e6, ErrNotFound},
+		{"too long", func(b []byte) []byte { return make([]byte, 2*slotSize+1) }, 1e6, ErrCorrupt},
+		{"version", func(b []byte) []byte { b[7]++; return b }, 1e6, ErrCorrupt},
+		{"length", func(b []byte) []byte { byteOrder.PutUint64(b[offsetLength:], 1<<63); return b }, 1e6,
+			ErrCorrupt},
+		{"a bit of the body", func(b []byte) []byte { b[headerSize+40] ^= 4; return b }, 1e6, ErrCorrupt},
+		{"a bit of the checksum", func(b []byte) []byte { b[offsetChecksum] ^= 4; return b }, 1e6, ErrCorrupt},
+		{"machine", func(b []byte) []byte { b[offsetBootID]++; return withChecksum(b) }, 1e6, ErrOtherBoot},
+		{"an uptime that is longer than now", func(b []byte) []byte { return b }, 1e5, ErrOtherBoot},
+		{"an impossible count", func(b []byte) []byte {
+			byteOrder.PutUint32(b[headerSize:], 1<<31)
+			return withChecksum(b)
+		}, 1e6, ErrCorrupt},
+		{"a time that is NaN", func(b []byte) []byte {
+			byteOrder.PutUint64(b[headerSize+12:], math.Float64bits(math.NaN()))
+			return withChecksum(b)
+		}, 1e6, ErrCorrupt},
 	} {
 		path := filepath.Join(t.TempDir(), "copy")
-		b, _, _ := open(t, path, now, 1e6)
-		if err := b.write(some(now, 4, 1), 1e6); err != nil {
+		b, _, _ := openAt(t, path, now, 1e6)
+		if err := b.writeSlot(snapshotAt(now, 4, 1), 1e6); err != nil {
 			t.Fatal(err)
 		}
 		b.Close()
@@ -178,26 +184,27 @@
 			t.Fatal(err)
 		}
 		os.WriteFile(path, c.spoil(raw), 0o600)
-		b, e, none := open(t, path, now, c.up)
-		if e != nil || none != c.as {
-			t.Errorf("%s: %v, %+v", c.name, none, e)
+		b, snapshot, rejected := openAt(t, path, now, c.up)
+		if snapshot != nil || rejected != c.as { //nolint:errorlint // the bare sentinel is wanted
+			t.Errorf("%s: %v, %+v", c.name, rejected, snapshot)
 		}
-		if err := b.write(some(now, 4, 2), c.up); err != nil {
+		if err := b.writeSlot(snapshotAt(now, 4, 2), c.up); err != nil {
 			t.Fatal(err)
 		}
 		b.Close()
-		if b, e, none = open(t, path, now, c.up); none != nil || e.Estate.Customers[3].Level != 2 {
-			t.Errorf("%s: after it %v", c.name, none)
+		if b, snapshot, rejected = openAt(t, path, now, c.up); rejected != nil ||
+			snapshot.State.Customers[3].Level != 2 {
+			t.Errorf("%s: the next checkpoint: %v", c.name, rejected)
 		}
 		b.Close()
 	}
 	if _, _, _, err := Open(filepath.Join(t.TempDir(), "none", "copy"), now); err == nil {
-		t.Error("opened in no folder")
+		t.Error("opened in a directory that does not exist")
 	}
 }
 
-// A copy says what it depends on: another charter, also one that withholds or goes without words, and another
-// version of the rules have another digest.
+// TestDigest: a charter that differs, also only in what it withholds or in Narrow, and another ruleset
+// have another digest.
 func TestDigest(t *testing.T) {
 	of := func() policy.Charter {
 		return policy.Charter{Gatekeepers: 2, Plans: []policy.Plan{{Rate: 10, Burst: 20}}}
@@ -210,63 +217,64 @@
 		func(_ *policy.Charter, rules *uint64) { *rules = 4 }} {
 		c, rules := of(), uint64(3)
 		if Digest(c, rules) != digest {
-			t.Fatal("the same has another")
+			t.Fatal("equal input has another digest")
 		}
 		if change(&c, &rules); Digest(c, rules) == digest {
-			t.Errorf("change %d has the same", i)
+			t.Errorf("change %d has the same digest", i)
 		}
 	}
-	path, now := filepath.Join(t.TempDir(), "copy"), clock()
-	b, _, _ := open(t, path, now, 1e6)
-	for i, rules := range []uint64{3, 4} { // it changes while a book is written
-		l := some(now, 1, float64(i))
-		l.Of = Digest(of(), rules)
-		if err := b.write(l, 1e6); err != nil {
+	path, now := filepath.Join(t.TempDir(), "copy"), unixMillis()
+	writer, _, _ := openAt(t, path, now, 1e6)
+	for i, rules := range []uint64{3, 4} { // it changes while the file is written
+		l := snapshotAt(now, 1, float64(i))
+		l.Digest = Digest(of(), rules)
+		if err := writer.writeSlot(l, 1e6); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b.Close()
-	if b, l, _ := open(t, path, now, 1e6); l == nil || l.Of != Digest(of(), 4) {
-		t.Errorf("the newest is of %+v", l)
+	writer.Close()
+	if writer, l, _ := openAt(t, path, now, 1e6); l == nil || l.Digest != Digest(of(), 4) {
+		t.Errorf("the newest slot is %+v", l)
 	} else {
-		b.Close()
+		writer.Close()
 	}
 }
 
-// sealed gives a slot its checksum anew.
-func sealed(b []byte) []byte {
-	order.PutUint32(b[atSum:], sum(b))
+// withChecksum renews the checksum of a slot.
+func withChecksum(b []byte) []byte {
+	byteOrder.PutUint32(b[offsetChecksum:], checksum(b))
 	return b
 }
 
-// Two processes with one file: what the former writes on is not read as the later one's.
-func TestTwoProcesses(t *testing.T) {
-	path, now := filepath.Join(t.TempDir(), "copy"), clock()
-	one, _, _ := open(t, path, now, 1e6)
-	two, _, _ := open(t, path, now, 1e6)
-	two.write(some(now, 1, 2), 1e6)
+// TestSecondProcessTakesOver: of two processes with one file, what the first writes after the second has
+// opened it is not read again.
+func TestSecondProcessTakesOver(t *testing.T) {
+	path, now := filepath.Join(t.TempDir(), "copy"), unixMillis()
+	first, _, _ := openAt(t, path, now, 1e6)
+	second, _, _ := openAt(t, path, now, 1e6)
+	second.writeSlot(snapshotAt(now, 1, 2), 1e6)
 	for range 5 {
-		one.write(some(now, 1, 1), 1e6)
+		first.writeSlot(snapshotAt(now, 1, 1), 1e6)
 	}
-	one.Close()
-	two.Close()
-	b, e, _ := open(t, path, now, 1e6)
-	if e == nil || e.Estate.Customers[0].Level != 2 {
-		t.Errorf("read %+v", e)
+	first.Close()
+	second.Close()
+	writer, snapshot, _ := openAt(t, path, now, 1e6)
+	if snapshot == nil || snapshot.State.Customers[0].Level != 2 {
+		t.Errorf("read %+v", snapshot)
 	}
-	b.Close()
+	writer.Close()
 }
 
-// A real process that is killed at any moment leaves a whole copy that is as new as what it last said, or the
-// one after. The process is this test itself.
-func TestKilled(t *testing.T) {
+// TestRestoreAfterKill: a real process that is killed at any time leaves a complete checkpoint, the last
+// that it reported or the one after. The process is this test itself.
+func TestRestoreAfterKill(t *testing.T) {
 	if path := os.Getenv("WILLOWDECK_TEST_INVENTORY"); path != "" {
-		b, _, _, err := Open(path, clock())
+		writer, _, _, err := Open(path, unixMillis())
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := 1; ; i++ {
-			if err := b.Write(some(clock(), 2000, float64(i))); err != nil {
+			if err := writer.Write(snapshotAt(unixMillis(), 2000, float64(i))); err != nil {
 				t.Fatal(err)
 			}
 			fmt.Println("wrote", i)
@@ -275,7 +283,7 @@
 	rng := rand.New(rand.NewSource(1))
 	path := filepath.Join(t.TempDir(), "copy")
 	for range 10 {
-		cmd := exec.Command(os.Args[0], "-test.run", "^TestKilled$")
+		cmd := exec.Command(os.Args[0], "-test.run", "^TestRestoreAfterKill$")
 		cmd.Env = append(os.Environ(), "WILLOWDECK_TEST_INVENTORY="+path)
 		out, err := cmd.StdoutPipe()
 		if err != nil {
@@ -295,31 +303,31 @@
 			}
 		}
 		_ = cmd.Wait()
-		b, e, none, err := Open(path, clock())
-		if err != nil || none != nil {
-			t.Fatal(err, none)
+		writer, snapshot, rejected, err := Open(path, unixMillis())
+		if err != nil || rejected != nil {
+			t.Fatal(err, rejected)
 		}
-		b.Close()
-		all := e.Estate.Customers
-		said := all[0].Level
-		if len(all) != 2000 || said < float64(last)-0.5 && last == kill || all[1999].Level != said {
-			t.Errorf("%d was said, %d customers, %v is left", last, len(all), said)
+		writer.Close()
+		all := snapshot.State.Customers
+		reported := all[0].Level
+		if len(all) != 2000 || reported < float64(last)-0.5 && last == kill || all[1999].Level != reported {
+			t.Errorf("%d was reported, %d customers, %v is left", last, len(all), reported)
 		}
 	}
 }
 
 func BenchmarkWrite(b *testing.B) {
-	book, _, _, err := Open(filepath.Join(b.TempDir(), "copy"), clock())
+	writer, _, _, err := Open(filepath.Join(b.TempDir(), "copy"), unixMillis())
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer book.Close()
-	e := some(clock(), 10000, 1)
+	defer writer.Close()
+	snapshot := snapshotAt(unixMillis(), 10000, 1)
 	b.ReportAllocs()
 	for range b.N {
-		if err := book.Write(e); err != nil {
+		if err := writer.Write(snapshot); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(len(book.b)), "bytes")
+	b.ReportMetric(float64(len(writer.buffer)), "bytes")
 }
--- a/internal/gateway/recovery/checkpoint/encoding.go
+++ b/internal/gateway/recovery/checkpoint/encoding.go
@@ -7,129 +7,138 @@
 	"willowdeck/internal/policy"
 )
 
-// This file puts a copy in bytes and back. All figures are little-endian; times and units are eight bytes.
+// The encoding of a Snapshot. Counts and indexes are 32 bits, times and quantities are float64.
 
-// figures are those of a customer that are written, in their order.
-func figures(c *policy.Customer) [17]*float64 {
-	return [...]*float64{&c.Level, &c.Whole, &c.Filled, &c.Others, &c.Flow, &c.Held, &c.Heard, &c.Demand,
-		&c.Lately, &c.Seen, &c.CoolSince, &c.Unsaid, &c.Said, &c.SaidAt, &c.Known, &c.Lag,
-		&c.Dealt}
+// customerFloats returns pointers to the encoded floats of a customer, in the order of the form.
+func customerFloats(customer *policy.Customer) [17]*float64 {
+	return [...]*float64{&customer.Level, &customer.Whole, &customer.Filled, &customer.Others, &customer.Flow,
+		&customer.Held, &customer.Heard, &customer.Demand,
+		&customer.Lately, &customer.Seen, &customer.CoolSince, &customer.Unsaid, &customer.Said, &customer.SaidAt,
+		&customer.Known, &customer.Lag,
+		&customer.Dealt}
 }
 
-func encode(b []byte, l *Left) []byte {
-	e := &l.Estate
-	for _, n := range [...]int{len(e.Peers), len(e.Tight), len(e.Customers)} {
-		b = order.AppendUint32(b, uint32(n))
+// encode appends the snapshot to b.
+func encode(b []byte, snapshot *Snapshot) []byte {
+	state := &snapshot.State
+	for _, number := range [...]int{len(state.Peers), len(state.Tight), len(state.Customers)} {
+		b = byteOrder.AppendUint32(b, uint32(number))
 	}
-	for _, v := range [...]float64{e.At, e.Started, e.NextTell} {
-		b = number(b, v)
+	for _, v := range [...]float64{state.At, state.Started, state.NextTell} {
+		b = appendFloat(b, v)
 	}
-	for i := range e.Tight {
-		b = number(number(b, e.Tight[i]), e.Stay[i])
+	for i := range state.Tight {
+		b = appendFloat(appendFloat(b, state.Tight[i]), state.Stay[i])
 	}
-	left := most
-	for i := range e.Peers {
-		p := &e.Peers[i]
-		for _, v := range [...]float64{p.Heard, p.Told, p.Owes, p.Spoke} {
-			b = number(b, v)
+	reportBytesLeft := maxReportBytes
+	for i := range state.Peers {
+		peer := &state.Peers[i]
+		for _, v := range [...]float64{peer.Heard, peer.Told, peer.Owes, peer.Spoke} {
+			b = appendFloat(b, v)
 		}
-		var w incarnation.MessageID
-		if i < len(l.Words) {
-			w = l.Words[i]
+		var message incarnation.MessageID
+		if i < len(snapshot.LastMessages) {
+			message = snapshot.LastMessages[i]
 		}
-		b = order.AppendUint32(order.AppendUint32(b, w.Incarnation), w.Sequence)
-		n := min(len(p.Last), left/perWord)
-		left -= n * perWord
-		b = order.AppendUint32(order.AppendUint32(b, flag(p.Silent, 1)|flag(p.Gone, 2)), uint32(n))
-		for k := range p.Last[:n] {
-			r := &p.Last[k]
-			b = order.AppendUint32(order.AppendUint32(b, uint32(r.Customer)), uint32(r.Plan))
-			b = number(b, r.Demand)
+		b = byteOrder.AppendUint32(byteOrder.AppendUint32(b, message.Incarnation), message.Sequence)
+		number := min(len(peer.Last), reportBytesLeft/reportSize)
+		reportBytesLeft -= number * reportSize
+		b = byteOrder.AppendUint32(byteOrder.AppendUint32(b, flagBit(peer.Silent, 1)|flagBit(peer.Gone, 2)),
+			uint32(number))
+		for k := range peer.Last[:number] {
+			report := &peer.Last[k]
+			b = byteOrder.AppendUint32(byteOrder.AppendUint32(b, uint32(report.Customer)), uint32(report.Plan))
+			b = appendFloat(b, report.Demand)
 		}
 	}
-	for i := range e.Customers {
-		c := &e.Customers[i]
-		for _, n := range [...]int{int(uint32(c.Key)), c.Plan, c.N, c.First, min(c.Txns, math.MaxInt32),
-			c.Holding<<1 | int(flag(c.Hot, 1))} {
-			b = order.AppendUint32(b, uint32(n))
+	for i := range state.Customers {
+		customer := &state.Customers[i]
+		for _, number := range [...]int{int(uint32(customer.Key)), customer.Plan, customer.N, customer.First,
+			min(customer.Txns, math.MaxInt32),
+			customer.Holding<<1 | int(flagBit(customer.Hot, 1))} {
+			b = byteOrder.AppendUint32(b, uint32(number))
 		}
-		for _, v := range figures(c) {
-			b = number(b, *v)
+		for _, v := range customerFloats(customer) {
+			b = appendFloat(b, *v)
 		}
 	}
 	return b
 }
 
-func number(b []byte, v float64) []byte { return order.AppendUint64(b, math.Float64bits(v)) }
+func appendFloat(b []byte, v float64) []byte { return byteOrder.AppendUint64(b, math.Float64bits(v)) }
 
-func flag(is bool, bit uint32) uint32 {
+func flagBit(is bool, bit uint32) uint32 {
 	if is {
 		return bit
 	}
 	return 0
 }
 
-// decoder takes what encode has put, and is bad once there is too little of it.
+// decoder consumes the form that encode produces. Once there are too few bytes, failed is set and all
+// further results are 0.
 type decoder struct {
-	b   []byte
-	bad bool
+	data   []byte
+	failed bool
 }
 
-func (d *decoder) whole() int {
-	if len(d.b) < 4 {
-		d.bad = true
+func (d *decoder) uint32() int {
+	if len(d.data) < 4 {
+		d.failed = true
 		return 0
 	}
-	n := order.Uint32(d.b)
-	d.b = d.b[4:]
+	n := byteOrder.Uint32(d.data)
+	d.data = d.data[4:]
 	return int(n)
 }
 
-func (d *decoder) number() float64 {
-	if len(d.b) < 8 {
-		d.bad = true
+func (d *decoder) float64() float64 {
+	if len(d.data) < 8 {
+		d.failed = true
 		return 0
 	}
-	v := math.Float64frombits(order.Uint64(d.b))
-	d.b = d.b[8:]
+	v := math.Float64frombits(byteOrder.Uint64(d.data))
+	d.data = d.data[8:]
 	return v
 }
 
-// count takes how many there are of something of so many bytes each.
-func (d *decoder) count(n, each int) int {
-	if n > len(d.b)/each {
-		d.bad = true
+// count returns n, the number of elements that follow, or 0 if there are too few bytes for elements of
+// that size.
+func (d *decoder) count(n, size int) int {
+	if n > len(d.data)/size {
+		d.failed = true
 		return 0
 	}
 	return n
 }
 
-func (d *decoder) left(l *Left) {
-	e := &l.Estate
-	peers, plans, customers := d.whole(), d.whole(), d.whole()
-	e.At, e.Started, e.NextTell = d.number(), d.number(), d.number()
+// snapshot decodes a whole snapshot.
+func (d *decoder) snapshot(snapshot *Snapshot) {
+	state := &snapshot.State
+	peers, plans, customers := d.uint32(), d.uint32(), d.uint32()
+	state.At, state.Started, state.NextTell = d.float64(), d.float64(), d.float64()
 	for range d.count(plans, 16) {
-		e.Tight, e.Stay = append(e.Tight, d.number()), append(e.Stay, d.number())
+		state.Tight, state.Stay = append(state.Tight, d.float64()), append(state.Stay, d.float64())
 	}
-	for range d.count(peers, perPeer) {
-		p := policy.Hearing{Heard: d.number(), Told: d.number(), Owes: d.number(), Spoke: d.number()}
-		w := incarnation.MessageID{Incarnation: uint32(d.whole()), Sequence: uint32(d.whole())}
-		l.Words = append(l.Words, w)
-		bits := d.whole()
-		p.Silent, p.Gone = bits&1 != 0, bits&2 != 0
-		for range d.count(d.whole(), perWord) {
-			p.Last = append(p.Last, policy.Report{Customer: uint64(d.whole()), Plan: d.whole(), Demand: d.number()})
+	for range d.count(peers, peerSize) {
+		peer := policy.Hearing{Heard: d.float64(), Told: d.float64(), Owes: d.float64(), Spoke: d.float64()}
+		message := incarnation.MessageID{Incarnation: uint32(d.uint32()), Sequence: uint32(d.uint32())}
+		snapshot.LastMessages = append(snapshot.LastMessages, message)
+		flags := d.uint32()
+		peer.Silent, peer.Gone = flags&1 != 0, flags&2 != 0
+		for range d.count(d.uint32(), reportSize) {
+			peer.Last = append(peer.Last, policy.Report{Customer: uint64(d.uint32()), Plan: d.uint32(),
+				Demand: d.float64()})
 		}
-		e.Peers = append(e.Peers, p)
+		state.Peers = append(state.Peers, peer)
 	}
-	for range d.count(customers, perOne) {
-		c := policy.Customer{Key: uint64(d.whole()), Plan: d.whole(), N: d.whole(), First: d.whole(),
-			Txns: d.whole()}
-		bits := d.whole()
-		c.Holding, c.Hot = bits>>1, bits&1 != 0
-		for _, v := range figures(&c) {
-			*v = d.number()
+	for range d.count(customers, customerSize) {
+		customer := policy.Customer{Key: uint64(d.uint32()), Plan: d.uint32(), N: d.uint32(), First: d.uint32(),
+			Txns: d.uint32()}
+		flags := d.uint32()
+		customer.Holding, customer.Hot = flags>>1, flags&1 != 0
+		for _, value := range customerFloats(&customer) {
+			*value = d.float64()
 		}
-		e.Customers = append(e.Customers, c)
+		state.Customers = append(state.Customers, customer)
 	}
 }
--- a/internal/gateway/recovery/checkpoint/golden_test.go
+++ b/internal/gateway/recovery/checkpoint/golden_test.go
@@ -12,19 +12,20 @@
 )
 
 const (
-	goldenNow  = 1.7e12 // Unix ms
-	goldenUp   = 5e6    // ms since the machine's start
-	goldenSlot = 4 << 20
+	goldenNow      = 1.7e12 // Unix ms
+	goldenUptime   = 5e6    // ms
+	goldenSlotSize = 4 << 20
 
-	// goldenFields are in the form and not zero: of the estate itself 7, of peers 10, of their reports 9, of
+	// goldenFields are in the form and not zero: of the state itself 7, of peers 10, of their reports 9, of
 	// words 4, of the digest 32, of customers 24 and 8. Others, as a report's Known, are not in the form.
 	goldenFields = 94
 )
 
-// goldenMachine has this machine stand for the one that the golden file was written on.
-func goldenMachine(t *testing.T) {
-	t.Cleanup(func() { machine = boot })
-	machine = func() ([]byte, float64, error) { return []byte("golden-boot"), goldenUp, nil }
+// useGoldenMachine replaces boot ID and uptime by those of the machine that wrote the golden file.
+func useGoldenMachine(t *testing.T) {
+	t.Helper()
+	t.Cleanup(func() { readBoot = readMachineBoot })
+	readBoot = func() ([]byte, float64, error) { return []byte("golden-boot"), goldenUptime, nil }
 }
 
 func goldenDigest() [32]byte {
@@ -33,13 +34,13 @@
 			Open: 6, Factor: 7, ExcessShare: 8, ExcessFee: 9, Credit: 11, Repay: 12}}}, 77)
 }
 
-// goldenLeft is what inventory.hex holds: the one slot that is written of a file of two. It was written once,
-// by goldenWrite, before names were changed. It is what a killed process of an older version leaves; new code
-// must never write it again.
-func goldenLeft() *Left {
-	return &Left{Of: goldenDigest(),
-		Words: []incarnation.MessageID{{Incarnation: 101, Sequence: 102}, {Incarnation: 103, Sequence: 104}},
-		Estate: policy.Estate{At: goldenNow, Started: goldenNow - 9000, NextTell: goldenNow + 105,
+// goldenSnapshot is what inventory.hex holds: the one slot of two that is written. The file was written
+// once by writeGoldenFile, before names were changed. It is what a killed process of an older version
+// leaves; new code must never write it again.
+func goldenSnapshot() *Snapshot {
+	return &Snapshot{Digest: goldenDigest(),
+		LastMessages: []incarnation.MessageID{{Incarnation: 101, Sequence: 102}, {Incarnation: 103, Sequence: 104}},
+		State: policy.Estate{At: goldenNow, Started: goldenNow - 9000, NextTell: goldenNow + 105,
 			Tight: []float64{0.5, 0.625}, Stay: []float64{120.5, 121.5},
 			Peers: []policy.Hearing{
 				{Heard: 201.5, Told: 202.5, Owes: 203.5, Spoke: 204.5, Silent: true,
@@ -56,65 +57,66 @@
 					Whole: 408.5}}}}
 }
 
-// goldenWrite has a process leave the golden copy, and gives its file.
-func goldenWrite(t *testing.T) []byte {
-	goldenMachine(t)
+// writeGoldenFile has a Writer write the golden snapshot, and returns the file's content.
+func writeGoldenFile(t *testing.T) []byte {
+	t.Helper()
+	useGoldenMachine(t)
 	path := filepath.Join(t.TempDir(), "copy")
-	book, _, none, err := Open(path, goldenNow)
-	if none != ErrNone || err != nil {
-		t.Fatal(none, err)
+	writer, _, rejected, err := Open(path, goldenNow)
+	if rejected != ErrNotFound || err != nil { //nolint:errorlint // the bare sentinel is wanted
+		t.Fatal(rejected, err)
 	}
-	if err := book.write(goldenLeft(), goldenUp); err != nil {
+	if err := writer.writeSlot(goldenSnapshot(), goldenUptime); err != nil {
 		t.Fatal(err)
 	}
-	book.Close()
-	b, err := os.ReadFile(path)
+	writer.Close()
+	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return raw
 }
 
-func TestGoldenInventory(t *testing.T) {
-	old := goldentest.Hex(t, "inventory.hex")
-	goldentest.SameBytes(t, goldenWrite(t), old)
+func TestGoldenCheckpoint(t *testing.T) {
+	golden := goldentest.Hex(t, "inventory.hex")
+	goldentest.SameBytes(t, writeGoldenFile(t), golden)
 	path := filepath.Join(t.TempDir(), "copy")
-	if err := os.WriteFile(path, old, 0o600); err != nil {
+	if err := os.WriteFile(path, golden, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	book, left, none, err := Open(path, goldenNow)
-	if left == nil || none != nil || err != nil {
-		t.Fatal(none, err)
+	writer, snapshot, rejected, err := Open(path, goldenNow)
+	if snapshot == nil || rejected != nil || err != nil {
+		t.Fatal(rejected, err)
 	}
-	book.Close()
-	goldentest.SameLines(t, goldentest.Leaves(left), goldentest.Leaves(goldenLeft()))
-	if n := len(goldentest.Leaves(left)) - len(goldentest.Zeros(left)); n != goldenFields {
-		t.Errorf("%d fields say something, want %d", n, goldenFields)
+	writer.Close()
+	goldentest.SameLines(t, goldentest.Leaves(snapshot), goldentest.Leaves(goldenSnapshot()))
+	if n := len(goldentest.Leaves(snapshot)) - len(goldentest.Zeros(snapshot)); n != goldenFields {
+		t.Errorf("%d fields are set, want %d", n, goldenFields)
 	}
 }
 
-// The second of the two slots, which a process fills next, holds the same at its own place.
+// TestGoldenSecondSlot: the second slot, which is written next, has the same form.
 func TestGoldenSecondSlot(t *testing.T) {
-	goldenMachine(t)
+	useGoldenMachine(t)
 	path := filepath.Join(t.TempDir(), "copy")
-	book, _, _, err := Open(path, goldenNow)
+	writer, _, _, err := Open(path, goldenNow)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
-		if err := book.write(goldenLeft(), goldenUp); err != nil {
+		if err := writer.writeSlot(goldenSnapshot(), goldenUptime); err != nil {
 			t.Fatal(err)
 		}
 	}
-	book.Close()
+	writer.Close()
 	b, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first := goldentest.Hex(t, "inventory.hex")
 	second := bytes.Clone(first)
-	second[8] = 1                                            // its place in the sequence
+	second[8] = 1                                            // its sequence number
 	copy(second[32:36], goldentest.Hex(t, "second.sum.hex")) // and the checksum that follows from that
 	goldentest.SameBytes(t, b[:len(first)], first)
-	goldentest.SameBytes(t, b[goldenSlot:], second)
+	goldentest.SameBytes(t, b[goldenSlotSize:], second)
 }
--- a/internal/gateway/recovery/crashstate/file.go
+++ b/internal/gateway/recovery/crashstate/file.go
@@ -1,7 +1,3 @@
-// Package crashstate keeps what a gatekeeper leaves behind if it is killed: the spent parts of ceilings, and
-// how
-// pressed it was. It is a file that is mapped into memory. What a process has stored there outlives it,
-// however it ends, and costs a few stores; it does not outlive the machine, and is not taken for news then.
 package crashstate
 
 import (
@@ -23,57 +19,59 @@
 )
 
 const (
-	version  = 1
-	places   = 1 << 16 // customers with a ceiling that are not full at once; 1 MB
-	header   = 256     // bytes
-	place    = 16      // bytes of one
-	size     = header + places*place
-	step     = 50.0                   // ms by which the system's clock may leave the machine's own
-	pressAge = 10000.0                // ms; older news of how pressed it was tells nothing
-	dying    = 100 * time.Millisecond // in which one that was killed lets its files go; seen: some ms
-	looks    = 16                     // places looked at for one that is of no more use
+	version       = 1
+	slotCount     = 1 << 16 // customers whose rate limit is partly spent at the same time; 1 MB
+	headerSize    = 256     // bytes
+	slotSize      = 16      // bytes
+	fileSize      = headerSize + slotCount*slotSize
+	maxClockDrift = 50.0                   // ms between system clock and uptime; more is a clock that was set
+	loadMaxAge    = 10000.0                // ms; an older recorded load is ignored
+	lockTimeout   = 100 * time.Millisecond // a killed process releases its lock within some ms
+	slotProbes    = 16                     // slots examined in the search for a free one
 )
 
-// The header's fields, by their place; eight bytes each, but for the digest and the machine's mark.
+// Offsets of the header's fields; eight bytes each, except the digest and the boot ID.
 const (
-	atMagic   = 0
-	atDigest  = 8  // of all that the figures depend on; 32 bytes
-	atBoot    = 40 // of the machine's start; 64 bytes
-	atOffset  = 104
-	atBase    = 112
-	atWindow  = 120
-	atPress   = 128
-	atPace    = 136
-	atPressed = 144
-	atRules   = 152 // version of the agreed rules by which was spent; 0 where none were agreed on
+	offsetMagic        = 0
+	offsetDigest       = 8  // 32 bytes, see Digest
+	offsetBootID       = 40 // of the machine; 64 bytes
+	offsetClock        = 104
+	offsetBase         = 112
+	offsetWindow       = 120
+	offsetPressure     = 128
+	offsetPace         = 136
+	offsetLoadTime     = 144
+	offsetRulesVersion = 152 // of the ruleset in force; 0 where there was none
 )
 
 var magic = binary.LittleEndian.Uint64([]byte("willowd" + string(rune('0'+version))))
 
-// File is a residue as it is written. It is not safe for concurrent use.
+// File is an open crash-state file. Its methods are not safe for concurrent use; the dispatcher calls them
+// under its lock.
 type File struct {
-	b     []byte
-	held  *os.File // under a lock
-	by    map[uint32]int
-	next  int
-	Short int64 // customers that found no place
+	data       []byte
+	file       *os.File // holds the lock
+	slotOf     map[uint32]int
+	nextSlot   int
+	Unrecorded int64 // customers that found no free slot, since the file was opened
 }
 
-// Digest stands for all that the figures in a residue depend on: who it is, of how many, and the ceilings.
-func Digest(c policy.Charter) [32]byte {
-	var b bytes.Buffer
-	fmt.Fprint(&b, c.Me, c.Gatekeepers, len(c.Plans))
-	for _, p := range c.Plans {
-		fmt.Fprint(&b, " ", p.CeilingRate, p.CeilingDepth)
+// Digest identifies everything that the stored values depend on: the instance's index, the number of
+// instances and the plans' rate limits. A file with another digest is ignored.
+func Digest(charter policy.Charter) [32]byte {
+	var input bytes.Buffer
+	fmt.Fprint(&input, charter.Me, charter.Gatekeepers, len(charter.Plans))
+	for _, plan := range charter.Plans {
+		fmt.Fprint(&input, " ", plan.CeilingRate, plan.CeilingDepth)
 	}
-	return sha256.Sum256(b.Bytes())
+	return sha256.Sum256(input.Bytes())
 }
 
-var machine = boot // another in tests
+var readBoot = readMachineBoot // replaced in tests
 
-// boot gives what tells one start of the machine from another, and how many ms ago that was.
-func boot() (mark []byte, up float64, err error) {
-	mark, err = os.ReadFile("/proc/sys/kernel/random/boot_id")
+// readMachineBoot returns the kernel's boot ID and the uptime.
+func readMachineBoot() (bootID []byte, uptimeMillis float64, err error) {
+	bootID, err = os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
 		return nil, 0, err
 	}
@@ -81,92 +79,97 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	s, _, _ := strings.Cut(string(raw), " ")
-	up, err = strconv.ParseFloat(s, 64)
-	return bytes.TrimSpace(mark), up * 1000, err
+	seconds, _, _ := strings.Cut(string(raw), " ")
+	uptimeMillis, err = strconv.ParseFloat(seconds, 64)
+	return bytes.TrimSpace(bootID), uptimeMillis * 1000, err
 }
 
-// Boot gives what tells one start of the machine from another, and how long ago that was, ms.
-func Boot() (mark []byte, up float64, err error) { return machine() }
+// ReadBoot returns the kernel's boot ID, which differs between two boots of the machine, and the uptime in
+// ms.
+func ReadBoot() (bootID []byte, uptimeMillis float64, err error) { return readBoot() }
 
-// Uptime gives how long the machine has been up, in hundredths of a second: it grows over the lives of
-// processes, however the system's clock is set.
-func Uptime() uint32 {
-	_, up, _ := machine()
-	return uint32(up / 10)
+// UptimeCentiseconds returns the machine's uptime in hundredths of a second. It grows from one process to
+// the next, however the system clock is set; 0 where the uptime cannot be read.
+func UptimeCentiseconds() uint32 {
+	_, uptimeMillis, _ := readBoot()
+	return uint32(uptimeMillis / 10)
 }
 
-// Open opens a gatekeeper's residue, and gives what its former life has left; nil is nothing that can be gone
-// by. Times are Unix ms, as now is. A file that another process has is let alone, and one begun in its place:
-// what that one spends from here on would be missing in what this one leaves. An error tells that none can be
-// kept.
+// Open opens the crash-state file at path, or creates it, and returns what an earlier process left in it;
+// nil where there is nothing usable. Times are Unix ms, as is now. A file that is locked by another
+// process is left to that process and a new one is created in its place, since what the other spends from
+// here on would be missing in this one. An error means that no crash state can be kept.
 func Open(path string, digest [32]byte, now float64) (*File, *policy.Residue, error) {
-	mark, up, err := machine()
+	bootID, uptime, err := readBoot()
 	if err != nil {
-		return nil, nil, fmt.Errorf("residue: %w", err)
+		return nil, nil, fmt.Errorf("crash state: %w", err)
 	}
-	f, b, was, err := Map(path, size)
+	file, data, existed, err := MapLocked(path, fileSize)
 	if err != nil {
-		return nil, nil, fmt.Errorf("residue: %w", err)
+		return nil, nil, fmt.Errorf("crash state: %w", err)
 	}
-	r := &File{b: b, held: f, by: map[uint32]int{}}
-	offset := now - up
-	var left *policy.Residue
-	if was && r.load(atMagic) == magic && bytes.Equal(b[atDigest:atDigest+32], digest[:]) &&
-		bytes.Equal(bytes.TrimRight(b[atBoot:atOffset], "\x00"), mark) {
-		left = r.read(offset-r.figure(atOffset), now)
+	crash := &File{data: data, file: file, slotOf: map[uint32]int{}}
+	clockOffset := now - uptime
+	var residue *policy.Residue
+	if existed && crash.loadUint(offsetMagic) == magic &&
+		bytes.Equal(data[offsetDigest:offsetDigest+32], digest[:]) &&
+		bytes.Equal(bytes.TrimRight(data[offsetBootID:offsetClock], "\x00"), bootID) {
+		residue = crash.restore(clockOffset-crash.loadFloat(offsetClock), now)
 	}
-	if left == nil {
-		r.fresh(digest, mark, now)
+	if residue == nil {
+		crash.initialize(digest, bootID, now)
 	}
-	r.put(atOffset, offset)
-	return r, left, nil
+	crash.storeFloat(offsetClock, clockOffset)
+	return crash, residue, nil
 }
 
-// Map maps a file of so many bytes into memory, under a lock that ends with it, and tells whether there was
-// one of that size. A file that another process has is let alone, and one begun in its place.
-func Map(path string, size int) (f *os.File, b []byte, was bool, err error) {
-	if f, err = os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600); err != nil {
+// MapLocked maps a file of size bytes into memory under an exclusive lock that ends with the returned
+// file, and reports whether a file of that size existed. A file that another process has locked is
+// unlinked and a new one is created in its place.
+func MapLocked(path string, size int) (file *os.File, data []byte, existed bool, err error) {
+	if file, err = os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600); err != nil {
 		return nil, nil, false, err
 	}
-	for end := time.Now().Add(dying); ; time.Sleep(dying / 20) {
-		if err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err == nil || time.Now().After(end) {
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockTimeout / 20) {
+		if err = syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err == nil ||
+			time.Now().After(deadline) {
 			break
 		}
 	}
 	if err != nil {
-		_ = f.Close()
+		_ = file.Close()
 		if err = os.Remove(path); err == nil {
-			f, err = os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
+			file, err = os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 		}
 		if err == nil {
-			err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+			err = syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		}
 		if err != nil {
-			return nil, nil, false, fmt.Errorf("another process has it: %w", err)
+			return nil, nil, false, fmt.Errorf("another process has locked it: %w", err)
 		}
 	}
-	info, err := f.Stat()
-	was = err == nil && info.Size() == int64(size)
-	if err == nil && !was {
-		if err = f.Truncate(0); err == nil {
-			err = f.Truncate(int64(size))
+	info, err := file.Stat()
+	existed = err == nil && info.Size() == int64(size)
+	if err == nil && !existed {
+		if err = file.Truncate(0); err == nil {
+			err = file.Truncate(int64(size))
 		}
 	}
-	if err == nil { // written out now, so that the disk being full is met here and not as a fault later
-		err = reserve(f, int64(size))
+	if err == nil { // a full disk is an error here, and not a SIGBUS later
+		err = allocate(file, int64(size))
 	}
 	if err == nil {
-		b, err = syscall.Mmap(int(f.Fd()), 0, size, syscall.PROT_READ|syscall.PROT_WRITE, syscall.MAP_SHARED)
+		data, err = syscall.Mmap(int(file.Fd()), 0, size, syscall.PROT_READ|syscall.PROT_WRITE, syscall.MAP_SHARED)
 	}
 	if err != nil {
-		_ = f.Close()
+		_ = file.Close()
 		return nil, nil, false, err
 	}
-	return f, b, was, nil
+	return file, data, existed, nil
 }
 
-func reserve(f *os.File, size int64) error {
+// allocate reserves the file's disk space, where the file system can do so.
+func allocate(f *os.File, size int64) error {
 	err := syscall.Fallocate(int(f.Fd()), 0, 0, size)
 	if errors.Is(err, syscall.EOPNOTSUPP) || errors.Is(err, syscall.ENOSYS) {
 		return nil
@@ -174,124 +177,130 @@
 	return err
 }
 
-// fresh begins a file of which nothing is known. The mark that makes it valid is written last.
-func (r *File) fresh(digest [32]byte, mark []byte, now float64) {
-	r.store(atMagic, 0)
-	clear(r.b)
-	copy(r.b[atDigest:], digest[:])
-	copy(r.b[atBoot:atOffset], mark)
-	r.put(atBase, now)
-	r.store(atMagic, magic)
+// initialize empties the file. The magic number, which makes it valid, is written last.
+func (r *File) initialize(digest [32]byte, bootID []byte, now float64) {
+	r.storeUint(offsetMagic, 0)
+	clear(r.data)
+	copy(r.data[offsetDigest:], digest[:])
+	copy(r.data[offsetBootID:offsetClock], bootID)
+	r.storeFloat(offsetBase, now)
+	r.storeUint(offsetMagic, magic)
 }
 
-// read takes what is there. Guards against a clock that was set meanwhile: what moved it moves the figures.
-func (r *File) read(moved, now float64) *policy.Residue {
-	if math.Abs(moved) < step {
-		moved = 0
+// restore reads what an earlier process left. If the system clock was set in between, all times are
+// shifted by as much.
+func (r *File) restore(clockShift, now float64) *policy.Residue {
+	if math.Abs(clockShift) < maxClockDrift {
+		clockShift = 0
 	}
-	if math.IsNaN(moved) || math.IsInf(moved, 0) {
+	if math.IsNaN(clockShift) || math.IsInf(clockShift, 0) {
 		return nil
 	}
-	left := &policy.Residue{Base: r.figure(atBase) + moved}
-	r.put(atBase, left.Base)
-	for i := range places {
-		at := header + i*place
-		full := r.figure(at)
-		if full == 0 {
+	residue := &policy.Residue{Base: r.loadFloat(offsetBase) + clockShift}
+	r.storeFloat(offsetBase, residue.Base)
+	for i := range slotCount {
+		offset := headerSize + i*slotSize
+		fullAt := r.loadFloat(offset)
+		if fullAt == 0 {
 			continue
 		}
-		if full += moved; math.IsNaN(full) || math.IsInf(full, 0) {
+		if fullAt += clockShift; math.IsNaN(fullAt) || math.IsInf(fullAt, 0) {
 			return nil
 		}
-		r.put(at, full)
-		if full <= now {
+		r.storeFloat(offset, fullAt)
+		if fullAt <= now {
 			continue
 		}
-		key := r.load(at + 8)
-		left.Ceilings = append(left.Ceilings, policy.Spent{Customer: uint64(uint32(key)), Plan: int(key >> 32),
-			Full: full})
-		r.by[uint32(key)] = at
+		key := r.loadUint(offset + 8)
+		residue.Ceilings = append(residue.Ceilings, policy.Spent{Customer: uint64(uint32(key)),
+			Plan: int(key >> 32),
+			Full: fullAt})
+		r.slotOf[uint32(key)] = offset
 	}
-	if pressed := r.figure(atPressed) + moved; now-pressed < pressAge {
-		left.Window, left.Press, left.Pace = r.figure(atWindow), r.figure(atPress), r.figure(atPace)
+	if loadTime := r.loadFloat(offsetLoadTime) + clockShift; now-loadTime < loadMaxAge {
+		residue.Window, residue.Press = r.loadFloat(offsetWindow), r.loadFloat(offsetPressure)
+		residue.Pace = r.loadFloat(offsetPace)
 	}
-	if !(left.Base > 0) || left.Base > now+step {
+	if !(residue.Base > 0) || residue.Base > now+maxClockDrift {
 		return nil
 	}
-	return left
+	return residue
 }
 
-// Spend stores when a customer's slice of its ceiling is full again. It has to return before what was spent
-// goes out.
-func (r *File) Spend(customer uint64, plan int, full, now float64) {
+// RecordSpent records when the customer's slice of its rate limit is full again. It has to return before
+// the request that was counted is sent.
+func (r *File) RecordSpent(customer uint64, plan int, fullAt, now float64) {
 	key := uint32(customer)
-	at, known := r.by[key]
+	offset, known := r.slotOf[key]
 	if !known {
-		if at = r.vacant(now); at < 0 { // nothing is known of it then: at the next start it counts as spent
-			r.Short++
-			r.put(atBase, math.Max(r.figure(atBase), full))
+		if offset = r.findFreeSlot(now); offset < 0 { // unrecorded: after a kill it counts as spent until then
+			r.Unrecorded++
+			r.storeFloat(offsetBase, math.Max(r.loadFloat(offsetBase), fullAt))
 			return
 		}
-		r.put(at, 0) // a place without a time says nothing, whoever ends between these
-		r.store(at+8, uint64(plan)<<32|uint64(key))
-		r.by[key] = at
+		r.storeFloat(offset, 0) // a slot without a time is free, wherever a kill comes
+		r.storeUint(offset+8, uint64(plan)<<32|uint64(key))
+		r.slotOf[key] = offset
 	}
-	r.put(at, full)
+	r.storeFloat(offset, fullAt)
 }
 
-// By stores the version of the rules by which is spent from here on.
-func (r *File) By(rules uint64) { r.store(atRules, rules) }
+// SetRulesVersion records the version of the ruleset in force; 0 where there is none.
+func (r *File) SetRulesVersion(rules uint64) { r.storeUint(offsetRulesVersion, rules) }
 
-// Rules gives the version of the rules by which was spent last; 0 where none were agreed on.
-func (r *File) Rules() uint64 { return r.load(atRules) }
+// RulesVersion returns the recorded version of the ruleset; 0 where there was none.
+func (r *File) RulesVersion() uint64 { return r.loadUint(offsetRulesVersion) }
 
-// vacant finds a place that is of no use any more.
-func (r *File) vacant(now float64) int {
-	for range looks {
-		at := header + r.next*place
-		r.next = (r.next + 1) % places
-		if full := r.figure(at); full <= now {
-			if key := uint32(r.load(at + 8)); r.by[key] == at {
-				delete(r.by, key)
+// findFreeSlot returns the offset of a slot that holds nothing of use; -1 where none of the next
+// slotProbes is free.
+func (r *File) findFreeSlot(now float64) int {
+	for range slotProbes {
+		offset := headerSize + r.nextSlot*slotSize
+		r.nextSlot = (r.nextSlot + 1) % slotCount
+		if fullAt := r.loadFloat(offset); fullAt <= now {
+			if key := uint32(r.loadUint(offset + 8)); r.slotOf[key] == offset {
+				delete(r.slotOf, key)
 			}
-			return at
+			return offset
 		}
 	}
 	return -1
 }
 
-// Pressed stores how pressed the gatekeeper is.
-func (r *File) Pressed(window, press, pace, now float64) {
-	r.put(atPressed, 0)
-	r.put(atWindow, window)
-	r.put(atPress, press)
-	r.put(atPace, pace)
-	r.put(atPressed, now)
+// RecordLoad records how loaded the gateway is. The time is cleared first and written last, so that a kill
+// in between leaves no mixed values.
+func (r *File) RecordLoad(window, press, pace, now float64) {
+	r.storeFloat(offsetLoadTime, 0)
+	r.storeFloat(offsetWindow, window)
+	r.storeFloat(offsetPressure, press)
+	r.storeFloat(offsetPace, pace)
+	r.storeFloat(offsetLoadTime, now)
 }
 
-// Inherit stores what another process has handed on: from here on it is this one's to spend.
-func (r *File) Inherit(base float64, all []policy.Spent, now float64) {
-	r.put(atBase, base)
-	for _, s := range all {
-		r.Spend(s.Customer, s.Plan, s.Full, now)
+// Import records the state that a predecessor handed over in a hot restart: this process spends from here
+// on.
+func (r *File) Import(base float64, spent []policy.Spent, now float64) {
+	r.storeFloat(offsetBase, base)
+	for _, s := range spent {
+		r.RecordSpent(s.Customer, s.Plan, s.Full, now)
 	}
 }
 
-// Void has the file say nothing to whoever opens it next, and lets it go: another process spends from here
-// on.
-func (r *File) Void() {
-	r.store(atMagic, 0)
+// Invalidate makes the file unusable for whoever opens it next and closes it: another process spends from
+// here on.
+func (r *File) Invalidate() {
+	r.storeUint(offsetMagic, 0)
 	r.Close()
 }
 
-// Close lets the file go. What is in it stays.
+// Close unmaps and unlocks the file. Its content stays.
 func (r *File) Close() {
-	_ = syscall.Munmap(r.b)
-	_ = r.held.Close()
+	_ = syscall.Munmap(r.data)
+	_ = r.file.Close()
 }
 
-func (r *File) word(at int) *uint64    { return (*uint64)(unsafe.Pointer(&r.b[at])) }
-func (r *File) load(at int) uint64     { return atomic.LoadUint64(r.word(at)) }
-func (r *File) store(at int, v uint64) { atomic.StoreUint64(r.word(at), v) }
-func (r *File) figure(at int) float64  { return math.Float64frombits(r.load(at)) }
-func (r *File) put(at int, v float64)  { r.store(at, math.Float64bits(v)) }
+func (r *File) uint64At(offset int) *uint64          { return (*uint64)(unsafe.Pointer(&r.data[offset])) }
+func (r *File) loadUint(offset int) uint64           { return atomic.LoadUint64(r.uint64At(offset)) }
+func (r *File) storeUint(offset int, value uint64)   { atomic.StoreUint64(r.uint64At(offset), value) }
+func (r *File) loadFloat(offset int) float64         { return math.Float64frombits(r.loadUint(offset)) }
+func (r *File) storeFloat(offset int, value float64) { r.storeUint(offset, math.Float64bits(value)) }
--- a/internal/gateway/recovery/crashstate/golden_test.go
+++ b/internal/gateway/recovery/crashstate/golden_test.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	goldenNow  = 1.7e12  // Unix ms
-	goldenUp   = 5e6     // ms since the machine's start
-	goldenSize = 1048832 // bytes of the file
-	goldenRule = 0x0102030405060708
+	goldenNow          = 1.7e12  // Unix ms
+	goldenUptime       = 5e6     // ms
+	goldenFileSize     = 1048832 // bytes of the file
+	goldenRulesVersion = 0x0102030405060708
 )
 
-// goldenMachine has this machine stand for the one that the golden file was written on.
-func goldenMachine(t *testing.T) {
-	t.Cleanup(func() { machine = boot })
-	machine = func() ([]byte, float64, error) { return []byte("golden-boot"), goldenUp, nil }
+// useGoldenMachine replaces boot ID and uptime by those of the machine that wrote the golden file.
+func useGoldenMachine(t *testing.T) {
+	t.Helper()
+	t.Cleanup(func() { readBoot = readMachineBoot })
+	readBoot = func() ([]byte, float64, error) { return []byte("golden-boot"), goldenUptime, nil }
 }
 
 func goldenCharter() policy.Charter {
@@ -27,54 +28,55 @@
 		{CeilingRate: 30.5, CeilingDepth: 40.5}}}
 }
 
-// goldenResidue is what residue.hex holds: the header and the first places of a file, the rest of which is
-// blank. The file was written once, by goldenWrite, before names were changed. It is what a killed process of
-// an older version leaves; new code must never write it again.
+// goldenResidue is what residue.hex holds: the header and the first slots of a file; the rest is zero. The
+// file was written once by writeGoldenFile, before names were changed. It is what a killed process of an
+// older version leaves; new code must never write it again.
 func goldenResidue() policy.Residue {
 	return policy.Residue{Base: goldenNow, Window: 40.5, Press: 0.25, Pace: 25.5, Ceilings: []policy.Spent{
 		{Customer: 0x01020304, Plan: 1, Full: goldenNow + 5000},
 		{Customer: 0xfffefdfc, Plan: 2, Full: goldenNow + 6000}}}
 }
 
-// goldenWrite has a process leave the golden residue, and gives its file.
-func goldenWrite(t *testing.T) []byte {
-	goldenMachine(t)
+// writeGoldenFile has a process leave the golden state, and returns the file's content.
+func writeGoldenFile(t *testing.T) []byte {
+	t.Helper()
+	useGoldenMachine(t)
 	path := filepath.Join(t.TempDir(), "residue")
 	file, left, err := Open(path, Digest(goldenCharter()), goldenNow)
 	if left != nil || err != nil {
 		t.Fatal(left, err)
 	}
-	is := goldenResidue()
-	for _, s := range is.Ceilings {
-		file.Spend(s.Customer, s.Plan, s.Full, goldenNow)
+	residue := goldenResidue()
+	for _, s := range residue.Ceilings {
+		file.RecordSpent(s.Customer, s.Plan, s.Full, goldenNow)
 	}
-	file.Pressed(is.Window, is.Press, is.Pace, goldenNow)
-	file.By(goldenRule)
+	file.RecordLoad(residue.Window, residue.Press, residue.Pace, goldenNow)
+	file.SetRulesVersion(goldenRulesVersion)
 	file.Close()
-	b, err := os.ReadFile(path)
+	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return raw
 }
 
-func TestGoldenResidue(t *testing.T) {
-	old := append(goldentest.Hex(t, "residue.hex"), make([]byte, goldenSize)...)[:goldenSize]
-	goldentest.SameBytes(t, goldenWrite(t), old)
+func TestGoldenCrashState(t *testing.T) {
+	golden := append(goldentest.Hex(t, "residue.hex"), make([]byte, goldenFileSize)...)[:goldenFileSize]
+	goldentest.SameBytes(t, writeGoldenFile(t), golden)
 	path := filepath.Join(t.TempDir(), "residue")
-	if err := os.WriteFile(path, old, 0o600); err != nil {
+	if err := os.WriteFile(path, golden, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	file, left, err := Open(path, Digest(goldenCharter()), goldenNow)
+	file, residue, err := Open(path, Digest(goldenCharter()), goldenNow)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer file.Close()
-	if left == nil {
-		t.Fatal("nothing is found in the old file")
+	if residue == nil {
+		t.Fatal("nothing was restored from the golden file")
 	}
-	goldentest.Same(t, *left, goldenResidue())
-	if file.Rules() != goldenRule {
-		t.Errorf("rules %x, want %x", file.Rules(), uint64(goldenRule))
+	goldentest.Same(t, *residue, goldenResidue())
+	if file.RulesVersion() != goldenRulesVersion {
+		t.Errorf("rules %x, want %x", file.RulesVersion(), uint64(goldenRulesVersion))
 	}
 }
--- a/internal/supervisor/participant.go
+++ b/internal/supervisor/participant.go
@@ -104,7 +104,7 @@
 	host := p.file.hostName()
 	path := filepath.Join(dir, fmt.Sprintf("%s.%d.jsonl", host, os.Getpid()))
 	var err error
-	if p.history, err = history.Open(path, host, crashstate.Uptime()); err != nil {
+	if p.history, err = history.Open(path, host, crashstate.UptimeCentiseconds()); err != nil {
 		return nil, err
 	}
 	return p.history, nil
--- a/internal/supervisor/process.go
+++ b/internal/supervisor/process.go
@@ -127,7 +127,7 @@
 // new one bootstraps. The caller holds the lock.
 func (d *Daemon) readyAdminAddresses(except string) (addresses []string) {
 	for _, process := range d.processes {
-		if process.ready && process.Instance != except && len(addresses) < bootstrap.Peers {
+		if process.ready && process.Instance != except && len(addresses) < bootstrap.MaxPeers {
 			addresses = append(addresses, process.AdminAddress)
 		}
 	}
