--- a/internal/gateway/recovery/bootstrap/registry.go
+++ b/internal/gateway/recovery/bootstrap/registry.go
@@ -43,11 +43,11 @@
 
 // apply applies a full list or a change to the local list.
 func (r *Registry) apply(update endpoints.List) {
-	if update.Whole {
+	if update.Snapshot {
 		clear(r.local)
 	}
 	for _, w := range update.Workers {
-		if w.Gone {
+		if w.Removed {
 			delete(r.local, w.Name)
 		} else {
 			r.local[w.Name] = w
@@ -111,15 +111,15 @@
 				continue
 			}
 			w.Active = w.Active && !o.Drained && !o.Barred
-			w.Gone = w.Gone || o.Barred
+			w.Removed = w.Removed || o.Barred
 			if o.Weight > 0 && o.Worker != "" {
 				workerWeight = o.Weight
 			} else if o.Weight > 0 {
-				w.Rating = o.Weight
+				w.Weight = o.Weight
 			}
 		}
 		if workerWeight > 0 {
-			w.Rating = workerWeight
+			w.Weight = workerWeight
 		}
 	}
 	return l
@@ -143,7 +143,7 @@
 
 // Local returns the local list, without a peer's, sorted by name and without overrides.
 func (r *Registry) Local() endpoints.List {
-	l := endpoints.List{Version: r.version, Whole: true}
+	l := endpoints.List{Version: r.version, Snapshot: true}
 	for _, w := range r.local {
 		l.Workers = append(l.Workers, w)
 	}
@@ -177,7 +177,7 @@
 // is known to drain: a wrong peer must not send it new requests. A list without an active worker is
 // rejected.
 func (r *Registry) ApplyPeerList(peerList endpoints.List, ageMillis float64) (endpoints.List, bool) {
-	if r.discoveryAnswered && !r.lagging || !peerList.Whole ||
+	if r.discoveryAnswered && !r.lagging || !peerList.Snapshot ||
 		peerList.Version <= max(r.version, r.peerList.Version) || !(ageMillis >= 0) ||
 		ageMillis > MaxAgeMillis {
 		return endpoints.List{}, false
@@ -192,14 +192,14 @@
 
 // mergePeerList returns the local list merged with a peer's, and whether any worker on it is active.
 func (r *Registry) mergePeerList(peerList endpoints.List) (mergePeerList endpoints.List, active bool) {
-	mergePeerList = endpoints.List{Version: r.version, Whole: true}
+	mergePeerList = endpoints.List{Version: r.version, Snapshot: true}
 	for _, w := range peerList.Workers {
-		if w.Gone {
+		if w.Removed {
 			continue
 		}
 		if own, known := r.local[w.Name]; known {
 			w.Active = w.Active && own.Active
-			w.Since = max(w.Since, own.Since) // the later of two starts, so that it gets a slow start
+			w.StartedMillis = max(w.StartedMillis, own.StartedMillis) // the later of two starts, so that it gets a slow start
 			if !w.Active {
 				w.Address = own.Address
 			}
--- a/internal/gateway/recovery/bootstrap/registry_test.go
+++ b/internal/gateway/recovery/bootstrap/registry_test.go
@@ -15,7 +15,7 @@
 }
 
 func fullList(version int64, all ...endpoints.Worker) endpoints.List {
-	return endpoints.List{Version: version, Whole: true, Workers: all}
+	return endpoints.List{Version: version, Snapshot: true, Workers: all}
 }
 
 // summary is a list in short: the name of an active worker, and in brackets that of an inactive one.
@@ -73,16 +73,16 @@
 		t.Error("an older peer list replaces a newer one")
 	}
 	since := worker("a", true)
-	since.Since = 500
-	if l, _ := registry.ApplyPeerList(fullList(10, since), 1); l.Workers[0].Since != 500 {
+	since.StartedMillis = 500
+	if l, _ := registry.ApplyPeerList(fullList(10, since), 1); l.Workers[0].StartedMillis != 500 {
 		t.Error("a restarted worker gets no slow start")
 	}
-	change := endpoints.List{Version: 8, Workers: []endpoints.Worker{{Name: "c", Gone: true}}}
-	if l := registry.ApplyDiscovery(change, 5); !l.Whole || summary(l) != "a (b) " {
+	change := endpoints.List{Version: 8, Workers: []endpoints.Worker{{Name: "c", Removed: true}}}
+	if l := registry.ApplyDiscovery(change, 5); !l.Snapshot || summary(l) != "a (b) " {
 		t.Errorf("discovery's first update: %q", summary(l))
 	}
 	change = endpoints.List{Version: 9, Workers: []endpoints.Worker{worker("e", true)}}
-	if l := registry.ApplyDiscovery(change, 6); l.Whole || summary(l) != "e " {
+	if l := registry.ApplyDiscovery(change, 6); l.Snapshot || summary(l) != "e " {
 		t.Errorf("discovery's next update: %q", summary(l))
 	}
 	l, age, ok := registry.Shared(16)
@@ -195,12 +195,12 @@
 		l := registry.ApplyDiscovery(list, 1)
 		gone := 0
 		for _, w := range l.Workers {
-			if w.Gone {
+			if w.Removed {
 				gone++
 			}
 		}
-		if summary(l) != c.want || gone != c.gone || l.Workers[0].Rating != c.rating {
-			t.Errorf("%v: %q, %d gone, of %v", c.words, summary(l), gone, l.Workers[0].Rating)
+		if summary(l) != c.want || gone != c.gone || l.Workers[0].Weight != c.rating {
+			t.Errorf("%v: %q, %d gone, of %v", c.words, summary(l), gone, l.Workers[0].Weight)
 		}
 		if told, _, ok := registry.Shared(1); !ok || summary(told) != "a b " {
 			t.Errorf("%v: shared is %q", c.words, summary(told))
