--- /dev/null
+++ b/internal/gateway/recovery/checkpoint/encoding.go
@@ -0,0 +1,144 @@
+package checkpoint
+
+import (
+	"math"
+
+	"willowdeck/internal/gateway/incarnation"
+	"willowdeck/internal/policy"
+)
+
+// The encoding of a Snapshot. Counts and indexes are 32 bits, times and quantities are float64.
+
+// customerFloats returns pointers to the encoded floats of a customer, in the order of the form.
+func customerFloats(customer *policy.Customer) [17]*float64 {
+	return [...]*float64{&customer.Level, &customer.Whole, &customer.Filled, &customer.Others, &customer.Flow,
+		&customer.Held, &customer.Heard, &customer.Demand,
+		&customer.Lately, &customer.Seen, &customer.CoolSince, &customer.Unsaid, &customer.Said, &customer.SaidAt,
+		&customer.Known, &customer.Lag,
+		&customer.Dealt}
+}
+
+// encode appends the snapshot to b.
+func encode(b []byte, snapshot *Snapshot) []byte {
+	state := &snapshot.State
+	for _, number := range [...]int{len(state.Peers), len(state.Tight), len(state.Customers)} {
+		b = byteOrder.AppendUint32(b, uint32(number))
+	}
+	for _, v := range [...]float64{state.At, state.Started, state.NextTell} {
+		b = appendFloat(b, v)
+	}
+	for i := range state.Tight {
+		b = appendFloat(appendFloat(b, state.Tight[i]), state.Stay[i])
+	}
+	reportBytesLeft := maxReportBytes
+	for i := range state.Peers {
+		peer := &state.Peers[i]
+		for _, v := range [...]float64{peer.Heard, peer.Told, peer.Owes, peer.Spoke} {
+			b = appendFloat(b, v)
+		}
+		var message incarnation.MessageID
+		if i < len(snapshot.LastMessages) {
+			message = snapshot.LastMessages[i]
+		}
+		b = byteOrder.AppendUint32(byteOrder.AppendUint32(b, message.Incarnation), message.Sequence)
+		number := min(len(peer.Last), reportBytesLeft/reportSize)
+		reportBytesLeft -= number * reportSize
+		b = byteOrder.AppendUint32(byteOrder.AppendUint32(b, flagBit(peer.Silent, 1)|flagBit(peer.Gone, 2)),
+			uint32(number))
+		for k := range peer.Last[:number] {
+			report := &peer.Last[k]
+			b = byteOrder.AppendUint32(byteOrder.AppendUint32(b, uint32(report.Customer)), uint32(report.Plan))
+			b = appendFloat(b, report.Demand)
+		}
+	}
+	for i := range state.Customers {
+		customer := &state.Customers[i]
+		for _, number := range [...]int{int(uint32(customer.Key)), customer.Plan, customer.N, customer.First,
+			min(customer.Txns, math.MaxInt32),
+			customer.Holding<<1 | int(flagBit(customer.Hot, 1))} {
+			b = byteOrder.AppendUint32(b, uint32(number))
+		}
+		for _, v := range customerFloats(customer) {
+			b = appendFloat(b, *v)
+		}
+	}
+	return b
+}
+
+func appendFloat(b []byte, v float64) []byte { return byteOrder.AppendUint64(b, math.Float64bits(v)) }
+
+func flagBit(is bool, bit uint32) uint32 {
+	if is {
+		return bit
+	}
+	return 0
+}
+
+// decoder consumes the form that encode produces. Once there are too few bytes, failed is set and all
+// further results are 0.
+type decoder struct {
+	data   []byte
+	failed bool
+}
+
+func (d *decoder) uint32() int {
+	if len(d.data) < 4 {
+		d.failed = true
+		return 0
+	}
+	n := byteOrder.Uint32(d.data)
+	d.data = d.data[4:]
+	return int(n)
+}
+
+func (d *decoder) float64() float64 {
+	if len(d.data) < 8 {
+		d.failed = true
+		return 0
+	}
+	v := math.Float64frombits(byteOrder.Uint64(d.data))
+	d.data = d.data[8:]
+	return v
+}
+
+// count returns n, the number of elements that follow, or 0 if there are too few bytes for elements of
+// that size.
+func (d *decoder) count(n, size int) int {
+	if n > len(d.data)/size {
+		d.failed = true
+		return 0
+	}
+	return n
+}
+
+// snapshot decodes a whole snapshot.
+func (d *decoder) snapshot(snapshot *Snapshot) {
+	state := &snapshot.State
+	peers, plans, customers := d.uint32(), d.uint32(), d.uint32()
+	state.At, state.Started, state.NextTell = d.float64(), d.float64(), d.float64()
+	for range d.count(plans, 16) {
+		state.Tight, state.Stay = append(state.Tight, d.float64()), append(state.Stay, d.float64())
+	}
+	for range d.count(peers, peerSize) {
+		peer := policy.Hearing{Heard: d.float64(), Told: d.float64(), Owes: d.float64(), Spoke: d.float64()}
+		message := incarnation.MessageID{Incarnation: uint32(d.uint32()), Sequence: uint32(d.uint32())}
+		snapshot.LastMessages = append(snapshot.LastMessages, message)
+		flags := d.uint32()
+		peer.Silent, peer.Gone = flags&1 != 0, flags&2 != 0
+		for range d.count(d.uint32(), reportSize) {
+			peer.Last = append(peer.Last, policy.Report{Customer: uint64(d.uint32()), Plan: d.uint32(),
+				Demand: d.float64()})
+		}
+		state.Peers = append(state.Peers, peer)
+	}
+	for range d.count(customers, customerSize) {
+		customer := policy.Customer{Key: uint64(d.uint32()), Plan: d.uint32(), N: d.uint32(), First: d.uint32(),
+			Txns: d.uint32()}
+		flags := d.uint32()
+		customer.Holding, customer.Hot = flags>>1, flags&1 != 0
+		for _, value := range customerFloats(&customer) {
+			*value = d.float64()
+		}
+		state.Customers = append(state.Customers, customer)
+	}
+}
