--- a/internal/gateway/lifecycle/endings_test.go
+++ b/internal/gateway/lifecycle/endings_test.go
@@ -92,7 +92,7 @@
 		}
 		return n
 	}
-	inHand := func(d *deployment) bool { return d.gk.front.Active() == 1 }
+	inHand := func(d *deployment) bool { return d.gk.front.ActiveRequests() == 1 }
 	sent := func(d *deployment) bool { return count(d) == 1 }
 	patient := func(raw string) string { return strings.Replace(raw, "300m", "900m", 1) }
 	for _, c := range []struct {
@@ -421,7 +421,7 @@
 		t.Fatal("an heir without its place does not end")
 	}
 	fmt.Fprint(kept, check("/check", "k2"))
-	if status, _ := read(kept); status != "HTTP/1.1 200 OK" || d.gk.owner.Load().Awaited() {
+	if status, _ := read(kept); status != "HTTP/1.1 200 OK" || d.gk.owner.Load().HasSuccessor() {
 		t.Errorf("the process before it answers %q", status)
 	}
 
--- a/internal/gateway/lifecycle/worker_ends_test.go
+++ b/internal/gateway/lifecycle/worker_ends_test.go
@@ -201,10 +201,10 @@
 func (d *deployment) open(want int) {
 	d.t.Helper()
 	end := time.Now().Add(5 * time.Second)
-	for d.gk.links.Open() != want && time.Now().Before(end) {
+	for d.gk.links.OpenConns() != want && time.Now().Before(end) {
 		time.Sleep(time.Millisecond)
 	}
-	if n := d.gk.links.Open(); n != want {
+	if n := d.gk.links.OpenConns(); n != want {
 		d.t.Errorf("%d connections are held, want %d", n, want)
 	}
 }
@@ -354,7 +354,7 @@
 				<-d.calls(soon(check("/check", "n2")))
 			}
 			d.open(c.open)
-			d.gk.links.Shed(0) // what is kept would play its script on
+			d.gk.links.CloseIdle(0) // what is kept would play its script on
 			d.open(0)
 		}
 		until(t, "scripts play on", func() bool { return b.busy.Load() == 0 })
@@ -429,7 +429,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n, err := io.Copy(io.Discard, got.Body); err == nil || n > transport.MostBody {
+	if n, err := io.Copy(io.Discard, got.Body); err == nil || n > transport.MaxBodyBytes {
 		t.Errorf("got %d bytes, %v", n, err)
 	}
 	d.open(0)
@@ -628,7 +628,7 @@
 	defer x.Close()
 	x.SetReadBuffer(4 << 10)
 	x.begins(1 << 10)
-	write := runtime.FuncForPC(reflect.ValueOf((*transport.Link).Write).Pointer()).Name() // as in a stack
+	write := runtime.FuncForPC(reflect.ValueOf((*transport.WorkerConn).Write).Pointer()).Name() // as in a stack
 	stack := make([]byte, 1<<20)
 	until(t, "nothing more goes to it", func() bool {
 		for _, s := range strings.Split(string(stack[:runtime.Stack(stack, true)]), "\n\n") {
