--- /dev/null
+++ b/internal/gateway/transport/answer_test.go
@@ -0,0 +1,43 @@
+package transport
+
+import (
+	"testing"
+
+	"github.com/valyala/fasthttp"
+
+	"willowdeck/internal/policy"
+)
+
+// What answers report of load, and what of it counts as not reported.
+func TestParseLoad(t *testing.T) {
+	cases := []struct {
+		name, load string
+		want       policy.Burden
+	}{
+		{"all", `{"inflight":7,"queue":2,"util":0.61}`, policy.Burden{Held: 7, Waiting: 2, Busy: 0.61}},
+		{"in the settings' names", `{"concurrent":7,"depth":2,"load_share":0.61}`,
+			policy.Burden{Held: 7, Waiting: 2, Busy: 0.61}},
+		{"some, and one not known", `{"queue":2,"eps":1}`, policy.Burden{Held: -1, Waiting: 2, Busy: -1}},
+		{"no JSON", `inflight=7`, policy.Burden{Held: -1, Waiting: -1, Busy: -1}},
+		{"no number", `{"inflight":"7"}`, policy.Burden{Held: -1, Waiting: -1, Busy: -1}},
+		{"out of range", `{"inflight":1e999}`, policy.Burden{Held: -1, Waiting: -1, Busy: -1}},
+		{"negative", `{"inflight":-7,"queue":1}`, policy.Burden{Held: -1, Waiting: 1, Busy: -1}},
+		{"no field", `{}`, policy.Burden{Held: -1, Waiting: -1, Busy: -1}},
+		{"missing", "", policy.Burden{Held: -1, Waiting: -1, Busy: -1}},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			var head fasthttp.ResponseHeader
+			if tc.load != "" {
+				head.Set("X-Load", tc.load)
+			}
+			if got := parseLoad(&head); got != tc.want {
+				t.Errorf("load %+v", got)
+			}
+			head.Add("X-Load", `{"inflight":1}`)
+			if tc.load != "" && parseLoad(&head).Held >= 0 {
+				t.Error("a report that is given twice is accepted")
+			}
+		})
+	}
+}
--- a/internal/gateway/transport/discovery_test.go
+++ b/internal/gateway/transport/discovery_test.go
@@ -18,13 +18,13 @@
 	"willowdeck/internal/policy"
 )
 
-// Guards against a watch that is turned away and asks again at once, asks twice at a time, or forgets the
-// version that it has: after each kind of end the next call waits for its pause and goes by that version.
+// Guards against a watch that is rejected and asks again at once, has two calls out, or forgets its version:
+// after each kind of end the next call waits for its pause and asks from that version.
 func TestWatchReconnects(t *testing.T) {
 	const line = `{"index":%d,"snapshot":false,"endpoints":[]}` + "\n"
 	listener, address := listen(t)
 	var versions []string
-	go func() { // one call after another, so that a second one beside it would be seen
+	go func() { // one call after another, so that a second one at the same time would be seen
 		for _, response := range []string{"", "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 			"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + fmt.Sprintf(line, 4) + "\n",
 			"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
@@ -61,18 +61,18 @@
 	w.run(ctx)
 	version := w.version
 	if version != 6 || heartbeats != 1 || !slices.Equal(failures, []int{0, 1, 2, 1, 2, 1}) {
-		t.Errorf("version %d, %d lines without news, pauses after %v tries", version, heartbeats, failures)
+		t.Errorf("version %d, %d heartbeats, pauses after %v failures", version, heartbeats, failures)
 	}
 	if want := []string{"3", "3", "3", "4", "4", "0"}; !slices.Equal(versions, want) {
 		t.Errorf("asked from versions %v, not %v", versions, want)
 	}
 	if len(errs) != 5 || !strings.Contains(errs[1], "503") {
-		t.Errorf("ends: %q", errs)
+		t.Errorf("errors: %q", errs)
 	}
 }
 
-// A list beyond a bound ends the watch: that is said, nothing of it is told, and the next call asks from the
-// version before it.
+// A list beyond a limit ends the watch: that is reported, nothing of the list is applied, and the next call
+// asks from the version before it.
 func TestWatchListTooLong(t *testing.T) {
 	const list = `{"index":%d,"endpoints":[{"name":"%s","status":"left"}]}` + "\n"
 	long := strings.Repeat("n", policy.LongestEntry)
@@ -107,18 +107,19 @@
 		silenceTimeout: func() float64 { return policy.WatchQuiet }}
 	w.run(ctx)
 	if !slices.Equal(applied, []int64{4, 6}) || len(errs) == 0 || !errors.Is(errs[0], endpoints.ErrTooLong) {
-		t.Errorf("told of %v; ends: %v", applied, errs)
+		t.Errorf("applied %v; errors: %v", applied, errs)
 	}
 	if first, next := <-versions, <-versions; first != "3" || next != "4" {
 		t.Errorf("asked from %s, then from %s", first, next)
 	}
 }
 
-// scriptedDiscovery is what discovery does with one call after another, until the watcher leaves. In what it
-// says "^" is the head, "~" a second's wait and "$" the end; the rest comes in chunks of a byte.
+// scriptedDiscovery plays one script per call, and holds further calls until the watch ends. In a script "^"
+// is the head, "~" a pause of a second and "$" the end; the rest comes in chunks of a byte.
 func scriptedDiscovery(t *testing.T, scripts ...string) (dial func(context.Context, string,
 	string) (net.Conn, error),
 	versions chan string) {
+	t.Helper()
 	versions = make(chan string, 9)
 	return func(ctx context.Context, _, _ string) (net.Conn, error) {
 		if len(scripts) == 0 {
@@ -159,14 +160,15 @@
 	}, versions
 }
 
+// timing gives a WatchTiming of fixed values.
 func timing(pollingInstances int, dueMillis, random float64) WatchTiming {
 	return WatchTiming{PollingInstances: func() int { return pollingInstances }, DueMillis: dueMillis,
 		Random: func() float64 { return random }}
 }
 
-// What a watch misses that falls silent, ends or moves is told before it counts as told, whatever chance
-// draws and however large the fleet; in virtual time. Guards against a quiet of 5 s and pauses that grow with
-// the fleet on top of it: up to 12.5 s at 300.
+// What a watch misses that falls silent, ends or moves is received before it is due, whatever random draws
+// and however large the fleet; in virtual time. Guards against a silence time-out of 5 s and pauses that grow
+// with the fleet on top of it: up to 12.5 s at 300.
 func TestWatchDelayBound(t *testing.T) {
 	const (
 		former = `{"index":4}` + "\n"
@@ -238,13 +240,13 @@
 					}
 				}
 				w.run(ctx)
-				time.Sleep(time.Minute) // for discovery to see that it was left
+				time.Sleep(time.Minute) // for discovery to notice the end
 				var index []string
 				for len(polled) > 0 {
 					index = append(index, <-polled)
 				}
 				if delay > tc.limit || w.version != 5 || !slices.Equal(index, tc.index) {
-					t.Errorf("%s, chance %v: told %v after, due in %v; asked for %v", tc.name, chance, delay, tc.limit,
+					t.Errorf("%s, random %v: received after %v, due in %v; asked for %v", tc.name, chance, delay, tc.limit,
 						index)
 				}
 			})
@@ -252,8 +254,8 @@
 	}
 }
 
-// outage is a discovery that meets all calls so until it is back, and those it has met by then for good. From
-// then on each call is answered after its turn.
+// outage is a discovery that meets all calls with a fault until it recovers, and keeps to it for the calls of
+// that time. From then on each call is answered after its time in the queue.
 type outage struct {
 	t          *testing.T
 	fault      string
@@ -267,6 +269,7 @@
 	partialList = `{"index":5,"endpoints":[`
 )
 
+// chunk encodes an HTTP chunk.
 func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
 func (o *outage) dial(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -295,7 +298,7 @@
 	return client, nil
 }
 
-// serveFault does what there is instead of an answer.
+// serveFault does what the fault is instead of an answer.
 func (o *outage) serveFault(c net.Conn) {
 	switch o.fault {
 	case "silent":
@@ -337,7 +340,7 @@
 	}
 }
 
-// write says something, and again and again something more, until the caller leaves.
+// write writes first, and then repeated at an interval, until the caller closes the connection.
 func (o *outage) write(c net.Conn, first string, interval time.Duration, repeated string) {
 	closed := make(chan bool)
 	go func() {
@@ -361,12 +364,12 @@
 	}
 }
 
-// Whatever calls have met, a change is told WatchDue after discovery could be reached, whenever that is, or
-// after it has begun an answer and fallen silent in it; WatchMoved after a move to one that is well; whatever
-// chance draws and however many ask. What is still out when it is back is lost, and each call after that
-// waits its turn where lists are asked for. In virtual time. Guards against pauses that grow with the fleet
-// and with each failure, on top of the time that the last call takes: up to 63 s at 300; and against any that
-// grow while calls are refused, which cost nobody anything.
+// Whatever calls have met, a change is received within WatchDue after discovery has recovered, whenever that
+// is, or after it has begun an answer and fallen silent in it; within WatchMoved after a move to a healthy
+// one; whatever random draws and however many poll. A call that is out at the recovery is lost, and each call
+// after that waits in the queue where lists are polled. In virtual time. Guards against pauses that grow with
+// the fleet and with each failure, on top of the time that the last call takes: up to 63 s at 300; and
+// against any that grow while calls are refused, which costs discovery nothing.
 func TestWatchOutage(t *testing.T) {
 	for _, fault := range []string{"refused", "black-holed", "silent", "reset", "busy", "busy at once",
 		"trickled head", "head alone", "late head alone", "half a list", "half a list, begun late",
@@ -401,14 +404,15 @@
 										Millis(policy.WatchDue-policy.WatchAnswer)))
 							}
 							if w.version != 5 || elapsed > limit {
-								t.Errorf("%s, %d ask, due in %v, chance %v: back after %v, told after %v", fault, pollingInstances,
+								t.Errorf("%s, %d poll, due in %v, random %v: recovered after %v, received after %v", fault,
+									pollingInstances,
 									dueMillis,
 									random, recovers, elapsed)
 							}
-							time.Sleep(time.Minute) // for discovery to see that it was left
+							time.Sleep(time.Minute) // for discovery to notice the end
 						})
 					}
-					t.Logf("%s, %d ask, due in %v, chance %v: %v at the worst", fault, pollingInstances, dueMillis, random,
+					t.Logf("%s, %d poll, due in %v, random %v: %v at worst", fault, pollingInstances, dueMillis, random,
 						worst)
 				}
 			}
@@ -416,8 +420,8 @@
 	}
 }
 
-// A watch that is ended from here ends at once, whatever it is about. Guards against a move (SIGHUP) that
-// waits for it: the next one opens only then.
+// A watch whose context ends stops at once, whatever it is doing. Guards against a move (SIGHUP) that waits
+// for it: the next watch begins only then.
 func TestWatchStopsAtOnce(t *testing.T) {
 	for _, fault := range []string{"refused", "black-holed", "silent", "busy", "trickled head", "head alone",
 		"half a list", "trickled list", "well"} {
@@ -436,7 +440,7 @@
 					silenceTimeout: p.silenceTimeoutMillis, onList: func(endpoints.List) {}}
 				w.run(ctx)
 				if elapsed := time.Since(start); elapsed != stopAfter {
-					t.Errorf("%s: told to end after %v, ended after %v", fault, stopAfter, elapsed)
+					t.Errorf("%s: stopped after %v, ended after %v", fault, stopAfter, elapsed)
 				}
 				time.Sleep(time.Minute)
 			})
@@ -444,16 +448,17 @@
 	}
 }
 
-// A watch that has spoken breaks in some way, and discovery has a change from that moment on which it would
-// tell to each new call: it is told in WatchDue. Guards against a list that never ends being a sign of life
-// with each byte, and a whole pause on top of the time that half a list has taken.
+// A watch that has received something breaks in some way, and discovery has a change from that moment on,
+// which it would send to each new call: it is received within WatchDue. Guards against a list that never ends
+// counting as activity with each byte, and against a whole pause on top of the time that a partial list has
+// taken.
 func TestWatchRecoversFromFault(t *testing.T) {
 	for _, tc := range []struct {
 		fault       string
 		first       string
 		interval    time.Duration
 		repeated    string
-		closesAfter time.Duration // 0 is never
+		closesAfter time.Duration // 0 for never
 	}{
 		{"silent", "", time.Hour, "", 0},
 		{"reset", "", time.Hour, "", 1},
@@ -516,7 +521,7 @@
 					w.run(ctx)
 					elapsed := time.Since(brokeAt)
 					if w.version != 5 || calls != 2 || elapsed > Millis(policy.WatchDue) {
-						t.Errorf("%s, %d ask, chance %v: told after %v, by %d calls", tc.fault, pollingInstances, random,
+						t.Errorf("%s, %d poll, random %v: received after %v, by %d calls", tc.fault, pollingInstances, random,
 							elapsed, calls)
 					}
 					time.Sleep(2 * time.Hour)
--- a/internal/gateway/transport/frontend_test.go
+++ b/internal/gateway/transport/frontend_test.go
@@ -16,8 +16,8 @@
 	"willowdeck/internal/policy"
 )
 
-// testFrontend is a front on loopback whose connections are the test's to spoil, with a module that serve
-// stands for.
+// testFrontend is a frontend on loopback, with a function in the place of the proxy, whose connections a test
+// can replace.
 type testFrontend struct {
 	*Frontend
 	t        *testing.T
@@ -25,6 +25,7 @@
 	address  string
 }
 
+// newTestFrontend makes a testFrontend that has at most limit connections.
 func newTestFrontend(t *testing.T, limit int, serve func(*Request) FinalAnswer) *testFrontend {
 	t.Helper()
 	raw, address := listen(t)
@@ -36,8 +37,8 @@
 		address: address.String()}
 }
 
-// connect has a client come, and gives both sides. spoil may put another connection in the place of the
-// gatekeeper's, and take is told of the client's before it connects.
+// connect connects a client and gives both sides of the connection. wrap, unless nil, replaces the frontend's
+// side. smallBuffer gives the client a small receive buffer.
 func (f *testFrontend) connect(wrap func(*directConn) net.Conn, smallBuffer bool) (*net.TCPConn,
 	*clientConn) {
 	f.t.Helper()
@@ -67,12 +68,13 @@
 	return client.(*net.TCPConn), conn
 }
 
+// requestText is a request with an ID.
 func requestText(id string) string {
 	return "GET /check HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nPlan: basic\r\n" +
 		"Cookie: key=00000000b4d65521\r\nX-Deadline: 900m\r\nQuota-Info: units=1,spread=1,first=0\r\n\r\n"
 }
 
-// readStatusLine reads an answer, and gives its status line.
+// readStatusLine reads the head of a response and gives its status line, or the text of the error.
 func readStatusLine(c net.Conn) string {
 	var got []byte
 	for b := make([]byte, 1); !bytes.HasSuffix(got, []byte("\r\n\r\n")); got = append(got, b[0]) {
@@ -92,6 +94,7 @@
 	internalErrorStatus = "HTTP/1.1 500 Internal Server Error"
 )
 
+// waitFor waits until a condition holds, and fails the test after some seconds.
 func waitFor(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
 	for range 3000 {
@@ -103,7 +106,7 @@
 	t.Fatal(failure)
 }
 
-// peekHook is a connection on which something happens between a look at it and what follows from that.
+// peekHook is a connection that calls afterPeek between the look for unread bytes and what follows from it.
 type peekHook struct {
 	*directConn
 	afterPeek func()
@@ -115,7 +118,7 @@
 	return quiescent
 }
 
-// timeoutHook is a connection whose next read ends by its time limit just as something has come.
+// timeoutHook is a connection whose next read times out just as bytes have come.
 type timeoutHook struct {
 	*directConn
 	beforeTimeout func() // or nil
@@ -130,9 +133,9 @@
 	return h.directConn.Read(b)
 }
 
-// A txn that comes between the look at a resting connection and its end is not read, let alone sent on, and
-// its client meets an end after which it can send the txn again, not a reset. Guards against a close over
-// bytes that have come since the look.
+// A request that comes between the look at an idle connection and its end is not read, let alone forwarded,
+// and its client meets an end after which it can send the request again, not a reset. Guards against a close
+// over bytes that have come since the look.
 func TestRequestCrossesClose(t *testing.T) {
 	var served atomic.Int64
 	f := newTestFrontend(t, 9, func(*Request) FinalAnswer {
@@ -154,29 +157,29 @@
 	if status := readStatusLine(client); status != declinedStatus {
 		t.Fatal(status)
 	}
-	waitFor(t, "it does not rest", func() bool { return conn.state.Load() == stateIdle })
+	waitFor(t, "it does not become idle", func() bool { return conn.state.Load() == stateIdle })
 	conn.lastActivityNanos.Store(time.Now().Add(-time.Second).UnixNano())
 	f.listener.closeIdle(time.Millisecond)
 	if !crosses || conn.state.Load() != stateEnded {
-		t.Fatal("it was not ended as the txn came")
+		t.Fatal("it was not ended as the request came")
 	}
-	if n, err := client.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+	if n, err := client.Read(make([]byte, 1)); n != 0 || !isBareEOF(err) {
 		t.Errorf("its client meets %d bytes, %v", n, err)
 	}
 	if direct := conn.Conn.(peekHook).directConn; !conn.isEnded() {
 		t.Error("it goes on")
 	} else if n, _ := direct.peek(); n == 0 {
-		t.Error("the txn was read")
+		t.Error("the request was read")
 	}
 	start := time.Now()
 	_ = client.Close()
 	f.Wait()
 	if took := time.Since(start); served.Load() != 1 || took > Millis(policy.Linger/2) {
-		t.Errorf("%d txns were served; closed %v after its client", served.Load(), took)
+		t.Errorf("%d requests were served; closed %v after its client", served.Load(), took)
 	}
 }
 
-// Nothing is read from a connection that has been ended, though who reads from it has not heard of that.
+// Nothing is read from a connection that has been ended, though the reading goroutine has not noticed yet.
 func TestNoReadAfterEnd(t *testing.T) {
 	f := newTestFrontend(t, 9, nil)
 	client, err := net.Dial("tcp", f.address)
@@ -200,13 +203,14 @@
 	}
 }
 
-// A txn that comes just as a resting connection's time is out is served. Guards against a close over it.
+// A request that comes just as the time of an idle connection is up is served. Guards against a close over
+// it.
 func TestRequestCrossesIdleTimeout(t *testing.T) {
 	f := newTestFrontend(t, 9, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Decline} })
 	hooked := false
 	client, _ := f.connect(func(direct *directConn) net.Conn {
 		hook, read := &timeoutHook{directConn: direct}, direct.reading.call
-		direct.reading.call = func(fd uintptr) bool { // the first txn is read: the next read is the resting one
+		direct.reading.call = func(fd uintptr) bool { // the first request is read: the next read is the idle one
 			done := read(fd)
 			if !hooked && direct.reading.done > 0 {
 				hooked = true
@@ -224,12 +228,12 @@
 	}
 	fmt.Fprint(client, requestText("2"))
 	if status := readStatusLine(client); status != declinedStatus {
-		t.Errorf("the second txn gets %q", status)
+		t.Errorf("the second request gets %q", status)
 	}
 }
 
-// An answer that ends its connection reaches a client that has sent more behind its txn, and is slow to read.
-// Guards against a close over unread bytes, which would take what has not been delivered with it.
+// The last answer on a connection reaches a client that has sent more behind its request and reads slowly.
+// Guards against a close over unread bytes, which would drop what has not been delivered.
 func TestAnswerDeliveredBeforeClose(t *testing.T) {
 	body := bytes.Repeat([]byte("txn "), 16<<10)
 	var served atomic.Int64
@@ -242,7 +246,7 @@
 	})
 	client, conn := f.connect(nil, true)
 	fmt.Fprint(client, requestText("1"))
-	waitFor(t, "it is not taken", func() bool { return conn.state.Load() == stateServing })
+	waitFor(t, "it is not served", func() bool { return conn.state.Load() == stateServing })
 	fmt.Fprint(client, requestText("2"))
 	waitFor(t, "no more comes", func() bool { n, _ := conn.Conn.(*directConn).peek(); return n > 0 })
 	f.Close()
@@ -258,12 +262,12 @@
 	}
 	_ = client.Close()
 	if f.Wait(); served.Load() != 1 {
-		t.Errorf("%d txns were served", served.Load())
+		t.Errorf("%d requests were served", served.Load())
 	}
 }
 
-// A connection that has had its last answer goes once its client does, and no later than Linger; its place is
-// another's at once.
+// A connection that has had its last answer is closed once its client closes it, and within Linger; its place
+// is another's at once.
 func TestGracefulClose(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -302,13 +306,13 @@
 		start := time.Now()
 		f.connect(nil, false)
 		if took := time.Since(start); took > Millis(policy.Linger/2) || f.listener.Evicted() > 0 {
-			t.Errorf("the next had a place after %v, %d were shed", took, f.listener.Evicted())
+			t.Errorf("the next had a place after %v, %d were evicted", took, f.listener.Evicted())
 		}
 	})
 }
 
-// What a client has done shows without a read, also behind bytes that lie unread, and whichever error its end
-// brought.
+// Gone tells that a client has closed its connection without a read, also behind unread bytes, and whichever
+// error the end brought.
 func TestClientGone(t *testing.T) {
 	listener, address := listen(t)
 	for _, c := range []struct {
@@ -345,7 +349,7 @@
 			if strings.Contains(c.name, "more") && !strings.Contains(c.name, "reset") {
 				waitFor(t, "what was sent is lost", func() bool { n, _ := direct.peek(); return n > 0 })
 			}
-			for range 3 { // an error is told once by the kernel
+			for range 3 { // the kernel gives an error once
 				if direct.Gone() != c.gone {
 					t.Errorf("gone %v, want %v", !c.gone, c.gone)
 				}
@@ -354,10 +358,10 @@
 	}
 }
 
-// exhaustedListener is a listener without descriptors for a while.
+// exhaustedListener is a listener that lacks descriptors for some calls of Accept.
 type exhaustedListener struct {
 	net.Listener
-	failures atomic.Int64 // that fail
+	failures atomic.Int64 // calls that are still to fail
 }
 
 func (l *exhaustedListener) Accept() (net.Conn, error) {
@@ -367,8 +371,9 @@
 	return l.Listener.Accept()
 }
 
-// Clients who hold the last descriptors give some back for good, and the next take no more than are left.
-// Guards against a listener that takes each descriptor that is freed while the watch and workers get none.
+// Where clients have taken the last descriptors some connections are closed for good, and the limit falls
+// with them. Guards against a listener that takes each descriptor that becomes free while the watch and the
+// workers get none.
 func TestOutOfDescriptors(t *testing.T) {
 	const clients = 40
 	f := newTestFrontend(t, 5*clients, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Decline} })
@@ -382,7 +387,7 @@
 		if s := readStatusLine(client); s != declinedStatus {
 			t.Fatal(s)
 		}
-		waitFor(t, "it does not rest", func() bool { return conn.state.Load() == stateIdle })
+		waitFor(t, "it does not become idle", func() bool { return conn.state.Load() == stateIdle })
 		conn.lastActivityNanos.Store(longAgo)
 		accepted = append(accepted, client)
 	}
@@ -409,8 +414,8 @@
 	}
 }
 
-// The mark of a txn whose client has gone is free for the same txn once that is given up, unless something
-// was sent for it.
+// The ID of a request whose client has gone is free for the same request once it has been given up, unless
+// something was sent for it.
 func TestRequestIDAfterClientGone(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -418,7 +423,7 @@
 		sent   bool
 		want   string
 	}{
-		{"it waits still", false, false, conflictStatus},
+		{"it still waits", false, false, conflictStatus},
 		{"it has gone, and nothing was sent", true, false, declinedStatus},
 		{"it has gone, and something was sent", true, true, conflictStatus},
 	} {
@@ -441,7 +446,7 @@
 			})
 			a, firstConn := f.connect(nil, false)
 			fmt.Fprint(a, requestText("1"))
-			waitFor(t, "it is not taken", func() bool { return firstConn.state.Load() == stateServing })
+			waitFor(t, "it is not served", func() bool { return firstConn.state.Load() == stateServing })
 			if c.leaves {
 				_ = a.Close()
 			}
@@ -451,7 +456,7 @@
 			waitFor(t, "it is not read", func() bool { return secondConn.state.Load() == stateServing })
 			if c.leaves {
 				if served.Load() > 1 {
-					t.Error("two of one mark are out")
+					t.Error("two requests of one ID are in flight")
 				}
 				close(proceed)
 			} else {
@@ -464,7 +469,7 @@
 	}
 }
 
-// writeHook is a connection whose writes return once a signal has come behind them.
+// writeHook is a connection whose writes return only after a signal.
 type writeHook struct {
 	*directConn
 	wrote   chan<- struct{}
@@ -478,8 +483,8 @@
 	return n, err
 }
 
-// A client that has its final answer may ask under the same id at once, on another connection, however late
-// the goroutine of the first goes on. Guards against a 409 for a txn that has ended.
+// A client that has its final answer may reuse the ID at once on another connection, however late the
+// goroutine of the first goes on. Guards against a 409 for a request that has ended.
 func TestRequestIDAfterAnswer(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -508,8 +513,8 @@
 	}
 }
 
-// Small writes go out at once, on connections taken here, from a listener that was inherited, and from
-// another process. Guards against an answer that the kernel holds back and a reset takes with it.
+// Small writes go out at once, on connections that were accepted here, from an inherited listener and from
+// another process. Guards against an answer that the kernel delays and that is lost by a reset.
 func TestNoDelay(t *testing.T) {
 	listener, _ := listen(t)
 	file, err := listener.(*net.TCPListener).File()
@@ -565,8 +570,8 @@
 	}
 }
 
-// Once the process ends, what is being read may pause for a moment only, and what is in hand counts as given
-// up when that is said.
+// After HurryReads a request that is being read may pause for a moment only; AbandonRequests gives up the
+// requests in flight.
 func TestHurryReads(t *testing.T) {
 	f := newTestFrontend(t, 9, func(request *Request) FinalAnswer {
 		for !request.Gone() {
@@ -579,30 +584,30 @@
 	waitFor(t, "it is not read", func() bool { return partialConn.state.Load() == stateReadingFirst })
 	complete, completeConn := f.connect(nil, false)
 	fmt.Fprint(complete, requestText("2"))
-	waitFor(t, "it is not taken", func() bool { return completeConn.state.Load() == stateServing })
+	waitFor(t, "it is not served", func() bool { return completeConn.state.Load() == stateServing })
 	start := time.Now()
 	f.listener.HurryReads()
 	if status := readStatusLine(partial); status != timeoutStatus ||
 		time.Since(start) > Millis(policy.Linger) {
-		t.Errorf("half a txn gets %q after %v", status, time.Since(start))
+		t.Errorf("a partial request gets %q after %v", status, time.Since(start))
 	}
 	next, _ := f.connect(nil, false)
 	fmt.Fprint(next, requestText("3")[:40])
 	if status := readStatusLine(next); status != timeoutStatus ||
 		time.Since(start) > 2*Millis(policy.Linger) {
-		t.Errorf("half a txn after it gets %q after %v", status, time.Since(start))
+		t.Errorf("a partial request after it gets %q after %v", status, time.Since(start))
 	}
 	if completeConn.state.Load() != stateServing {
-		t.Error("what is in hand was given up with it")
+		t.Error("the request in flight was given up with it")
 	}
 	f.listener.AbandonRequests()
 	if status := readStatusLine(complete); status != internalErrorStatus {
-		t.Errorf("what is in hand gets %q", status)
+		t.Errorf("the request in flight gets %q", status)
 	}
 }
 
-// A connection that is being given to another process is not ended here meanwhile. Guards against an heir
-// that reads and sends on what comes behind an end.
+// A connection that is being handed over is not ended here meanwhile. Guards against a successor that reads
+// and forwards what comes behind an end.
 func TestHandOverIsNotClosed(t *testing.T) {
 	f := newTestFrontend(t, 9, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Decline} })
 	client, conn := f.connect(nil, false)
@@ -610,7 +615,7 @@
 	if status := readStatusLine(client); status != declinedStatus {
 		t.Fatal(status)
 	}
-	waitFor(t, "it does not rest", func() bool { return conn.state.Load() == stateIdle })
+	waitFor(t, "it does not become idle", func() bool { return conn.state.Load() == stateIdle })
 	successorFD := -1
 	f.HandOver(f.listener, func(raw syscall.RawConn, _ bool, _ []byte) bool {
 		conn.lastActivityNanos.Store(time.Now().Add(-time.Second).UnixNano())
@@ -619,7 +624,7 @@
 	})
 	f.Wait()
 	if successorFD < 0 {
-		t.Fatal("it is not handed on")
+		t.Fatal("it is not handed over")
 	}
 	defer syscall.Close(successorFD)
 	_ = client.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
@@ -628,8 +633,8 @@
 	}
 }
 
-// An answer ahead of a body that is not waited for any longer reaches a client that has to send all of it
-// first. Guards against a close over what is still on its way.
+// An answer that is written before the rest of a body, which is not waited for, reaches a client that sends
+// all of the body first. Guards against a close over bytes on their way.
 func TestAnswerBeforeRestOfBody(t *testing.T) {
 	const size = 800 << 10
 	f := newTestFrontend(t, 9, func(request *Request) FinalAnswer {
@@ -642,21 +647,21 @@
 		"\r\n\r\n",
 		fmt.Sprintf("\r\nContent-Length: %d\r\n\r\nx", size), 1))
 	waitFor(t, "it is waited for", conn.closing.Load)
-	_ = client.SetWriteBuffer(4096) // it is not sent before it is taken
+	_ = client.SetWriteBuffer(4096) // the body is not sent before it is read
 	if _, err := client.Write(make([]byte, size-1)); err != nil {
 		t.Error(err)
 	}
 	if status := readStatusLine(client); status != declinedStatus {
 		t.Errorf("it gets %q", status)
 	}
-	if _, err := client.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := client.Read(make([]byte, 1)); !isBareEOF(err) {
 		t.Errorf("behind its answer: %v", err)
 	}
 }
 
-// A txn that lay in a connection which waited for its place has that much less of its time left, also where
-// it waited behind another in the listener's queue. Guards against a client's time that begins anew with its
-// place: its answer came late by the wait, and its worker was told more than was left.
+// A request's wait for a place, also behind other connections in the backlog, is taken off its deadline.
+// Guards against a deadline that begins with the place: the answer came late by the wait, and workers were
+// told of more time than remained.
 func TestQueueingReducesDeadline(t *testing.T) {
 	const step, deadline = 300 * time.Millisecond, 900 * time.Millisecond
 	const tolerance = 20 * time.Millisecond // of the kernel's clock
@@ -696,7 +701,7 @@
 		left := <-remaining
 		shortest, longest := deadline-time.Since(sent[i][0])-tolerance, deadline-before.Sub(sent[i][1])+tolerance
 		if left < shortest || left > longest {
-			t.Errorf("txn %d has %v left, and not from %v to %v", i, left, shortest, longest)
+			t.Errorf("request %d has %v left, and not from %v to %v", i, left, shortest, longest)
 		}
 	}
 	next <- struct{}{}
@@ -704,7 +709,7 @@
 	f.Wait()
 }
 
-// So has a txn that came with the one before it, and lay in the buffer until that had its answer.
+// So is a request's wait in the buffer behind the request before it.
 func TestPipeliningReducesDeadline(t *testing.T) {
 	const step, deadline = 200 * time.Millisecond, 900 * time.Millisecond
 	remaining, next := make(chan time.Duration, 3), make(chan struct{})
@@ -730,7 +735,7 @@
 		}
 		if shortest, longest := deadline-time.Since(written), deadline-max(turn.Sub(readBy),
 			0); left < shortest || left > longest {
-			t.Errorf("txn %d has %v left, and not from %v to %v", i, left, shortest, longest)
+			t.Errorf("request %d has %v left, and not from %v to %v", i, left, shortest, longest)
 		}
 	}
 	next <- struct{}{}
--- a/internal/gateway/transport/fuzz_test.go
+++ b/internal/gateway/transport/fuzz_test.go
@@ -15,7 +15,7 @@
 	"willowdeck/internal/policy"
 )
 
-// Whatever a client sends, a txn that is taken is one that the module can reckon with.
+// Whatever a client sends, a request that is accepted is within the bounds that the policy relies on.
 func FuzzRequest(f *testing.F) {
 	names := config.Names{Products: map[string]int{"check": 0, "sale": 1}, Plans: map[string]int{"basic": 0}}
 	charter := policy.Charter{Gatekeepers: 3, LargestUnits: 4,
@@ -43,12 +43,12 @@
 		clean := len(request.RequestID) > 0 && !bytes.ContainsAny(append(request.RequestID, request.Target...),
 			"\r\n ")
 		if !inBounds || !clean {
-			t.Errorf("%q is taken as %+v", raw, request)
+			t.Errorf("%q is accepted as %+v", raw, request)
 		}
 	})
 }
 
-// Whatever a worker sends, what settles a txn is the body that its answer's head states.
+// Whatever a worker sends, what settles a request is the body that the answer's head states.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab"))
 	f.Add([]byte("HTTP/1.1 102 On\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
@@ -83,7 +83,7 @@
 	})
 }
 
-// readWithNetHTTP reads an answer with another library, past interim ones.
+// readWithNetHTTP reads an answer with net/http, past interim ones.
 func readWithNetHTTP(raw []byte) (body []byte, status int, reads bool) {
 	for in := bufio.NewReader(bytes.NewReader(raw)); ; {
 		r, err := http.ReadResponse(in, nil)
--- a/internal/gateway/transport/golden_test.go
+++ b/internal/gateway/transport/golden_test.go
@@ -14,9 +14,8 @@
 	"willowdeck/internal/testkit/goldentest"
 )
 
-// The golden files are datagrams as Tell sent them, with an incarnation and a sequence number ahead of what
-// they carry. They were written once, before names were changed. They are what peers of older versions say;
-// new code must never write them again.
+// The golden files are datagrams as Send wrote them in an earlier version, with an incarnation and a sequence
+// number ahead of the content. They are what peers of older versions send, and must never be written again.
 var goldenMessageID = incarnation.MessageID{Incarnation: 0x01020304, Sequence: 0x05060708}
 
 func goldenReports() []policy.Report {
@@ -49,7 +48,7 @@
 	return peers, bare
 }
 
-// goldenSent gives the datagrams that tell reports and entries.
+// goldenSent gives the datagrams that Send writes with reports and with entries.
 func goldenSent(t *testing.T) (reports, entries []byte) {
 	t.Helper()
 	peers, bare := goldenPeer(t)
@@ -79,9 +78,9 @@
 	peers, bare := goldenPeer(t)
 	peers.Identify(incarnation.MessageID{Incarnation: 1})
 	reports, entries := make(chan []policy.Report, 1), make(chan []borrowing.Entry, 1)
-	words := make(chan incarnation.MessageID, 1)
-	peers.OnCredit(func(_ int, w incarnation.MessageID, all []borrowing.Entry) {
-		words <- w
+	ids := make(chan incarnation.MessageID, 1)
+	peers.OnCredit(func(_ int, id incarnation.MessageID, all []borrowing.Entry) {
+		ids <- id
 		entries <- append([]borrowing.Entry(nil), all...)
 	})
 	go peers.Receive(func(_ int, all []policy.Report, _ bool) {
@@ -98,18 +97,18 @@
 	case got := <-reports:
 		goldentest.Same(t, got, goldenReports())
 	case <-time.After(10 * time.Second):
-		t.Fatal("the reports are not heard")
+		t.Fatal("the reports are not received")
 	}
 	select {
-	case w := <-words:
+	case id := <-ids:
 		goldentest.Same(
 			t,
-			w,
+			id,
 			incarnation.MessageID{Incarnation: goldenMessageID.Incarnation, Sequence: goldenMessageID.Sequence + 1},
 		)
 		goldentest.Same(t, <-entries, goldenEntries())
 	case <-time.After(10 * time.Second):
-		t.Fatal("the entries are not heard")
+		t.Fatal("the entries are not received")
 	}
 	if n := peers.Dropped(); n != 0 {
 		t.Errorf("%d datagrams are dropped", n)
--- a/internal/gateway/transport/worker_connection_test.go
+++ b/internal/gateway/transport/worker_connection_test.go
@@ -15,7 +15,7 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// connectedPair gives a link and the worker's side of it.
+// connectedPair gives a pool, a connection of it, and the worker's side of that.
 func connectedPair(t *testing.T) (*WorkerPool, *WorkerConn, net.Conn) {
 	t.Helper()
 	listener, address := listen(t)
@@ -34,7 +34,7 @@
 	return pool, conn, worker
 }
 
-// awaitUnread waits until a link's worker has been heard.
+// awaitUnread waits until a connection has unread bytes, or its end has come.
 func awaitUnread(t *testing.T, conn *WorkerConn) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); isQuiescent(conn.conn); time.Sleep(time.Millisecond) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// What a worker does before the first byte keeps a submission from going out: on a link that stood idle that
-// is no fault of the worker, on a new one it is.
+// What a worker does before the first byte keeps an attempt from being sent. On a connection from the pool
+// that is no fault of the worker, on a new one it is.
 func TestSendAfterWorkerClosed(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -80,8 +80,8 @@
 	}
 }
 
-// A worker that speaks while a submission goes out has not got it whole: the rest is not written, so that it
-// never runs, and what was said is not read as its answer.
+// A worker that answers while the message is sent does not have it completely: the rest is not written, so
+// that it is never executed, and the bytes are not read as the answer.
 func TestSendStopsAtEarlyAnswer(t *testing.T) {
 	_, conn, worker := connectedPair(t)
 	const size = 32 << 20 // more than the kernel takes
@@ -104,8 +104,8 @@
 	}
 }
 
-// An answer is early where it has begun before the last piece of a body goes out, and no other is. Interim
-// ones ahead of it are not what counts.
+// An answer is early where it begins before the last part of a body is written, and no other is. Interim
+// answers ahead of it do not count.
 func TestEarlyAnswer(t *testing.T) {
 	const interim = "HTTP/1.1 102 On\r\n\r\n"
 	for _, tc := range []struct {
@@ -141,7 +141,7 @@
 				time.Sleep(time.Millisecond)
 			}
 		}
-		if awaitRead(); pieces != "" { // what is set for the second has to end with it
+		if awaitRead(); pieces != "" { // the time-out that is set for the second must end with it
 			worker.Write([]byte(strings.TrimSuffix(pieces, "|")))
 			awaitRead()
 			time.Sleep(Millis(1.5 * policy.AnswerPause))
@@ -159,7 +159,7 @@
 	}
 }
 
-// An answer that is left to be passed on has no end in time, also where one is set as it begins.
+// An answer whose remainder is left to be forwarded has no deadline, also where one is set as it begins.
 func TestRemainderHasNoDeadline(t *testing.T) {
 	_, conn, worker := connectedPair(t)
 	size := MaxBufferedBodyBytes + 9
@@ -175,7 +175,7 @@
 	}
 }
 
-// What is read behind an answer that was passed on as it came is not kept with its link.
+// A connection with bytes behind a forwarded answer in its buffer is not taken back.
 func TestPutRejectsBufferedData(t *testing.T) {
 	pool, conn, worker := connectedPair(t)
 	size := MaxBufferedBodyBytes + 9
@@ -189,7 +189,7 @@
 		int64(size-100))); err != nil || len(b) != size-100 {
 		t.Fatalf("%d bytes, %v", len(b), err)
 	}
-	// The end of it comes with what is behind it.
+	// The end of the answer is read together with what follows it.
 	for conn.reader.Buffered() < 100 {
 		if _, err := conn.reader.Peek(min(conn.reader.Buffered()+1, 100+len(okAnswer))); err != nil {
 			t.Fatal(err)
@@ -202,12 +202,12 @@
 		t.Fatalf("%d bytes, %v", len(b), err)
 	}
 	if !isQuiescent(conn.conn) || pool.Put(conn, fixedIncarnation(true)) {
-		t.Error("it is kept")
+		t.Error("it is taken back")
 	}
 }
 
-// Without a descriptor for one more connection there is no room for it, which is not the worker's fault, and
-// its place is free again.
+// Without a descriptor Dial gives ErrPoolExhausted, which is not the worker's fault, and the place is free
+// again.
 func TestDialWithoutDescriptor(t *testing.T) {
 	_, address := listen(t)
 	pool := NewWorkerPool(4, time.Second, time.Second)
@@ -225,7 +225,7 @@
 		t.Fatal(back)
 	}
 	if !errors.Is(err, ErrPoolExhausted) || pool.OpenConns() != 0 {
-		t.Errorf("dialled with %v, %d connections", err, pool.OpenConns())
+		t.Errorf("dialed with %v, %d connections", err, pool.OpenConns())
 	}
 	conn, err := pool.Dial(0, address, time.Now().Add(time.Second))
 	if err != nil || pool.OpenConns() != 1 {
@@ -234,7 +234,8 @@
 	pool.Discard(conn)
 }
 
-// A body that its worker no longer takes is ended by a halt at once, and its answer is read on.
+// StopBody ends the sending of a body that the worker no longer reads at once, and the answer can be
+// received.
 func TestStopBody(t *testing.T) {
 	pool, conn, worker := connectedPair(t)
 	written := make(chan error)
@@ -258,7 +259,7 @@
 		t.Errorf("%+v, %v", answer, err)
 	}
 	go io.Copy(io.Discard, worker)
-	pool.Put(conn, fixedIncarnation(true)) // as one whose body had just gone out
+	pool.Put(conn, fixedIncarnation(true)) // as one whose body has just been sent
 	if conn = pool.TakeIdle(0); conn == nil {
 		t.Fatal("not kept")
 	}
