--- a/internal/gateway/transport/answer.go
+++ b/internal/gateway/transport/answer.go
@@ -13,7 +13,7 @@
 )
 
 // ErrTruncated reports a body that ended before it was complete, at the side of its sender.
-var ErrTruncated = errors.New("an answer that has not come whole")
+var ErrTruncated = errors.New("truncated body")
 
 // Answer is how a worker answered an attempt. A short answer is buffered completely; of a long one the
 // beginning is, and the remainder is forwarded as it comes.
--- a/internal/gateway/transport/attempt_message.go
+++ b/internal/gateway/transport/attempt_message.go
@@ -18,10 +18,7 @@
 
 // AppendAttempt appends the message of an attempt to b: its head and the buffered body. It names the ruleset
 // version that the attempt is decided by, unless that is NoRuleset. The remaining time is left open, for
-// SetRemaining fills in how much of the client's time remains, in whole us, and gives the message to send. It
-// is for the moment before the first byte, and may be called once: what the number does not need of its
-// placeholder is given up at the front of the message, and what stands before the number moves up to it.
-// Nothing is allocated.
+// SetRemaining to fill in at remainingOffset.
 func AppendAttempt(b []byte, r *Request, rulesetVersion int64) (message []byte, remainingOffset int) {
 	b = append(append(b, r.Method...), ' ')
 	b = append(append(b, r.Target...), " HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: "...)
@@ -47,9 +44,10 @@
 	return append(append(b, "\r\n"...), r.Body...), remainingOffset
 }
 
-// SetRemaining fills in how much of its client's time is left for a submission, in whole us, and gives what
-// is to be sent. It is for the moment before the first byte, and once: room that the figure does not need is
-// given up ahead of the message, and what stands before the figure moves up to it. Nothing is allocated.
+// SetRemaining fills in how much of the client's time remains, in whole us, and gives the message to send. It
+// is for the moment before the first byte, and may be called once: what the number does not need of its
+// placeholder is given up at the front of the message, and what stands before the number moves up to it.
+// Nothing is allocated.
 func SetRemaining(message []byte, offset int, remaining time.Duration) []byte {
 	var digits [len(remainingPlaceholder)]byte
 	text := strconv.AppendInt(digits[:0], min(max(remaining.Microseconds(), 0), maxRemainingMicros), 10)
--- a/internal/gateway/transport/client_connection.go
+++ b/internal/gateway/transport/client_connection.go
@@ -192,7 +192,7 @@
 
 // queuedMillis is how long, in ms, the request that was read last may have waited: in the kernel while the
 // connection waited for its place, or in the buffer behind the request before. Guards against a client's
-// deadline that is counted from its turn on: what remains of it is told to workers and bounds the answer.
+// deadline that is counted from its turn on: what remains of it is sent to workers and bounds the answer.
 func (c *clientConn) queuedMillis() float64 {
 	socket, ok := c.Conn.(interface{ SinceLastReceive() time.Duration })
 	if c.waitingSince.IsZero() || !ok {
--- a/internal/gateway/transport/endpoints/stream.go
+++ b/internal/gateway/transport/endpoints/stream.go
@@ -11,7 +11,7 @@
 // Limits bound one list. While a list is read, its workers and the text of one entry are in memory; so the
 // three together bound the memory that it takes.
 type Limits struct {
-	ListBytes  int // of the whole text
+	ListBytes  int // of the complete text
 	ValueBytes int // of the text of one entry, or of any other single value
 	Workers    int // number of entries
 }
--- a/internal/gateway/transport/frontend.go
+++ b/internal/gateway/transport/frontend.go
@@ -92,7 +92,7 @@
 			if listener.Closed() {
 				return nil
 			}
-			return fmt.Errorf("front: %w", err)
+			return fmt.Errorf("frontend: %w", err)
 		}
 		f.connections.Add(1)
 		go f.serveConn(conn)
@@ -291,8 +291,8 @@
 	defer f.active.Add(-1)
 	final := f.serve(request)
 	// The ID is free before the answer is written. Guards against a client that has its answer and sends the
-	// next request with the same ID before this goroutine goes on: it would be told that its request is open.
-	// While the remainder of an answer is forwarded the request is open.
+	// next request with the same ID before this goroutine goes on: it would get a 409 for a request that has
+	// ended. While the remainder of an answer is forwarded the request is open.
 	if final.Answer == nil || final.Answer.Remainder == nil {
 		releaseID()
 	}
--- a/internal/gateway/transport/gossip/gossip.go
+++ b/internal/gateway/transport/gossip/gossip.go
@@ -39,7 +39,7 @@
 // MaxMessageBytes bounds a peer message.
 const MaxMessageBytes = 256
 
-// MaxPlans is how many plans a message can tell apart.
+// MaxPlans is how many plans a message can distinguish.
 const MaxPlans = knownFlag
 
 // MaxReports is how many reports fit one message of any content.
--- a/internal/gateway/transport/open_requests.go
+++ b/internal/gateway/transport/open_requests.go
@@ -6,7 +6,7 @@
 )
 
 // openRequests are the requests in flight by their X-Request-Id. Guards against two requests of one ID, of
-// two clients or of one: workers could not tell them apart.
+// two clients or of one: workers could not distinguish them.
 type openRequests struct {
 	mu   sync.Mutex // guards byID and the fields of its values
 	byID map[string]*openRequest
--- a/internal/gateway/transport/worker_answer.go
+++ b/internal/gateway/transport/worker_answer.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	errMalformedStatusLine = errors.New("no status line")
-	errTooManyInterim      = errors.New("interim answers without end")
+	errMalformedStatusLine = errors.New("malformed status line")
+	errTooManyInterim      = errors.New("too many interim answers")
 )
 
 // Receive reads one answer; of a long one the remainder is left to be forwarded. After an error the
--- a/internal/gateway/transport/worker_connection.go
+++ b/internal/gateway/transport/worker_connection.go
@@ -12,10 +12,10 @@
 )
 
 var (
-	errUnexpectedData = errors.New("the worker has closed, or spoken out of turn")
+	errUnexpectedData = errors.New("the worker has closed, or sent data out of turn")
 
 	// ErrStaleConn reports an idle connection that has ended, or has unread bytes. Nothing was written on it.
-	ErrStaleConn = errors.New("the worker has closed an idle connection, or spoken on it")
+	ErrStaleConn = errors.New("the worker has closed an idle connection, or sent data on it")
 )
 
 // aLongTimeAgo is a deadline that ends reads and writes at once.
--- a/internal/gateway/transport/worker_pool.go
+++ b/internal/gateway/transport/worker_pool.go
@@ -12,7 +12,7 @@
 )
 
 // ErrPoolExhausted reports that the pool, or the process, has no descriptor left for a connection.
-var ErrPoolExhausted = errors.New("no connection to spare")
+var ErrPoolExhausted = errors.New("connection pool exhausted")
 
 // WorkerIncarnation is one incarnation of a worker: Valid gives false once it drains, is removed, moves or
 // restarts.
