--- a/internal/gateway/config/forwardauth.go
+++ b/internal/gateway/config/forwardauth.go
@@ -60,37 +60,38 @@
 // forwardFile is the operator file's own form.
 type forwardFile struct {
 	Asked struct {
-		Listen      string
-		Path        string
-		Dialect     string
-		Trusted     []string
-		NoStatus    int     `toml:"no_status"`
-		LifeMS      float64 `toml:"life_ms"`
-		RememberS   float64 `toml:"remember_s"`
-		Most        int
-		Connections int
+		Listen      string   `toml:"listen"`
+		Path        string   `toml:"path"`
+		Dialect     string   `toml:"dialect"`
+		Trusted     []string `toml:"trusted"`
+		NoStatus    int      `toml:"no_status"`
+		LifeMS      float64  `toml:"life_ms"`
+		RememberS   float64  `toml:"remember_s"`
+		Most        int      `toml:"most"`
+		Connections int      `toml:"connections"`
 		ClearedOnly []string `toml:"cleared_only"`
-	}
+	} `toml:"asked"`
 	Asking struct {
-		Service     string
-		Path        string
-		Credential  string
-		Customer    string
-		Send, Copy  []string
-		Products    []string
-		Open        []string
-		LimitMS     float64 `toml:"limit_ms"`
-		Share       float64
-		Connections int
-		YesS        float64 `toml:"yes_s"`
-		NoS         float64 `toml:"no_s"`
-		Credentials int
+		Service     string   `toml:"service"`
+		Path        string   `toml:"path"`
+		Credential  string   `toml:"credential"`
+		Customer    string   `toml:"customer"`
+		Send        []string `toml:"send"`
+		Copy        []string `toml:"copy"`
+		Products    []string `toml:"products"`
+		Open        []string `toml:"open"`
+		LimitMS     float64  `toml:"limit_ms"`
+		Share       float64  `toml:"share"`
+		Connections int      `toml:"connections"`
+		YesS        float64  `toml:"yes_s"`
+		NoS         float64  `toml:"no_s"`
+		Credentials int      `toml:"credentials"`
 		Breaker     struct {
-			After   int
+			After   int     `toml:"after"`
 			PauseMS float64 `toml:"pause_ms"`
 			MostMS  float64 `toml:"most_ms"`
-		}
-	}
+		} `toml:"breaker"`
+	} `toml:"asking"`
 }
 
 // ReadForward reads and checks the operator file of forward authentication. Its products are those of the
--- a/internal/gateway/config/gateway.go
+++ b/internal/gateway/config/gateway.go
@@ -71,18 +71,21 @@
 // Decode reads and checks a configuration.
 func Decode(raw []byte, env func(string) string) (Gatekeeper, error) {
 	var m struct {
-		Name, Listen, Discovery, Seed string
-		Limits                        struct {
-			Cores    float64
-			MemoryMB int `json:"memory_mb"`
-			Sockets  int
-		}
-		Control    string
-		Counter    string
-		PeerListen string `json:"peer_listen"`
-		Peers      []string
-		Known      json.RawMessage
-		Settings   json.RawMessage
+		Name      string `json:"name"`
+		Listen    string `json:"listen"`
+		Discovery string `json:"discovery"`
+		Seed      string `json:"seed"`
+		Limits    struct {
+			Cores    float64 `json:"cores"`
+			MemoryMB int     `json:"memory_mb"`
+			Sockets  int     `json:"sockets"`
+		} `json:"limits"`
+		Control    string          `json:"control"`
+		Counter    string          `json:"counter"`
+		PeerListen string          `json:"peer_listen"`
+		Peers      []string        `json:"peers"`
+		Known      json.RawMessage `json:"known"`
+		Settings   json.RawMessage `json:"settings"`
 	}
 	g := Gatekeeper{}
 	if err := json.Unmarshal(raw, &m); err != nil {
--- a/internal/gateway/config/journal.go
+++ b/internal/gateway/config/journal.go
@@ -22,23 +22,23 @@
 
 // journalFile is the operator file's own form.
 type journalFile struct {
-	Dir         string
-	Policy      string
+	Dir         string  `toml:"dir"`
+	Policy      string  `toml:"policy"`
 	WindowMS    float64 `toml:"window_ms"`
 	WaitMS      float64 `toml:"wait_ms"`
 	SlowMS      float64 `toml:"slow_ms"`
 	LeaseMS     float64 `toml:"lease_ms"`
 	SegmentKB   int     `toml:"segment_kb"`
-	Segments    int
-	Txns        int
+	Segments    int     `toml:"segments"`
+	Txns        int     `toml:"txns"`
 	AnswerBytes int     `toml:"answer_bytes"`
 	AnswersKB   int     `toml:"answers_kb"`
 	RememberS   float64 `toml:"remember_s"`
 	Breaker     struct {
-		After   int
+		After   int     `toml:"after"`
 		PauseMS float64 `toml:"pause_ms"`
 		MostMS  float64 `toml:"most_ms"`
-	}
+	} `toml:"breaker"`
 }
 
 // ReadJournal reads and checks the operator file of the journal. An error names the file, and the line or the
--- a/internal/gateway/config/settings.go
+++ b/internal/gateway/config/settings.go
@@ -56,31 +56,31 @@
 
 // told is the settings' own form.
 type told struct {
-	Me        int
-	Balancers int
+	Me        int `json:"me"`
+	Balancers int `json:"balancers"`
 	Classes   []struct {
-		Name      string
+		Name      string  `json:"name"`
 		Aim       float64 `json:"aim_us"`
 		HardLimit float64 `json:"hard_limit_us"`
-		Worth     float64
+		Worth     float64 `json:"worth"`
 		LateShare float64 `json:"late_share"`
-		Effect    string
-		Group     string
+		Effect    string  `json:"effect"`
+		Group     string  `json:"group"`
 		Window    float64 `json:"window_us"`
-	}
+	} `json:"classes"`
 	Tariffs []struct {
-		Name        string
-		Rate        float64
+		Name        string  `json:"name"`
+		Rate        float64 `json:"rate"`
 		MostAtOnce  float64 `json:"most_at_once"`
 		HardRate    float64 `json:"hard_rate"`
 		CapDepth    float64 `json:"cap_depth"`
-		Open        int
+		Open        int     `json:"open"`
 		WorthFactor float64 `json:"worth_factor"`
 		ExcessWorth float64 `json:"excess_worth"`
 		OverCost    float64 `json:"over_cost"`
 		Credit      float64 `json:"credit_s"`
 		Repay       float64 `json:"repay_s"`
-	}
+	} `json:"tariffs"`
 	Allowed struct {
 		MaxAttempts    int     `json:"max_attempts"`
 		MayDuplicate   bool    `json:"may_duplicate"`
@@ -90,17 +90,17 @@
 		Peers          bool    `json:"peers"`
 		Keepalive      float64 `json:"keepalive_us"`
 		ConnectTimeout float64 `json:"connect_timeout_us"`
-	}
+	} `json:"allowed"`
 	FamilyInfo struct {
-		Largest    float64
+		Largest    float64 `json:"largest"`
 		PeerInPerS float64 `json:"peer_in_per_s"`
-		Counter    bool
+		Counter    bool    `json:"counter"`
 		UsePeriod  float64 `json:"use_period_us"`
 	} `json:"family_info"`
 	Report struct {
-		How    string
-		Fields []string
-	}
+		How    string   `json:"how"`
+		Fields []string `json:"fields"`
+	} `json:"report"`
 	WeightSource string `json:"weight_source"`
 	RegistryMode string `json:"registry_mode"`
 	Safety       struct {
@@ -109,9 +109,9 @@
 		WarmUp      float64 `json:"warm_up_us"`
 		Tips        float64 `json:"tip_multiple"`
 		TipAfter    float64 `json:"tip_after_us"`
-	}
+	} `json:"safety"`
 	ScoreParts struct {
-		Whole       float64
+		Whole       float64 `json:"whole"`
 		WorstClass  float64 `json:"worst_class"`
 		WorstTenant float64 `json:"worst_tenant"`
 	} `json:"score_parts"`
