--- a/cmd/willowdeck-lab/main_test.go
+++ b/cmd/willowdeck-lab/main_test.go
@@ -141,7 +141,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if c.Forward, err = config.ReadForward(file, &c); err != nil {
+		if c.ForwardAuth, err = config.ReadForwardAuth(file, &c); err != nil {
 			return nil, err
 		}
 		g, err := lifecycle.Start(c, zerolog.Nop())
--- a/cmd/willowdeck/main.go
+++ b/cmd/willowdeck/main.go
@@ -92,12 +92,12 @@
 	if err != nil {
 		return err
 	}
-	read := func() (config.Gatekeeper, error) { return readAll(c) }
+	read := func() (config.Gateway, error) { return readAll(c) }
 	conf, err := read()
 	if err != nil {
 		return err
 	}
-	conf.Sockets = lifecycle.Room(conf.Sockets)
+	conf.MaxSockets = lifecycle.Room(conf.MaxSockets)
 	g, err := lifecycle.Start(conf, log.With().Str("gatekeeper", conf.Name).Logger())
 	if err != nil {
 		return err
@@ -106,22 +106,23 @@
 }
 
 // readAll reads a gatekeeper's configuration, and the operator files there are.
-func readAll(c *cli.Command) (config.Gatekeeper, error) {
+func readAll(c *cli.Command) (config.Gateway, error) {
 	conf, err := config.Read(c.String("config"), os.Getenv)
-	conf.Residue, conf.Ask, conf.Tells = c.String("residue"), c.StringSlice("ask"), c.Bool("tell")
-	conf.Recall = c.Bool("recall")
-	conf.Hall, conf.Host, conf.Group = c.String("hall"), c.String("host"), c.String("group")
-	conf.Agree, conf.History = c.String("agree"), c.String("history")
-	for _, at := range conf.Ask {
+	conf.CrashStatePath, conf.KeepsCheckpoint = c.String("residue"), c.Bool("recall")
+	conf.PeerAdminAddresses, conf.SharesEndpoints = c.StringSlice("ask"), c.Bool("tell")
+	conf.Region, conf.Host, conf.Group = c.String("hall"), c.String("host"), c.String("group")
+	conf.RulesetAddress, conf.HistoryDir = c.String("agree"), c.String("history")
+	for _, at := range conf.PeerAdminAddresses {
 		if _, bad := netip.ParseAddrPort(at); err == nil && bad != nil {
 			err = fmt.Errorf("ask: %w", bad)
 		}
 	}
-	if _, bad := netip.ParseAddrPort(conf.Agree); err == nil && conf.Agree != "" && bad != nil {
+	if _, bad := netip.ParseAddrPort(conf.RulesetAddress); err == nil && conf.RulesetAddress != "" &&
+		bad != nil {
 		err = fmt.Errorf("agree: %w", bad)
 	}
 	if path := c.String("forward"); err == nil && path != "" {
-		conf.Forward, err = config.ReadForward(path, &conf)
+		conf.ForwardAuth, err = config.ReadForwardAuth(path, &conf)
 	}
 	if path := c.String("journal"); err == nil && path != "" {
 		conf.Journal, err = config.ReadJournal(path, conf.Name)
@@ -177,15 +178,17 @@
 		return err
 	}
 	fmt.Printf("%s: %d products, %d plans, %d workers known, %d gatekeepers\n", conf.Name,
-		len(conf.Charter.Products), len(conf.Charter.Plans), len(conf.Known.Workers), conf.Charter.Gatekeepers)
-	if f := conf.Forward; f != nil && f.Asked != nil {
-		fmt.Printf("asked by portals at %s, clearances last %g ms\n", f.Asked.Listen, f.Asked.Life)
+		len(conf.Charter.Products), len(conf.Charter.Plans), len(conf.KnownEndpoints.Workers),
+		conf.Charter.Gatekeepers)
+	if f := conf.ForwardAuth; f != nil && f.Server != nil {
+		fmt.Printf("asked by portals at %s, clearances last %g ms\n", f.Server.ListenAddress,
+			f.Server.LifetimeMillis)
 	}
-	if f := conf.Forward; f != nil && f.Asking != nil {
-		fmt.Printf("asking %s, at most %g ms\n", f.Asking.Service, f.Asking.Terms.Limit)
+	if f := conf.ForwardAuth; f != nil && f.Authorizer != nil {
+		fmt.Printf("asking %s, at most %g ms\n", f.Authorizer.ServiceAddress, f.Authorizer.Terms.Limit)
 	}
 	if j := conf.Journal; j != nil {
-		fmt.Printf("once-only txns are written down in %s, policy %s\n", j.Of(conf.Name), j.Terms.Policy)
+		fmt.Printf("once-only txns are written down in %s, policy %s\n", j.InstanceDir(conf.Name), j.Terms.Policy)
 	}
 	return nil
 }
--- a/internal/forwardauth/authorizer/vouch.go
+++ b/internal/forwardauth/authorizer/vouch.go
@@ -28,7 +28,7 @@
 
 // Voucher serves txns that a service has to vouch for.
 type Voucher struct {
-	asking  *config.Asking
+	asking  *config.Authorizer
 	charter policy.Charter
 	gate    *proxy.Proxy
 	client  *fasthttp.HostClient
@@ -56,10 +56,10 @@
 var countNames = [counts]string{"yes", "no", "recalled", "trouble", "shut", "late", "left", "open"}
 
 // New makes a voucher over a gate. The seed is for its pauses.
-func New(a *config.Asking, charter policy.Charter, g *proxy.Proxy, seed int64) *Voucher {
+func New(a *config.Authorizer, charter policy.Charter, g *proxy.Proxy, seed int64) *Voucher {
 	limit := transport.Millis(a.Terms.Limit)
 	return &Voucher{asking: a, charter: charter, gate: g, service: authcache.NewService(a.Terms, seed),
-		client: &fasthttp.HostClient{Addr: a.Service, MaxConns: a.Connections, MaxConnWaitTimeout: limit,
+		client: &fasthttp.HostClient{Addr: a.ServiceAddress, MaxConns: a.MaxConnections, MaxConnWaitTimeout: limit,
 			ReadTimeout: limit, WriteTimeout: limit, MaxIdleConnDuration: 2 * time.Second,
 			MaxResponseBodySize: authcache.LongestAnswer, ReadBufferSize: authcache.LongestAnswer,
 			NoDefaultUserAgentHeader: true, DisablePathNormalizing: true,
@@ -85,10 +85,10 @@
 
 // Serve is a txn's life: the service is asked unless its answer is known, and then it is as any other.
 func (v *Voucher) Serve(t *transport.Request) transport.FinalAnswer {
-	if !v.asking.Concerned[t.Product] {
+	if !v.asking.Covers[t.Product] {
 		return v.gate.Serve(t)
 	}
-	credential, err := t.Header(v.asking.Credential)
+	credential, err := t.Header(v.asking.CredentialHeader)
 	if err != nil {
 		return refusal(fasthttp.StatusBadRequest, nil, err.Error())
 	}
@@ -157,7 +157,8 @@
 	a := w.answer
 	end := transport.FinalAnswer{Kind: policy.Void}
 	switch {
-	case w.err != nil && !v.asking.OpenOn[t.Product], w.err == nil && a.Status == fasthttp.StatusTooManyRequests:
+	case w.err != nil && !v.asking.FailsOpen[t.Product], w.err == nil &&
+		a.Status == fasthttp.StatusTooManyRequests:
 		v.counts[trouble].Add(1) // nothing was sent: to come again is harmless
 		end = transport.FinalAnswer{Kind: policy.Decline, RetryAfterMillis: v.advice(w.wait)}
 	case w.err == nil && !a.Yes:
@@ -233,7 +234,7 @@
 	h := &a.req.Header
 	h.SetMethod(fasthttp.MethodGet)
 	a.req.SetRequestURI(v.asking.Path)
-	h.SetHost(v.asking.Service)
+	h.SetHost(v.asking.ServiceAddress)
 	h.SetBytesV("X-Forwarded-Method", t.Method)
 	h.SetBytesV("X-Forwarded-Uri", t.Target)
 	h.Set("X-Forwarded-Proto", "http")
@@ -242,9 +243,9 @@
 		h.SetBytesV("X-Forwarded-Host", host)
 	}
 	if a.named {
-		h.SetBytesV(v.asking.Credential, credential)
+		h.SetBytesV(v.asking.CredentialHeader, credential)
 	}
-	for _, name := range v.asking.Send {
+	for _, name := range v.asking.SentHeaders {
 		value, err := t.Header(name)
 		if err != nil {
 			return nil, err
@@ -295,21 +296,21 @@
 	switch status := a.Status; {
 	case status >= 200 && status < 300:
 		a.Yes = true
-		if v.asking.Customer == "" {
+		if v.asking.CustomerHeader == "" {
 			break
 		}
-		all := res.Header.PeekAll(v.asking.Customer)
+		all := res.Header.PeekAll(v.asking.CustomerHeader)
 		if len(all) != 1 {
-			return word{err: fmt.Errorf("%s: it is there %d times", v.asking.Customer, len(all)),
+			return word{err: fmt.Errorf("%s: it is there %d times", v.asking.CustomerHeader, len(all)),
 				wait: v.asking.Terms.Limit}
 		}
 		c, err := transport.ParseCustomer(all[0])
 		if err != nil {
-			return word{err: fmt.Errorf("%s: %w", v.asking.Customer, err), wait: v.asking.Terms.Limit}
+			return word{err: fmt.Errorf("%s: %w", v.asking.CustomerHeader, err), wait: v.asking.Terms.Limit}
 		}
 		a.Customer, a.Named = c, true
 	case status == fasthttp.StatusUnauthorized || status == fasthttp.StatusForbidden:
-		for _, name := range v.asking.Copy {
+		for _, name := range v.asking.CopiedHeaders {
 			for _, value := range res.Header.PeekAll(name) {
 				a.Headers = append(a.Headers, [2]string{name, string(value)})
 			}
--- a/internal/forwardauth/authserver/original.go
+++ b/internal/forwardauth/authserver/original.go
@@ -49,7 +49,7 @@
 
 // read finds the original request of a call, by a dialect. What a portal says in two ways has to agree, as
 // one of them may be the client's own.
-func read(h *fasthttp.RequestHeader, a *config.Asked) (original, error) {
+func read(h *fasthttp.RequestHeader, a *config.AuthServer) (original, error) {
 	var got [len(fields)][]byte
 	for i, f := range fields {
 		for _, name := range f.names {
@@ -89,7 +89,7 @@
 		return original{}, err
 	}
 	o := original{got[0], got[1]}
-	if a.Dialect == config.ByPath {
+	if a.Dialect == config.DialectPath {
 		rest, ok := bytes.CutPrefix(h.RequestURI(), []byte(a.Path))
 		switch {
 		case !ok || len(rest) == 0 || rest[0] != '/':
--- a/internal/forwardauth/authserver/original_test.go
+++ b/internal/forwardauth/authserver/original_test.go
@@ -43,47 +43,49 @@
 		dialect   config.Dialect
 		status    int // 200 is a call that is read
 	}{
-		{"forwarded", forwarded, config.ByForwarded, 200},
-		{"original", originals, config.ByOriginal, 200},
+		{"forwarded", forwarded, config.DialectForwarded, 200},
+		{"original", originals, config.DialectOriginal, 200},
 		{"original, by path and query", strings.Replace(originals, "URL: https://sales.example", "URI: ", 1),
-			config.ByOriginal, 200},
-		{"path", byPath, config.ByPath, 200},
-		{"both, and they agree", add("X-Original-Method: POST"), config.ByForwarded, 200},
-		{"no method", swap("X-Forwarded-Method: POST\r\n", ""), config.ByForwarded, 400},
-		{"no target", swap("X-Forwarded-Uri: /issue/7?a=b\r\n", ""), config.ByForwarded, 400},
-		{"no client", swap("X-Forwarded-For: 192.0.2.7, 10.0.0.1\r\n", ""), config.ByForwarded, 400},
-		{"two methods", add("X-Forwarded-Method: GET"), config.ByForwarded, 400},
-		{"two targets", add("X-Forwarded-Uri: /check"), config.ByForwarded, 400},
-		{"two chains", add("X-Forwarded-For: 192.0.2.9"), config.ByForwarded, 400},
-		{"two hosts", add("X-Forwarded-Host: other"), config.ByForwarded, 400},
-		{"methods that differ", add("X-Original-Method: GET"), config.ByForwarded, 400},
-		{"targets that differ", add("X-Original-URI: /check"), config.ByForwarded, 400},
-		{"an address that differs", add("X-Original-URL: https://sales.example/check"), config.ByForwarded, 400},
-		{"an address that is none", add("X-Original-URL: /check"), config.ByForwarded, 400},
-		{"no method word", swap("POST", "po st"), config.ByForwarded, 400},
-		{"an empty method", swap("Method: POST", "Method: "), config.ByForwarded, 400},
-		{"no path", swap("/issue/7?a=b", "issue"), config.ByForwarded, 400},
-		{"a path that is a host", swap("/issue/7?a=b", "//issue/7"), config.ByForwarded, 400},
-		{"a path with a space", swap("/issue/7", "/issue 7"), config.ByForwarded, 400},
-		{"a fragment", swap("?a=b", "#b"), config.ByForwarded, 400},
-		{"another protocol", swap("https", "gopher"), config.ByForwarded, 400},
-		{"hosts in a row", swap("sales.example", "a, b"), config.ByForwarded, 400},
-		{"a client that is no address", swap("192.0.2.7", "unknown"), config.ByForwarded, 400},
-		{"a long chain", swap("192.0.2.7", strings.Repeat("192.0.2.7,", 9)+"192.0.2.7"), config.ByForwarded, 400},
-		{"a long target", swap("/issue/7", "/"+long), config.ByForwarded, 414},
-		{"a long host", swap("sales.example", long[:authcache.LongestField+1]), config.ByForwarded, 414},
-		{"a very long chain", swap("192.0.2.7", long), config.ByForwarded, 431},
-		{"elsewhere", swap("/auth", "/other"), config.ByForwarded, 404},
-		{"no GET", swap("GET", "POST"), config.ByForwarded, 405},
-		{"path: nothing behind it", strings.Replace(byPath, "/issue/7?a=b", "", 1), config.ByPath, 404},
-		{"path: not under it", strings.Replace(byPath, "/auth/", "/authority/", 1), config.ByPath, 404},
+			config.DialectOriginal, 200},
+		{"path", byPath, config.DialectPath, 200},
+		{"both, and they agree", add("X-Original-Method: POST"), config.DialectForwarded, 200},
+		{"no method", swap("X-Forwarded-Method: POST\r\n", ""), config.DialectForwarded, 400},
+		{"no target", swap("X-Forwarded-Uri: /issue/7?a=b\r\n", ""), config.DialectForwarded, 400},
+		{"no client", swap("X-Forwarded-For: 192.0.2.7, 10.0.0.1\r\n", ""), config.DialectForwarded, 400},
+		{"two methods", add("X-Forwarded-Method: GET"), config.DialectForwarded, 400},
+		{"two targets", add("X-Forwarded-Uri: /check"), config.DialectForwarded, 400},
+		{"two chains", add("X-Forwarded-For: 192.0.2.9"), config.DialectForwarded, 400},
+		{"two hosts", add("X-Forwarded-Host: other"), config.DialectForwarded, 400},
+		{"methods that differ", add("X-Original-Method: GET"), config.DialectForwarded, 400},
+		{"targets that differ", add("X-Original-URI: /check"), config.DialectForwarded, 400},
+		{"an address that differs", add("X-Original-URL: https://sales.example/check"), config.DialectForwarded,
+			400},
+		{"an address that is none", add("X-Original-URL: /check"), config.DialectForwarded, 400},
+		{"no method word", swap("POST", "po st"), config.DialectForwarded, 400},
+		{"an empty method", swap("Method: POST", "Method: "), config.DialectForwarded, 400},
+		{"no path", swap("/issue/7?a=b", "issue"), config.DialectForwarded, 400},
+		{"a path that is a host", swap("/issue/7?a=b", "//issue/7"), config.DialectForwarded, 400},
+		{"a path with a space", swap("/issue/7", "/issue 7"), config.DialectForwarded, 400},
+		{"a fragment", swap("?a=b", "#b"), config.DialectForwarded, 400},
+		{"another protocol", swap("https", "gopher"), config.DialectForwarded, 400},
+		{"hosts in a row", swap("sales.example", "a, b"), config.DialectForwarded, 400},
+		{"a client that is no address", swap("192.0.2.7", "unknown"), config.DialectForwarded, 400},
+		{"a long chain", swap("192.0.2.7", strings.Repeat("192.0.2.7,", 9)+"192.0.2.7"), config.DialectForwarded,
+			400},
+		{"a long target", swap("/issue/7", "/"+long), config.DialectForwarded, 414},
+		{"a long host", swap("sales.example", long[:authcache.LongestField+1]), config.DialectForwarded, 414},
+		{"a very long chain", swap("192.0.2.7", long), config.DialectForwarded, 431},
+		{"elsewhere", swap("/auth", "/other"), config.DialectForwarded, 404},
+		{"no GET", swap("GET", "POST"), config.DialectForwarded, 405},
+		{"path: nothing behind it", strings.Replace(byPath, "/issue/7?a=b", "", 1), config.DialectPath, 404},
+		{"path: not under it", strings.Replace(byPath, "/auth/", "/authority/", 1), config.DialectPath, 404},
 		{"path: it is said otherwise", strings.Replace(byPath, "Host: g", "Host: g\r\nX-Forwarded-Method: GET", 1),
-			config.ByPath, 400},
-		{"path: too long", strings.Replace(byPath, "issue/7", long, 1), config.ByPath, 414},
+			config.DialectPath, 400},
+		{"path: too long", strings.Replace(byPath, "issue/7", long, 1), config.DialectPath, 414},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			o, err := read(parse(t, c.raw), &config.Asked{Path: "/auth", Dialect: c.dialect})
+			o, err := read(parse(t, c.raw), &config.AuthServer{Path: "/auth", Dialect: c.dialect})
 			var f *flaw
 			switch {
 			case err == nil && c.status == 200:
@@ -109,7 +111,7 @@
 		if h.Read(bufio.NewReader(bytes.NewReader(raw))) != nil {
 			return
 		}
-		o, err := read(&h, &config.Asked{Path: "/auth", Dialect: config.Dialect(dialect % 3)})
+		o, err := read(&h, &config.AuthServer{Path: "/auth", Dialect: config.Dialect(dialect % 3)})
 		if err != nil {
 			return
 		}
--- a/internal/forwardauth/authserver/portal.go
+++ b/internal/forwardauth/authserver/portal.go
@@ -26,7 +26,7 @@
 
 // Portal takes portals' calls, and the door's txns by what those were told.
 type Portal struct {
-	asked   *config.Asked
+	asked   *config.AuthServer
 	names   config.Names
 	charter atomic.Pointer[policy.Charter]
 	gate    *proxy.Proxy
@@ -62,10 +62,10 @@
 	"no_place", "elsewhere", "came", "uncleared"}
 
 // New makes a front over a gate; next serves the txns that have no clearance and need none.
-func New(a *config.Asked, names config.Names, charter policy.Charter, g *proxy.Proxy,
+func New(a *config.AuthServer, names config.Names, charter policy.Charter, g *proxy.Proxy,
 	next func(*transport.Request) transport.FinalAnswer) *Portal {
 	p := &Portal{asked: a, names: names, gate: g, next: next,
-		book: authcache.NewBook[*proxy.Reservation](a.Life, a.Memory, a.Most)}
+		book: authcache.NewBook[*proxy.Reservation](a.LifetimeMillis, a.RetentionMillis, a.MaxClearances)}
 	p.charter.Store(&charter)
 	p.server = fasthttp.Server{
 		Handler:            p.handle,
@@ -105,7 +105,7 @@
 
 // Bind opens the address and takes calls there until Close.
 func (p *Portal) Bind() error {
-	l, err := net.Listen("tcp", p.asked.Listen)
+	l, err := net.Listen("tcp", p.asked.ListenAddress)
 	if err != nil {
 		return fmt.Errorf("asked.listen: %w", err)
 	}
@@ -114,7 +114,7 @@
 	if p.closed {
 		return l.Close()
 	}
-	p.limit = transport.NewLimitListener(l, p.asked.Callers)
+	p.limit = transport.NewLimitListener(l, p.asked.MaxConnections)
 	go func() { _ = p.server.Serve(p.limit) }()
 	return nil
 }
@@ -187,7 +187,8 @@
 // Serve is the life of a txn at the main door: one that was cleared takes what was kept for it, and comes
 // once. The rest goes on as ever, but for products that come only if they were cleared.
 func (p *Portal) Serve(t *transport.Request) transport.FinalAnswer {
-	once := p.asked.Only[t.Product] || p.charter.Load().Products[t.Product].Repeat != policy.InquiryLike
+	once := p.asked.RequiresClearance[t.Product] ||
+		p.charter.Load().Products[t.Product].Repeat != policy.InquiryLike
 	p.mu.Lock()
 	found, hold := p.book.Come(string(t.RequestID), factsOf(t), once, p.gate.Now())
 	p.mu.Unlock()
@@ -206,7 +207,7 @@
 		return refusal(fasthttp.StatusConflict, "X-Request-Id: another txn was cleared by it")
 	}
 	switch {
-	case !p.asked.Only[t.Product]:
+	case !p.asked.RequiresClearance[t.Product]:
 	case found == authcache.Moved: // nothing was sent, and who has the book now is there at once
 		return transport.FinalAnswer{Kind: policy.Decline, RetryAfterMillis: authcache.RebindAgain}
 	default:
@@ -228,7 +229,7 @@
 	if err != nil {
 		return false
 	}
-	for _, t := range p.asked.Trusted {
+	for _, t := range p.asked.TrustedProxies {
 		if t.Contains(from.Addr().Unmap()) {
 			return true
 		}
@@ -265,7 +266,7 @@
 func (p *Portal) answer(ctx *fasthttp.RequestCtx, t *transport.Request) {
 	mark, facts := string(t.RequestID), factsOf(t)
 	c := p.charter.Load()
-	if home := authcache.Home(mark, facts, c.Gatekeepers); p.asked.Only[t.Product] && home != c.Me {
+	if home := authcache.Home(mark, facts, c.Gatekeepers); p.asked.RequiresClearance[t.Product] && home != c.Me {
 		ctx.Response.Header.Set("X-Clear-At", strconv.Itoa(home))
 		p.say(ctx, elsewhere, fasthttp.StatusMisdirectedRequest, "another gatekeeper clears this txn")
 		return
@@ -307,10 +308,10 @@
 		if end.RetryAfterMillis > 0 {
 			ctx.Response.Header.Set("Retry-After", transport.RetryAfter(end.RetryAfterMillis))
 		}
-		p.say(ctx, no, p.asked.NoStatus, "declined")
+		p.say(ctx, no, p.asked.RejectStatus, "declined")
 		return
 	}
-	ctx.Response.Header.Set("X-Cleared-Ms", strconv.FormatFloat(p.asked.Life, 'f', 0, 64))
+	ctx.Response.Header.Set("X-Cleared-Ms", strconv.FormatFloat(p.asked.LifetimeMillis, 'f', 0, 64))
 	p.say(ctx, yes, fasthttp.StatusOK, "cleared")
 }
 
--- a/internal/gateway/admin/server.go
+++ b/internal/gateway/admin/server.go
@@ -1,6 +1,3 @@
-// Package admin is the operators' port: an address of its own, apart from the clients', at which staff and
-// their programs ask for a gatekeeper's health and figures and send its clients away. It decides nothing, and
-// asks nothing that waits on a txn.
 package admin
 
 import (
@@ -16,77 +13,81 @@
 	"willowdeck/internal/policy"
 )
 
-// Figures are what operators see of one process. Counts run from its start.
-type Figures struct {
-	Products         []Product
-	Tries            int64 // submissions written whole to workers
-	Active           int64 // txns taken and not ended
-	Workers, Avoided int64 // on the list; of these, steered away from now
-	More             []Figure
+// Stats are the counters of one process, since its start.
+type Stats struct {
+	Products         []ProductStats
+	Attempts         int64 // written completely to workers
+	Active           int64 // requests in flight
+	Workers, Ejected int64 // on the list, and those of them that are ejected now
+	Extra            []Stat
 }
 
-// Figure is one that only some gatekeepers have.
-type Figure struct {
+// Stat is a counter or gauge that only some gateways have.
+type Stat struct {
 	Name  string
 	Value int64
 }
 
-// Product is what became of one product's txns.
-type Product struct {
-	Name                      string
-	Settled, Declined, Voided int64
+// ProductStats counts one product's requests by how they ended.
+type ProductStats struct {
+	Name                        string
+	Succeeded, Rejected, Failed int64
 }
 
-// Desk is what the port needs of a gatekeeper. None of its functions may wait.
-type Desk interface {
-	Healthy() bool    // whether it is ready to serve
-	Figures() Figures // no older than half a second
-	Quiesce()         // send clients away
-	Resume()          // take them again
-	Note(what string) // a call that changes something, for the log
+// Gateway is what the server needs of a gateway. None of its methods may block.
+type Gateway interface {
+	Healthy() bool       // ready to serve
+	Stats() Stats        // not older than half a second
+	Quiesce()            // start draining
+	Resume()             // stop draining
+	LogCall(what string) // logs a call that changes something
 }
 
-// Teller is a desk that tells newcomers its list of workers, and how many ms ago it was last heard to be so.
-type Teller interface {
-	Tells() bool // whether newcomers may ask here at all
-	List() (list []byte, age float64, ok bool)
+// EndpointSource is a Gateway that gives starting instances its list of workers.
+type EndpointSource interface {
+	SharesEndpoints() bool // whether starting instances may ask here at all
+	// EncodedEndpoints returns the list in discovery's form and the time since discovery last confirmed it,
+	// in ms; false before discovery has answered.
+	EncodedEndpoints() (list []byte, ageMillis float64, ok bool)
 }
 
-// Speaker is a desk that tells its word for those who look ahead.
-type Speaker interface {
-	Word() (word []byte, ok bool) // false where it tells none
+// ForecastSource is a Gateway that reports for the forecast of losing a region.
+type ForecastSource interface {
+	ForecastReport() (report []byte, ok bool) // false where it reports nothing
 }
 
-// WordPath is where a gatekeeper tells its word.
-const WordPath = "/admin/word"
+// ForecastPath is the path of the forecast report.
+const ForecastPath = "/admin/word"
 
-// What a newcomer asks for, and what the answer says beside the list.
+// The path of the list of workers, and the headers of its answer: the protocol version
+// (bootstrap.ProtocolVersion) and the list's age in ms.
 const (
-	ListPath      = "/admin/list"
+	EndpointsPath = "/admin/list"
 	VersionHeader = "X-Willowdeck-Version"
 	AgeHeader     = "X-Age-Ms"
 )
 
-// Port answers operators' calls.
-type Port struct {
-	At     string
-	limit  *transport.LimitListener
-	server fasthttp.Server
-	desk   Desk
+// Server answers operators' calls.
+type Server struct {
+	Address  string
+	listener *transport.LimitListener
+	server   fasthttp.Server
+	gateway  Gateway
 }
 
-// Open listens at an address and answers calls there until Close. It has room for few calls at once: those
-// who send nothing give way.
-func Open(at string, desk Desk) (*Port, error) {
-	l, err := net.Listen("tcp", at)
+// Open listens at address and answers calls until Close. It serves policy.OperatorCalls connections at
+// once; beyond that a connection that has sent nothing is closed for a new one.
+func Open(address string, gateway Gateway) (*Server, error) {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
-	p := &Port{At: l.Addr().String(), limit: transport.NewLimitListener(l, policy.OperatorCalls), desk: desk}
-	p.server = fasthttp.Server{
-		Handler:            p.handle,
-		ErrorHandler:       unreadable,
-		DisableKeepalive:   true, // one call to a connection
+	server := &Server{Address: listener.Addr().String(),
+		listener: transport.NewLimitListener(listener, policy.OperatorCalls), gateway: gateway}
+	server.server = fasthttp.Server{
+		Handler:            server.handle,
+		ErrorHandler:       respondUnreadable,
+		DisableKeepalive:   true, // one call per connection
 		MaxRequestBodySize: policy.OperatorBytes,
 		ReadBufferSize:     policy.OperatorBytes,
 		ReadTimeout:        transport.Millis(policy.OperatorWait),
@@ -94,141 +95,142 @@
 		CloseOnShutdown:    true, NoDefaultServerHeader: true, NoDefaultDate: true,
 		Logger: transport.DiscardLogger{},
 	}
-	go func() { _ = p.server.Serve(p.limit) }()
-	return p, nil
+	go func() { _ = server.server.Serve(server.listener) }()
+	return server, nil
 }
 
-// Close takes no more calls.
-func (p *Port) Close() {
-	_ = p.limit.Close()
+// Close stops the server.
+func (s *Server) Close() {
+	_ = s.listener.Close()
 }
 
-// call is one path: the method it takes, and what it does.
-type call struct {
+// endpoint is the method that a path takes and what answers it.
+type endpoint struct {
 	method string
-	do     func(*Port, *fasthttp.RequestCtx)
+	handle func(*Server, *fasthttp.RequestCtx)
 }
 
-var calls = map[string]call{
-	"/admin/health":  {fasthttp.MethodGet, (*Port).health},
-	"/admin/stats":   {fasthttp.MethodGet, (*Port).stats},
-	ListPath:         {fasthttp.MethodGet, (*Port).list},
-	WordPath:         {fasthttp.MethodGet, (*Port).word},
-	"/admin/quiesce": {fasthttp.MethodPut, (*Port).quiesce},
-	"/admin/resume":  {fasthttp.MethodPut, (*Port).resume},
+var endpoints = map[string]endpoint{
+	"/admin/health":  {fasthttp.MethodGet, (*Server).health},
+	"/admin/stats":   {fasthttp.MethodGet, (*Server).stats},
+	EndpointsPath:    {fasthttp.MethodGet, (*Server).endpoints},
+	ForecastPath:     {fasthttp.MethodGet, (*Server).forecastReport},
+	"/admin/quiesce": {fasthttp.MethodPut, (*Server).quiesce},
+	"/admin/resume":  {fasthttp.MethodPut, (*Server).resume},
 }
 
-func (p *Port) handle(ctx *fasthttp.RequestCtx) {
+func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	ctx.SetContentType("text/plain")
-	c, ok := calls[string(ctx.Path())]
+	e, ok := endpoints[string(ctx.Path())]
 	switch {
 	case !ok:
-		say(ctx, fasthttp.StatusNotFound, "no such call")
-	case string(ctx.Method()) != c.method:
-		ctx.Response.Header.Set("Allow", c.method)
-		say(ctx, fasthttp.StatusMethodNotAllowed, "this call takes "+c.method)
+		respond(ctx, fasthttp.StatusNotFound, "no such call")
+	case string(ctx.Method()) != e.method:
+		ctx.Response.Header.Set("Allow", e.method)
+		respond(ctx, fasthttp.StatusMethodNotAllowed, "this call takes "+e.method)
 	default:
-		c.do(p, ctx)
+		e.handle(s, ctx)
 	}
 }
 
-func (p *Port) health(ctx *fasthttp.RequestCtx) {
-	if p.desk.Healthy() {
-		say(ctx, fasthttp.StatusOK, "ready")
+func (s *Server) health(ctx *fasthttp.RequestCtx) {
+	if s.gateway.Healthy() {
+		respond(ctx, fasthttp.StatusOK, "ready")
 		return
 	}
-	say(ctx, fasthttp.StatusServiceUnavailable, "not ready")
+	respond(ctx, fasthttp.StatusServiceUnavailable, "not ready")
 }
 
-func (p *Port) stats(ctx *fasthttp.RequestCtx) { ctx.SetBody(Append(nil, p.desk.Figures())) }
+func (s *Server) stats(ctx *fasthttp.RequestCtx) { ctx.SetBody(AppendStats(nil, s.gateway.Stats())) }
 
-func (p *Port) list(ctx *fasthttp.RequestCtx) {
-	t, ok := p.desk.(Teller)
-	if !ok || !t.Tells() {
-		say(ctx, fasthttp.StatusNotFound, "no such call")
+func (s *Server) endpoints(ctx *fasthttp.RequestCtx) {
+	source, ok := s.gateway.(EndpointSource)
+	if !ok || !source.SharesEndpoints() {
+		respond(ctx, fasthttp.StatusNotFound, "no such call")
 		return
 	}
-	list, age, ok := t.List()
+	list, ageMillis, ok := source.EncodedEndpoints()
 	if !ok {
-		say(ctx, fasthttp.StatusServiceUnavailable, "nothing to tell yet")
+		respond(ctx, fasthttp.StatusServiceUnavailable, "nothing to tell yet")
 		return
 	}
 	ctx.Response.Header.Set(VersionHeader, strconv.Itoa(bootstrap.ProtocolVersion))
-	ctx.Response.Header.Set(AgeHeader, strconv.FormatFloat(age, 'f', 0, 64))
+	ctx.Response.Header.Set(AgeHeader, strconv.FormatFloat(ageMillis, 'f', 0, 64))
 	ctx.SetContentType("application/json")
 	ctx.SetBody(list)
 }
 
-func (p *Port) word(ctx *fasthttp.RequestCtx) {
-	var word []byte
-	s, ok := p.desk.(Speaker)
+func (s *Server) forecastReport(ctx *fasthttp.RequestCtx) {
+	var report []byte
+	source, ok := s.gateway.(ForecastSource)
 	if ok {
-		word, ok = s.Word()
+		report, ok = source.ForecastReport()
 	}
 	if !ok {
-		say(ctx, fasthttp.StatusNotFound, "no such call")
+		respond(ctx, fasthttp.StatusNotFound, "no such call")
 		return
 	}
 	ctx.SetContentType("application/json")
-	ctx.SetBody(word)
+	ctx.SetBody(report)
 }
 
-func (p *Port) quiesce(ctx *fasthttp.RequestCtx) {
-	p.desk.Note("quiesce")
-	p.desk.Quiesce()
-	say(ctx, fasthttp.StatusOK, "sending clients away")
+func (s *Server) quiesce(ctx *fasthttp.RequestCtx) {
+	s.gateway.LogCall("quiesce")
+	s.gateway.Quiesce()
+	respond(ctx, fasthttp.StatusOK, "sending clients away")
 }
 
-func (p *Port) resume(ctx *fasthttp.RequestCtx) {
-	p.desk.Note("resume")
-	p.desk.Resume()
-	say(ctx, fasthttp.StatusOK, "taking clients")
+func (s *Server) resume(ctx *fasthttp.RequestCtx) {
+	s.gateway.LogCall("resume")
+	s.gateway.Resume()
+	respond(ctx, fasthttp.StatusOK, "taking clients")
 }
 
-func say(ctx *fasthttp.RequestCtx, status int, what string) {
+func respond(ctx *fasthttp.RequestCtx, status int, text string) {
 	ctx.SetStatusCode(status)
-	ctx.SetBodyString(what + "\n")
+	ctx.SetBodyString(text + "\n")
 }
 
-// unreadable answers what is no HTTP, too long, or does not come whole in time.
-func unreadable(ctx *fasthttp.RequestCtx, _ error) {
-	say(ctx, fasthttp.StatusBadRequest, "no call could be read")
+// respondUnreadable answers what is not HTTP, is too long, or is incomplete when the time-out ends.
+func respondUnreadable(ctx *fasthttp.RequestCtx, _ error) {
+	respond(ctx, fasthttp.StatusBadRequest, "no call could be read")
 	ctx.SetConnectionClose()
 	transport.Linger(ctx.Conn())
 }
 
-// Append encodes figures, a line each.
-func Append(b []byte, f Figures) []byte {
-	line := func(name, of string, v int64) {
+// AppendStats appends the stats to b, one per line.
+func AppendStats(b []byte, stats Stats) []byte {
+	line := func(name, product string, value int64) {
 		b = append(append(b, "svc."...), name...)
-		if of != "" {
-			b = append(append(b, '.'), of...)
+		if product != "" {
+			b = append(append(b, '.'), product...)
 		}
-		b = append(strconv.AppendInt(append(b, '='), v, 10), '\n')
+		b = append(strconv.AppendInt(append(b, '='), value, 10), '\n')
 	}
-	for _, p := range f.Products {
-		line("ok", p.Name, p.Settled)
-		line("shed", p.Name, p.Declined)
-		line("errors", p.Name, p.Voided)
+	for _, p := range stats.Products {
+		line("ok", p.Name, p.Succeeded)
+		line("shed", p.Name, p.Rejected)
+		line("errors", p.Name, p.Failed)
 	}
-	line("tries", "", f.Tries)
-	line("active", "", f.Active)
-	line("pool_size", "", f.Workers)
-	line("pool_ejected", "", f.Avoided)
-	for _, m := range f.More {
-		line(m.Name, "", m.Value)
+	line("tries", "", stats.Attempts)
+	line("active", "", stats.Active)
+	line("pool_size", "", stats.Workers)
+	line("pool_ejected", "", stats.Ejected)
+	for _, stat := range stats.Extra {
+		line(stat.Name, "", stat.Value)
 	}
 	return b
 }
 
-// Every calls f now and then until stop is closed: figures that are costly to gather are kept as a copy.
-func Every(stop <-chan struct{}, f func()) {
-	t := time.NewTicker(transport.Millis(policy.FiguresEach))
-	defer t.Stop()
+// RunPeriodically calls gather at once and then every policy.FiguresEach until stop is closed. Stats that
+// are costly to gather are kept up to date by it.
+func RunPeriodically(stop <-chan struct{}, gather func()) {
+	ticker := time.NewTicker(transport.Millis(policy.FiguresEach))
+	defer ticker.Stop()
 	for {
-		f()
+		gather()
 		select {
-		case <-t.C:
+		case <-ticker.C:
 		case <-stop:
 			return
 		}
--- a/internal/gateway/admin/server_test.go
+++ b/internal/gateway/admin/server_test.go
@@ -12,34 +12,34 @@
 	"willowdeck/internal/policy"
 )
 
-type desk struct {
-	ready, away atomic.Bool
-	notes       atomic.Int64
+type fakeGateway struct {
+	ready, draining atomic.Bool
+	loggedCalls     atomic.Int64
 }
 
-func (d *desk) Healthy() bool { return d.ready.Load() && !d.away.Load() }
-func (d *desk) Quiesce()      { d.away.Store(true) }
-func (d *desk) Resume()       { d.away.Store(false) }
-func (d *desk) Note(string)   { d.notes.Add(1) }
-func (d *desk) Figures() Figures {
-	return Figures{Products: []Product{{"sale", 8, 1, 2}}, Tries: 12, Active: 3, Workers: 5, Avoided: 1}
+func (d *fakeGateway) Healthy() bool  { return d.ready.Load() && !d.draining.Load() }
+func (d *fakeGateway) Quiesce()       { d.draining.Store(true) }
+func (d *fakeGateway) Resume()        { d.draining.Store(false) }
+func (d *fakeGateway) LogCall(string) { d.loggedCalls.Add(1) }
+func (d *fakeGateway) Stats() Stats {
+	return Stats{Products: []ProductStats{{"sale", 8, 1, 2}}, Attempts: 12, Active: 3, Workers: 5, Ejected: 1}
 }
 
-func open(t *testing.T) (*Port, *desk) {
+func openServer(t *testing.T) (*Server, *fakeGateway) {
 	t.Helper()
-	d := &desk{}
-	d.ready.Store(true)
-	p, err := Open("127.0.0.1:0", d)
+	gateway := &fakeGateway{}
+	gateway.ready.Store(true)
+	server, err := Open("127.0.0.1:0", gateway)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(p.Close)
-	return p, d
+	t.Cleanup(server.Close)
+	return server, gateway
 }
 
-// call sends bytes on a connection of their own, and gives all that comes back until it ends.
-func (p *Port) call(raw string, within time.Duration) (string, error) {
-	c, err := net.Dial("tcp", p.At)
+// call sends bytes on a connection of its own, and returns all that comes back until it ends.
+func (p *Server) call(raw string, within time.Duration) (string, error) {
+	c, err := net.Dial("tcp", p.Address)
 	if err != nil {
 		return "", err
 	}
@@ -50,25 +50,25 @@
 	return string(b), err
 }
 
-func ask(line string) string { return line + " HTTP/1.1\r\nHost: ops\r\n\r\n" }
+func requestText(line string) string { return line + " HTTP/1.1\r\nHost: ops\r\n\r\n" }
 
 func TestCalls(t *testing.T) {
-	p, d := open(t)
+	server, gateway := openServer(t)
 	const figures = "svc.ok.sale=8\nsvc.shed.sale=1\nsvc.errors.sale=2\nsvc.tries=12\nsvc.active=3\n" +
 		"svc.pool_size=5\nsvc.pool_ejected=1\n"
 	cases := []struct{ name, raw, status, says string }{
-		{"health", ask("GET /admin/health"), "200", "ready"},
-		{"figures", ask("GET /admin/stats"), "200", figures},
-		{"away", ask("PUT /admin/quiesce"), "200", ""},
-		{"away twice", ask("PUT /admin/quiesce"), "200", ""},
-		{"no health", ask("GET /admin/health"), "503", "not ready"},
-		{"back", ask("PUT /admin/resume"), "200", ""},
-		{"health again", ask("GET /admin/health"), "200", ""},
-		{"no word where none is told", ask("GET /admin/word"), "404", "no such call"},
-		{"unknown", ask("GET /admin/other"), "404", "no such call"},
-		{"wrong method", ask("POST /admin/quiesce"), "405", "Allow: PUT"},
-		{"changed by a look", ask("GET /admin/resume"), "405", "Allow: PUT"},
-		{"no HTTP", "hello\r\n\r\n", "400", "no call"},
+		{"health", requestText("GET /admin/health"), "200", "ready"},
+		{"figures", requestText("GET /admin/stats"), "200", figures},
+		{"quiesce", requestText("PUT /admin/quiesce"), "200", ""},
+		{"quiesce twice", requestText("PUT /admin/quiesce"), "200", ""},
+		{"not ready while quiesced", requestText("GET /admin/health"), "503", "not ready"},
+		{"resume", requestText("PUT /admin/resume"), "200", ""},
+		{"health again", requestText("GET /admin/health"), "200", ""},
+		{"no forecast report where there is none", requestText("GET /admin/word"), "404", "no such call"},
+		{"unknown", requestText("GET /admin/other"), "404", "no such call"},
+		{"wrong method", requestText("POST /admin/quiesce"), "405", "Allow: PUT"},
+		{"a change by GET", requestText("GET /admin/resume"), "405", "Allow: PUT"},
+		{"not HTTP", "hello\r\n\r\n", "400", "no call"},
 		{
 			"over-long",
 			"GET /admin/health HTTP/1.1\r\nX: " + strings.Repeat("x", 2*policy.OperatorBytes) + "\r\n\r\n",
@@ -80,23 +80,24 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := p.call(c.raw, 2*time.Second)
+			got, err := server.call(c.raw, 2*time.Second)
 			if err != nil || !strings.HasPrefix(got, "HTTP/1.1 "+c.status+" ") || !strings.Contains(got, c.says) {
 				t.Errorf("got %q, %v", got, err)
 			}
 		})
 	}
-	if d.away.Load() || d.notes.Load() != 3 {
-		t.Errorf("away %v after %d changes", d.away.Load(), d.notes.Load())
+	if gateway.draining.Load() || gateway.loggedCalls.Load() != 3 {
+		t.Errorf("draining %v after %d changes", gateway.draining.Load(), gateway.loggedCalls.Load())
 	}
 }
 
-// Callers that send nothing, or half a call, cost no other caller its second, and are ended.
+// TestSilentCallers: callers that send nothing, or half a call, delay no other caller by a second, and are
+// closed.
 func TestSilentCallers(t *testing.T) {
-	p, _ := open(t)
+	server, _ := openServer(t)
 	var silent []net.Conn
 	for i := range 3 * policy.OperatorCalls {
-		c, err := net.Dial("tcp", p.At)
+		c, err := net.Dial("tcp", server.Address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -107,7 +108,7 @@
 		silent = append(silent, c)
 	}
 	for range 5 {
-		got, err := p.call(ask("GET /admin/health"), time.Second)
+		got, err := server.call(requestText("GET /admin/health"), time.Second)
 		if err != nil || !strings.Contains(got, " 200 ") {
 			t.Errorf("beside silent callers: %q, %v", got, err)
 		}
@@ -115,7 +116,7 @@
 	for i, c := range silent {
 		c.SetDeadline(time.Now().Add(2 * time.Second))
 		if _, err := io.ReadAll(c); err != nil && strings.Contains(err.Error(), "timeout") {
-			t.Errorf("caller %d is held", i)
+			t.Errorf("caller %d was not closed", i)
 		}
 	}
 }
--- a/internal/gateway/config/forwardauth.go
+++ b/internal/gateway/config/forwardauth.go
@@ -13,52 +13,70 @@
 	"willowdeck/internal/strictoml"
 )
 
-// Forward is what forward authentication is told, in either role; nil where a role is off.
-type Forward struct {
-	Asked  *Asked
-	Asking *Asking
+// ForwardAuth configures forward authentication, in either role; a role that is off is nil.
+type ForwardAuth struct {
+	Server     *AuthServer
+	Authorizer *Authorizer
 }
 
-// Asked is the role in which portals ask whether a txn may come. Times are in ms.
-type Asked struct {
-	Listen       string
-	Path         string // of their calls; of the dialect path, what stands before the original one
-	Dialect      Dialect
-	Trusted      []netip.Prefix // portals' addresses
-	NoStatus     int            // of a decline
-	Life, Memory float64
-	Most         int
-	Callers      int
-	Only         []bool // by product: it comes only if it has been cleared
+// AuthServer configures the role in which reverse proxies ask whether a request may pass: section asked of
+// the operator file.
+type AuthServer struct {
+	ListenAddress string
+	// Path is the path of the proxies' calls; with DialectPath the prefix before the original path.
+	Path    string
+	Dialect Dialect
+	// TrustedProxies are the addresses that may call.
+	TrustedProxies []netip.Prefix
+	// RejectStatus is the HTTP status of a rejection, 401, 403 or 429.
+	RejectStatus int
+	// LifetimeMillis is how long a clearance is valid; RetentionMillis is how long it is remembered.
+	LifetimeMillis, RetentionMillis float64
+	// MaxClearances bounds the remembered clearances.
+	MaxClearances int
+	// MaxConnections bounds the proxies' connections.
+	MaxConnections int
+	// RequiresClearance says, by product, that a request passes only if it has been cleared.
+	RequiresClearance []bool
 }
 
-// Dialect is how a portal says what the original request was.
+// Dialect is how a reverse proxy describes the original request.
 type Dialect uint8
 
 // The dialects.
 const (
-	ByForwarded Dialect = iota // X-Forwarded-Method and -Uri
-	ByOriginal                 // X-Original-Method and -URI or -URL
-	ByPath                     // its own method, and the path behind a prefix
+	DialectForwarded Dialect = iota // headers X-Forwarded-Method and -Uri
+	DialectOriginal                 // headers X-Original-Method and -URI or -URL
+	DialectPath                     // the call's own method, and its path behind a prefix
 )
 
-var dialects = map[string]Dialect{"forwarded": ByForwarded, "original": ByOriginal, "path": ByPath}
+var dialects = map[string]Dialect{"forwarded": DialectForwarded, "original": DialectOriginal,
+	"path": DialectPath}
 
-// Asking is the role in which a service is asked before a txn goes on. Times are in ms.
-type Asking struct {
-	Service     string // address
-	Path        string
-	Credential  string // header of the txn that says who its client is
-	Customer    string // header of a yes that names the customer; empty where none does
-	Send, Copy  []string
-	Concerned   []bool // by product
-	OpenOn      []bool // by product: on trouble it goes on
-	Terms       authcache.Terms
-	Connections int
+// Authorizer configures the role in which a service is asked before a request goes on: section asking of the
+// operator file.
+type Authorizer struct {
+	ServiceAddress string
+	Path           string
+	// CredentialHeader is the request's header that identifies its client.
+	CredentialHeader string
+	// CustomerHeader is the header of a positive answer that names the customer; empty where none does.
+	CustomerHeader string
+	// SentHeaders are headers of the request that the service is sent too; CopiedHeaders are headers of its
+	// answer that the request goes on with.
+	SentHeaders, CopiedHeaders []string
+	// Covers says, by product, that the service is asked.
+	Covers []bool
+	// FailsOpen says, by product, that a request goes on if the service fails.
+	FailsOpen []bool
+	Terms     authcache.Terms
+	// MaxConnections bounds the connections to the service.
+	MaxConnections int
 }
 
-// forwardFile is the operator file's own form.
-type forwardFile struct {
+// forwardAuthFile is the form of the operator file; setDefaults has its defaults. Every field carries its
+// key as a tag.
+type forwardAuthFile struct {
 	Asked struct {
 		Listen      string   `toml:"listen"`
 		Path        string   `toml:"path"`
@@ -94,62 +112,62 @@
 	} `toml:"asking"`
 }
 
-// ReadForward reads and checks the operator file of forward authentication. Its products are those of the
-// gatekeeper's own settings. An error names the file, and the line or the key.
-func ReadForward(path string, g *Gatekeeper) (*Forward, error) {
+// ReadForwardAuth reads and checks the operator file of forward authentication; its products are those of
+// g. An error names the file, and the line or the key.
+func ReadForwardAuth(path string, g *Gateway) (*ForwardAuth, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("forward: %w", err)
 	}
-	f, err := DecodeForward(string(raw), g)
+	f, err := DecodeForwardAuth(string(raw), g)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return f, nil
 }
 
-// DecodeForward decodes and checks the operator file's text.
-func DecodeForward(text string, g *Gatekeeper) (*Forward, error) {
-	var file forwardFile
-	file.defaults()
+// DecodeForwardAuth decodes and checks the operator file's text.
+func DecodeForwardAuth(text string, g *Gateway) (*ForwardAuth, error) {
+	var file forwardAuthFile
+	file.setDefaults()
 	err := strictoml.Decode(text, &file)
 	if err != nil {
 		return nil, err
 	}
-	f, isAsked, asks := &Forward{}, strictoml.Has(text, "asked"), strictoml.Has(text, "asking")
-	if !isAsked && !asks {
-		return nil, errors.New("asked, asking: neither is there")
+	f, hasServer, hasAuthorizer := &ForwardAuth{}, strictoml.Has(text, "asked"), strictoml.Has(text, "asking")
+	if !hasServer && !hasAuthorizer {
+		return nil, errors.New("asked, asking: one of the sections is required")
 	}
-	if isAsked {
-		if f.Asked, err = file.asked(g); err != nil {
+	if hasServer {
+		if f.Server, err = file.authServer(g); err != nil {
 			return nil, fmt.Errorf("asked.%w", err)
 		}
 	}
-	if asks {
-		if f.Asking, err = file.asking(g); err != nil {
+	if hasAuthorizer {
+		if f.Authorizer, err = file.authorizer(g); err != nil {
 			return nil, fmt.Errorf("asking.%w", err)
 		}
 	}
-	if held := f.Connections(); held > g.Sockets/2 {
-		return nil, fmt.Errorf("connections: asked and asking have %d together, over half of limits.sockets, %d",
-			held, g.Sockets)
+	if connections := f.Connections(); connections > g.MaxSockets/2 {
+		return nil, fmt.Errorf("connections: asked and asking need %d, more than half of limits.sockets, %d",
+			connections, g.MaxSockets)
 	}
 	return f, nil
 }
 
-// Connections is how many descriptors forward authentication may hold.
-func (f *Forward) Connections() int {
+// Connections returns how many descriptors forward authentication may use.
+func (f *ForwardAuth) Connections() int {
 	n := 0
-	if f != nil && f.Asked != nil {
-		n += f.Asked.Callers + 1
+	if f != nil && f.Server != nil {
+		n += f.Server.MaxConnections + 1
 	}
-	if f != nil && f.Asking != nil {
-		n += f.Asking.Connections
+	if f != nil && f.Authorizer != nil {
+		n += f.Authorizer.MaxConnections
 	}
 	return n
 }
 
-func (file *forwardFile) defaults() {
+func (file *forwardAuthFile) setDefaults() {
 	a, b := &file.Asked, &file.Asking
 	a.Path, a.Dialect, a.NoStatus, a.LifeMS = "/auth", "forwarded", http.StatusTooManyRequests,
 		authcache.DefaultLife
@@ -163,129 +181,132 @@
 	b.Breaker.MostMS = authcache.DefaultPauseAt
 }
 
-// within says what is wrong with the first figure that is out of its range.
-func within(figures ...bound) error {
+// firstOutOfRange returns an error that names the first value outside its range.
+func firstOutOfRange(figures ...keyRange) error {
 	for _, f := range figures {
-		if !(f.v >= f.least && f.v <= f.most) {
-			return fmt.Errorf("%s: %v is not from %v to %v", f.key, f.v, f.least, f.most)
+		if !(f.value >= f.min && f.value <= f.max) {
+			return fmt.Errorf("%s: %v is not within %v to %v", f.key, f.value, f.min, f.max)
 		}
 	}
 	return nil
 }
 
-type bound struct {
-	key            string
-	v, least, most float64
+// keyRange is a key, its value and the range allowed for it.
+type keyRange struct {
+	key             string
+	value, min, max float64
 }
 
-func (file *forwardFile) asked(g *Gatekeeper) (*Asked, error) {
+func (file *forwardAuthFile) authServer(g *Gateway) (*AuthServer, error) {
 	t := &file.Asked
-	a := &Asked{NoStatus: t.NoStatus, Life: t.LifeMS, Memory: t.RememberS * 1000, Most: t.Most,
-		Callers: t.Connections, Path: t.Path}
+	a := &AuthServer{RejectStatus: t.NoStatus, LifetimeMillis: t.LifeMS, RetentionMillis: t.RememberS * 1000,
+		MaxClearances:  t.Most,
+		MaxConnections: t.Connections, Path: t.Path}
 	var err error
-	if a.Listen, err = address("listen", t.Listen); err != nil {
+	if a.ListenAddress, err = address("listen", t.Listen); err != nil {
 		return nil, err
 	}
-	for _, other := range []string{g.Listen, g.Control} {
-		if a.Listen == other {
-			return nil, fmt.Errorf("listen: %s is taken by another port of this gatekeeper", other)
+	for _, other := range []string{g.ListenAddress, g.AdminAddress} {
+		if a.ListenAddress == other {
+			return nil, fmt.Errorf("listen: %s is another port of this gateway", other)
 		}
 	}
 	var ok bool
 	if a.Dialect, ok = dialects[t.Dialect]; !ok {
-		return nil, fmt.Errorf("dialect: %q is none of forwarded, original, path", t.Dialect)
+		return nil, fmt.Errorf("dialect: %q is not forwarded, original or path", t.Dialect)
 	}
 	if !strings.HasPrefix(a.Path, "/") || strings.HasSuffix(a.Path, "/") {
 		return nil, fmt.Errorf("path: %q must begin with a slash and not end with one", a.Path)
 	}
 	if len(t.Trusted) == 0 {
-		return nil, errors.New("trusted: there is none, so that nobody could ask")
+		return nil, errors.New("trusted: it is empty, so that no proxy could ask")
 	}
 	for i, s := range t.Trusted {
 		p, err := netip.ParsePrefix(s)
 		if err != nil {
 			return nil, fmt.Errorf("trusted[%d]: %w", i, err)
 		}
-		a.Trusted = append(a.Trusted, p.Masked())
+		a.TrustedProxies = append(a.TrustedProxies, p.Masked())
 	}
-	switch a.NoStatus {
+	switch a.RejectStatus {
 	case http.StatusUnauthorized, http.StatusForbidden, http.StatusTooManyRequests:
 	default:
-		return nil, fmt.Errorf("no_status: %d is none of 401, 403, 429", a.NoStatus)
+		return nil, fmt.Errorf("no_status: %d is none of 401, 403, 429", a.RejectStatus)
 	}
-	if err = within(bound{"life_ms", a.Life, 1, authcache.LongestLife},
-		bound{"remember_s", t.RememberS, a.Life / 1000, authcache.LongestMemory / 1000},
-		bound{"most", float64(a.Most), 1, authcache.MostOfAll},
-		bound{"connections", float64(a.Callers), 1, 1 << 16}); err != nil {
+	if err = firstOutOfRange(keyRange{"life_ms", a.LifetimeMillis, 1, authcache.LongestLife},
+		keyRange{"remember_s", t.RememberS, a.LifetimeMillis / 1000, authcache.LongestMemory / 1000},
+		keyRange{"most", float64(a.MaxClearances), 1, authcache.MostOfAll},
+		keyRange{"connections", float64(a.MaxConnections), 1, 1 << 16}); err != nil {
 		return nil, err
 	}
-	a.Only, err = g.marked("cleared_only", t.ClearedOnly, false)
+	a.RequiresClearance, err = g.productFlags("cleared_only", t.ClearedOnly, false)
 	return a, err
 }
 
-func (file *forwardFile) asking(g *Gatekeeper) (*Asking, error) {
+func (file *forwardAuthFile) authorizer(g *Gateway) (*Authorizer, error) {
 	t := &file.Asking
-	a := &Asking{Path: t.Path, Credential: t.Credential, Customer: t.Customer, Send: t.Send, Copy: t.Copy,
-		Connections: t.Connections, Terms: authcache.Terms{Limit: t.LimitMS, Share: t.Share, Yes: t.YesS * 1000,
+	a := &Authorizer{Path: t.Path, CredentialHeader: t.Credential, CustomerHeader: t.Customer,
+		SentHeaders: t.Send, CopiedHeaders: t.Copy,
+		MaxConnections: t.Connections, Terms: authcache.Terms{Limit: t.LimitMS, Share: t.Share, Yes: t.YesS * 1000,
 			No: t.NoS * 1000, Kept: t.Credentials, After: t.Breaker.After, Pause: t.Breaker.PauseMS,
 			MostPause: t.Breaker.MostMS}}
 	var err error
-	if a.Service, err = address("service", t.Service); err != nil {
+	if a.ServiceAddress, err = address("service", t.Service); err != nil {
 		return nil, err
 	}
 	if !strings.HasPrefix(a.Path, "/") {
 		return nil, fmt.Errorf("path: %q must begin with a slash", a.Path)
 	}
-	if !plainName(a.Credential) {
-		return nil, fmt.Errorf("credential: %q is no header that a client may set", a.Credential)
+	if !isForwardable(a.CredentialHeader) {
+		return nil, fmt.Errorf("credential: %q is not a header that a client may set", a.CredentialHeader)
 	}
-	if a.Customer != "" && !token(a.Customer) {
-		return nil, fmt.Errorf("customer: %q is no header", a.Customer)
+	if a.CustomerHeader != "" && !isHeaderName(a.CustomerHeader) {
+		return nil, fmt.Errorf("customer: %q is not a header name", a.CustomerHeader)
 	}
-	for i, name := range a.Send {
-		if !plainName(name) {
-			return nil, fmt.Errorf("send[%d]: %q is no header that a client may set", i, name)
+	for i, name := range a.SentHeaders {
+		if !isForwardable(name) {
+			return nil, fmt.Errorf("send[%d]: %q is not a header that a client may set", i, name)
 		}
 	}
-	for i, name := range a.Copy {
-		if !plainName(name) || strings.EqualFold(name, "Retry-After") {
-			return nil, fmt.Errorf("copy[%d]: %q is no header that may be passed on", i, name)
+	for i, name := range a.CopiedHeaders {
+		if !isForwardable(name) || strings.EqualFold(name, "Retry-After") {
+			return nil, fmt.Errorf("copy[%d]: %q is not a header that may be passed on", i, name)
 		}
 	}
-	if a.Concerned, err = g.marked("products", t.Products, len(t.Products) == 0); err != nil {
+	if a.Covers, err = g.productFlags("products", t.Products, len(t.Products) == 0); err != nil {
 		return nil, err
 	}
-	if a.OpenOn, err = g.marked("open", t.Open, false); err != nil {
+	if a.FailsOpen, err = g.productFlags("open", t.Open, false); err != nil {
 		return nil, err
 	}
-	for i, open := range a.OpenOn {
-		if open && !a.Concerned[i] {
-			return nil, errors.New("open: it names a product that is not of products")
+	for i, open := range a.FailsOpen {
+		if open && !a.Covers[i] {
+			return nil, errors.New("open: it names a product that is not among products")
 		}
-		if open && a.Customer != "" {
-			return nil, errors.New("open: on trouble nobody would say whose a txn is, which customer asks for")
+		if open && a.CustomerHeader != "" {
+			return nil, errors.New("open: if the service fails nobody names the customer, which customer asks for")
 		}
 	}
-	return a, within(
-		bound{"limit_ms", t.LimitMS, 1, authcache.LongestLimit},
-		bound{"share", t.Share, 0.01, 0.9},
-		bound{
+	return a, firstOutOfRange(
+		keyRange{"limit_ms", t.LimitMS, 1, authcache.LongestLimit},
+		keyRange{"share", t.Share, 0.01, 0.9},
+		keyRange{
 			"yes_s",
 			t.YesS,
 			0,
 			authcache.LongestGood / 1000,
 		},
-		bound{"no_s", t.NoS, 0, authcache.LongestGood / 1000},
-		bound{"credentials", float64(t.Credentials), 0, authcache.MostKept},
-		bound{"connections", float64(t.Connections), 1, authcache.MostAsks},
-		bound{"breaker.after", float64(t.Breaker.After), 1, 1000},
-		bound{"breaker.pause_ms", t.Breaker.PauseMS, 1, authcache.LongestPause},
-		bound{"breaker.most_ms", t.Breaker.MostMS, t.Breaker.PauseMS, authcache.LongestPause},
+		keyRange{"no_s", t.NoS, 0, authcache.LongestGood / 1000},
+		keyRange{"credentials", float64(t.Credentials), 0, authcache.MostKept},
+		keyRange{"connections", float64(t.Connections), 1, authcache.MostAsks},
+		keyRange{"breaker.after", float64(t.Breaker.After), 1, 1000},
+		keyRange{"breaker.pause_ms", t.Breaker.PauseMS, 1, authcache.LongestPause},
+		keyRange{"breaker.most_ms", t.Breaker.MostMS, t.Breaker.PauseMS, authcache.LongestPause},
 	)
 }
 
-// marked gives a mark for each product: those that are named, or all.
-func (g *Gatekeeper) marked(key string, names []string, all bool) ([]bool, error) {
+// productFlags returns a flag for each product: true for those in names, or for all.
+func (g *Gateway) productFlags(key string, names []string, all bool) ([]bool, error) {
 	marks := make([]bool, len(g.Charter.Products))
 	for i := range marks {
 		marks[i] = all
@@ -296,15 +317,15 @@
 			return nil, fmt.Errorf("%s: product %q is unknown", key, name)
 		}
 		if marks[p] && !all {
-			return nil, fmt.Errorf("%s: product %q is there twice", key, name)
+			return nil, fmt.Errorf("%s: product %q is listed twice", key, name)
 		}
 		marks[p] = true
 	}
 	return marks, nil
 }
 
-// token tells whether a text can be a header's name.
-func token(name string) bool {
+// isHeaderName reports whether a string can be a header's name.
+func isHeaderName(name string) bool {
 	for _, c := range name {
 		if (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && (c < '0' || c > '9') && c != '-' && c != '_' {
 			return false
@@ -313,9 +334,9 @@
 	return name != "" && len(name) <= policy.LongestMark
 }
 
-// plainName tells whether a header may be passed on as it came: those that frame a message, or say who a
-// client is behind a portal, may not.
-func plainName(name string) bool {
+// isForwardable reports whether a header may be passed on as it came. Headers that frame a message, or
+// that say who a client behind a proxy is, may not.
+func isForwardable(name string) bool {
 	low := strings.ToLower(name)
 	for _, own := range []string{"connection", "content-length", "transfer-encoding", "host", "te", "trailer",
 		"upgrade", "keep-alive", "expect"} {
@@ -323,5 +344,6 @@
 			return false
 		}
 	}
-	return token(name) && !strings.HasPrefix(low, "x-forwarded-") && !strings.HasPrefix(low, "x-original-")
+	return isHeaderName(name) && !strings.HasPrefix(low, "x-forwarded-") &&
+		!strings.HasPrefix(low, "x-original-")
 }
--- a/internal/gateway/config/forwardauth_test.go
+++ b/internal/gateway/config/forwardauth_test.go
@@ -21,26 +21,29 @@
 after = 3
 `
 
-// What the operator file says is taken, the rest has its defaults, and a bad key ends with its name.
-func TestForward(t *testing.T) {
-	g, err := Decode([]byte(whole), none)
+// TestForwardAuthFile: the operator file's values are taken, the rest has its defaults, and an error names
+// the key.
+func TestForwardAuthFile(t *testing.T) {
+	g, err := Decode([]byte(whole), noEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := DecodeForward(forward, &g)
+	f, err := DecodeForwardAuth(forward, &g)
 	switch {
 	case err != nil:
 		t.Fatal(err)
-	case f.Asked.Path != "/auth" || f.Asked.Life != 2000 || f.Asked.NoStatus != 429 || f.Asked.Memory != 120000:
-		t.Errorf("asked: %+v", f.Asked)
-	case f.Asked.Only[0] || !f.Asked.Only[1] || len(f.Asked.Trusted) != 2:
-		t.Errorf("asked: %+v", f.Asked)
-	case f.Asking.Credential != "Authorization" || f.Asking.Terms.After != 3 || f.Asking.Terms.Pause != 500:
-		t.Errorf("asking: %+v", f.Asking)
-	case !f.Asking.OpenOn[0] || f.Asking.OpenOn[1] || f.Connections() != 64+1+16:
-		t.Errorf("asking: %+v", f.Asking)
+	case f.Server.Path != "/auth" || f.Server.LifetimeMillis != 2000 || f.Server.RejectStatus != 429 ||
+		f.Server.RetentionMillis != 120000:
+		t.Errorf("asked: %+v", f.Server)
+	case f.Server.RequiresClearance[0] || !f.Server.RequiresClearance[1] || len(f.Server.TrustedProxies) != 2:
+		t.Errorf("asked: %+v", f.Server)
+	case f.Authorizer.CredentialHeader != "Authorization" || f.Authorizer.Terms.After != 3 ||
+		f.Authorizer.Terms.Pause != 500:
+		t.Errorf("asking: %+v", f.Authorizer)
+	case !f.Authorizer.FailsOpen[0] || f.Authorizer.FailsOpen[1] || f.Connections() != 64+1+16:
+		t.Errorf("asking: %+v", f.Authorizer)
 	}
-	swap := func(old, new string) string { return strings.Replace(forward, old, new, 1) }
+	swap := func(old, replacement string) string { return strings.Replace(forward, old, replacement, 1) }
 	for _, c := range []struct{ name, text, says string }{
 		{"nothing", "", "asked, asking"},
 		{"no TOML", "[asked", "line 1"},
@@ -75,7 +78,7 @@
 		{"pauses", swap("after = 3", "pause_ms = 900\nmost_ms = 800"), "asking.breaker.most_ms"},
 		{"descriptors", swap("trusted", "connections = 200\ntrusted"), "limits.sockets"},
 	} {
-		if _, err := DecodeForward(c.text, &g); err == nil || !strings.Contains(err.Error(), c.says) {
+		if _, err := DecodeForwardAuth(c.text, &g); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
@@ -83,7 +86,8 @@
 	if err := os.WriteFile(path, []byte(swap("5800", "0x")), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadForward(path, &g); err == nil || !strings.HasPrefix(err.Error(), path+": asked.listen: ") {
+	if _, err := ReadForwardAuth(path, &g); err == nil ||
+		!strings.HasPrefix(err.Error(), path+": asked.listen: ") {
 		t.Errorf("file and key: %v", err)
 	}
 }
--- a/internal/gateway/config/gateway_test.go
+++ b/internal/gateway/config/gateway_test.go
@@ -22,30 +22,31 @@
   "allowed":{"peers":true,"keepalive_us":30000000,"connect_timeout_us":250000},
   "registry_mode":"on_request","safety":{"answer_slack_us":8000}}}`
 
-func none(string) string { return "" }
+func noEnvironment(string) string { return "" }
 
 func TestDecode(t *testing.T) {
-	g, err := Decode([]byte(whole), none)
+	g, err := Decode([]byte(whole), noEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := g.Charter.Products
 	switch {
-	case g.Name != "n1" || g.Listen != "127.0.0.1:5000" || uint64(g.Seed) != 0x8c1f30d27a5be964:
+	case g.Name != "n1" || g.ListenAddress != "127.0.0.1:5000" || uint64(g.Seed) != 0x8c1f30d27a5be964:
 		t.Errorf("name, listen or seed: %+v", g)
-	case g.Cores != 0.5 || g.MemoryMB != 64 || g.Sockets != 256:
-		t.Errorf("limits: %v %v %v", g.Cores, g.MemoryMB, g.Sockets)
-	case len(g.Peers) != 2 || g.Peers[1].String() != "127.0.0.3:7946" || g.Charter.Me != 1:
-		t.Errorf("peers: %v", g.Peers)
+	case g.Cores != 0.5 || g.MemoryMB != 64 || g.MaxSockets != 256:
+		t.Errorf("limits: %v %v %v", g.Cores, g.MemoryMB, g.MaxSockets)
+	case len(g.PeerAddresses) != 2 || g.PeerAddresses[1].String() != "127.0.0.3:7946" || g.Charter.Me != 1:
+		t.Errorf("peers: %v", g.PeerAddresses)
 	case len(p) != 2 || p[1].Repeat != policy.Referenced || p[1].Group != policy.GroupCell ||
 		p[1].Window != 7000:
 		t.Errorf("products: %+v", p)
-	case g.Lines != Lines{IdleLimit: 30000, ConnectTimeout: 250, AnswerSlack: 8, LongestWait: math.Inf(1),
-		ListAsked: true}:
-		t.Errorf("lines: %+v", g.Lines)
-	case !g.Known.Snapshot || g.Known.Version != 41 || len(g.Known.Workers) != 1 ||
-		g.Known.Workers[0].StartedMillis != 12:
-		t.Errorf("known: %+v", g.Known)
+	case g.Connections != Connections{IdleTimeoutMillis: 30000, ConnectTimeoutMillis: 250, AnswerSlackMillis: 8,
+		MaxClientWaitMillis: math.Inf(1),
+		PollsDiscovery:      true}:
+		t.Errorf("connections: %+v", g.Connections)
+	case !g.KnownEndpoints.Snapshot || g.KnownEndpoints.Version != 41 || len(g.KnownEndpoints.Workers) != 1 ||
+		g.KnownEndpoints.Workers[0].StartedMillis != 12:
+		t.Errorf("known: %+v", g.KnownEndpoints)
 	}
 }
 
@@ -57,33 +58,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g.Name != "n7" || g.Listen != "127.0.0.1:1" || g.Discovery != "127.0.0.1:2" {
+	if g.Name != "n7" || g.ListenAddress != "127.0.0.1:1" || g.DiscoveryAddress != "127.0.0.1:2" {
 		t.Errorf("from the environment: %+v", g)
 	}
-	if g.Cores != defaultCores || g.MemoryMB != defaultMemoryMB || g.Sockets != defaultSockets ||
-		g.Lines.IdleLimit != defaultIdleLimit || g.Lines.ConnectTimeout != defaultConnect {
+	if g.Cores != defaultCores || g.MemoryMB != defaultMemoryMB || g.MaxSockets != defaultSockets ||
+		g.Connections.IdleTimeoutMillis != defaultIdleTimeoutMillis ||
+		g.Connections.ConnectTimeoutMillis != defaultConnectTimeoutMillis {
 		t.Errorf("defaults: %+v", g)
 	}
 }
 
-// A message names the key at fault.
+// TestFaultyKeys: an error names the key at fault.
 func TestFaultyKeys(t *testing.T) {
 	cases := []struct{ name, old, new, says string }{
-		{"no JSON", `"name"`, `name`, "invalid character"},
+		{"not JSON", `"name"`, `name`, "invalid character"},
 		{"no settings", `"settings"`, `"other"`, "settings is missing"},
 		{"no listen", `"listen"`, `"other"`, "listen is missing"},
-		{"listen no address", `127.0.0.1:5000`, `here`, "listen: "},
-		{"discovery no address", `127.0.0.1:8500`, `127.0.0.1`, "discovery: "},
-		{"counter no address", `"name":"n1"`, `"counter":"here"`, "counter: "},
-		{"control no address", `"name":"n1"`, `"control":"here"`, "control: "},
-		{"seed no hex", `8c1f30d27a5be964`, `seed`, "seed: "},
-		{"memory below nought", `"memory_mb":64`, `"memory_mb":-1`, "limits.memory_mb"},
-		{"sockets below nought", `"sockets":256`, `"sockets":-1`, "limits.sockets"},
-		{"cores below nought", `"cores":0.5`, `"cores":-1`, "limits.cores"},
+		{"listen is not an address", `127.0.0.1:5000`, `here`, "listen: "},
+		{"discovery is not an address", `127.0.0.1:8500`, `127.0.0.1`, "discovery: "},
+		{"counter is not an address", `"name":"n1"`, `"counter":"here"`, "counter: "},
+		{"control is not an address", `"name":"n1"`, `"control":"here"`, "control: "},
+		{"seed is not hexadecimal", `8c1f30d27a5be964`, `seed`, "seed: "},
+		{"memory negative", `"memory_mb":64`, `"memory_mb":-1`, "limits.memory_mb"},
+		{"sockets negative", `"sockets":256`, `"sockets":-1`, "limits.sockets"},
+		{"cores negative", `"cores":0.5`, `"cores":-1`, "limits.cores"},
 		{"peer without port", `127.0.0.2:7946`, `127.0.0.2`, "peers[0]"},
-		{"a peer too few", `"127.0.0.2:7946",`, ``, "peers: 1 addresses"},
+		{"one peer too few", `"127.0.0.2:7946",`, ``, "peers: 1 addresses"},
 		{"no peer_listen", `"peer_listen"`, `"other"`, "peer_listen"},
-		{"known of no sense", `"active"`, `"asleep"`, "known: list of workers: endpoints[0].status"},
+		{"known has an unknown status", `"active"`, `"asleep"`, "known: list of workers: endpoints[0].status"},
 		{"known without address", `127.0.0.9:80`, ``, "endpoints[0].address"},
 		{"known without name", `"s1"`, `""`, "endpoints[0].name"},
 		{"no products", `"classes"`, `"other"`, "settings.classes"},
@@ -94,19 +96,20 @@
 		{"unknown group", `"cell"`, `"row"`, "settings.classes[1].group"},
 		{"product twice", `"sale"`, `"check"`, "settings.classes[1].name"},
 		{"plan without name", `"basic"`, `""`, "settings.tariffs[0].name"},
-		{"rate below nought", `"rate":2`, `"rate":-2`, "settings.tariffs[0]"},
-		{"credit below nought", `"rate":2`, `"rate":2,"credit_s":-1,"repay_s":9`, "settings.tariffs[0].credit_s"},
+		{"rate negative", `"rate":2`, `"rate":-2`, "settings.tariffs[0]"},
+		{"credit negative", `"rate":2`, `"rate":2,"credit_s":-1,"repay_s":9`, "settings.tariffs[0].credit_s"},
 		{"credit without repay", `"rate":2`, `"rate":2,"credit_s":1`, "settings.tariffs[0].repay_s"},
 		{"repay without credit", `"rate":2`, `"rate":2,"repay_s":1`, "settings.tariffs[0].repay_s"},
 		{"credit without a rate", `"rate":2`, `"credit_s":1,"repay_s":9`, "settings.tariffs[0].credit_s"},
-		{"repaid too soon", `"rate":2`, `"rate":2,"credit_s":5,"repay_s":9`, "settings.tariffs[0].repay_s"},
-		{"credit without end", `"rate":2`, `"rate":2,"credit_s":1e6,"repay_s":3e6`, "settings.tariffs[0].credit_s"},
+		{"repay too short", `"rate":2`, `"rate":2,"credit_s":5,"repay_s":9`, "settings.tariffs[0].repay_s"},
+		{"credit beyond its bound", `"rate":2`, `"rate":2,"credit_s":1e6,"repay_s":3e6`,
+			"settings.tariffs[0].credit_s"},
 		{"me beyond the gatekeepers", `"me":1`, `"me":2`, "settings.me"},
-		{"me no number", `"me":1`, `"me":"one"`, "settings: "},
+		{"me is not a number", `"me":1`, `"me":"one"`, "settings: "},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Decode([]byte(strings.Replace(whole, c.old, c.new, 1)), none)
+			_, err := Decode([]byte(strings.Replace(whole, c.old, c.new, 1)), noEnvironment)
 			if err == nil || !strings.Contains(err.Error(), c.says) {
 				t.Errorf("got %v, want a message with %q", err, c.says)
 			}
@@ -114,8 +117,9 @@
 	}
 }
 
-// The clients' listener that the platform holds is named by the environment alone.
-func TestDescriptor(t *testing.T) {
+// TestListenerDescriptor: the clients' listener that the platform passes on comes from the environment
+// alone.
+func TestListenerDescriptor(t *testing.T) {
 	cases := []struct {
 		fd   string
 		want int
@@ -124,8 +128,8 @@
 	for _, c := range cases {
 		env := map[string]string{"NODE_FD": c.fd, "TMPDIR": "/scratch"}
 		g, err := Decode([]byte(whole), func(k string) string { return env[k] })
-		if (err == nil) != c.ok || c.ok && (g.FD != c.want || (g.Scratch == "/scratch") != (c.want > 0)) {
-			t.Errorf("%q: descriptor %d, scratch %q, %v", c.fd, g.FD, g.Scratch, err)
+		if (err == nil) != c.ok || c.ok && (g.ListenerFD != c.want || (g.SharedDir == "/scratch") != (c.want > 0)) {
+			t.Errorf("%q: descriptor %d, shared directory %q, %v", c.fd, g.ListenerFD, g.SharedDir, err)
 		}
 		if !c.ok && !strings.HasPrefix(err.Error(), "NODE_FD: ") {
 			t.Errorf("%q: %v", c.fd, err)
@@ -145,7 +149,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Read(c.path, none)
+			_, err := Read(c.path, noEnvironment)
 			if c.says == "" && err != nil || c.says != "" && (err == nil || !strings.Contains(err.Error(), c.says)) {
 				t.Errorf("got %v, want %q", err, c.says)
 			}
@@ -153,8 +157,9 @@
 	}
 }
 
-// A configuration that mixes two shapes of deployment is refused with the key; the wire of the bench is not.
-func TestMixedShapes(t *testing.T) {
+// TestMixedDeployments: a configuration that mixes two kinds of deployment is rejected with the key; the
+// simulator's wire is not.
+func TestMixedDeployments(t *testing.T) {
 	const told = `"settings":{"report":{"how":"answers","fields":["concurrent"]},`
 	const rated, open = `{"name":"basic","rate":2}`, `{"name":"basic","open":2}`
 	cases := []struct {
@@ -183,14 +188,14 @@
 			"settings.report.how"},
 		{"another rating", []string{`"settings":{`, `"settings":{"weight_source":"guess",`},
 			"settings.weight_source"},
-		{"a fall below nought", []string{`"settings":{`, `"settings":{"safety":{"tip_after_us":-1},`},
-			"settings.safety.tip_after_us: -1 is below nought"},
-		{"use below nought", []string{`"settings":{`, `"settings":{"family_info":{"use_period_us":-1},`},
+		{"a fall negative", []string{`"settings":{`, `"settings":{"safety":{"tip_after_us":-1},`},
+			"settings.safety.tip_after_us: -1 is negative"},
+		{"use negative", []string{`"settings":{`, `"settings":{"family_info":{"use_period_us":-1},`},
 			"settings.family_info.use_period_us"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g, err := Decode([]byte(strings.NewReplacer(c.swaps...).Replace(whole)), none)
+			g, err := Decode([]byte(strings.NewReplacer(c.swaps...).Replace(whole)), noEnvironment)
 			if c.says == "" && err != nil || c.says != "" && (err == nil || !strings.Contains(err.Error(), c.says)) {
 				t.Errorf("got %v, want %q", err, c.says)
 			}
--- a/internal/gateway/config/golden_forms_test.go
+++ b/internal/gateway/config/golden_forms_test.go
@@ -12,13 +12,13 @@
 	"willowdeck/internal/testkit/goldentest"
 )
 
-// golden.json is a configuration in which each key that counts says something, as operators have it on disk.
-// It was written by hand, and goldenTerms is what the code made of it before names were changed. Neither may
-// follow new code: many keys are matched to a field by its name alone, and a key that matches none is let
-// pass without an error. Keys that are only checked and change nothing are not in it: counter,
-// family_info.counter, family_info.use_period_us, weight_source.
-func goldenTerms() Terms {
-	return Terms{Charter: policy.Charter{Me: 1, Gatekeepers: 2, Products: []policy.Product{{SLA: 1, Value: 3,
+// goldenSettings is what the code made of golden.json before names were changed. That file is a
+// configuration as operators have it on disk, written by hand, in which each key counts. Neither may
+// follow new code: a key that matches no field is passed over without an error. Keys that are only checked
+// and change nothing are not in it: counter, family_info.counter, family_info.use_period_us,
+// weight_source.
+func goldenSettings() Settings {
+	return Settings{Charter: policy.Charter{Me: 1, Gatekeepers: 2, Products: []policy.Product{{SLA: 1, Value: 3,
 		LateShare: 4, Repeat: 1, Group: 1, Window: 5}, {SLA: 6, Value: 8, LateShare: 9, Repeat: 2, Group: 0,
 		Window: 10}}, Plans: []policy.Plan{{Rate: 11, Burst: 12, CeilingRate: 13, CeilingDepth: 14, Withheld: 0,
 		Open: 15, Factor: 16, ExcessShare: 17, ExcessFee: 18, Credit: 19, Repay: 60000}, {Rate: 21, Burst: 22,
@@ -27,11 +27,12 @@
 		MayAdvise: true, MaxAdvice: 32, MayTell: true, LoadTold: true, PeerInPerS: 36, ReportsPerTell: 31,
 		ColdFrom: 0.375, WarmUp: 39, Tips: 40, TipAfter: 41, Whole: 42, WorstPlan: 87, Narrow: false},
 		Names: Names{Products: map[string]int{"check": 0, "sale": 1}, Plans: map[string]int{"basic": 0,
-			"tiny": 1}}, Lines: Lines{IdleLimit: 33, ConnectTimeout: 34, AnswerSlack: 38, LongestWait: 7,
-			ListAsked: true}}
+			"tiny": 1}}, Connections: Connections{IdleTimeoutMillis: 33, ConnectTimeoutMillis: 34,
+			AnswerSlackMillis:   38,
+			MaxClientWaitMillis: 7, PollsDiscovery: true}}
 }
 
-func goldenDecode(t *testing.T, raw []byte) (Gatekeeper, error) {
+func goldenDecode(t *testing.T, raw []byte) (Gateway, error) {
 	t.Helper()
 	return Decode(raw, func(string) string { return "" })
 }
@@ -41,9 +42,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.SameLines(t, goldentest.Leaves(g.Terms), goldentest.Leaves(goldenTerms()))
-	got := fmt.Sprintln(g.Name, g.Listen, g.Discovery, g.Seed, g.Control, g.Cores, g.MemoryMB, g.Sockets,
-		g.PeerPort, g.Peers, g.Known.Version, len(g.Known.Workers))
+	goldentest.SameLines(t, goldentest.Leaves(g.Settings), goldentest.Leaves(goldenSettings()))
+	got := fmt.Sprintln(g.Name, g.ListenAddress, g.DiscoveryAddress, g.Seed, g.AdminAddress, g.Cores, g.MemoryMB,
+		g.MaxSockets,
+		g.PeerListenAddress, g.PeerAddresses, g.KnownEndpoints.Version, len(g.KnownEndpoints.Workers))
 	if got != goldenStart {
 		t.Errorf("got  %s\nwant %s", got, goldenStart)
 	}
@@ -52,8 +54,8 @@
 const goldenStart = "n1 127.0.0.1:5000 127.0.0.1:8500 -8349901503567500956 127.0.0.1:6000 0.5 64 255 " +
 	"127.0.0.1:7946 [127.0.0.2:7946 127.0.0.3:7946] 41 1\n"
 
-// Each key counts: with another name for any one of them the configuration is another one, or is refused.
-// Guards against a golden file that says nothing of a key.
+// TestGoldenKeysCount: with another name for any one key the configuration is another one, or is rejected.
+// Guards against a golden file in which a key does not count.
 func TestGoldenKeysCount(t *testing.T) {
 	raw := goldentest.File(t, "golden.json")
 	whole, err := goldenDecode(t, raw)
@@ -86,7 +88,7 @@
 			delete(object, "not_"+key)
 			object[key] = child
 			if keys++; err == nil && reflect.DeepEqual(got, whole) {
-				t.Errorf("%s says nothing", at)
+				t.Errorf("%s does not count", at)
 			}
 			visit(at, child)
 		}
--- a/internal/gateway/config/golden_test.go
+++ b/internal/gateway/config/golden_test.go
@@ -16,8 +16,8 @@
 // never written again; a test that fails here is met by a tag with the old key.
 
 var goldenForms = []goldenform.Form{
-	{File: "settings.json", New: func() any { return &told{} }, Decode: decodeStrictly},
-	{File: "forward.toml", New: func() any { return &forwardFile{} },
+	{File: "settings.json", New: func() any { return &settingsFile{} }, Decode: decodeStrictly},
+	{File: "forward.toml", New: func() any { return &forwardAuthFile{} },
 		Decode: func(raw []byte, into any) error { return strictoml.Decode(string(raw), into) }},
 	{File: "journal.toml", New: func() any { return &journalFile{} },
 		Decode: func(raw []byte, into any) error { return strictoml.Decode(string(raw), into) }},
@@ -48,8 +48,8 @@
 	env := map[string]string{"NODE_NAME": "n7", "NODE_LISTEN": "127.0.0.1:1", "NODE_DISCOVERY": "127.0.0.1:2",
 		"NODE_CONTROL": "127.0.0.1:3", "NODE_FD": "4", "TMPDIR": "/five"}
 	g, err = Decode(goldenform.Read(t, "gatekeeper-bare.json"), func(key string) string { return env[key] })
-	if err != nil || g.Name != "n7" || g.Listen != "127.0.0.1:1" || g.Discovery != "127.0.0.1:2" ||
-		g.Control != "127.0.0.1:3" || g.FD != 4 || g.Scratch != "/five" {
+	if err != nil || g.Name != "n7" || g.ListenAddress != "127.0.0.1:1" || g.DiscoveryAddress != "127.0.0.1:2" ||
+		g.AdminAddress != "127.0.0.1:3" || g.ListenerFD != 4 || g.SharedDir != "/five" {
 		t.Errorf("%v: from the environment: %+v", err, g)
 	}
 }
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	for _, name := range []string{"forward-used", "forward-open"} { // customer and open exclude each other
-		f, err := DecodeForward(string(goldenform.Read(t, name+".toml")), &g)
+		f, err := DecodeForwardAuth(string(goldenform.Read(t, name+".toml")), &g)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gateway/config/journal.go
+++ b/internal/gateway/config/journal.go
@@ -11,16 +11,17 @@
 	"willowdeck/internal/txnjournal"
 )
 
-// Journal is what the journal of once-only txns is told.
+// Journal configures the journal of non-idempotent requests.
 type Journal struct {
-	Dir   string // folders of all instances on this host
+	Dir   string // holds the directories of all instances on this host
 	Terms txnjournal.Terms
 }
 
-// Of gives an instance's own folder.
-func (j *Journal) Of(name string) string { return filepath.Join(j.Dir, name) }
+// InstanceDir returns the directory of one instance's journal.
+func (j *Journal) InstanceDir(name string) string { return filepath.Join(j.Dir, name) }
 
-// journalFile is the operator file's own form.
+// journalFile is the form of the operator file; its defaults are txnjournal.DefaultTerms. Every field
+// carries its key as a tag.
 type journalFile struct {
 	Dir         string  `toml:"dir"`
 	Policy      string  `toml:"policy"`
@@ -41,8 +42,8 @@
 	} `toml:"breaker"`
 }
 
-// ReadJournal reads and checks the operator file of the journal. An error names the file, and the line or the
-// key.
+// ReadJournal reads and checks the journal's operator file, for the instance name. An error names the
+// file, and the line or the key.
 func ReadJournal(path, name string) (*Journal, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -50,7 +51,7 @@
 	}
 	j, err := DecodeJournal(string(raw))
 	if err == nil && (strings.ContainsRune(name, filepath.Separator) || name == "." || name == "..") {
-		err = fmt.Errorf("name: %q can't be a folder's", name)
+		err = fmt.Errorf("name: %q cannot name a directory", name)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -69,34 +70,34 @@
 		return nil, err
 	}
 	if f.Dir == "" {
-		return nil, errors.New("dir: it is not set")
+		return nil, errors.New("dir is missing")
 	}
 	switch f.Policy {
 	case txnjournal.Refuse.String():
 	case txnjournal.Serve.String():
 		t.Policy = txnjournal.Serve
 	default:
-		return nil, fmt.Errorf("policy: %q is neither refuse nor serve", f.Policy)
+		return nil, fmt.Errorf("policy: %q is not refuse or serve", f.Policy)
 	}
-	err := within(
-		bound{"window_ms", f.WindowMS, 0, txnjournal.LongestWindow},
-		bound{
+	err := firstOutOfRange(
+		keyRange{"window_ms", f.WindowMS, 0, txnjournal.LongestWindow},
+		keyRange{
 			"wait_ms",
 			f.WaitMS,
 			1,
 			txnjournal.LongestWait,
 		},
-		bound{"slow_ms", f.SlowMS, 1, txnjournal.LongestWait},
-		bound{"lease_ms", f.LeaseMS, 100, txnjournal.LongestLease},
-		bound{"segment_kb", float64(f.SegmentKB), txnjournal.LeastSegment >> 10, txnjournal.MostSegment >> 10},
-		bound{"segments", float64(f.Segments), txnjournal.LeastSegments, txnjournal.MostSegments},
-		bound{"txns", float64(f.Txns), 1, txnjournal.MostTxns},
-		bound{"answer_bytes", float64(f.AnswerBytes), 0, float64(f.SegmentKB << 10 / 8)},
-		bound{"answers_kb", float64(f.AnswersKB), 0, txnjournal.MostAnswers >> 10},
-		bound{"remember_s", f.RememberS, 0, txnjournal.LongestMemory / 1000},
-		bound{"breaker.after", float64(f.Breaker.After), 1, 1000},
-		bound{"breaker.pause_ms", f.Breaker.PauseMS, 1, txnjournal.LongestPause},
-		bound{"breaker.most_ms", f.Breaker.MostMS, f.Breaker.PauseMS, txnjournal.LongestPause},
+		keyRange{"slow_ms", f.SlowMS, 1, txnjournal.LongestWait},
+		keyRange{"lease_ms", f.LeaseMS, 100, txnjournal.LongestLease},
+		keyRange{"segment_kb", float64(f.SegmentKB), txnjournal.LeastSegment >> 10, txnjournal.MostSegment >> 10},
+		keyRange{"segments", float64(f.Segments), txnjournal.LeastSegments, txnjournal.MostSegments},
+		keyRange{"txns", float64(f.Txns), 1, txnjournal.MostTxns},
+		keyRange{"answer_bytes", float64(f.AnswerBytes), 0, float64(f.SegmentKB << 10 / 8)},
+		keyRange{"answers_kb", float64(f.AnswersKB), 0, txnjournal.MostAnswers >> 10},
+		keyRange{"remember_s", f.RememberS, 0, txnjournal.LongestMemory / 1000},
+		keyRange{"breaker.after", float64(f.Breaker.After), 1, 1000},
+		keyRange{"breaker.pause_ms", f.Breaker.PauseMS, 1, txnjournal.LongestPause},
+		keyRange{"breaker.most_ms", f.Breaker.MostMS, f.Breaker.PauseMS, txnjournal.LongestPause},
 	)
 	if err != nil {
 		return nil, err
--- a/internal/gateway/config/journal_test.go
+++ b/internal/gateway/config/journal_test.go
@@ -9,7 +9,7 @@
 	"willowdeck/internal/txnjournal"
 )
 
-// The operators' file has every key, and what it gives as defaults is what holds without them.
+// TestJournalFile: the operator file in deploy has every key, and its values are the defaults.
 func TestJournalFile(t *testing.T) {
 	raw, err := os.ReadFile("../../../deploy/journal.toml")
 	if err != nil {
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if plain.Terms != txnjournal.DefaultTerms() || plain.Of("g1") != "/var/lib/willowdeck/journal/g1" {
+	if plain.Terms != txnjournal.DefaultTerms() || plain.InstanceDir("g1") != "/var/lib/willowdeck/journal/g1" {
 		t.Errorf("%+v", plain)
 	}
 	set := regexp.MustCompile(`(?m)^# (\w+ = )`).ReplaceAllString(string(raw), "$1")
@@ -33,8 +33,8 @@
 	}
 }
 
-// What is wrong is named.
-func TestJournalFileWrong(t *testing.T) {
+// TestFaultyJournalFile: an error names the key at fault.
+func TestFaultyJournalFile(t *testing.T) {
 	for text, says := range map[string]string{
 		"":                                "dir",
 		"dir = \"d\"\npolice = 1":         "line 2: police",
--- a/internal/gateway/config/settings_test.go
+++ b/internal/gateway/config/settings_test.go
@@ -9,8 +9,8 @@
 	"willowdeck/internal/policy"
 )
 
-// other is a customer's settings with nothing at its usual place: other names, an effect each in another
-// order, one plan, lists asked for.
+// other is settings in an unusual order: other names, the effects in another order, one plan, discovery
+// polled.
 const other = `{"me":4,"balancers":7,
  "classes":[{"name":"toll","aim_us":90000,"hard_limit_us":300000,"effect":"non_idempotent","worth":4},
   {"name":"gate","aim_us":60000,"effect":"idempotency_key","group":"zone","window_us":400000,
@@ -26,9 +26,9 @@
   "tip_after_us":700000},
  "score_parts":{"whole":0.5,"worst_class":0.3,"worst_tenant":0.1}}`
 
-// Each key says what it says, wherever its product or plan stands.
-func TestOtherSettings(t *testing.T) {
-	got, err := ReadTerms([]byte(other))
+// TestSettingsByKey: each key counts wherever its product or plan stands.
+func TestSettingsByKey(t *testing.T) {
+	got, err := DecodeSettings([]byte(other))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,57 +41,63 @@
 		"MayAdvise:true MaxAdvice:150 MayTell:true LoadTold:true PeerInPerS:50 ReportsPerTell:31 ColdFrom:0.25 " +
 		"WarmUp:9000 Tips:1.5 TipAfter:700 Whole:0.5 WorstPlan:0.4 Narrow:false} " +
 		"Names:{Products:map[gate:1 look:2 toll:0] Plans:map[all:0]} " +
-		"Lines:{IdleLimit:6000 ConnectTimeout:80 AnswerSlack:8 LongestWait:900 ListAsked:true}}"
+		"Connections:{IdleTimeoutMillis:6000 ConnectTimeoutMillis:80 AnswerSlackMillis:8 " +
+		"MaxClientWaitMillis:900 PollsDiscovery:true}}"
 	if s := fmt.Sprintf("%+v", got); s != want {
 		t.Errorf("read as\n%s, want\n%s", s, want)
 	}
 }
 
-// What a customer leaves out is taken at its strictest, or as the page says that it is meant.
-func TestLeftOut(t *testing.T) {
+// TestSettingsDefaults: what the settings do not say has its default.
+func TestSettingsDefaults(t *testing.T) {
 	cases := []struct {
 		name, old, new string
-		holds          func(*Terms) bool
+		holds          func(*Settings) bool
 	}{
 		{"a wait of clients that is not said: any", `"hard_limit_us":900000,`, "",
-			func(t *Terms) bool { return math.IsInf(t.Lines.LongestWait, 1) }},
+			func(t *Settings) bool { return math.IsInf(t.Connections.MaxClientWaitMillis, 1) }},
 		{"no aim: the time that clients wait", `"aim_us":90000,`, "",
-			func(t *Terms) bool { return t.Charter.Products[0].SLA == 300 }},
+			func(t *Settings) bool { return t.Charter.Products[0].SLA == 300 }},
 		{"neither: no time is known", `"hard_limit_us":250000,`, "",
-			func(t *Terms) bool { return t.Charter.Products[2].SLA == 0 }},
+			func(t *Settings) bool { return t.Charter.Products[2].SLA == 0 }},
 		{"no group: the fewest share marks, and none is promised to all", `"group":"zone",`, "",
-			func(t *Terms) bool { return t.Charter.Products[1].Group == policy.GroupCell }},
+			func(t *Settings) bool { return t.Charter.Products[1].Group == policy.GroupCell }},
 		{"no window: never repeated", `"window_us":400000,`, "",
-			func(t *Terms) bool { return t.Charter.Products[1].Window == 0 }},
+			func(t *Settings) bool { return t.Charter.Products[1].Window == 0 }},
 		{"no rate of a ceiling: there is none, of any depth", `"hard_rate":25,`, "",
-			func(t *Terms) bool { p := t.Charter.Plans[0]; return p.CeilingRate == 0 && p.CeilingDepth == 0 }},
+			func(t *Settings) bool { p := t.Charter.Plans[0]; return p.CeilingRate == 0 && p.CeilingDepth == 0 }},
 		{"no submissions said: one", `"max_attempts":2,`, "",
-			func(t *Terms) bool { return t.Charter.MaxSubmissions == 0 && !t.Charter.MayWithdraw }},
-		{"no copies said: none", `"may_duplicate":true,`, "", func(t *Terms) bool { return !t.Charter.MayOverlap }},
-		{"no advice said: none", `"retry_after":true,`, "", func(t *Terms) bool { return !t.Charter.MayAdvise }},
+			func(t *Settings) bool { return t.Charter.MaxSubmissions == 0 && !t.Charter.MayWithdraw }},
+		{"no copies said: none", `"may_duplicate":true,`, "",
+			func(t *Settings) bool { return !t.Charter.MayOverlap }},
+		{"no advice said: none", `"retry_after":true,`, "", func(t *Settings) bool { return !t.Charter.MayAdvise }},
 		{"no bound of advice: none is given", `"max_retry_after_us":150000,`, "",
-			func(t *Terms) bool { return t.Charter.MaxAdvice == 0 }},
+			func(t *Settings) bool { return t.Charter.MaxAdvice == 0 }},
 		{"no peers said: none are talked to", `,"peers":true`, "",
-			func(t *Terms) bool { return !t.Charter.MayTell }},
+			func(t *Settings) bool { return !t.Charter.MayTell }},
 		{"no least start: a cold worker can do nothing", `"cold_from":0.25,`, "",
-			func(t *Terms) bool { return t.Charter.ColdFrom == 0 && t.Charter.WarmUp == 9000 }},
-		{"no slack: none", `,"answer_slack_us":8000`, "", func(t *Terms) bool { return t.Lines.AnswerSlack == 0 }},
+			func(t *Settings) bool { return t.Charter.ColdFrom == 0 && t.Charter.WarmUp == 9000 }},
+		{"no slack: none", `,"answer_slack_us":8000`, "",
+			func(t *Settings) bool { return t.Connections.AnswerSlackMillis == 0 }},
 		{"no way of lists: pushed", `"registry_mode":"on_request",`, "",
-			func(t *Terms) bool { return !t.Lines.ListAsked }},
+			func(t *Settings) bool { return !t.Connections.PollsDiscovery }},
 		{"no reports: none are gone by", `"report":{"how":"answers","fields":["load_share"]},`, "",
-			func(t *Terms) bool { return !t.Charter.LoadTold }},
+			func(t *Settings) bool { return !t.Charter.LoadTold }},
 		{"no time for connections", `"connect_timeout_us":80000,`, "",
-			func(t *Terms) bool { return t.Lines.ConnectTimeout == defaultConnect }},
+			func(t *Settings) bool { return t.Connections.ConnectTimeoutMillis == defaultConnectTimeoutMillis }},
 		{"no idle limit", `"keepalive_us":6000000,`, "",
-			func(t *Terms) bool { return t.Lines.IdleLimit == defaultIdleLimit }},
-		{"a key of later days", `"me":4,`, `"me":4,"later":{"classes":1},`, func(*Terms) bool { return true }},
+			func(t *Settings) bool { return t.Connections.IdleTimeoutMillis == defaultIdleTimeoutMillis }},
+		{"a key of later days", `"me":4,`, `"me":4,"later":{"classes":1},`, func(*Settings) bool { return true }},
 		{"a plan without any quota", `"rate":12,"most_at_once":36,"hard_rate":25,"cap_depth":78,`, "",
-			func(t *Terms) bool { p := t.Charter.Plans[0]; return p.Rate == 0 && p.Open == 0 && p.CeilingRate == 0 }},
+			func(t *Settings) bool {
+				p := t.Charter.Plans[0]
+				return p.Rate == 0 && p.Open == 0 && p.CeilingRate == 0
+			}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			text := strings.Replace(other, c.old, c.new, 1)
-			got, err := ReadTerms([]byte(text))
+			got, err := DecodeSettings([]byte(text))
 			if err != nil || text == other || !c.holds(&got) {
 				t.Errorf("%v: read as %+v", err, got)
 			}
@@ -99,7 +105,7 @@
 	}
 }
 
-// What is unknown or contradicts itself is refused by its key.
+// TestFaultySettings: what is unknown or contradicts itself is rejected by its key.
 func TestFaultySettings(t *testing.T) {
 	cases := []struct{ old, new, says string }{
 		{`"registry_mode":"on_request"`, `"registry_mode":"post"`, `settings.registry_mode: "post" is unknown`},
@@ -108,13 +114,13 @@
 		{`non_idempotent`, `safe`, `settings.classes[0].effect: "safe" is unknown`},
 		{`"effect":"read_like",`, ``, `settings.classes[2].effect: "" is unknown`},
 		{`"group":"zone"`, `"group":"hall"`, `settings.classes[1].group: "hall" is unknown`},
-		{`"name":"look"`, `"name":"toll"`, `settings.classes[2].name: "toll" is empty or there twice`},
-		{`"name":"gate",`, ``, `settings.classes[1].name: "" is empty or there twice`},
+		{`"name":"look"`, `"name":"toll"`, `settings.classes[2].name: "toll" is empty or not unique`},
+		{`"name":"gate",`, ``, `settings.classes[1].name: "" is empty or not unique`},
 		{`"cap_depth":78`, `"cap_depth":0`, "settings.tariffs[0].cap_depth: "},
 		{`"cold_from":0.25`, `"cold_from":1.5`, "settings.safety.cold_from: 1.5 is more"},
-		{`"me":4`, `"me":7`, "settings.me: 7 is none of balancers, which is 7"},
-		{`"me":4,"balancers":7`, `"balancers":-7`, "settings.balancers: -7 is below nought"},
-		{`"aim_us":60000`, `"aim_us":-1`, "settings.classes[1].aim_us: -1 is below nought"},
+		{`"me":4`, `"me":7`, "settings.me: 7 is not an index below balancers, which is 7"},
+		{`"me":4,"balancers":7`, `"balancers":-7`, "settings.balancers: -7 is negative"},
+		{`"aim_us":60000`, `"aim_us":-1`, "settings.classes[1].aim_us: -1 is negative"},
 		{`"hard_limit_us":300000`, `"hard_limit_us":-1`, "settings.classes[0].hard_limit_us: "},
 		{`"window_us":400000`, `"window_us":-1`, "settings.classes[1].window_us: "},
 		{`"worth":0.5`, `"worth":-0.5`, "settings.classes[2].worth: "},
@@ -147,7 +153,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.new, func(t *testing.T) {
-			_, err := ReadTerms([]byte(strings.Replace(other, c.old, c.new, 1)))
+			_, err := DecodeSettings([]byte(strings.Replace(other, c.old, c.new, 1)))
 			if err == nil || !strings.Contains(err.Error(), c.says) {
 				t.Errorf("got %v, want a message with %q", err, c.says)
 			}
--- a/internal/gateway/lifecycle/agree.go
+++ b/internal/gateway/lifecycle/agree.go
@@ -107,7 +107,7 @@
 	a := &agreement{g: g, wide: c, timer: time.NewTimer(time.Hour), answer: make(chan answer, 1),
 		of: make([]float64, len(c.Plans)), whole: fasthttp.Client{MaxResponseBodySize: ruleset.MaxEncodedBytes,
 			MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true},
-		client: relay.NewClient([]string{g.conf.Agree}, AskPath),
+		client: relay.NewClient([]string{g.conf.RulesetAddress}, AskPath),
 		copied: distribution.NewReplica(g.conf.Name, os.Getpid(), g.conf.Seed)}
 	a.whole.Dial = a.dial
 	a.wide.Plans = slices.Clone(c.Plans)
@@ -194,7 +194,7 @@
 	holds, index := a.holder.AckedStep(), a.g.discovered()
 	q := url.Values{"instance": {a.g.conf.Name}, "pid": {strconv.Itoa(os.Getpid())},
 		"holds": {strconv.FormatUint(holds, 10)}, "index": {strconv.FormatInt(index, 10)}}
-	at := "http://" + a.g.conf.Agree + LeasePath + "?" + q.Encode()
+	at := "http://" + a.g.conf.RulesetAddress + LeasePath + "?" + q.Encode()
 	if boot() < a.older {
 		go func() { a.answer <- a.call(at, within) }()
 		return
@@ -389,7 +389,7 @@
 	}
 	terms := inflight.NewLease(number, ruleModes[t.Mode], moment(t.ExpiresAtMillis))
 	c := a.charter(t)
-	peers := a.g.conf.Peers
+	peers := a.g.conf.PeerAddresses
 	if t.Version == a.heard.Number && t.Version > 0 {
 		peers = a.addresses()
 	}
@@ -479,8 +479,8 @@
 	for i, m := range a.heard.Rules.Members {
 		if at, err := netip.ParseAddrPort(m.Peers); err == nil {
 			all[i] = at
-		} else if i < len(a.g.conf.Peers) && (m.Name != "" || a.g.conf.Peers[i].Port() == 0) {
-			all[i] = a.g.conf.Peers[i] // known, or nobody's: then it is not another's from here on
+		} else if i < len(a.g.conf.PeerAddresses) && (m.Name != "" || a.g.conf.PeerAddresses[i].Port() == 0) {
+			all[i] = a.g.conf.PeerAddresses[i] // known, or nobody's: then it is not another's from here on
 		}
 	}
 	return all
--- a/internal/gateway/lifecycle/agree_test.go
+++ b/internal/gateway/lifecycle/agree_test.go
@@ -95,8 +95,8 @@
 	t.Helper()
 	x := newDaemon(t)
 	x.answers(silent)
-	d := deployWith(t, func(c *config.Gatekeeper) {
-		c.Agree, c.Tells = x.at, true
+	d := deployWith(t, func(c *config.Gateway) {
+		c.RulesetAddress, c.SharesEndpoints = x.at, true
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = 1000, 1000
 	}, workers, 5000)
 	t.Cleanup(func() { close(d.gk.over) })
@@ -241,7 +241,7 @@
 				t.Errorf("%s: worker %d got %d", c.name, i, w.count()-before[i])
 			}
 		}
-		if l, _, ok := d.gk.List(); ok {
+		if l, _, ok := d.gk.EncodedEndpoints(); ok {
 			if told, err := endpoints.Decode(l); err != nil || len(told.Workers) != 2 || !told.Workers[0].Active {
 				t.Errorf("%s: newcomers are told %s", c.name, l)
 			}
@@ -342,8 +342,8 @@
 	const rate, depth, spent = 20, 60, 20
 	x := newDaemon(t)
 	x.leases(1, rules(rate, depth), true)
-	d := deployWith(t, func(c *config.Gatekeeper) {
-		c.Agree, c.Scratch = x.at, t.TempDir()
+	d := deployWith(t, func(c *config.Gateway) {
+		c.RulesetAddress, c.SharedDir = x.at, t.TempDir()
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = rate, depth
 	}, 1, 5000)
 	d.mode(ruleset.ModeLeased)
@@ -360,7 +360,7 @@
 	if in := burst(spent); in != spent {
 		t.Fatalf("%d let in of a full ceiling", in)
 	}
-	heir := d.second(func(c *config.Gatekeeper) { c.Listen = "127.0.0.1:0" })
+	heir := d.second(func(c *config.Gateway) { c.ListenAddress = "127.0.0.1:0" })
 	until(t, "the heir has no lease",
 		func() bool { return heir.agreed.mode.Load() == int64(ruleset.ModeLeased) })
 	d.gk.Stop()
@@ -396,8 +396,9 @@
 			x, path := newDaemon(t), filepath.Join(t.TempDir(), "residue")
 			life := func() *deployment {
 				x.answers(silent)
-				return deployWith(t, func(conf *config.Gatekeeper) {
-					conf.Agree, conf.Tells, conf.Residue, conf.Recall = x.at, true, path, true
+				return deployWith(t, func(conf *config.Gateway) {
+					conf.RulesetAddress, conf.SharesEndpoints = x.at, true
+					conf.CrashStatePath, conf.KeepsCheckpoint = path, true
 				}, 1, 5000)
 			}
 			of := func(d *deployment) string {
@@ -443,7 +444,7 @@
 	if !d.let() || d.named() != -1 {
 		t.Error("it names rules")
 	}
-	for _, f := range d.gk.Figures().More {
+	for _, f := range d.gk.Stats().Extra {
 		if strings.HasPrefix(f.Name, "rules.") {
 			t.Errorf("there is %s", f.Name)
 		}
--- a/internal/gateway/lifecycle/ask_test.go
+++ b/internal/gateway/lifecycle/ask_test.go
@@ -136,8 +136,8 @@
 // asksFor starts a gatekeeper below one that tells nothing yet.
 func asksFor(t *testing.T, x *teller) *deployment {
 	t.Helper()
-	d := deployWith(t, func(c *config.Gatekeeper) {
-		c.Agree, c.Tells = x.at, true
+	d := deployWith(t, func(c *config.Gateway) {
+		c.RulesetAddress, c.SharesEndpoints = x.at, true
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = 1000, 1000
 	}, 1, 5000)
 	t.Cleanup(func() { close(d.gk.over) })
@@ -437,7 +437,7 @@
 		return all
 	}
 	a := &agreement{g: &Gatekeeper{}}
-	a.g.conf.Peers = at("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "0.0.0.0:0", "10.0.0.5:1")
+	a.g.conf.PeerAddresses = at("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "0.0.0.0:0", "10.0.0.5:1")
 	a.heard.Rules.Members = []ruleset.Member{{Name: "a", Peers: "10.0.1.1:1"}, {Name: "b"}, {}, {}, {},
 		{Name: "f"}, {Name: "g", Peers: "10.0.1.7:1"}}
 	want := at("10.0.1.1:1", "10.0.0.2:1", "", "0.0.0.0:0", "", "", "10.0.1.7:1")
--- a/internal/gateway/lifecycle/endings_test.go
+++ b/internal/gateway/lifecycle/endings_test.go
@@ -98,7 +98,7 @@
 	for _, c := range []struct {
 		name, raw, status string
 		swaps             []string
-		spoil             func(*deployment, *config.Gatekeeper)
+		spoil             func(*deployment, *config.Gateway)
 		cut               int // bytes that come before the order; 0 is all
 		in                func(*deployment) bool
 		subs              int // at most
@@ -107,7 +107,8 @@
 		{name: "being read, in its body", raw: sale("/sale", mark), cut: len(sale("/sale", mark)) - 2,
 			status: settled, subs: 1},
 		{name: "connecting", raw: check("/check", mark), swaps: connects, status: declined,
-			spoil: func(d *deployment, c *config.Gatekeeper) { c.Known.Workers[0].Address = deaf(d.t) }, in: inHand},
+			spoil: func(d *deployment, c *config.Gateway) { c.KnownEndpoints.Workers[0].Address = deaf(d.t) },
+			in:    inHand},
 		{name: "sent, worker slow", raw: patient(issue("/issue?slow", mark)),
 			status: settled, in: sent, subs: 1},
 		{name: "sent, worker hung", raw: patient(issue("/issue?silence", mark)), status: voided, in: sent,
@@ -118,11 +119,11 @@
 			subs: 1},
 		{name: "half answered, tried again", raw: check("/check?cutshort", mark), status: declined, subs: 3},
 		{name: "nobody to submit it to", raw: check("/check", mark), status: declined,
-			spoil: func(_ *deployment, c *config.Gatekeeper) { c.Known.Workers = nil }},
+			spoil: func(_ *deployment, c *config.Gateway) { c.KnownEndpoints.Workers = nil }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := &deployment{t: t}
-			d = deployWith(t, func(conf *config.Gatekeeper) {
+			d = deployWith(t, func(conf *config.Gateway) {
 				if c.spoil != nil {
 					c.spoil(d, conf)
 				}
@@ -169,7 +170,7 @@
 
 // Connections that wait in the listener when the order comes, with a txn in them or without, are served.
 func TestStopWithBacklog(t *testing.T) {
-	d := deployWith(t, func(c *config.Gatekeeper) { c.Sockets = policy.SpareFiles + 4 }, 1, 5000)
+	d := deployWith(t, func(c *config.Gateway) { c.MaxSockets = policy.SpareFiles + 4 }, 1, 5000)
 	var all []net.Conn
 	for i := range 6 { // of which two have places, and one is held back for one
 		c := d.dial()
@@ -327,7 +328,7 @@
 			until(t, "it is not sent", func() bool { return len(d.got()) == 1 })
 			ended := make(chan error, 1)
 			go func() {
-				ended <- d.gk.Run(stop, reload, func() (config.Gatekeeper, error) { return d.conf, nil })
+				ended <- d.gk.Run(stop, reload, func() (config.Gateway, error) { return d.conf, nil })
 			}()
 			for range 3 {
 				if c.again {
--- a/internal/gateway/lifecycle/forward_test.go
+++ b/internal/gateway/lifecycle/forward_test.go
@@ -34,16 +34,16 @@
 	return deployWith(t, forwarded(t, text), 1, 5000, swaps...)
 }
 
-func forwarded(t *testing.T, text string) func(c *config.Gatekeeper) {
-	return func(c *config.Gatekeeper) {
-		f, err := config.DecodeForward(text, c)
+func forwarded(t *testing.T, text string) func(c *config.Gateway) {
+	return func(c *config.Gateway) {
+		f, err := config.DecodeForwardAuth(text, c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.Asked != nil {
-			f.Asked.Listen = "127.0.0.1:0"
+		if f.Server != nil {
+			f.Server.ListenAddress = "127.0.0.1:0"
 		}
-		c.Forward = f
+		c.ForwardAuth = f
 	}
 }
 
@@ -98,7 +98,7 @@
 // figure gives one figure of operators'.
 func (d *deployment) figure(name string) int64 {
 	d.t.Helper()
-	for _, m := range d.gk.Figures().More {
+	for _, m := range d.gk.Stats().Extra {
 		if m.Name == name {
 			return m.Value
 		}
@@ -428,7 +428,7 @@
 	auth := newAuth(t)
 	d, change := heldListener(t)
 	text := strings.Replace(asked, "life_ms = 300", "life_ms = 9000", 1) + asking(auth, `products = ["sale"]`)
-	both := func(c *config.Gatekeeper) {
+	both := func(c *config.Gateway) {
 		change(c)
 		forwarded(t, text)(c)
 	}
@@ -469,7 +469,7 @@
 			t.Errorf("it comes, %d: %v", i, r.Status)
 		}
 	}
-	second.Reload(config.Gatekeeper{}, errors.New("none"))
+	second.Reload(config.Gateway{}, errors.New("none"))
 	if n := len(d.got()); n != 3 {
 		t.Errorf("%d submitted", n)
 	}
@@ -497,7 +497,7 @@
 	stop <- syscall.SIGTERM
 	over := make(chan error, 1)
 	go func() {
-		over <- d.gk.Run(stop, reload, func() (config.Gatekeeper, error) { return d.conf, nil })
+		over <- d.gk.Run(stop, reload, func() (config.Gateway, error) { return d.conf, nil })
 	}()
 	if r := whole(t, d.at, issue("/issue", "p")); r.StatusCode != 200 {
 		t.Errorf("what was cleared comes: %v", r.Status)
--- a/internal/gateway/lifecycle/golden_test.go
+++ b/internal/gateway/lifecycle/golden_test.go
@@ -16,7 +16,7 @@
 
 // goldenKeys gives the keys that a gatekeeper's /admin/stats has, in their order.
 func goldenKeys(g *Gatekeeper) []string {
-	text := goldenValue.ReplaceAllString(string(admin.Append(nil, g.Figures())), "")
+	text := goldenValue.ReplaceAllString(string(admin.AppendStats(nil, g.Stats())), "")
 	return strings.Split(strings.TrimSpace(text), "\n")
 }
 
@@ -26,9 +26,9 @@
 	t.Helper()
 	daemon := newDaemon(t)
 	daemon.answers(silent)
-	whole := deployWith(t, func(c *config.Gatekeeper) {
-		c.Agree, c.Tells, c.Recall = daemon.at, true, true
-		c.Residue = filepath.Join(t.TempDir(), "residue")
+	whole := deployWith(t, func(c *config.Gateway) {
+		c.RulesetAddress, c.SharesEndpoints, c.KeepsCheckpoint = daemon.at, true, true
+		c.CrashStatePath = filepath.Join(t.TempDir(), "residue")
 		journaled(t.TempDir())(c)
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = 1000, 1000
 		c.Charter.Plans[0].Credit, c.Charter.Plans[0].Repay = 1, 60000
--- a/internal/gateway/lifecycle/heir_test.go
+++ b/internal/gateway/lifecycle/heir_test.go
@@ -16,7 +16,7 @@
 // which never speaks, and against a listener that nobody takes from.
 func TestHeirHangs(t *testing.T) {
 	d, _ := heldListener(t)
-	_, err := hotrestart.Connect(hotrestart.SocketPath(d.conf.Scratch, d.conf.Name), d.conf.Name)
+	_, err := hotrestart.Connect(hotrestart.SocketPath(d.conf.SharedDir, d.conf.Name), d.conf.Name)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/lifecycle/journal_test.go
+++ b/internal/gateway/lifecycle/journal_test.go
@@ -24,12 +24,12 @@
 var kills = flag.Int("kills", 8, "how often the gatekeeper of the journal's test is killed")
 
 // journaled has a gatekeeper keep a journal in a folder.
-func journaled(dir string) func(*config.Gatekeeper) {
+func journaled(dir string) func(*config.Gateway) {
 	return journaledIn(dir, 4<<10, txnjournal.DefaultSegments)
 }
 
-func journaledIn(dir string, size, segments int) func(*config.Gatekeeper) {
-	return func(c *config.Gatekeeper) {
+func journaledIn(dir string, size, segments int) func(*config.Gateway) {
+	return func(c *config.Gateway) {
 		t := txnjournal.DefaultTerms()
 		t.Segment, t.Segments = size, segments // so that they change often
 		t.Wait, t.Slow = 250, 1000             // a loaded machine
@@ -40,7 +40,7 @@
 // again starts the deployment's gatekeeper anew, once the one before has ended.
 func (d *deployment) again() *Gatekeeper {
 	d.t.Helper()
-	g := d.second(func(*config.Gatekeeper) {})
+	g := d.second(func(*config.Gateway) {})
 	d.at = g.At
 	return g
 }
@@ -138,7 +138,7 @@
 			m, usual := store.NewMemory(1), diskOf
 			diskOf = func(string) store.Disk { return m }
 			defer func() { diskOf = usual }()
-			d := deployWith(t, func(c *config.Gatekeeper) {
+			d := deployWith(t, func(c *config.Gateway) {
 				journaled("")(c)
 				t := &c.Journal.Terms
 				t.Policy, t.Wait, t.Lease, t.Pause, t.MostPause = policy, 150, 200, 20, 40
@@ -180,7 +180,7 @@
 func TestJournalAtReplacement(t *testing.T) {
 	d, change := heldListener(t)
 	dir := t.TempDir()
-	both := func(c *config.Gatekeeper) {
+	both := func(c *config.Gateway) {
 		change(c)
 		journaled(dir)(c)
 	}
--- a/internal/gateway/lifecycle/lend.go
+++ b/internal/gateway/lifecycle/lend.go
@@ -27,14 +27,14 @@
 	switch {
 	case !any || g.away.Load() || !g.lends.CompareAndSwap(false, true):
 		return
-	case g.conf.Residue == "":
+	case g.conf.CrashStatePath == "":
 		g.log.Warn().Msg("settings.tariffs: credit_s lends nothing, as nothing is kept over a sudden end (residue)")
 		return
-	case c.Gatekeepers > 1 && (g.peers == nil || !g.conf.Tells):
+	case c.Gatekeepers > 1 && (g.peers == nil || !g.conf.SharesEndpoints):
 		g.log.Warn().Msg("settings.tariffs: credit_s lends nothing, as peers do not say which life they speak of")
 		return
 	}
-	f, err := ledger.Open(g.conf.Residue+bookOf, c.Me)
+	f, err := ledger.Open(g.conf.CrashStatePath+bookOf, c.Me)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("nothing is lent")
 		return
--- a/internal/gateway/lifecycle/lend_test.go
+++ b/internal/gateway/lifecycle/lend_test.go
@@ -12,7 +12,7 @@
 
 // owed gives one of a process's figures of credit; below nought where it has none.
 func owed(g *Gatekeeper, name string) int64 {
-	for _, m := range g.Figures().More {
+	for _, m := range g.Stats().Extra {
 		if m.Name == "credit."+name {
 			return m.Value
 		}
@@ -26,9 +26,9 @@
 	d, change := heldListener(t, `"rate":0.1,"most_at_once":1`,
 		`"rate":2,"most_at_once":2,"credit_s":1,"repay_s":60`)
 	book := filepath.Join(t.TempDir(), "residue")
-	keeps := func(c *config.Gatekeeper) {
+	keeps := func(c *config.Gateway) {
 		change(c)
-		c.Residue = book
+		c.CrashStatePath = book
 	}
 	first := d.second(keeps)
 	d.gk.Stop()
--- a/internal/gateway/lifecycle/lifecycle_test.go
+++ b/internal/gateway/lifecycle/lifecycle_test.go
@@ -27,7 +27,7 @@
 	gk      *Gatekeeper
 	at      string
 	workers []*standIn
-	conf    config.Gatekeeper
+	conf    config.Gateway
 	news    chan string
 	asked   chan string // what the watch asks for
 }
@@ -139,11 +139,11 @@
 // are pairs of old and new text in its settings.
 func deploy(t *testing.T, workers, idle int, swaps ...string) *deployment {
 	t.Helper()
-	return deployWith(t, func(*config.Gatekeeper) {}, workers, idle, swaps...)
+	return deployWith(t, func(*config.Gateway) {}, workers, idle, swaps...)
 }
 
 // deployWith changes the configuration as it has been read.
-func deployWith(t *testing.T, change func(*config.Gatekeeper), workers, idle int,
+func deployWith(t *testing.T, change func(*config.Gateway), workers, idle int,
 	swaps ...string) *deployment {
 	t.Helper()
 	d := &deployment{t: t, news: make(chan string, 9), asked: make(chan string, 9)}
@@ -321,7 +321,7 @@
 // at 4.5, and a form that came when it was full was shed with 429.
 func TestFormsOfTxns(t *testing.T) {
 	const formsAndWays = 84
-	d := deployWith(t, func(c *config.Gatekeeper) { c.Sockets = 4 * formsAndWays }, formsAndWays, 5000)
+	d := deployWith(t, func(c *config.Gateway) { c.MaxSockets = 4 * formsAndWays }, formsAndWays, 5000)
 	plain, sold := check("/check", "1"), sale("/sale", "1")
 	swap := func(s string, pairs ...string) string { return strings.NewReplacer(pairs...).Replace(s) }
 	chunked := func(s, body string) string { return swap(s, "Content-Length: 4\r\n\r\na\r\nb", body) }
@@ -650,9 +650,9 @@
 	stop, reload, ended := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan error)
 	files := make(chan error, 1)
 	go func() {
-		ended <- d.gk.Run(stop, reload, func() (config.Gatekeeper, error) {
+		ended <- d.gk.Run(stop, reload, func() (config.Gateway, error) {
 			next := d.conf
-			next.Discovery = d.discovery()
+			next.DiscoveryAddress = d.discovery()
 			return next, <-files
 		})
 	}()
@@ -695,8 +695,9 @@
 	d.gk.Reload(config.Decode([]byte(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":`+
 		strings.Replace(mixed, "IDLE", "1", 1)+`}`), func(string) string { return "" }))
 	if !strings.Contains(log.String(), "settings.family_info.use_period_us") ||
-		!strings.Contains(log.String(), "the old one stays") || d.gk.conf.Discovery != d.conf.Discovery {
-		t.Errorf("discovery is %s now, and the log says %s", d.gk.conf.Discovery, log.String())
+		!strings.Contains(log.String(), "the old one stays") ||
+		d.gk.conf.DiscoveryAddress != d.conf.DiscoveryAddress {
+		t.Errorf("discovery is %s now, and the log says %s", d.gk.conf.DiscoveryAddress, log.String())
 	}
 }
 
--- a/internal/gateway/lifecycle/operate.go
+++ b/internal/gateway/lifecycle/operate.go
@@ -21,22 +21,22 @@
 }
 
 // Note logs what operators ask.
-func (g *Gatekeeper) Note(what string) { g.log.Info().Str("call", what).Msg("operators") }
+func (g *Gatekeeper) LogCall(what string) { g.log.Info().Str("call", what).Msg("operators") }
 
 // Figures gathers what operators see, from counts and copies alone.
-func (g *Gatekeeper) Figures() admin.Figures {
+func (g *Gatekeeper) Stats() admin.Stats {
 	seen := g.desk.CachedTally()
-	f := admin.Figures{Tries: g.links.AttemptsWritten(), Active: g.front.ActiveRequests(),
+	f := admin.Stats{Attempts: g.links.AttemptsWritten(), Active: g.front.ActiveRequests(),
 		Workers: int64(seen.Workers),
-		Avoided: int64(seen.Distrusted)}
-	f.Products = make([]admin.Product, len(g.conf.Charter.Products))
+		Ejected: int64(seen.Distrusted)}
+	f.Products = make([]admin.ProductStats, len(g.conf.Charter.Products))
 	for name, i := range g.conf.Names.Products {
 		p := &f.Products[i]
 		p.Name = name
-		p.Settled, p.Declined, p.Voided = g.front.FinalCounts(i)
+		p.Succeeded, p.Rejected, p.Failed = g.front.FinalCounts(i)
 	}
-	add := func(name string, v int64) { f.More = append(f.More, admin.Figure{Name: name, Value: v}) }
-	if g.conf.Tells {
+	add := func(name string, v int64) { f.Extra = append(f.Extra, admin.Stat{Name: name, Value: v}) }
+	if g.conf.SharesEndpoints {
 		add("members", g.members.Load())
 		holds := g.desk.LockTimes()
 		add("desk.longest.list_us", holds.FullListMicros.Load())
@@ -48,7 +48,7 @@
 	if k := g.journal.Load(); k != nil {
 		k.Figures(add)
 	}
-	if g.conf.Residue != "" && g.conf.Recall {
+	if g.conf.CrashStatePath != "" && g.conf.KeepsCheckpoint {
 		c := g.desk.CheckpointStats()
 		add("copies.recalled", c.Restored.Load())
 		add("copies.spoilt", g.spoilt.Load())
--- a/internal/gateway/lifecycle/operate_test.go
+++ b/internal/gateway/lifecycle/operate_test.go
@@ -15,12 +15,12 @@
 // operated is a deployment with an operators' port.
 func operated(t *testing.T) *deployment {
 	t.Helper()
-	return deployWith(t, func(c *config.Gatekeeper) { c.Control = "127.0.0.1:0" }, 1, 5000)
+	return deployWith(t, func(c *config.Gateway) { c.AdminAddress = "127.0.0.1:0" }, 1, 5000)
 }
 
 func (d *deployment) operate(line string) string {
 	d.t.Helper()
-	c, err := net.Dial("tcp", d.gk.port.At)
+	c, err := net.Dial("tcp", d.gk.port.Address)
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -121,7 +121,7 @@
 func TestControlTaken(t *testing.T) {
 	d := operated(t)
 	c := d.conf
-	c.Control = d.gk.port.At
+	c.AdminAddress = d.gk.port.Address
 	if g, err := Start(c, d.gk.log); err == nil || !strings.HasPrefix(err.Error(), "control: ") {
 		t.Errorf("started: %v, %v", g, err)
 	}
@@ -189,7 +189,8 @@
 // The number of gatekeepers is taken up in service, where no more than that has changed: kept connections go
 // on, and a txn of the new set is one of ours.
 func TestResizeInService(t *testing.T) {
-	d := deployWith(t, func(c *config.Gatekeeper) { c.Tells = true }, 1, 5000, `"balancers":1`, `"balancers":2`)
+	d := deployWith(t, func(c *config.Gateway) { c.SharesEndpoints = true }, 1, 5000, `"balancers":1`,
+		`"balancers":2`)
 	c, err := net.Dial("tcp", d.at)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/lifecycle/reload.go
+++ b/internal/gateway/lifecycle/reload.go
@@ -12,7 +12,7 @@
 // Reload takes up a configuration that has been read anew: the number of gatekeepers and who they are, if
 // this one keeps its place among them, and the discovery that it names, where the watch goes on from where it
 // was. All else that it may change waits for the next start. Where it could not be read, the old one stays.
-func (g *Gatekeeper) Reload(c config.Gatekeeper, err error) {
+func (g *Gatekeeper) Reload(c config.Gateway, err error) {
 	if err != nil {
 		g.log.Error().Err(err).Msg("configuration not taken up, the old one stays")
 		return
@@ -20,31 +20,31 @@
 	if g.agreed == nil { // else the rules say how many there are
 		g.resize(c)
 	}
-	if c.Discovery == g.conf.Discovery {
+	if c.DiscoveryAddress == g.conf.DiscoveryAddress {
 		g.log.Info().Msg("configuration read, discovery as before")
 		return
 	}
-	g.conf.Discovery = c.Discovery
+	g.conf.DiscoveryAddress = c.DiscoveryAddress
 	g.unwind()
 	g.watch(<-g.ended, policy.WatchMoved) // no news of the old watch may come behind that of the new one
-	g.log.Info().Str("discovery", c.Discovery).Msg("configuration taken up")
+	g.log.Info().Str("discovery", c.DiscoveryAddress).Msg("configuration taken up")
 }
 
 // resize takes up another number of gatekeepers, where nothing else of the charter has changed.
-func (g *Gatekeeper) resize(c config.Gatekeeper) {
+func (g *Gatekeeper) resize(c config.Gateway) {
 	n, was := c.Charter.Gatekeepers, g.members.Load()
 	same := c.Charter
 	same.Gatekeepers = g.conf.Charter.Gatekeepers
-	if int64(n) == was && slices.Equal(c.Peers, g.conf.Peers) {
+	if int64(n) == was && slices.Equal(c.PeerAddresses, g.conf.PeerAddresses) {
 		return
 	}
-	unbound := g.peers == nil && len(c.Peers) > 0 // there is no socket to talk to them
+	unbound := g.peers == nil && len(c.PeerAddresses) > 0 // there is no socket to talk to them
 	if unbound || !reflect.DeepEqual(same, g.conf.Charter) {
 		g.log.Warn().Msg("the number of gatekeepers has changed along with more: that waits for the next start")
 		return
 	}
-	g.seat(n, c.Peers, func() { g.desk.Resize(n) })
-	g.conf.Peers = c.Peers
+	g.seat(n, c.PeerAddresses, func() { g.desk.Resize(n) })
+	g.conf.PeerAddresses = c.PeerAddresses
 	g.log.Info().Int64("from", was).Int("to", n).Msg("number of gatekeepers taken up")
 }
 
--- a/internal/gateway/lifecycle/replace.go
+++ b/internal/gateway/lifecycle/replace.go
@@ -73,7 +73,7 @@
 		State: func(w hotrestart.HandoffState) {
 			h.took.Store(true)
 			g.desk.Resume(w.Policy, w.WorkerNames, w.KindNames)
-			if g.peers != nil && g.conf.Tells {
+			if g.peers != nil && g.conf.SharesEndpoints {
 				g.peers.Identify(w.LastSentToPeer)
 			}
 			g.remember(false) // the process before has let it go
@@ -90,7 +90,10 @@
 			}
 		},
 		PeerSocket: g.hear,
-		Client:     func(c net.Conn, as hotrestart.ClientConnection) { g.front.Adopt(g.limit, c, as.Proven, as.ReadAhead) },
+		Client: func(c net.Conn, as hotrestart.ClientConnection) {
+			g.front.Adopt(g.limit, c, as.Proven,
+				as.ReadAhead)
+		},
 	})
 	g.log.Info().Bool("whole", whole).Err(err).Msg("the process before has ended")
 	if !whole && h.stops.Load() {
@@ -116,10 +119,10 @@
 // serve takes clients, and waits for an heir where this process can have one.
 func (g *Gatekeeper) serve() {
 	go func() { g.served <- g.front.Serve(g.limit) }()
-	if g.conf.Scratch == "" {
+	if g.conf.SharedDir == "" {
 		return
 	}
-	o, err := hotrestart.Listen(hotrestart.SocketPath(g.conf.Scratch, g.conf.Name), g.conf.Name)
+	o, err := hotrestart.Listen(hotrestart.SocketPath(g.conf.SharedDir, g.conf.Name), g.conf.Name)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("no process can take over from this one")
 		return
@@ -140,7 +143,7 @@
 // bindPeers binds the peers' address as soon as it is free: another process may not have ended yet.
 func (g *Gatekeeper) bindPeers() {
 	for {
-		err := g.peers.Bind(g.conf.PeerPort)
+		err := g.peers.Bind(g.conf.PeerListenAddress)
 		if err == nil {
 			go g.peers.Receive(g.desk.ReceiveReports)
 			return
--- a/internal/gateway/lifecycle/replace_test.go
+++ b/internal/gateway/lifecycle/replace_test.go
@@ -19,7 +19,7 @@
 )
 
 // held is a deployment whose clients' listener is the platform's, and what a second process is told.
-func heldListener(t *testing.T, swaps ...string) (*deployment, func(*config.Gatekeeper)) {
+func heldListener(t *testing.T, swaps ...string) (*deployment, func(*config.Gateway)) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	change := func(c *config.Gatekeeper) {
+	change := func(c *config.Gateway) {
 		f, err := l.(*net.TCPListener).File()
 		if err != nil {
 			t.Fatal(err)
@@ -41,13 +41,13 @@
 			t.Fatal(err)
 		}
 		f.Close()
-		c.FD, c.Scratch, c.Control = fd, dir, "127.0.0.1:0"
+		c.ListenerFD, c.SharedDir, c.AdminAddress = fd, dir, "127.0.0.1:0"
 	}
 	return deployWith(t, change, 2, 5000, swaps...), change
 }
 
 // second starts another process beside a deployment's.
-func (d *deployment) second(change func(*config.Gatekeeper)) *Gatekeeper {
+func (d *deployment) second(change func(*config.Gateway)) *Gatekeeper {
 	d.t.Helper()
 	c := d.conf
 	change(&c)
@@ -162,13 +162,13 @@
 	d, _ := heldListener(t)
 	for _, fd := range []int{0, 999} {
 		c := d.conf
-		if c.FD = fd; fd == 0 {
+		if c.ListenerFD = fd; fd == 0 {
 			f, err := os.Open(os.DevNull)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer f.Close()
-			c.FD = int(f.Fd())
+			c.ListenerFD = int(f.Fd())
 		}
 		if g, err := Start(c, zerolog.Nop()); err == nil || !strings.HasPrefix(err.Error(), "NODE_FD: ") {
 			t.Errorf("started: %v, %v", g, err)
@@ -182,7 +182,7 @@
 	path := filepath.Join(t.TempDir(), "residue")
 	swap := []string{`{"name":"tiny","rate":0.1,"most_at_once":1`,
 		`{"name":"tiny","rate":100,"most_at_once":100,"hard_rate":0.01,"cap_depth":3`}
-	keeps := func(c *config.Gatekeeper) { c.Residue = path }
+	keeps := func(c *config.Gateway) { c.CrashStatePath = path }
 	d := deployWith(t, keeps, 1, 5000, swap...)
 	of := func(d *deployment, customer, id string) string {
 		status, _ := d.ask(strings.NewReplacer("basic", "tiny", "b4d65521", customer).Replace(check("/check", id)))
@@ -222,7 +222,7 @@
 	end(d)
 
 	held, change := heldListener(t, swap...)
-	both := func(c *config.Gatekeeper) {
+	both := func(c *config.Gateway) {
 		change(c)
 		keeps(c)
 	}
@@ -249,7 +249,7 @@
 // counted. A process that hands over has its heir go by the estate, and writes no more.
 func TestRecall(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "residue")
-	keeps := func(c *config.Gatekeeper) { c.Residue, c.Recall = path, true }
+	keeps := func(c *config.Gateway) { c.CrashStatePath, c.KeepsCheckpoint = path, true }
 	of := func(d *deployment, customer, id string) string {
 		status, _ := d.ask(strings.NewReplacer("basic", "tiny", "b4d65521", customer).Replace(check("/check", id)))
 		return strings.TrimPrefix(status, "HTTP/1.1 ")
@@ -289,9 +289,9 @@
 	end(d)
 
 	held, change := heldListener(t)
-	both := func(c *config.Gatekeeper) {
+	both := func(c *config.Gateway) {
 		change(c)
-		c.Residue, c.Recall = path+"2", true
+		c.CrashStatePath, c.KeepsCheckpoint = path+"2", true
 	}
 	first := held.second(both)
 	held.gk.Stop()
--- a/internal/gateway/lifecycle/room.go
+++ b/internal/gateway/lifecycle/room.go
@@ -47,19 +47,19 @@
 
 // places gives how many connections clients may have, and workers: of the descriptors that are left beside
 // all that the gatekeeper holds otherwise. So the watch, the peers and files never wait for a client's.
-func places(c config.Gatekeeper) (clients, workers int) {
-	own := policy.SpareFiles + c.Forward.Connections()
+func places(c config.Gateway) (clients, workers int) {
+	own := policy.SpareFiles + c.ForwardAuth.Connections()
 	for _, part := range []struct {
 		on    bool
 		files int
-	}{{c.Control != "", policy.OperatorCalls + controlFiles}, {c.Journal != nil, journalFiles},
-		{c.Residue != "", residueFiles}, {c.History != "", historyFiles}} {
+	}{{c.AdminAddress != "", policy.OperatorCalls + controlFiles}, {c.Journal != nil, journalFiles},
+		{c.CrashStatePath != "", residueFiles}, {c.HistoryDir != "", historyFiles}} {
 		if part.on {
 			own += part.files
 		}
 	}
-	spare := float64(max(c.Sockets-own, 2))
-	if c.Scratch != "" { // a process that gets ready to take this one's place is counted with it
+	spare := float64(max(c.MaxSockets-own, 2))
+	if c.SharedDir != "" { // a process that gets ready to take this one's place is counted with it
 		spare -= min(policy.SpareFiles+policy.OperatorCalls, spare/4)
 	}
 	return int(spare * policy.ClientPart), max(int(spare*policy.WorkerPart), 1)
--- a/internal/gateway/lifecycle/room_test.go
+++ b/internal/gateway/lifecycle/room_test.go
@@ -145,7 +145,7 @@
 			const more = 4 // the watch, a client's and an operator's connection that wait for places, and a file
 			if d, err := config.Decode([]byte(conf), os.Getenv); err == nil && c.limits != "" {
 				if len(c.args) > 0 {
-					d.Residue, d.History = "residue", "."
+					d.CrashStatePath, d.HistoryDir = "residue", "."
 				}
 				clients, workers := places(d)
 				if all := idle + more + policy.OperatorCalls + clients + workers; all > most {
--- a/internal/gateway/lifecycle/settings_test.go
+++ b/internal/gateway/lifecycle/settings_test.go
@@ -114,8 +114,8 @@
 		d.gk.Reload(config.Decode([]byte(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":`+text+`}`),
 			func(string) string { return "" }))
 		if !strings.Contains(log.String(), key) || !strings.Contains(log.String(), "the old one stays") ||
-			d.gk.conf.Discovery != d.conf.Discovery {
-			t.Errorf("%s: discovery is %s now, and the log says %s", key, d.gk.conf.Discovery, log.String())
+			d.gk.conf.DiscoveryAddress != d.conf.DiscoveryAddress {
+			t.Errorf("%s: discovery is %s now, and the log says %s", key, d.gk.conf.DiscoveryAddress, log.String())
 		}
 	}
 	if status, _ := d.ask(check("/check", "1")); status != "HTTP/1.1 200 OK" {
--- a/internal/gateway/lifecycle/speak.go
+++ b/internal/gateway/lifecycle/speak.go
@@ -31,13 +31,13 @@
 // teller begins to count what a word tells.
 func (g *Gatekeeper) teller() *speaker {
 	c := &g.conf
-	s := &speaker{word: forecast.Word{Name: c.Name, Host: c.Host, Hall: c.Hall, Number: c.Charter.Me,
+	s := &speaker{word: forecast.Word{Name: c.Name, Host: c.Host, Hall: c.Region, Number: c.Charter.Me,
 		Charter: c.Charter, Products: c.Names.ProductNames(), Plans: c.Names.PlanNames()}}
 	s.word.Charter.Me = 0
 	if s.named = c.Group != ""; s.named {
 		s.word.Group = c.Group
 	}
-	s.among(c.Peers, c.Charter.Gatekeepers)
+	s.among(c.PeerAddresses, c.Charter.Gatekeepers)
 	g.desk.SetMeter(forecast.NewMeter(c.Charter, crashstate.UptimeCentiseconds()))
 	return s
 }
@@ -84,7 +84,7 @@
 }
 
 // Word gives what this gatekeeper says of itself, as it was made last.
-func (g *Gatekeeper) Word() ([]byte, bool) {
+func (g *Gatekeeper) ForecastReport() ([]byte, bool) {
 	if g.word == nil {
 		return nil, false
 	}
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -42,13 +42,13 @@
 // Gatekeeper is a gatekeeper that runs.
 type Gatekeeper struct {
 	At      string // where clients connect
-	conf    config.Gatekeeper
+	conf    config.Gateway
 	log     zerolog.Logger
 	desk    *proxy.Dispatcher
 	front   *transport.Frontend
 	limit   *transport.LimitListener
 	links   *transport.WorkerPool
-	port    *admin.Port        // nil where operators do not call
+	port    *admin.Server      // nil where operators do not call
 	drains  atomic.Bool        // clients are sent away
 	over    chan struct{}      // closed at the end
 	peers   *transport.Peers   // nil where peers are not talked to
@@ -81,7 +81,7 @@
 }
 
 // Start brings a gatekeeper up: when it returns, clients are served.
-func Start(c config.Gatekeeper, log zerolog.Logger) (*Gatekeeper, error) {
+func Start(c config.Gateway, log zerolog.Logger) (*Gatekeeper, error) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(c.Cores)), 1))
 	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * (1 << 20) * policy.MemoryPart))
 	debug.SetGCPercent(policy.GarbagePart)
@@ -89,58 +89,59 @@
 	g := &Gatekeeper{conf: c, log: log, served: make(chan error, 1), over: make(chan struct{}),
 		first: make(chan struct{})}
 	clients, workers := places(c)
-	g.links = transport.NewWorkerPool(workers, transport.Millis(c.Lines.IdleLimit*policy.IdleUse),
-		transport.Millis(c.Lines.ConnectTimeout))
+	g.links = transport.NewWorkerPool(workers, transport.Millis(c.Connections.IdleTimeoutMillis*policy.IdleUse),
+		transport.Millis(c.Connections.ConnectTimeoutMillis))
 	tell := func(int, []byte) {}
-	if len(c.Peers) > 0 {
-		g.peers = transport.NewPeers(c.Peers, c.Charter.Me)
+	if len(c.PeerAddresses) > 0 {
+		g.peers = transport.NewPeers(c.PeerAddresses, c.Charter.Me)
 		tell = g.peers.Send
-		if c.Charter = spoken(c); c.Tells {
+		if c.Charter = spoken(c); c.SharesEndpoints {
 			g.peers.Identify(incarnation.MessageID{Incarnation: crashstate.UptimeCentiseconds()})
 		}
 	}
-	l, err := listen(c.Listen, c.FD, log)
+	l, err := listen(c.ListenAddress, c.ListenerFD, log)
 	if err != nil {
 		return nil, err
 	}
-	if c.History != "" {
-		path := filepath.Join(c.History, fmt.Sprintf("%s.%d.jsonl", c.Name, os.Getpid()))
+	if c.HistoryDir != "" {
+		path := filepath.Join(c.HistoryDir, fmt.Sprintf("%s.%d.jsonl", c.Name, os.Getpid()))
 		if g.history, err = history.Open(path, c.Name, crashstate.UptimeCentiseconds()); err != nil {
 			_ = l.Close()
 			return nil, err
 		}
 	}
 	var before *hotrestart.Successor
-	if c.Scratch != "" {
-		if before, err = hotrestart.Connect(hotrestart.SocketPath(c.Scratch, c.Name), c.Name); err != nil {
+	if c.SharedDir != "" {
+		if before, err = hotrestart.Connect(hotrestart.SocketPath(c.SharedDir, c.Name), c.Name); err != nil {
 			log.Info().Err(err).Msg("starting from nothing")
 		}
 	}
 	if g.peers != nil && before == nil {
-		switch err = g.peers.Bind(c.PeerPort); {
+		switch err = g.peers.Bind(c.PeerListenAddress); {
 		case errors.Is(err, syscall.EADDRINUSE): // a former life lets it go last; peers are no reason to wait
 			log.Warn().Err(err).Msg("serving without peers until their address is free")
-		case err != nil && c.FD == 0:
+		case err != nil && c.ListenerFD == 0:
 			_ = l.Close()
 			return nil, err
 		}
 	}
-	g.desk = proxy.NewDispatcher(c.Charter, c.Seed, c.Lines.AnswerSlack+socketSlack, tell, g.links.CloseIdle)
-	if c.Hall != "" && c.Control != "" {
+	g.desk = proxy.NewDispatcher(c.Charter, c.Seed, c.Connections.AnswerSlackMillis+socketSlack, tell,
+		g.links.CloseIdle)
+	if c.Region != "" && c.AdminAddress != "" {
 		g.word = g.teller()
 	}
 	if g.history != nil {
 		g.desk.RecordHistory(g.history)
 	}
-	g.desk.ApplyEndpoints(c.Known)
-	g.list = bootstrap.NewRegistry(c.Known)
+	g.desk.ApplyEndpoints(c.KnownEndpoints)
+	g.list = bootstrap.NewRegistry(c.KnownEndpoints)
 	g.members.Store(int64(c.Charter.Gatekeepers))
 	g.gate = proxy.New(g.desk, g.links)
 	g.front = transport.NewFrontend(c.Names, c.Charter, g.forward(g.gate), g.up)
-	g.front.AllowAnonymous = g.vouch != nil && c.Forward.Asking.Customer != ""
+	g.front.AllowAnonymous = g.vouch != nil && c.ForwardAuth.Authorizer.CustomerHeader != ""
 
 	g.away.Store(true) // until what was before it is known
-	if c.Agree != "" {
+	if c.RulesetAddress != "" {
 		g.agree()
 	}
 
@@ -148,8 +149,8 @@
 	if err = nil; g.portal != nil && before == nil {
 		err = g.portal.Bind()
 	}
-	if c.Control != "" && err == nil {
-		g.port, err = admin.Open(c.Control, g)
+	if c.AdminAddress != "" && err == nil {
+		g.port, err = admin.Open(c.AdminAddress, g)
 	}
 	if err != nil {
 		_ = l.Close()
@@ -162,14 +163,14 @@
 		return nil, err
 	}
 	if g.port != nil {
-		go admin.Every(g.over, g.look)
+		go admin.RunPeriodically(g.over, g.look)
 	}
 	g.At = l.Addr().String()
-	g.watch(c.Known.Version, policy.WatchDue)
-	if len(c.Ask) > 0 && g.asking.CompareAndSwap(false, true) {
-		go g.ask(c.Ask, rand.New(rand.NewSource(c.Seed)))
+	g.watch(c.KnownEndpoints.Version, policy.WatchDue)
+	if len(c.PeerAdminAddresses) > 0 && g.asking.CompareAndSwap(false, true) {
+		go g.ask(c.PeerAdminAddresses, rand.New(rand.NewSource(c.Seed)))
 	}
-	if !c.Lines.ListAsked {
+	if !c.Connections.PollsDiscovery {
 		g.await()
 	}
 	switch {
@@ -189,7 +190,7 @@
 	if g.agreed != nil { // what a former life has left is known by now
 		go g.agreed.run()
 	}
-	log.Info().Str("listen", g.At).Int("workers", len(c.Known.Workers)).Msg("serving")
+	log.Info().Str("listen", g.At).Int("workers", len(c.KnownEndpoints.Workers)).Msg("serving")
 	return g, nil
 }
 
@@ -203,8 +204,8 @@
 
 // spoken is the charter of a gatekeeper by what its messages hold: among instances of one host, that may say
 // more to each other than the platform's, a word takes some of their room.
-func spoken(c config.Gatekeeper) policy.Charter {
-	if c.Tells {
+func spoken(c config.Gateway) policy.Charter {
+	if c.SharesEndpoints {
 		c.Charter.ReportsPerTell = min(c.Charter.ReportsPerTell, transport.MaxReportsPerMessage)
 	}
 	return c.Charter
@@ -219,10 +220,10 @@
 		plans = *p
 	}
 	g.lend(plans)
-	if g.conf.Residue == "" {
+	if g.conf.CrashStatePath == "" {
 		return
 	}
-	f, left, err := crashstate.Open(g.conf.Residue, crashstate.Digest(g.conf.Charter), g.desk.Now())
+	f, left, err := crashstate.Open(g.conf.CrashStatePath, crashstate.Digest(g.conf.Charter), g.desk.Now())
 	if err != nil {
 		g.log.Warn().Err(err).Msg("nothing will outlive a sudden end")
 		return
@@ -232,7 +233,7 @@
 		g.log.Info().Int("ceilings", len(left.Ceilings)).Float64("base_s", (g.desk.Now()-left.Base)/1000).
 			Msg("remembering what a former life has spent")
 	}
-	if g.conf.Recall {
+	if g.conf.KeepsCheckpoint {
 		g.recall(sudden)
 	}
 }
@@ -240,7 +241,7 @@
 // recall keeps copies of what fades beside the residue, and takes that of a former life: at once, or where
 // rules are agreed on, with the first version of them that is gone by.
 func (g *Gatekeeper) recall(sudden bool) {
-	b, left, none, err := checkpoint.Open(g.conf.Residue+".inventory", g.desk.Now())
+	b, left, none, err := checkpoint.Open(g.conf.CrashStatePath+".inventory", g.desk.Now())
 	if err != nil {
 		g.log.Warn().Err(err).Msg("no copies of quotas and demand will be kept")
 		return
@@ -268,7 +269,7 @@
 		return
 	}
 	age := g.desk.Now() - l.State.At
-	n, fits := g.desk.RestoreCheckpoint(l, g.conf.Tells)
+	n, fits := g.desk.RestoreCheckpoint(l, g.conf.SharesEndpoints)
 	if !fits {
 		g.doubt(checkpoint.ErrDigestMismatch)
 		return
@@ -303,7 +304,7 @@
 	if mark, up, err := crashstate.ReadBoot(); err == nil {
 		who.Boot, who.Offset = crc32.ChecksumIEEE(mark), float64(time.Now().UnixMilli())-up
 	}
-	k := store.Keep(diskOf(j.Of(g.conf.Name)), j.Terms, who, beside, g.conf.Seed, g.log)
+	k := store.Keep(diskOf(j.InstanceDir(g.conf.Name)), j.Terms, who, beside, g.conf.Seed, g.log)
 	g.journal.Store(k)
 	g.gate.EnableJournal(k, j.Terms, g.conf.Charter.Products, g.conf.Names.ProductNames())
 }
@@ -311,13 +312,13 @@
 // forward puts forward authentication before a gate, in the roles that are on: a txn that a portal has had
 // cleared needs nobody else's word.
 func (g *Gatekeeper) forward(to *proxy.Proxy) func(*transport.Request) transport.FinalAnswer {
-	serve, f := to.Serve, g.conf.Forward
-	if f != nil && f.Asking != nil {
-		g.vouch = authorizer.New(f.Asking, g.conf.Charter, to, g.conf.Seed)
+	serve, f := to.Serve, g.conf.ForwardAuth
+	if f != nil && f.Authorizer != nil {
+		g.vouch = authorizer.New(f.Authorizer, g.conf.Charter, to, g.conf.Seed)
 		serve = g.vouch.Serve
 	}
-	if f != nil && f.Asked != nil {
-		g.portal = authserver.New(f.Asked, g.conf.Names, g.conf.Charter, to, serve)
+	if f != nil && f.Server != nil {
+		g.portal = authserver.New(f.Server, g.conf.Names, g.conf.Charter, to, serve)
 		serve = g.portal.Serve
 	}
 	return serve
@@ -326,7 +327,7 @@
 // watch follows discovery's list from a version on. What discovery has to tell counts as told in due ms.
 func (g *Gatekeeper) watch(version int64, due float64) {
 	ctx, cancel := context.WithCancel(context.Background())
-	addr, ended := g.conf.Discovery, make(chan int64, 1)
+	addr, ended := g.conf.DiscoveryAddress, make(chan int64, 1)
 	g.unwind, g.ended = cancel, ended
 	pace := transport.WatchTiming{PollingInstances: g.askers, DueMillis: due,
 		Random: rand.New(rand.NewSource(g.conf.Seed)).Float64}
@@ -337,7 +338,7 @@
 
 // askers is how many gatekeepers may ask for the list at once; none where it is pushed.
 func (g *Gatekeeper) askers() int {
-	if g.conf.Lines.ListAsked {
+	if g.conf.Connections.PollsDiscovery {
 		return int(g.members.Load())
 	}
 	return 0
--- a/internal/gateway/lifecycle/start_test.go
+++ b/internal/gateway/lifecycle/start_test.go
@@ -316,8 +316,9 @@
 	defer peer.Close()
 	d := deploy(t, 1, 5000)
 	conf := d.conf
-	conf.Listen, conf.PeerPort = former.Addr().String(), peer.LocalAddr().(*net.UDPAddr).AddrPort()
-	conf.Peers = append(conf.Peers, conf.PeerPort)
+	conf.ListenAddress = former.Addr().String()
+	conf.PeerListenAddress = peer.LocalAddr().(*net.UDPAddr).AddrPort()
+	conf.PeerAddresses = append(conf.PeerAddresses, conf.PeerListenAddress)
 	log, waits := heed("address still taken")
 	started, failed := make(chan *Gatekeeper, 1), make(chan error, 1)
 	go func() {
@@ -355,11 +356,11 @@
 // this machine: nothing is gained by waiting.
 func TestStartNowhere(t *testing.T) {
 	d := deploy(t, 1, 5000)
-	for key, change := range map[string]func(*config.Gatekeeper){
-		"listen: ": func(c *config.Gatekeeper) { c.Listen = "192.0.2.1:5000" },
-		"peer_listen: ": func(c *config.Gatekeeper) {
-			c.PeerPort = netip.MustParseAddrPort("192.0.2.1:5001")
-			c.Peers = append(c.Peers, c.PeerPort)
+	for key, change := range map[string]func(*config.Gateway){
+		"listen: ": func(c *config.Gateway) { c.ListenAddress = "192.0.2.1:5000" },
+		"peer_listen: ": func(c *config.Gateway) {
+			c.PeerListenAddress = netip.MustParseAddrPort("192.0.2.1:5001")
+			c.PeerAddresses = append(c.PeerAddresses, c.PeerListenAddress)
 		},
 	} {
 		c := d.conf
--- a/internal/gateway/lifecycle/stop.go
+++ b/internal/gateway/lifecycle/stop.go
@@ -13,7 +13,7 @@
 
 // Run serves until stop gives a signal or serving fails, then stops. At each signal of reload it takes up the
 // configuration that read gives, also while it stops: workers may drain until the last txn is answered.
-func (g *Gatekeeper) Run(stop, reload <-chan os.Signal, read func() (config.Gatekeeper, error)) error {
+func (g *Gatekeeper) Run(stop, reload <-chan os.Signal, read func() (config.Gateway, error)) error {
 	done, over := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(over)
@@ -48,7 +48,8 @@
 // then closes idle ones and ends once all that was taken has its answer. What comes whole too late for that
 // is not taken, and what is in hand too long is given up: SIGKILL would leave it without an answer.
 func (g *Gatekeeper) Stop() {
-	defer time.AfterFunc(transport.Millis(min(g.conf.Lines.LongestWait, policy.StopLongest)+policy.StopAll),
+	defer time.AfterFunc(transport.Millis(min(g.conf.Connections.MaxClientWaitMillis,
+		policy.StopLongest)+policy.StopAll),
 		func() {
 			g.limit.AbandonRequests()
 			g.desk.WakeNow()
--- a/internal/gateway/lifecycle/stream_test.go
+++ b/internal/gateway/lifecycle/stream_test.go
@@ -26,7 +26,7 @@
 	s := httptest.NewServer(do)
 	t.Cleanup(s.Close)
 	at := netip.MustParseAddrPort(s.Listener.Addr().String())
-	return deployWith(t, func(c *config.Gatekeeper) { c.Known.Workers[0].Address = at }, 1, 5000)
+	return deployWith(t, func(c *config.Gateway) { c.KnownEndpoints.Workers[0].Address = at }, 1, 5000)
 }
 
 // long is a body of so many bytes that differ from place to place.
--- a/internal/gateway/lifecycle/warm.go
+++ b/internal/gateway/lifecycle/warm.go
@@ -48,18 +48,18 @@
 	g.lists.Lock()
 	late := g.list.ObserveIndex(highest, g.desk.Now()) && g.list.NeedsPeers()
 	g.lists.Unlock()
-	if late && len(g.conf.Ask) > 0 && g.asking.CompareAndSwap(false, true) {
+	if late && len(g.conf.PeerAdminAddresses) > 0 && g.asking.CompareAndSwap(false, true) {
 		g.log.Warn().Int64("index", g.discovered()).Int64("highest", highest).
 			Msg("discovery lags here, asking others for the list")
-		go g.ask(g.conf.Ask, rand.New(rand.NewSource(g.conf.Seed)))
+		go g.ask(g.conf.PeerAdminAddresses, rand.New(rand.NewSource(g.conf.Seed)))
 	}
 }
 
 // Tells tells whether newcomers may ask here.
-func (g *Gatekeeper) Tells() bool { return g.conf.Tells }
+func (g *Gatekeeper) SharesEndpoints() bool { return g.conf.SharesEndpoints }
 
 // List gives what a newcomer may be told of workers; false where discovery has not spoken here.
-func (g *Gatekeeper) List() (list []byte, age float64, ok bool) {
+func (g *Gatekeeper) EncodedEndpoints() (list []byte, age float64, ok bool) {
 	g.lists.Lock()
 	defer g.lists.Unlock()
 	l, age, ok := g.list.Shared(g.desk.Now())
@@ -114,7 +114,7 @@
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	req.SetRequestURI("http://" + at + admin.ListPath)
+	req.SetRequestURI("http://" + at + admin.EndpointsPath)
 	req.SetConnectionClose()
 	if err := client.DoTimeout(req, res, transport.Millis(bootstrap.RequestTimeoutMillis)); err != nil {
 		return endpoints.List{}, 0, err
--- a/internal/gateway/lifecycle/warm_test.go
+++ b/internal/gateway/lifecycle/warm_test.go
@@ -42,7 +42,7 @@
 	}
 	says := func(version, age string, body func() string) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
-			if r.URL.Path != admin.ListPath {
+			if r.URL.Path != admin.EndpointsPath {
 				t.Errorf("asked for %s", r.URL.Path)
 			}
 			w.Header().Set(admin.VersionHeader, version)
@@ -82,7 +82,10 @@
 			mute := silentListener(t)
 			began := time.Now()
 			up.Store(nil)
-			d := deployWith(t, func(g *config.Gatekeeper) { g.Discovery, g.Ask = mute, []string{at} }, 2, 5000)
+			d := deployWith(t, func(g *config.Gateway) {
+				g.DiscoveryAddress, g.PeerAdminAddresses = mute,
+					[]string{at}
+			}, 2, 5000)
 			up.Store(d)
 			if took := time.Since(began); took > 200*time.Millisecond {
 				t.Errorf("the start took %v", took)
@@ -102,7 +105,7 @@
 			}
 			list := d.discovery()
 			conf := d.conf
-			conf.Discovery = list
+			conf.DiscoveryAddress = list
 			d.gk.Reload(conf, nil)
 			until(t, "hearsay outlives discovery's word", func() bool { return d.gk.desk.Tally().Workers == 2 })
 		})
@@ -130,22 +133,23 @@
 // A running instance tells what discovery has said to it, and nothing before that; one that is not to tell
 // has no such call.
 func TestTellsItsList(t *testing.T) {
-	d := deployWith(t, func(c *config.Gatekeeper) { c.Control, c.Tells = "127.0.0.1:0", true }, 2, 5000)
+	d := deployWith(t, func(c *config.Gateway) { c.AdminAddress, c.SharesEndpoints = "127.0.0.1:0", true }, 2,
+		5000)
 	until(t, "nothing is told", func() bool {
-		return strings.Contains(d.operate("GET "+admin.ListPath), "\"index\":7")
+		return strings.Contains(d.operate("GET "+admin.EndpointsPath), "\"index\":7")
 	})
 	d.news <- fmt.Sprintf(`{"index":8,"snapshot":false,"endpoints":[%s]}`, d.entry(1, "left", 0))
 	until(t, "it tells what was", func() bool {
-		s := d.operate("GET " + admin.ListPath)
+		s := d.operate("GET " + admin.EndpointsPath)
 		return strings.Contains(s, "\"index\":8") && !strings.Contains(s, "w1") && strings.Contains(s, "w0")
 	})
-	if s := operated(t).operate("GET " + admin.ListPath); !strings.Contains(s, "404") {
+	if s := operated(t).operate("GET " + admin.EndpointsPath); !strings.Contains(s, "404") {
 		t.Errorf("one that is not to tell: %q", s)
 	}
-	quiet := deployWith(t, func(c *config.Gatekeeper) {
-		c.Control, c.Tells, c.Discovery = "127.0.0.1:0", true, silentListener(t)
+	quiet := deployWith(t, func(c *config.Gateway) {
+		c.AdminAddress, c.SharesEndpoints, c.DiscoveryAddress = "127.0.0.1:0", true, silentListener(t)
 	}, 1, 5000)
-	if s := quiet.operate("GET " + admin.ListPath); !strings.Contains(s, "503") {
+	if s := quiet.operate("GET " + admin.EndpointsPath); !strings.Contains(s, "503") {
 		t.Errorf("before discovery has spoken: %q", s)
 	}
 }
--- a/internal/gateway/lifecycle/watch_test.go
+++ b/internal/gateway/lifecycle/watch_test.go
@@ -37,10 +37,10 @@
 }
 
 // listing starts discovery with the workers of a configuration, its lists laid out over several lines.
-func listing(t *testing.T, c *config.Gatekeeper) *fakes.Discovery {
+func listing(t *testing.T, c *config.Gateway) *fakes.Discovery {
 	t.Helper()
 	var entries []fakes.Entry
-	for _, w := range c.Known.Workers {
+	for _, w := range c.KnownEndpoints.Workers {
 		entries = append(entries, fakes.Entry{Name: w.Name, Address: w.Address.String(), Zone: w.Zone,
 			Status: "active", Weight: 1})
 	}
@@ -99,10 +99,10 @@
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			var list *fakes.Discovery
-			d := deployWith(t, func(c *config.Gatekeeper) {
+			d := deployWith(t, func(c *config.Gateway) {
 				list = listing(t, c)
-				c.Discovery, c.Known.Version = list.At, 0
-				c.Known.Workers = c.Known.Workers[:1]
+				c.DiscoveryAddress, c.KnownEndpoints.Version = list.At, 0
+				c.KnownEndpoints.Workers = c.KnownEndpoints.Workers[:1]
 				for rand.New(rand.NewSource(c.Seed)).Float64() > 0.02 { // that the first watch is open soon
 					c.Seed++
 				}
@@ -138,7 +138,7 @@
 					list.Tell() // its versions go on from those known
 				}
 				drains(list)
-				next.Discovery = list.At
+				next.DiscoveryAddress = list.At
 				c.away(list, c.before > 0)
 				d.gk.Reload(next, nil)
 				time.Sleep(c.before)
@@ -177,7 +177,7 @@
 				<-r.Context().Done()
 			}))
 			t.Cleanup(agent.Close)
-			conf.Discovery = agent.Listener.Addr().String()
+			conf.DiscoveryAddress = agent.Listener.Addr().String()
 			var took time.Duration
 			for range 5 {
 				began := time.Now()
@@ -239,9 +239,10 @@
 }
 
 // meeting gives one whose list has the first worker of a configuration drain.
-func meeting(t *testing.T, at string, c *config.Gatekeeper, turn time.Duration) *calls {
+func meeting(t *testing.T, at string, c *config.Gateway, turn time.Duration) *calls {
 	t.Helper()
-	l := endpoints.List{Version: c.Known.Version + 1, Workers: []endpoints.Worker{c.Known.Workers[0]}}
+	l := endpoints.List{Version: c.KnownEndpoints.Version + 1,
+		Workers: []endpoints.Worker{c.KnownEndpoints.Workers[0]}}
 	l.Workers[0].Active = false
 	raw, err := endpoints.Append(nil, l)
 	if err != nil {
@@ -357,9 +358,9 @@
 				t.Parallel()
 				var list *calls
 				var l net.Listener
-				d := deployWith(t, func(conf *config.Gatekeeper) {
+				d := deployWith(t, func(conf *config.Gateway) {
 					turn := time.Duration(0)
-					if conf.Lines.ListAsked {
+					if conf.Connections.PollsDiscovery {
 						turn = time.Second // of the 2 s it may be; what is left is for a loaded machine
 					}
 					list = meeting(t, ports.Address(t), conf, turn)
@@ -369,7 +370,7 @@
 					for _, how := range append(c.how, "well") {
 						list.how <- how
 					}
-					conf.Discovery = list.at
+					conf.DiscoveryAddress = list.at
 					for late(conf.Seed) {
 						conf.Seed++
 					}
@@ -409,11 +410,11 @@
 			t.Parallel()
 			var list *calls
 			var hole []io.Closer
-			d := deployWith(t, func(conf *config.Gatekeeper) {
+			d := deployWith(t, func(conf *config.Gateway) {
 				list = meeting(t, ports.Address(t), conf, 0)
 				hole = blackHole(t, list.at)
 				list.how <- "well"
-				conf.Discovery = list.at
+				conf.DiscoveryAddress = list.at
 				for late(conf.Seed) {
 					conf.Seed++
 				}
@@ -481,7 +482,7 @@
 				blackHole(t, at[2])
 				began := time.Now()
 				move := func(to string) {
-					next.Discovery = to
+					next.DiscoveryAddress = to
 					d.gk.Reload(next, nil)
 				}
 				move(swallows.at)
--- a/internal/gateway/lifecycle/worker_ends_test.go
+++ b/internal/gateway/lifecycle/worker_ends_test.go
@@ -142,10 +142,10 @@
 func facing(t *testing.T, b *stepped, swaps ...string) *deployment {
 	t.Helper()
 	at := netip.MustParseAddrPort(b.Addr().String())
-	return deployWith(t, func(c *config.Gatekeeper) {
-		c.Known.Workers[0].Address = at
-		c.Lines.ConnectTimeout = 5000 // a loaded machine is no late connection
-		c.Cores = 4                   // the stand-ins run in this process, and are to take none of the gatekeeper's
+	return deployWith(t, func(c *config.Gateway) {
+		c.KnownEndpoints.Workers[0].Address = at
+		c.Connections.ConnectTimeoutMillis = 5000 // a loaded machine is no late connection
+		c.Cores = 4                               // the stand-ins run in this process, and are to take none of the gatekeeper's
 	}, 1, 5000, swaps...)
 }
 
--- a/internal/gateway/recovery/bootstrap/golden_test.go
+++ b/internal/gateway/recovery/bootstrap/golden_test.go
@@ -37,7 +37,8 @@
 	if bootstrap.ProtocolVersion != 1 {
 		t.Errorf("the protocol version is %d, want 1", bootstrap.ProtocolVersion)
 	}
-	for got, want := range map[string]string{admin.ListPath: "/admin/list", admin.WordPath: "/admin/word",
+	for got, want := range map[string]string{admin.EndpointsPath: "/admin/list",
+		admin.ForecastPath:  "/admin/word",
 		admin.VersionHeader: "X-Willowdeck-Version", admin.AgeHeader: "X-Age-Ms"} {
 		if got != want {
 			t.Errorf("%q, want %q", got, want)
--- a/internal/gateway/recovery/bootstrap/registry_test.go
+++ b/internal/gateway/recovery/bootstrap/registry_test.go
@@ -133,9 +133,9 @@
 	}
 }
 
-// TestDiscoveryLagsBehindPeers: while the local list is behind the peers' for long although discovery answers,
-// their lists are used until it has caught up. Guards against a discovery service that hangs and reports that
-// all is well.
+// TestDiscoveryLagsBehindPeers: while the local list is behind the peers' for long although discovery
+// answers, their lists are used until it has caught up. Guards against a discovery service that hangs and
+// reports that all is well.
 func TestDiscoveryLagsBehindPeers(t *testing.T) {
 	b := NewRegistry(fullList(0))
 	b.ApplyDiscovery(fullList(7, worker("a", true), worker("b", true)), 0)
--- a/internal/lab/footprint/rules.go
+++ b/internal/lab/footprint/rules.go
@@ -229,7 +229,7 @@
 	if _, err := config.Decode(raw, none); err != nil {
 		return nil, err
 	}
-	g, kept := keeps(func() config.Gatekeeper {
+	g, kept := keeps(func() config.Gateway {
 		g, _ := config.Decode(raw, none)
 		return g
 	})
--- a/internal/simadapter/benchwire.go
+++ b/internal/simadapter/benchwire.go
@@ -224,7 +224,7 @@
 	if err := json.Unmarshal(raw, &parts); err != nil {
 		return fmt.Errorf("setup: %w", err)
 	}
-	terms, err := config.ReadTerms(parts[3])
+	terms, err := config.DecodeSettings(parts[3])
 	if err != nil {
 		return err
 	}
--- a/internal/strictoml/strictoml.go
+++ b/internal/strictoml/strictoml.go
@@ -1,4 +1,5 @@
-// Package strictoml decodes TOML files in which every key has to be known.
+// Package strictoml decodes TOML files in which every key has to be known. It owns no state and imports no
+// package of the product.
 package strictoml
 
 import (
@@ -9,32 +10,32 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Decode decodes a text. An error names the line or the key.
+// Decode decodes text into a struct. An error names the line or the key.
 func Decode(text string, into any) error {
 	meta, err := toml.Decode(text, into)
-	var at toml.ParseError
-	if errors.As(err, &at) {
-		return fmt.Errorf("line %d: %s", at.Position.Line, at.Message)
+	var parseError toml.ParseError
+	if errors.As(err, &parseError) {
+		return fmt.Errorf("line %d: %s", parseError.Position.Line, parseError.Message)
 	}
 	if err != nil {
 		return err
 	}
-	if un := meta.Undecoded(); len(un) > 0 {
-		key := un[0][len(un[0])-1]
+	if undecoded := meta.Undecoded(); len(undecoded) > 0 {
+		key := undecoded[0][len(undecoded[0])-1]
 		for i, line := range strings.Split(text, "\n") {
 			if name, _, ok := strings.Cut(line, "="); ok && strings.TrimSpace(name) == key {
-				return fmt.Errorf("line %d: %s: unknown key", i+1, un[0])
+				return fmt.Errorf("line %d: %s: unknown key", i+1, undecoded[0])
 			}
 		}
-		return fmt.Errorf("%s: unknown key", un[0])
+		return fmt.Errorf("%s: unknown key", undecoded[0])
 	}
 	return nil
 }
 
-// Has tells whether a text has a key at its top; false where it can't be decoded.
+// Has reports whether the text has a top-level key; false where it cannot be decoded.
 func Has(text, key string) bool {
-	var all map[string]any
-	_, err := toml.Decode(text, &all)
-	_, there := all[key]
-	return err == nil && there
+	var keys map[string]any
+	_, err := toml.Decode(text, &keys)
+	_, exists := keys[key]
+	return err == nil && exists
 }
--- a/internal/supervisor/forecast_collector.go
+++ b/internal/supervisor/forecast_collector.go
@@ -150,7 +150,7 @@
 
 // queryInstance asks an instance for its report. A name that is not empty has to be the report's.
 func (c *forecastCollector) queryInstance(address, name string) error {
-	raw, err := c.fetch("http://"+address+admin.WordPath, instanceTimeout, forecast.LongestWord)
+	raw, err := c.fetch("http://"+address+admin.ForecastPath, instanceTimeout, forecast.LongestWord)
 	if err != nil {
 		return err
 	}
--- a/internal/supervisor/settings.go
+++ b/internal/supervisor/settings.go
@@ -288,15 +288,15 @@
 
 // buildInstance returns an instance, but for its admin addresses, and its decoded configuration: the shared
 // one with what is particular to the instance.
-func (f *FleetFile) buildInstance(shared []byte, spec instanceSpec) (Instance, config.Gatekeeper, error) {
+func (f *FleetFile) buildInstance(shared []byte, spec instanceSpec) (Instance, config.Gateway, error) {
 	instance := Instance{Name: spec.name, ListenAddress: spec.listenAddress}
 	var document map[string]any
 	if err := json.Unmarshal(shared, &document); err != nil {
-		return instance, config.Gatekeeper{}, fmt.Errorf("config: %s: %w", f.GatewayConfig, err)
+		return instance, config.Gateway{}, fmt.Errorf("config: %s: %w", f.GatewayConfig, err)
 	}
 	settings, ok := document["settings"].(map[string]any)
 	if !ok {
-		return instance, config.Gatekeeper{}, fmt.Errorf("config: %s: settings is missing", f.GatewayConfig)
+		return instance, config.Gateway{}, fmt.Errorf("config: %s: settings is missing", f.GatewayConfig)
 	}
 	settings["me"], settings["balancers"] = spec.index, spec.fleetSize
 	document["name"], document["listen"] = instance.Name, instance.ListenAddress
@@ -306,7 +306,7 @@
 	}
 	var err error
 	if instance.Config, err = json.MarshalIndent(document, "", " "); err != nil {
-		return instance, config.Gatekeeper{}, fmt.Errorf("config: %w", err)
+		return instance, config.Gateway{}, fmt.Errorf("config: %w", err)
 	}
 	gateway, err := config.Decode(instance.Config, func(string) string { return "" })
 	if err != nil {
@@ -316,13 +316,13 @@
 }
 
 // checkHostCapacity checks that so many instances of a configuration fit on the host.
-func (f *FleetFile) checkHostCapacity(gateway config.Gatekeeper, count int) error {
+func (f *FleetFile) checkHostCapacity(gateway config.Gateway, count int) error {
 	if total := gateway.MemoryMB * count; f.Host.MemoryMB > 0 && total > f.Host.MemoryMB {
 		return fmt.Errorf("host.memory_mb: %d instances of %d MB need %d, over %d", count, gateway.MemoryMB, total,
 			f.Host.MemoryMB)
 	}
-	if total := gateway.Sockets * count; f.Host.Sockets > 0 && total > f.Host.Sockets {
-		return fmt.Errorf("host.sockets: %d instances of %d need %d, over %d", count, gateway.Sockets, total,
+	if total := gateway.MaxSockets * count; f.Host.Sockets > 0 && total > f.Host.Sockets {
+		return fmt.Errorf("host.sockets: %d instances of %d need %d, over %d", count, gateway.MaxSockets, total,
 			f.Host.Sockets)
 	}
 	return nil
--- a/internal/supervisor/subscription_test.go
+++ b/internal/supervisor/subscription_test.go
@@ -692,7 +692,7 @@
 			t.Fatal(err)
 		}
 		known := 0
-		for _, at := range g.Peers {
+		for _, at := range g.PeerAddresses {
 			if at.Port() != 0 {
 				known++
 			}
