--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simadapter puts the decision module on the bench's wire, over standard input and output.
+// Command simadapter connects the gateway's policy to the simulator over standard input and output.
 package main
 
 import (
--- a/cmd/willowdeck/journal.go
+++ b/cmd/willowdeck/journal.go
@@ -18,94 +18,99 @@
 	"willowdeck/internal/txnjournal/store"
 )
 
-// within is how long after it was asked for a txn may go out, if nothing is said: clients wait for seconds.
-const within = time.Minute
+// defaultFindWindow is how long after it was asked for a request may have been sent, by default: clients
+// wait for seconds.
+const defaultFindWindow = time.Minute
 
-// journals is the sub-command that reads journals. It writes nothing and takes no lock, so that it may be
-// used while gatekeepers write.
-func journals() *cli.Command {
+// journalCommand is the command that reads journals. It writes nothing and takes no lock, so that it can
+// be used while gateways write.
+func journalCommand() *cli.Command {
 	dirs := &cli.StringSliceFlag{Name: "dir", Required: true,
-		Usage: "an instance's `FOLDER`, or one with the folders of several"}
-	last := &cli.IntFlag{Name: "last", Value: 20, Usage: "the last `N` txns of each"}
-	at := &cli.StringFlag{Name: "at", Usage: "the `TIME` at which it was asked for, as 2026-12-01T14:03:20Z"}
-	span := &cli.DurationFlag{Name: "within", Value: within, Usage: "how long after that it may have gone out"}
-	return &cli.Command{Name: "journal", Usage: "read journals of once-only txns, also while they are written",
+		Usage: "an instance's `DIR`, or one with the directories of several"}
+	last := &cli.IntFlag{Name: "last", Value: 20, Usage: "the last `N` requests of each"}
+	at := &cli.StringFlag{Name: "at", Usage: "the `TIME` of the request, as 2026-12-01T14:03:20Z"}
+	span := &cli.DurationFlag{Name: "within", Value: defaultFindWindow,
+		Usage: "how long after that it may have been sent"}
+	return &cli.Command{Name: "journal",
+		Usage: "read journals of non-idempotent requests, also while they are written",
 		Commands: []*cli.Command{
-			{Name: "show", Usage: "what there is", Flags: []cli.Flag{dirs, last}, Action: show},
+			{Name: "show", Usage: "print an overview", Flags: []cli.Flag{dirs, last}, Action: showJournals},
 			{Name: "verify", Usage: "read all of it; status 1 where something is damaged or missing",
-				Flags: []cli.Flag{dirs}, Action: verify},
-			{Name: "find", Usage: "whether the txn of an X-Request-Id went out", ArgsUsage: "ID",
-				Flags: []cli.Flag{dirs, at, span}, Action: findTxn},
-			{Name: "export", Usage: "all records, a JSON object a line", Flags: []cli.Flag{dirs}, Action: export},
+				Flags: []cli.Flag{dirs}, Action: verifyJournals},
+			{Name: "find", Usage: "whether the request with an X-Request-Id was sent", ArgsUsage: "ID",
+				Flags: []cli.Flag{dirs, at, span}, Action: findRequest},
+			{Name: "export", Usage: "all records, a JSON object a line", Flags: []cli.Flag{dirs},
+				Action: exportRecords},
 		}}
 }
 
-// folders gives the folders of the journals that are named.
-func folders(named []string) (all []string, err error) {
-	for _, dir := range named {
+// journalDirs returns the directories with journals at or directly below the paths.
+func journalDirs(paths []string) (dirs []string, err error) {
+	for _, dir := range paths {
 		for _, pattern := range []string{"*.wdj", "*/*.wdj"} {
 			found, err := filepath.Glob(filepath.Join(dir, pattern))
 			if err != nil {
 				return nil, err
 			}
 			for _, f := range found {
-				if d := filepath.Dir(f); len(all) == 0 || all[len(all)-1] != d {
-					all = append(all, d)
+				if d := filepath.Dir(f); len(dirs) == 0 || dirs[len(dirs)-1] != d {
+					dirs = append(dirs, d)
 				}
 			}
 		}
 	}
-	if len(all) == 0 {
-		return nil, fmt.Errorf("there is no journal in %q", named)
+	if len(dirs) == 0 {
+		return nil, fmt.Errorf("there is no journal in %q", paths)
 	}
-	return all, nil
+	return dirs, nil
 }
 
-// terms are those of a reader: it has room for all that the segments hold.
-func terms() txnjournal.Terms {
+// readerTerms are the terms of a reader: it has capacity for all that the segments hold.
+func readerTerms() txnjournal.Terms {
 	t := txnjournal.DefaultTerms()
 	t.Txns, t.Answers = math.MaxInt, math.MaxInt
 	return t
 }
 
-func now() float64 { return float64(time.Now().UnixMicro()) / 1000 }
+func nowMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-// clock writes a time of the journal; one that is not known is a dash.
-func clock(ms float64) string {
-	if !(math.Abs(ms) < math.MaxInt64/1000) || ms <= 0 {
+// formatTime formats a time of the journal; one that is not known is a dash.
+func formatTime(unixMillis float64) string {
+	if !(math.Abs(unixMillis) < math.MaxInt64/1000) || unixMillis <= 0 {
 		return "-"
 	}
-	return time.UnixMicro(int64(ms * 1000)).UTC().Format("2006-01-02T15:04:05.000Z")
+	return time.UnixMicro(int64(unixMillis * 1000)).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-func show(_ context.Context, c *cli.Command) error {
-	all, err := folders(c.StringSlice("dir"))
+func showJournals(_ context.Context, c *cli.Command) error {
+	dirs, err := journalDirs(c.StringSlice("dir"))
 	if err != nil {
 		return err
 	}
-	for _, dir := range all {
+	for _, dir := range dirs {
 		var last txnjournal.Seen
-		note := func(_ uint64, s txnjournal.Seen) {
+		observe := func(_ uint64, s txnjournal.Seen) {
 			if !s.Blank {
 				last = s
 			}
 		}
-		b, found, numbers, lives, err := store.ReadAll(store.Dir(dir), terms(), now(), note, nil)
+		index, read, segments, incarnations, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(),
+			observe, nil)
 		if err != nil {
 			return err
 		}
-		txns, _ := b.Len()
-		fmt.Printf("%s: gatekeeper %q, %d lives, policy %s\n", dir, last.Head.Name, lives, last.Head.Policy)
-		fmt.Printf("  segments %d, records %d, txns %d, last record %s\n", len(numbers), found.Records, txns,
-			clock(last.Last))
-		fmt.Printf("  all txns since %s\n", clock(b.Horizon()))
-		damage(b, found)
-		var list []string
+		txns, _ := index.Len()
+		fmt.Printf("%s: gatekeeper %q, %d lives, policy %s\n", dir, last.Head.Name, incarnations, last.Head.Policy)
+		fmt.Printf("  segments %d, records %d, txns %d, last record %s\n", len(segments), read.Records, txns,
+			formatTime(last.Last))
+		fmt.Printf("  all txns since %s\n", formatTime(index.Horizon()))
+		printDamage(index, read)
+		var lines []string
 		count := [3]int{}
-		b.Each(func(e txnjournal.Entry, v txnjournal.Verdict) {
+		index.Each(func(e txnjournal.Entry, v txnjournal.Verdict) {
 			count[v]++
-			if list = append(list, line(e, v)); len(list) > c.Int("last") {
-				list = list[1:]
+			if lines = append(lines, formatEntry(e, v)); len(lines) > c.Int("last") {
+				lines = lines[1:]
 			}
 		})
 		fmt.Printf(
@@ -117,63 +122,65 @@
 			txnjournal.NotSent,
 			count[txnjournal.NotSent],
 		)
-		for _, l := range list {
-			fmt.Println("  " + l)
+		for _, entry := range lines {
+			fmt.Println("  " + entry)
 		}
 	}
 	return nil
 }
 
-func line(e txnjournal.Entry, v txnjournal.Verdict) string {
-	return fmt.Sprintf("%s %s %s customer %016x worker %s life %d submissions %d: %s", clock(e.Meant), e.Mark,
-		e.Product, e.Customer, e.Worker, e.Life, e.Subs, v)
+func formatEntry(entry txnjournal.Entry, verdict txnjournal.Verdict) string {
+	return fmt.Sprintf("%s %s %s customer %016x worker %s life %d submissions %d: %s", formatTime(entry.Meant),
+		entry.Mark,
+		entry.Product, entry.Customer, entry.Worker, entry.Life, entry.Subs, verdict)
 }
 
-// damage tells what can't be relied on.
-func damage(b *txnjournal.Book, f store.Found) {
-	if f.Cut > 0 {
+// printDamage prints what is not reliable.
+func printDamage(index *txnjournal.Book, read store.Found) {
+	if read.Cut > 0 {
 		fmt.Printf("  %d bytes cut: segments with a torn end %d, damaged before it %d, of another version %d\n",
-			f.Cut, f.Torn, f.Damaged, f.Unreadable)
+			read.Cut, read.Torn, read.Damaged, read.Unreadable)
 	}
-	for _, s := range b.Doubts() {
-		fmt.Printf("  in doubt %s to %s: %s\n", clock(s.From), clock(s.To), s.Why)
+	for _, doubt := range index.Doubts() {
+		fmt.Printf("  in doubt %s to %s: %s\n", formatTime(doubt.From), formatTime(doubt.To), doubt.Why)
 	}
 }
 
-func verify(_ context.Context, c *cli.Command) error {
-	all, err := folders(c.StringSlice("dir"))
+func verifyJournals(_ context.Context, c *cli.Command) error {
+	dirs, err := journalDirs(c.StringSlice("dir"))
 	if err != nil {
 		return err
 	}
-	bad := 0
-	for _, dir := range all {
-		b, found, _, _, err := store.ReadAll(store.Dir(dir), terms(), now(), nil, nil)
+	doubtful := 0
+	for _, dir := range dirs {
+		index, read, _, _, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(), nil, nil)
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%s: %d segments, %d records, %d bytes\n", dir, found.Segments, found.Records, found.Bytes)
-		damage(b, found)
-		if b.Spans > 0 {
-			bad++
+		fmt.Printf("%s: %d segments, %d records, %d bytes\n", dir, read.Segments, read.Records, read.Bytes)
+		printDamage(index, read)
+		if index.Spans > 0 {
+			doubtful++
 		}
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d of %d journals may lack something", bad, len(all))
+	if doubtful > 0 {
+		return fmt.Errorf("%d of %d journals may lack something", doubtful, len(dirs))
 	}
 	return nil
 }
 
-// findTxn answers over all journals together: a txn went out if any says so, and was not sent only if all do.
-func findTxn(_ context.Context, c *cli.Command) error {
-	mark := c.Args().First()
-	if c.NArg() != 1 || mark == "" {
-		return errors.New("one ID is to be given: the txn's X-Request-Id")
+// findRequest answers over all journals together: a request was sent if any says so, and was not only if
+// all do.
+func findRequest(_ context.Context, c *cli.Command) error {
+	requestID := c.Args().First()
+	if c.NArg() != 1 || requestID == "" {
+		return errors.New("one ID is required: the request's X-Request-Id")
 	}
-	all, err := folders(c.StringSlice("dir"))
+	dirs, err := journalDirs(c.StringSlice("dir"))
 	if err != nil {
 		return err
 	}
-	from, to := math.Inf(-1), now()
+	from, to := math.Inf(-1), nowMillis()
 	if text := c.String("at"); text != "" {
 		at, err := time.Parse(time.RFC3339Nano, text)
 		if err != nil {
@@ -183,27 +190,27 @@
 		to = from + float64(c.Duration("within"))/float64(time.Millisecond)
 	}
 	verdict := txnjournal.NotSent
-	for _, dir := range all {
-		b, _, _, _, err := store.ReadAll(store.Dir(dir), terms(), now(), nil, nil)
+	for _, dir := range dirs {
+		index, _, _, _, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(), nil, nil)
 		if err != nil {
 			return err
 		}
-		v, why, found := b.Answers(mark, from, to, now())
-		verdict = max(verdict, v)
-		fmt.Printf("%s: %s (%s)\n", dir, v, why)
-		for _, e := range found {
-			fmt.Println("  " + line(e, v))
+		verdictHere, reason, entries := index.Answers(requestID, from, to, nowMillis())
+		verdict = max(verdict, verdictHere)
+		fmt.Printf("%s: %s (%s)\n", dir, verdictHere, reason)
+		for _, e := range entries {
+			fmt.Println("  " + formatEntry(e, verdictHere))
 		}
 	}
-	fmt.Printf("%s: %s\n", mark, verdict)
+	fmt.Printf("%s: %s\n", requestID, verdict)
 	if verdict == txnjournal.SentUnknown && c.String("at") == "" {
 		fmt.Println("--at TIME, when it was asked for, may tell more")
 	}
 	return nil
 }
 
-// exported is a record as it is exported. Times are Unix ms.
-type exported struct {
+// exportedRecord is a record as it is exported, in JSON. Times are Unix ms.
+type exportedRecord struct {
 	Dir      string  `json:"dir"`
 	Segment  uint64  `json:"segment"`
 	Offset   int     `json:"offset"`
@@ -224,33 +231,35 @@
 	Below    uint64  `json:"below,omitempty"`
 }
 
-func export(_ context.Context, c *cli.Command) error {
-	all, err := folders(c.StringSlice("dir"))
+func exportRecords(_ context.Context, c *cli.Command) error {
+	dirs, err := journalDirs(c.StringSlice("dir"))
 	if err != nil {
 		return err
 	}
 	out := bufio.NewWriter(os.Stdout)
-	for _, dir := range all {
-		if err := exportTo(out, dir); err != nil {
+	for _, dir := range dirs {
+		if err := exportDir(out, dir); err != nil {
 			return err
 		}
 	}
 	return out.Flush()
 }
 
-func exportTo(w io.Writer, dir string) error {
-	enc := json.NewEncoder(w)
+func exportDir(w io.Writer, dir string) error {
+	encoder := json.NewEncoder(w)
 	var failed error
-	_, _, _, _, err := store.ReadAll(store.Dir(dir), terms(), now(), nil,
+	_, _, _, _, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(), nil,
 		func(number uint64, offset int, r txnjournal.Record) {
-			x := exported{Dir: dir, Segment: number, Offset: offset, Kind: r.Kind.String(), At: r.At, Life: r.Life,
+			record := exportedRecord{Dir: dir, Segment: number, Offset: offset, Kind: r.Kind.String(), At: r.At,
+				Life:  r.Life,
 				Group: r.Group, To: r.To, Below: r.Below}
 			if r.Kind <= txnjournal.Kept {
-				x.ID, x.Customer, x.Product = r.Txn.Mark, fmt.Sprintf("%016x", r.Txn.Customer), r.Txn.Product
-				x.Number, x.N, x.Worker, x.Expiry = r.Sub.Number, r.Sub.N, r.Worker, r.Expiry
-				x.End, x.Answer = r.End.String(), len(r.Answer.Body)
+				record.ID, record.Customer, record.Product = r.Txn.Mark, fmt.Sprintf("%016x",
+					r.Txn.Customer), r.Txn.Product
+				record.Number, record.N, record.Worker, record.Expiry = r.Sub.Number, r.Sub.N, r.Worker, r.Expiry
+				record.End, record.Answer = r.End.String(), len(r.Answer.Body)
 			}
-			if err := enc.Encode(x); err != nil && failed == nil {
+			if err := encoder.Encode(record); err != nil && failed == nil {
 				failed = err
 			}
 		})
--- a/cmd/willowdeck/main.go
+++ b/cmd/willowdeck/main.go
@@ -1,4 +1,5 @@
-// Command willowdeck is the gatekeeper on sockets.
+// Command willowdeck runs a gateway, a supervisor of gateways on one host, or a relay of rulesets; it checks
+// configurations and reads journals.
 package main
 
 import (
@@ -26,56 +27,65 @@
 	}
 }
 
+// command returns the program's commands and flags.
 func command() *cli.Command {
-	file := &cli.StringFlag{Name: "config", Usage: "the configuration `FILE`",
+	configFile := &cli.StringFlag{Name: "config", Usage: "the configuration `FILE`",
 		Sources: cli.EnvVars("NODE_CONFIG")}
-	level := &cli.StringFlag{Name: "log", Value: "info", Usage: "the least `LEVEL` to log",
+	level := &cli.StringFlag{Name: "log", Value: "info", Usage: "the lowest `LEVEL` to log",
 		Sources: cli.EnvVars("WILLOWDECK_LOG")}
-	forward := &cli.StringFlag{Name: "forward", Usage: "the operator `FILE` of forward authentication",
+	forwardAuthFile := &cli.StringFlag{Name: "forward", Usage: "the operator `FILE` of forward authentication",
 		Sources: cli.EnvVars("WILLOWDECK_FORWARD")}
-	left := &cli.StringFlag{Name: "residue", Usage: "the `FILE` that outlives a sudden end",
+	crashStateFile := &cli.StringFlag{Name: "residue", Usage: "the `FILE` of the crash state",
 		Sources: cli.EnvVars("WILLOWDECK_RESIDUE")}
-	recall := &cli.BoolFlag{Name: "recall", Value: true, Usage: "keep quotas and demand beside the residue",
+	checkpoint := &cli.BoolFlag{Name: "recall", Value: true,
+		Usage:   "keep checkpoints of quotas and demand beside the crash state",
 		Sources: cli.EnvVars("WILLOWDECK_RECALL")}
-	ask := &cli.StringSliceFlag{Name: "ask", Usage: "ask the instance whose operators' port is at `HOST:PORT`",
+	peerAdminAddresses := &cli.StringSliceFlag{Name: "ask",
+		Usage:   "ask the instance with its operators' port at `HOST:PORT` for its list of workers",
 		Sources: cli.EnvVars("WILLOWDECK_ASK")}
-	tell := &cli.BoolFlag{Name: "tell", Usage: "tell others the list at the operators' port",
+	sharesEndpoints := &cli.BoolFlag{Name: "tell",
+		Usage:   "give starting instances the list of workers at the operators' port",
 		Sources: cli.EnvVars("WILLOWDECK_TELL")}
-	notes := &cli.StringFlag{Name: "journal", Usage: "the operator `FILE` of the journal of once-only txns",
+	journalFile := &cli.StringFlag{Name: "journal",
+		Usage:   "the operator `FILE` of the journal of non-idempotent requests",
 		Sources: cli.EnvVars("WILLOWDECK_JOURNAL")}
-	hall := &cli.StringFlag{Name: "hall", Usage: "tell its word at the operators' port, as in `HALL`",
+	region := &cli.StringFlag{Name: "hall",
+		Usage:   "serve the forecast report at the operators' port, as in `REGION`",
 		Sources: cli.EnvVars("WILLOWDECK_HALL")}
-	host := &cli.StringFlag{Name: "host", Usage: "the `NAME` of the daemon that keeps it, for its word",
+	host := &cli.StringFlag{Name: "host", Usage: "the `NAME` of the supervisor's host, for the forecast report",
 		Sources: cli.EnvVars("WILLOWDECK_HOST")}
-	group := &cli.StringFlag{Name: "group", Usage: "the `NAME` of those it shares quotas with, for its word",
+	group := &cli.StringFlag{Name: "group",
+		Usage:   "the `NAME` of the instances it shares quotas with, for the forecast report",
 		Sources: cli.EnvVars("WILLOWDECK_GROUP")}
-	agree := &cli.StringFlag{Name: "agree", Usage: "go by the rules that the daemon at `HOST:PORT` tells",
+	rulesetAddress := &cli.StringFlag{Name: "agree",
+		Usage:   "follow the ruleset in force of the supervisor at `HOST:PORT`",
 		Sources: cli.EnvVars("WILLOWDECK_AGREE")}
-	past := &cli.StringFlag{Name: "history", Usage: "record what is done in a file in the folder `DIR`",
+	historyDir := &cli.StringFlag{Name: "history", Usage: "record what is done in a file in the directory `DIR`",
 		Sources: cli.EnvVars("WILLOWDECK_HISTORY")}
 	fleetFile := &cli.StringFlag{Name: "file", Usage: "the fleet's `FILE`", Required: true}
 	return &cli.Command{
 		Name:  "willowdeck",
 		Usage: "holds customers to quotas before a shared back end",
 		Commands: []*cli.Command{
-			{Name: "serve", Usage: "run a gatekeeper until SIGTERM; SIGHUP reads its file anew",
-				Flags: []cli.Flag{file, forward, notes, left, recall, ask, tell, hall, host, group, agree, past,
-					level}, Action: serve},
-			{Name: "fleet", Usage: "keep many gatekeepers on this host until SIGTERM; SIGHUP reads the file anew",
-				Flags: []cli.Flag{fleetFile, level}, Action: keep},
-			{Name: "check", Usage: "read and check the configuration, and say what it holds",
-				Flags: []cli.Flag{file, forward, notes}, Action: check},
-			journals(),
-			relays(level),
-			{Name: "version", Usage: "say which build this is", Action: version},
+			{Name: "serve", Usage: "run a gateway until SIGTERM; SIGHUP reloads its files",
+				Flags: []cli.Flag{configFile, forwardAuthFile, journalFile, crashStateFile, checkpoint,
+					peerAdminAddresses, sharesEndpoints, region, host, group, rulesetAddress, historyDir,
+					level}, Action: runGateway},
+			{Name: "fleet", Usage: "supervise the gateways of this host until SIGTERM; SIGHUP reloads the file",
+				Flags: []cli.Flag{fleetFile, level}, Action: runFleet},
+			{Name: "check", Usage: "read and check the configuration, and print what it holds",
+				Flags: []cli.Flag{configFile, forwardAuthFile, journalFile}, Action: checkConfig},
+			journalCommand(),
+			relayCommand(level),
+			{Name: "version", Usage: "print the build", Action: printVersion},
 		},
 	}
 }
 
-// begin takes the signals and makes the log. The signals have a channel each: one that finds its channel
-// full is dropped, and a stop must not be. They are taken from here on, so that none ends the program
-// while it starts.
-func begin(c *cli.Command) (stop, reload chan os.Signal, log zerolog.Logger, err error) {
+// setUp registers the signals and returns the logger. Each signal has a channel of its own: a signal that
+// finds its channel full is dropped, and a stop must not be. They are registered from here on, so that
+// none ends the program while it starts.
+func setUp(c *cli.Command) (stop, reload chan os.Signal, log zerolog.Logger, err error) {
 	level, err := zerolog.ParseLevel(c.String("log"))
 	if err != nil {
 		return nil, nil, log, fmt.Errorf("log: %w", err)
@@ -87,39 +97,39 @@
 	return stop, reload, zerolog.New(os.Stderr).Level(level).With().Timestamp().Logger(), nil
 }
 
-func serve(_ context.Context, c *cli.Command) error {
-	stop, reload, log, err := begin(c)
+func runGateway(_ context.Context, c *cli.Command) error {
+	stop, reload, log, err := setUp(c)
 	if err != nil {
 		return err
 	}
-	read := func() (config.Gateway, error) { return readAll(c) }
+	read := func() (config.Gateway, error) { return readConfig(c) }
 	conf, err := read()
 	if err != nil {
 		return err
 	}
 	conf.MaxSockets = lifecycle.Room(conf.MaxSockets)
-	g, err := lifecycle.Start(conf, log.With().Str("gatekeeper", conf.Name).Logger())
+	gateway, err := lifecycle.Start(conf, log.With().Str("gatekeeper", conf.Name).Logger())
 	if err != nil {
 		return err
 	}
-	return g.Run(stop, reload, read)
+	return gateway.Run(stop, reload, read)
 }
 
-// readAll reads a gatekeeper's configuration, and the operator files there are.
-func readAll(c *cli.Command) (config.Gateway, error) {
+// readConfig reads a gateway's configuration and the operator files, and adds what the flags say.
+func readConfig(c *cli.Command) (config.Gateway, error) {
 	conf, err := config.Read(c.String("config"), os.Getenv)
 	conf.CrashStatePath, conf.KeepsCheckpoint = c.String("residue"), c.Bool("recall")
 	conf.PeerAdminAddresses, conf.SharesEndpoints = c.StringSlice("ask"), c.Bool("tell")
 	conf.Region, conf.Host, conf.Group = c.String("hall"), c.String("host"), c.String("group")
 	conf.RulesetAddress, conf.HistoryDir = c.String("agree"), c.String("history")
-	for _, at := range conf.PeerAdminAddresses {
-		if _, bad := netip.ParseAddrPort(at); err == nil && bad != nil {
-			err = fmt.Errorf("ask: %w", bad)
+	for _, address := range conf.PeerAdminAddresses {
+		if _, parseErr := netip.ParseAddrPort(address); err == nil && parseErr != nil {
+			err = fmt.Errorf("ask: %w", parseErr)
 		}
 	}
-	if _, bad := netip.ParseAddrPort(conf.RulesetAddress); err == nil && conf.RulesetAddress != "" &&
-		bad != nil {
-		err = fmt.Errorf("agree: %w", bad)
+	if _, parseErr := netip.ParseAddrPort(conf.RulesetAddress); err == nil && conf.RulesetAddress != "" &&
+		parseErr != nil {
+		err = fmt.Errorf("agree: %w", parseErr)
 	}
 	if path := c.String("forward"); err == nil && path != "" {
 		conf.ForwardAuth, err = config.ReadForwardAuth(path, &conf)
@@ -130,41 +140,41 @@
 	return conf, err
 }
 
-// keep runs a fleet. A second signal to stop ends the wait for instances that drain, and leaves them to
-// themselves.
-func keep(_ context.Context, c *cli.Command) error {
-	stop, reload, log, err := begin(c)
+// runFleet runs a supervisor. A second signal to stop ends the wait for draining instances and leaves them
+// running.
+func runFleet(_ context.Context, c *cli.Command) error {
+	stop, reload, log, err := setUp(c)
 	if err != nil {
 		return err
 	}
-	f, err := supervisor.LoadSettings(c.String("file"))
+	settings, err := supervisor.LoadSettings(c.String("file"))
 	if err != nil {
 		return err
 	}
-	log = log.With().Str("fleet", f.Name).Logger()
-	d, err := supervisor.NewDaemon(f, log)
+	log = log.With().Str("fleet", settings.Name).Logger()
+	daemon, err := supervisor.NewDaemon(settings, log)
 	if err != nil {
 		return err
 	}
-	p, err := d.ServeControl()
+	control, err := daemon.ServeControl()
 	if err != nil {
-		d.Stop()
+		daemon.Stop()
 		return err
 	}
-	defer p.Close()
+	defer control.Close()
 	for {
 		select {
 		case <-reload:
-			d.Reload(supervisor.LoadSettings(c.String("file")))
-		case s := <-stop:
-			log.Info().Str("signal", s.String()).Msg("stopping")
-			over := make(chan struct{})
+			daemon.Reload(supervisor.LoadSettings(c.String("file")))
+		case received := <-stop:
+			log.Info().Str("signal", received.String()).Msg("stopping")
+			stopped := make(chan struct{})
 			go func() {
-				d.Stop()
-				close(over)
+				daemon.Stop()
+				close(stopped)
 			}()
 			select {
-			case <-over:
+			case <-stopped:
 			case <-stop:
 			}
 			return nil
@@ -172,28 +182,31 @@
 	}
 }
 
-func check(_ context.Context, c *cli.Command) error {
-	conf, err := readAll(c)
+// checkConfig prints what the configuration holds.
+func checkConfig(_ context.Context, c *cli.Command) error {
+	conf, err := readConfig(c)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("%s: %d products, %d plans, %d workers known, %d gatekeepers\n", conf.Name,
 		len(conf.Charter.Products), len(conf.Charter.Plans), len(conf.KnownEndpoints.Workers),
 		conf.Charter.Gatekeepers)
-	if f := conf.ForwardAuth; f != nil && f.Server != nil {
-		fmt.Printf("asked by portals at %s, clearances last %g ms\n", f.Server.ListenAddress,
-			f.Server.LifetimeMillis)
+	if forwardAuth := conf.ForwardAuth; forwardAuth != nil && forwardAuth.Server != nil {
+		fmt.Printf("asked by portals at %s, clearances last %g ms\n", forwardAuth.Server.ListenAddress,
+			forwardAuth.Server.LifetimeMillis)
 	}
-	if f := conf.ForwardAuth; f != nil && f.Authorizer != nil {
-		fmt.Printf("asking %s, at most %g ms\n", f.Authorizer.ServiceAddress, f.Authorizer.Terms.Limit)
+	if forwardAuth := conf.ForwardAuth; forwardAuth != nil && forwardAuth.Authorizer != nil {
+		fmt.Printf("asking %s, at most %g ms\n", forwardAuth.Authorizer.ServiceAddress,
+			forwardAuth.Authorizer.Terms.Limit)
 	}
-	if j := conf.Journal; j != nil {
-		fmt.Printf("once-only txns are written down in %s, policy %s\n", j.InstanceDir(conf.Name), j.Terms.Policy)
+	if journal := conf.Journal; journal != nil {
+		fmt.Printf("once-only txns are written down in %s, policy %s\n", journal.InstanceDir(conf.Name),
+			journal.Terms.Policy)
 	}
 	return nil
 }
 
-func version(context.Context, *cli.Command) error {
+func printVersion(context.Context, *cli.Command) error {
 	b, ok := debug.ReadBuildInfo()
 	if !ok {
 		fmt.Println("willowdeck, build unknown")
--- a/cmd/willowdeck/relay.go
+++ b/cmd/willowdeck/relay.go
@@ -14,56 +14,57 @@
 	"willowdeck/internal/testkit/history"
 )
 
-// relays is the command that follows a council from afar.
-func relays(level cli.Flag) *cli.Command {
+// relayCommand is the command that distributes the raft group's rulesets down a tree.
+func relayCommand(level cli.Flag) *cli.Command {
 	file := &cli.StringFlag{Name: "config", Usage: "the relay's `FILE`", Required: true}
-	past := &cli.StringFlag{Name: "history", Usage: "record what is done in a file in the folder `DIR`",
+	historyDir := &cli.StringFlag{Name: "history", Usage: "record what is done in a file in the directory `DIR`",
 		Sources: cli.EnvVars("WILLOWDECK_HISTORY")}
-	check := &cli.BoolFlag{Name: "check", Usage: "only read and check the file, and say what it holds"}
-	return &cli.Command{Name: "relay", Usage: "tell those below what the council says, until SIGTERM",
-		Flags: []cli.Flag{file, past, check, level}, Action: relayOn}
+	checkOnly := &cli.BoolFlag{Name: "check", Usage: "only read and check the file, and print what it holds"}
+	return &cli.Command{Name: "relay", Usage: "pass the ruleset in force on to the clients below, until SIGTERM",
+		Flags: []cli.Flag{file, historyDir, checkOnly, level}, Action: runRelay}
 }
 
-func relayOn(_ context.Context, c *cli.Command) error {
-	stop, reload, log, err := begin(c)
+func runRelay(_ context.Context, c *cli.Command) error {
+	stop, reload, log, err := setUp(c)
 	if err != nil {
 		return err
 	}
-	f, err := relay.ReadConfig(c.String("config"))
+	settings, err := relay.ReadConfig(c.String("config"))
 	if err != nil {
 		return err
 	}
 	if c.Bool("check") {
-		fmt.Printf("%s: of %s, listens at %s, asks %s\n", f.Name, f.Cluster, f.Listen,
-			strings.Join(f.Upstreams, ", "))
+		fmt.Printf("%s: of %s, listens at %s, asks %s\n", settings.Name, settings.Cluster, settings.Listen,
+			strings.Join(settings.Upstreams, ", "))
 		return nil
 	}
-	log = log.With().Str("relay", f.Name).Logger()
+	log = log.With().Str("relay", settings.Name).Logger()
 	var record history.Recorder
 	if dir := c.String("history"); dir != "" {
-		l, err := history.Open(filepath.Join(dir, fmt.Sprintf("%s.%d.jsonl", f.Name, os.Getpid())), f.Name,
+		file, err := history.Open(filepath.Join(dir, fmt.Sprintf("%s.%d.jsonl", settings.Name, os.Getpid())),
+			settings.Name,
 			crashstate.UptimeCentiseconds())
 		if err != nil {
 			return fmt.Errorf("history: %w", err)
 		}
 		defer func() {
-			if err := l.Close(); err != nil {
+			if err := file.Close(); err != nil {
 				log.Warn().Err(err).Msg("record")
 			}
 		}()
-		record = l
+		record = file
 	}
-	r, err := relay.Start(f, record, log)
+	started, err := relay.Start(settings, record, log)
 	if err != nil {
 		return err
 	}
 	for {
 		select {
 		case <-reload:
-			log.Warn().Msg("a relay reads its file at its start alone: stop it and start it again")
-		case s := <-stop:
-			log.Info().Str("signal", s.String()).Msg("stopping")
-			r.Close()
+			log.Warn().Msg("a relay reads its file only at its start: restart it")
+		case received := <-stop:
+			log.Info().Str("signal", received.String()).Msg("stopping")
+			started.Close()
 			return nil
 		}
 	}
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -1,5 +1,3 @@
-// Package simadapter speaks the bench's wire: it decodes each batch into calls on the gatekeepers that live
-// in this process, and encodes what they decide into the reply.
 package simadapter
 
 import (
@@ -18,49 +16,51 @@
 	"willowdeck/internal/policy"
 )
 
-const usPerMs = 1000
+const microsPerMilli = 1000
 
-// instance is one gatekeeper with the names that its wire uses. Instances share nothing.
+// instance is one gateway with the names that its wire uses. Instances share nothing.
 type instance struct {
-	num     int
-	gk      *policy.Gatekeeper
-	names   config.Names
-	workers workers.Interner
-	zones   workers.Interner
-	kinds   workers.Interner
-	acts    bool // has had an event in this batch
+	number    int
+	gateway   *policy.Gatekeeper
+	names     config.Names
+	workers   workers.Interner
+	zones     workers.Interner
+	kinds     workers.Interner
+	hasEvents bool // in this batch
 }
 
-type link struct {
-	out       *bufio.Writer
-	now       float64 // ms
-	instances map[int]*instance
-	order     []*instance // those with events in this batch, in the order of the first
-	lists     map[int][]any
-	postings  []policy.Posting
-	reports   []policy.Report
-	buf       []byte
+// adapter holds the instances and what is reused between batches.
+type adapter struct {
+	output        *bufio.Writer
+	now           float64 // ms
+	instances     map[int]*instance
+	active        []*instance // with events in this batch, in the order of the first one
+	endpointLists map[int][]any
+	endpoints     []policy.Posting
+	reports       []policy.Report
+	buffer        []byte
 }
 
-// Run answers batches until the input ends.
+// Run answers batches from in on out until the input ends. An error names the line.
 func Run(in io.Reader, out io.Writer) error {
-	l := &link{out: bufio.NewWriterSize(out, 1<<16), instances: map[int]*instance{}, lists: map[int][]any{}}
-	r := bufio.NewReaderSize(in, 1<<20)
-	open := false
+	a := &adapter{output: bufio.NewWriterSize(out, 1<<16), instances: map[int]*instance{},
+		endpointLists: map[int][]any{}}
+	reader := bufio.NewReaderSize(in, 1<<20)
+	inBatch := false
 	for line := 1; ; line++ {
-		b, err := readLine(r)
+		text, err := readLine(reader)
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("line %d: %w", line, err)
 		}
-		if len(b) > 0 {
-			done, lerr := l.line(b, open)
-			if lerr != nil {
-				return fmt.Errorf("line %d: %w", line, lerr)
+		if len(text) > 0 {
+			done, lineErr := a.handleLine(text, inBatch)
+			if lineErr != nil {
+				return fmt.Errorf("line %d: %w", line, lineErr)
 			}
-			open = !done
+			inBatch = !done
 		}
 		if err != nil {
-			if open {
+			if inBatch {
 				return fmt.Errorf("line %d: input ends within a batch", line)
 			}
 			return nil
@@ -68,187 +68,210 @@
 	}
 }
 
-// readLine gives the next line without its end; the last may come with io.EOF.
+// readLine returns the next line without its end; the last may come with io.EOF.
 func readLine(r *bufio.Reader) ([]byte, error) {
-	b, err := r.ReadSlice('\n')
+	text, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		whole := append([]byte(nil), b...)
+		long := append([]byte(nil), text...)
 		for errors.Is(err, bufio.ErrBufferFull) {
-			b, err = r.ReadSlice('\n')
-			whole = append(whole, b...)
+			text, err = r.ReadSlice('\n')
+			long = append(long, text...)
 		}
-		b = whole
+		text = long
 	}
-	for len(b) > 0 && (b[len(b)-1] == '\n' || b[len(b)-1] == '\r') {
-		b = b[:len(b)-1]
+	for len(text) > 0 && (text[len(text)-1] == '\n' || text[len(text)-1] == '\r') {
+		text = text[:len(text)-1]
 	}
-	return b, err
+	return text, err
 }
 
-// line takes one line and tells whether it ended its batch.
-func (l *link) line(b []byte, open bool) (bool, error) {
-	var m message
-	if err := json.Unmarshal(b, &m.v); err != nil {
+// handleLine handles one line and reports whether it ended its batch.
+func (a *adapter) handleLine(text []byte, inBatch bool) (bool, error) {
+	var fields message
+	if err := json.Unmarshal(text, &fields.values); err != nil {
 		return false, fmt.Errorf("not a message: %w", err)
 	}
-	word := m.text(0, "name")
-	if m.err != nil {
-		return false, m.err
+	name := fields.text(0, "name")
+	if fields.err != nil {
+		return false, fields.err
 	}
 	switch {
-	case word == "ROUND" && !open:
-		l.now = m.num(1, "clock") / usPerMs
-		return false, m.err
-	case word == "END" && open:
-		return true, l.reply()
-	case word == "ROUND" || word == "END" || !open:
-		return false, fmt.Errorf("%s out of place", word)
+	case name == "ROUND" && !inBatch:
+		a.now = fields.float(1, "clock") / microsPerMilli
+		return false, fields.err
+	case name == "END" && inBatch:
+		return true, a.reply()
+	case name == "ROUND" || name == "END" || !inBatch:
+		return false, fmt.Errorf("%s out of place", name)
 	}
-	if err := l.event(word, &m, b); err != nil {
-		return false, fmt.Errorf("%s: %w", word, err)
+	if err := a.handleEvent(name, &fields, text); err != nil {
+		return false, fmt.Errorf("%s: %w", name, err)
 	}
 	return false, nil
 }
 
-// event decodes one event into a call. A panic of the module is reported in the wire's own word.
-func (l *link) event(word string, m *message, raw []byte) (err error) {
-	if word == "SNAPSHOT_ROWS" {
-		n := m.int(1, "list")
-		rows := m.list(2, "entries")
-		l.lists[n] = rows
-		return m.err
-	}
-	num := m.int(1, "i")
-	if m.err != nil {
-		return m.err
-	}
-	in := l.instances[num]
-	if word == "LAUNCH" {
+// handleEvent decodes one event into a call. A panic of the policy is reported on the wire as a crash of
+// the instance.
+func (a *adapter) handleEvent(name string, fields *message, raw []byte) (err error) {
+	if name == "SNAPSHOT_ROWS" {
+		n := fields.int(1, "list")
+		rows := fields.list(2, "entries")
+		a.endpointLists[n] = rows
+		return fields.err
+	}
+	number := fields.int(1, "i")
+	if fields.err != nil {
+		return fields.err
+	}
+	in := a.instances[number]
+	if name == "LAUNCH" {
 		if in != nil {
-			return fmt.Errorf("instance %d is already there", num)
+			return fmt.Errorf("instance %d is already there", number)
 		}
-		return l.launch(num, m, raw)
+		return a.launch(number, fields, raw)
 	}
 	if in == nil {
-		return fmt.Errorf("no instance %d", num)
+		return fmt.Errorf("no instance %d", number)
 	}
-	defer l.guard(in)
-	l.touch(in)
-	switch word {
+	defer a.reportPanic(in)
+	a.activate(in)
+	switch name {
 	case "DETACH":
-		delete(l.instances, num)
-		in.gk = nil
+		delete(a.instances, number)
+		in.gateway = nil
 	case "DIRECTORY_UPDATE":
-		return l.roster(in, m)
+		return a.updateEndpoints(in, fields)
 	case "REQUEST":
-		product, plan := m.text(4, "tier_class"), m.text(8, "terms")
-		a := policy.Arrival{ID: uint64(m.num(2, "handle")), Customer: m.hex(3, "user_key"),
-			SetSize: m.int(6, "set_size"), Units: m.num(7, "cost_units"), First: m.int(10, "base"),
-			Left: m.num(11, "budget_us") / usPerMs}
-		var ok bool
-		if a.Product, ok = in.names.Products[product]; !ok && m.err == nil {
-			return fmt.Errorf("class %q is not in the settings", product)
-		}
-		if a.Plan, ok = in.names.Plans[plan]; !ok && m.err == nil {
-			return fmt.Errorf("plan %q is not in the settings", plan)
-		}
-		if m.err == nil {
-			in.gk.Take(a)
-		}
+		return handleRequest(in, fields)
 	case "BEGUN":
-		if id, n := uint64(m.num(2, "handle")), m.int(3, "leg"); m.err == nil {
-			in.gk.Begun(id, n)
+		if id, n := uint64(fields.float(2, "handle")), fields.int(3, "leg"); fields.err == nil {
+			in.gateway.Begun(id, n)
 		}
 	case "OUTCOME":
-		id, n, code := uint64(m.num(2, "handle")), m.int(3, "leg"), m.text(5, "code")
-		took, closed := m.num(6, "latency_us")/usPerMs, m.bool(7, "terminal")
-		o, ok := outcomes[code]
-		if m.err == nil && !ok {
-			return fmt.Errorf("code %q is unknown", code)
-		}
-		if m.err == nil {
-			if name, ok := m.at(4).(string); ok && m.at(10) != nil {
-				in.gk.Burden(in.workers.ID(name), burden(m.at(10)))
-			}
-			in.gk.Ended(id, n, o, took, closed)
-		}
+		return handleOutcome(in, fields)
 	case "GONE":
-		if id := uint64(m.num(2, "handle")); m.err == nil {
-			in.gk.Left(id)
+		if id := uint64(fields.float(2, "handle")); fields.err == nil {
+			in.gateway.Left(id)
 		}
 	case "WHISPER":
-		from, body := m.int(2, "author"), m.text(3, "payload")
-		if m.err != nil {
-			break
-		}
-		// What a peer sent is no fault of this wire: bytes that make no sense are dropped.
-		if b, err := hex.DecodeString(body); err == nil {
-			if l.reports, err = gossip.Decode(l.reports[:0], b); err == nil {
-				in.gk.Hear(from, l.reports)
-			}
-		}
+		a.handlePeerMessage(in, fields)
 	case "REMINDER", "PROBE_RESULT", "COUNTED":
-		// Each gives the instance its turn; nothing is asked of probes or of the counter.
+		// Each activates the instance; health checks and the counter are not used.
 	default:
 		return errors.New("unknown event")
 	}
-	return m.err
+	return fields.err
+}
+
+// handleRequest passes a client's request on.
+func handleRequest(in *instance, fields *message) error {
+	product, plan := fields.text(4, "tier_class"), fields.text(8, "terms")
+	request := policy.Arrival{ID: uint64(fields.float(2, "handle")), Customer: fields.hex(3, "user_key"),
+		SetSize: fields.int(6, "set_size"), Units: fields.float(7, "cost_units"), First: fields.int(10, "base"),
+		Left: fields.float(11, "budget_us") / microsPerMilli}
+	var ok bool
+	if request.Product, ok = in.names.Products[product]; !ok && fields.err == nil {
+		return fmt.Errorf("class %q is not in the settings", product)
+	}
+	if request.Plan, ok = in.names.Plans[plan]; !ok && fields.err == nil {
+		return fmt.Errorf("plan %q is not in the settings", plan)
+	}
+	if fields.err == nil {
+		in.gateway.Take(request)
+	}
+	return fields.err
+}
+
+// handleOutcome passes an attempt's end on, and the worker's load where the answer carries it.
+func handleOutcome(in *instance, fields *message) error {
+	id, n, code := uint64(fields.float(2, "handle")), fields.int(3, "leg"), fields.text(5, "code")
+	latency, final := fields.float(6, "latency_us")/microsPerMilli, fields.bool(7, "terminal")
+	outcome, ok := outcomes[code]
+	if fields.err == nil && !ok {
+		return fmt.Errorf("code %q is unknown", code)
+	}
+	if fields.err == nil {
+		if name, ok := fields.at(4).(string); ok && fields.at(10) != nil {
+			in.gateway.Burden(in.workers.ID(name), decodeLoad(fields.at(10)))
+		}
+		in.gateway.Ended(id, n, outcome, latency, final)
+	}
+	return fields.err
+}
+
+// handlePeerMessage passes a peer's message on. One that cannot be decoded is dropped, as on sockets: it
+// is no error of the simulator's wire.
+func (a *adapter) handlePeerMessage(in *instance, fields *message) {
+	from, body := fields.int(2, "author"), fields.text(3, "payload")
+	if fields.err != nil {
+		return
+	}
+	raw, err := hex.DecodeString(body)
+	if err != nil {
+		return
+	}
+	if a.reports, err = gossip.Decode(a.reports[:0], raw); err == nil {
+		in.gateway.Hear(from, a.reports)
+	}
 }
 
-// burden reads a load report. What it lacks, or what is no number, counts as not said.
-func burden(v any) policy.Burden {
-	of, _ := v.(map[string]any)
-	at := func(name string) float64 {
-		if f, ok := of[name].(float64); ok && f >= 0 {
-			return f
+// decodeLoad decodes a load report. A value that is missing or not a number is -1, not reported.
+func decodeLoad(value any) policy.Burden {
+	report, _ := value.(map[string]any)
+	figure := func(name string) float64 {
+		if number, ok := report[name].(float64); ok && number >= 0 {
+			return number
 		}
 		return -1
 	}
-	return policy.Burden{Held: at("concurrent"), Waiting: at("depth"), Busy: at("load_share")}
+	return policy.Burden{Held: figure("concurrent"), Waiting: figure("depth"), Busy: figure("load_share")}
 }
 
+// outcomes are the codes of an attempt's end.
 var outcomes = map[string]policy.Outcome{
 	"pass": policy.Settled, "fault": policy.Fault, "no_room": policy.Full, "too_slow": policy.TimedOut,
 	"no_route": policy.NoRoute, "cut": policy.Cut, "undone": policy.Withdrawn, "stale_send": policy.NotSent,
 }
 
-func (l *link) launch(num int, m *message, raw []byte) error {
-	seed := m.num(2, "salt")
-	if len(m.v) < 4 {
-		m.fail(3, "setup")
+// launch starts an instance.
+func (a *adapter) launch(number int, fields *message, raw []byte) error {
+	seed := fields.float(2, "salt")
+	if len(fields.values) < 4 {
+		fields.fail(3, "setup")
 	}
-	if m.err != nil {
-		return m.err
+	if fields.err != nil {
+		return fields.err
 	}
 	var parts []json.RawMessage
 	if err := json.Unmarshal(raw, &parts); err != nil {
 		return fmt.Errorf("setup: %w", err)
 	}
-	terms, err := config.DecodeSettings(parts[3])
+	settings, err := config.DecodeSettings(parts[3])
 	if err != nil {
 		return err
 	}
-	in := &instance{num: num, names: terms.Names}
-	defer l.guard(in)
-	in.gk = policy.New(terms.Charter, int64(seed))
-	l.instances[num] = in
-	l.touch(in)
+	in := &instance{number: number, names: settings.Names}
+	defer a.reportPanic(in)
+	in.gateway = policy.New(settings.Charter, int64(seed))
+	a.instances[number] = in
+	a.activate(in)
 	return nil
 }
 
-// touch gives an instance its turn in this batch's reply.
-func (l *link) touch(in *instance) {
-	in.gk.Clock(l.now)
-	if !in.acts {
-		in.acts = true
-		l.order = append(l.order, in)
+// activate sets the instance's clock and adds it to those that reply to this batch.
+func (a *adapter) activate(in *instance) {
+	in.gateway.Clock(a.now)
+	if !in.hasEvents {
+		in.hasEvents = true
+		a.active = append(a.active, in)
 	}
 }
 
-func (l *link) roster(in *instance, m *message) error {
-	form := m.text(2, "form")
-	if m.err != nil {
-		return m.err
+// updateEndpoints passes a full list of workers or a change on.
+func (a *adapter) updateEndpoints(in *instance, fields *message) error {
+	form := fields.text(2, "form")
+	if fields.err != nil {
+		return fields.err
 	}
 	switch form {
 	case "lost":
@@ -257,100 +280,103 @@
 	default:
 		return fmt.Errorf("form %q is unknown", form)
 	}
-	list := m.int(4, "list")
-	rows, ok := l.lists[list]
-	if m.err == nil && !ok {
+	list := fields.int(4, "list")
+	rows, ok := a.endpointLists[list]
+	if fields.err == nil && !ok {
 		return fmt.Errorf("no list %d", list)
 	}
-	l.postings = l.postings[:0]
-	for _, r := range rows {
-		v, _ := r.([]any)
-		e := message{v: v}
-		name, zone, state := e.text(0, "worker"), e.text(1, "locality"), e.text(4, "stage_state")
-		p := policy.Posting{Cell: e.int(3, "block"), Active: state == "active",
-			Since: e.opt(6) / usPerMs, Rating: e.opt(5)}
-		if e.err != nil {
-			return fmt.Errorf("list %d: %w", list, e.err)
+	a.endpoints = a.endpoints[:0]
+	for _, row := range rows {
+		values, _ := row.([]any)
+		entry := message{values: values}
+		name, zone, state := entry.text(0, "worker"), entry.text(1, "locality"), entry.text(4, "stage_state")
+		endpoint := policy.Posting{Cell: entry.int(3, "block"), Active: state == "active",
+			Since: entry.optionalFloat(6) / microsPerMilli, Rating: entry.optionalFloat(5)}
+		if entry.err != nil {
+			return fmt.Errorf("list %d: %w", list, entry.err)
 		}
-		p.Worker, p.Zone = in.workers.ID(name), in.zones.ID(zone)
-		p.Kind = in.kinds.ID(e.word(2))
-		l.postings = append(l.postings, p)
+		endpoint.Worker, endpoint.Zone = in.workers.ID(name), in.zones.ID(zone)
+		endpoint.Kind = in.kinds.ID(entry.optionalText(2))
+		a.endpoints = append(a.endpoints, endpoint)
 	}
-	if m.err == nil {
-		in.gk.Roster(l.postings, form == "incr")
+	if fields.err == nil {
+		in.gateway.Roster(a.endpoints, form == "incr")
 	}
-	return m.err
+	return fields.err
 }
 
-// guard reports a panic of the module in the wire's word for it.
-func (l *link) guard(in *instance) {
-	if p := recover(); p != nil {
-		l.crash(in, p)
+// reportPanic recovers from a panic of the policy and reports it.
+func (a *adapter) reportPanic(in *instance) {
+	if cause := recover(); cause != nil {
+		a.writeCrash(in, cause)
 	}
 }
 
-func (l *link) crash(in *instance, p any) {
-	text, _ := json.Marshal(fmt.Sprint(p))
-	fmt.Fprintf(l.out, "[\"CRASH\",%d,%s]\n", in.num, text)
+func (a *adapter) writeCrash(in *instance, cause any) {
+	text, _ := json.Marshal(fmt.Sprint(cause))
+	fmt.Fprintf(a.output, "[\"CRASH\",%d,%s]\n", in.number, text)
 }
 
-// reply pulls the decisions of each instance that had an event, and ends the batch.
-func (l *link) reply() error {
-	for _, in := range l.order {
-		in.acts = false
-		if in.gk != nil {
-			l.pull(in)
+// reply writes the decisions of each active instance, and ends the batch.
+func (a *adapter) reply() error {
+	for _, in := range a.active {
+		in.hasEvents = false
+		if in.gateway != nil {
+			a.writeDecisions(in)
 		}
 	}
-	l.order = l.order[:0]
-	l.out.WriteString("[\"READY\"]\n")
-	if err := l.out.Flush(); err != nil {
+	a.active = a.active[:0]
+	_, _ = a.output.WriteString("[\"READY\"]\n") // Flush returns its error
+	if err := a.output.Flush(); err != nil {
 		return fmt.Errorf("reply: %w", err)
 	}
 	return nil
 }
 
-func (l *link) pull(in *instance) {
-	defer l.guard(in)
+func (a *adapter) writeDecisions(in *instance) {
+	defer a.reportPanic(in)
 	for {
-		d, ok := in.gk.Next()
+		decision, ok := in.gateway.Next()
 		if !ok {
 			return
 		}
-		l.encode(in, &d)
+		a.writeDecision(in, &decision)
 	}
 }
 
-func (l *link) encode(in *instance, d *policy.Decision) {
-	b := append(l.buf[:0], '[', '"')
-	switch d.Kind {
+func (a *adapter) writeDecision(in *instance, decision *policy.Decision) {
+	line := append(a.buffer[:0], '[', '"')
+	switch decision.Kind {
 	case policy.Submit:
-		b = ints(append(b, `TRANSMIT"`...), int64(in.num), int64(d.Txn), us(d.Wait))
-		b = append(strconv.AppendQuote(append(b, ','), in.workers.Name(d.Worker)), ']')
+		line = appendInts(append(line, `TRANSMIT"`...), int64(in.number), int64(decision.Txn),
+			micros(decision.Wait))
+		line = append(strconv.AppendQuote(append(line, ','), in.workers.Name(decision.Worker)), ']')
 	case policy.Decline:
-		b = append(ints(append(b, `SAY_NO"`...), int64(in.num), int64(d.Txn), us(d.Wait)), ']')
+		line = append(appendInts(append(line, `SAY_NO"`...), int64(in.number), int64(decision.Txn),
+			micros(decision.Wait)), ']')
 	case policy.Void:
-		b = append(ints(append(b, `END_FAILED"`...), int64(in.num), int64(d.Txn)), ']')
+		line = append(appendInts(append(line, `END_FAILED"`...), int64(in.number), int64(decision.Txn)), ']')
 	case policy.Withdraw:
-		b = append(ints(append(b, `DROP_ATTEMPT"`...), int64(in.num), int64(d.Txn), int64(d.N)), ']')
+		line = append(appendInts(append(line, `DROP_ATTEMPT"`...), int64(in.number), int64(decision.Txn),
+			int64(decision.N)), ']')
 	case policy.Tell:
-		b = ints(append(b, `NOTIFY"`...), int64(in.num), int64(d.Peer))
-		var room [256]byte
-		b = hex.AppendEncode(append(b, ',', '"'), gossip.Append(room[:0], d.Reports))
-		b = append(b, '"', ']')
+		line = appendInts(append(line, `NOTIFY"`...), int64(in.number), int64(decision.Peer))
+		var reports [256]byte
+		line = hex.AppendEncode(append(line, ',', '"'), gossip.Append(reports[:0], decision.Reports))
+		line = append(line, '"', ']')
 	case policy.Wake:
-		b = append(ints(append(b, `SLEEP"`...), int64(in.num), us(d.At)), `,"w"]`...)
+		line = append(appendInts(append(line, `SLEEP"`...), int64(in.number), micros(decision.At)), `,"w"]`...)
 	}
-	l.buf = append(b, '\n')
-	l.out.Write(l.buf)
+	a.buffer = append(line, '\n')
+	_, _ = a.output.Write(a.buffer) // Flush returns its error
 }
 
-func ints(b []byte, vs ...int64) []byte {
-	for _, v := range vs {
-		b = strconv.AppendInt(append(b, ','), v, 10)
+func appendInts(b []byte, values ...int64) []byte {
+	for _, value := range values {
+		b = strconv.AppendInt(append(b, ','), value, 10)
 	}
 	return b
 }
 
-// us rounds up, so that a time-out or a time to return is never nought by rounding.
-func us(ms float64) int64 { return int64(math.Ceil(ms * usPerMs)) }
+// micros rounds up, so that a time-out or a time to return never becomes 0.
+func micros(ms float64) int64 { return int64(math.Ceil(ms * microsPerMilli)) }
--- a/internal/simadapter/adapter_test.go
+++ b/internal/simadapter/adapter_test.go
@@ -17,16 +17,17 @@
 const list = `["SNAPSHOT_ROWS",0,[["w-a","z1","k",0,"active",1,null]]]
 ["DIRECTORY_UPDATE",3,"warm_copy",1,0]`
 
-var first = "[\"ROUND\",1000000]\n" + strings.ReplaceAll(launch, "\n", "") + "\n" + list + "\n[\"END\"]\n"
+var firstBatch = "[\"ROUND\",1000000]\n" + strings.ReplaceAll(launch, "\n",
+	"") + "\n" + list + "\n[\"END\"]\n"
 
-func play(in string) (string, error) {
+func run(in string) (string, error) {
 	var out strings.Builder
 	err := Run(strings.NewReader(in), &out)
 	return out.String(), err
 }
 
-// bare leaves out timers, whose moments are the module's own affair.
-func bare(out string) string {
+// withoutTimers leaves out timers, whose times are the policy's own concern.
+func withoutTimers(out string) string {
 	var keep []string
 	for _, l := range strings.Split(out, "\n") {
 		if !strings.HasPrefix(l, `["SLEEP"`) {
@@ -40,30 +41,30 @@
 	const request = `["REQUEST",3,9,"00000000000000ff","check",false,2,1,"basic",false,0,500000]`
 	cases := []struct{ name, in, want string }{
 		{"empty batch", "[\"ROUND\",5]\n[\"END\"]\n", "[\"READY\"]\n"},
-		{"one txn settled", first + round + request + "\n[\"END\"]\n" +
+		{"one request answered", firstBatch + round + request + "\n[\"END\"]\n" +
 			"[\"ROUND\",1050000]\n[\"OUTCOME\",3,9,0,\"w-a\",\"pass\",49000,true,0,0,null]\n" +
 			"[\"GONE\",3,9]\n[\"END\"]\n",
 			"[\"READY\"]\n[\"TRANSMIT\",3,9,500000,\"w-a\"]\n[\"READY\"]\n[\"READY\"]\n"},
-		{"load and use of no sense", first + round + request + "\n[\"END\"]\n" +
+		{"unreadable load and use", firstBatch + round + request + "\n[\"END\"]\n" +
 			"[\"ROUND\",1050000]\n[\"OUTCOME\",3,9,0,\"w-a\",\"pass\",49000,true,\"many\",null," +
 			"{\"concurrent\":\"few\",\"depth\":-1,\"load_share\":[],\"other\":1}]\n" +
 			"[\"OUTCOME\",3,9,0,\"w-z\",\"pass\",49000,true,-7,null,7]\n[\"END\"]\n",
 			"[\"READY\"]\n[\"TRANSMIT\",3,9,500000,\"w-a\"]\n[\"READY\"]\n[\"READY\"]\n"},
-		{"lost update, peer bytes of no sense, late outcome", first + round +
+		{"lost update, unreadable peer bytes, late outcome", firstBatch + round +
 			"[\"DIRECTORY_UPDATE\",3,\"lost\",0,0]\n" +
 			"[\"WHISPER\",3,1,\"ffff\"]\n[\"WHISPER\",3,1,\"\"]\n[\"OUTCOME\",3,8,0,\"w-a\",\"cut\",1,true]\n" +
 			"[\"COUNTED\",3,1,0,\"too_slow\",\"n\"]\n[\"END\"]\n", "[\"READY\"]\n[\"READY\"]\n"},
-		{"no worker left", first + round + "[\"SNAPSHOT_ROWS\",0,[]]\n" +
+		{"no worker left", firstBatch + round + "[\"SNAPSHOT_ROWS\",0,[]]\n" +
 			"[\"DIRECTORY_UPDATE\",3,\"total\",2,0]\n" +
 			request + "\n[\"END\"]\n", "[\"READY\"]\n[\"SAY_NO\",3,9,250000]\n[\"READY\"]\n"},
-		{"stopped and started in one batch", first + round + request + "\n[\"DETACH\",3]\n" +
+		{"stopped and started in one batch", firstBatch + round + request + "\n[\"DETACH\",3]\n" +
 			strings.ReplaceAll(launch, "\n", "") + "\n[\"END\"]\n", "[\"READY\"]\n[\"READY\"]\n"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := play(c.in)
-			if err != nil || bare(got) != c.want {
-				t.Errorf("got %q, %v\nwant %q", bare(got), err, c.want)
+			got, err := run(c.in)
+			if err != nil || withoutTimers(got) != c.want {
+				t.Errorf("got %q, %v\nwant %q", withoutTimers(got), err, c.want)
 			}
 		})
 	}
@@ -71,19 +72,19 @@
 
 func TestMalformedWire(t *testing.T) {
 	cases := []struct{ name, in, want string }{
-		{"no JSON", "[\"ROUND\",5\n", "line 1"},
+		{"not JSON", "[\"ROUND\",5\n", "line 1"},
 		{"no batch", "[\"END\"]\n", "out of place"},
 		{"unknown instance", "[\"ROUND\",5]\n[\"GONE\",4,1]\n", "no instance 4"},
-		{"unknown event", first + round + "[\"WHAT\",3]\n", "unknown event"},
-		{"unknown class", first + round +
+		{"unknown event", firstBatch + round + "[\"WHAT\",3]\n", "unknown event"},
+		{"unknown class", firstBatch + round +
 			`["REQUEST",3,9,"ff","other",false,2,1,"basic",false,0,500000]` + "\n", `class "other"`},
-		{"value missing", first + round + "[\"OUTCOME\",3,9]\n", "line 7: OUTCOME"},
-		{"no such list", first + round + "[\"DIRECTORY_UPDATE\",3,\"total\",2,7]\n", "no list 7"},
-		{"cut off", "[\"ROUND\",5]\n", "input ends"},
+		{"value missing", firstBatch + round + "[\"OUTCOME\",3,9]\n", "line 7: OUTCOME"},
+		{"no such list", firstBatch + round + "[\"DIRECTORY_UPDATE\",3,\"total\",2,7]\n", "no list 7"},
+		{"truncated", "[\"ROUND\",5]\n", "input ends"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if _, err := play(c.in); err == nil || !strings.Contains(err.Error(), c.want) {
+			if _, err := run(c.in); err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("got %v, want a message with %q", err, c.want)
 			}
 		})
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -10,17 +10,17 @@
 	"willowdeck/internal/testkit/goldenform"
 )
 
-// The golden files were written at commit d6a566a: input.jsonl by hand, with each message that the bench
-// sends; output.jsonl is the reply of that commit's code without timers, whose moments are the module's own
-// affair; decisions.jsonl is what goldenDecisions were encoded as. They stand for what the bench sends and
-// expects, and are never written again.
+// The golden files were written at commit d6a566a: input.jsonl by hand, with each message that the
+// simulator sends; output.jsonl is the reply of that commit's code without timers, whose moments are the
+// module's own concern; decisions.jsonl is what goldenDecisions were encoded as. They stand for what the
+// simulator sends and expects, and are never written again.
 
 func TestGoldenTranscript(t *testing.T) {
-	out, err := play(string(goldenform.Read(t, "input.jsonl")))
+	out, err := run(string(goldenform.Read(t, "input.jsonl")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := bare(out), string(goldenform.Read(t, "output.jsonl")); got != want {
+	if got, want := withoutTimers(out), string(goldenform.Read(t, "output.jsonl")); got != want {
 		t.Errorf("the reply is\n%s\nwant\n%s", got, want)
 	}
 }
@@ -38,15 +38,15 @@
 // encodeGolden gives the lines of all kinds of decisions, and that of a panic.
 func encodeGolden() string {
 	var out bytes.Buffer
-	l := &link{out: bufio.NewWriter(&out)}
-	in := &instance{num: 5}
+	l := &adapter{output: bufio.NewWriter(&out)}
+	in := &instance{number: 5}
 	in.workers.ID("w-a")
 	in.workers.ID("w-b")
 	for i := range goldenDecisions {
-		l.encode(in, &goldenDecisions[i])
+		l.writeDecision(in, &goldenDecisions[i])
 	}
-	l.crash(in, "a \"panic\"")
-	_ = l.out.Flush()
+	l.writeCrash(in, "a \"panic\"")
+	_ = l.output.Flush()
 	return out.String()
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestGoldenOutcomes: each code of the bench is the outcome that it was.
+// TestGoldenOutcomes: each code of the simulator is the outcome that it was.
 func TestGoldenOutcomes(t *testing.T) {
 	want := map[string]policy.Outcome{"pass": policy.Settled, "fault": policy.Fault, "no_room": policy.Full,
 		"too_slow": policy.TimedOut, "no_route": policy.NoRoute, "cut": policy.Cut, "undone": policy.Withdrawn,
@@ -73,7 +73,7 @@
 
 // TestGoldenLoad: each figure of a load report is read.
 func TestGoldenLoad(t *testing.T) {
-	got := burden(map[string]any{"concurrent": 2.0, "depth": 3.0, "load_share": 0.5})
+	got := decodeLoad(map[string]any{"concurrent": 2.0, "depth": 3.0, "load_share": 0.5})
 	if want := (policy.Burden{Held: 2, Waiting: 3, Busy: 0.5}); got != want {
 		t.Errorf("a load report is read as %+v, want %+v", got, want)
 	}
--- a/internal/simadapter/message.go
+++ b/internal/simadapter/message.go
@@ -5,82 +5,82 @@
 	"strconv"
 )
 
-// message reads the values of one line by place. The first that is missing or of the wrong kind is kept as
-// err.
+// message reads the values of one line by position. The first that is missing or of the wrong type is kept
+// as err.
 type message struct {
-	v   []any
-	err error
+	values []any
+	err    error
 }
 
-func (m *message) fail(i int, what string) {
+func (m *message) fail(i int, field string) {
 	if m.err == nil {
-		m.err = fmt.Errorf("value %d (%s) is missing or of the wrong kind", i, what)
+		m.err = fmt.Errorf("value %d (%s) is missing or of the wrong kind", i, field)
 	}
 }
 
 func (m *message) at(i int) any {
-	if i < len(m.v) {
-		return m.v[i]
+	if i < len(m.values) {
+		return m.values[i]
 	}
 	return nil
 }
 
-func (m *message) text(i int, what string) string {
+func (m *message) text(i int, field string) string {
 	s, ok := m.at(i).(string)
 	if !ok {
-		m.fail(i, what)
+		m.fail(i, field)
 	}
 	return s
 }
 
-func (m *message) num(i int, what string) float64 {
+func (m *message) float(i int, field string) float64 {
 	f, ok := m.at(i).(float64)
 	if !ok {
-		m.fail(i, what)
+		m.fail(i, field)
 	}
 	return f
 }
 
-// opt is a number that may be absent.
-func (m *message) opt(i int) float64 {
+// optionalFloat returns a number that may be absent; 0 if it is.
+func (m *message) optionalFloat(i int) float64 {
 	f, _ := m.at(i).(float64)
 	return f
 }
 
-// word is a text that may be absent.
-func (m *message) word(i int) string {
+// optionalText returns a text that may be absent; empty if it is.
+func (m *message) optionalText(i int) string {
 	s, _ := m.at(i).(string)
 	return s
 }
 
-func (m *message) int(i int, what string) int {
-	f := m.num(i, what)
+func (m *message) int(i int, field string) int {
+	f := m.float(i, field)
 	if f != float64(int(f)) {
-		m.fail(i, what)
+		m.fail(i, field)
 	}
 	return int(f)
 }
 
-func (m *message) bool(i int, what string) bool {
+func (m *message) bool(i int, field string) bool {
 	b, ok := m.at(i).(bool)
 	if !ok {
-		m.fail(i, what)
+		m.fail(i, field)
 	}
 	return b
 }
 
-func (m *message) list(i int, what string) []any {
+func (m *message) list(i int, field string) []any {
 	l, ok := m.at(i).([]any)
 	if !ok {
-		m.fail(i, what)
+		m.fail(i, field)
 	}
 	return l
 }
 
-func (m *message) hex(i int, what string) uint64 {
-	u, err := strconv.ParseUint(m.text(i, what), 16, 64)
+func (m *message) hex(i int, field string) uint64 {
+	u, err := strconv.ParseUint(m.text(i, field), 16, 64)
 	if err != nil {
-		m.fail(i, what)
+		m.fail(i, field)
 	}
 	return u
 }
