--- a/internal/policy/iface.go
+++ b/internal/policy/iface.go
@@ -20,47 +20,53 @@
 
 // Product is a kind of txn. Times are in ms.
 type Product struct {
-	SLA       float64
-	Value     float64
-	LateShare float64
-	Repeat    Repeat
-	Group     Group
-	Window    float64 // how long marks of a referenced product are remembered
+	SLA       float64 `json:"SLA"`
+	Value     float64 `json:"Value"`
+	LateShare float64 `json:"LateShare"`
+	Repeat    Repeat  `json:"Repeat"`
+	Group     Group   `json:"Group"`
+	Window    float64 `json:"Window"` // how long marks of a referenced product are remembered
 }
 
 // Plan is what a customer has signed for. Rates are in units a second; 0 means no such limit.
 type Plan struct {
-	Rate, Burst                    float64 // quota: fill and depth of the customer's store
-	CeilingRate, CeilingDepth      float64 // hard ceiling
-	Withheld                       float64 // part of its slice here that is not to be used now, 0 to 1
-	Open                           int     // submissions the customer may have out at once
-	Factor, ExcessShare, ExcessFee float64 // value multiplier; earned and paid beyond the quota, of the value
-	Credit                         float64 // s of the rate that may be borrowed; 0 is none
-	Repay                          float64 // ms within which that is paid back
+	Rate         float64 `json:"Rate"` // quota: fill and depth of the customer's store
+	Burst        float64 `json:"Burst"`
+	CeilingRate  float64 `json:"CeilingRate"` // hard ceiling
+	CeilingDepth float64 `json:"CeilingDepth"`
+	Withheld     float64 `json:"Withheld"` // part of its slice here that is not to be used now, 0 to 1
+	Open         int     `json:"Open"`     // submissions the customer may have out at once
+	Factor       float64 `json:"Factor"`   // value multiplier; earned and paid beyond the quota, of the value
+	ExcessShare  float64 `json:"ExcessShare"`
+	ExcessFee    float64 `json:"ExcessFee"`
+	Credit       float64 `json:"Credit"` // s of the rate that may be borrowed; 0 is none
+	Repay        float64 `json:"Repay"`  // ms within which that is paid back
 }
 
 // Charter is all that a gatekeeper is told at its start; some of it may change in service, see Recharter.
 // Times are in ms.
 type Charter struct {
-	Me, Gatekeepers int
-	Products        []Product
-	Plans           []Plan
-	LargestUnits    float64
-	MaxSubmissions  int
-	MayOverlap      bool // two submissions of a txn may be out together
-	MayWithdraw     bool
-	MayAdvise       bool    // a decline may say when to return
-	MaxAdvice       float64 // longest advice that clients heed
-	MayTell         bool    // peer messages are allowed
-	LoadTold        bool    // answers may carry the worker's load
-	PeerInPerS      float64 // messages a gatekeeper takes in a second
-	ReportsPerTell  int     // customer reports that fit one peer message
-	ColdFrom        float64 // a started worker's least share of its capacity
-	WarmUp          float64 // and the longest it takes to reach all of it
-	Tips, TipAfter  float64 // times what it can do that it bears, and until it falls beyond; 0 is not said
-	Whole           float64 // how much the service as a whole counts
-	WorstPlan       float64 // and how much the worst-served plan, and product
-	Narrow          bool    // quotas go by the slices that need no word of peers
+	Me             int       `json:"Me"`
+	Gatekeepers    int       `json:"Gatekeepers"`
+	Products       []Product `json:"Products"`
+	Plans          []Plan    `json:"Plans"`
+	LargestUnits   float64   `json:"LargestUnits"`
+	MaxSubmissions int       `json:"MaxSubmissions"`
+	MayOverlap     bool      `json:"MayOverlap"` // two submissions of a txn may be out together
+	MayWithdraw    bool      `json:"MayWithdraw"`
+	MayAdvise      bool      `json:"MayAdvise"`      // a decline may say when to return
+	MaxAdvice      float64   `json:"MaxAdvice"`      // longest advice that clients heed
+	MayTell        bool      `json:"MayTell"`        // peer messages are allowed
+	LoadTold       bool      `json:"LoadTold"`       // answers may carry the worker's load
+	PeerInPerS     float64   `json:"PeerInPerS"`     // messages a gatekeeper takes in a second
+	ReportsPerTell int       `json:"ReportsPerTell"` // customer reports that fit one peer message
+	ColdFrom       float64   `json:"ColdFrom"`       // a started worker's least share of its capacity
+	WarmUp         float64   `json:"WarmUp"`         // and the longest it takes to reach all of it
+	Tips           float64   `json:"Tips"`           // times what it can do that it bears, and until it falls beyond; 0 is not said
+	TipAfter       float64   `json:"TipAfter"`
+	Whole          float64   `json:"Whole"`     // how much the service as a whole counts
+	WorstPlan      float64   `json:"WorstPlan"` // and how much the worst-served plan, and product
+	Narrow         bool      `json:"Narrow"`    // quotas go by the slices that need no word of peers
 }
 
 // Posting is one worker of the list, by the index the host gave it.
--- a/internal/policy/sight.go
+++ b/internal/policy/sight.go
@@ -37,15 +37,17 @@
 
 // PlanSight is what it sees of the customers of one plan.
 type PlanSight struct {
-	Customers float64 // its part of them: each counts as one over the gatekeepers of its set
-	Demand    float64
-	Use       [len(UseSteps) + 1]float64 // demand here, by its customers' use at all gatekeepers
+	Customers float64                    `json:"Customers"` // its part of them: each counts as one over the gatekeepers of its set
+	Demand    float64                    `json:"Demand"`
+	Use       [len(UseSteps) + 1]float64 `json:"Use"` // demand here, by its customers' use at all gatekeepers
 }
 
 // SetSight is the demand here of a plan's customers that come through Size gatekeepers from First on.
 type SetSight struct {
-	Plan, First, Size int
-	Demand            float64
+	Plan   int     `json:"Plan"`
+	First  int     `json:"First"`
+	Size   int     `json:"Size"`
+	Demand float64 `json:"Demand"`
 }
 
 // Look writes what it sees over s, whose room is used again. It begins with from at nought and gives where it
