--- a/internal/serving/consensus/log.go
+++ b/internal/serving/consensus/log.go
@@ -2,8 +2,8 @@
 
 import "willowdeck/internal/serving/wirepb"
 
-// replicatedLog holds a snapshot and entries. Some entries that the snapshot covers are kept, so that a
-// replica which is a little behind needs no snapshot.
+// replicatedLog holds a snapshot and entries in memory. Some entries that the snapshot covers are retained,
+// so that a replica which lags a little needs no snapshot.
 type replicatedLog struct {
 	snapshot  *wirepb.Snapshot // never nil
 	baseIndex uint64           // of the entry before entries[0]; at most snapshot.Index
@@ -11,7 +11,8 @@
 	entries   []*wirepb.Entry
 }
 
-func newLog(stored Stored) replicatedLog {
+// newLog returns the log of a durable state.
+func newLog(stored DurableState) replicatedLog {
 	snapshot := stored.Snapshot
 	if snapshot == nil {
 		snapshot = &wirepb.Snapshot{}
@@ -30,7 +31,7 @@
 	return term
 }
 
-// term returns the term of the entry at index, and false where the log does not hold it.
+// term returns the term of the entry at index, and false if the log does not have it.
 func (l *replicatedLog) term(index uint64) (uint64, bool) {
 	if index == l.baseIndex {
 		return l.baseTerm, true
@@ -38,13 +39,15 @@
 	if index < l.baseIndex || index > l.lastIndex() {
 		return 0, false
 	}
-	return l.at(index).Term, true
+	return l.entryAt(index).Term, true
 }
 
-func (l *replicatedLog) at(index uint64) *wirepb.Entry { return l.entries[index-l.firstIndex()] }
+// entryAt returns the entry at an index, which the log must have.
+func (l *replicatedLog) entryAt(index uint64) *wirepb.Entry { return l.entries[index-l.firstIndex()] }
 
-// from returns the entries beginning at index, up to about limit bytes but at least one.
-func (l *replicatedLog) from(index uint64, limit int) []*wirepb.Entry {
+// entriesFrom returns the entries from index on, up to about limit bytes but at least one; none if the log
+// does not have index.
+func (l *replicatedLog) entriesFrom(index uint64, limit int) []*wirepb.Entry {
 	if index < l.firstIndex() || index > l.lastIndex() {
 		return nil
 	}
@@ -59,51 +62,51 @@
 	return tail[:len(tail):len(tail)]
 }
 
-// after returns all entries behind index, which the log must reach.
-func (l *replicatedLog) after(index uint64) []*wirepb.Entry {
+// entriesAfter returns all entries after index, which must not be before the base.
+func (l *replicatedLog) entriesAfter(index uint64) []*wirepb.Entry {
 	tail := l.entries[index-l.baseIndex:]
 	return tail[:len(tail):len(tail)]
 }
 
-// bytes returns the size of the entries between two indexes, the first one left out.
-func (l *replicatedLog) bytes(after, last uint64) int {
+// sizeBetween returns the size in bytes of the entries after one index and up to another.
+func (l *replicatedLog) sizeBetween(after, last uint64) int {
 	size := 0
 	for index := max(after, l.baseIndex) + 1; index <= min(last, l.lastIndex()); index++ {
-		size += len(l.at(index).Data)
+		size += len(l.entryAt(index).Data)
 	}
 	return size
 }
 
 func (l *replicatedLog) append(entries ...*wirepb.Entry) { l.entries = append(l.entries, entries...) }
 
-// truncate drops the entries at index and after it.
+// truncate removes the entries from index on.
 func (l *replicatedLog) truncate(index uint64) {
 	kept := l.entries[:index-l.firstIndex()]
 	l.entries = append([]*wirepb.Entry(nil), kept...)
 }
 
-// reset makes snapshot all that the log holds.
+// reset replaces the log by a snapshot.
 func (l *replicatedLog) reset(snapshot *wirepb.Snapshot) {
 	*l = replicatedLog{snapshot: snapshot, baseIndex: snapshot.Index, baseTerm: snapshot.Term}
 }
 
-// compact makes snapshot, which the log reaches, its snapshot, and keeps about keep bytes of the entries that
-// it covers.
-func (l *replicatedLog) compact(snapshot *wirepb.Snapshot, keep int) {
+// compact replaces the log's snapshot by one that the log reaches, and retains about retainBytes of the
+// entries that it covers.
+func (l *replicatedLog) compact(snapshot *wirepb.Snapshot, retainBytes int) {
 	l.snapshot = snapshot
 	base := snapshot.Index
 	for size := 0; base > l.baseIndex; base-- {
-		size += len(l.at(base).Data)
-		if size > keep {
+		size += len(l.entryAt(base).Data)
+		if size > retainBytes {
 			break
 		}
 	}
 	term, _ := l.term(base)
-	l.entries = append([]*wirepb.Entry(nil), l.after(base)...)
+	l.entries = append([]*wirepb.Entry(nil), l.entriesAfter(base)...)
 	l.baseIndex, l.baseTerm = base, term
 }
 
-// membership returns the newest membership that the log holds, committed or not, and its index.
+// membership returns the newest membership in the log, committed or not, and its index.
 func (l *replicatedLog) membership() (membership, uint64) {
 	return l.membershipAt(l.lastIndex())
 }
@@ -111,9 +114,9 @@
 // membershipAt returns the newest membership up to an index that is not before the snapshot's.
 func (l *replicatedLog) membershipAt(index uint64) (membership, uint64) {
 	for ; index > l.snapshot.Index; index-- {
-		if entry := l.at(index); entry.Kind == wirepb.EntryKind_ENTRY_MEMBERSHIP {
+		if entry := l.entryAt(index); entry.Kind == wirepb.EntryKind_ENTRY_MEMBERSHIP {
 			return decodeMembership(entry.Data), index
 		}
 	}
-	return membershipOf(l.snapshot.Membership), l.snapshot.Index
+	return membershipFromProto(l.snapshot.Membership), l.snapshot.Index
 }
--- a/internal/serving/control/golden_test.go
+++ b/internal/serving/control/golden_test.go
@@ -37,21 +37,21 @@
 
 // savingEnvironment keeps what is saved, and carries nothing else out.
 type savingEnvironment struct {
-	silentEnvironment
+	discardingEnvironment
 	saved []byte
 }
 
 func (v *savingEnvironment) SaveWorkers(data []byte, _ func()) { v.saved = data }
 
-// goldenEngine makes an engine, with an empty log and a clock that stands, of saved workers.
+// goldenEngine returns an engine with saved workers, an empty log and a stopped clock.
 func goldenEngine(t *testing.T, saved []byte) (*Engine, *savingEnvironment) {
 	t.Helper()
 	environment := &savingEnvironment{}
 	e, err := New(Options{
-		Identity: "10.0.0.1#founder", Life: goldenLife, Clock: func() time.Duration { return 0 },
-		AddressOf: func(host string) string { return host }, Consensus: consensus.Options{Seats: 2},
+		Identity: "10.0.0.1#founder", Incarnation: goldenLife, Clock: func() time.Duration { return 0 },
+		AddressOf: func(host string) string { return host }, Consensus: consensus.Options{Voters: 2},
 		Random: rand.New(rand.NewSource(1)), Logger: zap.NewNop(), SavedWorkers: saved,
-	}, consensus.Founding([]string{"10.0.0.1#founder", "10.0.0.2#founder"}), environment)
+	}, consensus.BootstrapState([]string{"10.0.0.1#founder", "10.0.0.2#founder"}), environment)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 func TestGoldenWorkers(t *testing.T) {
 	e, _ := goldenEngine(t, goldenFile(t, goldenWorkers))
 	held := map[string]*wirepb.Record{}
-	for _, entry := range e.Mirror().Snapshot().Entries {
+	for _, entry := range e.StateView().Snapshot().Entries {
 		held[entry.Record.Key] = entry.Record
 	}
 	keys := []string{"w-1", "w-2", "w-3", "w-draining", "w-gone", "w-unconfirmed"}
@@ -114,9 +114,9 @@
 // goldenStatusValue has no field that is zero.
 func goldenStatusValue() Status {
 	return Status{
-		Replica: "10.0.0.1#a", Leader: "10.0.0.2#b", Epoch: 3, InTouch: true,
-		Members: []string{"10.0.0.2#b", "10.0.0.3#c"}, Waits: "catching up",
-		Learners: []LearnerStatus{{Replica: "10.0.0.4#d", WaitsS: 1.5, Index: 40, CaughtUp: true}},
+		Replica: "10.0.0.1#a", Leader: "10.0.0.2#b", Term: 3, InSync: true,
+		Members: []string{"10.0.0.2#b", "10.0.0.3#c"}, WaitReason: "catching up",
+		Learners: []LearnerStatus{{Replica: "10.0.0.4#d", WaitSeconds: 1.5, Index: 40, CaughtUp: true}},
 		Index:    41, Generation: 7, Evacuated: []string{"z"},
 		Edges: []EdgeStatus{{
 			Name: "edge-1", Address: "10.0.2.1:80", Zone: "a", Ready: true, Linked: true, Generation: 6,
@@ -127,7 +127,7 @@
 	}
 }
 
-// TestGoldenStatus pins the keys of /status, and their order.
+// TestGoldenStatus pins the keys of /status and their order.
 func TestGoldenStatus(t *testing.T) {
 	text, err := json.MarshalIndent(goldenStatusValue(), "", "  ")
 	if err != nil {
@@ -138,7 +138,7 @@
 	}
 }
 
-// TestGoldenWorkerStates pins the words for states of workers in /status.
+// TestGoldenWorkerStates pins the states of workers in /status.
 func TestGoldenWorkerStates(t *testing.T) {
 	e, _ := goldenEngine(t, goldenFile(t, goldenWorkers))
 	status := e.Status()
--- a/internal/serving/core/environment.go
+++ b/internal/serving/core/environment.go
@@ -13,12 +13,12 @@
 type environment struct{ core *Core }
 
 // Write appends a batch to the log.
-func (v *environment) Write(batch consensus.Persist, done func()) {
+func (v *environment) Write(batch consensus.WriteBatch, done func()) {
 	v.core.diskWriter.submit(diskTask{batch: batch, done: done})
 }
 
 // Rewrite replaces the content of the log.
-func (v *environment) Rewrite(state consensus.Stored, done func()) {
+func (v *environment) Rewrite(state consensus.DurableState, done func()) {
 	v.core.diskWriter.submit(diskTask{rewrite: &state, done: done})
 }
 
--- a/internal/serving/wal/store.go
+++ b/internal/serving/wal/store.go
@@ -6,14 +6,14 @@
 // be replaced by a complete one. It is not safe for concurrent use.
 type Store struct {
 	log   *Log
-	state consensus.Stored // what the log has to contain, including batches whose write has failed
+	state consensus.DurableState // what the log has to contain, including batches whose write has failed
 }
 
 // NewStore returns a store of an open log and the state that it contains.
-func NewStore(log *Log, state consensus.Stored) *Store { return &Store{log: log, state: state} }
+func NewStore(log *Log, state consensus.DurableState) *Store { return &Store{log: log, state: state} }
 
 // Write makes batches durable. After an error none of them may be acknowledged before Repair has succeeded.
-func (s *Store) Write(batches []consensus.Persist) error {
+func (s *Store) Write(batches []consensus.WriteBatch) error {
 	for _, batch := range batches {
 		if err := s.state.Apply(batch); err != nil {
 			return err
@@ -27,7 +27,7 @@
 
 // Rewrite begins a new segment that contains exactly state, as after a compaction. After an error none of it
 // may be acknowledged before Repair has succeeded.
-func (s *Store) Rewrite(state consensus.Stored) error {
+func (s *Store) Rewrite(state consensus.DurableState) error {
 	s.state = state
 	return s.Repair()
 }
--- /dev/null
+++ b/internal/supervisor/daemon.go
@@ -0,0 +1,279 @@
+package supervisor
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"os"
+	"reflect"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/rs/zerolog"
+)
+
+const (
+	// checkInterval is how often processes are health checked: a fifth of the shortest backoff, at some 0.1 ms
+	// of a core for each process.
+	checkInterval = 50 * time.Millisecond
+	// adminTimeout bounds a request to an instance's admin port.
+	adminTimeout = time.Second
+	// idleWake is what the wake-up timer is set to before the first action.
+	idleWake = time.Hour
+)
+
+// Daemon keeps the instances of one host. Its methods are safe for concurrent use.
+type Daemon struct {
+	log        zerolog.Logger
+	program    string // path of the gateway's program
+	httpClient http.Client
+	startedAt  time.Time // origin of the reconciler's clock
+
+	mu               sync.Mutex // guards the fields of this group
+	reconciler       *Reconciler
+	settings         *Settings
+	slots            map[string]*instanceSlot // by the instance's name
+	processes        map[int]*processRecord   // by process number
+	orphans          []*processRecord         // adopted to be stopped; they belong to no instance
+	wakeTimer        *time.Timer
+	allStoppedClosed bool
+
+	allStopped chan struct{} // closed once all processes have ended after Stop
+	loopEnded  chan struct{} // closed by run
+
+	forecasts        *forecastCollector // nil if there is no region; set by NewDaemon alone
+	rules            *rulesParticipant  // nil if there is no ruleset; set by NewDaemon alone
+	instanceByPID    sync.Map           // PID (int) of each running process to its instance's name (string)
+	addressOverrides atomic.Pointer[map[string]map[string]string]
+}
+
+// instanceSlot is what an instance has besides its processes. The lock of the daemon guards it.
+type instanceSlot struct {
+	instance   Instance
+	listener   *os.File // for clients; held by the daemon, and passed to each process; nil until the first start
+	adminIndex int      // of the current process's address in Instance.AdminAddresses
+}
+
+// NewDaemon starts a daemon: it adopts the processes that an earlier daemon has left, and starts the others.
+func NewDaemon(settings *Settings, log zerolog.Logger) (*Daemon, error) {
+	d := &Daemon{
+		log:        log,
+		program:    settings.Program,
+		settings:   settings,
+		slots:      map[string]*instanceSlot{},
+		processes:  map[int]*processRecord{},
+		startedAt:  time.Now(),
+		allStopped: make(chan struct{}),
+		loopEnded:  make(chan struct{}),
+		reconciler: NewReconciler(settings.Policy, time.Now().UnixNano()),
+		httpClient: http.Client{Timeout: adminTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+	}
+	if d.program == "" {
+		self, err := os.Executable()
+		if err != nil {
+			return nil, err
+		}
+		d.program = self
+	}
+	if err := os.MkdirAll(settings.RunDir, 0o700); err != nil {
+		return nil, fmt.Errorf("run_dir: %w", err)
+	}
+	if settings.Rules != nil {
+		if err := d.joinRules(settings); err != nil {
+			return nil, err
+		}
+		d.addressOverrides.Store(&settings.Rules.AddressOverrides)
+	}
+	d.wakeTimer = time.NewTimer(idleWake)
+	d.mu.Lock()
+	d.setDesired(settings)
+	d.adopt()
+	if d.rules != nil && d.rules.subscription != nil {
+		d.rules.subscription.setUpstreams(settings.Rules.Relay.Upstreams)
+	}
+	d.reconcile()
+	d.mu.Unlock()
+	if settings.Region != "" {
+		d.forecasts = d.newForecastCollector()
+		go d.forecasts.run(d)
+	}
+	go d.run()
+	if d.rules != nil {
+		go d.followRules()
+	}
+	return d, nil
+}
+
+// nowMillis returns the time on the reconciler's clock, in milliseconds.
+func (d *Daemon) nowMillis() float64 {
+	return float64(time.Since(d.startedAt)) / float64(time.Millisecond)
+}
+
+// reconcile performs the reconciler's actions until there is none. The caller holds the lock.
+func (d *Daemon) reconcile() {
+	d.reconciler.SetTime(d.nowMillis())
+	for {
+		action, ok := d.reconciler.Next()
+		if !ok {
+			return
+		}
+		switch action.Kind {
+		case StartProcess:
+			if err := d.spawn(action.Instance, action.ProcessNumber); err != nil {
+				d.log.Error().Err(err).Str("instance", action.Instance).Msg("instance process not started")
+				d.reconciler.ProcessEnded(action.Instance, action.ProcessNumber)
+			}
+		case TerminateProcess:
+			d.signal(action.ProcessNumber, syscall.SIGTERM)
+		case KillProcess:
+			d.log.Warn().Str("instance", action.Instance).Msg("instance process killed after its time-out")
+			d.signal(action.ProcessNumber, syscall.SIGKILL)
+		case ReloadProcess:
+			if err := d.reloadProcess(action.Instance, action.ProcessNumber); err != nil {
+				d.log.Error().Err(err).Str("instance", action.Instance).Msg("instance process not reloaded")
+			}
+		case WakeUp:
+			d.wakeTimer.Reset(time.Duration((action.AtMillis - d.nowMillis()) * float64(time.Millisecond)))
+			return
+		case AllStopped:
+			if !d.allStoppedClosed {
+				d.allStoppedClosed = true
+				close(d.allStopped)
+			}
+			return
+		}
+	}
+}
+
+// run checks processes and reconciles until all have stopped.
+func (d *Daemon) run() {
+	defer close(d.loopEnded)
+	ticker := time.NewTicker(checkInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-d.allStopped:
+			return
+		case <-d.wakeTimer.C:
+		case <-ticker.C:
+			d.checkProcesses()
+		}
+		d.mu.Lock()
+		d.reconcile()
+		d.mu.Unlock()
+	}
+}
+
+// setDesired makes the instances of the settings the desired ones. The caller holds the lock. An instance has
+// changed if its configuration has.
+func (d *Daemon) setDesired(settings *Settings) {
+	var names []string
+	changed := map[string]ConfigChange{}
+	for _, instance := range settings.Instances {
+		names = append(names, instance.Name)
+		slot := d.slots[instance.Name]
+		switch {
+		case slot == nil:
+			slot = &instanceSlot{}
+			d.slots[instance.Name] = slot
+		case bytes.Equal(slot.instance.Config, instance.Config):
+		case !settings.PeerBootstrap: // instances then do not report the membership that they have loaded
+			changed[instance.Name] = RestartNeeded
+		default:
+			changed[instance.Name] = classifyChange(slot.instance.Config, instance.Config)
+		}
+		if slot.listener != nil && slot.instance.ListenAddress != instance.ListenAddress {
+			_ = slot.listener.Close()
+			slot.listener = nil
+		}
+		slot.instance = instance
+	}
+	d.settings = settings
+	d.reconciler.SetPolicy(settings.Policy)
+	d.reconciler.SetDesired(names, changed)
+}
+
+// classifyChange returns in what two configurations of an instance, which differ, do so.
+func classifyChange(old, updated []byte) ConfigChange {
+	var a, b map[string]any
+	if json.Unmarshal(old, &a) != nil || json.Unmarshal(updated, &b) != nil {
+		return RestartNeeded
+	}
+	for _, document := range []map[string]any{a, b} {
+		delete(document, "peers")
+		if settings, ok := document["settings"].(map[string]any); ok {
+			delete(settings, "balancers")
+		}
+	}
+	if reflect.DeepEqual(a, b) {
+		return MembershipChanged
+	}
+	return RestartNeeded
+}
+
+// instanceNames returns the names of the desired instances. The caller holds the lock.
+func (d *Daemon) instanceNames() (names []string) {
+	for _, instance := range d.settings.Instances {
+		names = append(names, instance.Name)
+	}
+	return names
+}
+
+// Reload puts settings in force that have been loaded again; err is the error of loading them. Settings that
+// could not be loaded, or that change what cannot change while the daemon runs, leave the old ones in force.
+func (d *Daemon) Reload(settings *Settings, err error) {
+	if err == nil &&
+		(settings.RunDir != d.settings.RunDir || settings.ControlAddress != d.settings.ControlAddress ||
+			settings.Name != d.settings.Name || settings.Region != d.settings.Region) {
+		err = errors.New("name, run_dir, control and hall can't change while the daemon runs")
+	}
+	if err != nil {
+		d.log.Error().Err(err).Msg("settings not reloaded, the old ones stay in force")
+		return
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if err := d.reloadRules(settings); err != nil {
+		d.log.Error().Err(err).Msg("settings not reloaded, the old ones stay in force")
+		return
+	}
+	if d.rules != nil { // the version in force names the instances, whatever the file proposes
+		d.addressOverrides.Store(&settings.Rules.AddressOverrides)
+		settings.Instances, settings.fleetSize = d.settings.Instances, d.settings.fleetSize
+		d.settings = settings
+		err = d.applyRules()
+	} else {
+		d.setDesired(settings)
+	}
+	if err != nil {
+		d.log.Error().Err(err).Msg("rules in force cannot be applied on this host: instances stay as they are")
+	}
+	d.reconcile()
+	d.log.Info().Int("instances", len(settings.Instances)).Msg("settings reloaded")
+}
+
+// Stop stops all instances, and returns once their processes have ended.
+func (d *Daemon) Stop() {
+	d.mu.Lock()
+	d.reconciler.Stop()
+	d.reconcile()
+	d.mu.Unlock()
+	<-d.loopEnded
+	for _, slot := range d.slots {
+		if slot.listener != nil {
+			_ = slot.listener.Close()
+		}
+	}
+	d.leaveRules()
+}
+
+// Statuses returns the status of each instance.
+func (d *Daemon) Statuses() []InstanceStatus {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.reconciler.Statuses()
+}
--- /dev/null
+++ b/internal/supervisor/forecast_test.go
@@ -0,0 +1,516 @@
+package supervisor
+
+import (
+	"context"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"math"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"willowdeck/internal/forecast"
+	"willowdeck/internal/lab/loadgen"
+	"willowdeck/internal/lab/workload"
+	"willowdeck/internal/testkit/fakes"
+	"willowdeck/internal/testkit/faultinject"
+)
+
+var longForecast = flag.Bool(
+	"foresee",
+	false,
+	"all kinds of a region's loss, until quota shares have moved; takes minutes",
+)
+
+// threeRegions is three regions of real gateways with fake workers, all links between regions through
+// proxies, and a daemon in each region that makes the forecast.
+type threeRegions struct {
+	t        *testing.T
+	network  *faultinject.Net
+	workers  [3][]*fakes.Worker
+	gateways []*faultinject.Process // number i is in region i % 3
+	targets  []string
+	daemons  []*Daemon
+	servers  []*ControlServer
+}
+
+const (
+	gatewayCount      = 6
+	workersPerRegion  = 2 // of a region
+	coresPerWorker    = 2
+	workerServiceTime = 40 * time.Millisecond
+)
+
+var productValues = []float64{1, 2, 4}
+
+// regionName is the name of the region of gateway or region i.
+func regionName(i int) string { return fmt.Sprintf("hall%d", i%3) }
+
+// newThreeRegions starts the regions; rate is that of each customer's quota.
+func newThreeRegions(t *testing.T, rate float64) *threeRegions {
+	t.Helper()
+	r := &threeRegions{t: t, network: faultinject.NewNet(t, 1)}
+	for h := range 3 {
+		for i := range workersPerRegion {
+			worker, err := fakes.NewWorker(fmt.Sprintf("w%d-%d", h, i), workerServiceTime)
+			if err != nil {
+				t.Fatal(err)
+			}
+			worker.Cores(coresPerWorker)
+			t.Cleanup(worker.Close)
+			r.workers[h] = append(r.workers[h], worker)
+		}
+	}
+	var discoveries [3]*fakes.Discovery
+	for h := range 3 {
+		var entries []fakes.Entry
+		for o := range 3 {
+			for _, worker := range r.workers[o] {
+				e := worker.Of(regionName(o))
+				if o != h {
+					e.Address = r.network.Stream(regionName(h), regionName(o), worker.At)
+				}
+				entries = append(entries, e)
+			}
+		}
+		d, err := fakes.NewDiscovery(entries...)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(d.Close)
+		discoveries[h] = d
+	}
+	basePort := faultinject.Ports(t, 3*gatewayCount)
+	var names []string
+	at := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", basePort+i) }
+	for i := range gatewayCount {
+		names = append(names, fmt.Sprintf("g%d", i))
+		r.network.Place(names[i], netip.MustParseAddrPort(at(2*gatewayCount+i)))
+		r.targets = append(r.targets, at(i))
+	}
+	var adminAddresses [3][]string
+	for i, name := range names {
+		adminAddresses[i%3] = append(adminAddresses[i%3], at(gatewayCount+i))
+		b, err := json.Marshal(map[string]any{"name": name, "listen": at(i), "control": at(gatewayCount + i),
+			"discovery": discoveries[i%3].At, "known": discoveries[i%3].List(), "seed": "5",
+			"peer_listen": at(2*gatewayCount + i), "peers": r.network.Peers(name, names),
+			"limits": map[string]any{"sockets": 512, "memory_mb": 64}, "settings": gatewaySettings(i, rate)})
+		if err != nil {
+			t.Fatal(err)
+		}
+		dir := t.TempDir()
+		file := filepath.Join(dir, "config.json")
+		if err := os.WriteFile(file, b, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		r.gateways = append(r.gateways, faultinject.Start(t, faultinject.Spec{Name: name, Dir: dir,
+			Args: []string{"serve", "--config", file, "--hall", regionName(i), "--host", "d" + regionName(i),
+				"--group", "trio"}}))
+	}
+	for i := range names {
+		if err := faultinject.Healthy(at(gatewayCount+i), 10*time.Second); err != nil {
+			t.Fatalf("%s: %v", names[i], err)
+		}
+	}
+	r.startDaemons(adminAddresses)
+	return r
+}
+
+// startDaemons starts a daemon in each region, which keeps no instance and asks those at the admin addresses.
+func (r *threeRegions) startDaemons(adminAddresses [3][]string) {
+	basePort := faultinject.Ports(r.t, 3)
+	quoted := func(all []string) string { return "[\"" + strings.Join(all, "\", \"") + "\"]" }
+	for h := range 3 {
+		var others []string
+		for o := range 3 {
+			if o != h {
+				others = append(others, fmt.Sprintf("127.0.0.1:%d", basePort+o))
+			}
+		}
+		dir := r.t.TempDir()
+		file := filepath.Join(dir, "fleet.toml")
+		text := fmt.Sprintf("name = %q\ninstances = 0\nrun_dir = \"run\"\ncontrol = \"127.0.0.1:%d\"\nhall = %q\n"+
+			"[outlook]\neach_ms = 100\nneighbours = %s\nask = %s\nworker_cores = %d\nway_ms = 1\n", "d"+regionName(h),
+			basePort+h, regionName(h), quoted(others), quoted(adminAddresses[h]), coresPerWorker)
+		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+			r.t.Fatal(err)
+		}
+		settings, err := LoadSettings(file)
+		if err != nil {
+			r.t.Fatal(err)
+		}
+		daemon, err := NewDaemon(settings, zerolog.Nop())
+		if err != nil {
+			r.t.Fatal(err)
+		}
+		r.t.Cleanup(daemon.Stop)
+		server, err := daemon.ServeControl()
+		if err != nil {
+			r.t.Fatal(err)
+		}
+		r.t.Cleanup(server.Close)
+		r.daemons, r.servers = append(r.daemons, daemon), append(r.servers, server)
+	}
+}
+
+// gatewaySettings are the settings of one gateway.
+func gatewaySettings(index int, rate float64) map[string]any {
+	return map[string]any{"me": index, "balancers": gatewayCount,
+		"classes": []map[string]any{
+			{"name": "check", "aim_us": 500e3, "effect": "read_like", "worth": productValues[0]},
+			{"name": "sale", "aim_us": 500e3, "effect": "idempotency_key", "group": "all", "window_us": 5e6,
+				"worth": productValues[1]},
+			{"name": "issue", "aim_us": 500e3, "effect": "non_idempotent", "worth": productValues[2]}},
+		"tariffs": []map[string]any{{"name": "basic", "rate": rate, "most_at_once": 2 * rate, "worth_factor": 1}},
+		"allowed": map[string]any{"max_attempts": 3, "cancel": true, "retry_after": true, "max_retry_after_us": 9e6,
+			"keepalive_us": 5e6, "connect_timeout_us": 100e3, "peers": true},
+		"family_info": map[string]any{"largest": 1, "peer_in_per_s": 200},
+		"safety":      map[string]any{"answer_slack_us": 5000}, "score_parts": map[string]any{"whole": 1}}
+}
+
+// get gets a page of a daemon's control port.
+func (r *threeRegions) get(daemon int, path string) string {
+	text, err := faultinject.Ask(r.servers[daemon].Address, path)
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	return text
+}
+
+// waitForAgreement waits until all daemons have the same reports of all gateways, and fails unless their
+// forecasts are then the same, byte for byte.
+func (r *threeRegions) waitForAgreement() *forecast.Outlook {
+	var projection forecast.Outlook
+	faultinject.Until(r.t, 10*time.Second, "the daemons do not have the same reports", func() bool {
+		var texts [3]string
+		var basis [3]string
+		for i := range 3 {
+			var each forecast.Outlook
+			texts[i] = r.get(i, "/fleet/outlook")
+			if err := json.Unmarshal([]byte(texts[i]), &each); err != nil {
+				r.t.Fatal(err)
+			}
+			basis[i] = fmt.Sprint(each.Rests)
+			projection = each
+		}
+		if basis[0] != basis[1] || basis[1] != basis[2] || len(projection.Rests) != gatewayCount ||
+			projection.Now.Value == 0 {
+			return false
+		}
+		for i := range 3 {
+			if texts[i] != texts[0] {
+				r.t.Fatalf("the same reports, and not the same forecast:\n%s\n%s", texts[0], texts[i])
+			}
+		}
+		return true
+	})
+	return &projection
+}
+
+// requestOutcomes are the outcomes of requests, by when they were due.
+type requestOutcomes struct {
+	mu        sync.Mutex
+	dueMillis []float64 // ms
+	value     []float64
+	settled   []bool
+}
+
+// settledShare returns the settled share of the value that was due in a span, and that value per second.
+func (s *requestOutcomes) settledShare(from, to float64) (share, valuePerSecond float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	all, got := 0.0, 0.0
+	for i, at := range s.dueMillis {
+		if at >= from && at < to {
+			if all += s.value[i]; s.settled[i] {
+				got += s.value[i]
+			}
+		}
+	}
+	return got / math.Max(all, 1e-9), all / (to - from) * 1000
+}
+
+// startLoad sends a steady load for endS seconds: until the loss to all gateways, and then, if some are lost,
+// to the next one of each set that is up.
+func (r *threeRegions) startLoad(
+	perSecond, lossSeconds, endSeconds float64,
+	lost func(i int) bool,
+) (*requestOutcomes, func()) {
+	group := workload.Group{
+		Customers: 12,
+		Rate:      perSecond / 12,
+		Products:  []float64{6, 3, 1},
+		Units:     1,
+		Spread:    3,
+	}
+	arrivals := workload.Plan([]workload.Group{group}, nil, endSeconds*1000, 7)
+	outcomes := &requestOutcomes{}
+	var done sync.WaitGroup
+	for part := range 2 {
+		var mine []workload.Arrival
+		base := 0
+		for _, a := range arrivals {
+			if late := a.At >= lossSeconds*1000; late != (part == 1) {
+				continue
+			}
+			first := int(
+				uint64(a.Customer+1) * 0x9E3779B97F4A7C15 >> 33 % gatewayCount,
+			) // as the load generator chooses it
+			for a.Set %= 3; part == 1 && lost((first+a.Set)%gatewayCount); a.Set = (a.Set + 1) % 3 {
+			}
+			mine = append(mine, a)
+		}
+		outcomes.mu.Lock()
+		base = len(outcomes.dueMillis)
+		for _, a := range mine {
+			outcomes.dueMillis, outcomes.value, outcomes.settled = append(
+				outcomes.dueMillis,
+				a.At,
+			), append(
+				outcomes.value,
+				productValues[a.Product],
+			), append(
+				outcomes.settled,
+				false,
+			)
+		}
+		outcomes.mu.Unlock()
+		job := &loadgen.Job{Arrivals: mine, Targets: r.targets, Spread: 3, Plans: []string{"basic"}, Most: 2000,
+			Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 500 * time.Millisecond},
+				{Name: "sale", Repeat: "referenced", Waits: 500 * time.Millisecond, Body: 20},
+				{Name: "issue", Repeat: "once", Waits: 500 * time.Millisecond, Body: 20}},
+			Each: func(i int, o loadgen.Outcome, _ time.Duration) {
+				outcomes.mu.Lock()
+				outcomes.settled[base+i] = o == loadgen.Settled
+				outcomes.mu.Unlock()
+			}}
+		done.Add(1)
+		go func() {
+			defer done.Done()
+			if _, err := job.Run(context.Background()); err != nil {
+				r.t.Error(err)
+			}
+		}()
+	}
+	return outcomes, done.Wait
+}
+
+// applyLoss takes down what a loss takes.
+func (r *threeRegions) applyLoss(loss forecast.Loss) {
+	for h := range 3 {
+		lost := slices.Contains(loss.Halls, regionName(h))
+		switch {
+		case lost && loss.Kind == forecast.Links:
+			for o := range 3 {
+				if o != h {
+					r.network.Part(regionName(h), regionName(o), faultinject.Silent)
+				}
+			}
+			for i := range gatewayCount {
+				for k := range i {
+					if (i%3 == h) != (k%3 == h) {
+						r.network.Part(fmt.Sprintf("g%d", i), fmt.Sprintf("g%d", k), faultinject.Silent)
+					}
+				}
+			}
+			continue
+		case lost && loss.Kind != forecast.Keepers:
+			for _, w := range r.workers[h] {
+				w.Down()
+			}
+			for o := range 3 { // a proxy accepts connections for workers that are down
+				if o != h {
+					r.network.Part(regionName(h), regionName(o), faultinject.Reset)
+				}
+			}
+		case !lost && loss.Kind == forecast.Slowed:
+			for _, w := range r.workers[h] {
+				w.Takes(2 * workerServiceTime)
+			}
+		}
+		if lost {
+			for i := h; i < gatewayCount; i += 3 {
+				if err := r.gateways[i].Kill(); err != nil {
+					r.t.Fatal(err)
+				}
+			}
+		}
+	}
+}
+
+// TestForecastMatchesMeasuredLoss compares the daemons' forecast of a loss, with real processes in three
+// regions, with what clients got and workers received. The usual form has one loss over some seconds, with
+// wide bounds.
+func TestForecastMatchesMeasuredLoss(t *testing.T) {
+	type scenario struct {
+		kind                       forecast.Kind
+		perSecond, measuredSeconds float64
+		rate                       float64 // quota of each of twelve customers
+		regions                    []string
+	}
+	one, two := []string{regionName(1)}, []string{regionName(1), regionName(2)}
+	scenarios := []scenario{{forecast.Whole, 210, 4, 30, one}}
+	if *longForecast {
+		scenarios = nil
+		for k := forecast.Whole; k <= forecast.Slowed; k++ {
+			for _, perSecond := range []float64{140, 210, 270} {
+				scenarios = append(scenarios, scenario{k, perSecond, 16, 40, one})
+			}
+			scenarios = append(scenarios, scenario{k, 140, 16, 40, two})
+			scenarios = append(scenarios, scenario{k, 180, 16, 16, one})
+		}
+	}
+	for _, s := range scenarios {
+		t.Run(
+			fmt.Sprintf("%v at %v of %v, %d", s.kind, s.perSecond, 12*s.rate, len(s.regions)),
+			func(t *testing.T) {
+				r := newThreeRegions(t, s.rate)
+				loss := forecast.Loss{Kind: s.kind, Halls: s.regions}
+				warmUpSeconds := 4.0
+				if *longForecast {
+					warmUpSeconds = 11
+				}
+				outcomes, wait := r.startLoad(
+					s.perSecond,
+					warmUpSeconds,
+					warmUpSeconds+s.measuredSeconds,
+					func(i int) bool {
+						return s.kind != forecast.Links && slices.Contains(s.regions, regionName(i))
+					},
+				)
+				began := time.Now()
+				time.Sleep(time.Until(began.Add(time.Duration((warmUpSeconds - 1) * float64(time.Second)))))
+				projection := r.waitForAgreement()
+				time.Sleep(time.Until(began.Add(time.Duration(warmUpSeconds * float64(time.Second)))))
+				r.applyLoss(loss)
+				lossTime := time.Now()
+				wait()
+				r.checkForecast(projection, loss, outcomes, warmUpSeconds*1000, s.measuredSeconds*1000, lossTime)
+			},
+		)
+	}
+}
+
+// TestInstancesReport checks that a daemon has its instances report, collects the reports, and finds each
+// under the name that it gave.
+func TestInstancesReport(t *testing.T) {
+	f := newTestFleet(t, 2)
+	f.writeFleetFile(2, "hall = \"z\"")
+	text, err := os.ReadFile(f.file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text = append(text, "[outlook]\neach_ms = 100\nworker_cores = 4\n"...)
+	if err := os.WriteFile(f.file, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	daemon := f.startDaemon()
+	defer daemon.Stop()
+	server, err := daemon.ServeControl()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer server.Close()
+	f.waitReady(daemon, 2)
+	var arrivals []workload.Arrival
+	for i := range 300 {
+		arrivals = append(
+			arrivals,
+			workload.Arrival{At: float64(10 * i), Customer: i % 5, Product: i % 3, Units: 1, Set: i},
+		)
+	}
+	job := &loadgen.Job{Arrivals: arrivals, Targets: f.targets(2), Spread: 2, Plans: []string{"basic", "capped"},
+		Most: 100, Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond},
+			{Name: "sale", Repeat: "referenced", Waits: 400 * time.Millisecond, Body: 20},
+			{Name: "issue", Repeat: "once", Waits: 400 * time.Millisecond, Body: 20}}}
+	if _, err := job.Run(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	var projection forecast.Outlook
+	faultinject.Until(t, 10*time.Second, "no reports of both instances with answers in them", func() bool {
+		text, err := faultinject.Ask(server.Address, "/fleet/outlook")
+		return err == nil && json.Unmarshal([]byte(text), &projection) == nil && len(projection.Rests) == 2 &&
+			projection.Now.InTime > 20 &&
+			len(projection.Losses) > 0
+	})
+	if s := projection.Rests[0]; s.Name != "g-0" || s.Host != "g" || s.Hall != "z" ||
+		len(projection.Unheard) != 0 {
+		t.Errorf("%+v, unheard %v", projection.Rests, projection.Unheard)
+	}
+	page, err := faultinject.Ask(server.Address, "/fleet/outlook?form=text")
+	if err != nil || !strings.Contains(page, "rests on 2 words") || !strings.Contains(page, "loss of hall: z") {
+		t.Errorf("%v: %s", err, page)
+	}
+	t.Log(page)
+	if stats, err := faultinject.Ask(server.Address, "/fleet/stats"); err != nil ||
+		!strings.Contains(stats, "fleet.outlook.words=2") {
+		t.Errorf("%v: %s", err, stats)
+	}
+}
+
+// checkForecast compares a forecast with what was measured.
+func (r *threeRegions) checkForecast(
+	projection *forecast.Outlook,
+	loss forecast.Loss,
+	outcomes *requestOutcomes,
+	at, span float64,
+	lossTime time.Time,
+) {
+	t := r.t
+	for _, c := range projection.Losses {
+		if !c.Loss.Same(loss) {
+			continue
+		}
+		before, _ := outcomes.settledShare(at-3000, at)
+		after, askedPerSecond := outcomes.settledShare(at, at+span)
+		measuredLoss := (before - after) * askedPerSecond
+		forecastLoss := c.First.Lost + c.AtOnce/span*1000
+		t.Logf(
+			"%v: asked %.1f, loss forecast %.1f, measured %.1f, error %.3f of asked",
+			loss.Kind,
+			askedPerSecond,
+			forecastLoss,
+			measuredLoss,
+			(forecastLoss-measuredLoss)/askedPerSecond,
+		)
+		if math.Abs(forecastLoss-measuredLoss) > 0.3*askedPerSecond {
+			t.Errorf("forecast %v of %v, measured %v", forecastLoss, askedPerSecond, measuredLoss)
+		}
+		for region, forecastRegion := range c.First.Halls {
+			n := 0
+			for _, w := range r.workers[region] {
+				for _, g := range w.Got() {
+					if d := g.At.Sub(lossTime); d >= 0 && d < time.Duration(span)*time.Millisecond {
+						n++
+					}
+				}
+			}
+			measuredPerSecond := float64(n) / span * 1000
+			t.Logf(
+				"  %s: forecast %.1f/s, measured %.1f/s, use forecast %.2f",
+				forecastRegion.Name,
+				forecastRegion.Run,
+				measuredPerSecond,
+				forecastRegion.Use,
+			)
+			if forecastRegion.Workers > 0 && math.Abs(forecastRegion.Run-measuredPerSecond) > 0.5*measuredPerSecond {
+				t.Errorf(
+					"%s: forecast %v a second, measured %v",
+					forecastRegion.Name,
+					forecastRegion.Run,
+					measuredPerSecond,
+				)
+			}
+		}
+		return
+	}
+	t.Fatalf("no forecast of %v: %v", loss, projection.Unknown)
+}
