--- a/internal/forwardauth/authorizer/vouch.go
+++ b/internal/forwardauth/authorizer/vouch.go
@@ -29,7 +29,7 @@
 // Voucher serves txns that a service has to vouch for.
 type Voucher struct {
 	asking  *config.Asking
-	charter policy.Charter
+	charter policy.Settings
 	gate    *proxy.Proxy
 	client  *fasthttp.HostClient
 	flight  singleflight.Group
@@ -56,7 +56,7 @@
 var countNames = [counts]string{"yes", "no", "recalled", "trouble", "shut", "late", "left", "open"}
 
 // New makes a voucher over a gate. The seed is for its pauses.
-func New(a *config.Asking, charter policy.Charter, g *proxy.Proxy, seed int64) *Voucher {
+func New(a *config.Asking, charter policy.Settings, g *proxy.Proxy, seed int64) *Voucher {
 	limit := transport.Millis(a.Terms.Limit)
 	return &Voucher{asking: a, charter: charter, gate: g, service: authcache.NewService(a.Terms, seed),
 		client: &fasthttp.HostClient{Addr: a.Service, MaxConns: a.Connections, MaxConnWaitTimeout: limit,
@@ -104,7 +104,7 @@
 	if err != nil {
 		return refusal(fasthttp.StatusBadRequest, nil, err.Error())
 	}
-	asked, patience := v.gate.Now(), v.service.Patience(t.Left)
+	asked, patience := v.gate.Now(), v.service.Patience(t.TimeLeftMillis)
 	var hold *proxy.Reservation // of one that does not say whose it is there is nothing to keep yet
 	if !t.Nameless {
 		var end transport.Final
@@ -116,8 +116,8 @@
 	if end != nil {
 		return *end
 	}
-	if !t.Streams {
-		t.Left = math.Max(t.Left-(v.gate.Now()-asked), 0)
+	if !t.StreamsBody {
+		t.TimeLeftMillis = math.Max(t.TimeLeftMillis-(v.gate.Now()-asked), 0)
 	}
 	return v.settle(t, hold, w)
 }
@@ -142,9 +142,9 @@
 	case r := <-came:
 		return r.Val.(word), nil
 	case w := <-over:
-		if w.Decision.Kind == policy.Void {
+		if w.Decision.Kind == policy.RejectUncertain {
 			v.counts[left].Add(1)
-			return word{}, &transport.Final{Kind: policy.Void}
+			return word{}, &transport.Final{Kind: policy.RejectUncertain}
 		}
 	case <-timer.C:
 	}
@@ -155,11 +155,11 @@
 // settle goes by a word: the txn goes on with what is kept for it, or that is given back.
 func (v *Voucher) settle(t *transport.Txn, hold *proxy.Reservation, w word) transport.Final {
 	a := w.answer
-	end := transport.Final{Kind: policy.Void}
+	end := transport.Final{Kind: policy.RejectUncertain}
 	switch {
 	case w.err != nil && !v.asking.OpenOn[t.Product], w.err == nil && a.Status == fasthttp.StatusTooManyRequests:
 		v.counts[trouble].Add(1) // nothing was sent: to come again is harmless
-		end = transport.Final{Kind: policy.Decline, Wait: v.advice(w.wait)}
+		end = transport.Final{Kind: policy.Reject, Wait: v.advice(w.wait)}
 	case w.err == nil && !a.Yes:
 		v.counts[no].Add(1)
 		end = refusal(a.Status, a.Headers, "the auth service says no")
@@ -197,15 +197,15 @@
 
 // advice is when to come back, as far as the settings have it said.
 func (v *Voucher) advice(wait float64) float64 {
-	if !v.charter.MayAdvise {
+	if !v.charter.AllowRetryAfter {
 		return 0
 	}
-	return math.Min(wait, v.charter.MaxAdvice)
+	return math.Min(wait, v.charter.MaxRetryAfterMillis)
 }
 
 func refusal(status int, headers [][2]string, says string) transport.Final {
 	return transport.Final{
-		Kind:    policy.Void,
+		Kind:    policy.RejectUncertain,
 		Refusal: &transport.Refusal{Status: status, Headers: headers, Says: says},
 	}
 }
--- a/internal/forwardauth/authserver/portal.go
+++ b/internal/forwardauth/authserver/portal.go
@@ -28,7 +28,7 @@
 type Portal struct {
 	asked   *config.Asked
 	names   config.Names
-	charter atomic.Pointer[policy.Charter]
+	charter atomic.Pointer[policy.Settings]
 	gate    *proxy.Proxy
 	next    func(*transport.Txn) transport.Final
 	server  fasthttp.Server
@@ -62,7 +62,7 @@
 	"no_place", "elsewhere", "came", "uncleared"}
 
 // New makes a front over a gate; next serves the txns that have no clearance and need none.
-func New(a *config.Asked, names config.Names, charter policy.Charter, g *proxy.Proxy,
+func New(a *config.Asked, names config.Names, charter policy.Settings, g *proxy.Proxy,
 	next func(*transport.Txn) transport.Final) *Portal {
 	p := &Portal{asked: a, names: names, gate: g, next: next,
 		book: authcache.NewBook[*proxy.Reservation](a.Life, a.Memory, a.Most)}
@@ -84,7 +84,7 @@
 // Resize tells how many gatekeepers there are from now on.
 func (p *Portal) Resize(n int) {
 	c := *p.charter.Load()
-	c.Gatekeepers = n
+	c.GatewayCount = n
 	p.charter.Store(&c)
 }
 
@@ -158,7 +158,7 @@
 		f, now := c.Facts, p.gate.Now()
 		if f.Product < 0 || f.Product >= len(p.charter.Load().Products) || f.Plan < 0 ||
 			f.Plan >= len(p.charter.Load().Plans) || c.Until <= now || len(c.Mark) == 0 ||
-			len(c.Mark) > policy.LongestMark || !(f.Units > 0) {
+			len(c.Mark) > policy.MaxDedupKeyBytes || !(f.Units > 0) {
 			continue
 		}
 		var h *proxy.Reservation
@@ -176,18 +176,18 @@
 
 func factsOf(t *transport.Txn) authcache.Facts {
 	return authcache.Facts{Customer: t.Customer, Product: t.Product, Plan: t.Plan, Units: t.Units,
-		SetSize: t.SetSize, First: t.First}
+		SetSize: t.SetSize, First: t.FirstGateway}
 }
 
-func arrival(f authcache.Facts) policy.Arrival {
-	return policy.Arrival{Customer: f.Customer, Product: f.Product, Plan: f.Plan, Units: f.Units,
-		SetSize: f.SetSize, First: f.First}
+func arrival(f authcache.Facts) policy.Request {
+	return policy.Request{Customer: f.Customer, Product: f.Product, Plan: f.Plan, Units: f.Units,
+		SetSize: f.SetSize, FirstGateway: f.First}
 }
 
 // Serve is the life of a txn at the main door: one that was cleared takes what was kept for it, and comes
 // once. The rest goes on as ever, but for products that come only if they were cleared.
 func (p *Portal) Serve(t *transport.Txn) transport.Final {
-	once := p.asked.Only[t.Product] || p.charter.Load().Products[t.Product].Repeat != policy.InquiryLike
+	once := p.asked.Only[t.Product] || p.charter.Load().Products[t.Product].Idempotency != policy.Idempotent
 	p.mu.Lock()
 	found, hold := p.book.Come(string(t.Mark), factsOf(t), once, p.gate.Now())
 	p.mu.Unlock()
@@ -208,7 +208,7 @@
 	switch {
 	case !p.asked.Only[t.Product]:
 	case found == authcache.Moved: // nothing was sent, and who has the book now is there at once
-		return transport.Final{Kind: policy.Decline, Wait: authcache.RebindAgain}
+		return transport.Final{Kind: policy.Reject, Wait: authcache.RebindAgain}
 	default:
 		p.counts[uncleared].Add(1)
 		return refusal(fasthttp.StatusForbidden, "this product comes only if it has been cleared")
@@ -217,7 +217,7 @@
 }
 
 func refusal(status int, says string) transport.Final {
-	return transport.Final{Kind: policy.Void, Refusal: &transport.Refusal{Status: status, Says: says}}
+	return transport.Final{Kind: policy.RejectUncertain, Refusal: &transport.Refusal{Status: status, Says: says}}
 }
 
 // trusted tells whether a caller may speak for clients. Guards against a client that calls here itself: what
@@ -264,7 +264,7 @@
 func (p *Portal) answer(ctx *fasthttp.RequestCtx, t *transport.Txn) {
 	mark, facts := string(t.Mark), factsOf(t)
 	c := p.charter.Load()
-	if home := authcache.Home(mark, facts, c.Gatekeepers); p.asked.Only[t.Product] && home != c.Me {
+	if home := authcache.Home(mark, facts, c.GatewayCount); p.asked.Only[t.Product] && home != c.GatewayIndex {
 		ctx.Response.Header.Set("X-Clear-At", strconv.Itoa(home))
 		p.say(ctx, elsewhere, fasthttp.StatusMisdirectedRequest, "another gatekeeper clears this txn")
 		return
--- a/internal/gateway/config/settings_test.go
+++ b/internal/gateway/config/settings_test.go
@@ -32,14 +32,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const want = "{Charter:{Me:4 Gatekeepers:7 Products:[" +
-		"{SLA:90 Value:4 LateShare:0 Repeat:2 Group:2 Window:0} " +
-		"{SLA:60 Value:0 LateShare:0.5 Repeat:1 Group:1 Window:400} " +
-		"{SLA:250 Value:0.5 LateShare:0 Repeat:0 Group:2 Window:0}] " +
-		"Plans:[{Rate:12 Burst:36 CeilingRate:25 CeilingDepth:78 Withheld:0 Open:0 Factor:2 ExcessShare:0.3 " +
-		"ExcessFee:0.1 Credit:0 Repay:0}] LargestUnits:5 MaxSubmissions:2 MayOverlap:true MayWithdraw:false " +
-		"MayAdvise:true MaxAdvice:150 MayTell:true LoadTold:true PeerInPerS:50 ReportsPerTell:31 ColdFrom:0.25 " +
-		"WarmUp:9000 Tips:1.5 TipAfter:700 Whole:0.5 WorstPlan:0.4 Narrow:false} " +
+	const want = "{Charter:{GatewayIndex:4 GatewayCount:7 Products:[" +
+		"{LatencyTargetMillis:90 Value:4 LateValueFraction:0 Idempotency:2 DedupScope:2 DedupWindowMillis:0} " +
+		"{LatencyTargetMillis:60 Value:0 LateValueFraction:0.5 Idempotency:1 DedupScope:1 DedupWindowMillis:400} " +
+		"{LatencyTargetMillis:250 Value:0.5 LateValueFraction:0 Idempotency:0 DedupScope:2 DedupWindowMillis:0}] " +
+		"Plans:[{QuotaPerSecond:12 QuotaBurst:36 RateLimitPerSecond:25 RateLimitBurst:78 WithheldFraction:0 " +
+		"MaxInFlight:0 ValueFactor:2 ExcessValueFraction:0.3 " +
+		"ExcessCostFraction:0.1 CreditSeconds:0 RepayWithinMillis:0}] MaxRequestUnits:5 MaxAttempts:2 " +
+		"AllowHedging:true AllowCancel:false " +
+		"AllowRetryAfter:true MaxRetryAfterMillis:150 AllowGossip:true WorkersReportLoad:true " +
+		"PeerMessagesPerSecond:50 ReportsPerMessage:31 ColdCapacityFraction:0.25 " +
+		"WarmUpMillis:9000 OverloadFactor:1.5 OverloadMillis:700 TotalWeight:0.5 WorstPlanWeight:0.4 " +
+		"QuotaWithoutGossip:false} " +
 		"Names:{Products:map[gate:1 look:2 toll:0] Plans:map[all:0]} " +
 		"Lines:{IdleLimit:6000 ConnectTimeout:80 AnswerSlack:8 LongestWait:900 ListAsked:true}}"
 	if s := fmt.Sprintf("%+v", got); s != want {
@@ -56,37 +60,45 @@
 		{"a wait of clients that is not said: any", `"hard_limit_us":900000,`, "",
 			func(t *Terms) bool { return math.IsInf(t.Lines.LongestWait, 1) }},
 		{"no aim: the time that clients wait", `"aim_us":90000,`, "",
-			func(t *Terms) bool { return t.Charter.Products[0].SLA == 300 }},
+			func(t *Terms) bool { return t.Charter.Products[0].LatencyTargetMillis == 300 }},
 		{"neither: no time is known", `"hard_limit_us":250000,`, "",
-			func(t *Terms) bool { return t.Charter.Products[2].SLA == 0 }},
+			func(t *Terms) bool { return t.Charter.Products[2].LatencyTargetMillis == 0 }},
 		{"no group: the fewest share marks, and none is promised to all", `"group":"zone",`, "",
-			func(t *Terms) bool { return t.Charter.Products[1].Group == policy.GroupCell }},
+			func(t *Terms) bool { return t.Charter.Products[1].DedupScope == policy.DedupWithinCell }},
 		{"no window: never repeated", `"window_us":400000,`, "",
-			func(t *Terms) bool { return t.Charter.Products[1].Window == 0 }},
+			func(t *Terms) bool { return t.Charter.Products[1].DedupWindowMillis == 0 }},
 		{"no rate of a ceiling: there is none, of any depth", `"hard_rate":25,`, "",
-			func(t *Terms) bool { p := t.Charter.Plans[0]; return p.CeilingRate == 0 && p.CeilingDepth == 0 }},
+			func(t *Terms) bool {
+				p := t.Charter.Plans[0]
+				return p.RateLimitPerSecond == 0 && p.RateLimitBurst == 0
+			}},
 		{"no submissions said: one", `"max_attempts":2,`, "",
-			func(t *Terms) bool { return t.Charter.MaxSubmissions == 0 && !t.Charter.MayWithdraw }},
-		{"no copies said: none", `"may_duplicate":true,`, "", func(t *Terms) bool { return !t.Charter.MayOverlap }},
-		{"no advice said: none", `"retry_after":true,`, "", func(t *Terms) bool { return !t.Charter.MayAdvise }},
+			func(t *Terms) bool { return t.Charter.MaxAttempts == 0 && !t.Charter.AllowCancel }},
+		{"no copies said: none", `"may_duplicate":true,`, "",
+			func(t *Terms) bool { return !t.Charter.AllowHedging }},
+		{"no advice said: none", `"retry_after":true,`, "",
+			func(t *Terms) bool { return !t.Charter.AllowRetryAfter }},
 		{"no bound of advice: none is given", `"max_retry_after_us":150000,`, "",
-			func(t *Terms) bool { return t.Charter.MaxAdvice == 0 }},
+			func(t *Terms) bool { return t.Charter.MaxRetryAfterMillis == 0 }},
 		{"no peers said: none are talked to", `,"peers":true`, "",
-			func(t *Terms) bool { return !t.Charter.MayTell }},
+			func(t *Terms) bool { return !t.Charter.AllowGossip }},
 		{"no least start: a cold worker can do nothing", `"cold_from":0.25,`, "",
-			func(t *Terms) bool { return t.Charter.ColdFrom == 0 && t.Charter.WarmUp == 9000 }},
+			func(t *Terms) bool { return t.Charter.ColdCapacityFraction == 0 && t.Charter.WarmUpMillis == 9000 }},
 		{"no slack: none", `,"answer_slack_us":8000`, "", func(t *Terms) bool { return t.Lines.AnswerSlack == 0 }},
 		{"no way of lists: pushed", `"registry_mode":"on_request",`, "",
 			func(t *Terms) bool { return !t.Lines.ListAsked }},
 		{"no reports: none are gone by", `"report":{"how":"answers","fields":["load_share"]},`, "",
-			func(t *Terms) bool { return !t.Charter.LoadTold }},
+			func(t *Terms) bool { return !t.Charter.WorkersReportLoad }},
 		{"no time for connections", `"connect_timeout_us":80000,`, "",
 			func(t *Terms) bool { return t.Lines.ConnectTimeout == defaultConnect }},
 		{"no idle limit", `"keepalive_us":6000000,`, "",
 			func(t *Terms) bool { return t.Lines.IdleLimit == defaultIdleLimit }},
 		{"a key of later days", `"me":4,`, `"me":4,"later":{"classes":1},`, func(*Terms) bool { return true }},
 		{"a plan without any quota", `"rate":12,"most_at_once":36,"hard_rate":25,"cap_depth":78,`, "",
-			func(t *Terms) bool { p := t.Charter.Plans[0]; return p.Rate == 0 && p.Open == 0 && p.CeilingRate == 0 }},
+			func(t *Terms) bool {
+				p := t.Charter.Plans[0]
+				return p.QuotaPerSecond == 0 && p.MaxInFlight == 0 && p.RateLimitPerSecond == 0
+			}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/gateway/hotrestart/handover.go
+++ b/internal/gateway/hotrestart/handover.go
@@ -27,7 +27,7 @@
 // Will is what a process leaves to its heir.
 type Will struct {
 	Drains         bool // its clients are sent away
-	Estate         policy.Estate
+	Estate         policy.HandoffState
 	Workers, Kinds map[int]string // their names, by the indices in the estate
 	Clearances     []authcache.Clearance
 	Word           incarnation.MessageID // of the last message to peers: the heir goes on from there
--- a/internal/gateway/hotrestart/handover_test.go
+++ b/internal/gateway/hotrestart/handover_test.go
@@ -56,14 +56,15 @@
 	p := meet(t)
 	w := Will{Workers: map[int]string{3: "w3"}}
 	for i := range 5000 { // many packets
-		w.Estate.Customers = append(w.Estate.Customers, policy.Customer{Key: uint64(i), Level: float64(i) / 3})
+		w.Estate.Customers = append(w.Estate.Customers, policy.CustomerState{ID: uint64(i),
+			ShareTokens: float64(i) / 3})
 	}
 	if err := p.owner.Leave(w); err != nil {
 		t.Fatal(err)
 	}
 	got := <-p.wills
 	all := got.Estate.Customers
-	if len(all) != 5000 || all[4999].Level != 4999.0/3 || got.Workers[3] != "w3" {
+	if len(all) != 5000 || all[4999].ShareTokens != 4999.0/3 || got.Workers[3] != "w3" {
 		t.Errorf("the will came as %d customers, %v", len(all), got.Workers)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -83,17 +83,17 @@
 // Start brings a gatekeeper up: when it returns, clients are served.
 func Start(c config.Gatekeeper, log zerolog.Logger) (*Gatekeeper, error) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(c.Cores)), 1))
-	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * (1 << 20) * policy.MemoryPart))
-	debug.SetGCPercent(policy.GarbagePart)
+	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * (1 << 20) * policy.MemoryLimitFraction))
+	debug.SetGCPercent(policy.GCTargetPercent)
 
 	g := &Gatekeeper{conf: c, log: log, served: make(chan error, 1), over: make(chan struct{}),
 		first: make(chan struct{})}
 	clients, workers := places(c)
-	g.links = transport.NewLinks(workers, transport.Millis(c.Lines.IdleLimit*policy.IdleUse),
+	g.links = transport.NewLinks(workers, transport.Millis(c.Lines.IdleLimit*policy.WorkerIdleFraction),
 		transport.Millis(c.Lines.ConnectTimeout))
 	tell := func(int, []byte) {}
 	if len(c.Peers) > 0 {
-		g.peers = transport.NewPeers(c.Peers, c.Charter.Me)
+		g.peers = transport.NewPeers(c.Peers, c.Charter.GatewayIndex)
 		tell = g.peers.Tell
 		if c.Charter = spoken(c); c.Tells {
 			g.peers.Bear(incarnation.MessageID{Incarnation: crashstate.Uptime()})
@@ -134,7 +134,7 @@
 	}
 	g.desk.ApplyEndpoints(c.Known)
 	g.list = bootstrap.NewBook(c.Known)
-	g.members.Store(int64(c.Charter.Gatekeepers))
+	g.members.Store(int64(c.Charter.GatewayCount))
 	g.gate = proxy.New(g.desk, g.links)
 	g.front = transport.NewFront(c.Names, c.Charter, g.forward(g.gate), g.up)
 	g.front.Nameless = g.vouch != nil && c.Forward.Asking.Customer != ""
@@ -165,7 +165,7 @@
 		go admin.Every(g.over, g.look)
 	}
 	g.At = l.Addr().String()
-	g.watch(c.Known.Version, policy.WatchDue)
+	g.watch(c.Known.Version, policy.WatchCatchUpMillis)
 	if len(c.Ask) > 0 && g.asking.CompareAndSwap(false, true) {
 		go g.ask(c.Ask, rand.New(rand.NewSource(c.Seed)))
 	}
@@ -203,9 +203,9 @@
 
 // spoken is the charter of a gatekeeper by what its messages hold: among instances of one host, that may say
 // more to each other than the platform's, a word takes some of their room.
-func spoken(c config.Gatekeeper) policy.Charter {
+func spoken(c config.Gatekeeper) policy.Settings {
 	if c.Tells {
-		c.Charter.ReportsPerTell = min(c.Charter.ReportsPerTell, transport.Room)
+		c.Charter.ReportsPerMessage = min(c.Charter.ReportsPerMessage, transport.Room)
 	}
 	return c.Charter
 }
@@ -229,7 +229,8 @@
 	}
 	g.desk.AttachCrashState(f, left)
 	if left != nil {
-		g.log.Info().Int("ceilings", len(left.Ceilings)).Float64("base_s", (g.desk.Now()-left.Base)/1000).
+		g.log.Info().Int("ceilings", len(left.RateLimits)).Float64("base_s",
+			(g.desk.Now()-left.RateLimitBaseMillis)/1000).
 			Msg("remembering what a former life has spent")
 	}
 	if g.conf.Recall {
@@ -267,7 +268,7 @@
 	if l == nil {
 		return
 	}
-	age := g.desk.Now() - l.Estate.At
+	age := g.desk.Now() - l.Estate.AtMillis
 	n, fits := g.desk.RestoreCheckpoint(l, g.conf.Tells)
 	if !fits {
 		g.doubt(checkpoint.ErrCharter)
@@ -342,12 +343,12 @@
 	return 0
 }
 
-// await waits for the first word of the watch, or its first failure, but for FirstWord at most. Guards
-// against txns that go by the list known at the start where a newer one is at hand and counts as told.
+// await waits for the first word of the watch, or its first failure, but for StartupListWaitMillis at most.
+// Guards against txns that go by the list known at the start where a newer one is at hand and counts as told.
 func (g *Gatekeeper) await() {
 	select {
 	case <-g.first:
-	case <-time.After(transport.Millis(policy.FirstWord)):
+	case <-time.After(transport.Millis(policy.StartupListWaitMillis)):
 	}
 }
 
@@ -362,10 +363,11 @@
 	g.log.Debug().Int64("version", l.Version).Bool("whole", l.Whole).Int("workers", len(l.Workers)).Msg("list")
 }
 
-// unheard says at most once in WatchDue that the watch has ended: tries without end must not fill the log.
+// unheard says at most once in WatchCatchUpMillis that the watch has ended: tries without end must not fill
+// the log.
 func (g *Gatekeeper) unheard(err error) {
 	g.speaks()
-	if now := time.Now(); now.Sub(g.said) > transport.Millis(policy.WatchDue) {
+	if now := time.Now(); now.Sub(g.said) > transport.Millis(policy.WatchCatchUpMillis) {
 		g.said = now
 		g.log.Warn().Err(err).Msg("watch ended, opening it again")
 	}
--- a/internal/gateway/lifecycle/watch_test.go
+++ b/internal/gateway/lifecycle/watch_test.go
@@ -107,16 +107,17 @@
 					c.Seed++
 				}
 			}, 2, 5000, m.swaps...)
-			within(t, d, 2, policy.WatchDue)
+			within(t, d, 2, policy.WatchCatchUpMillis)
 			list.Silence()
 			drains(list)
-			within(t, d, 1, policy.WatchDue)
+			within(t, d, 1, policy.WatchCatchUpMillis)
 		})
 	}
 }
 
-// A move to a discovery that is silent or turns calls away at first is told within WatchMoved once that
-// speaks. Guards against the first pause of a large fleet, and against those that grow with each failure.
+// A move to a discovery that is silent or turns calls away at first is told within WatchFailoverCatchUpMillis
+// once that speaks. Guards against the first pause of a large fleet, and against those that grow with each
+// failure.
 func TestMoveInTime(t *testing.T) {
 	t.Parallel()
 	for _, m := range modes {
@@ -143,14 +144,15 @@
 				d.gk.Reload(next, nil)
 				time.Sleep(c.before)
 				c.away(list, false)
-				within(t, d, 1, policy.WatchMoved)
+				within(t, d, 1, policy.WatchFailoverCatchUpMillis)
 			})
 		}
 	}
 }
 
 // Where lists are pushed, no txn goes by the known list alone while the agent has a newer one at hand; and no
-// start waits for one that is silent for longer than FirstWord. Where they are asked for none waits.
+// start waits for one that is silent for longer than StartupListWaitMillis. Where they are asked for none
+// waits.
 func TestStartHearsAgent(t *testing.T) {
 	const slack = 200.0 // ms; a start itself, on a loaded machine
 	for _, c := range []struct {
@@ -164,7 +166,7 @@
 			time.Sleep(10 * time.Millisecond)
 			fmt.Fprintf(w, "{\n\"index\":8,\"endpoints\":[\n%s]}\n", d.entry(0, "leaving", 0))
 		}, true, slack},
-		{"silent", nil, func(http.ResponseWriter, *deployment) {}, false, policy.FirstWord + slack},
+		{"silent", nil, func(http.ResponseWriter, *deployment) {}, false, policy.StartupListWaitMillis + slack},
 		{"turns it away", nil, func(w http.ResponseWriter, _ *deployment) { w.WriteHeader(503) }, false, slack},
 		{"asked for", modes[1].swaps, func(http.ResponseWriter, *deployment) {}, false, slack},
 	} {
@@ -191,7 +193,7 @@
 					<-gk.ended
 					gk.Stop()
 				})
-				if !c.drains || took < transport.Millis(policy.FirstWord) {
+				if !c.drains || took < transport.Millis(policy.StartupListWaitMillis) {
 					break // else the machine stood still, and the agent could not be heard in time
 				}
 			}
@@ -332,9 +334,9 @@
 }
 
 // Discovery meets the first calls badly, each in its way for good, and is well from then on: its change is
-// told in WatchDue, on real connections, by the draws that make for the longest pauses among 300 that ask,
-// where it answers in turn. Guards against all that a call which was refused, swallowed, turned away or given
-// half an answer may add to the next one's pause.
+// told in WatchCatchUpMillis, on real connections, by the draws that make for the longest pauses among 300
+// that ask, where it answers in turn. Guards against all that a call which was refused, swallowed, turned
+// away or given half an answer may add to the next one's pause.
 func TestToldAfterOutage(t *testing.T) {
 	t.Parallel()
 	for _, m := range modes {
@@ -384,7 +386,7 @@
 				for range c.how {
 					<-list.met
 				}
-				told(t, d, 1, policy.WatchDue)
+				told(t, d, 1, policy.WatchCatchUpMillis)
 			})
 		}
 	}
@@ -423,7 +425,7 @@
 				c.Close()
 			}
 			go list.serve(list.open(t))
-			told(t, d, 1, policy.WatchDue)
+			told(t, d, 1, policy.WatchCatchUpMillis)
 		})
 	}
 }
@@ -462,9 +464,9 @@
 }
 
 // SIGHUP comes several times in a row, each with another discovery: the watch leaves one that swallows calls,
-// and one to which connections never come up, at once, and the last one's change is told within WatchMoved.
-// If that is down first, the change is told as after any outage. Guards against a move that waits for what
-// the watch is about, and against pauses of the moves before.
+// and one to which connections never come up, at once, and the last one's change is told within
+// WatchFailoverCatchUpMillis. If that is down first, the change is told as after any outage. Guards against a
+// move that waits for what the watch is about, and against pauses of the moves before.
 func TestMovesInARow(t *testing.T) {
 	t.Parallel()
 	for _, m := range modes {
@@ -493,12 +495,12 @@
 				}
 				before := time.Now()
 				move(last.at) // how long it takes for the old watch to end, TestWatchLeaves has exactly
-				due := policy.WatchMoved
+				due := policy.WatchFailoverCatchUpMillis
 				if down {
 					time.Sleep(
-						transport.Millis(policy.WatchMoved) - time.Since(before),
+						transport.Millis(policy.WatchFailoverCatchUpMillis) - time.Since(before),
 					) // by then it is an outage like others
-					due = policy.WatchDue
+					due = policy.WatchCatchUpMillis
 					l = last.open(t)
 				}
 				go last.serve(l)
--- a/internal/gateway/lifecycle/worker_ends_test.go
+++ b/internal/gateway/lifecycle/worker_ends_test.go
@@ -595,9 +595,9 @@
 	}
 }
 
-// A worker that hangs in the middle of a long body, and says nothing, is left after BodyPause: the txn has
-// its answer then, also where submissions may not be withdrawn. Guards against a wait for an answer without
-// end.
+// A worker that hangs in the middle of a long body, and says nothing, is left after BodyStallTimeoutMillis:
+// the txn has its answer then, also where submissions may not be withdrawn. Guards against a wait for an
+// answer without end.
 func TestWorkerHangsUnderABody(t *testing.T) {
 	for _, swap := range []string{`"cancel":true`, `"cancel":false`} {
 		t.Run(swap, func(t *testing.T) {
@@ -618,7 +618,7 @@
 }
 
 // An answer that comes before its body is passed on at once, though the worker takes no more of that and
-// leaves the connection up. Guards against one that is held back for BodyPause.
+// leaves the connection up. Guards against one that is held back for BodyStallTimeoutMillis.
 func TestAnswerAheadOfBodyAtOnce(t *testing.T) {
 	b := play(t, nil)
 	d := facing(t, b)
--- a/internal/gateway/proxy/journal.go
+++ b/internal/gateway/proxy/journal.go
@@ -30,7 +30,7 @@
 	names []string) {
 	j := &requestJournal{Keeper: k, productNames: names, maxAnswerBytes: t.Answer}
 	for _, product := range products {
-		j.nonIdempotent = append(j.nonIdempotent, product.Repeat == policy.OnceOnly)
+		j.nonIdempotent = append(j.nonIdempotent, product.Idempotency == policy.NonIdempotent)
 	}
 	p.journal = j
 }
@@ -73,9 +73,10 @@
 		return final, false
 	}
 	askedMillis := p.dispatcher.clock.now()
-	found, state, ok := p.journal.Known(entry.Customer, entry.Mark, transport.Millis(t.Left*journalReadShare))
-	if !t.Streams {
-		t.Left = max(t.Left-(p.dispatcher.clock.now()-askedMillis), 0)
+	found, state, ok := p.journal.Known(entry.Customer, entry.Mark,
+		transport.Millis(t.TimeLeftMillis*journalReadShare))
+	if !t.StreamsBody {
+		t.TimeLeftMillis = max(t.TimeLeftMillis-(p.dispatcher.clock.now()-askedMillis), 0)
 	}
 	a := found.Answer
 	switch {
@@ -83,10 +84,11 @@
 		return final, false
 	case ok && state == txnjournal.SentSettled && a.Whole && found.Digest == entry.Digest &&
 		found.Product == entry.Product:
-		return transport.Final{Kind: policy.Submit, Answer: &transport.Answer{Outcome: policy.Settled, Type: a.Type,
+		return transport.Final{Kind: policy.Submit, Answer: &transport.Answer{Outcome: policy.Succeeded,
+			Type:   a.Type,
 			Coding: a.Coding, Body: a.Body, Length: len(a.Body)}}, true
 	}
-	return transport.Final{Kind: policy.Void}, true
+	return transport.Final{Kind: policy.RejectUncertain}, true
 }
 
 // journalStart tells whether an attempt may be sent: it is not journaled, or its start now is. The wait for
@@ -110,11 +112,11 @@
 	}
 	end, kept := txnjournal.MayRun, txnjournal.Answer{}
 	switch a.Outcome {
-	case policy.Settled:
+	case policy.Succeeded:
 		if end = txnjournal.Settled; a.Rest == nil && len(a.Body) <= p.journal.maxAnswerBytes {
 			kept = txnjournal.Answer{Type: a.Type, Coding: a.Coding, Body: append([]byte(nil), a.Body...), Whole: true}
 		}
-	case policy.NotSent, policy.NoRoute, policy.Full:
+	case policy.NotSent, policy.ConnectFailed, policy.Overloaded:
 		end = txnjournal.Never
 	}
 	p.journal.Ended(v.entry.Txn, v.entry.number, v.command.Upstream.Name(), end, kept)
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -62,7 +62,7 @@
 		}
 		d := c.Decision
 		if d.Kind != policy.Submit {
-			return transport.Final{Kind: d.Kind, Wait: d.Wait}
+			return transport.Final{Kind: d.Kind, Wait: d.WaitMillis}
 		}
 		// The message is a copy: the request's own bytes end with this function, and an attempt that may not be
 		// cancelled outlives it.
@@ -70,8 +70,8 @@
 		if v := c.Lease.Version(); v > 0 {
 			version = int64(v)
 		}
-		v := delivery{request: r, command: c, upload: t.Upload, entry: p.newJournalAttempt(entry, d.N),
-			clientMillis: t.Left}
+		v := delivery{request: r, command: c, upload: t.Upload, entry: p.newJournalAttempt(entry, d.Attempt),
+			clientMillis: t.TimeLeftMillis}
 		v.message, v.deadlineOffset = transport.AppendSubmission(nil, t, version)
 		if p.dispatcher.history != nil {
 			v.requestMark = string(t.Mark)
@@ -91,7 +91,7 @@
 			go p.deliverLoop(v)
 		}
 	}
-	return transport.Final{Kind: policy.Void}
+	return transport.Final{Kind: policy.RejectUncertain}
 }
 
 // deliverLoop carries one attempt after another. There are as many of these goroutines as attempts were
@@ -106,14 +106,14 @@
 // deliver carries an attempt to its worker, and tells the dispatcher how it ended.
 func (p *Proxy) deliver(v delivery) {
 	d := &v.command.Decision
-	answer, link, startedMillis := p.exchange(v, p.dispatcher.clock.time(d.At))
+	answer, link, startedMillis := p.exchange(v, p.dispatcher.clock.time(d.AtMillis))
 	if v.upload != nil {
 		v.upload.End()
 	}
 	if answer == nil {
 		p.journalEnd(&v, &transport.Answer{Outcome: policy.NotSent})
 		p.dispatcher.history.attemptEnded(&v, policy.NotSent)
-		p.dispatcher.attemptRevoked(v.request, d.N)
+		p.dispatcher.attemptRevoked(v.request, d.Attempt)
 		return
 	}
 	tookMillis := p.dispatcher.clock.now() - startedMillis
@@ -122,7 +122,7 @@
 	}
 	p.journalEnd(&v, answer)
 	p.dispatcher.history.attemptEnded(&v, answer.Outcome)
-	p.dispatcher.attemptEnded(v.request, d.N, d.Worker, answer, tookMillis)
+	p.dispatcher.attemptEnded(v.request, d.Attempt, d.Worker, answer, tookMillis)
 }
 
 // passOn hands an answer whose body is still being read to the request's goroutine, and waits until that has
@@ -131,13 +131,13 @@
 	passed := make(chan error, 1)
 	answer.Then(func(err error) { passed <- err })
 	err := errAlreadyAnswered
-	if p.dispatcher.answerStarted(v.request, v.command.Decision.N, answer) {
+	if p.dispatcher.answerStarted(v.request, v.command.Decision.Attempt, answer) {
 		err = <-passed
 	}
 	if err != nil || !answer.Keep() || !p.links.Keep(link, &v.command.Upstream) {
 		p.links.Drop(link)
 	}
 	if errors.Is(err, transport.ErrBrokenOff) {
-		answer.Outcome = policy.Cut
+		answer.Outcome = policy.ConnectionLost
 	}
 }
--- a/internal/gateway/proxy/reservation.go
+++ b/internal/gateway/proxy/reservation.go
@@ -19,13 +19,13 @@
 	r, may := p.dispatcher.reserve(t, lifeMillis)
 	if !may {
 		d := (<-r.Commands).Decision
-		return nil, transport.Final{Kind: d.Kind, Wait: d.Wait}
+		return nil, transport.Final{Kind: d.Kind, Wait: d.WaitMillis}
 	}
 	return &Reservation{r}, transport.Final{}
 }
 
 // AdoptReservation takes over a reservation of another process, for lifeMillis more.
-func (p *Proxy) AdoptReservation(a policy.Arrival, lifeMillis float64) *Reservation {
+func (p *Proxy) AdoptReservation(a policy.Request, lifeMillis float64) *Reservation {
 	return &Reservation{p.dispatcher.adoptReservation(a, lifeMillis)}
 }
 
--- a/internal/gateway/proxy/stream.go
+++ b/internal/gateway/proxy/stream.go
@@ -20,7 +20,7 @@
 // it was sent completely. If not, the worker never ran the request.
 func (p *Proxy) streamBody(v delivery, link *transport.Link) (answer *transport.Answer, startedMillis float64,
 	sent bool, err error) {
-	n := v.command.Decision.N
+	n := v.command.Decision.Attempt
 	p.dispatcher.bodySent(v.request, n, 0)
 	link.Until(time.Time{}) // the client's time begins with the end of the body
 	link.Pours()
@@ -34,7 +34,7 @@
 		case v.upload.Fault() != nil:
 			link.Abort()
 		default: // what the worker has answered is read within a limit: nothing else would end the wait
-			link.Until(time.Now().Add(transport.Millis(policy.AnswerPause)))
+			link.Until(time.Now().Add(transport.Millis(policy.ResponseStallTimeoutMillis)))
 		}
 		uploaded <- err
 	}()
@@ -48,7 +48,7 @@
 		if startedMillis = p.dispatcher.bodySentMillis(v.request); err == nil && answer.Early() {
 			err = errEarlyAnswer // of another attempt, or made up: it does not prove that this one did not run
 		}
-	case err == nil && answer.Outcome == policy.Settled:
+	case err == nil && answer.Outcome == policy.Succeeded:
 		err = errEarlyAnswer // a worker without the complete body has not run it
 	case err == nil:
 		answer.Last()
--- a/internal/gateway/recovery/checkpoint/code.go
+++ b/internal/gateway/recovery/checkpoint/code.go
@@ -10,27 +10,30 @@
 // This file puts a copy in bytes and back. All figures are little-endian; times and units are eight bytes.
 
 // figures are those of a customer that are written, in their order.
-func figures(c *policy.Customer) [17]*float64 {
-	return [...]*float64{&c.Level, &c.Whole, &c.Filled, &c.Others, &c.Flow, &c.Held, &c.Heard, &c.Demand,
-		&c.Lately, &c.Seen, &c.CoolSince, &c.Unsaid, &c.Said, &c.SaidAt, &c.Known, &c.Lag,
-		&c.Dealt}
+func figures(c *policy.CustomerState) [17]*float64 {
+	return [...]*float64{&c.ShareTokens, &c.QuotaTokens, &c.FilledAtMillis, &c.PeerDemand, &c.PeerSpentUnits,
+		&c.SilentPeerDemand, &c.PeerDemandAtMillis, &c.OwnDemand,
+		&c.RecentDemand, &c.LastRequestAtMillis, &c.CoolSinceMillis, &c.UnreportedUnits, &c.ReportedDemand,
+		&c.ReportedAtMillis, &c.PreviousReportedDemand, &c.UncollectedRepayment,
+		&c.CreditAtMillis}
 }
 
 func encode(b []byte, l *Left) []byte {
 	e := &l.Estate
-	for _, n := range [...]int{len(e.Peers), len(e.Tight), len(e.Customers)} {
+	for _, n := range [...]int{len(e.Peers), len(e.ShortDeadlineSuccess), len(e.Customers)} {
 		b = order.AppendUint32(b, uint32(n))
 	}
-	for _, v := range [...]float64{e.At, e.Started, e.NextTell} {
+	for _, v := range [...]float64{e.AtMillis, e.StartedAtMillis, e.NextReportAtMillis} {
 		b = number(b, v)
 	}
-	for i := range e.Tight {
-		b = number(number(b, e.Tight[i]), e.Stay[i])
+	for i := range e.ShortDeadlineSuccess {
+		b = number(number(b, e.ShortDeadlineSuccess[i]), e.AttemptMillis[i])
 	}
 	left := most
 	for i := range e.Peers {
 		p := &e.Peers[i]
-		for _, v := range [...]float64{p.Heard, p.Told, p.Owes, p.Spoke} {
+		for _, v := range [...]float64{p.HeardAtMillis, p.ReportedAtMillis, p.ReportDueSinceMillis,
+			p.ReportsHeardAtMillis} {
 			b = number(b, v)
 		}
 		var w incarnation.MessageID
@@ -38,19 +41,20 @@
 			w = l.Words[i]
 		}
 		b = order.AppendUint32(order.AppendUint32(b, w.Incarnation), w.Sequence)
-		n := min(len(p.Last), left/perWord)
+		n := min(len(p.LastReports), left/perWord)
 		left -= n * perWord
-		b = order.AppendUint32(order.AppendUint32(b, flag(p.Silent, 1)|flag(p.Gone, 2)), uint32(n))
-		for k := range p.Last[:n] {
-			r := &p.Last[k]
+		b = order.AppendUint32(order.AppendUint32(b, flag(p.Silent, 1)|flag(p.Lost, 2)), uint32(n))
+		for k := range p.LastReports[:n] {
+			r := &p.LastReports[k]
 			b = order.AppendUint32(order.AppendUint32(b, uint32(r.Customer)), uint32(r.Plan))
-			b = number(b, r.Demand)
+			b = number(b, r.DemandPerSecond)
 		}
 	}
 	for i := range e.Customers {
 		c := &e.Customers[i]
-		for _, n := range [...]int{int(uint32(c.Key)), c.Plan, c.N, c.First, min(c.Txns, math.MaxInt32),
-			c.Holding<<1 | int(flag(c.Hot, 1))} {
+		for _, n := range [...]int{int(uint32(c.ID)), c.Plan, c.SetSize, c.FirstGateway, min(c.Requests,
+			math.MaxInt32),
+			c.SilentPeers<<1 | int(flag(c.Hot, 1))} {
 			b = order.AppendUint32(b, uint32(n))
 		}
 		for _, v := range figures(c) {
@@ -107,26 +111,30 @@
 func (d *decoder) left(l *Left) {
 	e := &l.Estate
 	peers, plans, customers := d.whole(), d.whole(), d.whole()
-	e.At, e.Started, e.NextTell = d.number(), d.number(), d.number()
+	e.AtMillis, e.StartedAtMillis, e.NextReportAtMillis = d.number(), d.number(), d.number()
 	for range d.count(plans, 16) {
-		e.Tight, e.Stay = append(e.Tight, d.number()), append(e.Stay, d.number())
+		e.ShortDeadlineSuccess, e.AttemptMillis = append(e.ShortDeadlineSuccess, d.number()),
+			append(e.AttemptMillis, d.number())
 	}
 	for range d.count(peers, perPeer) {
-		p := policy.Hearing{Heard: d.number(), Told: d.number(), Owes: d.number(), Spoke: d.number()}
+		p := policy.PeerState{HeardAtMillis: d.number(), ReportedAtMillis: d.number(),
+			ReportDueSinceMillis: d.number(), ReportsHeardAtMillis: d.number()}
 		w := incarnation.MessageID{Incarnation: uint32(d.whole()), Sequence: uint32(d.whole())}
 		l.Words = append(l.Words, w)
 		bits := d.whole()
-		p.Silent, p.Gone = bits&1 != 0, bits&2 != 0
+		p.Silent, p.Lost = bits&1 != 0, bits&2 != 0
 		for range d.count(d.whole(), perWord) {
-			p.Last = append(p.Last, policy.Report{Customer: uint64(d.whole()), Plan: d.whole(), Demand: d.number()})
+			p.LastReports = append(p.LastReports, policy.Report{Customer: uint64(d.whole()), Plan: d.whole(),
+				DemandPerSecond: d.number()})
 		}
 		e.Peers = append(e.Peers, p)
 	}
 	for range d.count(customers, perOne) {
-		c := policy.Customer{Key: uint64(d.whole()), Plan: d.whole(), N: d.whole(), First: d.whole(),
-			Txns: d.whole()}
+		c := policy.CustomerState{ID: uint64(d.whole()), Plan: d.whole(), SetSize: d.whole(),
+			FirstGateway: d.whole(),
+			Requests:     d.whole()}
 		bits := d.whole()
-		c.Holding, c.Hot = bits>>1, bits&1 != 0
+		c.SilentPeers, c.Hot = bits>>1, bits&1 != 0
 		for _, v := range figures(&c) {
 			*v = d.number()
 		}
--- a/internal/gateway/recovery/checkpoint/inventory.go
+++ b/internal/gateway/recovery/checkpoint/inventory.go
@@ -57,16 +57,17 @@
 // By these a new life knows which peers have returned while it was away; without, what such a peer told in
 // its former life would count beside what it tells now.
 type Left struct {
-	Estate policy.Estate
+	Estate policy.HandoffState
 	Words  []incarnation.MessageID // none of those that were not heard
 	Of     [32]byte                // the digest of what it depends on, as it was written
 }
 
 // Digest stands for all that a copy depends on: a charter, and the version of the agreed rules that brought
 // it; 0 where none are agreed on.
-func Digest(c policy.Charter, rules uint64) [32]byte {
-	return sha256.Sum256(fmt.Append(nil, rules, c.Me, c.Gatekeepers, c.LargestUnits, c.PeerInPerS,
-		c.ReportsPerTell, c.Narrow, c.Plans))
+func Digest(c policy.Settings, rules uint64) [32]byte {
+	return sha256.Sum256(fmt.Append(nil, rules, c.GatewayIndex, c.GatewayCount, c.MaxRequestUnits,
+		c.PeerMessagesPerSecond,
+		c.ReportsPerMessage, c.QuotaWithoutGossip, c.Plans))
 }
 
 // file is where copies go; another in tests.
@@ -188,7 +189,7 @@
 	if d.left(l); d.bad || len(d.b) > 0 {
 		return nil, ErrSpoilt
 	}
-	moved := now - (up - then) - e.At
+	moved := now - (up - then) - e.AtMillis
 	if math.IsNaN(moved) || math.IsInf(moved, 0) {
 		return nil, ErrSpoilt
 	}
@@ -199,7 +200,7 @@
 }
 
 // shift moves all times but those that were never.
-func shift(e *policy.Estate, by float64) {
+func shift(e *policy.HandoffState, by float64) {
 	move := func(all ...*float64) {
 		for _, t := range all {
 			if *t != 0 {
@@ -207,14 +208,15 @@
 			}
 		}
 	}
-	move(&e.At, &e.Started, &e.NextTell)
+	move(&e.AtMillis, &e.StartedAtMillis, &e.NextReportAtMillis)
 	for i := range e.Peers {
 		p := &e.Peers[i]
-		move(&p.Heard, &p.Told, &p.Owes, &p.Spoke)
+		move(&p.HeardAtMillis, &p.ReportedAtMillis, &p.ReportDueSinceMillis, &p.ReportsHeardAtMillis)
 	}
 	for i := range e.Customers {
 		c := &e.Customers[i]
-		move(&c.Filled, &c.Heard, &c.Seen, &c.CoolSince, &c.SaidAt, &c.Dealt)
+		move(&c.FilledAtMillis, &c.PeerDemandAtMillis, &c.LastRequestAtMillis, &c.CoolSinceMillis,
+			&c.ReportedAtMillis, &c.CreditAtMillis)
 	}
 }
 
--- a/internal/gateway/recovery/checkpoint/inventory_test.go
+++ b/internal/gateway/recovery/checkpoint/inventory_test.go
@@ -17,7 +17,8 @@
 	"willowdeck/internal/policy"
 )
 
-var digest = Digest(policy.Charter{Gatekeepers: 2, Plans: []policy.Plan{{Rate: 10, Burst: 20}}}, 3)
+var digest = Digest(policy.Settings{GatewayCount: 2, Plans: []policy.Plan{{QuotaPerSecond: 10,
+	QuotaBurst: 20}}}, 3)
 
 func clock() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
@@ -25,15 +26,21 @@
 func some(at float64, customers int, says float64) *Left {
 	l := &Left{Of: digest, Words: []incarnation.MessageID{{}, {Incarnation: 7, Sequence: 8}}}
 	e := &l.Estate
-	*e = policy.Estate{At: at, Started: at - 9000, NextTell: at + 100, Tight: []float64{0.9},
-		Stay: []float64{120}, Peers: []policy.Hearing{{}, {
-			Heard: at - 10, Told: at - 20, Owes: at - 30, Spoke: at - 40, Silent: true,
-			Last: []policy.Report{{Customer: 3, Demand: 7}, {Customer: 4, Plan: 1, Demand: 8}}}}}
+	*e = policy.HandoffState{AtMillis: at, StartedAtMillis: at - 9000, NextReportAtMillis: at + 100,
+		ShortDeadlineSuccess: []float64{0.9},
+		AttemptMillis:        []float64{120}, Peers: []policy.PeerState{{}, {
+			HeardAtMillis: at - 10, ReportedAtMillis: at - 20, ReportDueSinceMillis: at - 30,
+			ReportsHeardAtMillis: at - 40, Silent: true,
+			LastReports: []policy.Report{{Customer: 3, DemandPerSecond: 7}, {Customer: 4, Plan: 1,
+				DemandPerSecond: 8}}}}}
 	for i := range customers {
-		e.Customers = append(e.Customers, policy.Customer{Key: uint64(i), Plan: i % 3, N: 2, First: 1, Txns: i,
-			Holding: 1, Level: says, Whole: 3, Filled: at - 1, Others: 4, Flow: 5, Held: 6, Heard: at - 2, Demand: 7,
-			Lately: 8, Seen: at - 3, CoolSince: at - 4, Unsaid: 9, Said: 10, SaidAt: at - 5, Known: 11, Hot: i%2 == 0,
-			Lag: 12, Dealt: at - 6})
+		e.Customers = append(e.Customers, policy.CustomerState{ID: uint64(i), Plan: i % 3, SetSize: 2,
+			FirstGateway: 1, Requests: i,
+			SilentPeers: 1, ShareTokens: says, QuotaTokens: 3, FilledAtMillis: at - 1, PeerDemand: 4,
+			PeerSpentUnits: 5, SilentPeerDemand: 6, PeerDemandAtMillis: at - 2, OwnDemand: 7,
+			RecentDemand: 8, LastRequestAtMillis: at - 3, CoolSinceMillis: at - 4, UnreportedUnits: 9,
+			ReportedDemand: 10, ReportedAtMillis: at - 5, PreviousReportedDemand: 11, Hot: i%2 == 0,
+			UncollectedRepayment: 12, CreditAtMillis: at - 6})
 	}
 	return l
 }
@@ -73,9 +80,10 @@
 	}
 	for _, by := range []float64{-3600e3, 3600e3} {
 		b, e, none = open(t, path, now+100+by, 1e6+100)
-		if want := some(now+2+by, 5, 2); none != nil || math.Abs(e.Estate.At-want.Estate.At) > 1 ||
-			math.Abs(e.Estate.Customers[4].Seen-want.Estate.Customers[4].Seen) > 1 || e.Estate.Peers[0].Heard != 0 ||
-			math.Abs(e.Estate.Peers[1].Heard-want.Estate.Peers[1].Heard) > 1 {
+		if want := some(now+2+by, 5, 2); none != nil || math.Abs(e.Estate.AtMillis-want.Estate.AtMillis) > 1 ||
+			math.Abs(e.Estate.Customers[4].LastRequestAtMillis-want.Estate.Customers[4].LastRequestAtMillis) > 1 ||
+			e.Estate.Peers[0].HeardAtMillis != 0 ||
+			math.Abs(e.Estate.Peers[1].HeardAtMillis-want.Estate.Peers[1].HeardAtMillis) > 1 {
 			t.Errorf("set by %v: %v %+v", by, none, e)
 		}
 		b.Close()
@@ -124,13 +132,13 @@
 		if none != nil || (err != nil) != (at < whole) {
 			t.Fatalf("after %d bytes of %d: %v, %v", at, whole, none, err)
 		}
-		switch e.Estate.Customers[0].Level {
+		switch e.Estate.Customers[0].ShareTokens {
 		case 2:
 			older++
 		case 3:
 			newer++
 		}
-		if !reflect.DeepEqual(e, some(now, 3, e.Estate.Customers[0].Level)) {
+		if !reflect.DeepEqual(e, some(now, 3, e.Estate.Customers[0].ShareTokens)) {
 			t.Errorf("after %d bytes: %+v", at, e)
 		}
 	}
@@ -186,7 +194,7 @@
 			t.Fatal(err)
 		}
 		b.Close()
-		if b, e, none = open(t, path, now, c.up); none != nil || e.Estate.Customers[3].Level != 2 {
+		if b, e, none = open(t, path, now, c.up); none != nil || e.Estate.Customers[3].ShareTokens != 2 {
 			t.Errorf("%s: after it %v", c.name, none)
 		}
 		b.Close()
@@ -199,15 +207,15 @@
 // A copy says what it depends on: another charter, also one that withholds or goes without words, and another
 // version of the rules have another digest.
 func TestDigest(t *testing.T) {
-	of := func() policy.Charter {
-		return policy.Charter{Gatekeepers: 2, Plans: []policy.Plan{{Rate: 10, Burst: 20}}}
+	of := func() policy.Settings {
+		return policy.Settings{GatewayCount: 2, Plans: []policy.Plan{{QuotaPerSecond: 10, QuotaBurst: 20}}}
 	}
-	for i, change := range []func(c *policy.Charter, rules *uint64){
-		func(c *policy.Charter, _ *uint64) { c.Gatekeepers = 3 },
-		func(c *policy.Charter, _ *uint64) { c.Narrow = true },
-		func(c *policy.Charter, _ *uint64) { c.Plans[0].Withheld = 0.5 },
-		func(c *policy.Charter, _ *uint64) { c.Plans[0].Credit = 1 },
-		func(_ *policy.Charter, rules *uint64) { *rules = 4 }} {
+	for i, change := range []func(c *policy.Settings, rules *uint64){
+		func(c *policy.Settings, _ *uint64) { c.GatewayCount = 3 },
+		func(c *policy.Settings, _ *uint64) { c.QuotaWithoutGossip = true },
+		func(c *policy.Settings, _ *uint64) { c.Plans[0].WithheldFraction = 0.5 },
+		func(c *policy.Settings, _ *uint64) { c.Plans[0].CreditSeconds = 1 },
+		func(_ *policy.Settings, rules *uint64) { *rules = 4 }} {
 		c, rules := of(), uint64(3)
 		if Digest(c, rules) != digest {
 			t.Fatal("the same has another")
@@ -251,7 +259,7 @@
 	one.Close()
 	two.Close()
 	b, e, _ := open(t, path, now, 1e6)
-	if e == nil || e.Estate.Customers[0].Level != 2 {
+	if e == nil || e.Estate.Customers[0].ShareTokens != 2 {
 		t.Errorf("read %+v", e)
 	}
 	b.Close()
@@ -301,8 +309,8 @@
 		}
 		b.Close()
 		all := e.Estate.Customers
-		said := all[0].Level
-		if len(all) != 2000 || said < float64(last)-0.5 && last == kill || all[1999].Level != said {
+		said := all[0].ShareTokens
+		if len(all) != 2000 || said < float64(last)-0.5 && last == kill || all[1999].ShareTokens != said {
 			t.Errorf("%d was said, %d customers, %v is left", last, len(all), said)
 		}
 	}
--- a/internal/gateway/recovery/crashstate/residue.go
+++ b/internal/gateway/recovery/crashstate/residue.go
@@ -60,11 +60,11 @@
 }
 
 // Digest stands for all that the figures in a residue depend on: who it is, of how many, and the ceilings.
-func Digest(c policy.Charter) [32]byte {
+func Digest(c policy.Settings) [32]byte {
 	var b bytes.Buffer
-	fmt.Fprint(&b, c.Me, c.Gatekeepers, len(c.Plans))
+	fmt.Fprint(&b, c.GatewayIndex, c.GatewayCount, len(c.Plans))
 	for _, p := range c.Plans {
-		fmt.Fprint(&b, " ", p.CeilingRate, p.CeilingDepth)
+		fmt.Fprint(&b, " ", p.RateLimitPerSecond, p.RateLimitBurst)
 	}
 	return sha256.Sum256(b.Bytes())
 }
@@ -100,7 +100,7 @@
 // by. Times are Unix ms, as now is. A file that another process has is let alone, and one begun in its place:
 // what that one spends from here on would be missing in what this one leaves. An error tells that none can be
 // kept.
-func Open(path string, digest [32]byte, now float64) (*File, *policy.Residue, error) {
+func Open(path string, digest [32]byte, now float64) (*File, *policy.CrashState, error) {
 	mark, up, err := machine()
 	if err != nil {
 		return nil, nil, fmt.Errorf("residue: %w", err)
@@ -111,7 +111,7 @@
 	}
 	r := &File{b: b, held: f, by: map[uint32]int{}}
 	offset := now - up
-	var left *policy.Residue
+	var left *policy.CrashState
 	if was && r.load(atMagic) == magic && bytes.Equal(b[atDigest:atDigest+32], digest[:]) &&
 		bytes.Equal(bytes.TrimRight(b[atBoot:atOffset], "\x00"), mark) {
 		left = r.read(offset-r.figure(atOffset), now)
@@ -185,15 +185,15 @@
 }
 
 // read takes what is there. Guards against a clock that was set meanwhile: what moved it moves the figures.
-func (r *File) read(moved, now float64) *policy.Residue {
+func (r *File) read(moved, now float64) *policy.CrashState {
 	if math.Abs(moved) < step {
 		moved = 0
 	}
 	if math.IsNaN(moved) || math.IsInf(moved, 0) {
 		return nil
 	}
-	left := &policy.Residue{Base: r.figure(atBase) + moved}
-	r.put(atBase, left.Base)
+	left := &policy.CrashState{RateLimitBaseMillis: r.figure(atBase) + moved}
+	r.put(atBase, left.RateLimitBaseMillis)
 	for i := range places {
 		at := header + i*place
 		full := r.figure(at)
@@ -208,14 +208,15 @@
 			continue
 		}
 		key := r.load(at + 8)
-		left.Ceilings = append(left.Ceilings, policy.Spent{Customer: uint64(uint32(key)), Plan: int(key >> 32),
-			Full: full})
+		left.RateLimits = append(left.RateLimits, policy.SpentRateLimit{Customer: uint64(uint32(key)),
+			Plan:         int(key >> 32),
+			FullAtMillis: full})
 		r.by[uint32(key)] = at
 	}
 	if pressed := r.figure(atPressed) + moved; now-pressed < pressAge {
-		left.Window, left.Press, left.Pace = r.figure(atWindow), r.figure(atPress), r.figure(atPace)
+		left.Window, left.Pressure, left.ResponseMillis = r.figure(atWindow), r.figure(atPress), r.figure(atPace)
 	}
-	if !(left.Base > 0) || left.Base > now+step {
+	if !(left.RateLimitBaseMillis > 0) || left.RateLimitBaseMillis > now+step {
 		return nil
 	}
 	return left
@@ -270,10 +271,10 @@
 }
 
 // Inherit stores what another process has handed on: from here on it is this one's to spend.
-func (r *File) Inherit(base float64, all []policy.Spent, now float64) {
+func (r *File) Inherit(base float64, all []policy.SpentRateLimit, now float64) {
 	r.put(atBase, base)
 	for _, s := range all {
-		r.Spend(s.Customer, s.Plan, s.Full, now)
+		r.Spend(s.Customer, s.Plan, s.FullAtMillis, now)
 	}
 }
 
--- a/internal/gateway/recovery/crashstate/residue_test.go
+++ b/internal/gateway/recovery/crashstate/residue_test.go
@@ -15,14 +15,15 @@
 	"willowdeck/internal/policy"
 )
 
-var digest = Digest(policy.Charter{Gatekeepers: 2, Plans: []policy.Plan{{CeilingRate: 10, CeilingDepth: 20}}})
+var digest = Digest(policy.Settings{GatewayCount: 2, Plans: []policy.Plan{{RateLimitPerSecond: 10,
+	RateLimitBurst: 20}}})
 
 var shift float64
 
 func unix() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
 // open opens a residue at a time. The machine's own clock goes with it, but for what shift says.
-func open(t *testing.T, path string, now float64) (*File, *policy.Residue) {
+func open(t *testing.T, path string, now float64) (*File, *policy.CrashState) {
 	t.Helper()
 	mark, _, _ := boot()
 	machine = func() ([]byte, float64, error) { return mark, now - 1e12 - shift, nil }
@@ -47,24 +48,25 @@
 	f.Pressed(40, 0.2, 25, now+10)
 	f.Close()
 	f, left = open(t, path, now+1000)
-	if left == nil || left.Base != now || len(left.Ceilings) != 1 ||
-		left.Ceilings[0] != (policy.Spent{Customer: 7, Plan: 1, Full: now + 6000}) || left.Window != 40 {
+	if left == nil || left.RateLimitBaseMillis != now || len(left.RateLimits) != 1 ||
+		left.RateLimits[0] != (policy.SpentRateLimit{Customer: 7, Plan: 1, FullAtMillis: now + 6000}) ||
+		left.Window != 40 {
 		t.Fatalf("left %+v", left)
 	}
 	f.Spend(9, 0, now+9000, now+1000)
 	f.Close()
 	f, left = open(t, path, now+20000)
-	if left == nil || len(left.Ceilings) != 0 || left.Base != now || left.Window != 0 {
+	if left == nil || len(left.RateLimits) != 0 || left.RateLimitBaseMillis != now || left.Window != 0 {
 		t.Errorf("later %+v", left)
 	}
 	f.Void()
 	if f, left = open(t, path, now+20000); left != nil {
 		t.Errorf("of what another process spends on: %+v", left)
 	}
-	f.Inherit(now-50, []policy.Spent{{Customer: 3, Plan: 0, Full: now + 30000}}, now+20000)
+	f.Inherit(now-50, []policy.SpentRateLimit{{Customer: 3, Plan: 0, FullAtMillis: now + 30000}}, now+20000)
 	f.Close()
 	f, left = open(t, path, now+20000)
-	if left == nil || left.Base != now-50 || len(left.Ceilings) != 1 {
+	if left == nil || left.RateLimitBaseMillis != now-50 || len(left.RateLimits) != 1 {
 		t.Errorf("handed on %+v", left)
 	}
 	// Another process begins a file of its own, and nothing of the former is gone by at the start after it.
@@ -74,7 +76,8 @@
 	}
 	f.Close()
 	g.Close()
-	if g, other = open(t, path, now+21000); other == nil || other.Base != now+20000 || len(other.Ceilings) != 0 {
+	if g, other = open(t, path, now+21000); other == nil || other.RateLimitBaseMillis != now+20000 ||
+		len(other.RateLimits) != 0 {
 		t.Errorf("after two at once: %+v", other)
 	}
 	g.Close()
@@ -114,7 +117,7 @@
 			t.Errorf("%s: %+v", c.name, left)
 		}
 		f.Close()
-		if f, left = open(t, path, now+20); left == nil || left.Base != now+10 {
+		if f, left = open(t, path, now+20); left == nil || left.RateLimitBaseMillis != now+10 {
 			t.Errorf("%s: after it %+v", c.name, left)
 		}
 		f.Close()
@@ -139,7 +142,8 @@
 		shift = by
 		f, left := open(t, path, now+by)
 		shift = 0
-		if left == nil || len(left.Ceilings) != 1 || math.Abs(left.Ceilings[0].Full-(now+5000+by)) > 2*step {
+		if left == nil || len(left.RateLimits) != 1 ||
+			math.Abs(left.RateLimits[0].FullAtMillis-(now+5000+by)) > 2*step {
 			t.Errorf("set by %v: %+v", by, left)
 		}
 		f.Close()
@@ -163,7 +167,7 @@
 	f.Close()
 	f, left := open(t, path, now+100)
 	if left != nil { // the base lies ahead: all counts as spent anew
-		t.Errorf("left base %v ahead", left.Base-now)
+		t.Errorf("left base %v ahead", left.RateLimitBaseMillis-now)
 	}
 	f.Close()
 }
@@ -214,8 +218,8 @@
 			t.Fatal("nothing is left")
 		}
 		got := map[uint64]float64{}
-		for _, s := range left.Ceilings {
-			got[s.Customer] = s.Full
+		for _, s := range left.RateLimits {
+			got[s.Customer] = s.FullAtMillis
 		}
 		for key, full := range said {
 			if got[key] < full-1e-3 { // the last line may be cut within its figure
--- a/internal/gateway/transport/body.go
+++ b/internal/gateway/transport/body.go
@@ -95,8 +95,8 @@
 	if b.n > MostBody {
 		return 0, errTooLong
 	}
-	end := b.began.Add(Millis(policy.WholeTxn + float64(b.n)/policy.LeastRate))
-	if pause := time.Now().Add(Millis(policy.BodyPause)); pause.Before(end) {
+	end := b.began.Add(Millis(policy.RequestHeadTimeoutMillis + float64(b.n)/policy.MinBodyBytesPerMilli))
+	if pause := time.Now().Add(Millis(policy.BodyStallTimeoutMillis)); pause.Before(end) {
 		end = pause
 	}
 	b.conn.await(end)
@@ -185,7 +185,7 @@
 type timed struct{ conn *placed }
 
 func (w timed) Write(b []byte) (int, error) {
-	_ = w.conn.SetWriteDeadline(time.Now().Add(Millis(policy.BodyPause)))
+	_ = w.conn.SetWriteDeadline(time.Now().Add(Millis(policy.BodyStallTimeoutMillis)))
 	return w.conn.Write(b)
 }
 
@@ -193,7 +193,7 @@
 // each slow reader, and a wait for room, when they are full, that looks like one that reads nothing.
 func narrow(c net.Conn) {
 	if b, ok := c.(interface{ SetWriteBuffer(int) error }); ok {
-		_ = b.SetWriteBuffer(policy.KernelBytes)
+		_ = b.SetWriteBuffer(policy.SendBufferBytes)
 	}
 }
 
--- a/internal/gateway/transport/discovery.go
+++ b/internal/gateway/transport/discovery.go
@@ -26,23 +26,23 @@
 // open is the pause before an opening, so long after the first one, ms: after so many tries in a row that
 // cost discovery something in vain, where it has been owed what it had for so long.
 func (p Pace) open(tries int, gone, owed time.Duration) float64 {
-	due := policy.WatchDue
+	due := policy.WatchCatchUpMillis
 	if gone < Millis(p.Due) {
 		due = p.Due // one that was moved to may only just be coming up
 	}
-	return policy.WatchAfter(tries, p.Askers(), due-float64(owed)/float64(time.Millisecond), p.Chance())
+	return policy.WatchRetryDelay(tries, p.Askers(), due-float64(owed)/float64(time.Millisecond), p.Chance())
 }
 
 // head is how long an opening may take until the answer's head is there, ms.
 func (p Pace) head() float64 {
 	if p.Askers() == 0 {
-		return policy.WatchHead
+		return policy.WatchHeaderTimeoutMillis
 	}
-	return policy.WatchQuiet
+	return policy.WatchHeartbeatTimeoutMillis
 }
 
 // silent is how long a watch that has spoken may say nothing, ms.
-func (p Pace) silent() float64 { return policy.WatchSilent(p.Askers(), p.Chance()) }
+func (p Pace) silent() float64 { return policy.WatchIdleTimeout(p.Askers(), p.Chance()) }
 
 // Watch follows discovery's list from a version on until ctx ends, and gives each change to tell as soon as
 // it is read; alive hears of each line without news. When the watch ends or falls silent it reports why to
@@ -101,7 +101,8 @@
 }
 
 // once opens the watch and follows it until it ends. The answer's head has its time, and from then on the
-// first word WatchQuiet. A list that begins later has to be whole within the time for a silence.
+// first word WatchHeartbeatTimeoutMillis. A list that begins later has to be whole within the time for a
+// silence.
 func (w *watch) once(ctx context.Context) error {
 	w.met, w.spoke, w.quiet, w.since = false, false, false, time.Now()
 	until := w.since.Add(Millis(w.head()))
@@ -129,12 +130,12 @@
 		return fmt.Errorf("discovery: status %d", r.StatusCode())
 	}
 	w.since = time.Now() // it was reached until here
-	_ = conn.SetDeadline(w.since.Add(Millis(policy.WatchQuiet)))
+	_ = conn.SetDeadline(w.since.Add(Millis(policy.WatchHeartbeatTimeoutMillis)))
 	heard := func() { _ = conn.SetDeadline(time.Now().Add(Millis(w.silent()))) }
 	bounds := endpoints.Bounds{
-		Bytes:   policy.LongestList,
-		Entry:   policy.LongestEntry,
-		Workers: policy.MostWorkers,
+		Bytes:   policy.MaxEndpointListBytes,
+		Entry:   policy.MaxEndpointBytes,
+		Workers: policy.MaxWorkers,
 	}
 	lists := endpoints.NewStream(r.BodyStream(), bounds, func(empty bool) {
 		if w.spoke = w.spoke || empty; w.spoke {
--- a/internal/gateway/transport/discovery_test.go
+++ b/internal/gateway/transport/discovery_test.go
@@ -55,7 +55,8 @@
 		open: func(n int, _, _ time.Duration) float64 {
 			tries = append(tries, n)
 			return 1
-		}, head: func() float64 { return policy.WatchQuiet }, silent: func() float64 { return policy.WatchQuiet }}
+		}, head: func() float64 { return policy.WatchHeartbeatTimeoutMillis },
+		silent: func() float64 { return policy.WatchHeartbeatTimeoutMillis }}
 	w.follow(ctx)
 	version := w.version
 	if version != 6 || heard != 1 || !slices.Equal(tries, []int{0, 1, 2, 1, 2, 1}) {
@@ -73,7 +74,7 @@
 // version before it.
 func TestWatchTooLong(t *testing.T) {
 	const list = `{"index":%d,"endpoints":[{"name":"%s","status":"left"}]}` + "\n"
-	long := strings.Repeat("n", policy.LongestEntry)
+	long := strings.Repeat("n", policy.MaxEndpointBytes)
 	l, addr := sink(t)
 	asked := make(chan string, 2)
 	go func() {
@@ -99,8 +100,9 @@
 			cancel()
 		}
 	}, alive: func() {}, failed: func(err error) { ends = append(ends, err) },
-		open: func(int, time.Duration, time.Duration) float64 { return 1 },
-		head: func() float64 { return policy.WatchQuiet }, silent: func() float64 { return policy.WatchQuiet }}
+		open:   func(int, time.Duration, time.Duration) float64 { return 1 },
+		head:   func() float64 { return policy.WatchHeartbeatTimeoutMillis },
+		silent: func() float64 { return policy.WatchHeartbeatTimeoutMillis }}
 	w.follow(ctx)
 	if !slices.Equal(told, []int64{4, 6}) || len(ends) == 0 || !errors.Is(ends[0], endpoints.ErrTooLong) {
 		t.Errorf("told of %v; ends: %v", told, ends)
@@ -175,35 +177,47 @@
 		most  time.Duration
 		index []string // that are asked for
 	}{
-		{"silent", false, policy.WatchDue, []string{"^" + old + "~~\n", "^" + news}, 2 * time.Second,
+		{"silent", false, policy.WatchCatchUpMillis, []string{"^" + old + "~~\n", "^" + news}, 2 * time.Second,
 			3 * time.Second, []string{"3", "4"}},
-		{"silent, as is the next", false, policy.WatchDue, []string{"^" + old, "", "^" + news}, 0, 6 * time.Second,
+		{"silent, as is the next", false, policy.WatchCatchUpMillis, []string{"^" + old, "", "^" + news}, 0,
+			6 * time.Second,
 			[]string{"3", "4", "4"}},
-		{"silent, as is the next but for its head", false, policy.WatchDue, []string{"^" + old, "^", "^" + news}, 0,
+		{"silent, as is the next but for its head", false, policy.WatchCatchUpMillis, []string{"^" + old, "^",
+			"^" + news}, 0,
 			6 * time.Second, []string{"3", "4", "4"}},
-		{"silent, where it is asked and answers in turn", true, policy.WatchDue, []string{"^" + old + "~~\n",
-			"~~^" + news}, 2 * time.Second, 6 * time.Second, []string{"3", "4"}},
-		{"silent, and the next refused", true, policy.WatchDue, []string{"^" + old, "refused", "^" + news}, 0,
+		{"silent, where it is asked and answers in turn", true, policy.WatchCatchUpMillis,
+			[]string{"^" + old + "~~\n",
+				"~~^" + news}, 2 * time.Second, 6 * time.Second, []string{"3", "4"}},
+		{"silent, and the next refused", true, policy.WatchCatchUpMillis, []string{"^" + old, "refused",
+			"^" + news}, 0,
 			8 * time.Second, []string{"3", "4"}},
-		{"silent, as are the next two", false, policy.WatchDue, []string{"^" + old, "", "", "^" + news}, 0,
+		{"silent, as are the next two", false, policy.WatchCatchUpMillis, []string{"^" + old, "", "", "^" + news},
+			0,
 			6 * time.Second, []string{"3", "4", "4", "4"}},
-		{"silent, half a list, cut in a list", true, policy.WatchDue, []string{"", "^{", "^" + old + "{$",
+		{"silent, half a list, cut in a list", true, policy.WatchCatchUpMillis, []string{"", "^{", "^" + old + "{$",
 			"~~^" + news}, 0, 6 * time.Second, []string{"3", "3", "3", "4"}},
-		{"cut in a list, with empty lines after it", false, policy.WatchDue, []string{"^" + old + `{"index":4` +
-			"\n~\n~\n~\n~\n~\n~\n", "^" + news}, 0, 3 * time.Second, []string{"3", "4"}},
-		{"ends", true, policy.WatchDue, []string{"^" + old + "$", "~~^" + news}, 0, 6 * time.Second,
+		{"cut in a list, with empty lines after it", false, policy.WatchCatchUpMillis,
+			[]string{"^" + old + `{"index":4` +
+				"\n~\n~\n~\n~\n~\n~\n", "^" + news}, 0, 3 * time.Second, []string{"3", "4"}},
+		{"ends", true, policy.WatchCatchUpMillis, []string{"^" + old + "$", "~~^" + news}, 0, 6 * time.Second,
 			[]string{"3", "4"}},
-		{"starts", true, policy.WatchDue, []string{"~~^" + news}, 0, 6 * time.Second, []string{"3"}},
-		{"moves", true, policy.WatchMoved, []string{"~~^" + news}, 0, 4 * time.Second, []string{"3"}},
-		{"moves, refused at first", true, policy.WatchMoved, []string{"refused", "refused", "^" + news}, 0,
+		{"starts", true, policy.WatchCatchUpMillis, []string{"~~^" + news}, 0, 6 * time.Second, []string{"3"}},
+		{"moves", true, policy.WatchFailoverCatchUpMillis, []string{"~~^" + news}, 0, 4 * time.Second,
+			[]string{"3"}},
+		{"moves, refused at first", true, policy.WatchFailoverCatchUpMillis, []string{"refused", "refused",
+			"^" + news}, 0,
 			6 * time.Second, []string{"3"}},
-		{"moves, silent at first and again", false, policy.WatchMoved, []string{"", "", "^" + news}, 0,
+		{"moves, silent at first and again", false, policy.WatchFailoverCatchUpMillis, []string{"", "", "^" + news},
+			0,
 			4 * time.Second, []string{"3", "3", "3"}},
-		{"moves, silent at first", false, policy.WatchMoved, []string{"", "^" + news}, 0, 4 * time.Second,
+		{"moves, silent at first", false, policy.WatchFailoverCatchUpMillis, []string{"", "^" + news}, 0,
+			4 * time.Second,
 			[]string{"3", "3"}},
-		{"moves, refused for a while", false, policy.WatchMoved, append(slices.Repeat([]string{"refused"}, 30),
-			"^"+news), 0, 4 * time.Second, []string{"3"}},
-		{"a sign each 2 s", true, policy.WatchDue, []string{"^" + old + strings.Repeat("~~\n", 20) + news}, 0,
+		{"moves, refused for a while", false, policy.WatchFailoverCatchUpMillis,
+			append(slices.Repeat([]string{"refused"}, 30),
+				"^"+news), 0, 4 * time.Second, []string{"3"}},
+		{"a sign each 2 s", true, policy.WatchCatchUpMillis, []string{"^" + old + strings.Repeat("~~\n", 20) +
+			news}, 0,
 			60 * time.Second, []string{"3"}},
 	} {
 		for _, chance := range []float64{0, 0.5, 1} {
@@ -351,18 +365,18 @@
 	}
 }
 
-// Whatever calls have met, a change is told WatchDue after discovery could be reached, whenever that is, or
-// after it has begun an answer and fallen silent in it; WatchMoved after a move to one that is well; whatever
-// chance draws and however many ask. What is still out when it is back is lost, and each call after that
-// waits its turn where lists are asked for. In virtual time. Guards against pauses that grow with the fleet
-// and with each failure, on top of the time that the last call takes: up to 63 s at 300; and against any that
-// grow while calls are refused, which cost nobody anything.
+// Whatever calls have met, a change is told WatchCatchUpMillis after discovery could be reached, whenever
+// that is, or after it has begun an answer and fallen silent in it; WatchFailoverCatchUpMillis after a move
+// to one that is well; whatever chance draws and however many ask. What is still out when it is back is lost,
+// and each call after that waits its turn where lists are asked for. In virtual time. Guards against pauses
+// that grow with the fleet and with each failure, on top of the time that the last call takes: up to 63 s at
+// 300; and against any that grow while calls are refused, which cost nobody anything.
 func TestWatchOutage(t *testing.T) {
 	for _, how := range []string{"refused", "black-holed", "silent", "reset", "busy", "busy at once",
 		"trickled head", "head alone", "late head alone", "half a list", "half a list, begun late",
 		"half a list, ended", "half a list, ended late", "trickled list", "blanks in a list", "nonsense"} {
 		for _, askers := range []int{0, 1, 20, 300} {
-			for _, due := range []float64{policy.WatchDue, policy.WatchMoved} {
+			for _, due := range []float64{policy.WatchCatchUpMillis, policy.WatchFailoverCatchUpMillis} {
 				for _, chance := range []float64{0, 0.5, 1} {
 					worst := time.Duration(0)
 					for back := time.Duration(0); back < 9*time.Second; back += 1130 * time.Millisecond {
@@ -380,13 +394,14 @@
 							w.follow(ctx)
 							took, from := time.Since(began), max(back, o.head.Sub(began))
 							worst = max(worst, took-from)
-							most := from + Millis(policy.WatchDue)
+							most := from + Millis(policy.WatchCatchUpMillis)
 							switch {
 							case back == 0:
 								most = Millis(due)
 							case how == "refused":
-								most = back + o.turn + max(Millis(policy.WatchAgain), min(Millis(policy.WatchEach*float64(askers)),
-									Millis(policy.WatchDue-policy.WatchAnswer)))
+								most = back + o.turn + max(Millis(policy.WatchRetryMillis),
+									min(Millis(policy.WatchRetryPerGatewayMillis*float64(askers)),
+										Millis(policy.WatchCatchUpMillis-policy.WatchResponseMillis)))
 							}
 							if w.version != 5 || took > most {
 								t.Errorf("%s, %d ask, due in %v, chance %v: back after %v, told after %v", how, askers, due,
@@ -414,7 +429,7 @@
 				if how == "well" {
 					o.back = began
 				}
-				p := pace(20, policy.WatchDue, 0.9)
+				p := pace(20, policy.WatchCatchUpMillis, 0.9)
 				ctx, cancel := context.WithTimeout(t.Context(), at)
 				defer cancel()
 				w := watch{dial: o.dial, alive: func() {}, failed: func(error) {}, open: p.open, head: p.head,
@@ -430,8 +445,8 @@
 }
 
 // A watch that has spoken breaks in some way, and discovery has a change from that moment on which it would
-// tell to each new call: it is told in WatchDue. Guards against a list that never ends being a sign of life
-// with each byte, and a whole pause on top of the time that half a list has taken.
+// tell to each new call: it is told in WatchCatchUpMillis. Guards against a list that never ends being a sign
+// of life with each byte, and a whole pause on top of the time that half a list has taken.
 func TestWatchBreaks(t *testing.T) {
 	for _, c := range []struct {
 		how   string
@@ -487,7 +502,7 @@
 						}()
 						return here, nil
 					}
-					p := pace(askers, policy.WatchDue, chance)
+					p := pace(askers, policy.WatchCatchUpMillis, chance)
 					ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
 					defer cancel()
 					w := watch{dial: dial, alive: func() { broke = time.Now() }, failed: func(error) {}, open: p.open,
@@ -499,7 +514,7 @@
 					}
 					w.follow(ctx)
 					took := time.Since(broke)
-					if w.version != 5 || calls != 2 || took > Millis(policy.WatchDue) {
+					if w.version != 5 || calls != 2 || took > Millis(policy.WatchCatchUpMillis) {
 						t.Errorf("%s, %d ask, chance %v: told after %v, by %d calls", c.how, askers, chance, took, calls)
 					}
 					time.Sleep(2 * time.Hour)
--- a/internal/gateway/transport/end_test.go
+++ b/internal/gateway/transport/end_test.go
@@ -29,8 +29,8 @@
 	t.Helper()
 	raw, at := sink(t)
 	names := config.Names{Products: map[string]int{"check": 0, "issue": 1}, Plans: map[string]int{"basic": 0}}
-	charter := policy.Charter{Gatekeepers: 1, LargestUnits: 1,
-		Products: []policy.Product{{Repeat: policy.InquiryLike}, {Repeat: policy.OnceOnly}}}
+	charter := policy.Settings{GatewayCount: 1, MaxRequestUnits: 1,
+		Products: []policy.Product{{Idempotency: policy.Idempotent}, {Idempotency: policy.NonIdempotent}}}
 	f := NewFront(names, charter, serve, func() bool { return true })
 	return &door{Front: f, t: t, l: Limit(raw, most), at: at.String()}
 }
@@ -129,7 +129,7 @@
 	var served atomic.Int64
 	d := openDoor(t, 9, func(*Txn) Final {
 		served.Add(1)
-		return Final{Kind: policy.Decline}
+		return Final{Kind: policy.Reject}
 	})
 	var c net.Conn
 	crosses := false
@@ -163,7 +163,7 @@
 	from := time.Now()
 	_ = c.Close()
 	d.Wait()
-	if took := time.Since(from); served.Load() != 1 || took > Millis(policy.Linger/2) {
+	if took := time.Since(from); served.Load() != 1 || took > Millis(policy.LingerTimeoutMillis/2) {
 		t.Errorf("%d txns were served; closed %v after its client", served.Load(), took)
 	}
 }
@@ -194,7 +194,7 @@
 
 // A txn that comes just as a resting connection's time is out is served. Guards against a close over it.
 func TestIdleEndCrossed(t *testing.T) {
-	d := openDoor(t, 9, func(*Txn) Final { return Final{Kind: policy.Decline} })
+	d := openDoor(t, 9, func(*Txn) Final { return Final{Kind: policy.Reject} })
 	rested := false
 	c, _ := d.meet(func(q *quick) net.Conn {
 		l, read := &timedOut{quick: q}, q.in.call
@@ -229,7 +229,7 @@
 	d := openDoor(t, 9, func(*Txn) Final {
 		served.Add(1)
 		<-on
-		return Final{Kind: policy.Submit, Answer: &Answer{Outcome: policy.Settled, Body: body, Length: len(body)}}
+		return Final{Kind: policy.Submit, Answer: &Answer{Outcome: policy.Succeeded, Body: body, Length: len(body)}}
 	})
 	c, p := d.meet(nil, true)
 	fmt.Fprint(c, ask("1"))
@@ -258,14 +258,15 @@
 		do   func(c *net.TCPConn)
 		most float64
 	}{
-		{"closed", func(c *net.TCPConn) { c.Close() }, policy.Linger / 2},
-		{"more sent, and closed", func(c *net.TCPConn) { fmt.Fprint(c, "GET"); c.Close() }, policy.Linger / 2},
-		{"reset", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, policy.Linger / 2},
-		{"kept", func(*net.TCPConn) {}, 2 * policy.Linger},
-		{"more sent, and kept", func(c *net.TCPConn) { fmt.Fprint(c, "GET") }, 2 * policy.Linger},
+		{"closed", func(c *net.TCPConn) { c.Close() }, policy.LingerTimeoutMillis / 2},
+		{"more sent, and closed", func(c *net.TCPConn) { fmt.Fprint(c, "GET"); c.Close() },
+			policy.LingerTimeoutMillis / 2},
+		{"reset", func(c *net.TCPConn) { c.SetLinger(0); c.Close() }, policy.LingerTimeoutMillis / 2},
+		{"kept", func(*net.TCPConn) {}, 2 * policy.LingerTimeoutMillis},
+		{"more sent, and kept", func(c *net.TCPConn) { fmt.Fprint(c, "GET") }, 2 * policy.LingerTimeoutMillis},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := openDoor(t, 1, func(*Txn) Final { return Final{Kind: policy.Decline} })
+			d := openDoor(t, 1, func(*Txn) Final { return Final{Kind: policy.Reject} })
 			d.Front.Close()
 			client, _ := d.meet(nil, false)
 			fmt.Fprint(client, ask("1"))
@@ -281,7 +282,7 @@
 		})
 	}
 	t.Run("its place is wanted", func(t *testing.T) {
-		d := openDoor(t, 1, func(*Txn) Final { return Final{Kind: policy.Decline} })
+		d := openDoor(t, 1, func(*Txn) Final { return Final{Kind: policy.Reject} })
 		d.Front.Close()
 		client, p := d.meet(nil, false)
 		fmt.Fprint(client, ask("1"))
@@ -289,7 +290,7 @@
 		till(t, "it does not end", func() bool { return p.parts.Load() })
 		from := time.Now()
 		d.meet(nil, false)
-		if took := time.Since(from); took > Millis(policy.Linger/2) || d.l.Shed() > 0 {
+		if took := time.Since(from); took > Millis(policy.LingerTimeoutMillis/2) || d.l.Shed() > 0 {
 			t.Errorf("the next had a place after %v, %d were shed", took, d.l.Shed())
 		}
 	})
@@ -359,10 +360,10 @@
 // Guards against a listener that takes each descriptor that is freed while the watch and workers get none.
 func TestOutOfDescriptors(t *testing.T) {
 	const clients = 40
-	d := openDoor(t, 5*clients, func(*Txn) Final { return Final{Kind: policy.Decline} })
+	d := openDoor(t, 5*clients, func(*Txn) Final { return Final{Kind: policy.Reject} })
 	raw := &scarce{Listener: d.l.Listener}
 	d.l.Listener = raw
-	long := time.Now().Add(-2 * Millis(policy.IdleLong)).UnixNano()
+	long := time.Now().Add(-2 * Millis(policy.EvictIdleClientMillis)).UnixNano()
 	var all []net.Conn
 	for i := range clients {
 		c, p := d.meet(nil, false)
@@ -379,10 +380,10 @@
 	d.l.mu.Lock()
 	n, most := len(d.l.open), d.l.most
 	d.l.mu.Unlock()
-	if n > clients-policy.SpareFiles || most > clients-policy.SpareFiles {
+	if n > clients-policy.ReservedDescriptors || most > clients-policy.ReservedDescriptors {
 		t.Errorf("%d are open, of at most %d", n, most)
 	}
-	if s := d.l.Shed(); s < policy.SpareFiles || s > policy.SpareFiles+1 {
+	if s := d.l.Shed(); s < policy.ReservedDescriptors || s > policy.ReservedDescriptors+1 {
 		t.Errorf("%d were ended", s)
 	}
 	ends := 0
@@ -417,7 +418,7 @@
 			d := openDoor(t, 9, func(x *Txn) Final {
 				served.Add(1)
 				if first.Add(1) > 1 {
-					return Final{Kind: policy.Decline}
+					return Final{Kind: policy.Reject}
 				}
 				for c.leaves && !x.Gone() {
 					time.Sleep(time.Millisecond)
@@ -425,7 +426,7 @@
 				gone.Store(c.leaves)
 				<-on
 				x.Sent = c.sent
-				return Final{Kind: policy.Void}
+				return Final{Kind: policy.RejectUncertain}
 			})
 			a, p := d.meet(nil, false)
 			fmt.Fprint(a, ask("1"))
@@ -474,8 +475,8 @@
 		end  Final
 		want string
 	}{
-		{"declined", Final{Kind: policy.Decline}, declines},
-		{"voided", Final{Kind: policy.Void}, "HTTP/1.1 500 Internal Server Error"},
+		{"declined", Final{Kind: policy.Reject}, declines},
+		{"voided", Final{Kind: policy.RejectUncertain}, "HTTP/1.1 500 Internal Server Error"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := openDoor(t, 9, func(*Txn) Final { return c.end })
@@ -560,7 +561,7 @@
 		for !x.Gone() {
 			time.Sleep(time.Millisecond)
 		}
-		return Final{Kind: policy.Void}
+		return Final{Kind: policy.RejectUncertain}
 	})
 	half, p := d.meet(nil, false)
 	fmt.Fprint(half, ask("1")[:40])
@@ -570,12 +571,14 @@
 	till(t, "it is not taken", func() bool { return q.state.Load() == taken })
 	from := time.Now()
 	d.l.Hurry()
-	if s := status(half); s != "HTTP/1.1 408 Request Timeout" || time.Since(from) > Millis(policy.Linger) {
+	if s := status(half); s != "HTTP/1.1 408 Request Timeout" ||
+		time.Since(from) > Millis(policy.LingerTimeoutMillis) {
 		t.Errorf("half a txn gets %q after %v", s, time.Since(from))
 	}
 	next, _ := d.meet(nil, false)
 	fmt.Fprint(next, ask("3")[:40])
-	if s := status(next); s != "HTTP/1.1 408 Request Timeout" || time.Since(from) > 2*Millis(policy.Linger) {
+	if s := status(next); s != "HTTP/1.1 408 Request Timeout" ||
+		time.Since(from) > 2*Millis(policy.LingerTimeoutMillis) {
 		t.Errorf("half a txn after it gets %q after %v", s, time.Since(from))
 	}
 	if q.state.Load() != taken {
@@ -590,7 +593,7 @@
 // A connection that is being given to another process is not ended here meanwhile. Guards against an heir
 // that reads and sends on what comes behind an end.
 func TestHandOnIsNotEnded(t *testing.T) {
-	d := openDoor(t, 9, func(*Txn) Final { return Final{Kind: policy.Decline} })
+	d := openDoor(t, 9, func(*Txn) Final { return Final{Kind: policy.Reject} })
 	c, p := d.meet(nil, false)
 	fmt.Fprint(c, ask("1"))
 	if s := status(c); s != declines {
@@ -620,7 +623,7 @@
 	const size = 800 << 10
 	d := openDoor(t, 9, func(x *Txn) Final {
 		x.Upload.Settle()
-		return Final{Kind: policy.Decline}
+		return Final{Kind: policy.Reject}
 	})
 	d.l.Hurry()
 	c, p := d.meet(nil, false)
@@ -648,9 +651,9 @@
 	lefts := make(chan time.Duration, 3)
 	next := make(chan struct{})
 	d := openDoor(t, 1, func(x *Txn) Final {
-		lefts <- Millis(x.Left)
+		lefts <- Millis(x.TimeLeftMillis)
 		<-next
-		return Final{Kind: policy.Decline}
+		return Final{Kind: policy.Reject}
 	})
 	go d.Serve(d.l)
 	var sent [3][2]time.Time // about when each was written
@@ -694,9 +697,9 @@
 	const step, all = 200 * time.Millisecond, 900 * time.Millisecond
 	lefts, next := make(chan time.Duration, 3), make(chan struct{})
 	d := openDoor(t, 9, func(x *Txn) Final {
-		lefts <- Millis(x.Left)
+		lefts <- Millis(x.TimeLeftMillis)
 		<-next
-		return Final{Kind: policy.Decline}
+		return Final{Kind: policy.Reject}
 	})
 	c, _ := d.meet(nil, false)
 	written := time.Now()
--- a/internal/gateway/transport/ends_test.go
+++ b/internal/gateway/transport/ends_test.go
@@ -144,7 +144,7 @@
 		if read(); pieces != "" { // what is set for the second has to end with it
 			w.Write([]byte(strings.TrimSuffix(pieces, "|")))
 			read()
-			time.Sleep(Millis(1.5 * policy.AnswerPause))
+			time.Sleep(Millis(1.5 * policy.ResponseStallTimeoutMillis))
 		}
 		l.left = 3
 		go func() {
@@ -245,7 +245,7 @@
 	}
 	start := time.Now()
 	l.Halt()
-	if err := <-written; err == nil || time.Since(start) > Millis(policy.BodyPause)/2 {
+	if err := <-written; err == nil || time.Since(start) > Millis(policy.BodyStallTimeoutMillis)/2 {
 		t.Errorf("ended with %v after %v", err, time.Since(start))
 	}
 	if _, err := l.Write([]byte("more")); err == nil {
--- a/internal/gateway/transport/front.go
+++ b/internal/gateway/transport/front.go
@@ -19,10 +19,10 @@
 
 // Final is a txn's final answer. Answer is the worker's, where it is settled.
 type Final struct {
-	Kind    policy.Kind // Submit where it is settled, else Decline or Void
-	Wait    float64     // Decline: when to return, ms; 0 says nothing
+	Kind    policy.DecisionKind // Submit where it is settled, else Reject or RejectUncertain
+	Wait    float64             // Reject: when to return, ms; 0 says nothing
 	Answer  *Answer
-	Refusal *Refusal // of Void: it was not let to the module, or not again
+	Refusal *Refusal // of RejectUncertain: it was not let to the module, or not again
 }
 
 // Refusal is a no that has nothing to do with quota, workers or time.
@@ -38,7 +38,7 @@
 	Nameless bool
 
 	names   config.Names
-	charter atomic.Pointer[policy.Charter]
+	charter atomic.Pointer[policy.Settings]
 	serve   func(*Txn) Final
 	ready   func() bool
 	turns   sync.Pool
@@ -52,7 +52,7 @@
 }
 
 // NewFront makes a front that is up, by its own word, while ready says so.
-func NewFront(names config.Names, charter policy.Charter, serve func(*Txn) Final, ready func() bool) *Front {
+func NewFront(names config.Names, charter policy.Settings, serve func(*Txn) Final, ready func() bool) *Front {
 	f := &Front{names: names, serve: serve, ready: ready,
 		marks: marks{open: map[string]*mark{}}, finals: make([][3]atomic.Int64, len(charter.Products))}
 	f.charter.Store(&charter)
@@ -63,7 +63,7 @@
 // Resize tells how many gatekeepers there are from now on.
 func (f *Front) Resize(n int) {
 	c := *f.charter.Load()
-	c.Gatekeepers = n
+	c.GatewayCount = n
 	f.charter.Store(&c)
 }
 
@@ -181,9 +181,9 @@
 	t.res.Reset()
 	t.closes = false
 	first := p.state.Load() == fresh
-	wait := policy.IdleClient
+	wait := policy.ClientIdleTimeoutMillis
 	if first {
-		wait = policy.WholeTxn
+		wait = policy.RequestHeadTimeoutMillis
 	}
 	p.await(time.Now().Add(Millis(wait)))
 	if _, err := t.in.Peek(1); err != nil {
@@ -196,7 +196,7 @@
 		return late(err) && !p.end(idle) // something has come in that moment
 	}
 	if !first {
-		p.await(time.Now().Add(Millis(policy.WholeTxn)))
+		p.await(time.Now().Add(Millis(policy.RequestHeadTimeoutMillis)))
 	}
 	h := &t.req.Header
 	if err := h.Read(t.in); err != nil {
@@ -228,14 +228,14 @@
 	if !p.take() {
 		return false // it was ended before the body came whole
 	}
-	x.client, x.Streams = p, x.Upload != nil
+	x.client, x.StreamsBody = p, x.Upload != nil
 	if !p.from.IsZero() {
-		if !x.Streams {
-			x.Left = max(x.Left-p.lain(), 0)
+		if !x.StreamsBody {
+			x.TimeLeftMillis = max(x.TimeLeftMillis-p.lain(), 0)
 		}
 		p.from = time.Time{} // what comes from here on is read as it comes
 	}
-	free, waited := f.marks.take(&x, Millis(x.Left))
+	free, waited := f.marks.take(&x, Millis(x.TimeLeftMillis))
 	if !free {
 		return f.refuse(p, t, fasthttp.StatusConflict, "X-Request-Id: a txn with this one is open")
 	}
@@ -247,8 +247,8 @@
 		free = true
 	}
 	defer leave()
-	if !x.Streams {
-		x.Left = max(x.Left-float64(waited)/float64(time.Millisecond), 0)
+	if !x.StreamsBody {
+		x.TimeLeftMillis = max(x.TimeLeftMillis-float64(waited)/float64(time.Millisecond), 0)
 	}
 	f.active.Add(1)
 	defer f.active.Add(-1)
@@ -259,7 +259,7 @@
 		leave()
 	}
 	// Guards against what a client that has gone sent behind its txn: nobody waits for that either.
-	t.closes = t.closes || end.Kind == policy.Void && x.Gone()
+	t.closes = t.closes || end.Kind == policy.RejectUncertain && x.Gone()
 	if up := x.Upload; up != nil && !up.rest.whole.Load() {
 		if up.Fault() != nil {
 			return f.unreadable(p, t, up.Fault())
@@ -334,7 +334,7 @@
 		} else {
 			n[0].Add(1)
 		}
-	case policy.Decline:
+	case policy.Reject:
 		if end.Wait > 0 {
 			t.res.Set("Retry-After", RetryAfter(end.Wait))
 		}
--- a/internal/gateway/transport/fuzz_test.go
+++ b/internal/gateway/transport/fuzz_test.go
@@ -18,8 +18,8 @@
 // Whatever a client sends, a txn that is taken is one that the module can reckon with.
 func FuzzTxn(f *testing.F) {
 	names := config.Names{Products: map[string]int{"check": 0, "sale": 1}, Plans: map[string]int{"basic": 0}}
-	charter := policy.Charter{Gatekeepers: 3, LargestUnits: 4,
-		Products: []policy.Product{{Repeat: policy.InquiryLike}, {Repeat: policy.Referenced}}}
+	charter := policy.Settings{GatewayCount: 3, MaxRequestUnits: 4,
+		Products: []policy.Product{{Idempotency: policy.Idempotent}, {Idempotency: policy.Deduplicated}}}
 	const heads = " HTTP/1.1\r\nHost: h\r\nX-Request-Id: 1\r\nPlan: basic\r\nCookie: key=00000000b4d65521\r\n" +
 		"X-Deadline: 300m\r\nQuota-Info: units=1,spread=3,first=2\r\n"
 	f.Add([]byte("GET /check" + heads + "\r\n"))
@@ -35,9 +35,9 @@
 		if err != nil {
 			return
 		}
-		in := got.Units > 0 && got.Units <= charter.LargestUnits && got.Left > 0 &&
-			got.Left <= policy.LongestWait &&
-			got.SetSize > 0 && got.SetSize <= 3 && got.First < 3 &&
+		in := got.Units > 0 && got.Units <= charter.MaxRequestUnits && got.TimeLeftMillis > 0 &&
+			got.TimeLeftMillis <= policy.MaxClientWaitMillis &&
+			got.SetSize > 0 && got.SetSize <= 3 && got.FirstGateway < 3 &&
 			got.Customer < 1<<33
 		clean := len(got.Mark) > 0 && !bytes.ContainsAny(append(got.Mark, got.Target...), "\r\n ")
 		if !in || !clean {
@@ -68,7 +68,7 @@
 		l := newLink(ours, 0)
 		l.Until(time.Now().Add(time.Second))
 		a, err := l.Receive(nil)
-		if err != nil || a.Outcome != policy.Settled {
+		if err != nil || a.Outcome != policy.Succeeded {
 			return
 		}
 		if len(a.Body) > MostBody || !bytes.Contains(raw, []byte("200")) || len(a.Body) > len(raw) {
--- a/internal/gateway/transport/gossip/golden_test.go
+++ b/internal/gateway/transport/gossip/golden_test.go
@@ -12,8 +12,9 @@
 // form holds exactly.
 func goldenReports() []policy.Report {
 	return []policy.Report{
-		{Customer: 0x01020304, Plan: 5, Demand: 8, Known: 4, Spent: 2},
-		{Customer: 0xfffefdfc, Plan: Plans - 1, Demand: 0.5, Known: 1024, Spent: 65536},
+		{Customer: 0x01020304, Plan: 5, DemandPerSecond: 8, PreviousDemandPerSecond: 4, SpentUnits: 2},
+		{Customer: 0xfffefdfc, Plan: Plans - 1, DemandPerSecond: 0.5, PreviousDemandPerSecond: 1024,
+			SpentUnits: 65536},
 	}
 }
 
@@ -29,7 +30,7 @@
 
 // A report of which neither is known is shorter, and the form before this one is still read.
 func TestGoldenShortAndFormerReports(t *testing.T) {
-	short := []policy.Report{{Customer: 0x01020304, Plan: 5, Demand: 8}}
+	short := []policy.Report{{Customer: 0x01020304, Plan: 5, DemandPerSecond: 8}}
 	old := goldentest.Hex(t, "short.hex")
 	goldentest.SameBytes(t, Append(nil, short), old)
 	got, err := Decode(nil, old)
--- a/internal/gateway/transport/gossip/gossip.go
+++ b/internal/gateway/transport/gossip/gossip.go
@@ -40,14 +40,14 @@
 	dst = append(dst, version, byte(len(reports)))
 	for _, r := range reports {
 		dst = binary.BigEndian.AppendUint32(dst, uint32(r.Customer))
-		plan, known, spent := byte(r.Plan), pack(r.Known), pack(r.Spent)
+		plan, known, spent := byte(r.Plan), pack(r.PreviousDemandPerSecond), pack(r.SpentUnits)
 		if known > 0 {
 			plan |= hasKnown
 		}
 		if spent > 0 {
 			plan |= hasSpent
 		}
-		dst = append(dst, plan, pack(r.Demand))
+		dst = append(dst, plan, pack(r.DemandPerSecond))
 		if known > 0 {
 			dst = append(dst, known)
 		}
@@ -74,12 +74,12 @@
 			plan |= hasKnown | hasSpent
 		}
 		r := policy.Report{Customer: uint64(binary.BigEndian.Uint32(b)), Plan: int(plan &^ (hasKnown | hasSpent)),
-			Demand: unpack(b[5])}
+			DemandPerSecond: unpack(b[5])}
 		b = b[bare:]
 		for _, f := range []struct {
 			bit byte
 			v   *float64
-		}{{hasKnown, &r.Known}, {hasSpent, &r.Spent}} {
+		}{{hasKnown, &r.PreviousDemandPerSecond}, {hasSpent, &r.SpentUnits}} {
 			if plan&f.bit != 0 {
 				if len(b) == 0 {
 					return none, fmt.Errorf("peer message of %d bytes ends within a report", len(whole))
--- a/internal/gateway/transport/gossip/gossip_test.go
+++ b/internal/gateway/transport/gossip/gossip_test.go
@@ -10,8 +10,9 @@
 )
 
 func TestRoundTrip(t *testing.T) {
-	for _, r := range []policy.Report{{}, {Customer: 7, Plan: 3, Demand: 0.5, Known: 0.25, Spent: 8},
-		{Customer: math.MaxUint32, Demand: 1e6}, {Customer: 1, Demand: 12, Spent: 64}} {
+	for _, r := range []policy.Report{{}, {Customer: 7, Plan: 3, DemandPerSecond: 0.5,
+		PreviousDemandPerSecond: 0.25, SpentUnits: 8},
+		{Customer: math.MaxUint32, DemandPerSecond: 1e6}, {Customer: 1, DemandPerSecond: 12, SpentUnits: 64}} {
 		got, err := Decode(nil, Append(nil, []policy.Report{r}))
 		if err != nil || len(got) != 1 {
 			t.Fatalf("%+v: got %v, %v", r, got, err)
@@ -19,7 +20,8 @@
 		g := got[0]
 		if g.Customer != r.Customer ||
 			g.Plan != r.Plan ||
-			g.Spent != r.Spent || g.Known != r.Known || math.Abs(g.Demand-r.Demand) > r.Demand*0.05 {
+			g.SpentUnits != r.SpentUnits || g.PreviousDemandPerSecond != r.PreviousDemandPerSecond ||
+			math.Abs(g.DemandPerSecond-r.DemandPerSecond) > r.DemandPerSecond*0.05 {
 			t.Errorf("%+v came back as %+v", r, g)
 		}
 	}
@@ -32,7 +34,8 @@
 func TestForms(t *testing.T) {
 	before := []byte{former, 2, 0, 0, 0, 7, 1, 81, 73, 0, 0, 0, 0, 9, 0, 81, 0, 65}
 	now := []byte{version, 2, 0, 0, 0, 7, 1 | hasKnown, 81, 73, 0, 0, 0, 9, hasSpent, 81, 65}
-	want := []policy.Report{{Customer: 7, Plan: 1, Demand: 1, Known: 0.5}, {Customer: 9, Demand: 1, Spent: 0.25}}
+	want := []policy.Report{{Customer: 7, Plan: 1, DemandPerSecond: 1, PreviousDemandPerSecond: 0.5},
+		{Customer: 9, DemandPerSecond: 1, SpentUnits: 0.25}}
 	for name, b := range map[string][]byte{"before": before, "now": now} {
 		if got, err := Decode(nil, b); err != nil || !slices.Equal(got, want) {
 			t.Errorf("%s: got %+v, %v", name, got, err)
@@ -44,7 +47,7 @@
 }
 
 func TestMalformed(t *testing.T) {
-	good := Append(nil, []policy.Report{{Customer: 7, Demand: 1}, {Customer: 8, Demand: 2}})
+	good := Append(nil, []policy.Report{{Customer: 7, DemandPerSecond: 1}, {Customer: 8, DemandPerSecond: 2}})
 	other := bytes.Clone(good)
 	other[0]++
 	for name, b := range map[string][]byte{"empty": nil, "one byte": {version}, "cut short": good[:len(good)-1],
@@ -59,7 +62,7 @@
 	}
 	b := append([]byte{former, 2}, bytes.Repeat([]byte{255}, 16)...)
 	got, err := Decode(nil, b)
-	if err != nil || math.IsInf(got[0].Demand, 0) || math.IsNaN(got[0].Demand) {
+	if err != nil || math.IsInf(got[0].DemandPerSecond, 0) || math.IsNaN(got[0].DemandPerSecond) {
 		t.Errorf("the largest demand reads as %v, %v", got, err)
 	}
 }
--- a/internal/gateway/transport/limit.go
+++ b/internal/gateway/transport/limit.go
@@ -53,7 +53,7 @@
 func (l *Limited) next() (*placed, error) {
 	called := time.Now()
 	c, err := l.Listener.Accept()
-	if now := time.Now(); err == nil && now.Sub(called) > Millis(policy.AcceptNow) {
+	if now := time.Now(); err == nil && now.Sub(called) > Millis(policy.AcceptTimeoutMillis) {
 		l.empty = now // it has come while it was waited for
 	}
 	defer l.held.Store(false)
@@ -66,7 +66,7 @@
 		select {
 		case <-l.closed:
 			return nil, net.ErrClosed
-		case <-time.After(Millis(policy.AcceptAgain)):
+		case <-time.After(Millis(policy.AcceptRetryMillis)):
 		}
 		c, err = l.Listener.Accept()
 	}
@@ -74,11 +74,11 @@
 		l.held.Store(true)
 		select {
 		case <-l.freed:
-		case <-time.After(Millis(policy.AcceptAgain)): // one may have become idle
+		case <-time.After(Millis(policy.AcceptRetryMillis)): // one may have become idle
 		}
 	}
 	p := l.admit(c)
-	if time.Since(l.empty) > Millis(policy.AcceptNow) {
+	if time.Since(l.empty) > Millis(policy.AcceptTimeoutMillis) {
 		p.from = l.empty
 	}
 	return p, nil
@@ -103,7 +103,7 @@
 func (l *Limited) giveBack() {
 	l.mu.Lock()
 	n := len(l.open)
-	l.most = min(l.most, max(n-policy.SpareFiles, n/2, 1))
+	l.most = min(l.most, max(n-policy.ReservedDescriptors, n/2, 1))
 	l.mu.Unlock()
 	l.room()
 }
@@ -160,19 +160,20 @@
 var yields = [...]struct {
 	state int32
 	after float64
-}{{parting, policy.AcceptAgain}, {fresh, policy.Unproven}, {idle, policy.IdleLong}, {opening,
-	policy.Unfinished},
-	{coming, policy.Unfinished}}
+}{{parting, policy.AcceptRetryMillis}, {fresh, policy.EvictNewClientMillis},
+	{idle, policy.EvictIdleClientMillis}, {opening,
+		policy.EvictPartialRequestMillis},
+	{coming, policy.EvictPartialRequestMillis}}
 
 func (l *Limited) crowded() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return float64(len(l.open)) > policy.CrowdedAt*float64(l.most)
+	return float64(len(l.open)) > policy.KeepAliveClientFraction*float64(l.most)
 }
 
 // SendAway lets connections end with their next answer, and the idle ones one after another: those first
-// that have asked nothing for longest, all within DrainDone. Guards against one that is ended while a txn is
-// on its way. It does so until Welcome; a second call changes nothing.
+// that have asked nothing for longest, all within DrainIdleMillis. Guards against one that is ended while a
+// txn is on its way. It does so until Welcome; a second call changes nothing.
 func (l *Limited) SendAway() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -195,15 +196,15 @@
 }
 
 func (l *Limited) sendAway(over <-chan struct{}, from time.Time) {
-	t := time.NewTicker(Millis(policy.AcceptAgain))
+	t := time.NewTicker(Millis(policy.AcceptRetryMillis))
 	defer t.Stop()
 	for {
 		select {
 		case <-over:
 			return
 		case now := <-t.C:
-			if gone := now.Sub(from); gone > Millis(policy.DrainAsked) {
-				l.endIdle(max(Millis(policy.DrainDone)-gone, Millis(policy.AcceptAgain)))
+			if gone := now.Sub(from); gone > Millis(policy.DrainAcceptMillis) {
+				l.endIdle(max(Millis(policy.DrainIdleMillis)-gone, Millis(policy.AcceptRetryMillis)))
 			}
 		}
 	}
@@ -223,7 +224,7 @@
 	l.mu.Unlock()
 	for _, p := range waiting {
 		gone := time.Since(time.Unix(0, p.since.Load()))
-		ends := gone > since && (p.end(idle) || gone > Millis(policy.Unproven) && p.end(fresh))
+		ends := gone > since && (p.end(idle) || gone > Millis(policy.EvictNewClientMillis) && p.end(fresh))
 		if !ends && !p.Gone() {
 			left = true
 		}
@@ -232,16 +233,17 @@
 }
 
 // Drain lets connections end with their next answer, and ends the idle ones: those first that have asked
-// nothing for longest, all within StopIdle. Guards against one that is ended while a txn is on its way. It
-// returns once none is idle and none waits for a place: behind that one the machine may have taken more.
+// nothing for longest, all within StopIdleMillis. Guards against one that is ended while a txn is on its way.
+// It returns once none is idle and none waits for a place: behind that one the machine may have taken more.
 func (l *Limited) Drain() {
 	l.ending.Store(true)
 	from := time.Now()
 	for clean := 0; clean < 2; clean++ { // looks in a row: one may fall between two that wait
-		if l.endIdle(max(Millis(policy.StopIdle)-time.Since(from), Millis(policy.AcceptAgain))) || l.held.Load() {
+		if l.endIdle(max(Millis(policy.StopIdleMillis)-time.Since(from), Millis(policy.AcceptRetryMillis))) ||
+			l.held.Load() {
 			clean = -1
 		}
-		time.Sleep(Millis(policy.AcceptAgain))
+		time.Sleep(Millis(policy.AcceptRetryMillis))
 	}
 }
 
@@ -254,7 +256,7 @@
 	for p := range l.open {
 		switch p.at() {
 		case opening, asking, coming, taken: // of the last, a body that passes on as it comes
-			_ = p.SetReadDeadline(time.Now().Add(Millis(policy.AcceptAgain)))
+			_ = p.SetReadDeadline(time.Now().Add(Millis(policy.AcceptRetryMillis)))
 		}
 	}
 }
@@ -429,7 +431,7 @@
 	})
 	if ok && !c.lingers.Load() && t.CloseWrite() == nil {
 		c.parted()
-		t.Part(Millis(policy.Linger))
+		t.Part(Millis(policy.LingerTimeoutMillis))
 	}
 }
 
@@ -443,7 +445,7 @@
 func (c *placed) await(until time.Time) {
 	_ = c.SetReadDeadline(until)
 	if c.of.late.Load() { // asked behind the deadline, as Hurry sets it the other way round
-		if soon := time.Now().Add(Millis(policy.AcceptAgain)); soon.Before(until) {
+		if soon := time.Now().Add(Millis(policy.AcceptRetryMillis)); soon.Before(until) {
 			_ = c.SetReadDeadline(soon)
 		}
 	}
@@ -497,8 +499,8 @@
 	c.once.Do(func() {
 		if t, ok := c.Conn.(interface{ CloseWrite() error }); ok && c.lingers.Load() && t.CloseWrite() == nil {
 			c.parted()
-			_ = c.Conn.SetReadDeadline(time.Now().Add(Millis(policy.Linger)))
-			_, _ = io.CopyN(io.Discard, c.Conn, policy.LingerBytes)
+			_ = c.Conn.SetReadDeadline(time.Now().Add(Millis(policy.LingerTimeoutMillis)))
+			_, _ = io.CopyN(io.Discard, c.Conn, policy.MaxLingerBytes)
 		}
 		err = c.Conn.Close()
 		c.of.mu.Lock()
--- a/internal/gateway/transport/quick_linux.go
+++ b/internal/gateway/transport/quick_linux.go
@@ -189,7 +189,7 @@
 		case err != nil || !lies || q.left():
 			return
 		default: // what lies there would end each wait for more at once
-			time.Sleep(Millis(policy.AcceptAgain))
+			time.Sleep(Millis(policy.AcceptRetryMillis))
 		}
 	}
 }
--- a/internal/gateway/transport/submission.go
+++ b/internal/gateway/transport/submission.go
@@ -24,13 +24,14 @@
 	Outcome      policy.Outcome
 	Type, Coding string
 	Body         []byte
-	Rest         io.Reader     // what is to come behind Body of an answer that is too long to be kept, or nil
-	Length       int           // of both; below nought it is not stated
-	Load         policy.Burden // what the worker said of its load
-	Heard        bool          // it came from the worker, and whole
-	last         bool          // the connection ends with it
-	early        bool          // it had begun before the last piece of its submission's body went out
-	over         func(error)   // to be called once the rest has been passed on, or could not be
+	// what is to come behind Body of an answer that is too long to be kept, or nil
+	Rest   io.Reader
+	Length int               // of both; below nought it is not stated
+	Load   policy.WorkerLoad // what the worker said of its load
+	Heard  bool              // it came from the worker, and whole
+	last   bool              // the connection ends with it
+	early  bool              // it had begun before the last piece of its submission's body went out
+	over   func(error)       // to be called once the rest has been passed on, or could not be
 }
 
 // Keep tells whether the connection can carry another submission.
@@ -57,14 +58,14 @@
 )
 
 // passed are the buffers that long bodies and answers go through.
-var passed = sync.Pool{New: func() any { return new([policy.PassBytes]byte) }}
+var passed = sync.Pool{New: func() any { return new([policy.BodyChunkBytes]byte) }}
 
 // copyTo passes the body on, as it comes.
 func (a *Answer) copyTo(w io.Writer) error {
 	if a.Length >= 0 {
 		return a.flow(w)
 	}
-	out := bufio.NewWriterSize(w, policy.PassBytes)
+	out := bufio.NewWriterSize(w, policy.BodyChunkBytes)
 	in := httputil.NewChunkedWriter(out)
 	if err := a.flow(flushed{in, out}); err != nil {
 		return err
@@ -87,7 +88,7 @@
 
 // pour copies r to w through one buffer. An error of r is ErrBrokenOff.
 func pour(w io.Writer, r io.Reader) (n int64, err error) {
-	buf := passed.Get().(*[policy.PassBytes]byte)
+	buf := passed.Get().(*[policy.BodyChunkBytes]byte)
 	defer passed.Put(buf)
 	for {
 		got, end := r.Read(buf[:])
@@ -126,7 +127,7 @@
 // Ruleless is no version of rules.
 const Ruleless = -1
 
-// The time that is left is told in us, in as many digits as LongestWait has.
+// The time that is left is told in us, in as many digits as MaxClientWaitMillis has.
 const (
 	leftRoom = "0000000000"
 	mostTold = 9999999999
@@ -259,7 +260,7 @@
 	if l.left -= int64(len(b)); l.left == 0 {
 		l.pouring.Store(false)
 	}
-	_ = l.conn.SetWriteDeadline(time.Now().Add(Millis(policy.BodyPause)))
+	_ = l.conn.SetWriteDeadline(time.Now().Add(Millis(policy.BodyStallTimeoutMillis)))
 	l.heed()
 	return l.conn.Write(b)
 }
@@ -276,7 +277,7 @@
 			}
 			return errSpoke
 		}
-		n, err := l.conn.Write(b[at:min(at+policy.PassBytes, len(b))])
+		n, err := l.conn.Write(b[at:min(at+policy.BodyChunkBytes, len(b))])
 		if err != nil {
 			return err
 		}
@@ -292,7 +293,7 @@
 		_, err := pour(l, u)
 		return err
 	}
-	out := bufio.NewWriterSize(l, policy.PassBytes)
+	out := bufio.NewWriterSize(l, policy.BodyChunkBytes)
 	in := httputil.NewChunkedWriter(out)
 	if _, err := pour(flushed{in, out}, u); err != nil {
 		return err
@@ -327,13 +328,13 @@
 	a.Load = load(&r.Header)
 	switch code := r.StatusCode(); {
 	case code == fasthttp.StatusOK:
-		a.Outcome = policy.Settled
+		a.Outcome = policy.Succeeded
 		a.Type, a.Coding = string(r.Header.ContentType()), string(r.Header.ContentEncoding())
 	case (code == fasthttp.StatusServiceUnavailable || code == fasthttp.StatusGatewayTimeout) &&
 		string(r.Header.Peek("X-Not-Run")) == "1":
-		a.Outcome = policy.Full
+		a.Outcome = policy.Overloaded
 	default:
-		a.Outcome = policy.Fault
+		a.Outcome = policy.Failed
 	}
 	return a, nil
 }
@@ -362,7 +363,7 @@
 		_ = r.CloseBodyStream()
 		return err
 	}
-	l.pause = Millis(policy.BodyPause)
+	l.pause = Millis(policy.BodyStallTimeoutMillis)
 	l.passing.Store(true)
 	l.Until(time.Time{})
 	a.Rest = &bounded{rest, int64(MostBody - len(a.Body))}
@@ -384,7 +385,7 @@
 			return b, true, nil
 		case err != nil:
 			return nil, false, err
-		case unstated && (len(b) > MostKept || time.Since(start) > Millis(policy.AnswerPause)):
+		case unstated && (len(b) > MostKept || time.Since(start) > Millis(policy.ResponseStallTimeoutMillis)):
 			return b, false, nil
 		}
 	}
@@ -410,7 +411,7 @@
 
 // load reads what a worker said of its load. A report that is missing or cannot be read says nothing, and so
 // does what is no number of nought or more in it.
-func load(h *fasthttp.ResponseHeader) policy.Burden {
+func load(h *fasthttp.ResponseHeader) policy.WorkerLoad {
 	var says map[string]any
 	if all := h.PeekAll("X-Load"); len(all) != 1 || json.Unmarshal(all[0], &says) != nil {
 		says = nil
@@ -424,7 +425,7 @@
 			}
 		}
 	}
-	return policy.Burden{Held: told[0], Waiting: told[1], Busy: told[2]}
+	return policy.WorkerLoad{InFlight: told[0], Queued: told[1], CPUFraction: told[2]}
 }
 
 // head reads an answer's head, past the interim ones ahead of it. Until a head has begun nothing pauses, and
@@ -437,7 +438,7 @@
 		if _, err := l.in.Peek(1); err != nil {
 			return err
 		}
-		a.early, l.pause = l.pouring.Load(), Millis(policy.AnswerPause)
+		a.early, l.pause = l.pouring.Load(), Millis(policy.ResponseStallTimeoutMillis)
 		// Guards against a status line that the library makes 200 of: it reads status 000 so, and 0200.
 		line, err := l.in.Peek(len("HTTP/1.1 200 "))
 		if err != nil {
@@ -452,7 +453,7 @@
 		if r.StatusCode() >= fasthttp.StatusOK {
 			return nil
 		}
-		if n == policy.MostInterim || r.StatusCode() == fasthttp.StatusSwitchingProtocols {
+		if n == policy.MaxInterimResponses || r.StatusCode() == fasthttp.StatusSwitchingProtocols {
 			return errInterim
 		}
 	}
--- a/internal/gateway/transport/txn.go
+++ b/internal/gateway/transport/txn.go
@@ -27,7 +27,7 @@
 // Txn is a client's txn as it came: what the module needs of it, and the bytes that pass on unchanged.
 // The bytes are the client's connection's, good until its answer is given.
 type Txn struct {
-	policy.Arrival
+	policy.Request
 	Method, Target, Mark, Key, Body []byte
 	Upload                          *Upload // a body that is not kept
 	Nameless                        bool    // it does not say whose it is: an auth service has to
@@ -63,7 +63,7 @@
 // Decode reads a txn's head; its method and target may be another's than the head's own, who asks on its
 // behalf. Where nameless txns are taken, a head may lack the customer. An error is the client's fault, and
 // says what is wrong.
-func Decode(h *fasthttp.RequestHeader, method, target []byte, names *config.Names, charter *policy.Charter,
+func Decode(h *fasthttp.RequestHeader, method, target []byte, names *config.Names, charter *policy.Settings,
 	nameless bool) (Txn, error) {
 	t := Txn{Method: method, Target: target, head: h}
 	err := plain(h.RawHeaders())
@@ -73,17 +73,17 @@
 	if t.Mark, err = only(h, "X-Request-Id"); err != nil {
 		return t, err
 	}
-	if len(t.Mark) > policy.LongestMark || bytes.IndexFunc(t.Mark, unsightly) >= 0 {
+	if len(t.Mark) > policy.MaxDedupKeyBytes || bytes.IndexFunc(t.Mark, unsightly) >= 0 {
 		return t, errors.New("X-Request-Id: it must be plain characters, and not many")
 	}
 	if t.Product, err = product(t.Target, names); err != nil {
 		return t, err
 	}
-	repeat := charter.Products[t.Product].Repeat
+	repeat := charter.Products[t.Product].Idempotency
 	if t.Key, err = keyOf(h, t.Method, repeat); err != nil {
 		return t, err
 	}
-	if n := h.ContentLength(); repeat == policy.InquiryLike && (n > 0 || n == inChunks) {
+	if n := h.ContentLength(); repeat == policy.Idempotent && (n > 0 || n == inChunks) {
 		return t, errors.New("body: this product takes none")
 	}
 	plan, err := only(h, "Plan")
@@ -104,7 +104,7 @@
 	if err != nil {
 		return t, err
 	}
-	if t.Left, err = span(wait); err != nil {
+	if t.TimeLeftMillis, err = span(wait); err != nil {
 		return t, err
 	}
 	quota, err := only(h, "Quota-Info")
@@ -219,18 +219,18 @@
 }
 
 // keyOf checks that a txn comes as its product's kind asks, and gives its mark against repeats, if any.
-func keyOf(h *fasthttp.RequestHeader, name []byte, kind policy.Repeat) ([]byte, error) {
+func keyOf(h *fasthttp.RequestHeader, name []byte, kind policy.Idempotency) ([]byte, error) {
 	want := fasthttp.MethodPost
-	if kind == policy.InquiryLike {
+	if kind == policy.Idempotent {
 		want = fasthttp.MethodGet
 	}
 	if string(name) != want {
 		return nil, fmt.Errorf("method: this product takes %s", want)
 	}
-	if kind == policy.Referenced {
+	if kind == policy.Deduplicated {
 		return only(h, "Idempotency-Key")
 	}
-	if kind == policy.OnceOnly && len(h.Peek("Idempotency-Key")) > 0 {
+	if kind == policy.NonIdempotent && len(h.Peek("Idempotency-Key")) > 0 {
 		return nil, errors.New("Idempotency-Key: this product takes none")
 	}
 	return h.Peek("Idempotency-Key"), nil
@@ -249,14 +249,14 @@
 			ms = v / 1000
 		}
 	}
-	if !(ms > 0) || ms > policy.LongestWait {
+	if !(ms > 0) || ms > policy.MaxClientWaitMillis {
 		return 0, fmt.Errorf("X-Deadline: %q is no time ahead in m or u, or too long", b)
 	}
 	return ms, nil
 }
 
 // quota reads units=2,spread=3,first=1, which must be within what the charter allows.
-func (t *Txn) quota(b []byte, charter *policy.Charter) error {
+func (t *Txn) quota(b []byte, charter *policy.Settings) error {
 	const all = 7
 	seen := 0
 	for len(b) > 0 {
@@ -271,7 +271,7 @@
 		case "spread":
 			bit, t.SetSize = 2, int(v)
 		case "first":
-			bit, t.First = 4, int(v)
+			bit, t.FirstGateway = 4, int(v)
 		default:
 			continue
 		}
@@ -280,15 +280,15 @@
 		}
 		seen |= bit
 	}
-	n := max(charter.Gatekeepers, 1)
+	n := max(charter.GatewayCount, 1)
 	switch {
 	case seen != all || t.Units == 0 || t.SetSize == 0:
 		return errors.New("Quota-Info: units, spread and first must be given")
-	case charter.LargestUnits > 0 && t.Units > charter.LargestUnits:
-		return fmt.Errorf("Quota-Info: units must be at most %g", charter.LargestUnits)
-	case t.SetSize > n || t.First >= n:
+	case charter.MaxRequestUnits > 0 && t.Units > charter.MaxRequestUnits:
+		return fmt.Errorf("Quota-Info: units must be at most %g", charter.MaxRequestUnits)
+	case t.SetSize > n || t.FirstGateway >= n:
 		return fmt.Errorf("Quota-Info: spread and first must be of %d gatekeepers", n)
-	case (charter.Me-t.First+n)%n >= t.SetSize:
+	case (charter.GatewayIndex-t.FirstGateway+n)%n >= t.SetSize:
 		// Guards against a slice of quota and ceiling that is none of the parts they were split in.
 		return errors.New("Quota-Info: this gatekeeper is not of the set")
 	}
--- a/internal/gateway/transport/wire_test.go
+++ b/internal/gateway/transport/wire_test.go
@@ -211,7 +211,7 @@
 	first := <-taken
 	first.(*placed).come()
 	first.(*placed).take()
-	ago(first, 10*policy.IdleLong)
+	ago(first, 10*policy.EvictIdleClientMillis)
 	dial()
 	next("a txn is in hand", false)
 	first.Close()
@@ -219,7 +219,7 @@
 	second := next("a place is free", true)
 	dial()
 	next("the other has just come", false)
-	ago(second, 2*policy.Unproven)
+	ago(second, 2*policy.EvictNewClientMillis)
 	third := next("the other has long sent no whole txn", true)
 	if second.(*placed).come() {
 		t.Error("a txn is taken on a connection that was ended")
@@ -228,9 +228,9 @@
 	third.(*placed).take()
 	third.(*placed).rest(false)
 	dial()
-	ago(third, 2*policy.Unproven)
+	ago(third, 2*policy.EvictNewClientMillis)
 	next("the other was in use just now", false)
-	ago(third, 2*policy.IdleLong)
+	ago(third, 2*policy.EvictIdleClientMillis)
 	next("the other asks nothing", true)
 	if l.Shed() != 2 {
 		t.Errorf("%d were ended for others, want 2", l.Shed())
@@ -251,7 +251,7 @@
 	}()
 	time.Sleep(20 * time.Millisecond)
 	start := time.Now()
-	if !last.end(fresh) || time.Since(start) > Millis(policy.Linger/2) {
+	if !last.end(fresh) || time.Since(start) > Millis(policy.LingerTimeoutMillis/2) {
 		t.Errorf("ended after %v", time.Since(start))
 	}
 	<-closed
@@ -273,8 +273,8 @@
 		{"idle", idle, 50, false, 10, true},
 		{"idle for too short", idle, 50, false, 200, false},
 		{"idle, a txn unread", idle, 50, true, 10, false},
-		{"new", fresh, policy.Unproven / 2, false, 10, false},
-		{"new, and nothing came", fresh, 2 * policy.Unproven, false, 10, true},
+		{"new", fresh, policy.EvictNewClientMillis / 2, false, 10, false},
+		{"new, and nothing came", fresh, 2 * policy.EvictNewClientMillis, false, 10, true},
 		{"a txn is coming", asking, 1000, false, 10, false},
 		{"a txn is in hand", taken, 1000, false, 10, false},
 	} {
@@ -348,7 +348,7 @@
 				t.Fatal("one that waited is not served")
 			}
 		}
-		time.Sleep(3 * Millis(policy.AcceptAgain)) // a txn
+		time.Sleep(3 * Millis(policy.AcceptRetryMillis)) // a txn
 		_ = p.Close()
 	}
 	<-drained
@@ -363,8 +363,8 @@
 		proven bool
 		ends   bool
 	}{
-		{"much room", most * policy.CrowdedAt, false, false},
-		{"scarce", most*policy.CrowdedAt + 1, false, true},
+		{"much room", most * policy.KeepAliveClientFraction, false, false},
+		{"scarce", most*policy.KeepAliveClientFraction + 1, false, true},
 		{"scarce, and it goes on asking", most, true, false},
 	}
 	for _, c := range cases {
@@ -405,7 +405,7 @@
 	defer p.Close()
 	heard := make(chan int, 9)
 	go p.Hear(func(from int, r []policy.Report, _ bool) { heard <- 10*from + len(r) })
-	good := gossip.Append(nil, []policy.Report{{Customer: 7, Demand: 3}})
+	good := gossip.Append(nil, []policy.Report{{Customer: 7, DemandPerSecond: 3}})
 	to := net.UDPAddrFromAddrPort(selfAt)
 	stranger.WriteTo(good, to)
 	p.Tell(0, good) // itself
@@ -450,7 +450,8 @@
 	most := gossip.Append(nil, make([]policy.Report, Room))
 	full := gossip.Append(
 		nil,
-		slices.Repeat([]policy.Report{{Customer: 7, Demand: 3, Known: 2, Spent: 1}}, Room),
+		slices.Repeat([]policy.Report{{Customer: 7, DemandPerSecond: 3, PreviousDemandPerSecond: 2, SpentUnits: 1}},
+			Room),
 	)
 	if len(full)+wordBytes > gossip.Limit || len(full)+wordBytes < gossip.Limit-16 {
 		t.Errorf("a full message has %d bytes", len(full)+wordBytes)
@@ -528,7 +529,8 @@
 	x := Txn{Method: []byte("POST"), Target: []byte("/s"), Mark: []byte("2"), Body: []byte("xy")}
 	for left, want := range map[time.Duration]string{
 		-time.Hour: "0u", 0: "0u", 999 * time.Nanosecond: "0u", 1999 * time.Nanosecond: "1u",
-		480 * time.Millisecond: "480000u", Millis(policy.LongestWait): "3600000000u", 24 * time.Hour: "9999999999u",
+		480 * time.Millisecond: "480000u", Millis(policy.MaxClientWaitMillis): "3600000000u",
+		24 * time.Hour: "9999999999u",
 	} {
 		msg, at := AppendSubmission(make([]byte, 0, 512), &x, 7)
 		var got []byte
@@ -548,18 +550,20 @@
 func TestLoad(t *testing.T) {
 	cases := []struct {
 		name, load string
-		want       policy.Burden
+		want       policy.WorkerLoad
 	}{
-		{"all", `{"inflight":7,"queue":2,"util":0.61}`, policy.Burden{Held: 7, Waiting: 2, Busy: 0.61}},
+		{"all", `{"inflight":7,"queue":2,"util":0.61}`, policy.WorkerLoad{InFlight: 7, Queued: 2,
+			CPUFraction: 0.61}},
 		{"in the settings' words", `{"concurrent":7,"depth":2,"load_share":0.61}`,
-			policy.Burden{Held: 7, Waiting: 2, Busy: 0.61}},
-		{"some, and one not known", `{"queue":2,"eps":1}`, policy.Burden{Held: -1, Waiting: 2, Busy: -1}},
-		{"no JSON", `inflight=7`, policy.Burden{Held: -1, Waiting: -1, Busy: -1}},
-		{"no number", `{"inflight":"7"}`, policy.Burden{Held: -1, Waiting: -1, Busy: -1}},
-		{"over all bounds", `{"inflight":1e999}`, policy.Burden{Held: -1, Waiting: -1, Busy: -1}},
-		{"below nought", `{"inflight":-7,"queue":1}`, policy.Burden{Held: -1, Waiting: 1, Busy: -1}},
-		{"nought is not said", `{}`, policy.Burden{Held: -1, Waiting: -1, Busy: -1}},
-		{"missing", "", policy.Burden{Held: -1, Waiting: -1, Busy: -1}},
+			policy.WorkerLoad{InFlight: 7, Queued: 2, CPUFraction: 0.61}},
+		{"some, and one not known", `{"queue":2,"eps":1}`, policy.WorkerLoad{InFlight: -1, Queued: 2,
+			CPUFraction: -1}},
+		{"no JSON", `inflight=7`, policy.WorkerLoad{InFlight: -1, Queued: -1, CPUFraction: -1}},
+		{"no number", `{"inflight":"7"}`, policy.WorkerLoad{InFlight: -1, Queued: -1, CPUFraction: -1}},
+		{"over all bounds", `{"inflight":1e999}`, policy.WorkerLoad{InFlight: -1, Queued: -1, CPUFraction: -1}},
+		{"below nought", `{"inflight":-7,"queue":1}`, policy.WorkerLoad{InFlight: -1, Queued: 1, CPUFraction: -1}},
+		{"nought is not said", `{}`, policy.WorkerLoad{InFlight: -1, Queued: -1, CPUFraction: -1}},
+		{"missing", "", policy.WorkerLoad{InFlight: -1, Queued: -1, CPUFraction: -1}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -571,7 +575,7 @@
 				t.Errorf("load %+v", got)
 			}
 			h.Add("X-Load", `{"inflight":1}`)
-			if c.load != "" && load(&h).Held >= 0 {
+			if c.load != "" && load(&h).InFlight >= 0 {
 				t.Error("a report given twice is taken")
 			}
 		})
--- a/internal/lab/emulator/emu_test.go
+++ b/internal/lab/emulator/emu_test.go
@@ -115,39 +115,39 @@
 	repeat map[uint64]int
 }
 
-func (p *planted) Clock(now float64) {
+func (p *planted) AdvanceTo(now float64) {
 	p.now = now - dawn
-	p.brain.Clock(now)
+	p.brain.AdvanceTo(now)
 }
 
-func (p *planted) Roster(list []policy.Posting, partial bool) {
+func (p *planted) UpdateEndpoints(list []policy.Endpoint, partial bool) {
 	for _, x := range list {
-		if x.Since > 0 {
+		if x.StartedAtMillis > 0 {
 			p.cold = x.Worker
 		}
 	}
-	p.brain.Roster(list, partial)
+	p.brain.UpdateEndpoints(list, partial)
 }
 
-func (p *planted) Take(a policy.Arrival) {
-	p.left[a.ID] = p.now + a.Left
+func (p *planted) AddRequest(a policy.Request) {
+	p.left[a.ID] = p.now + a.TimeLeftMillis
 	p.repeat[a.ID] = a.Product
-	p.brain.Take(a)
+	p.brain.AddRequest(a)
 }
 
-func (p *planted) Next() (policy.Decision, bool) {
+func (p *planted) NextDecision() (policy.Decision, bool) {
 	if len(p.due) > 0 {
 		d := p.due[0]
 		p.due = p.due[1:]
 		return d, true
 	}
 	for {
-		d, ok := p.brain.Next()
+		d, ok := p.brain.NextDecision()
 		if !ok {
 			return d, false
 		}
 		if d.Kind == policy.Submit {
-			p.subs[d.Txn]++
+			p.subs[d.RequestID]++
 		}
 		if d, ok = p.next(p, d); ok {
 			return d, true
@@ -165,18 +165,19 @@
 		over func(*Scenario)
 	}{
 		{1, "forgets every hundredth decline", func(p *planted, d policy.Decision) (policy.Decision, bool) {
-			return d, d.Kind != policy.Decline || d.Txn%100 != 0
+			return d, d.Kind != policy.Reject || d.RequestID%100 != 0
 		}, func(s *Scenario) { s.Plans[0].Asks = 3 }},
 		{2, "submits once-only txns again when one is given up", func(p *planted,
 			d policy.Decision) (policy.Decision, bool) {
-			if d.Kind == policy.Void && p.repeat[d.Txn] == 2 && p.left[d.Txn]-p.now > 50 {
-				d.Kind, d.Worker, d.N, d.Wait = policy.Submit, 0, p.subs[d.Txn], p.left[d.Txn]-p.now-1
+			if d.Kind == policy.RejectUncertain && p.repeat[d.RequestID] == 2 && p.left[d.RequestID]-p.now > 50 {
+				d.Kind, d.Worker, d.Attempt, d.WaitMillis = policy.Submit, 0, p.subs[d.RequestID],
+					p.left[d.RequestID]-p.now-1
 			}
 			return d, true
 		}, func(s *Scenario) { s.Faults = []Fault{{Kind: "fail", FromS: 1, ToS: 19, Part: 1, Factor: 0.2}} }},
 		{3, "sends to a worker that drains", func(p *planted, d policy.Decision) (policy.Decision, bool) {
 			if d.Kind == policy.Submit && p.now > 6000 && p.now < 7500 {
-				d.Worker = int(d.Txn % 8)
+				d.Worker = int(d.RequestID % 8)
 			}
 			return d, true
 		}, func(s *Scenario) {
@@ -204,7 +205,7 @@
 						if c.next == nil {
 							without := s.charter(num)
 							p := &without.Plans[1]
-							p.CeilingRate, p.CeilingDepth, p.Rate, p.Burst = 0, 0, 1000, 1000
+							p.RateLimitPerSecond, p.RateLimitBurst, p.QuotaPerSecond, p.QuotaBurst = 0, 0, 1000, 1000
 							return policy.New(without, 1)
 						}
 						return &planted{brain: b, next: c.next, left: map[uint64]float64{}, subs: map[uint64]int{},
--- a/internal/policy/choice.go
+++ b/internal/policy/choice.go
@@ -4,7 +4,7 @@
 
 // choose draws two workers at random and takes the one that own counts favour. More are looked at only if
 // neither may be used or the better one is distrusted or answers slowly.
-func (g *Gatekeeper) choose(t *txn) int {
+func (g *Engine) choose(t *txn) int {
 	if len(g.ready) == 0 {
 		return -1
 	}
@@ -43,20 +43,20 @@
 
 // aperture is how many of the listed workers a gatekeeper draws from. Guards against hundreds of gatekeepers
 // that each see each worker once in many seconds, over a new connection each time.
-func (g *Gatekeeper) aperture() int {
+func (g *Engine) aperture() int {
 	part := int(math.Ceil(float64(len(g.ready)) * reach / float64(g.charter.n)))
 	return min(max(part, widest), len(g.ready))
 }
 
 // usable tells whether the rules let a txn go to a listed worker.
-func (g *Gatekeeper) usable(t *txn, wi int) bool {
+func (g *Engine) usable(t *txn, wi int) bool {
 	w := &g.workers[wi]
 	for i := range t.subs {
 		if t.subs[i].worker == wi && (t.subs[i].out || len(g.ready) > len(t.subs)) {
 			return false
 		}
 	}
-	if g.products[t.product].repeat == Referenced && (t.mayRun || t.out > 0) {
+	if g.products[t.product].repeat == Deduplicated && (t.mayRun || t.out > 0) {
 		b := &t.bond
 		for i := len(t.subs) - 1; i >= 0 && !t.mayRun; i-- {
 			if t.subs[i].out {
@@ -64,14 +64,14 @@
 			}
 		}
 		group := g.products[t.product].group
-		if group == GroupZone && b.zone != w.Zone || group == GroupCell && b.cell != w.Cell {
+		if group == DedupWithinZone && b.zone != w.Zone || group == DedupWithinCell && b.cell != w.Cell {
 			return false
 		}
 	}
-	return g.warmth(w.Since) >= 1 || !g.retired && g.turn(w)
+	return g.warmth(w.StartedAtMillis) >= 1 || !g.retired && g.turn(w)
 }
 
-func (g *Gatekeeper) cost(t *txn, wi int) float64 {
+func (g *Engine) cost(t *txn, wi int) float64 {
 	w := &g.workers[wi]
 	// A report only speaks against a worker, and while it is fresh: gatekeepers that all go for the one that has
 	// little to do would run as a herd, and a worker that fails fast always has.
@@ -82,7 +82,7 @@
 // doubt notes a failure at a worker: by one where this gatekeeper sees each worker often. Among many
 // gatekeepers it would forget before it comes there again, and lose a txn each time; then the failure weighs
 // as often as the distrust fades between two visits, but no more than the usual answers that it took.
-func (g *Gatekeeper) doubt(w *worker, took float64) {
+func (g *Engine) doubt(w *worker, took float64) {
 	visits := refMemory * float64(len(g.ready)) / math.Max(g.warmWork(), 1)
 	by := math.Min(rarely*visits/distrustFade, took/math.Max(g.pace, 1))
 	w.distrust.add(math.Max(by, 1), g.now, distrustFade)
--- a/internal/policy/clear_test.go
+++ b/internal/policy/clear_test.go
@@ -7,19 +7,19 @@
 )
 
 // clear asks for a txn to be cleared for a life, and tells whether it was.
-func (h *host) clear(a Arrival, life float64) (id uint64, granted bool) {
+func (h *host) clear(a Request, life float64) (id uint64, granted bool) {
 	h.next++
-	a.ID, a.Clears = h.next, life
-	h.txns[a.ID] = &seen{Arrival: a, expiry: h.now + math.Max(life, a.Left) + beat}
-	h.g.Take(a)
+	a.ID, a.ClearanceMillis = h.next, life
+	h.txns[a.ID] = &seen{Request: a, expiry: h.now + math.Max(life, a.TimeLeftMillis) + beat}
+	h.g.AddRequest(a)
 	for {
-		d, ok := h.g.Next()
+		d, ok := h.g.NextDecision()
 		switch {
 		case !ok:
 			return a.ID, granted
-		case d.Kind == Grant && d.Txn == a.ID:
+		case d.Kind == GrantClearance && d.RequestID == a.ID:
 			granted = true
-		case d.Kind == Submit || d.Kind == Decline || d.Kind == Void:
+		case d.Kind == Submit || d.Kind == Reject || d.Kind == RejectUncertain:
 			h.judge(d)
 		}
 	}
@@ -35,12 +35,13 @@
 
 // A cleared txn takes its units once, whatever comes of it, and none where it never comes.
 func TestClearance(t *testing.T) {
-	c := charterFor(OnceOnly, func(c *Charter) {
-		c.Gatekeepers, c.Plans[0] = 1, Plan{Rate: 1, Burst: 4, CeilingRate: 1, CeilingDepth: 4, Factor: 1,
-			ExcessFee: 1}
-		c.LargestUnits = 4
+	c := charterFor(NonIdempotent, func(c *Settings) {
+		c.GatewayCount, c.Plans[0] = 1, Plan{QuotaPerSecond: 1, QuotaBurst: 4, RateLimitPerSecond: 1,
+			RateLimitBurst: 4, ValueFactor: 1,
+			ExcessCostFraction: 1}
+		c.MaxRequestUnits = 4
 	})
-	a := Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 1000}
+	a := Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 1000}
 	begin := func() (*host, *account) {
 		h := newHost(t, c, 1, 3)
 		h.at(h.now + 60000) // its ceiling counts as spent at a start
@@ -51,8 +52,9 @@
 		return h, &h.g.accounts[h.g.byKey[7]]
 	}
 	h, acct := begin()
-	if acct.kept != 0 || acct.out != 0 || h.g.tally.Final[ByLapse] != 2 || len(h.g.byID) != 0 {
-		t.Fatalf("one that never came: %v kept, %d out, tally %v", acct.kept, acct.out, h.g.tally.Final)
+	if acct.kept != 0 || acct.out != 0 || h.g.tally.FinalByReason[ReasonClearanceExpired] != 2 ||
+		len(h.g.byID) != 0 {
+		t.Fatalf("one that never came: %v kept, %d out, tally %v", acct.kept, acct.out, h.g.tally.FinalByReason)
 	}
 	id, ok := h.clear(a, 500)
 	level := acct.level
@@ -60,7 +62,7 @@
 		t.Fatalf("cleared %v, %v kept, %d submitted", ok, acct.kept, len(h.sent))
 	}
 	h.txns[id].expiry = h.now + 1000
-	if !h.g.Claim(id, 1000, false) {
+	if !h.g.ClaimClearance(id, 1000, false) {
 		t.Fatal("its txn is not known")
 	}
 	h.pull()
@@ -68,10 +70,10 @@
 		t.Errorf("come: %v kept, %d out, level %v of %v, %d submitted", acct.kept, acct.out, acct.level, level,
 			len(h.sent))
 	}
-	if h.g.Claim(id, 1000, false) {
+	if h.g.ClaimClearance(id, 1000, false) {
 		t.Error("claimed twice")
 	}
-	h.ended(h.txns[id], 0, Settled, 5)
+	h.ended(h.txns[id], 0, Succeeded, 5)
 	granted := 0
 	for range 9 {
 		if _, ok := h.clear(a, 5000); ok {
@@ -84,29 +86,29 @@
 
 	h, acct = begin()
 	id, _ = h.clear(a, 500)
-	h.g.Release(id)
-	if h.pull(); acct.kept != 0 || acct.out != 0 || h.g.Claim(id, 1000, false) {
+	h.g.ReleaseClearance(id)
+	if h.pull(); acct.kept != 0 || acct.out != 0 || h.g.ClaimClearance(id, 1000, false) {
 		t.Errorf("released: %v kept, %d out", acct.kept, acct.out)
 	}
 	id, _ = h.clear(a, 500)
 	h.at(h.now + 505)
-	if h.g.Claim(id, 1000, false) {
+	if h.g.ClaimClearance(id, 1000, false) {
 		t.Error("claimed after its time")
 	}
 	if h.pull(); acct.kept != 0 {
 		t.Errorf("lapsed: %v kept", acct.kept)
 	}
 	id, _ = h.clear(a, 500)
-	h.g.Left(id)
+	h.g.ClientGone(id)
 	if h.pull(); acct.kept != 0 || acct.out != 0 {
 		t.Errorf("its client has left: %v kept, %d out", acct.kept, acct.out)
 	}
 	id, _ = h.clear(a, 500)
-	h.g.Roster(nil, false)
+	h.g.UpdateEndpoints(nil, false)
 	level = acct.level
 	h.txns[id].expiry = h.now + 1000
-	h.g.Claim(id, 1000, false)
-	if h.pull(); h.txns[id].final != Decline || acct.kept != 0 || acct.level != level {
+	h.g.ClaimClearance(id, 1000, false)
+	if h.pull(); h.txns[id].final != Reject || acct.kept != 0 || acct.level != level {
 		t.Errorf("no worker: final %v, %v kept, level %v", h.txns[id].final, acct.kept, acct.level)
 	}
 }
@@ -117,9 +119,10 @@
 func TestClearedUnderCeiling(t *testing.T) {
 	const rate, depth = 8.0, 6.0
 	for seed := range int64(20) {
-		c := charterFor(OnceOnly, func(c *Charter) {
-			c.Gatekeepers = 1
-			c.Plans[0] = Plan{Rate: 100, Burst: 1000, CeilingRate: rate, CeilingDepth: depth, Factor: 1}
+		c := charterFor(NonIdempotent, func(c *Settings) {
+			c.GatewayCount = 1
+			c.Plans[0] = Plan{QuotaPerSecond: 100, QuotaBurst: 1000, RateLimitPerSecond: rate, RateLimitBurst: depth,
+				ValueFactor: 1}
 		})
 		rng := rand.New(rand.NewSource(seed))
 		h := newHost(t, c, seed, 200)
@@ -129,7 +132,7 @@
 			h.pull()
 			level = math.Min(level+rate*5/1000, depth)
 			if rng.Float64() < 0.03 {
-				if id, ok := h.clear(Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 1000}, 2000); ok {
+				if id, ok := h.clear(Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 1000}, 2000); ok {
 					open[id] = true
 				}
 			}
@@ -140,9 +143,9 @@
 				switch x := rng.Float64(); {
 				case x < 0.002:
 					h.txns[id].expiry = h.now + 1000
-					h.g.Claim(id, 1000, false)
+					h.g.ClaimClearance(id, 1000, false)
 				case x < 0.003:
-					h.g.Release(id)
+					h.g.ReleaseClearance(id)
 				default:
 					continue
 				}
@@ -152,7 +155,7 @@
 			}
 			for ; sent < len(h.sent); sent++ {
 				level--
-				h.ended(h.txns[h.sent[sent].Txn], 0, Settled, 1)
+				h.ended(h.txns[h.sent[sent].RequestID], 0, Succeeded, 1)
 			}
 			if level < -1e-6 {
 				t.Fatalf("seed %d: %v units beyond the ceiling", seed, -level)
@@ -166,15 +169,16 @@
 
 // What a body that never comes whole gives back does not bring more than the ceiling's store holds.
 func TestBodyGivenUpUnderCeiling(t *testing.T) {
-	c := charterFor(InquiryLike, func(c *Charter) {
-		c.Gatekeepers, c.Plans[0] = 1, Plan{Rate: 100, Burst: 1000, CeilingRate: 1, CeilingDepth: 2, Factor: 1}
+	c := charterFor(Idempotent, func(c *Settings) {
+		c.GatewayCount, c.Plans[0] = 1, Plan{QuotaPerSecond: 100, QuotaBurst: 1000, RateLimitPerSecond: 1,
+			RateLimitBurst: 2, ValueFactor: 1}
 	})
 	h := newHost(t, c, 1, 200)
 	h.at(h.now + 60000)
-	h.ended(h.txn(7, 1), 0, Settled, 1)
+	h.ended(h.txn(7, 1), 0, Succeeded, 1)
 	h.rest(4000) // its ceiling is full
-	s := h.arrive(Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 1000, Streams: true})
-	h.g.Poured(s.ID, 0, 0)
+	s := h.arrive(Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 1000, StreamsBody: true})
+	h.g.BodyForwarded(s.ID, 0, 0)
 	s.expiry = math.Inf(1)
 	h.rest(4000) // full again
 	before := len(h.sent)
@@ -190,28 +194,28 @@
 
 // What is kept passes to a successor as spent: both may yet send it on.
 func TestClearedAtReplacement(t *testing.T) {
-	c := charterFor(OnceOnly, func(c *Charter) { c.Gatekeepers = 1 })
+	c := charterFor(NonIdempotent, func(c *Settings) { c.GatewayCount = 1 })
 	old := newHost(t, c, 1, 3)
-	a := Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 1000}
+	a := Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 1000}
 	id, _ := old.clear(a, 500)
 	level := old.g.accounts[old.g.byKey[7]].level
-	e := old.g.Retire()
+	e := old.g.HandOff()
 	next := newHost(t, c, 2, 3)
-	next.g.Resume(e)
+	next.g.RestoreHandoff(e)
 	if got := next.g.accounts[next.g.byKey[7]].level; got != level-1 {
 		t.Errorf("the successor has %v of %v", got, level)
 	}
 	old.txns[id].expiry = old.now + 500
-	if !old.g.Claim(id, 500, false) {
+	if !old.g.ClaimClearance(id, 500, false) {
 		t.Error("it can't go on where it was cleared")
 	}
 	if old.pull(); len(old.sent) != 1 {
 		t.Errorf("%d submitted", len(old.sent))
 	}
-	a.ID, a.Clears, a.Left = 99, 500, 1
-	next.txns[99] = &seen{Arrival: a, expiry: next.now + 1000}
-	next.g.Cleared(a)
-	if next.pull(); !next.g.Claim(99, 1000, false) {
+	a.ID, a.ClearanceMillis, a.TimeLeftMillis = 99, 500, 1
+	next.txns[99] = &seen{Request: a, expiry: next.now + 1000}
+	next.g.ImportClearance(a)
+	if next.pull(); !next.g.ClaimClearance(99, 1000, false) {
 		t.Error("a clearance that is passed on is not known")
 	}
 	if next.pull(); len(next.sent) != 1 {
@@ -223,16 +227,17 @@
 // included, keeps within its ceiling, and need not wait as one that knows nothing.
 func TestRemembers(t *testing.T) {
 	const rate, depth, seconds = 4.0, 12.0, 60.0
-	c := charterFor(OnceOnly, func(c *Charter) {
-		c.Gatekeepers = 1
-		c.Plans[0] = Plan{Rate: 100, Burst: 1000, CeilingRate: rate, CeilingDepth: depth, Factor: 1}
+	c := charterFor(NonIdempotent, func(c *Settings) {
+		c.GatewayCount = 1
+		c.Plans[0] = Plan{QuotaPerSecond: 100, QuotaBurst: 1000, RateLimitPerSecond: rate, RateLimitBurst: depth,
+			ValueFactor: 1}
 	})
 	sent := map[bool]int{}
 	for _, remembers := range []bool{false, true} {
 		rng := rand.New(rand.NewSource(1))
 		h := newHost(t, c, 1, 200)
 		level, full := depth, map[uint64]float64{}
-		left := Residue{Base: h.now}
+		left := CrashState{RateLimitBaseMillis: h.now}
 		for end := h.now + seconds*1000; h.now < end; {
 			h.at(h.now + 10)
 			h.pull()
@@ -243,11 +248,11 @@
 				next.g.base = next.now
 				level = math.Min(level+rate*0.05, depth)
 				if h = next; remembers {
-					left.Ceilings = left.Ceilings[:0]
+					left.RateLimits = left.RateLimits[:0]
 					for of, at := range full {
-						left.Ceilings = append(left.Ceilings, Spent{of, 0, at})
+						left.RateLimits = append(left.RateLimits, SpentRateLimit{of, 0, at})
 					}
-					h.g.Remember(left)
+					h.g.RestoreCrashState(left)
 				}
 			}
 			before := len(h.sent)
@@ -255,17 +260,17 @@
 				h.txn(7, 1)
 			}
 			if rng.Float64() < 0.05 {
-				id, ok := h.clear(Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 1000}, 500)
+				id, ok := h.clear(Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 1000}, 500)
 				if h.txns[id].expiry = h.now + 1000; ok && rng.Intn(2) == 0 {
-					h.g.Claim(id, 1000, false)
+					h.g.ClaimClearance(id, 1000, false)
 					h.pull()
 				}
 			}
 			for _, d := range h.sent[before:] {
 				level--
 				sent[remembers]++
-				full[7] = d.Full
-				h.ended(h.txns[d.Txn], 0, Settled, 1)
+				full[7] = d.RateLimitFullAtMillis
+				h.ended(h.txns[d.RequestID], 0, Succeeded, 1)
 			}
 			if level < -1e-6 {
 				t.Fatalf("remembers %v: %v units beyond the ceiling", remembers, -level)
@@ -277,7 +282,8 @@
 	}
 	g := newHost(t, c, 1, 1).g
 	base := g.base
-	g.Remember(Residue{Base: base - 9, Ceilings: []Spent{{7, 9, base + 70}, {8, -1, base + 20}}})
+	g.RestoreCrashState(CrashState{RateLimitBaseMillis: base - 9, RateLimits: []SpentRateLimit{{7, 9, base + 70},
+		{8, -1, base + 20}}})
 	if g.base != base+70 || len(g.byKey) != 0 {
 		t.Errorf("of plans that there are not: base %v, %d customers", g.base-base, len(g.byKey))
 	}
--- a/internal/policy/cold_test.go
+++ b/internal/policy/cold_test.go
@@ -11,12 +11,12 @@
 // turns plays a fleet of gatekeepers, each with the module alone, before workers of which most start cold,
 // and keeps when which cold worker was sent to.
 type turns struct {
-	charter Charter
-	told    Charter // to gatekeepers
+	charter Settings
+	told    Settings // to gatekeepers
 	rng     *rand.Rand
 	now     float64
 	queue   timed
-	gks     []*Gatekeeper
+	gks     []*Engine
 	since   []float64 // of workers
 	up      []bool
 	sent    [][]float64 // by worker, since it started
@@ -53,8 +53,8 @@
 // warm is what the settings guarantee of a worker now.
 func (f *turns) warm(i int) float64 {
 	c := &f.charter
-	if age := f.now - f.since[i]; f.since[i] > 0 && age < c.WarmUp {
-		return c.ColdFrom + (1-c.ColdFrom)*age/c.WarmUp
+	if age := f.now - f.since[i]; f.since[i] > 0 && age < c.WarmUpMillis {
+		return c.ColdCapacityFraction + (1-c.ColdCapacityFraction)*age/c.WarmUpMillis
 	}
 	return 1
 }
@@ -62,7 +62,7 @@
 // pull takes a gatekeeper's decisions.
 func (f *turns) pull(at int) {
 	g := f.gks[at]
-	for d, ok := g.Next(); ok; d, ok = g.Next() {
+	for d, ok := g.NextDecision(); ok; d, ok = g.NextDecision() {
 		if d.Kind != Submit {
 			continue
 		}
@@ -73,14 +73,14 @@
 			took = 200
 		}
 		f.in(took, func() {
-			o := Settled
+			o := Succeeded
 			if !f.up[w] || f.since[w] != life {
-				o = Cut
+				o = ConnectionLost
 			}
 			if f.gks[at] == g {
 				f.settled++
-				g.Clock(f.now)
-				g.Ended(d.Txn, d.N, o, took, o == Settled)
+				g.AdvanceTo(f.now)
+				g.AttemptEnded(d.RequestID, d.Attempt, o, took, o == Succeeded)
 				f.pull(at)
 			}
 		})
@@ -90,50 +90,50 @@
 // count books one call to a worker, and holds the sum over the window that ends with it to the rule.
 func (f *turns) count(w int) {
 	c := &f.charter
-	if f.since[w] == 0 || f.now >= f.since[w]+c.WarmUp {
+	if f.since[w] == 0 || f.now >= f.since[w]+c.WarmUpMillis {
 		return
 	}
 	all := append(f.sent[w], f.now)
-	for all[0] <= f.now-c.TipAfter {
+	for all[0] <= f.now-c.OverloadMillis {
 		all = all[1:]
 	}
 	f.sent[w] = all
-	n := c.Tips * f.warm(w) * ableTo * c.TipAfter / 1000
+	n := c.OverloadFactor * f.warm(w) * ableTo * c.OverloadMillis / 1000
 	if of := float64(len(all)) / (n + 2*math.Sqrt(n) + 2); of > f.most {
 		f.most = of
 		f.where = fmt.Sprintf("worker %d got %d in %v ms, N is %.1f, %.1f s after its start", w, len(all),
-			c.TipAfter, n, (f.now-f.since[w])/1000)
+			c.OverloadMillis, n, (f.now-f.since[w])/1000)
 	}
 	if float64(len(all)) > n+2*math.Sqrt(n)+2 {
 		f.falls++
 	}
 }
 
-func (f *turns) posting(w int) Posting {
-	return Posting{Worker: w, Active: f.up[w], Since: f.since[w]}
+func (f *turns) posting(w int) Endpoint {
+	return Endpoint{Worker: w, Active: f.up[w], StartedAtMillis: f.since[w]}
 }
 
 // restart has a gatekeeper begin anew, knowing nothing but the list, or what its former life has handed over.
-func (f *turns) restart(at int, from *Gatekeeper) {
+func (f *turns) restart(at int, from *Engine) {
 	c := f.told
-	c.Me = at
+	c.GatewayIndex = at
 	g := New(c, f.rng.Int63())
 	f.gks[at] = g
-	g.Clock(f.now)
-	var list []Posting
+	g.AdvanceTo(f.now)
+	var list []Endpoint
 	for w := range f.up {
 		list = append(list, f.posting(w))
 	}
-	if g.Roster(list, false); from != nil {
-		from.Clock(f.now)
-		g.Resume(from.Retire())
-		g.Alone()
+	if g.UpdateEndpoints(list, false); from != nil {
+		from.AdvanceTo(f.now)
+		g.RestoreHandoff(from.HandOff())
+		g.PredecessorEnded()
 	}
 	f.pull(at)
 	var beat func()
 	beat = func() {
 		if f.gks[at] == g {
-			g.Clock(f.now)
+			g.AdvanceTo(f.now)
 			f.pull(at)
 			f.in(400, beat)
 		}
@@ -152,12 +152,12 @@
 func (f *turns) tell(of ...int) {
 	for at := range f.gks {
 		f.in(f.rng.Float64()*300, func() {
-			var list []Posting
+			var list []Endpoint
 			for _, w := range of {
 				list = append(list, f.posting(w))
 			}
-			f.gks[at].Clock(f.now)
-			f.gks[at].Roster(list, true)
+			f.gks[at].AdvanceTo(f.now)
+			f.gks[at].UpdateEndpoints(list, true)
 			f.pull(at)
 		})
 	}
@@ -171,8 +171,8 @@
 }
 
 // play brings txns at part of what the warm workers can do, unevenly by gatekeeper.
-func play(n, workers int, seed int64, c Charter, seconds, load float64, day func(f *turns)) *turns {
-	f := &turns{charter: c, told: c, rng: rand.New(rand.NewSource(seed)), now: 1e6, gks: make([]*Gatekeeper, n),
+func play(n, workers int, seed int64, c Settings, seconds, load float64, day func(f *turns)) *turns {
+	f := &turns{charter: c, told: c, rng: rand.New(rand.NewSource(seed)), now: 1e6, gks: make([]*Engine, n),
 		since: make([]float64, workers), up: make([]bool, workers), sent: make([][]float64, workers),
 		slow: 1, surge: 1}
 	for w := range f.up {
@@ -187,8 +187,9 @@
 		x := f.rng.Float64()
 		at := int(x * x * float64(n)) // some see several times the mean
 		f.ids++
-		f.gks[at].Clock(f.now)
-		f.gks[at].Take(Arrival{ID: f.ids, Customer: uint64(f.rng.Intn(500)), Units: 1, SetSize: n, Left: 1500})
+		f.gks[at].AdvanceTo(f.now)
+		f.gks[at].AddRequest(Request{ID: f.ids, Customer: uint64(f.rng.Intn(500)), Units: 1, SetSize: n,
+			TimeLeftMillis: 1500})
 		f.pull(at)
 		can := 0.0
 		for w := range f.up {
@@ -257,11 +258,11 @@
 	},
 }
 
-func coldCharter(n int, tips float64) Charter {
-	return charterFor(InquiryLike, func(c *Charter) {
-		c.Gatekeepers, c.WarmUp, c.ColdFrom, c.MayTell = n, 18000, 0.1, false
-		c.Tips, c.TipAfter = tips, 1000
-		c.Plans[0] = Plan{Factor: 1}
+func coldCharter(n int, tips float64) Settings {
+	return charterFor(Idempotent, func(c *Settings) {
+		c.GatewayCount, c.WarmUpMillis, c.ColdCapacityFraction, c.AllowGossip = n, 18000, 0.1, false
+		c.OverloadFactor, c.OverloadMillis = tips, 1000
+		c.Plans[0] = Plan{ValueFactor: 1}
 	})
 }
 
@@ -290,9 +291,9 @@
 func TestTurnsPlanted(t *testing.T) {
 	for _, n := range []int{2, 20, 30, 300} {
 		c := coldCharter(n, 2)
-		c.WarmUp = 30000
+		c.WarmUpMillis = 30000
 		f := play(n, 40, 1, c, 8, 2, func(f *turns) {
-			f.told.ColdFrom, f.told.Tips = 1, 20 // as warm ones, for all that is told of them
+			f.told.ColdCapacityFraction, f.told.OverloadFactor = 1, 20 // as warm ones, for all that is told of them
 			f.in(1000, func() { f.kill(first(20)...) })
 			f.in(1500, func() { f.start(first(20)...) })
 		})
@@ -305,24 +306,24 @@
 // Guards against a budget by the work of those that are gone: nine in ten of the workers are lost at once,
 // and a cold one comes. It gets its part of what each of those left does, not of what all had done.
 func TestTurnsOfThoseLeft(t *testing.T) {
-	h := newHost(t, charterFor(InquiryLike, func(c *Charter) { c.Gatekeepers, c.Plans[0] = 1, Plan{} }), 1, 20)
+	h := newHost(t, charterFor(Idempotent, func(c *Settings) { c.GatewayCount, c.Plans[0] = 1, Plan{} }), 1, 20)
 	cold := 0
 	serve := func(perS, seconds float64) {
 		for end := h.now + 1000*seconds; h.now < end; {
 			h.at(h.now + 1000/perS)
-			s := h.arrive(Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 500})
+			s := h.arrive(Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 500})
 			if len(s.subs) > 0 && s.subs[0].Worker == 20 {
 				cold++
 			}
-			h.ended(s, 0, Settled, 20)
+			h.ended(s, 0, Succeeded, 20)
 		}
 	}
 	serve(400, 6) // twenty a second each
-	var list []Posting
+	var list []Endpoint
 	for w := 2; w < 20; w++ {
-		list = append(list, Posting{Worker: w})
+		list = append(list, Endpoint{Worker: w})
 	}
-	h.g.Roster(append(list, Posting{Worker: 20, Active: true, Since: h.now}), true)
+	h.g.UpdateEndpoints(append(list, Endpoint{Worker: 20, Active: true, StartedAtMillis: h.now}), true)
 	h.g.workers[0].distrust.add(5, h.now, distrustFade) // so that whoever else may be used is
 	h.g.workers[1].distrust.add(5, h.now, distrustFade)
 	serve(40, 1)
@@ -333,11 +334,11 @@
 
 // A turn that nothing came for lapses, and the next one is to be earned anew.
 func TestTurnLapses(t *testing.T) {
-	h := newHost(t, charterFor(InquiryLike, func(c *Charter) {
-		c.Plans[0], c.Tips, c.TipAfter, c.LargestUnits = Plan{}, 3, 1000, 3
+	h := newHost(t, charterFor(Idempotent, func(c *Settings) {
+		c.Plans[0], c.OverloadFactor, c.OverloadMillis, c.MaxRequestUnits = Plan{}, 3, 1000, 3
 	}), 1, 1)
 	h.at(h.now + 1e5) // the averages are of their whole time
-	h.g.Roster([]Posting{{Worker: 1, Active: true, Since: h.now}}, true)
+	h.g.UpdateEndpoints([]Endpoint{{Worker: 1, Active: true, StartedAtMillis: h.now}}, true)
 	w, warm := &h.g.workers[1], &h.g.workers[0]
 	for at, want := range []struct {
 		after, earns float64
@@ -362,7 +363,7 @@
 		t.Error("a turn went without being used")
 	}
 	was := h.g.warmEach
-	h.g.Roster([]Posting{{Worker: 0}}, true)
+	h.g.UpdateEndpoints([]Endpoint{{Worker: 0}}, true)
 	if h.g.earn(warm, 100); h.g.warmEach > was {
 		t.Error("what one that is gone answers late brings turns nearer")
 	}
@@ -381,8 +382,8 @@
 	for seed := range int64(100) {
 		h := newHost(t, many(300, nil), seed, 10)
 		h.at(h.now + 3000)
-		h.g.Roster([]Posting{{Worker: 10, Since: h.now, New: true}}, true)
-		h.g.Roster([]Posting{{Worker: 10, Since: h.now, Active: true}}, true)
+		h.g.UpdateEndpoints([]Endpoint{{Worker: 10, StartedAtMillis: h.now, Replaced: true}}, true)
+		h.g.UpdateEndpoints([]Endpoint{{Worker: 10, StartedAtMillis: h.now, Active: true}}, true)
 		if h.g.turn(&h.g.workers[10]) {
 			at++
 		}
--- a/internal/policy/credit.go
+++ b/internal/policy/credit.go
@@ -12,20 +12,21 @@
 	// Lend draws units for a customer of a plan, whose set has n gatekeepers in a row from first on.
 	Lend(customer uint64, plan, first, n int, units float64) bool
 	// Undo gives back units of a loan that was not used.
-	Undo(customer uint64, units float64)
+	Refund(customer uint64, units float64)
 }
 
 // Borrow has a lender be asked where a quota alone would decline; nil asks nobody.
-func (g *Gatekeeper) Borrow(from Lender) { g.lender = from }
+func (g *Engine) SetLender(from Lender) { g.lender = from }
 
 // Pressed tells whether workers are too pressed for anything beyond a quota.
-func (g *Gatekeeper) Pressed() bool { return !g.spare() }
+func (g *Engine) Congested() bool { return !g.spare() }
 
 // borrow draws what a txn's quota lacks, and tells whether it may go on. While workers are pressed nobody
 // borrows, as other customers would pay for it, nor while quotas go without words. A loan takes nothing from
 // the quota's stores; its repayment does.
-func (g *Gatekeeper) borrow(t *txn, c *account) bool {
-	if g.lender == nil || g.signed.Narrow || g.signed.Plans[t.plan].Credit <= 0 || t.draws <= 0 || !g.spare() ||
+func (g *Engine) borrow(t *txn, c *account) bool {
+	if g.lender == nil || g.signed.QuotaWithoutGossip || g.signed.Plans[t.plan].CreditSeconds <= 0 ||
+		t.draws <= 0 || !g.spare() ||
 		!g.lender.Lend(c.customer, t.plan, c.first, c.n, t.draws) {
 		return false
 	}
@@ -34,9 +35,9 @@
 }
 
 // unlend gives a loan back whose txn was never submitted.
-func (g *Gatekeeper) unlend(t *txn) {
+func (g *Engine) unlend(t *txn) {
 	if t.lent > 0 && t.answered && len(t.subs) == 0 && g.lender != nil {
-		g.lender.Undo(g.accounts[t.acct].customer, t.lent)
+		g.lender.Refund(g.accounts[t.acct].customer, t.lent)
 	}
 	if t.answered {
 		t.lent = 0
@@ -46,7 +47,8 @@
 // Repay takes units out of a customer's stores: those that are needed out of its fill here of a span of ms,
 // and up to most of it where the stores are more than half full. It gives what was taken, and the fill, units
 // a ms. A customer that is not known has been idle, and its stores run over.
-func (g *Gatekeeper) Repay(customer uint64, plan, n int, need, most, span float64) (took, fill float64) {
+func (g *Engine) CollectRepayment(customer uint64, plan, n int, need, most, span float64) (took,
+	fill float64) {
 	if plan < 0 || plan >= len(g.plans) || !(span > 0) {
 		return 0, 0
 	}
@@ -78,7 +80,7 @@
 }
 
 // fills is what of a customer's fill here may go to debts, units a ms.
-func (g *Gatekeeper) fills(c *account) float64 {
+func (g *Engine) fills(c *account) float64 {
 	if g.sparse(c) {
 		return g.credited(c)
 	}
--- a/internal/policy/credit_test.go
+++ b/internal/policy/credit_test.go
@@ -16,19 +16,19 @@
 	return true
 }
 
-func (p *purse) Undo(_ uint64, units float64) { p.undone += units }
+func (p *purse) Refund(_ uint64, units float64) { p.undone += units }
 
-func lends(c *Charter) {
-	c.Gatekeepers = 1
-	c.Plans[0].Credit, c.Plans[0].Repay = 1, 4000
+func lends(c *Settings) {
+	c.GatewayCount = 1
+	c.Plans[0].CreditSeconds, c.Plans[0].RepayWithinMillis = 1, 4000
 }
 
 // beyond gives by how much a customer that asks without end for a minute passes more than its rate, its burst
 // and the line come to, in any window; nil lends nothing.
 func beyond(t *testing.T, seed int64, p *purse, line float64) (most float64, passed int) {
-	h := newHost(t, charterFor(InquiryLike, lends), seed, 3)
+	h := newHost(t, charterFor(Idempotent, lends), seed, 3)
 	if p != nil {
-		h.g.Borrow(p)
+		h.g.SetLender(p)
 	}
 	level, last, due, repaid := 20+line, h.now, h.now+200, 0.0
 	h.ask(40, 60000, func() {
@@ -39,7 +39,7 @@
 		}
 		if most = math.Max(most, -level); p != nil && h.now >= due {
 			owed := p.lent - p.undone - repaid
-			took, _ := h.g.Repay(7, 0, 1, owed/10, owed, 200)
+			took, _ := h.g.CollectRepayment(7, 0, 1, owed/10, owed, 200)
 			repaid, p.line, due = repaid+took, p.line+took, due+200
 		}
 	})
@@ -63,15 +63,15 @@
 // What is repaid out of an empty store stays repaid, whatever comes next: a peer's word, a txn that the slice
 // lets in. Both leave a store at nothing that would be under it.
 func TestRepaidStaysRepaid(t *testing.T) {
-	h := newHost(t, charterFor(InquiryLike, func(c *Charter) { lends(c); c.Gatekeepers = 2 }), 1, 3)
+	h := newHost(t, charterFor(Idempotent, func(c *Settings) { lends(c); c.GatewayCount = 2 }), 1, 3)
 	h.ask(100, 1000, nil)
 	c := &h.g.accounts[h.g.byKey[7]]
 	c.whole, c.level, c.filled = 0.5, 5, h.now
-	if took, _ := h.g.Repay(7, 0, 2, 2, 2, 2000); took < 1.9 {
+	if took, _ := h.g.CollectRepayment(7, 0, 2, 2, 2, 2000); took < 1.9 {
 		t.Fatalf("%v taken", took)
 	}
 	left := c.whole - c.lag
-	h.g.Hear(1, []Report{{Customer: 7, Plan: 0, Demand: 1}})
+	h.g.ReceiveReports(1, []Report{{Customer: 7, Plan: 0, DemandPerSecond: 1}})
 	if h.txn(7, 1); c.whole-c.lag > left+1e-9 {
 		t.Errorf("%v in the store, and then %v", left, c.whole-c.lag)
 	}
@@ -82,28 +82,28 @@
 func TestNoLoan(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		change       func(*Charter)
+		change       func(*Settings)
 		workers      int
 		press        float64
 		lent, undone float64
 	}{
 		{"lent", lends, 3, 0, 10, 0},
 		{"pressed", lends, 3, 0.2, 0, 0},
-		{"no credit", func(c *Charter) { c.Gatekeepers = 1 }, 3, 0, 0, 0},
-		{"narrow", func(c *Charter) { lends(c); c.Narrow = true }, 3, 0, 0, 0},
-		{"a ceiling", func(c *Charter) {
+		{"no credit", func(c *Settings) { c.GatewayCount = 1 }, 3, 0, 0, 0},
+		{"narrow", func(c *Settings) { lends(c); c.QuotaWithoutGossip = true }, 3, 0, 0, 0},
+		{"a ceiling", func(c *Settings) {
 			lends(c)
-			c.Plans[0].CeilingRate, c.Plans[0].CeilingDepth = 1e-3, 22
+			c.Plans[0].RateLimitPerSecond, c.Plans[0].RateLimitBurst = 1e-3, 22
 		}, 3, 0, 2, 0},
 		{"no worker", lends, 0, 0, 10, 10},
 	} {
-		h := newHost(t, charterFor(InquiryLike, c.change), 1, c.workers)
+		h := newHost(t, charterFor(Idempotent, c.change), 1, c.workers)
 		h.at(h.now + 1e6) // a ceiling counts as spent at a start
 		if c.name == "a ceiling" {
 			h.at(h.now + 22e6)
 		}
 		p := &purse{line: 10}
-		h.g.Borrow(p)
+		h.g.SetLender(p)
 		h.g.press, h.g.window = c.press, 50
 		if c.workers == 0 {
 			h.txn(7, 1)
@@ -113,7 +113,7 @@
 		for range 60 {
 			if s := h.txn(7, 1); s.final == 0 {
 				h.g.press = c.press
-				h.ended(s, 0, Settled, 20)
+				h.ended(s, 0, Succeeded, 20)
 				h.g.press = c.press
 			}
 		}
@@ -127,19 +127,19 @@
 func BenchmarkBorrow(b *testing.B) {
 	for _, rate := range []float64{1e9, 1e-6} {
 		b.Run(map[bool]string{true: "within", false: "lent"}[rate > 1], func(b *testing.B) {
-			c := charterFor(InquiryLike, lends)
-			c.Plans[0].Rate, c.Plans[0].Burst = rate, rate
+			c := charterFor(Idempotent, lends)
+			c.Plans[0].QuotaPerSecond, c.Plans[0].QuotaBurst = rate, rate
 			g := New(c, 1)
-			g.Borrow(&purse{line: math.Inf(1)})
-			g.Clock(1000)
-			g.Roster([]Posting{{Worker: 0, Active: true}}, false)
+			g.SetLender(&purse{line: math.Inf(1)})
+			g.AdvanceTo(1000)
+			g.UpdateEndpoints([]Endpoint{{Worker: 0, Active: true}}, false)
 			b.ReportAllocs()
 			for i := range b.N {
-				g.Clock(1000 + float64(i)/1000)
-				g.Take(Arrival{ID: uint64(i + 1), Customer: 7, Units: 1, SetSize: 1, Left: 900})
-				for d, ok := g.Next(); ok; d, ok = g.Next() {
+				g.AdvanceTo(1000 + float64(i)/1000)
+				g.AddRequest(Request{ID: uint64(i + 1), Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 900})
+				for d, ok := g.NextDecision(); ok; d, ok = g.NextDecision() {
 					if d.Kind == Submit {
-						g.Ended(d.Txn, 0, Settled, 1, true)
+						g.AttemptEnded(d.RequestID, 0, Succeeded, 1, true)
 					}
 				}
 			}
--- a/internal/policy/endings_test.go
+++ b/internal/policy/endings_test.go
@@ -14,8 +14,9 @@
 			for _, c := range []struct {
 				o    Outcome
 				repl bool // may always be repeated
-			}{{Cut, false}, {TimedOut, false}, {NoRoute, true}, {Full, true}, {NotSent, true}} {
-				h := newHost(t, charterFor(Referenced, func(c *Charter) { c.Products[0].Window = window }), 1, 5)
+			}{{ConnectionLost, false}, {TimedOut, false}, {ConnectFailed, true}, {Overloaded, true}, {NotSent, true}} {
+				h := newHost(t, charterFor(Deduplicated, func(c *Settings) { c.Products[0].DedupWindowMillis = window }),
+					1, 5)
 				s := h.txn(7, 1)
 				h.at(h.now + took)
 				h.ended(s, 0, c.o, took)
@@ -36,15 +37,15 @@
 // that the module asks for alone. Guards against a look just before an expiry that puts off the next one.
 func TestShortDeadlines(t *testing.T) {
 	for _, sla := range []float64{5, 20, 60, 100, 200} {
-		for _, kind := range []Repeat{InquiryLike, Referenced, OnceOnly} {
-			h := newHost(t, charterFor(kind, func(c *Charter) { c.Products[0].SLA = sla }), 1, 3)
+		for _, kind := range []Idempotency{Idempotent, Deduplicated, NonIdempotent} {
+			h := newHost(t, charterFor(kind, func(c *Settings) { c.Products[0].LatencyTargetMillis = sla }), 1, 3)
 			for i := range 20 {
 				h.at(h.now + 333.3)
 				h.pull()
-				s := h.arrive(Arrival{Customer: 7, Units: 1, SetSize: 2, Left: sla})
+				s := h.arrive(Request{Customer: 7, Units: 1, SetSize: 2, TimeLeftMillis: sla})
 				if i%3 == 1 && s.final == 0 { // its first submission fails half way
 					h.at(h.now + sla/2)
-					h.ended(s, 0, Cut, sla/2)
+					h.ended(s, 0, ConnectionLost, sla/2)
 				}
 				for range 100 {
 					if s.final != 0 {
@@ -63,7 +64,7 @@
 				}
 				for n, out := range s.out {
 					if out {
-						h.ended(s, n, Withdrawn, sla)
+						h.ended(s, n, Cancelled, sla)
 					}
 				}
 			}
@@ -87,7 +88,7 @@
 	}
 	again := func(h *host, s *seen) { // told twice
 		if !s.out[0] {
-			h.g.Ended(s.ID, 0, Cut, 1, s.final != 0)
+			h.g.AttemptEnded(s.ID, 0, ConnectionLost, 1, s.final != 0)
 			h.pull()
 		}
 	}
@@ -97,35 +98,36 @@
 	}
 	leave := func(h *host, s *seen) {
 		if s.final == 0 { // as the host does: what it has answered has not left
-			h.g.Left(s.ID)
-			s.final = Void
+			h.g.ClientGone(s.ID)
+			s.final = RejectUncertain
 		}
 		h.pull()
 	}
 	begun := func(h *host, s *seen) {
 		if s.final == 0 && s.out[0] {
 			s.final = Submit
-			h.g.Begun(s.ID, 0)
+			h.g.ResponseStarted(s.ID, 0)
 		}
 		h.pull()
 	}
 	stray := func(h *host, s *seen) {
-		h.g.Ended(s.ID, 7, Settled, 1, true)
-		h.g.Ended(s.ID, -1, Settled, 1, true)
-		h.g.Begun(s.ID, 7)
-		h.g.Poured(s.ID, 0, 0)
-		h.g.Recall(s.ID, 3)
+		h.g.AttemptEnded(s.ID, 7, Succeeded, 1, true)
+		h.g.AttemptEnded(s.ID, -1, Succeeded, 1, true)
+		h.g.ResponseStarted(s.ID, 7)
+		h.g.BodyForwarded(s.ID, 0, 0)
+		h.g.RetractAttempt(s.ID, 3)
 		h.pull()
 	}
-	steps := map[string]step{"settled": ends(Settled), "cut": ends(Cut), "never sent": ends(NotSent),
-		"timed out": ends(TimedOut), "withdrawn": ends(Withdrawn), "again": again, "expiry": expire, "left": leave,
+	steps := map[string]step{"settled": ends(Succeeded), "cut": ends(ConnectionLost),
+		"never sent": ends(NotSent),
+		"timed out":  ends(TimedOut), "withdrawn": ends(Cancelled), "again": again, "expiry": expire, "left": leave,
 		"begun": begun, "stray": stray}
 	for a, first := range steps {
 		for b, second := range steps {
 			for c, third := range steps {
-				for _, kind := range []Repeat{InquiryLike, Referenced, OnceOnly} {
+				for _, kind := range []Idempotency{Idempotent, Deduplicated, NonIdempotent} {
 					name := fmt.Sprint(a, ", ", b, ", ", c, " ", kind)
-					h := newHost(t, charterFor(kind, func(c *Charter) { c.Plans[0] = Plan{} }), 1, 4)
+					h := newHost(t, charterFor(kind, func(c *Settings) { c.Plans[0] = Plan{} }), 1, 4)
 					s := h.txn(7, 1)
 					for _, do := range []step{first, second, third} {
 						h.at(h.now + 10)
@@ -134,7 +136,7 @@
 					for n := 0; n < len(s.out); n++ { // all that is still out ends late, behind the answer
 						expire(h, s)
 						if s.out[n] {
-							h.ended(s, n, Cut, 20)
+							h.ended(s, n, ConnectionLost, 20)
 						}
 					}
 					expire(h, s)
@@ -143,9 +145,9 @@
 							h.g.accounts[0].out)
 					}
 					next := h.txn(8, 1) // it has the slot now
-					h.g.Ended(s.ID, 0, Settled, 1, true)
-					h.g.Left(s.ID)
-					h.g.Begun(s.ID, 0)
+					h.g.AttemptEnded(s.ID, 0, Succeeded, 1, true)
+					h.g.ClientGone(s.ID)
+					h.g.ResponseStarted(s.ID, 0)
 					h.pull()
 					if next.final != 0 || len(next.subs) != 1 || len(h.g.byID) != 1 || h.g.inHand != 1 {
 						t.Fatalf("%s: a late word fell on the next one: %+v", name, next)
@@ -158,13 +160,14 @@
 
 // A txn whose client has left is never submitted again, wherever it was.
 func TestNothingAfterLeft(t *testing.T) {
-	for _, o := range []Outcome{Fault, Full, TimedOut, NoRoute, Cut, Withdrawn, NotSent} {
+	for _, o := range []Outcome{Failed, Overloaded, TimedOut, ConnectFailed, ConnectionLost, Cancelled,
+		NotSent} {
 		for _, streams := range []bool{false, true} {
-			h := newHost(t, charterFor(InquiryLike, nil), 1, 4)
-			s := h.arrive(Arrival{Customer: 7, Units: 1, SetSize: 2, Left: 3000, Streams: streams})
-			h.g.Left(s.ID)
-			h.g.Ended(s.ID, 0, o, 5, true)
-			s.final = Void // host.judge fails on any submission from here on
+			h := newHost(t, charterFor(Idempotent, nil), 1, 4)
+			s := h.arrive(Request{Customer: 7, Units: 1, SetSize: 2, TimeLeftMillis: 3000, StreamsBody: streams})
+			h.g.ClientGone(s.ID)
+			h.g.AttemptEnded(s.ID, 0, o, 5, true)
+			s.final = RejectUncertain // host.judge fails on any submission from here on
 			h.pull()
 			h.at(h.now + 4000)
 			h.pull()
@@ -173,10 +176,10 @@
 			}
 		}
 	}
-	h := newHost(t, charterFor(InquiryLike, nil), 1, 4)
-	h.g.Take(Arrival{ID: 99, Customer: 7, Units: 1, SetSize: 2, Left: 3000})
-	h.g.Left(99) // in the same turn
-	if d, ok := h.g.Next(); ok && d.Kind == Submit {
+	h := newHost(t, charterFor(Idempotent, nil), 1, 4)
+	h.g.AddRequest(Request{ID: 99, Customer: 7, Units: 1, SetSize: 2, TimeLeftMillis: 3000})
+	h.g.ClientGone(99) // in the same turn
+	if d, ok := h.g.NextDecision(); ok && d.Kind == Submit {
 		t.Errorf("%+v", d)
 	}
 }
@@ -196,13 +199,14 @@
 
 // A customer is not forgotten while anything of it is out or kept, nor before its ceiling is whole again.
 func TestForgottenCustomers(t *testing.T) {
-	ceiled := charterFor(InquiryLike, func(c *Charter) {
-		c.Plans[0] = Plan{Rate: 100, Burst: 200, CeilingRate: 0.5, CeilingDepth: 20, Factor: 1}
+	ceiled := charterFor(Idempotent, func(c *Settings) {
+		c.Plans[0] = Plan{QuotaPerSecond: 100, QuotaBurst: 200, RateLimitPerSecond: 0.5, RateLimitBurst: 20,
+			ValueFactor: 1}
 	})
 	h := newHost(t, ceiled, 1, 3)
 	h.at(h.now + 60000)
-	s := h.arrive(Arrival{Customer: 7, Units: 1, SetSize: 2, Left: 40000})
-	up := h.arrive(Arrival{Customer: 8, Units: 1, SetSize: 2, Left: 40000, Streams: true})
+	s := h.arrive(Request{Customer: 7, Units: 1, SetSize: 2, TimeLeftMillis: 40000})
+	up := h.arrive(Request{Customer: 8, Units: 1, SetSize: 2, TimeLeftMillis: 40000, StreamsBody: true})
 	h.rest(30000)
 	if h.g.byKey[7] == h.g.byKey[8] || len(h.g.byKey) != 2 {
 		t.Fatalf("forgotten with a submission out: %v", h.g.byKey)
@@ -210,7 +214,7 @@
 	for _, x := range []*seen{s, up} {
 		for n := 0; n < len(x.out); n++ {
 			if x.out[n] {
-				h.ended(x, n, Settled, 20)
+				h.ended(x, n, Succeeded, 20)
 			}
 		}
 	}
@@ -219,7 +223,7 @@
 		in := 0.0
 		for range 30 {
 			if x := h.txn(7, 1); x.final == 0 {
-				h.ended(x, 0, Settled, 1)
+				h.ended(x, 0, Succeeded, 1)
 				in++
 			}
 		}
@@ -234,18 +238,19 @@
 // One that knows nothing of a customer, or has forgotten it, takes its part of a set that has just changed as
 // spent. Guards against what another had spent of the set as it was.
 func TestForgottenBeforeResize(t *testing.T) {
-	h := newHost(t, charterFor(InquiryLike, func(c *Charter) {
-		c.Plans[0] = Plan{Rate: 500, Burst: 1000, CeilingRate: 2, CeilingDepth: 30, Factor: 1}
+	h := newHost(t, charterFor(Idempotent, func(c *Settings) {
+		c.Plans[0] = Plan{QuotaPerSecond: 500, QuotaBurst: 1000, RateLimitPerSecond: 2, RateLimitBurst: 30,
+			ValueFactor: 1}
 	}), 1, 50)
 	h.at(h.now + 60000)
-	h.ended(h.txn(7, 1), 0, Settled, 1)
+	h.ended(h.txn(7, 1), 0, Succeeded, 1)
 	h.forget(7)
-	h.g.Resize(1) // the other one has just spent its fifteen, and ended
+	h.g.SetGatewayCount(1) // the other one has just spent its fifteen, and ended
 	in := 0
 	for i := range 120 {
 		for c := range uint64(2) { // 7 was known once, 6 never
-			if x := h.arrive(Arrival{Customer: 7 - c, Units: 1, SetSize: 1, Left: 1000}); x.final == 0 {
-				h.ended(x, 0, Settled, 1)
+			if x := h.arrive(Request{Customer: 7 - c, Units: 1, SetSize: 1, TimeLeftMillis: 1000}); x.final == 0 {
+				h.ended(x, 0, Succeeded, 1)
 				in++
 			}
 		}
--- a/internal/policy/estate.go
+++ b/internal/policy/estate.go
@@ -9,62 +9,62 @@
 // those of the clock that both go by.
 
 // Estate is all that a successor takes over. The host names the workers and kinds for it.
-type Estate struct {
-	Signed    Charter // in which all is reckoned
-	At        float64
-	Started   float64
-	Base      float64
-	Customers []Customer
-	Workers   []Standing
-	Kinds     []Pace
-	Peers     []Hearing
+type HandoffState struct {
+	Settings            Settings // in which all is reckoned
+	AtMillis            float64
+	StartedAtMillis     float64
+	RateLimitBaseMillis float64
+	Customers           []CustomerState
+	Workers             []WorkerState
+	Kinds               []MachineKindState
+	Peers               []PeerState
 
-	Window, Press, CutAt, Pace, Load float64
-	WarmDone, WarmEach, WarmAt       float64
-	Long, LongAt, Astray, AstrayAt   float64
-	Tight, Stay                      []float64 // by plan
-	NextTell                         float64
+	Window, Pressure, WindowCutAtMillis, ResponseMillis, MeanWorkerLoad    float64
+	WarmWorkUnits, WarmWorkUnitsPerWorker, WarmWorkAtMillis                float64
+	SlowRequests, SlowRequestsAtMillis, LostRequests, LostRequestsAtMillis float64
+	ShortDeadlineSuccess, AttemptMillis                                    []float64 // by plan
+	NextReportAtMillis                                                     float64
 }
 
 // Customer is what is known of one customer, in the module's own units.
-type Customer struct {
-	Key                                    uint64
-	Plan, N, First, Txns, Out, Holding     int
-	Level, Whole, Filled                   float64
-	Others, Flow, Held, Heard              float64
-	Demand, Lately, Seen, CoolSince        float64
-	CeilingAt, Unsaid, Said, SaidAt, Known float64
-	Hot                                    bool
-	Lag, Dealt                             float64
+type CustomerState struct {
+	ID                                                                                               uint64
+	Plan, SetSize, FirstGateway, Requests, InFlight, SilentPeers                                     int
+	ShareTokens, QuotaTokens, FilledAtMillis                                                         float64
+	PeerDemand, PeerSpentUnits, SilentPeerDemand, PeerDemandAtMillis                                 float64
+	OwnDemand, RecentDemand, LastRequestAtMillis, CoolSinceMillis                                    float64
+	RateLimitFullAtMillis, UnreportedUnits, ReportedDemand, ReportedAtMillis, PreviousReportedDemand float64
+	Hot                                                                                              bool
+	UncollectedRepayment, CreditAtMillis                                                             float64
 }
 
 // Standing is what is known of one worker.
-type Standing struct {
-	Worker                         int
-	Since                          float64
-	Pace, Paced, Load, Told, Heard float64
-	Distrust, DistrustAt           float64
-	Turned, TurnedAt               []float64
-	Full                           bool
-	ColdAt, ColdDebt               float64
+type WorkerState struct {
+	Worker                                                                              int
+	StartedAtMillis                                                                     float64
+	ResponseMillis, ResponseAtMillis, ReportedLoad, ReportedLoadAtMillis, HeardAtMillis float64
+	Suspicion, SuspicionAtMillis                                                        float64
+	Rejections, RejectionsAtMillis                                                      []float64
+	Overloaded                                                                          bool
+	SlowStartAtMillis, SlowStartDebtUnits                                               float64
 }
 
 // Pace is what is known of a kind of machine.
-type Pace struct {
-	Kind          int
-	Pace, Answers float64
+type MachineKindState struct {
+	MachineKind               int
+	ResponseMillis, Responses float64
 }
 
 // Hearing is what is known of one peer.
-type Hearing struct {
-	Heard, Told, Owes, Spoke float64
-	Silent, Gone             bool
-	Last                     []Report
+type PeerState struct {
+	HeardAtMillis, ReportedAtMillis, ReportDueSinceMillis, ReportsHeardAtMillis float64
+	Silent, Lost                                                                bool
+	LastReports                                                                 []Report
 }
 
 // Retire gives what a successor takes over. From then on this gatekeeper only ends the txns in hand: it lets
 // nothing in, sends nothing to cold workers and tells peers nothing, as its parts of all these are another's.
-func (g *Gatekeeper) Retire() Estate {
+func (g *Engine) HandOff() HandoffState {
 	g.retired = true
 	for i := range g.txns { // what is kept may yet be sent on from here: to the successor it is spent
 		if t := &g.txns[i]; t.live && t.kept {
@@ -74,10 +74,13 @@
 			t.coming, t.pass = coming, pass
 		}
 	}
-	e := Estate{Signed: g.signed, At: g.now, Started: g.started, Base: g.base, Window: g.window,
-		Press: g.press, CutAt: g.cutAt, Pace: g.pace,
-		Load: g.load, WarmDone: g.warmDone, WarmEach: g.warmEach, WarmAt: g.warmAt, Long: g.long.score,
-		LongAt: g.long.since, Astray: g.astray.score, AstrayAt: g.astray.since, NextTell: g.nextTell}
+	e := HandoffState{Settings: g.signed, AtMillis: g.now, StartedAtMillis: g.started,
+		RateLimitBaseMillis: g.base, Window: g.window,
+		Pressure: g.press, WindowCutAtMillis: g.cutAt, ResponseMillis: g.pace,
+		MeanWorkerLoad: g.load, WarmWorkUnits: g.warmDone, WarmWorkUnitsPerWorker: g.warmEach,
+		WarmWorkAtMillis: g.warmAt, SlowRequests: g.long.score,
+		SlowRequestsAtMillis: g.long.since, LostRequests: g.astray.score, LostRequestsAtMillis: g.astray.since,
+		NextReportAtMillis: g.nextTell}
 	for i := range g.accounts {
 		if c := &g.accounts[i]; c.live {
 			e.Customers = append(e.Customers, c.leaves())
@@ -88,25 +91,28 @@
 		if !w.listed {
 			continue
 		}
-		s := Standing{Worker: i, Since: w.Since, Pace: w.pace, Paced: w.paced, Load: w.load, Told: w.told,
-			Heard: w.heard, Distrust: w.distrust.score, DistrustAt: w.distrust.since, Full: w.full,
-			ColdAt: w.coldAt, ColdDebt: w.coldDebt}
-		s.Turned, s.TurnedAt = make([]float64, len(g.openTo)), make([]float64, len(g.openTo))
+		s := WorkerState{Worker: i, StartedAtMillis: w.StartedAtMillis, ResponseMillis: w.pace,
+			ResponseAtMillis: w.paced, ReportedLoad: w.load, ReportedLoadAtMillis: w.told,
+			HeardAtMillis: w.heard, Suspicion: w.distrust.score, SuspicionAtMillis: w.distrust.since,
+			Overloaded:        w.full,
+			SlowStartAtMillis: w.coldAt, SlowStartDebtUnits: w.coldDebt}
+		s.Rejections, s.RejectionsAtMillis = make([]float64, len(g.openTo)), make([]float64, len(g.openTo))
 		for k, m := range w.turned {
-			s.Turned[k], s.TurnedAt[k] = m.score, m.since
+			s.Rejections[k], s.RejectionsAtMillis[k] = m.score, m.since
 		}
 		e.Workers = append(e.Workers, s)
 	}
 	for i, k := range g.kinds {
-		e.Kinds = append(e.Kinds, Pace{i, k.pace, k.answers})
+		e.Kinds = append(e.Kinds, MachineKindState{i, k.pace, k.answers})
 	}
 	for i := range g.peers {
 		p := &g.peers[i]
-		e.Peers = append(e.Peers, Hearing{p.heard, p.told, p.owes, p.spoke, p.silent, p.gone,
+		e.Peers = append(e.Peers, PeerState{p.heard, p.told, p.owes, p.spoke, p.silent, p.gone,
 			append([]Report(nil), p.last...)})
 	}
 	for i := range g.plans {
-		e.Tight, e.Stay = append(e.Tight, g.plans[i].tight), append(e.Stay, g.plans[i].stay)
+		e.ShortDeadlineSuccess, e.AttemptMillis = append(e.ShortDeadlineSuccess, g.plans[i].tight),
+			append(e.AttemptMillis, g.plans[i].stay)
 	}
 	return e
 }
@@ -114,66 +120,77 @@
 // Resume takes over what a predecessor on this machine has left, before the first txn, and has it changed to
 // this charter from the one that it went by. What does not fit is not taken. The worker of a Standing, and a
 // kind, are this gatekeeper's own indices.
-func (g *Gatekeeper) Resume(e Estate) {
-	if len(e.Tight) != len(g.plans) || e.At > g.now+stopped {
+func (g *Engine) RestoreHandoff(e HandoffState) {
+	if len(e.ShortDeadlineSuccess) != len(g.plans) || e.AtMillis > g.now+stopped {
 		return
 	}
-	if mine := g.signed; !reflect.DeepEqual(mine, e.Signed) {
-		if !g.Recharter(e.Signed) {
+	if mine := g.signed; !reflect.DeepEqual(mine, e.Settings) {
+		if !g.Reconfigure(e.Settings) {
 			return
 		}
-		defer g.Recharter(mine)
+		defer g.Reconfigure(mine)
 	}
 	if len(e.Peers) != len(g.peers) {
 		return
 	}
-	g.base = e.Base
-	g.started, g.window, g.press, g.cutAt, g.pace = e.Started, e.Window, e.Press, e.CutAt, e.Pace
-	g.load, g.warmDone, g.warmEach, g.warmAt = e.Load, e.WarmDone, e.WarmEach, e.WarmAt
-	g.long, g.astray, g.nextTell = mark{e.Long, e.LongAt}, mark{e.Astray, e.AstrayAt}, e.NextTell
+	g.base = e.RateLimitBaseMillis
+	g.started, g.window, g.press, g.cutAt, g.pace = e.StartedAtMillis, e.Window, e.Pressure, e.WindowCutAtMillis,
+		e.ResponseMillis
+	g.load, g.warmDone, g.warmEach, g.warmAt = e.MeanWorkerLoad, e.WarmWorkUnits, e.WarmWorkUnitsPerWorker,
+		e.WarmWorkAtMillis
+	g.long, g.astray, g.nextTell = mark{e.SlowRequests, e.SlowRequestsAtMillis}, mark{e.LostRequests,
+		e.LostRequestsAtMillis}, e.NextReportAtMillis
 	for i := range g.plans {
-		g.plans[i].tight, g.plans[i].stay = e.Tight[i], e.Stay[i]
+		g.plans[i].tight, g.plans[i].stay = e.ShortDeadlineSuccess[i], e.AttemptMillis[i]
 		g.plans[i].restate()
 	}
 	for _, k := range e.Kinds {
-		if k.Kind < len(g.kinds) {
-			g.kinds[k.Kind] = kind{k.Pace, k.Answers}
+		if k.MachineKind < len(g.kinds) {
+			g.kinds[k.MachineKind] = kind{k.ResponseMillis, k.Responses}
 		}
 	}
 	for _, s := range e.Workers {
-		if s.Worker >= len(g.workers) || g.workers[s.Worker].Since != s.Since ||
-			len(s.Turned) != len(g.plans)*len(g.products) || len(s.TurnedAt) != len(s.Turned) {
+		if s.Worker >= len(g.workers) || g.workers[s.Worker].StartedAtMillis != s.StartedAtMillis ||
+			len(s.Rejections) != len(g.plans)*len(g.products) || len(s.RejectionsAtMillis) != len(s.Rejections) {
 			continue // what started anew since is another process, cold, and keeps what is known of that
 		}
 		w := &g.workers[s.Worker]
-		w.pace, w.paced, w.load, w.told, w.heard = s.Pace, s.Paced, s.Load, s.Told, s.Heard
-		w.distrust, w.full, w.coldAt, w.coldDebt = mark{s.Distrust, s.DistrustAt}, s.Full, s.ColdAt, s.ColdDebt
+		w.pace, w.paced, w.load, w.told, w.heard = s.ResponseMillis, s.ResponseAtMillis, s.ReportedLoad,
+			s.ReportedLoadAtMillis, s.HeardAtMillis
+		w.distrust, w.full, w.coldAt, w.coldDebt = mark{s.Suspicion, s.SuspicionAtMillis}, s.Overloaded,
+			s.SlowStartAtMillis, s.SlowStartDebtUnits
 		clear(w.turned)
-		for i := range s.Turned {
-			if s.Turned[i] != 0 {
-				g.marks(w)[i] = mark{s.Turned[i], s.TurnedAt[i]}
+		for i := range s.Rejections {
+			if s.Rejections[i] != 0 {
+				g.marks(w)[i] = mark{s.Rejections[i], s.RejectionsAtMillis[i]}
 			}
 		}
 		g.noted(w)
 	}
 	for i, p := range e.Peers {
-		g.peers[i] = peer{p.Heard, p.Told, p.Owes, p.Spoke, p.Silent, p.Gone, p.Last}
+		g.peers[i] = peer{p.HeardAtMillis, p.ReportedAtMillis, p.ReportDueSinceMillis, p.ReportsHeardAtMillis,
+			p.Silent, p.Lost, p.LastReports}
 	}
 	g.muted()
 	for _, k := range e.Customers {
-		if k.Plan < 0 || k.Plan >= len(g.plans) || k.N < 0 || k.N > g.charter.n || k.First < 0 ||
-			k.First >= g.charter.n {
+		if k.Plan < 0 || k.Plan >= len(g.plans) || k.SetSize < 0 || k.SetSize > g.charter.n || k.FirstGateway < 0 ||
+			k.FirstGateway >= g.charter.n {
 			continue
 		}
-		if _, known := g.byKey[uint32(k.Key)]; known {
+		if _, known := g.byKey[uint32(k.ID)]; known {
 			continue
 		}
-		c := &g.accounts[g.open(k.Key, k.Plan)]
-		c.n, c.first, c.txns, c.holding, c.level, c.whole = k.N, k.First, k.Txns, k.Holding, k.Level, k.Whole
-		c.filled, c.others, c.flow, c.held, c.heard = k.Filled, k.Others, k.Flow, k.Held, k.Heard
-		c.demand, c.lately, c.seen, c.coolSince = k.Demand, k.Lately, k.Seen, k.CoolSince
-		c.ceilingAt, c.unsaid, c.said, c.saidAt = k.CeilingAt, k.Unsaid, k.Said, k.SaidAt
-		c.known, c.hot, c.lent, c.out, c.lag, c.dealt = k.Known, k.Hot, k.Out, k.Out, k.Lag, k.Dealt
+		c := &g.accounts[g.open(k.ID, k.Plan)]
+		c.n, c.first, c.txns, c.holding, c.level, c.whole = k.SetSize, k.FirstGateway, k.Requests, k.SilentPeers,
+			k.ShareTokens, k.QuotaTokens
+		c.filled, c.others, c.flow, c.held, c.heard = k.FilledAtMillis, k.PeerDemand, k.PeerSpentUnits,
+			k.SilentPeerDemand, k.PeerDemandAtMillis
+		c.demand, c.lately, c.seen, c.coolSince = k.OwnDemand, k.RecentDemand, k.LastRequestAtMillis,
+			k.CoolSinceMillis
+		c.ceilingAt, c.unsaid, c.said, c.saidAt = k.RateLimitFullAtMillis, k.UnreportedUnits, k.ReportedDemand,
+			k.ReportedAtMillis
+		c.known, c.hot, c.lent, c.out, c.lag, c.dealt = k.PreviousReportedDemand, k.Hot, k.InFlight, k.InFlight,
+			k.UncollectedRepayment, k.CreditAtMillis
 		if c.n == 0 {
 			g.heardOnly++
 		}
@@ -183,7 +200,7 @@
 }
 
 // Alone tells that the predecessor has ended: none of its submissions is out any more.
-func (g *Gatekeeper) Alone() {
+func (g *Engine) PredecessorEnded() {
 	for i := range g.accounts {
 		c := &g.accounts[i]
 		c.out, c.lent = c.out-c.lent, 0
@@ -191,56 +208,56 @@
 }
 
 // Residue is what a former life of this gatekeeper has left that did not end in peace.
-type Residue struct {
-	Base                float64 // ceilings of all other customers are taken as spent at this time
-	Ceilings            []Spent
-	Window, Press, Pace float64 // nought where they are not known, or too old to go by
+type CrashState struct {
+	RateLimitBaseMillis              float64 // ceilings of all other customers are taken as spent at this time
+	RateLimits                       []SpentRateLimit
+	Window, Pressure, ResponseMillis float64 // nought where they are not known, or too old to go by
 }
 
 // Spent says when a customer's slice of its ceiling is full again.
-type Spent struct {
-	Customer uint64
-	Plan     int
-	Full     float64
+type SpentRateLimit struct {
+	Customer     uint64
+	Plan         int
+	FullAtMillis float64
 }
 
 // Remember takes a former life's residue, before the first txn. What it does not know, or what does not fit
 // this charter, is as after any start.
-func (g *Gatekeeper) Remember(r Residue) {
-	g.base = math.Min(r.Base, g.base)
-	for _, s := range r.Ceilings {
+func (g *Engine) RestoreCrashState(r CrashState) {
+	g.base = math.Min(r.RateLimitBaseMillis, g.base)
+	for _, s := range r.RateLimits {
 		if _, known := g.byKey[uint32(s.Customer)]; known || s.Plan < 0 || s.Plan >= len(g.plans) ||
 			g.heardOnly >= mostHeard {
-			g.base = math.Max(g.base, s.Full) // later than true, for all that are not known
+			g.base = math.Max(g.base, s.FullAtMillis) // later than true, for all that are not known
 			continue
 		}
-		g.accounts[g.open(s.Customer, s.Plan)].ceilingAt = s.Full
+		g.accounts[g.open(s.Customer, s.Plan)].ceilingAt = s.FullAtMillis
 		g.heardOnly++ // its first txn fills the rest in
 	}
-	if r.Window > 0 && r.Pace > 0 && r.Press >= 0 {
-		g.window, g.press, g.pace = math.Max(g.window, r.Window), r.Press, r.Pace
+	if r.Window > 0 && r.ResponseMillis > 0 && r.Pressure >= 0 {
+		g.window, g.press, g.pace = math.Max(g.window, r.Window), r.Pressure, r.ResponseMillis
 	}
 }
 
 // Pressure tells how pressed the gatekeeper is, as a residue has it.
-func (g *Gatekeeper) Pressure() (window, press, pace float64) { return g.window, g.press, g.pace }
+func (g *Engine) Congestion() (window, press, pace float64) { return g.window, g.press, g.pace }
 
 // Residue gives what is spent of ceilings, for a life after this one.
-func (g *Gatekeeper) Residue() (base float64, all []Spent) {
+func (g *Engine) CrashState() (base float64, all []SpentRateLimit) {
 	for i := range g.accounts {
 		c := &g.accounts[i]
 		if full := g.full(c); c.live && full > g.now {
-			all = append(all, Spent{c.customer, c.plan, full})
+			all = append(all, SpentRateLimit{c.customer, c.plan, full})
 		}
 	}
 	return g.base, all
 }
 
 // Resize tells that there are so many gatekeepers from now on.
-func (g *Gatekeeper) Resize(n int) {
-	if c := g.signed; n != g.charter.n && n > c.Me {
-		c.Gatekeepers = n
-		g.Recharter(c)
+func (g *Engine) SetGatewayCount(n int) {
+	if c := g.signed; n != g.charter.n && n > c.GatewayIndex {
+		c.GatewayCount = n
+		g.Reconfigure(c)
 	}
 }
 
@@ -253,9 +270,10 @@
 // at its new pace from what there was, one that shrinks holds at most its new depth less what is spent, and
 // a new one holds nothing. Where a part is withheld, all that is spent counts against the rest; where it is
 // given free again, what was not spent of it is there.
-func (g *Gatekeeper) Recharter(c Charter) bool {
-	n := max(c.Gatekeepers, 1)
-	if c.Me != g.charter.me || n <= c.Me || len(c.Plans) != len(g.plans) || len(c.Products) != len(g.products) {
+func (g *Engine) Reconfigure(c Settings) bool {
+	n := max(c.GatewayCount, 1)
+	if c.GatewayIndex != g.charter.me || n <= c.GatewayIndex || len(c.Plans) != len(g.plans) ||
+		len(c.Products) != len(g.products) {
 		return false
 	}
 	for i := n; i < g.charter.n; i++ {
@@ -280,19 +298,19 @@
 	for i := range f.plans {
 		f.plans[i].tight, f.plans[i].stay = was[i].tight, was[i].stay
 		f.plans[i].restate()
-		f.plans[i].narrow(&c, c.Plans[i].Withheld)
-		f.plans[i].recorded = lesser(f.plans[i].ceilRate, g.first[i].CeilingRate/1000)
+		f.plans[i].narrow(&c, c.Plans[i].WithheldFraction)
+		f.plans[i].recorded = lesser(f.plans[i].ceilRate, g.first[i].RateLimitPerSecond/1000)
 		g.rebase(&f.plans[i], told.Plans[i], c.Plans[i])
 	}
-	if c.Narrow { // what would be told of demand is not what is asked
+	if c.QuotaWithoutGossip { // what would be told of demand is not what is asked
 		f.charter.talks, f.charter.tellAt = false, 0
 	}
 	// What the others have spent in between is not known, unless all of it is as after a start.
-	unknown := (told.Narrow || c.Narrow) && !g.fresh
+	unknown := (told.QuotaWithoutGossip || c.QuotaWithoutGossip) && !g.fresh
 	switch {
-	case c.Narrow && !told.Narrow:
+	case c.QuotaWithoutGossip && !told.QuotaWithoutGossip:
 		g.fresh = len(g.byKey) == 0
-	case !c.Narrow && told.Narrow && !g.fresh:
+	case !c.QuotaWithoutGossip && told.QuotaWithoutGossip && !g.fresh:
 		g.widened = g.now
 	}
 	copy(f.peers, g.peers)
@@ -322,12 +340,12 @@
 
 // narrow leaves a plan what is this gatekeeper's own. Where its quota goes without words all peers count as
 // unheard: the split leaves each gatekeeper an even part of alpha x rate, which is the cold slice.
-func (p *plan) narrow(c *Charter, withheld float64) {
+func (p *plan) narrow(c *Settings, withheld float64) {
 	p.ceilDepth *= 1 - withheld
 	if withheld < 1 { // one that is shut still fills
 		p.ceilRate *= 1 - withheld
 	}
-	if c.Narrow {
+	if c.QuotaWithoutGossip {
 		p.sparse, p.excess = false, false
 		p.rate, p.out = p.rate*alpha, p.out*alpha
 		p.restate()
@@ -349,29 +367,29 @@
 
 // rebase sees that customers that are not known find no more in a ceiling that grows, or is new, than those
 // that are. It falls on all plans: there is one base.
-func (g *Gatekeeper) rebase(p *plan, from, to Plan) {
-	had := from.CeilingDepth
-	if from.CeilingRate <= 0 {
+func (g *Engine) rebase(p *plan, from, to Plan) {
+	had := from.RateLimitBurst
+	if from.RateLimitPerSecond <= 0 {
 		had = 0
 	}
-	if to.CeilingRate > 0 && to.CeilingDepth > had {
-		g.base = math.Max(g.base, g.now-had/to.CeilingRate*1000)
+	if to.RateLimitPerSecond > 0 && to.RateLimitBurst > had {
+		g.base = math.Max(g.base, g.now-had/to.RateLimitPerSecond*1000)
 	}
 }
 
 // respent is the moment at which a customer's slice of a ceiling that has changed is full again.
-func (g *Gatekeeper) respent(a *account, was *plan, from, to Plan) float64 {
+func (g *Engine) respent(a *account, was *plan, from, to Plan) float64 {
 	p := &g.plans[a.plan]
-	if to.CeilingRate <= 0 {
+	if to.RateLimitPerSecond <= 0 {
 		return a.ceilingAt
 	}
-	units := to.CeilingDepth
-	if from.CeilingRate > 0 {
+	units := to.RateLimitBurst
+	if from.RateLimitPerSecond > 0 {
 		spent := math.Max(a.ceilingAt-g.now, 0) * was.ceilRate
-		units = math.Min(spent+math.Max(to.CeilingDepth-from.CeilingDepth, 0), to.CeilingDepth)
+		units = math.Min(spent+math.Max(to.RateLimitBurst-from.RateLimitBurst, 0), to.RateLimitBurst)
 	}
 	if was.shut() && a.n > 0 { // it may have been opened meanwhile, and then has not been taken as spent
-		units = math.Max(units, to.CeilingDepth-math.Max(g.now-g.base, 0)*to.CeilingRate/1000)
+		units = math.Max(units, to.RateLimitBurst-math.Max(g.now-g.base, 0)*to.RateLimitPerSecond/1000)
 	}
 	return g.now + units/p.ceilRate
 }
@@ -379,7 +397,7 @@
 // Recall tells that submission n of a txn, the newest, never began: what it was decided by had run out. The
 // txn is decided on anew, the first time as if it had just come; what it took stays taken. It is false where
 // that can't be, and the submission has Ended as NotSent.
-func (g *Gatekeeper) Recall(id uint64, n int) bool {
+func (g *Engine) RetractAttempt(id uint64, n int) bool {
 	slot, ok := g.byID[id]
 	if !ok || n < 0 || n != len(g.txns[slot].subs)-1 || !g.txns[slot].subs[n].out {
 		return false
@@ -408,7 +426,7 @@
 
 // Returned tells that a peer has started anew, knowing nothing: what its former life told counts no more. It
 // will tell its demand from nought on, and both would be counted.
-func (g *Gatekeeper) Returned(from int) {
+func (g *Engine) PeerRestarted(from int) {
 	if from < 0 || from >= g.charter.n || from == g.charter.me {
 		return
 	}
@@ -420,7 +438,7 @@
 		if ai, ok := g.byKey[uint32(r.Customer)]; ok {
 			c := &g.accounts[ai]
 			g.fill(c)
-			c.others = math.Max(c.others-r.Demand/1000*math.Exp((p.heard-g.now)/g.plans[c.plan].memory), 0)
+			c.others = math.Max(c.others-r.DemandPerSecond/1000*math.Exp((p.heard-g.now)/g.plans[c.plan].memory), 0)
 			g.reshare(c)
 		}
 	}
--- a/internal/policy/group_test.go
+++ b/internal/policy/group_test.go
@@ -6,20 +6,20 @@
 )
 
 // groups gives a host with four workers in each of two zones, two in each cell, and a referenced product.
-func groups(t *testing.T, of Group, change func(*Charter)) *host {
-	h := newHost(t, charterFor(Referenced, func(c *Charter) {
-		c.Products[0].Group = of
+func groups(t *testing.T, of DedupScope, change func(*Settings)) *host {
+	h := newHost(t, charterFor(Deduplicated, func(c *Settings) {
+		c.Products[0].DedupScope = of
 		if change != nil {
 			change(c)
 		}
 	}), 1, 0)
-	h.g.Roster(h.zones(), false)
+	h.g.UpdateEndpoints(h.zones(), false)
 	return h
 }
 
-func (h *host) zones() (list []Posting) {
+func (h *host) zones() (list []Endpoint) {
 	for w := range 8 {
-		list = append(list, Posting{Worker: w, Zone: w / 4, Cell: w / 2, Active: true})
+		list = append(list, Endpoint{Worker: w, Zone: w / 4, Cell: w / 2, Active: true})
 	}
 	return list
 }
@@ -28,7 +28,7 @@
 // to the group that it was in when it was sent to, or nowhere. Guards against marks that nobody there has.
 func TestGroupLeftInMidAttempt(t *testing.T) {
 	moved := func(h *host, w, zone, cell int) {
-		h.g.Roster([]Posting{{Worker: w, Zone: zone, Cell: cell, Active: true}}, true)
+		h.g.UpdateEndpoints([]Endpoint{{Worker: w, Zone: zone, Cell: cell, Active: true}}, true)
 	}
 	cases := []struct {
 		name  string
@@ -38,14 +38,15 @@
 		{"nothing changes", func(*host, int) {}, 40},
 		{"its worker moves", func(h *host, w int) { moved(h, w, 1-w/4, (w/2+2)%4) }, 40},
 		{"its worker drains", func(h *host, w int) {
-			h.g.Roster([]Posting{{Worker: w, Zone: w / 4, Cell: w / 2}}, true)
+			h.g.UpdateEndpoints([]Endpoint{{Worker: w, Zone: w / 4, Cell: w / 2}}, true)
 		}, 40},
 		{"its worker starts anew", func(h *host, w int) {
-			h.g.Roster([]Posting{{Worker: w, Zone: w / 4, Cell: w / 2, Active: true, Since: h.now}}, true)
+			h.g.UpdateEndpoints([]Endpoint{{Worker: w, Zone: w / 4, Cell: w / 2, Active: true,
+				StartedAtMillis: h.now}}, true)
 		}, 40},
 		{"its worker is on no list", func(h *host, w int) {
 			list := h.zones()
-			h.g.Roster(append(list[:w], list[w+1:]...), false)
+			h.g.UpdateEndpoints(append(list[:w], list[w+1:]...), false)
 		}, 40},
 		{"all the others move away", func(h *host, w int) {
 			for o := range 8 {
@@ -56,9 +57,9 @@
 			moved(h, w, 1-w/4, (w/2+2)%4)
 		}, 0},
 	}
-	for _, of := range []Group{GroupZone, GroupCell, GroupAll} {
+	for _, of := range []DedupScope{DedupWithinZone, DedupWithinCell, DedupAcrossFleet} {
 		for _, c := range cases {
-			for _, o := range []Outcome{Cut, TimedOut, Fault, Withdrawn} {
+			for _, o := range []Outcome{ConnectionLost, TimedOut, Failed, Cancelled} {
 				t.Run(fmt.Sprint(of, " ", c.name, " ", o), func(t *testing.T) {
 					again := 0
 					for range 40 {
@@ -74,19 +75,19 @@
 						}
 						h.ended(s, 0, o, 50)
 						if len(s.subs) < 2 {
-							if s.final == 0 || of != GroupAll && s.final != Void {
+							if s.final == 0 || of != DedupAcrossFleet && s.final != RejectUncertain {
 								t.Fatalf("neither repeated nor given up: %v", s.final)
 							}
 							continue
 						}
 						again++
 						next := at[s.subs[1].Worker]
-						if of == GroupZone && next.Zone != w/4 || of == GroupCell && next.Cell != w/2 {
+						if of == DedupWithinZone && next.Zone != w/4 || of == DedupWithinCell && next.Cell != w/2 {
 							t.Fatalf("first at %d, again at %d, now of zone %d and cell %d", w, s.subs[1].Worker, next.Zone,
 								next.Cell)
 						}
 					}
-					if of != GroupAll && (again < c.least || c.least == 0 && again > 0) {
+					if of != DedupAcrossFleet && (again < c.least || c.least == 0 && again > 0) {
 						t.Errorf("%d of 40 were repeated", again)
 					}
 				})
--- a/internal/policy/host_test.go
+++ b/internal/policy/host_test.go
@@ -7,12 +7,13 @@
 )
 
 // charterFor is a plain charter: one product, one plan of rate 10 with 2 s of burst.
-func charterFor(r Repeat, change func(*Charter)) Charter {
-	c := Charter{Gatekeepers: 2, LargestUnits: 1, MaxSubmissions: 3, MayOverlap: true, MayWithdraw: true,
-		MayAdvise: true, MaxAdvice: 2000, MayTell: true, PeerInPerS: 60, ReportsPerTell: 31, ColdFrom: 0.2,
-		WarmUp: 10000, Whole: 1,
-		Products: []Product{{SLA: 1000, Value: 1, Repeat: r, Window: 5000}},
-		Plans:    []Plan{{Rate: 10, Burst: 20, Factor: 1, ExcessFee: 1}}}
+func charterFor(r Idempotency, change func(*Settings)) Settings {
+	c := Settings{GatewayCount: 2, MaxRequestUnits: 1, MaxAttempts: 3, AllowHedging: true, AllowCancel: true,
+		AllowRetryAfter: true, MaxRetryAfterMillis: 2000, AllowGossip: true, PeerMessagesPerSecond: 60,
+		ReportsPerMessage: 31, ColdCapacityFraction: 0.2,
+		WarmUpMillis: 10000, TotalWeight: 1,
+		Products: []Product{{LatencyTargetMillis: 1000, Value: 1, Idempotency: r, DedupWindowMillis: 5000}},
+		Plans:    []Plan{{QuotaPerSecond: 10, QuotaBurst: 20, ValueFactor: 1, ExcessCostFraction: 1}}}
 	if change != nil {
 		change(&c)
 	}
@@ -22,8 +23,8 @@
 // host drives one gatekeeper and keeps its rules: it knows each txn's submissions and final answers.
 type host struct {
 	t    *testing.T
-	g    *Gatekeeper
-	c    Charter
+	g    *Engine
+	c    Settings
 	now  float64
 	next uint64
 	txns map[uint64]*seen
@@ -33,45 +34,45 @@
 }
 
 type seen struct {
-	Arrival
+	Request
 	expiry float64
 	subs   []Decision
 	out    []bool
 	mayRun bool
 	first  float64 // when the first submission that may have run was sent
 	sentAt []float64
-	final  Kind
+	final  DecisionKind
 	wait   float64
 }
 
-func newHost(t *testing.T, c Charter, seed int64, workers int) *host {
+func newHost(t *testing.T, c Settings, seed int64, workers int) *host {
 	h := &host{t: t, g: New(c, seed), c: c, now: 1000, txns: map[uint64]*seen{}, gone: -1}
-	h.g.Clock(h.now)
-	var list []Posting
+	h.g.AdvanceTo(h.now)
+	var list []Endpoint
 	for i := range workers {
-		list = append(list, Posting{Worker: i, Active: true})
+		list = append(list, Endpoint{Worker: i, Active: true})
 	}
-	h.g.Roster(list, false)
+	h.g.UpdateEndpoints(list, false)
 	h.pull()
 	return h
 }
 
 func (h *host) at(now float64) {
 	h.now = now
-	h.g.Clock(now)
+	h.g.AdvanceTo(now)
 }
 
 // txn brings a txn of a customer and pulls what is decided on it.
 func (h *host) txn(customer uint64, units float64) *seen {
-	return h.arrive(Arrival{Customer: customer, Units: units, SetSize: h.c.Gatekeepers, Left: 3000})
+	return h.arrive(Request{Customer: customer, Units: units, SetSize: h.c.GatewayCount, TimeLeftMillis: 3000})
 }
 
-func (h *host) arrive(a Arrival) *seen {
+func (h *host) arrive(a Request) *seen {
 	h.next++
 	a.ID = h.next
-	s := &seen{Arrival: a, expiry: h.now + a.Left}
+	s := &seen{Request: a, expiry: h.now + a.TimeLeftMillis}
 	h.txns[a.ID] = s
-	h.g.Take(a)
+	h.g.AddRequest(a)
 	h.pull()
 	return s
 }
@@ -81,7 +82,7 @@
 	for end := h.now + ms; h.now < end; {
 		h.at(h.now + 1000/perS)
 		if s := h.txn(7, 1); s.final == 0 {
-			h.ended(s, 0, Settled, 20)
+			h.ended(s, 0, Succeeded, 20)
 		}
 		if after != nil {
 			after()
@@ -92,17 +93,17 @@
 func (h *host) ended(s *seen, n int, o Outcome, took float64) {
 	s.out[n] = false
 	switch o {
-	case Fault, TimedOut, Cut, Withdrawn:
+	case Failed, TimedOut, ConnectionLost, Cancelled:
 		if !s.mayRun || s.sentAt[n] < s.first {
 			s.first = s.sentAt[n]
 		}
 		s.mayRun = true
-	case Settled:
+	case Succeeded:
 		if s.final == 0 {
 			s.final = Submit
 		}
 	}
-	h.g.Ended(s.ID, n, o, took, s.final != 0)
+	h.g.AttemptEnded(s.ID, n, o, took, s.final != 0)
 	h.pull()
 }
 
@@ -110,15 +111,15 @@
 func (h *host) pull() {
 	h.t.Helper()
 	for range 10000 {
-		d, ok := h.g.Next()
+		d, ok := h.g.NextDecision()
 		if !ok {
 			return
 		}
 		switch d.Kind {
-		case Tell:
+		case SendReports:
 			d.Reports = append([]Report(nil), d.Reports...)
 			h.told = append(h.told, d)
-		case Submit, Decline, Void:
+		case Submit, Reject, RejectUncertain:
 			h.judge(d)
 		}
 	}
@@ -127,7 +128,7 @@
 
 func (h *host) judge(d Decision) {
 	h.t.Helper()
-	s := h.txns[d.Txn]
+	s := h.txns[d.RequestID]
 	p := h.c.Products[s.Product]
 	out := 0
 	for _, o := range s.out {
@@ -137,26 +138,27 @@
 	}
 	switch {
 	case s.final != 0:
-		h.t.Fatalf("txn %d: %+v after its final answer", d.Txn, d)
+		h.t.Fatalf("txn %d: %+v after its final answer", d.RequestID, d)
 	case d.Kind == Submit && h.now >= s.expiry:
-		h.t.Fatalf("txn %d: submitted after its expiry", d.Txn)
-	case d.Kind == Submit && out > 0 && !h.c.MayOverlap:
-		h.t.Fatalf("txn %d: two submissions at once", d.Txn)
+		h.t.Fatalf("txn %d: submitted after its expiry", d.RequestID)
+	case d.Kind == Submit && out > 0 && !h.c.AllowHedging:
+		h.t.Fatalf("txn %d: two submissions at once", d.RequestID)
 	case d.Kind == Submit && d.Worker == h.gone:
-		h.t.Fatalf("txn %d: submitted to worker %d, which drains", d.Txn, d.Worker)
-	case d.Kind == Submit && len(s.subs) >= max(h.c.MaxSubmissions, 1):
-		h.t.Fatalf("txn %d: one submission too many", d.Txn)
-	case d.Kind != Void && p.Repeat == OnceOnly && (s.mayRun || out > 0):
-		h.t.Fatalf("txn %d: %+v although it may have run", d.Txn, d)
-	case d.Kind == Submit && p.Repeat == Referenced && s.mayRun && h.now > s.first+p.Window:
-		h.t.Fatalf("txn %d: repeated after its window", d.Txn)
-	case d.Kind == Decline && p.Repeat == Referenced && p.Group != GroupAll && (s.mayRun || out > 0):
-		h.t.Fatalf("txn %d: declined outside group all", d.Txn)
+		h.t.Fatalf("txn %d: submitted to worker %d, which drains", d.RequestID, d.Worker)
+	case d.Kind == Submit && len(s.subs) >= max(h.c.MaxAttempts, 1):
+		h.t.Fatalf("txn %d: one submission too many", d.RequestID)
+	case d.Kind != RejectUncertain && p.Idempotency == NonIdempotent && (s.mayRun || out > 0):
+		h.t.Fatalf("txn %d: %+v although it may have run", d.RequestID, d)
+	case d.Kind == Submit && p.Idempotency == Deduplicated && s.mayRun && h.now > s.first+p.DedupWindowMillis:
+		h.t.Fatalf("txn %d: repeated after its window", d.RequestID)
+	case d.Kind == Reject && p.Idempotency == Deduplicated && p.DedupScope != DedupAcrossFleet &&
+		(s.mayRun || out > 0):
+		h.t.Fatalf("txn %d: declined outside group all", d.RequestID)
 	}
 	if d.Kind != Submit {
-		s.final, s.wait = d.Kind, d.Wait
+		s.final, s.wait = d.Kind, d.WaitMillis
 		if h.now > s.expiry+5 {
-			h.t.Fatalf("txn %d: answered %v ms late", d.Txn, h.now-s.expiry)
+			h.t.Fatalf("txn %d: answered %v ms late", d.RequestID, h.now-s.expiry)
 		}
 		return
 	}
@@ -165,7 +167,7 @@
 }
 
 // run brings txns at a rate a second; end says how each submission ends and when, NotSent that it never does.
-func (h *host) run(until, perS float64, rng *rand.Rand, take func() Arrival,
+func (h *host) run(until, perS float64, rng *rand.Rand, take func() Request,
 	end func(*seen, int) (Outcome, float64)) {
 	type event struct {
 		at float64
--- a/internal/policy/listed.go
+++ b/internal/policy/listed.go
@@ -30,7 +30,7 @@
 )
 
 // begins makes room for a list, takes all workers off where it is whole, and tells how it is taken.
-func (g *Gatekeeper) begins(list []Posting, partial bool) manner {
+func (g *Engine) begins(list []Endpoint, partial bool) manner {
 	for i := 0; i < len(g.workers) && !partial; i++ {
 		g.workers[i].listed = false
 	}
@@ -54,17 +54,17 @@
 
 // posted gives the worker of an entry of the list, a new one if another had its place. Where the entry
 // changes its place among the ready ones it is taken off them.
-func (g *Gatekeeper) posted(p Posting, how manner) *worker {
-	for len(g.kinds) <= p.Kind {
+func (g *Engine) posted(p Endpoint, how manner) *worker {
+	for len(g.kinds) <= p.MachineKind {
 		g.kinds = append(g.kinds, kind{})
 	}
 	i := p.Worker
 	w := &g.workers[i]
 	switch {
 	case how == byAll || g.in[i] == out:
-	case p.New || !p.Active || g.ranks[i] == 0:
+	case p.Replaced || !p.Active || g.ranks[i] == 0:
 		g.strike(i, how)
-	case p.Since != w.Since && w.warm:
+	case p.StartedAtMillis != w.StartedAtMillis && w.warm:
 		w.warm = false
 		g.warm--
 		if how == byOne {
@@ -73,7 +73,7 @@
 			g.chilled = append(g.chilled, i)
 		}
 	}
-	if p.New {
+	if p.Replaced {
 		clear(w.turned)
 		*w = worker{turned: w.turned, wary: w.wary, refer: w.refer}
 		g.ranks[i] = 0
@@ -86,7 +86,7 @@
 }
 
 // relist puts a worker whose entry was taken among the ready ones. Until time is reckoned with it is cold.
-func (g *Gatekeeper) relist(i int, how manner) {
+func (g *Engine) relist(i int, how manner) {
 	w := &g.workers[i]
 	if how == byAll || !w.listed || g.in[i] != out {
 		return
@@ -103,7 +103,7 @@
 }
 
 // strike takes a worker off the ready ones.
-func (g *Gatekeeper) strike(i int, how manner) {
+func (g *Engine) strike(i int, how manner) {
 	g.in[i] = out
 	warm := g.workers[i].warm
 	if g.workers[i].warm = false; warm {
@@ -120,7 +120,7 @@
 }
 
 // lists ends a list: it puts what has changed of the ready workers in its places.
-func (g *Gatekeeper) lists(how manner) {
+func (g *Engine) lists(how manner) {
 	switch g.rated = false; how {
 	case byAll:
 		g.list()
@@ -132,7 +132,7 @@
 }
 
 // merge takes those struck off the ready ones, and puts the fresh ones among them.
-func (g *Gatekeeper) merge() {
+func (g *Engine) merge() {
 	slices.Sort(g.brought) // an entry may have come twice
 	g.brought = slices.DeleteFunc(slices.Compact(g.brought), func(i int) bool { return g.in[i] != fresh })
 	g.chilled = append(slices.DeleteFunc(g.chilled, func(i int) bool { return g.in[i] == out }), g.brought...)
@@ -151,7 +151,7 @@
 }
 
 // stayed gives those of all that are in their places still.
-func (g *Gatekeeper) stayed(all []int) []int {
+func (g *Engine) stayed(all []int) []int {
 	n := 0
 	for _, i := range all {
 		if g.in[i] == listed {
@@ -175,7 +175,7 @@
 }
 
 // byRank orders workers by rank.
-func (g *Gatekeeper) byRank(a, b int) int {
+func (g *Engine) byRank(a, b int) int {
 	if c := cmp.Compare(g.ranks[a], g.ranks[b]); c != 0 {
 		return c
 	}
@@ -198,7 +198,7 @@
 }
 
 // list gathers the workers that may be sent to. Those that were ready keep their order by rank.
-func (g *Gatekeeper) list() {
+func (g *Engine) list() {
 	g.rated = false
 	g.ranked = slices.DeleteFunc(g.ranked, func(i int) bool { return g.in[i] == out || !g.workers[i].listed })
 	g.ready, g.cold, g.brought, g.warm = g.ready[:0], g.cold[:0], g.brought[:0], 0
@@ -212,7 +212,7 @@
 			g.in[i], g.brought = listed, append(g.brought, i)
 		}
 		g.ready = append(g.ready, i)
-		if w.warm = g.warmth(w.Since) >= 1; w.warm {
+		if w.warm = g.warmth(w.StartedAtMillis) >= 1; w.warm {
 			g.warm++
 		} else {
 			g.cold = append(g.cold, i)
@@ -225,12 +225,12 @@
 
 // renew reckons with what time has changed of the ready workers: which are warm by now, what all can do, and
 // what is open to each sort of txn.
-func (g *Gatekeeper) renew() {
+func (g *Engine) renew() {
 	cold, at := g.cold[:0], 0
 	g.able = 0
 	for _, i := range g.cold {
 		w := &g.workers[i]
-		part := g.warmth(w.Since)
+		part := g.warmth(w.StartedAtMillis)
 		if w.warm = part >= 1; w.warm {
 			g.warm++
 			continue
@@ -293,11 +293,11 @@
 
 // meanRating is the mean of the ready workers' ratings, gone over in order only where one is asked for after
 // the list has changed: until each kind of machine has answered.
-func (g *Gatekeeper) meanRating() float64 {
+func (g *Engine) meanRating() float64 {
 	if !g.rated {
 		g.rated, g.rating = true, 0
 		for n, i := range g.ready {
-			if d := g.workers[i].Rating - g.rating; d != 0 {
+			if d := g.workers[i].SizeRating - g.rating; d != 0 {
 				g.rating += d / float64(n+1)
 			}
 		}
@@ -306,7 +306,7 @@
 }
 
 // marks gives what a worker has turned away, by sort of txn, to be changed.
-func (g *Gatekeeper) marks(w *worker) []mark {
+func (g *Engine) marks(w *worker) []mark {
 	if w.turned == nil {
 		w.turned = make([]mark, len(g.openTo))
 	}
@@ -315,7 +315,7 @@
 }
 
 // noted has a worker looked at for what speaks against it.
-func (g *Gatekeeper) noted(w *worker) {
+func (g *Engine) noted(w *worker) {
 	if !w.wary {
 		w.wary = true
 		g.wary = append(g.wary, w.Worker)
@@ -323,11 +323,13 @@
 }
 
 // unrefer ends what submissions refer to.
-func (g *Gatekeeper) unrefer(subs []submission) {
+func (g *Engine) unrefer(subs []submission) {
 	for i := range subs {
 		g.workers[subs[i].worker].refer--
 	}
 }
 
 // Vacant tells whether no txn in hand has been sent to a worker: if it is gone its place may be another's.
-func (g *Gatekeeper) Vacant(wi int) bool { return wi >= len(g.workers) || g.workers[wi].refer == 0 }
+func (g *Engine) WorkerUnreferenced(wi int) bool {
+	return wi >= len(g.workers) || g.workers[wi].refer == 0
+}
--- a/internal/policy/listed_amd64_test.go
+++ b/internal/policy/listed_amd64_test.go
@@ -30,15 +30,18 @@
 			}
 		}
 		submits := 0
-		history(seed, func(*Gatekeeper, bool) {}, func(g *Gatekeeper, d Decision) {
-			if d.Kind != Wake {
-				d.At = 0 // a submission had none then
+		history(seed, func(*Engine, bool) {}, func(g *Engine, d Decision) {
+			if d.Kind != SetTimer {
+				d.AtMillis = 0 // a submission had none then
 			}
-			put(uint64(d.Kind), d.Txn, uint64(d.Worker), uint64(d.N), uint64(d.Peer), math.Float64bits(d.Wait),
-				math.Float64bits(d.At), math.Float64bits(d.Latest), math.Float64bits(d.Full),
+			put(uint64(d.Kind), d.RequestID, uint64(d.Worker), uint64(d.Attempt), uint64(d.Peer),
+				math.Float64bits(d.WaitMillis),
+				math.Float64bits(d.AtMillis), math.Float64bits(d.SendBeforeMillis),
+				math.Float64bits(d.RateLimitFullAtMillis),
 				math.Float64bits(g.window), math.Float64bits(g.press))
 			for _, r := range d.Reports {
-				put(r.Customer, math.Float64bits(r.Demand), math.Float64bits(r.Known), math.Float64bits(r.Spent))
+				put(r.Customer, math.Float64bits(r.DemandPerSecond), math.Float64bits(r.PreviousDemandPerSecond),
+					math.Float64bits(r.SpentUnits))
 			}
 			if d.Kind == Submit {
 				submits++
