--- a/internal/policy/listed_test.go
+++ b/internal/policy/listed_test.go
@@ -18,7 +18,7 @@
 	distrusted, shedded int
 }
 
-func wholeOf(g *Gatekeeper) whole {
+func wholeOf(g *Engine) whole {
 	l := whole{openTo: make([]float64, len(g.openTo))}
 	for i := range g.workers {
 		w := &g.workers[i]
@@ -26,8 +26,8 @@
 			continue
 		}
 		l.ready = append(l.ready, i)
-		l.rating += (w.Rating - l.rating) / float64(len(l.ready))
-		part := g.warmth(w.Since)
+		l.rating += (w.SizeRating - l.rating) / float64(len(l.ready))
+		part := g.warmth(w.StartedAtMillis)
 		if l.able += part; part >= 1 {
 			l.warm++
 		} else {
@@ -58,11 +58,11 @@
 func TestListIsKeptUp(t *testing.T) {
 	var cold, shed, distrusted, lists, near int
 	for seed := range int64(60) {
-		history(seed, func(g *Gatekeeper, list bool) {
+		history(seed, func(g *Engine, list bool) {
 			l := wholeOf(g)
 			if !slices.Equal(g.ready, l.ready) || !slices.Equal(g.cold, l.cold) || !slices.Equal(g.near, l.near) ||
 				g.warm != l.warm || g.able != l.able || !slices.Equal(g.openTo, l.openTo) ||
-				g.Tally().Distrusted != l.distrusted {
+				g.Stats().SuspectedWorkers != l.distrusted {
 				t.Fatalf("seed %d: kept up %v, %v, %v, %v, %v, %v; gone over %+v", seed, g.ready, g.cold, g.near, g.warm,
 					g.able, g.openTo, l)
 			}
@@ -81,7 +81,7 @@
 			}
 			cold, shed = cold+len(l.cold), shed+l.shedded
 			distrusted, near = distrusted+l.distrusted, near+len(l.near)
-		}, func(g *Gatekeeper, _ Decision) {
+		}, func(g *Engine, _ Decision) {
 			for i := range g.workers { // who is referred to
 				refers := int32(0)
 				for k := range g.txns {
@@ -91,8 +91,9 @@
 						}
 					}
 				}
-				if g.Vacant(i) != (refers == 0) || g.workers[i].refer != refers {
-					t.Fatalf("seed %d: worker %d is referred to %d times, and vacant: %v", seed, i, refers, g.Vacant(i))
+				if g.WorkerUnreferenced(i) != (refers == 0) || g.workers[i].refer != refers {
+					t.Fatalf("seed %d: worker %d is referred to %d times, and vacant: %v", seed, i, refers,
+						g.WorkerUnreferenced(i))
 				}
 			}
 		})
@@ -139,18 +140,22 @@
 // history brings a gatekeeper a random history: lists whole and partial, of one entry and of many, workers
 // that drain, go, come back, start anew and leave their places to others, and txns that end in all ways. told
 // hears of each list, and of each period that may have passed, decided of each decision.
-func history(seed int64, told func(g *Gatekeeper, list bool), decided func(*Gatekeeper, Decision)) {
+func history(seed int64, told func(g *Engine, list bool), decided func(*Engine, Decision)) {
 	rng := rand.New(rand.NewSource(seed))
-	c := Charter{Gatekeepers: []int{1, 3, 80}[seed%3], LargestUnits: 8, MaxSubmissions: 3, LoadTold: true,
-		MayTell: true, PeerInPerS: 60, ReportsPerTell: 8, ColdFrom: 0.2, WarmUp: 4000, Whole: 1, WorstPlan: 0.2,
-		MayOverlap: seed%2 == 0, MayWithdraw: seed%2 == 0, MayAdvise: true, MaxAdvice: 1000}
+	c := Settings{GatewayCount: []int{1, 3, 80}[seed%3], MaxRequestUnits: 8, MaxAttempts: 3,
+		WorkersReportLoad: true,
+		AllowGossip:       true, PeerMessagesPerSecond: 60, ReportsPerMessage: 8, ColdCapacityFraction: 0.2,
+		WarmUpMillis: 4000, TotalWeight: 1, WorstPlanWeight: 0.2,
+		AllowHedging: seed%2 == 0, AllowCancel: seed%2 == 0, AllowRetryAfter: true, MaxRetryAfterMillis: 1000}
 	if seed%4 == 1 {
-		c.Tips, c.TipAfter = 3, 800
+		c.OverloadFactor, c.OverloadMillis = 3, 800
 	}
-	c.Products = []Product{{SLA: 600, Value: 1}, {SLA: 900, Value: 2, Repeat: Referenced, Group: GroupZone,
-		Window: 800}}
-	c.Plans = []Plan{{Rate: 4000, Burst: 2000, Factor: 1}, {Rate: 900, Burst: 500, CeilingRate: 2000,
-		CeilingDepth: 4000, Factor: 2}}
+	c.Products = []Product{{LatencyTargetMillis: 600, Value: 1}, {LatencyTargetMillis: 900, Value: 2,
+		Idempotency: Deduplicated, DedupScope: DedupWithinZone,
+		DedupWindowMillis: 800}}
+	c.Plans = []Plan{{QuotaPerSecond: 4000, QuotaBurst: 2000, ValueFactor: 1}, {QuotaPerSecond: 900,
+		QuotaBurst: 500, RateLimitPerSecond: 2000,
+		RateLimitBurst: 4000, ValueFactor: 2}}
 	g := New(c, seed)
 	now, size := 1000.0, 3+rng.Intn(200)
 	type sent struct {
@@ -163,7 +168,7 @@
 	pull := func() {
 		for {
 			before := g.nextTell
-			d, ok := g.Next()
+			d, ok := g.NextDecision()
 			if g.nextTell != before {
 				told(g, false)
 			}
@@ -173,41 +178,41 @@
 			decided(g, d)
 			switch d.Kind {
 			case Submit:
-				out = append(out, sent{d.Txn, d.N, now})
-			case Decline, Void:
-				closed[d.Txn] = true
+				out = append(out, sent{d.RequestID, d.Attempt, now})
+			case Reject, RejectUncertain:
+				closed[d.RequestID] = true
 			}
 		}
 	}
-	places := make([]Posting, size)
+	places := make([]Endpoint, size)
 	there := make([]bool, size)
 	turns := make([]bool, size) // workers that turn txns away
-	entry := func(i int) Posting {
+	entry := func(i int) Endpoint {
 		p := &places[i]
-		p.New = !there[i]
+		p.Replaced = !there[i]
 		switch what := rng.Intn(10); {
 		case !there[i] || what == 0: // another worker, or the same started anew
-			if p.New && g.Vacant(i) || !p.New {
-				p.Since = 0
+			if p.Replaced && g.WorkerUnreferenced(i) || !p.Replaced {
+				p.StartedAtMillis = 0
 				if rng.Intn(2) == 0 {
-					p.Since = now - rng.Float64()*5000
+					p.StartedAtMillis = now - rng.Float64()*5000
 				}
 			}
-			p.New = p.New && g.Vacant(i)
-			p.Worker, p.Zone, p.Cell, p.Kind = i, i%3, i%7, rng.Intn(6)
-			p.Rating = []float64{0, 1, 1.5, rng.Float64()}[rng.Intn(4)]
+			p.Replaced = p.Replaced && g.WorkerUnreferenced(i)
+			p.Worker, p.Zone, p.Cell, p.MachineKind = i, i%3, i%7, rng.Intn(6)
+			p.SizeRating = []float64{0, 1, 1.5, rng.Float64()}[rng.Intn(4)]
 			p.Active = true
 		case what < 4:
 			p.Active = !p.Active
 		case what == 4:
-			p.Rating = rng.Float64()
+			p.SizeRating = rng.Float64()
 		}
 		there[i] = true
 		turns[i] = rng.Intn(8) == 0
 		return *p
 	}
 	list := func(few int) {
-		var l []Posting
+		var l []Endpoint
 		whole := rng.Intn(4) == 0
 		for i := range places {
 			if whole && rng.Intn(8) > 0 || !whole && rng.Intn(size) < few {
@@ -216,42 +221,43 @@
 				there[i] = there[i] && rng.Intn(2) == 0 // gone, its place another's or kept for it
 			}
 		}
-		g.Roster(l, !whole)
+		g.UpdateEndpoints(l, !whole)
 		told(g, true)
 	}
-	g.Clock(now)
+	g.AdvanceTo(now)
 	list(size)
 	for step := range 900 {
 		now += rng.ExpFloat64() * 8
 		if step%200 == 150 {
 			now += 3000 * rng.Float64()
 		}
-		g.Clock(now)
+		g.AdvanceTo(now)
 		switch what := rng.Intn(20); {
 		case what == 0:
 			list(size)
 		case what < 5:
 			list(2)
 		case what == 5:
-			g.Hear(rng.Intn(c.Gatekeepers), []Report{{Customer: uint64(rng.Intn(20)), Demand: rng.Float64() * 900}})
+			g.ReceiveReports(rng.Intn(c.GatewayCount), []Report{{Customer: uint64(rng.Intn(20)),
+				DemandPerSecond: rng.Float64() * 900}})
 		case what < 12 || len(out) == 0:
 			next++
 			customer := uint64(rng.Intn(20))
-			g.Take(Arrival{ID: next, Customer: customer, Product: rng.Intn(2), Plan: int(customer % 2),
-				Units: 1 + rng.Float64(), SetSize: min(3, c.Gatekeepers), Left: 100 + 800*rng.Float64()})
+			g.AddRequest(Request{ID: next, Customer: customer, Product: rng.Intn(2), Plan: int(customer % 2),
+				Units: 1 + rng.Float64(), SetSize: min(3, c.GatewayCount), TimeLeftMillis: 100 + 800*rng.Float64()})
 		default:
 			at := rng.Intn(len(out))
 			s := out[at]
 			out = append(out[:at], out[at+1:]...)
 			o := Outcome(rng.Intn(int(NotSent) + 1))
 			if slot, ok := g.byID[s.txn]; ok && turns[g.txns[slot].subs[s.n].worker] {
-				o = Full
+				o = Overloaded
 			} else if rng.Intn(10) < 8 {
-				o = Settled
+				o = Succeeded
 			}
-			closed[s.txn] = closed[s.txn] || o == Settled
-			g.Burden(rng.Intn(size), Burden{Held: float64(rng.Intn(9)), Waiting: -1, Busy: -1})
-			g.Ended(s.txn, s.n, o, now-s.at+30, closed[s.txn])
+			closed[s.txn] = closed[s.txn] || o == Succeeded
+			g.ReportWorkerLoad(rng.Intn(size), WorkerLoad{InFlight: float64(rng.Intn(9)), Queued: -1, CPUFraction: -1})
+			g.AttemptEnded(s.txn, s.n, o, now-s.at+30, closed[s.txn])
 		}
 		pull()
 	}
--- a/internal/policy/logic.go
+++ b/internal/policy/logic.go
@@ -103,74 +103,107 @@
 	adviseBusy = 0.25  // of the SLA time; when to return after a decline under pressure
 
 	// What the host of sockets goes by.
-	IdleUse       = 0.5      // of the worker's idle limit; a connection idle for longer is dropped
-	SpareFiles    = 16       // descriptors for all but clients and workers: a dozen, with the runtime's own
-	ClientPart    = 0.6      // of the others; connections of clients, usual ones beside as many silent ones
-	WorkerPart    = 0.4      // of the others; connections to workers, busy and idle
-	MemoryPart    = 0.6      // of the memory; the runtime's soft limit, as files and the kernel's part count too
-	GarbagePart   = 100      // per cent; a heap of a few MB levels off in seconds, at little work
-	WholeTxn      = 2500.0   // ms for a client to send a head; honest ones take 2 s, it is owed a word in 3
-	BodyPause     = 2000.0   // ms that a body or a long answer may pause, or be held up by who takes it
-	LeastRate     = 16.0     // bytes a ms that a body comes at, at least, once it is long; honest ones give 64
-	KernelBytes   = 64 << 10 // of it that the kernel may hold for one who takes it slowly; 1 s of the slowest
-	PassBytes     = 16 << 10 // of a long body or answer in hand; a handful of the network's pieces
-	IdleClient    = 5000.0   // ms until the place of a client that asks nothing is freed; over pauses in use
-	IdleLong      = 2000.0   // ms without a txn after which a client's connection may be ended for another's
-	Unfinished    = 300.0    // ms without a byte after which so may one that has sent part of a txn
-	Unproven      = 100.0    // ms after which so may one that has sent no whole txn yet; usual ones do at once
-	CrowdedAt     = 0.4      // of clients' places; above it connections end with their first answer
-	LongestWait   = 3.6e6    // ms that a client may say it waits; more is no time to reckon with
-	LongestMark   = 64       // bytes of a txn's mark; those in use have 16
-	Linger        = 500.0    // ms in which a client that still sends may take the word that ends its connection
-	LingerBytes   = 1 << 20  // that are read from it and dropped meanwhile; what is in flight when it hears
-	AnswerPause   = 100.0    // ms that an answer may pause; whole ones of usual workers come within 20
-	MostInterim   = 8        // interim answers ahead of one; more are no answer
-	AcceptAgain   = 10.0     // ms until the next try to take a connection after one has failed
-	AcceptNow     = 1.0      // ms that an accept takes at most where a connection waits for it
-	WatchQuiet    = 2800.0   // ms for a watch to say something: it does each 2 s, and one word may be late
-	WatchHead     = 1400.0   // ms for an agent at hand to answer; behind a silence two silent ones fit WatchDue
-	WatchDue      = 6000.0   // ms after a silence or an end: what was missed counts as told
-	WatchMoved    = 4000.0   // the same after a move to another discovery
-	WatchAnswer   = 2200.0   // ms to an answer: 2 s in turn where lists are asked for, the way, and 100 spare
-	FirstWord     = 50.0     // ms at a start for the list, where it is pushed: it is at hand, and txns may wait
-	ListPiece     = 500      // entries of a long list taken in one go; at 110,000 workers txns wait 1 ms for it
-	PieceApart    = 0.1      // ms between two of them; who waits for the lock would else lose it to the next
-	LongestList   = 32 << 20 // bytes of a list in the watch; two and a half times that of 110,000 workers
-	LongestEntry  = 16 << 10 // of one worker in it; usual ones have 124
-	MostWorkers   = 200000   // in a list; 22 MB beside the texts of their names
-	WatchAgain    = 100.0    // ms until the watch is opened anew; news must not wait long
-	WatchSway     = 0.1      // of later pauses, left to chance; more makes more calls, which keep discovery down
-	WatchEach     = 25.0     // ms of that for each gatekeeper that may ask at the same time; a call takes some
-	WatchLonger   = 8.0      // times that at most; it doubles with each try that brings nothing
-	OperatorCalls = 16       // operators' connections at once; silent ones give way
-	OperatorBytes = 4096     // of an operator's call; head and body
-	OperatorWait  = 800.0    // ms for a call to come whole, and for its answer to be taken; due in 1 s
-	FiguresEach   = 150.0    // ms between looks at the module for operators' figures; they may be 500 ms old
-	DrainAsked    = 300.0    // ms that connections go on coming after /up has said no; they come for 200
-	DrainDone     = 1500.0   // ms after which a drain has ended the last idle connection; it has 4 s
-	AcceptOn      = 450.0    // ms after the order to stop in which new connections are served; they come for 400
-	StopIdle      = 200.0    // ms after that until all idle ones are ended; what comes after 700 may be lost
-	StopLongest   = 3000.0   // ms of the longest wait of clients, at most, that the platform gives a stop,
-	StopAll       = 500.0    // and ms beside it until all is given up: SIGKILL comes at 700, a look takes 100
+	WorkerIdleFraction = 0.5 // of the worker's idle limit; a connection idle for longer is dropped
+	// descriptors for all but clients and workers: a dozen, with the runtime's own
+	ReservedDescriptors = 16
+	// of the others; connections of clients, usual ones beside as many silent ones
+	ClientConnectionFraction = 0.6
+	WorkerConnectionFraction = 0.4 // of the others; connections to workers, busy and idle
+	// of the memory; the runtime's soft limit, as files and the kernel's part count too
+	MemoryLimitFraction = 0.6
+	GCTargetPercent     = 100 // per cent; a heap of a few MB levels off in seconds, at little work
+	// ms for a client to send a head; honest ones take 2 s, it is owed a word in 3
+	RequestHeadTimeoutMillis = 2500.0
+	// ms that a body or a long answer may pause, or be held up by who takes it
+	BodyStallTimeoutMillis = 2000.0
+	// bytes a ms that a body comes at, at least, once it is long; honest ones give 64
+	MinBodyBytesPerMilli = 16.0
+	// of it that the kernel may hold for one who takes it slowly; 1 s of the slowest
+	SendBufferBytes = 64 << 10
+	BodyChunkBytes  = 16 << 10 // of a long body or answer in hand; a handful of the network's pieces
+	// ms until the place of a client that asks nothing is freed; over pauses in use
+	ClientIdleTimeoutMillis = 5000.0
+	// ms without a txn after which a client's connection may be ended for another's
+	EvictIdleClientMillis = 2000.0
+	// ms without a byte after which so may one that has sent part of a txn
+	EvictPartialRequestMillis = 300.0
+	// ms after which so may one that has sent no whole txn yet; usual ones do at once
+	EvictNewClientMillis = 100.0
+	// of clients' places; above it connections end with their first answer
+	KeepAliveClientFraction = 0.4
+	MaxClientWaitMillis     = 3.6e6 // ms that a client may say it waits; more is no time to reckon with
+	MaxDedupKeyBytes        = 64    // bytes of a txn's mark; those in use have 16
+	// ms in which a client that still sends may take the word that ends its connection
+	LingerTimeoutMillis = 500.0
+	// that are read from it and dropped meanwhile; what is in flight when it hears
+	MaxLingerBytes = 1 << 20
+	// ms that an answer may pause; whole ones of usual workers come within 20
+	ResponseStallTimeoutMillis = 100.0
+	MaxInterimResponses        = 8    // interim answers ahead of one; more are no answer
+	AcceptRetryMillis          = 10.0 // ms until the next try to take a connection after one has failed
+	AcceptTimeoutMillis        = 1.0  // ms that an accept takes at most where a connection waits for it
+	// ms for a watch to say something: it does each 2 s, and one word may be late
+	WatchHeartbeatTimeoutMillis = 2800.0
+	// ms for an agent at hand to answer; behind a silence two silent ones fit WatchDue
+	WatchHeaderTimeoutMillis   = 1400.0
+	WatchCatchUpMillis         = 6000.0 // ms after a silence or an end: what was missed counts as told
+	WatchFailoverCatchUpMillis = 4000.0 // the same after a move to another discovery
+	// ms to an answer: 2 s in turn where lists are asked for, the way, and 100 spare
+	WatchResponseMillis = 2200.0
+	// ms at a start for the list, where it is pushed: it is at hand, and txns may wait
+	StartupListWaitMillis = 50.0
+	// entries of a long list taken in one go; at 110,000 workers txns wait 1 ms for it
+	EndpointBatchSize = 500
+	// ms between two of them; who waits for the lock would else lose it to the next
+	EndpointBatchPauseMillis = 0.1
+	// bytes of a list in the watch; two and a half times that of 110,000 workers
+	MaxEndpointListBytes = 32 << 20
+	MaxEndpointBytes     = 16 << 10 // of one worker in it; usual ones have 124
+	MaxWorkers           = 200000   // in a list; 22 MB beside the texts of their names
+	WatchRetryMillis     = 100.0    // ms until the watch is opened anew; news must not wait long
+	// of later pauses, left to chance; more makes more calls, which keep discovery down
+	WatchRetryJitterFraction = 0.1
+	// ms of that for each gatekeeper that may ask at the same time; a call takes some
+	WatchRetryPerGatewayMillis = 25.0
+	WatchMaxBackoffFactor      = 8.0  // times that at most; it doubles with each try that brings nothing
+	MaxAdminConnections        = 16   // operators' connections at once; silent ones give way
+	MaxAdminRequestBytes       = 4096 // of an operator's call; head and body
+	// ms for a call to come whole, and for its answer to be taken; due in 1 s
+	AdminTimeoutMillis = 800.0
+	// ms between looks at the module for operators' figures; they may be 500 ms old
+	StatsRefreshMillis = 150.0
+	// ms that connections go on coming after /up has said no; they come for 200
+	DrainAcceptMillis = 300.0
+	// ms after which a drain has ended the last idle connection; it has 4 s
+	DrainIdleMillis = 1500.0
+	// ms after the order to stop in which new connections are served; they come for 400
+	StopAcceptMillis = 450.0
+	// ms after that until all idle ones are ended; what comes after 700 may be lost
+	StopIdleMillis = 200.0
+	// ms of the longest wait of clients, at most, that the platform gives a stop,
+	StopMaxWaitMillis = 3000.0
+	// and ms beside it until all is given up: SIGKILL comes at 700, a look takes 100
+	StopGraceMillis = 500.0
 )
 
 // New starts a gatekeeper that knows nothing but its charter. Same seed and inputs, same decisions.
-func New(c Charter, seed int64) *Gatekeeper {
-	g := &Gatekeeper{rng: rand.New(rand.NewSource(seed)), byID: map[uint64]int32{}, byKey: map[uint32]int32{},
+func New(c Settings, seed int64) *Engine {
+	g := &Engine{rng: rand.New(rand.NewSource(seed)), byID: map[uint64]int32{}, byKey: map[uint32]int32{},
 		beatAt: -1, tellPeer: -1, signed: c}
-	n := max(c.Gatekeepers, 1)
+	n := max(c.GatewayCount, 1)
 	g.peers, g.mute, g.owed = make([]peer, n), make([]int, 2*n+1), make([]int, 2*n+1)
-	g.charter = terms{me: c.Me, n: n, maxSubs: max(c.MaxSubmissions, 1), perTell: c.ReportsPerTell,
-		overlap: c.MayOverlap, withdraw: c.MayWithdraw, advise: c.MayAdvise, maxAdvice: c.MaxAdvice,
-		largest: math.Max(c.LargestUnits, 1), period: period, coldFrom: c.ColdFrom,
-		warmUp: c.WarmUp * warmMargin, loadTold: c.LoadTold, turnFor: c.TipAfter, coldPart: 1,
-		talks: c.MayTell && n > 1 && c.ReportsPerTell > 0}
-	if c.Tips > 0 { // as far as the settings say what is too much
-		g.charter.coldPart = coldShare * c.Tips
+	g.charter = terms{me: c.GatewayIndex, n: n, maxSubs: max(c.MaxAttempts, 1), perTell: c.ReportsPerMessage,
+		overlap: c.AllowHedging, withdraw: c.AllowCancel, advise: c.AllowRetryAfter,
+		maxAdvice: c.MaxRetryAfterMillis,
+		largest:   math.Max(c.MaxRequestUnits, 1), period: period, coldFrom: c.ColdCapacityFraction,
+		warmUp: c.WarmUpMillis * warmMargin, loadTold: c.WorkersReportLoad, turnFor: c.OverloadMillis, coldPart: 1,
+		talks: c.AllowGossip && n > 1 && c.ReportsPerMessage > 0}
+	if c.OverloadFactor > 0 { // as far as the settings say what is too much
+		g.charter.coldPart = coldShare * c.OverloadFactor
 	}
 	g.charter.tells, g.charter.cooldown = math.MaxInt16, cooldown
-	if c.PeerInPerS > 0 { // what all peers send in a period must fit the intake
-		perMs := c.PeerInPerS * tellBudget / 1000 / float64(max(n-1, 1))
+	if c.PeerMessagesPerSecond > 0 { // what all peers send in a period must fit the intake
+		perMs := c.PeerMessagesPerSecond * tellBudget / 1000 / float64(max(n-1, 1))
 		if n > promptAt && g.charter.talks { // fewer hear of all that soon as it is
 			g.charter.tellAt = promptPart * perMs * float64(n-1)
 			perMs *= 1 - promptPart
@@ -181,15 +214,17 @@
 	}
 	var dearest, slowest float64
 	for _, d := range c.Products {
-		slowest = math.Max(slowest, d.SLA)
+		slowest = math.Max(slowest, d.LatencyTargetMillis)
 	}
 	for _, p := range c.Plans {
-		q := plan{rate: p.Rate / 1000, ceilRate: p.CeilingRate / 1000, ceilDepth: p.CeilingDepth, open: p.Open,
-			excess: p.ExcessShare > p.ExcessFee, largest: g.charter.largest, memory: demandMemory, tight: 1}
+		q := plan{rate: p.QuotaPerSecond / 1000, ceilRate: p.RateLimitPerSecond / 1000, ceilDepth: p.RateLimitBurst,
+			open:   p.MaxInFlight,
+			excess: p.ExcessValueFraction > p.ExcessCostFraction, largest: g.charter.largest, memory: demandMemory,
+			tight: 1}
 		switch {
-		case p.Rate > 0:
-			q.burst = p.Burst / q.rate
-		case p.Open > 0:
+		case p.QuotaPerSecond > 0:
+			q.burst = p.QuotaBurst / q.rate
+		case p.MaxInFlight > 0:
 			q.out, q.stay, q.largest = mostOut(p), slaUse*slowest, 1
 			q.restate()
 		}
@@ -200,19 +235,20 @@
 		q.regain = g.charter.period / q.memory / (1 - math.Exp(-g.charter.period/q.memory))
 		g.plans = append(g.plans, q)
 		for _, d := range c.Products {
-			dearest = math.Max(dearest, d.Value*p.Factor)
+			dearest = math.Max(dearest, d.Value*p.ValueFactor)
 		}
 	}
-	span := shedSpan * math.Max(0, 1-evenly*c.WorstPlan/math.Max(c.WorstPlan+c.Whole, 1e-9))
+	span := shedSpan * math.Max(0, 1-evenly*c.WorstPlanWeight/math.Max(c.WorstPlanWeight+c.TotalWeight, 1e-9))
 	g.charter.slack, g.charter.calm = 1, calmBeat // one that comes after a look waits out patience
 	for _, d := range c.Products {
-		g.charter.calm = math.Max(math.Min(g.charter.calm, patience*d.SLA), beat)
-		g.products = append(g.products, product{sla: d.SLA, window: d.Window, repeat: d.Repeat, group: d.Group})
-		g.charter.slack += lateWorth * d.LateShare / float64(len(c.Products))
+		g.charter.calm = math.Max(math.Min(g.charter.calm, patience*d.LatencyTargetMillis), beat)
+		g.products = append(g.products, product{sla: d.LatencyTargetMillis, window: d.DedupWindowMillis,
+			repeat: d.Idempotency, group: d.DedupScope})
+		g.charter.slack += lateWorth * d.LateValueFraction / float64(len(c.Products))
 		row := make([]float64, len(c.Plans))
 		for i, p := range c.Plans {
 			if row[i] = 1; dearest > 0 {
-				row[i] = 1 - span*(1-d.Value*p.Factor/dearest)
+				row[i] = 1 - span*(1-d.Value*p.ValueFactor/dearest)
 			}
 		}
 		g.depth = append(g.depth, row)
@@ -222,7 +258,7 @@
 }
 
 // Clock sets the time, in ms, of the inputs and decisions that follow.
-func (g *Gatekeeper) Clock(now float64) {
+func (g *Engine) AdvanceTo(now float64) {
 	if !g.begun {
 		g.begun, g.started, g.base, g.now, g.warmAt = true, now, now, now, now
 		g.nextTell = now + g.charter.period*g.rng.Float64()
@@ -241,11 +277,12 @@
 }
 
 // Take accepts a txn. Its final answer comes out of Next, at the latest at its expiry.
-func (g *Gatekeeper) Take(a Arrival) {
+func (g *Engine) AddRequest(a Request) {
 	slot, ai := place(&g.txns, &g.free), g.account(a)
 	t := &g.txns[slot]
 	*t = txn{id: a.ID, acct: ai, product: a.Product, plan: a.Plan, units: a.Units,
-		expiry: g.now + a.Left, coming: a.Streams, subs: t.subs[:0], life: a.Clears, live: true}
+		expiry: g.now + a.TimeLeftMillis, coming: a.StreamsBody, subs: t.subs[:0], life: a.ClearanceMillis,
+		live: true}
 	g.byID[a.ID] = slot
 	g.due, g.nextBeat = append(g.due, slot), math.Min(g.nextBeat, t.expiry)
 	c, p := &g.accounts[ai], &g.plans[a.Plan]
@@ -259,7 +296,7 @@
 }
 
 // Next gives the next decision, or none.
-func (g *Gatekeeper) Next() (Decision, bool) {
+func (g *Engine) NextDecision() (Decision, bool) {
 	for g.head < len(g.due) {
 		if d, ok := g.step(g.due[g.head]); ok {
 			return d, true
@@ -306,7 +343,7 @@
 }
 
 // step gives the next decision on one txn, or none.
-func (g *Gatekeeper) step(slot int32) (Decision, bool) {
+func (g *Engine) step(slot int32) (Decision, bool) {
 	t := &g.txns[slot]
 	if !t.live || t.waits(g.now) {
 		return Decision{}, false
@@ -345,36 +382,36 @@
 	}
 	if len(t.subs) == 0 && t.pass != claimed {
 		reason, wait := g.admit(t)
-		if reason != BySettled {
+		if reason != ReasonSucceeded {
 			return g.giveUp(t, reason, wait), true
 		} else if t.life > 0 {
 			return g.grant(t), true
 		}
 	} else if g.now >= g.mayRepeat(t, false) {
-		return g.giveUp(t, ByFailure, 0), true
+		return g.giveUp(t, ReasonAttemptsExhausted, 0), true
 	} else if float64(g.inHand) >= g.room() {
-		return g.giveUp(t, ByPressure, adviseBusy*g.products[t.product].sla), true
+		return g.giveUp(t, ReasonOverload, adviseBusy*g.products[t.product].sla), true
 	}
 	w := g.choose(t)
 	if w < 0 {
-		return g.giveUp(t, ByNoWorker, adviseBusy*g.products[t.product].sla), true
+		return g.giveUp(t, ReasonNoWorker, adviseBusy*g.products[t.product].sla), true
 	}
 	return g.submit(t, w), true
 }
 
 // Roster updates the list of workers. Unless it is partial, workers that it does not name are gone.
-func (g *Gatekeeper) Roster(list []Posting, partial bool) {
+func (g *Engine) UpdateEndpoints(list []Endpoint, partial bool) {
 	how := g.begins(list, partial)
 	for _, p := range list {
 		w := g.posted(p, how)
-		if p.Since != w.Since || w.Worker != p.Worker {
+		if p.StartedAtMillis != w.StartedAtMillis || w.Worker != p.Worker {
 			// A fresh process: what its former life, and ours, sent it must be taken as spent. Where each of many
 			// gatekeepers may send it one txn in minutes, chance spreads their turns from the start on.
 			w.coldAt, w.coldDebt = g.now, g.rng.Float64()*g.charter.middling()
 			w.distrust.score, w.heard = 0, g.now
 			clear(w.turned)
 		}
-		w.Posting, w.listed = p, p.Active
+		w.Endpoint, w.listed = p, p.Active
 		g.relist(p.Worker, how)
 	}
 	if g.lists(how); g.window == 0 {
@@ -385,19 +422,21 @@
 // WatchAfter is the pause before the watch is opened, ms, after so many tries in a row that cost discovery
 // something in vain, by so many gatekeepers that may ask at once (none where lists are pushed), where what it
 // has to tell counts as told in due ms. Chance is from 0 to 1. Guards against a fleet that asks as one.
-func WatchAfter(tries, askers int, due, chance float64) float64 {
-	most, each, least := max(due-WatchAnswer, 0), WatchEach*float64(askers), WatchAgain/2*float64(min(tries, 1))
+func WatchRetryDelay(tries, askers int, due, chance float64) float64 {
+	most, each, least := max(due-WatchResponseMillis, 0), WatchRetryPerGatewayMillis*float64(askers),
+		WatchRetryMillis/2*float64(min(tries, 1))
 	switch {
 	case askers == 0: // it costs nobody anything, and what is missed counts as told at once
 		return least * (1 + chance)
 	case tries < 2:
 		return max(min(each, most)*chance, least)
 	}
-	each *= min(math.Pow(2, float64(tries-1)), WatchLonger)
-	return max(min(each, most), WatchAgain) * (1 - WatchSway*(1-chance))
+	each *= min(math.Pow(2, float64(tries-1)), WatchMaxBackoffFactor)
+	return max(min(each, most), WatchRetryMillis) * (1 - WatchRetryJitterFraction*(1-chance))
 }
 
 // WatchSilent is how long a watch that has spoken may say nothing, ms. The askers spread in it, not after it.
-func WatchSilent(askers int, chance float64) float64 {
-	return WatchQuiet + WatchAfter(0, askers, WatchDue-WatchQuiet, chance)
+func WatchIdleTimeout(askers int, chance float64) float64 {
+	return WatchHeartbeatTimeoutMillis + WatchRetryDelay(0, askers,
+		WatchCatchUpMillis-WatchHeartbeatTimeoutMillis, chance)
 }
--- a/internal/policy/logic_test.go
+++ b/internal/policy/logic_test.go
@@ -30,17 +30,17 @@
 }
 
 func TestRetryTimeHolds(t *testing.T) {
-	h := newHost(t, charterFor(InquiryLike, func(c *Charter) { c.Gatekeepers = 1 }), 1, 4)
+	h := newHost(t, charterFor(Idempotent, func(c *Settings) { c.GatewayCount = 1 }), 1, 4)
 	var s *seen
 	for s = h.txn(7, 1); s.final == 0; s = h.txn(7, 1) {
-		h.ended(s, 0, Settled, 20)
+		h.ended(s, 0, Succeeded, 20)
 	}
-	if s.final != Decline || s.wait <= 0 {
+	if s.final != Reject || s.wait <= 0 {
 		t.Fatalf("a spent store answers %v with %v ms", s.final, s.wait)
 	}
 	h.at(h.now + s.wait - 1)
 	early := h.txn(7, 1)
-	if h.at(h.now + 2); early.final != Decline || h.txn(7, 1).final != 0 {
+	if h.at(h.now + 2); early.final != Reject || h.txn(7, 1).final != 0 {
 		t.Error("the time it was told is not the time it is let in")
 	}
 }
@@ -66,14 +66,14 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHost(t, charterFor(InquiryLike, func(ch *Charter) { ch.Gatekeepers = c.n }), 1, 2)
+			h := newHost(t, charterFor(Idempotent, func(ch *Settings) { ch.GatewayCount = c.n }), 1, 2)
 			h.txn(7, 1)
 			a := &h.g.accounts[h.g.byKey[7]]
 			a.hot, a.demand = true, c.own/1000
-			h.g.Hear(-1, []Report{{7, 0, 9, 0, 0}}) // no such peers
-			h.g.Hear(99, []Report{{7, 0, 9, 0, 0}})
+			h.g.ReceiveReports(-1, []Report{{7, 0, 9, 0, 0}}) // no such peers
+			h.g.ReceiveReports(99, []Report{{7, 0, 9, 0, 0}})
 			for i, d := range c.peers {
-				h.g.Hear(i+1, []Report{{7, 0, d, 0, 0}})
+				h.g.ReceiveReports(i+1, []Report{{7, 0, d, 0, 0}})
 			}
 			if h.g.reshare(a); !near(a.share*1000, 10*c.wantShare) {
 				t.Errorf("share %v of 10, want %v", a.share*1000, 10*c.wantShare)
@@ -83,7 +83,7 @@
 }
 
 func TestHotAndCold(t *testing.T) {
-	h := newHost(t, charterFor(InquiryLike, nil), 1, 4)
+	h := newHost(t, charterFor(Idempotent, nil), 1, 4)
 	h.ask(1, 4000, nil)
 	if len(h.told) > 0 {
 		t.Fatal("a cold customer is told of")
@@ -92,14 +92,14 @@
 	if len(h.told) == 0 || h.told[0].Peer != 1 || h.told[0].Reports[0].Customer != 7 {
 		t.Fatalf("a customer near its slice is not told of: %v", h.told)
 	}
-	if last := h.told[len(h.told)-1].Reports[0]; last.Demand < 5 || last.Spent < 2 {
+	if last := h.told[len(h.told)-1].Reports[0]; last.DemandPerSecond < 5 || last.SpentUnits < 2 {
 		t.Errorf("told %v", last)
 	}
 	for end := h.now + 2*cooldown + 2*period; h.now < end; {
 		h.at(h.now + period)
 		h.pull()
 	}
-	if n := h.g.Tally(); n.Hot != 0 || n.Customers != 0 || n.InFlight != 0 {
+	if n := h.g.Stats(); n.HotCustomers != 0 || n.Customers != 0 || n.InFlight != 0 {
 		t.Errorf("after the cooldown: %+v", n)
 	}
 }
@@ -125,8 +125,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			hs, next, in := make([]*host, c.n), make([]float64, c.n), 0
 			for i := range hs {
-				hs[i] = newHost(t, charterFor(InquiryLike, func(ch *Charter) {
-					ch.Me, ch.Gatekeepers = i, c.n
+				hs[i] = newHost(t, charterFor(Idempotent, func(ch *Settings) {
+					ch.GatewayIndex, ch.GatewayCount = i, c.n
 				}), int64(i), 20*c.n)
 				next[i] = 1000 + float64(i)*1000/math.Max(c.before[1], 1)
 			}
@@ -136,7 +136,7 @@
 					h.pull()
 					for _, d := range h.told {
 						if !c.cutOff {
-							hs[d.Peer].g.Hear(i, d.Reports)
+							hs[d.Peer].g.ReceiveReports(i, d.Reports)
 						}
 					}
 					h.told = nil
@@ -153,7 +153,7 @@
 					}
 					next[i] = now + 1000/rate
 					if s := h.txn(7, 1); s.final == 0 {
-						h.ended(s, 0, Settled, 1)
+						h.ended(s, 0, Succeeded, 1)
 						in += counts
 					}
 				}
@@ -178,11 +178,11 @@
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprint(c.silent, c.again), func(t *testing.T) {
-			h := newHost(t, charterFor(InquiryLike, nil), 1, 4)
-			h.ask(10, 3000, func() { h.g.Hear(1, []Report{{7, 0, 10, 9, 0}}) })
+			h := newHost(t, charterFor(Idempotent, nil), 1, 4)
+			h.ask(10, 3000, func() { h.g.ReceiveReports(1, []Report{{7, 0, 10, 9, 0}}) })
 			h.ask(10, c.silent, nil)
 			if c.again {
-				h.g.Hear(1, nil)
+				h.g.ReceiveReports(1, nil)
 				h.ask(10, 2*period, nil)
 			}
 			a := &h.g.accounts[h.g.byKey[7]]
@@ -205,10 +205,10 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHost(t, charterFor(InquiryLike, nil), 1, 4)
+			h := newHost(t, charterFor(Idempotent, nil), 1, 4)
 			h.txn(7, 1)
 			a := &h.g.accounts[h.g.byKey[7]]
-			h.g.Hear(1, []Report{{7, 0, 0.1, 0, c.spent}})
+			h.g.ReceiveReports(1, []Report{{7, 0, 0.1, 0, c.spent}})
 			a.level = 0
 			if in := h.txn(7, 1).final == 0; in != c.want {
 				t.Errorf("let in: %v", in)
@@ -220,24 +220,29 @@
 // TestKinds ends the first submission of each kind of product and looks at what follows.
 func TestKinds(t *testing.T) {
 	cases := []struct {
-		kind    Repeat
-		group   Group
+		kind    Idempotency
+		group   DedupScope
 		outcome Outcome
-		want    Kind
+		want    DecisionKind
 	}{
-		{InquiryLike, GroupAll, Fault, Submit}, {InquiryLike, GroupAll, Cut, Submit},
-		{InquiryLike, GroupAll, Full, Submit}, {Referenced, GroupAll, Fault, Submit},
-		{Referenced, GroupZone, Fault, Void}, {Referenced, GroupZone, Full, Submit},
-		{Referenced, GroupCell, Cut, Void}, {Referenced, GroupCell, NotSent, Submit},
-		{OnceOnly, GroupAll, Fault, Void}, {OnceOnly, GroupAll, TimedOut, Void}, {OnceOnly, GroupAll, Cut, Void},
-		{OnceOnly, GroupAll, Withdrawn, Void}, {OnceOnly, GroupAll, Full, Submit},
-		{OnceOnly, GroupAll, NoRoute, Submit},
+		{Idempotent, DedupAcrossFleet, Failed, Submit}, {Idempotent, DedupAcrossFleet, ConnectionLost, Submit},
+		{Idempotent, DedupAcrossFleet, Overloaded, Submit}, {Deduplicated, DedupAcrossFleet, Failed, Submit},
+		{Deduplicated, DedupWithinZone, Failed, RejectUncertain}, {Deduplicated, DedupWithinZone, Overloaded,
+			Submit},
+		{Deduplicated, DedupWithinCell, ConnectionLost, RejectUncertain}, {Deduplicated, DedupWithinCell, NotSent,
+			Submit},
+		{NonIdempotent, DedupAcrossFleet, Failed, RejectUncertain}, {NonIdempotent, DedupAcrossFleet, TimedOut,
+			RejectUncertain}, {NonIdempotent, DedupAcrossFleet, ConnectionLost, RejectUncertain},
+		{NonIdempotent, DedupAcrossFleet, Cancelled, RejectUncertain}, {NonIdempotent, DedupAcrossFleet, Overloaded,
+			Submit},
+		{NonIdempotent, DedupAcrossFleet, ConnectFailed, Submit},
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprint(c.kind, c.group, c.outcome), func(t *testing.T) {
-			h := newHost(t, charterFor(c.kind, func(ch *Charter) { ch.Products[0].Group = c.group }), 1, 0)
+			h := newHost(t, charterFor(c.kind, func(ch *Settings) { ch.Products[0].DedupScope = c.group }), 1, 0)
 			// The second worker stands in another zone and cell.
-			h.g.Roster([]Posting{{Worker: 0, Active: true}, {Worker: 1, Zone: 1, Cell: 1, Active: true}}, false)
+			h.g.UpdateEndpoints([]Endpoint{{Worker: 0, Active: true}, {Worker: 1, Zone: 1, Cell: 1, Active: true}},
+				false)
 			s := h.txn(7, 1)
 			h.at(h.now + 50)
 			h.ended(s, 0, c.outcome, 50)
@@ -256,31 +261,31 @@
 // drain and come back; host fails on a broken rule.
 func TestRulesAtRandom(t *testing.T) {
 	for _, overlap := range []bool{true, false} {
-		for kind := InquiryLike; kind <= OnceOnly; kind++ {
-			for group := GroupAll; group <= GroupCell; group++ {
+		for kind := Idempotent; kind <= NonIdempotent; kind++ {
+			for group := DedupAcrossFleet; group <= DedupWithinCell; group++ {
 				t.Run(fmt.Sprint(overlap, kind, group), func(t *testing.T) {
 					rng := rand.New(rand.NewSource(int64(kind)))
-					h := newHost(t, charterFor(kind, func(c *Charter) {
-						c.MayOverlap, c.Products[0].Group, c.Products[0].Window = overlap, group, 600
+					h := newHost(t, charterFor(kind, func(c *Settings) {
+						c.AllowHedging, c.Products[0].DedupScope, c.Products[0].DedupWindowMillis = overlap, group, 600
 					}), 5, 6)
-					h.run(9000, 60, rng, func() Arrival {
+					h.run(9000, 60, rng, func() Request {
 						if rng.Intn(40) == 0 {
-							var list []Posting
+							var list []Endpoint
 							h.gone = rng.Intn(8)
 							for i := range 6 {
-								list = append(list, Posting{Worker: i, Zone: i % 2, Cell: i % 3, Active: i != h.gone})
+								list = append(list, Endpoint{Worker: i, Zone: i % 2, Cell: i % 3, Active: i != h.gone})
 							}
-							h.g.Roster(list, false)
+							h.g.UpdateEndpoints(list, false)
 						}
-						return Arrival{Customer: uint64(rng.Intn(40)), Units: 1, SetSize: 2,
-							Left: 200 + 3000*rng.Float64()}
+						return Request{Customer: uint64(rng.Intn(40)), Units: 1, SetSize: 2,
+							TimeLeftMillis: 200 + 3000*rng.Float64()}
 					}, func(s *seen, n int) (Outcome, float64) {
 						if s.subs[n].Worker == 1 {
 							return NotSent, 0
 						}
-						o := Settled
+						o := Succeeded
 						if rng.Intn(4) == 0 {
-							o = []Outcome{Fault, Full, NoRoute, Cut}[rng.Intn(4)]
+							o = []Outcome{Failed, Overloaded, ConnectFailed, ConnectionLost}[rng.Intn(4)]
 						}
 						return o, 300 * rng.ExpFloat64()
 					})
@@ -294,8 +299,9 @@
 // together stay within the ceiling.
 func TestCeiling(t *testing.T) {
 	const rate, depth, seconds = 8.0, 16.0, 30.0
-	c := charterFor(InquiryLike, func(c *Charter) {
-		c.Plans[0] = Plan{Rate: 100, Burst: 1000, CeilingRate: rate, CeilingDepth: depth, Factor: 1}
+	c := charterFor(Idempotent, func(c *Settings) {
+		c.Plans[0] = Plan{QuotaPerSecond: 100, QuotaBurst: 1000, RateLimitPerSecond: rate, RateLimitBurst: depth,
+			ValueFactor: 1}
 	})
 	hosts := []*host{newHost(t, c, 1, 200), newHost(t, c, 2, 200)}
 	level, in := depth, 0
@@ -311,7 +317,7 @@
 				if s := h.txn(7, 1); s.final == 0 {
 					level--
 					in++
-					h.ended(s, 0, Settled, 1)
+					h.ended(s, 0, Succeeded, 1)
 				}
 			}
 		}
@@ -327,24 +333,24 @@
 // TestColdWorker: three gatekeepers under full load, one just started, never send a worker that has just
 // started more than twice what it can do in any second.
 func TestColdWorker(t *testing.T) {
-	c := charterFor(InquiryLike, func(c *Charter) { c.Gatekeepers, c.Plans[0] = 3, Plan{Factor: 1} })
+	c := charterFor(Idempotent, func(c *Settings) { c.GatewayCount, c.Plans[0] = 3, Plan{ValueFactor: 1} })
 	const warm, each = 5, 10.0 // txns a second that a warm worker settles, for all gatekeepers
 	var times []float64
 	for i := range 3 {
 		h := newHost(t, c, int64(i), warm)
 		rng := rand.New(rand.NewSource(int64(i)))
 		cold := false
-		h.run(20000, warm*each/3, rng, func() Arrival {
+		h.run(20000, warm*each/3, rng, func() Request {
 			if !cold && h.now > 4000 {
 				cold = true
-				h.g.Roster([]Posting{{Worker: warm, Active: true, Since: 4000}}, true)
+				h.g.UpdateEndpoints([]Endpoint{{Worker: warm, Active: true, StartedAtMillis: 4000}}, true)
 			}
-			return Arrival{Customer: 7, Units: 1, SetSize: 3, Left: 2000}
+			return Request{Customer: 7, Units: 1, SetSize: 3, TimeLeftMillis: 2000}
 		}, func(s *seen, n int) (Outcome, float64) {
 			if s.subs[n].Worker == warm {
 				times = append(times, h.now)
 			}
-			return Settled, 60
+			return Succeeded, 60
 		})
 	}
 	if len(times) < 20 {
@@ -365,15 +371,15 @@
 
 // TestAllCold: with no worker to compare with, one of 30 gatekeepers sends 150 cold workers its least part.
 func TestAllCold(t *testing.T) {
-	h := newHost(t, charterFor(InquiryLike, func(c *Charter) { c.Gatekeepers, c.Plans[0] = 30, Plan{} }), 1, 0)
-	var list []Posting
+	h := newHost(t, charterFor(Idempotent, func(c *Settings) { c.GatewayCount, c.Plans[0] = 30, Plan{} }), 1, 0)
+	var list []Endpoint
 	for i := range 150 {
-		list = append(list, Posting{Worker: i, Active: true, Since: h.now})
+		list = append(list, Endpoint{Worker: i, Active: true, StartedAtMillis: h.now})
 	}
-	h.g.Roster(list, false)
-	h.run(6000, 40, rand.New(rand.NewSource(1)), func() Arrival {
-		return Arrival{Customer: 7, Units: 1, SetSize: 30, Left: 1000}
-	}, func(*seen, int) (Outcome, float64) { return Settled, 100 })
+	h.g.UpdateEndpoints(list, false)
+	h.run(6000, 40, rand.New(rand.NewSource(1)), func() Request {
+		return Request{Customer: 7, Units: 1, SetSize: 30, TimeLeftMillis: 1000}
+	}, func(*seen, int) (Outcome, float64) { return Succeeded, 100 })
 	if most := 150 * 0.2 * 5 / 30 * 3; len(h.sent) == 0 || float64(len(h.sent)) > most {
 		t.Errorf("%d sent, at most %v wanted", len(h.sent), most)
 	}
@@ -388,28 +394,29 @@
 		mostThere float64 // of all submissions
 		leastDone float64 // of all txns
 	}{
-		{"fails fast", Fault, 2, 0.03, 0.99},
-		{"turns away", Full, 2, 0.03, 0.99},
-		{"cannot be reached", NoRoute, 250, 0.03, 0.99},
+		{"fails fast", Failed, 2, 0.03, 0.99},
+		{"turns away", Overloaded, 2, 0.03, 0.99},
+		{"cannot be reached", ConnectFailed, 250, 0.03, 0.99},
 		{"silent", NotSent, 0, 0.03, 0.99},
-		{"slow", Settled, 900, 0.01, 0.99},
+		{"slow", Succeeded, 900, 0.01, 0.99},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHost(t, charterFor(InquiryLike, func(ch *Charter) { ch.Plans[0] = Plan{Factor: 1} }), 3, 8)
+			h := newHost(t, charterFor(Idempotent, func(ch *Settings) { ch.Plans[0] = Plan{ValueFactor: 1} }), 3, 8)
 			rng := rand.New(rand.NewSource(3))
 			there := 0
-			h.run(15000, 60, rng, func() Arrival {
-				return Arrival{Customer: uint64(rng.Intn(40)), Units: 1, SetSize: 2, Left: 3000}
+			h.run(15000, 60, rng, func() Request {
+				return Request{Customer: uint64(rng.Intn(40)), Units: 1, SetSize: 2, TimeLeftMillis: 3000}
 			}, func(s *seen, n int) (Outcome, float64) {
 				if s.subs[n].Worker == 0 {
 					there++
 					return c.outcome, c.took
 				}
-				return Settled, 120 * rng.ExpFloat64()
+				return Succeeded, 120 * rng.ExpFloat64()
 			})
-			n := h.g.Tally()
-			part, done := float64(there)/float64(len(h.sent)), float64(n.Final[BySettled])/float64(h.next)
+			n := h.g.Stats()
+			part, done := float64(there)/float64(len(h.sent)), float64(n.FinalByReason[ReasonSucceeded])/float64(
+				h.next)
 			if part > c.mostThere || done < c.leastDone {
 				t.Errorf("%.3f of the submissions went there, %.3f settled: %+v", part, done, n)
 			}
@@ -420,26 +427,28 @@
 // TestPressed: a fleet that answers late is pressed less, declines come at once with a time to return, and
 // the dearer plan fares better.
 func TestPressed(t *testing.T) {
-	h := newHost(t, charterFor(InquiryLike, func(c *Charter) {
-		c.Plans = []Plan{{Factor: 0.5}, {Factor: 2}}
+	h := newHost(t, charterFor(Idempotent, func(c *Settings) {
+		c.Plans = []Plan{{ValueFactor: 0.5}, {ValueFactor: 2}}
 	}), 3, 4)
 	rng := rand.New(rand.NewSource(3))
-	h.run(15000, 200, rng, func() Arrival {
-		return Arrival{Customer: uint64(rng.Intn(40)), Plan: rng.Intn(2), Units: 1, SetSize: 2, Left: 3000}
+	h.run(15000, 200, rng, func() Request {
+		return Request{Customer: uint64(rng.Intn(40)), Plan: rng.Intn(2), Units: 1, SetSize: 2,
+			TimeLeftMillis: 3000}
 	}, func(*seen, int) (Outcome, float64) {
-		return Settled, 40 * math.Max(float64(h.g.inHand), 4) * rng.ExpFloat64()
+		return Succeeded, 40 * math.Max(float64(h.g.inHand), 4) * rng.ExpFloat64()
 	})
 	var declined [2]int
 	for _, s := range h.txns {
-		if s.final == Decline {
+		if s.final == Reject {
 			declined[s.Plan]++
 			if len(s.subs) == 0 && s.wait <= 0 {
 				t.Fatal("declined under pressure without a time to return")
 			}
 		}
 	}
-	n := h.g.Tally()
-	if declined[0] <= declined[1] || declined[1] == 0 || n.Final[ByPressure] == 0 || n.InFlight != 0 {
+	n := h.g.Stats()
+	if declined[0] <= declined[1] || declined[1] == 0 || n.FinalByReason[ReasonOverload] == 0 ||
+		n.InFlight != 0 {
 		t.Errorf("declined of the cheap and the dear plan: %v; %+v", declined, n)
 	}
 }
@@ -447,25 +456,25 @@
 // TestShortTries: where clients give up sooner than a jammed fleet answers, the time-outs alone shrink the
 // window.
 func TestShortTries(t *testing.T) {
-	h := newHost(t, charterFor(InquiryLike, func(c *Charter) { c.Plans[0] = Plan{Factor: 1} }), 3, 8)
+	h := newHost(t, charterFor(Idempotent, func(c *Settings) { c.Plans[0] = Plan{ValueFactor: 1} }), 3, 8)
 	rng := rand.New(rand.NewSource(3))
 	h.g.window = 100
-	h.run(6000, 200, rng, func() Arrival {
-		return Arrival{Customer: uint64(rng.Intn(40)), Units: 1, SetSize: 2, Left: 300}
+	h.run(6000, 200, rng, func() Request {
+		return Request{Customer: uint64(rng.Intn(40)), Units: 1, SetSize: 2, TimeLeftMillis: 300}
 	}, func(*seen, int) (Outcome, float64) {
-		return Settled, 12 * math.Max(float64(h.g.inHand), 4) * rng.ExpFloat64()
+		return Succeeded, 12 * math.Max(float64(h.g.inHand), 4) * rng.ExpFloat64()
 	})
-	if n := h.g.Tally(); n.Window > 40 || n.Final[ByPressure] == 0 {
+	if n := h.g.Stats(); n.Window > 40 || n.FinalByReason[ReasonOverload] == 0 {
 		t.Errorf("%+v", n)
 	}
-	if s := h.arrive(Arrival{Customer: 7, Units: 1, Left: h.g.pace / 2}); s.final != Decline {
+	if s := h.arrive(Request{Customer: 7, Units: 1, TimeLeftMillis: h.g.pace / 2}); s.final != Reject {
 		t.Error("sent on although its client waits less than half of a usual answer")
 	}
 }
 
 // TestStoodStill: what a gatekeeper finds after standing still is not held against its workers.
 func TestStoodStill(t *testing.T) {
-	h := newHost(t, charterFor(InquiryLike, nil), 3, 4)
+	h := newHost(t, charterFor(Idempotent, nil), 3, 4)
 	var out []*seen
 	for i := range 6 {
 		out = append(out, h.txn(uint64(i), 1))
@@ -476,9 +485,9 @@
 		if len(s.subs) > 1 {
 			t.Fatal("moved a txn for the time that the gatekeeper stood still")
 		}
-		h.ended(s, 0, Settled, 2000)
+		h.ended(s, 0, Succeeded, 2000)
 	}
-	if n := h.g.Tally(); n.Distrusted > 0 || h.g.press > 0 {
+	if n := h.g.Stats(); n.SuspectedWorkers > 0 || h.g.press > 0 {
 		t.Errorf("%+v, pressure %v", n, h.g.press)
 	}
 	h.at(h.now + 2000) // again, and all that came meanwhile is there at once
@@ -494,32 +503,33 @@
 // did grow.
 func TestLeastWindowGrows(t *testing.T) {
 	for _, n := range []int{40, 300} {
-		h := newHost(t, charterFor(InquiryLike, func(c *Charter) { c.Gatekeepers = n }), 1, 26)
+		h := newHost(t, charterFor(Idempotent, func(c *Settings) { c.GatewayCount = n }), 1, 26)
 		least := h.g.window
 		for range 200 {
 			h.at(h.now + 50)
 			var out []*seen
 			for range 4 {
-				if s := h.arrive(Arrival{Customer: h.next, Units: 1, SetSize: 1, First: 0, Left: 3000}); s.final == 0 {
+				if s := h.arrive(Request{Customer: h.next, Units: 1, SetSize: 1, FirstGateway: 0,
+					TimeLeftMillis: 3000}); s.final == 0 {
 					out = append(out, s)
 				}
 			}
 			h.at(h.now + 20)
 			for _, s := range out {
-				h.ended(s, 0, Settled, 20)
+				h.ended(s, 0, Succeeded, 20)
 			}
 		}
 		if h.g.window < least+1 {
 			t.Errorf("%d gatekeepers: a window of %.2f is at %.2f after 200 quick rounds", n, least, h.g.window)
 		}
 		for range 60 {
-			s := h.arrive(Arrival{Customer: h.next, Units: 1, SetSize: 1, First: 0, Left: 3000})
+			s := h.arrive(Request{Customer: h.next, Units: 1, SetSize: 1, FirstGateway: 0, TimeLeftMillis: 3000})
 			for range 15 { // in steps, as a leap of time says that the gatekeeper stood still
 				h.at(h.now + 20)
 				h.pull()
 			}
 			if s.final == 0 {
-				h.ended(s, 0, Settled, 300)
+				h.ended(s, 0, Succeeded, 300)
 			}
 		}
 		if h.g.window > least+0.5 {
@@ -530,15 +540,15 @@
 
 // TestSilentPlace: what a silent worker holds frees its place before it is moved.
 func TestSilentPlace(t *testing.T) {
-	h := newHost(t, charterFor(InquiryLike, nil), 3, 2)
-	h.ended(h.txn(1, 1), 0, Settled, 100)
+	h := newHost(t, charterFor(Idempotent, nil), 3, 2)
+	h.ended(h.txn(1, 1), 0, Succeeded, 100)
 	h.at(h.now + 5)
 	s := h.txn(7, 1)
 	for _, c := range [][3]float64{{400, 1, 1}, {700, 0, 1}, {1200, 1, 2}} { // ms, in hand, submissions
 		for sent := s.sentAt[0]; h.now < sent+c[0]; h.pull() {
 			h.at(h.now + 5)
 		}
-		if n := h.g.Tally(); n.InFlight != c[1] || float64(len(s.subs)) != c[2] {
+		if n := h.g.Stats(); n.InFlight != c[1] || float64(len(s.subs)) != c[2] {
 			t.Errorf("after %v ms %d submissions, %v in hand", c[0], len(s.subs), n.InFlight)
 		}
 	}
@@ -546,35 +556,35 @@
 
 // A worker that has begun to answer, however slowly it goes on, is not silent: nothing is moved from it.
 func TestSlowAnswer(t *testing.T) {
-	h := newHost(t, charterFor(InquiryLike, nil), 3, 2)
-	h.ended(h.txn(1, 1), 0, Settled, 20)
+	h := newHost(t, charterFor(Idempotent, nil), 3, 2)
+	h.ended(h.txn(1, 1), 0, Succeeded, 20)
 	h.at(h.now + 5)
 	s := h.txn(7, 1)
 	h.at(h.now + 100)
-	h.g.Stirs(s.subs[0].Worker)
-	h.g.Stirs(99)
+	h.g.WorkerResponded(s.subs[0].Worker)
+	h.g.WorkerResponded(99)
 	for end := h.now + 900; h.now < end; h.pull() {
 		h.at(h.now + 5)
 	}
-	if n := h.g.Tally(); n.InFlight != 1 || len(s.subs) != 1 || n.Distrusted > 0 {
-		t.Errorf("%d submissions, %v in hand, %d distrusted", len(s.subs), n.InFlight, n.Distrusted)
+	if n := h.g.Stats(); n.InFlight != 1 || len(s.subs) != 1 || n.SuspectedWorkers > 0 {
+		t.Errorf("%d submissions, %v in hand, %d distrusted", len(s.subs), n.InFlight, n.SuspectedWorkers)
 	}
 }
 
 func TestOneOffFlood(t *testing.T) {
-	h := newHost(t, charterFor(InquiryLike, func(c *Charter) { c.Plans[0].Rate = 1 }), 1, 8)
+	h := newHost(t, charterFor(Idempotent, func(c *Settings) { c.Plans[0].QuotaPerSecond = 1 }), 1, 8)
 	for i := range 20000 {
 		h.at(h.now + 5)
 		if s := h.txn(uint64(i+1), 1); s.final == 0 {
-			h.ended(s, 0, Settled, 4)
+			h.ended(s, 0, Succeeded, 4)
 		}
 		delete(h.txns, h.next)
 	}
-	if n := h.g.Tally(); n.Customers > int((cooldown+3*period)/5) || len(h.g.txns) > 8 || len(h.told) > 0 {
+	if n := h.g.Stats(); n.Customers > int((cooldown+3*period)/5) || len(h.g.txns) > 8 || len(h.told) > 0 {
 		t.Errorf("%d customers and %d txns kept, %d messages", n.Customers, len(h.g.txns), len(h.told))
 	}
 	for i := range 3 * mostHeard {
-		h.g.Hear(1, []Report{{uint64(1e6 + i), 0, 1, 0, 0}})
+		h.g.ReceiveReports(1, []Report{{uint64(1e6 + i), 0, 1, 0, 0}})
 	}
 	if len(h.g.byKey) > mostHeard+2000 {
 		t.Errorf("%d customers kept for a peer", len(h.g.byKey))
@@ -582,17 +592,20 @@
 }
 
 func TestNoAllocation(t *testing.T) {
-	c := charterFor(InquiryLike, func(c *Charter) { c.Plans[0].Rate, c.Plans[0].Burst = 1e6, 1e6 })
+	c := charterFor(Idempotent, func(c *Settings) {
+		c.Plans[0].QuotaPerSecond, c.Plans[0].QuotaBurst = 1e6,
+			1e6
+	})
 	h := newHost(t, c, 1, 8)
 	id := uint64(1 << 20)
 	one := func() {
 		id++
 		h.now += 2
-		h.g.Clock(h.now)
-		h.g.Take(Arrival{ID: id, Customer: id % 16, Units: 1, SetSize: 2, Left: 2000})
-		for d, ok := h.g.Next(); ok; d, ok = h.g.Next() {
+		h.g.AdvanceTo(h.now)
+		h.g.AddRequest(Request{ID: id, Customer: id % 16, Units: 1, SetSize: 2, TimeLeftMillis: 2000})
+		for d, ok := h.g.NextDecision(); ok; d, ok = h.g.NextDecision() {
 			if d.Kind == Submit {
-				h.g.Ended(d.Txn, d.N, Settled, 5, true)
+				h.g.AttemptEnded(d.RequestID, d.Attempt, Succeeded, 5, true)
 			}
 		}
 	}
@@ -608,35 +621,39 @@
 func TestExtremes(t *testing.T) {
 	cases := []struct {
 		name   string
-		change func(*Charter)
+		change func(*Settings)
 		units  float64
-		want   Kind // of the first txn; 0 is let in
+		want   DecisionKind // of the first txn; 0 is let in
 	}{
-		{"one gatekeeper", func(c *Charter) { c.Gatekeepers = 1 }, 1, 0},
-		{"no figures at all", func(c *Charter) {
-			*c = Charter{Products: make([]Product, 1), Plans: make([]Plan, 1)}
+		{"one gatekeeper", func(c *Settings) { c.GatewayCount = 1 }, 1, 0},
+		{"no figures at all", func(c *Settings) {
+			*c = Settings{Products: make([]Product, 1), Plans: make([]Plan, 1)}
+		}, 1, 0},
+		{"tiny rate", func(c *Settings) { c.Plans[0].QuotaPerSecond, c.Plans[0].QuotaBurst = 1e-6, 1 }, 1, 0},
+		{"large unit", func(c *Settings) { c.MaxRequestUnits = 500 }, 500, 0},
+		{"no SLA time", func(c *Settings) { c.Products[0].LatencyTargetMillis = 0 }, 1, 0},
+		{"no peers", func(c *Settings) { c.AllowGossip, c.PeerMessagesPerSecond = false, 0 }, 1, 0},
+		{"many gatekeepers, hardly an intake", func(c *Settings) {
+			c.GatewayCount, c.PeerMessagesPerSecond = 200,
+				1
 		}, 1, 0},
-		{"tiny rate", func(c *Charter) { c.Plans[0].Rate, c.Plans[0].Burst = 1e-6, 1 }, 1, 0},
-		{"large unit", func(c *Charter) { c.LargestUnits = 500 }, 500, 0},
-		{"no SLA time", func(c *Charter) { c.Products[0].SLA = 0 }, 1, 0},
-		{"no peers", func(c *Charter) { c.MayTell, c.PeerInPerS = false, 0 }, 1, 0},
-		{"many gatekeepers, hardly an intake", func(c *Charter) { c.Gatekeepers, c.PeerInPerS = 200, 1 }, 1, 0},
-		{"a ceiling of nothing", func(c *Charter) { c.Plans[0].CeilingDepth = 1 }, 1, Decline},
+		{"a ceiling of nothing", func(c *Settings) { c.Plans[0].RateLimitBurst = 1 }, 1, Reject},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHost(t, charterFor(InquiryLike, c.change), 1, 3)
-			s := h.arrive(Arrival{Customer: 7, Units: c.units, SetSize: 9, First: 40, Left: 500})
+			h := newHost(t, charterFor(Idempotent, c.change), 1, 3)
+			s := h.arrive(Request{Customer: 7, Units: c.units, SetSize: 9, FirstGateway: 40, TimeLeftMillis: 500})
 			if s.final != c.want {
 				t.Fatalf("final answer %v, want %v", s.final, c.want)
 			}
 			rng := rand.New(rand.NewSource(1))
-			h.run(6000, 50, rng, func() Arrival {
+			h.run(6000, 50, rng, func() Request {
 				// From a peer outside the set, of a plan that is not there, and of no customer seen here.
-				h.g.Hear(1, []Report{{4, 0, 1, 0, 1}, {4, 9, 1, 0, 1}, {uint64(rng.Intn(99)), 0, 1, 0, math.NaN()}})
-				return Arrival{Customer: uint64(rng.Intn(5)), Units: c.units, SetSize: rng.Intn(4),
-					Left: 500 * rng.Float64()}
-			}, func(*seen, int) (Outcome, float64) { return Settled, 50 })
+				h.g.ReceiveReports(1, []Report{{4, 0, 1, 0, 1}, {4, 9, 1, 0, 1}, {uint64(rng.Intn(99)), 0, 1, 0,
+					math.NaN()}})
+				return Request{Customer: uint64(rng.Intn(5)), Units: c.units, SetSize: rng.Intn(4),
+					TimeLeftMillis: 500 * rng.Float64()}
+			}, func(*seen, int) (Outcome, float64) { return Succeeded, 50 })
 		})
 	}
 }
@@ -644,11 +661,11 @@
 func TestSameInputSameOutput(t *testing.T) {
 	var sent [2][]Decision
 	for i := range sent {
-		h := newHost(t, charterFor(InquiryLike, nil), 9, 6)
+		h := newHost(t, charterFor(Idempotent, nil), 9, 6)
 		rng := rand.New(rand.NewSource(2))
-		h.run(5000, 80, rng, func() Arrival {
-			return Arrival{Customer: uint64(rng.Intn(30)), Units: 1, SetSize: 2, Left: 2000}
-		}, func(*seen, int) (Outcome, float64) { return Settled, 100 * rng.ExpFloat64() })
+		h.run(5000, 80, rng, func() Request {
+			return Request{Customer: uint64(rng.Intn(30)), Units: 1, SetSize: 2, TimeLeftMillis: 2000}
+		}, func(*seen, int) (Outcome, float64) { return Succeeded, 100 * rng.ExpFloat64() })
 		sent[i] = h.sent
 	}
 	if !reflect.DeepEqual(sent[0], sent[1]) {
@@ -661,28 +678,28 @@
 func TestTurnsAway(t *testing.T) {
 	for _, all := range []bool{false, true} {
 		t.Run(fmt.Sprint(all), func(t *testing.T) {
-			c := charterFor(InquiryLike, nil)
-			c.Plans = []Plan{{Factor: 1}, {Factor: 1}}
+			c := charterFor(Idempotent, nil)
+			c.Plans = []Plan{{ValueFactor: 1}, {ValueFactor: 1}}
 			h := newHost(t, c, 3, 8)
 			rng := rand.New(rand.NewSource(3))
 			var there [2]float64
-			h.run(20000, 60, rng, func() Arrival {
-				return Arrival{Customer: uint64(rng.Intn(40)), Plan: rng.Intn(2), Units: 1, Left: 3000}
+			h.run(20000, 60, rng, func() Request {
+				return Request{Customer: uint64(rng.Intn(40)), Plan: rng.Intn(2), Units: 1, TimeLeftMillis: 3000}
 			}, func(s *seen, n int) (Outcome, float64) {
 				if s.subs[n].Worker >= 4 {
-					return Settled, 120 * rng.ExpFloat64()
+					return Succeeded, 120 * rng.ExpFloat64()
 				}
 				there[s.Plan]++
 				if all || s.Plan == 0 {
-					return Full, 100
+					return Overloaded, 100
 				}
-				return Settled, 120 * rng.ExpFloat64()
+				return Succeeded, 120 * rng.ExpFloat64()
 			})
 			part := [2]float64{there[0] / float64(len(h.sent)), there[1] / float64(len(h.sent))}
 			if part[0] > 0.05 || all != (part[1] < 0.05) {
 				t.Errorf("%v of the submissions went there", part)
 			}
-			if n := h.g.Tally(); !all && (n.Final[ByPressure] > 11 || n.Distrusted > 0) {
+			if n := h.g.Stats(); !all && (n.FinalByReason[ReasonOverload] > 11 || n.SuspectedWorkers > 0) {
 				t.Errorf("%+v", n)
 			}
 		})
@@ -704,19 +721,19 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			ch := charterFor(InquiryLike, func(ch *Charter) {
-				ch.Products[0].SLA, ch.MayOverlap, ch.MayTell = c.sla, false, false
+			ch := charterFor(Idempotent, func(ch *Settings) {
+				ch.Products[0].LatencyTargetMillis, ch.AllowHedging, ch.AllowGossip = c.sla, false, false
 			})
 			h := newHost(t, ch, 1, 4)
 			h.at(h.now + 10)
 			start, wakes, wake, stranger := h.now, 0, 0.0, h.now+float64(c.stranger)
-			h.g.Take(Arrival{ID: 1, Customer: 7, Units: 1, SetSize: 2, Left: 3000})
+			h.g.AddRequest(Request{ID: 1, Customer: 7, Units: 1, SetSize: 2, TimeLeftMillis: 3000})
 			for h.now < start+3000 {
-				for d, ok := h.g.Next(); ok; d, ok = h.g.Next() {
-					if d.Kind == Wake {
-						wake, wakes = d.At, wakes+1
+				for d, ok := h.g.NextDecision(); ok; d, ok = h.g.NextDecision() {
+					if d.Kind == SetTimer {
+						wake, wakes = d.AtMillis, wakes+1
 					}
-					if d.Kind != Withdraw {
+					if d.Kind != Cancel {
 						continue
 					}
 					if late := h.now - start - c.found; late < 0 || late > beat+1 || wakes > c.wakes {
@@ -726,7 +743,7 @@
 				}
 				if c.stranger > 0 && h.now < stranger && wake > stranger {
 					h.at(stranger)
-					h.g.Take(Arrival{ID: 2, Customer: 8, Units: 1, SetSize: 2, Left: 3000})
+					h.g.AddRequest(Request{ID: 2, Customer: 8, Units: 1, SetSize: 2, TimeLeftMillis: 3000})
 					continue
 				}
 				if wake <= h.now {
@@ -742,23 +759,24 @@
 // A worker at the place of one that is gone has nothing of its standing, and gets no place that a txn in hand
 // still refers to.
 func TestPlaceOfWorkerGone(t *testing.T) {
-	h := newHost(t, charterFor(OnceOnly, nil), 1, 1)
+	h := newHost(t, charterFor(NonIdempotent, nil), 1, 1)
 	for range 3 {
-		h.ended(h.txn(7, 1), 0, Cut, 400)
+		h.ended(h.txn(7, 1), 0, ConnectionLost, 400)
 	}
 	s := h.txn(7, 1)
-	if w := &h.g.workers[0]; w.distrust.at(h.now, distrustFade) < distrusted || h.g.Vacant(0) {
-		t.Fatalf("before: %+v, vacant %v", *w, h.g.Vacant(0))
+	if w := &h.g.workers[0]; w.distrust.at(h.now, distrustFade) < distrusted || h.g.WorkerUnreferenced(0) {
+		t.Fatalf("before: %+v, vacant %v", *w, h.g.WorkerUnreferenced(0))
 	}
-	h.g.Roster([]Posting{{Worker: 0}}, true)
-	h.ended(s, 0, Cut, 400)
-	if !h.g.Vacant(0) {
+	h.g.UpdateEndpoints([]Endpoint{{Worker: 0}}, true)
+	h.ended(s, 0, ConnectionLost, 400)
+	if !h.g.WorkerUnreferenced(0) {
 		t.Error("nothing refers to the place, and it is not vacant")
 	}
 	for _, since := range []float64{0, h.now - 10} {
-		h.g.Roster([]Posting{{Worker: 0, Active: true, Since: since, New: true}}, true)
+		h.g.UpdateEndpoints([]Endpoint{{Worker: 0, Active: true, StartedAtMillis: since, Replaced: true}}, true)
 		w := &h.g.workers[0]
-		if w.distrust.score != 0 || w.pace != 0 || w.inFlight != 0 || (h.g.warmth(w.Since) < 1) != (since > 0) {
+		if w.distrust.score != 0 || w.pace != 0 || w.inFlight != 0 ||
+			(h.g.warmth(w.StartedAtMillis) < 1) != (since > 0) {
 			t.Errorf("started %v: it begins with %+v", since, *w)
 		}
 	}
@@ -769,31 +787,31 @@
 func TestOverdue(t *testing.T) {
 	cases := []struct {
 		name   string
-		repeat Repeat
+		repeat Idempotency
 		took   float64 // of the overdue; 0 is never
 		moved  bool
 	}{
-		{"astray", InquiryLike, 0, true},
-		{"long", InquiryLike, 700, false},
-		{"astray, once-only", OnceOnly, 0, false},
+		{"astray", Idempotent, 0, true},
+		{"long", Idempotent, 700, false},
+		{"astray, once-only", NonIdempotent, 0, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			ch := charterFor(c.repeat, func(ch *Charter) { ch.Plans[0].Rate = 0 })
+			ch := charterFor(c.repeat, func(ch *Settings) { ch.Plans[0].QuotaPerSecond = 0 })
 			h := newHost(t, ch, 1, 4)
 			rng := rand.New(rand.NewSource(1))
 			overdue := map[*seen]bool{}
-			h.run(30000, 60, rng, func() Arrival {
-				return Arrival{Customer: uint64(rng.Intn(40)), Units: 1, SetSize: 2, Left: 3000}
+			h.run(30000, 60, rng, func() Request {
+				return Request{Customer: uint64(rng.Intn(40)), Units: 1, SetSize: 2, TimeLeftMillis: 3000}
 			}, func(s *seen, n int) (Outcome, float64) {
 				if n == 0 && rng.Float64() < 0.05 {
 					overdue[s] = true
 					if c.took == 0 {
 						return NotSent, 0
 					}
-					return Settled, c.took
+					return Succeeded, c.took
 				}
-				return Settled, 30 * rng.ExpFloat64()
+				return Succeeded, 30 * rng.ExpFloat64()
 			})
 			moved := 0
 			for s := range overdue {
@@ -809,10 +827,10 @@
 }
 
 // many is a charter of so many gatekeepers whose parts of a quota of 10 a second are too small for a txn.
-func many(n int, change func(*Charter)) Charter {
-	return charterFor(InquiryLike, func(c *Charter) {
-		c.Gatekeepers, c.LoadTold = n, true
-		c.Plans[0].Burst = 10
+func many(n int, change func(*Settings)) Settings {
+	return charterFor(Idempotent, func(c *Settings) {
+		c.GatewayCount, c.WorkersReportLoad = n, true
+		c.Plans[0].QuotaBurst = 10
 		if change != nil {
 			change(c)
 		}
@@ -831,9 +849,9 @@
 	in := 0
 	for i := range 400 {
 		customer := uint64(1000 + i)
-		h.g.Hear(1, []Report{{Customer: customer, Demand: demand}})
+		h.g.ReceiveReports(1, []Report{{Customer: customer, DemandPerSecond: demand}})
 		if s := h.txn(customer, units(i)); s.final == 0 {
-			h.ended(s, 0, Settled, 50)
+			h.ended(s, 0, Succeeded, 50)
 			in++
 		}
 	}
@@ -864,9 +882,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHost(t, many(c.n, func(ch *Charter) {
-				if ch.LargestUnits = 4; c.open {
-					ch.Plans[0] = Plan{Open: 3, Factor: 1, ExcessFee: 1}
+			h := newHost(t, many(c.n, func(ch *Settings) {
+				if ch.MaxRequestUnits = 4; c.open {
+					ch.Plans[0] = Plan{MaxInFlight: 3, ValueFactor: 1, ExcessCostFraction: 1}
 				}
 			}), 5, 8)
 			if h.old(); c.young {
@@ -888,18 +906,18 @@
 func TestBurstSeenAlone(t *testing.T) {
 	h := newHost(t, many(100, nil), 5, 8)
 	h.old()
-	h.g.Hear(1, []Report{{Customer: 7, Demand: 3}})
+	h.g.ReceiveReports(1, []Report{{Customer: 7, DemandPerSecond: 3}})
 	first := h.txn(7, 1)
 	h.at(h.now + 20)
 	if first.final != 0 {
 		t.Fatal("the first txn of a customer within its quota is not let in")
 	}
-	h.ended(first, 0, Settled, 20)
+	h.ended(first, 0, Succeeded, 20)
 	h.g.accounts[h.g.byKey[7]].level = 0 // whatever the first one left
 	second := h.txn(7, 1)
 	h.at(h.now + 3000)
 	third := h.txn(7, 1)
-	if second.final != Decline || third.final != 0 {
+	if second.final != Reject || third.final != 0 {
 		t.Errorf("then answers %v and %v", second.final, third.final)
 	}
 	if !(second.wait > 0 && second.wait < 2000) {
@@ -914,11 +932,11 @@
 		plan        Plan
 		least, most float64
 	}{
-		{"beyond costs more than it earns", Plan{Open: 2, ExcessFee: 1.2}, 0.6, 0.9},
-		{"beyond costs nothing", Plan{Open: 2}, 1.4, 1.8},
-		{"beyond earns a part", Plan{Open: 2, ExcessShare: 0.3}, 1.4, 1.8},
-		{"one at once", Plan{Open: 1, ExcessFee: 1}, 0.2, 0.5},
-		{"a wide limit", Plan{Open: 40, ExcessFee: 1}, 25, 40},
+		{"beyond costs more than it earns", Plan{MaxInFlight: 2, ExcessCostFraction: 1.2}, 0.6, 0.9},
+		{"beyond costs nothing", Plan{MaxInFlight: 2}, 1.4, 1.8},
+		{"beyond earns a part", Plan{MaxInFlight: 2, ExcessValueFraction: 0.3}, 1.4, 1.8},
+		{"one at once", Plan{MaxInFlight: 1, ExcessCostFraction: 1}, 0.2, 0.5},
+		{"a wide limit", Plan{MaxInFlight: 40, ExcessCostFraction: 1}, 25, 40},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -928,7 +946,10 @@
 		})
 	}
 	for _, n := range []int{2, 3} { // whole parts of the limit, and parts of it
-		h := newHost(t, many(n, func(c *Charter) { c.Plans[0] = Plan{Open: 2, Factor: 1, ExcessFee: 1} }), 5, 8)
+		h := newHost(t, many(n, func(c *Settings) {
+			c.Plans[0] = Plan{MaxInFlight: 2, ValueFactor: 1,
+				ExcessCostFraction: 1}
+		}), 5, 8)
 		h.g.window = 1e9
 		for range 5 {
 			h.txn(7, 1)
@@ -937,11 +958,14 @@
 			t.Errorf("%d out at one of %d gatekeepers", got, n)
 		}
 	}
-	h := newHost(t, many(3, func(c *Charter) { c.Plans[0] = Plan{Open: 2, Factor: 1, ExcessFee: 1} }), 5, 8)
+	h := newHost(t, many(3, func(c *Settings) {
+		c.Plans[0] = Plan{MaxInFlight: 2, ValueFactor: 1,
+			ExcessCostFraction: 1}
+	}), 5, 8)
 	h.g.window = 1e9
 	for range 300 {
 		if s := h.txn(7, 1); s.final == 0 {
-			h.ended(s, 0, Settled, 50)
+			h.ended(s, 0, Succeeded, 50)
 		}
 		h.at(h.now + 500)
 		h.pull()
@@ -981,14 +1005,14 @@
 // Beyond a quota nothing is let in while answers are slow, though this gatekeeper has little out itself.
 func TestSpareOnlyWhileQuick(t *testing.T) {
 	for _, took := range []float64{20, 600} {
-		h := newHost(t, many(2, func(c *Charter) {
-			c.Plans[0] = Plan{Rate: 1, Burst: 1, Factor: 1, ExcessShare: 0.3}
+		h := newHost(t, many(2, func(c *Settings) {
+			c.Plans[0] = Plan{QuotaPerSecond: 1, QuotaBurst: 1, ValueFactor: 1, ExcessValueFraction: 0.3}
 		}), 5, 8)
 		let := 0
 		for range 100 {
 			h.at(h.now + 20)
 			if s := h.txn(7, 1); s.final == 0 {
-				h.ended(s, 0, Settled, took)
+				h.ended(s, 0, Succeeded, took)
 				let++
 			}
 		}
@@ -1004,34 +1028,35 @@
 	nan := math.NaN()
 	cases := []struct {
 		name        string
-		before      func(g *Gatekeeper)
+		before      func(g *Engine)
 		least, most float64 // part of the submissions at worker 0
 	}{
-		{"nothing known", func(*Gatekeeper) {}, 0.4, 0.6},
-		{"its kind is slow", func(g *Gatekeeper) {
+		{"nothing known", func(*Engine) {}, 0.4, 0.6},
+		{"its kind is slow", func(g *Engine) {
 			g.kinds[0].pace, g.kinds[1].pace = 200, 100
 		}, 0.15, 0.35},
-		{"rated smaller", func(g *Gatekeeper) {
-			g.pace, g.workers[0].Rating, g.workers[1].Rating = 100, 1, 3
+		{"rated smaller", func(g *Engine) {
+			g.pace, g.workers[0].SizeRating, g.workers[1].SizeRating = 100, 1, 3
 		}, 0.15, 0.35},
-		{"says that it is busy", func(g *Gatekeeper) {
+		{"says that it is busy", func(g *Engine) {
 			g.load = 2
-			g.Burden(0, Burden{Held: 40, Waiting: -1, Busy: -1})
-			g.Burden(1, Burden{Held: 0, Waiting: -1, Busy: -1})
+			g.ReportWorkerLoad(0, WorkerLoad{InFlight: 40, Queued: -1, CPUFraction: -1})
+			g.ReportWorkerLoad(1, WorkerLoad{InFlight: 0, Queued: -1, CPUFraction: -1})
 		}, 0.15, 0.35},
-		{"words of no sense", func(g *Gatekeeper) {
+		{"words of no sense", func(g *Engine) {
 			for _, v := range []float64{nan, math.Inf(1), -5, 1e300} {
-				g.Burden(0, Burden{Held: v, Waiting: v, Busy: nan})
+				g.ReportWorkerLoad(0, WorkerLoad{InFlight: v, Queued: v, CPUFraction: nan})
 			}
-			g.Burden(-1, Burden{Held: 9})
-			g.Burden(99, Burden{Held: 9})
+			g.ReportWorkerLoad(-1, WorkerLoad{InFlight: 9})
+			g.ReportWorkerLoad(99, WorkerLoad{InFlight: 9})
 		}, 0.4, 0.6},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			there := 0
-			h := newHost(t, many(2, func(ch *Charter) { ch.Plans[0] = Plan{Factor: 1} }), 5, 2)
-			h.g.Roster([]Posting{{Worker: 0, Active: true, Kind: 0}, {Worker: 1, Active: true, Kind: 1}}, false)
+			h := newHost(t, many(2, func(ch *Settings) { ch.Plans[0] = Plan{ValueFactor: 1} }), 5, 2)
+			h.g.UpdateEndpoints([]Endpoint{{Worker: 0, Active: true, MachineKind: 0}, {Worker: 1, Active: true,
+				MachineKind: 1}}, false)
 			h.g.list()
 			for range 400 {
 				h.g.kinds[0], h.g.kinds[1], h.g.pace = kind{}, kind{}, 0
@@ -1042,7 +1067,7 @@
 					if s.subs[0].Worker == 0 {
 						there++
 					}
-					h.ended(s, 0, Settled, 100)
+					h.ended(s, 0, Succeeded, 100)
 				}
 			}
 			if part := float64(there) / 400; part < c.least || part > c.most {
@@ -1075,17 +1100,17 @@
 		left        float64
 		least, most int // of the last 100 of 200
 	}{
-		{"settled in time", Settled, 200, 100, 100},
+		{"settled in time", Succeeded, 200, 100, 100},
 		{"out of time", TimedOut, 200, 2, 35},
 		{"out of time, though there was plenty", TimedOut, 3000, 100, 100},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHost(t, charterFor(InquiryLike, func(ch *Charter) { ch.Plans[0] = Plan{Factor: 1} }), 5, 8)
+			h := newHost(t, charterFor(Idempotent, func(ch *Settings) { ch.Plans[0] = Plan{ValueFactor: 1} }), 5, 8)
 			let := 0
 			for i := range 200 {
 				h.g.window, h.g.pace = 1e9, 100
-				s := h.arrive(Arrival{Customer: 7, Units: 1, SetSize: 2, Left: c.left})
+				s := h.arrive(Request{Customer: 7, Units: 1, SetSize: 2, TimeLeftMillis: c.left})
 				if h.at(h.now + 150); s.final == 0 {
 					h.at(math.Max(h.now, s.expiry))
 					h.ended(s, 0, c.end, 150)
@@ -1104,15 +1129,16 @@
 // Two that follow one another on a machine are one gatekeeper: what the first has spent of quota, ceiling and
 // a cold worker's turns stays spent for the second, and the first lets nothing in once it has left its place.
 func TestEstate(t *testing.T) {
-	c := charterFor(InquiryLike, func(c *Charter) {
-		c.Plans[0] = Plan{Rate: 1, Burst: 10, CeilingRate: 1, CeilingDepth: 10, Factor: 1, ExcessFee: 1}
-		c.WarmUp = 60000
+	c := charterFor(Idempotent, func(c *Settings) {
+		c.Plans[0] = Plan{QuotaPerSecond: 1, QuotaBurst: 10, RateLimitPerSecond: 1, RateLimitBurst: 10,
+			ValueFactor: 1, ExcessCostFraction: 1}
+		c.WarmUpMillis = 60000
 	})
-	cold := []Posting{{Worker: 0, Active: true}, {Worker: 1, Active: true, Since: 99000}}
+	cold := []Endpoint{{Worker: 0, Active: true}, {Worker: 1, Active: true, StartedAtMillis: 99000}}
 	start := func() *host {
 		h := newHost(t, c, 1, 0)
 		h.at(100000)
-		h.g.Roster(cold, false)
+		h.g.UpdateEndpoints(cold, false)
 		h.g.started, h.g.base = 1000, 1000 // the ceiling's slice has filled since
 		return h
 	}
@@ -1120,46 +1146,47 @@
 	one.ask(1000, 30, nil)
 	one.g.workers[1].coldAt, one.g.workers[1].coldDebt = one.now, 7
 	spent := one.g.accounts[0]
-	if one.txn(7, 1).final != Decline || spent.ceilingAt <= one.now {
+	if one.txn(7, 1).final != Reject || spent.ceilingAt <= one.now {
 		t.Fatalf("the first has spent too little: %+v", spent)
 	}
 	s := one.txn(8, 1) // one is out while the place changes
 	spent = one.g.accounts[0]
-	e := one.g.Retire()
+	e := one.g.HandOff()
 	two.at(one.now)
-	two.g.Resume(e)
+	two.g.RestoreHandoff(e)
 	got := two.g.accounts[0]
 	if got.level != spent.level || got.whole != spent.whole || got.ceilingAt != spent.ceilingAt ||
 		two.g.workers[1].coldDebt != 7 || two.g.started != one.g.started || two.g.window != one.g.window {
 		t.Errorf("the second has %+v of %+v", got, spent)
 	}
-	if two.txn(7, 1).final != Decline {
+	if two.txn(7, 1).final != Reject {
 		t.Error("the second lets in what the first has spent")
 	}
 	if out := two.g.accounts[1].out; out != 1 || s.final != 0 {
 		t.Errorf("%d submissions of the first one's are out, final %v", out, s.final)
 	}
-	if two.g.Alone(); two.g.accounts[1].out != 0 {
+	if two.g.PredecessorEnded(); two.g.accounts[1].out != 0 {
 		t.Errorf("%d submissions are out for ever", two.g.accounts[1].out)
 	}
-	if one.txn(9, 1).final != Decline {
+	if one.txn(9, 1).final != Reject {
 		t.Error("the first goes on letting in")
 	}
 	if one.at(one.now + 9000); one.g.usable(&txn{}, 1) || !one.g.usable(&txn{}, 0) || len(one.told) > 0 {
 		t.Error("the first goes on with cold workers or peers, or not with warm ones")
 	}
 	bad := e
-	bad.Customers = append([]Customer{{Key: 9, Plan: 5}, {Key: 8, First: 77}, {Key: 7, N: -1}}, e.Customers...)
-	bad.Workers = []Standing{{Worker: 99}, {Worker: 0, Since: 5, Pace: 3}}
+	bad.Customers = append([]CustomerState{{ID: 9, Plan: 5}, {ID: 8, FirstGateway: 77}, {ID: 7, SetSize: -1}},
+		e.Customers...)
+	bad.Workers = []WorkerState{{Worker: 99}, {Worker: 0, StartedAtMillis: 5, ResponseMillis: 3}}
 	three := start()
 	three.at(one.now)
-	if three.g.Resume(bad); len(three.g.byKey) != len(e.Customers) || three.g.workers[0].pace != 0 {
+	if three.g.RestoreHandoff(bad); len(three.g.byKey) != len(e.Customers) || three.g.workers[0].pace != 0 {
 		t.Errorf("%d customers taken over, pace %v", len(three.g.byKey), three.g.workers[0].pace)
 	}
 	bad.Peers = nil
 	four := start()
 	four.at(one.now)
-	if four.g.Resume(bad); len(four.g.byKey) > 0 {
+	if four.g.RestoreHandoff(bad); len(four.g.byKey) > 0 {
 		t.Error("an estate of another charter is taken over")
 	}
 }
@@ -1167,21 +1194,21 @@
 // A body that is not kept: its txn's time runs from the last byte on, it has no place in the window and
 // cannot be found silent before, and once begun it is not submitted again.
 func TestStreams(t *testing.T) {
-	c := charterFor(InquiryLike, nil)
+	c := charterFor(Idempotent, nil)
 	arrive := func() (*host, *seen) {
 		h := newHost(t, c, 1, 3)
-		s := h.arrive(Arrival{Customer: 7, Units: 1, SetSize: 2, Left: 1000, Streams: true})
+		s := h.arrive(Request{Customer: 7, Units: 1, SetSize: 2, TimeLeftMillis: 1000, StreamsBody: true})
 		if s.expiry = math.Inf(1); len(s.subs) != 1 || h.g.inHand != 0 {
 			t.Fatalf("%d submissions, %d in hand", len(s.subs), h.g.inHand)
 		}
 		return h, s
 	}
 	h, s := arrive()
-	h.ended(s, 0, NoRoute, 1) // before a byte of it
+	h.ended(s, 0, ConnectFailed, 1) // before a byte of it
 	if len(s.subs) != 2 {
 		t.Errorf("%d submissions after one that took none of the body", len(s.subs))
 	}
-	h.g.Poured(s.ID, 1, 0)
+	h.g.BodyForwarded(s.ID, 1, 0)
 	for range 100 {
 		h.at(h.now + 100)
 		h.pull()
@@ -1189,13 +1216,13 @@
 	if len(s.subs) != 2 || s.final != 0 || h.g.workers[s.subs[1].Worker].distrust.score > 1 {
 		t.Errorf("while it comes: %d submissions, final %v", len(s.subs), s.final)
 	}
-	h.ended(s, 1, NoRoute, 1)
-	if len(s.subs) != 2 || s.final != Decline {
+	h.ended(s, 1, ConnectFailed, 1)
+	if len(s.subs) != 2 || s.final != Reject {
 		t.Errorf("broken in its middle: %d submissions, final %v", len(s.subs), s.final)
 	}
 	h, s = arrive()
 	h.at(h.now + 5000)
-	h.g.Poured(s.ID, 0, 1000)
+	h.g.BodyForwarded(s.ID, 0, 1000)
 	s.expiry = h.now + 1000
 	if h.pull(); h.g.inHand != 1 || s.final != 0 {
 		t.Errorf("it has come: %d in hand, final %v", h.g.inHand, s.final)
@@ -1204,24 +1231,24 @@
 		h.at(h.now + 100)
 		h.pull()
 	}
-	if s.final != Decline || len(s.subs) != 1 {
+	if s.final != Reject || len(s.subs) != 1 {
 		t.Errorf("after its time: final %v, %d submissions", s.final, len(s.subs))
 	}
 	h, s = arrive()
-	h.g.Poured(s.ID, 0, 1000)
-	h.g.Begun(s.ID, 0) // the answer is long, and the client's
+	h.g.BodyForwarded(s.ID, 0, 1000)
+	h.g.ResponseStarted(s.ID, 0) // the answer is long, and the client's
 	h.at(h.now + 9000)
 	if h.pull(); s.final != 0 || h.g.inHand != 0 {
 		t.Errorf("while its answer passes: final %v, %d in hand", s.final, h.g.inHand)
 	}
 	h, s = arrive()
-	h.g.Poured(s.ID, 0, 0)
+	h.g.BodyForwarded(s.ID, 0, 0)
 	a := &h.g.accounts[h.g.byKey[7]]
 	whole, kept := a.whole, a.kept
 	if h.ended(s, 0, NotSent, 1); kept != 1 || a.kept != 0 || a.whole != whole || a.unsaid > 0 {
 		t.Errorf("of a body that never came whole %v were kept, %v are, %v of %v left, %v told", kept, a.kept,
 			a.whole, whole, a.unsaid)
 	}
-	h.g.Poured(12345, 0, 7)
-	h.g.Poured(s.ID, 7, 7)
+	h.g.BodyForwarded(12345, 0, 7)
+	h.g.BodyForwarded(s.ID, 7, 7)
 }
--- a/internal/policy/member_test.go
+++ b/internal/policy/member_test.go
@@ -13,15 +13,16 @@
 	const rate, depth, most = 20.0, 30.0, 6
 	for seed := range int64(10) {
 		rng := rand.New(rand.NewSource(seed))
-		c := charterFor(InquiryLike, func(c *Charter) {
-			c.Gatekeepers, c.MayTell = most, false
-			c.Plans[0] = Plan{Rate: 500, Burst: 1000, CeilingRate: rate, CeilingDepth: depth, Factor: 1}
+		c := charterFor(Idempotent, func(c *Settings) {
+			c.GatewayCount, c.AllowGossip = most, false
+			c.Plans[0] = Plan{QuotaPerSecond: 500, QuotaBurst: 1000, RateLimitPerSecond: rate, RateLimitBurst: depth,
+				ValueFactor: 1}
 		})
 		var hosts [most]*host
 		now, set, level, in := 1000.0, 2, depth, 0
 		begin := func(i int) {
 			x := c
-			x.Me = i
+			x.GatewayIndex = i
 			hosts[i] = newHost(t, x, rng.Int63(), 200)
 			hosts[i].at(now)
 			hosts[i].g.base = now
@@ -49,11 +50,11 @@
 			}
 			for range n {
 				h := hosts[at]
-				s := h.arrive(Arrival{Customer: 7, Units: 1, SetSize: set, Left: 3000})
+				s := h.arrive(Request{Customer: 7, Units: 1, SetSize: set, TimeLeftMillis: 3000})
 				if s.final == 0 {
 					level--
 					in++
-					h.ended(s, 0, Settled, 1)
+					h.ended(s, 0, Succeeded, 1)
 				}
 			}
 			if level < -1e-6 {
@@ -69,12 +70,12 @@
 // The number of gatekeepers changes in service: what those that are no more had said counts no more, new
 // ones are told, and what was decided on goes on.
 func TestResize(t *testing.T) {
-	c := charterFor(InquiryLike, func(c *Charter) { c.Gatekeepers = 3 })
+	c := charterFor(Idempotent, func(c *Settings) { c.GatewayCount = 3 })
 	h := newHost(t, c, 1, 3)
 	s := h.txn(7, 1)
 	for range 40 {
 		h.at(h.now + 100)
-		h.g.Hear(2, []Report{{Customer: 7, Demand: 40}})
+		h.g.ReceiveReports(2, []Report{{Customer: 7, DemandPerSecond: 40}})
 		h.txn(7, 1)
 	}
 	h.rest(3 * h.g.charter.period * toldFor) // the third falls silent: its demand is held
@@ -82,21 +83,21 @@
 	if a.held == 0 || a.n != 3 {
 		t.Fatalf("held %v, of %d", a.held, a.n)
 	}
-	h.g.Resize(2)
+	h.g.SetGatewayCount(2)
 	if h.pull(); a.held != 0 || a.n != 2 || len(h.g.peers) != 2 || h.g.charter.n != 2 {
 		t.Errorf("without the third: held %v, of %d", a.held, a.n)
 	}
-	h.g.Hear(2, []Report{{Customer: 7, Demand: 40}}) // its last word comes late
+	h.g.ReceiveReports(2, []Report{{Customer: 7, DemandPerSecond: 40}}) // its last word comes late
 	if a.others > 40.0/1000 {
 		t.Errorf("one that is no more is heard: %v", a.others)
 	}
-	h.ended(s, 0, Settled, 20)
-	h.g.Resize(5)
+	h.ended(s, 0, Succeeded, 20)
+	h.g.SetGatewayCount(5)
 	h.told = nil
 	for range 40 {
 		h.at(h.now + 100)
 		h.pull()
-		h.arrive(Arrival{Customer: 7, Units: 1, SetSize: 5, Left: 3000})
+		h.arrive(Request{Customer: 7, Units: 1, SetSize: 5, TimeLeftMillis: 3000})
 	}
 	peers := map[int]bool{}
 	for _, d := range h.told {
@@ -106,15 +107,16 @@
 		t.Errorf("told %v, of %d", peers, a.n)
 	}
 	for i := range uint64(30) { // sets all round the ring, as it shrinks and grows at random
-		h.arrive(Arrival{Customer: 100 + i, Units: 1, SetSize: 1 + int(i)%5, First: int(i*7) % 5, Left: 3000})
-		h.g.Hear(1+int(i)%4, []Report{{Customer: 200 + i, Demand: 9}})
+		h.arrive(Request{Customer: 100 + i, Units: 1, SetSize: 1 + int(i)%5, FirstGateway: int(i*7) % 5,
+			TimeLeftMillis: 3000})
+		h.g.ReceiveReports(1+int(i)%4, []Report{{Customer: 200 + i, DemandPerSecond: 9}})
 	}
 	for i := range 40 {
-		h.g.Resize(1 + i*7%9)
+		h.g.SetGatewayCount(1 + i*7%9)
 		h.rest(300)
 	}
-	h.g.Resize(5)
-	h.g.Resize(0) // it is one of them itself
+	h.g.SetGatewayCount(5)
+	h.g.SetGatewayCount(0) // it is one of them itself
 	if h.g.charter.n != 5 {
 		t.Error("fewer than itself")
 	}
@@ -125,25 +127,25 @@
 func TestReturned(t *testing.T) {
 	shares := map[bool]float64{}
 	for _, told := range []bool{false, true} {
-		h := newHost(t, charterFor(InquiryLike, nil), 1, 3)
+		h := newHost(t, charterFor(Idempotent, nil), 1, 3)
 		said := 0.0
 		for i := range 60 {
 			h.at(h.now + 100)
 			if h.txn(7, 2); i%4 == 0 {
-				h.g.Hear(1, []Report{{Customer: 7, Demand: 20, Known: said}})
+				h.g.ReceiveReports(1, []Report{{Customer: 7, DemandPerSecond: 20, PreviousDemandPerSecond: said}})
 				said = 20 * math.Exp(-400.0/demandMemory)
 			}
 		}
 		if told {
-			h.g.Returned(1)
+			h.g.PeerRestarted(1)
 		}
-		h.g.Hear(1, []Report{{Customer: 7, Demand: 20}}) // it knows nothing of what it had told
+		h.g.ReceiveReports(1, []Report{{Customer: 7, DemandPerSecond: 20}}) // it knows nothing of what it had told
 		a := &h.g.accounts[h.g.byKey[7]]
 		if shares[told] = a.share * 1000; told && math.Abs(a.others*1000-20) > 5 {
 			t.Errorf("the others ask %.1f", a.others*1000)
 		}
-		h.g.Returned(0)
-		h.g.Returned(7)
+		h.g.PeerRestarted(0)
+		h.g.PeerRestarted(7)
 		h.pull()
 	}
 	if shares[true] < shares[false]*1.15 {
--- a/internal/policy/near_test.go
+++ b/internal/policy/near_test.go
@@ -15,13 +15,13 @@
 		drawn, stayed, of := make([]int, 2*c.workers), 0, 0
 		seeds := rand.New(rand.NewSource(7))
 		for me := range c.gatekeepers {
-			g := New(many(c.gatekeepers, func(c *Charter) { c.Me = me }), seeds.Int63())
-			g.Clock(1000)
-			var list []Posting
+			g := New(many(c.gatekeepers, func(c *Settings) { c.GatewayIndex = me }), seeds.Int63())
+			g.AdvanceTo(1000)
+			var list []Endpoint
 			for w := range c.workers {
-				list = append(list, Posting{Worker: w, Active: true, New: true})
+				list = append(list, Endpoint{Worker: w, Active: true, Replaced: true})
 			}
-			g.Roster(list, false)
+			g.UpdateEndpoints(list, false)
 			if len(g.near) != c.near {
 				t.Fatalf("%+v: %d are drawn from", c, len(g.near))
 			}
@@ -31,11 +31,11 @@
 				before[w] = true
 			}
 			for w := range list {
-				if list[w].New = false; w < c.workers*6/10 {
+				if list[w].Replaced = false; w < c.workers*6/10 {
 					list[w].Worker = c.workers + w
 				}
 			}
-			g.Roster(list, false)
+			g.UpdateEndpoints(list, false)
 			for _, w := range g.near {
 				if w < c.workers {
 					of++
@@ -64,14 +64,15 @@
 func TestColdAreLookedAt(t *testing.T) {
 	used := 0
 	for seed := range int64(20) {
-		h := newHost(t, many(80, func(c *Charter) { c.WarmUp, c.ColdFrom = 20000, 0.2 }), seed, 60)
+		h := newHost(t, many(80, func(c *Settings) { c.WarmUpMillis, c.ColdCapacityFraction = 20000, 0.2 }), seed,
+			60)
 		h.old()
 		h.at(h.now + 1000)
-		var list []Posting
+		var list []Endpoint
 		for w := range 60 {
-			list = append(list, Posting{Worker: w, Active: true, Since: float64(w/54) * h.now})
+			list = append(list, Endpoint{Worker: w, Active: true, StartedAtMillis: float64(w/54) * h.now})
 		}
-		h.g.Roster(list, false)
+		h.g.UpdateEndpoints(list, false)
 		for w := 54; w < 60; w++ { // as if their budgets had come together
 			h.g.workers[w].coldDebt = 0
 		}
@@ -82,7 +83,7 @@
 			if n := len(s.subs); n > 0 && s.subs[0].Worker >= 54 {
 				used++
 			}
-			h.ended(s, 0, Settled, 20+100*rng.ExpFloat64())
+			h.ended(s, 0, Succeeded, 20+100*rng.ExpFloat64())
 		}
 	}
 	if used < 80 {
--- a/internal/policy/peers.go
+++ b/internal/policy/peers.go
@@ -3,7 +3,7 @@
 import "math"
 
 // Hear takes a peer's reports. A message says nought of the customers that it does not name.
-func (g *Gatekeeper) Hear(from int, reports []Report) {
+func (g *Engine) ReceiveReports(from int, reports []Report) {
 	if from < 0 || from >= g.charter.n || from == g.charter.me {
 		return
 	}
@@ -15,8 +15,9 @@
 		p.last = p.last[:0]
 	}
 	for _, r := range reports {
-		d := (r.Demand - r.Known) / 1000 // what is known of it is in the sum already
-		if !(r.Demand >= 0) || math.IsInf(d, 0) || !(r.Known >= 0) || !(r.Spent >= 0) ||
+		d := (r.DemandPerSecond - r.PreviousDemandPerSecond) / 1000 // what is known of it is in the sum already
+		if !(r.DemandPerSecond >= 0) || math.IsInf(d, 0) || !(r.PreviousDemandPerSecond >= 0) ||
+			!(r.SpentUnits >= 0) ||
 			r.Plan < 0 || r.Plan >= len(g.plans) {
 			continue
 		}
@@ -24,7 +25,7 @@
 		p.says(r)
 		ai, ok := g.byKey[uint32(r.Customer)]
 		if !ok {
-			if r.Demand == 0 || g.heardOnly >= mostHeard {
+			if r.DemandPerSecond == 0 || g.heardOnly >= mostHeard {
 				continue
 			}
 			ai = g.open(r.Customer&math.MaxUint32, r.Plan)
@@ -32,10 +33,10 @@
 		}
 		c := &g.accounts[ai]
 		g.fill(c)
-		c.whole = math.Max(c.whole-r.Spent, 0)
-		c.flow += r.Spent
+		c.whole = math.Max(c.whole-r.SpentUnits, 0)
+		c.flow += r.SpentUnits
 		c.others = math.Max(c.others+d, 0)
-		if r.Demand > 0 {
+		if r.DemandPerSecond > 0 {
 			c.heard = g.now
 			if !c.hot {
 				c.hot, c.coolSince = true, g.now
@@ -47,7 +48,7 @@
 
 // sweep looks for silent peers, turns customers hot and cold, renews their shares, gathers what is to be
 // reported, and drops the idle customers.
-func (g *Gatekeeper) sweep() {
+func (g *Engine) sweep() {
 	for i := range g.peers {
 		p := &g.peers[i]
 		quiet := g.now - math.Max(p.heard, p.owes)
@@ -103,7 +104,7 @@
 
 // promptly gives the next message that tells a small set at once what was sent on. Where that comes too often
 // for the peers' intake it waits for the period's.
-func (g *Gatekeeper) promptly() (Decision, bool) {
+func (g *Engine) promptly() (Decision, bool) {
 	for ; len(g.urgent) > 0; g.urgent, g.toldTo = append(g.urgent[:0], g.urgent[1:]...), 0 {
 		c, at := &g.accounts[g.urgent[0]], g.charter.tellAt
 		if !c.live || !g.prompt(c) || g.toldTo == 0 && gcraWait(g.saidAll, g.now, at, tellMost, float64(c.n)) > 0 {
@@ -123,7 +124,7 @@
 
 // report packs the next message of own demands for the customers that a peer shares: those with news, or a
 // bare word that there is none. What the period's messages cannot hold is left out, from a random place on.
-func (g *Gatekeeper) report() (Decision, bool) {
+func (g *Engine) report() (Decision, bool) {
 	n, to, p := g.charter.n, g.tellPeer, &g.peers[g.tellPeer]
 	asks := p.spoke > 0 && g.now-p.spoke < lapse*g.charter.period // it spoke of customers, maybe not known here
 	if to == g.charter.me || g.told >= g.charter.tells || g.owed[to]+g.owed[to+n] == 0 && !asks {
@@ -142,5 +143,5 @@
 		p.owes = g.now
 	}
 	p.told, g.told = g.now, g.told+1
-	return Decision{Kind: Tell, Peer: to, Reports: g.reports}, true
+	return Decision{Kind: SendReports, Peer: to, Reports: g.reports}, true
 }
--- a/internal/policy/prompt_test.go
+++ b/internal/policy/prompt_test.go
@@ -9,10 +9,10 @@
 // knows only a second later what the others have sent on.
 func TestToldAtOnce(t *testing.T) {
 	const n, set, first = 80, 5, 78
-	charter := func(me int) Charter {
-		return charterFor(InquiryLike, func(c *Charter) {
-			c.Me, c.Gatekeepers, c.PeerInPerS = me, n, 60
-			c.Plans[0].Rate, c.Plans[0].Burst = 4, 6
+	charter := func(me int) Settings {
+		return charterFor(Idempotent, func(c *Settings) {
+			c.GatewayIndex, c.GatewayCount, c.PeerMessagesPerSecond = me, n, 60
+			c.Plans[0].QuotaPerSecond, c.Plans[0].QuotaBurst = 4, 6
 		})
 	}
 	hosts, heard := map[int]*host{}, map[int]int{}
@@ -24,7 +24,7 @@
 		for from, h := range hosts {
 			for _, d := range h.told {
 				if to := hosts[d.Peer]; to != nil {
-					to.g.Hear(from, d.Reports)
+					to.g.ReceiveReports(from, d.Reports)
 					heard[d.Peer]++
 				}
 			}
@@ -37,10 +37,10 @@
 			h.at(20000 + 100*float64(i))
 		}
 		h := hosts[(first+i*3%set)%n]
-		s := h.arrive(Arrival{Customer: 9, Units: 1, SetSize: set, First: first, Left: 3000})
+		s := h.arrive(Request{Customer: 9, Units: 1, SetSize: set, FirstGateway: first, TimeLeftMillis: 3000})
 		if s.final == 0 {
 			in++
-			h.ended(s, 0, Settled, 20)
+			h.ended(s, 0, Succeeded, 20)
 		} else {
 			out++
 		}
@@ -58,8 +58,9 @@
 
 // Guards against words said at once that fill the peers' intake: there the period's have to do.
 func TestToldAtOnceWithinIntake(t *testing.T) {
-	h := newHost(t, charterFor(InquiryLike, func(c *Charter) {
-		c.Gatekeepers, c.PeerInPerS, c.Plans[0].Rate, c.Plans[0].Burst = 80, 60, 1000, 1000
+	h := newHost(t, charterFor(Idempotent, func(c *Settings) {
+		c.GatewayCount, c.PeerMessagesPerSecond, c.Plans[0].QuotaPerSecond, c.Plans[0].QuotaBurst = 80, 60, 1000,
+			1000
 	}), 1, 8)
 	h.at(h.now + 10000)
 	h.pull()
@@ -67,9 +68,9 @@
 	const seconds = 10
 	for i := range 100 * seconds {
 		h.at(h.now + 10)
-		s := h.arrive(Arrival{Customer: uint64(i % 20), Units: 1, SetSize: 5, Left: 3000})
+		s := h.arrive(Request{Customer: uint64(i % 20), Units: 1, SetSize: 5, TimeLeftMillis: 3000})
 		if s.final == 0 {
-			h.ended(s, 0, Settled, 5)
+			h.ended(s, 0, Succeeded, 5)
 		}
 	}
 	if most := 60*tellBudget*seconds + tellMost + 79; float64(len(h.told)) > math.Ceil(most) {
@@ -81,15 +82,16 @@
 // another takes over, the old one says nothing at once.
 func TestRetiredSaysNothingAtOnce(t *testing.T) {
 	for _, retired := range []bool{false, true} {
-		h := newHost(t, charterFor(InquiryLike, func(c *Charter) {
-			c.Gatekeepers, c.PeerInPerS, c.Plans[0].Rate, c.Plans[0].Burst = 80, 60, 1000, 1000
+		h := newHost(t, charterFor(Idempotent, func(c *Settings) {
+			c.GatewayCount, c.PeerMessagesPerSecond, c.Plans[0].QuotaPerSecond, c.Plans[0].QuotaBurst = 80, 60, 1000,
+				1000
 		}), 1, 8)
-		s := h.arrive(Arrival{Customer: 9, Units: 1, SetSize: 5, Left: 3000, Streams: true})
+		s := h.arrive(Request{Customer: 9, Units: 1, SetSize: 5, TimeLeftMillis: 3000, StreamsBody: true})
 		if retired {
-			h.g.Retire()
+			h.g.HandOff()
 		}
 		h.told = nil
-		h.g.Poured(s.ID, 0, 1000)
+		h.g.BodyForwarded(s.ID, 0, 1000)
 		h.pull()
 		if want := map[bool]int{false: 4, true: 0}[retired]; len(h.told) != want {
 			t.Errorf("retired %v: %d peers are told, not %d", retired, len(h.told), want)
--- a/internal/policy/recall_test.go
+++ b/internal/policy/recall_test.go
@@ -8,30 +8,31 @@
 )
 
 // copied is a whole copy at a time.
-func copied(g *Gatekeeper, now float64) (e Estate) {
-	for from := g.Copy(&e, 0, now); from > 0; from = g.Copy(&e, from, now) {
+func copied(g *Engine, now float64) (e HandoffState) {
+	for from := g.Checkpoint(&e, 0, now); from > 0; from = g.Checkpoint(&e, from, now) {
 	}
 	return e
 }
 
 // crowd is a gatekeeper of a set of two whose customer 7 has used most of its quota, with a peer that asks
 // too.
-func crowd(t *testing.T, change func(*Charter)) *host {
-	h := newHost(t, charterFor(InquiryLike, change), 1, 3)
+func crowd(t *testing.T, change func(*Settings)) *host {
+	h := newHost(t, charterFor(Idempotent, change), 1, 3)
 	h.at(1e6)
 	h.ask(30, 6000, func() {
-		h.g.Hear(1, []Report{{Customer: 7, Demand: 20, Known: 20 * math.Exp(-1000.0/30/demandMemory),
-			Spent: 0.3}})
+		h.g.ReceiveReports(1, []Report{{Customer: 7, DemandPerSecond: 20, PreviousDemandPerSecond: 20 *
+			math.Exp(-1000.0/30/demandMemory),
+			SpentUnits: 0.3}})
 	})
 	return h
 }
 
 // back is a new life of one that has left a residue and a copy, so many ms after it.
-func back(h *host, e Estate, age float64, told bool) (*host, int) {
+func back(h *host, e HandoffState, age float64, told bool) (*host, int) {
 	n := &host{t: h.t, g: New(h.c, 2), c: h.c, txns: map[uint64]*seen{}, gone: -1}
-	n.at(e.At + age)
-	n.g.Roster([]Posting{{Worker: 0, Active: true}}, false)
-	return n, n.g.Recollect(e, told)
+	n.at(e.AtMillis + age)
+	n.g.UpdateEndpoints([]Endpoint{{Worker: 0, Active: true}}, false)
+	return n, n.g.RestoreCheckpoint(e, told)
 }
 
 // A life that was killed had a customer's store as good as empty, and knew what its peer asks. The next one
@@ -62,7 +63,7 @@
 		if want := was.others * math.Exp(-c.age/demandMemory); math.Abs(a.others-want) > 1e-3 {
 			t.Errorf("%v ms: others ask %v, want %v", c.age, a.others, want)
 		}
-		if fresh := newHost(t, h.c, 2, 1); c.age <= 100 && (n.txn(7, 4).final != Decline ||
+		if fresh := newHost(t, h.c, 2, 1); c.age <= 100 && (n.txn(7, 4).final != Reject ||
 			fresh.txn(7, 4).final != 0) { // one that knows nothing has a full slice of 5
 			t.Errorf("%v ms: lets in what was spent", c.age)
 		}
@@ -72,13 +73,17 @@
 	if _, took := back(h, other, 10, false); took > 0 {
 		t.Error("goes by a copy of another fleet")
 	}
-	for name, spoil := range map[string]func(c *Customer){
-		"plan": func(c *Customer) { c.Plan = 1 }, "set": func(c *Customer) { c.N = 3 },
-		"first": func(c *Customer) { c.First = 2 }, "level": func(c *Customer) { c.Level = math.NaN() },
-		"demand": func(c *Customer) { c.Demand = -1 }, "time": func(c *Customer) { c.Seen = h.now + 1e5 },
-		"holding": func(c *Customer) { c.Holding = -1 }} {
+	for name, spoil := range map[string]func(c *CustomerState){
+		"plan": func(c *CustomerState) { c.Plan = 1 }, "set": func(c *CustomerState) { c.SetSize = 3 },
+		"first": func(c *CustomerState) { c.FirstGateway = 2 }, "level": func(c *CustomerState) {
+			c.ShareTokens =
+				math.NaN()
+		},
+		"demand":  func(c *CustomerState) { c.OwnDemand = -1 },
+		"time":    func(c *CustomerState) { c.LastRequestAtMillis = h.now + 1e5 },
+		"holding": func(c *CustomerState) { c.SilentPeers = -1 }} {
 		bad := e
-		bad.Customers = append([]Customer(nil), e.Customers...)
+		bad.Customers = append([]CustomerState(nil), e.Customers...)
 		spoil(&bad.Customers[0])
 		if n, took := back(h, bad, 10, false); took > 0 || len(n.g.byKey) > 0 {
 			t.Errorf("%s: taken", name)
@@ -89,17 +94,18 @@
 // Ceilings are the residue's alone, whatever a copy says: a customer in the residue has what is left there,
 // and one that is not is as full as the residue's base says.
 func TestRecollectCeilings(t *testing.T) {
-	h := crowd(t, func(c *Charter) { c.Plans[0].CeilingRate, c.Plans[0].CeilingDepth = 10, 100 })
+	h := crowd(t, func(c *Settings) { c.Plans[0].RateLimitPerSecond, c.Plans[0].RateLimitBurst = 10, 100 })
 	e := copied(h.g, h.now)
-	e.Customers[0].CeilingAt = 0
+	e.Customers[0].RateLimitFullAtMillis = 0
 	e.Customers = append(e.Customers, e.Customers[0])
-	e.Customers[1].Key = 8
+	e.Customers[1].ID = 8
 	n := &host{t: t, g: New(h.c, 2), c: h.c, txns: map[uint64]*seen{}, gone: -1}
 	n.at(h.now + 50)
-	n.g.Roster([]Posting{{Worker: 0, Active: true}}, false)
+	n.g.UpdateEndpoints([]Endpoint{{Worker: 0, Active: true}}, false)
 	base := n.now - 9000
-	n.g.Remember(Residue{Base: base, Ceilings: []Spent{{7, 0, n.now + 30000}}})
-	if took := n.g.Recollect(e, false); took != 2 {
+	n.g.RestoreCrashState(CrashState{RateLimitBaseMillis: base, RateLimits: []SpentRateLimit{{7, 0,
+		n.now + 30000}}})
+	if took := n.g.RestoreCheckpoint(e, false); took != 2 {
 		t.Fatalf("%d customers", took)
 	}
 	of := func(key uint32) *account { return &n.g.accounts[n.g.byKey[key]] }
@@ -107,7 +113,7 @@
 		t.Errorf("not in the residue: full at %v, want %v", got, want)
 	}
 	of(7).level, of(7).whole, of(8).level, of(8).whole = 99, 99, 99, 99
-	if got := of(7).ceilingAt; got != n.now+30000 || n.txn(7, 1).final != Decline || n.g.heardOnly != 0 {
+	if got := of(7).ceilingAt; got != n.now+30000 || n.txn(7, 1).final != Reject || n.g.heardOnly != 0 {
 		t.Errorf("in the residue: full at %v, %d known from peers alone", got, n.g.heardOnly)
 	}
 }
@@ -134,13 +140,14 @@
 		}
 		r := n.told[0].Reports[0]
 		left := a.said * 1000 * math.Exp((a.saidAt-n.now)/demandMemory)
-		if want := map[bool]float64{false: left, true: 0}[told]; math.Abs(r.Known-want) > 0.5 || r.Demand < 1 {
-			t.Errorf("told %v: demand %v, known %v, want %v", told, r.Demand, r.Known, want)
+		if want := map[bool]float64{false: left, true: 0}[told]; math.Abs(r.PreviousDemandPerSecond-want) > 0.5 ||
+			r.DemandPerSecond < 1 {
+			t.Errorf("told %v: demand %v, known %v, want %v", told, r.DemandPerSecond, r.PreviousDemandPerSecond, want)
 		}
 	}
-	e.Customers[0].Unsaid = 5
+	e.Customers[0].UnreportedUnits = 5
 	for _, c := range []struct{ tells, unsaid float64 }{{50, 0}, {150, 5}} {
-		e.NextTell = e.At + c.tells
+		e.NextReportAtMillis = e.AtMillis + c.tells
 		n, _ := back(h, e, 120, false)
 		if got := n.g.accounts[n.g.byKey[7]].unsaid; got != c.unsaid {
 			t.Errorf("its turn %v ms after the copy: %v units are to be told", c.tells, got)
@@ -169,24 +176,24 @@
 	e := copied(h.g, h.now)
 	for _, c := range []struct {
 		name   string
-		change func(*Charter)
+		change func(*Settings)
 		takes  int
 	}{
-		{"wide", func(*Charter) {}, 1},
-		{"narrow", func(c *Charter) { c.Narrow = true }, 0},
-		{"withheld", func(c *Charter) { c.Plans[0].Withheld = 0.5 }, 0},
+		{"wide", func(*Settings) {}, 1},
+		{"narrow", func(c *Settings) { c.QuotaWithoutGossip = true }, 0},
+		{"withheld", func(c *Settings) { c.Plans[0].WithheldFraction = 0.5 }, 0},
 	} {
-		n := newHost(t, charterFor(InquiryLike, c.change), 2, 3)
-		n.at(e.At + 50)
-		if got := n.g.Recollect(e, false); got != c.takes || len(n.g.byKey) != c.takes {
+		n := newHost(t, charterFor(Idempotent, c.change), 2, 3)
+		n.at(e.AtMillis + 50)
+		if got := n.g.RestoreCheckpoint(e, false); got != c.takes || len(n.g.byKey) != c.takes {
 			t.Errorf("%s: %d customers", c.name, got)
 		}
 	}
 	n := newHost(t, h.c, 2, 3)
-	n.at(e.At + 50)
+	n.at(e.AtMillis + 50)
 	n.txn(7, 1)
 	was := n.g.accounts[n.g.byKey[7]]
-	if n.g.Recollect(e, false) > 0 || n.g.accounts[n.g.byKey[7]] != was {
+	if n.g.RestoreCheckpoint(e, false) > 0 || n.g.accounts[n.g.byKey[7]] != was {
 		t.Error("a customer that is known by its txns is taken from a copy")
 	}
 }
@@ -198,11 +205,11 @@
 	e := copied(h.g, h.now)
 	for _, heard := range []bool{false, true} {
 		n := newHost(t, h.c, 2, 3)
-		n.at(e.At + 50)
+		n.at(e.AtMillis + 50)
 		if heard {
-			n.g.Hear(1, nil)
+			n.g.ReceiveReports(1, nil)
 		}
-		n.g.Recollect(e, false)
+		n.g.RestoreCheckpoint(e, false)
 		if a := &n.g.accounts[n.g.byKey[7]]; n.g.peers[1].silent == heard || (a.held == 0) != heard {
 			t.Errorf("heard %t: %+v, %v held", heard, n.g.peers[1], a.held)
 		}
@@ -220,17 +227,17 @@
 		lent        bool // and not repaid before the copy
 	}{{"alone", 1, 5, 0, false}, {"alone, lent", 1, 5, 0, true}, {"alone, lag", 1, 0, 3, false},
 		{"two", 2, 5, 0, false}, {"two, lent", 2, 5, 0, true}, {"two, lag", 2, 0, 3, false}} {
-		change := func(x *Charter) { lends(x); x.Gatekeepers = c.gatekeepers }
-		h := newHost(t, charterFor(InquiryLike, change), 1, 3)
+		change := func(x *Settings) { lends(x); x.GatewayCount = c.gatekeepers }
+		h := newHost(t, charterFor(Idempotent, change), 1, 3)
 		h.at(1e6)
 		h.ask(30, 3000, nil)
 		a := &h.g.accounts[h.g.byKey[7]]
 		if a.level, a.whole = 0, 0; c.lent {
-			h.g.Borrow(&purse{line: 10})
+			h.g.SetLender(&purse{line: 10})
 			h.g.press, h.g.window = 0, 50
-			h.ended(h.txn(7, 1), 0, Settled, 20)
+			h.ended(h.txn(7, 1), 0, Succeeded, 20)
 		} else {
-			h.g.Repay(7, 0, c.gatekeepers, 1, 1, 200)
+			h.g.CollectRepayment(7, 0, c.gatekeepers, 1, 1, 200)
 		}
 		if a.dealt != h.now {
 			t.Fatalf("%s: last dealt with at %v", c.name, a.dealt)
@@ -241,8 +248,8 @@
 			n, _ := back(h, e, 100, false)
 			of := &n.g.accounts[n.g.byKey[7]]
 			took := 0.0
-			if h.at(e.At + after); after > 0 {
-				took, _ = h.g.Repay(7, 0, c.gatekeepers, 5, 5, after)
+			if h.at(e.AtMillis + after); after > 0 {
+				took, _ = h.g.CollectRepayment(7, 0, c.gatekeepers, 5, 5, after)
 			}
 			h.at(n.now)
 			h.g.fill(a)
@@ -259,7 +266,7 @@
 		}
 		heir := newHost(t, h.c, 2, 3)
 		heir.at(h.now)
-		heir.g.Resume(h.g.Retire())
+		heir.g.RestoreHandoff(h.g.HandOff())
 		if got := heir.g.accounts[heir.g.byKey[7]].lag; got != 1.5 {
 			t.Errorf("%s: %v of what was repaid is handed over, of 1.5", c.name, got)
 		}
@@ -268,32 +275,32 @@
 
 // A copy in pieces is whole though customers come and go meanwhile, and costs the ordinary path no memory.
 func TestCopyInPieces(t *testing.T) {
-	h := newHost(t, charterFor(InquiryLike, nil), 1, 3)
+	h := newHost(t, charterFor(Idempotent, nil), 1, 3)
 	for i := range uint64(1000) {
-		h.arrive(Arrival{Customer: i, Units: 1, SetSize: 2, Left: 1000})
+		h.arrive(Request{Customer: i, Units: 1, SetSize: 2, TimeLeftMillis: 1000})
 	}
-	var e Estate
+	var e HandoffState
 	pieces, from := 0, 0
 	for {
-		if from = h.g.Copy(&e, from, h.now); from == 0 {
+		if from = h.g.Checkpoint(&e, from, h.now); from == 0 {
 			break
 		}
 		if pieces++; pieces == 3 {
-			h.arrive(Arrival{Customer: 5000, Units: 1, SetSize: 2, Left: 1000})
+			h.arrive(Request{Customer: 5000, Units: 1, SetSize: 2, TimeLeftMillis: 1000})
 		}
 	}
 	if len(e.Customers) != 1001 || pieces < 1000/copyRows {
 		t.Errorf("%d customers in %d pieces", len(e.Customers), pieces)
 	}
 	if n := testing.AllocsPerRun(10, func() {
-		for from := h.g.Copy(&e, 0, h.now); from > 0; from = h.g.Copy(&e, from, h.now) {
+		for from := h.g.Checkpoint(&e, 0, h.now); from > 0; from = h.g.Checkpoint(&e, from, h.now) {
 		}
 	}); n > 0 {
 		t.Errorf("%v allocations a copy", n)
 	}
-	h.g.Copy(&e, 0, h.now)
-	h.g.Resize(3)
-	for from = h.g.Copy(&e, 5, h.now); from > 0; from = h.g.Copy(&e, from, h.now) {
+	h.g.Checkpoint(&e, 0, h.now)
+	h.g.SetGatewayCount(3)
+	for from = h.g.Checkpoint(&e, 5, h.now); from > 0; from = h.g.Checkpoint(&e, from, h.now) {
 	}
 	if len(e.Peers) != 3 || len(e.Customers) != 1001 {
 		t.Errorf("of %d gatekeepers, %d customers", len(e.Peers), len(e.Customers))
@@ -302,18 +309,18 @@
 
 // BenchmarkCopy tells what a copy of 10,000 customers takes, and a piece of it, for which the lock is held.
 func BenchmarkCopy(b *testing.B) {
-	g := New(charterFor(InquiryLike, func(c *Charter) { c.Gatekeepers = 300 }), 1)
-	g.Clock(1000)
+	g := New(charterFor(Idempotent, func(c *Settings) { c.GatewayCount = 300 }), 1)
+	g.AdvanceTo(1000)
 	for i := range uint64(10000) {
-		g.account(Arrival{Customer: i, Units: 1, SetSize: 2})
+		g.account(Request{Customer: i, Units: 1, SetSize: 2})
 	}
-	var e Estate
+	var e HandoffState
 	var took []time.Duration // of pieces
 	b.ReportAllocs()
 	for range b.N {
 		for from := 0; ; {
 			began := time.Now()
-			from = g.Copy(&e, from, 2000)
+			from = g.Checkpoint(&e, from, 2000)
 			took = append(took, time.Since(began))
 			if from == 0 {
 				break
--- a/internal/policy/recharter_test.go
+++ b/internal/policy/recharter_test.go
@@ -9,9 +9,9 @@
 // burst brings txns of a customer of one gatekeeper at once, and gives how many were let in.
 func (h *host) burst(n int) (in int) {
 	for range n {
-		if s := h.arrive(Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 3000}); s.final == 0 {
+		if s := h.arrive(Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 3000}); s.final == 0 {
 			in++
-			h.ended(s, 0, Settled, 1)
+			h.ended(s, 0, Succeeded, 1)
 		}
 	}
 	return in
@@ -19,8 +19,8 @@
 
 // rechartered is a gatekeeper that is alone, old enough for all its stores to be full.
 func rechartered(t *testing.T, p Plan) *host {
-	c := charterFor(InquiryLike, func(c *Charter) {
-		c.Gatekeepers, c.MayTell, c.Plans = 3, false, []Plan{p}
+	c := charterFor(Idempotent, func(c *Settings) {
+		c.GatewayCount, c.AllowGossip, c.Plans = 3, false, []Plan{p}
 	})
 	h := newHost(t, c, 1, 200)
 	h.at(1e6)
@@ -28,53 +28,56 @@
 }
 
 // withheld withholds a part of all ceilings; where it is some, quotas are narrow too.
-func withheld(c Charter, part float64) Charter {
-	c.Narrow, c.Plans = part > 0, append([]Plan(nil), c.Plans...)
+func withheld(c Settings, part float64) Settings {
+	c.QuotaWithoutGossip, c.Plans = part > 0, append([]Plan(nil), c.Plans...)
 	for i := range c.Plans {
-		c.Plans[i].Withheld = part
+		c.Plans[i].WithheldFraction = part
 	}
 	return c
 }
 
 func ceiling(rate, depth float64) Plan {
-	return Plan{Rate: 1e5, Burst: 1e5, CeilingRate: rate, CeilingDepth: depth, Factor: 1}
+	return Plan{QuotaPerSecond: 1e5, QuotaBurst: 1e5, RateLimitPerSecond: rate, RateLimitBurst: depth,
+		ValueFactor: 1}
 }
 
 // A ceiling that changes in service holds no more by the change, from that moment on, and fills at its new
 // pace. Guards against a change that gives what was spent back, or gives a new depth for nothing.
 func TestRecharterCeiling(t *testing.T) {
-	narrow := func(part float64) func(*Charter) {
-		return func(c *Charter) { *c = withheld(*c, 1-part) }
+	narrow := func(part float64) func(*Settings) {
+		return func(c *Settings) { *c = withheld(*c, 1-part) }
 	}
-	set := func(p Plan) func(*Charter) { return func(c *Charter) { c.Plans = []Plan{p} } }
+	set := func(p Plan) func(*Settings) { return func(c *Settings) { c.Plans = []Plan{p} } }
 	for _, c := range []struct {
 		name     string
 		from     Plan
 		spent    int // before
-		change   []func(*Charter)
+		change   []func(*Settings)
 		at, in1s int // let in at the change, and a second later
 	}{
-		{"up, full", ceiling(10, 20), 0, []func(*Charter){set(ceiling(30, 50))}, 20, 30},
-		{"up, spent", ceiling(10, 20), 20, []func(*Charter){set(ceiling(30, 50))}, 0, 30},
-		{"down, full", ceiling(30, 50), 0, []func(*Charter){set(ceiling(10, 20))}, 20, 10},
-		{"down, part spent", ceiling(30, 50), 15, []func(*Charter){set(ceiling(10, 20))}, 5, 10},
-		{"down, more spent", ceiling(30, 50), 40, []func(*Charter){set(ceiling(10, 20))}, 0, 10},
+		{"up, full", ceiling(10, 20), 0, []func(*Settings){set(ceiling(30, 50))}, 20, 30},
+		{"up, spent", ceiling(10, 20), 20, []func(*Settings){set(ceiling(30, 50))}, 0, 30},
+		{"down, full", ceiling(30, 50), 0, []func(*Settings){set(ceiling(10, 20))}, 20, 10},
+		{"down, part spent", ceiling(30, 50), 15, []func(*Settings){set(ceiling(10, 20))}, 5, 10},
+		{"down, more spent", ceiling(30, 50), 40, []func(*Settings){set(ceiling(10, 20))}, 0, 10},
 		{"down and up again", ceiling(30, 50), 15,
-			[]func(*Charter){set(ceiling(10, 20)), set(ceiling(30, 50))}, 5, 30},
-		{"new", Plan{Rate: 1e5, Burst: 1e5, Factor: 1}, 9, []func(*Charter){set(ceiling(10, 20))}, 0, 10},
-		{"none any more", ceiling(10, 20), 20, []func(*Charter){set(Plan{Rate: 1e5, Burst: 1e5, Factor: 1})},
+			[]func(*Settings){set(ceiling(10, 20)), set(ceiling(30, 50))}, 5, 30},
+		{"new", Plan{QuotaPerSecond: 1e5, QuotaBurst: 1e5, ValueFactor: 1}, 9,
+			[]func(*Settings){set(ceiling(10, 20))}, 0, 10},
+		{"none any more", ceiling(10, 20), 20, []func(*Settings){set(Plan{QuotaPerSecond: 1e5, QuotaBurst: 1e5,
+			ValueFactor: 1})},
 			100, 100},
-		{"half of it", ceiling(10, 20), 0, []func(*Charter){narrow(0.5)}, 10, 5},
-		{"half of it, of which some is spent", ceiling(10, 20), 4, []func(*Charter){narrow(0.5)}, 6, 5},
-		{"half of it, all spent", ceiling(10, 20), 20, []func(*Charter){narrow(0.5)}, 0, 0},
+		{"half of it", ceiling(10, 20), 0, []func(*Settings){narrow(0.5)}, 10, 5},
+		{"half of it, of which some is spent", ceiling(10, 20), 4, []func(*Settings){narrow(0.5)}, 6, 5},
+		{"half of it, all spent", ceiling(10, 20), 20, []func(*Settings){narrow(0.5)}, 0, 0},
 		{"half of it and back", ceiling(10, 20), 4,
-			[]func(*Charter){narrow(0.5), func(c *Charter) { *c = withheld(*c, 0) }}, 16, 10},
-		{"shut", ceiling(10, 20), 0, []func(*Charter){narrow(0)}, 0, 0},
+			[]func(*Settings){narrow(0.5), func(c *Settings) { *c = withheld(*c, 0) }}, 16, 10},
+		{"shut", ceiling(10, 20), 0, []func(*Settings){narrow(0)}, 0, 0},
 		{"shut and back", ceiling(10, 20), 4,
-			[]func(*Charter){narrow(0), func(c *Charter) { *c = withheld(*c, 0) }}, 16, 10},
-		{"one that never fills", ceiling(10, 20), 0, []func(*Charter){set(ceiling(0, 20))}, 0, 0},
-		{"one that never filled", ceiling(0, 20), 0, []func(*Charter){set(ceiling(10, 20))}, 0, 10},
-		{"another number", ceiling(10, 20), 4, []func(*Charter){func(c *Charter) { c.Gatekeepers = 2 }}, 16, 10},
+			[]func(*Settings){narrow(0), func(c *Settings) { *c = withheld(*c, 0) }}, 16, 10},
+		{"one that never fills", ceiling(10, 20), 0, []func(*Settings){set(ceiling(0, 20))}, 0, 0},
+		{"one that never filled", ceiling(0, 20), 0, []func(*Settings){set(ceiling(10, 20))}, 0, 10},
+		{"another number", ceiling(10, 20), 4, []func(*Settings){func(c *Settings) { c.GatewayCount = 2 }}, 16, 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := rechartered(t, c.from)
@@ -83,7 +86,7 @@
 			}
 			now := h.c
 			for _, f := range c.change {
-				if f(&now); !h.g.Recharter(now) {
+				if f(&now); !h.g.Reconfigure(now) {
 					t.Fatal("not taken up")
 				}
 			}
@@ -100,15 +103,15 @@
 
 // A process that starts while nothing passes takes what it meets as spent, as after any start.
 func TestShutAtTheStart(t *testing.T) {
-	c := charterFor(InquiryLike, func(c *Charter) { c.Gatekeepers, c.Plans = 1, []Plan{ceiling(10, 20)} })
+	c := charterFor(Idempotent, func(c *Settings) { c.GatewayCount, c.Plans = 1, []Plan{ceiling(10, 20)} })
 	h := newHost(t, c, 1, 200)
-	h.g.Recharter(withheld(c, 1))
+	h.g.Reconfigure(withheld(c, 1))
 	h.at(h.now + 100)
 	if in := h.burst(5); in != 0 {
 		t.Errorf("%d let in while shut", in)
 	}
 	h.at(h.now + 900)
-	h.g.Recharter(c)
+	h.g.Reconfigure(c)
 	if in := h.burst(100); in != 10 {
 		t.Errorf("%d let in a second after the start, not 10", in)
 	}
@@ -117,14 +120,14 @@
 // What fits no other charter is not taken.
 func TestRecharterRefuses(t *testing.T) {
 	h := rechartered(t, ceiling(10, 20))
-	for i, change := range []func(*Charter){
-		func(c *Charter) { c.Me = 1 },
-		func(c *Charter) { c.Me, c.Gatekeepers = 2, 2 },
-		func(c *Charter) { c.Plans = nil },
-		func(c *Charter) { c.Products = nil },
+	for i, change := range []func(*Settings){
+		func(c *Settings) { c.GatewayIndex = 1 },
+		func(c *Settings) { c.GatewayIndex, c.GatewayCount = 2, 2 },
+		func(c *Settings) { c.Plans = nil },
+		func(c *Settings) { c.Products = nil },
 	} {
 		c := h.c
-		if change(&c); h.g.Recharter(c) {
+		if change(&c); h.g.Reconfigure(c) {
 			t.Errorf("change %d is taken up", i)
 		}
 	}
@@ -143,35 +146,35 @@
 			switch rng.Intn(4) {
 			case 0:
 				now.Plans = []Plan{plan()}
-				h.g.Recharter(now)
+				h.g.Reconfigure(now)
 			case 1:
 				now = withheld(now, float64(rng.Intn(3))/2)
-				h.g.Recharter(now)
+				h.g.Reconfigure(now)
 			default:
 				h.burst(rng.Intn(20))
 			}
-			base, all := h.g.Residue()
+			base, all := h.g.CrashState()
 			// Both live on, unmoved, and the later one takes the rules up after a while.
 			later := rechartered(t, start.Plans[0])
 			later.at(h.now)
 			later.g.base = later.now // its start
-			later.g.Remember(Residue{Base: base, Ceilings: all})
+			later.g.RestoreCrashState(CrashState{RateLimitBaseMillis: base, RateLimits: all})
 			gap := 300 * rng.Float64()
 			whole := withheld(now, 0)
 			for _, x := range []*host{h, later} {
 				x.at(h.now + gap)
 				x.at(math.Max(h.now, later.now))
-				x.g.Recharter(whole)
+				x.g.Reconfigure(whole)
 			}
 			at := func(x *host) float64 { // as its next txn finds it
 				h.next++
-				x.g.account(Arrival{ID: h.next, Customer: 7, SetSize: 1})
+				x.g.account(Request{ID: h.next, Customer: 7, SetSize: 1})
 				return x.g.accounts[x.g.byKey[7]].ceilingAt
 			}
 			if a, b := math.Max(at(h), h.now), math.Max(at(later), h.now); b < a-1e-3 {
 				t.Fatalf("seed %d: full in %.1f ms, a later life says in %.1f", seed, a-h.now, b-h.now)
 			}
-			h.g.Recharter(now)
+			h.g.Reconfigure(now)
 		}
 	}
 }
@@ -184,35 +187,36 @@
 		n    int
 		plan Plan
 	}{
-		{"few", 4, Plan{Rate: 100, Burst: 100, Factor: 1}},
-		{"two", 2, Plan{Rate: 50, Burst: 200, Factor: 1}},
-		{"many", 20, Plan{Rate: 100, Burst: 100, Factor: 1}},
-		{"beyond the quota for a fee", 4, Plan{Rate: 100, Burst: 100, Factor: 1, ExcessShare: 1}},
-		{"sparse", 40, Plan{Rate: 20, Burst: 10, Factor: 1}},
+		{"few", 4, Plan{QuotaPerSecond: 100, QuotaBurst: 100, ValueFactor: 1}},
+		{"two", 2, Plan{QuotaPerSecond: 50, QuotaBurst: 200, ValueFactor: 1}},
+		{"many", 20, Plan{QuotaPerSecond: 100, QuotaBurst: 100, ValueFactor: 1}},
+		{"beyond the quota for a fee", 4, Plan{QuotaPerSecond: 100, QuotaBurst: 100, ValueFactor: 1,
+			ExcessValueFraction: 1}},
+		{"sparse", 40, Plan{QuotaPerSecond: 20, QuotaBurst: 10, ValueFactor: 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ch := charterFor(InquiryLike, func(x *Charter) { x.Gatekeepers, x.Plans = c.n, []Plan{c.plan} })
+			ch := charterFor(Idempotent, func(x *Settings) { x.GatewayCount, x.Plans = c.n, []Plan{c.plan} })
 			h := newHost(t, ch, 1, 200)
 			h.ask(400, 3000, nil) // hot
-			ch.Narrow = true
-			h.g.Recharter(ch)
-			slice := alpha * c.plan.Rate / float64(c.n)
-			most := math.Max(alpha*c.plan.Burst/float64(c.n), 1)
+			ch.QuotaWithoutGossip = true
+			h.g.Reconfigure(ch)
+			slice := alpha * c.plan.QuotaPerSecond / float64(c.n)
+			most := math.Max(alpha*c.plan.QuotaBurst/float64(c.n), 1)
 			for _, customer := range []uint64{7, 8} { // one that is known, and one that comes new
 				in, span := 0, 10000.0
 				for end := h.now + span; h.now < end; {
 					h.at(h.now + 5)
 					if s := h.txn(customer, 1); s.final == 0 {
 						in++
-						h.ended(s, 0, Settled, 20)
+						h.ended(s, 0, Succeeded, 20)
 					}
 				}
 				if got, may := float64(in), slice*span/1000+most+1; got > may || got < 0.8*slice*span/1000 {
 					t.Errorf("customer %d: %v let in in 10 s, of at most %.1f", customer, got, may)
 				}
 			}
-			ch.Narrow = false
-			h.g.Recharter(ch)
+			ch.QuotaWithoutGossip = false
+			h.g.Reconfigure(ch)
 			h.txn(7, 1)
 			a := &h.g.accounts[h.g.byKey[7]]
 			if a.whole > 0 {
@@ -230,48 +234,48 @@
 // anew.
 func TestLapseAndRecall(t *testing.T) {
 	h := rechartered(t, ceiling(10, 20))
-	s := h.arrive(Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 3000})
+	s := h.arrive(Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 3000})
 	if s.final != 0 || len(s.subs) != 1 {
 		t.Fatalf("final %v, %d submissions", s.final, len(s.subs))
 	}
-	cleared := h.arrive(Arrival{Customer: 7, Units: 1, SetSize: 1, Clears: 5000})
-	h.g.Recharter(withheld(h.c, 1))
-	if h.pull(); cleared.final != Decline {
+	cleared := h.arrive(Request{Customer: 7, Units: 1, SetSize: 1, ClearanceMillis: 5000})
+	h.g.Reconfigure(withheld(h.c, 1))
+	if h.pull(); cleared.final != Reject {
 		t.Errorf("a clearance ends with %v", cleared.final)
 	}
-	h.g.Recall(s.ID, 0)
+	h.g.RetractAttempt(s.ID, 0)
 	s.subs, s.out, s.sentAt = nil, nil, nil
-	if h.pull(); s.final != Decline || len(s.subs) != 0 {
+	if h.pull(); s.final != Reject || len(s.subs) != 0 {
 		t.Errorf("final %v, %d submissions", s.final, len(s.subs))
 	}
-	h.g.Recharter(h.c)
-	s = h.arrive(Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 3000})
-	h.g.Recall(s.ID, 0)
+	h.g.Reconfigure(h.c)
+	s = h.arrive(Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 3000})
+	h.g.RetractAttempt(s.ID, 0)
 	s.subs, s.out, s.sentAt = nil, nil, nil
 	if h.pull(); s.final != 0 || len(s.subs) != 1 {
 		t.Errorf("final %v, %d submissions", s.final, len(s.subs))
 	}
-	h.g.Recall(s.ID, 1)
-	h.g.Recall(99, 0)
-	h.ended(s, 0, Settled, 1)
+	h.g.RetractAttempt(s.ID, 1)
+	h.g.RetractAttempt(99, 0)
+	h.ended(s, 0, Succeeded, 1)
 }
 
 // A start that waits for its first lease is as any start: nothing is held back for having waited.
 func TestFreshStart(t *testing.T) {
-	c := charterFor(InquiryLike, nil)
+	c := charterFor(Idempotent, nil)
 	h := newHost(t, c, 1, 200)
-	h.g.Recharter(withheld(c, 1))
+	h.g.Reconfigure(withheld(c, 1))
 	h.at(h.now + 10)
 	h.txn(7, 1)
-	h.g.Recharter(c)
+	h.g.Reconfigure(c)
 	h.txn(8, 1)
 	for _, customer := range []uint32{7, 8} {
-		if a := &h.g.accounts[h.g.byKey[customer]]; a.whole < alpha*c.Plans[0].Burst-2 {
+		if a := &h.g.accounts[h.g.byKey[customer]]; a.whole < alpha*c.Plans[0].QuotaBurst-2 {
 			t.Errorf("customer %d: %v in its one store", customer, a.whole)
 		}
 	}
-	h.g.Recharter(withheld(c, 1)) // but not for having been cut off
-	h.g.Recharter(c)
+	h.g.Reconfigure(withheld(c, 1)) // but not for having been cut off
+	h.g.Reconfigure(c)
 	h.txn(9, 1)
 	for _, customer := range []uint32{7, 8, 9} {
 		if a := &h.g.accounts[h.g.byKey[customer]]; a.whole > 0 {
@@ -284,8 +288,9 @@
 func TestRecharterAnyhow(t *testing.T) {
 	for seed := range int64(5) {
 		rng := rand.New(rand.NewSource(seed))
-		now := charterFor(InquiryLike, func(c *Charter) {
-			c.Gatekeepers, c.Plans = 6, []Plan{ceiling(20, 20), {Rate: 40, Burst: 10, Factor: 1}, {Open: 6, Factor: 1}}
+		now := charterFor(Idempotent, func(c *Settings) {
+			c.GatewayCount, c.Plans = 6, []Plan{ceiling(20, 20), {QuotaPerSecond: 40, QuotaBurst: 10, ValueFactor: 1},
+				{MaxInFlight: 6, ValueFactor: 1}}
 		})
 		h := newHost(t, now, seed, 50)
 		for range 600 {
@@ -294,21 +299,22 @@
 			switch rng.Intn(6) {
 			case 0:
 				now = withheld(now, float64(rng.Intn(4))/3)
-				now.Gatekeepers = 1 + rng.Intn(40)
+				now.GatewayCount = 1 + rng.Intn(40)
 				if rng.Intn(2) == 0 {
-					now.Plans[0].CeilingRate, now.Plans[0].CeilingDepth = 100*rng.Float64(), 100*rng.Float64()
-					now.Plans[1].Rate = 100 * rng.Float64()
+					now.Plans[0].RateLimitPerSecond, now.Plans[0].RateLimitBurst = 100*rng.Float64(), 100*rng.Float64()
+					now.Plans[1].QuotaPerSecond = 100 * rng.Float64()
 				}
-				h.g.Recharter(now)
+				h.g.Reconfigure(now)
 			case 1:
-				h.g.Hear(rng.Intn(6), []Report{{Customer: uint64(rng.Intn(9)), Demand: 50 * rng.Float64()}})
+				h.g.ReceiveReports(rng.Intn(6), []Report{{Customer: uint64(rng.Intn(9)), DemandPerSecond: 50 *
+					rng.Float64()}})
 			case 2:
 				h.rest(float64(rng.Intn(3000)))
 			default:
-				s := h.arrive(Arrival{Customer: uint64(rng.Intn(9)), Plan: rng.Intn(3), Units: 1,
-					SetSize: 1 + rng.Intn(now.Gatekeepers), Left: 3000})
+				s := h.arrive(Request{Customer: uint64(rng.Intn(9)), Plan: rng.Intn(3), Units: 1,
+					SetSize: 1 + rng.Intn(now.GatewayCount), TimeLeftMillis: 3000})
 				if s.final == 0 {
-					h.ended(s, 0, Settled, 20)
+					h.ended(s, 0, Succeeded, 20)
 				}
 			}
 			for i := range h.g.accounts {
@@ -318,8 +324,8 @@
 						t.Fatalf("seed %d: %+v", seed, *a)
 					}
 				}
-				if a.live && a.holding > now.Gatekeepers {
-					t.Fatalf("seed %d: %d are held of %d", seed, a.holding, now.Gatekeepers)
+				if a.live && a.holding > now.GatewayCount {
+					t.Fatalf("seed %d: %d are held of %d", seed, a.holding, now.GatewayCount)
 				}
 			}
 		}
--- a/internal/policy/repeats.go
+++ b/internal/policy/repeats.go
@@ -3,7 +3,7 @@
 import "math"
 
 // Ended tells how submission n of a txn ended, and whether that closed the txn, now or earlier.
-func (g *Gatekeeper) Ended(id uint64, n int, o Outcome, took float64, closed bool) {
+func (g *Engine) AttemptEnded(id uint64, n int, o Outcome, took float64, closed bool) {
 	slot, ok := g.byID[id]
 	if !ok || n < 0 || n >= len(g.txns[slot].subs) || !g.txns[slot].subs[n].out {
 		return
@@ -14,22 +14,22 @@
 	if p.out > 0 && o != NotSent {
 		p.stay += fleetGain * (took - p.stay)
 	}
-	if t.tight && o == Settled {
+	if t.tight && o == Succeeded {
 		p.tight += tightGain * (1 - p.tight)
 	} else if t.tight && o == TimedOut {
 		p.tight -= tightGain * p.tight
 	}
 	sla := math.Max(g.products[t.product].sla, 1)
-	if late := took > overdue*math.Max(g.pace, 1); late && o == Settled {
+	if late := took > overdue*math.Max(g.pace, 1); late && o == Succeeded {
 		g.long.add(1, g.now, astrayFade)
 	} else if late && o == TimedOut && w.heard >= s.sent {
 		g.astray.add(1, g.now, astrayFade)
 	}
-	if o <= Full || o == NoRoute || o == Cut {
+	if o <= Overloaded || o == ConnectFailed || o == ConnectionLost {
 		w.heard = g.now
 	}
 	switch o {
-	case Settled:
+	case Succeeded:
 		if s.sent < g.thawed {
 			break
 		}
@@ -38,12 +38,12 @@
 		if g.openTo[g.sort(t)] > mostly { // else it is those few workers that are pressed
 			g.pressed(took / sla / g.charter.slack)
 		}
-	case Fault, Cut:
+	case Failed, ConnectionLost:
 		g.doubt(w, took)
 		g.risk(t, s)
-	case NoRoute:
+	case ConnectFailed:
 		g.doubt(w, took)
-	case Full:
+	case Overloaded:
 		if g.turned(w, t); w.full {
 			g.doubt(w, took)
 			g.pressed(1)
@@ -56,12 +56,12 @@
 			}
 		}
 		g.risk(t, s)
-	case Withdrawn:
+	case Cancelled:
 		g.risk(t, s)
 	}
 	if closed && !t.answered {
 		t.answered = true
-		g.tally.Final[BySettled]++
+		g.tally.FinalByReason[ReasonSucceeded]++
 	}
 	g.due = append(g.due, slot)
 }
@@ -69,7 +69,7 @@
 // turned notes that a worker turned a txn away as full. It counts as full for all only once it has done so to
 // more than one plan and product, as far as there are more. Guards against workers that turn away one of them
 // though they have room. A plan turned away by a part of the workers gets the rest's part of the window.
-func (g *Gatekeeper) turned(w *worker, t *txn) {
+func (g *Engine) turned(w *worker, t *txn) {
 	g.marks(w)[g.sort(t)].add(1, g.now, turnedFade)
 	plan, product := len(g.plans) == 1, len(g.products) == 1
 	for i := range w.turned {
@@ -82,12 +82,12 @@
 }
 
 // turnsAway tells whether a worker is held to turn a sort of txn away.
-func (g *Gatekeeper) turnsAway(w *worker, sort int) bool {
+func (g *Engine) turnsAway(w *worker, sort int) bool {
 	return w.turned != nil && w.turned[sort].at(g.now, turnedFade) > turnedAt
 }
 
 // watch looks at a waiting txn for a silent worker.
-func (g *Gatekeeper) watch(t *txn) {
+func (g *Engine) watch(t *txn) {
 	if !t.live || t.answered || t.coming {
 		return
 	}
@@ -130,14 +130,14 @@
 }
 
 // mayRepeat is until when a further submission may begin under the rule against double effects; 0 is never.
-func (g *Gatekeeper) mayRepeat(t *txn, running bool) float64 {
+func (g *Engine) mayRepeat(t *txn, running bool) float64 {
 	p := &g.products[t.product]
 	switch {
 	case len(t.subs) >= g.charter.maxSubs || t.poured:
 		return 0
-	case !t.mayRun && !running || p.repeat == InquiryLike:
+	case !t.mayRun && !running || p.repeat == Idempotent:
 		return math.Inf(1)
-	case p.repeat == OnceOnly:
+	case p.repeat == NonIdempotent:
 		return 0
 	}
 	from := t.bondAt
@@ -151,29 +151,30 @@
 }
 
 // giveUp ends a txn at once: declined where that promise holds, else voided.
-func (g *Gatekeeper) giveUp(t *txn, why Reason, wait float64) Decision {
+func (g *Engine) giveUp(t *txn, why FinalReason, wait float64) Decision {
 	t.answered = true
-	g.tally.Final[why]++
+	g.tally.FinalByReason[why]++
 	g.due = append(g.due, g.byID[t.id])
 	p := &g.products[t.product]
-	if t.out == 0 && !t.mayRun || p.repeat == InquiryLike || p.repeat == Referenced && p.group == GroupAll {
-		g.tally.Declined++
+	if t.out == 0 && !t.mayRun || p.repeat == Idempotent || p.repeat == Deduplicated &&
+		p.group == DedupAcrossFleet {
+		g.tally.Rejected++
 		if !g.charter.advise {
 			wait = 0
 		}
-		return Decision{Kind: Decline, Txn: t.id, Wait: math.Min(wait, g.charter.maxAdvice)}
+		return Decision{Kind: Reject, RequestID: t.id, WaitMillis: math.Min(wait, g.charter.maxAdvice)}
 	}
-	g.tally.Voided++
-	return Decision{Kind: Void, Txn: t.id}
+	g.tally.RejectedUncertain++
+	return Decision{Kind: RejectUncertain, RequestID: t.id}
 }
 
-func (g *Gatekeeper) submit(t *txn, wi int) Decision {
+func (g *Engine) submit(t *txn, wi int) Decision {
 	latest := g.mayRepeat(t, t.out > 0)
 	if len(t.subs) == 0 {
 		g.spend(t)
 	}
 	w := &g.workers[wi]
-	if g.warmth(w.Since) < 1 {
+	if g.warmth(w.StartedAtMillis) < 1 {
 		w.coldAt, w.coldDebt = g.now, t.units
 	}
 	g.seat(g.away(t, wi), !t.coming)
--- a/internal/policy/size_test.go
+++ b/internal/policy/size_test.go
@@ -18,43 +18,46 @@
 const hall = 7900 // workers of one zone
 
 // vast is a charter of 7,900 gatekeepers, unless there are others, with 20 sorts of txns.
-func vast(gatekeepers int) Charter {
-	c := Charter{Gatekeepers: gatekeepers, LargestUnits: 8, MaxSubmissions: 3, LoadTold: true, MayTell: true,
-		PeerInPerS: 60, ReportsPerTell: 20, ColdFrom: 0.2, WarmUp: 20000, Whole: 1, MayOverlap: true,
-		MayWithdraw: true, MayAdvise: true, MaxAdvice: 1000}
+func vast(gatekeepers int) Settings {
+	c := Settings{GatewayCount: gatekeepers, MaxRequestUnits: 8, MaxAttempts: 3, WorkersReportLoad: true,
+		AllowGossip:           true,
+		PeerMessagesPerSecond: 60, ReportsPerMessage: 20, ColdCapacityFraction: 0.2, WarmUpMillis: 20000,
+		TotalWeight: 1, AllowHedging: true,
+		AllowCancel: true, AllowRetryAfter: true, MaxRetryAfterMillis: 1000}
 	for i := range 4 {
-		c.Products = append(c.Products, Product{SLA: 500 + 200*float64(i), Value: 1})
+		c.Products = append(c.Products, Product{LatencyTargetMillis: 500 + 200*float64(i), Value: 1})
 	}
 	for i := range 5 {
-		c.Plans = append(c.Plans, Plan{Rate: 1000 * float64(i+1), Burst: 2000, Factor: 1})
+		c.Plans = append(c.Plans, Plan{QuotaPerSecond: 1000 * float64(i+1), QuotaBurst: 2000, ValueFactor: 1})
 	}
 	return c
 }
 
-func posts(n int) []Posting {
-	var l []Posting
+func posts(n int) []Endpoint {
+	var l []Endpoint
 	for i := range n {
-		l = append(l, Posting{Worker: i, Zone: i / hall, Cell: i / 38, Kind: i % 5, Rating: 1 + float64(i%3)/2,
-			Active: true, New: true})
+		l = append(l, Endpoint{Worker: i, Zone: i / hall, Cell: i / 38, MachineKind: i % 5, SizeRating: 1 +
+			float64(i%3)/2,
+			Active: true, Replaced: true})
 	}
 	return l
 }
 
 // listing is a gatekeeper with a list of so many workers, of which some are cold.
-func listing(n, cold int) *Gatekeeper {
+func listing(n, cold int) *Engine {
 	g := New(vast(7900), 1)
-	g.Clock(1e6)
+	g.AdvanceTo(1e6)
 	l := posts(n)
 	for i := range cold {
-		l[i*(n/cold)].Since = 1e6 - 10
+		l[i*(n/cold)].StartedAtMillis = 1e6 - 10
 	}
-	g.Roster(l, false)
+	g.UpdateEndpoints(l, false)
 	return g
 }
 
-func pulled(g *Gatekeeper) (last Decision) {
+func pulled(g *Engine) (last Decision) {
 	for {
-		d, ok := g.Next()
+		d, ok := g.NextDecision()
 		if !ok {
 			return last
 		}
@@ -68,8 +71,8 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
 				g := New(vast(7900), 1)
-				g.Clock(1e6)
-				g.Roster(l, false)
+				g.AdvanceTo(1e6)
+				g.UpdateEndpoints(l, false)
 			}
 		})
 	}
@@ -79,12 +82,12 @@
 	for _, n := range workerSizes {
 		l := posts(n)
 		for i := range l {
-			l[i].New = false
+			l[i].Replaced = false
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			g := listing(n, 0)
 			for b.Loop() {
-				g.Roster(l, false)
+				g.UpdateEndpoints(l, false)
 			}
 		})
 	}
@@ -100,12 +103,13 @@
 			b.Run(fmt.Sprintf("cold-%d/%d", cold, n), func(b *testing.B) {
 				g := listing(n, cold)
 				rng, up := rand.New(rand.NewSource(1)), make([]bool, n)
-				one := make([]Posting, 1)
+				one := make([]Endpoint, 1)
 				for b.Loop() {
 					i := rng.Intn(n)
-					one[0] = Posting{Worker: i, Kind: i % 5, Rating: 1, Active: up[i], Since: g.workers[i].Since}
+					one[0] = Endpoint{Worker: i, MachineKind: i % 5, SizeRating: 1, Active: up[i],
+						StartedAtMillis: g.workers[i].StartedAtMillis}
 					up[i] = !up[i]
-					g.Roster(one, true)
+					g.UpdateEndpoints(one, true)
 				}
 			})
 		}
@@ -123,21 +127,21 @@
 			b.Run(fmt.Sprintf("%s/%d", how, n), func(b *testing.B) {
 				g, l := listing(n, 0), posts(hall)
 				for i := range l {
-					l[i].New = false
+					l[i].Replaced = false
 				}
 				for round := 0; b.Loop(); round++ {
 					for _, up := range []bool{false, true} {
 						for i := range l {
 							if l[i].Active = up; up {
-								l[i].Since = 1e6 + float64(round) // each has started anew, and is cold
+								l[i].StartedAtMillis = 1e6 + float64(round) // each has started anew, and is cold
 							}
 						}
 						if how == "one" {
-							g.Roster(l, true)
+							g.UpdateEndpoints(l, true)
 							continue
 						}
 						for i := range l {
-							g.Roster(l[i:i+1], true)
+							g.UpdateEndpoints(l[i:i+1], true)
 						}
 					}
 				}
@@ -158,12 +162,13 @@
 				g.window = 1e9
 				for id := uint64(1); b.Loop(); id++ {
 					now += 0.01
-					g.Clock(now)
-					g.Take(Arrival{ID: id, Customer: id % 50, Plan: int(id % 5), Units: 1, SetSize: 3, Left: 500})
-					if d := pulled(g); d.Kind != Wake {
-						g.Clock(now + 0.005)
+					g.AdvanceTo(now)
+					g.AddRequest(Request{ID: id, Customer: id % 50, Plan: int(id % 5), Units: 1, SetSize: 3,
+						TimeLeftMillis: 500})
+					if d := pulled(g); d.Kind != SetTimer {
+						g.AdvanceTo(now + 0.005)
 					}
-					g.Ended(id, 0, Settled, 50, true)
+					g.AttemptEnded(id, 0, Succeeded, 50, true)
 					pulled(g)
 				}
 			})
@@ -192,13 +197,13 @@
 }
 
 // touched is a gatekeeper through which so many customers have come.
-func touched(n int) *Gatekeeper {
+func touched(n int) *Engine {
 	g := listing(200, 0)
 	g.window = 1e9
 	for id := uint64(1); id <= uint64(n); id++ {
-		g.Take(Arrival{ID: id, Customer: id, Plan: int(id % 5), Units: 1, SetSize: 20, Left: 500})
+		g.AddRequest(Request{ID: id, Customer: id, Plan: int(id % 5), Units: 1, SetSize: 20, TimeLeftMillis: 500})
 		pulled(g)
-		g.Ended(id, 0, Settled, 50, true)
+		g.AttemptEnded(id, 0, Succeeded, 50, true)
 		pulled(g)
 	}
 	return g
@@ -209,14 +214,14 @@
 	for _, n := range workerSizes {
 		b.Run(fmt.Sprintf("workers/%d", n), func(b *testing.B) {
 			for g := listing(n, 0); b.Loop(); {
-				g.Tally()
+				g.Stats()
 			}
 		})
 	}
 	for _, n := range clientSizes {
 		b.Run(fmt.Sprintf("customers/%d", n), func(b *testing.B) {
 			for g := touched(n); b.Loop(); {
-				g.Tally()
+				g.Stats()
 			}
 		})
 	}
@@ -226,9 +231,9 @@
 func BenchmarkSight(b *testing.B) {
 	for _, n := range workerSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			var s Sight
+			var s Snapshot
 			for g := listing(n, 0); b.Loop(); {
-				g.Look(&s, 0)
+				g.WriteSnapshot(&s, 0)
 			}
 		})
 	}
@@ -243,7 +248,7 @@
 		runtime.ReadMemStats(&m)
 		return float64(m.HeapAlloc)
 	}
-	run := func(name string, sizes []int, of func(n int) *Gatekeeper) {
+	run := func(name string, sizes []int, of func(n int) *Engine) {
 		for _, n := range sizes {
 			b.Run(fmt.Sprintf("%s/%d", name, n), func(b *testing.B) {
 				for range b.N {
@@ -257,6 +262,6 @@
 			})
 		}
 	}
-	run("workers", workerSizes, func(n int) *Gatekeeper { return listing(n, 0) })
+	run("workers", workerSizes, func(n int) *Engine { return listing(n, 0) })
 	run("customers", clientSizes, touched)
 }
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -52,7 +52,7 @@
 }
 
 type worker struct {
-	Posting
+	Endpoint
 	listed           bool
 	inFlight         int
 	pace, paced      float64 // smoothed time of an answer, ms, and when it was renewed
@@ -119,8 +119,8 @@
 // product holds what decisions need of a Product; times in ms.
 type product struct {
 	sla, window float64
-	repeat      Repeat
-	group       Group
+	repeat      Idempotency
+	group       DedupScope
 }
 
 // plan holds what decisions need of a Plan, per ms.
@@ -138,7 +138,7 @@
 }
 
 // Gatekeeper is one instance. All its state is its own.
-type Gatekeeper struct {
+type Engine struct {
 	rng      *rand.Rand
 	now      float64
 	started  float64
@@ -150,8 +150,8 @@
 	thawed   float64 // when the gatekeeper last found that it had itself stood still
 	begun    bool
 	charter  terms
-	signed   Charter // what they were derived from
-	first    []Plan  // as they were at the start, once they have changed
+	signed   Settings // what they were derived from
+	first    []Plan   // as they were at the start, once they have changed
 	products []product
 	plans    []plan
 	depth    [][]float64 // window fraction by product and plan
@@ -214,7 +214,7 @@
 	urgent                     []int32 // accounts whose sets are told at once, and how far the first has come
 	toldTo                     int
 	saidAll                    float64 // GCRA: the moment at which the part for this is whole again
-	tally                      Tally
+	tally                      Stats
 }
 
 // terms are the charter's figures that decisions use as they are.
@@ -234,41 +234,41 @@
 }
 
 // Tally gives the counts and the present state that on-call staff look at.
-func (g *Gatekeeper) Tally() Tally {
+func (g *Engine) Stats() Stats {
 	t := g.tally
 	t.InFlight, t.Window, t.Customers, t.Workers = float64(g.inHand), g.window, len(g.byKey), len(g.ready)
 	for i := range g.accounts {
 		if g.accounts[i].live && g.accounts[i].hot {
-			t.Hot++
+			t.HotCustomers++
 		}
 	}
 	for i := range g.peers {
 		if p := &g.peers[i]; p.gone {
-			t.Lost++
+			t.LostPeers++
 		} else if p.silent {
-			t.Suspected++
+			t.SilentPeers++
 		}
 	}
 	for _, i := range g.wary {
 		if g.in[i] != out && g.workers[i].distrust.at(g.now, distrustFade) >= distrusted {
-			t.Distrusted++
+			t.SuspectedWorkers++
 		}
 	}
 	return t
 }
 
-func (g *Gatekeeper) withdraw(t *txn) (Decision, bool) {
+func (g *Engine) withdraw(t *txn) (Decision, bool) {
 	for i := range t.subs {
 		if s := &t.subs[i]; s.out && !s.dropped && g.charter.withdraw {
 			s.dropped = true
-			return Decision{Kind: Withdraw, Txn: t.id, N: i}, true
+			return Decision{Kind: Cancel, RequestID: t.id, Attempt: i}, true
 		}
 	}
 	return Decision{}, false
 }
 
 // away books a submission that goes out.
-func (g *Gatekeeper) away(t *txn, wi int) *submission {
+func (g *Engine) away(t *txn, wi int) *submission {
 	w := &g.workers[wi]
 	t.subs = append(t.subs, submission{worker: wi, zone: w.Zone, cell: w.Cell, sent: g.now, out: true})
 	t.out++
@@ -280,7 +280,7 @@
 }
 
 // back books the end of one, and gives its worker.
-func (g *Gatekeeper) back(t *txn, s *submission) *worker {
+func (g *Engine) back(t *txn, s *submission) *worker {
 	s.out = false
 	t.out--
 	g.accounts[t.acct].out--
@@ -308,15 +308,15 @@
 }
 
 // word tells the gatekeeper that stands so far behind this one in a customer's set.
-func (g *Gatekeeper) word(c *account, ahead int) Decision {
+func (g *Engine) word(c *account, ahead int) Decision {
 	place := (g.charter.me - c.first + g.charter.n) % g.charter.n
 	to := (c.first + (place+ahead)%c.n) % g.charter.n
 	g.reports = append(g.reports[:0], c.report())
-	return Decision{Kind: Tell, Peer: to, Reports: g.reports}
+	return Decision{Kind: SendReports, Peer: to, Reports: g.reports}
 }
 
 // wake asks for the next turn, unless an earlier one has been asked for.
-func (g *Gatekeeper) wake() (Decision, bool) {
+func (g *Engine) wake() (Decision, bool) {
 	at := 0.0
 	if len(g.byID) > 0 {
 		at = g.nextBeat
@@ -326,13 +326,13 @@
 	}
 	if at > 0 && (g.wakeAt == 0 || at < g.wakeAt) {
 		g.wakeAt = at
-		return Decision{Kind: Wake, At: at}, true
+		return Decision{Kind: SetTimer, AtMillis: at}, true
 	}
 	return Decision{}, false
 }
 
 // gather notes a hot customer's set, and its own demand if that is news.
-func (g *Gatekeeper) gather(ai int32) {
+func (g *Engine) gather(ai int32) {
 	c := &g.accounts[ai]
 	g.owed[c.first]++
 	g.owed[c.first+c.n]--
@@ -343,13 +343,13 @@
 }
 
 // say books that own demand is told now.
-func (g *Gatekeeper) say(c *account) {
+func (g *Engine) say(c *account) {
 	c.known = c.said * math.Exp((c.saidAt-g.now)/g.plans[c.plan].memory)
 	c.said, c.saidAt = g.own(c), g.now
 }
 
 // asked adds to a customer's demand here.
-func (g *Gatekeeper) asked(c *account, draws float64) {
+func (g *Engine) asked(c *account, draws float64) {
 	p := &g.plans[c.plan]
 	if c.lag > 0 {
 		c.withhold()
@@ -361,13 +361,13 @@
 }
 
 // Burden takes what a worker said of its load with an answer. What makes no sense changes nothing.
-func (g *Gatekeeper) Burden(wi int, b Burden) {
+func (g *Engine) ReportWorkerLoad(wi int, b WorkerLoad) {
 	if !g.charter.loadTold || wi < 0 || wi >= len(g.workers) {
 		return
 	}
-	held := b.Held
-	if !(held >= 0) && b.Busy >= 0 { // of a queue that is as busy
-		busy := math.Min(b.Busy, fullest)
+	held := b.InFlight
+	if !(held >= 0) && b.CPUFraction >= 0 { // of a queue that is as busy
+		busy := math.Min(b.CPUFraction, fullest)
 		held = busy / (1 - busy)
 	}
 	if held >= 0 && held < math.MaxInt32 {
@@ -389,7 +389,7 @@
 }
 
 // open makes an account with full stores, in a used place if there is one.
-func (g *Gatekeeper) open(customer uint64, plan int) int32 {
+func (g *Engine) open(customer uint64, plan int) int32 {
 	ai := place(&g.accounts, &g.unused)
 	c, p := &g.accounts[ai], &g.plans[plan]
 	*c = account{customer: customer, plan: plan, seen: g.now, coolSince: g.now, filled: g.now,
@@ -402,7 +402,7 @@
 }
 
 // drop lets an account go.
-func (g *Gatekeeper) drop(ai int32) {
+func (g *Engine) drop(ai int32) {
 	c := &g.accounts[ai]
 	delete(g.byKey, uint32(c.customer))
 	if c.n == 0 {
@@ -426,11 +426,11 @@
 
 // paceOf is the time of an answer of a worker: its own as far as it is recent, else that of its kind. Among
 // many gatekeepers each sees a worker once in many seconds, and a kind of machine often.
-func (g *Gatekeeper) paceOf(w *worker) float64 {
-	usual := g.kinds[w.Kind].pace
+func (g *Engine) paceOf(w *worker) float64 {
+	usual := g.kinds[w.MachineKind].pace
 	if usual == 0 {
-		if usual = g.pace; w.Rating > 0 { // until the kind is seen, the list's word on its size
-			usual *= g.meanRating() / w.Rating
+		if usual = g.pace; w.SizeRating > 0 { // until the kind is seen, the list's word on its size
+			usual *= g.meanRating() / w.SizeRating
 		}
 	}
 	if w.pace == 0 {
@@ -440,14 +440,14 @@
 }
 
 // timed adds the time of a whole answer to its worker's pace, its kind's and the fleet's.
-func (g *Gatekeeper) timed(w *worker, took float64) {
+func (g *Engine) timed(w *worker, took float64) {
 	if g.pace == 0 {
 		g.pace = took
 	}
 	w.pace, w.paced = g.paceOf(w), g.now // one slow answer must not make a worker look slow for long
 	w.pace += paceGain * (took - w.pace)
 	g.pace += fleetGain * (took - g.pace)
-	k := &g.kinds[w.Kind]
+	k := &g.kinds[w.MachineKind]
 	k.answers++
 	k.pace += math.Max(fleetGain, 1/k.answers) * (took - k.pace)
 }
@@ -473,16 +473,16 @@
 }
 
 // unheard counts the silent peers of a customer's set.
-func (g *Gatekeeper) unheard(c *account) int { return g.mute[c.first+c.n] - g.mute[c.first] }
+func (g *Engine) unheard(c *account) int { return g.mute[c.first+c.n] - g.mute[c.first] }
 
-func (g *Gatekeeper) warmWork() float64 {
+func (g *Engine) warmWork() float64 {
 	return g.warmDone * math.Exp((g.warmAt-g.now)/refMemory)
 }
 
 // earn books the work of a warm worker, and what it comes to for each of the warm ones there are. Of one that
 // is not on the list any more it does not count for that: the number of the others may just have fallen.
-func (g *Gatekeeper) earn(by *worker, units float64) {
-	if g.warmth(by.Since) < 1 {
+func (g *Engine) earn(by *worker, units float64) {
+	if g.warmth(by.StartedAtMillis) < 1 {
 		return
 	}
 	fade := math.Exp((g.warmAt - g.now) / refMemory)
@@ -493,7 +493,7 @@
 }
 
 // distrustOf is what speaks against a worker for a txn.
-func (g *Gatekeeper) distrustOf(t *txn, wi int) float64 {
+func (g *Engine) distrustOf(t *txn, wi int) float64 {
 	w := &g.workers[wi]
 	d := w.distrust.at(g.now, distrustFade)
 	if w.turned != nil {
@@ -503,13 +503,13 @@
 }
 
 // sort numbers the pairs of plan and product.
-func (g *Gatekeeper) sort(t *txn) int { return t.plan*len(g.products) + t.product }
+func (g *Engine) sort(t *txn) int { return t.plan*len(g.products) + t.product }
 
 // own is the demand estimate, units a ms. That of a sparse plan has a long memory: after a start it makes up
 // for what it has not seen yet.
-func (g *Gatekeeper) own(c *account) float64 {
+func (g *Engine) own(c *account) float64 {
 	p := &g.plans[c.plan]
-	if g.signed.Narrow && c.n > 1 && g.now-c.seen < g.charter.cooldown {
+	if g.signed.QuotaWithoutGossip && c.n > 1 && g.now-c.seen < g.charter.cooldown {
 		return boundless // so may its peers, unheard: there is no room in the one store
 	}
 	d := c.demand * math.Exp((c.seen-g.now)/p.memory)
@@ -520,13 +520,13 @@
 }
 
 // shared tells whether a customer's txns can come through a peer too.
-func (g *Gatekeeper) shared(c *account, peer int) bool {
+func (g *Engine) shared(c *account, peer int) bool {
 	return (peer-c.first+g.charter.n)%g.charter.n < c.n
 }
 
 // Begun tells that the answer of submission n has started to stream: it is the client's now, and has no
 // expiry.
-func (g *Gatekeeper) Begun(id uint64, n int) {
+func (g *Engine) ResponseStarted(id uint64, n int) {
 	if slot, ok := g.byID[id]; ok && n >= 0 && n < len(g.txns[slot].subs) {
 		t := &g.txns[slot]
 		t.subs[n].dropped, t.answered = true, true
@@ -536,7 +536,7 @@
 }
 
 // Stirs tells that a worker has begun to answer, so that it is not taken for a silent one.
-func (g *Gatekeeper) Stirs(wi int) {
+func (g *Engine) WorkerResponded(wi int) {
 	if wi >= 0 && wi < len(g.workers) {
 		g.workers[wi].heard = g.now
 	}
@@ -544,7 +544,7 @@
 
 // Poured tells that a body that is not kept has begun to go out with submission n, or, where left is given,
 // that its last byte has: the client waits so many ms from now on.
-func (g *Gatekeeper) Poured(id uint64, n int, left float64) {
+func (g *Engine) BodyForwarded(id uint64, n int, left float64) {
 	slot, ok := g.byID[id]
 	if !ok || n < 0 || n >= len(g.txns[slot].subs) {
 		return
@@ -559,16 +559,16 @@
 }
 
 // grant clears a txn: its units are kept for it until it comes, for as long as its clearance lasts.
-func (g *Gatekeeper) grant(t *txn) Decision {
+func (g *Engine) grant(t *txn) Decision {
 	t.pass, t.expiry, t.coming = granted, g.now+t.life, false
 	g.keep(t)
 	g.accounts[t.acct].out++
 	g.nextBeat = math.Min(g.nextBeat, t.expiry)
-	return Decision{Kind: Grant, Txn: t.id, Wait: t.life}
+	return Decision{Kind: GrantClearance, RequestID: t.id, WaitMillis: t.life}
 }
 
 // ungrant ends a clearance.
-func (g *Gatekeeper) ungrant(t *txn) {
+func (g *Engine) ungrant(t *txn) {
 	if t.pass == granted {
 		t.pass = claimed
 		g.accounts[t.acct].out--
@@ -577,7 +577,7 @@
 
 // Claim tells that a cleared txn has come: its client waits so many ms from now on, or from the last byte of
 // a body that is still coming. It is false if its clearance is no more; the txn is then like any other.
-func (g *Gatekeeper) Claim(id uint64, left float64, coming bool) bool {
+func (g *Engine) ClaimClearance(id uint64, left float64, coming bool) bool {
 	slot, ok := g.byID[id]
 	if !ok || g.txns[slot].pass != granted || g.txns[slot].answered || g.now >= g.txns[slot].expiry {
 		return false
@@ -590,17 +590,17 @@
 }
 
 // Release tells that a cleared txn will not come: its units are free again.
-func (g *Gatekeeper) Release(id uint64) {
+func (g *Engine) ReleaseClearance(id uint64) {
 	if slot, ok := g.byID[id]; ok && g.txns[slot].pass == granted && !g.txns[slot].answered {
 		g.txns[slot].answered = true
-		g.tally.Final[ByLapse]++
+		g.tally.FinalByReason[ReasonClearanceExpired]++
 		g.due = append(g.due, slot)
 	}
 }
 
 // Cleared takes over a clearance that another process of this gatekeeper has given, for so many ms more.
-func (g *Gatekeeper) Cleared(a Arrival) {
-	g.Take(a)
+func (g *Engine) ImportClearance(a Request) {
+	g.AddRequest(a)
 	t := &g.txns[g.byID[a.ID]]
 	t.inside = true
 	g.grant(t)
@@ -612,16 +612,16 @@
 }
 
 // late is why a txn gets its answer at its expiry.
-func (t *txn) late() Reason {
+func (t *txn) late() FinalReason {
 	if t.pass == granted {
-		return ByLapse
+		return ReasonClearanceExpired
 	}
-	return ByFailure
+	return ReasonAttemptsExhausted
 }
 
 // keep sets a txn's units aside. Guards against giving back what was spent: a store that would have been full
 // meanwhile has run over, and would hold more than the truth. What is kept was never taken from it.
-func (g *Gatekeeper) keep(t *txn) {
+func (g *Engine) keep(t *txn) {
 	if !t.kept {
 		t.kept = true
 		g.kept(t, 1)
@@ -629,7 +629,7 @@
 }
 
 // unkeep ends that, and a clearance with it.
-func (g *Gatekeeper) unkeep(t *txn) {
+func (g *Engine) unkeep(t *txn) {
 	g.ungrant(t)
 	g.unlend(t)
 	if t.kept {
@@ -640,7 +640,7 @@
 
 // kept changes what is kept for a customer by a txn's units, so many times. Beyond the quota nothing is
 // taken from it.
-func (g *Gatekeeper) kept(t *txn, times float64) {
+func (g *Engine) kept(t *txn, times float64) {
 	c := &g.accounts[t.acct]
 	if c.kept = math.Max(c.kept+times*t.units, 0); t.inside {
 		c.keptDraws = math.Max(c.keptDraws+times*t.draws, 0)
@@ -650,7 +650,7 @@
 // full is when the slice of a customer's ceiling is full again, if all that is kept goes out too; 0 where
 // there is none. A later life reads it by the ceilings that this one began with, so where these have changed
 // the slower of both paces counts: it then takes for spent no less than is.
-func (g *Gatekeeper) full(c *account) float64 {
+func (g *Engine) full(c *account) float64 {
 	p := &g.plans[c.plan]
 	if p.ceilRate <= 0 {
 		return 0
@@ -662,13 +662,14 @@
 }
 
 // order is the decision that sends a txn's newest submission to a worker, before a moment.
-func (g *Gatekeeper) order(t *txn, wi int, latest float64) Decision {
-	return Decision{Kind: Submit, Txn: t.id, Worker: wi, N: len(t.subs) - 1, Wait: t.expiry - g.now,
-		At: t.expiry, Latest: latest, Full: g.full(&g.accounts[t.acct])}
+func (g *Engine) order(t *txn, wi int, latest float64) Decision {
+	return Decision{Kind: Submit, RequestID: t.id, Worker: wi, Attempt: len(t.subs) - 1, WaitMillis: t.expiry -
+		g.now,
+		AtMillis: t.expiry, SendBeforeMillis: latest, RateLimitFullAtMillis: g.full(&g.accounts[t.acct])}
 }
 
 // seat notes whether a submission counts as in hand.
-func (g *Gatekeeper) seat(s *submission, in bool) {
+func (g *Engine) seat(s *submission, in bool) {
 	if s.placed != in {
 		s.placed = in
 		if in {
@@ -680,7 +681,7 @@
 }
 
 // risk notes that a submission may have run.
-func (g *Gatekeeper) risk(t *txn, s *submission) {
+func (g *Engine) risk(t *txn, s *submission) {
 	if !t.mayRun || s.sent < t.bondAt {
 		t.bond, t.bondAt = *s, s.sent
 	}
@@ -688,21 +689,21 @@
 }
 
 // Left tells that the client of a txn no longer waits.
-func (g *Gatekeeper) Left(id uint64) {
+func (g *Engine) ClientGone(id uint64) {
 	if slot, ok := g.byID[id]; ok && !g.txns[slot].answered {
 		g.txns[slot].answered = true
-		g.tally.Final[ByClient]++
+		g.tally.FinalByReason[ReasonClientGone]++
 		g.due = append(g.due, slot)
 	}
 }
 
 // silence notes that a peer which owes a word has said nothing for some periods, for so long that it counts
 // no more, or is heard again. While it is silent the demand of its last message does not fade.
-func (g *Gatekeeper) silence(from int, silent, gone bool) {
+func (g *Engine) silence(from int, silent, gone bool) {
 	p := &g.peers[from]
 	held := p.silent && !p.gone
 	p.silent, p.gone = silent, gone
-	if hold := silent && !gone; hold != held && !g.signed.Narrow { // all are unheard alike then
+	if hold := silent && !gone; hold != held && !g.signed.QuotaWithoutGossip { // all are unheard alike then
 		for _, r := range p.last {
 			ai, ok := g.byKey[uint32(r.Customer)]
 			if !ok {
@@ -710,7 +711,7 @@
 			}
 			c := &g.accounts[ai]
 			g.fill(c)
-			if d := r.Demand / 1000; hold {
+			if d := r.DemandPerSecond / 1000; hold {
 				c.others = math.Max(c.others-d*math.Exp((p.heard-g.now)/g.plans[c.plan].memory), 0)
 				c.held += d
 				c.holding++
@@ -724,11 +725,11 @@
 }
 
 // muted counts the silent peers over the ring.
-func (g *Gatekeeper) muted() {
+func (g *Engine) muted() {
 	for i := range g.mute[1:] {
 		g.mute[i+1] = g.mute[i]
 		p := &g.peers[i%g.charter.n]
-		if p.silent && !p.gone || g.signed.Narrow && i%g.charter.n != g.charter.me {
+		if p.silent && !p.gone || g.signed.QuotaWithoutGossip && i%g.charter.n != g.charter.me {
 			g.mute[i+1]++
 		}
 	}
@@ -741,18 +742,18 @@
 }
 
 // holds is how much a store of a plan holds that fills at a rate.
-func (g *Gatekeeper) holds(p *plan, rate float64) float64 {
+func (g *Engine) holds(p *plan, rate float64) float64 {
 	return math.Max(rate*p.burst, p.largest)
 }
 
 // credited is what a sparse slice is credited over time: its share, and the split as demand comes.
-func (g *Gatekeeper) credited(c *account) float64 {
+func (g *Engine) credited(c *account) float64 {
 	return c.share + g.plans[c.plan].rate*(1-beta)*math.Min(g.own(c)/math.Max(g.total(c), 1e-12), 1)
 }
 
 // spend takes a txn's units from its customer's stores at the first submission. A body that is still coming
 // may never reach a worker whole, and then takes nothing: until it has, its units are only kept.
-func (g *Gatekeeper) spend(t *txn) {
+func (g *Engine) spend(t *txn) {
 	if g.unkeep(t); t.coming {
 		g.keep(t)
 		return
