--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -3,213 +3,238 @@
 import "math"
 
 // admit decides on a txn's first submission: BySettled lets it in, else the reason and when to return.
-func (g *Engine) admit(t *txn) (FinalReason, float64) {
-	c, p := &g.accounts[t.acct], &g.plans[t.plan]
-	if g.retired {
+func (e *Engine) admit(request *requestState) (FinalReason, float64) {
+	account, plan := &e.accounts[request.accountIndex], &e.plans[request.plan]
+	if e.handedOff {
 		return ReasonOverload, 0
 	}
-	room := float64(g.inHand) < g.room()*g.depth[t.product][t.plan] &&
-		float64(g.outOf[g.sort(t)]) < math.Max(g.room()*g.openTo[g.sort(t)], 1)
-	if p.ceilRate > 0 || p.ceilDepth > 0 {
-		rate, depth := p.ceilRate/float64(c.n), p.ceilDepth/float64(c.n)
-		if wait := gcraWait(c.ceilingAt, g.now, rate, depth, t.units+c.kept); wait > 0 {
+	room := float64(e.inFlight) < e.currentWindow()*e.windowFraction[request.product][request.plan] &&
+		float64(e.inFlightByClass[e.classOf(request)]) < math.Max(e.currentWindow()*e.acceptingFraction[e.classOf(
+			request)], 1)
+	if plan.rateLimitPerMilli > 0 || plan.rateLimitBurst > 0 {
+		rate, depth := plan.rateLimitPerMilli/float64(account.setSize), plan.rateLimitBurst/float64(account.setSize)
+		if wait := gcraWait(account.rateLimitFullAt, e.now, rate, depth,
+			request.units+account.reservedUnits); wait > 0 {
 			return ReasonRateLimit, wait
 		}
 	}
-	limit := p.open
-	if p.out > 0 && p.open%c.n == 0 { // parts of the limit are whole submissions, which need no split
-		limit, t.inside = p.open/c.n, true
-	} else if p.rate > 0 {
-		wait := g.sliceWait(c, t.draws)
-		if !g.blind(c) {
-			wait = math.Min(wait, g.roomWait(c, t.draws))
+	limit := plan.maxInFlight
+	// parts of the limit are whole submissions, which need no split
+	if plan.targetInFlight > 0 && plan.maxInFlight%account.setSize == 0 {
+		limit, request.withinQuota = plan.maxInFlight/account.setSize, true
+	} else if plan.ratePerMilli > 0 {
+		wait := e.shareWait(account, request.quotaUnits)
+		if !e.quotaUnseen(account) {
+			wait = math.Min(wait, e.quotaWait(account, request.quotaUnits))
 		}
-		if t.inside = wait <= 0; !t.inside && !(p.excess && g.spare()) && !g.borrow(t, c) {
+		if request.withinQuota = wait <= 0; !request.withinQuota && !(plan.allowsExcess && e.hasSpareCapacity()) &&
+			!e.borrow(request, account) {
 			return ReasonQuota, wait
 		}
 	}
-	if p.open > 0 && c.out >= limit {
-		if t.inside = false; !(p.excess && g.spare()) {
-			return ReasonQuota, g.pace
+	if plan.maxInFlight > 0 && account.inFlight >= limit {
+		if request.withinQuota = false; !(plan.allowsExcess && e.hasSpareCapacity()) {
+			return ReasonQuota, e.responseMillis
 		}
 	}
 	// Guards against tries too short for the fleet: their work is done for nobody and comes again. It may hurt
 	// a fast product beside very slow ones. What is not hopeless is tried where most such tries succeed.
-	left := t.expiry - g.now
-	t.tight = left < tightAt*g.pace
-	if !room || left < hopeless*g.pace || t.tight && p.tight < tightWorth && g.rng.Float64() > tightTry {
-		return ReasonOverload, adviseBusy * g.products[t.product].sla
+	left := request.deadline - e.now
+	request.shortDeadline = left < shortDeadlineResponses*e.responseMillis
+	if !room || left < minTimeLeftResponses*e.responseMillis || request.shortDeadline &&
+		plan.shortDeadlineSuccess < minShortDeadlineSuccessFraction &&
+		e.rng.Float64() > shortDeadlineProbeFraction {
+		return ReasonOverload, overloadRetryTargetFraction * e.products[request.product].latencyTargetMillis
 	}
 	return ReasonSucceeded, 0
 }
 
 // spare tells whether there is capacity for txns beyond a quota: little of the window is in use, and answers
 // are quick. Among many gatekeepers each has few submissions out, however pressed the fleet.
-func (g *Engine) spare() bool {
-	return float64(g.inHand) < spareAt*g.window && g.press < spareUse*slaUse
+func (e *Engine) hasSpareCapacity() bool {
+	return float64(e.inFlight) < spareWindowFraction*e.window &&
+		e.pressure < sparePressureFraction*targetPressureFraction
 }
 
 // fill brings a customer's slice, and the quota's one store as far as it is known here, up to now.
-func (g *Engine) fill(c *account) {
-	p := &g.plans[c.plan]
-	dt := g.now - c.filled
-	if dt <= 0 {
+func (e *Engine) refill(account *customerAccount) {
+	plan := &e.plans[account.plan]
+	elapsedMillis := e.now - account.filledAt
+	if elapsedMillis <= 0 {
 		return
 	}
-	rate := p.rate
-	if c.hot && c.n > 1 {
+	rate := plan.ratePerMilli
+	if account.hot && account.setSize > 1 {
 		// Guards against peers that spend unheard: their messages or ours are lost, or they are cut off.
-		rate -= (rate - c.share) * float64(g.unheard(c)) / float64(c.n-1)
+		rate -= (rate - account.sharePerMilli) * float64(e.silentPeersOf(account)) / float64(account.setSize-1)
 	}
-	c.whole = math.Min(c.whole+dt*rate, g.holds(p, p.rate))
-	c.level = math.Min(c.level+dt*c.share, g.holds(p, c.share))
-	c.others = math.Max(c.others*math.Exp(-dt/p.memory), 0)
-	c.flow *= math.Exp(-dt / flowMemory)
-	c.filled = g.now
+	account.quotaTokens = math.Min(account.quotaTokens+elapsedMillis*rate, e.storeDepth(plan, plan.ratePerMilli))
+	account.shareTokens = math.Min(account.shareTokens+elapsedMillis*account.sharePerMilli, e.storeDepth(plan,
+		account.sharePerMilli))
+	account.peerDemand = math.Max(account.peerDemand*math.Exp(-elapsedMillis/plan.demandWindowMillis), 0)
+	account.peerSpent *= math.Exp(-elapsedMillis / peerSpendWindowMillis)
+	account.filledAt = e.now
 }
 
 // roomWait is how long until the quota's store, as known here, has the units and peers' unheard; 0 is now.
-func (g *Engine) roomWait(c *account, units float64) float64 {
-	g.fill(c)
-	before := g.own(c) - units/g.plans[c.plan].memory
-	reserve := math.Max(c.flow/flowMemory, before*float64(min(c.n-1, alike)))
-	unheard := hearsay * g.charter.period
-	if g.prompt(c) {
-		unheard = soon
+func (e *Engine) quotaWait(account *customerAccount, units float64) float64 {
+	e.refill(account)
+	priorDemand := e.ownDemand(account) - units/e.plans[account.plan].demandWindowMillis
+	reservePerMilli := math.Max(account.peerSpent/peerSpendWindowMillis,
+		priorDemand*float64(min(account.setSize-1, maxAlikePeers)))
+	unheardMillis := unheardSpendIntervals * e.derived.reportIntervalMillis
+	if e.reportsImmediately(account) {
+		unheardMillis = immediateDelayMillis
 	}
-	short := units + c.keptDraws + reserve*unheard - c.whole
-	return math.Max(short/g.plans[c.plan].rate, 0)
+	missingUnits := units + account.reservedQuotaUnits + reservePerMilli*unheardMillis - account.quotaTokens
+	return math.Max(missingUnits/e.plans[account.plan].ratePerMilli, 0)
 }
 
 // sliceWait is how long until a customer's own slice has the units; 0 is now.
-func (g *Engine) sliceWait(c *account, units float64) float64 {
-	g.fill(c)
-	if units += c.keptDraws; c.level >= units-1e-9 {
+func (e *Engine) shareWait(account *customerAccount, units float64) float64 {
+	e.refill(account)
+	if units += account.reservedQuotaUnits; account.shareTokens >= units-1e-9 {
 		return 0
 	}
-	share := c.share
-	if g.sparse(c) {
-		share = g.credited(c)
+	share := account.sharePerMilli
+	if e.isSparse(account) {
+		share = e.sparseRate(account)
 	}
 	if share <= 0 {
 		return math.MaxFloat64
 	}
-	return (units - c.level) / share
+	return (units - account.shareTokens) / share
 }
 
 // account finds or opens the account of an arrival, and fills in what only a txn tells.
-func (g *Engine) account(a Request) int32 {
-	ai, ok := g.byKey[uint32(a.Customer)]
+func (e *Engine) accountFor(arrival Request) int32 {
+	accountIndex, ok := e.accountByCustomer[uint32(arrival.Customer)]
 	if !ok {
-		ai = g.open(a.Customer&math.MaxUint32, a.Plan)
-	}
-	c := &g.accounts[ai]
-	n, first := min(max(a.SetSize, 1), g.charter.n), max(a.FirstGateway, 0)%g.charter.n
-	if c.n != n || c.first != first || c.plan != a.Plan { // new, known from peers alone, of another set or plan
-		p, from, most := &g.plans[a.Plan], g.base, math.Inf(1)
-		if ok && c.n == 0 {
-			g.heardOnly--
-		} else if ok && (c.n != n || c.first != first) { // others may have had its part meanwhile, or have it still
-			from, most = g.now, c.level
+		accountIndex = e.openAccount(arrival.Customer&math.MaxUint32, arrival.Plan)
+	}
+	account := &e.accounts[accountIndex]
+	n, first := min(max(arrival.SetSize, 1), e.derived.gatewayCount), max(arrival.FirstGateway,
+		0)%e.derived.gatewayCount
+	// new, known from peers alone, of another set or plan
+	if account.setSize != n || account.firstGateway != first || account.plan != arrival.Plan {
+		plan, from, most := &e.plans[arrival.Plan], e.rateLimitBase, math.Inf(1)
+		if ok && account.setSize == 0 {
+			e.remoteOnlyAccounts--
+		} else if ok && (account.setSize != n || account.firstGateway != first) {
+			// others may have had its part meanwhile, or have it still
+			from, most = e.now, account.shareTokens
 		}
-		if c.plan != a.Plan {
-			c.whole = g.holds(p, p.rate)
+		if account.plan != arrival.Plan {
+			account.quotaTokens = e.storeDepth(plan, plan.ratePerMilli)
 		}
-		c.plan, c.n, c.first = a.Plan, n, first
-		if p.ceilRate > 0 {
+		account.plan, account.setSize, account.firstGateway = arrival.Plan, n, first
+		if plan.rateLimitPerMilli > 0 {
 			// A former life of this gatekeeper may have spent its whole slice just before it ended.
-			c.ceilingAt = math.Max(c.ceilingAt, from+p.ceilDepth/p.ceilRate)
+			account.rateLimitFullAt = math.Max(account.rateLimitFullAt,
+				from+plan.rateLimitBurst/plan.rateLimitPerMilli)
 		}
-		if c.level = math.Min(g.startLevel(c), most); g.sparse(c) {
-			c.level = p.draw(a.Units) * g.rng.Float64() // of many that fill slowly, chance spreads the turns
+		if account.shareTokens = math.Min(e.initialShareTokens(account), most); e.isSparse(account) {
+			// of many that fill slowly, chance spreads the turns
+			account.shareTokens = plan.quotaCost(arrival.Units) * e.rng.Float64()
 		}
-		g.reshare(c)
+		e.updateShare(account)
 	}
-	return ai
+	return accountIndex
 }
 
 // startLevel is what a slice holds at first: full, though without the rounding up to the largest txn, which
 // over all gatekeepers of a large set would come to many times the quota's burst.
-func (g *Engine) startLevel(c *account) float64 { return g.coldSlice(c) * g.plans[c.plan].burst }
+func (e *Engine) initialShareTokens(account *customerAccount) float64 {
+	return e.coldShare(account) * e.plans[account.plan].burstMillis
+}
 
 // coldSlice is what a cold customer runs at, units a ms.
-func (g *Engine) coldSlice(c *account) float64 {
-	return g.plans[c.plan].rate / float64(max(c.n, 1)) * alpha
+func (e *Engine) coldShare(account *customerAccount) float64 {
+	return e.plans[account.plan].ratePerMilli / float64(max(account.setSize, 1)) * coldShareFraction
 }
 
 // reshare sets a customer's share: the cold slice, or the floor and its part of the rest by demand.
-func (g *Engine) reshare(c *account) {
-	rate, n := g.plans[c.plan].rate, float64(max(c.n, 1))
-	if g.sparse(c) { // the rest is credited as demand comes
-		c.share = rate * beta / n
+func (e *Engine) updateShare(account *customerAccount) {
+	rate, n := e.plans[account.plan].ratePerMilli, float64(max(account.setSize, 1))
+	if e.isSparse(account) { // the rest is credited as demand comes
+		account.sharePerMilli = rate * floorFraction / n
 		return
 	}
-	if !c.hot {
-		c.share = g.coldSlice(c)
+	if !account.hot {
+		account.sharePerMilli = e.coldShare(account)
 		return
 	}
-	own, total := g.own(c), g.total(c)
+	own, total := e.ownDemand(account), e.totalDemand(account)
 	if total <= 0 {
-		c.share = rate / n
+		account.sharePerMilli = rate / n
 		return
 	}
-	c.share = rate*beta/n + rate*(1-beta)*own/total
+	account.sharePerMilli = rate*floorFraction/n + rate*(1-floorFraction)*own/total
 }
 
 // total is a customer's demand at all its gatekeepers, as far as it is known here.
-func (g *Engine) total(c *account) float64 {
-	p, others := &g.plans[c.plan], c.others
-	if age := (g.now - g.started) / g.charter.period; p.sparse && age < 1 { // not all have spoken yet
-		others /= math.Max(age, firstWords)
+func (e *Engine) totalDemand(account *customerAccount) float64 {
+	plan, others := &e.plans[account.plan], account.peerDemand
+	// not all have spoken yet
+	if intervalsSinceStart := (e.now - e.startedAt) / e.derived.reportIntervalMillis; plan.sparse &&
+		intervalsSinceStart < 1 {
+		others /= math.Max(intervalsSinceStart, startupIntervalFraction)
 	}
-	known := g.own(c) + others*p.regain
-	total := known + c.held
-	if c.n > 1 { // a silent peer that never spoke of the customer counts as the mean of those that may speak
-		mute := g.unheard(c)
-		total += known / float64(max(c.n-mute, 1)) * float64(max(mute-c.holding, 0))
+	heardDemand := e.ownDemand(account) + others*plan.decayCompensation
+	total := heardDemand + account.silentPeerDemand
+	// a silent peer that never spoke of the customer counts as the mean of those that may speak
+	if account.setSize > 1 {
+		silentPeers := e.silentPeersOf(account)
+		total += heardDemand / float64(max(account.setSize-silentPeers, 1)) *
+			float64(max(silentPeers-account.silentPeers, 0))
 	}
 	return total
 }
 
 // sparse tells whether a customer's slices are too small to hold a txn, over many gatekeepers.
-func (g *Engine) sparse(c *account) bool {
-	return g.plans[c.plan].sparse && c.n > 0 && g.startLevel(c) < g.plans[c.plan].largest
+func (e *Engine) isSparse(account *customerAccount) bool {
+	return e.plans[account.plan].sparse && account.setSize > 0 &&
+		e.initialShareTokens(account) < e.plans[account.plan].maxUnits
 }
 
 // prompt tells whether a customer's set is so small that each txn sent on is told at once.
-func (g *Engine) prompt(c *account) bool {
-	return g.charter.tellAt > 0 && !g.retired && c.n > 1 && c.n <= promptAt
+func (e *Engine) reportsImmediately(account *customerAccount) bool {
+	return e.derived.immediatePerMilli > 0 && !e.handedOff && account.setSize > 1 &&
+		account.setSize <= maxImmediateSetSize
 }
 
 // blind tells whether news of a customer's whole store comes too late to go by.
-func (g *Engine) blind(c *account) bool { return !g.prompt(c) && g.sparse(c) }
+func (e *Engine) quotaUnseen(account *customerAccount) bool {
+	return !e.reportsImmediately(account) && e.isSparse(account)
+}
 
 // credit puts in a sparse slice what units asked here bring it of the split, rate x (1 - beta) x own / total,
 // at once and not over the memory: a gatekeeper that sees a txn in many seconds would have it too late.
-func (g *Engine) credit(c *account, units float64) {
-	p, total := &g.plans[c.plan], g.total(c)
+func (e *Engine) creditSparseShare(account *customerAccount, units float64) {
+	plan, total := &e.plans[account.plan], e.totalDemand(account)
 	// Guards against bursts that end before a word of them comes: what was asked here in the last second, scaled
 	// up by this gatekeeper's usual part of the customer's demand, is taken to be asked at the peers too.
-	lately := c.lately * math.Exp((c.seen-g.now)/demandMemory)
-	usual := math.Max(g.own(c)-lately*demandMemory/p.memory, 0) / math.Max(total, 1e-9)
-	total = math.Max(total, lately/math.Min(usual+1/float64(c.n), 1))
-	if part := p.rate * (1 - beta) / math.Max(total, 1e-12); part < 1 {
-		c.level += units * part
+	recentDemand := account.recentDemand * math.Exp((account.lastRequestAt-e.now)/demandWindowMillis)
+	usualFraction := math.Max(e.ownDemand(account)-recentDemand*demandWindowMillis/plan.demandWindowMillis, 0) /
+		math.Max(total, 1e-9)
+	total = math.Max(total, recentDemand/math.Min(usualFraction+1/float64(account.setSize), 1))
+	if splitFraction := plan.ratePerMilli * (1 - floorFraction) / math.Max(total, 1e-12); splitFraction < 1 {
+		account.shareTokens += units * splitFraction
 	} else {
-		c.level = math.Max(c.level, units)
+		account.shareTokens = math.Max(account.shareTokens, units)
 	}
 }
 
 // mostOut is how many submissions a quota on those out should have out on average: where one more earns no
 // more than it costs, as many gatekeepers that don't see each other's meet by chance.
-func mostOut(p Plan) float64 {
-	best, most, step := 0.0, 0.0, math.Max(outStep, float64(p.MaxInFlight)/outSteps)
-	for a := step; a <= float64(p.MaxInFlight); a += step {
+func bestInFlight(plan Plan) float64 {
+	best, most, step := 0.0, 0.0, math.Max(inFlightSearchStep, float64(plan.MaxInFlight)/maxInFlightSearchSteps)
+	for a := step; a <= float64(plan.MaxInFlight); a += step {
 		inside, term := 0.0, math.Exp(-a)
-		for k := range p.MaxInFlight { // Poisson: fewer than the limit are out
+		for k := range plan.MaxInFlight { // Poisson: fewer than the limit are out
 			inside, term = inside+term, term*a/float64(k+1)
 		}
-		if earns := a * (inside + (1-inside)*math.Min(p.ExcessValueFraction-p.ExcessCostFraction,
+		if earns := a * (inside + (1-inside)*math.Min(plan.ExcessValueFraction-plan.ExcessCostFraction,
 			0)); earns > best {
 			best, most = earns, a
 		}
@@ -218,27 +243,33 @@
 }
 
 // pressed takes one answer's time over its SLA time, and moves the window.
-func (g *Engine) pressed(x float64) {
-	g.press += pressGain * (math.Min(x, 1) - g.press)
+func (e *Engine) recordPressure(pressure float64) {
+	e.pressure += pressureGain * (math.Min(pressure, 1) - e.pressure)
 	switch {
-	case g.press > slaUse && g.now-g.cutAt > cutPause:
-		g.cutAt = g.now
-		used := math.Min(g.window, float64(g.inHand)+1)
-		g.window = math.Max(used*math.Max(slaUse/g.press, mostCut), g.leastWindow())
-	case g.press < eager*slaUse && float64(g.inHand)+1 > usedAt*g.window: // with the one that has just ended
-		g.window += leap * math.Min(g.window/leastSwing, 1)
-	case g.press < slaUse && float64(g.inHand) > usedAt*g.window:
-		g.window += growth / math.Max(g.window, 1)
+	case e.pressure > targetPressureFraction && e.now-e.windowCutAt > windowCutPauseMillis:
+		e.windowCutAt = e.now
+		used := math.Min(e.window, float64(e.inFlight)+1)
+		e.window = math.Max(used*math.Max(targetPressureFraction/e.pressure, minWindowCutFraction), e.minWindow())
+	// with the one that has just ended
+	case e.pressure < windowLeapPressureFraction*targetPressureFraction &&
+		float64(e.inFlight)+1 > windowUseFraction*e.window:
+		e.window += windowLeapPerResponse * math.Min(e.window/minWindowDeviations, 1)
+	case e.pressure < targetPressureFraction && float64(e.inFlight) > windowUseFraction*e.window:
+		e.window += windowGrowthPerRound / math.Max(e.window, 1)
 	}
 }
 
 // room is how many submissions may be out now.
-func (g *Engine) room() float64 { return g.window + g.surge*math.Exp((g.thawed-g.now)/surgeFade) }
+func (e *Engine) currentWindow() float64 {
+	return e.window + e.stallAllowance*math.Exp((e.stalledUntil-e.now)/stallAllowanceDecayMillis)
+}
 
 // leastWindow is what the window starts at and keeps, leastOf the same of any part. Few txns swing much, and
 // no other gatekeeper can lend its room: without the allowance many decline while workers idle.
-func (g *Engine) leastWindow() float64 {
-	return leastOf(leastDepth * math.Max(g.able, 1) / float64(g.charter.n))
+func (e *Engine) minWindow() float64 {
+	return minWindowFor(minWindowPerWorker * math.Max(e.warmEquivalents, 1) / float64(e.derived.gatewayCount))
 }
 
-func leastOf(part float64) float64 { return part + math.Min(leastSwing*math.Sqrt(part), leastSum*part) }
+func minWindowFor(part float64) float64 {
+	return part + math.Min(minWindowDeviations*math.Sqrt(part), maxMinWindowAllowanceFactor*part)
+}
--- a/internal/policy/clear_test.go
+++ b/internal/policy/clear_test.go
@@ -10,7 +10,7 @@
 func (h *host) clear(a Request, life float64) (id uint64, granted bool) {
 	h.next++
 	a.ID, a.ClearanceMillis = h.next, life
-	h.txns[a.ID] = &seen{Request: a, expiry: h.now + math.Max(life, a.TimeLeftMillis) + beat}
+	h.txns[a.ID] = &seen{Request: a, expiry: h.now + math.Max(life, a.TimeLeftMillis) + scanIntervalMillis}
 	h.g.AddRequest(a)
 	for {
 		d, ok := h.g.NextDecision()
@@ -42,32 +42,34 @@
 		c.MaxRequestUnits = 4
 	})
 	a := Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 1000}
-	begin := func() (*host, *account) {
+	begin := func() (*host, *customerAccount) {
 		h := newHost(t, c, 1, 3)
 		h.at(h.now + 60000) // its ceiling counts as spent at a start
 		h.clear(a, 500)
 		h.rest(9000)
 		h.clear(a, 500) // an idle customer may be dropped
 		h.rest(600)
-		return h, &h.g.accounts[h.g.byKey[7]]
+		return h, &h.g.accounts[h.g.accountByCustomer[7]]
 	}
 	h, acct := begin()
-	if acct.kept != 0 || acct.out != 0 || h.g.tally.FinalByReason[ReasonClearanceExpired] != 2 ||
+	if acct.reservedUnits != 0 || acct.inFlight != 0 || h.g.stats.FinalByReason[ReasonClearanceExpired] != 2 ||
 		len(h.g.byID) != 0 {
-		t.Fatalf("one that never came: %v kept, %d out, tally %v", acct.kept, acct.out, h.g.tally.FinalByReason)
+		t.Fatalf("one that never came: %v kept, %d out, tally %v", acct.reservedUnits, acct.inFlight,
+			h.g.stats.FinalByReason)
 	}
 	id, ok := h.clear(a, 500)
-	level := acct.level
-	if !ok || acct.kept != 1 || len(h.sent) != 0 {
-		t.Fatalf("cleared %v, %v kept, %d submitted", ok, acct.kept, len(h.sent))
+	level := acct.shareTokens
+	if !ok || acct.reservedUnits != 1 || len(h.sent) != 0 {
+		t.Fatalf("cleared %v, %v kept, %d submitted", ok, acct.reservedUnits, len(h.sent))
 	}
 	h.txns[id].expiry = h.now + 1000
 	if !h.g.ClaimClearance(id, 1000, false) {
 		t.Fatal("its txn is not known")
 	}
 	h.pull()
-	if acct.kept != 0 || acct.out != 1 || acct.level != level-1 || len(h.sent) != 1 {
-		t.Errorf("come: %v kept, %d out, level %v of %v, %d submitted", acct.kept, acct.out, acct.level, level,
+	if acct.reservedUnits != 0 || acct.inFlight != 1 || acct.shareTokens != level-1 || len(h.sent) != 1 {
+		t.Errorf("come: %v kept, %d out, level %v of %v, %d submitted", acct.reservedUnits, acct.inFlight,
+			acct.shareTokens, level,
 			len(h.sent))
 	}
 	if h.g.ClaimClearance(id, 1000, false) {
@@ -87,29 +89,29 @@
 	h, acct = begin()
 	id, _ = h.clear(a, 500)
 	h.g.ReleaseClearance(id)
-	if h.pull(); acct.kept != 0 || acct.out != 0 || h.g.ClaimClearance(id, 1000, false) {
-		t.Errorf("released: %v kept, %d out", acct.kept, acct.out)
+	if h.pull(); acct.reservedUnits != 0 || acct.inFlight != 0 || h.g.ClaimClearance(id, 1000, false) {
+		t.Errorf("released: %v kept, %d out", acct.reservedUnits, acct.inFlight)
 	}
 	id, _ = h.clear(a, 500)
 	h.at(h.now + 505)
 	if h.g.ClaimClearance(id, 1000, false) {
 		t.Error("claimed after its time")
 	}
-	if h.pull(); acct.kept != 0 {
-		t.Errorf("lapsed: %v kept", acct.kept)
+	if h.pull(); acct.reservedUnits != 0 {
+		t.Errorf("lapsed: %v kept", acct.reservedUnits)
 	}
 	id, _ = h.clear(a, 500)
 	h.g.ClientGone(id)
-	if h.pull(); acct.kept != 0 || acct.out != 0 {
-		t.Errorf("its client has left: %v kept, %d out", acct.kept, acct.out)
+	if h.pull(); acct.reservedUnits != 0 || acct.inFlight != 0 {
+		t.Errorf("its client has left: %v kept, %d out", acct.reservedUnits, acct.inFlight)
 	}
 	id, _ = h.clear(a, 500)
 	h.g.UpdateEndpoints(nil, false)
-	level = acct.level
+	level = acct.shareTokens
 	h.txns[id].expiry = h.now + 1000
 	h.g.ClaimClearance(id, 1000, false)
-	if h.pull(); h.txns[id].final != Reject || acct.kept != 0 || acct.level != level {
-		t.Errorf("no worker: final %v, %v kept, level %v", h.txns[id].final, acct.kept, acct.level)
+	if h.pull(); h.txns[id].final != Reject || acct.reservedUnits != 0 || acct.shareTokens != level {
+		t.Errorf("no worker: final %v, %v kept, level %v", h.txns[id].final, acct.reservedUnits, acct.shareTokens)
 	}
 }
 
@@ -198,11 +200,11 @@
 	old := newHost(t, c, 1, 3)
 	a := Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 1000}
 	id, _ := old.clear(a, 500)
-	level := old.g.accounts[old.g.byKey[7]].level
+	level := old.g.accounts[old.g.accountByCustomer[7]].shareTokens
 	e := old.g.HandOff()
 	next := newHost(t, c, 2, 3)
 	next.g.RestoreHandoff(e)
-	if got := next.g.accounts[next.g.byKey[7]].level; got != level-1 {
+	if got := next.g.accounts[next.g.accountByCustomer[7]].shareTokens; got != level-1 {
 		t.Errorf("the successor has %v of %v", got, level)
 	}
 	old.txns[id].expiry = old.now + 500
@@ -245,7 +247,7 @@
 			if rng.Float64() < 0.02 { // killed, and there again a little later
 				next := newHost(t, c, rng.Int63(), 200)
 				next.at(h.now + 50)
-				next.g.base = next.now
+				next.g.rateLimitBase = next.now
 				level = math.Min(level+rate*0.05, depth)
 				if h = next; remembers {
 					left.RateLimits = left.RateLimits[:0]
@@ -281,10 +283,11 @@
 		t.Errorf("%d sent where it remembers, %d where not", sent[true], sent[false])
 	}
 	g := newHost(t, c, 1, 1).g
-	base := g.base
+	base := g.rateLimitBase
 	g.RestoreCrashState(CrashState{RateLimitBaseMillis: base - 9, RateLimits: []SpentRateLimit{{7, 9, base + 70},
 		{8, -1, base + 20}}})
-	if g.base != base+70 || len(g.byKey) != 0 {
-		t.Errorf("of plans that there are not: base %v, %d customers", g.base-base, len(g.byKey))
+	if g.rateLimitBase != base+70 || len(g.accountByCustomer) != 0 {
+		t.Errorf("of plans that there are not: base %v, %d customers", g.rateLimitBase-base,
+			len(g.accountByCustomer))
 	}
 }
--- a/internal/policy/cold_test.go
+++ b/internal/policy/cold_test.go
@@ -324,8 +324,8 @@
 		list = append(list, Endpoint{Worker: w})
 	}
 	h.g.UpdateEndpoints(append(list, Endpoint{Worker: 20, Active: true, StartedAtMillis: h.now}), true)
-	h.g.workers[0].distrust.add(5, h.now, distrustFade) // so that whoever else may be used is
-	h.g.workers[1].distrust.add(5, h.now, distrustFade)
+	h.g.workers[0].suspicion.add(5, h.now, suspicionDecayMillis) // so that whoever else may be used is
+	h.g.workers[1].suspicion.add(5, h.now, suspicionDecayMillis)
 	serve(40, 1)
 	if cold < 2 || cold > 6 { // a fifth of twenty, and a little more at the end of the second
 		t.Errorf("%d went to the cold one in its first second", cold)
@@ -349,28 +349,28 @@
 	} {
 		h.at(h.now + want.after)
 		if want.earns > 0 {
-			h.g.earn(warm, want.earns)
-			h.g.turn(w)
+			h.g.recordWarmWork(warm, want.earns)
+			h.g.hasTurn(w)
 			h.at(h.now + 50) // a middling txn of two units at 0.2 of 1.5 x 0.2 units a ms
 		}
-		if h.g.turn(w) != want.turn || w.coldDebt < 0 {
-			t.Fatalf("step %d: turn %v, debt %v", at, !want.turn, w.coldDebt)
+		if h.g.hasTurn(w) != want.turn || w.slowStartDebt < 0 {
+			t.Fatalf("step %d: turn %v, debt %v", at, !want.turn, w.slowStartDebt)
 		}
 	}
-	h.g.earn(warm, 1000)
+	h.g.recordWarmWork(warm, 1000)
 	h.at(h.now + 100)
-	if s := h.txn(7, 1); !h.g.turn(w) && s.subs[0].Worker != 1 {
+	if s := h.txn(7, 1); !h.g.hasTurn(w) && s.subs[0].Worker != 1 {
 		t.Error("a turn went without being used")
 	}
-	was := h.g.warmEach
+	was := h.g.warmUnitsPerWorker
 	h.g.UpdateEndpoints([]Endpoint{{Worker: 0}}, true)
-	if h.g.earn(warm, 100); h.g.warmEach > was {
+	if h.g.recordWarmWork(warm, 100); h.g.warmUnitsPerWorker > was {
 		t.Error("what one that is gone answers late brings turns nearer")
 	}
-	w.coldDebt, w.coldAt = 0, h.now
+	w.slowStartDebt, w.slowStartAt = 0, h.now
 	h.at(h.now + 1e5)
-	h.g.charter.turnFor = 0
-	if !h.g.turn(w) {
+	h.g.derived.turnMillis = 0
+	if !h.g.hasTurn(w) {
 		t.Error("it lapses where the settings say nothing of it")
 	}
 }
@@ -384,7 +384,7 @@
 		h.at(h.now + 3000)
 		h.g.UpdateEndpoints([]Endpoint{{Worker: 10, StartedAtMillis: h.now, Replaced: true}}, true)
 		h.g.UpdateEndpoints([]Endpoint{{Worker: 10, StartedAtMillis: h.now, Active: true}}, true)
-		if h.g.turn(&h.g.workers[10]) {
+		if h.g.hasTurn(&h.g.workers[10]) {
 			at++
 		}
 	}
--- a/internal/policy/credit_test.go
+++ b/internal/policy/credit_test.go
@@ -65,15 +65,15 @@
 func TestRepaidStaysRepaid(t *testing.T) {
 	h := newHost(t, charterFor(Idempotent, func(c *Settings) { lends(c); c.GatewayCount = 2 }), 1, 3)
 	h.ask(100, 1000, nil)
-	c := &h.g.accounts[h.g.byKey[7]]
-	c.whole, c.level, c.filled = 0.5, 5, h.now
+	c := &h.g.accounts[h.g.accountByCustomer[7]]
+	c.quotaTokens, c.shareTokens, c.filledAt = 0.5, 5, h.now
 	if took, _ := h.g.CollectRepayment(7, 0, 2, 2, 2, 2000); took < 1.9 {
 		t.Fatalf("%v taken", took)
 	}
-	left := c.whole - c.lag
+	left := c.quotaTokens - c.uncollectedUnits
 	h.g.ReceiveReports(1, []Report{{Customer: 7, Plan: 0, DemandPerSecond: 1}})
-	if h.txn(7, 1); c.whole-c.lag > left+1e-9 {
-		t.Errorf("%v in the store, and then %v", left, c.whole-c.lag)
+	if h.txn(7, 1); c.quotaTokens-c.uncollectedUnits > left+1e-9 {
+		t.Errorf("%v in the store, and then %v", left, c.quotaTokens-c.uncollectedUnits)
 	}
 }
 
@@ -104,17 +104,17 @@
 		}
 		p := &purse{line: 10}
 		h.g.SetLender(p)
-		h.g.press, h.g.window = c.press, 50
+		h.g.pressure, h.g.window = c.press, 50
 		if c.workers == 0 {
 			h.txn(7, 1)
-			a := &h.g.accounts[h.g.byKey[7]]
-			a.level, a.whole = 0, 0
+			a := &h.g.accounts[h.g.accountByCustomer[7]]
+			a.shareTokens, a.quotaTokens = 0, 0
 		}
 		for range 60 {
 			if s := h.txn(7, 1); s.final == 0 {
-				h.g.press = c.press
+				h.g.pressure = c.press
 				h.ended(s, 0, Succeeded, 20)
-				h.g.press = c.press
+				h.g.pressure = c.press
 			}
 		}
 		if p.lent-p.undone != c.lent-c.undone || c.undone > 0 && p.undone == 0 {
--- a/internal/policy/endings_test.go
+++ b/internal/policy/endings_test.go
@@ -23,7 +23,7 @@
 				switch {
 				case len(s.subs) > 1 && !c.repl && took >= window:
 					t.Errorf("window %v: repeated after %v", window, took)
-				case len(s.subs) == 1 && (c.repl || took < window-beat-50):
+				case len(s.subs) == 1 && (c.repl || took < window-scanIntervalMillis-50):
 					t.Errorf("window %v: not repeated after %v, outcome %d", window, took, c.o)
 				case len(s.subs) == 1 && s.final == 0:
 					t.Errorf("window %v: neither repeated nor answered after %v", window, took)
@@ -51,7 +51,7 @@
 					if s.final != 0 {
 						break
 					}
-					at := h.g.wakeAt
+					at := h.g.timerAt
 					if at <= h.now || at > s.expiry {
 						t.Fatalf("SLA %v, %d: at %v it wants to be woken at %v, for an expiry at %v", sla, kind, h.now, at,
 							s.expiry)
@@ -68,8 +68,8 @@
 					}
 				}
 			}
-			if len(h.g.byID) != 0 || h.g.inHand != 0 {
-				t.Errorf("SLA %v, %d: %d txns and %d submissions are left", sla, kind, len(h.g.byID), h.g.inHand)
+			if len(h.g.byID) != 0 || h.g.inFlight != 0 {
+				t.Errorf("SLA %v, %d: %d txns and %d submissions are left", sla, kind, len(h.g.byID), h.g.inFlight)
 			}
 		}
 	}
@@ -140,16 +140,16 @@
 						}
 					}
 					expire(h, s)
-					if s.final == 0 || len(h.g.byID) > 0 || h.g.inHand != 0 || h.g.accounts[0].out != 0 {
-						t.Fatalf("%s: final %v, %d in hand, %d out of the customer", name, s.final, h.g.inHand,
-							h.g.accounts[0].out)
+					if s.final == 0 || len(h.g.byID) > 0 || h.g.inFlight != 0 || h.g.accounts[0].inFlight != 0 {
+						t.Fatalf("%s: final %v, %d in hand, %d out of the customer", name, s.final, h.g.inFlight,
+							h.g.accounts[0].inFlight)
 					}
 					next := h.txn(8, 1) // it has the slot now
 					h.g.AttemptEnded(s.ID, 0, Succeeded, 1, true)
 					h.g.ClientGone(s.ID)
 					h.g.ResponseStarted(s.ID, 0)
 					h.pull()
-					if next.final != 0 || len(next.subs) != 1 || len(h.g.byID) != 1 || h.g.inHand != 1 {
+					if next.final != 0 || len(next.subs) != 1 || len(h.g.byID) != 1 || h.g.inFlight != 1 {
 						t.Fatalf("%s: a late word fell on the next one: %+v", name, next)
 					}
 				}
@@ -188,12 +188,12 @@
 func (h *host) forget(customer uint32) {
 	h.t.Helper()
 	for range 1000 {
-		if _, known := h.g.byKey[customer]; !known {
+		if _, known := h.g.accountByCustomer[customer]; !known {
 			return
 		}
 		h.rest(400)
 	}
-	c := h.g.accounts[h.g.byKey[customer]]
+	c := h.g.accounts[h.g.accountByCustomer[customer]]
 	h.t.Fatalf("never forgotten: %+v", c)
 }
 
@@ -208,8 +208,8 @@
 	s := h.arrive(Request{Customer: 7, Units: 1, SetSize: 2, TimeLeftMillis: 40000})
 	up := h.arrive(Request{Customer: 8, Units: 1, SetSize: 2, TimeLeftMillis: 40000, StreamsBody: true})
 	h.rest(30000)
-	if h.g.byKey[7] == h.g.byKey[8] || len(h.g.byKey) != 2 {
-		t.Fatalf("forgotten with a submission out: %v", h.g.byKey)
+	if h.g.accountByCustomer[7] == h.g.accountByCustomer[8] || len(h.g.accountByCustomer) != 2 {
+		t.Fatalf("forgotten with a submission out: %v", h.g.accountByCustomer)
 	}
 	for _, x := range []*seen{s, up} {
 		for n := 0; n < len(x.out); n++ {
--- a/internal/policy/estate.go
+++ b/internal/policy/estate.go
@@ -64,146 +64,168 @@
 
 // Retire gives what a successor takes over. From then on this gatekeeper only ends the txns in hand: it lets
 // nothing in, sends nothing to cold workers and tells peers nothing, as its parts of all these are another's.
-func (g *Engine) HandOff() HandoffState {
-	g.retired = true
-	for i := range g.txns { // what is kept may yet be sent on from here: to the successor it is spent
-		if t := &g.txns[i]; t.live && t.kept {
-			coming, pass := t.coming, t.pass
-			t.coming = false
-			g.spend(t)
-			t.coming, t.pass = coming, pass
+func (e *Engine) HandOff() HandoffState {
+	e.handedOff = true
+	for i := range e.requests { // what is kept may yet be sent on from here: to the successor it is spent
+		if request := &e.requests[i]; request.live && request.reserved {
+			coming, pass := request.bodyPending, request.clearance
+			request.bodyPending = false
+			e.charge(request)
+			request.bodyPending, request.clearance = coming, pass
 		}
 	}
-	e := HandoffState{Settings: g.signed, AtMillis: g.now, StartedAtMillis: g.started,
-		RateLimitBaseMillis: g.base, Window: g.window,
-		Pressure: g.press, WindowCutAtMillis: g.cutAt, ResponseMillis: g.pace,
-		MeanWorkerLoad: g.load, WarmWorkUnits: g.warmDone, WarmWorkUnitsPerWorker: g.warmEach,
-		WarmWorkAtMillis: g.warmAt, SlowRequests: g.long.score,
-		SlowRequestsAtMillis: g.long.since, LostRequests: g.astray.score, LostRequestsAtMillis: g.astray.since,
-		NextReportAtMillis: g.nextTell}
-	for i := range g.accounts {
-		if c := &g.accounts[i]; c.live {
-			e.Customers = append(e.Customers, c.leaves())
+	handoff := HandoffState{Settings: e.settings, AtMillis: e.now, StartedAtMillis: e.startedAt,
+		RateLimitBaseMillis: e.rateLimitBase, Window: e.window,
+		Pressure: e.pressure, WindowCutAtMillis: e.windowCutAt, ResponseMillis: e.responseMillis,
+		MeanWorkerLoad: e.meanLoad, WarmWorkUnits: e.warmUnits, WarmWorkUnitsPerWorker: e.warmUnitsPerWorker,
+		WarmWorkAtMillis: e.warmUnitsAt, SlowRequests: e.slowRequests.score,
+		SlowRequestsAtMillis: e.slowRequests.updatedAt, LostRequests: e.lostRequests.score,
+		LostRequestsAtMillis: e.lostRequests.updatedAt,
+		NextReportAtMillis:   e.nextReportAt}
+	for i := range e.accounts {
+		if account := &e.accounts[i]; account.live {
+			handoff.Customers = append(handoff.Customers, account.state())
 		}
 	}
-	for i := range g.workers {
-		w := &g.workers[i]
-		if !w.listed {
+	for i := range e.workers {
+		worker := &e.workers[i]
+		if !worker.listed {
 			continue
 		}
-		s := WorkerState{Worker: i, StartedAtMillis: w.StartedAtMillis, ResponseMillis: w.pace,
-			ResponseAtMillis: w.paced, ReportedLoad: w.load, ReportedLoadAtMillis: w.told,
-			HeardAtMillis: w.heard, Suspicion: w.distrust.score, SuspicionAtMillis: w.distrust.since,
-			Overloaded:        w.full,
-			SlowStartAtMillis: w.coldAt, SlowStartDebtUnits: w.coldDebt}
-		s.Rejections, s.RejectionsAtMillis = make([]float64, len(g.openTo)), make([]float64, len(g.openTo))
-		for k, m := range w.turned {
-			s.Rejections[k], s.RejectionsAtMillis[k] = m.score, m.since
+		saved := WorkerState{Worker: i, StartedAtMillis: worker.StartedAtMillis,
+			ResponseMillis:   worker.responseMillis,
+			ResponseAtMillis: worker.responseAt, ReportedLoad: worker.reportedLoad,
+			ReportedLoadAtMillis: worker.reportedLoadAt,
+			HeardAtMillis:        worker.heardAt, Suspicion: worker.suspicion.score,
+			SuspicionAtMillis: worker.suspicion.updatedAt,
+			Overloaded:        worker.overloaded,
+			SlowStartAtMillis: worker.slowStartAt, SlowStartDebtUnits: worker.slowStartDebt}
+		saved.Rejections, saved.RejectionsAtMillis = make([]float64, len(e.acceptingFraction)), make([]float64,
+			len(e.acceptingFraction))
+		for k, score := range worker.rejections {
+			saved.Rejections[k], saved.RejectionsAtMillis[k] = score.score, score.updatedAt
 		}
-		e.Workers = append(e.Workers, s)
+		handoff.Workers = append(handoff.Workers, saved)
 	}
-	for i, k := range g.kinds {
-		e.Kinds = append(e.Kinds, MachineKindState{i, k.pace, k.answers})
+	for i, kind := range e.machineKinds {
+		handoff.Kinds = append(handoff.Kinds, MachineKindState{i, kind.responseMillis, kind.responses})
 	}
-	for i := range g.peers {
-		p := &g.peers[i]
-		e.Peers = append(e.Peers, PeerState{p.heard, p.told, p.owes, p.spoke, p.silent, p.gone,
-			append([]Report(nil), p.last...)})
+	for i := range e.peers {
+		peer := &e.peers[i]
+		handoff.Peers = append(handoff.Peers, PeerState{peer.heardAt, peer.reportedAt, peer.reportDueSince,
+			peer.reportsHeardAt, peer.silent, peer.lost,
+			append([]Report(nil), peer.lastReports...)})
 	}
-	for i := range g.plans {
-		e.ShortDeadlineSuccess, e.AttemptMillis = append(e.ShortDeadlineSuccess, g.plans[i].tight),
-			append(e.AttemptMillis, g.plans[i].stay)
+	for i := range e.plans {
+		handoff.ShortDeadlineSuccess, handoff.AttemptMillis = append(handoff.ShortDeadlineSuccess,
+			e.plans[i].shortDeadlineSuccess),
+			append(handoff.AttemptMillis, e.plans[i].attemptMillis)
 	}
-	return e
+	return handoff
 }
 
 // Resume takes over what a predecessor on this machine has left, before the first txn, and has it changed to
 // this charter from the one that it went by. What does not fit is not taken. The worker of a Standing, and a
 // kind, are this gatekeeper's own indices.
-func (g *Engine) RestoreHandoff(e HandoffState) {
-	if len(e.ShortDeadlineSuccess) != len(g.plans) || e.AtMillis > g.now+stopped {
+func (e *Engine) RestoreHandoff(handoff HandoffState) {
+	if len(handoff.ShortDeadlineSuccess) != len(e.plans) || handoff.AtMillis > e.now+stallMillis {
 		return
 	}
-	if mine := g.signed; !reflect.DeepEqual(mine, e.Settings) {
-		if !g.Reconfigure(e.Settings) {
+	if mine := e.settings; !reflect.DeepEqual(mine, handoff.Settings) {
+		if !e.Reconfigure(handoff.Settings) {
 			return
 		}
-		defer g.Reconfigure(mine)
+		defer e.Reconfigure(mine)
 	}
-	if len(e.Peers) != len(g.peers) {
+	if len(handoff.Peers) != len(e.peers) {
 		return
 	}
-	g.base = e.RateLimitBaseMillis
-	g.started, g.window, g.press, g.cutAt, g.pace = e.StartedAtMillis, e.Window, e.Pressure, e.WindowCutAtMillis,
-		e.ResponseMillis
-	g.load, g.warmDone, g.warmEach, g.warmAt = e.MeanWorkerLoad, e.WarmWorkUnits, e.WarmWorkUnitsPerWorker,
-		e.WarmWorkAtMillis
-	g.long, g.astray, g.nextTell = mark{e.SlowRequests, e.SlowRequestsAtMillis}, mark{e.LostRequests,
-		e.LostRequestsAtMillis}, e.NextReportAtMillis
-	for i := range g.plans {
-		g.plans[i].tight, g.plans[i].stay = e.ShortDeadlineSuccess[i], e.AttemptMillis[i]
-		g.plans[i].restate()
-	}
-	for _, k := range e.Kinds {
-		if k.MachineKind < len(g.kinds) {
-			g.kinds[k.MachineKind] = kind{k.ResponseMillis, k.Responses}
+	e.rateLimitBase = handoff.RateLimitBaseMillis
+	e.startedAt, e.window, e.pressure, e.windowCutAt, e.responseMillis = handoff.StartedAtMillis, handoff.Window,
+		handoff.Pressure, handoff.WindowCutAtMillis,
+		handoff.ResponseMillis
+	e.meanLoad, e.warmUnits, e.warmUnitsPerWorker, e.warmUnitsAt = handoff.MeanWorkerLoad, handoff.WarmWorkUnits,
+		handoff.WarmWorkUnitsPerWorker,
+		handoff.WarmWorkAtMillis
+	e.slowRequests, e.lostRequests, e.nextReportAt = decayingScore{handoff.SlowRequests,
+		handoff.SlowRequestsAtMillis}, decayingScore{handoff.LostRequests,
+		handoff.LostRequestsAtMillis}, handoff.NextReportAtMillis
+	for i := range e.plans {
+		e.plans[i].shortDeadlineSuccess, e.plans[i].attemptMillis = handoff.ShortDeadlineSuccess[i],
+			handoff.AttemptMillis[i]
+		e.plans[i].deriveRate()
+	}
+	for _, saved := range handoff.Kinds {
+		if saved.MachineKind < len(e.machineKinds) {
+			e.machineKinds[saved.MachineKind] = machineKind{saved.ResponseMillis, saved.Responses}
 		}
 	}
-	for _, s := range e.Workers {
-		if s.Worker >= len(g.workers) || g.workers[s.Worker].StartedAtMillis != s.StartedAtMillis ||
-			len(s.Rejections) != len(g.plans)*len(g.products) || len(s.RejectionsAtMillis) != len(s.Rejections) {
+	for _, saved := range handoff.Workers {
+		if saved.Worker >= len(e.workers) || e.workers[saved.Worker].StartedAtMillis != saved.StartedAtMillis ||
+			len(saved.Rejections) != len(e.plans)*len(e.products) ||
+			len(saved.RejectionsAtMillis) != len(saved.Rejections) {
 			continue // what started anew since is another process, cold, and keeps what is known of that
 		}
-		w := &g.workers[s.Worker]
-		w.pace, w.paced, w.load, w.told, w.heard = s.ResponseMillis, s.ResponseAtMillis, s.ReportedLoad,
-			s.ReportedLoadAtMillis, s.HeardAtMillis
-		w.distrust, w.full, w.coldAt, w.coldDebt = mark{s.Suspicion, s.SuspicionAtMillis}, s.Overloaded,
-			s.SlowStartAtMillis, s.SlowStartDebtUnits
-		clear(w.turned)
-		for i := range s.Rejections {
-			if s.Rejections[i] != 0 {
-				g.marks(w)[i] = mark{s.Rejections[i], s.RejectionsAtMillis[i]}
+		worker := &e.workers[saved.Worker]
+		worker.responseMillis, worker.responseAt, worker.reportedLoad, worker.reportedLoadAt,
+			worker.heardAt = saved.ResponseMillis, saved.ResponseAtMillis, saved.ReportedLoad,
+			saved.ReportedLoadAtMillis, saved.HeardAtMillis
+		worker.suspicion, worker.overloaded, worker.slowStartAt, worker.slowStartDebt =
+			decayingScore{saved.Suspicion, saved.SuspicionAtMillis}, saved.Overloaded,
+			saved.SlowStartAtMillis, saved.SlowStartDebtUnits
+		clear(worker.rejections)
+		for i := range saved.Rejections {
+			if saved.Rejections[i] != 0 {
+				e.rejectionsOf(worker)[i] = decayingScore{saved.Rejections[i], saved.RejectionsAtMillis[i]}
 			}
 		}
-		g.noted(w)
-	}
-	for i, p := range e.Peers {
-		g.peers[i] = peer{p.HeardAtMillis, p.ReportedAtMillis, p.ReportDueSinceMillis, p.ReportsHeardAtMillis,
-			p.Silent, p.Lost, p.LastReports}
-	}
-	g.muted()
-	for _, k := range e.Customers {
-		if k.Plan < 0 || k.Plan >= len(g.plans) || k.SetSize < 0 || k.SetSize > g.charter.n || k.FirstGateway < 0 ||
-			k.FirstGateway >= g.charter.n {
+		e.markSuspect(worker)
+	}
+	for i, saved := range handoff.Peers {
+		e.peers[i] = peerRecord{saved.HeardAtMillis, saved.ReportedAtMillis, saved.ReportDueSinceMillis,
+			saved.ReportsHeardAtMillis,
+			saved.Silent, saved.Lost, saved.LastReports}
+	}
+	e.countSilentPeers()
+	for _, saved := range handoff.Customers {
+		if saved.Plan < 0 || saved.Plan >= len(e.plans) || saved.SetSize < 0 ||
+			saved.SetSize > e.derived.gatewayCount || saved.FirstGateway < 0 ||
+			saved.FirstGateway >= e.derived.gatewayCount {
 			continue
 		}
-		if _, known := g.byKey[uint32(k.ID)]; known {
+		if _, known := e.accountByCustomer[uint32(saved.ID)]; known {
 			continue
 		}
-		c := &g.accounts[g.open(k.ID, k.Plan)]
-		c.n, c.first, c.txns, c.holding, c.level, c.whole = k.SetSize, k.FirstGateway, k.Requests, k.SilentPeers,
-			k.ShareTokens, k.QuotaTokens
-		c.filled, c.others, c.flow, c.held, c.heard = k.FilledAtMillis, k.PeerDemand, k.PeerSpentUnits,
-			k.SilentPeerDemand, k.PeerDemandAtMillis
-		c.demand, c.lately, c.seen, c.coolSince = k.OwnDemand, k.RecentDemand, k.LastRequestAtMillis,
-			k.CoolSinceMillis
-		c.ceilingAt, c.unsaid, c.said, c.saidAt = k.RateLimitFullAtMillis, k.UnreportedUnits, k.ReportedDemand,
-			k.ReportedAtMillis
-		c.known, c.hot, c.lent, c.out, c.lag, c.dealt = k.PreviousReportedDemand, k.Hot, k.InFlight, k.InFlight,
-			k.UncollectedRepayment, k.CreditAtMillis
-		if c.n == 0 {
-			g.heardOnly++
+		account := &e.accounts[e.openAccount(saved.ID, saved.Plan)]
+		account.setSize, account.firstGateway, account.requests, account.silentPeers, account.shareTokens,
+			account.quotaTokens = saved.SetSize, saved.FirstGateway, saved.Requests, saved.SilentPeers,
+			saved.ShareTokens, saved.QuotaTokens
+		account.filledAt, account.peerDemand, account.peerSpent, account.silentPeerDemand, account.peerDemandAt =
+			saved.FilledAtMillis, saved.PeerDemand, saved.PeerSpentUnits,
+			saved.SilentPeerDemand, saved.PeerDemandAtMillis
+		account.decayedDemand, account.recentDemand, account.lastRequestAt, account.coolSince = saved.OwnDemand,
+			saved.RecentDemand, saved.LastRequestAtMillis,
+			saved.CoolSinceMillis
+		account.rateLimitFullAt, account.unreportedUnits, account.reportedDemand,
+			account.reportedAt = saved.RateLimitFullAtMillis, saved.UnreportedUnits, saved.ReportedDemand,
+			saved.ReportedAtMillis
+		account.previousReportedDemand, account.hot, account.predecessorInFlight, account.inFlight,
+			account.uncollectedUnits, account.creditAt = saved.PreviousReportedDemand, saved.Hot, saved.InFlight,
+			saved.InFlight,
+			saved.UncollectedRepayment, saved.CreditAtMillis
+		if account.setSize == 0 {
+			e.remoteOnlyAccounts++
 		}
-		g.reshare(c)
+		e.updateShare(account)
 	}
-	g.list()
+	e.rebuildReady()
 }
 
 // Alone tells that the predecessor has ended: none of its submissions is out any more.
-func (g *Engine) PredecessorEnded() {
-	for i := range g.accounts {
-		c := &g.accounts[i]
-		c.out, c.lent = c.out-c.lent, 0
+func (e *Engine) PredecessorEnded() {
+	for i := range e.accounts {
+		account := &e.accounts[i]
+		account.inFlight, account.predecessorInFlight = account.inFlight-account.predecessorInFlight, 0
 	}
 }
 
@@ -223,41 +245,46 @@
 
 // Remember takes a former life's residue, before the first txn. What it does not know, or what does not fit
 // this charter, is as after any start.
-func (g *Engine) RestoreCrashState(r CrashState) {
-	g.base = math.Min(r.RateLimitBaseMillis, g.base)
-	for _, s := range r.RateLimits {
-		if _, known := g.byKey[uint32(s.Customer)]; known || s.Plan < 0 || s.Plan >= len(g.plans) ||
-			g.heardOnly >= mostHeard {
-			g.base = math.Max(g.base, s.FullAtMillis) // later than true, for all that are not known
+func (e *Engine) RestoreCrashState(crash CrashState) {
+	e.rateLimitBase = math.Min(crash.RateLimitBaseMillis, e.rateLimitBase)
+	for _, spent := range crash.RateLimits {
+		if _, known := e.accountByCustomer[uint32(spent.Customer)]; known || spent.Plan < 0 ||
+			spent.Plan >= len(e.plans) ||
+			e.remoteOnlyAccounts >= maxRemoteAccounts {
+			// later than true, for all that are not known
+			e.rateLimitBase = math.Max(e.rateLimitBase, spent.FullAtMillis)
 			continue
 		}
-		g.accounts[g.open(s.Customer, s.Plan)].ceilingAt = s.FullAtMillis
-		g.heardOnly++ // its first txn fills the rest in
+		e.accounts[e.openAccount(spent.Customer, spent.Plan)].rateLimitFullAt = spent.FullAtMillis
+		e.remoteOnlyAccounts++ // its first txn fills the rest in
 	}
-	if r.Window > 0 && r.ResponseMillis > 0 && r.Pressure >= 0 {
-		g.window, g.press, g.pace = math.Max(g.window, r.Window), r.Pressure, r.ResponseMillis
+	if crash.Window > 0 && crash.ResponseMillis > 0 && crash.Pressure >= 0 {
+		e.window, e.pressure, e.responseMillis = math.Max(e.window, crash.Window), crash.Pressure,
+			crash.ResponseMillis
 	}
 }
 
 // Pressure tells how pressed the gatekeeper is, as a residue has it.
-func (g *Engine) Congestion() (window, press, pace float64) { return g.window, g.press, g.pace }
+func (e *Engine) Congestion() (window, press, pace float64) {
+	return e.window, e.pressure, e.responseMillis
+}
 
 // Residue gives what is spent of ceilings, for a life after this one.
-func (g *Engine) CrashState() (base float64, all []SpentRateLimit) {
-	for i := range g.accounts {
-		c := &g.accounts[i]
-		if full := g.full(c); c.live && full > g.now {
-			all = append(all, SpentRateLimit{c.customer, c.plan, full})
+func (e *Engine) CrashState() (base float64, all []SpentRateLimit) {
+	for i := range e.accounts {
+		account := &e.accounts[i]
+		if full := e.rateLimitFullAt(account); account.live && full > e.now {
+			all = append(all, SpentRateLimit{account.id, account.plan, full})
 		}
 	}
-	return g.base, all
+	return e.rateLimitBase, all
 }
 
 // Resize tells that there are so many gatekeepers from now on.
-func (g *Engine) SetGatewayCount(n int) {
-	if c := g.signed; n != g.charter.n && n > c.GatewayIndex {
-		c.GatewayCount = n
-		g.Reconfigure(c)
+func (e *Engine) SetGatewayCount(n int) {
+	if settings := e.settings; n != e.derived.gatewayCount && n > settings.GatewayIndex {
+		settings.GatewayCount = n
+		e.Reconfigure(settings)
 	}
 }
 
@@ -270,95 +297,111 @@
 // at its new pace from what there was, one that shrinks holds at most its new depth less what is spent, and
 // a new one holds nothing. Where a part is withheld, all that is spent counts against the rest; where it is
 // given free again, what was not spent of it is there.
-func (g *Engine) Reconfigure(c Settings) bool {
-	n := max(c.GatewayCount, 1)
-	if c.GatewayIndex != g.charter.me || n <= c.GatewayIndex || len(c.Plans) != len(g.plans) ||
-		len(c.Products) != len(g.products) {
+func (e *Engine) Reconfigure(settings Settings) bool {
+	gatewayCount := max(settings.GatewayCount, 1)
+	if settings.GatewayIndex != e.derived.gatewayIndex || gatewayCount <= settings.GatewayIndex ||
+		len(settings.Plans) != len(e.plans) ||
+		len(settings.Products) != len(e.products) {
 		return false
 	}
-	for i := n; i < g.charter.n; i++ {
-		g.silence(i, false, false) // nothing is held for those that are no more
+	for i := gatewayCount; i < e.derived.gatewayCount; i++ {
+		e.setPeerSilent(i, false, false) // nothing is held for those that are no more
 	}
-	if n != g.charter.n { // sets may change, and customers not known here be spent at those that had been theirs
-		g.base = g.now
+	// sets may change, and customers not known here be spent at those that had been theirs
+	if gatewayCount != e.derived.gatewayCount {
+		e.rateLimitBase = e.now
 	}
-	for i := range g.accounts {
-		if a := &g.accounts[i]; a.live {
-			g.fill(a)
-			if a.n > 0 && (a.first >= n || a.n > n) { // its next txn says what its set is now
-				a.ceilingAt = math.Max(a.ceilingAt, g.now+g.plans[a.plan].spentFor())
+	for i := range e.accounts {
+		if account := &e.accounts[i]; account.live {
+			e.refill(account)
+			// its next txn says what its set is now
+			if account.setSize > 0 && (account.firstGateway >= gatewayCount || account.setSize > gatewayCount) {
+				account.rateLimitFullAt = math.Max(account.rateLimitFullAt,
+					e.now+e.plans[account.plan].fullRefillMillis())
 			}
-			a.n, a.first = min(a.n, n), a.first%n
+			account.setSize, account.firstGateway = min(account.setSize, gatewayCount),
+				account.firstGateway%gatewayCount
 		}
 	}
-	f, was, told := New(c, 0), g.plans, g.signed // for what follows from the charter
-	if g.first == nil {
-		g.first = told.Plans
+	// for what follows from the charter
+	fresh, previousPlans, previousSettings := New(settings, 0), e.plans, e.settings
+	if e.initialPlans == nil {
+		e.initialPlans = previousSettings.Plans
 	}
-	for i := range f.plans {
-		f.plans[i].tight, f.plans[i].stay = was[i].tight, was[i].stay
-		f.plans[i].restate()
-		f.plans[i].narrow(&c, c.Plans[i].WithheldFraction)
-		f.plans[i].recorded = lesser(f.plans[i].ceilRate, g.first[i].RateLimitPerSecond/1000)
-		g.rebase(&f.plans[i], told.Plans[i], c.Plans[i])
+	for i := range fresh.plans {
+		fresh.plans[i].shortDeadlineSuccess, fresh.plans[i].attemptMillis = previousPlans[i].shortDeadlineSuccess,
+			previousPlans[i].attemptMillis
+		fresh.plans[i].deriveRate()
+		fresh.plans[i].restrict(&settings, settings.Plans[i].WithheldFraction)
+		fresh.plans[i].recordedRatePerMilli = minPositive(fresh.plans[i].rateLimitPerMilli,
+			e.initialPlans[i].RateLimitPerSecond/1000)
+		e.advanceRateLimitBase(&fresh.plans[i], previousSettings.Plans[i], settings.Plans[i])
 	}
-	if c.QuotaWithoutGossip { // what would be told of demand is not what is asked
-		f.charter.talks, f.charter.tellAt = false, 0
+	if settings.QuotaWithoutGossip { // what would be told of demand is not what is asked
+		fresh.derived.gossip, fresh.derived.immediatePerMilli = false, 0
 	}
 	// What the others have spent in between is not known, unless all of it is as after a start.
-	unknown := (told.QuotaWithoutGossip || c.QuotaWithoutGossip) && !g.fresh
+	unknown := (previousSettings.QuotaWithoutGossip || settings.QuotaWithoutGossip) && !e.startedEmpty
 	switch {
-	case c.QuotaWithoutGossip && !told.QuotaWithoutGossip:
-		g.fresh = len(g.byKey) == 0
-	case !c.QuotaWithoutGossip && told.QuotaWithoutGossip && !g.fresh:
-		g.widened = g.now
-	}
-	copy(f.peers, g.peers)
-	g.signed, g.charter, g.plans, g.peers, g.mute, g.owed = c, f.charter, f.plans, f.peers, f.mute, f.owed
-	g.muted()
-	for i := range g.accounts {
-		if a := &g.accounts[i]; a.live {
-			p := &g.plans[a.plan]
-			a.ceilingAt = g.respent(a, &was[a.plan], told.Plans[a.plan], c.Plans[a.plan])
+	case settings.QuotaWithoutGossip && !previousSettings.QuotaWithoutGossip:
+		e.startedEmpty = len(e.accountByCustomer) == 0
+	case !settings.QuotaWithoutGossip && previousSettings.QuotaWithoutGossip && !e.startedEmpty:
+		e.gossipResumedAt = e.now
+	}
+	copy(fresh.peers, e.peers)
+	e.settings, e.derived, e.plans, e.peers, e.silentPrefix, e.hotPrefix = settings, fresh.derived, fresh.plans,
+		fresh.peers, fresh.silentPrefix, fresh.hotPrefix
+	e.countSilentPeers()
+	for i := range e.accounts {
+		if account := &e.accounts[i]; account.live {
+			plan := &e.plans[account.plan]
+			account.rateLimitFullAt = e.rescaledFullAt(account, &previousPlans[account.plan],
+				previousSettings.Plans[account.plan], settings.Plans[account.plan])
 			if unknown {
-				a.hot, a.others, a.held, a.holding, a.whole = false, 0, 0, 0, 0
+				account.hot, account.peerDemand, account.silentPeerDemand, account.silentPeers,
+					account.quotaTokens = false, 0, 0, 0, 0
 			}
-			g.reshare(a)
-			a.level, a.whole = math.Min(a.level, g.holds(p, a.share)), math.Min(a.whole, g.holds(p, p.rate))
+			e.updateShare(account)
+			account.shareTokens, account.quotaTokens = math.Min(account.shareTokens, e.storeDepth(plan,
+				account.sharePerMilli)), math.Min(account.quotaTokens, e.storeDepth(plan, plan.ratePerMilli))
 		}
 	}
-	for i := range g.txns {
-		if t := &g.txns[i]; t.live && t.pass == granted && g.plans[t.plan].shut() { // its clearance lapses
-			t.expiry = math.Min(t.expiry, g.now)
-			g.due = append(g.due, int32(i))
+	for i := range e.requests {
+		// its clearance lapses
+		if request := &e.requests[i]; request.live && request.clearance == clearanceGranted &&
+			e.plans[request.plan].blocked() {
+			request.deadline = math.Min(request.deadline, e.now)
+			e.pending = append(e.pending, int32(i))
 		}
 	}
-	g.list()
-	g.window = math.Max(g.window, g.leastWindow())
+	e.rebuildReady()
+	e.window = math.Max(e.window, e.minWindow())
 	return true
 }
 
 // narrow leaves a plan what is this gatekeeper's own. Where its quota goes without words all peers count as
 // unheard: the split leaves each gatekeeper an even part of alpha x rate, which is the cold slice.
-func (p *plan) narrow(c *Settings, withheld float64) {
-	p.ceilDepth *= 1 - withheld
+func (plan *planParams) restrict(settings *Settings, withheld float64) {
+	plan.rateLimitBurst *= 1 - withheld
 	if withheld < 1 { // one that is shut still fills
-		p.ceilRate *= 1 - withheld
+		plan.rateLimitPerMilli *= 1 - withheld
 	}
-	if c.QuotaWithoutGossip {
-		p.sparse, p.excess = false, false
-		p.rate, p.out = p.rate*alpha, p.out*alpha
-		p.restate()
+	if settings.QuotaWithoutGossip {
+		plan.sparse, plan.allowsExcess = false, false
+		plan.ratePerMilli, plan.targetInFlight = plan.ratePerMilli*coldShareFraction,
+			plan.targetInFlight*coldShareFraction
+		plan.deriveRate()
 	}
 }
 
 // shut tells whether nothing passes under a plan's ceiling.
-func (p *plan) shut() bool {
-	return p.ceilRate > 0 && p.ceilDepth <= 0 || p.ceilRate <= 0 && p.ceilDepth > 0
+func (plan *planParams) blocked() bool {
+	return plan.rateLimitPerMilli > 0 && plan.rateLimitBurst <= 0 || plan.rateLimitPerMilli <= 0 &&
+		plan.rateLimitBurst > 0
 }
 
 // lesser gives the lower one of two rates, of which 0 is none.
-func lesser(a, b float64) float64 {
+func minPositive(a, b float64) float64 {
 	if a > 0 && b > 0 {
 		return math.Min(a, b)
 	}
@@ -367,80 +410,83 @@
 
 // rebase sees that customers that are not known find no more in a ceiling that grows, or is new, than those
 // that are. It falls on all plans: there is one base.
-func (g *Engine) rebase(p *plan, from, to Plan) {
+func (e *Engine) advanceRateLimitBase(plan *planParams, from, to Plan) {
 	had := from.RateLimitBurst
 	if from.RateLimitPerSecond <= 0 {
 		had = 0
 	}
 	if to.RateLimitPerSecond > 0 && to.RateLimitBurst > had {
-		g.base = math.Max(g.base, g.now-had/to.RateLimitPerSecond*1000)
+		e.rateLimitBase = math.Max(e.rateLimitBase, e.now-had/to.RateLimitPerSecond*1000)
 	}
 }
 
 // respent is the moment at which a customer's slice of a ceiling that has changed is full again.
-func (g *Engine) respent(a *account, was *plan, from, to Plan) float64 {
-	p := &g.plans[a.plan]
+func (e *Engine) rescaledFullAt(account *customerAccount, previous *planParams, from, to Plan) float64 {
+	plan := &e.plans[account.plan]
 	if to.RateLimitPerSecond <= 0 {
-		return a.ceilingAt
+		return account.rateLimitFullAt
 	}
 	units := to.RateLimitBurst
 	if from.RateLimitPerSecond > 0 {
-		spent := math.Max(a.ceilingAt-g.now, 0) * was.ceilRate
+		spent := math.Max(account.rateLimitFullAt-e.now, 0) * previous.rateLimitPerMilli
 		units = math.Min(spent+math.Max(to.RateLimitBurst-from.RateLimitBurst, 0), to.RateLimitBurst)
 	}
-	if was.shut() && a.n > 0 { // it may have been opened meanwhile, and then has not been taken as spent
-		units = math.Max(units, to.RateLimitBurst-math.Max(g.now-g.base, 0)*to.RateLimitPerSecond/1000)
+	// it may have been opened meanwhile, and then has not been taken as spent
+	if previous.blocked() && account.setSize > 0 {
+		units = math.Max(units, to.RateLimitBurst-math.Max(e.now-e.rateLimitBase, 0)*to.RateLimitPerSecond/1000)
 	}
-	return g.now + units/p.ceilRate
+	return e.now + units/plan.rateLimitPerMilli
 }
 
 // Recall tells that submission n of a txn, the newest, never began: what it was decided by had run out. The
 // txn is decided on anew, the first time as if it had just come; what it took stays taken. It is false where
 // that can't be, and the submission has Ended as NotSent.
-func (g *Engine) RetractAttempt(id uint64, n int) bool {
-	slot, ok := g.byID[id]
-	if !ok || n < 0 || n != len(g.txns[slot].subs)-1 || !g.txns[slot].subs[n].out {
+func (e *Engine) RetractAttempt(id uint64, attemptIndex int) bool {
+	slot, ok := e.byID[id]
+	if !ok || attemptIndex < 0 || attemptIndex != len(e.requests[slot].attempts)-1 ||
+		!e.requests[slot].attempts[attemptIndex].inFlight {
 		return false
 	}
-	t := &g.txns[slot]
-	g.back(t, &t.subs[n])
-	g.unrefer(t.subs[n:])
-	t.subs = t.subs[:n]
-	if n == 0 {
-		g.unkeep(t)
+	request := &e.requests[slot]
+	e.endAttempt(request, &request.attempts[attemptIndex])
+	e.releaseReferences(request.attempts[attemptIndex:])
+	request.attempts = request.attempts[:attemptIndex]
+	if attemptIndex == 0 {
+		e.releaseReservation(request)
 	}
-	if g.plans[t.plan].shut() { // also one that was cleared, or has been sent before
-		t.expiry = math.Min(t.expiry, g.now)
+	if e.plans[request.plan].blocked() { // also one that was cleared, or has been sent before
+		request.deadline = math.Min(request.deadline, e.now)
 	}
-	g.due = append(g.due, slot)
+	e.pending = append(e.pending, slot)
 	return true
 }
 
 // spentFor is how long a slice of a plan's ceiling that is spent takes to be full, ms; 0 where there is none.
-func (p *plan) spentFor() float64 {
-	if p.ceilRate <= 0 {
+func (plan *planParams) fullRefillMillis() float64 {
+	if plan.rateLimitPerMilli <= 0 {
 		return 0
 	}
-	return p.ceilDepth / p.ceilRate
+	return plan.rateLimitBurst / plan.rateLimitPerMilli
 }
 
 // Returned tells that a peer has started anew, knowing nothing: what its former life told counts no more. It
 // will tell its demand from nought on, and both would be counted.
-func (g *Engine) PeerRestarted(from int) {
-	if from < 0 || from >= g.charter.n || from == g.charter.me {
+func (e *Engine) PeerRestarted(from int) {
+	if from < 0 || from >= e.derived.gatewayCount || from == e.derived.gatewayIndex {
 		return
 	}
-	p := &g.peers[from]
-	if p.silent {
-		g.silence(from, false, false)
-	}
-	for _, r := range p.last {
-		if ai, ok := g.byKey[uint32(r.Customer)]; ok {
-			c := &g.accounts[ai]
-			g.fill(c)
-			c.others = math.Max(c.others-r.DemandPerSecond/1000*math.Exp((p.heard-g.now)/g.plans[c.plan].memory), 0)
-			g.reshare(c)
+	peer := &e.peers[from]
+	if peer.silent {
+		e.setPeerSilent(from, false, false)
+	}
+	for _, report := range peer.lastReports {
+		if accountIndex, ok := e.accountByCustomer[uint32(report.Customer)]; ok {
+			account := &e.accounts[accountIndex]
+			e.refill(account)
+			account.peerDemand = math.Max(account.peerDemand-report.DemandPerSecond/1000*math.Exp(
+				(peer.heardAt-e.now)/e.plans[account.plan].demandWindowMillis), 0)
+			e.updateShare(account)
 		}
 	}
-	p.last = p.last[:0]
+	peer.lastReports = peer.lastReports[:0]
 }
--- a/internal/policy/group_test.go
+++ b/internal/policy/group_test.go
@@ -69,7 +69,7 @@
 						w := s.subs[0].Worker
 						h.at(h.now + 50)
 						c.leave(h, w)
-						at := map[int]*worker{}
+						at := map[int]*workerRecord{}
 						for i := range h.g.workers {
 							at[i] = &h.g.workers[i]
 						}
--- a/internal/policy/listed.go
+++ b/internal/policy/listed.go
@@ -11,150 +11,154 @@
 // all txns up for 80 ms. What it gives is to the last bit what a look at all of them in order gives.
 
 // oneByOne is how many changes are put in one after another; more are cheaper merged into the list.
-const oneByOne = 16
+const maxSingleInserts = 16
 
 // Where a worker stands.
 const (
-	out    = uint8(iota) // not among the ready ones
-	listed               // among them
-	fresh                // it is to be, and is not in its places yet
+	notReady     = uint8(iota) // not among the ready ones
+	inReadyList                // among them
+	pendingReady               // it is to be, and is not in its places yet
 )
 
 // manner is how a list is taken.
-type manner uint8
+type updateMode uint8
 
 const (
-	byOne   manner = iota // entry by entry
-	byMerge               // merged
-	byAll                 // all workers are gone over
+	updateEach   updateMode = iota // entry by entry
+	updateMerged                   // merged
+	updateAll                      // all workers are gone over
 )
 
 // begins makes room for a list, takes all workers off where it is whole, and tells how it is taken.
-func (g *Engine) begins(list []Endpoint, partial bool) manner {
-	for i := 0; i < len(g.workers) && !partial; i++ {
-		g.workers[i].listed = false
+func (e *Engine) beginUpdate(list []Endpoint, partial bool) updateMode {
+	for i := 0; i < len(e.workers) && !partial; i++ {
+		e.workers[i].listed = false
 	}
-	n := len(g.workers)
+	count := len(e.workers)
 	for i := range list {
-		n = max(n, list[i].Worker+1)
+		count = max(count, list[i].Worker+1)
 	}
-	if more := n - len(g.workers); more > 0 {
-		g.workers = slices.Grow(g.workers, more)[:n]
-		g.ranks, g.in = slices.Grow(g.ranks, more)[:n], slices.Grow(g.in, more)[:n]
+	if added := count - len(e.workers); added > 0 {
+		e.workers = slices.Grow(e.workers, added)[:count]
+		e.ranks, e.readiness = slices.Grow(e.ranks, added)[:count], slices.Grow(e.readiness, added)[:count]
 	}
 	switch {
 	case !partial:
-		return byAll
-	case len(list) <= oneByOne:
-		return byOne
+		return updateAll
+	case len(list) <= maxSingleInserts:
+		return updateEach
 	}
-	g.brought, g.chilled, g.struck = g.brought[:0], g.chilled[:0], false
-	return byMerge
+	e.added, e.rewarming, e.removedAny = e.added[:0], e.rewarming[:0], false
+	return updateMerged
 }
 
 // posted gives the worker of an entry of the list, a new one if another had its place. Where the entry
 // changes its place among the ready ones it is taken off them.
-func (g *Engine) posted(p Endpoint, how manner) *worker {
-	for len(g.kinds) <= p.MachineKind {
-		g.kinds = append(g.kinds, kind{})
+func (e *Engine) applyEndpoint(endpoint Endpoint, mode updateMode) *workerRecord {
+	for len(e.machineKinds) <= endpoint.MachineKind {
+		e.machineKinds = append(e.machineKinds, machineKind{})
 	}
-	i := p.Worker
-	w := &g.workers[i]
+	i := endpoint.Worker
+	worker := &e.workers[i]
 	switch {
-	case how == byAll || g.in[i] == out:
-	case p.Replaced || !p.Active || g.ranks[i] == 0:
-		g.strike(i, how)
-	case p.StartedAtMillis != w.StartedAtMillis && w.warm:
-		w.warm = false
-		g.warm--
-		if how == byOne {
-			g.cold = inserted(g.cold, i)
+	case mode == updateAll || e.readiness[i] == notReady:
+	case endpoint.Replaced || !endpoint.Active || e.ranks[i] == 0:
+		e.removeReady(i, mode)
+	case endpoint.StartedAtMillis != worker.StartedAtMillis && worker.warm:
+		worker.warm = false
+		e.warmCount--
+		if mode == updateEach {
+			e.warming = insertSorted(e.warming, i)
 		} else {
-			g.chilled = append(g.chilled, i)
+			e.rewarming = append(e.rewarming, i)
 		}
 	}
-	if p.Replaced {
-		clear(w.turned)
-		*w = worker{turned: w.turned, wary: w.wary, refer: w.refer}
-		g.ranks[i] = 0
+	if endpoint.Replaced {
+		clear(worker.rejections)
+		*worker = workerRecord{rejections: worker.rejections, suspect: worker.suspect,
+			references: worker.references}
+		e.ranks[i] = 0
 	}
-	if g.ranks[i] == 0 {
-		g.in[i] = out // where it is ranked anew it has another place by rank
-		g.ranks[i] = g.rng.Float64()
+	if e.ranks[i] == 0 {
+		e.readiness[i] = notReady // where it is ranked anew it has another place by rank
+		e.ranks[i] = e.rng.Float64()
 	}
-	return w
+	return worker
 }
 
 // relist puts a worker whose entry was taken among the ready ones. Until time is reckoned with it is cold.
-func (g *Engine) relist(i int, how manner) {
-	w := &g.workers[i]
-	if how == byAll || !w.listed || g.in[i] != out {
+func (e *Engine) addReady(i int, mode updateMode) {
+	worker := &e.workers[i]
+	if mode == updateAll || !worker.listed || e.readiness[i] != notReady {
 		return
 	}
-	w.warm = false
-	if how == byMerge {
-		g.in[i], g.brought = fresh, append(g.brought, i)
+	worker.warm = false
+	if mode == updateMerged {
+		e.readiness[i], e.added = pendingReady, append(e.added, i)
 		return
 	}
-	g.in[i] = listed
-	g.ready, g.cold = inserted(g.ready, i), inserted(g.cold, i)
-	at, _ := slices.BinarySearchFunc(g.ranked, i, g.byRank)
-	g.ranked = slices.Insert(g.ranked, at, i)
+	e.readiness[i] = inReadyList
+	e.ready, e.warming = insertSorted(e.ready, i), insertSorted(e.warming, i)
+	at, _ := slices.BinarySearchFunc(e.readyByRank, i, e.compareRank)
+	e.readyByRank = slices.Insert(e.readyByRank, at, i)
 }
 
 // strike takes a worker off the ready ones.
-func (g *Engine) strike(i int, how manner) {
-	g.in[i] = out
-	warm := g.workers[i].warm
-	if g.workers[i].warm = false; warm {
-		g.warm--
-	}
-	if how == byMerge {
-		g.struck = true
+func (e *Engine) removeReady(i int, mode updateMode) {
+	e.readiness[i] = notReady
+	warm := e.workers[i].warm
+	if e.workers[i].warm = false; warm {
+		e.warmCount--
+	}
+	if mode == updateMerged {
+		e.removedAny = true
 		return
 	}
-	g.ready, g.cold = removed(g.ready, i), removed(g.cold, i)
-	if at, found := slices.BinarySearchFunc(g.ranked, i, g.byRank); found {
-		g.ranked = slices.Delete(g.ranked, at, at+1)
+	e.ready, e.warming = deleteSorted(e.ready, i), deleteSorted(e.warming, i)
+	if at, found := slices.BinarySearchFunc(e.readyByRank, i, e.compareRank); found {
+		e.readyByRank = slices.Delete(e.readyByRank, at, at+1)
 	}
 }
 
 // lists ends a list: it puts what has changed of the ready workers in its places.
-func (g *Engine) lists(how manner) {
-	switch g.rated = false; how {
-	case byAll:
-		g.list()
+func (e *Engine) endUpdate(mode updateMode) {
+	switch e.sizeRatingKnown = false; mode {
+	case updateAll:
+		e.rebuildReady()
 		return
-	case byMerge:
-		g.merge()
+	case updateMerged:
+		e.mergeReady()
 	}
-	g.renew()
+	e.refreshReady()
 }
 
 // merge takes those struck off the ready ones, and puts the fresh ones among them.
-func (g *Engine) merge() {
-	slices.Sort(g.brought) // an entry may have come twice
-	g.brought = slices.DeleteFunc(slices.Compact(g.brought), func(i int) bool { return g.in[i] != fresh })
-	g.chilled = append(slices.DeleteFunc(g.chilled, func(i int) bool { return g.in[i] == out }), g.brought...)
-	slices.Sort(g.chilled)
-	g.chilled = slices.Compact(g.chilled)
-	if g.struck {
-		g.ready, g.cold, g.ranked = g.stayed(g.ready), g.stayed(g.cold), g.stayed(g.ranked)
-	}
-	g.ready = merged(g.ready, g.brought, cmp.Compare[int])
-	g.cold = merged(g.cold, g.chilled, cmp.Compare[int])
-	slices.SortFunc(g.brought, g.byRank)
-	g.ranked = merged(g.ranked, g.brought, g.byRank)
-	for _, i := range g.brought {
-		g.in[i] = listed
+func (e *Engine) mergeReady() {
+	slices.Sort(e.added) // an entry may have come twice
+	e.added = slices.DeleteFunc(slices.Compact(e.added),
+		func(i int) bool { return e.readiness[i] != pendingReady })
+	e.rewarming = append(slices.DeleteFunc(e.rewarming, func(i int) bool { return e.readiness[i] == notReady }),
+		e.added...)
+	slices.Sort(e.rewarming)
+	e.rewarming = slices.Compact(e.rewarming)
+	if e.removedAny {
+		e.ready, e.warming, e.readyByRank = e.stillReady(e.ready), e.stillReady(e.warming),
+			e.stillReady(e.readyByRank)
+	}
+	e.ready = mergeSorted(e.ready, e.added, cmp.Compare[int])
+	e.warming = mergeSorted(e.warming, e.rewarming, cmp.Compare[int])
+	slices.SortFunc(e.added, e.compareRank)
+	e.readyByRank = mergeSorted(e.readyByRank, e.added, e.compareRank)
+	for _, i := range e.added {
+		e.readiness[i] = inReadyList
 	}
 }
 
 // stayed gives those of all that are in their places still.
-func (g *Engine) stayed(all []int) []int {
+func (e *Engine) stillReady(all []int) []int {
 	n := 0
 	for _, i := range all {
-		if g.in[i] == listed {
+		if e.readiness[i] == inReadyList {
 			all[n] = i
 			n++
 		}
@@ -163,7 +167,7 @@
 }
 
 // merged puts more into all. Both are in order.
-func merged(all, more []int, order func(a, b int) int) []int {
+func mergeSorted(all, more []int, order func(a, b int) int) []int {
 	end := len(all) // of those that have not moved
 	all = append(all, more...)
 	for k := len(more) - 1; k >= 0; k-- {
@@ -175,14 +179,14 @@
 }
 
 // byRank orders workers by rank.
-func (g *Engine) byRank(a, b int) int {
-	if c := cmp.Compare(g.ranks[a], g.ranks[b]); c != 0 {
+func (e *Engine) compareRank(a, b int) int {
+	if c := cmp.Compare(e.ranks[a], e.ranks[b]); c != 0 {
 		return c
 	}
 	return cmp.Compare(a, b)
 }
 
-func inserted(all []int, i int) []int {
+func insertSorted(all []int, i int) []int {
 	at, found := slices.BinarySearch(all, i)
 	if found {
 		return all
@@ -190,7 +194,7 @@
 	return slices.Insert(all, at, i)
 }
 
-func removed(all []int, i int) []int {
+func deleteSorted(all []int, i int) []int {
 	if at, found := slices.BinarySearch(all, i); found {
 		return slices.Delete(all, at, at+1)
 	}
@@ -198,76 +202,79 @@
 }
 
 // list gathers the workers that may be sent to. Those that were ready keep their order by rank.
-func (g *Engine) list() {
-	g.rated = false
-	g.ranked = slices.DeleteFunc(g.ranked, func(i int) bool { return g.in[i] == out || !g.workers[i].listed })
-	g.ready, g.cold, g.brought, g.warm = g.ready[:0], g.cold[:0], g.brought[:0], 0
-	for i := range g.workers {
-		w := &g.workers[i]
-		if !w.listed {
-			g.in[i] = out
+func (e *Engine) rebuildReady() {
+	e.sizeRatingKnown = false
+	e.readyByRank = slices.DeleteFunc(e.readyByRank, func(i int) bool {
+		return e.readiness[i] == notReady ||
+			!e.workers[i].listed
+	})
+	e.ready, e.warming, e.added, e.warmCount = e.ready[:0], e.warming[:0], e.added[:0], 0
+	for i := range e.workers {
+		worker := &e.workers[i]
+		if !worker.listed {
+			e.readiness[i] = notReady
 			continue
 		}
-		if g.in[i] == out {
-			g.in[i], g.brought = listed, append(g.brought, i)
+		if e.readiness[i] == notReady {
+			e.readiness[i], e.added = inReadyList, append(e.added, i)
 		}
-		g.ready = append(g.ready, i)
-		if w.warm = g.warmth(w.StartedAtMillis) >= 1; w.warm {
-			g.warm++
+		e.ready = append(e.ready, i)
+		if worker.warm = e.warmFraction(worker.StartedAtMillis) >= 1; worker.warm {
+			e.warmCount++
 		} else {
-			g.cold = append(g.cold, i)
+			e.warming = append(e.warming, i)
 		}
 	}
-	slices.SortFunc(g.brought, g.byRank)
-	g.ranked = merged(g.ranked, g.brought, g.byRank)
-	g.renew()
+	slices.SortFunc(e.added, e.compareRank)
+	e.readyByRank = mergeSorted(e.readyByRank, e.added, e.compareRank)
+	e.refreshReady()
 }
 
 // renew reckons with what time has changed of the ready workers: which are warm by now, what all can do, and
 // what is open to each sort of txn.
-func (g *Engine) renew() {
-	cold, at := g.cold[:0], 0
-	g.able = 0
-	for _, i := range g.cold {
-		w := &g.workers[i]
-		part := g.warmth(w.StartedAtMillis)
-		if w.warm = part >= 1; w.warm {
-			g.warm++
+func (e *Engine) refreshReady() {
+	cold, at := e.warming[:0], 0
+	e.warmEquivalents = 0
+	for _, i := range e.warming {
+		worker := &e.workers[i]
+		part := e.warmFraction(worker.StartedAtMillis)
+		if worker.warm = part >= 1; worker.warm {
+			e.warmCount++
 			continue
 		}
-		place := at + ahead(g.ready[at:], i)
-		g.able, at = ones(g.able, place-at)+part, place+1
+		place := at + indexFromStart(e.ready[at:], i)
+		e.warmEquivalents, at = addOnes(e.warmEquivalents, place-at)+part, place+1
 		cold = append(cold, i)
-		g.turn(w)
-	}
-	g.cold, g.able = cold, ones(g.able, len(g.ready)-at)
-	for k := range g.openTo {
-		g.openTo[k] = float64(len(g.ready))
-	}
-	wary := g.wary[:0]
-	for _, i := range g.wary {
-		w := &g.workers[i]
-		w.wary = w.distrust.at(g.now, distrustFade) >= distrusted
-		for k := range g.openTo {
-			if g.turnsAway(w, k) {
-				if w.wary = true; g.in[i] != out && !w.full {
-					g.openTo[k]--
+		e.hasTurn(worker)
+	}
+	e.warming, e.warmEquivalents = cold, addOnes(e.warmEquivalents, len(e.ready)-at)
+	for k := range e.acceptingFraction {
+		e.acceptingFraction[k] = float64(len(e.ready))
+	}
+	wary := e.suspects[:0]
+	for _, i := range e.suspects {
+		worker := &e.workers[i]
+		worker.suspect = worker.suspicion.value(e.now, suspicionDecayMillis) >= suspectThreshold
+		for k := range e.acceptingFraction {
+			if e.rejectsClass(worker, k) {
+				if worker.suspect = true; e.readiness[i] != notReady && !worker.overloaded {
+					e.acceptingFraction[k]--
 				}
 			}
 		}
-		if w.wary {
+		if worker.suspect {
 			wary = append(wary, i)
 		}
 	}
-	g.wary = wary
-	for k := range g.openTo {
-		g.openTo[k] /= float64(max(len(g.ready), 1))
+	e.suspects = wary
+	for k := range e.acceptingFraction {
+		e.acceptingFraction[k] /= float64(max(len(e.ready), 1))
 	}
-	g.near = g.ranked[:g.aperture()]
+	e.subset = e.readyByRank[:e.subsetSize()]
 }
 
 // ahead is the place of i in all, which is in order and has it; what is near the start is found soonest.
-func ahead(all []int, i int) int {
+func indexFromStart(all []int, i int) int {
 	far := 1
 	for far < len(all) && all[far] <= i {
 		far *= 2
@@ -278,7 +285,7 @@
 
 // ones adds one to x so many times, each time rounded as a float64 is. Between two powers of two nothing is
 // rounded off, so there one step does for many.
-func ones(x float64, times int) float64 {
+func addOnes(x float64, times int) float64 {
 	for times > 0 {
 		_, exp := math.Frexp(x)
 		exact := int(math.Ceil(math.Ldexp(1, exp)-x)) - 1 // so often it stays below the next power of two
@@ -293,43 +300,43 @@
 
 // meanRating is the mean of the ready workers' ratings, gone over in order only where one is asked for after
 // the list has changed: until each kind of machine has answered.
-func (g *Engine) meanRating() float64 {
-	if !g.rated {
-		g.rated, g.rating = true, 0
-		for n, i := range g.ready {
-			if d := g.workers[i].SizeRating - g.rating; d != 0 {
-				g.rating += d / float64(n+1)
+func (e *Engine) meanSizeRating() float64 {
+	if !e.sizeRatingKnown {
+		e.sizeRatingKnown, e.sizeRating = true, 0
+		for n, i := range e.ready {
+			if d := e.workers[i].SizeRating - e.sizeRating; d != 0 {
+				e.sizeRating += d / float64(n+1)
 			}
 		}
 	}
-	return g.rating
+	return e.sizeRating
 }
 
 // marks gives what a worker has turned away, by sort of txn, to be changed.
-func (g *Engine) marks(w *worker) []mark {
-	if w.turned == nil {
-		w.turned = make([]mark, len(g.openTo))
+func (e *Engine) rejectionsOf(worker *workerRecord) []decayingScore {
+	if worker.rejections == nil {
+		worker.rejections = make([]decayingScore, len(e.acceptingFraction))
 	}
-	g.noted(w)
-	return w.turned
+	e.markSuspect(worker)
+	return worker.rejections
 }
 
 // noted has a worker looked at for what speaks against it.
-func (g *Engine) noted(w *worker) {
-	if !w.wary {
-		w.wary = true
-		g.wary = append(g.wary, w.Worker)
+func (e *Engine) markSuspect(worker *workerRecord) {
+	if !worker.suspect {
+		worker.suspect = true
+		e.suspects = append(e.suspects, worker.Worker)
 	}
 }
 
 // unrefer ends what submissions refer to.
-func (g *Engine) unrefer(subs []submission) {
+func (e *Engine) releaseReferences(subs []attemptState) {
 	for i := range subs {
-		g.workers[subs[i].worker].refer--
+		e.workers[subs[i].worker].references--
 	}
 }
 
 // Vacant tells whether no txn in hand has been sent to a worker: if it is gone its place may be another's.
-func (g *Engine) WorkerUnreferenced(wi int) bool {
-	return wi >= len(g.workers) || g.workers[wi].refer == 0
+func (e *Engine) WorkerUnreferenced(workerIndex int) bool {
+	return workerIndex >= len(e.workers) || e.workers[workerIndex].references == 0
 }
--- a/internal/policy/listed_amd64_test.go
+++ b/internal/policy/listed_amd64_test.go
@@ -38,7 +38,7 @@
 				math.Float64bits(d.WaitMillis),
 				math.Float64bits(d.AtMillis), math.Float64bits(d.SendBeforeMillis),
 				math.Float64bits(d.RateLimitFullAtMillis),
-				math.Float64bits(g.window), math.Float64bits(g.press))
+				math.Float64bits(g.window), math.Float64bits(g.pressure))
 			for _, r := range d.Reports {
 				put(r.Customer, math.Float64bits(r.DemandPerSecond), math.Float64bits(r.PreviousDemandPerSecond),
 					math.Float64bits(r.SpentUnits))
--- a/internal/policy/listed_test.go
+++ b/internal/policy/listed_test.go
@@ -19,7 +19,7 @@
 }
 
 func wholeOf(g *Engine) whole {
-	l := whole{openTo: make([]float64, len(g.openTo))}
+	l := whole{openTo: make([]float64, len(g.acceptingFraction))}
 	for i := range g.workers {
 		w := &g.workers[i]
 		if !w.listed {
@@ -27,20 +27,20 @@
 		}
 		l.ready = append(l.ready, i)
 		l.rating += (w.SizeRating - l.rating) / float64(len(l.ready))
-		part := g.warmth(w.StartedAtMillis)
+		part := g.warmFraction(w.StartedAtMillis)
 		if l.able += part; part >= 1 {
 			l.warm++
 		} else {
 			l.cold = append(l.cold, i)
 		}
 		for k := range l.openTo {
-			if w.full || !g.turnsAway(w, k) {
+			if w.overloaded || !g.rejectsClass(w, k) {
 				l.openTo[k]++
 			} else {
 				l.shedded++
 			}
 		}
-		if w.distrust.at(g.now, distrustFade) >= distrusted {
+		if w.suspicion.value(g.now, suspicionDecayMillis) >= suspectThreshold {
 			l.distrusted++
 		}
 	}
@@ -49,7 +49,7 @@
 	}
 	l.near = append(l.near, l.ready...)
 	slices.SortFunc(l.near, func(a, b int) int { return cmp.Compare(g.ranks[a], g.ranks[b]) })
-	l.near = l.near[:g.aperture()]
+	l.near = l.near[:g.subsetSize()]
 	return l
 }
 
@@ -60,16 +60,19 @@
 	for seed := range int64(60) {
 		history(seed, func(g *Engine, list bool) {
 			l := wholeOf(g)
-			if !slices.Equal(g.ready, l.ready) || !slices.Equal(g.cold, l.cold) || !slices.Equal(g.near, l.near) ||
-				g.warm != l.warm || g.able != l.able || !slices.Equal(g.openTo, l.openTo) ||
+			if !slices.Equal(g.ready, l.ready) || !slices.Equal(g.warming, l.cold) || !slices.Equal(g.subset,
+				l.near) ||
+				g.warmCount != l.warm || g.warmEquivalents != l.able || !slices.Equal(g.acceptingFraction, l.openTo) ||
 				g.Stats().SuspectedWorkers != l.distrusted {
-				t.Fatalf("seed %d: kept up %v, %v, %v, %v, %v, %v; gone over %+v", seed, g.ready, g.cold, g.near, g.warm,
-					g.able, g.openTo, l)
+				t.Fatalf("seed %d: kept up %v, %v, %v, %v, %v, %v; gone over %+v", seed, g.ready, g.warming, g.subset,
+					g.warmCount,
+					g.warmEquivalents, g.acceptingFraction, l)
 			}
-			if rating, rated := g.rating, g.rated; g.meanRating() != l.rating || rated && rating != l.rating {
-				t.Fatalf("seed %d: mean rating %v, gone over %v", seed, g.rating, l.rating)
+			if rating, rated := g.sizeRating, g.sizeRatingKnown; g.meanSizeRating() != l.rating || rated &&
+				rating != l.rating {
+				t.Fatalf("seed %d: mean rating %v, gone over %v", seed, g.sizeRating, l.rating)
 			} else {
-				g.rating, g.rated = rating, rated // so that it is asked for in all states
+				g.sizeRating, g.sizeRatingKnown = rating, rated // so that it is asked for in all states
 			}
 			for i := range g.workers {
 				if w := &g.workers[i]; w.listed && w.warm == slices.Contains(l.cold, i) {
@@ -84,14 +87,14 @@
 		}, func(g *Engine, _ Decision) {
 			for i := range g.workers { // who is referred to
 				refers := int32(0)
-				for k := range g.txns {
-					for _, s := range g.txns[k].subs {
-						if g.txns[k].live && s.worker == i {
+				for k := range g.requests {
+					for _, s := range g.requests[k].attempts {
+						if g.requests[k].live && s.worker == i {
 							refers++
 						}
 					}
 				}
-				if g.WorkerUnreferenced(i) != (refers == 0) || g.workers[i].refer != refers {
+				if g.WorkerUnreferenced(i) != (refers == 0) || g.workers[i].references != refers {
 					t.Fatalf("seed %d: worker %d is referred to %d times, and vacant: %v", seed, i, refers,
 						g.WorkerUnreferenced(i))
 				}
@@ -113,11 +116,11 @@
 		for range n {
 			want++
 		}
-		if got := ones(x, n); got != want {
+		if got := addOnes(x, n); got != want {
 			t.Fatalf("%v and %d ones: %v, want %v", x, n, got, want)
 		}
 	}
-	if got := ones(0, 110000); got != 110000 {
+	if got := addOnes(0, 110000); got != 110000 {
 		t.Errorf("from nought: %v", got)
 	}
 }
@@ -130,7 +133,7 @@
 			all = append(all, 3*i)
 		}
 		for i := range all {
-			if at := ahead(all, 3*i); at != i {
+			if at := indexFromStart(all, 3*i); at != i {
 				t.Fatalf("of %d, place %d is found at %d", n, i, at)
 			}
 		}
@@ -167,9 +170,9 @@
 	next, closed := uint64(0), map[uint64]bool{}
 	pull := func() {
 		for {
-			before := g.nextTell
+			before := g.nextReportAt
 			d, ok := g.NextDecision()
-			if g.nextTell != before {
+			if g.nextReportAt != before {
 				told(g, false)
 			}
 			if !ok {
@@ -250,7 +253,7 @@
 			s := out[at]
 			out = append(out[:at], out[at+1:]...)
 			o := Outcome(rng.Intn(int(NotSent) + 1))
-			if slot, ok := g.byID[s.txn]; ok && turns[g.txns[slot].subs[s.n].worker] {
+			if slot, ok := g.byID[s.txn]; ok && turns[g.requests[slot].attempts[s.n].worker] {
 				o = Overloaded
 			} else if rng.Intn(10) < 8 {
 				o = Succeeded
--- a/internal/policy/logic.go
+++ b/internal/policy/logic.go
@@ -15,92 +15,127 @@
 
 const (
 	// The quota mechanism.
-	demandMemory = 1000.0  // ms; the estimate is smoothed over one second, as the design says
-	alpha        = 0.5     // share of rate/N that a cold customer runs at
-	beta         = 0.05    // part of the rate that is kept as floors
-	hotAt        = 0.8     // of the cold slice; own demand above it turns a customer hot
-	period       = 400.0   // ms between reports; a quarter of the 1 s memory loses little of a jump
-	cooldown     = 5000.0  // ms under the cold slice until a customer is cold again, or idle until dropped
-	suspicion    = 6000.0  // ms of silence until a peer is suspected
-	hold         = 10000.0 // ms after that during which its last demand still counts
-	toldFor      = 3.5     // periods without a word from a peer that owes one until it is unheard
-	hearsay      = 1.5     // periods in which peers may have spent unheard: one, its jitter and half again
-	alike        = 3       // peers that are taken to see the same burst as this gatekeeper, at most
-	flowMemory   = 5000.0  // ms over which what peers send on is averaged; several txns of a small quota
-	lapse        = 2.0     // periods without a message after which talk with a peer starts anew
-	tellBudget   = 0.95    // of the peers' intake that reports may fill; the rest is for jitter
-	promptAt     = 8       // gatekeepers of a set up to which what is sent on is told at once, not each period
-	promptPart   = 0.1     // of what reports may fill, for that
-	tellMost     = 64.0    // messages of that in a row; a burst of a few customers
-	soon         = 500.0   // ms in which peers may spend unheard where they tell at once: the way, and a loss
-	mostHeard    = 4096    // customers known from peers alone; bounds what messages can make us keep
+	demandWindowMillis   = 1000.0 // ms; the estimate is smoothed over one second, as the design says
+	coldShareFraction    = 0.5    // share of rate/N that a cold customer runs at
+	floorFraction        = 0.05   // part of the rate that is kept as floors
+	hotDemandFraction    = 0.8    // of the cold slice; own demand above it turns a customer hot
+	reportIntervalMillis = 400.0  // ms between reports; a quarter of the 1 s memory loses little of a jump
+	// ms under the cold slice until a customer is cold again, or idle until dropped
+	coolDownMillis       = 5000.0
+	peerSuspicionMillis  = 6000.0  // ms of silence until a peer is suspected
+	lostPeerHoldMillis   = 10000.0 // ms after that during which its last demand still counts
+	silentAfterIntervals = 3.5     // periods without a word from a peer that owes one until it is unheard
+	// periods in which peers may have spent unheard: one, its jitter and half again
+	unheardSpendIntervals = 1.5
+	maxAlikePeers         = 3 // peers that are taken to see the same burst as this gatekeeper, at most
+	// ms over which what peers send on is averaged; several txns of a small quota
+	peerSpendWindowMillis = 5000.0
+	peerLapseIntervals    = 2.0  // periods without a message after which talk with a peer starts anew
+	reportIntakeFraction  = 0.95 // of the peers' intake that reports may fill; the rest is for jitter
+	// gatekeepers of a set up to which what is sent on is told at once, not each period
+	maxImmediateSetSize     = 8
+	immediateIntakeFraction = 0.1  // of what reports may fill, for that
+	immediateBurstMessages  = 64.0 // messages of that in a row; a burst of a few customers
+	// ms in which peers may spend unheard where they tell at once: the way, and a loss
+	immediateDelayMillis = 500.0
+	maxRemoteAccounts    = 4096 // customers known from peers alone; bounds what messages can make us keep
 
-	fewPeers   = 8      // gatekeepers up to which a slice under one txn still fills in time
-	freshNews  = 2.0    // periods; a burst that lasts so long is told of while it is used up
-	longMemory = 5000.0 // ms; the longest that demand is smoothed over for a plan's burst
-	firstWords = 0.1    // of the first period, taken to have passed at a start
-	outStep    = 0.05   // submissions; the fineness of how many are to be out
-	outSteps   = 800.0  // of these at most; a wide limit takes coarser ones, so that a start is quick
+	maxDenseGateways        = 8      // gatekeepers up to which a slice under one txn still fills in time
+	sparseBurstIntervals    = 2.0    // periods; a burst that lasts so long is told of while it is used up
+	maxDemandWindowMillis   = 5000.0 // ms; the longest that demand is smoothed over for a plan's burst
+	startupIntervalFraction = 0.1    // of the first period, taken to have passed at a start
+	inFlightSearchStep      = 0.05   // submissions; the fineness of how many are to be out
+	// of these at most; a wide limit takes coarser ones, so that a start is quick
+	maxInFlightSearchSteps = 800.0
 
 	// Workers.
-	distrustFade = 3000.0  // ms; about what a restart or a short jam lasts
-	turnedFade   = 15000.0 // ms; the same for a worker that turns one kind of txn away: it is seen rarely
-	turnedAt     = 0.5     // of a mark; above it a worker is held to turn that kind of txn away
-	rarely       = 4.0     // how much heavier a failure weighs for each fade between visits to a worker
-	mostly       = 0.5     // of the workers that take a sort of txn, for its answers to tell of the fleet
-	distrustMost = 12.0    // so that a worker is tried again within about three fades
-	distrusted   = 1.0     // distrust above which a draw is not good enough and more workers are looked at
-	reach        = 25.0    // gatekeepers that draw a worker, on average, at least; their chance evens out
-	widest       = 16      // workers looked at when two draws are not good enough; all of a small fleet
-	paceGain     = 0.1     // weight of the newest answer in a worker's pace
-	paceFade     = 15000.0 // ms in which a worker's pace goes back to its kind's, as slow spells last
-	loadSays     = 0.25    // of the cost, for a report of twice the usual load; it is late and noisy
-	loadFade     = 1000.0  // ms; a report of load tells of some answers' time
-	fullest      = 0.9     // of the cores; more in use tells no more of what is in hand
-	fleetGain    = 0.025   // the same in the fleet's pace, which has many more answers
-	patience     = 0.35    // of the SLA time; a worker must have said nothing for so long to count as silent
-	crowded      = 0.25    // of the SLA time, or of the time left; after a slower draw more are looked at
-	quiet        = 10.0    // usual answers that a silent worker owes in sum before its txns are moved
-	overdue      = 8.0     // usual answers; a txn out for so long at a worker that goes on is long, or astray
-	astrayFade   = 10000.0 // ms over which it counts what became of such txns
-	lost         = 5.0     // usual answers; a txn silent or timed out after them is its worker's doing
-	spareAt      = 0.5     // of the window; under it capacity counts as spare for txns beyond a quota
-	spareUse     = 0.4     // of slaUse; and only while answers are as quick as this
-	stopped      = 100.0   // ms that a wake comes late if the gatekeeper itself stood still; many beats
-	surgeMost    = 10.0    // windows of room more after standing still; a stall of one or two SLA times
-	surgeFade    = 300.0   // ms; two usual answers
-	margin       = 1.0     // ms before its expiry at which a txn gets its final answer rather than a submission
-	beat         = 20.0    // ms between looks at waiting txns; small against any SLA time
-	calmBeat     = 100.0   // ms between them while none has waited for long; a look wakes an idle process
+	suspicionDecayMillis = 3000.0 // ms; about what a restart or a short jam lasts
+	// ms; the same for a worker that turns one kind of txn away: it is seen rarely
+	rejectionDecayMillis = 15000.0
+	rejectionThreshold   = 0.5 // of a mark; above it a worker is held to turn that kind of txn away
+	// how much heavier a failure weighs for each fade between visits to a worker
+	rareVisitWeight = 4.0
+	// of the workers that take a sort of txn, for its answers to tell of the fleet
+	minAcceptingFraction = 0.5
+	maxSuspicion         = 12.0 // so that a worker is tried again within about three fades
+	// distrust above which a draw is not good enough and more workers are looked at
+	suspectThreshold = 1.0
+	// gatekeepers that draw a worker, on average, at least; their chance evens out
+	gatewaysPerWorker = 25.0
+	// workers looked at when two draws are not good enough; all of a small fleet
+	maxWorkersExamined = 16
+	workerResponseGain = 0.1 // weight of the newest answer in a worker's pace
+	// ms in which a worker's pace goes back to its kind's, as slow spells last
+	workerResponseDecayMillis = 15000.0
+	// of the cost, for a report of twice the usual load; it is late and noisy
+	loadReportWeight      = 0.25
+	loadReportDecayMillis = 1000.0 // ms; a report of load tells of some answers' time
+	maxCPUFraction        = 0.9    // of the cores; more in use tells no more of what is in hand
+	fleetResponseGain     = 0.025  // the same in the fleet's pace, which has many more answers
+	// of the SLA time; a worker must have said nothing for so long to count as silent
+	silentWorkerTargetFraction = 0.35
+	// of the SLA time, or of the time left; after a slower draw more are looked at
+	slowWorkerTargetFraction = 0.25
+	// usual answers that a silent worker owes in sum before its txns are moved
+	abandonAfterResponses = 10.0
+	// usual answers; a txn out for so long at a worker that goes on is long, or astray
+	slowRequestResponses   = 8.0
+	lostRequestDecayMillis = 10000.0 // ms over which it counts what became of such txns
+	// usual answers; a txn silent or timed out after them is its worker's doing
+	workerFaultResponses = 5.0
+	// of the window; under it capacity counts as spare for txns beyond a quota
+	spareWindowFraction   = 0.5
+	sparePressureFraction = 0.4 // of slaUse; and only while answers are as quick as this
+	// ms that a wake comes late if the gatekeeper itself stood still; many beats
+	stallMillis = 100.0
+	// windows of room more after standing still; a stall of one or two SLA times
+	maxStallAllowanceWindows  = 10.0
+	stallAllowanceDecayMillis = 300.0 // ms; two usual answers
+	// ms before its expiry at which a txn gets its final answer rather than a submission
+	deadlineMarginMillis = 1.0
+	scanIntervalMillis   = 20.0 // ms between looks at waiting txns; small against any SLA time
+	// ms between them while none has waited for long; a look wakes an idle process
+	idleScanIntervalMillis = 100.0
 
 	// Workers that have just started.
-	coldShare  = 0.5    // of what it bears, that all gatekeepers' turns come to with the warm ones at their most
-	coldBlind  = 1000.0 // ms between units to a cold worker for all gatekeepers while no warm one has been seen
-	refMemory  = 5000.0 // ms over which the work of warm workers is averaged
-	refLeast   = 500.0  // ms of watching that the first averages are at least taken over
-	warmMargin = 1.1    // the stated warm-up is stretched by this before a worker counts as warm
+	// of what it bears, that all gatekeepers' turns come to with the warm ones at their most
+	warmingOverloadFraction = 0.5
+	// ms between units to a cold worker for all gatekeepers while no warm one has been seen
+	warmingBlindIntervalMillis = 1000.0
+	warmWorkWindowMillis       = 5000.0 // ms over which the work of warm workers is averaged
+	minWarmWorkSpanMillis      = 500.0  // ms of watching that the first averages are at least taken over
+	warmUpStretchFactor        = 1.1    // the stated warm-up is stretched by this before a worker counts as warm
 
 	// Pressure.
-	slaUse     = 0.25  // of the SLA time, more where late answers earn; slower ones on average shrink the window
-	pressGain  = 0.08  // weight of the newest answer in the pressure
-	usedAt     = 0.7   // of the window; it grows only while more than this is in use
-	leap       = 0.2   // growth of the window for each answer while the pressure is under eager; less if small
-	eager      = 0.5   // of slaUse
-	growth     = 1.0   // growth over one window's worth of answers otherwise
-	leastDepth = 1.5   // txns in hand at each worker, by all gatekeepers, that the window starts at and keeps,
-	leastSwing = 2.5   // and standard deviations of a gatekeeper's part above that: chance does not add up
-	leastSum   = 2.0   // but no more of it: over all gatekeepers of a large set it adds up after all
-	shedSpan   = 0.4   // the least valuable txns see a window smaller by this, where only the whole counts
-	evenly     = 2.5   // how fast that falls with the worst plan's part of what counts
-	lateWorth  = 2.0   // how much slower answers may get, in parts of slaUse, for each part that late ones earn
-	mostCut    = 0.7   // the window is never cut below this part of it at once
-	cutPause   = 150.0 // ms between cuts of the window; an answer's delay is the loop's
-	tightAt    = 3.5   // usual answers; a txn whose client waits less is tight
-	tightWorth = 0.65  // of a plan's tight txns settled in time; under it they waste more than they bring
-	tightTry   = 0.1   // of them is tried all the same, to see when that changes
-	tightGain  = 0.1   // weight of the newest
-	hopeless   = 1.0   // usual answers; a txn whose client waits less is not worth a worker's time
-	adviseBusy = 0.25  // of the SLA time; when to return after a decline under pressure
+	// of the SLA time, more where late answers earn; slower ones on average shrink the window
+	targetPressureFraction = 0.25
+	pressureGain           = 0.08 // weight of the newest answer in the pressure
+	windowUseFraction      = 0.7  // of the window; it grows only while more than this is in use
+	// growth of the window for each answer while the pressure is under eager; less if small
+	windowLeapPerResponse      = 0.2
+	windowLeapPressureFraction = 0.5 // of slaUse
+	windowGrowthPerRound       = 1.0 // growth over one window's worth of answers otherwise
+	// txns in hand at each worker, by all gatekeepers, that the window starts at and keeps,
+	minWindowPerWorker = 1.5
+	// and standard deviations of a gatekeeper's part above that: chance does not add up
+	minWindowDeviations = 2.5
+	// but no more of it: over all gatekeepers of a large set it adds up after all
+	maxMinWindowAllowanceFactor = 2.0
+	// the least valuable txns see a window smaller by this, where only the whole counts
+	sheddingWindowFraction = 0.4
+	sheddingFairnessFactor = 2.5 // how fast that falls with the worst plan's part of what counts
+	// how much slower answers may get, in parts of slaUse, for each part that late ones earn
+	lateValueSlackFactor   = 2.0
+	minWindowCutFraction   = 0.7   // the window is never cut below this part of it at once
+	windowCutPauseMillis   = 150.0 // ms between cuts of the window; an answer's delay is the loop's
+	shortDeadlineResponses = 3.5   // usual answers; a txn whose client waits less is tight
+	// of a plan's tight txns settled in time; under it they waste more than they bring
+	minShortDeadlineSuccessFraction = 0.65
+	shortDeadlineProbeFraction      = 0.1 // of them is tried all the same, to see when that changes
+	shortDeadlineGain               = 0.1 // weight of the newest
+	// usual answers; a txn whose client waits less is not worth a worker's time
+	minTimeLeftResponses        = 1.0
+	overloadRetryTargetFraction = 0.25 // of the SLA time; when to return after a decline under pressure
 
 	// What the host of sockets goes by.
 	WorkerIdleFraction = 0.5 // of the worker's idle limit; a connection idle for longer is dropped
@@ -187,235 +222,261 @@
 )
 
 // New starts a gatekeeper that knows nothing but its charter. Same seed and inputs, same decisions.
-func New(c Settings, seed int64) *Engine {
-	g := &Engine{rng: rand.New(rand.NewSource(seed)), byID: map[uint64]int32{}, byKey: map[uint32]int32{},
-		beatAt: -1, tellPeer: -1, signed: c}
-	n := max(c.GatewayCount, 1)
-	g.peers, g.mute, g.owed = make([]peer, n), make([]int, 2*n+1), make([]int, 2*n+1)
-	g.charter = terms{me: c.GatewayIndex, n: n, maxSubs: max(c.MaxAttempts, 1), perTell: c.ReportsPerMessage,
-		overlap: c.AllowHedging, withdraw: c.AllowCancel, advise: c.AllowRetryAfter,
-		maxAdvice: c.MaxRetryAfterMillis,
-		largest:   math.Max(c.MaxRequestUnits, 1), period: period, coldFrom: c.ColdCapacityFraction,
-		warmUp: c.WarmUpMillis * warmMargin, loadTold: c.WorkersReportLoad, turnFor: c.OverloadMillis, coldPart: 1,
-		talks: c.AllowGossip && n > 1 && c.ReportsPerMessage > 0}
-	if c.OverloadFactor > 0 { // as far as the settings say what is too much
-		g.charter.coldPart = coldShare * c.OverloadFactor
+func New(settings Settings, seed int64) *Engine {
+	e := &Engine{rng: rand.New(rand.NewSource(seed)), byID: map[uint64]int32{},
+		accountByCustomer: map[uint32]int32{},
+		scanIndex:         -1, reportPeer: -1, settings: settings}
+	gatewayCount := max(settings.GatewayCount, 1)
+	e.peers, e.silentPrefix, e.hotPrefix = make([]peerRecord, gatewayCount), make([]int, 2*gatewayCount+1),
+		make([]int, 2*gatewayCount+1)
+	e.derived = derivedSettings{gatewayIndex: settings.GatewayIndex, gatewayCount: gatewayCount,
+		maxAttempts: max(settings.MaxAttempts, 1), reportsPerMessage: settings.ReportsPerMessage,
+		allowHedging: settings.AllowHedging, allowCancel: settings.AllowCancel,
+		allowRetryAfter:     settings.AllowRetryAfter,
+		maxRetryAfterMillis: settings.MaxRetryAfterMillis,
+		maxRequestUnits:     math.Max(settings.MaxRequestUnits, 1), reportIntervalMillis: reportIntervalMillis,
+		coldCapacityFraction: settings.ColdCapacityFraction,
+		warmUpMillis:         settings.WarmUpMillis * warmUpStretchFactor,
+		workersReportLoad:    settings.WorkersReportLoad,
+		turnMillis:           settings.OverloadMillis, warmingLoadFraction: 1,
+		gossip: settings.AllowGossip && gatewayCount > 1 && settings.ReportsPerMessage > 0}
+	if settings.OverloadFactor > 0 { // as far as the settings say what is too much
+		e.derived.warmingLoadFraction = warmingOverloadFraction * settings.OverloadFactor
 	}
-	g.charter.tells, g.charter.cooldown = math.MaxInt16, cooldown
-	if c.PeerMessagesPerSecond > 0 { // what all peers send in a period must fit the intake
-		perMs := c.PeerMessagesPerSecond * tellBudget / 1000 / float64(max(n-1, 1))
-		if n > promptAt && g.charter.talks { // fewer hear of all that soon as it is
-			g.charter.tellAt = promptPart * perMs * float64(n-1)
-			perMs *= 1 - promptPart
+	e.derived.messagesPerPeer, e.derived.coolDownMillis = math.MaxInt16, coolDownMillis
+	if settings.PeerMessagesPerSecond > 0 { // what all peers send in a period must fit the intake
+		perMs := settings.PeerMessagesPerSecond * reportIntakeFraction / 1000 / float64(max(gatewayCount-1, 1))
+		if gatewayCount > maxImmediateSetSize && e.derived.gossip { // fewer hear of all that soon as it is
+			e.derived.immediatePerMilli = immediateIntakeFraction * perMs * float64(gatewayCount-1)
+			perMs *= 1 - immediateIntakeFraction
 		}
-		g.charter.period = math.Max(period, 1/perMs)
-		g.charter.tells = int(g.charter.period*perMs + 1e-9)
-		g.charter.cooldown = math.Max(cooldown, toldFor*g.charter.period) // customers stay hot between two words
+		e.derived.reportIntervalMillis = math.Max(reportIntervalMillis, 1/perMs)
+		e.derived.messagesPerPeer = int(e.derived.reportIntervalMillis*perMs + 1e-9)
+		// customers stay hot between two words
+		e.derived.coolDownMillis = math.Max(coolDownMillis, silentAfterIntervals*e.derived.reportIntervalMillis)
 	}
-	var dearest, slowest float64
-	for _, d := range c.Products {
-		slowest = math.Max(slowest, d.LatencyTargetMillis)
+	var maxValue, maxTargetMillis float64
+	for _, product := range settings.Products {
+		maxTargetMillis = math.Max(maxTargetMillis, product.LatencyTargetMillis)
 	}
-	for _, p := range c.Plans {
-		q := plan{rate: p.QuotaPerSecond / 1000, ceilRate: p.RateLimitPerSecond / 1000, ceilDepth: p.RateLimitBurst,
-			open:   p.MaxInFlight,
-			excess: p.ExcessValueFraction > p.ExcessCostFraction, largest: g.charter.largest, memory: demandMemory,
-			tight: 1}
+	for _, plan := range settings.Plans {
+		params := planParams{ratePerMilli: plan.QuotaPerSecond / 1000, rateLimitPerMilli: plan.RateLimitPerSecond /
+			1000, rateLimitBurst: plan.RateLimitBurst,
+			maxInFlight:  plan.MaxInFlight,
+			allowsExcess: plan.ExcessValueFraction > plan.ExcessCostFraction, maxUnits: e.derived.maxRequestUnits,
+			demandWindowMillis:   demandWindowMillis,
+			shortDeadlineSuccess: 1}
 		switch {
-		case p.QuotaPerSecond > 0:
-			q.burst = p.QuotaBurst / q.rate
-		case p.MaxInFlight > 0:
-			q.out, q.stay, q.largest = mostOut(p), slaUse*slowest, 1
-			q.restate()
+		case plan.QuotaPerSecond > 0:
+			params.burstMillis = plan.QuotaBurst / params.ratePerMilli
+		case plan.MaxInFlight > 0:
+			params.targetInFlight, params.attemptMillis, params.maxUnits = bestInFlight(plan),
+				targetPressureFraction*maxTargetMillis, 1
+			params.deriveRate()
 		}
-		if n > fewPeers && q.burst < freshNews*g.charter.period && q.rate*q.burst*alpha < q.largest*float64(n) {
-			q.sparse, q.memory = true, max(demandMemory, g.charter.period, min(q.burst, longMemory))
+		if gatewayCount > maxDenseGateways &&
+			params.burstMillis < sparseBurstIntervals*e.derived.reportIntervalMillis &&
+			params.ratePerMilli*params.burstMillis*coldShareFraction < params.maxUnits*float64(gatewayCount) {
+			params.sparse, params.demandWindowMillis = true, max(demandWindowMillis, e.derived.reportIntervalMillis,
+				min(params.burstMillis, maxDemandWindowMillis))
 		}
 		// What a peer reports fades between its reports; this makes up for it on average.
-		q.regain = g.charter.period / q.memory / (1 - math.Exp(-g.charter.period/q.memory))
-		g.plans = append(g.plans, q)
-		for _, d := range c.Products {
-			dearest = math.Max(dearest, d.Value*p.ValueFactor)
+		params.decayCompensation = e.derived.reportIntervalMillis / params.demandWindowMillis /
+			(1 - math.Exp(-e.derived.reportIntervalMillis/params.demandWindowMillis))
+		e.plans = append(e.plans, params)
+		for _, product := range settings.Products {
+			maxValue = math.Max(maxValue, product.Value*plan.ValueFactor)
 		}
 	}
-	span := shedSpan * math.Max(0, 1-evenly*c.WorstPlanWeight/math.Max(c.WorstPlanWeight+c.TotalWeight, 1e-9))
-	g.charter.slack, g.charter.calm = 1, calmBeat // one that comes after a look waits out patience
-	for _, d := range c.Products {
-		g.charter.calm = math.Max(math.Min(g.charter.calm, patience*d.LatencyTargetMillis), beat)
-		g.products = append(g.products, product{sla: d.LatencyTargetMillis, window: d.DedupWindowMillis,
-			repeat: d.Idempotency, group: d.DedupScope})
-		g.charter.slack += lateWorth * d.LateValueFraction / float64(len(c.Products))
-		row := make([]float64, len(c.Plans))
-		for i, p := range c.Plans {
-			if row[i] = 1; dearest > 0 {
-				row[i] = 1 - span*(1-d.Value*p.ValueFactor/dearest)
+	sheddingFraction := sheddingWindowFraction * math.Max(0,
+		1-sheddingFairnessFactor*settings.WorstPlanWeight/math.Max(settings.WorstPlanWeight+settings.TotalWeight,
+			1e-9))
+	// one that comes after a look waits out patience
+	e.derived.latencySlackFactor, e.derived.idleScanMillis = 1, idleScanIntervalMillis
+	for _, product := range settings.Products {
+		e.derived.idleScanMillis = math.Max(math.Min(e.derived.idleScanMillis,
+			silentWorkerTargetFraction*product.LatencyTargetMillis), scanIntervalMillis)
+		e.products = append(e.products, productParams{latencyTargetMillis: product.LatencyTargetMillis,
+			dedupWindowMillis: product.DedupWindowMillis,
+			idempotency:       product.Idempotency, dedupScope: product.DedupScope})
+		e.derived.latencySlackFactor += lateValueSlackFactor * product.LateValueFraction /
+			float64(len(settings.Products))
+		fractions := make([]float64, len(settings.Plans))
+		for i, plan := range settings.Plans {
+			if fractions[i] = 1; maxValue > 0 {
+				fractions[i] = 1 - sheddingFraction*(1-product.Value*plan.ValueFactor/maxValue)
 			}
 		}
-		g.depth = append(g.depth, row)
+		e.windowFraction = append(e.windowFraction, fractions)
 	}
-	g.outOf, g.openTo = make([]int, len(c.Plans)*len(c.Products)), make([]float64, len(c.Plans)*len(c.Products))
-	return g
+	e.inFlightByClass, e.acceptingFraction = make([]int, len(settings.Plans)*len(settings.Products)),
+		make([]float64, len(settings.Plans)*len(settings.Products))
+	return e
 }
 
 // Clock sets the time, in ms, of the inputs and decisions that follow.
-func (g *Engine) AdvanceTo(now float64) {
-	if !g.begun {
-		g.begun, g.started, g.base, g.now, g.warmAt = true, now, now, now, now
-		g.nextTell = now + g.charter.period*g.rng.Float64()
+func (e *Engine) AdvanceTo(now float64) {
+	if !e.clockStarted {
+		e.clockStarted, e.startedAt, e.rateLimitBase, e.now, e.warmUnitsAt = true, now, now, now, now
+		e.nextReportAt = now + e.derived.reportIntervalMillis*e.rng.Float64()
 	}
 	// Guards against this gatekeeper itself being stopped for a while: what it finds then says nothing of how
 	// long workers took. All that came meanwhile comes at once: it gets the room that would have been used in
 	// turns, for a while. Where many stand still at the same time, that presses the fleet.
-	if gap := now - g.wakeAt; g.wakeAt > 0 && gap > stopped {
-		g.thawed = now
-		g.surge = g.window * math.Min(gap/math.Max(g.pace, 1), surgeMost)
+	if gap := now - e.timerAt; e.timerAt > 0 && gap > stallMillis {
+		e.stalledUntil = now
+		e.stallAllowance = e.window * math.Min(gap/math.Max(e.responseMillis, 1), maxStallAllowanceWindows)
 	}
-	g.now = math.Max(g.now, now)
-	if g.wakeAt <= g.now {
-		g.wakeAt = 0
+	e.now = math.Max(e.now, now)
+	if e.timerAt <= e.now {
+		e.timerAt = 0
 	}
 }
 
 // Take accepts a txn. Its final answer comes out of Next, at the latest at its expiry.
-func (g *Engine) AddRequest(a Request) {
-	slot, ai := place(&g.txns, &g.free), g.account(a)
-	t := &g.txns[slot]
-	*t = txn{id: a.ID, acct: ai, product: a.Product, plan: a.Plan, units: a.Units,
-		expiry: g.now + a.TimeLeftMillis, coming: a.StreamsBody, subs: t.subs[:0], life: a.ClearanceMillis,
-		live: true}
-	g.byID[a.ID] = slot
-	g.due, g.nextBeat = append(g.due, slot), math.Min(g.nextBeat, t.expiry)
-	c, p := &g.accounts[ai], &g.plans[a.Plan]
-	g.fill(c)
-	t.draws = p.draw(a.Units)
-	if g.sparse(c) {
-		g.credit(c, t.draws)
+func (e *Engine) AddRequest(arrival Request) {
+	slot, accountIndex := allocate(&e.requests, &e.freeRequests), e.accountFor(arrival)
+	request := &e.requests[slot]
+	*request = requestState{id: arrival.ID, accountIndex: accountIndex, product: arrival.Product,
+		plan: arrival.Plan, units: arrival.Units,
+		deadline: e.now + arrival.TimeLeftMillis, bodyPending: arrival.StreamsBody, attempts: request.attempts[:0],
+		clearanceMillis: arrival.ClearanceMillis,
+		live:            true}
+	e.byID[arrival.ID] = slot
+	e.pending, e.nextScanAt = append(e.pending, slot), math.Min(e.nextScanAt, request.deadline)
+	account, plan := &e.accounts[accountIndex], &e.plans[arrival.Plan]
+	e.refill(account)
+	request.quotaUnits = plan.quotaCost(arrival.Units)
+	if e.isSparse(account) {
+		e.creditSparseShare(account, request.quotaUnits)
 	}
-	g.asked(c, t.draws)
-	g.reshare(c)
+	e.addDemand(account, request.quotaUnits)
+	e.updateShare(account)
 }
 
 // Next gives the next decision, or none.
-func (g *Engine) NextDecision() (Decision, bool) {
-	for g.head < len(g.due) {
-		if d, ok := g.step(g.due[g.head]); ok {
-			return d, true
+func (e *Engine) NextDecision() (Decision, bool) {
+	for e.nextPending < len(e.pending) {
+		if decision, ok := e.decide(e.pending[e.nextPending]); ok {
+			return decision, true
 		}
-		g.head++
+		e.nextPending++
 	}
-	g.due, g.head = g.due[:0], 0
-	if d, ok := g.promptly(); ok {
-		return d, true
+	e.pending, e.nextPending = e.pending[:0], 0
+	if decision, ok := e.nextImmediateReport(); ok {
+		return decision, true
 	}
-	if g.now >= g.nextBeat && len(g.byID) > 0 && g.beatAt < 0 {
-		g.beatAt, g.nextBeat = 0, g.now+g.charter.calm
+	if e.now >= e.nextScanAt && len(e.byID) > 0 && e.scanIndex < 0 {
+		e.scanIndex, e.nextScanAt = 0, e.now+e.derived.idleScanMillis
 	}
-	for g.beatAt >= 0 && g.beatAt < len(g.txns) {
-		slot := int32(g.beatAt)
-		g.watch(&g.txns[slot])
-		if d, ok := g.step(slot); ok {
-			return d, true
+	for e.scanIndex >= 0 && e.scanIndex < len(e.requests) {
+		slot := int32(e.scanIndex)
+		e.checkSilentWorkers(&e.requests[slot])
+		if decision, ok := e.decide(slot); ok {
+			return decision, true
 		}
-		g.beatAt++
+		e.scanIndex++
 	}
-	g.beatAt = -1
-	if g.now >= g.nextTell && g.tellPeer < 0 {
-		g.nextTell = g.now + g.charter.period
-		g.sweep()
-		if g.charter.talks && !g.retired {
-			g.tellPeer, g.told, g.looked = 0, 0, 0
-			g.newsFrom = g.rng.Intn(len(g.news) + 1)
+	e.scanIndex = -1
+	if e.now >= e.nextReportAt && e.reportPeer < 0 {
+		e.nextReportAt = e.now + e.derived.reportIntervalMillis
+		e.endReportInterval()
+		if e.derived.gossip && !e.handedOff {
+			e.reportPeer, e.messagesToPeer, e.changedExamined = 0, 0, 0
+			e.changedOffset = e.rng.Intn(len(e.changedAccounts) + 1)
 		}
 	}
-	for g.tellPeer >= 0 {
-		if d, ok := g.report(); ok {
-			return d, true
+	for e.reportPeer >= 0 {
+		if decision, ok := e.nextPeriodicReport(); ok {
+			return decision, true
 		}
-		g.tellPeer, g.told, g.looked = g.tellPeer+1, 0, 0
-		if g.tellPeer == g.charter.n {
-			g.tellPeer = -1
-			for _, i := range g.news {
-				g.accounts[i].unsaid = 0
+		e.reportPeer, e.messagesToPeer, e.changedExamined = e.reportPeer+1, 0, 0
+		if e.reportPeer == e.derived.gatewayCount {
+			e.reportPeer = -1
+			for _, i := range e.changedAccounts {
+				e.accounts[i].unreportedUnits = 0
 			}
 		}
 	}
-	return g.wake()
+	return e.nextTimer()
 }
 
 // step gives the next decision on one txn, or none.
-func (g *Engine) step(slot int32) (Decision, bool) {
-	t := &g.txns[slot]
-	if !t.live || t.waits(g.now) {
+func (e *Engine) decide(slot int32) (Decision, bool) {
+	request := &e.requests[slot]
+	if !request.live || request.awaitsClaim(e.now) {
 		return Decision{}, false
 	}
-	if t.answered {
-		if d, ok := g.withdraw(t); ok {
-			return d, true
+	if request.answered {
+		if decision, ok := e.nextCancel(request); ok {
+			return decision, true
 		}
-		if t.out == 0 {
-			g.unkeep(t)
-			g.unrefer(t.subs)
-			delete(g.byID, t.id)
-			t.live = false
-			g.free = append(g.free, slot)
+		if request.inFlight == 0 {
+			e.releaseReservation(request)
+			e.releaseReferences(request.attempts)
+			delete(e.byID, request.id)
+			request.live = false
+			e.freeRequests = append(e.freeRequests, slot)
 		}
 		return Decision{}, false
 	}
-	if t.out > 0 && (t.coming || g.now < t.expiry) {
-		if !t.another {
+	if request.inFlight > 0 && (request.bodyPending || e.now < request.deadline) {
+		if !request.wantsAttempt {
 			return Decision{}, false
 		}
-		t.another = false
-		again := t.expiry-g.now > margin && g.now < g.mayRepeat(t, true)
-		if again && !g.charter.overlap {
-			return g.withdraw(t)
+		request.wantsAttempt = false
+		again := request.deadline-e.now > deadlineMarginMillis && e.now < e.retryUntil(request, true)
+		if again && !e.derived.allowHedging {
+			return e.nextCancel(request)
 		}
-		if again && float64(g.inHand) < g.room() {
-			if w := g.choose(t); w >= 0 {
-				return g.submit(t, w), true
+		if again && float64(e.inFlight) < e.currentWindow() {
+			if w := e.chooseWorker(request); w >= 0 {
+				return e.submitTo(request, w), true
 			}
 		}
 		return Decision{}, false
 	}
-	if t.expiry-g.now <= margin && !t.coming {
-		return g.giveUp(t, t.late(), 0), true
+	if request.deadline-e.now <= deadlineMarginMillis && !request.bodyPending {
+		return e.finish(request, request.deadlineReason(), 0), true
 	}
-	if len(t.subs) == 0 && t.pass != claimed {
-		reason, wait := g.admit(t)
+	if len(request.attempts) == 0 && request.clearance != clearanceClaimed {
+		reason, wait := e.admit(request)
 		if reason != ReasonSucceeded {
-			return g.giveUp(t, reason, wait), true
-		} else if t.life > 0 {
-			return g.grant(t), true
+			return e.finish(request, reason, wait), true
+		} else if request.clearanceMillis > 0 {
+			return e.grantClearance(request), true
 		}
-	} else if g.now >= g.mayRepeat(t, false) {
-		return g.giveUp(t, ReasonAttemptsExhausted, 0), true
-	} else if float64(g.inHand) >= g.room() {
-		return g.giveUp(t, ReasonOverload, adviseBusy*g.products[t.product].sla), true
+	} else if e.now >= e.retryUntil(request, false) {
+		return e.finish(request, ReasonAttemptsExhausted, 0), true
+	} else if float64(e.inFlight) >= e.currentWindow() {
+		return e.finish(request, ReasonOverload,
+			overloadRetryTargetFraction*e.products[request.product].latencyTargetMillis), true
 	}
-	w := g.choose(t)
+	w := e.chooseWorker(request)
 	if w < 0 {
-		return g.giveUp(t, ReasonNoWorker, adviseBusy*g.products[t.product].sla), true
+		return e.finish(request, ReasonNoWorker,
+			overloadRetryTargetFraction*e.products[request.product].latencyTargetMillis), true
 	}
-	return g.submit(t, w), true
+	return e.submitTo(request, w), true
 }
 
 // Roster updates the list of workers. Unless it is partial, workers that it does not name are gone.
-func (g *Engine) UpdateEndpoints(list []Endpoint, partial bool) {
-	how := g.begins(list, partial)
-	for _, p := range list {
-		w := g.posted(p, how)
-		if p.StartedAtMillis != w.StartedAtMillis || w.Worker != p.Worker {
+func (e *Engine) UpdateEndpoints(list []Endpoint, partial bool) {
+	mode := e.beginUpdate(list, partial)
+	for _, endpoint := range list {
+		worker := e.applyEndpoint(endpoint, mode)
+		if endpoint.StartedAtMillis != worker.StartedAtMillis || worker.Worker != endpoint.Worker {
 			// A fresh process: what its former life, and ours, sent it must be taken as spent. Where each of many
 			// gatekeepers may send it one txn in minutes, chance spreads their turns from the start on.
-			w.coldAt, w.coldDebt = g.now, g.rng.Float64()*g.charter.middling()
-			w.distrust.score, w.heard = 0, g.now
-			clear(w.turned)
+			worker.slowStartAt, worker.slowStartDebt = e.now, e.rng.Float64()*e.derived.meanUnits()
+			worker.suspicion.score, worker.heardAt = 0, e.now
+			clear(worker.rejections)
 		}
-		w.Endpoint, w.listed = p, p.Active
-		g.relist(p.Worker, how)
+		worker.Endpoint, worker.listed = endpoint, endpoint.Active
+		e.addReady(endpoint.Worker, mode)
 	}
-	if g.lists(how); g.window == 0 {
-		g.window = g.leastWindow()
+	if e.endUpdate(mode); e.window == 0 {
+		e.window = e.minWindow()
 	}
 }
 
--- a/internal/policy/logic_test.go
+++ b/internal/policy/logic_test.go
@@ -46,7 +46,8 @@
 }
 
 func TestSplit(t *testing.T) {
-	regain := period / demandMemory / (1 - math.Exp(-period/demandMemory))
+	regain := reportIntervalMillis / demandWindowMillis /
+		(1 - math.Exp(-reportIntervalMillis/demandWindowMillis))
 	cases := []struct {
 		name      string
 		n         int
@@ -54,29 +55,29 @@
 		peers     []float64 // units a second, of gatekeepers 1, 2, ..
 		wantShare float64   // of the rate
 	}{
-		{"alone", 2, 5, nil, beta/2 + (1 - beta)},
-		{"half each", 2, 5, []float64{5}, beta/2 + (1-beta)/(1+regain)},
-		{"a peer asks nought", 2, 5, []float64{0}, beta/2 + (1 - beta)},
-		{"nothing asked here", 3, 0, []float64{4, 4}, beta / 3},
+		{"alone", 2, 5, nil, floorFraction/2 + (1 - floorFraction)},
+		{"half each", 2, 5, []float64{5}, floorFraction/2 + (1-floorFraction)/(1+regain)},
+		{"a peer asks nought", 2, 5, []float64{0}, floorFraction/2 + (1 - floorFraction)},
+		{"nothing asked here", 3, 0, []float64{4, 4}, floorFraction / 3},
 		{"nobody asks", 2, 0, []float64{0}, 0.5},
-		{"absurd demand", 2, 5, []float64{1e300}, beta / 2},
-		{"no number", 2, 5, []float64{math.NaN()}, beta/2 + (1 - beta)},
-		{"endless demand", 2, 5, []float64{math.Inf(1)}, beta/2 + (1 - beta)},
-		{"demand below nought", 2, 5, []float64{-1}, beta/2 + (1 - beta)},
+		{"absurd demand", 2, 5, []float64{1e300}, floorFraction / 2},
+		{"no number", 2, 5, []float64{math.NaN()}, floorFraction/2 + (1 - floorFraction)},
+		{"endless demand", 2, 5, []float64{math.Inf(1)}, floorFraction/2 + (1 - floorFraction)},
+		{"demand below nought", 2, 5, []float64{-1}, floorFraction/2 + (1 - floorFraction)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHost(t, charterFor(Idempotent, func(ch *Settings) { ch.GatewayCount = c.n }), 1, 2)
 			h.txn(7, 1)
-			a := &h.g.accounts[h.g.byKey[7]]
-			a.hot, a.demand = true, c.own/1000
+			a := &h.g.accounts[h.g.accountByCustomer[7]]
+			a.hot, a.decayedDemand = true, c.own/1000
 			h.g.ReceiveReports(-1, []Report{{7, 0, 9, 0, 0}}) // no such peers
 			h.g.ReceiveReports(99, []Report{{7, 0, 9, 0, 0}})
 			for i, d := range c.peers {
 				h.g.ReceiveReports(i+1, []Report{{7, 0, d, 0, 0}})
 			}
-			if h.g.reshare(a); !near(a.share*1000, 10*c.wantShare) {
-				t.Errorf("share %v of 10, want %v", a.share*1000, 10*c.wantShare)
+			if h.g.updateShare(a); !near(a.sharePerMilli*1000, 10*c.wantShare) {
+				t.Errorf("share %v of 10, want %v", a.sharePerMilli*1000, 10*c.wantShare)
 			}
 		})
 	}
@@ -95,8 +96,8 @@
 	if last := h.told[len(h.told)-1].Reports[0]; last.DemandPerSecond < 5 || last.SpentUnits < 2 {
 		t.Errorf("told %v", last)
 	}
-	for end := h.now + 2*cooldown + 2*period; h.now < end; {
-		h.at(h.now + period)
+	for end := h.now + 2*coolDownMillis + 2*reportIntervalMillis; h.now < end; {
+		h.at(h.now + reportIntervalMillis)
 		h.pull()
 	}
 	if n := h.g.Stats(); n.HotCustomers != 0 || n.Customers != 0 || n.InFlight != 0 {
@@ -173,8 +174,10 @@
 		again  bool    // it is heard then, with nothing asked
 		part   float64 // of the rate
 	}{
-		{toldFor*period + 2*period, false, 0.5}, {suspicion + hold - 2*period, false, 0.5},
-		{suspicion + hold + 2*period, false, 1}, {suspicion, true, 1},
+		{silentAfterIntervals*reportIntervalMillis + 2*reportIntervalMillis, false, 0.5},
+		{peerSuspicionMillis + lostPeerHoldMillis - 2*reportIntervalMillis, false, 0.5},
+		{peerSuspicionMillis + lostPeerHoldMillis + 2*reportIntervalMillis, false, 1}, {peerSuspicionMillis, true,
+			1},
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprint(c.silent, c.again), func(t *testing.T) {
@@ -183,11 +186,11 @@
 			h.ask(10, c.silent, nil)
 			if c.again {
 				h.g.ReceiveReports(1, nil)
-				h.ask(10, 2*period, nil)
+				h.ask(10, 2*reportIntervalMillis, nil)
 			}
-			a := &h.g.accounts[h.g.byKey[7]]
-			want := 10 * (beta/2 + (1-beta)*c.part)
-			if got := a.share * 1000; math.Abs(got-want) > 0.5 {
+			a := &h.g.accounts[h.g.accountByCustomer[7]]
+			want := 10 * (floorFraction/2 + (1-floorFraction)*c.part)
+			if got := a.sharePerMilli * 1000; math.Abs(got-want) > 0.5 {
 				t.Errorf("share %v of 10, want %v", got, want)
 			}
 		})
@@ -207,9 +210,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHost(t, charterFor(Idempotent, nil), 1, 4)
 			h.txn(7, 1)
-			a := &h.g.accounts[h.g.byKey[7]]
+			a := &h.g.accounts[h.g.accountByCustomer[7]]
 			h.g.ReceiveReports(1, []Report{{7, 0, 0.1, 0, c.spent}})
-			a.level = 0
+			a.shareTokens = 0
 			if in := h.txn(7, 1).final == 0; in != c.want {
 				t.Errorf("let in: %v", in)
 			}
@@ -309,7 +312,7 @@
 		level = math.Min(level+rate/100, depth)
 		if int(now)%3000 == 0 {
 			hosts[1] = newHost(t, c, int64(now), 200)
-			hosts[1].g.base = now
+			hosts[1].g.rateLimitBase = now
 		}
 		for _, h := range hosts {
 			h.at(now)
@@ -435,7 +438,7 @@
 		return Request{Customer: uint64(rng.Intn(40)), Plan: rng.Intn(2), Units: 1, SetSize: 2,
 			TimeLeftMillis: 3000}
 	}, func(*seen, int) (Outcome, float64) {
-		return Succeeded, 40 * math.Max(float64(h.g.inHand), 4) * rng.ExpFloat64()
+		return Succeeded, 40 * math.Max(float64(h.g.inFlight), 4) * rng.ExpFloat64()
 	})
 	var declined [2]int
 	for _, s := range h.txns {
@@ -462,12 +465,12 @@
 	h.run(6000, 200, rng, func() Request {
 		return Request{Customer: uint64(rng.Intn(40)), Units: 1, SetSize: 2, TimeLeftMillis: 300}
 	}, func(*seen, int) (Outcome, float64) {
-		return Succeeded, 12 * math.Max(float64(h.g.inHand), 4) * rng.ExpFloat64()
+		return Succeeded, 12 * math.Max(float64(h.g.inFlight), 4) * rng.ExpFloat64()
 	})
 	if n := h.g.Stats(); n.Window > 40 || n.FinalByReason[ReasonOverload] == 0 {
 		t.Errorf("%+v", n)
 	}
-	if s := h.arrive(Request{Customer: 7, Units: 1, TimeLeftMillis: h.g.pace / 2}); s.final != Reject {
+	if s := h.arrive(Request{Customer: 7, Units: 1, TimeLeftMillis: h.g.responseMillis / 2}); s.final != Reject {
 		t.Error("sent on although its client waits less than half of a usual answer")
 	}
 }
@@ -487,8 +490,8 @@
 		}
 		h.ended(s, 0, Succeeded, 2000)
 	}
-	if n := h.g.Stats(); n.SuspectedWorkers > 0 || h.g.press > 0 {
-		t.Errorf("%+v, pressure %v", n, h.g.press)
+	if n := h.g.Stats(); n.SuspectedWorkers > 0 || h.g.pressure > 0 {
+		t.Errorf("%+v, pressure %v", n, h.g.pressure)
 	}
 	h.at(h.now + 2000) // again, and all that came meanwhile is there at once
 	for i := range 30 {
@@ -580,14 +583,15 @@
 		}
 		delete(h.txns, h.next)
 	}
-	if n := h.g.Stats(); n.Customers > int((cooldown+3*period)/5) || len(h.g.txns) > 8 || len(h.told) > 0 {
-		t.Errorf("%d customers and %d txns kept, %d messages", n.Customers, len(h.g.txns), len(h.told))
+	if n := h.g.Stats(); n.Customers > int((coolDownMillis+3*reportIntervalMillis)/5) || len(h.g.requests) > 8 ||
+		len(h.told) > 0 {
+		t.Errorf("%d customers and %d txns kept, %d messages", n.Customers, len(h.g.requests), len(h.told))
 	}
-	for i := range 3 * mostHeard {
+	for i := range 3 * maxRemoteAccounts {
 		h.g.ReceiveReports(1, []Report{{uint64(1e6 + i), 0, 1, 0, 0}})
 	}
-	if len(h.g.byKey) > mostHeard+2000 {
-		t.Errorf("%d customers kept for a peer", len(h.g.byKey))
+	if len(h.g.accountByCustomer) > maxRemoteAccounts+2000 {
+		t.Errorf("%d customers kept for a peer", len(h.g.accountByCustomer))
 	}
 }
 
@@ -736,7 +740,7 @@
 					if d.Kind != Cancel {
 						continue
 					}
-					if late := h.now - start - c.found; late < 0 || late > beat+1 || wakes > c.wakes {
+					if late := h.now - start - c.found; late < 0 || late > scanIntervalMillis+1 || wakes > c.wakes {
 						t.Errorf("found silent %v ms late, after %d wakes, want %d at most", late, wakes, c.wakes)
 					}
 					return
@@ -764,7 +768,8 @@
 		h.ended(h.txn(7, 1), 0, ConnectionLost, 400)
 	}
 	s := h.txn(7, 1)
-	if w := &h.g.workers[0]; w.distrust.at(h.now, distrustFade) < distrusted || h.g.WorkerUnreferenced(0) {
+	if w := &h.g.workers[0]; w.suspicion.value(h.now, suspicionDecayMillis) < suspectThreshold ||
+		h.g.WorkerUnreferenced(0) {
 		t.Fatalf("before: %+v, vacant %v", *w, h.g.WorkerUnreferenced(0))
 	}
 	h.g.UpdateEndpoints([]Endpoint{{Worker: 0}}, true)
@@ -775,8 +780,8 @@
 	for _, since := range []float64{0, h.now - 10} {
 		h.g.UpdateEndpoints([]Endpoint{{Worker: 0, Active: true, StartedAtMillis: since, Replaced: true}}, true)
 		w := &h.g.workers[0]
-		if w.distrust.score != 0 || w.pace != 0 || w.inFlight != 0 ||
-			(h.g.warmth(w.StartedAtMillis) < 1) != (since > 0) {
+		if w.suspicion.score != 0 || w.responseMillis != 0 || w.inFlight != 0 ||
+			(h.g.warmFraction(w.StartedAtMillis) < 1) != (since > 0) {
 			t.Errorf("started %v: it begins with %+v", since, *w)
 		}
 	}
@@ -839,7 +844,7 @@
 
 // old brings a gatekeeper past its first period, and back to a wide window.
 func (h *host) old() {
-	h.at(h.now + 3*h.g.charter.period)
+	h.at(h.now + 3*h.g.derived.reportIntervalMillis)
 	h.pull()
 	h.g.window = 1e9
 }
@@ -888,13 +893,13 @@
 				}
 			}), 5, 8)
 			if h.old(); c.young {
-				h.g.started = h.now - firstWords*h.g.charter.period
+				h.g.startedAt = h.now - startupIntervalFraction*h.g.derived.reportIntervalMillis
 			}
 			p := &h.g.plans[0]
 			if p.sparse != c.sparse {
 				t.Fatalf("sparse is %v", p.sparse)
 			}
-			if in := h.firsts(c.times*p.rate*1000/p.regain, c.units); in < c.least || in > c.most {
+			if in := h.firsts(c.times*p.ratePerMilli*1000/p.decayCompensation, c.units); in < c.least || in > c.most {
 				t.Errorf("%.3f let in, want %v to %v", in, c.least, c.most)
 			}
 		})
@@ -913,7 +918,7 @@
 		t.Fatal("the first txn of a customer within its quota is not let in")
 	}
 	h.ended(first, 0, Succeeded, 20)
-	h.g.accounts[h.g.byKey[7]].level = 0 // whatever the first one left
+	h.g.accounts[h.g.accountByCustomer[7]].shareTokens = 0 // whatever the first one left
 	second := h.txn(7, 1)
 	h.at(h.now + 3000)
 	third := h.txn(7, 1)
@@ -940,7 +945,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if got := mostOut(c.plan); got < c.least || got > c.most {
+			if got := bestInFlight(c.plan); got < c.least || got > c.most {
 				t.Errorf("%v out, want %v to %v", got, c.least, c.most)
 			}
 		})
@@ -954,7 +959,7 @@
 		for range 5 {
 			h.txn(7, 1)
 		}
-		if got := h.g.accounts[h.g.byKey[7]].out; got != 1 {
+		if got := h.g.accounts[h.g.accountByCustomer[7]].inFlight; got != 1 {
 			t.Errorf("%d out at one of %d gatekeepers", got, n)
 		}
 	}
@@ -970,14 +975,14 @@
 		h.at(h.now + 500)
 		h.pull()
 	}
-	if p := &h.g.plans[0]; math.Abs(p.rate*50-p.out) > 0.1*p.out {
-		t.Errorf("at stays of 50 ms the rate is %v a second for %v out", p.rate*1000, p.out)
+	if p := &h.g.plans[0]; math.Abs(p.ratePerMilli*50-p.targetInFlight) > 0.1*p.targetInFlight {
+		t.Errorf("at stays of 50 ms the rate is %v a second for %v out", p.ratePerMilli*1000, p.targetInFlight)
 	}
 	for range 3 {
-		h.g.accounts[h.g.byKey[7]].level = 9 // however much the store holds
+		h.g.accounts[h.g.accountByCustomer[7]].shareTokens = 9 // however much the store holds
 		h.txn(7, 1)
 	}
-	if n := h.g.accounts[h.g.byKey[7]].out; n != 2 {
+	if n := h.g.accounts[h.g.accountByCustomer[7]].inFlight; n != 2 {
 		t.Errorf("%d out at a limit of 2", n)
 	}
 }
@@ -995,7 +1000,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHost(t, many(c.n, nil), 5, c.workers)
-			if got := h.g.leastWindow(); !near(got, c.want) {
+			if got := h.g.minWindow(); !near(got, c.want) {
 				t.Errorf("%v, want %v", got, c.want)
 			}
 		})
@@ -1033,13 +1038,13 @@
 	}{
 		{"nothing known", func(*Engine) {}, 0.4, 0.6},
 		{"its kind is slow", func(g *Engine) {
-			g.kinds[0].pace, g.kinds[1].pace = 200, 100
+			g.machineKinds[0].responseMillis, g.machineKinds[1].responseMillis = 200, 100
 		}, 0.15, 0.35},
 		{"rated smaller", func(g *Engine) {
-			g.pace, g.workers[0].SizeRating, g.workers[1].SizeRating = 100, 1, 3
+			g.responseMillis, g.workers[0].SizeRating, g.workers[1].SizeRating = 100, 1, 3
 		}, 0.15, 0.35},
 		{"says that it is busy", func(g *Engine) {
-			g.load = 2
+			g.meanLoad = 2
 			g.ReportWorkerLoad(0, WorkerLoad{InFlight: 40, Queued: -1, CPUFraction: -1})
 			g.ReportWorkerLoad(1, WorkerLoad{InFlight: 0, Queued: -1, CPUFraction: -1})
 		}, 0.15, 0.35},
@@ -1057,12 +1062,12 @@
 			h := newHost(t, many(2, func(ch *Settings) { ch.Plans[0] = Plan{ValueFactor: 1} }), 5, 2)
 			h.g.UpdateEndpoints([]Endpoint{{Worker: 0, Active: true, MachineKind: 0}, {Worker: 1, Active: true,
 				MachineKind: 1}}, false)
-			h.g.list()
+			h.g.rebuildReady()
 			for range 400 {
-				h.g.kinds[0], h.g.kinds[1], h.g.pace = kind{}, kind{}, 0
-				h.g.workers[0].pace, h.g.workers[1].pace = 0, 0
+				h.g.machineKinds[0], h.g.machineKinds[1], h.g.responseMillis = machineKind{}, machineKind{}, 0
+				h.g.workers[0].responseMillis, h.g.workers[1].responseMillis = 0, 0
 				c.before(h.g)
-				h.g.list()
+				h.g.rebuildReady()
 				if s := h.txn(7, 1); s.final == 0 {
 					if s.subs[0].Worker == 0 {
 						there++
@@ -1082,11 +1087,11 @@
 func TestLongPeriod(t *testing.T) {
 	h := newHost(t, many(300, nil), 5, 8)
 	h.g.window = 1e9
-	if c := h.g.charter; c.period < 5000 || c.cooldown < 2*c.period {
-		t.Errorf("a period of %v ms, cooldown %v ms", c.period, c.cooldown)
+	if c := h.g.derived; c.reportIntervalMillis < 5000 || c.coolDownMillis < 2*c.reportIntervalMillis {
+		t.Errorf("a period of %v ms, cooldown %v ms", c.reportIntervalMillis, c.coolDownMillis)
 	}
-	h.ask(4, 0.3*h.g.charter.period, nil)
-	if got := h.g.own(&h.g.accounts[h.g.byKey[7]]) * 1000; got < 3 || got > 5 {
+	h.ask(4, 0.3*h.g.derived.reportIntervalMillis, nil)
+	if got := h.g.ownDemand(&h.g.accounts[h.g.accountByCustomer[7]]) * 1000; got < 3 || got > 5 {
 		t.Errorf("4 a second are reckoned as %v", got)
 	}
 }
@@ -1109,7 +1114,7 @@
 			h := newHost(t, charterFor(Idempotent, func(ch *Settings) { ch.Plans[0] = Plan{ValueFactor: 1} }), 5, 8)
 			let := 0
 			for i := range 200 {
-				h.g.window, h.g.pace = 1e9, 100
+				h.g.window, h.g.responseMillis = 1e9, 100
 				s := h.arrive(Request{Customer: 7, Units: 1, SetSize: 2, TimeLeftMillis: c.left})
 				if h.at(h.now + 150); s.final == 0 {
 					h.at(math.Max(h.now, s.expiry))
@@ -1139,14 +1144,14 @@
 		h := newHost(t, c, 1, 0)
 		h.at(100000)
 		h.g.UpdateEndpoints(cold, false)
-		h.g.started, h.g.base = 1000, 1000 // the ceiling's slice has filled since
+		h.g.startedAt, h.g.rateLimitBase = 1000, 1000 // the ceiling's slice has filled since
 		return h
 	}
 	one, two := start(), start()
 	one.ask(1000, 30, nil)
-	one.g.workers[1].coldAt, one.g.workers[1].coldDebt = one.now, 7
+	one.g.workers[1].slowStartAt, one.g.workers[1].slowStartDebt = one.now, 7
 	spent := one.g.accounts[0]
-	if one.txn(7, 1).final != Reject || spent.ceilingAt <= one.now {
+	if one.txn(7, 1).final != Reject || spent.rateLimitFullAt <= one.now {
 		t.Fatalf("the first has spent too little: %+v", spent)
 	}
 	s := one.txn(8, 1) // one is out while the place changes
@@ -1155,23 +1160,25 @@
 	two.at(one.now)
 	two.g.RestoreHandoff(e)
 	got := two.g.accounts[0]
-	if got.level != spent.level || got.whole != spent.whole || got.ceilingAt != spent.ceilingAt ||
-		two.g.workers[1].coldDebt != 7 || two.g.started != one.g.started || two.g.window != one.g.window {
+	if got.shareTokens != spent.shareTokens || got.quotaTokens != spent.quotaTokens ||
+		got.rateLimitFullAt != spent.rateLimitFullAt ||
+		two.g.workers[1].slowStartDebt != 7 || two.g.startedAt != one.g.startedAt || two.g.window != one.g.window {
 		t.Errorf("the second has %+v of %+v", got, spent)
 	}
 	if two.txn(7, 1).final != Reject {
 		t.Error("the second lets in what the first has spent")
 	}
-	if out := two.g.accounts[1].out; out != 1 || s.final != 0 {
+	if out := two.g.accounts[1].inFlight; out != 1 || s.final != 0 {
 		t.Errorf("%d submissions of the first one's are out, final %v", out, s.final)
 	}
-	if two.g.PredecessorEnded(); two.g.accounts[1].out != 0 {
-		t.Errorf("%d submissions are out for ever", two.g.accounts[1].out)
+	if two.g.PredecessorEnded(); two.g.accounts[1].inFlight != 0 {
+		t.Errorf("%d submissions are out for ever", two.g.accounts[1].inFlight)
 	}
 	if one.txn(9, 1).final != Reject {
 		t.Error("the first goes on letting in")
 	}
-	if one.at(one.now + 9000); one.g.usable(&txn{}, 1) || !one.g.usable(&txn{}, 0) || len(one.told) > 0 {
+	if one.at(one.now + 9000); one.g.eligible(&requestState{}, 1) || !one.g.eligible(&requestState{}, 0) ||
+		len(one.told) > 0 {
 		t.Error("the first goes on with cold workers or peers, or not with warm ones")
 	}
 	bad := e
@@ -1180,13 +1187,15 @@
 	bad.Workers = []WorkerState{{Worker: 99}, {Worker: 0, StartedAtMillis: 5, ResponseMillis: 3}}
 	three := start()
 	three.at(one.now)
-	if three.g.RestoreHandoff(bad); len(three.g.byKey) != len(e.Customers) || three.g.workers[0].pace != 0 {
-		t.Errorf("%d customers taken over, pace %v", len(three.g.byKey), three.g.workers[0].pace)
+	if three.g.RestoreHandoff(bad); len(three.g.accountByCustomer) != len(e.Customers) ||
+		three.g.workers[0].responseMillis != 0 {
+		t.Errorf("%d customers taken over, pace %v", len(three.g.accountByCustomer),
+			three.g.workers[0].responseMillis)
 	}
 	bad.Peers = nil
 	four := start()
 	four.at(one.now)
-	if four.g.RestoreHandoff(bad); len(four.g.byKey) > 0 {
+	if four.g.RestoreHandoff(bad); len(four.g.accountByCustomer) > 0 {
 		t.Error("an estate of another charter is taken over")
 	}
 }
@@ -1198,8 +1207,8 @@
 	arrive := func() (*host, *seen) {
 		h := newHost(t, c, 1, 3)
 		s := h.arrive(Request{Customer: 7, Units: 1, SetSize: 2, TimeLeftMillis: 1000, StreamsBody: true})
-		if s.expiry = math.Inf(1); len(s.subs) != 1 || h.g.inHand != 0 {
-			t.Fatalf("%d submissions, %d in hand", len(s.subs), h.g.inHand)
+		if s.expiry = math.Inf(1); len(s.subs) != 1 || h.g.inFlight != 0 {
+			t.Fatalf("%d submissions, %d in hand", len(s.subs), h.g.inFlight)
 		}
 		return h, s
 	}
@@ -1213,7 +1222,7 @@
 		h.at(h.now + 100)
 		h.pull()
 	}
-	if len(s.subs) != 2 || s.final != 0 || h.g.workers[s.subs[1].Worker].distrust.score > 1 {
+	if len(s.subs) != 2 || s.final != 0 || h.g.workers[s.subs[1].Worker].suspicion.score > 1 {
 		t.Errorf("while it comes: %d submissions, final %v", len(s.subs), s.final)
 	}
 	h.ended(s, 1, ConnectFailed, 1)
@@ -1224,8 +1233,8 @@
 	h.at(h.now + 5000)
 	h.g.BodyForwarded(s.ID, 0, 1000)
 	s.expiry = h.now + 1000
-	if h.pull(); h.g.inHand != 1 || s.final != 0 {
-		t.Errorf("it has come: %d in hand, final %v", h.g.inHand, s.final)
+	if h.pull(); h.g.inFlight != 1 || s.final != 0 {
+		t.Errorf("it has come: %d in hand, final %v", h.g.inFlight, s.final)
 	}
 	for range 20 {
 		h.at(h.now + 100)
@@ -1238,16 +1247,18 @@
 	h.g.BodyForwarded(s.ID, 0, 1000)
 	h.g.ResponseStarted(s.ID, 0) // the answer is long, and the client's
 	h.at(h.now + 9000)
-	if h.pull(); s.final != 0 || h.g.inHand != 0 {
-		t.Errorf("while its answer passes: final %v, %d in hand", s.final, h.g.inHand)
+	if h.pull(); s.final != 0 || h.g.inFlight != 0 {
+		t.Errorf("while its answer passes: final %v, %d in hand", s.final, h.g.inFlight)
 	}
 	h, s = arrive()
 	h.g.BodyForwarded(s.ID, 0, 0)
-	a := &h.g.accounts[h.g.byKey[7]]
-	whole, kept := a.whole, a.kept
-	if h.ended(s, 0, NotSent, 1); kept != 1 || a.kept != 0 || a.whole != whole || a.unsaid > 0 {
-		t.Errorf("of a body that never came whole %v were kept, %v are, %v of %v left, %v told", kept, a.kept,
-			a.whole, whole, a.unsaid)
+	a := &h.g.accounts[h.g.accountByCustomer[7]]
+	whole, kept := a.quotaTokens, a.reservedUnits
+	if h.ended(s, 0, NotSent, 1); kept != 1 || a.reservedUnits != 0 || a.quotaTokens != whole ||
+		a.unreportedUnits > 0 {
+		t.Errorf("of a body that never came whole %v were kept, %v are, %v of %v left, %v told", kept,
+			a.reservedUnits,
+			a.quotaTokens, whole, a.unreportedUnits)
 	}
 	h.g.BodyForwarded(12345, 0, 7)
 	h.g.BodyForwarded(s.ID, 7, 7)
--- a/internal/policy/member_test.go
+++ b/internal/policy/member_test.go
@@ -25,7 +25,7 @@
 			x.GatewayIndex = i
 			hosts[i] = newHost(t, x, rng.Int63(), 200)
 			hosts[i].at(now)
-			hosts[i].g.base = now
+			hosts[i].g.rateLimitBase = now
 		}
 		for i := range set {
 			begin(i)
@@ -78,18 +78,20 @@
 		h.g.ReceiveReports(2, []Report{{Customer: 7, DemandPerSecond: 40}})
 		h.txn(7, 1)
 	}
-	h.rest(3 * h.g.charter.period * toldFor) // the third falls silent: its demand is held
-	a := &h.g.accounts[h.g.byKey[7]]
-	if a.held == 0 || a.n != 3 {
-		t.Fatalf("held %v, of %d", a.held, a.n)
+	// the third falls silent: its demand is held
+	h.rest(3 * h.g.derived.reportIntervalMillis * silentAfterIntervals)
+	a := &h.g.accounts[h.g.accountByCustomer[7]]
+	if a.silentPeerDemand == 0 || a.setSize != 3 {
+		t.Fatalf("held %v, of %d", a.silentPeerDemand, a.setSize)
 	}
 	h.g.SetGatewayCount(2)
-	if h.pull(); a.held != 0 || a.n != 2 || len(h.g.peers) != 2 || h.g.charter.n != 2 {
-		t.Errorf("without the third: held %v, of %d", a.held, a.n)
+	if h.pull(); a.silentPeerDemand != 0 || a.setSize != 2 || len(h.g.peers) != 2 ||
+		h.g.derived.gatewayCount != 2 {
+		t.Errorf("without the third: held %v, of %d", a.silentPeerDemand, a.setSize)
 	}
 	h.g.ReceiveReports(2, []Report{{Customer: 7, DemandPerSecond: 40}}) // its last word comes late
-	if a.others > 40.0/1000 {
-		t.Errorf("one that is no more is heard: %v", a.others)
+	if a.peerDemand > 40.0/1000 {
+		t.Errorf("one that is no more is heard: %v", a.peerDemand)
 	}
 	h.ended(s, 0, Succeeded, 20)
 	h.g.SetGatewayCount(5)
@@ -103,8 +105,8 @@
 	for _, d := range h.told {
 		peers[d.Peer] = true
 	}
-	if a = &h.g.accounts[h.g.byKey[7]]; len(peers) != 4 || a.n != 5 {
-		t.Errorf("told %v, of %d", peers, a.n)
+	if a = &h.g.accounts[h.g.accountByCustomer[7]]; len(peers) != 4 || a.setSize != 5 {
+		t.Errorf("told %v, of %d", peers, a.setSize)
 	}
 	for i := range uint64(30) { // sets all round the ring, as it shrinks and grows at random
 		h.arrive(Request{Customer: 100 + i, Units: 1, SetSize: 1 + int(i)%5, FirstGateway: int(i*7) % 5,
@@ -117,7 +119,7 @@
 	}
 	h.g.SetGatewayCount(5)
 	h.g.SetGatewayCount(0) // it is one of them itself
-	if h.g.charter.n != 5 {
+	if h.g.derived.gatewayCount != 5 {
 		t.Error("fewer than itself")
 	}
 }
@@ -133,16 +135,16 @@
 			h.at(h.now + 100)
 			if h.txn(7, 2); i%4 == 0 {
 				h.g.ReceiveReports(1, []Report{{Customer: 7, DemandPerSecond: 20, PreviousDemandPerSecond: said}})
-				said = 20 * math.Exp(-400.0/demandMemory)
+				said = 20 * math.Exp(-400.0/demandWindowMillis)
 			}
 		}
 		if told {
 			h.g.PeerRestarted(1)
 		}
 		h.g.ReceiveReports(1, []Report{{Customer: 7, DemandPerSecond: 20}}) // it knows nothing of what it had told
-		a := &h.g.accounts[h.g.byKey[7]]
-		if shares[told] = a.share * 1000; told && math.Abs(a.others*1000-20) > 5 {
-			t.Errorf("the others ask %.1f", a.others*1000)
+		a := &h.g.accounts[h.g.accountByCustomer[7]]
+		if shares[told] = a.sharePerMilli * 1000; told && math.Abs(a.peerDemand*1000-20) > 5 {
+			t.Errorf("the others ask %.1f", a.peerDemand*1000)
 		}
 		h.g.PeerRestarted(0)
 		h.g.PeerRestarted(7)
--- a/internal/policy/near_test.go
+++ b/internal/policy/near_test.go
@@ -22,11 +22,11 @@
 				list = append(list, Endpoint{Worker: w, Active: true, Replaced: true})
 			}
 			g.UpdateEndpoints(list, false)
-			if len(g.near) != c.near {
-				t.Fatalf("%+v: %d are drawn from", c, len(g.near))
+			if len(g.subset) != c.near {
+				t.Fatalf("%+v: %d are drawn from", c, len(g.subset))
 			}
 			before := map[int]bool{}
-			for _, w := range g.near {
+			for _, w := range g.subset {
 				drawn[w]++
 				before[w] = true
 			}
@@ -36,7 +36,7 @@
 				}
 			}
 			g.UpdateEndpoints(list, false)
-			for _, w := range g.near {
+			for _, w := range g.subset {
 				if w < c.workers {
 					of++
 					if before[w] {
@@ -74,7 +74,7 @@
 		}
 		h.g.UpdateEndpoints(list, false)
 		for w := 54; w < 60; w++ { // as if their budgets had come together
-			h.g.workers[w].coldDebt = 0
+			h.g.workers[w].slowStartDebt = 0
 		}
 		rng := rand.New(rand.NewSource(seed))
 		for i := range 80 {
--- a/internal/policy/prompt_test.go
+++ b/internal/policy/prompt_test.go
@@ -73,7 +73,8 @@
 			h.ended(s, 0, Succeeded, 5)
 		}
 	}
-	if most := 60*tellBudget*seconds + tellMost + 79; float64(len(h.told)) > math.Ceil(most) {
+	if most := 60*reportIntakeFraction*seconds + immediateBurstMessages + 79; float64(len(h.told)) > math.Ceil(
+		most) {
 		t.Errorf("%d messages in %d s, %v would fill the peers' intake", len(h.told), seconds, most)
 	}
 }
--- a/internal/policy/recall.go
+++ b/internal/policy/recall.go
@@ -10,10 +10,12 @@
 // harm.
 
 const (
-	copyRows  = 128     // customers, or peers' reports, in a piece of a copy: some us of the host's lock
-	copyMost  = 1 << 14 // customers in a copy; 2 MB as the host writes them
-	dealtEach = 2000.0  // ms between looks at a customer that owes anything, at most; see internal/borrowing
-	recallFor = 5000.0  // ms; by then a customer is cold again, and no demand is left to speak of
+	// customers, or peers' reports, in a piece of a copy: some us of the host's lock
+	checkpointRowsPerPiece = 128
+	maxCheckpointCustomers = 1 << 14 // customers in a copy; 2 MB as the host writes them
+	// ms between looks at a customer that owes anything, at most; see internal/borrowing
+	maxCreditIntervalMillis = 2000.0
+	maxCheckpointAgeMillis  = 5000.0 // ms; by then a customer is cold again, and no demand is left to speak of
 
 	// CopyEach is how long the host waits between copies, ms: what was spent since the last is not known.
 	CheckpointIntervalMillis = 100.0
@@ -22,41 +24,50 @@
 // Copy puts the next piece of what fades into e, from the place that the piece before has given, 0 at first,
 // and gives the next place; 0 tells that the copy is whole. It changes nothing here, and once e has grown to
 // what is known it allocates nothing. Customers beyond 16,384 are left out: they are as after any start.
-func (g *Engine) Checkpoint(e *HandoffState, from int, now float64) int {
-	if from == 0 || len(e.Peers) != len(g.peers) { // other gatekeepers than at its beginning: anew
-		from, e.AtMillis, e.StartedAtMillis, e.NextReportAtMillis = 0, math.Max(now, g.now), g.started, g.nextTell
-		if cap(e.Peers) < len(g.peers) {
-			e.Peers = make([]PeerState, len(g.peers))
+func (e *Engine) Checkpoint(handoff *HandoffState, from int, now float64) int {
+	if from == 0 || len(handoff.Peers) != len(e.peers) { // other gatekeepers than at its beginning: anew
+		from, handoff.AtMillis, handoff.StartedAtMillis, handoff.NextReportAtMillis = 0, math.Max(now, e.now),
+			e.startedAt, e.nextReportAt
+		if cap(handoff.Peers) < len(e.peers) {
+			handoff.Peers = make([]PeerState, len(e.peers))
 		}
-		e.Customers, e.Peers, e.ShortDeadlineSuccess, e.AttemptMillis = e.Customers[:0], e.Peers[:len(g.peers)],
-			e.ShortDeadlineSuccess[:0], e.AttemptMillis[:0]
-		for i := range g.plans {
-			e.ShortDeadlineSuccess, e.AttemptMillis = append(e.ShortDeadlineSuccess, g.plans[i].tight),
-				append(e.AttemptMillis, g.plans[i].stay)
+		handoff.Customers, handoff.Peers, handoff.ShortDeadlineSuccess, handoff.AttemptMillis =
+			handoff.Customers[:0], handoff.Peers[:len(e.peers)],
+			handoff.ShortDeadlineSuccess[:0], handoff.AttemptMillis[:0]
+		for i := range e.plans {
+			handoff.ShortDeadlineSuccess, handoff.AttemptMillis = append(handoff.ShortDeadlineSuccess,
+				e.plans[i].shortDeadlineSuccess),
+				append(handoff.AttemptMillis, e.plans[i].attemptMillis)
 		}
 	}
 	rows := 0
-	for ; from < len(g.peers) && rows < copyRows; from++ {
-		p, to := &g.peers[from], &e.Peers[from]
-		*to = PeerState{p.heard, p.told, p.owes, p.spoke, p.silent, p.gone, append(to.LastReports[:0], p.last...)}
-		rows += 1 + len(p.last)
-	}
-	for at := from - len(g.peers); at >= 0 && at < len(g.accounts) && rows < copyRows; at++ {
-		if from, rows = from+1, rows+1; g.accounts[at].live && len(e.Customers) < copyMost {
-			e.Customers = append(e.Customers, g.accounts[at].leaves())
+	for ; from < len(e.peers) && rows < checkpointRowsPerPiece; from++ {
+		peer, saved := &e.peers[from], &handoff.Peers[from]
+		*saved = PeerState{peer.heardAt, peer.reportedAt, peer.reportDueSince, peer.reportsHeardAt, peer.silent,
+			peer.lost, append(saved.LastReports[:0], peer.lastReports...)}
+		rows += 1 + len(peer.lastReports)
+	}
+	for accountOffset := from - len(e.peers); accountOffset >= 0 && accountOffset < len(e.accounts) &&
+		rows < checkpointRowsPerPiece; accountOffset++ {
+		if from, rows = from+1, rows+1; e.accounts[accountOffset].live &&
+			len(handoff.Customers) < maxCheckpointCustomers {
+			handoff.Customers = append(handoff.Customers, e.accounts[accountOffset].state())
 		}
 	}
-	if from < len(g.peers)+len(g.accounts) {
+	if from < len(e.peers)+len(e.accounts) {
 		return from
 	}
 	return 0
 }
 
 // leaves is what an account leaves to a successor.
-func (c *account) leaves() CustomerState {
-	return CustomerState{c.customer, c.plan, c.n, c.first, c.txns, c.out, c.holding, c.level, c.whole, c.filled,
-		c.others, c.flow, c.held, c.heard, c.demand, c.lately, c.seen, c.coolSince, c.ceilingAt, c.unsaid, c.said,
-		c.saidAt, c.known, c.hot, c.lag, c.dealt}
+func (account *customerAccount) state() CustomerState {
+	return CustomerState{account.id, account.plan, account.setSize, account.firstGateway, account.requests,
+		account.inFlight, account.silentPeers, account.shareTokens, account.quotaTokens, account.filledAt,
+		account.peerDemand, account.peerSpent, account.silentPeerDemand, account.peerDemandAt,
+		account.decayedDemand, account.recentDemand, account.lastRequestAt, account.coolSince,
+		account.rateLimitFullAt, account.unreportedUnits, account.reportedDemand,
+		account.reportedAt, account.previousReportedDemand, account.hot, account.uncollectedUnits, account.creditAt}
 }
 
 // Recollect takes a former life's copy, after Remember, and tells how many customers it goes by: none of a
@@ -69,148 +80,168 @@
 // in was theirs to give. What the former life may have spent after the copy is taken from them, by the demand
 // that it saw, and a slice holds no more than that of one that knows nothing. So is what credit may have
 // taken back after the copy: its book outlives a kill, and has that as paid.
-func (g *Engine) RestoreCheckpoint(e HandoffState, told bool) (customers int) {
-	age := g.now - e.AtMillis
-	if len(e.Peers) != len(g.peers) || len(e.ShortDeadlineSuccess) != len(g.plans) ||
-		len(e.AttemptMillis) != len(g.plans) ||
-		!(age >= 0 && age <= recallFor) || g.signed.QuotaWithoutGossip ||
-		slices.ContainsFunc(g.signed.Plans, func(p Plan) bool { return p.WithheldFraction > 0 }) {
+func (e *Engine) RestoreCheckpoint(handoff HandoffState, peersDropLastReport bool) (customers int) {
+	age := e.now - handoff.AtMillis
+	if len(handoff.Peers) != len(e.peers) || len(handoff.ShortDeadlineSuccess) != len(e.plans) ||
+		len(handoff.AttemptMillis) != len(e.plans) ||
+		!(age >= 0 && age <= maxCheckpointAgeMillis) || e.settings.QuotaWithoutGossip ||
+		slices.ContainsFunc(e.settings.Plans, func(plan Plan) bool { return plan.WithheldFraction > 0 }) {
 		return 0
 	}
-	if e.StartedAtMillis <= e.AtMillis { // what it has seen of demand is as old as that
-		g.started = math.Min(g.started, e.StartedAtMillis)
+	if handoff.StartedAtMillis <= handoff.AtMillis { // what it has seen of demand is as old as that
+		e.startedAt = math.Min(e.startedAt, handoff.StartedAtMillis)
 	}
 	// its turn among the peers
-	if e.NextReportAtMillis > e.AtMillis && e.NextReportAtMillis <= e.AtMillis+g.charter.period {
-		turns := math.Max(math.Ceil((g.now-e.NextReportAtMillis)/g.charter.period), 0)
-		g.nextTell = e.NextReportAtMillis + turns*g.charter.period
-	}
-	for i := range g.plans {
-		if t, s := e.ShortDeadlineSuccess[i], e.AttemptMillis[i]; t >= 0 && t <= 1 && s >= 0 && s <= math.MaxInt32 {
-			g.plans[i].tight, g.plans[i].stay = t, s
-			g.plans[i].restate()
+	if handoff.NextReportAtMillis > handoff.AtMillis &&
+		handoff.NextReportAtMillis <= handoff.AtMillis+e.derived.reportIntervalMillis {
+		turns := math.Max(math.Ceil((e.now-handoff.NextReportAtMillis)/e.derived.reportIntervalMillis), 0)
+		e.nextReportAt = handoff.NextReportAtMillis + turns*e.derived.reportIntervalMillis
+	}
+	for i := range e.plans {
+		if success, attemptMillis := handoff.ShortDeadlineSuccess[i], handoff.AttemptMillis[i]; success >= 0 &&
+			success <= 1 && attemptMillis >= 0 && attemptMillis <= math.MaxInt32 {
+			e.plans[i].shortDeadlineSuccess, e.plans[i].attemptMillis = success, attemptMillis
+			e.plans[i].deriveRate()
 		}
 	}
-	var spoken []int
-	for i, p := range e.Peers {
-		if i == g.charter.me || !(p.HeardAtMillis <= e.AtMillis && p.ReportsHeardAtMillis <= e.AtMillis &&
-			p.ReportedAtMillis <= e.AtMillis) {
+	var heardSinceStart []int
+	for i, saved := range handoff.Peers {
+		if i == e.derived.gatewayIndex || !(saved.HeardAtMillis <= handoff.AtMillis &&
+			saved.ReportsHeardAtMillis <= handoff.AtMillis &&
+			saved.ReportedAtMillis <= handoff.AtMillis) {
 			continue
 		}
-		if p.ReportDueSinceMillis > 0 { // what it said while there was nobody to hear it is not its silence
-			p.ReportDueSinceMillis = g.now
+		if saved.ReportDueSinceMillis > 0 { // what it said while there was nobody to hear it is not its silence
+			saved.ReportDueSinceMillis = e.now
 		}
-		last := slices.DeleteFunc(slices.Clone(p.LastReports), func(r Report) bool {
-			return !(r.DemandPerSecond >= 0 && r.DemandPerSecond <= math.MaxInt32) || r.Plan < 0 ||
-				r.Plan >= len(g.plans)
+		last := slices.DeleteFunc(slices.Clone(saved.LastReports), func(report Report) bool {
+			return !(report.DemandPerSecond >= 0 && report.DemandPerSecond <= math.MaxInt32) || report.Plan < 0 ||
+				report.Plan >= len(e.plans)
 		})
-		if g.peers[i].heard > 0 { // in this life
-			spoken = append(spoken, i)
+		if e.peers[i].heardAt > 0 { // in this life
+			heardSinceStart = append(heardSinceStart, i)
 		}
-		g.peers[i] = peer{p.HeardAtMillis, p.ReportedAtMillis, p.ReportDueSinceMillis, p.ReportsHeardAtMillis,
-			p.Silent, p.Lost, last}
+		e.peers[i] = peerRecord{saved.HeardAtMillis, saved.ReportedAtMillis, saved.ReportDueSinceMillis,
+			saved.ReportsHeardAtMillis,
+			saved.Silent, saved.Lost, last}
 	}
-	g.muted()
+	e.countSilentPeers()
 	// it may have told its peers after the copy
-	said := e.NextReportAtMillis <= e.AtMillis+CheckpointIntervalMillis
+	mayHaveReported := handoff.NextReportAtMillis <= handoff.AtMillis+CheckpointIntervalMillis
 	// from when on peers drop what was told: their last message's
-	drop := math.Inf(1)
-	if told {
-		drop = e.NextReportAtMillis - g.charter.period - 1
+	peersDropFrom := math.Inf(1)
+	if peersDropLastReport {
+		peersDropFrom = handoff.NextReportAtMillis - e.derived.reportIntervalMillis - 1
 	}
-	for i := range e.Customers {
-		if g.recall(&e.Customers[i], e.AtMillis, drop, said) {
+	for i := range handoff.Customers {
+		if e.restoreCustomer(&handoff.Customers[i], handoff.AtMillis, peersDropFrom, mayHaveReported) {
 			customers++
 		}
 	}
-	for _, i := range spoken {
-		if g.peers[i].silent {
-			g.silence(i, false, false)
+	for _, i := range heardSinceStart {
+		if e.peers[i].silent {
+			e.setPeerSilent(i, false, false)
 		}
 	}
 	return customers
 }
 
 // recall takes one customer of a copy, and tells whether it has.
-func (g *Engine) recall(k *CustomerState, at, drop float64, said bool) bool {
-	figures := [...]float64{k.ShareTokens, k.QuotaTokens, k.PeerDemand, k.PeerSpentUnits, k.SilentPeerDemand,
-		k.OwnDemand, k.RecentDemand, k.UnreportedUnits, k.ReportedDemand,
-		k.PreviousReportedDemand, k.UncollectedRepayment}
+func (e *Engine) restoreCustomer(saved *CustomerState, checkpointAt, peersDropFrom float64,
+	mayHaveReported bool) bool {
+	figures := [...]float64{saved.ShareTokens, saved.QuotaTokens, saved.PeerDemand, saved.PeerSpentUnits,
+		saved.SilentPeerDemand,
+		saved.OwnDemand, saved.RecentDemand, saved.UnreportedUnits, saved.ReportedDemand,
+		saved.PreviousReportedDemand, saved.UncollectedRepayment}
 	for i, v := range figures {
 		if !(math.Abs(v) <= math.MaxInt32) || v < 0 && i > 0 { // a slice may be overdrawn
 			return false
 		}
 	}
-	times := [...]float64{k.FilledAtMillis, k.PeerDemandAtMillis, k.LastRequestAtMillis, k.CoolSinceMillis,
-		k.ReportedAtMillis, k.CreditAtMillis}
+	times := [...]float64{saved.FilledAtMillis, saved.PeerDemandAtMillis, saved.LastRequestAtMillis,
+		saved.CoolSinceMillis,
+		saved.ReportedAtMillis, saved.CreditAtMillis}
 	for _, v := range times {
-		if !(v >= 0 && v <= at) {
+		if !(v >= 0 && v <= checkpointAt) {
 			return false
 		}
 	}
-	if k.Plan < 0 || k.Plan >= len(g.plans) || k.SetSize < 0 || k.SetSize > g.charter.n || k.FirstGateway < 0 ||
-		k.FirstGateway >= g.charter.n || k.SilentPeers < 0 || k.SilentPeers > g.charter.n {
+	if saved.Plan < 0 || saved.Plan >= len(e.plans) || saved.SetSize < 0 ||
+		saved.SetSize > e.derived.gatewayCount || saved.FirstGateway < 0 ||
+		saved.FirstGateway >= e.derived.gatewayCount || saved.SilentPeers < 0 ||
+		saved.SilentPeers > e.derived.gatewayCount {
 		return false
 	}
-	ai, known := g.byKey[uint32(k.ID)]
-	if known && (g.accounts[ai].n > 0 || g.accounts[ai].plan != k.Plan) || !known && k.SetSize == 0 &&
-		g.heardOnly >= mostHeard {
+	accountIndex, known := e.accountByCustomer[uint32(saved.ID)]
+	if known && (e.accounts[accountIndex].setSize > 0 || e.accounts[accountIndex].plan != saved.Plan) ||
+		!known && saved.SetSize == 0 &&
+			e.remoteOnlyAccounts >= maxRemoteAccounts {
 		return false
 	}
 	if !known {
-		ai = g.open(k.ID&math.MaxUint32, k.Plan)
-		g.heardOnly++
-	}
-	c, p := &g.accounts[ai], &g.plans[k.Plan]
-	if c.n, c.first = k.SetSize, k.FirstGateway; c.n > 0 {
-		if g.heardOnly--; p.ceilRate > 0 { // what is not in the residue is as full as its base says
-			c.ceilingAt = math.Max(c.ceilingAt, g.base+p.spentFor())
+		accountIndex = e.openAccount(saved.ID&math.MaxUint32, saved.Plan)
+		e.remoteOnlyAccounts++
+	}
+	account, plan := &e.accounts[accountIndex], &e.plans[saved.Plan]
+	if account.setSize, account.firstGateway = saved.SetSize, saved.FirstGateway; account.setSize > 0 {
+		// what is not in the residue is as full as its base says
+		if e.remoteOnlyAccounts--; plan.rateLimitPerMilli > 0 {
+			account.rateLimitFullAt = math.Max(account.rateLimitFullAt, e.rateLimitBase+plan.fullRefillMillis())
 		}
 	}
-	dt := g.now - k.FilledAtMillis
-	fade := math.Exp(-dt / p.memory)
-	c.txns, c.hot, c.holding = max(k.Requests, 0), k.Hot, k.SilentPeers
-	c.others, c.flow, c.held, c.heard = k.PeerDemand*fade, k.PeerSpentUnits*math.Exp(-dt/flowMemory),
-		k.SilentPeerDemand, k.PeerDemandAtMillis
-	c.demand, c.lately, c.seen, c.coolSince, c.filled = k.OwnDemand, k.RecentDemand, k.LastRequestAtMillis,
-		k.CoolSinceMillis, g.now
-	if k.ReportedAtMillis < drop {
-		c.said, c.saidAt, c.known = k.ReportedDemand, k.ReportedAtMillis, k.PreviousReportedDemand
-	}
-	if !said {
-		c.unsaid = k.UnreportedUnits
-	}
-	g.reshare(c)
-	grew := at - k.FilledAtMillis // what came in while it was away was its peers' to give, if it has any
-	if c.n == 1 {
-		grew = dt
-	}
-	c.lag, c.dealt = k.UncollectedRepayment, k.CreditAtMillis
-	unseen := k.OwnDemand * math.Exp((k.LastRequestAtMillis-at)/p.memory) * math.Min(g.now-at,
-		CheckpointIntervalMillis)
-	most := g.holds(p, c.share)
-	if !g.sparse(c) { // never more than one has that knows nothing
-		most = math.Min(most, math.Max(g.startLevel(c), 0))
-	}
-	c.level = less(math.Min(k.ShareTokens+grew*c.share, most), unseen)
-	c.whole = less(math.Min(k.QuotaTokens+grew*p.rate, g.holds(p, p.rate)), unseen)
-	if units := g.repaid(c, at); units > 0 { // as Repay does
-		c.level = math.Max(c.level-units, -g.holds(p, p.rate))
-		c.lag += units
-		c.withhold()
+	elapsedMillis := e.now - saved.FilledAtMillis
+	decay := math.Exp(-elapsedMillis / plan.demandWindowMillis)
+	account.requests, account.hot, account.silentPeers = max(saved.Requests, 0), saved.Hot, saved.SilentPeers
+	account.peerDemand, account.peerSpent, account.silentPeerDemand, account.peerDemandAt =
+		saved.PeerDemand*decay, saved.PeerSpentUnits*math.Exp(-elapsedMillis/peerSpendWindowMillis),
+		saved.SilentPeerDemand, saved.PeerDemandAtMillis
+	account.decayedDemand, account.recentDemand, account.lastRequestAt, account.coolSince,
+		account.filledAt = saved.OwnDemand, saved.RecentDemand, saved.LastRequestAtMillis,
+		saved.CoolSinceMillis, e.now
+	if saved.ReportedAtMillis < peersDropFrom {
+		account.reportedDemand, account.reportedAt, account.previousReportedDemand = saved.ReportedDemand,
+			saved.ReportedAtMillis, saved.PreviousReportedDemand
+	}
+	if !mayHaveReported {
+		account.unreportedUnits = saved.UnreportedUnits
+	}
+	e.updateShare(account)
+	// what came in while it was away was its peers' to give, if it has any
+	refillMillis := checkpointAt - saved.FilledAtMillis
+	if account.setSize == 1 {
+		refillMillis = elapsedMillis
+	}
+	account.uncollectedUnits, account.creditAt = saved.UncollectedRepayment, saved.CreditAtMillis
+	unseenUnits := saved.OwnDemand * math.Exp((saved.LastRequestAtMillis-checkpointAt)/plan.demandWindowMillis) *
+		math.Min(e.now-checkpointAt,
+			CheckpointIntervalMillis)
+	maxShareTokens := e.storeDepth(plan, account.sharePerMilli)
+	if !e.isSparse(account) { // never more than one has that knows nothing
+		maxShareTokens = math.Min(maxShareTokens, math.Max(e.initialShareTokens(account), 0))
+	}
+	account.shareTokens = spendDown(math.Min(saved.ShareTokens+refillMillis*account.sharePerMilli,
+		maxShareTokens), unseenUnits)
+	account.quotaTokens = spendDown(math.Min(saved.QuotaTokens+refillMillis*plan.ratePerMilli, e.storeDepth(plan,
+		plan.ratePerMilli)), unseenUnits)
+	if units := e.possiblyRepaid(account, checkpointAt); units > 0 { // as Repay does
+		account.shareTokens = math.Max(account.shareTokens-units, -e.storeDepth(plan, plan.ratePerMilli))
+		account.uncollectedUnits += units
+		account.collectFromQuota()
 	}
 	return true
 }
 
 // repaid is what credit may have taken of a customer's fill after a copy of that time, units. Guards against
 // a kill that undoes it.
-func (g *Engine) repaid(c *account, at float64) float64 {
-	span := at + CheckpointIntervalMillis - c.dealt
-	if g.signed.Plans[c.plan].CreditSeconds <= 0 || c.n == 0 || span > dealtEach { // nothing was owed
+func (e *Engine) possiblyRepaid(account *customerAccount, at float64) float64 {
+	span := at + CheckpointIntervalMillis - account.creditAt
+	// nothing was owed
+	if e.settings.Plans[account.plan].CreditSeconds <= 0 || account.setSize == 0 ||
+		span > maxCreditIntervalMillis {
 		return 0
 	}
-	return g.fills(c) * span
+	return e.repaymentRate(account) * span
 }
 
 // less is what is left of a store after so many units, or as little as there was.
-func less(store, units float64) float64 { return math.Max(store-units, math.Min(store, 0)) }
+func spendDown(store, units float64) float64 { return math.Max(store-units, math.Min(store, 0)) }
--- a/internal/policy/recall_test.go
+++ b/internal/policy/recall_test.go
@@ -21,7 +21,7 @@
 	h.at(1e6)
 	h.ask(30, 6000, func() {
 		h.g.ReceiveReports(1, []Report{{Customer: 7, DemandPerSecond: 20, PreviousDemandPerSecond: 20 *
-			math.Exp(-1000.0/30/demandMemory),
+			math.Exp(-1000.0/30/demandWindowMillis),
 			SpentUnits: 0.3}})
 	})
 	return h
@@ -41,27 +41,30 @@
 func TestRecollect(t *testing.T) {
 	h := crowd(t, nil)
 	e, was := copied(h.g, h.now), h.g.accounts[0]
-	if was.level > 3 || was.others < 0.01 {
+	if was.shareTokens > 3 || was.peerDemand < 0.01 {
 		t.Fatalf("the former life has %+v", was)
 	}
 	for _, c := range []struct {
 		age  float64
 		goes bool
-	}{{0, true}, {100, true}, {1000, true}, {recallFor, true}, {recallFor + 1, false}, {-1, false}} {
+	}{{0, true}, {100, true}, {1000, true}, {maxCheckpointAgeMillis, true}, {maxCheckpointAgeMillis + 1, false},
+		{-1, false}} {
 		n, took := back(h, e, c.age, false)
-		if (took == 1) != c.goes || len(n.g.byKey) != took {
+		if (took == 1) != c.goes || len(n.g.accountByCustomer) != took {
 			t.Errorf("%v ms: %d customers", c.age, took)
 		}
 		if !c.goes {
 			continue
 		}
-		a := &n.g.accounts[n.g.byKey[7]]
-		full := was.level + c.age*n.g.plans[0].rate
-		if a.level > full || a.whole > was.whole+c.age*n.g.plans[0].rate || c.age > 0 && a.level < was.level-5 {
-			t.Errorf("%v ms: level %v of %v, whole %v of %v", c.age, a.level, was.level, a.whole, was.whole)
+		a := &n.g.accounts[n.g.accountByCustomer[7]]
+		full := was.shareTokens + c.age*n.g.plans[0].ratePerMilli
+		if a.shareTokens > full || a.quotaTokens > was.quotaTokens+c.age*n.g.plans[0].ratePerMilli || c.age > 0 &&
+			a.shareTokens < was.shareTokens-5 {
+			t.Errorf("%v ms: level %v of %v, whole %v of %v", c.age, a.shareTokens, was.shareTokens, a.quotaTokens,
+				was.quotaTokens)
 		}
-		if want := was.others * math.Exp(-c.age/demandMemory); math.Abs(a.others-want) > 1e-3 {
-			t.Errorf("%v ms: others ask %v, want %v", c.age, a.others, want)
+		if want := was.peerDemand * math.Exp(-c.age/demandWindowMillis); math.Abs(a.peerDemand-want) > 1e-3 {
+			t.Errorf("%v ms: others ask %v, want %v", c.age, a.peerDemand, want)
 		}
 		if fresh := newHost(t, h.c, 2, 1); c.age <= 100 && (n.txn(7, 4).final != Reject ||
 			fresh.txn(7, 4).final != 0) { // one that knows nothing has a full slice of 5
@@ -85,7 +88,7 @@
 		bad := e
 		bad.Customers = append([]CustomerState(nil), e.Customers...)
 		spoil(&bad.Customers[0])
-		if n, took := back(h, bad, 10, false); took > 0 || len(n.g.byKey) > 0 {
+		if n, took := back(h, bad, 10, false); took > 0 || len(n.g.accountByCustomer) > 0 {
 			t.Errorf("%s: taken", name)
 		}
 	}
@@ -108,13 +111,14 @@
 	if took := n.g.RestoreCheckpoint(e, false); took != 2 {
 		t.Fatalf("%d customers", took)
 	}
-	of := func(key uint32) *account { return &n.g.accounts[n.g.byKey[key]] }
-	if got, want := of(8).ceilingAt, base+10000; got != want {
+	of := func(key uint32) *customerAccount { return &n.g.accounts[n.g.accountByCustomer[key]] }
+	if got, want := of(8).rateLimitFullAt, base+10000; got != want {
 		t.Errorf("not in the residue: full at %v, want %v", got, want)
 	}
-	of(7).level, of(7).whole, of(8).level, of(8).whole = 99, 99, 99, 99
-	if got := of(7).ceilingAt; got != n.now+30000 || n.txn(7, 1).final != Reject || n.g.heardOnly != 0 {
-		t.Errorf("in the residue: full at %v, %d known from peers alone", got, n.g.heardOnly)
+	of(7).shareTokens, of(7).quotaTokens, of(8).shareTokens, of(8).quotaTokens = 99, 99, 99, 99
+	if got := of(7).rateLimitFullAt; got != n.now+30000 || n.txn(7, 1).final != Reject ||
+		n.g.remoteOnlyAccounts != 0 {
+		t.Errorf("in the residue: full at %v, %d known from peers alone", got, n.g.remoteOnlyAccounts)
 	}
 }
 
@@ -139,7 +143,7 @@
 			t.Fatalf("told %v: it tells nothing of the customer", told)
 		}
 		r := n.told[0].Reports[0]
-		left := a.said * 1000 * math.Exp((a.saidAt-n.now)/demandMemory)
+		left := a.reportedDemand * 1000 * math.Exp((a.reportedAt-n.now)/demandWindowMillis)
 		if want := map[bool]float64{false: left, true: 0}[told]; math.Abs(r.PreviousDemandPerSecond-want) > 0.5 ||
 			r.DemandPerSecond < 1 {
 			t.Errorf("told %v: demand %v, known %v, want %v", told, r.DemandPerSecond, r.PreviousDemandPerSecond, want)
@@ -149,7 +153,7 @@
 	for _, c := range []struct{ tells, unsaid float64 }{{50, 0}, {150, 5}} {
 		e.NextReportAtMillis = e.AtMillis + c.tells
 		n, _ := back(h, e, 120, false)
-		if got := n.g.accounts[n.g.byKey[7]].unsaid; got != c.unsaid {
+		if got := n.g.accounts[n.g.accountByCustomer[7]].unreportedUnits; got != c.unsaid {
 			t.Errorf("its turn %v ms after the copy: %v units are to be told", c.tells, got)
 		}
 	}
@@ -158,13 +162,13 @@
 // A peer that was heard before the kill is not silent for what it said while there was nobody to hear it.
 func TestRecollectPeers(t *testing.T) {
 	h := crowd(t, nil)
-	h.g.peers[1].owes = h.now - 100
+	h.g.peers[1].reportDueSince = h.now - 100
 	n, _ := back(h, copied(h.g, h.now), 4000, false)
 	for range 10 {
 		n.at(n.now + 100)
 		n.txn(7, 1)
 	}
-	if n.g.peers[1].silent || len(n.g.peers[1].last) != 1 {
+	if n.g.peers[1].silent || len(n.g.peers[1].lastReports) != 1 {
 		t.Errorf("%+v", n.g.peers[1])
 	}
 }
@@ -185,15 +189,15 @@
 	} {
 		n := newHost(t, charterFor(Idempotent, c.change), 2, 3)
 		n.at(e.AtMillis + 50)
-		if got := n.g.RestoreCheckpoint(e, false); got != c.takes || len(n.g.byKey) != c.takes {
+		if got := n.g.RestoreCheckpoint(e, false); got != c.takes || len(n.g.accountByCustomer) != c.takes {
 			t.Errorf("%s: %d customers", c.name, got)
 		}
 	}
 	n := newHost(t, h.c, 2, 3)
 	n.at(e.AtMillis + 50)
 	n.txn(7, 1)
-	was := n.g.accounts[n.g.byKey[7]]
-	if n.g.RestoreCheckpoint(e, false) > 0 || n.g.accounts[n.g.byKey[7]] != was {
+	was := n.g.accounts[n.g.accountByCustomer[7]]
+	if n.g.RestoreCheckpoint(e, false) > 0 || n.g.accounts[n.g.accountByCustomer[7]] != was {
 		t.Error("a customer that is known by its txns is taken from a copy")
 	}
 }
@@ -201,7 +205,7 @@
 // A peer that was silent in the former life and has been heard in this one is not silent.
 func TestRecollectHeard(t *testing.T) {
 	h := crowd(t, nil)
-	h.g.silence(1, true, false)
+	h.g.setPeerSilent(1, true, false)
 	e := copied(h.g, h.now)
 	for _, heard := range []bool{false, true} {
 		n := newHost(t, h.c, 2, 3)
@@ -210,8 +214,9 @@
 			n.g.ReceiveReports(1, nil)
 		}
 		n.g.RestoreCheckpoint(e, false)
-		if a := &n.g.accounts[n.g.byKey[7]]; n.g.peers[1].silent == heard || (a.held == 0) != heard {
-			t.Errorf("heard %t: %+v, %v held", heard, n.g.peers[1], a.held)
+		if a := &n.g.accounts[n.g.accountByCustomer[7]]; n.g.peers[1].silent == heard ||
+			(a.silentPeerDemand == 0) != heard {
+			t.Errorf("heard %t: %+v, %v held", heard, n.g.peers[1], a.silentPeerDemand)
 		}
 	}
 }
@@ -231,43 +236,47 @@
 		h := newHost(t, charterFor(Idempotent, change), 1, 3)
 		h.at(1e6)
 		h.ask(30, 3000, nil)
-		a := &h.g.accounts[h.g.byKey[7]]
-		if a.level, a.whole = 0, 0; c.lent {
+		a := &h.g.accounts[h.g.accountByCustomer[7]]
+		if a.shareTokens, a.quotaTokens = 0, 0; c.lent {
 			h.g.SetLender(&purse{line: 10})
-			h.g.press, h.g.window = 0, 50
+			h.g.pressure, h.g.window = 0, 50
 			h.ended(h.txn(7, 1), 0, Succeeded, 20)
 		} else {
 			h.g.CollectRepayment(7, 0, c.gatekeepers, 1, 1, 200)
 		}
-		if a.dealt != h.now {
-			t.Fatalf("%s: last dealt with at %v", c.name, a.dealt)
+		if a.creditAt != h.now {
+			t.Fatalf("%s: last dealt with at %v", c.name, a.creditAt)
 		}
-		a.level, a.whole, a.lag, a.demand, a.lately = 0.1, c.whole, c.lag, 0, 0
+		a.shareTokens, a.quotaTokens, a.uncollectedUnits, a.decayedDemand, a.recentDemand = 0.1, c.whole, c.lag, 0,
+			0
 		e := copied(h.g, h.now)
 		for _, after := range []float64{0, 99} { // of the copy
 			n, _ := back(h, e, 100, false)
-			of := &n.g.accounts[n.g.byKey[7]]
+			of := &n.g.accounts[n.g.accountByCustomer[7]]
 			took := 0.0
 			if h.at(e.AtMillis + after); after > 0 {
 				took, _ = h.g.CollectRepayment(7, 0, c.gatekeepers, 5, 5, after)
 			}
 			h.at(n.now)
-			h.g.fill(a)
-			if of.level > a.level+1e-9 || of.whole-of.lag > a.whole-a.lag+1e-9 || after > 0 && took <= 0 {
+			h.g.refill(a)
+			if of.shareTokens > a.shareTokens+1e-9 ||
+				of.quotaTokens-of.uncollectedUnits > a.quotaTokens-a.uncollectedUnits+1e-9 || after > 0 && took <= 0 {
 				t.Errorf("%s, %v taken %v ms after the copy: level %v and store %v, which would be %v and %v",
-					c.name, took, after, of.level, of.whole-of.lag, a.level, a.whole-a.lag)
+					c.name, took, after, of.shareTokens, of.quotaTokens-of.uncollectedUnits, a.shareTokens,
+					a.quotaTokens-a.uncollectedUnits)
 			}
 		}
-		a.dealt, a.lag = h.now-dealtEach, 1.5
+		a.creditAt, a.uncollectedUnits = h.now-maxCreditIntervalMillis, 1.5
 		e = copied(h.g, h.now)
 		n, _ := back(h, e, 100, false)
-		if of := &n.g.accounts[n.g.byKey[7]]; of.lag > 1.5 || of.level < math.Min(a.level, 0) {
-			t.Errorf("%s: lag %v and level %v where nothing is owed", c.name, of.lag, of.level)
+		if of := &n.g.accounts[n.g.accountByCustomer[7]]; of.uncollectedUnits > 1.5 ||
+			of.shareTokens < math.Min(a.shareTokens, 0) {
+			t.Errorf("%s: lag %v and level %v where nothing is owed", c.name, of.uncollectedUnits, of.shareTokens)
 		}
 		heir := newHost(t, h.c, 2, 3)
 		heir.at(h.now)
 		heir.g.RestoreHandoff(h.g.HandOff())
-		if got := heir.g.accounts[heir.g.byKey[7]].lag; got != 1.5 {
+		if got := heir.g.accounts[heir.g.accountByCustomer[7]].uncollectedUnits; got != 1.5 {
 			t.Errorf("%s: %v of what was repaid is handed over, of 1.5", c.name, got)
 		}
 	}
@@ -289,7 +298,7 @@
 			h.arrive(Request{Customer: 5000, Units: 1, SetSize: 2, TimeLeftMillis: 1000})
 		}
 	}
-	if len(e.Customers) != 1001 || pieces < 1000/copyRows {
+	if len(e.Customers) != 1001 || pieces < 1000/checkpointRowsPerPiece {
 		t.Errorf("%d customers in %d pieces", len(e.Customers), pieces)
 	}
 	if n := testing.AllocsPerRun(10, func() {
@@ -312,7 +321,7 @@
 	g := New(charterFor(Idempotent, func(c *Settings) { c.GatewayCount = 300 }), 1)
 	g.AdvanceTo(1000)
 	for i := range uint64(10000) {
-		g.account(Request{Customer: i, Units: 1, SetSize: 2})
+		g.accountFor(Request{Customer: i, Units: 1, SetSize: 2})
 	}
 	var e HandoffState
 	var took []time.Duration // of pieces
--- a/internal/policy/recharter_test.go
+++ b/internal/policy/recharter_test.go
@@ -157,7 +157,7 @@
 			// Both live on, unmoved, and the later one takes the rules up after a while.
 			later := rechartered(t, start.Plans[0])
 			later.at(h.now)
-			later.g.base = later.now // its start
+			later.g.rateLimitBase = later.now // its start
 			later.g.RestoreCrashState(CrashState{RateLimitBaseMillis: base, RateLimits: all})
 			gap := 300 * rng.Float64()
 			whole := withheld(now, 0)
@@ -168,8 +168,8 @@
 			}
 			at := func(x *host) float64 { // as its next txn finds it
 				h.next++
-				x.g.account(Request{ID: h.next, Customer: 7, SetSize: 1})
-				return x.g.accounts[x.g.byKey[7]].ceilingAt
+				x.g.accountFor(Request{ID: h.next, Customer: 7, SetSize: 1})
+				return x.g.accounts[x.g.accountByCustomer[7]].rateLimitFullAt
 			}
 			if a, b := math.Max(at(h), h.now), math.Max(at(later), h.now); b < a-1e-3 {
 				t.Fatalf("seed %d: full in %.1f ms, a later life says in %.1f", seed, a-h.now, b-h.now)
@@ -200,8 +200,8 @@
 			h.ask(400, 3000, nil) // hot
 			ch.QuotaWithoutGossip = true
 			h.g.Reconfigure(ch)
-			slice := alpha * c.plan.QuotaPerSecond / float64(c.n)
-			most := math.Max(alpha*c.plan.QuotaBurst/float64(c.n), 1)
+			slice := coldShareFraction * c.plan.QuotaPerSecond / float64(c.n)
+			most := math.Max(coldShareFraction*c.plan.QuotaBurst/float64(c.n), 1)
 			for _, customer := range []uint64{7, 8} { // one that is known, and one that comes new
 				in, span := 0, 10000.0
 				for end := h.now + span; h.now < end; {
@@ -218,13 +218,13 @@
 			ch.QuotaWithoutGossip = false
 			h.g.Reconfigure(ch)
 			h.txn(7, 1)
-			a := &h.g.accounts[h.g.byKey[7]]
-			if a.whole > 0 {
-				t.Errorf("%v of what peers may have spent", a.whole)
+			a := &h.g.accounts[h.g.accountByCustomer[7]]
+			if a.quotaTokens > 0 {
+				t.Errorf("%v of what peers may have spent", a.quotaTokens)
 			}
 			h.ask(400, 3000, nil)
-			if math.IsNaN(a.share) || math.IsNaN(a.level) || math.IsInf(a.demand, 0) {
-				t.Errorf("share %v, level %v, demand %v", a.share, a.level, a.demand)
+			if math.IsNaN(a.sharePerMilli) || math.IsNaN(a.shareTokens) || math.IsInf(a.decayedDemand, 0) {
+				t.Errorf("share %v, level %v, demand %v", a.sharePerMilli, a.shareTokens, a.decayedDemand)
 			}
 		})
 	}
@@ -270,16 +270,17 @@
 	h.g.Reconfigure(c)
 	h.txn(8, 1)
 	for _, customer := range []uint32{7, 8} {
-		if a := &h.g.accounts[h.g.byKey[customer]]; a.whole < alpha*c.Plans[0].QuotaBurst-2 {
-			t.Errorf("customer %d: %v in its one store", customer, a.whole)
+		a := &h.g.accounts[h.g.accountByCustomer[customer]]
+		if a.quotaTokens < coldShareFraction*c.Plans[0].QuotaBurst-2 {
+			t.Errorf("customer %d: %v in its one store", customer, a.quotaTokens)
 		}
 	}
 	h.g.Reconfigure(withheld(c, 1)) // but not for having been cut off
 	h.g.Reconfigure(c)
 	h.txn(9, 1)
 	for _, customer := range []uint32{7, 8, 9} {
-		if a := &h.g.accounts[h.g.byKey[customer]]; a.whole > 0 {
-			t.Errorf("customer %d: %v in its one store", customer, a.whole)
+		if a := &h.g.accounts[h.g.accountByCustomer[customer]]; a.quotaTokens > 0 {
+			t.Errorf("customer %d: %v in its one store", customer, a.quotaTokens)
 		}
 	}
 }
@@ -319,13 +320,14 @@
 			}
 			for i := range h.g.accounts {
 				a := &h.g.accounts[i]
-				for _, v := range []float64{a.level, a.whole, a.share, a.ceilingAt, a.others, a.held, a.demand} {
+				for _, v := range []float64{a.shareTokens, a.quotaTokens, a.sharePerMilli, a.rateLimitFullAt,
+					a.peerDemand, a.silentPeerDemand, a.decayedDemand} {
 					if a.live && (math.IsNaN(v) || math.IsInf(v, 0)) {
 						t.Fatalf("seed %d: %+v", seed, *a)
 					}
 				}
-				if a.live && a.holding > now.GatewayCount {
-					t.Fatalf("seed %d: %d are held of %d", seed, a.holding, now.GatewayCount)
+				if a.live && a.silentPeers > now.GatewayCount {
+					t.Fatalf("seed %d: %d are held of %d", seed, a.silentPeers, now.GatewayCount)
 				}
 			}
 		}
--- a/internal/policy/repeats.go
+++ b/internal/policy/repeats.go
@@ -3,180 +3,192 @@
 import "math"
 
 // Ended tells how submission n of a txn ended, and whether that closed the txn, now or earlier.
-func (g *Engine) AttemptEnded(id uint64, n int, o Outcome, took float64, closed bool) {
-	slot, ok := g.byID[id]
-	if !ok || n < 0 || n >= len(g.txns[slot].subs) || !g.txns[slot].subs[n].out {
+func (e *Engine) AttemptEnded(id uint64, attemptIndex int, outcome Outcome, responseMillis float64,
+	closed bool) {
+	slot, ok := e.byID[id]
+	if !ok || attemptIndex < 0 || attemptIndex >= len(e.requests[slot].attempts) ||
+		!e.requests[slot].attempts[attemptIndex].inFlight {
 		return
 	}
-	t := &g.txns[slot]
-	s := &t.subs[n]
-	w, p := g.back(t, s), &g.plans[t.plan]
-	if p.out > 0 && o != NotSent {
-		p.stay += fleetGain * (took - p.stay)
+	request := &e.requests[slot]
+	attempt := &request.attempts[attemptIndex]
+	worker, plan := e.endAttempt(request, attempt), &e.plans[request.plan]
+	if plan.targetInFlight > 0 && outcome != NotSent {
+		plan.attemptMillis += fleetResponseGain * (responseMillis - plan.attemptMillis)
 	}
-	if t.tight && o == Succeeded {
-		p.tight += tightGain * (1 - p.tight)
-	} else if t.tight && o == TimedOut {
-		p.tight -= tightGain * p.tight
+	if request.shortDeadline && outcome == Succeeded {
+		plan.shortDeadlineSuccess += shortDeadlineGain * (1 - plan.shortDeadlineSuccess)
+	} else if request.shortDeadline && outcome == TimedOut {
+		plan.shortDeadlineSuccess -= shortDeadlineGain * plan.shortDeadlineSuccess
 	}
-	sla := math.Max(g.products[t.product].sla, 1)
-	if late := took > overdue*math.Max(g.pace, 1); late && o == Succeeded {
-		g.long.add(1, g.now, astrayFade)
-	} else if late && o == TimedOut && w.heard >= s.sent {
-		g.astray.add(1, g.now, astrayFade)
+	latencyTargetMillis := math.Max(e.products[request.product].latencyTargetMillis, 1)
+	if slow := responseMillis > slowRequestResponses*math.Max(e.responseMillis, 1); slow &&
+		outcome == Succeeded {
+		e.slowRequests.add(1, e.now, lostRequestDecayMillis)
+	} else if slow && outcome == TimedOut && worker.heardAt >= attempt.sentAt {
+		e.lostRequests.add(1, e.now, lostRequestDecayMillis)
 	}
-	if o <= Overloaded || o == ConnectFailed || o == ConnectionLost {
-		w.heard = g.now
+	if outcome <= Overloaded || outcome == ConnectFailed || outcome == ConnectionLost {
+		worker.heardAt = e.now
 	}
-	switch o {
+	switch outcome {
 	case Succeeded:
-		if s.sent < g.thawed {
+		if attempt.sentAt < e.stalledUntil {
 			break
 		}
-		g.timed(w, took)
-		g.earn(w, t.units)
-		if g.openTo[g.sort(t)] > mostly { // else it is those few workers that are pressed
-			g.pressed(took / sla / g.charter.slack)
+		e.recordResponse(worker, responseMillis)
+		e.recordWarmWork(worker, request.units)
+		// else it is those few workers that are pressed
+		if e.acceptingFraction[e.classOf(request)] > minAcceptingFraction {
+			e.recordPressure(responseMillis / latencyTargetMillis / e.derived.latencySlackFactor)
 		}
 	case Failed, ConnectionLost:
-		g.doubt(w, took)
-		g.risk(t, s)
+		e.recordFailure(worker, responseMillis)
+		e.recordUncertain(request, attempt)
 	case ConnectFailed:
-		g.doubt(w, took)
+		e.recordFailure(worker, responseMillis)
 	case Overloaded:
-		if g.turned(w, t); w.full {
-			g.doubt(w, took)
-			g.pressed(1)
+		if e.recordRejection(worker, request); worker.overloaded {
+			e.recordFailure(worker, responseMillis)
+			e.recordPressure(1)
 		}
 	case TimedOut:
-		if !s.moved {
-			g.doubt(w, took)
-			if took < lost*g.pace { // where tries are short, late answers are never seen
-				g.pressed(1)
+		if !attempt.abandoned {
+			e.recordFailure(worker, responseMillis)
+			// where tries are short, late answers are never seen
+			if responseMillis < workerFaultResponses*e.responseMillis {
+				e.recordPressure(1)
 			}
 		}
-		g.risk(t, s)
+		e.recordUncertain(request, attempt)
 	case Cancelled:
-		g.risk(t, s)
+		e.recordUncertain(request, attempt)
 	}
-	if closed && !t.answered {
-		t.answered = true
-		g.tally.FinalByReason[ReasonSucceeded]++
+	if closed && !request.answered {
+		request.answered = true
+		e.stats.FinalByReason[ReasonSucceeded]++
 	}
-	g.due = append(g.due, slot)
+	e.pending = append(e.pending, slot)
 }
 
 // turned notes that a worker turned a txn away as full. It counts as full for all only once it has done so to
 // more than one plan and product, as far as there are more. Guards against workers that turn away one of them
 // though they have room. A plan turned away by a part of the workers gets the rest's part of the window.
-func (g *Engine) turned(w *worker, t *txn) {
-	g.marks(w)[g.sort(t)].add(1, g.now, turnedFade)
-	plan, product := len(g.plans) == 1, len(g.products) == 1
-	for i := range w.turned {
-		if g.turnsAway(w, i) {
-			plan = plan || i/len(g.products) != t.plan
-			product = product || i%len(g.products) != t.product
+func (e *Engine) recordRejection(worker *workerRecord, request *requestState) {
+	e.rejectionsOf(worker)[e.classOf(request)].add(1, e.now, rejectionDecayMillis)
+	plan, product := len(e.plans) == 1, len(e.products) == 1
+	for i := range worker.rejections {
+		if e.rejectsClass(worker, i) {
+			plan = plan || i/len(e.products) != request.plan
+			product = product || i%len(e.products) != request.product
 		}
 	}
-	w.full = plan && product
+	worker.overloaded = plan && product
 }
 
 // turnsAway tells whether a worker is held to turn a sort of txn away.
-func (g *Engine) turnsAway(w *worker, sort int) bool {
-	return w.turned != nil && w.turned[sort].at(g.now, turnedFade) > turnedAt
+func (e *Engine) rejectsClass(worker *workerRecord, sort int) bool {
+	return worker.rejections != nil && worker.rejections[sort].value(e.now,
+		rejectionDecayMillis) > rejectionThreshold
 }
 
 // watch looks at a waiting txn for a silent worker.
-func (g *Engine) watch(t *txn) {
-	if !t.live || t.answered || t.coming {
+func (e *Engine) checkSilentWorkers(request *requestState) {
+	if !request.live || request.answered || request.bodyPending {
 		return
 	}
-	p := &g.products[t.product]
-	g.nextBeat = math.Min(g.nextBeat, math.Max(t.expiry, g.now+margin)) // beat may be beyond it
-	for i := range t.subs {
-		s := &t.subs[i]
-		if !s.out || s.moved {
+	product := &e.products[request.product]
+	// beat may be beyond it
+	e.nextScanAt = math.Min(e.nextScanAt, math.Max(request.deadline, e.now+deadlineMarginMillis))
+	for i := range request.attempts {
+		attempt := &request.attempts[i]
+		if !attempt.inFlight || attempt.abandoned {
 			continue
 		}
-		w, from := &g.workers[s.worker], math.Max(s.sent, g.thawed)
-		if w.heard >= s.sent {
+		worker, startedAt := &e.workers[attempt.worker], math.Max(attempt.sentAt, e.stalledUntil)
+		if worker.heardAt >= attempt.sentAt {
 			// Guards against answers that get lost though their worker is well. A txn that is only long would be
 			// long again, so it acts only while more of such age were never answered than late, once a txn.
-			due := from + math.Max(patience*p.sla, overdue*math.Max(g.pace, w.pace))
-			switch loses := g.astray.at(g.now, astrayFade) > g.long.at(g.now, astrayFade)+1; {
-			case loses && g.now >= due && len(t.subs) == 1:
-				s.moved, t.another = true, true
-			case loses && g.now < due:
-				g.nextBeat = math.Min(g.nextBeat, math.Max(due, g.now+beat))
+			dueAt := startedAt + math.Max(silentWorkerTargetFraction*product.latencyTargetMillis,
+				slowRequestResponses*math.Max(e.responseMillis, worker.responseMillis))
+			switch losesResponses := e.lostRequests.value(e.now, lostRequestDecayMillis) > e.slowRequests.value(e.now,
+				lostRequestDecayMillis)+1; {
+			case losesResponses && e.now >= dueAt && len(request.attempts) == 1:
+				attempt.abandoned, request.wantsAttempt = true, true
+			case losesResponses && e.now < dueAt:
+				e.nextScanAt = math.Min(e.nextScanAt, math.Max(dueAt, e.now+scanIntervalMillis))
 			}
 			continue
 		}
-		g.nextBeat = math.Min(g.nextBeat, math.Max(from+patience*p.sla, g.now+beat))
-		age := g.now - from
-		owes := age * float64(w.inFlight) / math.Max(g.pace, 1)
-		if age < patience*p.sla {
+		e.nextScanAt = math.Min(e.nextScanAt,
+			math.Max(startedAt+silentWorkerTargetFraction*product.latencyTargetMillis, e.now+scanIntervalMillis))
+		ageMillis := e.now - startedAt
+		owedResponses := ageMillis * float64(worker.inFlight) / math.Max(e.responseMillis, 1)
+		if ageMillis < silentWorkerTargetFraction*product.latencyTargetMillis {
 			continue
 		}
 		// Guards against workers that take txns and answer none: a hang, a lost hall, a cut link. The place of
 		// such a txn is free for others well before it is moved, as moving one that is only slow wastes its work.
-		if owes > lost {
-			g.seat(s, false)
+		if owedResponses > workerFaultResponses {
+			e.countInFlight(attempt, false)
 		}
-		if !s.placed && !s.moved && owes > quiet {
-			s.moved, t.another = true, true
-			g.doubt(w, age)
+		if !attempt.counted && !attempt.abandoned && owedResponses > abandonAfterResponses {
+			attempt.abandoned, request.wantsAttempt = true, true
+			e.recordFailure(worker, ageMillis)
 		}
 	}
 }
 
 // mayRepeat is until when a further submission may begin under the rule against double effects; 0 is never.
-func (g *Engine) mayRepeat(t *txn, running bool) float64 {
-	p := &g.products[t.product]
+func (e *Engine) retryUntil(request *requestState, running bool) float64 {
+	product := &e.products[request.product]
 	switch {
-	case len(t.subs) >= g.charter.maxSubs || t.poured:
+	case len(request.attempts) >= e.derived.maxAttempts || request.bodyForwarded:
 		return 0
-	case !t.mayRun && !running || p.repeat == Idempotent:
+	case !request.mayHaveRun && !running || product.idempotency == Idempotent:
 		return math.Inf(1)
-	case p.repeat == NonIdempotent:
+	case product.idempotency == NonIdempotent:
 		return 0
 	}
-	from := t.bondAt
-	for i := range t.subs {
-		if s := &t.subs[i]; s.out && (!t.mayRun || s.sent < from) {
-			from = s.sent
+	from := request.firstUncertainAt
+	for i := range request.attempts {
+		if attempt := &request.attempts[i]; attempt.inFlight && (!request.mayHaveRun || attempt.sentAt < from) {
+			from = attempt.sentAt
 			break
 		}
 	}
-	return from + p.window - beat
+	return from + product.dedupWindowMillis - scanIntervalMillis
 }
 
 // giveUp ends a txn at once: declined where that promise holds, else voided.
-func (g *Engine) giveUp(t *txn, why FinalReason, wait float64) Decision {
-	t.answered = true
-	g.tally.FinalByReason[why]++
-	g.due = append(g.due, g.byID[t.id])
-	p := &g.products[t.product]
-	if t.out == 0 && !t.mayRun || p.repeat == Idempotent || p.repeat == Deduplicated &&
-		p.group == DedupAcrossFleet {
-		g.tally.Rejected++
-		if !g.charter.advise {
+func (e *Engine) finish(request *requestState, why FinalReason, wait float64) Decision {
+	request.answered = true
+	e.stats.FinalByReason[why]++
+	e.pending = append(e.pending, e.byID[request.id])
+	product := &e.products[request.product]
+	if request.inFlight == 0 && !request.mayHaveRun || product.idempotency == Idempotent ||
+		product.idempotency == Deduplicated &&
+			product.dedupScope == DedupAcrossFleet {
+		e.stats.Rejected++
+		if !e.derived.allowRetryAfter {
 			wait = 0
 		}
-		return Decision{Kind: Reject, RequestID: t.id, WaitMillis: math.Min(wait, g.charter.maxAdvice)}
+		return Decision{Kind: Reject, RequestID: request.id, WaitMillis: math.Min(wait,
+			e.derived.maxRetryAfterMillis)}
 	}
-	g.tally.RejectedUncertain++
-	return Decision{Kind: RejectUncertain, RequestID: t.id}
+	e.stats.RejectedUncertain++
+	return Decision{Kind: RejectUncertain, RequestID: request.id}
 }
 
-func (g *Engine) submit(t *txn, wi int) Decision {
-	latest := g.mayRepeat(t, t.out > 0)
-	if len(t.subs) == 0 {
-		g.spend(t)
+func (e *Engine) submitTo(request *requestState, workerIndex int) Decision {
+	latest := e.retryUntil(request, request.inFlight > 0)
+	if len(request.attempts) == 0 {
+		e.charge(request)
 	}
-	w := &g.workers[wi]
-	if g.warmth(w.StartedAtMillis) < 1 {
-		w.coldAt, w.coldDebt = g.now, t.units
+	worker := &e.workers[workerIndex]
+	if e.warmFraction(worker.StartedAtMillis) < 1 {
+		worker.slowStartAt, worker.slowStartDebt = e.now, request.units
 	}
-	g.seat(g.away(t, wi), !t.coming)
-	return g.order(t, wi, latest)
+	e.countInFlight(e.startAttempt(request, workerIndex), !request.bodyPending)
+	return e.submitDecision(request, workerIndex, latest)
 }
--- a/internal/policy/sight.go
+++ b/internal/policy/sight.go
@@ -10,8 +10,9 @@
 var UtilizationBounds = [...]float64{0.2, 0.4, 0.55, 0.7, 0.8, 0.9, 1, 1.1, 1.25, 1.5, 2, 3, 5, 10}
 
 const (
-	MaxSnapshotSets = 64  // of gatekeepers that Sight tells apart; beyond them it tells only how much is asked
-	lookMost        = 500 // customers that are looked at in one go; 0.1 ms
+	// of gatekeepers that Sight tells apart; beyond them it tells only how much is asked
+	MaxSnapshotSets         = 64
+	snapshotAccountsPerStep = 500 // customers that are looked at in one go; 0.1 ms
 )
 
 // Sight is what one gatekeeper sees at a moment. Demand is in units a second, times are in ms.
@@ -25,7 +26,7 @@
 	Pressure                 float64 // smoothed time of answers, of their SLA time
 	SilentPeers              int     // peers that owe a word, and are not given up yet
 	LostPeers                int
-	known                    []int16 // by plan and first: one more than the place in Sets of the last one there
+	setIndex                 []int16 // by plan and first: one more than the place in Sets of the last one there
 }
 
 // HallSight is what it sees of the workers of one hall.
@@ -54,85 +55,86 @@
 
 // Look writes what it sees over s, whose room is used again. It begins with from at nought and gives where it
 // is to go on, nought at the end, so that nobody waits for long while it looks at many customers.
-func (g *Engine) WriteSnapshot(s *Snapshot, from int) int {
+func (e *Engine) WriteSnapshot(snapshot *Snapshot, from int) int {
 	if from == 0 {
-		g.lookAround(s)
+		e.snapshotWorkers(snapshot)
 	}
-	to := min(from+lookMost, len(g.accounts))
+	to := min(from+snapshotAccountsPerStep, len(e.accounts))
 	for i := from; i < to; i++ {
-		if c := &g.accounts[i]; c.live && c.n > 0 {
-			g.lookAt(c, s)
+		if account := &e.accounts[i]; account.live && account.setSize > 0 {
+			e.snapshotAccount(account, snapshot)
 		}
 	}
-	if to == len(g.accounts) {
+	if to == len(e.accounts) {
 		return 0
 	}
 	return to
 }
 
-func (g *Engine) lookAround(s *Snapshot) {
-	*s = Snapshot{Regions: s.Regions[:0], Plans: s.Plans[:0], Sets: s.Sets[:0], Window: g.window,
-		InFlight: g.inHand,
-		Pressure: g.press, known: s.known}
-	for len(s.known) < len(g.plans)*g.charter.n {
-		s.known = append(s.known, 0)
+func (e *Engine) snapshotWorkers(snapshot *Snapshot) {
+	*snapshot = Snapshot{Regions: snapshot.Regions[:0], Plans: snapshot.Plans[:0], Sets: snapshot.Sets[:0],
+		Window:   e.window,
+		InFlight: e.inFlight,
+		Pressure: e.pressure, setIndex: snapshot.setIndex}
+	for len(snapshot.setIndex) < len(e.plans)*e.derived.gatewayCount {
+		snapshot.setIndex = append(snapshot.setIndex, 0)
 	}
-	clear(s.known)
-	for i := range g.workers {
-		w := &g.workers[i]
-		for len(s.Regions) <= w.Zone {
-			s.Regions = append(s.Regions, RegionSnapshot{})
+	clear(snapshot.setIndex)
+	for i := range e.workers {
+		worker := &e.workers[i]
+		for len(snapshot.Regions) <= worker.Zone {
+			snapshot.Regions = append(snapshot.Regions, RegionSnapshot{})
 		}
-		h := &s.Regions[w.Zone]
-		if h.InFlight += w.inFlight; w.listed {
-			h.Workers++
-			h.WarmWorkers += g.warmth(w.StartedAtMillis)
+		region := &snapshot.Regions[worker.Zone]
+		if region.InFlight += worker.inFlight; worker.listed {
+			region.Workers++
+			region.WarmWorkers += e.warmFraction(worker.StartedAtMillis)
 		}
 	}
-	for i := range g.peers {
-		if p := &g.peers[i]; p.gone {
-			s.LostPeers++
-		} else if p.silent {
-			s.SilentPeers++
+	for i := range e.peers {
+		if peer := &e.peers[i]; peer.lost {
+			snapshot.LostPeers++
+		} else if peer.silent {
+			snapshot.SilentPeers++
 		}
 	}
-	for range g.plans {
-		s.Plans = append(s.Plans, PlanSnapshot{})
+	for range e.plans {
+		snapshot.Plans = append(snapshot.Plans, PlanSnapshot{})
 	}
 }
 
-func (g *Engine) lookAt(c *account, s *Snapshot) {
-	p, own := &s.Plans[c.plan], g.own(c)*1000
-	p.Customers += 1 / float64(c.n)
-	p.DemandPerSecond += own
+func (e *Engine) snapshotAccount(account *customerAccount, snapshot *Snapshot) {
+	plan, own := &snapshot.Plans[account.plan], e.ownDemand(account)*1000
+	plan.Customers += 1 / float64(account.setSize)
+	plan.DemandPerSecond += own
 	use, step := 0.0, 0
-	if rate := g.plans[c.plan].rate * 1000; rate > 0 {
-		if use = own * float64(c.n) / rate; c.hot {
-			use = g.total(c) * 1000 / rate
+	if rate := e.plans[account.plan].ratePerMilli * 1000; rate > 0 {
+		if use = own * float64(account.setSize) / rate; account.hot {
+			use = e.totalDemand(account) * 1000 / rate
 		}
 	}
 	for step < len(UtilizationBounds) && use > UtilizationBounds[step] {
 		step++
 	}
-	p.DemandByUtilization[step] += own
-	first, size := c.first, c.n
-	if size == g.charter.n {
+	plan.DemandByUtilization[step] += own
+	first, size := account.firstGateway, account.setSize
+	if size == e.derived.gatewayCount {
 		first = 0 // all of them, wherever it begins
 	}
-	at := &s.known[(c.plan*g.charter.n+first)%len(s.known)]
+	at := &snapshot.setIndex[(account.plan*e.derived.gatewayCount+first)%len(snapshot.setIndex)]
 	if i := int(*at) - 1; i >= 0 {
-		if e := &s.Sets[i]; e.Size == size && e.FirstGateway == first && e.Plan == c.plan {
-			e.DemandPerSecond += own
+		if set := &snapshot.Sets[i]; set.Size == size && set.FirstGateway == first && set.Plan == account.plan {
+			set.DemandPerSecond += own
 			return
 		}
 	}
-	if len(s.Sets) == MaxSnapshotSets {
-		s.OtherSetsDemandPerSecond += own
+	if len(snapshot.Sets) == MaxSnapshotSets {
+		snapshot.OtherSetsDemandPerSecond += own
 		return
 	}
 	// Where sets of two sizes begin at one place they may come twice: who reads them adds up.
-	s.Sets = append(s.Sets, GatewaySetSnapshot{c.plan, first, size, own})
-	*at = int16(len(s.Sets))
+	snapshot.Sets = append(snapshot.Sets, GatewaySetSnapshot{account.plan, first, size, own})
+	*at = int16(len(snapshot.Sets))
 }
 
 // Manner is what of the design a look ahead goes by, derived from a charter as the decisions derive it.
@@ -158,38 +160,42 @@
 }
 
 // MannerOf gives the manner of gatekeepers of a charter.
-func ModelParametersOf(c Settings) ModelParameters {
-	g := New(c, 0)
-	m := ModelParameters{ReportIntervalMillis: g.charter.period, SilentAfterMillis: toldFor * g.charter.period,
-		LostAfterMillis: suspicion, LostHoldMillis: hold,
-		FloorFraction: beta, LatencyTargetFraction: slaUse * g.charter.slack, WindowFraction: g.depth,
-		MinTimeLeftResponses: hopeless, RetryAfterTargets: adviseBusy,
-		MinWindowPerWorker: leastDepth / math.Max(float64(g.charter.n), 1), ImmediateReports: g.charter.tellAt > 0}
-	for i := range g.plans {
-		m.QuotaUnseen, m.AllowsExcess = append(m.QuotaUnseen, g.plans[i].sparse), append(m.AllowsExcess,
-			g.plans[i].excess)
+func ModelParametersOf(settings Settings) ModelParameters {
+	e := New(settings, 0)
+	model := ModelParameters{ReportIntervalMillis: e.derived.reportIntervalMillis,
+		SilentAfterMillis: silentAfterIntervals * e.derived.reportIntervalMillis,
+		LostAfterMillis:   peerSuspicionMillis, LostHoldMillis: lostPeerHoldMillis,
+		FloorFraction: floorFraction, LatencyTargetFraction: targetPressureFraction * e.derived.latencySlackFactor,
+		WindowFraction:       e.windowFraction,
+		MinTimeLeftResponses: minTimeLeftResponses, RetryAfterTargets: overloadRetryTargetFraction,
+		MinWindowPerWorker: minWindowPerWorker / math.Max(float64(e.derived.gatewayCount), 1),
+		ImmediateReports:   e.derived.immediatePerMilli > 0}
+	for i := range e.plans {
+		model.QuotaUnseen, model.AllowsExcess = append(model.QuotaUnseen, e.plans[i].sparse),
+			append(model.AllowsExcess,
+				e.plans[i].allowsExcess)
 	}
-	return m
+	return model
 }
 
 // Reserve is the ms of its peers' spending that a gatekeeper of a set keeps from the quota's one store.
-func (m *ModelParameters) ReserveMillis(size int) float64 {
-	if m.ImmediateReports && size <= promptAt {
-		return soon
+func (model *ModelParameters) ReserveMillis(size int) float64 {
+	if model.ImmediateReports && size <= maxImmediateSetSize {
+		return immediateDelayMillis
 	}
-	return hearsay * m.ReportIntervalMillis
+	return unheardSpendIntervals * model.ReportIntervalMillis
 }
 
 // Told is the ms that a gatekeeper's last reports to those of a set speak of, on average: a period, and where
 // they are told at once, what came in the next one too, which is cut short at any place.
-func (m *ModelParameters) ReportSpanMillis(size int) float64 {
-	if m.ImmediateReports && size <= promptAt {
-		return 1.5 * m.ReportIntervalMillis
+func (model *ModelParameters) ReportSpanMillis(size int) float64 {
+	if model.ImmediateReports && size <= maxImmediateSetSize {
+		return 1.5 * model.ReportIntervalMillis
 	}
-	return m.ReportIntervalMillis
+	return model.ReportIntervalMillis
 }
 
 // LeastWindow is what a gatekeeper's window keeps at least, of so many warm workers.
-func (m *ModelParameters) LeastWindow(able float64) float64 {
-	return leastOf(m.MinWindowPerWorker * math.Max(able, 1))
+func (model *ModelParameters) LeastWindow(able float64) float64 {
+	return minWindowFor(model.MinWindowPerWorker * math.Max(able, 1))
 }
--- a/internal/policy/sight_test.go
+++ b/internal/policy/sight_test.go
@@ -65,24 +65,25 @@
 		g.AddRequest(Request{ID: uint64(k) + 1<<41, Customer: uint64(100 + k), Units: 1, SetSize: 1 + k%5,
 			FirstGateway:   k % 6,
 			TimeLeftMillis: 400})
-		c := &g.accounts[g.byKey[uint32(100+k)]]
-		c.n, c.first = 1+k, 0 // as a larger fleet would have it
+		c := &g.accounts[g.accountByCustomer[uint32(100+k)]]
+		c.setSize, c.firstGateway = 1+k, 0 // as a larger fleet would have it
 	}
 	g.WriteSnapshot(&s, 0)
 	if len(s.Sets) != MaxSnapshotSets || s.OtherSetsDemandPerSecond <= 0 {
 		t.Errorf("%d sets, others %v", len(s.Sets), s.OtherSetsDemandPerSecond)
 	}
 	m := ModelParametersOf(c)
-	if m.LostAfterMillis+m.LostHoldMillis != suspicion+hold ||
-		m.SilentAfterMillis != toldFor*m.ReportIntervalMillis ||
-		!m.ImmediateReports == (c.GatewayCount > promptAt) || math.Abs(m.LeastWindow(3)-g.leastWindowOf(3)) > 1e-9 {
+	if m.LostAfterMillis+m.LostHoldMillis != peerSuspicionMillis+lostPeerHoldMillis ||
+		m.SilentAfterMillis != silentAfterIntervals*m.ReportIntervalMillis ||
+		!m.ImmediateReports == (c.GatewayCount > maxImmediateSetSize) ||
+		math.Abs(m.LeastWindow(3)-g.leastWindowOf(3)) > 1e-9 {
 		t.Errorf("manner %+v", m)
 	}
 }
 
 func (g *Engine) leastWindowOf(able float64) float64 {
-	g.able = able
-	return g.leastWindow()
+	g.warmEquivalents = able
+	return g.minWindow()
 }
 
 func BenchmarkLook(b *testing.B) {
--- a/internal/policy/size_test.go
+++ b/internal/policy/size_test.go
@@ -182,7 +182,7 @@
 		b.Run(fmt.Sprintf("workers/%d", n), func(b *testing.B) {
 			g := listing(n, 0)
 			for b.Loop() {
-				g.sweep()
+				g.endReportInterval()
 			}
 		})
 	}
@@ -190,7 +190,7 @@
 		b.Run(fmt.Sprintf("customers/%d", n), func(b *testing.B) {
 			g := touched(n)
 			for b.Loop() {
-				g.sweep()
+				g.endReportInterval()
 			}
 		})
 	}
