--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -10,374 +10,399 @@
 // This file holds what a gatekeeper keeps, and the book-keeping that decides nothing.
 
 // boundless is more than any customer asks, units a ms, and little enough to reckon with.
-const boundless = 1e30
-
-type account struct {
-	plan    int
-	n       int     // its gatekeepers; 0 while it is known from peers alone
-	share   float64 // units a ms
-	level   float64 // of the slice
-	whole   float64 // of the quota's one store as far as it is known here
-	filled  float64 // time of both, and of others
-	others  float64 // sum of peers' demand, fading
-	flow    float64 // units that peers sent on, fading over flowMemory
-	held    float64 // sum of the last demand of those that are silent
-	holding int     // how many these are
-	heard   float64 // time of the last report of demand
-	demand  float64
-	lately  float64 // the same over demandMemory alone
-	seen    float64 // time of the last txn, and of both
-	hot     bool
-	live    bool
-
-	first               int
-	customer            uint64
-	txns                int
-	coolSince           float64 // since when demand has been under the cold slice
-	ceilingAt           float64 // GCRA: the moment the slice of the ceiling is full again
-	unsaid              float64 // units sent on since the last report
-	said, saidAt, known float64 // demand last reported, when, and what was left of the one before
-	out, lent           int     // submissions out or cleared, and of these the predecessor's
-	lag                 float64 // repaid, and not yet taken from whole
-	dealt               float64 // time of the last loan, or look for a repayment; 0 where there was none
-	kept, keptDraws     float64 // units of txns that may yet be sent on; what they then take from the quota
+const unboundedPerMilli = 1e30
+
+type customerAccount struct {
+	plan             int
+	setSize          int     // its gatekeepers; 0 while it is known from peers alone
+	sharePerMilli    float64 // units a ms
+	shareTokens      float64 // of the slice
+	quotaTokens      float64 // of the quota's one store as far as it is known here
+	filledAt         float64 // time of both, and of others
+	peerDemand       float64 // sum of peers' demand, fading
+	peerSpent        float64 // units that peers sent on, fading over flowMemory
+	silentPeerDemand float64 // sum of the last demand of those that are silent
+	silentPeers      int     // how many these are
+	peerDemandAt     float64 // time of the last report of demand
+	decayedDemand    float64
+	recentDemand     float64 // the same over demandMemory alone
+	lastRequestAt    float64 // time of the last txn, and of both
+	hot              bool
+	live             bool
+
+	firstGateway int
+	id           uint64
+	requests     int
+	coolSince    float64 // since when demand has been under the cold slice
+	// GCRA: the moment the slice of the ceiling is full again
+	rateLimitFullAt float64
+	unreportedUnits float64 // units sent on since the last report
+	// demand last reported, when, and what was left of the one before
+	reportedDemand, reportedAt, previousReportedDemand float64
+	// submissions out or cleared, and of these the predecessor's
+	inFlight, predecessorInFlight int
+	uncollectedUnits              float64 // repaid, and not yet taken from whole
+	// time of the last loan, or look for a repayment; 0 where there was none
+	creditAt float64
+	// units of txns that may yet be sent on; what they then take from the quota
+	reservedUnits, reservedQuotaUnits float64
 }
 
 // peer is what is known of another gatekeeper.
-type peer struct {
-	heard, told, owes float64  // last heard; last told; since when it has owed a word each period
-	spoke             float64  // last heard with reports
-	silent, gone      bool     // it says nothing; has not for so long that it counts no more
-	last              []Report // of its last message; their demand is held while it is silent and not gone
+type peerRecord struct {
+	// last heard; last told; since when it has owed a word each period
+	heardAt, reportedAt, reportDueSince float64
+	reportsHeardAt                      float64 // last heard with reports
+	silent, lost                        bool    // it says nothing; has not for so long that it counts no more
+	// of its last message; their demand is held while it is silent and not gone
+	lastReports []Report
 }
 
-type worker struct {
+type workerRecord struct {
 	Endpoint
-	listed           bool
-	inFlight         int
-	pace, paced      float64 // smoothed time of an answer, ms, and when it was renewed
-	load, told       float64 // txns in hand by its last report, by all gatekeepers, and when it came
-	heard            float64
-	distrust         mark
-	turned           []mark  // by sort of txn; nil while it has turned none away
-	full             bool    // turns all away
-	coldDebt, coldAt float64 // while it is not warm: units until the next turn; when they were reckoned
-	warm             bool    // counts as such
-	wary             bool    // is in wary
-	refer            int32   // submissions of txns in hand that were sent to it
+	listed                       bool
+	inFlight                     int
+	responseMillis, responseAt   float64 // smoothed time of an answer, ms, and when it was renewed
+	reportedLoad, reportedLoadAt float64 // txns in hand by its last report, by all gatekeepers, and when it came
+	heardAt                      float64
+	suspicion                    decayingScore
+	rejections                   []decayingScore // by sort of txn; nil while it has turned none away
+	overloaded                   bool            // turns all away
+	// while it is not warm: units until the next turn; when they were reckoned
+	slowStartDebt, slowStartAt float64
+	warm                       bool  // counts as such
+	suspect                    bool  // is in wary
+	references                 int32 // submissions of txns in hand that were sent to it
 }
 
 // kind is what is known of all workers of a kind of machine.
-type kind struct{ pace, answers float64 }
+type machineKind struct{ responseMillis, responses float64 }
 
 // mark is a score that fades.
-type mark struct{ score, since float64 }
+type decayingScore struct{ score, updatedAt float64 }
 
-type submission struct {
+type attemptState struct {
 	worker     int
 	zone, cell int // of its worker as it was sent there; that may be moved meanwhile
-	sent       float64
-	out        bool
-	dropped    bool
-	placed     bool // counts as in hand
-	moved      bool // already held against the worker
-}
-
-type txn struct {
-	id            uint64
-	acct          int32
-	product, plan int
-	units, draws  float64 // its size, and what it takes from its quota
-	lent          float64 // what it takes instead from its customer's credit
-	expiry        float64
-	subs          []submission
-	out           int
-	mayRun        bool       // some submission may have run
-	bond          submission // the first one that may have run
-	bondAt        float64
-	answered      bool
-	another       bool // a second copy, or a move, is wanted
-	coming        bool // its body's last byte has not gone out
-	poured        bool // its body has begun to, and is not kept: it cannot be submitted again
-	inside        bool // its quota had the units when it was let in
-	tight         bool // it came with little time
-	kept          bool // its units are kept
-	pass          pass
-	life          float64 // ms that its clearance is kept
-	live          bool
+	sentAt     float64
+	inFlight   bool
+	cancelled  bool
+	counted    bool // counts as in hand
+	abandoned  bool // already held against the worker
+}
+
+type requestState struct {
+	id                uint64
+	accountIndex      int32
+	product, plan     int
+	units, quotaUnits float64 // its size, and what it takes from its quota
+	borrowedUnits     float64 // what it takes instead from its customer's credit
+	deadline          float64
+	attempts          []attemptState
+	inFlight          int
+	mayHaveRun        bool         // some submission may have run
+	firstUncertain    attemptState // the first one that may have run
+	firstUncertainAt  float64
+	answered          bool
+	wantsAttempt      bool // a second copy, or a move, is wanted
+	bodyPending       bool // its body's last byte has not gone out
+	bodyForwarded     bool // its body has begun to, and is not kept: it cannot be submitted again
+	withinQuota       bool // its quota had the units when it was let in
+	shortDeadline     bool // it came with little time
+	reserved          bool // its units are kept
+	clearance         clearanceStage
+	clearanceMillis   float64 // ms that its clearance is kept
+	live              bool
 }
 
 // pass tells how far a txn has come that is cleared ahead of its coming.
-type pass uint8
+type clearanceStage uint8
 
 const (
-	noPass  pass = iota // it is not
-	granted             // it is, and has not come
-	claimed             // it has come
+	notCleared       clearanceStage = iota // it is not
+	clearanceGranted                       // it is, and has not come
+	clearanceClaimed                       // it has come
 )
 
 // product holds what decisions need of a Product; times in ms.
-type product struct {
-	sla, window float64
-	repeat      Idempotency
-	group       DedupScope
+type productParams struct {
+	latencyTargetMillis, dedupWindowMillis float64
+	idempotency                            Idempotency
+	dedupScope                             DedupScope
 }
 
 // plan holds what decisions need of a Plan, per ms.
-type plan struct {
-	rate, burst         float64 // units a ms; ms of it that may be used at once
-	largest             float64 // units of a txn at most
-	memory, regain      float64 // ms that demand is smoothed over; makes up for the fading of what peers report
-	sparse              bool    // each gatekeeper's part is too small to hold a txn
-	tight               float64 // part of the tight txns that are settled in their time
-	out, stay           float64 // a quota on submissions out: how many are to be, and how long one is, ms
-	ceilRate, ceilDepth float64 // this gatekeeper's slice, before division by the customer's N
-	recorded            float64 // units a ms at which its fill is reckoned for a later life; 0 as it fills
-	open                int
-	excess              bool // letting in beyond the quota earns more than it costs
+type planParams struct {
+	ratePerMilli, burstMillis float64 // units a ms; ms of it that may be used at once
+	maxUnits                  float64 // units of a txn at most
+	// ms that demand is smoothed over; makes up for the fading of what peers report
+	demandWindowMillis, decayCompensation float64
+	sparse                                bool    // each gatekeeper's part is too small to hold a txn
+	shortDeadlineSuccess                  float64 // part of the tight txns that are settled in their time
+	// a quota on submissions out: how many are to be, and how long one is, ms
+	targetInFlight, attemptMillis     float64
+	rateLimitPerMilli, rateLimitBurst float64 // this gatekeeper's slice, before division by the customer's N
+	// units a ms at which its fill is reckoned for a later life; 0 as it fills
+	recordedRatePerMilli float64
+	maxInFlight          int
+	allowsExcess         bool // letting in beyond the quota earns more than it costs
 }
 
 // Gatekeeper is one instance. All its state is its own.
 type Engine struct {
-	rng      *rand.Rand
-	now      float64
-	started  float64
-	base     float64 // ceilings of customers that are not known here are taken as spent at this time
-	retired  bool    // another has taken over what it knows
-	fresh    bool    // it knew nobody when quotas began to go without messages
-	lender   Lender  // nil where nothing is lent
-	widened  float64 // when quotas last went by messages again; 0 where they always did
-	thawed   float64 // when the gatekeeper last found that it had itself stood still
-	begun    bool
-	charter  terms
-	signed   Settings // what they were derived from
-	first    []Plan   // as they were at the start, once they have changed
-	products []product
-	plans    []plan
-	depth    [][]float64 // window fraction by product and plan
-
-	workers []worker
-	ranks   []float64 // of each, by chance, so that each gatekeeper draws from some of its own; 0 is none yet
-	in      []uint8   // where each stands
-	ready   []int     // the listed ones, in order
-	ranked  []int     // the same by rank
-	near    []int     // of these, those that are drawn from: the first
-	cold    []int     // of the ready ones, those that are not warm, in order
-	wary    []int     // workers that fail, or turn txns away
-	brought []int     // those that a list brings among the ready ones
-	chilled []int     // and of the ready ones those that it makes cold
-	struck  bool      // it has taken some off
-	outOf   []int     // submissions out by sort of txn
-	openTo  []float64 // part of the workers that does not turn a sort away
-	warm    int       // how many of the listed ones are warm
-	able    float64   // what all the listed ones can do, in warm workers
-	peers   []peer
-	mute    []int // silent peers before each place of the ring, gone round twice
-	owed    []int // hot customers that each place of the ring shares, likewise
-
-	txns []txn
-	free []int32
-	byID map[uint64]int32
-	due  []int32
-	head int
-
-	accounts  []account
-	unused    []int32
-	byKey     map[uint32]int32
-	heardOnly int
-
-	inHand   int     // submissions out at workers that are not silent
-	window   float64 // most of them
-	surge    float64 // room more than the window when it last found that it had stood still
-	press    float64 // smoothed answer time over SLA time
-	cutAt    float64
-	pace     float64
-	kinds    []kind
-	rating   float64 // mean of the listed workers', by the list as it was when rated was set
-	rated    bool
-	load     float64 // smoothed txns in hand by workers' reports
-	long     mark    // txns overdue that were settled after all
-	astray   mark    // and those that never had an answer from a worker that went on
-	warmDone float64 // units settled by warm workers, fading
-	warmEach float64 // the same for each of those that were warm
-	warmAt   float64
-	coldEach float64    // the last of these as it has faded, by all that coldRate goes by
-	coldAs   [4]float64 // for which it was reckoned
-
-	nextBeat, nextTell, wakeAt float64
-	beatAt                     int     // next txn to look at in this beat; -1 none
-	tellPeer, told             int     // peer that is told now, -1 none; messages it got this period
-	looked                     int     // news looked at for it
-	news                       []int32 // accounts to report this period
-	newsFrom                   int     // where in news the messages begin
-	reports                    []Report
-	urgent                     []int32 // accounts whose sets are told at once, and how far the first has come
-	toldTo                     int
-	saidAll                    float64 // GCRA: the moment at which the part for this is whole again
-	tally                      Stats
+	rng             *rand.Rand
+	now             float64
+	startedAt       float64
+	rateLimitBase   float64 // ceilings of customers that are not known here are taken as spent at this time
+	handedOff       bool    // another has taken over what it knows
+	startedEmpty    bool    // it knew nobody when quotas began to go without messages
+	lender          Lender  // nil where nothing is lent
+	gossipResumedAt float64 // when quotas last went by messages again; 0 where they always did
+	stalledUntil    float64 // when the gatekeeper last found that it had itself stood still
+	clockStarted    bool
+	derived         derivedSettings
+	settings        Settings // what they were derived from
+	initialPlans    []Plan   // as they were at the start, once they have changed
+	products        []productParams
+	plans           []planParams
+	windowFraction  [][]float64 // window fraction by product and plan
+
+	workers []workerRecord
+	// of each, by chance, so that each gatekeeper draws from some of its own; 0 is none yet
+	ranks             []float64
+	readiness         []uint8   // where each stands
+	ready             []int     // the listed ones, in order
+	readyByRank       []int     // the same by rank
+	subset            []int     // of these, those that are drawn from: the first
+	warming           []int     // of the ready ones, those that are not warm, in order
+	suspects          []int     // workers that fail, or turn txns away
+	added             []int     // those that a list brings among the ready ones
+	rewarming         []int     // and of the ready ones those that it makes cold
+	removedAny        bool      // it has taken some off
+	inFlightByClass   []int     // submissions out by sort of txn
+	acceptingFraction []float64 // part of the workers that does not turn a sort away
+	warmCount         int       // how many of the listed ones are warm
+	warmEquivalents   float64   // what all the listed ones can do, in warm workers
+	peers             []peerRecord
+	silentPrefix      []int // silent peers before each place of the ring, gone round twice
+	hotPrefix         []int // hot customers that each place of the ring shares, likewise
+
+	requests     []requestState
+	freeRequests []int32
+	byID         map[uint64]int32
+	pending      []int32
+	nextPending  int
+
+	accounts           []customerAccount
+	freeAccounts       []int32
+	accountByCustomer  map[uint32]int32
+	remoteOnlyAccounts int
+
+	inFlight           int     // submissions out at workers that are not silent
+	window             float64 // most of them
+	stallAllowance     float64 // room more than the window when it last found that it had stood still
+	pressure           float64 // smoothed answer time over SLA time
+	windowCutAt        float64
+	responseMillis     float64
+	machineKinds       []machineKind
+	sizeRating         float64 // mean of the listed workers', by the list as it was when rated was set
+	sizeRatingKnown    bool
+	meanLoad           float64       // smoothed txns in hand by workers' reports
+	slowRequests       decayingScore // txns overdue that were settled after all
+	lostRequests       decayingScore // and those that never had an answer from a worker that went on
+	warmUnits          float64       // units settled by warm workers, fading
+	warmUnitsPerWorker float64       // the same for each of those that were warm
+	warmUnitsAt        float64
+	cachedWarmRate     float64    // the last of these as it has faded, by all that coldRate goes by
+	cachedWarmRateKey  [4]float64 // for which it was reckoned
+
+	nextScanAt, nextReportAt, timerAt float64
+	scanIndex                         int     // next txn to look at in this beat; -1 none
+	reportPeer, messagesToPeer        int     // peer that is told now, -1 none; messages it got this period
+	changedExamined                   int     // news looked at for it
+	changedAccounts                   []int32 // accounts to report this period
+	changedOffset                     int     // where in news the messages begin
+	reportBuffer                      []Report
+	// accounts whose sets are told at once, and how far the first has come
+	immediateAccounts []int32
+	immediateSent     int
+	immediateFullAt   float64 // GCRA: the moment at which the part for this is whole again
+	stats             Stats
 }
 
 // terms are the charter's figures that decisions use as they are.
-type terms struct {
-	me, n, maxSubs, perTell    int
-	tells                      int // messages to one peer in a period
-	overlap, withdraw, advise  bool
-	loadTold                   bool
-	tellAt                     float64 // messages a ms that may be told at once; 0 where none are
-	maxAdvice, largest, period float64
-	cooldown                   float64 // ms
-	coldFrom, warmUp           float64
-	coldPart, turnFor          float64 // of warm workers' work, for cold ones; ms that a turn lasts, 0 for good
-	calm                       float64 // ms between looks while no txn has waited for long
-	slack                      float64 // how much slower than slaUse answers may get, for what late ones earn
-	talks                      bool
+type derivedSettings struct {
+	gatewayIndex, gatewayCount, maxAttempts, reportsPerMessage int
+	messagesPerPeer                                            int // messages to one peer in a period
+	allowHedging, allowCancel, allowRetryAfter                 bool
+	workersReportLoad                                          bool
+	// messages a ms that may be told at once; 0 where none are
+	immediatePerMilli                                          float64
+	maxRetryAfterMillis, maxRequestUnits, reportIntervalMillis float64
+	coolDownMillis                                             float64 // ms
+	coldCapacityFraction, warmUpMillis                         float64
+	// of warm workers' work, for cold ones; ms that a turn lasts, 0 for good
+	warmingLoadFraction, turnMillis float64
+	// ms between looks while no txn has waited for long
+	idleScanMillis float64
+	// how much slower than slaUse answers may get, for what late ones earn
+	latencySlackFactor float64
+	gossip             bool
 }
 
 // Tally gives the counts and the present state that on-call staff look at.
-func (g *Engine) Stats() Stats {
-	t := g.tally
-	t.InFlight, t.Window, t.Customers, t.Workers = float64(g.inHand), g.window, len(g.byKey), len(g.ready)
-	for i := range g.accounts {
-		if g.accounts[i].live && g.accounts[i].hot {
+func (e *Engine) Stats() Stats {
+	t := e.stats
+	t.InFlight, t.Window, t.Customers, t.Workers = float64(e.inFlight), e.window, len(e.accountByCustomer),
+		len(e.ready)
+	for i := range e.accounts {
+		if e.accounts[i].live && e.accounts[i].hot {
 			t.HotCustomers++
 		}
 	}
-	for i := range g.peers {
-		if p := &g.peers[i]; p.gone {
+	for i := range e.peers {
+		if peer := &e.peers[i]; peer.lost {
 			t.LostPeers++
-		} else if p.silent {
+		} else if peer.silent {
 			t.SilentPeers++
 		}
 	}
-	for _, i := range g.wary {
-		if g.in[i] != out && g.workers[i].distrust.at(g.now, distrustFade) >= distrusted {
+	for _, i := range e.suspects {
+		if e.readiness[i] != notReady && e.workers[i].suspicion.value(e.now,
+			suspicionDecayMillis) >= suspectThreshold {
 			t.SuspectedWorkers++
 		}
 	}
 	return t
 }
 
-func (g *Engine) withdraw(t *txn) (Decision, bool) {
-	for i := range t.subs {
-		if s := &t.subs[i]; s.out && !s.dropped && g.charter.withdraw {
-			s.dropped = true
-			return Decision{Kind: Cancel, RequestID: t.id, Attempt: i}, true
+func (e *Engine) nextCancel(request *requestState) (Decision, bool) {
+	for i := range request.attempts {
+		if attempt := &request.attempts[i]; attempt.inFlight && !attempt.cancelled && e.derived.allowCancel {
+			attempt.cancelled = true
+			return Decision{Kind: Cancel, RequestID: request.id, Attempt: i}, true
 		}
 	}
 	return Decision{}, false
 }
 
 // away books a submission that goes out.
-func (g *Engine) away(t *txn, wi int) *submission {
-	w := &g.workers[wi]
-	t.subs = append(t.subs, submission{worker: wi, zone: w.Zone, cell: w.Cell, sent: g.now, out: true})
-	t.out++
-	g.accounts[t.acct].out++
-	w.inFlight++
-	w.refer++
-	g.outOf[g.sort(t)]++
-	return &t.subs[len(t.subs)-1]
+func (e *Engine) startAttempt(request *requestState, workerIndex int) *attemptState {
+	worker := &e.workers[workerIndex]
+	request.attempts = append(request.attempts, attemptState{worker: workerIndex, zone: worker.Zone,
+		cell: worker.Cell, sentAt: e.now, inFlight: true})
+	request.inFlight++
+	e.accounts[request.accountIndex].inFlight++
+	worker.inFlight++
+	worker.references++
+	e.inFlightByClass[e.classOf(request)]++
+	return &request.attempts[len(request.attempts)-1]
 }
 
 // back books the end of one, and gives its worker.
-func (g *Engine) back(t *txn, s *submission) *worker {
-	s.out = false
-	t.out--
-	g.accounts[t.acct].out--
-	w := &g.workers[s.worker]
-	w.inFlight--
-	g.outOf[g.sort(t)]--
-	g.seat(s, false)
-	return w
+func (e *Engine) endAttempt(request *requestState, attempt *attemptState) *workerRecord {
+	attempt.inFlight = false
+	request.inFlight--
+	e.accounts[request.accountIndex].inFlight--
+	worker := &e.workers[attempt.worker]
+	worker.inFlight--
+	e.inFlightByClass[e.classOf(request)]--
+	e.countInFlight(attempt, false)
+	return worker
 }
 
 // says keeps a peer's last word on a customer.
-func (p *peer) says(r Report) {
-	for i := range p.last {
-		if p.last[i].Customer == r.Customer {
-			p.last[i] = r
+func (peer *peerRecord) rememberReport(report Report) {
+	for i := range peer.lastReports {
+		if peer.lastReports[i].Customer == report.Customer {
+			peer.lastReports[i] = report
 			return
 		}
 	}
-	p.last = append(p.last, r)
+	peer.lastReports = append(peer.lastReports, report)
 }
 
 // report is what is told of a customer.
-func (c *account) report() Report {
-	return Report{c.customer, c.plan, c.said * 1000, c.known * 1000, c.unsaid}
+func (account *customerAccount) demandReport() Report {
+	return Report{account.id, account.plan, account.reportedDemand * 1000, account.previousReportedDemand * 1000,
+		account.unreportedUnits}
 }
 
 // word tells the gatekeeper that stands so far behind this one in a customer's set.
-func (g *Engine) word(c *account, ahead int) Decision {
-	place := (g.charter.me - c.first + g.charter.n) % g.charter.n
-	to := (c.first + (place+ahead)%c.n) % g.charter.n
-	g.reports = append(g.reports[:0], c.report())
-	return Decision{Kind: SendReports, Peer: to, Reports: g.reports}
+func (e *Engine) immediateReport(account *customerAccount, ahead int) Decision {
+	place := (e.derived.gatewayIndex - account.firstGateway + e.derived.gatewayCount) % e.derived.gatewayCount
+	to := (account.firstGateway + (place+ahead)%account.setSize) % e.derived.gatewayCount
+	e.reportBuffer = append(e.reportBuffer[:0], account.demandReport())
+	return Decision{Kind: SendReports, Peer: to, Reports: e.reportBuffer}
 }
 
 // wake asks for the next turn, unless an earlier one has been asked for.
-func (g *Engine) wake() (Decision, bool) {
+func (e *Engine) nextTimer() (Decision, bool) {
 	at := 0.0
-	if len(g.byID) > 0 {
-		at = g.nextBeat
+	if len(e.byID) > 0 {
+		at = e.nextScanAt
 	}
-	if len(g.byKey) > 0 && (at == 0 || g.nextTell < at) {
-		at = g.nextTell
+	if len(e.accountByCustomer) > 0 && (at == 0 || e.nextReportAt < at) {
+		at = e.nextReportAt
 	}
-	if at > 0 && (g.wakeAt == 0 || at < g.wakeAt) {
-		g.wakeAt = at
+	if at > 0 && (e.timerAt == 0 || at < e.timerAt) {
+		e.timerAt = at
 		return Decision{Kind: SetTimer, AtMillis: at}, true
 	}
 	return Decision{}, false
 }
 
 // gather notes a hot customer's set, and its own demand if that is news.
-func (g *Engine) gather(ai int32) {
-	c := &g.accounts[ai]
-	g.owed[c.first]++
-	g.owed[c.first+c.n]--
-	if c.n > 0 && (g.now-c.seen <= g.charter.period || c.unsaid > 0) {
-		g.news = append(g.news, ai)
-		g.say(c)
+func (e *Engine) collectReport(accountIndex int32) {
+	account := &e.accounts[accountIndex]
+	e.hotPrefix[account.firstGateway]++
+	e.hotPrefix[account.firstGateway+account.setSize]--
+	if account.setSize > 0 && (e.now-account.lastRequestAt <= e.derived.reportIntervalMillis ||
+		account.unreportedUnits > 0) {
+		e.changedAccounts = append(e.changedAccounts, accountIndex)
+		e.markReported(account)
 	}
 }
 
 // say books that own demand is told now.
-func (g *Engine) say(c *account) {
-	c.known = c.said * math.Exp((c.saidAt-g.now)/g.plans[c.plan].memory)
-	c.said, c.saidAt = g.own(c), g.now
+func (e *Engine) markReported(account *customerAccount) {
+	account.previousReportedDemand = account.reportedDemand *
+		math.Exp((account.reportedAt-e.now)/e.plans[account.plan].demandWindowMillis)
+	account.reportedDemand, account.reportedAt = e.ownDemand(account), e.now
 }
 
 // asked adds to a customer's demand here.
-func (g *Engine) asked(c *account, draws float64) {
-	p := &g.plans[c.plan]
-	if c.lag > 0 {
-		c.withhold()
+func (e *Engine) addDemand(account *customerAccount, draws float64) {
+	plan := &e.plans[account.plan]
+	if account.uncollectedUnits > 0 {
+		account.collectFromQuota()
 	}
-	c.demand = c.demand*math.Exp((c.seen-g.now)/p.memory) + draws/p.memory
-	c.lately = c.lately*math.Exp((c.seen-g.now)/demandMemory) + draws/demandMemory
-	c.seen = g.now
-	c.txns++
+	account.decayedDemand = account.decayedDemand*math.Exp(
+		(account.lastRequestAt-e.now)/plan.demandWindowMillis) + draws/plan.demandWindowMillis
+	account.recentDemand = account.recentDemand*math.Exp((account.lastRequestAt-e.now)/demandWindowMillis) +
+		draws/demandWindowMillis
+	account.lastRequestAt = e.now
+	account.requests++
 }
 
 // Burden takes what a worker said of its load with an answer. What makes no sense changes nothing.
-func (g *Engine) ReportWorkerLoad(wi int, b WorkerLoad) {
-	if !g.charter.loadTold || wi < 0 || wi >= len(g.workers) {
+func (e *Engine) ReportWorkerLoad(workerIndex int, load WorkerLoad) {
+	if !e.derived.workersReportLoad || workerIndex < 0 || workerIndex >= len(e.workers) {
 		return
 	}
-	held := b.InFlight
-	if !(held >= 0) && b.CPUFraction >= 0 { // of a queue that is as busy
-		busy := math.Min(b.CPUFraction, fullest)
+	held := load.InFlight
+	if !(held >= 0) && load.CPUFraction >= 0 { // of a queue that is as busy
+		busy := math.Min(load.CPUFraction, maxCPUFraction)
 		held = busy / (1 - busy)
 	}
 	if held >= 0 && held < math.MaxInt32 {
-		g.workers[wi].load, g.workers[wi].told = held, g.now
-		g.load += fleetGain * (held - g.load)
+		e.workers[workerIndex].reportedLoad, e.workers[workerIndex].reportedLoadAt = held, e.now
+		e.meanLoad += fleetResponseGain * (held - e.meanLoad)
 	}
 }
 
 // place gives a used place of a slab, or a new one at its end.
-func place[T any](slab *[]T, unused *[]int32) int32 {
+func allocate[T any](slab *[]T, unused *[]int32) int32 {
 	if n := len(*unused); n > 0 {
 		at := (*unused)[n-1]
 		*unused = (*unused)[:n-1]
@@ -389,75 +414,76 @@
 }
 
 // open makes an account with full stores, in a used place if there is one.
-func (g *Engine) open(customer uint64, plan int) int32 {
-	ai := place(&g.accounts, &g.unused)
-	c, p := &g.accounts[ai], &g.plans[plan]
-	*c = account{customer: customer, plan: plan, seen: g.now, coolSince: g.now, filled: g.now,
-		whole: g.holds(p, p.rate), live: true}
-	if g.widened > 0 { // what peers spent before is not known
-		c.whole = math.Min(c.whole, (g.now-g.widened)*p.rate)
+func (e *Engine) openAccount(id uint64, planIndex int) int32 {
+	accountIndex := allocate(&e.accounts, &e.freeAccounts)
+	account, plan := &e.accounts[accountIndex], &e.plans[planIndex]
+	*account = customerAccount{id: id, plan: planIndex, lastRequestAt: e.now, coolSince: e.now, filledAt: e.now,
+		quotaTokens: e.storeDepth(plan, plan.ratePerMilli), live: true}
+	if e.gossipResumedAt > 0 { // what peers spent before is not known
+		account.quotaTokens = math.Min(account.quotaTokens, (e.now-e.gossipResumedAt)*plan.ratePerMilli)
 	}
-	g.byKey[uint32(customer)] = ai
-	return ai
+	e.accountByCustomer[uint32(id)] = accountIndex
+	return accountIndex
 }
 
 // drop lets an account go.
-func (g *Engine) drop(ai int32) {
-	c := &g.accounts[ai]
-	delete(g.byKey, uint32(c.customer))
-	if c.n == 0 {
-		g.heardOnly--
+func (e *Engine) closeAccount(accountIndex int32) {
+	account := &e.accounts[accountIndex]
+	delete(e.accountByCustomer, uint32(account.id))
+	if account.setSize == 0 {
+		e.remoteOnlyAccounts--
 	}
-	c.live = false
-	g.unused = append(g.unused, ai)
+	account.live = false
+	e.freeAccounts = append(e.freeAccounts, accountIndex)
 }
 
 // at gives a score as it has faded.
-func (m *mark) at(now, fade float64) float64 {
-	if m.score == 0 {
+func (score *decayingScore) value(now, fade float64) float64 {
+	if score.score == 0 {
 		return 0
 	}
-	return m.score * math.Exp((m.since-now)/fade)
+	return score.score * math.Exp((score.updatedAt-now)/fade)
 }
 
-func (m *mark) add(by, now, fade float64) {
-	m.score, m.since = math.Min(m.at(now, fade)+by, distrustMost), now
+func (score *decayingScore) add(by, now, fade float64) {
+	score.score, score.updatedAt = math.Min(score.value(now, fade)+by, maxSuspicion), now
 }
 
 // paceOf is the time of an answer of a worker: its own as far as it is recent, else that of its kind. Among
 // many gatekeepers each sees a worker once in many seconds, and a kind of machine often.
-func (g *Engine) paceOf(w *worker) float64 {
-	usual := g.kinds[w.MachineKind].pace
+func (e *Engine) expectedResponseMillis(worker *workerRecord) float64 {
+	usual := e.machineKinds[worker.MachineKind].responseMillis
 	if usual == 0 {
-		if usual = g.pace; w.SizeRating > 0 { // until the kind is seen, the list's word on its size
-			usual *= g.meanRating() / w.SizeRating
+		if usual = e.responseMillis; worker.SizeRating > 0 { // until the kind is seen, the list's word on its size
+			usual *= e.meanSizeRating() / worker.SizeRating
 		}
 	}
-	if w.pace == 0 {
+	if worker.responseMillis == 0 {
 		return usual
 	}
-	return usual + (w.pace-usual)*math.Exp((w.paced-g.now)/paceFade)
+	return usual + (worker.responseMillis-usual)*math.Exp((worker.responseAt-e.now)/workerResponseDecayMillis)
 }
 
 // timed adds the time of a whole answer to its worker's pace, its kind's and the fleet's.
-func (g *Engine) timed(w *worker, took float64) {
-	if g.pace == 0 {
-		g.pace = took
+func (e *Engine) recordResponse(worker *workerRecord, responseMillis float64) {
+	if e.responseMillis == 0 {
+		e.responseMillis = responseMillis
 	}
-	w.pace, w.paced = g.paceOf(w), g.now // one slow answer must not make a worker look slow for long
-	w.pace += paceGain * (took - w.pace)
-	g.pace += fleetGain * (took - g.pace)
-	k := &g.kinds[w.MachineKind]
-	k.answers++
-	k.pace += math.Max(fleetGain, 1/k.answers) * (took - k.pace)
+	// one slow answer must not make a worker look slow for long
+	worker.responseMillis, worker.responseAt = e.expectedResponseMillis(worker), e.now
+	worker.responseMillis += workerResponseGain * (responseMillis - worker.responseMillis)
+	e.responseMillis += fleetResponseGain * (responseMillis - e.responseMillis)
+	kind := &e.machineKinds[worker.MachineKind]
+	kind.responses++
+	kind.responseMillis += math.Max(fleetResponseGain, 1/kind.responses) * (responseMillis - kind.responseMillis)
 }
 
 // middling is the size of a middling txn.
-func (c *terms) middling() float64 { return (1 + c.largest) / 2 }
+func (derived *derivedSettings) meanUnits() float64 { return (1 + derived.maxRequestUnits) / 2 }
 
 // draw is what a txn takes from its quota.
-func (p *plan) draw(units float64) float64 {
-	if p.out > 0 {
+func (plan *planParams) quotaCost(units float64) float64 {
+	if plan.targetInFlight > 0 {
 		return 1
 	}
 	return units
@@ -465,155 +491,167 @@
 
 // restate puts a quota on submissions out, where there is no other, as a rate: as many as are to be out, each
 // as long as one stays out.
-func (p *plan) restate() {
-	if p.out > 0 {
-		p.rate = p.out / math.Max(p.stay, 1)
-		p.burst = float64(p.open) / p.rate
+func (plan *planParams) deriveRate() {
+	if plan.targetInFlight > 0 {
+		plan.ratePerMilli = plan.targetInFlight / math.Max(plan.attemptMillis, 1)
+		plan.burstMillis = float64(plan.maxInFlight) / plan.ratePerMilli
 	}
 }
 
 // unheard counts the silent peers of a customer's set.
-func (g *Engine) unheard(c *account) int { return g.mute[c.first+c.n] - g.mute[c.first] }
+func (e *Engine) silentPeersOf(account *customerAccount) int {
+	return e.silentPrefix[account.firstGateway+account.setSize] - e.silentPrefix[account.firstGateway]
+}
 
-func (g *Engine) warmWork() float64 {
-	return g.warmDone * math.Exp((g.warmAt-g.now)/refMemory)
+func (e *Engine) warmWorkUnits() float64 {
+	return e.warmUnits * math.Exp((e.warmUnitsAt-e.now)/warmWorkWindowMillis)
 }
 
 // earn books the work of a warm worker, and what it comes to for each of the warm ones there are. Of one that
 // is not on the list any more it does not count for that: the number of the others may just have fallen.
-func (g *Engine) earn(by *worker, units float64) {
-	if g.warmth(by.StartedAtMillis) < 1 {
+func (e *Engine) recordWarmWork(worker *workerRecord, units float64) {
+	if e.warmFraction(worker.StartedAtMillis) < 1 {
 		return
 	}
-	fade := math.Exp((g.warmAt - g.now) / refMemory)
-	g.warmDone, g.warmEach, g.warmAt = g.warmDone*fade+units, g.warmEach*fade, g.now
-	if by.warm && by.listed {
-		g.warmEach += units / float64(g.warm)
+	fade := math.Exp((e.warmUnitsAt - e.now) / warmWorkWindowMillis)
+	e.warmUnits, e.warmUnitsPerWorker, e.warmUnitsAt = e.warmUnits*fade+units, e.warmUnitsPerWorker*fade, e.now
+	if worker.warm && worker.listed {
+		e.warmUnitsPerWorker += units / float64(e.warmCount)
 	}
 }
 
 // distrustOf is what speaks against a worker for a txn.
-func (g *Engine) distrustOf(t *txn, wi int) float64 {
-	w := &g.workers[wi]
-	d := w.distrust.at(g.now, distrustFade)
-	if w.turned != nil {
-		d += w.turned[g.sort(t)].at(g.now, turnedFade)
+func (e *Engine) suspicionOf(request *requestState, workerIndex int) float64 {
+	worker := &e.workers[workerIndex]
+	d := worker.suspicion.value(e.now, suspicionDecayMillis)
+	if worker.rejections != nil {
+		d += worker.rejections[e.classOf(request)].value(e.now, rejectionDecayMillis)
 	}
 	return d
 }
 
 // sort numbers the pairs of plan and product.
-func (g *Engine) sort(t *txn) int { return t.plan*len(g.products) + t.product }
+func (e *Engine) classOf(request *requestState) int {
+	return request.plan*len(e.products) + request.product
+}
 
 // own is the demand estimate, units a ms. That of a sparse plan has a long memory: after a start it makes up
 // for what it has not seen yet.
-func (g *Engine) own(c *account) float64 {
-	p := &g.plans[c.plan]
-	if g.signed.QuotaWithoutGossip && c.n > 1 && g.now-c.seen < g.charter.cooldown {
-		return boundless // so may its peers, unheard: there is no room in the one store
+func (e *Engine) ownDemand(account *customerAccount) float64 {
+	plan := &e.plans[account.plan]
+	if e.settings.QuotaWithoutGossip && account.setSize > 1 &&
+		e.now-account.lastRequestAt < e.derived.coolDownMillis {
+		return unboundedPerMilli // so may its peers, unheard: there is no room in the one store
 	}
-	d := c.demand * math.Exp((c.seen-g.now)/p.memory)
-	if p.sparse {
-		d /= 1 - math.Exp(-math.Max(g.now-g.started, firstWords*g.charter.period)/p.memory)
+	d := account.decayedDemand * math.Exp((account.lastRequestAt-e.now)/plan.demandWindowMillis)
+	if plan.sparse {
+		d /= 1 - math.Exp(-math.Max(e.now-e.startedAt,
+			startupIntervalFraction*e.derived.reportIntervalMillis)/plan.demandWindowMillis)
 	}
 	return d
 }
 
 // shared tells whether a customer's txns can come through a peer too.
-func (g *Engine) shared(c *account, peer int) bool {
-	return (peer-c.first+g.charter.n)%g.charter.n < c.n
+func (e *Engine) sharesCustomer(account *customerAccount, peer int) bool {
+	return (peer-account.firstGateway+e.derived.gatewayCount)%e.derived.gatewayCount < account.setSize
 }
 
 // Begun tells that the answer of submission n has started to stream: it is the client's now, and has no
 // expiry.
-func (g *Engine) ResponseStarted(id uint64, n int) {
-	if slot, ok := g.byID[id]; ok && n >= 0 && n < len(g.txns[slot].subs) {
-		t := &g.txns[slot]
-		t.subs[n].dropped, t.answered = true, true
-		g.seat(&t.subs[n], false) // the worker is done with it but for its passing on
-		g.due = append(g.due, slot)
+func (e *Engine) ResponseStarted(id uint64, attemptIndex int) {
+	if slot, ok := e.byID[id]; ok && attemptIndex >= 0 && attemptIndex < len(e.requests[slot].attempts) {
+		request := &e.requests[slot]
+		request.attempts[attemptIndex].cancelled, request.answered = true, true
+		e.countInFlight(&request.attempts[attemptIndex], false) // the worker is done with it but for its passing on
+		e.pending = append(e.pending, slot)
 	}
 }
 
 // Stirs tells that a worker has begun to answer, so that it is not taken for a silent one.
-func (g *Engine) WorkerResponded(wi int) {
-	if wi >= 0 && wi < len(g.workers) {
-		g.workers[wi].heard = g.now
+func (e *Engine) WorkerResponded(workerIndex int) {
+	if workerIndex >= 0 && workerIndex < len(e.workers) {
+		e.workers[workerIndex].heardAt = e.now
 	}
 }
 
 // Poured tells that a body that is not kept has begun to go out with submission n, or, where left is given,
 // that its last byte has: the client waits so many ms from now on.
-func (g *Engine) BodyForwarded(id uint64, n int, left float64) {
-	slot, ok := g.byID[id]
-	if !ok || n < 0 || n >= len(g.txns[slot].subs) {
+func (e *Engine) BodyForwarded(id uint64, attemptIndex int, timeLeftMillis float64) {
+	slot, ok := e.byID[id]
+	if !ok || attemptIndex < 0 || attemptIndex >= len(e.requests[slot].attempts) {
 		return
 	}
-	t := &g.txns[slot]
-	if t.poured = true; left > 0 && t.coming && t.subs[n].out {
-		t.coming, t.expiry, t.subs[n].sent = false, g.now+left, g.now
-		g.spend(t)
-		g.seat(&t.subs[n], true)
-		g.due, g.nextBeat = append(g.due, slot), math.Min(g.nextBeat, t.expiry)
+	request := &e.requests[slot]
+	if request.bodyForwarded = true; timeLeftMillis > 0 && request.bodyPending &&
+		request.attempts[attemptIndex].inFlight {
+		request.bodyPending, request.deadline, request.attempts[attemptIndex].sentAt = false, e.now+timeLeftMillis,
+			e.now
+		e.charge(request)
+		e.countInFlight(&request.attempts[attemptIndex], true)
+		e.pending, e.nextScanAt = append(e.pending, slot), math.Min(e.nextScanAt, request.deadline)
 	}
 }
 
 // grant clears a txn: its units are kept for it until it comes, for as long as its clearance lasts.
-func (g *Engine) grant(t *txn) Decision {
-	t.pass, t.expiry, t.coming = granted, g.now+t.life, false
-	g.keep(t)
-	g.accounts[t.acct].out++
-	g.nextBeat = math.Min(g.nextBeat, t.expiry)
-	return Decision{Kind: GrantClearance, RequestID: t.id, WaitMillis: t.life}
+func (e *Engine) grantClearance(request *requestState) Decision {
+	request.clearance, request.deadline, request.bodyPending = clearanceGranted, e.now+request.clearanceMillis,
+		false
+	e.reserve(request)
+	e.accounts[request.accountIndex].inFlight++
+	e.nextScanAt = math.Min(e.nextScanAt, request.deadline)
+	return Decision{Kind: GrantClearance, RequestID: request.id, WaitMillis: request.clearanceMillis}
 }
 
 // ungrant ends a clearance.
-func (g *Engine) ungrant(t *txn) {
-	if t.pass == granted {
-		t.pass = claimed
-		g.accounts[t.acct].out--
+func (e *Engine) endClearance(request *requestState) {
+	if request.clearance == clearanceGranted {
+		request.clearance = clearanceClaimed
+		e.accounts[request.accountIndex].inFlight--
 	}
 }
 
 // Claim tells that a cleared txn has come: its client waits so many ms from now on, or from the last byte of
 // a body that is still coming. It is false if its clearance is no more; the txn is then like any other.
-func (g *Engine) ClaimClearance(id uint64, left float64, coming bool) bool {
-	slot, ok := g.byID[id]
-	if !ok || g.txns[slot].pass != granted || g.txns[slot].answered || g.now >= g.txns[slot].expiry {
+func (e *Engine) ClaimClearance(id uint64, timeLeftMillis float64, bodyPending bool) bool {
+	slot, ok := e.byID[id]
+	if !ok || e.requests[slot].clearance != clearanceGranted || e.requests[slot].answered ||
+		e.now >= e.requests[slot].deadline {
 		return false
 	}
-	t := &g.txns[slot]
-	g.ungrant(t)
-	t.expiry, t.coming = g.now+left, coming
-	g.due, g.nextBeat = append(g.due, slot), math.Min(g.nextBeat, t.expiry)
+	request := &e.requests[slot]
+	e.endClearance(request)
+	request.deadline, request.bodyPending = e.now+timeLeftMillis, bodyPending
+	e.pending, e.nextScanAt = append(e.pending, slot), math.Min(e.nextScanAt, request.deadline)
 	return true
 }
 
 // Release tells that a cleared txn will not come: its units are free again.
-func (g *Engine) ReleaseClearance(id uint64) {
-	if slot, ok := g.byID[id]; ok && g.txns[slot].pass == granted && !g.txns[slot].answered {
-		g.txns[slot].answered = true
-		g.tally.FinalByReason[ReasonClearanceExpired]++
-		g.due = append(g.due, slot)
+func (e *Engine) ReleaseClearance(id uint64) {
+	if slot, ok := e.byID[id]; ok && e.requests[slot].clearance == clearanceGranted &&
+		!e.requests[slot].answered {
+		e.requests[slot].answered = true
+		e.stats.FinalByReason[ReasonClearanceExpired]++
+		e.pending = append(e.pending, slot)
 	}
 }
 
 // Cleared takes over a clearance that another process of this gatekeeper has given, for so many ms more.
-func (g *Engine) ImportClearance(a Request) {
-	g.AddRequest(a)
-	t := &g.txns[g.byID[a.ID]]
-	t.inside = true
-	g.grant(t)
+func (e *Engine) ImportClearance(arrival Request) {
+	e.AddRequest(arrival)
+	request := &e.requests[e.byID[arrival.ID]]
+	request.withinQuota = true
+	e.grantClearance(request)
 }
 
 // waits tells whether a txn is cleared and has not come.
-func (t *txn) waits(now float64) bool {
-	return t.pass == granted && !t.answered && t.expiry-now > margin
+func (request *requestState) awaitsClaim(now float64) bool {
+	return request.clearance == clearanceGranted && !request.answered &&
+		request.deadline-now > deadlineMarginMillis
 }
 
 // late is why a txn gets its answer at its expiry.
-func (t *txn) late() FinalReason {
-	if t.pass == granted {
+func (request *requestState) deadlineReason() FinalReason {
+	if request.clearance == clearanceGranted {
 		return ReasonClearanceExpired
 	}
 	return ReasonAttemptsExhausted
@@ -621,116 +659,122 @@
 
 // keep sets a txn's units aside. Guards against giving back what was spent: a store that would have been full
 // meanwhile has run over, and would hold more than the truth. What is kept was never taken from it.
-func (g *Engine) keep(t *txn) {
-	if !t.kept {
-		t.kept = true
-		g.kept(t, 1)
+func (e *Engine) reserve(request *requestState) {
+	if !request.reserved {
+		request.reserved = true
+		e.adjustReservation(request, 1)
 	}
 }
 
 // unkeep ends that, and a clearance with it.
-func (g *Engine) unkeep(t *txn) {
-	g.ungrant(t)
-	g.unlend(t)
-	if t.kept {
-		t.kept = false
-		g.kept(t, -1)
+func (e *Engine) releaseReservation(request *requestState) {
+	e.endClearance(request)
+	e.refundLoan(request)
+	if request.reserved {
+		request.reserved = false
+		e.adjustReservation(request, -1)
 	}
 }
 
 // kept changes what is kept for a customer by a txn's units, so many times. Beyond the quota nothing is
 // taken from it.
-func (g *Engine) kept(t *txn, times float64) {
-	c := &g.accounts[t.acct]
-	if c.kept = math.Max(c.kept+times*t.units, 0); t.inside {
-		c.keptDraws = math.Max(c.keptDraws+times*t.draws, 0)
+func (e *Engine) adjustReservation(request *requestState, times float64) {
+	account := &e.accounts[request.accountIndex]
+	if account.reservedUnits = math.Max(account.reservedUnits+times*request.units, 0); request.withinQuota {
+		account.reservedQuotaUnits = math.Max(account.reservedQuotaUnits+times*request.quotaUnits, 0)
 	}
 }
 
 // full is when the slice of a customer's ceiling is full again, if all that is kept goes out too; 0 where
 // there is none. A later life reads it by the ceilings that this one began with, so where these have changed
 // the slower of both paces counts: it then takes for spent no less than is.
-func (g *Engine) full(c *account) float64 {
-	p := &g.plans[c.plan]
-	if p.ceilRate <= 0 {
+func (e *Engine) rateLimitFullAt(account *customerAccount) float64 {
+	plan := &e.plans[account.plan]
+	if plan.rateLimitPerMilli <= 0 {
 		return 0
 	}
-	if p.recorded > 0 {
-		return g.now + (math.Max(c.ceilingAt-g.now, 0)*p.ceilRate+c.kept*float64(c.n))/p.recorded
+	if plan.recordedRatePerMilli > 0 {
+		return e.now + (math.Max(account.rateLimitFullAt-e.now,
+			0)*plan.rateLimitPerMilli+account.reservedUnits*float64(account.setSize))/plan.recordedRatePerMilli
 	}
-	return math.Max(c.ceilingAt, g.now) + c.kept*float64(c.n)/p.ceilRate
+	return math.Max(account.rateLimitFullAt, e.now) + account.reservedUnits*float64(
+		account.setSize)/plan.rateLimitPerMilli
 }
 
 // order is the decision that sends a txn's newest submission to a worker, before a moment.
-func (g *Engine) order(t *txn, wi int, latest float64) Decision {
-	return Decision{Kind: Submit, RequestID: t.id, Worker: wi, Attempt: len(t.subs) - 1, WaitMillis: t.expiry -
-		g.now,
-		AtMillis: t.expiry, SendBeforeMillis: latest, RateLimitFullAtMillis: g.full(&g.accounts[t.acct])}
+func (e *Engine) submitDecision(request *requestState, workerIndex int, latest float64) Decision {
+	return Decision{Kind: Submit, RequestID: request.id, Worker: workerIndex, Attempt: len(request.attempts) - 1,
+		WaitMillis: request.deadline -
+			e.now,
+		AtMillis: request.deadline, SendBeforeMillis: latest, RateLimitFullAtMillis: e.rateLimitFullAt(
+			&e.accounts[request.accountIndex])}
 }
 
 // seat notes whether a submission counts as in hand.
-func (g *Engine) seat(s *submission, in bool) {
-	if s.placed != in {
-		s.placed = in
+func (e *Engine) countInFlight(attempt *attemptState, in bool) {
+	if attempt.counted != in {
+		attempt.counted = in
 		if in {
-			g.inHand++
+			e.inFlight++
 		} else {
-			g.inHand--
+			e.inFlight--
 		}
 	}
 }
 
 // risk notes that a submission may have run.
-func (g *Engine) risk(t *txn, s *submission) {
-	if !t.mayRun || s.sent < t.bondAt {
-		t.bond, t.bondAt = *s, s.sent
+func (e *Engine) recordUncertain(request *requestState, attempt *attemptState) {
+	if !request.mayHaveRun || attempt.sentAt < request.firstUncertainAt {
+		request.firstUncertain, request.firstUncertainAt = *attempt, attempt.sentAt
 	}
-	t.mayRun = true
+	request.mayHaveRun = true
 }
 
 // Left tells that the client of a txn no longer waits.
-func (g *Engine) ClientGone(id uint64) {
-	if slot, ok := g.byID[id]; ok && !g.txns[slot].answered {
-		g.txns[slot].answered = true
-		g.tally.FinalByReason[ReasonClientGone]++
-		g.due = append(g.due, slot)
+func (e *Engine) ClientGone(id uint64) {
+	if slot, ok := e.byID[id]; ok && !e.requests[slot].answered {
+		e.requests[slot].answered = true
+		e.stats.FinalByReason[ReasonClientGone]++
+		e.pending = append(e.pending, slot)
 	}
 }
 
 // silence notes that a peer which owes a word has said nothing for some periods, for so long that it counts
 // no more, or is heard again. While it is silent the demand of its last message does not fade.
-func (g *Engine) silence(from int, silent, gone bool) {
-	p := &g.peers[from]
-	held := p.silent && !p.gone
-	p.silent, p.gone = silent, gone
-	if hold := silent && !gone; hold != held && !g.signed.QuotaWithoutGossip { // all are unheard alike then
-		for _, r := range p.last {
-			ai, ok := g.byKey[uint32(r.Customer)]
+func (e *Engine) setPeerSilent(from int, silent, gone bool) {
+	peer := &e.peers[from]
+	held := peer.silent && !peer.lost
+	peer.silent, peer.lost = silent, gone
+	if hold := silent && !gone; hold != held && !e.settings.QuotaWithoutGossip { // all are unheard alike then
+		for _, report := range peer.lastReports {
+			accountIndex, ok := e.accountByCustomer[uint32(report.Customer)]
 			if !ok {
 				continue
 			}
-			c := &g.accounts[ai]
-			g.fill(c)
-			if d := r.DemandPerSecond / 1000; hold {
-				c.others = math.Max(c.others-d*math.Exp((p.heard-g.now)/g.plans[c.plan].memory), 0)
-				c.held += d
-				c.holding++
+			account := &e.accounts[accountIndex]
+			e.refill(account)
+			if d := report.DemandPerSecond / 1000; hold {
+				account.peerDemand = math.Max(account.peerDemand-d*math.Exp(
+					(peer.heardAt-e.now)/e.plans[account.plan].demandWindowMillis), 0)
+				account.silentPeerDemand += d
+				account.silentPeers++
 			} else {
-				c.held = math.Max(c.held-d, 0)
-				c.holding = max(c.holding-1, 0)
+				account.silentPeerDemand = math.Max(account.silentPeerDemand-d, 0)
+				account.silentPeers = max(account.silentPeers-1, 0)
 			}
 		}
 	}
-	g.muted()
+	e.countSilentPeers()
 }
 
 // muted counts the silent peers over the ring.
-func (g *Engine) muted() {
-	for i := range g.mute[1:] {
-		g.mute[i+1] = g.mute[i]
-		p := &g.peers[i%g.charter.n]
-		if p.silent && !p.gone || g.signed.QuotaWithoutGossip && i%g.charter.n != g.charter.me {
-			g.mute[i+1]++
+func (e *Engine) countSilentPeers() {
+	for i := range e.silentPrefix[1:] {
+		e.silentPrefix[i+1] = e.silentPrefix[i]
+		peer := &e.peers[i%e.derived.gatewayCount]
+		if peer.silent && !peer.lost || e.settings.QuotaWithoutGossip &&
+			i%e.derived.gatewayCount != e.derived.gatewayIndex {
+			e.silentPrefix[i+1]++
 		}
 	}
 }
@@ -742,36 +786,40 @@
 }
 
 // holds is how much a store of a plan holds that fills at a rate.
-func (g *Engine) holds(p *plan, rate float64) float64 {
-	return math.Max(rate*p.burst, p.largest)
+func (e *Engine) storeDepth(plan *planParams, rate float64) float64 {
+	return math.Max(rate*plan.burstMillis, plan.maxUnits)
 }
 
 // credited is what a sparse slice is credited over time: its share, and the split as demand comes.
-func (g *Engine) credited(c *account) float64 {
-	return c.share + g.plans[c.plan].rate*(1-beta)*math.Min(g.own(c)/math.Max(g.total(c), 1e-12), 1)
+func (e *Engine) sparseRate(account *customerAccount) float64 {
+	return account.sharePerMilli + e.plans[account.plan].ratePerMilli*(1-floorFraction)*math.Min(
+		e.ownDemand(account)/math.Max(e.totalDemand(account), 1e-12), 1)
 }
 
 // spend takes a txn's units from its customer's stores at the first submission. A body that is still coming
 // may never reach a worker whole, and then takes nothing: until it has, its units are only kept.
-func (g *Engine) spend(t *txn) {
-	if g.unkeep(t); t.coming {
-		g.keep(t)
+func (e *Engine) charge(request *requestState) {
+	if e.releaseReservation(request); request.bodyPending {
+		e.reserve(request)
 		return
 	}
-	c, p := &g.accounts[t.acct], &g.plans[t.plan]
-	if p.ceilRate > 0 {
-		c.ceilingAt = math.Max(c.ceilingAt, g.now) + t.units*float64(c.n)/p.ceilRate
+	account, plan := &e.accounts[request.accountIndex], &e.plans[request.plan]
+	if plan.rateLimitPerMilli > 0 {
+		account.rateLimitFullAt = math.Max(account.rateLimitFullAt, e.now) +
+			request.units*float64(account.setSize)/plan.rateLimitPerMilli
 	}
-	if p.rate > 0 {
-		if !g.blind(c) { // where it comes too late to go by, it is not told
-			c.unsaid += t.draws
+	if plan.ratePerMilli > 0 {
+		if !e.quotaUnseen(account) { // where it comes too late to go by, it is not told
+			account.unreportedUnits += request.quotaUnits
 		}
-		if g.fill(c); t.inside { // beyond the quota nothing is taken
-			c.level = math.Max(c.level-t.draws, -g.holds(p, p.rate))
+		if e.refill(account); request.withinQuota { // beyond the quota nothing is taken
+			account.shareTokens = math.Max(account.shareTokens-request.quotaUnits, -e.storeDepth(plan,
+				plan.ratePerMilli))
 		}
-		if c.whole = math.Max(c.whole-t.draws, 0); g.prompt(c) {
-			c.hot, c.coolSince = true, g.now
-			g.urgent = append(g.urgent, t.acct)
+		if account.quotaTokens = math.Max(account.quotaTokens-request.quotaUnits, 0); e.reportsImmediately(
+			account) {
+			account.hot, account.coolSince = true, e.now
+			e.immediateAccounts = append(e.immediateAccounts, request.accountIndex)
 		}
 	}
 }
