--- a/internal/gateway/admin/ops.go
+++ b/internal/gateway/admin/ops.go
@@ -70,7 +70,7 @@
 // Port answers operators' calls.
 type Port struct {
 	At     string
-	limit  *transport.Limited
+	limit  *transport.LimitListener
 	server fasthttp.Server
 	desk   Desk
 }
@@ -82,7 +82,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
-	p := &Port{At: l.Addr().String(), limit: transport.Limit(l, policy.MaxAdminConnections), desk: desk}
+	p := &Port{At: l.Addr().String(), limit: transport.NewLimitListener(l, policy.MaxAdminConnections),
+		desk: desk}
 	p.server = fasthttp.Server{
 		Handler:            p.handle,
 		ErrorHandler:       unreadable,
@@ -92,7 +93,7 @@
 		ReadTimeout:        transport.Millis(policy.AdminTimeoutMillis),
 		WriteTimeout:       transport.Millis(policy.AdminTimeoutMillis),
 		CloseOnShutdown:    true, NoDefaultServerHeader: true, NoDefaultDate: true,
-		Logger: transport.Silent{},
+		Logger: transport.DiscardLogger{},
 	}
 	go func() { _ = p.server.Serve(p.limit) }()
 	return p, nil
--- a/internal/gateway/config/charter.go
+++ b/internal/gateway/config/charter.go
@@ -158,7 +158,7 @@
 		MaxRetryAfterMillis:   s.Allowed.MaxRetryAfter / usPerMs,
 		AllowGossip:           s.Allowed.Peers,
 		PeerMessagesPerSecond: s.FamilyInfo.PeerInPerS,
-		ReportsPerMessage:     gossip.Room,
+		ReportsPerMessage:     gossip.MaxReports,
 		ColdCapacityFraction:  s.Safety.ColdFrom,
 		WarmUpMillis:          s.Safety.WarmUp / usPerMs,
 		OverloadFactor:        s.Safety.Tips,
@@ -260,8 +260,8 @@
 	if len(s.Classes) == 0 {
 		return errors.New("classes: there is none")
 	}
-	if len(s.Tariffs) == 0 || len(s.Tariffs) > gossip.Plans {
-		return fmt.Errorf("tariffs: there are %d, of 1 to %d", len(s.Tariffs), gossip.Plans)
+	if len(s.Tariffs) == 0 || len(s.Tariffs) > gossip.MaxPlans {
+		return fmt.Errorf("tariffs: there are %d, of 1 to %d", len(s.Tariffs), gossip.MaxPlans)
 	}
 	seen := map[string]bool{}
 	for i, p := range s.Classes {
--- a/internal/gateway/lifecycle/stop.go
+++ b/internal/gateway/lifecycle/stop.go
@@ -51,12 +51,13 @@
 	defer time.AfterFunc(transport.Millis(min(g.conf.Lines.LongestWait,
 		policy.StopMaxWaitMillis)+policy.StopGraceMillis),
 		func() {
-			g.limit.GiveUp()
+			g.limit.AbandonRequests()
 			g.desk.WakeNow()
 		}).
 		Stop()
 	if !g.handOver() {
-		defer time.AfterFunc(transport.Millis(policy.StopAcceptMillis+policy.StopIdleMillis), g.limit.Hurry).Stop()
+		defer time.AfterFunc(transport.Millis(policy.StopAcceptMillis+policy.StopIdleMillis),
+			g.limit.HurryReads).Stop()
 		time.Sleep(transport.Millis(policy.StopAcceptMillis))
 		if g.portal != nil {
 			g.portal.Close()
@@ -87,8 +88,8 @@
 		_ = g.history.Close()
 	}
 	t := g.desk.Tally()
-	e := g.log.Info().Ints("finals", t.FinalByReason[:]).Int64("unreadable", g.front.Broken()).
-		Int64("clients_shed", g.limit.Shed()).Int64("links_spoilt", g.links.Spoilt())
+	e := g.log.Info().Ints("finals", t.FinalByReason[:]).Int64("unreadable", g.front.MalformedRequests()).
+		Int64("clients_shed", g.limit.Evicted()).Int64("links_spoilt", g.links.StaleConns())
 	for name, n := range inflight.Violations() {
 		e = e.Int64("broken_"+name, n)
 	}
--- a/internal/gateway/proxy/attempt_test.go
+++ b/internal/gateway/proxy/attempt_test.go
@@ -50,7 +50,7 @@
 		}
 	}()
 	at := listener.Addr().(*net.TCPAddr).AddrPort()
-	return endpoints.List{Whole: true, Workers: []endpoints.Worker{{Name: "w", Address: at, Active: true}}},
+	return endpoints.List{Snapshot: true, Workers: []endpoints.Worker{{Name: "w", Address: at, Active: true}}},
 		received
 }
 
@@ -58,8 +58,8 @@
 // the lease that is valid then. Guards against an attempt by a ruleset that is not in force any more.
 func TestLeaseExpiresBeforeWrite(t *testing.T) {
 	list, received := countingWorker(t)
-	links := transport.NewLinks(8, time.Second, time.Second)
-	d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, links.Shed)
+	links := transport.NewWorkerPool(8, time.Second, time.Second)
+	d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, links.CloseIdle)
 	t.Cleanup(d.Stop)
 	var recorded history.Memory
 	d.RecordHistory(recorded.As("n", 1))
@@ -71,7 +71,7 @@
 	}
 	time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
 	proxy := New(d, links)
-	request := d.admit(&transport.Txn{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1,
+	request := d.admit(&transport.Request{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1,
 		TimeLeftMillis: 900}})
 	command := <-request.Commands
 	if command.Decision.Kind != policy.Submit || command.Lease != first {
@@ -92,7 +92,7 @@
 		t.Errorf("then decided %+v under %+v", command.Decision, command.Lease)
 	}
 	second.Revoke() // what is decided after the end of all leases is under none of them
-	request = d.admit(&transport.Txn{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1,
+	request = d.admit(&transport.Request{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1,
 		TimeLeftMillis: 900}})
 	if command = <-request.Commands; command.Decision.Kind != policy.Reject {
 		t.Errorf("without a lease decided %+v", command.Decision)
@@ -116,14 +116,14 @@
 	command inflight.Command, received <-chan int) {
 	t.Helper()
 	list, received := countingWorker(t)
-	links := transport.NewLinks(8, time.Second, time.Second)
+	links := transport.NewWorkerPool(8, time.Second, time.Second)
 	charter := testCharter()
 	charter.Products = []policy.Product{product}
-	d := NewDispatcher(charter, 1, 5, func(int, []byte) {}, links.Shed)
+	d := NewDispatcher(charter, 1, 5, func(int, []byte) {}, links.CloseIdle)
 	t.Cleanup(d.Stop)
 	d.ApplyEndpoints(list)
 	time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
-	request = d.admit(&transport.Txn{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1,
+	request = d.admit(&transport.Request{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1,
 		TimeLeftMillis: 5000}})
 	command = <-request.Commands
 	cut := &transport.Answer{Outcome: policy.ConnectionLost}
@@ -183,7 +183,7 @@
 			Idempotency: policy.Deduplicated, DedupScope: group, DedupWindowMillis: 4000})
 		moved := endpoints.Worker{Name: "w", Address: command.Upstream.Addr, Active: true}
 		move(&moved)
-		proxy.dispatcher.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{moved}})
+		proxy.dispatcher.ApplyEndpoints(endpoints.List{Snapshot: true, Workers: []endpoints.Worker{moved}})
 		attempt := delivery{request: request, command: command, message: []byte("GET / HTTP/1.1\r\n\r\n")}
 		answer, link, _ := proxy.exchange(attempt, time.Now().Add(time.Second))
 		if answer == nil || answer.Outcome != policy.NotSent || link != nil {
@@ -226,17 +226,18 @@
 func TestSentIsMarked(t *testing.T) {
 	list, _ := countingWorker(t)
 	for _, sent := range []bool{false, true} {
-		links := transport.NewLinks(8, time.Second, time.Second)
-		d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, links.Shed)
+		links := transport.NewWorkerPool(8, time.Second, time.Second)
+		d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, links.CloseIdle)
 		t.Cleanup(d.Stop)
 		if sent {
 			d.ApplyEndpoints(list)
 		}
 		time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
-		request := &transport.Txn{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 900},
-			Method: []byte("GET"), Target: []byte("/a"), Mark: []byte("1")}
-		if final := New(d, links).Serve(request); request.Sent != sent {
-			t.Errorf("sent %v, want %v; ended with %+v", request.Sent, sent, final)
+		request := &transport.Request{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1,
+			TimeLeftMillis: 900},
+			Method: []byte("GET"), Target: []byte("/a"), RequestID: []byte("1")}
+		if final := New(d, links).Serve(request); request.MaybeSent != sent {
+			t.Errorf("sent %v, want %v; ended with %+v", request.MaybeSent, sent, final)
 		}
 	}
 }
@@ -249,16 +250,16 @@
 	other, otherReceived := countingWorker(t)
 	other.Workers[0].Name = "v"
 	list.Workers = append(list.Workers, other.Workers[0])
-	links := transport.NewLinks(8, time.Second, time.Second)
+	links := transport.NewWorkerPool(8, time.Second, time.Second)
 	charter := testCharter()
 	charter.AllowHedging = true
 	charter.Products = []policy.Product{{LatencyTargetMillis: 100, Value: 1, Idempotency: policy.Deduplicated,
 		DedupWindowMillis: 5000}}
-	d := NewDispatcher(charter, 1, 5, func(int, []byte) {}, links.Shed)
+	d := NewDispatcher(charter, 1, 5, func(int, []byte) {}, links.CloseIdle)
 	t.Cleanup(d.Stop)
 	d.ApplyEndpoints(list)
 	time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
-	request := d.admit(&transport.Txn{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1,
+	request := d.admit(&transport.Request{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1,
 		TimeLeftMillis: 5000}})
 	first := <-request.Commands
 	second := <-request.Commands // the first attempt's worker is silent
@@ -302,14 +303,14 @@
 			charter.Plans[0] = policy.Plan{QuotaPerSecond: 1e9, QuotaBurst: 1e9, RateLimitPerSecond: 1e9,
 				RateLimitBurst: 1e9, ValueFactor: 1}
 			d.policy = policy.New(charter, 1)
-			d.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
+			d.ApplyEndpoints(endpoints.List{Snapshot: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
 			if name == "credit" || name == "lent" {
 				if charter.Plans[0].CreditSeconds, charter.Plans[0].RepayWithinMillis = 1, 2e3; name == "lent" {
 					charter.Plans[0] = policy.Plan{QuotaPerSecond: 1e-3, CreditSeconds: 1e12, RepayWithinMillis: 2e15,
 						ValueFactor: 1}
 				}
 				d.policy = policy.New(charter, 1)
-				d.ApplyEndpoints(endpoints.List{Whole: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
+				d.ApplyEndpoints(endpoints.List{Snapshot: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
 				lines, _ := CreditLines(charter.Plans)
 				d.EnableBorrowing(
 					borrowing.New(borrowing.Terms{Gatekeepers: 1, Plans: lines}, 1, -1e18),
@@ -322,8 +323,8 @@
 				d.ApplyRuleset(inflight.NewLease(1, history.Leased, bootclock.Nanos()+3600e9), charter)
 			}
 			time.Sleep(10 * time.Millisecond)
-			t := &transport.Txn{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 900}}
-			t.Mark = []byte("0123456789abcdef")
+			t := &transport.Request{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 900}}
+			t.RequestID = []byte("0123456789abcdef")
 			message := make([]byte, 0, 512)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -332,15 +333,15 @@
 				if command.Decision.Kind != policy.Submit || !command.Lease.Valid() {
 					b.Fatal(command.Decision)
 				}
-				version := int64(transport.Ruleless)
+				version := int64(transport.NoRuleset)
 				if command.Lease != nil {
 					version = int64(command.Lease.RulesetVersion)
 				}
 				var offset int
-				message, offset = transport.AppendSubmission(message[:0], t, version)
-				transport.TellLeft(message, offset, transport.Millis(command.Decision.AtMillis-d.clock.now()))
+				message, offset = transport.AppendAttempt(message[:0], t, version)
+				transport.SetRemaining(message, offset, transport.Millis(command.Decision.AtMillis-d.clock.now()))
 				d.attemptEnded(request, 0, command.Decision.Worker,
-					&transport.Answer{Outcome: policy.Succeeded, Heard: true}, 1)
+					&transport.Answer{Outcome: policy.Succeeded, FromWorker: true}, 1)
 			}
 		})
 	}
--- a/internal/lab/scale/words.go
+++ b/internal/lab/scale/words.go
@@ -89,7 +89,7 @@
 			AllowCancel:     true,
 			AllowRetryAfter: true, MaxRetryAfterMillis: 10000, AllowGossip: true,
 			PeerMessagesPerSecond: s.Words.TakesPerS,
-			ReportsPerMessage:     transport.Room, TotalWeight: 1,
+			ReportsPerMessage:     transport.MaxReportsPerMessage, TotalWeight: 1,
 			Products: []policy.Product{{LatencyTargetMillis: wordsSLA, Value: 1}},
 			Plans:    []policy.Plan{{QuotaPerSecond: rate, QuotaBurst: rate * wordsBurst, ValueFactor: 1}}}
 		x := &speaker{w: w, place: place, gk: policy.New(c, s.Seed+int64(place)), peers: map[int]bool{}}
