--- a/internal/gateway/transport/discovery.go
+++ b/internal/gateway/transport/discovery.go
@@ -25,8 +25,7 @@
 }
 
 // openDelayMillis is the pause before an opening, so long after the first one, ms: after so many tries in a
-// row that
-// cost discovery something in vain, where it has been owed what it had for so long.
+// row that cost discovery something in vain, where it has been owed what it had for so long.
 func (t WatchTiming) openDelayMillis(failures int, elapsed, owed time.Duration) float64 {
 	due := policy.WatchCatchUpMillis
 	if elapsed < Millis(t.DueMillis) {
@@ -108,8 +107,7 @@
 }
 
 // watchOnce opens the watch and follows it until it ends. The answer's head has its time, and from then on
-// the
-// first word WatchHeartbeatTimeoutMillis. A list that begins later has to be whole within the time for a
+// the first word WatchHeartbeatTimeoutMillis. A list that begins later has to be whole within the time for a
 // silence.
 func (w *watch) watchOnce(ctx context.Context) error {
 	w.connected, w.received, w.wentSilent, w.owedSince = false, false, false, time.Now()
--- a/internal/gateway/transport/discovery_test.go
+++ b/internal/gateway/transport/discovery_test.go
@@ -115,8 +115,7 @@
 }
 
 // scriptedDiscovery is what discovery does with one call after another, until the watcher leaves. In what it
-// says "^" is
-// the head, "~" a second's wait and "$" the end; the rest comes in chunks of a byte.
+// says "^" is the head, "~" a second's wait and "$" the end; the rest comes in chunks of a byte.
 func scriptedDiscovery(t *testing.T, scripts ...string) (dial func(context.Context, string,
 	string) (net.Conn, error),
 	versions chan string) {
--- a/internal/gateway/transport/frontend.go
+++ b/internal/gateway/transport/frontend.go
@@ -329,8 +329,7 @@
 }
 
 // writeFinal gives a txn its final answer, and tells whether that was written whole. It is counted here, as
-// what
-// its client got. Only the module's declines are 429: it says that trying again is harmless.
+// what its client got. Only the module's declines are 429: it says that trying again is harmless.
 func (f *Frontend) writeFinal(conn *clientConn, x *exchange, product int, final FinalAnswer) bool {
 	counts := &f.finalCounts[product]
 	var err error
@@ -386,8 +385,7 @@
 }
 
 // openRequests are the marks of the txns that are open. Guards against a client that sends another's mark:
-// two txns
-// of one mark could not be told apart by workers.
+// two txns of one mark could not be told apart by workers.
 type openRequests struct {
 	mu   sync.Mutex
 	byID map[string]*openRequest
--- a/internal/gateway/transport/listener.go
+++ b/internal/gateway/transport/listener.go
@@ -13,9 +13,8 @@
 )
 
 // LimitListener is a listener that has no more than so many connections open at once. One more is held back:
-// until
-// it has a place, connections end with their next answer, and one is ended that has sent no whole txn so far,
-// or else has long asked nothing. Nobody is turned away with an answer that no one decided on.
+// until it has a place, connections end with their next answer, and one is ended that has sent no whole txn
+// so far, or else has long asked nothing. Nobody is turned away with an answer that no one decided on.
 type LimitListener struct {
 	net.Listener
 	limit     int
@@ -157,9 +156,8 @@
 }
 
 // evictionOrder are the states in which connections give up their places to others, in this order, and after
-// how
-// many ms without a byte. Guards against crowds that never finish a txn; slow honest ones go on sending. One
-// that parts has had its answers, and they have had time to reach its client.
+// how many ms without a byte. Guards against crowds that never finish a txn; slow honest ones go on sending.
+// One that parts has had its answers, and they have had time to reach its client.
 var evictionOrder = [...]struct {
 	state      int32
 	idleMillis float64
@@ -175,9 +173,8 @@
 }
 
 // BeginSoftDrain lets connections end with their next answer, and the idle ones one after another: those
-// first
-// that have asked nothing for longest, all within DrainIdleMillis. Guards against one that is ended while a
-// txn is on its way. It does so until Welcome; a second call changes nothing.
+// first that have asked nothing for longest, all within DrainIdleMillis. Guards against one that is ended
+// while a txn is on its way. It does so until Welcome; a second call changes nothing.
 func (l *LimitListener) BeginSoftDrain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -215,9 +212,8 @@
 }
 
 // closeIdle ends the connections that have asked nothing for so long, each once nothing lies unread in it,
-// and
-// tells whether any is left. Guards against ending one with a txn in it that the machine has taken, and new
-// ones whose first txn is on its way.
+// and tells whether any is left. Guards against ending one with a txn in it that the machine has taken, and
+// new ones whose first txn is on its way.
 func (l *LimitListener) closeIdle(idleFor time.Duration) (remaining bool) {
 	l.mu.Lock()
 	var waiting []*clientConn
@@ -407,9 +403,8 @@
 func (c *clientConn) isEnded() bool { return c.state.Load() == stateEnded }
 
 // tryEnd ends a connection that is in one of these states: no more is sent on it, and none read. Guards
-// against
-// one in which a txn lies unread: the machine has taken it. One that comes in this very moment stays unread,
-// and its client, which meets the end, sends it again elsewhere. Who reads from it closes it.
+// against one in which a txn lies unread: the machine has taken it. One that comes in this very moment stays
+// unread, and its client, which meets the end, sends it again elsewhere. Who reads from it closes it.
 func (c *clientConn) tryEnd(states ...int32) bool {
 	c.readMu.Lock()
 	ended := false
@@ -433,10 +428,10 @@
 }
 
 // closeGracefully says that no more will come, and waits for a while until the client has ended the
-// connection too.
-// Guards against an answer that is lost with it: closed over unread bytes, or before bytes that are on their
-// way, the connection would be reset (Stevens, TCP/IP Illustrated, 18.7; nginx lingers for the same). Nothing
-// is read meanwhile: a txn that has crossed the end is not taken, and its client sends it again.
+// connection too. Guards against an answer that is lost with it: closed over unread bytes, or before bytes
+// that are on their way, the connection would be reset (Stevens, TCP/IP Illustrated, 18.7; nginx lingers for
+// the same). Nothing is read meanwhile: a txn that has crossed the end is not taken, and its client sends it
+// again.
 func (c *clientConn) closeGracefully() {
 	socket, ok := c.Conn.(interface {
 		CloseWrite() error
@@ -473,16 +468,14 @@
 }
 
 // shouldClose tells whether the connection should end with its next answer. Guards against hundreds that ask
-// once
-// and stay: idle ones may not be ended at once, and would take every place from those that go on asking.
+// once and stay: idle ones may not be ended at once, and would take every place from those that go on asking.
 func (c *clientConn) shouldClose() bool {
 	return c.listener.waiting.Load() || c.listener.draining.Load() || !c.proven && c.listener.nearLimit()
 }
 
 // queuedMillis is how long, ms, what was read last may have lain before: at this machine while the connection
-// waited
-// for its place, or in its buffer behind the txn before. Guards against a client's time that is counted from
-// its turn on: what is left of it is told to workers, and bounds the answer.
+// waited for its place, or in its buffer behind the txn before. Guards against a client's time that is
+// counted from its turn on: what is left of it is told to workers, and bounds the answer.
 func (c *clientConn) queuedMillis() float64 {
 	socket, ok := c.Conn.(interface{ SinceLastReceive() time.Duration })
 	if c.waitingSince.IsZero() || !ok {
@@ -496,8 +489,7 @@
 }
 
 // isQuiescent tells whether a connection is up and nothing lies unread in it. Where that cannot be seen it
-// counts
-// as quiet, or a stop would never end.
+// counts as quiet, or a stop would never end.
 func isQuiescent(conn net.Conn) bool {
 	socket, ok := conn.(interface{ Quiescent() bool })
 	return !ok || socket.Quiescent()
--- a/internal/gateway/transport/request.go
+++ b/internal/gateway/transport/request.go
@@ -63,9 +63,8 @@
 const chunkedLength = -1
 
 // DecodeRequest reads a txn's head; its method and target may be another's than the head's own, who asks on
-// its
-// behalf. Where nameless txns are taken, a head may lack the customer. An error is the client's fault, and
-// says what is wrong.
+// its behalf. Where nameless txns are taken, a head may lack the customer. An error is the client's fault,
+// and says what is wrong.
 func DecodeRequest(head *fasthttp.RequestHeader, method, target []byte, names *config.Names,
 	charter *policy.Settings,
 	allowAnonymous bool) (Request, error) {
@@ -119,8 +118,8 @@
 }
 
 // checkUnambiguous checks that a head can be read in one way only. Guards against a request that hides
-// another in its
-// body: two statements of its length, or lines that not all readers end or begin in the same place.
+// another in its body: two statements of its length, or lines that not all readers end or begin in the same
+// place.
 func checkUnambiguous(head []byte) error {
 	hasLength, hasTransferEncoding := false, false
 	for len(head) > 0 {
--- a/internal/gateway/transport/request_body.go
+++ b/internal/gateway/transport/request_body.go
@@ -191,8 +191,7 @@
 }
 
 // limitSendBuffer bounds what the kernel holds of what is sent on a connection. Guards against megabytes in
-// hand for
-// each slow reader, and a wait for room, when they are full, that looks like one that reads nothing.
+// hand for each slow reader, and a wait for room, when they are full, that looks like one that reads nothing.
 func limitSendBuffer(conn net.Conn) {
 	if socket, ok := conn.(interface{ SetWriteBuffer(int) error }); ok {
 		_ = socket.SetWriteBuffer(policy.SendBufferBytes)
--- a/internal/gateway/transport/socket_linux.go
+++ b/internal/gateway/transport/socket_linux.go
@@ -14,9 +14,8 @@
 )
 
 // directConn is a TCP connection that reads and writes without a word to the runtime's scheduler. Its socket
-// never
-// blocks, so nothing is lost by that; but each ordinary call after an idle moment wakes the runtime's monitor
-// thread, which then costs a fifth of all CPU at some tens of txns a second.
+// never blocks, so nothing is lost by that; but each ordinary call after an idle moment wakes the runtime's
+// monitor thread, which then costs a fifth of all CPU at some tens of txns a second.
 type directConn struct {
 	*net.TCPConn
 	raw              syscall.RawConn
@@ -135,8 +134,8 @@
 }
 
 // peerHasClosed tells whether the other side has ended the connection, by its state at the kernel: bytes that
-// lie
-// unread hide the end behind them from any look at what has come. Where the state can't be asked it is no.
+// lie unread hide the end behind them from any look at what has come. Where the state can't be asked it is
+// no.
 func (c *directConn) peerHasClosed() (closed bool) {
 	_ = c.raw.Control(func(fd uintptr) {
 		var state [8]byte
--- a/internal/gateway/transport/worker_connection.go
+++ b/internal/gateway/transport/worker_connection.go
@@ -164,9 +164,8 @@
 }
 
 // SetRemaining fills in how much of its client's time is left for a submission, in whole us, and gives what
-// is to
-// be sent. It is for the moment before the first byte, and once: room that the figure does not need is given
-// up ahead of the message, and what stands before the figure moves up to it. Nothing is allocated.
+// is to be sent. It is for the moment before the first byte, and once: room that the figure does not need is
+// given up ahead of the message, and what stands before the figure moves up to it. Nothing is allocated.
 func SetRemaining(message []byte, offset int, remaining time.Duration) []byte {
 	var digits [len(remainingPlaceholder)]byte
 	text := strconv.AppendInt(digits[:0], min(max(remaining.Microseconds(), 0), maxRemainingMicros), 10)
@@ -214,8 +213,8 @@
 }
 
 // SetDeadline sets the moment at which whatever waits on the link gives up; the zero time is never. It
-// changes
-// nothing for an answer of which the rest is left to be passed on: that is the client's, and has no expiry.
+// changes nothing for an answer of which the rest is left to be passed on: that is the client's, and has no
+// expiry.
 func (c *WorkerConn) SetDeadline(deadline time.Time) {
 	c.deadlineNanos.Store(0)
 	if !deadline.IsZero() && !c.forwarding.Load() {
@@ -351,8 +350,7 @@
 }
 
 // readBody reads an answer's body, whole where it is short and comes at once. A longer one has gone on coming
-// for
-// as long, or fills what is kept: the rest of it is left to be passed on.
+// for as long, or fills what is kept: the rest of it is left to be passed on.
 func (c *WorkerConn) readBody(response *fasthttp.Response, answer *Answer) error {
 	answer.Length = max(response.Header.ContentLength(),
 		chunkedLength) // the library has another number for an end by connection
@@ -384,8 +382,7 @@
 }
 
 // bufferBody reads a body until its end, or, where that is not stated, until it has filled what is kept or
-// has been
-// coming for some time, and tells whether it is whole.
+// has been coming for some time, and tells whether it is whole.
 func (c *WorkerConn) bufferBody(unknownLength bool, source io.Reader) (body []byte, complete bool,
 	err error) {
 	body = make([]byte, 0, 512)
@@ -426,8 +423,7 @@
 var loadFieldNames = [...][2]string{{"inflight", "concurrent"}, {"queue", "depth"}, {"util", "load_share"}}
 
 // parseLoad reads what a worker said of its load. A report that is missing or cannot be read says nothing,
-// and so
-// does what is no number of nought or more in it.
+// and so does what is no number of nought or more in it.
 func parseLoad(head *fasthttp.ResponseHeader) policy.WorkerLoad {
 	var fields map[string]any
 	if values := head.PeekAll("X-Load"); len(values) != 1 || json.Unmarshal(values[0], &fields) != nil {
@@ -446,8 +442,7 @@
 }
 
 // readHead reads an answer's head, past the interim ones ahead of it. Until a head has begun nothing pauses,
-// and
-// nothing does behind an interim one that came while the body of its submission still goes out.
+// and nothing does behind an interim one that came while the body of its submission still goes out.
 func (c *WorkerConn) readHead(response *fasthttp.Response, answer *Answer) error {
 	for interim := 0; ; interim++ {
 		if interim == 0 || answer.early {
@@ -478,8 +473,7 @@
 }
 
 // awaitUntilDeadline has reads wait until the moment to give up, and no shorter, also where a pause has been
-// set. Guards
-// against one that is set meanwhile.
+// set. Guards against one that is set meanwhile.
 func (c *WorkerConn) awaitUntilDeadline(resetDeadline bool) {
 	for c.stallTimeout = 0; resetDeadline; {
 		deadlineNanos, deadline := c.deadlineNanos.Load(), time.Time{}
