--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -1,6 +1,65 @@
-package policy // which txns are let in: quotas, the shares that they are divided into, and pressure
-
-import "math"
+package policy
+
+import (
+	"math"
+)
+
+// The congestion window and load shedding.
+const (
+	// targetPressureFraction is the mean response time, as a fraction of the latency target, above which the
+	// window shrinks; more is allowed where late answers still have value.
+	targetPressureFraction = 0.25
+	// lateValueSlackFactor is how many such fractions slower answers may get for each unit of value that late
+	// answers keep.
+	lateValueSlackFactor = 2.0
+	// pressureGain is the weight of the newest response in the smoothed pressure.
+	pressureGain = 0.08
+	// windowUseFraction of the window has to be in use for it to grow.
+	windowUseFraction = 0.7
+	// windowLeapPressureFraction of the target pressure: under it the window grows by leaps.
+	windowLeapPressureFraction = 0.5
+	// windowLeapPerResponse is the growth by a response then; less where the window is small.
+	windowLeapPerResponse = 0.2
+	// windowGrowthPerRound is the growth over one window's worth of responses otherwise.
+	windowGrowthPerRound = 1.0
+	// minWindowPerWorker is the window, in attempts for each warm worker and over all gateways, that it starts
+	// at and never goes below,
+	minWindowPerWorker = 1.5
+	// minWindowDeviations standard deviations of a gateway's part are added, as chance does not even out in a
+	// small part,
+	minWindowDeviations = 2.5
+	// and maxMinWindowAllowanceFactor bounds that addition, in parts: over the gateways of a large set it adds
+	// up.
+	maxMinWindowAllowanceFactor = 2.0
+	// sheddingWindowFraction is how much smaller the window is that the least valuable requests see, where only
+	// the total value counts.
+	sheddingWindowFraction = 0.4
+	// sheddingFairnessFactor is how fast that falls with the weight of the worst-served plan.
+	sheddingFairnessFactor = 2.5
+	// minWindowCutFraction of its use is what one cut leaves of the window, at least.
+	minWindowCutFraction = 0.7
+	// windowCutPauseMillis is the time between two cuts: the delay of the control loop is that of a response.
+	windowCutPauseMillis = 150.0
+	// spareWindowFraction of the window: with less in flight there is capacity for requests beyond a quota,
+	spareWindowFraction = 0.5
+	// while the pressure is also under sparePressureFraction of its target.
+	sparePressureFraction = 0.4
+	// shortDeadlineResponses is the time left, in mean responses, under which a request counts as one with a
+	// short deadline.
+	shortDeadlineResponses = 3.5
+	// minShortDeadlineSuccessFraction is the part of a plan's short-deadline requests that has to succeed for
+	// more of them to be admitted: with fewer they waste more work than they bring value.
+	minShortDeadlineSuccessFraction = 0.65
+	// shortDeadlineProbeFraction of them is admitted all the same, to notice when that changes.
+	shortDeadlineProbeFraction = 0.1
+	// shortDeadlineGain is the weight of the newest outcome in that part.
+	shortDeadlineGain = 0.1
+	// minTimeLeftResponses is the time left, in mean responses, under which a request is not worth a worker's
+	// time.
+	minTimeLeftResponses = 1.0
+	// overloadRetryTargetFraction of the latency target is the retry-after time of a rejection under load.
+	overloadRetryTargetFraction = 0.25
+)
 
 // admit decides on a txn's first submission: BySettled lets it in, else the reason and when to return.
 func (e *Engine) admit(request *requestState) (FinalReason, float64) {
@@ -49,200 +108,14 @@
 	return ReasonSucceeded, 0
 }
 
-// spare tells whether there is capacity for txns beyond a quota: little of the window is in use, and answers
-// are quick. Among many gatekeepers each has few submissions out, however pressed the fleet.
+// hasSpareCapacity tells whether there is capacity for txns beyond a quota: little of the window is in use,
+// and answers are quick. Among many gatekeepers each has few submissions out, however pressed the fleet.
 func (e *Engine) hasSpareCapacity() bool {
 	return float64(e.inFlight) < spareWindowFraction*e.window &&
 		e.pressure < sparePressureFraction*targetPressureFraction
 }
 
-// fill brings a customer's slice, and the quota's one store as far as it is known here, up to now.
-func (e *Engine) refill(account *customerAccount) {
-	plan := &e.plans[account.plan]
-	elapsedMillis := e.now - account.filledAt
-	if elapsedMillis <= 0 {
-		return
-	}
-	rate := plan.ratePerMilli
-	if account.hot && account.setSize > 1 {
-		// Guards against peers that spend unheard: their messages or ours are lost, or they are cut off.
-		rate -= (rate - account.sharePerMilli) * float64(e.silentPeersOf(account)) / float64(account.setSize-1)
-	}
-	account.quotaTokens = math.Min(account.quotaTokens+elapsedMillis*rate, e.storeDepth(plan, plan.ratePerMilli))
-	account.shareTokens = math.Min(account.shareTokens+elapsedMillis*account.sharePerMilli, e.storeDepth(plan,
-		account.sharePerMilli))
-	account.peerDemand = math.Max(account.peerDemand*math.Exp(-elapsedMillis/plan.demandWindowMillis), 0)
-	account.peerSpent *= math.Exp(-elapsedMillis / peerSpendWindowMillis)
-	account.filledAt = e.now
-}
-
-// roomWait is how long until the quota's store, as known here, has the units and peers' unheard; 0 is now.
-func (e *Engine) quotaWait(account *customerAccount, units float64) float64 {
-	e.refill(account)
-	priorDemand := e.ownDemand(account) - units/e.plans[account.plan].demandWindowMillis
-	reservePerMilli := math.Max(account.peerSpent/peerSpendWindowMillis,
-		priorDemand*float64(min(account.setSize-1, maxAlikePeers)))
-	unheardMillis := unheardSpendIntervals * e.derived.reportIntervalMillis
-	if e.reportsImmediately(account) {
-		unheardMillis = immediateDelayMillis
-	}
-	missingUnits := units + account.reservedQuotaUnits + reservePerMilli*unheardMillis - account.quotaTokens
-	return math.Max(missingUnits/e.plans[account.plan].ratePerMilli, 0)
-}
-
-// sliceWait is how long until a customer's own slice has the units; 0 is now.
-func (e *Engine) shareWait(account *customerAccount, units float64) float64 {
-	e.refill(account)
-	if units += account.reservedQuotaUnits; account.shareTokens >= units-1e-9 {
-		return 0
-	}
-	share := account.sharePerMilli
-	if e.isSparse(account) {
-		share = e.sparseRate(account)
-	}
-	if share <= 0 {
-		return math.MaxFloat64
-	}
-	return (units - account.shareTokens) / share
-}
-
-// account finds or opens the account of an arrival, and fills in what only a txn tells.
-func (e *Engine) accountFor(arrival Request) int32 {
-	accountIndex, ok := e.accountByCustomer[uint32(arrival.Customer)]
-	if !ok {
-		accountIndex = e.openAccount(arrival.Customer&math.MaxUint32, arrival.Plan)
-	}
-	account := &e.accounts[accountIndex]
-	n, first := min(max(arrival.SetSize, 1), e.derived.gatewayCount), max(arrival.FirstGateway,
-		0)%e.derived.gatewayCount
-	// new, known from peers alone, of another set or plan
-	if account.setSize != n || account.firstGateway != first || account.plan != arrival.Plan {
-		plan, from, most := &e.plans[arrival.Plan], e.rateLimitBase, math.Inf(1)
-		if ok && account.setSize == 0 {
-			e.remoteOnlyAccounts--
-		} else if ok && (account.setSize != n || account.firstGateway != first) {
-			// others may have had its part meanwhile, or have it still
-			from, most = e.now, account.shareTokens
-		}
-		if account.plan != arrival.Plan {
-			account.quotaTokens = e.storeDepth(plan, plan.ratePerMilli)
-		}
-		account.plan, account.setSize, account.firstGateway = arrival.Plan, n, first
-		if plan.rateLimitPerMilli > 0 {
-			// A former life of this gatekeeper may have spent its whole slice just before it ended.
-			account.rateLimitFullAt = math.Max(account.rateLimitFullAt,
-				from+plan.rateLimitBurst/plan.rateLimitPerMilli)
-		}
-		if account.shareTokens = math.Min(e.initialShareTokens(account), most); e.isSparse(account) {
-			// of many that fill slowly, chance spreads the turns
-			account.shareTokens = plan.quotaCost(arrival.Units) * e.rng.Float64()
-		}
-		e.updateShare(account)
-	}
-	return accountIndex
-}
-
-// startLevel is what a slice holds at first: full, though without the rounding up to the largest txn, which
-// over all gatekeepers of a large set would come to many times the quota's burst.
-func (e *Engine) initialShareTokens(account *customerAccount) float64 {
-	return e.coldShare(account) * e.plans[account.plan].burstMillis
-}
-
-// coldSlice is what a cold customer runs at, units a ms.
-func (e *Engine) coldShare(account *customerAccount) float64 {
-	return e.plans[account.plan].ratePerMilli / float64(max(account.setSize, 1)) * coldShareFraction
-}
-
-// reshare sets a customer's share: the cold slice, or the floor and its part of the rest by demand.
-func (e *Engine) updateShare(account *customerAccount) {
-	rate, n := e.plans[account.plan].ratePerMilli, float64(max(account.setSize, 1))
-	if e.isSparse(account) { // the rest is credited as demand comes
-		account.sharePerMilli = rate * floorFraction / n
-		return
-	}
-	if !account.hot {
-		account.sharePerMilli = e.coldShare(account)
-		return
-	}
-	own, total := e.ownDemand(account), e.totalDemand(account)
-	if total <= 0 {
-		account.sharePerMilli = rate / n
-		return
-	}
-	account.sharePerMilli = rate*floorFraction/n + rate*(1-floorFraction)*own/total
-}
-
-// total is a customer's demand at all its gatekeepers, as far as it is known here.
-func (e *Engine) totalDemand(account *customerAccount) float64 {
-	plan, others := &e.plans[account.plan], account.peerDemand
-	// not all have spoken yet
-	if intervalsSinceStart := (e.now - e.startedAt) / e.derived.reportIntervalMillis; plan.sparse &&
-		intervalsSinceStart < 1 {
-		others /= math.Max(intervalsSinceStart, startupIntervalFraction)
-	}
-	heardDemand := e.ownDemand(account) + others*plan.decayCompensation
-	total := heardDemand + account.silentPeerDemand
-	// a silent peer that never spoke of the customer counts as the mean of those that may speak
-	if account.setSize > 1 {
-		silentPeers := e.silentPeersOf(account)
-		total += heardDemand / float64(max(account.setSize-silentPeers, 1)) *
-			float64(max(silentPeers-account.silentPeers, 0))
-	}
-	return total
-}
-
-// sparse tells whether a customer's slices are too small to hold a txn, over many gatekeepers.
-func (e *Engine) isSparse(account *customerAccount) bool {
-	return e.plans[account.plan].sparse && account.setSize > 0 &&
-		e.initialShareTokens(account) < e.plans[account.plan].maxUnits
-}
-
-// prompt tells whether a customer's set is so small that each txn sent on is told at once.
-func (e *Engine) reportsImmediately(account *customerAccount) bool {
-	return e.derived.immediatePerMilli > 0 && !e.handedOff && account.setSize > 1 &&
-		account.setSize <= maxImmediateSetSize
-}
-
-// blind tells whether news of a customer's whole store comes too late to go by.
-func (e *Engine) quotaUnseen(account *customerAccount) bool {
-	return !e.reportsImmediately(account) && e.isSparse(account)
-}
-
-// credit puts in a sparse slice what units asked here bring it of the split, rate x (1 - beta) x own / total,
-// at once and not over the memory: a gatekeeper that sees a txn in many seconds would have it too late.
-func (e *Engine) creditSparseShare(account *customerAccount, units float64) {
-	plan, total := &e.plans[account.plan], e.totalDemand(account)
-	// Guards against bursts that end before a word of them comes: what was asked here in the last second, scaled
-	// up by this gatekeeper's usual part of the customer's demand, is taken to be asked at the peers too.
-	recentDemand := account.recentDemand * math.Exp((account.lastRequestAt-e.now)/demandWindowMillis)
-	usualFraction := math.Max(e.ownDemand(account)-recentDemand*demandWindowMillis/plan.demandWindowMillis, 0) /
-		math.Max(total, 1e-9)
-	total = math.Max(total, recentDemand/math.Min(usualFraction+1/float64(account.setSize), 1))
-	if splitFraction := plan.ratePerMilli * (1 - floorFraction) / math.Max(total, 1e-12); splitFraction < 1 {
-		account.shareTokens += units * splitFraction
-	} else {
-		account.shareTokens = math.Max(account.shareTokens, units)
-	}
-}
-
-// mostOut is how many submissions a quota on those out should have out on average: where one more earns no
-// more than it costs, as many gatekeepers that don't see each other's meet by chance.
-func bestInFlight(plan Plan) float64 {
-	best, most, step := 0.0, 0.0, math.Max(inFlightSearchStep, float64(plan.MaxInFlight)/maxInFlightSearchSteps)
-	for a := step; a <= float64(plan.MaxInFlight); a += step {
-		inside, term := 0.0, math.Exp(-a)
-		for k := range plan.MaxInFlight { // Poisson: fewer than the limit are out
-			inside, term = inside+term, term*a/float64(k+1)
-		}
-		if earns := a * (inside + (1-inside)*math.Min(plan.ExcessValueFraction-plan.ExcessCostFraction,
-			0)); earns > best {
-			best, most = earns, a
-		}
-	}
-	return most
-}
-
-// pressed takes one answer's time over its SLA time, and moves the window.
+// recordPressure takes one answer's time over its SLA time, and moves the window.
 func (e *Engine) recordPressure(pressure float64) {
 	e.pressure += pressureGain * (math.Min(pressure, 1) - e.pressure)
 	switch {
@@ -259,12 +132,12 @@
 	}
 }
 
-// room is how many submissions may be out now.
+// currentWindow is how many submissions may be out now.
 func (e *Engine) currentWindow() float64 {
 	return e.window + e.stallAllowance*math.Exp((e.stalledUntil-e.now)/stallAllowanceDecayMillis)
 }
 
-// leastWindow is what the window starts at and keeps, leastOf the same of any part. Few txns swing much, and
+// minWindow is what the window starts at and keeps, leastOf the same of any part. Few txns swing much, and
 // no other gatekeeper can lend its room: without the allowance many decline while workers idle.
 func (e *Engine) minWindow() float64 {
 	return minWindowFor(minWindowPerWorker * math.Max(e.warmEquivalents, 1) / float64(e.derived.gatewayCount))
--- a/internal/policy/checkpoint.go
+++ b/internal/policy/checkpoint.go
@@ -5,25 +5,31 @@
 	"slices"
 )
 
-// This file holds what a gatekeeper that was killed may know again of what fades: quotas, demand, and what
-// peers said. Its ceilings are the residue's alone, and what was known of workers is not kept, as it does
-// harm.
+// This file holds what is restored after a crash of the state that fades: quotas, demand, and what peers have
+// reported. Rate limits are the crash state's alone. What was known of workers is not kept, as it does harm.
 
 const (
-	// customers, or peers' reports, in a piece of a copy: some us of the host's lock
+	// CheckpointIntervalMillis is how long the host waits between two checkpoints: what was spent since the last
+	// one is not known after a crash.
+	CheckpointIntervalMillis = 100.0
+
+	// checkpointRowsPerPiece bounds the customers, or peers' reports, in a piece of a checkpoint: some
+	// microseconds under the host's lock.
 	checkpointRowsPerPiece = 128
-	maxCheckpointCustomers = 1 << 14 // customers in a copy; 2 MB as the host writes them
-	// ms between looks at a customer that owes anything, at most; see internal/borrowing
+	// maxCheckpointCustomers bounds a checkpoint: 2 MB as the host writes it.
+	maxCheckpointCustomers = 1 << 14
+	// maxCreditIntervalMillis is the time between two looks at a customer that owes anything, at most; see
+	// internal/borrowing.
 	maxCreditIntervalMillis = 2000.0
-	maxCheckpointAgeMillis  = 5000.0 // ms; by then a customer is cold again, and no demand is left to speak of
-
-	// CopyEach is how long the host waits between copies, ms: what was spent since the last is not known.
-	CheckpointIntervalMillis = 100.0
+	// maxCheckpointAgeMillis is the age beyond which a checkpoint is not used: by then a customer is cold again,
+	// and no demand is left to speak of.
+	maxCheckpointAgeMillis = 5000.0
 )
 
-// Copy puts the next piece of what fades into e, from the place that the piece before has given, 0 at first,
-// and gives the next place; 0 tells that the copy is whole. It changes nothing here, and once e has grown to
-// what is known it allocates nothing. Customers beyond 16,384 are left out: they are as after any start.
+// Checkpoint puts the next piece of what fades into e, from the place that the piece before has given, 0 at
+// first, and gives the next place; 0 tells that the copy is whole. It changes nothing here, and once e has
+// grown to what is known it allocates nothing. Customers beyond 16,384 are left out: they are as after any
+// start.
 func (e *Engine) Checkpoint(handoff *HandoffState, from int, now float64) int {
 	if from == 0 || len(handoff.Peers) != len(e.peers) { // other gatekeepers than at its beginning: anew
 		from, handoff.AtMillis, handoff.StartedAtMillis, handoff.NextReportAtMillis = 0, math.Max(now, e.now),
@@ -60,19 +66,9 @@
 	return 0
 }
 
-// leaves is what an account leaves to a successor.
-func (account *customerAccount) state() CustomerState {
-	return CustomerState{account.id, account.plan, account.setSize, account.firstGateway, account.requests,
-		account.inFlight, account.silentPeers, account.shareTokens, account.quotaTokens, account.filledAt,
-		account.peerDemand, account.peerSpent, account.silentPeerDemand, account.peerDemandAt,
-		account.decayedDemand, account.recentDemand, account.lastRequestAt, account.coolSince,
-		account.rateLimitFullAt, account.unreportedUnits, account.reportedDemand,
-		account.reportedAt, account.previousReportedDemand, account.hot, account.uncollectedUnits, account.creditAt}
-}
-
-// Recollect takes a former life's copy, after Remember, and tells how many customers it goes by: none of a
-// copy of another charter, or that is older than five seconds, and none while quotas go without words or a
-// part is withheld. Customers whose txns have come meanwhile are let alone. Peers that know this for a new
+// RestoreCheckpoint takes a former life's copy, after Remember, and tells how many customers it goes by: none
+// of a copy of another charter, or that is older than five seconds, and none while quotas go without words or
+// a part is withheld. Customers whose txns have come meanwhile are let alone. Peers that know this for a new
 // life drop what they were told in the last message (told): that is news to them again, while of all else
 // what is left is known.
 //
@@ -146,7 +142,7 @@
 	return customers
 }
 
-// recall takes one customer of a copy, and tells whether it has.
+// restoreCustomer takes one customer of a copy, and tells whether it has.
 func (e *Engine) restoreCustomer(saved *CustomerState, checkpointAt, peersDropFrom float64,
 	mayHaveReported bool) bool {
 	figures := [...]float64{saved.ShareTokens, saved.QuotaTokens, saved.PeerDemand, saved.PeerSpentUnits,
@@ -231,8 +227,8 @@
 	return true
 }
 
-// repaid is what credit may have taken of a customer's fill after a copy of that time, units. Guards against
-// a kill that undoes it.
+// possiblyRepaid is what credit may have taken of a customer's fill after a copy of that time, units. Guards
+// against a kill that undoes it.
 func (e *Engine) possiblyRepaid(account *customerAccount, at float64) float64 {
 	span := at + CheckpointIntervalMillis - account.creditAt
 	// nothing was owed
@@ -243,5 +239,5 @@
 	return e.repaymentRate(account) * span
 }
 
-// less is what is left of a store after so many units, or as little as there was.
+// spendDown is what is left of a store after so many units, or as little as there was.
 func spendDown(store, units float64) float64 { return math.Max(store-units, math.Min(store, 0)) }
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -6,11 +6,12 @@
 	"slices"
 )
 
-// This file holds the list of workers as decisions use it, and decides nothing. One worker's change costs
-// what it changes and a move of the places behind it, not a look at each worker: at 110,000 workers that held
-// all txns up for 80 ms. What it gives is to the last bit what a look at all of them in order gives.
+// This file keeps the list of workers in the orders that decisions need, and decides nothing. One worker's
+// change costs what it changes and a move of the entries behind it, not a look at each worker: at 110,000
+// workers that delayed all requests by 80 ms. The result is to the last bit that of a look at all of them in
+// order.
 
-// oneByOne is how many changes are put in one after another; more are cheaper merged into the list.
+// maxSingleInserts is how many changes are inserted one after another; more are cheaper merged into the list.
 const maxSingleInserts = 16
 
 // Where a worker stands.
@@ -20,7 +21,7 @@
 	pendingReady               // it is to be, and is not in its places yet
 )
 
-// manner is how a list is taken.
+// updateMode is how a list is taken.
 type updateMode uint8
 
 const (
@@ -29,7 +30,7 @@
 	updateAll                      // all workers are gone over
 )
 
-// begins makes room for a list, takes all workers off where it is whole, and tells how it is taken.
+// beginUpdate makes room for a list, takes all workers off where it is whole, and tells how it is taken.
 func (e *Engine) beginUpdate(list []Endpoint, partial bool) updateMode {
 	for i := 0; i < len(e.workers) && !partial; i++ {
 		e.workers[i].listed = false
@@ -52,7 +53,7 @@
 	return updateMerged
 }
 
-// posted gives the worker of an entry of the list, a new one if another had its place. Where the entry
+// applyEndpoint gives the worker of an entry of the list, a new one if another had its place. Where the entry
 // changes its place among the ready ones it is taken off them.
 func (e *Engine) applyEndpoint(endpoint Endpoint, mode updateMode) *workerRecord {
 	for len(e.machineKinds) <= endpoint.MachineKind {
@@ -86,7 +87,7 @@
 	return worker
 }
 
-// relist puts a worker whose entry was taken among the ready ones. Until time is reckoned with it is cold.
+// addReady puts a worker whose entry was taken among the ready ones. Until time is reckoned with it is cold.
 func (e *Engine) addReady(i int, mode updateMode) {
 	worker := &e.workers[i]
 	if mode == updateAll || !worker.listed || e.readiness[i] != notReady {
@@ -103,7 +104,7 @@
 	e.readyByRank = slices.Insert(e.readyByRank, at, i)
 }
 
-// strike takes a worker off the ready ones.
+// removeReady takes a worker off the ready ones.
 func (e *Engine) removeReady(i int, mode updateMode) {
 	e.readiness[i] = notReady
 	warm := e.workers[i].warm
@@ -120,7 +121,7 @@
 	}
 }
 
-// lists ends a list: it puts what has changed of the ready workers in its places.
+// endUpdate ends a list: it puts what has changed of the ready workers in its places.
 func (e *Engine) endUpdate(mode updateMode) {
 	switch e.sizeRatingKnown = false; mode {
 	case updateAll:
@@ -132,7 +133,7 @@
 	e.refreshReady()
 }
 
-// merge takes those struck off the ready ones, and puts the fresh ones among them.
+// mergeReady takes those struck off the ready ones, and puts the fresh ones among them.
 func (e *Engine) mergeReady() {
 	slices.Sort(e.added) // an entry may have come twice
 	e.added = slices.DeleteFunc(slices.Compact(e.added),
@@ -154,7 +155,7 @@
 	}
 }
 
-// stayed gives those of all that are in their places still.
+// stillReady gives those of all that are in their places still.
 func (e *Engine) stillReady(all []int) []int {
 	n := 0
 	for _, i := range all {
@@ -166,7 +167,7 @@
 	return all[:n]
 }
 
-// merged puts more into all. Both are in order.
+// mergeSorted puts more into all. Both are in order.
 func mergeSorted(all, more []int, order func(a, b int) int) []int {
 	end := len(all) // of those that have not moved
 	all = append(all, more...)
@@ -178,7 +179,7 @@
 	return all
 }
 
-// byRank orders workers by rank.
+// compareRank orders workers by rank.
 func (e *Engine) compareRank(a, b int) int {
 	if c := cmp.Compare(e.ranks[a], e.ranks[b]); c != 0 {
 		return c
@@ -201,7 +202,7 @@
 	return all
 }
 
-// list gathers the workers that may be sent to. Those that were ready keep their order by rank.
+// rebuildReady gathers the workers that may be sent to. Those that were ready keep their order by rank.
 func (e *Engine) rebuildReady() {
 	e.sizeRatingKnown = false
 	e.readyByRank = slices.DeleteFunc(e.readyByRank, func(i int) bool {
@@ -230,8 +231,8 @@
 	e.refreshReady()
 }
 
-// renew reckons with what time has changed of the ready workers: which are warm by now, what all can do, and
-// what is open to each sort of txn.
+// refreshReady reckons with what time has changed of the ready workers: which are warm by now, what all can
+// do, and what is open to each sort of txn.
 func (e *Engine) refreshReady() {
 	cold, at := e.warming[:0], 0
 	e.warmEquivalents = 0
@@ -273,7 +274,8 @@
 	e.subset = e.readyByRank[:e.subsetSize()]
 }
 
-// ahead is the place of i in all, which is in order and has it; what is near the start is found soonest.
+// indexFromStart is the place of i in all, which is in order and has it; what is near the start is found
+// soonest.
 func indexFromStart(all []int, i int) int {
 	far := 1
 	for far < len(all) && all[far] <= i {
@@ -283,8 +285,8 @@
 	return far/2 + at
 }
 
-// ones adds one to x so many times, each time rounded as a float64 is. Between two powers of two nothing is
-// rounded off, so there one step does for many.
+// addOnes adds one to x so many times, each time rounded as a float64 is. Between two powers of two nothing
+// is rounded off, so there one step does for many.
 func addOnes(x float64, times int) float64 {
 	for times > 0 {
 		_, exp := math.Frexp(x)
@@ -298,8 +300,8 @@
 	return x
 }
 
-// meanRating is the mean of the ready workers' ratings, gone over in order only where one is asked for after
-// the list has changed: until each kind of machine has answered.
+// meanSizeRating is the mean of the ready workers' ratings, gone over in order only where one is asked for
+// after the list has changed: until each kind of machine has answered.
 func (e *Engine) meanSizeRating() float64 {
 	if !e.sizeRatingKnown {
 		e.sizeRatingKnown, e.sizeRating = true, 0
@@ -312,31 +314,22 @@
 	return e.sizeRating
 }
 
-// marks gives what a worker has turned away, by sort of txn, to be changed.
-func (e *Engine) rejectionsOf(worker *workerRecord) []decayingScore {
-	if worker.rejections == nil {
-		worker.rejections = make([]decayingScore, len(e.acceptingFraction))
-	}
-	e.markSuspect(worker)
-	return worker.rejections
-}
-
-// noted has a worker looked at for what speaks against it.
-func (e *Engine) markSuspect(worker *workerRecord) {
-	if !worker.suspect {
-		worker.suspect = true
-		e.suspects = append(e.suspects, worker.Worker)
+// UpdateEndpoints updates the list of workers. Unless it is partial, workers that it does not name are gone.
+func (e *Engine) UpdateEndpoints(list []Endpoint, partial bool) {
+	mode := e.beginUpdate(list, partial)
+	for _, endpoint := range list {
+		worker := e.applyEndpoint(endpoint, mode)
+		if endpoint.StartedAtMillis != worker.StartedAtMillis || worker.Worker != endpoint.Worker {
+			// A fresh process: what its former life, and ours, sent it must be taken as spent. Where each of many
+			// gatekeepers may send it one txn in minutes, chance spreads their turns from the start on.
+			worker.slowStartAt, worker.slowStartDebt = e.now, e.rng.Float64()*e.derived.meanUnits()
+			worker.suspicion.score, worker.heardAt = 0, e.now
+			clear(worker.rejections)
+		}
+		worker.Endpoint, worker.listed = endpoint, endpoint.Active
+		e.addReady(endpoint.Worker, mode)
 	}
-}
-
-// unrefer ends what submissions refer to.
-func (e *Engine) releaseReferences(subs []attemptState) {
-	for i := range subs {
-		e.workers[subs[i].worker].references--
+	if e.endUpdate(mode); e.window == 0 {
+		e.window = e.minWindow()
 	}
 }
-
-// Vacant tells whether no txn in hand has been sent to a worker: if it is gone its place may be another's.
-func (e *Engine) WorkerUnreferenced(workerIndex int) bool {
-	return workerIndex >= len(e.workers) || e.workers[workerIndex].references == 0
-}
--- a/internal/policy/gossip.go
+++ b/internal/policy/gossip.go
@@ -1,8 +1,41 @@
-package policy // what peers are told, what is heard from them, and what is forgotten
+package policy
 
-import "math"
+import (
+	"math"
+)
 
-// Hear takes a peer's reports. A message says nought of the customers that it does not name.
+const (
+	// reportIntervalMillis is the time between two reports: a quarter of the demand window loses little of a
+	// jump.
+	reportIntervalMillis = 400.0
+	// silentAfterIntervals is the number of intervals without a report from a peer that owes one after which it
+	// counts as silent.
+	silentAfterIntervals = 3.5
+	// peerSuspicionMillis is the silence after which a peer is suspected to have ended,
+	peerSuspicionMillis = 6000.0
+	// and lostPeerHoldMillis the time after that during which its last demand still counts.
+	lostPeerHoldMillis = 10000.0
+	// peerLapseIntervals is the number of intervals without a message after which an exchange with a peer starts
+	// anew.
+	peerLapseIntervals = 2.0
+	// reportIntakeFraction of what peers take in may be filled by reports; the rest is for jitter.
+	reportIntakeFraction = 0.95
+	// maxImmediateSetSize is the size of a customer's set up to which spending is reported at once, and not each
+	// interval.
+	maxImmediateSetSize = 8
+	// immediateIntakeFraction of what reports may fill is for those.
+	immediateIntakeFraction = 0.1
+	// immediateBurstMessages bounds how many of those go out in a row: a burst of a few customers.
+	immediateBurstMessages = 64.0
+)
+
+// reportsImmediately tells whether a customer's set is so small that each txn sent on is told at once.
+func (e *Engine) reportsImmediately(account *customerAccount) bool {
+	return e.derived.immediatePerMilli > 0 && !e.handedOff && account.setSize > 1 &&
+		account.setSize <= maxImmediateSetSize
+}
+
+// ReceiveReports takes a peer's reports. A message says nought of the customers that it does not name.
 func (e *Engine) ReceiveReports(from int, reports []Report) {
 	if from < 0 || from >= e.derived.gatewayCount || from == e.derived.gatewayIndex {
 		return
@@ -48,8 +81,8 @@
 	}
 }
 
-// sweep looks for silent peers, turns customers hot and cold, renews their shares, gathers what is to be
-// reported, and drops the idle customers.
+// endReportInterval looks for silent peers, turns customers hot and cold, renews their shares, gathers what
+// is to be reported, and drops the idle customers.
 func (e *Engine) endReportInterval() {
 	for i := range e.peers {
 		peer := &e.peers[i]
@@ -106,8 +139,8 @@
 	}
 }
 
-// promptly gives the next message that tells a small set at once what was sent on. Where that comes too often
-// for the peers' intake it waits for the period's.
+// nextImmediateReport gives the next message that tells a small set at once what was sent on. Where that
+// comes too often for the peers' intake it waits for the period's.
 func (e *Engine) nextImmediateReport() (Decision, bool) {
 	for ; len(e.immediateAccounts) > 0; e.immediateAccounts, e.immediateSent = append(e.immediateAccounts[:0],
 		e.immediateAccounts[1:]...), 0 {
@@ -128,8 +161,9 @@
 	return Decision{}, false
 }
 
-// report packs the next message of own demands for the customers that a peer shares: those with news, or a
-// bare word that there is none. What the period's messages cannot hold is left out, from a random place on.
+// nextPeriodicReport packs the next message of own demands for the customers that a peer shares: those with
+// news, or a bare word that there is none. What the period's messages cannot hold is left out, from a random
+// place on.
 func (e *Engine) nextPeriodicReport() (Decision, bool) {
 	n, to, peer := e.derived.gatewayCount, e.reportPeer, &e.peers[e.reportPeer]
 	// it spoke of customers, maybe not known here
@@ -156,3 +190,129 @@
 	peer.reportedAt, e.messagesToPeer = e.now, e.messagesToPeer+1
 	return Decision{Kind: SendReports, Peer: to, Reports: e.reportBuffer}, true
 }
+
+// PeerRestarted tells that a peer has started anew, knowing nothing: what its former life told counts no
+// more. It will tell its demand from nought on, and both would be counted.
+func (e *Engine) PeerRestarted(from int) {
+	if from < 0 || from >= e.derived.gatewayCount || from == e.derived.gatewayIndex {
+		return
+	}
+	peer := &e.peers[from]
+	if peer.silent {
+		e.setPeerSilent(from, false, false)
+	}
+	for _, report := range peer.lastReports {
+		if accountIndex, ok := e.accountByCustomer[uint32(report.Customer)]; ok {
+			account := &e.accounts[accountIndex]
+			e.refill(account)
+			account.peerDemand = math.Max(account.peerDemand-report.DemandPerSecond/1000*math.Exp(
+				(peer.heardAt-e.now)/e.plans[account.plan].demandWindowMillis), 0)
+			e.updateShare(account)
+		}
+	}
+	peer.lastReports = peer.lastReports[:0]
+}
+
+// peerRecord is what is known of another gatekeeper.
+type peerRecord struct {
+	// last heard; last told; since when it has owed a word each period
+	heardAt, reportedAt, reportDueSince float64
+	reportsHeardAt                      float64 // last heard with reports
+	silent, lost                        bool    // it says nothing; has not for so long that it counts no more
+	// of its last message; their demand is held while it is silent and not gone
+	lastReports []Report
+}
+
+// rememberReport keeps a peer's last word on a customer.
+func (peer *peerRecord) rememberReport(report Report) {
+	for i := range peer.lastReports {
+		if peer.lastReports[i].Customer == report.Customer {
+			peer.lastReports[i] = report
+			return
+		}
+	}
+	peer.lastReports = append(peer.lastReports, report)
+}
+
+// demandReport is what is told of a customer.
+func (account *customerAccount) demandReport() Report {
+	return Report{account.id, account.plan, account.reportedDemand * 1000, account.previousReportedDemand * 1000,
+		account.unreportedUnits}
+}
+
+// immediateReport tells the gatekeeper that stands so far behind this one in a customer's set.
+func (e *Engine) immediateReport(account *customerAccount, ahead int) Decision {
+	place := (e.derived.gatewayIndex - account.firstGateway + e.derived.gatewayCount) % e.derived.gatewayCount
+	to := (account.firstGateway + (place+ahead)%account.setSize) % e.derived.gatewayCount
+	e.reportBuffer = append(e.reportBuffer[:0], account.demandReport())
+	return Decision{Kind: SendReports, Peer: to, Reports: e.reportBuffer}
+}
+
+// collectReport notes a hot customer's set, and its own demand if that is news.
+func (e *Engine) collectReport(accountIndex int32) {
+	account := &e.accounts[accountIndex]
+	e.hotPrefix[account.firstGateway]++
+	e.hotPrefix[account.firstGateway+account.setSize]--
+	if account.setSize > 0 && (e.now-account.lastRequestAt <= e.derived.reportIntervalMillis ||
+		account.unreportedUnits > 0) {
+		e.changedAccounts = append(e.changedAccounts, accountIndex)
+		e.markReported(account)
+	}
+}
+
+// markReported books that own demand is told now.
+func (e *Engine) markReported(account *customerAccount) {
+	account.previousReportedDemand = account.reportedDemand *
+		math.Exp((account.reportedAt-e.now)/e.plans[account.plan].demandWindowMillis)
+	account.reportedDemand, account.reportedAt = e.ownDemand(account), e.now
+}
+
+// silentPeersOf counts the silent peers of a customer's set.
+func (e *Engine) silentPeersOf(account *customerAccount) int {
+	return e.silentPrefix[account.firstGateway+account.setSize] - e.silentPrefix[account.firstGateway]
+}
+
+// sharesCustomer tells whether a customer's txns can come through a peer too.
+func (e *Engine) sharesCustomer(account *customerAccount, peer int) bool {
+	return (peer-account.firstGateway+e.derived.gatewayCount)%e.derived.gatewayCount < account.setSize
+}
+
+// setPeerSilent notes that a peer which owes a word has said nothing for some periods, for so long that it
+// counts no more, or is heard again. While it is silent the demand of its last message does not fade.
+func (e *Engine) setPeerSilent(from int, silent, gone bool) {
+	peer := &e.peers[from]
+	held := peer.silent && !peer.lost
+	peer.silent, peer.lost = silent, gone
+	if hold := silent && !gone; hold != held && !e.settings.QuotaWithoutGossip { // all are unheard alike then
+		for _, report := range peer.lastReports {
+			accountIndex, ok := e.accountByCustomer[uint32(report.Customer)]
+			if !ok {
+				continue
+			}
+			account := &e.accounts[accountIndex]
+			e.refill(account)
+			if d := report.DemandPerSecond / 1000; hold {
+				account.peerDemand = math.Max(account.peerDemand-d*math.Exp(
+					(peer.heardAt-e.now)/e.plans[account.plan].demandWindowMillis), 0)
+				account.silentPeerDemand += d
+				account.silentPeers++
+			} else {
+				account.silentPeerDemand = math.Max(account.silentPeerDemand-d, 0)
+				account.silentPeers = max(account.silentPeers-1, 0)
+			}
+		}
+	}
+	e.countSilentPeers()
+}
+
+// countSilentPeers counts the silent peers over the ring.
+func (e *Engine) countSilentPeers() {
+	for i := range e.silentPrefix[1:] {
+		e.silentPrefix[i+1] = e.silentPrefix[i]
+		peer := &e.peers[i%e.derived.gatewayCount]
+		if peer.silent && !peer.lost || e.settings.QuotaWithoutGossip &&
+			i%e.derived.gatewayCount != e.derived.gatewayIndex {
+			e.silentPrefix[i+1]++
+		}
+	}
+}
--- a/internal/policy/lending.go
+++ b/internal/policy/lending.go
@@ -1,12 +1,15 @@
 package policy
 
-import "math"
+import (
+	"math"
+)
 
-// of a customer's stores; what is more may go to its credit while nothing has to
-const repaymentReserveFraction = 0.5
+// This file lends a customer units beyond its quota and collects them from its later quota. How much may be
+// lent is the Lender's to say; the book-keeping of stores is here.
 
-// This file holds what a gatekeeper lends a customer beyond its quota, and takes from its fill for it. What
-// may be lent is another's to say; what is book-keeping of stores is here.
+// repaymentReserveFraction of a customer's stores is kept from repayments while nothing is due; what is above
+// it may go to its credit.
+const repaymentReserveFraction = 0.5
 
 // Lender says whether a customer may have units now that it pays back later.
 type Lender interface {
@@ -16,10 +19,10 @@
 	Refund(customer uint64, units float64)
 }
 
-// Borrow has a lender be asked where a quota alone would decline; nil asks nobody.
+// SetLender has a lender be asked where a quota alone would decline; nil asks nobody.
 func (e *Engine) SetLender(from Lender) { e.lender = from }
 
-// Pressed tells whether workers are too pressed for anything beyond a quota.
+// Congested tells whether workers are too pressed for anything beyond a quota.
 func (e *Engine) Congested() bool { return !e.hasSpareCapacity() }
 
 // borrow draws what a txn's quota lacks, and tells whether it may go on. While workers are pressed nobody
@@ -35,7 +38,7 @@
 	return true
 }
 
-// unlend gives a loan back whose txn was never submitted.
+// refundLoan gives a loan back whose txn was never submitted.
 func (e *Engine) refundLoan(request *requestState) {
 	if request.borrowedUnits > 0 && request.answered && len(request.attempts) == 0 && e.lender != nil {
 		e.lender.Refund(e.accounts[request.accountIndex].id, request.borrowedUnits)
@@ -45,9 +48,9 @@
 	}
 }
 
-// Repay takes units out of a customer's stores: those that are needed out of its fill here of a span of ms,
-// and up to most of it where the stores are more than half full. It gives what was taken, and the fill, units
-// a ms. A customer that is not known has been idle, and its stores run over.
+// CollectRepayment takes units out of a customer's stores: those that are needed out of its fill here of a
+// span of ms, and up to most of it where the stores are more than half full. It gives what was taken, and the
+// fill, units a ms. A customer that is not known has been idle, and its stores run over.
 func (e *Engine) CollectRepayment(customer uint64, planIndex, setSize int, minUnits, maxUnits,
 	spanMillis float64) (collectedUnits,
 	ratePerMilli float64) {
@@ -83,7 +86,7 @@
 	return collectedUnits, ratePerMilli
 }
 
-// fills is what of a customer's fill here may go to debts, units a ms.
+// repaymentRate is what of a customer's fill here may go to debts, units a ms.
 func (e *Engine) repaymentRate(account *customerAccount) float64 {
 	if e.isSparse(account) {
 		return e.sparseRate(account)
@@ -94,8 +97,9 @@
 	return account.sharePerMilli
 }
 
-// withhold takes what was repaid from the quota's one store, as it fills. Guards against a store that has
-// less than nothing: with what is spent next it has nothing, and what was taken of it would be there again.
+// collectFromQuota takes what was repaid from the quota's one store, as it fills. Guards against a store that
+// has less than nothing: with what is spent next it has nothing, and what was taken of it would be there
+// again.
 func (account *customerAccount) collectFromQuota() {
 	paid := math.Min(account.uncollectedUnits, math.Max(account.quotaTokens, 0))
 	account.quotaTokens, account.uncollectedUnits = account.quotaTokens-paid, account.uncollectedUnits-paid
--- /dev/null
+++ b/internal/policy/reconfigure.go
@@ -0,0 +1,172 @@
+package policy
+
+import (
+	"math"
+)
+
+// SetGatewayCount tells that there are so many gatekeepers from now on.
+func (e *Engine) SetGatewayCount(n int) {
+	if settings := e.settings; n != e.derived.gatewayCount && n > settings.GatewayIndex {
+		settings.GatewayCount = n
+		e.Reconfigure(settings)
+	}
+}
+
+// Reconfigure tells that another charter is in force from now on: other rates and depths of the same plans,
+// another number of gatekeepers, another part withheld. It is false, and nothing changes, where more of
+// it differs. This one keeps its place, and so do the others that stay; those beyond the number have ended.
+// Customers' parts follow their sets, as their txns say.
+//
+// No store holds more by the change. What was spent of a ceiling stays spent, in units: one that grows fills
+// at its new pace from what there was, one that shrinks holds at most its new depth less what is spent, and
+// a new one holds nothing. Where a part is withheld, all that is spent counts against the rest; where it is
+// given free again, what was not spent of it is there.
+func (e *Engine) Reconfigure(settings Settings) bool {
+	gatewayCount := max(settings.GatewayCount, 1)
+	if settings.GatewayIndex != e.derived.gatewayIndex || gatewayCount <= settings.GatewayIndex ||
+		len(settings.Plans) != len(e.plans) ||
+		len(settings.Products) != len(e.products) {
+		return false
+	}
+	for i := gatewayCount; i < e.derived.gatewayCount; i++ {
+		e.setPeerSilent(i, false, false) // nothing is held for those that are no more
+	}
+	// sets may change, and customers not known here be spent at those that had been theirs
+	if gatewayCount != e.derived.gatewayCount {
+		e.rateLimitBase = e.now
+	}
+	for i := range e.accounts {
+		if account := &e.accounts[i]; account.live {
+			e.refill(account)
+			// its next txn says what its set is now
+			if account.setSize > 0 && (account.firstGateway >= gatewayCount || account.setSize > gatewayCount) {
+				account.rateLimitFullAt = math.Max(account.rateLimitFullAt,
+					e.now+e.plans[account.plan].fullRefillMillis())
+			}
+			account.setSize, account.firstGateway = min(account.setSize, gatewayCount),
+				account.firstGateway%gatewayCount
+		}
+	}
+	// for what follows from the charter
+	fresh, previousPlans, previousSettings := New(settings, 0), e.plans, e.settings
+	if e.initialPlans == nil {
+		e.initialPlans = previousSettings.Plans
+	}
+	for i := range fresh.plans {
+		fresh.plans[i].shortDeadlineSuccess, fresh.plans[i].attemptMillis = previousPlans[i].shortDeadlineSuccess,
+			previousPlans[i].attemptMillis
+		fresh.plans[i].deriveRate()
+		fresh.plans[i].restrict(&settings, settings.Plans[i].WithheldFraction)
+		fresh.plans[i].recordedRatePerMilli = minPositive(fresh.plans[i].rateLimitPerMilli,
+			e.initialPlans[i].RateLimitPerSecond/1000)
+		e.advanceRateLimitBase(&fresh.plans[i], previousSettings.Plans[i], settings.Plans[i])
+	}
+	if settings.QuotaWithoutGossip { // what would be told of demand is not what is asked
+		fresh.derived.gossip, fresh.derived.immediatePerMilli = false, 0
+	}
+	// What the others have spent in between is not known, unless all of it is as after a start.
+	unknown := (previousSettings.QuotaWithoutGossip || settings.QuotaWithoutGossip) && !e.startedEmpty
+	switch {
+	case settings.QuotaWithoutGossip && !previousSettings.QuotaWithoutGossip:
+		e.startedEmpty = len(e.accountByCustomer) == 0
+	case !settings.QuotaWithoutGossip && previousSettings.QuotaWithoutGossip && !e.startedEmpty:
+		e.gossipResumedAt = e.now
+	}
+	copy(fresh.peers, e.peers)
+	e.settings, e.derived, e.plans, e.peers, e.silentPrefix, e.hotPrefix = settings, fresh.derived, fresh.plans,
+		fresh.peers, fresh.silentPrefix, fresh.hotPrefix
+	e.countSilentPeers()
+	for i := range e.accounts {
+		if account := &e.accounts[i]; account.live {
+			plan := &e.plans[account.plan]
+			account.rateLimitFullAt = e.rescaledFullAt(account, &previousPlans[account.plan],
+				previousSettings.Plans[account.plan], settings.Plans[account.plan])
+			if unknown {
+				account.hot, account.peerDemand, account.silentPeerDemand, account.silentPeers,
+					account.quotaTokens = false, 0, 0, 0, 0
+			}
+			e.updateShare(account)
+			account.shareTokens, account.quotaTokens = math.Min(account.shareTokens, e.storeDepth(plan,
+				account.sharePerMilli)), math.Min(account.quotaTokens, e.storeDepth(plan, plan.ratePerMilli))
+		}
+	}
+	for i := range e.requests {
+		// its clearance lapses
+		if request := &e.requests[i]; request.live && request.clearance == clearanceGranted &&
+			e.plans[request.plan].blocked() {
+			request.deadline = math.Min(request.deadline, e.now)
+			e.pending = append(e.pending, int32(i))
+		}
+	}
+	e.rebuildReady()
+	e.window = math.Max(e.window, e.minWindow())
+	return true
+}
+
+// restrict leaves a plan what is this gatekeeper's own. Where its quota goes without words all peers count as
+// unheard: the split leaves each gatekeeper an even part of alpha x rate, which is the cold slice.
+func (plan *planParams) restrict(settings *Settings, withheld float64) {
+	plan.rateLimitBurst *= 1 - withheld
+	if withheld < 1 { // one that is shut still fills
+		plan.rateLimitPerMilli *= 1 - withheld
+	}
+	if settings.QuotaWithoutGossip {
+		plan.sparse, plan.allowsExcess = false, false
+		plan.ratePerMilli, plan.targetInFlight = plan.ratePerMilli*coldShareFraction,
+			plan.targetInFlight*coldShareFraction
+		plan.deriveRate()
+	}
+}
+
+// blocked tells whether nothing passes under a plan's ceiling.
+func (plan *planParams) blocked() bool {
+	return plan.rateLimitPerMilli > 0 && plan.rateLimitBurst <= 0 || plan.rateLimitPerMilli <= 0 &&
+		plan.rateLimitBurst > 0
+}
+
+// minPositive gives the lower one of two rates, of which 0 is none.
+func minPositive(a, b float64) float64 {
+	if a > 0 && b > 0 {
+		return math.Min(a, b)
+	}
+	return math.Max(a, b)
+}
+
+// advanceRateLimitBase sees that customers that are not known find no more in a ceiling that grows, or is
+// new, than those that are. It falls on all plans: there is one base.
+func (e *Engine) advanceRateLimitBase(plan *planParams, from, to Plan) {
+	had := from.RateLimitBurst
+	if from.RateLimitPerSecond <= 0 {
+		had = 0
+	}
+	if to.RateLimitPerSecond > 0 && to.RateLimitBurst > had {
+		e.rateLimitBase = math.Max(e.rateLimitBase, e.now-had/to.RateLimitPerSecond*1000)
+	}
+}
+
+// rescaledFullAt is the moment at which a customer's slice of a ceiling that has changed is full again.
+func (e *Engine) rescaledFullAt(account *customerAccount, previous *planParams, from, to Plan) float64 {
+	plan := &e.plans[account.plan]
+	if to.RateLimitPerSecond <= 0 {
+		return account.rateLimitFullAt
+	}
+	units := to.RateLimitBurst
+	if from.RateLimitPerSecond > 0 {
+		spent := math.Max(account.rateLimitFullAt-e.now, 0) * previous.rateLimitPerMilli
+		units = math.Min(spent+math.Max(to.RateLimitBurst-from.RateLimitBurst, 0), to.RateLimitBurst)
+	}
+	// it may have been opened meanwhile, and then has not been taken as spent
+	if previous.blocked() && account.setSize > 0 {
+		units = math.Max(units, to.RateLimitBurst-math.Max(e.now-e.rateLimitBase, 0)*to.RateLimitPerSecond/1000)
+	}
+	return e.now + units/plan.rateLimitPerMilli
+}
+
+// fullRefillMillis is how long a slice of a plan's ceiling that is spent takes to be full, ms; 0 where there
+// is none.
+func (plan *planParams) fullRefillMillis() float64 {
+	if plan.rateLimitPerMilli <= 0 {
+		return 0
+	}
+	return plan.rateLimitBurst / plan.rateLimitPerMilli
+}
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -1,21 +1,24 @@
 package policy
 
-import "math"
+import (
+	"math"
+)
 
-// This file gives what a gatekeeper sees of halls, customers and its own room to those who look ahead. It
-// decides nothing, and costs nothing but when it is asked.
+// This file gives forecasts what an engine knows of regions, customers and its own capacity. It decides
+// nothing, and costs nothing unless it is called.
 
-// UseSteps are the bounds of a customer's use, demand over rate, that Sight counts demand by; the last step
-// has all above the last bound.
+// UtilizationBounds are the bounds of a customer's utilization, demand over quota, that Snapshot counts
+// demand by; the last step has all above the last bound.
 var UtilizationBounds = [...]float64{0.2, 0.4, 0.55, 0.7, 0.8, 0.9, 1, 1.1, 1.25, 1.5, 2, 3, 5, 10}
 
 const (
-	// of gatekeepers that Sight tells apart; beyond them it tells only how much is asked
-	MaxSnapshotSets         = 64
-	snapshotAccountsPerStep = 500 // customers that are looked at in one go; 0.1 ms
+	// MaxSnapshotSets bounds the sets of gateways that a Snapshot tells apart; of the others it has the sum.
+	MaxSnapshotSets = 64
+	// snapshotAccountsPerStep bounds the customers that are looked at in one go: 0.1 ms.
+	snapshotAccountsPerStep = 500
 )
 
-// Sight is what one gatekeeper sees at a moment. Demand is in units a second, times are in ms.
+// Snapshot is what one gatekeeper sees at a moment. Demand is in units a second, times are in ms.
 type Snapshot struct {
 	Regions                  []RegionSnapshot
 	Plans                    []PlanSnapshot
@@ -29,14 +32,14 @@
 	setIndex                 []int16 // by plan and first: one more than the place in Sets of the last one there
 }
 
-// HallSight is what it sees of the workers of one hall.
+// RegionSnapshot is what it sees of the workers of one hall.
 type RegionSnapshot struct {
 	Workers     int     // on the list, and taking txns
 	WarmWorkers float64 // what they can do, in warm workers
 	InFlight    int     // submissions out at them
 }
 
-// PlanSight is what it sees of the customers of one plan.
+// PlanSnapshot is what it sees of the customers of one plan.
 type PlanSnapshot struct {
 	// its part of them: each counts as one over the gatekeepers of its set
 	Customers       float64 `json:"Customers"`
@@ -45,7 +48,8 @@
 	DemandByUtilization [len(UtilizationBounds) + 1]float64 `json:"Use"`
 }
 
-// SetSight is the demand here of a plan's customers that come through Size gatekeepers from First on.
+// GatewaySetSnapshot is the demand here of a plan's customers that come through Size gatekeepers from First
+// on.
 type GatewaySetSnapshot struct {
 	Plan            int     `json:"Plan"`
 	FirstGateway    int     `json:"First"`
@@ -53,8 +57,8 @@
 	DemandPerSecond float64 `json:"Demand"`
 }
 
-// Look writes what it sees over s, whose room is used again. It begins with from at nought and gives where it
-// is to go on, nought at the end, so that nobody waits for long while it looks at many customers.
+// WriteSnapshot writes what it sees over s, whose room is used again. It begins with from at nought and gives
+// where it is to go on, nought at the end, so that nobody waits for long while it looks at many customers.
 func (e *Engine) WriteSnapshot(snapshot *Snapshot, from int) int {
 	if from == 0 {
 		e.snapshotWorkers(snapshot)
@@ -137,7 +141,8 @@
 	*at = int16(len(snapshot.Sets))
 }
 
-// Manner is what of the design a look ahead goes by, derived from a charter as the decisions derive it.
+// ModelParameters is what of the design a look ahead goes by, derived from a charter as the decisions derive
+// it.
 type ModelParameters struct {
 	ReportIntervalMillis float64 // ms between reports
 	SilentAfterMillis    float64 // ms of silence until a peer counts as unheard
@@ -159,7 +164,7 @@
 	MinTimeLeftResponses, RetryAfterTargets float64
 }
 
-// MannerOf gives the manner of gatekeepers of a charter.
+// ModelParametersOf gives the manner of gatekeepers of a charter.
 func ModelParametersOf(settings Settings) ModelParameters {
 	e := New(settings, 0)
 	model := ModelParameters{ReportIntervalMillis: e.derived.reportIntervalMillis,
@@ -178,7 +183,7 @@
 	return model
 }
 
-// Reserve is the ms of its peers' spending that a gatekeeper of a set keeps from the quota's one store.
+// ReserveMillis is the ms of its peers' spending that a gatekeeper of a set keeps from the quota's one store.
 func (model *ModelParameters) ReserveMillis(size int) float64 {
 	if model.ImmediateReports && size <= maxImmediateSetSize {
 		return immediateDelayMillis
@@ -186,8 +191,8 @@
 	return unheardSpendIntervals * model.ReportIntervalMillis
 }
 
-// Told is the ms that a gatekeeper's last reports to those of a set speak of, on average: a period, and where
-// they are told at once, what came in the next one too, which is cut short at any place.
+// ReportSpanMillis is the ms that a gatekeeper's last reports to those of a set speak of, on average: a
+// period, and where they are told at once, what came in the next one too, which is cut short at any place.
 func (model *ModelParameters) ReportSpanMillis(size int) float64 {
 	if model.ImmediateReports && size <= maxImmediateSetSize {
 		return 1.5 * model.ReportIntervalMillis
--- a/internal/policy/workerselection.go
+++ b/internal/policy/workerselection.go
@@ -1,9 +1,108 @@
-package policy // which worker gets a txn
+package policy
 
-import "math"
+import (
+	"math"
+)
 
-// choose draws two workers at random and takes the one that own counts favour. More are looked at only if
-// neither may be used or the better one is distrusted or answers slowly.
+const (
+	// gatewaysPerWorker is how many gateways select from each worker on average, at least; over so many the
+	// random subsets even out.
+	gatewaysPerWorker = 25.0
+	// maxWorkersExamined bounds the workers examined where the first two draws are not good enough, and is the
+	// least size of a subset: all workers of a small fleet.
+	maxWorkersExamined = 16
+	// slowWorkerTargetFraction of the latency target, or of the time left: more workers are examined where the
+	// best draw responds more slowly.
+	slowWorkerTargetFraction = 0.25
+	// workerResponseGain is the weight of the newest response in a worker's mean response time.
+	workerResponseGain = 0.1
+	// workerResponseDecayMillis is the time constant with which that goes back to the mean of its machine kind,
+	// about as long as slow spells last.
+	workerResponseDecayMillis = 15000.0
+	// fleetResponseGain is the weight of the newest response in the means of the fleet and of a machine kind,
+	// which have many more responses.
+	fleetResponseGain = 0.025
+	// loadReportWeight is what a report of twice the usual load adds to a worker's cost; reports are late and
+	// noisy.
+	loadReportWeight = 0.25
+	// loadReportDecayMillis is the time constant with which a load report fades: some responses' time.
+	loadReportDecayMillis = 1000.0
+	// maxCPUFraction is the use of its cores beyond which a report says no more of a worker's queue.
+	maxCPUFraction = 0.9
+)
+
+type workerRecord struct {
+	Endpoint
+	listed                       bool
+	inFlight                     int
+	responseMillis, responseAt   float64 // smoothed time of an answer, ms, and when it was renewed
+	reportedLoad, reportedLoadAt float64 // txns in hand by its last report, by all gatekeepers, and when it came
+	heardAt                      float64
+	suspicion                    decayingScore
+	rejections                   []decayingScore // by sort of txn; nil while it has turned none away
+	overloaded                   bool            // turns all away
+	// while it is not warm: units until the next turn; when they were reckoned
+	slowStartDebt, slowStartAt float64
+	warm                       bool  // counts as such
+	suspect                    bool  // is in wary
+	references                 int32 // submissions of txns in hand that were sent to it
+}
+
+// machineKind is what is known of all workers of a kind of machine.
+type machineKind struct{ responseMillis, responses float64 }
+
+// ReportWorkerLoad takes what a worker said of its load with an answer. What makes no sense changes nothing.
+func (e *Engine) ReportWorkerLoad(workerIndex int, load WorkerLoad) {
+	if !e.derived.workersReportLoad || workerIndex < 0 || workerIndex >= len(e.workers) {
+		return
+	}
+	held := load.InFlight
+	if !(held >= 0) && load.CPUFraction >= 0 { // of a queue that is as busy
+		busy := math.Min(load.CPUFraction, maxCPUFraction)
+		held = busy / (1 - busy)
+	}
+	if held >= 0 && held < math.MaxInt32 {
+		e.workers[workerIndex].reportedLoad, e.workers[workerIndex].reportedLoadAt = held, e.now
+		e.meanLoad += fleetResponseGain * (held - e.meanLoad)
+	}
+}
+
+// expectedResponseMillis is the time of an answer of a worker: its own as far as it is recent, else that of
+// its kind. Among many gatekeepers each sees a worker once in many seconds, and a kind of machine often.
+func (e *Engine) expectedResponseMillis(worker *workerRecord) float64 {
+	usual := e.machineKinds[worker.MachineKind].responseMillis
+	if usual == 0 {
+		if usual = e.responseMillis; worker.SizeRating > 0 { // until the kind is seen, the list's word on its size
+			usual *= e.meanSizeRating() / worker.SizeRating
+		}
+	}
+	if worker.responseMillis == 0 {
+		return usual
+	}
+	return usual + (worker.responseMillis-usual)*math.Exp((worker.responseAt-e.now)/workerResponseDecayMillis)
+}
+
+// recordResponse adds the time of a whole answer to its worker's pace, its kind's and the fleet's.
+func (e *Engine) recordResponse(worker *workerRecord, responseMillis float64) {
+	if e.responseMillis == 0 {
+		e.responseMillis = responseMillis
+	}
+	// one slow answer must not make a worker look slow for long
+	worker.responseMillis, worker.responseAt = e.expectedResponseMillis(worker), e.now
+	worker.responseMillis += workerResponseGain * (responseMillis - worker.responseMillis)
+	e.responseMillis += fleetResponseGain * (responseMillis - e.responseMillis)
+	kind := &e.machineKinds[worker.MachineKind]
+	kind.responses++
+	kind.responseMillis += math.Max(fleetResponseGain, 1/kind.responses) * (responseMillis - kind.responseMillis)
+}
+
+// classOf numbers the pairs of plan and product.
+func (e *Engine) classOf(request *requestState) int {
+	return request.plan*len(e.products) + request.product
+}
+
+// chooseWorker draws two workers at random and takes the one that own counts favour. More are looked at only
+// if neither may be used or the better one is distrusted or answers slowly.
 func (e *Engine) chooseWorker(request *requestState) int {
 	if len(e.ready) == 0 {
 		return -1
@@ -43,14 +142,14 @@
 	return best
 }
 
-// aperture is how many of the listed workers a gatekeeper draws from. Guards against hundreds of gatekeepers
-// that each see each worker once in many seconds, over a new connection each time.
+// subsetSize is how many of the listed workers a gatekeeper draws from. Guards against hundreds of
+// gatekeepers that each see each worker once in many seconds, over a new connection each time.
 func (e *Engine) subsetSize() int {
 	part := int(math.Ceil(float64(len(e.ready)) * gatewaysPerWorker / float64(e.derived.gatewayCount)))
 	return min(max(part, maxWorkersExamined), len(e.ready))
 }
 
-// usable tells whether the rules let a txn go to a listed worker.
+// eligible tells whether the rules let a txn go to a listed worker.
 func (e *Engine) eligible(request *requestState, workerIndex int) bool {
 	worker := &e.workers[workerIndex]
 	for i := range request.attempts {
@@ -84,13 +183,3 @@
 	return float64(worker.inFlight+1) * math.Max(e.expectedResponseMillis(worker), 1) *
 		(1 + e.suspicionOf(request, workerIndex) + busier)
 }
-
-// doubt notes a failure at a worker: by one where this gatekeeper sees each worker often. Among many
-// gatekeepers it would forget before it comes there again, and lose a txn each time; then the failure weighs
-// as often as the distrust fades between two visits, but no more than the usual answers that it took.
-func (e *Engine) recordFailure(worker *workerRecord, responseMillis float64) {
-	visits := warmWorkWindowMillis * float64(len(e.ready)) / math.Max(e.warmWorkUnits(), 1)
-	weight := math.Min(rareVisitWeight*visits/suspicionDecayMillis, responseMillis/math.Max(e.responseMillis, 1))
-	worker.suspicion.add(math.Max(weight, 1), e.now, suspicionDecayMillis)
-	e.markSuspect(worker)
-}
