--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -86,13 +86,14 @@
 		if !e.quotaUnseen(account) {
 			wait = math.Min(wait, e.quotaWait(account, request.quotaUnits))
 		}
-		if request.withinQuota = wait <= 0; !request.withinQuota && !(plan.allowsExcess && e.hasSpareCapacity()) &&
+		if request.withinQuota = wait <= 0; !request.withinQuota &&
+			(!plan.allowsExcess || !e.hasSpareCapacity()) &&
 			!e.borrow(request, account) {
 			return ReasonQuota, wait
 		}
 	}
 	if plan.maxInFlight > 0 && account.inFlight >= limit {
-		if request.withinQuota = false; !(plan.allowsExcess && e.hasSpareCapacity()) {
+		if request.withinQuota = false; !plan.allowsExcess || !e.hasSpareCapacity() {
 			return ReasonQuota, e.responseMillis
 		}
 	}
@@ -146,3 +147,22 @@
 func minWindowFor(part float64) float64 {
 	return part + math.Min(minWindowDeviations*math.Sqrt(part), maxMinWindowAllowanceFactor*part)
 }
+
+// windowFractions returns the part of the window that requests of a product (first) and plan may fill, by their
+// value. maxValue is the value of the most valuable ones.
+func windowFractions(settings *Settings, maxValue float64) [][]float64 {
+	sheddingFraction := sheddingWindowFraction * math.Max(0,
+		1-sheddingFairnessFactor*settings.WorstPlanWeight/math.Max(settings.WorstPlanWeight+settings.TotalWeight,
+			1e-9))
+	var all [][]float64
+	for _, product := range settings.Products {
+		fractions := make([]float64, len(settings.Plans))
+		for i, plan := range settings.Plans {
+			if fractions[i] = 1; maxValue > 0 {
+				fractions[i] = 1 - sheddingFraction*(1-product.Value*plan.ValueFactor/maxValue)
+			}
+		}
+		all = append(all, fractions)
+	}
+	return all
+}
--- a/internal/policy/checkpoint.go
+++ b/internal/policy/checkpoint.go
@@ -142,36 +142,16 @@
 	return customers
 }
 
-// restoreCustomer takes one customer of a copy, and tells whether it has.
+// restoreCustomer takes over one customer of a checkpoint, and tells whether it has.
 func (e *Engine) restoreCustomer(saved *CustomerState, checkpointAt, peersDropFrom float64,
 	mayHaveReported bool) bool {
-	figures := [...]float64{saved.ShareTokens, saved.QuotaTokens, saved.PeerDemand, saved.PeerSpentUnits,
-		saved.SilentPeerDemand,
-		saved.OwnDemand, saved.RecentDemand, saved.UnreportedUnits, saved.ReportedDemand,
-		saved.PreviousReportedDemand, saved.UncollectedRepayment}
-	for i, v := range figures {
-		if !(math.Abs(v) <= math.MaxInt32) || v < 0 && i > 0 { // a slice may be overdrawn
-			return false
-		}
-	}
-	times := [...]float64{saved.FilledAtMillis, saved.PeerDemandAtMillis, saved.LastRequestAtMillis,
-		saved.CoolSinceMillis,
-		saved.ReportedAtMillis, saved.CreditAtMillis}
-	for _, v := range times {
-		if !(v >= 0 && v <= checkpointAt) {
-			return false
-		}
-	}
-	if saved.Plan < 0 || saved.Plan >= len(e.plans) || saved.SetSize < 0 ||
-		saved.SetSize > e.derived.gatewayCount || saved.FirstGateway < 0 ||
-		saved.FirstGateway >= e.derived.gatewayCount || saved.SilentPeers < 0 ||
+	if !saved.plausible(checkpointAt) || !e.fitsSets(saved) || saved.SilentPeers < 0 ||
 		saved.SilentPeers > e.derived.gatewayCount {
 		return false
 	}
 	accountIndex, known := e.accountByCustomer[uint32(saved.ID)]
 	if known && (e.accounts[accountIndex].setSize > 0 || e.accounts[accountIndex].plan != saved.Plan) ||
-		!known && saved.SetSize == 0 &&
-			e.remoteOnlyAccounts >= maxRemoteAccounts {
+		!known && saved.SetSize == 0 && e.remoteOnlyAccounts >= maxRemoteAccounts {
 		return false
 	}
 	if !known {
@@ -180,7 +160,7 @@
 	}
 	account, plan := &e.accounts[accountIndex], &e.plans[saved.Plan]
 	if account.setSize, account.firstGateway = saved.SetSize, saved.FirstGateway; account.setSize > 0 {
-		// what is not in the residue is as full as its base says
+		// What is not in the crash state is as full as its base says.
 		if e.remoteOnlyAccounts--; plan.rateLimitPerMilli > 0 {
 			account.rateLimitFullAt = math.Max(account.rateLimitFullAt, e.rateLimitBase+plan.fullRefillMillis())
 		}
@@ -188,42 +168,68 @@
 	elapsedMillis := e.now - saved.FilledAtMillis
 	decay := math.Exp(-elapsedMillis / plan.demandWindowMillis)
 	account.requests, account.hot, account.silentPeers = max(saved.Requests, 0), saved.Hot, saved.SilentPeers
-	account.peerDemand, account.peerSpent, account.silentPeerDemand, account.peerDemandAt =
-		saved.PeerDemand*decay, saved.PeerSpentUnits*math.Exp(-elapsedMillis/peerSpendWindowMillis),
-		saved.SilentPeerDemand, saved.PeerDemandAtMillis
-	account.decayedDemand, account.recentDemand, account.lastRequestAt, account.coolSince,
-		account.filledAt = saved.OwnDemand, saved.RecentDemand, saved.LastRequestAtMillis,
-		saved.CoolSinceMillis, e.now
+	account.peerDemand, account.peerDemandAt = saved.PeerDemand*decay, saved.PeerDemandAtMillis
+	account.peerSpent = saved.PeerSpentUnits * math.Exp(-elapsedMillis/peerSpendWindowMillis)
+	account.silentPeerDemand = saved.SilentPeerDemand
+	account.decayedDemand, account.recentDemand = saved.OwnDemand, saved.RecentDemand
+	account.lastRequestAt, account.coolSince = saved.LastRequestAtMillis, saved.CoolSinceMillis
+	account.filledAt = e.now
 	if saved.ReportedAtMillis < peersDropFrom {
-		account.reportedDemand, account.reportedAt, account.previousReportedDemand = saved.ReportedDemand,
-			saved.ReportedAtMillis, saved.PreviousReportedDemand
+		account.reportedDemand, account.reportedAt = saved.ReportedDemand, saved.ReportedAtMillis
+		account.previousReportedDemand = saved.PreviousReportedDemand
 	}
 	if !mayHaveReported {
 		account.unreportedUnits = saved.UnreportedUnits
 	}
 	e.updateShare(account)
-	// what came in while it was away was its peers' to give, if it has any
+	account.uncollectedUnits, account.creditAt = saved.UncollectedRepayment, saved.CreditAtMillis
+	e.restoreStores(account, saved, checkpointAt)
+	return true
+}
+
+// restoreStores sets an account's tokens by a checkpoint: less what may have been spent or collected since then.
+func (e *Engine) restoreStores(account *customerAccount, saved *CustomerState, checkpointAt float64) {
+	plan := &e.plans[account.plan]
+	// What was refilled during the outage was the peers' to give, if there are any.
 	refillMillis := checkpointAt - saved.FilledAtMillis
 	if account.setSize == 1 {
-		refillMillis = elapsedMillis
+		refillMillis = e.now - saved.FilledAtMillis
 	}
-	account.uncollectedUnits, account.creditAt = saved.UncollectedRepayment, saved.CreditAtMillis
 	unseenUnits := saved.OwnDemand * math.Exp((saved.LastRequestAtMillis-checkpointAt)/plan.demandWindowMillis) *
-		math.Min(e.now-checkpointAt,
-			CheckpointIntervalMillis)
+		math.Min(e.now-checkpointAt, CheckpointIntervalMillis)
 	maxShareTokens := e.storeDepth(plan, account.sharePerMilli)
-	if !e.isSparse(account) { // never more than one has that knows nothing
+	if !e.isSparse(account) { // never more than an engine has that knows nothing
 		maxShareTokens = math.Min(maxShareTokens, math.Max(e.initialShareTokens(account), 0))
 	}
 	account.shareTokens = spendDown(math.Min(saved.ShareTokens+refillMillis*account.sharePerMilli,
 		maxShareTokens), unseenUnits)
-	account.quotaTokens = spendDown(math.Min(saved.QuotaTokens+refillMillis*plan.ratePerMilli, e.storeDepth(plan,
-		plan.ratePerMilli)), unseenUnits)
-	if units := e.possiblyRepaid(account, checkpointAt); units > 0 { // as Repay does
+	account.quotaTokens = spendDown(math.Min(saved.QuotaTokens+refillMillis*plan.ratePerMilli,
+		e.storeDepth(plan, plan.ratePerMilli)), unseenUnits)
+	if units := e.possiblyRepaid(account, checkpointAt); units > 0 { // as CollectRepayment does
 		account.shareTokens = math.Max(account.shareTokens-units, -e.storeDepth(plan, plan.ratePerMilli))
 		account.uncollectedUnits += units
 		account.collectFromQuota()
 	}
+}
+
+// plausible tells whether a saved customer's figures can be true: no demand or spending under nought (a share may
+// be overdrawn), and no time after the checkpoint's.
+func (saved *CustomerState) plausible(checkpointAt float64) bool {
+	figures := [...]float64{saved.ShareTokens, saved.QuotaTokens, saved.PeerDemand, saved.PeerSpentUnits,
+		saved.SilentPeerDemand, saved.OwnDemand, saved.RecentDemand, saved.UnreportedUnits, saved.ReportedDemand,
+		saved.PreviousReportedDemand, saved.UncollectedRepayment}
+	for i, v := range figures {
+		if !(math.Abs(v) <= math.MaxInt32) || v < 0 && i > 0 {
+			return false
+		}
+	}
+	times := [...]float64{saved.FilledAtMillis, saved.PeerDemandAtMillis, saved.LastRequestAtMillis,
+		saved.CoolSinceMillis, saved.ReportedAtMillis, saved.CreditAtMillis}
+	for _, v := range times {
+		if !(v >= 0 && v <= checkpointAt) {
+			return false
+		}
+	}
 	return true
 }
 
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -23,97 +23,72 @@
 	stallAllowanceDecayMillis = 300.0
 )
 
-// New starts a gatekeeper that knows nothing but its charter. Same seed and inputs, same decisions.
+// New returns an engine that knows nothing but its settings. The same seed and inputs give the same decisions.
 func New(settings Settings, seed int64) *Engine {
+	derived := deriveSettings(&settings)
 	e := &Engine{rng: rand.New(rand.NewSource(seed)), byID: map[uint64]int32{},
-		accountByCustomer: map[uint32]int32{},
-		scanIndex:         -1, reportPeer: -1, settings: settings}
+		accountByCustomer: map[uint32]int32{}, scanIndex: -1, reportPeer: -1, settings: settings, derived: derived}
+	e.peers = make([]peerRecord, derived.gatewayCount)
+	e.silentPrefix = make([]int, 2*derived.gatewayCount+1)
+	e.hotPrefix = make([]int, 2*derived.gatewayCount+1)
+	var maxValue, maxTargetMillis float64
+	for _, product := range settings.Products {
+		maxTargetMillis = math.Max(maxTargetMillis, product.LatencyTargetMillis)
+	}
+	for _, plan := range settings.Plans {
+		e.plans = append(e.plans, newPlanParams(plan, &derived, maxTargetMillis))
+		for _, product := range settings.Products {
+			maxValue = math.Max(maxValue, product.Value*plan.ValueFactor)
+		}
+	}
+	for _, product := range settings.Products {
+		e.products = append(e.products, productParams{latencyTargetMillis: product.LatencyTargetMillis,
+			dedupWindowMillis: product.DedupWindowMillis, idempotency: product.Idempotency,
+			dedupScope: product.DedupScope})
+	}
+	e.windowFraction = windowFractions(&settings, maxValue)
+	classes := len(settings.Plans) * len(settings.Products)
+	e.inFlightByClass, e.acceptingFraction = make([]int, classes), make([]float64, classes)
+	return e
+}
+
+// deriveSettings computes what decisions use of the settings of the gateway as a whole.
+func deriveSettings(settings *Settings) derivedSettings {
 	gatewayCount := max(settings.GatewayCount, 1)
-	e.peers, e.silentPrefix, e.hotPrefix = make([]peerRecord, gatewayCount), make([]int, 2*gatewayCount+1),
-		make([]int, 2*gatewayCount+1)
-	e.derived = derivedSettings{gatewayIndex: settings.GatewayIndex, gatewayCount: gatewayCount,
+	derived := derivedSettings{gatewayIndex: settings.GatewayIndex, gatewayCount: gatewayCount,
 		maxAttempts: max(settings.MaxAttempts, 1), reportsPerMessage: settings.ReportsPerMessage,
-		allowHedging: settings.AllowHedging, allowCancel: settings.AllowCancel,
-		allowRetryAfter:     settings.AllowRetryAfter,
-		maxRetryAfterMillis: settings.MaxRetryAfterMillis,
-		maxRequestUnits:     math.Max(settings.MaxRequestUnits, 1), reportIntervalMillis: reportIntervalMillis,
+		messagesPerPeer: math.MaxInt16, allowHedging: settings.AllowHedging, allowCancel: settings.AllowCancel,
+		allowRetryAfter: settings.AllowRetryAfter, maxRetryAfterMillis: settings.MaxRetryAfterMillis,
+		maxRequestUnits:      math.Max(settings.MaxRequestUnits, 1),
+		reportIntervalMillis: reportIntervalMillis, coolDownMillis: coolDownMillis,
 		coldCapacityFraction: settings.ColdCapacityFraction,
 		warmUpMillis:         settings.WarmUpMillis * warmUpStretchFactor,
 		workersReportLoad:    settings.WorkersReportLoad,
 		turnMillis:           settings.OverloadMillis, warmingLoadFraction: 1,
+		latencySlackFactor: 1, idleScanMillis: idleScanIntervalMillis,
 		gossip: settings.AllowGossip && gatewayCount > 1 && settings.ReportsPerMessage > 0}
-	if settings.OverloadFactor > 0 { // as far as the settings say what is too much
-		e.derived.warmingLoadFraction = warmingOverloadFraction * settings.OverloadFactor
-	}
-	e.derived.messagesPerPeer, e.derived.coolDownMillis = math.MaxInt16, coolDownMillis
-	if settings.PeerMessagesPerSecond > 0 { // what all peers send in a period must fit the intake
-		perMs := settings.PeerMessagesPerSecond * reportIntakeFraction / 1000 / float64(max(gatewayCount-1, 1))
-		if gatewayCount > maxImmediateSetSize && e.derived.gossip { // fewer hear of all that soon as it is
-			e.derived.immediatePerMilli = immediateIntakeFraction * perMs * float64(gatewayCount-1)
-			perMs *= 1 - immediateIntakeFraction
-		}
-		e.derived.reportIntervalMillis = math.Max(reportIntervalMillis, 1/perMs)
-		e.derived.messagesPerPeer = int(e.derived.reportIntervalMillis*perMs + 1e-9)
-		// customers stay hot between two words
-		e.derived.coolDownMillis = math.Max(coolDownMillis, silentAfterIntervals*e.derived.reportIntervalMillis)
+	if settings.OverloadFactor > 0 { // as far as the settings say what a worker withstands
+		derived.warmingLoadFraction = warmingOverloadFraction * settings.OverloadFactor
 	}
-	var maxValue, maxTargetMillis float64
-	for _, product := range settings.Products {
-		maxTargetMillis = math.Max(maxTargetMillis, product.LatencyTargetMillis)
-	}
-	for _, plan := range settings.Plans {
-		params := planParams{ratePerMilli: plan.QuotaPerSecond / 1000, rateLimitPerMilli: plan.RateLimitPerSecond /
-			1000, rateLimitBurst: plan.RateLimitBurst,
-			maxInFlight:  plan.MaxInFlight,
-			allowsExcess: plan.ExcessValueFraction > plan.ExcessCostFraction, maxUnits: e.derived.maxRequestUnits,
-			demandWindowMillis:   demandWindowMillis,
-			shortDeadlineSuccess: 1}
-		switch {
-		case plan.QuotaPerSecond > 0:
-			params.burstMillis = plan.QuotaBurst / params.ratePerMilli
-		case plan.MaxInFlight > 0:
-			params.targetInFlight, params.attemptMillis, params.maxUnits = bestInFlight(plan),
-				targetPressureFraction*maxTargetMillis, 1
-			params.deriveRate()
-		}
-		if gatewayCount > maxDenseGateways &&
-			params.burstMillis < sparseBurstIntervals*e.derived.reportIntervalMillis &&
-			params.ratePerMilli*params.burstMillis*coldShareFraction < params.maxUnits*float64(gatewayCount) {
-			params.sparse, params.demandWindowMillis = true, max(demandWindowMillis, e.derived.reportIntervalMillis,
-				min(params.burstMillis, maxDemandWindowMillis))
-		}
-		// What a peer reports fades between its reports; this makes up for it on average.
-		params.decayCompensation = e.derived.reportIntervalMillis / params.demandWindowMillis /
-			(1 - math.Exp(-e.derived.reportIntervalMillis/params.demandWindowMillis))
-		e.plans = append(e.plans, params)
-		for _, product := range settings.Products {
-			maxValue = math.Max(maxValue, product.Value*plan.ValueFactor)
+	if settings.PeerMessagesPerSecond > 0 { // what all peers send in an interval must fit the intake
+		perMilli := settings.PeerMessagesPerSecond * reportIntakeFraction / 1000 / float64(max(gatewayCount-1, 1))
+		if gatewayCount > maxImmediateSetSize && derived.gossip { // in a smaller fleet reports are early anyway
+			derived.immediatePerMilli = immediateIntakeFraction * perMilli * float64(gatewayCount-1)
+			perMilli *= 1 - immediateIntakeFraction
 		}
+		derived.reportIntervalMillis = math.Max(reportIntervalMillis, 1/perMilli)
+		derived.messagesPerPeer = int(derived.reportIntervalMillis*perMilli + 1e-9)
+		// customers stay hot between two reports
+		derived.coolDownMillis = math.Max(coolDownMillis, silentAfterIntervals*derived.reportIntervalMillis)
 	}
-	sheddingFraction := sheddingWindowFraction * math.Max(0,
-		1-sheddingFairnessFactor*settings.WorstPlanWeight/math.Max(settings.WorstPlanWeight+settings.TotalWeight,
-			1e-9))
-	// one that comes after a look waits out patience
-	e.derived.latencySlackFactor, e.derived.idleScanMillis = 1, idleScanIntervalMillis
 	for _, product := range settings.Products {
-		e.derived.idleScanMillis = math.Max(math.Min(e.derived.idleScanMillis,
+		// A request that arrives after a scan is found silent by the next one.
+		derived.idleScanMillis = math.Max(math.Min(derived.idleScanMillis,
 			silentWorkerTargetFraction*product.LatencyTargetMillis), scanIntervalMillis)
-		e.products = append(e.products, productParams{latencyTargetMillis: product.LatencyTargetMillis,
-			dedupWindowMillis: product.DedupWindowMillis,
-			idempotency:       product.Idempotency, dedupScope: product.DedupScope})
-		e.derived.latencySlackFactor += lateValueSlackFactor * product.LateValueFraction /
+		derived.latencySlackFactor += lateValueSlackFactor * product.LateValueFraction /
 			float64(len(settings.Products))
-		fractions := make([]float64, len(settings.Plans))
-		for i, plan := range settings.Plans {
-			if fractions[i] = 1; maxValue > 0 {
-				fractions[i] = 1 - sheddingFraction*(1-product.Value*plan.ValueFactor/maxValue)
-			}
-		}
-		e.windowFraction = append(e.windowFraction, fractions)
 	}
-	e.inFlightByClass, e.acceptingFraction = make([]int, len(settings.Plans)*len(settings.Products)),
-		make([]float64, len(settings.Plans)*len(settings.Products))
-	return e
+	return derived
 }
 
 // AdvanceTo sets the time, in ms, of the inputs and decisions that follow.
@@ -223,20 +198,7 @@
 		return Decision{}, false
 	}
 	if request.inFlight > 0 && (request.bodyPending || e.now < request.deadline) {
-		if !request.wantsAttempt {
-			return Decision{}, false
-		}
-		request.wantsAttempt = false
-		again := request.deadline-e.now > deadlineMarginMillis && e.now < e.retryUntil(request, true)
-		if again && !e.derived.allowHedging {
-			return e.nextCancel(request)
-		}
-		if again && float64(e.inFlight) < e.currentWindow() {
-			if w := e.chooseWorker(request); w >= 0 {
-				return e.submitTo(request, w), true
-			}
-		}
-		return Decision{}, false
+		return e.decideInFlight(request)
 	}
 	if request.deadline-e.now <= deadlineMarginMillis && !request.bodyPending {
 		return e.finish(request, request.deadlineReason(), 0), true
@@ -254,15 +216,34 @@
 		return e.finish(request, ReasonOverload,
 			overloadRetryTargetFraction*e.products[request.product].latencyTargetMillis), true
 	}
-	w := e.chooseWorker(request)
-	if w < 0 {
+	workerIndex := e.chooseWorker(request)
+	if workerIndex < 0 {
 		return e.finish(request, ReasonNoWorker,
 			overloadRetryTargetFraction*e.products[request.product].latencyTargetMillis), true
 	}
-	return e.submitTo(request, w), true
+	return e.submitTo(request, workerIndex), true
+}
+
+// decideInFlight gives the next decision on a request that has an attempt in flight: it is hedged, or moved where
+// hedging is not allowed.
+func (e *Engine) decideInFlight(request *requestState) (Decision, bool) {
+	if !request.wantsAttempt {
+		return Decision{}, false
+	}
+	request.wantsAttempt = false
+	again := request.deadline-e.now > deadlineMarginMillis && e.now < e.retryUntil(request, true)
+	if again && !e.derived.allowHedging {
+		return e.nextCancel(request)
+	}
+	if again && float64(e.inFlight) < e.currentWindow() {
+		if workerIndex := e.chooseWorker(request); workerIndex >= 0 {
+			return e.submitTo(request, workerIndex), true
+		}
+	}
+	return Decision{}, false
 }
 
-// Engine is one instance. All its state is its own.
+// Engine decides for one gateway. All its state is its own.
 type Engine struct {
 	rng             *rand.Rand
 	now             float64
--- a/internal/policy/handoff.go
+++ b/internal/policy/handoff.go
@@ -133,35 +133,51 @@
 	return handoff
 }
 
-// RestoreHandoff takes over what a predecessor on this machine has left, before the first txn, and has it
-// changed to this charter from the one that it went by. What does not fit is not taken. The worker of a
-// Standing, and a kind, are this gatekeeper's own indices.
+// RestoreHandoff takes over what a predecessor on this machine has handed off, before the first request, and
+// converts it from the settings that it went by to those of this engine. What does not fit is not taken. The
+// worker of a WorkerState, and a machine kind, are this engine's own indices.
 func (e *Engine) RestoreHandoff(handoff HandoffState) {
 	if len(handoff.ShortDeadlineSuccess) != len(e.plans) || handoff.AtMillis > e.now+stallMillis {
 		return
 	}
-	if mine := e.settings; !reflect.DeepEqual(mine, handoff.Settings) {
+	if own := e.settings; !reflect.DeepEqual(own, handoff.Settings) {
 		if !e.Reconfigure(handoff.Settings) {
 			return
 		}
-		defer e.Reconfigure(mine)
+		defer e.Reconfigure(own)
 	}
 	if len(handoff.Peers) != len(e.peers) {
 		return
 	}
-	e.rateLimitBase = handoff.RateLimitBaseMillis
-	e.startedAt, e.window, e.pressure, e.windowCutAt, e.responseMillis = handoff.StartedAtMillis, handoff.Window,
-		handoff.Pressure, handoff.WindowCutAtMillis,
-		handoff.ResponseMillis
-	e.meanLoad, e.warmUnits, e.warmUnitsPerWorker, e.warmUnitsAt = handoff.MeanWorkerLoad, handoff.WarmWorkUnits,
-		handoff.WarmWorkUnitsPerWorker,
-		handoff.WarmWorkAtMillis
-	e.slowRequests, e.lostRequests, e.nextReportAt = decayingScore{handoff.SlowRequests,
-		handoff.SlowRequestsAtMillis}, decayingScore{handoff.LostRequests,
-		handoff.LostRequestsAtMillis}, handoff.NextReportAtMillis
+	e.restoreEstimates(&handoff)
+	for i := range handoff.Workers {
+		e.restoreWorker(&handoff.Workers[i])
+	}
+	for i, saved := range handoff.Peers {
+		e.peers[i] = peerRecord{saved.HeardAtMillis, saved.ReportedAtMillis, saved.ReportDueSinceMillis,
+			saved.ReportsHeardAtMillis, saved.Silent, saved.Lost, saved.LastReports}
+	}
+	e.countSilentPeers()
+	for i := range handoff.Customers {
+		e.restoreAccount(&handoff.Customers[i])
+	}
+	e.rebuildReady()
+}
+
+// restoreEstimates takes over what a predecessor knew of the fleet as a whole.
+func (e *Engine) restoreEstimates(handoff *HandoffState) {
+	e.rateLimitBase, e.startedAt = handoff.RateLimitBaseMillis, handoff.StartedAtMillis
+	e.window, e.windowCutAt = handoff.Window, handoff.WindowCutAtMillis
+	e.pressure, e.responseMillis = handoff.Pressure, handoff.ResponseMillis
+	e.meanLoad = handoff.MeanWorkerLoad
+	e.warmUnits, e.warmUnitsPerWorker = handoff.WarmWorkUnits, handoff.WarmWorkUnitsPerWorker
+	e.warmUnitsAt = handoff.WarmWorkAtMillis
+	e.slowRequests = decayingScore{handoff.SlowRequests, handoff.SlowRequestsAtMillis}
+	e.lostRequests = decayingScore{handoff.LostRequests, handoff.LostRequestsAtMillis}
+	e.nextReportAt = handoff.NextReportAtMillis
 	for i := range e.plans {
-		e.plans[i].shortDeadlineSuccess, e.plans[i].attemptMillis = handoff.ShortDeadlineSuccess[i],
-			handoff.AttemptMillis[i]
+		e.plans[i].shortDeadlineSuccess = handoff.ShortDeadlineSuccess[i]
+		e.plans[i].attemptMillis = handoff.AttemptMillis[i]
 		e.plans[i].deriveRate()
 	}
 	for _, saved := range handoff.Kinds {
@@ -169,65 +185,67 @@
 			e.machineKinds[saved.MachineKind] = machineKind{saved.ResponseMillis, saved.Responses}
 		}
 	}
-	for _, saved := range handoff.Workers {
-		if saved.Worker >= len(e.workers) || e.workers[saved.Worker].StartedAtMillis != saved.StartedAtMillis ||
-			len(saved.Rejections) != len(e.plans)*len(e.products) ||
-			len(saved.RejectionsAtMillis) != len(saved.Rejections) {
-			continue // what started anew since is another process, cold, and keeps what is known of that
-		}
-		worker := &e.workers[saved.Worker]
-		worker.responseMillis, worker.responseAt, worker.reportedLoad, worker.reportedLoadAt,
-			worker.heardAt = saved.ResponseMillis, saved.ResponseAtMillis, saved.ReportedLoad,
-			saved.ReportedLoadAtMillis, saved.HeardAtMillis
-		worker.suspicion, worker.overloaded, worker.slowStartAt, worker.slowStartDebt =
-			decayingScore{saved.Suspicion, saved.SuspicionAtMillis}, saved.Overloaded,
-			saved.SlowStartAtMillis, saved.SlowStartDebtUnits
-		clear(worker.rejections)
-		for i := range saved.Rejections {
-			if saved.Rejections[i] != 0 {
-				e.rejectionsOf(worker)[i] = decayingScore{saved.Rejections[i], saved.RejectionsAtMillis[i]}
-			}
+}
+
+// restoreWorker takes over what a predecessor knew of a worker. One that has started anew since is another
+// process: it is warming up, and keeps what is known of that.
+func (e *Engine) restoreWorker(saved *WorkerState) {
+	if saved.Worker >= len(e.workers) || e.workers[saved.Worker].StartedAtMillis != saved.StartedAtMillis ||
+		len(saved.Rejections) != len(e.plans)*len(e.products) ||
+		len(saved.RejectionsAtMillis) != len(saved.Rejections) {
+		return
+	}
+	worker := &e.workers[saved.Worker]
+	worker.responseMillis, worker.responseAt = saved.ResponseMillis, saved.ResponseAtMillis
+	worker.reportedLoad, worker.reportedLoadAt = saved.ReportedLoad, saved.ReportedLoadAtMillis
+	worker.heardAt = saved.HeardAtMillis
+	worker.suspicion = decayingScore{saved.Suspicion, saved.SuspicionAtMillis}
+	worker.overloaded = saved.Overloaded
+	worker.slowStartAt, worker.slowStartDebt = saved.SlowStartAtMillis, saved.SlowStartDebtUnits
+	clear(worker.rejections)
+	for i := range saved.Rejections {
+		if saved.Rejections[i] != 0 {
+			e.rejectionsOf(worker)[i] = decayingScore{saved.Rejections[i], saved.RejectionsAtMillis[i]}
 		}
-		e.markSuspect(worker)
 	}
-	for i, saved := range handoff.Peers {
-		e.peers[i] = peerRecord{saved.HeardAtMillis, saved.ReportedAtMillis, saved.ReportDueSinceMillis,
-			saved.ReportsHeardAtMillis,
-			saved.Silent, saved.Lost, saved.LastReports}
+	e.markSuspect(worker)
+}
+
+// restoreAccount takes over what a predecessor knew of a customer that is not known here.
+func (e *Engine) restoreAccount(saved *CustomerState) {
+	if !e.fitsSets(saved) {
+		return
 	}
-	e.countSilentPeers()
-	for _, saved := range handoff.Customers {
-		if saved.Plan < 0 || saved.Plan >= len(e.plans) || saved.SetSize < 0 ||
-			saved.SetSize > e.derived.gatewayCount || saved.FirstGateway < 0 ||
-			saved.FirstGateway >= e.derived.gatewayCount {
-			continue
-		}
-		if _, known := e.accountByCustomer[uint32(saved.ID)]; known {
-			continue
-		}
-		account := &e.accounts[e.openAccount(saved.ID, saved.Plan)]
-		account.setSize, account.firstGateway, account.requests, account.silentPeers, account.shareTokens,
-			account.quotaTokens = saved.SetSize, saved.FirstGateway, saved.Requests, saved.SilentPeers,
-			saved.ShareTokens, saved.QuotaTokens
-		account.filledAt, account.peerDemand, account.peerSpent, account.silentPeerDemand, account.peerDemandAt =
-			saved.FilledAtMillis, saved.PeerDemand, saved.PeerSpentUnits,
-			saved.SilentPeerDemand, saved.PeerDemandAtMillis
-		account.decayedDemand, account.recentDemand, account.lastRequestAt, account.coolSince = saved.OwnDemand,
-			saved.RecentDemand, saved.LastRequestAtMillis,
-			saved.CoolSinceMillis
-		account.rateLimitFullAt, account.unreportedUnits, account.reportedDemand,
-			account.reportedAt = saved.RateLimitFullAtMillis, saved.UnreportedUnits, saved.ReportedDemand,
-			saved.ReportedAtMillis
-		account.previousReportedDemand, account.hot, account.predecessorInFlight, account.inFlight,
-			account.uncollectedUnits, account.creditAt = saved.PreviousReportedDemand, saved.Hot, saved.InFlight,
-			saved.InFlight,
-			saved.UncollectedRepayment, saved.CreditAtMillis
-		if account.setSize == 0 {
-			e.remoteOnlyAccounts++
-		}
-		e.updateShare(account)
+	if _, known := e.accountByCustomer[uint32(saved.ID)]; known {
+		return
 	}
-	e.rebuildReady()
+	account := &e.accounts[e.openAccount(saved.ID, saved.Plan)]
+	account.setSize, account.firstGateway = saved.SetSize, saved.FirstGateway
+	account.requests, account.hot = saved.Requests, saved.Hot
+	account.shareTokens, account.quotaTokens = saved.ShareTokens, saved.QuotaTokens
+	account.filledAt = saved.FilledAtMillis
+	account.peerDemand, account.peerDemandAt = saved.PeerDemand, saved.PeerDemandAtMillis
+	account.peerSpent = saved.PeerSpentUnits
+	account.silentPeers, account.silentPeerDemand = saved.SilentPeers, saved.SilentPeerDemand
+	account.decayedDemand, account.recentDemand = saved.OwnDemand, saved.RecentDemand
+	account.lastRequestAt, account.coolSince = saved.LastRequestAtMillis, saved.CoolSinceMillis
+	account.rateLimitFullAt = saved.RateLimitFullAtMillis
+	account.unreportedUnits = saved.UnreportedUnits
+	account.reportedDemand, account.reportedAt = saved.ReportedDemand, saved.ReportedAtMillis
+	account.previousReportedDemand = saved.PreviousReportedDemand
+	account.predecessorInFlight, account.inFlight = saved.InFlight, saved.InFlight
+	account.uncollectedUnits, account.creditAt = saved.UncollectedRepayment, saved.CreditAtMillis
+	if account.setSize == 0 {
+		e.remoteOnlyAccounts++
+	}
+	e.updateShare(account)
+}
+
+// fitsSets tells whether a customer's plan and set exist under the settings in force.
+func (e *Engine) fitsSets(saved *CustomerState) bool {
+	return saved.Plan >= 0 && saved.Plan < len(e.plans) && saved.SetSize >= 0 &&
+		saved.SetSize <= e.derived.gatewayCount && saved.FirstGateway >= 0 &&
+		saved.FirstGateway < e.derived.gatewayCount
 }
 
 // PredecessorEnded tells that the predecessor has ended: none of its submissions is out any more.
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -109,35 +109,40 @@
 		accountIndex = e.openAccount(arrival.Customer&math.MaxUint32, arrival.Plan)
 	}
 	account := &e.accounts[accountIndex]
-	n, first := min(max(arrival.SetSize, 1), e.derived.gatewayCount), max(arrival.FirstGateway,
-		0)%e.derived.gatewayCount
-	// new, known from peers alone, of another set or plan
+	n := min(max(arrival.SetSize, 1), e.derived.gatewayCount)
+	first := max(arrival.FirstGateway, 0) % e.derived.gatewayCount
 	if account.setSize != n || account.firstGateway != first || account.plan != arrival.Plan {
-		plan, from, most := &e.plans[arrival.Plan], e.rateLimitBase, math.Inf(1)
-		if ok && account.setSize == 0 {
-			e.remoteOnlyAccounts--
-		} else if ok && (account.setSize != n || account.firstGateway != first) {
-			// others may have had its part meanwhile, or have it still
-			from, most = e.now, account.shareTokens
-		}
-		if account.plan != arrival.Plan {
-			account.quotaTokens = e.storeDepth(plan, plan.ratePerMilli)
-		}
-		account.plan, account.setSize, account.firstGateway = arrival.Plan, n, first
-		if plan.rateLimitPerMilli > 0 {
-			// A former life of this gatekeeper may have spent its whole slice just before it ended.
-			account.rateLimitFullAt = math.Max(account.rateLimitFullAt,
-				from+plan.rateLimitBurst/plan.rateLimitPerMilli)
-		}
-		if account.shareTokens = math.Min(e.initialShareTokens(account), most); e.isSparse(account) {
-			// of many that fill slowly, chance spreads the turns
-			account.shareTokens = plan.quotaCost(arrival.Units) * e.rng.Float64()
-		}
-		e.updateShare(account)
+		e.moveAccount(account, arrival, ok, n, first)
 	}
 	return accountIndex
 }
 
+// moveAccount puts an account that is new, known from peers alone, or of another set or plan, in the set and plan
+// of a request.
+func (e *Engine) moveAccount(account *customerAccount, arrival Request, known bool, setSize, firstGateway int) {
+	plan, from, most := &e.plans[arrival.Plan], e.rateLimitBase, math.Inf(1)
+	if known && account.setSize == 0 {
+		e.remoteOnlyAccounts--
+	} else if known && (account.setSize != setSize || account.firstGateway != firstGateway) {
+		// Others may have had its part meanwhile, or have it still.
+		from, most = e.now, account.shareTokens
+	}
+	if account.plan != arrival.Plan {
+		account.quotaTokens = e.storeDepth(plan, plan.ratePerMilli)
+	}
+	account.plan, account.setSize, account.firstGateway = arrival.Plan, setSize, firstGateway
+	if plan.rateLimitPerMilli > 0 {
+		// An earlier run of this gateway may have spent its whole share just before it ended.
+		account.rateLimitFullAt = math.Max(account.rateLimitFullAt,
+			from+plan.rateLimitBurst/plan.rateLimitPerMilli)
+	}
+	if account.shareTokens = math.Min(e.initialShareTokens(account), most); e.isSparse(account) {
+		// Of many shares that fill slowly, chance spreads the turns.
+		account.shareTokens = plan.quotaCost(arrival.Units) * e.rng.Float64()
+	}
+	e.updateShare(account)
+}
+
 // initialShareTokens is what a slice holds at first: full, though without the rounding up to the largest txn,
 // which over all gatekeepers of a large set would come to many times the quota's burst.
 func (e *Engine) initialShareTokens(account *customerAccount) float64 {
@@ -424,3 +429,31 @@
 		}
 	}
 }
+
+// newPlanParams computes what decisions use of a plan. maxTargetMillis is the longest latency target of any
+// product.
+func newPlanParams(plan Plan, derived *derivedSettings, maxTargetMillis float64) planParams {
+	params := planParams{ratePerMilli: plan.QuotaPerSecond / 1000,
+		rateLimitPerMilli: plan.RateLimitPerSecond / 1000, rateLimitBurst: plan.RateLimitBurst,
+		maxInFlight: plan.MaxInFlight, allowsExcess: plan.ExcessValueFraction > plan.ExcessCostFraction,
+		maxUnits: derived.maxRequestUnits, demandWindowMillis: demandWindowMillis, shortDeadlineSuccess: 1}
+	switch {
+	case plan.QuotaPerSecond > 0:
+		params.burstMillis = plan.QuotaBurst / params.ratePerMilli
+	case plan.MaxInFlight > 0:
+		params.targetInFlight = bestInFlight(plan)
+		params.attemptMillis, params.maxUnits = targetPressureFraction*maxTargetMillis, 1
+		params.deriveRate()
+	}
+	if derived.gatewayCount > maxDenseGateways &&
+		params.burstMillis < sparseBurstIntervals*derived.reportIntervalMillis &&
+		params.ratePerMilli*params.burstMillis*coldShareFraction < params.maxUnits*float64(derived.gatewayCount) {
+		params.sparse = true
+		params.demandWindowMillis = max(demandWindowMillis, derived.reportIntervalMillis,
+			min(params.burstMillis, maxDemandWindowMillis))
+	}
+	// What a peer reports decays between its reports; this makes up for it on average.
+	params.decayCompensation = derived.reportIntervalMillis / params.demandWindowMillis /
+		(1 - math.Exp(-derived.reportIntervalMillis/params.demandWindowMillis))
+	return params
+}
--- a/internal/policy/reconfigure.go
+++ b/internal/policy/reconfigure.go
@@ -4,7 +4,7 @@
 	"math"
 )
 
-// SetGatewayCount tells that there are so many gatekeepers from now on.
+// SetGatewayCount tells that there are so many gateways from now on.
 func (e *Engine) SetGatewayCount(n int) {
 	if settings := e.settings; n != e.derived.gatewayCount && n > settings.GatewayIndex {
 		settings.GatewayCount = n
@@ -12,56 +12,36 @@
 	}
 }
 
-// Reconfigure tells that another charter is in force from now on: other rates and depths of the same plans,
-// another number of gatekeepers, another part withheld. It is false, and nothing changes, where more of
-// it differs. This one keeps its place, and so do the others that stay; those beyond the number have ended.
-// Customers' parts follow their sets, as their txns say.
+// Reconfigure tells that other settings are in force from now on: other rates and bursts of the same plans,
+// another number of gateways, another fraction withheld. It is false, and nothing changes, where more of them
+// differs. This gateway keeps its index, and so do the others that stay; those beyond the number have ended.
+// Customers' shares follow their sets, as their requests say.
 //
-// No store holds more by the change. What was spent of a ceiling stays spent, in units: one that grows fills
-// at its new pace from what there was, one that shrinks holds at most its new depth less what is spent, and
-// a new one holds nothing. Where a part is withheld, all that is spent counts against the rest; where it is
-// given free again, what was not spent of it is there.
+// No store holds more by the change. What was spent of a rate limit stays spent, in units: one that grows fills
+// at its new rate from what there was, one that shrinks holds at most its new burst less what is spent, and a
+// new one holds nothing. Where a fraction is withheld, all that is spent counts against the rest; where it is
+// released again, what was not spent of it is there.
 func (e *Engine) Reconfigure(settings Settings) bool {
 	gatewayCount := max(settings.GatewayCount, 1)
 	if settings.GatewayIndex != e.derived.gatewayIndex || gatewayCount <= settings.GatewayIndex ||
-		len(settings.Plans) != len(e.plans) ||
-		len(settings.Products) != len(e.products) {
+		len(settings.Plans) != len(e.plans) || len(settings.Products) != len(e.products) {
 		return false
 	}
-	for i := gatewayCount; i < e.derived.gatewayCount; i++ {
-		e.setPeerSilent(i, false, false) // nothing is held for those that are no more
-	}
-	// sets may change, and customers not known here be spent at those that had been theirs
-	if gatewayCount != e.derived.gatewayCount {
-		e.rateLimitBase = e.now
-	}
-	for i := range e.accounts {
-		if account := &e.accounts[i]; account.live {
-			e.refill(account)
-			// its next txn says what its set is now
-			if account.setSize > 0 && (account.firstGateway >= gatewayCount || account.setSize > gatewayCount) {
-				account.rateLimitFullAt = math.Max(account.rateLimitFullAt,
-					e.now+e.plans[account.plan].fullRefillMillis())
-			}
-			account.setSize, account.firstGateway = min(account.setSize, gatewayCount),
-				account.firstGateway%gatewayCount
-		}
-	}
-	// for what follows from the charter
-	fresh, previousPlans, previousSettings := New(settings, 0), e.plans, e.settings
+	e.resizeSets(gatewayCount)
+	fresh, previousPlans, previousSettings := New(settings, 0), e.plans, e.settings // for what is derived
 	if e.initialPlans == nil {
 		e.initialPlans = previousSettings.Plans
 	}
 	for i := range fresh.plans {
-		fresh.plans[i].shortDeadlineSuccess, fresh.plans[i].attemptMillis = previousPlans[i].shortDeadlineSuccess,
-			previousPlans[i].attemptMillis
-		fresh.plans[i].deriveRate()
-		fresh.plans[i].restrict(&settings, settings.Plans[i].WithheldFraction)
-		fresh.plans[i].recordedRatePerMilli = minPositive(fresh.plans[i].rateLimitPerMilli,
-			e.initialPlans[i].RateLimitPerSecond/1000)
-		e.advanceRateLimitBase(&fresh.plans[i], previousSettings.Plans[i], settings.Plans[i])
-	}
-	if settings.QuotaWithoutGossip { // what would be told of demand is not what is asked
+		plan := &fresh.plans[i]
+		plan.shortDeadlineSuccess = previousPlans[i].shortDeadlineSuccess
+		plan.attemptMillis = previousPlans[i].attemptMillis
+		plan.deriveRate()
+		plan.restrict(&settings, settings.Plans[i].WithheldFraction)
+		plan.recordedRatePerMilli = minPositive(plan.rateLimitPerMilli, e.initialPlans[i].RateLimitPerSecond/1000)
+		e.advanceRateLimitBase(previousSettings.Plans[i], settings.Plans[i])
+	}
+	if settings.QuotaWithoutGossip { // what would be reported of demand is not what is asked
 		fresh.derived.gossip, fresh.derived.immediatePerMilli = false, 0
 	}
 	// What the others have spent in between is not known, unless all of it is as after a start.
@@ -73,34 +53,71 @@
 		e.gossipResumedAt = e.now
 	}
 	copy(fresh.peers, e.peers)
-	e.settings, e.derived, e.plans, e.peers, e.silentPrefix, e.hotPrefix = settings, fresh.derived, fresh.plans,
-		fresh.peers, fresh.silentPrefix, fresh.hotPrefix
+	e.settings, e.derived, e.plans, e.peers = settings, fresh.derived, fresh.plans, fresh.peers
+	e.silentPrefix, e.hotPrefix = fresh.silentPrefix, fresh.hotPrefix
 	e.countSilentPeers()
+	e.convertAccounts(previousPlans, previousSettings.Plans, unknown)
+	e.expireBlockedClearances()
+	e.rebuildReady()
+	e.window = math.Max(e.window, e.minWindow())
+	return true
+}
+
+// resizeSets fits peers and customers' sets to another number of gateways.
+func (e *Engine) resizeSets(gatewayCount int) {
+	for i := gatewayCount; i < e.derived.gatewayCount; i++ {
+		e.setPeerSilent(i, false, false) // nothing is held for those that are no more
+	}
+	// Sets may change, and customers not known here be spent at those that had been theirs.
+	if gatewayCount != e.derived.gatewayCount {
+		e.rateLimitBase = e.now
+	}
 	for i := range e.accounts {
-		if account := &e.accounts[i]; account.live {
-			plan := &e.plans[account.plan]
-			account.rateLimitFullAt = e.rescaledFullAt(account, &previousPlans[account.plan],
-				previousSettings.Plans[account.plan], settings.Plans[account.plan])
-			if unknown {
-				account.hot, account.peerDemand, account.silentPeerDemand, account.silentPeers,
-					account.quotaTokens = false, 0, 0, 0, 0
-			}
-			e.updateShare(account)
-			account.shareTokens, account.quotaTokens = math.Min(account.shareTokens, e.storeDepth(plan,
-				account.sharePerMilli)), math.Min(account.quotaTokens, e.storeDepth(plan, plan.ratePerMilli))
+		account := &e.accounts[i]
+		if !account.live {
+			continue
 		}
+		e.refill(account)
+		// The next request says what its set is now.
+		if account.setSize > 0 && (account.firstGateway >= gatewayCount || account.setSize > gatewayCount) {
+			account.rateLimitFullAt = math.Max(account.rateLimitFullAt,
+				e.now+e.plans[account.plan].fullRefillMillis())
+		}
+		account.setSize = min(account.setSize, gatewayCount)
+		account.firstGateway %= gatewayCount
 	}
+}
+
+// convertAccounts brings customers' stores from the previous plans to those in force. Where what peers have spent
+// is unknown, what they have reported is dropped.
+func (e *Engine) convertAccounts(previousPlans []planParams, previousSettings []Plan, unknown bool) {
+	for i := range e.accounts {
+		account := &e.accounts[i]
+		if !account.live {
+			continue
+		}
+		plan := &e.plans[account.plan]
+		account.rateLimitFullAt = e.rescaledFullAt(account, &previousPlans[account.plan],
+			previousSettings[account.plan], e.settings.Plans[account.plan])
+		if unknown {
+			account.hot, account.quotaTokens = false, 0
+			account.peerDemand, account.silentPeerDemand, account.silentPeers = 0, 0, 0
+		}
+		e.updateShare(account)
+		account.shareTokens = math.Min(account.shareTokens, e.storeDepth(plan, account.sharePerMilli))
+		account.quotaTokens = math.Min(account.quotaTokens, e.storeDepth(plan, plan.ratePerMilli))
+	}
+}
+
+// expireBlockedClearances ends the clearances of requests that may not go out any more.
+func (e *Engine) expireBlockedClearances() {
 	for i := range e.requests {
-		// its clearance lapses
 		if request := &e.requests[i]; request.live && request.clearance == clearanceGranted &&
 			e.plans[request.plan].blocked() {
 			request.deadline = math.Min(request.deadline, e.now)
 			e.pending = append(e.pending, int32(i))
 		}
 	}
-	e.rebuildReady()
-	e.window = math.Max(e.window, e.minWindow())
-	return true
 }
 
 // restrict leaves a plan what is this gatekeeper's own. Where its quota goes without words all peers count as
@@ -134,7 +151,7 @@
 
 // advanceRateLimitBase sees that customers that are not known find no more in a ceiling that grows, or is
 // new, than those that are. It falls on all plans: there is one base.
-func (e *Engine) advanceRateLimitBase(plan *planParams, from, to Plan) {
+func (e *Engine) advanceRateLimitBase(from, to Plan) {
 	had := from.RateLimitBurst
 	if from.RateLimitPerSecond <= 0 {
 		had = 0
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -37,7 +37,20 @@
 	}
 	request := &e.requests[slot]
 	attempt := &request.attempts[attemptIndex]
-	worker, plan := e.endAttempt(request, attempt), &e.plans[request.plan]
+	worker := e.endAttempt(request, attempt)
+	e.recordAttemptTime(request, attempt, worker, outcome, responseMillis)
+	e.recordOutcome(request, attempt, worker, outcome, responseMillis)
+	if closed && !request.answered {
+		request.answered = true
+		e.stats.FinalByReason[ReasonSucceeded]++
+	}
+	e.pending = append(e.pending, slot)
+}
+
+// recordAttemptTime updates what is known of how long attempts take, and of whether slow ones are only slow.
+func (e *Engine) recordAttemptTime(request *requestState, attempt *attemptState, worker *workerRecord,
+	outcome Outcome, responseMillis float64) {
+	plan := &e.plans[request.plan]
 	if plan.targetInFlight > 0 && outcome != NotSent {
 		plan.attemptMillis += fleetResponseGain * (responseMillis - plan.attemptMillis)
 	}
@@ -46,7 +59,6 @@
 	} else if request.shortDeadline && outcome == TimedOut {
 		plan.shortDeadlineSuccess -= shortDeadlineGain * plan.shortDeadlineSuccess
 	}
-	latencyTargetMillis := math.Max(e.products[request.product].latencyTargetMillis, 1)
 	if slow := responseMillis > slowRequestResponses*math.Max(e.responseMillis, 1); slow &&
 		outcome == Succeeded {
 		e.slowRequests.add(1, e.now, lostRequestDecayMillis)
@@ -56,6 +68,11 @@
 	if outcome <= Overloaded || outcome == ConnectFailed || outcome == ConnectionLost {
 		worker.heardAt = e.now
 	}
+}
+
+// recordOutcome updates what is known of the worker and of the pressure, and whether the attempt may have run.
+func (e *Engine) recordOutcome(request *requestState, attempt *attemptState, worker *workerRecord,
+	outcome Outcome, responseMillis float64) {
 	switch outcome {
 	case Succeeded:
 		if attempt.sentAt < e.stalledUntil {
@@ -63,8 +80,9 @@
 		}
 		e.recordResponse(worker, responseMillis)
 		e.recordWarmWork(worker, request.units)
-		// else it is those few workers that are pressed
+		// With fewer it is those few workers that are pressed.
 		if e.acceptingFraction[e.classOf(request)] > minAcceptingFraction {
+			latencyTargetMillis := math.Max(e.products[request.product].latencyTargetMillis, 1)
 			e.recordPressure(responseMillis / latencyTargetMillis / e.derived.latencySlackFactor)
 		}
 	case Failed, ConnectionLost:
@@ -89,11 +107,6 @@
 	case Cancelled:
 		e.recordUncertain(request, attempt)
 	}
-	if closed && !request.answered {
-		request.answered = true
-		e.stats.FinalByReason[ReasonSucceeded]++
-	}
-	e.pending = append(e.pending, slot)
 }
 
 // retryUntil is until when a further submission may begin under the rule against double effects; 0 is never.
