--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -61,7 +61,7 @@
 	overloadRetryTargetFraction = 0.25
 )
 
-// admit decides on a txn's first submission: BySettled lets it in, else the reason and when to return.
+// admit decides on a request's first attempt: ReasonSucceeded lets it in, else the reason and when to return.
 func (e *Engine) admit(request *requestState) (FinalReason, float64) {
 	account, plan := &e.accounts[request.accountIndex], &e.plans[request.plan]
 	if e.handedOff {
@@ -78,7 +78,7 @@
 		}
 	}
 	limit := plan.maxInFlight
-	// parts of the limit are whole submissions, which need no split
+	// parts of the limit are whole attempts, which need no split
 	if plan.targetInFlight > 0 && plan.maxInFlight%account.setSize == 0 {
 		limit, request.withinQuota = plan.maxInFlight/account.setSize, true
 	} else if plan.ratePerMilli > 0 {
@@ -109,14 +109,14 @@
 	return ReasonSucceeded, 0
 }
 
-// hasSpareCapacity tells whether there is capacity for txns beyond a quota: little of the window is in use,
-// and answers are quick. Among many gatekeepers each has few submissions out, however pressed the fleet.
+// hasSpareCapacity tells whether there is capacity for requests beyond a quota: little of the window is in
+// use, and answers are quick. Among many gateways each has few attempts out, however pressed the fleet.
 func (e *Engine) hasSpareCapacity() bool {
 	return float64(e.inFlight) < spareWindowFraction*e.window &&
 		e.pressure < sparePressureFraction*targetPressureFraction
 }
 
-// recordPressure takes one answer's time over its SLA time, and moves the window.
+// recordPressure takes one answer's time over its latency target, and moves the window.
 func (e *Engine) recordPressure(pressure float64) {
 	e.pressure += pressureGain * (math.Min(pressure, 1) - e.pressure)
 	switch {
@@ -133,13 +133,13 @@
 	}
 }
 
-// currentWindow is how many submissions may be out now.
+// currentWindow is how many attempts may be out now.
 func (e *Engine) currentWindow() float64 {
 	return e.window + e.stallAllowance*math.Exp((e.stalledUntil-e.now)/stallAllowanceDecayMillis)
 }
 
-// minWindow is what the window starts at and keeps, leastOf the same of any part. Few txns swing much, and
-// no other gatekeeper can lend its room: without the allowance many decline while workers idle.
+// minWindow is what the window starts at and keeps, leastOf the same of any part. Few requests swing much,
+// and no other gateway can lend its room: without the allowance many decline while workers idle.
 func (e *Engine) minWindow() float64 {
 	return minWindowFor(minWindowPerWorker * math.Max(e.warmEquivalents, 1) / float64(e.derived.gatewayCount))
 }
@@ -148,8 +148,8 @@
 	return part + math.Min(minWindowDeviations*math.Sqrt(part), maxMinWindowAllowanceFactor*part)
 }
 
-// windowFractions returns the part of the window that requests of a product (first) and plan may fill, by their
-// value. maxValue is the value of the most valuable ones.
+// windowFractions returns the part of the window that requests of a product (first) and plan may fill, by
+// their value. maxValue is the value of the most valuable ones.
 func windowFractions(settings *Settings, maxValue float64) [][]float64 {
 	sheddingFraction := sheddingWindowFraction * math.Max(0,
 		1-sheddingFairnessFactor*settings.WorstPlanWeight/math.Max(settings.WorstPlanWeight+settings.TotalWeight,
--- a/internal/policy/benchmark_test.go
+++ b/internal/policy/benchmark_test.go
@@ -8,7 +8,7 @@
 )
 
 // Benchmarks of what grows with the number of workers and customers. Those of lists begin from Roster; all of
-// them hold the desk's lock in a gatekeeper.
+// them hold the desk's lock in a gateway.
 
 var (
 	workerSizes = []int{200, 2000, 6000, 20000, 60000, 110000}
@@ -17,8 +17,8 @@
 
 const hall = 7900 // workers of one zone
 
-// vast is a charter of 7,900 gatekeepers, unless there are others, with 20 sorts of txns.
-func vast(gatekeepers int) Settings {
+// largeFleetSettings is a settings of 7,900 gateways, unless there are others, with 20 sorts of requests.
+func largeFleetSettings(gatekeepers int) Settings {
 	c := Settings{GatewayCount: gatekeepers, MaxRequestUnits: 8, MaxAttempts: 3, WorkersReportLoad: true,
 		AllowGossip:           true,
 		PeerMessagesPerSecond: 60, ReportsPerMessage: 20, ColdCapacityFraction: 0.2, WarmUpMillis: 20000,
@@ -33,7 +33,7 @@
 	return c
 }
 
-func posts(n int) []Endpoint {
+func endpointsOf(n int) []Endpoint {
 	var l []Endpoint
 	for i := range n {
 		l = append(l, Endpoint{Worker: i, Zone: i / hall, Cell: i / 38, MachineKind: i % 5, SizeRating: 1 +
@@ -43,11 +43,11 @@
 	return l
 }
 
-// listing is a gatekeeper with a list of so many workers, of which some are cold.
-func listing(n, cold int) *Engine {
-	g := New(vast(7900), 1)
+// engineWithEndpoints is a gateway with a list of so many workers, of which some are cold.
+func engineWithEndpoints(n, cold int) *Engine {
+	g := New(largeFleetSettings(7900), 1)
 	g.AdvanceTo(1e6)
-	l := posts(n)
+	l := endpointsOf(n)
 	for i := range cold {
 		l[i*(n/cold)].StartedAtMillis = 1e6 - 10
 	}
@@ -55,7 +55,7 @@
 	return g
 }
 
-func pulled(g *Engine) (last Decision) {
+func drainEngine(g *Engine) (last Decision) {
 	for {
 		d, ok := g.NextDecision()
 		if !ok {
@@ -67,10 +67,10 @@
 
 func BenchmarkFirstList(b *testing.B) {
 	for _, n := range workerSizes {
-		l := posts(n)
+		l := endpointsOf(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				g := New(vast(7900), 1)
+				g := New(largeFleetSettings(7900), 1)
 				g.AdvanceTo(1e6)
 				g.UpdateEndpoints(l, false)
 			}
@@ -80,12 +80,12 @@
 
 func BenchmarkListAgain(b *testing.B) {
 	for _, n := range workerSizes {
-		l := posts(n)
+		l := endpointsOf(n)
 		for i := range l {
 			l[i].Replaced = false
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			g := listing(n, 0)
+			g := engineWithEndpoints(n, 0)
 			for b.Loop() {
 				g.UpdateEndpoints(l, false)
 			}
@@ -101,7 +101,7 @@
 				continue
 			}
 			b.Run(fmt.Sprintf("cold-%d/%d", cold, n), func(b *testing.B) {
-				g := listing(n, cold)
+				g := engineWithEndpoints(n, cold)
 				rng, up := rand.New(rand.NewSource(1)), make([]bool, n)
 				one := make([]Endpoint, 1)
 				for b.Loop() {
@@ -125,7 +125,7 @@
 		}
 		for _, how := range []string{"one", "many"} {
 			b.Run(fmt.Sprintf("%s/%d", how, n), func(b *testing.B) {
-				g, l := listing(n, 0), posts(hall)
+				g, l := engineWithEndpoints(n, 0), endpointsOf(hall)
 				for i := range l {
 					l[i].Replaced = false
 				}
@@ -150,7 +150,7 @@
 	}
 }
 
-// BenchmarkDraw is a txn from its coming to its end, with so many workers of which some are cold.
+// BenchmarkDraw is a request from its coming to its end, with so many workers of which some are cold.
 func BenchmarkDraw(b *testing.B) {
 	for _, cold := range []int{0, 15, hall} {
 		for _, n := range workerSizes {
@@ -158,18 +158,18 @@
 				continue
 			}
 			b.Run(fmt.Sprintf("cold-%d/%d", cold, n), func(b *testing.B) {
-				g, now := listing(n, cold), 1e6
+				g, now := engineWithEndpoints(n, cold), 1e6
 				g.window = 1e9
 				for id := uint64(1); b.Loop(); id++ {
 					now += 0.01
 					g.AdvanceTo(now)
 					g.AddRequest(Request{ID: id, Customer: id % 50, Plan: int(id % 5), Units: 1, SetSize: 3,
 						TimeLeftMillis: 500})
-					if d := pulled(g); d.Kind != SetTimer {
+					if d := drainEngine(g); d.Kind != SetTimer {
 						g.AdvanceTo(now + 0.005)
 					}
 					g.AttemptEnded(id, 0, Succeeded, 50, true)
-					pulled(g)
+					drainEngine(g)
 				}
 			})
 		}
@@ -180,7 +180,7 @@
 func BenchmarkPeriod(b *testing.B) {
 	for _, n := range workerSizes {
 		b.Run(fmt.Sprintf("workers/%d", n), func(b *testing.B) {
-			g := listing(n, 0)
+			g := engineWithEndpoints(n, 0)
 			for b.Loop() {
 				g.endReportInterval()
 			}
@@ -188,7 +188,7 @@
 	}
 	for _, n := range clientSizes {
 		b.Run(fmt.Sprintf("customers/%d", n), func(b *testing.B) {
-			g := touched(n)
+			g := engineWithCustomers(n)
 			for b.Loop() {
 				g.endReportInterval()
 			}
@@ -196,15 +196,15 @@
 	}
 }
 
-// touched is a gatekeeper through which so many customers have come.
-func touched(n int) *Engine {
-	g := listing(200, 0)
+// engineWithCustomers is a gateway through which so many customers have come.
+func engineWithCustomers(n int) *Engine {
+	g := engineWithEndpoints(200, 0)
 	g.window = 1e9
 	for id := uint64(1); id <= uint64(n); id++ {
 		g.AddRequest(Request{ID: id, Customer: id, Plan: int(id % 5), Units: 1, SetSize: 20, TimeLeftMillis: 500})
-		pulled(g)
+		drainEngine(g)
 		g.AttemptEnded(id, 0, Succeeded, 50, true)
-		pulled(g)
+		drainEngine(g)
 	}
 	return g
 }
@@ -213,26 +213,26 @@
 func BenchmarkTally(b *testing.B) {
 	for _, n := range workerSizes {
 		b.Run(fmt.Sprintf("workers/%d", n), func(b *testing.B) {
-			for g := listing(n, 0); b.Loop(); {
+			for g := engineWithEndpoints(n, 0); b.Loop(); {
 				g.Stats()
 			}
 		})
 	}
 	for _, n := range clientSizes {
 		b.Run(fmt.Sprintf("customers/%d", n), func(b *testing.B) {
-			for g := touched(n); b.Loop(); {
+			for g := engineWithCustomers(n); b.Loop(); {
 				g.Stats()
 			}
 		})
 	}
 }
 
-// BenchmarkSight is a look at all workers, as an instance that tells of its hall has it each time.
+// BenchmarkSight is a look at all workers, as an instance that tells of its region has it each time.
 func BenchmarkSight(b *testing.B) {
 	for _, n := range workerSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var s Snapshot
-			for g := listing(n, 0); b.Loop(); {
+			for g := engineWithEndpoints(n, 0); b.Loop(); {
 				g.WriteSnapshot(&s, 0)
 			}
 		})
@@ -262,6 +262,6 @@
 			})
 		}
 	}
-	run("workers", workerSizes, func(n int) *Engine { return listing(n, 0) })
-	run("customers", clientSizes, touched)
+	run("workers", workerSizes, func(n int) *Engine { return engineWithEndpoints(n, 0) })
+	run("customers", clientSizes, engineWithCustomers)
 }
--- a/internal/policy/checkpoint.go
+++ b/internal/policy/checkpoint.go
@@ -31,7 +31,7 @@
 // grown to what is known it allocates nothing. Customers beyond 16,384 are left out: they are as after any
 // start.
 func (e *Engine) Checkpoint(handoff *HandoffState, from int, now float64) int {
-	if from == 0 || len(handoff.Peers) != len(e.peers) { // other gatekeepers than at its beginning: anew
+	if from == 0 || len(handoff.Peers) != len(e.peers) { // other gateways than at its beginning: anew
 		from, handoff.AtMillis, handoff.StartedAtMillis, handoff.NextReportAtMillis = 0, math.Max(now, e.now),
 			e.startedAt, e.nextReportAt
 		if cap(handoff.Peers) < len(e.peers) {
@@ -66,15 +66,15 @@
 	return 0
 }
 
-// RestoreCheckpoint takes a former life's copy, after Remember, and tells how many customers it goes by: none
-// of a copy of another charter, or that is older than five seconds, and none while quotas go without words or
-// a part is withheld. Customers whose txns have come meanwhile are let alone. Peers that know this for a new
-// life drop what they were told in the last message (told): that is news to them again, while of all else
-// what is left is known.
+// RestoreCheckpoint takes an earlier run's copy, after RestoreCrashState, and tells how many customers it
+// goes by: none of a copy of another settings, or that is older than five seconds, and none while quotas go
+// without gossip or a part is withheld. Customers whose requests have come meanwhile are let alone. Peers
+// that know this for a new life drop what they were told in the last message (told): that is news to them
+// again, while of all else what is left is known.
 //
 // What fades has faded by the copy's age. Stores have not filled since, unless there are no peers: what came
-// in was theirs to give. What the former life may have spent after the copy is taken from them, by the demand
-// that it saw, and a slice holds no more than that of one that knows nothing. So is what credit may have
+// in was theirs to give. What the earlier run may have spent after the copy is taken from them, by the demand
+// that it saw, and a share holds no more than that of one that knows nothing. So is what credit may have
 // taken back after the copy: its book outlives a kill, and has that as paid.
 func (e *Engine) RestoreCheckpoint(handoff HandoffState, peersDropLastReport bool) (customers int) {
 	age := e.now - handoff.AtMillis
@@ -187,7 +187,8 @@
 	return true
 }
 
-// restoreStores sets an account's tokens by a checkpoint: less what may have been spent or collected since then.
+// restoreStores sets an account's tokens by a checkpoint: less what may have been spent or collected since
+// then.
 func (e *Engine) restoreStores(account *customerAccount, saved *CustomerState, checkpointAt float64) {
 	plan := &e.plans[account.plan]
 	// What was refilled during the outage was the peers' to give, if there are any.
@@ -212,7 +213,7 @@
 	}
 }
 
-// plausible tells whether a saved customer's figures can be true: no demand or spending under nought (a share may
+// plausible tells whether a saved customer's figures can be true: no demand or spending under 0 (a share may
 // be overdrawn), and no time after the checkpoint's.
 func (saved *CustomerState) plausible(checkpointAt float64) bool {
 	figures := [...]float64{saved.ShareTokens, saved.QuotaTokens, saved.PeerDemand, saved.PeerSpentUnits,
--- a/internal/policy/crashstate.go
+++ b/internal/policy/crashstate.go
@@ -4,22 +4,24 @@
 	"math"
 )
 
-// CrashState is what a former life of this gatekeeper has left that did not end in peace.
+// CrashState is what an earlier run of this gateway has left that ended without a handoff.
 type CrashState struct {
-	RateLimitBaseMillis              float64 // ceilings of all other customers are taken as spent at this time
-	RateLimits                       []SpentRateLimit
-	Window, Pressure, ResponseMillis float64 // nought where they are not known, or too old to go by
+	// RateLimitBaseMillis is the time at which the rate limits of all other customers are taken as spent.
+	RateLimitBaseMillis float64
+	RateLimits          []SpentRateLimit
+	// Window, Pressure and ResponseMillis are 0 where they are not known, or too old to go by.
+	Window, Pressure, ResponseMillis float64
 }
 
-// SpentRateLimit says when a customer's slice of its ceiling is full again.
+// SpentRateLimit says when a customer's share of its rate limit is full again.
 type SpentRateLimit struct {
 	Customer     uint64
 	Plan         int
 	FullAtMillis float64
 }
 
-// RestoreCrashState takes a former life's residue, before the first txn. What it does not know, or what does
-// not fit this charter, is as after any start.
+// RestoreCrashState takes an earlier run's crash state, before the first request. What it does not know, or
+// what does not fit this settings, is as after any start.
 func (e *Engine) RestoreCrashState(crash CrashState) {
 	e.rateLimitBase = math.Min(crash.RateLimitBaseMillis, e.rateLimitBase)
 	for _, spent := range crash.RateLimits {
@@ -31,7 +33,7 @@
 			continue
 		}
 		e.accounts[e.openAccount(spent.Customer, spent.Plan)].rateLimitFullAt = spent.FullAtMillis
-		e.remoteOnlyAccounts++ // its first txn fills the rest in
+		e.remoteOnlyAccounts++ // its first request fills the rest in
 	}
 	if crash.Window > 0 && crash.ResponseMillis > 0 && crash.Pressure >= 0 {
 		e.window, e.pressure, e.responseMillis = math.Max(e.window, crash.Window), crash.Pressure,
@@ -39,12 +41,12 @@
 	}
 }
 
-// Congestion tells how pressed the gatekeeper is, as a residue has it.
+// Congestion tells how pressed the gateway is, as a crash state has it.
 func (e *Engine) Congestion() (window, press, pace float64) {
 	return e.window, e.pressure, e.responseMillis
 }
 
-// CrashState gives what is spent of ceilings, for a life after this one.
+// CrashState gives what is spent of rate limits, for a life after this one.
 func (e *Engine) CrashState() (base float64, all []SpentRateLimit) {
 	for i := range e.accounts {
 		account := &e.accounts[i]
--- a/internal/policy/discoverywatch.go
+++ b/internal/policy/discoverywatch.go
@@ -5,7 +5,7 @@
 )
 
 // WatchRetryDelay is the pause before the watch is opened, ms, after so many tries in a row that cost
-// discovery something in vain, by so many gatekeepers that may ask at once (none where lists are pushed),
+// discovery something in vain, by so many gateways that may ask at once (none where lists are pushed),
 // where what it has to tell counts as told in due ms. Chance is from 0 to 1. Guards against a fleet that asks
 // as one.
 func WatchRetryDelay(tries, askers int, due, chance float64) float64 {
--- a/internal/policy/discoverywatch_test.go
+++ b/internal/policy/discoverywatch_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// discovered plays a discovery that serves one call after another, each of which takes it so many ms; one
-// that it cannot answer in 2 s is turned away, at once or when its time is over, which costs it a fifth. At
+// watchScript plays a discovery that serves one call after another, each of which takes it so many ms; one
+// that it cannot answer in 2 s is rejected, at once or when its time is over, which costs it a fifth. At
 // first it is down for so long: calls are refused, or else swallowed for WatchQuiet. after gives the pause
 // before a call: after so many in a row that cost it something in vain, the last of which took so long. It
 // gives when each asker has a list, in order, ms from when discovery is up.
-type discovered struct {
+type watchScript struct {
 	askers          int
 	work, down      float64
 	refuses, atOnce bool
@@ -20,7 +20,7 @@
 	after           func(tries int, took, chance float64) float64
 }
 
-func (d discovered) play(within float64) (had []float64) {
+func (d watchScript) run(within float64) (had []float64) {
 	rng := rand.New(rand.NewSource(d.seed))
 	due, tries := make([]float64, d.askers), make([]int, d.askers)
 	for i := range due {
@@ -58,17 +58,17 @@
 }
 
 // Guards against a fleet that asks at once, after a start or an outage, and whose calls for the list keep
-// discovery so busy that it lets nobody in: seen with eighty gatekeepers, of which 47 never had a list again
+// discovery so busy that it lets nobody in: seen with eighty gateways, of which 47 never had a list again
 // in 28 s. The pauses leave room for that though none is longer than what is due allows; left to chance whole
 // each time, they would not.
-func TestWatchAfter(t *testing.T) {
+func TestWatchRetryDelay(t *testing.T) {
 	for _, c := range []struct {
 		askers               int
 		work, within, atOnce float64 // ms; the share that is let in where all ask each 100 ms
 		chance               float64 // the share at least that stays out where each pause is left to chance whole
 	}{{1, 60, 100, 1, 0}, {3, 60, 1000, 1, 0}, {20, 60, 5000, 1, 0}, {80, 60, 15000, 0.5, 0},
 		{300, 10, 6000, 1, 0}, {300, 20, 15000, 0.9, 0}, {300, 40, 30000, 0.3, 0}, {300, 60, 60000, 0.2, 0.5}} {
-		for _, d := range []discovered{{}, {atOnce: true}, {down: 8000, refuses: true, atOnce: true}, {down: 8000},
+		for _, d := range []watchScript{{}, {atOnce: true}, {down: 8000, refuses: true, atOnce: true}, {down: 8000},
 			{down: 8000, atOnce: true}, {down: 8000, refuses: true}} {
 			within := c.within
 			if d.down > 0 && !d.refuses {
@@ -81,21 +81,21 @@
 				d.after = func(tries int, took, chance float64) float64 {
 					return WatchRetryDelay(tries, c.askers, WatchCatchUpMillis-took, chance)
 				}
-				if had := d.play(within); len(had) < c.askers {
+				if had := d.run(within); len(had) < c.askers {
 					t.Errorf("%s: %d have a list within %v ms", what, len(had), within)
 				} else if d.seed == 0 {
 					t.Logf("%s: half have a list after %.1f s, nine in ten %.1f, all %.1f", what, had[c.askers/2]/1000,
 						had[c.askers*9/10]/1000, had[c.askers-1]/1000)
 				}
 				d.after = func(tries int, _, _ float64) float64 { return math.Min(float64(tries), 1) * WatchRetryMillis }
-				if herd := len(d.play(within)); d.atOnce && float64(herd) > c.atOnce*float64(c.askers) {
+				if herd := len(d.run(within)); d.atOnce && float64(herd) > c.atOnce*float64(c.askers) {
 					t.Errorf("%s: %d have a list where all ask at once", what, herd)
 				}
 				d.after = func(tries int, took, chance float64) float64 {
 					most := min(WatchRetryPerGatewayMillis*float64(c.askers), WatchCatchUpMillis-WatchResponseMillis-took)
 					return max(most*chance, WatchRetryMillis/2*float64(min(tries, 1)))
 				}
-				if out := c.askers - len(d.play(within)); d.atOnce && float64(out) < c.chance*float64(c.askers) {
+				if out := c.askers - len(d.run(within)); d.atOnce && float64(out) < c.chance*float64(c.askers) {
 					t.Errorf("%s: only %d stay out where chance alone spreads them", what, out)
 				}
 			}
@@ -121,7 +121,7 @@
 
 // What a watch misses counts as told WatchDue after its silence or its end, and WatchMoved after a move.
 // Guards against pauses that grow with the fleet beyond that. The sums are at the worst chance.
-func TestWatchDue(t *testing.T) {
+func TestWatchCatchUp(t *testing.T) {
 	const connect = 10.0
 	for n := 1; n <= 300; n++ {
 		for _, c := range []struct {
@@ -164,7 +164,7 @@
 				WatchFailoverCatchUpMillis},
 		} {
 			if c.sum > c.due {
-				t.Fatalf("%s: told after %v ms by %d gatekeepers, due in %v", c.what, c.sum, n, c.due)
+				t.Fatalf("%s: told after %v ms by %d gateways, due in %v", c.what, c.sum, n, c.due)
 			}
 		}
 		if least := WatchIdleTimeout(n, 0); least < 2500 { // a sign each 2 s, and one late
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -232,7 +232,7 @@
 }
 
 // refreshReady reckons with what time has changed of the ready workers: which are warm by now, what all can
-// do, and what is open to each sort of txn.
+// do, and what is open to each class of request.
 func (e *Engine) refreshReady() {
 	cold, at := e.warming[:0], 0
 	e.warmEquivalents = 0
@@ -320,8 +320,8 @@
 	for _, endpoint := range list {
 		worker := e.applyEndpoint(endpoint, mode)
 		if endpoint.StartedAtMillis != worker.StartedAtMillis || worker.Worker != endpoint.Worker {
-			// A fresh process: what its former life, and ours, sent it must be taken as spent. Where each of many
-			// gatekeepers may send it one txn in minutes, chance spreads their turns from the start on.
+			// A fresh process: what its earlier run, and ours, sent it must be taken as spent. Where each of many
+			// gateways may send it one request in minutes, chance spreads their turns from the start on.
 			worker.slowStartAt, worker.slowStartDebt = e.now, e.rng.Float64()*e.derived.meanUnits()
 			worker.suspicion.score, worker.heardAt = 0, e.now
 			clear(worker.rejections)
--- a/internal/policy/endpoints_amd64_test.go
+++ b/internal/policy/endpoints_amd64_test.go
@@ -21,7 +21,7 @@
 }
 
 // Guards against a list that is kept up in another way and with it decides otherwise, if only by a bit.
-func TestDecidedAsBefore(t *testing.T) {
+func TestIncrementalListDecidesAlike(t *testing.T) {
 	for seed := range int64(24) {
 		h := fnv.New64a()
 		put := func(v ...uint64) {
@@ -30,9 +30,9 @@
 			}
 		}
 		submits := 0
-		history(seed, func(*Engine, bool) {}, func(g *Engine, d Decision) {
+		replayRandomInputs(seed, func(*Engine, bool) {}, func(g *Engine, d Decision) {
 			if d.Kind != SetTimer {
-				d.AtMillis = 0 // a submission had none then
+				d.AtMillis = 0 // an attempt had none then
 			}
 			put(uint64(d.Kind), d.RequestID, uint64(d.Worker), uint64(d.Attempt), uint64(d.Peer),
 				math.Float64bits(d.WaitMillis),
@@ -48,7 +48,7 @@
 			}
 		})
 		if submits < 300 {
-			t.Errorf("seed %d: %d submissions", seed, submits)
+			t.Errorf("seed %d: %d attempts", seed, submits)
 		}
 		if got := h.Sum64(); got != decidedBefore[seed] {
 			t.Errorf("seed %d: %#x, want %#x", seed, got, decidedBefore[seed])
--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// whole is the list of workers gone over from the first to the last, as it was before single changes were put
-// in: the model of what is kept up.
-type whole struct {
+// derivedState is the list of workers gone over from the first to the last, as it was before single changes
+// were put in: the model of what is kept up.
+type derivedState struct {
 	ready, cold, near   []int
 	warm                int
 	able, rating        float64
@@ -18,8 +18,8 @@
 	distrusted, shedded int
 }
 
-func wholeOf(g *Engine) whole {
-	l := whole{openTo: make([]float64, len(g.acceptingFraction))}
+func derivedStateOf(g *Engine) derivedState {
+	l := derivedState{openTo: make([]float64, len(g.acceptingFraction))}
 	for i := range g.workers {
 		w := &g.workers[i]
 		if !w.listed {
@@ -55,11 +55,11 @@
 
 // Guards against a list that is kept up by its changes and is another, if only by a bit, than a look at all
 // workers gives.
-func TestListIsKeptUp(t *testing.T) {
+func TestIncrementalListMatchesRebuild(t *testing.T) {
 	var cold, shed, distrusted, lists, near int
 	for seed := range int64(60) {
-		history(seed, func(g *Engine, list bool) {
-			l := wholeOf(g)
+		replayRandomInputs(seed, func(g *Engine, list bool) {
+			l := derivedStateOf(g)
 			if !slices.Equal(g.ready, l.ready) || !slices.Equal(g.warming, l.cold) || !slices.Equal(g.subset,
 				l.near) ||
 				g.warmCount != l.warm || g.warmEquivalents != l.able || !slices.Equal(g.acceptingFraction, l.openTo) ||
@@ -102,13 +102,13 @@
 		})
 	}
 	if cold < 1000 || shed < 100 || distrusted < 100 || lists < 5000 || near < 1000 {
-		t.Errorf("seen %d cold, %d turning away, %d distrusted, %d lists, %d near", cold, shed, distrusted, lists,
+		t.Errorf("seen %d cold, %d turning away, %d suspected, %d lists, %d near", cold, shed, distrusted, lists,
 			near)
 	}
 }
 
 // Guards against a sum in one step that rounds otherwise than one by one.
-func TestOnes(t *testing.T) {
+func TestAddOnes(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	for range 3000 {
 		x, n := rng.Float64()*math.Exp2(float64(rng.Intn(18))), rng.Intn(3000)
@@ -126,7 +126,7 @@
 }
 
 // Guards against a search that misses its place.
-func TestAhead(t *testing.T) {
+func TestIndexFromStart(t *testing.T) {
 	for n := 1; n < 40; n++ {
 		var all []int
 		for i := range n {
@@ -140,10 +140,10 @@
 	}
 }
 
-// history brings a gatekeeper a random history: lists whole and partial, of one entry and of many, workers
-// that drain, go, come back, start anew and leave their places to others, and txns that end in all ways. told
-// hears of each list, and of each period that may have passed, decided of each decision.
-func history(seed int64, told func(g *Engine, list bool), decided func(*Engine, Decision)) {
+// replayRandomInputs brings a gateway a random history: lists whole and partial, of one entry and of many,
+// workers that drain, go, come back, start anew and leave their places to others, and requests that end in
+// all ways. told hears of each list, and of each period that may have passed, decided of each decision.
+func replayRandomInputs(seed int64, told func(g *Engine, list bool), decided func(*Engine, Decision)) {
 	rng := rand.New(rand.NewSource(seed))
 	c := Settings{GatewayCount: []int{1, 3, 80}[seed%3], MaxRequestUnits: 8, MaxAttempts: 3,
 		WorkersReportLoad: true,
@@ -189,7 +189,7 @@
 	}
 	places := make([]Endpoint, size)
 	there := make([]bool, size)
-	turns := make([]bool, size) // workers that turn txns away
+	turns := make([]bool, size) // workers that turn requests away
 	entry := func(i int) Endpoint {
 		p := &places[i]
 		p.Replaced = !there[i]
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -23,7 +23,8 @@
 	stallAllowanceDecayMillis = 300.0
 )
 
-// New returns an engine that knows nothing but its settings. The same seed and inputs give the same decisions.
+// New returns an engine that knows nothing but its settings. The same seed and inputs give the same
+// decisions.
 func New(settings Settings, seed int64) *Engine {
 	derived := deriveSettings(&settings)
 	e := &Engine{rng: rand.New(rand.NewSource(seed)), byID: map[uint64]int32{},
@@ -97,7 +98,7 @@
 		e.clockStarted, e.startedAt, e.rateLimitBase, e.now, e.warmUnitsAt = true, now, now, now, now
 		e.nextReportAt = now + e.derived.reportIntervalMillis*e.rng.Float64()
 	}
-	// Guards against this gatekeeper itself being stopped for a while: what it finds then says nothing of how
+	// Guards against this gateway itself being stopped for a while: what it finds then says nothing of how
 	// long workers took. All that came meanwhile comes at once: it gets the room that would have been used in
 	// turns, for a while. Where many stand still at the same time, that presses the fleet.
 	if gap := now - e.timerAt; e.timerAt > 0 && gap > stallMillis {
@@ -110,7 +111,7 @@
 	}
 }
 
-// AddRequest accepts a txn. Its final answer comes out of Next, at the latest at its expiry.
+// AddRequest accepts a request. Its final answer comes out of NextDecision, at the latest at its deadline.
 func (e *Engine) AddRequest(arrival Request) {
 	slot, accountIndex := allocate(&e.requests, &e.freeRequests), e.accountFor(arrival)
 	request := &e.requests[slot]
@@ -178,7 +179,7 @@
 	return e.nextTimer()
 }
 
-// decide gives the next decision on one txn, or none.
+// decide gives the next decision on one request, or none.
 func (e *Engine) decide(slot int32) (Decision, bool) {
 	request := &e.requests[slot]
 	if !request.live || request.awaitsClaim(e.now) {
@@ -224,8 +225,8 @@
 	return e.submitTo(request, workerIndex), true
 }
 
-// decideInFlight gives the next decision on a request that has an attempt in flight: it is hedged, or moved where
-// hedging is not allowed.
+// decideInFlight gives the next decision on a request that has an attempt in flight: it is hedged, or moved
+// where hedging is not allowed.
 func (e *Engine) decideInFlight(request *requestState) (Decision, bool) {
 	if !request.wantsAttempt {
 		return Decision{}, false
@@ -248,12 +249,12 @@
 	rng             *rand.Rand
 	now             float64
 	startedAt       float64
-	rateLimitBase   float64 // ceilings of customers that are not known here are taken as spent at this time
+	rateLimitBase   float64 // rate limits of customers that are not known here are taken as spent at this time
 	handedOff       bool    // another has taken over what it knows
 	startedEmpty    bool    // it knew nobody when quotas began to go without messages
 	lender          Lender  // nil where nothing is lent
 	gossipResumedAt float64 // when quotas last went by messages again; 0 where they always did
-	stalledUntil    float64 // when the gatekeeper last found that it had itself stood still
+	stalledUntil    float64 // when the gateway last found that it had itself stood still
 	clockStarted    bool
 	derived         derivedSettings
 	settings        Settings // what they were derived from
@@ -263,18 +264,18 @@
 	windowFraction  [][]float64 // window fraction by product and plan
 
 	workers []workerRecord
-	// of each, by chance, so that each gatekeeper draws from some of its own; 0 is none yet
+	// of each, by chance, so that each gateway draws from some of its own; 0 is none yet
 	ranks             []float64
 	readiness         []uint8   // where each stands
 	ready             []int     // the listed ones, in order
 	readyByRank       []int     // the same by rank
 	subset            []int     // of these, those that are drawn from: the first
 	warming           []int     // of the ready ones, those that are not warm, in order
-	suspects          []int     // workers that fail, or turn txns away
+	suspects          []int     // workers that fail, or turn requests away
 	added             []int     // those that a list brings among the ready ones
 	rewarming         []int     // and of the ready ones those that it makes cold
 	removedAny        bool      // it has taken some off
-	inFlightByClass   []int     // submissions out by sort of txn
+	inFlightByClass   []int     // attempts out by class of request
 	acceptingFraction []float64 // part of the workers that does not turn a sort away
 	warmCount         int       // how many of the listed ones are warm
 	warmEquivalents   float64   // what all the listed ones can do, in warm workers
@@ -293,26 +294,26 @@
 	accountByCustomer  map[uint32]int32
 	remoteOnlyAccounts int
 
-	inFlight           int     // submissions out at workers that are not silent
+	inFlight           int     // attempts out at workers that are not silent
 	window             float64 // most of them
 	stallAllowance     float64 // room more than the window when it last found that it had stood still
-	pressure           float64 // smoothed answer time over SLA time
+	pressure           float64 // smoothed answer time over latency target
 	windowCutAt        float64
 	responseMillis     float64
 	machineKinds       []machineKind
 	sizeRating         float64 // mean of the listed workers', by the list as it was when rated was set
 	sizeRatingKnown    bool
-	meanLoad           float64       // smoothed txns in hand by workers' reports
-	slowRequests       decayingScore // txns overdue that were settled after all
+	meanLoad           float64       // smoothed requests in flight by workers' reports
+	slowRequests       decayingScore // requests overdue that were settled after all
 	lostRequests       decayingScore // and those that never had an answer from a worker that went on
 	warmUnits          float64       // units settled by warm workers, fading
 	warmUnitsPerWorker float64       // the same for each of those that were warm
 	warmUnitsAt        float64
-	cachedWarmRate     float64    // the last of these as it has faded, by all that coldRate goes by
+	cachedWarmRate     float64    // the last of these as it has faded, by all that warmingRate goes by
 	cachedWarmRateKey  [4]float64 // for which it was reckoned
 
 	nextScanAt, nextReportAt, timerAt float64
-	scanIndex                         int     // next txn to look at in this beat; -1 none
+	scanIndex                         int     // next request to look at in this beat; -1 none
 	reportPeer, messagesToPeer        int     // peer that is told now, -1 none; messages it got this period
 	changedExamined                   int     // news looked at for it
 	changedAccounts                   []int32 // accounts to report this period
@@ -325,24 +326,22 @@
 	stats             Stats
 }
 
-// derivedSettings are the charter's figures that decisions use as they are.
+// derivedSettings is what decisions use of the Settings as it is.
 type derivedSettings struct {
 	gatewayIndex, gatewayCount, maxAttempts, reportsPerMessage int
-	messagesPerPeer                                            int // messages to one peer in a period
+	messagesPerPeer                                            int // in a report interval, at most
 	allowHedging, allowCancel, allowRetryAfter                 bool
 	workersReportLoad                                          bool
-	// messages a ms that may be told at once; 0 where none are
+	// immediate messages; 0 where none are sent
 	immediatePerMilli                                          float64
 	maxRetryAfterMillis, maxRequestUnits, reportIntervalMillis float64
-	coolDownMillis                                             float64 // ms
+	coolDownMillis                                             float64
 	coldCapacityFraction, warmUpMillis                         float64
-	// of warm workers' work, for cold ones; ms that a turn lasts, 0 for good
+	// fraction of a warm worker's work for one that is warming up; how long a turn lasts, 0 without an end
 	warmingLoadFraction, turnMillis float64
-	// ms between looks while no txn has waited for long
-	idleScanMillis float64
-	// how much slower than slaUse answers may get, for what late ones earn
-	latencySlackFactor float64
-	gossip             bool
+	idleScanMillis                  float64 // between scans while no request has waited for long
+	latencySlackFactor              float64 // how much slower than the target pressure responses may get
+	gossip                          bool
 }
 
 // Stats gives the counts and the present state that on-call staff look at.
--- a/internal/policy/gossip.go
+++ b/internal/policy/gossip.go
@@ -29,13 +29,13 @@
 	immediateBurstMessages = 64.0
 )
 
-// reportsImmediately tells whether a customer's set is so small that each txn sent on is told at once.
+// reportsImmediately tells whether a customer's set is so small that each request sent on is told at once.
 func (e *Engine) reportsImmediately(account *customerAccount) bool {
 	return e.derived.immediatePerMilli > 0 && !e.handedOff && account.setSize > 1 &&
 		account.setSize <= maxImmediateSetSize
 }
 
-// ReceiveReports takes a peer's reports. A message says nought of the customers that it does not name.
+// ReceiveReports takes a peer's reports. A message says 0 of the customers that it does not name.
 func (e *Engine) ReceiveReports(from int, reports []Report) {
 	if from < 0 || from >= e.derived.gatewayCount || from == e.derived.gatewayIndex {
 		return
@@ -111,7 +111,7 @@
 		if ownDemand > coldShare || account.setSize == 0 && idleMillis < e.derived.coolDownMillis {
 			account.coolSince = e.now
 		}
-		// One txn makes no demand, unless the slice cannot hold it: then all that is known is what peers say.
+		// One request makes no demand, unless the share cannot hold it: then all that is known is what peers say.
 		if !account.hot && ownDemand > hotDemandFraction*coldShare && coldShare > 0 && (account.requests > 1 ||
 			e.initialShareTokens(account) < e.derived.maxRequestUnits) {
 			account.hot = true
@@ -191,8 +191,8 @@
 	return Decision{Kind: SendReports, Peer: to, Reports: e.reportBuffer}, true
 }
 
-// PeerRestarted tells that a peer has started anew, knowing nothing: what its former life told counts no
-// more. It will tell its demand from nought on, and both would be counted.
+// PeerRestarted tells that a peer has started anew, knowing nothing: what its earlier run told counts no
+// more. It will tell its demand from 0 on, and both would be counted.
 func (e *Engine) PeerRestarted(from int) {
 	if from < 0 || from >= e.derived.gatewayCount || from == e.derived.gatewayIndex {
 		return
@@ -213,13 +213,13 @@
 	peer.lastReports = peer.lastReports[:0]
 }
 
-// peerRecord is what is known of another gatekeeper.
+// peerRecord is what is known of another gateway.
 type peerRecord struct {
-	// last heard; last told; since when it has owed a word each period
+	// last heard; last reported to; since when it has owed a report each interval, 0 where it owes none
 	heardAt, reportedAt, reportDueSince float64
 	reportsHeardAt                      float64 // last heard with reports
-	silent, lost                        bool    // it says nothing; has not for so long that it counts no more
-	// of its last message; their demand is held while it is silent and not gone
+	silent, lost                        bool    // it sends nothing; has not for so long that it counts no more
+	// of its last message; their demand is held while it is silent and not lost
 	lastReports []Report
 }
 
@@ -240,7 +240,7 @@
 		account.unreportedUnits}
 }
 
-// immediateReport tells the gatekeeper that stands so far behind this one in a customer's set.
+// immediateReport tells the gateway that stands so far behind this one in a customer's set.
 func (e *Engine) immediateReport(account *customerAccount, ahead int) Decision {
 	place := (e.derived.gatewayIndex - account.firstGateway + e.derived.gatewayCount) % e.derived.gatewayCount
 	to := (account.firstGateway + (place+ahead)%account.setSize) % e.derived.gatewayCount
@@ -272,7 +272,7 @@
 	return e.silentPrefix[account.firstGateway+account.setSize] - e.silentPrefix[account.firstGateway]
 }
 
-// sharesCustomer tells whether a customer's txns can come through a peer too.
+// sharesCustomer tells whether a customer's requests can come through a peer too.
 func (e *Engine) sharesCustomer(account *customerAccount, peer int) bool {
 	return (peer-account.firstGateway+e.derived.gatewayCount)%e.derived.gatewayCount < account.setSize
 }
--- a/internal/policy/handoff.go
+++ b/internal/policy/handoff.go
@@ -17,9 +17,9 @@
 		account.reportedAt, account.previousReportedDemand, account.hot, account.uncollectedUnits, account.creditAt}
 }
 
-// HandoffState is all that a successor takes over. The host names the workers and kinds for it.
+// HandoffState is all that a successor takes over. The host names the workers and machine kinds for it.
 type HandoffState struct {
-	Settings            Settings // in which all is reckoned
+	Settings            Settings // the settings that the state was computed with
 	AtMillis            float64
 	StartedAtMillis     float64
 	RateLimitBaseMillis float64
@@ -28,34 +28,44 @@
 	Kinds               []MachineKindState
 	Peers               []PeerState
 
-	Window, Pressure, WindowCutAtMillis, ResponseMillis, MeanWorkerLoad    float64
-	WarmWorkUnits, WarmWorkUnitsPerWorker, WarmWorkAtMillis                float64
-	SlowRequests, SlowRequestsAtMillis, LostRequests, LostRequestsAtMillis float64
-	ShortDeadlineSuccess, AttemptMillis                                    []float64 // by plan
-	NextReportAtMillis                                                     float64
+	Window, Pressure, WindowCutAtMillis   float64
+	ResponseMillis, MeanWorkerLoad        float64
+	WarmWorkUnits, WarmWorkUnitsPerWorker float64
+	WarmWorkAtMillis                      float64
+	SlowRequests, SlowRequestsAtMillis    float64
+	LostRequests, LostRequestsAtMillis    float64
+	ShortDeadlineSuccess, AttemptMillis   []float64 // by plan
+	NextReportAtMillis                    float64
 }
 
-// CustomerState is what is known of one customer, in the module's own units.
+// CustomerState is what is known of one customer. Demand is in units a millisecond.
 type CustomerState struct {
-	ID                                                                                               uint64
-	Plan, SetSize, FirstGateway, Requests, InFlight, SilentPeers                                     int
-	ShareTokens, QuotaTokens, FilledAtMillis                                                         float64
-	PeerDemand, PeerSpentUnits, SilentPeerDemand, PeerDemandAtMillis                                 float64
-	OwnDemand, RecentDemand, LastRequestAtMillis, CoolSinceMillis                                    float64
-	RateLimitFullAtMillis, UnreportedUnits, ReportedDemand, ReportedAtMillis, PreviousReportedDemand float64
-	Hot                                                                                              bool
-	UncollectedRepayment, CreditAtMillis                                                             float64
+	ID                                       uint64
+	Plan, SetSize, FirstGateway              int
+	Requests, InFlight, SilentPeers          int
+	ShareTokens, QuotaTokens, FilledAtMillis float64
+	PeerDemand, PeerSpentUnits               float64
+	SilentPeerDemand, PeerDemandAtMillis     float64
+	OwnDemand, RecentDemand                  float64
+	LastRequestAtMillis, CoolSinceMillis     float64
+	RateLimitFullAtMillis, UnreportedUnits   float64
+	ReportedDemand, ReportedAtMillis         float64
+	PreviousReportedDemand                   float64
+	Hot                                      bool
+	UncollectedRepayment, CreditAtMillis     float64
 }
 
 // WorkerState is what is known of one worker.
 type WorkerState struct {
-	Worker                                                                              int
-	StartedAtMillis                                                                     float64
-	ResponseMillis, ResponseAtMillis, ReportedLoad, ReportedLoadAtMillis, HeardAtMillis float64
-	Suspicion, SuspicionAtMillis                                                        float64
-	Rejections, RejectionsAtMillis                                                      []float64
-	Overloaded                                                                          bool
-	SlowStartAtMillis, SlowStartDebtUnits                                               float64
+	Worker                                int
+	StartedAtMillis                       float64
+	ResponseMillis, ResponseAtMillis      float64
+	ReportedLoad, ReportedLoadAtMillis    float64
+	HeardAtMillis                         float64
+	Suspicion, SuspicionAtMillis          float64
+	Rejections, RejectionsAtMillis        []float64 // by class of request
+	Overloaded                            bool
+	SlowStartAtMillis, SlowStartDebtUnits float64
 }
 
 // MachineKindState is what is known of a kind of machine.
@@ -71,8 +81,9 @@
 	LastReports                                                                 []Report
 }
 
-// HandOff gives what a successor takes over. From then on this gatekeeper only ends the txns in hand: it lets
-// nothing in, sends nothing to cold workers and tells peers nothing, as its parts of all these are another's.
+// HandOff gives what a successor takes over. From then on this gateway only ends the requests in flight: it
+// lets nothing in, sends nothing to cold workers and tells peers nothing, as its parts of all these are
+// another's.
 func (e *Engine) HandOff() HandoffState {
 	e.handedOff = true
 	for i := range e.requests { // what is kept may yet be sent on from here: to the successor it is spent
@@ -248,7 +259,7 @@
 		saved.FirstGateway < e.derived.gatewayCount
 }
 
-// PredecessorEnded tells that the predecessor has ended: none of its submissions is out any more.
+// PredecessorEnded tells that the predecessor has ended: none of its attempts is out any more.
 func (e *Engine) PredecessorEnded() {
 	for i := range e.accounts {
 		account := &e.accounts[i]
--- a/internal/policy/lending.go
+++ b/internal/policy/lending.go
@@ -13,7 +13,7 @@
 
 // Lender says whether a customer may have units now that it pays back later.
 type Lender interface {
-	// Lend draws units for a customer of a plan, whose set has n gatekeepers in a row from first on.
+	// Lend draws units for a customer of a plan, whose set has n gateways in a row from first on.
 	Lend(customer uint64, plan, first, n int, units float64) bool
 	// Undo gives back units of a loan that was not used.
 	Refund(customer uint64, units float64)
@@ -25,8 +25,8 @@
 // Congested tells whether workers are too pressed for anything beyond a quota.
 func (e *Engine) Congested() bool { return !e.hasSpareCapacity() }
 
-// borrow draws what a txn's quota lacks, and tells whether it may go on. While workers are pressed nobody
-// borrows, as other customers would pay for it, nor while quotas go without words. A loan takes nothing from
+// borrow draws what a request's quota lacks, and tells whether it may go on. While workers are pressed nobody
+// borrows, as other customers would pay for it, nor while quotas go without gossip. A loan takes nothing from
 // the quota's stores; its repayment does.
 func (e *Engine) borrow(request *requestState, account *customerAccount) bool {
 	if e.lender == nil || e.settings.QuotaWithoutGossip || e.settings.Plans[request.plan].CreditSeconds <= 0 ||
@@ -38,7 +38,7 @@
 	return true
 }
 
-// refundLoan gives a loan back whose txn was never submitted.
+// refundLoan gives a loan back whose request was never submitted.
 func (e *Engine) refundLoan(request *requestState) {
 	if request.borrowedUnits > 0 && request.answered && len(request.attempts) == 0 && e.lender != nil {
 		e.lender.Refund(e.accounts[request.accountIndex].id, request.borrowedUnits)
@@ -91,7 +91,7 @@
 	if e.isSparse(account) {
 		return e.sparseRate(account)
 	}
-	if !account.hot || account.setSize == 1 { // what all its gatekeepers credit adds up to the rate
+	if !account.hot || account.setSize == 1 { // what all its gateways credit adds up to the rate
 		return e.plans[account.plan].ratePerMilli / float64(account.setSize)
 	}
 	return account.sharePerMilli
--- a/internal/policy/lending_test.go
+++ b/internal/policy/lending_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// purse lends up to a line, and counts.
-type purse struct{ line, lent, undone float64 }
+// fakeLender lends up to a line, and counts.
+type fakeLender struct{ line, lent, undone float64 }
 
-func (p *purse) Lend(_ uint64, _, _, _ int, units float64) bool {
+func (p *fakeLender) Lend(_ uint64, _, _, _ int, units float64) bool {
 	if p.lent-p.undone+units > p.line {
 		return false
 	}
@@ -16,30 +16,31 @@
 	return true
 }
 
-func (p *purse) Refund(_ uint64, units float64) { p.undone += units }
+func (p *fakeLender) Refund(_ uint64, units float64) { p.undone += units }
 
-func lends(c *Settings) {
+func withCredit(c *Settings) {
 	c.GatewayCount = 1
 	c.Plans[0].CreditSeconds, c.Plans[0].RepayWithinMillis = 1, 4000
 }
 
-// beyond gives by how much a customer that asks without end for a minute passes more than its rate, its burst
-// and the line come to, in any window; nil lends nothing.
-func beyond(t *testing.T, seed int64, p *purse, line float64) (most float64, passed int) {
-	h := newHost(t, charterFor(Idempotent, lends), seed, 3)
+// maxExcess gives by how much a customer that asks without end for a minute passes more than its rate, its
+// burst and the line come to, in any window; nil lends nothing.
+func maxExcess(t *testing.T, seed int64, p *fakeLender, line float64) (most float64, passed int) {
+	t.Helper()
+	h := newHost(t, settingsFor(Idempotent, withCredit), seed, 3)
 	if p != nil {
-		h.g.SetLender(p)
+		h.engine.SetLender(p)
 	}
 	level, last, due, repaid := 20+line, h.now, h.now+200, 0.0
 	h.ask(40, 60000, func() {
 		level = math.Min(level+(h.now-last)*10/1000, 20+line)
-		if last = h.now; len(h.sent) > passed {
-			level -= float64(len(h.sent) - passed)
-			passed = len(h.sent)
+		if last = h.now; len(h.submitted) > passed {
+			level -= float64(len(h.submitted) - passed)
+			passed = len(h.submitted)
 		}
 		if most = math.Max(most, -level); p != nil && h.now >= due {
 			owed := p.lent - p.undone - repaid
-			took, _ := h.g.CollectRepayment(7, 0, 1, owed/10, owed, 200)
+			took, _ := h.engine.CollectRepayment(7, 0, 1, owed/10, owed, 200)
 			repaid, p.line, due = repaid+took, p.line+took, due+200
 		}
 	})
@@ -48,11 +49,11 @@
 
 // A customer that never stops asking passes, in any window, no more with credit than its rate, its burst and
 // the line come to, besides what the quota alone lets pass: what is repaid goes out of its fill, all of it.
-func TestPassesRateBurstAndLine(t *testing.T) {
+func TestAdmitsQuotaBurstAndCredit(t *testing.T) {
 	for seed := range int64(5) {
-		bare, without := beyond(t, seed, nil, 0)
-		p := &purse{line: 10}
-		most, with := beyond(t, seed, p, 10)
+		bare, without := maxExcess(t, seed, nil, 0)
+		p := &fakeLender{line: 10}
+		most, with := maxExcess(t, seed, p, 10)
 		if most > bare+1 || with < without || with > without+12 || p.lent < 20 {
 			t.Errorf("seed %d: %.2f beyond, %.2f without credit; %d and %d passed, %.0f lent", seed, most, bare, with,
 				without, p.lent)
@@ -60,25 +61,25 @@
 	}
 }
 
-// What is repaid out of an empty store stays repaid, whatever comes next: a peer's word, a txn that the slice
-// lets in. Both leave a store at nothing that would be under it.
-func TestRepaidStaysRepaid(t *testing.T) {
-	h := newHost(t, charterFor(Idempotent, func(c *Settings) { lends(c); c.GatewayCount = 2 }), 1, 3)
+// What is repaid out of an empty store stays repaid, whatever comes next: a peer's word, a request that the
+// share lets in. Both leave a store at nothing that would be under it.
+func TestRepaymentIsKept(t *testing.T) {
+	h := newHost(t, settingsFor(Idempotent, func(c *Settings) { withCredit(c); c.GatewayCount = 2 }), 1, 3)
 	h.ask(100, 1000, nil)
-	c := &h.g.accounts[h.g.accountByCustomer[7]]
+	c := &h.engine.accounts[h.engine.accountByCustomer[7]]
 	c.quotaTokens, c.shareTokens, c.filledAt = 0.5, 5, h.now
-	if took, _ := h.g.CollectRepayment(7, 0, 2, 2, 2, 2000); took < 1.9 {
+	if took, _ := h.engine.CollectRepayment(7, 0, 2, 2, 2, 2000); took < 1.9 {
 		t.Fatalf("%v taken", took)
 	}
 	left := c.quotaTokens - c.uncollectedUnits
-	h.g.ReceiveReports(1, []Report{{Customer: 7, Plan: 0, DemandPerSecond: 1}})
-	if h.txn(7, 1); c.quotaTokens-c.uncollectedUnits > left+1e-9 {
+	h.engine.ReceiveReports(1, []Report{{Customer: 7, Plan: 0, DemandPerSecond: 1}})
+	if h.newRequest(7, 1); c.quotaTokens-c.uncollectedUnits > left+1e-9 {
 		t.Errorf("%v in the store, and then %v", left, c.quotaTokens-c.uncollectedUnits)
 	}
 }
 
-// No loan while workers are pressed, beyond a ceiling, while quotas go without words, or for a plan without
-// credit; and one whose txn is not submitted is given back.
+// No loan while workers are pressed, beyond a rate limit, while quotas go without gossip, or for a plan
+// without credit; and one whose request is not submitted is given back.
 func TestNoLoan(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -87,34 +88,34 @@
 		press        float64
 		lent, undone float64
 	}{
-		{"lent", lends, 3, 0, 10, 0},
-		{"pressed", lends, 3, 0.2, 0, 0},
+		{"lent", withCredit, 3, 0, 10, 0},
+		{"pressed", withCredit, 3, 0.2, 0, 0},
 		{"no credit", func(c *Settings) { c.GatewayCount = 1 }, 3, 0, 0, 0},
-		{"narrow", func(c *Settings) { lends(c); c.QuotaWithoutGossip = true }, 3, 0, 0, 0},
-		{"a ceiling", func(c *Settings) {
-			lends(c)
+		{"narrow", func(c *Settings) { withCredit(c); c.QuotaWithoutGossip = true }, 3, 0, 0, 0},
+		{"a rate limit", func(c *Settings) {
+			withCredit(c)
 			c.Plans[0].RateLimitPerSecond, c.Plans[0].RateLimitBurst = 1e-3, 22
 		}, 3, 0, 2, 0},
-		{"no worker", lends, 0, 0, 10, 10},
+		{"no worker", withCredit, 0, 0, 10, 10},
 	} {
-		h := newHost(t, charterFor(Idempotent, c.change), 1, c.workers)
-		h.at(h.now + 1e6) // a ceiling counts as spent at a start
-		if c.name == "a ceiling" {
-			h.at(h.now + 22e6)
+		h := newHost(t, settingsFor(Idempotent, c.change), 1, c.workers)
+		h.advanceTo(h.now + 1e6) // a rate limit counts as spent at a start
+		if c.name == "a rate limit" {
+			h.advanceTo(h.now + 22e6)
 		}
-		p := &purse{line: 10}
-		h.g.SetLender(p)
-		h.g.pressure, h.g.window = c.press, 50
+		p := &fakeLender{line: 10}
+		h.engine.SetLender(p)
+		h.engine.pressure, h.engine.window = c.press, 50
 		if c.workers == 0 {
-			h.txn(7, 1)
-			a := &h.g.accounts[h.g.accountByCustomer[7]]
+			h.newRequest(7, 1)
+			a := &h.engine.accounts[h.engine.accountByCustomer[7]]
 			a.shareTokens, a.quotaTokens = 0, 0
 		}
 		for range 60 {
-			if s := h.txn(7, 1); s.final == 0 {
-				h.g.pressure = c.press
-				h.ended(s, 0, Succeeded, 20)
-				h.g.pressure = c.press
+			if s := h.newRequest(7, 1); s.final == 0 {
+				h.engine.pressure = c.press
+				h.endAttempt(s, 0, Succeeded, 20)
+				h.engine.pressure = c.press
 			}
 		}
 		if p.lent-p.undone != c.lent-c.undone || c.undone > 0 && p.undone == 0 {
@@ -127,10 +128,10 @@
 func BenchmarkBorrow(b *testing.B) {
 	for _, rate := range []float64{1e9, 1e-6} {
 		b.Run(map[bool]string{true: "within", false: "lent"}[rate > 1], func(b *testing.B) {
-			c := charterFor(Idempotent, lends)
+			c := settingsFor(Idempotent, withCredit)
 			c.Plans[0].QuotaPerSecond, c.Plans[0].QuotaBurst = rate, rate
 			g := New(c, 1)
-			g.SetLender(&purse{line: math.Inf(1)})
+			g.SetLender(&fakeLender{line: math.Inf(1)})
 			g.AdvanceTo(1000)
 			g.UpdateEndpoints([]Endpoint{{Worker: 0, Active: true}}, false)
 			b.ReportAllocs()
--- a/internal/policy/outliers.go
+++ b/internal/policy/outliers.go
@@ -37,7 +37,7 @@
 	lostRequestDecayMillis = 10000.0
 )
 
-// rejectionsOf gives what a worker has turned away, by sort of txn, to be changed.
+// rejectionsOf gives what a worker has rejected, by class of request, to be changed.
 func (e *Engine) rejectionsOf(worker *workerRecord) []decayingScore {
 	if worker.rejections == nil {
 		worker.rejections = make([]decayingScore, len(e.acceptingFraction))
@@ -69,7 +69,7 @@
 	score.score, score.updatedAt = math.Min(score.value(now, fade)+by, maxSuspicion), now
 }
 
-// suspicionOf is what speaks against a worker for a txn.
+// suspicionOf is what speaks against a worker for a request.
 func (e *Engine) suspicionOf(request *requestState, workerIndex int) float64 {
 	worker := &e.workers[workerIndex]
 	d := worker.suspicion.value(e.now, suspicionDecayMillis)
@@ -86,10 +86,10 @@
 	}
 }
 
-// recordRejection notes that a worker turned a txn away as full. It counts as full for all only once it has
-// done so to more than one plan and product, as far as there are more. Guards against workers that turn away
-// one of them though they have room. A plan turned away by a part of the workers gets the rest's part of the
-// window.
+// recordRejection notes that a worker turned a request away as full. It counts as full for all only once it
+// has done so to more than one plan and product, as far as there are more. Guards against workers that turn
+// away one of them though they have room. A plan rejected by a part of the workers gets the rest's part of
+// the window.
 func (e *Engine) recordRejection(worker *workerRecord, request *requestState) {
 	e.rejectionsOf(worker)[e.classOf(request)].add(1, e.now, rejectionDecayMillis)
 	plan, product := len(e.plans) == 1, len(e.products) == 1
@@ -102,13 +102,13 @@
 	worker.overloaded = plan && product
 }
 
-// rejectsClass tells whether a worker is held to turn a sort of txn away.
+// rejectsClass tells whether a worker is held to turn a class of request away.
 func (e *Engine) rejectsClass(worker *workerRecord, sort int) bool {
 	return worker.rejections != nil && worker.rejections[sort].value(e.now,
 		rejectionDecayMillis) > rejectionThreshold
 }
 
-// checkSilentWorkers looks at a waiting txn for a silent worker.
+// checkSilentWorkers looks at a waiting request for a silent worker.
 func (e *Engine) checkSilentWorkers(request *requestState) {
 	if !request.live || request.answered || request.bodyPending {
 		return
@@ -123,8 +123,8 @@
 		}
 		worker, startedAt := &e.workers[attempt.worker], math.Max(attempt.sentAt, e.stalledUntil)
 		if worker.heardAt >= attempt.sentAt {
-			// Guards against answers that get lost though their worker is well. A txn that is only long would be
-			// long again, so it acts only while more of such age were never answered than late, once a txn.
+			// Guards against answers that get lost though their worker is well. A request that is only long would be
+			// long again, so it acts only while more of such age were never answered than late, once a request.
 			dueAt := startedAt + math.Max(silentWorkerTargetFraction*product.latencyTargetMillis,
 				slowRequestResponses*math.Max(e.responseMillis, worker.responseMillis))
 			switch losesResponses := e.lostRequests.value(e.now, lostRequestDecayMillis) > e.slowRequests.value(e.now,
@@ -143,8 +143,9 @@
 		if ageMillis < silentWorkerTargetFraction*product.latencyTargetMillis {
 			continue
 		}
-		// Guards against workers that take txns and answer none: a hang, a lost hall, a cut link. The place of
-		// such a txn is free for others well before it is moved, as moving one that is only slow wastes its work.
+		// Guards against workers that take requests and answer none: a hang, a lost region, a cut link. The place
+		// of such a request is free for others well before it is moved, as moving one that is only slow wastes its
+		// work.
 		if owedResponses > workerFaultResponses {
 			e.countInFlight(attempt, false)
 		}
@@ -155,9 +156,9 @@
 	}
 }
 
-// recordFailure notes a failure at a worker: by one where this gatekeeper sees each worker often. Among many
-// gatekeepers it would forget before it comes there again, and lose a txn each time; then the failure weighs
-// as often as the distrust fades between two visits, but no more than the usual answers that it took.
+// recordFailure notes a failure at a worker: by one where this gateway sees each worker often. Among many
+// gateways it would forget before it comes there again, and lose a request each time; then the failure weighs
+// as often as the suspicion fades between two visits, but no more than the mean responses that it took.
 func (e *Engine) recordFailure(worker *workerRecord, responseMillis float64) {
 	visits := warmWorkWindowMillis * float64(len(e.ready)) / math.Max(e.warmWorkUnits(), 1)
 	weight := math.Min(rareVisitWeight*visits/suspicionDecayMillis, responseMillis/math.Max(e.responseMillis, 1))
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -52,7 +52,7 @@
 	unboundedPerMilli = 1e30
 )
 
-// refill brings a customer's slice, and the quota's one store as far as it is known here, up to now.
+// refill brings a customer's share, and the quota's one store as far as it is known here, up to now.
 func (e *Engine) refill(account *customerAccount) {
 	plan := &e.plans[account.plan]
 	elapsedMillis := e.now - account.filledAt
@@ -86,7 +86,7 @@
 	return math.Max(missingUnits/e.plans[account.plan].ratePerMilli, 0)
 }
 
-// shareWait is how long until a customer's own slice has the units; 0 is now.
+// shareWait is how long until a customer's own share has the units; 0 is now.
 func (e *Engine) shareWait(account *customerAccount, units float64) float64 {
 	e.refill(account)
 	if units += account.reservedQuotaUnits; account.shareTokens >= units-1e-9 {
@@ -102,7 +102,7 @@
 	return (units - account.shareTokens) / share
 }
 
-// accountFor finds or opens the account of an arrival, and fills in what only a txn tells.
+// accountFor finds or opens the account of an arrival, and fills in what only a request tells.
 func (e *Engine) accountFor(arrival Request) int32 {
 	accountIndex, ok := e.accountByCustomer[uint32(arrival.Customer)]
 	if !ok {
@@ -117,9 +117,10 @@
 	return accountIndex
 }
 
-// moveAccount puts an account that is new, known from peers alone, or of another set or plan, in the set and plan
-// of a request.
-func (e *Engine) moveAccount(account *customerAccount, arrival Request, known bool, setSize, firstGateway int) {
+// moveAccount puts an account that is new, known from peers alone, or of another set or plan, in the set and
+// plan of a request.
+func (e *Engine) moveAccount(account *customerAccount, arrival Request, known bool, setSize,
+	firstGateway int) {
 	plan, from, most := &e.plans[arrival.Plan], e.rateLimitBase, math.Inf(1)
 	if known && account.setSize == 0 {
 		e.remoteOnlyAccounts--
@@ -143,8 +144,8 @@
 	e.updateShare(account)
 }
 
-// initialShareTokens is what a slice holds at first: full, though without the rounding up to the largest txn,
-// which over all gatekeepers of a large set would come to many times the quota's burst.
+// initialShareTokens is what a share holds at first: full, though without the rounding up to the largest
+// request, which over all gateways of a large set would come to many times the quota's burst.
 func (e *Engine) initialShareTokens(account *customerAccount) float64 {
 	return e.coldShare(account) * e.plans[account.plan].burstMillis
 }
@@ -154,7 +155,7 @@
 	return e.plans[account.plan].ratePerMilli / float64(max(account.setSize, 1)) * coldShareFraction
 }
 
-// updateShare sets a customer's share: the cold slice, or the floor and its part of the rest by demand.
+// updateShare sets a customer's share: the cold share, or the floor and its part of the rest by demand.
 func (e *Engine) updateShare(account *customerAccount) {
 	rate, n := e.plans[account.plan].ratePerMilli, float64(max(account.setSize, 1))
 	if e.isSparse(account) { // the rest is credited as demand comes
@@ -173,7 +174,7 @@
 	account.sharePerMilli = rate*floorFraction/n + rate*(1-floorFraction)*own/total
 }
 
-// totalDemand is a customer's demand at all its gatekeepers, as far as it is known here.
+// totalDemand is a customer's demand at all its gateways, as far as it is known here.
 func (e *Engine) totalDemand(account *customerAccount) float64 {
 	plan, others := &e.plans[account.plan], account.peerDemand
 	// not all have spoken yet
@@ -192,7 +193,7 @@
 	return total
 }
 
-// isSparse tells whether a customer's slices are too small to hold a txn, over many gatekeepers.
+// isSparse tells whether a customer's shares are too small to hold a request, over many gateways.
 func (e *Engine) isSparse(account *customerAccount) bool {
 	return e.plans[account.plan].sparse && account.setSize > 0 &&
 		e.initialShareTokens(account) < e.plans[account.plan].maxUnits
@@ -203,13 +204,13 @@
 	return !e.reportsImmediately(account) && e.isSparse(account)
 }
 
-// creditSparseShare puts in a sparse slice what units asked here bring it of the split, rate x (1 - beta) x
-// own / total, at once and not over the memory: a gatekeeper that sees a txn in many seconds would have it
+// creditSparseShare puts in a sparse share what units asked here bring it of the split, rate x (1 - beta) x
+// own / total, at once and not over the memory: a gateway that sees a request in many seconds would have it
 // too late.
 func (e *Engine) creditSparseShare(account *customerAccount, units float64) {
 	plan, total := &e.plans[account.plan], e.totalDemand(account)
 	// Guards against bursts that end before a word of them comes: what was asked here in the last second, scaled
-	// up by this gatekeeper's usual part of the customer's demand, is taken to be asked at the peers too.
+	// up by this gateway's usual part of the customer's demand, is taken to be asked at the peers too.
 	recentDemand := account.recentDemand * math.Exp((account.lastRequestAt-e.now)/demandWindowMillis)
 	usualFraction := math.Max(e.ownDemand(account)-recentDemand*demandWindowMillis/plan.demandWindowMillis, 0) /
 		math.Max(total, 1e-9)
@@ -221,8 +222,8 @@
 	}
 }
 
-// bestInFlight is how many submissions a quota on those out should have out on average: where one more earns
-// no more than it costs, as many gatekeepers that don't see each other's meet by chance.
+// bestInFlight is how many attempts a quota on those out should have out on average: where one more earns
+// no more than it costs, as many gateways that don't see each other's meet by chance.
 func bestInFlight(plan Plan) float64 {
 	best, most, step := 0.0, 0.0, math.Max(inFlightSearchStep, float64(plan.MaxInFlight)/maxInFlightSearchSteps)
 	for a := step; a <= float64(plan.MaxInFlight); a += step {
@@ -238,39 +239,38 @@
 	return most
 }
 
+// customerAccount is what is known of a customer. Rates and demand are in units a millisecond.
 type customerAccount struct {
 	plan             int
-	setSize          int     // its gatekeepers; 0 while it is known from peers alone
-	sharePerMilli    float64 // units a ms
-	shareTokens      float64 // of the slice
-	quotaTokens      float64 // of the quota's one store as far as it is known here
-	filledAt         float64 // time of both, and of others
-	peerDemand       float64 // sum of peers' demand, fading
-	peerSpent        float64 // units that peers sent on, fading over flowMemory
-	silentPeerDemand float64 // sum of the last demand of those that are silent
-	silentPeers      int     // how many these are
+	setSize          int     // gateways that it comes through; 0 while it is known from peers alone
+	sharePerMilli    float64 // this gateway's share of the quota's rate
+	shareTokens      float64 // units in that share
+	quotaTokens      float64 // units in the whole quota, as far as it is known here
+	filledAt         float64 // time of both, and of peerDemand and peerSpent
+	peerDemand       float64 // sum of the demand at peers, decaying
+	peerSpent        float64 // units that peers have spent, decaying over peerSpendWindowMillis
+	silentPeerDemand float64 // sum of the last demand of peers that are silent
+	silentPeers      int     // those of them that had reported demand
 	peerDemandAt     float64 // time of the last report of demand
-	decayedDemand    float64
-	recentDemand     float64 // the same over demandMemory alone
-	lastRequestAt    float64 // time of the last txn, and of both
-	hot              bool
-	live             bool
-
-	firstGateway int
-	id           uint64
-	requests     int
-	coolSince    float64 // since when demand has been under the cold slice
-	// GCRA: the moment the slice of the ceiling is full again
-	rateLimitFullAt float64
-	unreportedUnits float64 // units sent on since the last report
-	// demand last reported, when, and what was left of the one before
+	decayedDemand    float64 // own demand at lastRequestAt, over the plan's demand window
+	recentDemand     float64 // the same over demandWindowMillis alone
+	lastRequestAt    float64
+	hot              bool // its quota is divided by demand
+	live             bool // the entry is in use
+
+	firstGateway    int
+	id              uint64
+	requests        int
+	coolSince       float64 // since when its demand has been under the cold share
+	rateLimitFullAt float64 // GCRA: the time at which the share of the rate limit is full again
+	unreportedUnits float64 // spent since the last report
+	// demand last reported, when, and what the decay had then left of the one before
 	reportedDemand, reportedAt, previousReportedDemand float64
-	// submissions out or cleared, and of these the predecessor's
+	// attempts in flight or cleared, and those of them that are the predecessor's
 	inFlight, predecessorInFlight int
-	uncollectedUnits              float64 // repaid, and not yet taken from whole
-	// time of the last loan, or look for a repayment; 0 where there was none
-	creditAt float64
-	// units of txns that may yet be sent on; what they then take from the quota
+	uncollectedUnits              float64 // repaid, and not yet taken from quotaTokens
+	creditAt                      float64 // time of the last loan or collection; 0 where there was none
+	// units of requests that may yet go out, and what they will then take from the quota
 	reservedUnits, reservedQuotaUnits float64
 }
 
@@ -281,21 +281,21 @@
 	dedupScope                             DedupScope
 }
 
-// planParams holds what decisions need of a Plan, per ms.
+// planParams is what decisions use of a Plan, with rates in units a millisecond.
 type planParams struct {
-	ratePerMilli, burstMillis float64 // units a ms; ms of it that may be used at once
-	maxUnits                  float64 // units of a txn at most
-	// ms that demand is smoothed over; makes up for the fading of what peers report
+	ratePerMilli, burstMillis float64 // the quota's rate, and the milliseconds of it that may be used at once
+	maxUnits                  float64 // the size of the largest request
+	// the time constant of the demand estimate, and the factor that makes up for the decay of what peers report
 	demandWindowMillis, decayCompensation float64
-	sparse                                bool    // each gatekeeper's part is too small to hold a txn
-	shortDeadlineSuccess                  float64 // part of the tight txns that are settled in their time
-	// a quota on submissions out: how many are to be, and how long one is, ms
+	sparse                                bool    // each gateway's share is too small to hold a request
+	shortDeadlineSuccess                  float64 // fraction of the short-deadline requests that succeed
+	// a quota on attempts in flight: the mean number wanted, and how long one takes
 	targetInFlight, attemptMillis     float64
-	rateLimitPerMilli, rateLimitBurst float64 // this gatekeeper's slice, before division by the customer's N
-	// units a ms at which its fill is reckoned for a later life; 0 as it fills
+	rateLimitPerMilli, rateLimitBurst float64 // the rate limit of one customer over all its gateways
+	// rate at which a later process will assume that the rate limit refills; 0 where it is the rate itself
 	recordedRatePerMilli float64
 	maxInFlight          int
-	allowsExcess         bool // letting in beyond the quota earns more than it costs
+	allowsExcess         bool // admitting beyond the quota earns more than it costs
 }
 
 // addDemand adds to a customer's demand here.
@@ -336,7 +336,7 @@
 	e.freeAccounts = append(e.freeAccounts, accountIndex)
 }
 
-// quotaCost is what a txn takes from its quota.
+// quotaCost is what a request takes from its quota.
 func (plan *planParams) quotaCost(units float64) float64 {
 	if plan.targetInFlight > 0 {
 		return 1
@@ -344,7 +344,7 @@
 	return units
 }
 
-// deriveRate puts a quota on submissions out, where there is no other, as a rate: as many as are to be out,
+// deriveRate puts a quota on attempts out, where there is no other, as a rate: as many as are to be out,
 // each as long as one stays out.
 func (plan *planParams) deriveRate() {
 	if plan.targetInFlight > 0 {
@@ -369,9 +369,9 @@
 	return d
 }
 
-// rateLimitFullAt is when the slice of a customer's ceiling is full again, if all that is kept goes out too;
-// 0 where there is none. A later life reads it by the ceilings that this one began with, so where these have
-// changed the slower of both paces counts: it then takes for spent no less than is.
+// rateLimitFullAt is when the share of a customer's rate limit is full again, if all that is kept goes out
+// too; 0 where there is none. A later run reads it by the rate limits that this one began with, so where
+// these have changed the slower of both paces counts: it then takes for spent no less than is.
 func (e *Engine) rateLimitFullAt(account *customerAccount) float64 {
 	plan := &e.plans[account.plan]
 	if plan.rateLimitPerMilli <= 0 {
@@ -396,13 +396,13 @@
 	return math.Max(rate*plan.burstMillis, plan.maxUnits)
 }
 
-// sparseRate is what a sparse slice is credited over time: its share, and the split as demand comes.
+// sparseRate is what a sparse share is credited over time: its share, and the split as demand comes.
 func (e *Engine) sparseRate(account *customerAccount) float64 {
 	return account.sharePerMilli + e.plans[account.plan].ratePerMilli*(1-floorFraction)*math.Min(
 		e.ownDemand(account)/math.Max(e.totalDemand(account), 1e-12), 1)
 }
 
-// charge takes a txn's units from its customer's stores at the first submission. A body that is still coming
+// charge takes a request's units from its customer's stores at the first attempt. A body that is still coming
 // may never reach a worker whole, and then takes nothing: until it has, its units are only kept.
 func (e *Engine) charge(request *requestState) {
 	if e.releaseReservation(request); request.bodyPending {
--- a/internal/policy/reconfigure.go
+++ b/internal/policy/reconfigure.go
@@ -17,10 +17,10 @@
 // differs. This gateway keeps its index, and so do the others that stay; those beyond the number have ended.
 // Customers' shares follow their sets, as their requests say.
 //
-// No store holds more by the change. What was spent of a rate limit stays spent, in units: one that grows fills
-// at its new rate from what there was, one that shrinks holds at most its new burst less what is spent, and a
-// new one holds nothing. Where a fraction is withheld, all that is spent counts against the rest; where it is
-// released again, what was not spent of it is there.
+// No store holds more by the change. What was spent of a rate limit stays spent, in units: one that grows
+// fills at its new rate from what there was, one that shrinks holds at most its new burst less what is spent,
+// and a new one holds nothing. Where a fraction is withheld, all that is spent counts against the rest; where
+// it is released again, what was not spent of it is there.
 func (e *Engine) Reconfigure(settings Settings) bool {
 	gatewayCount := max(settings.GatewayCount, 1)
 	if settings.GatewayIndex != e.derived.gatewayIndex || gatewayCount <= settings.GatewayIndex ||
@@ -88,8 +88,8 @@
 	}
 }
 
-// convertAccounts brings customers' stores from the previous plans to those in force. Where what peers have spent
-// is unknown, what they have reported is dropped.
+// convertAccounts brings customers' stores from the previous plans to those in force. Where what peers have
+// spent is unknown, what they have reported is dropped.
 func (e *Engine) convertAccounts(previousPlans []planParams, previousSettings []Plan, unknown bool) {
 	for i := range e.accounts {
 		account := &e.accounts[i]
@@ -120,8 +120,8 @@
 	}
 }
 
-// restrict leaves a plan what is this gatekeeper's own. Where its quota goes without words all peers count as
-// unheard: the split leaves each gatekeeper an even part of alpha x rate, which is the cold slice.
+// restrict leaves a plan what is this gateway's own. Where its quota goes without gossip all peers count as
+// unheard: the split leaves each gateway an even part of coldShareFraction x rate, which is the cold share.
 func (plan *planParams) restrict(settings *Settings, withheld float64) {
 	plan.rateLimitBurst *= 1 - withheld
 	if withheld < 1 { // one that is shut still fills
@@ -135,7 +135,7 @@
 	}
 }
 
-// blocked tells whether nothing passes under a plan's ceiling.
+// blocked tells whether nothing passes under a plan's rate limit.
 func (plan *planParams) blocked() bool {
 	return plan.rateLimitPerMilli > 0 && plan.rateLimitBurst <= 0 || plan.rateLimitPerMilli <= 0 &&
 		plan.rateLimitBurst > 0
@@ -149,7 +149,7 @@
 	return math.Max(a, b)
 }
 
-// advanceRateLimitBase sees that customers that are not known find no more in a ceiling that grows, or is
+// advanceRateLimitBase sees that customers that are not known find no more in a rate limit that grows, or is
 // new, than those that are. It falls on all plans: there is one base.
 func (e *Engine) advanceRateLimitBase(from, to Plan) {
 	had := from.RateLimitBurst
@@ -161,7 +161,7 @@
 	}
 }
 
-// rescaledFullAt is the moment at which a customer's slice of a ceiling that has changed is full again.
+// rescaledFullAt is the moment at which a customer's share of a rate limit that has changed is full again.
 func (e *Engine) rescaledFullAt(account *customerAccount, previous *planParams, from, to Plan) float64 {
 	plan := &e.plans[account.plan]
 	if to.RateLimitPerSecond <= 0 {
@@ -179,8 +179,8 @@
 	return e.now + units/plan.rateLimitPerMilli
 }
 
-// fullRefillMillis is how long a slice of a plan's ceiling that is spent takes to be full, ms; 0 where there
-// is none.
+// fullRefillMillis is how long a share of a plan's rate limit that is spent takes to be full, ms; 0 where
+// there is none.
 func (plan *planParams) fullRefillMillis() float64 {
 	if plan.rateLimitPerMilli <= 0 {
 		return 0
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -4,51 +4,53 @@
 	"math"
 )
 
-// releaseReferences ends what submissions refer to.
+// releaseReferences ends what attempts refer to.
 func (e *Engine) releaseReferences(subs []attemptState) {
 	for i := range subs {
 		e.workers[subs[i].worker].references--
 	}
 }
 
-// WorkerUnreferenced tells whether no txn in hand has been sent to a worker: if it is gone its place may be
-// another's.
+// WorkerUnreferenced tells whether no request in flight has been sent to a worker: if it is gone its place
+// may be another's.
 func (e *Engine) WorkerUnreferenced(workerIndex int) bool {
 	return workerIndex >= len(e.workers) || e.workers[workerIndex].references == 0
 }
 
+// attemptState is one delivery of a request to a worker.
 type attemptState struct {
 	worker     int
-	zone, cell int // of its worker as it was sent there; that may be moved meanwhile
+	zone, cell int // of its worker when it was sent; the worker may be moved meanwhile
 	sentAt     float64
 	inFlight   bool
-	cancelled  bool
-	counted    bool // counts as in hand
-	abandoned  bool // already held against the worker
+	cancelled  bool // the host was told to stop waiting for it
+	counted    bool // it counts against the window
+	abandoned  bool // its worker was silent, and has been blamed for it
 }
 
+// requestState is what is known of a request until its last attempt has ended.
 type requestState struct {
 	id                uint64
 	accountIndex      int32
 	product, plan     int
 	units, quotaUnits float64 // its size, and what it takes from its quota
-	borrowedUnits     float64 // what it takes instead from its customer's credit
+	borrowedUnits     float64 // what it takes from its customer's credit instead
 	deadline          float64
 	attempts          []attemptState
 	inFlight          int
-	mayHaveRun        bool         // some submission may have run
-	firstUncertain    attemptState // the first one that may have run
+	mayHaveRun        bool         // some attempt may have run
+	firstUncertain    attemptState // the first one that may have
 	firstUncertainAt  float64
-	answered          bool
-	wantsAttempt      bool // a second copy, or a move, is wanted
-	bodyPending       bool // its body's last byte has not gone out
-	bodyForwarded     bool // its body has begun to, and is not kept: it cannot be submitted again
-	withinQuota       bool // its quota had the units when it was let in
-	shortDeadline     bool // it came with little time
-	reserved          bool // its units are kept
+	answered          bool // it has its final answer
+	wantsAttempt      bool // it is to be hedged, or moved to another worker
+	bodyPending       bool // the last byte of its body has not gone out
+	bodyForwarded     bool // its body has begun to go out, and is not kept: it cannot be sent again
+	withinQuota       bool // its quota had the units when it was admitted
+	shortDeadline     bool // it arrived with little time left
+	reserved          bool // its units are reserved
 	clearance         clearanceStage
-	clearanceMillis   float64 // ms that its clearance is kept
-	live              bool
+	clearanceMillis   float64 // how long its clearance lasts
+	live              bool    // the entry is in use
 }
 
 func (e *Engine) nextCancel(request *requestState) (Decision, bool) {
@@ -61,7 +63,7 @@
 	return Decision{}, false
 }
 
-// startAttempt books a submission that goes out.
+// startAttempt books an attempt that goes out.
 func (e *Engine) startAttempt(request *requestState, workerIndex int) *attemptState {
 	worker := &e.workers[workerIndex]
 	request.attempts = append(request.attempts, attemptState{worker: workerIndex, zone: worker.Zone,
@@ -86,8 +88,8 @@
 	return worker
 }
 
-// ResponseStarted tells that the answer of submission n has started to stream: it is the client's now, and
-// has no expiry.
+// ResponseStarted tells that the answer of attempt n has started to stream: it is the client's now, and
+// has no deadline.
 func (e *Engine) ResponseStarted(id uint64, attemptIndex int) {
 	if slot, ok := e.byID[id]; ok && attemptIndex >= 0 && attemptIndex < len(e.requests[slot].attempts) {
 		request := &e.requests[slot]
@@ -97,7 +99,7 @@
 	}
 }
 
-// BodyForwarded tells that a body that is not kept has begun to go out with submission n, or, where left is
+// BodyForwarded tells that a body that is not kept has begun to go out with attempt n, or, where left is
 // given, that its last byte has: the client waits so many ms from now on.
 func (e *Engine) BodyForwarded(id uint64, attemptIndex int, timeLeftMillis float64) {
 	slot, ok := e.byID[id]
@@ -115,7 +117,7 @@
 	}
 }
 
-// submitDecision is the decision that sends a txn's newest submission to a worker, before a moment.
+// submitDecision is the decision that sends a request's newest attempt to a worker, before a moment.
 func (e *Engine) submitDecision(request *requestState, workerIndex int, latest float64) Decision {
 	return Decision{Kind: Submit, RequestID: request.id, Worker: workerIndex, Attempt: len(request.attempts) - 1,
 		WaitMillis: request.deadline -
@@ -124,7 +126,7 @@
 			&e.accounts[request.accountIndex])}
 }
 
-// countInFlight notes whether a submission counts as in hand.
+// countInFlight notes whether an attempt counts as in flight.
 func (e *Engine) countInFlight(attempt *attemptState, in bool) {
 	if attempt.counted != in {
 		attempt.counted = in
@@ -136,7 +138,7 @@
 	}
 }
 
-// recordUncertain notes that a submission may have run.
+// recordUncertain notes that an attempt may have run.
 func (e *Engine) recordUncertain(request *requestState, attempt *attemptState) {
 	if !request.mayHaveRun || attempt.sentAt < request.firstUncertainAt {
 		request.firstUncertain, request.firstUncertainAt = *attempt, attempt.sentAt
@@ -144,7 +146,7 @@
 	request.mayHaveRun = true
 }
 
-// ClientGone tells that the client of a txn no longer waits.
+// ClientGone tells that the client of a request no longer waits.
 func (e *Engine) ClientGone(id uint64) {
 	if slot, ok := e.byID[id]; ok && !e.requests[slot].answered {
 		e.requests[slot].answered = true
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -4,9 +4,9 @@
 	"math"
 )
 
-// RetractAttempt tells that submission n of a txn, the newest, never began: what it was decided by had run
-// out. The txn is decided on anew, the first time as if it had just come; what it took stays taken. It is
-// false where that can't be, and the submission has Ended as NotSent.
+// RetractAttempt tells that attempt n of a request, the newest, never began: what it was decided by had run
+// out. The request is decided on anew, the first time as if it had just come; what it took stays taken. It is
+// false where that can't be, and the attempt has Ended as NotSent.
 func (e *Engine) RetractAttempt(id uint64, attemptIndex int) bool {
 	slot, ok := e.byID[id]
 	if !ok || attemptIndex < 0 || attemptIndex != len(e.requests[slot].attempts)-1 ||
@@ -27,7 +27,7 @@
 	return true
 }
 
-// AttemptEnded tells how submission n of a txn ended, and whether that closed the txn, now or earlier.
+// AttemptEnded tells how attempt n of a request ended, and whether that closed the request, now or earlier.
 func (e *Engine) AttemptEnded(id uint64, attemptIndex int, outcome Outcome, responseMillis float64,
 	closed bool) {
 	slot, ok := e.byID[id]
@@ -70,7 +70,8 @@
 	}
 }
 
-// recordOutcome updates what is known of the worker and of the pressure, and whether the attempt may have run.
+// recordOutcome updates what is known of the worker and of the pressure, and whether the attempt may have
+// run.
 func (e *Engine) recordOutcome(request *requestState, attempt *attemptState, worker *workerRecord,
 	outcome Outcome, responseMillis float64) {
 	switch outcome {
@@ -109,7 +110,7 @@
 	}
 }
 
-// retryUntil is until when a further submission may begin under the rule against double effects; 0 is never.
+// retryUntil is until when a further attempt may begin under the rule against double effects; 0 is never.
 func (e *Engine) retryUntil(request *requestState, running bool) float64 {
 	product := &e.products[request.product]
 	switch {
@@ -130,7 +131,7 @@
 	return from + product.dedupWindowMillis - scanIntervalMillis
 }
 
-// finish ends a txn at once: declined where that promise holds, else voided.
+// finish ends a request at once: declined where that promise holds, else voided.
 func (e *Engine) finish(request *requestState, why FinalReason, wait float64) Decision {
 	request.answered = true
 	e.stats.FinalByReason[why]++
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -1,72 +1,100 @@
 package policy
 
-// Idempotency tells what a second run of a product would do.
+// Idempotency says what a second run of a product's request would do.
 type Idempotency uint8
 
+// The kinds of products by what a second run does.
 const (
-	Idempotent    Idempotency = iota // may run again
-	Deduplicated                     // carries a mark by which a repeat is dropped
-	NonIdempotent                    // must never run twice
+	Idempotent    Idempotency = iota // a request may run again
+	Deduplicated                     // it carries a key by which workers drop a repeat
+	NonIdempotent                    // it must never run twice
 )
 
-// DedupScope names the workers that share the marks of a referenced product.
+// DedupScope says which workers share the keys of a deduplicated product.
 type DedupScope uint8
 
+// The scopes, the maxWorkersExamined first.
 const (
 	DedupAcrossFleet DedupScope = iota
 	DedupWithinZone
 	DedupWithinCell
 )
 
-// Product is a kind of txn. Times are in ms.
+// Product is a kind of request. The JSON keys are those of the forecast's messages.
 type Product struct {
-	LatencyTargetMillis float64     `json:"SLA"`
-	Value               float64     `json:"Value"`
-	LateValueFraction   float64     `json:"LateShare"`
-	Idempotency         Idempotency `json:"Repeat"`
-	DedupScope          DedupScope  `json:"Group"`
-	DedupWindowMillis   float64     `json:"Window"` // how long marks of a referenced product are remembered
+	// LatencyTargetMillis is the latency target (SLO).
+	LatencyTargetMillis float64 `json:"SLA"`
+	// Value is what an answer in time is worth, before the plan's factor.
+	Value float64 `json:"Value"`
+	// LateValueFraction of it is what a late answer is worth.
+	LateValueFraction float64     `json:"LateShare"`
+	Idempotency       Idempotency `json:"Repeat"`
+	DedupScope        DedupScope  `json:"Group"`
+	// DedupWindowMillis is how long workers remember the keys of a deduplicated product.
+	DedupWindowMillis float64 `json:"Window"`
 }
 
-// Plan is what a customer has signed for. Rates are in units a second; 0 means no such limit.
+// Plan is what a customer has signed for. 0 means no such limit. The order of the fields is part of the
+// digests of crash state and checkpoints.
 type Plan struct {
-	QuotaPerSecond     float64 `json:"Rate"` // quota: fill and depth of the customer's store
-	QuotaBurst         float64 `json:"Burst"`
-	RateLimitPerSecond float64 `json:"CeilingRate"` // hard ceiling
+	// QuotaPerSecond and QuotaBurst, in units, are the fill and the depth of the customer's quota.
+	QuotaPerSecond float64 `json:"Rate"`
+	QuotaBurst     float64 `json:"Burst"`
+	// RateLimitPerSecond and RateLimitBurst, in units, are the hard rate limit, which nothing exceeds.
+	RateLimitPerSecond float64 `json:"CeilingRate"`
 	RateLimitBurst     float64 `json:"CeilingDepth"`
-	WithheldFraction   float64 `json:"Withheld"` // part of its slice here that is not to be used now, 0 to 1
-	MaxInFlight        int     `json:"Open"`     // submissions the customer may have out at once
-	// value multiplier; earned and paid beyond the quota, of the value
+	// WithheldFraction of this gateway's share of the rate limit is not to be used now, 0 to 1.
+	WithheldFraction float64 `json:"Withheld"`
+	// MaxInFlight is how many attempts a customer may have in flight at once.
+	MaxInFlight int `json:"Open"`
+	// ValueFactor multiplies a product's value. Beyond the quota ExcessValueFraction of it is earned and
+	// ExcessCostFraction paid.
 	ValueFactor         float64 `json:"Factor"`
 	ExcessValueFraction float64 `json:"ExcessShare"`
 	ExcessCostFraction  float64 `json:"ExcessFee"`
-	CreditSeconds       float64 `json:"Credit"` // s of the rate that may be borrowed; 0 is none
-	RepayWithinMillis   float64 `json:"Repay"`  // ms within which that is paid back
+	// CreditSeconds of the quota's rate may be borrowed, and are repaid within RepayWithinMillis.
+	CreditSeconds     float64 `json:"Credit"`
+	RepayWithinMillis float64 `json:"Repay"`
 }
 
-// Settings is all that a gatekeeper is told at its start; some of it may change in service, see Recharter.
-// Times are in ms.
+// Settings is all that an engine is given at its start; some of it may change in service, see Reconfigure.
 type Settings struct {
-	GatewayIndex          int       `json:"Me"`
-	GatewayCount          int       `json:"Gatekeepers"`
-	Products              []Product `json:"Products"`
-	Plans                 []Plan    `json:"Plans"`
-	MaxRequestUnits       float64   `json:"LargestUnits"`
-	MaxAttempts           int       `json:"MaxSubmissions"`
-	AllowHedging          bool      `json:"MayOverlap"` // two submissions of a txn may be out together
-	AllowCancel           bool      `json:"MayWithdraw"`
-	AllowRetryAfter       bool      `json:"MayAdvise"`      // a decline may say when to return
-	MaxRetryAfterMillis   float64   `json:"MaxAdvice"`      // longest advice that clients heed
-	AllowGossip           bool      `json:"MayTell"`        // peer messages are allowed
-	WorkersReportLoad     bool      `json:"LoadTold"`       // answers may carry the worker's load
-	PeerMessagesPerSecond float64   `json:"PeerInPerS"`     // messages a gatekeeper takes in a second
-	ReportsPerMessage     int       `json:"ReportsPerTell"` // customer reports that fit one peer message
-	ColdCapacityFraction  float64   `json:"ColdFrom"`       // a started worker's least share of its capacity
-	WarmUpMillis          float64   `json:"WarmUp"`         // and the longest it takes to reach all of it
-	// times what it can do that it bears, and until it falls beyond; 0 is not said
-	OverloadFactor     float64 `json:"Tips"`
-	OverloadMillis     float64 `json:"TipAfter"`
-	TotalWeight        float64 `json:"Whole"`     // how much the service as a whole counts
-	WorstPlanWeight    float64 `json:"WorstPlan"` // and how much the worst-served plan, and product
-	QuotaWithoutGossip bool    `json:"Narrow"`    // quotas go by the slices that need no word of peers
+	// GatewayIndex is this gateway's place among GatewayCount.
+	GatewayIndex int       `json:"Me"`
+	GatewayCount int       `json:"Gatekeepers"`
+	Products     []Product `json:"Products"`
+	Plans        []Plan    `json:"Plans"`
+	// MaxRequestUnits is the size of the largest request.
+	MaxRequestUnits float64 `json:"LargestUnits"`
+	// MaxAttempts bounds the attempts of a request.
+	MaxAttempts int `json:"MaxSubmissions"`
+	// AllowHedging says that two attempts of a request may be in flight together.
+	AllowHedging bool `json:"MayOverlap"`
+	// AllowCancel says that an attempt may be given up before its response.
+	AllowCancel bool `json:"MayWithdraw"`
+	// AllowRetryAfter says that a rejection may say when to return; clients heed up to MaxRetryAfterMillis.
+	AllowRetryAfter     bool    `json:"MayAdvise"`
+	MaxRetryAfterMillis float64 `json:"MaxAdvice"`
+	// AllowGossip says that gateways may send each other reports.
+	AllowGossip bool `json:"MayTell"`
+	// WorkersReportLoad says that responses may carry the worker's load.
+	WorkersReportLoad bool `json:"LoadTold"`
+	// PeerMessagesPerSecond is how many messages a gateway takes in.
+	PeerMessagesPerSecond float64 `json:"PeerInPerS"`
+	// ReportsPerMessage is how many customers' reports fit a message.
+	ReportsPerMessage int `json:"ReportsPerTell"`
+	// ColdCapacityFraction of its capacity is what a worker has at its start, at least; it has all of it after
+	// WarmUpMillis, at most.
+	ColdCapacityFraction float64 `json:"ColdFrom"`
+	WarmUpMillis         float64 `json:"WarmUp"`
+	// OverloadFactor is how many times its capacity a worker withstands, for OverloadMillis before it falls
+	// behind; 0 where that is not stated.
+	OverloadFactor float64 `json:"Tips"`
+	OverloadMillis float64 `json:"TipAfter"`
+	// TotalWeight is how much the service as a whole counts, WorstPlanWeight how much the worst-served plan and
+	// product do.
+	TotalWeight     float64 `json:"Whole"`
+	WorstPlanWeight float64 `json:"WorstPlan"`
+	// QuotaWithoutGossip says that quotas go by the shares that need no reports of peers.
+	QuotaWithoutGossip bool `json:"Narrow"`
 }
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -19,7 +19,7 @@
 	warmUpStretchFactor = 1.1
 )
 
-// meanUnits is the size of a middling txn.
+// meanUnits is the size of a middling request.
 func (derived *derivedSettings) meanUnits() float64 { return (1 + derived.maxRequestUnits) / 2 }
 
 func (e *Engine) warmWorkUnits() float64 {
@@ -50,7 +50,7 @@
 		0)/e.derived.warmUpMillis
 }
 
-// hasTurn tells whether it is this gatekeeper's turn at a worker that is not warm. Guards against turns that
+// hasTurn tells whether it is this gateway's turn at a worker that is not warm. Guards against turns that
 // all have kept and use at once: one lasts as long as such a worker bears too much for, the next is earned
 // anew.
 func (e *Engine) hasTurn(worker *workerRecord) bool {
@@ -64,10 +64,11 @@
 	return worker.slowStartDebt <= 0
 }
 
-// warmingRate is this gatekeeper's budget for a worker that is not warm, in units a ms: what it sees a warm
-// worker do, times the guessed warmth. Each gatekeeper's part of the warm load adds up to no more than a
+// warmingRate is this gateway's budget for a worker that is not warm, in units a ms: what it sees a warm
+// worker do, times the guessed warmth. Each gateway's part of the warm load adds up to no more than a
 // warm worker can do, so together they stay under the worker's present capacity whoever else is alive. What
-// they did is shared by those that were warm then: by those left of a lost hall it would come to many times.
+// they did is shared by those that were warm then: by those left of a lost region it would come to many
+// times.
 func (e *Engine) warmingRate(since float64) float64 {
 	if as := [...]float64{e.now, e.startedAt, e.warmUnitsAt, e.warmUnitsPerWorker}; as != e.cachedWarmRateKey {
 		span := math.Max(warmWorkWindowMillis*(1-math.Exp((e.startedAt-e.now)/warmWorkWindowMillis)),
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -18,37 +18,39 @@
 	snapshotAccountsPerStep = 500
 )
 
-// Snapshot is what one gatekeeper sees at a moment. Demand is in units a second, times are in ms.
+// Snapshot is what one engine knows at a moment.
 type Snapshot struct {
-	Regions                  []RegionSnapshot
-	Plans                    []PlanSnapshot
-	Sets                     []GatewaySetSnapshot // of customers that asked lately, those of MostSets sets
-	OtherSetsDemandPerSecond float64              // demand of customers of other sets
+	Regions []RegionSnapshot
+	Plans   []PlanSnapshot
+	// of customers with recent demand, those of MaxSnapshotSets sets
+	Sets                     []GatewaySetSnapshot
+	OtherSetsDemandPerSecond float64 // demand of customers of other sets
 	Window                   float64
 	InFlight                 int
-	Pressure                 float64 // smoothed time of answers, of their SLA time
-	SilentPeers              int     // peers that owe a word, and are not given up yet
+	Pressure                 float64 // smoothed response time, as a fraction of the latency target
+	SilentPeers              int     // peers that owe a report, and are not lost yet
 	LostPeers                int
-	setIndex                 []int16 // by plan and first: one more than the place in Sets of the last one there
+	// by plan and first gateway: one more than the index in Sets of the last one
+	setIndex []int16
 }
 
-// RegionSnapshot is what it sees of the workers of one hall.
+// RegionSnapshot is what an engine knows of the workers of one region.
 type RegionSnapshot struct {
-	Workers     int     // on the list, and taking txns
-	WarmWorkers float64 // what they can do, in warm workers
-	InFlight    int     // submissions out at them
+	Workers     int     // on the list, and accepting requests
+	WarmWorkers float64 // their capacity, in warm workers
+	InFlight    int     // attempts in flight at them
 }
 
-// PlanSnapshot is what it sees of the customers of one plan.
+// PlanSnapshot is what an engine knows of the customers of one plan.
 type PlanSnapshot struct {
-	// its part of them: each counts as one over the gatekeepers of its set
+	// Customers is this gateway's part of them: each counts as one over the gateways of its set.
 	Customers       float64 `json:"Customers"`
 	DemandPerSecond float64 `json:"Demand"`
-	// demand here, by its customers' use at all gatekeepers
+	// DemandByUtilization is the demand here, by its customers' utilization at all gateways.
 	DemandByUtilization [len(UtilizationBounds) + 1]float64 `json:"Use"`
 }
 
-// GatewaySetSnapshot is the demand here of a plan's customers that come through Size gatekeepers from First
+// GatewaySetSnapshot is the demand here of a plan's customers that come through Size gateways from First
 // on.
 type GatewaySetSnapshot struct {
 	Plan            int     `json:"Plan"`
@@ -57,8 +59,8 @@
 	DemandPerSecond float64 `json:"Demand"`
 }
 
-// WriteSnapshot writes what it sees over s, whose room is used again. It begins with from at nought and gives
-// where it is to go on, nought at the end, so that nobody waits for long while it looks at many customers.
+// WriteSnapshot writes what it sees over s, whose room is used again. It begins with from at 0 and gives
+// where it is to go on, 0 at the end, so that nobody waits for long while it looks at many customers.
 func (e *Engine) WriteSnapshot(snapshot *Snapshot, from int) int {
 	if from == 0 {
 		e.snapshotWorkers(snapshot)
@@ -141,7 +143,7 @@
 	*at = int16(len(snapshot.Sets))
 }
 
-// ModelParameters is what of the design a look ahead goes by, derived from a charter as the decisions derive
+// ModelParameters is what of the design a look ahead goes by, derived from a settings as the decisions derive
 // it.
 type ModelParameters struct {
 	ReportIntervalMillis float64 // ms between reports
@@ -149,22 +151,22 @@
 	// ms until it is suspected, and after that during which its demand still counts
 	LostAfterMillis, LostHoldMillis float64
 	FloorFraction                   float64 // part of a rate that is kept as floors
-	// answers' time over their SLA time, on average, above which the window shrinks
+	// answers' time over their latency target, on average, above which the window shrinks
 	LatencyTargetFraction float64
-	// part of the window that txns of a plan (first) and product may fill
+	// part of the window that requests of a plan (first) and product may fill
 	WindowFraction [][]float64
-	// submissions out of one gatekeeper at the least for each worker there is
+	// attempts out of one gateway at the least for each worker there is
 	MinWindowPerWorker float64
 	ImmediateReports   bool // small sets are told at once of what is sent on
 	// by plan: news of a customer's whole store comes too late to go by
 	QuotaUnseen []bool
 	// by plan: letting in beyond a quota earns more than it costs
 	AllowsExcess []bool
-	// usual answers under which a try is declined; SLA times until one may return
+	// mean responses under which a try is declined; latency targets until one may return
 	MinTimeLeftResponses, RetryAfterTargets float64
 }
 
-// ModelParametersOf gives the manner of gatekeepers of a charter.
+// ModelParametersOf gives the manner of gateways of a settings.
 func ModelParametersOf(settings Settings) ModelParameters {
 	e := New(settings, 0)
 	model := ModelParameters{ReportIntervalMillis: e.derived.reportIntervalMillis,
@@ -183,7 +185,7 @@
 	return model
 }
 
-// ReserveMillis is the ms of its peers' spending that a gatekeeper of a set keeps from the quota's one store.
+// ReserveMillis is the ms of its peers' spending that a gateway of a set keeps from the quota's one store.
 func (model *ModelParameters) ReserveMillis(size int) float64 {
 	if model.ImmediateReports && size <= maxImmediateSetSize {
 		return immediateDelayMillis
@@ -191,7 +193,7 @@
 	return unheardSpendIntervals * model.ReportIntervalMillis
 }
 
-// ReportSpanMillis is the ms that a gatekeeper's last reports to those of a set speak of, on average: a
+// ReportSpanMillis is the ms that a gateway's last reports to those of a set speak of, on average: a
 // period, and where they are told at once, what came in the next one too, which is cut short at any place.
 func (model *ModelParameters) ReportSpanMillis(size int) float64 {
 	if model.ImmediateReports && size <= maxImmediateSetSize {
@@ -200,7 +202,7 @@
 	return model.ReportIntervalMillis
 }
 
-// LeastWindow is what a gatekeeper's window keeps at least, of so many warm workers.
+// LeastWindow is what a gateway's window keeps at least, of so many warm workers.
 func (model *ModelParameters) LeastWindow(able float64) float64 {
 	return minWindowFor(model.MinWindowPerWorker * math.Max(able, 1))
 }
--- a/internal/policy/snapshot_test.go
+++ b/internal/policy/snapshot_test.go
@@ -6,8 +6,8 @@
 )
 
 // What is shown to those who look ahead is what decisions go by: a customer's demand by the use of its rate,
-// the set that it comes through, workers by hall and what they can do.
-func TestSight(t *testing.T) {
+// the set that it comes through, workers by region and what they can do.
+func TestSnapshot(t *testing.T) {
 	c := Settings{GatewayCount: 6, MaxRequestUnits: 1, MaxAttempts: 2, AllowGossip: true,
 		PeerMessagesPerSecond: 100,
 		ReportsPerMessage:     31, ColdCapacityFraction: 0.5, WarmUpMillis: 8000, TotalWeight: 1,
@@ -42,11 +42,11 @@
 	g.WriteSnapshot(&s, 0)
 	if len(s.Regions) != 2 || s.Regions[0].Workers != 1 || s.Regions[1].Workers != 2 ||
 		!(s.Regions[1].WarmWorkers > 1.5) || !(s.Regions[1].WarmWorkers < 2) {
-		t.Errorf("halls %+v", s.Regions)
+		t.Errorf("regions %+v", s.Regions)
 	}
 	if p := s.Plans[0]; math.Abs(p.Customers-0.5) > 1e-9 || math.Abs(p.DemandPerSecond-19) > 3 ||
 		p.DemandByUtilization[1] < 0.9*p.DemandPerSecond && p.DemandByUtilization[0] < 0.9*p.DemandPerSecond {
-		t.Errorf("plan %+v", p) // demand here of a fifth of the rate, or twice that at two gatekeepers
+		t.Errorf("plan %+v", p) // demand here of a fifth of the rate, or twice that at two gateways
 	}
 	if p := s.Plans[1]; math.Abs(p.Customers-1.0/6) > 1e-9 ||
 		p.DemandByUtilization[len(
@@ -76,12 +76,12 @@
 	if m.LostAfterMillis+m.LostHoldMillis != peerSuspicionMillis+lostPeerHoldMillis ||
 		m.SilentAfterMillis != silentAfterIntervals*m.ReportIntervalMillis ||
 		!m.ImmediateReports == (c.GatewayCount > maxImmediateSetSize) ||
-		math.Abs(m.LeastWindow(3)-g.leastWindowOf(3)) > 1e-9 {
+		math.Abs(m.LeastWindow(3)-g.minWindowOf(3)) > 1e-9 {
 		t.Errorf("manner %+v", m)
 	}
 }
 
-func (g *Engine) leastWindowOf(able float64) float64 {
+func (g *Engine) minWindowOf(able float64) float64 {
 	g.warmEquivalents = able
 	return g.minWindow()
 }
--- a/internal/policy/types.go
+++ b/internal/policy/types.go
@@ -1,56 +1,59 @@
 package policy
 
-// Endpoint is one worker of the list, by the index the host gave it.
+// Endpoint is one worker of the list.
 type Endpoint struct {
-	Worker          int
+	Worker          int // the index that the host has given it
 	Zone, Cell      int
-	MachineKind     int     // of its machine, by the index the host gave it
-	SizeRating      float64 // what the list says of its size; 0 says nothing
+	MachineKind     int     // the kind of its machine, by the index that the host has given it
+	SizeRating      float64 // what the list says of its size; 0 where it says nothing
 	Active          bool    // neither draining nor gone
-	StartedAtMillis float64 // start of its process; 0 long ago
-	Replaced        bool    // another worker than the one that had this place before, if any
+	StartedAtMillis float64 // start of its process; 0 where that is long ago
+	Replaced        bool    // another worker than the one that had this index before, if any
 }
 
-// Request is a txn as it reaches the gatekeeper.
+// Request is a request as it reaches the gateway.
 type Request struct {
 	ID, Customer          uint64
-	Product, Plan         int
+	Product, Plan         int // by their index in the Settings
 	Units                 float64
-	SetSize, FirstGateway int     // the gatekeepers it can come through: SetSize in a row from First
-	TimeLeftMillis        float64 // ms until its client stops waiting
-	StreamsBody           bool    // its body is passed on as it comes: Left begins with the last byte of it
-	ClearanceMillis       float64 // ms for which it is cleared before it comes; 0 where it has come
+	SetSize, FirstGateway int     // the gateways it can come through: SetSize in a row from FirstGateway on
+	TimeLeftMillis        float64 // until its client stops waiting
+	// its body is forwarded as it arrives: TimeLeftMillis counts from its last byte
+	StreamsBody     bool
+	ClearanceMillis float64 // how long it is cleared ahead of its arrival; 0 where it has arrived
 }
 
-// Outcome is how a submission ended.
+// Outcome is how an attempt ended.
 type Outcome uint8
 
+// The outcomes, with what is known of whether the attempt ran at the worker.
 const (
 	Succeeded      Outcome = iota
 	Failed                 // an error; it may have run
-	Overloaded             // turned away unseen
-	TimedOut               // no answer; it may have run
+	Overloaded             // rejected by the worker before it ran
+	TimedOut               // no response; it may have run
 	ConnectFailed          // no connection; it never ran
 	ConnectionLost         // the connection broke; it may have run
 	Cancelled              // it may have run
 	NotSent                // the host never sent it
 )
 
-// WorkerLoad is what a worker said of its load: txns it holds, txns that wait, part of its cores in use. What
-// it did not say is below nought.
+// WorkerLoad is what a worker reports of its load: its requests in flight, those of them that are queued, and
+// the fraction of its cores in use. A figure that it did not report is negative.
 type WorkerLoad struct{ InFlight, Queued, CPUFraction float64 }
 
 // DecisionKind is what a Decision asks of the host.
 type DecisionKind uint8
 
+// The kinds of decisions. Reject and RejectUncertain are final answers.
 const (
-	Submit          DecisionKind = iota + 1
-	Reject                       // final: not done, harmless to try again, best after Wait
-	RejectUncertain              // final: nothing promised
-	Cancel                       // stop waiting for submission N
-	SendReports                  // send Reports to gatekeeper Peer
-	SetTimer                     // call Clock again at time At
-	GrantClearance               // the txn is cleared: it may come until Wait has passed
+	Submit          DecisionKind = iota + 1 // send attempt Attempt to Worker
+	Reject                                  // not done, harmless to retry, best after WaitMillis
+	RejectUncertain                         // it may have run
+	Cancel                                  // stop waiting for attempt Attempt
+	SendReports                             // send Reports to gateway Peer
+	SetTimer                                // call AdvanceTo again at AtMillis
+	GrantClearance                          // the request is cleared: it may arrive until WaitMillis have passed
 )
 
 // Decision is one thing for the host to do. Reports is valid until the next call.
@@ -59,47 +62,50 @@
 	RequestID  uint64
 	Worker     int
 	Attempt    int
-	WaitMillis float64 // Submit: time-out; Decline: when to return; ms
-	AtMillis   float64 // Wake: then; Submit: the end of Wait, which is its client's
+	WaitMillis float64 // Submit: the time-out; Reject: when to return
+	AtMillis   float64 // SetTimer: when; Submit: the deadline of the client
 	Peer       int
 	Reports    []Report
-	// Submit: its first byte goes out before this time, or it is NotSent; +Inf where any will do
+	// SendBeforeMillis of Submit: the first byte goes out before this time, or it is NotSent; +Inf where any
+	// will do.
 	SendBeforeMillis float64
-	// Submit: when its customer's slice of the ceiling is full again; 0 where there is none
+	// RateLimitFullAtMillis of Submit: when the customer's share of the rate limit is full again; 0 where there
+	// is none.
 	RateLimitFullAtMillis float64
 }
 
-// Report is a customer's demand, units a second, as one gatekeeper sees it.
+// Report is a customer's demand as one gateway sees it.
 type Report struct {
 	Customer                uint64 // the low half of the customer's number
-	Plan                    int    // by its place in the Charter
+	Plan                    int    // by its index in the Settings
 	DemandPerSecond         float64
-	PreviousDemandPerSecond float64 // what is left of the demand last reported
-	SpentUnits              float64 // units sent on since the last report; nought of a sparse slice
+	PreviousDemandPerSecond float64 // what the decay has left of the demand last reported
+	SpentUnits              float64 // since the last report; 0 of a sparse share
 }
 
-// FinalReason tells why a txn got its final answer.
+// FinalReason says why a request got its final answer.
 type FinalReason uint8
 
+// The reasons; their numbers are part of the forecast's messages.
 const (
 	ReasonSucceeded         FinalReason = iota
-	ReasonQuota                         // beyond the customer's share
-	ReasonRateLimit                     // beyond the gatekeeper's slice of the ceiling
-	ReasonOverload                      // the fleet is pressed
+	ReasonQuota                         // beyond the customer's share of its quota
+	ReasonRateLimit                     // beyond this gateway's share of the rate limit
+	ReasonOverload                      // load shedding
 	ReasonNoWorker                      // no worker may be sent to
-	ReasonAttemptsExhausted             // submissions spent or not repeatable
+	ReasonAttemptsExhausted             // no attempts left, or not to be repeated
 	ReasonClientGone                    // the client left
-	ReasonClearanceExpired              // cleared, and never came
-	ReasonCount                         // how many there are
+	ReasonClearanceExpired              // it was cleared, and never arrived
+	ReasonCount                         // how many reasons there are
 )
 
-// Stats is what on-call staff look at: counts since start and the present state.
+// Stats is what on-call staff look at: counts since the start, and the present state.
 type Stats struct {
 	FinalByReason                             [ReasonCount]int
 	Rejected, RejectedUncertain               int
 	HotCustomers, Customers, SuspectedWorkers int
 	Workers                                   int // on the list
 	InFlight, Window                          float64
-	// peers that owe a word and say nothing; of these, those that count no more
+	// SilentPeers owe a report and send nothing; LostPeers have done so for so long that they count no more.
 	SilentPeers, LostPeers int
 }
--- a/internal/policy/workerselection.go
+++ b/internal/policy/workerselection.go
@@ -31,21 +31,22 @@
 	maxCPUFraction = 0.9
 )
 
+// workerRecord is what is known of a worker.
 type workerRecord struct {
 	Endpoint
 	listed                       bool
 	inFlight                     int
-	responseMillis, responseAt   float64 // smoothed time of an answer, ms, and when it was renewed
-	reportedLoad, reportedLoadAt float64 // txns in hand by its last report, by all gatekeepers, and when it came
+	responseMillis, responseAt   float64 // smoothed response time, and when it was updated
+	reportedLoad, reportedLoadAt float64 // its requests in flight by its last report, of all gateways, and when
 	heardAt                      float64
 	suspicion                    decayingScore
-	rejections                   []decayingScore // by sort of txn; nil while it has turned none away
-	overloaded                   bool            // turns all away
-	// while it is not warm: units until the next turn; when they were reckoned
+	rejections                   []decayingScore // by class of request; nil while it has rejected none
+	overloaded                   bool            // it rejects every class
+	// while it is warming up: units until this gateway's next turn, and when they were computed
 	slowStartDebt, slowStartAt float64
-	warm                       bool  // counts as such
-	suspect                    bool  // is in wary
-	references                 int32 // submissions of txns in hand that were sent to it
+	warm                       bool  // it counts as warm
+	suspect                    bool  // it is in Engine.suspects
+	references                 int32 // attempts of open requests that were sent to it
 }
 
 // machineKind is what is known of all workers of a kind of machine.
@@ -68,7 +69,7 @@
 }
 
 // expectedResponseMillis is the time of an answer of a worker: its own as far as it is recent, else that of
-// its kind. Among many gatekeepers each sees a worker once in many seconds, and a kind of machine often.
+// its kind. Among many gateways each sees a worker once in many seconds, and a kind of machine often.
 func (e *Engine) expectedResponseMillis(worker *workerRecord) float64 {
 	usual := e.machineKinds[worker.MachineKind].responseMillis
 	if usual == 0 {
@@ -126,7 +127,8 @@
 		}
 	}
 	// Guards against jams at slow workers while fast ones have room, and covers workers that fail, are silent or
-	// turn such txns away. Many gatekeepers alike could run as a herd, so no more than widest are looked at.
+	// turn such requests away. Many gateways alike could run as a herd, so no more than maxWorkersExamined are
+	// looked at.
 	slowMillis := slowWorkerTargetFraction * math.Min(e.products[request.product].latencyTargetMillis,
 		request.deadline-e.now)
 	if best >= 0 && e.suspicionOf(request, best) < suspectThreshold &&
@@ -142,14 +144,14 @@
 	return best
 }
 
-// subsetSize is how many of the listed workers a gatekeeper draws from. Guards against hundreds of
-// gatekeepers that each see each worker once in many seconds, over a new connection each time.
+// subsetSize is how many of the listed workers a gateway draws from. Guards against hundreds of
+// gateways that each see each worker once in many seconds, over a new connection each time.
 func (e *Engine) subsetSize() int {
 	part := int(math.Ceil(float64(len(e.ready)) * gatewaysPerWorker / float64(e.derived.gatewayCount)))
 	return min(max(part, maxWorkersExamined), len(e.ready))
 }
 
-// eligible tells whether the rules let a txn go to a listed worker.
+// eligible tells whether the rules let a request go to a listed worker.
 func (e *Engine) eligible(request *requestState, workerIndex int) bool {
 	worker := &e.workers[workerIndex]
 	for i := range request.attempts {
@@ -176,7 +178,7 @@
 
 func (e *Engine) workerCost(request *requestState, workerIndex int) float64 {
 	worker := &e.workers[workerIndex]
-	// A report only speaks against a worker, and while it is fresh: gatekeepers that all go for the one that has
+	// A report only speaks against a worker, and while it is fresh: gateways that all go for the one that has
 	// little to do would run as a herd, and a worker that fails fast always has.
 	busier := loadReportWeight * math.Max(worker.reportedLoad/math.Max(e.meanLoad, 1)-1, 0) *
 		math.Exp((worker.reportedLoadAt-e.now)/loadReportDecayMillis)
