--- a/cmd/willowdeck-lab/journal.go
+++ b/cmd/willowdeck-lab/journal.go
@@ -57,24 +57,24 @@
 }
 
 func own(d store.Disk, window float64) writes {
-	t := txnjournal.DefaultTerms()
-	t.Window, t.Wait, t.Slow = window, patient, patient
-	k := store.Keep(d, t, store.Who{Name: "lab"}, false, 1, zerolog.Nop())
+	t := txnjournal.DefaultConfig()
+	t.BatchWindowMillis, t.CommitWaitMillis, t.SlowCommitMillis = window, patient, patient
+	k := store.Start(d, t, store.Writer{Instance: "lab"}, false, 1, zerolog.Nop())
 	txn := func(n uint64) txnjournal.Txn {
-		return txnjournal.Txn{Customer: n % 100, Mark: fmt.Sprintf("%016x", n), Product: "tag-issue"}
+		return txnjournal.Txn{Customer: n % 100, RequestID: fmt.Sprintf("%016x", n), Product: "tag-issue"}
 	}
 	return writes{
 		meant: func(n uint64) bool {
-			return k.Meant(txn(n), txnjournal.Sub{Number: n}, "w1", 0, time.Now().Add(time.Minute))
+			return k.RecordIntent(txn(n), txnjournal.AttemptID{Sequence: n}, "w1", 0, time.Now().Add(time.Minute))
 		},
 		ended: func(n uint64) {
-			k.Ended(
+			k.RecordOutcome(
 				txn(n),
-				txnjournal.Sub{Number: n},
+				txnjournal.AttemptID{Sequence: n},
 				"w1",
-				txnjournal.Settled,
-				txnjournal.Answer{Body: []byte("done"),
-					Whole: true},
+				txnjournal.OutcomeCompleted,
+				txnjournal.Response{Body: []byte("done"),
+					Stored: true},
 			)
 		},
 		close: k.Close,
@@ -266,8 +266,8 @@
 			return err
 		}
 		defer os.RemoveAll(dir)
-		t := txnjournal.DefaultTerms()
-		t.Segments, t.Txns = txnjournal.MostSegments, txnjournal.MostTxns
+		t := txnjournal.DefaultConfig()
+		t.MaxSegments, t.MaxTxns = txnjournal.LargestMaxSegments, txnjournal.LargestMaxTxns
 		if err := fill(store.Dir(dir), t, int(mb)<<20); err != nil {
 			return err
 		}
@@ -275,7 +275,7 @@
 		var l *store.Log
 		for range 3 {
 			from := time.Now()
-			if l, err = store.Open(store.Dir(dir), t, store.Who{}, 1e12, false); err != nil {
+			if l, err = store.Open(store.Dir(dir), t, store.Writer{}, 1e12, false); err != nil {
 				return err
 			}
 			took = append(took, float64(time.Since(from))/float64(time.Millisecond))
@@ -283,8 +283,8 @@
 		}
 		slices.Sort(took)
 		txns := 0
-		l.Ask(func(b *txnjournal.Book) { txns, _ = b.Len() })
-		row := []string{fmt.Sprint(mb), strconv.Itoa(l.Found.Records), strconv.Itoa(txns),
+		l.View(func(b *txnjournal.Index) { txns, _ = b.Len() })
+		row := []string{fmt.Sprint(mb), strconv.Itoa(l.Replayed.Records), strconv.Itoa(txns),
 			fmt.Sprintf("%.1f", took[1])}
 		fmt.Println(row)
 		rows = append(rows, row)
@@ -303,28 +303,28 @@
 }
 
 // fill writes txns until a journal has so many bytes.
-func fill(d store.Disk, t txnjournal.Terms, bytes int) error {
-	l, err := store.Open(d, t, store.Who{Name: "lab"}, 1e12, false)
+func fill(d store.Disk, t txnjournal.Config, bytes int) error {
+	l, err := store.Open(d, t, store.Writer{Instance: "lab"}, 1e12, false)
 	if err != nil {
 		return err
 	}
 	defer l.Close()
-	for n := uint64(0); l.Segments() <= bytes/t.Segment; {
+	for n := uint64(0); l.SegmentCount() <= bytes/t.SegmentBytes; {
 		var all []txnjournal.Record
 		for range 200 {
 			n++
 			r := txnjournal.Record{
-				Kind:   txnjournal.Meant,
-				At:     1e12 + float64(n),
-				Sub:    txnjournal.Sub{Number: n},
-				Worker: "w1",
-				Txn:    txnjournal.Txn{Customer: n % 100, Mark: fmt.Sprintf("%016x", n), Product: "tag-issue"},
+				Kind:       txnjournal.KindIntent,
+				TimeMillis: 1e12 + float64(n),
+				Attempt:    txnjournal.AttemptID{Sequence: n},
+				Worker:     "w1",
+				Txn:        txnjournal.Txn{Customer: n % 100, RequestID: fmt.Sprintf("%016x", n), Product: "tag-issue"},
 			}
 			all = append(all, r)
-			r.Kind, r.End = txnjournal.Ended, txnjournal.Settled
+			r.Kind, r.Outcome = txnjournal.KindOutcome, txnjournal.OutcomeCompleted
 			all = append(all, r)
 		}
-		if l.Segments() == bytes/t.Segment && n*2*160 > uint64(bytes) {
+		if l.SegmentCount() == bytes/t.SegmentBytes && n*2*160 > uint64(bytes) {
 			break
 		}
 		if err := l.Commit(all, 1e12+float64(n)); err != nil {
--- a/cmd/willowdeck/journal.go
+++ b/cmd/willowdeck/journal.go
@@ -62,9 +62,9 @@
 }
 
 // terms are those of a reader: it has room for all that the segments hold.
-func terms() txnjournal.Terms {
-	t := txnjournal.DefaultTerms()
-	t.Txns, t.Answers = math.MaxInt, math.MaxInt
+func terms() txnjournal.Config {
+	t := txnjournal.DefaultConfig()
+	t.MaxTxns, t.MaxStoredResponseBytes = math.MaxInt, math.MaxInt
 	return t
 }
 
@@ -84,8 +84,8 @@
 		return err
 	}
 	for _, dir := range all {
-		var last txnjournal.Seen
-		note := func(_ uint64, s txnjournal.Seen) {
+		var last txnjournal.SegmentReport
+		note := func(_ uint64, s txnjournal.SegmentReport) {
 			if !s.Blank {
 				last = s
 			}
@@ -95,10 +95,10 @@
 			return err
 		}
 		txns, _ := b.Len()
-		fmt.Printf("%s: gatekeeper %q, %d lives, policy %s\n", dir, last.Head.Name, lives, last.Head.Policy)
+		fmt.Printf("%s: gatekeeper %q, %d lives, policy %s\n", dir, last.Header.Instance, lives, last.Header.Policy)
 		fmt.Printf("  segments %d, records %d, txns %d, last record %s\n", len(numbers), found.Records, txns,
-			clock(last.Last))
-		fmt.Printf("  all txns since %s\n", clock(b.Horizon()))
+			clock(last.LastMillis))
+		fmt.Printf("  all txns since %s\n", clock(b.HorizonMillis()))
 		damage(b, found)
 		var list []string
 		count := [3]int{}
@@ -110,8 +110,8 @@
 		})
 		fmt.Printf(
 			"  %s %d, %s %d, %s %d\n",
-			txnjournal.SentSettled,
-			count[txnjournal.SentSettled],
+			txnjournal.SentCompleted,
+			count[txnjournal.SentCompleted],
 			txnjournal.SentUnknown,
 			count[txnjournal.SentUnknown],
 			txnjournal.NotSent,
@@ -125,18 +125,27 @@
 }
 
 func line(e txnjournal.Entry, v txnjournal.Verdict) string {
-	return fmt.Sprintf("%s %s %s customer %016x worker %s life %d submissions %d: %s", clock(e.Meant), e.Mark,
-		e.Product, e.Customer, e.Worker, e.Life, e.Subs, v)
+	return fmt.Sprintf(
+		"%s %s %s customer %016x worker %s life %d submissions %d: %s",
+		clock(e.FirstIntentMillis),
+		e.RequestID,
+		e.Product,
+		e.Customer,
+		e.Worker,
+		e.Incarnation,
+		e.Attempts,
+		v,
+	)
 }
 
 // damage tells what can't be relied on.
-func damage(b *txnjournal.Book, f store.Found) {
-	if f.Cut > 0 {
+func damage(b *txnjournal.Index, f store.ReplayStats) {
+	if f.UnreadableBytes > 0 {
 		fmt.Printf("  %d bytes cut: segments with a torn end %d, damaged before it %d, of another version %d\n",
-			f.Cut, f.Torn, f.Damaged, f.Unreadable)
+			f.UnreadableBytes, f.Torn, f.Corrupt, f.Unsupported)
 	}
-	for _, s := range b.Doubts() {
-		fmt.Printf("  in doubt %s to %s: %s\n", clock(s.From), clock(s.To), s.Why)
+	for _, s := range b.UncertainPeriods() {
+		fmt.Printf("  in doubt %s to %s: %s\n", clock(s.FromMillis), clock(s.ToMillis), s.Reason)
 	}
 }
 
@@ -153,7 +162,7 @@
 		}
 		fmt.Printf("%s: %d segments, %d records, %d bytes\n", dir, found.Segments, found.Records, found.Bytes)
 		damage(b, found)
-		if b.Spans > 0 {
+		if b.UncertainPeriodCount > 0 {
 			bad++
 		}
 	}
@@ -188,7 +197,7 @@
 		if err != nil {
 			return err
 		}
-		v, why, found := b.Answers(mark, from, to, now())
+		v, why, found := b.Resolve(mark, from, to, now())
 		verdict = max(verdict, v)
 		fmt.Printf("%s: %s (%s)\n", dir, v, why)
 		for _, e := range found {
@@ -243,12 +252,21 @@
 	var failed error
 	_, _, _, _, err := store.ReadAll(store.Dir(dir), terms(), now(), nil,
 		func(number uint64, offset int, r txnjournal.Record) {
-			x := exported{Dir: dir, Segment: number, Offset: offset, Kind: r.Kind.String(), At: r.At, Life: r.Life,
-				Group: r.Group, To: r.To, Below: r.Below}
-			if r.Kind <= txnjournal.Kept {
-				x.ID, x.Customer, x.Product = r.Txn.Mark, fmt.Sprintf("%016x", r.Txn.Customer), r.Txn.Product
-				x.Number, x.N, x.Worker, x.Expiry = r.Sub.Number, r.Sub.N, r.Worker, r.Expiry
-				x.End, x.Answer = r.End.String(), len(r.Answer.Body)
+			x := exported{
+				Dir:     dir,
+				Segment: number,
+				Offset:  offset,
+				Kind:    r.Kind.String(),
+				At:      r.TimeMillis,
+				Life:    r.Incarnation,
+				Group:   r.Batch,
+				To:      r.UntilMillis,
+				Below:   r.FirstLiveSegment,
+			}
+			if r.Kind <= txnjournal.KindSnapshot {
+				x.ID, x.Customer, x.Product = r.Txn.RequestID, fmt.Sprintf("%016x", r.Txn.Customer), r.Txn.Product
+				x.Number, x.N, x.Worker, x.Expiry = r.Attempt.Sequence, r.Attempt.Ordinal, r.Worker, r.ExpiryMillis
+				x.End, x.Answer = r.Outcome.String(), len(r.Response.Body)
 			}
 			if err := enc.Encode(x); err != nil && failed == nil {
 				failed = err
--- a/cmd/willowdeck/journal_test.go
+++ b/cmd/willowdeck/journal_test.go
@@ -33,17 +33,30 @@
 // The page for on-call staff, as written: a journal is read while it is written, and damage is told.
 func TestJournalCommands(t *testing.T) {
 	dir := t.TempDir()
-	terms := txnjournal.DefaultTerms()
-	terms.Wait, terms.Slow = 10000, 10000 // a loaded machine
-	k := store.Keep(store.Dir(filepath.Join(dir, "g1")), terms, store.Who{Name: "g1"}, false, 1, zerolog.Nop())
+	terms := txnjournal.DefaultConfig()
+	terms.CommitWaitMillis, terms.SlowCommitMillis = 10000, 10000 // a loaded machine
+	k := store.Start(
+		store.Dir(filepath.Join(dir, "g1")),
+		terms,
+		store.Writer{Instance: "g1"},
+		false,
+		1,
+		zerolog.Nop(),
+	)
 	defer k.Close()
 	for i, mark := range []string{"done", "open"} {
-		txn, sub := txnjournal.Txn{Customer: 5, Mark: mark, Product: "issue"}, txnjournal.Sub{Number: uint64(i)}
-		if !k.Meant(txn, sub, "w1", 0, time.Now().Add(time.Minute)) {
+		txn, sub := txnjournal.Txn{
+			Customer:  5,
+			RequestID: mark,
+			Product:   "issue",
+		}, txnjournal.AttemptID{
+			Sequence: uint64(i),
+		}
+		if !k.RecordIntent(txn, sub, "w1", 0, time.Now().Add(time.Minute)) {
 			t.Fatal("it can't be written")
 		}
 		if mark == "done" {
-			k.Ended(txn, sub, "w1", txnjournal.Settled, txnjournal.Answer{})
+			k.RecordOutcome(txn, sub, "w1", txnjournal.OutcomeCompleted, txnjournal.Response{})
 		}
 	}
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -66,7 +79,7 @@
 			t.Errorf("%s: %v, %q, want %q", c.args, err, out, c.says)
 		}
 	}
-	path := filepath.Join(dir, "g1", txnjournal.Name(1))
+	path := filepath.Join(dir, "g1", txnjournal.SegmentName(1))
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/forwardauth/authcache/asker.go
+++ b/internal/forwardauth/authcache/asker.go
@@ -98,12 +98,12 @@
 
 // MayAsk tells whether the service may be asked now, and if not, how long it is left alone for. One that
 // has been left alone is asked once, and by nobody else until that has been Heard or was Lost.
-func (s *Service) MayAsk(now float64) (bool, float64) { return s.breaker.Admits(now) }
+func (s *Service) MayAsk(now float64) (bool, float64) { return s.breaker.Allow(now) }
 
 // Heard takes an answer. It is good from when it was asked for, not from when it came: the service may have
 // looked the credential up at any time between. Not every answer is to be kept.
 func (s *Service) Heard(d Digest, a Answer, asked, now float64, keep bool) {
-	s.breaker.Ended(true, now)
+	s.breaker.Record(true, now)
 	span := s.no
 	if a.Yes {
 		span = s.yes
@@ -114,10 +114,10 @@
 }
 
 // Lost notes that the service gave no answer that can be read, or none in its time.
-func (s *Service) Lost(now float64) { s.breaker.Ended(false, now) }
+func (s *Service) Lost(now float64) { s.breaker.Record(false, now) }
 
 // Unasked notes that after all it was not asked.
-func (s *Service) Unasked() { s.breaker.Unasked() }
+func (s *Service) Unasked() { s.breaker.CancelAttempt() }
 
 // Shut tells whether the service is left alone now.
-func (s *Service) Shut(now float64) bool { return s.breaker.Shut(now) }
+func (s *Service) Shut(now float64) bool { return s.breaker.IsOpen(now) }
--- a/internal/gateway/config/journal.go
+++ b/internal/gateway/config/journal.go
@@ -14,7 +14,7 @@
 // Journal is what the journal of once-only txns is told.
 type Journal struct {
 	Dir   string // folders of all instances on this host
-	Terms txnjournal.Terms
+	Terms txnjournal.Config
 }
 
 // Of gives an instance's own folder.
@@ -60,11 +60,21 @@
 
 // DecodeJournal decodes and checks the operator file's text.
 func DecodeJournal(text string) (*Journal, error) {
-	t := txnjournal.DefaultTerms()
-	f := journalFile{Policy: t.Policy.String(), WindowMS: t.Window, WaitMS: t.Wait, SlowMS: t.Slow,
-		LeaseMS: t.Lease, SegmentKB: t.Segment >> 10, Segments: t.Segments, Txns: t.Txns, AnswerBytes: t.Answer,
-		AnswersKB: t.Answers >> 10, RememberS: t.Remember / 1000}
-	f.Breaker.After, f.Breaker.PauseMS, f.Breaker.MostMS = t.After, t.Pause, t.MostPause
+	t := txnjournal.DefaultConfig()
+	f := journalFile{
+		Policy:      t.Policy.String(),
+		WindowMS:    t.BatchWindowMillis,
+		WaitMS:      t.CommitWaitMillis,
+		SlowMS:      t.SlowCommitMillis,
+		LeaseMS:     t.CoverageLeaseMillis,
+		SegmentKB:   t.SegmentBytes >> 10,
+		Segments:    t.MaxSegments,
+		Txns:        t.MaxTxns,
+		AnswerBytes: t.MaxResponseBytes,
+		AnswersKB:   t.MaxStoredResponseBytes >> 10,
+		RememberS:   t.ResponseRetentionMillis / 1000,
+	}
+	f.Breaker.After, f.Breaker.PauseMS, f.Breaker.MostMS = t.BreakerThreshold, t.BreakerBackoffMillis, t.BreakerMaxBackoffMillis
 	if err := strictoml.Decode(text, &f); err != nil {
 		return nil, err
 	}
@@ -72,38 +82,43 @@
 		return nil, errors.New("dir: it is not set")
 	}
 	switch f.Policy {
-	case txnjournal.Refuse.String():
-	case txnjournal.Serve.String():
-		t.Policy = txnjournal.Serve
+	case txnjournal.RefuseUnwritten.String():
+	case txnjournal.ServeUnwritten.String():
+		t.Policy = txnjournal.ServeUnwritten
 	default:
 		return nil, fmt.Errorf("policy: %q is neither refuse nor serve", f.Policy)
 	}
 	err := within(
-		bound{"window_ms", f.WindowMS, 0, txnjournal.LongestWindow},
+		bound{"window_ms", f.WindowMS, 0, txnjournal.MaxBatchWindowMillis},
 		bound{
 			"wait_ms",
 			f.WaitMS,
 			1,
-			txnjournal.LongestWait,
+			txnjournal.MaxCommitWaitMillis,
+		},
+		bound{"slow_ms", f.SlowMS, 1, txnjournal.MaxCommitWaitMillis},
+		bound{"lease_ms", f.LeaseMS, 100, txnjournal.MaxCoverageLeaseMillis},
+		bound{
+			"segment_kb",
+			float64(f.SegmentKB),
+			txnjournal.MinSegmentBytes >> 10,
+			txnjournal.MaxSegmentBytes >> 10,
 		},
-		bound{"slow_ms", f.SlowMS, 1, txnjournal.LongestWait},
-		bound{"lease_ms", f.LeaseMS, 100, txnjournal.LongestLease},
-		bound{"segment_kb", float64(f.SegmentKB), txnjournal.LeastSegment >> 10, txnjournal.MostSegment >> 10},
-		bound{"segments", float64(f.Segments), txnjournal.LeastSegments, txnjournal.MostSegments},
-		bound{"txns", float64(f.Txns), 1, txnjournal.MostTxns},
+		bound{"segments", float64(f.Segments), txnjournal.MinMaxSegments, txnjournal.LargestMaxSegments},
+		bound{"txns", float64(f.Txns), 1, txnjournal.LargestMaxTxns},
 		bound{"answer_bytes", float64(f.AnswerBytes), 0, float64(f.SegmentKB << 10 / 8)},
-		bound{"answers_kb", float64(f.AnswersKB), 0, txnjournal.MostAnswers >> 10},
-		bound{"remember_s", f.RememberS, 0, txnjournal.LongestMemory / 1000},
+		bound{"answers_kb", float64(f.AnswersKB), 0, txnjournal.LargestMaxStoredResponseBytes >> 10},
+		bound{"remember_s", f.RememberS, 0, txnjournal.MaxResponseRetentionMillis / 1000},
 		bound{"breaker.after", float64(f.Breaker.After), 1, 1000},
-		bound{"breaker.pause_ms", f.Breaker.PauseMS, 1, txnjournal.LongestPause},
-		bound{"breaker.most_ms", f.Breaker.MostMS, f.Breaker.PauseMS, txnjournal.LongestPause},
+		bound{"breaker.pause_ms", f.Breaker.PauseMS, 1, txnjournal.MaxBreakerBackoffMillis},
+		bound{"breaker.most_ms", f.Breaker.MostMS, f.Breaker.PauseMS, txnjournal.MaxBreakerBackoffMillis},
 	)
 	if err != nil {
 		return nil, err
 	}
-	t.Window, t.Wait, t.Slow, t.Lease = f.WindowMS, f.WaitMS, f.SlowMS, f.LeaseMS
-	t.Segment, t.Segments, t.Txns = f.SegmentKB<<10, f.Segments, f.Txns
-	t.Answer, t.Answers, t.Remember = f.AnswerBytes, f.AnswersKB<<10, f.RememberS*1000
-	t.After, t.Pause, t.MostPause = f.Breaker.After, f.Breaker.PauseMS, f.Breaker.MostMS
+	t.BatchWindowMillis, t.CommitWaitMillis, t.SlowCommitMillis, t.CoverageLeaseMillis = f.WindowMS, f.WaitMS, f.SlowMS, f.LeaseMS
+	t.SegmentBytes, t.MaxSegments, t.MaxTxns = f.SegmentKB<<10, f.Segments, f.Txns
+	t.MaxResponseBytes, t.MaxStoredResponseBytes, t.ResponseRetentionMillis = f.AnswerBytes, f.AnswersKB<<10, f.RememberS*1000
+	t.BreakerThreshold, t.BreakerBackoffMillis, t.BreakerMaxBackoffMillis = f.Breaker.After, f.Breaker.PauseMS, f.Breaker.MostMS
 	return &Journal{Dir: f.Dir, Terms: t}, nil
 }
--- a/internal/gateway/lifecycle/journal_test.go
+++ b/internal/gateway/lifecycle/journal_test.go
@@ -25,14 +25,14 @@
 
 // journaled has a gatekeeper keep a journal in a folder.
 func journaled(dir string) func(*config.Gatekeeper) {
-	return journaledIn(dir, 4<<10, txnjournal.DefaultSegments)
+	return journaledIn(dir, 4<<10, txnjournal.DefaultMaxSegments)
 }
 
 func journaledIn(dir string, size, segments int) func(*config.Gatekeeper) {
 	return func(c *config.Gatekeeper) {
-		t := txnjournal.DefaultTerms()
-		t.Segment, t.Segments = size, segments // so that they change often
-		t.Wait, t.Slow = 250, 1000             // a loaded machine
+		t := txnjournal.DefaultConfig()
+		t.SegmentBytes, t.MaxSegments = size, segments     // so that they change often
+		t.CommitWaitMillis, t.SlowCommitMillis = 250, 1000 // a loaded machine
 		c.Journal = &config.Journal{Dir: dir, Terms: t}
 	}
 }
@@ -49,11 +49,11 @@
 func answers(t *testing.T, dir, mark string) txnjournal.Verdict {
 	t.Helper()
 	now := float64(time.Now().UnixMilli())
-	b, _, _, _, err := store.ReadAll(store.Dir(dir), txnjournal.DefaultTerms(), now, nil, nil)
+	b, _, _, _, err := store.ReadAll(store.Dir(dir), txnjournal.DefaultConfig(), now, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, _, _ := b.Answers(mark, now+5000, now+5000, now) // not so near to when the journal began
+	v, _, _ := b.Resolve(mark, now+5000, now+5000, now) // not so near to when the journal began
 	return v
 }
 
@@ -87,7 +87,7 @@
 		}
 	}
 	d.gk.Stop()
-	for mark, want := range map[string]txnjournal.Verdict{"done": txnjournal.SentSettled,
+	for mark, want := range map[string]txnjournal.Verdict{"done": txnjournal.SentCompleted,
 		"lost": txnjournal.SentUnknown,
 		"none": txnjournal.NotSent} {
 		if v := answers(t, filepath.Join(dir, "n0"), mark); v != want {
@@ -133,24 +133,24 @@
 // A disk that fails or hangs in service: once-only txns are declined, or go out unwritten, as the policy
 // says, soon and within their time; inquiries know nothing of it.
 func TestDiskFailsInService(t *testing.T) {
-	for _, policy := range []txnjournal.Policy{txnjournal.Refuse, txnjournal.Serve} {
+	for _, policy := range []txnjournal.UnwrittenPolicy{txnjournal.RefuseUnwritten, txnjournal.ServeUnwritten} {
 		t.Run(policy.String(), func(t *testing.T) {
-			m, usual := store.NewMemory(1), diskOf
+			m, usual := store.NewMemoryDisk(1), diskOf
 			diskOf = func(string) store.Disk { return m }
 			defer func() { diskOf = usual }()
 			d := deployWith(t, func(c *config.Gatekeeper) {
 				journaled("")(c)
 				t := &c.Journal.Terms
-				t.Policy, t.Wait, t.Lease, t.Pause, t.MostPause = policy, 150, 200, 20, 40
+				t.Policy, t.CommitWaitMillis, t.CoverageLeaseMillis, t.BreakerBackoffMillis, t.BreakerMaxBackoffMillis = policy, 150, 200, 20, 40
 			}, 2, 5000)
 			if status, _ := d.ask(issue("/issue", "before")); status != "HTTP/1.1 200 OK" {
 				t.Fatalf("before: %q", status)
 			}
 			hung := make(chan bool)
-			m.Hang(hung)
+			m.BlockSyncs(hung)
 			defer close(hung)
 			want, sent := "HTTP/1.1 429 Too Many Requests", len(d.got())
-			if policy == txnjournal.Serve {
+			if policy == txnjournal.ServeUnwritten {
 				want = "HTTP/1.1 200 OK"
 			}
 			tries := 0
@@ -159,7 +159,7 @@
 				status, _ := d.ask(issue("/issue", fmt.Sprint("x", tries)))
 				return status == want
 			})
-			if n := len(d.got()) - sent; policy == txnjournal.Refuse && n > 0 {
+			if n := len(d.got()) - sent; policy == txnjournal.RefuseUnwritten && n > 0 {
 				t.Errorf("%d were sent", n)
 			}
 			from := time.Now()
@@ -354,28 +354,41 @@
 	}
 	end := float64(time.Now().UnixMilli())
 	kept := store.Dir(filepath.Join(dir, "n0"))
-	b, found, _, lives, err := store.ReadAll(kept, txnjournal.DefaultTerms(), end, nil, nil)
+	b, found, _, lives, err := store.ReadAll(kept, txnjournal.DefaultConfig(), end, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	count, falsely, early, needless := [3]int{}, 0, 0, 0
 	for mark, at := range asked {
-		v, why, _ := b.Answers(mark, at, end, end)
+		v, why, _ := b.Resolve(mark, at, end, end)
 		count[v]++
 		switch {
 		case v == txnjournal.NotSent && ran[mark] > 0:
 			falsely++
 			t.Errorf("%s ran, and the journal says it was not sent: %s", mark, why)
-		case v == txnjournal.SentSettled && ran[mark] == 0:
+		case v == txnjournal.SentCompleted && ran[mark] == 0:
 			early++
 		case v == txnjournal.SentUnknown && ran[mark] == 0:
 			needless++
 		}
 	}
-	t.Logf("%d lives, %d records in %d segments, %d bytes cut; of %d txns %d ran, %d twice; settled %d, "+
-		"unknown %d (%d of them never ran), not sent %d; falsely not sent %d, falsely settled %d", lives,
-		found.Records, found.Segments, found.Cut, len(asked), len(ran), twice, count[txnjournal.SentSettled],
-		count[txnjournal.SentUnknown], needless, count[txnjournal.NotSent], falsely, early)
+	t.Logf(
+		"%d lives, %d records in %d segments, %d bytes cut; of %d txns %d ran, %d twice; settled %d, "+
+			"unknown %d (%d of them never ran), not sent %d; falsely not sent %d, falsely settled %d",
+		lives,
+		found.Records,
+		found.Segments,
+		found.UnreadableBytes,
+		len(asked),
+		len(ran),
+		twice,
+		count[txnjournal.SentCompleted],
+		count[txnjournal.SentUnknown],
+		needless,
+		count[txnjournal.NotSent],
+		falsely,
+		early,
+	)
 	if twice > 0 || early > 0 || len(ran) < *kills || int(lives) < *kills/2 {
 		t.Errorf("%d ran twice, %d are settled that never ran, %d ran in %d lives", twice, early, len(ran), lives)
 	}
--- a/internal/gateway/lifecycle/replace.go
+++ b/internal/gateway/lifecycle/replace.go
@@ -98,7 +98,7 @@
 	}
 	g.desk.PredecessorEnded()
 	if k := g.journal.Load(); whole && k != nil {
-		k.Settle()
+		k.PredecessorEnded()
 	}
 	if !whole { // as after any sudden end
 		g.remember(true)
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -77,7 +77,7 @@
 	agreedOn atomic.Pointer[[]policy.Plan]   // as rules that were adopted last have them; nil before any
 
 	gate    *proxy.Proxy
-	journal atomic.Pointer[store.Keeper] // nil where no txn is written down
+	journal atomic.Pointer[store.Journal] // nil where no txn is written down
 }
 
 // Start brings a gatekeeper up: when it returns, clients are served.
@@ -299,11 +299,11 @@
 	if j == nil {
 		return
 	}
-	who := store.Who{Name: g.conf.Name}
+	who := store.Writer{Instance: g.conf.Name}
 	if mark, up, err := crashstate.Boot(); err == nil {
-		who.Boot, who.Offset = crc32.ChecksumIEEE(mark), float64(time.Now().UnixMilli())-up
+		who.BootID, who.ClockOffsetMillis = crc32.ChecksumIEEE(mark), float64(time.Now().UnixMilli())-up
 	}
-	k := store.Keep(diskOf(j.Of(g.conf.Name)), j.Terms, who, beside, g.conf.Seed, g.log)
+	k := store.Start(diskOf(j.Of(g.conf.Name)), j.Terms, who, beside, g.conf.Seed, g.log)
 	g.journal.Store(k)
 	g.gate.EnableJournal(k, j.Terms, g.conf.Charter.Products, g.conf.Names.ProductNames())
 }
--- a/internal/gateway/proxy/attempt_deadline_test.go
+++ b/internal/gateway/proxy/attempt_deadline_test.go
@@ -73,7 +73,7 @@
 }
 
 // newDeadlineRig starts a rig with workers at some addresses, and a journal on disk unless that is nil.
-func newDeadlineRig(t *testing.T, overlap bool, disk *store.Memory, at ...netip.AddrPort) *deadlineRig {
+func newDeadlineRig(t *testing.T, overlap bool, disk *store.MemoryDisk, at ...netip.AddrPort) *deadlineRig {
 	t.Helper()
 	charter := testCharter()
 	charter.Plans[0] = policy.Plan{Rate: 1000, Burst: 1000, Factor: 1}
@@ -97,9 +97,9 @@
 	names := config.Names{Products: map[string]int{"check": 0, "store": 1, "issue": 2},
 		Plans: map[string]int{"basic": 0}}
 	if disk != nil {
-		terms := txnjournal.DefaultTerms()
-		terms.Wait = 1000
-		keeper := store.Keep(disk, terms, store.Who{Name: "g"}, false, 1, zerolog.Nop())
+		terms := txnjournal.DefaultConfig()
+		terms.CommitWaitMillis = 1000
+		keeper := store.Start(disk, terms, store.Writer{Instance: "g"}, false, 1, zerolog.Nop())
 		t.Cleanup(keeper.Close)
 		proxy.EnableJournal(keeper, terms, charter.Products, []string{"check", "store", "issue"})
 	}
@@ -268,9 +268,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			address, fill, accept := singleSlotListener(t)
-			var disk *store.Memory
+			var disk *store.MemoryDisk
 			if c.name == "non-idempotent, journaled" {
-				disk = store.NewMemory(1)
+				disk = store.NewMemoryDisk(1)
 			}
 			rig := newDeadlineRig(t, false, disk, address)
 			fill()
@@ -362,11 +362,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			address, _, accept := singleSlotListener(t)
-			var disk *store.Memory
+			var disk *store.MemoryDisk
 			var slow atomic.Bool
 			if c.journaled {
-				disk = store.NewMemory(1)
-				disk.Slow = func() {
+				disk = store.NewMemoryDisk(1)
+				disk.OnSync = func() {
 					if slow.Load() {
 						time.Sleep(wait)
 					}
--- a/internal/gateway/proxy/journal.go
+++ b/internal/gateway/proxy/journal.go
@@ -17,7 +17,7 @@
 
 // requestJournal keeps a durable record of non-idempotent requests, written before an attempt is sent.
 type requestJournal struct {
-	*store.Keeper
+	*store.Journal
 	productNames   []string
 	nonIdempotent  []bool        // by product
 	maxAnswerBytes int           // of an answer that is kept
@@ -26,9 +26,9 @@
 
 // EnableJournal has non-idempotent requests journaled from here on. It is to be called before the first
 // request, if at all. Names are the products', by index.
-func (p *Proxy) EnableJournal(k *store.Keeper, t txnjournal.Terms, products []policy.Product,
+func (p *Proxy) EnableJournal(k *store.Journal, t txnjournal.Config, products []policy.Product,
 	names []string) {
-	j := &requestJournal{Keeper: k, productNames: names, maxAnswerBytes: t.Answer}
+	j := &requestJournal{Journal: k, productNames: names, maxAnswerBytes: t.MaxResponseBytes}
 	for _, product := range products {
 		j.nonIdempotent = append(j.nonIdempotent, product.Repeat == policy.OnceOnly)
 	}
@@ -45,14 +45,14 @@
 	_, _ = sum.Write(t.Target)
 	_, _ = sum.Write([]byte{0})
 	_, _ = sum.Write(t.Body)
-	return &txnjournal.Txn{Customer: t.Customer, Mark: string(t.Mark),
+	return &txnjournal.Txn{Customer: t.Customer, RequestID: string(t.Mark),
 		Product: p.journal.productNames[t.Product], Digest: sum.Sum32()}
 }
 
 // journalAttempt is an attempt as the journal names it.
 type journalAttempt struct {
 	txnjournal.Txn
-	number txnjournal.Sub
+	number txnjournal.AttemptID
 }
 
 // newJournalAttempt names attempt n of a request, apart from all others of this process: an attempt that was
@@ -61,7 +61,7 @@
 	if entry == nil {
 		return nil
 	}
-	return &journalAttempt{*entry, txnjournal.Sub{Number: p.journal.lastAttempt.Add(1), N: n}}
+	return &journalAttempt{*entry, txnjournal.AttemptID{Sequence: p.journal.lastAttempt.Add(1), Ordinal: n}}
 }
 
 // answerFromJournal answers a request that was sent before, which is not sent again: with its own answer
@@ -73,18 +73,25 @@
 		return final, false
 	}
 	askedMillis := p.dispatcher.clock.now()
-	found, state, ok := p.journal.Known(entry.Customer, entry.Mark, transport.Millis(t.Left*journalReadShare))
+	found, state, ok := p.journal.Lookup(
+		entry.Customer,
+		entry.RequestID,
+		transport.Millis(t.Left*journalReadShare),
+	)
 	if !t.Streams {
 		t.Left = max(t.Left-(p.dispatcher.clock.now()-askedMillis), 0)
 	}
-	a := found.Answer
+	a := found.Response
 	switch {
 	case ok && state == txnjournal.NotSent:
 		return final, false
-	case ok && state == txnjournal.SentSettled && a.Whole && found.Digest == entry.Digest &&
+	case ok && state == txnjournal.SentCompleted && a.Stored && found.Digest == entry.Digest &&
 		found.Product == entry.Product:
-		return transport.Final{Kind: policy.Submit, Answer: &transport.Answer{Outcome: policy.Settled, Type: a.Type,
-			Coding: a.Coding, Body: a.Body, Length: len(a.Body)}}, true
+		return transport.Final{
+			Kind: policy.Submit,
+			Answer: &transport.Answer{Outcome: policy.Settled, Type: a.ContentType,
+				Coding: a.ContentEncoding, Body: a.Body, Length: len(a.Body)},
+		}, true
 	}
 	return transport.Final{Kind: policy.Void}, true
 }
@@ -100,7 +107,7 @@
 	if !deadline.IsZero() {
 		expiryMillis = float64(deadline.UnixMicro()) / 1000
 	}
-	return p.journal.Meant(v.entry.Txn, v.entry.number, v.command.Upstream.Name(), expiryMillis, deadline)
+	return p.journal.RecordIntent(v.entry.Txn, v.entry.number, v.command.Upstream.Name(), expiryMillis, deadline)
 }
 
 // journalEnd journals how an attempt ended. It does not wait for the disk.
@@ -108,14 +115,19 @@
 	if v.entry == nil {
 		return
 	}
-	end, kept := txnjournal.MayRun, txnjournal.Answer{}
+	end, kept := txnjournal.OutcomeUnknown, txnjournal.Response{}
 	switch a.Outcome {
 	case policy.Settled:
-		if end = txnjournal.Settled; a.Rest == nil && len(a.Body) <= p.journal.maxAnswerBytes {
-			kept = txnjournal.Answer{Type: a.Type, Coding: a.Coding, Body: append([]byte(nil), a.Body...), Whole: true}
+		if end = txnjournal.OutcomeCompleted; a.Rest == nil && len(a.Body) <= p.journal.maxAnswerBytes {
+			kept = txnjournal.Response{
+				ContentType:     a.Type,
+				ContentEncoding: a.Coding,
+				Body:            append([]byte(nil), a.Body...),
+				Stored:          true,
+			}
 		}
 	case policy.NotSent, policy.NoRoute, policy.Full:
-		end = txnjournal.Never
+		end = txnjournal.OutcomeNotExecuted
 	}
-	p.journal.Ended(v.entry.Txn, v.entry.number, v.command.Upstream.Name(), end, kept)
+	p.journal.RecordOutcome(v.entry.Txn, v.entry.number, v.command.Upstream.Name(), end, kept)
 }
--- a/internal/txnjournal/store/bench_test.go
+++ b/internal/txnjournal/store/bench_test.go
@@ -9,24 +9,24 @@
 
 // Reading 4 MB of txns, as at a start.
 func BenchmarkRead(b *testing.B) {
-	m, t := NewMemory(1), txnjournal.DefaultTerms()
-	l, err := Open(m, t, Who{}, 1e12, false)
+	m, t := NewMemoryDisk(1), txnjournal.DefaultConfig()
+	l, err := Open(m, t, Writer{}, 1e12, false)
 	if err != nil {
 		b.Fatal(err)
 	}
-	for n := uint64(0); l.Segments() < 2; {
+	for n := uint64(0); l.SegmentCount() < 2; {
 		var all []txnjournal.Record
 		for range 200 {
 			n++
 			r := txnjournal.Record{
-				Kind:   txnjournal.Meant,
-				At:     1e12 + float64(n),
-				Sub:    txnjournal.Sub{Number: n},
-				Worker: "w1",
-				Txn:    txnjournal.Txn{Customer: n % 100, Mark: fmt.Sprintf("%016x", n), Product: "tag-issue"},
+				Kind:       txnjournal.KindIntent,
+				TimeMillis: 1e12 + float64(n),
+				Attempt:    txnjournal.AttemptID{Sequence: n},
+				Worker:     "w1",
+				Txn:        txnjournal.Txn{Customer: n % 100, RequestID: fmt.Sprintf("%016x", n), Product: "tag-issue"},
 			}
 			all = append(all, r)
-			r.Kind, r.End = txnjournal.Ended, txnjournal.Settled
+			r.Kind, r.Outcome = txnjournal.KindOutcome, txnjournal.OutcomeCompleted
 			all = append(all, r)
 		}
 		if err := l.Commit(all, 1e12); err != nil {
--- a/internal/txnjournal/store/disk.go
+++ b/internal/txnjournal/store/disk.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	lockName = "lock"
-	dying    = 100 * time.Millisecond // in which one that was killed lets its files go
+	lockFileName    = "lock"
+	lockRetryPeriod = 100 * time.Millisecond // in which one that was killed lets its files go
 )
 
 // ErrTaken tells that another process has the journal.
-var ErrTaken = errors.New("journal: another process has it")
+var ErrLocked = errors.New("journal: another process has it")
 
 // Disk is where a journal's files are. Errors are as the system gives them.
 type Disk interface {
@@ -49,12 +49,12 @@
 
 // Names gives the files there are.
 func (d Dir) Names() ([]string, error) {
-	all, err := os.ReadDir(string(d))
+	entries, err := os.ReadDir(string(d))
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	names := make([]string, 0, len(all))
-	for _, e := range all {
+	names := make([]string, 0, len(entries))
+	for _, e := range entries {
 		if !e.IsDir() {
 			names = append(names, e.Name())
 		}
@@ -62,10 +62,10 @@
 	return names, nil
 }
 
-type file struct{ *os.File }
+type segmentFile struct{ *os.File }
 
 // Sync writes out what was written; the size does not change.
-func (f file) Sync() error { return syscall.Fdatasync(int(f.Fd())) }
+func (f segmentFile) Sync() error { return syscall.Fdatasync(int(f.Fd())) }
 
 // Create makes a file with its room, so that a full disk is met here and not by a txn.
 func (d Dir) Create(name string, size int) (File, error) {
@@ -85,7 +85,7 @@
 		_ = os.Remove(f.Name())
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	return file{f}, nil
+	return segmentFile{f}, nil
 }
 
 // Load reads a file.
@@ -109,7 +109,7 @@
 	if err := os.MkdirAll(string(d), 0o700); err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	path := filepath.Join(string(d), lockName)
+	path := filepath.Join(string(d), lockFileName)
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if errors.Is(err, syscall.EROFS) {
 		f, err = os.Open(path)
@@ -117,13 +117,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	for end := time.Now().Add(dying); ; time.Sleep(dying / 20) {
+	for end := time.Now().Add(lockRetryPeriod); ; time.Sleep(lockRetryPeriod / 20) {
 		if err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err == nil {
 			return f, nil
 		}
 		if time.Now().After(end) {
 			_ = f.Close()
-			return nil, fmt.Errorf("%w: %w", ErrTaken, err)
+			return nil, fmt.Errorf("%w: %w", ErrLocked, err)
 		}
 	}
 }
--- a/internal/txnjournal/store/golden_test.go
+++ b/internal/txnjournal/store/golden_test.go
@@ -18,25 +18,44 @@
 
 const goldenAt = 1.7e12 // Unix ms
 
-func goldenRecord(kind txnjournal.Kind, mark string, end txnjournal.End) txnjournal.Record {
-	return txnjournal.Record{Kind: kind, At: goldenAt + 1.5,
-		Txn: txnjournal.Txn{Customer: 0x3132333435363738, Mark: mark, Product: "sale", Digest: 0x41424344},
-		Sub: txnjournal.Sub{Number: 0x5152535455565758, N: 3}, Worker: "w3", Expiry: goldenAt + 2.5, End: end,
-		Answer: txnjournal.Answer{Type: "text/plain", Coding: "gzip", Body: []byte("body"), Whole: true}}
+func goldenRecord(kind txnjournal.Kind, mark string, end txnjournal.Outcome) txnjournal.Record {
+	return txnjournal.Record{
+		Kind:       kind,
+		TimeMillis: goldenAt + 1.5,
+		Txn: txnjournal.Txn{
+			Customer:  0x3132333435363738,
+			RequestID: mark,
+			Product:   "sale",
+			Digest:    0x41424344,
+		},
+		Attempt: txnjournal.AttemptID{
+			Sequence: 0x5152535455565758,
+			Ordinal:  3,
+		},
+		Worker:       "w3",
+		ExpiryMillis: goldenAt + 2.5,
+		Outcome:      end,
+		Response: txnjournal.Response{
+			ContentType:     "text/plain",
+			ContentEncoding: "gzip",
+			Body:            []byte("body"),
+			Stored:          true,
+		},
+	}
 }
 
 // goldenWrite has two lives write a journal in a directory.
-func goldenWrite(t *testing.T, dir string) {
+func writeGolden(t *testing.T, dir string) {
 	t.Helper()
-	who := Who{Name: "gateway-7", Boot: 0x15161718, Offset: 1234.5}
-	terms := txnjournal.DefaultTerms()
-	terms.Policy, terms.Segment = txnjournal.Serve, txnjournal.LeastSegment
+	who := Writer{Instance: "gateway-7", BootID: 0x15161718, ClockOffsetMillis: 1234.5}
+	terms := txnjournal.DefaultConfig()
+	terms.Policy, terms.SegmentBytes = txnjournal.ServeUnwritten, txnjournal.MinSegmentBytes
 	for _, groups := range [][][]txnjournal.Record{
-		{{goldenRecord(txnjournal.Meant, "one", txnjournal.Open)}, {goldenRecord(txnjournal.Meant, "two",
-			txnjournal.Open),
-			goldenRecord(txnjournal.Ended, "one", txnjournal.Settled)}},
-		{{goldenRecord(txnjournal.Meant, "three", txnjournal.Open)},
-			{goldenRecord(txnjournal.Ended, "three", txnjournal.Never), {Kind: txnjournal.Gone, At: goldenAt + 3.5}}},
+		{{goldenRecord(txnjournal.KindIntent, "one", txnjournal.OutcomePending)}, {goldenRecord(txnjournal.KindIntent, "two",
+			txnjournal.OutcomePending),
+			goldenRecord(txnjournal.KindOutcome, "one", txnjournal.OutcomeCompleted)}},
+		{{goldenRecord(txnjournal.KindIntent, "three", txnjournal.OutcomePending)},
+			{goldenRecord(txnjournal.KindOutcome, "three", txnjournal.OutcomeNotExecuted), {Kind: txnjournal.KindRetired, TimeMillis: goldenAt + 3.5}}},
 	} {
 		log, err := Open(Dir(dir), terms, who, goldenAt, false)
 		if err != nil {
@@ -54,7 +73,7 @@
 // The same records make the same files, by name, size and content.
 func TestGoldenDirectoryWritten(t *testing.T) {
 	dir := t.TempDir()
-	goldenWrite(t, dir)
+	writeGolden(t, dir)
 	names, err := Dir(dir).Names()
 	if err != nil {
 		t.Fatal(err)
@@ -68,7 +87,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(b) != txnjournal.LeastSegment {
+		if len(b) != txnjournal.MinSegmentBytes {
 			t.Errorf("%s has %d bytes", name, len(b))
 		}
 		old := goldentest.Hex(t, name+".hex")
@@ -83,30 +102,31 @@
 func TestGoldenDirectoryRead(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range goldenSegments {
-		b := append(goldentest.Hex(t, name+".hex"), make([]byte, txnjournal.LeastSegment)...)
-		if err := os.WriteFile(filepath.Join(dir, name), b[:txnjournal.LeastSegment], 0o600); err != nil {
+		b := append(goldentest.Hex(t, name+".hex"), make([]byte, txnjournal.MinSegmentBytes)...)
+		if err := os.WriteFile(filepath.Join(dir, name), b[:txnjournal.MinSegmentBytes], 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	log, err := Open(Dir(dir), txnjournal.DefaultTerms(), Who{Name: "gateway-7"}, goldenAt+9000, false)
+	log, err := Open(Dir(dir), txnjournal.DefaultConfig(), Writer{Instance: "gateway-7"}, goldenAt+9000, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer log.Close()
-	if f := log.Found; f.Segments != 2 || f.Records != 6 || f.Unreadable+f.Torn+f.Damaged != 0 ||
-		log.Life() != 3 {
-		t.Errorf("found %+v, life %d", f, log.Life())
+	if f := log.Replayed; f.Segments != 2 || f.Records != 6 || f.Unsupported+f.Torn+f.Corrupt != 0 ||
+		log.Incarnation() != 3 {
+		t.Errorf("found %+v, life %d", f, log.Incarnation())
 	}
-	log.Ask(func(book *txnjournal.Book) {
-		for mark, want := range map[string]txnjournal.Verdict{"one": txnjournal.SentSettled,
+	log.View(func(book *txnjournal.Index) {
+		for mark, want := range map[string]txnjournal.Verdict{"one": txnjournal.SentCompleted,
 			"two":   txnjournal.SentUnknown,
 			"three": txnjournal.NotSent} {
-			txn, verdict := book.Known(0x3132333435363738, mark)
+			txn, verdict := book.Lookup(0x3132333435363738, mark)
 			if verdict != want {
 				t.Errorf("%s is %v, want %v", mark, verdict, want)
 			}
-			if a := txn.Answer; mark == "one" && (a.Type != "text/plain" || a.Coding != "gzip" || !a.Whole ||
-				string(a.Body) != "body" || txn.Txn.Digest != 0x41424344) {
+			if a := txn.Response; mark == "one" &&
+				(a.ContentType != "text/plain" || a.ContentEncoding != "gzip" || !a.Stored ||
+					string(a.Body) != "body" || txn.Txn.Digest != 0x41424344) {
 				t.Errorf("the answer of %s is %+v", mark, txn)
 			}
 		}
--- a/internal/txnjournal/store/keeper.go
+++ b/internal/txnjournal/store/keeper.go
@@ -13,100 +13,122 @@
 )
 
 const (
-	mostWaiting = 1 << 20                // bytes of records, about, that wait; ends are dropped beyond
-	aRecord     = 160                    // bytes of one, about, without its answer
-	leaving     = 500 * time.Millisecond // that a hand-over or a stop waits for the disk
-	stepBy      = 1000.0                 // ms by which the system's clock leaves the machine's own if it was set
+	maxQueuedBytes      = 1 << 20                // bytes of records, about, that wait; ends are dropped beyond
+	recordOverheadBytes = 160                    // bytes of one, about, without its answer
+	shutdownTimeout     = 500 * time.Millisecond // that a hand-over or a stop waits for the disk
+	clockStepMillis     = 1000.0                 // ms by which the system's clock leaves the machine's own if it was set
 )
 
 // Keeper keeps a journal while a gatekeeper runs: txns wait in Meant for their group, and for nothing else.
 // Its methods may be called from any goroutine.
-type Keeper struct {
-	terms txnjournal.Terms
-	log   zerolog.Logger
-	epoch time.Time
-	kick  chan struct{}
-	stop  chan struct{}
-	over  chan struct{} // closed once the writer has ended
-	once  sync.Once
-	ready chan struct{} // closed once the journal was read, or could not be
-
-	mu       sync.Mutex
-	j        *Log // nil until it is open
-	breaker  *circuitbreaker.Breaker
-	waiting  []queued
-	bytes    int
-	since    time.Time // when the commit under way began; zero without one
-	cover    float64   // ms after epoch up to which it may have been promised to send nothing unwritten
-	retired  bool
-	promised bool // under Serve: the journal knows of this life, and up to when it has everything
-	settled  bool // the process before has ended
-	set      float64
-	seen     counts
+type Journal struct {
+	config    txnjournal.Config
+	logger    zerolog.Logger
+	started   time.Time
+	wake      chan struct{}
+	stop      chan struct{}
+	done      chan struct{} // closed once the writer has ended
+	closeOnce sync.Once
+	opened    chan struct{} // closed once the journal was read, or could not be
+
+	mu                 sync.Mutex
+	log                *Log // nil until it is open
+	breaker            *circuitbreaker.Breaker
+	queue              []queuedRecord
+	queuedBytes        int
+	commitStarted      time.Time // when the commit under way began; zero without one
+	coveredUntilMillis float64   // ms after epoch up to which it may have been promised to send nothing unwritten
+	retired            bool
+	coverageDurable    bool // under Serve: the journal knows of this life, and up to when it has everything
+	predecessorEnded   bool // the process before has ended
+	clockOffsetMillis  float64
+	counters           counters
 }
 
 // queued is a record that waits for the disk, and who waits for it.
-type queued struct {
+type queuedRecord struct {
 	txnjournal.Record
 	durable chan bool // takes one word; nil where nobody waits
-	size    int
+	bytes   int
 }
 
 // counts are what operators see.
-type counts struct {
+type counters struct {
 	commits, records, failures int64
-	refused                    int64 // submissions that were not sent, as they could not be written down
+	rejected                   int64 // submissions that were not sent, as they could not be written down
 	late                       int64 // of these, those whose group came too late
-	doubtful                   int64 // submissions that were sent unwritten
-	lost                       int64 // ends that were not written down
+	uncertain                  int64 // submissions that were sent unwritten
+	droppedOutcomes            int64 // ends that were not written down
 }
 
 // Keep begins to keep a journal: it is read beside the caller. Same as Open, beside tells of a process that
 // goes on telling ends until Settle.
-func Keep(d Disk, t txnjournal.Terms, who Who, beside bool, seed int64, log zerolog.Logger) *Keeper {
-	k := &Keeper{terms: t, log: log, epoch: time.Now(), kick: make(chan struct{}, 1), stop: make(chan struct{}),
-		over: make(chan struct{}), ready: make(chan struct{}), settled: !beside,
-		breaker: circuitbreaker.New(t.After, t.Pause, t.MostPause, rand.New(rand.NewSource(seed)))}
-	go k.run(d, who, beside)
-	return k
+func Start(
+	disk Disk,
+	config txnjournal.Config,
+	writer Writer,
+	overlap bool,
+	seed int64,
+	logger zerolog.Logger,
+) *Journal {
+	j := &Journal{
+		config:           config,
+		logger:           logger,
+		started:          time.Now(),
+		wake:             make(chan struct{}, 1),
+		stop:             make(chan struct{}),
+		done:             make(chan struct{}),
+		opened:           make(chan struct{}),
+		predecessorEnded: !overlap,
+		breaker: circuitbreaker.New(
+			config.BreakerThreshold,
+			config.BreakerBackoffMillis,
+			config.BreakerMaxBackoffMillis,
+			rand.New(rand.NewSource(seed)),
+		),
+	}
+	go j.run(disk, writer, overlap)
+	return j
 }
 
 // wall is the time by the system's clock, Unix ms.
-func wall() float64 { return float64(time.Now().UnixMicro()) / 1000 }
+func wallMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
 // age is ms since the epoch, however the system's clock is set.
-func (k *Keeper) age() float64 { return float64(time.Since(k.epoch)) / float64(time.Millisecond) }
+func (j *Journal) ageMillis() float64 {
+	return float64(time.Since(j.started)) / float64(time.Millisecond)
+}
 
 // Known gives what is known of a customer's txn, once the journal has been read. It is false where that takes
 // longer than so long, or the journal can't be had: nothing is known then, and Meant lets nothing out.
-func (k *Keeper) Known(customer uint64, mark string, within time.Duration) (e txnjournal.Entry,
+func (j *Journal) Lookup(customer uint64, requestID string, timeout time.Duration) (e txnjournal.Entry,
 	v txnjournal.Verdict, ok bool) {
-	if !k.await(within) {
+	if !j.awaitOpen(timeout) {
 		return e, v, false
 	}
-	k.mu.Lock()
-	j := k.j
-	k.mu.Unlock()
-	if j == nil {
+	j.mu.Lock()
+	log := j.log
+	j.mu.Unlock()
+	if log == nil {
 		return e, v, false
 	}
-	j.Ask(func(b *txnjournal.Book) { e, v = b.Known(customer, mark) })
+	log.View(func(b *txnjournal.Index) { e, v = b.Lookup(customer, requestID) })
 	return e, v, true
 }
 
 // await waits until the journal has been read.
-func (k *Keeper) await(within time.Duration) bool {
+func (j *Journal) awaitOpen(timeout time.Duration) bool {
 	select {
-	case <-k.ready:
+	case <-j.opened:
 		return true
 	default:
 	}
-	t := time.NewTimer(within)
-	defer t.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case <-k.ready:
+	case <-j.opened:
 		return true
-	case <-t.C:
+	case <-timer.C:
 		return false
 	}
 }
@@ -114,429 +136,483 @@
 // Meant writes down that a submission is about to be sent, and tells whether it may be. It returns once that
 // is durable, or at the latest at until or when the terms' wait has passed. However it goes, Ended is to be
 // told.
-func (k *Keeper) Meant(
-	t txnjournal.Txn,
-	s txnjournal.Sub,
+func (j *Journal) RecordIntent(
+	txn txnjournal.Txn,
+	attempt txnjournal.AttemptID,
 	worker string,
-	expiry float64,
-	until time.Time,
+	expiryMillis float64,
+	deadline time.Time,
 ) bool {
-	wait := min(time.Duration(k.terms.Wait*float64(time.Millisecond)), time.Until(until))
+	wait := min(time.Duration(j.config.CommitWaitMillis*float64(time.Millisecond)), time.Until(deadline))
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	if !k.await(wait) {
-		return k.refuse()
-	}
-	if math.IsInf(expiry, 0) {
-		expiry = 0
-	}
-	r := txnjournal.Record{Kind: txnjournal.Meant, At: wall(), Txn: t, Sub: s, Worker: worker, Expiry: expiry}
-	k.mu.Lock()
-	if k.j != nil && k.went(t) {
-		k.mu.Unlock()
-		return k.refuse()
-	}
-	if !k.well() {
-		serves := k.unwritten()
-		if serves {
-			k.seen.doubtful++
-			r.Life = k.j.Life()
-			k.j.Take(r)
+	if !j.awaitOpen(wait) {
+		return j.reject()
+	}
+	if math.IsInf(expiryMillis, 0) {
+		expiryMillis = 0
+	}
+	record := txnjournal.Record{
+		Kind:         txnjournal.KindIntent,
+		TimeMillis:   wallMillis(),
+		Txn:          txn,
+		Attempt:      attempt,
+		Worker:       worker,
+		ExpiryMillis: expiryMillis,
+	}
+	j.mu.Lock()
+	if j.log != nil && j.maybeSent(txn) {
+		j.mu.Unlock()
+		return j.reject()
+	}
+	if !j.available() {
+		sendUnwritten := j.maySendUnwritten()
+		if sendUnwritten {
+			j.counters.uncertain++
+			record.Incarnation = j.log.Incarnation()
+			j.log.Apply(record)
 		}
-		k.mu.Unlock()
-		return serves || k.refuse()
+		j.mu.Unlock()
+		return sendUnwritten || j.reject()
 	}
 	durable := make(chan bool, 1)
-	k.push(r, durable)
-	k.mu.Unlock()
+	j.enqueue(record, durable)
+	j.mu.Unlock()
 	select {
 	case ok := <-durable:
-		return ok || k.refuse()
+		return ok || j.reject()
 	case <-timer.C:
-		k.mu.Lock()
-		k.seen.late++
-		k.mu.Unlock()
-		return k.refuse()
+		j.mu.Lock()
+		j.counters.late++
+		j.mu.Unlock()
+		return j.reject()
 	}
 }
 
 // went tells, under the lock, whether a txn may have gone out before.
-func (k *Keeper) went(t txnjournal.Txn) (went bool) {
-	k.j.Ask(func(b *txnjournal.Book) {
-		_, v := b.Known(t.Customer, t.Mark)
-		went = v != txnjournal.NotSent
+func (j *Journal) maybeSent(txn txnjournal.Txn) (sent bool) {
+	j.log.View(func(b *txnjournal.Index) {
+		_, v := b.Lookup(txn.Customer, txn.RequestID)
+		sent = v != txnjournal.NotSent
 	})
-	return went
+	return sent
 }
 
-func (k *Keeper) refuse() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.seen.refused++
+func (j *Journal) reject() bool {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	j.counters.rejected++
 	return false
 }
 
 // well tells, under the lock, whether the disk may be waited for.
-func (k *Keeper) well() bool {
-	stuck := !k.since.IsZero() && float64(time.Since(k.since)) > k.terms.Slow*float64(time.Millisecond)
-	return k.j != nil && !k.retired && !k.breaker.Tripped() && !stuck
+func (j *Journal) available() bool {
+	stalled := !j.commitStarted.IsZero() &&
+		float64(time.Since(j.commitStarted)) > j.config.SlowCommitMillis*float64(time.Millisecond)
+	return j.log != nil && !j.retired && !j.breaker.Tripped() && !stalled
 }
 
 // unwritten tells, under the lock, whether a txn may be sent that can't be written down: only by the policy,
 // by the one process whose journal it is, and not before the last promise to the contrary has run out. Nor
 // before the first: a life of which the journal knows nothing sends nothing that it does not know.
-func (k *Keeper) unwritten() bool {
-	return k.terms.Policy == txnjournal.Serve && k.promised && !k.retired && k.age() > k.cover
+func (j *Journal) maySendUnwritten() bool {
+	return j.config.Policy == txnjournal.ServeUnwritten && j.coverageDurable && !j.retired &&
+		j.ageMillis() > j.coveredUntilMillis
 }
 
 // Ended writes down how a submission ended. It never waits.
-func (k *Keeper) Ended(
-	t txnjournal.Txn,
-	s txnjournal.Sub,
+func (j *Journal) RecordOutcome(
+	txn txnjournal.Txn,
+	attempt txnjournal.AttemptID,
 	worker string,
-	end txnjournal.End,
-	a txnjournal.Answer,
+	outcome txnjournal.Outcome,
+	response txnjournal.Response,
 ) {
-	if len(a.Body) > k.terms.Answer {
-		a = txnjournal.Answer{}
+	if len(response.Body) > j.config.MaxResponseBytes {
+		response = txnjournal.Response{}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.j == nil {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	if j.log == nil {
 		return
 	}
-	written := false
-	k.j.Ask(func(b *txnjournal.Book) { written = b.Open(t, k.j.Life(), s) })
-	if !written && end == txnjournal.Never {
+	intended := false
+	j.log.View(func(b *txnjournal.Index) { intended = b.IsPending(txn, j.log.Incarnation(), attempt) })
+	if !intended && outcome == txnjournal.OutcomeNotExecuted {
 		return // it was refused
 	}
-	k.push(
-		txnjournal.Record{Kind: txnjournal.Ended, At: wall(), Txn: t, Sub: s, Worker: worker, End: end, Answer: a},
+	j.enqueue(
+		txnjournal.Record{
+			Kind:       txnjournal.KindOutcome,
+			TimeMillis: wallMillis(),
+			Txn:        txn,
+			Attempt:    attempt,
+			Worker:     worker,
+			Outcome:    outcome,
+			Response:   response,
+		},
 		nil,
 	)
 }
 
 // push queues a record, under the lock. What waits stays bounded: an end that is not written down leaves its
 // txn unknown.
-func (k *Keeper) push(r txnjournal.Record, durable chan bool) {
-	r.Life = k.j.Life()
-	k.j.Take(r)
-	q := queued{r, durable, aRecord + len(r.Answer.Body)}
-	if k.bytes+q.size > k.most() && durable == nil {
-		k.seen.lost++
+func (j *Journal) enqueue(record txnjournal.Record, durable chan bool) {
+	record.Incarnation = j.log.Incarnation()
+	j.log.Apply(record)
+	queued := queuedRecord{record, durable, recordOverheadBytes + len(record.Response.Body)}
+	if j.queuedBytes+queued.bytes > j.queueLimitBytes() && durable == nil {
+		j.counters.droppedOutcomes++
 		return
 	}
-	k.bytes += q.size
-	k.waiting = append(k.waiting, q)
+	j.queuedBytes += queued.bytes
+	j.queue = append(j.queue, queued)
 	select {
-	case k.kick <- struct{}{}:
+	case j.wake <- struct{}{}:
 	default:
 	}
 }
 
 // most is how many bytes may wait: they have to fit a segment together with what a checkpoint takes.
-func (k *Keeper) most() int { return min(mostWaiting, k.terms.Segment/4) }
+func (j *Journal) queueLimitBytes() int { return min(maxQueuedBytes, j.config.SegmentBytes/4) }
 
 // run opens the journal and writes what comes, until Close.
-func (k *Keeper) run(d Disk, who Who, beside bool) {
-	defer close(k.over)
-	k.open(d, who, beside)
-	close(k.ready)
-	for wait := k.terms.Pause; k.j == nil; wait = math.Min(2*wait, k.terms.MostPause) {
-		if !k.pause(wait) { // one that drains may have it still
+func (j *Journal) run(disk Disk, writer Writer, overlap bool) {
+	defer close(j.done)
+	j.open(disk, writer, overlap)
+	close(j.opened)
+	for backoffMillis := j.config.BreakerBackoffMillis; j.log == nil; backoffMillis = math.Min(2*backoffMillis, j.config.BreakerMaxBackoffMillis) {
+		if !j.sleep(backoffMillis) { // one that drains may have it still
 			return
 		}
-		k.open(d, who, beside)
+		j.open(disk, writer, overlap)
 	}
-	if k.terms.Policy == txnjournal.Serve {
-		k.commit()
+	if j.config.Policy == txnjournal.ServeUnwritten {
+		j.commit()
 	}
-	for k.rest() {
-		k.commit()
+	for j.awaitWork() {
+		j.commit()
 	}
-	k.commit()
-	k.j.Close()
+	j.commit()
+	j.log.Close()
 }
 
-func (k *Keeper) pause(ms float64) bool {
-	t := time.NewTimer(time.Duration(ms * float64(time.Millisecond)))
-	defer t.Stop()
+func (j *Journal) sleep(millis float64) bool {
+	timer := time.NewTimer(time.Duration(millis * float64(time.Millisecond)))
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
-	case <-k.stop:
+	case <-j.stop:
 		return false
 	}
 }
 
-func (k *Keeper) open(d Disk, who Who, beside bool) {
-	from := time.Now()
-	j, err := Open(d, k.terms, who, wall(), beside)
+func (j *Journal) open(disk Disk, writer Writer, overlap bool) {
+	start := time.Now()
+	log, err := Open(disk, j.config, writer, wallMillis(), overlap)
 	if err != nil {
-		k.log.Error().Err(err).Msg("no journal: no once-only txn goes out")
+		j.logger.Error().Err(err).Msg("no journal: no once-only txn goes out")
 		return
 	}
-	k.mu.Lock()
-	k.j = j
-	k.set = wall() - k.age()
-	settled := k.settled
-	k.mu.Unlock()
-	if settled {
-		j.Settle()
-	}
-	f := j.Found
-	k.log.Info().Uint32("life", j.Life()).Int("segments", f.Segments).Int("records", f.Records).
-		Int64("cut_bytes", f.Cut).Int("torn", f.Torn).Int("damaged", f.Damaged).Int("unreadable", f.Unreadable).
-		Dur("took", time.Since(from)).Msg("journal read")
+	j.mu.Lock()
+	j.log = log
+	j.clockOffsetMillis = wallMillis() - j.ageMillis()
+	predecessorEnded := j.predecessorEnded
+	j.mu.Unlock()
+	if predecessorEnded {
+		log.AbsorbPredecessor()
+	}
+	stats := log.Replayed
+	j.logger.Info().Uint32(
+		"life",
+		log.Incarnation(),
+	).Int(
+		"segments",
+		stats.Segments,
+	).Int(
+		"records",
+		stats.Records,
+	).
+		Int64(
+			"cut_bytes",
+			stats.UnreadableBytes,
+		).Int(
+		"torn",
+		stats.Torn,
+	).Int(
+		"damaged",
+		stats.Corrupt,
+	).Int(
+		"unreadable",
+		stats.Unsupported,
+	).
+		Dur(
+			"took",
+			time.Since(start),
+		).Msg(
+		"journal read",
+	)
 }
 
 // rest waits until there is something to commit, and tells whether to go on. While the disk is left alone it
 // waits for the end of that.
-func (k *Keeper) rest() bool {
+func (j *Journal) awaitWork() bool {
 	for {
-		k.mu.Lock()
-		down, admits, left := k.breaker.Tripped(), true, 0.0
-		if down {
-			admits, left = k.breaker.Admits(k.age())
+		j.mu.Lock()
+		tripped, allowed, waitMillis := j.breaker.Tripped(), true, 0.0
+		if tripped {
+			allowed, waitMillis = j.breaker.Allow(j.ageMillis())
 		}
-		some := len(k.waiting) > 0
-		k.mu.Unlock()
+		queued := len(j.queue) > 0
+		j.mu.Unlock()
 		switch {
-		case !admits:
-			if !k.pause(math.Max(left, 1)) {
+		case !allowed:
+			if !j.sleep(math.Max(waitMillis, 1)) {
 				return false
 			}
 			continue
-		case down || some:
+		case tripped || queued:
 			return true
 		}
 		idle := time.Hour
-		if k.terms.Policy == txnjournal.Serve {
-			idle = time.Duration(k.terms.Lease / 3 * float64(time.Millisecond))
+		if j.config.Policy == txnjournal.ServeUnwritten {
+			idle = time.Duration(j.config.CoverageLeaseMillis / 3 * float64(time.Millisecond))
 		}
-		t := time.NewTimer(idle)
+		timer := time.NewTimer(idle)
 		select {
-		case <-k.stop:
-			t.Stop()
+		case <-j.stop:
+			timer.Stop()
 			return false
-		case <-t.C:
+		case <-timer.C:
 			return true
-		case <-k.kick:
-			t.Stop()
+		case <-j.wake:
+			timer.Stop()
 		}
 	}
 }
 
 // commit writes what waits, as one group: what is there and what comes within the window at once, so that it
 // outlives the process, and then all of it for good.
-func (k *Keeper) commit() {
-	k.mu.Lock()
-	now := wall()
-	group, all := k.gather(k.marks(now))
-	if len(all) == 0 && k.breaker.Tripped() {
-		all = append(
-			all,
-			txnjournal.Record{Kind: txnjournal.Covers, At: now, To: now},
+func (j *Journal) commit() {
+	j.mu.Lock()
+	nowMillis := wallMillis()
+	batch, records := j.dequeue(j.controlRecords(nowMillis))
+	if len(records) == 0 && j.breaker.Tripped() {
+		records = append(
+			records,
+			txnjournal.Record{Kind: txnjournal.KindCoverage, TimeMillis: nowMillis, UntilMillis: nowMillis},
 		) // to see whether it goes again
 	}
-	gathers := !k.breaker.Tripped()
-	j := k.j
-	k.mu.Unlock()
-	if len(all) == 0 {
+	batching := !j.breaker.Tripped()
+	log := j.log
+	j.mu.Unlock()
+	if len(records) == 0 {
 		return
 	}
-	n := len(all)
-	var spent time.Duration
-	write := func(f func() error) error {
-		from := time.Now()
-		err := k.timed(f)
-		spent += time.Since(from)
+	count := len(records)
+	var duration time.Duration
+	write := func(operation func() error) error {
+		start := time.Now()
+		err := j.timedIO(operation)
+		duration += time.Since(start)
 		return err
 	}
-	err := write(func() error { return j.Stage(all, now) })
-	for end := time.Now().Add(k.window()); err == nil && gathers && k.comes(time.Until(end)); {
-		var more []queued
-		k.mu.Lock()
-		more, all = k.gather(all[:0])
-		k.mu.Unlock()
-		group, n = append(group, more...), n+len(all)
-		err = write(func() error { return j.Stage(all, now) })
+	err := write(func() error { return log.Stage(records, nowMillis) })
+	for end := time.Now().Add(j.batchWindow()); err == nil && batching && j.awaitRecord(time.Until(end)); {
+		var more []queuedRecord
+		j.mu.Lock()
+		more, records = j.dequeue(records[:0])
+		j.mu.Unlock()
+		batch, count = append(batch, more...), count+len(records)
+		err = write(func() error { return log.Stage(records, nowMillis) })
 	}
 	if err == nil {
-		err = write(func() error { return j.Commit(nil, now) })
+		err = write(func() error { return log.Commit(nil, nowMillis) })
 	}
 
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	took := float64(spent) / float64(time.Millisecond)
-	was := k.breaker.Tripped()
-	k.breaker.Ended(err == nil && took <= k.terms.Slow, k.age())
-	if is := k.breaker.Tripped(); is != was {
-		k.log.Warn().Err(err).Float64("took_ms", took).Bool("down", is).Msg("journal")
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	tookMillis := float64(duration) / float64(time.Millisecond)
+	wasTripped := j.breaker.Tripped()
+	j.breaker.Record(err == nil && tookMillis <= j.config.SlowCommitMillis, j.ageMillis())
+	if tripped := j.breaker.Tripped(); tripped != wasTripped {
+		j.logger.Warn().Err(err).Float64("took_ms", tookMillis).Bool("down", tripped).Msg("journal")
 	}
-	k.seen.commits++
+	j.counters.commits++
 	if err == nil {
-		k.seen.records += int64(n)
-		k.promised = true
+		j.counters.records += int64(count)
+		j.coverageDurable = true
 	} else {
-		k.seen.failures++
+		j.counters.failures++
 	}
-	var again []queued
-	for _, q := range group {
+	var unwritten []queuedRecord
+	for _, queued := range batch {
 		switch {
-		case q.durable != nil:
-			q.durable <- err == nil
+		case queued.durable != nil:
+			queued.durable <- err == nil
 		case err != nil:
-			again = append(again, q)
+			unwritten = append(unwritten, queued)
 		}
 	}
 	if err != nil {
-		k.again(again)
+		j.requeue(unwritten)
 	}
-	j.Ask(func(b *txnjournal.Book) { b.Trim(now) })
+	log.View(func(b *txnjournal.Index) { b.TrimResponses(nowMillis) })
 }
 
-func (k *Keeper) window() time.Duration {
-	return time.Duration(k.terms.Window * float64(time.Millisecond))
+func (j *Journal) batchWindow() time.Duration {
+	return time.Duration(j.config.BatchWindowMillis * float64(time.Millisecond))
 }
 
 // comes waits for more of a group, and tells whether it has come; not longer than so long, nor once it ends.
-func (k *Keeper) comes(within time.Duration) bool {
-	if within <= 0 {
+func (j *Journal) awaitRecord(timeout time.Duration) bool {
+	if timeout <= 0 {
 		return false
 	}
-	t := time.NewTimer(within)
-	defer t.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case <-k.kick:
+	case <-j.wake:
 		return true
-	case <-t.C:
-	case <-k.stop:
+	case <-timer.C:
+	case <-j.stop:
 	}
 	return false
 }
 
 // gather takes what waits, under the lock, and gives its records behind others.
-func (k *Keeper) gather(all []txnjournal.Record) ([]queued, []txnjournal.Record) {
-	group := k.waiting
-	k.waiting, k.bytes = nil, 0
-	for _, q := range group {
-		all = append(all, q.Record)
+func (j *Journal) dequeue(records []txnjournal.Record) ([]queuedRecord, []txnjournal.Record) {
+	batch := j.queue
+	j.queue, j.queuedBytes = nil, 0
+	for _, queued := range batch {
+		records = append(records, queued.Record)
 	}
-	return group, all
+	return batch, records
 }
 
 // timed calls the disk, and has it seen for how long it takes.
-func (k *Keeper) timed(f func() error) error {
-	k.mu.Lock()
-	k.since = time.Now()
-	k.mu.Unlock()
-	err := f()
-	k.mu.Lock()
-	k.since = time.Time{}
-	k.mu.Unlock()
+func (j *Journal) timedIO(operation func() error) error {
+	j.mu.Lock()
+	j.commitStarted = time.Now()
+	j.mu.Unlock()
+	err := operation()
+	j.mu.Lock()
+	j.commitStarted = time.Time{}
+	j.mu.Unlock()
 	return err
 }
 
 // again puts the ends of a group that failed before what came meanwhile: they are still to be written down.
-func (k *Keeper) again(ends []queued) {
-	since := k.waiting
-	k.waiting, k.bytes = nil, 0
-	for _, q := range append(ends, since...) {
-		if k.bytes+q.size > k.most() && q.durable == nil {
-			k.seen.lost++
+func (j *Journal) requeue(outcomes []queuedRecord) {
+	newer := j.queue
+	j.queue, j.queuedBytes = nil, 0
+	for _, queued := range append(outcomes, newer...) {
+		if j.queuedBytes+queued.bytes > j.queueLimitBytes() && queued.durable == nil {
+			j.counters.droppedOutcomes++
 			continue
 		}
-		k.bytes += q.size
-		k.waiting = append(k.waiting, q)
+		j.queuedBytes += queued.bytes
+		j.queue = append(j.queue, queued)
 	}
 }
 
 // marks gives what a group has to say besides its txns: that the clock was set, and under Serve how long
 // nothing is sent unwritten.
-func (k *Keeper) marks(now float64) (all []txnjournal.Record) {
-	if set := now - k.age(); math.Abs(set-k.set) > stepBy {
-		k.set = set
-		all = append(all, txnjournal.Record{Kind: txnjournal.Stepped, At: now, To: now})
-	}
-	if age := k.age(); k.terms.Policy == txnjournal.Serve && !k.retired && !k.breaker.Tripped() &&
-		k.cover < age+k.terms.Lease/2 { // a disk that is left alone is promised nothing
-		k.cover = age + k.terms.Lease
-		all = append(all, txnjournal.Record{Kind: txnjournal.Covers, At: now, To: now + k.terms.Lease})
-	}
-	return all
+func (j *Journal) controlRecords(nowMillis float64) (records []txnjournal.Record) {
+	if offsetMillis := nowMillis - j.ageMillis(); math.Abs(offsetMillis-j.clockOffsetMillis) > clockStepMillis {
+		j.clockOffsetMillis = offsetMillis
+		records = append(
+			records,
+			txnjournal.Record{Kind: txnjournal.KindClockStep, TimeMillis: nowMillis, UntilMillis: nowMillis},
+		)
+	}
+	if ageMillis := j.ageMillis(); j.config.Policy == txnjournal.ServeUnwritten && !j.retired &&
+		!j.breaker.Tripped() &&
+		j.coveredUntilMillis < ageMillis+j.config.CoverageLeaseMillis/2 { // a disk that is left alone is promised nothing
+		j.coveredUntilMillis = ageMillis + j.config.CoverageLeaseMillis
+		records = append(
+			records,
+			txnjournal.Record{
+				Kind:        txnjournal.KindCoverage,
+				TimeMillis:  nowMillis,
+				UntilMillis: nowMillis + j.config.CoverageLeaseMillis,
+			},
+		)
+	}
+	return records
 }
 
 // Settle tells that the process before this one has ended.
-func (k *Keeper) Settle() {
-	k.mu.Lock()
-	k.settled = true
-	j := k.j
-	k.mu.Unlock()
-	if j != nil {
-		j.Settle()
+func (j *Journal) PredecessorEnded() {
+	j.mu.Lock()
+	j.predecessorEnded = true
+	log := j.log
+	j.mu.Unlock()
+	if log != nil {
+		log.AbsorbPredecessor()
 	}
 }
 
 // Retire lets another process take over: from here on nothing is meant, and the lock is free once it returns.
-func (k *Keeper) Retire() { k.leave(true) }
+func (j *Journal) Retire() { j.retire(true) }
 
 // Close ends the keeping, and waits a little for what is to be written.
-func (k *Keeper) Close() {
-	k.leave(false)
-	k.once.Do(func() { close(k.stop) })
+func (j *Journal) Close() {
+	j.retire(false)
+	j.closeOnce.Do(func() { close(j.stop) })
 	select {
-	case <-k.over:
-	case <-time.After(leaving):
+	case <-j.done:
+	case <-time.After(shutdownTimeout):
 	}
 }
 
 // leave writes that this life means nothing more.
-func (k *Keeper) leave(handsOn bool) {
-	if !k.await(leaving) {
+func (j *Journal) retire(release bool) {
+	if !j.awaitOpen(shutdownTimeout) {
 		return
 	}
-	k.mu.Lock()
-	was, j := k.retired, k.j
-	if k.retired = true; was || j == nil {
-		k.mu.Unlock()
+	j.mu.Lock()
+	retired, log := j.retired, j.log
+	if j.retired = true; retired || log == nil {
+		j.mu.Unlock()
 		return
 	}
 	durable := make(chan bool, 1)
-	k.push(txnjournal.Record{Kind: txnjournal.Gone, At: wall()}, durable)
-	k.mu.Unlock()
+	j.enqueue(txnjournal.Record{Kind: txnjournal.KindRetired, TimeMillis: wallMillis()}, durable)
+	j.mu.Unlock()
 	select { // whoever waits now to send something has given up by the end of this
 	case <-durable:
-	case <-time.After(leaving + time.Duration(k.terms.Wait*float64(time.Millisecond))):
+	case <-time.After(shutdownTimeout + time.Duration(j.config.CommitWaitMillis*float64(time.Millisecond))):
 	}
-	if handsOn {
-		j.Retire()
+	if release {
+		log.Retire()
 	}
 }
 
 // Figures gives what operators see.
-func (k *Keeper) Figures(add func(name string, v int64)) {
-	k.mu.Lock()
-	c, down, j := k.seen, !k.well(), k.j
-	k.mu.Unlock()
-	var is int64
-	if down {
-		is = 1
-	}
-	add("journal.down", is)
-	add("journal.commits", c.commits)
-	add("journal.records", c.records)
-	add("journal.failures", c.failures)
-	add("journal.refused", c.refused)
-	add("journal.late", c.late)
-	add("journal.doubtful", c.doubtful)
-	add("journal.lost", c.lost)
-	if j == nil {
+func (j *Journal) Figures(add func(name string, v int64)) {
+	j.mu.Lock()
+	counters, unavailable, log := j.counters, !j.available(), j.log
+	j.mu.Unlock()
+	var down int64
+	if unavailable {
+		down = 1
+	}
+	add("journal.down", down)
+	add("journal.commits", counters.commits)
+	add("journal.records", counters.records)
+	add("journal.failures", counters.failures)
+	add("journal.refused", counters.rejected)
+	add("journal.late", counters.late)
+	add("journal.doubtful", counters.uncertain)
+	add("journal.lost", counters.droppedOutcomes)
+	if log == nil {
 		return
 	}
-	var txns, answers int
-	j.Ask(func(b *txnjournal.Book) { txns, answers = b.Len() })
+	var txns, responseBytes int
+	log.View(func(b *txnjournal.Index) { txns, responseBytes = b.Len() })
 	add("journal.txns", int64(txns))
-	add("journal.answer_bytes", int64(answers))
-	add("journal.segments", int64(j.Segments()))
+	add("journal.answer_bytes", int64(responseBytes))
+	add("journal.segments", int64(log.SegmentCount()))
 }
--- a/internal/txnjournal/store/memory.go
+++ b/internal/txnjournal/store/memory.go
@@ -11,290 +11,294 @@
 	"syscall"
 )
 
-const sector = 512 // bytes that a disk writes whole or not at all
+const sectorBytes = 512 // bytes that a disk writes whole or not at all
 
 // Memory is a disk that is made up, with faults by script. What it does is in the order of its calls and by
 // its source alone. For tests and for the laboratory.
-type Memory struct {
+type MemoryDisk struct {
 	mu      sync.Mutex
-	files   map[string]*image
-	removed map[string]*image // whose removal is not durable
+	files   map[string]*memoryFile
+	removed map[string]*memoryFile // whose removal is not durable
 	locked  bool
 	rng     *rand.Rand
 	crashed bool
 
-	Calls    int    // that changed something or made it durable
-	CrashAt  int    // the call that is cut short, and with which all ends; 0 is none
-	FailSync int    // Syncs of files that fail and drop what was to be written out; then they "succeed"
-	Room     int    // bytes that files may still take; below nought any
-	ReadOnly bool   // nothing can be changed
-	Away     bool   // nothing answers
-	Slow     func() // called in each Sync
+	Calls        int    // that changed something or made it durable
+	CrashAtCall  int    // the call that is cut short, and with which all ends; 0 is none
+	FailingSyncs int    // Syncs of files that fail and drop what was to be written out; then they "succeed"
+	FreeBytes    int    // bytes that files may still take; below nought any
+	ReadOnly     bool   // nothing can be changed
+	Unavailable  bool   // nothing answers
+	OnSync       func() // called in each Sync
 }
 
 // image is a file: as programs see it, and as the disk has it.
-type image struct {
-	seen, durable []byte
-	dirty         map[int]bool // sectors that differ, and are still to be written out
-	named         bool         // its name is durable
+type memoryFile struct {
+	content, durable []byte
+	dirty            map[int]bool // sectors that differ, and are still to be written out
+	nameDurable      bool         // its name is durable
 }
 
 // NewMemory makes an empty disk.
-func NewMemory(seed int64) *Memory {
-	return &Memory{files: map[string]*image{}, removed: map[string]*image{},
-		rng: rand.New(rand.NewSource(seed)), Room: -1}
+func NewMemoryDisk(seed int64) *MemoryDisk {
+	return &MemoryDisk{files: map[string]*memoryFile{}, removed: map[string]*memoryFile{},
+		rng: rand.New(rand.NewSource(seed)), FreeBytes: -1}
 }
 
 // ErrCrashed tells that the machine or the process has ended.
 var ErrCrashed = fmt.Errorf("crashed: %w", syscall.EIO)
 
 // does counts a call that changes something, under the lock. half tells that it is the one that is cut short.
-func (m *Memory) does() (half bool, err error) {
+func (d *MemoryDisk) countCall() (crashing bool, err error) {
 	switch {
-	case m.crashed:
+	case d.crashed:
 		return false, ErrCrashed
-	case m.Away:
+	case d.Unavailable:
 		return false, syscall.EIO
-	case m.ReadOnly:
+	case d.ReadOnly:
 		return false, syscall.EROFS
 	}
-	if m.Calls++; m.Calls == m.CrashAt {
-		m.crashed = true
+	if d.Calls++; d.Calls == d.CrashAtCall {
+		d.crashed = true
 		return true, nil
 	}
 	return false, nil
 }
 
 // Names gives the files there are.
-func (m *Memory) Names() ([]string, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.crashed || m.Away {
+func (d *MemoryDisk) Names() ([]string, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.crashed || d.Unavailable {
 		return nil, syscall.EIO
 	}
-	var all []string
-	for name := range maps.Keys(m.files) {
-		all = append(all, name)
+	var names []string
+	for name := range maps.Keys(d.files) {
+		names = append(names, name)
 	}
-	return all, nil
+	return names, nil
 }
 
 // Load reads a file.
-func (m *Memory) Load(name string) ([]byte, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	f := m.files[name]
+func (d *MemoryDisk) Load(name string) ([]byte, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	f := d.files[name]
 	switch {
-	case m.crashed || m.Away:
+	case d.crashed || d.Unavailable:
 		return nil, syscall.EIO
 	case f == nil:
 		return nil, fs.ErrNotExist
 	}
-	return append([]byte(nil), f.seen...), nil
+	return append([]byte(nil), f.content...), nil
 }
 
 // Create makes a file.
-func (m *Memory) Create(name string, size int) (File, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	half, err := m.does()
+func (d *MemoryDisk) Create(name string, size int) (File, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	crashing, err := d.countCall()
 	switch {
 	case err != nil:
 		return nil, err
-	case m.files[name] != nil:
+	case d.files[name] != nil:
 		return nil, fs.ErrExist
-	case m.Room >= 0 && size > m.Room:
+	case d.FreeBytes >= 0 && size > d.FreeBytes:
 		return nil, syscall.ENOSPC
 	}
-	if m.Room >= 0 {
-		m.Room -= size
+	if d.FreeBytes >= 0 {
+		d.FreeBytes -= size
 	}
-	f := &image{seen: make([]byte, size), durable: make([]byte, size), dirty: map[int]bool{}}
-	if m.files[name] = f; half {
+	f := &memoryFile{content: make([]byte, size), durable: make([]byte, size), dirty: map[int]bool{}}
+	if d.files[name] = f; crashing {
 		return nil, ErrCrashed
 	}
-	return handle{m, f}, nil
+	return memoryHandle{d, f}, nil
 }
 
 // Remove removes a file.
-func (m *Memory) Remove(name string) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	half, err := m.does()
-	f := m.files[name]
+func (d *MemoryDisk) Remove(name string) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	crashing, err := d.countCall()
+	f := d.files[name]
 	switch {
 	case err != nil:
 		return err
 	case f == nil:
 		return fs.ErrNotExist
-	case half:
+	case crashing:
 		return ErrCrashed
 	}
-	if m.Room >= 0 {
-		m.Room += len(f.seen)
+	if d.FreeBytes >= 0 {
+		d.FreeBytes += len(f.content)
 	}
-	delete(m.files, name)
-	m.removed[name] = f
+	delete(d.files, name)
+	d.removed[name] = f
 	return nil
 }
 
 // Sync makes names and removals durable.
-func (m *Memory) Sync() error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	half, err := m.does()
-	if err != nil || half {
+func (d *MemoryDisk) Sync() error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	crashing, err := d.countCall()
+	if err != nil || crashing {
 		return ErrCrashed
 	}
-	for _, f := range m.files {
-		f.named = true
+	for _, f := range d.files {
+		f.nameDurable = true
 	}
-	clear(m.removed)
+	clear(d.removed)
 	return nil
 }
 
 // Lock takes the disk's one lock.
-func (m *Memory) Lock() (io.Closer, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (d *MemoryDisk) Lock() (io.Closer, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	switch {
-	case m.Away:
+	case d.Unavailable:
 		return nil, syscall.EIO
-	case m.locked:
-		return nil, ErrTaken
+	case d.locked:
+		return nil, ErrLocked
 	}
-	m.locked = true
-	return unlocks{m}, nil
+	d.locked = true
+	return memoryLock{d}, nil
 }
 
-type unlocks struct{ m *Memory }
+type memoryLock struct{ disk *MemoryDisk }
 
-func (u unlocks) Close() error {
-	u.m.mu.Lock()
-	defer u.m.mu.Unlock()
-	u.m.locked = false
+func (u memoryLock) Close() error {
+	u.disk.mu.Lock()
+	defer u.disk.mu.Unlock()
+	u.disk.locked = false
 	return nil
 }
 
-type handle struct {
-	m *Memory
-	f *image
+type memoryHandle struct {
+	disk *MemoryDisk
+	file *memoryFile
 }
 
 // WriteAt writes. One that is cut short has written some bytes from its start.
-func (h handle) WriteAt(b []byte, at int64) (int, error) {
-	h.m.mu.Lock()
-	defer h.m.mu.Unlock()
-	half, err := h.m.does()
+func (h memoryHandle) WriteAt(b []byte, offset int64) (int, error) {
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	crashing, err := h.disk.countCall()
 	if err != nil {
 		return 0, err
 	}
-	if int(at)+len(b) > len(h.f.seen) {
+	if int(offset)+len(b) > len(h.file.content) {
 		return 0, syscall.ENOSPC
 	}
-	if half {
-		b = b[:h.m.rng.Intn(len(b)+1)]
+	if crashing {
+		b = b[:h.disk.rng.Intn(len(b)+1)]
 	}
-	copy(h.f.seen[at:], b)
-	for i := int(at) / sector; len(b) > 0 && i <= (int(at)+len(b)-1)/sector; i++ {
-		h.f.dirty[i] = true
+	copy(h.file.content[offset:], b)
+	for i := int(offset) / sectorBytes; len(b) > 0 && i <= (int(offset)+len(b)-1)/sectorBytes; i++ {
+		h.file.dirty[i] = true
 	}
-	if half {
+	if crashing {
 		return len(b), ErrCrashed
 	}
 	return len(b), nil
 }
 
 // Sync makes what was written durable, or fails and forgets that it is not.
-func (h handle) Sync() error {
-	h.m.mu.Lock()
-	slow := h.m.Slow
-	h.m.mu.Unlock()
-	if slow != nil {
-		slow()
+func (h memoryHandle) Sync() error {
+	h.disk.mu.Lock()
+	onSync := h.disk.OnSync
+	h.disk.mu.Unlock()
+	if onSync != nil {
+		onSync()
 	}
-	h.m.mu.Lock()
-	defer h.m.mu.Unlock()
-	half, err := h.m.does()
+	h.disk.mu.Lock()
+	defer h.disk.mu.Unlock()
+	crashing, err := h.disk.countCall()
 	switch {
 	case err != nil:
 		return err
-	case half:
+	case crashing:
 		return ErrCrashed
-	case h.m.FailSync > 0:
-		h.m.FailSync--
-		h.m.some(h.f)
-		clear(h.f.dirty)
+	case h.disk.FailingSyncs > 0:
+		h.disk.FailingSyncs--
+		h.disk.flushSome(h.file)
+		clear(h.file.dirty)
 		return syscall.EIO
 	}
-	for i := range h.f.dirty {
-		h.f.write(i)
+	for i := range h.file.dirty {
+		h.file.flushSector(i)
 	}
-	clear(h.f.dirty)
+	clear(h.file.dirty)
 	return nil
 }
 
-func (h handle) Close() error { return nil }
+func (h memoryHandle) Close() error { return nil }
 
-func (f *image) write(i int) {
-	copy(f.durable[i*sector:min((i+1)*sector, len(f.seen))], f.seen[i*sector:])
+func (f *memoryFile) flushSector(i int) {
+	copy(f.durable[i*sectorBytes:min((i+1)*sectorBytes, len(f.content))], f.content[i*sectorBytes:])
 }
 
 // some writes some sectors out, in any order: those later in the file may be there and earlier ones not.
-func (m *Memory) some(f *image) {
-	for i := range (len(f.seen) + sector - 1) / sector {
-		if f.dirty[i] && m.rng.Intn(2) == 0 {
-			f.write(i)
+func (d *MemoryDisk) flushSome(f *memoryFile) {
+	for i := range (len(f.content) + sectorBytes - 1) / sectorBytes {
+		if f.dirty[i] && d.rng.Intn(2) == 0 {
+			f.flushSector(i)
 		}
 	}
 }
 
 // After gives the disk as the next process finds it. After a power cut only what was made durable is sure to
 // be there; of the rest, names and removals included, any part may be.
-func (m *Memory) After(powerCut bool) *Memory {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	n := NewMemory(m.rng.Int63())
-	n.Room = m.Room
-	keep := func(name string, f *image) {
-		b := f.seen
+func (d *MemoryDisk) Restart(powerCut bool) *MemoryDisk {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	restarted := NewMemoryDisk(d.rng.Int63())
+	restarted.FreeBytes = d.FreeBytes
+	keep := func(name string, f *memoryFile) {
+		b := f.content
 		if powerCut {
-			m.some(f)
+			d.flushSome(f)
 			b = f.durable
 		}
-		n.files[name] = &image{seen: append([]byte(nil), b...), durable: append([]byte(nil), f.durable...),
-			dirty: map[int]bool{}, named: true}
+		restarted.files[name] = &memoryFile{
+			content:     append([]byte(nil), b...),
+			durable:     append([]byte(nil), f.durable...),
+			dirty:       map[int]bool{},
+			nameDurable: true,
+		}
 		if !powerCut {
-			copy(n.files[name].durable, b)
+			copy(restarted.files[name].durable, b)
 		}
 	}
-	for _, name := range sorted(m.files) {
-		if f := m.files[name]; !powerCut || f.named || m.rng.Intn(2) == 0 {
+	for _, name := range sortedNames(d.files) {
+		if f := d.files[name]; !powerCut || f.nameDurable || d.rng.Intn(2) == 0 {
 			keep(name, f)
 		}
 	}
-	for _, name := range sorted(m.removed) {
-		if powerCut && n.files[name] == nil && m.rng.Intn(2) == 0 {
-			keep(name, m.removed[name])
+	for _, name := range sortedNames(d.removed) {
+		if powerCut && restarted.files[name] == nil && d.rng.Intn(2) == 0 {
+			keep(name, d.removed[name])
 		}
 	}
-	return n
+	return restarted
 }
 
 // Hang has each Sync wait for a word, or the end, of a channel.
-func (m *Memory) Hang(until <-chan bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.Slow = func() { <-until }
+func (d *MemoryDisk) BlockSyncs(release <-chan bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.OnSync = func() { <-release }
 }
 
 // Flip turns a bit of a file over.
-func (m *Memory) Flip(name string, bit int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	f := m.files[name]
-	f.seen[bit/8%len(f.seen)] ^= 1 << (bit % 8)
-	copy(f.durable, f.seen)
+func (d *MemoryDisk) FlipBit(name string, bit int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	f := d.files[name]
+	f.content[bit/8%len(f.content)] ^= 1 << (bit % 8)
+	copy(f.durable, f.content)
 }
 
-func sorted(m map[string]*image) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedNames(m map[string]*memoryFile) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/txnjournal/store/model_test.go
+++ b/internal/txnjournal/store/model_test.go
@@ -11,83 +11,94 @@
 	"willowdeck/internal/txnjournal"
 )
 
-var long = flag.Int("long", 1, "how many times as many seeds")
+var seedMultiplier = flag.Int("long", 1, "how many times as many seeds")
 
 // truth is what became of a txn in the world, beside the journal.
-type truth struct {
-	asked   float64
-	out     bool // it may have gone out: its bytes may have reached a worker, and run
-	settled bool
+type groundTruth struct {
+	requestedMillis float64
+	maybeSent       bool // it may have gone out: its bytes may have reached a worker, and run
+	completed       bool
 }
 
 // life is one life of a gatekeeper over a disk: each txn is meant, goes out where the journal says so, and
 // ends in one of the ways there are. It ends with a crash, or in peace.
-type life struct {
-	t     *testing.T
-	rng   *rand.Rand
-	now   float64
-	all   map[string]*truth
-	open  []txnjournal.Record // submissions that are out
-	next  int
-	terms txnjournal.Terms
+type simulation struct {
+	t         *testing.T
+	rng       *rand.Rand
+	nowMillis float64
+	truths    map[string]*groundTruth
+	pending   []txnjournal.Record // submissions that are out
+	lastTxn   int
+	config    txnjournal.Config
 }
 
-func (l *life) run(d *Memory, steps int) {
-	g, err := Open(d, l.terms, Who{Name: "g", Boot: 1, Offset: 1e6}, l.now, false)
+func (s *simulation) runIncarnation(disk *MemoryDisk, steps int) {
+	log, err := Open(
+		disk,
+		s.config,
+		Writer{Instance: "g", BootID: 1, ClockOffsetMillis: 1e6},
+		s.nowMillis,
+		false,
+	)
 	if err != nil {
 		return // it crashed before
 	}
-	defer g.Close()
-	l.open = nil
-	number := uint64(0)
-	var again []txnjournal.Record // ends of a commit that failed
+	defer log.Close()
+	s.pending = nil
+	sequence := uint64(0)
+	var unwritten []txnjournal.Record // ends of a commit that failed
 	for range steps {
-		l.now += 2500
-		if l.rng.Intn(15) == 0 {
-			d.FailSync = 1
+		s.nowMillis += 2500
+		if s.rng.Intn(15) == 0 {
+			disk.FailingSyncs = 1
 		}
-		all := again
-		again = nil
-		for range 1 + l.rng.Intn(4) {
-			if len(l.open) > 0 && l.rng.Intn(2) == 0 {
-				i := l.rng.Intn(len(l.open))
-				r := l.open[i]
-				l.open = append(l.open[:i], l.open[i+1:]...)
-				r.Kind, r.At, r.End = txnjournal.Ended, l.now, txnjournal.End(1+l.rng.Intn(3))
-				was := l.all[r.Txn.Mark]
-				switch r.End {
-				case txnjournal.Settled:
-					was.settled = true
-					r.Answer = txnjournal.Answer{Body: []byte("done " + r.Txn.Mark), Whole: true}
-				case txnjournal.Never:
-					was.out = false
+		records := unwritten
+		unwritten = nil
+		for range 1 + s.rng.Intn(4) {
+			if len(s.pending) > 0 && s.rng.Intn(2) == 0 {
+				i := s.rng.Intn(len(s.pending))
+				r := s.pending[i]
+				s.pending = append(s.pending[:i], s.pending[i+1:]...)
+				r.Kind, r.TimeMillis, r.Outcome = txnjournal.KindOutcome, s.nowMillis, txnjournal.Outcome(1+s.rng.Intn(3))
+				truth := s.truths[r.Txn.RequestID]
+				switch r.Outcome {
+				case txnjournal.OutcomeCompleted:
+					truth.completed = true
+					r.Response = txnjournal.Response{Body: []byte("done " + r.Txn.RequestID), Stored: true}
+				case txnjournal.OutcomeNotExecuted:
+					truth.maybeSent = false
 				}
-				all = append(all, r)
+				records = append(records, r)
 				continue
 			}
-			number++
-			l.next++
-			r := txnjournal.Record{Kind: txnjournal.Meant, At: l.now, Sub: txnjournal.Sub{Number: number}, Worker: "w",
-				Txn: txnjournal.Txn{Customer: 7, Mark: fmt.Sprint("t", l.next), Product: "issue"}}
-			l.all[r.Txn.Mark] = &truth{asked: l.now}
-			all = append(all, r)
+			sequence++
+			s.lastTxn++
+			r := txnjournal.Record{
+				Kind:       txnjournal.KindIntent,
+				TimeMillis: s.nowMillis,
+				Attempt:    txnjournal.AttemptID{Sequence: sequence},
+				Worker:     "w",
+				Txn:        txnjournal.Txn{Customer: 7, RequestID: fmt.Sprint("t", s.lastTxn), Product: "issue"},
+			}
+			s.truths[r.Txn.RequestID] = &groundTruth{requestedMillis: s.nowMillis}
+			records = append(records, r)
 		}
-		for _, r := range all {
-			r.Life = g.Life()
-			g.Take(r)
+		for _, r := range records {
+			r.Incarnation = log.Incarnation()
+			log.Apply(r)
 		}
-		err := g.Commit(all, l.now)
-		for _, r := range all {
+		err := log.Commit(records, s.nowMillis)
+		for _, r := range records {
 			switch {
-			case r.Kind == txnjournal.Meant && err == nil:
-				l.all[r.Txn.Mark].out = true
-				l.open = append(l.open, r)
-			case r.Kind == txnjournal.Meant:
-				r.Kind, r.End = txnjournal.Ended, txnjournal.Never
-				g.Take(r)
-				again = append(again, r)
+			case r.Kind == txnjournal.KindIntent && err == nil:
+				s.truths[r.Txn.RequestID].maybeSent = true
+				s.pending = append(s.pending, r)
+			case r.Kind == txnjournal.KindIntent:
+				r.Kind, r.Outcome = txnjournal.KindOutcome, txnjournal.OutcomeNotExecuted
+				log.Apply(r)
+				unwritten = append(unwritten, r)
 			case err != nil:
-				again = append(again, r)
+				unwritten = append(unwritten, r)
 			}
 		}
 		if errors.Is(err, ErrCrashed) {
@@ -98,30 +109,35 @@
 
 // judge holds the answers of a journal against the truth, and counts them: txns that never went out, and of
 // these the doubtful ones.
-func (l *life) judge(d Disk, what string) (never, doubtful int) {
-	l.t.Helper()
-	b, _, _, _, err := ReadAll(d, l.terms, l.now, nil, nil)
+func (s *simulation) check(disk Disk, what string) (notSent, uncertain int) {
+	s.t.Helper()
+	index, _, _, _, err := ReadAll(disk, s.config, s.nowMillis, nil, nil)
 	if err != nil {
-		l.t.Fatal(what, err)
+		s.t.Fatal(what, err)
 	}
-	for mark, was := range l.all {
-		v, why, found := b.Answers(mark, was.asked, was.asked, l.now)
+	for requestID, truth := range s.truths {
+		verdict, reason, found := index.Resolve(
+			requestID,
+			truth.requestedMillis,
+			truth.requestedMillis,
+			s.nowMillis,
+		)
 		switch {
-		case v == txnjournal.NotSent && (was.out || was.settled):
-			l.t.Fatalf("%s: %s went out (%+v), and the journal says %v: %s", what, mark, *was, v, why)
-		case v == txnjournal.SentSettled && !was.settled:
-			l.t.Fatalf("%s: %s was not settled, and the journal says %v", what, mark, v)
-		case v == txnjournal.SentSettled && found[0].Answer.Whole &&
-			string(found[0].Answer.Body) != "done "+mark:
-			l.t.Fatalf("%s: %s was answered %q", what, mark, found[0].Answer.Body)
+		case verdict == txnjournal.NotSent && (truth.maybeSent || truth.completed):
+			s.t.Fatalf("%s: %s went out (%+v), and the journal says %v: %s", what, requestID, *truth, verdict, reason)
+		case verdict == txnjournal.SentCompleted && !truth.completed:
+			s.t.Fatalf("%s: %s was not settled, and the journal says %v", what, requestID, verdict)
+		case verdict == txnjournal.SentCompleted && found[0].Response.Stored &&
+			string(found[0].Response.Body) != "done "+requestID:
+			s.t.Fatalf("%s: %s was answered %q", what, requestID, found[0].Response.Body)
 		}
-		if !was.out && !was.settled {
-			if never++; v != txnjournal.NotSent {
-				doubtful++
+		if !truth.maybeSent && !truth.completed {
+			if notSent++; verdict != txnjournal.NotSent {
+				uncertain++
 			}
 		}
 	}
-	return never, doubtful
+	return notSent, uncertain
 }
 
 // Whichever call of the disk is the last one, and whatever of the unsynced is there afterwards, the journal
@@ -131,41 +147,46 @@
 func TestCrashAtEachCall(t *testing.T) {
 	for _, powerCut := range []bool{false, true} {
 		t.Run(fmt.Sprint("power cut ", powerCut), func(t *testing.T) {
-			never, doubtful, crashes := 0, 0, 0
-			for seed := range int64(4 * *long) {
+			notSent, uncertain, crashes := 0, 0, 0
+			for seed := range int64(4 * *seedMultiplier) {
 				for at := 1; ; at++ {
-					terms := txnjournal.DefaultTerms()
-					terms.Segment, terms.Segments = 3000, 40
-					tight := seed%2 == 0 // much is checked out and forgotten
-					if tight {
-						terms.Segments, terms.Txns = 3, 40
+					config := txnjournal.DefaultConfig()
+					config.SegmentBytes, config.MaxSegments = 3000, 40
+					bounded := seed%2 == 0 // much is checked out and forgotten
+					if bounded {
+						config.MaxSegments, config.MaxTxns = 3, 40
+					}
+					sim := &simulation{
+						t:         t,
+						rng:       rand.New(rand.NewSource(seed)),
+						nowMillis: 1e9,
+						truths:    map[string]*groundTruth{},
+						config:    config,
 					}
-					l := &life{t: t, rng: rand.New(rand.NewSource(seed)), now: 1e9, all: map[string]*truth{},
-						terms: terms}
-					d := NewMemory(seed + 100)
-					d.CrashAt = at
-					l.run(d, 60)
-					whole := !d.crashed
+					disk := NewMemoryDisk(seed + 100)
+					disk.CrashAtCall = at
+					sim.runIncarnation(disk, 60)
+					completed := !disk.crashed
 					for next := range 2 { // and again, from what the crash has left
 						what := fmt.Sprintf("seed %d, call %d, life %d", seed, at, next)
-						d = d.After(powerCut)
-						n, m := l.judge(d, what)
-						if crashes++; !tight {
-							never, doubtful = never+n, doubtful+m
+						disk = disk.Restart(powerCut)
+						n, m := sim.check(disk, what)
+						if crashes++; !bounded {
+							notSent, uncertain = notSent+n, uncertain+m
 						}
-						l.now += 60000
-						d.CrashAt = 1 + l.rng.Intn(60)
-						l.run(d, 20)
+						sim.nowMillis += 60000
+						disk.CrashAtCall = 1 + sim.rng.Intn(60)
+						sim.runIncarnation(disk, 20)
 					}
-					if whole {
+					if completed {
 						break
 					}
 				}
 			}
 			t.Logf("%d crashes; where nothing is forgotten %d txns never went out, of these %d are in doubt", crashes,
-				never, doubtful)
-			if never == 0 || doubtful*2 > never {
-				t.Errorf("%d of %d txns that never went out are in doubt", doubtful, never)
+				notSent, uncertain)
+			if notSent == 0 || uncertain*2 > notSent {
+				t.Errorf("%d of %d txns that never went out are in doubt", uncertain, notSent)
 			}
 		})
 	}
@@ -173,20 +194,26 @@
 
 // Bits that turn over in what was durable put in doubt what lay there, and are never taken for nothing.
 func TestFlippedBits(t *testing.T) {
-	never, doubtful := 0, 0
-	for seed := range int64(300 * *long) {
-		terms := txnjournal.DefaultTerms()
-		terms.Segment, terms.Segments = 2000, 8
-		l := &life{t: t, rng: rand.New(rand.NewSource(seed)), now: 1e9, all: map[string]*truth{}, terms: terms}
-		d := NewMemory(seed)
-		l.run(d, 30)
-		d = d.After(false)
-		names, _ := d.Names()
+	notSent, uncertain := 0, 0
+	for seed := range int64(300 * *seedMultiplier) {
+		config := txnjournal.DefaultConfig()
+		config.SegmentBytes, config.MaxSegments = 2000, 8
+		sim := &simulation{
+			t:         t,
+			rng:       rand.New(rand.NewSource(seed)),
+			nowMillis: 1e9,
+			truths:    map[string]*groundTruth{},
+			config:    config,
+		}
+		disk := NewMemoryDisk(seed)
+		sim.runIncarnation(disk, 30)
+		disk = disk.Restart(false)
+		names, _ := disk.Names()
 		slices.Sort(names)
-		for range 1 + l.rng.Intn(3) {
-			name := names[l.rng.Intn(len(names))]
+		for range 1 + sim.rng.Intn(3) {
+			name := names[sim.rng.Intn(len(names))]
 			// of what was written: a bit in blank room would be damage at the end
-			b, _ := d.Load(name)
+			b, _ := disk.Load(name)
 			used := 0
 			for i, x := range b {
 				if x != 0 {
@@ -194,14 +221,14 @@
 				}
 			}
 			if used > 0 {
-				d.Flip(name, l.rng.Intn(8*used))
+				disk.FlipBit(name, sim.rng.Intn(8*used))
 			}
 		}
-		n, m := l.judge(d, fmt.Sprint("seed ", seed))
-		never, doubtful = never+n, doubtful+m
+		n, m := sim.check(disk, fmt.Sprint("seed ", seed))
+		notSent, uncertain = notSent+n, uncertain+m
 	}
-	t.Logf("%d txns never went out, of these %d are in doubt", never, doubtful)
-	if doubtful == 0 || doubtful == never {
-		t.Errorf("%d of %d txns that never went out are in doubt", doubtful, never)
+	t.Logf("%d txns never went out, of these %d are in doubt", notSent, uncertain)
+	if uncertain == 0 || uncertain == notSent {
+		t.Errorf("%d of %d txns that never went out are in doubt", uncertain, notSent)
 	}
 }
