--- a/cmd/willowdeck/journal.go
+++ b/cmd/willowdeck/journal.go
@@ -90,33 +90,27 @@
 				last = s
 			}
 		}
-		b, found, numbers, lives, err := store.ReadAll(store.Dir(dir), terms(), now(), note, nil)
+		replay, err := store.ReadAll(store.Dir(dir), terms(), now(), store.Visitor{Segment: note})
 		if err != nil {
 			return err
 		}
-		txns, _ := b.Len()
-		fmt.Printf("%s: gatekeeper %q, %d lives, policy %s\n", dir, last.Header.Instance, lives, last.Header.Policy)
-		fmt.Printf("  segments %d, records %d, txns %d, last record %s\n", len(numbers), found.Records, txns,
-			clock(last.LastMillis))
-		fmt.Printf("  all txns since %s\n", clock(b.HorizonMillis()))
-		damage(b, found)
+		txns, _ := replay.Index.Len()
+		fmt.Printf("%s: gatekeeper %q, %d lives, policy %s\n", dir, last.Header.Instance,
+			replay.LastIncarnation, last.Header.Policy)
+		fmt.Printf("  segments %d, records %d, txns %d, last record %s\n", len(replay.Segments),
+			replay.Stats.Records, txns, clock(last.LastMillis))
+		fmt.Printf("  all txns since %s\n", clock(replay.Index.HorizonMillis()))
+		damage(replay)
 		var list []string
 		count := [3]int{}
-		b.Each(func(e txnjournal.Entry, v txnjournal.Verdict) {
+		replay.Index.Each(func(e txnjournal.Entry, v txnjournal.Verdict) {
 			count[v]++
 			if list = append(list, line(e, v)); len(list) > c.Int("last") {
 				list = list[1:]
 			}
 		})
-		fmt.Printf(
-			"  %s %d, %s %d, %s %d\n",
-			txnjournal.SentCompleted,
-			count[txnjournal.SentCompleted],
-			txnjournal.SentUnknown,
-			count[txnjournal.SentUnknown],
-			txnjournal.NotSent,
-			count[txnjournal.NotSent],
-		)
+		fmt.Printf("  %s %d, %s %d, %s %d\n", txnjournal.SentCompleted, count[txnjournal.SentCompleted],
+			txnjournal.SentUnknown, count[txnjournal.SentUnknown], txnjournal.NotSent, count[txnjournal.NotSent])
 		for _, l := range list {
 			fmt.Println("  " + l)
 		}
@@ -125,26 +119,17 @@
 }
 
 func line(e txnjournal.Entry, v txnjournal.Verdict) string {
-	return fmt.Sprintf(
-		"%s %s %s customer %016x worker %s life %d submissions %d: %s",
-		clock(e.FirstIntentMillis),
-		e.RequestID,
-		e.Product,
-		e.Customer,
-		e.Worker,
-		e.Incarnation,
-		e.Attempts,
-		v,
-	)
+	return fmt.Sprintf("%s %s %s customer %016x worker %s life %d submissions %d: %s",
+		clock(e.FirstIntentMillis), e.RequestID, e.Product, e.Customer, e.Worker, e.Incarnation, e.Attempts, v)
 }
 
-// damage tells what can't be relied on.
-func damage(b *txnjournal.Index, f store.ReplayStats) {
-	if f.UnreadableBytes > 0 {
+// damage prints what can't be relied on.
+func damage(replay *store.Replay) {
+	if f := replay.Stats; f.UnreadableBytes > 0 {
 		fmt.Printf("  %d bytes cut: segments with a torn end %d, damaged before it %d, of another version %d\n",
 			f.UnreadableBytes, f.Torn, f.Corrupt, f.Unsupported)
 	}
-	for _, s := range b.UncertainPeriods() {
+	for _, s := range replay.Index.UncertainPeriods() {
 		fmt.Printf("  in doubt %s to %s: %s\n", clock(s.FromMillis), clock(s.ToMillis), s.Reason)
 	}
 }
@@ -156,13 +141,14 @@
 	}
 	bad := 0
 	for _, dir := range all {
-		b, found, _, _, err := store.ReadAll(store.Dir(dir), terms(), now(), nil, nil)
+		replay, err := store.ReadAll(store.Dir(dir), terms(), now(), store.Visitor{})
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%s: %d segments, %d records, %d bytes\n", dir, found.Segments, found.Records, found.Bytes)
-		damage(b, found)
-		if b.UncertainPeriodCount > 0 {
+		fmt.Printf("%s: %d segments, %d records, %d bytes\n", dir, replay.Stats.Segments, replay.Stats.Records,
+			replay.Stats.Bytes)
+		damage(replay)
+		if replay.Index.UncertainPeriodCount > 0 {
 			bad++
 		}
 	}
@@ -193,11 +179,11 @@
 	}
 	verdict := txnjournal.NotSent
 	for _, dir := range all {
-		b, _, _, _, err := store.ReadAll(store.Dir(dir), terms(), now(), nil, nil)
+		replay, err := store.ReadAll(store.Dir(dir), terms(), now(), store.Visitor{})
 		if err != nil {
 			return err
 		}
-		v, why, found := b.Resolve(mark, from, to, now())
+		v, why, found := replay.Index.Resolve(mark, from, to, now())
 		verdict = max(verdict, v)
 		fmt.Printf("%s: %s (%s)\n", dir, v, why)
 		for _, e := range found {
@@ -250,27 +236,27 @@
 func exportTo(w io.Writer, dir string) error {
 	enc := json.NewEncoder(w)
 	var failed error
-	_, _, _, _, err := store.ReadAll(store.Dir(dir), terms(), now(), nil,
-		func(number uint64, offset int, r txnjournal.Record) {
-			x := exported{
-				Dir:     dir,
-				Segment: number,
-				Offset:  offset,
-				Kind:    r.Kind.String(),
-				At:      r.TimeMillis,
-				Life:    r.Incarnation,
-				Group:   r.Batch,
-				To:      r.UntilMillis,
-				Below:   r.FirstLiveSegment,
-			}
-			if r.Kind <= txnjournal.KindSnapshot {
-				x.ID, x.Customer, x.Product = r.Txn.RequestID, fmt.Sprintf("%016x", r.Txn.Customer), r.Txn.Product
-				x.Number, x.N, x.Worker, x.Expiry = r.Attempt.Sequence, r.Attempt.Ordinal, r.Worker, r.ExpiryMillis
-				x.End, x.Answer = r.Outcome.String(), len(r.Response.Body)
-			}
-			if err := enc.Encode(x); err != nil && failed == nil {
-				failed = err
-			}
-		})
+	write := func(number uint64, offset int, r txnjournal.Record) {
+		x := exported{
+			Dir:     dir,
+			Segment: number,
+			Offset:  offset,
+			Kind:    r.Kind.String(),
+			At:      r.TimeMillis,
+			Life:    r.Incarnation,
+			Group:   r.Batch,
+			To:      r.UntilMillis,
+			Below:   r.FirstLiveSegment,
+		}
+		if r.Kind.HasTxn() {
+			x.ID, x.Customer, x.Product = r.Txn.RequestID, fmt.Sprintf("%016x", r.Txn.Customer), r.Txn.Product
+			x.Number, x.N, x.Worker, x.Expiry = r.Attempt.Sequence, r.Attempt.Ordinal, r.Worker, r.ExpiryMillis
+			x.End, x.Answer = r.Outcome.String(), len(r.Response.Body)
+		}
+		if err := enc.Encode(x); err != nil && failed == nil {
+			failed = err
+		}
+	}
+	_, err := store.ReadAll(store.Dir(dir), terms(), now(), store.Visitor{Record: write})
 	return errors.Join(err, failed)
 }
--- a/internal/circuitbreaker/breaker.go
+++ b/internal/circuitbreaker/breaker.go
@@ -1,6 +1,3 @@
-// Package circuitbreaker leaves alone what has failed. See M. Nygard, Release It!, "Circuit Breaker"; the
-// growing
-// pause with jitter is ours.
 package circuitbreaker
 
 import (
@@ -8,47 +5,45 @@
 	"math/rand"
 )
 
-// jitter is the part of a pause that chance decides, half of it either way: many must not come back at once.
+// jitterFraction is the random part of a backoff, half of it either way, lest many processes return at once.
 const jitterFraction = 0.5
 
-// Breaker leaves something alone once it has failed so many times one after another. Times are in ms.
+// Breaker is a circuit breaker that opens after a number of consecutive failures. Times are in ms of a
+// clock of the caller's choice. Not safe for concurrent use.
 type Breaker struct {
 	failureThreshold                    int
 	baseBackoffMillis, maxBackoffMillis float64
-	rng                                 *rand.Rand
-	consecutiveFailures                 int
-	openUntilMillis                     float64 // it is left alone till then
-	backoffMillis                       float64 // the last pause, before its jitter
-	probing                             bool    // it is asked once, to see
+	rng                                 *rand.Rand // for the jitter
+	consecutiveFailures                 int        // at most failureThreshold
+	openUntilMillis                     float64
+	backoffMillis                       float64 // the last one, before its jitter
+	probing                             bool    // half-open: the one probe is under way
 }
 
-// New makes a breaker that pauses after so many failures: for pause ms, doubled by each failure after that,
-// up to most.
+// New returns a closed breaker. It opens after failureThreshold consecutive failures, for baseBackoffMillis,
+// doubled by each failure after that up to maxBackoffMillis.
 func New(failureThreshold int, baseBackoffMillis, maxBackoffMillis float64, rng *rand.Rand) *Breaker {
-	return &Breaker{
-		failureThreshold:  failureThreshold,
-		baseBackoffMillis: baseBackoffMillis,
-		maxBackoffMillis:  maxBackoffMillis,
-		rng:               rng,
-	}
+	return &Breaker{failureThreshold: failureThreshold, baseBackoffMillis: baseBackoffMillis,
+		maxBackoffMillis: maxBackoffMillis, rng: rng}
 }
 
-// Admits tells whether to ask now, and if not, how long not to. What has been left alone is asked once, and
-// by nobody else until that has Ended or was Unasked.
-func (b *Breaker) Allow(nowMillis float64) (bool, float64) {
+// Allow reports whether a call may be made now, and if not, for how many ms not. When the backoff has
+// passed it admits one probe, and no other call until that is followed by Record or CancelAttempt.
+func (b *Breaker) Allow(nowMillis float64) (allowed bool, waitMillis float64) {
 	switch {
 	case b.consecutiveFailures < b.failureThreshold:
 		return true, 0
 	case nowMillis < b.openUntilMillis:
 		return false, b.openUntilMillis - nowMillis
 	case b.probing:
-		return false, b.backoffMillis // what the next pause will be about, at least
+		return false, b.backoffMillis // about the least that the next backoff will be
 	}
 	b.probing = true
 	return true, 0
 }
 
-// Ended takes how an ask went. Those that were under way when the pause began prolong nothing.
+// Record records the result of a call. Failures of calls that were under way when the breaker opened do not
+// prolong the backoff.
 func (b *Breaker) Record(success bool, nowMillis float64) {
 	if success {
 		b.consecutiveFailures, b.probing, b.backoffMillis, b.openUntilMillis = 0, false, 0, 0
@@ -66,11 +61,11 @@
 	b.openUntilMillis = nowMillis + b.backoffMillis*(1+jitterFraction*(b.rng.Float64()-0.5))
 }
 
-// Unasked notes that after all nothing was asked.
+// CancelAttempt takes back an admission: the call was not made after all.
 func (b *Breaker) CancelAttempt() { b.probing = false }
 
-// Shut tells whether it is left alone now, or asked once to see.
+// IsOpen reports whether calls are stopped now: the backoff has not passed, or its probe is under way.
 func (b *Breaker) IsOpen(nowMillis float64) bool { return nowMillis < b.openUntilMillis || b.probing }
 
-// Tripped tells whether it has failed so often that it is not to be relied on until an ask has gone well.
+// Tripped reports whether the failure threshold was reached and no call has succeeded since.
 func (b *Breaker) Tripped() bool { return b.consecutiveFailures >= b.failureThreshold }
--- a/internal/gateway/config/journal.go
+++ b/internal/gateway/config/journal.go
@@ -74,7 +74,8 @@
 		AnswersKB:   t.MaxStoredResponseBytes >> 10,
 		RememberS:   t.ResponseRetentionMillis / 1000,
 	}
-	f.Breaker.After, f.Breaker.PauseMS, f.Breaker.MostMS = t.BreakerThreshold, t.BreakerBackoffMillis, t.BreakerMaxBackoffMillis
+	f.Breaker.After = t.BreakerThreshold
+	f.Breaker.PauseMS, f.Breaker.MostMS = t.BreakerBackoffMillis, t.BreakerMaxBackoffMillis
 	if err := strictoml.Decode(text, &f); err != nil {
 		return nil, err
 	}
@@ -90,12 +91,7 @@
 	}
 	err := within(
 		bound{"window_ms", f.WindowMS, 0, txnjournal.MaxBatchWindowMillis},
-		bound{
-			"wait_ms",
-			f.WaitMS,
-			1,
-			txnjournal.MaxCommitWaitMillis,
-		},
+		bound{"wait_ms", f.WaitMS, 1, txnjournal.MaxCommitWaitMillis},
 		bound{"slow_ms", f.SlowMS, 1, txnjournal.MaxCommitWaitMillis},
 		bound{"lease_ms", f.LeaseMS, 100, txnjournal.MaxCoverageLeaseMillis},
 		bound{
@@ -116,9 +112,12 @@
 	if err != nil {
 		return nil, err
 	}
-	t.BatchWindowMillis, t.CommitWaitMillis, t.SlowCommitMillis, t.CoverageLeaseMillis = f.WindowMS, f.WaitMS, f.SlowMS, f.LeaseMS
+	t.BatchWindowMillis, t.CommitWaitMillis = f.WindowMS, f.WaitMS
+	t.SlowCommitMillis, t.CoverageLeaseMillis = f.SlowMS, f.LeaseMS
 	t.SegmentBytes, t.MaxSegments, t.MaxTxns = f.SegmentKB<<10, f.Segments, f.Txns
-	t.MaxResponseBytes, t.MaxStoredResponseBytes, t.ResponseRetentionMillis = f.AnswerBytes, f.AnswersKB<<10, f.RememberS*1000
-	t.BreakerThreshold, t.BreakerBackoffMillis, t.BreakerMaxBackoffMillis = f.Breaker.After, f.Breaker.PauseMS, f.Breaker.MostMS
+	t.MaxResponseBytes, t.MaxStoredResponseBytes = f.AnswerBytes, f.AnswersKB<<10
+	t.ResponseRetentionMillis = f.RememberS * 1000
+	t.BreakerThreshold = f.Breaker.After
+	t.BreakerBackoffMillis, t.BreakerMaxBackoffMillis = f.Breaker.PauseMS, f.Breaker.MostMS
 	return &Journal{Dir: f.Dir, Terms: t}, nil
 }
--- a/internal/gateway/lifecycle/journal_test.go
+++ b/internal/gateway/lifecycle/journal_test.go
@@ -49,11 +49,11 @@
 func answers(t *testing.T, dir, mark string) txnjournal.Verdict {
 	t.Helper()
 	now := float64(time.Now().UnixMilli())
-	b, _, _, _, err := store.ReadAll(store.Dir(dir), txnjournal.DefaultConfig(), now, nil, nil)
+	replay, err := store.ReadAll(store.Dir(dir), txnjournal.DefaultConfig(), now, store.Visitor{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, _, _ := b.Resolve(mark, now+5000, now+5000, now) // not so near to when the journal began
+	v, _, _ := replay.Index.Resolve(mark, now+5000, now+5000, now) // not so near to when the journal began
 	return v
 }
 
@@ -141,7 +141,8 @@
 			d := deployWith(t, func(c *config.Gatekeeper) {
 				journaled("")(c)
 				t := &c.Journal.Terms
-				t.Policy, t.CommitWaitMillis, t.CoverageLeaseMillis, t.BreakerBackoffMillis, t.BreakerMaxBackoffMillis = policy, 150, 200, 20, 40
+				t.Policy, t.CommitWaitMillis, t.CoverageLeaseMillis = policy, 150, 200
+				t.BreakerBackoffMillis, t.BreakerMaxBackoffMillis = 20, 40
 			}, 2, 5000)
 			if status, _ := d.ask(issue("/issue", "before")); status != "HTTP/1.1 200 OK" {
 				t.Fatalf("before: %q", status)
@@ -354,13 +355,13 @@
 	}
 	end := float64(time.Now().UnixMilli())
 	kept := store.Dir(filepath.Join(dir, "n0"))
-	b, found, _, lives, err := store.ReadAll(kept, txnjournal.DefaultConfig(), end, nil, nil)
+	replay, err := store.ReadAll(kept, txnjournal.DefaultConfig(), end, store.Visitor{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	count, falsely, early, needless := [3]int{}, 0, 0, 0
 	for mark, at := range asked {
-		v, why, _ := b.Resolve(mark, at, end, end)
+		v, why, _ := replay.Index.Resolve(mark, at, end, end)
 		count[v]++
 		switch {
 		case v == txnjournal.NotSent && ran[mark] > 0:
@@ -375,10 +376,10 @@
 	t.Logf(
 		"%d lives, %d records in %d segments, %d bytes cut; of %d txns %d ran, %d twice; settled %d, "+
 			"unknown %d (%d of them never ran), not sent %d; falsely not sent %d, falsely settled %d",
-		lives,
-		found.Records,
-		found.Segments,
-		found.UnreadableBytes,
+		replay.LastIncarnation,
+		replay.Stats.Records,
+		replay.Stats.Segments,
+		replay.Stats.UnreadableBytes,
 		len(asked),
 		len(ran),
 		twice,
@@ -389,7 +390,8 @@
 		falsely,
 		early,
 	)
-	if twice > 0 || early > 0 || len(ran) < *kills || int(lives) < *kills/2 {
-		t.Errorf("%d ran twice, %d are settled that never ran, %d ran in %d lives", twice, early, len(ran), lives)
+	if twice > 0 || early > 0 || len(ran) < *kills || int(replay.LastIncarnation) < *kills/2 {
+		t.Errorf("%d ran twice, %d are settled that never ran, %d ran in %d lives", twice, early, len(ran),
+			replay.LastIncarnation)
 	}
 }
--- a/internal/gcra/gcra_test.go
+++ b/internal/gcra/gcra_test.go
@@ -7,18 +7,18 @@
 
 func TestWait(t *testing.T) {
 	cases := []struct {
-		name                             string
-		fullAt, rate, depth, units, want float64
+		name                              string
+		fullAt, rate, depth, tokens, want float64
 	}{
-		{"full store", 0, 0.01, 3, 3, 0},
+		{"full bucket", 0, 0.01, 3, 3, 0},
 		{"more than it ever holds", 0, 0.01, 3, 4, 100},
 		{"exactly what is left", 1000 + 200, 0.01, 3, 1, 0},
-		{"one unit short", 1000 + 300, 0.01, 3, 1, 100},
+		{"one token short", 1000 + 300, 0.01, 3, 1, 100},
 		{"long past full", 10, 0.01, 1, 1, 0},
 		{"no rate", 0, 0, 3, 1, math.MaxFloat64},
 	}
 	for _, c := range cases {
-		if got := Wait(c.fullAt, 1000, c.rate, c.depth, c.units); math.Abs(got-c.want) > 1e-6 {
+		if got := Wait(c.fullAt, 1000, c.rate, c.depth, c.tokens); math.Abs(got-c.want) > 1e-6 {
 			t.Errorf("%s: waits %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/internal/txnjournal/golden_test.go
+++ b/internal/txnjournal/golden_test.go
@@ -22,8 +22,8 @@
 }
 
 // goldenRecords are what segment.hex holds behind its head, one of each kind. The file was written once by
-// AppendHead and Append, before names were changed. It is what older versions have on disk; new code must
-// never write it again.
+// AppendHeader and AppendRecord, before names were changed. It is what older versions have on disk; new
+// code must never write it again.
 func goldenRecords() []Record {
 	txn := func(kind Kind, end Outcome) Record {
 		return Record{
@@ -69,7 +69,9 @@
 	}
 }
 
-func goldenWrite(t *testing.T) []byte {
+// encodeGolden returns the golden segment as this version writes it.
+func encodeGolden(t *testing.T) []byte {
+	t.Helper()
 	b := AppendHeader(nil, goldenHeader())
 	for _, r := range goldenRecords() {
 		var err error
@@ -82,7 +84,7 @@
 
 func TestGoldenSegment(t *testing.T) {
 	old := goldentest.Hex(t, "segment.hex")
-	goldentest.SameBytes(t, goldenWrite(t), old)
+	goldentest.SameBytes(t, encodeGolden(t), old)
 	var got []Record
 	seen := ReadSegment(goldenNumber, old, func(_ int, r Record) { got = append(got, r) })
 	if seen.Header != goldenHeader() || seen.UnknownRecords != 0 || seen.UnreadableBytes != 0 ||
@@ -101,7 +103,7 @@
 	}
 }
 
-// Numbers of kinds, ends and policies, and names of files, are on disk. Their texts are at operators' hands.
+// Numbers of kinds, outcomes and policies, and names of files, are on disk. Operators know their texts.
 func TestGoldenNumbers(t *testing.T) {
 	for number, text := range []string{"", "meant", "ended", "kept", "covers", "checked", "gone", "stepped"} {
 		if got := Kind(number).String(); number > 0 && got != text {
@@ -110,7 +112,7 @@
 	}
 	for number, text := range []string{"open", "settled", "may have run", "never ran"} {
 		if got := Outcome(number).String(); got != text {
-			t.Errorf("end %d is %q, want %q", number, got, text)
+			t.Errorf("outcome %d is %q, want %q", number, got, text)
 		}
 	}
 	for number, text := range []string{"not sent", "sent, outcome unknown", "sent and settled"} {
--- a/internal/txnjournal/index.go
+++ b/internal/txnjournal/index.go
@@ -6,25 +6,32 @@
 	"slices"
 )
 
-// Book is what a journal says: its txns, and when it may lack some. It is filled by reading segments in the
-// order of their numbers, and by each record that is written after. Same records, same answers; it may be
-// told the same record twice. It is not safe for concurrent use.
+// maxUncertainPeriods bounds the periods that are kept one by one; the oldest are merged.
+const maxUncertainPeriods = 64
+
+// Index is the state that replaying a journal yields: its transactions, and the times for which it may lack
+// some. It is filled by reading segments in the order of their numbers and by each record that is written
+// thereafter. Replay is deterministic, and applying a record twice changes nothing. Not safe for concurrent
+// use.
 type Index struct {
-	config               Config
-	txns                 map[txnKey]*entry
-	byAge                []*entry // by when they were first told of; those forgotten are skipped
-	responseBytes        int      // bytes of answers
-	withResponse         []*entry // by when their answers came
-	started              bool
-	lastHeader           SegmentHeader // of the segment read last
-	latestMillis         float64       // time of the last record
-	horizonMillis        float64       // what was forgotten, or came before the journal, is no later
-	coveredUntilMillis   float64       // nothing is sent unwritten until then
-	firstLiveSegment     uint64
-	uncertain            []UncertainPeriod
-	missing              []missingSegments
-	UncertainPeriodCount int // doubts in all; the latest are in Doubts
-	OrphanOutcomes       int // ends without their beginnings
+	config        Config
+	txns          map[txnKey]*entry
+	byAge         []*entry // in the order of their first records; evicted ones are skipped
+	withResponse  []*entry // in the order in which their responses came
+	responseBytes int      // of all stored bodies
+	started       bool     // a segment was begun
+	lastHeader    SegmentHeader
+	latestMillis  float64 // of the last record
+	// horizonMillis is the time up to which transactions may have been evicted, or there was no journal.
+	horizonMillis float64
+	// coveredUntilMillis is the time before which nothing is sent unwritten.
+	coveredUntilMillis float64
+	firstLiveSegment   uint64
+	uncertain          []UncertainPeriod // the latest
+	missing            []missingSegments // until FinishReplay
+
+	UncertainPeriodCount int // of all ever; UncertainPeriods returns the latest
+	OrphanOutcomes       int // outcomes without an intent
 }
 
 type txnKey struct {
@@ -36,12 +43,12 @@
 	Entry
 	pending         []attemptKey
 	maybeExecuted   bool
-	lowestSegment   uint64 // the lowest segment that holds a record of it which is not repeated further on
+	lowestSegment   uint64 // that holds a record of it which no later checkpoint repeats
 	evicted         bool
 	respondedMillis float64
 }
 
-// gap is a time of which segments are missing, before the next one that is there.
+// missingSegments is the time of segments that are not there, before the next one that is.
 type missingSegments struct {
 	UncertainPeriod
 	nextSegment uint64
@@ -52,21 +59,21 @@
 	attempt     AttemptID
 }
 
-// Entry is a txn with what is known of it.
+// Entry is a transaction with what is known of it.
 type Entry struct {
 	Txn
-	Worker            string // of the submission told of last
+	Worker            string // of the latest attempt
 	Incarnation       uint32
-	FirstIntentMillis float64 // when it was first about to go out
+	FirstIntentMillis float64
 	ChangedMillis     float64
 	ExpiryMillis      float64
-	Attempts          int // submissions that were written down
-	PendingAttempts   int // of these without an end
+	Attempts          int // that were recorded
+	PendingAttempts   int // of these without an outcome
 	Completed         bool
 	Response          Response
 }
 
-// NewBook starts with nothing known.
+// NewIndex returns an empty index.
 func NewIndex(config Config) *Index {
 	return &Index{
 		config:             config,
@@ -76,52 +83,51 @@
 	}
 }
 
-// Opens tells that a segment begins, by its head. A blank one says nothing.
+// OpenSegment begins a segment by its header. For a blank segment BlankSegment is called in its place.
 func (x *Index) OpenSegment(header SegmentHeader) {
 	if header.Number > x.lastHeader.Number+1 {
 		x.noteMissing(x.lastHeader.Number+1, header)
 	} else if !x.started && !header.Corrupt {
-		x.horizonMillis = header.CreatedMillis // before it there was no journal
+		x.horizonMillis = header.CreatedMillis // there was no journal before
 	}
 	x.started = true
 	if header.Corrupt || header.Unsupported {
 		x.lastHeader.Number = header.Number
-		fromMillis := x.latestMillis // its promise can't be read
+		fromMillis := x.latestMillis // the promises of a corrupt segment are lost
 		if header.Unsupported {
 			fromMillis = header.CreatedMillis
 		}
 		x.coveredUntilMillis = math.Min(x.coveredUntilMillis, fromMillis)
 		return
 	}
-	if x.lastHeader.Incarnation > 0 &&
-		(clockStepped(&x.lastHeader, &header) || !math.IsInf(x.coveredUntilMillis, 1) && header.CreatedMillis < x.latestMillis) {
+	wentBack := !math.IsInf(x.coveredUntilMillis, 1) && header.CreatedMillis < x.latestMillis
+	if x.lastHeader.Incarnation > 0 && (clockStepped(&x.lastHeader, &header) || wentBack) {
 		x.clockStepped(header.CreatedMillis)
 	}
 	if header.Policy == RefuseUnwritten {
 		x.extendCoverage(header.CreatedMillis, math.Inf(1))
-	} else if header.Incarnation != x.lastHeader.Incarnation { // it has promised nothing yet
+	} else if header.Incarnation != x.lastHeader.Incarnation { // a new incarnation has promised nothing yet
 		x.extendCoverage(header.CreatedMillis, header.CreatedMillis)
 	}
 	x.lastHeader, x.latestMillis = header, header.CreatedMillis
 }
 
-// Blank tells that a segment is there in which nothing was ever written.
+// BlankSegment passes over a segment to which nothing was ever written.
 func (x *Index) BlankSegment(number uint64) {
 	if number == x.lastHeader.Number+1 || x.started {
 		x.lastHeader.Number = number
 	}
 }
 
-// missing notes that segments are not there. Where they were let go, a Checked further on says so.
+// noteMissing notes that segments are not there. If they were removed, a later KindCheckpoint record says so.
 func (x *Index) noteMissing(first uint64, next SegmentHeader) {
-	x.missing = append(
-		x.missing,
-		missingSegments{UncertainPeriod{math.Max(x.latestMillis, 0), math.Max(next.CreatedMillis, x.latestMillis),
-			fmt.Sprintf("segments %d to %d are missing", first, next.Number-1)}, next.Number},
-	)
+	period := UncertainPeriod{math.Max(x.latestMillis, 0), math.Max(next.CreatedMillis, x.latestMillis),
+		fmt.Sprintf("segments %d to %d are missing", first, next.Number-1)}
+	x.missing = append(x.missing, missingSegments{period, next.Number})
 }
 
-// covers renews the promise to send nothing unwritten. Between the last one's end and this is a doubt.
+// extendCoverage renews the promise to send nothing unwritten. The time between the end of the last promise
+// and this one is uncertain.
 func (x *Index) extendCoverage(atMillis, untilMillis float64) {
 	if atMillis > x.coveredUntilMillis {
 		x.addUncertain(
@@ -135,7 +141,8 @@
 	x.coveredUntilMillis = untilMillis
 }
 
-// step notes that the system's clock was set: by the new time all that is in doubt or forgotten was before.
+// clockStepped notes that the system's clock was set: on the new clock, all that is uncertain or was
+// evicted may have been at any time before atMillis.
 func (x *Index) clockStepped(atMillis float64) {
 	for i := range x.uncertain {
 		period := &x.uncertain[i]
@@ -147,7 +154,8 @@
 	x.horizonMillis = math.Max(x.horizonMillis, atMillis)
 }
 
-// doubt notes a time in which something may be missing. Beyond some, the oldest are taken as one.
+// addUncertain adds a period for which records may be missing. Beyond maxUncertainPeriods the oldest two are
+// merged.
 func (x *Index) addUncertain(period UncertainPeriod) {
 	x.UncertainPeriodCount++
 	if x.uncertain = append(x.uncertain, period); len(x.uncertain) > maxUncertainPeriods {
@@ -161,7 +169,7 @@
 	}
 }
 
-// Closes takes what reading a segment has met. until is when the next segment begins, or now.
+// CloseSegment adds what reading a segment has found. untilMillis is when the next segment begins, or now.
 func (x *Index) CloseSegment(report SegmentReport, untilMillis float64) {
 	for _, period := range report.Uncertain {
 		if math.IsInf(period.ToMillis, 1) {
@@ -171,7 +179,7 @@
 	}
 }
 
-// Take takes a record of a segment.
+// Apply applies a record of a segment.
 func (x *Index) Apply(segment uint64, record Record) {
 	x.latestMillis = math.Max(x.latestMillis, record.TimeMillis)
 	switch record.Kind {
@@ -197,7 +205,8 @@
 	}
 }
 
-// Finish ends the reading of segments: those that are missing, and were not let go, are doubts.
+// FinishReplay ends the reading of segments: the times of those that are missing, and were not removed
+// after a checkpoint, are uncertain.
 func (x *Index) FinishReplay() {
 	for _, gap := range x.missing {
 		if gap.nextSegment > x.firstLiveSegment {
@@ -216,7 +225,7 @@
 		e.Txn, e.FirstIntentMillis = record.Txn, record.TimeMillis
 		x.txns[k] = e
 		x.byAge = append(x.byAge, e)
-		if record.Kind == KindOutcome { // its beginning is lost, or was never written
+		if record.Kind == KindOutcome { // its intent is lost, or was never written
 			x.OrphanOutcomes++
 		}
 		defer x.evictOldest()
@@ -259,7 +268,7 @@
 	x.withResponse = append(x.withResponse, e)
 }
 
-// bound forgets the oldest txns beyond the terms.
+// evictOldest evicts the oldest transactions beyond MaxTxns.
 func (x *Index) evictOldest() {
 	for len(x.txns) > x.config.MaxTxns && len(x.byAge) > 0 {
 		x.evict(x.byAge[0])
@@ -267,7 +276,7 @@
 	}
 }
 
-// Trim lets go the answers that are too old, or too many.
+// TrimResponses drops stored responses that are too old or exceed MaxStoredResponseBytes, the oldest first.
 func (x *Index) TrimResponses(nowMillis float64) {
 	for len(x.withResponse) > 0 {
 		e := x.withResponse[0]
@@ -282,7 +291,8 @@
 	}
 }
 
-// forget lets a txn go. One that never ran leaves nothing unsaid.
+// evict removes a transaction and moves the horizon past it; not for one that was never executed, as
+// NotSent is the verdict on unknown transactions too.
 func (x *Index) evict(e *entry) {
 	if e.evicted {
 		return
@@ -295,7 +305,7 @@
 	}
 }
 
-// verdict tells what is known by a txn's own records.
+// verdict returns the verdict by the transaction's own records.
 func (e *entry) verdict() Verdict {
 	switch {
 	case e.Completed:
@@ -306,7 +316,8 @@
 	return NotSent
 }
 
-// Known gives a customer's txn, if it may have gone out; NotSent if nothing is known that could have.
+// Lookup returns what is known of a customer's transaction. It is NotSent where nothing is known that could
+// have been sent.
 func (x *Index) Lookup(customer uint64, requestID string) (Entry, Verdict) {
 	e := x.txns[txnKey{customer, requestID}]
 	if e == nil {
@@ -315,13 +326,11 @@
 	return e.Entry, e.verdict()
 }
 
-// Answers gives what is to be told of a txn that, if at all, went out between two times, and says why. Only
-// where the journal lacks nothing of these does it say that it was not sent. found is what it knows of the
-// mark, one for each customer.
-func (x *Index) Resolve(
-	requestID string,
-	fromMillis, toMillis, nowMillis float64,
-) (verdict Verdict, reason string, found []Entry) {
+// Resolve returns the verdict on the transactions with a request id that, if at all, were sent between two
+// times, with its reason. It is NotSent only where the journal lacks nothing of that time. found are the
+// transactions with that id, one for each customer.
+func (x *Index) Resolve(requestID string, fromMillis, toMillis, nowMillis float64) (verdict Verdict,
+	reason string, found []Entry) {
 	for _, e := range x.byAge {
 		if !e.evicted && e.RequestID == requestID {
 			verdict = max(verdict, e.verdict())
@@ -348,13 +357,13 @@
 	return NotSent, "the journal lacks nothing of that time", found
 }
 
-// Open tells whether a submission is written down, and its end is not.
+// IsPending reports whether an attempt has an intent and no outcome.
 func (x *Index) IsPending(txn Txn, incarnation uint32, attempt AttemptID) bool {
 	e := x.txns[txnKey{txn.Customer, txn.RequestID}]
 	return e != nil && slices.Contains(e.pending, attemptKey{incarnation, attempt})
 }
 
-// Each gives all txns, the oldest first.
+// Each calls visit with all transactions, the oldest first.
 func (x *Index) Each(visit func(Entry, Verdict)) {
 	for _, e := range x.byAge {
 		if !e.evicted {
@@ -363,21 +372,22 @@
 	}
 }
 
-// Horizon is the time from which on nothing has been forgotten; nor was there a journal before its first.
+// HorizonMillis returns the time since which no transaction was evicted. It is not before the journal began.
 func (x *Index) HorizonMillis() float64 { return x.horizonMillis }
 
-// Doubts gives the latest times in which something may be missing.
+// UncertainPeriods returns the latest periods for which records may be missing.
 func (x *Index) UncertainPeriods() []UncertainPeriod { return x.uncertain }
 
-// Len is how many txns are known, and how many bytes of answers are kept.
+// Len returns how many transactions are known, and how many bytes of responses are stored.
 func (x *Index) Len() (txns, responseBytes int) { return len(x.txns), x.responseBytes }
 
-// Below is the number below which segments are of no use.
+// FirstLiveSegment returns the number below which segments are no longer needed.
 func (x *Index) FirstLiveSegment() uint64 { return x.firstLiveSegment }
 
-// Checkpoint gives what has to be written, at the head of a new segment, before those below a number are let
-// go: the txns that only these hold, as far as they fit so many bytes, the oldest forgotten first, and last
-// the word that it is done. Once that is durable, Moved is to be called.
+// Checkpoint returns the records that have to be durable in a new segment before those below a number are
+// removed: a snapshot of each transaction that only these hold, as far as they fit maxBytes, and last the
+// KindCheckpoint record. The oldest that do not fit are evicted. CheckpointDurable is to be called once the
+// records are durable.
 func (x *Index) Checkpoint(below uint64, incarnation uint32, nowMillis float64, maxBytes int) []Record {
 	x.TrimResponses(nowMillis)
 	var records []Record
@@ -392,69 +402,47 @@
 			live = append(live, e)
 			continue
 		}
-		recordBytes := frameBytes + 72 + len(
-			e.RequestID,
-		) + len(
-			e.Product,
-		) + len(
-			e.Worker,
-		) + len(
-			e.Response.ContentType,
-		) +
-			len(
-				e.Response.ContentEncoding,
-			) + len(
-			e.Response.Body,
-		)
+		recordBytes := e.snapshotBytes()
 		if e.verdict() == NotSent || size+recordBytes > maxBytes {
 			x.evict(e)
 			continue
 		}
 		size += recordBytes
 		live = append(live, e)
-		outcome := OutcomeCompleted
-		if !e.Completed {
-			outcome = OutcomeUnknown
-		}
-		records = append(
-			records,
-			Record{
-				Kind:              KindSnapshot,
-				Incarnation:       incarnation,
-				TimeMillis:        nowMillis,
-				Txn:               e.Txn,
-				Worker:            e.Worker,
-				FirstIntentMillis: e.FirstIntentMillis,
-				ExpiryMillis:      e.ExpiryMillis,
-				Outcome:           outcome,
-				Response:          e.Response,
-			},
-		)
-	}
-	for i, j := 0, len(live)-1; i < j; i, j = i+1, j-1 {
-		live[i], live[j] = live[j], live[i]
+		records = append(records, e.snapshot(incarnation, nowMillis))
 	}
+	slices.Reverse(live)
 	x.byAge = live
-	for i, j := 0, len(records)-1; i < j; i, j = i+1, j-1 {
-		records[i], records[j] = records[j], records[i]
-	}
+	slices.Reverse(records)
 	horizonMillis := x.horizonMillis
 	if !isFinite(horizonMillis) {
 		horizonMillis = 0
 	}
-	return append(
-		records,
-		Record{
-			Kind:             KindCheckpoint,
-			Incarnation:      incarnation,
-			TimeMillis:       nowMillis,
-			FirstLiveSegment: below,
-			UntilMillis:      horizonMillis,
-		},
-	)
+	return append(records, Record{Kind: KindCheckpoint, Incarnation: incarnation, TimeMillis: nowMillis,
+		FirstLiveSegment: below, UntilMillis: horizonMillis})
+}
+
+// snapshotFieldBytes is the size of a snapshot's fields apart from texts and body.
+const snapshotFieldBytes = 72
+
+// snapshotBytes returns the size of the entry's snapshot record.
+func (e *entry) snapshotBytes() int {
+	return frameBytes + snapshotFieldBytes + len(e.RequestID) + len(e.Product) + len(e.Worker) +
+		len(e.Response.ContentType) + len(e.Response.ContentEncoding) + len(e.Response.Body)
+}
+
+// snapshot returns a record of all that is known of the transaction.
+func (e *entry) snapshot(incarnation uint32, nowMillis float64) Record {
+	outcome := OutcomeCompleted
+	if !e.Completed {
+		outcome = OutcomeUnknown
+	}
+	return Record{Kind: KindSnapshot, Incarnation: incarnation, TimeMillis: nowMillis, Txn: e.Txn,
+		Worker: e.Worker, FirstIntentMillis: e.FirstIntentMillis, ExpiryMillis: e.ExpiryMillis,
+		Outcome: outcome, Response: e.Response}
 }
 
-// Moved tells that a checkpoint is durable in a segment.
+// CheckpointDurable notes that the checkpoint of all segments below a number is durable in another segment.
 func (x *Index) CheckpointDurable(below, segment uint64) {
 	x.firstLiveSegment = max(x.firstLiveSegment, below)
 	for _, e := range x.byAge {
--- a/internal/txnjournal/store/bench_test.go
+++ b/internal/txnjournal/store/bench_test.go
@@ -7,7 +7,7 @@
 	"willowdeck/internal/txnjournal"
 )
 
-// Reading 4 MB of txns, as at a start.
+// BenchmarkRead replays 4 MB of transactions, as a start does.
 func BenchmarkRead(b *testing.B) {
 	m, t := NewMemoryDisk(1), txnjournal.DefaultConfig()
 	l, err := Open(m, t, Writer{}, 1e12, false)
@@ -35,8 +35,8 @@
 	}
 	b.ResetTimer()
 	for b.Loop() {
-		if _, found, _, _, err := ReadAll(m, t, 1e12, nil, nil); err != nil || found.Records < 10000 {
-			b.Fatal(err, found)
+		if replay, err := ReadAll(m, t, 1e12, Visitor{}); err != nil || replay.Stats.Records < 10000 {
+			b.Fatal(err, replay)
 		}
 	}
 }
--- a/internal/txnjournal/store/crash_test.go
+++ b/internal/txnjournal/store/crash_test.go
@@ -11,27 +11,28 @@
 	"willowdeck/internal/txnjournal"
 )
 
-var seedMultiplier = flag.Int("long", 1, "how many times as many seeds")
+var seedMultiplier = flag.Int("long", 1, "multiplier for the number of seeds")
 
-// truth is what became of a txn in the world, beside the journal.
+// groundTruth is what really became of a transaction.
 type groundTruth struct {
 	requestedMillis float64
-	maybeSent       bool // it may have gone out: its bytes may have reached a worker, and run
+	maybeSent       bool // it may have reached a worker and been executed
 	completed       bool
 }
 
-// life is one life of a gatekeeper over a disk: each txn is meant, goes out where the journal says so, and
-// ends in one of the ways there are. It ends with a crash, or in peace.
+// simulation runs incarnations of a gateway over a disk: each transaction is sent where the journal accepts
+// its intent, and gets one of the outcomes. An incarnation ends with a crash, or with its last step.
 type simulation struct {
 	t         *testing.T
 	rng       *rand.Rand
 	nowMillis float64
 	truths    map[string]*groundTruth
-	pending   []txnjournal.Record // submissions that are out
+	pending   []txnjournal.Record // attempts that are in flight
 	lastTxn   int
 	config    txnjournal.Config
 }
 
+// runIncarnation runs one incarnation for so many steps, each of them a commit.
 func (s *simulation) runIncarnation(disk *MemoryDisk, steps int) {
 	log, err := Open(
 		disk,
@@ -41,12 +42,12 @@
 		false,
 	)
 	if err != nil {
-		return // it crashed before
+		return // it crashed while opening
 	}
 	defer log.Close()
 	s.pending = nil
 	sequence := uint64(0)
-	var unwritten []txnjournal.Record // ends of a commit that failed
+	var unwritten []txnjournal.Record // outcomes of a commit that failed
 	for range steps {
 		s.nowMillis += 2500
 		if s.rng.Intn(15) == 0 {
@@ -107,16 +108,16 @@
 	}
 }
 
-// judge holds the answers of a journal against the truth, and counts them: txns that never went out, and of
-// these the doubtful ones.
+// check compares the journal's verdicts with the truth. It counts the transactions that were never sent,
+// and of these those whose verdict is not NotSent.
 func (s *simulation) check(disk Disk, what string) (notSent, uncertain int) {
 	s.t.Helper()
-	index, _, _, _, err := ReadAll(disk, s.config, s.nowMillis, nil, nil)
+	replay, err := ReadAll(disk, s.config, s.nowMillis, Visitor{})
 	if err != nil {
 		s.t.Fatal(what, err)
 	}
 	for requestID, truth := range s.truths {
-		verdict, reason, found := index.Resolve(
+		verdict, reason, found := replay.Index.Resolve(
 			requestID,
 			truth.requestedMillis,
 			truth.requestedMillis,
@@ -124,12 +125,12 @@
 		)
 		switch {
 		case verdict == txnjournal.NotSent && (truth.maybeSent || truth.completed):
-			s.t.Fatalf("%s: %s went out (%+v), and the journal says %v: %s", what, requestID, *truth, verdict, reason)
+			s.t.Fatalf("%s: %s was sent (%+v), and the verdict is %v: %s", what, requestID, *truth, verdict, reason)
 		case verdict == txnjournal.SentCompleted && !truth.completed:
-			s.t.Fatalf("%s: %s was not settled, and the journal says %v", what, requestID, verdict)
+			s.t.Fatalf("%s: %s was not completed, and the verdict is %v", what, requestID, verdict)
 		case verdict == txnjournal.SentCompleted && found[0].Response.Stored &&
 			string(found[0].Response.Body) != "done "+requestID:
-			s.t.Fatalf("%s: %s was answered %q", what, requestID, found[0].Response.Body)
+			s.t.Fatalf("%s: the response of %s is %q", what, requestID, found[0].Response.Body)
 		}
 		if !truth.maybeSent && !truth.completed {
 			if notSent++; verdict != txnjournal.NotSent {
@@ -140,10 +141,10 @@
 	return notSent, uncertain
 }
 
-// Whichever call of the disk is the last one, and whatever of the unsynced is there afterwards, the journal
-// never says of a txn that went out that it was not sent, nor that one was settled that was not. Guards
-// against a txn that goes out before its record is durable, a reader that takes a hole for the end, a failed
-// sync taken for a good one, and segments let go before what they alone hold is written again.
+// Whichever call of the disk is cut short by a crash, and whichever unsynced sectors survive, no
+// transaction that was sent is NotSent, and none that was not completed is SentCompleted. Guards against a
+// transaction that is sent before its intent is durable, a reader that takes a hole for the end, a failed
+// sync taken for a successful one, and segments removed before their checkpoint is durable.
 func TestCrashAtEachCall(t *testing.T) {
 	for _, powerCut := range []bool{false, true} {
 		t.Run(fmt.Sprint("power cut ", powerCut), func(t *testing.T) {
@@ -152,7 +153,7 @@
 				for at := 1; ; at++ {
 					config := txnjournal.DefaultConfig()
 					config.SegmentBytes, config.MaxSegments = 3000, 40
-					bounded := seed%2 == 0 // much is checked out and forgotten
+					bounded := seed%2 == 0 // many checkpoints and evictions
 					if bounded {
 						config.MaxSegments, config.MaxTxns = 3, 40
 					}
@@ -167,8 +168,8 @@
 					disk.CrashAtCall = at
 					sim.runIncarnation(disk, 60)
 					completed := !disk.crashed
-					for next := range 2 { // and again, from what the crash has left
-						what := fmt.Sprintf("seed %d, call %d, life %d", seed, at, next)
+					for next := range 2 { // go on from what the crash has left
+						what := fmt.Sprintf("seed %d, call %d, incarnation %d", seed, at, next)
 						disk = disk.Restart(powerCut)
 						n, m := sim.check(disk, what)
 						if crashes++; !bounded {
@@ -183,16 +184,16 @@
 					}
 				}
 			}
-			t.Logf("%d crashes; where nothing is forgotten %d txns never went out, of these %d are in doubt", crashes,
+			t.Logf("%d crashes; where nothing is evicted %d transactions were never sent, of these %d are uncertain", crashes,
 				notSent, uncertain)
 			if notSent == 0 || uncertain*2 > notSent {
-				t.Errorf("%d of %d txns that never went out are in doubt", uncertain, notSent)
+				t.Errorf("%d of %d transactions that were never sent are uncertain", uncertain, notSent)
 			}
 		})
 	}
 }
 
-// Bits that turn over in what was durable put in doubt what lay there, and are never taken for nothing.
+// Flipped bits in durable records make their time uncertain, and are never taken for blank space.
 func TestFlippedBits(t *testing.T) {
 	notSent, uncertain := 0, 0
 	for seed := range int64(300 * *seedMultiplier) {
@@ -212,7 +213,7 @@
 		slices.Sort(names)
 		for range 1 + sim.rng.Intn(3) {
 			name := names[sim.rng.Intn(len(names))]
-			// of what was written: a bit in blank room would be damage at the end
+			// only within what was written: a bit in blank space would be a torn end
 			b, _ := disk.Load(name)
 			used := 0
 			for i, x := range b {
@@ -227,8 +228,8 @@
 		n, m := sim.check(disk, fmt.Sprint("seed ", seed))
 		notSent, uncertain = notSent+n, uncertain+m
 	}
-	t.Logf("%d txns never went out, of these %d are in doubt", notSent, uncertain)
+	t.Logf("%d transactions were never sent, of these %d are uncertain", notSent, uncertain)
 	if uncertain == 0 || uncertain == notSent {
-		t.Errorf("%d of %d txns that never went out are in doubt", uncertain, notSent)
+		t.Errorf("%d of %d transactions that were never sent are uncertain", uncertain, notSent)
 	}
 }
--- a/internal/txnjournal/store/disk.go
+++ b/internal/txnjournal/store/disk.go
@@ -1,5 +1,3 @@
-// Package store keeps a journal's files: it commits records in groups, makes new segments, lets old ones go,
-// and reads all of them at a start. What the records say is package txnjournal's.
 package store
 
 import (
@@ -13,41 +11,42 @@
 )
 
 const (
-	lockFileName    = "lock"
-	lockRetryPeriod = 100 * time.Millisecond // in which one that was killed lets its files go
+	lockFileName = "lock"
+	// lockRetryPeriod is how long Lock retries: a process that was killed keeps its lock until it is gone.
+	lockRetryPeriod = 100 * time.Millisecond
 )
 
-// ErrTaken tells that another process has the journal.
-var ErrLocked = errors.New("journal: another process has it")
+// ErrLocked says that another process has the journal.
+var ErrLocked = errors.New("journal: locked by another process")
 
-// Disk is where a journal's files are. Errors are as the system gives them.
+// Disk is where a journal's files are. Errors wrap those of the system.
 type Disk interface {
-	// Names gives the files there are, in any order.
+	// Names returns the names of all files, in any order.
 	Names() ([]string, error)
-	// Create makes a file that is not there yet, with room for so many bytes.
+	// Create creates a file of so many bytes. The error is fs.ErrExist where there is one of that name.
 	Create(name string, size int) (File, error)
-	// Load reads a file.
+	// Load returns the content of a file.
 	Load(name string) ([]byte, error)
 	// Remove removes a file.
 	Remove(name string) error
-	// Sync returns once files made and removed before outlive the machine.
+	// Sync makes the creation and removal of files durable.
 	Sync() error
-	// Lock keeps other processes from writing until it is closed, or gives ErrTaken.
+	// Lock keeps other processes from writing until it is closed. The error is ErrLocked where another has it.
 	Lock() (io.Closer, error)
 }
 
-// File is a file that is written. What was written counts as durable once Sync has returned well, and never
-// if Sync has failed: what a later Sync says is of no worth then.
+// File is a segment's file. What was written is durable once Sync has succeeded. After a Sync that failed
+// it is unknown what is durable, whatever a later Sync returns.
 type File interface {
 	io.WriterAt
 	io.Closer
 	Sync() error
 }
 
-// Dir is a directory.
+// Dir is a directory of the file system, the Disk of programs in service.
 type Dir string
 
-// Names gives the files there are.
+// Names returns the names of all files.
 func (d Dir) Names() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -62,12 +61,13 @@
 	return names, nil
 }
 
+// segmentFile is a preallocated file: Sync needs no metadata.
 type segmentFile struct{ *os.File }
 
-// Sync writes out what was written; the size does not change.
+// Sync makes what was written durable. The file's size does not change.
 func (f segmentFile) Sync() error { return syscall.Fdatasync(int(f.Fd())) }
 
-// Create makes a file with its room, so that a full disk is met here and not by a txn.
+// Create allocates the file's blocks, so that a full disk fails here and not while a transaction waits.
 func (d Dir) Create(name string, size int) (File, error) {
 	f, err := os.OpenFile(filepath.Join(string(d), name), os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
@@ -88,23 +88,23 @@
 	return segmentFile{f}, nil
 }
 
-// Load reads a file.
+// Load returns the content of a file.
 func (d Dir) Load(name string) ([]byte, error) { return os.ReadFile(filepath.Join(string(d), name)) }
 
 // Remove removes a file.
 func (d Dir) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
-// Sync writes the directory out.
+// Sync makes the directory's entries durable.
 func (d Dir) Sync() error {
 	f, err := os.Open(string(d))
 	if err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was opened for reading
 	return f.Sync()
 }
 
-// Lock takes the lock file's lock. The directory is made where there is none.
+// Lock locks the lock file. The directory is created where there is none.
 func (d Dir) Lock() (io.Closer, error) {
 	if err := os.MkdirAll(string(d), 0o700); err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
--- a/internal/txnjournal/store/golden_test.go
+++ b/internal/txnjournal/store/golden_test.go
@@ -11,7 +11,7 @@
 	"willowdeck/internal/txnjournal"
 )
 
-// The golden files are the two segments of a directory as goldenWrite left it, but for the blank bytes
+// The golden files are the two segments of a directory as writeGolden left it, but for the blank bytes
 // behind their records. They were written once, before names were changed. They are what older versions have
 // on disk; new code must never write them again.
 var goldenSegments = []string{"0000000000000001.wdj", "0000000000000002.wdj"}
@@ -44,7 +44,7 @@
 	}
 }
 
-// goldenWrite has two lives write a journal in a directory.
+// writeGolden has two incarnations write a journal in a directory.
 func writeGolden(t *testing.T, dir string) {
 	t.Helper()
 	who := Writer{Instance: "gateway-7", BootID: 0x15161718, ClockOffsetMillis: 1234.5}
@@ -98,7 +98,7 @@
 	}
 }
 
-// A directory of an older version tells what became of each txn.
+// A directory of an older version yields the verdict on each transaction.
 func TestGoldenDirectoryRead(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range goldenSegments {
@@ -114,20 +114,20 @@
 	defer log.Close()
 	if f := log.Replayed; f.Segments != 2 || f.Records != 6 || f.Unsupported+f.Torn+f.Corrupt != 0 ||
 		log.Incarnation() != 3 {
-		t.Errorf("found %+v, life %d", f, log.Incarnation())
+		t.Errorf("found %+v, incarnation %d", f, log.Incarnation())
 	}
-	log.View(func(book *txnjournal.Index) {
+	log.View(func(index *txnjournal.Index) {
 		for mark, want := range map[string]txnjournal.Verdict{"one": txnjournal.SentCompleted,
 			"two":   txnjournal.SentUnknown,
 			"three": txnjournal.NotSent} {
-			txn, verdict := book.Lookup(0x3132333435363738, mark)
+			txn, verdict := index.Lookup(0x3132333435363738, mark)
 			if verdict != want {
 				t.Errorf("%s is %v, want %v", mark, verdict, want)
 			}
 			if a := txn.Response; mark == "one" &&
 				(a.ContentType != "text/plain" || a.ContentEncoding != "gzip" || !a.Stored ||
-					string(a.Body) != "body" || txn.Txn.Digest != 0x41424344) {
-				t.Errorf("the answer of %s is %+v", mark, txn)
+					string(a.Body) != "body" || txn.Digest != 0x41424344) {
+				t.Errorf("the response of %s is %+v", mark, txn)
 			}
 		}
 	})
--- a/internal/txnjournal/store/journal.go
+++ b/internal/txnjournal/store/journal.go
@@ -12,65 +12,51 @@
 	"willowdeck/internal/txnjournal"
 )
 
-const (
-	maxQueuedBytes      = 1 << 20                // bytes of records, about, that wait; ends are dropped beyond
-	recordOverheadBytes = 160                    // bytes of one, about, without its answer
-	shutdownTimeout     = 500 * time.Millisecond // that a hand-over or a stop waits for the disk
-	clockStepMillis     = 1000.0                 // ms by which the system's clock leaves the machine's own if it was set
-)
+// shutdownTimeout is how long a handover or a shutdown waits for the disk.
+const shutdownTimeout = 500 * time.Millisecond
 
-// Keeper keeps a journal while a gatekeeper runs: txns wait in Meant for their group, and for nothing else.
-// Its methods may be called from any goroutine.
+// Journal is the durable journal of a running gateway. RecordIntent waits for the commit of its batch, and
+// for nothing else; one goroutine of its own does all I/O. Its methods may be called from any goroutine.
 type Journal struct {
 	config    txnjournal.Config
 	logger    zerolog.Logger
-	started   time.Time
+	started   time.Time // the epoch of ageMillis
 	wake      chan struct{}
 	stop      chan struct{}
-	done      chan struct{} // closed once the writer has ended
+	done      chan struct{} // closed once the writer goroutine has ended
 	closeOnce sync.Once
 	opened    chan struct{} // closed once the journal was read, or could not be
 
-	mu                 sync.Mutex
-	log                *Log // nil until it is open
-	breaker            *circuitbreaker.Breaker
-	queue              []queuedRecord
-	queuedBytes        int
-	commitStarted      time.Time // when the commit under way began; zero without one
-	coveredUntilMillis float64   // ms after epoch up to which it may have been promised to send nothing unwritten
+	mu            sync.Mutex // guards what follows; never held over I/O
+	log           *Log       // nil until it is open
+	breaker       *circuitbreaker.Breaker
+	queue         []queuedRecord
+	queuedBytes   int
+	commitStarted time.Time // of the I/O under way; zero without one
+	// coveredUntilMillis is the age up to which the journal may have promised that nothing is sent unwritten.
+	coveredUntilMillis float64
 	retired            bool
-	coverageDurable    bool // under Serve: the journal knows of this life, and up to when it has everything
-	predecessorEnded   bool // the process before has ended
-	clockOffsetMillis  float64
-	counters           counters
-}
-
-// queued is a record that waits for the disk, and who waits for it.
-type queuedRecord struct {
-	txnjournal.Record
-	durable chan bool // takes one word; nil where nobody waits
-	bytes   int
+	// coverageDurable: a commit of this incarnation has succeeded, so under ServeUnwritten the journal says up
+	// to when it is complete.
+	coverageDurable   bool
+	predecessorEnded  bool
+	clockOffsetMillis float64 // of the system's clock against ageMillis
+	counters          counters
 }
 
-// counts are what operators see.
+// counters are the totals at the operators' port.
 type counters struct {
 	commits, records, failures int64
-	rejected                   int64 // submissions that were not sent, as they could not be written down
-	late                       int64 // of these, those whose group came too late
-	uncertain                  int64 // submissions that were sent unwritten
-	droppedOutcomes            int64 // ends that were not written down
+	rejected                   int64 // attempts that were not sent, as their intent could not be made durable
+	late                       int64 // of these, those whose batch took longer than the commit wait
+	uncertain                  int64 // attempts that were sent unwritten
+	droppedOutcomes            int64 // outcomes that were not written
 }
 
-// Keep begins to keep a journal: it is read beside the caller. Same as Open, beside tells of a process that
-// goes on telling ends until Settle.
-func Start(
-	disk Disk,
-	config txnjournal.Config,
-	writer Writer,
-	overlap bool,
-	seed int64,
-	logger zerolog.Logger,
-) *Journal {
+// Start starts a journal, which is read in the background. overlap says that the predecessor process still
+// writes outcomes until PredecessorEnded, as with Open. The caller ends it by Close.
+func Start(disk Disk, config txnjournal.Config, writer Writer, overlap bool, seed int64,
+	logger zerolog.Logger) *Journal {
 	j := &Journal{
 		config:           config,
 		logger:           logger,
@@ -80,43 +66,42 @@
 		done:             make(chan struct{}),
 		opened:           make(chan struct{}),
 		predecessorEnded: !overlap,
-		breaker: circuitbreaker.New(
-			config.BreakerThreshold,
-			config.BreakerBackoffMillis,
-			config.BreakerMaxBackoffMillis,
-			rand.New(rand.NewSource(seed)),
-		),
+		breaker: circuitbreaker.New(config.BreakerThreshold, config.BreakerBackoffMillis,
+			config.BreakerMaxBackoffMillis, rand.New(rand.NewSource(seed))),
 	}
 	go j.run(disk, writer, overlap)
 	return j
 }
 
-// wall is the time by the system's clock, Unix ms.
+// millis returns a duration of milliseconds.
+func millis(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
+
+// wallMillis returns the time by the system's clock, in Unix ms.
 func wallMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-// age is ms since the epoch, however the system's clock is set.
+// ageMillis returns the monotonic time since Start, in ms, whatever becomes of the system's clock.
 func (j *Journal) ageMillis() float64 {
 	return float64(time.Since(j.started)) / float64(time.Millisecond)
 }
 
-// Known gives what is known of a customer's txn, once the journal has been read. It is false where that takes
-// longer than so long, or the journal can't be had: nothing is known then, and Meant lets nothing out.
-func (j *Journal) Lookup(customer uint64, requestID string, timeout time.Duration) (e txnjournal.Entry,
-	v txnjournal.Verdict, ok bool) {
+// Lookup returns what is known of a customer's transaction, once the journal has been read. ok is false where
+// that takes longer than the timeout, or the journal can't be read; RecordIntent then rejects all attempts.
+func (j *Journal) Lookup(customer uint64, requestID string, timeout time.Duration) (entry txnjournal.Entry,
+	verdict txnjournal.Verdict, ok bool) {
 	if !j.awaitOpen(timeout) {
-		return e, v, false
+		return entry, verdict, false
 	}
 	j.mu.Lock()
 	log := j.log
 	j.mu.Unlock()
 	if log == nil {
-		return e, v, false
+		return entry, verdict, false
 	}
-	log.View(func(b *txnjournal.Index) { e, v = b.Lookup(customer, requestID) })
-	return e, v, true
+	log.View(func(index *txnjournal.Index) { entry, verdict = index.Lookup(customer, requestID) })
+	return entry, verdict, true
 }
 
-// await waits until the journal has been read.
+// awaitOpen waits until the journal was read, and returns false at the timeout.
 func (j *Journal) awaitOpen(timeout time.Duration) bool {
 	select {
 	case <-j.opened:
@@ -133,17 +118,13 @@
 	}
 }
 
-// Meant writes down that a submission is about to be sent, and tells whether it may be. It returns once that
-// is durable, or at the latest at until or when the terms' wait has passed. However it goes, Ended is to be
-// told.
-func (j *Journal) RecordIntent(
-	txn txnjournal.Txn,
-	attempt txnjournal.AttemptID,
-	worker string,
-	expiryMillis float64,
-	deadline time.Time,
-) bool {
-	wait := min(time.Duration(j.config.CommitWaitMillis*float64(time.Millisecond)), time.Until(deadline))
+// RecordIntent records that an attempt is about to be sent, and reports whether it may be. It returns once
+// the record is durable, and at the latest at the deadline or after the commit wait. In every case
+// RecordOutcome is to be called thereafter. expiryMillis is when the client is to have its response, 0 or
+// infinite if not known.
+func (j *Journal) RecordIntent(txn txnjournal.Txn, attempt txnjournal.AttemptID, worker string,
+	expiryMillis float64, deadline time.Time) bool {
+	wait := min(millis(j.config.CommitWaitMillis), time.Until(deadline))
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	if !j.awaitOpen(wait) {
@@ -189,15 +170,16 @@
 	}
 }
 
-// went tells, under the lock, whether a txn may have gone out before.
+// maybeSent reports whether a transaction may have been sent before. Called with the lock held.
 func (j *Journal) maybeSent(txn txnjournal.Txn) (sent bool) {
-	j.log.View(func(b *txnjournal.Index) {
-		_, v := b.Lookup(txn.Customer, txn.RequestID)
-		sent = v != txnjournal.NotSent
+	j.log.View(func(index *txnjournal.Index) {
+		_, verdict := index.Lookup(txn.Customer, txn.RequestID)
+		sent = verdict != txnjournal.NotSent
 	})
 	return sent
 }
 
+// reject counts a rejected attempt and returns false.
 func (j *Journal) reject() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -205,29 +187,25 @@
 	return false
 }
 
-// well tells, under the lock, whether the disk may be waited for.
+// available reports whether the disk may be waited for. Called with the lock held.
 func (j *Journal) available() bool {
 	stalled := !j.commitStarted.IsZero() &&
 		float64(time.Since(j.commitStarted)) > j.config.SlowCommitMillis*float64(time.Millisecond)
 	return j.log != nil && !j.retired && !j.breaker.Tripped() && !stalled
 }
 
-// unwritten tells, under the lock, whether a txn may be sent that can't be written down: only by the policy,
-// by the one process whose journal it is, and not before the last promise to the contrary has run out. Nor
-// before the first: a life of which the journal knows nothing sends nothing that it does not know.
+// maySendUnwritten reports whether a transaction may be sent whose intent can't be written: only under
+// ServeUnwritten, by the one process that owns the journal, once the last promise to the contrary has
+// expired, and not before the first: an incarnation that the journal does not know of sends nothing
+// unwritten. Called with the lock held.
 func (j *Journal) maySendUnwritten() bool {
 	return j.config.Policy == txnjournal.ServeUnwritten && j.coverageDurable && !j.retired &&
 		j.ageMillis() > j.coveredUntilMillis
 }
 
-// Ended writes down how a submission ended. It never waits.
-func (j *Journal) RecordOutcome(
-	txn txnjournal.Txn,
-	attempt txnjournal.AttemptID,
-	worker string,
-	outcome txnjournal.Outcome,
-	response txnjournal.Response,
-) {
+// RecordOutcome records how an attempt ended. It never waits.
+func (j *Journal) RecordOutcome(txn txnjournal.Txn, attempt txnjournal.AttemptID, worker string,
+	outcome txnjournal.Outcome, response txnjournal.Response) {
 	if len(response.Body) > j.config.MaxResponseBytes {
 		response = txnjournal.Response{}
 	}
@@ -237,313 +215,17 @@
 		return
 	}
 	intended := false
-	j.log.View(func(b *txnjournal.Index) { intended = b.IsPending(txn, j.log.Incarnation(), attempt) })
+	j.log.View(func(index *txnjournal.Index) {
+		intended = index.IsPending(txn, j.log.Incarnation(), attempt)
+	})
 	if !intended && outcome == txnjournal.OutcomeNotExecuted {
-		return // it was refused
-	}
-	j.enqueue(
-		txnjournal.Record{
-			Kind:       txnjournal.KindOutcome,
-			TimeMillis: wallMillis(),
-			Txn:        txn,
-			Attempt:    attempt,
-			Worker:     worker,
-			Outcome:    outcome,
-			Response:   response,
-		},
-		nil,
-	)
-}
-
-// push queues a record, under the lock. What waits stays bounded: an end that is not written down leaves its
-// txn unknown.
-func (j *Journal) enqueue(record txnjournal.Record, durable chan bool) {
-	record.Incarnation = j.log.Incarnation()
-	j.log.Apply(record)
-	queued := queuedRecord{record, durable, recordOverheadBytes + len(record.Response.Body)}
-	if j.queuedBytes+queued.bytes > j.queueLimitBytes() && durable == nil {
-		j.counters.droppedOutcomes++
-		return
-	}
-	j.queuedBytes += queued.bytes
-	j.queue = append(j.queue, queued)
-	select {
-	case j.wake <- struct{}{}:
-	default:
-	}
-}
-
-// most is how many bytes may wait: they have to fit a segment together with what a checkpoint takes.
-func (j *Journal) queueLimitBytes() int { return min(maxQueuedBytes, j.config.SegmentBytes/4) }
-
-// run opens the journal and writes what comes, until Close.
-func (j *Journal) run(disk Disk, writer Writer, overlap bool) {
-	defer close(j.done)
-	j.open(disk, writer, overlap)
-	close(j.opened)
-	for backoffMillis := j.config.BreakerBackoffMillis; j.log == nil; backoffMillis = math.Min(2*backoffMillis, j.config.BreakerMaxBackoffMillis) {
-		if !j.sleep(backoffMillis) { // one that drains may have it still
-			return
-		}
-		j.open(disk, writer, overlap)
-	}
-	if j.config.Policy == txnjournal.ServeUnwritten {
-		j.commit()
-	}
-	for j.awaitWork() {
-		j.commit()
-	}
-	j.commit()
-	j.log.Close()
-}
-
-func (j *Journal) sleep(millis float64) bool {
-	timer := time.NewTimer(time.Duration(millis * float64(time.Millisecond)))
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-j.stop:
-		return false
-	}
-}
-
-func (j *Journal) open(disk Disk, writer Writer, overlap bool) {
-	start := time.Now()
-	log, err := Open(disk, j.config, writer, wallMillis(), overlap)
-	if err != nil {
-		j.logger.Error().Err(err).Msg("no journal: no once-only txn goes out")
-		return
-	}
-	j.mu.Lock()
-	j.log = log
-	j.clockOffsetMillis = wallMillis() - j.ageMillis()
-	predecessorEnded := j.predecessorEnded
-	j.mu.Unlock()
-	if predecessorEnded {
-		log.AbsorbPredecessor()
-	}
-	stats := log.Replayed
-	j.logger.Info().Uint32(
-		"life",
-		log.Incarnation(),
-	).Int(
-		"segments",
-		stats.Segments,
-	).Int(
-		"records",
-		stats.Records,
-	).
-		Int64(
-			"cut_bytes",
-			stats.UnreadableBytes,
-		).Int(
-		"torn",
-		stats.Torn,
-	).Int(
-		"damaged",
-		stats.Corrupt,
-	).Int(
-		"unreadable",
-		stats.Unsupported,
-	).
-		Dur(
-			"took",
-			time.Since(start),
-		).Msg(
-		"journal read",
-	)
-}
-
-// rest waits until there is something to commit, and tells whether to go on. While the disk is left alone it
-// waits for the end of that.
-func (j *Journal) awaitWork() bool {
-	for {
-		j.mu.Lock()
-		tripped, allowed, waitMillis := j.breaker.Tripped(), true, 0.0
-		if tripped {
-			allowed, waitMillis = j.breaker.Allow(j.ageMillis())
-		}
-		queued := len(j.queue) > 0
-		j.mu.Unlock()
-		switch {
-		case !allowed:
-			if !j.sleep(math.Max(waitMillis, 1)) {
-				return false
-			}
-			continue
-		case tripped || queued:
-			return true
-		}
-		idle := time.Hour
-		if j.config.Policy == txnjournal.ServeUnwritten {
-			idle = time.Duration(j.config.CoverageLeaseMillis / 3 * float64(time.Millisecond))
-		}
-		timer := time.NewTimer(idle)
-		select {
-		case <-j.stop:
-			timer.Stop()
-			return false
-		case <-timer.C:
-			return true
-		case <-j.wake:
-			timer.Stop()
-		}
-	}
-}
-
-// commit writes what waits, as one group: what is there and what comes within the window at once, so that it
-// outlives the process, and then all of it for good.
-func (j *Journal) commit() {
-	j.mu.Lock()
-	nowMillis := wallMillis()
-	batch, records := j.dequeue(j.controlRecords(nowMillis))
-	if len(records) == 0 && j.breaker.Tripped() {
-		records = append(
-			records,
-			txnjournal.Record{Kind: txnjournal.KindCoverage, TimeMillis: nowMillis, UntilMillis: nowMillis},
-		) // to see whether it goes again
-	}
-	batching := !j.breaker.Tripped()
-	log := j.log
-	j.mu.Unlock()
-	if len(records) == 0 {
-		return
-	}
-	count := len(records)
-	var duration time.Duration
-	write := func(operation func() error) error {
-		start := time.Now()
-		err := j.timedIO(operation)
-		duration += time.Since(start)
-		return err
-	}
-	err := write(func() error { return log.Stage(records, nowMillis) })
-	for end := time.Now().Add(j.batchWindow()); err == nil && batching && j.awaitRecord(time.Until(end)); {
-		var more []queuedRecord
-		j.mu.Lock()
-		more, records = j.dequeue(records[:0])
-		j.mu.Unlock()
-		batch, count = append(batch, more...), count+len(records)
-		err = write(func() error { return log.Stage(records, nowMillis) })
-	}
-	if err == nil {
-		err = write(func() error { return log.Commit(nil, nowMillis) })
-	}
-
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	tookMillis := float64(duration) / float64(time.Millisecond)
-	wasTripped := j.breaker.Tripped()
-	j.breaker.Record(err == nil && tookMillis <= j.config.SlowCommitMillis, j.ageMillis())
-	if tripped := j.breaker.Tripped(); tripped != wasTripped {
-		j.logger.Warn().Err(err).Float64("took_ms", tookMillis).Bool("down", tripped).Msg("journal")
-	}
-	j.counters.commits++
-	if err == nil {
-		j.counters.records += int64(count)
-		j.coverageDurable = true
-	} else {
-		j.counters.failures++
-	}
-	var unwritten []queuedRecord
-	for _, queued := range batch {
-		switch {
-		case queued.durable != nil:
-			queued.durable <- err == nil
-		case err != nil:
-			unwritten = append(unwritten, queued)
-		}
-	}
-	if err != nil {
-		j.requeue(unwritten)
-	}
-	log.View(func(b *txnjournal.Index) { b.TrimResponses(nowMillis) })
-}
-
-func (j *Journal) batchWindow() time.Duration {
-	return time.Duration(j.config.BatchWindowMillis * float64(time.Millisecond))
-}
-
-// comes waits for more of a group, and tells whether it has come; not longer than so long, nor once it ends.
-func (j *Journal) awaitRecord(timeout time.Duration) bool {
-	if timeout <= 0 {
-		return false
-	}
-	timer := time.NewTimer(timeout)
-	defer timer.Stop()
-	select {
-	case <-j.wake:
-		return true
-	case <-timer.C:
-	case <-j.stop:
-	}
-	return false
-}
-
-// gather takes what waits, under the lock, and gives its records behind others.
-func (j *Journal) dequeue(records []txnjournal.Record) ([]queuedRecord, []txnjournal.Record) {
-	batch := j.queue
-	j.queue, j.queuedBytes = nil, 0
-	for _, queued := range batch {
-		records = append(records, queued.Record)
-	}
-	return batch, records
-}
-
-// timed calls the disk, and has it seen for how long it takes.
-func (j *Journal) timedIO(operation func() error) error {
-	j.mu.Lock()
-	j.commitStarted = time.Now()
-	j.mu.Unlock()
-	err := operation()
-	j.mu.Lock()
-	j.commitStarted = time.Time{}
-	j.mu.Unlock()
-	return err
-}
-
-// again puts the ends of a group that failed before what came meanwhile: they are still to be written down.
-func (j *Journal) requeue(outcomes []queuedRecord) {
-	newer := j.queue
-	j.queue, j.queuedBytes = nil, 0
-	for _, queued := range append(outcomes, newer...) {
-		if j.queuedBytes+queued.bytes > j.queueLimitBytes() && queued.durable == nil {
-			j.counters.droppedOutcomes++
-			continue
-		}
-		j.queuedBytes += queued.bytes
-		j.queue = append(j.queue, queued)
-	}
-}
-
-// marks gives what a group has to say besides its txns: that the clock was set, and under Serve how long
-// nothing is sent unwritten.
-func (j *Journal) controlRecords(nowMillis float64) (records []txnjournal.Record) {
-	if offsetMillis := nowMillis - j.ageMillis(); math.Abs(offsetMillis-j.clockOffsetMillis) > clockStepMillis {
-		j.clockOffsetMillis = offsetMillis
-		records = append(
-			records,
-			txnjournal.Record{Kind: txnjournal.KindClockStep, TimeMillis: nowMillis, UntilMillis: nowMillis},
-		)
-	}
-	if ageMillis := j.ageMillis(); j.config.Policy == txnjournal.ServeUnwritten && !j.retired &&
-		!j.breaker.Tripped() &&
-		j.coveredUntilMillis < ageMillis+j.config.CoverageLeaseMillis/2 { // a disk that is left alone is promised nothing
-		j.coveredUntilMillis = ageMillis + j.config.CoverageLeaseMillis
-		records = append(
-			records,
-			txnjournal.Record{
-				Kind:        txnjournal.KindCoverage,
-				TimeMillis:  nowMillis,
-				UntilMillis: nowMillis + j.config.CoverageLeaseMillis,
-			},
-		)
+		return // it was rejected
 	}
-	return records
+	j.enqueue(txnjournal.Record{Kind: txnjournal.KindOutcome, TimeMillis: wallMillis(), Txn: txn,
+		Attempt: attempt, Worker: worker, Outcome: outcome, Response: response}, nil)
 }
 
-// Settle tells that the process before this one has ended.
+// PredecessorEnded says that the predecessor process has ended: its last outcomes are read.
 func (j *Journal) PredecessorEnded() {
 	j.mu.Lock()
 	j.predecessorEnded = true
@@ -554,10 +236,11 @@
 	}
 }
 
-// Retire lets another process take over: from here on nothing is meant, and the lock is free once it returns.
+// Retire hands the journal over to a successor process: from here on no intent is recorded, and the lock is
+// free once it returns.
 func (j *Journal) Retire() { j.retire(true) }
 
-// Close ends the keeping, and waits a little for what is to be written.
+// Close ends the journal. It waits for the queue to be written, but not longer than some shutdownTimeout.
 func (j *Journal) Close() {
 	j.retire(false)
 	j.closeOnce.Do(func() { close(j.stop) })
@@ -567,7 +250,7 @@
 	}
 }
 
-// leave writes that this life means nothing more.
+// retire records that this incarnation sends nothing more.
 func (j *Journal) retire(release bool) {
 	if !j.awaitOpen(shutdownTimeout) {
 		return
@@ -581,16 +264,16 @@
 	durable := make(chan bool, 1)
 	j.enqueue(txnjournal.Record{Kind: txnjournal.KindRetired, TimeMillis: wallMillis()}, durable)
 	j.mu.Unlock()
-	select { // whoever waits now to send something has given up by the end of this
+	select { // by the end of this every RecordIntent under way has returned
 	case <-durable:
-	case <-time.After(shutdownTimeout + time.Duration(j.config.CommitWaitMillis*float64(time.Millisecond))):
+	case <-time.After(shutdownTimeout + millis(j.config.CommitWaitMillis)):
 	}
 	if release {
 		log.Retire()
 	}
 }
 
-// Figures gives what operators see.
+// Figures calls add with the journal's figures at the operators' port.
 func (j *Journal) Figures(add func(name string, v int64)) {
 	j.mu.Lock()
 	counters, unavailable, log := j.counters, !j.available(), j.log
@@ -611,7 +294,7 @@
 		return
 	}
 	var txns, responseBytes int
-	log.View(func(b *txnjournal.Index) { txns, responseBytes = b.Len() })
+	log.View(func(index *txnjournal.Index) { txns, responseBytes = index.Len() })
 	add("journal.txns", int64(txns))
 	add("journal.answer_bytes", int64(responseBytes))
 	add("journal.segments", int64(log.SegmentCount()))
--- a/internal/txnjournal/store/journal_test.go
+++ b/internal/txnjournal/store/journal_test.go
@@ -12,11 +12,12 @@
 	"willowdeck/internal/txnjournal"
 )
 
-// quick are terms under which a test is over soon.
+// fastConfig has time-outs that keep tests short.
 func fastConfig() txnjournal.Config {
 	t := txnjournal.DefaultConfig()
 	t.SegmentBytes, t.MaxSegments = 4<<10, 8
-	t.CommitWaitMillis, t.SlowCommitMillis, t.CoverageLeaseMillis, t.BreakerBackoffMillis, t.BreakerMaxBackoffMillis = 300, 100, 200, 20, 40
+	t.CommitWaitMillis, t.SlowCommitMillis, t.CoverageLeaseMillis = 300, 100, 200
+	t.BreakerBackoffMillis, t.BreakerMaxBackoffMillis = 20, 40
 	return t
 }
 
@@ -31,7 +32,7 @@
 	return txnjournal.Txn{Customer: 7, RequestID: name, Product: "issue"}
 }
 
-// means is one submission, from its intent on.
+// intend records the intent of an attempt; if it is rejected, its outcome too, as the proxy does.
 func (j *Journal) intend(name string, n int) bool {
 	ok := j.RecordIntent(
 		txnNamed(name),
@@ -40,7 +41,7 @@
 		0,
 		time.Now().Add(time.Second),
 	)
-	if !ok { // as a gate does
+	if !ok {
 		j.finish(name, n, txnjournal.OutcomeNotExecuted)
 	}
 	return ok
@@ -65,7 +66,7 @@
 	return v
 }
 
-// until waits for what is to come true soon.
+// eventually waits until a condition holds, for 10 s at most.
 func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !f(); time.Sleep(2 * time.Millisecond) {
@@ -75,7 +76,7 @@
 	}
 }
 
-// What ails a disk, and how it is cured.
+// diskFaults are faults of a disk, and how they are repaired.
 var diskFaults = []struct {
 	name          string
 	begin, repair func(*MemoryDisk)
@@ -91,24 +92,24 @@
 	f(d)
 }
 
-// Under refuse nothing goes out that can't be written down, and soon without waiting for the disk; once it is
-// well all goes on, and the journal lacks nothing.
+// Under RefuseUnwritten nothing is sent whose intent can't be written, and soon without waiting for the
+// disk. Once the disk is repaired transactions are sent again, and nothing is uncertain.
 func TestRefuseUnwritten(t *testing.T) {
 	for _, fault := range diskFaults {
 		t.Run(fault.name, func(t *testing.T) {
 			m := NewMemoryDisk(1)
 			k := startJournal(t, m, fastConfig())
 			if !k.intend("a", 0) {
-				t.Fatal("a well disk refuses")
+				t.Fatal("rejected though the disk is well")
 			}
 			m.configure(fault.begin)
 			rejected := func() bool {
 				return !k.intend("b", 0)
 			}
-			if fault.name != "full" && !rejected() { // a full one is met where a segment ends
-				t.Error("it goes out unwritten")
+			if fault.name != "full" && !rejected() { // a full disk fails where a segment ends
+				t.Error("sent unwritten")
 			}
-			eventually(t, "it does not give up", func() bool {
+			eventually(t, "the breaker does not open", func() bool {
 				for range 20 { // fill the segment
 					k.finish("a", 1, txnjournal.OutcomeUnknown)
 				}
@@ -118,23 +119,23 @@
 			from := time.Now()
 			for range 50 {
 				if !rejected() {
-					t.Error("it goes out unwritten")
+					t.Error("sent unwritten")
 				}
 			}
 			if took := time.Since(from); took > time.Second {
-				t.Errorf("50 wait %v for a disk that is down", took)
+				t.Errorf("50 attempts wait %v for a disk that is down", took)
 			}
 			m.configure(fault.repair)
-			eventually(t, "it does not come back", func() bool { return k.metric("down") == 0 && k.intend("c", 0) })
+			eventually(t, "the journal does not recover", func() bool { return k.metric("down") == 0 && k.intend("c", 0) })
 			if v := k.metric("doubtful"); v > 0 {
-				t.Errorf("%d doubtful", v)
+				t.Errorf("%d attempts sent unwritten", v)
 			}
 		})
 	}
 }
 
-// Under serve txns go out unwritten once the promise not to has run out, and not before; the journal then
-// says of that time that it does not know, though nothing could be written, also where the process dies
+// Under ServeUnwritten transactions are sent unwritten once the coverage lease has expired, and not before.
+// The verdict for that time is SentUnknown, though nothing could be written, also where the process crashes
 // meanwhile.
 func TestServeUnwritten(t *testing.T) {
 	for _, crashes := range []bool{false, true} {
@@ -143,18 +144,18 @@
 		terms.Policy = txnjournal.ServeUnwritten
 		k := startJournal(t, m, terms)
 		if !k.intend("a", 0) {
-			t.Fatal("a well disk refuses")
+			t.Fatal("rejected though the disk is well")
 		}
 		m.configure(func(m *MemoryDisk) { m.Unavailable = true })
 		from := time.Now()
 		if k.intend("early", 0) && time.Since(from) < 90*time.Millisecond {
-			t.Error("it goes out while the journal still promises that nothing does")
+			t.Error("sent unwritten before the coverage lease has expired")
 		}
-		eventually(t, "it does not serve", func() bool { return k.intend("b", 0) })
+		eventually(t, "nothing is sent unwritten", func() bool { return k.intend("b", 0) })
 		asked := wallMillis()
 		k.finish("b", 0, txnjournal.OutcomeUnknown)
 		if _, v, ok := k.Lookup(7, "b", time.Second); !ok || v != txnjournal.SentUnknown {
-			t.Errorf("it is not known here: %v", v)
+			t.Errorf("the verdict of this process is %v", v)
 		}
 		m.configure(func(m *MemoryDisk) { m.Unavailable = false })
 		if crashes {
@@ -162,19 +163,19 @@
 			time.Sleep(10 * time.Millisecond)
 			k = startJournal(t, m, terms)
 		}
-		eventually(t, "it does not come back", func() bool { return k.intend("c", 0) })
-		b, _, _, _, err := ReadAll(m, terms, wallMillis(), nil, nil)
+		eventually(t, "the journal does not recover", func() bool { return k.intend("c", 0) })
+		replay, err := ReadAll(m, terms, wallMillis(), Visitor{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if v, _, _ := b.Resolve("never seen", asked, asked, wallMillis()); v != txnjournal.SentUnknown {
-			t.Errorf("dies %v: in the time unwritten: %v", crashes, v)
+		if v, _, _ := replay.Index.Resolve("never seen", asked, asked, wallMillis()); v != txnjournal.SentUnknown {
+			t.Errorf("crashes %v: the verdict for the unwritten time is %v", crashes, v)
 		}
 	}
 }
 
-// A life under serve whose journal never knew of it sends nothing unwritten. Guards against a life that
-// leaves no trace, between two whose journals have everything.
+// Under ServeUnwritten an incarnation that the journal has no record of sends nothing unwritten. Guards
+// against an incarnation that leaves no trace between two that the journal covers completely.
 func TestServeNeedsDurableCoverage(t *testing.T) {
 	m := NewMemoryDisk(1)
 	m.FreeBytes = 0
@@ -183,16 +184,16 @@
 	k := startJournal(t, m, terms)
 	for end := time.Now().Add(3 * 200 * time.Millisecond); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if k.intend("a", 0) {
-			t.Fatal("it goes out, and nothing tells that it may have")
+			t.Fatal("sent unwritten without a record that this may happen")
 		}
 	}
 	m.configure(func(m *MemoryDisk) { m.FreeBytes = -1 })
-	eventually(t, "it does not begin", func() bool { return k.intend("a", 0) })
+	eventually(t, "nothing is sent after the repair", func() bool { return k.intend("a", 0) })
 	m.configure(func(m *MemoryDisk) { m.Unavailable = true })
-	eventually(t, "it does not serve", func() bool { return k.intend("b", 0) })
+	eventually(t, "nothing is sent unwritten", func() bool { return k.intend("b", 0) })
 }
 
-// A disk that hangs holds nobody up for longer than the wait, and once it is known to hang nobody at all.
+// A hung disk delays nobody for longer than the commit wait, and nobody at all once it is known to hang.
 func TestHungDisk(t *testing.T) {
 	m := NewMemoryDisk(1)
 	k := startJournal(t, m, fastConfig())
@@ -204,33 +205,33 @@
 	m.BlockSyncs(hung)
 	from := time.Now()
 	if k.intend("b", 0) {
-		t.Error("it goes out unwritten")
+		t.Error("sent unwritten")
 	}
 	if took := time.Since(from); took > 900*time.Millisecond {
 		t.Errorf("waited %v", took)
 	}
 	from = time.Now()
 	if k.intend("c", 0) {
-		t.Error("it goes out unwritten")
+		t.Error("sent unwritten")
 	}
 	if took := time.Since(from); took > 200*time.Millisecond {
-		t.Errorf("waited %v for a disk that hangs", took)
+		t.Errorf("waited %v for a disk known to hang", took)
 	}
 	release()
-	eventually(t, "it does not come back", func() bool { return k.intend("d", 0) })
+	eventually(t, "the journal does not recover", func() bool { return k.intend("d", 0) })
 	if k.metric("late") == 0 {
-		t.Error("nobody was late")
+		t.Error("no late attempt was counted")
 	}
 }
 
-// Slow writes one after another count as failures, though each goes well in the end.
+// Consecutive slow commits open the breaker though each of them succeeds.
 func TestSlowDisk(t *testing.T) {
 	m := NewMemoryDisk(1)
 	terms := fastConfig()
 	terms.SlowCommitMillis, terms.BreakerBackoffMillis, terms.BreakerMaxBackoffMillis = 5, 60000, 60000
 	k := startJournal(t, m, terms)
 	m.OnSync = func() { time.Sleep(10 * time.Millisecond) }
-	eventually(t, "it is not left alone", func() bool {
+	eventually(t, "the breaker does not open", func() bool {
 		k.intend("a", 0)
 		k.finish("a", 0, txnjournal.OutcomeNotExecuted)
 		return k.metric("down") == 1
@@ -240,61 +241,62 @@
 	}
 }
 
-// A sync that fails and then "succeeds": what was to be synced is not taken for written.
+// After a Sync that failed a later one that succeeds does not make its records durable.
 func TestFailedSync(t *testing.T) {
 	m := NewMemoryDisk(1)
 	k := startJournal(t, m, fastConfig())
 	k.intend("a", 0)
 	m.configure(func(m *MemoryDisk) { m.FailingSyncs = 1 })
 	if k.intend("b", 0) {
-		t.Error("it goes out though its sync failed")
+		t.Error("sent though its sync failed")
 	}
 	if !k.intend("c", 0) {
-		t.Error("one failure takes the journal down")
+		t.Error("one failure opens the breaker")
 	}
 	k.finish("c", 0, txnjournal.OutcomeCompleted)
 	k.Close()
-	b, _, _, _, err := ReadAll(m.Restart(true), fastConfig(), wallMillis(), nil, nil)
+	replay, err := ReadAll(m.Restart(true), fastConfig(), wallMillis(), Visitor{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, want := range map[string]txnjournal.Verdict{"a": txnjournal.SentUnknown, "b": txnjournal.NotSent,
 		"c": txnjournal.SentCompleted} {
-		if _, v := b.Lookup(7, name); v != want {
+		if _, v := replay.Index.Lookup(7, name); v != want {
 			t.Errorf("%s: %v, want %v", name, v, want)
 		}
 	}
 }
 
-// Two at one journal: the second sends nothing once-only, whatever the policy, until the first has ended.
+// A second process at the same journal sends no non-idempotent transaction, whatever the policy, until the
+// first has ended.
 func TestSecondProcessIsLockedOut(t *testing.T) {
 	dir := Dir(t.TempDir())
 	terms := fastConfig()
 	terms.Policy = txnjournal.ServeUnwritten
 	first := startJournal(t, dir, terms)
 	if !first.intend("a", 0) {
-		t.Fatal("the first refuses")
+		t.Fatal("the first process rejects")
 	}
 	second := startJournal(t, dir, terms)
 	time.Sleep(2 * time.Duration(terms.CoverageLeaseMillis) * time.Millisecond)
 	if second.intend("b", 0) {
-		t.Error("the second writes, or serves unwritten")
+		t.Error("the second process sends")
 	}
 	if _, _, ok := second.Lookup(7, "a", time.Second); ok {
-		t.Error("the second knows")
+		t.Error("the second process answers a lookup")
 	}
 	first.Close()
-	eventually(t, "the second does not take over", func() bool { return second.intend("b", 0) })
+	eventually(t, "the second process does not take over", func() bool { return second.intend("b", 0) })
 	if _, v, ok := second.Lookup(7, "a", 0); !ok || v != txnjournal.SentUnknown {
-		t.Errorf("what the first has sent: %v", v)
+		t.Errorf("the verdict on what the first process sent is %v", v)
 	}
 	if second.intend("a", 0) {
-		t.Error("what the first has sent goes out again")
+		t.Error("what the first process sent is sent again")
 	}
 }
 
-// Segments that are let go take no unknown or settled txn with them, as far as there is room, and what has
-// been forgotten is in doubt, not unsent; the disk's use is bounded.
+// Removing segments loses no unknown or completed transaction as far as a checkpoint holds them, the
+// verdict on evicted ones is SentUnknown, and the number of segments is bounded.
 func TestOldSegmentsAreRemoved(t *testing.T) {
 	m := NewMemoryDisk(1)
 	terms := fastConfig()
@@ -308,39 +310,41 @@
 		k.finish(name, 0, txnjournal.OutcomeNotExecuted)
 	}
 	if _, v, _ := k.Lookup(7, "first", 0); v != txnjournal.SentUnknown {
-		t.Errorf("the first one: %v", v)
+		t.Errorf("the verdict on the first one is %v", v)
 	}
 	k.Close()
 	names, _ := m.Names()
 	if len(names) > terms.MaxSegments+1 {
 		t.Errorf("%d segments", len(names))
 	}
-	b, _, _, _, err := ReadAll(m.Restart(true), terms, wallMillis(), nil, nil)
+	replay, err := ReadAll(m.Restart(true), terms, wallMillis(), Visitor{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, v := b.Lookup(7, "first"); v != txnjournal.SentUnknown || b.FirstLiveSegment() < 2 {
-		t.Errorf("after a power cut: %v, below %d", v, b.FirstLiveSegment())
+	_, v := replay.Index.Lookup(7, "first")
+	if v != txnjournal.SentUnknown || replay.Index.FirstLiveSegment() < 2 {
+		t.Errorf("after a power cut: %v, first live segment %d", v, replay.Index.FirstLiveSegment())
 	}
-	if v, _, _ := b.Resolve("other", began-10000, began, wallMillis()); v != txnjournal.SentUnknown {
-		t.Errorf("before the journal began: %v", v)
+	if v, _, _ := replay.Index.Resolve("other", began-10000, began, wallMillis()); v != txnjournal.SentUnknown {
+		t.Errorf("the verdict for the time before the journal is %v", v)
 	}
-	if n := len(b.UncertainPeriods()); n > 0 {
-		t.Errorf("doubts: %v", b.UncertainPeriods())
+	if n := len(replay.Index.UncertainPeriods()); n > 0 {
+		t.Errorf("uncertain periods: %v", replay.Index.UncertainPeriods())
 	}
 }
 
-// What can't be read at a start is in doubt.
+// The verdict on what stood in an unreadable segment is SentUnknown.
 func TestUnreadableSegments(t *testing.T) {
 	m := NewMemoryDisk(1)
 	k := startJournal(t, m, fastConfig())
 	k.intend("a", 0)
 	k.Close()
-	b, _, _, _, err := ReadAll(unreadableDisk{m}, fastConfig(), wallMillis(), nil, nil)
+	replay, err := ReadAll(unreadableDisk{m}, fastConfig(), wallMillis(), Visitor{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, _, _ := b.Resolve("a", wallMillis(), math.Inf(1), wallMillis()); v != txnjournal.SentUnknown {
+	v, _, _ := replay.Index.Resolve("a", wallMillis(), math.Inf(1), wallMillis())
+	if v != txnjournal.SentUnknown {
 		t.Errorf("%v", v)
 	}
 }
--- a/internal/txnjournal/store/log.go
+++ b/internal/txnjournal/store/log.go
@@ -11,154 +11,55 @@
 	"willowdeck/internal/txnjournal"
 )
 
-// Who is the one that writes.
+// Writer identifies the process that writes; its fields stand in the segments' headers.
 type Writer struct {
 	Instance          string
-	BootID            uint32  // stands for this start of the machine; 0 is not known
-	ClockOffsetMillis float64 // of the system's clock against the machine's uptime, ms
+	BootID            uint32  // stands for this boot of the machine; 0 is not known
+	ClockOffsetMillis float64 // of the system's clock against the machine's uptime
 }
 
-var errRetired = errors.New("journal: another process goes on with it")
+// errRetired says that the successor process owns the journal.
+var errRetired = errors.New("journal: another process has taken it over")
 
-// Log is a journal as it is written, one commit after another. Its book may be asked from any goroutine; all
-// else is one goroutine's.
+// Log is a journal being written, one commit after another. View, Apply and SegmentCount may be called from
+// any goroutine; all else is for the one goroutine that writes.
 type Log struct {
 	disk         Disk
 	config       txnjournal.Config
 	writer       Writer
 	incarnation  uint32
-	firstSegment uint64 // segment of this life
+	firstSegment uint64 // of this incarnation
 	file         File   // nil where a new segment has to be begun
-	offset       int
-	batch        uint32
-	dirty        bool // something was written that is not durable
-	buffer       []byte
+	offset       int    // in file
+	batch        uint32 // counted within the segment
+	dirty        bool   // something was written that is not durable
+	buffer       []byte // for encoding
 	Replayed     ReplayStats
 
-	mu         sync.Mutex // of what follows; never held over I/O
+	mu         sync.Mutex // guards what follows; never held over I/O
 	index      *txnjournal.Index
 	lock       io.Closer
-	segment    uint64 // of the segment that is written, or was last
-	segments   []uint64
-	retainFrom uint64 // from here on segments may not be let go: another process still writes there. 0 is none
+	segment    uint64   // being written, or written last
+	segments   []uint64 // on disk, in their order
+	retainFrom uint64   // segments from here on are not removed, as the predecessor still writes; 0 is none
 	retired    bool
 }
 
-// Found is what opening a journal has met.
-type ReplayStats struct {
-	Segments, Records, Unsupported, Torn, Corrupt int
-	Bytes, UnreadableBytes                        int64 // read, and of these that were no records
-}
-
-// ReadAll reads all there is into a book, without writing or locking anything. each may be nil.
-func ReadAll(
-	disk Disk,
-	config txnjournal.Config,
-	nowMillis float64,
-	onSegment func(number uint64, s txnjournal.SegmentReport),
-	onRecord func(number uint64, offset int, record txnjournal.Record),
-) (*txnjournal.Index, ReplayStats, []uint64, uint32, error) {
-	index, stats, incarnation := txnjournal.NewIndex(config), ReplayStats{}, uint32(0)
-	numbers, err := listSegments(disk)
-	if err != nil {
-		return nil, stats, nil, 0, err
-	}
-	var unclosed []txnjournal.SegmentReport // whose ends are not known yet
-	for _, number := range numbers {
-		b, err := disk.Load(txnjournal.SegmentName(number))
-		if errors.Is(err, fs.ErrNotExist) {
-			continue // let go meanwhile
-		}
-		if err != nil { // what can't be read may hold anything
-			b = []byte{1}
-		}
-		header, blank := txnjournal.DecodeHeader(number, b)
-		if blank {
-			index.BlankSegment(number)
-		} else {
-			if !header.Corrupt {
-				closeSegments(index, unclosed, header.CreatedMillis)
-				unclosed = nil
-			}
-			index.OpenSegment(header)
-		}
-		report := txnjournal.ReadSegment(number, b, func(offset int, record txnjournal.Record) {
-			index.Apply(number, record)
-			incarnation = max(incarnation, record.Incarnation)
-			if onRecord != nil {
-				onRecord(number, offset, record)
-			}
-		})
-		if !report.Blank {
-			unclosed = append(unclosed, report)
-		}
-		incarnation = max(incarnation, report.Header.Incarnation)
-		stats.add(b, report)
-		if onSegment != nil {
-			onSegment(number, report)
-		}
-	}
-	closeSegments(index, unclosed, nowMillis)
-	index.FinishReplay()
-	return index, stats, numbers, incarnation, nil
-}
-
-func closeSegments(index *txnjournal.Index, reports []txnjournal.SegmentReport, untilMillis float64) {
-	for _, report := range reports {
-		index.CloseSegment(report, untilMillis)
-	}
-}
-
-func (r *ReplayStats) add(b []byte, report txnjournal.SegmentReport) {
-	r.Segments++
-	r.Records += report.Records
-	r.Bytes += int64(len(b))
-	r.UnreadableBytes += int64(report.UnreadableBytes)
-	switch {
-	case report.Header.Unsupported:
-		r.Unsupported++
-	case report.Torn && len(report.Uncertain) == 1:
-		r.Torn++
-	case len(report.Uncertain) > 0:
-		r.Corrupt++
-	}
-}
-
-func listSegments(disk Disk) ([]uint64, error) {
-	names, err := disk.Names()
-	if err != nil {
-		return nil, err
-	}
-	var numbers []uint64
-	for _, name := range names {
-		if n, ok := txnjournal.ParseSegmentName(name); ok {
-			numbers = append(numbers, n)
-		}
-	}
-	slices.Sort(numbers)
-	return numbers, nil
-}
-
-// Open locks a journal and reads it. Nothing is written yet. beside tells that the process that wrote last
-// may go on telling how its submissions ended, until Settle.
+// Open locks a journal and reads it; it writes nothing. overlap says that the predecessor process may go on
+// writing outcomes, until AbsorbPredecessor. The error is ErrLocked while another process has the journal.
 func Open(disk Disk, config txnjournal.Config, writer Writer, nowMillis float64, overlap bool) (*Log, error) {
 	lock, err := disk.Lock()
 	if err != nil {
 		return nil, err
 	}
 	l := &Log{disk: disk, config: config, writer: writer, lock: lock}
-	var incarnation uint32
-	if l.index, l.Replayed, l.segments, incarnation, err = ReadAll(
-		disk,
-		config,
-		nowMillis,
-		nil,
-		nil,
-	); err != nil {
+	replay, err := ReadAll(disk, config, nowMillis, Visitor{})
+	if err != nil {
 		_ = lock.Close()
 		return nil, err
 	}
-	l.incarnation = incarnation + 1
+	l.index, l.Replayed, l.segments = replay.Index, replay.Stats, replay.Segments
+	l.incarnation = replay.LastIncarnation + 1
 	if len(l.segments) > 0 {
 		l.segment = l.segments[len(l.segments)-1]
 	}
@@ -168,7 +69,8 @@
 	return l, nil
 }
 
-// Settle takes what the process before has written since this one read the journal, once that has ended.
+// AbsorbPredecessor applies the outcomes that the predecessor process has written since Open. It is called
+// once that process has ended.
 func (l *Log) AbsorbPredecessor() {
 	l.mu.Lock()
 	first := l.retainFrom
@@ -179,7 +81,7 @@
 	for number := first; number < l.firstSegment; number++ {
 		b, err := l.disk.Load(txnjournal.SegmentName(number))
 		if err != nil {
-			continue // what it wrote is unknown, as it was
+			continue // the outcomes stay unknown
 		}
 		txnjournal.ReadSegment(number, b, func(_ int, record txnjournal.Record) {
 			if record.Kind == txnjournal.KindOutcome {
@@ -194,17 +96,17 @@
 	l.mu.Unlock()
 }
 
-// Life is this life's number.
+// Incarnation returns the number of this incarnation, from 1.
 func (l *Log) Incarnation() uint32 { return l.incarnation }
 
-// Take notes a record in the book.
+// Apply applies a record to the index; it writes nothing.
 func (l *Log) Apply(record txnjournal.Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.index.Apply(max(l.segment, 1), record)
 }
 
-// Ask lets f look at the book.
+// View calls f with the index, under the lock.
 func (l *Log) View(f func(*txnjournal.Index)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -212,7 +114,7 @@
 }
 
 // Commit writes records and returns once they are durable, with all that was staged before. After an error
-// none of them may be taken for written, nor for unwritten; the next one begins a segment of its own.
+// it is unknown which of them were written; the next Commit begins a new segment.
 func (l *Log) Commit(records []txnjournal.Record, nowMillis float64) error {
 	if err := l.Stage(records, nowMillis); err != nil {
 		return err
@@ -220,8 +122,9 @@
 	return l.sync()
 }
 
-// Stage writes records that the next Commit makes durable. From here on they outlive the process, though not
-// the machine. What an error means is as with Commit, for all that was staged since the last one.
+// Stage writes records that the next Commit makes durable. From here on they outlive the process, though
+// not the machine. After an error the same holds as with Commit, for all that was staged since the last
+// one.
 func (l *Log) Stage(records []txnjournal.Record, nowMillis float64) error {
 	if l.file == nil {
 		return l.beginSegment(records, nowMillis) // durable at once
@@ -246,6 +149,7 @@
 	return l.write(b)
 }
 
+// encode appends records, encoded for an offset of a segment.
 func (l *Log) encode(b []byte, segment uint64, offset int, records []txnjournal.Record) ([]byte, error) {
 	base := len(b)
 	for _, record := range records {
@@ -258,6 +162,7 @@
 	return b, nil
 }
 
+// write writes at the segment's offset. After an error the segment is closed.
 func (l *Log) write(b []byte) error {
 	if len(b) == 0 {
 		return nil
@@ -271,14 +176,14 @@
 	return nil
 }
 
-// sync makes durable what was written.
+// sync makes durable what was written. After an error the segment is closed.
 func (l *Log) sync() error {
 	if !l.dirty || l.file == nil {
 		return nil
 	}
 	if err := l.file.Sync(); err != nil {
-		// What the system has of it is not known any more, and a later Sync that goes well says nothing of it: it
-		// may have dropped what it could not write. So nothing more is written there.
+		// The kernel may have dropped the pages that it could not write, and a later Sync that succeeds would say
+		// nothing of them. So nothing more is written to this segment.
 		_ = l.closeSegment()
 		return fmt.Errorf("journal: %w", err)
 	}
@@ -286,14 +191,15 @@
 	return nil
 }
 
-// drop ends the segment that is written.
+// closeSegment closes the segment that is being written.
 func (l *Log) closeSegment() error {
 	f := l.file
 	l.file, l.dirty = nil, false
 	return f.Close()
 }
 
-// begin makes the next segment, and writes what has to be kept of those that go, and the records.
+// beginSegment creates the next segment, and writes the checkpoint of those that are to be removed and the
+// records.
 func (l *Log) beginSegment(records []txnjournal.Record, nowMillis float64) error {
 	l.mu.Lock()
 	number, retired := l.segment+1, l.retired
@@ -348,7 +254,8 @@
 	return nil
 }
 
-// checkpoint gives what has to be in a new segment before those below a number can go; 0 where none can.
+// checkpoint returns what has to be durable in a new segment before those below firstLive can be removed.
+// It is 0 where none can.
 func (l *Log) checkpoint(header txnjournal.SegmentHeader) (firstLive uint64, snapshot []txnjournal.Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -366,8 +273,8 @@
 	return firstLive, l.index.Checkpoint(firstLive, l.incarnation, header.CreatedMillis, l.config.SegmentBytes/2)
 }
 
-// letGo removes the segments below a number, whose checkpoint is durable in another. What can't be removed
-// is tried again the next time.
+// removeBelow removes the segments below a number, whose checkpoint is durable in another. One that can't be
+// removed is tried again the next time.
 func (l *Log) removeBelow(firstLive, checkpointSegment uint64) {
 	l.mu.Lock()
 	l.index.CheckpointDurable(firstLive, checkpointSegment)
@@ -388,8 +295,8 @@
 	l.mu.Unlock()
 }
 
-// Retire lets another process take over. How submissions ended may still be committed, as far as the segment
-// has room.
+// Retire hands the journal over to a successor process. Outcomes may still be committed, as far as they fit
+// the segment.
 func (l *Log) Retire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -399,7 +306,7 @@
 	}
 }
 
-// Close lets the journal go.
+// Close closes the segment and releases the journal.
 func (l *Log) Close() {
 	if l.file != nil {
 		_ = l.closeSegment()
@@ -407,7 +314,7 @@
 	l.Retire()
 }
 
-// Segments is how many segments there are.
+// SegmentCount returns how many segments are on disk.
 func (l *Log) SegmentCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/txnjournal/store/memory_disk.go
+++ b/internal/txnjournal/store/memory_disk.go
@@ -11,44 +11,46 @@
 	"syscall"
 )
 
-const sectorBytes = 512 // bytes that a disk writes whole or not at all
+// sectorBytes is what a disk writes completely or not at all.
+const sectorBytes = 512
 
-// Memory is a disk that is made up, with faults by script. What it does is in the order of its calls and by
-// its source alone. For tests and for the laboratory.
+// MemoryDisk is a fake Disk in memory, with faults that tests and the laboratory set. It is deterministic: it
+// depends on its seed and the order of the calls only.
 type MemoryDisk struct {
 	mu      sync.Mutex
 	files   map[string]*memoryFile
-	removed map[string]*memoryFile // whose removal is not durable
+	removed map[string]*memoryFile // the removal is not durable
 	locked  bool
 	rng     *rand.Rand
 	crashed bool
 
-	Calls        int    // that changed something or made it durable
-	CrashAtCall  int    // the call that is cut short, and with which all ends; 0 is none
-	FailingSyncs int    // Syncs of files that fail and drop what was to be written out; then they "succeed"
-	FreeBytes    int    // bytes that files may still take; below nought any
-	ReadOnly     bool   // nothing can be changed
-	Unavailable  bool   // nothing answers
-	OnSync       func() // called in each Sync
+	Calls        int    // so far, that change something or make it durable
+	CrashAtCall  int    // the call, counted by Calls, that is cut short by a crash; 0 is none
+	FailingSyncs int    // Syncs of files that fail and drop dirty sectors; later ones succeed
+	FreeBytes    int    // that files may still take; below 0 is unlimited
+	ReadOnly     bool   // changes fail with EROFS
+	Unavailable  bool   // every call fails with EIO
+	OnSync       func() // called in each Sync of a file, without the lock; may be nil
 }
 
-// image is a file: as programs see it, and as the disk has it.
+// memoryFile is a file: as programs see it, and as it is after a power cut.
 type memoryFile struct {
 	content, durable []byte
-	dirty            map[int]bool // sectors that differ, and are still to be written out
-	nameDurable      bool         // its name is durable
+	dirty            map[int]bool // sectors that are to be written out
+	nameDurable      bool         // its directory entry is durable
 }
 
-// NewMemory makes an empty disk.
+// NewMemoryDisk returns an empty disk.
 func NewMemoryDisk(seed int64) *MemoryDisk {
 	return &MemoryDisk{files: map[string]*memoryFile{}, removed: map[string]*memoryFile{},
 		rng: rand.New(rand.NewSource(seed)), FreeBytes: -1}
 }
 
-// ErrCrashed tells that the machine or the process has ended.
+// ErrCrashed says that the simulated machine or process has crashed.
 var ErrCrashed = fmt.Errorf("crashed: %w", syscall.EIO)
 
-// does counts a call that changes something, under the lock. half tells that it is the one that is cut short.
+// countCall counts a call that changes something. crashing says that it is to be cut short. Called with the
+// lock held.
 func (d *MemoryDisk) countCall() (crashing bool, err error) {
 	switch {
 	case d.crashed:
@@ -65,7 +67,7 @@
 	return false, nil
 }
 
-// Names gives the files there are.
+// Names returns the names of all files.
 func (d *MemoryDisk) Names() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -79,7 +81,7 @@
 	return names, nil
 }
 
-// Load reads a file.
+// Load returns the content of a file.
 func (d *MemoryDisk) Load(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,7 +95,7 @@
 	return append([]byte(nil), f.content...), nil
 }
 
-// Create makes a file.
+// Create creates a file.
 func (d *MemoryDisk) Create(name string, size int) (File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -138,7 +140,7 @@
 	return nil
 }
 
-// Sync makes names and removals durable.
+// Sync makes creations and removals durable.
 func (d *MemoryDisk) Sync() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -153,7 +155,7 @@
 	return nil
 }
 
-// Lock takes the disk's one lock.
+// Lock takes the disk's lock, or returns ErrLocked.
 func (d *MemoryDisk) Lock() (io.Closer, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -167,8 +169,10 @@
 	return memoryLock{d}, nil
 }
 
+// memoryLock is the disk's lock.
 type memoryLock struct{ disk *MemoryDisk }
 
+// Close releases the lock.
 func (u memoryLock) Close() error {
 	u.disk.mu.Lock()
 	defer u.disk.mu.Unlock()
@@ -176,12 +180,13 @@
 	return nil
 }
 
+// memoryHandle is an open file.
 type memoryHandle struct {
 	disk *MemoryDisk
 	file *memoryFile
 }
 
-// WriteAt writes. One that is cut short has written some bytes from its start.
+// WriteAt writes; a call that is cut short has written some bytes from the start.
 func (h memoryHandle) WriteAt(b []byte, offset int64) (int, error) {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
@@ -205,7 +210,7 @@
 	return len(b), nil
 }
 
-// Sync makes what was written durable, or fails and forgets that it is not.
+// Sync makes what was written durable, or fails and drops the dirty sectors.
 func (h memoryHandle) Sync() error {
 	h.disk.mu.Lock()
 	onSync := h.disk.OnSync
@@ -234,13 +239,15 @@
 	return nil
 }
 
+// Close does nothing.
 func (h memoryHandle) Close() error { return nil }
 
+// flushSector makes a sector durable.
 func (f *memoryFile) flushSector(i int) {
 	copy(f.durable[i*sectorBytes:min((i+1)*sectorBytes, len(f.content))], f.content[i*sectorBytes:])
 }
 
-// some writes some sectors out, in any order: those later in the file may be there and earlier ones not.
+// flushSome makes some dirty sectors durable: later ones may be without earlier ones.
 func (d *MemoryDisk) flushSome(f *memoryFile) {
 	for i := range (len(f.content) + sectorBytes - 1) / sectorBytes {
 		if f.dirty[i] && d.rng.Intn(2) == 0 {
@@ -249,8 +256,8 @@
 	}
 }
 
-// After gives the disk as the next process finds it. After a power cut only what was made durable is sure to
-// be there; of the rest, names and removals included, any part may be.
+// Restart returns the disk as the next process finds it. After a power cut only what was durable is
+// certain; of the rest, creations and removals included, any part may be there.
 func (d *MemoryDisk) Restart(powerCut bool) *MemoryDisk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -285,14 +292,14 @@
 	return restarted
 }
 
-// Hang has each Sync wait for a word, or the end, of a channel.
+// BlockSyncs has each Sync of a file wait for a value from a channel or for its close.
 func (d *MemoryDisk) BlockSyncs(release <-chan bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.OnSync = func() { <-release }
 }
 
-// Flip turns a bit of a file over.
+// FlipBit flips a bit of a file.
 func (d *MemoryDisk) FlipBit(name string, bit int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -301,4 +308,5 @@
 	copy(f.durable, f.content)
 }
 
+// sortedNames returns a map's keys in order, for the sake of determinism.
 func sortedNames(m map[string]*memoryFile) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/txnjournal/txnjournal_test.go
+++ b/internal/txnjournal/txnjournal_test.go
@@ -9,14 +9,14 @@
 	"testing"
 )
 
-// segment writes a segment with a record each second from a time on.
-func encodeSegment(t testing.TB, h SegmentHeader, all ...Record) []byte {
-	t.Helper()
+// encodeSegment returns a segment with records and some blank bytes behind them.
+func encodeSegment(tb testing.TB, h SegmentHeader, all ...Record) []byte {
+	tb.Helper()
 	b := AppendHeader(nil, h)
 	for _, r := range all {
 		var err error
 		if b, err = AppendRecord(b, h.Number, len(b), r); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 	}
 	return append(b, make([]byte, 200)...)
@@ -41,7 +41,7 @@
 	return r
 }
 
-// read reads segments in the order of their numbers, as a start does.
+// replay reads segments in the order of their numbers, as a start does.
 func replay(config Config, now float64, segments ...[]byte) *Index {
 	b := NewIndex(config)
 	var unclosed []SegmentReport
@@ -70,7 +70,7 @@
 	return b
 }
 
-// What is written is read, and says the same at no other place.
+// Records are read as they were written, and are no records in another segment.
 func TestRecordsRoundTrip(t *testing.T) {
 	full := Record{
 		Kind:              KindOutcome,
@@ -119,7 +119,7 @@
 		len(seen.Uncertain) > 0 {
 		t.Errorf("%+v", seen)
 	}
-	for _, number := range []uint64{4, 6} { // a file that was renamed, or copied over another
+	for _, number := range []uint64{4, 6} { // a file that was renamed or overwrote another
 		n := 0
 		if s := ReadSegment(
 			number,
@@ -132,7 +132,7 @@
 	}
 }
 
-// The answers by what there is: never "not sent" where it was, or may have been.
+// The verdict is never NotSent where a transaction was sent, or may have been.
 func TestResolve(t *testing.T) {
 	head := SegmentHeader{Number: 1, Incarnation: 1, CreatedMillis: 1e6}
 	records := []Record{intentAt(1e6+10000, "settled"), outcomeAt(1e6+10050, "settled", OutcomeCompleted),
@@ -256,7 +256,7 @@
 	}
 }
 
-// Segments that are missing are in doubt, unless they were let go.
+// The time of missing segments is uncertain, unless a checkpoint says that they were removed.
 func TestMissingSegments(t *testing.T) {
 	first := encodeSegment(
 		t,
@@ -293,7 +293,7 @@
 	}
 }
 
-// Records of an earlier form lack fields, and those of a later one have more: both are read.
+// Records of an earlier release lack fields, and those of a later one have more: both are read.
 func TestOtherRecordVersions(t *testing.T) {
 	full := intentAt(1e6, "a")
 	b, err := AppendRecord(nil, 1, headerBytes, full)
@@ -310,7 +310,7 @@
 			t.Errorf("%+d bytes: %d, %+v", more, size, r)
 		}
 	}
-	f := bytes.Clone(b) // a kind that is not known here may say anything
+	f := bytes.Clone(b) // a record of an unknown kind may say anything
 	f[5] = byte(kindCount)
 	le.PutUint32(f[20:], checksum(1, headerBytes, f))
 	s := ReadSegment(
@@ -323,7 +323,7 @@
 	}
 }
 
-// The same records twice say the same; what is forgotten moves the horizon, but for what never ran.
+// Applying a record twice changes nothing; evicting moves the horizon, but for transactions never executed.
 func TestIndexIsBounded(t *testing.T) {
 	terms := DefaultConfig()
 	terms.MaxTxns, terms.MaxStoredResponseBytes = 3, 10
@@ -362,8 +362,8 @@
 	}
 }
 
-// Whatever the bytes, reading ends, gives only what its checksum vouches for, and leaves nothing unsaid that
-// is neither a record nor blank.
+// Whatever the bytes, reading ends, visits only records whose checksum is right, and reports all bytes that
+// are neither records nor blank.
 func FuzzRead(f *testing.F) {
 	good := encodeSegment(
 		f,
