--- a/internal/txnjournal/store/crash_test.go
+++ b/internal/txnjournal/store/crash_test.go
@@ -184,8 +184,8 @@
 					}
 				}
 			}
-			t.Logf("%d crashes; where nothing is evicted %d transactions were never sent, of these %d are uncertain", crashes,
-				notSent, uncertain)
+			t.Logf("%d crashes; where nothing is evicted %d transactions were never sent, of these %d are "+
+				"uncertain", crashes, notSent, uncertain)
 			if notSent == 0 || uncertain*2 > notSent {
 				t.Errorf("%d of %d transactions that were never sent are uncertain", uncertain, notSent)
 			}
--- a/internal/txnjournal/store/golden_test.go
+++ b/internal/txnjournal/store/golden_test.go
@@ -51,11 +51,12 @@
 	terms := txnjournal.DefaultConfig()
 	terms.Policy, terms.SegmentBytes = txnjournal.ServeUnwritten, txnjournal.MinSegmentBytes
 	for _, groups := range [][][]txnjournal.Record{
-		{{goldenRecord(txnjournal.KindIntent, "one", txnjournal.OutcomePending)}, {goldenRecord(txnjournal.KindIntent, "two",
-			txnjournal.OutcomePending),
-			goldenRecord(txnjournal.KindOutcome, "one", txnjournal.OutcomeCompleted)}},
+		{{goldenRecord(txnjournal.KindIntent, "one", txnjournal.OutcomePending)},
+			{goldenRecord(txnjournal.KindIntent, "two", txnjournal.OutcomePending),
+				goldenRecord(txnjournal.KindOutcome, "one", txnjournal.OutcomeCompleted)}},
 		{{goldenRecord(txnjournal.KindIntent, "three", txnjournal.OutcomePending)},
-			{goldenRecord(txnjournal.KindOutcome, "three", txnjournal.OutcomeNotExecuted), {Kind: txnjournal.KindRetired, TimeMillis: goldenAt + 3.5}}},
+			{goldenRecord(txnjournal.KindOutcome, "three", txnjournal.OutcomeNotExecuted),
+				{Kind: txnjournal.KindRetired, TimeMillis: goldenAt + 3.5}}},
 	} {
 		log, err := Open(Dir(dir), terms, who, goldenAt, false)
 		if err != nil {
--- a/internal/txnjournal/store/journal_test.go
+++ b/internal/txnjournal/store/journal_test.go
@@ -126,7 +126,8 @@
 				t.Errorf("50 attempts wait %v for a disk that is down", took)
 			}
 			m.configure(fault.repair)
-			eventually(t, "the journal does not recover", func() bool { return k.metric("down") == 0 && k.intend("c", 0) })
+			eventually(t, "the journal does not recover",
+				func() bool { return k.metric("down") == 0 && k.intend("c", 0) })
 			if v := k.metric("doubtful"); v > 0 {
 				t.Errorf("%d attempts sent unwritten", v)
 			}
