--- a/cmd/willowdeck/main.go
+++ b/cmd/willowdeck/main.go
@@ -182,7 +182,7 @@
 		fmt.Printf("asked by portals at %s, clearances last %g ms\n", f.Asked.Listen, f.Asked.Life)
 	}
 	if f := conf.Forward; f != nil && f.Asking != nil {
-		fmt.Printf("asking %s, at most %g ms\n", f.Asking.Service, f.Asking.Terms.Limit)
+		fmt.Printf("asking %s, at most %g ms\n", f.Asking.Service, f.Asking.Terms.TimeoutMillis)
 	}
 	if j := conf.Journal; j != nil {
 		fmt.Printf("once-only txns are written down in %s, policy %s\n", j.Of(conf.Name), j.Terms.Policy)
--- a/internal/forwardauth/authorizer/vouch.go
+++ b/internal/forwardauth/authorizer/vouch.go
@@ -27,316 +27,331 @@
 )
 
 // Voucher serves txns that a service has to vouch for.
-type Voucher struct {
-	asking  *config.Asking
-	charter policy.Charter
-	gate    *proxy.Proxy
-	client  *fasthttp.HostClient
-	flight  singleflight.Group
-	counts  [counts]atomic.Int64
+type Authorizer struct {
+	config   *config.Asking
+	settings policy.Charter
+	proxy    *proxy.Proxy
+	client   *fasthttp.HostClient
+	pending  singleflight.Group
+	counters [counterCount]atomic.Int64
 
 	mu      sync.Mutex // of what follows; never held over I/O
 	service *authcache.Service
 }
 
-type count int
+type counter int
 
 const (
-	yes count = iota
-	no
-	recalled
-	trouble
-	shut
-	late
-	left
-	openly
-	counts
+	allowed counter = iota
+	denied
+	cached
+	unavailable
+	breakerOpen
+	timedOut
+	clientGone
+	failedOpen
+	counterCount
 )
 
-var countNames = [counts]string{"yes", "no", "recalled", "trouble", "shut", "late", "left", "open"}
+var counterNames = [counterCount]string{"yes", "no", "recalled", "trouble", "shut", "late", "left", "open"}
 
 // New makes a voucher over a gate. The seed is for its pauses.
-func New(a *config.Asking, charter policy.Charter, g *proxy.Proxy, seed int64) *Voucher {
-	limit := transport.Millis(a.Terms.Limit)
-	return &Voucher{asking: a, charter: charter, gate: g, service: authcache.NewService(a.Terms, seed),
-		client: &fasthttp.HostClient{Addr: a.Service, MaxConns: a.Connections, MaxConnWaitTimeout: limit,
-			ReadTimeout: limit, WriteTimeout: limit, MaxIdleConnDuration: 2 * time.Second,
-			MaxResponseBodySize: authcache.LongestAnswer, ReadBufferSize: authcache.LongestAnswer,
+func New(cfg *config.Asking, settings policy.Charter, p *proxy.Proxy, seed int64) *Authorizer {
+	timeout := transport.Millis(cfg.Terms.TimeoutMillis)
+	return &Authorizer{config: cfg, settings: settings, proxy: p, service: authcache.NewService(cfg.Terms, seed),
+		client: &fasthttp.HostClient{Addr: cfg.Service, MaxConns: cfg.Connections, MaxConnWaitTimeout: timeout,
+			ReadTimeout: timeout, WriteTimeout: timeout, MaxIdleConnDuration: 2 * time.Second,
+			MaxResponseBodySize: authcache.MaxResponseBytes, ReadBufferSize: authcache.MaxResponseBytes,
 			NoDefaultUserAgentHeader: true, DisablePathNormalizing: true,
 			// An ask may be sent again: a connection that the service has closed meanwhile says nothing of it.
 			MaxIdemponentCallAttempts: 2}}
 }
 
 // Close lets the connections to the service go.
-func (v *Voucher) Close() { v.client.CloseIdleConnections() }
+func (a *Authorizer) Close() { a.client.CloseIdleConnections() }
 
 // word is what came of an ask.
-type word struct {
-	answer authcache.Answer
-	wait   float64 // when to come back, ms
-	err    error   // it gave no answer, or was not asked
+type result struct {
+	decision         authcache.Decision
+	retryAfterMillis float64 // when to come back, ms
+	err              error   // it gave no answer, or was not asked
 }
 
 var (
-	errShut = errors.New("the service is left alone for now")
-	errBusy = errors.New("no connection to the service is free")
-	errLate = errors.New("the service has not answered in time")
+	errBreakerOpen  = errors.New("the service is left alone for now")
+	errNoConnection = errors.New("no connection to the service is free")
+	errTimeout      = errors.New("the service has not answered in time")
 )
 
 // Serve is a txn's life: the service is asked unless its answer is known, and then it is as any other.
-func (v *Voucher) Serve(t *transport.Txn) transport.Final {
-	if !v.asking.Concerned[t.Product] {
-		return v.gate.Serve(t)
+func (a *Authorizer) Serve(t *transport.Txn) transport.Final {
+	if !a.config.Concerned[t.Product] {
+		return a.proxy.Serve(t)
 	}
-	credential, err := t.Field(v.asking.Credential)
+	credential, err := t.Field(a.config.Credential)
 	if err != nil {
-		return refusal(fasthttp.StatusBadRequest, nil, err.Error())
+		return rejection(fasthttp.StatusBadRequest, nil, err.Error())
 	}
-	digest := digestOf(t.Product, credential)
-	v.mu.Lock()
-	a, known := v.service.Recall(digest, v.gate.Now())
-	v.mu.Unlock()
-	if known && len(credential) > 0 {
-		v.counts[recalled].Add(1)
-		return v.settle(t, nil, word{answer: a})
+	digest := credentialDigest(t.Product, credential)
+	a.mu.Lock()
+	decision, found := a.service.Lookup(digest, a.proxy.Now())
+	a.mu.Unlock()
+	if found && len(credential) > 0 {
+		a.counters[cached].Add(1)
+		return a.resolve(t, nil, result{decision: decision})
 	}
-	ask, err := v.encode(t, digest, credential)
+	request, err := a.newAuthRequest(t, digest, credential)
 	if err != nil {
-		return refusal(fasthttp.StatusBadRequest, nil, err.Error())
+		return rejection(fasthttp.StatusBadRequest, nil, err.Error())
 	}
-	asked, patience := v.gate.Now(), v.service.Patience(t.Left)
-	var hold *proxy.Reservation // of one that does not say whose it is there is nothing to keep yet
+	askedMillis, timeoutMillis := a.proxy.Now(), a.service.TimeoutMillis(t.Left)
+	var reservation *proxy.Reservation // of one that does not say whose it is there is nothing to keep yet
 	if !t.Nameless {
-		var end transport.Final
-		if hold, end = v.gate.Reserve(t, patience+authcache.LateGrace); hold == nil {
-			return end
+		var final transport.Final
+		if reservation, final = a.proxy.Reserve(
+			t,
+			timeoutMillis+authcache.ReservationGraceMillis,
+		); reservation == nil {
+			return final
 		}
 	}
-	w, end := v.await(ask, hold, patience)
-	if end != nil {
-		return *end
+	r, final := a.await(request, reservation, timeoutMillis)
+	if final != nil {
+		return *final
 	}
 	if !t.Streams {
-		t.Left = math.Max(t.Left-(v.gate.Now()-asked), 0)
+		t.Left = math.Max(t.Left-(a.proxy.Now()-askedMillis), 0)
 	}
-	return v.settle(t, hold, w)
+	return a.resolve(t, reservation, r)
 }
 
 // await waits for the service's word, as long as a txn can wait and its client is there.
-func (v *Voucher) await(ask *ask, hold *proxy.Reservation, patience float64) (word, *transport.Final) {
-	timer := time.NewTimer(transport.Millis(patience))
+func (a *Authorizer) await(
+	request *authRequest,
+	reservation *proxy.Reservation,
+	timeoutMillis float64,
+) (result, *transport.Final) {
+	timer := time.NewTimer(transport.Millis(timeoutMillis))
 	defer timer.Stop()
-	var came <-chan singleflight.Result
-	if ask.named && v.asking.Terms.Kept > 0 {
-		came = v.flight.DoChan(string(ask.digest[:]), func() (any, error) { return v.ask(ask), nil })
+	var results <-chan singleflight.Result
+	if request.hasCredential && a.config.Terms.MaxDecisions > 0 {
+		results = a.pending.DoChan(string(request.digest[:]), func() (any, error) { return a.query(request), nil })
 	} else { // each is asked for by itself
 		own := make(chan singleflight.Result, 1)
-		go func() { own <- singleflight.Result{Val: v.ask(ask)} }()
-		came = own
+		go func() { own <- singleflight.Result{Val: a.query(request)} }()
+		results = own
 	}
-	var over <-chan inflight.Command
-	if hold != nil {
-		over = hold.Ended()
+	var ended <-chan inflight.Command
+	if reservation != nil {
+		ended = reservation.Ended()
 	}
 	select {
-	case r := <-came:
-		return r.Val.(word), nil
-	case w := <-over:
-		if w.Decision.Kind == policy.Void {
-			v.counts[left].Add(1)
-			return word{}, &transport.Final{Kind: policy.Void}
+	case answered := <-results:
+		return answered.Val.(result), nil
+	case command := <-ended:
+		if command.Decision.Kind == policy.Void {
+			a.counters[clientGone].Add(1)
+			return result{}, &transport.Final{Kind: policy.Void}
 		}
 	case <-timer.C:
 	}
-	v.counts[late].Add(1)
-	return word{err: errLate, wait: v.asking.Terms.Limit}, nil
+	a.counters[timedOut].Add(1)
+	return result{err: errTimeout, retryAfterMillis: a.config.Terms.TimeoutMillis}, nil
 }
 
 // settle goes by a word: the txn goes on with what is kept for it, or that is given back.
-func (v *Voucher) settle(t *transport.Txn, hold *proxy.Reservation, w word) transport.Final {
-	a := w.answer
-	end := transport.Final{Kind: policy.Void}
+func (a *Authorizer) resolve(t *transport.Txn, reservation *proxy.Reservation, r result) transport.Final {
+	decision := r.decision
+	final := transport.Final{Kind: policy.Void}
 	switch {
-	case w.err != nil && !v.asking.OpenOn[t.Product], w.err == nil && a.Status == fasthttp.StatusTooManyRequests:
-		v.counts[trouble].Add(1) // nothing was sent: to come again is harmless
-		end = transport.Final{Kind: policy.Decline, Wait: v.advice(w.wait)}
-	case w.err == nil && !a.Yes:
-		v.counts[no].Add(1)
-		end = refusal(a.Status, a.Headers, "the auth service says no")
-	case w.err == nil && a.Named && !t.Nameless && a.Customer != t.Customer:
-		v.counts[no].Add(1)
-		end = refusal(fasthttp.StatusForbidden, nil, "Cookie: the credential is another customer's")
+	case r.err != nil && !a.config.OpenOn[t.Product],
+		r.err == nil && decision.Status == fasthttp.StatusTooManyRequests:
+		a.counters[unavailable].Add(1) // nothing was sent: to come again is harmless
+		final = transport.Final{Kind: policy.Decline, Wait: a.retryAdviceMillis(r.retryAfterMillis)}
+	case r.err == nil && !decision.Allowed:
+		a.counters[denied].Add(1)
+		final = rejection(decision.Status, decision.Headers, "the auth service says no")
+	case r.err == nil && decision.HasCustomer && !t.Nameless && decision.Customer != t.Customer:
+		a.counters[denied].Add(1)
+		final = rejection(fasthttp.StatusForbidden, nil, "Cookie: the credential is another customer's")
 	case t.Gone(): // before the yes: nothing is sent for it
-		v.counts[left].Add(1)
+		a.counters[clientGone].Add(1)
 	default:
-		return v.goOn(t, hold, w)
+		return a.forward(t, reservation, r)
 	}
-	if hold != nil {
-		v.gate.Release(hold)
+	if reservation != nil {
+		a.proxy.Release(reservation)
 	}
-	return end
+	return final
 }
 
 // goOn carries a txn on that was vouched for, or that goes on without.
-func (v *Voucher) goOn(t *transport.Txn, hold *proxy.Reservation, w word) transport.Final {
-	if w.err != nil {
-		v.counts[openly].Add(1)
+func (a *Authorizer) forward(t *transport.Txn, reservation *proxy.Reservation, r result) transport.Final {
+	if r.err != nil {
+		a.counters[failedOpen].Add(1)
 	} else {
-		v.counts[yes].Add(1)
+		a.counters[allowed].Add(1)
 	}
 	if t.Nameless {
-		t.Customer = w.answer.Customer
+		t.Customer = r.decision.Customer
 	}
-	if hold != nil {
-		if end, ok := v.gate.ServeReserved(hold, t); ok {
-			return end
+	if reservation != nil {
+		if final, ok := a.proxy.ServeReserved(reservation, t); ok {
+			return final
 		}
 	}
-	return v.gate.Serve(t)
+	return a.proxy.Serve(t)
 }
 
 // advice is when to come back, as far as the settings have it said.
-func (v *Voucher) advice(wait float64) float64 {
-	if !v.charter.MayAdvise {
+func (a *Authorizer) retryAdviceMillis(millis float64) float64 {
+	if !a.settings.MayAdvise {
 		return 0
 	}
-	return math.Min(wait, v.charter.MaxAdvice)
+	return math.Min(millis, a.settings.MaxAdvice)
 }
 
-func refusal(status int, headers [][2]string, says string) transport.Final {
+func rejection(status int, headers [][2]string, message string) transport.Final {
 	return transport.Final{
 		Kind:    policy.Void,
-		Refusal: &transport.Refusal{Status: status, Headers: headers, Says: says},
+		Refusal: &transport.Refusal{Status: status, Headers: headers, Says: message},
 	}
 }
 
 // ask is one question to the service. It outlives the txn that asks first: others may wait for it too.
-type ask struct {
-	digest authcache.Digest
-	named  bool // it has a credential
-	req    *fasthttp.Request
+type authRequest struct {
+	digest        authcache.CredentialDigest
+	hasCredential bool // it has a credential
+	request       *fasthttp.Request
 }
 
 // digestOf gives what stands for a credential and a product.
-func digestOf(product int, credential []byte) (d authcache.Digest) {
+func credentialDigest(product int, credential []byte) (digest authcache.CredentialDigest) {
 	sum := sha256.New()
 	fmt.Fprintf(sum, "%d ", product)
 	sum.Write(credential)
-	sum.Sum(d[:0])
-	return d
+	sum.Sum(digest[:0])
+	return digest
 }
 
 // encode makes the question. What it says of the original is the gatekeeper's own word: a client's headers
 // of those names do not pass.
-func (v *Voucher) encode(t *transport.Txn, digest authcache.Digest, credential []byte) (*ask, error) {
-	a := &ask{digest: digest, named: len(credential) > 0, req: &fasthttp.Request{}}
-	h := &a.req.Header
-	h.SetMethod(fasthttp.MethodGet)
-	a.req.SetRequestURI(v.asking.Path)
-	h.SetHost(v.asking.Service)
-	h.SetBytesV("X-Forwarded-Method", t.Method)
-	h.SetBytesV("X-Forwarded-Uri", t.Target)
-	h.Set("X-Forwarded-Proto", "http")
-	h.Set("X-Forwarded-For", t.From())
+func (a *Authorizer) newAuthRequest(
+	t *transport.Txn,
+	digest authcache.CredentialDigest,
+	credential []byte,
+) (*authRequest, error) {
+	request := &authRequest{digest: digest, hasCredential: len(credential) > 0, request: &fasthttp.Request{}}
+	header := &request.request.Header
+	header.SetMethod(fasthttp.MethodGet)
+	request.request.SetRequestURI(a.config.Path)
+	header.SetHost(a.config.Service)
+	header.SetBytesV("X-Forwarded-Method", t.Method)
+	header.SetBytesV("X-Forwarded-Uri", t.Target)
+	header.Set("X-Forwarded-Proto", "http")
+	header.Set("X-Forwarded-For", t.From())
 	if host, err := t.Field("Host"); err == nil && len(host) > 0 {
-		h.SetBytesV("X-Forwarded-Host", host)
+		header.SetBytesV("X-Forwarded-Host", host)
 	}
-	if a.named {
-		h.SetBytesV(v.asking.Credential, credential)
+	if request.hasCredential {
+		header.SetBytesV(a.config.Credential, credential)
 	}
-	for _, name := range v.asking.Send {
+	for _, name := range a.config.Send {
 		value, err := t.Field(name)
 		if err != nil {
 			return nil, err
 		}
 		if len(value) > 0 {
-			h.SetBytesV(name, value)
+			header.SetBytesV(name, value)
 		}
 	}
-	return a, nil
+	return request, nil
 }
 
 // ask asks the service, and keeps what it says.
-func (v *Voucher) ask(a *ask) word {
-	asked := v.gate.Now()
-	v.mu.Lock()
-	may, wait := v.service.MayAsk(asked)
-	v.mu.Unlock()
-	if !may {
-		v.counts[shut].Add(1)
-		return word{err: errShut, wait: wait}
+func (a *Authorizer) query(request *authRequest) result {
+	askedMillis := a.proxy.Now()
+	a.mu.Lock()
+	allowed, waitMillis := a.service.Allow(askedMillis)
+	a.mu.Unlock()
+	if !allowed {
+		a.counters[breakerOpen].Add(1)
+		return result{err: errBreakerOpen, retryAfterMillis: waitMillis}
 	}
-	res := &fasthttp.Response{}
-	err := v.client.DoTimeout(a.req, res, transport.Millis(v.asking.Terms.Limit))
-	w := word{err: err, wait: v.asking.Terms.Limit}
+	response := &fasthttp.Response{}
+	err := a.client.DoTimeout(request.request, response, transport.Millis(a.config.Terms.TimeoutMillis))
+	r := result{err: err, retryAfterMillis: a.config.Terms.TimeoutMillis}
 	if err == nil {
-		w = v.read(res)
+		r = a.decodeResponse(response)
 	}
-	now := v.gate.Now()
-	v.mu.Lock()
-	defer v.mu.Unlock()
+	nowMillis := a.proxy.Now()
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	switch {
 	case errors.Is(err, fasthttp.ErrNoFreeConns):
-		v.service.Unasked()
-		w.err = errBusy
-	case w.err != nil:
-		v.service.Lost(now)
+		a.service.CancelAttempt()
+		r.err = errNoConnection
+	case r.err != nil:
+		a.service.RecordFailure(nowMillis)
 	default:
-		keep := a.named && w.answer.Status != fasthttp.StatusTooManyRequests
-		v.service.Heard(a.digest, w.answer, asked, now, keep)
+		cacheable := request.hasCredential && r.decision.Status != fasthttp.StatusTooManyRequests
+		a.service.RecordDecision(request.digest, r.decision, askedMillis, nowMillis, cacheable)
 	}
-	return w
+	return r
 }
 
 // read takes what a service says: 2xx is a yes, 401 and 403 a no, 429 that it wants to be asked later. All
 // else is trouble.
-func (v *Voucher) read(res *fasthttp.Response) word {
-	a := authcache.Answer{Status: res.StatusCode()}
-	switch status := a.Status; {
+func (a *Authorizer) decodeResponse(response *fasthttp.Response) result {
+	decision := authcache.Decision{Status: response.StatusCode()}
+	switch status := decision.Status; {
 	case status >= 200 && status < 300:
-		a.Yes = true
-		if v.asking.Customer == "" {
+		decision.Allowed = true
+		if a.config.Customer == "" {
 			break
 		}
-		all := res.Header.PeekAll(v.asking.Customer)
-		if len(all) != 1 {
-			return word{err: fmt.Errorf("%s: it is there %d times", v.asking.Customer, len(all)),
-				wait: v.asking.Terms.Limit}
+		values := response.Header.PeekAll(a.config.Customer)
+		if len(values) != 1 {
+			return result{err: fmt.Errorf("%s: it is there %d times", a.config.Customer, len(values)),
+				retryAfterMillis: a.config.Terms.TimeoutMillis}
 		}
-		c, err := transport.Customer(all[0])
+		customer, err := transport.Customer(values[0])
 		if err != nil {
-			return word{err: fmt.Errorf("%s: %w", v.asking.Customer, err), wait: v.asking.Terms.Limit}
+			return result{
+				err:              fmt.Errorf("%s: %w", a.config.Customer, err),
+				retryAfterMillis: a.config.Terms.TimeoutMillis,
+			}
 		}
-		a.Customer, a.Named = c, true
+		decision.Customer, decision.HasCustomer = customer, true
 	case status == fasthttp.StatusUnauthorized || status == fasthttp.StatusForbidden:
-		for _, name := range v.asking.Copy {
-			for _, value := range res.Header.PeekAll(name) {
-				a.Headers = append(a.Headers, [2]string{name, string(value)})
+		for _, name := range a.config.Copy {
+			for _, value := range response.Header.PeekAll(name) {
+				decision.Headers = append(decision.Headers, [2]string{name, string(value)})
 			}
 		}
 	case status == fasthttp.StatusTooManyRequests:
-		s, err := strconv.ParseFloat(string(res.Header.Peek(fasthttp.HeaderRetryAfter)), 64)
-		if err != nil || !(s > 0) || math.IsInf(s, 1) {
-			s = v.asking.Terms.Limit / 1000
+		seconds, err := strconv.ParseFloat(string(response.Header.Peek(fasthttp.HeaderRetryAfter)), 64)
+		if err != nil || !(seconds > 0) || math.IsInf(seconds, 1) {
+			seconds = a.config.Terms.TimeoutMillis / 1000
 		}
-		return word{answer: a, wait: s * 1000}
+		return result{decision: decision, retryAfterMillis: seconds * 1000}
 	default:
-		return word{err: fmt.Errorf("status %d", status), wait: v.asking.Terms.Limit}
+		return result{err: fmt.Errorf("status %d", status), retryAfterMillis: a.config.Terms.TimeoutMillis}
 	}
-	return word{answer: a}
+	return result{decision: decision}
 }
 
 // Figures gives what operators see.
-func (v *Voucher) Figures(add func(name string, n int64)) {
-	for i := range v.counts {
-		add("asking."+countNames[i], v.counts[i].Load())
+func (a *Authorizer) Figures(add func(name string, n int64)) {
+	for i := range a.counters {
+		add("asking."+counterNames[i], a.counters[i].Load())
 	}
-	v.mu.Lock()
-	kept, isShut := v.service.Kept(), v.service.Shut(v.gate.Now())
-	v.mu.Unlock()
-	add("asking.kept", int64(kept))
+	a.mu.Lock()
+	decisions, isOpen := a.service.Len(), a.service.BreakerOpen(a.proxy.Now())
+	a.mu.Unlock()
+	add("asking.kept", int64(decisions))
 	open := int64(0)
-	if isShut {
+	if isOpen {
 		open = 1
 	}
 	add("asking.shut_now", open)
--- a/internal/forwardauth/authserver/original.go
+++ b/internal/forwardauth/authserver/original.go
@@ -16,137 +16,138 @@
 )
 
 // original is the request on whose behalf a portal asks.
-type original struct{ method, target []byte }
+type originalRequest struct{ method, target []byte }
 
 // flaw is why a call can't be taken, and the status that says so.
-type flaw struct {
-	status int
-	says   string
+type callError struct {
+	status  int
+	message string
 }
 
-func (f *flaw) Error() string { return f.says }
+func (e *callError) Error() string { return e.message }
 
-func bad(format string, args ...any) error {
-	return &flaw{fasthttp.StatusBadRequest, fmt.Sprintf(format, args...)}
+func badRequest(format string, args ...any) error {
+	return &callError{fasthttp.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
 // field is a forwarded header, by its names in the two dialects, and the checks that it has to pass.
-type field struct {
-	names [2]string
-	must  bool
-	check func([]byte) error
+type forwardedHeader struct {
+	names    [2]string
+	required bool
+	validate func([]byte) error
 }
 
 // The habits are those that the reverse proxies' own pages publish: X-Forwarded-Method, -Proto, -Host, -Uri
 // and -For with a call by GET; X-Original-Method with X-Original-URI or -URL; or the original's own method,
 // with its path behind a prefix.
-var fields = [...]field{
-	{[2]string{"X-Forwarded-Method", "X-Original-Method"}, true, methodWord},
-	{[2]string{"X-Forwarded-Uri", "X-Original-Uri"}, true, target},
-	{[2]string{"X-Forwarded-Host", "X-Original-Host"}, false, host},
-	{[2]string{"X-Forwarded-Proto", "X-Original-Proto"}, false, proto},
+var forwardedHeaders = [...]forwardedHeader{
+	{[2]string{"X-Forwarded-Method", "X-Original-Method"}, true, validateMethod},
+	{[2]string{"X-Forwarded-Uri", "X-Original-Uri"}, true, validateTarget},
+	{[2]string{"X-Forwarded-Host", "X-Original-Host"}, false, validateHost},
+	{[2]string{"X-Forwarded-Proto", "X-Original-Proto"}, false, validateScheme},
 }
 
 // read finds the original request of a call, by a dialect. What a portal says in two ways has to agree, as
 // one of them may be the client's own.
-func read(h *fasthttp.RequestHeader, a *config.Asked) (original, error) {
-	var got [len(fields)][]byte
-	for i, f := range fields {
+func parseOriginal(header *fasthttp.RequestHeader, cfg *config.Asked) (originalRequest, error) {
+	var values [len(forwardedHeaders)][]byte
+	for i, f := range forwardedHeaders {
 		for _, name := range f.names {
-			v, err := transport.AtMostOnce(h, name)
+			v, err := transport.AtMostOnce(header, name)
 			switch {
 			case err != nil:
-				return original{}, bad("%v", err)
+				return originalRequest{}, badRequest("%v", err)
 			case v == nil:
 				continue
-			case len(v) > authcache.LongestField && i != 1 || len(v) > authcache.LongestTarget:
-				return original{}, &flaw{fasthttp.StatusRequestURITooLong, name + " is too long"}
+			case len(v) > authcache.MaxHeaderBytes && i != 1 || len(v) > authcache.MaxTargetBytes:
+				return originalRequest{}, &callError{fasthttp.StatusRequestURITooLong, name + " is too long"}
 			}
-			if err := f.check(v); err != nil {
-				return original{}, bad("%s: %v", name, err)
+			if err := f.validate(v); err != nil {
+				return originalRequest{}, badRequest("%s: %v", name, err)
 			}
-			if got[i] != nil && !bytes.Equal(got[i], v) {
-				return original{}, bad("%s and %s contradict each other", f.names[0], name)
+			if values[i] != nil && !bytes.Equal(values[i], v) {
+				return originalRequest{}, badRequest("%s and %s contradict each other", f.names[0], name)
 			}
-			got[i] = v
+			values[i] = v
 		}
 	}
-	whole, err := transport.AtMostOnce(h, "X-Original-Url")
+	wholeURL, err := transport.AtMostOnce(header, "X-Original-Url")
 	if err != nil {
-		return original{}, bad("%v", err)
+		return originalRequest{}, badRequest("%v", err)
 	}
-	if whole != nil {
-		t, err := targetOf(whole)
+	if wholeURL != nil {
+		target, err := targetOfURL(wholeURL)
 		if err != nil {
-			return original{}, err
+			return originalRequest{}, err
 		}
-		if got[1] != nil && !bytes.Equal(got[1], t) {
-			return original{}, bad("X-Original-Url contradicts another header")
+		if values[1] != nil && !bytes.Equal(values[1], target) {
+			return originalRequest{}, badRequest("X-Original-Url contradicts another header")
 		}
-		got[1] = t
+		values[1] = target
 	}
-	if err := chain(h); err != nil {
-		return original{}, err
+	if err := validateClientChain(header); err != nil {
+		return originalRequest{}, err
 	}
-	o := original{got[0], got[1]}
-	if a.Dialect == config.ByPath {
-		rest, ok := bytes.CutPrefix(h.RequestURI(), []byte(a.Path))
+	original := originalRequest{values[0], values[1]}
+	if cfg.Dialect == config.ByPath {
+		rest, ok := bytes.CutPrefix(header.RequestURI(), []byte(cfg.Path))
 		switch {
 		case !ok || len(rest) == 0 || rest[0] != '/':
-			return original{}, &flaw{fasthttp.StatusNotFound, "calls are taken under " + a.Path + "/"}
-		case len(rest) > authcache.LongestTarget:
-			return original{}, &flaw{fasthttp.StatusRequestURITooLong, "the path is too long"}
-		case o.method != nil && !bytes.Equal(o.method, h.Method()), o.target != nil && !bytes.Equal(o.target, rest):
-			return original{}, bad("a forwarded header contradicts the call itself")
+			return originalRequest{}, &callError{fasthttp.StatusNotFound, "calls are taken under " + cfg.Path + "/"}
+		case len(rest) > authcache.MaxTargetBytes:
+			return originalRequest{}, &callError{fasthttp.StatusRequestURITooLong, "the path is too long"}
+		case original.method != nil && !bytes.Equal(original.method, header.Method()),
+			original.target != nil && !bytes.Equal(original.target, rest):
+			return originalRequest{}, badRequest("a forwarded header contradicts the call itself")
 		}
-		return original{h.Method(), rest}, nil
+		return originalRequest{header.Method(), rest}, nil
 	}
-	path, _, _ := bytes.Cut(h.RequestURI(), []byte("?"))
+	path, _, _ := bytes.Cut(header.RequestURI(), []byte("?"))
 	switch {
-	case string(path) != a.Path:
-		return original{}, &flaw{fasthttp.StatusNotFound, "calls are taken at " + a.Path}
-	case string(h.Method()) != fasthttp.MethodGet:
-		return original{}, &flaw{fasthttp.StatusMethodNotAllowed, "a call is a GET"}
-	}
-	for i, f := range fields {
-		if f.must && got[i] == nil {
-			return original{}, bad("%s must be given once", f.names[a.Dialect])
+	case string(path) != cfg.Path:
+		return originalRequest{}, &callError{fasthttp.StatusNotFound, "calls are taken at " + cfg.Path}
+	case string(header.Method()) != fasthttp.MethodGet:
+		return originalRequest{}, &callError{fasthttp.StatusMethodNotAllowed, "a call is a GET"}
+	}
+	for i, f := range forwardedHeaders {
+		if f.required && values[i] == nil {
+			return originalRequest{}, badRequest("%s must be given once", f.names[cfg.Dialect])
 		}
 	}
-	return o, nil
+	return original, nil
 }
 
-func methodWord(v []byte) error {
+func validateMethod(v []byte) error {
 	for _, c := range v {
 		if c < 'A' || c > 'Z' {
 			return errors.New("it must be a method in capitals")
 		}
 	}
-	return some(v)
+	return validateNotEmpty(v)
 }
 
-func target(v []byte) error {
+func validateTarget(v []byte) error {
 	if len(v) == 0 || v[0] != '/' || bytes.HasPrefix(v, []byte("//")) {
 		return errors.New("it must be a path")
 	}
-	return plain(v)
+	return validatePrintable(v)
 }
 
-func host(v []byte) error {
+func validateHost(v []byte) error {
 	if bytes.ContainsAny(v, ",/@") {
 		return errors.New("it must be one host")
 	}
-	return plain(v)
+	return validatePrintable(v)
 }
 
-func proto(v []byte) error {
+func validateScheme(v []byte) error {
 	if string(v) != "http" && string(v) != "https" {
 		return errors.New("it must be http or https")
 	}
 	return nil
 }
 
-func some(v []byte) error {
+func validateNotEmpty(v []byte) error {
 	if len(v) == 0 {
 		return errors.New("it is empty")
 	}
@@ -154,65 +155,65 @@
 }
 
 // plain takes nothing that one reader could see as the end and another not.
-func plain(v []byte) error {
+func validatePrintable(v []byte) error {
 	for _, c := range v {
 		if c <= ' ' || c > '~' || c == '#' || c == '\\' {
 			return errors.New("it must be plain characters")
 		}
 	}
-	return some(v)
+	return validateNotEmpty(v)
 }
 
 // targetOf gives the path and query of a whole address.
-func targetOf(v []byte) ([]byte, error) {
-	if len(v) > authcache.LongestTarget {
-		return nil, &flaw{fasthttp.StatusRequestURITooLong, "X-Original-Url is too long"}
+func targetOfURL(v []byte) ([]byte, error) {
+	if len(v) > authcache.MaxTargetBytes {
+		return nil, &callError{fasthttp.StatusRequestURITooLong, "X-Original-Url is too long"}
 	}
 	u, err := url.Parse(string(v))
-	if err != nil || u.Host == "" || proto([]byte(u.Scheme)) != nil || plain(v) != nil {
-		return nil, bad("X-Original-Url: it must be a whole address")
+	if err != nil || u.Host == "" || validateScheme([]byte(u.Scheme)) != nil || validatePrintable(v) != nil {
+		return nil, badRequest("X-Original-Url: it must be a whole address")
 	}
-	t := v[len(u.Scheme)+len("://"):]
-	at := bytes.IndexAny(t, "/?")
-	if at < 0 || t[at] != '/' {
-		return nil, bad("X-Original-Url: it has no path")
+	rest := v[len(u.Scheme)+len("://"):]
+	start := bytes.IndexAny(rest, "/?")
+	if start < 0 || rest[start] != '/' {
+		return nil, badRequest("X-Original-Url: it has no path")
 	}
-	if err := target(t[at:]); err != nil {
-		return nil, bad("X-Original-Url: %v", err)
+	if err := validateTarget(rest[start:]); err != nil {
+		return nil, badRequest("X-Original-Url: %v", err)
 	}
-	return t[at:], nil
+	return rest[start:], nil
 }
 
 // chain checks the client's address and those of the portals on its way: it has to be there.
-func chain(h *fasthttp.RequestHeader) error {
+func validateClientChain(header *fasthttp.RequestHeader) error {
 	const name = "X-Forwarded-For"
-	v, err := transport.AtMostOnce(h, name)
+	forwardedFor, err := transport.AtMostOnce(header, name)
 	if err != nil {
-		return bad("%v", err)
+		return badRequest("%v", err)
 	}
-	real, err := transport.AtMostOnce(h, "X-Real-Ip")
+	realIP, err := transport.AtMostOnce(header, "X-Real-Ip")
 	if err != nil {
-		return bad("%v", err)
+		return badRequest("%v", err)
 	}
-	if v == nil && real == nil {
-		return bad("%s must be given once", name)
+	if forwardedFor == nil && realIP == nil {
+		return badRequest("%s must be given once", name)
 	}
-	if len(v) > authcache.LongestField || len(real) > authcache.LongestField {
-		return &flaw{fasthttp.StatusRequestHeaderFieldsTooLarge, name + " is too long"}
+	if len(forwardedFor) > authcache.MaxHeaderBytes || len(realIP) > authcache.MaxHeaderBytes {
+		return &callError{fasthttp.StatusRequestHeaderFieldsTooLarge, name + " is too long"}
 	}
 	var hops []string
-	if v != nil {
-		hops = strings.Split(string(v), ",")
+	if forwardedFor != nil {
+		hops = strings.Split(string(forwardedFor), ",")
 	}
-	if len(hops) > authcache.MostHops {
-		return bad("%s: %d addresses are too many", name, len(hops))
+	if len(hops) > authcache.MaxForwardedHops {
+		return badRequest("%s: %d addresses are too many", name, len(hops))
 	}
-	if real != nil {
-		hops = append(hops, string(real))
+	if realIP != nil {
+		hops = append(hops, string(realIP))
 	}
 	for _, s := range hops {
 		if _, err := netip.ParseAddr(strings.TrimSpace(s)); err != nil {
-			return bad("%s: %q is no address", name, s)
+			return badRequest("%s: %q is no address", name, s)
 		}
 	}
 	return nil
--- a/internal/forwardauth/authserver/original_test.go
+++ b/internal/forwardauth/authserver/original_test.go
@@ -13,14 +13,14 @@
 	"willowdeck/internal/gateway/config"
 )
 
-const forwarded = "GET /auth HTTP/1.1\r\nHost: g\r\nX-Forwarded-Method: POST\r\n" +
+const rawForwarded = "GET /auth HTTP/1.1\r\nHost: g\r\nX-Forwarded-Method: POST\r\n" +
 	"X-Forwarded-Uri: /issue/7?a=b\r\n" +
 	"X-Forwarded-Host: sales.example\r\nX-Forwarded-Proto: https\r\nX-Forwarded-For: 192.0.2.7, 10.0.0.1\r\n\r\n"
 
-const originals = "GET /auth HTTP/1.1\r\nHost: g\r\nX-Original-Method: POST\r\n" +
+const rawOriginals = "GET /auth HTTP/1.1\r\nHost: g\r\nX-Original-Method: POST\r\n" +
 	"X-Original-URL: https://sales.example/issue/7?a=b\r\nX-Real-IP: 192.0.2.7\r\n\r\n"
 
-const byPath = "POST /auth/issue/7?a=b HTTP/1.1\r\nHost: g\r\nX-Forwarded-For: 192.0.2.7\r\n" +
+const rawByPath = "POST /auth/issue/7?a=b HTTP/1.1\r\nHost: g\r\nX-Forwarded-For: 192.0.2.7\r\n" +
 	"Content-Length: 0\r\n\r\n"
 
 func parse(t *testing.T, raw string) *fasthttp.RequestHeader {
@@ -34,24 +34,24 @@
 
 // What portals forward is read in each dialect; what is missing, doubled, too long or contradictory has its
 // status. Guards against a header of the client's own that the portal has passed on beside its.
-func TestRead(t *testing.T) {
-	swap := func(old, new string) string { return strings.Replace(forwarded, old, new, 1) }
-	add := func(line string) string { return swap("Host: g", "Host: g\r\n"+line) }
-	long := strings.Repeat("a", authcache.LongestTarget+1)
+func TestParseOriginal(t *testing.T) {
+	replace := func(old, new string) string { return strings.Replace(rawForwarded, old, new, 1) }
+	add := func(line string) string { return replace("Host: g", "Host: g\r\n"+line) }
+	long := strings.Repeat("a", authcache.MaxTargetBytes+1)
 	cases := []struct {
 		name, raw string
 		dialect   config.Dialect
 		status    int // 200 is a call that is read
 	}{
-		{"forwarded", forwarded, config.ByForwarded, 200},
-		{"original", originals, config.ByOriginal, 200},
-		{"original, by path and query", strings.Replace(originals, "URL: https://sales.example", "URI: ", 1),
+		{"forwarded", rawForwarded, config.ByForwarded, 200},
+		{"original", rawOriginals, config.ByOriginal, 200},
+		{"original, by path and query", strings.Replace(rawOriginals, "URL: https://sales.example", "URI: ", 1),
 			config.ByOriginal, 200},
-		{"path", byPath, config.ByPath, 200},
+		{"path", rawByPath, config.ByPath, 200},
 		{"both, and they agree", add("X-Original-Method: POST"), config.ByForwarded, 200},
-		{"no method", swap("X-Forwarded-Method: POST\r\n", ""), config.ByForwarded, 400},
-		{"no target", swap("X-Forwarded-Uri: /issue/7?a=b\r\n", ""), config.ByForwarded, 400},
-		{"no client", swap("X-Forwarded-For: 192.0.2.7, 10.0.0.1\r\n", ""), config.ByForwarded, 400},
+		{"no method", replace("X-Forwarded-Method: POST\r\n", ""), config.ByForwarded, 400},
+		{"no target", replace("X-Forwarded-Uri: /issue/7?a=b\r\n", ""), config.ByForwarded, 400},
+		{"no client", replace("X-Forwarded-For: 192.0.2.7, 10.0.0.1\r\n", ""), config.ByForwarded, 400},
 		{"two methods", add("X-Forwarded-Method: GET"), config.ByForwarded, 400},
 		{"two targets", add("X-Forwarded-Uri: /check"), config.ByForwarded, 400},
 		{"two chains", add("X-Forwarded-For: 192.0.2.9"), config.ByForwarded, 400},
@@ -60,37 +60,46 @@
 		{"targets that differ", add("X-Original-URI: /check"), config.ByForwarded, 400},
 		{"an address that differs", add("X-Original-URL: https://sales.example/check"), config.ByForwarded, 400},
 		{"an address that is none", add("X-Original-URL: /check"), config.ByForwarded, 400},
-		{"no method word", swap("POST", "po st"), config.ByForwarded, 400},
-		{"an empty method", swap("Method: POST", "Method: "), config.ByForwarded, 400},
-		{"no path", swap("/issue/7?a=b", "issue"), config.ByForwarded, 400},
-		{"a path that is a host", swap("/issue/7?a=b", "//issue/7"), config.ByForwarded, 400},
-		{"a path with a space", swap("/issue/7", "/issue 7"), config.ByForwarded, 400},
-		{"a fragment", swap("?a=b", "#b"), config.ByForwarded, 400},
-		{"another protocol", swap("https", "gopher"), config.ByForwarded, 400},
-		{"hosts in a row", swap("sales.example", "a, b"), config.ByForwarded, 400},
-		{"a client that is no address", swap("192.0.2.7", "unknown"), config.ByForwarded, 400},
-		{"a long chain", swap("192.0.2.7", strings.Repeat("192.0.2.7,", 9)+"192.0.2.7"), config.ByForwarded, 400},
-		{"a long target", swap("/issue/7", "/"+long), config.ByForwarded, 414},
-		{"a long host", swap("sales.example", long[:authcache.LongestField+1]), config.ByForwarded, 414},
-		{"a very long chain", swap("192.0.2.7", long), config.ByForwarded, 431},
-		{"elsewhere", swap("/auth", "/other"), config.ByForwarded, 404},
-		{"no GET", swap("GET", "POST"), config.ByForwarded, 405},
-		{"path: nothing behind it", strings.Replace(byPath, "/issue/7?a=b", "", 1), config.ByPath, 404},
-		{"path: not under it", strings.Replace(byPath, "/auth/", "/authority/", 1), config.ByPath, 404},
-		{"path: it is said otherwise", strings.Replace(byPath, "Host: g", "Host: g\r\nX-Forwarded-Method: GET", 1),
-			config.ByPath, 400},
-		{"path: too long", strings.Replace(byPath, "issue/7", long, 1), config.ByPath, 414},
+		{"no method word", replace("POST", "po st"), config.ByForwarded, 400},
+		{"an empty method", replace("Method: POST", "Method: "), config.ByForwarded, 400},
+		{"no path", replace("/issue/7?a=b", "issue"), config.ByForwarded, 400},
+		{"a path that is a host", replace("/issue/7?a=b", "//issue/7"), config.ByForwarded, 400},
+		{"a path with a space", replace("/issue/7", "/issue 7"), config.ByForwarded, 400},
+		{"a fragment", replace("?a=b", "#b"), config.ByForwarded, 400},
+		{"another protocol", replace("https", "gopher"), config.ByForwarded, 400},
+		{"hosts in a row", replace("sales.example", "a, b"), config.ByForwarded, 400},
+		{"a client that is no address", replace("192.0.2.7", "unknown"), config.ByForwarded, 400},
+		{
+			"a long chain",
+			replace("192.0.2.7", strings.Repeat("192.0.2.7,", 9)+"192.0.2.7"),
+			config.ByForwarded,
+			400,
+		},
+		{"a long target", replace("/issue/7", "/"+long), config.ByForwarded, 414},
+		{"a long host", replace("sales.example", long[:authcache.MaxHeaderBytes+1]), config.ByForwarded, 414},
+		{"a very long chain", replace("192.0.2.7", long), config.ByForwarded, 431},
+		{"elsewhere", replace("/auth", "/other"), config.ByForwarded, 404},
+		{"no GET", replace("GET", "POST"), config.ByForwarded, 405},
+		{"path: nothing behind it", strings.Replace(rawByPath, "/issue/7?a=b", "", 1), config.ByPath, 404},
+		{"path: not under it", strings.Replace(rawByPath, "/auth/", "/authority/", 1), config.ByPath, 404},
+		{
+			"path: it is said otherwise",
+			strings.Replace(rawByPath, "Host: g", "Host: g\r\nX-Forwarded-Method: GET", 1),
+			config.ByPath,
+			400,
+		},
+		{"path: too long", strings.Replace(rawByPath, "issue/7", long, 1), config.ByPath, 414},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			o, err := read(parse(t, c.raw), &config.Asked{Path: "/auth", Dialect: c.dialect})
-			var f *flaw
+			original, err := parseOriginal(parse(t, c.raw), &config.Asked{Path: "/auth", Dialect: c.dialect})
+			var callErr *callError
 			switch {
 			case err == nil && c.status == 200:
-				if string(o.method) != "POST" || string(o.target) != "/issue/7?a=b" {
-					t.Errorf("read as %s %s", o.method, o.target)
+				if string(original.method) != "POST" || string(original.target) != "/issue/7?a=b" {
+					t.Errorf("read as %s %s", original.method, original.target)
 				}
-			case err == nil || !errors.As(err, &f) || f.status != c.status:
+			case err == nil || !errors.As(err, &callErr) || callErr.status != c.status:
 				t.Errorf("%v", err)
 			}
 		})
@@ -98,8 +107,8 @@
 }
 
 // Whatever a portal forwards, what is read of it is one plain method and path, as somebody said it.
-func FuzzForwarded(f *testing.F) {
-	for _, raw := range []string{forwarded, originals, byPath} {
+func FuzzParseOriginal(f *testing.F) {
+	for _, raw := range []string{rawForwarded, rawOriginals, rawByPath} {
 		for d := range 3 {
 			f.Add([]byte(raw), uint8(d))
 		}
@@ -109,14 +118,16 @@
 		if h.Read(bufio.NewReader(bytes.NewReader(raw))) != nil {
 			return
 		}
-		o, err := read(&h, &config.Asked{Path: "/auth", Dialect: config.Dialect(dialect % 3)})
+		original, err := parseOriginal(&h, &config.Asked{Path: "/auth", Dialect: config.Dialect(dialect % 3)})
 		if err != nil {
 			return
 		}
-		clean := len(o.method) > 0 && len(o.target) > 0 && o.target[0] == '/' &&
-			len(o.target) <= authcache.LongestTarget && !bytes.ContainsAny(append(o.method, o.target...), "\r\n \t")
-		if !clean || !bytes.Contains(raw, o.target) {
-			t.Errorf("%q is read as %q %q", raw, o.method, o.target)
+		clean := len(original.method) > 0 && len(original.target) > 0 && original.target[0] == '/' &&
+			len(
+				original.target,
+			) <= authcache.MaxTargetBytes && !bytes.ContainsAny(append(original.method, original.target...), "\r\n \t")
+		if !clean || !bytes.Contains(raw, original.target) {
+			t.Errorf("%q is read as %q %q", raw, original.method, original.target)
 		}
 	})
 }
--- a/internal/forwardauth/authserver/portal.go
+++ b/internal/forwardauth/authserver/portal.go
@@ -25,209 +25,223 @@
 )
 
 // Portal takes portals' calls, and the door's txns by what those were told.
-type Portal struct {
-	asked   *config.Asked
-	names   config.Names
-	charter atomic.Pointer[policy.Charter]
-	gate    *proxy.Proxy
-	next    func(*transport.Txn) transport.Final
-	server  fasthttp.Server
-	counts  [counts]atomic.Int64
+type Server struct {
+	config   *config.Asked
+	names    config.Names
+	settings atomic.Pointer[policy.Charter]
+	proxy    *proxy.Proxy
+	next     func(*transport.Txn) transport.Final
+	http     fasthttp.Server
+	counters [counterCount]atomic.Int64
 
-	mu     sync.Mutex // of what follows; never held over I/O or a call of the module
-	book   *authcache.Book[*proxy.Reservation]
-	limit  *transport.Limited // nil until it is bound
-	closed bool
+	mu         sync.Mutex // of what follows; never held over I/O or a call of the module
+	clearances *authcache.ClearanceTable[*proxy.Reservation]
+	listener   *transport.Limited // nil until it is bound
+	closed     bool
 }
 
 // count is one of the figures that operators see.
-type count int
+type counter int
 
 const (
-	yes count = iota
-	again
-	no
-	unreadable
-	stranger
-	others
-	used
-	noPlace
-	elsewhere
-	came
-	uncleared
-	counts
+	cleared counter = iota
+	clearedBefore
+	denied
+	malformed
+	untrusted
+	mismatched
+	alreadyUsed
+	full
+	misdirected
+	redeemed
+	notCleared
+	counterCount
 )
 
-var countNames = [counts]string{"cleared", "again", "declined", "unreadable", "stranger", "others", "used",
-	"no_place", "elsewhere", "came", "uncleared"}
+var counterNames = [counterCount]string{
+	"cleared",
+	"again",
+	"declined",
+	"unreadable",
+	"stranger",
+	"others",
+	"used",
+	"no_place",
+	"elsewhere",
+	"came",
+	"uncleared",
+}
 
 // New makes a front over a gate; next serves the txns that have no clearance and need none.
-func New(a *config.Asked, names config.Names, charter policy.Charter, g *proxy.Proxy,
-	next func(*transport.Txn) transport.Final) *Portal {
-	p := &Portal{asked: a, names: names, gate: g, next: next,
-		book: authcache.NewBook[*proxy.Reservation](a.Life, a.Memory, a.Most)}
-	p.charter.Store(&charter)
-	p.server = fasthttp.Server{
-		Handler:            p.handle,
-		ErrorHandler:       func(ctx *fasthttp.RequestCtx, err error) { p.refuse(ctx, unreadable, broken(err)) },
-		MaxRequestBodySize: 1, // a call has none
-		ReadBufferSize:     2*authcache.LongestTarget + 4096,
-		ReadTimeout:        transport.Millis(authcache.CallWait),
-		WriteTimeout:       transport.Millis(authcache.CallWait),
-		IdleTimeout:        transport.Millis(authcache.IdleCaller),
-		CloseOnShutdown:    true, NoDefaultServerHeader: true, NoDefaultDate: true, NoDefaultContentType: true,
-		Logger: transport.Silent{},
+func New(cfg *config.Asked, names config.Names, settings policy.Charter, p *proxy.Proxy,
+	next func(*transport.Txn) transport.Final) *Server {
+	s := &Server{config: cfg, names: names, proxy: p, next: next,
+		clearances: authcache.NewClearanceTable[*proxy.Reservation](cfg.Life, cfg.Memory, cfg.Most)}
+	s.settings.Store(&settings)
+	s.http = fasthttp.Server{
+		Handler:               s.handle,
+		ErrorHandler:          func(ctx *fasthttp.RequestCtx, err error) { s.rejectCall(ctx, malformed, readError(err)) },
+		MaxRequestBodySize:    1, // a call has none
+		ReadBufferSize:        2*authcache.MaxTargetBytes + 4096,
+		ReadTimeout:           transport.Millis(authcache.CallTimeoutMillis),
+		WriteTimeout:          transport.Millis(authcache.CallTimeoutMillis),
+		IdleTimeout:           transport.Millis(authcache.IdleTimeoutMillis),
+		CloseOnShutdown:       true,
+		NoDefaultServerHeader: true,
+		NoDefaultDate:         true,
+		NoDefaultContentType:  true,
+		Logger:                transport.Silent{},
 	}
-	return p
+	return s
 }
 
 // Resize tells how many gatekeepers there are from now on.
-func (p *Portal) Resize(n int) {
-	c := *p.charter.Load()
-	c.Gatekeepers = n
-	p.charter.Store(&c)
+func (s *Server) SetInstances(instances int) {
+	settings := *s.settings.Load()
+	settings.Gatekeepers = instances
+	s.settings.Store(&settings)
 }
 
 // broken says what is wrong with a call that is no HTTP, too long, or does not come whole in time.
-func broken(err error) *flaw {
-	var small *fasthttp.ErrSmallBuffer
-	var late net.Error
+func readError(err error) *callError {
+	var tooSmall *fasthttp.ErrSmallBuffer
+	var netErr net.Error
 	switch {
-	case errors.As(err, &small):
-		return &flaw{fasthttp.StatusRequestHeaderFieldsTooLarge, "the head is too long"}
+	case errors.As(err, &tooSmall):
+		return &callError{fasthttp.StatusRequestHeaderFieldsTooLarge, "the head is too long"}
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		return &flaw{fasthttp.StatusRequestEntityTooLarge, "a call has no body"}
-	case errors.As(err, &late) && late.Timeout():
-		return &flaw{fasthttp.StatusRequestTimeout, "no whole call has come in time"}
+		return &callError{fasthttp.StatusRequestEntityTooLarge, "a call has no body"}
+	case errors.As(err, &netErr) && netErr.Timeout():
+		return &callError{fasthttp.StatusRequestTimeout, "no whole call has come in time"}
 	}
-	return &flaw{fasthttp.StatusBadRequest, "no call could be read"}
+	return &callError{fasthttp.StatusBadRequest, "no call could be read"}
 }
 
 // Bind opens the address and takes calls there until Close.
-func (p *Portal) Bind() error {
-	l, err := net.Listen("tcp", p.asked.Listen)
+func (s *Server) Listen() error {
+	listener, err := net.Listen("tcp", s.config.Listen)
 	if err != nil {
 		return fmt.Errorf("asked.listen: %w", err)
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.closed {
-		return l.Close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		return listener.Close()
 	}
-	p.limit = transport.Limit(l, p.asked.Callers)
-	go func() { _ = p.server.Serve(p.limit) }()
+	s.listener = transport.Limit(listener, s.config.Callers)
+	go func() { _ = s.http.Serve(s.listener) }()
 	return nil
 }
 
 // At is where it listens; empty while it does not.
-func (p *Portal) At() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.limit == nil {
+func (s *Server) Addr() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.listener == nil {
 		return ""
 	}
-	return p.limit.Addr().String()
+	return s.listener.Addr().String()
 }
 
 // Close takes no more connections; those there are end with their next answer.
-func (p *Portal) Close() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.closed = true
-	if p.limit != nil {
-		_ = p.limit.Close()
+func (s *Server) Close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
+	if s.listener != nil {
+		_ = s.listener.Close()
 	}
-	go func() { _ = p.server.Shutdown() }()
+	go func() { _ = s.http.Shutdown() }()
 }
 
 // Leave gives what is cleared and used to the process that takes this one's place. Nothing is cleared from
 // then on, and what was cleared is no more the module's here.
-func (p *Portal) Leave() []authcache.Clearance {
-	p.mu.Lock()
-	all, holds := p.book.Leave(p.gate.Now())
-	p.mu.Unlock()
-	for _, h := range holds {
-		p.gate.Release(h)
+func (s *Server) HandOver() []authcache.Clearance {
+	s.mu.Lock()
+	clearances, reservations := s.clearances.HandOver(s.proxy.Now())
+	s.mu.Unlock()
+	for _, reservation := range reservations {
+		s.proxy.Release(reservation)
 	}
-	return all
+	return clearances
 }
 
 // Inherit takes what the process before has left. What does not fit this gatekeeper's settings is not taken.
-func (p *Portal) Inherit(all []authcache.Clearance) {
-	for _, c := range all {
-		f, now := c.Facts, p.gate.Now()
-		if f.Product < 0 || f.Product >= len(p.charter.Load().Products) || f.Plan < 0 ||
-			f.Plan >= len(p.charter.Load().Plans) || c.Until <= now || len(c.Mark) == 0 ||
-			len(c.Mark) > policy.LongestMark || !(f.Units > 0) {
+func (s *Server) Adopt(clearances []authcache.Clearance) {
+	for _, c := range clearances {
+		attributes, nowMillis := c.Attributes, s.proxy.Now()
+		if attributes.Product < 0 || attributes.Product >= len(s.settings.Load().Products) || attributes.Plan < 0 ||
+			attributes.Plan >= len(s.settings.Load().Plans) || c.ExpiresMillis <= nowMillis || len(c.RequestID) == 0 ||
+			len(c.RequestID) > policy.LongestMark || !(attributes.Units > 0) {
 			continue
 		}
-		var h *proxy.Reservation
+		var reservation *proxy.Reservation
 		if !c.Used {
-			h = p.gate.AdoptReservation(arrival(f), c.Until-now)
+			reservation = s.proxy.AdoptReservation(arrivalOf(attributes), c.ExpiresMillis-nowMillis)
 		}
-		p.mu.Lock()
-		taken := p.book.Inherit(c, h, now)
-		p.mu.Unlock()
-		if !taken && h != nil {
-			p.gate.Release(h)
+		s.mu.Lock()
+		adopted := s.clearances.Adopt(c, reservation, nowMillis)
+		s.mu.Unlock()
+		if !adopted && reservation != nil {
+			s.proxy.Release(reservation)
 		}
 	}
 }
 
-func factsOf(t *transport.Txn) authcache.Facts {
-	return authcache.Facts{Customer: t.Customer, Product: t.Product, Plan: t.Plan, Units: t.Units,
+func attributesOf(t *transport.Txn) authcache.Attributes {
+	return authcache.Attributes{Customer: t.Customer, Product: t.Product, Plan: t.Plan, Units: t.Units,
 		SetSize: t.SetSize, First: t.First}
 }
 
-func arrival(f authcache.Facts) policy.Arrival {
-	return policy.Arrival{Customer: f.Customer, Product: f.Product, Plan: f.Plan, Units: f.Units,
-		SetSize: f.SetSize, First: f.First}
+func arrivalOf(a authcache.Attributes) policy.Arrival {
+	return policy.Arrival{Customer: a.Customer, Product: a.Product, Plan: a.Plan, Units: a.Units,
+		SetSize: a.SetSize, First: a.First}
 }
 
 // Serve is the life of a txn at the main door: one that was cleared takes what was kept for it, and comes
 // once. The rest goes on as ever, but for products that come only if they were cleared.
-func (p *Portal) Serve(t *transport.Txn) transport.Final {
-	once := p.asked.Only[t.Product] || p.charter.Load().Products[t.Product].Repeat != policy.InquiryLike
-	p.mu.Lock()
-	found, hold := p.book.Come(string(t.Mark), factsOf(t), once, p.gate.Now())
-	p.mu.Unlock()
-	switch found {
-	case authcache.Known:
-		if end, ok := p.gate.ServeReserved(hold, t); ok {
-			p.counts[came].Add(1)
-			return end
+func (s *Server) Serve(t *transport.Txn) transport.Final {
+	once := s.config.Only[t.Product] || s.settings.Load().Products[t.Product].Repeat != policy.InquiryLike
+	s.mu.Lock()
+	status, reservation := s.clearances.Redeem(string(t.Mark), attributesOf(t), once, s.proxy.Now())
+	s.mu.Unlock()
+	switch status {
+	case authcache.StatusGranted:
+		if final, ok := s.proxy.ServeReserved(reservation, t); ok {
+			s.counters[redeemed].Add(1)
+			return final
 		}
 		// It lapsed at this very moment. The mark counts as used: so it comes once all the same.
-	case authcache.Used, authcache.Open:
-		p.counts[used].Add(1)
-		return refusal(fasthttp.StatusConflict, "X-Request-Id: its txn has come already")
-	case authcache.Others:
-		p.counts[others].Add(1)
-		return refusal(fasthttp.StatusConflict, "X-Request-Id: another txn was cleared by it")
+	case authcache.StatusUsed, authcache.StatusPending:
+		s.counters[alreadyUsed].Add(1)
+		return rejection(fasthttp.StatusConflict, "X-Request-Id: its txn has come already")
+	case authcache.StatusMismatch:
+		s.counters[mismatched].Add(1)
+		return rejection(fasthttp.StatusConflict, "X-Request-Id: another txn was cleared by it")
 	}
 	switch {
-	case !p.asked.Only[t.Product]:
-	case found == authcache.Moved: // nothing was sent, and who has the book now is there at once
-		return transport.Final{Kind: policy.Decline, Wait: authcache.RebindAgain}
+	case !s.config.Only[t.Product]:
+	case status == authcache.StatusHandedOver: // nothing was sent, and who has the book now is there at once
+		return transport.Final{Kind: policy.Decline, Wait: authcache.RebindIntervalMillis}
 	default:
-		p.counts[uncleared].Add(1)
-		return refusal(fasthttp.StatusForbidden, "this product comes only if it has been cleared")
+		s.counters[notCleared].Add(1)
+		return rejection(fasthttp.StatusForbidden, "this product comes only if it has been cleared")
 	}
-	return p.next(t)
+	return s.next(t)
 }
 
-func refusal(status int, says string) transport.Final {
-	return transport.Final{Kind: policy.Void, Refusal: &transport.Refusal{Status: status, Says: says}}
+func rejection(status int, message string) transport.Final {
+	return transport.Final{Kind: policy.Void, Refusal: &transport.Refusal{Status: status, Says: message}}
 }
 
 // trusted tells whether a caller may speak for clients. Guards against a client that calls here itself: what
 // the forwarded headers say is only as good as who sends them.
-func (p *Portal) trusted(a net.Addr) bool {
-	from, err := netip.ParseAddrPort(a.String())
+func (s *Server) trusted(caller net.Addr) bool {
+	from, err := netip.ParseAddrPort(caller.String())
 	if err != nil {
 		return false
 	}
-	for _, t := range p.asked.Trusted {
+	for _, t := range s.config.Trusted {
 		if t.Contains(from.Addr().Unmap()) {
 			return true
 		}
@@ -235,116 +249,121 @@
 	return false
 }
 
-func (p *Portal) handle(ctx *fasthttp.RequestCtx) {
-	if !p.trusted(ctx.RemoteAddr()) {
-		p.refuse(ctx, stranger, &flaw{fasthttp.StatusForbidden, "calls are taken from portals alone"})
+func (s *Server) handle(ctx *fasthttp.RequestCtx) {
+	if !s.trusted(ctx.RemoteAddr()) {
+		s.rejectCall(ctx, untrusted, &callError{fasthttp.StatusForbidden, "calls are taken from portals alone"})
 		return
 	}
-	h := &ctx.Request.Header
-	o, err := read(h, p.asked)
+	header := &ctx.Request.Header
+	original, err := parseOriginal(header, s.config)
 	if err == nil && len(ctx.Request.Body()) > 0 {
-		err = bad("a call has no body")
+		err = badRequest("a call has no body")
 	}
 	var t transport.Txn
 	if err == nil {
-		t, err = transport.Decode(h, o.method, o.target, &p.names, p.charter.Load(), false)
+		t, err = transport.Decode(header, original.method, original.target, &s.names, s.settings.Load(), false)
 	}
 	if err != nil {
-		var f *flaw
-		if !errors.As(err, &f) {
-			f = &flaw{fasthttp.StatusBadRequest, err.Error()}
+		var callErr *callError
+		if !errors.As(err, &callErr) {
+			callErr = &callError{fasthttp.StatusBadRequest, err.Error()}
 		}
-		p.refuse(ctx, unreadable, f)
+		s.rejectCall(ctx, malformed, callErr)
 		return
 	}
-	p.answer(ctx, &t)
+	s.decide(ctx, &t)
 }
 
 // answer answers a call that makes sense.
-func (p *Portal) answer(ctx *fasthttp.RequestCtx, t *transport.Txn) {
-	mark, facts := string(t.Mark), factsOf(t)
-	c := p.charter.Load()
-	if home := authcache.Home(mark, facts, c.Gatekeepers); p.asked.Only[t.Product] && home != c.Me {
+func (s *Server) decide(ctx *fasthttp.RequestCtx, t *transport.Txn) {
+	requestID, attributes := string(t.Mark), attributesOf(t)
+	settings := s.settings.Load()
+	if home := authcache.HomeInstance(
+		requestID,
+		attributes,
+		settings.Gatekeepers,
+	); s.config.Only[t.Product] &&
+		home != settings.Me {
 		ctx.Response.Header.Set("X-Clear-At", strconv.Itoa(home))
-		p.say(ctx, elsewhere, fasthttp.StatusMisdirectedRequest, "another gatekeeper clears this txn")
+		s.respond(ctx, misdirected, fasthttp.StatusMisdirectedRequest, "another gatekeeper clears this txn")
 		return
 	}
-	now := p.gate.Now()
-	p.mu.Lock()
-	found := p.book.Ask(mark, facts, now)
-	p.mu.Unlock()
-	switch found {
-	case authcache.New:
-	case authcache.Known:
-		p.say(ctx, again, fasthttp.StatusOK, "cleared before")
+	nowMillis := s.proxy.Now()
+	s.mu.Lock()
+	status := s.clearances.Begin(requestID, attributes, nowMillis)
+	s.mu.Unlock()
+	switch status {
+	case authcache.StatusUnknown:
+	case authcache.StatusGranted:
+		s.respond(ctx, clearedBefore, fasthttp.StatusOK, "cleared before")
 		return
-	case authcache.Used:
-		p.say(ctx, used, fasthttp.StatusConflict, "X-Request-Id: its txn has come already")
+	case authcache.StatusUsed:
+		s.respond(ctx, alreadyUsed, fasthttp.StatusConflict, "X-Request-Id: its txn has come already")
 		return
-	case authcache.Others:
-		p.say(ctx, others, fasthttp.StatusConflict, "X-Request-Id: another txn was cleared by it")
+	case authcache.StatusMismatch:
+		s.respond(ctx, mismatched, fasthttp.StatusConflict, "X-Request-Id: another txn was cleared by it")
 		return
 	default: // full, moved, or being decided on at this moment
-		wait := authcache.FullAgain
-		if found != authcache.Full {
-			wait = authcache.RebindAgain
+		waitMillis := authcache.FullRetryMillis
+		if status != authcache.StatusFull {
+			waitMillis = authcache.RebindIntervalMillis
 		}
-		ctx.Response.Header.Set("Retry-After", transport.RetryAfter(wait))
-		p.say(ctx, noPlace, fasthttp.StatusServiceUnavailable, "no place for one more clearance")
+		ctx.Response.Header.Set("Retry-After", transport.RetryAfter(waitMillis))
+		s.respond(ctx, full, fasthttp.StatusServiceUnavailable, "no place for one more clearance")
 		return
 	}
-	hold, end := p.gate.Reserve(t, p.book.Life())
-	p.mu.Lock()
-	if hold == nil {
-		p.book.Drop(mark)
-	} else if p.book.Grant(mark, hold, now) <= now { // another process has the book since
-		defer p.gate.Release(hold)
-		hold = nil
+	reservation, final := s.proxy.Reserve(t, s.clearances.LifetimeMillis())
+	s.mu.Lock()
+	if reservation == nil {
+		s.clearances.Cancel(requestID)
+	} else if s.clearances.Grant(requestID, reservation, nowMillis) <= nowMillis { // another process has the book since
+		defer s.proxy.Release(reservation)
+		reservation = nil
 	}
-	p.mu.Unlock()
-	if hold == nil {
-		if end.Wait > 0 {
-			ctx.Response.Header.Set("Retry-After", transport.RetryAfter(end.Wait))
+	s.mu.Unlock()
+	if reservation == nil {
+		if final.Wait > 0 {
+			ctx.Response.Header.Set("Retry-After", transport.RetryAfter(final.Wait))
 		}
-		p.say(ctx, no, p.asked.NoStatus, "declined")
+		s.respond(ctx, denied, s.config.NoStatus, "declined")
 		return
 	}
-	ctx.Response.Header.Set("X-Cleared-Ms", strconv.FormatFloat(p.asked.Life, 'f', 0, 64))
-	p.say(ctx, yes, fasthttp.StatusOK, "cleared")
+	ctx.Response.Header.Set("X-Cleared-Ms", strconv.FormatFloat(s.config.Life, 'f', 0, 64))
+	s.respond(ctx, cleared, fasthttp.StatusOK, "cleared")
 }
 
 // refuse answers what makes no sense, or comes from a stranger, and ends its connection.
-func (p *Portal) refuse(ctx *fasthttp.RequestCtx, c count, f *flaw) {
-	p.say(ctx, c, f.status, f.says)
+func (s *Server) rejectCall(ctx *fasthttp.RequestCtx, c counter, err *callError) {
+	s.respond(ctx, c, err.status, err.message)
 	ctx.SetConnectionClose()
 	transport.Linger(ctx.Conn())
 }
 
-func (p *Portal) say(ctx *fasthttp.RequestCtx, c count, status int, says string) {
-	p.counts[c].Add(1)
+func (s *Server) respond(ctx *fasthttp.RequestCtx, c counter, status int, message string) {
+	s.counters[c].Add(1)
 	ctx.SetStatusCode(status)
 	ctx.Response.Header.SetContentType("text/plain")
-	ctx.SetBodyString(says + "\n")
+	ctx.SetBodyString(message + "\n")
 }
 
 // Figures gives what operators see: counts since the start, and how many marks are known.
-func (p *Portal) Figures(add func(name string, v int64)) {
-	for i := range p.counts {
-		add("asked."+countNames[i], p.counts[i].Load())
+func (s *Server) Figures(add func(name string, v int64)) {
+	for i := range s.counters {
+		add("asked."+counterNames[i], s.counters[i].Load())
 	}
-	p.mu.Lock()
-	n := p.book.Len(p.gate.Now())
-	p.mu.Unlock()
+	s.mu.Lock()
+	n := s.clearances.Len(s.proxy.Now())
+	s.mu.Unlock()
 	add("asked.marks", int64(n))
 }
 
 // Rebind binds the address as soon as it is free, until over is closed: the process before may have it still.
-func (p *Portal) Rebind(over <-chan struct{}) {
-	for p.Bind() != nil {
+func (s *Server) ListenWhenFree(stop <-chan struct{}) {
+	for s.Listen() != nil {
 		select {
-		case <-over:
+		case <-stop:
 			return
-		case <-time.After(transport.Millis(authcache.RebindAgain)):
+		case <-time.After(transport.Millis(authcache.RebindIntervalMillis)):
 		}
 	}
 }
--- a/internal/gateway/config/forward.go
+++ b/internal/gateway/config/forward.go
@@ -53,7 +53,7 @@
 	Send, Copy  []string
 	Concerned   []bool // by product
 	OpenOn      []bool // by product: on trouble it goes on
-	Terms       authcache.Terms
+	Terms       authcache.ServiceConfig
 	Connections int
 }
 
@@ -151,15 +151,15 @@
 func (file *forwardFile) defaults() {
 	a, b := &file.Asked, &file.Asking
 	a.Path, a.Dialect, a.NoStatus, a.LifeMS = "/auth", "forwarded", http.StatusTooManyRequests,
-		authcache.DefaultLife
-	a.RememberS, a.Most, a.Connections = authcache.DefaultMemory/1000, authcache.DefaultMost,
-		authcache.DefaultCallers
-	b.Path, b.Credential, b.LimitMS, b.Share = "/", "Authorization", authcache.DefaultLimit,
-		authcache.DefaultShare
-	b.Connections, b.Credentials = authcache.DefaultAsks, authcache.DefaultKept
-	b.YesS, b.NoS = authcache.DefaultYes/1000, authcache.DefaultNo/1000
-	b.Breaker.After, b.Breaker.PauseMS = authcache.DefaultAfter, authcache.DefaultPause
-	b.Breaker.MostMS = authcache.DefaultPauseAt
+		authcache.DefaultClearanceLifetimeMillis
+	a.RememberS, a.Most, a.Connections = authcache.DefaultUsedRetentionMillis/1000, authcache.DefaultMaxClearances,
+		authcache.DefaultMaxCallers
+	b.Path, b.Credential, b.LimitMS, b.Share = "/", "Authorization", authcache.DefaultTimeoutMillis,
+		authcache.DefaultTimeoutShare
+	b.Connections, b.Credentials = authcache.DefaultConnections, authcache.DefaultMaxDecisions
+	b.YesS, b.NoS = authcache.DefaultAllowTTLMillis/1000, authcache.DefaultDenyTTLMillis/1000
+	b.Breaker.After, b.Breaker.PauseMS = authcache.DefaultBreakerThreshold, authcache.DefaultBreakerBackoffMillis
+	b.Breaker.MostMS = authcache.DefaultBreakerMaxBackoffMillis
 }
 
 // within says what is wrong with the first figure that is out of its range.
@@ -212,9 +212,9 @@
 	default:
 		return nil, fmt.Errorf("no_status: %d is none of 401, 403, 429", a.NoStatus)
 	}
-	if err = within(bound{"life_ms", a.Life, 1, authcache.LongestLife},
-		bound{"remember_s", t.RememberS, a.Life / 1000, authcache.LongestMemory / 1000},
-		bound{"most", float64(a.Most), 1, authcache.MostOfAll},
+	if err = within(bound{"life_ms", a.Life, 1, authcache.MaxClearanceLifetimeMillis},
+		bound{"remember_s", t.RememberS, a.Life / 1000, authcache.MaxUsedRetentionMillis / 1000},
+		bound{"most", float64(a.Most), 1, authcache.LargestMaxClearances},
 		bound{"connections", float64(a.Callers), 1, 1 << 16}); err != nil {
 		return nil, err
 	}
@@ -224,10 +224,24 @@
 
 func (file *forwardFile) asking(g *Gatekeeper) (*Asking, error) {
 	t := &file.Asking
-	a := &Asking{Path: t.Path, Credential: t.Credential, Customer: t.Customer, Send: t.Send, Copy: t.Copy,
-		Connections: t.Connections, Terms: authcache.Terms{Limit: t.LimitMS, Share: t.Share, Yes: t.YesS * 1000,
-			No: t.NoS * 1000, Kept: t.Credentials, After: t.Breaker.After, Pause: t.Breaker.PauseMS,
-			MostPause: t.Breaker.MostMS}}
+	a := &Asking{
+		Path:        t.Path,
+		Credential:  t.Credential,
+		Customer:    t.Customer,
+		Send:        t.Send,
+		Copy:        t.Copy,
+		Connections: t.Connections,
+		Terms: authcache.ServiceConfig{
+			TimeoutMillis:           t.LimitMS,
+			TimeoutShare:            t.Share,
+			AllowTTLMillis:          t.YesS * 1000,
+			DenyTTLMillis:           t.NoS * 1000,
+			MaxDecisions:            t.Credentials,
+			BreakerThreshold:        t.Breaker.After,
+			BreakerBackoffMillis:    t.Breaker.PauseMS,
+			BreakerMaxBackoffMillis: t.Breaker.MostMS,
+		},
+	}
 	var err error
 	if a.Service, err = address("service", t.Service); err != nil {
 		return nil, err
@@ -266,20 +280,20 @@
 		}
 	}
 	return a, within(
-		bound{"limit_ms", t.LimitMS, 1, authcache.LongestLimit},
+		bound{"limit_ms", t.LimitMS, 1, authcache.MaxTimeoutMillis},
 		bound{"share", t.Share, 0.01, 0.9},
 		bound{
 			"yes_s",
 			t.YesS,
 			0,
-			authcache.LongestGood / 1000,
+			authcache.MaxDecisionTTLMillis / 1000,
 		},
-		bound{"no_s", t.NoS, 0, authcache.LongestGood / 1000},
-		bound{"credentials", float64(t.Credentials), 0, authcache.MostKept},
-		bound{"connections", float64(t.Connections), 1, authcache.MostAsks},
+		bound{"no_s", t.NoS, 0, authcache.MaxDecisionTTLMillis / 1000},
+		bound{"credentials", float64(t.Credentials), 0, authcache.LargestMaxDecisions},
+		bound{"connections", float64(t.Connections), 1, authcache.MaxConnections},
 		bound{"breaker.after", float64(t.Breaker.After), 1, 1000},
-		bound{"breaker.pause_ms", t.Breaker.PauseMS, 1, authcache.LongestPause},
-		bound{"breaker.most_ms", t.Breaker.MostMS, t.Breaker.PauseMS, authcache.LongestPause},
+		bound{"breaker.pause_ms", t.Breaker.PauseMS, 1, authcache.MaxBreakerBackoffMillis},
+		bound{"breaker.most_ms", t.Breaker.MostMS, t.Breaker.PauseMS, authcache.MaxBreakerBackoffMillis},
 	)
 }
 
--- a/internal/gateway/hotrestart/golden_test.go
+++ b/internal/gateway/hotrestart/golden_test.go
@@ -56,10 +56,23 @@
 		CutAt: 167.5, Pace: 168.5, Load: 169.5, WarmDone: 170.5, WarmEach: 171.5, WarmAt: 172.5, Long: 173.5,
 		LongAt: 174.5, Astray: 175.5, AstrayAt: 176.5, Tight: []float64{177.5, 178.5}, Stay: []float64{179.5,
 			180.5}, NextTell: 181.5}, Workers: map[int]string{182: "s182", 183: "s183"},
-		Kinds: map[int]string{184: "s184", 185: "s185"}, Clearances: []authcache.Clearance{{Mark: "s186",
-			Facts: authcache.Facts{Customer: 187, Product: 188, Plan: 189, Units: 190.5, SetSize: 191, First: 192},
-			Used:  true, Until: 193.5}, {Mark: "s194", Facts: authcache.Facts{Customer: 195, Product: 196, Plan: 197,
-			Units: 198.5, SetSize: 199, First: 200}, Used: true, Until: 201.5}},
+		Kinds: map[int]string{184: "s184", 185: "s185"}, Clearances: []authcache.Clearance{
+			{
+				RequestID: "s186",
+				Attributes: authcache.Attributes{
+					Customer: 187,
+					Product:  188,
+					Plan:     189,
+					Units:    190.5,
+					SetSize:  191,
+					First:    192,
+				},
+				Used:          true,
+				ExpiresMillis: 193.5,
+			},
+			{RequestID: "s194", Attributes: authcache.Attributes{Customer: 195, Product: 196, Plan: 197,
+				Units: 198.5, SetSize: 199, First: 200}, Used: true, ExpiresMillis: 201.5},
+		},
 		Word: incarnation.MessageID{Incarnation: 202,
 			Sequence: 203}}
 }
--- a/internal/gateway/hotrestart/storedform.go
+++ b/internal/gateway/hotrestart/storedform.go
@@ -218,14 +218,14 @@
 
 func encodeClearance(live authcache.Clearance) storedClearance {
 	return storedClearance{
-		Mark:  live.Mark,
-		Facts: encodeFacts(live.Facts),
+		Mark:  live.RequestID,
+		Facts: encodeFacts(live.Attributes),
 		Used:  live.Used,
-		Until: live.Until,
+		Until: live.ExpiresMillis,
 	}
 }
 
-func encodeFacts(live authcache.Facts) storedFacts {
+func encodeFacts(live authcache.Attributes) storedFacts {
 	return storedFacts{
 		Customer: live.Customer,
 		Product:  live.Product,
@@ -417,15 +417,15 @@
 
 func decodeClearance(stored storedClearance) authcache.Clearance {
 	return authcache.Clearance{
-		Mark:  stored.Mark,
-		Facts: decodeFacts(stored.Facts),
-		Used:  stored.Used,
-		Until: stored.Until,
+		RequestID:     stored.Mark,
+		Attributes:    decodeFacts(stored.Facts),
+		Used:          stored.Used,
+		ExpiresMillis: stored.Until,
 	}
 }
 
-func decodeFacts(stored storedFacts) authcache.Facts {
-	return authcache.Facts{
+func decodeFacts(stored storedFacts) authcache.Attributes {
+	return authcache.Attributes{
 		Customer: stored.Customer,
 		Product:  stored.Product,
 		Plan:     stored.Plan,
--- a/internal/gateway/lifecycle/forward_test.go
+++ b/internal/gateway/lifecycle/forward_test.go
@@ -124,7 +124,7 @@
 func TestClearedOnce(t *testing.T) {
 	d := forwards(t, asked, `{"name":"tiny","rate":0.1,"most_at_once":1`,
 		`{"name":"tiny","rate":2,"most_at_once":2`)
-	at := d.gk.portal.At()
+	at := d.gk.portal.Addr()
 	tiny := func(id string) string { return strings.Replace(issue("/issue", id), "basic", "tiny", 1) }
 	for range 2 { // by two portals
 		if r := whole(t, at, call(tiny("t1"))); r.StatusCode != 200 {
@@ -167,7 +167,7 @@
 // The same mark for another customer, product or size is turned away, at both doors, and nothing is booked.
 func TestClearedForAnother(t *testing.T) {
 	d := forwards(t, asked)
-	at := d.gk.portal.At()
+	at := d.gk.portal.Addr()
 	if r := whole(t, at, call(issue("/issue", "x"))); r.StatusCode != 200 {
 		t.Fatal(r.Status)
 	}
@@ -192,7 +192,7 @@
 // one clears each mark.
 func TestClearedOnly(t *testing.T) {
 	d := forwards(t, strings.Replace(asked, "127.0.0.0/8", "192.0.2.0/24", 1))
-	if r := whole(t, d.gk.portal.At(), call(check("/check", "1"))); r.StatusCode != 403 ||
+	if r := whole(t, d.gk.portal.Addr(), call(check("/check", "1"))); r.StatusCode != 403 ||
 		d.figure("asked.stranger") != 1 {
 		t.Errorf("a stranger's call: %v", r.Status)
 	}
@@ -206,7 +206,7 @@
 	}
 	here, there := 0, 0
 	for i := range 40 {
-		switch r := whole(t, d.gk.portal.At(), call(two(issue("/issue", fmt.Sprint("m", i))))); r.StatusCode {
+		switch r := whole(t, d.gk.portal.Addr(), call(two(issue("/issue", fmt.Sprint("m", i))))); r.StatusCode {
 		case 200:
 			here++
 		case 421:
@@ -434,9 +434,9 @@
 	}
 	first := d.second(both) // the deployment's own has no portals
 	d.gk.Stop()
-	until(t, "no portal", func() bool { return first.portal.At() != "" })
+	until(t, "no portal", func() bool { return first.portal.Addr() != "" })
 	for _, id := range []string{"used", "kept"} {
-		if r := whole(t, first.portal.At(), call(issue("/issue", id))); r.StatusCode != 200 {
+		if r := whole(t, first.portal.Addr(), call(issue("/issue", id))); r.StatusCode != 200 {
 			t.Fatal(r.Status)
 		}
 	}
@@ -456,8 +456,8 @@
 	if status, _ := read(busy); status != "HTTP/1.1 200 OK" {
 		t.Errorf("an ask under way: %q", status)
 	}
-	until(t, "no portal in the second", func() bool { return second.portal.At() != "" })
-	at := second.portal.At()
+	until(t, "no portal in the second", func() bool { return second.portal.Addr() != "" })
+	at := second.portal.Addr()
 	if r := whole(t, at, call(issue("/issue", "used"))); r.StatusCode != 409 {
 		t.Errorf("used before: %v", r.Status)
 	}
@@ -490,7 +490,7 @@
 	time.Sleep(20 * time.Millisecond)
 	d.gk.Quiesce()
 	d.gk.Reload(d.conf, nil)
-	if r := whole(t, d.gk.portal.At(), call(issue("/issue", "p"))); r.StatusCode != 200 {
+	if r := whole(t, d.gk.portal.Addr(), call(issue("/issue", "p"))); r.StatusCode != 200 {
 		t.Errorf("a portal's call meanwhile: %v", r.Status)
 	}
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal)
--- a/internal/gateway/lifecycle/reload.go
+++ b/internal/gateway/lifecycle/reload.go
@@ -65,7 +65,7 @@
 	if int64(n) != g.members.Load() {
 		g.front.Resize(n)
 		if g.portal != nil {
-			g.portal.Resize(n)
+			g.portal.SetInstances(n)
 		}
 		g.members.Store(int64(n))
 	}
--- a/internal/gateway/lifecycle/replace.go
+++ b/internal/gateway/lifecycle/replace.go
@@ -81,8 +81,8 @@
 			g.log.Info().Int("customers", len(w.Estate.Customers)).Int("workers", len(w.Estate.Workers)).
 				Msg("taking over")
 			if g.portal != nil {
-				g.portal.Inherit(w.Clearances)
-				go g.portal.Rebind(g.over)
+				g.portal.Adopt(w.Clearances)
+				go g.portal.ListenWhenFree(g.over)
 			}
 			g.serve()
 			if w.Drains {
@@ -104,7 +104,7 @@
 		g.remember(true)
 		g.keepJournal(false)
 		if g.portal != nil {
-			go g.portal.Rebind(g.over)
+			go g.portal.ListenWhenFree(g.over)
 		}
 		g.serve()
 	}
@@ -172,7 +172,7 @@
 	w := hotrestart.Will{Drains: g.drains.Load()}
 	if g.portal != nil {
 		g.portal.Close()
-		w.Clearances = g.portal.Leave() // before the module's own, which would count them as spent
+		w.Clearances = g.portal.HandOver() // before the module's own, which would count them as spent
 	}
 	w.Estate, w.Workers, w.Kinds = g.desk.HandOff()
 	if k := g.journal.Load(); k != nil {
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -59,19 +59,19 @@
 	members atomic.Int64                     // gatekeepers there are, this one included
 	lists   sync.Mutex                       // of list, and of what the desk is told of it
 	list    *bootstrap.Book
-	portal  *authserver.Portal  // nil where portals do not ask
-	vouch   *authorizer.Voucher // nil where no auth service is asked
-	spoilt  atomic.Int64        // copies of a former life that could not be gone by
-	asking  atomic.Bool         // others are asked for their list
-	agreed  *agreement          // nil where no rules are agreed on
-	history *history.Log        // nil where no record is kept
-	said    time.Time           // when the log last told that the watch had ended
-	word    *speaker            // nil where no word is told
-	first   chan struct{}       // closed at the watch's first word or failure
-	once    sync.Once           // of that
-	lends   atomic.Bool         // credit is, or can't be
-	away    atomic.Bool         // its place is another process's, still or from here on
-	heir    *heir               // nil where no process was before this one
+	portal  *authserver.Server     // nil where portals do not ask
+	vouch   *authorizer.Authorizer // nil where no auth service is asked
+	spoilt  atomic.Int64           // copies of a former life that could not be gone by
+	asking  atomic.Bool            // others are asked for their list
+	agreed  *agreement             // nil where no rules are agreed on
+	history *history.Log           // nil where no record is kept
+	said    time.Time              // when the log last told that the watch had ended
+	word    *speaker               // nil where no word is told
+	first   chan struct{}          // closed at the watch's first word or failure
+	once    sync.Once              // of that
+	lends   atomic.Bool            // credit is, or can't be
+	away    atomic.Bool            // its place is another process's, still or from here on
+	heir    *heir                  // nil where no process was before this one
 
 	copied   atomic.Pointer[checkpoint.Left] // a former life's, until it is known which rules are in force
 	agreedOn atomic.Pointer[[]policy.Plan]   // as rules that were adopted last have them; nil before any
@@ -146,7 +146,7 @@
 
 	g.limit = transport.Limit(l, clients)
 	if err = nil; g.portal != nil && before == nil {
-		err = g.portal.Bind()
+		err = g.portal.Listen()
 	}
 	if c.Control != "" && err == nil {
 		g.port, err = admin.Open(c.Control, g)
