--- a/internal/forwardauth/authcache/authcache_test.go
+++ b/internal/forwardauth/authcache/authcache_test.go
@@ -11,7 +11,7 @@
 
 var sale = Attributes{Customer: 7, Product: 1, Units: 1, SetSize: 3, First: 2}
 
-// A mark's life: open, known, used; each end lets it go, and what a txn is told follows.
+// A request id is pending, granted, used and expired in turn, and requests are answered accordingly.
 func TestClearanceTable(t *testing.T) {
 	table := NewClearanceTable[int](100, 500, 3)
 	other := sale
@@ -67,7 +67,7 @@
 	}
 	step("another process has it", table.Begin("x", sale, 730), StatusHandedOver)
 	step("a txn then", redeem("f2", sale, 730), StatusHandedOver)
-	if until := table.Grant("f0", 5, 730); until > 730 { // it was open as the book was left
+	if until := table.Grant("f0", 5, 730); until > 730 { // it was pending at the handover
 		t.Errorf("granted after that, until %v", until)
 	}
 	successor := NewClearanceTable[int](100, 500, 2)
@@ -85,8 +85,8 @@
 	step("used before the heir", found, StatusUsed)
 }
 
-// Whatever is asked, in whatever order, no mark comes twice within its memory, what is kept stays within its
-// bound, and all of it is let go in the end.
+// In random sequences of calls no request id is redeemed twice within its retention, the table stays within
+// its bound, and all entries expire in the end.
 func TestClearanceTableAtRandom(t *testing.T) {
 	const most = 40
 	for seed := range int64(30) {
@@ -119,7 +119,7 @@
 						table.Adopt(c, 1, now)
 					}
 				} else {
-					clear(redeemed) // it was killed: the bound that is stated
+					clear(redeemed) // it was killed: nothing was handed over
 				}
 			}
 			if n := table.Len(now); n > most || len(table.grantedExpiries)+len(table.usedExpiries) > 2*most {
@@ -132,7 +132,7 @@
 	}
 }
 
-// Each mark has one home in its set, the same whoever asks, and the homes share the work.
+// Each request id has one home instance in its set, the same for all, and the ids are spread evenly.
 func TestHomeInstance(t *testing.T) {
 	var perInstance [5]int
 	sale := sale
@@ -164,8 +164,8 @@
 	}
 }
 
-// An answer is good from when it was asked for, for its kind's time, and no longer: a credential that is
-// withdrawn passes for so long at most.
+// A decision is valid from when it was asked for, for the TTL of its kind: a revoked credential passes for
+// so long at most.
 func TestDecisionsExpire(t *testing.T) {
 	s := NewService(serviceConfig(), 1)
 	a, b := CredentialDigest{1}, CredentialDigest{2}
@@ -177,7 +177,7 @@
 		1000,
 		9000,
 		true,
-	) // it took longer than it is good for
+	) // it took longer than its TTL
 	s.RecordDecision(CredentialDigest{4}, Decision{Allowed: true}, 1000, 1140, false)
 	for _, c := range []struct {
 		d      CredentialDigest
@@ -199,7 +199,7 @@
 	}
 }
 
-// A service that fails is left alone, longer each time and never in step with others, then asked once.
+// A service that fails is not asked for a backoff, longer each time and jittered, then probed once.
 func TestServiceBreaker(t *testing.T) {
 	s := NewService(serviceConfig(), 1)
 	fail := func(now float64) {
@@ -211,7 +211,7 @@
 	}
 	fail(0)
 	fail(1)
-	s.RecordDecision(CredentialDigest{1}, Decision{Allowed: true}, 2, 2, true) // and all is forgotten
+	s.RecordDecision(CredentialDigest{1}, Decision{Allowed: true}, 2, 2, true) // a success resets the count
 	now := 3.0
 	for range 3 {
 		fail(now)
@@ -220,7 +220,7 @@
 		if !s.BreakerOpen(now) {
 			t.Errorf("not left alone after failure %d", i)
 		}
-		s.RecordFailure(now + 1) // under way before
+		s.RecordFailure(now + 1) // of a query under way before
 		ok, wait := s.Allow(now)
 		if ok || wait < backoffMillis*0.75 || wait > backoffMillis*1.25 {
 			t.Errorf("pause %d: %v, %v", i, ok, wait)
@@ -235,7 +235,7 @@
 		if ok, _ := s.Allow(now); ok {
 			t.Errorf("pause %d: asked twice at once after it", i)
 		}
-		if i == 1 { // there was no connection for it
+		if i == 1 { // no connection was free
 			s.CancelAttempt()
 			if ok, _ := s.Allow(now); !ok {
 				t.Error("not asked after one that was not")
@@ -246,7 +246,7 @@
 	_, wait := s.Allow(now)
 	now += wait
 	s.Allow(now)
-	s.RecordDecision(CredentialDigest{1}, Decision{Status: 401}, now, now, true) // a no is an answer
+	s.RecordDecision(CredentialDigest{1}, Decision{Status: 401}, now, now, true) // a denial is a success
 	if ok, _ := s.Allow(now); !ok || s.BreakerOpen(now) {
 		t.Error("left alone after an answer")
 	}
@@ -262,7 +262,7 @@
 	}
 }
 
-// A hundred thousand credentials are kept in bounded memory, and a million asked for go through it.
+// A hundred thousand decisions are cached in bounded memory while a million are recorded.
 func TestDecisionsBounded(t *testing.T) {
 	config := serviceConfig()
 	config.MaxDecisions = 100000
--- a/internal/forwardauth/authcache/clearance.go
+++ b/internal/forwardauth/authcache/clearance.go
@@ -1,7 +1,3 @@
-// Package authcache decides all of forward authentication that is not quota, worker or repetition: what a
-// clearance is good for and how long, what an auth service's answer is good for, how long it is waited for,
-// and when it is left alone. It is free of I/O, knows no clock but the times it is told, and is not safe for
-// concurrent use. Times are in ms.
 package authcache
 
 import (
@@ -9,45 +5,35 @@
 	"math"
 )
 
-const (
-	DefaultClearanceLifetimeMillis = 2000.0   // ms a clearance is kept; a portal forwards within some round trips
-	MaxClearanceLifetimeMillis     = 60000.0  // ms; what is kept for one txn others can't have
-	DefaultUsedRetentionMillis     = 120000.0 // ms a mark that was used is known; longer than portals go on trying
-	MaxUsedRetentionMillis         = 3.6e6    // ms; marks are for one use, and memory is for those who use them twice
-	DefaultMaxClearances           = 65536    // clearances and used marks together; some 20 MB
-	LargestMaxClearances           = 1 << 20  // of them that may be asked for
-	MaxTargetBytes                 = 2048     // bytes of a forwarded path and query; workers' own bounds lie above
-	MaxHeaderBytes                 = 512      // bytes of any other forwarded header
-	MaxForwardedHops               = 8        // addresses in a forwarded chain; more is a loop or a forgery
-	DefaultMaxCallers              = 64       // portals' connections at once
-	CallTimeoutMillis              = 1000.0   // ms for a portal's call to come whole, and for its answer to be taken
-	IdleTimeoutMillis              = 60000.0  // ms until a portal's idle connection is ended; portals keep theirs for less
-	RebindIntervalMillis           = 50.0     // ms between tries to bind an address that the process before still has
-	FullRetryMillis                = 1000.0   // ms after which a portal may ask again where there was no place
-)
-
-// Facts are what a clearance is for. The txn that comes has to be the same.
+// Attributes are what a clearance is for. The request that redeems it has to have the same.
 type Attributes struct {
 	Customer       uint64
-	Product, Plan  int
+	Product, Plan  int // indices of the settings' lists
 	Units          float64
-	SetSize, First int
+	SetSize, First int // of the customer's set of instances
 }
 
-// Finding tells what is known of a mark.
+// Status is what is known of a request id.
 type Status uint8
 
-// The findings.
 const (
-	StatusUnknown    Status = iota // not known, or no more
-	StatusPending                  // being decided on at this moment
-	StatusGranted                  // cleared, and not come
-	StatusUsed                     // its txn has come: it may not run again
-	StatusMismatch                 // known with other facts
-	StatusFull                     // there is no place for one more
-	StatusHandedOver               // another process has the book
+	// StatusUnknown says that there is no entry.
+	StatusUnknown Status = iota
+	// StatusPending says that the decision is being made.
+	StatusPending
+	// StatusGranted says that the request is cleared and has not come.
+	StatusGranted
+	// StatusUsed says that the request has come and may not run again.
+	StatusUsed
+	// StatusMismatch says that the entry has other attributes.
+	StatusMismatch
+	// StatusFull says that the table has no room for a new entry.
+	StatusFull
+	// StatusHandedOver says that the successor process has the table.
+	StatusHandedOver
 )
 
+// entry is a clearance in the table.
 type entry[R any] struct {
 	attributes    Attributes
 	status        Status // Open, Known or Used
@@ -55,27 +41,26 @@
 	reservation   R
 }
 
-// Book knows which txns are cleared, by their marks. H is the host's own, one for each clearance.
+// ClearanceTable knows which requests are cleared, by their ids. R is the caller's reservation of quota,
+// one for each clearance that was granted. Not safe for concurrent use.
 type ClearanceTable[R any] struct {
 	lifetimeMillis, usedRetentionMillis float64
 	maxEntries                          int
 	handedOver                          bool
 	byRequestID                         map[string]*entry[R]
-	grantedExpiries, usedExpiries       []expiry // in the order of their ends
+	grantedExpiries, usedExpiries       []expiry // in the order of time
 }
 
-// due is a mark that may be let go at a time.
+// expiry is the time at which an entry may be removed.
 type expiry struct {
 	requestID string
 	atMillis  float64
 }
 
-// NewBook makes a book in which a clearance lasts for life, a used mark is known for memory, and there are
-// no more than most of both together.
-func NewClearanceTable[R any](
-	lifetimeMillis, usedRetentionMillis float64,
-	maxEntries int,
-) *ClearanceTable[R] {
+// NewClearanceTable returns an empty table in which clearances last for a lifetime, used request ids are
+// known for a retention, and both together are no more than maxEntries.
+func NewClearanceTable[R any](lifetimeMillis, usedRetentionMillis float64,
+	maxEntries int) *ClearanceTable[R] {
 	return &ClearanceTable[R]{
 		lifetimeMillis:      lifetimeMillis,
 		usedRetentionMillis: usedRetentionMillis,
@@ -84,17 +69,17 @@
 	}
 }
 
-// Life is how long a clearance lasts.
+// LifetimeMillis returns how long a clearance lasts.
 func (t *ClearanceTable[R]) LifetimeMillis() float64 { return t.lifetimeMillis }
 
-// Len is how many marks are known.
+// Len returns how many request ids are known.
 func (t *ClearanceTable[R]) Len(nowMillis float64) int {
 	t.expire(nowMillis)
 	return len(t.byRequestID)
 }
 
-// Ask looks a mark up for a portal. Where it is New it is Open from here on, until Grant or Drop; the others
-// change nothing.
+// Begin looks a request id up for a caller that asks for clearance. One that is StatusUnknown is
+// StatusPending from here on, until Grant or Cancel; with any other status nothing changes.
 func (t *ClearanceTable[R]) Begin(requestID string, attributes Attributes, nowMillis float64) Status {
 	t.expire(nowMillis)
 	e := t.byRequestID[requestID]
@@ -112,12 +97,10 @@
 	return e.status
 }
 
-// Grant notes that an open mark is cleared, from now on, and gives the time until which it is.
-func (t *ClearanceTable[R]) Grant(
-	requestID string,
-	reservation R,
-	nowMillis float64,
-) (expiresMillis float64) {
+// Grant clears a pending request id, and returns when that expires. It is nowMillis where the id is not
+// pending: the table was handed over meanwhile.
+func (t *ClearanceTable[R]) Grant(requestID string, reservation R,
+	nowMillis float64) (expiresMillis float64) {
 	e := t.byRequestID[requestID]
 	if e == nil || e.status != StatusPending {
 		return nowMillis
@@ -127,22 +110,18 @@
 	return e.expiresMillis
 }
 
-// Drop forgets a mark that is open or known: it was turned down, or has lapsed.
+// Cancel removes a request id that is pending or granted: it was denied, or its reservation has lapsed.
 func (t *ClearanceTable[R]) Cancel(requestID string) {
 	if e := t.byRequestID[requestID]; e != nil && e.status != StatusUsed {
 		delete(t.byRequestID, requestID)
 	}
 }
 
-// Come looks a mark up for a txn that comes. Where it is Known its hold is the caller's, and it is Used from
-// here on if it may come but once. Guards against a txn that was cleared twice and comes twice: it would run
-// twice.
-func (t *ClearanceTable[R]) Redeem(
-	requestID string,
-	attributes Attributes,
-	once bool,
-	nowMillis float64,
-) (Status, R) {
+// Redeem looks a request id up for a request that has come. If it is StatusGranted the reservation passes
+// to the caller, and the id is used from here on if the request may come but once. Guards against a request
+// that is cleared twice and comes twice: it would be executed twice.
+func (t *ClearanceTable[R]) Redeem(requestID string, attributes Attributes, once bool,
+	nowMillis float64) (Status, R) {
 	var none R
 	t.expire(nowMillis)
 	e := t.byRequestID[requestID]
@@ -157,7 +136,7 @@
 		return e.status, none
 	}
 	reservation := e.reservation
-	if !once { // all marks that ever came would take the place of those that have to be known
+	if !once { // ids that may come again would fill the table
 		delete(t.byRequestID, requestID)
 		return StatusGranted, reservation
 	}
@@ -166,12 +145,14 @@
 	return StatusGranted, reservation
 }
 
-// sweep lets go what is over. Guards against entries that outlive their use: all that a book keeps ends.
+// expire removes the entries whose time has passed. Guards against a leak: every entry but a pending one
+// expires.
 func (t *ClearanceTable[R]) expire(nowMillis float64) {
 	t.grantedExpiries = t.expireQueue(t.grantedExpiries, StatusGranted, nowMillis)
 	t.usedExpiries = t.expireQueue(t.usedExpiries, StatusUsed, nowMillis)
 }
 
+// expireQueue removes the entries of one status whose time has passed.
 func (t *ClearanceTable[R]) expireQueue(queue []expiry, status Status, nowMillis float64) []expiry {
 	for len(queue) > 0 && queue[0].atMillis <= nowMillis {
 		if e := t.byRequestID[queue[0].requestID]; e != nil && e.status == status && e.expiresMillis <= nowMillis {
@@ -182,7 +163,7 @@
 	return queue
 }
 
-// Clearance is one entry of a book as it passes to another process.
+// Clearance is an entry of the table as it is handed over to the successor process.
 type Clearance struct {
 	RequestID     string
 	Attributes    Attributes
@@ -190,8 +171,8 @@
 	ExpiresMillis float64
 }
 
-// Leave gives all there is to the process that takes this one's place, and the holds of what was cleared.
-// From then on the book takes nothing more in.
+// HandOver returns all entries, for the successor process, and the reservations of those that were granted.
+// From then on the table takes no new entries.
 func (t *ClearanceTable[R]) HandOver(nowMillis float64) (clearances []Clearance, reservations []R) {
 	t.expire(nowMillis)
 	t.handedOver = true
@@ -201,10 +182,8 @@
 			if e == nil || e.expiresMillis != d.atMillis {
 				continue
 			}
-			clearances = append(
-				clearances,
-				Clearance{d.requestID, e.attributes, e.status == StatusUsed, e.expiresMillis},
-			)
+			clearances = append(clearances,
+				Clearance{d.requestID, e.attributes, e.status == StatusUsed, e.expiresMillis})
 			if e.status == StatusGranted {
 				reservations = append(reservations, e.reservation)
 			}
@@ -215,8 +194,8 @@
 	return clearances, reservations
 }
 
-// Inherit takes an entry over from another process, and tells whether there was a place for it and it is not
-// over. What is already known here stays.
+// Adopt takes over an entry from the predecessor process. It returns false where the entry has expired, the
+// table is full or the request id is known here already.
 func (t *ClearanceTable[R]) Adopt(c Clearance, reservation R, nowMillis float64) bool {
 	if c.ExpiresMillis <= nowMillis || len(t.byRequestID) >= t.maxEntries || t.byRequestID[c.RequestID] != nil {
 		return false
@@ -239,8 +218,8 @@
 	return true
 }
 
-// Home is the gatekeeper of a customer's set that alone clears a mark, of n in all. Guards against a txn that
-// is cleared through two gatekeepers and runs at both: each alone could not know.
+// HomeInstance returns the one instance of a customer's set that clears a request id. Guards against a
+// request that is cleared by two instances and executed by both: neither alone could know.
 func HomeInstance(requestID string, attributes Attributes, instances int) int {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(requestID))
--- a/internal/forwardauth/authcache/service.go
+++ b/internal/forwardauth/authcache/service.go
@@ -9,38 +9,19 @@
 	"willowdeck/internal/circuitbreaker"
 )
 
-const (
-	DefaultTimeoutMillis           = 150.0   // ms an auth service may take; a look-up beside it takes single ones
-	MaxTimeoutMillis               = 10000.0 // ms
-	DefaultTimeoutShare            = 0.4     // of a txn's time that may go to asking; a worker needs the rest
-	DefaultAllowTTLMillis          = 5000.0  // ms that a yes is good for: so long a withdrawn credential still passes
-	DefaultDenyTTLMillis           = 1000.0  // ms that a no is good for: so long a new one may be turned away
-	MaxDecisionTTLMillis           = 3.6e6   // ms for either
-	DefaultMaxDecisions            = 100000  // answers kept; 27 MB
-	LargestMaxDecisions            = 1 << 20 // of them that may be asked for
-	DefaultConnections             = 16      // connections to the service
-	MaxConnections                 = 1024
-	MaxResponseBytes               = 16 << 10 // bytes of the service's answer; all that counts is in its head
-	DefaultBreakerThreshold        = 5        // failures one after another until the service is left alone
-	DefaultBreakerBackoffMillis    = 500.0    // ms that it is left alone then, doubled by each failure after that,
-	DefaultBreakerMaxBackoffMillis = 10000.0  // up to this
-	MaxBreakerBackoffMillis        = 600000.0 // ms
-	ReservationGraceMillis         = 50.0     // ms after which units held for an ask come back, whoever forgets them
-)
-
-// Digest stands for a credential and what it is used for. The credential itself is not kept.
+// CredentialDigest is a digest of a credential and what it is used for. The credential itself is not stored.
 type CredentialDigest [32]byte
 
-// Answer is what an auth service said of a credential.
+// Decision is what an auth service said of a credential.
 type Decision struct {
 	Allowed     bool
-	Customer    uint64 // whose it is, where the service names one
+	Customer    uint64 // the credential's owner, if HasCustomer
 	HasCustomer bool
-	Status      int         // of a no
-	Headers     [][2]string // of a no, that are passed on
+	Status      int         // of a denial
+	Headers     [][2]string // of a denial, to be passed on to the client
 }
 
-// Service is what is known of one auth service.
+// Service is the state of one auth service: its cached decisions and its circuit breaker.
 type Service struct {
 	timeoutMillis, timeoutShare   float64
 	allowTTLMillis, denyTTLMillis float64
@@ -48,13 +29,14 @@
 	breaker                       *circuitbreaker.Breaker
 }
 
-// good is an answer, and until when it is good.
+// cachedDecision is a decision with its expiry.
 type cachedDecision struct {
 	decision      Decision
 	expiresMillis float64
 }
 
-// Terms say how a service is dealt with. Times are in ms; a pause grows from Pause to MostPause.
+// ServiceConfig says how an auth service is asked. The breaker opens after BreakerThreshold failures in a
+// row; its backoff doubles from BreakerBackoffMillis to BreakerMaxBackoffMillis.
 type ServiceConfig struct {
 	TimeoutMillis, TimeoutShare                   float64
 	AllowTTLMillis, DenyTTLMillis                 float64
@@ -63,7 +45,7 @@
 	BreakerBackoffMillis, BreakerMaxBackoffMillis float64
 }
 
-// NewService starts with nothing known. Same seed and calls, same answers.
+// NewService returns a service with no cached decisions. The seed is for the breaker's jitter.
 func NewService(config ServiceConfig, seed int64) *Service {
 	s := &Service{
 		timeoutMillis:  config.TimeoutMillis,
@@ -81,17 +63,18 @@
 		s.decisions, _ = simplelru.NewLRU[CredentialDigest, cachedDecision](
 			config.MaxDecisions,
 			nil,
-		) // its one error is a size of nought
+		) // the only error is a size of 0
 	}
 	return s
 }
 
-// Patience is how long a txn may wait for the service, of the time that its client still waits.
+// TimeoutMillis returns how long a request may wait for the service, given the time for which its client
+// waits.
 func (s *Service) TimeoutMillis(remainingMillis float64) float64 {
 	return math.Min(s.timeoutMillis, s.timeoutShare*remainingMillis)
 }
 
-// Recall gives what is known of a credential, if it is still good.
+// Lookup returns the cached decision on a credential, if it has not expired.
 func (s *Service) Lookup(digest CredentialDigest, nowMillis float64) (Decision, bool) {
 	if s.decisions == nil {
 		return Decision{}, false
@@ -103,7 +86,7 @@
 	return cached.decision, true
 }
 
-// Kept is how many answers are kept.
+// Len returns how many decisions are cached.
 func (s *Service) Len() int {
 	if s.decisions == nil {
 		return 0
@@ -111,12 +94,13 @@
 	return s.decisions.Len()
 }
 
-// MayAsk tells whether the service may be asked now, and if not, how long it is left alone for. One that
-// has been left alone is asked once, and by nobody else until that has been Heard or was Lost.
+// Allow reports whether the service may be asked now, and if not, for how many ms not. When the breaker's
+// backoff has passed one probe is admitted; each query is followed by RecordDecision, RecordFailure or
+// CancelAttempt.
 func (s *Service) Allow(nowMillis float64) (bool, float64) { return s.breaker.Allow(nowMillis) }
 
-// Heard takes an answer. It is good from when it was asked for, not from when it came: the service may have
-// looked the credential up at any time between. Not every answer is to be kept.
+// RecordDecision records a decision, and caches it if cacheable. Its TTL counts from when it was asked for,
+// not from when it came: the service may have looked the credential up at any time between.
 func (s *Service) RecordDecision(
 	digest CredentialDigest,
 	decision Decision,
@@ -133,11 +117,11 @@
 	}
 }
 
-// Lost notes that the service gave no answer that can be read, or none in its time.
+// RecordFailure records that the service gave no valid response, or none in time.
 func (s *Service) RecordFailure(nowMillis float64) { s.breaker.Record(false, nowMillis) }
 
-// Unasked notes that after all it was not asked.
+// CancelAttempt takes back an admission: the service was not asked after all.
 func (s *Service) CancelAttempt() { s.breaker.CancelAttempt() }
 
-// Shut tells whether the service is left alone now.
+// BreakerOpen reports whether the breaker is open now.
 func (s *Service) BreakerOpen(nowMillis float64) bool { return s.breaker.IsOpen(nowMillis) }
--- a/internal/forwardauth/authorizer/authorizer.go
+++ b/internal/forwardauth/authorizer/authorizer.go
@@ -1,8 +1,3 @@
-// Package authorizer asks an auth service whether a txn's client is who it says, before the txn goes to a
-// worker: forward authentication, in the role of the one who asks. Its choices are in package authcache,
-// those of quota,
-// worker and repetition in the module: units are kept while the service is asked, and spent only when the
-// txn goes on.
 package authorizer
 
 import (
@@ -26,7 +21,8 @@
 	"willowdeck/internal/policy"
 )
 
-// Voucher serves txns that a service has to vouch for.
+// Authorizer serves requests, those of the configured products once an auth service has allowed them. Safe
+// for concurrent use.
 type Authorizer struct {
 	config   *config.Asking
 	settings policy.Charter
@@ -35,27 +31,28 @@
 	pending  singleflight.Group
 	counters [counterCount]atomic.Int64
 
-	mu      sync.Mutex // of what follows; never held over I/O
+	mu      sync.Mutex // guards service; never held over I/O
 	service *authcache.Service
 }
 
+// counter is one of the figures at the operators' port.
 type counter int
 
 const (
-	allowed counter = iota
-	denied
-	cached
-	unavailable
-	breakerOpen
-	timedOut
-	clientGone
-	failedOpen
+	countAllowed counter = iota
+	countDenied
+	countCached      // the decision was in the cache
+	countUnavailable // rejected, as the service gave no decision
+	countBreakerOpen // not asked
+	countTimedOut    // no response in the request's time
+	countClientGone  // the client hung up meanwhile
+	countFailedOpen  // forwarded without a decision, as configured
 	counterCount
 )
 
 var counterNames = [counterCount]string{"yes", "no", "recalled", "trouble", "shut", "late", "left", "open"}
 
-// New makes a voucher over a gate. The seed is for its pauses.
+// New returns an authorizer in front of a proxy. The seed is for the breaker's jitter.
 func New(cfg *config.Asking, settings policy.Charter, p *proxy.Proxy, seed int64) *Authorizer {
 	timeout := transport.Millis(cfg.Terms.TimeoutMillis)
 	return &Authorizer{config: cfg, settings: settings, proxy: p, service: authcache.NewService(cfg.Terms, seed),
@@ -63,27 +60,28 @@
 			ReadTimeout: timeout, WriteTimeout: timeout, MaxIdleConnDuration: 2 * time.Second,
 			MaxResponseBodySize: authcache.MaxResponseBytes, ReadBufferSize: authcache.MaxResponseBytes,
 			NoDefaultUserAgentHeader: true, DisablePathNormalizing: true,
-			// An ask may be sent again: a connection that the service has closed meanwhile says nothing of it.
+			// A query may be sent twice: the service may have closed an idle connection meanwhile.
 			MaxIdemponentCallAttempts: 2}}
 }
 
-// Close lets the connections to the service go.
+// Close closes the idle connections to the service.
 func (a *Authorizer) Close() { a.client.CloseIdleConnections() }
 
-// word is what came of an ask.
+// result is the result of a query.
 type result struct {
 	decision         authcache.Decision
-	retryAfterMillis float64 // when to come back, ms
-	err              error   // it gave no answer, or was not asked
+	retryAfterMillis float64 // when the client may retry
+	err              error   // no decision: the service failed, or was not asked
 }
 
 var (
-	errBreakerOpen  = errors.New("the service is left alone for now")
-	errNoConnection = errors.New("no connection to the service is free")
-	errTimeout      = errors.New("the service has not answered in time")
+	errBreakerOpen  = errors.New("the auth service's circuit breaker is open")
+	errNoConnection = errors.New("no connection to the auth service is free")
+	errTimeout      = errors.New("the auth service has not responded in time")
 )
 
-// Serve is a txn's life: the service is asked unless its answer is known, and then it is as any other.
+// Serve serves a request: the service is asked unless its decision is cached, and if it allows the request
+// that is served like any other.
 func (a *Authorizer) Serve(t *transport.Txn) transport.Final {
 	if !a.config.Concerned[t.Product] {
 		return a.proxy.Serve(t)
@@ -97,7 +95,7 @@
 	decision, found := a.service.Lookup(digest, a.proxy.Now())
 	a.mu.Unlock()
 	if found && len(credential) > 0 {
-		a.counters[cached].Add(1)
+		a.counters[countCached].Add(1)
 		return a.resolve(t, nil, result{decision: decision})
 	}
 	request, err := a.newAuthRequest(t, digest, credential)
@@ -105,13 +103,11 @@
 		return rejection(fasthttp.StatusBadRequest, nil, err.Error())
 	}
 	askedMillis, timeoutMillis := a.proxy.Now(), a.service.TimeoutMillis(t.Left)
-	var reservation *proxy.Reservation // of one that does not say whose it is there is nothing to keep yet
+	var reservation *proxy.Reservation // none where only the service can say whose the request is
 	if !t.Nameless {
 		var final transport.Final
-		if reservation, final = a.proxy.Reserve(
-			t,
-			timeoutMillis+authcache.ReservationGraceMillis,
-		); reservation == nil {
+		reservation, final = a.proxy.Reserve(t, timeoutMillis+authcache.ReservationGraceMillis)
+		if reservation == nil {
 			return final
 		}
 	}
@@ -125,18 +121,16 @@
 	return a.resolve(t, reservation, r)
 }
 
-// await waits for the service's word, as long as a txn can wait and its client is there.
-func (a *Authorizer) await(
-	request *authRequest,
-	reservation *proxy.Reservation,
-	timeoutMillis float64,
-) (result, *transport.Final) {
+// await queries the service and waits for the result, until the time-out or until the client is gone. The
+// final is nil unless the client is gone. Concurrent queries of one credential are merged.
+func (a *Authorizer) await(request *authRequest, reservation *proxy.Reservation,
+	timeoutMillis float64) (result, *transport.Final) {
 	timer := time.NewTimer(transport.Millis(timeoutMillis))
 	defer timer.Stop()
 	var results <-chan singleflight.Result
 	if request.hasCredential && a.config.Terms.MaxDecisions > 0 {
 		results = a.pending.DoChan(string(request.digest[:]), func() (any, error) { return a.query(request), nil })
-	} else { // each is asked for by itself
+	} else { // not to be shared
 		own := make(chan singleflight.Result, 1)
 		go func() { own <- singleflight.Result{Val: a.query(request)} }()
 		results = own
@@ -150,32 +144,32 @@
 		return answered.Val.(result), nil
 	case command := <-ended:
 		if command.Decision.Kind == policy.Void {
-			a.counters[clientGone].Add(1)
+			a.counters[countClientGone].Add(1)
 			return result{}, &transport.Final{Kind: policy.Void}
 		}
 	case <-timer.C:
 	}
-	a.counters[timedOut].Add(1)
+	a.counters[countTimedOut].Add(1)
 	return result{err: errTimeout, retryAfterMillis: a.config.Terms.TimeoutMillis}, nil
 }
 
-// settle goes by a word: the txn goes on with what is kept for it, or that is given back.
+// resolve acts on a result: the request is forwarded with its reservation, or rejected and that is released.
 func (a *Authorizer) resolve(t *transport.Txn, reservation *proxy.Reservation, r result) transport.Final {
 	decision := r.decision
 	final := transport.Final{Kind: policy.Void}
 	switch {
 	case r.err != nil && !a.config.OpenOn[t.Product],
 		r.err == nil && decision.Status == fasthttp.StatusTooManyRequests:
-		a.counters[unavailable].Add(1) // nothing was sent: to come again is harmless
+		a.counters[countUnavailable].Add(1) // nothing was sent, so a retry is harmless
 		final = transport.Final{Kind: policy.Decline, Wait: a.retryAdviceMillis(r.retryAfterMillis)}
 	case r.err == nil && !decision.Allowed:
-		a.counters[denied].Add(1)
+		a.counters[countDenied].Add(1)
 		final = rejection(decision.Status, decision.Headers, "the auth service says no")
 	case r.err == nil && decision.HasCustomer && !t.Nameless && decision.Customer != t.Customer:
-		a.counters[denied].Add(1)
+		a.counters[countDenied].Add(1)
 		final = rejection(fasthttp.StatusForbidden, nil, "Cookie: the credential is another customer's")
-	case t.Gone(): // before the yes: nothing is sent for it
-		a.counters[clientGone].Add(1)
+	case t.Gone(): // nothing is forwarded for it
+		a.counters[countClientGone].Add(1)
 	default:
 		return a.forward(t, reservation, r)
 	}
@@ -185,12 +179,12 @@
 	return final
 }
 
-// goOn carries a txn on that was vouched for, or that goes on without.
+// forward serves a request that was allowed, or that fails open.
 func (a *Authorizer) forward(t *transport.Txn, reservation *proxy.Reservation, r result) transport.Final {
 	if r.err != nil {
-		a.counters[failedOpen].Add(1)
+		a.counters[countFailedOpen].Add(1)
 	} else {
-		a.counters[allowed].Add(1)
+		a.counters[countAllowed].Add(1)
 	}
 	if t.Nameless {
 		t.Customer = r.decision.Customer
@@ -203,7 +197,7 @@
 	return a.proxy.Serve(t)
 }
 
-// advice is when to come back, as far as the settings have it said.
+// retryAdviceMillis returns what a rejection advises, 0 where the settings forbid advice.
 func (a *Authorizer) retryAdviceMillis(millis float64) float64 {
 	if !a.settings.MayAdvise {
 		return 0
@@ -211,6 +205,7 @@
 	return math.Min(millis, a.settings.MaxAdvice)
 }
 
+// rejection ends a request with a status, headers and a message.
 func rejection(status int, headers [][2]string, message string) transport.Final {
 	return transport.Final{
 		Kind:    policy.Void,
@@ -218,14 +213,14 @@
 	}
 }
 
-// ask is one question to the service. It outlives the txn that asks first: others may wait for it too.
+// authRequest is one query. It outlives the request that it was made for: others may wait for its result too.
 type authRequest struct {
 	digest        authcache.CredentialDigest
-	hasCredential bool // it has a credential
-	request       *fasthttp.Request
+	hasCredential bool
+	http          *fasthttp.Request
 }
 
-// digestOf gives what stands for a credential and a product.
+// credentialDigest returns the digest of a credential for a product.
 func credentialDigest(product int, credential []byte) (digest authcache.CredentialDigest) {
 	sum := sha256.New()
 	fmt.Fprintf(sum, "%d ", product)
@@ -234,17 +229,14 @@
 	return digest
 }
 
-// encode makes the question. What it says of the original is the gatekeeper's own word: a client's headers
-// of those names do not pass.
-func (a *Authorizer) newAuthRequest(
-	t *transport.Txn,
-	digest authcache.CredentialDigest,
-	credential []byte,
-) (*authRequest, error) {
-	request := &authRequest{digest: digest, hasCredential: len(credential) > 0, request: &fasthttp.Request{}}
-	header := &request.request.Header
+// newAuthRequest encodes a query. The X-Forwarded headers are the gateway's own: those of a client do not
+// pass.
+func (a *Authorizer) newAuthRequest(t *transport.Txn, digest authcache.CredentialDigest,
+	credential []byte) (*authRequest, error) {
+	request := &authRequest{digest: digest, hasCredential: len(credential) > 0, http: &fasthttp.Request{}}
+	header := &request.http.Header
 	header.SetMethod(fasthttp.MethodGet)
-	request.request.SetRequestURI(a.config.Path)
+	request.http.SetRequestURI(a.config.Path)
 	header.SetHost(a.config.Service)
 	header.SetBytesV("X-Forwarded-Method", t.Method)
 	header.SetBytesV("X-Forwarded-Uri", t.Target)
@@ -268,18 +260,18 @@
 	return request, nil
 }
 
-// ask asks the service, and keeps what it says.
+// query asks the service, unless its breaker is open, and records the result.
 func (a *Authorizer) query(request *authRequest) result {
 	askedMillis := a.proxy.Now()
 	a.mu.Lock()
 	allowed, waitMillis := a.service.Allow(askedMillis)
 	a.mu.Unlock()
 	if !allowed {
-		a.counters[breakerOpen].Add(1)
+		a.counters[countBreakerOpen].Add(1)
 		return result{err: errBreakerOpen, retryAfterMillis: waitMillis}
 	}
 	response := &fasthttp.Response{}
-	err := a.client.DoTimeout(request.request, response, transport.Millis(a.config.Terms.TimeoutMillis))
+	err := a.client.DoTimeout(request.http, response, transport.Millis(a.config.Terms.TimeoutMillis))
 	r := result{err: err, retryAfterMillis: a.config.Terms.TimeoutMillis}
 	if err == nil {
 		r = a.decodeResponse(response)
@@ -300,8 +292,8 @@
 	return r
 }
 
-// read takes what a service says: 2xx is a yes, 401 and 403 a no, 429 that it wants to be asked later. All
-// else is trouble.
+// decodeResponse decodes the service's response: 2xx allows, 401 and 403 deny, 429 says when to retry. Any
+// other is a failure.
 func (a *Authorizer) decodeResponse(response *fasthttp.Response) result {
 	decision := authcache.Decision{Status: response.StatusCode()}
 	switch status := decision.Status; {
@@ -341,7 +333,7 @@
 	return result{decision: decision}
 }
 
-// Figures gives what operators see.
+// Figures calls add with the figures at the operators' port.
 func (a *Authorizer) Figures(add func(name string, n int64)) {
 	for i := range a.counters {
 		add("asking."+counterNames[i], a.counters[i].Load())
--- a/internal/forwardauth/authserver/original.go
+++ b/internal/forwardauth/authserver/original.go
@@ -15,10 +15,10 @@
 	"willowdeck/internal/gateway/transport"
 )
 
-// original is the request on whose behalf a portal asks.
+// originalRequest is the client's request, on whose behalf a proxy asks.
 type originalRequest struct{ method, target []byte }
 
-// flaw is why a call can't be taken, and the status that says so.
+// callError says why a call is invalid, with the status of the response.
 type callError struct {
 	status  int
 	message string
@@ -26,20 +26,24 @@
 
 func (e *callError) Error() string { return e.message }
 
+// badRequest returns a callError of status 400.
 func badRequest(format string, args ...any) error {
 	return &callError{fasthttp.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// field is a forwarded header, by its names in the two dialects, and the checks that it has to pass.
+// forwardedHeader is a forwarded header, by its names in the two dialects, and its validation.
 type forwardedHeader struct {
 	names    [2]string
 	required bool
 	validate func([]byte) error
 }
 
-// The habits are those that the reverse proxies' own pages publish: X-Forwarded-Method, -Proto, -Host, -Uri
-// and -For with a call by GET; X-Original-Method with X-Original-URI or -URL; or the original's own method,
-// with its path behind a prefix.
+// targetHeader is the index of the target in forwardedHeaders.
+const targetHeader = 1
+
+// forwardedHeaders are those that the reverse proxies' documentation names: X-Forwarded-Method, -Proto,
+// -Host, -Uri and -For with a call by GET; X-Original-Method with X-Original-URI or -URL; or the original's
+// own method, with its path behind a prefix.
 var forwardedHeaders = [...]forwardedHeader{
 	{[2]string{"X-Forwarded-Method", "X-Original-Method"}, true, validateMethod},
 	{[2]string{"X-Forwarded-Uri", "X-Original-Uri"}, true, validateTarget},
@@ -47,8 +51,8 @@
 	{[2]string{"X-Forwarded-Proto", "X-Original-Proto"}, false, validateScheme},
 }
 
-// read finds the original request of a call, by a dialect. What a portal says in two ways has to agree, as
-// one of them may be the client's own.
+// parseOriginal returns the original request of a call, by the configured dialect. Headers that say the
+// same thing have to agree, as one of them may be the client's own.
 func parseOriginal(header *fasthttp.RequestHeader, cfg *config.Asked) (originalRequest, error) {
 	var values [len(forwardedHeaders)][]byte
 	for i, f := range forwardedHeaders {
@@ -59,7 +63,7 @@
 				return originalRequest{}, badRequest("%v", err)
 			case v == nil:
 				continue
-			case len(v) > authcache.MaxHeaderBytes && i != 1 || len(v) > authcache.MaxTargetBytes:
+			case len(v) > authcache.MaxHeaderBytes && i != targetHeader || len(v) > authcache.MaxTargetBytes:
 				return originalRequest{}, &callError{fasthttp.StatusRequestURITooLong, name + " is too long"}
 			}
 			if err := f.validate(v); err != nil {
@@ -80,27 +84,17 @@
 		if err != nil {
 			return originalRequest{}, err
 		}
-		if values[1] != nil && !bytes.Equal(values[1], target) {
+		if values[targetHeader] != nil && !bytes.Equal(values[targetHeader], target) {
 			return originalRequest{}, badRequest("X-Original-Url contradicts another header")
 		}
-		values[1] = target
+		values[targetHeader] = target
 	}
 	if err := validateClientChain(header); err != nil {
 		return originalRequest{}, err
 	}
-	original := originalRequest{values[0], values[1]}
+	original := originalRequest{values[0], values[targetHeader]}
 	if cfg.Dialect == config.ByPath {
-		rest, ok := bytes.CutPrefix(header.RequestURI(), []byte(cfg.Path))
-		switch {
-		case !ok || len(rest) == 0 || rest[0] != '/':
-			return originalRequest{}, &callError{fasthttp.StatusNotFound, "calls are taken under " + cfg.Path + "/"}
-		case len(rest) > authcache.MaxTargetBytes:
-			return originalRequest{}, &callError{fasthttp.StatusRequestURITooLong, "the path is too long"}
-		case original.method != nil && !bytes.Equal(original.method, header.Method()),
-			original.target != nil && !bytes.Equal(original.target, rest):
-			return originalRequest{}, badRequest("a forwarded header contradicts the call itself")
-		}
-		return originalRequest{header.Method(), rest}, nil
+		return originalByPath(header, cfg, original)
 	}
 	path, _, _ := bytes.Cut(header.RequestURI(), []byte("?"))
 	switch {
@@ -117,6 +111,24 @@
 	return original, nil
 }
 
+// originalByPath returns the original request of a call that has its method, and its target behind a prefix.
+// forwarded is what the headers say.
+func originalByPath(header *fasthttp.RequestHeader, cfg *config.Asked,
+	forwarded originalRequest) (originalRequest, error) {
+	target, ok := bytes.CutPrefix(header.RequestURI(), []byte(cfg.Path))
+	switch {
+	case !ok || len(target) == 0 || target[0] != '/':
+		return originalRequest{}, &callError{fasthttp.StatusNotFound, "calls are taken under " + cfg.Path + "/"}
+	case len(target) > authcache.MaxTargetBytes:
+		return originalRequest{}, &callError{fasthttp.StatusRequestURITooLong, "the path is too long"}
+	case forwarded.method != nil && !bytes.Equal(forwarded.method, header.Method()),
+		forwarded.target != nil && !bytes.Equal(forwarded.target, target):
+		return originalRequest{}, badRequest("a forwarded header contradicts the call itself")
+	}
+	return originalRequest{header.Method(), target}, nil
+}
+
+// validateMethod checks that a value is an HTTP method in capitals.
 func validateMethod(v []byte) error {
 	for _, c := range v {
 		if c < 'A' || c > 'Z' {
@@ -126,6 +138,7 @@
 	return validateNotEmpty(v)
 }
 
+// validateTarget checks that a value is a path with an optional query.
 func validateTarget(v []byte) error {
 	if len(v) == 0 || v[0] != '/' || bytes.HasPrefix(v, []byte("//")) {
 		return errors.New("it must be a path")
@@ -133,6 +146,7 @@
 	return validatePrintable(v)
 }
 
+// validateHost checks that a value is one host.
 func validateHost(v []byte) error {
 	if bytes.ContainsAny(v, ",/@") {
 		return errors.New("it must be one host")
@@ -140,6 +154,7 @@
 	return validatePrintable(v)
 }
 
+// validateScheme checks that a value is http or https.
 func validateScheme(v []byte) error {
 	if string(v) != "http" && string(v) != "https" {
 		return errors.New("it must be http or https")
@@ -147,6 +162,7 @@
 	return nil
 }
 
+// validateNotEmpty checks that a value is not empty.
 func validateNotEmpty(v []byte) error {
 	if len(v) == 0 {
 		return errors.New("it is empty")
@@ -154,7 +170,7 @@
 	return nil
 }
 
-// plain takes nothing that one reader could see as the end and another not.
+// validatePrintable rejects characters at which parsers might disagree where the value ends.
 func validatePrintable(v []byte) error {
 	for _, c := range v {
 		if c <= ' ' || c > '~' || c == '#' || c == '\\' {
@@ -164,7 +180,7 @@
 	return validateNotEmpty(v)
 }
 
-// targetOf gives the path and query of a whole address.
+// targetOfURL returns the path and query of an absolute URL.
 func targetOfURL(v []byte) ([]byte, error) {
 	if len(v) > authcache.MaxTargetBytes {
 		return nil, &callError{fasthttp.StatusRequestURITooLong, "X-Original-Url is too long"}
@@ -184,7 +200,7 @@
 	return rest[start:], nil
 }
 
-// chain checks the client's address and those of the portals on its way: it has to be there.
+// validateClientChain checks the addresses of the client and of the proxies on its way. There has to be one.
 func validateClientChain(header *fasthttp.RequestHeader) error {
 	const name = "X-Forwarded-For"
 	forwardedFor, err := transport.AtMostOnce(header, name)
--- a/internal/forwardauth/authserver/original_test.go
+++ b/internal/forwardauth/authserver/original_test.go
@@ -35,7 +35,7 @@
 // What portals forward is read in each dialect; what is missing, doubled, too long or contradictory has its
 // status. Guards against a header of the client's own that the portal has passed on beside its.
 func TestParseOriginal(t *testing.T) {
-	replace := func(old, new string) string { return strings.Replace(rawForwarded, old, new, 1) }
+	replace := func(from, to string) string { return strings.Replace(rawForwarded, from, to, 1) }
 	add := func(line string) string { return replace("Host: g", "Host: g\r\n"+line) }
 	long := strings.Repeat("a", authcache.MaxTargetBytes+1)
 	cases := []struct {
--- a/internal/forwardauth/authserver/server.go
+++ b/internal/forwardauth/authserver/server.go
@@ -1,8 +1,3 @@
-// Package authserver is the front at which portals ask, before they send a client's txn on, whether it may
-// come:
-// forward authentication, in the role of the one who is asked. The module decides by the customer's quota; a
-// yes keeps the units until the txn comes through the main door. The book of clearances is in package
-// authcache.
 package authserver
 
 import (
@@ -24,7 +19,8 @@
 	"willowdeck/internal/policy"
 )
 
-// Portal takes portals' calls, and the door's txns by what those were told.
+// Server answers the calls of reverse proxies, and serves the requests that they forward by their
+// clearances. Safe for concurrent use.
 type Server struct {
 	config   *config.Asked
 	names    config.Names
@@ -34,27 +30,27 @@
 	http     fasthttp.Server
 	counters [counterCount]atomic.Int64
 
-	mu         sync.Mutex // of what follows; never held over I/O or a call of the module
+	mu         sync.Mutex // guards what follows; never held over I/O or a call of the proxy
 	clearances *authcache.ClearanceTable[*proxy.Reservation]
-	listener   *transport.Limited // nil until it is bound
+	listener   *transport.Limited // nil until Listen
 	closed     bool
 }
 
-// count is one of the figures that operators see.
+// counter is one of the figures at the operators' port.
 type counter int
 
 const (
-	cleared counter = iota
-	clearedBefore
-	denied
-	malformed
-	untrusted
-	mismatched
-	alreadyUsed
-	full
-	misdirected
-	redeemed
-	notCleared
+	countCleared counter = iota
+	countClearedBefore
+	countDenied
+	countMalformed
+	countUntrusted
+	countMismatched
+	countAlreadyUsed
+	countFull
+	countMisdirected
+	countRedeemed
+	countNotCleared
 	counterCount
 )
 
@@ -72,16 +68,18 @@
 	"uncleared",
 }
 
-// New makes a front over a gate; next serves the txns that have no clearance and need none.
+// New returns a server in front of a proxy. next serves the requests that have no clearance and need none.
 func New(cfg *config.Asked, names config.Names, settings policy.Charter, p *proxy.Proxy,
 	next func(*transport.Txn) transport.Final) *Server {
 	s := &Server{config: cfg, names: names, proxy: p, next: next,
 		clearances: authcache.NewClearanceTable[*proxy.Reservation](cfg.Life, cfg.Memory, cfg.Most)}
 	s.settings.Store(&settings)
 	s.http = fasthttp.Server{
-		Handler:               s.handle,
-		ErrorHandler:          func(ctx *fasthttp.RequestCtx, err error) { s.rejectCall(ctx, malformed, readError(err)) },
-		MaxRequestBodySize:    1, // a call has none
+		Handler: s.handle,
+		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
+			s.rejectCall(ctx, countMalformed, readError(err))
+		},
+		MaxRequestBodySize:    1, // a call has no body
 		ReadBufferSize:        2*authcache.MaxTargetBytes + 4096,
 		ReadTimeout:           transport.Millis(authcache.CallTimeoutMillis),
 		WriteTimeout:          transport.Millis(authcache.CallTimeoutMillis),
@@ -95,14 +93,14 @@
 	return s
 }
 
-// Resize tells how many gatekeepers there are from now on.
+// SetInstances says how many gateway instances there are from now on.
 func (s *Server) SetInstances(instances int) {
 	settings := *s.settings.Load()
 	settings.Gatekeepers = instances
 	s.settings.Store(&settings)
 }
 
-// broken says what is wrong with a call that is no HTTP, too long, or does not come whole in time.
+// readError returns the response to a call that is not HTTP, too long, or not complete in time.
 func readError(err error) *callError {
 	var tooSmall *fasthttp.ErrSmallBuffer
 	var netErr net.Error
@@ -117,7 +115,7 @@
 	return &callError{fasthttp.StatusBadRequest, "no call could be read"}
 }
 
-// Bind opens the address and takes calls there until Close.
+// Listen binds the configured address and serves calls until Close.
 func (s *Server) Listen() error {
 	listener, err := net.Listen("tcp", s.config.Listen)
 	if err != nil {
@@ -133,7 +131,7 @@
 	return nil
 }
 
-// At is where it listens; empty while it does not.
+// Addr returns the address on which it listens; empty while it does not.
 func (s *Server) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +141,7 @@
 	return s.listener.Addr().String()
 }
 
-// Close takes no more connections; those there are end with their next answer.
+// Close takes no more connections; open ones end with their next response.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,8 +152,8 @@
 	go func() { _ = s.http.Shutdown() }()
 }
 
-// Leave gives what is cleared and used to the process that takes this one's place. Nothing is cleared from
-// then on, and what was cleared is no more the module's here.
+// HandOver returns all clearances for the successor process, and releases their reservations here. Nothing is
+// cleared from then on.
 func (s *Server) HandOver() []authcache.Clearance {
 	s.mu.Lock()
 	clearances, reservations := s.clearances.HandOver(s.proxy.Now())
@@ -166,7 +164,7 @@
 	return clearances
 }
 
-// Inherit takes what the process before has left. What does not fit this gatekeeper's settings is not taken.
+// Adopt takes over the predecessor's clearances. Those that do not fit this instance's settings are ignored.
 func (s *Server) Adopt(clearances []authcache.Clearance) {
 	for _, c := range clearances {
 		attributes, nowMillis := c.Attributes, s.proxy.Now()
@@ -188,18 +186,20 @@
 	}
 }
 
+// attributesOf returns what a clearance of a request is for.
 func attributesOf(t *transport.Txn) authcache.Attributes {
 	return authcache.Attributes{Customer: t.Customer, Product: t.Product, Plan: t.Plan, Units: t.Units,
 		SetSize: t.SetSize, First: t.First}
 }
 
+// arrivalOf returns the arrival by which the policy reserves a clearance's quota.
 func arrivalOf(a authcache.Attributes) policy.Arrival {
 	return policy.Arrival{Customer: a.Customer, Product: a.Product, Plan: a.Plan, Units: a.Units,
 		SetSize: a.SetSize, First: a.First}
 }
 
-// Serve is the life of a txn at the main door: one that was cleared takes what was kept for it, and comes
-// once. The rest goes on as ever, but for products that come only if they were cleared.
+// Serve serves a request at the gateway's own port: one that was cleared takes its reservation, and comes
+// once. Any other is served by next, unless its product needs a clearance.
 func (s *Server) Serve(t *transport.Txn) transport.Final {
 	once := s.config.Only[t.Product] || s.settings.Load().Products[t.Product].Repeat != policy.InquiryLike
 	s.mu.Lock()
@@ -208,34 +208,35 @@
 	switch status {
 	case authcache.StatusGranted:
 		if final, ok := s.proxy.ServeReserved(reservation, t); ok {
-			s.counters[redeemed].Add(1)
+			s.counters[countRedeemed].Add(1)
 			return final
 		}
-		// It lapsed at this very moment. The mark counts as used: so it comes once all the same.
+		// The reservation has just lapsed. The id counts as used, so the request comes once all the same.
 	case authcache.StatusUsed, authcache.StatusPending:
-		s.counters[alreadyUsed].Add(1)
+		s.counters[countAlreadyUsed].Add(1)
 		return rejection(fasthttp.StatusConflict, "X-Request-Id: its txn has come already")
 	case authcache.StatusMismatch:
-		s.counters[mismatched].Add(1)
+		s.counters[countMismatched].Add(1)
 		return rejection(fasthttp.StatusConflict, "X-Request-Id: another txn was cleared by it")
 	}
 	switch {
 	case !s.config.Only[t.Product]:
-	case status == authcache.StatusHandedOver: // nothing was sent, and who has the book now is there at once
+	case status == authcache.StatusHandedOver: // nothing was sent, and the successor is there at once
 		return transport.Final{Kind: policy.Decline, Wait: authcache.RebindIntervalMillis}
 	default:
-		s.counters[notCleared].Add(1)
+		s.counters[countNotCleared].Add(1)
 		return rejection(fasthttp.StatusForbidden, "this product comes only if it has been cleared")
 	}
 	return s.next(t)
 }
 
+// rejection ends a request with a status and a message.
 func rejection(status int, message string) transport.Final {
 	return transport.Final{Kind: policy.Void, Refusal: &transport.Refusal{Status: status, Says: message}}
 }
 
-// trusted tells whether a caller may speak for clients. Guards against a client that calls here itself: what
-// the forwarded headers say is only as good as who sends them.
+// trusted reports whether a caller may speak for clients. Guards against a client that calls here itself:
+// forwarded headers are only as good as their sender.
 func (s *Server) trusted(caller net.Addr) bool {
 	from, err := netip.ParseAddrPort(caller.String())
 	if err != nil {
@@ -249,9 +250,11 @@
 	return false
 }
 
+// handle serves a call.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	if !s.trusted(ctx.RemoteAddr()) {
-		s.rejectCall(ctx, untrusted, &callError{fasthttp.StatusForbidden, "calls are taken from portals alone"})
+		err := &callError{fasthttp.StatusForbidden, "calls are taken from portals alone"}
+		s.rejectCall(ctx, countUntrusted, err)
 		return
 	}
 	header := &ctx.Request.Header
@@ -268,24 +271,20 @@
 		if !errors.As(err, &callErr) {
 			callErr = &callError{fasthttp.StatusBadRequest, err.Error()}
 		}
-		s.rejectCall(ctx, malformed, callErr)
+		s.rejectCall(ctx, countMalformed, callErr)
 		return
 	}
 	s.decide(ctx, &t)
 }
 
-// answer answers a call that makes sense.
+// decide answers a valid call.
 func (s *Server) decide(ctx *fasthttp.RequestCtx, t *transport.Txn) {
 	requestID, attributes := string(t.Mark), attributesOf(t)
 	settings := s.settings.Load()
-	if home := authcache.HomeInstance(
-		requestID,
-		attributes,
-		settings.Gatekeepers,
-	); s.config.Only[t.Product] &&
-		home != settings.Me {
+	home := authcache.HomeInstance(requestID, attributes, settings.Gatekeepers)
+	if s.config.Only[t.Product] && home != settings.Me {
 		ctx.Response.Header.Set("X-Clear-At", strconv.Itoa(home))
-		s.respond(ctx, misdirected, fasthttp.StatusMisdirectedRequest, "another gatekeeper clears this txn")
+		s.respond(ctx, countMisdirected, fasthttp.StatusMisdirectedRequest, "another gatekeeper clears this txn")
 		return
 	}
 	nowMillis := s.proxy.Now()
@@ -295,28 +294,28 @@
 	switch status {
 	case authcache.StatusUnknown:
 	case authcache.StatusGranted:
-		s.respond(ctx, clearedBefore, fasthttp.StatusOK, "cleared before")
+		s.respond(ctx, countClearedBefore, fasthttp.StatusOK, "cleared before")
 		return
 	case authcache.StatusUsed:
-		s.respond(ctx, alreadyUsed, fasthttp.StatusConflict, "X-Request-Id: its txn has come already")
+		s.respond(ctx, countAlreadyUsed, fasthttp.StatusConflict, "X-Request-Id: its txn has come already")
 		return
 	case authcache.StatusMismatch:
-		s.respond(ctx, mismatched, fasthttp.StatusConflict, "X-Request-Id: another txn was cleared by it")
+		s.respond(ctx, countMismatched, fasthttp.StatusConflict, "X-Request-Id: another txn was cleared by it")
 		return
-	default: // full, moved, or being decided on at this moment
+	default: // full, handed over, or pending
 		waitMillis := authcache.FullRetryMillis
 		if status != authcache.StatusFull {
 			waitMillis = authcache.RebindIntervalMillis
 		}
 		ctx.Response.Header.Set("Retry-After", transport.RetryAfter(waitMillis))
-		s.respond(ctx, full, fasthttp.StatusServiceUnavailable, "no place for one more clearance")
+		s.respond(ctx, countFull, fasthttp.StatusServiceUnavailable, "no place for one more clearance")
 		return
 	}
 	reservation, final := s.proxy.Reserve(t, s.clearances.LifetimeMillis())
 	s.mu.Lock()
 	if reservation == nil {
 		s.clearances.Cancel(requestID)
-	} else if s.clearances.Grant(requestID, reservation, nowMillis) <= nowMillis { // another process has the book since
+	} else if s.clearances.Grant(requestID, reservation, nowMillis) <= nowMillis { // handed over meanwhile
 		defer s.proxy.Release(reservation)
 		reservation = nil
 	}
@@ -325,20 +324,21 @@
 		if final.Wait > 0 {
 			ctx.Response.Header.Set("Retry-After", transport.RetryAfter(final.Wait))
 		}
-		s.respond(ctx, denied, s.config.NoStatus, "declined")
+		s.respond(ctx, countDenied, s.config.NoStatus, "declined")
 		return
 	}
 	ctx.Response.Header.Set("X-Cleared-Ms", strconv.FormatFloat(s.config.Life, 'f', 0, 64))
-	s.respond(ctx, cleared, fasthttp.StatusOK, "cleared")
+	s.respond(ctx, countCleared, fasthttp.StatusOK, "cleared")
 }
 
-// refuse answers what makes no sense, or comes from a stranger, and ends its connection.
+// rejectCall answers a call that is invalid or from an untrusted caller, and closes its connection.
 func (s *Server) rejectCall(ctx *fasthttp.RequestCtx, c counter, err *callError) {
 	s.respond(ctx, c, err.status, err.message)
 	ctx.SetConnectionClose()
 	transport.Linger(ctx.Conn())
 }
 
+// respond counts and answers a call.
 func (s *Server) respond(ctx *fasthttp.RequestCtx, c counter, status int, message string) {
 	s.counters[c].Add(1)
 	ctx.SetStatusCode(status)
@@ -346,7 +346,7 @@
 	ctx.SetBodyString(message + "\n")
 }
 
-// Figures gives what operators see: counts since the start, and how many marks are known.
+// Figures calls add with the figures at the operators' port.
 func (s *Server) Figures(add func(name string, v int64)) {
 	for i := range s.counters {
 		add("asked."+counterNames[i], s.counters[i].Load())
@@ -357,7 +357,7 @@
 	add("asked.marks", int64(n))
 }
 
-// Rebind binds the address as soon as it is free, until over is closed: the process before may have it still.
+// ListenWhenFree listens as soon as the predecessor has left the address, unless stop is closed before.
 func (s *Server) ListenWhenFree(stop <-chan struct{}) {
 	for s.Listen() != nil {
 		select {
--- a/internal/gateway/config/forward.go
+++ b/internal/gateway/config/forward.go
@@ -152,8 +152,8 @@
 	a, b := &file.Asked, &file.Asking
 	a.Path, a.Dialect, a.NoStatus, a.LifeMS = "/auth", "forwarded", http.StatusTooManyRequests,
 		authcache.DefaultClearanceLifetimeMillis
-	a.RememberS, a.Most, a.Connections = authcache.DefaultUsedRetentionMillis/1000, authcache.DefaultMaxClearances,
-		authcache.DefaultMaxCallers
+	a.RememberS, a.Most = authcache.DefaultUsedRetentionMillis/1000, authcache.DefaultMaxClearances
+	a.Connections = authcache.DefaultMaxCallers
 	b.Path, b.Credential, b.LimitMS, b.Share = "/", "Authorization", authcache.DefaultTimeoutMillis,
 		authcache.DefaultTimeoutShare
 	b.Connections, b.Credentials = authcache.DefaultConnections, authcache.DefaultMaxDecisions
--- a/internal/gateway/config/forward_test.go
+++ b/internal/gateway/config/forward_test.go
@@ -35,7 +35,8 @@
 		t.Errorf("asked: %+v", f.Asked)
 	case f.Asked.Only[0] || !f.Asked.Only[1] || len(f.Asked.Trusted) != 2:
 		t.Errorf("asked: %+v", f.Asked)
-	case f.Asking.Credential != "Authorization" || f.Asking.Terms.BreakerThreshold != 3 || f.Asking.Terms.BreakerBackoffMillis != 500:
+	case f.Asking.Credential != "Authorization" || f.Asking.Terms.BreakerThreshold != 3 ||
+		f.Asking.Terms.BreakerBackoffMillis != 500:
 		t.Errorf("asking: %+v", f.Asking)
 	case !f.Asking.OpenOn[0] || f.Asking.OpenOn[1] || f.Connections() != 64+1+16:
 		t.Errorf("asking: %+v", f.Asking)
