--- a/internal/forwardauth/authorizer/authorizer.go
+++ b/internal/forwardauth/authorizer/authorizer.go
@@ -82,11 +82,11 @@
 
 // Serve serves a request: the service is asked unless its decision is cached, and if it allows the request
 // that is served like any other.
-func (a *Authorizer) Serve(t *transport.Txn) transport.Final {
+func (a *Authorizer) Serve(t *transport.Request) transport.FinalAnswer {
 	if !a.config.Concerned[t.Product] {
 		return a.proxy.Serve(t)
 	}
-	credential, err := t.Field(a.config.Credential)
+	credential, err := t.Header(a.config.Credential)
 	if err != nil {
 		return rejection(fasthttp.StatusBadRequest, nil, err.Error())
 	}
@@ -104,8 +104,8 @@
 	}
 	askedMillis, timeoutMillis := a.proxy.Now(), a.service.TimeoutMillis(t.Left)
 	var reservation *proxy.Reservation // none where only the service can say whose the request is
-	if !t.Nameless {
-		var final transport.Final
+	if !t.Anonymous {
+		var final transport.FinalAnswer
 		reservation, final = a.proxy.Reserve(t, timeoutMillis+authcache.ReservationGraceMillis)
 		if reservation == nil {
 			return final
@@ -124,7 +124,7 @@
 // await queries the service and waits for the result, until the time-out or until the client is gone. The
 // final is nil unless the client is gone. Concurrent queries of one credential are merged.
 func (a *Authorizer) await(request *authRequest, reservation *proxy.Reservation,
-	timeoutMillis float64) (result, *transport.Final) {
+	timeoutMillis float64) (result, *transport.FinalAnswer) {
 	timer := time.NewTimer(transport.Millis(timeoutMillis))
 	defer timer.Stop()
 	var results <-chan singleflight.Result
@@ -145,7 +145,7 @@
 	case command := <-ended:
 		if command.Decision.Kind == policy.Void {
 			a.counters[countClientGone].Add(1)
-			return result{}, &transport.Final{Kind: policy.Void}
+			return result{}, &transport.FinalAnswer{Kind: policy.Void}
 		}
 	case <-timer.C:
 	}
@@ -154,18 +154,18 @@
 }
 
 // resolve acts on a result: the request is forwarded with its reservation, or rejected and that is released.
-func (a *Authorizer) resolve(t *transport.Txn, reservation *proxy.Reservation, r result) transport.Final {
+func (a *Authorizer) resolve(t *transport.Request, reservation *proxy.Reservation, r result) transport.FinalAnswer {
 	decision := r.decision
-	final := transport.Final{Kind: policy.Void}
+	final := transport.FinalAnswer{Kind: policy.Void}
 	switch {
 	case r.err != nil && !a.config.OpenOn[t.Product],
 		r.err == nil && decision.Status == fasthttp.StatusTooManyRequests:
 		a.counters[countUnavailable].Add(1) // nothing was sent, so a retry is harmless
-		final = transport.Final{Kind: policy.Decline, Wait: a.retryAdviceMillis(r.retryAfterMillis)}
+		final = transport.FinalAnswer{Kind: policy.Decline, RetryAfterMillis: a.retryAdviceMillis(r.retryAfterMillis)}
 	case r.err == nil && !decision.Allowed:
 		a.counters[countDenied].Add(1)
 		final = rejection(decision.Status, decision.Headers, "the auth service says no")
-	case r.err == nil && decision.HasCustomer && !t.Nameless && decision.Customer != t.Customer:
+	case r.err == nil && decision.HasCustomer && !t.Anonymous && decision.Customer != t.Customer:
 		a.counters[countDenied].Add(1)
 		final = rejection(fasthttp.StatusForbidden, nil, "Cookie: the credential is another customer's")
 	case t.Gone(): // nothing is forwarded for it
@@ -180,13 +180,13 @@
 }
 
 // forward serves a request that was allowed, or that fails open.
-func (a *Authorizer) forward(t *transport.Txn, reservation *proxy.Reservation, r result) transport.Final {
+func (a *Authorizer) forward(t *transport.Request, reservation *proxy.Reservation, r result) transport.FinalAnswer {
 	if r.err != nil {
 		a.counters[countFailedOpen].Add(1)
 	} else {
 		a.counters[countAllowed].Add(1)
 	}
-	if t.Nameless {
+	if t.Anonymous {
 		t.Customer = r.decision.Customer
 	}
 	if reservation != nil {
@@ -206,10 +206,10 @@
 }
 
 // rejection ends a request with a status, headers and a message.
-func rejection(status int, headers [][2]string, message string) transport.Final {
-	return transport.Final{
-		Kind:    policy.Void,
-		Refusal: &transport.Refusal{Status: status, Headers: headers, Says: message},
+func rejection(status int, headers [][2]string, message string) transport.FinalAnswer {
+	return transport.FinalAnswer{
+		Kind:      policy.Void,
+		Rejection: &transport.Rejection{Status: status, Headers: headers, Message: message},
 	}
 }
 
@@ -231,7 +231,7 @@
 
 // newAuthRequest encodes a query. The X-Forwarded headers are the gateway's own: those of a client do not
 // pass.
-func (a *Authorizer) newAuthRequest(t *transport.Txn, digest authcache.CredentialDigest,
+func (a *Authorizer) newAuthRequest(t *transport.Request, digest authcache.CredentialDigest,
 	credential []byte) (*authRequest, error) {
 	request := &authRequest{digest: digest, hasCredential: len(credential) > 0, http: &fasthttp.Request{}}
 	header := &request.http.Header
@@ -241,15 +241,15 @@
 	header.SetBytesV("X-Forwarded-Method", t.Method)
 	header.SetBytesV("X-Forwarded-Uri", t.Target)
 	header.Set("X-Forwarded-Proto", "http")
-	header.Set("X-Forwarded-For", t.From())
-	if host, err := t.Field("Host"); err == nil && len(host) > 0 {
+	header.Set("X-Forwarded-For", t.ClientIP())
+	if host, err := t.Header("Host"); err == nil && len(host) > 0 {
 		header.SetBytesV("X-Forwarded-Host", host)
 	}
 	if request.hasCredential {
 		header.SetBytesV(a.config.Credential, credential)
 	}
 	for _, name := range a.config.Send {
-		value, err := t.Field(name)
+		value, err := t.Header(name)
 		if err != nil {
 			return nil, err
 		}
@@ -307,7 +307,7 @@
 			return result{err: fmt.Errorf("%s: it is there %d times", a.config.Customer, len(values)),
 				retryAfterMillis: a.config.Terms.TimeoutMillis}
 		}
-		customer, err := transport.Customer(values[0])
+		customer, err := transport.ParseCustomer(values[0])
 		if err != nil {
 			return result{
 				err:              fmt.Errorf("%s: %w", a.config.Customer, err),
--- a/internal/forwardauth/authserver/original.go
+++ b/internal/forwardauth/authserver/original.go
@@ -57,7 +57,7 @@
 	var values [len(forwardedHeaders)][]byte
 	for i, f := range forwardedHeaders {
 		for _, name := range f.names {
-			v, err := transport.AtMostOnce(header, name)
+			v, err := transport.OptionalHeader(header, name)
 			switch {
 			case err != nil:
 				return originalRequest{}, badRequest("%v", err)
@@ -75,7 +75,7 @@
 			values[i] = v
 		}
 	}
-	wholeURL, err := transport.AtMostOnce(header, "X-Original-Url")
+	wholeURL, err := transport.OptionalHeader(header, "X-Original-Url")
 	if err != nil {
 		return originalRequest{}, badRequest("%v", err)
 	}
@@ -203,11 +203,11 @@
 // validateClientChain checks the addresses of the client and of the proxies on its way. There has to be one.
 func validateClientChain(header *fasthttp.RequestHeader) error {
 	const name = "X-Forwarded-For"
-	forwardedFor, err := transport.AtMostOnce(header, name)
+	forwardedFor, err := transport.OptionalHeader(header, name)
 	if err != nil {
 		return badRequest("%v", err)
 	}
-	realIP, err := transport.AtMostOnce(header, "X-Real-Ip")
+	realIP, err := transport.OptionalHeader(header, "X-Real-Ip")
 	if err != nil {
 		return badRequest("%v", err)
 	}
--- a/internal/forwardauth/authserver/server.go
+++ b/internal/forwardauth/authserver/server.go
@@ -26,13 +26,13 @@
 	names    config.Names
 	settings atomic.Pointer[policy.Charter]
 	proxy    *proxy.Proxy
-	next     func(*transport.Txn) transport.Final
+	next     func(*transport.Request) transport.FinalAnswer
 	http     fasthttp.Server
 	counters [counterCount]atomic.Int64
 
 	mu         sync.Mutex // guards what follows; never held over I/O or a call of the proxy
 	clearances *authcache.ClearanceTable[*proxy.Reservation]
-	listener   *transport.Limited // nil until Listen
+	listener   *transport.LimitListener // nil until Listen
 	closed     bool
 }
 
@@ -70,7 +70,7 @@
 
 // New returns a server in front of a proxy. next serves the requests that have no clearance and need none.
 func New(cfg *config.Asked, names config.Names, settings policy.Charter, p *proxy.Proxy,
-	next func(*transport.Txn) transport.Final) *Server {
+	next func(*transport.Request) transport.FinalAnswer) *Server {
 	s := &Server{config: cfg, names: names, proxy: p, next: next,
 		clearances: authcache.NewClearanceTable[*proxy.Reservation](cfg.Life, cfg.Memory, cfg.Most)}
 	s.settings.Store(&settings)
@@ -88,7 +88,7 @@
 		NoDefaultServerHeader: true,
 		NoDefaultDate:         true,
 		NoDefaultContentType:  true,
-		Logger:                transport.Silent{},
+		Logger:                transport.DiscardLogger{},
 	}
 	return s
 }
@@ -126,7 +126,7 @@
 	if s.closed {
 		return listener.Close()
 	}
-	s.listener = transport.Limit(listener, s.config.Callers)
+	s.listener = transport.NewLimitListener(listener, s.config.Callers)
 	go func() { _ = s.http.Serve(s.listener) }()
 	return nil
 }
@@ -187,7 +187,7 @@
 }
 
 // attributesOf returns what a clearance of a request is for.
-func attributesOf(t *transport.Txn) authcache.Attributes {
+func attributesOf(t *transport.Request) authcache.Attributes {
 	return authcache.Attributes{Customer: t.Customer, Product: t.Product, Plan: t.Plan, Units: t.Units,
 		SetSize: t.SetSize, First: t.First}
 }
@@ -200,10 +200,10 @@
 
 // Serve serves a request at the gateway's own port: one that was cleared takes its reservation, and comes
 // once. Any other is served by next, unless its product needs a clearance.
-func (s *Server) Serve(t *transport.Txn) transport.Final {
+func (s *Server) Serve(t *transport.Request) transport.FinalAnswer {
 	once := s.config.Only[t.Product] || s.settings.Load().Products[t.Product].Repeat != policy.InquiryLike
 	s.mu.Lock()
-	status, reservation := s.clearances.Redeem(string(t.Mark), attributesOf(t), once, s.proxy.Now())
+	status, reservation := s.clearances.Redeem(string(t.RequestID), attributesOf(t), once, s.proxy.Now())
 	s.mu.Unlock()
 	switch status {
 	case authcache.StatusGranted:
@@ -222,7 +222,7 @@
 	switch {
 	case !s.config.Only[t.Product]:
 	case status == authcache.StatusHandedOver: // nothing was sent, and the successor is there at once
-		return transport.Final{Kind: policy.Decline, Wait: authcache.RebindIntervalMillis}
+		return transport.FinalAnswer{Kind: policy.Decline, RetryAfterMillis: authcache.RebindIntervalMillis}
 	default:
 		s.counters[countNotCleared].Add(1)
 		return rejection(fasthttp.StatusForbidden, "this product comes only if it has been cleared")
@@ -231,8 +231,8 @@
 }
 
 // rejection ends a request with a status and a message.
-func rejection(status int, message string) transport.Final {
-	return transport.Final{Kind: policy.Void, Refusal: &transport.Refusal{Status: status, Says: message}}
+func rejection(status int, message string) transport.FinalAnswer {
+	return transport.FinalAnswer{Kind: policy.Void, Rejection: &transport.Rejection{Status: status, Message: message}}
 }
 
 // trusted reports whether a caller may speak for clients. Guards against a client that calls here itself:
@@ -262,9 +262,9 @@
 	if err == nil && len(ctx.Request.Body()) > 0 {
 		err = badRequest("a call has no body")
 	}
-	var t transport.Txn
+	var t transport.Request
 	if err == nil {
-		t, err = transport.Decode(header, original.method, original.target, &s.names, s.settings.Load(), false)
+		t, err = transport.DecodeRequest(header, original.method, original.target, &s.names, s.settings.Load(), false)
 	}
 	if err != nil {
 		var callErr *callError
@@ -278,8 +278,8 @@
 }
 
 // decide answers a valid call.
-func (s *Server) decide(ctx *fasthttp.RequestCtx, t *transport.Txn) {
-	requestID, attributes := string(t.Mark), attributesOf(t)
+func (s *Server) decide(ctx *fasthttp.RequestCtx, t *transport.Request) {
+	requestID, attributes := string(t.RequestID), attributesOf(t)
 	settings := s.settings.Load()
 	home := authcache.HomeInstance(requestID, attributes, settings.Gatekeepers)
 	if s.config.Only[t.Product] && home != settings.Me {
@@ -321,8 +321,8 @@
 	}
 	s.mu.Unlock()
 	if reservation == nil {
-		if final.Wait > 0 {
-			ctx.Response.Header.Set("Retry-After", transport.RetryAfter(final.Wait))
+		if final.RetryAfterMillis > 0 {
+			ctx.Response.Header.Set("Retry-After", transport.RetryAfter(final.RetryAfterMillis))
 		}
 		s.respond(ctx, countDenied, s.config.NoStatus, "declined")
 		return
