--- a/cmd/willowdeck/main.go
+++ b/cmd/willowdeck/main.go
@@ -177,7 +177,7 @@
 		return err
 	}
 	fmt.Printf("%s: %d products, %d plans, %d workers known, %d gatekeepers\n", conf.Name,
-		len(conf.Charter.Products), len(conf.Charter.Plans), len(conf.Known.Workers), conf.Charter.Gatekeepers)
+		len(conf.Charter.Products), len(conf.Charter.Plans), len(conf.Known.Workers), conf.Charter.GatewayCount)
 	if f := conf.Forward; f != nil && f.Asked != nil {
 		fmt.Printf("asked by portals at %s, clearances last %g ms\n", f.Asked.Listen, f.Asked.Life)
 	}
--- a/internal/forecast/fleet.go
+++ b/internal/forecast/fleet.go
@@ -13,8 +13,8 @@
 type fleet struct {
 	rules           Rules
 	words           []*Word
-	charter         policy.Charter
-	manner          policy.Manner
+	charter         policy.Settings
+	manner          policy.ModelParameters
 	products, plans []string
 	scaled          float64
 	unknown         []string
@@ -34,7 +34,7 @@
 	room    []float64   // windows' room, by hall of worker as txns go now
 	inHand  [][]int     // by hall of gatekeeper and hall of worker
 	credit  [][]float64 // by hall of gatekeeper and plan, units that may be borrowed there
-	reason  [policy.Reasons]float64
+	reason  [policy.ReasonCount]float64
 	usual   []float64 // by product: ms of a core that a txn takes, without any wait
 	cores   float64   // that each worker has, as reckoned with; 0 where that is not known
 	cv2     float64
@@ -100,7 +100,7 @@
 		}
 		f.keepers[g]++
 		all := f.stands[w.Group]
-		for len(all) < w.Charter.Gatekeepers {
+		for len(all) < w.Charter.GatewayCount {
 			all = append(all, -1)
 		}
 		all[w.Number] = g
@@ -276,11 +276,11 @@
 			twice[0] = append(slices.Clone(all), all...)
 		}
 		for _, s := range w.Sets {
-			place := (w.Number - s.First + len(all)) % len(all)
-			if place >= s.Size || s.Demand <= 0 {
+			place := (w.Number - s.FirstGateway + len(all)) % len(all)
+			if place >= s.Size || s.DemandPerSecond <= 0 {
 				continue // no set of its own
 			}
-			e := ring{g, place, s.Demand, twice[0][s.First : s.First+s.Size], make([]int, len(f.names))}
+			e := ring{g, place, s.DemandPerSecond, twice[0][s.FirstGateway : s.FirstGateway+s.Size], make([]int, len(f.names))}
 			for _, h := range e.halls {
 				if h >= 0 {
 					e.counts[h]++
@@ -298,7 +298,7 @@
 		d := 0.0
 		for p := range f.products {
 			x := &f.flows[q*len(f.products)+p]
-			s.Value += 1000 * f.worth(q, p) * (x.Settled - x.Late*(1-f.charter.Products[p].LateShare))
+			s.Value += 1000 * f.worth(q, p) * (x.Settled - x.Late*(1-f.charter.Products[p].LateValueFraction))
 			s.InTime += 1000 * (x.Settled - x.Late)
 			s.Late += 1000 * x.Late
 			d += 1000 * (x.Declined + x.Voided + x.Other)
@@ -348,7 +348,7 @@
 }
 
 func (f *fleet) worth(plan, product int) float64 {
-	return f.charter.Products[product].Value * f.charter.Plans[plan].Factor
+	return f.charter.Products[product].Value * f.charter.Plans[plan].ValueFactor
 }
 
 func (s *State) round() {
--- a/internal/forecast/golden_test.go
+++ b/internal/forecast/golden_test.go
@@ -32,10 +32,10 @@
 // fits makes of a filled word one that passes Check: its lists are as long as each other, and its numbers
 // name gatekeepers and plans that there are.
 func fits(w *Word) {
-	w.Form, w.Number, w.Charter.Gatekeepers = Form, 3, 5
+	w.Form, w.Number, w.Charter.GatewayCount = Form, 3, 5
 	w.Flows = append(w.Flows, w.Flows...)
 	for i := range w.Sets {
-		w.Sets[i] = policy.SetSight{Plan: 1, First: 1 + i, Size: 2, Demand: w.Sets[i].Demand}
+		w.Sets[i] = policy.GatewaySetSnapshot{Plan: 1, FirstGateway: 1 + i, Size: 2, DemandPerSecond: w.Sets[i].DemandPerSecond}
 	}
 	for i := range w.Halls {
 		w.Halls[i].Busy = 0.25
--- a/internal/forecast/liken.go
+++ b/internal/forecast/liken.go
@@ -30,7 +30,7 @@
 	if f.cores == 0 {
 		return nil
 	}
-	l := &Likeness{Gatekeepers: f.charter.Gatekeepers, Halls: f.names, Workers: f.workers, CV2: f.cv2,
+	l := &Likeness{Gatekeepers: f.charter.GatewayCount, Halls: f.names, Workers: f.workers, CV2: f.cv2,
 		Service: f.usual}
 	ways, runs := 0.0, 0.0
 	for g := range f.names {
--- a/internal/forecast/meter.go
+++ b/internal/forecast/meter.go
@@ -59,18 +59,18 @@
 type mark struct {
 	at     float64
 	counts []float64
-	finals [policy.Reasons]int
+	finals [policy.ReasonCount]int
 }
 
 // NewMeter makes a meter for a charter.
-func NewMeter(c policy.Charter, life uint32) *Meter {
+func NewMeter(c policy.Settings, life uint32) *Meter {
 	m := &Meter{products: len(c.Products), plans: len(c.Plans), life: life}
 	m.counts = make([]float64, m.products*m.plans*perSort+MostHalls*(m.products*perHall+2))
 	for i := range m.past {
 		m.past[i].counts = make([]float64, len(m.counts))
 	}
 	for _, p := range c.Products {
-		m.slas = append(m.slas, p.SLA)
+		m.slas = append(m.slas, p.LatencyTargetMillis)
 	}
 	return m
 }
@@ -118,29 +118,29 @@
 		return
 	}
 	i := m.hall(zone, product)
-	if o == policy.Settled {
+	if o == policy.Succeeded {
 		m.counts[i+nAnswers]++
 		m.counts[i+nTook] += took
 		m.counts[i+nSquares] += took * took
 	}
-	if o == policy.Settled && closed || o == policy.TimedOut || o == policy.Cut || o == policy.Withdrawn ||
-		o == policy.Fault {
+	if o == policy.Succeeded && closed || o == policy.TimedOut || o == policy.ConnectionLost || o == policy.Cancelled ||
+		o == policy.Failed {
 		m.counts[i+nWasted]++
 	}
 }
 
 // Said counts what a worker of a hall said of its load.
-func (m *Meter) Said(zone int, b policy.Burden) {
-	if m != nil && zone >= 0 && zone < MostHalls && b.Busy >= 0 && b.Busy <= 1 {
+func (m *Meter) Said(zone int, b policy.WorkerLoad) {
+	if m != nil && zone >= 0 && zone < MostHalls && b.CPUFraction >= 0 && b.CPUFraction <= 1 {
 		i := m.hall(MostHalls, 0) + 2*zone
 		m.counts[i]++
-		m.counts[i+1] += b.Busy
+		m.counts[i+1] += b.CPUFraction
 	}
 }
 
 // Mark keeps the counts of a moment, so that later ones can be held against them. It is to be called at least
 // twice in a span; more often does no harm.
-func (m *Meter) Mark(now float64, t *policy.Tally) {
+func (m *Meter) Mark(now float64, t *policy.Stats) {
 	if m == nil {
 		return
 	}
@@ -151,7 +151,7 @@
 		m.from, m.kept = (m.from+1)%marks, m.kept-1
 	}
 	p := &m.past[(m.from+m.kept)%marks]
-	p.at, p.finals = now, t.Final
+	p.at, p.finals = now, t.FinalByReason
 	copy(p.counts, m.counts)
 	m.kept++
 }
@@ -168,7 +168,7 @@
 }
 
 // Tell fills in a word what was counted since the oldest mark, and what a sight shows. halls names them.
-func (m *Meter) Tell(w *Word, now float64, t *policy.Tally, s *policy.Sight, halls func(int) string) {
+func (m *Meter) Tell(w *Word, now float64, t *policy.Stats, s *policy.Snapshot, halls func(int) string) {
 	w.Credit = w.Credit[:0]
 	w.Form, w.Life, w.At = Form, m.life, int64(now)
 	m.seq++
@@ -191,15 +191,15 @@
 	}
 	for i := range w.Reasons {
 		if m.kept > 0 {
-			w.Reasons[i] = float64(t.Final[i]-m.past[m.from].finals[i]) / secs
+			w.Reasons[i] = float64(t.FinalByReason[i]-m.past[m.from].finals[i]) / secs
 		}
 	}
 	w.Halls = w.Halls[:0]
-	for z := range min(len(s.Halls), MostHalls) {
-		if s.Halls[z] == (policy.HallSight{}) {
+	for z := range min(len(s.Regions), MostHalls) {
+		if s.Regions[z] == (policy.RegionSnapshot{}) {
 			continue
 		}
-		h := Hall{Name: halls(z), Workers: s.Halls[z].Workers, Able: s.Halls[z].Able, InHand: s.Halls[z].InHand,
+		h := Hall{Name: halls(z), Workers: s.Regions[z].Workers, Able: s.Regions[z].WarmWorkers, InHand: s.Regions[z].InFlight,
 			Busy: -1}
 		if said := m.hall(MostHalls, 0) + 2*z; per(said) > 0 {
 			h.Busy = math.Min(per(said+1)/per(said), 1)
@@ -216,6 +216,6 @@
 		w.Halls = append(w.Halls, h)
 	}
 	w.Customers, w.Sets = append(w.Customers[:0], s.Plans...), append(w.Sets[:0], s.Sets...)
-	w.Others, w.Window, w.Press = s.Others, s.Window, s.Press
-	w.InHand, w.Silent, w.Gone = s.InHand, s.Silent, s.Gone
+	w.Others, w.Window, w.Press = s.OtherSetsDemandPerSecond, s.Window, s.Pressure
+	w.InHand, w.Silent, w.Gone = s.InFlight, s.SilentPeers, s.LostPeers
 }
--- a/internal/forecast/outlook.go
+++ b/internal/forecast/outlook.go
@@ -234,7 +234,7 @@
 // terms is what words must agree on to be added up.
 func (w *Word) terms() string {
 	c := w.Charter
-	c.Me = 0
+	c.GatewayIndex = 0
 	b, err := json.Marshal(struct {
 		C              any
 		Products, Plan []string
@@ -265,7 +265,7 @@
 func (o *Outlook) unheard(used []*Word) {
 	known, heard := 0, 0
 	for i := 0; i < len(used); {
-		group, n := used[i].Group, used[i].Charter.Gatekeepers
+		group, n := used[i].Group, used[i].Charter.GatewayCount
 		said := map[int]bool{}
 		for ; i < len(used) && used[i].Group == group; i++ {
 			said[used[i].Number] = true
@@ -290,7 +290,7 @@
 func (o *Outlook) gather(used []*Word) *fleet {
 	f := &fleet{rules: o.Rules, words: used, charter: used[0].Charter, products: used[0].Products,
 		plans: used[0].Plans, at: map[string]int{}, stands: map[string][]int{}, scaled: o.Scaled}
-	f.manner = policy.MannerOf(f.charter)
+	f.manner = policy.ModelParametersOf(f.charter)
 	f.add()
 	o.Unknown = append(o.Unknown, f.unknown...)
 	return f
--- a/internal/forecast/outlook_test.go
+++ b/internal/forecast/outlook_test.go
@@ -16,11 +16,11 @@
 const nowMS = 1_800_000_000_000
 
 // terms is a charter of two products and one plan.
-func terms(n int) policy.Charter {
-	return policy.Charter{Gatekeepers: n, LargestUnits: 1, MaxSubmissions: 3, MayTell: true, PeerInPerS: 200,
-		ReportsPerTell: 31, ColdFrom: 0.3, WarmUp: 8000, Whole: 1, Products: []policy.Product{
-			{SLA: 500, Value: 1}, {SLA: 500, Value: 5, Repeat: policy.OnceOnly}},
-		Plans: []policy.Plan{{Rate: 20, Burst: 40, Factor: 1}}}
+func terms(n int) policy.Settings {
+	return policy.Settings{GatewayCount: n, MaxRequestUnits: 1, MaxAttempts: 3, AllowGossip: true, PeerMessagesPerSecond: 200,
+		ReportsPerMessage: 31, ColdCapacityFraction: 0.3, WarmUpMillis: 8000, TotalWeight: 1, Products: []policy.Product{
+			{LatencyTargetMillis: 500, Value: 1}, {LatencyTargetMillis: 500, Value: 5, Idempotency: policy.NonIdempotent}},
+		Plans: []policy.Plan{{QuotaPerSecond: 20, QuotaBurst: 40, ValueFactor: 1}}}
 }
 
 // words are those of n gatekeepers in three halls by turns, each asked by customers in sets of three, before
@@ -36,10 +36,10 @@
 		perS := use * 12 * 2 / 0.02 / float64(n)
 		w.Flows = []Flow{{Asked: 0.8 * perS, Units: 0.8 * perS, Settled: 0.8 * perS},
 			{Asked: 0.2 * perS, Units: 0.2 * perS, Settled: 0.2 * perS}}
-		w.Customers = []policy.PlanSight{{Customers: perS / 10, Demand: perS}}
-		w.Customers[0].Use[3] = perS // at about half of their rate
+		w.Customers = []policy.PlanSnapshot{{Customers: perS / 10, DemandPerSecond: perS}}
+		w.Customers[0].DemandByUtilization[3] = perS // at about half of their rate
 		for k := range 3 {
-			w.Sets = append(w.Sets, policy.SetSight{First: (i - k + n) % n, Size: 3, Demand: perS / 3})
+			w.Sets = append(w.Sets, policy.GatewaySetSnapshot{FirstGateway: (i - k + n) % n, Size: 3, DemandPerSecond: perS / 3})
 		}
 		for _, h := range halls {
 			x := Hall{Name: h, Workers: 4, Able: 4, InHand: 1, Busy: -1}
@@ -152,7 +152,7 @@
 	all := words(9, 0.5)
 	whole := Project(all, rules()).Now.Value
 	all[2].At -= 20000
-	all[4].Charter.Plans = []policy.Plan{{Rate: 21, Burst: 40, Factor: 1}}
+	all[4].Charter.Plans = []policy.Plan{{QuotaPerSecond: 21, QuotaBurst: 40, ValueFactor: 1}}
 	all = slices.Delete(all, 7, 8)
 	o := Project(all, rules())
 	if len(o.Old) != 1 || o.Old[0].Name != "g2" || o.Old[0].Age < 19900 {
@@ -196,7 +196,7 @@
 func TestHeirs(t *testing.T) {
 	all := words(9, 0.5)
 	for i, w := range all { // each customer comes through one gatekeeper
-		w.Sets = []policy.SetSight{{First: i, Size: 1, Demand: 1}}
+		w.Sets = []policy.GatewaySetSnapshot{{FirstGateway: i, Size: 1, DemandPerSecond: 1}}
 	}
 	r := rules()
 	for _, elsewhere := range []bool{true, false} {
@@ -262,10 +262,10 @@
 		{func(w *Word) { w.Flows = w.Flows[:1] }, "flows: 1 for 2 products x 1 plans"},
 		{func(w *Word) { w.Halls[2].Answers[0].Pace = 1e300 }, "halls[2].answers[0]: 1e+300"},
 		{func(w *Word) { w.Halls[1].Name = "" }, "halls[1]"},
-		{func(w *Word) { w.Sets[0].First = 99 }, "sets[0]"},
-		{func(w *Word) { w.Customers[0].Use[2] = -4 }, "customers[0].use: -4"},
-		{func(w *Word) { w.Charter.Plans[0].Rate = -4 }, "charter.plans[0]: -4"},
-		{func(w *Word) { w.Charter.Products[1].SLA = -1 }, "charter.products[1]: -1"},
+		{func(w *Word) { w.Sets[0].FirstGateway = 99 }, "sets[0]"},
+		{func(w *Word) { w.Customers[0].DemandByUtilization[2] = -4 }, "customers[0].use: -4"},
+		{func(w *Word) { w.Charter.Plans[0].QuotaPerSecond = -4 }, "charter.plans[0]: -4"},
+		{func(w *Word) { w.Charter.Products[1].LatencyTargetMillis = -1 }, "charter.products[1]: -1"},
 		{func(w *Word) { w.Window = -1 }, "window: -1"},
 		{func(w *Word) { w.Credit = []Credit{{}, {}} }, "credit: 2 for 1 plans"},
 		{func(w *Word) { w.At = 0 }, "at: 0"},
@@ -351,7 +351,7 @@
 func TestMeter(t *testing.T) {
 	c := terms(3)
 	m := NewMeter(c, 5)
-	var tally policy.Tally
+	var tally policy.Stats
 	now := 1e9
 	for range 30 { // 30 s; only the last ten count
 		for range 10 {
@@ -359,22 +359,22 @@
 			m.Mark(now, &tally)
 			m.Asked(0, 1, 2)
 			m.Ended(0, 1, Settled, 600)
-			m.Answered(1, 1, policy.Settled, 30, false)
-			m.Said(1, policy.Burden{Busy: 0.5})
-			tally.Final[policy.ByQuota]++
+			m.Answered(1, 1, policy.Succeeded, 30, false)
+			m.Said(1, policy.WorkerLoad{CPUFraction: 0.5})
+			tally.FinalByReason[policy.ReasonQuota]++
 		}
 	}
 	m.Answered(1, 0, policy.TimedOut, 500, false)
 	w := Word{Name: "a", Hall: "h", Group: "g", Charter: c, Products: []string{"x", "y"}, Plans: []string{"p"}}
-	sight := policy.Sight{Plans: make([]policy.PlanSight, 1), Halls: make([]policy.HallSight, 2)}
-	sight.Halls[1].Workers = 1
+	sight := policy.Snapshot{Plans: make([]policy.PlanSnapshot, 1), Regions: make([]policy.RegionSnapshot, 2)}
+	sight.Regions[1].Workers = 1
 	m.Tell(&w, now, &tally, &sight, func(z int) string { return fmt.Sprint("hall", z) })
 	if err := w.Check(); err != nil {
 		t.Fatal(err)
 	}
 	f := w.Flows[1]
 	if w.Span > 12500 || w.Span < 8000 || math.Abs(f.Asked-10) > 0.2 || math.Abs(f.Units-20) > 0.4 ||
-		math.Abs(f.Settled-10) > 0.2 || f.Late != f.Settled || math.Abs(w.Reasons[policy.ByQuota]-10) > 0.2 {
+		math.Abs(f.Settled-10) > 0.2 || f.Late != f.Settled || math.Abs(w.Reasons[policy.ReasonQuota]-10) > 0.2 {
 		t.Errorf("span %v, flow %+v, reasons %v", w.Span, f, w.Reasons)
 	}
 	if len(w.Halls) != 1 || w.Halls[0].Name != "hall1" || w.Halls[0].Busy != 0.5 ||
@@ -384,7 +384,7 @@
 	if n := testing.AllocsPerRun(100, func() {
 		m.Asked(0, 0, 1)
 		m.Ended(0, 0, Declined, 3)
-		m.Answered(0, 0, policy.Settled, 3, false)
+		m.Answered(0, 0, policy.Succeeded, 3, false)
 		now += 2000
 		m.Mark(now, &tally)
 	}); n != 0 {
@@ -393,7 +393,7 @@
 	m = nil // where no word is told
 	m.Asked(0, 0, 1)
 	m.Ended(0, 0, Settled, 1)
-	m.Answered(0, 0, policy.Settled, 1, false)
+	m.Answered(0, 0, policy.Succeeded, 1, false)
 }
 
 // Guards against words whose figures are no gatekeeper's, though within bounds, that take a core for ever.
@@ -402,27 +402,27 @@
 	c.Products, c.Plans = nil, nil
 	var products, plans []string
 	for i := range mostProducts {
-		c.Products = append(c.Products, policy.Product{SLA: 500, Value: float64(i), Repeat: policy.OnceOnly})
+		c.Products = append(c.Products, policy.Product{LatencyTargetMillis: 500, Value: float64(i), Idempotency: policy.NonIdempotent})
 		products = append(products, fmt.Sprint("p", i))
 	}
 	for i := range mostPlans {
-		c.Plans = append(c.Plans, policy.Plan{Rate: 1e9, Burst: 1e9, Factor: float64(i + 1)})
+		c.Plans = append(c.Plans, policy.Plan{QuotaPerSecond: 1e9, QuotaBurst: 1e9, ValueFactor: float64(i + 1)})
 		plans = append(plans, fmt.Sprint("q", i))
 	}
 	var all []*Word
 	for i, w := range words(6, 0.9) {
 		w.Charter, w.Products, w.Plans = c, products, plans
 		w.Flows, w.Sets = make([]Flow, len(products)*len(plans)), nil
-		w.Customers = make([]policy.PlanSight, len(plans))
+		w.Customers = make([]policy.PlanSnapshot, len(plans))
 		for k := range w.Flows {
 			w.Flows[k] = Flow{Asked: 1e8, Units: 1e8, Settled: 1e8}
 		}
 		for k := range w.Customers {
-			w.Customers[k] = policy.PlanSight{Customers: 5, Demand: 1e8}
-			w.Customers[k].Use[4+k%9] = 1e8
+			w.Customers[k] = policy.PlanSnapshot{Customers: 5, DemandPerSecond: 1e8}
+			w.Customers[k].DemandByUtilization[4+k%9] = 1e8
 		}
-		for k := range policy.MostSets {
-			w.Sets = append(w.Sets, policy.SetSight{Plan: k, Size: mostKeepers, Demand: 1e8})
+		for k := range policy.MaxSnapshotSets {
+			w.Sets = append(w.Sets, policy.GatewaySetSnapshot{Plan: k, Size: mostKeepers, DemandPerSecond: 1e8})
 		}
 		for h := range w.Halls {
 			w.Halls[h].Answers = make([]Answers, len(products))
@@ -466,7 +466,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		m.Asked(0, 1, 1)
-		m.Answered(0, 1, policy.Settled, 20, false)
+		m.Answered(0, 1, policy.Succeeded, 20, false)
 		m.Ended(0, 1, Settled, 20)
 	}
 }
--- a/internal/forecast/project.go
+++ b/internal/forecast/project.go
@@ -366,7 +366,7 @@
 	for i := range fresh {
 		q, p := i/np, i%np
 		done, late := pool.done(i)
-		o.value += f.worth(q, p) * done * (1 - late*(1-f.charter.Products[p].LateShare))
+		o.value += f.worth(q, p) * done * (1 - late*(1-f.charter.Products[p].LateValueFraction))
 		o.inTime += done * (1 - late)
 		o.late += done * late
 		o.declined[q] += pool.fresh[i] - done
@@ -464,14 +464,14 @@
 	q := p.queue()
 	sla, all := 0.0, 0.0 // mean of one over it
 	for i, r := range p.fresh {
-		sla, all = sla+r/p.f.charter.Products[i%len(p.f.products)].SLA, all+r
+		sla, all = sla+r/p.f.charter.Products[i%len(p.f.products)].LatencyTargetMillis, all+r
 	}
 	sla /= math.Max(all, 1e-12)
 	p.target = bisect(0, mostUse, finely, func(use float64) float64 {
-		return (p.way+q.s+q.wq(use))*sla - p.f.manner.Target
+		return (p.way+q.s+q.wq(use))*sla - p.f.manner.LatencyTargetFraction
 	})
 	p.passes = slices.Repeat([]float64{1}, len(p.fresh))
-	tried, turned := 0.0, p.f.reason[policy.ByPressure]+p.f.reason[policy.ByNoWorker]
+	tried, turned := 0.0, p.f.reason[policy.ReasonOverload]+p.f.reason[policy.ReasonNoWorker]
 	for i := range p.f.flows {
 		tried += p.f.flows[i].Asked
 	}
@@ -514,7 +514,7 @@
 	var at [shades + 1]int // one more than the place in kinds of the sorts with such a part of the window
 	var kinds []flowing
 	shade := func(i int) int {
-		d := p.f.manner.Depth[i%len(p.f.products)][i/len(p.f.products)]
+		d := p.f.manner.WindowFraction[i%len(p.f.products)][i/len(p.f.products)]
 		return min(max(int(d*shades+0.5), 0), shades)
 	}
 	for i := range p.passes {
@@ -553,7 +553,7 @@
 // try, with the pauses before the others, and the wait at a worker has an exponential tail.
 func (p *pool) done(i int) (rate, late float64) {
 	r := &p.f.rules
-	sla := p.f.charter.Products[i%len(p.f.products)].SLA
+	sla := p.f.charter.Products[i%len(p.f.products)].LatencyTargetMillis
 	q := p.queue()
 	chance, mean := q.wait(p.use)
 	rate = p.fresh[i] * p.last(i)
@@ -561,8 +561,8 @@
 		return 0, 0
 	}
 	pause := r.Back / 2
-	if p.f.charter.MayAdvise {
-		pause = math.Min(p.f.manner.Advice*sla, p.f.charter.MaxAdvice)
+	if p.f.charter.AllowRetryAfter {
+		pause = math.Min(p.f.manner.RetryAfterTargets*sla, p.f.charter.MaxRetryAfterMillis)
 	}
 	over := func(spent float64) float64 {
 		left := sla - spent - p.way - p.usual(i)
--- a/internal/forecast/quota.go
+++ b/internal/forecast/quota.go
@@ -9,7 +9,7 @@
 
 // step gives the use that stands for a step of a sight's counts.
 func step(i int) float64 {
-	switch b := policy.UseSteps; {
+	switch b := policy.UtilizationBounds; {
 	case i == 0:
 		return b[0] / 2
 	case i < len(b):
@@ -26,11 +26,11 @@
 // customer at a moment swings by chance about what it asks: that part of the spread is taken out, as far as
 // it would be there if all came by chance alone (a Poisson stream, seen through an exponential memory of a
 // second), so that what stores even out is not taken for need.
-func (f *fleet) uses(plan int) (use [len(policy.UseSteps) + 1]using, size, all float64) {
+func (f *fleet) uses(plan int) (use [len(policy.UtilizationBounds) + 1]using, size, all float64) {
 	customers, mean, squares := 0.0, 0.0, 0.0
 	for _, w := range f.words {
 		customers += w.Customers[plan].Customers * f.scaled
-		for i, d := range w.Customers[plan].Use {
+		for i, d := range w.Customers[plan].DemandByUtilization {
 			use[i].demand += d
 			all += d
 		}
@@ -54,7 +54,7 @@
 	if spread > 0 {
 		narrow = math.Sqrt(truly / spread)
 	}
-	usual := units / customers / f.charter.Plans[plan].Rate * (1 + truly/(mean*mean)) // as demand sees it
+	usual := units / customers / f.charter.Plans[plan].QuotaPerSecond * (1 + truly/(mean*mean)) // as demand sees it
 	for i := range use {
 		use[i].of = math.Max(usual+narrow*(use[i].of-mean), usual/20)
 	}
@@ -65,7 +65,9 @@
 const memory = 1.0
 
 // moved is how long after a loss the demand of those lost still counts, ms.
-func (f *fleet) moved() float64 { return math.Max(f.manner.Suspicion+f.manner.Hold, f.manner.Unheard) }
+func (f *fleet) moved() float64 {
+	return math.Max(f.manner.LostAfterMillis+f.manner.LostHoldMillis, f.manner.SilentAfterMillis)
+}
 
 // quotas gives the part of what customers ask that their quotas and ceilings let in, by plan, while their
 // gatekeepers in some halls are silent. early has the mean until their shares have moved: the last demand of
@@ -73,7 +75,7 @@
 func (f *fleet) quotas(s *stage, early bool) []float64 {
 	let := make([]float64, len(f.plans))
 	for q := range f.plans {
-		if let[q] = 1; f.charter.Plans[q].Rate <= 0 || f.manner.Beyond[q] {
+		if let[q] = 1; f.charter.Plans[q].QuotaPerSecond <= 0 || f.manner.AllowsExcess[q] {
 			continue
 		}
 		use, size, all := f.uses(q)
@@ -121,7 +123,7 @@
 func (f *fleet) soonest() float64 {
 	least := math.Inf(1)
 	for _, p := range f.charter.Products {
-		least = math.Min(least, p.SLA)
+		least = math.Min(least, p.LatencyTargetMillis)
 	}
 	return least
 }
@@ -231,9 +233,9 @@
 	if use <= 0 {
 		return 1
 	}
-	demand := use * c.Rate
+	demand := use * c.QuotaPerSecond
 	n, living := float64(p.size), math.Max(float64(p.size)*(1-p.lost), 1)
-	span := (f.moved() - m.Unheard) / 1000
+	span := (f.moved() - m.SilentAfterMillis) / 1000
 	waits := 0.0 // what is turned away comes again while that is of use, as if the store were so much deeper
 	if f.rules.Tries > 1 {
 		waits = demand * f.soonest() / 1000
@@ -254,29 +256,29 @@
 	case p.lost > 0 && early:
 		// Those lost count by the last demand that they told. Where their last message did not name the customer,
 		// as one that asks seldom, they count as the mean of the others, which by now have all of its demand.
-		told := 1 - math.Exp(-demand/size/n*m.Told(p.size)/1000)
+		told := 1 - math.Exp(-demand/size/n*m.ReportSpanMillis(p.size)/1000)
 		held := told*p.lost + (1-told)*p.lost/math.Max(1-p.lost, 1/n)
-		part = m.Floors*(1-p.lost) + (1-m.Floors)/(1+held)
+		part = m.FloorFraction*(1-p.lost) + (1-m.FloorFraction)/(1+held)
 	case p.lost > 0:
-		part = m.Floors*(1-p.lost) + 1 - m.Floors
+		part = m.FloorFraction*(1-p.lost) + 1 - m.FloorFraction
 	}
-	short := math.Max(steady(c.Rate, c.Rate*part, c.Burst*part, 1),
-		math.Pow(steady(c.Rate, c.Rate*part, c.Burst*part, living), float64(f.rules.Tries)))
-	if !m.Blind[plan] && p.size > 1 {
-		rate := c.Rate
+	short := math.Max(steady(c.QuotaPerSecond, c.QuotaPerSecond*part, c.QuotaBurst*part, 1),
+		math.Pow(steady(c.QuotaPerSecond, c.QuotaPerSecond*part, c.QuotaBurst*part, living), float64(f.rules.Tries)))
+	if !m.QuotaUnseen[plan] && p.size > 1 {
+		rate := c.QuotaPerSecond
 		if early && p.lost > 0 { // what the silent ones may spend is kept from the one store, too
 			rate *= math.Max(1-p.lost*n/(n-1)*(1-part/living), 0)
 		}
-		kept := demand * (n - 1) / n * m.Reserve(p.size) / 1000
-		short = math.Max(short, steady(c.Rate, rate, c.Burst-kept, 1))
+		kept := demand * (n - 1) / n * m.ReserveMillis(p.size) / 1000
+		short = math.Max(short, steady(c.QuotaPerSecond, rate, c.QuotaBurst-kept, 1))
 	}
-	if c.CeilingRate > 0 {
-		rate, depth := c.CeilingRate*(1-p.lost), c.CeilingDepth*(1-p.lost)
-		short = math.Max(short, steady(c.CeilingRate, rate, depth, 1))
-		short = math.Max(short, math.Pow(steady(c.CeilingRate, rate, depth, living), float64(f.rules.Tries)))
+	if c.RateLimitPerSecond > 0 {
+		rate, depth := c.RateLimitPerSecond*(1-p.lost), c.RateLimitBurst*(1-p.lost)
+		short = math.Max(short, steady(c.RateLimitPerSecond, rate, depth, 1))
+		short = math.Max(short, math.Pow(steady(c.RateLimitPerSecond, rate, depth, living), float64(f.rules.Tries)))
 	}
 	if early && p.lost > 0 {
-		moved := span + m.Unheard/1000
+		moved := span + m.SilentAfterMillis/1000
 		whole := share{p.weight, 0, p.size}
 		return ((moved-span)*f.lets(plan, use, size, whole, false) + span*(1-short)) / moved
 	}
@@ -290,7 +292,7 @@
 	for q := range f.plans {
 		demand := 0.0
 		for _, w := range f.words {
-			demand += w.Customers[q].Demand * f.scaled
+			demand += w.Customers[q].DemandPerSecond * f.scaled
 		}
 		short := (whole[q] - s.let[q]) * demand * ms / 1000
 		line := 0.0
@@ -314,7 +316,7 @@
 	for q, plan := range f.plans {
 		demand := 0.0
 		for _, w := range f.words {
-			demand += w.Customers[q].Demand * f.scaled
+			demand += w.Customers[q].DemandPerSecond * f.scaled
 		}
 		if v := (whole[q] - s.let[q]) * demand; v > 0.005*demand {
 			all = append(all, fmt.Sprintf("quota: %.4g units/s of %s until shares have moved, %.4g then", round4(v),
@@ -340,7 +342,7 @@
 	for i := range f.flows {
 		v, r := f.worth(i/np, i%np), f.flows[i].Settled*f.usual[i%np]
 		worth, all = worth+v*r, all+r
-		if f.charter.Products[i%np].Repeat == policy.OnceOnly {
+		if f.charter.Products[i%np].Idempotency == policy.NonIdempotent {
 			once += v * r
 		}
 	}
--- a/internal/forecast/word.go
+++ b/internal/forecast/word.go
@@ -69,19 +69,19 @@
 	Version uint64 // of the rules that it goes by; 0 where they are those of its start
 	At      int64  // when it was measured, Unix ms by its own clock
 	Span    float64
-	Charter policy.Charter // but for its own number
+	Charter policy.Settings // but for its own number
 
 	Products, Plans []string
 	Flows           []Flow // by plan, and product in it
-	Customers       []policy.PlanSight
-	Sets            []policy.SetSight
+	Customers       []policy.PlanSnapshot
+	Sets            []policy.GatewaySetSnapshot
 	Others          float64 // demand of customers of sets beyond the most that are told
 	Halls           []Hall
 	Credit          []Credit // by plan; empty where none is lent
 	Window, Press   float64
 	InHand          int
-	Silent, Gone    int                     // peers
-	Reasons         [policy.Reasons]float64 // final answers a second, by why
+	Silent, Gone    int                         // peers
+	Reasons         [policy.ReasonCount]float64 // final answers a second, by why
 }
 
 // Append encodes a word.
@@ -134,8 +134,8 @@
 		return fmt.Errorf("name, host, hall, group: one is over %d bytes", longestName)
 	case strings.ContainsAny(w.Name+w.Host+w.Hall+w.Group, "\n\r\x00"):
 		return errors.New("name, host, hall, group: one has a control character")
-	case c.Gatekeepers < 1 || c.Gatekeepers > mostKeepers || w.Number < 0 || w.Number >= c.Gatekeepers:
-		return fmt.Errorf("number: %d of %d gatekeepers", w.Number, c.Gatekeepers)
+	case c.GatewayCount < 1 || c.GatewayCount > mostKeepers || w.Number < 0 || w.Number >= c.GatewayCount:
+		return fmt.Errorf("number: %d of %d gatekeepers", w.Number, c.GatewayCount)
 	case np < 1 || np > mostProducts || nq < 1 || nq > mostPlans:
 		return fmt.Errorf("charter: %d products and %d plans", np, nq)
 	case len(w.Products) != np || len(w.Plans) != nq:
@@ -144,8 +144,8 @@
 		return fmt.Errorf("flows: %d for %d products x %d plans", len(w.Flows), np, nq)
 	case len(w.Customers) != nq:
 		return fmt.Errorf("customers: %d for %d plans", len(w.Customers), nq)
-	case len(w.Sets) > policy.MostSets:
-		return fmt.Errorf("sets: %d, over %d", len(w.Sets), policy.MostSets)
+	case len(w.Sets) > policy.MaxSnapshotSets:
+		return fmt.Errorf("sets: %d, over %d", len(w.Sets), policy.MaxSnapshotSets)
 	case len(w.Halls) > MostHalls:
 		return fmt.Errorf("halls: %d, over %d", len(w.Halls), MostHalls)
 	case len(w.Credit) != 0 && len(w.Credit) != nq:
@@ -182,16 +182,16 @@
 	for i := range w.Customers {
 		p := &w.Customers[i]
 		is(p.Customers, "customers[%d].customers", i)
-		is(p.Demand, "customers[%d].demand", i)
-		for _, v := range p.Use {
+		is(p.DemandPerSecond, "customers[%d].demand", i)
+		for _, v := range p.DemandByUtilization {
 			is(v, "customers[%d].use", i)
 		}
 	}
 	for i, s := range w.Sets {
-		is(s.Demand, "sets[%d].demand", i)
-		if err == nil && (s.Plan < 0 || s.Plan >= len(w.Plans) || s.Size < 1 || s.Size > w.Charter.Gatekeepers ||
-			s.First < 0 || s.First >= w.Charter.Gatekeepers) {
-			err = fmt.Errorf("sets[%d]: plan %d, %d gatekeepers from %d on", i, s.Plan, s.Size, s.First)
+		is(s.DemandPerSecond, "sets[%d].demand", i)
+		if err == nil && (s.Plan < 0 || s.Plan >= len(w.Plans) || s.Size < 1 || s.Size > w.Charter.GatewayCount ||
+			s.FirstGateway < 0 || s.FirstGateway >= w.Charter.GatewayCount) {
+			err = fmt.Errorf("sets[%d]: plan %d, %d gatekeepers from %d on", i, s.Plan, s.Size, s.FirstGateway)
 		}
 	}
 	for i, h := range w.Halls {
@@ -211,22 +211,22 @@
 		is(c.Open, "credit[%d].open", i)
 	}
 	for i, p := range w.Charter.Products {
-		for _, v := range []float64{p.SLA, p.Value, p.LateShare, p.Window} {
+		for _, v := range []float64{p.LatencyTargetMillis, p.Value, p.LateValueFraction, p.DedupWindowMillis} {
 			is(v, "charter.products[%d]", i)
 		}
 	}
 	for i, p := range w.Charter.Plans {
-		for _, v := range []float64{p.Rate, p.Burst, p.CeilingRate, p.CeilingDepth, p.Factor, p.ExcessShare,
-			p.ExcessFee, p.Credit, p.Repay, p.Withheld} {
+		for _, v := range []float64{p.QuotaPerSecond, p.QuotaBurst, p.RateLimitPerSecond, p.RateLimitBurst, p.ValueFactor, p.ExcessValueFraction,
+			p.ExcessCostFraction, p.CreditSeconds, p.RepayWithinMillis, p.WithheldFraction} {
 			is(v, "charter.plans[%d]", i)
 		}
-		if p.Open < 0 {
+		if p.MaxInFlight < 0 {
 			is(-1, "charter.plans[%d].open", i)
 		}
 	}
-	for _, v := range []float64{w.Charter.LargestUnits, w.Charter.PeerInPerS, w.Charter.ColdFrom,
-		w.Charter.WarmUp, w.Charter.Tips, w.Charter.TipAfter, w.Charter.Whole, w.Charter.WorstPlan,
-		w.Charter.MaxAdvice} {
+	for _, v := range []float64{w.Charter.MaxRequestUnits, w.Charter.PeerMessagesPerSecond, w.Charter.ColdCapacityFraction,
+		w.Charter.WarmUpMillis, w.Charter.OverloadFactor, w.Charter.OverloadMillis, w.Charter.TotalWeight, w.Charter.WorstPlanWeight,
+		w.Charter.MaxRetryAfterMillis} {
 		is(v, "charter")
 	}
 	return err
--- a/internal/forwardauth/authorizer/authorizer.go
+++ b/internal/forwardauth/authorizer/authorizer.go
@@ -25,7 +25,7 @@
 // for concurrent use.
 type Authorizer struct {
 	config   *config.Asking
-	settings policy.Charter
+	settings policy.Settings
 	proxy    *proxy.Proxy
 	client   *fasthttp.HostClient
 	pending  singleflight.Group
@@ -53,7 +53,7 @@
 var counterNames = [counterCount]string{"yes", "no", "recalled", "trouble", "shut", "late", "left", "open"}
 
 // New returns an authorizer in front of a proxy. The seed is for the breaker's jitter.
-func New(cfg *config.Asking, settings policy.Charter, p *proxy.Proxy, seed int64) *Authorizer {
+func New(cfg *config.Asking, settings policy.Settings, p *proxy.Proxy, seed int64) *Authorizer {
 	timeout := transport.Millis(cfg.Terms.TimeoutMillis)
 	return &Authorizer{config: cfg, settings: settings, proxy: p, service: authcache.NewService(cfg.Terms, seed),
 		client: &fasthttp.HostClient{Addr: cfg.Service, MaxConns: cfg.Connections, MaxConnWaitTimeout: timeout,
@@ -102,7 +102,7 @@
 	if err != nil {
 		return rejection(fasthttp.StatusBadRequest, nil, err.Error())
 	}
-	askedMillis, timeoutMillis := a.proxy.Now(), a.service.TimeoutMillis(t.Left)
+	askedMillis, timeoutMillis := a.proxy.Now(), a.service.TimeoutMillis(t.TimeLeftMillis)
 	var reservation *proxy.Reservation // none where only the service can say whose the request is
 	if !t.Anonymous {
 		var final transport.FinalAnswer
@@ -115,8 +115,8 @@
 	if final != nil {
 		return *final
 	}
-	if !t.Streams {
-		t.Left = math.Max(t.Left-(a.proxy.Now()-askedMillis), 0)
+	if !t.StreamsBody {
+		t.TimeLeftMillis = math.Max(t.TimeLeftMillis-(a.proxy.Now()-askedMillis), 0)
 	}
 	return a.resolve(t, reservation, r)
 }
@@ -143,9 +143,9 @@
 	case answered := <-results:
 		return answered.Val.(result), nil
 	case command := <-ended:
-		if command.Decision.Kind == policy.Void {
+		if command.Decision.Kind == policy.RejectUncertain {
 			a.counters[countClientGone].Add(1)
-			return result{}, &transport.FinalAnswer{Kind: policy.Void}
+			return result{}, &transport.FinalAnswer{Kind: policy.RejectUncertain}
 		}
 	case <-timer.C:
 	}
@@ -156,12 +156,12 @@
 // resolve acts on a result: the request is forwarded with its reservation, or rejected and that is released.
 func (a *Authorizer) resolve(t *transport.Request, reservation *proxy.Reservation, r result) transport.FinalAnswer {
 	decision := r.decision
-	final := transport.FinalAnswer{Kind: policy.Void}
+	final := transport.FinalAnswer{Kind: policy.RejectUncertain}
 	switch {
 	case r.err != nil && !a.config.OpenOn[t.Product],
 		r.err == nil && decision.Status == fasthttp.StatusTooManyRequests:
 		a.counters[countUnavailable].Add(1) // nothing was sent, so a retry is harmless
-		final = transport.FinalAnswer{Kind: policy.Decline, RetryAfterMillis: a.retryAdviceMillis(r.retryAfterMillis)}
+		final = transport.FinalAnswer{Kind: policy.Reject, RetryAfterMillis: a.retryAdviceMillis(r.retryAfterMillis)}
 	case r.err == nil && !decision.Allowed:
 		a.counters[countDenied].Add(1)
 		final = rejection(decision.Status, decision.Headers, "the auth service says no")
@@ -199,16 +199,16 @@
 
 // retryAdviceMillis returns what a rejection advises, 0 where the settings forbid advice.
 func (a *Authorizer) retryAdviceMillis(millis float64) float64 {
-	if !a.settings.MayAdvise {
+	if !a.settings.AllowRetryAfter {
 		return 0
 	}
-	return math.Min(millis, a.settings.MaxAdvice)
+	return math.Min(millis, a.settings.MaxRetryAfterMillis)
 }
 
 // rejection ends a request with a status, headers and a message.
 func rejection(status int, headers [][2]string, message string) transport.FinalAnswer {
 	return transport.FinalAnswer{
-		Kind:      policy.Void,
+		Kind:      policy.RejectUncertain,
 		Rejection: &transport.Rejection{Status: status, Headers: headers, Message: message},
 	}
 }
--- a/internal/forwardauth/authserver/server.go
+++ b/internal/forwardauth/authserver/server.go
@@ -24,7 +24,7 @@
 type Server struct {
 	config   *config.Asked
 	names    config.Names
-	settings atomic.Pointer[policy.Charter]
+	settings atomic.Pointer[policy.Settings]
 	proxy    *proxy.Proxy
 	next     func(*transport.Request) transport.FinalAnswer
 	http     fasthttp.Server
@@ -69,7 +69,7 @@
 }
 
 // New returns a server in front of a proxy. next serves the requests that have no clearance and need none.
-func New(cfg *config.Asked, names config.Names, settings policy.Charter, p *proxy.Proxy,
+func New(cfg *config.Asked, names config.Names, settings policy.Settings, p *proxy.Proxy,
 	next func(*transport.Request) transport.FinalAnswer) *Server {
 	s := &Server{config: cfg, names: names, proxy: p, next: next,
 		clearances: authcache.NewClearanceTable[*proxy.Reservation](cfg.Life, cfg.Memory, cfg.Most)}
@@ -96,7 +96,7 @@
 // SetInstances says how many gateway instances there are from now on.
 func (s *Server) SetInstances(instances int) {
 	settings := *s.settings.Load()
-	settings.Gatekeepers = instances
+	settings.GatewayCount = instances
 	s.settings.Store(&settings)
 }
 
@@ -170,7 +170,7 @@
 		attributes, nowMillis := c.Attributes, s.proxy.Now()
 		if attributes.Product < 0 || attributes.Product >= len(s.settings.Load().Products) || attributes.Plan < 0 ||
 			attributes.Plan >= len(s.settings.Load().Plans) || c.ExpiresMillis <= nowMillis || len(c.RequestID) == 0 ||
-			len(c.RequestID) > policy.LongestMark || !(attributes.Units > 0) {
+			len(c.RequestID) > policy.MaxDedupKeyBytes || !(attributes.Units > 0) {
 			continue
 		}
 		var reservation *proxy.Reservation
@@ -189,19 +189,19 @@
 // attributesOf returns what a clearance of a request is for.
 func attributesOf(t *transport.Request) authcache.Attributes {
 	return authcache.Attributes{Customer: t.Customer, Product: t.Product, Plan: t.Plan, Units: t.Units,
-		SetSize: t.SetSize, First: t.First}
+		SetSize: t.SetSize, First: t.FirstGateway}
 }
 
 // arrivalOf returns the arrival by which the policy reserves a clearance's quota.
-func arrivalOf(a authcache.Attributes) policy.Arrival {
-	return policy.Arrival{Customer: a.Customer, Product: a.Product, Plan: a.Plan, Units: a.Units,
-		SetSize: a.SetSize, First: a.First}
+func arrivalOf(a authcache.Attributes) policy.Request {
+	return policy.Request{Customer: a.Customer, Product: a.Product, Plan: a.Plan, Units: a.Units,
+		SetSize: a.SetSize, FirstGateway: a.First}
 }
 
 // Serve serves a request at the gateway's own port: one that was cleared takes its reservation, and comes
 // once. Any other is served by next, unless its product needs a clearance.
 func (s *Server) Serve(t *transport.Request) transport.FinalAnswer {
-	once := s.config.Only[t.Product] || s.settings.Load().Products[t.Product].Repeat != policy.InquiryLike
+	once := s.config.Only[t.Product] || s.settings.Load().Products[t.Product].Idempotency != policy.Idempotent
 	s.mu.Lock()
 	status, reservation := s.clearances.Redeem(string(t.RequestID), attributesOf(t), once, s.proxy.Now())
 	s.mu.Unlock()
@@ -222,7 +222,7 @@
 	switch {
 	case !s.config.Only[t.Product]:
 	case status == authcache.StatusHandedOver: // nothing was sent, and the successor is there at once
-		return transport.FinalAnswer{Kind: policy.Decline, RetryAfterMillis: authcache.RebindIntervalMillis}
+		return transport.FinalAnswer{Kind: policy.Reject, RetryAfterMillis: authcache.RebindIntervalMillis}
 	default:
 		s.counters[countNotCleared].Add(1)
 		return rejection(fasthttp.StatusForbidden, "this product comes only if it has been cleared")
@@ -232,7 +232,7 @@
 
 // rejection ends a request with a status and a message.
 func rejection(status int, message string) transport.FinalAnswer {
-	return transport.FinalAnswer{Kind: policy.Void, Rejection: &transport.Rejection{Status: status, Message: message}}
+	return transport.FinalAnswer{Kind: policy.RejectUncertain, Rejection: &transport.Rejection{Status: status, Message: message}}
 }
 
 // trusted reports whether a caller may speak for clients. Guards against a client that calls here itself:
@@ -281,8 +281,8 @@
 func (s *Server) decide(ctx *fasthttp.RequestCtx, t *transport.Request) {
 	requestID, attributes := string(t.RequestID), attributesOf(t)
 	settings := s.settings.Load()
-	home := authcache.HomeInstance(requestID, attributes, settings.Gatekeepers)
-	if s.config.Only[t.Product] && home != settings.Me {
+	home := authcache.HomeInstance(requestID, attributes, settings.GatewayCount)
+	if s.config.Only[t.Product] && home != settings.GatewayIndex {
 		ctx.Response.Header.Set("X-Clear-At", strconv.Itoa(home))
 		s.respond(ctx, countMisdirected, fasthttp.StatusMisdirectedRequest, "another gatekeeper clears this txn")
 		return
--- a/internal/gateway/admin/server.go
+++ b/internal/gateway/admin/server.go
@@ -82,15 +82,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
-	p := &Port{At: l.Addr().String(), limit: transport.NewLimitListener(l, policy.OperatorCalls), desk: desk}
+	p := &Port{At: l.Addr().String(), limit: transport.NewLimitListener(l, policy.MaxAdminConnections), desk: desk}
 	p.server = fasthttp.Server{
 		Handler:            p.handle,
 		ErrorHandler:       unreadable,
 		DisableKeepalive:   true, // one call to a connection
-		MaxRequestBodySize: policy.OperatorBytes,
-		ReadBufferSize:     policy.OperatorBytes,
-		ReadTimeout:        transport.Millis(policy.OperatorWait),
-		WriteTimeout:       transport.Millis(policy.OperatorWait),
+		MaxRequestBodySize: policy.MaxAdminRequestBytes,
+		ReadBufferSize:     policy.MaxAdminRequestBytes,
+		ReadTimeout:        transport.Millis(policy.AdminTimeoutMillis),
+		WriteTimeout:       transport.Millis(policy.AdminTimeoutMillis),
 		CloseOnShutdown:    true, NoDefaultServerHeader: true, NoDefaultDate: true,
 		Logger: transport.DiscardLogger{},
 	}
@@ -223,7 +223,7 @@
 
 // Every calls f now and then until stop is closed: figures that are costly to gather are kept as a copy.
 func Every(stop <-chan struct{}, f func()) {
-	t := time.NewTicker(transport.Millis(policy.FiguresEach))
+	t := time.NewTicker(transport.Millis(policy.StatsRefreshMillis))
 	defer t.Stop()
 	for {
 		f()
--- a/internal/gateway/admin/server_test.go
+++ b/internal/gateway/admin/server_test.go
@@ -71,7 +71,7 @@
 		{"no HTTP", "hello\r\n\r\n", "400", "no call"},
 		{
 			"over-long",
-			"GET /admin/health HTTP/1.1\r\nX: " + strings.Repeat("x", 2*policy.OperatorBytes) + "\r\n\r\n",
+			"GET /admin/health HTTP/1.1\r\nX: " + strings.Repeat("x", 2*policy.MaxAdminRequestBytes) + "\r\n\r\n",
 			"400",
 			"no call",
 		},
@@ -95,7 +95,7 @@
 func TestSilentCallers(t *testing.T) {
 	p, _ := open(t)
 	var silent []net.Conn
-	for i := range 3 * policy.OperatorCalls {
+	for i := range 3 * policy.MaxAdminConnections {
 		c, err := net.Dial("tcp", p.At)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gateway/config/forwardauth.go
+++ b/internal/gateway/config/forwardauth.go
@@ -323,7 +323,7 @@
 			return false
 		}
 	}
-	return name != "" && len(name) <= policy.LongestMark
+	return name != "" && len(name) <= policy.MaxDedupKeyBytes
 }
 
 // plainName tells whether a header may be passed on as it came: those that frame a message, or say who a
--- a/internal/gateway/config/gateway.go
+++ b/internal/gateway/config/gateway.go
@@ -134,7 +134,7 @@
 		if _, err = address("counter", m.Counter); err != nil {
 			return g, err
 		}
-		if g.Charter.LoadTold {
+		if g.Charter.WorkersReportLoad {
 			return g, errors.New("counter: there is none where settings.report.how is answers")
 		}
 	}
@@ -149,7 +149,7 @@
 	case g.Sockets < 0:
 		return g, fmt.Errorf("limits.sockets: %d is below nought", g.Sockets)
 	}
-	if g.Charter.MayTell && g.Charter.Gatekeepers > 1 {
+	if g.Charter.AllowGossip && g.Charter.GatewayCount > 1 {
 		return g, g.peers(m.PeerListen, m.Peers)
 	}
 	return g, nil
@@ -160,8 +160,8 @@
 	if g.PeerPort, err = netip.ParseAddrPort(listen); err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	if len(list) != g.Charter.Gatekeepers {
-		return fmt.Errorf("peers: %d addresses for settings.balancers of %d", len(list), g.Charter.Gatekeepers)
+	if len(list) != g.Charter.GatewayCount {
+		return fmt.Errorf("peers: %d addresses for settings.balancers of %d", len(list), g.Charter.GatewayCount)
 	}
 	for i, p := range list {
 		a, err := netip.ParseAddrPort(p)
--- a/internal/gateway/config/gateway_test.go
+++ b/internal/gateway/config/gateway_test.go
@@ -35,10 +35,10 @@
 		t.Errorf("name, listen or seed: %+v", g)
 	case g.Cores != 0.5 || g.MemoryMB != 64 || g.Sockets != 256:
 		t.Errorf("limits: %v %v %v", g.Cores, g.MemoryMB, g.Sockets)
-	case len(g.Peers) != 2 || g.Peers[1].String() != "127.0.0.3:7946" || g.Charter.Me != 1:
+	case len(g.Peers) != 2 || g.Peers[1].String() != "127.0.0.3:7946" || g.Charter.GatewayIndex != 1:
 		t.Errorf("peers: %v", g.Peers)
-	case len(p) != 2 || p[1].Repeat != policy.Referenced || p[1].Group != policy.GroupCell ||
-		p[1].Window != 7000:
+	case len(p) != 2 || p[1].Idempotency != policy.Deduplicated || p[1].DedupScope != policy.DedupWithinCell ||
+		p[1].DedupWindowMillis != 7000:
 		t.Errorf("products: %+v", p)
 	case g.Lines != Lines{IdleLimit: 30000, ConnectTimeout: 250, AnswerSlack: 8, LongestWait: math.Inf(1),
 		ListAsked: true}:
@@ -196,8 +196,8 @@
 			}
 			text := strings.Join(c.swaps, " ")
 			load := strings.Contains(text, "answers")
-			if err == nil && g.Charter.LoadTold != load {
-				t.Errorf("the charter has load %v", g.Charter.LoadTold)
+			if err == nil && g.Charter.WorkersReportLoad != load {
+				t.Errorf("the charter has load %v", g.Charter.WorkersReportLoad)
 			}
 		})
 	}
--- a/internal/gateway/config/golden_forms_test.go
+++ b/internal/gateway/config/golden_forms_test.go
@@ -18,14 +18,14 @@
 // pass without an error. Keys that are only checked and change nothing are not in it: counter,
 // family_info.counter, family_info.use_period_us, weight_source.
 func goldenTerms() Terms {
-	return Terms{Charter: policy.Charter{Me: 1, Gatekeepers: 2, Products: []policy.Product{{SLA: 1, Value: 3,
-		LateShare: 4, Repeat: 1, Group: 1, Window: 5}, {SLA: 6, Value: 8, LateShare: 9, Repeat: 2, Group: 0,
-		Window: 10}}, Plans: []policy.Plan{{Rate: 11, Burst: 12, CeilingRate: 13, CeilingDepth: 14, Withheld: 0,
-		Open: 15, Factor: 16, ExcessShare: 17, ExcessFee: 18, Credit: 19, Repay: 60000}, {Rate: 21, Burst: 22,
-		CeilingRate: 23, CeilingDepth: 24, Withheld: 0, Open: 25, Factor: 26, ExcessShare: 27, ExcessFee: 28,
-		Credit: 29, Repay: 70000}}, LargestUnits: 35, MaxSubmissions: 31, MayOverlap: true, MayWithdraw: true,
-		MayAdvise: true, MaxAdvice: 32, MayTell: true, LoadTold: true, PeerInPerS: 36, ReportsPerTell: 31,
-		ColdFrom: 0.375, WarmUp: 39, Tips: 40, TipAfter: 41, Whole: 42, WorstPlan: 87, Narrow: false},
+	return Terms{Charter: policy.Settings{GatewayIndex: 1, GatewayCount: 2, Products: []policy.Product{{LatencyTargetMillis: 1, Value: 3,
+		LateValueFraction: 4, Idempotency: 1, DedupScope: 1, DedupWindowMillis: 5}, {LatencyTargetMillis: 6, Value: 8, LateValueFraction: 9, Idempotency: 2, DedupScope: 0,
+		DedupWindowMillis: 10}}, Plans: []policy.Plan{{QuotaPerSecond: 11, QuotaBurst: 12, RateLimitPerSecond: 13, RateLimitBurst: 14, WithheldFraction: 0,
+		MaxInFlight: 15, ValueFactor: 16, ExcessValueFraction: 17, ExcessCostFraction: 18, CreditSeconds: 19, RepayWithinMillis: 60000}, {QuotaPerSecond: 21, QuotaBurst: 22,
+		RateLimitPerSecond: 23, RateLimitBurst: 24, WithheldFraction: 0, MaxInFlight: 25, ValueFactor: 26, ExcessValueFraction: 27, ExcessCostFraction: 28,
+		CreditSeconds: 29, RepayWithinMillis: 70000}}, MaxRequestUnits: 35, MaxAttempts: 31, AllowHedging: true, AllowCancel: true,
+		AllowRetryAfter: true, MaxRetryAfterMillis: 32, AllowGossip: true, WorkersReportLoad: true, PeerMessagesPerSecond: 36, ReportsPerMessage: 31,
+		ColdCapacityFraction: 0.375, WarmUpMillis: 39, OverloadFactor: 40, OverloadMillis: 41, TotalWeight: 42, WorstPlanWeight: 87, QuotaWithoutGossip: false},
 		Names: Names{Products: map[string]int{"check": 0, "sale": 1}, Plans: map[string]int{"basic": 0,
 			"tiny": 1}}, Lines: Lines{IdleLimit: 33, ConnectTimeout: 34, AnswerSlack: 38, LongestWait: 7,
 			ListAsked: true}}
--- a/internal/gateway/config/settings.go
+++ b/internal/gateway/config/settings.go
@@ -49,7 +49,7 @@
 
 // Terms are what the settings hold, in the form that a gatekeeper uses.
 type Terms struct {
-	Charter policy.Charter
+	Charter policy.Settings
 	Names   Names
 	Lines   Lines
 }
@@ -148,44 +148,44 @@
 		ConnectTimeout: orDefault(s.Allowed.ConnectTimeout/usPerMs, defaultConnect),
 		AnswerSlack:    s.Safety.AnswerSlack / usPerMs,
 		ListAsked:      s.RegistryMode == onRequest}
-	t.Charter = policy.Charter{
-		Me: s.Me, Gatekeepers: s.Balancers,
-		LargestUnits:   s.FamilyInfo.Largest,
-		MaxSubmissions: s.Allowed.MaxAttempts,
-		MayOverlap:     s.Allowed.MayDuplicate,
-		MayWithdraw:    s.Allowed.Cancel,
-		MayAdvise:      s.Allowed.RetryAfter,
-		MaxAdvice:      s.Allowed.MaxRetryAfter / usPerMs,
-		MayTell:        s.Allowed.Peers,
-		PeerInPerS:     s.FamilyInfo.PeerInPerS,
-		ReportsPerTell: gossip.MaxReports,
-		ColdFrom:       s.Safety.ColdFrom,
-		WarmUp:         s.Safety.WarmUp / usPerMs,
-		Tips:           s.Safety.Tips,
-		TipAfter:       s.Safety.TipAfter / usPerMs,
-		Whole:          s.ScoreParts.Whole,
-		WorstPlan:      s.ScoreParts.WorstTenant + s.ScoreParts.WorstClass,
-		LoadTold:       s.Report.How == inAnswers,
+	t.Charter = policy.Settings{
+		GatewayIndex: s.Me, GatewayCount: s.Balancers,
+		MaxRequestUnits:       s.FamilyInfo.Largest,
+		MaxAttempts:           s.Allowed.MaxAttempts,
+		AllowHedging:          s.Allowed.MayDuplicate,
+		AllowCancel:           s.Allowed.Cancel,
+		AllowRetryAfter:       s.Allowed.RetryAfter,
+		MaxRetryAfterMillis:   s.Allowed.MaxRetryAfter / usPerMs,
+		AllowGossip:           s.Allowed.Peers,
+		PeerMessagesPerSecond: s.FamilyInfo.PeerInPerS,
+		ReportsPerMessage:     gossip.MaxReports,
+		ColdCapacityFraction:  s.Safety.ColdFrom,
+		WarmUpMillis:          s.Safety.WarmUp / usPerMs,
+		OverloadFactor:        s.Safety.Tips,
+		OverloadMillis:        s.Safety.TipAfter / usPerMs,
+		TotalWeight:           s.ScoreParts.Whole,
+		WorstPlanWeight:       s.ScoreParts.WorstTenant + s.ScoreParts.WorstClass,
+		WorkersReportLoad:     s.Report.How == inAnswers,
 	}
 	for i, p := range s.Classes {
 		t.Lines.LongestWait = max(t.Lines.LongestWait, orDefault(p.HardLimit/usPerMs, math.Inf(1)))
 		t.Names.Products[p.Name] = i
 		group := groups[p.Group]
 		if p.Group == "" { // of those that may share its marks the fewest, and no promise that all do
-			group = policy.GroupCell
+			group = policy.DedupWithinCell
 		}
 		t.Charter.Products = append(t.Charter.Products, policy.Product{
-			SLA: orDefault(p.Aim, p.HardLimit) / usPerMs, Value: p.Worth,
-			LateShare: p.LateShare, Repeat: repeats[p.Effect], Group: group, Window: p.Window / usPerMs})
+			LatencyTargetMillis: orDefault(p.Aim, p.HardLimit) / usPerMs, Value: p.Worth,
+			LateValueFraction: p.LateShare, Idempotency: repeats[p.Effect], DedupScope: group, DedupWindowMillis: p.Window / usPerMs})
 	}
 	for i, p := range s.Tariffs {
 		t.Names.Plans[p.Name] = i
 		if p.HardRate == 0 { // there is no ceiling, whatever is said of its depth
 			p.CapDepth = 0
 		}
-		t.Charter.Plans = append(t.Charter.Plans, policy.Plan{Rate: p.Rate, Burst: p.MostAtOnce,
-			CeilingRate: p.HardRate, CeilingDepth: p.CapDepth, Open: p.Open, Factor: p.WorthFactor,
-			ExcessShare: p.ExcessWorth, ExcessFee: p.OverCost, Credit: p.Credit, Repay: p.Repay * msPerS})
+		t.Charter.Plans = append(t.Charter.Plans, policy.Plan{QuotaPerSecond: p.Rate, QuotaBurst: p.MostAtOnce,
+			RateLimitPerSecond: p.HardRate, RateLimitBurst: p.CapDepth, MaxInFlight: p.Open, ValueFactor: p.WorthFactor,
+			ExcessValueFraction: p.ExcessWorth, ExcessCostFraction: p.OverCost, CreditSeconds: p.Credit, RepayWithinMillis: p.Repay * msPerS})
 	}
 	return t
 }
@@ -228,11 +228,11 @@
 
 var registryModes = map[string]bool{"": true, "pushed": true, onRequest: true}
 
-var repeats = map[string]policy.Repeat{"read_like": policy.InquiryLike, "idempotency_key": policy.Referenced,
-	"non_idempotent": policy.OnceOnly}
+var repeats = map[string]policy.Idempotency{"read_like": policy.Idempotent, "idempotency_key": policy.Deduplicated,
+	"non_idempotent": policy.NonIdempotent}
 
-var groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
-	"cell": policy.GroupCell}
+var groups = map[string]policy.DedupScope{"": policy.DedupAcrossFleet, "all": policy.DedupAcrossFleet, "zone": policy.DedupWithinZone,
+	"cell": policy.DedupWithinCell}
 
 // check finds the first key whose value makes no sense.
 func (s *told) check() error {
--- a/internal/gateway/hotrestart/handoff_test.go
+++ b/internal/gateway/hotrestart/handoff_test.go
@@ -68,7 +68,7 @@
 	p := connect(t)
 	state := HandoffState{WorkerNames: map[int]string{3: "w3"}}
 	for i := range 5000 { // many packets
-		customer := policy.Customer{Key: uint64(i), Level: float64(i) / 3}
+		customer := policy.CustomerState{ID: uint64(i), ShareTokens: float64(i) / 3}
 		state.Policy.Customers = append(state.Policy.Customers, customer)
 	}
 	if err := p.predecessor.SendState(state); err != nil {
@@ -76,7 +76,7 @@
 	}
 	got := <-p.states
 	customers := got.Policy.Customers
-	if len(customers) != 5000 || customers[4999].Level != 4999.0/3 || got.WorkerNames[3] != "w3" {
+	if len(customers) != 5000 || customers[4999].ShareTokens != 4999.0/3 || got.WorkerNames[3] != "w3" {
 		t.Errorf("received %d customers, workers %v", len(customers), got.WorkerNames)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/gateway/hotrestart/protocol.go
+++ b/internal/gateway/hotrestart/protocol.go
@@ -17,7 +17,7 @@
 // HandoffState is what a process leaves to its successor.
 type HandoffState struct {
 	Draining       bool // operators have sent its clients away
-	Policy         policy.Estate
+	Policy         policy.HandoffState
 	WorkerNames    map[int]string // by the workers' indices in Policy
 	KindNames      map[int]string // names of kinds of machines, by their indices in Policy
 	Clearances     []authcache.Clearance
--- a/internal/gateway/hotrestart/storedform.go
+++ b/internal/gateway/hotrestart/storedform.go
@@ -236,154 +236,154 @@
 	}
 }
 
-func encodeEstate(live policy.Estate) storedEstate {
+func encodeEstate(live policy.HandoffState) storedEstate {
 	return storedEstate{
-		Signed:    encodeCharter(live.Signed),
-		At:        live.At,
-		Started:   live.Started,
-		Base:      live.Base,
+		Signed:    encodeCharter(live.Settings),
+		At:        live.AtMillis,
+		Started:   live.StartedAtMillis,
+		Base:      live.RateLimitBaseMillis,
 		Customers: convertAll(live.Customers, encodeCustomer),
 		Workers:   convertAll(live.Workers, encodeWorker),
 		Kinds:     convertAll(live.Kinds, encodeKind),
 		Peers:     convertAll(live.Peers, encodePeer),
 		Window:    live.Window,
-		Press:     live.Press,
-		CutAt:     live.CutAt,
-		Pace:      live.Pace,
-		Load:      live.Load,
-		WarmDone:  live.WarmDone,
-		WarmEach:  live.WarmEach,
-		WarmAt:    live.WarmAt,
-		Long:      live.Long,
-		LongAt:    live.LongAt,
-		Astray:    live.Astray,
-		AstrayAt:  live.AstrayAt,
-		Tight:     live.Tight,
-		Stay:      live.Stay,
-		NextTell:  live.NextTell,
+		Press:     live.Pressure,
+		CutAt:     live.WindowCutAtMillis,
+		Pace:      live.ResponseMillis,
+		Load:      live.MeanWorkerLoad,
+		WarmDone:  live.WarmWorkUnits,
+		WarmEach:  live.WarmWorkUnitsPerWorker,
+		WarmAt:    live.WarmWorkAtMillis,
+		Long:      live.SlowRequests,
+		LongAt:    live.SlowRequestsAtMillis,
+		Astray:    live.LostRequests,
+		AstrayAt:  live.LostRequestsAtMillis,
+		Tight:     live.ShortDeadlineSuccess,
+		Stay:      live.AttemptMillis,
+		NextTell:  live.NextReportAtMillis,
 	}
 }
 
-func encodeCharter(live policy.Charter) storedCharter {
+func encodeCharter(live policy.Settings) storedCharter {
 	return storedCharter{
-		Me:             live.Me,
-		Gatekeepers:    live.Gatekeepers,
+		Me:             live.GatewayIndex,
+		Gatekeepers:    live.GatewayCount,
 		Products:       convertAll(live.Products, encodeProduct),
 		Plans:          convertAll(live.Plans, encodePlan),
-		LargestUnits:   live.LargestUnits,
-		MaxSubmissions: live.MaxSubmissions,
-		MayOverlap:     live.MayOverlap,
-		MayWithdraw:    live.MayWithdraw,
-		MayAdvise:      live.MayAdvise,
-		MaxAdvice:      live.MaxAdvice,
-		MayTell:        live.MayTell,
-		LoadTold:       live.LoadTold,
-		PeerInPerS:     live.PeerInPerS,
-		ReportsPerTell: live.ReportsPerTell,
-		ColdFrom:       live.ColdFrom,
-		WarmUp:         live.WarmUp,
-		Tips:           live.Tips,
-		TipAfter:       live.TipAfter,
-		Whole:          live.Whole,
-		WorstPlan:      live.WorstPlan,
-		Narrow:         live.Narrow,
+		LargestUnits:   live.MaxRequestUnits,
+		MaxSubmissions: live.MaxAttempts,
+		MayOverlap:     live.AllowHedging,
+		MayWithdraw:    live.AllowCancel,
+		MayAdvise:      live.AllowRetryAfter,
+		MaxAdvice:      live.MaxRetryAfterMillis,
+		MayTell:        live.AllowGossip,
+		LoadTold:       live.WorkersReportLoad,
+		PeerInPerS:     live.PeerMessagesPerSecond,
+		ReportsPerTell: live.ReportsPerMessage,
+		ColdFrom:       live.ColdCapacityFraction,
+		WarmUp:         live.WarmUpMillis,
+		Tips:           live.OverloadFactor,
+		TipAfter:       live.OverloadMillis,
+		Whole:          live.TotalWeight,
+		WorstPlan:      live.WorstPlanWeight,
+		Narrow:         live.QuotaWithoutGossip,
 	}
 }
 
 func encodeProduct(live policy.Product) storedProduct {
 	return storedProduct{
-		SLA:       live.SLA,
+		SLA:       live.LatencyTargetMillis,
 		Value:     live.Value,
-		LateShare: live.LateShare,
-		Repeat:    uint8(live.Repeat),
-		Group:     uint8(live.Group),
-		Window:    live.Window,
+		LateShare: live.LateValueFraction,
+		Repeat:    uint8(live.Idempotency),
+		Group:     uint8(live.DedupScope),
+		Window:    live.DedupWindowMillis,
 	}
 }
 
 func encodePlan(live policy.Plan) storedPlan {
 	return storedPlan{
-		Rate:         live.Rate,
-		Burst:        live.Burst,
-		CeilingRate:  live.CeilingRate,
-		CeilingDepth: live.CeilingDepth,
-		Withheld:     live.Withheld,
-		Open:         live.Open,
-		Factor:       live.Factor,
-		ExcessShare:  live.ExcessShare,
-		ExcessFee:    live.ExcessFee,
-		Credit:       live.Credit,
-		Repay:        live.Repay,
+		Rate:         live.QuotaPerSecond,
+		Burst:        live.QuotaBurst,
+		CeilingRate:  live.RateLimitPerSecond,
+		CeilingDepth: live.RateLimitBurst,
+		Withheld:     live.WithheldFraction,
+		Open:         live.MaxInFlight,
+		Factor:       live.ValueFactor,
+		ExcessShare:  live.ExcessValueFraction,
+		ExcessFee:    live.ExcessCostFraction,
+		Credit:       live.CreditSeconds,
+		Repay:        live.RepayWithinMillis,
 	}
 }
 
-func encodeCustomer(live policy.Customer) storedCustomer {
+func encodeCustomer(live policy.CustomerState) storedCustomer {
 	return storedCustomer{
-		Key:       live.Key,
+		Key:       live.ID,
 		Plan:      live.Plan,
-		N:         live.N,
-		First:     live.First,
-		Txns:      live.Txns,
-		Out:       live.Out,
-		Holding:   live.Holding,
-		Level:     live.Level,
-		Whole:     live.Whole,
-		Filled:    live.Filled,
-		Others:    live.Others,
-		Flow:      live.Flow,
-		Held:      live.Held,
-		Heard:     live.Heard,
-		Demand:    live.Demand,
-		Lately:    live.Lately,
-		Seen:      live.Seen,
-		CoolSince: live.CoolSince,
-		CeilingAt: live.CeilingAt,
-		Unsaid:    live.Unsaid,
-		Said:      live.Said,
-		SaidAt:    live.SaidAt,
-		Known:     live.Known,
+		N:         live.SetSize,
+		First:     live.FirstGateway,
+		Txns:      live.Requests,
+		Out:       live.InFlight,
+		Holding:   live.SilentPeers,
+		Level:     live.ShareTokens,
+		Whole:     live.QuotaTokens,
+		Filled:    live.FilledAtMillis,
+		Others:    live.PeerDemand,
+		Flow:      live.PeerSpentUnits,
+		Held:      live.SilentPeerDemand,
+		Heard:     live.PeerDemandAtMillis,
+		Demand:    live.OwnDemand,
+		Lately:    live.RecentDemand,
+		Seen:      live.LastRequestAtMillis,
+		CoolSince: live.CoolSinceMillis,
+		CeilingAt: live.RateLimitFullAtMillis,
+		Unsaid:    live.UnreportedUnits,
+		Said:      live.ReportedDemand,
+		SaidAt:    live.ReportedAtMillis,
+		Known:     live.PreviousReportedDemand,
 		Hot:       live.Hot,
-		Lag:       live.Lag,
-		Dealt:     live.Dealt,
+		Lag:       live.UncollectedRepayment,
+		Dealt:     live.CreditAtMillis,
 	}
 }
 
-func encodeWorker(live policy.Standing) storedWorker {
+func encodeWorker(live policy.WorkerState) storedWorker {
 	return storedWorker{
 		Worker:     live.Worker,
-		Since:      live.Since,
-		Pace:       live.Pace,
-		Paced:      live.Paced,
-		Load:       live.Load,
-		Told:       live.Told,
-		Heard:      live.Heard,
-		Distrust:   live.Distrust,
-		DistrustAt: live.DistrustAt,
-		Turned:     live.Turned,
-		TurnedAt:   live.TurnedAt,
-		Full:       live.Full,
-		ColdAt:     live.ColdAt,
-		ColdDebt:   live.ColdDebt,
+		Since:      live.StartedAtMillis,
+		Pace:       live.ResponseMillis,
+		Paced:      live.ResponseAtMillis,
+		Load:       live.ReportedLoad,
+		Told:       live.ReportedLoadAtMillis,
+		Heard:      live.HeardAtMillis,
+		Distrust:   live.Suspicion,
+		DistrustAt: live.SuspicionAtMillis,
+		Turned:     live.Rejections,
+		TurnedAt:   live.RejectionsAtMillis,
+		Full:       live.Overloaded,
+		ColdAt:     live.SlowStartAtMillis,
+		ColdDebt:   live.SlowStartDebtUnits,
 	}
 }
 
-func encodeKind(live policy.Pace) storedKind {
+func encodeKind(live policy.MachineKindState) storedKind {
 	return storedKind{
-		Kind:    live.Kind,
-		Pace:    live.Pace,
-		Answers: live.Answers,
+		Kind:    live.MachineKind,
+		Pace:    live.ResponseMillis,
+		Answers: live.Responses,
 	}
 }
 
-func encodePeer(live policy.Hearing) storedPeer {
+func encodePeer(live policy.PeerState) storedPeer {
 	return storedPeer{
-		Heard:  live.Heard,
-		Told:   live.Told,
-		Owes:   live.Owes,
-		Spoke:  live.Spoke,
+		Heard:  live.HeardAtMillis,
+		Told:   live.ReportedAtMillis,
+		Owes:   live.ReportDueSinceMillis,
+		Spoke:  live.ReportsHeardAtMillis,
 		Silent: live.Silent,
-		Gone:   live.Gone,
-		Last:   convertAll(live.Last, encodeReport),
+		Gone:   live.Lost,
+		Last:   convertAll(live.LastReports, encodeReport),
 	}
 }
 
@@ -391,9 +391,9 @@
 	return storedReport{
 		Customer: live.Customer,
 		Plan:     live.Plan,
-		Demand:   live.Demand,
-		Known:    live.Known,
-		Spent:    live.Spent,
+		Demand:   live.DemandPerSecond,
+		Known:    live.PreviousDemandPerSecond,
+		Spent:    live.SpentUnits,
 	}
 }
 
@@ -435,164 +435,164 @@
 	}
 }
 
-func decodeEstate(stored storedEstate) policy.Estate {
-	return policy.Estate{
-		Signed:    decodeCharter(stored.Signed),
-		At:        stored.At,
-		Started:   stored.Started,
-		Base:      stored.Base,
-		Customers: convertAll(stored.Customers, decodeCustomer),
-		Workers:   convertAll(stored.Workers, decodeWorker),
-		Kinds:     convertAll(stored.Kinds, decodeKind),
-		Peers:     convertAll(stored.Peers, decodePeer),
-		Window:    stored.Window,
-		Press:     stored.Press,
-		CutAt:     stored.CutAt,
-		Pace:      stored.Pace,
-		Load:      stored.Load,
-		WarmDone:  stored.WarmDone,
-		WarmEach:  stored.WarmEach,
-		WarmAt:    stored.WarmAt,
-		Long:      stored.Long,
-		LongAt:    stored.LongAt,
-		Astray:    stored.Astray,
-		AstrayAt:  stored.AstrayAt,
-		Tight:     stored.Tight,
-		Stay:      stored.Stay,
-		NextTell:  stored.NextTell,
+func decodeEstate(stored storedEstate) policy.HandoffState {
+	return policy.HandoffState{
+		Settings:               decodeCharter(stored.Signed),
+		AtMillis:               stored.At,
+		StartedAtMillis:        stored.Started,
+		RateLimitBaseMillis:    stored.Base,
+		Customers:              convertAll(stored.Customers, decodeCustomer),
+		Workers:                convertAll(stored.Workers, decodeWorker),
+		Kinds:                  convertAll(stored.Kinds, decodeKind),
+		Peers:                  convertAll(stored.Peers, decodePeer),
+		Window:                 stored.Window,
+		Pressure:               stored.Press,
+		WindowCutAtMillis:      stored.CutAt,
+		ResponseMillis:         stored.Pace,
+		MeanWorkerLoad:         stored.Load,
+		WarmWorkUnits:          stored.WarmDone,
+		WarmWorkUnitsPerWorker: stored.WarmEach,
+		WarmWorkAtMillis:       stored.WarmAt,
+		SlowRequests:           stored.Long,
+		SlowRequestsAtMillis:   stored.LongAt,
+		LostRequests:           stored.Astray,
+		LostRequestsAtMillis:   stored.AstrayAt,
+		ShortDeadlineSuccess:   stored.Tight,
+		AttemptMillis:          stored.Stay,
+		NextReportAtMillis:     stored.NextTell,
 	}
 }
 
-func decodeCharter(stored storedCharter) policy.Charter {
-	return policy.Charter{
-		Me:             stored.Me,
-		Gatekeepers:    stored.Gatekeepers,
-		Products:       convertAll(stored.Products, decodeProduct),
-		Plans:          convertAll(stored.Plans, decodePlan),
-		LargestUnits:   stored.LargestUnits,
-		MaxSubmissions: stored.MaxSubmissions,
-		MayOverlap:     stored.MayOverlap,
-		MayWithdraw:    stored.MayWithdraw,
-		MayAdvise:      stored.MayAdvise,
-		MaxAdvice:      stored.MaxAdvice,
-		MayTell:        stored.MayTell,
-		LoadTold:       stored.LoadTold,
-		PeerInPerS:     stored.PeerInPerS,
-		ReportsPerTell: stored.ReportsPerTell,
-		ColdFrom:       stored.ColdFrom,
-		WarmUp:         stored.WarmUp,
-		Tips:           stored.Tips,
-		TipAfter:       stored.TipAfter,
-		Whole:          stored.Whole,
-		WorstPlan:      stored.WorstPlan,
-		Narrow:         stored.Narrow,
+func decodeCharter(stored storedCharter) policy.Settings {
+	return policy.Settings{
+		GatewayIndex:          stored.Me,
+		GatewayCount:          stored.Gatekeepers,
+		Products:              convertAll(stored.Products, decodeProduct),
+		Plans:                 convertAll(stored.Plans, decodePlan),
+		MaxRequestUnits:       stored.LargestUnits,
+		MaxAttempts:           stored.MaxSubmissions,
+		AllowHedging:          stored.MayOverlap,
+		AllowCancel:           stored.MayWithdraw,
+		AllowRetryAfter:       stored.MayAdvise,
+		MaxRetryAfterMillis:   stored.MaxAdvice,
+		AllowGossip:           stored.MayTell,
+		WorkersReportLoad:     stored.LoadTold,
+		PeerMessagesPerSecond: stored.PeerInPerS,
+		ReportsPerMessage:     stored.ReportsPerTell,
+		ColdCapacityFraction:  stored.ColdFrom,
+		WarmUpMillis:          stored.WarmUp,
+		OverloadFactor:        stored.Tips,
+		OverloadMillis:        stored.TipAfter,
+		TotalWeight:           stored.Whole,
+		WorstPlanWeight:       stored.WorstPlan,
+		QuotaWithoutGossip:    stored.Narrow,
 	}
 }
 
 func decodeProduct(stored storedProduct) policy.Product {
 	return policy.Product{
-		SLA:       stored.SLA,
-		Value:     stored.Value,
-		LateShare: stored.LateShare,
-		Repeat:    policy.Repeat(stored.Repeat),
-		Group:     policy.Group(stored.Group),
-		Window:    stored.Window,
+		LatencyTargetMillis: stored.SLA,
+		Value:               stored.Value,
+		LateValueFraction:   stored.LateShare,
+		Idempotency:         policy.Idempotency(stored.Repeat),
+		DedupScope:          policy.DedupScope(stored.Group),
+		DedupWindowMillis:   stored.Window,
 	}
 }
 
 func decodePlan(stored storedPlan) policy.Plan {
 	return policy.Plan{
-		Rate:         stored.Rate,
-		Burst:        stored.Burst,
-		CeilingRate:  stored.CeilingRate,
-		CeilingDepth: stored.CeilingDepth,
-		Withheld:     stored.Withheld,
-		Open:         stored.Open,
-		Factor:       stored.Factor,
-		ExcessShare:  stored.ExcessShare,
-		ExcessFee:    stored.ExcessFee,
-		Credit:       stored.Credit,
-		Repay:        stored.Repay,
+		QuotaPerSecond:      stored.Rate,
+		QuotaBurst:          stored.Burst,
+		RateLimitPerSecond:  stored.CeilingRate,
+		RateLimitBurst:      stored.CeilingDepth,
+		WithheldFraction:    stored.Withheld,
+		MaxInFlight:         stored.Open,
+		ValueFactor:         stored.Factor,
+		ExcessValueFraction: stored.ExcessShare,
+		ExcessCostFraction:  stored.ExcessFee,
+		CreditSeconds:       stored.Credit,
+		RepayWithinMillis:   stored.Repay,
 	}
 }
 
-func decodeCustomer(stored storedCustomer) policy.Customer {
-	return policy.Customer{
-		Key:       stored.Key,
-		Plan:      stored.Plan,
-		N:         stored.N,
-		First:     stored.First,
-		Txns:      stored.Txns,
-		Out:       stored.Out,
-		Holding:   stored.Holding,
-		Level:     stored.Level,
-		Whole:     stored.Whole,
-		Filled:    stored.Filled,
-		Others:    stored.Others,
-		Flow:      stored.Flow,
-		Held:      stored.Held,
-		Heard:     stored.Heard,
-		Demand:    stored.Demand,
-		Lately:    stored.Lately,
-		Seen:      stored.Seen,
-		CoolSince: stored.CoolSince,
-		CeilingAt: stored.CeilingAt,
-		Unsaid:    stored.Unsaid,
-		Said:      stored.Said,
-		SaidAt:    stored.SaidAt,
-		Known:     stored.Known,
-		Hot:       stored.Hot,
-		Lag:       stored.Lag,
-		Dealt:     stored.Dealt,
+func decodeCustomer(stored storedCustomer) policy.CustomerState {
+	return policy.CustomerState{
+		ID:                     stored.Key,
+		Plan:                   stored.Plan,
+		SetSize:                stored.N,
+		FirstGateway:           stored.First,
+		Requests:               stored.Txns,
+		InFlight:               stored.Out,
+		SilentPeers:            stored.Holding,
+		ShareTokens:            stored.Level,
+		QuotaTokens:            stored.Whole,
+		FilledAtMillis:         stored.Filled,
+		PeerDemand:             stored.Others,
+		PeerSpentUnits:         stored.Flow,
+		SilentPeerDemand:       stored.Held,
+		PeerDemandAtMillis:     stored.Heard,
+		OwnDemand:              stored.Demand,
+		RecentDemand:           stored.Lately,
+		LastRequestAtMillis:    stored.Seen,
+		CoolSinceMillis:        stored.CoolSince,
+		RateLimitFullAtMillis:  stored.CeilingAt,
+		UnreportedUnits:        stored.Unsaid,
+		ReportedDemand:         stored.Said,
+		ReportedAtMillis:       stored.SaidAt,
+		PreviousReportedDemand: stored.Known,
+		Hot:                    stored.Hot,
+		UncollectedRepayment:   stored.Lag,
+		CreditAtMillis:         stored.Dealt,
 	}
 }
 
-func decodeWorker(stored storedWorker) policy.Standing {
-	return policy.Standing{
-		Worker:     stored.Worker,
-		Since:      stored.Since,
-		Pace:       stored.Pace,
-		Paced:      stored.Paced,
-		Load:       stored.Load,
-		Told:       stored.Told,
-		Heard:      stored.Heard,
-		Distrust:   stored.Distrust,
-		DistrustAt: stored.DistrustAt,
-		Turned:     stored.Turned,
-		TurnedAt:   stored.TurnedAt,
-		Full:       stored.Full,
-		ColdAt:     stored.ColdAt,
-		ColdDebt:   stored.ColdDebt,
+func decodeWorker(stored storedWorker) policy.WorkerState {
+	return policy.WorkerState{
+		Worker:               stored.Worker,
+		StartedAtMillis:      stored.Since,
+		ResponseMillis:       stored.Pace,
+		ResponseAtMillis:     stored.Paced,
+		ReportedLoad:         stored.Load,
+		ReportedLoadAtMillis: stored.Told,
+		HeardAtMillis:        stored.Heard,
+		Suspicion:            stored.Distrust,
+		SuspicionAtMillis:    stored.DistrustAt,
+		Rejections:           stored.Turned,
+		RejectionsAtMillis:   stored.TurnedAt,
+		Overloaded:           stored.Full,
+		SlowStartAtMillis:    stored.ColdAt,
+		SlowStartDebtUnits:   stored.ColdDebt,
 	}
 }
 
-func decodeKind(stored storedKind) policy.Pace {
-	return policy.Pace{
-		Kind:    stored.Kind,
-		Pace:    stored.Pace,
-		Answers: stored.Answers,
+func decodeKind(stored storedKind) policy.MachineKindState {
+	return policy.MachineKindState{
+		MachineKind:    stored.Kind,
+		ResponseMillis: stored.Pace,
+		Responses:      stored.Answers,
 	}
 }
 
-func decodePeer(stored storedPeer) policy.Hearing {
-	return policy.Hearing{
-		Heard:  stored.Heard,
-		Told:   stored.Told,
-		Owes:   stored.Owes,
-		Spoke:  stored.Spoke,
-		Silent: stored.Silent,
-		Gone:   stored.Gone,
-		Last:   convertAll(stored.Last, decodeReport),
+func decodePeer(stored storedPeer) policy.PeerState {
+	return policy.PeerState{
+		HeardAtMillis:        stored.Heard,
+		ReportedAtMillis:     stored.Told,
+		ReportDueSinceMillis: stored.Owes,
+		ReportsHeardAtMillis: stored.Spoke,
+		Silent:               stored.Silent,
+		Lost:                 stored.Gone,
+		LastReports:          convertAll(stored.Last, decodeReport),
 	}
 }
 
 func decodeReport(stored storedReport) policy.Report {
 	return policy.Report{
-		Customer: stored.Customer,
-		Plan:     stored.Plan,
-		Demand:   stored.Demand,
-		Known:    stored.Known,
-		Spent:    stored.Spent,
+		Customer:                stored.Customer,
+		Plan:                    stored.Plan,
+		DemandPerSecond:         stored.Demand,
+		PreviousDemandPerSecond: stored.Known,
+		SpentUnits:              stored.Spent,
 	}
 }
 
--- a/internal/gateway/lifecycle/agree.go
+++ b/internal/gateway/lifecycle/agree.go
@@ -50,7 +50,7 @@
 	holder *ruleset.LeaseHolder
 	heard  ruleset.Version        // the newest that was told
 	taken  ruleset.EffectiveRules // last adopted
-	wide   policy.Charter         // what is gone by with nothing withheld
+	wide   policy.Settings        // what is gone by with nothing withheld
 	of     []float64              // by plan of the charter, the part of a place's that this has
 	copied *distribution.Replica
 	unfit  string          // why what copied has can't be gone by
@@ -117,14 +117,14 @@
 }
 
 // born are the rules that a charter makes, with this gatekeeper alone named in its place.
-func born(c *policy.Charter, name string, plans map[string]int) ruleset.Rules {
-	r := ruleset.Rules{Format: ruleset.SupportedFormat, Members: make([]ruleset.Member, max(c.Gatekeepers, 1)),
+func born(c *policy.Settings, name string, plans map[string]int) ruleset.Rules {
+	r := ruleset.Rules{Format: ruleset.SupportedFormat, Members: make([]ruleset.Member, max(c.GatewayCount, 1)),
 		Plans: make([]ruleset.Plan, len(c.Plans))}
-	r.Members[c.Me].Name = name
+	r.Members[c.GatewayIndex].Name = name
 	for name, i := range plans {
 		p := &c.Plans[i]
-		r.Plans[i] = ruleset.Plan{Name: name, Rate: p.Rate, Burst: p.Burst, CeilingRate: p.CeilingRate,
-			CeilingDepth: p.CeilingDepth, CreditSeconds: p.Credit, RepayMillis: p.Repay}
+		r.Plans[i] = ruleset.Plan{Name: name, Rate: p.QuotaPerSecond, Burst: p.QuotaBurst, CeilingRate: p.RateLimitPerSecond,
+			CeilingDepth: p.RateLimitBurst, CreditSeconds: p.CreditSeconds, RepayMillis: p.RepayWithinMillis}
 	}
 	return r
 }
@@ -353,8 +353,8 @@
 		return err.Error()
 	}
 	switch me := ruleset.MemberIndex(r, a.g.conf.Name); {
-	case me >= 0 && me != c.Me:
-		return fmt.Sprintf("%s was started in place %d, and has place %d in the rules", a.g.conf.Name, c.Me, me)
+	case me >= 0 && me != c.GatewayIndex:
+		return fmt.Sprintf("%s was started in place %d, and has place %d in the rules", a.g.conf.Name, c.GatewayIndex, me)
 	case me < 0 && a.taken.Version == 0:
 		return a.g.conf.Name + " is not among the members"
 	}
@@ -393,7 +393,7 @@
 	if t.Version == a.heard.Number && t.Version > 0 {
 		peers = a.addresses()
 	}
-	a.g.seat(max(c.Gatekeepers, 1), peers, func() {
+	a.g.seat(max(c.GatewayCount, 1), peers, func() {
 		// Guards against what a former life spent, or others did whose share this one has now, by rules that are
 		// not those that its record is of.
 		if a.taken.Version == 0 && t.Version > 0 && a.g.desk.RestoredRulesetVersion() != t.Version {
@@ -418,7 +418,7 @@
 	if a.g.word != nil {
 		a.g.word.rules(t.Version, a.wide.Plans)
 	}
-	a.g.log.Info().Uint64("version", t.Version).Stringer("mode", t.Mode).Int("gatekeepers", c.Gatekeepers).
+	a.g.log.Info().Uint64("version", t.Version).Stringer("mode", t.Mode).Int("gatekeepers", c.GatewayCount).
 		Msg("going by rules")
 }
 
@@ -426,10 +426,10 @@
 // leased: what it has less of while it is cut off is withheld, and comes back with the lease. What it comes
 // to have more of is told as a ceiling that grows, or is new, and counts as spent: others may just have
 // spent it.
-func (a *agreement) charter(t ruleset.EffectiveRules) policy.Charter {
+func (a *agreement) charter(t ruleset.EffectiveRules) policy.Settings {
 	c := &a.wide
-	if t.MemberIndex == c.Me {
-		c.Gatekeepers = t.MemberCount
+	if t.MemberIndex == c.GatewayIndex {
+		c.GatewayCount = t.MemberCount
 	}
 	withheld := make([]float64, len(c.Plans))
 	for _, p := range t.Plans {
@@ -438,7 +438,7 @@
 			continue
 		}
 		q := &c.Plans[i]
-		q.Rate, q.Burst = p.Rate, p.Burst
+		q.QuotaPerSecond, q.QuotaBurst = p.Rate, p.Burst
 		if t.Version == 0 { // as it was born
 			withheld[i] = 1
 			continue
@@ -446,27 +446,27 @@
 		if t.Mode == ruleset.ModeLeased || t.Version != a.taken.Version {
 			a.of[i] = p.CeilingFraction
 		}
-		q.Credit, q.Repay = p.CreditSeconds, p.RepayMillis
-		q.CeilingRate, q.CeilingDepth = p.CeilingRate*a.of[i], p.CeilingDepth*a.of[i]
+		q.CreditSeconds, q.RepayWithinMillis = p.CreditSeconds, p.RepayMillis
+		q.RateLimitPerSecond, q.RateLimitBurst = p.CeilingRate*a.of[i], p.CeilingDepth*a.of[i]
 		if a.of[i] > 0 {
 			withheld[i] = 1 - min(p.CeilingFraction/a.of[i], 1)
 		} else { // one that never fills: nothing passes, and later it counts as spent
-			q.CeilingDepth = p.CeilingDepth
+			q.RateLimitBurst = p.CeilingDepth
 		}
 	}
 	now := *c
-	now.Narrow, now.Plans = t.Mode != ruleset.ModeLeased || t.MemberIndex < 0, slices.Clone(c.Plans)
+	now.QuotaWithoutGossip, now.Plans = t.Mode != ruleset.ModeLeased || t.MemberIndex < 0, slices.Clone(c.Plans)
 	for i := range withheld {
-		now.Plans[i].Withheld = withheld[i]
+		now.Plans[i].WithheldFraction = withheld[i]
 	}
 	return now
 }
 
 // unknown is a charter by which all ceilings count as spent from the moment on at which another follows.
-func unknown(c policy.Charter) policy.Charter {
+func unknown(c policy.Settings) policy.Settings {
 	c.Plans = slices.Clone(c.Plans)
 	for i := range c.Plans {
-		c.Plans[i].CeilingRate = 0
+		c.Plans[i].RateLimitPerSecond = 0
 	}
 	return c
 }
--- a/internal/gateway/lifecycle/agree_test.go
+++ b/internal/gateway/lifecycle/agree_test.go
@@ -97,7 +97,7 @@
 	x.answers(silent)
 	d := deployWith(t, func(c *config.Gatekeeper) {
 		c.Agree, c.Tells = x.at, true
-		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = 1000, 1000
+		c.Charter.Plans[0].RateLimitPerSecond, c.Charter.Plans[0].RateLimitBurst = 1000, 1000
 	}, workers, 5000)
 	t.Cleanup(func() { close(d.gk.over) })
 	return d, x
@@ -314,7 +314,7 @@
 func TestMembersByRules(t *testing.T) {
 	d, x := agreed(t, 1)
 	// Guards against messages that outgrow a datagram once rules are gone by, as their word was forgotten.
-	if n := d.gk.agreed.wide.ReportsPerTell; n != transport.MaxReportsPerMessage {
+	if n := d.gk.agreed.wide.ReportsPerMessage; n != transport.MaxReportsPerMessage {
 		t.Errorf("%d reports to a message, where there is room for %d", n, transport.MaxReportsPerMessage)
 	}
 	r := rules(1000, 1000)
@@ -344,7 +344,7 @@
 	x.leases(1, rules(rate, depth), true)
 	d := deployWith(t, func(c *config.Gatekeeper) {
 		c.Agree, c.Scratch = x.at, t.TempDir()
-		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = rate, depth
+		c.Charter.Plans[0].RateLimitPerSecond, c.Charter.Plans[0].RateLimitBurst = rate, depth
 	}, 1, 5000)
 	d.mode(ruleset.ModeLeased)
 	time.Sleep(3100 * time.Millisecond) // until the ceiling is full
@@ -489,13 +489,13 @@
 	} {
 		g := &Gatekeeper{}
 		g.conf.Names.Plans = map[string]int{"basic": 0}
-		g.conf.Charter = policy.Charter{Gatekeepers: 3, Plans: []policy.Plan{{CeilingRate: 10, CeilingDepth: 20}}}
+		g.conf.Charter = policy.Settings{GatewayCount: 3, Plans: []policy.Plan{{RateLimitPerSecond: 10, RateLimitBurst: 20}}}
 		a := &agreement{g: g, wide: g.conf.Charter, of: make([]float64, 1)}
 		a.wide.Plans = append([]policy.Plan(nil), a.wide.Plans...)
 		for i, s := range steps {
 			c := a.charter(s.EffectiveRules)
 			p := c.Plans[0]
-			if got := (want{p.CeilingRate, p.CeilingDepth, p.Withheld, c.Narrow}); got != s.want {
+			if got := (want{p.RateLimitPerSecond, p.RateLimitBurst, p.WithheldFraction, c.QuotaWithoutGossip}); got != s.want {
 				t.Errorf("%s, step %d: %+v, not %+v", name, i, got, s.want)
 			}
 			a.taken = s.EffectiveRules
--- a/internal/gateway/lifecycle/ask_test.go
+++ b/internal/gateway/lifecycle/ask_test.go
@@ -138,7 +138,7 @@
 	t.Helper()
 	d := deployWith(t, func(c *config.Gatekeeper) {
 		c.Agree, c.Tells = x.at, true
-		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = 1000, 1000
+		c.Charter.Plans[0].RateLimitPerSecond, c.Charter.Plans[0].RateLimitBurst = 1000, 1000
 	}, 1, 5000)
 	t.Cleanup(func() { close(d.gk.over) })
 	return d
--- a/internal/gateway/lifecycle/endings_test.go
+++ b/internal/gateway/lifecycle/endings_test.go
@@ -169,7 +169,7 @@
 
 // Connections that wait in the listener when the order comes, with a txn in them or without, are served.
 func TestStopWithBacklog(t *testing.T) {
-	d := deployWith(t, func(c *config.Gatekeeper) { c.Sockets = policy.SpareFiles + 4 }, 1, 5000)
+	d := deployWith(t, func(c *config.Gatekeeper) { c.Sockets = policy.ReservedDescriptors + 4 }, 1, 5000)
 	var all []net.Conn
 	for i := range 6 { // of which two have places, and one is held back for one
 		c := d.dial()
@@ -226,8 +226,8 @@
 func TestStopGivesUp(t *testing.T) {
 	// SIGKILL comes no sooner than the longest deadline, which counts as 3 s where it is longer, and 0.7 s more.
 	// The bounds leave the time for an answer; a machine that is busy with more may take longer here.
-	if policy.StopLongest > 3000 || policy.StopAll > 600 {
-		t.Errorf("it gives up after %g and %g ms", policy.StopLongest, policy.StopAll)
+	if policy.StopMaxWaitMillis > 3000 || policy.StopGraceMillis > 600 {
+		t.Errorf("it gives up after %g and %g ms", policy.StopMaxWaitMillis, policy.StopGraceMillis)
 	}
 	for _, c := range []struct {
 		name        string
@@ -373,7 +373,7 @@
 				t.Errorf("answered after %v", took)
 			}
 			tally := d.gk.desk.Tally()
-			if tally.Final[policy.ByClient] != 1 || tally.InFlight != 0 || len(d.got()) != 1 {
+			if tally.FinalByReason[policy.ReasonClientGone] != 1 || tally.InFlight != 0 || len(d.got()) != 1 {
 				t.Errorf("%+v, %d submissions", tally, len(d.got()))
 			}
 		})
@@ -394,7 +394,7 @@
 	until(t, "it is not sent", func() bool { return len(d.got()) == 1 })
 	fmt.Fprint(c, waits("2")+waits("3")+waits("4"))
 	c.Close()
-	until(t, "it is not seen", func() bool { return d.gk.desk.Tally().Final[policy.ByClient] > 0 })
+	until(t, "it is not seen", func() bool { return d.gk.desk.Tally().FinalByReason[policy.ReasonClientGone] > 0 })
 	n := len(d.got())
 	time.Sleep(200 * time.Millisecond)
 	if tally := d.gk.desk.Tally(); len(d.got()) != n || n > 1 || tally.InFlight != 0 {
--- a/internal/gateway/lifecycle/forward_test.go
+++ b/internal/gateway/lifecycle/forward_test.go
@@ -158,7 +158,7 @@
 		t.Errorf("after %v s: %v", wait, r.Status)
 	}
 	until(t, "clearances stay", func() bool { return d.figure("asked.marks") <= 1 })
-	until(t, "two do not lapse", func() bool { return d.gk.desk.Tally().Final[7] == 2 })
+	until(t, "two do not lapse", func() bool { return d.gk.desk.Tally().FinalByReason[7] == 2 })
 	if r := whole(t, d.at, tiny("t2")); r.StatusCode != 200 { // as any other: its clearance is no more
 		t.Errorf("after its clearance: %v", r.Status)
 	}
@@ -271,7 +271,7 @@
 	if n := len(d.got()); n != 2 {
 		t.Errorf("%d submitted", n)
 	}
-	if t := d.gk.desk.Tally(); t.Final[0] != 2 {
+	if t := d.gk.desk.Tally(); t.FinalByReason[0] != 2 {
 		d.t.Errorf("tally %+v", t)
 	}
 }
--- a/internal/gateway/lifecycle/golden_test.go
+++ b/internal/gateway/lifecycle/golden_test.go
@@ -30,8 +30,8 @@
 		c.Agree, c.Tells, c.Recall = daemon.at, true, true
 		c.Residue = filepath.Join(t.TempDir(), "residue")
 		journaled(t.TempDir())(c)
-		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = 1000, 1000
-		c.Charter.Plans[0].Credit, c.Charter.Plans[0].Repay = 1, 60000
+		c.Charter.Plans[0].RateLimitPerSecond, c.Charter.Plans[0].RateLimitBurst = 1000, 1000
+		c.Charter.Plans[0].CreditSeconds, c.Charter.Plans[0].RepayWithinMillis = 1, 60000
 	}, 1, 5000)
 	t.Cleanup(func() { close(whole.gk.over) })
 	until(t, "the journal is not open", func() bool {
--- a/internal/gateway/lifecycle/lend.go
+++ b/internal/gateway/lifecycle/lend.go
@@ -30,17 +30,17 @@
 	case g.conf.Residue == "":
 		g.log.Warn().Msg("settings.tariffs: credit_s lends nothing, as nothing is kept over a sudden end (residue)")
 		return
-	case c.Gatekeepers > 1 && (g.peers == nil || !g.conf.Tells):
+	case c.GatewayCount > 1 && (g.peers == nil || !g.conf.Tells):
 		g.log.Warn().Msg("settings.tariffs: credit_s lends nothing, as peers do not say which life they speak of")
 		return
 	}
-	f, err := ledger.Open(g.conf.Residue+bookOf, c.Me)
+	f, err := ledger.Open(g.conf.Residue+bookOf, c.GatewayIndex)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("nothing is lent")
 		return
 	}
-	t := borrowing.Terms{Me: c.Me, Gatekeepers: int(g.members.Load()), Plans: plans,
-		PeerInPerS: c.PeerInPerS}
+	t := borrowing.Terms{Me: c.GatewayIndex, Gatekeepers: int(g.members.Load()), Plans: plans,
+		PeerInPerS: c.PeerMessagesPerSecond}
 	b := borrowing.New(t, g.conf.Seed, f.Born)
 	b.Clock(f.Now())
 	for _, k := range f.Records {
--- a/internal/gateway/lifecycle/lifecycle_test.go
+++ b/internal/gateway/lifecycle/lifecycle_test.go
@@ -835,7 +835,7 @@
 	}
 	c.Close()
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if n := d.gk.desk.Tally(); n.InFlight == 0 && n.Final[policy.ByClient] == 1 {
+		if n := d.gk.desk.Tally(); n.InFlight == 0 && n.FinalByReason[policy.ReasonClientGone] == 1 {
 			return
 		}
 	}
--- a/internal/gateway/lifecycle/operate.go
+++ b/internal/gateway/lifecycle/operate.go
@@ -28,7 +28,7 @@
 	seen := g.desk.CachedTally()
 	f := admin.Figures{Tries: g.links.AttemptsWritten(), Active: g.front.ActiveRequests(),
 		Workers: int64(seen.Workers),
-		Avoided: int64(seen.Distrusted)}
+		Avoided: int64(seen.SuspectedWorkers)}
 	f.Products = make([]admin.Product, len(g.conf.Charter.Products))
 	for name, i := range g.conf.Names.Products {
 		p := &f.Products[i]
@@ -42,8 +42,8 @@
 		add("desk.longest.list_us", holds.FullListMicros.Load())
 		add("desk.longest.change_us", holds.ChangeMicros.Load())
 		add("desk.longest.rules_us", holds.RulesetMicros.Load())
-		add("peers.suspected", int64(seen.Suspected))
-		add("peers.gone", int64(seen.Lost))
+		add("peers.suspected", int64(seen.SilentPeers))
+		add("peers.gone", int64(seen.LostPeers))
 	}
 	if k := g.journal.Load(); k != nil {
 		k.Figures(add)
--- a/internal/gateway/lifecycle/operate_test.go
+++ b/internal/gateway/lifecycle/operate_test.go
@@ -45,7 +45,7 @@
 			t.Errorf("no answer to %d", i)
 		}
 	}
-	time.Sleep(2 * time.Millisecond * policy.FiguresEach)
+	time.Sleep(2 * time.Millisecond * policy.StatsRefreshMillis)
 	got := d.operate("GET /admin/stats")
 	for _, want := range []string{"svc.ok.check=2\n", "svc.shed.check=1\n", "svc.errors.check=0\n",
 		"svc.ok.sale=1\n", "svc.errors.issue=1\n", fmt.Sprintf("svc.tries=%d\n", len(d.got())),
@@ -110,7 +110,7 @@
 	if !up() || !strings.Contains(d.operate("GET /admin/health"), " 200 ") {
 		t.Error("not up after resume")
 	}
-	time.Sleep(time.Duration(policy.DrainAsked+200) * time.Millisecond)
+	time.Sleep(time.Duration(policy.DrainAcceptMillis+200) * time.Millisecond)
 	fmt.Fprint(c, check("/check", "later"))
 	if status, _ := read(c); status != "HTTP/1.1 200 OK" {
 		t.Errorf("a connection kept after resume: %q", status)
@@ -204,17 +204,17 @@
 		t.Fatal(s)
 	}
 	conf := d.conf
-	conf.Charter.Gatekeepers = 3
+	conf.Charter.GatewayCount = 3
 	d.gk.Reload(conf, nil)
 	if s := of("b", 3); s != "HTTP/1.1 200 OK" || d.figure("members") != 3 {
 		t.Errorf("of three: %q, %d", s, d.figure("members"))
 	}
-	conf.Charter.Gatekeepers, conf.Charter.LargestUnits = 4, 7
+	conf.Charter.GatewayCount, conf.Charter.MaxRequestUnits = 4, 7
 	d.gk.Reload(conf, nil)
 	if n := d.figure("members"); n != 3 {
 		t.Errorf("with another charter it takes up %d", n)
 	}
-	conf.Charter.Gatekeepers, conf.Charter.LargestUnits = 1, d.conf.Charter.LargestUnits
+	conf.Charter.GatewayCount, conf.Charter.MaxRequestUnits = 1, d.conf.Charter.MaxRequestUnits
 	d.gk.Reload(conf, nil)
 	if s := of("c", 1); s != "HTTP/1.1 200 OK" || d.figure("members") != 1 {
 		t.Errorf("alone: %q, %d", s, d.figure("members"))
--- a/internal/gateway/lifecycle/reload.go
+++ b/internal/gateway/lifecycle/reload.go
@@ -26,15 +26,15 @@
 	}
 	g.conf.Discovery = c.Discovery
 	g.unwind()
-	g.watch(<-g.ended, policy.WatchMoved) // no news of the old watch may come behind that of the new one
+	g.watch(<-g.ended, policy.WatchFailoverCatchUpMillis) // no news of the old watch may come behind that of the new one
 	g.log.Info().Str("discovery", c.Discovery).Msg("configuration taken up")
 }
 
 // resize takes up another number of gatekeepers, where nothing else of the charter has changed.
 func (g *Gatekeeper) resize(c config.Gatekeeper) {
-	n, was := c.Charter.Gatekeepers, g.members.Load()
+	n, was := c.Charter.GatewayCount, g.members.Load()
 	same := c.Charter
-	same.Gatekeepers = g.conf.Charter.Gatekeepers
+	same.GatewayCount = g.conf.Charter.GatewayCount
 	if int64(n) == was && slices.Equal(c.Peers, g.conf.Peers) {
 		return
 	}
--- a/internal/gateway/lifecycle/replace.go
+++ b/internal/gateway/lifecycle/replace.go
@@ -29,7 +29,7 @@
 			log.Warn().Str("listen", at).Msg("address still taken, waiting for it")
 		}
 		for end := time.Now().Add(placeWithin); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(end); {
-			time.Sleep(transport.Millis(policy.AcceptAgain))
+			time.Sleep(transport.Millis(policy.AcceptRetryMillis))
 			l, err = net.Listen("tcp", at)
 		}
 		if err != nil {
@@ -148,7 +148,7 @@
 		select {
 		case <-g.over:
 			return
-		case <-time.After(transport.Millis(policy.WatchAgain)):
+		case <-time.After(transport.Millis(policy.WatchRetryMillis)):
 		}
 	}
 }
--- a/internal/gateway/lifecycle/replace_test.go
+++ b/internal/gateway/lifecycle/replace_test.go
@@ -201,7 +201,7 @@
 	if err != nil || left == nil {
 		t.Fatal(left, err)
 	}
-	f.Import(left.Base-1e6, nil, left.Base)
+	f.Import(left.RateLimitBaseMillis-1e6, nil, left.RateLimitBaseMillis)
 	f.Close()
 	d = deployWith(t, keeps, 1, 5000, swap...)
 	for i := range 2 {
--- a/internal/gateway/lifecycle/room.go
+++ b/internal/gateway/lifecycle/room.go
@@ -48,11 +48,11 @@
 // places gives how many connections clients may have, and workers: of the descriptors that are left beside
 // all that the gatekeeper holds otherwise. So the watch, the peers and files never wait for a client's.
 func places(c config.Gatekeeper) (clients, workers int) {
-	own := policy.SpareFiles + c.Forward.Connections()
+	own := policy.ReservedDescriptors + c.Forward.Connections()
 	for _, part := range []struct {
 		on    bool
 		files int
-	}{{c.Control != "", policy.OperatorCalls + controlFiles}, {c.Journal != nil, journalFiles},
+	}{{c.Control != "", policy.MaxAdminConnections + controlFiles}, {c.Journal != nil, journalFiles},
 		{c.Residue != "", residueFiles}, {c.History != "", historyFiles}} {
 		if part.on {
 			own += part.files
@@ -60,7 +60,7 @@
 	}
 	spare := float64(max(c.Sockets-own, 2))
 	if c.Scratch != "" { // a process that gets ready to take this one's place is counted with it
-		spare -= min(policy.SpareFiles+policy.OperatorCalls, spare/4)
+		spare -= min(policy.ReservedDescriptors+policy.MaxAdminConnections, spare/4)
 	}
-	return int(spare * policy.ClientPart), max(int(spare*policy.WorkerPart), 1)
+	return int(spare * policy.ClientConnectionFraction), max(int(spare*policy.WorkerConnectionFraction), 1)
 }
--- a/internal/gateway/lifecycle/room_test.go
+++ b/internal/gateway/lifecycle/room_test.go
@@ -148,7 +148,7 @@
 					d.Residue, d.History = "residue", "."
 				}
 				clients, workers := places(d)
-				if all := idle + more + policy.OperatorCalls + clients + workers; all > most {
+				if all := idle + more + policy.MaxAdminConnections + clients + workers; all > most {
 					t.Errorf("%d descriptors alone, %d for clients, %d for workers: %d of %d in all", idle, clients,
 						workers, all, most)
 				}
@@ -158,7 +158,7 @@
 
 			crowd(t, at(0), most, "")
 			crowd(t, at(0), most/2, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-			crowd(t, at(2), 2*policy.OperatorCalls, "")
+			crowd(t, at(2), 2*policy.MaxAdminConnections, "")
 			full := 0
 			wait("a crowd that fills all places", 10000, func() bool {
 				full = max(full, files(pid))
@@ -208,7 +208,7 @@
 				n++
 				return answers(at(0), strings.Replace(check("/check", fmt.Sprint(n)), "spread=1", "spread=2", 1))
 			}
-			wait("a client served by a worker of the list", policy.WatchDue+5000, served)
+			wait("a client served by a worker of the list", policy.WatchCatchUpMillis+5000, served)
 			t.Logf("%d descriptors, %d of them without a client; served %v after discovery was up", full, idle,
 				time.Since(up))
 			peer.SetReadDeadline(time.Now().Add(10 * time.Second))
--- a/internal/gateway/lifecycle/speak.go
+++ b/internal/gateway/lifecycle/speak.go
@@ -31,13 +31,13 @@
 // teller begins to count what a word tells.
 func (g *Gatekeeper) teller() *speaker {
 	c := &g.conf
-	s := &speaker{word: forecast.Word{Name: c.Name, Host: c.Host, Hall: c.Hall, Number: c.Charter.Me,
+	s := &speaker{word: forecast.Word{Name: c.Name, Host: c.Host, Hall: c.Hall, Number: c.Charter.GatewayIndex,
 		Charter: c.Charter, Products: c.Names.ProductNames(), Plans: c.Names.PlanNames()}}
-	s.word.Charter.Me = 0
+	s.word.Charter.GatewayIndex = 0
 	if s.named = c.Group != ""; s.named {
 		s.word.Group = c.Group
 	}
-	s.among(c.Peers, c.Charter.Gatekeepers)
+	s.among(c.Peers, c.Charter.GatewayCount)
 	g.desk.SetMeter(forecast.NewMeter(c.Charter, crashstate.UptimeCentiseconds()))
 	return s
 }
@@ -46,7 +46,7 @@
 func (s *speaker) among(peers []netip.AddrPort, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.word.Charter.Gatekeepers = n
+	s.word.Charter.GatewayCount = n
 	if s.named {
 		return
 	}
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -83,17 +83,17 @@
 // Start brings a gatekeeper up: when it returns, clients are served.
 func Start(c config.Gatekeeper, log zerolog.Logger) (*Gatekeeper, error) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(c.Cores)), 1))
-	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * (1 << 20) * policy.MemoryPart))
-	debug.SetGCPercent(policy.GarbagePart)
+	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * (1 << 20) * policy.MemoryLimitFraction))
+	debug.SetGCPercent(policy.GCTargetPercent)
 
 	g := &Gatekeeper{conf: c, log: log, served: make(chan error, 1), over: make(chan struct{}),
 		first: make(chan struct{})}
 	clients, workers := places(c)
-	g.links = transport.NewWorkerPool(workers, transport.Millis(c.Lines.IdleLimit*policy.IdleUse),
+	g.links = transport.NewWorkerPool(workers, transport.Millis(c.Lines.IdleLimit*policy.WorkerIdleFraction),
 		transport.Millis(c.Lines.ConnectTimeout))
 	tell := func(int, []byte) {}
 	if len(c.Peers) > 0 {
-		g.peers = transport.NewPeers(c.Peers, c.Charter.Me)
+		g.peers = transport.NewPeers(c.Peers, c.Charter.GatewayIndex)
 		tell = g.peers.Send
 		if c.Charter = spoken(c); c.Tells {
 			g.peers.Identify(incarnation.MessageID{Incarnation: crashstate.UptimeCentiseconds()})
@@ -134,7 +134,7 @@
 	}
 	g.desk.ApplyEndpoints(c.Known)
 	g.list = bootstrap.NewRegistry(c.Known)
-	g.members.Store(int64(c.Charter.Gatekeepers))
+	g.members.Store(int64(c.Charter.GatewayCount))
 	g.gate = proxy.New(g.desk, g.links)
 	g.front = transport.NewFrontend(c.Names, c.Charter, g.forward(g.gate), g.up)
 	g.front.AllowAnonymous = g.vouch != nil && c.Forward.Asking.Customer != ""
@@ -165,7 +165,7 @@
 		go admin.Every(g.over, g.look)
 	}
 	g.At = l.Addr().String()
-	g.watch(c.Known.Version, policy.WatchDue)
+	g.watch(c.Known.Version, policy.WatchCatchUpMillis)
 	if len(c.Ask) > 0 && g.asking.CompareAndSwap(false, true) {
 		go g.ask(c.Ask, rand.New(rand.NewSource(c.Seed)))
 	}
@@ -203,9 +203,9 @@
 
 // spoken is the charter of a gatekeeper by what its messages hold: among instances of one host, that may say
 // more to each other than the platform's, a word takes some of their room.
-func spoken(c config.Gatekeeper) policy.Charter {
+func spoken(c config.Gatekeeper) policy.Settings {
 	if c.Tells {
-		c.Charter.ReportsPerTell = min(c.Charter.ReportsPerTell, transport.MaxReportsPerMessage)
+		c.Charter.ReportsPerMessage = min(c.Charter.ReportsPerMessage, transport.MaxReportsPerMessage)
 	}
 	return c.Charter
 }
@@ -229,7 +229,7 @@
 	}
 	g.desk.AttachCrashState(f, left)
 	if left != nil {
-		g.log.Info().Int("ceilings", len(left.Ceilings)).Float64("base_s", (g.desk.Now()-left.Base)/1000).
+		g.log.Info().Int("ceilings", len(left.RateLimits)).Float64("base_s", (g.desk.Now()-left.RateLimitBaseMillis)/1000).
 			Msg("remembering what a former life has spent")
 	}
 	if g.conf.Recall {
@@ -267,7 +267,7 @@
 	if l == nil {
 		return
 	}
-	age := g.desk.Now() - l.State.At
+	age := g.desk.Now() - l.State.AtMillis
 	n, fits := g.desk.RestoreCheckpoint(l, g.conf.Tells)
 	if !fits {
 		g.doubt(checkpoint.ErrDigestMismatch)
@@ -348,7 +348,7 @@
 func (g *Gatekeeper) await() {
 	select {
 	case <-g.first:
-	case <-time.After(transport.Millis(policy.FirstWord)):
+	case <-time.After(transport.Millis(policy.StartupListWaitMillis)):
 	}
 }
 
@@ -367,7 +367,7 @@
 // unheard says at most once in WatchDue that the watch has ended: tries without end must not fill the log.
 func (g *Gatekeeper) unheard(err error) {
 	g.speaks()
-	if now := time.Now(); now.Sub(g.said) > transport.Millis(policy.WatchDue) {
+	if now := time.Now(); now.Sub(g.said) > transport.Millis(policy.WatchCatchUpMillis) {
 		g.said = now
 		g.log.Warn().Err(err).Msg("watch ended, opening it again")
 	}
--- a/internal/gateway/lifecycle/stop.go
+++ b/internal/gateway/lifecycle/stop.go
@@ -48,15 +48,15 @@
 // then closes idle ones and ends once all that was taken has its answer. What comes whole too late for that
 // is not taken, and what is in hand too long is given up: SIGKILL would leave it without an answer.
 func (g *Gatekeeper) Stop() {
-	defer time.AfterFunc(transport.Millis(min(g.conf.Lines.LongestWait, policy.StopLongest)+policy.StopAll),
+	defer time.AfterFunc(transport.Millis(min(g.conf.Lines.LongestWait, policy.StopMaxWaitMillis)+policy.StopGraceMillis),
 		func() {
 			g.limit.AbandonRequests()
 			g.desk.WakeNow()
 		}).
 		Stop()
 	if !g.handOver() {
-		defer time.AfterFunc(transport.Millis(policy.AcceptOn+policy.StopIdle), g.limit.HurryReads).Stop()
-		time.Sleep(transport.Millis(policy.AcceptOn))
+		defer time.AfterFunc(transport.Millis(policy.StopAcceptMillis+policy.StopIdleMillis), g.limit.HurryReads).Stop()
+		time.Sleep(transport.Millis(policy.StopAcceptMillis))
 		if g.portal != nil {
 			g.portal.Close()
 		}
@@ -86,7 +86,7 @@
 		_ = g.history.Close()
 	}
 	t := g.desk.Tally()
-	e := g.log.Info().Ints("finals", t.Final[:]).Int64("unreadable", g.front.MalformedRequests()).
+	e := g.log.Info().Ints("finals", t.FinalByReason[:]).Int64("unreadable", g.front.MalformedRequests()).
 		Int64("clients_shed", g.limit.Evicted()).Int64("links_spoilt", g.links.StaleConns())
 	for name, n := range inflight.Violations() {
 		e = e.Int64("broken_"+name, n)
--- a/internal/gateway/lifecycle/stream_test.go
+++ b/internal/gateway/lifecycle/stream_test.go
@@ -154,7 +154,7 @@
 	defer c.Close()
 	raw := strings.Replace(sale("/sale", "stops"), "Length: 4\r\n\r\na\r\nb", "Length: 3000000\r\n\r\n", 1)
 	c.Write(append([]byte(raw), long(200000)...))
-	c.SetDeadline(time.Now().Add(time.Second + time.Duration(policy.BodyPause)*time.Millisecond))
+	c.SetDeadline(time.Now().Add(time.Second + time.Duration(policy.BodyStallTimeoutMillis)*time.Millisecond))
 	got, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || got.StatusCode != http.StatusRequestTimeout || whole.Load() > 0 {
 		t.Errorf("answered %v, %v; %d whole", got, err, whole.Load())
--- a/internal/gateway/lifecycle/watch_test.go
+++ b/internal/gateway/lifecycle/watch_test.go
@@ -107,10 +107,10 @@
 					c.Seed++
 				}
 			}, 2, 5000, m.swaps...)
-			within(t, d, 2, policy.WatchDue)
+			within(t, d, 2, policy.WatchCatchUpMillis)
 			list.Silence()
 			drains(list)
-			within(t, d, 1, policy.WatchDue)
+			within(t, d, 1, policy.WatchCatchUpMillis)
 		})
 	}
 }
@@ -143,7 +143,7 @@
 				d.gk.Reload(next, nil)
 				time.Sleep(c.before)
 				c.away(list, false)
-				within(t, d, 1, policy.WatchMoved)
+				within(t, d, 1, policy.WatchFailoverCatchUpMillis)
 			})
 		}
 	}
@@ -164,7 +164,7 @@
 			time.Sleep(10 * time.Millisecond)
 			fmt.Fprintf(w, "{\n\"index\":8,\"endpoints\":[\n%s]}\n", d.entry(0, "leaving", 0))
 		}, true, slack},
-		{"silent", nil, func(http.ResponseWriter, *deployment) {}, false, policy.FirstWord + slack},
+		{"silent", nil, func(http.ResponseWriter, *deployment) {}, false, policy.StartupListWaitMillis + slack},
 		{"turns it away", nil, func(w http.ResponseWriter, _ *deployment) { w.WriteHeader(503) }, false, slack},
 		{"asked for", modes[1].swaps, func(http.ResponseWriter, *deployment) {}, false, slack},
 	} {
@@ -191,7 +191,7 @@
 					<-gk.ended
 					gk.Stop()
 				})
-				if !c.drains || took < transport.Millis(policy.FirstWord) {
+				if !c.drains || took < transport.Millis(policy.StartupListWaitMillis) {
 					break // else the machine stood still, and the agent could not be heard in time
 				}
 			}
@@ -384,7 +384,7 @@
 				for range c.how {
 					<-list.met
 				}
-				told(t, d, 1, policy.WatchDue)
+				told(t, d, 1, policy.WatchCatchUpMillis)
 			})
 		}
 	}
@@ -423,7 +423,7 @@
 				c.Close()
 			}
 			go list.serve(list.open(t))
-			told(t, d, 1, policy.WatchDue)
+			told(t, d, 1, policy.WatchCatchUpMillis)
 		})
 	}
 }
@@ -493,12 +493,12 @@
 				}
 				before := time.Now()
 				move(last.at) // how long it takes for the old watch to end, TestWatchLeaves has exactly
-				due := policy.WatchMoved
+				due := policy.WatchFailoverCatchUpMillis
 				if down {
 					time.Sleep(
-						transport.Millis(policy.WatchMoved) - time.Since(before),
+						transport.Millis(policy.WatchFailoverCatchUpMillis) - time.Since(before),
 					) // by then it is an outage like others
-					due = policy.WatchDue
+					due = policy.WatchCatchUpMillis
 					l = last.open(t)
 				}
 				go last.serve(l)
--- a/internal/gateway/proxy/attempt.go
+++ b/internal/gateway/proxy/attempt.go
@@ -21,7 +21,7 @@
 	clock := p.dispatcher.clock
 	attempt, upstream, startedMillis := v.command.Attempt, v.command.Upstream, clock.now()
 	latest := deadline // for the first byte
-	if by := v.command.Decision.Latest; !math.IsInf(by, 1) && clock.time(by).Before(deadline) {
+	if by := v.command.Decision.SendBeforeMillis; !math.IsInf(by, 1) && clock.time(by).Before(deadline) {
 		latest = clock.time(by)
 	}
 	if link = p.links.TakeIdle(upstream.Worker); link == nil {
@@ -77,7 +77,7 @@
 			return &transport.Answer{Outcome: policy.NotSent}, nil, startedMillis
 		}
 		// The connection broke before the last byte: the worker never ran it.
-		return &transport.Answer{Outcome: policy.NoRoute}, nil, startedMillis
+		return &transport.Answer{Outcome: policy.ConnectFailed}, nil, startedMillis
 	}
 	p.links.CountAttempt()
 	worker := v.command.Upstream.Worker
@@ -95,7 +95,7 @@
 	case errors.Is(err, transport.ErrPoolExhausted) || !time.Now().Before(latest):
 		return nil, &transport.Answer{Outcome: policy.NotSent}
 	}
-	return nil, &transport.Answer{Outcome: policy.NoRoute}
+	return nil, &transport.Answer{Outcome: policy.ConnectFailed}
 }
 
 // leaseValid tells whether the lease that an attempt was decided by is valid right before the attempt is
@@ -138,11 +138,11 @@
 	switch {
 	case err == nil && answer.Remainder == nil:
 	case err == nil || cancelled:
-		answer = &transport.Answer{Outcome: policy.Withdrawn}
+		answer = &transport.Answer{Outcome: policy.Cancelled}
 	case errors.Is(err, os.ErrDeadlineExceeded) && link.DeadlinePassed():
 		answer = &transport.Answer{Outcome: policy.TimedOut}
 	default:
-		answer = &transport.Answer{Outcome: policy.Cut} // one that stalls is cut from here
+		answer = &transport.Answer{Outcome: policy.ConnectionLost} // one that stalls is cut from here
 	}
 	return answer, nil, startedMillis
 }
--- a/internal/gateway/proxy/attempt_connection_test.go
+++ b/internal/gateway/proxy/attempt_connection_test.go
@@ -59,7 +59,7 @@
 func (rig *workerRig) connectTo(address netip.AddrPort, connectTimeout time.Duration, maxConnections int) {
 	links := transport.NewWorkerPool(maxConnections, 5*time.Second, connectTimeout)
 	charter := testCharter() // without a rate limit, as that counts as used up at a start
-	charter.Plans[0] = policy.Plan{Rate: 1000, Burst: 1000, Factor: 1}
+	charter.Plans[0] = policy.Plan{QuotaPerSecond: 1000, QuotaBurst: 1000, ValueFactor: 1}
 	dispatcher := NewDispatcher(charter, 1, 5, func(int, []byte) {}, links.CloseIdle)
 	rig.Cleanup(dispatcher.Stop)
 	dispatcher.RecordHistory(onSend(func() {
@@ -76,8 +76,8 @@
 // admitAttempt admits a request, and gives its first attempt.
 func (rig *workerRig) admitAttempt() delivery {
 	rig.Helper()
-	arrival := policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}
-	request := rig.proxy.dispatcher.admit(&transport.Request{Arrival: arrival})
+	arrival := policy.Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 5000}
+	request := rig.proxy.dispatcher.admit(&transport.Request{Request: arrival})
 	command := <-request.Commands
 	if command.Decision.Kind != policy.Submit {
 		rig.Fatalf("decided %+v", command.Decision)
@@ -132,7 +132,7 @@
 	conn := rig.accept()
 	rig.readRequest(conn)
 	conn.Write([]byte(answerBytes))
-	if end := <-ended; end.outcome != policy.Settled || rig.proxy.links.OpenConns() != 1 {
+	if end := <-ended; end.outcome != policy.Succeeded || rig.proxy.links.OpenConns() != 1 {
 		rig.Fatalf("the first attempt ended %+v", end)
 	}
 	return conn
@@ -192,7 +192,7 @@
 			conn = rig.accept()
 			rig.readRequest(conn)
 			conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nmy"))
-			if end := <-ended; end.outcome != policy.Settled || end.body != "my" {
+			if end := <-ended; end.outcome != policy.Succeeded || end.body != "my" {
 				t.Errorf("the next attempt ended %+v", end)
 			}
 		})
@@ -209,7 +209,7 @@
 		awaitArrival(t, conn)
 	}
 	end := <-rig.startExchange(rig.admitAttempt())
-	if end.outcome != policy.NoRoute || rig.proxy.links.OpenConns() != 0 {
+	if end.outcome != policy.ConnectFailed || rig.proxy.links.OpenConns() != 0 {
 		t.Errorf("ended %+v, %d connections", end, rig.proxy.links.OpenConns())
 	}
 }
@@ -273,7 +273,7 @@
 		conn := rig.accept()
 		rig.readRequest(conn)
 		attempt.command.Attempt.Cancel()
-		if end := <-ended; end.outcome != policy.Withdrawn || rig.proxy.links.OpenConns() != 0 {
+		if end := <-ended; end.outcome != policy.Cancelled || rig.proxy.links.OpenConns() != 0 {
 			t.Errorf("ended %+v, %d connections", end, rig.proxy.links.OpenConns())
 		}
 		conn.Write([]byte(answerBytes))
@@ -281,7 +281,7 @@
 		conn = rig.accept()
 		rig.readRequest(conn)
 		conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nmy"))
-		if end := <-ended; end.outcome != policy.Settled || end.body != "my" {
+		if end := <-ended; end.outcome != policy.Succeeded || end.body != "my" {
 			t.Errorf("the next attempt ended %+v", end)
 		}
 	})
@@ -293,7 +293,7 @@
 		rig.readRequest(conn)
 		attempt.command.Attempt.Cancel()
 		conn.Write([]byte(answerBytes))
-		if end := <-ended; end.outcome != policy.Withdrawn && end.body != "ok" || rig.proxy.links.OpenConns() != 0 {
+		if end := <-ended; end.outcome != policy.Cancelled && end.body != "ok" || rig.proxy.links.OpenConns() != 0 {
 			t.Errorf("ended %+v, %d connections", end, rig.proxy.links.OpenConns())
 		}
 	})
@@ -306,13 +306,13 @@
 		conn.Write([]byte(answerBytes))
 		end := <-ended
 		attempt.command.Attempt.Cancel() // and does not touch a connection that another attempt may use by now
-		if end.outcome != policy.Settled || rig.proxy.links.OpenConns() != 1 {
+		if end.outcome != policy.Succeeded || rig.proxy.links.OpenConns() != 1 {
 			t.Errorf("ended %+v, %d connections", end, rig.proxy.links.OpenConns())
 		}
 		ended = rig.startExchange(rig.admitAttempt())
 		rig.readRequest(conn)
 		conn.Write([]byte(answerBytes))
-		if end := <-ended; end.outcome != policy.Settled {
+		if end := <-ended; end.outcome != policy.Succeeded {
 			t.Errorf("the next attempt ended %+v", end)
 		}
 	})
@@ -377,7 +377,7 @@
 		name    string
 		until   time.Duration
 		outcome policy.Outcome
-	}{{"limit", 5 * time.Second, policy.NoRoute}, {"expiry", limit / 3, policy.NotSent}} {
+	}{{"limit", 5 * time.Second, policy.ConnectFailed}, {"expiry", limit / 3, policy.NotSent}} {
 		t.Run(c.name, func(t *testing.T) {
 			rig := &workerRig{T: t}
 			rig.connectTo(address, limit, 4)
@@ -433,7 +433,7 @@
 		t.Errorf("at the limit it ended %+v", end)
 	}
 	conn.Write([]byte(answerBytes))
-	if end := <-ended; end.outcome != policy.Settled || rig.proxy.links.OpenConns() != 1 {
+	if end := <-ended; end.outcome != policy.Succeeded || rig.proxy.links.OpenConns() != 1 {
 		t.Errorf("the other ended %+v, %d connections", end, rig.proxy.links.OpenConns())
 	}
 }
--- a/internal/gateway/proxy/attempt_deadline_test.go
+++ b/internal/gateway/proxy/attempt_deadline_test.go
@@ -76,14 +76,14 @@
 func newDeadlineRig(t *testing.T, overlap bool, disk *store.MemoryDisk, at ...netip.AddrPort) *deadlineRig {
 	t.Helper()
 	charter := testCharter()
-	charter.Plans[0] = policy.Plan{Rate: 1000, Burst: 1000, Factor: 1}
+	charter.Plans[0] = policy.Plan{QuotaPerSecond: 1000, QuotaBurst: 1000, ValueFactor: 1}
 	targetMillis := float64(clientWaitMillis) // so that no request is retried only for being late
-	if charter.MayOverlap = overlap; overlap {
+	if charter.AllowHedging = overlap; overlap {
 		targetMillis = 600
 	}
-	charter.Products = []policy.Product{{SLA: targetMillis, Value: 1},
-		{SLA: targetMillis, Value: 1, Repeat: policy.Referenced, Window: clientWaitMillis},
-		{SLA: 1000, Value: 1, Repeat: policy.OnceOnly}}
+	charter.Products = []policy.Product{{LatencyTargetMillis: targetMillis, Value: 1},
+		{LatencyTargetMillis: targetMillis, Value: 1, Idempotency: policy.Deduplicated, DedupWindowMillis: clientWaitMillis},
+		{LatencyTargetMillis: 1000, Value: 1, Idempotency: policy.NonIdempotent}}
 	rig := &deadlineRig{T: t, received: make(chan struct{}, 9),
 		links: transport.NewWorkerPool(8, 5*time.Second, 3*time.Second)}
 	rig.dispatcher = NewDispatcher(charter, 1, 5, func(int, []byte) {}, rig.links.CloseIdle)
@@ -408,7 +408,7 @@
 			attempt := rig.admitAttempt()
 			deadline := time.Now().Add(time.Second)
 			if c.window {
-				attempt.command.Decision.Latest = rig.proxy.dispatcher.Now() + float64(limit.Milliseconds())
+				attempt.command.Decision.SendBeforeMillis = rig.proxy.dispatcher.Now() + float64(limit.Milliseconds())
 			} else {
 				deadline = time.Now().Add(limit)
 			}
--- a/internal/gateway/proxy/attempt_test.go
+++ b/internal/gateway/proxy/attempt_test.go
@@ -15,10 +15,10 @@
 	"willowdeck/internal/testkit/history"
 )
 
-func testCharter() policy.Charter {
-	return policy.Charter{Gatekeepers: 1, LargestUnits: 1, MaxSubmissions: 3, MayWithdraw: true,
-		Products: []policy.Product{{SLA: 1000, Value: 1}},
-		Plans:    []policy.Plan{{Rate: 1000, Burst: 1000, CeilingRate: 1000, CeilingDepth: 1000, Factor: 1}}}
+func testCharter() policy.Settings {
+	return policy.Settings{GatewayCount: 1, MaxRequestUnits: 1, MaxAttempts: 3, AllowCancel: true,
+		Products: []policy.Product{{LatencyTargetMillis: 1000, Value: 1}},
+		Plans:    []policy.Plan{{QuotaPerSecond: 1000, QuotaBurst: 1000, RateLimitPerSecond: 1000, RateLimitBurst: 1000, ValueFactor: 1}}}
 }
 
 // countingWorker gives the bytes that each connection to a worker has carried, once it ends.
@@ -70,7 +70,7 @@
 	}
 	time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
 	proxy := New(d, links)
-	request := d.admit(&transport.Request{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
+	request := d.admit(&transport.Request{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 900}})
 	command := <-request.Commands
 	if command.Decision.Kind != policy.Submit || command.Lease != first {
 		t.Fatalf("decided %+v under %+v", command.Decision, command.Lease)
@@ -84,14 +84,14 @@
 	if n := <-received; n > 0 {
 		t.Errorf("%d bytes came to the worker", n)
 	}
-	d.attemptRevoked(request, command.Decision.N)
+	d.attemptRevoked(request, command.Decision.Attempt)
 	if command = <-request.Commands; command.Decision.Kind != policy.Submit || command.Lease != second ||
-		command.Decision.N != 0 || d.RevokedAttempts() != 1 {
+		command.Decision.Attempt != 0 || d.RevokedAttempts() != 1 {
 		t.Errorf("then decided %+v under %+v", command.Decision, command.Lease)
 	}
 	second.Revoke() // what is decided after the end of all leases is under none of them
-	request = d.admit(&transport.Request{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}})
-	if command = <-request.Commands; command.Decision.Kind != policy.Decline {
+	request = d.admit(&transport.Request{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 900}})
+	if command = <-request.Commands; command.Decision.Kind != policy.Reject {
 		t.Errorf("without a lease decided %+v", command.Decision)
 	}
 	modes, neverRan := "", 0
@@ -120,11 +120,11 @@
 	t.Cleanup(d.Stop)
 	d.ApplyEndpoints(list)
 	time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
-	request = d.admit(&transport.Request{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 5000}})
+	request = d.admit(&transport.Request{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 5000}})
 	command = <-request.Commands
-	cut := &transport.Answer{Outcome: policy.Cut}
-	d.attemptEnded(request, command.Decision.N, command.Decision.Worker, cut, 1)
-	if command = <-request.Commands; command.Decision.Kind != policy.Submit || command.Decision.N != 1 {
+	cut := &transport.Answer{Outcome: policy.ConnectionLost}
+	d.attemptEnded(request, command.Decision.Attempt, command.Decision.Worker, cut, 1)
+	if command = <-request.Commands; command.Decision.Kind != policy.Submit || command.Decision.Attempt != 1 {
 		t.Fatalf("then decided %+v", command.Decision)
 	}
 	return New(d, links), request, command, received
@@ -147,11 +147,11 @@
 // day a connection took 230 ms, and its attempt was sent 1,106 ms after the first with a window of 1,000.
 func TestRetryWindowEndsBeforeWrite(t *testing.T) {
 	proxy, request, command, received := retriedRequest(t,
-		policy.Product{SLA: 4000, Value: 1, Repeat: policy.Referenced, Window: 200})
-	if leftMillis := command.Decision.Latest - proxy.dispatcher.Now(); !(leftMillis > 0 && leftMillis < 200) {
+		policy.Product{LatencyTargetMillis: 4000, Value: 1, Idempotency: policy.Deduplicated, DedupWindowMillis: 200})
+	if leftMillis := command.Decision.SendBeforeMillis - proxy.dispatcher.Now(); !(leftMillis > 0 && leftMillis < 200) {
 		t.Fatalf("the first byte may be sent for %.1f ms from now on", leftMillis)
 	}
-	for proxy.dispatcher.Now() < command.Decision.Latest { // as long as its connection takes
+	for proxy.dispatcher.Now() < command.Decision.SendBeforeMillis { // as long as its connection takes
 		time.Sleep(time.Millisecond)
 	}
 	attempt := delivery{request: request, command: command, message: []byte("GET / HTTP/1.1\r\n\r\n")}
@@ -160,7 +160,7 @@
 		t.Fatalf("ended with %+v", answer)
 	}
 	proxy.dispatcher.attemptEnded(request, 1, command.Decision.Worker, answer, 1)
-	if command = <-request.Commands; command.Decision.Kind != policy.Decline { // all workers drop a repeat
+	if command = <-request.Commands; command.Decision.Kind != policy.Reject { // all workers drop a repeat
 		t.Errorf("then decided %+v", command.Decision)
 	}
 	assertNothingReceived(t, received)
@@ -169,12 +169,12 @@
 // A worker moves to another zone, or cell, while the connection of a retry with an idempotency key comes
 // up: nothing is written. Guards against a repeated request where no worker knows its key.
 func TestWorkerMovesBeforeWrite(t *testing.T) {
-	for group, move := range map[policy.Group]func(*endpoints.Worker){
-		policy.GroupZone: func(command *endpoints.Worker) { command.Zone = "another" },
-		policy.GroupCell: func(command *endpoints.Worker) { command.Cell = 5 },
+	for group, move := range map[policy.DedupScope]func(*endpoints.Worker){
+		policy.DedupWithinZone: func(command *endpoints.Worker) { command.Zone = "another" },
+		policy.DedupWithinCell: func(command *endpoints.Worker) { command.Cell = 5 },
 	} {
-		proxy, request, command, received := retriedRequest(t, policy.Product{SLA: 4000, Value: 1,
-			Repeat: policy.Referenced, Group: group, Window: 4000})
+		proxy, request, command, received := retriedRequest(t, policy.Product{LatencyTargetMillis: 4000, Value: 1,
+			Idempotency: policy.Deduplicated, DedupScope: group, DedupWindowMillis: 4000})
 		moved := endpoints.Worker{Name: "w", Address: command.Upstream.Addr, Active: true}
 		move(&moved)
 		proxy.dispatcher.ApplyEndpoints(endpoints.List{Snapshot: true, Workers: []endpoints.Worker{moved}})
@@ -184,7 +184,7 @@
 			t.Fatalf("group %d: ended with %+v", group, answer)
 		}
 		proxy.dispatcher.attemptEnded(request, 1, command.Decision.Worker, answer, 1)
-		if command = <-request.Commands; command.Decision.Kind != policy.Void { // its group has no worker left
+		if command = <-request.Commands; command.Decision.Kind != policy.RejectUncertain { // its group has no worker left
 			t.Errorf("group %d: then decided %+v", group, command.Decision)
 		}
 		assertNothingReceived(t, received)
@@ -194,7 +194,7 @@
 // A client leaves while the connection of a retry comes up: nothing is written, and the request ends.
 // Guards against a check of clients at the policy's wake-ups alone, which is up to 100 ms old then.
 func TestClientLeavesBeforeWrite(t *testing.T) {
-	proxy, request, command, received := retriedRequest(t, policy.Product{SLA: 4000, Value: 1})
+	proxy, request, command, received := retriedRequest(t, policy.Product{LatencyTargetMillis: 4000, Value: 1})
 	proxy.dispatcher.mu.Lock()
 	request.ClientGone = func() bool { return true }
 	proxy.dispatcher.mu.Unlock()
@@ -203,13 +203,13 @@
 	if answer == nil || answer.Outcome != policy.NotSent || link != nil {
 		t.Fatalf("ended with %+v", answer)
 	}
-	if command = <-request.Commands; command.Decision.Kind != policy.Void || !request.Answered {
+	if command = <-request.Commands; command.Decision.Kind != policy.RejectUncertain || !request.Answered {
 		t.Errorf("then decided %+v", command.Decision)
 	}
 	proxy.dispatcher.attemptEnded(request, 1, 0, answer, 1)
-	if len(proxy.dispatcher.requests.byID) != 0 || proxy.dispatcher.Tally().Final[policy.ByClient] != 1 {
+	if len(proxy.dispatcher.requests.byID) != 0 || proxy.dispatcher.Tally().FinalByReason[policy.ReasonClientGone] != 1 {
 		t.Errorf("%d requests in flight, finals %v", len(proxy.dispatcher.requests.byID),
-			proxy.dispatcher.Tally().Final)
+			proxy.dispatcher.Tally().FinalByReason)
 	}
 	assertNothingReceived(t, received)
 }
@@ -225,7 +225,7 @@
 			d.ApplyEndpoints(list)
 		}
 		time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
-		request := &transport.Request{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900},
+		request := &transport.Request{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 900},
 			Method: []byte("GET"), Target: []byte("/a"), RequestID: []byte("1")}
 		if final := New(d, links).Serve(request); request.MaybeSent != sent {
 			t.Errorf("sent %v, want %v; ended with %+v", request.MaybeSent, sent, final)
@@ -243,17 +243,17 @@
 	list.Workers = append(list.Workers, other.Workers[0])
 	links := transport.NewWorkerPool(8, time.Second, time.Second)
 	charter := testCharter()
-	charter.MayOverlap = true
-	charter.Products = []policy.Product{{SLA: 100, Value: 1, Repeat: policy.Referenced, Window: 5000}}
+	charter.AllowHedging = true
+	charter.Products = []policy.Product{{LatencyTargetMillis: 100, Value: 1, Idempotency: policy.Deduplicated, DedupWindowMillis: 5000}}
 	d := NewDispatcher(charter, 1, 5, func(int, []byte) {}, links.CloseIdle)
 	t.Cleanup(d.Stop)
 	d.ApplyEndpoints(list)
 	time.Sleep(20 * time.Millisecond) // until what counts as used up at a start is over
-	request := d.admit(&transport.Request{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1,
-		Left: 5000}})
+	request := d.admit(&transport.Request{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1,
+		TimeLeftMillis: 5000}})
 	first := <-request.Commands
 	second := <-request.Commands // the first attempt's worker is silent
-	if second.Decision.Kind != policy.Submit || second.Decision.N != 1 {
+	if second.Decision.Kind != policy.Submit || second.Decision.Attempt != 1 {
 		t.Fatalf("then decided %+v", second.Decision)
 	}
 	proxy := New(d, links)
@@ -290,12 +290,12 @@
 			d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, func(int) {})
 			defer d.Stop()
 			charter := testCharter()
-			charter.Plans[0] = policy.Plan{Rate: 1e9, Burst: 1e9, CeilingRate: 1e9, CeilingDepth: 1e9, Factor: 1}
+			charter.Plans[0] = policy.Plan{QuotaPerSecond: 1e9, QuotaBurst: 1e9, RateLimitPerSecond: 1e9, RateLimitBurst: 1e9, ValueFactor: 1}
 			d.policy = policy.New(charter, 1)
 			d.ApplyEndpoints(endpoints.List{Snapshot: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
 			if name == "credit" || name == "lent" {
-				if charter.Plans[0].Credit, charter.Plans[0].Repay = 1, 2e3; name == "lent" {
-					charter.Plans[0] = policy.Plan{Rate: 1e-3, Credit: 1e12, Repay: 2e15, Factor: 1}
+				if charter.Plans[0].CreditSeconds, charter.Plans[0].RepayWithinMillis = 1, 2e3; name == "lent" {
+					charter.Plans[0] = policy.Plan{QuotaPerSecond: 1e-3, CreditSeconds: 1e12, RepayWithinMillis: 2e15, ValueFactor: 1}
 				}
 				d.policy = policy.New(charter, 1)
 				d.ApplyEndpoints(endpoints.List{Snapshot: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
@@ -311,7 +311,7 @@
 				d.ApplyRuleset(inflight.NewLease(1, history.Leased, bootclock.Nanos()+3600e9), charter)
 			}
 			time.Sleep(10 * time.Millisecond)
-			t := &transport.Request{Arrival: policy.Arrival{Customer: 7, Units: 1, SetSize: 1, Left: 900}}
+			t := &transport.Request{Request: policy.Request{Customer: 7, Units: 1, SetSize: 1, TimeLeftMillis: 900}}
 			t.RequestID = []byte("0123456789abcdef")
 			message := make([]byte, 0, 512)
 			b.ReportAllocs()
@@ -327,9 +327,9 @@
 				}
 				var offset int
 				message, offset = transport.AppendAttempt(message[:0], t, version)
-				transport.SetRemaining(message, offset, transport.Millis(command.Decision.At-d.clock.now()))
+				transport.SetRemaining(message, offset, transport.Millis(command.Decision.AtMillis-d.clock.now()))
 				d.attemptEnded(request, 0, command.Decision.Worker,
-					&transport.Answer{Outcome: policy.Settled, FromWorker: true}, 1)
+					&transport.Answer{Outcome: policy.Succeeded, FromWorker: true}, 1)
 			}
 		})
 	}
--- a/internal/gateway/proxy/checkpoint.go
+++ b/internal/gateway/proxy/checkpoint.go
@@ -29,7 +29,7 @@
 func (d *Dispatcher) RestoreCheckpoint(c *checkpoint.Snapshot, peersKnow bool) (customers int, fits bool) {
 	d.lockPolicy()
 	if fits = c.Digest == checkpoint.Digest(d.ruleset.charter, d.ruleset.lease.Version()); fits {
-		customers = d.policy.Recollect(c.State, peersKnow)
+		customers = d.policy.RestoreCheckpoint(c.State, peersKnow)
 	}
 	d.flushAndUnlock()
 	d.checkpointStats.Restored.Add(int64(customers))
@@ -74,21 +74,21 @@
 			}
 			idle = empty
 		}
-		timer.Reset(max(time.Duration(policy.CopyEach*float64(time.Millisecond)),
+		timer.Reset(max(time.Duration(policy.CheckpointIntervalMillis*float64(time.Millisecond)),
 			checkpointPauseRatio*time.Since(began)))
 	}
 }
 
 // snapshotBase is what a snapshot's figures are relative to.
 type snapshotBase struct {
-	charter        policy.Charter
+	charter        policy.Settings
 	rulesetVersion uint64 // 0 where none is in force
 	generation     int    // of the charter
 }
 
 // snapshot copies the state that decays, and tells whether this process still owns it. Guards against parts
 // of a snapshot that are relative to another charter than the rest: it begins anew.
-func (d *Dispatcher) snapshot(state *policy.Estate) (of snapshotBase, owner bool) {
+func (d *Dispatcher) snapshot(state *policy.HandoffState) (of snapshotBase, owner bool) {
 	for from := 0; ; {
 		d.mu.Lock()
 		if of.generation != d.ruleset.generation {
@@ -96,7 +96,7 @@
 			from = 0
 		}
 		if owner = !d.handedOff; owner {
-			from = d.policy.Copy(state, from, d.clock.now())
+			from = d.policy.Checkpoint(state, from, d.clock.now())
 		}
 		if d.mu.Unlock(); !owner || from == 0 {
 			return of, owner
--- a/internal/gateway/proxy/checkpoint_test.go
+++ b/internal/gateway/proxy/checkpoint_test.go
@@ -20,9 +20,9 @@
 	t.Cleanup(dispatcher.Stop)
 	dispatcher.lockPolicy()
 	for i := range customers {
-		dispatcher.policy.Take(policy.Arrival{ID: 1e6 + uint64(i), Customer: uint64(i), Units: 1, SetSize: 1,
-			Left: 1000})
-		dispatcher.policy.Left(1e6 + uint64(i))
+		dispatcher.policy.AddRequest(policy.Request{ID: 1e6 + uint64(i), Customer: uint64(i), Units: 1, SetSize: 1,
+			TimeLeftMillis: 1000})
+		dispatcher.policy.ClientGone(1e6 + uint64(i))
 	}
 	dispatcher.flushAndUnlock()
 	return dispatcher
@@ -37,11 +37,11 @@
 // service.
 func TestCheckpointNamesItsCharter(t *testing.T) {
 	other, narrow := testCharter(), testCharter()
-	other.Plans[0].Rate, narrow.Narrow = 500, true
+	other.Plans[0].QuotaPerSecond, narrow.QuotaWithoutGossip = 500, true
 	for _, c := range []struct {
 		name    string
 		was, is *inflight.Lease
-		by, now policy.Charter
+		by, now policy.Settings
 		fits    bool
 	}{
 		{"no ruleset", nil, nil, testCharter(), testCharter(), true},
@@ -93,15 +93,15 @@
 // relative to the charter before, and that passes for one of the charter after.
 func TestCheckpointDuringCharterChange(t *testing.T) {
 	d := newDispatcherWith(t, 2000)
-	var state policy.Estate
+	var state policy.HandoffState
 	other := testCharter()
-	other.Plans[0].Rate, other.Plans[0].Burst = 100, 10
+	other.Plans[0].QuotaPerSecond, other.Plans[0].QuotaBurst = 100, 10
 	for range 20 {
 		done, began := make(chan struct{}), make(chan struct{})
 		go func() {
 			defer close(done)
 			close(began)
-			for _, c := range []policy.Charter{other, testCharter(), other, testCharter(), other} {
+			for _, c := range []policy.Settings{other, testCharter(), other, testCharter(), other} {
 				time.Sleep(20 * time.Microsecond)
 				d.ApplyRuleset(leaseOf(1), c)
 			}
@@ -115,8 +115,8 @@
 			}
 			of, _ := d.snapshot(&state)
 			for i := range state.Customers {
-				if burst := of.charter.Plans[0].Burst; state.Customers[i].Whole > burst+1e-9 {
-					t.Fatalf("customer %d has %v under a burst of %v", i, state.Customers[i].Whole, burst)
+				if burst := of.charter.Plans[0].QuotaBurst; state.Customers[i].QuotaTokens > burst+1e-9 {
+					t.Fatalf("customer %d has %v under a burst of %v", i, state.Customers[i].QuotaTokens, burst)
 				}
 			}
 			if len(state.Customers) != 2000 {
--- a/internal/gateway/proxy/dispatcher.go
+++ b/internal/gateway/proxy/dispatcher.go
@@ -21,7 +21,7 @@
 	lateMillis      float64          // after its expiry that the rules allow a final answer
 	stop            chan struct{}
 	ready           atomic.Bool                  // some worker takes attempts
-	tally           atomic.Pointer[policy.Tally] // a copy for those who must not wait for the lock
+	tally           atomic.Pointer[policy.Stats] // a copy for those who must not wait for the lock
 	revoked         atomic.Int64                 // attempts that were not sent, as their lease had expired
 	lockTimes       LockTimes
 	checkpointStats CheckpointStats
@@ -30,7 +30,7 @@
 	applying sync.Mutex // serializes ApplyEndpoints; its holder changes workers, under mu too
 
 	mu        sync.Mutex // guards what follows
-	policy    *policy.Gatekeeper
+	policy    *policy.Engine
 	timer     *time.Timer // of the policy's next wake-up
 	requests  requestTable
 	workers   workers.Registry
@@ -40,7 +40,7 @@
 	lender    *lender // nil where nothing is lent
 	handedOff bool    // the successor of a hot restart has the policy's state
 	meter     *forecast.Meter
-	sample    policy.Sight // belongs to FillReport
+	sample    policy.Snapshot // belongs to FillReport
 
 	watched []watchedClient // belongs to the wake-up's goroutine
 }
@@ -75,11 +75,11 @@
 
 // NewDispatcher starts the policy. Final answers may come lateMillis after their expiry; send sends a
 // datagram to a peer; closeIdle closes the idle connections to a worker.
-func NewDispatcher(c policy.Charter, seed int64, lateMillis float64, send func(int, []byte),
+func NewDispatcher(c policy.Settings, seed int64, lateMillis float64, send func(int, []byte),
 	closeIdle func(int)) *Dispatcher {
 	d := &Dispatcher{clock: newClock(), outbox: outbox{send: send}, closeIdle: closeIdle, lateMillis: lateMillis,
 		policy: policy.New(c, seed), ruleset: activeRuleset{charter: c, generation: 1},
-		requests: requestTable{byID: map[uint64]*inflight.Request{}, maxAttempts: max(c.MaxSubmissions, 1)}}
+		requests: requestTable{byID: map[uint64]*inflight.Request{}, maxAttempts: max(c.MaxAttempts, 1)}}
 	d.timer, d.stop = time.NewTimer(time.Hour), make(chan struct{})
 	go d.wakeLoop()
 	return d
@@ -105,7 +105,7 @@
 func (d *Dispatcher) lockPolicy() float64 {
 	d.mu.Lock()
 	now := d.clock.now()
-	d.policy.Clock(now)
+	d.policy.AdvanceTo(now)
 	if d.ruleset.lease != nil {
 		d.expireRuleset()
 	}
@@ -116,7 +116,7 @@
 // sends the datagrams for peers.
 func (d *Dispatcher) flushAndUnlock() {
 	for {
-		decision, ok := d.policy.Next()
+		decision, ok := d.policy.NextDecision()
 		if !ok {
 			break
 		}
@@ -138,28 +138,28 @@
 // execute carries out a decision, under the lock.
 func (d *Dispatcher) execute(v policy.Decision) {
 	switch v.Kind {
-	case policy.Wake:
-		d.timer.Reset(time.Until(d.clock.time(v.At)))
+	case policy.SetTimer:
+		d.timer.Reset(time.Until(d.clock.time(v.AtMillis)))
 		return
-	case policy.Tell:
+	case policy.SendReports:
 		b := gossip.Append(nil, v.Reports)
 		inflight.Check(len(b) <= gossip.MaxMessageBytes, inflight.DatagramFits)
 		d.outbox.add(v.Peer, b)
 		return
 	}
-	r := d.requests.byID[v.Txn]
+	r := d.requests.byID[v.RequestID]
 	inflight.Check(r != nil, inflight.KnownRequest)
 	if r == nil {
 		return
 	}
 	switch v.Kind {
-	case policy.Grant:
+	case policy.GrantClearance:
 		r.Reserved = true
-	case policy.Withdraw:
-		r.Attempts[v.N].Cancel()
+	case policy.Cancel:
+		r.Attempts[v.Attempt].Cancel()
 	case policy.Submit:
 		d.startAttempt(r, &v)
-	case policy.Decline, policy.Void:
+	case policy.Reject, policy.RejectUncertain:
 		d.finalize(r, inflight.Command{Decision: v}, d.clock.now())
 		d.forgetIfDone(r)
 	}
@@ -167,9 +167,9 @@
 
 // startAttempt commands an attempt, under the lock.
 func (d *Dispatcher) startAttempt(r *inflight.Request, v *policy.Decision) {
-	inflight.Check(!r.Answered && len(r.Attempts) == v.N, inflight.NoAttemptAfterFinalAnswer)
+	inflight.Check(!r.Answered && len(r.Attempts) == v.Attempt, inflight.NoAttemptAfterFinalAnswer)
 	// Guards against a connection that comes up when the window that a hedged request has opened is over.
-	if d.ruleset.charter.Products[r.Product].Repeat == policy.Referenced {
+	if d.ruleset.charter.Products[r.Product].Idempotency == policy.Deduplicated {
 		for _, earlier := range r.Attempts {
 			earlier.CancelUnsent()
 		}
@@ -177,8 +177,8 @@
 	attempt := &inflight.Attempt{}
 	r.Attempts = append(r.Attempts, attempt)
 	r.Outstanding++
-	if d.crash.file != nil && v.Full > 0 { // before it can be sent
-		d.crash.file.RecordSpent(r.Customer, r.Plan, v.Full, d.clock.now())
+	if d.crash.file != nil && v.RateLimitFullAtMillis > 0 { // before it can be sent
+		d.crash.file.RecordSpent(r.Customer, r.Plan, v.RateLimitFullAtMillis, d.clock.now())
 	}
 	r.Commands <- inflight.Command{Decision: *v, Upstream: d.workers.Upstream(v.Worker), Attempt: attempt,
 		Lease: d.ruleset.lease}
--- a/internal/gateway/proxy/endpoints.go
+++ b/internal/gateway/proxy/endpoints.go
@@ -17,10 +17,10 @@
 func (d *Dispatcher) ApplyEndpoints(list endpoints.List) {
 	d.applying.Lock()
 	defer d.applying.Unlock()
-	chunks := d.workers.Split(d.workers.Diff(list), policy.ListPiece)
+	chunks := d.workers.Split(d.workers.Diff(list), policy.EndpointBatchSize)
 	for i, chunk := range chunks {
 		if i > 0 {
-			time.Sleep(transport.Millis(policy.PieceApart))
+			time.Sleep(transport.Millis(policy.EndpointBatchPauseMillis))
 		}
 		lockedMillis := d.lockPolicy()
 		if len(chunks) == 1 {
@@ -28,11 +28,11 @@
 		} else {
 			d.history.workersListed(chunk)
 		}
-		postings, ended := d.workers.Apply(chunk, d.policy.Vacant)
+		postings, ended := d.workers.Apply(chunk, d.policy.WorkerUnreferenced)
 		if i == len(chunks)-1 {
 			d.ready.Store(d.workers.AnyActive())
 		}
-		d.policy.Roster(postings, !chunk.Snapshot)
+		d.policy.UpdateEndpoints(postings, !chunk.Snapshot)
 		d.flushAndUnlock()
 		if list.Snapshot {
 			d.recordLockTime(lockedMillis, &d.lockTimes.FullListMicros)
--- a/internal/gateway/proxy/endpoints_bench_test.go
+++ b/internal/gateway/proxy/endpoints_bench_test.go
@@ -83,9 +83,9 @@
 			}
 			b.Run(fmt.Sprintf("%s/%d", step, n), func(b *testing.B) {
 				list := listOf(n)
-				c := policy.Charter{Gatekeepers: 7900, LargestUnits: 8, MaxSubmissions: 3, MayTell: true,
-					PeerInPerS: 60, ReportsPerTell: 20, ColdFrom: 0.2, WarmUp: 20000, Whole: 1,
-					Products: []policy.Product{{SLA: 500, Value: 1}}, Plans: []policy.Plan{{Rate: 1000, Burst: 2000}}}
+				c := policy.Settings{GatewayCount: 7900, MaxRequestUnits: 8, MaxAttempts: 3, AllowGossip: true,
+					PeerMessagesPerSecond: 60, ReportsPerMessage: 20, ColdCapacityFraction: 0.2, WarmUpMillis: 20000, TotalWeight: 1,
+					Products: []policy.Product{{LatencyTargetMillis: 500, Value: 1}}, Plans: []policy.Plan{{QuotaPerSecond: 1000, QuotaBurst: 2000}}}
 				newDispatcher := func() *Dispatcher {
 					return NewDispatcher(c, 1, 2, func(int, []byte) {}, func(int) {})
 				}
--- a/internal/gateway/proxy/endpoints_test.go
+++ b/internal/gateway/proxy/endpoints_test.go
@@ -15,7 +15,7 @@
 // to no worker that drains or is removed, and all workers that are on the list are used again. Meanwhile
 // the dispatcher stays ready, and no request lacks a worker.
 func TestListInChunks(t *testing.T) {
-	const total, changed = 6 * policy.ListPiece, 5 * policy.ListPiece / 2
+	const total, changed = 6 * policy.EndpointBatchSize, 5 * policy.EndpointBatchSize / 2
 	d := NewDispatcher(testCharter(), 1, 5, func(int, []byte) {}, func(int) {})
 	t.Cleanup(d.Stop)
 	list := listOf(total)
@@ -35,8 +35,8 @@
 				default:
 				}
 				excluded := inactive.Load()
-				request := d.admit(&transport.Request{Arrival: policy.Arrival{Customer: uint64(1000*k + n), Units: 1,
-					SetSize: 1, Left: 900}})
+				request := d.admit(&transport.Request{Request: policy.Request{Customer: uint64(1000*k + n), Units: 1,
+					SetSize: 1, TimeLeftMillis: 900}})
 				command := <-request.Commands
 				if command.Decision.Kind != policy.Submit {
 					notSent.Add(1)
@@ -46,8 +46,8 @@
 				if sent.Add(1); (*excluded)[command.Upstream.Name()] && inactive.Load() == excluded {
 					toInactive.Add(1)
 				}
-				d.attemptEnded(request, command.Decision.N, command.Decision.Worker,
-					&transport.Answer{Outcome: policy.Settled}, 20)
+				d.attemptEnded(request, command.Decision.Attempt, command.Decision.Worker,
+					&transport.Answer{Outcome: policy.Succeeded}, 20)
 				if !d.Ready() {
 					t.Error("not ready")
 				}
@@ -86,8 +86,8 @@
 	}
 	close(done)
 	clients.Wait()
-	if sent.Load() < 1000 || toInactive.Load() > 0 || d.Tally().Final[policy.ByNoWorker] > 0 {
+	if sent.Load() < 1000 || toInactive.Load() > 0 || d.Tally().FinalByReason[policy.ReasonNoWorker] > 0 {
 		t.Errorf("%d sent, %d of them to inactive workers; %d not sent, %d for lack of a worker", sent.Load(),
-			toInactive.Load(), notSent.Load(), d.Tally().Final[policy.ByNoWorker])
+			toInactive.Load(), notSent.Load(), d.Tally().FinalByReason[policy.ReasonNoWorker])
 	}
 }
--- a/internal/gateway/proxy/history.go
+++ b/internal/gateway/proxy/history.go
@@ -64,14 +64,14 @@
 
 // executionEvidence is what each end of an attempt proves of its execution.
 var executionEvidence = map[policy.Outcome]string{
-	policy.Settled:   history.Answered,
-	policy.Fault:     history.MayRun,
-	policy.Full:      history.NeverRan,
-	policy.TimedOut:  history.MayRun,
-	policy.NoRoute:   history.NeverRan,
-	policy.Cut:       history.MayRun,
-	policy.Withdrawn: history.MayRun,
-	policy.NotSent:   history.NeverRan,
+	policy.Succeeded:      history.Answered,
+	policy.Failed:         history.MayRun,
+	policy.Overloaded:     history.NeverRan,
+	policy.TimedOut:       history.MayRun,
+	policy.ConnectFailed:  history.NeverRan,
+	policy.ConnectionLost: history.MayRun,
+	policy.Cancelled:      history.MayRun,
+	policy.NotSent:        history.NeverRan,
 }
 
 // attemptEnded records the end of an attempt whose start was recorded.
--- a/internal/gateway/proxy/journal.go
+++ b/internal/gateway/proxy/journal.go
@@ -30,7 +30,7 @@
 	names []string) {
 	j := &requestJournal{Journal: k, productNames: names, maxAnswerBytes: t.MaxResponseBytes}
 	for _, product := range products {
-		j.nonIdempotent = append(j.nonIdempotent, product.Repeat == policy.OnceOnly)
+		j.nonIdempotent = append(j.nonIdempotent, product.Idempotency == policy.NonIdempotent)
 	}
 	p.journal = j
 }
@@ -76,10 +76,10 @@
 	found, state, ok := p.journal.Lookup(
 		entry.Customer,
 		entry.RequestID,
-		transport.Millis(t.Left*journalReadShare),
+		transport.Millis(t.TimeLeftMillis*journalReadShare),
 	)
-	if !t.Streams {
-		t.Left = max(t.Left-(p.dispatcher.clock.now()-askedMillis), 0)
+	if !t.StreamsBody {
+		t.TimeLeftMillis = max(t.TimeLeftMillis-(p.dispatcher.clock.now()-askedMillis), 0)
 	}
 	a := found.Response
 	switch {
@@ -87,11 +87,11 @@
 		return final, false
 	case ok && state == txnjournal.SentCompleted && a.Stored && found.Digest == entry.Digest &&
 		found.Product == entry.Product:
-		return transport.FinalAnswer{Kind: policy.Submit, Answer: &transport.Answer{Outcome: policy.Settled,
+		return transport.FinalAnswer{Kind: policy.Submit, Answer: &transport.Answer{Outcome: policy.Succeeded,
 			ContentType: a.ContentType, ContentEncoding: a.ContentEncoding, Body: a.Body,
 			Length: len(a.Body)}}, true
 	}
-	return transport.FinalAnswer{Kind: policy.Void}, true
+	return transport.FinalAnswer{Kind: policy.RejectUncertain}, true
 }
 
 // journalStart tells whether an attempt may be sent: it is not journaled, or its start now is. The wait for
@@ -115,12 +115,12 @@
 	}
 	end, kept := txnjournal.OutcomeUnknown, txnjournal.Response{}
 	switch a.Outcome {
-	case policy.Settled:
+	case policy.Succeeded:
 		if end = txnjournal.OutcomeCompleted; a.Remainder == nil && len(a.Body) <= p.journal.maxAnswerBytes {
 			kept = txnjournal.Response{ContentType: a.ContentType, ContentEncoding: a.ContentEncoding,
 				Body: append([]byte(nil), a.Body...), Stored: true}
 		}
-	case policy.NotSent, policy.NoRoute, policy.Full:
+	case policy.NotSent, policy.ConnectFailed, policy.Overloaded:
 		end = txnjournal.OutcomeNotExecuted
 	}
 	p.journal.RecordOutcome(v.entry.Txn, v.entry.number, v.command.Upstream.Name(), end, kept)
--- a/internal/gateway/proxy/lending.go
+++ b/internal/gateway/proxy/lending.go
@@ -48,7 +48,7 @@
 	d.lender = &lender{book: b, store: s, recorder: r, plans: plans}
 	b.Noting(r != nil)
 	b.Clock(s.Now())
-	d.policy.Borrow(d.lender)
+	d.policy.SetLender(d.lender)
 	d.flushAndUnlock()
 }
 
@@ -57,7 +57,7 @@
 	if d.lender == nil {
 		return
 	}
-	d.policy.Borrow(nil)
+	d.policy.SetLender(nil)
 	d.flushLending()
 	d.lender.store.Close()
 	d.lender = nil
@@ -95,17 +95,17 @@
 // CreditLines gives the plans' lines of credit as the book has them, and whether any plan lends.
 func CreditLines(plans []policy.Plan) (lines []borrowing.Plan, lends bool) {
 	for _, p := range plans {
-		lines = append(lines, borrowing.Plan{Line: p.Credit * p.Rate, Repay: p.Repay})
-		lends = lends || p.Credit > 0 && p.Rate > 0
+		lines = append(lines, borrowing.Plan{Line: p.CreditSeconds * p.QuotaPerSecond, Repay: p.RepayWithinMillis})
+		lends = lends || p.CreditSeconds > 0 && p.QuotaPerSecond > 0
 	}
 	return lines, lends
 }
 
 // applyCharter has the book go by a charter that has changed in service.
-func (l *lender) applyCharter(c *policy.Charter) {
+func (l *lender) applyCharter(c *policy.Settings) {
 	lines, _ := CreditLines(c.Plans)
 	l.book.Clock(l.store.Now())
-	l.book.Resize(max(c.Gatekeepers, 1))
+	l.book.Resize(max(c.GatewayCount, 1))
 	l.book.Replan(lines)
 }
 
@@ -131,7 +131,7 @@
 				d.outbox.add(v.Peer, b)
 			}
 		case borrowing.Collect:
-			took, fill := d.policy.Repay(uint64(v.Customer), v.Plan, v.N, v.Need, v.Most, v.Span)
+			took, fill := d.policy.CollectRepayment(uint64(v.Customer), v.Plan, v.N, v.Need, v.Most, v.Span)
 			l.book.Paid(v.Customer, took, fill)
 		}
 	}
--- a/internal/gateway/proxy/locktimes_test.go
+++ b/internal/gateway/proxy/locktimes_test.go
@@ -9,7 +9,7 @@
 
 // The lock times of full lists and of changes are recorded separately, and only grow.
 func TestLockTimes(t *testing.T) {
-	c := policy.Charter{Gatekeepers: 1, Products: []policy.Product{{SLA: 500}}, Plans: []policy.Plan{{}}}
+	c := policy.Settings{GatewayCount: 1, Products: []policy.Product{{LatencyTargetMillis: 500}}, Plans: []policy.Plan{{}}}
 	d := NewDispatcher(c, 1, 0,
 		func(int, []byte) {}, func(int) {})
 	defer d.Stop()
--- a/internal/gateway/proxy/metrics.go
+++ b/internal/gateway/proxy/metrics.go
@@ -36,18 +36,18 @@
 }
 
 // CachedTally gives the policy's counts as of the last RefreshTally, and never waits.
-func (d *Dispatcher) CachedTally() policy.Tally {
+func (d *Dispatcher) CachedTally() policy.Stats {
 	if t := d.tally.Load(); t != nil {
 		return *t
 	}
-	return policy.Tally{}
+	return policy.Stats{}
 }
 
 // Tally gives the policy's counts.
-func (d *Dispatcher) Tally() policy.Tally {
+func (d *Dispatcher) Tally() policy.Stats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.policy.Tally()
+	return d.policy.Stats()
 }
 
 // RevokedAttempts tells how many attempts were not sent as the lease that they were decided by had expired.
@@ -69,7 +69,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now, t := d.clock.now(), d.policy.Tally()
+	now, t := d.clock.now(), d.policy.Stats()
 	d.meter.Mark(now, &t)
 	d.meter.Tell(report, now, &t, &d.sample, d.workers.ZoneName)
 	if d.lender != nil {
@@ -81,7 +81,7 @@
 func (d *Dispatcher) samplePolicy(from int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.policy.Look(&d.sample, from)
+	return d.policy.WriteSnapshot(&d.sample, from)
 }
 
 // finalKind classifies a final answer for the meter.
@@ -89,7 +89,7 @@
 	switch {
 	case c.Answer != nil:
 		return forecast.Settled
-	case c.Decision.Kind == policy.Decline:
+	case c.Decision.Kind == policy.Reject:
 		return forecast.Declined
 	}
 	return forecast.Voided
--- a/internal/gateway/proxy/peers.go
+++ b/internal/gateway/proxy/peers.go
@@ -5,7 +5,7 @@
 // PeerReplaced tells the policy that another instance, which knows nothing, has a peer's number now.
 func (d *Dispatcher) PeerReplaced(peer int) {
 	d.lockPolicy()
-	d.policy.Returned(peer)
+	d.policy.PeerRestarted(peer)
 	d.flushAndUnlock()
 }
 
@@ -13,11 +13,11 @@
 func (d *Dispatcher) ReceiveReports(peer int, reports []policy.Report, restarted bool) {
 	d.lockPolicy()
 	if restarted {
-		d.policy.Returned(peer)
+		d.policy.PeerRestarted(peer)
 	}
-	if d.ruleset.charter.Narrow { // the peer is alive, but its reports are not used
+	if d.ruleset.charter.QuotaWithoutGossip { // the peer is alive, but its reports are not used
 		reports = nil
 	}
-	d.policy.Hear(peer, reports)
+	d.policy.ReceiveReports(peer, reports)
 	d.flushAndUnlock()
 }
--- a/internal/gateway/proxy/proxy.go
+++ b/internal/gateway/proxy/proxy.go
@@ -63,7 +63,7 @@
 		}
 		d := c.Decision
 		if d.Kind != policy.Submit {
-			return transport.FinalAnswer{Kind: d.Kind, RetryAfterMillis: d.Wait}
+			return transport.FinalAnswer{Kind: d.Kind, RetryAfterMillis: d.WaitMillis}
 		}
 		// The message is a copy: the request's own bytes end with this function, and an attempt that may not be
 		// cancelled outlives it.
@@ -71,8 +71,8 @@
 		if v := c.Lease.Version(); v > 0 {
 			version = int64(v)
 		}
-		v := delivery{request: r, command: c, upload: t.Upload, entry: p.newJournalAttempt(entry, d.N),
-			clientMillis: t.Left}
+		v := delivery{request: r, command: c, upload: t.Upload, entry: p.newJournalAttempt(entry, d.Attempt),
+			clientMillis: t.TimeLeftMillis}
 		v.message, v.deadlineOffset = transport.AppendAttempt(nil, t, version)
 		if p.dispatcher.history != nil {
 			v.requestMark = string(t.RequestID)
@@ -92,7 +92,7 @@
 			go p.deliverLoop(v)
 		}
 	}
-	return transport.FinalAnswer{Kind: policy.Void}
+	return transport.FinalAnswer{Kind: policy.RejectUncertain}
 }
 
 // deliverLoop carries one attempt after another. There are as many of these goroutines as attempts were
@@ -107,14 +107,14 @@
 // deliver carries an attempt to its worker, and tells the dispatcher how it ended.
 func (p *Proxy) deliver(v delivery) {
 	d := &v.command.Decision
-	answer, link, startedMillis := p.exchange(v, p.dispatcher.clock.time(d.At))
+	answer, link, startedMillis := p.exchange(v, p.dispatcher.clock.time(d.AtMillis))
 	if v.upload != nil {
 		v.upload.RemoveReader()
 	}
 	if answer == nil {
 		p.journalEnd(&v, &transport.Answer{Outcome: policy.NotSent})
 		p.dispatcher.history.attemptEnded(&v, policy.NotSent)
-		p.dispatcher.attemptRevoked(v.request, d.N)
+		p.dispatcher.attemptRevoked(v.request, d.Attempt)
 		return
 	}
 	tookMillis := p.dispatcher.clock.now() - startedMillis
@@ -123,7 +123,7 @@
 	}
 	p.journalEnd(&v, answer)
 	p.dispatcher.history.attemptEnded(&v, answer.Outcome)
-	p.dispatcher.attemptEnded(v.request, d.N, d.Worker, answer, tookMillis)
+	p.dispatcher.attemptEnded(v.request, d.Attempt, d.Worker, answer, tookMillis)
 }
 
 // passOn hands an answer whose body is still being read to the request's goroutine, and waits until that has
@@ -132,13 +132,13 @@
 	passed := make(chan error, 1)
 	answer.OnForwarded(func(err error) { passed <- err })
 	err := errAlreadyAnswered
-	if p.dispatcher.answerStarted(v.request, v.command.Decision.N, answer) {
+	if p.dispatcher.answerStarted(v.request, v.command.Decision.Attempt, answer) {
 		err = <-passed
 	}
 	if err != nil || !answer.Reusable() || !p.links.Put(link, &v.command.Upstream) {
 		p.links.Discard(link)
 	}
 	if errors.Is(err, transport.ErrTruncated) {
-		answer.Outcome = policy.Cut
+		answer.Outcome = policy.ConnectionLost
 	}
 }
--- a/internal/gateway/proxy/requests.go
+++ b/internal/gateway/proxy/requests.go
@@ -13,15 +13,15 @@
 // admit gives a request to the policy. What is decided on it comes to its Commands.
 func (d *Dispatcher) admit(t *transport.Request) *inflight.Request {
 	now := d.lockPolicy()
-	r := d.track(&t.Arrival, t.Gone, now)
+	r := d.track(&t.Request, t.Gone, now)
 	r.ExpiryMillis = expiryMillis(t, now)
-	d.policy.Take(t.Arrival)
+	d.policy.AddRequest(t.Request)
 	d.flushAndUnlock()
 	return r
 }
 
 // track adds a request, under the lock. It has no expiry until it arrives.
-func (d *Dispatcher) track(a *policy.Arrival, clientGone func() bool, now float64) *inflight.Request {
+func (d *Dispatcher) track(a *policy.Request, clientGone func() bool, now float64) *inflight.Request {
 	d.requests.lastID++
 	a.ID = d.requests.lastID
 	r := inflight.NewRequest(a.ID, math.Inf(1), clientGone, d.requests.maxAttempts)
@@ -33,30 +33,30 @@
 
 // expiryMillis is when the final answer of a request that arrives now is due.
 func expiryMillis(t *transport.Request, now float64) float64 {
-	if t.Streams {
+	if t.StreamsBody {
 		return math.Inf(1)
 	}
-	return now + t.Left
+	return now + t.TimeLeftMillis
 }
 
 // reserve asks the policy whether a request may arrive within lifeMillis, and tells whether it may.
 func (d *Dispatcher) reserve(t *transport.Request, lifeMillis float64) (*inflight.Request, bool) {
-	a := t.Arrival
-	a.Clears = lifeMillis
+	a := t.Request
+	a.ClearanceMillis = lifeMillis
 	now := d.lockPolicy()
 	r := d.track(&a, t.Gone, now)
-	d.policy.Take(a)
+	d.policy.AddRequest(a)
 	d.flushAndUnlock()
 	return r, r.Reserved
 }
 
 // adoptReservation takes over a reservation of another process, for lifeMillis more.
-func (d *Dispatcher) adoptReservation(a policy.Arrival, lifeMillis float64) *inflight.Request {
-	a.Clears = lifeMillis
+func (d *Dispatcher) adoptReservation(a policy.Request, lifeMillis float64) *inflight.Request {
+	a.ClearanceMillis = lifeMillis
 	now := d.lockPolicy()
 	r := d.track(&a, func() bool { return false }, now)
 	r.Reserved = true
-	d.policy.Cleared(a)
+	d.policy.ImportClearance(a)
 	d.flushAndUnlock()
 	return r
 }
@@ -64,7 +64,7 @@
 // redeem tells the policy that a reserved request has arrived. It is false where the reservation has ended.
 func (d *Dispatcher) redeem(r *inflight.Request, t *transport.Request) bool {
 	now := d.lockPolicy()
-	known := !r.Answered && d.policy.Claim(r.ID, t.Left, t.Streams)
+	known := !r.Answered && d.policy.ClaimClearance(r.ID, t.TimeLeftMillis, t.StreamsBody)
 	if known {
 		t.ID, r.ExpiryMillis, r.ClientGone, r.ArrivedMillis = r.ID, expiryMillis(t, now), t.Gone, now
 	}
@@ -76,7 +76,7 @@
 func (d *Dispatcher) release(r *inflight.Request) {
 	d.lockPolicy()
 	if !r.Answered {
-		d.policy.Release(r.ID)
+		d.policy.ReleaseClearance(r.ID)
 		r.Answered = true
 		d.meter.Ended(r.Plan, r.Product, forecast.Other, 0)
 		d.forgetIfDone(r)
@@ -93,8 +93,8 @@
 // abandon ends a request whose client has gone, under the lock.
 func (d *Dispatcher) abandon(r *inflight.Request, now float64) {
 	if !r.Answered {
-		d.policy.Left(r.ID)
-		d.finalize(r, inflight.Command{Decision: policy.Decision{Kind: policy.Void}}, now)
+		d.policy.ClientGone(r.ID)
+		d.finalize(r, inflight.Command{Decision: policy.Decision{Kind: policy.RejectUncertain}}, now)
 		d.forgetIfDone(r)
 	}
 }
@@ -103,7 +103,7 @@
 // has sent it completely: the client waits for leftMillis from now on. It gives the end of that.
 func (d *Dispatcher) bodySent(r *inflight.Request, n int, leftMillis float64) time.Time {
 	now := d.lockPolicy()
-	d.policy.Poured(r.ID, n, leftMillis)
+	d.policy.BodyForwarded(r.ID, n, leftMillis)
 	if leftMillis > 0 {
 		r.ExpiryMillis, r.BodySentMillis = now+leftMillis, now
 	}
@@ -121,10 +121,10 @@
 // answerStarted makes an answer that is streamed to the client the final one, unless the request has one.
 func (d *Dispatcher) answerStarted(r *inflight.Request, n int, a *transport.Answer) bool {
 	now := d.lockPolicy()
-	starts := !r.Answered && a.Outcome == policy.Settled
+	starts := !r.Answered && a.Outcome == policy.Succeeded
 	if starts {
 		d.finalize(r, inflight.Command{Answer: a}, now)
-		d.policy.Begun(r.ID, n)
+		d.policy.ResponseStarted(r.ID, n)
 	}
 	d.flushAndUnlock()
 	return starts
@@ -133,7 +133,7 @@
 // workerResponded tells the policy that a worker has begun to answer.
 func (d *Dispatcher) workerResponded(worker int) {
 	d.lockPolicy()
-	d.policy.Stirs(worker)
+	d.policy.WorkerResponded(worker)
 	d.flushAndUnlock()
 }
 
@@ -143,13 +143,13 @@
 	now := d.lockPolicy()
 	d.meter.Answered(d.workers.Zone(worker), r.Product, a.Outcome, tookMillis, r.Answered)
 	if a.FromWorker {
-		d.policy.Burden(worker, a.Load)
+		d.policy.ReportWorkerLoad(worker, a.Load)
 		d.meter.Said(d.workers.Zone(worker), a.Load)
 	}
-	if a.Outcome == policy.Settled && !r.Answered {
+	if a.Outcome == policy.Succeeded && !r.Answered {
 		d.finalize(r, inflight.Command{Answer: a}, now)
 	}
-	d.policy.Ended(r.ID, n, a.Outcome, tookMillis, r.Answered)
+	d.policy.AttemptEnded(r.ID, n, a.Outcome, tookMillis, r.Answered)
 	r.Outstanding--
 	d.forgetIfDone(r)
 	d.flushAndUnlock()
@@ -159,10 +159,10 @@
 // expired.
 func (d *Dispatcher) attemptRevoked(r *inflight.Request, n int) {
 	d.lockPolicy()
-	if d.policy.Recall(r.ID, n) {
+	if d.policy.RetractAttempt(r.ID, n) {
 		r.Attempts = r.Attempts[:n]
 	} else {
-		d.policy.Ended(r.ID, n, policy.NotSent, 0, r.Answered)
+		d.policy.AttemptEnded(r.ID, n, policy.NotSent, 0, r.Answered)
 	}
 	r.Outstanding--
 	d.revoked.Add(1)
--- a/internal/gateway/proxy/reservation.go
+++ b/internal/gateway/proxy/reservation.go
@@ -19,13 +19,13 @@
 	r, may := p.dispatcher.reserve(t, lifeMillis)
 	if !may {
 		d := (<-r.Commands).Decision
-		return nil, transport.FinalAnswer{Kind: d.Kind, RetryAfterMillis: d.Wait}
+		return nil, transport.FinalAnswer{Kind: d.Kind, RetryAfterMillis: d.WaitMillis}
 	}
 	return &Reservation{r}, transport.FinalAnswer{}
 }
 
 // AdoptReservation takes over a reservation of another process, for lifeMillis more.
-func (p *Proxy) AdoptReservation(a policy.Arrival, lifeMillis float64) *Reservation {
+func (p *Proxy) AdoptReservation(a policy.Request, lifeMillis float64) *Reservation {
 	return &Reservation{p.dispatcher.adoptReservation(a, lifeMillis)}
 }
 
--- a/internal/gateway/proxy/ruleset.go
+++ b/internal/gateway/proxy/ruleset.go
@@ -13,17 +13,17 @@
 type activeRuleset struct {
 	lease       *inflight.Lease // nil where no rulesets are agreed on
 	lastVersion uint64          // the last version other than 0 that was in force here; 0 where there was none
-	charter     policy.Charter
+	charter     policy.Settings
 	generation  int // of the charter; grows with each change
 }
 
 // ApplyRuleset has the policy act by a charter for as long as a lease is valid, in place of the lease
 // before, which is revoked. Where that lease expires and none has replaced it, nothing passes under a rate
 // limit. It is false, and nothing changes, where the charter differs in what may not change.
-func (d *Dispatcher) ApplyRuleset(lease *inflight.Lease, c policy.Charter) bool {
+func (d *Dispatcher) ApplyRuleset(lease *inflight.Lease, c policy.Settings) bool {
 	d.mu.Lock()
 	lockedMillis := d.clock.now()
-	d.policy.Clock(lockedMillis)
+	d.policy.AdvanceTo(lockedMillis)
 	applied := d.applyRuleset(lease, c)
 	d.flushAndUnlock()
 	d.recordLockTime(lockedMillis, &d.lockTimes.RulesetMicros)
@@ -31,9 +31,9 @@
 }
 
 // applyRuleset is ApplyRuleset, under the lock.
-func (d *Dispatcher) applyRuleset(lease *inflight.Lease, c policy.Charter) bool {
+func (d *Dispatcher) applyRuleset(lease *inflight.Lease, c policy.Settings) bool {
 	d.history.rulesetInForce(lease)
-	if !d.policy.Recharter(c) {
+	if !d.policy.Reconfigure(c) {
 		return false
 	}
 	if d.lender != nil {
@@ -49,7 +49,7 @@
 	}
 	if d.crash.file != nil { // its figures are relative to the rate limits
 		d.crash.file.SetRulesVersion(d.ruleset.lastVersion)
-		base, spent := d.policy.Residue()
+		base, spent := d.policy.CrashState()
 		d.crash.file.Import(base, spent, d.clock.now())
 	}
 	return true
@@ -62,9 +62,9 @@
 		return
 	}
 	c := d.ruleset.charter
-	c.Narrow, c.Plans = true, slices.Clone(c.Plans)
+	c.QuotaWithoutGossip, c.Plans = true, slices.Clone(c.Plans)
 	for i := range c.Plans {
-		c.Plans[i].Withheld = 1
+		c.Plans[i].WithheldFraction = 1
 	}
 	d.applyRuleset(inflight.NewLease(0, history.Bare, math.MaxInt64), c)
 }
@@ -72,8 +72,8 @@
 // Resize sets the number of gateway instances.
 func (d *Dispatcher) Resize(instances int) {
 	d.lockPolicy()
-	d.policy.Resize(instances)
-	d.ruleset.charter.Gatekeepers = instances
+	d.policy.SetGatewayCount(instances)
+	d.ruleset.charter.GatewayCount = instances
 	d.ruleset.generation++
 	if d.lender != nil {
 		d.lender.book.Resize(instances)
--- a/internal/gateway/proxy/stream.go
+++ b/internal/gateway/proxy/stream.go
@@ -21,7 +21,7 @@
 func (p *Proxy) streamBody(v delivery, link *transport.WorkerConn) (answer *transport.Answer,
 	startedMillis float64,
 	sent bool, err error) {
-	n := v.command.Decision.N
+	n := v.command.Decision.Attempt
 	p.dispatcher.bodySent(v.request, n, 0)
 	link.SetDeadline(time.Time{}) // the client's time begins with the end of the body
 	link.ExpectBody()
@@ -35,7 +35,7 @@
 		case v.upload.Err() != nil:
 			link.Abort()
 		default: // what the worker has answered is read within a limit: nothing else would end the wait
-			link.SetDeadline(time.Now().Add(transport.Millis(policy.AnswerPause)))
+			link.SetDeadline(time.Now().Add(transport.Millis(policy.ResponseStallTimeoutMillis)))
 		}
 		uploaded <- err
 	}()
@@ -49,7 +49,7 @@
 		if startedMillis = p.dispatcher.bodySentMillis(v.request); err == nil && answer.Early() {
 			err = errEarlyAnswer // of another attempt, or made up: it does not prove that this one did not run
 		}
-	case err == nil && answer.Outcome == policy.Settled:
+	case err == nil && answer.Outcome == policy.Succeeded:
 		err = errEarlyAnswer // a worker without the complete body has not run it
 	case err == nil:
 		answer.CloseAfter()
--- a/internal/gateway/proxy/wake.go
+++ b/internal/gateway/proxy/wake.go
@@ -32,7 +32,7 @@
 func (d *Dispatcher) onWake() {
 	now := d.lockPolicy()
 	if d.crash.file != nil {
-		window, press, pace := d.policy.Pressure()
+		window, press, pace := d.policy.Congestion()
 		d.crash.file.RecordLoad(window, press, pace, now)
 	}
 	d.watched = d.watched[:0]
--- a/internal/gateway/recovery/checkpoint/checkpoint.go
+++ b/internal/gateway/recovery/checkpoint/checkpoint.go
@@ -53,7 +53,7 @@
 // replaced while it was down; what such a peer reported in its former incarnation would otherwise be
 // counted twice.
 type Snapshot struct {
-	State        policy.Estate
+	State        policy.HandoffState
 	LastMessages []incarnation.MessageID // zero for a peer that has sent nothing
 	Digest       [32]byte                // of what the snapshot depends on, when it was written
 }
@@ -61,10 +61,10 @@
 // Digest identifies everything that a snapshot depends on: the charter, and the version of the ruleset
 // that brought it; 0 where there is none. It covers the printed values of charter.Plans: the order of
 // their fields must not change.
-func Digest(charter policy.Charter, rulesVersion uint64) [32]byte {
-	return sha256.Sum256(fmt.Append(nil, rulesVersion, charter.Me, charter.Gatekeepers, charter.LargestUnits,
-		charter.PeerInPerS,
-		charter.ReportsPerTell, charter.Narrow, charter.Plans))
+func Digest(charter policy.Settings, rulesVersion uint64) [32]byte {
+	return sha256.Sum256(fmt.Append(nil, rulesVersion, charter.GatewayIndex, charter.GatewayCount, charter.MaxRequestUnits,
+		charter.PeerMessagesPerSecond,
+		charter.ReportsPerMessage, charter.QuotaWithoutGossip, charter.Plans))
 }
 
 // slotFile is what a Writer writes to; tests replace it.
@@ -190,7 +190,7 @@
 	if decoding.snapshot(snapshot); decoding.failed || len(decoding.data) > 0 {
 		return nil, ErrCorrupt
 	}
-	clockShift := now - (uptimeMillis - writtenUptime) - state.At
+	clockShift := now - (uptimeMillis - writtenUptime) - state.AtMillis
 	if math.IsNaN(clockShift) || math.IsInf(clockShift, 0) {
 		return nil, ErrCorrupt
 	}
@@ -201,7 +201,7 @@
 }
 
 // shiftTimes adds a number of ms to all times but those that are 0 (never).
-func shiftTimes(state *policy.Estate, by float64) {
+func shiftTimes(state *policy.HandoffState, by float64) {
 	shiftAll := func(times ...*float64) {
 		for _, time := range times {
 			if *time != 0 {
@@ -209,15 +209,15 @@
 			}
 		}
 	}
-	shiftAll(&state.At, &state.Started, &state.NextTell)
+	shiftAll(&state.AtMillis, &state.StartedAtMillis, &state.NextReportAtMillis)
 	for i := range state.Peers {
 		peer := &state.Peers[i]
-		shiftAll(&peer.Heard, &peer.Told, &peer.Owes, &peer.Spoke)
+		shiftAll(&peer.HeardAtMillis, &peer.ReportedAtMillis, &peer.ReportDueSinceMillis, &peer.ReportsHeardAtMillis)
 	}
 	for i := range state.Customers {
 		customer := &state.Customers[i]
-		shiftAll(&customer.Filled, &customer.Heard, &customer.Seen, &customer.CoolSince, &customer.SaidAt,
-			&customer.Dealt)
+		shiftAll(&customer.FilledAtMillis, &customer.PeerDemandAtMillis, &customer.LastRequestAtMillis, &customer.CoolSinceMillis, &customer.ReportedAtMillis,
+			&customer.CreditAtMillis)
 	}
 }
 
--- a/internal/gateway/recovery/checkpoint/checkpoint_test.go
+++ b/internal/gateway/recovery/checkpoint/checkpoint_test.go
@@ -17,7 +17,7 @@
 	"willowdeck/internal/policy"
 )
 
-var digest = Digest(policy.Charter{Gatekeepers: 2, Plans: []policy.Plan{{Rate: 10, Burst: 20}}}, 3)
+var digest = Digest(policy.Settings{GatewayCount: 2, Plans: []policy.Plan{{QuotaPerSecond: 10, QuotaBurst: 20}}}, 3)
 
 func unixMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
@@ -26,16 +26,16 @@
 	snapshot := &Snapshot{Digest: digest, LastMessages: []incarnation.MessageID{{},
 		{Incarnation: 7, Sequence: 8}}}
 	state := &snapshot.State
-	*state = policy.Estate{At: at, Started: at - 9000, NextTell: at + 100, Tight: []float64{0.9},
-		Stay: []float64{120}, Peers: []policy.Hearing{{}, {
-			Heard: at - 10, Told: at - 20, Owes: at - 30, Spoke: at - 40, Silent: true,
-			Last: []policy.Report{{Customer: 3, Demand: 7}, {Customer: 4, Plan: 1, Demand: 8}}}}}
+	*state = policy.HandoffState{AtMillis: at, StartedAtMillis: at - 9000, NextReportAtMillis: at + 100, ShortDeadlineSuccess: []float64{0.9},
+		AttemptMillis: []float64{120}, Peers: []policy.PeerState{{}, {
+			HeardAtMillis: at - 10, ReportedAtMillis: at - 20, ReportDueSinceMillis: at - 30, ReportsHeardAtMillis: at - 40, Silent: true,
+			LastReports: []policy.Report{{Customer: 3, DemandPerSecond: 7}, {Customer: 4, Plan: 1, DemandPerSecond: 8}}}}}
 	for i := range customers {
-		state.Customers = append(state.Customers, policy.Customer{Key: uint64(i), Plan: i % 3, N: 2, First: 1,
-			Txns:    i,
-			Holding: 1, Level: level, Whole: 3, Filled: at - 1, Others: 4, Flow: 5, Held: 6, Heard: at - 2, Demand: 7,
-			Lately: 8, Seen: at - 3, CoolSince: at - 4, Unsaid: 9, Said: 10, SaidAt: at - 5, Known: 11, Hot: i%2 == 0,
-			Lag: 12, Dealt: at - 6})
+		state.Customers = append(state.Customers, policy.CustomerState{ID: uint64(i), Plan: i % 3, SetSize: 2, FirstGateway: 1,
+			Requests:    i,
+			SilentPeers: 1, ShareTokens: level, QuotaTokens: 3, FilledAtMillis: at - 1, PeerDemand: 4, PeerSpentUnits: 5, SilentPeerDemand: 6, PeerDemandAtMillis: at - 2, OwnDemand: 7,
+			RecentDemand: 8, LastRequestAtMillis: at - 3, CoolSinceMillis: at - 4, UnreportedUnits: 9, ReportedDemand: 10, ReportedAtMillis: at - 5, PreviousReportedDemand: 11, Hot: i%2 == 0,
+			UncollectedRepayment: 12, CreditAtMillis: at - 6})
 	}
 	return snapshot
 }
@@ -75,10 +75,10 @@
 	}
 	for _, by := range []float64{-3600e3, 3600e3} {
 		writer, snapshot, rejected = openAt(t, path, now+100+by, 1e6+100)
-		if want := snapshotAt(now+2+by, 5, 2); rejected != nil || math.Abs(snapshot.State.At-want.State.At) > 1 ||
-			math.Abs(snapshot.State.Customers[4].Seen-want.State.Customers[4].Seen) > 1 ||
-			snapshot.State.Peers[0].Heard != 0 ||
-			math.Abs(snapshot.State.Peers[1].Heard-want.State.Peers[1].Heard) > 1 {
+		if want := snapshotAt(now+2+by, 5, 2); rejected != nil || math.Abs(snapshot.State.AtMillis-want.State.AtMillis) > 1 ||
+			math.Abs(snapshot.State.Customers[4].LastRequestAtMillis-want.State.Customers[4].LastRequestAtMillis) > 1 ||
+			snapshot.State.Peers[0].HeardAtMillis != 0 ||
+			math.Abs(snapshot.State.Peers[1].HeardAtMillis-want.State.Peers[1].HeardAtMillis) > 1 {
 			t.Errorf("clock set by %v: %v %+v", by, rejected, snapshot)
 		}
 		writer.Close()
@@ -128,13 +128,13 @@
 		if rejected != nil || (err != nil) != (cutOffset < slotLength) {
 			t.Fatalf("after %d bytes of %d: %v, %v", cutOffset, slotLength, rejected, err)
 		}
-		switch snapshot.State.Customers[0].Level {
+		switch snapshot.State.Customers[0].ShareTokens {
 		case 2:
 			older++
 		case 3:
 			newer++
 		}
-		if !reflect.DeepEqual(snapshot, snapshotAt(now, 3, snapshot.State.Customers[0].Level)) {
+		if !reflect.DeepEqual(snapshot, snapshotAt(now, 3, snapshot.State.Customers[0].ShareTokens)) {
 			t.Errorf("after %d bytes: %+v", cutOffset, snapshot)
 		}
 	}
@@ -193,7 +193,7 @@
 		}
 		b.Close()
 		if b, snapshot, rejected = openAt(t, path, now, c.up); rejected != nil ||
-			snapshot.State.Customers[3].Level != 2 {
+			snapshot.State.Customers[3].ShareTokens != 2 {
 			t.Errorf("%s: the next checkpoint: %v", c.name, rejected)
 		}
 		b.Close()
@@ -206,15 +206,15 @@
 // TestDigest: a charter that differs, also only in what it withholds or in Narrow, and another ruleset
 // have another digest.
 func TestDigest(t *testing.T) {
-	of := func() policy.Charter {
-		return policy.Charter{Gatekeepers: 2, Plans: []policy.Plan{{Rate: 10, Burst: 20}}}
+	of := func() policy.Settings {
+		return policy.Settings{GatewayCount: 2, Plans: []policy.Plan{{QuotaPerSecond: 10, QuotaBurst: 20}}}
 	}
-	for i, change := range []func(c *policy.Charter, rules *uint64){
-		func(c *policy.Charter, _ *uint64) { c.Gatekeepers = 3 },
-		func(c *policy.Charter, _ *uint64) { c.Narrow = true },
-		func(c *policy.Charter, _ *uint64) { c.Plans[0].Withheld = 0.5 },
-		func(c *policy.Charter, _ *uint64) { c.Plans[0].Credit = 1 },
-		func(_ *policy.Charter, rules *uint64) { *rules = 4 }} {
+	for i, change := range []func(c *policy.Settings, rules *uint64){
+		func(c *policy.Settings, _ *uint64) { c.GatewayCount = 3 },
+		func(c *policy.Settings, _ *uint64) { c.QuotaWithoutGossip = true },
+		func(c *policy.Settings, _ *uint64) { c.Plans[0].WithheldFraction = 0.5 },
+		func(c *policy.Settings, _ *uint64) { c.Plans[0].CreditSeconds = 1 },
+		func(_ *policy.Settings, rules *uint64) { *rules = 4 }} {
 		c, rules := of(), uint64(3)
 		if Digest(c, rules) != digest {
 			t.Fatal("equal input has another digest")
@@ -259,7 +259,7 @@
 	first.Close()
 	second.Close()
 	writer, snapshot, _ := openAt(t, path, now, 1e6)
-	if snapshot == nil || snapshot.State.Customers[0].Level != 2 {
+	if snapshot == nil || snapshot.State.Customers[0].ShareTokens != 2 {
 		t.Errorf("read %+v", snapshot)
 	}
 	writer.Close()
@@ -309,8 +309,8 @@
 		}
 		writer.Close()
 		all := snapshot.State.Customers
-		reported := all[0].Level
-		if len(all) != 2000 || reported < float64(last)-0.5 && last == kill || all[1999].Level != reported {
+		reported := all[0].ShareTokens
+		if len(all) != 2000 || reported < float64(last)-0.5 && last == kill || all[1999].ShareTokens != reported {
 			t.Errorf("%d was reported, %d customers, %v is left", last, len(all), reported)
 		}
 	}
--- a/internal/gateway/recovery/checkpoint/encoding.go
+++ b/internal/gateway/recovery/checkpoint/encoding.go
@@ -10,30 +10,30 @@
 // The encoding of a Snapshot. Counts and indexes are 32 bits, times and quantities are float64.
 
 // customerFloats returns pointers to the encoded floats of a customer, in the order of the form.
-func customerFloats(customer *policy.Customer) [17]*float64 {
-	return [...]*float64{&customer.Level, &customer.Whole, &customer.Filled, &customer.Others, &customer.Flow,
-		&customer.Held, &customer.Heard, &customer.Demand,
-		&customer.Lately, &customer.Seen, &customer.CoolSince, &customer.Unsaid, &customer.Said, &customer.SaidAt,
-		&customer.Known, &customer.Lag,
-		&customer.Dealt}
+func customerFloats(customer *policy.CustomerState) [17]*float64 {
+	return [...]*float64{&customer.ShareTokens, &customer.QuotaTokens, &customer.FilledAtMillis, &customer.PeerDemand, &customer.PeerSpentUnits,
+		&customer.SilentPeerDemand, &customer.PeerDemandAtMillis, &customer.OwnDemand,
+		&customer.RecentDemand, &customer.LastRequestAtMillis, &customer.CoolSinceMillis, &customer.UnreportedUnits, &customer.ReportedDemand, &customer.ReportedAtMillis,
+		&customer.PreviousReportedDemand, &customer.UncollectedRepayment,
+		&customer.CreditAtMillis}
 }
 
 // encode appends the snapshot to b.
 func encode(b []byte, snapshot *Snapshot) []byte {
 	state := &snapshot.State
-	for _, number := range [...]int{len(state.Peers), len(state.Tight), len(state.Customers)} {
+	for _, number := range [...]int{len(state.Peers), len(state.ShortDeadlineSuccess), len(state.Customers)} {
 		b = byteOrder.AppendUint32(b, uint32(number))
 	}
-	for _, v := range [...]float64{state.At, state.Started, state.NextTell} {
+	for _, v := range [...]float64{state.AtMillis, state.StartedAtMillis, state.NextReportAtMillis} {
 		b = appendFloat(b, v)
 	}
-	for i := range state.Tight {
-		b = appendFloat(appendFloat(b, state.Tight[i]), state.Stay[i])
+	for i := range state.ShortDeadlineSuccess {
+		b = appendFloat(appendFloat(b, state.ShortDeadlineSuccess[i]), state.AttemptMillis[i])
 	}
 	reportBytesLeft := maxReportBytes
 	for i := range state.Peers {
 		peer := &state.Peers[i]
-		for _, v := range [...]float64{peer.Heard, peer.Told, peer.Owes, peer.Spoke} {
+		for _, v := range [...]float64{peer.HeardAtMillis, peer.ReportedAtMillis, peer.ReportDueSinceMillis, peer.ReportsHeardAtMillis} {
 			b = appendFloat(b, v)
 		}
 		var message incarnation.MessageID
@@ -41,21 +41,21 @@
 			message = snapshot.LastMessages[i]
 		}
 		b = byteOrder.AppendUint32(byteOrder.AppendUint32(b, message.Incarnation), message.Sequence)
-		number := min(len(peer.Last), reportBytesLeft/reportSize)
+		number := min(len(peer.LastReports), reportBytesLeft/reportSize)
 		reportBytesLeft -= number * reportSize
-		b = byteOrder.AppendUint32(byteOrder.AppendUint32(b, flagBit(peer.Silent, 1)|flagBit(peer.Gone, 2)),
+		b = byteOrder.AppendUint32(byteOrder.AppendUint32(b, flagBit(peer.Silent, 1)|flagBit(peer.Lost, 2)),
 			uint32(number))
-		for k := range peer.Last[:number] {
-			report := &peer.Last[k]
+		for k := range peer.LastReports[:number] {
+			report := &peer.LastReports[k]
 			b = byteOrder.AppendUint32(byteOrder.AppendUint32(b, uint32(report.Customer)), uint32(report.Plan))
-			b = appendFloat(b, report.Demand)
+			b = appendFloat(b, report.DemandPerSecond)
 		}
 	}
 	for i := range state.Customers {
 		customer := &state.Customers[i]
-		for _, number := range [...]int{int(uint32(customer.Key)), customer.Plan, customer.N, customer.First,
-			min(customer.Txns, math.MaxInt32),
-			customer.Holding<<1 | int(flagBit(customer.Hot, 1))} {
+		for _, number := range [...]int{int(uint32(customer.ID)), customer.Plan, customer.SetSize, customer.FirstGateway,
+			min(customer.Requests, math.MaxInt32),
+			customer.SilentPeers<<1 | int(flagBit(customer.Hot, 1))} {
 			b = byteOrder.AppendUint32(b, uint32(number))
 		}
 		for _, v := range customerFloats(customer) {
@@ -115,27 +115,27 @@
 func (d *decoder) snapshot(snapshot *Snapshot) {
 	state := &snapshot.State
 	peers, plans, customers := d.uint32(), d.uint32(), d.uint32()
-	state.At, state.Started, state.NextTell = d.float64(), d.float64(), d.float64()
+	state.AtMillis, state.StartedAtMillis, state.NextReportAtMillis = d.float64(), d.float64(), d.float64()
 	for range d.count(plans, 16) {
-		state.Tight, state.Stay = append(state.Tight, d.float64()), append(state.Stay, d.float64())
+		state.ShortDeadlineSuccess, state.AttemptMillis = append(state.ShortDeadlineSuccess, d.float64()), append(state.AttemptMillis, d.float64())
 	}
 	for range d.count(peers, peerSize) {
-		peer := policy.Hearing{Heard: d.float64(), Told: d.float64(), Owes: d.float64(), Spoke: d.float64()}
+		peer := policy.PeerState{HeardAtMillis: d.float64(), ReportedAtMillis: d.float64(), ReportDueSinceMillis: d.float64(), ReportsHeardAtMillis: d.float64()}
 		message := incarnation.MessageID{Incarnation: uint32(d.uint32()), Sequence: uint32(d.uint32())}
 		snapshot.LastMessages = append(snapshot.LastMessages, message)
 		flags := d.uint32()
-		peer.Silent, peer.Gone = flags&1 != 0, flags&2 != 0
+		peer.Silent, peer.Lost = flags&1 != 0, flags&2 != 0
 		for range d.count(d.uint32(), reportSize) {
-			peer.Last = append(peer.Last, policy.Report{Customer: uint64(d.uint32()), Plan: d.uint32(),
-				Demand: d.float64()})
+			peer.LastReports = append(peer.LastReports, policy.Report{Customer: uint64(d.uint32()), Plan: d.uint32(),
+				DemandPerSecond: d.float64()})
 		}
 		state.Peers = append(state.Peers, peer)
 	}
 	for range d.count(customers, customerSize) {
-		customer := policy.Customer{Key: uint64(d.uint32()), Plan: d.uint32(), N: d.uint32(), First: d.uint32(),
-			Txns: d.uint32()}
+		customer := policy.CustomerState{ID: uint64(d.uint32()), Plan: d.uint32(), SetSize: d.uint32(), FirstGateway: d.uint32(),
+			Requests: d.uint32()}
 		flags := d.uint32()
-		customer.Holding, customer.Hot = flags>>1, flags&1 != 0
+		customer.SilentPeers, customer.Hot = flags>>1, flags&1 != 0
 		for _, value := range customerFloats(&customer) {
 			*value = d.float64()
 		}
--- a/internal/gateway/recovery/crashstate/file.go
+++ b/internal/gateway/recovery/crashstate/file.go
@@ -58,11 +58,11 @@
 
 // Digest identifies everything that the stored values depend on: the instance's index, the number of
 // instances and the plans' rate limits. A file with another digest is ignored.
-func Digest(charter policy.Charter) [32]byte {
+func Digest(charter policy.Settings) [32]byte {
 	var input bytes.Buffer
-	fmt.Fprint(&input, charter.Me, charter.Gatekeepers, len(charter.Plans))
+	fmt.Fprint(&input, charter.GatewayIndex, charter.GatewayCount, len(charter.Plans))
 	for _, plan := range charter.Plans {
-		fmt.Fprint(&input, " ", plan.CeilingRate, plan.CeilingDepth)
+		fmt.Fprint(&input, " ", plan.RateLimitPerSecond, plan.RateLimitBurst)
 	}
 	return sha256.Sum256(input.Bytes())
 }
@@ -99,7 +99,7 @@
 // nil where there is nothing usable. Times are Unix ms, as is now. A file that is locked by another
 // process is left to that process and a new one is created in its place, since what the other spends from
 // here on would be missing in this one. An error means that no crash state can be kept.
-func Open(path string, digest [32]byte, now float64) (*File, *policy.Residue, error) {
+func Open(path string, digest [32]byte, now float64) (*File, *policy.CrashState, error) {
 	bootID, uptime, err := readBoot()
 	if err != nil {
 		return nil, nil, fmt.Errorf("crash state: %w", err)
@@ -110,7 +110,7 @@
 	}
 	crash := &File{data: data, file: file, slotOf: map[uint32]int{}}
 	clockOffset := now - uptime
-	var residue *policy.Residue
+	var residue *policy.CrashState
 	if existed && crash.loadUint(offsetMagic) == magic &&
 		bytes.Equal(data[offsetDigest:offsetDigest+32], digest[:]) &&
 		bytes.Equal(bytes.TrimRight(data[offsetBootID:offsetClock], "\x00"), bootID) {
@@ -189,15 +189,15 @@
 
 // restore reads what an earlier process left. If the system clock was set in between, all times are
 // shifted by as much.
-func (r *File) restore(clockShift, now float64) *policy.Residue {
+func (r *File) restore(clockShift, now float64) *policy.CrashState {
 	if math.Abs(clockShift) < maxClockDrift {
 		clockShift = 0
 	}
 	if math.IsNaN(clockShift) || math.IsInf(clockShift, 0) {
 		return nil
 	}
-	residue := &policy.Residue{Base: r.loadFloat(offsetBase) + clockShift}
-	r.storeFloat(offsetBase, residue.Base)
+	residue := &policy.CrashState{RateLimitBaseMillis: r.loadFloat(offsetBase) + clockShift}
+	r.storeFloat(offsetBase, residue.RateLimitBaseMillis)
 	for i := range slotCount {
 		offset := headerSize + i*slotSize
 		fullAt := r.loadFloat(offset)
@@ -212,16 +212,16 @@
 			continue
 		}
 		key := r.loadUint(offset + 8)
-		residue.Ceilings = append(residue.Ceilings, policy.Spent{Customer: uint64(uint32(key)),
-			Plan: int(key >> 32),
-			Full: fullAt})
+		residue.RateLimits = append(residue.RateLimits, policy.SpentRateLimit{Customer: uint64(uint32(key)),
+			Plan:         int(key >> 32),
+			FullAtMillis: fullAt})
 		r.slotOf[uint32(key)] = offset
 	}
 	if loadTime := r.loadFloat(offsetLoadTime) + clockShift; now-loadTime < loadMaxAge {
-		residue.Window, residue.Press = r.loadFloat(offsetWindow), r.loadFloat(offsetPressure)
-		residue.Pace = r.loadFloat(offsetPace)
+		residue.Window, residue.Pressure = r.loadFloat(offsetWindow), r.loadFloat(offsetPressure)
+		residue.ResponseMillis = r.loadFloat(offsetPace)
 	}
-	if !(residue.Base > 0) || residue.Base > now+maxClockDrift {
+	if !(residue.RateLimitBaseMillis > 0) || residue.RateLimitBaseMillis > now+maxClockDrift {
 		return nil
 	}
 	return residue
@@ -279,10 +279,10 @@
 
 // Import records the state that a predecessor handed over in a hot restart: this process spends from here
 // on.
-func (r *File) Import(base float64, spent []policy.Spent, now float64) {
+func (r *File) Import(base float64, spent []policy.SpentRateLimit, now float64) {
 	r.storeFloat(offsetBase, base)
 	for _, s := range spent {
-		r.RecordSpent(s.Customer, s.Plan, s.Full, now)
+		r.RecordSpent(s.Customer, s.Plan, s.FullAtMillis, now)
 	}
 }
 
--- a/internal/gateway/recovery/crashstate/file_test.go
+++ b/internal/gateway/recovery/crashstate/file_test.go
@@ -15,14 +15,14 @@
 	"willowdeck/internal/policy"
 )
 
-var digest = Digest(policy.Charter{Gatekeepers: 2, Plans: []policy.Plan{{CeilingRate: 10, CeilingDepth: 20}}})
+var digest = Digest(policy.Settings{GatewayCount: 2, Plans: []policy.Plan{{RateLimitPerSecond: 10, RateLimitBurst: 20}}})
 
 var testClockShift float64
 
 func unixMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
 // openAt opens a file at a time. The uptime moves with it, but for testClockShift.
-func openAt(t *testing.T, path string, now float64) (*File, *policy.Residue) {
+func openAt(t *testing.T, path string, now float64) (*File, *policy.CrashState) {
 	t.Helper()
 	bootID, _, _ := readMachineBoot()
 	readBoot = func() ([]byte, float64, error) { return bootID, now - 1e12 - testClockShift, nil }
@@ -48,24 +48,24 @@
 	file.RecordLoad(40, 0.2, 25, now+10)
 	file.Close()
 	file, residue = openAt(t, path, now+1000)
-	if residue == nil || residue.Base != now || len(residue.Ceilings) != 1 ||
-		residue.Ceilings[0] != (policy.Spent{Customer: 7, Plan: 1, Full: now + 6000}) || residue.Window != 40 {
+	if residue == nil || residue.RateLimitBaseMillis != now || len(residue.RateLimits) != 1 ||
+		residue.RateLimits[0] != (policy.SpentRateLimit{Customer: 7, Plan: 1, FullAtMillis: now + 6000}) || residue.Window != 40 {
 		t.Fatalf("restored %+v", residue)
 	}
 	file.RecordSpent(9, 0, now+9000, now+1000)
 	file.Close()
 	file, residue = openAt(t, path, now+20000)
-	if residue == nil || len(residue.Ceilings) != 0 || residue.Base != now || residue.Window != 0 {
+	if residue == nil || len(residue.RateLimits) != 0 || residue.RateLimitBaseMillis != now || residue.Window != 0 {
 		t.Errorf("later restored %+v", residue)
 	}
 	file.Invalidate()
 	if file, residue = openAt(t, path, now+20000); residue != nil {
 		t.Errorf("after another process took over: %+v", residue)
 	}
-	file.Import(now-50, []policy.Spent{{Customer: 3, Plan: 0, Full: now + 30000}}, now+20000)
+	file.Import(now-50, []policy.SpentRateLimit{{Customer: 3, Plan: 0, FullAtMillis: now + 30000}}, now+20000)
 	file.Close()
 	file, residue = openAt(t, path, now+20000)
-	if residue == nil || residue.Base != now-50 || len(residue.Ceilings) != 1 {
+	if residue == nil || residue.RateLimitBaseMillis != now-50 || len(residue.RateLimits) != 1 {
 		t.Errorf("imported %+v", residue)
 	}
 	// A second process creates a file of its own, and the next start ignores the first one's.
@@ -75,8 +75,8 @@
 	}
 	file.Close()
 	second.Close()
-	if second, other = openAt(t, path, now+21000); other == nil || other.Base != now+20000 ||
-		len(other.Ceilings) != 0 {
+	if second, other = openAt(t, path, now+21000); other == nil || other.RateLimitBaseMillis != now+20000 ||
+		len(other.RateLimits) != 0 {
 		t.Errorf("after two at once: %+v", other)
 	}
 	second.Close()
@@ -117,7 +117,7 @@
 			t.Errorf("%s: %+v", c.name, residue)
 		}
 		file.Close()
-		if file, residue = openAt(t, path, now+20); residue == nil || residue.Base != now+10 {
+		if file, residue = openAt(t, path, now+20); residue == nil || residue.RateLimitBaseMillis != now+10 {
 			t.Errorf("%s: at the next start %+v", c.name, residue)
 		}
 		file.Close()
@@ -142,8 +142,8 @@
 		testClockShift = by
 		file, residue := openAt(t, path, now+by)
 		testClockShift = 0
-		if residue == nil || len(residue.Ceilings) != 1 ||
-			math.Abs(residue.Ceilings[0].Full-(now+5000+by)) > 2*maxClockDrift {
+		if residue == nil || len(residue.RateLimits) != 1 ||
+			math.Abs(residue.RateLimits[0].FullAtMillis-(now+5000+by)) > 2*maxClockDrift {
 			t.Errorf("clock set by %v: %+v", by, residue)
 		}
 		file.Close()
@@ -167,7 +167,7 @@
 	file.Close()
 	file, residue := openAt(t, path, now+100)
 	if residue != nil { // the base is in the future: all count as spent
-		t.Errorf("the base is %v ahead", residue.Base-now)
+		t.Errorf("the base is %v ahead", residue.RateLimitBaseMillis-now)
 	}
 	file.Close()
 }
@@ -219,8 +219,8 @@
 			t.Fatal("nothing was restored")
 		}
 		got := map[uint64]float64{}
-		for _, s := range residue.Ceilings {
-			got[s.Customer] = s.Full
+		for _, s := range residue.RateLimits {
+			got[s.Customer] = s.FullAtMillis
 		}
 		for key, fullAt := range reported {
 			if got[key] < fullAt-1e-3 { // the last line may be cut within its number
--- a/internal/gateway/recovery/crashstate/golden_test.go
+++ b/internal/gateway/recovery/crashstate/golden_test.go
@@ -23,18 +23,18 @@
 	readBoot = func() ([]byte, float64, error) { return []byte("golden-boot"), goldenUptime, nil }
 }
 
-func goldenCharter() policy.Charter {
-	return policy.Charter{Me: 1, Gatekeepers: 3, Plans: []policy.Plan{{CeilingRate: 10, CeilingDepth: 20},
-		{CeilingRate: 30.5, CeilingDepth: 40.5}}}
+func goldenCharter() policy.Settings {
+	return policy.Settings{GatewayIndex: 1, GatewayCount: 3, Plans: []policy.Plan{{RateLimitPerSecond: 10, RateLimitBurst: 20},
+		{RateLimitPerSecond: 30.5, RateLimitBurst: 40.5}}}
 }
 
 // goldenResidue is what residue.hex holds: the header and the first slots of a file; the rest is zero. The
 // file was written once by writeGoldenFile, before names were changed. It is what a killed process of an
 // older version leaves; new code must never write it again.
-func goldenResidue() policy.Residue {
-	return policy.Residue{Base: goldenNow, Window: 40.5, Press: 0.25, Pace: 25.5, Ceilings: []policy.Spent{
-		{Customer: 0x01020304, Plan: 1, Full: goldenNow + 5000},
-		{Customer: 0xfffefdfc, Plan: 2, Full: goldenNow + 6000}}}
+func goldenResidue() policy.CrashState {
+	return policy.CrashState{RateLimitBaseMillis: goldenNow, Window: 40.5, Pressure: 0.25, ResponseMillis: 25.5, RateLimits: []policy.SpentRateLimit{
+		{Customer: 0x01020304, Plan: 1, FullAtMillis: goldenNow + 5000},
+		{Customer: 0xfffefdfc, Plan: 2, FullAtMillis: goldenNow + 6000}}}
 }
 
 // writeGoldenFile has a process leave the golden state, and returns the file's content.
@@ -47,10 +47,10 @@
 		t.Fatal(left, err)
 	}
 	residue := goldenResidue()
-	for _, s := range residue.Ceilings {
-		file.RecordSpent(s.Customer, s.Plan, s.Full, goldenNow)
+	for _, s := range residue.RateLimits {
+		file.RecordSpent(s.Customer, s.Plan, s.FullAtMillis, goldenNow)
 	}
-	file.RecordLoad(residue.Window, residue.Press, residue.Pace, goldenNow)
+	file.RecordLoad(residue.Window, residue.Pressure, residue.ResponseMillis, goldenNow)
 	file.SetRulesVersion(goldenRulesVersion)
 	file.Close()
 	raw, err := os.ReadFile(path)
--- a/internal/gateway/transport/answer.go
+++ b/internal/gateway/transport/answer.go
@@ -22,13 +22,13 @@
 	ContentType     string
 	ContentEncoding string
 	Body            []byte
-	Remainder       io.Reader     // what follows Body of a long answer; nil where Body is complete
-	Length          int           // of Body and Remainder; negative where it is not stated
-	Load            policy.Burden // as the worker reports it
-	FromWorker      bool          // the worker sent it, up to Remainder
-	closesConn      bool          // its connection is of no more use
-	early           bool          // it began before the last part of the request's body was written
-	onForwarded     func(error)   // to be called once Remainder has been forwarded or could not be
+	Remainder       io.Reader         // what follows Body of a long answer; nil where Body is complete
+	Length          int               // of Body and Remainder; negative where it is not stated
+	Load            policy.WorkerLoad // as the worker reports it
+	FromWorker      bool              // the worker sent it, up to Remainder
+	closesConn      bool              // its connection is of no more use
+	early           bool              // it began before the last part of the request's body was written
+	onForwarded     func(error)       // to be called once Remainder has been forwarded or could not be
 }
 
 // Reusable tells whether the connection can carry another attempt.
@@ -49,7 +49,7 @@
 	if a.Length >= 0 {
 		return a.writeBody(w)
 	}
-	buffered := bufio.NewWriterSize(w, policy.PassBytes)
+	buffered := bufio.NewWriterSize(w, policy.BodyChunkBytes)
 	chunked := httputil.NewChunkedWriter(buffered)
 	if err := a.writeBody(flushingWriter{chunked, buffered}); err != nil {
 		return err
@@ -76,7 +76,7 @@
 
 // parseLoad reads the load that a worker reports. A field is -1 where the report is missing, given twice or
 // unreadable, or the field is no number of 0 or more.
-func parseLoad(head *fasthttp.ResponseHeader) policy.Burden {
+func parseLoad(head *fasthttp.ResponseHeader) policy.WorkerLoad {
 	var fields map[string]any
 	if values := head.PeekAll("X-Load"); len(values) != 1 || json.Unmarshal(values[0], &fields) != nil {
 		fields = nil
@@ -90,5 +90,5 @@
 			}
 		}
 	}
-	return policy.Burden{Held: reported[0], Waiting: reported[1], Busy: reported[2]}
+	return policy.WorkerLoad{InFlight: reported[0], Queued: reported[1], CPUFraction: reported[2]}
 }
--- a/internal/gateway/transport/client_connection.go
+++ b/internal/gateway/transport/client_connection.go
@@ -155,7 +155,7 @@
 	})
 	if ok && !c.lingerOnClose.Load() && socket.CloseWrite() == nil {
 		c.markClosing()
-		socket.AwaitPeerClose(Millis(policy.Linger))
+		socket.AwaitPeerClose(Millis(policy.LingerTimeoutMillis))
 	}
 }
 
@@ -169,7 +169,7 @@
 func (c *clientConn) setReadDeadline(deadline time.Time) {
 	_ = c.SetReadDeadline(deadline)
 	if c.listener.hurried.Load() { // read after the deadline is set: HurryReads does it the other way round
-		if limit := time.Now().Add(Millis(policy.AcceptAgain)); limit.Before(deadline) {
+		if limit := time.Now().Add(Millis(policy.AcceptRetryMillis)); limit.Before(deadline) {
 			_ = c.SetReadDeadline(limit)
 		}
 	}
@@ -228,8 +228,8 @@
 		if socket, ok := c.Conn.(interface{ CloseWrite() error }); ok && c.lingerOnClose.Load() &&
 			socket.CloseWrite() == nil {
 			c.markClosing()
-			_ = c.SetReadDeadline(time.Now().Add(Millis(policy.Linger)))
-			_, _ = io.CopyN(io.Discard, c.Conn, policy.LingerBytes)
+			_ = c.SetReadDeadline(time.Now().Add(Millis(policy.LingerTimeoutMillis)))
+			_, _ = io.CopyN(io.Discard, c.Conn, policy.MaxLingerBytes)
 		}
 		err = c.Conn.Close()
 		c.listener.mu.Lock()
--- a/internal/gateway/transport/copy.go
+++ b/internal/gateway/transport/copy.go
@@ -14,12 +14,12 @@
 )
 
 // copyBuffers are the buffers through which long bodies and answers are forwarded.
-var copyBuffers = sync.Pool{New: func() any { return new([policy.PassBytes]byte) }}
+var copyBuffers = sync.Pool{New: func() any { return new([policy.BodyChunkBytes]byte) }}
 
 // copyThroughBuffer copies r to w through one buffer and gives how many bytes were written. An error of r is
 // wrapped with ErrTruncated, one of w is given as it is.
 func copyThroughBuffer(w io.Writer, r io.Reader) (n int64, err error) {
-	buf := copyBuffers.Get().(*[policy.PassBytes]byte)
+	buf := copyBuffers.Get().(*[policy.BodyChunkBytes]byte)
 	defer copyBuffers.Put(buf)
 	for {
 		read, readErr := r.Read(buf[:])
@@ -93,7 +93,7 @@
 type stallWriter struct{ conn *clientConn }
 
 func (w stallWriter) Write(b []byte) (int, error) {
-	_ = w.conn.SetWriteDeadline(time.Now().Add(Millis(policy.BodyPause)))
+	_ = w.conn.SetWriteDeadline(time.Now().Add(Millis(policy.BodyStallTimeoutMillis)))
 	return w.conn.Write(b)
 }
 
@@ -101,7 +101,7 @@
 // each slow reader, and against a wait for a full buffer that looks like a reader that has stalled.
 func limitSendBuffer(conn net.Conn) {
 	if socket, ok := conn.(interface{ SetWriteBuffer(int) error }); ok {
-		_ = socket.SetWriteBuffer(policy.KernelBytes)
+		_ = socket.SetWriteBuffer(policy.SendBufferBytes)
 	}
 }
 
--- a/internal/gateway/transport/discovery.go
+++ b/internal/gateway/transport/discovery.go
@@ -26,25 +26,25 @@
 // openDelayMillis is the pause before an opening. It depends on the attempts in a row that cost discovery
 // work for nothing, on the time since the first opening, and on how long discovery has owed its changes.
 func (t WatchTiming) openDelayMillis(failures int, elapsed, owed time.Duration) float64 {
-	due := policy.WatchDue
+	due := policy.WatchCatchUpMillis
 	if elapsed < Millis(t.DueMillis) {
 		due = t.DueMillis // a discovery that the watch has moved to may still be starting
 	}
-	return policy.WatchAfter(failures, t.PollingInstances(), due-float64(owed)/float64(time.Millisecond),
+	return policy.WatchRetryDelay(failures, t.PollingInstances(), due-float64(owed)/float64(time.Millisecond),
 		t.Random())
 }
 
 // headTimeoutMillis bounds the time from an opening to the head of the answer.
 func (t WatchTiming) headTimeoutMillis() float64 {
 	if t.PollingInstances() == 0 {
-		return policy.WatchHead
+		return policy.WatchHeaderTimeoutMillis
 	}
-	return policy.WatchQuiet
+	return policy.WatchHeartbeatTimeoutMillis
 }
 
 // silenceTimeoutMillis bounds a silence of a watch that has received something.
 func (t WatchTiming) silenceTimeoutMillis() float64 {
-	return policy.WatchSilent(t.PollingInstances(), t.Random())
+	return policy.WatchIdleTimeout(t.PollingInstances(), t.Random())
 }
 
 // Watch follows discovery's list from a version on until ctx ends. It calls onList with each list as soon as
@@ -129,7 +129,7 @@
 		return err
 	}
 	w.owedSince = time.Now() // discovery has been reachable until now
-	_ = conn.SetDeadline(w.owedSince.Add(Millis(policy.WatchQuiet)))
+	_ = conn.SetDeadline(w.owedSince.Add(Millis(policy.WatchHeartbeatTimeoutMillis)))
 	return w.readLists(conn, response.BodyStream())
 }
 
@@ -154,9 +154,9 @@
 func (w *watch) readLists(conn net.Conn, body io.Reader) error {
 	extendDeadline := func() { _ = conn.SetDeadline(time.Now().Add(Millis(w.silenceTimeout()))) }
 	limits := endpoints.Limits{
-		ListBytes:  policy.LongestList,
-		ValueBytes: policy.LongestEntry,
-		Workers:    policy.MostWorkers,
+		ListBytes:  policy.MaxEndpointListBytes,
+		ValueBytes: policy.MaxEndpointBytes,
+		Workers:    policy.MaxWorkers,
 	}
 	lists := endpoints.NewStream(body, limits, func(empty bool) {
 		if w.received = w.received || empty; w.received {
--- a/internal/gateway/transport/discovery_test.go
+++ b/internal/gateway/transport/discovery_test.go
@@ -56,8 +56,8 @@
 		openDelay: func(n int, _, _ time.Duration) float64 {
 			failures = append(failures, n)
 			return 1
-		}, headTimeout: func() float64 { return policy.WatchQuiet },
-		silenceTimeout: func() float64 { return policy.WatchQuiet }}
+		}, headTimeout: func() float64 { return policy.WatchHeartbeatTimeoutMillis },
+		silenceTimeout: func() float64 { return policy.WatchHeartbeatTimeoutMillis }}
 	w.run(ctx)
 	version := w.version
 	if version != 6 || heartbeats != 1 || !slices.Equal(failures, []int{0, 1, 2, 1, 2, 1}) {
@@ -75,7 +75,7 @@
 // version before it.
 func TestWatchListTooLong(t *testing.T) {
 	const list = `{"index":%d,"endpoints":[{"name":"%s","status":"left"}]}` + "\n"
-	long := strings.Repeat("n", policy.LongestEntry)
+	long := strings.Repeat("n", policy.MaxEndpointBytes)
 	listener, address := listen(t)
 	versions := make(chan string, 2)
 	go func() {
@@ -103,8 +103,8 @@
 			}
 		}, onHeartbeat: func() {}, onFailure: func(err error) { errs = append(errs, err) },
 		openDelay:      func(int, time.Duration, time.Duration) float64 { return 1 },
-		headTimeout:    func() float64 { return policy.WatchQuiet },
-		silenceTimeout: func() float64 { return policy.WatchQuiet }}
+		headTimeout:    func() float64 { return policy.WatchHeartbeatTimeoutMillis },
+		silenceTimeout: func() float64 { return policy.WatchHeartbeatTimeoutMillis }}
 	w.run(ctx)
 	if !slices.Equal(applied, []int64{4, 6}) || len(errs) == 0 || !errors.Is(errs[0], endpoints.ErrTooLong) {
 		t.Errorf("told of %v; ends: %v", applied, errs)
@@ -181,37 +181,37 @@
 		limit   time.Duration
 		index   []string // that are asked for
 	}{
-		{"silent", false, policy.WatchDue, []string{"^" + former + "~~\n", "^" + latest}, 2 * time.Second,
+		{"silent", false, policy.WatchCatchUpMillis, []string{"^" + former + "~~\n", "^" + latest}, 2 * time.Second,
 			3 * time.Second, []string{"3", "4"}},
-		{"silent, as is the next", false, policy.WatchDue, []string{"^" + former, "", "^" + latest}, 0,
+		{"silent, as is the next", false, policy.WatchCatchUpMillis, []string{"^" + former, "", "^" + latest}, 0,
 			6 * time.Second,
 			[]string{"3", "4", "4"}},
-		{"silent, as is the next but for its head", false, policy.WatchDue,
+		{"silent, as is the next but for its head", false, policy.WatchCatchUpMillis,
 			[]string{"^" + former, "^", "^" + latest}, 0,
 			6 * time.Second, []string{"3", "4", "4"}},
-		{"silent, where it is asked and answers in turn", true, policy.WatchDue, []string{"^" + former + "~~\n",
+		{"silent, where it is asked and answers in turn", true, policy.WatchCatchUpMillis, []string{"^" + former + "~~\n",
 			"~~^" + latest}, 2 * time.Second, 6 * time.Second, []string{"3", "4"}},
-		{"silent, and the next refused", true, policy.WatchDue, []string{"^" + former, "refused", "^" + latest}, 0,
+		{"silent, and the next refused", true, policy.WatchCatchUpMillis, []string{"^" + former, "refused", "^" + latest}, 0,
 			8 * time.Second, []string{"3", "4"}},
-		{"silent, as are the next two", false, policy.WatchDue, []string{"^" + former, "", "", "^" + latest}, 0,
+		{"silent, as are the next two", false, policy.WatchCatchUpMillis, []string{"^" + former, "", "", "^" + latest}, 0,
 			6 * time.Second, []string{"3", "4", "4", "4"}},
-		{"silent, half a list, cut in a list", true, policy.WatchDue, []string{"", "^{", "^" + former + "{$",
+		{"silent, half a list, cut in a list", true, policy.WatchCatchUpMillis, []string{"", "^{", "^" + former + "{$",
 			"~~^" + latest}, 0, 6 * time.Second, []string{"3", "3", "3", "4"}},
-		{"cut in a list, with empty lines after it", false, policy.WatchDue, []string{"^" + former + `{"index":4` +
+		{"cut in a list, with empty lines after it", false, policy.WatchCatchUpMillis, []string{"^" + former + `{"index":4` +
 			"\n~\n~\n~\n~\n~\n~\n", "^" + latest}, 0, 3 * time.Second, []string{"3", "4"}},
-		{"ends", true, policy.WatchDue, []string{"^" + former + "$", "~~^" + latest}, 0, 6 * time.Second,
+		{"ends", true, policy.WatchCatchUpMillis, []string{"^" + former + "$", "~~^" + latest}, 0, 6 * time.Second,
 			[]string{"3", "4"}},
-		{"starts", true, policy.WatchDue, []string{"~~^" + latest}, 0, 6 * time.Second, []string{"3"}},
-		{"moves", true, policy.WatchMoved, []string{"~~^" + latest}, 0, 4 * time.Second, []string{"3"}},
-		{"moves, refused at first", true, policy.WatchMoved, []string{"refused", "refused", "^" + latest}, 0,
+		{"starts", true, policy.WatchCatchUpMillis, []string{"~~^" + latest}, 0, 6 * time.Second, []string{"3"}},
+		{"moves", true, policy.WatchFailoverCatchUpMillis, []string{"~~^" + latest}, 0, 4 * time.Second, []string{"3"}},
+		{"moves, refused at first", true, policy.WatchFailoverCatchUpMillis, []string{"refused", "refused", "^" + latest}, 0,
 			6 * time.Second, []string{"3"}},
-		{"moves, silent at first and again", false, policy.WatchMoved, []string{"", "", "^" + latest}, 0,
+		{"moves, silent at first and again", false, policy.WatchFailoverCatchUpMillis, []string{"", "", "^" + latest}, 0,
 			4 * time.Second, []string{"3", "3", "3"}},
-		{"moves, silent at first", false, policy.WatchMoved, []string{"", "^" + latest}, 0, 4 * time.Second,
+		{"moves, silent at first", false, policy.WatchFailoverCatchUpMillis, []string{"", "^" + latest}, 0, 4 * time.Second,
 			[]string{"3", "3"}},
-		{"moves, refused for a while", false, policy.WatchMoved, append(slices.Repeat([]string{"refused"}, 30),
+		{"moves, refused for a while", false, policy.WatchFailoverCatchUpMillis, append(slices.Repeat([]string{"refused"}, 30),
 			"^"+latest), 0, 4 * time.Second, []string{"3"}},
-		{"a sign each 2 s", true, policy.WatchDue, []string{"^" + former + strings.Repeat("~~\n", 20) + latest}, 0,
+		{"a sign each 2 s", true, policy.WatchCatchUpMillis, []string{"^" + former + strings.Repeat("~~\n", 20) + latest}, 0,
 			60 * time.Second, []string{"3"}},
 	} {
 		for _, chance := range []float64{0, 0.5, 1} {
@@ -372,7 +372,7 @@
 		"trickled head", "head alone", "late head alone", "half a list", "half a list, begun late",
 		"half a list, ended", "half a list, ended late", "trickled list", "blanks in a list", "nonsense"} {
 		for _, pollingInstances := range []int{0, 1, 20, 300} {
-			for _, dueMillis := range []float64{policy.WatchDue, policy.WatchMoved} {
+			for _, dueMillis := range []float64{policy.WatchCatchUpMillis, policy.WatchFailoverCatchUpMillis} {
 				for _, random := range []float64{0, 0.5, 1} {
 					worst := time.Duration(0)
 					for recovers := time.Duration(0); recovers < 9*time.Second; recovers += 1130 * time.Millisecond {
@@ -391,14 +391,14 @@
 							w.run(ctx)
 							elapsed, from := time.Since(start), max(recovers, o.headSentAt.Sub(start))
 							worst = max(worst, elapsed-from)
-							limit := from + Millis(policy.WatchDue)
+							limit := from + Millis(policy.WatchCatchUpMillis)
 							switch {
 							case recovers == 0:
 								limit = Millis(dueMillis)
 							case fault == "refused":
-								limit = recovers + o.queueing + max(Millis(policy.WatchAgain),
-									min(Millis(policy.WatchEach*float64(pollingInstances)),
-										Millis(policy.WatchDue-policy.WatchAnswer)))
+								limit = recovers + o.queueing + max(Millis(policy.WatchRetryMillis),
+									min(Millis(policy.WatchRetryPerGatewayMillis*float64(pollingInstances)),
+										Millis(policy.WatchCatchUpMillis-policy.WatchResponseMillis)))
 							}
 							if w.version != 5 || elapsed > limit {
 								t.Errorf("%s, %d ask, due in %v, chance %v: back after %v, told after %v", fault, pollingInstances,
@@ -428,7 +428,7 @@
 				if fault == "well" {
 					o.recovers = start
 				}
-				p := timing(20, policy.WatchDue, 0.9)
+				p := timing(20, policy.WatchCatchUpMillis, 0.9)
 				ctx, cancel := context.WithTimeout(t.Context(), stopAfter)
 				defer cancel()
 				w := watch{dial: o.dial, onHeartbeat: func() {}, onFailure: func(error) {},
@@ -502,7 +502,7 @@
 						}()
 						return client, nil
 					}
-					p := timing(pollingInstances, policy.WatchDue, random)
+					p := timing(pollingInstances, policy.WatchCatchUpMillis, random)
 					ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
 					defer cancel()
 					w := watch{dial: dial, onHeartbeat: func() { brokeAt = time.Now() }, onFailure: func(error) {},
@@ -515,7 +515,7 @@
 					}
 					w.run(ctx)
 					elapsed := time.Since(brokeAt)
-					if w.version != 5 || calls != 2 || elapsed > Millis(policy.WatchDue) {
+					if w.version != 5 || calls != 2 || elapsed > Millis(policy.WatchCatchUpMillis) {
 						t.Errorf("%s, %d ask, chance %v: told after %v, by %d calls", tc.fault, pollingInstances, random,
 							elapsed, calls)
 					}
