--- a/cmd/willowdeck/journal.go
+++ b/cmd/willowdeck/journal.go
@@ -65,10 +65,10 @@
 	return dirs, nil
 }
 
-// readerTerms are the terms of a reader: it has capacity for all that the segments hold.
-func readerTerms() txnjournal.Terms {
-	t := txnjournal.DefaultTerms()
-	t.Txns, t.Answers = math.MaxInt, math.MaxInt
+// readerTerms returns the configuration of a reader: it has capacity for all that the segments hold.
+func readerTerms() txnjournal.Config {
+	t := txnjournal.DefaultConfig()
+	t.MaxTxns, t.MaxStoredResponseBytes = math.MaxInt, math.MaxInt
 	return t
 }
 
@@ -88,40 +88,33 @@
 		return err
 	}
 	for _, dir := range dirs {
-		var last txnjournal.Seen
-		observe := func(_ uint64, s txnjournal.Seen) {
-			if !s.Blank {
-				last = s
+		var last txnjournal.SegmentReport
+		observe := func(_ uint64, segment txnjournal.SegmentReport) {
+			if !segment.Blank {
+				last = segment
 			}
 		}
-		index, read, segments, incarnations, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(),
-			observe, nil)
+		replay, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(), store.Visitor{Segment: observe})
 		if err != nil {
 			return err
 		}
-		txns, _ := index.Len()
-		fmt.Printf("%s: gatekeeper %q, %d lives, policy %s\n", dir, last.Head.Name, incarnations, last.Head.Policy)
-		fmt.Printf("  segments %d, records %d, txns %d, last record %s\n", len(segments), read.Records, txns,
-			formatTime(last.Last))
-		fmt.Printf("  all txns since %s\n", formatTime(index.Horizon()))
-		printDamage(index, read)
+		txns, _ := replay.Index.Len()
+		fmt.Printf("%s: gatekeeper %q, %d lives, policy %s\n", dir, last.Header.Instance,
+			replay.LastIncarnation, last.Header.Policy)
+		fmt.Printf("  segments %d, records %d, txns %d, last record %s\n", len(replay.Segments),
+			replay.Stats.Records, txns, formatTime(last.LastMillis))
+		fmt.Printf("  all txns since %s\n", formatTime(replay.Index.HorizonMillis()))
+		printDamage(replay)
 		var lines []string
 		count := [3]int{}
-		index.Each(func(e txnjournal.Entry, v txnjournal.Verdict) {
-			count[v]++
-			if lines = append(lines, formatEntry(e, v)); len(lines) > c.Int("last") {
+		replay.Index.Each(func(entry txnjournal.Entry, verdict txnjournal.Verdict) {
+			count[verdict]++
+			if lines = append(lines, formatEntry(entry, verdict)); len(lines) > c.Int("last") {
 				lines = lines[1:]
 			}
 		})
-		fmt.Printf(
-			"  %s %d, %s %d, %s %d\n",
-			txnjournal.SentSettled,
-			count[txnjournal.SentSettled],
-			txnjournal.SentUnknown,
-			count[txnjournal.SentUnknown],
-			txnjournal.NotSent,
-			count[txnjournal.NotSent],
-		)
+		fmt.Printf("  %s %d, %s %d, %s %d\n", txnjournal.SentCompleted, count[txnjournal.SentCompleted],
+			txnjournal.SentUnknown, count[txnjournal.SentUnknown], txnjournal.NotSent, count[txnjournal.NotSent])
 		for _, entry := range lines {
 			fmt.Println("  " + entry)
 		}
@@ -130,19 +123,19 @@
 }
 
 func formatEntry(entry txnjournal.Entry, verdict txnjournal.Verdict) string {
-	return fmt.Sprintf("%s %s %s customer %016x worker %s life %d submissions %d: %s", formatTime(entry.Meant),
-		entry.Mark,
-		entry.Product, entry.Customer, entry.Worker, entry.Life, entry.Subs, verdict)
+	return fmt.Sprintf("%s %s %s customer %016x worker %s life %d submissions %d: %s",
+		formatTime(entry.FirstIntentMillis), entry.RequestID, entry.Product, entry.Customer, entry.Worker,
+		entry.Incarnation, entry.Attempts, verdict)
 }
 
 // printDamage prints what is not reliable.
-func printDamage(index *txnjournal.Book, read store.Found) {
-	if read.Cut > 0 {
+func printDamage(replay *store.Replay) {
+	if read := replay.Stats; read.UnreadableBytes > 0 {
 		fmt.Printf("  %d bytes cut: segments with a torn end %d, damaged before it %d, of another version %d\n",
-			read.Cut, read.Torn, read.Damaged, read.Unreadable)
+			read.UnreadableBytes, read.Torn, read.Corrupt, read.Unsupported)
 	}
-	for _, doubt := range index.Doubts() {
-		fmt.Printf("  in doubt %s to %s: %s\n", formatTime(doubt.From), formatTime(doubt.To), doubt.Why)
+	for _, doubt := range replay.Index.UncertainPeriods() {
+		fmt.Printf("  in doubt %s to %s: %s\n", formatTime(doubt.FromMillis), formatTime(doubt.ToMillis), doubt.Reason)
 	}
 }
 
@@ -153,13 +146,14 @@
 	}
 	doubtful := 0
 	for _, dir := range dirs {
-		index, read, _, _, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(), nil, nil)
+		replay, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(), store.Visitor{})
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%s: %d segments, %d records, %d bytes\n", dir, read.Segments, read.Records, read.Bytes)
-		printDamage(index, read)
-		if index.Spans > 0 {
+		fmt.Printf("%s: %d segments, %d records, %d bytes\n", dir, replay.Stats.Segments, replay.Stats.Records,
+			replay.Stats.Bytes)
+		printDamage(replay)
+		if replay.Index.UncertainPeriodCount > 0 {
 			doubtful++
 		}
 	}
@@ -191,15 +185,15 @@
 	}
 	verdict := txnjournal.NotSent
 	for _, dir := range dirs {
-		index, _, _, _, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(), nil, nil)
+		replay, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(), store.Visitor{})
 		if err != nil {
 			return err
 		}
-		verdictHere, reason, entries := index.Answers(requestID, from, to, nowMillis())
+		verdictHere, reason, read := replay.Index.Resolve(requestID, from, to, nowMillis())
 		verdict = max(verdict, verdictHere)
 		fmt.Printf("%s: %s (%s)\n", dir, verdictHere, reason)
-		for _, e := range entries {
-			fmt.Println("  " + formatEntry(e, verdictHere))
+		for _, entry := range read {
+			fmt.Println("  " + formatEntry(entry, verdictHere))
 		}
 	}
 	fmt.Printf("%s: %s\n", requestID, verdict)
@@ -248,20 +242,27 @@
 func exportDir(w io.Writer, dir string) error {
 	encoder := json.NewEncoder(w)
 	var failed error
-	_, _, _, _, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(), nil,
-		func(number uint64, offset int, r txnjournal.Record) {
-			record := exportedRecord{Dir: dir, Segment: number, Offset: offset, Kind: r.Kind.String(), At: r.At,
-				Life:  r.Life,
-				Group: r.Group, To: r.To, Below: r.Below}
-			if r.Kind <= txnjournal.Kept {
-				record.ID, record.Customer, record.Product = r.Txn.Mark, fmt.Sprintf("%016x",
-					r.Txn.Customer), r.Txn.Product
-				record.Number, record.N, record.Worker, record.Expiry = r.Sub.Number, r.Sub.N, r.Worker, r.Expiry
-				record.End, record.Answer = r.End.String(), len(r.Answer.Body)
-			}
-			if err := encoder.Encode(record); err != nil && failed == nil {
-				failed = err
-			}
-		})
+	write := func(number uint64, offset int, r txnjournal.Record) {
+		record := exportedRecord{
+			Dir:     dir,
+			Segment: number,
+			Offset:  offset,
+			Kind:    r.Kind.String(),
+			At:      r.TimeMillis,
+			Life:    r.Incarnation,
+			Group:   r.Batch,
+			To:      r.UntilMillis,
+			Below:   r.FirstLiveSegment,
+		}
+		if r.Kind.HasTxn() {
+			record.ID, record.Customer, record.Product = r.Txn.RequestID, fmt.Sprintf("%016x", r.Txn.Customer), r.Txn.Product
+			record.Number, record.N, record.Worker, record.Expiry = r.Attempt.Sequence, r.Attempt.Ordinal, r.Worker, r.ExpiryMillis
+			record.End, record.Answer = r.Outcome.String(), len(r.Response.Body)
+		}
+		if err := encoder.Encode(record); err != nil && failed == nil {
+			failed = err
+		}
+	}
+	_, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(), store.Visitor{Record: write})
 	return errors.Join(err, failed)
 }
--- /dev/null
+++ b/internal/forwardauth/authserver/server.go
@@ -0,0 +1,369 @@
+package authserver
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"net/netip"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"willowdeck/internal/forwardauth/authcache"
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/proxy"
+	"willowdeck/internal/gateway/transport"
+	"willowdeck/internal/policy"
+)
+
+// Server answers the calls of reverse proxies, and serves the requests that they forward by their
+// clearances. Safe for concurrent use.
+type Server struct {
+	config   *config.AuthServer
+	names    config.Names
+	settings atomic.Pointer[policy.Settings]
+	proxy    *proxy.Proxy
+	next     func(*transport.Request) transport.FinalAnswer
+	http     fasthttp.Server
+	counters [counterCount]atomic.Int64
+
+	mu         sync.Mutex // guards what follows; never held over I/O or a call of the proxy
+	clearances *authcache.ClearanceTable[*proxy.Reservation]
+	listener   *transport.LimitListener // nil until Listen
+	closed     bool
+}
+
+// counter is one of the figures at the operators' port.
+type counter int
+
+const (
+	countCleared counter = iota
+	countClearedBefore
+	countDenied
+	countMalformed
+	countUntrusted
+	countMismatched
+	countAlreadyUsed
+	countFull
+	countMisdirected
+	countRedeemed
+	countNotCleared
+	counterCount
+)
+
+var counterNames = [counterCount]string{
+	"cleared",
+	"again",
+	"declined",
+	"unreadable",
+	"stranger",
+	"others",
+	"used",
+	"no_place",
+	"elsewhere",
+	"came",
+	"uncleared",
+}
+
+// New returns a server in front of a proxy. next serves the requests that have no clearance and need none.
+func New(cfg *config.AuthServer, names config.Names, settings policy.Settings, p *proxy.Proxy,
+	next func(*transport.Request) transport.FinalAnswer) *Server {
+	s := &Server{config: cfg, names: names, proxy: p, next: next,
+		clearances: authcache.NewClearanceTable[*proxy.Reservation](cfg.LifetimeMillis, cfg.RetentionMillis, cfg.MaxClearances)}
+	s.settings.Store(&settings)
+	s.http = fasthttp.Server{
+		Handler: s.handle,
+		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
+			s.rejectCall(ctx, countMalformed, readError(err))
+		},
+		MaxRequestBodySize:    1, // a call has no body
+		ReadBufferSize:        2*authcache.MaxTargetBytes + 4096,
+		ReadTimeout:           transport.Millis(authcache.CallTimeoutMillis),
+		WriteTimeout:          transport.Millis(authcache.CallTimeoutMillis),
+		IdleTimeout:           transport.Millis(authcache.IdleTimeoutMillis),
+		CloseOnShutdown:       true,
+		NoDefaultServerHeader: true,
+		NoDefaultDate:         true,
+		NoDefaultContentType:  true,
+		Logger:                transport.DiscardLogger{},
+	}
+	return s
+}
+
+// SetInstances says how many gateway instances there are from now on.
+func (s *Server) SetInstances(instances int) {
+	settings := *s.settings.Load()
+	settings.GatewayCount = instances
+	s.settings.Store(&settings)
+}
+
+// readError returns the response to a call that is not HTTP, too long, or not complete in time.
+func readError(err error) *callError {
+	var tooSmall *fasthttp.ErrSmallBuffer
+	var netErr net.Error
+	switch {
+	case errors.As(err, &tooSmall):
+		return &callError{fasthttp.StatusRequestHeaderFieldsTooLarge, "the head is too long"}
+	case errors.Is(err, fasthttp.ErrBodyTooLarge):
+		return &callError{fasthttp.StatusRequestEntityTooLarge, "a call has no body"}
+	case errors.As(err, &netErr) && netErr.Timeout():
+		return &callError{fasthttp.StatusRequestTimeout, "no whole call has come in time"}
+	}
+	return &callError{fasthttp.StatusBadRequest, "no call could be read"}
+}
+
+// Listen binds the configured address and serves calls until Close.
+func (s *Server) Listen() error {
+	listener, err := net.Listen("tcp", s.config.ListenAddress)
+	if err != nil {
+		return fmt.Errorf("asked.listen: %w", err)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		return listener.Close()
+	}
+	s.listener = transport.NewLimitListener(listener, s.config.MaxConnections)
+	go func() { _ = s.http.Serve(s.listener) }()
+	return nil
+}
+
+// Addr returns the address on which it listens; empty while it does not.
+func (s *Server) Addr() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.listener == nil {
+		return ""
+	}
+	return s.listener.Addr().String()
+}
+
+// Close takes no more connections; open ones end with their next response.
+func (s *Server) Close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
+	if s.listener != nil {
+		_ = s.listener.Close()
+	}
+	go func() { _ = s.http.Shutdown() }()
+}
+
+// HandOver returns all clearances for the successor process, and releases their reservations here. Nothing is
+// cleared from then on.
+func (s *Server) HandOver() []authcache.Clearance {
+	s.mu.Lock()
+	clearances, reservations := s.clearances.HandOver(s.proxy.Now())
+	s.mu.Unlock()
+	for _, reservation := range reservations {
+		s.proxy.Release(reservation)
+	}
+	return clearances
+}
+
+// Adopt takes over the predecessor's clearances. Those that do not fit this instance's settings are ignored.
+func (s *Server) Adopt(clearances []authcache.Clearance) {
+	for _, c := range clearances {
+		attributes, nowMillis := c.Attributes, s.proxy.Now()
+		if attributes.Product < 0 || attributes.Product >= len(s.settings.Load().Products) || attributes.Plan < 0 ||
+			attributes.Plan >= len(s.settings.Load().Plans) || c.ExpiresMillis <= nowMillis || len(c.RequestID) == 0 ||
+			len(c.RequestID) > policy.MaxDedupKeyBytes || !(attributes.Units > 0) {
+			continue
+		}
+		var reservation *proxy.Reservation
+		if !c.Used {
+			reservation = s.proxy.AdoptReservation(arrivalOf(attributes), c.ExpiresMillis-nowMillis)
+		}
+		s.mu.Lock()
+		adopted := s.clearances.Adopt(c, reservation, nowMillis)
+		s.mu.Unlock()
+		if !adopted && reservation != nil {
+			s.proxy.Release(reservation)
+		}
+	}
+}
+
+// attributesOf returns what a clearance of a request is for.
+func attributesOf(t *transport.Request) authcache.Attributes {
+	return authcache.Attributes{Customer: t.Customer, Product: t.Product, Plan: t.Plan, Units: t.Units,
+		SetSize: t.SetSize, First: t.FirstGateway}
+}
+
+// arrivalOf returns the arrival by which the policy reserves a clearance's quota.
+func arrivalOf(a authcache.Attributes) policy.Request {
+	return policy.Request{Customer: a.Customer, Product: a.Product, Plan: a.Plan, Units: a.Units,
+		SetSize: a.SetSize, FirstGateway: a.First}
+}
+
+// Serve serves a request at the gateway's own port: one that was cleared takes its reservation, and comes
+// once. Any other is served by next, unless its product needs a clearance.
+func (s *Server) Serve(t *transport.Request) transport.FinalAnswer {
+	once := s.config.RequiresClearance[t.Product] || s.settings.Load().Products[t.Product].Idempotency != policy.Idempotent
+	s.mu.Lock()
+	status, reservation := s.clearances.Redeem(string(t.RequestID), attributesOf(t), once, s.proxy.Now())
+	s.mu.Unlock()
+	switch status {
+	case authcache.StatusGranted:
+		if final, ok := s.proxy.ServeReserved(reservation, t); ok {
+			s.counters[countRedeemed].Add(1)
+			return final
+		}
+		// The reservation has just lapsed. The id counts as used, so the request comes once all the same.
+	case authcache.StatusUsed, authcache.StatusPending:
+		s.counters[countAlreadyUsed].Add(1)
+		return rejection(fasthttp.StatusConflict, "X-Request-Id: its txn has come already")
+	case authcache.StatusMismatch:
+		s.counters[countMismatched].Add(1)
+		return rejection(fasthttp.StatusConflict, "X-Request-Id: another txn was cleared by it")
+	}
+	switch {
+	case !s.config.RequiresClearance[t.Product]:
+	case status == authcache.StatusHandedOver: // nothing was sent, and the successor is there at once
+		return transport.FinalAnswer{Kind: policy.Reject, RetryAfterMillis: authcache.RebindIntervalMillis}
+	default:
+		s.counters[countNotCleared].Add(1)
+		return rejection(fasthttp.StatusForbidden, "this product comes only if it has been cleared")
+	}
+	return s.next(t)
+}
+
+// rejection ends a request with a status and a message.
+func rejection(status int, message string) transport.FinalAnswer {
+	return transport.FinalAnswer{Kind: policy.RejectUncertain, Rejection: &transport.Rejection{Status: status, Message: message}}
+}
+
+// trusted reports whether a caller may speak for clients. Guards against a client that calls here itself:
+// forwarded headers are only as good as their sender.
+func (s *Server) trusted(caller net.Addr) bool {
+	from, err := netip.ParseAddrPort(caller.String())
+	if err != nil {
+		return false
+	}
+	for _, t := range s.config.TrustedProxies {
+		if t.Contains(from.Addr().Unmap()) {
+			return true
+		}
+	}
+	return false
+}
+
+// handle serves a call.
+func (s *Server) handle(ctx *fasthttp.RequestCtx) {
+	if !s.trusted(ctx.RemoteAddr()) {
+		err := &callError{fasthttp.StatusForbidden, "calls are taken from portals alone"}
+		s.rejectCall(ctx, countUntrusted, err)
+		return
+	}
+	header := &ctx.Request.Header
+	original, err := parseOriginal(header, s.config)
+	if err == nil && len(ctx.Request.Body()) > 0 {
+		err = badRequest("a call has no body")
+	}
+	var t transport.Request
+	if err == nil {
+		t, err = transport.DecodeRequest(header, original.method, original.target, &s.names, s.settings.Load(), false)
+	}
+	if err != nil {
+		var callErr *callError
+		if !errors.As(err, &callErr) {
+			callErr = &callError{fasthttp.StatusBadRequest, err.Error()}
+		}
+		s.rejectCall(ctx, countMalformed, callErr)
+		return
+	}
+	s.decide(ctx, &t)
+}
+
+// decide answers a valid call.
+func (s *Server) decide(ctx *fasthttp.RequestCtx, t *transport.Request) {
+	requestID, attributes := string(t.RequestID), attributesOf(t)
+	settings := s.settings.Load()
+	home := authcache.HomeInstance(requestID, attributes, settings.GatewayCount)
+	if s.config.RequiresClearance[t.Product] && home != settings.GatewayIndex {
+		ctx.Response.Header.Set("X-Clear-At", strconv.Itoa(home))
+		s.respond(ctx, countMisdirected, fasthttp.StatusMisdirectedRequest, "another gatekeeper clears this txn")
+		return
+	}
+	nowMillis := s.proxy.Now()
+	s.mu.Lock()
+	status := s.clearances.Begin(requestID, attributes, nowMillis)
+	s.mu.Unlock()
+	switch status {
+	case authcache.StatusUnknown:
+	case authcache.StatusGranted:
+		s.respond(ctx, countClearedBefore, fasthttp.StatusOK, "cleared before")
+		return
+	case authcache.StatusUsed:
+		s.respond(ctx, countAlreadyUsed, fasthttp.StatusConflict, "X-Request-Id: its txn has come already")
+		return
+	case authcache.StatusMismatch:
+		s.respond(ctx, countMismatched, fasthttp.StatusConflict, "X-Request-Id: another txn was cleared by it")
+		return
+	default: // full, handed over, or pending
+		waitMillis := authcache.FullRetryMillis
+		if status != authcache.StatusFull {
+			waitMillis = authcache.RebindIntervalMillis
+		}
+		ctx.Response.Header.Set("Retry-After", transport.RetryAfter(waitMillis))
+		s.respond(ctx, countFull, fasthttp.StatusServiceUnavailable, "no place for one more clearance")
+		return
+	}
+	reservation, final := s.proxy.Reserve(t, s.clearances.LifetimeMillis())
+	s.mu.Lock()
+	if reservation == nil {
+		s.clearances.Cancel(requestID)
+	} else if s.clearances.Grant(requestID, reservation, nowMillis) <= nowMillis { // handed over meanwhile
+		defer s.proxy.Release(reservation)
+		reservation = nil
+	}
+	s.mu.Unlock()
+	if reservation == nil {
+		if final.RetryAfterMillis > 0 {
+			ctx.Response.Header.Set("Retry-After", transport.RetryAfter(final.RetryAfterMillis))
+		}
+		s.respond(ctx, countDenied, s.config.RejectStatus, "declined")
+		return
+	}
+	ctx.Response.Header.Set("X-Cleared-Ms", strconv.FormatFloat(s.config.LifetimeMillis, 'f', 0, 64))
+	s.respond(ctx, countCleared, fasthttp.StatusOK, "cleared")
+}
+
+// rejectCall answers a call that is invalid or from an untrusted caller, and closes its connection.
+func (s *Server) rejectCall(ctx *fasthttp.RequestCtx, c counter, err *callError) {
+	s.respond(ctx, c, err.status, err.message)
+	ctx.SetConnectionClose()
+	transport.Linger(ctx.Conn())
+}
+
+// respond counts and answers a call.
+func (s *Server) respond(ctx *fasthttp.RequestCtx, c counter, status int, message string) {
+	s.counters[c].Add(1)
+	ctx.SetStatusCode(status)
+	ctx.Response.Header.SetContentType("text/plain")
+	ctx.SetBodyString(message + "\n")
+}
+
+// Figures calls add with the figures at the operators' port.
+func (s *Server) Figures(add func(name string, v int64)) {
+	for i := range s.counters {
+		add("asked."+counterNames[i], s.counters[i].Load())
+	}
+	s.mu.Lock()
+	n := s.clearances.Len(s.proxy.Now())
+	s.mu.Unlock()
+	add("asked.marks", int64(n))
+}
+
+// ListenWhenFree listens as soon as the predecessor has left the address, unless stop is closed before.
+func (s *Server) ListenWhenFree(stop <-chan struct{}) {
+	for s.Listen() != nil {
+		select {
+		case <-stop:
+			return
+		case <-time.After(transport.Millis(authcache.RebindIntervalMillis)):
+		}
+	}
+}
