--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -61,7 +61,8 @@
 	overloadRetryTargetFraction = 0.25
 )
 
-// admit decides on a request's first attempt: ReasonSucceeded lets it in, else the reason and when to return.
+// admit decides on the first attempt of a request: ReasonSucceeded admits it, any other reason rejects it,
+// with the ms after which to retry.
 func (e *Engine) admit(request *requestState) (FinalReason, float64) {
 	account, plan := &e.accounts[request.accountIndex], &e.plans[request.plan]
 	if e.handedOff {
@@ -78,7 +79,7 @@
 		}
 	}
 	limit := plan.maxInFlight
-	// parts of the limit are whole attempts, which need no split
+	// The parts of the limit are whole attempts, which need no split.
 	if plan.targetInFlight > 0 && plan.maxInFlight%account.setSize == 0 {
 		limit, request.withinQuota = plan.maxInFlight/account.setSize, true
 	} else if plan.ratePerMilli > 0 {
@@ -97,8 +98,9 @@
 			return ReasonQuota, e.responseMillis
 		}
 	}
-	// Guards against tries too short for the fleet: their work is done for nobody and comes again. It may hurt
-	// a fast product beside very slow ones. What is not hopeless is tried where most such tries succeed.
+	// Guards against deadlines too short for the fleet: the work is done for nobody, and the client repeats it.
+	// That may hurt a fast product beside very slow ones. What may succeed is admitted where most such requests
+	// do.
 	left := request.deadline - e.now
 	request.shortDeadline = left < shortDeadlineResponses*e.responseMillis
 	if !room || left < minTimeLeftResponses*e.responseMillis || request.shortDeadline &&
@@ -110,13 +112,15 @@
 }
 
 // hasSpareCapacity tells whether there is capacity for requests beyond a quota: little of the window is in
-// use, and answers are quick. Among many gateways each has few attempts out, however pressed the fleet.
+// use and responses are quick. The window alone does not tell: among many gateways each has few attempts in
+// flight, however overloaded the fleet is.
 func (e *Engine) hasSpareCapacity() bool {
 	return float64(e.inFlight) < spareWindowFraction*e.window &&
 		e.pressure < sparePressureFraction*targetPressureFraction
 }
 
-// recordPressure takes one answer's time over its latency target, and moves the window.
+// recordPressure takes the time of one response, as a fraction of its latency target, and adapts the
+// window.
 func (e *Engine) recordPressure(pressure float64) {
 	e.pressure += pressureGain * (math.Min(pressure, 1) - e.pressure)
 	switch {
@@ -133,17 +137,18 @@
 	}
 }
 
-// currentWindow is how many attempts may be out now.
+// currentWindow returns how many attempts may be in flight now.
 func (e *Engine) currentWindow() float64 {
 	return e.window + e.stallAllowance*math.Exp((e.stalledUntil-e.now)/stallAllowanceDecayMillis)
 }
 
-// minWindow is what the window starts at and keeps, leastOf the same of any part. Few requests swing much,
-// and no other gateway can lend its room: without the allowance many decline while workers idle.
+// minWindow returns what the window starts at and never goes below. The number of few requests varies much,
+// and no other gateway can lend its window: without an allowance many are rejected while workers idle.
 func (e *Engine) minWindow() float64 {
 	return minWindowFor(minWindowPerWorker * math.Max(e.warmEquivalents, 1) / float64(e.derived.gatewayCount))
 }
 
+// minWindowFor returns the least window for a mean number of attempts in flight.
 func minWindowFor(part float64) float64 {
 	return part + math.Min(minWindowDeviations*math.Sqrt(part), maxMinWindowAllowanceFactor*part)
 }
--- a/internal/policy/crashstate.go
+++ b/internal/policy/crashstate.go
@@ -4,7 +4,8 @@
 	"math"
 )
 
-// CrashState is what an earlier run of this gateway has left that ended without a handoff.
+// CrashState returns what is spent of rate limits, for a later run of this gateway: the time at which those
+// of all other customers are taken as spent, and the customers that have spent any since.
 type CrashState struct {
 	// RateLimitBaseMillis is the time at which the rate limits of all other customers are taken as spent.
 	RateLimitBaseMillis float64
@@ -20,8 +21,8 @@
 	FullAtMillis float64
 }
 
-// RestoreCrashState takes an earlier run's crash state, before the first request. What it does not know, or
-// what does not fit this settings, is as after any start.
+// RestoreCrashState takes the crash state of an earlier run, before the first request. What it does not
+// know, or what does not fit the settings, is as after any start.
 func (e *Engine) RestoreCrashState(crash CrashState) {
 	e.rateLimitBase = math.Min(crash.RateLimitBaseMillis, e.rateLimitBase)
 	for _, spent := range crash.RateLimits {
@@ -41,7 +42,7 @@
 	}
 }
 
-// Congestion tells how pressed the gateway is, as a crash state has it.
+// Congestion returns the window, the pressure and the mean response time in ms, as a CrashState has them.
 func (e *Engine) Congestion() (window, press, pace float64) {
 	return e.window, e.pressure, e.responseMillis
 }
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -92,15 +92,15 @@
 	return derived
 }
 
-// AdvanceTo sets the time, in ms, of the inputs and decisions that follow.
+// AdvanceTo sets the time, in ms, of the inputs and decisions that follow. Time never goes back.
 func (e *Engine) AdvanceTo(now float64) {
 	if !e.clockStarted {
 		e.clockStarted, e.startedAt, e.rateLimitBase, e.now, e.warmUnitsAt = true, now, now, now, now
 		e.nextReportAt = now + e.derived.reportIntervalMillis*e.rng.Float64()
 	}
-	// Guards against this gateway itself being stopped for a while: what it finds then says nothing of how
-	// long workers took. All that came meanwhile comes at once: it gets the room that would have been used in
-	// turns, for a while. Where many stand still at the same time, that presses the fleet.
+	// Guards against a stall of this process: what it finds afterwards says nothing of how long workers took.
+	// All requests that arrived meanwhile come at once, and for a while get the window that they would have used
+	// one after another. Where many gateways stall at the same time, that puts pressure on the fleet.
 	if gap := now - e.timerAt; e.timerAt > 0 && gap > stallMillis {
 		e.stalledUntil = now
 		e.stallAllowance = e.window * math.Min(gap/math.Max(e.responseMillis, 1), maxStallAllowanceWindows)
@@ -111,7 +111,7 @@
 	}
 }
 
-// AddRequest accepts a request. Its final answer comes out of NextDecision, at the latest at its deadline.
+// AddRequest accepts a request. Its final answer comes out of NextDecision, at its deadline at the latest.
 func (e *Engine) AddRequest(arrival Request) {
 	slot, accountIndex := allocate(&e.requests, &e.freeRequests), e.accountFor(arrival)
 	request := &e.requests[slot]
@@ -132,7 +132,7 @@
 	e.updateShare(account)
 }
 
-// NextDecision gives the next decision, or none.
+// NextDecision returns the next decision, or false where there is none until the next input or the timer.
 func (e *Engine) NextDecision() (Decision, bool) {
 	for e.nextPending < len(e.pending) {
 		if decision, ok := e.decide(e.pending[e.nextPending]); ok {
@@ -179,7 +179,7 @@
 	return e.nextTimer()
 }
 
-// decide gives the next decision on one request, or none.
+// decide returns the next decision on one request, or false.
 func (e *Engine) decide(slot int32) (Decision, bool) {
 	request := &e.requests[slot]
 	if !request.live || request.awaitsClaim(e.now) {
@@ -344,7 +344,7 @@
 	gossip                          bool
 }
 
-// Stats gives the counts and the present state that on-call staff look at.
+// Stats returns the counts and the present state that on-call staff look at.
 func (e *Engine) Stats() Stats {
 	t := e.stats
 	t.InFlight, t.Window, t.Customers, t.Workers = float64(e.inFlight), e.window, len(e.accountByCustomer),
@@ -370,7 +370,7 @@
 	return t
 }
 
-// nextTimer asks for the next turn, unless an earlier one has been asked for.
+// nextTimer requests the next call of AdvanceTo, unless an earlier one has been requested.
 func (e *Engine) nextTimer() (Decision, bool) {
 	at := 0.0
 	if len(e.byID) > 0 {
@@ -386,7 +386,7 @@
 	return Decision{}, false
 }
 
-// allocate gives a used place of a slab, or a new one at its end.
+// allocate returns the index of a free entry of a slab, or of a new one at its end.
 func allocate[T any](slab *[]T, unused *[]int32) int32 {
 	if n := len(*unused); n > 0 {
 		at := (*unused)[n-1]
--- a/internal/policy/gossip.go
+++ b/internal/policy/gossip.go
@@ -29,13 +29,14 @@
 	immediateBurstMessages = 64.0
 )
 
-// reportsImmediately tells whether a customer's set is so small that each request sent on is told at once.
+// reportsImmediately tells whether a customer's set is so small that its spending is reported at once.
 func (e *Engine) reportsImmediately(account *customerAccount) bool {
 	return e.derived.immediatePerMilli > 0 && !e.handedOff && account.setSize > 1 &&
 		account.setSize <= maxImmediateSetSize
 }
 
-// ReceiveReports takes a peer's reports. A message says 0 of the customers that it does not name.
+// ReceiveReports takes a peer's message. A message says that the demand of customers that it does not name
+// is 0.
 func (e *Engine) ReceiveReports(from int, reports []Report) {
 	if from < 0 || from >= e.derived.gatewayCount || from == e.derived.gatewayIndex {
 		return
@@ -44,12 +45,12 @@
 	if peer.heardAt = e.now; peer.silent {
 		e.setPeerSilent(from, false, false)
 	}
-	// one may be told at once, between two periods
+	// A single report may be an immediate one, between two intervals.
 	if len(reports) != 1 || len(peer.lastReports) > e.derived.reportsPerMessage {
 		peer.lastReports = peer.lastReports[:0]
 	}
 	for _, report := range reports {
-		// what is known of it is in the sum already
+		// What is left of the previous report is in the sum already.
 		d := (report.DemandPerSecond - report.PreviousDemandPerSecond) / 1000
 		if !(report.DemandPerSecond >= 0) || math.IsInf(d, 0) || !(report.PreviousDemandPerSecond >= 0) ||
 			!(report.SpentUnits >= 0) ||
@@ -81,8 +82,8 @@
 	}
 }
 
-// endReportInterval looks for silent peers, turns customers hot and cold, renews their shares, gathers what
-// is to be reported, and drops the idle customers.
+// endReportInterval looks for silent peers, turns customers hot and cold, updates their shares, collects
+// what is to be reported, and drops idle customers.
 func (e *Engine) endReportInterval() {
 	for i := range e.peers {
 		peer := &e.peers[i]
@@ -139,8 +140,8 @@
 	}
 }
 
-// nextImmediateReport gives the next message that tells a small set at once what was sent on. Where that
-// comes too often for the peers' intake it waits for the period's.
+// nextImmediateReport returns the next message that reports spending to a small set at once. Where these
+// would exceed the peers' intake, spending waits for the periodic report.
 func (e *Engine) nextImmediateReport() (Decision, bool) {
 	for ; len(e.immediateAccounts) > 0; e.immediateAccounts, e.immediateSent = append(e.immediateAccounts[:0],
 		e.immediateAccounts[1:]...), 0 {
@@ -161,12 +162,12 @@
 	return Decision{}, false
 }
 
-// nextPeriodicReport packs the next message of own demands for the customers that a peer shares: those with
-// news, or a bare word that there is none. What the period's messages cannot hold is left out, from a random
-// place on.
+// nextPeriodicReport packs the next message of the demand here of customers that a peer shares: those that
+// have changed, or an empty message if there are none. What the messages of an interval cannot hold is left
+// out, from a random place on.
 func (e *Engine) nextPeriodicReport() (Decision, bool) {
 	n, to, peer := e.derived.gatewayCount, e.reportPeer, &e.peers[e.reportPeer]
-	// it spoke of customers, maybe not known here
+	// The peer has reported customers, which may not be known here.
 	asks := peer.reportsHeardAt > 0 &&
 		e.now-peer.reportsHeardAt < peerLapseIntervals*e.derived.reportIntervalMillis
 	if to == e.derived.gatewayIndex || e.messagesToPeer >= e.derived.messagesPerPeer ||
@@ -191,8 +192,8 @@
 	return Decision{Kind: SendReports, Peer: to, Reports: e.reportBuffer}, true
 }
 
-// PeerRestarted tells that a peer has started anew, knowing nothing: what its earlier run told counts no
-// more. It will tell its demand from 0 on, and both would be counted.
+// PeerRestarted tells that a peer has started anew, knowing nothing: what its earlier run reported is
+// dropped. It will report its demand from 0 on, and both would be counted.
 func (e *Engine) PeerRestarted(from int) {
 	if from < 0 || from >= e.derived.gatewayCount || from == e.derived.gatewayIndex {
 		return
@@ -223,7 +224,7 @@
 	lastReports []Report
 }
 
-// rememberReport keeps a peer's last word on a customer.
+// rememberReport keeps a peer's last report of a customer.
 func (peer *peerRecord) rememberReport(report Report) {
 	for i := range peer.lastReports {
 		if peer.lastReports[i].Customer == report.Customer {
@@ -234,13 +235,14 @@
 	peer.lastReports = append(peer.lastReports, report)
 }
 
-// demandReport is what is told of a customer.
+// demandReport returns the report of a customer.
 func (account *customerAccount) demandReport() Report {
 	return Report{account.id, account.plan, account.reportedDemand * 1000, account.previousReportedDemand * 1000,
 		account.unreportedUnits}
 }
 
-// immediateReport tells the gateway that stands so far behind this one in a customer's set.
+// immediateReport returns the message to the gateway that is so many places behind this one in a customer's
+// set.
 func (e *Engine) immediateReport(account *customerAccount, ahead int) Decision {
 	place := (e.derived.gatewayIndex - account.firstGateway + e.derived.gatewayCount) % e.derived.gatewayCount
 	to := (account.firstGateway + (place+ahead)%account.setSize) % e.derived.gatewayCount
@@ -248,7 +250,8 @@
 	return Decision{Kind: SendReports, Peer: to, Reports: e.reportBuffer}
 }
 
-// collectReport notes a hot customer's set, and its own demand if that is news.
+// collectReport counts a hot customer for the peers of its set, and collects its demand if that has
+// changed.
 func (e *Engine) collectReport(accountIndex int32) {
 	account := &e.accounts[accountIndex]
 	e.hotPrefix[account.firstGateway]++
@@ -260,14 +263,14 @@
 	}
 }
 
-// markReported books that own demand is told now.
+// markReported records that the demand here is reported now.
 func (e *Engine) markReported(account *customerAccount) {
 	account.previousReportedDemand = account.reportedDemand *
 		math.Exp((account.reportedAt-e.now)/e.plans[account.plan].demandWindowMillis)
 	account.reportedDemand, account.reportedAt = e.ownDemand(account), e.now
 }
 
-// silentPeersOf counts the silent peers of a customer's set.
+// silentPeersOf returns the number of silent peers in a customer's set.
 func (e *Engine) silentPeersOf(account *customerAccount) int {
 	return e.silentPrefix[account.firstGateway+account.setSize] - e.silentPrefix[account.firstGateway]
 }
@@ -277,8 +280,9 @@
 	return (peer-account.firstGateway+e.derived.gatewayCount)%e.derived.gatewayCount < account.setSize
 }
 
-// setPeerSilent notes that a peer which owes a word has said nothing for some periods, for so long that it
-// counts no more, or is heard again. While it is silent the demand of its last message does not fade.
+// setPeerSilent records that a peer which owes a report has been silent for some intervals, that it is lost
+// after a longer silence, or that it is heard again. While it is silent and not lost, the demand of its
+// last message does not decay.
 func (e *Engine) setPeerSilent(from int, silent, gone bool) {
 	peer := &e.peers[from]
 	held := peer.silent && !peer.lost
@@ -305,7 +309,7 @@
 	e.countSilentPeers()
 }
 
-// countSilentPeers counts the silent peers over the ring.
+// countSilentPeers updates the prefix sums of silent peers over the ring of gateways.
 func (e *Engine) countSilentPeers() {
 	for i := range e.silentPrefix[1:] {
 		e.silentPrefix[i+1] = e.silentPrefix[i]
--- a/internal/policy/handoff.go
+++ b/internal/policy/handoff.go
@@ -7,7 +7,7 @@
 // This file holds the state that one process of a gateway hands off to its successor on the same machine.
 // Both go by the same clock.
 
-// state is what an account leaves to a successor.
+// state returns what an account hands off to a successor.
 func (account *customerAccount) state() CustomerState {
 	return CustomerState{account.id, account.plan, account.setSize, account.firstGateway, account.requests,
 		account.inFlight, account.silentPeers, account.shareTokens, account.quotaTokens, account.filledAt,
@@ -81,12 +81,12 @@
 	LastReports                                                                 []Report
 }
 
-// HandOff gives what a successor takes over. From then on this gateway only ends the requests in flight: it
-// lets nothing in, sends nothing to cold workers and tells peers nothing, as its parts of all these are
-// another's.
+// HandOff returns what a successor takes over. From then on this engine only ends the open requests: it
+// admits none, sends nothing to warming workers and no reports to peers, as its parts of all these are the
+// successor's.
 func (e *Engine) HandOff() HandoffState {
 	e.handedOff = true
-	for i := range e.requests { // what is kept may yet be sent on from here: to the successor it is spent
+	for i := range e.requests { // what is reserved may yet go out from here: to the successor it is spent
 		if request := &e.requests[i]; request.live && request.reserved {
 			coming, pass := request.bodyPending, request.clearance
 			request.bodyPending = false
@@ -259,7 +259,7 @@
 		saved.FirstGateway < e.derived.gatewayCount
 }
 
-// PredecessorEnded tells that the predecessor has ended: none of its attempts is out any more.
+// PredecessorEnded tells that the predecessor has ended: none of its attempts is in flight any more.
 func (e *Engine) PredecessorEnded() {
 	for i := range e.accounts {
 		account := &e.accounts[i]
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -52,7 +52,7 @@
 	unboundedPerMilli = 1e30
 )
 
-// refill brings a customer's share, and the quota's one store as far as it is known here, up to now.
+// refill brings a customer's share, and its whole quota as far as it is known here, up to now.
 func (e *Engine) refill(account *customerAccount) {
 	plan := &e.plans[account.plan]
 	elapsedMillis := e.now - account.filledAt
@@ -72,7 +72,8 @@
 	account.filledAt = e.now
 }
 
-// quotaWait is how long until the quota's store, as known here, has the units and peers' unheard; 0 is now.
+// quotaWait returns the ms until the whole quota, as known here, has the units and a reserve for what peers
+// may have spent unheard; 0 is now.
 func (e *Engine) quotaWait(account *customerAccount, units float64) float64 {
 	e.refill(account)
 	priorDemand := e.ownDemand(account) - units/e.plans[account.plan].demandWindowMillis
@@ -86,7 +87,7 @@
 	return math.Max(missingUnits/e.plans[account.plan].ratePerMilli, 0)
 }
 
-// shareWait is how long until a customer's own share has the units; 0 is now.
+// shareWait returns the ms until a customer's share here has the units; 0 is now.
 func (e *Engine) shareWait(account *customerAccount, units float64) float64 {
 	e.refill(account)
 	if units += account.reservedQuotaUnits; account.shareTokens >= units-1e-9 {
@@ -102,7 +103,7 @@
 	return (units - account.shareTokens) / share
 }
 
-// accountFor finds or opens the account of an arrival, and fills in what only a request tells.
+// accountFor finds or opens the account of a request, and fills in what only a request tells.
 func (e *Engine) accountFor(arrival Request) int32 {
 	accountIndex, ok := e.accountByCustomer[uint32(arrival.Customer)]
 	if !ok {
@@ -144,18 +145,19 @@
 	e.updateShare(account)
 }
 
-// initialShareTokens is what a share holds at first: full, though without the rounding up to the largest
+// initialShareTokens returns the units in a new share: it is full, but not rounded up to the largest
 // request, which over all gateways of a large set would come to many times the quota's burst.
 func (e *Engine) initialShareTokens(account *customerAccount) float64 {
 	return e.coldShare(account) * e.plans[account.plan].burstMillis
 }
 
-// coldShare is what a cold customer runs at, units a ms.
+// coldShare returns a cold customer's share of the rate, units a ms.
 func (e *Engine) coldShare(account *customerAccount) float64 {
 	return e.plans[account.plan].ratePerMilli / float64(max(account.setSize, 1)) * coldShareFraction
 }
 
-// updateShare sets a customer's share: the cold share, or the floor and its part of the rest by demand.
+// updateShare sets a customer's share of the rate: the cold share, or the floor and a part of the rest by
+// demand.
 func (e *Engine) updateShare(account *customerAccount) {
 	rate, n := e.plans[account.plan].ratePerMilli, float64(max(account.setSize, 1))
 	if e.isSparse(account) { // the rest is credited as demand comes
@@ -174,17 +176,17 @@
 	account.sharePerMilli = rate*floorFraction/n + rate*(1-floorFraction)*own/total
 }
 
-// totalDemand is a customer's demand at all its gateways, as far as it is known here.
+// totalDemand returns a customer's demand at all its gateways, units a ms, as far as it is known here.
 func (e *Engine) totalDemand(account *customerAccount) float64 {
 	plan, others := &e.plans[account.plan], account.peerDemand
-	// not all have spoken yet
+	// Not all peers have reported yet.
 	if intervalsSinceStart := (e.now - e.startedAt) / e.derived.reportIntervalMillis; plan.sparse &&
 		intervalsSinceStart < 1 {
 		others /= math.Max(intervalsSinceStart, startupIntervalFraction)
 	}
 	heardDemand := e.ownDemand(account) + others*plan.decayCompensation
 	total := heardDemand + account.silentPeerDemand
-	// a silent peer that never spoke of the customer counts as the mean of those that may speak
+	// A silent peer that never reported the customer counts as the mean of those that may report.
 	if account.setSize > 1 {
 		silentPeers := e.silentPeersOf(account)
 		total += heardDemand / float64(max(account.setSize-silentPeers, 1)) *
@@ -193,24 +195,25 @@
 	return total
 }
 
-// isSparse tells whether a customer's shares are too small to hold a request, over many gateways.
+// isSparse tells whether a customer's shares, over many gateways, are too small to hold a request.
 func (e *Engine) isSparse(account *customerAccount) bool {
 	return e.plans[account.plan].sparse && account.setSize > 0 &&
 		e.initialShareTokens(account) < e.plans[account.plan].maxUnits
 }
 
-// quotaUnseen tells whether news of a customer's whole store comes too late to go by.
+// quotaUnseen tells whether reports of a customer's whole quota arrive too late to go by.
 func (e *Engine) quotaUnseen(account *customerAccount) bool {
 	return !e.reportsImmediately(account) && e.isSparse(account)
 }
 
-// creditSparseShare puts in a sparse share what units asked here bring it of the split, rate x (1 - beta) x
-// own / total, at once and not over the memory: a gateway that sees a request in many seconds would have it
-// too late.
+// creditSparseShare adds to a sparse share what the units requested here bring it of the split, rate x (1 -
+// floorFraction) x own / total demand, at once and not over the demand window: a gateway that sees a
+// request in many seconds would have it too late.
 func (e *Engine) creditSparseShare(account *customerAccount, units float64) {
 	plan, total := &e.plans[account.plan], e.totalDemand(account)
-	// Guards against bursts that end before a word of them comes: what was asked here in the last second, scaled
-	// up by this gateway's usual part of the customer's demand, is taken to be asked at the peers too.
+	// Guards against bursts that end before a report of them arrives: what was requested here in the last
+	// second, scaled up by this gateway's usual part of the customer's demand, is assumed to be requested at the
+	// peers too.
 	recentDemand := account.recentDemand * math.Exp((account.lastRequestAt-e.now)/demandWindowMillis)
 	usualFraction := math.Max(e.ownDemand(account)-recentDemand*demandWindowMillis/plan.demandWindowMillis, 0) /
 		math.Max(total, 1e-9)
@@ -222,8 +225,9 @@
 	}
 }
 
-// bestInFlight is how many attempts a quota on those out should have out on average: where one more earns
-// no more than it costs, as many gateways that don't see each other's meet by chance.
+// bestInFlight returns how many attempts a quota on attempts in flight should have in flight on average:
+// where one more earns no more than it costs, as the attempts of many gateways, which do not see each
+// other's, meet by chance.
 func bestInFlight(plan Plan) float64 {
 	best, most, step := 0.0, 0.0, math.Max(inFlightSearchStep, float64(plan.MaxInFlight)/maxInFlightSearchSteps)
 	for a := step; a <= float64(plan.MaxInFlight); a += step {
@@ -274,7 +278,7 @@
 	reservedUnits, reservedQuotaUnits float64
 }
 
-// productParams holds what decisions need of a Product; times in ms.
+// productParams is what decisions use of a Product; times in ms.
 type productParams struct {
 	latencyTargetMillis, dedupWindowMillis float64
 	idempotency                            Idempotency
@@ -298,7 +302,7 @@
 	allowsExcess         bool // admitting beyond the quota earns more than it costs
 }
 
-// addDemand adds to a customer's demand here.
+// addDemand adds a request to a customer's demand here.
 func (e *Engine) addDemand(account *customerAccount, draws float64) {
 	plan := &e.plans[account.plan]
 	if account.uncollectedUnits > 0 {
@@ -312,7 +316,7 @@
 	account.requests++
 }
 
-// openAccount makes an account with full stores, in a used place if there is one.
+// openAccount makes an account with full stores and returns its index.
 func (e *Engine) openAccount(id uint64, planIndex int) int32 {
 	accountIndex := allocate(&e.accounts, &e.freeAccounts)
 	account, plan := &e.accounts[accountIndex], &e.plans[planIndex]
@@ -325,7 +329,7 @@
 	return accountIndex
 }
 
-// closeAccount lets an account go.
+// closeAccount frees an account.
 func (e *Engine) closeAccount(accountIndex int32) {
 	account := &e.accounts[accountIndex]
 	delete(e.accountByCustomer, uint32(account.id))
@@ -336,7 +340,7 @@
 	e.freeAccounts = append(e.freeAccounts, accountIndex)
 }
 
-// quotaCost is what a request takes from its quota.
+// quotaCost returns the units that a request takes from its quota.
 func (plan *planParams) quotaCost(units float64) float64 {
 	if plan.targetInFlight > 0 {
 		return 1
@@ -344,8 +348,8 @@
 	return units
 }
 
-// deriveRate puts a quota on attempts out, where there is no other, as a rate: as many as are to be out,
-// each as long as one stays out.
+// deriveRate expresses a quota on attempts in flight, where there is no other, as a rate: the number wanted
+// in flight over the time that an attempt takes.
 func (plan *planParams) deriveRate() {
 	if plan.targetInFlight > 0 {
 		plan.ratePerMilli = plan.targetInFlight / math.Max(plan.attemptMillis, 1)
@@ -353,13 +357,13 @@
 	}
 }
 
-// ownDemand is the demand estimate, units a ms. That of a sparse plan has a long memory: after a start it
-// makes up for what it has not seen yet.
+// ownDemand returns the estimate of demand here, units a ms. That of a sparse plan has a long window: after
+// a start it is scaled up by what it has not seen yet.
 func (e *Engine) ownDemand(account *customerAccount) float64 {
 	plan := &e.plans[account.plan]
 	if e.settings.QuotaWithoutGossip && account.setSize > 1 &&
 		e.now-account.lastRequestAt < e.derived.coolDownMillis {
-		return unboundedPerMilli // so may its peers, unheard: there is no room in the one store
+		return unboundedPerMilli // its peers may spend unheard as well: nothing is left of the whole quota
 	}
 	d := account.decayedDemand * math.Exp((account.lastRequestAt-e.now)/plan.demandWindowMillis)
 	if plan.sparse {
@@ -369,9 +373,10 @@
 	return d
 }
 
-// rateLimitFullAt is when the share of a customer's rate limit is full again, if all that is kept goes out
-// too; 0 where there is none. A later run reads it by the rate limits that this one began with, so where
-// these have changed the slower of both paces counts: it then takes for spent no less than is.
+// rateLimitFullAt returns when a customer's share of its rate limit is full again, if all reserved units go
+// out too; 0 where there is none. A later run of the gateway reads it by the rate limits that this one
+// began with. Where these have changed the slower of both rates counts, so that it assumes no less to be
+// spent than is.
 func (e *Engine) rateLimitFullAt(account *customerAccount) float64 {
 	plan := &e.plans[account.plan]
 	if plan.rateLimitPerMilli <= 0 {
@@ -385,25 +390,27 @@
 		account.setSize)/plan.rateLimitPerMilli
 }
 
-// gcraWait is how long until a store, full at tat, that fills at rate and holds depth has the units; 0 is
-// now.
+// gcraWait returns the ms until a store that is full at tat, refills at rate and holds depth has the units;
+// 0 is now.
 func gcraWait(tat, now, rate, depth, units float64) float64 {
 	return gcra.Wait(tat, now, rate, depth, units)
 }
 
-// storeDepth is how much a store of a plan holds that fills at a rate.
+// storeDepth returns the units that a plan's store holds if it refills at a rate, units a ms.
 func (e *Engine) storeDepth(plan *planParams, rate float64) float64 {
 	return math.Max(rate*plan.burstMillis, plan.maxUnits)
 }
 
-// sparseRate is what a sparse share is credited over time: its share, and the split as demand comes.
+// sparseRate returns what a sparse share is credited over time, units a ms: the floor, and the split as
+// demand comes.
 func (e *Engine) sparseRate(account *customerAccount) float64 {
 	return account.sharePerMilli + e.plans[account.plan].ratePerMilli*(1-floorFraction)*math.Min(
 		e.ownDemand(account)/math.Max(e.totalDemand(account), 1e-12), 1)
 }
 
-// charge takes a request's units from its customer's stores at the first attempt. A body that is still coming
-// may never reach a worker whole, and then takes nothing: until it has, its units are only kept.
+// charge takes a request's units from its customer's stores at the first attempt. A body that is still
+// arriving may never reach a worker complete, and then takes nothing: until it has, its units are only
+// reserved.
 func (e *Engine) charge(request *requestState) {
 	if e.releaseReservation(request); request.bodyPending {
 		e.reserve(request)
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -4,9 +4,9 @@
 	"math"
 )
 
-// RetractAttempt tells that attempt n of a request, the newest, never began: what it was decided by had run
-// out. The request is decided on anew, the first time as if it had just come; what it took stays taken. It is
-// false where that can't be, and the attempt has Ended as NotSent.
+// RetractAttempt tells that the newest attempt of a request never began, as the time to begin it had
+// passed. The request is decided on anew, after its first attempt as if it had just arrived; what it has
+// taken stays taken. It is false where that is not possible; the attempt has then to end as NotSent.
 func (e *Engine) RetractAttempt(id uint64, attemptIndex int) bool {
 	slot, ok := e.byID[id]
 	if !ok || attemptIndex < 0 || attemptIndex != len(e.requests[slot].attempts)-1 ||
@@ -27,7 +27,8 @@
 	return true
 }
 
-// AttemptEnded tells how attempt n of a request ended, and whether that closed the request, now or earlier.
+// AttemptEnded tells how an attempt of a request ended, after how many ms, and whether the request has its
+// answer by it, now or earlier.
 func (e *Engine) AttemptEnded(id uint64, attemptIndex int, outcome Outcome, responseMillis float64,
 	closed bool) {
 	slot, ok := e.byID[id]
@@ -110,7 +111,8 @@
 	}
 }
 
-// retryUntil is until when a further attempt may begin under the rule against double effects; 0 is never.
+// retryUntil returns the time until which a further attempt may begin without a risk that the request takes
+// effect twice; 0 is never. running says that an attempt is in flight.
 func (e *Engine) retryUntil(request *requestState, running bool) float64 {
 	product := &e.products[request.product]
 	switch {
@@ -131,7 +133,8 @@
 	return from + product.dedupWindowMillis - scanIntervalMillis
 }
 
-// finish ends a request at once: declined where that promise holds, else voided.
+// finish answers a request without a result: rejected where it certainly had no effect, or may be repeated,
+// else rejected as uncertain.
 func (e *Engine) finish(request *requestState, why FinalReason, wait float64) Decision {
 	request.answered = true
 	e.stats.FinalByReason[why]++
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -19,16 +19,16 @@
 	warmUpStretchFactor = 1.1
 )
 
-// meanUnits is the size of a middling request.
+// meanUnits returns the size of a medium request.
 func (derived *derivedSettings) meanUnits() float64 { return (1 + derived.maxRequestUnits) / 2 }
 
+// warmWorkUnits returns the units done by warm workers, decayed to now.
 func (e *Engine) warmWorkUnits() float64 {
 	return e.warmUnits * math.Exp((e.warmUnitsAt-e.now)/warmWorkWindowMillis)
 }
 
-// recordWarmWork books the work of a warm worker, and what it comes to for each of the warm ones there are.
-// Of one that is not on the list any more it does not count for that: the number of the others may just have
-// fallen.
+// recordWarmWork adds the units done by a warm worker, in sum and for each warm worker there is. A worker
+// that is no longer listed does not count for the latter: the number of the others may just have fallen.
 func (e *Engine) recordWarmWork(worker *workerRecord, units float64) {
 	if e.warmFraction(worker.StartedAtMillis) < 1 {
 		return
@@ -40,8 +40,8 @@
 	}
 }
 
-// warmFraction guesses which part of its capacity a worker has, from the stated least start and longest
-// warm-up.
+// warmFraction returns the estimated fraction of its capacity that a worker has, from the stated least
+// capacity and longest warm-up.
 func (e *Engine) warmFraction(since float64) float64 {
 	if since <= 0 || e.derived.warmUpMillis <= 0 || e.now-since >= e.derived.warmUpMillis {
 		return 1
@@ -50,9 +50,9 @@
 		0)/e.derived.warmUpMillis
 }
 
-// hasTurn tells whether it is this gateway's turn at a worker that is not warm. Guards against turns that
-// all have kept and use at once: one lasts as long as such a worker bears too much for, the next is earned
-// anew.
+// hasTurn tells whether it is this gateway's turn at a worker that is warming up. Guards against turns that
+// all gateways have saved and use at once: a turn lasts as long as such a worker withstands overload, the
+// next one is earned anew.
 func (e *Engine) hasTurn(worker *workerRecord) bool {
 	if worker.slowStartDebt > 0 {
 		worker.slowStartDebt = math.Max(worker.slowStartDebt-
@@ -64,11 +64,11 @@
 	return worker.slowStartDebt <= 0
 }
 
-// warmingRate is this gateway's budget for a worker that is not warm, in units a ms: what it sees a warm
-// worker do, times the guessed warmth. Each gateway's part of the warm load adds up to no more than a
-// warm worker can do, so together they stay under the worker's present capacity whoever else is alive. What
-// they did is shared by those that were warm then: by those left of a lost region it would come to many
-// times.
+// warmingRate returns this gateway's budget for a worker that is warming up, units a ms: the work that it
+// sees a warm worker do, times the warm fraction. All gateways' parts of the warm load add up to no more
+// than a warm worker's capacity, so together they stay under the worker's present capacity whichever
+// gateways are alive. The work is divided among those that were warm when it was done: divided among those
+// left of a lost region it would come to many times that.
 func (e *Engine) warmingRate(since float64) float64 {
 	if as := [...]float64{e.now, e.startedAt, e.warmUnitsAt, e.warmUnitsPerWorker}; as != e.cachedWarmRateKey {
 		span := math.Max(warmWorkWindowMillis*(1-math.Exp((e.startedAt-e.now)/warmWorkWindowMillis)),
--- a/internal/policy/workerselection.go
+++ b/internal/policy/workerselection.go
@@ -52,7 +52,8 @@
 // machineKind is what is known of all workers of a kind of machine.
 type machineKind struct{ responseMillis, responses float64 }
 
-// ReportWorkerLoad takes what a worker said of its load with an answer. What makes no sense changes nothing.
+// ReportWorkerLoad takes the load that a worker reported with a response. Figures that make no sense change
+// nothing.
 func (e *Engine) ReportWorkerLoad(workerIndex int, load WorkerLoad) {
 	if !e.derived.workersReportLoad || workerIndex < 0 || workerIndex >= len(e.workers) {
 		return
@@ -68,8 +69,9 @@
 	}
 }
 
-// expectedResponseMillis is the time of an answer of a worker: its own as far as it is recent, else that of
-// its kind. Among many gateways each sees a worker once in many seconds, and a kind of machine often.
+// expectedResponseMillis returns the expected response time of a worker: its own as far as that is recent,
+// else that of its machine kind. Among many gateways each sees a worker once in many seconds, and a machine
+// kind often.
 func (e *Engine) expectedResponseMillis(worker *workerRecord) float64 {
 	usual := e.machineKinds[worker.MachineKind].responseMillis
 	if usual == 0 {
@@ -83,7 +85,8 @@
 	return usual + (worker.responseMillis-usual)*math.Exp((worker.responseAt-e.now)/workerResponseDecayMillis)
 }
 
-// recordResponse adds the time of a whole answer to its worker's pace, its kind's and the fleet's.
+// recordResponse adds the time of a complete response to the means of its worker, of its machine kind and
+// of the fleet.
 func (e *Engine) recordResponse(worker *workerRecord, responseMillis float64) {
 	if e.responseMillis == 0 {
 		e.responseMillis = responseMillis
@@ -97,13 +100,14 @@
 	kind.responseMillis += math.Max(fleetResponseGain, 1/kind.responses) * (responseMillis - kind.responseMillis)
 }
 
-// classOf numbers the pairs of plan and product.
+// classOf returns the index of a request's class: its pair of plan and product.
 func (e *Engine) classOf(request *requestState) int {
 	return request.plan*len(e.products) + request.product
 }
 
-// chooseWorker draws two workers at random and takes the one that own counts favour. More are looked at only
-// if neither may be used or the better one is distrusted or answers slowly.
+// chooseWorker draws two workers at random and takes the one with the lower cost (power of two choices).
+// More are examined only if neither is eligible, or the better one is suspect or responds slowly. It
+// returns -1 if no worker is eligible.
 func (e *Engine) chooseWorker(request *requestState) int {
 	if len(e.ready) == 0 {
 		return -1
@@ -119,7 +123,7 @@
 	for range 2 {
 		examine(e.subset[e.rng.Intn(len(e.subset))])
 	}
-	// What cold ones can do is little, and goes unused where they are looked at seldom: one whose turn it is.
+	// The small capacity of warming workers goes unused where they are examined rarely: one whose turn it is.
 	for i, from := 0, e.rng.Intn(len(e.warming)+1); i < len(e.warming); i++ {
 		if w := e.warming[(from+i)%len(e.warming)]; e.hasTurn(&e.workers[w]) {
 			examine(w)
@@ -144,14 +148,14 @@
 	return best
 }
 
-// subsetSize is how many of the listed workers a gateway draws from. Guards against hundreds of
+// subsetSize returns how many of the ready workers this gateway draws from. Guards against hundreds of
 // gateways that each see each worker once in many seconds, over a new connection each time.
 func (e *Engine) subsetSize() int {
 	part := int(math.Ceil(float64(len(e.ready)) * gatewaysPerWorker / float64(e.derived.gatewayCount)))
 	return min(max(part, maxWorkersExamined), len(e.ready))
 }
 
-// eligible tells whether the rules let a request go to a listed worker.
+// eligible tells whether the rules let a request go to a ready worker.
 func (e *Engine) eligible(request *requestState, workerIndex int) bool {
 	worker := &e.workers[workerIndex]
 	for i := range request.attempts {
@@ -176,10 +180,11 @@
 	return e.warmFraction(worker.StartedAtMillis) >= 1 || !e.handedOff && e.hasTurn(worker)
 }
 
+// workerCost returns the expected cost of sending a request to a worker: lower is better.
 func (e *Engine) workerCost(request *requestState, workerIndex int) float64 {
 	worker := &e.workers[workerIndex]
-	// A report only speaks against a worker, and while it is fresh: gateways that all go for the one that has
-	// little to do would run as a herd, and a worker that fails fast always has.
+	// A load report only counts against a worker, and while it is fresh: gateways that all choose the one with
+	// little load would be a herd, and a worker that fails fast always has little.
 	busier := loadReportWeight * math.Max(worker.reportedLoad/math.Max(e.meanLoad, 1)-1, 0) *
 		math.Exp((worker.reportedLoadAt-e.now)/loadReportDecayMillis)
 	return float64(worker.inFlight+1) * math.Max(e.expectedResponseMillis(worker), 1) *
