--- a/internal/policy/checkpoint.go
+++ b/internal/policy/checkpoint.go
@@ -26,10 +26,10 @@
 	maxCheckpointAgeMillis = 5000.0
 )
 
-// Checkpoint puts the next piece of what fades into e, from the place that the piece before has given, 0 at
-// first, and gives the next place; 0 tells that the copy is whole. It changes nothing here, and once e has
-// grown to what is known it allocates nothing. Customers beyond 16,384 are left out: they are as after any
-// start.
+// Checkpoint writes the next piece of the state that fades into handoff, from the place that the piece
+// before has returned, 0 at first, and returns the next place; 0 says that the checkpoint is complete. It
+// changes nothing in the engine, and once handoff has grown to what is known it allocates nothing.
+// Customers beyond maxCheckpointCustomers are left out: they are as after any start.
 func (e *Engine) Checkpoint(handoff *HandoffState, from int, now float64) int {
 	if from == 0 || len(handoff.Peers) != len(e.peers) { // other gateways than at its beginning: anew
 		from, handoff.AtMillis, handoff.StartedAtMillis, handoff.NextReportAtMillis = 0, math.Max(now, e.now),
@@ -66,16 +66,16 @@
 	return 0
 }
 
-// RestoreCheckpoint takes an earlier run's copy, after RestoreCrashState, and tells how many customers it
-// goes by: none of a copy of another settings, or that is older than five seconds, and none while quotas go
-// without gossip or a part is withheld. Customers whose requests have come meanwhile are let alone. Peers
-// that know this for a new life drop what they were told in the last message (told): that is news to them
-// again, while of all else what is left is known.
+// RestoreCheckpoint takes the checkpoint of an earlier run, after RestoreCrashState, and returns how many
+// customers it restores: none of a checkpoint of other settings, or older than maxCheckpointAgeMillis, and
+// none while quotas go without gossip or a fraction is withheld. Customers whose requests have arrived
+// meanwhile are left alone. peersDropLastReport says that peers know this run for a new one and drop what the
+// last message reported: that is reported again, while what is left of all else is known to them.
 //
-// What fades has faded by the copy's age. Stores have not filled since, unless there are no peers: what came
-// in was theirs to give. What the earlier run may have spent after the copy is taken from them, by the demand
-// that it saw, and a share holds no more than that of one that knows nothing. So is what credit may have
-// taken back after the copy: its book outlives a kill, and has that as paid.
+// Demand has decayed by the checkpoint's age. Stores have not refilled since, unless there are no peers: the
+// refill was theirs to give. What the earlier run may have spent after the checkpoint is taken from them, by
+// the demand that it saw, and a share holds no more than that of an engine that knows nothing. So is what
+// credit may have collected after the checkpoint: its ledger outlives a crash, and has that as paid.
 func (e *Engine) RestoreCheckpoint(handoff HandoffState, peersDropLastReport bool) (customers int) {
 	age := e.now - handoff.AtMillis
 	if len(handoff.Peers) != len(e.peers) || len(handoff.ShortDeadlineSuccess) != len(e.plans) ||
@@ -87,7 +87,7 @@
 	if handoff.StartedAtMillis <= handoff.AtMillis { // what it has seen of demand is as old as that
 		e.startedAt = math.Min(e.startedAt, handoff.StartedAtMillis)
 	}
-	// its turn among the peers
+	// Keep this gateway's turn among the peers.
 	if handoff.NextReportAtMillis > handoff.AtMillis &&
 		handoff.NextReportAtMillis <= handoff.AtMillis+e.derived.reportIntervalMillis {
 		turns := math.Max(math.Ceil((e.now-handoff.NextReportAtMillis)/e.derived.reportIntervalMillis), 0)
@@ -107,14 +107,14 @@
 			saved.ReportedAtMillis <= handoff.AtMillis) {
 			continue
 		}
-		if saved.ReportDueSinceMillis > 0 { // what it said while there was nobody to hear it is not its silence
+		if saved.ReportDueSinceMillis > 0 { // what it sent while nobody received is not its silence
 			saved.ReportDueSinceMillis = e.now
 		}
 		last := slices.DeleteFunc(slices.Clone(saved.LastReports), func(report Report) bool {
 			return !(report.DemandPerSecond >= 0 && report.DemandPerSecond <= math.MaxInt32) || report.Plan < 0 ||
 				report.Plan >= len(e.plans)
 		})
-		if e.peers[i].heardAt > 0 { // in this life
+		if e.peers[i].heardAt > 0 { // in this run
 			heardSinceStart = append(heardSinceStart, i)
 		}
 		e.peers[i] = peerRecord{saved.HeardAtMillis, saved.ReportedAtMillis, saved.ReportDueSinceMillis,
@@ -122,9 +122,9 @@
 			saved.Silent, saved.Lost, last}
 	}
 	e.countSilentPeers()
-	// it may have told its peers after the copy
+	// The earlier run may have reported to its peers after the checkpoint.
 	mayHaveReported := handoff.NextReportAtMillis <= handoff.AtMillis+CheckpointIntervalMillis
-	// from when on peers drop what was told: their last message's
+	// Peers drop what was reported from then on: that of the last message.
 	peersDropFrom := math.Inf(1)
 	if peersDropLastReport {
 		peersDropFrom = handoff.NextReportAtMillis - e.derived.reportIntervalMillis - 1
@@ -234,8 +234,8 @@
 	return true
 }
 
-// possiblyRepaid is what credit may have taken of a customer's fill after a copy of that time, units. Guards
-// against a kill that undoes it.
+// possiblyRepaid returns the units that credit may have collected of a customer's refill after a checkpoint
+// of that time. Guards against a crash that undoes it.
 func (e *Engine) possiblyRepaid(account *customerAccount, at float64) float64 {
 	span := at + CheckpointIntervalMillis - account.creditAt
 	// nothing was owed
@@ -246,5 +246,5 @@
 	return e.repaymentRate(account) * span
 }
 
-// spendDown is what is left of a store after so many units, or as little as there was.
+// spendDown returns what is left of a store after so many units, or as little as there was.
 func spendDown(store, units float64) float64 { return math.Max(store-units, math.Min(store, 0)) }
--- a/internal/policy/clearance.go
+++ b/internal/policy/clearance.go
@@ -9,11 +9,11 @@
 
 const (
 	notCleared       clearanceStage = iota // it is not
-	clearanceGranted                       // it is, and has not come
-	clearanceClaimed                       // it has come
+	clearanceGranted                       // it is, and has not arrived
+	clearanceClaimed                       // it has arrived
 )
 
-// grantClearance clears a request: its units are kept for it until it comes, for as long as its clearance
+// grantClearance clears a request: its units are reserved until it arrives, for as long as its clearance
 // lasts.
 func (e *Engine) grantClearance(request *requestState) Decision {
 	request.clearance, request.deadline, request.bodyPending = clearanceGranted, e.now+request.clearanceMillis,
@@ -32,9 +32,9 @@
 	}
 }
 
-// ClaimClearance tells that a cleared request has come: its client waits so many ms from now on, or from the
-// last byte of a body that is still coming. It is false if its clearance is no more; the request is then like
-// any other.
+// ClaimClearance tells that a cleared request has arrived: its client waits so many ms from now on, or from
+// the last byte of a body that is still arriving. It is false if its clearance has expired; the request is
+// then like any other.
 func (e *Engine) ClaimClearance(id uint64, timeLeftMillis float64, bodyPending bool) bool {
 	slot, ok := e.byID[id]
 	if !ok || e.requests[slot].clearance != clearanceGranted || e.requests[slot].answered ||
@@ -48,7 +48,7 @@
 	return true
 }
 
-// ReleaseClearance tells that a cleared request will not come: its units are free again.
+// ReleaseClearance tells that a cleared request will not arrive: its units are free again.
 func (e *Engine) ReleaseClearance(id uint64) {
 	if slot, ok := e.byID[id]; ok && e.requests[slot].clearance == clearanceGranted &&
 		!e.requests[slot].answered {
@@ -58,7 +58,7 @@
 	}
 }
 
-// ImportClearance takes over a clearance that another process of this gateway has given, for so many ms
+// ImportClearance takes over a clearance that another process of this gateway has granted, for so many ms
 // more.
 func (e *Engine) ImportClearance(arrival Request) {
 	e.AddRequest(arrival)
@@ -67,13 +67,13 @@
 	e.grantClearance(request)
 }
 
-// awaitsClaim tells whether a request is cleared and has not come.
+// awaitsClaim tells whether a request is cleared and has not arrived.
 func (request *requestState) awaitsClaim(now float64) bool {
 	return request.clearance == clearanceGranted && !request.answered &&
 		request.deadline-now > deadlineMarginMillis
 }
 
-// deadlineReason is why a request gets its answer at its deadline.
+// deadlineReason returns why a request is answered at its deadline.
 func (request *requestState) deadlineReason() FinalReason {
 	if request.clearance == clearanceGranted {
 		return ReasonClearanceExpired
@@ -81,8 +81,8 @@
 	return ReasonAttemptsExhausted
 }
 
-// reserve sets a request's units aside. Guards against giving back what was spent: a store that would have
-// been full meanwhile has run over, and would hold more than the truth. What is kept was never taken from it.
+// reserve sets a request's units aside, instead of taking and giving them back. Guards against giving back
+// what was spent: a store that would have been full meanwhile has run over, and would then hold too much.
 func (e *Engine) reserve(request *requestState) {
 	if !request.reserved {
 		request.reserved = true
@@ -90,7 +90,7 @@
 	}
 }
 
-// releaseReservation ends that, and a clearance with it.
+// releaseReservation ends a reservation, and a clearance with it.
 func (e *Engine) releaseReservation(request *requestState) {
 	e.endClearance(request)
 	e.refundLoan(request)
@@ -100,8 +100,8 @@
 	}
 }
 
-// adjustReservation changes what is kept for a customer by a request's units, so many times. Beyond the quota
-// nothing is taken from it.
+// adjustReservation changes what is reserved for a customer by so many times a request's units. Beyond the
+// quota nothing is taken from it.
 func (e *Engine) adjustReservation(request *requestState, times float64) {
 	account := &e.accounts[request.accountIndex]
 	if account.reservedUnits = math.Max(account.reservedUnits+times*request.units, 0); request.withinQuota {
--- a/internal/policy/discoverywatch.go
+++ b/internal/policy/discoverywatch.go
@@ -4,10 +4,10 @@
 	"math"
 )
 
-// WatchRetryDelay is the pause before the watch is opened, ms, after so many tries in a row that cost
-// discovery something in vain, by so many gateways that may ask at once (none where lists are pushed),
-// where what it has to tell counts as told in due ms. Chance is from 0 to 1. Guards against a fleet that asks
-// as one.
+// WatchRetryDelay returns the pause in ms before the watch is opened, after so many tries in a row that
+// cost discovery something in vain, where askers gateways may call at the same time (0 where lists are
+// pushed) and what has changed has to be known in due ms. chance is random from 0 to 1. Guards against a
+// fleet whose gateways all call at once.
 func WatchRetryDelay(tries, askers int, due, chance float64) float64 {
 	most, each, least := max(due-WatchResponseMillis, 0), WatchRetryPerGatewayMillis*float64(askers),
 		WatchRetryMillis/2*float64(min(tries, 1))
@@ -21,8 +21,8 @@
 	return max(min(each, most), WatchRetryMillis) * (1 - WatchRetryJitterFraction*(1-chance))
 }
 
-// WatchIdleTimeout is how long a watch that has spoken may say nothing, ms. The askers spread in it, not
-// after it.
+// WatchIdleTimeout returns the ms that a watch which has sent something may be silent. The calls of the
+// gateways are spread in that time, not after it.
 func WatchIdleTimeout(askers int, chance float64) float64 {
 	return WatchHeartbeatTimeoutMillis + WatchRetryDelay(0, askers,
 		WatchCatchUpMillis-WatchHeartbeatTimeoutMillis, chance)
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -14,23 +14,24 @@
 // maxSingleInserts is how many changes are inserted one after another; more are cheaper merged into the list.
 const maxSingleInserts = 16
 
-// Where a worker stands.
+// The places of a worker in the lists of ready workers.
 const (
 	notReady     = uint8(iota) // not among the ready ones
 	inReadyList                // among them
 	pendingReady               // it is to be, and is not in its places yet
 )
 
-// updateMode is how a list is taken.
+// updateMode is how an update of the list is applied.
 type updateMode uint8
 
 const (
-	updateEach   updateMode = iota // entry by entry
-	updateMerged                   // merged
-	updateAll                      // all workers are gone over
+	updateEach   updateMode = iota // each entry is inserted or removed alone
+	updateMerged                   // the changes are merged into the lists
+	updateAll                      // the lists are rebuilt from all workers
 )
 
-// beginUpdate makes room for a list, takes all workers off where it is whole, and tells how it is taken.
+// beginUpdate makes room for an update, unlists all workers if it is a complete list, and returns how it is
+// applied.
 func (e *Engine) beginUpdate(list []Endpoint, partial bool) updateMode {
 	for i := 0; i < len(e.workers) && !partial; i++ {
 		e.workers[i].listed = false
@@ -53,8 +54,8 @@
 	return updateMerged
 }
 
-// applyEndpoint gives the worker of an entry of the list, a new one if another had its place. Where the entry
-// changes its place among the ready ones it is taken off them.
+// applyEndpoint returns the worker of an entry of the list, a new one if another had its index. Where the
+// entry changes its place among the ready workers it is removed from them.
 func (e *Engine) applyEndpoint(endpoint Endpoint, mode updateMode) *workerRecord {
 	for len(e.machineKinds) <= endpoint.MachineKind {
 		e.machineKinds = append(e.machineKinds, machineKind{})
@@ -87,7 +88,8 @@
 	return worker
 }
 
-// addReady puts a worker whose entry was taken among the ready ones. Until time is reckoned with it is cold.
+// addReady adds a worker whose entry was applied to the ready ones. Until refreshReady it counts as
+// warming.
 func (e *Engine) addReady(i int, mode updateMode) {
 	worker := &e.workers[i]
 	if mode == updateAll || !worker.listed || e.readiness[i] != notReady {
@@ -104,7 +106,7 @@
 	e.readyByRank = slices.Insert(e.readyByRank, at, i)
 }
 
-// removeReady takes a worker off the ready ones.
+// removeReady removes a worker from the ready ones.
 func (e *Engine) removeReady(i int, mode updateMode) {
 	e.readiness[i] = notReady
 	warm := e.workers[i].warm
@@ -121,7 +123,7 @@
 	}
 }
 
-// endUpdate ends a list: it puts what has changed of the ready workers in its places.
+// endUpdate ends an update: the changes of the ready workers are put in their places.
 func (e *Engine) endUpdate(mode updateMode) {
 	switch e.sizeRatingKnown = false; mode {
 	case updateAll:
@@ -133,7 +135,7 @@
 	e.refreshReady()
 }
 
-// mergeReady takes those struck off the ready ones, and puts the fresh ones among them.
+// mergeReady drops the removed workers from the ready ones, and merges in those that were added.
 func (e *Engine) mergeReady() {
 	slices.Sort(e.added) // an entry may have come twice
 	e.added = slices.DeleteFunc(slices.Compact(e.added),
@@ -155,7 +157,7 @@
 	}
 }
 
-// stillReady gives those of all that are in their places still.
+// stillReady returns those of all that are still ready, in place.
 func (e *Engine) stillReady(all []int) []int {
 	n := 0
 	for _, i := range all {
@@ -167,7 +169,7 @@
 	return all[:n]
 }
 
-// mergeSorted puts more into all. Both are in order.
+// mergeSorted merges more into all. Both are sorted by order.
 func mergeSorted(all, more []int, order func(a, b int) int) []int {
 	end := len(all) // of those that have not moved
 	all = append(all, more...)
@@ -187,6 +189,7 @@
 	return cmp.Compare(a, b)
 }
 
+// insertSorted inserts i into all, which is sorted, unless it is there.
 func insertSorted(all []int, i int) []int {
 	at, found := slices.BinarySearch(all, i)
 	if found {
@@ -195,6 +198,7 @@
 	return slices.Insert(all, at, i)
 }
 
+// deleteSorted deletes i from all, which is sorted, if it is there.
 func deleteSorted(all []int, i int) []int {
 	if at, found := slices.BinarySearch(all, i); found {
 		return slices.Delete(all, at, at+1)
@@ -202,7 +206,7 @@
 	return all
 }
 
-// rebuildReady gathers the workers that may be sent to. Those that were ready keep their order by rank.
+// rebuildReady lists the workers that may be sent to. Those that were ready keep their order by rank.
 func (e *Engine) rebuildReady() {
 	e.sizeRatingKnown = false
 	e.readyByRank = slices.DeleteFunc(e.readyByRank, func(i int) bool {
@@ -231,8 +235,8 @@
 	e.refreshReady()
 }
 
-// refreshReady reckons with what time has changed of the ready workers: which are warm by now, what all can
-// do, and what is open to each class of request.
+// refreshReady updates what time has changed of the ready workers: which are warm by now, what all of them
+// can do, and what fraction accepts each class of request.
 func (e *Engine) refreshReady() {
 	cold, at := e.warming[:0], 0
 	e.warmEquivalents = 0
@@ -274,8 +278,8 @@
 	e.subset = e.readyByRank[:e.subsetSize()]
 }
 
-// indexFromStart is the place of i in all, which is in order and has it; what is near the start is found
-// soonest.
+// indexFromStart returns the index of i in all, which is sorted and has it; an index near the start is
+// found soonest.
 func indexFromStart(all []int, i int) int {
 	far := 1
 	for far < len(all) && all[far] <= i {
@@ -300,8 +304,8 @@
 	return x
 }
 
-// meanSizeRating is the mean of the ready workers' ratings, gone over in order only where one is asked for
-// after the list has changed: until each kind of machine has answered.
+// meanSizeRating returns the mean of the ready workers' size ratings. It is computed, in order, only where
+// it is needed after the list has changed: until each machine kind has responded.
 func (e *Engine) meanSizeRating() float64 {
 	if !e.sizeRatingKnown {
 		e.sizeRatingKnown, e.sizeRating = true, 0
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -249,39 +249,39 @@
 	rng             *rand.Rand
 	now             float64
 	startedAt       float64
-	rateLimitBase   float64 // rate limits of customers that are not known here are taken as spent at this time
-	handedOff       bool    // another has taken over what it knows
-	startedEmpty    bool    // it knew nobody when quotas began to go without messages
+	rateLimitBase   float64 // time at which rate limits of customers not known here are taken as spent
+	handedOff       bool    // a successor has taken over
+	startedEmpty    bool    // it knew no customer when quotas began to go without gossip
 	lender          Lender  // nil where nothing is lent
-	gossipResumedAt float64 // when quotas last went by messages again; 0 where they always did
-	stalledUntil    float64 // when the gateway last found that it had itself stood still
+	gossipResumedAt float64 // when quotas last went by gossip again; 0 where they always did
+	stalledUntil    float64 // end of the last stall of this process
 	clockStarted    bool
 	derived         derivedSettings
 	settings        Settings // what they were derived from
 	initialPlans    []Plan   // as they were at the start, once they have changed
 	products        []productParams
 	plans           []planParams
-	windowFraction  [][]float64 // window fraction by product and plan
+	windowFraction  [][]float64 // by product and plan
 
 	workers []workerRecord
-	// of each, by chance, so that each gateway draws from some of its own; 0 is none yet
+	// random rank of each worker, so that each gateway has a subset of its own; 0 is none yet
 	ranks             []float64
-	readiness         []uint8   // where each stands
-	ready             []int     // the listed ones, in order
+	readiness         []uint8   // of each worker
+	ready             []int     // the listed workers, by index
 	readyByRank       []int     // the same by rank
-	subset            []int     // of these, those that are drawn from: the first
-	warming           []int     // of the ready ones, those that are not warm, in order
-	suspects          []int     // workers that fail, or turn requests away
-	added             []int     // those that a list brings among the ready ones
-	rewarming         []int     // and of the ready ones those that it makes cold
-	removedAny        bool      // it has taken some off
-	inFlightByClass   []int     // attempts out by class of request
-	acceptingFraction []float64 // part of the workers that does not turn a sort away
-	warmCount         int       // how many of the listed ones are warm
-	warmEquivalents   float64   // what all the listed ones can do, in warm workers
+	subset            []int     // the first of these, which are drawn from
+	warming           []int     // the ready ones that are warming up, by index
+	suspects          []int     // workers with suspicion or rejections
+	added             []int     // those that an update makes ready
+	rewarming         []int     // ready ones that it makes warming
+	removedAny        bool      // it has removed some
+	inFlightByClass   []int     // attempts in flight by class of request
+	acceptingFraction []float64 // fraction of the workers that accepts each class
+	warmCount         int       // number of ready workers that are warm
+	warmEquivalents   float64   // capacity of all ready workers, in warm ones
 	peers             []peerRecord
-	silentPrefix      []int // silent peers before each place of the ring, gone round twice
-	hotPrefix         []int // hot customers that each place of the ring shares, likewise
+	silentPrefix      []int // silent peers before each gateway of the ring, twice around
+	hotPrefix         []int // hot customers that each gateway of the ring shares, likewise
 
 	requests     []requestState
 	freeRequests []int32
@@ -294,35 +294,36 @@
 	accountByCustomer  map[uint32]int32
 	remoteOnlyAccounts int
 
-	inFlight           int     // attempts out at workers that are not silent
-	window             float64 // most of them
-	stallAllowance     float64 // room more than the window when it last found that it had stood still
-	pressure           float64 // smoothed answer time over latency target
+	inFlight           int     // attempts in flight at workers that are not silent
+	window             float64 // the most of them (congestion window)
+	stallAllowance     float64 // added to the window after a stall; it decays
+	pressure           float64 // smoothed response time over the latency target
 	windowCutAt        float64
 	responseMillis     float64
 	machineKinds       []machineKind
-	sizeRating         float64 // mean of the listed workers', by the list as it was when rated was set
+	sizeRating         float64 // mean size rating of the ready workers, if sizeRatingKnown
 	sizeRatingKnown    bool
-	meanLoad           float64       // smoothed requests in flight by workers' reports
-	slowRequests       decayingScore // requests overdue that were settled after all
-	lostRequests       decayingScore // and those that never had an answer from a worker that went on
-	warmUnits          float64       // units settled by warm workers, fading
-	warmUnitsPerWorker float64       // the same for each of those that were warm
+	meanLoad           float64       // smoothed requests in flight at a worker, by workers' reports
+	slowRequests       decayingScore // slow attempts that succeeded after all
+	lostRequests       decayingScore // slow ones without a response, of a worker that answered others
+	warmUnits          float64       // units done by warm workers, decaying
+	warmUnitsPerWorker float64       // the same for each worker that was warm then
 	warmUnitsAt        float64
-	cachedWarmRate     float64    // the last of these as it has faded, by all that warmingRate goes by
-	cachedWarmRateKey  [4]float64 // for which it was reckoned
+	cachedWarmRate     float64    // warmUnitsPerWorker a ms, decayed to now
+	cachedWarmRateKey  [4]float64 // inputs that it was computed for
 
 	nextScanAt, nextReportAt, timerAt float64
-	scanIndex                         int     // next request to look at in this beat; -1 none
-	reportPeer, messagesToPeer        int     // peer that is told now, -1 none; messages it got this period
-	changedExamined                   int     // news looked at for it
-	changedAccounts                   []int32 // accounts to report this period
-	changedOffset                     int     // where in news the messages begin
-	reportBuffer                      []Report
-	// accounts whose sets are told at once, and how far the first has come
+	scanIndex                         int // next request of this scan; -1 where none is going on
+	// peer that is reported to now, -1 none; messages to it in this interval
+	reportPeer, messagesToPeer int
+	changedExamined            int     // entries of changedAccounts examined for it
+	changedAccounts            []int32 // accounts to report in this interval
+	changedOffset              int     // where in changedAccounts the messages begin
+	reportBuffer               []Report
+	// accounts to report immediately, and how far in its set the first one is
 	immediateAccounts []int32
 	immediateSent     int
-	immediateFullAt   float64 // GCRA: the moment at which the part for this is whole again
+	immediateFullAt   float64 // GCRA: when the intake for immediate reports is full again
 	stats             Stats
 }
 
--- a/internal/policy/lending.go
+++ b/internal/policy/lending.go
@@ -11,23 +11,23 @@
 // it may go to its credit.
 const repaymentReserveFraction = 0.5
 
-// Lender says whether a customer may have units now that it pays back later.
+// Lender decides whether a customer may have units now that it repays later.
 type Lender interface {
 	// Lend draws units for a customer of a plan, whose set has n gateways in a row from first on.
 	Lend(customer uint64, plan, first, n int, units float64) bool
-	// Undo gives back units of a loan that was not used.
+	// Refund gives back units of a loan that was not used.
 	Refund(customer uint64, units float64)
 }
 
-// SetLender has a lender be asked where a quota alone would decline; nil asks nobody.
+// SetLender sets the lender that is asked where a quota alone would reject; nil asks none.
 func (e *Engine) SetLender(from Lender) { e.lender = from }
 
-// Congested tells whether workers are too pressed for anything beyond a quota.
+// Congested tells whether there is no capacity for anything beyond a quota.
 func (e *Engine) Congested() bool { return !e.hasSpareCapacity() }
 
-// borrow draws what a request's quota lacks, and tells whether it may go on. While workers are pressed nobody
-// borrows, as other customers would pay for it, nor while quotas go without gossip. A loan takes nothing from
-// the quota's stores; its repayment does.
+// borrow draws what a request's quota lacks, and tells whether the request may go on. Under load nobody
+// borrows, as other customers would pay for it, nor while quotas go without gossip. A loan takes nothing
+// from the quota's stores; its repayment does.
 func (e *Engine) borrow(request *requestState, account *customerAccount) bool {
 	if e.lender == nil || e.settings.QuotaWithoutGossip || e.settings.Plans[request.plan].CreditSeconds <= 0 ||
 		request.quotaUnits <= 0 || !e.hasSpareCapacity() ||
@@ -38,7 +38,7 @@
 	return true
 }
 
-// refundLoan gives a loan back whose request was never submitted.
+// refundLoan returns a loan whose request was never sent.
 func (e *Engine) refundLoan(request *requestState) {
 	if request.borrowedUnits > 0 && request.answered && len(request.attempts) == 0 && e.lender != nil {
 		e.lender.Refund(e.accounts[request.accountIndex].id, request.borrowedUnits)
@@ -48,9 +48,10 @@
 	}
 }
 
-// CollectRepayment takes units out of a customer's stores: those that are needed out of its fill here of a
-// span of ms, and up to most of it where the stores are more than half full. It gives what was taken, and the
-// fill, units a ms. A customer that is not known has been idle, and its stores run over.
+// CollectRepayment takes units out of a customer's stores: minUnits, as far as its refill here in
+// spanMillis has them, and up to maxUnits of that refill where the stores are more than
+// repaymentReserveFraction full. It returns what was taken, and the refill, units a ms. A customer that is
+// not known has been idle, and its stores run over.
 func (e *Engine) CollectRepayment(customer uint64, planIndex, setSize int, minUnits, maxUnits,
 	spanMillis float64) (collectedUnits,
 	ratePerMilli float64) {
@@ -86,7 +87,7 @@
 	return collectedUnits, ratePerMilli
 }
 
-// repaymentRate is what of a customer's fill here may go to debts, units a ms.
+// repaymentRate returns the part of a customer's refill here that may go to debts, units a ms.
 func (e *Engine) repaymentRate(account *customerAccount) float64 {
 	if e.isSparse(account) {
 		return e.sparseRate(account)
@@ -97,9 +98,8 @@
 	return account.sharePerMilli
 }
 
-// collectFromQuota takes what was repaid from the quota's one store, as it fills. Guards against a store that
-// has less than nothing: with what is spent next it has nothing, and what was taken of it would be there
-// again.
+// collectFromQuota takes what was repaid from the whole quota, as it refills. Guards against a store under
+// 0: the next spending would set it to 0, and what was taken of it would be there again.
 func (account *customerAccount) collectFromQuota() {
 	paid := math.Min(account.uncollectedUnits, math.Max(account.quotaTokens, 0))
 	account.quotaTokens, account.uncollectedUnits = account.quotaTokens-paid, account.uncollectedUnits-paid
--- a/internal/policy/outliers.go
+++ b/internal/policy/outliers.go
@@ -37,7 +37,7 @@
 	lostRequestDecayMillis = 10000.0
 )
 
-// rejectionsOf gives what a worker has rejected, by class of request, to be changed.
+// rejectionsOf returns a worker's rejections, by class of request, to be changed.
 func (e *Engine) rejectionsOf(worker *workerRecord) []decayingScore {
 	if worker.rejections == nil {
 		worker.rejections = make([]decayingScore, len(e.acceptingFraction))
@@ -46,7 +46,7 @@
 	return worker.rejections
 }
 
-// markSuspect has a worker looked at for what speaks against it.
+// markSuspect puts a worker among those whose suspicion and rejections refreshReady examines.
 func (e *Engine) markSuspect(worker *workerRecord) {
 	if !worker.suspect {
 		worker.suspect = true
@@ -54,10 +54,10 @@
 	}
 }
 
-// decayingScore is a score that fades.
+// decayingScore is a score that decays exponentially.
 type decayingScore struct{ score, updatedAt float64 }
 
-// value gives a score as it has faded.
+// value returns the score as it has decayed by now, with the time constant fade in ms.
 func (score *decayingScore) value(now, fade float64) float64 {
 	if score.score == 0 {
 		return 0
@@ -65,11 +65,13 @@
 	return score.score * math.Exp((score.updatedAt-now)/fade)
 }
 
+// add raises the score, up to maxSuspicion.
 func (score *decayingScore) add(by, now, fade float64) {
 	score.score, score.updatedAt = math.Min(score.value(now, fade)+by, maxSuspicion), now
 }
 
-// suspicionOf is what speaks against a worker for a request.
+// suspicionOf returns the suspicion of a worker for a request: that of the worker, and that it rejects the
+// class.
 func (e *Engine) suspicionOf(request *requestState, workerIndex int) float64 {
 	worker := &e.workers[workerIndex]
 	d := worker.suspicion.value(e.now, suspicionDecayMillis)
@@ -79,17 +81,17 @@
 	return d
 }
 
-// WorkerResponded tells that a worker has begun to answer, so that it is not taken for a silent one.
+// WorkerResponded tells that a worker has begun to respond, so that it does not count as silent.
 func (e *Engine) WorkerResponded(workerIndex int) {
 	if workerIndex >= 0 && workerIndex < len(e.workers) {
 		e.workers[workerIndex].heardAt = e.now
 	}
 }
 
-// recordRejection notes that a worker turned a request away as full. It counts as full for all only once it
-// has done so to more than one plan and product, as far as there are more. Guards against workers that turn
-// away one of them though they have room. A plan rejected by a part of the workers gets the rest's part of
-// the window.
+// recordRejection records that a worker rejected a request as overloaded. It counts as overloaded for all
+// requests only once it has rejected more than one plan and product, as far as there are more. Guards
+// against workers that reject one of them though they have capacity. A plan that some of the workers reject
+// gets the others' part of the window.
 func (e *Engine) recordRejection(worker *workerRecord, request *requestState) {
 	e.rejectionsOf(worker)[e.classOf(request)].add(1, e.now, rejectionDecayMillis)
 	plan, product := len(e.plans) == 1, len(e.products) == 1
@@ -102,19 +104,19 @@
 	worker.overloaded = plan && product
 }
 
-// rejectsClass tells whether a worker is held to turn a class of request away.
+// rejectsClass tells whether a worker is assumed to reject a class of request.
 func (e *Engine) rejectsClass(worker *workerRecord, sort int) bool {
 	return worker.rejections != nil && worker.rejections[sort].value(e.now,
 		rejectionDecayMillis) > rejectionThreshold
 }
 
-// checkSilentWorkers looks at a waiting request for a silent worker.
+// checkSilentWorkers looks for attempts of an open request at silent workers.
 func (e *Engine) checkSilentWorkers(request *requestState) {
 	if !request.live || request.answered || request.bodyPending {
 		return
 	}
 	product := &e.products[request.product]
-	// beat may be beyond it
+	// The next scan may be later than the deadline.
 	e.nextScanAt = math.Min(e.nextScanAt, math.Max(request.deadline, e.now+deadlineMarginMillis))
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
@@ -156,9 +158,10 @@
 	}
 }
 
-// recordFailure notes a failure at a worker: by one where this gateway sees each worker often. Among many
-// gateways it would forget before it comes there again, and lose a request each time; then the failure weighs
-// as often as the suspicion fades between two visits, but no more than the mean responses that it took.
+// recordFailure records a failure at a worker. It weighs one where this gateway visits each worker often.
+// Among many gateways suspicion would be gone before the next visit, and each visit would lose a request;
+// there it weighs more, by the number of time constants between two visits, but no more than the mean
+// responses that the failure took.
 func (e *Engine) recordFailure(worker *workerRecord, responseMillis float64) {
 	visits := warmWorkWindowMillis * float64(len(e.ready)) / math.Max(e.warmWorkUnits(), 1)
 	weight := math.Min(rareVisitWeight*visits/suspicionDecayMillis, responseMillis/math.Max(e.responseMillis, 1))
--- a/internal/policy/reconfigure.go
+++ b/internal/policy/reconfigure.go
@@ -120,8 +120,9 @@
 	}
 }
 
-// restrict leaves a plan what is this gateway's own. Where its quota goes without gossip all peers count as
-// unheard: the split leaves each gateway an even part of coldShareFraction x rate, which is the cold share.
+// restrict reduces a plan to what this gateway may use alone. Where its quota goes without gossip all peers
+// count as silent: the split leaves each gateway an even part of coldShareFraction x rate, which is the
+// cold share.
 func (plan *planParams) restrict(settings *Settings, withheld float64) {
 	plan.rateLimitBurst *= 1 - withheld
 	if withheld < 1 { // one that is shut still fills
@@ -135,13 +136,13 @@
 	}
 }
 
-// blocked tells whether nothing passes under a plan's rate limit.
+// blocked tells whether a plan's rate limit lets nothing pass.
 func (plan *planParams) blocked() bool {
 	return plan.rateLimitPerMilli > 0 && plan.rateLimitBurst <= 0 || plan.rateLimitPerMilli <= 0 &&
 		plan.rateLimitBurst > 0
 }
 
-// minPositive gives the lower one of two rates, of which 0 is none.
+// minPositive returns the lower one of two rates, where 0 is none.
 func minPositive(a, b float64) float64 {
 	if a > 0 && b > 0 {
 		return math.Min(a, b)
@@ -149,8 +150,8 @@
 	return math.Max(a, b)
 }
 
-// advanceRateLimitBase sees that customers that are not known find no more in a rate limit that grows, or is
-// new, than those that are. It falls on all plans: there is one base.
+// advanceRateLimitBase sees that customers that are not known find no more in a rate limit that grows, or
+// is new, than those that are. It applies to all plans: there is one base.
 func (e *Engine) advanceRateLimitBase(from, to Plan) {
 	had := from.RateLimitBurst
 	if from.RateLimitPerSecond <= 0 {
@@ -161,7 +162,8 @@
 	}
 }
 
-// rescaledFullAt is the moment at which a customer's share of a rate limit that has changed is full again.
+// rescaledFullAt returns the time at which a customer's share of a rate limit that has changed is full
+// again.
 func (e *Engine) rescaledFullAt(account *customerAccount, previous *planParams, from, to Plan) float64 {
 	plan := &e.plans[account.plan]
 	if to.RateLimitPerSecond <= 0 {
@@ -179,7 +181,7 @@
 	return e.now + units/plan.rateLimitPerMilli
 }
 
-// fullRefillMillis is how long a share of a plan's rate limit that is spent takes to be full, ms; 0 where
+// fullRefillMillis returns how long a spent share of a plan's rate limit takes to be full again; 0 where
 // there is none.
 func (plan *planParams) fullRefillMillis() float64 {
 	if plan.rateLimitPerMilli <= 0 {
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -4,15 +4,15 @@
 	"math"
 )
 
-// releaseReferences ends what attempts refer to.
+// releaseReferences ends the references of attempts to their workers.
 func (e *Engine) releaseReferences(subs []attemptState) {
 	for i := range subs {
 		e.workers[subs[i].worker].references--
 	}
 }
 
-// WorkerUnreferenced tells whether no request in flight has been sent to a worker: if it is gone its place
-// may be another's.
+// WorkerUnreferenced tells whether no open request has been sent to a worker: if the worker is gone its
+// index may be reused.
 func (e *Engine) WorkerUnreferenced(workerIndex int) bool {
 	return workerIndex >= len(e.workers) || e.workers[workerIndex].references == 0
 }
@@ -53,6 +53,7 @@
 	live              bool    // the entry is in use
 }
 
+// nextCancel returns the decision to cancel an attempt in flight of a request, if cancelling is allowed.
 func (e *Engine) nextCancel(request *requestState) (Decision, bool) {
 	for i := range request.attempts {
 		if attempt := &request.attempts[i]; attempt.inFlight && !attempt.cancelled && e.derived.allowCancel {
@@ -63,7 +64,7 @@
 	return Decision{}, false
 }
 
-// startAttempt books an attempt that goes out.
+// startAttempt records an attempt that goes out.
 func (e *Engine) startAttempt(request *requestState, workerIndex int) *attemptState {
 	worker := &e.workers[workerIndex]
 	request.attempts = append(request.attempts, attemptState{worker: workerIndex, zone: worker.Zone,
@@ -76,7 +77,7 @@
 	return &request.attempts[len(request.attempts)-1]
 }
 
-// endAttempt books the end of one, and gives its worker.
+// endAttempt records the end of an attempt, and returns its worker.
 func (e *Engine) endAttempt(request *requestState, attempt *attemptState) *workerRecord {
 	attempt.inFlight = false
 	request.inFlight--
@@ -88,7 +89,7 @@
 	return worker
 }
 
-// ResponseStarted tells that the answer of attempt n has started to stream: it is the client's now, and
+// ResponseStarted tells that the response to an attempt has started to stream: it is the client's now, and
 // has no deadline.
 func (e *Engine) ResponseStarted(id uint64, attemptIndex int) {
 	if slot, ok := e.byID[id]; ok && attemptIndex >= 0 && attemptIndex < len(e.requests[slot].attempts) {
@@ -99,8 +100,8 @@
 	}
 }
 
-// BodyForwarded tells that a body that is not kept has begun to go out with attempt n, or, where left is
-// given, that its last byte has: the client waits so many ms from now on.
+// BodyForwarded tells that a body that is not kept has begun to go out with an attempt, or, where
+// timeLeftMillis is positive, that its last byte has: the client waits so long from now on.
 func (e *Engine) BodyForwarded(id uint64, attemptIndex int, timeLeftMillis float64) {
 	slot, ok := e.byID[id]
 	if !ok || attemptIndex < 0 || attemptIndex >= len(e.requests[slot].attempts) {
@@ -117,7 +118,7 @@
 	}
 }
 
-// submitDecision is the decision that sends a request's newest attempt to a worker, before a moment.
+// submitDecision returns the decision that sends a request's newest attempt to a worker before a time.
 func (e *Engine) submitDecision(request *requestState, workerIndex int, latest float64) Decision {
 	return Decision{Kind: Submit, RequestID: request.id, Worker: workerIndex, Attempt: len(request.attempts) - 1,
 		WaitMillis: request.deadline -
@@ -126,7 +127,7 @@
 			&e.accounts[request.accountIndex])}
 }
 
-// countInFlight notes whether an attempt counts as in flight.
+// countInFlight records whether an attempt counts against the window.
 func (e *Engine) countInFlight(attempt *attemptState, in bool) {
 	if attempt.counted != in {
 		attempt.counted = in
@@ -155,6 +156,7 @@
 	}
 }
 
+// submitTo starts an attempt at a worker and returns the decision to send it.
 func (e *Engine) submitTo(request *requestState, workerIndex int) Decision {
 	latest := e.retryUntil(request, request.inFlight > 0)
 	if len(request.attempts) == 0 {
--- a/internal/policy/snapshot.go
+++ b/internal/policy/snapshot.go
@@ -50,8 +50,8 @@
 	DemandByUtilization [len(UtilizationBounds) + 1]float64 `json:"Use"`
 }
 
-// GatewaySetSnapshot is the demand here of a plan's customers that come through Size gateways from First
-// on.
+// GatewaySetSnapshot is the demand here of a plan's customers that come through Size gateways from
+// FirstGateway on.
 type GatewaySetSnapshot struct {
 	Plan            int     `json:"Plan"`
 	FirstGateway    int     `json:"First"`
@@ -59,8 +59,8 @@
 	DemandPerSecond float64 `json:"Demand"`
 }
 
-// WriteSnapshot writes what it sees over s, whose room is used again. It begins with from at 0 and gives
-// where it is to go on, 0 at the end, so that nobody waits for long while it looks at many customers.
+// WriteSnapshot writes a Snapshot over snapshot, whose memory is used again. It begins with from at 0 and
+// returns where to go on, 0 at the end, so that nobody waits for long while it looks at many customers.
 func (e *Engine) WriteSnapshot(snapshot *Snapshot, from int) int {
 	if from == 0 {
 		e.snapshotWorkers(snapshot)
@@ -77,6 +77,7 @@
 	return to
 }
 
+// snapshotWorkers begins a snapshot with all but the customers.
 func (e *Engine) snapshotWorkers(snapshot *Snapshot) {
 	*snapshot = Snapshot{Regions: snapshot.Regions[:0], Plans: snapshot.Plans[:0], Sets: snapshot.Sets[:0],
 		Window:   e.window,
@@ -109,6 +110,7 @@
 	}
 }
 
+// snapshotAccount adds a customer to a snapshot.
 func (e *Engine) snapshotAccount(account *customerAccount, snapshot *Snapshot) {
 	plan, own := &snapshot.Plans[account.plan], e.ownDemand(account)*1000
 	plan.Customers += 1 / float64(account.setSize)
@@ -143,30 +145,29 @@
 	*at = int16(len(snapshot.Sets))
 }
 
-// ModelParameters is what of the design a look ahead goes by, derived from a settings as the decisions derive
-// it.
+// ModelParameters are the parameters of the design that forecasts go by, derived from the settings as
+// decisions derive them.
 type ModelParameters struct {
-	ReportIntervalMillis float64 // ms between reports
-	SilentAfterMillis    float64 // ms of silence until a peer counts as unheard
-	// ms until it is suspected, and after that during which its demand still counts
+	ReportIntervalMillis float64 // between reports
+	SilentAfterMillis    float64 // silence until a peer counts as silent
+	// silence until a peer is suspected, and the time after that during which its demand still counts
 	LostAfterMillis, LostHoldMillis float64
-	FloorFraction                   float64 // part of a rate that is kept as floors
-	// answers' time over their latency target, on average, above which the window shrinks
+	FloorFraction                   float64 // of a rate, divided evenly
+	// mean response time over the latency target above which the window shrinks
 	LatencyTargetFraction float64
-	// part of the window that requests of a plan (first) and product may fill
-	WindowFraction [][]float64
-	// attempts out of one gateway at the least for each worker there is
-	MinWindowPerWorker float64
-	ImmediateReports   bool // small sets are told at once of what is sent on
-	// by plan: news of a customer's whole store comes too late to go by
+	// fraction of the window that requests of a product (first index) and plan may fill
+	WindowFraction     [][]float64
+	MinWindowPerWorker float64 // attempts in flight of one gateway, at the least, for each worker
+	ImmediateReports   bool    // spending is reported to small sets at once
+	// by plan: reports of a customer's whole quota arrive too late to go by
 	QuotaUnseen []bool
-	// by plan: letting in beyond a quota earns more than it costs
+	// by plan: admitting beyond a quota earns more than it costs
 	AllowsExcess []bool
-	// mean responses under which a try is declined; latency targets until one may return
+	// time left, in mean responses, under which a request is rejected; latency targets until it may be retried
 	MinTimeLeftResponses, RetryAfterTargets float64
 }
 
-// ModelParametersOf gives the manner of gateways of a settings.
+// ModelParametersOf returns the parameters of gateways of these settings.
 func ModelParametersOf(settings Settings) ModelParameters {
 	e := New(settings, 0)
 	model := ModelParameters{ReportIntervalMillis: e.derived.reportIntervalMillis,
@@ -185,7 +186,7 @@
 	return model
 }
 
-// ReserveMillis is the ms of its peers' spending that a gateway of a set keeps from the quota's one store.
+// ReserveMillis is the ms of its peers' spending that a gateway of a set reserves from the whole quota.
 func (model *ModelParameters) ReserveMillis(size int) float64 {
 	if model.ImmediateReports && size <= maxImmediateSetSize {
 		return immediateDelayMillis
@@ -193,8 +194,8 @@
 	return unheardSpendIntervals * model.ReportIntervalMillis
 }
 
-// ReportSpanMillis is the ms that a gateway's last reports to those of a set speak of, on average: a
-// period, and where they are told at once, what came in the next one too, which is cut short at any place.
+// ReportSpanMillis is the ms that a gateway's last reports to those of a set cover, on average: an
+// interval, and where they are immediate, what came in the next one too, which ends anywhere.
 func (model *ModelParameters) ReportSpanMillis(size int) float64 {
 	if model.ImmediateReports && size <= maxImmediateSetSize {
 		return 1.5 * model.ReportIntervalMillis
