--- a/internal/gateway/config/gateway_test.go
+++ b/internal/gateway/config/gateway_test.go
@@ -35,7 +35,8 @@
 		t.Errorf("name, listen or seed: %+v", g)
 	case g.Cores != 0.5 || g.MemoryMB != 64 || g.MaxSockets != 256:
 		t.Errorf("limits: %v %v %v", g.Cores, g.MemoryMB, g.MaxSockets)
-	case len(g.PeerAddresses) != 2 || g.PeerAddresses[1].String() != "127.0.0.3:7946" || g.Charter.GatewayIndex != 1:
+	case len(g.PeerAddresses) != 2 || g.PeerAddresses[1].String() != "127.0.0.3:7946" ||
+		g.Charter.GatewayIndex != 1:
 		t.Errorf("peers: %v", g.PeerAddresses)
 	case len(p) != 2 || p[1].Idempotency != policy.Deduplicated || p[1].DedupScope != policy.DedupWithinCell ||
 		p[1].DedupWindowMillis != 7000:
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -89,7 +89,8 @@
 	g := &Gatekeeper{conf: c, log: log, served: make(chan error, 1), over: make(chan struct{}),
 		first: make(chan struct{})}
 	clients, workers := places(c)
-	g.links = transport.NewWorkerPool(workers, transport.Millis(c.Connections.IdleTimeoutMillis*policy.WorkerIdleFraction),
+	g.links = transport.NewWorkerPool(workers,
+		transport.Millis(c.Connections.IdleTimeoutMillis*policy.WorkerIdleFraction),
 		transport.Millis(c.Connections.ConnectTimeoutMillis))
 	tell := func(int, []byte) {}
 	if len(c.PeerAddresses) > 0 {
