--- a/internal/forecast/outlook.go
+++ b/internal/forecast/outlook.go
@@ -13,15 +13,15 @@
 
 // Rules are what operators say beside the words; an outlook says them again. Times are in ms.
 type Rules struct {
-	MostAge   float64 // a word that is so much older than the newest one is not gone by
-	Cores     float64 // txns that a worker runs at once; 0 is not known
-	PerS      float64 // txns of the usual mix that a warm worker settles a second at the most; 0: from paces
-	Way       float64 // of an answer's time in the same hall, what is not the worker's
-	Tries     int     // that a client makes, each at the next gatekeeper of its set
-	Back      float64 // the longest pause before one, where no time is advised
-	Takeover  float64 // until clients of a lost gatekeeper come to others; 0: with their next try
-	Elsewhere bool    // clients whose gatekeepers are all lost come to the neighbours', else to none
-	Slow      float64 // how many times as long the neighbours' workers take in the last kind of loss
+	MostAge   float64 `json:"MostAge"`   // a word that is so much older than the newest one is not gone by
+	Cores     float64 `json:"Cores"`     // txns that a worker runs at once; 0 is not known
+	PerS      float64 `json:"PerS"`      // txns of the usual mix that a warm worker settles a second at the most; 0: from paces
+	Way       float64 `json:"Way"`       // of an answer's time in the same hall, what is not the worker's
+	Tries     int     `json:"Tries"`     // that a client makes, each at the next gatekeeper of its set
+	Back      float64 `json:"Back"`      // the longest pause before one, where no time is advised
+	Takeover  float64 `json:"Takeover"`  // until clients of a lost gatekeeper come to others; 0: with their next try
+	Elsewhere bool    `json:"Elsewhere"` // clients whose gatekeepers are all lost come to the neighbours', else to none
+	Slow      float64 `json:"Slow"`      // how many times as long the neighbours' workers take in the last kind of loss
 }
 
 // Usual are the rules where operators say nothing.
@@ -75,8 +75,8 @@
 
 // Loss is what may be lost.
 type Loss struct {
-	Kind  Kind
-	Halls []string
+	Kind  Kind     `json:"Kind"`
+	Halls []string `json:"Halls"`
 }
 
 // Same tells whether two losses are the same.
@@ -104,74 +104,77 @@
 // Outlook is what the words say of the fleet now, and of each loss. Rates are a second, times in ms; values
 // are the charter's.
 type Outlook struct {
-	AsOf    int64 // Unix ms of the newest word, by its own gatekeeper's clock
-	Rules   Rules
-	Version uint64   // of the rules that gatekeepers go by, the newest that was heard
-	Rests   []Source // the words that it rests on
-	Old     []Source // words too old to go by
-	Other   []string // words that were not gone by, and why
-	Unheard []string // gatekeepers that are known of and have said nothing
-	Scaled  float64  // what is asked is taken to be so many times what is heard, for those
-	Unknown []string // what could not be reckoned, and why
-	Now     State
-	Moved   float64 // after a loss, until the shares of those lost have moved to others
-	Losses  []Cost
+	AsOf    int64    `json:"AsOf"` // Unix ms of the newest word, by its own gatekeeper's clock
+	Rules   Rules    `json:"Rules"`
+	Version uint64   `json:"Version"` // of the rules that gatekeepers go by, the newest that was heard
+	Rests   []Source `json:"Rests"`   // the words that it rests on
+	Old     []Source `json:"Old"`     // words too old to go by
+	Other   []string `json:"Other"`   // words that were not gone by, and why
+	Unheard []string `json:"Unheard"` // gatekeepers that are known of and have said nothing
+	Scaled  float64  `json:"Scaled"`  // what is asked is taken to be so many times what is heard, for those
+	Unknown []string `json:"Unknown"` // what could not be reckoned, and why
+	Now     State    `json:"Now"`
+	Moved   float64  `json:"Moved"` // after a loss, until the shares of those lost have moved to others
+	Losses  []Cost   `json:"Losses"`
 }
 
 // Source is a word that was heard.
 type Source struct {
-	Name, Host, Hall string
-	Life             uint32
-	Seq, Version     uint64
-	Age              int64 // older than the newest one, ms
+	Name    string `json:"Name"`
+	Host    string `json:"Host"`
+	Hall    string `json:"Hall"`
+	Life    uint32 `json:"Life"`
+	Seq     uint64 `json:"Seq"`
+	Version uint64 `json:"Version"`
+	Age     int64  `json:"Age"` // older than the newest one, ms
 }
 
 // State is how a fleet does.
 type State struct {
-	Value    float64 // settled, late ones by their late share
-	InTime   float64
-	Late     float64
-	Declined []Named // txns, by plan; with those that clients gave up or that were voided
-	Halls    []HallState
+	Value    float64     `json:"Value"` // settled, late ones by their late share
+	InTime   float64     `json:"InTime"`
+	Late     float64     `json:"Late"`
+	Declined []Named     `json:"Declined"` // txns, by plan; with those that clients gave up or that were voided
+	Halls    []HallState `json:"Halls"`
 }
 
 // Named is a figure of a plan.
 type Named struct {
-	Name string
-	Rate float64
+	Name string  `json:"Name"`
+	Rate float64 `json:"Rate"`
 }
 
 // HallState is how a hall does. What is asked goes by the gatekeepers that stand in it, the rest by its
 // workers.
 type HallState struct {
-	Name        string
-	Gatekeepers int
-	Workers     int
-	Able        float64 // in warm workers
-	Asked       float64
-	Run         float64 // txns that its workers settle
-	Use         float64 // of what they can do; below nought where that is not known
-	Pace        float64 // of an answer
-	Room        float64 // submissions that windows let out at it now
-	InHand      int
+	Name        string  `json:"Name"`
+	Gatekeepers int     `json:"Gatekeepers"`
+	Workers     int     `json:"Workers"`
+	Able        float64 `json:"Able"` // in warm workers
+	Asked       float64 `json:"Asked"`
+	Run         float64 `json:"Run"`  // txns that its workers settle
+	Use         float64 `json:"Use"`  // of what they can do; below nought where that is not known
+	Pace        float64 `json:"Pace"` // of an answer
+	Room        float64 `json:"Room"` // submissions that windows let out at it now
+	InHand      int     `json:"InHand"`
 }
 
 // Cost is what a loss would cost.
 type Cost struct {
-	Loss    Loss
-	AtOnce  float64 // value lost at once: what is in hand, and what comes until clients have moved
-	First   Phase   // the mean until shares have moved
-	After   Phase
-	Orphans float64 // txns asked whose gatekeepers are all lost
-	Wasted  float64 // txns that run at once for nobody
-	Missing []string
+	Loss    Loss     `json:"Loss"`
+	AtOnce  float64  `json:"AtOnce"` // value lost at once: what is in hand, and what comes until clients have moved
+	First   Phase    `json:"First"`  // the mean until shares have moved
+	After   Phase    `json:"After"`
+	Orphans float64  `json:"Orphans"` // txns asked whose gatekeepers are all lost
+	Wasted  float64  `json:"Wasted"`  // txns that run at once for nobody
+	Missing []string `json:"Missing"`
 }
 
 // Phase is how the fleet does after a loss.
 type Phase struct {
-	Lost   float64 // value
-	Wasted float64 // txns run that settle nothing in time
-	Credit float64 // units borrowed, in sum
+	Lost   float64 `json:"Lost"`   // value
+	Wasted float64 `json:"Wasted"` // txns run that settle nothing in time
+	Credit float64 `json:"Credit"` // units borrowed, in sum
 	State
 }
 
--- a/internal/forecast/word.go
+++ b/internal/forecast/word.go
@@ -29,59 +29,73 @@
 
 // Flow is what became of txns, a second.
 type Flow struct {
-	Asked, Units            float64 // units are what was asked for, whatever became of it
-	Settled, Late           float64 // late is the part of what was settled that came after its SLA time
-	Declined, Voided, Other float64 // other: the client left, or a clearance lapsed
+	// units are what was asked for, whatever became of it
+	Asked float64 `json:"Asked"`
+	Units float64 `json:"Units"`
+	// late is the part of what was settled that came after its SLA time
+	Settled float64 `json:"Settled"`
+	Late    float64 `json:"Late"`
+	// other: the client left, or a clearance lapsed
+	Declined float64 `json:"Declined"`
+	Voided   float64 `json:"Voided"`
+	Other    float64 `json:"Other"`
 }
 
 // Hall is what one gatekeeper sees of the workers of a hall.
 type Hall struct {
-	Name    string
-	Workers int     // on its list, and taking txns
-	Able    float64 // in warm workers
-	InHand  int     // its own submissions
-	Busy    float64 // part of the cores in use, by workers' own word; below nought where they say nothing
-	Answers []Answers
+	Name    string    `json:"Name"`
+	Workers int       `json:"Workers"` // on its list, and taking txns
+	Able    float64   `json:"Able"`    // in warm workers
+	InHand  int       `json:"InHand"`  // its own submissions
+	Busy    float64   `json:"Busy"`    // part of the cores in use, by workers' own word; below nought where they say nothing
+	Answers []Answers `json:"Answers"`
 }
 
 // Answers are those of a hall's workers to one product's submissions.
 type Answers struct {
-	PerS   float64
-	Pace   float64 // ms of an answer, on average
-	Spread float64 // standard deviation of that, ms
-	Wasted float64 // a second, that were run or may have been and settled nothing
+	PerS   float64 `json:"PerS"`
+	Pace   float64 `json:"Pace"`   // ms of an answer, on average
+	Spread float64 `json:"Spread"` // standard deviation of that, ms
+	Wasted float64 `json:"Wasted"` // a second, that were run or may have been and settled nothing
 }
 
 // Credit is what a plan's customers may borrow at this gatekeeper without asking others, and have borrowed at
 // it, units.
-type Credit struct{ Rights, Open float64 }
+type Credit struct {
+	Rights float64 `json:"Rights"`
+	Open   float64 `json:"Open"`
+}
 
 // Word is what one gatekeeper says of itself and of what it sees.
 type Word struct {
-	Form    int
-	Name    string
-	Host    string // whose daemon keeps it
-	Hall    string // where it stands
-	Group   string // which gatekeepers it shares quotas with: a digest of their addresses
-	Number  int    // its place among them
-	Life    uint32 // grows with each start of its process
-	Seq     uint64 // of this word in that life
-	Version uint64 // of the rules that it goes by; 0 where they are those of its start
-	At      int64  // when it was measured, Unix ms by its own clock
-	Span    float64
-	Charter policy.Settings // but for its own number
-
-	Products, Plans []string
-	Flows           []Flow // by plan, and product in it
-	Customers       []policy.PlanSnapshot
-	Sets            []policy.GatewaySetSnapshot
-	Others          float64 // demand of customers of sets beyond the most that are told
-	Halls           []Hall
-	Credit          []Credit // by plan; empty where none is lent
-	Window, Press   float64
-	InHand          int
-	Silent, Gone    int                         // peers
-	Reasons         [policy.ReasonCount]float64 // final answers a second, by why
+	Form    int             `json:"Form"`
+	Name    string          `json:"Name"`
+	Host    string          `json:"Host"`    // whose daemon keeps it
+	Hall    string          `json:"Hall"`    // where it stands
+	Group   string          `json:"Group"`   // which gatekeepers it shares quotas with: a digest of their addresses
+	Number  int             `json:"Number"`  // its place among them
+	Life    uint32          `json:"Life"`    // grows with each start of its process
+	Seq     uint64          `json:"Seq"`     // of this word in that life
+	Version uint64          `json:"Version"` // of the rules that it goes by; 0 where they are those of its start
+	At      int64           `json:"At"`      // when it was measured, Unix ms by its own clock
+	Span    float64         `json:"Span"`
+	Charter policy.Settings `json:"Charter"` // but for its own number
+
+	Products  []string                    `json:"Products"`
+	Plans     []string                    `json:"Plans"`
+	Flows     []Flow                      `json:"Flows"` // by plan, and product in it
+	Customers []policy.PlanSnapshot       `json:"Customers"`
+	Sets      []policy.GatewaySetSnapshot `json:"Sets"`
+	Others    float64                     `json:"Others"` // demand of customers of sets beyond the most that are told
+	Halls     []Hall                      `json:"Halls"`
+	Credit    []Credit                    `json:"Credit"` // by plan; empty where none is lent
+	Window    float64                     `json:"Window"`
+	Press     float64                     `json:"Press"`
+	InHand    int                         `json:"InHand"`
+	// peers
+	Silent  int                         `json:"Silent"`
+	Gone    int                         `json:"Gone"`
+	Reasons [policy.ReasonCount]float64 `json:"Reasons"` // final answers a second, by why
 }
 
 // Append encodes a word.
@@ -104,7 +118,9 @@
 	if len(raw) > LongestWord {
 		return nil, fmt.Errorf("word: %d bytes, over %d", len(raw), LongestWord)
 	}
-	var form struct{ Form int }
+	var form struct {
+		Form int `json:"Form"`
+	}
 	if err := json.Unmarshal(raw, &form); err != nil {
 		return nil, fmt.Errorf("word: %w", err)
 	}
