--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -11,59 +11,66 @@
 	"willowdeck/internal/policy"
 )
 
-// Rules are what operators say beside the words; an outlook says them again. Times are in ms.
-type Rules struct {
-	MostAge   float64 `json:"MostAge"`   // a word that is so much older than the newest one is not gone by
-	Cores     float64 `json:"Cores"`     // txns that a worker runs at once; 0 is not known
-	PerS      float64 `json:"PerS"`      // txns of the usual mix that a warm worker settles a second at the most; 0: from paces
-	Way       float64 `json:"Way"`       // of an answer's time in the same hall, what is not the worker's
-	Tries     int     `json:"Tries"`     // that a client makes, each at the next gatekeeper of its set
-	Back      float64 `json:"Back"`      // the longest pause before one, where no time is advised
-	Takeover  float64 `json:"Takeover"`  // until clients of a lost gatekeeper come to others; 0: with their next try
-	Elsewhere bool    `json:"Elsewhere"` // clients whose gatekeepers are all lost come to the neighbours', else to none
-	Slow      float64 `json:"Slow"`      // how many times as long the neighbours' workers take in the last kind of loss
+// Assumptions are what operators state beside the reports; a forecast repeats them.
+type Assumptions struct {
+	MaxReportAgeMillis float64 `json:"MostAge"` // a report older than the newest by more is not used
+	WorkerCores        float64 `json:"Cores"`   // requests that a worker runs at once; 0: not known
+	// Requests of the usual mix that a warm worker can answer; 0: estimated from answer times.
+	WorkerPerSecond float64 `json:"PerS"`
+	// Of an answer's time in the same region, what is not the worker's.
+	NetworkMillis  float64 `json:"Way"`
+	ClientAttempts int     `json:"Tries"` // each at the next gateway of its set
+	// The longest pause before an attempt, where no Retry-After is sent.
+	ClientBackoffMillis float64 `json:"Back"`
+	// Until clients of a lost gateway use others; 0: with their next attempt.
+	TakeoverMillis float64 `json:"Takeover"`
+	// Clients whose gateways are all lost use the neighbours', else none.
+	FailsOver bool `json:"Elsewhere"`
+	// Of the neighbours' answer times, with LoseRegionSlowNeighbours.
+	SlowFactor float64 `json:"Slow"`
 }
 
-// Usual are the rules where operators say nothing.
-var Usual = Rules{MostAge: 10000, Tries: 1, Elsewhere: true, Slow: 2}
+// DefaultAssumptions hold where operators state nothing.
+var DefaultAssumptions = Assumptions{MaxReportAgeMillis: 10000, ClientAttempts: 1, FailsOver: true,
+	SlowFactor: 2}
 
-// Check finds the first figure that makes no sense.
-func (r *Rules) Check() error {
+// Validate returns an error that names the first key whose value makes no sense.
+func (r *Assumptions) Validate() error {
 	switch {
-	case !(r.MostAge > 0):
-		return fmt.Errorf("old_ms: %v is not above nought", r.MostAge)
-	case !(r.Cores >= 0) || !(r.PerS >= 0) || !(r.Way >= 0):
-		return errors.New("worker_cores, worker_per_s, way_ms: one is below nought")
-	case r.Tries < 1 || r.Tries > 100:
-		return fmt.Errorf("tries: %d is not from 1 to 100", r.Tries)
-	case !(r.Back >= 0) || !(r.Takeover >= 0):
-		return errors.New("back_ms, takeover_ms: one is below nought")
-	case !(r.Slow >= 1):
-		return fmt.Errorf("slow: %v is under one", r.Slow)
+	case !(r.MaxReportAgeMillis > 0):
+		return fmt.Errorf("old_ms: %v is not positive", r.MaxReportAgeMillis)
+	case !(r.WorkerCores >= 0) || !(r.WorkerPerSecond >= 0) || !(r.NetworkMillis >= 0):
+		return errors.New("worker_cores, worker_per_s, way_ms: one is negative")
+	case r.ClientAttempts < 1 || r.ClientAttempts > 100:
+		return fmt.Errorf("tries: %d is not from 1 to 100", r.ClientAttempts)
+	case !(r.ClientBackoffMillis >= 0) || !(r.TakeoverMillis >= 0):
+		return errors.New("back_ms, takeover_ms: one is negative")
+	case !(r.SlowFactor >= 1):
+		return fmt.Errorf("slow: %v is under one", r.SlowFactor)
 	}
 	return nil
 }
 
-// Kind is what of a hall is lost.
+// Kind is which part of a region is lost.
 type Kind uint8
 
 // The kinds.
 const (
-	Whole   Kind = iota // its workers and its gatekeepers
-	Keepers             // its gatekeepers alone
-	Links               // what joins it to others: each of its halls is then alone
-	Slowed              // all of it, and the neighbours' workers are slow
-	kinds
+	LoseRegion               Kind = iota // its workers and its gateways
+	LoseGateways                         // its gateways alone
+	LoseLinks                            // its links to others: each lost region is then alone
+	LoseRegionSlowNeighbours             // its workers and gateways, while the neighbours' workers are slow
+	kindCount
 )
 
-var kindNames = [kinds]string{"hall", "gatekeepers", "links", "hall, neighbours slow"}
+var kindNames = [kindCount]string{"hall", "gatekeepers", "links", "hall, neighbours slow"}
 
 func (k Kind) String() string { return kindNames[k] }
 
-// MarshalText gives a kind's name.
+// MarshalText returns a kind's name.
 func (k Kind) MarshalText() ([]byte, error) { return []byte(kindNames[k]), nil }
 
-// UnmarshalText reads a kind's name.
+// UnmarshalText parses a kind's name.
 func (k *Kind) UnmarshalText(text []byte) error {
 	i := slices.Index(kindNames[:], string(text))
 	if i < 0 {
@@ -73,20 +80,20 @@
 	return nil
 }
 
-// Loss is what may be lost.
+// Loss is a loss to be estimated.
 type Loss struct {
-	Kind  Kind     `json:"Kind"`
-	Halls []string `json:"Halls"`
+	Kind    Kind     `json:"Kind"`
+	Regions []string `json:"Halls"`
 }
 
-// Same tells whether two losses are the same.
-func (l *Loss) Same(o Loss) bool { return l.Kind == o.Kind && slices.Equal(l.Halls, o.Halls) }
+// Equal reports whether two losses are the same.
+func (l *Loss) Equal(o Loss) bool { return l.Kind == o.Kind && slices.Equal(l.Regions, o.Regions) }
 
-// Losses are all that are usually asked about: each kind for each hall, and for each pair of halls where
-// another one is left.
-func Losses(halls []string) (all []Loss) {
+// PossibleLosses returns the losses that are estimated: each kind for each region, and for each pair of
+// regions where another one is left.
+func PossibleLosses(halls []string) (all []Loss) {
 	halls = slices.Sorted(slices.Values(halls))
-	for k := range kinds {
+	for k := range kindCount {
 		for _, h := range halls {
 			all = append(all, Loss{k, []string{h}})
 		}
@@ -101,141 +108,143 @@
 	return all
 }
 
-// Outlook is what the words say of the fleet now, and of each loss. Rates are a second, times in ms; values
-// are the charter's.
-type Outlook struct {
-	AsOf    int64    `json:"AsOf"` // Unix ms of the newest word, by its own gatekeeper's clock
-	Rules   Rules    `json:"Rules"`
-	Version uint64   `json:"Version"` // of the rules that gatekeepers go by, the newest that was heard
-	Rests   []Source `json:"Rests"`   // the words that it rests on
-	Old     []Source `json:"Old"`     // words too old to go by
-	Other   []string `json:"Other"`   // words that were not gone by, and why
-	Unheard []string `json:"Unheard"` // gatekeepers that are known of and have said nothing
-	Scaled  float64  `json:"Scaled"`  // what is asked is taken to be so many times what is heard, for those
-	Unknown []string `json:"Unknown"` // what could not be reckoned, and why
-	Now     State    `json:"Now"`
-	Moved   float64  `json:"Moved"` // after a loss, until the shares of those lost have moved to others
-	Losses  []Cost   `json:"Losses"`
+// Forecast is the state of the fleet now and after each loss, as far as reports show it. Rates are per
+// second, times in ms, values those of the charter.
+type Forecast struct {
+	AsOf           int64       `json:"AsOf"` // Unix ms of the newest report, by its gateway's clock
+	Assumptions    Assumptions `json:"Rules"`
+	RulesetVersion uint64      `json:"Version"` // the newest that was reported
+	Used           []Source    `json:"Rests"`   // reports that the forecast rests on
+	TooOld         []Source    `json:"Old"`     // reports that are too old
+	Rejected       []string    `json:"Other"`   // other reports that are not used, and why
+	Missing        []string    `json:"Unheard"` // gateways that are known of and have reported nothing
+	Scale          float64     `json:"Scaled"`  // by which reported requests are multiplied, for those
+	Unknown        []string    `json:"Unknown"` // what could not be estimated, and why
+	Now            State       `json:"Now"`
+	// After a loss, until the quota shares of lost gateways have moved to others.
+	RebalanceMillis float64 `json:"Moved"`
+	Losses          []Cost  `json:"Losses"`
 }
 
-// Source is a word that was heard.
+// Source identifies a report that was received.
 type Source struct {
-	Name    string `json:"Name"`
-	Host    string `json:"Host"`
-	Hall    string `json:"Hall"`
-	Life    uint32 `json:"Life"`
-	Seq     uint64 `json:"Seq"`
-	Version uint64 `json:"Version"`
-	Age     int64  `json:"Age"` // older than the newest one, ms
+	Name           string `json:"Name"`
+	Host           string `json:"Host"`
+	Region         string `json:"Hall"`
+	Incarnation    uint32 `json:"Life"`
+	Sequence       uint64 `json:"Seq"`
+	RulesetVersion uint64 `json:"Version"`
+	AgeMillis      int64  `json:"Age"` // behind the newest report
 }
 
-// State is how a fleet does.
+// State is how a fleet serves.
 type State struct {
-	Value    float64     `json:"Value"` // settled, late ones by their late share
-	InTime   float64     `json:"InTime"`
-	Late     float64     `json:"Late"`
-	Declined []Named     `json:"Declined"` // txns, by plan; with those that clients gave up or that were voided
-	Halls    []HallState `json:"Halls"`
+	Value    float64       `json:"Value"` // of answered requests, late ones by their late share
+	InTime   float64       `json:"InTime"`
+	Late     float64       `json:"Late"`
+	Rejected []PlanRate    `json:"Declined"` // requests, by plan; also failed ones and those whose clients left
+	Regions  []RegionState `json:"Halls"`
 }
 
-// Named is a figure of a plan.
-type Named struct {
+// PlanRate is a rate of a plan.
+type PlanRate struct {
 	Name string  `json:"Name"`
 	Rate float64 `json:"Rate"`
 }
 
-// HallState is how a hall does. What is asked goes by the gatekeepers that stand in it, the rest by its
-// workers.
-type HallState struct {
-	Name        string  `json:"Name"`
-	Gatekeepers int     `json:"Gatekeepers"`
-	Workers     int     `json:"Workers"`
-	Able        float64 `json:"Able"` // in warm workers
-	Asked       float64 `json:"Asked"`
-	Run         float64 `json:"Run"`  // txns that its workers settle
-	Use         float64 `json:"Use"`  // of what they can do; below nought where that is not known
-	Pace        float64 `json:"Pace"` // of an answer
-	Room        float64 `json:"Room"` // submissions that windows let out at it now
-	InHand      int     `json:"InHand"`
+// RegionState is how a region serves. Requested counts by the gateways in it, the rest by its workers.
+type RegionState struct {
+	Name           string  `json:"Name"`
+	Gatekeepers    int     `json:"Gatekeepers"`
+	Workers        int     `json:"Workers"`
+	WarmWorkers    float64 `json:"Able"` // capacity, in workers that have warmed up
+	Requested      float64 `json:"Asked"`
+	Succeeded      float64 `json:"Run"`  // requests that its workers answer
+	Utilization    float64 `json:"Use"`  // of what they can do; negative where that is not known
+	MeanMillis     float64 `json:"Pace"` // of an answer
+	WindowCapacity float64 `json:"Room"` // attempts that windows admit to it now
+	InFlight       int     `json:"InHand"`
 }
 
 // Cost is what a loss would cost.
 type Cost struct {
-	Loss    Loss     `json:"Loss"`
-	AtOnce  float64  `json:"AtOnce"` // value lost at once: what is in hand, and what comes until clients have moved
-	First   Phase    `json:"First"`  // the mean until shares have moved
-	After   Phase    `json:"After"`
-	Orphans float64  `json:"Orphans"` // txns asked whose gatekeepers are all lost
-	Wasted  float64  `json:"Wasted"`  // txns that run at once for nobody
-	Missing []string `json:"Missing"`
+	Loss Loss `json:"Loss"`
+	// Value lost at once: what is in flight, and what arrives until clients have moved.
+	Immediate float64  `json:"AtOnce"`
+	Before    Phase    `json:"First"` // the mean until quota shares have moved
+	After     Phase    `json:"After"`
+	Orphans   float64  `json:"Orphans"` // requests whose gateways are all lost
+	Wasted    float64  `json:"Wasted"`  // requests that run without use at once
+	Missing   []string `json:"Missing"`
 }
 
-// Phase is how the fleet does after a loss.
+// Phase is how the fleet serves after a loss.
 type Phase struct {
-	Lost   float64 `json:"Lost"`   // value
-	Wasted float64 `json:"Wasted"` // txns run that settle nothing in time
-	Credit float64 `json:"Credit"` // units borrowed, in sum
+	LostValue   float64 `json:"Lost"`   // value
+	Wasted      float64 `json:"Wasted"` // requests that run and are answered too late
+	CreditDrawn float64 `json:"Credit"` // units borrowed
 	State
 }
 
-// Project says what the words say. Words need to have passed Check.
-func Project(words []*Word, r Rules) *Outlook {
-	o := &Outlook{Rules: r, Scaled: 1}
-	used := o.sift(words)
+// Project estimates the losses from validated reports.
+func Project(words []*Report, r Assumptions) *Forecast {
+	o := &Forecast{Assumptions: r, Scale: 1}
+	used := o.selectReports(words)
 	if len(used) == 0 {
 		o.Unknown = append(o.Unknown, "everything: there is no word to go by")
 		return o
 	}
-	f := o.gather(used)
-	o.Moved = round4(f.moved())
-	o.Now = f.now()
+	f := o.newFleet(used)
+	o.RebalanceMillis = roundSignificant(f.rebalanceMillis())
+	o.Now = f.currentState()
 	if f.cores == 0 {
 		return o
 	}
-	base := f.base()
-	for _, l := range Losses(f.names) {
-		o.Losses = append(o.Losses, f.cost(l, base))
+	base := f.baseline()
+	for _, l := range PossibleLosses(f.regions) {
+		o.Losses = append(o.Losses, f.costOf(l, base))
 	}
 	return o
 }
 
-// sift tells the words that can be gone by from the others, in the order of groups and numbers: the newest of
-// each gatekeeper, of the newest rules, with what most of them say of the charter.
-func (o *Outlook) sift(words []*Word) (used []*Word) {
-	newest := map[string]*Word{}
+// selectReports returns the reports that are used, by group and index: the newest of each gateway, of the
+// newest ruleset, with the charter that most of them have.
+func (o *Forecast) selectReports(words []*Report) (used []*Report) {
+	newest := map[string]*Report{}
 	for _, w := range words {
-		id := w.Group + "\x00" + fmt.Sprint(w.Number)
+		id := w.Group + "\x00" + fmt.Sprint(w.Index)
 		if was := newest[id]; was == nil || w.Newer(was) {
 			newest[id] = w
 		}
 	}
-	all := make([]*Word, 0, len(newest))
+	all := make([]*Report, 0, len(newest))
 	for _, w := range newest {
 		all = append(all, w)
-		o.AsOf, o.Version = max(o.AsOf, w.At), max(o.Version, w.Version)
+		o.AsOf, o.RulesetVersion = max(o.AsOf, w.MeasuredAtMillis), max(o.RulesetVersion, w.RulesetVersion)
 	}
-	slices.SortFunc(all, func(a, b *Word) int {
-		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Number, b.Number), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(all, func(a, b *Report) int {
+		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Index, b.Index), cmp.Compare(a.Name, b.Name))
 	})
-	terms, most := termsOf(all)
+	terms, most := mostCommonSettings(all)
 	for i, w := range all {
-		s := Source{w.Name, w.Host, w.Hall, w.Life, w.Seq, w.Version, o.AsOf - w.At}
+		s := Source{w.Name, w.Host, w.Region, w.Incarnation, w.Sequence, w.RulesetVersion,
+			o.AsOf - w.MeasuredAtMillis}
 		switch {
-		case float64(s.Age) > o.Rules.MostAge:
-			o.Old = append(o.Old, s)
+		case float64(s.AgeMillis) > o.Assumptions.MaxReportAgeMillis:
+			o.TooOld = append(o.TooOld, s)
 		case terms[i] != most:
-			o.Other = append(o.Other, w.Name+": goes by other products and plans than most")
+			o.Rejected = append(o.Rejected, w.Name+": goes by other products and plans than most")
 		default:
-			o.Rests = append(o.Rests, s)
+			o.Used = append(o.Used, s)
 			used = append(used, w)
 		}
 	}
-	o.unheard(used)
+	o.findMissing(used)
 	return used
 }
 
-// terms is what words must agree on to be added up.
-func (w *Word) terms() string {
+// comparableSettings encodes what reports must agree on to be added up.
+func (w *Report) comparableSettings() string {
 	c := w.Charter
 	c.GatewayIndex = 0
 	b, err := json.Marshal(struct {
@@ -248,11 +257,12 @@
 	return string(b)
 }
 
-// termsOf gives the terms of each word, and those that most have; of two as common the first by text.
-func termsOf(words []*Word) (all []string, most string) {
+// mostCommonSettings returns the settings of each report, and those that most have; of two as common the
+// first in order.
+func mostCommonSettings(words []*Report) (all []string, most string) {
 	count := map[string]int{}
 	for _, w := range words {
-		all = append(all, w.terms())
+		all = append(all, w.comparableSettings())
 		count[all[len(all)-1]]++
 	}
 	for t, n := range count {
@@ -263,15 +273,15 @@
 	return all, most
 }
 
-// unheard names the gatekeepers that words tell of and that have said none, and takes them to be asked as
-// much as the mean of the others, as the module itself takes a peer that never spoke.
-func (o *Outlook) unheard(used []*Word) {
+// findMissing names the gateways that are known of and have reported nothing. Each is assumed to get as
+// many requests as the mean of the others, as the policy assumes of a peer that never reported.
+func (o *Forecast) findMissing(used []*Report) {
 	known, heard := 0, 0
 	for i := 0; i < len(used); {
 		group, n := used[i].Group, used[i].Charter.GatewayCount
 		said := map[int]bool{}
 		for ; i < len(used) && used[i].Group == group; i++ {
-			said[used[i].Number] = true
+			said[used[i].Index] = true
 		}
 		known, heard = known+n, heard+len(said)
 		var gaps []string
@@ -281,20 +291,20 @@
 			}
 		}
 		if len(gaps) > 0 {
-			o.Unheard = append(o.Unheard, fmt.Sprintf("group %s: number %s of %d", group, strings.Join(gaps, " "), n))
+			o.Missing = append(o.Missing, fmt.Sprintf("group %s: number %s of %d", group, strings.Join(gaps, " "), n))
 		}
 	}
 	if heard > 0 {
-		o.Scaled = round4(float64(known) / float64(heard))
+		o.Scale = roundSignificant(float64(known) / float64(heard))
 	}
 }
 
-// gather adds up what words say.
-func (o *Outlook) gather(used []*Word) *fleet {
-	f := &fleet{rules: o.Rules, words: used, charter: used[0].Charter, products: used[0].Products,
-		plans: used[0].Plans, at: map[string]int{}, stands: map[string][]int{}, scaled: o.Scaled}
-	f.manner = policy.ModelParametersOf(f.charter)
-	f.add()
+// newFleet adds the reports up.
+func (o *Forecast) newFleet(used []*Report) *fleet {
+	f := &fleet{rules: o.Assumptions, reports: used, charter: used[0].Charter, products: used[0].Products,
+		plans: used[0].Plans, regionIndex: map[string]int{}, gatewayRegions: map[string][]int{}, scale: o.Scale}
+	f.behaviour = policy.ModelParametersOf(f.charter)
+	f.addReports()
 	o.Unknown = append(o.Unknown, f.unknown...)
 	return f
 }
--- a/internal/forecast/golden_test.go
+++ b/internal/forecast/golden_test.go
@@ -13,33 +13,33 @@
 // written again; a test that fails here is met by a tag or a type of the old form.
 
 var goldenForms = []goldenform.Form{
-	{File: "word.json", New: func() any { return &Word{} },
-		Adjust: func(v any) { fits(v.(*Word)) },
-		Encode: func(v any) ([]byte, error) { return Append(nil, v.(*Word)) },
+	{File: "word.json", New: func() any { return &Report{} },
+		Adjust: func(v any) { makeValid(v.(*Report)) },
+		Encode: func(v any) ([]byte, error) { return AppendReport(nil, v.(*Report)) },
 		Decode: func(raw []byte, into any) error {
-			w, err := Decode(raw)
+			w, err := DecodeReport(raw)
 			if err == nil {
-				*into.(*Word) = *w
+				*into.(*Report) = *w
 			}
 			return err
 		}},
-	{File: "outlook.json", New: func() any { return &Outlook{} }, Encode: json.Marshal,
+	{File: "outlook.json", New: func() any { return &Forecast{} }, Encode: json.Marshal,
 		Decode: json.Unmarshal},
-	{File: "outlook.txt", New: func() any { return &Outlook{} },
-		Encode: func(v any) ([]byte, error) { return AppendText(nil, v.(*Outlook)), nil }},
+	{File: "outlook.txt", New: func() any { return &Forecast{} },
+		Encode: func(v any) ([]byte, error) { return AppendText(nil, v.(*Forecast)), nil }},
 }
 
 // fits makes of a filled word one that passes Check: its lists are as long as each other, and its numbers
 // name gatekeepers and plans that there are.
-func fits(w *Word) {
-	w.Form, w.Number, w.Charter.GatewayCount = Form, 3, 5
+func makeValid(w *Report) {
+	w.FormatVersion, w.Index, w.Charter.GatewayCount = FormatVersion, 3, 5
 	w.Flows = append(w.Flows, w.Flows...)
 	for i := range w.Sets {
 		w.Sets[i] = policy.GatewaySetSnapshot{Plan: 1, FirstGateway: 1 + i, Size: 2,
 			DemandPerSecond: w.Sets[i].DemandPerSecond}
 	}
-	for i := range w.Halls {
-		w.Halls[i].Busy = 0.25
+	for i := range w.Regions {
+		w.Regions[i].CPUUse = 0.25
 	}
 }
 
--- a/internal/forecast/quota.go
+++ b/internal/forecast/quota.go
@@ -8,7 +8,7 @@
 )
 
 // step gives the use that stands for a step of a sight's counts.
-func step(i int) float64 {
+func utilizationOf(i int) float64 {
 	switch b := policy.UtilizationBounds; {
 	case i == 0:
 		return b[0] / 2
@@ -20,16 +20,17 @@
 }
 
 // using is demand of customers of a use, which is their demand over their rate.
-type using struct{ of, demand float64 }
+type demandAtUse struct{ utilization, demand float64 }
 
 // uses gives a plan's demand by its customers' use, and the mean size of its txns. What gatekeepers see of a
 // customer at a moment swings by chance about what it asks: that part of the spread is taken out, as far as
 // it would be there if all came by chance alone (a Poisson stream, seen through an exponential memory of a
 // second), so that what stores even out is not taken for need.
-func (f *fleet) uses(plan int) (use [len(policy.UtilizationBounds) + 1]using, size, all float64) {
+func (f *fleet) demandByUse(plan int) (use [len(policy.UtilizationBounds) + 1]demandAtUse,
+	size, all float64) {
 	customers, mean, squares := 0.0, 0.0, 0.0
-	for _, w := range f.words {
-		customers += w.Customers[plan].Customers * f.scaled
+	for _, w := range f.reports {
+		customers += w.Customers[plan].Customers * f.scale
 		for i, d := range w.Customers[plan].DemandByUtilization {
 			use[i].demand += d
 			all += d
@@ -41,14 +42,17 @@
 	units, txns := 0.0, 0.0
 	for p := range f.products {
 		i := plan*len(f.products) + p
-		units, txns = units+f.flows[i].Units*f.first(i)*1000, txns+f.flows[i].Asked*f.first(i)*1000
+		units += f.flows[i].Units * f.firstAttemptShare(i) * 1000
+		txns += f.flows[i].Requested * f.firstAttemptShare(i) * 1000
 	}
 	for i := range use {
-		use[i].of = step(i)
-		mean, squares = mean+use[i].of*use[i].demand/all, squares+use[i].of*use[i].of*use[i].demand/all
+		use[i].utilization = utilizationOf(i)
+		mean += use[i].utilization * use[i].demand / all
+		squares += use[i].utilization * use[i].utilization * use[i].demand / all
 	}
 	spread := math.Max(squares-mean*mean, 0)
-	chance := mean * mean / (2 * math.Max(txns/customers*memory, 0.1)) * 1.1 // sizes differ a little
+	// Sizes differ a little.
+	chance := mean * mean / (2 * math.Max(txns/customers*demandMemorySeconds, 0.1)) * 1.1
 	truly := math.Max(spread-chance, 0)
 	narrow := 0.0
 	if spread > 0 {
@@ -57,38 +61,38 @@
 	// as demand sees it
 	usual := units / customers / f.charter.Plans[plan].QuotaPerSecond * (1 + truly/(mean*mean))
 	for i := range use {
-		use[i].of = math.Max(usual+narrow*(use[i].of-mean), usual/20)
+		use[i].utilization = math.Max(usual+narrow*(use[i].utilization-mean), usual/20)
 	}
 	return use, math.Max(units/math.Max(txns, 1e-9), 1), all
 }
 
 // memory is the design's smoothing of demand, s.
-const memory = 1.0
+const demandMemorySeconds = 1.0
 
 // moved is how long after a loss the demand of those lost still counts, ms.
-func (f *fleet) moved() float64 {
-	return math.Max(f.manner.LostAfterMillis+f.manner.LostHoldMillis, f.manner.SilentAfterMillis)
+func (f *fleet) rebalanceMillis() float64 {
+	return math.Max(f.behaviour.LostAfterMillis+f.behaviour.LostHoldMillis, f.behaviour.SilentAfterMillis)
 }
 
 // quotas gives the part of what customers ask that their quotas and ceilings let in, by plan, while their
 // gatekeepers in some halls are silent. early has the mean until their shares have moved: the last demand of
 // those lost still counts for so long, so the others' parts of a rate add up to less than it.
-func (f *fleet) quotas(s *stage, early bool) []float64 {
+func (f *fleet) admittedByQuota(s *scenario, early bool) []float64 {
 	let := make([]float64, len(f.plans))
 	for q := range f.plans {
-		if let[q] = 1; f.charter.Plans[q].QuotaPerSecond <= 0 || f.manner.AllowsExcess[q] {
+		if let[q] = 1; f.charter.Plans[q].QuotaPerSecond <= 0 || f.behaviour.AllowsExcess[q] {
 			continue
 		}
-		use, size, all := f.uses(q)
+		use, size, all := f.demandByUse(q)
 		if all == 0 {
 			continue
 		}
-		parts, come := f.parts(q, s), f.come(q, s)
+		parts, come := f.setSharesOf(q, s), f.reachableShare(q, s)
 		sum := 0.0
 		for i := range use {
 			if d := use[i].demand; d > 0 {
 				for _, p := range parts {
-					sum += d / all * p.weight * f.lets(q, use[i].of*come, size, p, early)
+					sum += d / all * p.weight * f.admittedShare(q, use[i].utilization*come, size, p, early)
 				}
 			}
 		}
@@ -98,18 +102,18 @@
 }
 
 // come is the part of a plan's demand that finds a gatekeeper.
-func (f *fleet) come(plan int, s *stage) float64 {
+func (f *fleet) reachableShare(plan int, s *scenario) float64 {
 	sum, all := 0.0, 0.0
 	np := len(f.products)
-	for g := range f.names {
+	for g := range f.regions {
 		rate := 0.0
 		for p := range f.products {
-			rate += f.asked[g][plan*np+p]
+			rate += f.requested[g][plan*np+p]
 		}
-		_, none, late := f.heirs(g, s)
+		_, none, late := f.takeoversOf(g, s)
 		all += rate
 		gone := late[plan]
-		if !f.rules.Elsewhere {
+		if !f.rules.FailsOver {
 			gone += none[plan]
 		}
 		sum += rate * (1 - gone)
@@ -121,7 +125,7 @@
 }
 
 // soonest is the shortest SLA time, ms.
-func (f *fleet) soonest() float64 {
+func (f *fleet) shortestTarget() float64 {
 	least := math.Inf(1)
 	for _, p := range f.charter.Products {
 		least = math.Min(least, p.LatencyTargetMillis)
@@ -130,34 +134,34 @@
 }
 
 // share is the part of a plan's demand whose sets have lost so many of their gatekeepers.
-type share struct {
+type setShare struct {
 	weight, lost float64 // lost is of the set's gatekeepers
 	size         int
 }
 
 // parts sums a plan's sets up by size and the part lost.
-func (f *fleet) parts(plan int, s *stage) []share {
-	if s.parts == nil {
+func (f *fleet) setSharesOf(plan int, s *scenario) []setShare {
+	if s.setShares == nil {
 		for q := range f.plans {
-			s.parts = append(s.parts, f.share(q, s.mute))
+			s.setShares = append(s.setShares, f.newSetShares(q, s.gatewaysLost))
 		}
 	}
-	return s.parts[plan]
+	return s.setShares[plan]
 }
 
-func (f *fleet) share(plan int, mute []bool) (all []share) {
+func (f *fleet) newSetShares(plan int, mute []bool) (all []setShare) {
 	sum := 0.0
-	for _, e := range f.rings[plan] {
+	for _, e := range f.customerSets[plan] {
 		lost := 0
-		for h, n := range e.counts {
+		for h, n := range e.gatewaysByRegion {
 			if mute[h] {
 				lost += n
 			}
 		}
-		if lost == len(e.halls) {
+		if lost == len(e.regions) {
 			continue // others serve its customers, as far as they do
 		}
-		p := share{e.demand, float64(lost) / float64(len(e.halls)), len(e.halls)}
+		p := setShare{e.demand, float64(lost) / float64(len(e.regions)), len(e.regions)}
 		sum += p.weight
 		known := false
 		for i := range all {
@@ -170,7 +174,7 @@
 		}
 	}
 	if sum <= 0 {
-		return []share{{1, 0, 1}}
+		return []setShare{{1, 0, 1}}
 	}
 	for i := range all {
 		all[i].weight /= sum
@@ -181,10 +185,10 @@
 // store is one that fills at a rate and holds depth, with demand of a mean and a variance, all in units and
 // seconds. What it holds is taken for a Brownian motion between nought and its depth (Harrison, Brownian
 // motion and stochastic flow systems, 1985): what it cannot give is what holds the motion up at nought.
-type store struct{ rate, depth, demand, variance float64 }
+type tokenBucket struct{ rate, depth, demand, variance float64 }
 
 // short gives the part of its demand that a store cannot give in the long run.
-func (s store) short() float64 {
+func (s tokenBucket) shortage() float64 {
 	drift := s.rate - s.demand
 	x := 2 * drift * s.depth / s.variance
 	push := s.variance / (2 * s.depth)
@@ -195,7 +199,7 @@
 }
 
 // level gives the part of its depth that a store holds in the long run, on average.
-func (s store) level() float64 {
+func (s tokenBucket) meanLevel() float64 {
 	x := 2 * (s.rate - s.demand) * s.depth / s.variance
 	if math.Abs(x) < 1e-3 {
 		return 0.5
@@ -205,7 +209,7 @@
 
 // shortFor gives what it is short of as the mean over so many seconds that begin with a part of its depth in
 // it: until it is empty for the first time it is short of nothing. That time's spread is a first passage's.
-func (s store) shortFor(secs, full float64) float64 {
+func (s tokenBucket) shortageDuring(secs, full float64) float64 {
 	if secs <= 0 {
 		return 0
 	}
@@ -223,34 +227,34 @@
 	}
 	sharp := math.Max(1-until/secs, 0)
 	blurred := 1 - until/secs*(1-math.Exp(-secs/until))
-	return s.short() * (even*blurred + (1-even)*sharp)
+	return s.shortage() * (even*blurred + (1-even)*sharp)
 }
 
 // lets gives the part of its demand that a customer of some use and a size of txns is let in. Of what its
 // stores cannot give, the worst counts: the quota's one store, the slices together, each slice by itself as
 // far as a further try at another gatekeeper finds no more, and the same of a ceiling.
-func (f *fleet) lets(plan int, use, size float64, p share, early bool) float64 {
-	c, m := &f.charter.Plans[plan], &f.manner
+func (f *fleet) admittedShare(plan int, use, size float64, p setShare, early bool) float64 {
+	c, m := &f.charter.Plans[plan], &f.behaviour
 	if use <= 0 {
 		return 1
 	}
 	demand := use * c.QuotaPerSecond
 	n, living := float64(p.size), math.Max(float64(p.size)*(1-p.lost), 1)
-	span := (f.moved() - m.SilentAfterMillis) / 1000
+	span := (f.rebalanceMillis() - m.SilentAfterMillis) / 1000
 	waits := 0.0 // what is turned away comes again while that is of use, as if the store were so much deeper
-	if f.rules.Tries > 1 {
-		waits = demand * f.soonest() / 1000
+	if f.rules.ClientAttempts > 1 {
+		waits = demand * f.shortestTarget() / 1000
 	}
 	// steady is of a store that has filled at a rate, and now does at another.
 	steady := func(was, rate, depth, of float64) float64 {
 		depth += waits
-		s := store{rate / of, math.Max(depth/of, size), demand / of, 1.1 * demand / of * size}
+		s := tokenBucket{rate / of, math.Max(depth/of, size), demand / of, 1.1 * demand / of * size}
 		if early && p.lost > 0 {
 			before := s
 			before.rate = was / of
-			return s.shortFor(span, before.level())
+			return s.shortageDuring(span, before.meanLevel())
 		}
-		return s.short()
+		return s.shortage()
 	}
 	part := 1.0
 	switch {
@@ -265,7 +269,7 @@
 	}
 	short := math.Max(steady(c.QuotaPerSecond, c.QuotaPerSecond*part, c.QuotaBurst*part, 1),
 		math.Pow(steady(c.QuotaPerSecond, c.QuotaPerSecond*part, c.QuotaBurst*part, living),
-			float64(f.rules.Tries)))
+			float64(f.rules.ClientAttempts)))
 	if !m.QuotaUnseen[plan] && p.size > 1 {
 		rate := c.QuotaPerSecond
 		if early && p.lost > 0 { // what the silent ones may spend is kept from the one store, too
@@ -277,59 +281,61 @@
 	if c.RateLimitPerSecond > 0 {
 		rate, depth := c.RateLimitPerSecond*(1-p.lost), c.RateLimitBurst*(1-p.lost)
 		short = math.Max(short, steady(c.RateLimitPerSecond, rate, depth, 1))
-		short = math.Max(short, math.Pow(steady(c.RateLimitPerSecond, rate, depth, living), float64(f.rules.Tries)))
+		short = math.Max(short, math.Pow(steady(c.RateLimitPerSecond, rate, depth, living),
+			float64(f.rules.ClientAttempts)))
 	}
 	if early && p.lost > 0 {
 		moved := span + m.SilentAfterMillis/1000
-		whole := share{p.weight, 0, p.size}
-		return ((moved-span)*f.lets(plan, use, size, whole, false) + span*(1-short)) / moved
+		whole := setShare{p.weight, 0, p.size}
+		return ((moved-span)*f.admittedShare(plan, use, size, whole, false) + span*(1-short)) / moved
 	}
 	return 1 - short
 }
 
 // borrow has customers borrow what quotas keep from them until shares have moved, as far as gatekeepers that
 // are left hold rights: they get no more while others of a set are silent. It gives the units.
-func (f *fleet) borrow(s *stage, ms float64) (drawn float64) {
-	whole := f.quotas(f.stage(Loss{}), false)
+func (f *fleet) drawCredit(s *scenario, ms float64) (drawn float64) {
+	whole := f.admittedByQuota(f.newScenario(Loss{}), false)
 	for q := range f.plans {
 		demand := 0.0
-		for _, w := range f.words {
-			demand += w.Customers[q].DemandPerSecond * f.scaled
+		for _, w := range f.reports {
+			demand += w.Customers[q].DemandPerSecond * f.scale
 		}
-		short := (whole[q] - s.let[q]) * demand * ms / 1000
+		short := (whole[q] - s.admitted[q]) * demand * ms / 1000
 		line := 0.0
-		for g := range f.names {
-			if !s.mute[g] {
+		for g := range f.regions {
+			if !s.gatewaysLost[g] {
 				line += f.credit[g][q]
 			}
 		}
 		if short > 0 && line > 0 {
 			lent := math.Min(short, line)
 			drawn += lent
-			s.let[q] += lent / (demand * ms / 1000)
+			s.admitted[q] += lent / (demand * ms / 1000)
 		}
 	}
 	return drawn
 }
 
 // missing names what quotas and ceilings keep back, and gatekeepers that nobody stands in for.
-func (f *fleet) missing(s *stage) (all []string) {
-	whole, after := f.quotas(f.stage(Loss{}), false), f.quotas(s, false)
+func (f *fleet) findShortages(s *scenario) (all []string) {
+	whole, after := f.admittedByQuota(f.newScenario(Loss{}), false), f.admittedByQuota(s, false)
 	for q, plan := range f.plans {
 		demand := 0.0
-		for _, w := range f.words {
-			demand += w.Customers[q].DemandPerSecond * f.scaled
+		for _, w := range f.reports {
+			demand += w.Customers[q].DemandPerSecond * f.scale
 		}
-		if v := (whole[q] - s.let[q]) * demand; v > 0.005*demand {
-			all = append(all, fmt.Sprintf("quota: %.4g units/s of %s until shares have moved, %.4g then", round4(v),
-				plan, round4(math.Max((whole[q]-after[q])*demand, 0))))
+		if v := (whole[q] - s.admitted[q]) * demand; v > 0.005*demand {
+			all = append(all, fmt.Sprintf("quota: %.4g units/s of %s until shares have moved, %.4g then",
+				roundSignificant(v),
+				plan, roundSignificant(math.Max((whole[q]-after[q])*demand, 0))))
 		}
 	}
 	_, orphans, _ := f.demand(s)
 	for q, plan := range f.plans {
 		if orphans[q] > 0 {
 			all = append(all, fmt.Sprintf("gatekeepers: none of theirs is left for %.4g txns/s of %s",
-				round4(orphans[q]*1000), plan))
+				roundSignificant(orphans[q]*1000), plan))
 		}
 	}
 	return all
@@ -338,11 +344,11 @@
 // atOnce reckons what a loss costs in its first moment: txns in hand at lost workers that may not be
 // repeated, those in hand at lost gatekeepers whose clients do not try again, and what is asked until clients
 // have moved.
-func (f *fleet) atOnce(c *Cost, s *stage) {
+func (f *fleet) estimateImmediate(c *Cost, s *scenario) {
 	np := len(f.products)
 	worth, once, all := 0.0, 0.0, 0.0
 	for i := range f.flows {
-		v, r := f.worth(i/np, i%np), f.flows[i].Settled*f.usual[i%np]
+		v, r := f.value(i/np, i%np), f.flows[i].Succeeded*f.serviceMillis[i%np]
 		worth, all = worth+v*r, all+r
 		if f.charter.Products[i%np].Idempotency == policy.NonIdempotent {
 			once += v * r
@@ -352,33 +358,33 @@
 		return
 	}
 	worth, once = worth/all, once/all
-	island := make([]int, len(f.names))
-	for i, is := range s.islands {
+	island := make([]int, len(f.regions))
+	for i, is := range s.partitions {
 		for _, x := range is {
 			island[x] = i
 		}
 	}
-	for g := range f.names {
-		for x, n := range f.inHand[g] {
-			cut := s.gone[x] || island[g] != island[x]
-			switch in := float64(n) * f.scaled; {
-			case s.mute[g]:
-				if f.rules.Tries == 1 {
-					c.AtOnce += in * worth
+	for g := range f.regions {
+		for x, n := range f.inFlight[g] {
+			cut := s.workersLost[x] || island[g] != island[x]
+			switch in := float64(n) * f.scale; {
+			case s.gatewaysLost[g]:
+				if f.rules.ClientAttempts == 1 {
+					c.Immediate += in * worth
 				}
 				if !cut {
 					c.Wasted += in
 				}
 			case cut:
-				c.AtOnce += in * once
+				c.Immediate += in * once
 				c.Wasted += in
 			}
 		}
-		if s.mute[g] {
-			for i, r := range f.asked[g] {
-				c.AtOnce += f.worth(i/np, i%np) * r * f.rules.Takeover
+		if s.gatewaysLost[g] {
+			for i, r := range f.requested[g] {
+				c.Immediate += f.value(i/np, i%np) * r * f.rules.TakeoverMillis
 			}
 		}
 	}
-	c.AtOnce, c.Wasted = round4(c.AtOnce), round4(c.Wasted)
+	c.Immediate, c.Wasted = roundSignificant(c.Immediate), roundSignificant(c.Wasted)
 }
--- a/internal/forecast/report.go
+++ b/internal/forecast/report.go
@@ -1,6 +1,3 @@
-// Package forecast projects what the loss of a hall would cost if its neighbours served its customers, from
-// the words that gatekeepers say of themselves. It is free of I/O and reads no clock: the same words give the
-// same outlook, byte for byte. Why it reckons as it does: docs/outlook-design.md.
 package forecast
 
 import (
@@ -14,224 +11,227 @@
 	"willowdeck/internal/policy"
 )
 
+// Bounds of a report and of what is gathered from many.
 const (
-	Form         = 1       // of a word; one of another is not taken
-	LongestWord  = 1 << 18 // bytes; 40 plans x 20 products and 64 sets have some 100,000
-	LongestWords = 1 << 25 // bytes of what one daemon tells another; 300 usual words have 3 million
-	MostHalls    = 32      // that are told apart
-	mostProducts = 32
-	mostPlans    = 64
-	mostKeepers  = 10000 // gatekeepers of a group: as many as agreed rules may name
-	longestName  = 128   // bytes
-	mostFigure   = 1e12  // any of them; more is no measure of anything here
-	MostAhead    = 2000  // ms that a word's clock may be ahead of its hearer's
+	FormatVersion       = 1       // of a report; one of another version is rejected
+	MaxReportBytes      = 1 << 18 // 40 plans x 20 products and 64 sets take some 100,000
+	MaxHostReportsBytes = 1 << 25 // of what one host sends another; 300 usual reports take 3 million
+	MaxRegions          = 32      // that are distinguished
+	maxProducts         = 32
+	maxPlans            = 64
+	maxGateways         = 10000 // of a group: as many as a ruleset may name
+	maxNameBytes        = 128   // bytes
+	maxValue            = 1e12  // of any measurement
+	MaxClockSkewMillis  = 2000  // by which a report's clock may be ahead of its receiver's
 )
 
-// Flow is what became of txns, a second.
+// Flow is what became of the requests of one plan and product, per second.
 type Flow struct {
-	// units are what was asked for, whatever became of it
-	Asked float64 `json:"Asked"`
-	Units float64 `json:"Units"`
-	// late is the part of what was settled that came after its SLA time
-	Settled float64 `json:"Settled"`
-	Late    float64 `json:"Late"`
-	// other: the client left, or a clearance lapsed
-	Declined float64 `json:"Declined"`
-	Voided   float64 `json:"Voided"`
+	// Units are those requested, whatever became of the request.
+	Requested float64 `json:"Asked"`
+	Units     float64 `json:"Units"`
+	// Late is the part of Succeeded that came after the latency target.
+	Succeeded float64 `json:"Settled"`
+	Late      float64 `json:"Late"`
+	// Other: the client disconnected, or a clearance expired.
+	Rejected float64 `json:"Declined"`
+	Failed   float64 `json:"Voided"`
 	Other    float64 `json:"Other"`
 }
 
-// Hall is what one gatekeeper sees of the workers of a hall.
-type Hall struct {
-	Name    string    `json:"Name"`
-	Workers int       `json:"Workers"` // on its list, and taking txns
-	Able    float64   `json:"Able"`    // in warm workers
-	InHand  int       `json:"InHand"`  // its own submissions
-	Busy    float64   `json:"Busy"`    // part of the cores in use, by workers' own word; below nought where they say nothing
+// Region is what one gateway sees of the workers of a region.
+type Region struct {
+	Name        string  `json:"Name"`
+	Workers     int     `json:"Workers"` // on its list, and active
+	WarmWorkers float64 `json:"Able"`    // capacity, in workers that have warmed up
+	InFlight    int     `json:"InHand"`  // its own attempts
+	// Part of the cores in use, by workers' own reports; negative where there are none.
+	CPUUse  float64   `json:"Busy"`
 	Answers []Answers `json:"Answers"`
 }
 
-// Answers are those of a hall's workers to one product's submissions.
+// Answers summarizes the answers of a region's workers to one product's attempts.
 type Answers struct {
-	PerS   float64 `json:"PerS"`
-	Pace   float64 `json:"Pace"`   // ms of an answer, on average
-	Spread float64 `json:"Spread"` // standard deviation of that, ms
-	Wasted float64 `json:"Wasted"` // a second, that were run or may have been and settled nothing
+	PerSecond       float64 `json:"PerS"`
+	MeanMillis      float64 `json:"Pace"`   // of an answer
+	DeviationMillis float64 `json:"Spread"` // standard deviation of that
+	WastedPerSecond float64 `json:"Wasted"` // that ran or may have run without use
 }
 
-// Credit is what a plan's customers may borrow at this gatekeeper without asking others, and have borrowed at
-// it, units.
+// Credit is, in units, what a plan's customers may still borrow at this gateway without asking others, and
+// have borrowed at it.
 type Credit struct {
-	Rights float64 `json:"Rights"`
-	Open   float64 `json:"Open"`
+	Available float64 `json:"Rights"`
+	Borrowed  float64 `json:"Open"`
 }
 
-// Word is what one gatekeeper says of itself and of what it sees.
-type Word struct {
-	Form    int             `json:"Form"`
-	Name    string          `json:"Name"`
-	Host    string          `json:"Host"`    // whose daemon keeps it
-	Hall    string          `json:"Hall"`    // where it stands
-	Group   string          `json:"Group"`   // which gatekeepers it shares quotas with: a digest of their addresses
-	Number  int             `json:"Number"`  // its place among them
-	Life    uint32          `json:"Life"`    // grows with each start of its process
-	Seq     uint64          `json:"Seq"`     // of this word in that life
-	Version uint64          `json:"Version"` // of the rules that it goes by; 0 where they are those of its start
-	At      int64           `json:"At"`      // when it was measured, Unix ms by its own clock
-	Span    float64         `json:"Span"`
-	Charter policy.Settings `json:"Charter"` // but for its own number
+// Report is what one gateway reports of itself and of what it sees.
+type Report struct {
+	FormatVersion int    `json:"Form"`
+	Name          string `json:"Name"`
+	Host          string `json:"Host"` // of its supervisor
+	Region        string `json:"Hall"` // where it runs
+	// Of gateways that share quotas: a digest of their addresses.
+	Group            string          `json:"Group"`
+	Index            int             `json:"Number"`  // in the group
+	Incarnation      uint32          `json:"Life"`    // grows with each start of the process
+	Sequence         uint64          `json:"Seq"`     // of this report in the incarnation
+	RulesetVersion   uint64          `json:"Version"` // in force; 0 where none is
+	MeasuredAtMillis int64           `json:"At"`      // Unix ms by the gateway's clock
+	SpanMillis       float64         `json:"Span"`
+	Charter          policy.Settings `json:"Charter"` // without the gateway's own index
 
 	Products  []string                    `json:"Products"`
 	Plans     []string                    `json:"Plans"`
-	Flows     []Flow                      `json:"Flows"` // by plan, and product in it
+	Flows     []Flow                      `json:"Flows"` // by plan, and by product within
 	Customers []policy.PlanSnapshot       `json:"Customers"`
 	Sets      []policy.GatewaySetSnapshot `json:"Sets"`
-	Others    float64                     `json:"Others"` // demand of customers of sets beyond the most that are told
-	Halls     []Hall                      `json:"Halls"`
-	Credit    []Credit                    `json:"Credit"` // by plan; empty where none is lent
-	Window    float64                     `json:"Window"`
-	Press     float64                     `json:"Press"`
-	InHand    int                         `json:"InHand"`
-	// peers
-	Silent  int                         `json:"Silent"`
-	Gone    int                         `json:"Gone"`
-	Reasons [policy.ReasonCount]float64 `json:"Reasons"` // final answers a second, by why
+	// Demand of customers whose sets are not in Sets.
+	OtherDemand         float64                     `json:"Others"`
+	Regions             []Region                    `json:"Halls"`
+	Credit              []Credit                    `json:"Credit"` // by plan; empty where there is no credit
+	Window              float64                     `json:"Window"`
+	Pressure            float64                     `json:"Press"`
+	InFlight            int                         `json:"InHand"`
+	SilentPeers         int                         `json:"Silent"`
+	LostPeers           int                         `json:"Gone"`
+	RejectionsPerSecond [policy.ReasonCount]float64 `json:"Reasons"` // by reason
 }
 
-// Append encodes a word.
-func Append(b []byte, w *Word) ([]byte, error) {
+// AppendReport appends the encoded report to b. A report over MaxReportBytes is an error.
+func AppendReport(b []byte, w *Report) ([]byte, error) {
 	text, err := json.Marshal(w)
 	if err != nil {
 		return b, err
 	}
-	if len(text) > LongestWord {
-		return b, fmt.Errorf("word: %d bytes, over %d", len(text), LongestWord)
+	if len(text) > MaxReportBytes {
+		return b, fmt.Errorf("report: %d bytes, over %d", len(text), MaxReportBytes)
 	}
 	return append(b, text...), nil
 }
 
-// ErrForm tells that a word was said by another version of the program.
-var ErrForm = errors.New("said by another version of the program")
+// ErrFormatVersion is the error of a report in another format version.
+var ErrFormatVersion = errors.New("said by another version of the program")
 
-// Decode reads a word and checks it. An error names the figure at fault.
-func Decode(raw []byte) (*Word, error) {
-	if len(raw) > LongestWord {
-		return nil, fmt.Errorf("word: %d bytes, over %d", len(raw), LongestWord)
+// DecodeReport decodes and validates a report. An error names the key at fault.
+func DecodeReport(raw []byte) (*Report, error) {
+	if len(raw) > MaxReportBytes {
+		return nil, fmt.Errorf("report: %d bytes, over %d", len(raw), MaxReportBytes)
 	}
 	var form struct {
 		Form int `json:"Form"`
 	}
 	if err := json.Unmarshal(raw, &form); err != nil {
-		return nil, fmt.Errorf("word: %w", err)
+		return nil, fmt.Errorf("report: %w", err)
 	}
-	if form.Form != Form {
-		return nil, fmt.Errorf("form: %d, not %d: %w", form.Form, Form, ErrForm)
+	if form.Form != FormatVersion {
+		return nil, fmt.Errorf("form: %d, not %d: %w", form.Form, FormatVersion, ErrFormatVersion)
 	}
-	w := &Word{}
+	w := &Report{}
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
 	if err := d.Decode(w); err != nil {
-		return nil, fmt.Errorf("word: %w", err)
+		return nil, fmt.Errorf("report: %w", err)
 	}
-	return w, w.Check()
+	return w, w.Validate()
 }
 
-// Check finds the first figure of a word that makes no sense.
-func (w *Word) Check() error {
-	c := &w.Charter
+// Validate returns an error that names the first key of the report whose value makes no sense.
+func (r *Report) Validate() error {
+	c := &r.Charter
 	np, nq := len(c.Products), len(c.Plans)
 	switch {
-	case w.Form != Form:
-		return fmt.Errorf("form: %d, not %d", w.Form, Form)
-	case w.Name == "" || w.Hall == "" || w.Group == "":
+	case r.FormatVersion != FormatVersion:
+		return fmt.Errorf("form: %d, not %d", r.FormatVersion, FormatVersion)
+	case r.Name == "" || r.Region == "" || r.Group == "":
 		return errors.New("name, hall, group: one is empty")
-	case len(w.Name) > longestName || len(w.Host) > longestName || len(w.Hall) > longestName ||
-		len(w.Group) > longestName:
-		return fmt.Errorf("name, host, hall, group: one is over %d bytes", longestName)
-	case strings.ContainsAny(w.Name+w.Host+w.Hall+w.Group, "\n\r\x00"):
+	case len(r.Name) > maxNameBytes || len(r.Host) > maxNameBytes || len(r.Region) > maxNameBytes ||
+		len(r.Group) > maxNameBytes:
+		return fmt.Errorf("name, host, hall, group: one is over %d bytes", maxNameBytes)
+	case strings.ContainsAny(r.Name+r.Host+r.Region+r.Group, "\n\r\x00"):
 		return errors.New("name, host, hall, group: one has a control character")
-	case c.GatewayCount < 1 || c.GatewayCount > mostKeepers || w.Number < 0 || w.Number >= c.GatewayCount:
-		return fmt.Errorf("number: %d of %d gatekeepers", w.Number, c.GatewayCount)
-	case np < 1 || np > mostProducts || nq < 1 || nq > mostPlans:
+	case c.GatewayCount < 1 || c.GatewayCount > maxGateways || r.Index < 0 || r.Index >= c.GatewayCount:
+		return fmt.Errorf("number: %d of %d gatekeepers", r.Index, c.GatewayCount)
+	case np < 1 || np > maxProducts || nq < 1 || nq > maxPlans:
 		return fmt.Errorf("charter: %d products and %d plans", np, nq)
-	case len(w.Products) != np || len(w.Plans) != nq:
-		return fmt.Errorf("products, plans: %d and %d names for %d and %d", len(w.Products), len(w.Plans), np, nq)
-	case len(w.Flows) != np*nq:
-		return fmt.Errorf("flows: %d for %d products x %d plans", len(w.Flows), np, nq)
-	case len(w.Customers) != nq:
-		return fmt.Errorf("customers: %d for %d plans", len(w.Customers), nq)
-	case len(w.Sets) > policy.MaxSnapshotSets:
-		return fmt.Errorf("sets: %d, over %d", len(w.Sets), policy.MaxSnapshotSets)
-	case len(w.Halls) > MostHalls:
-		return fmt.Errorf("halls: %d, over %d", len(w.Halls), MostHalls)
-	case len(w.Credit) != 0 && len(w.Credit) != nq:
-		return fmt.Errorf("credit: %d for %d plans", len(w.Credit), nq)
-	case w.At <= 0:
-		return fmt.Errorf("at: %d", w.At)
-	case w.InHand < 0 || w.Silent < 0 || w.Gone < 0:
-		return errors.New("in hand, silent, gone: one is below nought")
+	case len(r.Products) != np || len(r.Plans) != nq:
+		return fmt.Errorf("products, plans: %d and %d names for %d and %d", len(r.Products), len(r.Plans), np, nq)
+	case len(r.Flows) != np*nq:
+		return fmt.Errorf("flows: %d for %d products x %d plans", len(r.Flows), np, nq)
+	case len(r.Customers) != nq:
+		return fmt.Errorf("customers: %d for %d plans", len(r.Customers), nq)
+	case len(r.Sets) > policy.MaxSnapshotSets:
+		return fmt.Errorf("sets: %d, over %d", len(r.Sets), policy.MaxSnapshotSets)
+	case len(r.Regions) > MaxRegions:
+		return fmt.Errorf("halls: %d, over %d", len(r.Regions), MaxRegions)
+	case len(r.Credit) != 0 && len(r.Credit) != nq:
+		return fmt.Errorf("credit: %d for %d plans", len(r.Credit), nq)
+	case r.MeasuredAtMillis <= 0:
+		return fmt.Errorf("at: %d", r.MeasuredAtMillis)
+	case r.InFlight < 0 || r.SilentPeers < 0 || r.LostPeers < 0:
+		return errors.New("in hand, silent, gone: one is negative")
 	}
-	return w.figures()
+	return r.validateValues()
 }
 
-// figures checks what is measured, and the charter's amounts.
-func (w *Word) figures() error {
+// validateValues validates the measurements and the charter's quantities.
+func (r *Report) validateValues() error {
 	var err error
 	is := func(v float64, key string, at ...any) {
-		if err == nil && (!(v >= 0) || v > mostFigure) {
-			err = fmt.Errorf("%s: %v is below nought, no number or beyond all measure", fmt.Sprintf(key, at...), v)
+		if err == nil && (!(v >= 0) || v > maxValue) {
+			err = fmt.Errorf("%s: %v is negative, not a number or too large", fmt.Sprintf(key, at...), v)
 		}
 	}
-	is(w.Span, "span")
-	is(w.Window, "window")
-	is(w.Press, "press")
-	is(w.Others, "others")
-	for i, r := range w.Reasons {
-		is(r, "reasons[%d]", i)
+	is(r.SpanMillis, "span")
+	is(r.Window, "window")
+	is(r.Pressure, "press")
+	is(r.OtherDemand, "others")
+	for i, rate := range r.RejectionsPerSecond {
+		is(rate, "reasons[%d]", i)
 	}
-	for i := range w.Flows {
-		f := &w.Flows[i]
-		for _, v := range []float64{f.Asked, f.Units, f.Settled, f.Late, f.Declined, f.Voided, f.Other} {
+	for i := range r.Flows {
+		f := &r.Flows[i]
+		for _, v := range []float64{f.Requested, f.Units, f.Succeeded, f.Late, f.Rejected, f.Failed, f.Other} {
 			is(v, "flows[%d]", i)
 		}
 	}
-	for i := range w.Customers {
-		p := &w.Customers[i]
+	for i := range r.Customers {
+		p := &r.Customers[i]
 		is(p.Customers, "customers[%d].customers", i)
 		is(p.DemandPerSecond, "customers[%d].demand", i)
 		for _, v := range p.DemandByUtilization {
 			is(v, "customers[%d].use", i)
 		}
 	}
-	for i, s := range w.Sets {
+	for i, s := range r.Sets {
 		is(s.DemandPerSecond, "sets[%d].demand", i)
-		if err == nil && (s.Plan < 0 || s.Plan >= len(w.Plans) || s.Size < 1 || s.Size > w.Charter.GatewayCount ||
-			s.FirstGateway < 0 || s.FirstGateway >= w.Charter.GatewayCount) {
+		if err == nil && (s.Plan < 0 || s.Plan >= len(r.Plans) || s.Size < 1 || s.Size > r.Charter.GatewayCount ||
+			s.FirstGateway < 0 || s.FirstGateway >= r.Charter.GatewayCount) {
 			err = fmt.Errorf("sets[%d]: plan %d, %d gatekeepers from %d on", i, s.Plan, s.Size, s.FirstGateway)
 		}
 	}
-	for i, h := range w.Halls {
-		is(h.Able, "halls[%d].able", i)
-		if err == nil && (h.Name == "" || len(h.Name) > longestName || h.Workers < 0 || h.InHand < 0 ||
-			len(h.Answers) != len(w.Products) || !(h.Busy <= 1)) {
-			err = fmt.Errorf("halls[%d]: no name, a count below nought, or not an answer for each product", i)
+	for i, h := range r.Regions {
+		is(h.WarmWorkers, "halls[%d].able", i)
+		if err == nil && (h.Name == "" || len(h.Name) > maxNameBytes || h.Workers < 0 || h.InFlight < 0 ||
+			len(h.Answers) != len(r.Products) || !(h.CPUUse <= 1)) {
+			err = fmt.Errorf("halls[%d]: no name, a negative count, or not an answer for each product", i)
 		}
 		for k, a := range h.Answers {
-			for _, v := range []float64{a.PerS, a.Pace, a.Spread, a.Wasted} {
+			for _, v := range []float64{a.PerSecond, a.MeanMillis, a.DeviationMillis, a.WastedPerSecond} {
 				is(v, "halls[%d].answers[%d]", i, k)
 			}
 		}
 	}
-	for i, c := range w.Credit {
-		is(c.Rights, "credit[%d].rights", i)
-		is(c.Open, "credit[%d].open", i)
+	for i, c := range r.Credit {
+		is(c.Available, "credit[%d].rights", i)
+		is(c.Borrowed, "credit[%d].open", i)
 	}
-	for i, p := range w.Charter.Products {
+	for i, p := range r.Charter.Products {
 		for _, v := range []float64{p.LatencyTargetMillis, p.Value, p.LateValueFraction, p.DedupWindowMillis} {
 			is(v, "charter.products[%d]", i)
 		}
 	}
-	for i, p := range w.Charter.Plans {
+	for i, p := range r.Charter.Plans {
 		for _, v := range []float64{p.QuotaPerSecond, p.QuotaBurst, p.RateLimitPerSecond, p.RateLimitBurst,
 			p.ValueFactor, p.ExcessValueFraction,
 			p.ExcessCostFraction, p.CreditSeconds, p.RepayWithinMillis, p.WithheldFraction} {
@@ -241,26 +241,27 @@
 			is(-1, "charter.plans[%d].open", i)
 		}
 	}
-	for _, v := range []float64{w.Charter.MaxRequestUnits, w.Charter.PeerMessagesPerSecond,
-		w.Charter.ColdCapacityFraction,
-		w.Charter.WarmUpMillis, w.Charter.OverloadFactor, w.Charter.OverloadMillis, w.Charter.TotalWeight,
-		w.Charter.WorstPlanWeight,
-		w.Charter.MaxRetryAfterMillis} {
+	for _, v := range []float64{r.Charter.MaxRequestUnits, r.Charter.PeerMessagesPerSecond,
+		r.Charter.ColdCapacityFraction,
+		r.Charter.WarmUpMillis, r.Charter.OverloadFactor, r.Charter.OverloadMillis, r.Charter.TotalWeight,
+		r.Charter.WorstPlanWeight,
+		r.Charter.MaxRetryAfterMillis} {
 		is(v, "charter")
 	}
 	return err
 }
 
-// Newer tells whether a word was said after another of the same gatekeeper. Lives wrap, as serial numbers.
-func (w *Word) Newer(o *Word) bool {
-	if w.Life != o.Life {
-		return int32(w.Life-o.Life) > 0
+// Newer reports whether a report is newer than another of the same gateway. Incarnations wrap around, as
+// serial numbers.
+func (r *Report) Newer(o *Report) bool {
+	if r.Incarnation != o.Incarnation {
+		return int32(r.Incarnation-o.Incarnation) > 0
 	}
-	return w.Seq > o.Seq
+	return r.Sequence > o.Sequence
 }
 
-// round4 keeps four significant digits, so that what is said is no finer than what it rests on.
-func round4(v float64) float64 {
+// roundSignificant rounds to four significant digits, so that a result is no finer than what it rests on.
+func roundSignificant(v float64) float64 {
 	if math.Abs(v) < 1e-6 || math.IsNaN(v) || math.IsInf(v, 0) {
 		return 0
 	}
--- a/internal/gateway/lifecycle/speak.go
+++ b/internal/gateway/lifecycle/speak.go
@@ -22,7 +22,7 @@
 // speaker keeps the word that this gatekeeper says of itself.
 type speaker struct {
 	mu    sync.Mutex
-	word  forecast.Word
+	word  forecast.Report
 	made  time.Time
 	named bool // its group's name was given
 	said  atomic.Pointer[[]byte]
@@ -31,7 +31,8 @@
 // teller begins to count what a word tells.
 func (g *Gatekeeper) teller() *speaker {
 	c := &g.conf
-	s := &speaker{word: forecast.Word{Name: c.Name, Host: c.Host, Hall: c.Region, Number: c.Charter.GatewayIndex,
+	s := &speaker{word: forecast.Report{Name: c.Name, Host: c.Host, Region: c.Region,
+		Index:   c.Charter.GatewayIndex,
 		Charter: c.Charter, Products: c.Names.ProductNames(), Plans: c.Names.PlanNames()}}
 	s.word.Charter.GatewayIndex = 0
 	if s.named = c.Group != ""; s.named {
@@ -62,7 +63,7 @@
 func (s *speaker) rules(version uint64, plans []policy.Plan) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.word.Version, s.word.Charter.Plans = version, slices.Clone(plans)
+	s.word.RulesetVersion, s.word.Charter.Plans = version, slices.Clone(plans)
 }
 
 // renew makes the word anew, if it is time.
@@ -74,7 +75,7 @@
 	}
 	s.made = time.Now()
 	g.desk.FillReport(&s.word)
-	b, err := forecast.Append(nil, &s.word)
+	b, err := forecast.AppendReport(nil, &s.word)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("no word is told")
 		s.said.Store(nil)
--- a/internal/gateway/proxy/metrics.go
+++ b/internal/gateway/proxy/metrics.go
@@ -63,17 +63,17 @@
 
 // FillReport fills in a report what the meter and the policy have observed. It may not run twice at a time;
 // requests are served in between.
-func (d *Dispatcher) FillReport(report *forecast.Word) {
+func (d *Dispatcher) FillReport(report *forecast.Report) {
 	for next := d.samplePolicy(0); next > 0; {
 		next = d.samplePolicy(next)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now, t := d.clock.now(), d.policy.Stats()
-	d.meter.Mark(now, &t)
-	d.meter.Tell(report, now, &t, &d.sample, d.workers.ZoneName)
+	d.meter.Snapshot(now, &t)
+	d.meter.FillReport(report, now, &t, &d.sample, d.workers.ZoneName)
 	if d.lender != nil {
-		d.lender.book.Plans(report.Lent)
+		d.lender.book.Plans(report.AddCredit)
 	}
 }
 
@@ -85,12 +85,12 @@
 }
 
 // finalKind classifies a final answer for the meter.
-func finalKind(c inflight.Command) forecast.Final {
+func finalKind(c inflight.Command) forecast.Outcome {
 	switch {
 	case c.Answer != nil:
-		return forecast.Settled
+		return forecast.OutcomeSucceeded
 	case c.Decision.Kind == policy.Reject:
-		return forecast.Declined
+		return forecast.OutcomeRejected
 	}
-	return forecast.Voided
+	return forecast.OutcomeFailed
 }
--- a/internal/gateway/proxy/requests.go
+++ b/internal/gateway/proxy/requests.go
@@ -26,7 +26,7 @@
 	a.ID = d.requests.lastID
 	r := inflight.NewRequest(a.ID, math.Inf(1), clientGone, d.requests.maxAttempts)
 	r.Customer, r.Plan, r.Product, r.ArrivedMillis = a.Customer, a.Plan, a.Product, now
-	d.meter.Asked(a.Plan, a.Product, a.Units)
+	d.meter.RequestReceived(a.Plan, a.Product, a.Units)
 	d.requests.byID[a.ID] = r
 	return r
 }
@@ -78,7 +78,7 @@
 	if !r.Answered {
 		d.policy.ReleaseClearance(r.ID)
 		r.Answered = true
-		d.meter.Ended(r.Plan, r.Product, forecast.Other, 0)
+		d.meter.RequestEnded(r.Plan, r.Product, forecast.OutcomeOther, 0)
 		d.forgetIfDone(r)
 	}
 	d.flushAndUnlock()
@@ -141,10 +141,10 @@
 func (d *Dispatcher) attemptEnded(r *inflight.Request, n, worker int, a *transport.Answer,
 	tookMillis float64) {
 	now := d.lockPolicy()
-	d.meter.Answered(d.workers.Zone(worker), r.Product, a.Outcome, tookMillis, r.Answered)
+	d.meter.AttemptEnded(d.workers.Zone(worker), r.Product, a.Outcome, tookMillis, r.Answered)
 	if a.FromWorker {
 		d.policy.ReportWorkerLoad(worker, a.Load)
-		d.meter.Said(d.workers.Zone(worker), a.Load)
+		d.meter.LoadReported(d.workers.Zone(worker), a.Load)
 	}
 	if a.Outcome == policy.Succeeded && !r.Answered {
 		d.finalize(r, inflight.Command{Answer: a}, now)
@@ -176,7 +176,7 @@
 	inflight.Check(!r.Answered, inflight.SingleFinalAnswer)
 	inflight.Check(now <= r.ExpiryMillis+d.lateMillis, inflight.FinalAnswerInTime)
 	r.Answered = true
-	d.meter.Ended(r.Plan, r.Product, finalKind(c), now-r.ArrivedMillis)
+	d.meter.RequestEnded(r.Plan, r.Product, finalKind(c), now-r.ArrivedMillis)
 	for _, attempt := range r.Attempts {
 		attempt.CancelUnsent()
 	}
--- a/internal/lab/emulator/emu_test.go
+++ b/internal/lab/emulator/emu_test.go
@@ -81,11 +81,12 @@
 		t.Fatalf("%d gatekeepers speak while seven of twenty are lost", len(words))
 	}
 	for _, w := range words {
-		if err := w.Check(); err != nil {
+		if err := w.Validate(); err != nil {
 			t.Errorf("%s: %v", w.Name, err)
 		}
-		if w.Silent < 3 || w.Silent > 4 || w.Hall == "hall1" { // of the eight that it shares sets of five with
-			t.Errorf("%s in %s holds %d others to be silent", w.Name, w.Hall, w.Silent)
+		// Of the eight that it shares sets of five with.
+		if w.SilentPeers < 3 || w.SilentPeers > 4 || w.Region == "hall1" {
+			t.Errorf("%s in %s holds %d others to be silent", w.Name, w.Region, w.SilentPeers)
 		}
 	}
 	for i, second := range r.Seconds {
--- a/internal/lab/emulator/gatekeeper.go
+++ b/internal/lab/emulator/gatekeeper.go
@@ -290,7 +290,7 @@
 	}
 	w.ids++
 	t := &txn{c: c, id: w.ids, until: until, product: c.a.Product, came: w.now}
-	g.meter.Asked(c.a.Plan, c.a.Product, c.a.Units)
+	g.meter.RequestReceived(c.a.Plan, c.a.Product, c.a.Units)
 	g.txns[t.id] = t
 	life := g.life
 	w.judge.Taken(w.now, g.num, t.id, c.a.Product, c.a.Plan, c.a.Customer, c.a.Units, until)
@@ -299,7 +299,7 @@
 			t.final = true // it stands still: the client goes, and is owed nothing that it could get
 			w.judge.Left(t.id)
 			w.res.Silent++
-			g.meter.Ended(c.a.Plan, c.a.Product, forecast.Other, 0)
+			g.meter.RequestEnded(c.a.Plan, c.a.Product, forecast.OutcomeOther, 0)
 			c.answered(silent, 0)
 			g.input(func(b brain) { b.ClientGone(t.id) })
 			g.drop(t)
@@ -394,13 +394,14 @@
 	if t.final = true; len(t.subs) == 0 {
 		g.refuse()
 	}
-	g.meter.Ended(t.c.a.Plan, t.product, ends[k], g.w.now-t.came)
+	g.meter.RequestEnded(t.c.a.Plan, t.product, ends[k], g.w.now-t.came)
 	g.w.in(g.w.draw(g.w.s.Network.ClientMS), func() { t.c.answered(k, wait) })
 	g.drop(t)
 }
 
-var ends = map[answerKind]forecast.Final{settled: forecast.Settled, declined: forecast.Declined,
-	voided: forecast.Voided}
+var ends = map[answerKind]forecast.Outcome{settled: forecast.OutcomeSucceeded,
+	declined: forecast.OutcomeRejected,
+	voided:   forecast.OutcomeFailed}
 
 // drop forgets a txn of which nothing more can come.
 func (g *gatekeeper) drop(t *txn) {
@@ -494,7 +495,7 @@
 		g.final(t, invariants.Settled, settled, 0)
 	}
 	took, closed := g.w.now-s.began, t.final
-	g.meter.Answered(g.w.s.hall(s.worker.at), t.product, o, took, over)
+	g.meter.AttemptEnded(g.w.s.hall(s.worker.at), t.product, o, took, over)
 	g.input(func(b brain) { b.AttemptEnded(t.id, s.n, o, took, closed) })
 	g.drop(t)
 }
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -115,8 +115,9 @@
 }
 
 // RunWords plays a scenario, and gives the words that its gatekeepers say at a moment, in seconds.
-func RunWords(ctx context.Context, s *Scenario, seed int64, atS float64) (*Result, []*forecast.Word, error) {
-	var words []*forecast.Word
+func RunWords(ctx context.Context, s *Scenario, seed int64, atS float64) (*Result, []*forecast.Report,
+	error) {
+	var words []*forecast.Report
 	r, err := playFrom(ctx, s, seed, nil, func(w *world) {
 		for _, g := range w.gks {
 			g.meter = forecast.NewMeter(s.charter(g.num), 1)
@@ -126,7 +127,7 @@
 				for _, g := range w.gks {
 					if m, ok := g.brain.(*policy.Engine); ok && g.up {
 						t := m.Stats()
-						g.meter.Mark(w.clock(), &t)
+						g.meter.Snapshot(w.clock(), &t)
 					}
 				}
 			})
@@ -146,11 +147,11 @@
 const markEach = 200
 
 // word is what a gatekeeper says of itself.
-func (g *gatekeeper) word() *forecast.Word {
+func (g *gatekeeper) word() *forecast.Report {
 	s := g.w.s
 	hall := func(z int) string { return fmt.Sprintf("hall%d", z) }
-	w := &forecast.Word{Name: fmt.Sprintf("g%d", g.num), Host: "emulated", Hall: hall(s.hall(g.num)),
-		Group: "emulated", Number: g.num, Charter: s.charter(g.num)}
+	w := &forecast.Report{Name: fmt.Sprintf("g%d", g.num), Host: "emulated", Region: hall(s.hall(g.num)),
+		Group: "emulated", Index: g.num, Charter: s.charter(g.num)}
 	w.Charter.GatewayIndex = 0
 	for _, p := range s.Products {
 		w.Products = append(w.Products, p.Name)
@@ -167,9 +168,9 @@
 	for at := m.WriteSnapshot(&sight, 0); at > 0; {
 		at = m.WriteSnapshot(&sight, at)
 	}
-	g.meter.Tell(w, g.w.clock(), &t, &sight, hall)
+	g.meter.FillReport(w, g.w.clock(), &t, &sight, hall)
 	if g.lender != nil {
-		g.lender.book.Plans(w.Lent)
+		g.lender.book.Plans(w.AddCredit)
 	}
 	return w
 }
--- a/internal/lab/experiment/outlook.go
+++ b/internal/lab/experiment/outlook.go
@@ -46,14 +46,15 @@
 }
 
 // faultKinds are how the emulator plays a loss.
-var faultKinds = map[forecast.Kind]string{forecast.Whole: "hall", forecast.Keepers: "keepers",
-	forecast.Links: "links", forecast.Slowed: "hall"}
+var faultKinds = map[forecast.Kind]string{forecast.LoseRegion: "hall", forecast.LoseGateways: "keepers",
+	forecast.LoseLinks: "links", forecast.LoseRegionSlowNeighbours: "hall"}
 
 // Rules are what operators of an emulated fleet would state of it.
-func Rules(s *emulator.Scenario) forecast.Rules {
-	r := forecast.Usual
-	r.Cores, r.Way = float64(s.Workers.Cores), 3*s.Network.WorkerMS // a connection, the txn and its answer
-	r.Tries, r.Back = s.Clients.Retries+1, s.Clients.BackMS
+func Rules(s *emulator.Scenario) forecast.Assumptions {
+	r := forecast.DefaultAssumptions
+	// A connection, the txn and its answer.
+	r.WorkerCores, r.NetworkMillis = float64(s.Workers.Cores), 3*s.Network.WorkerMS
+	r.ClientAttempts, r.ClientBackoffMillis = s.Clients.Retries+1, s.Clients.BackMS
 	return r
 }
 
@@ -63,13 +64,13 @@
 	f := emulator.Fault{Kind: faultKinds[l.Kind], FromS: at, ToS: s.Seconds + 1000}
 	others := emulator.Fault{Kind: "slow", FromS: at, ToS: s.Seconds + 1000, Factor: slow}
 	for h := range s.Workers.Zones {
-		if slices.Contains(l.Halls, fmt.Sprintf("hall%d", h)) {
+		if slices.Contains(l.Regions, fmt.Sprintf("hall%d", h)) {
 			f.Halls = append(f.Halls, h)
 		} else {
 			others.Halls = append(others.Halls, h)
 		}
 	}
-	if played.Faults = append(played.Faults, f); l.Kind == forecast.Slowed {
+	if played.Faults = append(played.Faults, f); l.Kind == forecast.LoseRegionSlowNeighbours {
 		played.Faults = append(played.Faults, others)
 	}
 	return played
@@ -78,14 +79,14 @@
 // Foresee projects some losses from the words of an emulated fleet at a moment, in seconds, and plays each.
 // With replay each is also played from the words alone, for comparison.
 func Foresee(ctx context.Context, s *emulator.Scenario, seed int64, at float64, losses []forecast.Loss,
-	replay bool) ([]Foresight, *forecast.Outlook, error) {
+	replay bool) ([]Foresight, *forecast.Forecast, error) {
 	rules := Rules(s)
 	before, words, err := emulator.RunWords(ctx, s, seed, at)
 	if err != nil {
 		return nil, nil, err
 	}
 	o := forecast.Project(words, rules)
-	until := min(at+o.Moved/1000, s.Seconds)
+	until := min(at+o.RebalanceMillis/1000, s.Seconds)
 	var all []Foresight
 	var like *emulator.Scenario
 	var calm *emulator.Result
@@ -98,18 +99,18 @@
 		}
 	}
 	for _, l := range losses {
-		i := slices.IndexFunc(o.Losses, func(c forecast.Cost) bool { return c.Loss.Same(l) })
+		i := slices.IndexFunc(o.Losses, func(c forecast.Cost) bool { return c.Loss.Equal(l) })
 		if i < 0 {
-			return nil, nil, fmt.Errorf("loss of %s: not projected: %s", strings.Join(l.Halls, ", "),
+			return nil, nil, fmt.Errorf("loss of %s: not projected: %s", strings.Join(l.Regions, ", "),
 				strings.Join(o.Unknown, "; "))
 		}
-		after, err := emulator.Run(ctx, faulted(s, l, at, rules.Slow), seed)
+		after, err := emulator.Run(ctx, faulted(s, l, at, rules.SlowFactor), seed)
 		if err != nil {
 			return nil, nil, err
 		}
 		f := held(&o.Losses[i], before, after, seed, at, until)
 		if replay {
-			again, err := emulator.Run(ctx, faulted(like, l, at, rules.Slow), seed+1e6)
+			again, err := emulator.Run(ctx, faulted(like, l, at, rules.SlowFactor), seed+1e6)
 			if err != nil {
 				return nil, nil, err
 			}
@@ -122,31 +123,31 @@
 
 // likeness is a scenario as words alone show it: what they do not show (queues, how long clients wait, how
 // news travels) is as a scenario has it that stands for an operator's knowledge.
-func likeness(words []*forecast.Word, r forecast.Rules, known *emulator.Scenario) *emulator.Scenario {
-	l := forecast.Liken(words, r)
+func likeness(words []*forecast.Report, r forecast.Assumptions, known *emulator.Scenario) *emulator.Scenario {
+	l := forecast.NewEmulatorModel(words, r)
 	if l == nil {
 		return nil
 	}
 	s := known.Clone()
 	s.Faults, s.Shapes, s.Trace = nil, nil, ""
-	s.Workers.Zones, s.Workers.Count = len(l.Halls), 0
-	for _, n := range l.Workers {
+	s.Workers.Zones, s.Workers.Count = len(l.Regions), 0
+	for _, n := range l.WorkersByRegion {
 		s.Workers.Count += n
 	}
-	s.Workers.Exponential, s.Workers.Spread = false, math.Sqrt(math.Log(1+l.CV2))
-	s.Workers.ServiceMS = l.Service[0] / math.Sqrt(1+l.CV2)
-	s.Network.WorkerMS, s.Network.AcrossMS = r.Way/3, l.Across/3
+	s.Workers.Exponential, s.Workers.Spread = false, math.Sqrt(math.Log(1+l.ServiceCV2))
+	s.Workers.ServiceMS = l.ServiceMillis[0] / math.Sqrt(1+l.ServiceCV2)
+	s.Network.WorkerMS, s.Network.AcrossMS = r.NetworkMillis/3, l.CrossRegionMillis/3
 	for i := range s.Products {
-		s.Products[i].Work = l.Service[i] / l.Service[0]
+		s.Products[i].Work = l.ServiceMillis[i] / l.ServiceMillis[0]
 		s.Products[i].Weight = 0
 		for _, p := range l.Plans {
-			s.Products[i].Weight += p.Products[i]
+			s.Products[i].Weight += p.RequestsByProduct[i]
 		}
 	}
 	for i, p := range l.Plans {
 		q := &s.Plans[i]
-		q.Customers, q.Spread, q.Units, q.Skew = int(math.Round(p.Customers)), p.Spread, 2*p.Size-1, 0
-		q.Asks = p.Asked * p.Size / float64(q.Customers) / q.Rate
+		q.Customers, q.Spread, q.Units, q.Skew = int(math.Round(p.Customers)), p.SetSize, 2*p.MeanUnits-1, 0
+		q.Asks = p.Requested * p.MeanUnits / float64(q.Customers) / q.Rate
 	}
 	return s
 }
@@ -155,7 +156,7 @@
 func held(c *forecast.Cost, before, after *emulator.Result, seed int64, at, until float64) Foresight {
 	f := Foresight{Scenario: before.Scenario, Loss: c.Loss, Seed: seed}
 	secs := until - at
-	ran := make([]float64, len(c.First.Halls))
+	ran := make([]float64, len(c.Before.Regions))
 	for i := int(at); i < int(until); i++ {
 		f.Asked += before.Seconds[i].Offered / secs
 		f.Found += (before.Seconds[i].Served - after.Seconds[i].Served) / secs
@@ -163,10 +164,10 @@
 			ran[h] += n / secs
 		}
 	}
-	f.Foretold = c.First.Lost + c.AtOnce/secs
-	for h, x := range c.First.Halls {
+	f.Foretold = c.Before.LostValue + c.Immediate/secs
+	for h, x := range c.Before.Regions {
 		if x.Workers > 0 {
-			f.Loads = append(f.Loads, Load{x.Name, x.Run, ran[h]})
+			f.Loads = append(f.Loads, Load{x.Name, x.Succeeded, ran[h]})
 		}
 	}
 	return f
@@ -193,7 +194,7 @@
 			for i := range g.All {
 				f := &g.All[i]
 				_ = out.Write([]string{f.Scenario, strconv.Itoa(g.Gatekeepers), num(g.Asks), f.Loss.Kind.String(),
-					strings.Join(f.Loss.Halls, " "), strconv.FormatInt(f.Seed, 10), num(f.Asked), num(f.Foretold),
+					strings.Join(f.Loss.Regions, " "), strconv.FormatInt(f.Seed, 10), num(f.Asked), num(f.Foretold),
 					num(f.Found), num(f.Error()), num(f.Replayed), num((f.Replayed - f.Found) / f.Asked),
 					num(f.LoadError())})
 			}
--- a/internal/lab/experiment/outlook_test.go
+++ b/internal/lab/experiment/outlook_test.go
@@ -21,17 +21,18 @@
 // Each kind of loss is foretold from the words of an emulated fleet, and then played with the same arrivals.
 // Guards against a change of the module, or of what words say, that the reckoning does not follow.
 func TestForesee(t *testing.T) {
-	losses := []forecast.Loss{{Kind: forecast.Whole, Halls: []string{"hall0"}},
+	losses := []forecast.Loss{{Kind: forecast.LoseRegion, Regions: []string{"hall0"}},
 		{
-			Kind:  forecast.Whole,
-			Halls: []string{"hall0", "hall1"},
-		}, {Kind: forecast.Keepers, Halls: []string{"hall0"}},
-		{Kind: forecast.Links, Halls: []string{"hall0"}}, {Kind: forecast.Slowed, Halls: []string{"hall0"}}}
+			Kind:    forecast.LoseRegion,
+			Regions: []string{"hall0", "hall1"},
+		}, {Kind: forecast.LoseGateways, Regions: []string{"hall0"}},
+		{Kind: forecast.LoseLinks, Regions: []string{"hall0"}}, {Kind: forecast.LoseRegionSlowNeighbours,
+			Regions: []string{"hall0"}}}
 	names, loads, seeds := []string{"halls20"}, []float64{1}, 1
 	if *foresee > 0 {
 		names, loads, seeds = []string{"halls20", "halls300"}, []float64{0.6, 1, 1.25}, *foresee
-		losses = append(losses, forecast.Loss{Kind: forecast.Keepers, Halls: []string{"hall1", "hall2"}},
-			forecast.Loss{Kind: forecast.Links, Halls: []string{"hall1", "hall2"}})
+		losses = append(losses, forecast.Loss{Kind: forecast.LoseGateways, Regions: []string{"hall1", "hall2"}},
+			forecast.Loss{Kind: forecast.LoseLinks, Regions: []string{"hall1", "hall2"}})
 	}
 	var table []Foresights
 	lending := func(s *emulator.Scenario) {
@@ -63,9 +64,9 @@
 			}
 			for _, f := range g.All {
 				t.Logf("%s x %v, %v of %v: asked %.0f/s, lost foretold %.1f, found %.1f, error %.3f; loads %.3f",
-					name, load, f.Loss.Kind, f.Loss.Halls, f.Asked, f.Foretold, f.Found, f.Error(), f.LoadError())
+					name, load, f.Loss.Kind, f.Loss.Regions, f.Asked, f.Foretold, f.Found, f.Error(), f.LoadError())
 				if *foresee == 0 && (math.Abs(f.Error()) > 0.12 || math.Abs(f.LoadError()) > 0.2) {
-					t.Errorf("%v of %v: off by %.3f of the value asked, loads by %.3f: %v", f.Loss.Kind, f.Loss.Halls,
+					t.Errorf("%v of %v: off by %.3f of the value asked, loads by %.3f: %v", f.Loss.Kind, f.Loss.Regions,
 						f.Error(), f.LoadError(), f.Loads)
 				}
 			}
--- a/internal/supervisor/forecast_collector.go
+++ b/internal/supervisor/forecast_collector.go
@@ -55,9 +55,9 @@
 	unreachable int                  // sources that did not answer in the last round
 	lastWarning map[string]time.Time // by source and reason
 
-	projectionMu  sync.Mutex        // guards the following fields
-	projectionKey string            // the reports and rules of the projection
-	projection    *forecast.Outlook // the last one
+	projectionMu  sync.Mutex         // guards the following fields
+	projectionKey string             // the reports and rules of the projection
+	projection    *forecast.Forecast // the last one
 }
 
 // newForecastCollector returns a collector without reports.
@@ -150,11 +150,11 @@
 
 // queryInstance asks an instance for its report. A name that is not empty has to be the report's.
 func (c *forecastCollector) queryInstance(address, name string) error {
-	raw, err := c.fetch("http://"+address+admin.ForecastPath, instanceTimeout, forecast.LongestWord)
+	raw, err := c.fetch("http://"+address+admin.ForecastPath, instanceTimeout, forecast.MaxReportBytes)
 	if err != nil {
 		return err
 	}
-	c.accept(address, raw, 0, true, func(report *forecast.Word) error {
+	c.accept(address, raw, 0, true, func(report *forecast.Report) error {
 		if name != "" && (report.Name != name || report.Host != c.host) {
 			return fmt.Errorf("it is from %s of %s, not from %s", report.Name, report.Host, name)
 		}
@@ -166,7 +166,7 @@
 // queryNeighbour asks another daemon for the reports of its instances. Only an answer that could not be had
 // is an error; what is wrong with one is counted as rejected.
 func (c *forecastCollector) queryNeighbour(address string) error {
-	raw, err := c.fetch("http://"+address+reportsPath, neighbourTimeout, forecast.LongestWords)
+	raw, err := c.fetch("http://"+address+reportsPath, neighbourTimeout, forecast.MaxHostReportsBytes)
 	if err != nil {
 		return err
 	}
@@ -191,7 +191,7 @@
 			continue
 		}
 		age := time.Duration(ageMillis * float64(time.Millisecond))
-		c.accept(address, report, age, false, func(*forecast.Word) error { return nil })
+		c.accept(address, report, age, false, func(*forecast.Report) error { return nil })
 	}
 	return nil
 }
--- a/internal/supervisor/forecast_collector_test.go
+++ b/internal/supervisor/forecast_collector_test.go
@@ -19,9 +19,11 @@
 )
 
 // encodeReport returns a valid report of one of three gateways, after a change of it.
-func encodeReport(number int, change func(*forecast.Word)) json.RawMessage {
-	report := &forecast.Word{Form: forecast.Form, Name: fmt.Sprintf("g%d", number), Host: "there", Hall: "east",
-		Group: "all", Number: number, Life: 4, Seq: 9, At: time.Now().UnixMilli(), Span: 10000,
+func encodeReport(number int, change func(*forecast.Report)) json.RawMessage {
+	report := &forecast.Report{FormatVersion: forecast.FormatVersion, Name: fmt.Sprintf("g%d", number),
+		Host: "there", Region: "east",
+		Group: "all", Index: number, Incarnation: 4, Sequence: 9, MeasuredAtMillis: time.Now().UnixMilli(),
+		SpanMillis: 10000,
 		Charter: policy.Settings{GatewayCount: 3, Products: []policy.Product{{LatencyTargetMillis: 500, Value: 1}},
 			Plans: []policy.Plan{{QuotaPerSecond: 10, QuotaBurst: 10, ValueFactor: 1}}},
 		Products: []string{"check"}, Plans: []string{"basic"}, Flows: make([]forecast.Flow, 1),
@@ -40,17 +42,18 @@
 // beside it are accepted.
 func TestInvalidNeighbourReports(t *testing.T) {
 	good := encodeReport(0, nil)
-	later := func(report *forecast.Word) { report.Seq = 10 }
+	later := func(report *forecast.Report) { report.Sequence = 10 }
 	for _, test := range []struct {
 		why, says   string
 		answer      any // reports, or the answer's text
 		reportCount int
 	}{
-		{"version", "said by another version", []json.RawMessage{good, encodeReport(1, func(report *forecast.Word) {
-			report.Form = 9
-		})}, 1},
+		{"version", "said by another version", []json.RawMessage{good,
+			encodeReport(1, func(report *forecast.Report) {
+				report.FormatVersion = 9
+			})}, 1},
 		{"spoilt", "window: -1",
-			[]json.RawMessage{encodeReport(1, func(report *forecast.Word) { report.Window = -1 }), good}, 1},
+			[]json.RawMessage{encodeReport(1, func(report *forecast.Report) { report.Window = -1 }), good}, 1},
 		{"spoilt", "word:", []json.RawMessage{good, json.RawMessage(`{"Form":1,"At":"x"}`)}, 1},
 		{"spoilt", "unexpected end", "{", 0},
 		{"spoilt", "invalid character", `{"Form":1,"Host":"there","Words":[{"Form":1,"Window":NaN}]}`, 0},
@@ -58,12 +61,13 @@
 		{"spoilt", "age of -5 ms", `{"Form":1,"Host":"there","Words":[{"Form":1}],"Ages":[-5]}`, 0},
 		{"version", "form 2 of words", `{"Form":2,"Words":[]}`, 0},
 		{"stranger", "and so does g0 of there",
-			[]json.RawMessage{good, encodeReport(0, func(report *forecast.Word) {
-				report.Name, report.Life = "intruder", 99
+			[]json.RawMessage{good, encodeReport(0, func(report *forecast.Report) {
+				report.Name, report.Incarnation = "intruder", 99
 			})}, 1},
 		{"ahead", "clock is",
-			[]json.RawMessage{good, encodeReport(1, func(report *forecast.Word) { report.At += 60000 })}, 1},
-		{"too_long", "over", strings.Repeat(" ", forecast.LongestWords+1), 0},
+			[]json.RawMessage{good, encodeReport(1,
+				func(report *forecast.Report) { report.MeasuredAtMillis += 60000 })}, 1},
+		{"too_long", "over", strings.Repeat(" ", forecast.MaxHostReportsBytes+1), 0},
 		{"", "", []json.RawMessage{good, encodeReport(0, later), encodeReport(2, nil)}, 2},
 	} {
 		s := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
@@ -116,7 +120,7 @@
 				Encode(reportExchange{reportsFormat, "there", []json.RawMessage{encodeReport(2, nil)}, []float64{40}})
 			return
 		}
-		_, _ = out.Write(encodeReport(0, func(report *forecast.Word) { report.Host = "here" }))
+		_, _ = out.Write(encodeReport(0, func(report *forecast.Report) { report.Host = "here" }))
 	}))
 	defer s.Close()
 	at := s.Listener.Addr().String()
--- a/internal/supervisor/forecast_http.go
+++ b/internal/supervisor/forecast_http.go
@@ -39,13 +39,13 @@
 }
 
 // project returns the forecast by the reports that are kept; the last one, if it was made from the same.
-func (c *forecastCollector) project() *forecast.Outlook {
+func (c *forecastCollector) project() *forecast.Forecast {
 	c.mu.Lock()
-	var reports []*forecast.Word
+	var reports []*forecast.Report
 	var ids []string
 	for id, received := range c.reports {
 		reports = append(reports, received.report)
-		ids = append(ids, fmt.Sprintf("%s %d %d", id, received.report.Life, received.report.Seq))
+		ids = append(ids, fmt.Sprintf("%s %d %d", id, received.report.Incarnation, received.report.Sequence))
 	}
 	rules := c.settings.projectionRules()
 	c.mu.Unlock()
--- a/internal/supervisor/forecast_reports.go
+++ b/internal/supervisor/forecast_reports.go
@@ -30,7 +30,7 @@
 
 // receivedReport is the latest report of an instance.
 type receivedReport struct {
-	report     *forecast.Word
+	report     *forecast.Report
 	raw        json.RawMessage
 	receivedAt time.Time
 	local      bool // this daemon asks the instance itself
@@ -39,10 +39,10 @@
 // accept takes a report that its instance has made so long ago, unless it is invalid, older than the one that
 // is kept, or from an instance that is not the one it should be.
 func (c *forecastCollector) accept(source string, raw []byte, age time.Duration, local bool,
-	checkIdentity func(*forecast.Word) error) {
-	report, err := forecast.Decode(raw)
+	checkIdentity func(*forecast.Report) error) {
+	report, err := forecast.DecodeReport(raw)
 	switch {
-	case errors.Is(err, forecast.ErrForm):
+	case errors.Is(err, forecast.ErrFormatVersion):
 		c.reject(source, rejectVersion, err)
 		return
 	case err != nil:
@@ -53,7 +53,7 @@
 		c.reject(source, rejectIdentity, err)
 		return
 	}
-	if ahead := report.At - time.Now().UnixMilli(); ahead > forecast.MostAhead {
+	if ahead := report.MeasuredAtMillis - time.Now().UnixMilli(); ahead > forecast.MaxClockSkewMillis {
 		c.reject(source, rejectClock, fmt.Errorf("%s: its clock is %d ms ahead", report.Name, ahead))
 		return
 	}
@@ -67,7 +67,7 @@
 // instance has reported under the same number, not long ago.
 func (c *forecastCollector) keep(received receivedReport) error {
 	report := received.report
-	id := fmt.Sprintf("%s/%d", report.Group, report.Number)
+	id := fmt.Sprintf("%s/%d", report.Group, report.Index)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kept, known := c.reports[id]
@@ -83,7 +83,7 @@
 			"%s of %s says that it is number %d of %s, and so does %s of %s",
 			report.Name,
 			report.Host,
-			report.Number,
+			report.Index,
 			report.Group,
 			kept.report.Name,
 			kept.report.Host,
@@ -92,7 +92,7 @@
 		c.store(id, received)
 	default:
 		kept.local = kept.local || received.local
-		same := report.Life == kept.report.Life && report.Seq == kept.report.Seq
+		same := report.Incarnation == kept.report.Incarnation && report.Sequence == kept.report.Sequence
 		if same && received.receivedAt.After(kept.receivedAt) {
 			kept.receivedAt = received.receivedAt
 		}
--- a/internal/supervisor/forecast_settings.go
+++ b/internal/supervisor/forecast_settings.go
@@ -33,28 +33,28 @@
 }
 
 func defaultForecastSettings() ForecastSettings {
-	defaults := forecast.Usual
+	defaults := forecast.DefaultAssumptions
 	return ForecastSettings{
 		IntervalMillis:     defaultForecastInterval,
-		MaxReportAgeMillis: defaults.MostAge,
-		MaxAttempts:        defaults.Tries,
-		NeighboursTakeOver: defaults.Elsewhere,
-		SlowdownFactor:     defaults.Slow,
+		MaxReportAgeMillis: defaults.MaxReportAgeMillis,
+		MaxAttempts:        defaults.ClientAttempts,
+		NeighboursTakeOver: defaults.FailsOver,
+		SlowdownFactor:     defaults.SlowFactor,
 	}
 }
 
 // projectionRules returns the settings as the projection takes them.
-func (s *ForecastSettings) projectionRules() forecast.Rules {
-	return forecast.Rules{
-		MostAge:   s.MaxReportAgeMillis,
-		Cores:     s.WorkerCores,
-		PerS:      s.WorkerPerSecond,
-		Way:       s.OverheadMillis,
-		Tries:     s.MaxAttempts,
-		Back:      s.MaxBackoffMillis,
-		Takeover:  s.TakeoverMillis,
-		Elsewhere: s.NeighboursTakeOver,
-		Slow:      s.SlowdownFactor,
+func (s *ForecastSettings) projectionRules() forecast.Assumptions {
+	return forecast.Assumptions{
+		MaxReportAgeMillis:  s.MaxReportAgeMillis,
+		WorkerCores:         s.WorkerCores,
+		WorkerPerSecond:     s.WorkerPerSecond,
+		NetworkMillis:       s.OverheadMillis,
+		ClientAttempts:      s.MaxAttempts,
+		ClientBackoffMillis: s.MaxBackoffMillis,
+		TakeoverMillis:      s.TakeoverMillis,
+		FailsOver:           s.NeighboursTakeOver,
+		SlowFactor:          s.SlowdownFactor,
 	}
 }
 
@@ -62,7 +62,7 @@
 func (f *FleetFile) resolveForecast(settings *Settings) error {
 	rules := f.Forecast.projectionRules()
 	sources := len(f.Forecast.Neighbours) + len(f.Forecast.UnmanagedInstances)
-	switch err := rules.Check(); {
+	switch err := rules.Validate(); {
 	case err != nil:
 		return fmt.Errorf("outlook.%w", err)
 	case !(f.Forecast.IntervalMillis >= minForecastIntervalMillis):
--- a/internal/supervisor/forecast_test.go
+++ b/internal/supervisor/forecast_test.go
@@ -187,21 +187,21 @@
 
 // waitForAgreement waits until all daemons have the same reports of all gateways, and fails unless their
 // forecasts are then the same, byte for byte.
-func (r *threeRegions) waitForAgreement() *forecast.Outlook {
-	var projection forecast.Outlook
+func (r *threeRegions) waitForAgreement() *forecast.Forecast {
+	var projection forecast.Forecast
 	faultinject.Until(r.t, 10*time.Second, "the daemons do not have the same reports", func() bool {
 		var texts [3]string
 		var basis [3]string
 		for i := range 3 {
-			var each forecast.Outlook
+			var each forecast.Forecast
 			texts[i] = r.get(i, "/fleet/outlook")
 			if err := json.Unmarshal([]byte(texts[i]), &each); err != nil {
 				r.t.Fatal(err)
 			}
-			basis[i] = fmt.Sprint(each.Rests)
+			basis[i] = fmt.Sprint(each.Used)
 			projection = each
 		}
-		if basis[0] != basis[1] || basis[1] != basis[2] || len(projection.Rests) != gatewayCount ||
+		if basis[0] != basis[1] || basis[1] != basis[2] || len(projection.Used) != gatewayCount ||
 			projection.Now.Value == 0 {
 			return false
 		}
@@ -298,9 +298,9 @@
 // applyLoss takes down what a loss takes.
 func (r *threeRegions) applyLoss(loss forecast.Loss) {
 	for h := range 3 {
-		lost := slices.Contains(loss.Halls, regionName(h))
+		lost := slices.Contains(loss.Regions, regionName(h))
 		switch {
-		case lost && loss.Kind == forecast.Links:
+		case lost && loss.Kind == forecast.LoseLinks:
 			for o := range 3 {
 				if o != h {
 					r.network.Part(regionName(h), regionName(o), faultinject.Silent)
@@ -314,7 +314,7 @@
 				}
 			}
 			continue
-		case lost && loss.Kind != forecast.Keepers:
+		case lost && loss.Kind != forecast.LoseGateways:
 			for _, w := range r.workers[h] {
 				w.Down()
 			}
@@ -323,7 +323,7 @@
 					r.network.Part(regionName(h), regionName(o), faultinject.Reset)
 				}
 			}
-		case !lost && loss.Kind == forecast.Slowed:
+		case !lost && loss.Kind == forecast.LoseRegionSlowNeighbours:
 			for _, w := range r.workers[h] {
 				w.Takes(2 * workerServiceTime)
 			}
@@ -349,10 +349,10 @@
 		regions                    []string
 	}
 	one, two := []string{regionName(1)}, []string{regionName(1), regionName(2)}
-	scenarios := []scenario{{forecast.Whole, 210, 4, 30, one}}
+	scenarios := []scenario{{forecast.LoseRegion, 210, 4, 30, one}}
 	if *longForecast {
 		scenarios = nil
-		for k := forecast.Whole; k <= forecast.Slowed; k++ {
+		for k := forecast.LoseRegion; k <= forecast.LoseRegionSlowNeighbours; k++ {
 			for _, perSecond := range []float64{140, 210, 270} {
 				scenarios = append(scenarios, scenario{k, perSecond, 16, 40, one})
 			}
@@ -365,7 +365,7 @@
 			fmt.Sprintf("%v at %v of %v, %d", s.kind, s.perSecond, 12*s.rate, len(s.regions)),
 			func(t *testing.T) {
 				r := newThreeRegions(t, s.rate)
-				loss := forecast.Loss{Kind: s.kind, Halls: s.regions}
+				loss := forecast.Loss{Kind: s.kind, Regions: s.regions}
 				warmUpSeconds := 4.0
 				if *longForecast {
 					warmUpSeconds = 11
@@ -375,7 +375,7 @@
 					warmUpSeconds,
 					warmUpSeconds+s.measuredSeconds,
 					func(i int) bool {
-						return s.kind != forecast.Links && slices.Contains(s.regions, regionName(i))
+						return s.kind != forecast.LoseLinks && slices.Contains(s.regions, regionName(i))
 					},
 				)
 				began := time.Now()
@@ -426,16 +426,16 @@
 	if _, err := job.Run(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	var projection forecast.Outlook
+	var projection forecast.Forecast
 	faultinject.Until(t, 10*time.Second, "no reports of both instances with answers in them", func() bool {
 		text, err := faultinject.Ask(server.Address, "/fleet/outlook")
-		return err == nil && json.Unmarshal([]byte(text), &projection) == nil && len(projection.Rests) == 2 &&
+		return err == nil && json.Unmarshal([]byte(text), &projection) == nil && len(projection.Used) == 2 &&
 			projection.Now.InTime > 20 &&
 			len(projection.Losses) > 0
 	})
-	if s := projection.Rests[0]; s.Name != "g-0" || s.Host != "g" || s.Hall != "z" ||
-		len(projection.Unheard) != 0 {
-		t.Errorf("%+v, unheard %v", projection.Rests, projection.Unheard)
+	if s := projection.Used[0]; s.Name != "g-0" || s.Host != "g" || s.Region != "z" ||
+		len(projection.Missing) != 0 {
+		t.Errorf("%+v, unheard %v", projection.Used, projection.Missing)
 	}
 	page, err := faultinject.Ask(server.Address, "/fleet/outlook?form=text")
 	if err != nil || !strings.Contains(page, "rests on 2 words") || !strings.Contains(page, "loss of hall: z") {
@@ -450,7 +450,7 @@
 
 // checkForecast compares a forecast with what was measured.
 func (r *threeRegions) checkForecast(
-	projection *forecast.Outlook,
+	projection *forecast.Forecast,
 	loss forecast.Loss,
 	outcomes *requestOutcomes,
 	at, span float64,
@@ -458,13 +458,13 @@
 ) {
 	t := r.t
 	for _, c := range projection.Losses {
-		if !c.Loss.Same(loss) {
+		if !c.Loss.Equal(loss) {
 			continue
 		}
 		before, _ := outcomes.settledShare(at-3000, at)
 		after, askedPerSecond := outcomes.settledShare(at, at+span)
 		measuredLoss := (before - after) * askedPerSecond
-		forecastLoss := c.First.Lost + c.AtOnce/span*1000
+		forecastLoss := c.Before.LostValue + c.Immediate/span*1000
 		t.Logf(
 			"%v: asked %.1f, loss forecast %.1f, measured %.1f, error %.3f of asked",
 			loss.Kind,
@@ -476,7 +476,7 @@
 		if math.Abs(forecastLoss-measuredLoss) > 0.3*askedPerSecond {
 			t.Errorf("forecast %v of %v, measured %v", forecastLoss, askedPerSecond, measuredLoss)
 		}
-		for region, forecastRegion := range c.First.Halls {
+		for region, forecastRegion := range c.Before.Regions {
 			n := 0
 			for _, w := range r.workers[region] {
 				for _, g := range w.Got() {
@@ -489,15 +489,16 @@
 			t.Logf(
 				"  %s: forecast %.1f/s, measured %.1f/s, use forecast %.2f",
 				forecastRegion.Name,
-				forecastRegion.Run,
+				forecastRegion.Succeeded,
 				measuredPerSecond,
-				forecastRegion.Use,
+				forecastRegion.Utilization,
 			)
-			if forecastRegion.Workers > 0 && math.Abs(forecastRegion.Run-measuredPerSecond) > 0.5*measuredPerSecond {
+			if forecastRegion.Workers > 0 &&
+				math.Abs(forecastRegion.Succeeded-measuredPerSecond) > 0.5*measuredPerSecond {
 				t.Errorf(
 					"%s: forecast %v a second, measured %v",
 					forecastRegion.Name,
-					forecastRegion.Run,
+					forecastRegion.Succeeded,
 					measuredPerSecond,
 				)
 			}
