--- a/internal/gateway/config/forwardauth.go
+++ b/internal/gateway/config/forwardauth.go
@@ -331,7 +331,7 @@
 			return false
 		}
 	}
-	return name != "" && len(name) <= policy.LongestMark
+	return name != "" && len(name) <= policy.MaxDedupKeyBytes
 }
 
 // isForwardable reports whether a header may be passed on as it came. Headers that frame a message, or
--- a/internal/gateway/config/settingscheck.go
+++ b/internal/gateway/config/settingscheck.go
@@ -47,13 +47,13 @@
 
 var registryModes = map[string]bool{"": true, "pushed": true, registryOnRequest: true}
 
-var repeatsByEffect = map[string]policy.Repeat{"read_like": policy.InquiryLike,
-	"idempotency_key": policy.Referenced,
-	"non_idempotent":  policy.OnceOnly}
+var repeatsByEffect = map[string]policy.Idempotency{"read_like": policy.Idempotent,
+	"idempotency_key": policy.Deduplicated,
+	"non_idempotent":  policy.NonIdempotent}
 
-var groupsByName = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll,
-	"zone": policy.GroupZone,
-	"cell": policy.GroupCell}
+var groupsByName = map[string]policy.DedupScope{"": policy.DedupAcrossFleet, "all": policy.DedupAcrossFleet,
+	"zone": policy.DedupWithinZone,
+	"cell": policy.DedupWithinCell}
 
 // check returns an error that names the first key whose value makes no sense.
 func (s *settingsFile) check() error {
