--- a/internal/testkit/knownred/main_test.go
+++ b/internal/testkit/knownred/main_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-func TestParse(t *testing.T) {
+func TestParseKnownFailures(t *testing.T) {
 	line := "internal/supervisor.TestFullHost/a,b, it breaks, now and then, issue 12"
 	for _, c := range []struct {
 		name, text string
-		n          int // -1 where it is refused
+		n          int // -1 where an error is expected
 	}{
 		{"none", "", 0},
 		{"one", line + "\n", 1},
@@ -25,19 +25,19 @@
 		{"no package", "TestFullHost, it breaks, issue 12\n", -1},
 		{"an empty line", line + "\n\n", -1},
 	} {
-		all, err := parse(c.text)
-		if (err != nil) != (c.n < 0) || err == nil && len(all) != c.n {
-			t.Errorf("%s: %v, %v", c.name, all, err)
+		failures, err := parseKnownFailures(c.text)
+		if (err != nil) != (c.n < 0) || err == nil && len(failures) != c.n {
+			t.Errorf("%s: %v, %v", c.name, failures, err)
 		}
-		for _, r := range all {
-			if r.name != "willowdeck/internal/supervisor/TestFullHost/a,b" {
-				t.Errorf("%s: %q", c.name, r.name)
+		for _, failure := range failures {
+			if failure.test != "willowdeck/internal/supervisor/TestFullHost/a,b" {
+				t.Errorf("%s: %q", c.name, failure.test)
 			}
 		}
 	}
 }
 
-// The program over packages that are made here, by what they do: just what is named is passed over.
+// The program is run on packages written here: only the failures that are named are tolerated.
 func TestVerdict(t *testing.T) {
 	packages := map[string]string{
 		"good": `func TestGood(t *testing.T) {}`,
@@ -101,7 +101,7 @@
 		for _, name := range strings.Fields(c.red) {
 			text += fmt.Sprintf("%s, it breaks, issue 1\n", name)
 		}
-		write(file, text)
+		write(knownFailuresFile, text)
 		var out strings.Builder
 		var args []string
 		for _, p := range strings.Fields(c.packages) {
@@ -115,11 +115,11 @@
 			t.Errorf("%s with %q known: %v, %v, want %v and %q in\n%s", c.packages, c.red, ok, err, c.ok, c.says, &out)
 		}
 	}
-	write(file, strings.Repeat("two.TestA, it breaks, issue 1\n", 4))
+	write(knownFailuresFile, strings.Repeat("two.TestA, it breaks, issue 1\n", 4))
 	if ok, err := run([]string{"./good"}, &strings.Builder{}); ok || err == nil {
 		t.Errorf("four lines: %v, %v", ok, err)
 	}
-	if err := os.Remove(file); err != nil {
+	if err := os.Remove(knownFailuresFile); err != nil {
 		t.Fatal(err)
 	}
 	if ok, err := run([]string{"./good"}, &strings.Builder{}); !ok || err != nil {
