--- a/internal/testkit/ports/ports_test.go
+++ b/internal/testkit/ports/ports_test.go
@@ -16,9 +16,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// drawn gives a port as the system does to a listener at port 0 or to a call, but that of all that it may
-// give, it gives this one. Where it may not give it, the port is another.
-func drawn(t *testing.T, port int, call bool) int {
+// ephemeralPort returns the port that the system assigns to a listener at port 0, or to an outgoing connection,
+// when its ephemeral range for the socket is this port alone. If it may not assign the port, it returns another.
+func ephemeralPort(t *testing.T, port int, call bool) int {
 	t.Helper()
 	only := func(_, _ string, c syscall.RawConn) (err error) {
 		if e := c.Control(func(fd uintptr) {
@@ -58,7 +58,7 @@
 // Guards against "address already in use" at a port that was drawn by listening at port 0 and closed: between
 // that and its use the system gives it to another. The order is forced; what the system may give is its own
 // word. The old way has to fail here, or the test shows nothing.
-func TestSystemTakes(t *testing.T) {
+func TestOutsideEphemeralRange(t *testing.T) {
 	c, err := (&net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 		if e := c.Control(func(fd uintptr) {
 			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_IP, unix.IP_LOCAL_PORT_RANGE, 0)
@@ -74,7 +74,8 @@
 		t.Fatal(err)
 	}
 	c.Close()
-	old := func(t *testing.T) int {
+	listenAndClose := func(t *testing.T) int {
+		t.Helper()
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -88,13 +89,13 @@
 			draw  func(*testing.T) int
 			taken bool
 		}{
-			{"drawn at port 0", old, true},
-			{"given", func(t *testing.T) int { return Span(t, 1) }, false},
-			{"given, of a run", func(t *testing.T) int { return Span(t, 30) + 29 }, false},
+			{"drawn at port 0", listenAndClose, true},
+			{"allocated", func(t *testing.T) int { t.Helper(); return Span(t, 1) }, false},
+			{"allocated, last of a run", func(t *testing.T) int { t.Helper(); return Span(t, 30) + 29 }, false},
 		} {
 			t.Run(fmt.Sprintf("%s, call %v", c.name, call), func(t *testing.T) {
 				port := c.draw(t)
-				if got := drawn(t, port, call); got == port && !c.taken {
+				if got := ephemeralPort(t, port, call); got == port && !c.taken {
 					t.Errorf("the system gave %d", got)
 				}
 				l, err := net.Listen("tcp4", address(port))
@@ -110,7 +111,7 @@
 }
 
 // The blocks are all that the system does not draw from, and there is an error where it draws from all.
-func TestOutside(t *testing.T) {
+func TestBlocksOutside(t *testing.T) {
 	for _, c := range []struct {
 		text        string
 		first, last int // blocks
@@ -122,48 +123,49 @@
 		{"32749 65535", 10000, 32700, 909},
 		{"1024 2000", 10000, 65500, 2221},
 	} {
-		all, err := outside(c.text)
+		all, err := blocksOutside(c.text)
 		if err != nil || len(all) != c.n || all[0] != c.first || all[c.n-1] != c.last {
 			t.Errorf("%q: %d blocks, %v, want %d from %d to %d", c.text, len(all), err, c.n, c.first, c.last)
 		}
 	}
 	for _, text := range []string{"1024 65535", "", "x y"} {
-		if all, err := outside(text); err == nil {
+		if all, err := blocksOutside(text); err == nil {
 			t.Errorf("%q: %d blocks", text, len(all))
 		}
 	}
 }
 
-// few is a pool of some blocks at hosts that are those of a process alone, so that a look at its ports
-// disturbs no other's.
-func few(pid, blocks int) *pool {
+// newTestPool returns a pool of some blocks at loopback hosts derived from a process id, so that checking its
+// ports disturbs no other process.
+func newTestPool(pid, blocks int) *pool {
 	var all []int
 	for i := range blocks {
-		all = append(all, lowest+i*block)
+		all = append(all, lowestPort+i*blockSize)
 	}
 	host := func(net int) string { return fmt.Sprintf("127.%d.%d.%d", net+pid>>16&63, pid>>8&255, pid&255) }
 	return newPool(host(128), host(192), all)
 }
 
-// own is one until the test's end.
-func own(t *testing.T, blocks int) *pool {
-	p := few(os.Getpid(), blocks)
+// testPool returns a pool of this process; its claims end with the test.
+func testPool(t *testing.T, blocks int) *pool {
+	t.Helper()
+	p := newTestPool(os.Getpid(), blocks)
 	t.Cleanup(func() {
-		for _, c := range p.claimed {
+		for _, c := range p.claims {
 			c.Close()
 		}
 	})
 	return p
 }
 
-// As another process: claims all blocks of a process's pool that there are but the last two, and holds on
-// until its input ends.
+// TestMain also serves as another process, which claims all blocks of the given process's pool but the last two
+// and keeps them until its input ends.
 func TestMain(m *testing.M) {
-	of, err := strconv.Atoi(os.Getenv("PORTS_TEST_CLAIMS"))
+	ownerPID, err := strconv.Atoi(os.Getenv("PORTS_TEST_CLAIMS"))
 	if err != nil {
 		os.Exit(m.Run())
 	}
-	p := few(of, 10)
+	p := newTestPool(ownerPID, 10)
 	for i := range 8 {
 		if !p.claim(i, 1) {
 			fmt.Println("no block", i)
@@ -176,7 +178,7 @@
 
 // Guards against two test binaries of which one binds what the other was given and has not bound yet: what
 // another process has claimed is not given, and is again once that has been killed.
-func TestOthersClaims(t *testing.T) {
+func TestClaimsOfOtherProcesses(t *testing.T) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), fmt.Sprintf("PORTS_TEST_CLAIMS=%d", os.Getpid()))
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -195,33 +197,33 @@
 	if says, err := bufio.NewReader(out).ReadString('\n'); says != "claimed\n" {
 		t.Fatalf("%q, %v", says, err)
 	}
-	p := own(t, 10)
-	first, _, err := p.take(2 * block)
+	p := testPool(t, 10)
+	first, _, err := p.take(2 * blockSize)
 	if err != nil || first != p.blocks[8] {
 		t.Errorf("%d, %v, want the two blocks that are nobody's, from %d", first, err, p.blocks[8])
 	}
-	if first, _, err := p.take(1); !errors.Is(err, ErrNone) {
+	if first, _, err := p.take(1); !errors.Is(err, ErrNoFreePorts) {
 		t.Errorf("%d is another's, %v", first, err)
 	}
 	if err := cmd.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
 	_ = cmd.Wait()
-	if _, _, err := p.take(8 * block); err != nil {
+	if _, _, err := p.take(8 * blockSize); err != nil {
 		t.Errorf("what was claimed by one that was killed: %v", err)
 	}
 }
 
 // No port is given twice at once, runs and single ones, by several rigs of one process; what another program
 // listens at is not given, by connections or by datagrams.
-func TestNoneTwice(t *testing.T) {
-	p := own(t, 20)
-	l, err := net.Listen("tcp4", net.JoinHostPort(p.at, strconv.Itoa(p.blocks[3]+1)))
+func TestNoPortAllocatedTwice(t *testing.T) {
+	p := testPool(t, 20)
+	l, err := net.Listen("tcp4", net.JoinHostPort(p.host, strconv.Itoa(p.blocks[3]+1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c, err := net.ListenPacket("udp4", net.JoinHostPort(p.at, strconv.Itoa(p.blocks[7]+2)))
+	c, err := net.ListenPacket("udp4", net.JoinHostPort(p.host, strconv.Itoa(p.blocks[7]+2)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -250,23 +252,23 @@
 	}
 }
 
-// What comes back rests before it is given anew, and then is, so that runs without end stay within what there
-// is; given back twice it is there once.
-func TestBack(t *testing.T) {
-	p := own(t, 1)
-	first, giveBack, err := p.take(10)
+// Released ports are allocated again only after reuseDelay, and then are, so that endless runs stay within the
+// pool; released twice they are there once.
+func TestReuseDelay(t *testing.T) {
+	p := testPool(t, 1)
+	first, release, err := p.take(10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	giveBack()
-	giveBack()
+	release()
+	release()
 	if second, _, err := p.take(10); err != nil || second != first+10 {
 		t.Errorf("%d, %v, want what was never given, from %d", second, err, first+10)
 	}
 	if got, _, err := p.take(10); err == nil {
 		t.Errorf("%d does not rest", got)
 	}
-	p.back[0].back = time.Now().Add(-rests)
+	p.released[0].releasedAt = time.Now().Add(-reuseDelay)
 	if got, _, err := p.take(10); err != nil || got != first {
 		t.Errorf("%d, %v, want %d anew", got, err, first)
 	}
@@ -277,12 +279,12 @@
 
 // A listener's address stays its owner's while it is closed, and can be bound again at once, also where
 // connections to it have ended there a moment ago (TIME_WAIT).
-func TestAgain(t *testing.T) {
-	l, giveBack, err := Open()
+func TestRebind(t *testing.T) {
+	l, release, err := Open()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer giveBack()
+	defer release()
 	at := l.Addr().String()
 	for range 3 {
 		c, err := net.Dial("tcp", at)
