--- a/internal/testkit/ports/doc.go
+++ b/internal/testkit/ports/doc.go
@@ -1,5 +1,5 @@
 // Package ports allocates loopback ports to tests and test rigs. A port stays allocated also while nobody
-// listens there, unlike one that is drawn by listening at port 0 and closed, which anybody may bind meanwhile.
+// listens there. One that is drawn by listening at port 0 and closed does not: anybody may bind it meanwhile.
 //
 // Ports come from outside the system's ephemeral range (that of outgoing connections and of listeners at port
 // 0), in blocks that a process claims for itself on the whole machine. A claim is a bound datagram socket: it
--- a/internal/testkit/ports/ports_test.go
+++ b/internal/testkit/ports/ports_test.go
@@ -16,8 +16,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// ephemeralPort returns the port that the system assigns to a listener at port 0, or to an outgoing connection,
-// when its ephemeral range for the socket is this port alone. If it may not assign the port, it returns another.
+// ephemeralPort returns the port that the system assigns to a listener at port 0, or to an outgoing
+// connection, when the socket's ephemeral range is this port alone. If the system may not assign the port,
+// the result is another one.
 func ephemeralPort(t *testing.T, port int, call bool) int {
 	t.Helper()
 	only := func(_, _ string, c syscall.RawConn) (err error) {
@@ -158,8 +159,8 @@
 	return p
 }
 
-// TestMain also serves as another process, which claims all blocks of the given process's pool but the last two
-// and keeps them until its input ends.
+// TestMain also serves as another process, which claims all blocks of the given process's pool but the last
+// two and keeps them until its input ends.
 func TestMain(m *testing.M) {
 	ownerPID, err := strconv.Atoi(os.Getenv("PORTS_TEST_CLAIMS"))
 	if err != nil {
@@ -252,8 +253,8 @@
 	}
 }
 
-// Released ports are allocated again only after reuseDelay, and then are, so that endless runs stay within the
-// pool; released twice they are there once.
+// Released ports are allocated again only after reuseDelay, and then are, so that endless runs stay within
+// the pool; released twice they are there once.
 func TestReuseDelay(t *testing.T) {
 	p := testPool(t, 1)
 	first, release, err := p.take(10)
