--- a/cmd/willowdeck-lab/fleet.go
+++ b/cmd/willowdeck-lab/fleet.go
@@ -46,7 +46,7 @@
 			return nil, err
 		}
 		f.workers = append(f.workers, w)
-		entries = append(entries, w.Of(fmt.Sprintf("z%d", i%max(s.Workers.Zones, 1))))
+		entries = append(entries, w.Endpoint(fmt.Sprintf("z%d", i%max(s.Workers.Zones, 1))))
 	}
 	if f.discovery, err = fakes.NewDiscovery(entries...); err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	f.config, err = json.MarshalIndent(map[string]any{
-		"name": "n0", "listen": listen, "discovery": f.discovery.At, "counter": f.counter.At, "seed": "1",
+		"name": "n0", "listen": listen, "discovery": f.discovery.Addr, "counter": f.counter.Addr, "seed": "1",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": f.discovery.List(),
 		"settings": settings(s),
 	}, "", " ")
--- a/cmd/willowdeck-lab/forward.go
+++ b/cmd/willowdeck-lab/forward.go
@@ -135,7 +135,7 @@
 	file := ""
 	if a.asked || a.asking {
 		file = filepath.Join(dir, "forward.toml")
-		if err := os.WriteFile(file, []byte(a.operators(at(1), auth.At)), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(a.operators(at(1), auth.Addr)), 0o600); err != nil {
 			return r, err
 		}
 	}
@@ -150,13 +150,13 @@
 		if a.asked {
 			asks = g.asked
 		}
-		p, err := fakes.NewPortal("127.0.0.1:0", asks, g.at)
+		p, err := fakes.NewAuthProxy("127.0.0.1:0", asks, g.at)
 		if err != nil {
 			return r, err
 		}
 		defer p.Close()
-		p.Loses(a.loses)
-		target = p.At
+		p.DropEvery(a.loses)
+		target = p.Addr
 	}
 	plans, _ := names(s)
 	j := &loadgen.Job{Arrivals: arrivals, Targets: []string{target}, Spread: 1, Plans: plans, Most: 4000,
@@ -167,15 +167,15 @@
 	}
 	if a.stalls {
 		at := time.Duration((s.Seconds - stallS) / 2 * float64(time.Second))
-		begins := time.AfterFunc(at, func() { auth.Set(fakes.Stalls) })
-		ends := time.AfterFunc(at+time.Duration(stallS*float64(time.Second)), func() { auth.Set(fakes.None) })
+		begins := time.AfterFunc(at, func() { auth.SetFault(fakes.Stalls) })
+		ends := time.AfterFunc(at+time.Duration(stallS*float64(time.Second)), func() { auth.SetFault(fakes.None) })
 		defer begins.Stop()
 		defer ends.Stop()
 	}
 	if r.report, err = j.Run(ctx); err != nil {
 		return r, err
 	}
-	r.asks = len(auth.Got())
+	r.asks = len(auth.Received())
 	r.twice, r.beyond = verdict(s, arrivals, f.workers)
 	return r, nil
 }
@@ -206,7 +206,7 @@
 		units float64
 	}
 	runs, first, by := map[string]int{}, map[string]bool{}, map[int][]drawn{}
-	for _, got := range fakes.InOrder(workers) {
+	for _, got := range fakes.ReceivedInOrder(workers) {
 		_, n, _ := strings.Cut(got.Target, "?n=")
 		i, err := strconv.Atoi(n)
 		if err != nil || i >= len(arrivals) {
--- a/cmd/willowdeck-lab/main.go
+++ b/cmd/willowdeck-lab/main.go
@@ -310,12 +310,12 @@
 	}
 	log := logger()
 	if at := c.String("portal"); at != "" {
-		p, err := fakes.NewPortal(at, c.String("asks"), c.String("listen"))
+		p, err := fakes.NewAuthProxy(at, c.String("asks"), c.String("listen"))
 		if err != nil {
 			return err
 		}
 		defer p.Close()
-		log.Info().Str("portal", p.At).Str("asks", c.String("asks")).Msg("portal")
+		log.Info().Str("portal", p.Addr).Str("asks", c.String("asks")).Msg("portal")
 	}
 	if c.IsSet("auth") {
 		a, err := fakes.NewAuth(c.Duration("auth"))
@@ -323,14 +323,15 @@
 			return err
 		}
 		defer a.Close()
-		log.Info().Str("service", a.At).Msg("auth service; it says yes to any credential")
+		log.Info().Str("service", a.Addr).Msg("auth service; it says yes to any credential")
 	}
-	log.Info().Int("workers", len(f.workers)).Str("discovery", f.discovery.At).Str("config", c.String("config")).
+	log.Info().Int("workers", len(f.workers)).Str("discovery", f.discovery.Addr).
+		Str("config", c.String("config")).
 		Msg("standing; start the gatekeeper with that configuration")
 	<-ctx.Done()
 	var all []string
 	for _, w := range f.workers {
-		all = append(all, fmt.Sprintf("%s %d", w.Name, len(w.Got())))
+		all = append(all, fmt.Sprintf("%s %d", w.Name, len(w.Received())))
 	}
 	log.Info().Str("txns", strings.Join(all, ", ")).Msg("ended")
 	return nil
--- a/cmd/willowdeck-lab/main_test.go
+++ b/cmd/willowdeck-lab/main_test.go
@@ -63,7 +63,7 @@
 	ran := map[string]int{}
 	whole := int64(0)
 	for _, w := range f.workers {
-		for _, got := range w.Got() {
+		for _, got := range w.Received() {
 			whole++
 			if ran[got.ID]++; got.Product == "issue" && ran[got.ID] > 1 {
 				t.Errorf("once-only %s was run %d times", got.ID, ran[got.ID])
--- a/internal/borrowing/rig/rig_test.go
+++ b/internal/borrowing/rig/rig_test.go
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	list, err := fakes.NewDiscovery(w.Of("z"))
+	list, err := fakes.NewDiscovery(w.Endpoint("z"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 	}
 	for i, name := range f.names {
 		b, err := json.Marshal(map[string]any{"name": name, "listen": f.at[i], "control": f.control[name],
-			"discovery": list.At, "seed": "5", "known": list.List(),
+			"discovery": list.Addr, "seed": "5", "known": list.List(),
 			"limits": map[string]any{"sockets": 512, "memory_mb": 96}, "peer_listen": at(i, 0),
 			"peers": f.net.Peers(name, f.names), "settings": map[string]any{"me": i, "balancers": n,
 				"classes": []map[string]any{{"name": "check", "aim_us": 800e3, "effect": "read_like", "worth": 1}},
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -94,8 +94,8 @@
 		t.Cleanup(w.Close)
 		s := &spell{life: 1, log: p.record(w.Name, 1)}
 		w.Record = s
-		e := w.Of(string(rune('a' + i%3)))
-		e.Address = p.net.Stream("fleet", w.Name, w.At)
+		e := w.Endpoint(string(rune('a' + i%3)))
+		e.Address = p.net.Stream("fleet", w.Name, w.Addr)
 		p.workers, p.entries, p.spells[w.Name] = append(p.workers, w), append(p.entries, e), s
 	}
 	p.list, err = fakes.NewDiscovery(p.entries...)
@@ -167,7 +167,7 @@
 		}
 		tariffs = append(tariffs, f)
 	}
-	config, err := json.Marshal(map[string]any{"discovery": p.net.Stream("fleet", "list", p.list.At),
+	config, err := json.Marshal(map[string]any{"discovery": p.net.Stream("fleet", "list", p.list.Addr),
 		"seed": "5", "known": p.list.List(), "limits": map[string]any{"sockets": 256, "memory_mb": 64},
 		"settings": map[string]any{"me": 0, "balancers": 1, "classes": classes, "tariffs": tariffs,
 			"allowed": map[string]any{"max_attempts": 3, "cancel": true, "retry_after": true,
--- a/internal/e2e/stage_test.go
+++ b/internal/e2e/stage_test.go
@@ -82,7 +82,7 @@
 // Stall stops a process; a worker takes txns then and answers none. An instance that is not there is let be.
 func (s stage) Stall(name string) error {
 	if w := s.worker(name); w != nil {
-		w.Set(fakes.Stalls)
+		w.SetFault(fakes.Stalls)
 		return nil
 	}
 	if s.hostOf(name) == "" {
@@ -100,7 +100,7 @@
 // Resume lets a stalled one go on.
 func (s stage) Resume(name string) error {
 	if w := s.worker(name); w != nil {
-		w.Set(fakes.None)
+		w.SetFault(fakes.None)
 		return nil
 	}
 	if s.hostOf(name) == "" {
@@ -172,7 +172,7 @@
 	for i := range s.entries {
 		if e := &s.entries[i]; e.Name == name {
 			e.Status, e.Since = status, max(since, e.Since)
-			s.list.Tell(*e)
+			s.list.Publish(*e)
 		}
 	}
 }
--- a/internal/gateway/lifecycle/forward_test.go
+++ b/internal/gateway/lifecycle/forward_test.go
@@ -24,7 +24,7 @@
 	"life_ms = 300\nremember_s = 30\nconnections = 8\n"
 
 func asking(auth *fakes.Auth, more string) string {
-	return fmt.Sprintf("[asking]\nservice = %q\nlimit_ms = 200\nshare = 0.6\nconnections = 12\n%s\n", auth.At,
+	return fmt.Sprintf("[asking]\nservice = %q\nlimit_ms = 200\nshare = 0.6\nconnections = 12\n%s\n", auth.Addr,
 		more)
 }
 
@@ -227,7 +227,7 @@
 // txn that never went out. The service hears the gatekeeper's word on the original, and not the client's.
 func TestVouched(t *testing.T) {
 	auth := newAuth(t)
-	auth.Says(func(c string) (int, map[string]string) {
+	auth.SetAuthorizer(func(c string) (int, map[string]string) {
 		switch c {
 		case "good":
 			return 200, nil
@@ -244,7 +244,7 @@
 	if r := whole(t, d.at, forged); r.StatusCode != 200 {
 		t.Errorf("a yes: %v", r.Status)
 	}
-	if got := auth.Got(); len(got) != 1 || got[0].For != "127.0.0.1" || got[0].Target != "/issue" ||
+	if got := auth.Received(); len(got) != 1 || got[0].For != "127.0.0.1" || got[0].Target != "/issue" ||
 		got[0].Method != "POST" {
 		t.Errorf("the service was asked %+v", got)
 	}
@@ -279,7 +279,7 @@
 // Identity may name the customer: of a txn that does not say, and it has to agree with one that does.
 func TestVouchedCustomer(t *testing.T) {
 	auth := newAuth(t)
-	auth.Says(func(c string) (int, map[string]string) {
+	auth.SetAuthorizer(func(c string) (int, map[string]string) {
 		return 200, map[string]string{"X-Customer": c}
 	})
 	d := forwards(t, asking(auth, `customer = "X-Customer"`))
@@ -306,7 +306,7 @@
 	d := forwards(t, asking(auth, "[asking.breaker]\nafter = 7\npause_ms = 150\nmost_ms = 150"))
 	for i, f := range []fakes.Fault{fakes.Stalls, fakes.Silent, fakes.Errs, fakes.Cuts,
 		fakes.Garbage, fakes.HalfHead, fakes.Full} {
-		auth.Set(f)
+		auth.SetFault(f)
 		from := time.Now()
 		r := whole(t, d.at, with(issue("/issue", fmt.Sprint("s", i)), fmt.Sprint("Authorization: c", i)))
 		if took := time.Since(from); r.StatusCode != 429 || r.Header.Get("Retry-After") == "" ||
@@ -314,16 +314,16 @@
 			t.Errorf("fault %d: %v after %v", f, r.Status, took)
 		}
 	}
-	auth.Set(fakes.Silent)
+	auth.SetFault(fakes.Silent)
 	whole(t, d.at, with(issue("/issue", "s8"), "Authorization: c8"))
 	time.Sleep(60 * time.Millisecond) // the ask outlives the txn
-	before := len(auth.Got())
+	before := len(auth.Received())
 	from := time.Now()
 	if r := whole(t, d.at, with(issue("/issue", "s9"), "Authorization: c9")); r.StatusCode != 429 ||
-		time.Since(from) > 50*time.Millisecond || len(auth.Got()) != before {
+		time.Since(from) > 50*time.Millisecond || len(auth.Received()) != before {
 		t.Errorf("left alone: %v after %v", r.Status, time.Since(from))
 	}
-	auth.Set(fakes.None)
+	auth.SetFault(fakes.None)
 	until(t, "the service is not asked again", func() bool {
 		r := whole(t, d.at, with(issue("/issue", fmt.Sprint("u", time.Now().UnixNano())), "Authorization: c9"))
 		return r.StatusCode == 200
@@ -350,7 +350,7 @@
 // Hard case: the service says yes when the till has given up. Nothing is submitted, and the units come back.
 func TestYesTooLate(t *testing.T) {
 	auth := newAuth(t)
-	auth.Takes(120 * time.Millisecond)
+	auth.SetServiceTime(120 * time.Millisecond)
 	d := forwards(t, asking(auth, ""), `{"name":"tiny","rate":0.1,"most_at_once":1`,
 		`{"name":"tiny","rate":0.1,"most_at_once":2`)
 	tiny := func(id string) string {
@@ -365,10 +365,10 @@
 	c.Close()
 	until(t, "the leaving is not seen", func() bool { return d.gk.front.ActiveRequests() == 0 })
 	time.Sleep(150 * time.Millisecond) // the yes has come
-	if n := len(d.got()); n != 0 || len(auth.Got()) != 1 {
-		t.Fatalf("%d submitted for a till that had left, asked %d times", n, len(auth.Got()))
+	if n := len(d.got()); n != 0 || len(auth.Received()) != 1 {
+		t.Fatalf("%d submitted for a till that had left, asked %d times", n, len(auth.Received()))
 	}
-	if r := whole(t, d.at, tiny("2")); r.StatusCode != 200 || len(auth.Got()) != 1 { // the yes is known now
+	if r := whole(t, d.at, tiny("2")); r.StatusCode != 200 || len(auth.Received()) != 1 { // the yes is known now
 		t.Errorf("with the units that are back: %v", r.Status)
 	}
 }
@@ -377,7 +377,7 @@
 // that stays has one answer, and nothing is left in hand.
 func TestYesAndLeaving(t *testing.T) {
 	auth := newAuth(t)
-	auth.Takes(20 * time.Millisecond)
+	auth.SetServiceTime(20 * time.Millisecond)
 	d := forwards(t, asking(auth, "yes_s = 0"))
 	rng := rand.New(rand.NewSource(1))
 	var all sync.WaitGroup
@@ -443,7 +443,7 @@
 	if r := whole(t, d.at, issue("/issue", "used")); r.StatusCode != 200 {
 		t.Fatal(r.Status)
 	}
-	auth.Takes(100 * time.Millisecond)
+	auth.SetServiceTime(100 * time.Millisecond)
 	busy, err := net.Dial("tcp", d.at)
 	if err != nil {
 		t.Fatal(err)
@@ -478,7 +478,7 @@
 // A drain and a reload with asks under way: all is answered, and what comes goes on being asked for.
 func TestForwardWhileDraining(t *testing.T) {
 	auth := newAuth(t)
-	auth.Takes(60 * time.Millisecond)
+	auth.SetServiceTime(60 * time.Millisecond)
 	d := forwards(t, asked+asking(auth, ""))
 	answers := make(chan string, 8)
 	for i := range 4 {
--- a/internal/gateway/lifecycle/journal_test.go
+++ b/internal/gateway/lifecycle/journal_test.go
@@ -263,7 +263,7 @@
 		defer w.Close()
 		workers = append(workers, w)
 		entries = append(entries, fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","group":1,"status":"active"}`,
-			w.Name, w.At))
+			w.Name, w.Addr))
 	}
 	disc, err := fakes.NewDiscovery()
 	if err != nil {
@@ -271,7 +271,7 @@
 	}
 	defer disc.Close()
 	conf := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"5","limits":{"sockets":128},
-		"known":{"index":7,"snapshot":true,"endpoints":[%s]},"settings":%s}`, disc.At, strings.Join(entries, ","),
+		"known":{"index":7,"snapshot":true,"endpoints":[%s]},"settings":%s}`, disc.Addr, strings.Join(entries, ","),
 		strings.NewReplacer("IDLE", "5000000").Replace(settings))
 	path := filepath.Join(dir, "conf.json")
 	if err := os.WriteFile(path, []byte(conf), 0o600); err != nil {
@@ -346,7 +346,7 @@
 	}
 	ran, twice := map[string]int{}, 0
 	for _, w := range workers {
-		for _, g := range w.Got() {
+		for _, g := range w.Received() {
 			if ran[g.ID]++; ran[g.ID] > 1 {
 				twice++
 			}
--- a/internal/gateway/lifecycle/room_test.go
+++ b/internal/gateway/lifecycle/room_test.go
@@ -170,7 +170,7 @@
 				t.Fatal(err)
 			}
 			defer w.Close()
-			list, err := json.Marshal(fakes.List{Index: 8, Snapshot: true, Endpoints: []fakes.Entry{w.Of("a")}})
+			list, err := json.Marshal(fakes.List{Index: 8, Snapshot: true, Endpoints: []fakes.Entry{w.Endpoint("a")}})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/gateway/lifecycle/standstill_test.go
+++ b/internal/gateway/lifecycle/standstill_test.go
@@ -36,7 +36,7 @@
 		}
 	}
 	at := ports.Address(t)
-	conf, err := json.Marshal(map[string]any{"name": "n0", "listen": at, "discovery": list.At, "seed": "5",
+	conf, err := json.Marshal(map[string]any{"name": "n0", "listen": at, "discovery": list.Addr, "seed": "5",
 		"known": list.List(), "limits": map[string]any{"sockets": 256, "memory_mb": 64},
 		"settings": map[string]any{"me": 0, "balancers": 1,
 			"classes": []map[string]any{{"name": "check", "aim_us": 400e3, "effect": "read_like", "worth": 1}},
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	list, err := fakes.NewDiscovery(w.Of("a"))
+	list, err := fakes.NewDiscovery(w.Endpoint("a"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 		}()
 	}
 	named := func(version uint64) (n int, last time.Time) {
-		for _, got := range w.Got() {
+		for _, got := range w.Received() {
 			if got.Version == strconv.FormatUint(version, 10) {
 				n, last = n+1, got.At
 			}
@@ -248,7 +248,7 @@
 			}
 		}
 	}
-	if n := len(w.Got()); sends < n {
+	if n := len(w.Received()); sends < n {
 		t.Errorf("%d sends recorded, %d came", sends, n)
 	}
 }
--- a/internal/gateway/lifecycle/start_test.go
+++ b/internal/gateway/lifecycle/start_test.go
@@ -173,7 +173,7 @@
 	var list fakes.List
 	list.Index = 7
 	for i := range known {
-		e := worker.Of("a")
+		e := worker.Endpoint("a")
 		e.Name = fmt.Sprint("w", i)
 		list.Endpoints = append(list.Endpoints, e)
 	}
@@ -382,7 +382,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(worker.Close)
-	known, err := json.Marshal(fakes.List{Index: 7, Endpoints: []fakes.Entry{worker.Of("a")}})
+	known, err := json.Marshal(fakes.List{Index: 7, Endpoints: []fakes.Entry{worker.Endpoint("a")}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/lifecycle/watch_test.go
+++ b/internal/gateway/lifecycle/watch_test.go
@@ -57,7 +57,7 @@
 func drains(list *fakes.Discovery) {
 	e := list.List().Endpoints[0]
 	e.Status = "leaving"
-	list.Tell(e)
+	list.Publish(e)
 }
 
 // within waits until so many workers are active, and fails if that takes longer than so many ms.
@@ -101,7 +101,7 @@
 			var list *fakes.Discovery
 			d := deployWith(t, func(c *config.Gateway) {
 				list = listing(t, c)
-				c.DiscoveryAddress, c.KnownEndpoints.Version = list.At, 0
+				c.DiscoveryAddress, c.KnownEndpoints.Version = list.Addr, 0
 				c.KnownEndpoints.Workers = c.KnownEndpoints.Workers[:1]
 				for rand.New(rand.NewSource(c.Seed)).Float64() > 0.02 { // that the first watch is open soon
 					c.Seed++
@@ -135,10 +135,10 @@
 				next := d.conf
 				list := listing(t, &next)
 				for range 7 {
-					list.Tell() // its versions go on from those known
+					list.Publish() // its versions go on from those known
 				}
 				drains(list)
-				next.DiscoveryAddress = list.At
+				next.DiscoveryAddress = list.Addr
 				c.away(list, c.before > 0)
 				d.gk.Reload(next, nil)
 				time.Sleep(c.before)
--- a/internal/lab/loadgen/load_test.go
+++ b/internal/lab/loadgen/load_test.go
@@ -22,17 +22,17 @@
 	for at := 0.0; at < 2000; at += 5 {
 		all = append(all, workload.Arrival{At: at, Customer: 1, Units: 1, Set: len(all)})
 	}
-	j := &Job{Arrivals: all, Targets: []string{w.At}, Spread: 1, Plans: []string{"basic"}, Most: 1000,
+	j := &Job{Arrivals: all, Targets: []string{w.Addr}, Spread: 1, Plans: []string{"basic"}, Most: 1000,
 		Closed:   closed,
 		Products: []Product{{Name: "check", Repeat: "inquiry", Waits: 5 * time.Second}}}
-	time.AfterFunc(500*time.Millisecond, func() { w.Set(fakes.Stalls) })
-	time.AfterFunc(1100*time.Millisecond, func() { w.Set(fakes.None) })
+	time.AfterFunc(500*time.Millisecond, func() { w.SetFault(fakes.Stalls) })
+	time.AfterFunc(1100*time.Millisecond, func() { w.SetFault(fakes.None) })
 	r, err := j.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := r.Counts["check"]; n[Settled] != int64(len(all)) || len(w.Got()) != len(all) {
-		t.Errorf("%v of %d, the stand-in got %d", n, len(all), len(w.Got()))
+	if n := r.Counts["check"]; n[Settled] != int64(len(all)) || len(w.Received()) != len(all) {
+		t.Errorf("%v of %d, the stand-in got %d", n, len(all), len(w.Received()))
 	}
 	return r
 }
@@ -69,9 +69,9 @@
 				t.Fatal(err)
 			}
 			defer w.Close()
-			w.Set(c.fault)
+			w.SetFault(c.fault)
 			j := &Job{Arrivals: []workload.Arrival{{Units: 1}, {Units: 1, Product: 1}, {Units: 1, Product: 2}},
-				Targets: []string{w.At}, Spread: 1, Plans: []string{"basic"}, Most: 9, Products: []Product{
+				Targets: []string{w.Addr}, Spread: 1, Plans: []string{"basic"}, Most: 9, Products: []Product{
 					{"check", "inquiry", 200 * time.Millisecond, 0}, {"sale", "referenced", 200 * time.Millisecond, 20},
 					{"issue", "once", 200 * time.Millisecond, 20}}}
 			r, err := j.Run(context.Background())
@@ -83,8 +83,8 @@
 					t.Errorf("%s: %v, want %v", name, n, c.want)
 				}
 			}
-			if len(w.Got()) != 3 {
-				t.Errorf("%d sent: nothing may be sent twice", len(w.Got()))
+			if len(w.Received()) != 3 {
+				t.Errorf("%d sent: nothing may be sent twice", len(w.Received()))
 			}
 		})
 	}
@@ -95,7 +95,7 @@
 	defer w.Close()
 	j := &Job{
 		Arrivals: make([]workload.Arrival, 9),
-		Targets:  []string{w.At},
+		Targets:  []string{w.Addr},
 		Spread:   1,
 		Plans:    []string{"basic"},
 		Most:     4,
--- a/internal/lab/scale/desk.go
+++ b/internal/lab/scale/desk.go
@@ -43,7 +43,7 @@
 	}
 	all := entries(workersOf(s, n))
 	for i := range all {
-		all[i].Address = stand[i%len(stand)].At
+		all[i].Address = stand[i%len(stand)].Addr
 	}
 	d, err := fakes.NewDiscovery(all...)
 	if err != nil {
@@ -65,7 +65,7 @@
 	for i := range r.Plans { // no quota is in the way
 		r.Plans[i].Rate, r.Plans[i].Burst, r.Plans[i].CeilingRate, r.Plans[i].CeilingDepth = 1e6, 1e6, 0, 0
 	}
-	raw, err := json.Marshal(gatekeeperFile(d.At, fakes.List{Index: 0, Snapshot: true}, &r,
+	raw, err := json.Marshal(gatekeeperFile(d.Addr, fakes.List{Index: 0, Snapshot: true}, &r,
 		map[string]any{"name": "g0", "listen": at, "control": control}))
 	if err == nil {
 		err = os.WriteFile(filepath.Join(dir, "gatekeeper.json"), raw, 0o600)
@@ -140,7 +140,7 @@
 			if e.Status = "leaving"; k%2 == 1 {
 				e.Status = "active"
 			}
-			d.Tell(e)
+			d.Publish(e)
 			select {
 			case <-changing.Done():
 			case <-time.After(time.Duration(s.Desk.EveryMS * float64(time.Millisecond))):
--- a/internal/lab/scale/lists.go
+++ b/internal/lab/scale/lists.go
@@ -39,7 +39,7 @@
 	}
 	t.add(listRole, "workers", float64(len(all)))
 	t.add(listRole, "list_bytes", float64(len(text)))
-	m, err := newMeter("127.0.0.1:0", d.At)
+	m, err := newMeter("127.0.0.1:0", d.Addr)
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	watches, version := float64(s.Lists.Watches), uint64(1) // the stand-in's first
 	tell := func(some []fakes.Entry) (took, bytes float64, err error) {
 		out, at := m.Out.Load(), boot()
-		d.Tell(some...)
+		d.Publish(some...)
 		version++
 		if err := reached(version, 30*time.Second); err != nil {
 			return 0, 0, err
--- a/internal/lab/scale/rules.go
+++ b/internal/lab/scale/rules.go
@@ -212,7 +212,7 @@
 
 // gatekeepers writes what a daemon's gatekeepers are told.
 func (a *assembly) gatekeepers(d *daemon) error {
-	raw, err := json.Marshal(gatekeeperFile(a.list.At, a.list.List(), &a.rules, nil))
+	raw, err := json.Marshal(gatekeeperFile(a.list.Addr, a.list.List(), &a.rules, nil))
 	if err == nil {
 		err = os.WriteFile(filepath.Join(d.dir, "gatekeeper.json"), raw, 0o600)
 	}
--- a/internal/supervisor/checkpoint_test.go
+++ b/internal/supervisor/checkpoint_test.go
@@ -131,7 +131,7 @@
 		}
 		n, ran := 0, map[string]bool{}
 		for _, w := range f.workers {
-			for _, got := range w.Got() {
+			for _, got := range w.Received() {
 				i := -1
 				_, query, _ := strings.Cut(got.Target, "?n=")
 				if fmt.Sscan(query, &i); i >= 0 && arrivals[i].Plan == 2 && !ran[got.ID] {
--- a/internal/supervisor/cluster_fault_test.go
+++ b/internal/supervisor/cluster_fault_test.go
@@ -275,7 +275,7 @@
 func (trial *clusterTrial) limitedRequests() map[string]bool {
 	limited := map[string]bool{}
 	for _, w := range trial.workers {
-		for _, got := range w.Got() {
+		for _, got := range w.Received() {
 			n := 0
 			_, query, _ := strings.Cut(got.Target, "?n=")
 			if _, err := fmt.Sscan(query, &n); err == nil && n < len(trial.arrivals) && trial.arrivals[n].Plan == 1 {
@@ -646,7 +646,7 @@
 	<-trial.loadReport
 	trial.arrivals = nil
 	for _, w := range trial.workers {
-		if n := len(w.Got()); n == 0 {
+		if n := len(w.Received()); n == 0 {
 			t.Error("a worker received nothing")
 		}
 	}
--- a/internal/supervisor/cluster_test.go
+++ b/internal/supervisor/cluster_test.go
@@ -75,7 +75,7 @@
 		}
 		t.Cleanup(worker.Close)
 		c.workers = append(c.workers, worker)
-		entries = append(entries, worker.Of("z"))
+		entries = append(entries, worker.Endpoint("z"))
 	}
 	if c.discovery, err = fakes.NewDiscovery(entries...); err != nil {
 		t.Fatal(err)
--- a/internal/supervisor/control_cost_test.go
+++ b/internal/supervisor/control_cost_test.go
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	defer worker.Close()
-	discovery, err := fakes.NewDiscovery(worker.Of("z"))
+	discovery, err := fakes.NewDiscovery(worker.Endpoint("z"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/supervisor/daemon_test.go
+++ b/internal/supervisor/daemon_test.go
@@ -92,7 +92,7 @@
 		}
 		t.Cleanup(worker.Close)
 		f.workers = append(f.workers, worker)
-		entries = append(entries, worker.Of("z"))
+		entries = append(entries, worker.Endpoint("z"))
 	}
 	if f.discovery, err = fakes.NewDiscovery(entries...); err != nil {
 		t.Fatal(err)
@@ -122,7 +122,7 @@
 		settings[k] = v
 	}
 	raw, err := json.Marshal(
-		map[string]any{"discovery": f.discovery.At, "seed": "5", "known": f.discovery.List(),
+		map[string]any{"discovery": f.discovery.Addr, "seed": "5", "known": f.discovery.List(),
 			"limits": map[string]any{"sockets": 256, "memory_mb": 64}, "settings": settings},
 	)
 	if err != nil {
@@ -273,7 +273,7 @@
 	var capped []time.Time // when requests of the rate-limited customer were sent
 	total := 0
 	for _, worker := range f.workers {
-		for _, got := range worker.Got() {
+		for _, got := range worker.Received() {
 			total++
 			if ran[got.ID]++; got.Product == "issue" && ran[got.ID] > 1 {
 				t.Errorf("non-idempotent %s ran %d times", got.ID, ran[got.ID])
@@ -343,7 +343,7 @@
 		t.Fatal(err)
 	}
 	var capped []time.Time
-	for _, got := range fakes.InOrder(f.workers) {
+	for _, got := range fakes.ReceivedInOrder(f.workers) {
 		capped = append(capped, got.At)
 	}
 	c := report.Counts["check"]
@@ -490,9 +490,9 @@
 		f.writeFleetFile(3, fmt.Sprintf("warm = %t", bootstrap))
 		daemon := f.startDaemon()
 		f.waitReady(daemon, 3)
-		entry := f.workers[0].Of("z")
+		entry := f.workers[0].Endpoint("z")
 		entry.Status = "leaving"
-		f.discovery.Tell(entry)
+		f.discovery.Publish(entry)
 		time.Sleep(300 * time.Millisecond)
 		f.discovery.Down(true)
 		daemon.mu.Lock()
@@ -510,7 +510,7 @@
 		}
 		f.waitReady(daemon, 3)
 		time.Sleep(100 * time.Millisecond) // bootstrap takes some ms, and nothing waits for it
-		before := len(f.workers[0].Got())
+		before := len(f.workers[0].Received())
 		var arrivals []workload.Arrival
 		for i := range 300 { // the other two instances know of the drain
 			arrivals = append(arrivals, workload.Arrival{At: float64(i), Customer: i % 50, Units: 1, Set: i})
@@ -527,7 +527,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n := len(f.workers[0].Got()) - before
+		n := len(f.workers[0].Received()) - before
 		if settled := report.Counts["check"][loadgen.Settled]; settled < 100 || (n == 0) != bootstrap {
 			t.Errorf("bootstrap %t: %d settled, %d sent to the draining worker", bootstrap, settled, n)
 		}
--- a/internal/supervisor/forecast_test.go
+++ b/internal/supervisor/forecast_test.go
@@ -74,9 +74,9 @@
 		var entries []fakes.Entry
 		for o := range 3 {
 			for _, worker := range r.workers[o] {
-				e := worker.Of(regionName(o))
+				e := worker.Endpoint(regionName(o))
 				if o != h {
-					e.Address = r.network.Stream(regionName(h), regionName(o), worker.At)
+					e.Address = r.network.Stream(regionName(h), regionName(o), worker.Addr)
 				}
 				entries = append(entries, e)
 			}
@@ -100,7 +100,7 @@
 	for i, name := range names {
 		adminAddresses[i%3] = append(adminAddresses[i%3], at(gatewayCount+i))
 		b, err := json.Marshal(map[string]any{"name": name, "listen": at(i), "control": at(gatewayCount + i),
-			"discovery": discoveries[i%3].At, "known": discoveries[i%3].List(), "seed": "5",
+			"discovery": discoveries[i%3].Addr, "known": discoveries[i%3].List(), "seed": "5",
 			"peer_listen": at(2*gatewayCount + i), "peers": r.network.Peers(name, names),
 			"limits": map[string]any{"sockets": 512, "memory_mb": 64}, "settings": gatewaySettings(i, rate)})
 		if err != nil {
@@ -325,7 +325,7 @@
 			}
 		case !lost && loss.Kind == forecast.Slowed:
 			for _, w := range r.workers[h] {
-				w.Takes(2 * workerServiceTime)
+				w.SetServiceTime(2 * workerServiceTime)
 			}
 		}
 		if lost {
@@ -479,7 +479,7 @@
 		for region, forecastRegion := range c.First.Halls {
 			n := 0
 			for _, w := range r.workers[region] {
-				for _, g := range w.Got() {
+				for _, g := range w.Received() {
 					if d := g.At.Sub(lossTime); d >= 0 && d < time.Duration(span)*time.Millisecond {
 						n++
 					}
--- a/internal/testkit/fakes/auth.go
+++ b/internal/testkit/fakes/auth.go
@@ -7,33 +7,33 @@
 	"willowdeck/internal/testkit/ports"
 )
 
-// Asked is an authorization request that Auth received; For is its X-Forwarded-For.
-type Asked struct {
+// AuthRequest is an authorization request that Auth received; For is its X-Forwarded-For.
+type AuthRequest struct {
 	Credential, Method, Target, For string
 	At                              time.Time
 }
 
 // Auth is an authorization service on loopback. Its methods may be called concurrently.
 type Auth struct {
-	At string // host:port
+	Addr string // host:port
 
 	behavior
 	server      *http.Server
 	releasePort func()
 	authorize   func(credential string) (status int, headers map[string]string)
-	received    []Asked
+	received    []AuthRequest
 }
 
 // NewAuth starts an authorization service with a service time. It authorizes every request that carries a
-// credential, until Says changes that.
+// credential, until SetAuthorizer changes that.
 func NewAuth(serviceTime time.Duration) (*Auth, error) {
 	l, releasePort, err := ports.Open()
 	if err != nil {
 		return nil, err
 	}
-	a := &Auth{At: l.Addr().String(), releasePort: releasePort,
+	a := &Auth{Addr: l.Addr().String(), releasePort: releasePort,
 		behavior: behavior{serviceTime: serviceTime, faultEnded: make(chan struct{})}}
-	a.Says(func(credential string) (int, map[string]string) {
+	a.SetAuthorizer(func(credential string) (int, map[string]string) {
 		if credential == "" {
 			return http.StatusUnauthorized, map[string]string{"WWW-Authenticate": "Bearer"}
 		}
@@ -50,18 +50,18 @@
 	a.releasePort()
 }
 
-// Says sets how the service answers a credential, which is empty where the request carries none.
-func (a *Auth) Says(authorize func(credential string) (status int, headers map[string]string)) {
+// SetAuthorizer sets how the service answers a credential, which is empty where the request carries none.
+func (a *Auth) SetAuthorizer(authorize func(credential string) (status int, headers map[string]string)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.authorize = authorize
 }
 
-// Got returns a copy of what was received, in the order of arrival.
-func (a *Auth) Got() []Asked {
+// Received returns a copy of what was received, in the order of arrival.
+func (a *Auth) Received() []AuthRequest {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return append([]Asked(nil), a.received...)
+	return append([]AuthRequest(nil), a.received...)
 }
 
 // ServeHTTP answers one authorization request.
@@ -69,7 +69,7 @@
 	credential := r.Header.Get("Authorization")
 	a.mu.Lock()
 	fault, faultEnded, serviceTime, authorize := a.fault, a.faultEnded, a.serviceTime, a.authorize
-	a.received = append(a.received, Asked{credential, r.Header.Get("X-Forwarded-Method"),
+	a.received = append(a.received, AuthRequest{credential, r.Header.Get("X-Forwarded-Method"),
 		r.Header.Get("X-Forwarded-Uri"), r.Header.Get("X-Forwarded-For"), time.Now()})
 	a.mu.Unlock()
 	if !injectFault(fault, faultEnded, serviceTime, out, r) {
--- a/internal/testkit/fakes/authproxy.go
+++ b/internal/testkit/fakes/authproxy.go
@@ -16,11 +16,11 @@
 	maxConnsPerHost = 1 << 16
 )
 
-// Portal is a reverse proxy on loopback that asks an authorization service before it forwards a request. It
-// does what the documentation of the usual proxies with forward authentication has in common. Its methods may
-// be called concurrently.
-type Portal struct {
-	At string // host:port
+// AuthProxy is a reverse proxy on loopback that asks an authorization service before it forwards a request.
+// It does what the documentation of the usual proxies with forward authentication has in common. Its methods
+// may be called concurrently.
+type AuthProxy struct {
+	Addr string // host:port
 
 	server   fasthttp.Server
 	client   fasthttp.Client
@@ -34,14 +34,14 @@
 	authStatuses map[int]int // answers of the authorization service, by status
 }
 
-// NewPortal starts a proxy at an address, which the caller allocates, with those of the authorization service
-// and of the upstream; without the former it only forwards.
-func NewPortal(at, authAddr, upstream string) (*Portal, error) {
+// NewAuthProxy starts a proxy at an address, which the caller allocates, with those of the authorization
+// service and of the upstream; without the former it only forwards.
+func NewAuthProxy(at, authAddr, upstream string) (*AuthProxy, error) {
 	l, err := net.Listen("tcp", at)
 	if err != nil {
 		return nil, err
 	}
-	p := &Portal{At: l.Addr().String(), authAddr: authAddr, upstream: upstream, authStatuses: map[int]int{}}
+	p := &AuthProxy{Addr: l.Addr().String(), authAddr: authAddr, upstream: upstream, authStatuses: map[int]int{}}
 	p.client = fasthttp.Client{MaxConnsPerHost: maxConnsPerHost, MaxIdemponentCallAttempts: 1,
 		RetryIfErr:          func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		MaxIdleConnDuration: 2 * time.Second, NoDefaultUserAgentHeader: true, DisablePathNormalizing: true}
@@ -58,35 +58,35 @@
 func (discardLogger) Printf(string, ...any) {}
 
 // Close ends the proxy once the requests in flight are answered.
-func (p *Portal) Close() {
+func (p *AuthProxy) Close() {
 	_ = p.server.Shutdown()
 	p.client.CloseIdleConnections()
 }
 
-// Pauses sets the delay between authorization and forwarding.
-func (p *Portal) Pauses(d time.Duration) {
+// SetForwardDelay sets the delay between authorization and forwarding.
+func (p *AuthProxy) SetForwardDelay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.forwardDelay = d
 }
 
-// Loses makes the proxy answer 502 to each n-th authorized request instead of forwarding it, as one that
+// DropEvery makes the proxy answer 502 to each n-th authorized request instead of forwarding it, as one that
 // crashes would lose it; 0 is none.
-func (p *Portal) Loses(n int) {
+func (p *AuthProxy) DropEvery(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dropEvery = n
 }
 
-// Seen returns how often the authorization service answered with a status.
-func (p *Portal) Seen(status int) int {
+// AuthResponses returns how often the authorization service answered with a status.
+func (p *AuthProxy) AuthResponses(status int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.authStatuses[status]
 }
 
 // handle authorizes one request and forwards it.
-func (p *Portal) handle(ctx *fasthttp.RequestCtx) {
+func (p *AuthProxy) handle(ctx *fasthttp.RequestCtx) {
 	timeout := defaultTimeout
 	header := trimMicroseconds(ctx.Request.Header.Peek("X-Deadline"))
 	if micros, err := strconv.ParseFloat(string(header), 64); err == nil {
@@ -121,7 +121,7 @@
 
 // authorize asks the authorization service about a request and reports whether it may be forwarded. The
 // service's answer, also a refusal, is left as the response.
-func (p *Portal) authorize(ctx *fasthttp.RequestCtx, deadline time.Time) bool {
+func (p *AuthProxy) authorize(ctx *fasthttp.RequestCtx, deadline time.Time) bool {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	ctx.Request.Header.CopyTo(&req.Header)
@@ -149,7 +149,7 @@
 }
 
 // send sends a request to an address and leaves the answer as the response.
-func (p *Portal) send(ctx *fasthttp.RequestCtx, req *fasthttp.Request, addr string,
+func (p *AuthProxy) send(ctx *fasthttp.RequestCtx, req *fasthttp.Request, addr string,
 	deadline time.Time) error {
 	req.SetHost(addr)
 	req.URI().SetScheme("http")
--- a/internal/testkit/fakes/counter.go
+++ b/internal/testkit/fakes/counter.go
@@ -21,7 +21,7 @@
 
 // Counter is the shared counter on loopback. Its methods may be called concurrently.
 type Counter struct {
-	At string // host:port
+	Addr string // host:port
 
 	listener    net.Listener
 	releasePort func()
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Counter{At: l.Addr().String(), listener: l, releasePort: releasePort, totals: map[string]total{}}
+	c := &Counter{Addr: l.Addr().String(), listener: l, releasePort: releasePort, totals: map[string]total{}}
 	go func() {
 		for {
 			conn, err := l.Accept()
--- a/internal/testkit/fakes/discovery.go
+++ b/internal/testkit/fakes/discovery.go
@@ -27,9 +27,9 @@
 	Since   int64   `json:"since_ms"`
 }
 
-// Of returns the worker's entry in a zone: active, with a start time of zero.
-func (w *Worker) Of(zone string) Entry {
-	return Entry{Name: w.Name, Address: w.At, Zone: zone, Type: "m", Status: "active", Weight: 1}
+// Endpoint returns the worker's entry in a zone: active, with a start time of zero.
+func (w *Worker) Endpoint(zone string) Entry {
+	return Entry{Name: w.Name, Address: w.Addr, Zone: zone, Type: "m", Status: "active", Weight: 1}
 }
 
 // List is a snapshot of the list, or the entries that changed with an index.
@@ -41,7 +41,7 @@
 
 // Discovery is the discovery service on loopback. Its methods may be called concurrently.
 type Discovery struct {
-	At string // host:port
+	Addr string // host:port
 
 	server      *http.Server
 	releasePort func()
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{At: l.Addr().String(), releasePort: releasePort, entries: map[string]Entry{},
+	d := &Discovery{Addr: l.Addr().String(), releasePort: releasePort, entries: map[string]Entry{},
 		changed: make(chan struct{}), index: 1}
 	for _, e := range entries {
 		d.store(e)
@@ -119,8 +119,8 @@
 	d.indent = by
 }
 
-// Tell applies changed entries and publishes them to the watches.
-func (d *Discovery) Tell(changes ...Entry) {
+// Publish applies changed entries and publishes them to the watches.
+func (d *Discovery) Publish(changes ...Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range changes {
--- a/internal/testkit/fakes/fakes_test.go
+++ b/internal/testkit/fakes/fakes_test.go
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	conn, err := net.Dial("tcp", c.At)
+	conn, err := net.Dial("tcp", c.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,12 +55,12 @@
 		t.Fatal(err)
 	}
 	defer w.Close()
-	d, err := NewDiscovery(w.Of("z"))
+	d, err := NewDiscovery(w.Endpoint("z"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer d.Close()
-	res, err := http.Get("http://" + d.At + "/discovery/hosts?stream=1&index=1")
+	res, err := http.Get("http://" + d.Addr + "/discovery/hosts?stream=1&index=1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,15 +78,15 @@
 		t.Fatal("the watch has ended")
 		return l
 	}
-	e := w.Of("z")
+	e := w.Endpoint("z")
 	e.Status = "leaving"
-	d.Tell(e)
+	d.Publish(e)
 	if l := next(); l.Index != 2 || l.Snapshot || l.Endpoints[0].Status != "leaving" {
 		t.Errorf("told %+v", l)
 	}
 	d.Down(true)
 	e.Status = "left"
-	d.Tell(e)
+	d.Publish(e)
 	time.Sleep(20 * time.Millisecond)
 	d.Down(false)
 	if l := next(); l.Index != 3 || len(d.List().Endpoints) != 0 {
@@ -104,7 +104,7 @@
 	var m history.Memory
 	w.Record = m.As("w", 1)
 	for range 2 {
-		req, _ := http.NewRequest("GET", "http://"+w.At+"/check", nil)
+		req, _ := http.NewRequest("GET", "http://"+w.Addr+"/check", nil)
 		req.Header.Set("X-Request-Id", "1")
 		req.Header.Set("X-Rules", "12")
 		res, err := http.DefaultClient.Do(req)
@@ -117,8 +117,9 @@
 	for _, e := range m.Record().Events {
 		says += fmt.Sprintf("%s %s %d %d, ", e.Kind, e.Txn, e.Serial, e.Version)
 	}
-	if !strings.HasSuffix(says, "got 1 0 12, ran 1 0 0, got 1 1 12, ran 1 1 0, ") || w.Got()[0].Version != "12" {
-		t.Errorf("%q, %+v", says, w.Got())
+	if !strings.HasSuffix(says, "got 1 0 12, ran 1 0 0, got 1 1 12, ran 1 1 0, ") ||
+		w.Received()[0].Version != "12" {
+		t.Errorf("%q, %+v", says, w.Received())
 	}
 }
 
@@ -130,7 +131,7 @@
 	}
 	defer w.Close()
 	ask := func() error {
-		req, _ := http.NewRequest("GET", "http://"+w.At+"/check", nil)
+		req, _ := http.NewRequest("GET", "http://"+w.Addr+"/check", nil)
 		req.Header.Set("X-Request-Id", "1")
 		res, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 		if err == nil {
@@ -147,7 +148,7 @@
 	if err := w.Reopen(); err != nil {
 		t.Fatal(err)
 	}
-	if err := ask(); err != nil || len(w.Got()) != 2 {
-		t.Errorf("%v, %d txns", err, len(w.Got()))
+	if err := ask(); err != nil || len(w.Received()) != 2 {
+		t.Errorf("%v, %d txns", err, len(w.Received()))
 	}
 }
--- a/internal/testkit/fakes/fault.go
+++ b/internal/testkit/fakes/fault.go
@@ -30,16 +30,16 @@
 	faultEnded  chan struct{} // closed when the fault ends
 }
 
-// Set begins a fault, or with None ends the present one.
-func (b *behavior) Set(f Fault) {
+// SetFault begins a fault, or with None ends the present one.
+func (b *behavior) SetFault(f Fault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	close(b.faultEnded)
 	b.fault, b.faultEnded = f, make(chan struct{})
 }
 
-// Takes sets the service time: how long an answer without a fault takes.
-func (b *behavior) Takes(serviceTime time.Duration) {
+// SetServiceTime sets the service time: how long an answer without a fault takes.
+func (b *behavior) SetServiceTime(serviceTime time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.serviceTime = serviceTime
--- a/internal/testkit/fakes/worker.go
+++ b/internal/testkit/fakes/worker.go
@@ -14,8 +14,8 @@
 	"willowdeck/internal/testkit/ports"
 )
 
-// Got is a request that a worker received completely.
-type Got struct {
+// ReceivedRequest is a request that a worker received completely.
+type ReceivedRequest struct {
 	ID, Product string
 	Target      string // path and query
 	At          time.Time
@@ -26,7 +26,7 @@
 // Worker is a worker on loopback. Its methods may be called concurrently.
 type Worker struct {
 	Name string
-	At   string // host:port
+	Addr string // host:port
 
 	behavior
 	// Record receives an event for each request; it is set before the first one arrives.
@@ -34,7 +34,7 @@
 
 	server      *http.Server
 	releasePort func()
-	received    []Got
+	received    []ReceivedRequest
 	deliveries  map[string]uint64 // how often each request, by its id, has arrived
 	slots       chan struct{}     // one for each request that runs; nil where their number has no bound
 }
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &Worker{Name: name, At: l.Addr().String(),
+	w := &Worker{Name: name, Addr: l.Addr().String(),
 		behavior:   behavior{serviceTime: serviceTime, faultEnded: make(chan struct{})},
 		deliveries: map[string]uint64{}, releasePort: releasePort}
 	w.server = &http.Server{Handler: w}
@@ -75,7 +75,7 @@
 
 // Reopen starts a worker that is down again, at its address and with its log of requests.
 func (w *Worker) Reopen() error {
-	l, err := net.Listen("tcp", w.At)
+	l, err := net.Listen("tcp", w.Addr)
 	if err != nil {
 		return err
 	}
@@ -87,11 +87,11 @@
 	return nil
 }
 
-// Got returns a copy of what was received, in the order of arrival.
-func (w *Worker) Got() []Got {
+// Received returns a copy of what was received, in the order of arrival.
+func (w *Worker) Received() []ReceivedRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]Got(nil), w.received...)
+	return append([]ReceivedRequest(nil), w.received...)
 }
 
 // ServeHTTP answers one request as the present behavior says.
@@ -111,7 +111,7 @@
 	serial := w.deliveries[id]
 	w.deliveries[id]++
 	runs := fault != Full && fault != Silent
-	w.received = append(w.received, Got{id, product, r.RequestURI, time.Now(), runs, rulesetVersion})
+	w.received = append(w.received, ReceivedRequest{id, product, r.RequestURI, time.Now(), runs, rulesetVersion})
 	slots := w.slots
 	w.mu.Unlock()
 	if w.Record != nil {
@@ -135,11 +135,11 @@
 	}
 }
 
-// InOrder returns what several workers received, by the time of arrival.
-func InOrder(workers []*Worker) (all []Got) {
+// ReceivedInOrder returns what several workers received, by the time of arrival.
+func ReceivedInOrder(workers []*Worker) (all []ReceivedRequest) {
 	for _, w := range workers {
-		all = append(all, w.Got()...)
+		all = append(all, w.Received()...)
 	}
-	slices.SortFunc(all, func(a, b Got) int { return a.At.Compare(b.At) })
+	slices.SortFunc(all, func(a, b ReceivedRequest) int { return a.At.Compare(b.At) })
 	return all
 }
--- a/internal/testkit/faultinject/process_test.go
+++ b/internal/testkit/faultinject/process_test.go
@@ -252,7 +252,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	list, err := fakes.NewDiscovery(w.Of("z"))
+	list, err := fakes.NewDiscovery(w.Endpoint("z"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,7 +268,7 @@
 	}
 	for i, name := range names {
 		b, err := json.Marshal(map[string]any{"name": name, "listen": d.at[i], "control": d.control[name],
-			"discovery": n.Stream(name, "list", list.At), "seed": "5", "known": list.List(),
+			"discovery": n.Stream(name, "list", list.Addr), "seed": "5", "known": list.List(),
 			"limits": map[string]any{"sockets": 256, "memory_mb": 64}, "peer_listen": at(i, 0),
 			"peers": n.Peers(name, names), "settings": map[string]any{"me": i, "balancers": len(names),
 				"classes": []map[string]any{{"name": "check", "aim_us": 500e3, "effect": "read_like", "worth": 1}},
