--- a/internal/e2e/check_test.go
+++ b/internal/e2e/check_test.go
@@ -192,8 +192,9 @@
 	_, _, names := cast(1, 1)
 	n := float64(len(e.members))
 	// A cold worker falls by three times what it bears, and a warm one gets its part of the load.
-	rules := invariants.Rules{Slack: bunched, Grace: bunched, Capacity: perS / workers, ColdFrom: coldFrom,
-		WarmUp: warmUp, Tips: 3, TipsAfter: 1500, Products: []invariants.Product{{Repeat: invariants.Inquiry},
+	rules := invariants.Rules{Slack: bunched, Grace: bunched, Capacity: perS / workers, ColdFraction: coldFrom,
+		WarmUp: warmUp, OverloadFactor: 3, OverloadWindow: 1500,
+		Products: []invariants.Product{{Repeat: invariants.Inquiry},
 			{Repeat: invariants.Referenced, Window: 5000}, {Repeat: invariants.Once}}, Plans: []invariants.Plan{{},
 			{Ceiling: ceiling * n, Depth: (depth + ceiling*(bunched-granted)/1000) * n}, {}}}
 	j := history.Judge(r, history.Cast{Gatekeepers: e.members, Workers: names, Products: productNames,
--- a/internal/lab/emulator/gatekeeper.go
+++ b/internal/lab/emulator/gatekeeper.go
@@ -100,9 +100,9 @@
 	for i, x := range g.w.workers {
 		g.told[i] = told{x.listed(), x.life}
 		if !x.listed() {
-			g.w.judge.Told(g.w.now, g.num, i, false)
+			g.w.judge.AvailabilityNotified(g.w.now, g.num, i, false)
 		}
-		g.w.judge.Knows(g.num, i, x.since)
+		g.w.judge.StartNotified(g.num, i, x.since)
 		list = append(list, x.posting(true))
 	}
 	g.input(func(b brain) { b.Roster(list, false) })
@@ -216,7 +216,7 @@
 		e := m.Retire()
 		g.left = &e
 	}
-	g.w.judge.Crashed(g.num)
+	g.w.judge.GatewayCrashed(g.num)
 	for _, t := range ordered(g.txns) {
 		if !t.final {
 			t.final = true
@@ -290,11 +290,11 @@
 	g.meter.Asked(c.a.Plan, c.a.Product, c.a.Units)
 	g.txns[t.id] = t
 	life := g.life
-	w.judge.Taken(w.now, g.num, t.id, c.a.Product, c.a.Plan, c.a.Customer, c.a.Units, until)
+	w.judge.RequestReceived(w.now, g.num, t.id, c.a.Product, c.a.Plan, c.a.Customer, c.a.Units, until)
 	w.in(until-w.now, func() { // the client's own clock, with the slack of the answer's way
 		if !t.final && g.life == life && g.held {
 			t.final = true // it stands still: the client goes, and is owed nothing that it could get
-			w.judge.Left(t.id)
+			w.judge.ClientLeft(t.id)
 			w.res.Silent++
 			g.meter.Ended(c.a.Plan, c.a.Product, forecast.Other, 0)
 			c.answered(silent, 0)
@@ -384,7 +384,7 @@
 
 // final gives a txn's client its answer.
 func (g *gatekeeper) final(t *txn, f invariants.Final, k answerKind, wait float64) {
-	g.w.judge.Answered(g.w.now, t.id, f)
+	g.w.judge.RequestAnswered(g.w.now, t.id, f)
 	if t.final {
 		return
 	}
@@ -443,7 +443,7 @@
 			s.written, s.sent = true, t.sent
 			t.sent++
 			w.res.Submissions++
-			w.judge.Sent(w.now, g.num, t.id, x.at)
+			w.judge.AttemptSent(w.now, g.num, t.id, x.at)
 			x.coming++
 			w.in(w.way(g, x), func() { x.take(s) })
 		}
@@ -475,7 +475,7 @@
 	w, t := g.w, s.t
 	t.out--
 	if s.written {
-		w.judge.Ended(w.now, t.id, s.sent, proof)
+		w.judge.AttemptEnded(w.now, t.id, s.sent, proof)
 	}
 	if g.held { // what stands still learns of it later, and its client too
 		g.pending = append(g.pending, func() { g.learn(s, o) })
@@ -505,8 +505,8 @@
 		}
 		fresh := g.told[x.at].life != x.life
 		g.told[x.at] = told{x.listed(), x.life}
-		w.judge.Told(w.now, g.num, x.at, x.listed())
-		w.judge.Knows(g.num, x.at, x.since)
+		w.judge.AvailabilityNotified(w.now, g.num, x.at, x.listed())
+		w.judge.StartNotified(g.num, x.at, x.since)
 		p := x.posting(fresh)
 		g.input(func(b brain) { b.Roster([]policy.Posting{p}, true) })
 	})
--- a/internal/lab/emulator/result.go
+++ b/internal/lab/emulator/result.go
@@ -42,7 +42,7 @@
 	NearFall         float64 // how near the one came to it that got the most for what it bears; 1 is there
 	Products, Plans  []Part  // of the value within quotas
 	Starved          float64 // part of that value, of customers who got under starvedAt of theirs
-	First            []invariants.Break
+	First            []invariants.Violation
 	Seconds          []Second
 }
 
@@ -116,8 +116,8 @@
 	ms := func(q float64) float64 { return float64(w.lat.ValueAtQuantile(q)) / 1000 }
 	r.Mean = w.lat.Mean() / 1000
 	r.P50, r.P99, r.P999 = ms(50), ms(99), ms(99.9)
-	r.First, r.Breaks = w.judge.Breaks()
-	r.Falls, r.NearFall = w.judge.Falls()
+	r.First, r.Breaks = w.judge.Violations()
+	r.Falls, r.NearFall = w.judge.Overloads()
 	for _, i := range slices.Sorted(maps.Keys(w.customers)) {
 		p := w.customers[i]
 		if r.Offered > 0 && p.Offered > 0 && p.Share() < starvedAt {
--- a/internal/lab/emulator/scenario.go
+++ b/internal/lab/emulator/scenario.go
@@ -479,12 +479,12 @@
 // rules are the judge's figures.
 func (s *Scenario) rules() invariants.Rules {
 	r := invariants.Rules{Overlap: s.Gatekeepers.MayOverlap, Slack: 8, Grace: s.Workers.GraceMS,
-		Capacity: s.capacity(), ColdFrom: s.Workers.ColdFrom, WarmUp: s.Workers.WarmUpS * 1000,
-		Tips: s.tips(), TipsAfter: s.tipMS()}
+		Capacity: s.capacity(), ColdFraction: s.Workers.ColdFrom, WarmUp: s.Workers.WarmUpS * 1000,
+		OverloadFactor: s.tips(), OverloadWindow: s.tipMS()}
 	for _, p := range s.Products {
 		j := invariants.Product{Repeat: invariants.Repeat(repeats[p.Repeat]), Work: p.Work, Window: p.WindowMS}
 		if groups[p.Group] == policy.GroupZone && s.Workers.Zones > 1 {
-			j.Same = func(a, b int) bool { return a%s.Workers.Zones == b%s.Workers.Zones }
+			j.SharesReferences = func(a, b int) bool { return a%s.Workers.Zones == b%s.Workers.Zones }
 		}
 		r.Products = append(r.Products, j)
 	}
--- a/internal/lab/emulator/worker.go
+++ b/internal/lab/emulator/worker.go
@@ -87,7 +87,7 @@
 		x.busy--
 		x.inHand = slices.DeleteFunc(x.inHand, func(o *submission) bool { return o == s })
 		if !fails || half {
-			w.judge.Ran(w.now, s.t.id, s.sent)
+			w.judge.AttemptRan(w.now, s.t.id, s.sent)
 			w.ran(x)
 		}
 		switch {
@@ -134,7 +134,7 @@
 	x.life++
 	x.dead, x.drains, x.silent, x.busy, x.since = false, false, false, 0, x.w.now
 	x.waiting, x.inHand = nil, nil
-	x.w.judge.Started(x.w.now, x.at)
+	x.w.judge.WorkerStarted(x.w.now, x.at)
 	x.spread()
 }
 
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -62,7 +62,7 @@
 	count   int64
 	gks     []*gatekeeper
 	workers []*worker
-	judge   *invariants.Judge
+	judge   *invariants.Checker
 	net     *rand.Rand // delays and losses
 	work    *rand.Rand // service times and what goes wrong in them
 	res     *Result
--- a/internal/testkit/history/check_test.go
+++ b/internal/testkit/history/check_test.go
@@ -102,7 +102,7 @@
 		Plans: []string{"p"}}
 	fiveRules = invariants.Rules{Products: []invariants.Product{{}, {Repeat: invariants.Once}},
 		Plans: []invariants.Plan{{Ceiling: 10, Depth: 5}}, Slack: 10, Grace: 250,
-		Capacity: 1, ColdFrom: 0.1, WarmUp: 3000, Tips: 0.01, TipsAfter: 1000}
+		Capacity: 1, ColdFraction: 0.1, WarmUp: 3000, OverloadFactor: 0.01, OverloadWindow: 1000}
 )
 
 // line is 30 units, 10 by version 9.
--- a/internal/testkit/history/replay.go
+++ b/internal/testkit/history/replay.go
@@ -24,7 +24,7 @@
 // replay is one record on its way into judge.
 type replay struct {
 	*Judged
-	j       *invariants.Judge
+	j       *invariants.Checker
 	numbers [4]map[string]int
 	txns    map[string]*asked
 	first   int64
@@ -77,7 +77,7 @@
 		p.deaths(e)
 	}
 	p.j.Close(ms(r.end()-p.first) + 1)
-	breaks, counts := p.j.Breaks()
+	breaks, counts := p.j.Violations()
 	out.Rules = counts
 	for _, n := range counts {
 		out.Count += n
@@ -154,16 +154,16 @@
 	switch e.Kind {
 	case Began:
 		if n, is := p.numbers[workers][e.Who]; is {
-			p.j.Started(at, n)
+			p.j.WorkerStarted(at, n)
 			p.starts[n] = at
 		}
 		return
 	case Told:
 		g, is := p.number(gatekeepers, e.Who, e)
 		if w, too := p.number(workers, e.Worker, e); is && too {
-			p.j.Told(at, g, w, e.Mode == Active)
+			p.j.AvailabilityNotified(at, g, w, e.Mode == Active)
 			if since, cold := p.starts[w]; cold && e.Mode == Active {
-				p.j.Knows(g, w, since)
+				p.j.StartNotified(g, w, since)
 			}
 		}
 		return
@@ -189,26 +189,26 @@
 		if !is || !too {
 			return
 		}
-		p.j.Sent(at, g, t.id, w)
+		p.j.AttemptSent(at, g, t.id, w)
 		t.subs = append(t.subs, submitted{e.Who, e.Worker, e.Serial, false})
 	case Ran:
 		if n := t.sub(worker(e), e.Serial); n < 0 {
 			p.odd(e, "no gatekeeper has sent it")
 		} else {
-			p.j.Ran(at, t.id, n)
+			p.j.AttemptRan(at, t.id, n)
 		}
 	case Back:
 		p.back(at, e, t)
 	case Ends:
 		switch e.Says {
 		case Left:
-			p.j.Left(t.id)
+			p.j.ClientLeft(t.id)
 		case Settled:
-			p.j.Answered(at, t.id, invariants.Settled)
+			p.j.RequestAnswered(at, t.id, invariants.Settled)
 		case Declined:
-			p.j.Answered(at, t.id, invariants.Declined)
+			p.j.RequestAnswered(at, t.id, invariants.Declined)
 		case Voided:
-			p.j.Answered(at, t.id, invariants.Voided)
+			p.j.RequestAnswered(at, t.id, invariants.Voided)
 		default:
 			p.odd(e, "no such answer")
 		}
@@ -232,7 +232,7 @@
 		}
 	}
 	if n, is := p.numbers[gatekeepers][who]; is && dead {
-		p.j.Crashed(n)
+		p.j.GatewayCrashed(n)
 	}
 }
 
@@ -256,7 +256,7 @@
 	t = &asked{id: uint64(len(p.by)) + 1, rests: []Event{e}}
 	p.by = append(p.by, t)
 	p.txns[e.Txn] = t
-	p.j.Taken(at, g, t.id, product, plan, int(e.Customer), e.Units, ms(e.Expiry-p.first))
+	p.j.RequestReceived(at, g, t.id, product, plan, int(e.Customer), e.Units, ms(e.Expiry-p.first))
 }
 
 // sub finds the submission to a worker, the last of them where they have no serials.
@@ -293,5 +293,5 @@
 		return
 	}
 	s.ended = true
-	p.j.Ended(at, t.id, n, end)
+	p.j.AttemptEnded(at, t.id, n, end)
 }
--- a/internal/testkit/invariants/ceiling.go
+++ b/internal/testkit/invariants/ceiling.go
@@ -15,7 +15,7 @@
 type bucket struct{ level, at float64 }
 
 // checkCeiling checks rule 5 for a first attempt, which spends the request's units.
-func (c *Judge) checkCeiling(at float64, gateway int, id uint64, t *request) {
+func (c *Checker) checkCeiling(at float64, gateway int, id uint64, t *request) {
 	p := c.rules.Plans[t.plan]
 	if p.Ceiling <= 0 {
 		return
--- a/internal/testkit/invariants/checker.go
+++ b/internal/testkit/invariants/checker.go
@@ -24,14 +24,14 @@
 	runs                             int
 }
 
-// Judge checks one run. It is not safe for concurrent use.
-type Judge struct {
+// Checker checks one run. It is not safe for concurrent use.
+type Checker struct {
 	rules       Rules
 	requests    map[uint64]*request
 	unavailable map[gatewayWorker]float64 // since when the gateway is notified not to send there
 	coldWorkers map[int]*coldWorker
 	buckets     map[int]*bucket // by customer
-	violations  []Break         // the first maxViolations
+	violations  []Violation     // the first maxViolations
 	counts      [6]int          // of all violations, by rule
 	overloads   int
 	maxLoad     float64  // largest load of a cold worker, as a fraction of what overloads it
@@ -45,23 +45,23 @@
 const maxViolations = 100
 
 // New returns a checker with the rules' parameters.
-func New(r Rules) *Judge {
-	return &Judge{rules: r, requests: map[uint64]*request{}, unavailable: map[gatewayWorker]float64{},
+func New(r Rules) *Checker {
+	return &Checker{rules: r, requests: map[uint64]*request{}, unavailable: map[gatewayWorker]float64{},
 		coldWorkers: map[int]*coldWorker{}, buckets: map[int]*bucket{}}
 }
 
-// Breaks returns the first violations, and the number of all by rule.
-func (c *Judge) Breaks() (first []Break, counts [6]int) { return c.violations, c.counts }
+// Violations returns the first violations, and the number of all by rule.
+func (c *Checker) Violations() (first []Violation, counts [6]int) { return c.violations, c.counts }
 
 // violate records a violation.
-func (c *Judge) violate(rule int, at float64, gateway int, id uint64, format string, args ...any) {
+func (c *Checker) violate(rule int, at float64, gateway int, id uint64, format string, args ...any) {
 	if c.counts[rule]++; len(c.violations) < maxViolations {
-		c.violations = append(c.violations, Break{rule, at, gateway, id, fmt.Sprintf(format, args...)})
+		c.violations = append(c.violations, Violation{rule, at, gateway, id, fmt.Sprintf(format, args...)})
 	}
 }
 
-// Taken records that a gateway received a request completely; its client waits until expiry.
-func (c *Judge) Taken(at float64, gateway int, id uint64, product, plan, customer int, units,
+// RequestReceived records that a gateway received a request completely; its client waits until expiry.
+func (c *Checker) RequestReceived(at float64, gateway int, id uint64, product, plan, customer int, units,
 	expiry float64) {
 	c.requests[id] = &request{gateway: gateway, product: product, plan: plan, customer: customer,
 		units: units, expiry: expiry}
@@ -73,7 +73,7 @@
 
 // expire drops a request of which nothing more can be observed, and finds one that was never answered. It
 // reports whether the request was dropped.
-func (c *Judge) expire(at float64, id uint64) bool {
+func (c *Checker) expire(at float64, id uint64) bool {
 	t := c.requests[id]
 	if at <= t.expiry+c.rules.Slack {
 		return false
@@ -93,7 +93,7 @@
 const minRunDelayMillis = 10000.0
 
 // maxRunDelay returns how many milliseconds after its expiry a request's attempts may still run.
-func (c *Judge) maxRunDelay() float64 {
+func (c *Checker) maxRunDelay() float64 {
 	longest := minRunDelayMillis
 	for _, p := range c.rules.Products {
 		longest = math.Max(longest, p.Window)
@@ -101,8 +101,8 @@
 	return longest
 }
 
-// Sent records that an attempt was sent completely to a worker, and checks rules 1 to 5 for it.
-func (c *Judge) Sent(at float64, gateway int, id uint64, worker int) {
+// AttemptSent records that an attempt was sent completely to a worker, and checks rules 1 to 5 for it.
+func (c *Checker) AttemptSent(at float64, gateway int, id uint64, worker int) {
 	t := c.requests[id]
 	if t == nil {
 		c.violate(1, at, gateway, id, "sent to worker %d, and never taken", worker)
@@ -123,7 +123,7 @@
 }
 
 // checkRepeat checks rule 2 for one more attempt.
-func (c *Judge) checkRepeat(at float64, gateway int, id uint64, t *request, worker int) {
+func (c *Checker) checkRepeat(at float64, gateway int, id uint64, t *request, worker int) {
 	p := &c.rules.Products[t.product]
 	for i := range t.attempts {
 		s := &t.attempts[i]
@@ -139,14 +139,14 @@
 		case p.Repeat == Referenced && at > s.sentAt+p.Window+c.rules.Slack:
 			c.violate(2, at, gateway, id, "referenced: %d may have run %.1f ms before, past the window", i,
 				at-s.sentAt)
-		case p.Repeat == Referenced && p.Same != nil && !p.Same(s.worker, worker):
+		case p.Repeat == Referenced && p.SharesReferences != nil && !p.SharesReferences(s.worker, worker):
 			c.violate(2, at, gateway, id, "referenced: %d may have run outside the group of worker %d", i, worker)
 		}
 	}
 }
 
-// Ended records that attempt n of a request is no longer in flight, and what its end proves.
-func (c *Judge) Ended(_ float64, id uint64, n int, e End) {
+// AttemptEnded records that attempt n of a request is no longer in flight, and what its end proves.
+func (c *Checker) AttemptEnded(_ float64, id uint64, n int, e End) {
 	if t := c.requests[id]; t != nil && n < len(t.attempts) {
 		s := &t.attempts[n]
 		s.inFlight = false
@@ -154,8 +154,8 @@
 	}
 }
 
-// Ran records that a worker has run attempt n of a request, and checks rule 2 for it.
-func (c *Judge) Ran(at float64, id uint64, n int) {
+// AttemptRan records that a worker has run attempt n of a request, and checks rule 2 for it.
+func (c *Checker) AttemptRan(at float64, id uint64, n int) {
 	t := c.requests[id]
 	if t == nil || n >= len(t.attempts) {
 		return
@@ -166,8 +166,8 @@
 	}
 }
 
-// Answered records a request's final answer, and checks rules 1 and 2 for it.
-func (c *Judge) Answered(at float64, id uint64, f Final) {
+// RequestAnswered records a request's final answer, and checks rules 1 and 2 for it.
+func (c *Checker) RequestAnswered(at float64, id uint64, f Final) {
 	t := c.requests[id]
 	if t == nil {
 		return
@@ -189,16 +189,16 @@
 	}
 }
 
-// Left records that a request's client waits no longer, or has lost its gateway: no answer is owed.
-func (c *Judge) Left(id uint64) {
+// ClientLeft records that a request's client waits no longer, or has lost its gateway: no answer is owed.
+func (c *Checker) ClientLeft(id uint64) {
 	if t := c.requests[id]; t != nil {
 		t.excused = true
 	}
 }
 
-// Crashed records that a gateway has crashed: it owes no answer, and all that it had in flight may have run.
-// A new process in its place has been notified of nothing.
-func (c *Judge) Crashed(gateway int) {
+// GatewayCrashed records that a gateway has crashed: it owes no answer, and all that it had in flight may
+// have run. A new process in its place has been notified of nothing.
+func (c *Checker) GatewayCrashed(gateway int) {
 	for _, t := range c.requests {
 		if t.gateway != gateway {
 			continue
@@ -217,8 +217,8 @@
 	}
 }
 
-// Told records that a gateway was notified whether it may send to a worker.
-func (c *Judge) Told(at float64, gateway, worker int, active bool) {
+// AvailabilityNotified records that a gateway was notified whether it may send to a worker.
+func (c *Checker) AvailabilityNotified(at float64, gateway, worker int, active bool) {
 	view := gatewayWorker{gateway, worker}
 	if _, known := c.unavailable[view]; active {
 		delete(c.unavailable, view)
@@ -228,7 +228,7 @@
 }
 
 // Close checks the pending requests at the run's end.
-func (c *Judge) Close(at float64) {
+func (c *Checker) Close(at float64) {
 	for _, id := range c.pending {
 		c.expire(at, id)
 	}
--- a/internal/testkit/invariants/warmup.go
+++ b/internal/testkit/invariants/warmup.go
@@ -13,7 +13,7 @@
 	startedAt  float64
 	overloaded bool
 	knownBy    map[int]bool // gateways that were notified of the start
-	arrivals   []arrival    // of the last TipsAfter milliseconds
+	arrivals   []arrival    // of the last OverloadWindow milliseconds
 }
 
 // arrival is a request that was sent to a cold worker.
@@ -22,28 +22,28 @@
 	informed bool // its gateway knew of the worker's start
 }
 
-// Started records that a worker's process has started, with cold caches.
-func (c *Judge) Started(at float64, worker int) {
+// WorkerStarted records that a worker's process has started, with cold caches.
+func (c *Checker) WorkerStarted(at float64, worker int) {
 	c.coldWorkers[worker] = &coldWorker{startedAt: at, knownBy: map[int]bool{}}
 }
 
-// Knows records that a gateway was notified of the start of a worker's process.
-func (c *Judge) Knows(gateway, worker int, started float64) {
+// StartNotified records that a gateway was notified of the start of a worker's process.
+func (c *Checker) StartNotified(gateway, worker int, started float64) {
 	if w := c.coldWorkers[worker]; w != nil && w.startedAt == started {
 		w.knownBy[gateway] = true
 	}
 }
 
 // checkWarmUp checks rule 4: a cold worker is overloaded when all gateways together send it more than N + 2
-// root N + 2 units of mean work in TipsAfter, N being what it survives in that time; two standard deviations
+// root N + 2 units of mean work in OverloadWindow, N being what it survives in that time; two standard deviations
 // of random arrivals are allowed for. An overload violates the rule where most of the work came from gateways
 // that knew of the start.
-func (c *Judge) checkWarmUp(at float64, gateway int, id uint64, t *request, worker int) {
+func (c *Checker) checkWarmUp(at float64, gateway int, id uint64, t *request, worker int) {
 	w := c.coldWorkers[worker]
 	if w == nil || w.overloaded || at >= w.startedAt+c.rules.WarmUp {
 		return
 	}
-	for len(w.arrivals) > 0 && w.arrivals[0].at <= at-c.rules.TipsAfter {
+	for len(w.arrivals) > 0 && w.arrivals[0].at <= at-c.rules.OverloadWindow {
 		w.arrivals = w.arrivals[1:]
 	}
 	work := c.rules.Products[t.product].Work
@@ -57,8 +57,8 @@
 			informed += a.work
 		}
 	}
-	fraction := c.rules.ColdFrom + (1-c.rules.ColdFrom)*(at-w.startedAt)/c.rules.WarmUp
-	n := c.rules.Tips * fraction * c.rules.Capacity * c.rules.TipsAfter / 1000
+	fraction := c.rules.ColdFraction + (1-c.rules.ColdFraction)*(at-w.startedAt)/c.rules.WarmUp
+	n := c.rules.OverloadFactor * fraction * c.rules.Capacity * c.rules.OverloadWindow / 1000
 	limit := n + 2*math.Sqrt(n) + 2
 	c.maxLoad = math.Max(c.maxLoad, sum/limit)
 	if sum <= limit {
@@ -67,10 +67,10 @@
 	c.overloads, w.overloaded = c.overloads+1, true
 	if informed > maxInformedFraction*sum {
 		c.violate(4, at, gateway, id, "worker %d, started at %.1f, got %.1f of mean work in %v ms, bears %.1f",
-			worker, w.startedAt, sum, c.rules.TipsAfter, limit)
+			worker, w.startedAt, sum, c.rules.OverloadWindow, limit)
 	}
 }
 
-// Falls returns how many cold workers were overloaded, whoever knew of their start, and the largest load of
-// any as a fraction of what overloads it.
-func (c *Judge) Falls() (n int, nearest float64) { return c.overloads, c.maxLoad }
+// Overloads returns how many cold workers were overloaded, whoever knew of their start, and the largest load
+// of any as a fraction of what overloads it.
+func (c *Checker) Overloads() (n int, nearest float64) { return c.overloads, c.maxLoad }
