--- a/internal/gateway/config/settings.go
+++ b/internal/gateway/config/settings.go
@@ -42,7 +42,7 @@
 
 // Settings are the decoded settings in the gateway's units: ms, and indexes for names.
 type Settings struct {
-	Charter     policy.Charter
+	Charter     policy.Settings
 	Names       Names
 	Connections Connections
 }
@@ -65,24 +65,24 @@
 		ConnectTimeoutMillis: orDefault(s.Allowed.ConnectTimeoutMicros/microsPerMilli, defaultConnectTimeoutMillis),
 		AnswerSlackMillis:    s.Safety.AnswerSlackMicros / microsPerMilli,
 		PollsDiscovery:       s.RegistryMode == registryOnRequest}
-	t.Charter = policy.Charter{
-		Me: s.Index, Gatekeepers: s.Instances,
-		LargestUnits:   s.Deployment.LargestUnits,
-		MaxSubmissions: s.Allowed.MaxAttempts,
-		MayOverlap:     s.Allowed.MayDuplicate,
-		MayWithdraw:    s.Allowed.Cancel,
-		MayAdvise:      s.Allowed.RetryAfter,
-		MaxAdvice:      s.Allowed.MaxRetryAfterMicros / microsPerMilli,
-		MayTell:        s.Allowed.Peers,
-		PeerInPerS:     s.Deployment.PeerMessagesPerSecond,
-		ReportsPerTell: gossip.MaxReports,
-		ColdFrom:       s.Safety.SlowStartShare,
-		WarmUp:         s.Safety.WarmUpMicros / microsPerMilli,
-		Tips:           s.Safety.OverloadMultiple,
-		TipAfter:       s.Safety.OverloadAfterMicros / microsPerMilli,
-		Whole:          s.ScoreWeights.Total,
-		WorstPlan:      s.ScoreWeights.WorstTenant + s.ScoreWeights.WorstClass,
-		LoadTold:       s.Report.Mode == reportInAnswers,
+	t.Charter = policy.Settings{
+		GatewayIndex: s.Index, GatewayCount: s.Instances,
+		MaxRequestUnits:       s.Deployment.LargestUnits,
+		MaxAttempts:           s.Allowed.MaxAttempts,
+		AllowHedging:          s.Allowed.MayDuplicate,
+		AllowCancel:           s.Allowed.Cancel,
+		AllowRetryAfter:       s.Allowed.RetryAfter,
+		MaxRetryAfterMillis:   s.Allowed.MaxRetryAfterMicros / microsPerMilli,
+		AllowGossip:           s.Allowed.Peers,
+		PeerMessagesPerSecond: s.Deployment.PeerMessagesPerSecond,
+		ReportsPerMessage:     gossip.MaxReports,
+		ColdCapacityFraction:  s.Safety.SlowStartShare,
+		WarmUpMillis:          s.Safety.WarmUpMicros / microsPerMilli,
+		OverloadFactor:        s.Safety.OverloadMultiple,
+		OverloadMillis:        s.Safety.OverloadAfterMicros / microsPerMilli,
+		TotalWeight:           s.ScoreWeights.Total,
+		WorstPlanWeight:       s.ScoreWeights.WorstTenant + s.ScoreWeights.WorstClass,
+		WorkersReportLoad:     s.Report.Mode == reportInAnswers,
 	}
 	for i, p := range s.Classes {
 		t.Connections.MaxClientWaitMillis = max(t.Connections.MaxClientWaitMillis,
@@ -90,22 +90,22 @@
 		t.Names.Products[p.Name] = i
 		group := groupsByName[p.Group]
 		if p.Group == "" { // the smallest group, so that no promise is assumed
-			group = policy.GroupCell
+			group = policy.DedupWithinCell
 		}
 		t.Charter.Products = append(t.Charter.Products, policy.Product{
-			SLA: orDefault(p.LatencyTargetMicros, p.HardLimitMicros) / microsPerMilli, Value: p.Value,
-			LateShare: p.LateShare, Repeat: repeatsByEffect[p.Effect], Group: group,
-			Window: p.WindowMicros / microsPerMilli})
+			LatencyTargetMillis: orDefault(p.LatencyTargetMicros, p.HardLimitMicros) / microsPerMilli, Value: p.Value,
+			LateValueFraction: p.LateShare, Idempotency: repeatsByEffect[p.Effect], DedupScope: group,
+			DedupWindowMillis: p.WindowMicros / microsPerMilli})
 	}
 	for i, p := range s.Tariffs {
 		t.Names.Plans[p.Name] = i
 		if p.LimitRate == 0 { // there is no rate limit, whatever its depth
 			p.LimitDepth = 0
 		}
-		t.Charter.Plans = append(t.Charter.Plans, policy.Plan{Rate: p.Rate, Burst: p.Burst,
-			CeilingRate: p.LimitRate, CeilingDepth: p.LimitDepth, Open: p.MaxInFlight, Factor: p.ValueFactor,
-			ExcessShare: p.ExcessShare, ExcessFee: p.ExcessFee, Credit: p.CreditSeconds,
-			Repay: p.RepaySeconds * millisPerSecond})
+		t.Charter.Plans = append(t.Charter.Plans, policy.Plan{QuotaPerSecond: p.Rate, QuotaBurst: p.Burst,
+			RateLimitPerSecond: p.LimitRate, RateLimitBurst: p.LimitDepth, MaxInFlight: p.MaxInFlight, ValueFactor: p.ValueFactor,
+			ExcessValueFraction: p.ExcessShare, ExcessCostFraction: p.ExcessFee, CreditSeconds: p.CreditSeconds,
+			RepayWithinMillis: p.RepaySeconds * millisPerSecond})
 	}
 	return t
 }
--- a/internal/gateway/transport/frontend_test.go
+++ b/internal/gateway/transport/frontend_test.go
@@ -30,8 +30,8 @@
 	t.Helper()
 	raw, address := listen(t)
 	names := config.Names{Products: map[string]int{"check": 0, "issue": 1}, Plans: map[string]int{"basic": 0}}
-	charter := policy.Charter{Gatekeepers: 1, LargestUnits: 1,
-		Products: []policy.Product{{Repeat: policy.InquiryLike}, {Repeat: policy.OnceOnly}}}
+	charter := policy.Settings{GatewayCount: 1, MaxRequestUnits: 1,
+		Products: []policy.Product{{Idempotency: policy.Idempotent}, {Idempotency: policy.NonIdempotent}}}
 	frontend := NewFrontend(names, charter, serve, func() bool { return true })
 	return &testFrontend{Frontend: frontend, t: t, listener: NewLimitListener(raw, limit),
 		address: address.String()}
@@ -140,7 +140,7 @@
 	var served atomic.Int64
 	f := newTestFrontend(t, 9, func(*Request) FinalAnswer {
 		served.Add(1)
-		return FinalAnswer{Kind: policy.Decline}
+		return FinalAnswer{Kind: policy.Reject}
 	})
 	var client net.Conn
 	crosses := false
@@ -174,7 +174,7 @@
 	start := time.Now()
 	_ = client.Close()
 	f.Wait()
-	if took := time.Since(start); served.Load() != 1 || took > Millis(policy.Linger/2) {
+	if took := time.Since(start); served.Load() != 1 || took > Millis(policy.LingerTimeoutMillis/2) {
 		t.Errorf("%d requests were served; closed %v after its client", served.Load(), took)
 	}
 }
@@ -206,7 +206,7 @@
 // A request that comes just as the time of an idle connection is up is served. Guards against a close over
 // it.
 func TestRequestCrossesIdleTimeout(t *testing.T) {
-	f := newTestFrontend(t, 9, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Decline} })
+	f := newTestFrontend(t, 9, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Reject} })
 	hooked := false
 	client, _ := f.connect(func(direct *directConn) net.Conn {
 		hook, read := &timeoutHook{directConn: direct}, direct.reading.call
@@ -241,7 +241,7 @@
 	f := newTestFrontend(t, 9, func(*Request) FinalAnswer {
 		served.Add(1)
 		<-proceed
-		return FinalAnswer{Kind: policy.Submit, Answer: &Answer{Outcome: policy.Settled, Body: body,
+		return FinalAnswer{Kind: policy.Submit, Answer: &Answer{Outcome: policy.Succeeded, Body: body,
 			Length: len(body)}}
 	})
 	client, conn := f.connect(nil, true)
@@ -274,14 +274,14 @@
 		do          func(tc *net.TCPConn)
 		limitMillis float64
 	}{
-		{"closed", func(tc *net.TCPConn) { tc.Close() }, policy.Linger / 2},
-		{"more sent, and closed", func(tc *net.TCPConn) { fmt.Fprint(tc, "GET"); tc.Close() }, policy.Linger / 2},
-		{"reset", func(tc *net.TCPConn) { tc.SetLinger(0); tc.Close() }, policy.Linger / 2},
-		{"kept", func(*net.TCPConn) {}, 2 * policy.Linger},
-		{"more sent, and kept", func(tc *net.TCPConn) { fmt.Fprint(tc, "GET") }, 2 * policy.Linger},
+		{"closed", func(tc *net.TCPConn) { tc.Close() }, policy.LingerTimeoutMillis / 2},
+		{"more sent, and closed", func(tc *net.TCPConn) { fmt.Fprint(tc, "GET"); tc.Close() }, policy.LingerTimeoutMillis / 2},
+		{"reset", func(tc *net.TCPConn) { tc.SetLinger(0); tc.Close() }, policy.LingerTimeoutMillis / 2},
+		{"kept", func(*net.TCPConn) {}, 2 * policy.LingerTimeoutMillis},
+		{"more sent, and kept", func(tc *net.TCPConn) { fmt.Fprint(tc, "GET") }, 2 * policy.LingerTimeoutMillis},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			f := newTestFrontend(t, 1, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Decline} })
+			f := newTestFrontend(t, 1, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Reject} })
 			f.Close()
 			client, _ := f.connect(nil, false)
 			fmt.Fprint(client, requestText("1"))
@@ -297,7 +297,7 @@
 		})
 	}
 	t.Run("its place is wanted", func(t *testing.T) {
-		f := newTestFrontend(t, 1, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Decline} })
+		f := newTestFrontend(t, 1, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Reject} })
 		f.Close()
 		client, conn := f.connect(nil, false)
 		fmt.Fprint(client, requestText("1"))
@@ -305,7 +305,7 @@
 		waitFor(t, "it does not end", func() bool { return conn.closing.Load() })
 		start := time.Now()
 		f.connect(nil, false)
-		if took := time.Since(start); took > Millis(policy.Linger/2) || f.listener.Evicted() > 0 {
+		if took := time.Since(start); took > Millis(policy.LingerTimeoutMillis/2) || f.listener.Evicted() > 0 {
 			t.Errorf("the next had a place after %v, %d were evicted", took, f.listener.Evicted())
 		}
 	})
@@ -376,10 +376,10 @@
 // workers get none.
 func TestOutOfDescriptors(t *testing.T) {
 	const clients = 40
-	f := newTestFrontend(t, 5*clients, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Decline} })
+	f := newTestFrontend(t, 5*clients, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Reject} })
 	raw := &exhaustedListener{Listener: f.listener.Listener}
 	f.listener.Listener = raw
-	longAgo := time.Now().Add(-2 * Millis(policy.IdleLong)).UnixNano()
+	longAgo := time.Now().Add(-2 * Millis(policy.EvictIdleClientMillis)).UnixNano()
 	var accepted []net.Conn
 	for i := range clients {
 		client, conn := f.connect(nil, false)
@@ -396,10 +396,10 @@
 	f.listener.mu.Lock()
 	open, limit := len(f.listener.open), f.listener.limit
 	f.listener.mu.Unlock()
-	if open > clients-policy.SpareFiles || limit > clients-policy.SpareFiles {
+	if open > clients-policy.ReservedDescriptors || limit > clients-policy.ReservedDescriptors {
 		t.Errorf("%d are open, of at most %d", open, limit)
 	}
-	if s := f.listener.Evicted(); s < policy.SpareFiles || s > policy.SpareFiles+1 {
+	if s := f.listener.Evicted(); s < policy.ReservedDescriptors || s > policy.ReservedDescriptors+1 {
 		t.Errorf("%d were ended", s)
 	}
 	closed := 0
@@ -434,7 +434,7 @@
 			f := newTestFrontend(t, 9, func(request *Request) FinalAnswer {
 				served.Add(1)
 				if first.Add(1) > 1 {
-					return FinalAnswer{Kind: policy.Decline}
+					return FinalAnswer{Kind: policy.Reject}
 				}
 				for c.leaves && !request.Gone() {
 					time.Sleep(time.Millisecond)
@@ -442,7 +442,7 @@
 				gone.Store(c.leaves)
 				<-proceed
 				request.MaybeSent = c.sent
-				return FinalAnswer{Kind: policy.Void}
+				return FinalAnswer{Kind: policy.RejectUncertain}
 			})
 			a, firstConn := f.connect(nil, false)
 			fmt.Fprint(a, requestText("1"))
@@ -491,8 +491,8 @@
 		final FinalAnswer
 		want  string
 	}{
-		{"declined", FinalAnswer{Kind: policy.Decline}, declinedStatus},
-		{"voided", FinalAnswer{Kind: policy.Void}, internalErrorStatus},
+		{"declined", FinalAnswer{Kind: policy.Reject}, declinedStatus},
+		{"voided", FinalAnswer{Kind: policy.RejectUncertain}, internalErrorStatus},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newTestFrontend(t, 9, func(*Request) FinalAnswer { return tc.final })
@@ -577,7 +577,7 @@
 		for !request.Gone() {
 			time.Sleep(time.Millisecond)
 		}
-		return FinalAnswer{Kind: policy.Void}
+		return FinalAnswer{Kind: policy.RejectUncertain}
 	})
 	partial, partialConn := f.connect(nil, false)
 	fmt.Fprint(partial, requestText("1")[:40])
@@ -588,13 +588,13 @@
 	start := time.Now()
 	f.listener.HurryReads()
 	if status := readStatusLine(partial); status != timeoutStatus ||
-		time.Since(start) > Millis(policy.Linger) {
+		time.Since(start) > Millis(policy.LingerTimeoutMillis) {
 		t.Errorf("a partial request gets %q after %v", status, time.Since(start))
 	}
 	next, _ := f.connect(nil, false)
 	fmt.Fprint(next, requestText("3")[:40])
 	if status := readStatusLine(next); status != timeoutStatus ||
-		time.Since(start) > 2*Millis(policy.Linger) {
+		time.Since(start) > 2*Millis(policy.LingerTimeoutMillis) {
 		t.Errorf("a partial request after it gets %q after %v", status, time.Since(start))
 	}
 	if completeConn.state.Load() != stateServing {
@@ -609,7 +609,7 @@
 // A connection that is being handed over is not ended here meanwhile. Guards against a successor that reads
 // and forwards what comes behind an end.
 func TestHandOverIsNotClosed(t *testing.T) {
-	f := newTestFrontend(t, 9, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Decline} })
+	f := newTestFrontend(t, 9, func(*Request) FinalAnswer { return FinalAnswer{Kind: policy.Reject} })
 	client, conn := f.connect(nil, false)
 	fmt.Fprint(client, requestText("1"))
 	if status := readStatusLine(client); status != declinedStatus {
@@ -639,7 +639,7 @@
 	const size = 800 << 10
 	f := newTestFrontend(t, 9, func(request *Request) FinalAnswer {
 		request.Upload.StopAndWait()
-		return FinalAnswer{Kind: policy.Decline}
+		return FinalAnswer{Kind: policy.Reject}
 	})
 	f.listener.HurryReads()
 	client, conn := f.connect(nil, false)
@@ -668,9 +668,9 @@
 	remaining := make(chan time.Duration, 3)
 	next := make(chan struct{})
 	f := newTestFrontend(t, 1, func(request *Request) FinalAnswer {
-		remaining <- Millis(request.Left)
+		remaining <- Millis(request.TimeLeftMillis)
 		<-next
-		return FinalAnswer{Kind: policy.Decline}
+		return FinalAnswer{Kind: policy.Reject}
 	})
 	go f.Serve(f.listener)
 	var sent [3][2]time.Time // about when each was written
@@ -714,9 +714,9 @@
 	const step, deadline = 200 * time.Millisecond, 900 * time.Millisecond
 	remaining, next := make(chan time.Duration, 3), make(chan struct{})
 	f := newTestFrontend(t, 9, func(request *Request) FinalAnswer {
-		remaining <- Millis(request.Left)
+		remaining <- Millis(request.TimeLeftMillis)
 		<-next
-		return FinalAnswer{Kind: policy.Decline}
+		return FinalAnswer{Kind: policy.Reject}
 	})
 	client, _ := f.connect(nil, false)
 	written := time.Now()
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -21,7 +21,7 @@
 // instance is one gateway with the names that its wire uses. Instances share nothing.
 type instance struct {
 	number    int
-	gateway   *policy.Gatekeeper
+	gateway   *policy.Engine
 	names     config.Names
 	workers   workers.Interner
 	zones     workers.Interner
@@ -36,7 +36,7 @@
 	instances     map[int]*instance
 	active        []*instance // with events in this batch, in the order of the first one
 	endpointLists map[int][]any
-	endpoints     []policy.Posting
+	endpoints     []policy.Endpoint
 	reports       []policy.Report
 	buffer        []byte
 }
@@ -145,13 +145,13 @@
 		return handleRequest(in, fields)
 	case "BEGUN":
 		if id, n := uint64(fields.float(2, "handle")), fields.int(3, "leg"); fields.err == nil {
-			in.gateway.Begun(id, n)
+			in.gateway.ResponseStarted(id, n)
 		}
 	case "OUTCOME":
 		return handleOutcome(in, fields)
 	case "GONE":
 		if id := uint64(fields.float(2, "handle")); fields.err == nil {
-			in.gateway.Left(id)
+			in.gateway.ClientGone(id)
 		}
 	case "WHISPER":
 		a.handlePeerMessage(in, fields)
@@ -166,9 +166,9 @@
 // handleRequest passes a client's request on.
 func handleRequest(in *instance, fields *message) error {
 	product, plan := fields.text(4, "tier_class"), fields.text(8, "terms")
-	request := policy.Arrival{ID: uint64(fields.float(2, "handle")), Customer: fields.hex(3, "user_key"),
-		SetSize: fields.int(6, "set_size"), Units: fields.float(7, "cost_units"), First: fields.int(10, "base"),
-		Left: fields.float(11, "budget_us") / microsPerMilli}
+	request := policy.Request{ID: uint64(fields.float(2, "handle")), Customer: fields.hex(3, "user_key"),
+		SetSize: fields.int(6, "set_size"), Units: fields.float(7, "cost_units"), FirstGateway: fields.int(10, "base"),
+		TimeLeftMillis: fields.float(11, "budget_us") / microsPerMilli}
 	var ok bool
 	if request.Product, ok = in.names.Products[product]; !ok && fields.err == nil {
 		return fmt.Errorf("class %q is not in the settings", product)
@@ -177,7 +177,7 @@
 		return fmt.Errorf("plan %q is not in the settings", plan)
 	}
 	if fields.err == nil {
-		in.gateway.Take(request)
+		in.gateway.AddRequest(request)
 	}
 	return fields.err
 }
@@ -192,9 +192,9 @@
 	}
 	if fields.err == nil {
 		if name, ok := fields.at(4).(string); ok && fields.at(10) != nil {
-			in.gateway.Burden(in.workers.ID(name), decodeLoad(fields.at(10)))
+			in.gateway.ReportWorkerLoad(in.workers.ID(name), decodeLoad(fields.at(10)))
 		}
-		in.gateway.Ended(id, n, outcome, latency, final)
+		in.gateway.AttemptEnded(id, n, outcome, latency, final)
 	}
 	return fields.err
 }
@@ -211,12 +211,12 @@
 		return
 	}
 	if a.reports, err = gossip.Decode(a.reports[:0], raw); err == nil {
-		in.gateway.Hear(from, a.reports)
+		in.gateway.ReceiveReports(from, a.reports)
 	}
 }
 
 // decodeLoad decodes a load report. A value that is missing or not a number is -1, not reported.
-func decodeLoad(value any) policy.Burden {
+func decodeLoad(value any) policy.WorkerLoad {
 	report, _ := value.(map[string]any)
 	figure := func(name string) float64 {
 		if number, ok := report[name].(float64); ok && number >= 0 {
@@ -224,13 +224,13 @@
 		}
 		return -1
 	}
-	return policy.Burden{Held: figure("concurrent"), Waiting: figure("depth"), Busy: figure("load_share")}
+	return policy.WorkerLoad{InFlight: figure("concurrent"), Queued: figure("depth"), CPUFraction: figure("load_share")}
 }
 
 // outcomes are the codes of an attempt's end.
 var outcomes = map[string]policy.Outcome{
-	"pass": policy.Settled, "fault": policy.Fault, "no_room": policy.Full, "too_slow": policy.TimedOut,
-	"no_route": policy.NoRoute, "cut": policy.Cut, "undone": policy.Withdrawn, "stale_send": policy.NotSent,
+	"pass": policy.Succeeded, "fault": policy.Failed, "no_room": policy.Overloaded, "too_slow": policy.TimedOut,
+	"no_route": policy.ConnectFailed, "cut": policy.ConnectionLost, "undone": policy.Cancelled, "stale_send": policy.NotSent,
 }
 
 // launch starts an instance.
@@ -260,7 +260,7 @@
 
 // activate sets the instance's clock and adds it to those that reply to this batch.
 func (a *adapter) activate(in *instance) {
-	in.gateway.Clock(a.now)
+	in.gateway.AdvanceTo(a.now)
 	if !in.hasEvents {
 		in.hasEvents = true
 		a.active = append(a.active, in)
@@ -290,17 +290,17 @@
 		values, _ := row.([]any)
 		entry := message{values: values}
 		name, zone, state := entry.text(0, "worker"), entry.text(1, "locality"), entry.text(4, "stage_state")
-		endpoint := policy.Posting{Cell: entry.int(3, "block"), Active: state == "active",
-			Since: entry.optionalFloat(6) / microsPerMilli, Rating: entry.optionalFloat(5)}
+		endpoint := policy.Endpoint{Cell: entry.int(3, "block"), Active: state == "active",
+			StartedAtMillis: entry.optionalFloat(6) / microsPerMilli, SizeRating: entry.optionalFloat(5)}
 		if entry.err != nil {
 			return fmt.Errorf("list %d: %w", list, entry.err)
 		}
 		endpoint.Worker, endpoint.Zone = in.workers.ID(name), in.zones.ID(zone)
-		endpoint.Kind = in.kinds.ID(entry.optionalText(2))
+		endpoint.MachineKind = in.kinds.ID(entry.optionalText(2))
 		a.endpoints = append(a.endpoints, endpoint)
 	}
 	if fields.err == nil {
-		in.gateway.Roster(a.endpoints, form == "incr")
+		in.gateway.UpdateEndpoints(a.endpoints, form == "incr")
 	}
 	return fields.err
 }
@@ -336,7 +336,7 @@
 func (a *adapter) writeDecisions(in *instance) {
 	defer a.reportPanic(in)
 	for {
-		decision, ok := in.gateway.Next()
+		decision, ok := in.gateway.NextDecision()
 		if !ok {
 			return
 		}
@@ -348,24 +348,24 @@
 	line := append(a.buffer[:0], '[', '"')
 	switch decision.Kind {
 	case policy.Submit:
-		line = appendInts(append(line, `TRANSMIT"`...), int64(in.number), int64(decision.Txn),
-			micros(decision.Wait))
+		line = appendInts(append(line, `TRANSMIT"`...), int64(in.number), int64(decision.RequestID),
+			micros(decision.WaitMillis))
 		line = append(strconv.AppendQuote(append(line, ','), in.workers.Name(decision.Worker)), ']')
-	case policy.Decline:
-		line = append(appendInts(append(line, `SAY_NO"`...), int64(in.number), int64(decision.Txn),
-			micros(decision.Wait)), ']')
-	case policy.Void:
-		line = append(appendInts(append(line, `END_FAILED"`...), int64(in.number), int64(decision.Txn)), ']')
-	case policy.Withdraw:
-		line = append(appendInts(append(line, `DROP_ATTEMPT"`...), int64(in.number), int64(decision.Txn),
-			int64(decision.N)), ']')
-	case policy.Tell:
+	case policy.Reject:
+		line = append(appendInts(append(line, `SAY_NO"`...), int64(in.number), int64(decision.RequestID),
+			micros(decision.WaitMillis)), ']')
+	case policy.RejectUncertain:
+		line = append(appendInts(append(line, `END_FAILED"`...), int64(in.number), int64(decision.RequestID)), ']')
+	case policy.Cancel:
+		line = append(appendInts(append(line, `DROP_ATTEMPT"`...), int64(in.number), int64(decision.RequestID),
+			int64(decision.Attempt)), ']')
+	case policy.SendReports:
 		line = appendInts(append(line, `NOTIFY"`...), int64(in.number), int64(decision.Peer))
 		var reports [256]byte
 		line = hex.AppendEncode(append(line, ',', '"'), gossip.Append(reports[:0], decision.Reports))
 		line = append(line, '"', ']')
-	case policy.Wake:
-		line = append(appendInts(append(line, `SLEEP"`...), int64(in.number), micros(decision.At)), `,"w"]`...)
+	case policy.SetTimer:
+		line = append(appendInts(append(line, `SLEEP"`...), int64(in.number), micros(decision.AtMillis)), `,"w"]`...)
 	}
 	a.buffer = append(line, '\n')
 	_, _ = a.output.Write(a.buffer) // Flush returns its error
