--- a/internal/testkit/history/check.go
+++ b/internal/testkit/history/check.go
@@ -5,37 +5,41 @@
 	"strings"
 )
 
-// Break is one thing that must not be, with the events that it rests on.
+// Break is one violation, with the events that prove it.
 type Break struct {
-	At    int64 // ns, as events have it
+	At    int64 // nanoseconds on the clock of the events
 	Says  string
 	Rests []Event
 }
 
+// String returns the violation and its events, a line each.
 func (b Break) String() string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "at %.3f ms: %s", ms(b.At), b.Says)
+	fmt.Fprintf(&s, "at %.3f ms: %s", millis(b.At), b.Says)
 	for _, e := range b.Rests {
 		s.WriteString("\n\t" + e.String())
 	}
 	return s.String()
 }
 
-// Found is what a check has found.
+// Found is the result of a check.
 type Found struct {
-	Breaks []Break // the first ones
+	Breaks []Break // the first maxViolations
 	Count  int     // of all
-	Seen   int     // events that the check has looked at: of none it has shown nothing
+	Seen   int     // events that the check examined; with none it has proved nothing
 }
 
-const mostKept = 100 // breaks that are kept whole; all are counted
+// maxViolations bounds the violations that are kept; all are counted.
+const maxViolations = 100
 
-func (f *Found) broken(at int64, rests []Event, format string, args ...any) {
-	if f.Count++; len(f.Breaks) < mostKept {
+// violate records a violation.
+func (f *Found) violate(at int64, rests []Event, format string, args ...any) {
+	if f.Count++; len(f.Breaks) < maxViolations {
 		f.Breaks = append(f.Breaks, Break{at, fmt.Sprintf(format, args...), rests})
 	}
 }
 
+// String returns the counts and the first violations.
 func (f Found) String() string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "%d breaks in %d events", f.Count, f.Seen)
@@ -48,7 +52,7 @@
 // String gives an event in one line, without what it does not speak of.
 func (e Event) String() string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "%.3f ms %s life %d #%d %s", ms(e.At), e.Who, e.Life, e.Seq, e.Kind)
+	fmt.Fprintf(&s, "%.3f ms %s life %d #%d %s", millis(e.At), e.Who, e.Life, e.Seq, e.Kind)
 	for _, f := range []struct {
 		name string
 		what any
@@ -58,7 +62,8 @@
 		{"plan", e.Plan, e.Plan != ""}, {"product", e.Product, e.Product != ""},
 		{"worker", e.Worker, e.Worker != ""}, {"peer", e.Peer, e.Peer != ""},
 		{"peer's life", e.PeerLife, e.PeerLife != 0}, {"units", e.Units, e.Units != 0},
-		{"serial", e.Serial, e.Serial != 0}, {"expiry", ms(e.Expiry), e.Expiry != 0}, {"age", e.Age, e.Age != 0},
+		{"serial", e.Serial, e.Serial != 0}, {"expiry", millis(e.Expiry), e.Expiry != 0},
+		{"age", e.Age, e.Age != 0},
 		{"says", e.Says, e.Says != ""}} {
 		if f.has {
 			fmt.Fprintf(&s, ", %s %v", f.name, f.what)
@@ -67,11 +72,13 @@
 	return s.String()
 }
 
-func ms(ns int64) float64 { return float64(ns) / 1e6 }
+// millis converts nanoseconds to milliseconds.
+func millis(ns int64) float64 { return float64(ns) / 1e6 }
 
-func ns(ms float64) int64 { return int64(ms * 1e6) }
+// nanos converts milliseconds to nanoseconds.
+func nanos(ms float64) int64 { return int64(ms * 1e6) }
 
-// end gives the time of the last event.
+// end returns the time of the last event.
 func (r Record) end() int64 {
 	if n := len(r.Events); n > 0 {
 		return r.Events[n-1].At
@@ -79,53 +86,56 @@
 	return 0
 }
 
-// lives is who lived when. A life may go on while its successor has begun.
-type lives struct {
-	by   map[string][]life // in the order in which they began
-	from map[life]int64
-	last map[life]int64 // the last line of it
-	gone map[life]bool  // it has ended by its own will
+// incarnations holds when each incarnation of each process ran. One may go on while its successor has
+// started.
+type incarnations struct {
+	byProcess map[string][]incarnation // in the order of their start
+	firstAt   map[incarnation]int64    // time of the first event, nanoseconds
+	lastAt    map[incarnation]int64    // time of the last event, nanoseconds
+	exited    map[incarnation]bool     // it has recorded its end
 }
 
-func livesOf(r Record) lives {
-	l := lives{map[string][]life{}, map[life]int64{}, map[life]int64{}, map[life]bool{}}
+// incarnationsOf collects the incarnations of a record.
+func incarnationsOf(r Record) incarnations {
+	l := incarnations{map[string][]incarnation{}, map[incarnation]int64{}, map[incarnation]int64{},
+		map[incarnation]bool{}}
 	for _, e := range r.Events {
-		here := life{e.Who, e.Life}
-		if _, known := l.from[here]; !known {
-			l.from[here] = e.At
-			l.by[e.Who] = append(l.by[e.Who], here)
+		here := incarnation{e.Who, e.Life}
+		if _, known := l.firstAt[here]; !known {
+			l.firstAt[here] = e.At
+			l.byProcess[e.Who] = append(l.byProcess[e.Who], here)
 		}
-		l.last[here] = e.At
-		l.gone[here] = l.gone[here] || e.Kind == Gone
+		l.lastAt[here] = e.At
+		l.exited[here] = l.exited[here] || e.Kind == Gone
 	}
 	return l
 }
 
-// of gives the life that is meant: the one that is told, else the last that has begun by then.
-func (l lives) of(who string, num uint32, at int64) life {
-	if num != 0 {
-		return life{who, num}
+// resolve returns the incarnation that an event names: that with the number, else the last that had started.
+func (l incarnations) resolve(process string, number uint32, at int64) incarnation {
+	if number != 0 {
+		return incarnation{process, number}
 	}
-	meant := life{who: who}
-	for _, o := range l.by[who] {
-		if l.from[o] <= at {
+	meant := incarnation{process: process}
+	for _, o := range l.byProcess[process] {
+		if l.firstAt[o] <= at {
 			meant = o
 		}
 	}
 	return meant
 }
 
-// over tells whether a life has come to its end with its line of a time: it is its last, and either it says
-// so or there is a later life.
-func (l lives) over(o life, at int64) bool {
-	return l.last[o] <= at && (l.gone[o] || l.by[o.who][len(l.by[o.who])-1] != o)
+// endsAt reports whether an incarnation ends with its event at a time: the event is its last, and either it
+// recorded its end or there is a later incarnation.
+func (l incarnations) endsAt(o incarnation, at int64) bool {
+	return l.lastAt[o] <= at && (l.exited[o] || l.byProcess[o.process][len(l.byProcess[o.process])-1] != o)
 }
 
-// HeardTwice finds messages (peer, its life, serial) that one life of one process has believed more than
-// once. Another life of it has forgotten what the last one heard, and may.
+// HeardTwice finds messages (peer, its incarnation, serial) that one incarnation of a process accepted more
+// than once. Another incarnation of it has forgotten what the last one received, and may.
 func HeardTwice(r Record) Found {
 	type message struct {
-		by, from life
+		by, from incarnation
 		serial   uint64
 	}
 	var f Found
@@ -135,9 +145,9 @@
 			continue
 		}
 		f.Seen++
-		m := message{life{e.Who, e.Life}, life{e.Peer, e.PeerLife}, e.Serial}
+		m := message{incarnation{e.Who, e.Life}, incarnation{e.Peer, e.PeerLife}, e.Serial}
 		if first, twice := heard[m]; twice {
-			f.broken(e.At, []Event{r.Events[first], e}, "%s believes message %d of %s's life %d again", e.Who,
+			f.violate(e.At, []Event{r.Events[first], e}, "%s believes message %d of %s's life %d again", e.Who,
 				e.Serial, e.Peer, e.PeerLife)
 			continue
 		}
--- a/internal/testkit/history/check_test.go
+++ b/internal/testkit/history/check_test.go
@@ -30,19 +30,21 @@
 type play struct {
 	now    float64 // ms
 	lives  map[string]uint32
-	places map[life]uint64
+	places map[incarnation]uint64
 	events []Event
 }
 
-func newPlay() *play { return &play{now: 1, lives: map[string]uint32{}, places: map[life]uint64{}} }
+func newPlay() *play {
+	return &play{now: 1, lives: map[string]uint32{}, places: map[incarnation]uint64{}}
+}
 
 // by adds what one has written, at a time in ms.
 func (p *play) by(at float64, who string, e Event) {
 	if p.now = at; p.lives[who] == 0 {
 		p.lives[who] = 1
 	}
-	e.At, e.Who, e.Life = ns(at), who, p.lives[who]
-	l := life{who, e.Life}
+	e.At, e.Who, e.Life = nanos(at), who, p.lives[who]
+	l := incarnation{who, e.Life}
 	p.places[l]++
 	e.Seq = p.places[l]
 	p.events = append(p.events, e)
@@ -72,7 +74,7 @@
 func (p *play) once(at float64, who string, k Kind, serial uint64, says string) {
 	e := Event{Kind: k, Txn: "t", Serial: serial, Says: says, Worker: "w"}
 	if k == Asks {
-		e.Peer, e.Product, e.Plan, e.Customer, e.Units, e.Expiry = "a", "pay", "p", 1, 1, ns(1000)
+		e.Peer, e.Product, e.Plan, e.Customer, e.Units, e.Expiry = "a", "pay", "p", 1, 1, nanos(1000)
 	}
 	p.by(at, who, e)
 }
@@ -80,7 +82,8 @@
 // many is so many txns that go to one worker at once.
 func (p *play) many(n int) {
 	for at, e := range []Event{{Who: "cl", Kind: Asks, Peer: "a", Product: "pay", Plan: "p", Customer: 1,
-		Units: 1, Expiry: ns(1000)}, {Who: "a", Kind: Sends, Worker: "w"}, {Who: "cl", Kind: Ends, Says: Settled}} {
+		Units: 1, Expiry: nanos(1000)}, {Who: "a", Kind: Sends, Worker: "w"},
+		{Who: "cl", Kind: Ends, Says: Settled}} {
 		for i := range n {
 			e.Txn = fmt.Sprint("t", i)
 			p.by(2+float64(at), e.Who, e)
@@ -141,7 +144,7 @@
 	"judge": func(r Record) Found {
 		j := Judge(r, cast, fiveRules)
 		if j.OddOf > 0 {
-			j.broken(0, nil, "%v", j.Odd)
+			j.violate(0, nil, "%v", j.Odd)
 		}
 		return j.Found
 	},
@@ -686,7 +689,7 @@
 		f.due = max(f.due, at) + u*100
 		f.serial++
 		id, worker := fmt.Sprint("t", f.serial), f.pick("w", "v")
-		until := ns(at + 5000)
+		until := nanos(at + 5000)
 		f.by(at, "cl", Event{Kind: Asks, Txn: id, Peer: g, Product: "pay", Plan: "p", Customer: 1, Units: u,
 			Expiry: until})
 		f.by(f.wait(0.01), g, Event{Kind: Sends, Txn: id, Worker: worker, Version: f.version})
@@ -841,7 +844,7 @@
 			p.acts(at, g, 1, Leased)
 		}
 		p.by(at, "cl", Event{Kind: Asks, Txn: id, Peer: g, Product: "ask", Plan: "p", Customer: c, Units: 1,
-			Expiry: ns(at + 1000)})
+			Expiry: nanos(at + 1000)})
 		p.by(at, g, Event{Kind: Sends, Txn: id, Worker: "w", Version: 1})
 		p.by(at, "w", Event{Kind: Got, Txn: id, Peer: g, Version: 1})
 		p.by(at, "w", Event{Kind: Ran, Txn: id})
--- a/internal/testkit/history/contradict.go
+++ b/internal/testkit/history/contradict.go
@@ -7,14 +7,14 @@
 	"willowdeck/internal/ruleset"
 )
 
-// Stance is what a gatekeeper goes by.
+// Stance is what a gateway acts on: a version and a mode, one of Leased, Fallback and Bare.
 type Stance struct {
 	Version uint64
 	Mode    string
 }
 
-// Clash tells whether two gatekeepers contradict each other by what they go by. The one with the lesser
-// version is the first; two of the same version are asked for too, in the order of their modes.
+// Clash reports whether two gateways contradict each other by what they act on. The one with the lower
+// version is the first; two of the same version are passed too, in the order of their modes.
 type Clash func(first, second Stance) bool
 
 // Plainly is a Clash by rules alone. Two leases clash where the later version changes a ceiling, a credit
@@ -73,7 +73,7 @@
 	return false
 }
 
-// limits gives the hard limits and credit lines, in order.
+// limits returns the hard limits and credit lines, by plan.
 func limits(r ruleset.Rules) []ruleset.Plan {
 	var out []ruleset.Plan
 	for _, p := range r.Plans {
@@ -84,7 +84,7 @@
 	return out
 }
 
-// bars gives what nothing may be sent to, in order.
+// bars returns the workers that nothing may be sent to, by region and name.
 func bars(r ruleset.Rules) []ruleset.WorkerOverride {
 	var out []ruleset.WorkerOverride
 	for _, w := range r.WorkerOverrides {
@@ -99,30 +99,30 @@
 	return out
 }
 
-// Contradictions is what Contradiction finds.
+// Contradictions is the result of Contradiction.
 type Contradictions struct {
 	Found
-	Longest float64 // ms for which two gatekeepers acted on contradicting versions
-	Of      []Event // with which these two began
-	Lag     float64 // ms by which a submission came after its gatekeeper had left the version that it names
-	Spans   int     // for which a gatekeeper went by one version in one mode
-	Unnamed int     // submissions at workers that name no version, or no gatekeeper that can be found
+	Longest float64 // milliseconds for which two gateways acted on contradicting versions
+	Of      []Event // with which these two spans began
+	Lag     float64 // milliseconds by which an attempt came after its gateway had left the version that it names
+	Spans   int     // in which a gateway acted on one version in one mode
+	Unnamed int     // attempts at workers that name no version, or no gateway that can be found
 }
 
-// span is a time for which one gatekeeper goes by one stance.
+// span is a time for which one gateway acts on one stance.
 type span struct {
 	Stance
 	began    Event
-	from, to int64
-	used     int64 // when it has last sent by it for sure, 0: never
-	still    []int64
+	from, to int64   // nanoseconds
+	lastUse  int64   // when the gateway last sent by it for certain; 0: never
+	stalls   []int64 // start and end of each stall, in turn
 }
 
-// actor is one life of a process.
+// actor is one incarnation of a process.
 type actor struct {
-	spans   []*span
-	open    bool  // the last span goes on
-	stalled int64 // since when it stands still; 0: it does not
+	spans        []*span
+	open         bool  // the last span goes on
+	stalledSince int64 // nanoseconds; 0: not stalled
 }
 
 // leave ends the open span.
@@ -133,17 +133,17 @@
 	}
 }
 
-// stage is the actors on the way through a record.
-type stage struct {
+// contradictionCheck is the state of Contradiction on its way through a record.
+type contradictionCheck struct {
 	*Contradictions
-	step   float64
-	lives  lives
-	actors map[life]*actor
-	order  []*actor
-	sender map[arrival]life // by what was sent to whom; its serial is not asked for
+	step         float64
+	incarnations incarnations
+	actors       map[incarnation]*actor
+	order        []*actor
+	sender       map[arrival]incarnation // by what was sent to whom; its serial is not asked for
 }
 
-func (p *stage) actor(l life) *actor {
+func (p *contradictionCheck) actor(l incarnation) *actor {
 	a := p.actors[l]
 	if a == nil {
 		a = &actor{}
@@ -163,19 +163,20 @@
 // more than step after it: then all of the time counts.
 func Contradiction(r Record, clash Clash, bound, step float64) Contradictions {
 	var c Contradictions
-	p := &stage{&c, step, livesOf(r), map[life]*actor{}, nil, map[arrival]life{}}
+	p := &contradictionCheck{&c, step, incarnationsOf(r), map[incarnation]*actor{}, nil,
+		map[arrival]incarnation{}}
 	for _, e := range r.Events {
 		p.event(e)
 	}
 	var all []*span
 	for _, a := range p.order {
-		if a.open && a.stalled > 0 {
+		if a.open && a.stalledSince > 0 {
 			s := a.spans[len(a.spans)-1]
-			s.still = append(s.still, a.stalled, r.end())
+			s.stalls = append(s.stalls, a.stalledSince, r.end())
 		}
 		a.leave(r.end())
 		for _, s := range a.spans {
-			s.trim(ns(step))
+			s.trim(nanos(step))
 			all = append(all, s)
 		}
 	}
@@ -183,8 +184,8 @@
 	return c
 }
 
-func (p *stage) event(e Event) {
-	here := life{e.Who, e.Life}
+func (p *contradictionCheck) event(e Event) {
+	here := incarnation{e.Who, e.Life}
 	a := p.actor(here)
 	switch e.Kind {
 	case Acts:
@@ -195,44 +196,44 @@
 			a.spans, a.open = append(a.spans, &span{Stance: s, began: e, from: e.At}), true
 		}
 	case Died:
-		d := p.actor(p.lives.of(e.Peer, e.PeerLife, e.At))
+		d := p.actor(p.incarnations.resolve(e.Peer, e.PeerLife, e.At))
 		d.leave(e.At)
-		d.stalled = 0
+		d.stalledSince = 0
 	case Stalls:
-		p.actor(p.lives.of(e.Peer, e.PeerLife, e.At)).stalled = e.At
+		p.actor(p.incarnations.resolve(e.Peer, e.PeerLife, e.At)).stalledSince = e.At
 	case Wakes:
-		if w := p.actor(p.lives.of(e.Peer, e.PeerLife, e.At)); w.stalled > 0 {
+		if w := p.actor(p.incarnations.resolve(e.Peer, e.PeerLife, e.At)); w.stalledSince > 0 {
 			if w.open {
 				s := w.spans[len(w.spans)-1]
-				s.still = append(s.still, w.stalled, e.At)
+				s.stalls = append(s.stalls, w.stalledSince, e.At)
 			}
-			w.stalled = 0
+			w.stalledSince = 0
 		}
 	case Sends:
 		p.sender[arrival{txn: e.Txn, worker: e.Worker}] = here
-		p.sent([]life{here}, e, 0)
+		p.sent([]incarnation{here}, e, 0)
 	case Got:
-		from := []life{{e.Peer, e.PeerLife}}
+		from := []incarnation{{e.Peer, e.PeerLife}}
 		if e.Peer == "" {
 			from[0] = p.sender[arrival{txn: e.Txn, worker: worker(e)}]
 		} else if e.PeerLife == 0 {
-			from = p.lives.by[e.Peer]
+			from = p.incarnations.byProcess[e.Peer]
 		}
-		if e.Version == 0 || e.Peer == "" && from[0].who == "" {
+		if e.Version == 0 || e.Peer == "" && from[0].process == "" {
 			p.Seen++
 			p.Unnamed++
 		} else {
 			p.sent(from, e, p.step)
 		}
 	}
-	if p.lives.over(here, e.At) {
+	if p.incarnations.endsAt(here, e.At) {
 		a.leave(e.At)
 	}
 }
 
 // sent holds one submission against what its gatekeeper, in one of some lives, goes by. late is by how many
 // ms the line may be later than what it speaks of.
-func (p *stage) sent(from []life, e Event, late float64) {
+func (p *contradictionCheck) sent(from []incarnation, e Event, late float64) {
 	if p.Seen++; e.Version == 0 {
 		return
 	}
@@ -257,16 +258,16 @@
 		}
 	}
 	if s == nil {
-		p.broken(e.At, []Event{e}, "%s names version %d, and its gatekeeper has not acted on it", e.Who,
+		p.violate(e.At, []Event{e}, "%s names version %d, and its gatekeeper has not acted on it", e.Who,
 			e.Version)
 		return
 	}
-	if s.used = max(s.used, e.At-ns(late)); goes {
+	if s.lastUse = max(s.lastUse, e.At-nanos(late)); goes {
 		return
 	}
-	lag := ms(e.At - s.to)
+	lag := millis(e.At - s.to)
 	if p.Lag = max(p.Lag, lag); lag > p.step {
-		p.broken(e.At, []Event{s.began, e}, "%s names version %d %.3f ms after %s has left it, step is %v ms",
+		p.violate(e.At, []Event{s.began, e}, "%s names version %d %.3f ms after %s has left it, step is %v ms",
 			e.Who, e.Version, lag, s.began.Who, p.step)
 	}
 }
@@ -274,13 +275,47 @@
 // trim sets the end of a span to where its gatekeeper has stopped acting on it.
 func (s *span) trim(step int64) {
 	end := s.to
-	for i := len(s.still) - 2; i >= 0; i -= 2 {
-		if s.used > s.still[i+1] || end-s.still[i+1] > step {
+	for i := len(s.stalls) - 2; i >= 0; i -= 2 {
+		if s.lastUse > s.stalls[i+1] || end-s.stalls[i+1] > step {
 			break
 		}
-		end = s.still[i]
+		end = s.stalls[i]
+	}
+	s.to = max(end, s.lastUse)
+}
+
+// memoized returns clash for stances in either order, which asks for each pair once.
+func memoized(clash Clash) func(a, b Stance) bool {
+	known := map[[2]Stance]bool{}
+	return func(first, second Stance) bool {
+		if first.Version > second.Version || first.Version == second.Version && first.Mode > second.Mode {
+			first, second = second, first
+		}
+		pair := [2]Stance{first, second}
+		contradict, found := known[pair]
+		if !found {
+			contradict = clash(first, second)
+			known[pair] = contradict
+		}
+		return contradict
+	}
+}
+
+// overlap records for how long two contradicting spans overlap, s being the one that began last, and a
+// violation where that is longer than bound milliseconds. Spans of one incarnation do not contradict.
+func (c *Contradictions) overlap(earlier, s *span, bound float64) {
+	if earlier.began.Who == s.began.Who && earlier.began.Life == s.began.Life {
+		return
+	}
+	duration := millis(min(earlier.to, s.to) - s.from)
+	if duration > c.Longest {
+		c.Longest, c.Of = duration, []Event{earlier.began, s.began}
+	}
+	if duration > bound {
+		c.violate(s.from, []Event{earlier.began, s.began},
+			"%s by version %d (%s) and %s by %d (%s) contradict each other for %.3f ms, bound is %v ms",
+			earlier.began.Who, earlier.Version, earlier.Mode, s.began.Who, s.Version, s.Mode, duration, bound)
 	}
-	s.to = max(end, s.used)
 }
 
 // overlaps finds spans of two gatekeepers that contradict each other.
@@ -292,40 +327,15 @@
 	c.Spans = len(all)
 	at := map[Stance][]*span{} // those not known to have ended
 	var stances []Stance       // in the order of their first
-	clashes := map[[2]Stance]bool{}
+	contradict := memoized(clash)
 	for _, s := range all {
 		for _, o := range stances {
-			if o == s.Stance {
-				continue
-			}
-			first, second := o, s.Stance
-			if first.Version > second.Version || first.Version == second.Version && first.Mode > second.Mode {
-				first, second = second, first
-			}
-			pair := [2]Stance{first, second}
-			yes, known := clashes[pair]
-			if !known {
-				yes = clash(first, second)
-				clashes[pair] = yes
-			}
-			if !yes {
+			if o == s.Stance || !contradict(o, s.Stance) {
 				continue
 			}
-			spans := slices.DeleteFunc(at[o], func(o *span) bool { return o.to <= s.from })
-			at[o] = spans
-			for _, o := range spans {
-				if o.began.Who == s.began.Who && o.began.Life == s.began.Life {
-					continue
-				}
-				long := ms(min(o.to, s.to) - s.from)
-				if long > c.Longest {
-					c.Longest, c.Of = long, []Event{o.began, s.began}
-				}
-				if long > bound {
-					c.broken(s.from, []Event{o.began, s.began},
-						"%s by version %d (%s) and %s by %d (%s) contradict each other for %.3f ms, bound is %v ms",
-						o.began.Who, o.Version, o.Mode, s.began.Who, s.Version, s.Mode, long, bound)
-				}
+			at[o] = slices.DeleteFunc(at[o], func(o *span) bool { return o.to <= s.from })
+			for _, earlier := range at[o] {
+				c.overlap(earlier, s, bound)
 			}
 		}
 		if at[s.Stance] == nil {
--- a/internal/testkit/history/event.go
+++ b/internal/testkit/history/event.go
@@ -1,5 +1,3 @@
-// Package history is what processes write down while they run, and the checks that are made of it afterwards.
-// Each process, stand-in and client has a record of its own; checks run over all of them, merged by time.
 package history
 
 // Kind tells what an Event speaks of.
--- a/internal/testkit/history/ledger.go
+++ b/internal/testkit/history/ledger.go
@@ -9,7 +9,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Ledgered is what Ledger finds.
+// Ledgered is the result of Ledger.
 type Ledgered struct {
 	Found
 	Most       float64 // part of its line that a customer had outstanding at once
@@ -19,10 +19,10 @@
 	WrittenOff float64 // units of debt whose gatekeeper was gone until its time had run out
 }
 
-// crumb is how far sums of units may be off, by rounding.
-const crumb = 1e-6
+// unitTolerance bounds the rounding error of sums of units.
+const unitTolerance = 1e-6
 
-// loan is what a gatekeeper has lent a customer at once, and how much of it is open.
+// loan is one loan of a gateway to a customer, and how many units of it are outstanding.
 type loan struct {
 	event Event
 	left  float64
@@ -30,35 +30,35 @@
 
 // account is a customer's.
 type account struct {
-	rights map[string]float64 // by gatekeeper
-	loans  map[string][]loan  // by gatekeeper that lent, the oldest first
-	held   float64            // sum of rights
-	flight float64            // rights handed on and not taken
-	owed   float64
+	rights    map[string]float64 // by gatekeeper
+	loans     map[string][]loan  // by gatekeeper that lent, the oldest first
+	rightsSum float64            // sum of rights
+	inTransit float64            // rights handed on and not taken
+	owed      float64
 }
 
 // handed names one handing on of a right.
 type handed struct {
-	from     life
+	from     incarnation
 	to       string
 	customer uint64
 	serial   uint64
 }
 
-// ledger is the books of one record.
+// ledger is the state of Ledger on its way through a record.
 type ledger struct {
 	Ledgered
-	line     func(Event) float64
-	allowed  int64 // ns from a loan until it is late
-	slack    int64 // ns
-	accounts map[uint64]*account
-	hands    map[handed]Event  // a Takes in place of its Hands, once it is taken
-	lastLife map[handed]uint32 // of who handed on, with that serial
-	paid     map[handed]Event
-	lives    map[string]uint32
-	gone     map[string]int64 // since when
-	still    map[string]bool
-	grace    map[string]int64 // nothing of a gatekeeper is late before
+	line      func(Event) float64
+	allowed   int64 // ns from a loan until it is late
+	slack     int64 // ns
+	accounts  map[uint64]*account
+	hands     map[handed]Event  // a Takes in place of its Hands, once it is taken
+	lastLife  map[handed]uint32 // of who handed on, with that serial
+	paid      map[handed]Event
+	current   map[string]uint32 // incarnation by process
+	downSince map[string]int64  // nanoseconds
+	stalled   map[string]bool
+	grace     map[string]int64 // nothing of a gatekeeper is late before
 }
 
 // Ledger checks what is lent to customers, within line units of each, which is asked for the event at hand
@@ -80,13 +80,14 @@
 // if it is gone for longer than that, both are nought from then on, and it begins by a Holds. One that
 // stood still has slack from when it goes on.
 func Ledger(r Record, line func(Event) float64, repay, slack float64) Ledgered {
-	l := &ledger{line: line, allowed: ns(repay + slack), slack: ns(slack), accounts: map[uint64]*account{},
+	l := &ledger{line: line, allowed: nanos(repay + slack), slack: nanos(slack), accounts: map[uint64]*account{},
 		hands: map[handed]Event{}, lastLife: map[handed]uint32{}, paid: map[handed]Event{},
-		lives: map[string]uint32{}, gone: map[string]int64{}, still: map[string]bool{}, grace: map[string]int64{}}
+		current: map[string]uint32{}, downSince: map[string]int64{}, stalled: map[string]bool{},
+		grace: map[string]int64{}}
 	for _, e := range r.Events {
 		l.expire(e.At)
-		if _, known := l.lives[e.Who]; !known {
-			l.lives[e.Who] = e.Life
+		if _, known := l.current[e.Who]; !known {
+			l.current[e.Who] = e.Life
 		}
 		switch e.Kind {
 		case Began, Gone, Died, Stalls, Wakes:
@@ -98,10 +99,10 @@
 	for _, customer := range slices.Sorted(maps.Keys(l.accounts)) {
 		a := l.accounts[customer]
 		l.Owed += a.owed
-		l.OnTheWay += a.flight
+		l.OnTheWay += a.inTransit
 		for _, who := range slices.Sorted(maps.Keys(a.loans)) {
-			_, away := l.gone[who]
-			if open := a.loans[who]; !away && !l.still[who] && len(open) > 0 && l.due(open[0], who) < r.end() {
+			_, away := l.downSince[who]
+			if open := a.loans[who]; !away && !l.stalled[who] && len(open) > 0 && l.due(open[0], who) < r.end() {
 				l.late(r.end(), []Event{open[0].event}, open[0], "not repaid by the record's end")
 			}
 		}
@@ -117,12 +118,12 @@
 
 // expire writes off what those have that are gone for too long.
 func (l *ledger) expire(at int64) {
-	for who, since := range l.gone {
+	for who, since := range l.downSince {
 		if at > since+l.allowed {
 			for _, a := range l.accounts {
 				l.WrittenOff += a.writeOff(who)
 			}
-			l.gone[who] = never - l.allowed
+			l.downSince[who] = never - l.allowed
 		}
 	}
 }
@@ -131,26 +132,26 @@
 func (l *ledger) lifetime(e Event) {
 	switch e.Kind {
 	case Began:
-		if l.lives[e.Who] != e.Life {
+		if l.current[e.Who] != e.Life {
 			l.grace[e.Who] = e.At + l.allowed
 		}
-		l.lives[e.Who] = e.Life
-		delete(l.gone, e.Who)
-		delete(l.still, e.Who)
+		l.current[e.Who] = e.Life
+		delete(l.downSince, e.Who)
+		delete(l.stalled, e.Who)
 	case Gone:
-		if l.lives[e.Who] == e.Life { // else its successor speaks for it
-			l.gone[e.Who] = e.At
+		if l.current[e.Who] == e.Life { // else its successor speaks for it
+			l.downSince[e.Who] = e.At
 		}
 	case Died:
-		if e.PeerLife == 0 || l.lives[e.Peer] == e.PeerLife {
-			l.gone[e.Peer] = e.At
+		if e.PeerLife == 0 || l.current[e.Peer] == e.PeerLife {
+			l.downSince[e.Peer] = e.At
 		}
 	case Stalls:
-		l.still[e.Peer] = true
+		l.stalled[e.Peer] = true
 	case Wakes:
-		if l.still[e.Peer] {
+		if l.stalled[e.Peer] {
 			l.grace[e.Peer] = max(l.grace[e.Peer], e.At+l.slack)
-			delete(l.still, e.Peer)
+			delete(l.stalled, e.Peer)
 		}
 	}
 }
@@ -164,27 +165,27 @@
 		l.accounts[e.Customer] = a
 	}
 	if e.Units < 0 || e.Units == 0 && e.Kind != Holds {
-		l.broken(e.At, []Event{e}, "%v units", e.Units)
+		l.violate(e.At, []Event{e}, "%v units", e.Units)
 		return
 	}
 	switch e.Kind {
 	case Holds:
 		was := a.rights[e.Who]
 		a.right(e.Who, e.Units-was)
-		if sum := a.held + a.flight + a.owed; e.Units > was+crumb && sum > l.line(e)+crumb {
-			l.broken(e.At, []Event{e},
+		if sum := a.rightsSum + a.inTransit + a.owed; e.Units > was+unitTolerance && sum > l.line(e)+unitTolerance {
+			l.violate(e.At, []Event{e},
 				"customer %d: %.6g units of rights, %.6g on the way and %.6g outstanding are over the line of %.6g",
-				e.Customer, a.held, a.flight, a.owed, l.line(e))
+				e.Customer, a.rightsSum, a.inTransit, a.owed, l.line(e))
 		}
 	case Hands:
 		l.spend(a, e, "hands on")
-		a.flight += e.Units
-		h := handed{life{e.Who, e.Life}, e.Peer, e.Customer, e.Serial}
+		a.inTransit += e.Units
+		h := handed{incarnation{e.Who, e.Life}, e.Peer, e.Customer, e.Serial}
 		if o, again := l.hands[h]; again {
-			l.broken(e.At, []Event{o, e}, "a right is handed on again with the same serial")
+			l.violate(e.At, []Event{o, e}, "a right is handed on again with the same serial")
 		}
 		l.hands[h] = e
-		h.from.num = 0
+		h.from.number = 0
 		l.lastLife[h] = e.Life
 	case Takes:
 		l.takes(a, e)
@@ -196,23 +197,23 @@
 }
 
 func (l *ledger) takes(a *account, e Event) {
-	h := handed{life{e.Peer, 0}, e.Who, e.Customer, e.Serial}
-	if h.from.num = e.PeerLife; e.PeerLife == 0 {
-		h.from.num = l.lastLife[h]
+	h := handed{incarnation{e.Peer, 0}, e.Who, e.Customer, e.Serial}
+	if h.from.number = e.PeerLife; e.PeerLife == 0 {
+		h.from.number = l.lastLife[h]
 	}
 	a.right(e.Who, e.Units)
 	o, there := l.hands[h]
 	switch {
 	case !there:
-		l.broken(e.At, []Event{e}, "%s takes a right that %s has not handed on", e.Who, e.Peer)
+		l.violate(e.At, []Event{e}, "%s takes a right that %s has not handed on", e.Who, e.Peer)
 		return
 	case o.Kind == Takes:
-		l.broken(e.At, []Event{o, e}, "%s takes a right of %s again", e.Who, e.Peer)
+		l.violate(e.At, []Event{o, e}, "%s takes a right of %s again", e.Who, e.Peer)
 		return
 	case o.Units != e.Units:
-		l.broken(e.At, []Event{o, e}, "%s takes %v units of a right to %v", e.Who, e.Units, o.Units)
+		l.violate(e.At, []Event{o, e}, "%s takes %v units of a right to %v", e.Who, e.Units, o.Units)
 	}
-	a.flight -= o.Units
+	a.inTransit -= o.Units
 	l.hands[h] = e
 }
 
@@ -226,8 +227,8 @@
 	a.owed += e.Units
 	l.Drawn += e.Units
 	most := l.line(e)
-	if a.owed > most+crumb {
-		l.broken(e.At, []Event{e}, "customer %d has %.6g units outstanding, over the line of %.6g", e.Customer,
+	if a.owed > most+unitTolerance {
+		l.violate(e.At, []Event{e}, "customer %d has %.6g units outstanding, over the line of %.6g", e.Customer,
 			a.owed, most)
 	}
 	if most > 0 {
@@ -238,28 +239,28 @@
 func (l *ledger) repays(a *account, e Event) {
 	lender := lender(e)
 	if e.Serial != 0 {
-		h := handed{life{e.Who, e.Life}, lender, e.Customer, e.Serial}
+		h := handed{incarnation{e.Who, e.Life}, lender, e.Customer, e.Serial}
 		if o, again := l.paid[h]; again {
-			l.broken(e.At, []Event{o, e}, "the same repayment again")
+			l.violate(e.At, []Event{o, e}, "the same repayment again")
 		}
 		l.paid[h] = e
 	}
 	left := e.Units
-	for left > crumb && len(a.loans[lender]) > 0 {
+	for left > unitTolerance && len(a.loans[lender]) > 0 {
 		o := &a.loans[lender][0]
-		if e.At-ns(e.Age) > l.due(*o, lender) {
+		if e.At-nanos(e.Age) > l.due(*o, lender) {
 			l.late(e.At, []Event{o.event, e}, *o, "repaid late")
 		}
 		part := min(left, o.left)
 		left, o.left = left-part, o.left-part
 		a.owed -= part
 		a.right(lender, part)
-		if o.left <= crumb {
+		if o.left <= unitTolerance {
 			a.loans[lender] = a.loans[lender][1:]
 		}
 	}
-	if left > crumb {
-		l.broken(e.At, []Event{e}, "%.6g units are repaid to %s, of whose loans %.6g are outstanding", e.Units,
+	if left > unitTolerance {
+		l.violate(e.At, []Event{e}, "%.6g units are repaid to %s, of whose loans %.6g are outstanding", e.Units,
 			lender, e.Units-left)
 	}
 }
@@ -268,7 +269,7 @@
 func lender(e Event) string { return cmp.Or(e.Peer, e.Who) }
 
 func (l *ledger) late(at int64, rests []Event, o loan, says string) {
-	l.broken(at, rests, "customer %d: of %.6g units lent by %s, %.6g are %s", o.event.Customer, o.event.Units,
+	l.violate(at, rests, "customer %d: of %.6g units lent by %s, %.6g are %s", o.event.Customer, o.event.Units,
 		o.event.Who, o.left, says)
 }
 
@@ -276,8 +277,8 @@
 func (l *ledger) spend(a *account, e Event, does string) {
 	had := a.rights[e.Who]
 	a.right(e.Who, -e.Units)
-	if a.rights[e.Who] < -crumb {
-		l.broken(e.At, []Event{e}, "%s %s %.6g units of customer %d with a right to %.6g", e.Who, does, e.Units,
+	if a.rights[e.Who] < -unitTolerance {
+		l.violate(e.At, []Event{e}, "%s %s %.6g units of customer %d with a right to %.6g", e.Who, does, e.Units,
 			e.Customer, had)
 		a.right(e.Who, -a.rights[e.Who])
 	}
@@ -286,7 +287,7 @@
 // right changes what a gatekeeper has a right to.
 func (a *account) right(who string, units float64) {
 	a.rights[who] += units
-	a.held += units
+	a.rightsSum += units
 }
 
 // writeOff forgets the rights and loans of one that is gone, and gives what was owed.
@@ -300,7 +301,7 @@
 	return owed
 }
 
-const mostEntries = 200 // of one customer that are given to porcupine
+const maxEntries = 200 // of one customer that are given to porcupine
 
 // LedgerOrder checks the same ledger as a linearizable object, a customer at a time, by porcupine, for
 // short histories: each entry may take effect at any moment from its line to step ms after it, so that it
@@ -312,16 +313,17 @@
 		switch e.Kind {
 		case Holds, Hands, Takes, Lends, Repays:
 			f.Seen++
-			by[e.Customer] = append(by[e.Customer], porcupine.Operation{Input: e, Call: e.At, Return: e.At + ns(step)})
+			by[e.Customer] = append(by[e.Customer], porcupine.Operation{Input: e, Call: e.At,
+				Return: e.At + nanos(step)})
 		}
 	}
 	for customer, ops := range by {
-		if len(ops) > mostEntries {
+		if len(ops) > maxEntries {
 			continue
 		}
 		checked++
-		if porcupine.CheckOperationsTimeout(bounded(line), ops, mostChecking) == porcupine.Illegal {
-			f.broken(ops[0].Call, []Event{ops[0].Input.(Event), ops[len(ops)-1].Input.(Event)},
+		if porcupine.CheckOperationsTimeout(bounded(line), ops, porcupineTimeout) == porcupine.Illegal {
+			f.violate(ops[0].Call, []Event{ops[0].Input.(Event), ops[len(ops)-1].Input.(Event)},
 				"porcupine finds no order of customer %d's %d entries", customer, len(ops))
 		}
 	}
@@ -336,17 +338,17 @@
 
 // bounded is the ledger as a sequential object.
 func bounded(line func(Event) float64) porcupine.Model {
-	near := func(a, b float64) bool { return a-b < crumb && b-a < crumb }
+	near := func(a, b float64) bool { return a-b < unitTolerance && b-a < unitTolerance }
 	return porcupine.Model{
 		Init: func() any { return tally{map[string]float64{}, map[string]float64{}, map[handed]float64{}} },
 		Step: func(state, input, _ any) (bool, any) {
 			t, e := state.(tally), input.(Event)
 			t = tally{maps.Clone(t.rights), maps.Clone(t.loans), maps.Clone(t.flight)}
-			h := handed{life{e.Who, e.Life}, e.Peer, e.Customer, e.Serial}
+			h := handed{incarnation{e.Who, e.Life}, e.Peer, e.Customer, e.Serial}
 			raised := false
 			switch e.Kind {
 			case Holds:
-				raised = e.Units > t.rights[e.Who]+crumb
+				raised = e.Units > t.rights[e.Who]+unitTolerance
 				t.rights[e.Who] = e.Units
 			case Hands:
 				t.rights[e.Who] -= e.Units
@@ -355,7 +357,7 @@
 				}
 				t.flight[h] = e.Units
 			case Takes:
-				h = handed{life{e.Peer, e.PeerLife}, e.Who, e.Customer, e.Serial}
+				h = handed{incarnation{e.Peer, e.PeerLife}, e.Who, e.Customer, e.Serial}
 				if units, there := t.flight[h]; !there || units != e.Units {
 					return false, t
 				}
@@ -368,11 +370,11 @@
 			case Repays:
 				by := lender(e)
 				t.rights[by] += e.Units
-				if t.loans[by] -= e.Units; t.loans[by] < -crumb {
+				if t.loans[by] -= e.Units; t.loans[by] < -unitTolerance {
 					return false, t
 				}
 			}
-			if t.rights[e.Who] < -crumb {
+			if t.rights[e.Who] < -unitTolerance {
 				return false, t
 			}
 			sum := 0.0
@@ -387,7 +389,7 @@
 					sum += u
 				}
 			}
-			return !raised || sum <= line(e)+crumb, t
+			return !raised || sum <= line(e)+unitTolerance, t
 		},
 		Equal: func(a, b any) bool {
 			x, y := a.(tally), b.(tally)
--- a/internal/testkit/history/log.go
+++ b/internal/testkit/history/log.go
@@ -84,7 +84,7 @@
 			err = io.ErrShortWrite
 		}
 		if err != nil { // only a line's end may be missing, or all of it: then nothing is torn that was not
-			l.torn = done > 0 && done < len(b) && !(l.torn && done == 1 && b[0] == '\n')
+			l.torn = done > 0 && done < len(b) && (!l.torn || done != 1 || b[0] != '\n')
 			l.fault = err
 			return len(b), nil // told by Write
 		}
--- a/internal/testkit/history/log_test.go
+++ b/internal/testkit/history/log_test.go
@@ -15,6 +15,7 @@
 
 // full is an event in which each field says something.
 func full(t *testing.T) Event {
+	t.Helper()
 	e := Event{Kind: Got}
 	v := reflect.ValueOf(&e).Elem()
 	for i := range v.NumField() {
--- a/internal/testkit/history/read.go
+++ b/internal/testkit/history/read.go
@@ -36,10 +36,10 @@
 	return Record{Events: events}
 }
 
-// life names one life of one process.
-type life struct {
-	who string
-	num uint32
+// incarnation names one run of one process.
+type incarnation struct {
+	process string
+	number  uint32
 }
 
 // Read reads all the records in a directory (files that end in .jsonl) and merges them. A line without its
@@ -56,7 +56,7 @@
 	}
 	slices.Sort(paths)
 	var events []Event
-	torn, in := 0, map[life]string{}
+	torn, in := 0, map[incarnation]string{}
 	for _, p := range paths {
 		b, err := os.ReadFile(p)
 		if err != nil {
@@ -74,11 +74,11 @@
 }
 
 // readFile appends the events of one file.
-func readFile(to []Event, b []byte, path string, in map[life]string) ([]Event, int, error) {
+func readFile(to []Event, b []byte, path string, in map[incarnation]string) ([]Event, int, error) {
 	lines := bytes.Split(b, []byte{'\n'})
 	whole := len(lines) - 1 // what follows the last line's end is empty or torn
 	torn, tornAt, tornErr := 0, 0, error(nil)
-	var now life
+	var now incarnation
 	var last Event
 	for i, line := range lines {
 		if i == whole && len(line) == 0 {
@@ -103,7 +103,7 @@
 			tornAt, tornErr = i, wrong("cut short, and not the last of its life: %w", err)
 			continue
 		}
-		here := life{e.Who, e.Life}
+		here := incarnation{e.Who, e.Life}
 		if tornErr != nil {
 			if i != tornAt+1 || here == now || e.Seq != 1 {
 				return nil, 0, tornErr
--- a/internal/testkit/history/replay.go
+++ b/internal/testkit/history/replay.go
@@ -7,42 +7,42 @@
 	"willowdeck/internal/testkit/invariants"
 )
 
-// Cast names those whom invariants.Rules number: the place of a name is its number there.
+// Cast names what invariants.Rules numbers: the index of a name is its number there.
 type Cast struct {
 	Gatekeepers, Workers, Products, Plans []string
 }
 
-// Judged is what Judge finds.
+// Judged is the result of Judge.
 type Judged struct {
 	Found
-	Rules  [6]int   // breaks by rule; a rule's place is its number
-	Unsaid int      // submissions of whose end no record speaks: each counts as one that may have run
-	Odd    []string // the first events that judge cannot be told of, and why
+	Rules  [6]int   // violations by rule; the index is the rule's number
+	Unsaid int      // attempts whose end no record has: each counts as one that may have run
+	Odd    []string // the first events that cannot be replayed, and why
 	OddOf  int      // how many there were
 }
 
-// replay is one record on its way into judge.
+// replay is the state of Judge on its way through a record.
 type replay struct {
 	*Judged
-	j       *invariants.Checker
-	numbers [4]map[string]int
-	txns    map[string]*asked
-	first   int64
-	by      []*asked // by judge's number, from 1
-	lives   lives
-	came    map[arrival]bool
-	starts  map[int]float64 // of workers
+	checker      *invariants.Checker
+	numbers      [4]map[string]int
+	byTxn        map[string]*request
+	first        int64
+	requests     []*request // by the checker's number, from 1
+	incarnations incarnations
+	arrivals     map[arrival]bool
+	starts       map[int]float64 // of workers
 }
 
-// asked is a txn that a client has asked for.
-type asked struct {
-	id    uint64
-	subs  []submitted
-	rests []Event
+// request is a request that a client has sent.
+type request struct {
+	id       uint64
+	attempts []attempt
+	evidence []Event
 }
 
-// submitted is one submission.
-type submitted struct {
+// attempt is one attempt of a request.
+type attempt struct {
 	gatekeeper, worker string
 	serial             uint64
 	ended              bool
@@ -60,7 +60,7 @@
 // so a Back of a gatekeeper that says NeverRan is believed unless a worker's record has the submission.
 func Judge(r Record, cast Cast, rules invariants.Rules) Judged {
 	var out Judged
-	p := &replay{Judged: &out, j: invariants.New(rules), txns: map[string]*asked{},
+	p := &replay{Judged: &out, checker: invariants.New(rules), byTxn: map[string]*request{},
 		starts: map[int]float64{}}
 	for i, names := range [][]string{cast.Gatekeepers, cast.Workers, cast.Products, cast.Plans} {
 		p.numbers[i] = map[string]int{}
@@ -71,27 +71,27 @@
 	if len(r.Events) > 0 {
 		p.first = r.Events[0].At
 	}
-	p.lives, p.came = livesOf(r), arrivals(r)
+	p.incarnations, p.arrivals = incarnationsOf(r), arrivals(r)
 	for _, e := range r.Events {
 		p.event(e)
-		p.deaths(e)
+		p.crashes(e)
 	}
-	p.j.Close(ms(r.end()-p.first) + 1)
-	breaks, counts := p.j.Violations()
+	p.checker.Close(millis(r.end()-p.first) + 1)
+	breaks, counts := p.checker.Violations()
 	out.Rules = counts
 	for _, n := range counts {
 		out.Count += n
 	}
 	for _, b := range breaks {
-		k := Break{At: p.first + ns(b.At), Says: b.String()}
-		if b.Txn > 0 && b.Txn <= uint64(len(p.by)) {
-			k.Rests = slices.Clone(p.by[b.Txn-1].rests)
+		k := Break{At: p.first + nanos(b.At), Says: b.String()}
+		if b.Txn > 0 && b.Txn <= uint64(len(p.requests)) {
+			k.Rests = slices.Clone(p.requests[b.Txn-1].evidence)
 			k.Says = fmt.Sprintf("%s (%s)", k.Says, k.Rests[0].Txn)
 		}
 		out.Breaks = append(out.Breaks, k)
 	}
-	for _, t := range p.by {
-		for _, s := range t.subs {
+	for _, t := range p.requests {
+		for _, s := range t.attempts {
 			if !s.ended {
 				out.Unsaid++
 			}
@@ -133,42 +133,44 @@
 
 var castNames = [...]string{"gatekeeper", "worker", "product", "plan"}
 
-// number gives what judge calls one of the cast; one that is not in it is odd.
+// number returns the number of a name in the cast; an event that names another cannot be replayed.
 func (p *replay) number(of int, name string, e Event) (int, bool) {
 	n, known := p.numbers[of][name]
 	if !known {
-		p.odd(e, "no "+castNames[of]+" "+name+" in the cast")
+		p.unreplayable(e, "no "+castNames[of]+" "+name+" in the cast")
 	}
 	return n, known
 }
 
-func (p *replay) odd(e Event, why string) {
-	if p.OddOf++; len(p.Odd) < mostKept {
+// unreplayable records an event that the checker cannot be given.
+func (p *replay) unreplayable(e Event, why string) {
+	if p.OddOf++; len(p.Odd) < maxViolations {
 		p.Odd = append(p.Odd, why+": "+e.String())
 	}
 }
 
+// event replays one event.
 func (p *replay) event(e Event) {
-	at := ms(e.At - p.first)
-	t := p.txns[e.Txn]
+	at := millis(e.At - p.first)
+	t := p.byTxn[e.Txn]
 	switch e.Kind {
 	case Began:
 		if n, is := p.numbers[workers][e.Who]; is {
-			p.j.WorkerStarted(at, n)
+			p.checker.WorkerStarted(at, n)
 			p.starts[n] = at
 		}
 		return
 	case Told:
 		g, is := p.number(gatekeepers, e.Who, e)
 		if w, too := p.number(workers, e.Worker, e); is && too {
-			p.j.AvailabilityNotified(at, g, w, e.Mode == Active)
+			p.checker.AvailabilityNotified(at, g, w, e.Mode == Active)
 			if since, cold := p.starts[w]; cold && e.Mode == Active {
-				p.j.StartNotified(g, w, since)
+				p.checker.StartNotified(g, w, since)
 			}
 		}
 		return
 	case Asks:
-		p.asks(at, e, t)
+		p.requested(at, e, t)
 		return
 	case Sends, Ran, Back, Ends:
 	default:
@@ -177,70 +179,80 @@
 	p.Seen++
 	if t == nil {
 		if e.Kind != Ends {
-			p.odd(e, "nobody has asked for the txn")
+			p.unreplayable(e, "nobody has asked for the txn")
 		}
 		return
 	}
-	t.rests = append(t.rests, e)
+	t.evidence = append(t.evidence, e)
 	switch e.Kind {
 	case Sends:
-		g, is := p.number(gatekeepers, e.Who, e)
-		w, too := p.number(workers, e.Worker, e)
-		if !is || !too {
-			return
-		}
-		p.j.AttemptSent(at, g, t.id, w)
-		t.subs = append(t.subs, submitted{e.Who, e.Worker, e.Serial, false})
+		p.sent(at, e, t)
 	case Ran:
-		if n := t.sub(worker(e), e.Serial); n < 0 {
-			p.odd(e, "no gatekeeper has sent it")
+		if n := t.attempt(worker(e), e.Serial); n < 0 {
+			p.unreplayable(e, "no gatekeeper has sent it")
 		} else {
-			p.j.AttemptRan(at, t.id, n)
+			p.checker.AttemptRan(at, t.id, n)
 		}
 	case Back:
-		p.back(at, e, t)
+		p.attemptEnded(at, e, t)
 	case Ends:
-		switch e.Says {
-		case Left:
-			p.j.ClientLeft(t.id)
-		case Settled:
-			p.j.RequestAnswered(at, t.id, invariants.Settled)
-		case Declined:
-			p.j.RequestAnswered(at, t.id, invariants.Declined)
-		case Voided:
-			p.j.RequestAnswered(at, t.id, invariants.Voided)
-		default:
-			p.odd(e, "no such answer")
-		}
+		p.answered(at, e, t)
+	}
+}
+
+// sent replays an attempt that a gateway sent.
+func (p *replay) sent(at float64, e Event, t *request) {
+	g, is := p.number(gatekeepers, e.Who, e)
+	w, too := p.number(workers, e.Worker, e)
+	if !is || !too {
+		return
+	}
+	p.checker.AttemptSent(at, g, t.id, w)
+	t.attempts = append(t.attempts, attempt{e.Who, e.Worker, e.Serial, false})
+}
+
+// answered replays a request's final answer, or that its client left.
+func (p *replay) answered(at float64, e Event, t *request) {
+	switch e.Says {
+	case Left:
+		p.checker.ClientLeft(t.id)
+	case Settled:
+		p.checker.RequestAnswered(at, t.id, invariants.Settled)
+	case Declined:
+		p.checker.RequestAnswered(at, t.id, invariants.Declined)
+	case Voided:
+		p.checker.RequestAnswered(at, t.id, invariants.Voided)
+	default:
+		p.unreplayable(e, "no such answer")
 	}
 }
 
-// deaths tells of gatekeepers that were killed: where the rig says so, else at the last line of a life that
+// crashes replays crashes of gateways: where the rig says so, else at the last line of a life that
 // has a successor and no Gone, and again, for what was asked for meanwhile, when that one begins.
-func (p *replay) deaths(e Event) {
-	here := life{e.Who, e.Life}
-	who, dead := e.Who, p.lives.over(here, e.At) && !p.lives.gone[here]
+func (p *replay) crashes(e Event) {
+	here := incarnation{e.Who, e.Life}
+	who, dead := e.Who, p.incarnations.endsAt(here, e.At) && !p.incarnations.exited[here]
 	switch e.Kind {
 	case Died:
 		who, dead = e.Peer, true
 	case Began:
-		for _, o := range p.lives.by[e.Who] {
+		for _, o := range p.incarnations.byProcess[e.Who] {
 			if o == here {
 				break
 			}
-			dead = p.lives.last[o] <= e.At && !p.lives.gone[o]
+			dead = p.incarnations.lastAt[o] <= e.At && !p.incarnations.exited[o]
 		}
 	}
 	if n, is := p.numbers[gatekeepers][who]; is && dead {
-		p.j.GatewayCrashed(n)
+		p.checker.GatewayCrashed(n)
 	}
 }
 
-// asks tells of a txn.
-func (p *replay) asks(at float64, e Event, t *asked) {
+// requested replays a request.
+func (p *replay) requested(at float64, e Event, t *request) {
 	p.Seen++
 	if t != nil {
-		p.odd(e, "the txn is asked for again")
+		p.unreplayable(e, "the txn is asked for again")
 		return
 	}
 	g, is := p.number(gatekeepers, e.Peer, e)
@@ -250,48 +262,48 @@
 		return
 	}
 	if e.Expiry == 0 {
-		p.odd(e, "no expiry")
+		p.unreplayable(e, "no expiry")
 		return
 	}
-	t = &asked{id: uint64(len(p.by)) + 1, rests: []Event{e}}
-	p.by = append(p.by, t)
-	p.txns[e.Txn] = t
-	p.j.RequestReceived(at, g, t.id, product, plan, int(e.Customer), e.Units, ms(e.Expiry-p.first))
+	t = &request{id: uint64(len(p.requests)) + 1, evidence: []Event{e}}
+	p.requests = append(p.requests, t)
+	p.byTxn[e.Txn] = t
+	p.checker.RequestReceived(at, g, t.id, product, plan, int(e.Customer), e.Units, millis(e.Expiry-p.first))
 }
 
-// sub finds the submission to a worker, the last of them where they have no serials.
-func (t *asked) sub(worker string, serial uint64) int {
-	for i := len(t.subs) - 1; i >= 0; i-- {
-		if s := t.subs[i]; s.worker == worker && s.serial == serial {
+// attempt returns the index of the attempt at a worker, the last one where they have no serials; -1 if none.
+func (t *request) attempt(worker string, serial uint64) int {
+	for i := len(t.attempts) - 1; i >= 0; i-- {
+		if s := t.attempts[i]; s.worker == worker && s.serial == serial {
 			return i
 		}
 	}
 	return -1
 }
 
-// back tells of the end of a submission.
-func (p *replay) back(at float64, e Event, t *asked) {
-	n := t.sub(worker(e), e.Serial)
+// attemptEnded replays the end of an attempt.
+func (p *replay) attemptEnded(at float64, e Event, t *request) {
+	n := t.attempt(worker(e), e.Serial)
 	if n < 0 {
-		p.odd(e, "no gatekeeper has sent it")
+		p.unreplayable(e, "no gatekeeper has sent it")
 		return
 	}
-	s := &t.subs[n]
+	s := &t.attempts[n]
 	byGatekeeper := e.Who == s.gatekeeper
 	end := invariants.MayHaveRun
 	switch {
-	case e.Says == NeverRan && (!byGatekeeper || !p.came[arrival{e.Txn, s.worker, e.Serial}]):
+	case e.Says == NeverRan && (!byGatekeeper || !p.arrivals[arrival{e.Txn, s.worker, e.Serial}]):
 		end = invariants.NeverRan
 	case e.Says == NeverRan, e.Says == MayRun:
 	case e.Says == Answered:
 		end = invariants.Answered
 	default:
-		p.odd(e, "no such end")
+		p.unreplayable(e, "no such end")
 		return
 	}
 	if s.ended && byGatekeeper { // the worker's own word stands
 		return
 	}
 	s.ended = true
-	p.j.AttemptEnded(at, t.id, n, end)
+	p.checker.AttemptEnded(at, t.id, n, end)
 }
--- a/internal/testkit/history/versions.go
+++ b/internal/testkit/history/versions.go
@@ -10,7 +10,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Versioned is what Versions finds.
+// Versioned is the result of Versions.
 type Versioned struct {
 	Found
 	InForce int    // versions that came in force, or are shown to have by a read
@@ -19,8 +19,8 @@
 }
 
 const (
-	mostOperations = 3000            // given to porcupine: it may take time that grows exponentially
-	mostChecking   = 5 * time.Second // after which its word is Unknown
+	maxOperations    = 3000            // given to porcupine, whose time may grow exponentially
+	porcupineTimeout = 5 * time.Second // after which its result is Unknown
 )
 
 // version is what is known of one version's way into force, which is at one moment from lo to hi.
@@ -45,81 +45,108 @@
 // A version with two marks, two versions in place of one, and one from nowhere are named as such.
 func Versions(r Record) Versioned {
 	var v Versioned
-	versions := map[uint64]*version{}
-	of := func(n uint64) *version {
-		w := versions[n]
-		if w == nil {
-			w = &version{number: n, lo: math.MinInt64, hi: math.MaxInt64}
-			versions[n] = w
-		}
-		return w
-	}
-	marks, refused, outcome := map[uint64]Event{}, map[string]Event{}, map[string]Event{}
-	start := uint64(math.MaxUint64) // what was in force before all
+	c := &versionCollector{Versioned: &v, versions: map[uint64]*version{}, digests: map[uint64]Event{},
+		rejected: map[string]Event{}, outcomes: map[string]Event{}, initial: math.MaxUint64}
 	for _, e := range r.Events {
-		if e.Mark != "" && e.Version != 0 {
-			if m, known := marks[e.Version]; !known {
-				marks[e.Version] = e
-			} else if m.Mark != e.Mark {
-				v.broken(e.At, []Event{m, e}, "version %d is not the same for %s and %s", e.Version, m.Who, e.Who)
-			}
-		}
-		switch e.Kind {
-		case Wants:
-			v.Seen++
-			start = min(start, e.Base)
-			w := of(e.Version)
-			w.wanted = append(w.wanted, e)
-		case Taken:
-			v.Seen++
-			if o, known := outcome[e.Txn]; known && e.Txn != "" && (o.Says == "") != (e.Says == "") {
-				v.broken(e.At, []Event{o, e}, "proposal %s is both refused and in force", e.Txn)
-			}
-			outcome[e.Txn] = e
-			if e.Says != "" {
-				refused[proposal(e)] = e
-				continue
-			}
-			start = min(start, e.Base)
-			switch w := of(e.Version); {
-			case !w.taken:
-				w.taken, w.base, w.hi, w.hiBy = true, e.Base, e.At, e
-			case w.base != e.Base:
-				v.broken(e.At, []Event{w.hiBy, e}, "version %d is in force in place of %d and of %d", e.Version, w.base,
-					e.Base)
-			}
-		case Acts:
-			if e.Mode == Bare {
-				continue
-			}
-			v.Seen++
-			if w := of(e.Version); w.acted.Kind == "" {
-				start = min(start, e.Version)
-				w.acted = e
-			}
-		case Gives:
-			v.Seen++
-			v.Reads++
-			start = min(start, e.Version)
-			of(e.Version).reads = append(of(e.Version).reads, e)
-		}
+		c.event(e)
 	}
-	if len(versions) == 0 {
+	if len(c.versions) == 0 {
 		return v
 	}
-	of(start)
-	chain := v.chain(versions, start, refused)
+	c.version(c.initial)
+	chain := v.chain(c.versions, c.initial, c.rejected)
 	v.InForce = len(chain)
 	v.order(chain)
-	if n := v.Reads + len(chain); n <= mostOperations {
-		result := porcupine.CheckOperationsTimeout(register(start), operations(r, versions, refused), mostChecking)
+	if n := v.Reads + len(chain); n <= maxOperations {
+		result := porcupine.CheckOperationsTimeout(register(c.initial), operations(r, c.versions), porcupineTimeout)
 		if v.Checker = string(result); result == porcupine.Illegal && v.Count == 0 {
-			v.broken(r.end(), nil, "porcupine finds no order of proposals and reads")
+			v.violate(r.end(), nil, "porcupine finds no order of proposals and reads")
 		}
 	}
 	return v
 }
 
+// versionCollector collects what a record says of each version.
+type versionCollector struct {
+	*Versioned
+	versions map[uint64]*version
+	digests  map[uint64]Event // the first event of each version that has a digest
+	rejected map[string]Event // by proposal
+	outcomes map[string]Event // by proposal's transaction
+	initial  uint64           // the version that was in force before all; MaxUint64 while none is known
+}
+
+// version returns the state of a version, a new one on its first event.
+func (c *versionCollector) version(number uint64) *version {
+	w := c.versions[number]
+	if w == nil {
+		w = &version{number: number, lo: math.MinInt64, hi: math.MaxInt64}
+		c.versions[number] = w
+	}
+	return w
+}
+
+// event applies one event.
+func (c *versionCollector) event(e Event) {
+	c.checkDigest(e)
+	switch e.Kind {
+	case Wants:
+		c.Seen++
+		c.initial = min(c.initial, e.Base)
+		w := c.version(e.Version)
+		w.wanted = append(w.wanted, e)
+	case Taken:
+		c.Seen++
+		c.outcome(e)
+	case Acts:
+		if e.Mode == Bare {
+			return
+		}
+		c.Seen++
+		if w := c.version(e.Version); w.acted.Kind == "" {
+			c.initial = min(c.initial, e.Version)
+			w.acted = e
+		}
+	case Gives:
+		c.Seen++
+		c.Reads++
+		c.initial = min(c.initial, e.Version)
+		c.version(e.Version).reads = append(c.version(e.Version).reads, e)
+	}
+}
+
+// checkDigest checks that all digests of a version are equal.
+func (c *versionCollector) checkDigest(e Event) {
+	if e.Mark == "" || e.Version == 0 {
+		return
+	}
+	if first, known := c.digests[e.Version]; !known {
+		c.digests[e.Version] = e
+	} else if first.Mark != e.Mark {
+		c.violate(e.At, []Event{first, e}, "version %d is not the same for %s and %s", e.Version, first.Who, e.Who)
+	}
+}
+
+// outcome applies the outcome of a proposal.
+func (c *versionCollector) outcome(e Event) {
+	if o, known := c.outcomes[e.Txn]; known && e.Txn != "" && (o.Says == "") != (e.Says == "") {
+		c.violate(e.At, []Event{o, e}, "proposal %s is both refused and in force", e.Txn)
+	}
+	c.outcomes[e.Txn] = e
+	if e.Says != "" {
+		c.rejected[proposal(e)] = e
+		return
+	}
+	c.initial = min(c.initial, e.Base)
+	switch w := c.version(e.Version); {
+	case !w.taken:
+		w.taken, w.base, w.hi, w.hiBy = true, e.Base, e.At, e
+	case w.base != e.Base:
+		c.violate(e.At, []Event{w.hiBy, e}, "version %d is in force in place of %d and of %d", e.Version, w.base,
+			e.Base)
+	}
+}
+
 // proposal names a proposal: by Txn, else by what it asks for and who does (Peer in a Taken, where it says).
 func proposal(e Event) string {
 	if e.Txn != "" {
@@ -156,10 +183,10 @@
 			continue
 		}
 		if in[w.base] = true; versions[w.base] == nil || w.base >= n {
-			v.broken(w.hiBy.At, w.rests(), "version %d is in force in place of %d, which never was", n, w.base)
+			v.violate(w.hiBy.At, w.rests(), "version %d is in force in place of %d, which never was", n, w.base)
 		}
 		if len(w.wanted) == 0 {
-			v.broken(w.hiBy.At, w.rests(), "version %d is in force, and nobody has proposed it", n)
+			v.violate(w.hiBy.At, w.rests(), "version %d is in force, and nobody has proposed it", n)
 		}
 	}
 	var chain []*version
@@ -170,7 +197,7 @@
 		w := versions[n]
 		if len(chain) > 0 {
 			if last := chain[len(chain)-1]; w.base != last.number && versions[w.base] != nil && w.base < n {
-				v.broken(w.hiBy.At, append(last.rests(), w.rests()...), "versions %d and %d are both in force after %d",
+				v.violate(w.hiBy.At, append(last.rests(), w.rests()...), "versions %d and %d are both in force after %d",
 					last.number, n, w.base)
 			}
 		}
@@ -212,12 +239,12 @@
 			}
 		}
 		if lo > hi {
-			v.broken(hi, []Event{loBy, hiBy}, "version %d was in force by %.3f ms, and cannot have been before %.3f",
-				w.number, ms(hi), ms(lo))
+			v.violate(hi, []Event{loBy, hiBy}, "version %d was in force by %.3f ms, and cannot have been before %.3f",
+				w.number, millis(hi), millis(lo))
 			lo = hi // so that what follows is not held against it
 		}
 		for _, e := range w.reads { // still in force then
-			if from := e.At - ns(e.Age); from > lo {
+			if from := e.At - nanos(e.Age); from > lo {
 				lo, loBy = from, e
 			}
 		}
@@ -249,7 +276,7 @@
 }
 
 // operations gives a history to porcupine.
-func operations(r Record, versions map[uint64]*version, refused map[string]Event) []porcupine.Operation {
+func operations(r Record, versions map[uint64]*version) []porcupine.Operation {
 	var out []porcupine.Operation
 	clients := map[string]int{}
 	client := func(who string) int {
@@ -274,7 +301,7 @@
 		}
 		for _, e := range w.reads {
 			out = append(out, porcupine.Operation{ClientId: client(e.Who), Input: change{version: n, read: true},
-				Call: e.At - ns(e.Age), Output: true, Return: e.At})
+				Call: e.At - nanos(e.Age), Output: true, Return: e.At})
 		}
 	}
 	slices.SortStableFunc(out, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
--- a/internal/testkit/history/window.go
+++ b/internal/testkit/history/window.go
@@ -7,7 +7,7 @@
 	Depth float64 // units at once: burst, credit and what slack is granted, together
 }
 
-// Windowed is what Window finds.
+// Windowed is the result of Window.
 type Windowed struct {
 	Found
 	Customers int     // that have a limit
@@ -15,13 +15,34 @@
 	Unknown   int     // txns that came without a customer or units, and were asked for by none
 }
 
-// fill is how much a customer may pass now, and what of that the present window rests on.
-type fill struct {
-	left  float64
-	limit Limit
-	at    int64
-	since Event   // with which it was last full
-	sum   float64 // units since
+// bucket is a customer's token bucket, and the window in which it was last full.
+type bucket struct {
+	left      float64 // units
+	limit     Limit
+	at        int64   // nanoseconds, of the last event
+	fullSince Event   // at which the bucket was last full
+	sum       float64 // units spent since then
+}
+
+// windowRequest is what events have said of a request so far.
+type windowRequest struct {
+	customer uint64
+	plan     string
+	units    float64
+	counted  bool
+}
+
+// update takes over what an event says of the request.
+func (r *windowRequest) update(e Event) {
+	if e.Customer != 0 {
+		r.customer = e.Customer
+	}
+	if e.Plan != "" {
+		r.plan = e.Plan
+	}
+	if e.Units > 0 {
+		r.units = e.Units
+	}
 }
 
 // Window checks that in any window of time what all gatekeepers sent of a customer keeps within its limit,
@@ -36,37 +57,23 @@
 // the new Depth, and grows by as much as the Depth does.
 func Window(r Record, by Kind, limit func(Event) Limit) Windowed {
 	var w Windowed
-	type asked struct {
-		customer uint64
-		plan     string
-		units    float64
-		came     bool
-	}
-	txns := map[string]*asked{}
-	fills := map[uint64]*fill{}
+	txns := map[string]*windowRequest{}
+	buckets := map[uint64]*bucket{}
 	for _, e := range r.Events {
 		if e.Kind != by && e.Kind != Asks && e.Kind != Sends {
 			continue
 		}
 		t := txns[e.Txn]
 		if t == nil {
-			t = &asked{}
+			t = &windowRequest{}
 			txns[e.Txn] = t
 		}
-		if e.Customer != 0 {
-			t.customer = e.Customer
-		}
-		if e.Plan != "" {
-			t.plan = e.Plan
-		}
-		if e.Units > 0 {
-			t.units = e.Units
-		}
-		if e.Kind != by || t.came {
+		t.update(e)
+		if e.Kind != by || t.counted {
 			continue
 		}
 		w.Seen++
-		t.came = true
+		t.counted = true
 		if t.customer == 0 || t.units <= 0 {
 			w.Unknown++
 			continue
@@ -74,36 +81,42 @@
 		e.Customer, e.Plan, e.Units = t.customer, t.plan, t.units
 		now := limit(e)
 		if now.Rate <= 0 {
-			delete(fills, e.Customer)
+			delete(buckets, e.Customer)
 			continue
 		}
-		f := fills[e.Customer]
+		f := buckets[e.Customer]
 		if f == nil {
-			f = &fill{left: now.Depth, limit: now, at: e.At, since: e}
-			fills[e.Customer] = f
+			f = &bucket{left: now.Depth, limit: now, at: e.At, fullSince: e}
+			buckets[e.Customer] = f
 			w.Customers++
 		}
-		f.left += max(now.Depth-f.limit.Depth, 0) + max(f.limit.Rate, now.Rate)*ms(e.At-f.at)/1000
-		if f.left >= now.Depth {
-			f.left, f.since, f.sum = now.Depth, e, 0
-		}
-		f.at, f.limit = e.At, now
-		f.left -= e.Units
-		f.sum += e.Units
-		if now.Depth > 0 {
-			w.Most = max(w.Most, 1-f.left/now.Depth)
-		}
-		if f.left < -crumb {
-			t := ms(e.At - f.since.At)
-			w.broken(e.At, []Event{f.since, e},
-				"customer %d: %.6g units in a window of %.3f ms, of %.6g a second and %.6g besides: %.6g over",
-				e.Customer, f.sum, t, now.Rate, now.Depth, -f.left)
-			f.left = 0
-		}
+		w.spend(f, e, now)
 	}
 	return w
 }
 
+// spend takes an event's units from a customer's bucket under the limit that now applies, and records a
+// violation where it overflows.
+func (w *Windowed) spend(b *bucket, e Event, now Limit) {
+	b.left += max(now.Depth-b.limit.Depth, 0) + max(b.limit.Rate, now.Rate)*millis(e.At-b.at)/1000
+	if b.left >= now.Depth {
+		b.left, b.fullSince, b.sum = now.Depth, e, 0
+	}
+	b.at, b.limit = e.At, now
+	b.left -= e.Units
+	b.sum += e.Units
+	if now.Depth > 0 {
+		w.Most = max(w.Most, 1-b.left/now.Depth)
+	}
+	if b.left < -unitTolerance {
+		window := millis(e.At - b.fullSince.At)
+		w.violate(e.At, []Event{b.fullSince, e},
+			"customer %d: %.6g units in a window of %.3f ms, of %.6g a second and %.6g besides: %.6g over",
+			e.Customer, b.sum, window, now.Rate, now.Depth, -b.left)
+		b.left = 0
+	}
+}
+
 // Ceiling checks hard ceilings as Window does: slack ms of the ceiling's rate pass besides, as long as news
 // takes and a submission is on its way. ceiling gives the rate and depth of a customer's plan.
 func Ceiling(r Record, by Kind, ceiling func(Event) Limit, slack float64) Windowed {
