--- a/internal/borrowing/rig/rig_test.go
+++ b/internal/borrowing/rig/rig_test.go
@@ -274,8 +274,8 @@
 			return history.Limit{Rate: rate, Depth: depth}
 		})
 	}
-	if w := window(burst + most + slack); len(w.Breaks) > 0 && !*bare && *long == 0 {
-		f.t.Errorf("%d txns beyond, first %v", w.Count, w.Breaks[0])
+	if w := window(burst + most + slack); len(w.Violations) > 0 && !*bare && *long == 0 {
+		f.t.Errorf("%d txns beyond, first %v", w.Count, w.Violations[0])
 	}
 	w := window(1000) // for how much passed at once
 	f.t.Logf("lent %.0f, repaid %.2f, earned %.2f, rights handed %.2f, debts moved %.2f, "+
--- a/internal/distribution/relay/format_test.go
+++ b/internal/distribution/relay/format_test.go
@@ -70,7 +70,7 @@
 	}
 	recordedError := false
 	for _, e := range recorded.Record().Events {
-		recordedError = recordedError || e.Kind == history.Gives && e.Version == 7 && e.Says != ""
+		recordedError = recordedError || e.Kind == history.ReportedInForce && e.Version == 7 && e.Says != ""
 	}
 	if !recordedError {
 		t.Errorf("it is not recorded that the rules can't be decoded: %v", recorded.Record().Events)
--- a/internal/distribution/relay/relay.go
+++ b/internal/distribution/relay/relay.go
@@ -153,7 +153,7 @@
 	if r.recorder == nil {
 		return
 	}
-	event := history.Event{Kind: history.Gives, Version: snapshot.Rules.ID().Number,
+	event := history.Event{Kind: history.ReportedInForce, Version: snapshot.Rules.ID().Number,
 		Age: nowMillis() - snapshot.ReadStartMillis}
 	if version, err := ruleset.VersionFromState(snapshot.Rules); err == nil {
 		event.Mark = raftlog.RulesDigest(&version.Rules)
--- a/internal/distribution/relay/testtree_test.go
+++ b/internal/distribution/relay/testtree_test.go
@@ -442,10 +442,10 @@
 			fmt.Sprintf(format, args...))
 	}
 	if v.versions.Count > 0 || v.versions.Seen == 0 || v.versions.Checker == "Illegal" {
-		fail("versions: %v (%s)", v.versions.Found, v.versions.Checker)
+		fail("versions: %v (%s)", v.versions.Result, v.versions.Checker)
 	}
 	if v.contradictions.Count > 0 || v.contradictions.Seen == 0 {
-		fail("contradictions: %v", v.contradictions.Found)
+		fail("contradictions: %v", v.contradictions.Result)
 	}
 	type process struct {
 		who     string
@@ -453,10 +453,10 @@
 	}
 	newest := map[process]uint64{}
 	for _, event := range r.Events {
-		if event.Kind != history.Acts && event.Kind != history.Gives || event.Mode == history.Bare {
+		if event.Kind != history.Acts && event.Kind != history.ReportedInForce || event.Mode == history.Bare {
 			continue
 		}
-		if event.Kind == history.Gives && event.Says != "" {
+		if event.Kind == history.ReportedInForce && event.Says != "" {
 			fail("%s publishes an invalid ruleset: %s", event.Who, event.Says)
 		}
 		p := process{event.Who, event.Life}
@@ -464,7 +464,7 @@
 			fail("%s went back from version %d to %d", event.Who, newest[p], event.Version)
 		}
 		newest[p] = max(newest[p], event.Version)
-		if event.Kind == history.Gives {
+		if event.Kind == history.ReportedInForce {
 			v.forwardedVersions[event.Who]++
 		}
 	}
@@ -481,7 +481,9 @@
 		}
 		return i
 	}
-	fromRelay := func(e history.Event) bool { return e.Kind == history.Gives && e.Mark != "" && e.Who[0] == 'a' }
+	fromRelay := func(e history.Event) bool {
+		return e.Kind == history.ReportedInForce && e.Mark != "" && e.Who[0] == 'a'
+	}
 	last := r.Events[len(r.Events)-1].At
 	for what, inject := range map[string]func([]history.Event) []history.Event{
 		"a gateway goes back": func(events []history.Event) []history.Event {
--- a/internal/e2e/check_test.go
+++ b/internal/e2e/check_test.go
@@ -35,7 +35,7 @@
 
 // verdict is what one check has found.
 type verdict struct {
-	history.Found
+	history.Result
 	says string // figures
 }
 
@@ -58,7 +58,7 @@
 		e.members = append(e.members, m.Name)
 	}
 	for _, o := range r.Events {
-		if o.Kind == history.Taken && o.Says == "" {
+		if o.Kind == history.Decided && o.Says == "" {
 			rules, known := p.known[o.Mark]
 			if !known {
 				p.t.Errorf("nobody has proposed %v", o)
@@ -89,7 +89,7 @@
 		switch o.Kind {
 		case history.Sends:
 			all[w] = append(all[w], &sent{at: o.At, serial: o.Serial})
-		case history.Back:
+		case history.AttemptEnded:
 			for _, s := range all[w] {
 				s.never = s.never || s.serial == o.Serial && o.Says == history.NeverRan
 			}
@@ -99,7 +99,7 @@
 		o := &e.Events[i]
 		of := all[way{o.Txn, o.Worker}]
 		switch o.Kind {
-		case history.Sends, history.Back:
+		case history.Sends, history.AttemptEnded:
 			o.Serial = uint64(slices.IndexFunc(of, func(s *sent) bool { return s.serial == o.Serial }))
 		case history.Got, history.Ran:
 			came := int(o.Serial) + 1
@@ -197,10 +197,11 @@
 		Products: []invariants.Product{{Repeat: invariants.Inquiry},
 			{Repeat: invariants.Referenced, Window: 5000}, {Repeat: invariants.Once}}, Plans: []invariants.Plan{{},
 			{Ceiling: ceiling * n, Depth: (depth + ceiling*(bunched-granted)/1000) * n}, {}}}
-	j := history.Judge(r, history.Cast{Gatekeepers: e.members, Workers: names, Products: productNames,
+	j := history.CheckInvariants(r, history.Cast{Gatekeepers: e.members, Workers: names, Products: productNames,
 		Plans: planNames}, rules)
-	v := verdict{j.Found, fmt.Sprintf("by rule %v, %d txns excused, %d submissions of whose end nobody writes, "+
-		"%d odd", j.Rules[1:], excused, j.Unsaid, j.OddOf)}
+	v := verdict{j.Result,
+		fmt.Sprintf("by rule %v, %d txns excused, %d submissions of whose end nobody writes, "+
+			"%d odd", j.Rules[1:], excused, j.Unsaid, j.OddOf)}
 	if j.OddOf > 0 {
 		v.says += ", the first: " + j.Odd[0]
 	}
@@ -239,7 +240,7 @@
 		}
 	}
 	c := history.Contradiction(r, history.Leases(e.rules), bound, bunched)
-	return verdict{c.Found, fmt.Sprintf("longest %.0f of %.0f ms, a submission %.0f ms after its version, "+
+	return verdict{c.Result, fmt.Sprintf("longest %.0f of %.0f ms, a submission %.0f ms after its version, "+
 		"%d spans, %d submissions unnamed, %d held by links", c.Longest, bound, c.Lag, c.Spans, c.Unnamed, held)}
 }
 
@@ -277,7 +278,7 @@
 func versions(e *evidence) verdict {
 	v := history.Versions(e.Record)
 	v.Seen = min(v.Seen, v.Reads)
-	return verdict{v.Found, fmt.Sprintf("%d in force, %d reads, porcupine: %q", v.InForce, v.Reads, v.Checker)}
+	return verdict{v.Result, fmt.Sprintf("%d in force, %d reads, porcupine: %q", v.InForce, v.Reads, v.Checker)}
 }
 
 func books(e *evidence) verdict {
@@ -287,11 +288,11 @@
 	says := fmt.Sprintf("lent %.1f, repaid %.1f, earned %.1f, handed %.1f, debts moved %.1f, on their way for "+
 		"up to %.0f ms, forgotten %.1f, %.0f%% of the line at once", a.Lent, a.Repaid, a.Earned, a.Handed, a.Moved,
 		a.Held, a.Forgotten, 100*a.Most)
-	v := verdict{history.Found{Count: a.Count, Seen: a.Seen}, says}
+	v := verdict{history.Result{Count: a.Count, Seen: a.Seen}, says}
 	for _, s := range a.Broken {
 		at := 0.0
 		_, _ = fmt.Sscanf(s, "%f ms", &at)
-		v.Breaks = append(v.Breaks, history.Break{At: int64(at * 1e6), Says: s})
+		v.Violations = append(v.Violations, history.Violation{At: int64(at * 1e6), Says: s})
 	}
 	if a.Forgotten > 0 {
 		v.Count++
@@ -307,7 +308,7 @@
 		return history.Limit{Rate: lentRate, Depth: lentAll + lentRate*lentS + hearsay}
 	})
 	w.Seen = min(w.Seen, w.Customers)
-	return verdict{w.Found, fmt.Sprintf("%.0f%% of what may pass at once", 100*w.Most)}
+	return verdict{w.Result, fmt.Sprintf("%.0f%% of what may pass at once", 100*w.Most)}
 }
 
 // ceilings holds what workers got against the ceiling in force, or any that was within what is promised for
@@ -320,7 +321,7 @@
 	var turns []turn
 	known := map[uint64]bool{}
 	for _, o := range e.Events {
-		if o.Kind == history.Taken && o.Says == "" && !known[o.Version] {
+		if o.Kind == history.Decided && o.Says == "" && !known[o.Version] {
 			known[o.Version] = true
 			q := e.rules[o.Version].Plans[1]
 			turns = append(turns, turn{o.At, history.Limit{Rate: q.CeilingRate, Depth: q.CeilingDepth}})
@@ -350,11 +351,11 @@
 	for _, o := range e.Events {
 		if o.Kind == history.Sends && o.Mode == history.Bare && asks[o.Txn].Plan == "capped" {
 			w.Count++
-			w.Breaks = append(w.Breaks, history.Break{At: o.At, Says: "sent bare under a ceiling",
+			w.Violations = append(w.Violations, history.Violation{At: o.At, Says: "sent bare under a ceiling",
 				Rests: []history.Event{o}})
 		}
 	}
-	return verdict{w.Found, fmt.Sprintf("%d units, %.0f%% of what may pass at once", n, 100*w.Most)}
+	return verdict{w.Result, fmt.Sprintf("%d units, %.0f%% of what may pass at once", n, 100*w.Most)}
 }
 
 // words finds what was sent to a worker by rules that say that nothing is to be.
@@ -367,7 +368,7 @@
 		for _, w := range e.rules[o.Version].WorkerOverrides {
 			if w.Worker == o.Worker && (w.Barred || w.Drained) {
 				v.Count++
-				v.Breaks = append(v.Breaks, history.Break{At: o.At, Says: "sent against the operators' word",
+				v.Violations = append(v.Violations, history.Violation{At: o.At, Says: "sent against the operators' word",
 					Rests: []history.Event{o}})
 			}
 		}
--- a/internal/e2e/plant_test.go
+++ b/internal/e2e/plant_test.go
@@ -46,9 +46,9 @@
 			switch {
 			case o.Kind == history.Began:
 				maps.DeleteFunc(shut, func(w word, _ int64) bool { return w.who == o.Who })
-			case o.Kind == history.Told && o.Mode == history.Active:
+			case o.Kind == history.Notified && o.Mode == history.Active:
 				delete(shut, word{o.Who, o.Worker})
-			case o.Kind == history.Told:
+			case o.Kind == history.Notified:
 				shut[word{o.Who, o.Worker}] = o.At
 			case o.Kind == history.Sends:
 				for w, at := range shut {
@@ -70,7 +70,7 @@
 			if o.Kind == history.Began && o.Who[0] == 'w' && o.Life > 1 {
 				cold[o.Who] = true
 			}
-			if o.Kind == history.Told && o.Mode == history.Active && cold[o.Worker] {
+			if o.Kind == history.Notified && o.Mode == history.Active && cold[o.Worker] {
 				var all []history.Event
 				ask := e.Events[e.last(func(a history.Event) bool {
 					return a.Kind == history.Asks && a.Plan == "basic" && a.Peer == o.Who
@@ -122,11 +122,11 @@
 			return false
 		}},
 	{"a version of two contents", "versions", "is not the same", func(e *evidence) bool {
-		return e.change(func(o history.Event) bool { return o.Kind == history.Gives },
+		return e.change(func(o history.Event) bool { return o.Kind == history.ReportedInForce },
 			func(o *history.Event) { o.Mark = "another" })
 	}},
 	{"a version that was in force is read again", "versions", "was in force", func(e *evidence) bool {
-		return e.change(func(o history.Event) bool { return o.Kind == history.Gives && o.Version > 2 },
+		return e.change(func(o history.Event) bool { return o.Kind == history.ReportedInForce && o.Version > 2 },
 			func(o *history.Event) { o.Version, o.Age, o.Mark = 1, 1, "" })
 	}},
 	{"a loan counted once too few", "ledger", "does not owe", func(e *evidence) bool {
@@ -257,8 +257,8 @@
 				if check.name != p.check {
 					continue
 				}
-				if v := check.run(&spoilt); v.Count == 0 || !strings.Contains(v.Found.String(), p.says) {
-					t.Errorf("%s does not find it: %.2000s", check.name, v.Found)
+				if v := check.run(&spoilt); v.Count == 0 || !strings.Contains(v.Result.String(), p.says) {
+					t.Errorf("%s does not find it: %.2000s", check.name, v.Result)
 				}
 			}
 		})
--- a/internal/e2e/whole_test.go
+++ b/internal/e2e/whole_test.go
@@ -112,17 +112,17 @@
 		if v.Count == 0 {
 			continue
 		}
-		v.Breaks = v.Breaks[:min(len(v.Breaks), 5)]
-		for _, b := range v.Breaks {
+		v.Violations = v.Violations[:min(len(v.Violations), 5)]
+		for _, b := range v.Violations {
 			for _, o := range b.Rests {
 				if err, failed := c.failed.Load(o.Txn); failed && o.Kind == history.Asks {
 					log("%s: %v", o.Txn, err)
 				}
 			}
 		}
-		t.Errorf("%s: %v", check.name, v.Found)
-		if len(v.Breaks) > 0 && (out.first == 0 || v.Breaks[0].At < out.first) {
-			out.first = v.Breaks[0].At
+		t.Errorf("%s: %v", check.name, v.Result)
+		if len(v.Violations) > 0 && (out.first == 0 || v.Violations[0].At < out.first) {
+			out.first = v.Violations[0].At
 		}
 	}
 	return out
--- a/internal/gateway/proxy/attempt_test.go
+++ b/internal/gateway/proxy/attempt_test.go
@@ -101,7 +101,7 @@
 	for _, e := range recorded.Record().Events {
 		if e.Kind == history.Acts {
 			modes += e.Mode + " "
-		} else if e.Kind == history.Back && e.Says == history.NeverRan {
+		} else if e.Kind == history.AttemptEnded && e.Says == history.NeverRan {
 			neverRan++
 		}
 	}
--- a/internal/gateway/proxy/history.go
+++ b/internal/gateway/proxy/history.go
@@ -41,7 +41,7 @@
 		if h.active[name] = active; active {
 			mode = history.Active
 		}
-		h.recorder.Write(history.Event{Kind: history.Told, Worker: name, Mode: mode})
+		h.recorder.Write(history.Event{Kind: history.Notified, Worker: name, Mode: mode})
 	}
 	for _, w := range list.Workers {
 		listed[w.Name] = true
@@ -77,7 +77,8 @@
 // attemptEnded records the end of an attempt whose start was recorded.
 func (h *historyLog) attemptEnded(v *delivery, o policy.Outcome) {
 	if h != nil && v.command.Attempt.Recorded {
-		h.recorder.Write(history.Event{Kind: history.Back, Txn: v.requestMark, Worker: v.command.Upstream.Name(),
+		h.recorder.Write(history.Event{Kind: history.AttemptEnded, Txn: v.requestMark,
+			Worker: v.command.Upstream.Name(),
 			Serial: v.ordinal, Says: executionEvidence[o]})
 	}
 }
--- a/internal/raftlog/proposal.go
+++ b/internal/raftlog/proposal.go
@@ -89,7 +89,7 @@
 		return false
 	}
 	if p.entryType == ruleset.EntryPropose {
-		n.recordEvent(history.Event{Kind: history.Wants, Version: p.baseVersion + 1, Base: p.baseVersion,
+		n.recordEvent(history.Event{Kind: history.Proposed, Version: p.baseVersion + 1, Base: p.baseVersion,
 			Txn: p.id})
 	}
 	return true
@@ -104,7 +104,7 @@
 		n.outcomes = n.outcomes[1:]
 	}
 	if result.Rejection != "" {
-		n.recordEvent(history.Event{Kind: history.Taken, Version: p.baseVersion + 1, Base: p.baseVersion,
+		n.recordEvent(history.Event{Kind: history.Decided, Version: p.baseVersion + 1, Base: p.baseVersion,
 			Txn: p.id, Says: result.Rejection})
 		level := zerolog.ErrorLevel
 		if p.onlyAsFirst { // another daemon's was the first
--- a/internal/raftlog/testgroup_test.go
+++ b/internal/raftlog/testgroup_test.go
@@ -50,7 +50,7 @@
 			s.Close()
 		}
 		if v := history.Versions(group.history.Record()); v.Count > 0 || v.Checker == "Illegal" {
-			t.Errorf("the versions in force are not linearizable: %+v", v.Found)
+			t.Errorf("the versions in force are not linearizable: %+v", v.Result)
 		}
 	})
 	return group
--- a/internal/supervisor/cluster_fault_test.go
+++ b/internal/supervisor/cluster_fault_test.go
@@ -245,13 +245,13 @@
 		}
 	}
 	if v := history.Versions(record); v.Count > 0 || v.Reads == 0 || v.Checker == "Illegal" {
-		trial.t.Errorf("versions: %+v", v.Found)
+		trial.t.Errorf("versions: %+v", v.Result)
 	} else {
 		trial.t.Logf("%d versions, %d reads, porcupine: %s", v.InForce, v.Reads, v.Checker)
 	}
 	c := history.Contradiction(record, history.Leases(rules), maxContradictionMillis, observationSlackMillis)
 	if c.Count > 0 || c.Spans == 0 {
-		trial.t.Errorf("contradictions: %+v", c.Found)
+		trial.t.Errorf("contradictions: %+v", c.Result)
 	}
 	trial.t.Logf("longest contradiction %.0f ms, sent after its version %.0f ms, %d spans", c.Longest, c.Lag,
 		c.Spans)
@@ -302,7 +302,7 @@
 	var events []event
 	first := map[uint64]bool{}
 	for _, e := range record.Events {
-		if e.Kind == history.Taken && e.Says == "" && !first[e.Version] {
+		if e.Kind == history.Decided && e.Says == "" && !first[e.Version] {
 			first[e.Version] = true
 			events = append(events, event{at: e.At, version: e.Version})
 		}
@@ -939,7 +939,7 @@
 	}
 	for _, e := range record.Events {
 		for _, r := range proposed {
-			if e.Kind == history.Taken && e.Says == "" && e.Mark == raftlog.RulesDigest(&r) {
+			if e.Kind == history.Decided && e.Says == "" && e.Mark == raftlog.RulesDigest(&r) {
 				rules[e.Version] = r
 			}
 		}
--- a/internal/supervisor/subscription.go
+++ b/internal/supervisor/subscription.go
@@ -175,7 +175,7 @@
 // knows all of them. The caller holds the lock.
 func (s *subscription) enterForce() {
 	if s.history != nil {
-		s.history.Write(history.Event{Kind: history.Gives, Version: s.snapshot.Rules.ID().Number,
+		s.history.Write(history.Event{Kind: history.ReportedInForce, Version: s.snapshot.Rules.ID().Number,
 			Age: raftlog.BootClockMillis() - s.snapshot.ReadStartMillis})
 	}
 	if s.lease.UnsupportedFeature != "" {
--- a/internal/testkit/history/check.go
+++ b/internal/testkit/history/check.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Break is one violation, with the events that prove it.
-type Break struct {
+// Violation is one violation, with the events that prove it.
+type Violation struct {
 	At    int64 // nanoseconds on the clock of the events
 	Says  string
 	Rests []Event
 }
 
 // String returns the violation and its events, a line each.
-func (b Break) String() string {
+func (b Violation) String() string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "at %.3f ms: %s", millis(b.At), b.Says)
 	for _, e := range b.Rests {
@@ -22,28 +22,28 @@
 	return s.String()
 }
 
-// Found is the result of a check.
-type Found struct {
-	Breaks []Break // the first maxViolations
-	Count  int     // of all
-	Seen   int     // events that the check examined; with none it has proved nothing
+// Result is the result of a check.
+type Result struct {
+	Violations []Violation // the first maxViolations
+	Count      int         // of all
+	Seen       int         // events that the check examined; with none it has proved nothing
 }
 
 // maxViolations bounds the violations that are kept; all are counted.
 const maxViolations = 100
 
 // violate records a violation.
-func (f *Found) violate(at int64, rests []Event, format string, args ...any) {
-	if f.Count++; len(f.Breaks) < maxViolations {
-		f.Breaks = append(f.Breaks, Break{at, fmt.Sprintf(format, args...), rests})
+func (f *Result) violate(at int64, rests []Event, format string, args ...any) {
+	if f.Count++; len(f.Violations) < maxViolations {
+		f.Violations = append(f.Violations, Violation{at, fmt.Sprintf(format, args...), rests})
 	}
 }
 
 // String returns the counts and the first violations.
-func (f Found) String() string {
+func (f Result) String() string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "%d breaks in %d events", f.Count, f.Seen)
-	for _, b := range f.Breaks {
+	for _, b := range f.Violations {
 		s.WriteString("\n" + b.String())
 	}
 	return s.String()
@@ -133,12 +133,12 @@
 
 // HeardTwice finds messages (peer, its incarnation, serial) that one incarnation of a process accepted more
 // than once. Another incarnation of it has forgotten what the last one received, and may.
-func HeardTwice(r Record) Found {
+func HeardTwice(r Record) Result {
 	type message struct {
 		by, from incarnation
 		serial   uint64
 	}
-	var f Found
+	var f Result
 	heard := map[message]int{}
 	for i, e := range r.Events {
 		if e.Kind != Heard {
--- a/internal/testkit/history/check_test.go
+++ b/internal/testkit/history/check_test.go
@@ -128,25 +128,25 @@
 }
 
 // The checks as the tests ask for them.
-var checks = map[string]func(Record) Found{
-	"contradiction": func(r Record) Found { return Contradiction(r, byVersion, 1000, 50).Found },
-	"versions":      func(r Record) Found { return Versions(r).Found },
-	"ledger":        func(r Record) Found { return Ledger(r, line, 5000, 100).Found },
-	"ledger order": func(r Record) Found {
+var checks = map[string]func(Record) Result{
+	"contradiction": func(r Record) Result { return Contradiction(r, byVersion, 1000, 50).Result },
+	"versions":      func(r Record) Result { return Versions(r).Result },
+	"ledger":        func(r Record) Result { return Ledger(r, line, 5000, 100).Result },
+	"ledger order": func(r Record) Result {
 		f, _ := LedgerOrder(r, line, 0.5)
 		return f
 	},
-	"window": func(r Record) Found { return Window(r, Got, limit).Found },
-	"ceiling": func(r Record) Found {
-		return Ceiling(r, Got, func(Event) Limit { return Limit{10, 4} }, 100).Found
+	"window": func(r Record) Result { return Window(r, Got, limit).Result },
+	"ceiling": func(r Record) Result {
+		return Ceiling(r, Got, func(Event) Limit { return Limit{10, 4} }, 100).Result
 	},
 	"heard": HeardTwice,
-	"judge": func(r Record) Found {
-		j := Judge(r, cast, fiveRules)
+	"judge": func(r Record) Result {
+		j := CheckInvariants(r, cast, fiveRules)
 		if j.OddOf > 0 {
 			j.violate(0, nil, "%v", j.Odd)
 		}
-		return j.Found
+		return j.Result
 	},
 }
 
@@ -159,12 +159,12 @@
 		}
 	}
 	takenBy := func(p *play) {
-		p.by(10, "d", Event{Kind: Wants, Version: 1})
-		p.by(20, "c", Event{Kind: Taken, Version: 1, Peer: "d"})
-		p.by(30, "d", Event{Kind: Wants, Version: 2, Base: 1})
+		p.by(10, "d", Event{Kind: Proposed, Version: 1})
+		p.by(20, "c", Event{Kind: Decided, Version: 1, Peer: "d"})
+		p.by(30, "d", Event{Kind: Proposed, Version: 2, Base: 1})
 	}
 	gives := func(p *play, at float64, version uint64, age float64) {
-		p.by(at, "d", Event{Kind: Gives, Version: version, Age: age})
+		p.by(at, "d", Event{Kind: ReportedInForce, Version: version, Age: age})
 	}
 	cases := []struct {
 		check, name, says string // says is empty where nothing is broken
@@ -292,7 +292,7 @@
 			gives(p, 35, 1, 0)
 			gives(p, 36, 2, 0)
 			gives(p, 40, 1, 10)
-			p.by(50, "c", Event{Kind: Taken, Version: 2, Base: 1, Peer: "d"})
+			p.by(50, "c", Event{Kind: Decided, Version: 2, Base: 1, Peer: "d"})
 			gives(p, 60, 1, 25)
 		}},
 		{"versions", "without an outcome", "", func(p *play) {
@@ -302,7 +302,7 @@
 		}},
 		{"versions", "an old version read", "cannot have been", func(p *play) {
 			takenBy(p)
-			p.by(50, "c", Event{Kind: Taken, Version: 2, Base: 1, Peer: "d"})
+			p.by(50, "c", Event{Kind: Decided, Version: 2, Base: 1, Peer: "d"})
 			gives(p, 70, 1, 19)
 		}},
 		{"versions", "back to the old", "cannot have been", func(p *play) {
@@ -314,14 +314,14 @@
 		{"versions", "from nowhere", "nobody has proposed", func(p *play) { takenBy(p); gives(p, 40, 3, 0) }},
 		{"versions", "refused, and read", "nobody has proposed", func(p *play) {
 			takenBy(p)
-			p.by(40, "c", Event{Kind: Taken, Version: 2, Base: 1, Peer: "d", Says: "no"})
+			p.by(40, "c", Event{Kind: Decided, Version: 2, Base: 1, Peer: "d", Says: "no"})
 			gives(p, 50, 2, 0)
 		}},
 		{"versions", "two in place of one", "both in force after 1", func(p *play) {
 			takenBy(p)
-			p.by(40, "d", Event{Kind: Wants, Version: 3, Base: 1})
-			p.by(50, "c", Event{Kind: Taken, Version: 2, Base: 1})
-			p.by(60, "c", Event{Kind: Taken, Version: 3, Base: 1})
+			p.by(40, "d", Event{Kind: Proposed, Version: 3, Base: 1})
+			p.by(50, "c", Event{Kind: Decided, Version: 2, Base: 1})
+			p.by(60, "c", Event{Kind: Decided, Version: 3, Base: 1})
 		}},
 		{"versions", "acted on before it was wanted", "cannot have been", func(p *play) {
 			takenBy(p)
@@ -330,27 +330,27 @@
 		{"versions", "goes by none", "", func(p *play) { takenBy(p); p.acts(29, "a", 2, Bare) }},
 		{"versions", "acted on long after", "", func(p *play) {
 			takenBy(p)
-			p.by(50, "c", Event{Kind: Taken, Version: 2, Base: 1, Peer: "d"})
+			p.by(50, "c", Event{Kind: Decided, Version: 2, Base: 1, Peer: "d"})
 			p.acts(900, "a", 1, Fallback)
 		}},
 		{"versions", "in place of two", "in place of 1 and of 0", func(p *play) {
 			takenBy(p)
-			p.by(50, "c", Event{Kind: Taken, Version: 2, Base: 1})
-			p.by(60, "e", Event{Kind: Taken, Version: 2})
+			p.by(50, "c", Event{Kind: Decided, Version: 2, Base: 1})
+			p.by(60, "e", Event{Kind: Decided, Version: 2})
 		}},
 		{"versions", "in place of nothing", "which never was", func(p *play) {
 			takenBy(p)
-			p.by(40, "d", Event{Kind: Wants, Version: 4, Base: 3})
-			p.by(50, "c", Event{Kind: Taken, Version: 4, Base: 3})
+			p.by(40, "d", Event{Kind: Proposed, Version: 4, Base: 3})
+			p.by(50, "c", Event{Kind: Decided, Version: 4, Base: 3})
 		}},
 		{"versions", "refused and in force", "proposal x is both", func(p *play) {
 			takenBy(p)
-			p.by(50, "c", Event{Kind: Taken, Version: 2, Base: 1, Txn: "x"})
-			p.by(60, "e", Event{Kind: Taken, Version: 2, Base: 1, Txn: "x", Says: "no"})
+			p.by(50, "c", Event{Kind: Decided, Version: 2, Base: 1, Txn: "x"})
+			p.by(60, "e", Event{Kind: Decided, Version: 2, Base: 1, Txn: "x", Says: "no"})
 		}},
 		{"versions", "one number, two contents", "not the same", func(p *play) {
 			takenBy(p)
-			p.by(40, "d", Event{Kind: Gives, Version: 1, Mark: "x"})
+			p.by(40, "d", Event{Kind: ReportedInForce, Version: 1, Mark: "x"})
 			p.by(40, "b", Event{Kind: Acts, Version: 1, Mark: "y"})
 		}},
 
@@ -544,11 +544,11 @@
 			p.once(1, "cl", Asks, 0, "")
 			p.once(2, "a", Sends, 1, "")
 			p.once(3, "w", Got, 1, "")
-			p.once(4, "w", Back, 1, NeverRan)
-			p.once(5, "a", Back, 1, NeverRan)
+			p.once(4, "w", AttemptEnded, 1, NeverRan)
+			p.once(5, "a", AttemptEnded, 1, NeverRan)
 			p.once(6, "a", Sends, 2, "")
 			p.once(7, "w", Ran, 2, "")
-			p.once(8, "a", Back, 2, Answered)
+			p.once(8, "a", AttemptEnded, 2, Answered)
 			p.once(9, "cl", Ends, 0, Settled)
 			p.by(2000, "cl", Event{Kind: Gone})
 		}},
@@ -562,7 +562,7 @@
 			p.once(1, "cl", Asks, 0, "")
 			p.once(2, "a", Sends, 1, "")
 			p.once(3, "w", Got, 1, "")
-			p.once(5, "a", Back, 1, NeverRan)
+			p.once(5, "a", AttemptEnded, 1, NeverRan)
 			p.once(6, "a", Sends, 2, "")
 		}},
 		{"judge", "its client has left", "", func(p *play) {
@@ -572,12 +572,12 @@
 		}},
 		{"judge", "too much for a worker that has just started", "worker 0, started at", func(p *play) {
 			p.by(0, "w", Event{Kind: Began})
-			p.by(1, "a", Event{Kind: Told, Worker: "w", Mode: Active})
+			p.by(1, "a", Event{Kind: Notified, Worker: "w", Mode: Active})
 			p.many(3)
 		}},
 		{"judge", "as much as it bears", "", func(p *play) {
 			p.by(0, "w", Event{Kind: Began})
-			p.by(1, "a", Event{Kind: Told, Worker: "w", Mode: Active})
+			p.by(1, "a", Event{Kind: Notified, Worker: "w", Mode: Active})
 			p.many(2)
 		}},
 		{"judge", "too much for it, by one who does not know of its start", "", func(p *play) {
@@ -607,7 +607,7 @@
 			p.by(2000, "cl", Event{Kind: Gone})
 		}},
 		{"judge", "sent to one told to drain", "told to drain", func(p *play) {
-			p.by(0, "a", Event{Kind: Told, Worker: "w"})
+			p.by(0, "a", Event{Kind: Notified, Worker: "w"})
 			p.once(1, "cl", Asks, 0, "")
 			p.once(252, "a", Sends, 1, "")
 		}},
@@ -622,8 +622,8 @@
 				t.Error("it has looked at nothing")
 			case c.says == "" && f.Count > 0:
 				t.Error(f)
-			case c.says != "" && (f.Count == 0 || !strings.Contains(f.Breaks[0].Says, c.says) ||
-				f.Breaks[0].Rests == nil):
+			case c.says != "" && (f.Count == 0 || !strings.Contains(f.Violations[0].Says, c.says) ||
+				f.Violations[0].Rests == nil):
 				t.Errorf("want %q, got %v", c.says, f)
 			}
 		})
@@ -654,21 +654,23 @@
 	g := f.pick("a", "b")
 	switch kind {
 	case 0: // a version
-		f.by(f.wait(50), "d", Event{Kind: Wants, Version: f.version + 1, Base: f.version, Txn: fmt.Sprint(f.now)})
+		f.by(f.wait(50), "d", Event{Kind: Proposed, Version: f.version + 1, Base: f.version,
+			Txn: fmt.Sprint(f.now)})
 		id, was := f.events[len(f.events)-1].Txn, f.now
 		if rapid.Bool().Draw(f.t, "refused") && f.version > 0 {
-			f.by(f.wait(50), "e", Event{Kind: Taken, Version: f.version + 1, Base: f.version, Txn: id, Says: "no"})
+			f.by(f.wait(50), "e", Event{Kind: Decided, Version: f.version + 1, Base: f.version, Txn: id, Says: "no"})
 			return
 		}
-		f.by(f.wait(50), "e", Event{Kind: Taken, Version: f.version + 1, Base: f.version, Txn: id})
+		f.by(f.wait(50), "e", Event{Kind: Decided, Version: f.version + 1, Base: f.version, Txn: id})
 		f.version, f.since = f.version+1, was
 		f.acts(f.wait(400), "a", f.version, Leased)
 		f.acts(f.wait(400), "b", f.version, Leased)
 	case 1: // a read, by one behind its time
 		at := f.wait(100)
-		f.by(at, "d", Event{Kind: Gives, Version: f.version, Age: rapid.Float64Range(0, 50).Draw(f.t, "age")})
+		f.by(at, "d", Event{Kind: ReportedInForce, Version: f.version,
+			Age: rapid.Float64Range(0, 50).Draw(f.t, "age")})
 		if f.version > 1 {
-			f.by(at, "e", Event{Kind: Gives, Version: f.version - 1, Age: at - f.since + 0.001})
+			f.by(at, "e", Event{Kind: ReportedInForce, Version: f.version - 1, Age: at - f.since + 0.001})
 		}
 	case 2: // credit
 		u := min(rapid.Float64Range(0.5, 8).Draw(f.t, "units"), f.rights[g])
@@ -695,7 +697,7 @@
 		f.by(f.wait(0.01), g, Event{Kind: Sends, Txn: id, Worker: worker, Version: f.version})
 		f.by(f.wait(0.01), worker, Event{Kind: Got, Txn: id, Peer: g, Version: f.version})
 		f.by(f.wait(0.01), worker, Event{Kind: Ran, Txn: id})
-		f.by(f.wait(1), g, Event{Kind: Back, Txn: id, Worker: worker, Says: Answered})
+		f.by(f.wait(1), g, Event{Kind: AttemptEnded, Txn: id, Worker: worker, Says: Answered})
 		f.by(f.wait(1), "cl", Event{Kind: Ends, Txn: id, Says: Settled})
 	case 4: // a message
 		f.messages++
@@ -746,7 +748,7 @@
 // spoilt has one way to spoil a record for each check that has to find it.
 var spoilt = map[string]func(*fleet){
 	"versions": func(f *fleet) { // the one before the last is read anew
-		f.by(f.now+1, "d", Event{Kind: Gives, Version: f.version - 1, Age: 0.5})
+		f.by(f.now+1, "d", Event{Kind: ReportedInForce, Version: f.version - 1, Age: 0.5})
 	},
 	"contradiction": func(f *fleet) { // one goes on by the former version, which has another ceiling
 		f.acts(f.now+1, "a", 3, Leased)
@@ -787,17 +789,19 @@
 		at := func(name string) float64 { return float64(rapid.IntRange(10, 60).Draw(t, name)) }
 		for v := range uint64(3) {
 			w := at("wants")
-			p.by(w, "d", Event{Kind: Wants, Version: v + 1, Base: v})
+			p.by(w, "d", Event{Kind: Proposed, Version: v + 1, Base: v})
 			if rapid.IntRange(0, 2).Draw(t, "known") > 0 {
-				p.by(w+at("takes")/2, "d", Event{Kind: Taken, Version: v + 1, Base: v, Peer: "d"})
+				p.by(w+at("takes")/2, "d", Event{Kind: Decided, Version: v + 1, Base: v, Peer: "d"})
 			}
 		}
 		for range rapid.IntRange(0, 4).Draw(t, "reads") {
-			p.by(at("read"), "e", Event{Kind: rapid.SampledFrom([]Kind{Gives, Gives, Acts}).Draw(t, "kind"),
+			p.by(at("read"), "e", Event{
+				Kind:    rapid.SampledFrom([]Kind{ReportedInForce, ReportedInForce, Acts}).Draw(t, "kind"),
 				Version: uint64(rapid.IntRange(0, 3).Draw(t, "version")), Age: at("age") / 4})
 		}
 		v := Versions(p.record())
-		if (v.Checker == "Ok") != (v.Count == 0) || v.Count > 0 && strings.Contains(v.Breaks[0].Says, "porcupine") {
+		if (v.Checker == "Ok") != (v.Count == 0) ||
+			v.Count > 0 && strings.Contains(v.Violations[0].Says, "porcupine") {
 			t.Fatalf("porcupine says %s: %v", v.Checker, v)
 		}
 		wrong += min(v.Count, 1)
@@ -848,10 +852,10 @@
 		p.by(at, g, Event{Kind: Sends, Txn: id, Worker: "w", Version: 1})
 		p.by(at, "w", Event{Kind: Got, Txn: id, Peer: g, Version: 1})
 		p.by(at, "w", Event{Kind: Ran, Txn: id})
-		p.by(at, g, Event{Kind: Back, Txn: id, Worker: "w", Says: Answered})
+		p.by(at, g, Event{Kind: AttemptEnded, Txn: id, Worker: "w", Says: Answered})
 		p.by(at, "cl", Event{Kind: Ends, Txn: id, Says: Settled})
 		p.by(at, g, Event{Kind: Heard, Peer: "w", Serial: uint64(i)})
-		p.by(at, "d", Event{Kind: Gives, Version: 1, Age: 1})
+		p.by(at, "d", Event{Kind: ReportedInForce, Version: 1, Age: 1})
 	}
 	by := map[string][]Event{}
 	for _, e := range p.events {
--- a/internal/testkit/history/contradict.go
+++ b/internal/testkit/history/contradict.go
@@ -101,7 +101,7 @@
 
 // Contradictions is the result of Contradiction.
 type Contradictions struct {
-	Found
+	Result
 	Longest float64 // milliseconds for which two gateways acted on contradicting versions
 	Of      []Event // with which these two spans began
 	Lag     float64 // milliseconds by which an attempt came after its gateway had left the version that it names
--- a/internal/testkit/history/event.go
+++ b/internal/testkit/history/event.go
@@ -1,40 +1,66 @@
 package history
 
-// Kind tells what an Event speaks of.
+// Kind is what an Event records.
 type Kind string
 
-// The kinds. Who writes one, and when: an act is written before it is done where a check would else miss one
-// that a crash cut short, and so is said here.
+// The kinds. Each comment says who writes one and when: an act is written before it is done where a check
+// would otherwise miss one that a crash cut short. The values are fixed: they are in record files.
 const (
-	Began  Kind = "began"  // any: a process has started a life
-	Gone   Kind = "gone"   // any: a life ends by its own will, and its record is whole
-	Acts   Kind = "acts"   // a gatekeeper: it goes by Version from now on, in Mode; before it does
-	Gives  Kind = "gives"  // a daemon: Version is in force as far as it has been told
-	Wants  Kind = "wants"  // an operator or daemon: Version is proposed, in place of Base
-	Taken  Kind = "taken"  // the council: Version is in force in place of Base; Says has the reason of a refusal
-	Sends  Kind = "sends"  // a gatekeeper: Txn of Customer goes to Worker by Version; before the first byte
-	Got    Kind = "got"    // a worker: Txn has come whole, with the Version that it names
-	Asks   Kind = "asks"   // a client: Txn is sent to Peer
-	Ends   Kind = "ends"   // a client: Txn has its final answer, which Says names
-	Lends  Kind = "lends"  // a gatekeeper: Units of credit are drawn for Customer; before they are used
-	Repays Kind = "repays" // a gatekeeper: Units of Customer's debt at Peer (or its own) are paid back
-	Hands  Kind = "hands"  // a gatekeeper: a right to Units goes to Peer; before it is said. Serial is its place
-	Takes  Kind = "takes"  // a gatekeeper: a right to Units has come from Peer, with its Serial
-	Heard  Kind = "heard"  // any: a message of Peer with Serial was believed
-	Holds  Kind = "holds"  // a gatekeeper: its right to Customer's line is now Units by Version, whatever it was
-	Back   Kind = "back"   // a gatekeeper or worker: submission Serial of Txn is over; Says what that proves
-	Ran    Kind = "ran"    // a worker: submission Serial of Txn has run
-	Told   Kind = "told"   // a gatekeeper: it is told of Worker, which in Mode Active may be sent to, else not
-	Faults Kind = "faults" // the rig: a step of the schedule is done; Says has it
-	Died   Kind = "died"   // the rig: Peer was killed; once it is gone
-	Stalls Kind = "stalls" // the rig: Peer stands still; once it does
-	Wakes  Kind = "wakes"  // the rig: Peer goes on; before it does
+	// Began is written by any process: an incarnation has started.
+	Began Kind = "began"
+	// Gone is written by any process: an incarnation ends by itself, and its record is complete.
+	Gone Kind = "gone"
+	// Acts is written by a gateway: it acts on Version from now on, in Mode; before it does.
+	Acts Kind = "acts"
+	// ReportedInForce is written by a daemon: Version is in force as far as it was notified.
+	ReportedInForce Kind = "gives"
+	// Proposed is written by an operator or daemon: Version is proposed, in place of Base.
+	Proposed Kind = "wants"
+	// Decided is written by the raft group: Version is in force in place of Base; Says has the reason of a
+	// rejection.
+	Decided Kind = "taken"
+	// Sends is written by a gateway: Txn of Customer goes to Worker by Version; before the first byte.
+	Sends Kind = "sends"
+	// Got is written by a worker: Txn was received completely, with the Version that it names.
+	Got Kind = "got"
+	// Asks is written by a client: Txn is sent to Peer.
+	Asks Kind = "asks"
+	// Ends is written by a client: Txn has its final answer, which Says names.
+	Ends Kind = "ends"
+	// Lends is written by a gateway: Units of credit are drawn for Customer; before they are used.
+	Lends Kind = "lends"
+	// Repays is written by a gateway: Units of Customer's debt at Peer (or its own) are paid back.
+	Repays Kind = "repays"
+	// Hands is written by a gateway: a right to Units goes to Peer; before it is said. Serial is its place.
+	Hands Kind = "hands"
+	// Takes is written by a gateway: a right to Units has come from Peer, with its Serial.
+	Takes Kind = "takes"
+	// Heard is written by any process: a message of Peer with Serial was accepted.
+	Heard Kind = "heard"
+	// Holds is written by a gateway: its right to Customer's line is now Units by Version, whatever it was.
+	Holds Kind = "holds"
+	// AttemptEnded is written by a gateway or worker: attempt Serial of Txn has ended; Says what that proves.
+	AttemptEnded Kind = "back"
+	// Ran is written by a worker: attempt Serial of Txn has run.
+	Ran Kind = "ran"
+	// Notified is written by a gateway: it was notified of Worker, which in Mode Active may be sent to, else
+	// not.
+	Notified Kind = "told"
+	// Faults is written by the rig: a step of the schedule is done; Says has it.
+	Faults Kind = "faults"
+	// Died is written by the rig: Peer was killed; once it is gone.
+	Died Kind = "died"
+	// Stalls is written by the rig: Peer is stalled; once it is.
+	Stalls Kind = "stalls"
+	// Wakes is written by the rig: Peer is resumed; before it is.
+	Wakes Kind = "wakes"
 )
 
-var kinds = map[Kind]bool{Began: true, Gone: true, Acts: true, Gives: true, Wants: true, Taken: true,
+var kinds = map[Kind]bool{Began: true, Gone: true, Acts: true, ReportedInForce: true,
+	Proposed: true, Decided: true,
 	Sends: true, Got: true, Asks: true, Ends: true, Lends: true, Repays: true, Hands: true, Takes: true,
-	Heard: true, Holds: true, Back: true, Ran: true, Told: true, Faults: true, Died: true, Stalls: true,
-	Wakes: true}
+	Heard: true, Holds: true, AttemptEnded: true, Ran: true, Notified: true, Faults: true, Died: true,
+	Stalls: true, Wakes: true}
 
 // The modes of Acts. Any other counts as Leased.
 const (
@@ -43,10 +69,10 @@
 	Bare     = "bare"     // by no version: it may send nothing that a version limits
 )
 
-// Active is the Mode of Told for a worker that may be sent to.
+// Active is the Mode of Notified for a worker that may be sent to.
 const Active = "active"
 
-// What Back says that the end of a submission proves, and what Ends says besides the three answers.
+// What AttemptEnded says that the end of a submission proves, and what Ends says besides the three answers.
 const (
 	NeverRan = "never ran"
 	MayRun   = "may have run"
@@ -62,7 +88,7 @@
 	At       int64   `json:"at"` // ns of the machine's monotonic clock
 	Who      string  `json:"who"`
 	Life     uint32  `json:"life,omitempty"` // incarnation
-	Seq      uint64  `json:"seq"`            // place in its record, from 1 in each life
+	Seq      uint64  `json:"seq"`            // sequence number in its record, from 1 in each incarnation
 	Kind     Kind    `json:"kind"`
 	Version  uint64  `json:"version,omitempty"`
 	Base     uint64  `json:"base,omitempty"`
@@ -78,7 +104,7 @@
 	Units    float64 `json:"units,omitempty"`
 	Serial   uint64  `json:"serial,omitempty"`
 	Expiry   int64   `json:"expiry,omitempty"` // ns of the same clock: until when the client of Asks waits
-	Age      float64 `json:"age,omitempty"`    // ms: what Gives tells was in force at a moment no longer ago
+	Age      float64 `json:"age,omitempty"`    // ms: Version was in force at most so long ago
 	Says     string  `json:"says,omitempty"`
 }
 
--- a/internal/testkit/history/golden_test.go
+++ b/internal/testkit/history/golden_test.go
@@ -17,8 +17,9 @@
 	events := []Event{{Kind: Began}, {Kind: Got, Version: 5, Base: 6, Mark: "mark-7", Mode: Leased, Txn: "txn-8",
 		Customer: 9, Plan: "plan-10", Product: "product-11", Worker: "worker-12", Peer: "peer-13", PeerLife: 14,
 		Units: 15.5, Serial: 16, Expiry: 17, Age: 18.5, Says: Settled}}
-	for _, kind := range []Kind{Acts, Gives, Wants, Taken, Sends, Got, Asks, Ends, Lends, Repays, Hands, Takes,
-		Heard, Holds, Back, Ran, Told, Faults, Died, Stalls, Wakes} {
+	for _, kind := range []Kind{Acts, ReportedInForce, Proposed, Decided, Sends, Got, Asks, Ends, Lends, Repays,
+		Hands, Takes,
+		Heard, Holds, AttemptEnded, Ran, Notified, Faults, Died, Stalls, Wakes} {
 		events = append(events, Event{Kind: kind})
 	}
 	events[2].Mode, events[3].Mode, events[4].Mode, events[5].Mode = Leased, Fallback, Bare, Active
--- a/internal/testkit/history/ledger.go
+++ b/internal/testkit/history/ledger.go
@@ -11,7 +11,7 @@
 
 // Ledgered is the result of Ledger.
 type Ledgered struct {
-	Found
+	Result
 	Most       float64 // part of its line that a customer had outstanding at once
 	Drawn      float64 // units lent in all
 	Owed       float64 // units outstanding at the record's end
@@ -307,7 +307,7 @@
 // short histories: each entry may take effect at any moment from its line to step ms after it, so that it
 // also passes what only the order of lines within step makes look wrong. It knows no times of repayment and
 // no fallen gatekeepers. checked gives how many customers had no more entries than it is given.
-func LedgerOrder(r Record, line func(Event) float64, step float64) (f Found, checked int) {
+func LedgerOrder(r Record, line func(Event) float64, step float64) (f Result, checked int) {
 	by := map[uint64][]porcupine.Operation{}
 	for _, e := range r.Events {
 		switch e.Kind {
--- a/internal/testkit/history/replay.go
+++ b/internal/testkit/history/replay.go
@@ -12,18 +12,18 @@
 	Gatekeepers, Workers, Products, Plans []string
 }
 
-// Judged is the result of Judge.
-type Judged struct {
-	Found
+// InvariantsResult is the result of CheckInvariants.
+type InvariantsResult struct {
+	Result
 	Rules  [6]int   // violations by rule; the index is the rule's number
 	Unsaid int      // attempts whose end no record has: each counts as one that may have run
 	Odd    []string // the first events that cannot be replayed, and why
 	OddOf  int      // how many there were
 }
 
-// replay is the state of Judge on its way through a record.
+// replay is the state of CheckInvariants on its way through a record.
 type replay struct {
-	*Judged
+	*InvariantsResult
 	checker      *invariants.Checker
 	numbers      [4]map[string]int
 	byTxn        map[string]*request
@@ -48,19 +48,19 @@
 	ended              bool
 }
 
-// Judge tells a record to internal/testkit/invariants, which stays the one place of the five rules: txns by
-// what clients
-// recorded (Asks with Product, Plan, Customer, Units, Peer and Expiry; Ends), submissions by gatekeepers
-// (Sends, with Serial where one worker gets a txn more than once), runs by workers (Ran), ends of
-// submissions by either (Back), words on workers by gatekeepers (Told; one that says active tells of the
-// start, too), starts of workers (Began), and deaths. Times are ms from the record's first event. Where a
-// worker has recorded how a submission ended, that counts, whatever its gatekeeper says of it later.
+// CheckInvariants replays a record to internal/testkit/invariants, which stays the one place of the five
+// rules: txns by what clients recorded (Asks with Product, Plan, Customer, Units, Peer and Expiry; Ends),
+// submissions by gatekeepers (Sends, with Serial where one worker gets a txn more than once), runs by workers
+// (Ran), ends of submissions by either (AttemptEnded), availability of workers by gateways (Notified; one
+// that says active tells of the start, too), starts of workers (Began), and deaths. Times are ms from the
+// record's first event. Where a worker has recorded how a submission ended, that counts, whatever its
+// gatekeeper says of it later.
 //
 // What a record cannot give: a submission whose connection broke is known by its gatekeeper's word alone,
-// so a Back of a gatekeeper that says NeverRan is believed unless a worker's record has the submission.
-func Judge(r Record, cast Cast, rules invariants.Rules) Judged {
-	var out Judged
-	p := &replay{Judged: &out, checker: invariants.New(rules), byTxn: map[string]*request{},
+// so an AttemptEnded of a gateway that says NeverRan is believed unless a worker's record has the submission.
+func CheckInvariants(r Record, cast Cast, rules invariants.Rules) InvariantsResult {
+	var out InvariantsResult
+	p := &replay{InvariantsResult: &out, checker: invariants.New(rules), byTxn: map[string]*request{},
 		starts: map[int]float64{}}
 	for i, names := range [][]string{cast.Gatekeepers, cast.Workers, cast.Products, cast.Plans} {
 		p.numbers[i] = map[string]int{}
@@ -83,12 +83,12 @@
 		out.Count += n
 	}
 	for _, b := range breaks {
-		k := Break{At: p.first + nanos(b.At), Says: b.String()}
+		k := Violation{At: p.first + nanos(b.At), Says: b.String()}
 		if b.Txn > 0 && b.Txn <= uint64(len(p.requests)) {
 			k.Rests = slices.Clone(p.requests[b.Txn-1].evidence)
 			k.Says = fmt.Sprintf("%s (%s)", k.Says, k.Rests[0].Txn)
 		}
-		out.Breaks = append(out.Breaks, k)
+		out.Violations = append(out.Violations, k)
 	}
 	for _, t := range p.requests {
 		for _, s := range t.attempts {
@@ -160,7 +160,7 @@
 			p.starts[n] = at
 		}
 		return
-	case Told:
+	case Notified:
 		g, is := p.number(gatekeepers, e.Who, e)
 		if w, too := p.number(workers, e.Worker, e); is && too {
 			p.checker.AvailabilityNotified(at, g, w, e.Mode == Active)
@@ -172,7 +172,7 @@
 	case Asks:
 		p.requested(at, e, t)
 		return
-	case Sends, Ran, Back, Ends:
+	case Sends, Ran, AttemptEnded, Ends:
 	default:
 		return
 	}
@@ -193,7 +193,7 @@
 		} else {
 			p.checker.AttemptRan(at, t.id, n)
 		}
-	case Back:
+	case AttemptEnded:
 		p.attemptEnded(at, e, t)
 	case Ends:
 		p.answered(at, e, t)
--- a/internal/testkit/history/versions.go
+++ b/internal/testkit/history/versions.go
@@ -12,7 +12,7 @@
 
 // Versioned is the result of Versions.
 type Versioned struct {
-	Found
+	Result
 	InForce int    // versions that came in force, or are shown to have by a read
 	Reads   int    // of the version in force
 	Checker string // what porcupine says: Ok, Illegal or Unknown; empty where the history was too long for it
@@ -35,11 +35,11 @@
 }
 
 // Versions checks that the version in force is one register that is changed by compare-and-set alone: a
-// version comes in force at one moment between its Wants and its first Taken, in place of its Base, which
-// was in force up to then; a proposal without an outcome may have come in force at any later time, or
-// never; one that is refused never does. What Gives tells was in force at some moment from At-Age to At,
-// and what a gatekeeper Acts on at some moment before. This is linearizability (Herlihy and Wing 1990) with
-// reads that are as old as they say. It is decided in one pass over the versions, as each is a value
+// version comes in force at one moment between its Proposed and its first Decided, in place of its Base,
+// which was in force up to then; a proposal without an outcome may have come in force at any later time, or
+// never; one that is refused never does. What ReportedInForce says was in force at some moment from At-Age to
+// At, and what a gatekeeper Acts on at some moment before. This is linearizability (Herlihy and Wing 1990)
+// with reads that are as old as they say. It is decided in one pass over the versions, as each is a value
 // written once, and again by porcupine where the history is short enough.
 //
 // A version with two marks, two versions in place of one, and one from nowhere are named as such.
@@ -90,12 +90,12 @@
 func (c *versionCollector) event(e Event) {
 	c.checkDigest(e)
 	switch e.Kind {
-	case Wants:
+	case Proposed:
 		c.Seen++
 		c.initial = min(c.initial, e.Base)
 		w := c.version(e.Version)
 		w.wanted = append(w.wanted, e)
-	case Taken:
+	case Decided:
 		c.Seen++
 		c.outcome(e)
 	case Acts:
@@ -107,7 +107,7 @@
 			c.initial = min(c.initial, e.Version)
 			w.acted = e
 		}
-	case Gives:
+	case ReportedInForce:
 		c.Seen++
 		c.Reads++
 		c.initial = min(c.initial, e.Version)
@@ -147,16 +147,17 @@
 	}
 }
 
-// proposal names a proposal: by Txn, else by what it asks for and who does (Peer in a Taken, where it says).
+// proposal names a proposal: by Txn, else by what it asks for and who does (Peer in a Decided, where it
+// says).
 func proposal(e Event) string {
 	if e.Txn != "" {
 		return e.Txn
 	}
 	who := e.Who
-	if e.Kind == Taken {
+	if e.Kind == Decided {
 		who = e.Peer
 	}
-	return Event{Kind: Wants, Who: who, Version: e.Version, Base: e.Base}.String()
+	return Event{Kind: Proposed, Who: who, Version: e.Version, Base: e.Base}.String()
 }
 
 // chain gives the versions that came in force, in order, with the times between which each did.
--- a/internal/testkit/history/window.go
+++ b/internal/testkit/history/window.go
@@ -9,7 +9,7 @@
 
 // Windowed is the result of Window.
 type Windowed struct {
-	Found
+	Result
 	Customers int     // that have a limit
 	Most      float64 // part of a Depth that was used at once; over 1 is a break
 	Unknown   int     // txns that came without a customer or units, and were asked for by none
