--- a/cmd/willowdeck/main.go
+++ b/cmd/willowdeck/main.go
@@ -197,7 +197,7 @@
 	}
 	if forwardAuth := conf.ForwardAuth; forwardAuth != nil && forwardAuth.Authorizer != nil {
 		fmt.Printf("asking %s, at most %g ms\n", forwardAuth.Authorizer.ServiceAddress,
-			forwardAuth.Authorizer.Terms.Limit)
+			forwardAuth.Authorizer.Terms.TimeoutMillis)
 	}
 	if journal := conf.Journal; journal != nil {
 		fmt.Printf("once-only txns are written down in %s, policy %s\n", journal.InstanceDir(conf.Name),
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -59,25 +59,25 @@
 	members atomic.Int64                           // gatekeepers there are, this one included
 	lists   sync.Mutex                             // of list, and of what the desk is told of it
 	list    *bootstrap.Registry
-	portal  *authserver.Portal  // nil where portals do not ask
-	vouch   *authorizer.Voucher // nil where no auth service is asked
-	spoilt  atomic.Int64        // copies of a former life that could not be gone by
-	asking  atomic.Bool         // others are asked for their list
-	agreed  *agreement          // nil where no rules are agreed on
-	history *history.Log        // nil where no record is kept
-	said    time.Time           // when the log last told that the watch had ended
-	word    *speaker            // nil where no word is told
-	first   chan struct{}       // closed at the watch's first word or failure
-	once    sync.Once           // of that
-	lends   atomic.Bool         // credit is, or can't be
-	away    atomic.Bool         // its place is another process's, still or from here on
-	heir    *heir               // nil where no process was before this one
+	portal  *authserver.Server     // nil where portals do not ask
+	vouch   *authorizer.Authorizer // nil where no auth service is asked
+	spoilt  atomic.Int64           // copies of a former life that could not be gone by
+	asking  atomic.Bool            // others are asked for their list
+	agreed  *agreement             // nil where no rules are agreed on
+	history *history.Log           // nil where no record is kept
+	said    time.Time              // when the log last told that the watch had ended
+	word    *speaker               // nil where no word is told
+	first   chan struct{}          // closed at the watch's first word or failure
+	once    sync.Once              // of that
+	lends   atomic.Bool            // credit is, or can't be
+	away    atomic.Bool            // its place is another process's, still or from here on
+	heir    *heir                  // nil where no process was before this one
 
 	copied   atomic.Pointer[checkpoint.Snapshot] // a former life's, until it is known which rules are in force
 	agreedOn atomic.Pointer[[]policy.Plan]       // as rules that were adopted last have them; nil before any
 
 	gate    *proxy.Proxy
-	journal atomic.Pointer[store.Keeper] // nil where no txn is written down
+	journal atomic.Pointer[store.Journal] // nil where no txn is written down
 }
 
 // Start brings a gatekeeper up: when it returns, clients are served.
@@ -89,7 +89,8 @@
 	g := &Gatekeeper{conf: c, log: log, served: make(chan error, 1), over: make(chan struct{}),
 		first: make(chan struct{})}
 	clients, workers := places(c)
-	g.links = transport.NewWorkerPool(workers, transport.Millis(c.Connections.IdleTimeoutMillis*policy.WorkerIdleFraction),
+	g.links = transport.NewWorkerPool(workers,
+		transport.Millis(c.Connections.IdleTimeoutMillis*policy.WorkerIdleFraction),
 		transport.Millis(c.Connections.ConnectTimeoutMillis))
 	tell := func(int, []byte) {}
 	if len(c.PeerAddresses) > 0 {
@@ -147,7 +148,7 @@
 
 	g.limit = transport.NewLimitListener(l, clients)
 	if err = nil; g.portal != nil && before == nil {
-		err = g.portal.Bind()
+		err = g.portal.Listen()
 	}
 	if c.AdminAddress != "" && err == nil {
 		g.port, err = admin.Open(c.AdminAddress, g)
@@ -300,11 +301,11 @@
 	if j == nil {
 		return
 	}
-	who := store.Who{Name: g.conf.Name}
+	who := store.Writer{Instance: g.conf.Name}
 	if mark, up, err := crashstate.ReadBoot(); err == nil {
-		who.Boot, who.Offset = crc32.ChecksumIEEE(mark), float64(time.Now().UnixMilli())-up
+		who.BootID, who.ClockOffsetMillis = crc32.ChecksumIEEE(mark), float64(time.Now().UnixMilli())-up
 	}
-	k := store.Keep(diskOf(j.InstanceDir(g.conf.Name)), j.Terms, who, beside, g.conf.Seed, g.log)
+	k := store.Start(diskOf(j.InstanceDir(g.conf.Name)), j.Terms, who, beside, g.conf.Seed, g.log)
 	g.journal.Store(k)
 	g.gate.EnableJournal(k, j.Terms, g.conf.Charter.Products, g.conf.Names.ProductNames())
 }
