--- a/cmd/willowdeck-lab/main_test.go
+++ b/cmd/willowdeck-lab/main_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	plans, products := names(s)
-	j := &loadgen.Job{Arrivals: all, Targets: []string{g.At}, Spread: 1, Plans: plans, Most: 1000, Seed: 3}
+	j := &loadgen.Job{Arrivals: all, Targets: []string{g.Address}, Spread: 1, Plans: plans, Most: 1000, Seed: 3}
 	for i, p := range s.Products {
 		j.Products = append(j.Products, loadgen.Product{Name: products[i], Repeat: p.Repeat, Body: 50,
 			Waits: time.Duration(p.SLAMS * 2 * float64(time.Millisecond))})
@@ -149,7 +149,7 @@
 			return nil, err
 		}
 		at, err := listenOf(file)
-		return &gatekeeper{at: g.At, asked: at, stop: g.Stop}, err
+		return &gatekeeper{at: g.Address, asked: at, stop: g.Stop}, err
 	}
 	all, err := playArms(t.Context(), s, 1, []arm{
 		{name: "asked", portal: true, asked: true, loses: 10},
--- a/cmd/willowdeck/main.go
+++ b/cmd/willowdeck/main.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	conf.Sockets = lifecycle.Room(conf.Sockets)
+	conf.Sockets = lifecycle.SocketLimit(conf.Sockets)
 	g, err := lifecycle.Start(conf, log.With().Str("gatekeeper", conf.Name).Logger())
 	if err != nil {
 		return err
--- a/internal/gateway/lifecycle/warm.go
+++ b/internal/gateway/lifecycle/bootstrap.go
@@ -16,53 +16,53 @@
 )
 
 // alive notes that discovery is heard.
-func (g *Gatekeeper) alive() {
-	defer g.speaks()
-	g.lists.Lock()
-	defer g.lists.Unlock()
-	if whole, changed := g.list.Alive(g.desk.Now()); changed {
-		g.desk.ApplyEndpoints(whole)
+func (g *Gateway) discoveryResponded() {
+	defer g.markFirstWatch()
+	g.endpointsMu.Lock()
+	defer g.endpointsMu.Unlock()
+	if whole, changed := g.endpoints.Alive(g.dispatcher.Now()); changed {
+		g.dispatcher.ApplyEndpoints(whole)
 	}
 }
 
 // words takes the operators' words on workers and halls.
-func (g *Gatekeeper) words(all []ruleset.WorkerOverride) {
-	g.lists.Lock()
-	defer g.lists.Unlock()
-	g.desk.ApplyEndpoints(g.list.Words(all))
+func (g *Gateway) applyWorkerOverrides(all []ruleset.WorkerOverride) {
+	g.endpointsMu.Lock()
+	defer g.endpointsMu.Unlock()
+	g.dispatcher.ApplyEndpoints(g.endpoints.Words(all))
 }
 
 // discovered gives the index of discovery's list that is known here; below nought where it has not spoken.
-func (g *Gatekeeper) discovered() int64 {
-	g.lists.Lock()
-	defer g.lists.Unlock()
-	if !g.list.Heard() {
+func (g *Gateway) discoveryIndex() int64 {
+	g.endpointsMu.Lock()
+	defer g.endpointsMu.Unlock()
+	if !g.endpoints.Heard() {
 		return -1
 	}
-	return g.list.Version()
+	return g.endpoints.Version()
 }
 
 // lags takes the highest index of discovery's list that any instance has. Where this one has been behind it
 // for long, it asks the others.
-func (g *Gatekeeper) lags(highest int64) {
-	g.lists.Lock()
-	late := g.list.Lags(highest, g.desk.Now()) && g.list.Waits()
-	g.lists.Unlock()
-	if late && len(g.conf.Ask) > 0 && g.asking.CompareAndSwap(false, true) {
-		g.log.Warn().Int64("index", g.discovered()).Int64("highest", highest).
+func (g *Gateway) checkDiscoveryLag(highest int64) {
+	g.endpointsMu.Lock()
+	late := g.endpoints.Lags(highest, g.dispatcher.Now()) && g.endpoints.Waits()
+	g.endpointsMu.Unlock()
+	if late && len(g.config.Ask) > 0 && g.requestingEndpoints.CompareAndSwap(false, true) {
+		g.log.Warn().Int64("index", g.discoveryIndex()).Int64("highest", highest).
 			Msg("discovery lags here, asking others for the list")
-		go g.ask(g.conf.Ask, rand.New(rand.NewSource(g.conf.Seed)))
+		go g.requestEndpoints(g.config.Ask, rand.New(rand.NewSource(g.config.Seed)))
 	}
 }
 
 // Tells tells whether newcomers may ask here.
-func (g *Gatekeeper) Tells() bool { return g.conf.Tells }
+func (g *Gateway) Tells() bool { return g.config.Tells }
 
 // List gives what a newcomer may be told of workers; false where discovery has not spoken here.
-func (g *Gatekeeper) List() (list []byte, age float64, ok bool) {
-	g.lists.Lock()
-	defer g.lists.Unlock()
-	l, age, ok := g.list.Tells(g.desk.Now())
+func (g *Gateway) List() (list []byte, age float64, ok bool) {
+	g.endpointsMu.Lock()
+	defer g.endpointsMu.Unlock()
+	l, age, ok := g.endpoints.Tells(g.dispatcher.Now())
 	if ok {
 		var err error
 		if list, err = endpoints.Append(nil, l); err != nil {
@@ -73,36 +73,36 @@
 }
 
 // ask asks running instances for their list until discovery has spoken. Nothing waits for it.
-func (g *Gatekeeper) ask(peers []string, rng *rand.Rand) {
-	defer g.asking.Store(false)
+func (g *Gateway) requestEndpoints(peers []string, rng *rand.Rand) {
+	defer g.requestingEndpoints.Store(false)
 	client := fasthttp.Client{MaxResponseBodySize: bootstrap.LongestOf, MaxIdemponentCallAttempts: 1,
 		NoDefaultUserAgentHeader: true, ReadTimeout: transport.Millis(bootstrap.AskWithin)}
 	for {
 		for _, at := range peers {
-			g.lists.Lock()
-			waits := g.list.Waits()
-			g.lists.Unlock()
+			g.endpointsMu.Lock()
+			waits := g.endpoints.Waits()
+			g.endpointsMu.Unlock()
 			if !waits {
 				return
 			}
-			l, age, err := listOf(&client, at)
+			l, age, err := fetchEndpoints(&client, at)
 			if err != nil {
 				g.log.Debug().Err(err).Str("peer", at).Msg("no list from a peer")
 				continue
 			}
-			g.lists.Lock()
-			whole, changed := g.list.Peer(l, age)
+			g.endpointsMu.Lock()
+			whole, changed := g.endpoints.Peer(l, age)
 			if changed {
-				g.desk.ApplyEndpoints(whole)
+				g.dispatcher.ApplyEndpoints(whole)
 			}
-			g.lists.Unlock()
+			g.endpointsMu.Unlock()
 			if changed {
 				g.log.Info().Str("peer", at).Int64("version", l.Version).Float64("age_ms", age).
 					Int("workers", len(whole.Workers)).Msg("going by a peer's list until discovery speaks")
 			}
 		}
 		select {
-		case <-g.over:
+		case <-g.done:
 			return
 		case <-time.After(transport.Millis(bootstrap.AskAgain * (0.5 + rng.Float64()))):
 		}
@@ -110,7 +110,7 @@
 }
 
 // listOf asks an instance for its list.
-func listOf(client *fasthttp.Client, at string) (endpoints.List, float64, error) {
+func fetchEndpoints(client *fasthttp.Client, at string) (endpoints.List, float64, error) {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
--- a/internal/gateway/lifecycle/warm_test.go
+++ b/internal/gateway/lifecycle/bootstrap_test.go
@@ -15,7 +15,7 @@
 )
 
 // scripted is a peer that answers whatever it is told to, on loopback.
-func scripted(t *testing.T, answer http.HandlerFunc) string {
+func startServer(t *testing.T, answer http.HandlerFunc) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,15 +30,15 @@
 // A newcomer whose discovery is silent asks a running instance: nothing goes to a worker that has drained
 // since, whatever was known at its start. Peers that are older, wrong, of another version, garbled, endless
 // or that stop half-way change nothing, and nothing waits for them. Discovery's word ends it.
-func TestNewcomerAsks(t *testing.T) {
+func TestBootstrapFromPeer(t *testing.T) {
 	var up atomic.Pointer[deployment]
 	drained := func(version int) string {
 		for up.Load() == nil { // the newcomer asks while its start is not over
 			time.Sleep(time.Millisecond)
 		}
 		d := up.Load()
-		return fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[%s,%s]}`, version, d.entry(0, "leaving", 0),
-			d.entry(1, "active", 0))
+		return fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[%s,%s]}`, version, d.endpointEntry(0, "leaving", 0),
+			d.endpointEntry(1, "active", 0))
 	}
 	says := func(version, age string, body func() string) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -78,7 +78,7 @@
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			at := scripted(t, func(w http.ResponseWriter, r *http.Request) { c.peer(w, r) })
+			at := startServer(t, func(w http.ResponseWriter, r *http.Request) { c.peer(w, r) })
 			mute := silentListener(t)
 			began := time.Now()
 			up.Store(nil)
@@ -88,23 +88,23 @@
 				t.Errorf("the start took %v", took)
 			}
 			if c.believed {
-				until(t, "it is not believed", func() bool { return d.gk.desk.Tally().Workers == 1 })
+				waitFor(t, "it is not believed", func() bool { return d.gateway.dispatcher.Tally().Workers == 1 })
 			} else {
 				time.Sleep(150 * time.Millisecond)
 			}
 			for i := range 30 {
-				if s, _ := d.ask(check("/check", fmt.Sprint(i))); s != "HTTP/1.1 200 OK" {
+				if s, _ := d.send(checkRequest("/check", fmt.Sprint(i))); s != "HTTP/1.1 200 OK" {
 					t.Fatalf("answered %q", s)
 				}
 			}
 			if n := d.workers[0].count(); (n == 0) != c.believed {
 				t.Errorf("%d went to the worker that drains", n)
 			}
-			list := d.discovery()
-			conf := d.conf
+			list := d.startDiscovery()
+			conf := d.config
 			conf.Discovery = list
-			d.gk.Reload(conf, nil)
-			until(t, "hearsay outlives discovery's word", func() bool { return d.gk.desk.Tally().Workers == 2 })
+			d.gateway.Reload(conf, nil)
+			waitFor(t, "hearsay outlives discovery's word", func() bool { return d.gateway.dispatcher.Tally().Workers == 2 })
 		})
 	}
 }
@@ -129,23 +129,23 @@
 
 // A running instance tells what discovery has said to it, and nothing before that; one that is not to tell
 // has no such call.
-func TestTellsItsList(t *testing.T) {
+func TestServeEndpointList(t *testing.T) {
 	d := deployWith(t, func(c *config.Gatekeeper) { c.Control, c.Tells = "127.0.0.1:0", true }, 2, 5000)
-	until(t, "nothing is told", func() bool {
-		return strings.Contains(d.operate("GET "+admin.ListPath), "\"index\":7")
+	waitFor(t, "nothing is told", func() bool {
+		return strings.Contains(d.callAdmin("GET "+admin.ListPath), "\"index\":7")
 	})
-	d.news <- fmt.Sprintf(`{"index":8,"snapshot":false,"endpoints":[%s]}`, d.entry(1, "left", 0))
-	until(t, "it tells what was", func() bool {
-		s := d.operate("GET " + admin.ListPath)
+	d.updates <- fmt.Sprintf(`{"index":8,"snapshot":false,"endpoints":[%s]}`, d.endpointEntry(1, "left", 0))
+	waitFor(t, "it tells what was", func() bool {
+		s := d.callAdmin("GET " + admin.ListPath)
 		return strings.Contains(s, "\"index\":8") && !strings.Contains(s, "w1") && strings.Contains(s, "w0")
 	})
-	if s := operated(t).operate("GET " + admin.ListPath); !strings.Contains(s, "404") {
+	if s := deployWithAdmin(t).callAdmin("GET " + admin.ListPath); !strings.Contains(s, "404") {
 		t.Errorf("one that is not to tell: %q", s)
 	}
 	quiet := deployWith(t, func(c *config.Gatekeeper) {
 		c.Control, c.Tells, c.Discovery = "127.0.0.1:0", true, silentListener(t)
 	}, 1, 5000)
-	if s := quiet.operate("GET " + admin.ListPath); !strings.Contains(s, "503") {
+	if s := quiet.callAdmin("GET " + admin.ListPath); !strings.Contains(s, "503") {
 		t.Errorf("before discovery has spoken: %q", s)
 	}
 }
--- a/internal/gateway/lifecycle/lend.go
+++ b/internal/gateway/lifecycle/borrowing.go
@@ -13,35 +13,35 @@
 )
 
 // creditEach is how often the book of credit looks after what is owed, ms.
-const creditEach = 100.0
+const collectIntervalMillis = 100.0
 
 // bookOf is where the book of credit is kept, beside the residue.
-const bookOf = ".credit"
+const ledgerSuffix = ".credit"
 
 // lend has the gatekeeper lend what plans allow, once any does: those of its settings, or of rules that are
 // agreed on later. Nothing is lent where a sudden end would forget a debt, or
 // where peers that share customers can't be told from their former lives.
-func (g *Gatekeeper) lend(by []policy.Plan) {
-	c := g.conf.Charter
+func (g *Gateway) enableBorrowing(by []policy.Plan) {
+	c := g.config.Charter
 	plans, any := proxy.CreditLines(by)
 	switch {
-	case !any || g.away.Load() || !g.lends.CompareAndSwap(false, true):
+	case !any || g.standby.Load() || !g.borrowingEnabled.CompareAndSwap(false, true):
 		return
-	case g.conf.Residue == "":
+	case g.config.Residue == "":
 		g.log.Warn().Msg("settings.tariffs: credit_s lends nothing, as nothing is kept over a sudden end (residue)")
 		return
-	case c.Gatekeepers > 1 && (g.peers == nil || !g.conf.Tells):
+	case c.Gatekeepers > 1 && (g.peers == nil || !g.config.Tells):
 		g.log.Warn().Msg("settings.tariffs: credit_s lends nothing, as peers do not say which life they speak of")
 		return
 	}
-	f, err := ledger.Open(g.conf.Residue+bookOf, c.Me)
+	f, err := ledger.Open(g.config.Residue+ledgerSuffix, c.Me)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("nothing is lent")
 		return
 	}
-	t := borrowing.Terms{Me: c.Me, Gatekeepers: int(g.members.Load()), Plans: plans,
+	t := borrowing.Terms{Me: c.Me, Gatekeepers: int(g.memberCount.Load()), Plans: plans,
 		PeerInPerS: c.PeerInPerS}
-	b := borrowing.New(t, g.conf.Seed, f.Born)
+	b := borrowing.New(t, g.config.Seed, f.Born)
 	b.Clock(f.Now())
 	for _, k := range f.Records {
 		b.Restore(k.Place, k.Record)
@@ -53,18 +53,18 @@
 	if g.history != nil {
 		r = g.history
 	}
-	g.desk.EnableBorrowing(b, f, r, g.conf.Names.PlanNames())
+	g.dispatcher.EnableBorrowing(b, f, r, g.config.Names.PlanNames())
 	if g.peers != nil {
-		g.peers.Credit(g.desk.ReceiveCredit)
+		g.peers.Credit(g.dispatcher.ReceiveCredit)
 	}
 	go func() {
-		t := time.NewTicker(transport.Millis(creditEach))
+		t := time.NewTicker(transport.Millis(collectIntervalMillis))
 		defer t.Stop()
 		for {
 			select {
 			case <-t.C:
-				g.desk.CollectDue()
-			case <-g.over:
+				g.dispatcher.CollectDue()
+			case <-g.done:
 				return
 			}
 		}
@@ -72,8 +72,8 @@
 }
 
 // creditFigures adds what operators see of credit, in units; where nothing is lent there is none.
-func (g *Gatekeeper) creditFigures(add func(name string, v int64)) {
-	f, on := g.desk.CreditFigures()
+func (g *Gateway) borrowingFigures(add func(name string, v int64)) {
+	f, on := g.dispatcher.CreditFigures()
 	if !on {
 		return
 	}
--- a/internal/gateway/lifecycle/room_test.go
+++ b/internal/gateway/lifecycle/descriptors_test.go
@@ -22,14 +22,14 @@
 )
 
 // files counts the descriptors of a process.
-func files(pid string) int {
+func openDescriptors(pid string) int {
 	all, _ := os.ReadDir(filepath.Join("/proc", pid, "fd"))
 	return len(all)
 }
 
 // crowd keeps so many connections open at an address for as long as it may: each that is ended is opened
 // anew. A connection says something, or nothing, and then rests.
-func crowd(t *testing.T, at string, n int, says string) *atomic.Int64 {
+func keepConnecting(t *testing.T, at string, n int, says string) *atomic.Int64 {
 	t.Helper()
 	over := make(chan struct{})
 	var open atomic.Int64
@@ -80,7 +80,7 @@
 // told to the peer, and operators are answered. Real processes, each bounded by the system for itself alone.
 // Guards against a split of the descriptors that forgets some of those in use, or believes a configuration
 // that the system does not allow: the last ones go to clients then, and the watch finds none.
-func TestIdleFillsDescriptors(t *testing.T) {
+func TestIdleConnectionsFillDescriptors(t *testing.T) {
 	t.Parallel()
 	const most = 96
 	program := faultinject.Program(t, "willowdeck")
@@ -141,13 +141,13 @@
 				t.Fatal(err)
 			}
 			pid := strings.TrimSpace(string(raw))
-			idle := files(pid)
+			idle := openDescriptors(pid)
 			const more = 4 // the watch, a client's and an operator's connection that wait for places, and a file
 			if d, err := config.Decode([]byte(conf), os.Getenv); err == nil && c.limits != "" {
 				if len(c.args) > 0 {
 					d.Residue, d.History = "residue", "."
 				}
-				clients, workers := places(d)
+				clients, workers := connectionLimits(d)
 				if all := idle + more + policy.OperatorCalls + clients + workers; all > most {
 					t.Errorf("%d descriptors alone, %d for clients, %d for workers: %d of %d in all", idle, clients,
 						workers, all, most)
@@ -156,12 +156,12 @@
 				t.Fatal(err)
 			}
 
-			crowd(t, at(0), most, "")
-			crowd(t, at(0), most/2, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-			crowd(t, at(2), 2*policy.OperatorCalls, "")
+			keepConnecting(t, at(0), most, "")
+			keepConnecting(t, at(0), most/2, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+			keepConnecting(t, at(2), 2*policy.OperatorCalls, "")
 			full := 0
 			wait("a crowd that fills all places", 10000, func() bool {
-				full = max(full, files(pid))
+				full = max(full, openDescriptors(pid))
 				return full >= idle+c.least
 			})
 
@@ -199,14 +199,14 @@
 				}
 				defer c.Close()
 				fmt.Fprint(c, raw)
-				status, _ := read(c)
-				full = max(full, files(pid))
+				status, _ := readResponse(c)
+				full = max(full, openDescriptors(pid))
 				return status == "HTTP/1.1 200 OK"
 			}
 			n := 0
 			served := func() bool {
 				n++
-				return answers(at(0), strings.Replace(check("/check", fmt.Sprint(n)), "spread=1", "spread=2", 1))
+				return answers(at(0), strings.Replace(checkRequest("/check", fmt.Sprint(n)), "spread=1", "spread=2", 1))
 			}
 			wait("a client served by a worker of the list", policy.WatchDue+5000, served)
 			t.Logf("%d descriptors, %d of them without a client; served %v after discovery was up", full, idle,
--- a/internal/gateway/lifecycle/leave_test.go
+++ b/internal/gateway/lifecycle/disconnect_test.go
@@ -11,7 +11,7 @@
 // A client closes while its first submission is out, and that submission is reset right then: no second one
 // goes out. Guards against a further submission for nobody in the time until the module looks at its clients
 // (100 ms): the operators' term lets none begin more than 100 ms after.
-func TestClientLeavesBetweenSubmissions(t *testing.T) {
+func TestClientDisconnectsBetweenAttempts(t *testing.T) {
 	d := deploy(t, 0, 1000)
 	type came struct {
 		c    net.Conn
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { l.Close() })
-		d.workers = append(d.workers, &standIn{Listener: l})
+		d.workers = append(d.workers, &fakeWorker{Listener: l})
 		go func() {
 			for {
 				c, err := l.Accept()
@@ -39,17 +39,17 @@
 				}()
 			}
 		}()
-		d.news <- fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[%s]}`, 8+i, d.entry(i, "active", 0))
+		d.updates <- fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[%s]}`, 8+i, d.endpointEntry(i, "active", 0))
 	}
-	for !d.gk.up() || d.gk.desk.Tally().Workers < 2 {
+	for !d.gateway.ready() || d.gateway.dispatcher.Tally().Workers < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	for k := range 10 {
-		client, err := net.Dial("tcp", d.at)
+		client, err := net.Dial("tcp", d.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprint(client, check("/check", fmt.Sprint(k)))
+		fmt.Fprint(client, checkRequest("/check", fmt.Sprint(k)))
 		first := <-got
 		client.Close() // on loopback its end is there before the reset below
 		first.c.(*net.TCPConn).SetLinger(0)
--- a/internal/gateway/lifecycle/watch_test.go
+++ b/internal/gateway/lifecycle/discovery_test.go
@@ -28,7 +28,7 @@
 )
 
 // modes are the ways in which lists come, at the most gatekeepers.
-var modes = []struct {
+var watchModes = []struct {
 	name  string
 	swaps []string
 }{
@@ -37,7 +37,7 @@
 }
 
 // listing starts discovery with the workers of a configuration, its lists laid out over several lines.
-func listing(t *testing.T, c *config.Gatekeeper) *fakes.Discovery {
+func startListedDiscovery(t *testing.T, c *config.Gatekeeper) *fakes.Discovery {
 	t.Helper()
 	var entries []fakes.Entry
 	for _, w := range c.Known.Workers {
@@ -54,19 +54,19 @@
 }
 
 // drains has discovery tell that the first worker drains.
-func drains(list *fakes.Discovery) {
+func drainFirstWorker(list *fakes.Discovery) {
 	e := list.List().Endpoints[0]
 	e.Status = "leaving"
 	list.Tell(e)
 }
 
 // within waits until so many workers are active, and fails if that takes longer than so many ms.
-func within(t *testing.T, d *deployment, workers int, most float64) {
+func awaitActiveWorkers(t *testing.T, d *deployment, workers int, most float64) {
 	t.Helper()
 	began := time.Now()
-	for d.gk.desk.Tally().Workers != workers {
+	for d.gateway.dispatcher.Tally().Workers != workers {
 		if time.Since(began) > transport.Millis(most) {
-			t.Fatalf("%d workers are active %v ms later, not %d", d.gk.desk.Tally().Workers, most, workers)
+			t.Fatalf("%d workers are active %v ms later, not %d", d.gateway.dispatcher.Tally().Workers, most, workers)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -75,15 +75,15 @@
 
 // told is within, by a clock that stands still while the machine does: a look each 5 ms that comes more than
 // 50 ms late counts for 50.
-func told(t *testing.T, d *deployment, workers int, most float64) {
+func awaitActiveWorkersRunning(t *testing.T, d *deployment, workers int, most float64) {
 	t.Helper()
 	const late = 50 * time.Millisecond
 	began, ran, last := time.Now(), time.Duration(0), time.Now()
-	for ; d.gk.desk.Tally().Workers != workers; time.Sleep(5 * time.Millisecond) {
+	for ; d.gateway.dispatcher.Tally().Workers != workers; time.Sleep(5 * time.Millisecond) {
 		now := time.Now()
 		ran += min(now.Sub(last), late)
 		if last = now; ran > transport.Millis(most) {
-			t.Fatalf("%d workers are active %v (%v) later, not %d", d.gk.desk.Tally().Workers, ran, time.Since(began),
+			t.Fatalf("%d workers are active %v (%v) later, not %d", d.gateway.dispatcher.Tally().Workers, ran, time.Since(began),
 				workers)
 		}
 	}
@@ -95,31 +95,31 @@
 // several lines.
 func TestSilentWatch(t *testing.T) {
 	t.Parallel()
-	for _, m := range modes {
+	for _, m := range watchModes {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			var list *fakes.Discovery
 			d := deployWith(t, func(c *config.Gatekeeper) {
-				list = listing(t, c)
+				list = startListedDiscovery(t, c)
 				c.Discovery, c.Known.Version = list.At, 0
 				c.Known.Workers = c.Known.Workers[:1]
 				for rand.New(rand.NewSource(c.Seed)).Float64() > 0.02 { // that the first watch is open soon
 					c.Seed++
 				}
 			}, 2, 5000, m.swaps...)
-			within(t, d, 2, policy.WatchDue)
+			awaitActiveWorkers(t, d, 2, policy.WatchDue)
 			list.Silence()
-			drains(list)
-			within(t, d, 1, policy.WatchDue)
+			drainFirstWorker(list)
+			awaitActiveWorkers(t, d, 1, policy.WatchDue)
 		})
 	}
 }
 
 // A move to a discovery that is silent or turns calls away at first is told within WatchMoved once that
 // speaks. Guards against the first pause of a large fleet, and against those that grow with each failure.
-func TestMoveInTime(t *testing.T) {
+func TestDiscoveryMoveInTime(t *testing.T) {
 	t.Parallel()
-	for _, m := range modes {
+	for _, m := range watchModes {
 		for _, c := range []struct {
 			name   string
 			away   func(*fakes.Discovery, bool)
@@ -132,18 +132,18 @@
 			t.Run(m.name+", "+c.name, func(t *testing.T) {
 				t.Parallel()
 				d := deploy(t, 2, 5000, m.swaps...)
-				next := d.conf
-				list := listing(t, &next)
+				next := d.config
+				list := startListedDiscovery(t, &next)
 				for range 7 {
 					list.Tell() // its versions go on from those known
 				}
-				drains(list)
+				drainFirstWorker(list)
 				next.Discovery = list.At
 				c.away(list, c.before > 0)
-				d.gk.Reload(next, nil)
+				d.gateway.Reload(next, nil)
 				time.Sleep(c.before)
 				c.away(list, false)
-				within(t, d, 1, policy.WatchMoved)
+				awaitActiveWorkers(t, d, 1, policy.WatchMoved)
 			})
 		}
 	}
@@ -151,7 +151,7 @@
 
 // Where lists are pushed, no txn goes by the known list alone while the agent has a newer one at hand; and no
 // start waits for one that is silent for longer than FirstWord. Where they are asked for none waits.
-func TestStartHearsAgent(t *testing.T) {
+func TestStartAwaitsAgent(t *testing.T) {
 	const slack = 200.0 // ms; a start itself, on a loaded machine
 	for _, c := range []struct {
 		name   string
@@ -162,15 +162,15 @@
 	}{
 		{"at hand", nil, func(w http.ResponseWriter, d *deployment) {
 			time.Sleep(10 * time.Millisecond)
-			fmt.Fprintf(w, "{\n\"index\":8,\"endpoints\":[\n%s]}\n", d.entry(0, "leaving", 0))
+			fmt.Fprintf(w, "{\n\"index\":8,\"endpoints\":[\n%s]}\n", d.endpointEntry(0, "leaving", 0))
 		}, true, slack},
 		{"silent", nil, func(http.ResponseWriter, *deployment) {}, false, policy.FirstWord + slack},
 		{"turns it away", nil, func(w http.ResponseWriter, _ *deployment) { w.WriteHeader(503) }, false, slack},
-		{"asked for", modes[1].swaps, func(http.ResponseWriter, *deployment) {}, false, slack},
+		{"asked for", watchModes[1].swaps, func(http.ResponseWriter, *deployment) {}, false, slack},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := deploy(t, 2, 5000, c.swaps...)
-			conf := d.conf
+			conf := d.config
 			agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				c.answer(w, d)
 				w.(http.Flusher).Flush()
@@ -185,10 +185,10 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				took, d.at = time.Since(began), gk.At
+				took, d.address = time.Since(began), gk.Address
 				t.Cleanup(func() {
-					gk.unwind()
-					<-gk.ended
+					gk.cancelWatch()
+					<-gk.watchEnded
 					gk.Stop()
 				})
 				if !c.drains || took < transport.Millis(policy.FirstWord) {
@@ -196,7 +196,7 @@
 				}
 			}
 			for i := range 30 {
-				if s, _ := d.ask(check("/check", fmt.Sprint(i))); s != "HTTP/1.1 200 OK" {
+				if s, _ := d.send(checkRequest("/check", fmt.Sprint(i))); s != "HTTP/1.1 200 OK" {
 					t.Fatalf("answered %q", s)
 				}
 			}
@@ -209,11 +209,11 @@
 
 // What a newcomer asks of others may come over several lines, and counts only if it is whole: cut anywhere,
 // by a peer that says so little or one that breaks off, it is an error.
-func TestListOfPeer(t *testing.T) {
+func TestFetchEndpoints(t *testing.T) {
 	const whole = "{\n \"index\": 8,\n\n \"snapshot\": true,\n \"endpoints\": [\n" +
 		"  {\"name\":\"a\",\"status\":\"leaving\"}\n ]\n}"
 	cut, claims := 0, 0
-	at := scripted(t, func(w http.ResponseWriter, _ *http.Request) {
+	at := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(admin.VersionHeader, fmt.Sprint(bootstrap.Version))
 		w.Header().Set(admin.AgeHeader, "5")
 		w.Header().Set("Content-Length", fmt.Sprint(claims))
@@ -221,7 +221,7 @@
 	})
 	for cut = 0; cut <= len(whole); cut++ {
 		for _, claims = range []int{cut, len(whole)} {
-			l, _, err := listOf(&fasthttp.Client{MaxIdemponentCallAttempts: 1}, at)
+			l, _, err := fetchEndpoints(&fasthttp.Client{MaxIdemponentCallAttempts: 1}, at)
 			if ok := cut == len(whole); ok != (err == nil) || ok != (l.Version == 8 && len(l.Workers) == 1) {
 				t.Fatalf("cut after %q: %+v, %v", whole[:cut], l, err)
 			}
@@ -230,16 +230,16 @@
 }
 
 // calls is a discovery on loopback that meets one call after another as it is told to.
-type calls struct {
-	at   string
-	met  chan string // each call that has been met, by how
-	how  chan string // how the next is met; the last holds on
-	list string
-	turn time.Duration
+type scriptedDiscovery struct {
+	address    string
+	handled    chan string // each call that has been met, by how
+	behaviours chan string // how the next is met; the last holds on
+	list       string
+	delay      time.Duration
 }
 
 // meeting gives one whose list has the first worker of a configuration drain.
-func meeting(t *testing.T, at string, c *config.Gatekeeper, turn time.Duration) *calls {
+func newScriptedDiscovery(t *testing.T, at string, c *config.Gatekeeper, turn time.Duration) *scriptedDiscovery {
 	t.Helper()
 	l := endpoints.List{Version: c.Known.Version + 1, Workers: []endpoints.Worker{c.Known.Workers[0]}}
 	l.Workers[0].Active = false
@@ -247,13 +247,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &calls{at: at, met: make(chan string, 99), how: make(chan string, 99), list: string(raw), turn: turn}
+	return &scriptedDiscovery{address: at, handled: make(chan string, 99), behaviours: make(chan string, 99), list: string(raw), delay: turn}
 }
 
 // open has it listen.
-func (d *calls) open(t *testing.T) net.Listener {
+func (d *scriptedDiscovery) listen(t *testing.T) net.Listener {
 	t.Helper()
-	l, err := net.Listen("tcp", d.at)
+	l, err := net.Listen("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -261,7 +261,7 @@
 	return l
 }
 
-func (d *calls) serve(l net.Listener) {
+func (d *scriptedDiscovery) serve(l net.Listener) {
 	how := ""
 	for {
 		c, err := l.Accept()
@@ -269,19 +269,19 @@
 			return
 		}
 		select {
-		case how = <-d.how:
+		case how = <-d.behaviours:
 		default:
 		}
-		go d.meet(c, how)
+		go d.handle(c, how)
 	}
 }
 
-func (d *calls) meet(c net.Conn, how string) {
+func (d *scriptedDiscovery) handle(c net.Conn, how string) {
 	defer c.Close()
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 		return
 	}
-	d.met <- how
+	d.handled <- how
 	chunk := func(s string) error {
 		_, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s)
 		return err
@@ -291,7 +291,7 @@
 	more := ""
 	switch how {
 	case "well":
-		time.Sleep(d.turn)
+		time.Sleep(d.delay)
 		fmt.Fprint(c, ok)
 		_ = chunk(d.list + "\n")
 		for chunk("\n") == nil {
@@ -335,9 +335,9 @@
 // told in WatchDue, on real connections, by the draws that make for the longest pauses among 300 that ask,
 // where it answers in turn. Guards against all that a call which was refused, swallowed, turned away or given
 // half an answer may add to the next one's pause.
-func TestToldAfterOutage(t *testing.T) {
+func TestUpdateAfterOutage(t *testing.T) {
 	t.Parallel()
-	for _, m := range modes {
+	for _, m := range watchModes {
 		for _, c := range []struct {
 			name string
 			how  []string
@@ -355,22 +355,22 @@
 		} {
 			t.Run(m.name+", "+c.name, func(t *testing.T) {
 				t.Parallel()
-				var list *calls
+				var list *scriptedDiscovery
 				var l net.Listener
 				d := deployWith(t, func(conf *config.Gatekeeper) {
 					turn := time.Duration(0)
 					if conf.Lines.ListAsked {
 						turn = time.Second // of the 2 s it may be; what is left is for a loaded machine
 					}
-					list = meeting(t, ports.Address(t), conf, turn)
-					if l = list.open(t); len(c.how) == 0 {
+					list = newScriptedDiscovery(t, ports.Address(t), conf, turn)
+					if l = list.listen(t); len(c.how) == 0 {
 						l.Close()
 					}
 					for _, how := range append(c.how, "well") {
-						list.how <- how
+						list.behaviours <- how
 					}
-					conf.Discovery = list.at
-					for late(conf.Seed) {
+					conf.Discovery = list.address
+					for hasLateDraws(conf.Seed) {
 						conf.Seed++
 					}
 					if len(c.how) > 0 {
@@ -378,20 +378,20 @@
 					}
 				}, 2, 5000, m.swaps...)
 				if len(c.how) == 0 {
-					<-d.gk.first // a call has been refused
-					go list.serve(list.open(t))
+					<-d.gateway.firstWatchResult // a call has been refused
+					go list.serve(list.listen(t))
 				}
 				for range c.how {
-					<-list.met
+					<-list.handled
 				}
-				told(t, d, 1, policy.WatchDue)
+				awaitActiveWorkersRunning(t, d, 1, policy.WatchDue)
 			})
 		}
 	}
 }
 
 // late tells whether a seed does not draw an early first call and late ones after it.
-func late(seed int64) bool {
+func hasLateDraws(seed int64) bool {
 	r := rand.New(rand.NewSource(seed))
 	soon, late := r.Float64() < 0.02, true
 	for range 3 {
@@ -402,34 +402,34 @@
 
 // A connection to discovery never comes up, as to a machine that is gone; then it is back. Guards against a
 // try that was begun just before, and holds the next one up.
-func TestToldAfterBlackHole(t *testing.T) {
+func TestUpdateAfterBlackHole(t *testing.T) {
 	t.Parallel()
-	for _, m := range modes {
+	for _, m := range watchModes {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			var list *calls
+			var list *scriptedDiscovery
 			var hole []io.Closer
 			d := deployWith(t, func(conf *config.Gatekeeper) {
-				list = meeting(t, ports.Address(t), conf, 0)
-				hole = blackHole(t, list.at)
-				list.how <- "well"
-				conf.Discovery = list.at
-				for late(conf.Seed) {
+				list = newScriptedDiscovery(t, ports.Address(t), conf, 0)
+				hole = fillBacklog(t, list.address)
+				list.behaviours <- "well"
+				conf.Discovery = list.address
+				for hasLateDraws(conf.Seed) {
 					conf.Seed++
 				}
 			}, 2, 5000, m.swaps...)
-			<-d.gk.first // a try was given up; the next is about to begin, or has
+			<-d.gateway.firstWatchResult // a try was given up; the next is about to begin, or has
 			for _, c := range hole {
 				c.Close()
 			}
-			go list.serve(list.open(t))
-			told(t, d, 1, policy.WatchDue)
+			go list.serve(list.listen(t))
+			awaitActiveWorkersRunning(t, d, 1, policy.WatchDue)
 		})
 	}
 }
 
 // blackHole has connections to an address never come up: nobody accepts there, and the queue is full.
-func blackHole(t *testing.T, at string) (all []io.Closer) {
+func fillBacklog(t *testing.T, at string) (all []io.Closer) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -465,44 +465,44 @@
 // and one to which connections never come up, at once, and the last one's change is told within WatchMoved.
 // If that is down first, the change is told as after any outage. Guards against a move that waits for what
 // the watch is about, and against pauses of the moves before.
-func TestMovesInARow(t *testing.T) {
+func TestConsecutiveMoves(t *testing.T) {
 	t.Parallel()
-	for _, m := range modes {
+	for _, m := range watchModes {
 		for _, down := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, down first: %v", m.name, down), func(t *testing.T) {
 				t.Parallel()
 				at := []string{ports.Address(t), ports.Address(t), ports.Address(t)}
 				d := deploy(t, 2, 5000, m.swaps...)
-				next := d.conf
-				swallows, last := meeting(t, at[0], &next, 0), meeting(t, at[1], &next, 0)
-				swallows.how <- "swallowed"
-				go swallows.serve(swallows.open(t))
-				last.how <- "well"
-				blackHole(t, at[2])
+				next := d.config
+				swallows, last := newScriptedDiscovery(t, at[0], &next, 0), newScriptedDiscovery(t, at[1], &next, 0)
+				swallows.behaviours <- "swallowed"
+				go swallows.serve(swallows.listen(t))
+				last.behaviours <- "well"
+				fillBacklog(t, at[2])
 				began := time.Now()
 				move := func(to string) {
 					next.Discovery = to
-					d.gk.Reload(next, nil)
+					d.gateway.Reload(next, nil)
 				}
-				move(swallows.at)
-				<-swallows.met // the watch waits for an answer
+				move(swallows.address)
+				<-swallows.handled // the watch waits for an answer
 				move(at[2])
-				l := last.open(t)
+				l := last.listen(t)
 				if down {
 					l.Close()
 				}
 				before := time.Now()
-				move(last.at) // how long it takes for the old watch to end, TestWatchLeaves has exactly
+				move(last.address) // how long it takes for the old watch to end, TestWatchLeaves has exactly
 				due := policy.WatchMoved
 				if down {
 					time.Sleep(
 						transport.Millis(policy.WatchMoved) - time.Since(before),
 					) // by then it is an outage like others
 					due = policy.WatchDue
-					l = last.open(t)
+					l = last.listen(t)
 				}
 				go last.serve(l)
-				told(t, d, 1, due)
+				awaitActiveWorkersRunning(t, d, 1, due)
 				t.Logf("all moves took %v", time.Since(began))
 			})
 		}
--- a/internal/gateway/lifecycle/forward_test.go
+++ b/internal/gateway/lifecycle/forwardauth_test.go
@@ -20,21 +20,21 @@
 )
 
 // asked and asking are the operator file's tables for tests.
-const asked = "[asked]\nlisten = \"127.0.0.1:1\"\ntrusted = [\"127.0.0.0/8\"]\n" +
+const askedConfig = "[asked]\nlisten = \"127.0.0.1:1\"\ntrusted = [\"127.0.0.0/8\"]\n" +
 	"life_ms = 300\nremember_s = 30\nconnections = 8\n"
 
-func asking(auth *fakes.Auth, more string) string {
+func askingConfig(auth *fakes.Auth, more string) string {
 	return fmt.Sprintf("[asking]\nservice = %q\nlimit_ms = 200\nshare = 0.6\nconnections = 12\n%s\n", auth.At,
 		more)
 }
 
 // forwards turns forward authentication on by an operator file's text, with one worker as a rule.
-func forwards(t *testing.T, text string, swaps ...string) *deployment {
+func deployForwardAuth(t *testing.T, text string, swaps ...string) *deployment {
 	t.Helper()
-	return deployWith(t, forwarded(t, text), 1, 5000, swaps...)
+	return deployWith(t, forwardAuthConfig(t, text), 1, 5000, swaps...)
 }
 
-func forwarded(t *testing.T, text string) func(c *config.Gatekeeper) {
+func forwardAuthConfig(t *testing.T, text string) func(c *config.Gatekeeper) {
 	return func(c *config.Gatekeeper) {
 		f, err := config.DecodeForward(text, c)
 		if err != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-func newAuth(t *testing.T) *fakes.Auth {
+func newAuthService(t *testing.T) *fakes.Auth {
 	t.Helper()
 	a, err := fakes.NewAuth(0)
 	if err != nil {
@@ -58,7 +58,7 @@
 }
 
 // call asks on behalf of a txn, as a portal does.
-func call(raw string) string {
+func authRequest(raw string) string {
 	head, _, _ := strings.Cut(raw, "\r\n\r\n")
 	first, rest, _ := strings.Cut(head, "\r\n")
 	w := strings.Fields(first)
@@ -74,7 +74,7 @@
 }
 
 // whole sends bytes on a connection of their own, and gives the answer that comes back.
-func whole(t *testing.T, at, raw string) *http.Response {
+func roundTrip(t *testing.T, at, raw string) *http.Response {
 	t.Helper()
 	c, err := net.Dial("tcp", at)
 	if err != nil {
@@ -93,12 +93,12 @@
 }
 
 // with puts a header line into a request.
-func with(raw, line string) string { return strings.Replace(raw, "\r\n", "\r\n"+line+"\r\n", 1) }
+func withHeader(raw, line string) string { return strings.Replace(raw, "\r\n", "\r\n"+line+"\r\n", 1) }
 
 // figure gives one figure of operators'.
-func (d *deployment) figure(name string) int64 {
+func (d *deployment) stat(name string) int64 {
 	d.t.Helper()
-	for _, m := range d.gk.Figures().More {
+	for _, m := range d.gateway.Figures().More {
 		if m.Name == name {
 			return m.Value
 		}
@@ -108,7 +108,7 @@
 }
 
 // until waits for something that is to come true soon.
-func until(t *testing.T, what string, f func() bool) {
+func waitFor(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for range 300 {
 		if f() {
@@ -121,92 +121,92 @@
 
 // A yes takes the units once; the txn that comes runs once, whoever clears or sends it again; one that never
 // comes gives its units back; a no says when to return, and that is true.
-func TestClearedOnce(t *testing.T) {
-	d := forwards(t, asked, `{"name":"tiny","rate":0.1,"most_at_once":1`,
+func TestClearanceUsedOnce(t *testing.T) {
+	d := deployForwardAuth(t, askedConfig, `{"name":"tiny","rate":0.1,"most_at_once":1`,
 		`{"name":"tiny","rate":2,"most_at_once":2`)
-	at := d.gk.portal.At()
-	tiny := func(id string) string { return strings.Replace(issue("/issue", id), "basic", "tiny", 1) }
+	at := d.gateway.authServer.At()
+	tiny := func(id string) string { return strings.Replace(issueRequest("/issue", id), "basic", "tiny", 1) }
 	for range 2 { // by two portals
-		if r := whole(t, at, call(tiny("t1"))); r.StatusCode != 200 {
+		if r := roundTrip(t, at, authRequest(tiny("t1"))); r.StatusCode != 200 {
 			t.Fatalf("cleared: %v", r.Status)
 		}
 	}
-	if n := len(d.got()); n != 0 {
+	if n := len(d.submissions()); n != 0 {
 		t.Fatalf("%d submitted for a clearance", n)
 	}
-	if r := whole(t, d.at, tiny("t1")); r.StatusCode != 200 {
+	if r := roundTrip(t, d.address, tiny("t1")); r.StatusCode != 200 {
 		t.Fatalf("it comes: %v", r.Status)
 	}
-	for _, again := range []string{whole(t, d.at, tiny("t1")).Status, whole(t, at, call(tiny("t1"))).Status} {
+	for _, again := range []string{roundTrip(t, d.address, tiny("t1")).Status, roundTrip(t, at, authRequest(tiny("t1"))).Status} {
 		if !strings.HasPrefix(again, "409") {
 			t.Errorf("it comes again: %s", again)
 		}
 	}
-	if n := len(d.got()); n != 1 {
+	if n := len(d.submissions()); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
-	if r := whole(t, at, call(tiny("t2"))); r.StatusCode != 200 {
+	if r := roundTrip(t, at, authRequest(tiny("t2"))); r.StatusCode != 200 {
 		t.Fatalf("the second of two units: %v", r.Status)
 	}
-	r := whole(t, at, call(tiny("t3"))) // one unit is spent and one kept: no more until one is back
+	r := roundTrip(t, at, authRequest(tiny("t3"))) // one unit is spent and one kept: no more until one is back
 	var wait float64
 	if fmt.Sscan(r.Header.Get("Retry-After"), &wait); r.StatusCode != 429 || !(wait > 0) {
 		t.Fatalf("beyond the quota: %v, Retry-After %v", r.Status, wait)
 	}
 	time.Sleep(time.Duration(wait*1000+20) * time.Millisecond)
-	if r := whole(t, at, call(tiny("t3"))); r.StatusCode != 200 {
+	if r := roundTrip(t, at, authRequest(tiny("t3"))); r.StatusCode != 200 {
 		t.Errorf("after %v s: %v", wait, r.Status)
 	}
-	until(t, "clearances stay", func() bool { return d.figure("asked.marks") <= 1 })
-	until(t, "two do not lapse", func() bool { return d.gk.desk.Tally().Final[7] == 2 })
-	if r := whole(t, d.at, tiny("t2")); r.StatusCode != 200 { // as any other: its clearance is no more
+	waitFor(t, "clearances stay", func() bool { return d.stat("asked.marks") <= 1 })
+	waitFor(t, "two do not lapse", func() bool { return d.gateway.dispatcher.Tally().Final[7] == 2 })
+	if r := roundTrip(t, d.address, tiny("t2")); r.StatusCode != 200 { // as any other: its clearance is no more
 		t.Errorf("after its clearance: %v", r.Status)
 	}
 }
 
 // The same mark for another customer, product or size is turned away, at both doors, and nothing is booked.
-func TestClearedForAnother(t *testing.T) {
-	d := forwards(t, asked)
-	at := d.gk.portal.At()
-	if r := whole(t, at, call(issue("/issue", "x"))); r.StatusCode != 200 {
+func TestClearanceMismatch(t *testing.T) {
+	d := deployForwardAuth(t, askedConfig)
+	at := d.gateway.authServer.At()
+	if r := roundTrip(t, at, authRequest(issueRequest("/issue", "x"))); r.StatusCode != 200 {
 		t.Fatal(r.Status)
 	}
-	for _, other := range []string{strings.Replace(issue("/issue", "x"), "b4d65521", "b4d65522", 1),
-		strings.Replace(issue("/issue", "x"), "units=1", "units=0.5", 1), check("/check", "x")} {
-		if r := whole(t, at, call(other)); r.StatusCode != 409 {
+	for _, other := range []string{strings.Replace(issueRequest("/issue", "x"), "b4d65521", "b4d65522", 1),
+		strings.Replace(issueRequest("/issue", "x"), "units=1", "units=0.5", 1), checkRequest("/check", "x")} {
+		if r := roundTrip(t, at, authRequest(other)); r.StatusCode != 409 {
 			t.Errorf("cleared for another: %v", r.Status)
 		}
-		if r := whole(t, d.at, other); r.StatusCode != 409 {
+		if r := roundTrip(t, d.address, other); r.StatusCode != 409 {
 			t.Errorf("it comes as another: %v", r.Status)
 		}
 	}
-	if n := d.gk.desk.Tally().Customers; n != 1 || len(d.got()) != 0 {
-		t.Errorf("%d customers, %d submitted", n, len(d.got()))
+	if n := d.gateway.dispatcher.Tally().Customers; n != 1 || len(d.submissions()) != 0 {
+		t.Errorf("%d customers, %d submitted", n, len(d.submissions()))
 	}
-	if r := whole(t, d.at, issue("/issue", "x")); r.StatusCode != 200 || len(d.got()) != 1 {
-		t.Errorf("the true one: %v, %d submitted", r.Status, len(d.got()))
+	if r := roundTrip(t, d.address, issueRequest("/issue", "x")); r.StatusCode != 200 || len(d.submissions()) != 1 {
+		t.Errorf("the true one: %v, %d submitted", r.Status, len(d.submissions()))
 	}
 }
 
 // Only portals may ask, and a product may be kept for those that were cleared; of several gatekeepers just
 // one clears each mark.
-func TestClearedOnly(t *testing.T) {
-	d := forwards(t, strings.Replace(asked, "127.0.0.0/8", "192.0.2.0/24", 1))
-	if r := whole(t, d.gk.portal.At(), call(check("/check", "1"))); r.StatusCode != 403 ||
-		d.figure("asked.stranger") != 1 {
+func TestClearanceRequired(t *testing.T) {
+	d := deployForwardAuth(t, strings.Replace(askedConfig, "127.0.0.0/8", "192.0.2.0/24", 1))
+	if r := roundTrip(t, d.gateway.authServer.At(), authRequest(checkRequest("/check", "1"))); r.StatusCode != 403 ||
+		d.stat("asked.stranger") != 1 {
 		t.Errorf("a stranger's call: %v", r.Status)
 	}
-	d = forwards(t, asked+"cleared_only = [\"issue\"]\nno_status = 403\n", `"balancers":1`, `"balancers":2`)
+	d = deployForwardAuth(t, askedConfig+"cleared_only = [\"issue\"]\nno_status = 403\n", `"balancers":1`, `"balancers":2`)
 	two := func(raw string) string { return strings.Replace(raw, "spread=1", "spread=2", 1) }
-	if r := whole(t, d.at, two(issue("/issue", "1"))); r.StatusCode != 403 {
+	if r := roundTrip(t, d.address, two(issueRequest("/issue", "1"))); r.StatusCode != 403 {
 		t.Errorf("it was not cleared: %v", r.Status)
 	}
-	if r := whole(t, d.at, two(check("/check", "2"))); r.StatusCode != 200 {
+	if r := roundTrip(t, d.address, two(checkRequest("/check", "2"))); r.StatusCode != 200 {
 		t.Errorf("another product: %v", r.Status)
 	}
 	here, there := 0, 0
 	for i := range 40 {
-		switch r := whole(t, d.gk.portal.At(), call(two(issue("/issue", fmt.Sprint("m", i))))); r.StatusCode {
+		switch r := roundTrip(t, d.gateway.authServer.At(), authRequest(two(issueRequest("/issue", fmt.Sprint("m", i))))); r.StatusCode {
 		case 200:
 			here++
 		case 421:
@@ -225,8 +225,8 @@
 
 // What an auth service says decides: a yes goes on, a no is passed on, and all else is "come again", for a
 // txn that never went out. The service hears the gatekeeper's word on the original, and not the client's.
-func TestVouched(t *testing.T) {
-	auth := newAuth(t)
+func TestAuthorizerVerdicts(t *testing.T) {
+	auth := newAuthService(t)
 	auth.Says(func(c string) (int, map[string]string) {
 		switch c {
 		case "good":
@@ -238,109 +238,109 @@
 		}
 		return 401, map[string]string{"WWW-Authenticate": "Bearer", "X-Inner": "secret"}
 	})
-	d := forwards(t, asking(auth, `copy = ["WWW-Authenticate"]`+"\nopen = [\"check\"]"))
-	as := func(raw, c string) string { return with(raw, "Authorization: "+c) }
-	forged := with(as(issue("/issue", "1"), "good"), "X-Forwarded-For: 10.9.8.7")
-	if r := whole(t, d.at, forged); r.StatusCode != 200 {
+	d := deployForwardAuth(t, askingConfig(auth, `copy = ["WWW-Authenticate"]`+"\nopen = [\"check\"]"))
+	as := func(raw, c string) string { return withHeader(raw, "Authorization: "+c) }
+	forged := withHeader(as(issueRequest("/issue", "1"), "good"), "X-Forwarded-For: 10.9.8.7")
+	if r := roundTrip(t, d.address, forged); r.StatusCode != 200 {
 		t.Errorf("a yes: %v", r.Status)
 	}
 	if got := auth.Got(); len(got) != 1 || got[0].For != "127.0.0.1" || got[0].Target != "/issue" ||
 		got[0].Method != "POST" {
 		t.Errorf("the service was asked %+v", got)
 	}
-	r := whole(t, d.at, as(issue("/issue", "2"), "evil"))
+	r := roundTrip(t, d.address, as(issueRequest("/issue", "2"), "evil"))
 	if r.StatusCode != 401 || r.Header.Get("WWW-Authenticate") != "Bearer" || r.Header.Get("X-Inner") != "" {
 		t.Errorf("a no: %v %v", r.Status, r.Header)
 	}
-	if r = whole(t, d.at, issue("/issue", "3")); r.StatusCode != 401 {
+	if r = roundTrip(t, d.address, issueRequest("/issue", "3")); r.StatusCode != 401 {
 		t.Errorf("no credential: %v", r.Status)
 	}
-	if r = whole(t, d.at, as(issue("/issue", "4"), "busy")); r.StatusCode != 429 ||
+	if r = roundTrip(t, d.address, as(issueRequest("/issue", "4"), "busy")); r.StatusCode != 429 ||
 		r.Header.Get("Retry-After") != "1.500" {
 		t.Errorf("a busy service: %v %v", r.Status, r.Header)
 	}
-	if r = whole(t, d.at, as(issue("/issue", "5"), "lost")); r.StatusCode != 429 {
+	if r = roundTrip(t, d.address, as(issueRequest("/issue", "5"), "lost")); r.StatusCode != 429 {
 		t.Errorf("a service that does not know: %v", r.Status)
 	}
-	if r = whole(t, d.at, as(check("/check", "6"), "lost")); r.StatusCode != 200 {
+	if r = roundTrip(t, d.address, as(checkRequest("/check", "6"), "lost")); r.StatusCode != 200 {
 		t.Errorf("a product that goes on without: %v", r.Status)
 	}
-	if r = whole(t, d.at, with(as(issue("/issue", "7"), "good"), "Authorization: evil")); r.StatusCode != 400 {
+	if r = roundTrip(t, d.address, withHeader(as(issueRequest("/issue", "7"), "good"), "Authorization: evil")); r.StatusCode != 400 {
 		t.Errorf("two credentials: %v", r.Status)
 	}
-	if n := len(d.got()); n != 2 {
+	if n := len(d.submissions()); n != 2 {
 		t.Errorf("%d submitted", n)
 	}
-	if t := d.gk.desk.Tally(); t.Final[0] != 2 {
+	if t := d.gateway.dispatcher.Tally(); t.Final[0] != 2 {
 		d.t.Errorf("tally %+v", t)
 	}
 }
 
 // Identity may name the customer: of a txn that does not say, and it has to agree with one that does.
-func TestVouchedCustomer(t *testing.T) {
-	auth := newAuth(t)
+func TestAuthorizerNamesCustomer(t *testing.T) {
+	auth := newAuthService(t)
 	auth.Says(func(c string) (int, map[string]string) {
 		return 200, map[string]string{"X-Customer": c}
 	})
-	d := forwards(t, asking(auth, `customer = "X-Customer"`))
-	as := func(raw, c string) string { return with(raw, "Authorization: "+c) }
-	nameless := strings.Replace(issue("/issue", "1"), "Cookie: key=00000000b4d65521\r\n", "", 1)
+	d := deployForwardAuth(t, askingConfig(auth, `customer = "X-Customer"`))
+	as := func(raw, c string) string { return withHeader(raw, "Authorization: "+c) }
+	nameless := strings.Replace(issueRequest("/issue", "1"), "Cookie: key=00000000b4d65521\r\n", "", 1)
 	for i, c := range []struct {
 		raw    string
 		status int
-	}{{as(issue("/issue", "a"), "00000000b4d65521"), 200}, {as(issue("/issue", "b"), "00000000b4d65522"), 403},
-		{as(nameless, "00000000b4d65523"), 200}, {as(issue("/issue", "c"), "who?"), 429}} {
-		if r := whole(t, d.at, c.raw); r.StatusCode != c.status {
+	}{{as(issueRequest("/issue", "a"), "00000000b4d65521"), 200}, {as(issueRequest("/issue", "b"), "00000000b4d65522"), 403},
+		{as(nameless, "00000000b4d65523"), 200}, {as(issueRequest("/issue", "c"), "who?"), 429}} {
+		if r := roundTrip(t, d.address, c.raw); r.StatusCode != c.status {
 			t.Errorf("case %d: %v", i, r.Status)
 		}
 	}
-	if n := len(d.got()); n != 2 {
+	if n := len(d.submissions()); n != 2 {
 		t.Errorf("%d submitted", n)
 	}
 }
 
 // Hard case: a service that stalls past the client's patience, in each way. Each txn has one answer, in its
 // client's time, nothing goes out, the units are back, and the service is left alone for a while.
-func TestServiceStalls(t *testing.T) {
-	auth := newAuth(t)
-	d := forwards(t, asking(auth, "[asking.breaker]\nafter = 7\npause_ms = 150\nmost_ms = 150"))
+func TestAuthServiceFaults(t *testing.T) {
+	auth := newAuthService(t)
+	d := deployForwardAuth(t, askingConfig(auth, "[asking.breaker]\nafter = 7\npause_ms = 150\nmost_ms = 150"))
 	for i, f := range []fakes.Fault{fakes.Stalls, fakes.Silent, fakes.Errs, fakes.Cuts,
 		fakes.Garbage, fakes.HalfHead, fakes.Full} {
 		auth.Set(f)
 		from := time.Now()
-		r := whole(t, d.at, with(issue("/issue", fmt.Sprint("s", i)), fmt.Sprint("Authorization: c", i)))
+		r := roundTrip(t, d.address, withHeader(issueRequest("/issue", fmt.Sprint("s", i)), fmt.Sprint("Authorization: c", i)))
 		if took := time.Since(from); r.StatusCode != 429 || r.Header.Get("Retry-After") == "" ||
 			took > 280*time.Millisecond {
 			t.Errorf("fault %d: %v after %v", f, r.Status, took)
 		}
 	}
 	auth.Set(fakes.Silent)
-	whole(t, d.at, with(issue("/issue", "s8"), "Authorization: c8"))
+	roundTrip(t, d.address, withHeader(issueRequest("/issue", "s8"), "Authorization: c8"))
 	time.Sleep(60 * time.Millisecond) // the ask outlives the txn
 	before := len(auth.Got())
 	from := time.Now()
-	if r := whole(t, d.at, with(issue("/issue", "s9"), "Authorization: c9")); r.StatusCode != 429 ||
+	if r := roundTrip(t, d.address, withHeader(issueRequest("/issue", "s9"), "Authorization: c9")); r.StatusCode != 429 ||
 		time.Since(from) > 50*time.Millisecond || len(auth.Got()) != before {
 		t.Errorf("left alone: %v after %v", r.Status, time.Since(from))
 	}
 	auth.Set(fakes.None)
-	until(t, "the service is not asked again", func() bool {
-		r := whole(t, d.at, with(issue("/issue", fmt.Sprint("u", time.Now().UnixNano())), "Authorization: c9"))
+	waitFor(t, "the service is not asked again", func() bool {
+		r := roundTrip(t, d.address, withHeader(issueRequest("/issue", fmt.Sprint("u", time.Now().UnixNano())), "Authorization: c9"))
 		return r.StatusCode == 200
 	})
-	if n := len(d.got()); n != 1 {
+	if n := len(d.submissions()); n != 1 {
 		t.Errorf("%d submitted", n)
 	}
-	d.free()
+	d.checkIdle()
 }
 
 // free checks that nothing is kept once all is answered.
-func (d *deployment) free() {
+func (d *deployment) checkIdle() {
 	d.t.Helper()
-	until(d.t, "txns stay in hand", func() bool {
-		return d.gk.desk.Tally().InFlight == 0 && d.gk.front.Active() == 0
+	waitFor(d.t, "txns stay in hand", func() bool {
+		return d.gateway.dispatcher.Tally().InFlight == 0 && d.gateway.frontend.Active() == 0
 	})
-	r := whole(d.t, d.at, strings.Replace(check("/check", fmt.Sprint("free", time.Now().UnixNano())), "Host:",
+	r := roundTrip(d.t, d.address, strings.Replace(checkRequest("/check", fmt.Sprint("free", time.Now().UnixNano())), "Host:",
 		"Authorization: good\r\nHost:", 1))
 	if r.StatusCode != 200 {
 		d.t.Errorf("afterwards: %v", r.Status)
@@ -348,37 +348,37 @@
 }
 
 // Hard case: the service says yes when the till has given up. Nothing is submitted, and the units come back.
-func TestYesTooLate(t *testing.T) {
-	auth := newAuth(t)
+func TestLateAuthorization(t *testing.T) {
+	auth := newAuthService(t)
 	auth.Takes(120 * time.Millisecond)
-	d := forwards(t, asking(auth, ""), `{"name":"tiny","rate":0.1,"most_at_once":1`,
+	d := deployForwardAuth(t, askingConfig(auth, ""), `{"name":"tiny","rate":0.1,"most_at_once":1`,
 		`{"name":"tiny","rate":0.1,"most_at_once":2`)
 	tiny := func(id string) string {
-		return with(strings.Replace(issue("/issue", id), "basic", "tiny", 1), "Authorization: c")
+		return withHeader(strings.Replace(issueRequest("/issue", id), "basic", "tiny", 1), "Authorization: c")
 	}
-	c, err := net.Dial("tcp", d.at)
+	c, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprint(c, tiny("1"))
 	time.Sleep(40 * time.Millisecond)
 	c.Close()
-	until(t, "the leaving is not seen", func() bool { return d.gk.front.Active() == 0 })
+	waitFor(t, "the leaving is not seen", func() bool { return d.gateway.frontend.Active() == 0 })
 	time.Sleep(150 * time.Millisecond) // the yes has come
-	if n := len(d.got()); n != 0 || len(auth.Got()) != 1 {
+	if n := len(d.submissions()); n != 0 || len(auth.Got()) != 1 {
 		t.Fatalf("%d submitted for a till that had left, asked %d times", n, len(auth.Got()))
 	}
-	if r := whole(t, d.at, tiny("2")); r.StatusCode != 200 || len(auth.Got()) != 1 { // the yes is known now
+	if r := roundTrip(t, d.address, tiny("2")); r.StatusCode != 200 || len(auth.Got()) != 1 { // the yes is known now
 		t.Errorf("with the units that are back: %v", r.Status)
 	}
 }
 
 // The yes and the client's leaving at about one instant: each once-only txn runs once at most, each client
 // that stays has one answer, and nothing is left in hand.
-func TestYesAndLeaving(t *testing.T) {
-	auth := newAuth(t)
+func TestAuthorizationDisconnectRace(t *testing.T) {
+	auth := newAuthService(t)
 	auth.Takes(20 * time.Millisecond)
-	d := forwards(t, asking(auth, "yes_s = 0"))
+	d := deployForwardAuth(t, askingConfig(auth, "yes_s = 0"))
 	rng := rand.New(rand.NewSource(1))
 	var all sync.WaitGroup
 	for i := range 200 {
@@ -387,13 +387,13 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			c, err := net.Dial("tcp", d.at)
+			c, err := net.Dial("tcp", d.address)
 			if err != nil {
 				t.Error(err)
 				return
 			}
 			defer c.Close()
-			fmt.Fprint(c, with(issue("/issue", fmt.Sprint("r", i)), fmt.Sprint("Authorization: c", i)))
+			fmt.Fprint(c, withHeader(issueRequest("/issue", fmt.Sprint("r", i)), fmt.Sprint("Authorization: c", i)))
 			if !stays {
 				time.Sleep(wait)
 				return
@@ -407,9 +407,9 @@
 		time.Sleep(time.Millisecond)
 	}
 	all.Wait()
-	until(t, "txns stay in hand", func() bool { return d.gk.front.Active() == 0 })
+	waitFor(t, "txns stay in hand", func() bool { return d.gateway.frontend.Active() == 0 })
 	seen := map[string]bool{}
-	for _, raw := range d.got() {
+	for _, raw := range d.submissions() {
 		_, id, _ := strings.Cut(raw, "X-Request-Id: ")
 		id, _, _ = strings.Cut(id, "\r\n")
 		if seen[id] {
@@ -424,82 +424,82 @@
 
 // A second process takes over with clearances given and asks under way: what was cleared comes once, what was
 // used does not come again, and who asks is answered.
-func TestForwardAtReplacement(t *testing.T) {
-	auth := newAuth(t)
-	d, change := heldListener(t)
-	text := strings.Replace(asked, "life_ms = 300", "life_ms = 9000", 1) + asking(auth, `products = ["sale"]`)
+func TestForwardAuthAtReplacement(t *testing.T) {
+	auth := newAuthService(t)
+	d, change := deployWithInheritedListener(t)
+	text := strings.Replace(askedConfig, "life_ms = 300", "life_ms = 9000", 1) + askingConfig(auth, `products = ["sale"]`)
 	both := func(c *config.Gatekeeper) {
 		change(c)
-		forwarded(t, text)(c)
+		forwardAuthConfig(t, text)(c)
 	}
-	first := d.second(both) // the deployment's own has no portals
-	d.gk.Stop()
-	until(t, "no portal", func() bool { return first.portal.At() != "" })
+	first := d.startSuccessor(both) // the deployment's own has no portals
+	d.gateway.Stop()
+	waitFor(t, "no portal", func() bool { return first.authServer.At() != "" })
 	for _, id := range []string{"used", "kept"} {
-		if r := whole(t, first.portal.At(), call(issue("/issue", id))); r.StatusCode != 200 {
+		if r := roundTrip(t, first.authServer.At(), authRequest(issueRequest("/issue", id))); r.StatusCode != 200 {
 			t.Fatal(r.Status)
 		}
 	}
-	if r := whole(t, d.at, issue("/issue", "used")); r.StatusCode != 200 {
+	if r := roundTrip(t, d.address, issueRequest("/issue", "used")); r.StatusCode != 200 {
 		t.Fatal(r.Status)
 	}
 	auth.Takes(100 * time.Millisecond)
-	busy, err := net.Dial("tcp", d.at)
+	busy, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer busy.Close()
-	fmt.Fprint(busy, with(sale("/sale", "busy"), "Authorization: good"))
+	fmt.Fprint(busy, withHeader(saleRequest("/sale", "busy"), "Authorization: good"))
 	time.Sleep(20 * time.Millisecond)
-	second := d.second(both)
+	second := d.startSuccessor(both)
 	first.Stop()
-	if status, _ := read(busy); status != "HTTP/1.1 200 OK" {
+	if status, _ := readResponse(busy); status != "HTTP/1.1 200 OK" {
 		t.Errorf("an ask under way: %q", status)
 	}
-	until(t, "no portal in the second", func() bool { return second.portal.At() != "" })
-	at := second.portal.At()
-	if r := whole(t, at, call(issue("/issue", "used"))); r.StatusCode != 409 {
+	waitFor(t, "no portal in the second", func() bool { return second.authServer.At() != "" })
+	at := second.authServer.At()
+	if r := roundTrip(t, at, authRequest(issueRequest("/issue", "used"))); r.StatusCode != 409 {
 		t.Errorf("used before: %v", r.Status)
 	}
-	if r := whole(t, at, call(issue("/issue", "kept"))); r.StatusCode != 200 {
+	if r := roundTrip(t, at, authRequest(issueRequest("/issue", "kept"))); r.StatusCode != 200 {
 		t.Errorf("cleared before: %v", r.Status)
 	}
 	for i, want := range []int{200, 409} {
-		if r := whole(t, d.at, issue("/issue", "kept")); r.StatusCode != want {
+		if r := roundTrip(t, d.address, issueRequest("/issue", "kept")); r.StatusCode != want {
 			t.Errorf("it comes, %d: %v", i, r.Status)
 		}
 	}
 	second.Reload(config.Gatekeeper{}, errors.New("none"))
-	if n := len(d.got()); n != 3 {
+	if n := len(d.submissions()); n != 3 {
 		t.Errorf("%d submitted", n)
 	}
 }
 
 // A drain and a reload with asks under way: all is answered, and what comes goes on being asked for.
-func TestForwardWhileDraining(t *testing.T) {
-	auth := newAuth(t)
+func TestForwardAuthWhileDraining(t *testing.T) {
+	auth := newAuthService(t)
 	auth.Takes(60 * time.Millisecond)
-	d := forwards(t, asked+asking(auth, ""))
+	d := deployForwardAuth(t, askedConfig+askingConfig(auth, ""))
 	answers := make(chan string, 8)
 	for i := range 4 {
 		go func() {
-			status, _ := d.ask(with(issue("/issue", fmt.Sprint("d", i)), fmt.Sprint("Authorization: d", i)))
+			status, _ := d.send(withHeader(issueRequest("/issue", fmt.Sprint("d", i)), fmt.Sprint("Authorization: d", i)))
 			answers <- status
 		}()
 	}
 	time.Sleep(20 * time.Millisecond)
-	d.gk.Quiesce()
-	d.gk.Reload(d.conf, nil)
-	if r := whole(t, d.gk.portal.At(), call(issue("/issue", "p"))); r.StatusCode != 200 {
+	d.gateway.Quiesce()
+	d.gateway.Reload(d.config, nil)
+	if r := roundTrip(t, d.gateway.authServer.At(), authRequest(issueRequest("/issue", "p"))); r.StatusCode != 200 {
 		t.Errorf("a portal's call meanwhile: %v", r.Status)
 	}
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal)
 	stop <- syscall.SIGTERM
 	over := make(chan error, 1)
 	go func() {
-		over <- d.gk.Run(stop, reload, func() (config.Gatekeeper, error) { return d.conf, nil })
+		over <- d.gateway.Run(stop, reload, func() (config.Gatekeeper, error) { return d.config, nil })
 	}()
-	if r := whole(t, d.at, issue("/issue", "p")); r.StatusCode != 200 {
+	if r := roundTrip(t, d.address, issueRequest("/issue", "p")); r.StatusCode != 200 {
 		t.Errorf("what was cleared comes: %v", r.Status)
 	}
 	for range 4 {
--- a/internal/gateway/lifecycle/replace.go
+++ b/internal/gateway/lifecycle/hotrestart.go
@@ -18,7 +18,7 @@
 
 // placeWithin is how long a start waits for its clients' address: a process is to be ready within it, and one
 // that is ended is gone from there sooner.
-const placeWithin = 10 * time.Second
+const listenTimeout = 10 * time.Second
 
 // listen opens the clients' address, or takes the listening socket that the platform holds for it. Guards
 // against a former life that is still ending there: a start that gave up would leave the place empty.
@@ -28,7 +28,7 @@
 		if errors.Is(err, syscall.EADDRINUSE) {
 			log.Warn().Str("listen", at).Msg("address still taken, waiting for it")
 		}
-		for end := time.Now().Add(placeWithin); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(end); {
+		for end := time.Now().Add(listenTimeout); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(end); {
 			time.Sleep(transport.Millis(policy.AcceptAgain))
 			l, err = net.Listen("tcp", at)
 		}
@@ -50,61 +50,63 @@
 }
 
 // heir is a process's part in taking over from the one before it.
-type heir struct {
-	from  *hotrestart.Successor
-	took  atomic.Bool   // the place is its
-	stops atomic.Bool   // it stops, and takes no place any more
-	over  chan struct{} // closed once nothing more is handed on
+type takeover struct {
+	successor *hotrestart.Successor
+	started   atomic.Bool   // the place is its
+	stopping  atomic.Bool   // it stops, and takes no place any more
+	done      chan struct{} // closed once nothing more is handed on
 }
 
 // stop waits for all that is still handed on, or has nothing be. Guards against a process that ends before
 // the one that leaves its place to it: the connections that it has not been given would be nobody's.
-func (h *heir) stop() {
-	if h.stops.Store(true); !h.took.Load() {
-		h.from.Close()
+func (h *takeover) stop() {
+	if h.stopping.Store(true); !h.started.Load() {
+		h.successor.Close()
 	}
-	<-h.over
+	<-h.done
 }
 
 // inherit waits, ready but without clients, until the process before this one leaves its place, and takes it.
-func (g *Gatekeeper) inherit(h *heir) {
-	defer close(h.over)
-	whole, err := h.from.Receive(hotrestart.Handlers{
+func (g *Gateway) takeOver(h *takeover) {
+	defer close(h.done)
+	whole, err := h.successor.Receive(hotrestart.Handlers{
 		State: func(w hotrestart.HandoffState) {
-			h.took.Store(true)
-			g.desk.Resume(w.Policy, w.WorkerNames, w.KindNames)
-			if g.peers != nil && g.conf.Tells {
+			h.started.Store(true)
+			g.dispatcher.Resume(w.Policy, w.WorkerNames, w.KindNames)
+			if g.peers != nil && g.config.Tells {
 				g.peers.Bear(w.LastSentToPeer)
 			}
-			g.remember(false) // the process before has let it go
-			g.keepJournal(true)
+			g.openCrashState(false) // the process before has let it go
+			g.openJournal(true)
 			g.log.Info().Int("customers", len(w.Policy.Customers)).Int("workers", len(w.Policy.Workers)).
 				Msg("taking over")
-			if g.portal != nil {
-				g.portal.Inherit(w.Clearances)
-				go g.portal.Rebind(g.over)
+			if g.authServer != nil {
+				g.authServer.Inherit(w.Clearances)
+				go g.authServer.Rebind(g.done)
 			}
 			g.serve()
 			if w.Draining {
 				g.Quiesce()
 			}
 		},
-		PeerSocket: g.hear,
-		Client:     func(c net.Conn, as hotrestart.ClientConnection) { g.front.Adopt(g.limit, c, as.Proven, as.ReadAhead) },
+		PeerSocket: g.usePeerSocket,
+		Client: func(c net.Conn, as hotrestart.ClientConnection) {
+			g.frontend.Adopt(g.listener, c, as.Proven, as.ReadAhead)
+		},
 	})
 	g.log.Info().Bool("whole", whole).Err(err).Msg("the process before has ended")
-	if !whole && h.stops.Load() {
+	if !whole && h.stopping.Load() {
 		return
 	}
-	g.desk.PredecessorEnded()
+	g.dispatcher.PredecessorEnded()
 	if k := g.journal.Load(); whole && k != nil {
 		k.Settle()
 	}
 	if !whole { // as after any sudden end
-		g.remember(true)
-		g.keepJournal(false)
-		if g.portal != nil {
-			go g.portal.Rebind(g.over)
+		g.openCrashState(true)
+		g.openJournal(false)
+		if g.authServer != nil {
+			go g.authServer.Rebind(g.done)
 		}
 		g.serve()
 	}
@@ -114,39 +116,39 @@
 }
 
 // serve takes clients, and waits for an heir where this process can have one.
-func (g *Gatekeeper) serve() {
-	go func() { g.served <- g.front.Serve(g.limit) }()
-	if g.conf.Scratch == "" {
+func (g *Gateway) serve() {
+	go func() { g.serveResult <- g.frontend.Serve(g.listener) }()
+	if g.config.Scratch == "" {
 		return
 	}
-	o, err := hotrestart.Listen(hotrestart.SocketPath(g.conf.Scratch, g.conf.Name), g.conf.Name)
+	o, err := hotrestart.Listen(hotrestart.SocketPath(g.config.Scratch, g.config.Name), g.config.Name)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("no process can take over from this one")
 		return
 	}
-	g.owner.Store(o)
+	g.handoff.Store(o)
 }
 
 // hear exchanges datagrams with peers on a socket that is bound.
-func (g *Gatekeeper) hear(c *net.UDPConn) {
+func (g *Gateway) usePeerSocket(c *net.UDPConn) {
 	if g.peers == nil {
 		_ = c.Close()
 		return
 	}
 	g.peers.Use(c)
-	go g.peers.Hear(g.desk.ReceiveReports)
+	go g.peers.Hear(g.dispatcher.ReceiveReports)
 }
 
 // bindPeers binds the peers' address as soon as it is free: another process may not have ended yet.
-func (g *Gatekeeper) bindPeers() {
+func (g *Gateway) bindPeers() {
 	for {
-		err := g.peers.Bind(g.conf.PeerPort)
+		err := g.peers.Bind(g.config.PeerPort)
 		if err == nil {
-			go g.peers.Hear(g.desk.ReceiveReports)
+			go g.peers.Hear(g.dispatcher.ReceiveReports)
 			return
 		}
 		select {
-		case <-g.over:
+		case <-g.done:
 			return
 		case <-time.After(transport.Millis(policy.WatchAgain)):
 		}
@@ -156,25 +158,25 @@
 // handOver leaves this process's place to its heir, if one waits: what the module knows, the peers'
 // socket, and every client's connection once no txn of it is in hand. It is false where there is no heir, or
 // none that says yes: then what is there goes on here to its end, and nothing new is let in.
-func (g *Gatekeeper) handOver() bool {
-	o := g.owner.Load()
+func (g *Gateway) handOff() bool {
+	o := g.handoff.Load()
 	if o == nil || !o.HasSuccessor() {
 		return false
 	}
-	g.away.Store(true)
+	g.standby.Store(true)
 	told := make(chan struct{}) // closed once the heir has the will, or could not be given it
 	var err error
-	g.front.HandOn(g.limit, func(c syscall.RawConn, proven bool, ahead []byte) bool {
+	g.frontend.HandOn(g.listener, func(c syscall.RawConn, proven bool, ahead []byte) bool {
 		<-told
 		return err == nil && o.SendClient(c, hotrestart.ClientConnection{Proven: proven, ReadAhead: ahead}) == nil
 	})
-	g.links.Retire()
-	w := hotrestart.HandoffState{Draining: g.drains.Load()}
-	if g.portal != nil {
-		g.portal.Close()
-		w.Clearances = g.portal.Leave() // before the module's own, which would count them as spent
+	g.workerConns.Retire()
+	w := hotrestart.HandoffState{Draining: g.draining.Load()}
+	if g.authServer != nil {
+		g.authServer.Close()
+		w.Clearances = g.authServer.Leave() // before the module's own, which would count them as spent
 	}
-	w.Policy, w.WorkerNames, w.KindNames = g.desk.HandOff()
+	w.Policy, w.WorkerNames, w.KindNames = g.dispatcher.HandOff()
 	if k := g.journal.Load(); k != nil {
 		k.Retire()
 	}
@@ -187,7 +189,7 @@
 		g.log.Warn().Err(err).Msg("nobody has taken the place over")
 		return false
 	}
-	_ = g.limit.Close() // from here on the heir is to accept
+	_ = g.listener.Close() // from here on the heir is to accept
 	if g.peers != nil && g.peers.Bound() {
 		raw, failed := g.peers.Raw()
 		if failed == nil {
@@ -200,10 +202,10 @@
 	}
 	close(told)
 	g.log.Info().Err(err).Msg("place left to another process")
-	if g.heir != nil {
-		g.heir.stop()
+	if g.takeover != nil {
+		g.takeover.stop()
 	}
-	g.front.Wait()
+	g.frontend.Wait()
 	o.Close()
 	return true
 }
--- a/internal/gateway/lifecycle/replace_test.go
+++ b/internal/gateway/lifecycle/hotrestart_test.go
@@ -19,7 +19,7 @@
 )
 
 // held is a deployment whose clients' listener is the platform's, and what a second process is told.
-func heldListener(t *testing.T, swaps ...string) (*deployment, func(*config.Gatekeeper)) {
+func deployWithInheritedListener(t *testing.T, swaps ...string) (*deployment, func(*config.Gatekeeper)) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,17 +47,17 @@
 }
 
 // second starts another process beside a deployment's.
-func (d *deployment) second(change func(*config.Gatekeeper)) *Gatekeeper {
+func (d *deployment) startSuccessor(change func(*config.Gatekeeper)) *Gateway {
 	d.t.Helper()
-	c := d.conf
+	c := d.config
 	change(&c)
 	g, err := Start(c, zerolog.Nop())
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	d.t.Cleanup(func() {
-		g.unwind()
-		<-g.ended
+		g.cancelWatch()
+		<-g.watchEnded
 	})
 	return g
 }
@@ -65,9 +65,9 @@
 // A second process takes over all that the first knows and holds: kept connections go on, one with half a
 // head too, txns in hand are answered, and what was spent stays spent.
 func TestReplacement(t *testing.T) {
-	d, change := heldListener(t)
+	d, change := deployWithInheritedListener(t)
 	dial := func() (net.Conn, *bufio.Reader) {
-		c, err := net.Dial("tcp", d.at)
+		c, err := net.Dial("tcp", d.address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,55 +85,55 @@
 		got.Body.Read(buf)
 	}
 	tiny := func(id string) string { // of another customer, as a change of plan fills the store
-		return strings.NewReplacer("basic", "tiny", "b4d65521", "b4d65522").Replace(check("/check", id))
+		return strings.NewReplacer("basic", "tiny", "b4d65521", "b4d65522").Replace(checkRequest("/check", id))
 	}
 	kept, keptIn := dial()
 	fmt.Fprint(kept, tiny("k1"))
 	answer("a kept one", keptIn, 200)
 	half, halfIn := dial()
-	fmt.Fprint(half, check("/check", "h1")[:50])
+	fmt.Fprint(half, checkRequest("/check", "h1")[:50])
 	silent, silentIn := dial()
 	busy, busyIn := dial()
-	fmt.Fprint(busy, check("/check?slow", "b1"))
+	fmt.Fprint(busy, checkRequest("/check?slow", "b1"))
 	time.Sleep(30 * time.Millisecond)
 
-	g := d.second(change)
-	if !g.Healthy() || !d.gk.Healthy() {
+	g := d.startSuccessor(change)
+	if !g.Healthy() || !d.gateway.Healthy() {
 		t.Error("not both are ready")
 	}
-	before := len(d.got())
-	fmt.Fprint(kept, check("/check", "k2"))
+	before := len(d.submissions())
+	fmt.Fprint(kept, checkRequest("/check", "k2"))
 	answer("before the change", keptIn, 200)
-	if len(d.got()) != before+1 || g.links.Tries() > 0 {
+	if len(d.submissions()) != before+1 || g.workerConns.Tries() > 0 {
 		t.Error("the second process serves before the first has left")
 	}
 	stopped := make(chan bool)
 	go func() {
-		d.gk.Stop()
+		d.gateway.Stop()
 		close(stopped)
 	}()
 	answer("in hand", busyIn, 200)
 	<-stopped
-	if d.gk.front.Active() > 0 {
+	if d.gateway.frontend.Active() > 0 {
 		t.Error("the first one ends with txns in hand")
 	}
-	fmt.Fprint(half, check("/check", "h1")[50:])
+	fmt.Fprint(half, checkRequest("/check", "h1")[50:])
 	answer("half a head", halfIn, 200)
-	fmt.Fprint(silent, check("/check", "s1"))
+	fmt.Fprint(silent, checkRequest("/check", "s1"))
 	answer("silent so far", silentIn, 200)
-	fmt.Fprint(busy, check("/check", "b2"))
+	fmt.Fprint(busy, checkRequest("/check", "b2"))
 	answer("in hand before", busyIn, 200)
 	fmt.Fprint(kept, tiny("k3"))
 	answer("its quota was spent in the first process", keptIn, 429)
 	fresh, freshIn := dial()
-	fmt.Fprint(fresh, check("/check", "f1"))
+	fmt.Fprint(fresh, checkRequest("/check", "f1"))
 	answer("a new one", freshIn, 200)
 
-	third := d.second(change) // and so on
+	third := d.startSuccessor(change) // and so on
 	g.Stop()
-	fmt.Fprint(fresh, check("/check", "f2"))
+	fmt.Fprint(fresh, checkRequest("/check", "f2"))
 	answer("after a second change", freshIn, 200)
-	if third.links.Tries() == 0 {
+	if third.workerConns.Tries() == 0 {
 		t.Error("the third process serves nothing")
 	}
 }
@@ -141,26 +141,26 @@
 // A second process that dies before the first has left changes nothing; a first one that ends without a word
 // leaves the place all the same.
 func TestReplacementFails(t *testing.T) {
-	d, change := heldListener(t)
-	g := d.second(change)
-	g.unwind()
-	g.limit.Close()
-	if status, _ := d.ask(check("/check", "1")); status != "HTTP/1.1 200 OK" {
+	d, change := deployWithInheritedListener(t)
+	g := d.startSuccessor(change)
+	g.cancelWatch()
+	g.listener.Close()
+	if status, _ := d.send(checkRequest("/check", "1")); status != "HTTP/1.1 200 OK" {
 		t.Errorf("beside one that has died: %q", status)
 	}
-	again := d.second(change)
-	d.gk.owner.Load().Close() // as at a sudden end
-	d.gk.limit.Close()
-	if status, _ := d.ask(check("/check", "2")); status != "HTTP/1.1 200 OK" || again.links.Tries() != 1 {
+	again := d.startSuccessor(change)
+	d.gateway.handoff.Load().Close() // as at a sudden end
+	d.gateway.listener.Close()
+	if status, _ := d.send(checkRequest("/check", "2")); status != "HTTP/1.1 200 OK" || again.workerConns.Tries() != 1 {
 		t.Errorf("after a sudden end: %q", status)
 	}
 }
 
 // A descriptor that is no listening socket ends the start with a message that names the key.
 func TestNoListeningSocket(t *testing.T) {
-	d, _ := heldListener(t)
+	d, _ := deployWithInheritedListener(t)
 	for _, fd := range []int{0, 999} {
-		c := d.conf
+		c := d.config
 		if c.FD = fd; fd == 0 {
 			f, err := os.Open(os.DevNull)
 			if err != nil {
@@ -177,26 +177,26 @@
 
 // A process that ends without a word leaves what it has spent of ceilings: the next one holds to it, and need
 // not take all ceilings as spent. One that takes over from a living process goes on with its residue.
-func TestResidue(t *testing.T) {
+func TestCrashState(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "residue")
 	swap := []string{`{"name":"tiny","rate":0.1,"most_at_once":1`,
 		`{"name":"tiny","rate":100,"most_at_once":100,"hard_rate":0.01,"cap_depth":3`}
 	keeps := func(c *config.Gatekeeper) { c.Residue = path }
 	d := deployWith(t, keeps, 1, 5000, swap...)
 	of := func(d *deployment, customer, id string) string {
-		status, _ := d.ask(strings.NewReplacer("basic", "tiny", "b4d65521", customer).Replace(check("/check", id)))
+		status, _ := d.send(strings.NewReplacer("basic", "tiny", "b4d65521", customer).Replace(checkRequest("/check", id)))
 		return status
 	}
 	if s := of(d, "b4d65530", "1"); s != "HTTP/1.1 429 Too Many Requests" {
 		t.Fatalf("at a first start a ceiling counts as spent: %q", s)
 	}
 	end := func(d *deployment) {
-		d.gk.limit.Close()
-		d.gk.desk.Stop() // its locks are gone, as those of a killed one
+		d.gateway.listener.Close()
+		d.gateway.dispatcher.Stop() // its locks are gone, as those of a killed one
 	}
 	end(d)
 	// As if its start had been long ago.
-	f, left, err := crashstate.Open(path, crashstate.Digest(d.conf.Charter), float64(time.Now().UnixMilli()))
+	f, left, err := crashstate.Open(path, crashstate.Digest(d.config.Charter), float64(time.Now().UnixMilli()))
 	if err != nil || left == nil {
 		t.Fatal(left, err)
 	}
@@ -220,25 +220,25 @@
 	}
 	end(d)
 
-	held, change := heldListener(t, swap...)
+	held, change := deployWithInheritedListener(t, swap...)
 	both := func(c *config.Gatekeeper) {
 		change(c)
 		keeps(c)
 	}
-	first := held.second(both)
-	held.gk.Stop() // it keeps none
+	first := held.startSuccessor(both)
+	held.gateway.Stop() // it keeps none
 	if s := of(held, "b4d65532", "d"); s != "HTTP/1.1 200 OK" {
 		t.Errorf("the second of three: %q", s)
 	}
-	second := held.second(both)
+	second := held.startSuccessor(both)
 	first.Stop()
 	if s := of(held, "b4d65532", "e"); s != "HTTP/1.1 200 OK" {
 		t.Errorf("the third of three, handed over: %q", s)
 	}
-	held.second(both)
-	second.limit.Close()
-	second.desk.Stop()
-	second.owner.Load().Close() // as at a sudden end
+	held.startSuccessor(both)
+	second.listener.Close()
+	second.dispatcher.Stop()
+	second.handoff.Load().Close() // as at a sudden end
 	if s := of(held, "b4d65532", "f"); s != "HTTP/1.1 429 Too Many Requests" {
 		t.Errorf("the fourth of three, after a sudden end: %q", s)
 	}
@@ -246,18 +246,18 @@
 
 // What a process knew of quotas outlives its sudden end, by a copy; a copy that is spoilt is as none, and
 // counted. A process that hands over has its heir go by the estate, and writes no more.
-func TestRecall(t *testing.T) {
+func TestCheckpointRestore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "residue")
 	keeps := func(c *config.Gatekeeper) { c.Residue, c.Recall = path, true }
 	of := func(d *deployment, customer, id string) string {
-		status, _ := d.ask(strings.NewReplacer("basic", "tiny", "b4d65521", customer).Replace(check("/check", id)))
+		status, _ := d.send(strings.NewReplacer("basic", "tiny", "b4d65521", customer).Replace(checkRequest("/check", id)))
 		return strings.TrimPrefix(status, "HTTP/1.1 ")
 	}
 	end := func(d *deployment) {
-		n := d.gk.desk.CheckpointStats().Written.Load()
-		until(t, "no copies are written", func() bool { return d.gk.desk.CheckpointStats().Written.Load() > n+1 })
-		d.gk.limit.Close()
-		d.gk.desk.Stop()
+		n := d.gateway.dispatcher.CheckpointStats().Written.Load()
+		waitFor(t, "no copies are written", func() bool { return d.gateway.dispatcher.CheckpointStats().Written.Load() > n+1 })
+		d.gateway.listener.Close()
+		d.gateway.dispatcher.Stop()
 	}
 	d := deployWith(t, keeps, 1, 5000)
 	if s := of(d, "b4d65530", "1"); s != "200 OK" {
@@ -265,7 +265,7 @@
 	}
 	end(d)
 	d = deployWith(t, keeps, 1, 5000)
-	s, n := of(d, "b4d65530", "2"), d.gk.desk.CheckpointStats().Restored.Load()
+	s, n := of(d, "b4d65530", "2"), d.gateway.dispatcher.CheckpointStats().Restored.Load()
 	if s != "429 Too Many Requests" || n != 1 {
 		t.Errorf("after a sudden end: %q, %d customers", s, n)
 	}
@@ -282,31 +282,31 @@
 		t.Fatal(err)
 	}
 	d = deployWith(t, keeps, 1, 5000)
-	if s := of(d, "b4d65531", "4"); s != "200 OK" || d.gk.spoilt.Load() != 1 {
-		t.Errorf("by a spoilt copy: %q, %d counted", s, d.gk.spoilt.Load())
+	if s := of(d, "b4d65531", "4"); s != "200 OK" || d.gateway.corruptCheckpoints.Load() != 1 {
+		t.Errorf("by a spoilt copy: %q, %d counted", s, d.gateway.corruptCheckpoints.Load())
 	}
 	end(d)
 
-	held, change := heldListener(t)
+	held, change := deployWithInheritedListener(t)
 	both := func(c *config.Gatekeeper) {
 		change(c)
 		c.Residue, c.Recall = path+"2", true
 	}
-	first := held.second(both)
-	held.gk.Stop()
+	first := held.startSuccessor(both)
+	held.gateway.Stop()
 	if s := of(held, "b4d65532", "5"); s != "200 OK" {
 		t.Errorf("by the first: %q", s)
 	}
-	second := held.second(both)
+	second := held.startSuccessor(both)
 	first.Stop()
-	n = first.desk.CheckpointStats().Written.Load()
+	n = first.dispatcher.CheckpointStats().Written.Load()
 	if s := of(held, "b4d65532", "6"); s != "429 Too Many Requests" ||
-		second.desk.CheckpointStats().Restored.Load() > 0 {
+		second.dispatcher.CheckpointStats().Restored.Load() > 0 {
 		t.Errorf("handed over: %q", s)
 	}
-	m := second.desk.CheckpointStats().Written.Load()
-	until(t, "the heir writes none", func() bool { return second.desk.CheckpointStats().Written.Load() > m+1 })
-	if first.desk.CheckpointStats().Written.Load() > n+1 { // one may have been under way
+	m := second.dispatcher.CheckpointStats().Written.Load()
+	waitFor(t, "the heir writes none", func() bool { return second.dispatcher.CheckpointStats().Written.Load() > m+1 })
+	if first.dispatcher.CheckpointStats().Written.Load() > n+1 { // one may have been under way
 		t.Error("one that has handed over writes on")
 	}
 }
--- a/internal/gateway/lifecycle/journal_test.go
+++ b/internal/gateway/lifecycle/journal_test.go
@@ -21,14 +21,14 @@
 	"willowdeck/internal/txnjournal/store"
 )
 
-var kills = flag.Int("kills", 8, "how often the gatekeeper of the journal's test is killed")
+var journalKills = flag.Int("kills", 8, "how often the gatekeeper of the journal's test is killed")
 
 // journaled has a gatekeeper keep a journal in a folder.
-func journaled(dir string) func(*config.Gatekeeper) {
-	return journaledIn(dir, 4<<10, txnjournal.DefaultSegments)
+func withJournal(dir string) func(*config.Gatekeeper) {
+	return withJournalIn(dir, 4<<10, txnjournal.DefaultSegments)
 }
 
-func journaledIn(dir string, size, segments int) func(*config.Gatekeeper) {
+func withJournalIn(dir string, size, segments int) func(*config.Gatekeeper) {
 	return func(c *config.Gatekeeper) {
 		t := txnjournal.DefaultTerms()
 		t.Segment, t.Segments = size, segments // so that they change often
@@ -38,15 +38,15 @@
 }
 
 // again starts the deployment's gatekeeper anew, once the one before has ended.
-func (d *deployment) again() *Gatekeeper {
+func (d *deployment) restart() *Gateway {
 	d.t.Helper()
-	g := d.second(func(*config.Gatekeeper) {})
-	d.at = g.At
+	g := d.startSuccessor(func(*config.Gatekeeper) {})
+	d.address = g.Address
 	return g
 }
 
 // says gives the journal's answer on a mark that was asked for not long ago.
-func answers(t *testing.T, dir, mark string) txnjournal.Verdict {
+func journalVerdict(t *testing.T, dir, mark string) txnjournal.Verdict {
 	t.Helper()
 	now := float64(time.Now().UnixMilli())
 	b, _, _, _, err := store.ReadAll(store.Dir(dir), txnjournal.DefaultTerms(), now, nil, nil)
@@ -60,71 +60,71 @@
 // A once-only txn that went out is not submitted again when its client comes back: one that was settled gets
 // its answer, one of which nobody knows is voided, in the same life and in the next. Guards against a second
 // effect after a restart. What has another content, or another customer, is not answered by it.
-func TestOnceOnlyComesBack(t *testing.T) {
+func TestNonIdempotentRetry(t *testing.T) {
 	dir := t.TempDir()
-	d := deployWith(t, journaled(dir), 1, 5000)
+	d := deployWith(t, withJournal(dir), 1, 5000)
 	const ok, void = "HTTP/1.1 200 OK", "HTTP/1.1 500 Internal Server Error"
-	other := strings.Replace(issue("/issue", "done"), "b4d65521", "b4d65522", 1)
+	other := strings.Replace(issueRequest("/issue", "done"), "b4d65521", "b4d65522", 1)
 	cases := []struct {
 		name, raw, status, body string
 		sent                    int // submissions for it
 	}{
-		{"settled", issue("/issue", "done"), ok, "valid\n", 1},
-		{"settled, again", issue("/issue", "done"), ok, "valid\n", 0},
-		{"another content", issue("/issue/2", "done"), void, "", 0},
+		{"settled", issueRequest("/issue", "done"), ok, "valid\n", 1},
+		{"settled, again", issueRequest("/issue", "done"), ok, "valid\n", 0},
+		{"another content", issueRequest("/issue/2", "done"), void, "", 0},
 		{"another customer's", other, ok, "valid\n", 1},
-		{"cut", issue("/issue?cut", "lost"), void, "", 1},
-		{"cut, again", issue("/issue?cut", "lost"), void, "", 0},
-		{"an inquiry", check("/check", "look"), ok, "valid\n", 1},
-		{"an inquiry, again", check("/check", "look"), ok, "valid\n", 1},
-		{"turned away by all", issue("/issue?full", "none"), "HTTP/1.1 429 Too Many Requests", "", -1},
+		{"cut", issueRequest("/issue?cut", "lost"), void, "", 1},
+		{"cut, again", issueRequest("/issue?cut", "lost"), void, "", 0},
+		{"an inquiry", checkRequest("/check", "look"), ok, "valid\n", 1},
+		{"an inquiry, again", checkRequest("/check", "look"), ok, "valid\n", 1},
+		{"turned away by all", issueRequest("/issue?full", "none"), "HTTP/1.1 429 Too Many Requests", "", -1},
 	}
 	for _, c := range cases {
-		before := len(d.got())
-		status, body := d.ask(c.raw)
-		if n := len(d.got()) - before; status != c.status || body != c.body || c.sent >= 0 && n != c.sent {
+		before := len(d.submissions())
+		status, body := d.send(c.raw)
+		if n := len(d.submissions()) - before; status != c.status || body != c.body || c.sent >= 0 && n != c.sent {
 			t.Errorf("%s: %q %q, submitted %d times, want %q, %d", c.name, status, body, n, c.status, c.sent)
 		}
 	}
-	d.gk.Stop()
+	d.gateway.Stop()
 	for mark, want := range map[string]txnjournal.Verdict{"done": txnjournal.SentSettled,
 		"lost": txnjournal.SentUnknown,
 		"none": txnjournal.NotSent} {
-		if v := answers(t, filepath.Join(dir, "n0"), mark); v != want {
+		if v := journalVerdict(t, filepath.Join(dir, "n0"), mark); v != want {
 			t.Errorf("the journal says of %s: %v", mark, v)
 		}
 	}
-	next := d.again()
-	before := len(d.got())
+	next := d.restart()
+	before := len(d.submissions())
 	for _, i := range []int{1, 2, 5} {
-		if status, body := d.ask(cases[i].raw); status != cases[i].status || body != cases[i].body {
+		if status, body := d.send(cases[i].raw); status != cases[i].status || body != cases[i].body {
 			t.Errorf("%s, in the next life: %q %q", cases[i].name, status, body)
 		}
 	}
-	if n := len(d.got()) - before; n != 0 {
+	if n := len(d.submissions()) - before; n != 0 {
 		t.Errorf("%d submitted again", n)
 	}
-	if status, _ := d.ask(issue("/issue", "fresh")); status != ok {
+	if status, _ := d.send(issueRequest("/issue", "fresh")); status != ok {
 		t.Errorf("a new one: %q", status)
 	}
 	next.Stop()
 }
 
 // Where the journal can't be had no once-only txn goes out, and all else is served as ever.
-func TestNoJournal(t *testing.T) {
+func TestJournalUnavailable(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "n0"), nil, 0o600); err != nil { // no folder can be made there
 		t.Fatal(err)
 	}
-	d := deployWith(t, journaled(dir), 1, 5000)
-	if status, _ := d.ask(issue("/issue", "1")); status != "HTTP/1.1 500 Internal Server Error" {
+	d := deployWith(t, withJournal(dir), 1, 5000)
+	if status, _ := d.send(issueRequest("/issue", "1")); status != "HTTP/1.1 500 Internal Server Error" {
 		t.Errorf("once-only: %q", status)
 	}
-	if len(d.got()) > 0 {
+	if len(d.submissions()) > 0 {
 		t.Error("it was sent")
 	}
 	for range 3 {
-		if status, _ := d.ask(check("/check", "2")); status != "HTTP/1.1 200 OK" {
+		if status, _ := d.send(checkRequest("/check", "2")); status != "HTTP/1.1 200 OK" {
 			t.Errorf("an inquiry: %q", status)
 		}
 	}
@@ -132,39 +132,39 @@
 
 // A disk that fails or hangs in service: once-only txns are declined, or go out unwritten, as the policy
 // says, soon and within their time; inquiries know nothing of it.
-func TestDiskFailsInService(t *testing.T) {
+func TestJournalDiskFailure(t *testing.T) {
 	for _, policy := range []txnjournal.Policy{txnjournal.Refuse, txnjournal.Serve} {
 		t.Run(policy.String(), func(t *testing.T) {
-			m, usual := store.NewMemory(1), diskOf
-			diskOf = func(string) store.Disk { return m }
-			defer func() { diskOf = usual }()
+			m, usual := store.NewMemory(1), journalDisk
+			journalDisk = func(string) store.Disk { return m }
+			defer func() { journalDisk = usual }()
 			d := deployWith(t, func(c *config.Gatekeeper) {
-				journaled("")(c)
+				withJournal("")(c)
 				t := &c.Journal.Terms
 				t.Policy, t.Wait, t.Lease, t.Pause, t.MostPause = policy, 150, 200, 20, 40
 			}, 2, 5000)
-			if status, _ := d.ask(issue("/issue", "before")); status != "HTTP/1.1 200 OK" {
+			if status, _ := d.send(issueRequest("/issue", "before")); status != "HTTP/1.1 200 OK" {
 				t.Fatalf("before: %q", status)
 			}
 			hung := make(chan bool)
 			m.Hang(hung)
 			defer close(hung)
-			want, sent := "HTTP/1.1 429 Too Many Requests", len(d.got())
+			want, sent := "HTTP/1.1 429 Too Many Requests", len(d.submissions())
 			if policy == txnjournal.Serve {
 				want = "HTTP/1.1 200 OK"
 			}
 			tries := 0
-			until(t, "once-only txns don't get what the policy says", func() bool {
+			waitFor(t, "once-only txns don't get what the policy says", func() bool {
 				tries++
-				status, _ := d.ask(issue("/issue", fmt.Sprint("x", tries)))
+				status, _ := d.send(issueRequest("/issue", fmt.Sprint("x", tries)))
 				return status == want
 			})
-			if n := len(d.got()) - sent; policy == txnjournal.Refuse && n > 0 {
+			if n := len(d.submissions()) - sent; policy == txnjournal.Refuse && n > 0 {
 				t.Errorf("%d were sent", n)
 			}
 			from := time.Now()
 			for i := range 20 {
-				if status, _ := d.ask(check("/check", fmt.Sprint("y", i))); status != "HTTP/1.1 200 OK" {
+				if status, _ := d.send(checkRequest("/check", fmt.Sprint("y", i))); status != "HTTP/1.1 200 OK" {
 					t.Errorf("an inquiry: %q", status)
 				}
 			}
@@ -178,38 +178,38 @@
 // A second process takes the journal over: what the first has in hand ends in it, and nothing of it is sent
 // again. Guards against two writers, and against ends that the heir never hears of.
 func TestJournalAtReplacement(t *testing.T) {
-	d, change := heldListener(t)
+	d, change := deployWithInheritedListener(t)
 	dir := t.TempDir()
 	both := func(c *config.Gatekeeper) {
 		change(c)
-		journaled(dir)(c)
+		withJournal(dir)(c)
 	}
-	first := d.second(both)
-	d.gk.Stop()
-	d.ask(issue("/issue", "before"))
-	busy, err := net.Dial("tcp", d.at)
+	first := d.startSuccessor(both)
+	d.gateway.Stop()
+	d.send(issueRequest("/issue", "before"))
+	busy, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer busy.Close()
-	fmt.Fprint(busy, issue("/issue?slow", "busy"))
-	before := d.got()
-	until(t, "it does not go out", func() bool { before = d.got(); return len(before) == 2 })
-	second := d.second(both)
+	fmt.Fprint(busy, issueRequest("/issue?slow", "busy"))
+	before := d.submissions()
+	waitFor(t, "it does not go out", func() bool { before = d.submissions(); return len(before) == 2 })
+	second := d.startSuccessor(both)
 	first.Stop()
-	if status, _ := read(busy); status != "HTTP/1.1 200 OK" {
+	if status, _ := readResponse(busy); status != "HTTP/1.1 200 OK" {
 		t.Errorf("in hand: %q", status)
 	}
-	for _, raw := range []string{issue("/issue", "before"), issue("/issue?slow", "busy")} {
-		until(t, "not answered by what the first process was told", func() bool {
-			status, _ := d.ask(raw)
+	for _, raw := range []string{issueRequest("/issue", "before"), issueRequest("/issue?slow", "busy")} {
+		waitFor(t, "not answered by what the first process was told", func() bool {
+			status, _ := d.send(raw)
 			return status == "HTTP/1.1 200 OK"
 		})
 	}
-	if n := len(d.got()); n != 2 {
+	if n := len(d.submissions()); n != 2 {
 		t.Errorf("%d submitted", n)
 	}
-	if status, _ := d.ask(issue("/issue", "after")); status != "HTTP/1.1 200 OK" {
+	if status, _ := d.send(issueRequest("/issue", "after")); status != "HTTP/1.1 200 OK" {
 		t.Errorf("after: %q", status)
 	}
 	second.Stop()
@@ -233,12 +233,12 @@
 	if _, err := fmt.Sscan(os.Getenv("WILLOWDECK_TEST_SEGMENTS"), &size, &segments); err != nil {
 		t.Fatal(err)
 	}
-	journaledIn(filepath.Dir(path), size, segments)(&conf)
+	withJournalIn(filepath.Dir(path), size, segments)(&conf)
 	g, err := Start(conf, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Println("at", g.At)
+	fmt.Println("at", g.Address)
 	select {}
 }
 
@@ -246,11 +246,11 @@
 // and of none that it is settled that no worker has run; and what comes back to the next life is not run
 // again.
 func TestJournalKilled(t *testing.T) {
-	t.Run("all kept", func(t *testing.T) { killed(t, 4<<10, 1000) })
-	t.Run("segments let go", func(t *testing.T) { killed(t, 16<<10, 12) })
+	t.Run("all kept", func(t *testing.T) { testJournalKilled(t, 4<<10, 1000) })
+	t.Run("segments let go", func(t *testing.T) { testJournalKilled(t, 16<<10, 12) })
 }
 
-func killed(t *testing.T, size, segments int) {
+func testJournalKilled(t *testing.T, size, segments int) {
 	rng := rand.New(rand.NewSource(4))
 	dir := t.TempDir()
 	var workers []*fakes.Worker
@@ -280,7 +280,7 @@
 	asked := map[string]float64{}
 	next := 0
 	var back []string // of the life before: they come once more
-	for range *kills {
+	for range *journalKills {
 		cmd := exec.Command(os.Args[0], "-test.run", "TestJournalChild$")
 		cmd.Env = append(os.Environ(), "WILLOWDECK_TEST_JOURNAL="+path,
 			fmt.Sprint("WILLOWDECK_TEST_SEGMENTS=", size, " ", segments))
@@ -320,7 +320,7 @@
 						return // it is dead
 					}
 					c.SetDeadline(time.Now().Add(2 * time.Second))
-					fmt.Fprint(c, issue("/issue", mark))
+					fmt.Fprint(c, issueRequest("/issue", mark))
 					buf := make([]byte, 512)
 					n, _ := c.Read(buf)
 					c.Close()
@@ -376,7 +376,7 @@
 		"unknown %d (%d of them never ran), not sent %d; falsely not sent %d, falsely settled %d", lives,
 		found.Records, found.Segments, found.Cut, len(asked), len(ran), twice, count[txnjournal.SentSettled],
 		count[txnjournal.SentUnknown], needless, count[txnjournal.NotSent], falsely, early)
-	if twice > 0 || early > 0 || len(ran) < *kills || int(lives) < *kills/2 {
+	if twice > 0 || early > 0 || len(ran) < *journalKills || int(lives) < *journalKills/2 {
 		t.Errorf("%d ran twice, %d are settled that never ran, %d ran in %d lives", twice, early, len(ran), lives)
 	}
 }
--- a/internal/gateway/lifecycle/reload.go
+++ b/internal/gateway/lifecycle/reload.go
@@ -12,64 +12,64 @@
 // Reload takes up a configuration that has been read anew: the number of gatekeepers and who they are, if
 // this one keeps its place among them, and the discovery that it names, where the watch goes on from where it
 // was. All else that it may change waits for the next start. Where it could not be read, the old one stays.
-func (g *Gatekeeper) Reload(c config.Gatekeeper, err error) {
+func (g *Gateway) Reload(c config.Gatekeeper, err error) {
 	if err != nil {
 		g.log.Error().Err(err).Msg("configuration not taken up, the old one stays")
 		return
 	}
-	if g.agreed == nil { // else the rules say how many there are
+	if g.ruleset == nil { // else the rules say how many there are
 		g.resize(c)
 	}
-	if c.Discovery == g.conf.Discovery {
+	if c.Discovery == g.config.Discovery {
 		g.log.Info().Msg("configuration read, discovery as before")
 		return
 	}
-	g.conf.Discovery = c.Discovery
-	g.unwind()
-	g.watch(<-g.ended, policy.WatchMoved) // no news of the old watch may come behind that of the new one
+	g.config.Discovery = c.Discovery
+	g.cancelWatch()
+	g.startWatch(<-g.watchEnded, policy.WatchMoved) // no news of the old watch may come behind that of the new one
 	g.log.Info().Str("discovery", c.Discovery).Msg("configuration taken up")
 }
 
 // resize takes up another number of gatekeepers, where nothing else of the charter has changed.
-func (g *Gatekeeper) resize(c config.Gatekeeper) {
-	n, was := c.Charter.Gatekeepers, g.members.Load()
+func (g *Gateway) resize(c config.Gatekeeper) {
+	n, was := c.Charter.Gatekeepers, g.memberCount.Load()
 	same := c.Charter
-	same.Gatekeepers = g.conf.Charter.Gatekeepers
-	if int64(n) == was && slices.Equal(c.Peers, g.conf.Peers) {
+	same.Gatekeepers = g.config.Charter.Gatekeepers
+	if int64(n) == was && slices.Equal(c.Peers, g.config.Peers) {
 		return
 	}
 	unbound := g.peers == nil && len(c.Peers) > 0 // there is no socket to talk to them
-	if unbound || !reflect.DeepEqual(same, g.conf.Charter) {
+	if unbound || !reflect.DeepEqual(same, g.config.Charter) {
 		g.log.Warn().Msg("the number of gatekeepers has changed along with more: that waits for the next start")
 		return
 	}
-	g.seat(n, c.Peers, func() { g.desk.Resize(n) })
-	g.conf.Peers = c.Peers
+	g.setMembers(n, c.Peers, func() { g.dispatcher.Resize(n) })
+	g.config.Peers = c.Peers
 	g.log.Info().Int64("from", was).Int("to", n).Msg("number of gatekeepers taken up")
 }
 
 // seat takes up how many gatekeepers there are, and where the peers hear; desk tells the desk.
-func (g *Gatekeeper) seat(n int, peers []netip.AddrPort, desk func()) {
-	fewer := int64(n) < g.members.Load()
+func (g *Gateway) setMembers(n int, peers []netip.AddrPort, desk func()) {
+	fewer := int64(n) < g.memberCount.Load()
 	if fewer { // nobody is told who is no more
 		desk()
 	}
 	if len(peers) > 0 && g.peers != nil { // one that is alone is told of none, and has nobody to tell
 		for _, i := range g.peers.Among(peers) {
-			g.desk.PeerReplaced(i)
+			g.dispatcher.PeerReplaced(i)
 		}
 	}
 	if !fewer {
 		desk()
 	}
-	if int64(n) != g.members.Load() {
-		g.front.Resize(n)
-		if g.portal != nil {
-			g.portal.Resize(n)
+	if int64(n) != g.memberCount.Load() {
+		g.frontend.Resize(n)
+		if g.authServer != nil {
+			g.authServer.Resize(n)
 		}
-		g.members.Store(int64(n))
+		g.memberCount.Store(int64(n))
 	}
-	if g.word != nil {
-		g.word.among(peers, n)
+	if g.reporter != nil {
+		g.reporter.setMembers(peers, n)
 	}
 }
--- a/internal/gateway/lifecycle/lifecycle_test.go
+++ b/internal/gateway/lifecycle/requests_test.go
@@ -23,39 +23,39 @@
 
 // deployment is a gatekeeper on loopback between stand-ins for its workers and for discovery.
 type deployment struct {
-	t       *testing.T
-	gk      *Gatekeeper
-	at      string
-	workers []*standIn
-	conf    config.Gatekeeper
-	news    chan string
-	asked   chan string // what the watch asks for
+	t             *testing.T
+	gateway       *Gateway
+	address       string
+	workers       []*fakeWorker
+	config        config.Gatekeeper
+	updates       chan string
+	watchRequests chan string // what the watch asks for
 }
 
 // standIn is a worker. It does what the word after the ? in a target says, and keeps what came.
-type standIn struct {
+type fakeWorker struct {
 	net.Listener
-	mu   sync.Mutex
-	got  []string // whole submissions
-	dial int      // connections
-	mute bool     // it takes all and answers nothing
-	load string   // what it says of its load
+	mu          sync.Mutex
+	submissions []string // whole submissions
+	connections int      // connections
+	silent      bool     // it takes all and answers nothing
+	loadReport  string   // what it says of its load
 }
 
-func (w *standIn) serve() {
+func (w *fakeWorker) serve() {
 	for {
 		c, err := w.Accept()
 		if err != nil {
 			return
 		}
 		w.mu.Lock()
-		w.dial++
+		w.connections++
 		w.mu.Unlock()
-		go w.talk(c)
+		go w.handle(c)
 	}
 }
 
-func (w *standIn) talk(c net.Conn) {
+func (w *fakeWorker) handle(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -79,14 +79,14 @@
 			}
 		}
 		w.mu.Lock()
-		w.got = append(w.got, raw)
-		mute, load := w.mute, w.load
+		w.submissions = append(w.submissions, raw)
+		mute, load := w.silent, w.loadReport
 		w.mu.Unlock()
 		_, do, _ := strings.Cut(target, "?")
 		if do == "slow" {
 			time.Sleep(120 * time.Millisecond)
 		}
-		if text, ok := says[do]; ok && !mute {
+		if text, ok := cannedResponses[do]; ok && !mute {
 			if load != "" {
 				text = strings.Replace(text, `{"inflight":1}`, load, 1)
 			}
@@ -97,7 +97,7 @@
 	}
 }
 
-var says = map[string]string{
+var cannedResponses = map[string]string{
 	"":          "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nX-Load: {\"inflight\":1}\r\n\r\nvalid\n",
 	"chunks":    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nval\r\n3\r\nid\n\r\n0\r\n\r\n",
 	"slow":      "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nvalid\n",
@@ -146,58 +146,58 @@
 func deployWith(t *testing.T, change func(*config.Gatekeeper), workers, idle int,
 	swaps ...string) *deployment {
 	t.Helper()
-	d := &deployment{t: t, news: make(chan string, 9), asked: make(chan string, 9)}
+	d := &deployment{t: t, updates: make(chan string, 9), watchRequests: make(chan string, 9)}
 	var names []string
 	for i := range workers {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := &standIn{Listener: l}
+		w := &fakeWorker{Listener: l}
 		go w.serve()
 		t.Cleanup(func() { l.Close() })
 		d.workers = append(d.workers, w)
-		names = append(names, d.entry(i, "active", 0))
+		names = append(names, d.endpointEntry(i, "active", 0))
 	}
-	list := d.discovery()
+	list := d.startDiscovery()
 	conf := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"5","limits":{"sockets":64},
 		"known":{"index":7,"snapshot":true,"endpoints":[%s]},"settings":%s}`, list,
 		strings.Join(names, ","),
 		strings.NewReplacer(append(swaps, "IDLE", fmt.Sprint(idle*1000))...).Replace(settings))
 	var err error
-	if d.conf, err = config.Decode([]byte(conf), func(string) string { return "" }); err != nil {
+	if d.config, err = config.Decode([]byte(conf), func(string) string { return "" }); err != nil {
 		t.Fatal(err)
 	}
-	change(&d.conf)
-	if d.gk, err = Start(d.conf, zerolog.Nop()); err != nil {
+	change(&d.config)
+	if d.gateway, err = Start(d.config, zerolog.Nop()); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { // before its discovery's port can become another test's
-		d.gk.unwind()
-		<-d.gk.ended
+		d.gateway.cancelWatch()
+		<-d.gateway.watchEnded
 	})
-	d.at = d.gk.At
+	d.address = d.gateway.Address
 	return d
 }
 
-func (d *deployment) entry(i int, status string, since int64) string {
+func (d *deployment) endpointEntry(i int, status string, since int64) string {
 	return fmt.Sprintf(`{"name":"w%d","address":%q,"zone":"a","group":1,"status":%q,"since_ms":%d}`, i,
 		d.workers[i].Addr(), status, since)
 }
 
 // discovery answers each watch at the address that it gives, and sends it the news there is, until the word
 // "end" or the watcher's leaving.
-func (d *deployment) discovery() string {
+func (d *deployment) startDiscovery() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	d.t.Cleanup(func() { l.Close() })
-	go d.tell(l)
+	go d.serveDiscovery(l)
 	return l.Addr().String()
 }
 
-func (d *deployment) tell(l net.Listener) {
+func (d *deployment) serveDiscovery(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -205,7 +205,7 @@
 		}
 		r := bufio.NewReader(c)
 		line, _ := r.ReadString('\n')
-		d.asked <- line
+		d.watchRequests <- line
 		left := make(chan bool)
 		go func() {
 			io.Copy(io.Discard, r)
@@ -214,7 +214,7 @@
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
 		for on := true; on; {
 			select {
-			case n := <-d.news:
+			case n := <-d.updates:
 				if on = n != "end"; on {
 					fmt.Fprintf(c, "%x\r\n%s\n\r\n", len(n)+1, n)
 				}
@@ -226,35 +226,35 @@
 	}
 }
 
-func (w *standIn) count() int {
+func (w *fakeWorker) count() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.got)
+	return len(w.submissions)
 }
 
 // got gives what all workers have been sent.
-func (d *deployment) got() (all []string) {
+func (d *deployment) submissions() (all []string) {
 	for _, w := range d.workers {
 		w.mu.Lock()
-		all = append(all, w.got...)
+		all = append(all, w.submissions...)
 		w.mu.Unlock()
 	}
 	return all
 }
 
 // ask sends bytes on a connection of their own, and gives the status line and the body that come back.
-func (d *deployment) ask(raw string) (string, string) {
+func (d *deployment) send(raw string) (string, string) {
 	d.t.Helper()
-	c, err := net.Dial("tcp", d.at)
+	c, err := net.Dial("tcp", d.address)
 	if err != nil {
 		return err.Error(), ""
 	}
 	defer c.Close()
 	fmt.Fprint(c, raw)
-	return read(c)
+	return readResponse(c)
 }
 
-func read(c net.Conn) (string, string) {
+func readResponse(c net.Conn) (string, string) {
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	r := bufio.NewReader(c)
 	status, _ := r.ReadString('\n')
@@ -273,35 +273,35 @@
 	}
 }
 
-const heads = "Host: backend.local\r\nPlan: basic\r\nCookie: key=00000000b4d65521\r\nX-Deadline: 300m\r\n" +
+const commonHeaders = "Host: backend.local\r\nPlan: basic\r\nCookie: key=00000000b4d65521\r\nX-Deadline: 300m\r\n" +
 	"Quota-Info: units=1,spread=1,first=0\r\n"
 
-func check(target, id string) string {
-	return "GET " + target + " HTTP/1.1\r\nX-Request-Id: " + id + "\r\n" + heads + "\r\n"
+func checkRequest(target, id string) string {
+	return "GET " + target + " HTTP/1.1\r\nX-Request-Id: " + id + "\r\n" + commonHeaders + "\r\n"
 }
 
-func sale(target, id string) string {
-	return "POST " + target + " HTTP/1.1\r\nX-Request-Id: " + id + "\r\nIdempotency-Key: k1\r\n" + heads +
+func saleRequest(target, id string) string {
+	return "POST " + target + " HTTP/1.1\r\nX-Request-Id: " + id + "\r\nIdempotency-Key: k1\r\n" + commonHeaders +
 		"Content-Length: 4\r\n\r\na\r\nb"
 }
 
-func issue(target, id string) string {
-	return "POST " + target + " HTTP/1.1\r\nX-Request-Id: " + id + "\r\n" + heads + "Content-Length: 0\r\n\r\n"
+func issueRequest(target, id string) string {
+	return "POST " + target + " HTTP/1.1\r\nX-Request-Id: " + id + "\r\n" + commonHeaders + "Content-Length: 0\r\n\r\n"
 }
 
-func TestPassesOnUnchanged(t *testing.T) {
+func TestForwardUnchanged(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	cases := []struct{ name, raw, line, mark string }{
-		{"inquiry", check("/check/..//%41?", "9b1f"), "GET /check/..//%41? HTTP/1.1", "X-Request-Id: 9b1f\r\n"},
-		{"referenced", sale("/sale", "9b2f"), "POST /sale HTTP/1.1", "Idempotency-Key: k1\r\n"},
-		{"once-only", issue("/issue/7", "9b3f"), "POST /issue/7 HTTP/1.1", "X-Request-Id: 9b3f\r\n"},
+		{"inquiry", checkRequest("/check/..//%41?", "9b1f"), "GET /check/..//%41? HTTP/1.1", "X-Request-Id: 9b1f\r\n"},
+		{"referenced", saleRequest("/sale", "9b2f"), "POST /sale HTTP/1.1", "Idempotency-Key: k1\r\n"},
+		{"once-only", issueRequest("/issue/7", "9b3f"), "POST /issue/7 HTTP/1.1", "X-Request-Id: 9b3f\r\n"},
 	}
 	for i, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if status, body := d.ask(c.raw); status != "HTTP/1.1 200 OK" || body != "valid\n" {
+			if status, body := d.send(c.raw); status != "HTTP/1.1 200 OK" || body != "valid\n" {
 				t.Errorf("answered %q %q", status, body)
 			}
-			got := d.got()
+			got := d.submissions()
 			if len(got) != i+1 || !strings.HasPrefix(got[i], c.line+"\r\n") || !strings.Contains(got[i], c.mark) {
 				t.Fatalf("the worker got %q", got)
 			}
@@ -319,10 +319,10 @@
 // As many forms run at once as the test runner allows, and the window starts at 1.5 requests in flight for
 // each worker: with a worker for each of them the whole burst is let in. Before one worker the window starts
 // at 4.5, and a form that came when it was full was shed with 429.
-func TestFormsOfTxns(t *testing.T) {
+func TestRequestForms(t *testing.T) {
 	const formsAndWays = 84
 	d := deployWith(t, func(c *config.Gatekeeper) { c.Sockets = 4 * formsAndWays }, formsAndWays, 5000)
-	plain, sold := check("/check", "1"), sale("/sale", "1")
+	plain, sold := checkRequest("/check", "1"), saleRequest("/sale", "1")
 	swap := func(s string, pairs ...string) string { return strings.NewReplacer(pairs...).Replace(s) }
 	chunked := func(s, body string) string { return swap(s, "Content-Length: 4\r\n\r\na\r\nb", body) }
 	forms := []struct{ name, raw string }{
@@ -347,14 +347,14 @@
 		{"a body in one chunk", chunked(sold, "Transfer-Encoding: chunked\r\n\r\n4\r\na\r\nb\r\n0\r\n\r\n")},
 		{"a body in chunks", chunked(sold, "Transfer-Encoding: Chunked\r\n\r\n1\r\na\r\n03\r\n\r\nb\r\n0\r\n\r\n")},
 		{"no body, in chunks", chunked(sold, "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n")},
-		{"once-only without a body", issue("/issue", "1")},
-		{"once-only without a length", swap(issue("/issue", "1"), "Content-Length: 0\r\n", "")},
+		{"once-only without a body", issueRequest("/issue", "1")},
+		{"once-only without a length", swap(issueRequest("/issue", "1"), "Content-Length: 0\r\n", "")},
 	}
 	for _, f := range forms {
 		for _, way := range []string{"whole", "in two", "byte by byte", "slowly"} {
 			t.Run(f.name+", "+way, func(t *testing.T) {
 				t.Parallel()
-				c, err := net.Dial("tcp", d.at)
+				c, err := net.Dial("tcp", d.address)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -374,7 +374,7 @@
 					io.WriteString(c, raw[at:min(at+step, len(raw))])
 					time.Sleep(pause)
 				}
-				if status, body := read(c); status != "HTTP/1.1 200 OK" || body != "valid\n" {
+				if status, body := readResponse(c); status != "HTTP/1.1 200 OK" || body != "valid\n" {
 					t.Errorf("answered %q %q", status, body)
 				}
 			})
@@ -383,11 +383,11 @@
 }
 
 // What clients get wrong has a clear answer, and none of it reaches a worker.
-func TestBrokenClients(t *testing.T) {
+func TestMalformedRequests(t *testing.T) {
 	d := deploy(t, 1, 5000)
-	good := check("/check", "1")
+	good := checkRequest("/check", "1")
 	swap := func(old, new string) string { return strings.Replace(good, old, new, 1) }
-	sell := func(old, new string) string { return strings.Replace(sale("/sale", "1"), old, new, 1) }
+	sell := func(old, new string) string { return strings.Replace(saleRequest("/sale", "1"), old, new, 1) }
 	const bad = "HTTP/1.1 400 Bad Request"
 	cases := []struct{ name, raw, status, says string }{
 		{"no id", swap("X-Request-Id: 1\r\n", ""), bad, "X-Request-Id"},
@@ -410,14 +410,14 @@
 		{"inquiry with a body", swap("Host:", "Content-Length: 2\r\nHost:") + "ab", bad, "body"},
 		{"two lengths", sell("Content", "Content-Length: 4\r\nContent"), bad, "read"},
 		{"length and coding", strings.TrimSuffix(sell("Host:", "Transfer-Encoding: chunked\r\nHost:"), "a\r\nb") +
-			"0\r\n\r\n" + check("/check", "2"), bad, "together"},
+			"0\r\n\r\n" + checkRequest("/check", "2"), bad, "together"},
 		{"length and no coding", sell("Host:", "transfer-encoding: identity\r\nHost:"),
 			bad, "together"},
-		{"another hidden behind", swap("Plan", "Clan") + check("/check", "2"), bad, "Plan"},
+		{"another hidden behind", swap("Plan", "Clan") + checkRequest("/check", "2"), bad, "Plan"},
 		{"length below nought", sell("Length: 4", "Length: -4"), bad, "read"},
 		{"length beyond numbers", sell("Length: 4", "Length: 99999999999999999999"),
 			bad, "read"},
-		{"broken chunk", strings.Replace(sale("/sale", "1"), "Content-Length: 4\r\n\r\n",
+		{"broken chunk", strings.Replace(saleRequest("/sale", "1"), "Content-Length: 4\r\n\r\n",
 			"Transfer-Encoding: chunked\r\n\r\n4000\r\n"+strings.Repeat("x", 1<<14)+"\r\nzz\r\n", 1),
 			bad, "read"},
 		{"head without end", swap("Host:", strings.Repeat("X-Pad: pad\r\n", 4000)+"Host:"),
@@ -437,21 +437,21 @@
 		{"units twice", swap("units=1", "units=1,units=2"), bad, "Quota-Info"},
 		{"referenced without mark", sell("Idempotency", "Other"), bad,
 			"Idempotency-Key"},
-		{"once-only with mark", sale("/issue", "1"), bad, "Idempotency-Key"},
+		{"once-only with mark", saleRequest("/issue", "1"), bad, "Idempotency-Key"},
 		{"no HTTP", "hello\r\n\r\n", bad, "read"},
 		{"body too long", sell("Length: 4", "Length: 60000000") +
 			strings.Repeat("x", 8<<20), "HTTP/1.1 413 Request Entity Too Large", "too long"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			status, body := d.ask(c.raw)
+			status, body := d.send(c.raw)
 			if status != c.status || !strings.Contains(body, c.says) {
 				t.Errorf("answered %q %q, want %q with %q", status, body, c.status, c.says)
 			}
 		})
 	}
 	t.Run("half a request", func(t *testing.T) {
-		c, _ := net.Dial("tcp", d.at)
+		c, _ := net.Dial("tcp", d.address)
 		fmt.Fprint(c, good[:40])
 		c.Close()
 	})
@@ -459,7 +459,7 @@
 		for _, part := range []string{"", good[:40]} {
 			t.Run(fmt.Sprint(len(part)), func(t *testing.T) {
 				t.Parallel()
-				c, _ := net.Dial("tcp", d.at)
+				c, _ := net.Dial("tcp", d.address)
 				defer c.Close()
 				fmt.Fprint(c, part)
 				c.SetDeadline(time.Now().Add(2900 * time.Millisecond))
@@ -469,16 +469,16 @@
 			})
 		}
 	})
-	if got := d.got(); len(got) > 0 {
+	if got := d.submissions(); len(got) > 0 {
 		t.Errorf("a worker got %q", got)
 	}
-	if status, _ := d.ask(good); status != "HTTP/1.1 200 OK" {
+	if status, _ := d.send(good); status != "HTTP/1.1 200 OK" {
 		t.Errorf("after all that a good one gets %q", status)
 	}
 }
 
 // A set that lacks this gatekeeper would give it a slice that is none of the quota's parts.
-func TestSetsOfGatekeepers(t *testing.T) {
+func TestQuotaSpread(t *testing.T) {
 	d := deploy(t, 1, 5000, `"me":0,"balancers":1`, `"me":1,"balancers":3`)
 	cases := []struct {
 		set, status string
@@ -491,9 +491,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.set, func(t *testing.T) {
-			raw := strings.Replace(check("/check", c.set), "spread=1,first=0", c.set, 1)
+			raw := strings.Replace(checkRequest("/check", c.set), "spread=1,first=0", c.set, 1)
 			raw = strings.Replace(raw, "Id: "+c.set, "Id: 1", 1)
-			if status, body := d.ask(raw); status != c.status {
+			if status, body := d.send(raw); status != c.status {
 				t.Errorf("answered %q %q, want %q", status, body, c.status)
 			}
 		})
@@ -501,12 +501,12 @@
 }
 
 // The mark of a txn that is open can't be taken by another one.
-func TestOpenMark(t *testing.T) {
+func TestDuplicateRequestID(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	statuses := make(chan string, 2)
 	for i := range 2 {
 		go func() {
-			status, _ := d.ask(check("/check?slow", "1"))
+			status, _ := d.send(checkRequest("/check?slow", "1"))
 			statuses <- status
 		}()
 		time.Sleep(time.Duration(30*(1-i)) * time.Millisecond)
@@ -514,55 +514,55 @@
 	if s := <-statuses; s != "HTTP/1.1 409 Conflict" {
 		t.Errorf("the second one gets %q", s)
 	}
-	if s := <-statuses; s != "HTTP/1.1 200 OK" || len(d.got()) != 1 {
-		t.Errorf("the first one gets %q after %d submissions", s, len(d.got()))
+	if s := <-statuses; s != "HTTP/1.1 200 OK" || len(d.submissions()) != 1 {
+		t.Errorf("the first one gets %q after %d submissions", s, len(d.submissions()))
 	}
-	if status, _ := d.ask(check("/check", "1")); status != "HTTP/1.1 200 OK" {
+	if status, _ := d.send(checkRequest("/check", "1")); status != "HTTP/1.1 200 OK" {
 		t.Errorf("once it is closed the mark gets %q", status)
 	}
 }
 
 // How a worker ends a submission tells what may follow: no resend that the module did not decide, and none at
 // all where it could run twice.
-func TestWorkersThatFail(t *testing.T) {
+func TestWorkerFailures(t *testing.T) {
 	const settled, declined, voided = "HTTP/1.1 200 OK", "HTTP/1.1 429 Too Many Requests",
 		"HTTP/1.1 500 Internal Server Error"
 	cases := []struct {
 		name, raw, status string
 		subs              int
 	}{
-		{"answer in chunks", check("/check?chunks", "1"), settled, 1},
-		{"inquiry, error", check("/check?fault", "2"), declined, 3},
-		{"inquiry, cut", check("/check?cut", "3"), declined, 3},
-		{"inquiry, cut short", check("/check?cutshort", "4"), declined, 3},
-		{"inquiry, answer of nonsense", check("/check?junk", "5"), declined, 3},
-		{"inquiry, answer too long", check("/check?long", "6"), declined, 3},
-		{"inquiry, chunk too long", check("/check?longchunk", "7"), declined, 3},
-		{"bytes after the answer", check("/check?stray", "8"), settled, 1},
-		{"interim answers ahead of it", check("/check?interim", "18"), settled, 1},
-		{"load report of nonsense", check("/check?report", "19"), settled, 1},
-		{"inquiry, interim answers without end", check("/check?interims", "20"), declined, 3},
-		{"inquiry, head without end", check("/check?headless", "21"), declined, 3},
-		{"inquiry, status of nought", check("/check?zero", "23"), declined, 3},
-		{"inquiry, status of four digits", check("/check?zeros", "24"), declined, 3},
-		{"inquiry, no version of ours", check("/check?old", "25"), declined, 3},
-		{"ends with the connection", check("/check?cutnolong", "22"), settled, 1},
-		{"inquiry, unstated and without end", check("/check?nolong", "26"), declined, 3},
-		{"inquiry, half a head", check("/check?cutnothing", "9"), declined, 3},
-		{"inquiry, silence", check("/check?silence", "10"), declined, 3},
-		{"referenced, cut", sale("/sale?cut", "11"), declined, 3},
-		{"once-only, error", issue("/issue?fault", "12"), voided, 1},
-		{"once-only, cut", issue("/issue?cut", "13"), voided, 1},
-		{"once-only, 503 that may have run", issue("/issue?maybe", "14"), voided, 1},
-		{"once-only, silence", issue("/issue?silence", "15"), voided, 1},
-		{"once-only, turned away", issue("/issue?full", "16"), declined, 3},
-		{"once-only, length below nought", issue("/issue?negative", "17"), voided, 1},
+		{"answer in chunks", checkRequest("/check?chunks", "1"), settled, 1},
+		{"inquiry, error", checkRequest("/check?fault", "2"), declined, 3},
+		{"inquiry, cut", checkRequest("/check?cut", "3"), declined, 3},
+		{"inquiry, cut short", checkRequest("/check?cutshort", "4"), declined, 3},
+		{"inquiry, answer of nonsense", checkRequest("/check?junk", "5"), declined, 3},
+		{"inquiry, answer too long", checkRequest("/check?long", "6"), declined, 3},
+		{"inquiry, chunk too long", checkRequest("/check?longchunk", "7"), declined, 3},
+		{"bytes after the answer", checkRequest("/check?stray", "8"), settled, 1},
+		{"interim answers ahead of it", checkRequest("/check?interim", "18"), settled, 1},
+		{"load report of nonsense", checkRequest("/check?report", "19"), settled, 1},
+		{"inquiry, interim answers without end", checkRequest("/check?interims", "20"), declined, 3},
+		{"inquiry, head without end", checkRequest("/check?headless", "21"), declined, 3},
+		{"inquiry, status of nought", checkRequest("/check?zero", "23"), declined, 3},
+		{"inquiry, status of four digits", checkRequest("/check?zeros", "24"), declined, 3},
+		{"inquiry, no version of ours", checkRequest("/check?old", "25"), declined, 3},
+		{"ends with the connection", checkRequest("/check?cutnolong", "22"), settled, 1},
+		{"inquiry, unstated and without end", checkRequest("/check?nolong", "26"), declined, 3},
+		{"inquiry, half a head", checkRequest("/check?cutnothing", "9"), declined, 3},
+		{"inquiry, silence", checkRequest("/check?silence", "10"), declined, 3},
+		{"referenced, cut", saleRequest("/sale?cut", "11"), declined, 3},
+		{"once-only, error", issueRequest("/issue?fault", "12"), voided, 1},
+		{"once-only, cut", issueRequest("/issue?cut", "13"), voided, 1},
+		{"once-only, 503 that may have run", issueRequest("/issue?maybe", "14"), voided, 1},
+		{"once-only, silence", issueRequest("/issue?silence", "15"), voided, 1},
+		{"once-only, turned away", issueRequest("/issue?full", "16"), declined, 3},
+		{"once-only, length below nought", issueRequest("/issue?negative", "17"), voided, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			d := deploy(t, 2, 5000)
 			start := time.Now()
-			status, body := d.ask(c.raw)
+			status, body := d.send(c.raw)
 			if took := time.Since(start); took > 350*time.Millisecond {
 				t.Errorf("answered after %v, past the expiry", took)
 			}
@@ -570,7 +570,7 @@
 				t.Errorf("answered %q %q, want %q", status, body, c.status)
 			}
 			time.Sleep(20 * time.Millisecond) // a resend would come at once
-			if got := d.got(); len(got) > c.subs || len(got) < min(c.subs, 2) {
+			if got := d.submissions(); len(got) > c.subs || len(got) < min(c.subs, 2) {
 				t.Errorf("%d submissions, want %d, or one fewer on a slow machine", len(got), c.subs)
 			}
 			if b := inflight.Violations(); len(b) > 0 {
@@ -580,11 +580,11 @@
 	}
 }
 
-func TestQuotaTellsWhenToReturn(t *testing.T) {
+func TestRetryAfterOnQuota(t *testing.T) {
 	d := deploy(t, 1, 5000)
-	tiny := func(id string) string { return strings.Replace(check("/check", id), "basic", "tiny", 1) }
+	tiny := func(id string) string { return strings.Replace(checkRequest("/check", id), "basic", "tiny", 1) }
 	for i := range 3 {
-		c, err := net.Dial("tcp", d.at)
+		c, err := net.Dial("tcp", d.address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -600,34 +600,34 @@
 	}
 }
 
-func TestListIsFollowed(t *testing.T) {
+func TestFollowEndpointUpdates(t *testing.T) {
 	d := deploy(t, 2, 5000)
-	if q := <-d.asked; !strings.Contains(q, "stream=1&index=7 ") {
+	if q := <-d.watchRequests; !strings.Contains(q, "stream=1&index=7 ") {
 		t.Errorf("the watch asks %q, known was 7", q)
 	}
 	steps := []struct {
 		name, news, asks string // asks: what the watch that is opened after it asks for
 		to               []int
 	}{
-		{"one drains", `{"index":9,"snapshot":false,"endpoints":[` + d.entry(0, "leaving", 0) + `]}`, "", []int{1}},
+		{"one drains", `{"index":9,"snapshot":false,"endpoints":[` + d.endpointEntry(0, "leaving", 0) + `]}`, "", []int{1}},
 		{"after nonsense all is asked for", `{"index":no`, "index=0 ", []int{1}},
-		{"the whole list", `{"index":11,"snapshot":true,"endpoints":[` + d.entry(0, "active", 0) + `]}`, "",
+		{"the whole list", `{"index":11,"snapshot":true,"endpoints":[` + d.endpointEntry(0, "active", 0) + `]}`, "",
 			[]int{0}},
 		{"the watch ends and goes on", "end", "index=11 ", []int{0}},
 		{"all are gone", `{"index":12,"snapshot":true,"endpoints":[]}`, "", nil},
 	}
 	for i, s := range steps {
 		t.Run(s.name, func(t *testing.T) {
-			d.news <- s.news
+			d.updates <- s.news
 			if s.asks != "" {
-				if q := <-d.asked; !strings.Contains(q, s.asks) {
+				if q := <-d.watchRequests; !strings.Contains(q, s.asks) {
 					t.Errorf("the watch asks %q, want %q", q, s.asks)
 				}
 			}
 			time.Sleep(50 * time.Millisecond)
 			before := [2]int{d.workers[0].count(), d.workers[1].count()}
 			for k := range 6 {
-				d.ask(check("/check", fmt.Sprint(i, "-", k)))
+				d.send(checkRequest("/check", fmt.Sprint(i, "-", k)))
 			}
 			var to []int
 			for w := range before {
@@ -646,38 +646,38 @@
 // One that fails changes nothing.
 func TestReload(t *testing.T) {
 	d := deploy(t, 2, 5000)
-	<-d.asked
+	<-d.watchRequests
 	stop, reload, ended := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan error)
 	files := make(chan error, 1)
 	go func() {
-		ended <- d.gk.Run(stop, reload, func() (config.Gatekeeper, error) {
-			next := d.conf
-			next.Discovery = d.discovery()
+		ended <- d.gateway.Run(stop, reload, func() (config.Gatekeeper, error) {
+			next := d.config
+			next.Discovery = d.startDiscovery()
 			return next, <-files
 		})
 	}()
 	news := func(version int, entry string) {
 		time.Sleep(20 * time.Millisecond) // for the stand-in to see that it was left
-		d.news <- fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[%s]}`, version, entry)
+		d.updates <- fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[%s]}`, version, entry)
 		time.Sleep(50 * time.Millisecond)
 	}
 	files <- errors.New("listen is missing")
 	reload <- syscall.SIGHUP
-	news(8, d.entry(0, "leaving", 0))
+	news(8, d.endpointEntry(0, "leaving", 0))
 	files <- nil
 	reload <- syscall.SIGHUP
-	if q := <-d.asked; !strings.Contains(q, "stream=1&index=8 ") {
+	if q := <-d.watchRequests; !strings.Contains(q, "stream=1&index=8 ") {
 		t.Errorf("the moved watch asks %q, want it from 8 on", q)
 	}
-	news(9, d.entry(0, "active", 0)+","+d.entry(1, "leaving", 0))
-	d.ask(check("/check", "1"))
+	news(9, d.endpointEntry(0, "active", 0)+","+d.endpointEntry(1, "leaving", 0))
+	d.send(checkRequest("/check", "1"))
 	if a, b := d.workers[0].count(), d.workers[1].count(); a != 1 || b != 0 {
 		t.Errorf("%d and %d submissions after news at the new address, want 1 and 0", a, b)
 	}
 	files <- nil
 	stop <- syscall.SIGTERM
 	reload <- syscall.SIGHUP
-	if q := <-d.asked; !strings.Contains(q, "index=9 ") {
+	if q := <-d.watchRequests; !strings.Contains(q, "index=9 ") {
 		t.Errorf("while it stops the watch asks %q", q)
 	}
 	if err := <-ended; err != nil {
@@ -686,17 +686,17 @@
 }
 
 // A reload with a configuration that mixes two shapes of deployment names the key, and the old one stays.
-func TestReloadOfMixedShapes(t *testing.T) {
+func TestReloadMixedDeploymentShapes(t *testing.T) {
 	d := deploy(t, 1, 5000)
-	<-d.asked
+	<-d.watchRequests
 	var log strings.Builder
-	d.gk.log = zerolog.New(&log)
+	d.gateway.log = zerolog.New(&log)
 	mixed := strings.Replace(settings, `"largest":1`, `"largest":1,"use_period_us":1000000`, 1)
-	d.gk.Reload(config.Decode([]byte(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":`+
+	d.gateway.Reload(config.Decode([]byte(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":`+
 		strings.Replace(mixed, "IDLE", "1", 1)+`}`), func(string) string { return "" }))
 	if !strings.Contains(log.String(), "settings.family_info.use_period_us") ||
-		!strings.Contains(log.String(), "the old one stays") || d.gk.conf.Discovery != d.conf.Discovery {
-		t.Errorf("discovery is %s now, and the log says %s", d.gk.conf.Discovery, log.String())
+		!strings.Contains(log.String(), "the old one stays") || d.gateway.config.Discovery != d.config.Discovery {
+		t.Errorf("discovery is %s now, and the log says %s", d.gateway.config.Discovery, log.String())
 	}
 }
 
@@ -717,9 +717,9 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			d := deploy(t, 2, 5000, `"family_info"`, c.as)
-			d.workers[0].load, d.workers[1].load = c.load, `{"inflight":0}`
+			d.workers[0].loadReport, d.workers[1].loadReport = c.load, `{"inflight":0}`
 			for i := range 200 {
-				if status, _ := d.ask(check("/check", fmt.Sprint(i))); status != "HTTP/1.1 200 OK" {
+				if status, _ := d.send(checkRequest("/check", fmt.Sprint(i))); status != "HTTP/1.1 200 OK" {
 					t.Fatal(status)
 				}
 			}
@@ -730,7 +730,7 @@
 	}
 }
 
-func TestIdleConnections(t *testing.T) {
+func TestIdleWorkerConnections(t *testing.T) {
 	cases := []struct {
 		name  string
 		idle  int
@@ -743,10 +743,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			d := deploy(t, 1, c.idle)
 			for i := range 3 {
-				d.ask(check("/check", fmt.Sprint(i)))
+				d.send(checkRequest("/check", fmt.Sprint(i)))
 				time.Sleep(45 * time.Millisecond)
 			}
-			if n := d.workers[0].dial; n != c.dials {
+			if n := d.workers[0].connections; n != c.dials {
 				t.Errorf("%d connections, want %d", n, c.dials)
 			}
 		})
@@ -754,10 +754,10 @@
 }
 
 // An answer that has begun and stalls is cut well before the expiry, and never served in part.
-func TestAnswerThatStalls(t *testing.T) {
+func TestStalledResponse(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	start := time.Now()
-	status, body := d.ask(strings.Replace(issue("/issue?stall", "1"), "300m", "3000m", 1))
+	status, body := d.send(strings.Replace(issueRequest("/issue?stall", "1"), "300m", "3000m", 1))
 	took := time.Since(start)
 	if status != "HTTP/1.1 500 Internal Server Error" || body != "" || took > 1500*time.Millisecond {
 		t.Errorf("answered %q %q after %v", status, body, took)
@@ -781,18 +781,18 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			d := deploy(t, 2, 5000, c.swaps...)
-			d.workers[0].mute = true
-			d.workers[1].mute = c.status == declined
+			d.workers[0].silent = true
+			d.workers[1].silent = c.status == declined
 			const txns = 3
 			for i := range txns {
-				raw := strings.Replace(check("/check", fmt.Sprint(i)), "300m", "600m", 1)
-				if status, _ := d.ask(raw); status != c.status {
+				raw := strings.Replace(checkRequest("/check", fmt.Sprint(i)), "300m", "600m", 1)
+				if status, _ := d.send(raw); status != c.status {
 					t.Errorf("txn %d: %q, want %q", i, status, c.status)
 				}
 			}
-			before := len(d.got())
+			before := len(d.submissions())
 			time.Sleep(50 * time.Millisecond)
-			if n := len(d.got()); n != before || d.workers[0].count() > txns {
+			if n := len(d.submissions()); n != before || d.workers[0].count() > txns {
 				t.Errorf("%d submissions after the last answer, %d to the silent one", n-before,
 					d.workers[0].count())
 			}
@@ -804,71 +804,71 @@
 }
 
 // A connection that was out while its worker started anew is not used for the new process.
-func TestFormerLife(t *testing.T) {
+func TestRestartedWorkerConnection(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	answered := make(chan string)
 	go func() {
-		status, _ := d.ask(check("/check?slow", "1"))
+		status, _ := d.send(checkRequest("/check?slow", "1"))
 		answered <- status
 	}()
 	time.Sleep(40 * time.Millisecond)
-	d.news <- `{"index":9,"snapshot":false,"endpoints":[` + d.entry(0, "active", 5) + `]}`
+	d.updates <- `{"index":9,"snapshot":false,"endpoints":[` + d.endpointEntry(0, "active", 5) + `]}`
 	if status := <-answered; status != "HTTP/1.1 200 OK" {
 		t.Errorf("the txn that was out gets %q", status)
 	}
-	d.ask(check("/check", "2"))
+	d.send(checkRequest("/check", "2"))
 	d.workers[0].mu.Lock()
 	defer d.workers[0].mu.Unlock()
-	if d.workers[0].dial != 2 {
-		t.Errorf("%d connections, want a new one for the new process", d.workers[0].dial)
+	if d.workers[0].connections != 2 {
+		t.Errorf("%d connections, want a new one for the new process", d.workers[0].connections)
 	}
 }
 
 // A client that closes is seen, and its submission withdrawn.
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnects(t *testing.T) {
 	d := deploy(t, 1, 5000)
-	c, _ := net.Dial("tcp", d.at)
-	fmt.Fprint(c, strings.Replace(check("/check?silence", "1"), "300m", "30000m", 1))
+	c, _ := net.Dial("tcp", d.address)
+	fmt.Fprint(c, strings.Replace(checkRequest("/check?silence", "1"), "300m", "30000m", 1))
 	time.Sleep(20 * time.Millisecond)
-	if n := d.gk.desk.Tally(); n.InFlight != 1 {
+	if n := d.gateway.dispatcher.Tally(); n.InFlight != 1 {
 		t.Fatalf("%v submissions out", n.InFlight)
 	}
 	c.Close()
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if n := d.gk.desk.Tally(); n.InFlight == 0 && n.Final[policy.ByClient] == 1 {
+		if n := d.gateway.dispatcher.Tally(); n.InFlight == 0 && n.Final[policy.ByClient] == 1 {
 			return
 		}
 	}
-	t.Errorf("it goes on: %+v", d.gk.desk.Tally())
+	t.Errorf("it goes on: %+v", d.gateway.dispatcher.Tally())
 }
 
 // At a stop what was taken is answered, kept connections are served on for a while, then all ends.
 func TestStop(t *testing.T) {
 	d := deploy(t, 1, 5000)
-	kept, _ := net.Dial("tcp", d.at)
-	fmt.Fprint(kept, check("/check", "0"))
-	read(kept)
-	slow, _ := net.Dial("tcp", d.at)
-	late := strings.Replace(issue("/issue?silence", "1"), "300m", "900m", 1)
+	kept, _ := net.Dial("tcp", d.address)
+	fmt.Fprint(kept, checkRequest("/check", "0"))
+	readResponse(kept)
+	slow, _ := net.Dial("tcp", d.address)
+	late := strings.Replace(issueRequest("/issue?silence", "1"), "300m", "900m", 1)
 	fmt.Fprint(slow, late)
 	time.Sleep(20 * time.Millisecond)
 	done := make(chan bool)
 	go func() {
-		d.gk.Stop()
+		d.gateway.Stop()
 		close(done)
 	}()
 	time.Sleep(200 * time.Millisecond)
-	if status, _ := d.ask(check("/check", "2")); status != "HTTP/1.1 200 OK" {
+	if status, _ := d.send(checkRequest("/check", "2")); status != "HTTP/1.1 200 OK" {
 		t.Errorf("a new connection while it stops gets %q", status)
 	}
-	fmt.Fprint(kept, check("/check", "3"))
-	if status, _ := read(kept); status != "HTTP/1.1 200 OK" {
+	fmt.Fprint(kept, checkRequest("/check", "3"))
+	if status, _ := readResponse(kept); status != "HTTP/1.1 200 OK" {
 		t.Errorf("a kept connection while it stops gets %q", status)
 	}
 	if _, err := kept.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("a kept connection ends with %v", err)
 	}
-	if status, _ := read(slow); status != "HTTP/1.1 500 Internal Server Error" {
+	if status, _ := readResponse(slow); status != "HTTP/1.1 500 Internal Server Error" {
 		t.Errorf("what was taken before gets %q", status)
 	}
 	select {
@@ -876,7 +876,7 @@
 	case <-time.After(3 * time.Second):
 		t.Fatal("it does not end")
 	}
-	if _, err := net.Dial("tcp", d.at); err == nil {
+	if _, err := net.Dial("tcp", d.address); err == nil {
 		t.Error("it still takes connections")
 	}
 }
@@ -898,7 +898,7 @@
 	for i := range clients {
 		started.Add(1)
 		go func() {
-			c, err := net.Dial("tcp", d.at)
+			c, err := net.Dial("tcp", d.address)
 			if err != nil {
 				panic(err)
 			}
@@ -908,7 +908,7 @@
 				time.Sleep(time.Duration(5+4*i) * time.Millisecond)
 				gap := time.Since(last)
 				c.SetDeadline(time.Now().Add(3 * time.Second))
-				fmt.Fprint(c, check("/check", fmt.Sprint(i, "-", o.settled+o.declined)))
+				fmt.Fprint(c, checkRequest("/check", fmt.Sprint(i, "-", o.settled+o.declined)))
 				res, err := http.ReadResponse(r, nil)
 				if err != nil { // a client that stood still itself may cross an idle connection's end
 					if gap < 100*time.Millisecond {
@@ -943,7 +943,7 @@
 			begin <- stopped
 		}
 	}()
-	d.gk.Stop()
+	d.gateway.Stop()
 	took, settled := time.Since(stopped), 0
 	for range clients {
 		o := <-ends
@@ -961,23 +961,23 @@
 
 // A connection does not go on behind an answer that had begun before the end, and so did not say that it
 // ends.
-func TestStopInAnswer(t *testing.T) {
+func TestStopDuringResponse(t *testing.T) {
 	const half = 64 << 10
 	on := make(chan bool)
-	d := before(t, func(w http.ResponseWriter, _ *http.Request) {
+	d := deployBeforeHandler(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(2*half))
-		w.Write(long(half))
+		w.Write(testBody(half))
 		w.(http.Flusher).Flush()
 		<-on
-		w.Write(long(half))
+		w.Write(testBody(half))
 	})
-	c, err := net.Dial("tcp", d.at)
+	c, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(4 * time.Second))
-	fmt.Fprint(c, strings.Replace(check("/check", "1"), "300m", "3000m", 1))
+	fmt.Fprint(c, strings.Replace(checkRequest("/check", "1"), "300m", "3000m", 1))
 	r := bufio.NewReader(c)
 	res, err := http.ReadResponse(r, nil)
 	if err != nil || res.Close {
@@ -985,10 +985,10 @@
 	}
 	stopped := make(chan bool)
 	go func() {
-		d.gk.Stop()
+		d.gateway.Stop()
 		close(stopped)
 	}()
-	until(t, "it goes on", func() bool { return d.gk.front.Closing() })
+	waitFor(t, "it goes on", func() bool { return d.gateway.frontend.Closing() })
 	close(on)
 	if n, err := io.Copy(io.Discard, res.Body); n != 2*half || err != nil {
 		t.Errorf("%d bytes, %v", n, err)
--- a/internal/gateway/lifecycle/standstill_test.go
+++ b/internal/gateway/lifecycle/ruleset_process_test.go
@@ -20,13 +20,13 @@
 )
 
 // started is a real process of the program.
-type started struct {
+type process struct {
 	*exec.Cmd
-	at string
+	address string
 }
 
 // start builds the program and runs it before a worker and discovery, with a daemon to ask.
-func start(t *testing.T, list *fakes.Discovery, daemon, dir string, more ...string) *started {
+func startProcess(t *testing.T, list *fakes.Discovery, daemon, dir string, more ...string) *process {
 	t.Helper()
 	path := filepath.Join(dir, "willowdeck")
 	if _, err := os.Stat(path); err != nil {
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	args := append([]string{"serve", "--config", file, "--agree", daemon, "--history", dir}, more...)
-	s := &started{exec.Command(path, args...), at}
+	s := &process{exec.Command(path, args...), at}
 	s.Stderr = os.Stderr
 	s.Env = append(os.Environ(), "WILLOWDECK_LOG=warn")
 	if err := s.Start(); err != nil {
@@ -69,7 +69,7 @@
 }
 
 // around are a worker and discovery.
-func around(t *testing.T) (*fakes.Worker, *fakes.Discovery) {
+func startWorkerAndDiscovery(t *testing.T) (*fakes.Worker, *fakes.Discovery) {
 	t.Helper()
 	w, err := fakes.NewWorker("w0", 2*time.Millisecond)
 	if err != nil {
@@ -87,18 +87,18 @@
 // A process that is killed and comes back knows what the one before it had spent while the rules are the
 // same; if they are others it takes all ceilings as spent. Guards against a former life's record that is
 // believed though others may have had its share meanwhile.
-func TestKilledUnderAgreement(t *testing.T) {
-	_, list := around(t)
-	x := newDaemon(t)
+func TestKilledWithRuleset(t *testing.T) {
+	_, list := startWorkerAndDiscovery(t)
+	x := newFakeDaemon(t)
 	const rate, depth = 100.0, 50.0
-	x.leases(1, rules(rate, depth), true)
+	x.setLease(1, testRules(rate, depth), true)
 	dir := t.TempDir()
-	life := func() (*deployment, *started, time.Time) {
+	life := func() (*deployment, *process, time.Time) {
 		began := time.Now()
-		s := start(t, list, x.at, dir, "--residue", filepath.Join(dir, "residue"))
-		d := &deployment{t: t, at: s.at}
-		until(t, "it does not serve", func() bool {
-			c, err := net.Dial("tcp", s.at)
+		s := startProcess(t, list, x.address, dir, "--residue", filepath.Join(dir, "residue"))
+		d := &deployment{t: t, address: s.address}
+		waitFor(t, "it does not serve", func() bool {
+			c, err := net.Dial("tcp", s.address)
 			if err == nil {
 				c.Close()
 			}
@@ -108,14 +108,14 @@
 	}
 	burst := func(d *deployment) (in int) {
 		for range 40 {
-			if d.let() {
+			if d.passes() {
 				in++
 			}
 		}
 		return in
 	}
 	d, s, _ := life()
-	until(t, "it never fills", func() bool {
+	waitFor(t, "it never fills", func() bool {
 		time.Sleep(700 * time.Millisecond) // more than it takes to
 		return burst(d) == 40
 	})
@@ -123,16 +123,16 @@
 	s.Process.Kill()
 	s.Wait()
 	d, s, _ = life()
-	until(t, "no lease", d.let)
+	waitFor(t, "no lease", d.passes)
 	if in := burst(d); in < 35 {
 		t.Errorf("%d let in at once by the same rules", in)
 	}
 	time.Sleep(600 * time.Millisecond)
 	s.Process.Kill()
 	s.Wait()
-	x.leases(2, rules(rate, depth), true)
+	x.setLease(2, testRules(rate, depth), true)
 	d, _, began := life()
-	until(t, "no lease", d.let)
+	waitFor(t, "no lease", d.passes)
 	in := burst(d)
 	if most := rate*time.Since(began).Seconds() + 1; float64(in) > most {
 		t.Errorf("%d let in by other rules, of %.1f since the start", in, most)
@@ -142,16 +142,16 @@
 // A process that stands still while the rules change twice sends nothing by the version that it had, once it
 // goes on: neither what comes new, nor what it had in hand. Guards against decisions on a lease that ran out
 // unnoticed. By the worker's own record, and by the process's.
-func TestStandsStillOverChanges(t *testing.T) {
+func TestStalledOverRulesetChanges(t *testing.T) {
 	// Of all rounds together: a thread may be stopped between the last look and the write, which takes some us
 	// of the ms that a txn does. Without the looks there are up to four a round.
 	const between = 2
 	sum := 0
-	w, list := around(t)
-	x := newDaemon(t)
-	r := rules(1000, 1000)
+	w, list := startWorkerAndDiscovery(t)
+	x := newFakeDaemon(t)
+	r := testRules(1000, 1000)
 	r.LeaseMillis, r.Fallback = 200, ruleset.Fallback{Fraction: 0.5, DurationMillis: 100}
-	x.leases(1, r, true)
+	x.setLease(1, r, true)
 	dir := t.TempDir()
 	log := func(who string) *history.Log {
 		l, err := history.Open(filepath.Join(dir, who+".jsonl"), who, 1)
@@ -162,9 +162,9 @@
 	}
 	rig, work := log("rig"), log("w0")
 	w.Record = work
-	s := start(t, list, x.at, dir)
-	d := &deployment{t: t, at: s.at}
-	until(t, "it does not serve", d.let)
+	s := startProcess(t, list, x.address, dir)
+	d := &deployment{t: t, address: s.address}
+	waitFor(t, "it does not serve", d.passes)
 	stop := make(chan struct{})
 	var asking sync.WaitGroup
 	for range 64 { // all the while
@@ -176,7 +176,7 @@
 				case <-stop:
 					return
 				default:
-					d.let()
+					d.passes()
 				}
 			}
 		}()
@@ -191,7 +191,7 @@
 	}
 	version := uint64(1)
 	for round := range 3 {
-		until(t, fmt.Sprintf("nothing is sent by version %d", version), func() bool {
+		waitFor(t, fmt.Sprintf("nothing is sent by version %d", version), func() bool {
 			n, _ := named(version)
 			return n > 20
 		})
@@ -202,13 +202,13 @@
 			time.Sleep(250 * time.Millisecond) // over the lease and its fallback
 			version++
 			r.Plans[0].CeilingRate = 500 + float64(version)
-			x.leases(version, r, true)
+			x.setLease(version, r, true)
 		}
 		before, _ := named(version - 2)
 		on := time.Now()
 		rig.Write(history.Event{Kind: history.Wakes, Peer: "n0"})
 		s.Process.Signal(syscall.SIGCONT)
-		until(t, "it does not go on", func() bool {
+		waitFor(t, "it does not go on", func() bool {
 			n, _ := named(version)
 			return n > 5
 		})
--- a/internal/gateway/lifecycle/agree_test.go
+++ b/internal/gateway/lifecycle/ruleset_test.go
@@ -21,33 +21,33 @@
 )
 
 // daemon stands in for the daemon of an instance's host, of a program that tells all rules each time.
-type daemon struct {
-	at    string
-	mu    sync.Mutex
-	lease ruleset.Lease
-	says  func(http.ResponseWriter) // in place of the lease; nil for that
-	asked int
-	last  map[string]string // what the last question said
+type fakeDaemon struct {
+	address   string
+	mu        sync.Mutex
+	lease     ruleset.Lease
+	handler   func(http.ResponseWriter) // in place of the lease; nil for that
+	requests  int
+	lastQuery map[string]string // what the last question said
 }
 
-func newDaemon(t *testing.T) *daemon {
-	d := &daemon{last: map[string]string{}}
-	d.at = scripted(t, func(w http.ResponseWriter, r *http.Request) {
+func newFakeDaemon(t *testing.T) *fakeDaemon {
+	d := &fakeDaemon{lastQuery: map[string]string{}}
+	d.address = startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if r.URL.Path == AskPath { // as its mux does
+		if r.URL.Path == UpdatePath { // as its mux does
 			http.NotFound(w, r)
 			return
 		}
-		d.asked++
+		d.requests++
 		for key := range r.URL.Query() {
-			d.last[key] = r.FormValue(key)
+			d.lastQuery[key] = r.FormValue(key)
 		}
 		if r.URL.Path != LeasePath {
 			t.Errorf("asked for %s", r.URL.Path)
 		}
-		if d.says != nil {
-			d.says(w)
+		if d.handler != nil {
+			d.handler(w)
 			return
 		}
 		b, err := d.lease.Encode()
@@ -60,10 +60,10 @@
 }
 
 // leases has it tell a version from now on.
-func (d *daemon) leases(number uint64, r ruleset.Rules, settled bool) {
+func (d *fakeDaemon) setLease(number uint64, r ruleset.Rules, settled bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.says = nil
+	d.handler = nil
 	d.lease = ruleset.Lease{
 		Step:               max(d.lease.Step+1, number),
 		Version:            ruleset.Version{Number: number, Rules: r},
@@ -72,16 +72,16 @@
 }
 
 // answers has it say something else.
-func (d *daemon) answers(says func(http.ResponseWriter)) {
+func (d *fakeDaemon) setHandler(says func(http.ResponseWriter)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.says = says
+	d.handler = says
 }
 
-func silent(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
+func unavailable(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
 
 // rules are those of one gatekeeper whose basic plan has a ceiling.
-func rules(rate, depth float64, words ...ruleset.WorkerOverride) ruleset.Rules {
+func testRules(rate, depth float64, words ...ruleset.WorkerOverride) ruleset.Rules {
 	return ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 400,
 		ConflictBoundMillis: ruleset.DefaultConflictBoundMillis,
 		Fallback:            ruleset.Fallback{Fraction: 0.5, DurationMillis: 600},
@@ -91,47 +91,47 @@
 }
 
 // agreed starts a gatekeeper that asks a daemon which says nothing yet.
-func agreed(t *testing.T, workers int) (*deployment, *daemon) {
+func deployBelowDaemon(t *testing.T, workers int) (*deployment, *fakeDaemon) {
 	t.Helper()
-	x := newDaemon(t)
-	x.answers(silent)
+	x := newFakeDaemon(t)
+	x.setHandler(unavailable)
 	d := deployWith(t, func(c *config.Gatekeeper) {
-		c.Agree, c.Tells = x.at, true
+		c.Agree, c.Tells = x.address, true
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = 1000, 1000
 	}, workers, 5000)
-	t.Cleanup(func() { close(d.gk.over) })
+	t.Cleanup(func() { close(d.gateway.done) })
 	return d, x
 }
 
-var serial atomic.Int64
+var requestSerial atomic.Int64
 
 // let asks one txn, and tells whether it is let in.
-func (d *deployment) let() bool {
+func (d *deployment) passes() bool {
 	d.t.Helper()
-	s, _ := d.ask(check("/check", fmt.Sprint("let", serial.Add(1))))
+	s, _ := d.send(checkRequest("/check", fmt.Sprint("let", requestSerial.Add(1))))
 	return s == "HTTP/1.1 200 OK"
 }
 
 // flood asks for so long, and gives how many were let in.
-func (d *deployment) flood(span time.Duration) (in int) {
+func (d *deployment) countPassed(span time.Duration) (in int) {
 	for end := time.Now().Add(span); time.Now().Before(end); {
-		if d.let() {
+		if d.passes() {
 			in++
 		}
 	}
 	return in
 }
 
-func (d *deployment) mode(want ruleset.LeaseMode) {
+func (d *deployment) awaitMode(want ruleset.LeaseMode) {
 	d.t.Helper()
-	until(d.t, "it does not come to be "+want.String(), func() bool {
-		return d.figure("rules.mode") == int64(want)
+	waitFor(d.t, "it does not come to be "+want.String(), func() bool {
+		return d.stat("rules.mode") == int64(want)
 	})
 }
 
 // named gives the version that the newest submission names.
-func (d *deployment) named() int {
-	got := d.got()
+func (d *deployment) lastRulesVersion() int {
+	got := d.submissions()
 	_, after, found := strings.Cut(got[len(got)-1], "X-Rules: ")
 	if !found {
 		return -1
@@ -144,77 +144,77 @@
 // An instance passes nothing under a ceiling until it has a lease, then goes by its version; when its daemon
 // falls silent it goes on until the lease has run out, by the fallback after that and then not at all; and is
 // back with the next answer.
-func TestLeaseFallbackBare(t *testing.T) {
-	d, x := agreed(t, 1)
-	if d.mode(ruleset.ModeNoLease); d.flood(100*time.Millisecond) != 0 {
+func TestLeaseModes(t *testing.T) {
+	d, x := deployBelowDaemon(t, 1)
+	if d.awaitMode(ruleset.ModeNoLease); d.countPassed(100*time.Millisecond) != 0 {
 		t.Error("passes without a lease")
 	}
-	x.leases(1, rules(1000, 1000), true)
-	d.mode(ruleset.ModeLeased)
+	x.setLease(1, testRules(1000, 1000), true)
+	d.awaitMode(ruleset.ModeLeased)
 	time.Sleep(100 * time.Millisecond) // what a start takes as spent
-	if !d.let() || d.named() != 1 {
-		t.Errorf("by version %d", d.named())
+	if !d.passes() || d.lastRulesVersion() != 1 {
+		t.Errorf("by version %d", d.lastRulesVersion())
 	}
 	x.mu.Lock()
-	if x.last["instance"] != "n0" || x.last["pid"] == "" || x.last["holds"] == "" || x.last["index"] == "" {
-		t.Errorf("it asks %v", x.last)
+	if x.lastQuery["instance"] != "n0" || x.lastQuery["pid"] == "" || x.lastQuery["holds"] == "" || x.lastQuery["index"] == "" {
+		t.Errorf("it asks %v", x.lastQuery)
 	}
 	x.mu.Unlock()
-	x.answers(silent)
-	if !d.let() || d.figure("rules.mode") != int64(ruleset.ModeLeased) {
+	x.setHandler(unavailable)
+	if !d.passes() || d.stat("rules.mode") != int64(ruleset.ModeLeased) {
 		t.Error("a lease ends with the first answer that is missing")
 	}
-	d.mode(ruleset.ModeFallback)
-	if d.flood(200*time.Millisecond) == 0 {
+	d.awaitMode(ruleset.ModeFallback)
+	if d.countPassed(200*time.Millisecond) == 0 {
 		t.Error("cut off it passes nothing")
 	}
-	d.mode(ruleset.ModeNoLease)
-	if d.flood(100*time.Millisecond) != 0 {
+	d.awaitMode(ruleset.ModeNoLease)
+	if d.countPassed(100*time.Millisecond) != 0 {
 		t.Error("passes under a ceiling when the fallback's time is up")
 	}
-	x.leases(1, rules(1000, 1000), true)
-	d.mode(ruleset.ModeLeased)
-	if !d.let() {
+	x.setLease(1, testRules(1000, 1000), true)
+	d.awaitMode(ruleset.ModeLeased)
+	if !d.passes() {
 		t.Error("not back")
 	}
 }
 
 // A ceiling that is lowered holds from the moment on at which it is adopted, by what workers are sent; one
 // that is raised waits until nobody goes by the version before.
-func TestCeilingDownAndUp(t *testing.T) {
-	d, x := agreed(t, 1)
-	x.leases(1, rules(1000, 1000), true)
-	d.mode(ruleset.ModeLeased)
-	until(t, "nothing passes", d.let)
-	x.leases(2, rules(10, 5), false)
-	until(t, "not taken up", func() bool { return d.figure("rules.version") == 2 })
+func TestRateLimitChanges(t *testing.T) {
+	d, x := deployBelowDaemon(t, 1)
+	x.setLease(1, testRules(1000, 1000), true)
+	d.awaitMode(ruleset.ModeLeased)
+	waitFor(t, "nothing passes", d.passes)
+	x.setLease(2, testRules(10, 5), false)
+	waitFor(t, "not taken up", func() bool { return d.stat("rules.version") == 2 })
 	const span = 500 * time.Millisecond
 	start := time.Now()
-	in := d.flood(span)
+	in := d.countPassed(span)
 	if most := 5 + 10*time.Since(start).Seconds() + 1; float64(in) > most || in < 3 {
 		t.Errorf("%d in %v, of at most %.1f", in, time.Since(start), most)
 	}
-	x.leases(3, rules(2000, 2000), false)
-	until(t, "not taken up", func() bool { return d.figure("rules.version") == 3 })
+	x.setLease(3, testRules(2000, 2000), false)
+	waitFor(t, "not taken up", func() bool { return d.stat("rules.version") == 3 })
 	start = time.Now()
-	in = d.flood(span)
+	in = d.countPassed(span)
 	if most := 5 + 10*time.Since(start).Seconds() + 1; float64(in) > most {
 		t.Errorf("%d in %v before all have left the version before", in, time.Since(start))
 	}
-	x.leases(3, rules(2000, 2000), true)
-	until(t, "never raised", func() bool { return d.flood(50*time.Millisecond) > 10 })
-	x.leases(2, rules(10, 5), true) // an old word changes nothing, whatever its step
-	if d.flood(200*time.Millisecond) < 20 || d.figure("rules.version") != 3 {
-		t.Errorf("back to version %d", d.figure("rules.version"))
+	x.setLease(3, testRules(2000, 2000), true)
+	waitFor(t, "never raised", func() bool { return d.countPassed(50*time.Millisecond) > 10 })
+	x.setLease(2, testRules(10, 5), true) // an old word changes nothing, whatever its step
+	if d.countPassed(200*time.Millisecond) < 20 || d.stat("rules.version") != 3 {
+		t.Errorf("back to version %d", d.stat("rules.version"))
 	}
 }
 
 // A worker that is barred gets nothing from then on, nor does one that is drained or of a hall that is;
 // lifted, they are sent to again. Newcomers are told discovery's list, not the operators' words.
-func TestWordsOnWorkers(t *testing.T) {
-	d, x := agreed(t, 2)
-	x.leases(1, rules(0, 0), true)
-	d.mode(ruleset.ModeLeased)
+func TestWorkerOverrides(t *testing.T) {
+	d, x := deployBelowDaemon(t, 2)
+	x.setLease(1, testRules(0, 0), true)
+	d.awaitMode(ruleset.ModeLeased)
 	number := uint64(1)
 	for _, c := range []struct {
 		name  string
@@ -228,10 +228,10 @@
 		{"another hall", []ruleset.WorkerOverride{{Region: "b", Barred: true}}, nil},
 	} {
 		number++
-		x.leases(number, rules(0, 0, c.words...), true)
-		until(t, "not taken up", func() bool { return uint64(d.figure("rules.version")) == number })
+		x.setLease(number, testRules(0, 0, c.words...), true)
+		waitFor(t, "not taken up", func() bool { return uint64(d.stat("rules.version")) == number })
 		before := []int{d.workers[0].count(), d.workers[1].count()}
-		d.flood(150 * time.Millisecond)
+		d.countPassed(150 * time.Millisecond)
 		for i, w := range d.workers {
 			out := false
 			for _, o := range c.out {
@@ -241,7 +241,7 @@
 				t.Errorf("%s: worker %d got %d", c.name, i, w.count()-before[i])
 			}
 		}
-		if l, _, ok := d.gk.List(); ok {
+		if l, _, ok := d.gateway.List(); ok {
 			if told, err := endpoints.Decode(l); err != nil || len(told.Workers) != 2 || !told.Workers[0].Active {
 				t.Errorf("%s: newcomers are told %s", c.name, l)
 			}
@@ -250,10 +250,10 @@
 }
 
 // Answers that can't be gone by are counted, and change nothing: the former rules go on until their time.
-func TestAnswersRefused(t *testing.T) {
-	good := rules(1000, 1000)
+func TestInvalidLeases(t *testing.T) {
+	good := testRules(1000, 1000)
 	with := func(change func(*ruleset.Lease)) func(http.ResponseWriter) {
-		l := ruleset.Lease{Step: 50, Version: ruleset.Version{Number: 50, Rules: rules(0, 0)},
+		l := ruleset.Lease{Step: 50, Version: ruleset.Version{Number: 50, Rules: testRules(0, 0)},
 			TransitionComplete: true}
 		change(&l)
 		b, err := l.Encode()
@@ -283,27 +283,27 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			d, x := agreed(t, 1)
-			x.leases(1, good, true)
-			d.mode(ruleset.ModeLeased)
-			before := d.figure("rules.refused")
-			x.answers(c.says)
-			until(t, "not counted", func() bool { return d.figure("rules.refused") > before })
-			if v := d.figure("rules.version"); v != 1 {
+			d, x := deployBelowDaemon(t, 1)
+			x.setLease(1, good, true)
+			d.awaitMode(ruleset.ModeLeased)
+			before := d.stat("rules.refused")
+			x.setHandler(c.says)
+			waitFor(t, "not counted", func() bool { return d.stat("rules.refused") > before })
+			if v := d.stat("rules.version"); v != 1 {
 				t.Errorf("by version %d", v)
 			}
-			until(t, "the lease does not end",
-				func() bool { return d.figure("rules.mode") != int64(ruleset.ModeLeased) })
-			if x.leases(51, good, true); true {
-				d.mode(ruleset.ModeLeased)
+			waitFor(t, "the lease does not end",
+				func() bool { return d.stat("rules.mode") != int64(ruleset.ModeLeased) })
+			if x.setLease(51, good, true); true {
+				d.awaitMode(ruleset.ModeLeased)
 			}
 		})
 	}
 	t.Run("a stranger", func(t *testing.T) {
-		d, x := agreed(t, 1)
-		x.answers(with(func(l *ruleset.Lease) { l.Version.Rules.Members[0].Name = "other" }))
-		until(t, "not counted", func() bool { return d.figure("rules.refused") > 0 })
-		if d.figure("rules.mode") != int64(ruleset.ModeNoLease) || d.let() {
+		d, x := deployBelowDaemon(t, 1)
+		x.setHandler(with(func(l *ruleset.Lease) { l.Version.Rules.Members[0].Name = "other" }))
+		waitFor(t, "not counted", func() bool { return d.stat("rules.refused") > 0 })
+		if d.stat("rules.mode") != int64(ruleset.ModeNoLease) || d.passes() {
 			t.Error("goes by rules that do not name it")
 		}
 	})
@@ -311,46 +311,46 @@
 
 // Rules with another number of gatekeepers are taken up in service, and so is one that they no longer name:
 // nothing passes under its ceilings.
-func TestMembersByRules(t *testing.T) {
-	d, x := agreed(t, 1)
+func TestMembersFromRuleset(t *testing.T) {
+	d, x := deployBelowDaemon(t, 1)
 	// Guards against messages that outgrow a datagram once rules are gone by, as their word was forgotten.
-	if n := d.gk.agreed.wide.ReportsPerTell; n != transport.Room {
+	if n := d.gateway.ruleset.baseCharter.ReportsPerTell; n != transport.Room {
 		t.Errorf("%d reports to a message, where there is room for %d", n, transport.Room)
 	}
-	r := rules(1000, 1000)
-	x.leases(1, r, true)
-	d.mode(ruleset.ModeLeased)
-	until(t, "nothing passes", d.let)
+	r := testRules(1000, 1000)
+	x.setLease(1, r, true)
+	d.awaitMode(ruleset.ModeLeased)
+	waitFor(t, "nothing passes", d.passes)
 	r.Members = append(r.Members, ruleset.Member{Name: "n1", Host: "h"}, ruleset.Member{Name: "n2", Host: "i"})
-	x.leases(2, r, true)
-	until(t, "not three", func() bool { return d.figure("members") == 3 })
-	until(t, "a txn of a set of three does not pass", func() bool {
-		s, _ := d.ask(strings.Replace(check("/check", fmt.Sprint("of3", serial.Add(1))), "spread=1", "spread=3", 1))
+	x.setLease(2, r, true)
+	waitFor(t, "not three", func() bool { return d.stat("members") == 3 })
+	waitFor(t, "a txn of a set of three does not pass", func() bool {
+		s, _ := d.send(strings.Replace(checkRequest("/check", fmt.Sprint("of3", requestSerial.Add(1))), "spread=1", "spread=3", 1))
 		return s == "HTTP/1.1 200 OK"
 	})
 	r.Members = []ruleset.Member{{}, {Name: "n1", Host: "h"}}
-	x.leases(3, r, true)
-	until(t, "not taken up", func() bool { return d.figure("rules.version") == 3 })
-	if d.flood(100*time.Millisecond) != 0 {
+	x.setLease(3, r, true)
+	waitFor(t, "not taken up", func() bool { return d.stat("rules.version") == 3 })
+	if d.countPassed(100*time.Millisecond) != 0 {
 		t.Error("one that is no member passes something")
 	}
 }
 
 // A process that gets ready to take another's place has its lease before it does, and what that one has left
 // of a ceiling: the change costs none of it. Guards against an heir that counts all as spent, or nothing.
-func TestReplacedUnderAgreement(t *testing.T) {
+func TestReplacementWithRuleset(t *testing.T) {
 	const rate, depth, spent = 20, 60, 20
-	x := newDaemon(t)
-	x.leases(1, rules(rate, depth), true)
+	x := newFakeDaemon(t)
+	x.setLease(1, testRules(rate, depth), true)
 	d := deployWith(t, func(c *config.Gatekeeper) {
-		c.Agree, c.Scratch = x.at, t.TempDir()
+		c.Agree, c.Scratch = x.address, t.TempDir()
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = rate, depth
 	}, 1, 5000)
-	d.mode(ruleset.ModeLeased)
+	d.awaitMode(ruleset.ModeLeased)
 	time.Sleep(3100 * time.Millisecond) // until the ceiling is full
 	burst := func(n int) (in int) {
 		for range n {
-			if d.let() {
+			if d.passes() {
 				in++
 			}
 		}
@@ -360,11 +360,11 @@
 	if in := burst(spent); in != spent {
 		t.Fatalf("%d let in of a full ceiling", in)
 	}
-	heir := d.second(func(c *config.Gatekeeper) { c.Listen = "127.0.0.1:0" })
-	until(t, "the heir has no lease",
-		func() bool { return heir.agreed.mode.Load() == int64(ruleset.ModeLeased) })
-	d.gk.Stop()
-	d.at = heir.At
+	heir := d.startSuccessor(func(c *config.Gatekeeper) { c.Listen = "127.0.0.1:0" })
+	waitFor(t, "the heir has no lease",
+		func() bool { return heir.ruleset.mode.Load() == int64(ruleset.ModeLeased) })
+	d.gateway.Stop()
+	d.address = heir.Address
 	in := burst(depth)
 	most := depth - spent + rate*time.Since(began).Seconds() + 1
 	if in < depth-spent || float64(in) > most {
@@ -375,10 +375,10 @@
 // Where rules are agreed on, a copy of quotas is gone by with the first lease, and not before, if it names
 // the version of that lease; else nothing is recalled. Guards against quotas as they were by other rules, or
 // while the former life was cut off, and against a copy that is dropped as the rules are not known yet.
-func TestRecallUnderAgreement(t *testing.T) {
-	leased := func(x *daemon, version uint64, d *deployment) {
-		x.leases(version, rules(1000, 1000), true)
-		d.mode(ruleset.ModeLeased)
+func TestCheckpointWithRuleset(t *testing.T) {
+	leased := func(x *fakeDaemon, version uint64, d *deployment) {
+		x.setLease(version, testRules(1000, 1000), true)
+		d.awaitMode(ruleset.ModeLeased)
 	}
 	for _, c := range []struct {
 		name     string
@@ -393,16 +393,16 @@
 		{"known by then", 1, false, true, 0, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x, path := newDaemon(t), filepath.Join(t.TempDir(), "residue")
+			x, path := newFakeDaemon(t), filepath.Join(t.TempDir(), "residue")
 			life := func() *deployment {
-				x.answers(silent)
+				x.setHandler(unavailable)
 				return deployWith(t, func(conf *config.Gatekeeper) {
-					conf.Agree, conf.Tells, conf.Residue, conf.Recall = x.at, true, path, true
+					conf.Agree, conf.Tells, conf.Residue, conf.Recall = x.address, true, path, true
 				}, 1, 5000)
 			}
 			of := func(d *deployment) string {
-				status, _ := d.ask(strings.NewReplacer("basic", "tiny", "b4d65521", "b4d65530").
-					Replace(check("/check", fmt.Sprint("r", serial.Add(1)))))
+				status, _ := d.send(strings.NewReplacer("basic", "tiny", "b4d65521", "b4d65530").
+					Replace(checkRequest("/check", fmt.Sprint("r", requestSerial.Add(1)))))
 				return strings.TrimPrefix(status, "HTTP/1.1 ")
 			}
 			d := life()
@@ -411,26 +411,26 @@
 				t.Fatalf("a first start: %q", s)
 			}
 			if c.cut {
-				x.answers(silent)
-				d.mode(ruleset.ModeFallback)
+				x.setHandler(unavailable)
+				d.awaitMode(ruleset.ModeFallback)
 			}
-			n := d.gk.desk.CheckpointStats().Written.Load()
-			until(t, "no copies are written", func() bool { return d.gk.desk.CheckpointStats().Written.Load() > n+1 })
-			d.gk.limit.Close() // as at a sudden end
-			d.gk.desk.Stop()
-			close(d.gk.over)
+			n := d.gateway.dispatcher.CheckpointStats().Written.Load()
+			waitFor(t, "no copies are written", func() bool { return d.gateway.dispatcher.CheckpointStats().Written.Load() > n+1 })
+			d.gateway.listener.Close() // as at a sudden end
+			d.gateway.dispatcher.Stop()
+			close(d.gateway.done)
 
 			d = life()
-			t.Cleanup(func() { close(d.gk.over) })
+			t.Cleanup(func() { close(d.gateway.done) })
 			if c.met {
 				of(d)
 			}
-			if n := d.figure("copies.recalled"); n > 0 {
+			if n := d.stat("copies.recalled"); n > 0 {
 				t.Errorf("%d recalled before there are rules", n)
 			}
 			leased(x, c.version, d)
-			s, n := of(d), d.figure("copies.recalled")
-			if n != c.recalled || c.says != "" && s != c.says || d.gk.copied.Load() != nil {
+			s, n := of(d), d.stat("copies.recalled")
+			if n != c.recalled || c.says != "" && s != c.says || d.gateway.unrestoredCheckpoint.Load() != nil {
 				t.Errorf("%q, %d recalled", s, n)
 			}
 		})
@@ -438,12 +438,12 @@
 }
 
 // Without agreement no submission names rules, and no figure speaks of them.
-func TestWithoutAgreement(t *testing.T) {
+func TestWithoutRuleset(t *testing.T) {
 	d := deploy(t, 1, 5000)
-	if !d.let() || d.named() != -1 {
+	if !d.passes() || d.lastRulesVersion() != -1 {
 		t.Error("it names rules")
 	}
-	for _, f := range d.gk.Figures().More {
+	for _, f := range d.gateway.Figures().More {
 		if strings.HasPrefix(f.Name, "rules.") {
 			t.Errorf("there is %s", f.Name)
 		}
@@ -452,7 +452,7 @@
 
 // What terms make of the charter: ceilings as this one may use them while leased, the rest withheld while it
 // is not; what it has no share of never fills, so that a share that comes later counts as spent.
-func TestCharterOfTerms(t *testing.T) {
+func TestCharterFor(t *testing.T) {
 	type want struct {
 		rate, depth, withheld float64
 		narrow                bool
@@ -487,18 +487,18 @@
 		"no ceiling": {{term(1, ruleset.ModeLeased, 0, 0, 0, 1), want{0, 0, 0, false}},
 			{term(1, ruleset.ModeNoLease, 0, 0, 0, 1), want{0, 0, 0, true}}},
 	} {
-		g := &Gatekeeper{}
-		g.conf.Names.Plans = map[string]int{"basic": 0}
-		g.conf.Charter = policy.Charter{Gatekeepers: 3, Plans: []policy.Plan{{CeilingRate: 10, CeilingDepth: 20}}}
-		a := &agreement{g: g, wide: g.conf.Charter, of: make([]float64, 1)}
-		a.wide.Plans = append([]policy.Plan(nil), a.wide.Plans...)
+		g := &Gateway{}
+		g.config.Names.Plans = map[string]int{"basic": 0}
+		g.config.Charter = policy.Charter{Gatekeepers: 3, Plans: []policy.Plan{{CeilingRate: 10, CeilingDepth: 20}}}
+		a := &rulesetClient{gateway: g, baseCharter: g.config.Charter, ceilingShares: make([]float64, 1)}
+		a.baseCharter.Plans = append([]policy.Plan(nil), a.baseCharter.Plans...)
 		for i, s := range steps {
-			c := a.charter(s.EffectiveRules)
+			c := a.charterFor(s.EffectiveRules)
 			p := c.Plans[0]
 			if got := (want{p.CeilingRate, p.CeilingDepth, p.Withheld, c.Narrow}); got != s.want {
 				t.Errorf("%s, step %d: %+v, not %+v", name, i, got, s.want)
 			}
-			a.taken = s.EffectiveRules
+			a.effective = s.EffectiveRules
 		}
 	}
 }
--- a/internal/gateway/lifecycle/ask_test.go
+++ b/internal/gateway/lifecycle/ruleset_updates_test.go
@@ -18,37 +18,37 @@
 )
 
 // teller stands in for the daemon of an instance's host, of a program that tells changes.
-type teller struct {
-	t      *testing.T
-	at     string
-	mu     sync.Mutex
-	older  bool                         // it tells all, as a daemon of an older program does
-	tells  func(*distribution.Response) // what it does to an answer; nil for nothing
-	says   func(w http.ResponseWriter)  // in place of one; nil for that
-	lease  ruleset.Lease
-	source *distribution.Source
-	last   distribution.Request
-	asked  int // for changes
-	whole  int // for all
-	bare   int // with nothing here
+type fakeUpdateDaemon struct {
+	t                 *testing.T
+	address           string
+	mu                sync.Mutex
+	legacy            bool                         // it tells all, as a daemon of an older program does
+	alterUpdate       func(*distribution.Response) // what it does to an answer; nil for nothing
+	handler           func(w http.ResponseWriter)  // in place of one; nil for that
+	lease             ruleset.Lease
+	source            *distribution.Source
+	lastRequest       distribution.Request
+	updateRequests    int // for changes
+	leaseRequests     int // for all
+	fullStateRequests int // with nothing here
 }
 
-func newTeller(t *testing.T) *teller {
-	x := &teller{t: t}
-	handler := relay.NewHandler(x.answer)
-	x.at = scripted(t, func(w http.ResponseWriter, r *http.Request) {
+func newFakeUpdateDaemon(t *testing.T) *fakeUpdateDaemon {
+	x := &fakeUpdateDaemon{t: t}
+	handler := relay.NewHandler(x.respond)
+	x.address = startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		x.mu.Lock()
-		older, says, lease := x.older, x.says, x.lease
+		older, says, lease := x.legacy, x.handler, x.lease
 		if r.URL.Path == LeasePath {
-			x.whole++
+			x.leaseRequests++
 		}
 		x.mu.Unlock()
 		switch {
-		case r.URL.Path == AskPath && older:
+		case r.URL.Path == UpdatePath && older:
 			http.NotFound(w, r)
 		case says != nil:
 			says(w)
-		case r.URL.Path == AskPath:
+		case r.URL.Path == UpdatePath:
 			handler.ServeHTTP(w, r)
 		default:
 			b, err := lease.Encode()
@@ -61,17 +61,17 @@
 	return x
 }
 
-func (x *teller) answer(a *distribution.Request) (*distribution.Response, error) {
+func (x *fakeUpdateDaemon) respond(a *distribution.Request) (*distribution.Response, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.last = *a
-	if x.asked++; a.Rules.IsNone() {
-		x.bare++
+	x.lastRequest = *a
+	if x.updateRequests++; a.Rules.IsNone() {
+		x.fullStateRequests++
 	}
 	if x.source == nil {
 		return nil, &relay.RejectionError{Reason: "unconfirmed", Message: "nothing is in force"}
 	}
-	now := boot()
+	now := bootMillis()
 	v := distribution.Snapshot{Step: x.lease.Step, TransitionComplete: x.lease.TransitionComplete,
 		ReadStartMillis: now,
 		DiscoveryIndex:  -1}
@@ -86,19 +86,19 @@
 	a.Cluster = "till"
 	x.source.Publish(v)
 	got, err := x.source.Respond(a, now)
-	if err != nil || x.tells == nil {
+	if err != nil || x.alterUpdate == nil {
 		return got, err
 	}
 	other := *got
-	x.tells(&other)
+	x.alterUpdate(&other)
 	return &other, nil
 }
 
 // leases has it tell a version from now on, and what is pending.
-func (x *teller) leases(number uint64, r ruleset.Rules, pending *ruleset.Rules) {
+func (x *fakeUpdateDaemon) setLease(number uint64, r ruleset.Rules, pending *ruleset.Rules) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.tells, x.says = nil, nil
+	x.alterUpdate, x.handler = nil, nil
 	if x.source == nil {
 		x.source = distribution.NewSource("h", "till", distribution.SourceConfig{})
 	}
@@ -107,112 +107,112 @@
 }
 
 // begins anew has it forget all that it has given, as a daemon that starts does.
-func (x *teller) begins(older bool) {
+func (x *fakeUpdateDaemon) restart(older bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.older, x.source = older, distribution.NewSource("h", "till", distribution.SourceConfig{})
+	x.legacy, x.source = older, distribution.NewSource("h", "till", distribution.SourceConfig{})
 }
 
 // does has it change its answers from now on.
-func (x *teller) does(tells func(*distribution.Response)) {
+func (x *fakeUpdateDaemon) setAlterUpdate(tells func(*distribution.Response)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.tells = tells
+	x.alterUpdate = tells
 }
 
-func (x *teller) answers(says func(http.ResponseWriter)) {
+func (x *fakeUpdateDaemon) setHandler(says func(http.ResponseWriter)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.says = says
+	x.handler = says
 }
 
 // seen gives what it was asked last, and how often.
-func (x *teller) seen() (last distribution.Request, asked, whole, bare int) {
+func (x *fakeUpdateDaemon) requestStats() (last distribution.Request, asked, whole, bare int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.last, x.asked, x.whole, x.bare
+	return x.lastRequest, x.updateRequests, x.leaseRequests, x.fullStateRequests
 }
 
 // asksFor starts a gatekeeper below one that tells nothing yet.
-func asksFor(t *testing.T, x *teller) *deployment {
+func deployBelowUpdateDaemon(t *testing.T, x *fakeUpdateDaemon) *deployment {
 	t.Helper()
 	d := deployWith(t, func(c *config.Gatekeeper) {
-		c.Agree, c.Tells = x.at, true
+		c.Agree, c.Tells = x.address, true
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = 1000, 1000
 	}, 1, 5000)
-	t.Cleanup(func() { close(d.gk.over) })
+	t.Cleanup(func() { close(d.gateway.done) })
 	return d
 }
 
 // A daemon that is busy, and takes longer for the first answer than a quarter of the shortest lease there is,
 // is waited for: the instance is leased by that answer. Guards against a host whose many instances start at
 // once, give up at once, and ask anew.
-func TestFirstAnswerLate(t *testing.T) {
-	x := newTeller(t)
-	x.leases(1, rules(1000, 1000), nil)
-	x.does(func(a *distribution.Response) {
+func TestSlowFirstResponse(t *testing.T) {
+	x := newFakeUpdateDaemon(t)
+	x.setLease(1, testRules(1000, 1000), nil)
+	x.setAlterUpdate(func(a *distribution.Response) {
 		if a.RulesDelta != nil { // renewals come at once
 			time.Sleep(80 * time.Millisecond)
 		}
 	})
-	asksFor(t, x).mode(ruleset.ModeLeased)
+	deployBelowUpdateDaemon(t, x).awaitMode(ruleset.ModeLeased)
 }
 
 // An instance is told the rules whole once. While nothing changes an answer is small, whatever is in force;
 // another version comes as a change; and the daemon is told who asks, of which life, and what that holds.
-func TestAskedForChanges(t *testing.T) {
-	x := newTeller(t)
-	d := asksFor(t, x)
-	r := rules(1000, 1000)
+func TestRulesetUpdates(t *testing.T) {
+	x := newFakeUpdateDaemon(t)
+	d := deployBelowUpdateDaemon(t, x)
+	r := testRules(1000, 1000)
 	r.Needs = []string{ruleset.FeatureManyMembers}
 	for i := range 999 {
 		r.Members = append(r.Members, ruleset.Member{Name: fmt.Sprint("m", i), Host: fmt.Sprint("h", i/10),
 			Peers: fmt.Sprintf("127.0.0.1:%d", 2000+i)})
 	}
-	x.leases(1, r, nil)
-	d.mode(ruleset.ModeLeased)
-	if n := d.figure("members"); n != 1000 {
+	x.setLease(1, r, nil)
+	d.awaitMode(ruleset.ModeLeased)
+	if n := d.stat("members"); n != 1000 {
 		t.Errorf("%d members", n)
 	}
-	until(t, "it does not say what it holds", func() bool {
-		last, _, _, _ := x.seen()
+	waitFor(t, "it does not say what it holds", func() bool {
+		last, _, _, _ := x.requestStats()
 		return last.AckedStep == 1
 	})
-	last, _, _, _ := x.seen()
+	last, _, _, _ := x.requestStats()
 	if last.Sender != "n0" || last.ProcessID == 0 ||
 		last.Interest != (ruleset.Interest{Name: "n0", Around: distribution.RingRadius}) {
 		t.Errorf("it asks %+v", last)
 	}
-	in, renewals := d.figure("rules.bytes_in"), d.figure("rules.renewals")
-	until(t, "no renewals", func() bool { return d.figure("rules.renewals") >= renewals+5 })
-	in = d.figure("rules.bytes_in") - in
-	if per := float64(in) / float64(d.figure("rules.renewals")-renewals); per > 700 {
+	in, renewals := d.stat("rules.bytes_in"), d.stat("rules.renewals")
+	waitFor(t, "no renewals", func() bool { return d.stat("rules.renewals") >= renewals+5 })
+	in = d.stat("rules.bytes_in") - in
+	if per := float64(in) / float64(d.stat("rules.renewals")-renewals); per > 700 {
 		t.Errorf("%.0f bytes for each renewal", per)
 	}
-	in = d.figure("rules.bytes_in")
+	in = d.stat("rules.bytes_in")
 	for number := uint64(2); number < 5; number++ {
 		r.Plans = slices.Clone(r.Plans)
 		r.Plans[1].Rate += 1
-		x.leases(number, r, nil)
-		until(t, "not taken up", func() bool { return uint64(d.figure("rules.version")) == number })
+		x.setLease(number, r, nil)
+		waitFor(t, "not taken up", func() bool { return uint64(d.stat("rules.version")) == number })
 	}
-	if in = d.figure("rules.bytes_in") - in; in > 9000 {
+	if in = d.stat("rules.bytes_in") - in; in > 9000 {
 		t.Errorf("%d bytes for three changes", in)
 	}
-	if w, n := d.figure("rules.wholes"), d.figure("rules.deltas"); w != 1 || n != 3 {
+	if w, n := d.stat("rules.wholes"), d.stat("rules.deltas"); w != 1 || n != 3 {
 		t.Errorf("%d wholes, %d deltas", w, n)
 	}
-	if _, _, whole, bare := x.seen(); whole != 0 || d.figure("rules.spoilt") != 0 {
+	if _, _, whole, bare := x.requestStats(); whole != 0 || d.stat("rules.spoilt") != 0 {
 		t.Errorf("asked for all %d times, for a whole %d times", whole, bare)
 	}
-	if d.figure("rules.work_us") == 0 || d.figure("rules.bytes_out") == 0 {
+	if d.stat("rules.work_us") == 0 || d.stat("rules.bytes_out") == 0 {
 		t.Error("work and bytes are not counted")
 	}
 }
 
 // A change that is spoilt, against other rules than are here, or without one that is needed changes nothing
 // and is counted; the next question asks for all, and by its answer the version is gone by.
-func TestChangesSpoilt(t *testing.T) {
+func TestCorruptUpdates(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		tells  func(*distribution.Response)
@@ -249,45 +249,45 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			x := newTeller(t)
-			d := asksFor(t, x)
-			x.leases(1, rules(1000, 1000), nil)
-			d.mode(ruleset.ModeLeased)
-			_, _, _, before := x.seen()
-			x.leases(2, rules(500, 500), nil)
-			x.does(c.tells)
-			until(t, "not counted", func() bool { return d.figure(c.figure) > 0 && d.figure("rules.refused") > 0 })
-			if v := d.figure("rules.version"); v != 1 {
+			x := newFakeUpdateDaemon(t)
+			d := deployBelowUpdateDaemon(t, x)
+			x.setLease(1, testRules(1000, 1000), nil)
+			d.awaitMode(ruleset.ModeLeased)
+			_, _, _, before := x.requestStats()
+			x.setLease(2, testRules(500, 500), nil)
+			x.setAlterUpdate(c.tells)
+			waitFor(t, "not counted", func() bool { return d.stat(c.figure) > 0 && d.stat("rules.refused") > 0 })
+			if v := d.stat("rules.version"); v != 1 {
 				t.Errorf("by version %d", v)
 			}
-			x.does(nil)
-			until(t, "not by version 2", func() bool { return d.figure("rules.version") == 2 })
-			_, _, whole, bare := x.seen()
-			if whole > 0 || (bare > before) == c.base || (d.figure("rules.wholes") == 2) == c.base {
+			x.setAlterUpdate(nil)
+			waitFor(t, "not by version 2", func() bool { return d.stat("rules.version") == 2 })
+			_, _, whole, bare := x.requestStats()
+			if whole > 0 || (bare > before) == c.base || (d.stat("rules.wholes") == 2) == c.base {
 				t.Errorf("asked for all %d times, for a whole %d times and given %d", whole, bare-before,
-					d.figure("rules.wholes"))
+					d.stat("rules.wholes"))
 			}
-			d.mode(ruleset.ModeLeased)
+			d.awaitMode(ruleset.ModeLeased)
 		})
 	}
 }
 
 // Answers that came whole and can't be gone by are refused as those of an older daemon are.
-func TestChangesRefused(t *testing.T) {
-	with := func(change func(*ruleset.Rules)) func(x *teller) {
-		return func(x *teller) {
-			r := rules(1000, 1000)
+func TestInvalidUpdates(t *testing.T) {
+	with := func(change func(*ruleset.Rules)) func(x *fakeUpdateDaemon) {
+		return func(x *fakeUpdateDaemon) {
+			r := testRules(1000, 1000)
 			r.Plans, r.Members = slices.Clone(r.Plans), slices.Clone(r.Members)
 			change(&r)
-			x.leases(50, r, nil)
+			x.setLease(50, r, nil)
 		}
 	}
-	bare := func(says func(http.ResponseWriter)) func(x *teller) {
-		return func(x *teller) { x.answers(says) }
+	bare := func(says func(http.ResponseWriter)) func(x *fakeUpdateDaemon) {
+		return func(x *fakeUpdateDaemon) { x.setHandler(says) }
 	}
 	for _, c := range []struct {
 		name string
-		does func(x *teller)
+		does func(x *fakeUpdateDaemon)
 	}{
 		{"another form", with(func(r *ruleset.Rules) { r.Format = 7 })},
 		{"needs what is not known", with(func(r *ruleset.Rules) { r.Needs = []string{"moon"} })},
@@ -296,7 +296,7 @@
 		})},
 		{"rules that make no sense", with(func(r *ruleset.Rules) { r.Plans[0].Rate = -1 })},
 		{"an address that is none", with(func(r *ruleset.Rules) { r.Members[0].Peers = "x" })},
-		{"no time", func(x *teller) { x.does(func(a *distribution.Response) { a.AgeMillis = -5 }) }},
+		{"no time", func(x *fakeUpdateDaemon) { x.setAlterUpdate(func(a *distribution.Response) { a.AgeMillis = -5 }) }},
 		{"garbled", bare(func(w http.ResponseWriter) { w.Write([]byte("\x81\x01")) })},
 		{"nothing", bare(func(w http.ResponseWriter) {})},
 		{"too long", bare(func(w http.ResponseWriter) {
@@ -306,20 +306,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			x := newTeller(t)
-			d := asksFor(t, x)
-			x.leases(1, rules(1000, 1000), nil)
-			d.mode(ruleset.ModeLeased)
-			before := d.figure("rules.refused")
+			x := newFakeUpdateDaemon(t)
+			d := deployBelowUpdateDaemon(t, x)
+			x.setLease(1, testRules(1000, 1000), nil)
+			d.awaitMode(ruleset.ModeLeased)
+			before := d.stat("rules.refused")
 			c.does(x)
-			until(t, "not counted", func() bool { return d.figure("rules.refused") > before })
-			if v := d.figure("rules.version"); v != 1 {
+			waitFor(t, "not counted", func() bool { return d.stat("rules.refused") > before })
+			if v := d.stat("rules.version"); v != 1 {
 				t.Errorf("by version %d", v)
 			}
-			until(t, "the lease does not end",
-				func() bool { return d.figure("rules.mode") != int64(ruleset.ModeLeased) })
-			x.leases(51, rules(1000, 1000), nil)
-			d.mode(ruleset.ModeLeased)
+			waitFor(t, "the lease does not end",
+				func() bool { return d.stat("rules.mode") != int64(ruleset.ModeLeased) })
+			x.setLease(51, testRules(1000, 1000), nil)
+			d.awaitMode(ruleset.ModeLeased)
 		})
 	}
 }
@@ -327,100 +327,100 @@
 // A daemon of an older program is asked for all, from its first answer on and with no lease lost; one of a
 // newer program that takes its place is asked for changes again within a while. Guards against an instance
 // that stays bare below the other program.
-func TestDaemonsOfTwoPrograms(t *testing.T) {
-	x := newTeller(t)
-	x.begins(true)
-	d := asksFor(t, x)
-	x.leases(1, rules(1000, 1000), nil)
-	d.mode(ruleset.ModeLeased)
-	if _, asked, whole, _ := x.seen(); asked != 0 || whole == 0 || d.figure("rules.wholes") != 0 {
+func TestLegacyDaemon(t *testing.T) {
+	x := newFakeUpdateDaemon(t)
+	x.restart(true)
+	d := deployBelowUpdateDaemon(t, x)
+	x.setLease(1, testRules(1000, 1000), nil)
+	d.awaitMode(ruleset.ModeLeased)
+	if _, asked, whole, _ := x.requestStats(); asked != 0 || whole == 0 || d.stat("rules.wholes") != 0 {
 		t.Errorf("asked for changes %d times, for all %d times", asked, whole)
 	}
-	if d.figure("rules.bytes_in") == 0 {
+	if d.stat("rules.bytes_in") == 0 {
 		t.Error("bytes are not counted")
 	}
-	x.begins(false)
-	for end := time.Now().Add(olderFor*2*time.Millisecond + 0); d.figure("rules.renewals") < 3; {
+	x.restart(false)
+	for end := time.Now().Add(legacyRetryMillis*2*time.Millisecond + 0); d.stat("rules.renewals") < 3; {
 		if time.Now().After(end) {
 			t.Fatal("a newer daemon is never asked for changes")
 		}
-		if d.figure("rules.mode") != int64(ruleset.ModeLeased) {
+		if d.stat("rules.mode") != int64(ruleset.ModeLeased) {
 			t.Fatal("the lease is lost")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	x.leases(2, rules(900, 900), nil)
-	until(t, "not by version 2", func() bool { return d.figure("rules.version") == 2 })
-	x.begins(true) // and back
-	_, _, before, _ := x.seen()
-	until(t, "never asked for all", func() bool { _, _, n, _ := x.seen(); return n > before+5 })
-	x.leases(3, rules(800, 800), nil)
-	until(t, "not by version 3", func() bool { return d.figure("rules.version") == 3 })
-	if d.figure("rules.mode") != int64(ruleset.ModeLeased) || d.gk.agreed.holder.Counters().Expirations > 0 {
+	x.setLease(2, testRules(900, 900), nil)
+	waitFor(t, "not by version 2", func() bool { return d.stat("rules.version") == 2 })
+	x.restart(true) // and back
+	_, _, before, _ := x.requestStats()
+	waitFor(t, "never asked for all", func() bool { _, _, n, _ := x.requestStats(); return n > before+5 })
+	x.setLease(3, testRules(800, 800), nil)
+	waitFor(t, "not by version 3", func() bool { return d.stat("rules.version") == 3 })
+	if d.stat("rules.mode") != int64(ruleset.ModeLeased) || d.gateway.ruleset.leaseHolder.Counters().Expirations > 0 {
 		t.Error("the lease was lost on the way")
 	}
 }
 
 // A daemon that puts whole rules off is asked quietly until its time, and then for all; the gatekeeper is
 // bare meanwhile, and no txn waits.
-func TestWholePutOff(t *testing.T) {
-	x := newTeller(t)
-	d := asksFor(t, x)
-	x.leases(1, rules(1000, 1000), nil)
-	x.does(func(a *distribution.Response) {
+func TestDeferredFullState(t *testing.T) {
+	x := newFakeUpdateDaemon(t)
+	d := deployBelowUpdateDaemon(t, x)
+	x.setLease(1, testRules(1000, 1000), nil)
+	x.setAlterUpdate(func(a *distribution.Response) {
 		if a.RulesDelta != nil {
 			a.RulesDelta, a.RetryAfterMillis = nil, 400
 		}
 	})
-	until(t, "never put off", func() bool { return d.figure("rules.busy") > 0 })
-	if d.figure("rules.mode") != int64(ruleset.ModeNoLease) {
+	waitFor(t, "never put off", func() bool { return d.stat("rules.busy") > 0 })
+	if d.stat("rules.mode") != int64(ruleset.ModeNoLease) {
 		t.Error("it goes by what it was not told")
 	}
 	began := time.Now()
-	if d.let(); time.Since(began) > 100*time.Millisecond {
+	if d.passes(); time.Since(began) > 100*time.Millisecond {
 		t.Errorf("a txn took %v", time.Since(began))
 	}
-	x.does(nil)
-	d.mode(ruleset.ModeLeased)
+	x.setAlterUpdate(nil)
+	d.awaitMode(ruleset.ModeLeased)
 }
 
 // Of pending rules a gatekeeper narrows its fallback, and says that it holds their step; withdrawn, the
 // fallback is what it was. Each comes as a change.
-func TestPendingAsChange(t *testing.T) {
-	x := newTeller(t)
-	d := asksFor(t, x)
-	x.leases(1, rules(1000, 1000), nil)
-	d.mode(ruleset.ModeLeased)
-	p := rules(10, 10)
-	x.leases(1, rules(1000, 1000), &p)
+func TestPendingRuleset(t *testing.T) {
+	x := newFakeUpdateDaemon(t)
+	d := deployBelowUpdateDaemon(t, x)
+	x.setLease(1, testRules(1000, 1000), nil)
+	d.awaitMode(ruleset.ModeLeased)
+	p := testRules(10, 10)
+	x.setLease(1, testRules(1000, 1000), &p)
 	holds := func(step uint64) {
 		t.Helper()
-		until(t, fmt.Sprintf("it does not hold step %d", step), func() bool {
-			last, _, _, _ := x.seen()
+		waitFor(t, fmt.Sprintf("it does not hold step %d", step), func() bool {
+			last, _, _, _ := x.requestStats()
 			return last.AckedStep == step
 		})
 	}
 	holds(2)
-	last, _, _, _ := x.seen()
-	if last.Pending.Number != 2 || d.figure("rules.wholes") != 1 || d.figure("rules.deltas") != 1 {
-		t.Errorf("%+v, %d wholes, %d deltas", last, d.figure("rules.wholes"), d.figure("rules.deltas"))
+	last, _, _, _ := x.requestStats()
+	if last.Pending.Number != 2 || d.stat("rules.wholes") != 1 || d.stat("rules.deltas") != 1 {
+		t.Errorf("%+v, %d wholes, %d deltas", last, d.stat("rules.wholes"), d.stat("rules.deltas"))
 	}
-	x.answers(silent)
-	d.mode(ruleset.ModeFallback)
-	if n := d.flood(100 * time.Millisecond); n > 12 {
+	x.setHandler(unavailable)
+	d.awaitMode(ruleset.ModeFallback)
+	if n := d.countPassed(100 * time.Millisecond); n > 12 {
 		t.Errorf("%d pass by a fallback that is to be within ten", n)
 	}
-	x.leases(1, rules(1000, 1000), nil)
-	d.mode(ruleset.ModeLeased)
+	x.setLease(1, testRules(1000, 1000), nil)
+	d.awaitMode(ruleset.ModeLeased)
 	holds(3)
-	x.leases(1, rules(1000, 1000), &p)
+	x.setLease(1, testRules(1000, 1000), &p)
 	holds(4)
-	before, in := d.figure("rules.deltas"), d.figure("rules.bytes_in")
-	x.leases(2, p, nil) // it has come in force: the gatekeeper has it already
-	until(t, "not by version 2", func() bool { return d.figure("rules.version") == 2 })
-	if d.figure("rules.deltas") != before || d.figure("rules.wholes") != 1 || d.figure("rules.spoilt") != 0 {
-		t.Errorf("%d wholes, %d deltas, %d spoilt, %d bytes", d.figure("rules.wholes"),
-			d.figure("rules.deltas")-before, d.figure("rules.spoilt"), d.figure("rules.bytes_in")-in)
+	before, in := d.stat("rules.deltas"), d.stat("rules.bytes_in")
+	x.setLease(2, p, nil) // it has come in force: the gatekeeper has it already
+	waitFor(t, "not by version 2", func() bool { return d.stat("rules.version") == 2 })
+	if d.stat("rules.deltas") != before || d.stat("rules.wholes") != 1 || d.stat("rules.spoilt") != 0 {
+		t.Errorf("%d wholes, %d deltas, %d spoilt, %d bytes", d.stat("rules.wholes"),
+			d.stat("rules.deltas")-before, d.stat("rules.spoilt"), d.stat("rules.bytes_in")-in)
 	}
 }
 
@@ -428,7 +428,7 @@
 // for a member, and nowhere where they name none. Guards against an address that was a former member's, under
 // which another's datagrams would be booked, and against thousands of places that count as another's at a
 // start.
-func TestAddresses(t *testing.T) {
+func TestPeerAddresses(t *testing.T) {
 	at := func(s ...string) (all []netip.AddrPort) {
 		for _, x := range s {
 			a, _ := netip.ParseAddrPort(x)
@@ -436,12 +436,12 @@
 		}
 		return all
 	}
-	a := &agreement{g: &Gatekeeper{}}
-	a.g.conf.Peers = at("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "0.0.0.0:0", "10.0.0.5:1")
-	a.heard.Rules.Members = []ruleset.Member{{Name: "a", Peers: "10.0.1.1:1"}, {Name: "b"}, {}, {}, {},
+	a := &rulesetClient{gateway: &Gateway{}}
+	a.gateway.config.Peers = at("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "0.0.0.0:0", "10.0.0.5:1")
+	a.newest.Rules.Members = []ruleset.Member{{Name: "a", Peers: "10.0.1.1:1"}, {Name: "b"}, {}, {}, {},
 		{Name: "f"}, {Name: "g", Peers: "10.0.1.7:1"}}
 	want := at("10.0.1.1:1", "10.0.0.2:1", "", "0.0.0.0:0", "", "", "10.0.1.7:1")
-	if got := a.addresses(); !slices.Equal(got, want) {
+	if got := a.peerAddresses(); !slices.Equal(got, want) {
 		t.Errorf("%v, not %v", got, want)
 	}
 }
@@ -449,18 +449,18 @@
 // Rules of which a daemon below relays knows a part are gone by, whichever way they are told; the number of
 // gatekeepers is that of all places. Guards against a lease that is lost while a daemon is taken for an older
 // one.
-func TestPartOfMembers(t *testing.T) {
+func TestPartialMembership(t *testing.T) {
 	for name, older := range map[string]bool{"changes": false, "all": true} {
 		t.Run(name, func(t *testing.T) {
-			x := newTeller(t)
-			x.begins(older)
-			r := rules(3000, 3000)
+			x := newFakeUpdateDaemon(t)
+			x.restart(older)
+			r := testRules(3000, 3000)
 			r.Members = append(r.Members, ruleset.Member{}, ruleset.Member{})
-			x.leases(1, r, nil)
-			d := asksFor(t, x)
-			d.mode(ruleset.ModeLeased)
-			if n := d.figure("members"); n != 3 || d.figure("rules.refused") > 0 {
-				t.Errorf("%d members, %d refused", n, d.figure("rules.refused"))
+			x.setLease(1, r, nil)
+			d := deployBelowUpdateDaemon(t, x)
+			d.awaitMode(ruleset.ModeLeased)
+			if n := d.stat("members"); n != 3 || d.stat("rules.refused") > 0 {
+				t.Errorf("%d members, %d refused", n, d.stat("rules.refused"))
 			}
 		})
 	}
--- a/internal/gateway/lifecycle/start_test.go
+++ b/internal/gateway/lifecycle/start_test.go
@@ -29,18 +29,18 @@
 
 // The terms of a start: nine in ten are ready within the first, none later than the second.
 const (
-	readyMost = 10 * time.Second
-	readyLast = 30 * time.Second
+	readyNinetiethPercentile = 10 * time.Second
+	readyTimeout             = 30 * time.Second
 )
 
 // nest starts processes that all run on one processor, and ends them with the test.
-type nest struct {
-	t    *testing.T
-	work chan func()
+type processGroup struct {
+	t     *testing.T
+	spawn chan func()
 }
 
-func newNest(t *testing.T) *nest {
-	n := &nest{t, make(chan func())}
+func newProcessGroup(t *testing.T) *processGroup {
+	n := &processGroup{t, make(chan func())}
 	go func() { // the thread does not return to the pool, and its children end with it at the latest
 		runtime.LockOSThread()
 		var may, one unix.CPUSet
@@ -54,16 +54,16 @@
 			one.Set(last)
 			_ = unix.SchedSetaffinity(0, &one)
 		}
-		for f := range n.work {
+		for f := range n.spawn {
 			f()
 		}
 	}()
-	t.Cleanup(func() { close(n.work) })
+	t.Cleanup(func() { close(n.spawn) })
 	return n
 }
 
 // start starts a gatekeeper's process by its configuration file.
-func (n *nest) start(file string) *exec.Cmd {
+func (n *processGroup) start(file string) *exec.Cmd {
 	cmd := exec.Command(faultinject.Program(n.t, "willowdeck"), "serve", "--config", file)
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
 	out, err := os.OpenFile(file+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -74,7 +74,7 @@
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	failed := make(chan error)
-	n.work <- func() { failed <- cmd.Start() }
+	n.spawn <- func() { failed <- cmd.Start() }
 	if err := <-failed; err != nil {
 		n.t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 }
 
 // discoveries are those that tell a start nothing, each in its way: their addresses by name.
-func discoveries(t *testing.T) map[string]string {
+func silentDiscoveries(t *testing.T) map[string]string {
 	t.Helper()
 	held := func(says string) string {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -104,12 +104,12 @@
 	}
 	return map[string]string{"refuses": ports.Address(t), "is silent": held(""),
 		"stops in a list": held("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n{\"index\":9"),
-		"is black-holed":  hole(t)}
+		"is black-holed":  fullBacklogAddress(t)}
 }
 
 // hole gives an address at which connections never come up: its listener's queue is full, and nobody takes
 // from it.
-func hole(t *testing.T) string {
+func fullBacklogAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err == nil {
@@ -140,7 +140,7 @@
 
 // up waits until a gatekeeper's /up says 200, and gives how long after began that was. Each question has a
 // connection of its own, which the gatekeeper ends: it stays behind at its address (TIME_WAIT).
-func up(at string, began time.Time) (time.Duration, error) {
+func waitReady(at string, began time.Time) (time.Duration, error) {
 	for {
 		c, err := net.DialTimeout("tcp", at, time.Second)
 		if err == nil {
@@ -152,8 +152,8 @@
 				return time.Since(began), nil
 			}
 		}
-		if time.Since(began) > readyLast {
-			return 0, fmt.Errorf("not ready within %v, last: %v", readyLast, err)
+		if time.Since(began) > readyTimeout {
+			return 0, fmt.Errorf("not ready within %v, last: %v", readyTimeout, err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -178,7 +178,7 @@
 		list.Endpoints = append(list.Endpoints, e)
 	}
 	var ways []string
-	silent := discoveries(t)
+	silent := silentDiscoveries(t)
 	for way := range silent {
 		ways = append(ways, way)
 	}
@@ -212,7 +212,7 @@
 			t.Fatal(err)
 		}
 	}
-	n := newNest(t)
+	n := newProcessGroup(t)
 	lives := make([]*exec.Cmd, fleet)
 	faultinject.Program(t, "willowdeck") // built before the clock runs
 	begin := func(name string, which []int) {
@@ -227,7 +227,7 @@
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				took[k], errs[k] = up(at(i), began)
+				took[k], errs[k] = waitReady(at(i), began)
 			}()
 		}
 		all.Wait()
@@ -238,7 +238,7 @@
 			}
 		}
 		slices.Sort(took)
-		if nine := took[(len(took)*9+9)/10-1]; nine > readyMost {
+		if nine := took[(len(took)*9+9)/10-1]; nine > readyNinetiethPercentile {
 			t.Errorf("%s: nine in ten are ready after %v", name, nine)
 		}
 		t.Logf("%s: half are ready after %v, the last after %v", name, took[len(took)/2], took[len(took)-1])
@@ -249,8 +249,8 @@
 			}
 			t.Cleanup(func() { c.Close() }) // open when its gatekeeper is killed
 			raw := strings.NewReplacer("first=0", fmt.Sprint("first=", i), "300m", "2000m")
-			fmt.Fprint(c, raw.Replace(check("/check", fmt.Sprint(name, i))))
-			if status, _ := read(c); status != "HTTP/1.1 200 OK" {
+			fmt.Fprint(c, raw.Replace(checkRequest("/check", fmt.Sprint(name, i))))
+			if status, _ := readResponse(c); status != "HTTP/1.1 200 OK" {
 				t.Errorf("%s: gatekeeper %d is up, and answers %q", name, i, status)
 			}
 		}
@@ -278,28 +278,28 @@
 		work = append(work, lives[i].ProcessState.UserTime()+lives[i].ProcessState.SystemTime())
 	}
 	slices.Sort(work)
-	if w := work[len(work)/2]; w > readyMost/members { // of an equal share of a processor that all are on
-		t.Errorf("a start takes %v of processor time, %d in a row more than %v", w, members, readyMost)
+	if w := work[len(work)/2]; w > readyNinetiethPercentile/members { // of an equal share of a processor that all are on
+		t.Errorf("a start takes %v of processor time, %d in a row more than %v", w, members, readyNinetiethPercentile)
 	}
 	t.Logf("processor time of a life with one txn: %v to %v", work[0], work[len(work)-1])
 	begin("again", killed)
 }
 
 // heed gives a log, and what is closed once it says something.
-func heed(says string) (zerolog.Logger, <-chan struct{}) {
-	h := &heeder{says: says, said: make(chan struct{})}
-	return zerolog.New(h), h.said
+func logWatcher(says string) (zerolog.Logger, <-chan struct{}) {
+	h := &logMatcher{substring: says, matched: make(chan struct{})}
+	return zerolog.New(h), h.matched
 }
 
-type heeder struct {
-	says string
-	once sync.Once
-	said chan struct{}
+type logMatcher struct {
+	substring string
+	once      sync.Once
+	matched   chan struct{}
 }
 
-func (h *heeder) Write(b []byte) (int, error) {
-	if strings.Contains(string(b), h.says) {
-		h.once.Do(func() { close(h.said) })
+func (h *logMatcher) Write(b []byte) (int, error) {
+	if strings.Contains(string(b), h.substring) {
+		h.once.Do(func() { close(h.matched) })
 	}
 	return len(b), nil
 }
@@ -307,7 +307,7 @@
 // A process that starts while its former life is still ending at its addresses waits for the clients' one,
 // and serves before it has the peers' one, which is let go last. Guards against a start that gives up over an
 // address that is free a moment later.
-func TestStartBeforeFormerEnds(t *testing.T) {
+func TestStartWhileAddressInUse(t *testing.T) {
 	former := ports.Listen(t)
 	peer, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(ports.Address(t))))
 	if err != nil {
@@ -315,11 +315,11 @@
 	}
 	defer peer.Close()
 	d := deploy(t, 1, 5000)
-	conf := d.conf
+	conf := d.config
 	conf.Listen, conf.PeerPort = former.Addr().String(), peer.LocalAddr().(*net.UDPAddr).AddrPort()
 	conf.Peers = append(conf.Peers, conf.PeerPort)
-	log, waits := heed("address still taken")
-	started, failed := make(chan *Gatekeeper, 1), make(chan error, 1)
+	log, waits := logWatcher("address still taken")
+	started, failed := make(chan *Gateway, 1), make(chan error, 1)
 	go func() {
 		g, err := Start(conf, log)
 		started <- g
@@ -336,24 +336,24 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		g.unwind()
-		<-g.ended
+		g.cancelWatch()
+		<-g.watchEnded
 		g.Stop()
 	})
 	if g.peers.Bound() {
 		t.Error("it has the peers' address while another has it")
 	}
-	d.at = g.At
-	if status, _ := d.ask(check("/check", "1")); status != "HTTP/1.1 200 OK" {
+	d.address = g.Address
+	if status, _ := d.send(checkRequest("/check", "1")); status != "HTTP/1.1 200 OK" {
 		t.Errorf("without peers: %q", status)
 	}
 	peer.Close()
-	until(t, "the peers' address is its own", func() bool { return g.peers.Bound() })
+	waitFor(t, "the peers' address is its own", func() bool { return g.peers.Bound() })
 }
 
 // An address that is no one's to take is still an error at once, and so is one of peers that is no address of
 // this machine: nothing is gained by waiting.
-func TestStartNowhere(t *testing.T) {
+func TestStartInvalidAddress(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	for key, change := range map[string]func(*config.Gatekeeper){
 		"listen: ": func(c *config.Gatekeeper) { c.Listen = "192.0.2.1:5000" },
@@ -362,11 +362,11 @@
 			c.Peers = append(c.Peers, c.PeerPort)
 		},
 	} {
-		c := d.conf
+		c := d.config
 		change(&c)
 		began := time.Now()
 		if g, err := Start(c, zerolog.Nop()); err == nil || !strings.HasPrefix(err.Error(), key) ||
-			time.Since(began) > placeWithin/2 {
+			time.Since(began) > listenTimeout/2 {
 			t.Errorf("%sstarted: %v, %v, after %v", key, g, err, time.Since(began))
 		}
 	}
@@ -385,14 +385,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := newNest(t)
+	n := newProcessGroup(t)
 	faultinject.Program(t, "willowdeck")
 	for range 5 { // a machine that stands still may miss the time in which new connections are served
 		former := ports.Listen(t)
 		at := former.Addr().String()
 		file := filepath.Join(t.TempDir(), "n0.json")
 		conf := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"5","limits":{"sockets":64},
-			"known":%s,"settings":%s}`, at, hole(t), known, strings.NewReplacer("IDLE", "5000000").Replace(settings))
+			"known":%s,"settings":%s}`, at, fullBacklogAddress(t), known, strings.NewReplacer("IDLE", "5000000").Replace(settings))
 		if err := os.WriteFile(file, []byte(conf), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -400,7 +400,7 @@
 		ended := make(chan error, 1)
 		go func() { ended <- p.Wait() }()
 		t.Cleanup(func() { _ = p.Process.Kill() })
-		until(t, "it waits for its address", func() bool {
+		waitFor(t, "it waits for its address", func() bool {
 			b, _ := os.ReadFile(file + ".log")
 			return strings.Contains(string(b), "address still taken")
 		})
@@ -426,8 +426,8 @@
 		}
 		if c != nil {
 			t.Cleanup(func() { c.Close() })
-			fmt.Fprint(c, strings.Replace(check("/check", "1"), "300m", "2000m", 1))
-			if status, _ := read(c); status != "HTTP/1.1 200 OK" {
+			fmt.Fprint(c, strings.Replace(checkRequest("/check", "1"), "300m", "2000m", 1))
+			if status, _ := readResponse(c); status != "HTTP/1.1 200 OK" {
 				t.Errorf("taken after the order to end, and answered %q", status)
 			}
 		}
@@ -437,7 +437,7 @@
 				b, _ := os.ReadFile(file + ".log")
 				t.Errorf("it ends with %v\n%s", err, b)
 			}
-		case <-time.After(readyMost):
+		case <-time.After(readyNinetiethPercentile):
 			t.Error("it does not end")
 		}
 		if c != nil || t.Failed() {
