--- a/internal/gateway/lifecycle/stop.go
+++ b/internal/gateway/lifecycle/stop.go
@@ -13,7 +13,7 @@
 
 // Run serves until stop gives a signal or serving fails, then stops. At each signal of reload it takes up the
 // configuration that read gives, also while it stops: workers may drain until the last txn is answered.
-func (g *Gatekeeper) Run(stop, reload <-chan os.Signal, read func() (config.Gatekeeper, error)) error {
+func (g *Gateway) Run(stop, reload <-chan os.Signal, read func() (config.Gatekeeper, error)) error {
 	done, over := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(over)
@@ -29,10 +29,10 @@
 	defer func() {
 		close(done)
 		<-over
-		g.unwind()
+		g.cancelWatch()
 	}()
 	select {
-	case err := <-g.served:
+	case err := <-g.serveResult:
 		if err == nil {
 			err = errors.New("front: ended unasked")
 		}
@@ -47,37 +47,37 @@
 // Stop leaves its place to an heir, if one waits. Else it serves on for as long as connections may come,
 // then closes idle ones and ends once all that was taken has its answer. What comes whole too late for that
 // is not taken, and what is in hand too long is given up: SIGKILL would leave it without an answer.
-func (g *Gatekeeper) Stop() {
-	defer time.AfterFunc(transport.Millis(min(g.conf.Lines.LongestWait, policy.StopLongest)+policy.StopAll),
+func (g *Gateway) Stop() {
+	defer time.AfterFunc(transport.Millis(min(g.config.Lines.LongestWait, policy.StopLongest)+policy.StopAll),
 		func() {
-			g.limit.GiveUp()
-			g.desk.WakeNow()
+			g.listener.GiveUp()
+			g.dispatcher.WakeNow()
 		}).
 		Stop()
-	if !g.handOver() {
-		defer time.AfterFunc(transport.Millis(policy.AcceptOn+policy.StopIdle), g.limit.Hurry).Stop()
+	if !g.handOff() {
+		defer time.AfterFunc(transport.Millis(policy.AcceptOn+policy.StopIdle), g.listener.Hurry).Stop()
 		time.Sleep(transport.Millis(policy.AcceptOn))
-		if g.portal != nil {
-			g.portal.Close()
+		if g.authServer != nil {
+			g.authServer.Close()
 		}
-		g.front.Close()
-		g.limit.Drain()
-		if g.heir != nil {
-			g.heir.stop()
-			g.limit.Drain()
+		g.frontend.Close()
+		g.listener.Drain()
+		if g.takeover != nil {
+			g.takeover.stop()
+			g.listener.Drain()
 		}
-		_ = g.limit.Close()
-		g.front.Wait()
+		_ = g.listener.Close()
+		g.frontend.Wait()
 	}
-	if g.vouch != nil {
-		g.vouch.Close()
+	if g.authorizer != nil {
+		g.authorizer.Close()
 	}
-	g.desk.Stop()
+	g.dispatcher.Stop()
 	if k := g.journal.Load(); k != nil {
 		k.Close()
 	}
-	if close(g.over); g.port != nil {
-		g.port.Close()
+	if close(g.done); g.adminServer != nil {
+		g.adminServer.Close()
 	}
 	if g.peers != nil {
 		_ = g.peers.Close()
@@ -85,9 +85,9 @@
 	if g.history != nil {
 		_ = g.history.Close()
 	}
-	t := g.desk.Tally()
-	e := g.log.Info().Ints("finals", t.Final[:]).Int64("unreadable", g.front.Broken()).
-		Int64("clients_shed", g.limit.Shed()).Int64("links_spoilt", g.links.Spoilt())
+	t := g.dispatcher.Tally()
+	e := g.log.Info().Ints("finals", t.Final[:]).Int64("unreadable", g.frontend.Broken()).
+		Int64("clients_shed", g.listener.Shed()).Int64("links_spoilt", g.workerConns.Spoilt())
 	for name, n := range inflight.Violations() {
 		e = e.Int64("broken_"+name, n)
 	}
--- a/internal/gateway/lifecycle/endings_test.go
+++ b/internal/gateway/lifecycle/stop_test.go
@@ -19,10 +19,10 @@
 )
 
 // stop has it stop, and gives what waits for the end of that and tells how long it took.
-func (d *deployment) stop() (took func() time.Duration) {
+func (d *deployment) stopInBackground() (took func() time.Duration) {
 	from, over := time.Now(), make(chan time.Duration, 1)
 	go func() {
-		d.gk.Stop()
+		d.gateway.Stop()
 		over <- time.Since(from)
 	}()
 	return func() time.Duration {
@@ -39,7 +39,7 @@
 
 func (d *deployment) dial() net.Conn {
 	d.t.Helper()
-	c, err := net.Dial("tcp", d.at)
+	c, err := net.Dial("tcp", d.address)
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 }
 
 // deaf is an address at which connections never come up: all that its listener holds are there already.
-func deaf(t *testing.T) netip.AddrPort {
+func fullBacklog(t *testing.T) netip.AddrPort {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -79,20 +79,20 @@
 
 // The order to stop meets a txn in each state that it can be in. It has one whole answer, nothing is sent for
 // it after, its connection ends behind that and is not reset, and the process ends.
-func TestStopInEachState(t *testing.T) {
+func TestStopInEachRequestState(t *testing.T) {
 	const settled, declined, voided = "HTTP/1.1 200 OK", "HTTP/1.1 429 Too Many Requests",
 		"HTTP/1.1 500 Internal Server Error"
 	connects := []string{`"connect_timeout_us":100000`, `"connect_timeout_us":5000000`}
 	mark := fmt.Sprint("stop-", os.Getpid(), "-", time.Now().UnixNano()) // of no other test on this machine
 	count := func(d *deployment) (n int) {
-		for _, s := range d.got() {
+		for _, s := range d.submissions() {
 			if strings.Contains(s, "X-Request-Id: "+mark+"\r\n") {
 				n++
 			}
 		}
 		return n
 	}
-	inHand := func(d *deployment) bool { return d.gk.front.Active() == 1 }
+	inHand := func(d *deployment) bool { return d.gateway.frontend.Active() == 1 }
 	sent := func(d *deployment) bool { return count(d) == 1 }
 	patient := func(raw string) string { return strings.Replace(raw, "300m", "900m", 1) }
 	for _, c := range []struct {
@@ -103,21 +103,21 @@
 		in                func(*deployment) bool
 		subs              int // at most
 	}{
-		{name: "being read, in its head", raw: check("/check", mark), cut: 40, status: settled, subs: 1},
-		{name: "being read, in its body", raw: sale("/sale", mark), cut: len(sale("/sale", mark)) - 2,
+		{name: "being read, in its head", raw: checkRequest("/check", mark), cut: 40, status: settled, subs: 1},
+		{name: "being read, in its body", raw: saleRequest("/sale", mark), cut: len(saleRequest("/sale", mark)) - 2,
 			status: settled, subs: 1},
-		{name: "connecting", raw: check("/check", mark), swaps: connects, status: declined,
-			spoil: func(d *deployment, c *config.Gatekeeper) { c.Known.Workers[0].Address = deaf(d.t) }, in: inHand},
-		{name: "sent, worker slow", raw: patient(issue("/issue?slow", mark)),
+		{name: "connecting", raw: checkRequest("/check", mark), swaps: connects, status: declined,
+			spoil: func(d *deployment, c *config.Gatekeeper) { c.Known.Workers[0].Address = fullBacklog(d.t) }, in: inHand},
+		{name: "sent, worker slow", raw: patient(issueRequest("/issue?slow", mark)),
 			status: settled, in: sent, subs: 1},
-		{name: "sent, worker hung", raw: patient(issue("/issue?silence", mark)), status: voided, in: sent,
+		{name: "sent, worker hung", raw: patient(issueRequest("/issue?silence", mark)), status: voided, in: sent,
 			subs: 1},
-		{name: "half answered, and cut", raw: patient(issue("/issue?cutshort", mark)), status: voided, in: sent,
+		{name: "half answered, and cut", raw: patient(issueRequest("/issue?cutshort", mark)), status: voided, in: sent,
 			subs: 1},
-		{name: "half answered, and hung", raw: patient(issue("/issue?stall", mark)), status: voided, in: sent,
+		{name: "half answered, and hung", raw: patient(issueRequest("/issue?stall", mark)), status: voided, in: sent,
 			subs: 1},
-		{name: "half answered, tried again", raw: check("/check?cutshort", mark), status: declined, subs: 3},
-		{name: "nobody to submit it to", raw: check("/check", mark), status: declined,
+		{name: "half answered, tried again", raw: checkRequest("/check?cutshort", mark), status: declined, subs: 3},
+		{name: "nobody to submit it to", raw: checkRequest("/check", mark), status: declined,
 			spoil: func(_ *deployment, c *config.Gatekeeper) { c.Known.Workers = nil }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -134,9 +134,9 @@
 			}
 			fmt.Fprint(kept, c.raw[:cut])
 			if c.in != nil {
-				until(t, "it does not get there", func() bool { return c.in(d) })
+				waitFor(t, "it does not get there", func() bool { return c.in(d) })
 			}
-			took := d.stop()
+			took := d.stopInBackground()
 			fmt.Fprint(kept, c.raw[cut:])
 			kept.SetDeadline(time.Now().Add(5 * time.Second))
 			r := bufio.NewReader(kept)
@@ -173,12 +173,12 @@
 	var all []net.Conn
 	for i := range 6 { // of which two have places, and one is held back for one
 		c := d.dial()
-		fmt.Fprint(c, check("/check?slow", fmt.Sprint(i)))
+		fmt.Fprint(c, checkRequest("/check?slow", fmt.Sprint(i)))
 		all = append(all, c)
 	}
-	took := d.stop()
+	took := d.stopInBackground()
 	for i, c := range all {
-		if status, _ := read(c); status != "HTTP/1.1 200 OK" && status != "HTTP/1.1 429 Too Many Requests" {
+		if status, _ := readResponse(c); status != "HTTP/1.1 200 OK" && status != "HTTP/1.1 429 Too Many Requests" {
 			t.Errorf("txn %d gets %q", i, status)
 		}
 		c.Close()
@@ -190,12 +190,12 @@
 
 // Half a txn is waited for no longer than one that comes whole could be answered, whether its head is read or
 // its body passes on. Guards against a txn that is whole just before SIGKILL, which would find it unanswered.
-func TestStopInHalfTxn(t *testing.T) {
-	long := strings.Replace(sale("/sale", "2"), "Length: 4\r\n\r\na\r\nb",
+func TestStopWithPartialRequest(t *testing.T) {
+	long := strings.Replace(saleRequest("/sale", "2"), "Length: 4\r\n\r\na\r\nb",
 		fmt.Sprintf("Length: %d\r\n\r\n%s", 1<<20, strings.Repeat("x", 100<<10)), 1)
 	for _, c := range []struct{ name, raw string }{
-		{"of its head", check("/check", "1")[:40]},
-		{"of its body", sale("/sale", "1")[:len(sale("/sale", "1"))-2]},
+		{"of its head", checkRequest("/check", "1")[:40]},
+		{"of its body", saleRequest("/sale", "1")[:len(saleRequest("/sale", "1"))-2]},
 		{"of a body that passes on", long},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -203,8 +203,8 @@
 			half := d.dial()
 			half.SetDeadline(time.Now().Add(5 * time.Second))
 			fmt.Fprint(half, c.raw)
-			took := d.stop()
-			if status, _ := read(half); status != "HTTP/1.1 408 Request Timeout" {
+			took := d.stopInBackground()
+			if status, _ := readResponse(half); status != "HTTP/1.1 408 Request Timeout" {
 				t.Errorf("answered %q", status)
 			}
 			if _, err := half.Read(make([]byte, 1)); err != io.EOF {
@@ -214,7 +214,7 @@
 			if end := took(); end > 2*time.Second { // a body may pause for as long
 				t.Errorf("it ended after %v", end)
 			}
-			if n := len(d.got()); n > 0 {
+			if n := len(d.submissions()); n > 0 {
 				t.Errorf("%d whole submissions", n)
 			}
 		})
@@ -223,7 +223,7 @@
 
 // What may not be waited for any longer before SIGKILL is given up by the module and answered, once. Guards
 // against a txn whose client waits for longer than the process may.
-func TestStopGivesUp(t *testing.T) {
+func TestStopAbortsLongRequests(t *testing.T) {
 	// SIGKILL comes no sooner than the longest deadline, which counts as 3 s where it is longer, and 0.7 s more.
 	// The bounds leave the time for an answer; a machine that is busy with more may take longer here.
 	if policy.StopLongest > 3000 || policy.StopAll > 600 {
@@ -243,19 +243,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			d := deploy(t, 1, 5000, append(c.swaps, `"cancel":true`, `"cancel":false`)...)
-			stopGivesUp(t, d, c.early, c.late)
+			testStopAborts(t, d, c.early, c.late)
 		})
 	}
 }
 
-func stopGivesUp(t *testing.T, d *deployment, early, late time.Duration) {
+func testStopAborts(t *testing.T, d *deployment, early, late time.Duration) {
 	c := d.dial()
 	c.SetDeadline(time.Now().Add(8 * time.Second))
-	fmt.Fprint(c, strings.Replace(issue("/issue?silence", "1"), "300m", "30000m", 1))
-	until(t, "it is not sent", func() bool { return len(d.got()) == 1 })
+	fmt.Fprint(c, strings.Replace(issueRequest("/issue?silence", "1"), "300m", "30000m", 1))
+	waitFor(t, "it is not sent", func() bool { return len(d.submissions()) == 1 })
 	from := time.Now()
-	took := d.stop()
-	if status, _ := read(c); status != "HTTP/1.1 500 Internal Server Error" {
+	took := d.stopInBackground()
+	if status, _ := readResponse(c); status != "HTTP/1.1 500 Internal Server Error" {
 		t.Errorf("answered %q", status)
 	}
 	if end := time.Since(from); end > late || end < early {
@@ -265,7 +265,7 @@
 	if end := took(); end > late {
 		t.Errorf("it ended after %v", end)
 	}
-	if n := len(d.got()); n != 1 {
+	if n := len(d.submissions()); n != 1 {
 		t.Errorf("%d submissions", n)
 	}
 }
@@ -274,22 +274,22 @@
 // meanwhile is answered too.
 func TestStopWithSlowReader(t *testing.T) {
 	const size = 8 << 20
-	body := long(size)
-	d := before(t, func(w http.ResponseWriter, _ *http.Request) {
+	body := testBody(size)
+	d := deployBeforeHandler(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", fmt.Sprint(size))
 		w.Write(body)
 	})
 	c := d.dial()
 	c.SetDeadline(time.Now().Add(8 * time.Second))
-	waits := func(id string) string { return strings.Replace(check("/check", id), "300m", "3000m", 1) }
+	waits := func(id string) string { return strings.Replace(checkRequest("/check", id), "300m", "3000m", 1) }
 	fmt.Fprint(c, waits("1"))
 	r := bufio.NewReader(c)
 	res, err := http.ReadResponse(r, nil)
 	if err != nil || res.StatusCode != http.StatusOK {
 		t.Fatal(res, err)
 	}
-	took := d.stop()
-	until(t, "it goes on", d.gk.front.Closing)
+	took := d.stopInBackground()
+	waitFor(t, "it goes on", d.gateway.frontend.Closing)
 	fmt.Fprint(c, waits("2")) // it has crossed the end, which comes behind the answer: it is served
 	n, err := io.Copy(io.Discard, res.Body)
 	if n != size || err != nil {
@@ -323,23 +323,23 @@
 			}
 			d := deploy(t, 1, 5000)
 			kept := d.dial()
-			fmt.Fprint(kept, strings.Replace(issue("/issue?slow", "1"), "300m", "3000m", 1))
-			until(t, "it is not sent", func() bool { return len(d.got()) == 1 })
+			fmt.Fprint(kept, strings.Replace(issueRequest("/issue?slow", "1"), "300m", "3000m", 1))
+			waitFor(t, "it is not sent", func() bool { return len(d.submissions()) == 1 })
 			ended := make(chan error, 1)
 			go func() {
-				ended <- d.gk.Run(stop, reload, func() (config.Gatekeeper, error) { return d.conf, nil })
+				ended <- d.gateway.Run(stop, reload, func() (config.Gatekeeper, error) { return d.config, nil })
 			}()
 			for range 3 {
 				if c.again {
 					reload <- syscall.SIGHUP
 					stop <- syscall.SIGTERM
-					until(t, "the reload is not taken", func() bool { return len(reload) == 0 })
+					waitFor(t, "the reload is not taken", func() bool { return len(reload) == 0 })
 					if len(stop) > 0 {
 						<-stop // a signal that finds its channel full is dropped
 					}
 				}
 			}
-			if status, _ := read(kept); status != "HTTP/1.1 200 OK" {
+			if status, _ := readResponse(kept); status != "HTTP/1.1 200 OK" {
 				t.Errorf("what was in hand gets %q", status)
 			}
 			kept.Close()
@@ -362,54 +362,54 @@
 		t.Run(c.name, func(t *testing.T) {
 			d := deploy(t, 1, 5000)
 			kept := d.dial().(*net.TCPConn)
-			fmt.Fprint(kept, strings.Replace(check("/check?silence", "1"), "300m", "30000m", 1)+c.more)
-			until(t, "it is not sent", func() bool { return len(d.got()) == 1 })
+			fmt.Fprint(kept, strings.Replace(checkRequest("/check?silence", "1"), "300m", "30000m", 1)+c.more)
+			waitFor(t, "it is not sent", func() bool { return len(d.submissions()) == 1 })
 			from := time.Now()
 			kept.CloseWrite()
-			if status, _ := read(kept); status != "HTTP/1.1 500 Internal Server Error" {
+			if status, _ := readResponse(kept); status != "HTTP/1.1 500 Internal Server Error" {
 				t.Errorf("answered %q", status)
 			}
 			if took := time.Since(from); took > 300*time.Millisecond {
 				t.Errorf("answered after %v", took)
 			}
-			tally := d.gk.desk.Tally()
-			if tally.Final[policy.ByClient] != 1 || tally.InFlight != 0 || len(d.got()) != 1 {
-				t.Errorf("%+v, %d submissions", tally, len(d.got()))
+			tally := d.gateway.dispatcher.Tally()
+			if tally.Final[policy.ByClient] != 1 || tally.InFlight != 0 || len(d.submissions()) != 1 {
+				t.Errorf("%+v, %d submissions", tally, len(d.submissions()))
 			}
 		})
 	}
 }
 
 // A client that sends much at once and goes is seen behind what it has sent: no attempt follows.
-func TestClientSendsMuchAndGoes(t *testing.T) {
+func TestClientPipelinesAndDisconnects(t *testing.T) {
 	d := deploy(t, 2, 5000)
 	for _, w := range d.workers {
-		w.mute = true
+		w.silent = true
 	}
 	c := d.dial().(*net.TCPConn)
 	waits := func(id string) string {
-		return strings.Replace(check("/check?silence", id), "300m", "30000m", 1)
+		return strings.Replace(checkRequest("/check?silence", id), "300m", "30000m", 1)
 	}
 	fmt.Fprint(c, waits("1"))
-	until(t, "it is not sent", func() bool { return len(d.got()) == 1 })
+	waitFor(t, "it is not sent", func() bool { return len(d.submissions()) == 1 })
 	fmt.Fprint(c, waits("2")+waits("3")+waits("4"))
 	c.Close()
-	until(t, "it is not seen", func() bool { return d.gk.desk.Tally().Final[policy.ByClient] > 0 })
-	n := len(d.got())
+	waitFor(t, "it is not seen", func() bool { return d.gateway.dispatcher.Tally().Final[policy.ByClient] > 0 })
+	n := len(d.submissions())
 	time.Sleep(200 * time.Millisecond)
-	if tally := d.gk.desk.Tally(); len(d.got()) != n || n > 1 || tally.InFlight != 0 {
-		t.Errorf("%d submissions, %+v", len(d.got()), tally)
+	if tally := d.gateway.dispatcher.Tally(); len(d.submissions()) != n || n > 1 || tally.InFlight != 0 {
+		t.Errorf("%d submissions, %+v", len(d.submissions()), tally)
 	}
 }
 
 // An heir that is told to stop before the place is its own ends, and the process before goes on as it was.
 // One told so while the place is being left to it stays until it has been given all.
-func TestStopOfHeir(t *testing.T) {
-	d, change := heldListener(t)
+func TestStopSuccessor(t *testing.T) {
+	d, change := deployWithInheritedListener(t)
 	kept := d.dial()
-	fmt.Fprint(kept, check("/check", "k1"))
-	read(kept)
-	g := d.second(change)
+	fmt.Fprint(kept, checkRequest("/check", "k1"))
+	readResponse(kept)
+	g := d.startSuccessor(change)
 	ended := make(chan bool)
 	go func() {
 		g.Stop()
@@ -420,23 +420,23 @@
 	case <-time.After(3 * time.Second):
 		t.Fatal("an heir without its place does not end")
 	}
-	fmt.Fprint(kept, check("/check", "k2"))
-	if status, _ := read(kept); status != "HTTP/1.1 200 OK" || d.gk.owner.Load().HasSuccessor() {
+	fmt.Fprint(kept, checkRequest("/check", "k2"))
+	if status, _ := readResponse(kept); status != "HTTP/1.1 200 OK" || d.gateway.handoff.Load().HasSuccessor() {
 		t.Errorf("the process before it answers %q", status)
 	}
 
 	busy := d.dial()
-	fmt.Fprint(busy, strings.Replace(issue("/issue?silence", "b1"), "300m", "1500m", 1))
-	until(t, "it is not sent", func() bool { return len(d.got()) == 3 })
-	g = d.second(change)
-	took := d.stop()
-	until(t, "the place is not left", g.heir.took.Load)
+	fmt.Fprint(busy, strings.Replace(issueRequest("/issue?silence", "b1"), "300m", "1500m", 1))
+	waitFor(t, "it is not sent", func() bool { return len(d.submissions()) == 3 })
+	g = d.startSuccessor(change)
+	took := d.stopInBackground()
+	waitFor(t, "the place is not left", g.takeover.started.Load)
 	second := make(chan bool)
 	go func() {
 		g.Stop()
 		close(second)
 	}()
-	if status, _ := read(busy); status != "HTTP/1.1 500 Internal Server Error" {
+	if status, _ := readResponse(busy); status != "HTTP/1.1 500 Internal Server Error" {
 		t.Errorf("what was in hand gets %q", status)
 	}
 	select {
--- a/internal/gateway/lifecycle/stream_test.go
+++ b/internal/gateway/lifecycle/streaming_test.go
@@ -21,7 +21,7 @@
 )
 
 // before deploys a gatekeeper before one worker that does what do says.
-func before(t *testing.T, do http.HandlerFunc) *deployment {
+func deployBeforeHandler(t *testing.T, do http.HandlerFunc) *deployment {
 	t.Helper()
 	s := httptest.NewServer(do)
 	t.Cleanup(s.Close)
@@ -30,7 +30,7 @@
 }
 
 // long is a body of so many bytes that differ from place to place.
-func long(n int) []byte {
+func testBody(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = byte(i ^ i>>8 ^ i>>16)
@@ -39,13 +39,13 @@
 }
 
 // sell sends a referenced txn with a body, by its length or in chunks, on a connection of its own.
-func (d *deployment) sell(id string, body io.Reader, length int64) (*http.Response, error) {
-	req, err := http.NewRequest("POST", "http://"+d.at+"/sale", body)
+func (d *deployment) sendSale(id string, body io.Reader, length int64) (*http.Response, error) {
+	req, err := http.NewRequest("POST", "http://"+d.address+"/sale", body)
 	if err != nil {
 		return nil, err
 	}
 	req.ContentLength = length
-	for _, l := range strings.Split(strings.TrimSpace(heads), "\r\n") {
+	for _, l := range strings.Split(strings.TrimSpace(commonHeaders), "\r\n") {
 		name, value, _ := strings.Cut(l, ": ")
 		req.Header.Set(name, value)
 	}
@@ -57,10 +57,10 @@
 // Long bodies and answers pass on unchanged in every form, and through little memory.
 func TestLongBodies(t *testing.T) {
 	const size = 12 << 20
-	body := long(size)
+	body := testBody(size)
 	sum := fmt.Sprintf("%x", sha256.Sum256(body))
 	var most atomic.Uint64
-	d := before(t, func(w http.ResponseWriter, r *http.Request) {
+	d := deployBeforeHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		h := sha256.New()
 		n, err := io.Copy(h, r.Body)
 		if got := fmt.Sprintf("%x", h.Sum(nil)); err != nil || n != size || got != sum {
@@ -78,7 +78,7 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	for i, length := range []int64{size, -1} {
-		got, err := d.sell(fmt.Sprint("l", i), io.MultiReader(bytes.NewReader(body)), length)
+		got, err := d.sendSale(fmt.Sprint("l", i), io.MultiReader(bytes.NewReader(body)), length)
 		if err != nil || got.StatusCode != 200 || got.ContentLength != length {
 			t.Fatalf("answered %v, %v", got, err)
 		}
@@ -93,14 +93,14 @@
 }
 
 // What was not kept is not submitted again; what never ran may be tried again by its client.
-func TestLongBodyIsSentOnce(t *testing.T) {
+func TestLongBodyNotRetried(t *testing.T) {
 	var subs atomic.Int64
-	d := before(t, func(w http.ResponseWriter, r *http.Request) {
+	d := deployBeforeHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		subs.Add(1)
 		io.CopyN(io.Discard, r.Body, 200<<10)
 		panic(http.ErrAbortHandler)
 	})
-	got, err := d.sell("once", bytes.NewReader(long(2<<20)), 2<<20)
+	got, err := d.sendSale("once", bytes.NewReader(testBody(2<<20)), 2<<20)
 	if err != nil || got.StatusCode != http.StatusTooManyRequests || subs.Load() != 1 {
 		t.Errorf("answered %v, %v after %d submissions", got, err, subs.Load())
 	}
@@ -108,24 +108,24 @@
 
 // A worker that turns a long body away before it has read it is heard at once, and the client's connection
 // goes on behind the body.
-func TestAnswerAheadOfBody(t *testing.T) {
-	d := before(t, func(w http.ResponseWriter, r *http.Request) {
+func TestEarlyResponse(t *testing.T) {
+	d := deployBeforeHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		w.(http.Flusher).Flush()
 		time.Sleep(100 * time.Millisecond)
 	})
-	c, err := net.Dial("tcp", d.at)
+	c, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	const size = 1 << 20
-	raw := strings.Replace(sale("/sale", "ahead"), "Length: 4\r\n\r\na\r\nb",
+	raw := strings.Replace(saleRequest("/sale", "ahead"), "Length: 4\r\n\r\na\r\nb",
 		fmt.Sprintf("Length: %d\r\n\r\n", size), 1)
 	fmt.Fprint(c, raw)
-	body := long(size)
+	body := testBody(size)
 	c.Write(body[:size/2])
 	r := bufio.NewReader(c)
 	got, err := http.ReadResponse(r, nil)
@@ -140,20 +140,20 @@
 }
 
 // A client that stops in the middle has a defined answer in time, and no worker gets the whole of it.
-func TestClientStopsInBody(t *testing.T) {
+func TestClientStallsInBody(t *testing.T) {
 	var whole atomic.Int64
-	d := before(t, func(w http.ResponseWriter, r *http.Request) {
+	d := deployBeforeHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err == nil {
 			whole.Add(1)
 		}
 	})
-	c, err := net.Dial("tcp", d.at)
+	c, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	raw := strings.Replace(sale("/sale", "stops"), "Length: 4\r\n\r\na\r\nb", "Length: 3000000\r\n\r\n", 1)
-	c.Write(append([]byte(raw), long(200000)...))
+	raw := strings.Replace(saleRequest("/sale", "stops"), "Length: 4\r\n\r\na\r\nb", "Length: 3000000\r\n\r\n", 1)
+	c.Write(append([]byte(raw), testBody(200000)...))
 	c.SetDeadline(time.Now().Add(time.Second + time.Duration(policy.BodyPause)*time.Millisecond))
 	got, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || got.StatusCode != http.StatusRequestTimeout || whole.Load() > 0 {
@@ -162,20 +162,20 @@
 }
 
 // A long answer that the worker breaks off is broken off for the client, and nothing is sent again.
-func TestLongAnswerBreaksOff(t *testing.T) {
+func TestLongResponseTruncated(t *testing.T) {
 	for _, stated := range []bool{true, false} {
 		t.Run(fmt.Sprint(stated), func(t *testing.T) {
 			var subs atomic.Int64
-			d := before(t, func(w http.ResponseWriter, r *http.Request) {
+			d := deployBeforeHandler(t, func(w http.ResponseWriter, r *http.Request) {
 				subs.Add(1)
 				if stated {
 					w.Header().Set("Content-Length", "900000")
 				}
-				w.Write(long(300000))
+				w.Write(testBody(300000))
 				w.(http.Flusher).Flush()
 				panic(http.ErrAbortHandler)
 			})
-			got, err := d.sell("off", strings.NewReader("ab"), 2)
+			got, err := d.sendSale("off", strings.NewReader("ab"), 2)
 			if err != nil || got.StatusCode != 200 {
 				t.Fatalf("answered %v, %v", got, err)
 			}
@@ -183,7 +183,7 @@
 				t.Errorf("%d bytes look whole, after %d submissions", n, subs.Load())
 			}
 			time.Sleep(20 * time.Millisecond)
-			if _, _, voided := d.gk.front.Finals(1); voided != 1 {
+			if _, _, voided := d.gateway.frontend.Finals(1); voided != 1 {
 				t.Errorf("counted as voided: %d", voided)
 			}
 		})
@@ -191,16 +191,16 @@
 }
 
 // One who reads slowly gets all of it: the worker is held up, and nothing is cut.
-func TestSlowReader(t *testing.T) {
+func TestSlowClientReader(t *testing.T) {
 	const size = 3 << 20
-	d := before(t, func(w http.ResponseWriter, r *http.Request) { w.Write(long(size)) })
-	c, err := net.Dial("tcp", d.at)
+	d := deployBeforeHandler(t, func(w http.ResponseWriter, r *http.Request) { w.Write(testBody(size)) })
+	c, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	c.(*net.TCPConn).SetReadBuffer(16 << 10)
-	fmt.Fprint(c, sale("/sale", "slow"))
+	fmt.Fprint(c, saleRequest("/sale", "slow"))
 	got, err := http.ReadResponse(bufio.NewReaderSize(c, 16<<10), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -218,8 +218,8 @@
 }
 
 // The module hears that a slow answer has begun, and of one that comes at once only its end.
-func TestAnswerThatTrickles(t *testing.T) {
-	d := before(t, func(w http.ResponseWriter, r *http.Request) {
+func TestTricklingResponse(t *testing.T) {
+	d := deployBeforeHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "8")
 		for range 8 {
 			w.Write([]byte("x"))
@@ -227,19 +227,19 @@
 			time.Sleep(40 * time.Millisecond) // 320 ms in all; a whole one may not pause for AnswerPause
 		}
 	})
-	c := strings.Replace(check("/check", "t"), "300m", "900m", 1)
-	if status, body := d.ask(c); status != "HTTP/1.1 200 OK" || body != "xxxxxxxx" {
+	c := strings.Replace(checkRequest("/check", "t"), "300m", "900m", 1)
+	if status, body := d.send(c); status != "HTTP/1.1 200 OK" || body != "xxxxxxxx" {
 		t.Errorf("answered %q %q", status, body)
 	}
-	if n := d.gk.links.Tries(); n != 1 {
+	if n := d.gateway.workerConns.Tries(); n != 1 {
 		t.Errorf("%d submissions", n)
 	}
 }
 
 // All forms in which a client may send a body come to the same.
-func TestFormsOfBodies(t *testing.T) {
+func TestBodyForms(t *testing.T) {
 	head := func(with string) string {
-		return strings.Replace(sale("/sale", "form"), "Content-Length: 4\r\n\r\na\r\nb", with, 1)
+		return strings.Replace(saleRequest("/sale", "form"), "Content-Length: 4\r\n\r\na\r\nb", with, 1)
 	}
 	cases := []struct{ name, raw string }{
 		{"length", head("Content-Length: 4\r\n\r\na\r\nb")},
@@ -252,7 +252,7 @@
 		for _, pieces := range []bool{false, true} {
 			t.Run(fmt.Sprint(c.name, pieces), func(t *testing.T) {
 				d := deploy(t, 1, 5000)
-				conn, err := net.Dial("tcp", d.at)
+				conn, err := net.Dial("tcp", d.address)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -261,12 +261,12 @@
 				r := bufio.NewReader(conn)
 				for range 2 { // the connection goes on
 					ahead, body, waits := strings.Cut(c.raw, "|")
-					piecewise(conn, ahead, pieces)
+					writePieces(conn, ahead, pieces)
 					if waits {
 						if got, err := http.ReadResponse(r, nil); err != nil || got.StatusCode != 100 {
 							t.Fatalf("asked to go on: %v, %v", got, err)
 						}
-						piecewise(conn, body, pieces)
+						writePieces(conn, body, pieces)
 					}
 					got, err := http.ReadResponse(r, nil)
 					if err != nil || got.StatusCode != 200 {
@@ -274,7 +274,7 @@
 					}
 					io.Copy(io.Discard, got.Body)
 				}
-				for _, s := range d.got() {
+				for _, s := range d.submissions() {
 					if !strings.HasSuffix(s, "Content-Length: 4\r\n\r\na\r\nb") {
 						t.Errorf("a worker got %q", s)
 					}
@@ -285,7 +285,7 @@
 }
 
 // piecewise writes a text whole, or byte by byte.
-func piecewise(c net.Conn, s string, pieces bool) {
+func writePieces(c net.Conn, s string, pieces bool) {
 	if !pieces {
 		fmt.Fprint(c, s)
 		return
--- a/internal/gateway/lifecycle/heir_test.go
+++ b/internal/gateway/lifecycle/successor_test.go
@@ -14,15 +14,15 @@
 // An heir that hangs gets no client: what is in hand is answered here, what comes on connections that stay,
 // or on new ones, is answered too, and the process ends. Guards against clients that are left to a process
 // which never speaks, and against a listener that nobody takes from.
-func TestHeirHangs(t *testing.T) {
-	d, _ := heldListener(t)
-	_, err := hotrestart.Connect(hotrestart.SocketPath(d.conf.Scratch, d.conf.Name), d.conf.Name)
+func TestSuccessorHangs(t *testing.T) {
+	d, _ := deployWithInheritedListener(t)
+	_, err := hotrestart.Connect(hotrestart.SocketPath(d.config.Scratch, d.config.Name), d.config.Name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the heir is heard", func() bool { return d.gk.owner.Load().HasSuccessor() })
+	waitFor(t, "the heir is heard", func() bool { return d.gateway.handoff.Load().HasSuccessor() })
 	dial := func() (net.Conn, *bufio.Reader) {
-		c, err := net.Dial("tcp", d.at)
+		c, err := net.Dial("tcp", d.address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -31,24 +31,24 @@
 		return c, bufio.NewReader(c)
 	}
 	kept, keptIn := dial()
-	fmt.Fprint(kept, check("/check", "k1"))
+	fmt.Fprint(kept, checkRequest("/check", "k1"))
 	if res, err := http.ReadResponse(keptIn, nil); err != nil || res.StatusCode != 200 {
 		t.Fatalf("before: %v, %v", res, err)
 	} else if _, err := res.Body.Read(make([]byte, 64)); err != nil && err.Error() != "EOF" {
 		t.Fatal(err)
 	}
 	busy, busyIn := dial()
-	fmt.Fprint(busy, check("/check?slow", "b1"))
-	until(t, "it is in hand", func() bool { return d.gk.front.Active() == 1 })
+	fmt.Fprint(busy, checkRequest("/check?slow", "b1"))
+	waitFor(t, "it is in hand", func() bool { return d.gateway.frontend.Active() == 1 })
 	stopped := make(chan bool)
 	go func() {
-		d.gk.Stop()
+		d.gateway.Stop()
 		close(stopped)
 	}()
-	until(t, "it leaves", func() bool { return d.gk.away.Load() })
-	fmt.Fprint(kept, check("/check", "k2"))
+	waitFor(t, "it leaves", func() bool { return d.gateway.standby.Load() })
+	fmt.Fprint(kept, checkRequest("/check", "k2"))
 	fresh, freshIn := dial()
-	fmt.Fprint(fresh, check("/check", "f1"))
+	fmt.Fprint(fresh, checkRequest("/check", "f1"))
 	for name, c := range map[string]struct {
 		r    *bufio.Reader
 		want int
--- /dev/null
+++ b/internal/gateway/lifecycle/worker_endings_test.go
@@ -0,0 +1,756 @@
+package lifecycle
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/netip"
+	"reflect"
+	"runtime"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"willowdeck/internal/gateway/config"
+	"willowdeck/internal/gateway/inflight"
+	"willowdeck/internal/gateway/transport"
+)
+
+// stepped is a worker that does on each connection what a test says, step by step.
+type scriptedWorker struct {
+	net.Listener
+	t              *testing.T
+	submissions    atomic.Int64     // submissions that came whole
+	runningScripts atomic.Int64     // scripts that play
+	unscripted     chan *workerConn // connections that no script takes
+}
+
+// leg is one connection to it.
+type workerConn struct {
+	*net.TCPConn
+	worker *scriptedWorker
+	reader *bufio.Reader
+}
+
+// play starts one that plays a script on each connection, or gives each to the test where there is none.
+func startScriptedWorker(t *testing.T, script func(*workerConn)) *scriptedWorker {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	b := &scriptedWorker{Listener: l, t: t, unscripted: make(chan *workerConn, 99)}
+	t.Cleanup(func() { l.Close() })
+	go func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			x := &workerConn{TCPConn: c.(*net.TCPConn), worker: b, reader: bufio.NewReader(c)}
+			x.SetDeadline(time.Now().Add(20 * time.Second))
+			if script == nil {
+				b.unscripted <- x
+				continue
+			}
+			b.runningScripts.Add(1)
+			go func() {
+				defer b.runningScripts.Add(-1)
+				defer x.Close()
+				script(x)
+			}()
+		}
+	}()
+	return b
+}
+
+// leg gives the next connection that comes.
+func (b *scriptedWorker) accept() *workerConn {
+	b.t.Helper()
+	select {
+	case x := <-b.unscripted:
+		return x
+	case <-time.After(5 * time.Second):
+		b.t.Fatal("no connection comes")
+		return nil
+	}
+}
+
+// request reads one submission whole, and tells whether one came.
+func (x *workerConn) readSubmission() bool {
+	req, err := http.ReadRequest(x.reader)
+	if err == nil {
+		_, err = io.Copy(io.Discard, req.Body)
+	}
+	if err == nil {
+		x.worker.submissions.Add(1)
+	}
+	return err == nil
+}
+
+// The states of a socket whose end the other side has taken, and of one that is no more.
+const tcpFinWait2, tcpClose = 5, 7
+
+// says writes, and returns once the gatekeeper's machine has it all, or the connection is no more.
+func (x *workerConn) respond(b string) {
+	if _, err := x.Write([]byte(b)); err == nil {
+		x.awaitSocket(func(fd int, state uint8) bool {
+			n, err := unix.IoctlGetInt(fd, unix.SIOCOUTQ)
+			return err != nil || n == 0 || state == tcpClose
+		})
+	}
+}
+
+// shuts ends the connection, and returns once the gatekeeper's machine has its end.
+func (x *workerConn) finish() {
+	_ = x.CloseWrite()
+	x.awaitSocket(func(_ int, state uint8) bool { return state == tcpFinWait2 || state == tcpClose })
+}
+
+// settles waits until a look at the socket says so.
+func (x *workerConn) awaitSocket(look func(fd int, state uint8) bool) {
+	raw, err := x.SyscallConn()
+	if err != nil {
+		x.worker.t.Error(err)
+		return
+	}
+	done := false
+	for end := time.Now().Add(5 * time.Second); !done && time.Now().Before(end); runtime.Gosched() {
+		_ = raw.Control(func(fd uintptr) {
+			i, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+			done = err != nil || look(int(fd), i.State)
+		})
+	}
+}
+
+// resets ends the connection at once.
+func (x *workerConn) reset() {
+	_ = x.SetLinger(0)
+	_ = x.Close()
+}
+
+// rests waits until the gatekeeper ends the connection.
+func (x *workerConn) awaitClose() { _, _ = io.Copy(io.Discard, x.reader) }
+
+// facing deploys a gatekeeper before one such worker.
+func deployBefore(t *testing.T, b *scriptedWorker, swaps ...string) *deployment {
+	t.Helper()
+	at := netip.MustParseAddrPort(b.Addr().String())
+	return deployWith(t, func(c *config.Gatekeeper) {
+		c.Known.Workers[0].Address = at
+		c.Lines.ConnectTimeout = 5000 // a loaded machine is no late connection
+		c.Cores = 4                   // the stand-ins run in this process, and are to take none of the gatekeeper's
+	}, 1, 5000, swaps...)
+}
+
+// patient is a txn whose client waits for long.
+func withLongDeadline(raw string) string { return strings.Replace(raw, "300m", "5000m", 1) }
+
+// claims checks that none was broken, but for the time of answers: that is the machine's too, and the tests
+// that are about it look at the clock.
+func checkInvariants(t *testing.T) {
+	t.Helper()
+	n := inflight.Violations()
+	delete(n, "in_time")
+	if len(n) > 0 {
+		t.Errorf("claims broken: %v", n)
+	}
+}
+
+// reply is what a client gets.
+type clientReply struct {
+	status   int // 0: no answer
+	body     []byte
+	complete bool
+	elapsed  time.Duration
+}
+
+// calls sends a txn on a connection of its own, and gives its answer once that has come to its end.
+func (d *deployment) sendAsync(raw string) <-chan clientReply {
+	got := make(chan clientReply, 1)
+	go func() {
+		defer close(got)
+		c, err := net.Dial("tcp", d.address)
+		if err != nil {
+			return
+		}
+		defer c.Close()
+		start := time.Now()
+		c.SetDeadline(start.Add(10 * time.Second))
+		fmt.Fprint(c, raw)
+		var a clientReply
+		r := bufio.NewReader(c)
+		if res, err := http.ReadResponse(r, nil); err == nil {
+			a.status = res.StatusCode
+			a.body, err = io.ReadAll(res.Body)
+			a.complete = err == nil
+		}
+		a.elapsed = time.Since(start)
+		got <- a
+	}()
+	return got
+}
+
+// open waits until so many connections to workers are left.
+func (d *deployment) awaitWorkerConns(want int) {
+	d.t.Helper()
+	end := time.Now().Add(5 * time.Second)
+	for d.gateway.workerConns.Open() != want && time.Now().Before(end) {
+		time.Sleep(time.Millisecond)
+	}
+	if n := d.gateway.workerConns.Open(); n != want {
+		d.t.Errorf("%d connections are held, want %d", n, want)
+	}
+}
+
+const (
+	validResponse = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nvalid\n"
+	otherResponse = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nother\n"
+	chunkedHead   = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	notRunHead    = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\n"
+)
+
+// ends plays an answer, and then an end of the connection.
+func respondThen(text string, end func(*workerConn)) func(*workerConn) {
+	return func(x *workerConn) {
+		if x.readSubmission() {
+			x.respond(text)
+			end(x)
+		}
+	}
+}
+
+// plays gives an answer to each submission, one after another.
+func respondAlways(text string) func(*workerConn) {
+	return func(x *workerConn) {
+		for x.readSubmission() {
+			x.respond(text)
+		}
+	}
+}
+
+func finishConn(x *workerConn) { x.finish() }
+func resetConn(x *workerConn)  { x.reset() }
+
+// endless writes a piece again and again until the gatekeeper has had enough.
+func writeForever(piece string) func(*workerConn) {
+	return func(x *workerConn) {
+		for {
+			if _, err := io.WriteString(x, piece); err != nil {
+				return
+			}
+		}
+	}
+}
+
+// workerEnds are the ways in which a worker ends a submission. What it proves decides what becomes of a
+// once-only txn: settled, declined where it never ran (three submissions at most), else voided after one.
+var workerEndings = []struct {
+	name       string
+	script     func(*workerConn)
+	onceStatus int // status that a once-only txn gets
+	openConns  int // connections left after it
+}{
+	{"an answer", respondAlways(validResponse), 200, 1},
+	{"reset under the request", func(x *workerConn) { _, _ = x.reader.Peek(20); x.reset() }, 500, 0},
+	{"reset after the request", respondThen("", resetConn), 500, 0},
+	{"end after the request", respondThen("", finishConn), 500, 0},
+	{"silence", respondAlways(""), 500, 0},
+	{"half a status line, end", respondThen("HTTP/1.1 20", finishConn), 500, 0},
+	{"half a status line, reset", respondThen("HTTP/1.1 20", resetConn), 500, 0},
+	{"half a status line, silence", respondAlways("HTTP/1.1 20"), 500, 0},
+	{"half a head, reset", respondThen("HTTP/1.1 200 OK\r\nContent-Le", resetConn), 500, 0},
+	{"no length, end", respondThen("HTTP/1.1 200 OK\r\n\r\nvalid\n", finishConn), 200, 0},
+	{"no length, reset", respondThen("HTTP/1.1 200 OK\r\n\r\nvalid\n", resetConn), 500, 0},
+	{"no length, nothing, reset", respondThen("HTTP/1.1 200 OK\r\n\r\n", resetConn), 500, 0},
+	{"no length, silence", respondAlways("HTTP/1.1 200 OK\r\n\r\nvalid\n"), 500, 0},
+	{"length short, end", respondThen("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nvalid\n", finishConn), 500, 0},
+	{"length short, reset", respondThen("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nvalid\n", resetConn), 500, 0},
+	{"no last chunk, end", respondThen(chunkedHead+"6\r\nvalid\n\r\n", finishConn),
+		500, 0},
+	{"half a last chunk, end", respondThen(chunkedHead+"6\r\nvalid\n\r\n0\r\n",
+		finishConn), 500, 0},
+	{"no last chunk, reset", respondThen(chunkedHead+"6\r\nvalid\n\r\n",
+		resetConn), 500, 0},
+	{"chunks", respondAlways(chunkedHead + "6\r\nvalid\n\r\n0\r\n\r\n"),
+		200, 1},
+	{"noise without end", respondThen("", writeForever("no answer at all")), 500, 0},
+	{"head without end", respondThen("HTTP/1.1 200 OK\r\n", writeForever("X-Pad: pad\r\n")), 500, 0},
+	{"3 GB claimed", respondThen("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n",
+		writeForever("0123456789abcdef")), 500, 0},
+	{"3 GB in a chunk", respondAlways(chunkedHead + "C0000000\r\n"), 500, 0},
+	{"two lengths", respondAlways("HTTP/1.1 200 OK\r\nContent-Length: 6\r\nContent-Length: 5\r\n\r\nvalid\n"), 500, 0},
+	{"interim answers ahead", respondAlways("HTTP/1.1 103 A\r\n\r\nHTTP/1.1 102 B\r\n\r\n" + validResponse), 200, 1},
+	{"an interim answer alone", respondAlways("HTTP/1.1 102 B\r\n\r\n"), 500, 0},
+	{"not run", respondAlways(notRunHead + "Content-Length: 0\r\n\r\n"), 429, 1},
+	{"not run, 504", respondAlways("HTTP/1.1 504 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 429, 1},
+	{"not run, spoilt", respondThen(notRunHead+"Content-Length: 9\r\n\r\nno", finishConn), 500, 0},
+	{"not run, broken", respondThen(notRunHead+"Content-Length: 9\r\n\r\nno", resetConn), 500, 0},
+	{"not run, half a head", respondThen(notRunHead, resetConn), 500, 0},
+	{"not run, of no status for it", respondAlways("HTTP/1.1 500 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
+		500, 1},
+	{"503 that does not say so", respondAlways("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), 500, 1},
+	{"a 200 that says not run", respondAlways(strings.Replace(validResponse, "Content", "X-Not-Run: 1\r\nContent", 1)),
+		200, 1},
+	{"an answer and its end said", respondAlways(strings.Replace(validResponse, "Content", "Connection: close\r\nContent", 1)),
+		200, 0},
+	{"an answer of HTTP/1.0", respondAlways(strings.Replace(validResponse, "1.1", "1.0", 1)), 200, 0},
+	{"a second answer behind", respondAlways(validResponse + otherResponse), 200, 0},
+	{"half an answer behind", respondAlways(validResponse + "HTTP/1.1 2"), 200, 0},
+}
+
+// However a worker ends a submission, its txn gets one answer in time, that says no more than is proven: what
+// may have run is neither sent again nor declined. Nothing of it is left: each place for a connection is
+// free or holds one that can be used.
+func TestWorkerEndings(t *testing.T) {
+	for _, c := range workerEndings {
+		t.Run(c.name, func(t *testing.T) {
+			b := startScriptedWorker(t, c.script)
+			d := deployBefore(t, b)
+			wait := func(raw string) string { return strings.Replace(raw, "300m", "600m", 1) }
+			got := <-d.sendAsync(wait(issueRequest("/issue", "e1")))
+			if got.status != c.onceStatus || !got.complete || c.onceStatus == 200 && string(got.body) != "valid\n" {
+				t.Errorf("once-only got %d %q, want %d", got.status, got.body, c.onceStatus)
+			}
+			if got.elapsed > 1100*time.Millisecond { // its client waits for 600, and an answer is lost from 1100 on
+				t.Errorf("it got it after %v", got.elapsed)
+			}
+			if n := b.submissions.Load(); n > 1 && c.onceStatus != 429 || n > 3 {
+				t.Errorf("%d submissions", n)
+			}
+			got = <-d.sendAsync(wait(checkRequest("/check", "e2")))
+			want := map[int]int{200: 200}[c.onceStatus]
+			if want == 0 {
+				want = 429
+			}
+			if got.status != want || !got.complete || want == 200 && string(got.body) != "valid\n" {
+				t.Errorf("inquiry got %d %q, want %d", got.status, got.body, want)
+			}
+			d.awaitWorkerConns(c.openConns)
+			checkInvariants(t)
+		})
+	}
+}
+
+// The same ends again and again on one gatekeeper leave no connection counted, and no goroutine.
+func TestWorkerEndsLeaveNothing(t *testing.T) {
+	const times = 3
+	soon := func(raw string) string { return strings.Replace(raw, "300m", "60m", 1) }
+	var script atomic.Pointer[func(*workerConn)]
+	b := startScriptedWorker(t, func(x *workerConn) { (*script.Load())(x) })
+	d := deployBefore(t, b)
+	before := 0
+	for round := range 2 { // the first has each that is kept started
+		for _, c := range workerEndings {
+			script.Store(&c.script)
+			for range times {
+				<-d.sendAsync(soon(issueRequest("/issue", "n1")))
+				<-d.sendAsync(soon(checkRequest("/check", "n2")))
+			}
+			d.awaitWorkerConns(c.openConns)
+			d.gateway.workerConns.Shed(0) // what is kept would play its script on
+			d.awaitWorkerConns(0)
+		}
+		waitFor(t, "scripts play on", func() bool { return b.runningScripts.Load() == 0 })
+		if round == 0 {
+			before = runtime.NumGoroutine()
+		}
+	}
+	end := time.Now().Add(5 * time.Second)
+	for runtime.NumGoroutine() > before && time.Now().Before(end) {
+		time.Sleep(time.Millisecond)
+	}
+	if n := runtime.NumGoroutine(); n > before {
+		t.Errorf("%d goroutines, %d before", n, before)
+	}
+}
+
+// An answer without a length that is too long to be kept passes on as it came, and is whole at its client
+// only where it ended and was not reset. Guards against chunks under a head that does not say so, and against
+// a reset that looks like an end.
+func TestLongResponseWithoutLength(t *testing.T) {
+	body := testBody(200 << 10)
+	head := "HTTP/1.1 200 OK\r\n\r\n"
+	chunked := chunkedHead + "" + fmt.Sprintf("%x\r\n", len(body))
+	stated := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
+	for _, c := range []struct {
+		name   string
+		script func(*workerConn)
+		whole  bool
+		open   int
+	}{
+		{"end", respondThen(head+string(body), finishConn), true, 0},
+		{"reset", respondThen(head+string(body), resetConn), false, 0},
+		{"chunks, no last, end", respondThen(chunked+string(body)+"\r\n", finishConn), false, 0},
+		{"chunks, no last, reset", respondThen(chunked+string(body)+"\r\n", resetConn), false, 0},
+		{"chunks, whole", respondAlways(chunked + string(body) + "\r\n0\r\n\r\n"), true, 1},
+		{"length, short, end", respondThen(stated+string(body[:150<<10]), finishConn), false, 0},
+		{"length, short, reset", respondThen(stated+string(body[:150<<10]), resetConn), false, 0},
+		{"length, whole", respondAlways(stated + string(body)), true, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := startScriptedWorker(t, c.script)
+			d := deployBefore(t, b)
+			got := <-d.sendAsync(withLongDeadline(issueRequest("/issue", "l1")))
+			if got.status != 200 || got.complete != c.whole || c.whole && !bytes.Equal(got.body, body) {
+				t.Errorf("got %d, %d bytes of %d, whole %v, want %v", got.status, len(got.body), len(body), got.complete,
+					c.whole)
+			}
+			if !bytes.HasPrefix(body, got.body) {
+				t.Error("its bytes are not the worker's")
+			}
+			d.awaitWorkerConns(c.open)
+			if n := b.submissions.Load(); n != 1 {
+				t.Errorf("%d submissions", n)
+			}
+		})
+	}
+}
+
+// An answer in chunks without end is broken off for its client, at MostBody.
+func TestEndlessResponse(t *testing.T) {
+	piece := "10000\r\n" + string(testBody(0x10000)) + "\r\n"
+	b := startScriptedWorker(t, respondThen(chunkedHead+"", writeForever(piece)))
+	d := deployBefore(t, b)
+	c, err := net.Dial("tcp", d.address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(20 * time.Second))
+	fmt.Fprint(c, withLongDeadline(issueRequest("/issue", "w1")))
+	got, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if n, err := io.Copy(io.Discard, got.Body); err == nil || n > transport.MostBody {
+		t.Errorf("got %d bytes, %v", n, err)
+	}
+	d.awaitWorkerConns(0)
+}
+
+// What a worker says on a connection beyond its answer is never another txn's: one behind an answer that was
+// kept or passed on as it came, one that comes on the connection once it is idle, half a line, an end. The
+// next txn goes out on a new connection, and gets its own answer.
+func TestNoResponseMixup(t *testing.T) {
+	body := testBody(100 << 10)
+	stated := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body)) + string(body)
+	chunked := chunkedHead + "" + fmt.Sprintf("%x\r\n", len(body)) +
+		string(body) + "\r\n0\r\n\r\n"
+	for _, c := range []struct {
+		name, first string
+		then        func(*workerConn) // once the client has its answer
+		want        []byte
+	}{
+		{"a second answer behind", validResponse + otherResponse, nil, []byte("valid\n")},
+		{"a second answer behind a long one", stated + otherResponse, nil, body},
+		{"a second answer behind one in chunks", chunked + otherResponse, nil, body},
+		{"half a line behind a long one", stated + "HTTP/1.1 2", nil, body},
+		{"a second answer, later", validResponse, func(x *workerConn) { x.respond(otherResponse) }, []byte("valid\n")},
+		{"half a line, later", validResponse, func(x *workerConn) { x.respond("HTTP/1.1 20") }, []byte("valid\n")},
+		{"an end, later", validResponse, func(x *workerConn) { x.finish() }, []byte("valid\n")},
+		{"noise behind a long one, later", stated, func(x *workerConn) { x.respond("noise") }, body},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := startScriptedWorker(t, nil)
+			d := deployBefore(t, b)
+			got := d.sendAsync(withLongDeadline(issueRequest("/issue", "a1")))
+			x := b.accept()
+			defer x.Close()
+			x.readSubmission()
+			// In one write, so that what is read of the answer's end has what is behind it in it.
+			x.respond(c.first)
+			if a := <-got; a.status != 200 || !a.complete || !bytes.Equal(a.body, c.want) {
+				t.Fatalf("the first got %d, %d bytes, whole %v", a.status, len(a.body), a.complete)
+			}
+			if c.then != nil {
+				d.awaitWorkerConns(1)
+				c.then(x)
+			}
+			got = d.sendAsync(withLongDeadline(issueRequest("/issue", "a2")))
+			y := b.accept()
+			defer y.Close()
+			y.readSubmission()
+			y.respond(strings.Replace(validResponse, "valid", "fresh", 1))
+			if a := <-got; a.status != 200 || string(a.body) != "fresh\n" || b.submissions.Load() != 2 {
+				t.Errorf("the second got %d %q after %d submissions", a.status, a.body, b.submissions.Load())
+			}
+			d.awaitWorkerConns(1)
+		})
+	}
+}
+
+// An answer that comes when its txn has been given up on, at its expiry, changes nothing: its client has had
+// one answer and gets no other, and the connection is not used again.
+func TestResponseAfterDeadline(t *testing.T) {
+	b := startScriptedWorker(t, nil)
+	d := deployBefore(t, b)
+	c, err := net.Dial("tcp", d.address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(5 * time.Second))
+	fmt.Fprint(c, issueRequest("/issue", "x1"))
+	x := b.accept()
+	defer x.Close()
+	x.readSubmission()
+	r := bufio.NewReader(c)
+	if a, err := http.ReadResponse(r, nil); err != nil || a.StatusCode != 500 {
+		t.Fatalf("got %+v, %v", a, err)
+	}
+	x.respond(validResponse)
+	d.awaitWorkerConns(0)
+	fmt.Fprint(c, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n") // the next thing that comes is the answer to this
+	if a, err := http.ReadResponse(r, nil); err != nil || a.StatusCode != 200 || a.ContentLength == 6 {
+		t.Errorf("behind it came %+v, %v", a, err)
+	}
+	if checkInvariants(t); b.submissions.Load() != 1 {
+		t.Errorf("%d submissions", b.submissions.Load())
+	}
+}
+
+// begins reads a submission's head and so many bytes of its body.
+func (x *workerConn) readPartial(n int64) {
+	x.worker.t.Helper()
+	req, err := http.ReadRequest(x.reader)
+	if err == nil {
+		_, err = io.CopyN(io.Discard, req.Body, n)
+	}
+	if err != nil {
+		x.worker.t.Error(err)
+	}
+}
+
+// uploads begins a once-only txn with a body of so many bytes, of which some are sent.
+func (d *deployment) startUpload(id string, size, sent int) (net.Conn, *bufio.Reader) {
+	d.t.Helper()
+	c, err := net.Dial("tcp", d.address)
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	d.t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(10 * time.Second))
+	fmt.Fprint(c, strings.Replace(withLongDeadline(issueRequest("/issue", id)), "Length: 0", fmt.Sprint("Length: ", size), 1))
+	go c.Write(make([]byte, sent)) // the gatekeeper need not take it all
+	return c, bufio.NewReader(c)
+}
+
+// A worker has made no answer for a txn whose body it has not got: a second answer to the one before, on a
+// connection that is used again for a long body, settles nothing. What is not whole never ran.
+func TestExtraResponseDuringBody(t *testing.T) {
+	b := startScriptedWorker(t, nil)
+	d := deployBefore(t, b)
+	got := d.sendAsync(withLongDeadline(issueRequest("/issue", "u1")))
+	x := b.accept()
+	x.readSubmission()
+	x.respond(validResponse)
+	<-got
+	d.awaitWorkerConns(1)
+	const size = 300 << 10
+	c, r := d.startUpload("u2", size, size/3)
+	x.readPartial(1 << 10)
+	x.respond(otherResponse)
+	a, err := http.ReadResponse(r, nil)
+	if err != nil || a.StatusCode != http.StatusTooManyRequests {
+		t.Errorf("it got %+v, %v", a, err)
+	}
+	x.awaitClose()
+	d.awaitWorkerConns(0)
+	c.Write(make([]byte, size-size/3)) // and its connection goes on
+	fmt.Fprint(c, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+	if a, err = http.ReadResponse(r, nil); err != nil || a.StatusCode != 200 || b.submissions.Load() != 1 {
+		t.Errorf("behind it %+v, %v, %d submissions", a, err, b.submissions.Load())
+	}
+}
+
+// An answer of no length to half a body, and then a reset: whoever of the two that read and write meets the
+// reset first, it is no end.
+func TestResetDuringBody(t *testing.T) {
+	const head = "HTTP/1.1 200 OK\r\n\r\n"
+	for _, text := range []string{head + "valid\n", head, "", head[:11]} {
+		t.Run(fmt.Sprint(len(text)), func(t *testing.T) {
+			b := startScriptedWorker(t, nil)
+			d := deployBefore(t, b)
+			const size = 8 << 20
+			_, r := d.startUpload("r1", size, size/2)
+			x := b.accept()
+			x.readPartial(1 << 10)
+			x.respond(text)
+			x.reset()
+			if a, err := http.ReadResponse(r, nil); err != nil || a.StatusCode != http.StatusTooManyRequests {
+				t.Errorf("it got %+v, %v", a, err)
+			}
+			d.awaitWorkerConns(0)
+			if n := b.submissions.Load(); n != 0 {
+				t.Errorf("%d submissions", n)
+			}
+		})
+	}
+}
+
+// A worker that hangs in the middle of a long body, and says nothing, is left after BodyPause: the txn has
+// its answer then, also where submissions may not be withdrawn. Guards against a wait for an answer without
+// end.
+func TestWorkerHangsDuringBody(t *testing.T) {
+	for _, swap := range []string{`"cancel":true`, `"cancel":false`} {
+		t.Run(swap, func(t *testing.T) {
+			t.Parallel()
+			b := startScriptedWorker(t, nil)
+			d := deployBefore(t, b, `"cancel":true`, swap)
+			const size = 16 << 20
+			_, r := d.startUpload("h1", size, size)
+			x := b.accept()
+			defer x.Close()
+			x.readPartial(1 << 10)
+			if a, err := http.ReadResponse(r, nil); err != nil || a.StatusCode != http.StatusTooManyRequests {
+				t.Errorf("it got %+v, %v", a, err)
+			}
+			d.awaitWorkerConns(0)
+		})
+	}
+}
+
+// An answer that comes before its body is passed on at once, though the worker takes no more of that and
+// leaves the connection up. Guards against one that is held back for BodyPause.
+func TestEarlyResponseForwardedAtOnce(t *testing.T) {
+	b := startScriptedWorker(t, nil)
+	d := deployBefore(t, b)
+	const size = 16 << 20
+	_, r := d.startUpload("f1", size, size)
+	x := b.accept()
+	defer x.Close()
+	x.SetReadBuffer(4 << 10)
+	x.readPartial(1 << 10)
+	write := runtime.FuncForPC(reflect.ValueOf((*transport.Link).Write).Pointer()).Name() // as in a stack
+	stack := make([]byte, 1<<20)
+	waitFor(t, "nothing more goes to it", func() bool {
+		for _, s := range strings.Split(string(stack[:runtime.Stack(stack, true)]), "\n\n") {
+			if strings.Contains(s, "[IO wait") && strings.Contains(s, write+"(") {
+				return true
+			}
+		}
+		return false
+	})
+	start := time.Now()
+	x.respond(notRunHead + "Content-Length: 0\r\n\r\n")
+	a, err := http.ReadResponse(r, nil)
+	if took := time.Since(start); err != nil || a.StatusCode != 429 || took > 1500*time.Millisecond {
+		t.Errorf("it got %+v, %v after %v", a, err, took)
+	}
+	d.awaitWorkerConns(0)
+}
+
+// An interim answer that comes while a long body goes out begins no answer that may not pause: the body takes
+// its time.
+func TestInterimResponseDuringBody(t *testing.T) {
+	b := startScriptedWorker(t, nil)
+	d := deployBefore(t, b)
+	const size = 200 << 10
+	c, r := d.startUpload("i1", size, size/2)
+	x := b.accept()
+	defer x.Close()
+	req, err := http.ReadRequest(x.reader)
+	if err != nil {
+		t.Fatal(err)
+	}
+	x.respond("HTTP/1.1 102 On\r\n\r\n")
+	time.Sleep(250 * time.Millisecond) // longer than an answer may pause
+	c.Write(make([]byte, size-size/2))
+	if n, err := io.Copy(io.Discard, req.Body); n != size || err != nil {
+		t.Fatalf("the worker got %d bytes, %v", n, err)
+	}
+	x.respond(validResponse)
+	a, err := http.ReadResponse(r, nil)
+	if err != nil || a.StatusCode != 200 {
+		t.Fatalf("it got %+v, %v", a, err)
+	}
+	d.awaitWorkerConns(1)
+	got := d.sendAsync(withLongDeadline(issueRequest("/issue", "i2"))) // and the connection is good for another
+	x.readSubmission()
+	x.respond(validResponse)
+	if a := <-got; a.status != 200 {
+		t.Errorf("the next got %d", a.status)
+	}
+}
+
+// No submission of a txn begins while the one before is still out on an open connection: what is no answer
+// ends its connection first. The stand-in looks at it in the moment in which the next one has come whole.
+func TestNoOverlappingAttempts(t *testing.T) {
+	const established = 1
+	for _, c := range []struct{ name, says string }{
+		{"noise", "what is this, then?\r\n\r\n"},
+		{"half a status line", "HTTP/1.1 20"},
+		{"length too short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nvalid\n"},
+		{"an error that goes on", "HTTP/1.1 500 No\r\nContent-Length: 200000\r\n\r\nno"},
+		{"an error of no length", "HTTP/1.1 500 No\r\n\r\nno"},
+		{"not run, half", notRunHead + "Content-Length: 9\r\n\r\nno"},
+		{"silence", ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := startScriptedWorker(t, nil)
+			d := deployBefore(t, b)
+			got := d.sendAsync(withLongDeadline(checkRequest("/check", "o1")))
+			x := b.accept()
+			defer x.Close()
+			x.readSubmission()
+			x.respond(c.says)
+			y := b.accept()
+			defer y.Close()
+			y.readSubmission()
+			state := uint8(0)
+			x.awaitSocket(func(_ int, is uint8) bool { state = is; return true })
+			if state == established {
+				t.Error("the one before is still out")
+			}
+			y.respond(validResponse)
+			if a := <-got; a.status != 200 || b.submissions.Load() != 2 {
+				t.Errorf("it got %d after %d submissions", a.status, b.submissions.Load())
+			}
+			d.awaitWorkerConns(1)
+		})
+	}
+}
+
+// The same where the body goes out whole while the second answer is still coming: it says nothing of this
+// txn, which may run.
+func TestExtraResponseAcrossBody(t *testing.T) {
+	b := startScriptedWorker(t, nil)
+	d := deployBefore(t, b)
+	const size = 300 << 10
+	c, r := d.startUpload("c1", size, size/3)
+	x := b.accept()
+	defer x.Close()
+	req, err := http.ReadRequest(x.reader)
+	if err != nil {
+		t.Fatal(err)
+	}
+	x.respond("HTTP/1.1 200 OK\r\nX-Pad: ")
+	got := make(chan int64)
+	go func() {
+		n, _ := io.Copy(io.Discard, req.Body)
+		got <- n
+	}()
+	go c.Write(make([]byte, size-size/3))
+	for whole := false; !whole; { // it goes on coming, slowly, until the body is there
+		select {
+		case n := <-got:
+			if whole = true; n != size {
+				t.Fatalf("the worker got %d bytes", n)
+			}
+		case <-time.After(5 * time.Millisecond):
+			x.respond("x")
+		}
+	}
+	x.respond("\r\nContent-Length: 6\r\n\r\nother\n")
+	if a, err := http.ReadResponse(r, nil); err != nil || a.StatusCode != http.StatusInternalServerError {
+		t.Errorf("it got %+v, %v", a, err)
+	}
+	d.awaitWorkerConns(0)
+}
--- a/internal/lab/scale/hosts.go
+++ b/internal/lab/scale/hosts.go
@@ -108,7 +108,7 @@
 	}
 	var l ruleset.Lease
 	if o.seat != nil {
-		w.Header().Set(lifecycle.IndexHeader, strconv.FormatInt(o.seat.HighestDiscoveryIndex(), 10))
+		w.Header().Set(lifecycle.DiscoveryIndexHeader, strconv.FormatInt(o.seat.HighestDiscoveryIndex(), 10))
 		var ok bool
 		if l, ok = o.seat.RenewLease(pid, name, holds, index); !ok {
 			http.Error(w, "no quorum has confirmed within the lease what is in force",
--- a/internal/lab/scale/keepers.go
+++ b/internal/lab/scale/keepers.go
@@ -170,7 +170,7 @@
 			return &counted{Conn: c, t: &k.of.tally}, nil
 		}}
 	if k.c.Changes {
-		k.changes = relay.NewClient([]string{k.c.Host}, lifecycle.AskPath)
+		k.changes = relay.NewClient([]string{k.c.Host}, lifecycle.UpdatePath)
 		k.copied = distribution.NewReplica(k.c.Name, k.c.Pid, int64(k.c.Pid))
 	}
 	k.heard, k.asks, k.again = ruleset.Version{}, false, false
@@ -243,13 +243,13 @@
 	lease := k.heard.Rules.LeaseMillis
 	if k.copied != nil {
 		question := k.copied.NewRequest(boot(), k.holder.AckedStep(), -1)
-		go func() { k.answer <- k.callFor(question, lifecycle.AnswerWithin(lease)) }()
+		go func() { k.answer <- k.callFor(question, lifecycle.RequestTimeoutMillis(lease)) }()
 		return
 	}
 	q := url.Values{"instance": {k.c.Name}, "pid": {strconv.Itoa(k.c.Pid)},
 		"holds": {strconv.FormatUint(k.holder.AckedStep(), 10)}, "index": {"-1"}}
 	at := "http://" + k.c.Host + lifecycle.LeasePath + "?" + q.Encode()
-	go func() { k.answer <- k.call(at, lifecycle.AnswerWithin(lease)) }()
+	go func() { k.answer <- k.call(at, lifecycle.RequestTimeoutMillis(lease)) }()
 }
 
 func (k *keeper) call(at string, within float64) (got answered) {
--- a/internal/lab/scale/relays.go
+++ b/internal/lab/scale/relays.go
@@ -202,7 +202,7 @@
 		b.wait.Go(func() { feed.Run(ctx) })
 	}
 	mux := http.NewServeMux()
-	mux.Handle("POST "+lifecycle.AskPath, relay.NewHandler(b.ask))
+	mux.Handle("POST "+lifecycle.UpdatePath, relay.NewHandler(b.ask))
 	server := &http.Server{Handler: mux, ReadTimeout: time.Second, WriteTimeout: time.Second,
 		MaxHeaderBytes: 4096, IdleTimeout: time.Minute}
 	b.server = server
--- a/internal/supervisor/cluster_fault_test.go
+++ b/internal/supervisor/cluster_fault_test.go
@@ -720,7 +720,7 @@
 		return nil
 	}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path == lifecycle.AskPath { // an older program does not use this path
+		if r.URL.Path == lifecycle.UpdatePath { // an older program does not use this path
 			http.NotFound(w, r)
 			return
 		}
--- a/internal/supervisor/control.go
+++ b/internal/supervisor/control.go
@@ -53,7 +53,7 @@
 	mux.HandleFunc("GET /fleet/stats", d.handleStats)
 	if d.rules != nil {
 		mux.HandleFunc("GET "+lifecycle.LeasePath, d.handleLease)
-		mux.Handle("POST "+lifecycle.AskPath, relay.NewHandler(d.answerUpdateRequest))
+		mux.Handle("POST "+lifecycle.UpdatePath, relay.NewHandler(d.answerUpdateRequest))
 	}
 	if d.rules != nil && d.rules.voter != nil {
 		mux.HandleFunc("GET /fleet/council", d.handleCouncilStatus)
--- a/internal/supervisor/control_cost_test.go
+++ b/internal/supervisor/control_cost_test.go
@@ -163,7 +163,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+lifecycle.LeasePath, daemon.handleLease)
 	if distribution == "relays" {
-		mux.Handle("POST "+lifecycle.AskPath, relay.NewHandler(daemon.answerUpdateRequest))
+		mux.Handle("POST "+lifecycle.UpdatePath, relay.NewHandler(daemon.answerUpdateRequest))
 	}
 	server := httptest.NewServer(mux)
 	defer server.Close()
--- a/internal/supervisor/lease_requests.go
+++ b/internal/supervisor/lease_requests.go
@@ -64,7 +64,7 @@
 		http.Error(w, notKept(pid, name), http.StatusForbidden)
 		return name, lease, false
 	}
-	w.Header().Set(lifecycle.IndexHeader, strconv.FormatInt(d.rules.HighestDiscoveryIndex(), 10))
+	w.Header().Set(lifecycle.DiscoveryIndexHeader, strconv.FormatInt(d.rules.HighestDiscoveryIndex(), 10))
 	if lease, ok = d.rules.RenewLease(pid, name, heldStep, index); !ok {
 		http.Error(w, notConfirmed, http.StatusServiceUnavailable)
 	}
