--- a/internal/gateway/lifecycle/admin_test.go
+++ b/internal/gateway/lifecycle/admin_test.go
@@ -38,8 +38,8 @@
 func TestStats(t *testing.T) {
 	d := deployWithAdmin(t)
 	tiny := strings.Replace(checkRequest("/check", "t1"), "basic", "tiny", 1)
-	for i, raw := range []string{checkRequest("/check", "a"), saleRequest("/sale", "b"), issueRequest("/issue?fault", "c"),
-		tiny, strings.Replace(tiny, "t1", "t2", 1), checkRequest("/check", ""),
+	for i, raw := range []string{checkRequest("/check", "a"), saleRequest("/sale", "b"),
+		issueRequest("/issue?fault", "c"), tiny, strings.Replace(tiny, "t1", "t2", 1), checkRequest("/check", ""),
 		"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"} {
 		if status, _ := d.send(raw); status == "" {
 			t.Errorf("no answer to %d", i)
--- a/internal/gateway/lifecycle/bootstrap.go
+++ b/internal/gateway/lifecycle/bootstrap.go
@@ -12,94 +12,43 @@
 	"willowdeck/internal/gateway/recovery/bootstrap"
 	"willowdeck/internal/gateway/transport"
 	"willowdeck/internal/gateway/transport/endpoints"
-	"willowdeck/internal/ruleset"
 )
 
-// alive notes that discovery is heard.
-func (g *Gateway) discoveryResponded() {
-	defer g.markFirstWatch()
-	g.endpointsMu.Lock()
-	defer g.endpointsMu.Unlock()
-	if whole, changed := g.endpoints.Alive(g.dispatcher.Now()); changed {
-		g.dispatcher.ApplyEndpoints(whole)
-	}
-}
-
-// words takes the operators' words on workers and halls.
-func (g *Gateway) applyWorkerOverrides(all []ruleset.WorkerOverride) {
-	g.endpointsMu.Lock()
-	defer g.endpointsMu.Unlock()
-	g.dispatcher.ApplyEndpoints(g.endpoints.Words(all))
-}
-
-// discovered gives the index of discovery's list that is known here; below nought where it has not spoken.
-func (g *Gateway) discoveryIndex() int64 {
-	g.endpointsMu.Lock()
-	defer g.endpointsMu.Unlock()
-	if !g.endpoints.Heard() {
-		return -1
-	}
-	return g.endpoints.Version()
-}
-
-// lags takes the highest index of discovery's list that any instance has. Where this one has been behind it
-// for long, it asks the others.
-func (g *Gateway) checkDiscoveryLag(highest int64) {
-	g.endpointsMu.Lock()
-	late := g.endpoints.Lags(highest, g.dispatcher.Now()) && g.endpoints.Waits()
-	g.endpointsMu.Unlock()
-	if late && len(g.config.Ask) > 0 && g.requestingEndpoints.CompareAndSwap(false, true) {
-		g.log.Warn().Int64("index", g.discoveryIndex()).Int64("highest", highest).
-			Msg("discovery lags here, asking others for the list")
-		go g.requestEndpoints(g.config.Ask, rand.New(rand.NewSource(g.config.Seed)))
-	}
-}
-
-// Tells tells whether newcomers may ask here.
+// Tells reports whether joining instances may request endpoints here.
 func (g *Gateway) Tells() bool { return g.config.Tells }
 
-// List gives what a newcomer may be told of workers; false where discovery has not spoken here.
-func (g *Gateway) List() (list []byte, age float64, ok bool) {
+// List gives the encoded endpoints for a joining instance, and their age in milliseconds; false where
+// discovery has not responded here.
+func (g *Gateway) List() (list []byte, ageMillis float64, ok bool) {
 	g.endpointsMu.Lock()
 	defer g.endpointsMu.Unlock()
-	l, age, ok := g.endpoints.Tells(g.dispatcher.Now())
+	l, ageMillis, ok := g.endpoints.Tells(g.dispatcher.Now())
 	if ok {
 		var err error
 		if list, err = endpoints.Append(nil, l); err != nil {
 			return nil, 0, false
 		}
 	}
-	return list, age, ok
+	return list, ageMillis, ok
 }
 
-// ask asks running instances for their list until discovery has spoken. Nothing waits for it.
+// requestEndpoints requests endpoints from running instances until discovery has responded. It runs on a
+// goroutine of its own, which Stop ends.
 func (g *Gateway) requestEndpoints(peers []string, rng *rand.Rand) {
 	defer g.requestingEndpoints.Store(false)
 	client := fasthttp.Client{MaxResponseBodySize: bootstrap.LongestOf, MaxIdemponentCallAttempts: 1,
 		NoDefaultUserAgentHeader: true, ReadTimeout: transport.Millis(bootstrap.AskWithin)}
 	for {
-		for _, at := range peers {
-			g.endpointsMu.Lock()
-			waits := g.endpoints.Waits()
-			g.endpointsMu.Unlock()
-			if !waits {
+		for _, peer := range peers {
+			if !g.needsPeerEndpoints() {
 				return
 			}
-			l, age, err := fetchEndpoints(&client, at)
+			list, ageMillis, err := fetchEndpoints(&client, peer)
 			if err != nil {
-				g.log.Debug().Err(err).Str("peer", at).Msg("no list from a peer")
+				g.log.Debug().Err(err).Str("peer", peer).Msg("no endpoints from peer")
 				continue
 			}
-			g.endpointsMu.Lock()
-			whole, changed := g.endpoints.Peer(l, age)
-			if changed {
-				g.dispatcher.ApplyEndpoints(whole)
-			}
-			g.endpointsMu.Unlock()
-			if changed {
-				g.log.Info().Str("peer", at).Int64("version", l.Version).Float64("age_ms", age).
-					Int("workers", len(whole.Workers)).Msg("going by a peer's list until discovery speaks")
-			}
+			g.applyPeerEndpoints(peer, list, ageMillis)
 		}
 		select {
 		case <-g.done:
@@ -109,24 +58,45 @@
 	}
 }
 
-// listOf asks an instance for its list.
-func fetchEndpoints(client *fasthttp.Client, at string) (endpoints.List, float64, error) {
+// needsPeerEndpoints reports whether discovery has yet to respond, or lags.
+func (g *Gateway) needsPeerEndpoints() bool {
+	g.endpointsMu.Lock()
+	defer g.endpointsMu.Unlock()
+	return g.endpoints.Waits()
+}
+
+// applyPeerEndpoints uses a peer's list where it is newer than the one here.
+func (g *Gateway) applyPeerEndpoints(peer string, list endpoints.List, ageMillis float64) {
+	g.endpointsMu.Lock()
+	merged, changed := g.endpoints.Peer(list, ageMillis)
+	if changed {
+		g.dispatcher.ApplyEndpoints(merged)
+	}
+	g.endpointsMu.Unlock()
+	if changed {
+		g.log.Info().Str("peer", peer).Int64("version", list.Version).Float64("age_ms", ageMillis).
+			Int("workers", len(merged.Workers)).Msg("using a peer's endpoints until discovery responds")
+	}
+}
+
+// fetchEndpoints requests an instance's endpoints, and gives their age in milliseconds.
+func fetchEndpoints(client *fasthttp.Client, address string) (endpoints.List, float64, error) {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	req.SetRequestURI("http://" + at + admin.ListPath)
+	req.SetRequestURI("http://" + address + admin.ListPath)
 	req.SetConnectionClose()
 	if err := client.DoTimeout(req, res, transport.Millis(bootstrap.AskWithin)); err != nil {
 		return endpoints.List{}, 0, err
 	}
-	if v := string(res.Header.Peek(admin.VersionHeader)); res.StatusCode() != fasthttp.StatusOK ||
-		v != strconv.Itoa(bootstrap.Version) {
-		return endpoints.List{}, 0, fmt.Errorf("status %d, version %q", res.StatusCode(), v)
+	if version := string(res.Header.Peek(admin.VersionHeader)); res.StatusCode() != fasthttp.StatusOK ||
+		version != strconv.Itoa(bootstrap.Version) {
+		return endpoints.List{}, 0, fmt.Errorf("status %d, version %q", res.StatusCode(), version)
 	}
-	age, err := strconv.ParseFloat(string(res.Header.Peek(admin.AgeHeader)), 64)
+	ageMillis, err := strconv.ParseFloat(string(res.Header.Peek(admin.AgeHeader)), 64)
 	if err != nil {
 		return endpoints.List{}, 0, fmt.Errorf("%s: %w", admin.AgeHeader, err)
 	}
-	l, err := endpoints.Decode(res.Body())
-	return l, age, err
+	list, err := endpoints.Decode(res.Body())
+	return list, ageMillis, err
 }
--- a/internal/gateway/lifecycle/bootstrap_test.go
+++ b/internal/gateway/lifecycle/bootstrap_test.go
@@ -37,8 +37,12 @@
 			time.Sleep(time.Millisecond)
 		}
 		d := up.Load()
-		return fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[%s,%s]}`, version, d.endpointEntry(0, "leaving", 0),
-			d.endpointEntry(1, "active", 0))
+		return fmt.Sprintf(
+			`{"index":%d,"snapshot":true,"endpoints":[%s,%s]}`,
+			version,
+			d.endpointEntry(0, "leaving", 0),
+			d.endpointEntry(1, "active", 0),
+		)
 	}
 	says := func(version, age string, body func() string) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -104,7 +108,11 @@
 			conf := d.config
 			conf.Discovery = list
 			d.gateway.Reload(conf, nil)
-			waitFor(t, "hearsay outlives discovery's word", func() bool { return d.gateway.dispatcher.Tally().Workers == 2 })
+			waitFor(
+				t,
+				"hearsay outlives discovery's word",
+				func() bool { return d.gateway.dispatcher.Tally().Workers == 2 },
+			)
 		})
 	}
 }
--- a/internal/gateway/lifecycle/borrowing.go
+++ b/internal/gateway/lifecycle/borrowing.go
@@ -12,82 +12,98 @@
 	"willowdeck/internal/testkit/history"
 )
 
-// creditEach is how often the book of credit looks after what is owed, ms.
+// collectIntervalMillis is how often repayments that are due are collected.
 const collectIntervalMillis = 100.0
 
-// bookOf is where the book of credit is kept, beside the residue.
+// ledgerSuffix is appended to the path of the crash state for that of the ledger of borrowing.
 const ledgerSuffix = ".credit"
 
-// lend has the gatekeeper lend what plans allow, once any does: those of its settings, or of rules that are
-// agreed on later. Nothing is lent where a sudden end would forget a debt, or
-// where peers that share customers can't be told from their former lives.
-func (g *Gateway) enableBorrowing(by []policy.Plan) {
+// enableBorrowing lets customers borrow as plans allow, once any plan does: one of the configuration, or of a
+// ruleset that is adopted later. It stays disabled where a crash would forget a debt, or where peers that
+// share customers can't be told from their earlier incarnations.
+func (g *Gateway) enableBorrowing(plans []policy.Plan) {
 	c := g.config.Charter
-	plans, any := proxy.CreditLines(by)
+	creditLines, allowed := proxy.CreditLines(plans)
 	switch {
-	case !any || g.standby.Load() || !g.borrowingEnabled.CompareAndSwap(false, true):
+	case !allowed || g.standby.Load() || !g.borrowingEnabled.CompareAndSwap(false, true):
 		return
 	case g.config.Residue == "":
-		g.log.Warn().Msg("settings.tariffs: credit_s lends nothing, as nothing is kept over a sudden end (residue)")
+		g.log.Warn().Msg("settings.tariffs: credit_s has no effect without a crash state (--residue)")
 		return
 	case c.Gatekeepers > 1 && (g.peers == nil || !g.config.Tells):
-		g.log.Warn().Msg("settings.tariffs: credit_s lends nothing, as peers do not say which life they speak of")
+		g.log.Warn().
+			Msg("settings.tariffs: credit_s has no effect, as peers' messages name no incarnation (--tell)")
 		return
 	}
-	f, err := ledger.Open(g.config.Residue+ledgerSuffix, c.Me)
+	book, err := ledger.Open(g.config.Residue+ledgerSuffix, c.Me)
 	if err != nil {
-		g.log.Warn().Err(err).Msg("nothing is lent")
+		g.log.Warn().Err(err).Msg("borrowing disabled, its ledger could not be opened")
 		return
 	}
-	t := borrowing.Terms{Me: c.Me, Gatekeepers: int(g.memberCount.Load()), Plans: plans,
+	terms := borrowing.Terms{Me: c.Me, Gatekeepers: int(g.memberCount.Load()), Plans: creditLines,
 		PeerInPerS: c.PeerInPerS}
-	b := borrowing.New(t, g.config.Seed, f.Born)
-	b.Clock(f.Now())
-	for _, k := range f.Records {
-		b.Restore(k.Place, k.Record)
+	accounts := borrowing.New(terms, g.config.Seed, book.Born)
+	accounts.Clock(book.Now())
+	for _, kept := range book.Records {
+		accounts.Restore(kept.Place, kept.Record)
 	}
-	g.log.Info().Int("customers", len(f.Records)).Int("spoilt", f.Spoilt).
-		Float64("age_s", (f.Now()-f.Born)/1000).Msg("lending")
-	f.Records = nil
-	var r history.Recorder
+	g.log.Info().Int("customers", len(book.Records)).Int("corrupt", book.Spoilt).
+		Float64("age_s", (book.Now()-book.Born)/1000).Msg("borrowing enabled")
+	book.Records = nil
+	var recorder history.Recorder
 	if g.history != nil {
-		r = g.history
+		recorder = g.history
 	}
-	g.dispatcher.EnableBorrowing(b, f, r, g.config.Names.PlanNames())
+	g.dispatcher.EnableBorrowing(accounts, book, recorder, g.config.Names.PlanNames())
 	if g.peers != nil {
 		g.peers.Credit(g.dispatcher.ReceiveCredit)
 	}
-	go func() {
-		t := time.NewTicker(transport.Millis(collectIntervalMillis))
-		defer t.Stop()
-		for {
-			select {
-			case <-t.C:
-				g.dispatcher.CollectDue()
-			case <-g.done:
-				return
-			}
+	go g.collectRepayments()
+}
+
+// collectRepayments collects what is due until the gateway stops.
+func (g *Gateway) collectRepayments() {
+	ticker := time.NewTicker(transport.Millis(collectIntervalMillis))
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+			g.dispatcher.CollectDue()
+		case <-g.done:
+			return
 		}
-	}()
+	}
 }
 
-// creditFigures adds what operators see of credit, in units; where nothing is lent there is none.
-func (g *Gateway) borrowingFigures(add func(name string, v int64)) {
-	f, on := g.dispatcher.CreditFigures()
-	if !on {
+// borrowingFigures adds the stats of borrowing, in units of quota; none where it is disabled.
+func (g *Gateway) borrowingFigures(add func(name string, value int64)) {
+	f, enabled := g.dispatcher.CreditFigures()
+	if !enabled {
 		return
 	}
-	for _, m := range []struct {
-		name string
-		v    float64
-	}{{"outstanding", f.Outstanding}, {"rights", f.Rights}, {"earning", f.Earn}, {"lent", f.Lent},
-		{"repaid", f.Repaid}, {"earned", f.Earned}, {"undone", f.Undone}, {"late", f.Late}, {"handed", f.Handed},
-		{"taken", f.Taken}, {"moved", f.Moved}, {"customers", float64(f.Customers)},
-		{"refused.wide", float64(f.Refused[borrowing.Wide])}, {"refused.no_place",
-			float64(f.Refused[borrowing.NoPlace])},
-		{"refused.unsure", float64(f.Refused[borrowing.Unsure])}, {"refused.short",
-			float64(f.Refused[borrowing.Short])},
-		{"strayed", float64(f.Strayed)}, {"forgotten", float64(f.Forgotten)}} {
-		add("credit."+m.name, int64(math.Round(m.v)))
+	for _, figure := range []struct {
+		name  string
+		value float64
+	}{
+		{"outstanding", f.Outstanding},
+		{"rights", f.Rights},
+		{"earning", f.Earn},
+		{"lent", f.Lent},
+		{"repaid", f.Repaid},
+		{"earned", f.Earned},
+		{"undone", f.Undone},
+		{"late", f.Late},
+		{"handed", f.Handed},
+		{"taken", f.Taken},
+		{"moved", f.Moved},
+		{"customers", float64(f.Customers)},
+		{"refused.wide", float64(f.Refused[borrowing.Wide])},
+		{"refused.no_place", float64(f.Refused[borrowing.NoPlace])},
+		{"refused.unsure", float64(f.Refused[borrowing.Unsure])},
+		{"refused.short", float64(f.Refused[borrowing.Short])},
+		{"strayed", float64(f.Strayed)},
+		{"forgotten", float64(f.Forgotten)},
+	} {
+		add("credit."+figure.name, int64(math.Round(figure.value)))
 	}
 }
--- a/internal/gateway/lifecycle/descriptors.go
+++ b/internal/gateway/lifecycle/descriptors.go
@@ -10,56 +10,64 @@
 	"willowdeck/internal/policy"
 )
 
-// Descriptors that are held beside those of SpareFiles, where that is on. These are twelve in any gatekeeper
-// (docs/incidents/mass.md has the count); two more are for the talk with an heir, two for calls to others.
+// Descriptors that a gateway holds beside policy.SpareFiles, if the part in question is configured.
+// SpareFiles covers the twelve of any gateway (docs/incidents/mass.md has the count), two for a hot restart
+// and two for outgoing calls.
 const (
 	journalDescriptors    = 4 // a segment, its folder for a moment, and the lock
-	adminDescriptors      = 2 // operators' address, and a call that waits for a place
-	crashStateDescriptors = 3 // what outlives a sudden end, its copies, and the book of credit
+	adminDescriptors      = 2 // the listener, and a call that waits for its turn
+	crashStateDescriptors = 3 // crash state, checkpoints, and the ledger of borrowing
 	historyDescriptors    = 1
 )
 
-// Room is how many descriptors a gatekeeper may hold of those that are configured: no more than the system
-// allows, beside those that the process was started with and has no use for. To be called as it begins.
-// Guards against clients that fill what the system allows, where that is less than is configured: the watch
-// and connections to workers would find none.
+// SocketLimit is how many descriptors a gateway may use of those that are configured: no more than the
+// system's limit, less those that the process was started with. It is to be called before any is opened.
+// Guards against clients that use up the system's limit where that is lower than the configured one: none
+// would be left for the discovery watch and for connections to workers.
 func SocketLimit(configured int) int {
-	var l syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l) != nil {
+	var limit syscall.Rlimit
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil {
 		return configured
 	}
-	return int(min(uint64(configured), max(l.Cur, uint64(inheritedDescriptors())+1)-uint64(inheritedDescriptors())))
+	inherited := uint64(inheritedDescriptors())
+	return int(min(uint64(configured), max(limit.Cur, inherited+1)-inherited))
 }
 
-// inherited counts the descriptors there are, but for the standard ones and the runtime's own.
-func inheritedDescriptors() (n int) {
+// inheritedDescriptors counts the open descriptors without the standard ones and the runtime's own.
+func inheritedDescriptors() (count int) {
 	const dir = "/proc/self/fd/"
-	all, _ := os.ReadDir(dir)
-	for _, f := range all {
-		to, err := os.Readlink(dir + f.Name()) // an error is that of the folder itself
-		if fd, _ := strconv.Atoi(f.Name()); err == nil && fd > 2 && !strings.HasPrefix(to, "anon_inode:[event") &&
-			!strings.HasPrefix(to, "/sys/fs/cgroup/") {
-			n++
+	entries, _ := os.ReadDir(dir)
+	for _, entry := range entries {
+		target, err := os.Readlink(dir + entry.Name()) // fails for the descriptor of the folder itself
+		fd, _ := strconv.Atoi(entry.Name())
+		if err == nil && fd > 2 && !strings.HasPrefix(target, "anon_inode:[event") &&
+			!strings.HasPrefix(target, "/sys/fs/cgroup/") {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// places gives how many connections clients may have, and workers: of the descriptors that are left beside
-// all that the gatekeeper holds otherwise. So the watch, the peers and files never wait for a client's.
+// connectionLimits gives how many connections clients may have, and how many there may be to workers: parts
+// of the descriptors that are left beside all others. So the watch, the peers and files never wait for a
+// client to close one.
 func connectionLimits(c config.Gatekeeper) (clients, workers int) {
 	own := policy.SpareFiles + c.Forward.Connections()
 	for _, part := range []struct {
-		on    bool
-		files int
-	}{{c.Control != "", policy.OperatorCalls + adminDescriptors}, {c.Journal != nil, journalDescriptors},
-		{c.Residue != "", crashStateDescriptors}, {c.History != "", historyDescriptors}} {
-		if part.on {
-			own += part.files
+		configured  bool
+		descriptors int
+	}{
+		{c.Control != "", policy.OperatorCalls + adminDescriptors},
+		{c.Journal != nil, journalDescriptors},
+		{c.Residue != "", crashStateDescriptors},
+		{c.History != "", historyDescriptors},
+	} {
+		if part.configured {
+			own += part.descriptors
 		}
 	}
 	spare := float64(max(c.Sockets-own, 2))
-	if c.Scratch != "" { // a process that gets ready to take this one's place is counted with it
+	if c.Scratch != "" { // a successor that is starting has descriptors of its own
 		spare -= min(policy.SpareFiles+policy.OperatorCalls, spare/4)
 	}
 	return int(spare * policy.ClientPart), max(int(spare*policy.WorkerPart), 1)
--- a/internal/gateway/lifecycle/disconnect_test.go
+++ b/internal/gateway/lifecycle/disconnect_test.go
@@ -39,7 +39,8 @@
 				}()
 			}
 		}()
-		d.updates <- fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[%s]}`, 8+i, d.endpointEntry(i, "active", 0))
+		d.updates <- fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[%s]}`, 8+i,
+			d.endpointEntry(i, "active", 0))
 	}
 	for !d.gateway.ready() || d.gateway.dispatcher.Tally().Workers < 2 {
 		time.Sleep(time.Millisecond)
--- a/internal/gateway/lifecycle/discovery_test.go
+++ b/internal/gateway/lifecycle/discovery_test.go
@@ -83,8 +83,13 @@
 		now := time.Now()
 		ran += min(now.Sub(last), late)
 		if last = now; ran > transport.Millis(most) {
-			t.Fatalf("%d workers are active %v (%v) later, not %d", d.gateway.dispatcher.Tally().Workers, ran, time.Since(began),
-				workers)
+			t.Fatalf(
+				"%d workers are active %v (%v) later, not %d",
+				d.gateway.dispatcher.Tally().Workers,
+				ran,
+				time.Since(began),
+				workers,
+			)
 		}
 	}
 	t.Logf("told after %v, of which the machine stood still for %v", time.Since(began), time.Since(began)-ran)
@@ -239,7 +244,12 @@
 }
 
 // meeting gives one whose list has the first worker of a configuration drain.
-func newScriptedDiscovery(t *testing.T, at string, c *config.Gatekeeper, turn time.Duration) *scriptedDiscovery {
+func newScriptedDiscovery(
+	t *testing.T,
+	at string,
+	c *config.Gatekeeper,
+	turn time.Duration,
+) *scriptedDiscovery {
 	t.Helper()
 	l := endpoints.List{Version: c.Known.Version + 1, Workers: []endpoints.Worker{c.Known.Workers[0]}}
 	l.Workers[0].Active = false
@@ -247,7 +257,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &scriptedDiscovery{address: at, handled: make(chan string, 99), behaviours: make(chan string, 99), list: string(raw), delay: turn}
+	return &scriptedDiscovery{
+		address:    at,
+		handled:    make(chan string, 99),
+		behaviours: make(chan string, 99),
+		list:       string(raw),
+		delay:      turn,
+	}
 }
 
 // open has it listen.
--- a/internal/gateway/lifecycle/forwardauth_test.go
+++ b/internal/gateway/lifecycle/forwardauth_test.go
@@ -137,7 +137,8 @@
 	if r := roundTrip(t, d.address, tiny("t1")); r.StatusCode != 200 {
 		t.Fatalf("it comes: %v", r.Status)
 	}
-	for _, again := range []string{roundTrip(t, d.address, tiny("t1")).Status, roundTrip(t, at, authRequest(tiny("t1"))).Status} {
+	for _, again := range []string{roundTrip(t, d.address, tiny("t1")).Status,
+		roundTrip(t, at, authRequest(tiny("t1"))).Status} {
 		if !strings.HasPrefix(again, "409") {
 			t.Errorf("it comes again: %s", again)
 		}
@@ -183,7 +184,12 @@
 	if n := d.gateway.dispatcher.Tally().Customers; n != 1 || len(d.submissions()) != 0 {
 		t.Errorf("%d customers, %d submitted", n, len(d.submissions()))
 	}
-	if r := roundTrip(t, d.address, issueRequest("/issue", "x")); r.StatusCode != 200 || len(d.submissions()) != 1 {
+	if r := roundTrip(
+		t,
+		d.address,
+		issueRequest("/issue", "x"),
+	); r.StatusCode != 200 ||
+		len(d.submissions()) != 1 {
 		t.Errorf("the true one: %v, %d submitted", r.Status, len(d.submissions()))
 	}
 }
@@ -192,11 +198,20 @@
 // one clears each mark.
 func TestClearanceRequired(t *testing.T) {
 	d := deployForwardAuth(t, strings.Replace(askedConfig, "127.0.0.0/8", "192.0.2.0/24", 1))
-	if r := roundTrip(t, d.gateway.authServer.At(), authRequest(checkRequest("/check", "1"))); r.StatusCode != 403 ||
+	if r := roundTrip(
+		t,
+		d.gateway.authServer.At(),
+		authRequest(checkRequest("/check", "1")),
+	); r.StatusCode != 403 ||
 		d.stat("asked.stranger") != 1 {
 		t.Errorf("a stranger's call: %v", r.Status)
 	}
-	d = deployForwardAuth(t, askedConfig+"cleared_only = [\"issue\"]\nno_status = 403\n", `"balancers":1`, `"balancers":2`)
+	d = deployForwardAuth(
+		t,
+		askedConfig+"cleared_only = [\"issue\"]\nno_status = 403\n",
+		`"balancers":1`,
+		`"balancers":2`,
+	)
 	two := func(raw string) string { return strings.Replace(raw, "spread=1", "spread=2", 1) }
 	if r := roundTrip(t, d.address, two(issueRequest("/issue", "1"))); r.StatusCode != 403 {
 		t.Errorf("it was not cleared: %v", r.Status)
@@ -206,7 +221,8 @@
 	}
 	here, there := 0, 0
 	for i := range 40 {
-		switch r := roundTrip(t, d.gateway.authServer.At(), authRequest(two(issueRequest("/issue", fmt.Sprint("m", i))))); r.StatusCode {
+		raw := authRequest(two(issueRequest("/issue", fmt.Sprint("m", i))))
+		switch r := roundTrip(t, d.gateway.authServer.At(), raw); r.StatusCode {
 		case 200:
 			here++
 		case 421:
@@ -265,7 +281,11 @@
 	if r = roundTrip(t, d.address, as(checkRequest("/check", "6"), "lost")); r.StatusCode != 200 {
 		t.Errorf("a product that goes on without: %v", r.Status)
 	}
-	if r = roundTrip(t, d.address, withHeader(as(issueRequest("/issue", "7"), "good"), "Authorization: evil")); r.StatusCode != 400 {
+	if r = roundTrip(
+		t,
+		d.address,
+		withHeader(as(issueRequest("/issue", "7"), "good"), "Authorization: evil"),
+	); r.StatusCode != 400 {
 		t.Errorf("two credentials: %v", r.Status)
 	}
 	if n := len(d.submissions()); n != 2 {
@@ -288,7 +308,8 @@
 	for i, c := range []struct {
 		raw    string
 		status int
-	}{{as(issueRequest("/issue", "a"), "00000000b4d65521"), 200}, {as(issueRequest("/issue", "b"), "00000000b4d65522"), 403},
+	}{{as(issueRequest("/issue", "a"), "00000000b4d65521"), 200},
+		{as(issueRequest("/issue", "b"), "00000000b4d65522"), 403},
 		{as(nameless, "00000000b4d65523"), 200}, {as(issueRequest("/issue", "c"), "who?"), 429}} {
 		if r := roundTrip(t, d.address, c.raw); r.StatusCode != c.status {
 			t.Errorf("case %d: %v", i, r.Status)
@@ -308,7 +329,11 @@
 		fakes.Garbage, fakes.HalfHead, fakes.Full} {
 		auth.Set(f)
 		from := time.Now()
-		r := roundTrip(t, d.address, withHeader(issueRequest("/issue", fmt.Sprint("s", i)), fmt.Sprint("Authorization: c", i)))
+		r := roundTrip(
+			t,
+			d.address,
+			withHeader(issueRequest("/issue", fmt.Sprint("s", i)), fmt.Sprint("Authorization: c", i)),
+		)
 		if took := time.Since(from); r.StatusCode != 429 || r.Header.Get("Retry-After") == "" ||
 			took > 280*time.Millisecond {
 			t.Errorf("fault %d: %v after %v", f, r.Status, took)
@@ -319,13 +344,22 @@
 	time.Sleep(60 * time.Millisecond) // the ask outlives the txn
 	before := len(auth.Got())
 	from := time.Now()
-	if r := roundTrip(t, d.address, withHeader(issueRequest("/issue", "s9"), "Authorization: c9")); r.StatusCode != 429 ||
-		time.Since(from) > 50*time.Millisecond || len(auth.Got()) != before {
+	if r := roundTrip(
+		t,
+		d.address,
+		withHeader(issueRequest("/issue", "s9"), "Authorization: c9"),
+	); r.StatusCode != 429 ||
+		time.Since(from) > 50*time.Millisecond ||
+		len(auth.Got()) != before {
 		t.Errorf("left alone: %v after %v", r.Status, time.Since(from))
 	}
 	auth.Set(fakes.None)
 	waitFor(t, "the service is not asked again", func() bool {
-		r := roundTrip(t, d.address, withHeader(issueRequest("/issue", fmt.Sprint("u", time.Now().UnixNano())), "Authorization: c9"))
+		r := roundTrip(
+			t,
+			d.address,
+			withHeader(issueRequest("/issue", fmt.Sprint("u", time.Now().UnixNano())), "Authorization: c9"),
+		)
 		return r.StatusCode == 200
 	})
 	if n := len(d.submissions()); n != 1 {
@@ -340,8 +374,12 @@
 	waitFor(d.t, "txns stay in hand", func() bool {
 		return d.gateway.dispatcher.Tally().InFlight == 0 && d.gateway.frontend.Active() == 0
 	})
-	r := roundTrip(d.t, d.address, strings.Replace(checkRequest("/check", fmt.Sprint("free", time.Now().UnixNano())), "Host:",
-		"Authorization: good\r\nHost:", 1))
+	r := roundTrip(
+		d.t,
+		d.address,
+		strings.Replace(checkRequest("/check", fmt.Sprint("free", time.Now().UnixNano())), "Host:",
+			"Authorization: good\r\nHost:", 1),
+	)
 	if r.StatusCode != 200 {
 		d.t.Errorf("afterwards: %v", r.Status)
 	}
@@ -368,7 +406,12 @@
 	if n := len(d.submissions()); n != 0 || len(auth.Got()) != 1 {
 		t.Fatalf("%d submitted for a till that had left, asked %d times", n, len(auth.Got()))
 	}
-	if r := roundTrip(t, d.address, tiny("2")); r.StatusCode != 200 || len(auth.Got()) != 1 { // the yes is known now
+	if r := roundTrip(
+		t,
+		d.address,
+		tiny("2"),
+	); r.StatusCode != 200 ||
+		len(auth.Got()) != 1 { // the yes is known now
 		t.Errorf("with the units that are back: %v", r.Status)
 	}
 }
@@ -427,7 +470,15 @@
 func TestForwardAuthAtReplacement(t *testing.T) {
 	auth := newAuthService(t)
 	d, change := deployWithInheritedListener(t)
-	text := strings.Replace(askedConfig, "life_ms = 300", "life_ms = 9000", 1) + askingConfig(auth, `products = ["sale"]`)
+	text := strings.Replace(
+		askedConfig,
+		"life_ms = 300",
+		"life_ms = 9000",
+		1,
+	) + askingConfig(
+		auth,
+		`products = ["sale"]`,
+	)
 	both := func(c *config.Gatekeeper) {
 		change(c)
 		forwardAuthConfig(t, text)(c)
@@ -483,14 +534,20 @@
 	answers := make(chan string, 8)
 	for i := range 4 {
 		go func() {
-			status, _ := d.send(withHeader(issueRequest("/issue", fmt.Sprint("d", i)), fmt.Sprint("Authorization: d", i)))
+			status, _ := d.send(
+				withHeader(issueRequest("/issue", fmt.Sprint("d", i)), fmt.Sprint("Authorization: d", i)),
+			)
 			answers <- status
 		}()
 	}
 	time.Sleep(20 * time.Millisecond)
 	d.gateway.Quiesce()
 	d.gateway.Reload(d.config, nil)
-	if r := roundTrip(t, d.gateway.authServer.At(), authRequest(issueRequest("/issue", "p"))); r.StatusCode != 200 {
+	if r := roundTrip(
+		t,
+		d.gateway.authServer.At(),
+		authRequest(issueRequest("/issue", "p")),
+	); r.StatusCode != 200 {
 		t.Errorf("a portal's call meanwhile: %v", r.Status)
 	}
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal)
--- a/internal/gateway/lifecycle/hotrestart.go
+++ b/internal/gateway/lifecycle/hotrestart.go
@@ -16,126 +16,147 @@
 	"willowdeck/internal/policy"
 )
 
-// placeWithin is how long a start waits for its clients' address: a process is to be ready within it, and one
-// that is ended is gone from there sooner.
+// listenTimeout is how long a start waits for the clients' address. A process has to be ready within it, and
+// one that was told to end has released the address sooner.
 const listenTimeout = 10 * time.Second
 
-// listen opens the clients' address, or takes the listening socket that the platform holds for it. Guards
-// against a former life that is still ending there: a start that gave up would leave the place empty.
-func listen(at string, fd int, log zerolog.Logger) (net.Listener, error) {
-	if fd == 0 {
-		l, err := net.Listen("tcp", at)
-		if errors.Is(err, syscall.EADDRINUSE) {
-			log.Warn().Str("listen", at).Msg("address still taken, waiting for it")
-		}
-		for end := time.Now().Add(listenTimeout); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(end); {
-			time.Sleep(transport.Millis(policy.AcceptAgain))
-			l, err = net.Listen("tcp", at)
-		}
-		if err != nil {
-			return nil, fmt.Errorf("listen: %w", err)
-		}
-		return l, nil
+// listen opens the clients' address, or takes the listening socket that the platform passes as a descriptor
+// (0 for none). It waits for an address in use: an earlier process may still be ending there, and a start
+// that gave up would leave nobody serving.
+func listen(address string, fd int, log zerolog.Logger) (net.Listener, error) {
+	if fd != 0 {
+		return inheritListener(fd)
+	}
+	listener, err := net.Listen("tcp", address)
+	if errors.Is(err, syscall.EADDRINUSE) {
+		log.Warn().Str("listen", address).Msg("address in use, waiting for it")
+	}
+	deadline := time.Now().Add(listenTimeout)
+	for errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(deadline) {
+		time.Sleep(transport.Millis(policy.AcceptAgain))
+		listener, err = net.Listen("tcp", address)
+	}
+	if err != nil {
+		return nil, fmt.Errorf("listen: %w", err)
 	}
-	if on, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || on == 0 {
+	return listener, nil
+}
+
+// inheritListener takes over a listening socket. Go duplicates the descriptor, so the inherited one is
+// closed.
+func inheritListener(fd int) (net.Listener, error) {
+	listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
+	if err != nil || listening == 0 {
 		return nil, fmt.Errorf("NODE_FD: descriptor %d is no listening socket", fd)
 	}
-	f := os.NewFile(uintptr(fd), "clients")
-	l, err := net.FileListener(f) // a duplicate: the one that was inherited is of no more use
-	_ = f.Close()
+	file := os.NewFile(uintptr(fd), "clients")
+	listener, err := net.FileListener(file)
+	_ = file.Close()
 	if err != nil {
 		return nil, fmt.Errorf("NODE_FD: %w", err)
 	}
-	return l, nil
+	return listener, nil
 }
 
-// heir is a process's part in taking over from the one before it.
+// takeover is a process's side of taking over from its predecessor.
 type takeover struct {
 	successor *hotrestart.Successor
-	started   atomic.Bool   // the place is its
-	stopping  atomic.Bool   // it stops, and takes no place any more
-	done      chan struct{} // closed once nothing more is handed on
+	started   atomic.Bool   // the handoff state has arrived: this process serves from then on
+	stopping  atomic.Bool   // this process stops, and takes over no more
+	done      chan struct{} // closed once the predecessor hands off nothing more
 }
 
-// stop waits for all that is still handed on, or has nothing be. Guards against a process that ends before
-// the one that leaves its place to it: the connections that it has not been given would be nobody's.
-func (h *takeover) stop() {
-	if h.stopping.Store(true); !h.started.Load() {
-		h.successor.Close()
-	}
-	<-h.done
+// stop waits for a handoff that has started, or refuses one that has not. A process that ended before its
+// predecessor has handed everything off would lose the connections that are still to come.
+func (t *takeover) stop() {
+	t.stopping.Store(true)
+	if !t.started.Load() {
+		t.successor.Close()
+	}
+	<-t.done
 }
 
-// inherit waits, ready but without clients, until the process before this one leaves its place, and takes it.
-func (g *Gateway) takeOver(h *takeover) {
-	defer close(h.done)
-	whole, err := h.successor.Receive(hotrestart.Handlers{
-		State: func(w hotrestart.HandoffState) {
-			h.started.Store(true)
-			g.dispatcher.Resume(w.Policy, w.WorkerNames, w.KindNames)
-			if g.peers != nil && g.config.Tells {
-				g.peers.Bear(w.LastSentToPeer)
-			}
-			g.openCrashState(false) // the process before has let it go
-			g.openJournal(true)
-			g.log.Info().Int("customers", len(w.Policy.Customers)).Int("workers", len(w.Policy.Workers)).
-				Msg("taking over")
-			if g.authServer != nil {
-				g.authServer.Inherit(w.Clearances)
-				go g.authServer.Rebind(g.done)
-			}
-			g.serve()
-			if w.Draining {
-				g.Quiesce()
-			}
+// takeOver waits, ready but without clients, until the predecessor hands off or ends, and then serves. It
+// runs on a goroutine of its own.
+func (g *Gateway) takeOver(t *takeover) {
+	defer close(t.done)
+	complete, err := t.successor.Receive(hotrestart.Handlers{
+		State: func(state hotrestart.HandoffState) {
+			t.started.Store(true)
+			g.resume(state)
 		},
 		PeerSocket: g.usePeerSocket,
-		Client: func(c net.Conn, as hotrestart.ClientConnection) {
-			g.frontend.Adopt(g.listener, c, as.Proven, as.ReadAhead)
+		Client: func(conn net.Conn, connection hotrestart.ClientConnection) {
+			g.frontend.Adopt(g.listener, conn, connection.Proven, connection.ReadAhead)
 		},
 	})
-	g.log.Info().Bool("whole", whole).Err(err).Msg("the process before has ended")
-	if !whole && h.stopping.Load() {
+	g.log.Info().Bool("complete", complete).Err(err).Msg("predecessor has ended")
+	if !complete && t.stopping.Load() {
 		return
 	}
 	g.dispatcher.PredecessorEnded()
-	if k := g.journal.Load(); whole && k != nil {
-		k.Settle()
-	}
-	if !whole { // as after any sudden end
-		g.openCrashState(true)
-		g.openJournal(false)
-		if g.authServer != nil {
-			go g.authServer.Rebind(g.done)
-		}
-		g.serve()
+	if journal := g.journal.Load(); complete && journal != nil {
+		journal.Settle()
+	}
+	if !complete {
+		g.serveAfterCrash()
 	}
 	if g.peers != nil && !g.peers.Bound() {
 		go g.bindPeers()
 	}
 }
 
-// serve takes clients, and waits for an heir where this process can have one.
+// resume goes on from a predecessor's state, and serves.
+func (g *Gateway) resume(state hotrestart.HandoffState) {
+	g.dispatcher.Resume(state.Policy, state.WorkerNames, state.KindNames)
+	if g.peers != nil && g.config.Tells {
+		g.peers.Bear(state.LastSentToPeer)
+	}
+	g.openCrashState(false) // the predecessor has closed it
+	g.openJournal(true)
+	g.log.Info().Int("customers", len(state.Policy.Customers)).Int("workers", len(state.Policy.Workers)).
+		Msg("taking over")
+	if g.authServer != nil {
+		g.authServer.Inherit(state.Clearances)
+		go g.authServer.Rebind(g.done)
+	}
+	g.serve()
+	if state.Draining {
+		g.Quiesce()
+	}
+}
+
+// serveAfterCrash serves where the predecessor has ended without a handoff, by what it has left on disk.
+func (g *Gateway) serveAfterCrash() {
+	g.openCrashState(true)
+	g.openJournal(false)
+	if g.authServer != nil {
+		go g.authServer.Rebind(g.done)
+	}
+	g.serve()
+}
+
+// serve accepts clients, and listens for a successor where this process can have one.
 func (g *Gateway) serve() {
 	go func() { g.serveResult <- g.frontend.Serve(g.listener) }()
 	if g.config.Scratch == "" {
 		return
 	}
-	o, err := hotrestart.Listen(hotrestart.SocketPath(g.config.Scratch, g.config.Name), g.config.Name)
+	predecessor, err := hotrestart.Listen(hotrestart.SocketPath(g.config.Scratch, g.config.Name), g.config.Name)
 	if err != nil {
-		g.log.Warn().Err(err).Msg("no process can take over from this one")
+		g.log.Warn().Err(err).Msg("no successor can take over from this process")
 		return
 	}
-	g.handoff.Store(o)
+	g.handoff.Store(predecessor)
 }
 
-// hear exchanges datagrams with peers on a socket that is bound.
-func (g *Gateway) usePeerSocket(c *net.UDPConn) {
+// usePeerSocket exchanges messages with peers on a socket that is bound already.
+func (g *Gateway) usePeerSocket(socket *net.UDPConn) {
 	if g.peers == nil {
-		_ = c.Close()
+		_ = socket.Close()
 		return
 	}
-	g.peers.Use(c)
+	g.peers.Use(socket)
 	go g.peers.Hear(g.dispatcher.ReceiveReports)
 }
 
@@ -155,57 +176,70 @@
 	}
 }
 
-// handOver leaves this process's place to its heir, if one waits: what the module knows, the peers'
-// socket, and every client's connection once no txn of it is in hand. It is false where there is no heir, or
-// none that says yes: then what is there goes on here to its end, and nothing new is let in.
+// handOff hands this process's work to its successor, if one is connected: the state, the peers' socket, and
+// each client's connection once no request of it is in flight. It returns true when all of that is done. It
+// returns false where there is no successor, or none that acknowledges the state: then requests in flight
+// are completed here, and new ones are rejected.
 func (g *Gateway) handOff() bool {
-	o := g.handoff.Load()
-	if o == nil || !o.HasSuccessor() {
+	predecessor := g.handoff.Load()
+	if predecessor == nil || !predecessor.HasSuccessor() {
 		return false
 	}
 	g.standby.Store(true)
-	told := make(chan struct{}) // closed once the heir has the will, or could not be given it
+	stateSent := make(chan struct{}) // closed once err tells whether the successor has the state
 	var err error
-	g.frontend.HandOn(g.listener, func(c syscall.RawConn, proven bool, ahead []byte) bool {
-		<-told
-		return err == nil && o.SendClient(c, hotrestart.ClientConnection{Proven: proven, ReadAhead: ahead}) == nil
+	g.frontend.HandOn(g.listener, func(socket syscall.RawConn, proven bool, readAhead []byte) bool {
+		<-stateSent
+		connection := hotrestart.ClientConnection{Proven: proven, ReadAhead: readAhead}
+		return err == nil && predecessor.SendClient(socket, connection) == nil
 	})
+	if err = predecessor.SendState(g.detachState()); err != nil {
+		close(stateSent)
+		predecessor.Close()
+		g.log.Warn().Err(err).Msg("handoff failed, stopping without a successor")
+		return false
+	}
+	_ = g.listener.Close() // from here on the successor accepts
+	g.handOffPeerSocket(predecessor)
+	close(stateSent)
+	g.log.Info().Msg("handed off to the successor")
+	if g.takeover != nil {
+		g.takeover.stop()
+	}
+	g.frontend.Wait()
+	predecessor.Close()
+	return true
+}
+
+// detachState takes the state that a successor goes on from. Nothing here changes it any more.
+func (g *Gateway) detachState() hotrestart.HandoffState {
 	g.workerConns.Retire()
-	w := hotrestart.HandoffState{Draining: g.draining.Load()}
+	state := hotrestart.HandoffState{Draining: g.draining.Load()}
 	if g.authServer != nil {
 		g.authServer.Close()
-		w.Clearances = g.authServer.Leave() // before the module's own, which would count them as spent
+		state.Clearances = g.authServer.Leave() // ahead of the dispatcher's, which would count them as spent
 	}
-	w.Policy, w.WorkerNames, w.KindNames = g.dispatcher.HandOff()
-	if k := g.journal.Load(); k != nil {
-		k.Retire()
+	state.Policy, state.WorkerNames, state.KindNames = g.dispatcher.HandOff()
+	if journal := g.journal.Load(); journal != nil {
+		journal.Retire()
 	}
 	if g.peers != nil {
-		w.LastSentToPeer = g.peers.Word()
+		state.LastSentToPeer = g.peers.Word()
 	}
-	if err = o.SendState(w); err != nil {
-		close(told)
-		o.Close()
-		g.log.Warn().Err(err).Msg("nobody has taken the place over")
-		return false
+	return state
+}
+
+// handOffPeerSocket hands the datagram socket off, and closes it here.
+func (g *Gateway) handOffPeerSocket(predecessor *hotrestart.Predecessor) {
+	if g.peers == nil || !g.peers.Bound() {
+		return
 	}
-	_ = g.listener.Close() // from here on the heir is to accept
-	if g.peers != nil && g.peers.Bound() {
-		raw, failed := g.peers.Raw()
-		if failed == nil {
-			failed = o.SendPeerSocket(raw)
-		}
-		if failed != nil {
-			g.log.Warn().Err(failed).Msg("handing the peers' socket on")
-		}
-		_ = g.peers.Close()
+	socket, err := g.peers.Raw()
+	if err == nil {
+		err = predecessor.SendPeerSocket(socket)
 	}
-	close(told)
-	g.log.Info().Err(err).Msg("place left to another process")
-	if g.takeover != nil {
-		g.takeover.stop()
+	if err != nil {
+		g.log.Warn().Err(err).Msg("handing off the peers' socket failed")
 	}
-	g.frontend.Wait()
-	o.Close()
-	return true
+	_ = g.peers.Close()
 }
--- a/internal/gateway/lifecycle/hotrestart_test.go
+++ b/internal/gateway/lifecycle/hotrestart_test.go
@@ -151,7 +151,10 @@
 	again := d.startSuccessor(change)
 	d.gateway.handoff.Load().Close() // as at a sudden end
 	d.gateway.listener.Close()
-	if status, _ := d.send(checkRequest("/check", "2")); status != "HTTP/1.1 200 OK" || again.workerConns.Tries() != 1 {
+	if status, _ := d.send(
+		checkRequest("/check", "2"),
+	); status != "HTTP/1.1 200 OK" ||
+		again.workerConns.Tries() != 1 {
 		t.Errorf("after a sudden end: %q", status)
 	}
 }
@@ -184,7 +187,9 @@
 	keeps := func(c *config.Gatekeeper) { c.Residue = path }
 	d := deployWith(t, keeps, 1, 5000, swap...)
 	of := func(d *deployment, customer, id string) string {
-		status, _ := d.send(strings.NewReplacer("basic", "tiny", "b4d65521", customer).Replace(checkRequest("/check", id)))
+		status, _ := d.send(
+			strings.NewReplacer("basic", "tiny", "b4d65521", customer).Replace(checkRequest("/check", id)),
+		)
 		return status
 	}
 	if s := of(d, "b4d65530", "1"); s != "HTTP/1.1 429 Too Many Requests" {
@@ -250,12 +255,18 @@
 	path := filepath.Join(t.TempDir(), "residue")
 	keeps := func(c *config.Gatekeeper) { c.Residue, c.Recall = path, true }
 	of := func(d *deployment, customer, id string) string {
-		status, _ := d.send(strings.NewReplacer("basic", "tiny", "b4d65521", customer).Replace(checkRequest("/check", id)))
+		status, _ := d.send(
+			strings.NewReplacer("basic", "tiny", "b4d65521", customer).Replace(checkRequest("/check", id)),
+		)
 		return strings.TrimPrefix(status, "HTTP/1.1 ")
 	}
 	end := func(d *deployment) {
 		n := d.gateway.dispatcher.CheckpointStats().Written.Load()
-		waitFor(t, "no copies are written", func() bool { return d.gateway.dispatcher.CheckpointStats().Written.Load() > n+1 })
+		waitFor(
+			t,
+			"no copies are written",
+			func() bool { return d.gateway.dispatcher.CheckpointStats().Written.Load() > n+1 },
+		)
 		d.gateway.listener.Close()
 		d.gateway.dispatcher.Stop()
 	}
@@ -305,7 +316,11 @@
 		t.Errorf("handed over: %q", s)
 	}
 	m := second.dispatcher.CheckpointStats().Written.Load()
-	waitFor(t, "the heir writes none", func() bool { return second.dispatcher.CheckpointStats().Written.Load() > m+1 })
+	waitFor(
+		t,
+		"the heir writes none",
+		func() bool { return second.dispatcher.CheckpointStats().Written.Load() > m+1 },
+	)
 	if first.dispatcher.CheckpointStats().Written.Load() > n+1 { // one may have been under way
 		t.Error("one that has handed over writes on")
 	}
--- a/internal/gateway/lifecycle/loadreport.go
+++ b/internal/gateway/lifecycle/loadreport.go
@@ -15,82 +15,90 @@
 	"willowdeck/internal/policy"
 )
 
-// wordEach is how often a word is made anew, at least: its rates are over ten seconds, and a look at all
-// customers takes some us for each hundred.
+// reportInterval is the shortest time between two load reports. Their rates are over ten seconds, and reading
+// all customers takes some microseconds for each hundred.
 const reportInterval = 500 * time.Millisecond
 
-// speaker keeps the word that this gatekeeper says of itself.
+// loadReporter keeps the load report that the regions' forecast reads.
 type loadReporter struct {
-	mu              sync.Mutex
+	mu              sync.Mutex // guards the fields up to groupConfigured
 	report          forecast.Word
 	refreshedAt     time.Time
-	groupConfigured bool // its group's name was given
-	encoded         atomic.Pointer[[]byte]
+	groupConfigured bool // else the group's name follows from the peers
+
+	encoded atomic.Pointer[[]byte] // nil before the first report, and where it can't be encoded
 }
 
-// teller begins to count what a word tells.
+// newLoadReporter starts to measure what a report contains.
 func (g *Gateway) newLoadReporter() *loadReporter {
 	c := &g.config
-	s := &loadReporter{report: forecast.Word{Name: c.Name, Host: c.Host, Hall: c.Hall, Number: c.Charter.Me,
-		Charter: c.Charter, Products: c.Names.ProductNames(), Plans: c.Names.PlanNames()}}
-	s.report.Charter.Me = 0
-	if s.groupConfigured = c.Group != ""; s.groupConfigured {
-		s.report.Group = c.Group
+	r := &loadReporter{groupConfigured: c.Group != "", report: forecast.Word{
+		Name:     c.Name,
+		Host:     c.Host,
+		Hall:     c.Hall,
+		Number:   c.Charter.Me,
+		Charter:  c.Charter,
+		Products: c.Names.ProductNames(),
+		Plans:    c.Names.PlanNames(),
+	}}
+	r.report.Charter.Me = 0
+	if r.groupConfigured {
+		r.report.Group = c.Group
 	}
-	s.setMembers(c.Peers, c.Charter.Gatekeepers)
+	r.setMembers(c.Peers, c.Charter.Gatekeepers)
 	g.dispatcher.SetMeter(forecast.NewMeter(c.Charter, crashstate.Uptime()))
-	return s
+	return r
 }
 
-// among notes who the gatekeepers are that quotas are shared with.
-func (s *loadReporter) setMembers(peers []netip.AddrPort, n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.report.Charter.Gatekeepers = n
-	if s.groupConfigured {
+// setMembers notes the gateways that quotas are shared with. They name the group, unless that is configured.
+func (r *loadReporter) setMembers(peers []netip.AddrPort, size int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.report.Charter.Gatekeepers = size
+	if r.groupConfigured {
 		return
 	}
-	if len(peers) == 0 {
-		s.report.Group = cmp.Or(s.report.Host, s.report.Name) // they share quotas without a word to each other
+	if len(peers) == 0 { // quotas are shared without messages, within a host
+		r.report.Group = cmp.Or(r.report.Host, r.report.Name)
 		return
 	}
-	sum := sha256.Sum256(fmt.Append(nil, peers))
-	s.report.Group = fmt.Sprintf("%x", sum[:4])
+	digest := sha256.Sum256(fmt.Append(nil, peers))
+	r.report.Group = fmt.Sprintf("%x", digest[:4])
 }
 
-// rules notes which version of the rules is gone by, and what it says of plans.
-func (s *loadReporter) setRuleset(version uint64, plans []policy.Plan) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.report.Version, s.report.Charter.Plans = version, slices.Clone(plans)
+// setRuleset notes the version of the ruleset that was adopted, and its plans.
+func (r *loadReporter) setRuleset(version uint64, plans []policy.Plan) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.report.Version, r.report.Charter.Plans = version, slices.Clone(plans)
 }
 
-// renew makes the word anew, if it is time.
-func (s *loadReporter) refresh(g *Gateway) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if time.Since(s.refreshedAt) < reportInterval {
+// refresh makes a new report, unless the last is younger than reportInterval.
+func (r *loadReporter) refresh(g *Gateway) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if time.Since(r.refreshedAt) < reportInterval {
 		return
 	}
-	s.refreshedAt = time.Now()
-	g.dispatcher.FillReport(&s.report)
-	b, err := forecast.Append(nil, &s.report)
+	r.refreshedAt = time.Now()
+	g.dispatcher.FillReport(&r.report)
+	encoded, err := forecast.Append(nil, &r.report)
 	if err != nil {
-		g.log.Warn().Err(err).Msg("no word is told")
-		s.encoded.Store(nil)
+		g.log.Warn().Err(err).Msg("load report could not be encoded")
+		r.encoded.Store(nil)
 		return
 	}
-	s.encoded.Store(&b)
+	r.encoded.Store(&encoded)
 }
 
-// Word gives what this gatekeeper says of itself, as it was made last.
+// Word gives the encoded load report that was made last; false where there is none.
 func (g *Gateway) Word() ([]byte, bool) {
 	if g.reporter == nil {
 		return nil, false
 	}
-	b := g.reporter.encoded.Load()
-	if b == nil {
+	encoded := g.reporter.encoded.Load()
+	if encoded == nil {
 		return nil, false
 	}
-	return *b, true
+	return *encoded, true
 }
--- a/internal/gateway/lifecycle/reload.go
+++ b/internal/gateway/lifecycle/reload.go
@@ -1,7 +1,6 @@
 package lifecycle
 
 import (
-	"net/netip"
 	"reflect"
 	"slices"
 
@@ -9,67 +8,43 @@
 	"willowdeck/internal/policy"
 )
 
-// Reload takes up a configuration that has been read anew: the number of gatekeepers and who they are, if
-// this one keeps its place among them, and the discovery that it names, where the watch goes on from where it
-// was. All else that it may change waits for the next start. Where it could not be read, the old one stays.
+// Reload applies a configuration that was read again, or keeps the old one where err tells that it could not
+// be read. Applied are the number of gateways and their peers, unless a ruleset gives them, and the address
+// of discovery, whose watch goes on from the version it has reached. All other changes wait for the next
+// start. It is called on one goroutine at a time.
 func (g *Gateway) Reload(c config.Gatekeeper, err error) {
 	if err != nil {
-		g.log.Error().Err(err).Msg("configuration not taken up, the old one stays")
+		g.log.Error().Err(err).Msg("configuration rejected, the old one stays")
 		return
 	}
-	if g.ruleset == nil { // else the rules say how many there are
+	if g.ruleset == nil {
 		g.resize(c)
 	}
 	if c.Discovery == g.config.Discovery {
-		g.log.Info().Msg("configuration read, discovery as before")
+		g.log.Info().Msg("configuration reloaded, discovery unchanged")
 		return
 	}
 	g.config.Discovery = c.Discovery
 	g.cancelWatch()
-	g.startWatch(<-g.watchEnded, policy.WatchMoved) // no news of the old watch may come behind that of the new one
-	g.log.Info().Str("discovery", c.Discovery).Msg("configuration taken up")
+	version := <-g.watchEnded // no update of the old watch may follow one of the new
+	g.startWatch(version, policy.WatchMoved)
+	g.log.Info().Str("discovery", c.Discovery).Msg("configuration reloaded, discovery moved")
 }
 
-// resize takes up another number of gatekeepers, where nothing else of the charter has changed.
+// resize applies another number of gateways, if no other setting that is shared with them has changed.
 func (g *Gateway) resize(c config.Gatekeeper) {
-	n, was := c.Charter.Gatekeepers, g.memberCount.Load()
-	same := c.Charter
-	same.Gatekeepers = g.config.Charter.Gatekeepers
-	if int64(n) == was && slices.Equal(c.Peers, g.config.Peers) {
+	size, former := c.Charter.Gatekeepers, g.memberCount.Load()
+	if int64(size) == former && slices.Equal(c.Peers, g.config.Peers) {
 		return
 	}
-	unbound := g.peers == nil && len(c.Peers) > 0 // there is no socket to talk to them
-	if unbound || !reflect.DeepEqual(same, g.config.Charter) {
-		g.log.Warn().Msg("the number of gatekeepers has changed along with more: that waits for the next start")
+	expected := c.Charter
+	expected.Gatekeepers = g.config.Charter.Gatekeepers
+	needsSocket := g.peers == nil && len(c.Peers) > 0 // it was started without one
+	if needsSocket || !reflect.DeepEqual(expected, g.config.Charter) {
+		g.log.Warn().Msg("number of gateways changed along with other settings, which wait for the next start")
 		return
 	}
-	g.setMembers(n, c.Peers, func() { g.dispatcher.Resize(n) })
+	g.setMembers(size, c.Peers, func() { g.dispatcher.Resize(size) })
 	g.config.Peers = c.Peers
-	g.log.Info().Int64("from", was).Int("to", n).Msg("number of gatekeepers taken up")
-}
-
-// seat takes up how many gatekeepers there are, and where the peers hear; desk tells the desk.
-func (g *Gateway) setMembers(n int, peers []netip.AddrPort, desk func()) {
-	fewer := int64(n) < g.memberCount.Load()
-	if fewer { // nobody is told who is no more
-		desk()
-	}
-	if len(peers) > 0 && g.peers != nil { // one that is alone is told of none, and has nobody to tell
-		for _, i := range g.peers.Among(peers) {
-			g.dispatcher.PeerReplaced(i)
-		}
-	}
-	if !fewer {
-		desk()
-	}
-	if int64(n) != g.memberCount.Load() {
-		g.frontend.Resize(n)
-		if g.authServer != nil {
-			g.authServer.Resize(n)
-		}
-		g.memberCount.Store(int64(n))
-	}
-	if g.reporter != nil {
-		g.reporter.setMembers(peers, n)
-	}
+	g.log.Info().Int64("from", former).Int("to", size).Msg("number of gateways changed")
 }
--- a/internal/gateway/lifecycle/requests_test.go
+++ b/internal/gateway/lifecycle/requests_test.go
@@ -273,26 +273,32 @@
 	}
 }
 
-const commonHeaders = "Host: backend.local\r\nPlan: basic\r\nCookie: key=00000000b4d65521\r\nX-Deadline: 300m\r\n" +
-	"Quota-Info: units=1,spread=1,first=0\r\n"
+const commonHeaders = "Host: backend.local\r\nPlan: basic\r\nCookie: key=00000000b4d65521\r\n" +
+	"X-Deadline: 300m\r\nQuota-Info: units=1,spread=1,first=0\r\n"
 
 func checkRequest(target, id string) string {
 	return "GET " + target + " HTTP/1.1\r\nX-Request-Id: " + id + "\r\n" + commonHeaders + "\r\n"
 }
 
 func saleRequest(target, id string) string {
-	return "POST " + target + " HTTP/1.1\r\nX-Request-Id: " + id + "\r\nIdempotency-Key: k1\r\n" + commonHeaders +
-		"Content-Length: 4\r\n\r\na\r\nb"
+	return "POST " + target + " HTTP/1.1\r\nX-Request-Id: " + id + "\r\nIdempotency-Key: k1\r\n" +
+		commonHeaders + "Content-Length: 4\r\n\r\na\r\nb"
 }
 
 func issueRequest(target, id string) string {
-	return "POST " + target + " HTTP/1.1\r\nX-Request-Id: " + id + "\r\n" + commonHeaders + "Content-Length: 0\r\n\r\n"
+	return "POST " + target + " HTTP/1.1\r\nX-Request-Id: " + id + "\r\n" + commonHeaders +
+		"Content-Length: 0\r\n\r\n"
 }
 
 func TestForwardUnchanged(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	cases := []struct{ name, raw, line, mark string }{
-		{"inquiry", checkRequest("/check/..//%41?", "9b1f"), "GET /check/..//%41? HTTP/1.1", "X-Request-Id: 9b1f\r\n"},
+		{
+			"inquiry",
+			checkRequest("/check/..//%41?", "9b1f"),
+			"GET /check/..//%41? HTTP/1.1",
+			"X-Request-Id: 9b1f\r\n",
+		},
 		{"referenced", saleRequest("/sale", "9b2f"), "POST /sale HTTP/1.1", "Idempotency-Key: k1\r\n"},
 		{"once-only", issueRequest("/issue/7", "9b3f"), "POST /issue/7 HTTP/1.1", "X-Request-Id: 9b3f\r\n"},
 	}
@@ -609,7 +615,12 @@
 		name, news, asks string // asks: what the watch that is opened after it asks for
 		to               []int
 	}{
-		{"one drains", `{"index":9,"snapshot":false,"endpoints":[` + d.endpointEntry(0, "leaving", 0) + `]}`, "", []int{1}},
+		{
+			"one drains",
+			`{"index":9,"snapshot":false,"endpoints":[` + d.endpointEntry(0, "leaving", 0) + `]}`,
+			"",
+			[]int{1},
+		},
 		{"after nonsense all is asked for", `{"index":no`, "index=0 ", []int{1}},
 		{"the whole list", `{"index":11,"snapshot":true,"endpoints":[` + d.endpointEntry(0, "active", 0) + `]}`, "",
 			[]int{0}},
--- a/internal/gateway/lifecycle/ruleset_test.go
+++ b/internal/gateway/lifecycle/ruleset_test.go
@@ -156,7 +156,8 @@
 		t.Errorf("by version %d", d.lastRulesVersion())
 	}
 	x.mu.Lock()
-	if x.lastQuery["instance"] != "n0" || x.lastQuery["pid"] == "" || x.lastQuery["holds"] == "" || x.lastQuery["index"] == "" {
+	if x.lastQuery["instance"] != "n0" || x.lastQuery["pid"] == "" || x.lastQuery["holds"] == "" ||
+		x.lastQuery["index"] == "" {
 		t.Errorf("it asks %v", x.lastQuery)
 	}
 	x.mu.Unlock()
@@ -325,7 +326,14 @@
 	x.setLease(2, r, true)
 	waitFor(t, "not three", func() bool { return d.stat("members") == 3 })
 	waitFor(t, "a txn of a set of three does not pass", func() bool {
-		s, _ := d.send(strings.Replace(checkRequest("/check", fmt.Sprint("of3", requestSerial.Add(1))), "spread=1", "spread=3", 1))
+		s, _ := d.send(
+			strings.Replace(
+				checkRequest("/check", fmt.Sprint("of3", requestSerial.Add(1))),
+				"spread=1",
+				"spread=3",
+				1,
+			),
+		)
 		return s == "HTTP/1.1 200 OK"
 	})
 	r.Members = []ruleset.Member{{}, {Name: "n1", Host: "h"}}
@@ -415,7 +423,11 @@
 				d.awaitMode(ruleset.ModeFallback)
 			}
 			n := d.gateway.dispatcher.CheckpointStats().Written.Load()
-			waitFor(t, "no copies are written", func() bool { return d.gateway.dispatcher.CheckpointStats().Written.Load() > n+1 })
+			waitFor(
+				t,
+				"no copies are written",
+				func() bool { return d.gateway.dispatcher.CheckpointStats().Written.Load() > n+1 },
+			)
 			d.gateway.listener.Close() // as at a sudden end
 			d.gateway.dispatcher.Stop()
 			close(d.gateway.done)
--- a/internal/gateway/lifecycle/ruleset_updates_test.go
+++ b/internal/gateway/lifecycle/ruleset_updates_test.go
@@ -296,7 +296,9 @@
 		})},
 		{"rules that make no sense", with(func(r *ruleset.Rules) { r.Plans[0].Rate = -1 })},
 		{"an address that is none", with(func(r *ruleset.Rules) { r.Members[0].Peers = "x" })},
-		{"no time", func(x *fakeUpdateDaemon) { x.setAlterUpdate(func(a *distribution.Response) { a.AgeMillis = -5 }) }},
+		{"no time", func(x *fakeUpdateDaemon) {
+			x.setAlterUpdate(func(a *distribution.Response) { a.AgeMillis = -5 })
+		}},
 		{"garbled", bare(func(w http.ResponseWriter) { w.Write([]byte("\x81\x01")) })},
 		{"nothing", bare(func(w http.ResponseWriter) {})},
 		{"too long", bare(func(w http.ResponseWriter) {
@@ -356,7 +358,8 @@
 	waitFor(t, "never asked for all", func() bool { _, _, n, _ := x.requestStats(); return n > before+5 })
 	x.setLease(3, testRules(800, 800), nil)
 	waitFor(t, "not by version 3", func() bool { return d.stat("rules.version") == 3 })
-	if d.stat("rules.mode") != int64(ruleset.ModeLeased) || d.gateway.ruleset.leaseHolder.Counters().Expirations > 0 {
+	if d.stat("rules.mode") != int64(ruleset.ModeLeased) ||
+		d.gateway.ruleset.leaseHolder.Counters().Expirations > 0 {
 		t.Error("the lease was lost on the way")
 	}
 }
--- a/internal/gateway/lifecycle/settings_test.go
+++ b/internal/gateway/lifecycle/settings_test.go
@@ -111,8 +111,10 @@
 		var log strings.Builder
 		d.gateway.log = zerolog.New(&log)
 		text := strings.Replace(strings.Replace(settings, swap[0], swap[1], 1), "IDLE", "1", 1)
-		d.gateway.Reload(config.Decode([]byte(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":`+text+`}`),
-			func(string) string { return "" }))
+		d.gateway.Reload(
+			config.Decode([]byte(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":`+text+`}`),
+				func(string) string { return "" }),
+		)
 		if !strings.Contains(log.String(), key) || !strings.Contains(log.String(), "the old one stays") ||
 			d.gateway.config.Discovery != d.config.Discovery {
 			t.Errorf("%s: discovery is %s now, and the log says %s", key, d.gateway.config.Discovery, log.String())
--- a/internal/gateway/lifecycle/start_test.go
+++ b/internal/gateway/lifecycle/start_test.go
@@ -278,8 +278,14 @@
 		work = append(work, lives[i].ProcessState.UserTime()+lives[i].ProcessState.SystemTime())
 	}
 	slices.Sort(work)
-	if w := work[len(work)/2]; w > readyNinetiethPercentile/members { // of an equal share of a processor that all are on
-		t.Errorf("a start takes %v of processor time, %d in a row more than %v", w, members, readyNinetiethPercentile)
+	// Of an equal share of a processor that all are on.
+	if w := work[len(work)/2]; w > readyNinetiethPercentile/members {
+		t.Errorf(
+			"a start takes %v of processor time, %d in a row more than %v",
+			w,
+			members,
+			readyNinetiethPercentile,
+		)
 	}
 	t.Logf("processor time of a life with one txn: %v to %v", work[0], work[len(work)-1])
 	begin("again", killed)
@@ -318,7 +324,7 @@
 	conf := d.config
 	conf.Listen, conf.PeerPort = former.Addr().String(), peer.LocalAddr().(*net.UDPAddr).AddrPort()
 	conf.Peers = append(conf.Peers, conf.PeerPort)
-	log, waits := logWatcher("address still taken")
+	log, waits := logWatcher("address in use")
 	started, failed := make(chan *Gateway, 1), make(chan error, 1)
 	go func() {
 		g, err := Start(conf, log)
@@ -392,7 +398,8 @@
 		at := former.Addr().String()
 		file := filepath.Join(t.TempDir(), "n0.json")
 		conf := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"5","limits":{"sockets":64},
-			"known":%s,"settings":%s}`, at, fullBacklogAddress(t), known, strings.NewReplacer("IDLE", "5000000").Replace(settings))
+			"known":%s,"settings":%s}`, at, fullBacklogAddress(t), known,
+			strings.NewReplacer("IDLE", "5000000").Replace(settings))
 		if err := os.WriteFile(file, []byte(conf), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -402,7 +409,7 @@
 		t.Cleanup(func() { _ = p.Process.Kill() })
 		waitFor(t, "it waits for its address", func() bool {
 			b, _ := os.ReadFile(file + ".log")
-			return strings.Contains(string(b), "address still taken")
+			return strings.Contains(string(b), "address in use")
 		})
 		for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM} {
 			if err := p.Process.Signal(s); err != nil {
--- a/internal/gateway/lifecycle/stop.go
+++ b/internal/gateway/lifecycle/stop.go
@@ -11,30 +11,20 @@
 	"willowdeck/internal/policy"
 )
 
-// Run serves until stop gives a signal or serving fails, then stops. At each signal of reload it takes up the
-// configuration that read gives, also while it stops: workers may drain until the last txn is answered.
+var errServingEnded = errors.New("frontend: serving ended without an order to stop")
+
+// Run serves until stop delivers a signal or serving fails, then stops. At each signal of reload it applies
+// the configuration that read gives, also while it stops, which takes until the last request is answered.
 func (g *Gateway) Run(stop, reload <-chan os.Signal, read func() (config.Gatekeeper, error)) error {
-	done, over := make(chan struct{}), make(chan struct{})
-	go func() {
-		defer close(over)
-		for {
-			select {
-			case <-reload:
-				g.Reload(read())
-			case <-done:
-				return
-			}
-		}
-	}()
+	endReloads := g.reloadOnSignal(reload, read)
 	defer func() {
-		close(done)
-		<-over
+		endReloads()
 		g.cancelWatch()
 	}()
 	select {
 	case err := <-g.serveResult:
 		if err == nil {
-			err = errors.New("front: ended unasked")
+			err = errServingEnded
 		}
 		return err
 	case s := <-stop:
@@ -44,39 +34,78 @@
 	return nil
 }
 
-// Stop leaves its place to an heir, if one waits. Else it serves on for as long as connections may come,
-// then closes idle ones and ends once all that was taken has its answer. What comes whole too late for that
-// is not taken, and what is in hand too long is given up: SIGKILL would leave it without an answer.
+// reloadOnSignal reloads the configuration at each signal, on a goroutine that the function it gives ends and
+// waits for.
+func (g *Gateway) reloadOnSignal(
+	reload <-chan os.Signal,
+	read func() (config.Gatekeeper, error),
+) (end func()) {
+	done, ended := make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(ended)
+		for {
+			select {
+			case <-reload:
+				g.Reload(read())
+			case <-done:
+				return
+			}
+		}
+	}()
+	return func() {
+		close(done)
+		<-ended
+	}
+}
+
+// Stop hands off to a successor, if one is connected. Otherwise it goes on accepting for as long as clients
+// may still connect, then closes idle connections, and returns once every request that was accepted is
+// answered. Requests that are read completely too late for that are rejected, and those in flight for too
+// long are aborted with an answer: SIGKILL would leave them without one.
 func (g *Gateway) Stop() {
-	defer time.AfterFunc(transport.Millis(min(g.config.Lines.LongestWait, policy.StopLongest)+policy.StopAll),
-		func() {
-			g.listener.GiveUp()
-			g.dispatcher.WakeNow()
-		}).
-		Stop()
+	abortAfter := transport.Millis(min(g.config.Lines.LongestWait, policy.StopLongest) + policy.StopAll)
+	defer time.AfterFunc(abortAfter, g.abortRequests).Stop()
 	if !g.handOff() {
 		defer time.AfterFunc(transport.Millis(policy.AcceptOn+policy.StopIdle), g.listener.Hurry).Stop()
-		time.Sleep(transport.Millis(policy.AcceptOn))
-		if g.authServer != nil {
-			g.authServer.Close()
-		}
-		g.frontend.Close()
-		g.listener.Drain()
-		if g.takeover != nil {
-			g.takeover.stop()
-			g.listener.Drain()
-		}
-		_ = g.listener.Close()
-		g.frontend.Wait()
+		g.drainClients()
 	}
+	g.closeParts()
+	g.logFinalCounts()
+}
+
+// abortRequests answers all requests in flight.
+func (g *Gateway) abortRequests() {
+	g.listener.GiveUp()
+	g.dispatcher.WakeNow()
+}
+
+// drainClients accepts for AcceptOn longer, and returns once all clients are answered and gone.
+func (g *Gateway) drainClients() {
+	time.Sleep(transport.Millis(policy.AcceptOn))
+	if g.authServer != nil {
+		g.authServer.Close()
+	}
+	g.frontend.Close()
+	g.listener.Drain()
+	if g.takeover != nil {
+		g.takeover.stop()
+		g.listener.Drain() // connections that the predecessor has handed off meanwhile
+	}
+	_ = g.listener.Close()
+	g.frontend.Wait()
+}
+
+// closeParts ends all that is still running once no client is left.
+func (g *Gateway) closeParts() {
 	if g.authorizer != nil {
 		g.authorizer.Close()
 	}
 	g.dispatcher.Stop()
-	if k := g.journal.Load(); k != nil {
-		k.Close()
+	if journal := g.journal.Load(); journal != nil {
+		journal.Close()
 	}
-	if close(g.done); g.adminServer != nil {
+	close(g.done)
+	if g.adminServer != nil {
 		g.adminServer.Close()
 	}
 	if g.peers != nil {
@@ -85,14 +114,18 @@
 	if g.history != nil {
 		_ = g.history.Close()
 	}
-	t := g.dispatcher.Tally()
-	e := g.log.Info().Ints("finals", t.Final[:]).Int64("unreadable", g.frontend.Broken()).
+}
+
+// logFinalCounts logs the last line. Its keys are read by operators' programs and stay as they are.
+func (g *Gateway) logFinalCounts() {
+	tally := g.dispatcher.Tally()
+	line := g.log.Info().Ints("finals", tally.Final[:]).Int64("unreadable", g.frontend.Broken()).
 		Int64("clients_shed", g.listener.Shed()).Int64("links_spoilt", g.workerConns.Spoilt())
-	for name, n := range inflight.Violations() {
-		e = e.Int64("broken_"+name, n)
+	for invariant, violations := range inflight.Violations() {
+		line = line.Int64("broken_"+invariant, violations)
 	}
 	if g.peers != nil {
-		e = e.Int64("datagrams_dropped", g.peers.Dropped())
+		line = line.Int64("datagrams_dropped", g.peers.Dropped())
 	}
-	e.Msg("stopped")
+	line.Msg("stopped")
 }
--- a/internal/gateway/lifecycle/streaming_test.go
+++ b/internal/gateway/lifecycle/streaming_test.go
@@ -152,7 +152,12 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	raw := strings.Replace(saleRequest("/sale", "stops"), "Length: 4\r\n\r\na\r\nb", "Length: 3000000\r\n\r\n", 1)
+	raw := strings.Replace(
+		saleRequest("/sale", "stops"),
+		"Length: 4\r\n\r\na\r\nb",
+		"Length: 3000000\r\n\r\n",
+		1,
+	)
 	c.Write(append([]byte(raw), testBody(200000)...))
 	c.SetDeadline(time.Now().Add(time.Second + time.Duration(policy.BodyPause)*time.Millisecond))
 	got, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/gateway/lifecycle/worker_endings_test.go
+++ b/internal/gateway/lifecycle/worker_endings_test.go
@@ -270,8 +270,18 @@
 	{"no length, reset", respondThen("HTTP/1.1 200 OK\r\n\r\nvalid\n", resetConn), 500, 0},
 	{"no length, nothing, reset", respondThen("HTTP/1.1 200 OK\r\n\r\n", resetConn), 500, 0},
 	{"no length, silence", respondAlways("HTTP/1.1 200 OK\r\n\r\nvalid\n"), 500, 0},
-	{"length short, end", respondThen("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nvalid\n", finishConn), 500, 0},
-	{"length short, reset", respondThen("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nvalid\n", resetConn), 500, 0},
+	{
+		"length short, end",
+		respondThen("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nvalid\n", finishConn),
+		500,
+		0,
+	},
+	{
+		"length short, reset",
+		respondThen("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nvalid\n", resetConn),
+		500,
+		0,
+	},
 	{"no last chunk, end", respondThen(chunkedHead+"6\r\nvalid\n\r\n", finishConn),
 		500, 0},
 	{"half a last chunk, end", respondThen(chunkedHead+"6\r\nvalid\n\r\n0\r\n",
@@ -285,21 +295,43 @@
 	{"3 GB claimed", respondThen("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n",
 		writeForever("0123456789abcdef")), 500, 0},
 	{"3 GB in a chunk", respondAlways(chunkedHead + "C0000000\r\n"), 500, 0},
-	{"two lengths", respondAlways("HTTP/1.1 200 OK\r\nContent-Length: 6\r\nContent-Length: 5\r\n\r\nvalid\n"), 500, 0},
-	{"interim answers ahead", respondAlways("HTTP/1.1 103 A\r\n\r\nHTTP/1.1 102 B\r\n\r\n" + validResponse), 200, 1},
+	{
+		"two lengths",
+		respondAlways("HTTP/1.1 200 OK\r\nContent-Length: 6\r\nContent-Length: 5\r\n\r\nvalid\n"),
+		500,
+		0,
+	},
+	{
+		"interim answers ahead",
+		respondAlways("HTTP/1.1 103 A\r\n\r\nHTTP/1.1 102 B\r\n\r\n" + validResponse),
+		200,
+		1,
+	},
 	{"an interim answer alone", respondAlways("HTTP/1.1 102 B\r\n\r\n"), 500, 0},
 	{"not run", respondAlways(notRunHead + "Content-Length: 0\r\n\r\n"), 429, 1},
 	{"not run, 504", respondAlways("HTTP/1.1 504 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 429, 1},
 	{"not run, spoilt", respondThen(notRunHead+"Content-Length: 9\r\n\r\nno", finishConn), 500, 0},
 	{"not run, broken", respondThen(notRunHead+"Content-Length: 9\r\n\r\nno", resetConn), 500, 0},
 	{"not run, half a head", respondThen(notRunHead, resetConn), 500, 0},
-	{"not run, of no status for it", respondAlways("HTTP/1.1 500 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
-		500, 1},
+	{
+		"not run, of no status for it",
+		respondAlways("HTTP/1.1 500 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"),
+		500,
+		1,
+	},
 	{"503 that does not say so", respondAlways("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), 500, 1},
-	{"a 200 that says not run", respondAlways(strings.Replace(validResponse, "Content", "X-Not-Run: 1\r\nContent", 1)),
-		200, 1},
-	{"an answer and its end said", respondAlways(strings.Replace(validResponse, "Content", "Connection: close\r\nContent", 1)),
-		200, 0},
+	{
+		"a 200 that says not run",
+		respondAlways(strings.Replace(validResponse, "Content", "X-Not-Run: 1\r\nContent", 1)),
+		200,
+		1,
+	},
+	{
+		"an answer and its end said",
+		respondAlways(strings.Replace(validResponse, "Content", "Connection: close\r\nContent", 1)),
+		200,
+		0,
+	},
 	{"an answer of HTTP/1.0", respondAlways(strings.Replace(validResponse, "1.1", "1.0", 1)), 200, 0},
 	{"a second answer behind", respondAlways(validResponse + otherResponse), 200, 0},
 	{"half an answer behind", respondAlways(validResponse + "HTTP/1.1 2"), 200, 0},
@@ -452,7 +484,8 @@
 		{"a second answer behind a long one", stated + otherResponse, nil, body},
 		{"a second answer behind one in chunks", chunked + otherResponse, nil, body},
 		{"half a line behind a long one", stated + "HTTP/1.1 2", nil, body},
-		{"a second answer, later", validResponse, func(x *workerConn) { x.respond(otherResponse) }, []byte("valid\n")},
+		{"a second answer, later", validResponse, func(x *workerConn) { x.respond(otherResponse) },
+			[]byte("valid\n")},
 		{"half a line, later", validResponse, func(x *workerConn) { x.respond("HTTP/1.1 20") }, []byte("valid\n")},
 		{"an end, later", validResponse, func(x *workerConn) { x.finish() }, []byte("valid\n")},
 		{"noise behind a long one, later", stated, func(x *workerConn) { x.respond("noise") }, body},
@@ -537,7 +570,10 @@
 	}
 	d.t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprint(c, strings.Replace(withLongDeadline(issueRequest("/issue", id)), "Length: 0", fmt.Sprint("Length: ", size), 1))
+	fmt.Fprint(
+		c,
+		strings.Replace(withLongDeadline(issueRequest("/issue", id)), "Length: 0", fmt.Sprint("Length: ", size), 1),
+	)
 	go c.Write(make([]byte, sent)) // the gatekeeper need not take it all
 	return c, bufio.NewReader(c)
 }
--- a/internal/testkit/faultinject/process_test.go
+++ b/internal/testkit/faultinject/process_test.go
@@ -441,7 +441,7 @@
 		t.Fatal(err)
 	}
 	Until(t, 10*time.Second, "it says so", func() bool { // an operators' port answers before the start is over
-		return strings.Contains(g0.Output(), "nothing will outlive a sudden end")
+		return strings.Contains(g0.Output(), "nothing will survive a crash")
 	})
 	d.healthy()
 	if !g0.Running() || g0.Lives() != 2 {
