--- a/internal/gateway/lifecycle/admin.go
+++ b/internal/gateway/lifecycle/admin.go
@@ -11,12 +11,12 @@
 // Quiesce sends clients away: /up fails at once, and requests that still arrive are served.
 func (g *Gateway) Quiesce() {
 	g.draining.Store(true)
-	g.listener.SendAway()
+	g.listener.BeginSoftDrain()
 }
 
 // Resume ends Quiesce.
 func (g *Gateway) Resume() {
-	g.listener.Welcome()
+	g.listener.EndSoftDrain()
 	g.draining.Store(false)
 }
 
@@ -27,13 +27,13 @@
 // path.
 func (g *Gateway) Figures() admin.Figures {
 	tally := g.dispatcher.CachedTally()
-	f := admin.Figures{Tries: g.workerConns.Tries(), Active: g.frontend.Active(), Workers: int64(tally.Workers),
+	f := admin.Figures{Tries: g.workerConns.AttemptsWritten(), Active: g.frontend.ActiveRequests(), Workers: int64(tally.Workers),
 		Avoided: int64(tally.Distrusted)}
 	f.Products = make([]admin.Product, len(g.config.Charter.Products))
 	for name, i := range g.config.Names.Products {
 		p := &f.Products[i]
 		p.Name = name
-		p.Settled, p.Declined, p.Voided = g.frontend.Finals(i)
+		p.Settled, p.Declined, p.Voided = g.frontend.FinalCounts(i)
 	}
 	add := func(name string, value int64) { f.More = append(f.More, admin.Figure{Name: name, Value: value}) }
 	if g.config.Tells {
--- a/internal/gateway/lifecycle/borrowing.go
+++ b/internal/gateway/lifecycle/borrowing.go
@@ -56,7 +56,7 @@
 	}
 	g.dispatcher.EnableBorrowing(accounts, book, recorder, g.config.Names.PlanNames())
 	if g.peers != nil {
-		g.peers.Credit(g.dispatcher.ReceiveCredit)
+		g.peers.OnCredit(g.dispatcher.ReceiveCredit)
 	}
 	go g.collectRepayments()
 }
--- a/internal/gateway/lifecycle/discovery.go
+++ b/internal/gateway/lifecycle/discovery.go
@@ -17,10 +17,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	address, ended := g.config.Discovery, make(chan int64, 1)
 	g.cancelWatch, g.watchEnded = cancel, ended
-	pace := transport.Pace{
-		Askers: g.pollingInstances,
-		Due:    dueMillis,
-		Chance: rand.New(rand.NewSource(g.config.Seed)).Float64,
+	pace := transport.WatchTiming{
+		PollingInstances: g.pollingInstances,
+		DueMillis:        dueMillis,
+		Random:           rand.New(rand.NewSource(g.config.Seed)).Float64,
 	}
 	go func() {
 		ended <- transport.Watch(ctx, address, version, g.applyDiscoveryUpdate, g.discoveryResponded,
@@ -54,7 +54,7 @@
 	g.dispatcher.ApplyEndpoints(g.endpoints.Discovery(update, g.dispatcher.Now()))
 	g.endpointsMu.Unlock()
 	g.markFirstWatch()
-	g.log.Debug().Int64("version", update.Version).Bool("complete", update.Whole).
+	g.log.Debug().Int64("version", update.Version).Bool("complete", update.Snapshot).
 		Int("workers", len(update.Workers)).Msg("endpoints updated")
 }
 
--- a/internal/gateway/lifecycle/forwardauth.go
+++ b/internal/gateway/lifecycle/forwardauth.go
@@ -9,7 +9,7 @@
 
 // enableForwardAuth puts the configured roles of forward authentication before a proxy, and gives the handler
 // that the frontend calls. A request that was cleared through the auth server is not authorized again.
-func (g *Gateway) enableForwardAuth(next *proxy.Proxy) func(*transport.Txn) transport.Final {
+func (g *Gateway) enableForwardAuth(next *proxy.Proxy) func(*transport.Request) transport.FinalAnswer {
 	serve, settings := next.Serve, g.config.Forward
 	if settings != nil && settings.Asking != nil {
 		g.authorizer = authorizer.New(settings.Asking, g.config.Charter, next, g.config.Seed)
--- a/internal/gateway/lifecycle/forwardauth_test.go
+++ b/internal/gateway/lifecycle/forwardauth_test.go
@@ -372,7 +372,7 @@
 func (d *deployment) checkIdle() {
 	d.t.Helper()
 	waitFor(d.t, "txns stay in hand", func() bool {
-		return d.gateway.dispatcher.Tally().InFlight == 0 && d.gateway.frontend.Active() == 0
+		return d.gateway.dispatcher.Tally().InFlight == 0 && d.gateway.frontend.ActiveRequests() == 0
 	})
 	r := roundTrip(
 		d.t,
@@ -401,7 +401,7 @@
 	fmt.Fprint(c, tiny("1"))
 	time.Sleep(40 * time.Millisecond)
 	c.Close()
-	waitFor(t, "the leaving is not seen", func() bool { return d.gateway.frontend.Active() == 0 })
+	waitFor(t, "the leaving is not seen", func() bool { return d.gateway.frontend.ActiveRequests() == 0 })
 	time.Sleep(150 * time.Millisecond) // the yes has come
 	if n := len(d.submissions()); n != 0 || len(auth.Got()) != 1 {
 		t.Fatalf("%d submitted for a till that had left, asked %d times", n, len(auth.Got()))
@@ -450,7 +450,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	all.Wait()
-	waitFor(t, "txns stay in hand", func() bool { return d.gateway.frontend.Active() == 0 })
+	waitFor(t, "txns stay in hand", func() bool { return d.gateway.frontend.ActiveRequests() == 0 })
 	seen := map[string]bool{}
 	for _, raw := range d.submissions() {
 		_, id, _ := strings.Cut(raw, "X-Request-Id: ")
--- a/internal/gateway/lifecycle/gateway.go
+++ b/internal/gateway/lifecycle/gateway.go
@@ -31,9 +31,9 @@
 
 	dispatcher  *proxy.Dispatcher
 	proxy       *proxy.Proxy
-	frontend    *transport.Front
-	listener    *transport.Limited // the clients' listener, which bounds their number
-	workerConns *transport.Links
+	frontend    *transport.Frontend
+	listener    *transport.LimitListener // the clients' listener, which bounds their number
+	workerConns *transport.WorkerPool
 	serveResult chan error // what the frontend's Serve has returned
 
 	adminServer *admin.Port                            // nil without an admin address
--- a/internal/gateway/lifecycle/hotrestart.go
+++ b/internal/gateway/lifecycle/hotrestart.go
@@ -110,7 +110,7 @@
 func (g *Gateway) resume(state hotrestart.HandoffState) {
 	g.dispatcher.Resume(state.Policy, state.WorkerNames, state.KindNames)
 	if g.peers != nil && g.config.Tells {
-		g.peers.Bear(state.LastSentToPeer)
+		g.peers.Identify(state.LastSentToPeer)
 	}
 	g.openCrashState(false) // the predecessor has closed it
 	g.openJournal(true)
@@ -156,8 +156,8 @@
 		_ = socket.Close()
 		return
 	}
-	g.peers.Use(socket)
-	go g.peers.Hear(g.dispatcher.ReceiveReports)
+	g.peers.UseSocket(socket)
+	go g.peers.Receive(g.dispatcher.ReceiveReports)
 }
 
 // bindPeers binds the peers' address as soon as it is free: another process may not have ended yet.
@@ -165,7 +165,7 @@
 	for {
 		err := g.peers.Bind(g.config.PeerPort)
 		if err == nil {
-			go g.peers.Hear(g.dispatcher.ReceiveReports)
+			go g.peers.Receive(g.dispatcher.ReceiveReports)
 			return
 		}
 		select {
@@ -188,7 +188,7 @@
 	g.standby.Store(true)
 	stateSent := make(chan struct{}) // closed once err tells whether the successor has the state
 	var err error
-	g.frontend.HandOn(g.listener, func(socket syscall.RawConn, proven bool, readAhead []byte) bool {
+	g.frontend.HandOver(g.listener, func(socket syscall.RawConn, proven bool, readAhead []byte) bool {
 		<-stateSent
 		connection := hotrestart.ClientConnection{Proven: proven, ReadAhead: readAhead}
 		return err == nil && predecessor.SendClient(socket, connection) == nil
@@ -224,7 +224,7 @@
 		journal.Retire()
 	}
 	if g.peers != nil {
-		state.LastSentToPeer = g.peers.Word()
+		state.LastSentToPeer = g.peers.LastSent()
 	}
 	return state
 }
@@ -234,7 +234,7 @@
 	if g.peers == nil || !g.peers.Bound() {
 		return
 	}
-	socket, err := g.peers.Raw()
+	socket, err := g.peers.SyscallConn()
 	if err == nil {
 		err = predecessor.SendPeerSocket(socket)
 	}
--- a/internal/gateway/lifecycle/hotrestart_test.go
+++ b/internal/gateway/lifecycle/hotrestart_test.go
@@ -104,7 +104,7 @@
 	before := len(d.submissions())
 	fmt.Fprint(kept, checkRequest("/check", "k2"))
 	answer("before the change", keptIn, 200)
-	if len(d.submissions()) != before+1 || g.workerConns.Tries() > 0 {
+	if len(d.submissions()) != before+1 || g.workerConns.AttemptsWritten() > 0 {
 		t.Error("the second process serves before the first has left")
 	}
 	stopped := make(chan bool)
@@ -114,7 +114,7 @@
 	}()
 	answer("in hand", busyIn, 200)
 	<-stopped
-	if d.gateway.frontend.Active() > 0 {
+	if d.gateway.frontend.ActiveRequests() > 0 {
 		t.Error("the first one ends with txns in hand")
 	}
 	fmt.Fprint(half, checkRequest("/check", "h1")[50:])
@@ -133,7 +133,7 @@
 	g.Stop()
 	fmt.Fprint(fresh, checkRequest("/check", "f2"))
 	answer("after a second change", freshIn, 200)
-	if third.workerConns.Tries() == 0 {
+	if third.workerConns.AttemptsWritten() == 0 {
 		t.Error("the third process serves nothing")
 	}
 }
@@ -152,9 +152,10 @@
 	d.gateway.handoff.Load().Close() // as at a sudden end
 	d.gateway.listener.Close()
 	if status, _ := d.send(
-		checkRequest("/check", "2"),
+		checkRequest("/check",
+			"2"),
 	); status != "HTTP/1.1 200 OK" ||
-		again.workerConns.Tries() != 1 {
+		again.workerConns.AttemptsWritten() != 1 {
 		t.Errorf("after a sudden end: %q", status)
 	}
 }
--- a/internal/gateway/lifecycle/membership.go
+++ b/internal/gateway/lifecycle/membership.go
@@ -11,7 +11,7 @@
 		applyToDispatcher()
 	}
 	if len(peers) > 0 && g.peers != nil { // a single gateway has no addresses, and none to send to
-		for _, replaced := range g.peers.Among(peers) {
+		for _, replaced := range g.peers.SetAddresses(peers) {
 			g.dispatcher.PeerReplaced(replaced)
 		}
 	}
@@ -19,7 +19,7 @@
 		applyToDispatcher()
 	}
 	if int64(size) != g.memberCount.Load() {
-		g.frontend.Resize(size)
+		g.frontend.SetInstanceCount(size)
 		if g.authServer != nil {
 			g.authServer.Resize(size)
 		}
--- a/internal/gateway/lifecycle/recovery.go
+++ b/internal/gateway/lifecycle/recovery.go
@@ -59,7 +59,7 @@
 	}
 	receivedFromPeers := func(all []incarnation.MessageID) []incarnation.MessageID { return all[:0] }
 	if g.peers != nil {
-		receivedFromPeers = g.peers.Heard
+		receivedFromPeers = g.peers.LastSeen
 	}
 	g.dispatcher.WriteCheckpoints(file, receivedFromPeers)
 }
@@ -78,7 +78,7 @@
 		return
 	}
 	if customers > 0 && g.peers != nil {
-		for _, peer := range g.peers.Recall(left.Words) {
+		for _, peer := range g.peers.Restore(left.Words) {
 			g.dispatcher.PeerReplaced(peer)
 		}
 	}
--- a/internal/gateway/lifecycle/ruleset_test.go
+++ b/internal/gateway/lifecycle/ruleset_test.go
@@ -315,8 +315,8 @@
 func TestMembersFromRuleset(t *testing.T) {
 	d, x := deployBelowDaemon(t, 1)
 	// Guards against messages that outgrow a datagram once rules are gone by, as their word was forgotten.
-	if n := d.gateway.ruleset.baseCharter.ReportsPerTell; n != transport.Room {
-		t.Errorf("%d reports to a message, where there is room for %d", n, transport.Room)
+	if n := d.gateway.ruleset.baseCharter.ReportsPerTell; n != transport.MaxReportsPerMessage {
+		t.Errorf("%d reports to a message, where there is room for %d", n, transport.MaxReportsPerMessage)
 	}
 	r := testRules(1000, 1000)
 	x.setLease(1, r, true)
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -42,14 +42,14 @@
 		firstWatchResult: make(chan struct{}),
 	}
 	maxClients, maxWorkerConns := connectionLimits(c)
-	g.workerConns = transport.NewLinks(maxWorkerConns, transport.Millis(c.Lines.IdleLimit*policy.IdleUse),
+	g.workerConns = transport.NewWorkerPool(maxWorkerConns, transport.Millis(c.Lines.IdleLimit*policy.IdleUse),
 		transport.Millis(c.Lines.ConnectTimeout))
 	sendToPeer := func(int, []byte) {}
 	if len(c.Peers) > 0 {
 		g.peers = transport.NewPeers(c.Peers, c.Charter.Me)
-		sendToPeer = g.peers.Tell
+		sendToPeer = g.peers.Send
 		if c.Charter = peerCharter(c); c.Tells {
-			g.peers.Bear(incarnation.MessageID{Incarnation: crashstate.Uptime()})
+			g.peers.Identify(incarnation.MessageID{Incarnation: crashstate.Uptime()})
 		}
 	}
 	listener, err := listen(c.Listen, c.FD, log)
@@ -66,7 +66,7 @@
 	if c.Agree != "" {
 		g.initRulesetClient()
 	}
-	g.listener = transport.Limit(listener, maxClients)
+	g.listener = transport.NewLimitListener(listener, maxClients)
 	if err := g.openServers(predecessor == nil); err != nil {
 		g.closeAfterFailedStart(listener)
 		return nil, err
@@ -144,7 +144,7 @@
 // initRequestPath makes what requests pass through: dispatcher, proxy, forward authentication and frontend.
 func (g *Gateway) initRequestPath(c config.Gatekeeper, sendToPeer func(int, []byte)) {
 	g.dispatcher = proxy.NewDispatcher(c.Charter, c.Seed, c.Lines.AnswerSlack+socketSlackMillis, sendToPeer,
-		g.workerConns.Shed)
+		g.workerConns.CloseIdle)
 	if c.Hall != "" && c.Control != "" {
 		g.reporter = g.newLoadReporter()
 	}
@@ -155,8 +155,8 @@
 	g.endpoints = bootstrap.NewBook(c.Known)
 	g.memberCount.Store(int64(c.Charter.Gatekeepers))
 	g.proxy = proxy.New(g.dispatcher, g.workerConns)
-	g.frontend = transport.NewFront(c.Names, c.Charter, g.enableForwardAuth(g.proxy), g.ready)
-	g.frontend.Nameless = g.authorizer != nil && c.Forward.Asking.Customer != ""
+	g.frontend = transport.NewFrontend(c.Names, c.Charter, g.enableForwardAuth(g.proxy), g.ready)
+	g.frontend.AllowAnonymous = g.authorizer != nil && c.Forward.Asking.Customer != ""
 }
 
 // openServers opens the admin server and, unless a predecessor still has its address, that of forward
@@ -212,7 +212,7 @@
 	g.openCrashState(true)
 	g.openJournal(false)
 	if g.peers != nil && g.peers.Bound() {
-		go g.peers.Hear(g.dispatcher.ReceiveReports)
+		go g.peers.Receive(g.dispatcher.ReceiveReports)
 	} else if g.peers != nil { // a process that does not hand off still has the address
 		go g.bindPeers()
 	}
@@ -231,7 +231,7 @@
 // an incarnation have room for fewer.
 func peerCharter(c config.Gatekeeper) policy.Charter {
 	if c.Tells {
-		c.Charter.ReportsPerTell = min(c.Charter.ReportsPerTell, transport.Room)
+		c.Charter.ReportsPerTell = min(c.Charter.ReportsPerTell, transport.MaxReportsPerMessage)
 	}
 	return c.Charter
 }
--- a/internal/gateway/lifecycle/stop.go
+++ b/internal/gateway/lifecycle/stop.go
@@ -66,7 +66,7 @@
 	abortAfter := transport.Millis(min(g.config.Lines.LongestWait, policy.StopLongest) + policy.StopAll)
 	defer time.AfterFunc(abortAfter, g.abortRequests).Stop()
 	if !g.handOff() {
-		defer time.AfterFunc(transport.Millis(policy.AcceptOn+policy.StopIdle), g.listener.Hurry).Stop()
+		defer time.AfterFunc(transport.Millis(policy.AcceptOn+policy.StopIdle), g.listener.HurryReads).Stop()
 		g.drainClients()
 	}
 	g.closeParts()
@@ -75,7 +75,7 @@
 
 // abortRequests answers all requests in flight.
 func (g *Gateway) abortRequests() {
-	g.listener.GiveUp()
+	g.listener.AbandonRequests()
 	g.dispatcher.WakeNow()
 }
 
@@ -119,8 +119,8 @@
 // logFinalCounts logs the last line. Its keys are read by operators' programs and stay as they are.
 func (g *Gateway) logFinalCounts() {
 	tally := g.dispatcher.Tally()
-	line := g.log.Info().Ints("finals", tally.Final[:]).Int64("unreadable", g.frontend.Broken()).
-		Int64("clients_shed", g.listener.Shed()).Int64("links_spoilt", g.workerConns.Spoilt())
+	line := g.log.Info().Ints("finals", tally.Final[:]).Int64("unreadable", g.frontend.MalformedRequests()).
+		Int64("clients_shed", g.listener.Evicted()).Int64("links_spoilt", g.workerConns.StaleConns())
 	for invariant, violations := range inflight.Violations() {
 		line = line.Int64("broken_"+invariant, violations)
 	}
--- a/internal/gateway/lifecycle/stop_test.go
+++ b/internal/gateway/lifecycle/stop_test.go
@@ -92,7 +92,7 @@
 		}
 		return n
 	}
-	inHand := func(d *deployment) bool { return d.gateway.frontend.Active() == 1 }
+	inHand := func(d *deployment) bool { return d.gateway.frontend.ActiveRequests() == 1 }
 	sent := func(d *deployment) bool { return count(d) == 1 }
 	patient := func(raw string) string { return strings.Replace(raw, "300m", "900m", 1) }
 	for _, c := range []struct {
--- a/internal/gateway/lifecycle/streaming_test.go
+++ b/internal/gateway/lifecycle/streaming_test.go
@@ -188,7 +188,7 @@
 				t.Errorf("%d bytes look whole, after %d submissions", n, subs.Load())
 			}
 			time.Sleep(20 * time.Millisecond)
-			if _, _, voided := d.gateway.frontend.Finals(1); voided != 1 {
+			if _, _, voided := d.gateway.frontend.FinalCounts(1); voided != 1 {
 				t.Errorf("counted as voided: %d", voided)
 			}
 		})
@@ -236,7 +236,7 @@
 	if status, body := d.send(c); status != "HTTP/1.1 200 OK" || body != "xxxxxxxx" {
 		t.Errorf("answered %q %q", status, body)
 	}
-	if n := d.gateway.workerConns.Tries(); n != 1 {
+	if n := d.gateway.workerConns.AttemptsWritten(); n != 1 {
 		t.Errorf("%d submissions", n)
 	}
 }
--- a/internal/gateway/lifecycle/successor_test.go
+++ b/internal/gateway/lifecycle/successor_test.go
@@ -39,7 +39,7 @@
 	}
 	busy, busyIn := dial()
 	fmt.Fprint(busy, checkRequest("/check?slow", "b1"))
-	waitFor(t, "it is in hand", func() bool { return d.gateway.frontend.Active() == 1 })
+	waitFor(t, "it is in hand", func() bool { return d.gateway.frontend.ActiveRequests() == 1 })
 	stopped := make(chan bool)
 	go func() {
 		d.gateway.Stop()
--- a/internal/gateway/lifecycle/worker_endings_test.go
+++ b/internal/gateway/lifecycle/worker_endings_test.go
@@ -201,10 +201,10 @@
 func (d *deployment) awaitWorkerConns(want int) {
 	d.t.Helper()
 	end := time.Now().Add(5 * time.Second)
-	for d.gateway.workerConns.Open() != want && time.Now().Before(end) {
+	for d.gateway.workerConns.OpenConns() != want && time.Now().Before(end) {
 		time.Sleep(time.Millisecond)
 	}
-	if n := d.gateway.workerConns.Open(); n != want {
+	if n := d.gateway.workerConns.OpenConns(); n != want {
 		d.t.Errorf("%d connections are held, want %d", n, want)
 	}
 }
@@ -386,7 +386,7 @@
 				<-d.sendAsync(soon(checkRequest("/check", "n2")))
 			}
 			d.awaitWorkerConns(c.openConns)
-			d.gateway.workerConns.Shed(0) // what is kept would play its script on
+			d.gateway.workerConns.CloseIdle(0) // what is kept would play its script on
 			d.awaitWorkerConns(0)
 		}
 		waitFor(t, "scripts play on", func() bool { return b.runningScripts.Load() == 0 })
@@ -461,7 +461,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n, err := io.Copy(io.Discard, got.Body); err == nil || n > transport.MostBody {
+	if n, err := io.Copy(io.Discard, got.Body); err == nil || n > transport.MaxBodyBytes {
 		t.Errorf("got %d bytes, %v", n, err)
 	}
 	d.awaitWorkerConns(0)
@@ -664,7 +664,7 @@
 	defer x.Close()
 	x.SetReadBuffer(4 << 10)
 	x.readPartial(1 << 10)
-	write := runtime.FuncForPC(reflect.ValueOf((*transport.Link).Write).Pointer()).Name() // as in a stack
+	write := runtime.FuncForPC(reflect.ValueOf((*transport.WorkerConn).Write).Pointer()).Name() // as in a stack
 	stack := make([]byte, 1<<20)
 	waitFor(t, "nothing more goes to it", func() bool {
 		for _, s := range strings.Split(string(stack[:runtime.Stack(stack, true)]), "\n\n") {
