--- a/internal/gateway/lifecycle/admin.go
+++ b/internal/gateway/lifecycle/admin.go
@@ -27,8 +27,12 @@
 // path.
 func (g *Gateway) Figures() admin.Figures {
 	tally := g.dispatcher.CachedTally()
-	f := admin.Figures{Tries: g.workerConns.AttemptsWritten(), Active: g.frontend.ActiveRequests(), Workers: int64(tally.Workers),
-		Avoided: int64(tally.Distrusted)}
+	f := admin.Figures{
+		Tries:   g.workerConns.AttemptsWritten(),
+		Active:  g.frontend.ActiveRequests(),
+		Workers: int64(tally.Workers),
+		Avoided: int64(tally.Distrusted),
+	}
 	f.Products = make([]admin.Product, len(g.config.Charter.Products))
 	for name, i := range g.config.Names.Products {
 		p := &f.Products[i]
