--- a/internal/gateway/lifecycle/admin_test.go
+++ b/internal/gateway/lifecycle/admin_test.go
@@ -12,12 +12,13 @@
 	"willowdeck/internal/policy"
 )
 
-// operated is a deployment with an operators' port.
+// deployWithAdmin is a deployment with an admin server.
 func deployWithAdmin(t *testing.T) *deployment {
 	t.Helper()
 	return deployWith(t, func(c *config.Gatekeeper) { c.Control = "127.0.0.1:0" }, 1, 5000)
 }
 
+// callAdmin sends a request line to the admin server, and gives the response as it is on the wire.
 func (d *deployment) callAdmin(line string) string {
 	d.t.Helper()
 	c, err := net.Dial("tcp", d.gateway.adminServer.At)
@@ -34,12 +35,13 @@
 	return string(b)
 }
 
-// Figures tell what clients got and workers saw.
+// TestStats checks the stats for requests, attempts and workers.
 func TestStats(t *testing.T) {
 	d := deployWithAdmin(t)
-	tiny := strings.Replace(checkRequest("/check", "t1"), "basic", "tiny", 1)
+	tinyRequest := strings.Replace(checkRequest("/check", "t1"), "basic", "tiny", 1)
 	for i, raw := range []string{checkRequest("/check", "a"), saleRequest("/sale", "b"),
-		issueRequest("/issue?fault", "c"), tiny, strings.Replace(tiny, "t1", "t2", 1), checkRequest("/check", ""),
+		issueRequest("/issue?fault", "c"), tinyRequest,
+		strings.Replace(tinyRequest, "t1", "t2", 1), checkRequest("/check", ""),
 		"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"} {
 		if status, _ := d.send(raw); status == "" {
 			t.Errorf("no answer to %d", i)
@@ -56,14 +58,15 @@
 	}
 }
 
-// A drain says no at once, serves what comes, ends all idle connections in time, and can be taken back.
+// TestDrainAndResume drains by operators' order: /up fails at once, requests that still come are served,
+// idle connections are closed in time, and it can be taken back.
 func TestDrainAndResume(t *testing.T) {
 	d := deployWithAdmin(t)
 	up := func() bool {
 		status, _ := d.send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
 		return status == "HTTP/1.1 200 OK"
 	}
-	var kept []net.Conn
+	var keptConn []net.Conn
 	for i := range 4 {
 		c, err := net.Dial("tcp", d.address)
 		if err != nil {
@@ -74,26 +77,26 @@
 			fmt.Fprint(c, checkRequest("/check", fmt.Sprint("k", i)))
 			readResponse(c)
 		}
-		kept = append(kept, c)
+		keptConn = append(keptConn, c)
 	}
 	if !up() {
-		t.Fatal("not up")
+		t.Fatal("not ready")
 	}
 	for range 2 {
 		d.callAdmin("PUT /admin/quiesce")
 	}
 	if up() || !strings.Contains(d.callAdmin("GET /admin/health"), " 503 ") {
-		t.Error("up while clients are sent away")
+		t.Error("ready while clients are sent away")
 	}
 	if status, _ := d.send(checkRequest("/check", "new")); status != "HTTP/1.1 200 OK" {
 		t.Errorf("a new one gets %q", status)
 	}
-	fmt.Fprint(kept[3], checkRequest("/check", "again"))
-	kept[3].SetDeadline(time.Now().Add(2 * time.Second))
-	if b, err := io.ReadAll(kept[3]); err != nil || !strings.Contains(string(b), "Connection: close") {
-		t.Errorf("a kept one gets %q, %v", b, err)
+	fmt.Fprint(keptConn[3], checkRequest("/check", "again"))
+	keptConn[3].SetDeadline(time.Now().Add(2 * time.Second))
+	if b, err := io.ReadAll(keptConn[3]); err != nil || !strings.Contains(string(b), "Connection: close") {
+		t.Errorf("an open one gets %q, %v", b, err)
 	}
-	for i, c := range kept[:3] {
+	for i, c := range keptConn[:3] {
 		c.SetDeadline(time.Now().Add(2 * time.Second))
 		if b, err := io.ReadAll(c); err != nil || len(b) > 0 {
 			t.Errorf("idle connection %d: %q, %v", i, b, err)
@@ -108,7 +111,7 @@
 	}
 	defer c.Close()
 	if !up() || !strings.Contains(d.callAdmin("GET /admin/health"), " 200 ") {
-		t.Error("not up after resume")
+		t.Error("not ready after resume")
 	}
 	time.Sleep(time.Duration(policy.DrainAsked+200) * time.Millisecond)
 	fmt.Fprint(c, checkRequest("/check", "later"))
@@ -117,7 +120,7 @@
 	}
 }
 
-// A control address that is taken ends the start with a message that names the key.
+// TestAdminAddressInUse: an admin address that is in use ends the start with an error that names the key.
 func TestAdminAddressInUse(t *testing.T) {
 	d := deployWithAdmin(t)
 	c := d.config
@@ -127,10 +130,11 @@
 	}
 }
 
-// Far more connections than there are places, which never finish a txn: true ones, each on a new connection,
-// are served in time, one whose head takes its time too, and a stop is kept to. A true one's time counts from
-// when it was sent, and so the 1 s for which the first ones lie without a place is part of it: who waits 2 s
-// is served within them, and one that waits 300 ms is declined, not served late.
+// TestConnectionFlood opens far more connections than are allowed, none of which completes a request. True
+// clients, each on a new connection, are served in time, also one that sends its headers slowly, and a stop
+// takes no longer than it may. A true client's time counts from when it has sent, and the 1 s for which the
+// first ones wait for a place is part of it: one with a deadline of 2 s is served within it, and one with
+// 300 ms is rejected, not served late.
 func TestConnectionFlood(t *testing.T) {
 	d := deployWithAdmin(t)
 	slow, err := net.Dial("tcp", d.address)
@@ -160,34 +164,34 @@
 			fmt.Fprint(c, checkRequest("/check", "never")[:60])
 		}
 	}
-	brief, err := net.Dial("tcp", d.address)
+	shortDeadline, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer brief.Close()
-	fmt.Fprint(brief, checkRequest("/check", "brief"))
+	defer shortDeadline.Close()
+	fmt.Fprint(shortDeadline, checkRequest("/check", "brief"))
 	for i := range 5 {
 		start := time.Now()
 		status, _ := d.send(strings.Replace(checkRequest("/check", fmt.Sprint("t", i)), "300m", "2000m", 1))
-		if took := time.Since(start); status != "HTTP/1.1 200 OK" || took > 2*time.Second {
-			t.Errorf("true txn %d: %q after %v", i, status, took)
+		if elapsed := time.Since(start); status != "HTTP/1.1 200 OK" || elapsed > 2*time.Second {
+			t.Errorf("request %d: %q after %v", i, status, elapsed)
 		}
 	}
-	if s, _ := readResponse(brief); s != "HTTP/1.1 429 Too Many Requests" {
-		t.Errorf("one whose time was over when it got a place: %q", s)
+	if s, _ := readResponse(shortDeadline); s != "HTTP/1.1 429 Too Many Requests" {
+		t.Errorf("one whose deadline had passed when it got a place: %q", s)
 	}
 	if s := <-got; s != "HTTP/1.1 200 OK" {
-		t.Errorf("a slow honest one gets %q", s)
+		t.Errorf("a slow valid one gets %q", s)
 	}
 	start := time.Now()
 	d.gateway.Stop()
-	if took := time.Since(start); took > 3500*time.Millisecond { // it has 3.7 s at least
-		t.Errorf("stopped after %v", took)
+	if elapsed := time.Since(start); elapsed > 3500*time.Millisecond { // it has 3.7 s at least
+		t.Errorf("stopped after %v", elapsed)
 	}
 }
 
-// The number of gatekeepers is taken up in service, where no more than that has changed: kept connections go
-// on, and a txn of the new set is one of ours.
+// TestResizeMembership changes the number of gateways by reloads. It is applied in service where nothing
+// else has changed: open connections go on, and a request that is spread over the new number is accepted.
 func TestResizeMembership(t *testing.T) {
 	d := deployWith(t, func(c *config.Gatekeeper) { c.Tells = true }, 1, 5000, `"balancers":1`, `"balancers":2`)
 	c, err := net.Dial("tcp", d.address)
@@ -212,7 +216,7 @@
 	conf.Charter.Gatekeepers, conf.Charter.LargestUnits = 4, 7
 	d.gateway.Reload(conf, nil)
 	if n := d.stat("members"); n != 3 {
-		t.Errorf("with another charter it takes up %d", n)
+		t.Errorf("with other settings changed it applies %d", n)
 	}
 	conf.Charter.Gatekeepers, conf.Charter.LargestUnits = 1, d.config.Charter.LargestUnits
 	d.gateway.Reload(conf, nil)
--- a/internal/gateway/lifecycle/bootstrap_test.go
+++ b/internal/gateway/lifecycle/bootstrap_test.go
@@ -14,7 +14,7 @@
 	"willowdeck/internal/gateway/config"
 )
 
-// scripted is a peer that answers whatever it is told to, on loopback.
+// startServer serves HTTP on loopback by a handler, and gives its address.
 func startServer(t *testing.T, answer http.HandlerFunc) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,9 +27,10 @@
 	return l.Addr().String()
 }
 
-// A newcomer whose discovery is silent asks a running instance: nothing goes to a worker that has drained
-// since, whatever was known at its start. Peers that are older, wrong, of another version, garbled, endless
-// or that stop half-way change nothing, and nothing waits for them. Discovery's word ends it.
+// TestBootstrapFromPeer: a joining instance whose discovery is silent requests a running instance's
+// endpoints, and sends nothing to a worker that is draining by those, whatever its configuration says. Peers
+// whose list is older, wrong, of another version, garbled, endless or cut off change nothing, and nothing
+// waits for them. Discovery's response ends it.
 func TestBootstrapFromPeer(t *testing.T) {
 	var up atomic.Pointer[deployment]
 	drained := func(version int) string {
@@ -44,10 +45,10 @@
 			d.endpointEntry(1, "active", 0),
 		)
 	}
-	says := func(version, age string, body func() string) http.HandlerFunc {
+	reply := func(version, age string, body func() string) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != admin.ListPath {
-				t.Errorf("asked for %s", r.URL.Path)
+				t.Errorf("request for %s", r.URL.Path)
 			}
 			w.Header().Set(admin.VersionHeader, version)
 			w.Header().Set(admin.AgeHeader, age)
@@ -60,21 +61,21 @@
 		peer     http.HandlerFunc
 		believed bool
 	}{
-		{"newer", says("1", "5", good), true},
-		{"older than what is known", says("1", "5", func() string { return drained(6) }), false},
-		{"another version", says("2", "5", good), false},
-		{"no age", says("1", "", good), false},
-		{"too old", says("1", "1e9", good), false},
-		{"garbled", says("1", "5", func() string { return `{"index":9,"endpoints":[{"name":` }), false},
-		{"nothing to tell", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, false},
-		{"without end", func(w http.ResponseWriter, r *http.Request) {
+		{"newer", reply("1", "5", good), true},
+		{"older than what is known", reply("1", "5", func() string { return drained(6) }), false},
+		{"another version", reply("2", "5", good), false},
+		{"no age", reply("1", "", good), false},
+		{"too old", reply("1", "1e9", good), false},
+		{"corrupt", reply("1", "5", func() string { return `{"index":9,"endpoints":[{"name":` }), false},
+		{"nothing to serve", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, false},
+		{"endless", func(w http.ResponseWriter, r *http.Request) {
 			for b := []byte(strings.Repeat("x", 1<<16)); r.Context().Err() == nil; {
 				if _, err := w.Write(b); err != nil {
 					return
 				}
 			}
 		}, false},
-		{"stops half-way", func(w http.ResponseWriter, r *http.Request) {
+		{"stops half way", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Length", "1000")
 			io.WriteString(w, good()[:20])
 			w.(http.Flusher).Flush()
@@ -84,15 +85,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			at := startServer(t, func(w http.ResponseWriter, r *http.Request) { c.peer(w, r) })
 			mute := silentListener(t)
-			began := time.Now()
+			start := time.Now()
 			up.Store(nil)
 			d := deployWith(t, func(g *config.Gatekeeper) { g.Discovery, g.Ask = mute, []string{at} }, 2, 5000)
 			up.Store(d)
-			if took := time.Since(began); took > 200*time.Millisecond {
-				t.Errorf("the start took %v", took)
+			if elapsed := time.Since(start); elapsed > 200*time.Millisecond {
+				t.Errorf("the start took %v", elapsed)
 			}
 			if c.believed {
-				waitFor(t, "it is not believed", func() bool { return d.gateway.dispatcher.Tally().Workers == 1 })
+				waitFor(t, "the peer's endpoints are not used", func() bool {
+					return d.gateway.dispatcher.Tally().Workers == 1
+				})
 			} else {
 				time.Sleep(150 * time.Millisecond)
 			}
@@ -110,14 +113,14 @@
 			d.gateway.Reload(conf, nil)
 			waitFor(
 				t,
-				"hearsay outlives discovery's word",
+				"a peer's endpoints outlive discovery's response",
 				func() bool { return d.gateway.dispatcher.Tally().Workers == 2 },
 			)
 		})
 	}
 }
 
-// silentListener takes connections and says nothing.
+// silentListener accepts connections and sends nothing.
 func silentListener(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -135,25 +138,25 @@
 	return l.Addr().String()
 }
 
-// A running instance tells what discovery has said to it, and nothing before that; one that is not to tell
-// has no such call.
+// TestServeEndpointList: a running instance serves the endpoints that discovery has sent, and none before
+// that; one that is not configured to has no such path.
 func TestServeEndpointList(t *testing.T) {
 	d := deployWith(t, func(c *config.Gatekeeper) { c.Control, c.Tells = "127.0.0.1:0", true }, 2, 5000)
-	waitFor(t, "nothing is told", func() bool {
+	waitFor(t, "no endpoints are served", func() bool {
 		return strings.Contains(d.callAdmin("GET "+admin.ListPath), "\"index\":7")
 	})
 	d.updates <- fmt.Sprintf(`{"index":8,"snapshot":false,"endpoints":[%s]}`, d.endpointEntry(1, "left", 0))
-	waitFor(t, "it tells what was", func() bool {
+	waitFor(t, "the former endpoints are served", func() bool {
 		s := d.callAdmin("GET " + admin.ListPath)
 		return strings.Contains(s, "\"index\":8") && !strings.Contains(s, "w1") && strings.Contains(s, "w0")
 	})
 	if s := deployWithAdmin(t).callAdmin("GET " + admin.ListPath); !strings.Contains(s, "404") {
-		t.Errorf("one that is not to tell: %q", s)
+		t.Errorf("one that does not serve endpoints: %q", s)
 	}
 	quiet := deployWith(t, func(c *config.Gatekeeper) {
 		c.Control, c.Tells, c.Discovery = "127.0.0.1:0", true, silentListener(t)
 	}, 1, 5000)
 	if s := quiet.callAdmin("GET " + admin.ListPath); !strings.Contains(s, "503") {
-		t.Errorf("before discovery has spoken: %q", s)
+		t.Errorf("before discovery has responded: %q", s)
 	}
 }
--- a/internal/gateway/lifecycle/borrowing_test.go
+++ b/internal/gateway/lifecycle/borrowing_test.go
@@ -10,7 +10,7 @@
 	"willowdeck/internal/gateway/config"
 )
 
-// owed gives one of a process's figures of credit; below nought where it has none.
+// borrowingStat gives one of a process's stats of borrowing; -1 where it has none.
 func borrowingStat(g *Gateway, name string) int64 {
 	for _, m := range g.Figures().More {
 		if m.Name == "credit."+name {
@@ -20,15 +20,15 @@
 	return -1
 }
 
-// A process that takes another's place takes its book: what is owed stays owed, and no more is lent than the
-// line.
+// TestBorrowingAtReplacement: a successor takes over the ledger. What is owed stays owed, and no more is
+// lent than the credit line.
 func TestBorrowingAtReplacement(t *testing.T) {
 	d, change := deployWithInheritedListener(t, `"rate":0.1,"most_at_once":1`,
 		`"rate":2,"most_at_once":2,"credit_s":1,"repay_s":60`)
-	book := filepath.Join(t.TempDir(), "residue")
+	ledgerPath := filepath.Join(t.TempDir(), "residue")
 	keeps := func(c *config.Gatekeeper) {
 		change(c)
-		c.Residue = book
+		c.Residue = ledgerPath
 	}
 	first := d.startSuccessor(keeps)
 	d.gateway.Stop()
@@ -53,14 +53,14 @@
 		}
 	}
 	ask(4) // the new book has the line as drawn
-	within("the line is not earned", func() bool { return borrowingStat(first, "rights") == 2 })
+	within("the credit line is not earned", func() bool { return borrowingStat(first, "rights") == 2 })
 	time.Sleep(3 * time.Second) // figures are rounded: the last half unit is earned within 0.75 s
 	if ask(12); borrowingStat(first, "outstanding") != 2 {
 		t.Fatalf("%d passed, %d is owed", passed, borrowingStat(first, "outstanding"))
 	}
 	second := d.startSuccessor(keeps)
 	first.Stop()
-	within("the book is not taken over", func() bool { return borrowingStat(second, "customers") == 1 })
+	within("the ledger is not taken over", func() bool { return borrowingStat(second, "customers") == 1 })
 	before := borrowingStat(second, "outstanding") // what was idle in between may have paid a part of it
 	ask(6)
 	if lent, paid := borrowingStat(second, "lent"), borrowingStat(second, "repaid"); before < 1 || lent > paid ||
--- a/internal/gateway/lifecycle/descriptors_test.go
+++ b/internal/gateway/lifecycle/descriptors_test.go
@@ -21,17 +21,17 @@
 	"willowdeck/internal/testkit/faultinject"
 )
 
-// files counts the descriptors of a process.
+// openDescriptors counts the descriptors of a process.
 func openDescriptors(pid string) int {
 	all, _ := os.ReadDir(filepath.Join("/proc", pid, "fd"))
 	return len(all)
 }
 
-// crowd keeps so many connections open at an address for as long as it may: each that is ended is opened
-// anew. A connection says something, or nothing, and then rests.
-func keepConnecting(t *testing.T, at string, n int, says string) *atomic.Int64 {
+// keepConnecting keeps n connections open at an address until the test ends: each that is closed is opened
+// again. A connection sends a text, which may be empty, and then rests. It gives the number that are open.
+func keepConnecting(t *testing.T, at string, n int, reply string) *atomic.Int64 {
 	t.Helper()
-	over := make(chan struct{})
+	ended := make(chan struct{})
 	var open atomic.Int64
 	var all sync.WaitGroup
 	for range n {
@@ -45,19 +45,19 @@
 					stop := make(chan struct{})
 					go func() {
 						select {
-						case <-over:
+						case <-ended:
 							c.Close()
 						case <-stop:
 						}
 					}()
-					fmt.Fprint(c, says)
+					fmt.Fprint(c, reply)
 					bufio.NewReader(c).WriteTo(discard{}) // until the other end closes
 					close(stop)
 					c.Close()
 					open.Add(-1)
 				}
 				select {
-				case <-over:
+				case <-ended:
 					return
 				case <-time.After(time.Millisecond):
 				}
@@ -65,7 +65,7 @@
 		}()
 	}
 	t.Cleanup(func() {
-		close(over)
+		close(ended)
 		all.Wait()
 	})
 	return &open
@@ -75,11 +75,12 @@
 
 func (discard) Write(b []byte) (int, error) { return len(b), nil }
 
-// Idle clients fill every place while discovery refuses, and every descriptor that the system allows; then
-// discovery comes up, and clients are served by a worker that only its list names, a customer's demand is
-// told to the peer, and operators are answered. Real processes, each bounded by the system for itself alone.
-// Guards against a split of the descriptors that forgets some of those in use, or believes a configuration
-// that the system does not allow: the last ones go to clients then, and the watch finds none.
+// TestIdleConnectionsFillDescriptors: idle clients take every connection that is allowed while discovery
+// refuses, and every descriptor that the system allows; then discovery starts, and clients are served by a
+// worker that only its list names, a customer's demand is reported to the peer, and admin calls are
+// answered. These are real processes, each with its own limit. Guards against a split of the descriptors
+// that forgets some in use, or trusts a configuration above the system's limit: clients would get the last
+// ones, and the watch none.
 func TestIdleConnectionsFillDescriptors(t *testing.T) {
 	t.Parallel()
 	const most = 96
@@ -89,11 +90,11 @@
 		args                 []string
 		least                int // of what idle clients and calls hold
 	}{
-		{"the system's bound is the configured one", `"limits":{"sockets":96},`, "", nil, 52},
+		{"the system's limit is the configured one", `"limits":{"sockets":96},`, "", nil, 52},
 		{"with all that takes descriptors", `"limits":{"sockets":96},`, "",
 			[]string{"--residue", "residue", "--history", ".", "--tell", "--hall", "h"}, 50},
-		{"the configured one is beyond the system's", "", "", nil, 52},
-		{"and some are inherited", "", "exec 5</dev/null 6</dev/null 7</dev/null 8</dev/null 9</dev/null; ", nil,
+		{"the configured limit is above the system's", "", "", nil, 52},
+		{"some are inherited", "", "exec 5</dev/null 6</dev/null 7</dev/null 8</dev/null 9</dev/null; ", nil,
 			49},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -122,8 +123,8 @@
 			)
 			wait := func(what string, ms float64, ok func() bool) {
 				t.Helper()
-				for began := time.Now(); !ok(); time.Sleep(5 * time.Millisecond) {
-					if time.Since(began) > transport.Millis(ms) {
+				for start := time.Now(); !ok(); time.Sleep(5 * time.Millisecond) {
+					if time.Since(start) > transport.Millis(ms) {
 						log, _ := os.ReadFile(p.Log())
 						t.Fatalf("%s: not within %v ms; log: %s", what, ms, log)
 					}
@@ -160,7 +161,7 @@
 			keepConnecting(t, at(0), most/2, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
 			keepConnecting(t, at(2), 2*policy.OperatorCalls, "")
 			full := 0
-			wait("a crowd that fills all places", 10000, func() bool {
+			wait("connections that use all descriptors", 10000, func() bool {
 				full = max(full, openDescriptors(pid))
 				return full >= idle+c.least
 			})
@@ -208,7 +209,7 @@
 				n++
 				return answers(at(0), strings.Replace(checkRequest("/check", fmt.Sprint(n)), "spread=1", "spread=2", 1))
 			}
-			wait("a client served by a worker of the list", policy.WatchDue+5000, served)
+			wait("a client served by a worker of discovery's list", policy.WatchDue+5000, served)
 			t.Logf("%d descriptors, %d of them without a client; served %v after discovery was up", full, idle,
 				time.Since(up))
 			peer.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -218,7 +219,7 @@
 				told <- err
 			}()
 			heard := false
-			wait("a word to the peer", 10000, func() bool {
+			wait("a message to the peer", 10000, func() bool {
 				select {
 				case err := <-told:
 					heard = err == nil
@@ -228,12 +229,12 @@
 					return false
 				}
 			})
-			wait("an operator's call", 10000, func() bool {
+			wait("an admin call", 10000, func() bool {
 				return answers(at(2), "GET /admin/stats HTTP/1.1\r\nHost: x\r\n\r\n")
 			})
 			log, _ := os.ReadFile(p.Log())
 			if !heard || full > most || strings.Contains(string(log), "too many open files") {
-				t.Errorf("%d descriptors of %d, the peer has heard: %v; log: %s", full, most, heard, log)
+				t.Errorf("%d descriptors of %d, the peer has received: %v; log: %s", full, most, heard, log)
 			}
 		})
 	}
--- a/internal/gateway/lifecycle/disconnect_test.go
+++ b/internal/gateway/lifecycle/disconnect_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// A client closes while its first submission is out, and that submission is reset right then: no second one
-// goes out. Guards against a further submission for nobody in the time until the module looks at its clients
-// (100 ms): the operators' term lets none begin more than 100 ms after.
+// TestClientDisconnectsBetweenAttempts: a client disconnects while its first attempt is in flight, and that
+// attempt is reset at the same time: no second one is sent. Guards against a retry for nobody in the time
+// until the dispatcher looks at its clients (100 ms): the operators' term allows none later than 100 ms
+// after the disconnect.
 func TestClientDisconnectsBetweenAttempts(t *testing.T) {
 	d := deploy(t, 0, 1000)
 	type came struct {
@@ -57,7 +58,7 @@
 		first.c.Close()
 		select {
 		case again := <-got:
-			t.Fatalf("sent again for nobody: %q", again.line)
+			t.Fatalf("retried for nobody: %q", again.line)
 		case <-time.After(150 * time.Millisecond):
 		}
 	}
--- a/internal/gateway/lifecycle/discovery_test.go
+++ b/internal/gateway/lifecycle/discovery_test.go
@@ -27,16 +27,16 @@
 	"willowdeck/internal/testkit/ports"
 )
 
-// modes are the ways in which lists come, at the most gatekeepers.
+// watchModes are the ways in which endpoint lists arrive, with the largest number of gateways.
 var watchModes = []struct {
 	name  string
 	swaps []string
 }{
 	{"pushed", []string{`"balancers":1`, `"balancers":300`}},
-	{"asked for", []string{`"balancers":1`, `"balancers":300,"registry_mode":"on_request"`}},
+	{"polled", []string{`"balancers":1`, `"balancers":300,"registry_mode":"on_request"`}},
 }
 
-// listing starts discovery with the workers of a configuration, its lists laid out over several lines.
+// startListedDiscovery starts discovery with the workers of a configuration. Its lists span several lines.
 func startListedDiscovery(t *testing.T, c *config.Gatekeeper) *fakes.Discovery {
 	t.Helper()
 	var entries []fakes.Entry
@@ -53,32 +53,33 @@
 	return d
 }
 
-// drains has discovery tell that the first worker drains.
+// drainFirstWorker has discovery list the first worker as draining.
 func drainFirstWorker(list *fakes.Discovery) {
 	e := list.List().Endpoints[0]
 	e.Status = "leaving"
 	list.Tell(e)
 }
 
-// within waits until so many workers are active, and fails if that takes longer than so many ms.
+// awaitActiveWorkers waits until that many workers are active, and fails if it takes longer than most
+// milliseconds.
 func awaitActiveWorkers(t *testing.T, d *deployment, workers int, most float64) {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	for d.gateway.dispatcher.Tally().Workers != workers {
-		if time.Since(began) > transport.Millis(most) {
+		if time.Since(start) > transport.Millis(most) {
 			t.Fatalf("%d workers are active %v ms later, not %d", d.gateway.dispatcher.Tally().Workers, most, workers)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Logf("told after %v", time.Since(began))
+	t.Logf("applied after %v", time.Since(start))
 }
 
-// told is within, by a clock that stands still while the machine does: a look each 5 ms that comes more than
-// 50 ms late counts for 50.
+// awaitActiveWorkersRunning is awaitActiveWorkers by a clock that stops while the machine stalls: of the
+// time between two looks, which are 5 ms apart, at most 50 ms count.
 func awaitActiveWorkersRunning(t *testing.T, d *deployment, workers int, most float64) {
 	t.Helper()
 	const late = 50 * time.Millisecond
-	began, ran, last := time.Now(), time.Duration(0), time.Now()
+	start, ran, last := time.Now(), time.Duration(0), time.Now()
 	for ; d.gateway.dispatcher.Tally().Workers != workers; time.Sleep(5 * time.Millisecond) {
 		now := time.Now()
 		ran += min(now.Sub(last), late)
@@ -87,17 +88,17 @@
 				"%d workers are active %v (%v) later, not %d",
 				d.gateway.dispatcher.Tally().Workers,
 				ran,
-				time.Since(began),
+				time.Since(start),
 				workers,
 			)
 		}
 	}
-	t.Logf("told after %v, of which the machine stood still for %v", time.Since(began), time.Since(began)-ran)
+	t.Logf("applied after %v, of which the machine stalled for %v", time.Since(start), time.Since(start)-ran)
 }
 
-// The open watch falls silent once, and a worker drains: that is told before it counts as told. Guards
-// against a silence that is noticed late, on top of it a pause that grows with the fleet, and lists over
-// several lines.
+// TestSilentWatch: the open watch falls silent, and a worker drains. That is applied within WatchDue. Guards
+// against a silence that is noticed late, a backoff after it that grows with the number of gateways, and
+// lists that span several lines.
 func TestSilentWatch(t *testing.T) {
 	t.Parallel()
 	for _, m := range watchModes {
@@ -120,17 +121,18 @@
 	}
 }
 
-// A move to a discovery that is silent or turns calls away at first is told within WatchMoved once that
-// speaks. Guards against the first pause of a large fleet, and against those that grow with each failure.
+// TestDiscoveryMoveInTime moves to a discovery that is silent or rejects requests at first. Its list is
+// applied within WatchMoved from when it responds. Guards against the first backoff of a large fleet, and
+// against backoffs that grow with each failure.
 func TestDiscoveryMoveInTime(t *testing.T) {
 	t.Parallel()
 	for _, m := range watchModes {
 		for _, c := range []struct {
-			name   string
-			away   func(*fakes.Discovery, bool)
-			before time.Duration
+			name     string
+			fail     func(*fakes.Discovery, bool)
+			failsFor time.Duration
 		}{
-			{"well", (*fakes.Discovery).Busy, 0},
+			{"healthy", (*fakes.Discovery).Busy, 0},
 			{"busy at first", (*fakes.Discovery).Busy, time.Second},
 			{"silent at first", (*fakes.Discovery).Down, time.Second},
 		} {
@@ -144,34 +146,36 @@
 				}
 				drainFirstWorker(list)
 				next.Discovery = list.At
-				c.away(list, c.before > 0)
+				c.fail(list, c.failsFor > 0)
 				d.gateway.Reload(next, nil)
-				time.Sleep(c.before)
-				c.away(list, false)
+				time.Sleep(c.failsFor)
+				c.fail(list, false)
 				awaitActiveWorkers(t, d, 1, policy.WatchMoved)
 			})
 		}
 	}
 }
 
-// Where lists are pushed, no txn goes by the known list alone while the agent has a newer one at hand; and no
-// start waits for one that is silent for longer than FirstWord. Where they are asked for none waits.
+// TestStartAwaitsAgent: where lists are pushed, no request is sent by the configured list alone while the
+// agent has a newer one, and no start waits for a silent agent for longer than FirstWord. Where lists are
+// polled none waits.
 func TestStartAwaitsAgent(t *testing.T) {
-	const slack = 200.0 // ms; a start itself, on a loaded machine
+	const slackMillis = 200.0 // ms; a start itself, on a loaded machine
 	for _, c := range []struct {
-		name   string
-		swaps  []string
-		answer func(w http.ResponseWriter, d *deployment)
-		drains bool
-		most   float64
+		name      string
+		swaps     []string
+		answer    func(w http.ResponseWriter, d *deployment)
+		drains    bool
+		maxMillis float64
 	}{
 		{"at hand", nil, func(w http.ResponseWriter, d *deployment) {
 			time.Sleep(10 * time.Millisecond)
 			fmt.Fprintf(w, "{\n\"index\":8,\"endpoints\":[\n%s]}\n", d.endpointEntry(0, "leaving", 0))
-		}, true, slack},
-		{"silent", nil, func(http.ResponseWriter, *deployment) {}, false, policy.FirstWord + slack},
-		{"turns it away", nil, func(w http.ResponseWriter, _ *deployment) { w.WriteHeader(503) }, false, slack},
-		{"asked for", watchModes[1].swaps, func(http.ResponseWriter, *deployment) {}, false, slack},
+		}, true, slackMillis},
+		{"silent", nil, func(http.ResponseWriter, *deployment) {}, false, policy.FirstWord + slackMillis},
+		{"rejected", nil, func(w http.ResponseWriter, _ *deployment) { w.WriteHeader(503) }, false,
+			slackMillis},
+		{"polled", watchModes[1].swaps, func(http.ResponseWriter, *deployment) {}, false, slackMillis},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := deploy(t, 2, 5000, c.swaps...)
@@ -183,20 +187,20 @@
 			}))
 			t.Cleanup(agent.Close)
 			conf.Discovery = agent.Listener.Addr().String()
-			var took time.Duration
+			var elapsed time.Duration
 			for range 5 {
-				began := time.Now()
+				start := time.Now()
 				gk, err := Start(conf, zerolog.Nop())
 				if err != nil {
 					t.Fatal(err)
 				}
-				took, d.address = time.Since(began), gk.Address
+				elapsed, d.address = time.Since(start), gk.Address
 				t.Cleanup(func() {
 					gk.cancelWatch()
 					<-gk.watchEnded
 					gk.Stop()
 				})
-				if !c.drains || took < transport.Millis(policy.FirstWord) {
+				if !c.drains || elapsed < transport.Millis(policy.FirstWord) {
 					break // else the machine stood still, and the agent could not be heard in time
 				}
 			}
@@ -205,36 +209,37 @@
 					t.Fatalf("answered %q", s)
 				}
 			}
-			if n := d.workers[0].count(); took > transport.Millis(c.most) || (n == 0) != c.drains {
-				t.Errorf("the start took %v; %d txns went to a worker that drains by its agent: %v", took, n, c.drains)
+			if n := d.workers[0].count(); elapsed > transport.Millis(c.maxMillis) || (n == 0) != c.drains {
+				t.Errorf("the start took %v; %d requests went to a worker that drains by its agent: %v",
+					elapsed, n, c.drains)
 			}
 		})
 	}
 }
 
-// What a newcomer asks of others may come over several lines, and counts only if it is whole: cut anywhere,
-// by a peer that says so little or one that breaks off, it is an error.
+// TestFetchEndpoints: a peer's list may span several lines, and counts only if it is complete. Cut at any
+// byte, by a peer that announces that length or one that breaks off, it is an error.
 func TestFetchEndpoints(t *testing.T) {
-	const whole = "{\n \"index\": 8,\n\n \"snapshot\": true,\n \"endpoints\": [\n" +
+	const list = "{\n \"index\": 8,\n\n \"snapshot\": true,\n \"endpoints\": [\n" +
 		"  {\"name\":\"a\",\"status\":\"leaving\"}\n ]\n}"
-	cut, claims := 0, 0
+	cutAt, contentLength := 0, 0
 	at := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(admin.VersionHeader, fmt.Sprint(bootstrap.Version))
 		w.Header().Set(admin.AgeHeader, "5")
-		w.Header().Set("Content-Length", fmt.Sprint(claims))
-		io.WriteString(w, whole[:cut])
+		w.Header().Set("Content-Length", fmt.Sprint(contentLength))
+		io.WriteString(w, list[:cutAt])
 	})
-	for cut = 0; cut <= len(whole); cut++ {
-		for _, claims = range []int{cut, len(whole)} {
+	for cutAt = 0; cutAt <= len(list); cutAt++ {
+		for _, contentLength = range []int{cutAt, len(list)} {
 			l, _, err := fetchEndpoints(&fasthttp.Client{MaxIdemponentCallAttempts: 1}, at)
-			if ok := cut == len(whole); ok != (err == nil) || ok != (l.Version == 8 && len(l.Workers) == 1) {
-				t.Fatalf("cut after %q: %+v, %v", whole[:cut], l, err)
+			if ok := cutAt == len(list); ok != (err == nil) || ok != (l.Version == 8 && len(l.Workers) == 1) {
+				t.Fatalf("cut after %q: %+v, %v", list[:cutAt], l, err)
 			}
 		}
 	}
 }
 
-// calls is a discovery on loopback that meets one call after another as it is told to.
+// scriptedDiscovery is a discovery on loopback that handles each request as the test says.
 type scriptedDiscovery struct {
 	address    string
 	handled    chan string // each call that has been met, by how
@@ -243,7 +248,8 @@
 	delay      time.Duration
 }
 
-// meeting gives one whose list has the first worker of a configuration drain.
+// newScriptedDiscovery gives one whose list has the first worker of a configuration draining. It listens
+// once listen is called.
 func newScriptedDiscovery(
 	t *testing.T,
 	at string,
@@ -266,7 +272,7 @@
 	}
 }
 
-// open has it listen.
+// listen opens its address.
 func (d *scriptedDiscovery) listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", d.address)
@@ -303,10 +309,10 @@
 		return err
 	}
 	const ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	half := d.list[:len(d.list)/2]
+	halfConn := d.list[:len(d.list)/2]
 	more := ""
 	switch how {
-	case "well":
+	case "healthy":
 		time.Sleep(d.delay)
 		fmt.Fprint(c, ok)
 		_ = chunk(d.list + "\n")
@@ -317,23 +323,23 @@
 		fmt.Fprint(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		return
 	case "swallowed":
-	case "head alone":
+	case "headers alone":
 		fmt.Fprint(c, ok)
 	case "half a list, reset":
 		fmt.Fprint(c, ok)
-		_ = chunk(half)
+		_ = chunk(halfConn)
 		c.(*net.TCPConn).SetLinger(0)
 		return
 	case "half a list":
 		fmt.Fprint(c, ok)
-		_ = chunk(half)
-	case "a watch that speaks and then trickles":
+		_ = chunk(halfConn)
+	case "a watch that responds and then trickles":
 		fmt.Fprint(c, ok)
 		_ = chunk("\n")
 		for err := chunk(`{"endpoints":[`); err == nil; err = chunk("[") {
 			time.Sleep(100 * time.Millisecond)
 		}
-	case "a list that trickles":
+	case "a trickling list":
 		more = "["
 	case "blanks in a list":
 		more = " \n"
@@ -347,10 +353,10 @@
 	_, _ = io.Copy(io.Discard, c)
 }
 
-// Discovery meets the first calls badly, each in its way for good, and is well from then on: its change is
-// told in WatchDue, on real connections, by the draws that make for the longest pauses among 300 that ask,
-// where it answers in turn. Guards against all that a call which was refused, swallowed, turned away or given
-// half an answer may add to the next one's pause.
+// TestUpdateAfterOutage: discovery fails the first requests, each in its way for good, and is well from then
+// on. Its update is applied within WatchDue, on real connections, by the random draws that make for the
+// longest backoffs among 300 instances that poll, where it answers one after another. Guards against all
+// that a request which was refused, swallowed, rejected or half answered may add to the next one's backoff.
 func TestUpdateAfterOutage(t *testing.T) {
 	t.Parallel()
 	for _, m := range watchModes {
@@ -361,12 +367,12 @@
 			{"refused", nil},
 			{"swallowed", []string{"swallowed"}},
 			{"swallowed twice", []string{"swallowed", "swallowed"}},
-			{"turned away twice", []string{"busy", "busy"}},
-			{"head alone", []string{"head alone"}},
+			{"rejected twice", []string{"busy", "busy"}},
+			{"headers alone", []string{"headers alone"}},
 			{"half a list", []string{"half a list"}},
 			{"half a list, reset", []string{"half a list, reset"}},
-			{"a list that trickles", []string{"a list that trickles"}},
-			{"a watch that speaks and then trickles", []string{"a watch that speaks and then trickles"}},
+			{"a trickling list", []string{"a trickling list"}},
+			{"a watch that responds and then trickles", []string{"a watch that responds and then trickles"}},
 			{"blanks in a list", []string{"blanks in a list"}},
 		} {
 			t.Run(m.name+", "+c.name, func(t *testing.T) {
@@ -382,7 +388,7 @@
 					if l = list.listen(t); len(c.how) == 0 {
 						l.Close()
 					}
-					for _, how := range append(c.how, "well") {
+					for _, how := range append(c.how, "healthy") {
 						list.behaviours <- how
 					}
 					conf.Discovery = list.address
@@ -406,7 +412,8 @@
 	}
 }
 
-// late tells whether a seed does not draw an early first call and late ones after it.
+// hasLateDraws reports whether a seed's draws do not make the first request early and the ones after it
+// late.
 func hasLateDraws(seed int64) bool {
 	r := rand.New(rand.NewSource(seed))
 	soon, late := r.Float64() < 0.02, true
@@ -416,26 +423,26 @@
 	return !soon || !late
 }
 
-// A connection to discovery never comes up, as to a machine that is gone; then it is back. Guards against a
-// try that was begun just before, and holds the next one up.
+// TestUpdateAfterBlackHole: a connection to discovery never comes up, as to a machine that is gone; then it
+// is back. Guards against an attempt that was begun just before, and delays the next one.
 func TestUpdateAfterBlackHole(t *testing.T) {
 	t.Parallel()
 	for _, m := range watchModes {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			var list *scriptedDiscovery
-			var hole []io.Closer
+			var backlog []io.Closer
 			d := deployWith(t, func(conf *config.Gatekeeper) {
 				list = newScriptedDiscovery(t, ports.Address(t), conf, 0)
-				hole = fillBacklog(t, list.address)
-				list.behaviours <- "well"
+				backlog = fillBacklog(t, list.address)
+				list.behaviours <- "healthy"
 				conf.Discovery = list.address
 				for hasLateDraws(conf.Seed) {
 					conf.Seed++
 				}
 			}, 2, 5000, m.swaps...)
 			<-d.gateway.firstWatchResult // a try was given up; the next is about to begin, or has
-			for _, c := range hole {
+			for _, c := range backlog {
 				c.Close()
 			}
 			go list.serve(list.listen(t))
@@ -444,7 +451,8 @@
 	}
 }
 
-// blackHole has connections to an address never come up: nobody accepts there, and the queue is full.
+// fillBacklog makes connections to an address hang: nobody accepts there, and the listener's backlog is
+// full.
 func fillBacklog(t *testing.T, at string) (all []io.Closer) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -473,14 +481,14 @@
 		}
 		all = append(all, c)
 	}
-	t.Fatal("the queue is never full")
+	t.Fatal("the backlog is never full")
 	return
 }
 
-// SIGHUP comes several times in a row, each with another discovery: the watch leaves one that swallows calls,
-// and one to which connections never come up, at once, and the last one's change is told within WatchMoved.
-// If that is down first, the change is told as after any outage. Guards against a move that waits for what
-// the watch is about, and against pauses of the moves before.
+// TestConsecutiveMoves sends SIGHUP several times in a row, each with another discovery. The watch leaves
+// one that swallows requests, and one to which connections never come up, at once, and the last one's update
+// is applied within WatchMoved; if that one is down first, as after any outage. Guards against a move that
+// waits for what the watch is doing, and against backoffs of the moves before.
 func TestConsecutiveMoves(t *testing.T) {
 	t.Parallel()
 	for _, m := range watchModes {
@@ -490,18 +498,18 @@
 				at := []string{ports.Address(t), ports.Address(t), ports.Address(t)}
 				d := deploy(t, 2, 5000, m.swaps...)
 				next := d.config
-				swallows, last := newScriptedDiscovery(t, at[0], &next, 0), newScriptedDiscovery(t, at[1], &next, 0)
-				swallows.behaviours <- "swallowed"
-				go swallows.serve(swallows.listen(t))
-				last.behaviours <- "well"
+				swallowing, last := newScriptedDiscovery(t, at[0], &next, 0), newScriptedDiscovery(t, at[1], &next, 0)
+				swallowing.behaviours <- "swallowed"
+				go swallowing.serve(swallowing.listen(t))
+				last.behaviours <- "healthy"
 				fillBacklog(t, at[2])
-				began := time.Now()
+				start := time.Now()
 				move := func(to string) {
 					next.Discovery = to
 					d.gateway.Reload(next, nil)
 				}
-				move(swallows.address)
-				<-swallows.handled // the watch waits for an answer
+				move(swallowing.address)
+				<-swallowing.handled // the watch waits for an answer
 				move(at[2])
 				l := last.listen(t)
 				if down {
@@ -519,7 +527,7 @@
 				}
 				go last.serve(l)
 				awaitActiveWorkersRunning(t, d, 1, due)
-				t.Logf("all moves took %v", time.Since(began))
+				t.Logf("all moves took %v", time.Since(start))
 			})
 		}
 	}
--- a/internal/gateway/lifecycle/forwardauth_test.go
+++ b/internal/gateway/lifecycle/forwardauth_test.go
@@ -19,7 +19,7 @@
 	"willowdeck/internal/testkit/fakes"
 )
 
-// asked and asking are the operator file's tables for tests.
+// askedConfig is the operator file's table for the auth server; askingConfig makes that for the authorizer.
 const askedConfig = "[asked]\nlisten = \"127.0.0.1:1\"\ntrusted = [\"127.0.0.0/8\"]\n" +
 	"life_ms = 300\nremember_s = 30\nconnections = 8\n"
 
@@ -28,7 +28,7 @@
 		more)
 }
 
-// forwards turns forward authentication on by an operator file's text, with one worker as a rule.
+// deployForwardAuth enables forward authentication by an operator file's text, before one worker.
 func deployForwardAuth(t *testing.T, text string, swaps ...string) *deployment {
 	t.Helper()
 	return deployWith(t, forwardAuthConfig(t, text), 1, 5000, swaps...)
@@ -57,23 +57,23 @@
 	return a
 }
 
-// call asks on behalf of a txn, as a portal does.
+// authRequest is the request that a proxy sends to the auth server on behalf of a client's request.
 func authRequest(raw string) string {
 	head, _, _ := strings.Cut(raw, "\r\n\r\n")
 	first, rest, _ := strings.Cut(head, "\r\n")
 	w := strings.Fields(first)
-	var kept []string
+	var keptConn []string
 	for _, line := range strings.Split(rest, "\r\n") {
 		if !strings.HasPrefix(line, "Content-Length") {
-			kept = append(kept, line)
+			keptConn = append(keptConn, line)
 		}
 	}
 	return "GET /auth HTTP/1.1\r\nX-Forwarded-Method: " + w[0] + "\r\nX-Forwarded-Uri: " + w[1] +
 		"\r\nX-Forwarded-For: 192.0.2.7\r\nX-Forwarded-Proto: https\r\nX-Forwarded-Host: sales.example\r\n" +
-		strings.Join(kept, "\r\n") + "\r\n\r\n"
+		strings.Join(keptConn, "\r\n") + "\r\n\r\n"
 }
 
-// whole sends bytes on a connection of their own, and gives the answer that comes back.
+// roundTrip sends a request on a connection of its own, and gives its response.
 func roundTrip(t *testing.T, at, raw string) *http.Response {
 	t.Helper()
 	c, err := net.Dial("tcp", at)
@@ -92,10 +92,10 @@
 	return r
 }
 
-// with puts a header line into a request.
+// withHeader inserts a header line into a request.
 func withHeader(raw, line string) string { return strings.Replace(raw, "\r\n", "\r\n"+line+"\r\n", 1) }
 
-// figure gives one figure of operators'.
+// stat gives one of the stats of /admin/stats.
 func (d *deployment) stat(name string) int64 {
 	d.t.Helper()
 	for _, m := range d.gateway.Figures().More {
@@ -103,11 +103,11 @@
 			return m.Value
 		}
 	}
-	d.t.Fatalf("no figure %s", name)
+	d.t.Fatalf("no stat %s", name)
 	return 0
 }
 
-// until waits for something that is to come true soon.
+// waitFor polls a condition for 3 s, and fails with a message if it does not come true.
 func waitFor(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for range 300 {
@@ -119,53 +119,65 @@
 	t.Fatal(what)
 }
 
-// A yes takes the units once; the txn that comes runs once, whoever clears or sends it again; one that never
-// comes gives its units back; a no says when to return, and that is true.
+// TestClearanceUsedOnce: a clearance reserves quota once, and its request runs once, whoever clears or sends
+// it again. A clearance that is not used returns its quota; a rejection says when to return, and that is
+// true.
 func TestClearanceUsedOnce(t *testing.T) {
 	d := deployForwardAuth(t, askedConfig, `{"name":"tiny","rate":0.1,"most_at_once":1`,
 		`{"name":"tiny","rate":2,"most_at_once":2`)
 	at := d.gateway.authServer.At()
-	tiny := func(id string) string { return strings.Replace(issueRequest("/issue", id), "basic", "tiny", 1) }
+	tinyRequest := func(id string) string {
+		return strings.Replace(issueRequest("/issue", id), "basic", "tiny", 1)
+	}
 	for range 2 { // by two portals
-		if r := roundTrip(t, at, authRequest(tiny("t1"))); r.StatusCode != 200 {
+		if r := roundTrip(t, at, authRequest(tinyRequest("t1"))); r.StatusCode != 200 {
 			t.Fatalf("cleared: %v", r.Status)
 		}
 	}
 	if n := len(d.submissions()); n != 0 {
-		t.Fatalf("%d submitted for a clearance", n)
+		t.Fatalf("%d submissions for a clearance", n)
 	}
-	if r := roundTrip(t, d.address, tiny("t1")); r.StatusCode != 200 {
-		t.Fatalf("it comes: %v", r.Status)
+	if r := roundTrip(t, d.address, tinyRequest("t1")); r.StatusCode != 200 {
+		t.Fatalf("the cleared request: %v", r.Status)
 	}
-	for _, again := range []string{roundTrip(t, d.address, tiny("t1")).Status,
-		roundTrip(t, at, authRequest(tiny("t1"))).Status} {
+	for _, again := range []string{roundTrip(t, d.address, tinyRequest("t1")).Status,
+		roundTrip(t, at, authRequest(tinyRequest("t1"))).Status} {
 		if !strings.HasPrefix(again, "409") {
-			t.Errorf("it comes again: %s", again)
+			t.Errorf("the request again: %s", again)
 		}
 	}
 	if n := len(d.submissions()); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
-	if r := roundTrip(t, at, authRequest(tiny("t2"))); r.StatusCode != 200 {
+	if r := roundTrip(t, at, authRequest(tinyRequest("t2"))); r.StatusCode != 200 {
 		t.Fatalf("the second of two units: %v", r.Status)
 	}
-	r := roundTrip(t, at, authRequest(tiny("t3"))) // one unit is spent and one kept: no more until one is back
+	r := roundTrip(
+		t,
+		at,
+		authRequest(tinyRequest("t3")),
+	) // one unit is spent and one kept: no more until one is back
 	var wait float64
 	if fmt.Sscan(r.Header.Get("Retry-After"), &wait); r.StatusCode != 429 || !(wait > 0) {
 		t.Fatalf("beyond the quota: %v, Retry-After %v", r.Status, wait)
 	}
 	time.Sleep(time.Duration(wait*1000+20) * time.Millisecond)
-	if r := roundTrip(t, at, authRequest(tiny("t3"))); r.StatusCode != 200 {
+	if r := roundTrip(t, at, authRequest(tinyRequest("t3"))); r.StatusCode != 200 {
 		t.Errorf("after %v s: %v", wait, r.Status)
 	}
-	waitFor(t, "clearances stay", func() bool { return d.stat("asked.marks") <= 1 })
-	waitFor(t, "two do not lapse", func() bool { return d.gateway.dispatcher.Tally().Final[7] == 2 })
-	if r := roundTrip(t, d.address, tiny("t2")); r.StatusCode != 200 { // as any other: its clearance is no more
+	waitFor(t, "clearances do not expire", func() bool { return d.stat("asked.marks") <= 1 })
+	waitFor(t, "two clearances do not expire", func() bool { return d.gateway.dispatcher.Tally().Final[7] == 2 })
+	if r := roundTrip(
+		t,
+		d.address,
+		tinyRequest("t2"),
+	); r.StatusCode != 200 { // as any other: its clearance is no more
 		t.Errorf("after its clearance: %v", r.Status)
 	}
 }
 
-// The same mark for another customer, product or size is turned away, at both doors, and nothing is booked.
+// TestClearanceMismatch: a request with the ID of a clearance, but another customer, class or size, is
+// rejected by both servers, and nothing is counted for it.
 func TestClearanceMismatch(t *testing.T) {
 	d := deployForwardAuth(t, askedConfig)
 	at := d.gateway.authServer.At()
@@ -175,14 +187,14 @@
 	for _, other := range []string{strings.Replace(issueRequest("/issue", "x"), "b4d65521", "b4d65522", 1),
 		strings.Replace(issueRequest("/issue", "x"), "units=1", "units=0.5", 1), checkRequest("/check", "x")} {
 		if r := roundTrip(t, at, authRequest(other)); r.StatusCode != 409 {
-			t.Errorf("cleared for another: %v", r.Status)
+			t.Errorf("cleared with other data: %v", r.Status)
 		}
 		if r := roundTrip(t, d.address, other); r.StatusCode != 409 {
-			t.Errorf("it comes as another: %v", r.Status)
+			t.Errorf("the request with other data: %v", r.Status)
 		}
 	}
 	if n := d.gateway.dispatcher.Tally().Customers; n != 1 || len(d.submissions()) != 0 {
-		t.Errorf("%d customers, %d submitted", n, len(d.submissions()))
+		t.Errorf("%d customers, %d submissions", n, len(d.submissions()))
 	}
 	if r := roundTrip(
 		t,
@@ -190,12 +202,12 @@
 		issueRequest("/issue", "x"),
 	); r.StatusCode != 200 ||
 		len(d.submissions()) != 1 {
-		t.Errorf("the true one: %v, %d submitted", r.Status, len(d.submissions()))
+		t.Errorf("the cleared request: %v, %d submissions", r.Status, len(d.submissions()))
 	}
 }
 
-// Only portals may ask, and a product may be kept for those that were cleared; of several gatekeepers just
-// one clears each mark.
+// TestClearanceRequired: only trusted proxies may ask for clearances, and a class may be reserved for
+// requests that have one. Of several gateways exactly one clears each request ID.
 func TestClearanceRequired(t *testing.T) {
 	d := deployForwardAuth(t, strings.Replace(askedConfig, "127.0.0.0/8", "192.0.2.0/24", 1))
 	if r := roundTrip(
@@ -204,7 +216,7 @@
 		authRequest(checkRequest("/check", "1")),
 	); r.StatusCode != 403 ||
 		d.stat("asked.stranger") != 1 {
-		t.Errorf("a stranger's call: %v", r.Status)
+		t.Errorf("an untrusted proxy's request: %v", r.Status)
 	}
 	d = deployForwardAuth(
 		t,
@@ -217,7 +229,7 @@
 		t.Errorf("it was not cleared: %v", r.Status)
 	}
 	if r := roundTrip(t, d.address, two(checkRequest("/check", "2"))); r.StatusCode != 200 {
-		t.Errorf("another product: %v", r.Status)
+		t.Errorf("another class: %v", r.Status)
 	}
 	here, there := 0, 0
 	for i := range 40 {
@@ -228,10 +240,10 @@
 		case 421:
 			there++
 			if r.Header.Get("X-Clear-At") != "1" {
-				t.Errorf("elsewhere is %q", r.Header.Get("X-Clear-At"))
+				t.Errorf("the other gateway is %q", r.Header.Get("X-Clear-At"))
 			}
 		default:
-			t.Errorf("mark %d: %v", i, r.Status)
+			t.Errorf("request %d: %v", i, r.Status)
 		}
 	}
 	if here < 8 || there < 8 {
@@ -239,8 +251,9 @@
 	}
 }
 
-// What an auth service says decides: a yes goes on, a no is passed on, and all else is "come again", for a
-// txn that never went out. The service hears the gatekeeper's word on the original, and not the client's.
+// TestAuthorizerVerdicts: the authorization service's verdict decides. A grant goes on, a denial is passed
+// on, and any other response means "retry later", for a request that was never sent. The service receives
+// the gateway's headers about the original request, not the client's.
 func TestAuthorizerVerdicts(t *testing.T) {
 	auth := newAuthService(t)
 	auth.Says(func(c string) (int, map[string]string) {
@@ -258,7 +271,7 @@
 	as := func(raw, c string) string { return withHeader(raw, "Authorization: "+c) }
 	forged := withHeader(as(issueRequest("/issue", "1"), "good"), "X-Forwarded-For: 10.9.8.7")
 	if r := roundTrip(t, d.address, forged); r.StatusCode != 200 {
-		t.Errorf("a yes: %v", r.Status)
+		t.Errorf("a grant: %v", r.Status)
 	}
 	if got := auth.Got(); len(got) != 1 || got[0].For != "127.0.0.1" || got[0].Target != "/issue" ||
 		got[0].Method != "POST" {
@@ -266,20 +279,20 @@
 	}
 	r := roundTrip(t, d.address, as(issueRequest("/issue", "2"), "evil"))
 	if r.StatusCode != 401 || r.Header.Get("WWW-Authenticate") != "Bearer" || r.Header.Get("X-Inner") != "" {
-		t.Errorf("a no: %v %v", r.Status, r.Header)
+		t.Errorf("a denial: %v %v", r.Status, r.Header)
 	}
 	if r = roundTrip(t, d.address, issueRequest("/issue", "3")); r.StatusCode != 401 {
-		t.Errorf("no credential: %v", r.Status)
+		t.Errorf("without a credential: %v", r.Status)
 	}
 	if r = roundTrip(t, d.address, as(issueRequest("/issue", "4"), "busy")); r.StatusCode != 429 ||
 		r.Header.Get("Retry-After") != "1.500" {
 		t.Errorf("a busy service: %v %v", r.Status, r.Header)
 	}
 	if r = roundTrip(t, d.address, as(issueRequest("/issue", "5"), "lost")); r.StatusCode != 429 {
-		t.Errorf("a service that does not know: %v", r.Status)
+		t.Errorf("a service without a verdict: %v", r.Status)
 	}
 	if r = roundTrip(t, d.address, as(checkRequest("/check", "6"), "lost")); r.StatusCode != 200 {
-		t.Errorf("a product that goes on without: %v", r.Status)
+		t.Errorf("a class that needs no verdict: %v", r.Status)
 	}
 	if r = roundTrip(
 		t,
@@ -289,14 +302,15 @@
 		t.Errorf("two credentials: %v", r.Status)
 	}
 	if n := len(d.submissions()); n != 2 {
-		t.Errorf("%d submitted", n)
+		t.Errorf("%d submissions", n)
 	}
 	if t := d.gateway.dispatcher.Tally(); t.Final[0] != 2 {
 		d.t.Errorf("tally %+v", t)
 	}
 }
 
-// Identity may name the customer: of a txn that does not say, and it has to agree with one that does.
+// TestAuthorizerNamesCustomer: the service may name the customer of a request that does not, and has to
+// agree with one that does.
 func TestAuthorizerNamesCustomer(t *testing.T) {
 	auth := newAuthService(t)
 	auth.Says(func(c string) (int, map[string]string) {
@@ -316,12 +330,13 @@
 		}
 	}
 	if n := len(d.submissions()); n != 2 {
-		t.Errorf("%d submitted", n)
+		t.Errorf("%d submissions", n)
 	}
 }
 
-// Hard case: a service that stalls past the client's patience, in each way. Each txn has one answer, in its
-// client's time, nothing goes out, the units are back, and the service is left alone for a while.
+// TestAuthServiceFaults: the service fails past the client's deadline, in each way. Each request has one
+// response, in its client's time, nothing is sent, its quota is returned, and the circuit breaker leaves the
+// service alone for a while.
 func TestAuthServiceFaults(t *testing.T) {
 	auth := newAuthService(t)
 	d := deployForwardAuth(t, askingConfig(auth, "[asking.breaker]\nafter = 7\npause_ms = 150\nmost_ms = 150"))
@@ -334,9 +349,9 @@
 			d.address,
 			withHeader(issueRequest("/issue", fmt.Sprint("s", i)), fmt.Sprint("Authorization: c", i)),
 		)
-		if took := time.Since(from); r.StatusCode != 429 || r.Header.Get("Retry-After") == "" ||
-			took > 280*time.Millisecond {
-			t.Errorf("fault %d: %v after %v", f, r.Status, took)
+		if elapsed := time.Since(from); r.StatusCode != 429 || r.Header.Get("Retry-After") == "" ||
+			elapsed > 280*time.Millisecond {
+			t.Errorf("fault %d: %v after %v", f, r.Status, elapsed)
 		}
 	}
 	auth.Set(fakes.Silent)
@@ -351,10 +366,10 @@
 	); r.StatusCode != 429 ||
 		time.Since(from) > 50*time.Millisecond ||
 		len(auth.Got()) != before {
-		t.Errorf("left alone: %v after %v", r.Status, time.Since(from))
+		t.Errorf("with the breaker open: %v after %v", r.Status, time.Since(from))
 	}
 	auth.Set(fakes.None)
-	waitFor(t, "the service is not asked again", func() bool {
+	waitFor(t, "the service is not requested again", func() bool {
 		r := roundTrip(
 			t,
 			d.address,
@@ -363,15 +378,15 @@
 		return r.StatusCode == 200
 	})
 	if n := len(d.submissions()); n != 1 {
-		t.Errorf("%d submitted", n)
+		t.Errorf("%d submissions", n)
 	}
 	d.checkIdle()
 }
 
-// free checks that nothing is kept once all is answered.
+// checkIdle checks that nothing stays reserved once all requests are answered.
 func (d *deployment) checkIdle() {
 	d.t.Helper()
-	waitFor(d.t, "txns stay in hand", func() bool {
+	waitFor(d.t, "requests stay in flight", func() bool {
 		return d.gateway.dispatcher.Tally().InFlight == 0 && d.gateway.frontend.ActiveRequests() == 0
 	})
 	r := roundTrip(
@@ -385,39 +400,41 @@
 	}
 }
 
-// Hard case: the service says yes when the till has given up. Nothing is submitted, and the units come back.
+// TestLateAuthorization: the service grants a request whose client has given up. Nothing is sent, and the
+// quota is returned.
 func TestLateAuthorization(t *testing.T) {
 	auth := newAuthService(t)
 	auth.Takes(120 * time.Millisecond)
 	d := deployForwardAuth(t, askingConfig(auth, ""), `{"name":"tiny","rate":0.1,"most_at_once":1`,
 		`{"name":"tiny","rate":0.1,"most_at_once":2`)
-	tiny := func(id string) string {
+	tinyRequest := func(id string) string {
 		return withHeader(strings.Replace(issueRequest("/issue", id), "basic", "tiny", 1), "Authorization: c")
 	}
 	c, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprint(c, tiny("1"))
+	fmt.Fprint(c, tinyRequest("1"))
 	time.Sleep(40 * time.Millisecond)
 	c.Close()
-	waitFor(t, "the leaving is not seen", func() bool { return d.gateway.frontend.ActiveRequests() == 0 })
+	waitFor(t, "the disconnect is not noticed", func() bool { return d.gateway.frontend.ActiveRequests() == 0 })
 	time.Sleep(150 * time.Millisecond) // the yes has come
 	if n := len(d.submissions()); n != 0 || len(auth.Got()) != 1 {
-		t.Fatalf("%d submitted for a till that had left, asked %d times", n, len(auth.Got()))
+		t.Fatalf("%d submissions for a client that had left, %d authorizations", n, len(auth.Got()))
 	}
 	if r := roundTrip(
 		t,
 		d.address,
-		tiny("2"),
+		tinyRequest("2"),
 	); r.StatusCode != 200 ||
 		len(auth.Got()) != 1 { // the yes is known now
-		t.Errorf("with the units that are back: %v", r.Status)
+		t.Errorf("with the returned quota: %v", r.Status)
 	}
 }
 
-// The yes and the client's leaving at about one instant: each once-only txn runs once at most, each client
-// that stays has one answer, and nothing is left in hand.
+// TestAuthorizationDisconnectRace: the grant and the client's disconnect come at about the same instant.
+// Each non-idempotent request runs once at most, each client that stays has one response, and nothing stays
+// in flight.
 func TestAuthorizationDisconnectRace(t *testing.T) {
 	auth := newAuthService(t)
 	auth.Takes(20 * time.Millisecond)
@@ -450,7 +467,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	all.Wait()
-	waitFor(t, "txns stay in hand", func() bool { return d.gateway.frontend.ActiveRequests() == 0 })
+	waitFor(t, "requests stay in flight", func() bool { return d.gateway.frontend.ActiveRequests() == 0 })
 	seen := map[string]bool{}
 	for _, raw := range d.submissions() {
 		_, id, _ := strings.Cut(raw, "X-Request-Id: ")
@@ -465,8 +482,9 @@
 	}
 }
 
-// A second process takes over with clearances given and asks under way: what was cleared comes once, what was
-// used does not come again, and who asks is answered.
+// TestForwardAuthAtReplacement: a successor takes over with clearances given and authorizations in flight. A
+// cleared request is accepted once, one that was used is not accepted again, and an authorization in flight
+// is answered.
 func TestForwardAuthAtReplacement(t *testing.T) {
 	auth := newAuthService(t)
 	d, change := deployWithInheritedListener(t)
@@ -485,7 +503,7 @@
 	}
 	first := d.startSuccessor(both) // the deployment's own has no portals
 	d.gateway.Stop()
-	waitFor(t, "no portal", func() bool { return first.authServer.At() != "" })
+	waitFor(t, "no auth server", func() bool { return first.authServer.At() != "" })
 	for _, id := range []string{"used", "kept"} {
 		if r := roundTrip(t, first.authServer.At(), authRequest(issueRequest("/issue", id))); r.StatusCode != 200 {
 			t.Fatal(r.Status)
@@ -495,19 +513,19 @@
 		t.Fatal(r.Status)
 	}
 	auth.Takes(100 * time.Millisecond)
-	busy, err := net.Dial("tcp", d.address)
+	busyConn, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer busy.Close()
-	fmt.Fprint(busy, withHeader(saleRequest("/sale", "busy"), "Authorization: good"))
+	defer busyConn.Close()
+	fmt.Fprint(busyConn, withHeader(saleRequest("/sale", "busy"), "Authorization: good"))
 	time.Sleep(20 * time.Millisecond)
 	second := d.startSuccessor(both)
 	first.Stop()
-	if status, _ := readResponse(busy); status != "HTTP/1.1 200 OK" {
-		t.Errorf("an ask under way: %q", status)
+	if status, _ := readResponse(busyConn); status != "HTTP/1.1 200 OK" {
+		t.Errorf("an authorization in flight: %q", status)
 	}
-	waitFor(t, "no portal in the second", func() bool { return second.authServer.At() != "" })
+	waitFor(t, "the successor has no auth server", func() bool { return second.authServer.At() != "" })
 	at := second.authServer.At()
 	if r := roundTrip(t, at, authRequest(issueRequest("/issue", "used"))); r.StatusCode != 409 {
 		t.Errorf("used before: %v", r.Status)
@@ -517,16 +535,17 @@
 	}
 	for i, want := range []int{200, 409} {
 		if r := roundTrip(t, d.address, issueRequest("/issue", "kept")); r.StatusCode != want {
-			t.Errorf("it comes, %d: %v", i, r.Status)
+			t.Errorf("the cleared request, %d: %v", i, r.Status)
 		}
 	}
 	second.Reload(config.Gatekeeper{}, errors.New("none"))
 	if n := len(d.submissions()); n != 3 {
-		t.Errorf("%d submitted", n)
+		t.Errorf("%d submissions", n)
 	}
 }
 
-// A drain and a reload with asks under way: all is answered, and what comes goes on being asked for.
+// TestForwardAuthWhileDraining drains and reloads with authorizations in flight: all are answered, and new
+// requests are still authorized.
 func TestForwardAuthWhileDraining(t *testing.T) {
 	auth := newAuthService(t)
 	auth.Takes(60 * time.Millisecond)
@@ -548,23 +567,23 @@
 		d.gateway.authServer.At(),
 		authRequest(issueRequest("/issue", "p")),
 	); r.StatusCode != 200 {
-		t.Errorf("a portal's call meanwhile: %v", r.Status)
+		t.Errorf("a clearance meanwhile: %v", r.Status)
 	}
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal)
 	stop <- syscall.SIGTERM
-	over := make(chan error, 1)
+	ended := make(chan error, 1)
 	go func() {
-		over <- d.gateway.Run(stop, reload, func() (config.Gatekeeper, error) { return d.config, nil })
+		ended <- d.gateway.Run(stop, reload, func() (config.Gatekeeper, error) { return d.config, nil })
 	}()
 	if r := roundTrip(t, d.address, issueRequest("/issue", "p")); r.StatusCode != 200 {
-		t.Errorf("what was cleared comes: %v", r.Status)
+		t.Errorf("the cleared request: %v", r.Status)
 	}
 	for range 4 {
 		if s := <-answers; s != "HTTP/1.1 200 OK" {
 			t.Errorf("answered %q", s)
 		}
 	}
-	if err := <-over; err != nil {
+	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/gateway/lifecycle/golden_test.go
+++ b/internal/gateway/lifecycle/golden_test.go
@@ -14,36 +14,36 @@
 
 var goldenValue = regexp.MustCompile(`=-?\d+`)
 
-// goldenKeys gives the keys that a gatekeeper's /admin/stats has, in their order.
+// statsKeys gives the keys of a gateway's /admin/stats, in their order.
 func statsKeys(g *Gateway) []string {
 	text := goldenValue.ReplaceAllString(string(admin.Append(nil, g.Figures())), "")
 	return strings.Split(strings.TrimSpace(text), "\n")
 }
 
-// goldenStats gives the keys of an instance that has all there is: what is agreed on with a daemon, a
-// journal, copies of its state and credit, and of one with forward authentication on both sides.
+// allStatsKeys gives the keys of an instance with every optional part (ruleset daemon, journal, checkpoints,
+// borrowing), and of one with forward authentication on both sides.
 func allStatsKeys(t *testing.T) []string {
 	t.Helper()
 	daemon := newFakeDaemon(t)
 	daemon.setHandler(unavailable)
-	whole := deployWith(t, func(c *config.Gatekeeper) {
+	complete := deployWith(t, func(c *config.Gatekeeper) {
 		c.Agree, c.Tells, c.Recall = daemon.address, true, true
 		c.Residue = filepath.Join(t.TempDir(), "residue")
 		withJournal(t.TempDir())(c)
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = 1000, 1000
 		c.Charter.Plans[0].Credit, c.Charter.Plans[0].Repay = 1, 60000
 	}, 1, 5000)
-	t.Cleanup(func() { close(whole.gateway.done) })
+	t.Cleanup(func() { close(complete.gateway.done) })
 	waitFor(t, "the journal is not open", func() bool {
-		return slices.Contains(statsKeys(whole.gateway), "svc.journal.segments")
+		return slices.Contains(statsKeys(complete.gateway), "svc.journal.segments")
 	})
 	forward := deployForwardAuth(t, askedConfig+askingConfig(newAuthService(t), ""))
-	keys := append([]string{"# agreed, journal, copies, credit"}, statsKeys(whole.gateway)...)
+	keys := append([]string{"# agreed, journal, copies, credit"}, statsKeys(complete.gateway)...)
 	return append(append(keys, "# forward authentication"), statsKeys(forward.gateway)...)
 }
 
-// stats.txt is the keys of /admin/stats, which operators' programs read. It was written once, before names
-// were changed; new code must never write it again.
+// TestGoldenStats: stats.txt is the keys of /admin/stats, which operators' programs read. It was written
+// once, before names were changed; new code must never write it again.
 func TestGoldenStats(t *testing.T) {
 	goldentest.SameLines(t, allStatsKeys(t), goldentest.Lines(t, "stats.txt"))
 }
--- a/internal/gateway/lifecycle/hotrestart_test.go
+++ b/internal/gateway/lifecycle/hotrestart_test.go
@@ -18,7 +18,8 @@
 	"willowdeck/internal/gateway/recovery/crashstate"
 )
 
-// held is a deployment whose clients' listener is the platform's, and what a second process is told.
+// deployWithInheritedListener is a deployment whose clients' listener the platform holds, and the change of
+// the configuration that a second process needs.
 func deployWithInheritedListener(t *testing.T, swaps ...string) (*deployment, func(*config.Gatekeeper)) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +47,7 @@
 	return deployWith(t, change, 2, 5000, swaps...), change
 }
 
-// second starts another process beside a deployment's.
+// startSuccessor starts another process beside a deployment's.
 func (d *deployment) startSuccessor(change func(*config.Gatekeeper)) *Gateway {
 	d.t.Helper()
 	c := d.config
@@ -62,8 +63,8 @@
 	return g
 }
 
-// A second process takes over all that the first knows and holds: kept connections go on, one with half a
-// head too, txns in hand are answered, and what was spent stays spent.
+// TestReplacement: a successor takes over all that the predecessor knows and holds. Open connections go on,
+// also one with half a header; requests in flight are answered, and quota that was spent stays spent.
 func TestReplacement(t *testing.T) {
 	d, change := deployWithInheritedListener(t)
 	dial := func() (net.Conn, *bufio.Reader) {
@@ -84,17 +85,17 @@
 		buf := make([]byte, max(got.ContentLength, 0))
 		got.Body.Read(buf)
 	}
-	tiny := func(id string) string { // of another customer, as a change of plan fills the store
+	tinyRequest := func(id string) string { // of another customer, as a change of plan fills the store
 		return strings.NewReplacer("basic", "tiny", "b4d65521", "b4d65522").Replace(checkRequest("/check", id))
 	}
-	kept, keptIn := dial()
-	fmt.Fprint(kept, tiny("k1"))
-	answer("a kept one", keptIn, 200)
-	half, halfIn := dial()
-	fmt.Fprint(half, checkRequest("/check", "h1")[:50])
-	silent, silentIn := dial()
-	busy, busyIn := dial()
-	fmt.Fprint(busy, checkRequest("/check?slow", "b1"))
+	keptConn, keptReader := dial()
+	fmt.Fprint(keptConn, tinyRequest("k1"))
+	answer("a kept one", keptReader, 200)
+	halfConn, halfReader := dial()
+	fmt.Fprint(halfConn, checkRequest("/check", "h1")[:50])
+	silent, silentReader := dial()
+	busyConn, busyReader := dial()
+	fmt.Fprint(busyConn, checkRequest("/check?slow", "b1"))
 	time.Sleep(30 * time.Millisecond)
 
 	g := d.startSuccessor(change)
@@ -102,44 +103,44 @@
 		t.Error("not both are ready")
 	}
 	before := len(d.submissions())
-	fmt.Fprint(kept, checkRequest("/check", "k2"))
-	answer("before the change", keptIn, 200)
+	fmt.Fprint(keptConn, checkRequest("/check", "k2"))
+	answer("before the change", keptReader, 200)
 	if len(d.submissions()) != before+1 || g.workerConns.AttemptsWritten() > 0 {
-		t.Error("the second process serves before the first has left")
+		t.Error("the successor serves before the handoff")
 	}
 	stopped := make(chan bool)
 	go func() {
 		d.gateway.Stop()
 		close(stopped)
 	}()
-	answer("in hand", busyIn, 200)
+	answer("in flight", busyReader, 200)
 	<-stopped
 	if d.gateway.frontend.ActiveRequests() > 0 {
-		t.Error("the first one ends with txns in hand")
+		t.Error("the predecessor ends with requests in flight")
 	}
-	fmt.Fprint(half, checkRequest("/check", "h1")[50:])
-	answer("half a head", halfIn, 200)
+	fmt.Fprint(halfConn, checkRequest("/check", "h1")[50:])
+	answer("half a head", halfReader, 200)
 	fmt.Fprint(silent, checkRequest("/check", "s1"))
-	answer("silent so far", silentIn, 200)
-	fmt.Fprint(busy, checkRequest("/check", "b2"))
-	answer("in hand before", busyIn, 200)
-	fmt.Fprint(kept, tiny("k3"))
-	answer("its quota was spent in the first process", keptIn, 429)
-	fresh, freshIn := dial()
-	fmt.Fprint(fresh, checkRequest("/check", "f1"))
-	answer("a new one", freshIn, 200)
+	answer("silent so far", silentReader, 200)
+	fmt.Fprint(busyConn, checkRequest("/check", "b2"))
+	answer("in hand before", busyReader, 200)
+	fmt.Fprint(keptConn, tinyRequest("k3"))
+	answer("its quota was spent in the first process", keptReader, 429)
+	freshConn, freshReader := dial()
+	fmt.Fprint(freshConn, checkRequest("/check", "f1"))
+	answer("a new one", freshReader, 200)
 
 	third := d.startSuccessor(change) // and so on
 	g.Stop()
-	fmt.Fprint(fresh, checkRequest("/check", "f2"))
-	answer("after a second change", freshIn, 200)
+	fmt.Fprint(freshConn, checkRequest("/check", "f2"))
+	answer("after a second change", freshReader, 200)
 	if third.workerConns.AttemptsWritten() == 0 {
 		t.Error("the third process serves nothing")
 	}
 }
 
-// A second process that dies before the first has left changes nothing; a first one that ends without a word
-// leaves the place all the same.
+// TestReplacementFails: a successor that dies before the handoff changes nothing; one whose predecessor ends
+// without a handoff serves all the same.
 func TestReplacementFails(t *testing.T) {
 	d, change := deployWithInheritedListener(t)
 	g := d.startSuccessor(change)
@@ -156,11 +157,12 @@
 			"2"),
 	); status != "HTTP/1.1 200 OK" ||
 		again.workerConns.AttemptsWritten() != 1 {
-		t.Errorf("after a sudden end: %q", status)
+		t.Errorf("after a crash: %q", status)
 	}
 }
 
-// A descriptor that is no listening socket ends the start with a message that names the key.
+// TestNoListeningSocket: a descriptor that is no listening socket ends the start with an error that names
+// the key.
 func TestNoListeningSocket(t *testing.T) {
 	d, _ := deployWithInheritedListener(t)
 	for _, fd := range []int{0, 999} {
@@ -179,8 +181,8 @@
 	}
 }
 
-// A process that ends without a word leaves what it has spent of ceilings: the next one holds to it, and need
-// not take all ceilings as spent. One that takes over from a living process goes on with its residue.
+// TestCrashState: a process that crashes leaves on disk what was used of rate limits. The next one respects
+// it, and need not take all of them as used up. A successor goes on with its predecessor's crash state.
 func TestCrashState(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "residue")
 	swap := []string{`{"name":"tiny","rate":0.1,"most_at_once":1`,
@@ -194,7 +196,7 @@
 		return status
 	}
 	if s := of(d, "b4d65530", "1"); s != "HTTP/1.1 429 Too Many Requests" {
-		t.Fatalf("at a first start a ceiling counts as spent: %q", s)
+		t.Fatalf("at a first start a rate limit counts as used up: %q", s)
 	}
 	end := func(d *deployment) {
 		d.gateway.listener.Close()
@@ -211,7 +213,7 @@
 	d = deployWith(t, keeps, 1, 5000, swap...)
 	for i := range 2 {
 		if s := of(d, "b4d65531", fmt.Sprint("a", i)); s != "HTTP/1.1 200 OK" {
-			t.Fatalf("a ceiling that is full: %q", s)
+			t.Fatalf("a rate limit that is full: %q", s)
 		}
 	}
 	end(d)
@@ -239,19 +241,20 @@
 	second := held.startSuccessor(both)
 	first.Stop()
 	if s := of(held, "b4d65532", "e"); s != "HTTP/1.1 200 OK" {
-		t.Errorf("the third of three, handed over: %q", s)
+		t.Errorf("the third of three, after a handoff: %q", s)
 	}
 	held.startSuccessor(both)
 	second.listener.Close()
 	second.dispatcher.Stop()
 	second.handoff.Load().Close() // as at a sudden end
 	if s := of(held, "b4d65532", "f"); s != "HTTP/1.1 429 Too Many Requests" {
-		t.Errorf("the fourth of three, after a sudden end: %q", s)
+		t.Errorf("the fourth of three, after a crash: %q", s)
 	}
 }
 
-// What a process knew of quotas outlives its sudden end, by a copy; a copy that is spoilt is as none, and
-// counted. A process that hands over has its heir go by the estate, and writes no more.
+// TestCheckpointRestore: what a process knew of quotas survives its crash by a checkpoint. A corrupt
+// checkpoint is as none, and counted. A successor goes by the handoff state, and its predecessor writes no
+// more.
 func TestCheckpointRestore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "residue")
 	keeps := func(c *config.Gatekeeper) { c.Residue, c.Recall = path, true }
@@ -265,7 +268,7 @@
 		n := d.gateway.dispatcher.CheckpointStats().Written.Load()
 		waitFor(
 			t,
-			"no copies are written",
+			"no checkpoints are written",
 			func() bool { return d.gateway.dispatcher.CheckpointStats().Written.Load() > n+1 },
 		)
 		d.gateway.listener.Close()
@@ -273,13 +276,13 @@
 	}
 	d := deployWith(t, keeps, 1, 5000)
 	if s := of(d, "b4d65530", "1"); s != "200 OK" {
-		t.Fatalf("a first start: %q", s)
+		t.Fatalf("at a first start: %q", s)
 	}
 	end(d)
 	d = deployWith(t, keeps, 1, 5000)
 	s, n := of(d, "b4d65530", "2"), d.gateway.dispatcher.CheckpointStats().Restored.Load()
 	if s != "429 Too Many Requests" || n != 1 {
-		t.Errorf("after a sudden end: %q, %d customers", s, n)
+		t.Errorf("after a crash: %q, %d customers", s, n)
 	}
 	if s := of(d, "b4d65531", "3"); s != "200 OK" {
 		t.Errorf("another customer: %q", s)
@@ -295,7 +298,7 @@
 	}
 	d = deployWith(t, keeps, 1, 5000)
 	if s := of(d, "b4d65531", "4"); s != "200 OK" || d.gateway.corruptCheckpoints.Load() != 1 {
-		t.Errorf("by a spoilt copy: %q, %d counted", s, d.gateway.corruptCheckpoints.Load())
+		t.Errorf("with a corrupt checkpoint: %q, %d counted", s, d.gateway.corruptCheckpoints.Load())
 	}
 	end(d)
 
@@ -314,15 +317,15 @@
 	n = first.dispatcher.CheckpointStats().Written.Load()
 	if s := of(held, "b4d65532", "6"); s != "429 Too Many Requests" ||
 		second.dispatcher.CheckpointStats().Restored.Load() > 0 {
-		t.Errorf("handed over: %q", s)
+		t.Errorf("after a handoff: %q", s)
 	}
 	m := second.dispatcher.CheckpointStats().Written.Load()
 	waitFor(
 		t,
-		"the heir writes none",
+		"the successor writes no checkpoints",
 		func() bool { return second.dispatcher.CheckpointStats().Written.Load() > m+1 },
 	)
 	if first.dispatcher.CheckpointStats().Written.Load() > n+1 { // one may have been under way
-		t.Error("one that has handed over writes on")
+		t.Error("the predecessor writes on after the handoff")
 	}
 }
--- a/internal/gateway/lifecycle/journal_test.go
+++ b/internal/gateway/lifecycle/journal_test.go
@@ -23,7 +23,7 @@
 
 var journalKills = flag.Int("kills", 8, "how often the gatekeeper of the journal's test is killed")
 
-// journaled has a gatekeeper keep a journal in a folder.
+// withJournal configures a journal in a folder.
 func withJournal(dir string) func(*config.Gatekeeper) {
 	return withJournalIn(dir, 4<<10, txnjournal.DefaultSegments)
 }
@@ -37,7 +37,7 @@
 	}
 }
 
-// again starts the deployment's gatekeeper anew, once the one before has ended.
+// restart starts the deployment's gateway again, once the one before has stopped.
 func (d *deployment) restart() *Gateway {
 	d.t.Helper()
 	g := d.startSuccessor(func(*config.Gatekeeper) {})
@@ -45,21 +45,22 @@
 	return g
 }
 
-// says gives the journal's answer on a mark that was asked for not long ago.
-func journalVerdict(t *testing.T, dir, mark string) txnjournal.Verdict {
+// journalVerdict gives the journal's verdict on a request ID that was used a moment ago.
+func journalVerdict(t *testing.T, dir, requestID string) txnjournal.Verdict {
 	t.Helper()
 	now := float64(time.Now().UnixMilli())
 	b, _, _, _, err := store.ReadAll(store.Dir(dir), txnjournal.DefaultTerms(), now, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, _, _ := b.Answers(mark, now+5000, now+5000, now) // not so near to when the journal began
+	v, _, _ := b.Answers(requestID, now+5000, now+5000, now) // not so near to when the journal began
 	return v
 }
 
-// A once-only txn that went out is not submitted again when its client comes back: one that was settled gets
-// its answer, one of which nobody knows is voided, in the same life and in the next. Guards against a second
-// effect after a restart. What has another content, or another customer, is not answered by it.
+// TestNonIdempotentRetry: a non-idempotent request that was sent is not sent again when its client retries.
+// A settled one gets its response, one with an unknown outcome is voided, in the same incarnation and in the
+// next. Guards against a second effect after a restart. A request with other content, or of another
+// customer, does not get that response.
 func TestNonIdempotentRetry(t *testing.T) {
 	dir := t.TempDir()
 	d := deployWith(t, withJournal(dir), 1, 5000)
@@ -72,37 +73,37 @@
 		{"settled", issueRequest("/issue", "done"), ok, "valid\n", 1},
 		{"settled, again", issueRequest("/issue", "done"), ok, "valid\n", 0},
 		{"another content", issueRequest("/issue/2", "done"), void, "", 0},
-		{"another customer's", other, ok, "valid\n", 1},
+		{"another customer", other, ok, "valid\n", 1},
 		{"cut", issueRequest("/issue?cut", "lost"), void, "", 1},
 		{"cut, again", issueRequest("/issue?cut", "lost"), void, "", 0},
-		{"an inquiry", checkRequest("/check", "look"), ok, "valid\n", 1},
-		{"an inquiry, again", checkRequest("/check", "look"), ok, "valid\n", 1},
-		{"turned away by all", issueRequest("/issue?full", "none"), "HTTP/1.1 429 Too Many Requests", "", -1},
+		{"a read", checkRequest("/check", "look"), ok, "valid\n", 1},
+		{"a read, again", checkRequest("/check", "look"), ok, "valid\n", 1},
+		{"rejected by all", issueRequest("/issue?full", "none"), "HTTP/1.1 429 Too Many Requests", "", -1},
 	}
 	for _, c := range cases {
 		before := len(d.submissions())
 		status, body := d.send(c.raw)
 		if n := len(d.submissions()) - before; status != c.status || body != c.body || c.sent >= 0 && n != c.sent {
-			t.Errorf("%s: %q %q, submitted %d times, want %q, %d", c.name, status, body, n, c.status, c.sent)
+			t.Errorf("%s: %q %q, %d submissions, want %q, %d", c.name, status, body, n, c.status, c.sent)
 		}
 	}
 	d.gateway.Stop()
-	for mark, want := range map[string]txnjournal.Verdict{"done": txnjournal.SentSettled,
+	for requestID, want := range map[string]txnjournal.Verdict{"done": txnjournal.SentSettled,
 		"lost": txnjournal.SentUnknown,
 		"none": txnjournal.NotSent} {
-		if v := journalVerdict(t, filepath.Join(dir, "n0"), mark); v != want {
-			t.Errorf("the journal says of %s: %v", mark, v)
+		if v := journalVerdict(t, filepath.Join(dir, "n0"), requestID); v != want {
+			t.Errorf("the journal says of %s: %v", requestID, v)
 		}
 	}
 	next := d.restart()
 	before := len(d.submissions())
 	for _, i := range []int{1, 2, 5} {
 		if status, body := d.send(cases[i].raw); status != cases[i].status || body != cases[i].body {
-			t.Errorf("%s, in the next life: %q %q", cases[i].name, status, body)
+			t.Errorf("%s, in the next incarnation: %q %q", cases[i].name, status, body)
 		}
 	}
 	if n := len(d.submissions()) - before; n != 0 {
-		t.Errorf("%d submitted again", n)
+		t.Errorf("%d sent again", n)
 	}
 	if status, _ := d.send(issueRequest("/issue", "fresh")); status != ok {
 		t.Errorf("a new one: %q", status)
@@ -110,7 +111,8 @@
 	next.Stop()
 }
 
-// Where the journal can't be had no once-only txn goes out, and all else is served as ever.
+// TestJournalUnavailable: without its journal a gateway sends no non-idempotent request, and serves all
+// others.
 func TestJournalUnavailable(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "n0"), nil, 0o600); err != nil { // no folder can be made there
@@ -118,20 +120,20 @@
 	}
 	d := deployWith(t, withJournal(dir), 1, 5000)
 	if status, _ := d.send(issueRequest("/issue", "1")); status != "HTTP/1.1 500 Internal Server Error" {
-		t.Errorf("once-only: %q", status)
+		t.Errorf("non-idempotent: %q", status)
 	}
 	if len(d.submissions()) > 0 {
 		t.Error("it was sent")
 	}
 	for range 3 {
 		if status, _ := d.send(checkRequest("/check", "2")); status != "HTTP/1.1 200 OK" {
-			t.Errorf("an inquiry: %q", status)
+			t.Errorf("a read: %q", status)
 		}
 	}
 }
 
-// A disk that fails or hangs in service: once-only txns are declined, or go out unwritten, as the policy
-// says, soon and within their time; inquiries know nothing of it.
+// TestJournalDiskFailure: the disk hangs in service. Non-idempotent requests are rejected, or sent without a
+// record, as the policy says, soon and within their time; others are not affected.
 func TestJournalDiskFailure(t *testing.T) {
 	for _, policy := range []txnjournal.Policy{txnjournal.Refuse, txnjournal.Serve} {
 		t.Run(policy.String(), func(t *testing.T) {
@@ -146,15 +148,15 @@
 			if status, _ := d.send(issueRequest("/issue", "before")); status != "HTTP/1.1 200 OK" {
 				t.Fatalf("before: %q", status)
 			}
-			hung := make(chan bool)
-			m.Hang(hung)
-			defer close(hung)
+			hang := make(chan bool)
+			m.Hang(hang)
+			defer close(hang)
 			want, sent := "HTTP/1.1 429 Too Many Requests", len(d.submissions())
 			if policy == txnjournal.Serve {
 				want = "HTTP/1.1 200 OK"
 			}
 			tries := 0
-			waitFor(t, "once-only txns don't get what the policy says", func() bool {
+			waitFor(t, "non-idempotent requests are not answered as the policy says", func() bool {
 				tries++
 				status, _ := d.send(issueRequest("/issue", fmt.Sprint("x", tries)))
 				return status == want
@@ -165,18 +167,19 @@
 			from := time.Now()
 			for i := range 20 {
 				if status, _ := d.send(checkRequest("/check", fmt.Sprint("y", i))); status != "HTTP/1.1 200 OK" {
-					t.Errorf("an inquiry: %q", status)
+					t.Errorf("a read: %q", status)
 				}
 			}
-			if took := time.Since(from); took > 2*time.Second {
-				t.Errorf("20 inquiries take %v", took)
+			if elapsed := time.Since(from); elapsed > 2*time.Second {
+				t.Errorf("20 reads take %v", elapsed)
 			}
 		})
 	}
 }
 
-// A second process takes the journal over: what the first has in hand ends in it, and nothing of it is sent
-// again. Guards against two writers, and against ends that the heir never hears of.
+// TestJournalAtReplacement: a successor takes over the journal. Requests in flight in the predecessor end in
+// it, and are not sent again. Guards against two writers, and against ends that the successor never learns
+// of.
 func TestJournalAtReplacement(t *testing.T) {
 	d, change := deployWithInheritedListener(t)
 	dir := t.TempDir()
@@ -187,27 +190,27 @@
 	first := d.startSuccessor(both)
 	d.gateway.Stop()
 	d.send(issueRequest("/issue", "before"))
-	busy, err := net.Dial("tcp", d.address)
+	busyConn, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer busy.Close()
-	fmt.Fprint(busy, issueRequest("/issue?slow", "busy"))
+	defer busyConn.Close()
+	fmt.Fprint(busyConn, issueRequest("/issue?slow", "busy"))
 	before := d.submissions()
-	waitFor(t, "it does not go out", func() bool { before = d.submissions(); return len(before) == 2 })
+	waitFor(t, "the request is not sent", func() bool { before = d.submissions(); return len(before) == 2 })
 	second := d.startSuccessor(both)
 	first.Stop()
-	if status, _ := readResponse(busy); status != "HTTP/1.1 200 OK" {
-		t.Errorf("in hand: %q", status)
+	if status, _ := readResponse(busyConn); status != "HTTP/1.1 200 OK" {
+		t.Errorf("in flight: %q", status)
 	}
 	for _, raw := range []string{issueRequest("/issue", "before"), issueRequest("/issue?slow", "busy")} {
-		waitFor(t, "not answered by what the first process was told", func() bool {
+		waitFor(t, "not answered by the predecessor's response", func() bool {
 			status, _ := d.send(raw)
 			return status == "HTTP/1.1 200 OK"
 		})
 	}
 	if n := len(d.submissions()); n != 2 {
-		t.Errorf("%d submitted", n)
+		t.Errorf("%d submissions", n)
 	}
 	if status, _ := d.send(issueRequest("/issue", "after")); status != "HTTP/1.1 200 OK" {
 		t.Errorf("after: %q", status)
@@ -215,7 +218,7 @@
 	second.Stop()
 }
 
-// TestJournalChild is no test: it is the gatekeeper that TestJournalKilled kills.
+// TestJournalChild is no test: it is the gateway process that TestJournalKilled kills.
 func TestJournalChild(t *testing.T) {
 	path := os.Getenv("WILLOWDECK_TEST_JOURNAL")
 	if path == "" {
@@ -242,12 +245,12 @@
 	select {}
 }
 
-// Kills at random moments, under load: the journal says of no txn that a worker has run that it was not sent,
-// and of none that it is settled that no worker has run; and what comes back to the next life is not run
-// again.
+// TestJournalKilled kills a gateway under load, at random moments. The journal says of no request that a
+// worker has run that it was not sent, and of none that no worker has run that it is settled; a retry to the
+// next incarnation is not run again.
 func TestJournalKilled(t *testing.T) {
-	t.Run("all kept", func(t *testing.T) { testJournalKilled(t, 4<<10, 1000) })
-	t.Run("segments let go", func(t *testing.T) { testJournalKilled(t, 16<<10, 12) })
+	t.Run("all segments kept", func(t *testing.T) { testJournalKilled(t, 4<<10, 1000) })
+	t.Run("segments dropped", func(t *testing.T) { testJournalKilled(t, 16<<10, 12) })
 }
 
 func testJournalKilled(t *testing.T, size, segments int) {
@@ -305,14 +308,14 @@
 				defer wg.Done()
 				for i := client; ; i += 8 {
 					mu.Lock()
-					var mark string
+					var requestID string
 					if i < len(back) {
-						mark = back[i]
+						requestID = back[i]
 					} else {
 						next++
-						mark = fmt.Sprint("x", next)
-						asked[mark] = float64(time.Now().UnixMilli())
-						now = append(now, mark)
+						requestID = fmt.Sprint("x", next)
+						asked[requestID] = float64(time.Now().UnixMilli())
+						now = append(now, requestID)
 					}
 					mu.Unlock()
 					c, err := net.Dial("tcp", at)
@@ -320,7 +323,7 @@
 						return // it is dead
 					}
 					c.SetDeadline(time.Now().Add(2 * time.Second))
-					fmt.Fprint(c, issueRequest("/issue", mark))
+					fmt.Fprint(c, issueRequest("/issue", requestID))
 					buf := make([]byte, 512)
 					n, _ := c.Read(buf)
 					c.Close()
@@ -353,30 +356,32 @@
 		}
 	}
 	end := float64(time.Now().UnixMilli())
-	kept := store.Dir(filepath.Join(dir, "n0"))
-	b, found, _, lives, err := store.ReadAll(kept, txnjournal.DefaultTerms(), end, nil, nil)
+	keptConn := store.Dir(filepath.Join(dir, "n0"))
+	b, found, _, lives, err := store.ReadAll(keptConn, txnjournal.DefaultTerms(), end, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	count, falsely, early, needless := [3]int{}, 0, 0, 0
-	for mark, at := range asked {
-		v, why, _ := b.Answers(mark, at, end, end)
+	for requestID, at := range asked {
+		v, why, _ := b.Answers(requestID, at, end, end)
 		count[v]++
 		switch {
-		case v == txnjournal.NotSent && ran[mark] > 0:
+		case v == txnjournal.NotSent && ran[requestID] > 0:
 			falsely++
-			t.Errorf("%s ran, and the journal says it was not sent: %s", mark, why)
-		case v == txnjournal.SentSettled && ran[mark] == 0:
+			t.Errorf("%s ran, and the journal says it was not sent: %s", requestID, why)
+		case v == txnjournal.SentSettled && ran[requestID] == 0:
 			early++
-		case v == txnjournal.SentUnknown && ran[mark] == 0:
+		case v == txnjournal.SentUnknown && ran[requestID] == 0:
 			needless++
 		}
 	}
-	t.Logf("%d lives, %d records in %d segments, %d bytes cut; of %d txns %d ran, %d twice; settled %d, "+
-		"unknown %d (%d of them never ran), not sent %d; falsely not sent %d, falsely settled %d", lives,
+	t.Logf("%d incarnations, %d records in %d segments, %d bytes cut; of %d requests %d ran, "+
+		"%d twice; settled %d, unknown %d (%d of them never ran), not sent %d; "+
+		"falsely not sent %d, falsely settled %d", lives,
 		found.Records, found.Segments, found.Cut, len(asked), len(ran), twice, count[txnjournal.SentSettled],
 		count[txnjournal.SentUnknown], needless, count[txnjournal.NotSent], falsely, early)
 	if twice > 0 || early > 0 || len(ran) < *journalKills || int(lives) < *journalKills/2 {
-		t.Errorf("%d ran twice, %d are settled that never ran, %d ran in %d lives", twice, early, len(ran), lives)
+		t.Errorf("%d ran twice, %d are settled that never ran, %d ran in %d incarnations",
+			twice, early, len(ran), lives)
 	}
 }
--- a/internal/gateway/lifecycle/requests_test.go
+++ b/internal/gateway/lifecycle/requests_test.go
@@ -21,7 +21,7 @@
 	"willowdeck/internal/policy"
 )
 
-// deployment is a gatekeeper on loopback between stand-ins for its workers and for discovery.
+// deployment is a gateway on loopback between fakes of its workers and of discovery.
 type deployment struct {
 	t             *testing.T
 	gateway       *Gateway
@@ -32,7 +32,8 @@
 	watchRequests chan string // what the watch asks for
 }
 
-// standIn is a worker. It does what the word after the ? in a target says, and keeps what came.
+// fakeWorker is a worker that answers as the word after the ? of a target says, by cannedResponses, and
+// keeps the submissions.
 type fakeWorker struct {
 	net.Listener
 	mu          sync.Mutex
@@ -135,14 +136,14 @@
   "keepalive_us":IDLE,"connect_timeout_us":100000},
  "family_info":{"largest":1},"safety":{"cold_from":0.2,"warm_up_us":10000000,"answer_slack_us":5000}}`
 
-// deploy starts a gatekeeper before so many workers whose connections may stand idle for so many ms. swaps
-// are pairs of old and new text in its settings.
+// deploy starts a gateway before that many workers, whose connections may be idle for so many milliseconds.
+// swaps are pairs of old and new text in its settings.
 func deploy(t *testing.T, workers, idle int, swaps ...string) *deployment {
 	t.Helper()
 	return deployWith(t, func(*config.Gatekeeper) {}, workers, idle, swaps...)
 }
 
-// deployWith changes the configuration as it has been read.
+// deployWith is deploy with a change of the decoded configuration.
 func deployWith(t *testing.T, change func(*config.Gatekeeper), workers, idle int,
 	swaps ...string) *deployment {
 	t.Helper()
@@ -185,8 +186,8 @@
 		d.workers[i].Addr(), status, since)
 }
 
-// discovery answers each watch at the address that it gives, and sends it the news there is, until the word
-// "end" or the watcher's leaving.
+// startDiscovery serves each watch with the updates that the test sends, until the text "end" or the watch
+// is closed, and gives its address.
 func (d *deployment) startDiscovery() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -232,7 +233,7 @@
 	return len(w.submissions)
 }
 
-// got gives what all workers have been sent.
+// submissions gives what all workers have been sent.
 func (d *deployment) submissions() (all []string) {
 	for _, w := range d.workers {
 		w.mu.Lock()
@@ -242,7 +243,7 @@
 	return all
 }
 
-// ask sends bytes on a connection of their own, and gives the status line and the body that come back.
+// send sends bytes on a connection of its own, and gives the status line and the body of the response.
 func (d *deployment) send(raw string) (string, string) {
 	d.t.Helper()
 	c, err := net.Dial("tcp", d.address)
@@ -290,17 +291,18 @@
 		"Content-Length: 0\r\n\r\n"
 }
 
+// TestForwardUnchanged: requests reach the worker as the client has sent them.
 func TestForwardUnchanged(t *testing.T) {
 	d := deploy(t, 1, 5000)
-	cases := []struct{ name, raw, line, mark string }{
+	cases := []struct{ name, raw, line, requestID string }{
 		{
-			"inquiry",
+			"read",
 			checkRequest("/check/..//%41?", "9b1f"),
 			"GET /check/..//%41? HTTP/1.1",
 			"X-Request-Id: 9b1f\r\n",
 		},
-		{"referenced", saleRequest("/sale", "9b2f"), "POST /sale HTTP/1.1", "Idempotency-Key: k1\r\n"},
-		{"once-only", issueRequest("/issue/7", "9b3f"), "POST /issue/7 HTTP/1.1", "X-Request-Id: 9b3f\r\n"},
+		{"idempotent", saleRequest("/sale", "9b2f"), "POST /sale HTTP/1.1", "Idempotency-Key: k1\r\n"},
+		{"non-idempotent", issueRequest("/issue/7", "9b3f"), "POST /issue/7 HTTP/1.1", "X-Request-Id: 9b3f\r\n"},
 	}
 	for i, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -308,7 +310,7 @@
 				t.Errorf("answered %q %q", status, body)
 			}
 			got := d.submissions()
-			if len(got) != i+1 || !strings.HasPrefix(got[i], c.line+"\r\n") || !strings.Contains(got[i], c.mark) {
+			if len(got) != i+1 || !strings.HasPrefix(got[i], c.line+"\r\n") || !strings.Contains(got[i], c.requestID) {
 				t.Fatalf("the worker got %q", got)
 			}
 			if i == 1 && !strings.HasSuffix(got[i], "\r\n\r\na\r\nb") {
@@ -318,13 +320,11 @@
 	}
 }
 
-// A txn is taken in each form that the protocol page allows, whole, in two pieces and byte by byte, from a
-// client that writes slowly, and its time counts from its last byte. Guards against forms that are read only
-// as one client happens to write them.
-//
-// As many forms run at once as the test runner allows, and the window starts at 1.5 requests in flight for
-// each worker: with a worker for each of them the whole burst is let in. Before one worker the window starts
-// at 4.5, and a form that came when it was full was shed with 429.
+// TestRequestForms: a request is accepted in each form that the protocol allows, complete, in two pieces and
+// byte by byte, from a client that writes slowly, and its deadline counts from its last byte. As many forms
+// run at once as the test runner allows, and the window starts at 1.5 requests in flight for each worker:
+// with a worker for each of them the whole burst is let in. Before one worker the window starts at 4.5, and
+// a form that came when it was full was rejected with 429.
 func TestRequestForms(t *testing.T) {
 	const formsAndWays = 84
 	d := deployWith(t, func(c *config.Gatekeeper) { c.Sockets = 4 * formsAndWays }, formsAndWays, 5000)
@@ -345,7 +345,7 @@
 		{"units as a decimal", swap(plain, "units=1,", "units=0.50,")},
 		{"other cookies", swap(plain, "Cookie: ", "Cookie: a=b; ", "b4d65521", "b4d65521; c=d")},
 		{"a client's retry", swap(plain, "Host:", "X-Retry: 1\r\nHost:")},
-		{"kept by its own word", swap(plain, "Host:", "Connection: keep-alive\r\nHost:")},
+		{"keep-alive by its own header", swap(plain, "Host:", "Connection: keep-alive\r\nHost:")},
 		{"an empty query", swap(plain, "/check", "/check/%41?")},
 		{"a longer path", swap(plain, "/check", "/check/a/b")},
 		{"lines ahead of it", "\r\n" + plain},
@@ -353,8 +353,8 @@
 		{"a body in one chunk", chunked(sold, "Transfer-Encoding: chunked\r\n\r\n4\r\na\r\nb\r\n0\r\n\r\n")},
 		{"a body in chunks", chunked(sold, "Transfer-Encoding: Chunked\r\n\r\n1\r\na\r\n03\r\n\r\nb\r\n0\r\n\r\n")},
 		{"no body, in chunks", chunked(sold, "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n")},
-		{"once-only without a body", issueRequest("/issue", "1")},
-		{"once-only without a length", swap(issueRequest("/issue", "1"), "Content-Length: 0\r\n", "")},
+		{"non-idempotent without a body", issueRequest("/issue", "1")},
+		{"non-idempotent without a length", swap(issueRequest("/issue", "1"), "Content-Length: 0\r\n", "")},
 	}
 	for _, f := range forms {
 		for _, way := range []string{"whole", "in two", "byte by byte", "slowly"} {
@@ -388,14 +388,14 @@
 	}
 }
 
-// What clients get wrong has a clear answer, and none of it reaches a worker.
+// TestMalformedRequests: a malformed request has a clear response, and never reaches a worker.
 func TestMalformedRequests(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	good := checkRequest("/check", "1")
-	swap := func(old, new string) string { return strings.Replace(good, old, new, 1) }
-	sell := func(old, new string) string { return strings.Replace(saleRequest("/sale", "1"), old, new, 1) }
+	swap := func(from, to string) string { return strings.Replace(good, from, to, 1) }
+	sell := func(from, to string) string { return strings.Replace(saleRequest("/sale", "1"), from, to, 1) }
 	const bad = "HTTP/1.1 400 Bad Request"
-	cases := []struct{ name, raw, status, says string }{
+	cases := []struct{ name, raw, status, reply string }{
 		{"no id", swap("X-Request-Id: 1\r\n", ""), bad, "X-Request-Id"},
 		{"two ids", swap("Host:", "X-Request-Id: 2\r\nHost:"), bad, "X-Request-Id"},
 		{"no product", swap("/check", "/"), bad, "product"},
@@ -404,7 +404,7 @@
 		{"wrong method", swap("GET", "DELETE"), bad, "method"},
 		{"unknown plan", swap("basic", "gold"), bad, "Plan"},
 		{"no plan", swap("Plan: basic\r\n", ""), bad, "Plan"},
-		{"customer no number", swap("b4d65521", "zzz"), bad, "key"},
+		{"customer not a number", swap("b4d65521", "zzz"), bad, "key"},
 		{"no cookie", swap("Cookie", "Kookie"), bad, "Cookie"},
 		{"two keys", swap("Cookie: ", "Cookie: key=00000000b4d65520; "), bad, "key"},
 		{"customer beyond 33 bits", swap("00000000b4d65521", "0000000200000000"), bad, "key"},
@@ -413,37 +413,37 @@
 		{"id of two words", swap("Id: 1", "Id: 1 2"), bad, "X-Request-Id"},
 		{"folded line", swap("Plan: basic", "Plan:\r\n basic"), bad, "head"},
 		{"bare line end", swap("basic\r\n", "basic\n"), bad, "head"},
-		{"inquiry with a body", swap("Host:", "Content-Length: 2\r\nHost:") + "ab", bad, "body"},
+		{"read with a body", swap("Host:", "Content-Length: 2\r\nHost:") + "ab", bad, "body"},
 		{"two lengths", sell("Content", "Content-Length: 4\r\nContent"), bad, "read"},
 		{"length and coding", strings.TrimSuffix(sell("Host:", "Transfer-Encoding: chunked\r\nHost:"), "a\r\nb") +
 			"0\r\n\r\n" + checkRequest("/check", "2"), bad, "together"},
 		{"length and no coding", sell("Host:", "transfer-encoding: identity\r\nHost:"),
 			bad, "together"},
 		{"another hidden behind", swap("Plan", "Clan") + checkRequest("/check", "2"), bad, "Plan"},
-		{"length below nought", sell("Length: 4", "Length: -4"), bad, "read"},
+		{"negative length", sell("Length: 4", "Length: -4"), bad, "read"},
 		{"length beyond numbers", sell("Length: 4", "Length: 99999999999999999999"),
 			bad, "read"},
 		{"broken chunk", strings.Replace(saleRequest("/sale", "1"), "Content-Length: 4\r\n\r\n",
 			"Transfer-Encoding: chunked\r\n\r\n4000\r\n"+strings.Repeat("x", 1<<14)+"\r\nzz\r\n", 1),
 			bad, "read"},
-		{"head without end", swap("Host:", strings.Repeat("X-Pad: pad\r\n", 4000)+"Host:"),
+		{"endless headers", swap("Host:", strings.Repeat("X-Pad: pad\r\n", 4000)+"Host:"),
 			"HTTP/1.1 431 Request Header Fields Too Large", "head"},
 		{"no unit of time", swap("300m", "300"), bad, "X-Deadline"},
 		{"no time left", swap("300m", "0m"), bad, "X-Deadline"},
-		{"time without end", swap("300m", "infm"), bad, "X-Deadline"},
+		{"infinite time", swap("300m", "infm"), bad, "X-Deadline"},
 		{"time of other digits", swap("300m", "0x10m"), bad, "X-Deadline"},
-		{"time beyond sense", swap("300m", "3600001m"), bad, "X-Deadline"},
+		{"time beyond the largest", swap("300m", "3600001m"), bad, "X-Deadline"},
 		{"units beyond the largest", swap("units=1", "units=2"), bad, "units"},
-		{"set beyond the gatekeepers", swap("spread=1", "spread=2"), bad, "spread"},
-		{"set from beyond them", swap("first=0", "first=1"), bad, "first"},
+		{"spread beyond the gateways", swap("spread=1", "spread=2"), bad, "spread"},
+		{"first beyond them", swap("first=0", "first=1"), bad, "first"},
 		{"no units", swap("units=1,", ""), bad, "Quota-Info"},
-		{"units below nought", swap("units=1", "units=-1"), bad, "Quota-Info"},
-		{"units no number", swap("units=1", "units=NaN"), bad, "Quota-Info"},
+		{"negative units", swap("units=1", "units=-1"), bad, "Quota-Info"},
+		{"units not a number", swap("units=1", "units=NaN"), bad, "Quota-Info"},
 		{"spread of a half", swap("spread=1", "spread=0.5"), bad, "Quota-Info"},
 		{"units twice", swap("units=1", "units=1,units=2"), bad, "Quota-Info"},
-		{"referenced without mark", sell("Idempotency", "Other"), bad,
+		{"idempotent without a key", sell("Idempotency", "Other"), bad,
 			"Idempotency-Key"},
-		{"once-only with mark", saleRequest("/issue", "1"), bad, "Idempotency-Key"},
+		{"non-idempotent with a key", saleRequest("/issue", "1"), bad, "Idempotency-Key"},
 		{"no HTTP", "hello\r\n\r\n", bad, "read"},
 		{"body too long", sell("Length: 4", "Length: 60000000") +
 			strings.Repeat("x", 8<<20), "HTTP/1.1 413 Request Entity Too Large", "too long"},
@@ -451,8 +451,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			status, body := d.send(c.raw)
-			if status != c.status || !strings.Contains(body, c.says) {
-				t.Errorf("answered %q %q, want %q with %q", status, body, c.status, c.says)
+			if status != c.status || !strings.Contains(body, c.reply) {
+				t.Errorf("answered %q %q, want %q with %q", status, body, c.status, c.reply)
 			}
 		})
 	}
@@ -479,11 +479,12 @@
 		t.Errorf("a worker got %q", got)
 	}
 	if status, _ := d.send(good); status != "HTTP/1.1 200 OK" {
-		t.Errorf("after all that a good one gets %q", status)
+		t.Errorf("after all that a valid one gets %q", status)
 	}
 }
 
-// A set that lacks this gatekeeper would give it a slice that is none of the quota's parts.
+// TestQuotaSpread: a spread that leaves this gateway out would give it a part of the quota that it does not
+// have.
 func TestQuotaSpread(t *testing.T) {
 	d := deploy(t, 1, 5000, `"me":0,"balancers":1`, `"me":1,"balancers":3`)
 	cases := []struct {
@@ -506,7 +507,7 @@
 	}
 }
 
-// The mark of a txn that is open can't be taken by another one.
+// TestDuplicateRequestID: the ID of a request in flight can't be used by another one.
 func TestDuplicateRequestID(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	statuses := make(chan string, 2)
@@ -524,96 +525,101 @@
 		t.Errorf("the first one gets %q after %d submissions", s, len(d.submissions()))
 	}
 	if status, _ := d.send(checkRequest("/check", "1")); status != "HTTP/1.1 200 OK" {
-		t.Errorf("once it is closed the mark gets %q", status)
+		t.Errorf("after its request the ID gets %q", status)
 	}
 }
 
-// How a worker ends a submission tells what may follow: no resend that the module did not decide, and none at
-// all where it could run twice.
+// TestWorkerFailures: how a worker fails an attempt decides what may follow. There is no retry that the
+// policy did not decide on, and none at all where the request could run twice.
 func TestWorkerFailures(t *testing.T) {
 	const settled, declined, voided = "HTTP/1.1 200 OK", "HTTP/1.1 429 Too Many Requests",
 		"HTTP/1.1 500 Internal Server Error"
 	cases := []struct {
 		name, raw, status string
-		subs              int
+		attempts          int
 	}{
-		{"answer in chunks", checkRequest("/check?chunks", "1"), settled, 1},
-		{"inquiry, error", checkRequest("/check?fault", "2"), declined, 3},
-		{"inquiry, cut", checkRequest("/check?cut", "3"), declined, 3},
-		{"inquiry, cut short", checkRequest("/check?cutshort", "4"), declined, 3},
-		{"inquiry, answer of nonsense", checkRequest("/check?junk", "5"), declined, 3},
-		{"inquiry, answer too long", checkRequest("/check?long", "6"), declined, 3},
-		{"inquiry, chunk too long", checkRequest("/check?longchunk", "7"), declined, 3},
-		{"bytes after the answer", checkRequest("/check?stray", "8"), settled, 1},
-		{"interim answers ahead of it", checkRequest("/check?interim", "18"), settled, 1},
-		{"load report of nonsense", checkRequest("/check?report", "19"), settled, 1},
-		{"inquiry, interim answers without end", checkRequest("/check?interims", "20"), declined, 3},
-		{"inquiry, head without end", checkRequest("/check?headless", "21"), declined, 3},
-		{"inquiry, status of nought", checkRequest("/check?zero", "23"), declined, 3},
-		{"inquiry, status of four digits", checkRequest("/check?zeros", "24"), declined, 3},
-		{"inquiry, no version of ours", checkRequest("/check?old", "25"), declined, 3},
+		{"chunked response", checkRequest("/check?chunks", "1"), settled, 1},
+		{"read, error", checkRequest("/check?fault", "2"), declined, 3},
+		{"read, cut", checkRequest("/check?cut", "3"), declined, 3},
+		{"read, cut short", checkRequest("/check?cutshort", "4"), declined, 3},
+		{"read, corrupt response", checkRequest("/check?junk", "5"), declined, 3},
+		{"read, response too long", checkRequest("/check?long", "6"), declined, 3},
+		{"read, chunk too long", checkRequest("/check?longchunk", "7"), declined, 3},
+		{"bytes after the response", checkRequest("/check?stray", "8"), settled, 1},
+		{"interim responses first", checkRequest("/check?interim", "18"), settled, 1},
+		{"corrupt load report", checkRequest("/check?report", "19"), settled, 1},
+		{"read, endless interim responses", checkRequest("/check?interims", "20"), declined, 3},
+		{"read, endless headers", checkRequest("/check?headless", "21"), declined, 3},
+		{"read, status 000", checkRequest("/check?zero", "23"), declined, 3},
+		{"read, status of four digits", checkRequest("/check?zeros", "24"), declined, 3},
+		{"read, unsupported HTTP version", checkRequest("/check?old", "25"), declined, 3},
 		{"ends with the connection", checkRequest("/check?cutnolong", "22"), settled, 1},
-		{"inquiry, unstated and without end", checkRequest("/check?nolong", "26"), declined, 3},
-		{"inquiry, half a head", checkRequest("/check?cutnothing", "9"), declined, 3},
-		{"inquiry, silence", checkRequest("/check?silence", "10"), declined, 3},
-		{"referenced, cut", saleRequest("/sale?cut", "11"), declined, 3},
-		{"once-only, error", issueRequest("/issue?fault", "12"), voided, 1},
-		{"once-only, cut", issueRequest("/issue?cut", "13"), voided, 1},
-		{"once-only, 503 that may have run", issueRequest("/issue?maybe", "14"), voided, 1},
-		{"once-only, silence", issueRequest("/issue?silence", "15"), voided, 1},
-		{"once-only, turned away", issueRequest("/issue?full", "16"), declined, 3},
-		{"once-only, length below nought", issueRequest("/issue?negative", "17"), voided, 1},
+		{"read, no length and no end", checkRequest("/check?nolong", "26"), declined, 3},
+		{"read, half the headers", checkRequest("/check?cutnothing", "9"), declined, 3},
+		{"read, silence", checkRequest("/check?silence", "10"), declined, 3},
+		{"idempotent, cut", saleRequest("/sale?cut", "11"), declined, 3},
+		{"non-idempotent, error", issueRequest("/issue?fault", "12"), voided, 1},
+		{"non-idempotent, cut", issueRequest("/issue?cut", "13"), voided, 1},
+		{"non-idempotent, 503 that may have run", issueRequest("/issue?maybe", "14"), voided, 1},
+		{"non-idempotent, silence", issueRequest("/issue?silence", "15"), voided, 1},
+		{"non-idempotent, rejected", issueRequest("/issue?full", "16"), declined, 3},
+		{"non-idempotent, negative length", issueRequest("/issue?negative", "17"), voided, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			d := deploy(t, 2, 5000)
 			start := time.Now()
 			status, body := d.send(c.raw)
-			if took := time.Since(start); took > 350*time.Millisecond {
-				t.Errorf("answered after %v, past the expiry", took)
+			if elapsed := time.Since(start); elapsed > 350*time.Millisecond {
+				t.Errorf("answered after %v, past the deadline", elapsed)
 			}
 			if status != c.status || status == settled && body != "valid\n" {
 				t.Errorf("answered %q %q, want %q", status, body, c.status)
 			}
 			time.Sleep(20 * time.Millisecond) // a resend would come at once
-			if got := d.submissions(); len(got) > c.subs || len(got) < min(c.subs, 2) {
-				t.Errorf("%d submissions, want %d, or one fewer on a slow machine", len(got), c.subs)
+			if got := d.submissions(); len(got) > c.attempts || len(got) < min(c.attempts, 2) {
+				t.Errorf("%d submissions, want %d, or one fewer on a slow machine", len(got), c.attempts)
 			}
 			if b := inflight.Violations(); len(b) > 0 {
-				t.Errorf("claims broken: %v", b)
+				t.Errorf("invariants violated: %v", b)
 			}
 		})
 	}
 }
 
+// TestRetryAfterOnQuota: a rejection for quota says when to return.
 func TestRetryAfterOnQuota(t *testing.T) {
 	d := deploy(t, 1, 5000)
-	tiny := func(id string) string { return strings.Replace(checkRequest("/check", id), "basic", "tiny", 1) }
+	tinyRequest := func(id string) string {
+		return strings.Replace(checkRequest("/check", id), "basic", "tiny", 1)
+	}
 	for i := range 3 {
 		c, err := net.Dial("tcp", d.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprint(c, tiny(fmt.Sprint(i)))
+		fmt.Fprint(c, tinyRequest(fmt.Sprint(i)))
 		c.SetDeadline(time.Now().Add(time.Second))
 		b := make([]byte, 4096)
 		n, _ := c.Read(b)
 		c.Close()
 		declined := strings.HasPrefix(string(b[:n]), "HTTP/1.1 429")
 		if declined != (i > 0) || declined && !strings.Contains(string(b[:n]), "\r\nRetry-After: ") {
-			t.Errorf("txn %d answered %q", i, b[:n])
+			t.Errorf("request %d answered %q", i, b[:n])
 		}
 	}
 }
 
+// TestFollowEndpointUpdates: requests go to the workers that discovery's updates list, also after a corrupt
+// update and a new watch.
 func TestFollowEndpointUpdates(t *testing.T) {
 	d := deploy(t, 2, 5000)
 	if q := <-d.watchRequests; !strings.Contains(q, "stream=1&index=7 ") {
-		t.Errorf("the watch asks %q, known was 7", q)
+		t.Errorf("the watch requests %q, 7 was configured", q)
 	}
 	steps := []struct {
-		name, news, asks string // asks: what the watch that is opened after it asks for
-		to               []int
+		name, news, wantRequest string // asks: what the watch that is opened after it asks for
+		to                      []int
 	}{
 		{
 			"one drains",
@@ -630,9 +636,9 @@
 	for i, s := range steps {
 		t.Run(s.name, func(t *testing.T) {
 			d.updates <- s.news
-			if s.asks != "" {
-				if q := <-d.watchRequests; !strings.Contains(q, s.asks) {
-					t.Errorf("the watch asks %q, want %q", q, s.asks)
+			if s.wantRequest != "" {
+				if q := <-d.watchRequests; !strings.Contains(q, s.wantRequest) {
+					t.Errorf("the watch requests %q, want %q", q, s.wantRequest)
 				}
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -647,14 +653,14 @@
 				}
 			}
 			if fmt.Sprint(to) != fmt.Sprint(s.to) {
-				t.Errorf("txns went to %v, want %v", to, s.to)
+				t.Errorf("requests went to %v, want %v", to, s.to)
 			}
 		})
 	}
 }
 
-// A reload moves the watch to the new address and goes on from where it was, also while a stop is under way.
-// One that fails changes nothing.
+// TestReload: a reload moves the watch to the new address, where it goes on from its version, also while the
+// gateway stops. A configuration that can't be read changes nothing.
 func TestReload(t *testing.T) {
 	d := deploy(t, 2, 5000)
 	<-d.watchRequests
@@ -678,25 +684,26 @@
 	files <- nil
 	reload <- syscall.SIGHUP
 	if q := <-d.watchRequests; !strings.Contains(q, "stream=1&index=8 ") {
-		t.Errorf("the moved watch asks %q, want it from 8 on", q)
+		t.Errorf("the moved watch requests %q, want it from 8 on", q)
 	}
 	news(9, d.endpointEntry(0, "active", 0)+","+d.endpointEntry(1, "leaving", 0))
 	d.send(checkRequest("/check", "1"))
 	if a, b := d.workers[0].count(), d.workers[1].count(); a != 1 || b != 0 {
-		t.Errorf("%d and %d submissions after news at the new address, want 1 and 0", a, b)
+		t.Errorf("%d and %d submissions after an update at the new address, want 1 and 0", a, b)
 	}
 	files <- nil
 	stop <- syscall.SIGTERM
 	reload <- syscall.SIGHUP
 	if q := <-d.watchRequests; !strings.Contains(q, "index=9 ") {
-		t.Errorf("while it stops the watch asks %q", q)
+		t.Errorf("while it stops the watch requests %q", q)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// A reload with a configuration that mixes two shapes of deployment names the key, and the old one stays.
+// TestReloadMixedDeploymentShapes: a configuration that mixes two shapes of deployment is rejected by its
+// key, and the old one stays.
 func TestReloadMixedDeploymentShapes(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	<-d.watchRequests
@@ -711,7 +718,7 @@
 	}
 }
 
-// What a worker says of its load reaches the module where that is announced; what makes no sense does not.
+// TestLoadInAnswers: a worker's load report is used where the settings announce it; an invalid one is not.
 func TestLoadInAnswers(t *testing.T) {
 	const told = `"report":{"how":"answers","fields":["concurrent"]},"family_info"`
 	cases := []struct {
@@ -719,11 +726,11 @@
 		most           int // of 200 txns, at the worker that says so
 	}{
 		{"busy", told, `{"inflight":90,"queue":80}`, 75},
-		{"busy by its cores", told, `{"util":0.97}`, 75},
+		{"busy by its utilization", told, `{"util":0.97}`, 75},
 		{"not announced", `"family_info"`, `{"inflight":90}`, 200},
 		{"unreadable", told, `{"inflight":90,"queue":[}`, 200},
-		{"below nought", told, `{"inflight":-90}`, 200},
-		{"no number", told, `{"inflight":"90"}`, 200},
+		{"negative", told, `{"inflight":-90}`, 200},
+		{"not a number", told, `{"inflight":"90"}`, 200},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -735,12 +742,14 @@
 				}
 			}
 			if n := d.workers[0].count(); n > c.most || c.most == 200 && n < 76 {
-				t.Errorf("%d of 200 txns went there", n)
+				t.Errorf("%d of 200 requests went there", n)
 			}
 		})
 	}
 }
 
+// TestIdleWorkerConnections: an idle connection to a worker is reused, and closed ahead of the worker's
+// limit.
 func TestIdleWorkerConnections(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -764,19 +773,20 @@
 	}
 }
 
-// An answer that has begun and stalls is cut well before the expiry, and never served in part.
+// TestStalledResponse: a response that stalls is cut well before the deadline, and never served in part.
 func TestStalledResponse(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	start := time.Now()
 	status, body := d.send(strings.Replace(issueRequest("/issue?stall", "1"), "300m", "3000m", 1))
-	took := time.Since(start)
-	if status != "HTTP/1.1 500 Internal Server Error" || body != "" || took > 1500*time.Millisecond {
-		t.Errorf("answered %q %q after %v", status, body, took)
+	elapsed := time.Since(start)
+	if status != "HTTP/1.1 500 Internal Server Error" || body != "" || elapsed > 1500*time.Millisecond {
+		t.Errorf("answered %q %q after %v", status, body, elapsed)
 	}
 }
 
-// Where a worker falls silent its txns end well elsewhere, as far as the settings let them; what is given up
-// on while a submission may not be withdrawn is answered all the same, and nothing is sent for it after.
+// TestSilentWorker: requests of a worker that falls silent are answered by others, as far as the settings
+// allow. One that is given up while its attempt may not be cancelled is answered all the same, and nothing
+// is sent for it afterwards.
 func TestSilentWorker(t *testing.T) {
 	const settled, declined = "HTTP/1.1 200 OK", "HTTP/1.1 429 Too Many Requests"
 	cases := []struct {
@@ -784,9 +794,9 @@
 		swaps  []string
 		status string
 	}{
-		{"withdrawn and moved", nil, settled},
-		{"second copies", []string{`"cancel":true`, `"may_duplicate":true`}, settled},
-		{"second copies, withdrawn at the end", []string{`"cancel"`, `"may_duplicate":true,"cancel"`}, settled},
+		{"cancelled and retried", nil, settled},
+		{"hedged", []string{`"cancel":true`, `"may_duplicate":true`}, settled},
+		{"hedged, cancelled at the end", []string{`"cancel"`, `"may_duplicate":true,"cancel"`}, settled},
 		{"neither", []string{`"cancel":true`, `"cancel":false`}, declined},
 	}
 	for _, c := range cases {
@@ -798,7 +808,7 @@
 			for i := range txns {
 				raw := strings.Replace(checkRequest("/check", fmt.Sprint(i)), "300m", "600m", 1)
 				if status, _ := d.send(raw); status != c.status {
-					t.Errorf("txn %d: %q, want %q", i, status, c.status)
+					t.Errorf("request %d: %q, want %q", i, status, c.status)
 				}
 			}
 			before := len(d.submissions())
@@ -808,13 +818,14 @@
 					d.workers[0].count())
 			}
 			if b := inflight.Violations(); len(b) > 0 {
-				t.Errorf("claims broken: %v", b)
+				t.Errorf("invariants violated: %v", b)
 			}
 		})
 	}
 }
 
-// A connection that was out while its worker started anew is not used for the new process.
+// TestRestartedWorkerConnection: a connection that was in use while its worker restarted is not used for the
+// new process.
 func TestRestartedWorkerConnection(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	answered := make(chan string)
@@ -825,7 +836,7 @@
 	time.Sleep(40 * time.Millisecond)
 	d.updates <- `{"index":9,"snapshot":false,"endpoints":[` + d.endpointEntry(0, "active", 5) + `]}`
 	if status := <-answered; status != "HTTP/1.1 200 OK" {
-		t.Errorf("the txn that was out gets %q", status)
+		t.Errorf("the request in flight gets %q", status)
 	}
 	d.send(checkRequest("/check", "2"))
 	d.workers[0].mu.Lock()
@@ -835,14 +846,14 @@
 	}
 }
 
-// A client that closes is seen, and its submission withdrawn.
+// TestClientDisconnects: a client that disconnects is noticed, and its attempt cancelled.
 func TestClientDisconnects(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	c, _ := net.Dial("tcp", d.address)
 	fmt.Fprint(c, strings.Replace(checkRequest("/check?silence", "1"), "300m", "30000m", 1))
 	time.Sleep(20 * time.Millisecond)
 	if n := d.gateway.dispatcher.Tally(); n.InFlight != 1 {
-		t.Fatalf("%v submissions out", n.InFlight)
+		t.Fatalf("%v attempts in flight", n.InFlight)
 	}
 	c.Close()
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -853,12 +864,12 @@
 	t.Errorf("it goes on: %+v", d.gateway.dispatcher.Tally())
 }
 
-// At a stop what was taken is answered, kept connections are served on for a while, then all ends.
+// TestStop: accepted requests are answered, open connections are served for a while, then all ends.
 func TestStop(t *testing.T) {
 	d := deploy(t, 1, 5000)
-	kept, _ := net.Dial("tcp", d.address)
-	fmt.Fprint(kept, checkRequest("/check", "0"))
-	readResponse(kept)
+	keptConn, _ := net.Dial("tcp", d.address)
+	fmt.Fprint(keptConn, checkRequest("/check", "0"))
+	readResponse(keptConn)
 	slow, _ := net.Dial("tcp", d.address)
 	late := strings.Replace(issueRequest("/issue?silence", "1"), "300m", "900m", 1)
 	fmt.Fprint(slow, late)
@@ -872,28 +883,29 @@
 	if status, _ := d.send(checkRequest("/check", "2")); status != "HTTP/1.1 200 OK" {
 		t.Errorf("a new connection while it stops gets %q", status)
 	}
-	fmt.Fprint(kept, checkRequest("/check", "3"))
-	if status, _ := readResponse(kept); status != "HTTP/1.1 200 OK" {
-		t.Errorf("a kept connection while it stops gets %q", status)
+	fmt.Fprint(keptConn, checkRequest("/check", "3"))
+	if status, _ := readResponse(keptConn); status != "HTTP/1.1 200 OK" {
+		t.Errorf("an open connection while it stops gets %q", status)
 	}
-	if _, err := kept.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("a kept connection ends with %v", err)
+	if _, err := keptConn.Read(make([]byte, 1)); err != io.EOF {
+		t.Errorf("an open connection ends with %v", err)
 	}
 	if status, _ := readResponse(slow); status != "HTTP/1.1 500 Internal Server Error" {
-		t.Errorf("what was taken before gets %q", status)
+		t.Errorf("the request accepted before gets %q", status)
 	}
 	select {
 	case <-done:
 	case <-time.After(3 * time.Second):
-		t.Fatal("it does not end")
+		t.Fatal("the gateway does not stop")
 	}
 	if _, err := net.Dial("tcp", d.address); err == nil {
-		t.Error("it still takes connections")
+		t.Error("it still accepts connections")
 	}
 }
 
-// Clients that go on sending after the order to stop, on every connection that stays open, have all answered:
-// each connection ends with an answer that says so, before a txn could come that SIGKILL finds unanswered.
+// TestStopUnderTraffic: clients that go on sending on every open connection have all their requests
+// answered. Each connection ends with a response that announces it, before a request could come that SIGKILL
+// would leave unanswered.
 func TestStopUnderTraffic(t *testing.T) {
 	const clients = 8
 	d := deploy(t, 1, 5000)
@@ -901,7 +913,7 @@
 	type outcome struct {
 		settled, declined int
 		end               time.Duration // after the order
-		says              bool          // by an answer
+		reply             bool          // by an answer
 		err               string
 	}
 	ends := make(chan outcome, clients)
@@ -939,7 +951,7 @@
 				if o.settled+o.declined == 1 {
 					started.Done()
 				}
-				if o.says = res.Close; o.says {
+				if o.reply = res.Close; o.reply {
 					break
 				}
 			}
@@ -955,32 +967,32 @@
 		}
 	}()
 	d.gateway.Stop()
-	took, settled := time.Since(stopped), 0
+	elapsed, settled := time.Since(stopped), 0
 	for range clients {
 		o := <-ends
 		if settled += o.settled; o.err != "" {
-			t.Errorf("an end after %v, by an answer %v: %s", o.end, o.says, o.err)
+			t.Errorf("closed after %v, by a response %v: %s", o.end, o.reply, o.err)
 		}
 	}
 	if n := d.workers[0].count(); n != settled {
-		t.Errorf("%d txns reached a worker, %d were settled", n, settled)
+		t.Errorf("%d requests reached a worker, %d were settled", n, settled)
 	}
-	if took > 2*time.Second {
-		t.Errorf("it ended after %v", took)
+	if elapsed > 2*time.Second {
+		t.Errorf("stopped after %v", elapsed)
 	}
 }
 
-// A connection does not go on behind an answer that had begun before the end, and so did not say that it
-// ends.
+// TestStopDuringResponse: a connection ends behind a response that had begun before the stop, and so did not
+// announce the end.
 func TestStopDuringResponse(t *testing.T) {
-	const half = 64 << 10
+	const halfConn = 64 << 10
 	on := make(chan bool)
 	d := deployBeforeHandler(t, func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Length", fmt.Sprint(2*half))
-		w.Write(testBody(half))
+		w.Header().Set("Content-Length", fmt.Sprint(2*halfConn))
+		w.Write(testBody(halfConn))
 		w.(http.Flusher).Flush()
 		<-on
-		w.Write(testBody(half))
+		w.Write(testBody(halfConn))
 	})
 	c, err := net.Dial("tcp", d.address)
 	if err != nil {
@@ -999,17 +1011,17 @@
 		d.gateway.Stop()
 		close(stopped)
 	}()
-	waitFor(t, "it goes on", func() bool { return d.gateway.frontend.Closing() })
+	waitFor(t, "the stop does not begin", func() bool { return d.gateway.frontend.Closing() })
 	close(on)
-	if n, err := io.Copy(io.Discard, res.Body); n != 2*half || err != nil {
+	if n, err := io.Copy(io.Discard, res.Body); n != 2*halfConn || err != nil {
 		t.Errorf("%d bytes, %v", n, err)
 	}
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Errorf("behind the answer: %v", err)
+		t.Errorf("after the response: %v", err)
 	}
 	select {
 	case <-stopped:
 	case <-time.After(3 * time.Second):
-		t.Error("the stop waits for it")
+		t.Error("the stop does not end")
 	}
 }
--- a/internal/gateway/lifecycle/ruleset_process_test.go
+++ b/internal/gateway/lifecycle/ruleset_process_test.go
@@ -19,13 +19,13 @@
 	"willowdeck/internal/testkit/ports"
 )
 
-// started is a real process of the program.
+// process is a real process of the program.
 type process struct {
 	*exec.Cmd
 	address string
 }
 
-// start builds the program and runs it before a worker and discovery, with a daemon to ask.
+// startProcess builds the program and runs it before discovery, with a daemon to request leases from.
 func startProcess(t *testing.T, list *fakes.Discovery, daemon, dir string, more ...string) *process {
 	t.Helper()
 	path := filepath.Join(dir, "willowdeck")
@@ -68,7 +68,7 @@
 	return s
 }
 
-// around are a worker and discovery.
+// startWorkerAndDiscovery starts a worker, and discovery that lists it.
 func startWorkerAndDiscovery(t *testing.T) (*fakes.Worker, *fakes.Discovery) {
 	t.Helper()
 	w, err := fakes.NewWorker("w0", 2*time.Millisecond)
@@ -84,9 +84,9 @@
 	return w, list
 }
 
-// A process that is killed and comes back knows what the one before it had spent while the rules are the
-// same; if they are others it takes all ceilings as spent. Guards against a former life's record that is
-// believed though others may have had its share meanwhile.
+// TestKilledWithRuleset: a process that is killed and restarted knows what was used of rate limits while the
+// ruleset is the same; if it is another, all count as used up. Guards against a crash state that is trusted
+// although other members may have had its share meanwhile.
 func TestKilledWithRuleset(t *testing.T) {
 	_, list := startWorkerAndDiscovery(t)
 	x := newFakeDaemon(t)
@@ -94,17 +94,17 @@
 	x.setLease(1, testRules(rate, depth), true)
 	dir := t.TempDir()
 	life := func() (*deployment, *process, time.Time) {
-		began := time.Now()
+		start := time.Now()
 		s := startProcess(t, list, x.address, dir, "--residue", filepath.Join(dir, "residue"))
 		d := &deployment{t: t, address: s.address}
-		waitFor(t, "it does not serve", func() bool {
+		waitFor(t, "it does not serve clients", func() bool {
 			c, err := net.Dial("tcp", s.address)
 			if err == nil {
 				c.Close()
 			}
 			return err == nil
 		})
-		return d, s, began
+		return d, s, start
 	}
 	burst := func(d *deployment) (in int) {
 		for range 40 {
@@ -115,7 +115,7 @@
 		return in
 	}
 	d, s, _ := life()
-	waitFor(t, "it never fills", func() bool {
+	waitFor(t, "the rate limit never fills", func() bool {
 		time.Sleep(700 * time.Millisecond) // more than it takes to
 		return burst(d) == 40
 	})
@@ -123,30 +123,31 @@
 	s.Process.Kill()
 	s.Wait()
 	d, s, _ = life()
-	waitFor(t, "no lease", d.passes)
+	waitFor(t, "no request is served under a lease", d.passes)
 	if in := burst(d); in < 35 {
-		t.Errorf("%d let in at once by the same rules", in)
+		t.Errorf("%d passed at once under the same ruleset", in)
 	}
 	time.Sleep(600 * time.Millisecond)
 	s.Process.Kill()
 	s.Wait()
 	x.setLease(2, testRules(rate, depth), true)
-	d, _, began := life()
-	waitFor(t, "no lease", d.passes)
+	d, _, start := life()
+	waitFor(t, "no request is served under a lease", d.passes)
 	in := burst(d)
-	if most := rate*time.Since(began).Seconds() + 1; float64(in) > most {
-		t.Errorf("%d let in by other rules, of %.1f since the start", in, most)
+	if most := rate*time.Since(start).Seconds() + 1; float64(in) > most {
+		t.Errorf("%d passed under another ruleset, of %.1f since the start", in, most)
 	}
 }
 
-// A process that stands still while the rules change twice sends nothing by the version that it had, once it
-// goes on: neither what comes new, nor what it had in hand. Guards against decisions on a lease that ran out
-// unnoticed. By the worker's own record, and by the process's.
+// TestStalledOverRulesetChanges: a process that is stopped while the ruleset changes twice sends nothing
+// under the version that it had, once it continues: neither for new requests, nor for those in flight.
+// Guards against decisions on a lease that expired unnoticed. Checked by the worker's record and the
+// process's own.
 func TestStalledOverRulesetChanges(t *testing.T) {
 	// Of all rounds together: a thread may be stopped between the last look and the write, which takes some us
 	// of the ms that a txn does. Without the looks there are up to four a round.
-	const between = 2
-	sum := 0
+	const maxStale = 2
+	staleSends := 0
 	w, list := startWorkerAndDiscovery(t)
 	x := newFakeDaemon(t)
 	r := testRules(1000, 1000)
@@ -160,11 +161,11 @@
 		}
 		return l
 	}
-	rig, work := log("rig"), log("w0")
-	w.Record = work
+	testLog, workerLog := log("rig"), log("w0")
+	w.Record = workerLog
 	s := startProcess(t, list, x.address, dir)
 	d := &deployment{t: t, address: s.address}
-	waitFor(t, "it does not serve", d.passes)
+	waitFor(t, "it does not serve clients", d.passes)
 	stop := make(chan struct{})
 	var asking sync.WaitGroup
 	for range 64 { // all the while
@@ -181,7 +182,7 @@
 			}
 		}()
 	}
-	named := func(version uint64) (n int, last time.Time) {
+	submissionsOf := func(version uint64) (n int, last time.Time) {
 		for _, got := range w.Got() {
 			if got.Version == strconv.FormatUint(version, 10) {
 				n, last = n+1, got.At
@@ -191,12 +192,12 @@
 	}
 	version := uint64(1)
 	for round := range 3 {
-		waitFor(t, fmt.Sprintf("nothing is sent by version %d", version), func() bool {
-			n, _ := named(version)
+		waitFor(t, fmt.Sprintf("nothing is sent under version %d", version), func() bool {
+			n, _ := submissionsOf(version)
 			return n > 20
 		})
 		s.Process.Signal(syscall.SIGSTOP)
-		rig.Write(history.Event{Kind: history.Stalls, Peer: "n0"})
+		testLog.Write(history.Event{Kind: history.Stalls, Peer: "n0"})
 		r.Plans = append([]ruleset.Plan(nil), r.Plans...)
 		for range 2 {
 			time.Sleep(250 * time.Millisecond) // over the lease and its fallback
@@ -204,31 +205,31 @@
 			r.Plans[0].CeilingRate = 500 + float64(version)
 			x.setLease(version, r, true)
 		}
-		before, _ := named(version - 2)
-		on := time.Now()
-		rig.Write(history.Event{Kind: history.Wakes, Peer: "n0"})
+		before, _ := submissionsOf(version - 2)
+		continuedAt := time.Now()
+		testLog.Write(history.Event{Kind: history.Wakes, Peer: "n0"})
 		s.Process.Signal(syscall.SIGCONT)
-		waitFor(t, "it does not go on", func() bool {
-			n, _ := named(version)
+		waitFor(t, "it does not continue", func() bool {
+			n, _ := submissionsOf(version)
 			return n > 5
 		})
-		after, last := named(version - 2)
-		t.Logf("round %d: %d sent by the version before, the last %v after it went on", round, after-before,
-			last.Sub(on).Round(time.Microsecond))
-		sum += after - before
-		if n, _ := named(version - 1); n > 0 {
-			t.Errorf("%d sent by version %d, which it never heard of in time", n, version-1)
+		after, last := submissionsOf(version - 2)
+		t.Logf("round %d: %d sent under the version before, the last %v after it continued", round, after-before,
+			last.Sub(continuedAt).Round(time.Microsecond))
+		staleSends += after - before
+		if n, _ := submissionsOf(version - 1); n > 0 {
+			t.Errorf("%d sent under version %d, which it never received in time", n, version-1)
 		}
 	}
 	close(stop)
 	asking.Wait()
-	if sum > between {
-		t.Errorf("%d sent by versions that had run out", sum)
+	if staleSends > maxStale {
+		t.Errorf("%d sent under versions that had expired", staleSends)
 	}
 	s.Process.Signal(syscall.SIGTERM) // so that its record is whole
 	s.Wait()
-	rig.Close()
-	work.Close()
+	testLog.Close()
+	workerLog.Close()
 	record, err := history.Read(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -237,14 +238,14 @@
 	if c.Count > 0 || c.Seen == 0 {
 		t.Errorf("by the record: %+v", c)
 	}
-	sends, acts := 0, map[uint64]bool{}
+	sends, adopted := 0, map[uint64]bool{}
 	for _, e := range record.Events {
 		switch e.Kind {
 		case history.Acts:
-			acts[e.Version] = true
+			adopted[e.Version] = true
 		case history.Sends:
-			if sends++; e.Version > 0 && !acts[e.Version] || e.Txn == "" || e.Customer == 0 || e.Worker != "w0" {
-				t.Fatalf("sent by what it had not said that it goes by: %+v", e)
+			if sends++; e.Version > 0 && !adopted[e.Version] || e.Txn == "" || e.Customer == 0 || e.Worker != "w0" {
+				t.Fatalf("sent under a version that it had not recorded as adopted: %+v", e)
 			}
 		}
 	}
--- a/internal/gateway/lifecycle/ruleset_test.go
+++ b/internal/gateway/lifecycle/ruleset_test.go
@@ -20,7 +20,7 @@
 	"willowdeck/internal/ruleset"
 )
 
-// daemon stands in for the daemon of an instance's host, of a program that tells all rules each time.
+// fakeDaemon is the daemon of an instance's host, of an older version that sends the full ruleset each time.
 type fakeDaemon struct {
 	address   string
 	mu        sync.Mutex
@@ -44,7 +44,7 @@
 			d.lastQuery[key] = r.FormValue(key)
 		}
 		if r.URL.Path != LeasePath {
-			t.Errorf("asked for %s", r.URL.Path)
+			t.Errorf("request for %s", r.URL.Path)
 		}
 		if d.handler != nil {
 			d.handler(w)
@@ -59,7 +59,7 @@
 	return d
 }
 
-// leases has it tell a version from now on.
+// setLease has it grant leases of a version from now on.
 func (d *fakeDaemon) setLease(number uint64, r ruleset.Rules, settled bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -71,26 +71,26 @@
 	}
 }
 
-// answers has it say something else.
-func (d *fakeDaemon) setHandler(says func(http.ResponseWriter)) {
+// setHandler has it respond by a handler in place of a lease.
+func (d *fakeDaemon) setHandler(reply func(http.ResponseWriter)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.handler = says
+	d.handler = reply
 }
 
 func unavailable(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
 
-// rules are those of one gatekeeper whose basic plan has a ceiling.
-func testRules(rate, depth float64, words ...ruleset.WorkerOverride) ruleset.Rules {
+// testRules are the rules of one gateway whose basic plan has a rate limit.
+func testRules(rate, depth float64, overrides ...ruleset.WorkerOverride) ruleset.Rules {
 	return ruleset.Rules{Format: ruleset.SupportedFormat, LeaseMillis: 400,
 		ConflictBoundMillis: ruleset.DefaultConflictBoundMillis,
 		Fallback:            ruleset.Fallback{Fraction: 0.5, DurationMillis: 600},
-		Members:             []ruleset.Member{{Name: "n0", Host: "h"}}, WorkerOverrides: words,
+		Members:             []ruleset.Member{{Name: "n0", Host: "h"}}, WorkerOverrides: overrides,
 		Plans: []ruleset.Plan{{Name: "basic", Rate: 1000, Burst: 1000, CeilingRate: rate, CeilingDepth: depth},
 			{Name: "tiny", Rate: 0.1, Burst: 1}}}
 }
 
-// agreed starts a gatekeeper that asks a daemon which says nothing yet.
+// deployBelowDaemon starts a gateway that requests leases from a daemon which is unavailable so far.
 func deployBelowDaemon(t *testing.T, workers int) (*deployment, *fakeDaemon) {
 	t.Helper()
 	x := newFakeDaemon(t)
@@ -105,14 +105,14 @@
 
 var requestSerial atomic.Int64
 
-// let asks one txn, and tells whether it is let in.
+// passes sends a request, and reports whether it was served.
 func (d *deployment) passes() bool {
 	d.t.Helper()
 	s, _ := d.send(checkRequest("/check", fmt.Sprint("let", requestSerial.Add(1))))
 	return s == "HTTP/1.1 200 OK"
 }
 
-// flood asks for so long, and gives how many were let in.
+// countPassed sends requests one after another for a time, and counts those that were served.
 func (d *deployment) countPassed(span time.Duration) (in int) {
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		if d.passes() {
@@ -122,14 +122,15 @@
 	return in
 }
 
+// awaitMode waits for a lease mode.
 func (d *deployment) awaitMode(want ruleset.LeaseMode) {
 	d.t.Helper()
-	waitFor(d.t, "it does not come to be "+want.String(), func() bool {
+	waitFor(d.t, "the lease mode does not become "+want.String(), func() bool {
 		return d.stat("rules.mode") == int64(want)
 	})
 }
 
-// named gives the version that the newest submission names.
+// lastRulesVersion gives the ruleset version that the newest submission names; -1 where it names none.
 func (d *deployment) lastRulesVersion() int {
 	got := d.submissions()
 	_, after, found := strings.Cut(got[len(got)-1], "X-Rules: ")
@@ -141,9 +142,9 @@
 	return n
 }
 
-// An instance passes nothing under a ceiling until it has a lease, then goes by its version; when its daemon
-// falls silent it goes on until the lease has run out, by the fallback after that and then not at all; and is
-// back with the next answer.
+// TestLeaseModes: an instance passes nothing under a rate limit until it has a lease, then uses its version.
+// When its daemon falls silent it goes on until the lease expires, then in fallback and then not at all, and
+// is back with the next lease.
 func TestLeaseModes(t *testing.T) {
 	d, x := deployBelowDaemon(t, 1)
 	if d.awaitMode(ruleset.ModeNoLease); d.countPassed(100*time.Millisecond) != 0 {
@@ -153,7 +154,7 @@
 	d.awaitMode(ruleset.ModeLeased)
 	time.Sleep(100 * time.Millisecond) // what a start takes as spent
 	if !d.passes() || d.lastRulesVersion() != 1 {
-		t.Errorf("by version %d", d.lastRulesVersion())
+		t.Errorf("version %d is in force", d.lastRulesVersion())
 	}
 	x.mu.Lock()
 	if x.lastQuery["instance"] != "n0" || x.lastQuery["pid"] == "" || x.lastQuery["holds"] == "" ||
@@ -163,15 +164,15 @@
 	x.mu.Unlock()
 	x.setHandler(unavailable)
 	if !d.passes() || d.stat("rules.mode") != int64(ruleset.ModeLeased) {
-		t.Error("a lease ends with the first answer that is missing")
+		t.Error("a lease ends with the first response that is missing")
 	}
 	d.awaitMode(ruleset.ModeFallback)
 	if d.countPassed(200*time.Millisecond) == 0 {
-		t.Error("cut off it passes nothing")
+		t.Error("passes nothing in fallback")
 	}
 	d.awaitMode(ruleset.ModeNoLease)
 	if d.countPassed(100*time.Millisecond) != 0 {
-		t.Error("passes under a ceiling when the fallback's time is up")
+		t.Error("passes under a rate limit after the fallback")
 	}
 	x.setLease(1, testRules(1000, 1000), true)
 	d.awaitMode(ruleset.ModeLeased)
@@ -180,15 +181,15 @@
 	}
 }
 
-// A ceiling that is lowered holds from the moment on at which it is adopted, by what workers are sent; one
-// that is raised waits until nobody goes by the version before.
+// TestRateLimitChanges: a rate limit that is lowered holds from the moment of its adoption, by what workers
+// are sent. One that is raised waits until no instance uses the version before.
 func TestRateLimitChanges(t *testing.T) {
 	d, x := deployBelowDaemon(t, 1)
 	x.setLease(1, testRules(1000, 1000), true)
 	d.awaitMode(ruleset.ModeLeased)
-	waitFor(t, "nothing passes", d.passes)
+	waitFor(t, "no request is served", d.passes)
 	x.setLease(2, testRules(10, 5), false)
-	waitFor(t, "not taken up", func() bool { return d.stat("rules.version") == 2 })
+	waitFor(t, "the ruleset is not adopted", func() bool { return d.stat("rules.version") == 2 })
 	const span = 500 * time.Millisecond
 	start := time.Now()
 	in := d.countPassed(span)
@@ -196,41 +197,42 @@
 		t.Errorf("%d in %v, of at most %.1f", in, time.Since(start), most)
 	}
 	x.setLease(3, testRules(2000, 2000), false)
-	waitFor(t, "not taken up", func() bool { return d.stat("rules.version") == 3 })
+	waitFor(t, "the ruleset is not adopted", func() bool { return d.stat("rules.version") == 3 })
 	start = time.Now()
 	in = d.countPassed(span)
 	if most := 5 + 10*time.Since(start).Seconds() + 1; float64(in) > most {
-		t.Errorf("%d in %v before all have left the version before", in, time.Since(start))
+		t.Errorf("%d in %v before all instances have left the version before", in, time.Since(start))
 	}
 	x.setLease(3, testRules(2000, 2000), true)
-	waitFor(t, "never raised", func() bool { return d.countPassed(50*time.Millisecond) > 10 })
+	waitFor(t, "the rate limit is never raised", func() bool { return d.countPassed(50*time.Millisecond) > 10 })
 	x.setLease(2, testRules(10, 5), true) // an old word changes nothing, whatever its step
 	if d.countPassed(200*time.Millisecond) < 20 || d.stat("rules.version") != 3 {
 		t.Errorf("back to version %d", d.stat("rules.version"))
 	}
 }
 
-// A worker that is barred gets nothing from then on, nor does one that is drained or of a hall that is;
-// lifted, they are sent to again. Newcomers are told discovery's list, not the operators' words.
+// TestWorkerOverrides: a barred worker is sent nothing from then on, nor is one that is drained or in a
+// region that is; when that is lifted they are used again. Joining instances receive discovery's list,
+// without the overrides.
 func TestWorkerOverrides(t *testing.T) {
 	d, x := deployBelowDaemon(t, 2)
 	x.setLease(1, testRules(0, 0), true)
 	d.awaitMode(ruleset.ModeLeased)
 	number := uint64(1)
 	for _, c := range []struct {
-		name  string
-		words []ruleset.WorkerOverride
-		out   []int // workers that get nothing
+		name      string
+		overrides []ruleset.WorkerOverride
+		out       []int // workers that get nothing
 	}{
 		{"barred", []ruleset.WorkerOverride{{Worker: "w0", Barred: true}}, []int{0}},
 		{"drained", []ruleset.WorkerOverride{{Worker: "w1", Drained: true}}, []int{1}},
-		{"weighed", []ruleset.WorkerOverride{{Worker: "w1", Weight: 2}}, nil},
-		{"the hall", []ruleset.WorkerOverride{{Region: "a", Barred: true}}, []int{0, 1}},
-		{"another hall", []ruleset.WorkerOverride{{Region: "b", Barred: true}}, nil},
+		{"weighted", []ruleset.WorkerOverride{{Worker: "w1", Weight: 2}}, nil},
+		{"its region", []ruleset.WorkerOverride{{Region: "a", Barred: true}}, []int{0, 1}},
+		{"another region", []ruleset.WorkerOverride{{Region: "b", Barred: true}}, nil},
 	} {
 		number++
-		x.setLease(number, testRules(0, 0, c.words...), true)
-		waitFor(t, "not taken up", func() bool { return uint64(d.stat("rules.version")) == number })
+		x.setLease(number, testRules(0, 0, c.overrides...), true)
+		waitFor(t, "the ruleset is not adopted", func() bool { return uint64(d.stat("rules.version")) == number })
 		before := []int{d.workers[0].count(), d.workers[1].count()}
 		d.countPassed(150 * time.Millisecond)
 		for i, w := range d.workers {
@@ -244,13 +246,14 @@
 		}
 		if l, _, ok := d.gateway.List(); ok {
 			if told, err := endpoints.Decode(l); err != nil || len(told.Workers) != 2 || !told.Workers[0].Active {
-				t.Errorf("%s: newcomers are told %s", c.name, l)
+				t.Errorf("%s: joining instances receive %s", c.name, l)
 			}
 		}
 	}
 }
 
-// Answers that can't be gone by are counted, and change nothing: the former rules go on until their time.
+// TestInvalidLeases: responses that can't be used are counted and change nothing: the ruleset in force stays
+// until its lease expires.
 func TestInvalidLeases(t *testing.T) {
 	good := testRules(1000, 1000)
 	with := func(change func(*ruleset.Lease)) func(http.ResponseWriter) {
@@ -267,20 +270,20 @@
 		return func(w http.ResponseWriter) { io.WriteString(w, s) }
 	}
 	for _, c := range []struct {
-		name string
-		says func(http.ResponseWriter)
+		name  string
+		reply func(http.ResponseWriter)
 	}{
-		{"garbled", text(`{"Step":50,"Number":`)},
-		{"nothing", text("")},
+		{"corrupt", text(`{"Step":50,"Number":`)},
+		{"empty", text("")},
 		{"too long", func(w http.ResponseWriter) { w.Write(bytes.Repeat([]byte(" "), ruleset.MaxEncodedBytes+1)) }},
-		{"another form", with(func(l *ruleset.Lease) { l.Version.Rules.Format = 7 })},
-		{"needs what is not known", with(func(l *ruleset.Lease) { l.Version.Rules.Needs = []string{"moon"} })},
-		{"a stranger's place", with(func(l *ruleset.Lease) {
+		{"another format", with(func(l *ruleset.Lease) { l.Version.Rules.Format = 7 })},
+		{"needs an unknown feature", with(func(l *ruleset.Lease) { l.Version.Rules.Needs = []string{"moon"} })},
+		{"another member's place", with(func(l *ruleset.Lease) {
 			l.Version.Rules.Members = []ruleset.Member{{Name: "m0", Host: "h"}, {Name: "n0", Host: "h"}}
 		})},
-		{"rules that make no sense", with(func(l *ruleset.Lease) { l.Version.Rules.Plans[0].Rate = -1 })},
-		{"no time", with(func(l *ruleset.Lease) { l.AgeMillis = -5 })},
-		{"an address that is none", with(func(l *ruleset.Lease) { l.Version.Rules.Members[0].Peers = "x" })},
+		{"invalid rules", with(func(l *ruleset.Lease) { l.Version.Rules.Plans[0].Rate = -1 })},
+		{"negative age", with(func(l *ruleset.Lease) { l.AgeMillis = -5 })},
+		{"invalid address", with(func(l *ruleset.Lease) { l.Version.Rules.Members[0].Peers = "x" })},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -288,30 +291,30 @@
 			x.setLease(1, good, true)
 			d.awaitMode(ruleset.ModeLeased)
 			before := d.stat("rules.refused")
-			x.setHandler(c.says)
-			waitFor(t, "not counted", func() bool { return d.stat("rules.refused") > before })
+			x.setHandler(c.reply)
+			waitFor(t, "the rejection is not counted", func() bool { return d.stat("rules.refused") > before })
 			if v := d.stat("rules.version"); v != 1 {
-				t.Errorf("by version %d", v)
+				t.Errorf("version %d is in force", v)
 			}
-			waitFor(t, "the lease does not end",
+			waitFor(t, "the lease does not expire",
 				func() bool { return d.stat("rules.mode") != int64(ruleset.ModeLeased) })
 			if x.setLease(51, good, true); true {
 				d.awaitMode(ruleset.ModeLeased)
 			}
 		})
 	}
-	t.Run("a stranger", func(t *testing.T) {
+	t.Run("not a member", func(t *testing.T) {
 		d, x := deployBelowDaemon(t, 1)
 		x.setHandler(with(func(l *ruleset.Lease) { l.Version.Rules.Members[0].Name = "other" }))
-		waitFor(t, "not counted", func() bool { return d.stat("rules.refused") > 0 })
+		waitFor(t, "the rejection is not counted", func() bool { return d.stat("rules.refused") > 0 })
 		if d.stat("rules.mode") != int64(ruleset.ModeNoLease) || d.passes() {
-			t.Error("goes by rules that do not name it")
+			t.Error("adopts a ruleset that does not name it")
 		}
 	})
 }
 
-// Rules with another number of gatekeepers are taken up in service, and so is one that they no longer name:
-// nothing passes under its ceilings.
+// TestMembersFromRuleset: a ruleset with another number of members is adopted in service, and so is one that
+// no longer names this gateway: nothing passes under its rate limits.
 func TestMembersFromRuleset(t *testing.T) {
 	d, x := deployBelowDaemon(t, 1)
 	// Guards against messages that outgrow a datagram once rules are gone by, as their word was forgotten.
@@ -321,11 +324,11 @@
 	r := testRules(1000, 1000)
 	x.setLease(1, r, true)
 	d.awaitMode(ruleset.ModeLeased)
-	waitFor(t, "nothing passes", d.passes)
+	waitFor(t, "no request is served", d.passes)
 	r.Members = append(r.Members, ruleset.Member{Name: "n1", Host: "h"}, ruleset.Member{Name: "n2", Host: "i"})
 	x.setLease(2, r, true)
-	waitFor(t, "not three", func() bool { return d.stat("members") == 3 })
-	waitFor(t, "a txn of a set of three does not pass", func() bool {
+	waitFor(t, "the number of members is not three", func() bool { return d.stat("members") == 3 })
+	waitFor(t, "a request that is spread over three is not served", func() bool {
 		s, _ := d.send(
 			strings.Replace(
 				checkRequest("/check", fmt.Sprint("of3", requestSerial.Add(1))),
@@ -338,14 +341,15 @@
 	})
 	r.Members = []ruleset.Member{{}, {Name: "n1", Host: "h"}}
 	x.setLease(3, r, true)
-	waitFor(t, "not taken up", func() bool { return d.stat("rules.version") == 3 })
+	waitFor(t, "the ruleset is not adopted", func() bool { return d.stat("rules.version") == 3 })
 	if d.countPassed(100*time.Millisecond) != 0 {
-		t.Error("one that is no member passes something")
+		t.Error("passes requests without being a member")
 	}
 }
 
-// A process that gets ready to take another's place has its lease before it does, and what that one has left
-// of a ceiling: the change costs none of it. Guards against an heir that counts all as spent, or nothing.
+// TestReplacementWithRuleset: a successor has its lease before it takes over, and what its predecessor has
+// left of a rate limit: the replacement costs none of it. Guards against a successor that counts all as
+// used, or nothing.
 func TestReplacementWithRuleset(t *testing.T) {
 	const rate, depth, spent = 20, 60, 20
 	x := newFakeDaemon(t)
@@ -364,41 +368,42 @@
 		}
 		return in
 	}
-	began := time.Now()
+	start := time.Now()
 	if in := burst(spent); in != spent {
-		t.Fatalf("%d let in of a full ceiling", in)
+		t.Fatalf("%d passed of a full rate limit", in)
 	}
-	heir := d.startSuccessor(func(c *config.Gatekeeper) { c.Listen = "127.0.0.1:0" })
-	waitFor(t, "the heir has no lease",
-		func() bool { return heir.ruleset.mode.Load() == int64(ruleset.ModeLeased) })
+	successor := d.startSuccessor(func(c *config.Gatekeeper) { c.Listen = "127.0.0.1:0" })
+	waitFor(t, "the successor has no lease",
+		func() bool { return successor.ruleset.mode.Load() == int64(ruleset.ModeLeased) })
 	d.gateway.Stop()
-	d.address = heir.Address
+	d.address = successor.Address
 	in := burst(depth)
-	most := depth - spent + rate*time.Since(began).Seconds() + 1
+	most := depth - spent + rate*time.Since(start).Seconds() + 1
 	if in < depth-spent || float64(in) > most {
-		t.Errorf("%d let in by the heir, of %d to %.0f", in, depth-spent, most)
+		t.Errorf("%d passed in the successor, of %d to %.0f", in, depth-spent, most)
 	}
 }
 
-// Where rules are agreed on, a copy of quotas is gone by with the first lease, and not before, if it names
-// the version of that lease; else nothing is recalled. Guards against quotas as they were by other rules, or
-// while the former life was cut off, and against a copy that is dropped as the rules are not known yet.
+// TestCheckpointWithRuleset: where rulesets are agreed on, a checkpoint is restored with the first lease,
+// and not before, if it is of that version; else nothing is. Guards against quotas as they were under
+// another ruleset or in fallback, and against a checkpoint that is dropped because the ruleset is not known
+// yet.
 func TestCheckpointWithRuleset(t *testing.T) {
 	leased := func(x *fakeDaemon, version uint64, d *deployment) {
 		x.setLease(version, testRules(1000, 1000), true)
 		d.awaitMode(ruleset.ModeLeased)
 	}
 	for _, c := range []struct {
-		name     string
-		version  uint64 // of the later life's first lease
-		cut, met bool   // the former was cut off; the customer comes before the lease
-		recalled int64
-		says     string
+		name                  string
+		version               uint64 // of the later life's first lease
+		cutOff, customerKnown bool   // the former was cut off; the customer comes before the lease
+		restored              int64
+		wantStatus            string
 	}{
 		{"the same version", 1, false, false, 1, "429 Too Many Requests"},
 		{"another version", 2, false, false, 0, "200 OK"},
-		{"cut off", 1, true, false, 0, "200 OK"},
-		{"known by then", 1, false, true, 0, ""},
+		{"fallback", 1, true, false, 0, "200 OK"},
+		{"customer known by then", 1, false, true, 0, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x, path := newFakeDaemon(t), filepath.Join(t.TempDir(), "residue")
@@ -416,16 +421,16 @@
 			d := life()
 			leased(x, 1, d)
 			if s := of(d); s != "200 OK" {
-				t.Fatalf("a first start: %q", s)
+				t.Fatalf("at a first start: %q", s)
 			}
-			if c.cut {
+			if c.cutOff {
 				x.setHandler(unavailable)
 				d.awaitMode(ruleset.ModeFallback)
 			}
 			n := d.gateway.dispatcher.CheckpointStats().Written.Load()
 			waitFor(
 				t,
-				"no copies are written",
+				"no checkpoints are written",
 				func() bool { return d.gateway.dispatcher.CheckpointStats().Written.Load() > n+1 },
 			)
 			d.gateway.listener.Close() // as at a sudden end
@@ -434,26 +439,27 @@
 
 			d = life()
 			t.Cleanup(func() { close(d.gateway.done) })
-			if c.met {
+			if c.customerKnown {
 				of(d)
 			}
 			if n := d.stat("copies.recalled"); n > 0 {
-				t.Errorf("%d recalled before there are rules", n)
+				t.Errorf("%d restored before a ruleset is adopted", n)
 			}
 			leased(x, c.version, d)
 			s, n := of(d), d.stat("copies.recalled")
-			if n != c.recalled || c.says != "" && s != c.says || d.gateway.unrestoredCheckpoint.Load() != nil {
-				t.Errorf("%q, %d recalled", s, n)
+			if n != c.restored || c.wantStatus != "" && s != c.wantStatus ||
+				d.gateway.unrestoredCheckpoint.Load() != nil {
+				t.Errorf("%q, %d restored", s, n)
 			}
 		})
 	}
 }
 
-// Without agreement no submission names rules, and no figure speaks of them.
+// TestWithoutRuleset: without a daemon, no submission names a ruleset and there are no stats of it.
 func TestWithoutRuleset(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	if !d.passes() || d.lastRulesVersion() != -1 {
-		t.Error("it names rules")
+		t.Error("a submission names a ruleset")
 	}
 	for _, f := range d.gateway.Figures().More {
 		if strings.HasPrefix(f.Name, "rules.") {
@@ -462,8 +468,9 @@
 	}
 }
 
-// What terms make of the charter: ceilings as this one may use them while leased, the rest withheld while it
-// is not; what it has no share of never fills, so that a share that comes later counts as spent.
+// TestCharterFor: rate limits are set to what this member may use while it is leased, and the rest is
+// withheld while it is not. A limit that it has no share of never fills, so that a share that comes later
+// counts as used up.
 func TestCharterFor(t *testing.T) {
 	type want struct {
 		rate, depth, withheld float64
@@ -481,20 +488,20 @@
 		ruleset.EffectiveRules
 		want
 	}{
-		"born": {{term(0, ruleset.ModeNoLease, 0, 10, 20, 0), want{10, 20, 1, true}}},
-		"leased, cut off, bare, leased": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
+		"before any lease": {{term(0, ruleset.ModeNoLease, 0, 10, 20, 0), want{10, 20, 1, true}}},
+		"leased, fallback, no lease, leased": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
 			{term(1, ruleset.ModeFallback, 0, 30, 60, 0.25), want{30, 60, 0.75, true}},
 			{term(1, ruleset.ModeNoLease, 0, 30, 60, 0), want{30, 60, 1, true}},
 			{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}}},
 		"no share yet": {{term(1, ruleset.ModeLeased, 0, 30, 60, 0), want{0, 60, 0, false}},
 			{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}}},
-		"up": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
+		"raised": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
 			{term(2, ruleset.ModeLeased, 0, 60, 120, 0.5), want{30, 60, 0, false}},
 			{term(2, ruleset.ModeFallback, 0, 60, 120, 0.25), want{30, 60, 0.5, true}},
 			{term(2, ruleset.ModeLeased, 0, 60, 120, 1), want{60, 120, 0, false}}},
-		"another version as it is cut off": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
+		"another version in fallback": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
 			{term(2, ruleset.ModeFallback, 0, 40, 80, 0.25), want{10, 20, 0, true}}},
-		"no member any more": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
+		"no longer a member": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
 			{term(2, ruleset.ModeLeased, -1, 30, 60, 0), want{0, 60, 0, true}}},
 		"no ceiling": {{term(1, ruleset.ModeLeased, 0, 0, 0, 1), want{0, 0, 0, false}},
 			{term(1, ruleset.ModeNoLease, 0, 0, 0, 1), want{0, 0, 0, true}}},
--- a/internal/gateway/lifecycle/ruleset_updates_test.go
+++ b/internal/gateway/lifecycle/ruleset_updates_test.go
@@ -17,7 +17,7 @@
 	"willowdeck/internal/versioned"
 )
 
-// teller stands in for the daemon of an instance's host, of a program that tells changes.
+// fakeUpdateDaemon is the daemon of an instance's host, of a version that sends changes.
 type fakeUpdateDaemon struct {
 	t                 *testing.T
 	address           string
@@ -38,7 +38,7 @@
 	handler := relay.NewHandler(x.respond)
 	x.address = startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		x.mu.Lock()
-		older, says, lease := x.legacy, x.handler, x.lease
+		older, reply, lease := x.legacy, x.handler, x.lease
 		if r.URL.Path == LeasePath {
 			x.leaseRequests++
 		}
@@ -46,8 +46,8 @@
 		switch {
 		case r.URL.Path == UpdatePath && older:
 			http.NotFound(w, r)
-		case says != nil:
-			says(w)
+		case reply != nil:
+			reply(w)
 		case r.URL.Path == UpdatePath:
 			handler.ServeHTTP(w, r)
 		default:
@@ -94,7 +94,7 @@
 	return &other, nil
 }
 
-// leases has it tell a version from now on, and what is pending.
+// setLease has it grant leases of a version from now on, with a pending one or nil.
 func (x *fakeUpdateDaemon) setLease(number uint64, r ruleset.Rules, pending *ruleset.Rules) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -106,34 +106,35 @@
 		TransitionComplete: true, Pending: pending}
 }
 
-// begins anew has it forget all that it has given, as a daemon that starts does.
+// restart has it forget all that it has sent, as a daemon that starts does. A legacy one serves LeasePath
+// alone.
 func (x *fakeUpdateDaemon) restart(older bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.legacy, x.source = older, distribution.NewSource("h", "till", distribution.SourceConfig{})
 }
 
-// does has it change its answers from now on.
+// setAlterUpdate has it alter its updates from now on; nil for not.
 func (x *fakeUpdateDaemon) setAlterUpdate(tells func(*distribution.Response)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.alterUpdate = tells
 }
 
-func (x *fakeUpdateDaemon) setHandler(says func(http.ResponseWriter)) {
+func (x *fakeUpdateDaemon) setHandler(reply func(http.ResponseWriter)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.handler = says
+	x.handler = reply
 }
 
-// seen gives what it was asked last, and how often.
-func (x *fakeUpdateDaemon) requestStats() (last distribution.Request, asked, whole, bare int) {
+// requestStats gives its last request, and how many there were.
+func (x *fakeUpdateDaemon) requestStats() (last distribution.Request, asked, complete, bare int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.lastRequest, x.updateRequests, x.leaseRequests, x.fullStateRequests
 }
 
-// asksFor starts a gatekeeper below one that tells nothing yet.
+// deployBelowUpdateDaemon starts a gateway below one.
 func deployBelowUpdateDaemon(t *testing.T, x *fakeUpdateDaemon) *deployment {
 	t.Helper()
 	d := deployWith(t, func(c *config.Gatekeeper) {
@@ -144,9 +145,9 @@
 	return d
 }
 
-// A daemon that is busy, and takes longer for the first answer than a quarter of the shortest lease there is,
-// is waited for: the instance is leased by that answer. Guards against a host whose many instances start at
-// once, give up at once, and ask anew.
+// TestSlowFirstResponse: a busy daemon takes longer for the first response than a quarter of the shortest
+// lease. The instance waits and is leased by that response. Guards against a host whose many instances start
+// at once, give up at once and request again.
 func TestSlowFirstResponse(t *testing.T) {
 	x := newFakeUpdateDaemon(t)
 	x.setLease(1, testRules(1000, 1000), nil)
@@ -158,8 +159,9 @@
 	deployBelowUpdateDaemon(t, x).awaitMode(ruleset.ModeLeased)
 }
 
-// An instance is told the rules whole once. While nothing changes an answer is small, whatever is in force;
-// another version comes as a change; and the daemon is told who asks, of which life, and what that holds.
+// TestRulesetUpdates: an instance receives the full ruleset once. While nothing changes an update is small,
+// whatever is in force; another version comes as a delta; and the daemon learns who requests, in which
+// process, and which version it has.
 func TestRulesetUpdates(t *testing.T) {
 	x := newFakeUpdateDaemon(t)
 	d := deployBelowUpdateDaemon(t, x)
@@ -174,7 +176,7 @@
 	if n := d.stat("members"); n != 1000 {
 		t.Errorf("%d members", n)
 	}
-	waitFor(t, "it does not say what it holds", func() bool {
+	waitFor(t, "it does not acknowledge the step", func() bool {
 		last, _, _, _ := x.requestStats()
 		return last.AckedStep == 1
 	})
@@ -184,7 +186,7 @@
 		t.Errorf("it asks %+v", last)
 	}
 	in, renewals := d.stat("rules.bytes_in"), d.stat("rules.renewals")
-	waitFor(t, "no renewals", func() bool { return d.stat("rules.renewals") >= renewals+5 })
+	waitFor(t, "no lease renewals", func() bool { return d.stat("rules.renewals") >= renewals+5 })
 	in = d.stat("rules.bytes_in") - in
 	if per := float64(in) / float64(d.stat("rules.renewals")-renewals); per > 700 {
 		t.Errorf("%.0f bytes for each renewal", per)
@@ -194,24 +196,24 @@
 		r.Plans = slices.Clone(r.Plans)
 		r.Plans[1].Rate += 1
 		x.setLease(number, r, nil)
-		waitFor(t, "not taken up", func() bool { return uint64(d.stat("rules.version")) == number })
+		waitFor(t, "the ruleset is not adopted", func() bool { return uint64(d.stat("rules.version")) == number })
 	}
 	if in = d.stat("rules.bytes_in") - in; in > 9000 {
 		t.Errorf("%d bytes for three changes", in)
 	}
 	if w, n := d.stat("rules.wholes"), d.stat("rules.deltas"); w != 1 || n != 3 {
-		t.Errorf("%d wholes, %d deltas", w, n)
+		t.Errorf("%d full states, %d deltas", w, n)
 	}
-	if _, _, whole, bare := x.requestStats(); whole != 0 || d.stat("rules.spoilt") != 0 {
-		t.Errorf("asked for all %d times, for a whole %d times", whole, bare)
+	if _, _, complete, bare := x.requestStats(); complete != 0 || d.stat("rules.spoilt") != 0 {
+		t.Errorf("%d lease requests, %d requests for the full state", complete, bare)
 	}
 	if d.stat("rules.work_us") == 0 || d.stat("rules.bytes_out") == 0 {
 		t.Error("work and bytes are not counted")
 	}
 }
 
-// A change that is spoilt, against other rules than are here, or without one that is needed changes nothing
-// and is counted; the next question asks for all, and by its answer the version is gone by.
+// TestCorruptUpdates: an update that is corrupt, against another base or without a delta that is needed
+// changes nothing and is counted. The next request is for the full state, and its version is adopted.
 func TestCorruptUpdates(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -241,11 +243,11 @@
 				a.RulesDelta = &d
 			}
 		}, "rules.spoilt.base", false},
-		{"without the change", func(a *distribution.Response) { a.RulesDelta = nil }, "rules.spoilt.base", false},
-		{"another pending one", func(a *distribution.Response) {
+		{"without the delta", func(a *distribution.Response) { a.RulesDelta = nil }, "rules.spoilt.base", false},
+		{"another pending version", func(a *distribution.Response) {
 			a.Pending = versioned.VersionID{Number: 9, Digest: versioned.Digest{1}}
 		}, "rules.spoilt.base", false},
-		{"another form", func(a *distribution.Response) { a.FormatVersion = 9 }, "rules.spoilt", true},
+		{"another format", func(a *distribution.Response) { a.FormatVersion = 9 }, "rules.spoilt", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -256,15 +258,17 @@
 			_, _, _, before := x.requestStats()
 			x.setLease(2, testRules(500, 500), nil)
 			x.setAlterUpdate(c.tells)
-			waitFor(t, "not counted", func() bool { return d.stat(c.figure) > 0 && d.stat("rules.refused") > 0 })
+			waitFor(t, "the rejection is not counted", func() bool {
+				return d.stat(c.figure) > 0 && d.stat("rules.refused") > 0
+			})
 			if v := d.stat("rules.version"); v != 1 {
-				t.Errorf("by version %d", v)
+				t.Errorf("version %d is in force", v)
 			}
 			x.setAlterUpdate(nil)
-			waitFor(t, "not by version 2", func() bool { return d.stat("rules.version") == 2 })
-			_, _, whole, bare := x.requestStats()
-			if whole > 0 || (bare > before) == c.base || (d.stat("rules.wholes") == 2) == c.base {
-				t.Errorf("asked for all %d times, for a whole %d times and given %d", whole, bare-before,
+			waitFor(t, "version 2 is not adopted", func() bool { return d.stat("rules.version") == 2 })
+			_, _, complete, bare := x.requestStats()
+			if complete > 0 || (bare > before) == c.base || (d.stat("rules.wholes") == 2) == c.base {
+				t.Errorf("%d lease requests, %d requests for the full state, %d received", complete, bare-before,
 					d.stat("rules.wholes"))
 			}
 			d.awaitMode(ruleset.ModeLeased)
@@ -272,7 +276,8 @@
 	}
 }
 
-// Answers that came whole and can't be gone by are refused as those of an older daemon are.
+// TestInvalidUpdates: complete updates whose ruleset can't be used are rejected, as TestInvalidLeases has
+// it.
 func TestInvalidUpdates(t *testing.T) {
 	with := func(change func(*ruleset.Rules)) func(x *fakeUpdateDaemon) {
 		return func(x *fakeUpdateDaemon) {
@@ -282,25 +287,25 @@
 			x.setLease(50, r, nil)
 		}
 	}
-	bare := func(says func(http.ResponseWriter)) func(x *fakeUpdateDaemon) {
-		return func(x *fakeUpdateDaemon) { x.setHandler(says) }
+	bare := func(reply func(http.ResponseWriter)) func(x *fakeUpdateDaemon) {
+		return func(x *fakeUpdateDaemon) { x.setHandler(reply) }
 	}
 	for _, c := range []struct {
 		name string
 		does func(x *fakeUpdateDaemon)
 	}{
-		{"another form", with(func(r *ruleset.Rules) { r.Format = 7 })},
-		{"needs what is not known", with(func(r *ruleset.Rules) { r.Needs = []string{"moon"} })},
-		{"a stranger's place", with(func(r *ruleset.Rules) {
+		{"another format", with(func(r *ruleset.Rules) { r.Format = 7 })},
+		{"needs an unknown feature", with(func(r *ruleset.Rules) { r.Needs = []string{"moon"} })},
+		{"another member's place", with(func(r *ruleset.Rules) {
 			r.Members = []ruleset.Member{{Name: "m0", Host: "h"}, {Name: "n0", Host: "h"}}
 		})},
-		{"rules that make no sense", with(func(r *ruleset.Rules) { r.Plans[0].Rate = -1 })},
-		{"an address that is none", with(func(r *ruleset.Rules) { r.Members[0].Peers = "x" })},
-		{"no time", func(x *fakeUpdateDaemon) {
+		{"invalid rules", with(func(r *ruleset.Rules) { r.Plans[0].Rate = -1 })},
+		{"invalid address", with(func(r *ruleset.Rules) { r.Members[0].Peers = "x" })},
+		{"negative age", func(x *fakeUpdateDaemon) {
 			x.setAlterUpdate(func(a *distribution.Response) { a.AgeMillis = -5 })
 		}},
-		{"garbled", bare(func(w http.ResponseWriter) { w.Write([]byte("\x81\x01")) })},
-		{"nothing", bare(func(w http.ResponseWriter) {})},
+		{"corrupt", bare(func(w http.ResponseWriter) { w.Write([]byte("\x81\x01")) })},
+		{"empty", bare(func(w http.ResponseWriter) {})},
 		{"too long", bare(func(w http.ResponseWriter) {
 			w.Write(bytes.Repeat([]byte(" "),
 				distribution.MaxResponseBytes+1))
@@ -314,11 +319,11 @@
 			d.awaitMode(ruleset.ModeLeased)
 			before := d.stat("rules.refused")
 			c.does(x)
-			waitFor(t, "not counted", func() bool { return d.stat("rules.refused") > before })
+			waitFor(t, "the rejection is not counted", func() bool { return d.stat("rules.refused") > before })
 			if v := d.stat("rules.version"); v != 1 {
-				t.Errorf("by version %d", v)
+				t.Errorf("version %d is in force", v)
 			}
-			waitFor(t, "the lease does not end",
+			waitFor(t, "the lease does not expire",
 				func() bool { return d.stat("rules.mode") != int64(ruleset.ModeLeased) })
 			x.setLease(51, testRules(1000, 1000), nil)
 			d.awaitMode(ruleset.ModeLeased)
@@ -326,17 +331,17 @@
 	}
 }
 
-// A daemon of an older program is asked for all, from its first answer on and with no lease lost; one of a
-// newer program that takes its place is asked for changes again within a while. Guards against an instance
-// that stays bare below the other program.
+// TestLegacyDaemon: a daemon of an older version is requested at LeasePath, from its first response on and
+// without losing the lease; one of a newer version that replaces it is requested for updates again within a
+// while. Guards against an instance without a lease below the other version.
 func TestLegacyDaemon(t *testing.T) {
 	x := newFakeUpdateDaemon(t)
 	x.restart(true)
 	d := deployBelowUpdateDaemon(t, x)
 	x.setLease(1, testRules(1000, 1000), nil)
 	d.awaitMode(ruleset.ModeLeased)
-	if _, asked, whole, _ := x.requestStats(); asked != 0 || whole == 0 || d.stat("rules.wholes") != 0 {
-		t.Errorf("asked for changes %d times, for all %d times", asked, whole)
+	if _, asked, complete, _ := x.requestStats(); asked != 0 || complete == 0 || d.stat("rules.wholes") != 0 {
+		t.Errorf("%d update requests, %d lease requests", asked, complete)
 	}
 	if d.stat("rules.bytes_in") == 0 {
 		t.Error("bytes are not counted")
@@ -344,7 +349,7 @@
 	x.restart(false)
 	for end := time.Now().Add(legacyRetryMillis*2*time.Millisecond + 0); d.stat("rules.renewals") < 3; {
 		if time.Now().After(end) {
-			t.Fatal("a newer daemon is never asked for changes")
+			t.Fatal("a newer daemon is never requested for updates")
 		}
 		if d.stat("rules.mode") != int64(ruleset.ModeLeased) {
 			t.Fatal("the lease is lost")
@@ -352,20 +357,23 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	x.setLease(2, testRules(900, 900), nil)
-	waitFor(t, "not by version 2", func() bool { return d.stat("rules.version") == 2 })
+	waitFor(t, "version 2 is not adopted", func() bool { return d.stat("rules.version") == 2 })
 	x.restart(true) // and back
 	_, _, before, _ := x.requestStats()
-	waitFor(t, "never asked for all", func() bool { _, _, n, _ := x.requestStats(); return n > before+5 })
+	waitFor(t, "LeasePath is never requested", func() bool {
+		_, _, n, _ := x.requestStats()
+		return n > before+5
+	})
 	x.setLease(3, testRules(800, 800), nil)
-	waitFor(t, "not by version 3", func() bool { return d.stat("rules.version") == 3 })
+	waitFor(t, "version 3 is not adopted", func() bool { return d.stat("rules.version") == 3 })
 	if d.stat("rules.mode") != int64(ruleset.ModeLeased) ||
 		d.gateway.ruleset.leaseHolder.Counters().Expirations > 0 {
 		t.Error("the lease was lost on the way")
 	}
 }
 
-// A daemon that puts whole rules off is asked quietly until its time, and then for all; the gatekeeper is
-// bare meanwhile, and no txn waits.
+// TestDeferredFullState: a daemon that defers the full state is polled until the time it gives. The gateway
+// has no lease meanwhile, and no request waits.
 func TestDeferredFullState(t *testing.T) {
 	x := newFakeUpdateDaemon(t)
 	d := deployBelowUpdateDaemon(t, x)
@@ -375,20 +383,20 @@
 			a.RulesDelta, a.RetryAfterMillis = nil, 400
 		}
 	})
-	waitFor(t, "never put off", func() bool { return d.stat("rules.busy") > 0 })
+	waitFor(t, "the full state is never deferred", func() bool { return d.stat("rules.busy") > 0 })
 	if d.stat("rules.mode") != int64(ruleset.ModeNoLease) {
-		t.Error("it goes by what it was not told")
+		t.Error("it has adopted a ruleset that it did not receive")
 	}
-	began := time.Now()
-	if d.passes(); time.Since(began) > 100*time.Millisecond {
-		t.Errorf("a txn took %v", time.Since(began))
+	start := time.Now()
+	if d.passes(); time.Since(start) > 100*time.Millisecond {
+		t.Errorf("a request took %v", time.Since(start))
 	}
 	x.setAlterUpdate(nil)
 	d.awaitMode(ruleset.ModeLeased)
 }
 
-// Of pending rules a gatekeeper narrows its fallback, and says that it holds their step; withdrawn, the
-// fallback is what it was. Each comes as a change.
+// TestPendingRuleset: a pending ruleset narrows the fallback, and its step is acknowledged; withdrawn, the
+// fallback is what it was. Each comes as a delta.
 func TestPendingRuleset(t *testing.T) {
 	x := newFakeUpdateDaemon(t)
 	d := deployBelowUpdateDaemon(t, x)
@@ -396,41 +404,40 @@
 	d.awaitMode(ruleset.ModeLeased)
 	p := testRules(10, 10)
 	x.setLease(1, testRules(1000, 1000), &p)
-	holds := func(step uint64) {
+	awaitAcked := func(step uint64) {
 		t.Helper()
-		waitFor(t, fmt.Sprintf("it does not hold step %d", step), func() bool {
+		waitFor(t, fmt.Sprintf("step %d is not acknowledged", step), func() bool {
 			last, _, _, _ := x.requestStats()
 			return last.AckedStep == step
 		})
 	}
-	holds(2)
+	awaitAcked(2)
 	last, _, _, _ := x.requestStats()
 	if last.Pending.Number != 2 || d.stat("rules.wholes") != 1 || d.stat("rules.deltas") != 1 {
-		t.Errorf("%+v, %d wholes, %d deltas", last, d.stat("rules.wholes"), d.stat("rules.deltas"))
+		t.Errorf("%+v, %d full states, %d deltas", last, d.stat("rules.wholes"), d.stat("rules.deltas"))
 	}
 	x.setHandler(unavailable)
 	d.awaitMode(ruleset.ModeFallback)
 	if n := d.countPassed(100 * time.Millisecond); n > 12 {
-		t.Errorf("%d pass by a fallback that is to be within ten", n)
+		t.Errorf("%d pass in a fallback that is bounded by ten", n)
 	}
 	x.setLease(1, testRules(1000, 1000), nil)
 	d.awaitMode(ruleset.ModeLeased)
-	holds(3)
+	awaitAcked(3)
 	x.setLease(1, testRules(1000, 1000), &p)
-	holds(4)
+	awaitAcked(4)
 	before, in := d.stat("rules.deltas"), d.stat("rules.bytes_in")
 	x.setLease(2, p, nil) // it has come in force: the gatekeeper has it already
-	waitFor(t, "not by version 2", func() bool { return d.stat("rules.version") == 2 })
+	waitFor(t, "version 2 is not adopted", func() bool { return d.stat("rules.version") == 2 })
 	if d.stat("rules.deltas") != before || d.stat("rules.wholes") != 1 || d.stat("rules.spoilt") != 0 {
-		t.Errorf("%d wholes, %d deltas, %d spoilt, %d bytes", d.stat("rules.wholes"),
+		t.Errorf("%d full states, %d deltas, %d corrupt, %d bytes", d.stat("rules.wholes"),
 			d.stat("rules.deltas")-before, d.stat("rules.spoilt"), d.stat("rules.bytes_in")-in)
 	}
 }
 
-// Where the peers of a gatekeeper's part hear: by the rules, by its own configuration where they have none
-// for a member, and nowhere where they name none. Guards against an address that was a former member's, under
-// which another's datagrams would be booked, and against thousands of places that count as another's at a
-// start.
+// TestPeerAddresses: addresses are those of the ruleset, those of the configuration where it has none for a
+// member, and none where it names no member. Guards against an address of a former member, under which
+// another's datagrams would be counted, and against thousands of members that count as another's at a start.
 func TestPeerAddresses(t *testing.T) {
 	at := func(s ...string) (all []netip.AddrPort) {
 		for _, x := range s {
@@ -449,14 +456,14 @@
 	}
 }
 
-// Rules of which a daemon below relays knows a part are gone by, whichever way they are told; the number of
-// gatekeepers is that of all places. Guards against a lease that is lost while a daemon is taken for an older
-// one.
+// TestPartialMembership: a ruleset of which a daemon below relays knows a part is adopted, whichever path it
+// comes by; the number of gateways is that of all members. Guards against a lease that is lost while a
+// daemon is taken for an older one.
 func TestPartialMembership(t *testing.T) {
-	for name, older := range map[string]bool{"changes": false, "all": true} {
+	for name, legacy := range map[string]bool{"changes": false, "all": true} {
 		t.Run(name, func(t *testing.T) {
 			x := newFakeUpdateDaemon(t)
-			x.restart(older)
+			x.restart(legacy)
 			r := testRules(3000, 3000)
 			r.Members = append(r.Members, ruleset.Member{}, ruleset.Member{})
 			x.setLease(1, r, nil)
--- a/internal/gateway/lifecycle/settings_test.go
+++ b/internal/gateway/lifecycle/settings_test.go
@@ -11,12 +11,12 @@
 	"willowdeck/internal/gateway/config"
 )
 
-// classesOf is the part of the tests' settings that tells of products.
+// classesSettings is the part of the tests' settings that defines the classes.
 var classesSettings = settings[strings.Index(settings, `"classes"`):strings.Index(settings, `"tariffs"`)]
 
-// What a product may do follows from its own effect, group and window, wherever it stands in the settings and
-// whatever it is called. Guards against effects by place or by name, and against a missing key that is made
-// up for by the laxest value.
+// TestClassSettings: what may be done with a class follows from its own effect, group and window, wherever
+// it stands in the settings and whatever it is called. Guards against effects by position or by name, and
+// against a missing key that is replaced by the laxest value.
 func TestClassSettings(t *testing.T) {
 	const settled, declined, voided = "HTTP/1.1 200 OK", "HTTP/1.1 429 Too Many Requests",
 		"HTTP/1.1 500 Internal Server Error"
@@ -24,7 +24,7 @@
 		name, keys string
 		ask        func(target, id string) string
 		status     string // after a cut
-		subs       int    // most, and where it is more than one at least two
+		attempts   int    // most, and where it is more than one at least two
 	}{
 		{"toll", `"effect":"non_idempotent"`, issueRequest, voided, 1},
 		{"crossing", `"effect":"idempotency_key","group":"all","window_us":5000000`, saleRequest, declined, 3},
@@ -50,7 +50,7 @@
 				before += n
 				want, most := settled, 1
 				if do != "" {
-					want, most = p.status, p.subs
+					want, most = p.status, p.attempts
 				}
 				if status != want || n > most || n < min(most, 2) {
 					t.Errorf("%s%s: %q after %d submissions, want %q and %d", p.name, do, status, n, want, most)
@@ -60,8 +60,8 @@
 	}
 }
 
-// The least that settings may say is taken at its strictest: a txn has one submission, no plan a quota, and a
-// decline does not say when to return.
+// TestMinimalSettings: settings that say the least are taken at their strictest: a request has one attempt,
+// no plan a quota, and a rejection does not say when to return.
 func TestMinimalSettings(t *testing.T) {
 	d := deploy(t, 2, 5000, classesSettings, `"classes":[{"name":"check","effect":"read_like"}],`,
 		`"tariffs":[{"name":"basic","rate":1000,"most_at_once":1000,"worth_factor":1},
@@ -73,7 +73,7 @@
 		`"family_info":{}`)
 	for i := range 20 {
 		if status, _ := d.send(checkRequest("/check", fmt.Sprint(i))); status != "HTTP/1.1 200 OK" {
-			t.Fatalf("txn %d: %q", i, status)
+			t.Fatalf("request %d: %q", i, status)
 		}
 	}
 	before, start := len(d.submissions()), time.Now()
@@ -81,11 +81,12 @@
 		t.Errorf("a cut one gets %q", status)
 	}
 	if n := len(d.submissions()) - before; n != 1 || time.Since(start) > 350*time.Millisecond {
-		t.Errorf("%d submissions in %v, want one before the expiry", n, time.Since(start))
+		t.Errorf("%d submissions in %v, want one before the deadline", n, time.Since(start))
 	}
 }
 
-// A reload with settings that are unknown or contradict each other names the key, and the old ones stay.
+// TestReloadInvalidSettings: settings that are unknown or contradict each other are rejected by their key,
+// and the old ones stay.
 func TestReloadInvalidSettings(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	<-d.watchRequests
--- a/internal/gateway/lifecycle/start_test.go
+++ b/internal/gateway/lifecycle/start_test.go
@@ -33,7 +33,7 @@
 	readyTimeout             = 30 * time.Second
 )
 
-// nest starts processes that all run on one processor, and ends them with the test.
+// processGroup starts processes that all run on one processor, and ends them with the test.
 type processGroup struct {
 	t     *testing.T
 	spawn chan func()
@@ -62,7 +62,7 @@
 	return n
 }
 
-// start starts a gatekeeper's process by its configuration file.
+// start starts a gateway's process by its configuration file.
 func (n *processGroup) start(file string) *exec.Cmd {
 	cmd := exec.Command(faultinject.Program(n.t, "willowdeck"), "serve", "--config", file)
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
@@ -81,10 +81,10 @@
 	return cmd
 }
 
-// discoveries are those that tell a start nothing, each in its way: their addresses by name.
+// silentDiscoveries are the addresses of discoveries that send a starting gateway nothing, by how they fail.
 func silentDiscoveries(t *testing.T) map[string]string {
 	t.Helper()
-	held := func(says string) string {
+	held := func(reply string) string {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -97,7 +97,7 @@
 					return
 				}
 				t.Cleanup(func() { c.Close() })
-				_, _ = c.Write([]byte(says))
+				_, _ = c.Write([]byte(reply))
 			}
 		}()
 		return l.Addr().String()
@@ -107,8 +107,8 @@
 		"is black-holed":  fullBacklogAddress(t)}
 }
 
-// hole gives an address at which connections never come up: its listener's queue is full, and nobody takes
-// from it.
+// fullBacklogAddress gives an address at which connections never come up: its listener's backlog is full,
+// and nobody accepts.
 func fullBacklogAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -138,9 +138,9 @@
 	return ""
 }
 
-// up waits until a gatekeeper's /up says 200, and gives how long after began that was. Each question has a
-// connection of its own, which the gatekeeper ends: it stays behind at its address (TIME_WAIT).
-func waitReady(at string, began time.Time) (time.Duration, error) {
+// waitReady polls /up until it succeeds, and gives how long that took since a time. Each request has a
+// connection of its own, which the gateway closes: it stays behind at its address (TIME_WAIT).
+func waitReady(at string, start time.Time) (time.Duration, error) {
 	for {
 		c, err := net.DialTimeout("tcp", at, time.Second)
 		if err == nil {
@@ -149,20 +149,21 @@
 			res, failed := http.ReadResponse(bufio.NewReader(c), nil)
 			c.Close()
 			if failed == nil && res.StatusCode == 200 {
-				return time.Since(began), nil
+				return time.Since(start), nil
 			}
 		}
-		if time.Since(began) > readyTimeout {
+		if time.Since(start) > readyTimeout {
 			return 0, fmt.Errorf("not ready within %v, last: %v", readyTimeout, err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Gatekeepers that start in one instant on one processor, of a fleet of three hundred with two hundred known
-// workers, while discovery tells nothing and peers are silent, are ready in time and serve; and so are seven
-// in ten of them that are killed in one instant and start again at once at their addresses, where connections
-// of their former lives have just ended. Guards against a start that waits for discovery, peers or a port.
+// TestStartTogether starts gateways in one instant on one processor, of a fleet of three hundred with two
+// hundred configured workers, while discovery sends nothing and peers are silent. They are ready in time and
+// serve, and so are seven in ten of them that are killed in one instant and started again at their
+// addresses, where connections of their earlier incarnations have just ended. Guards against a start that
+// waits for discovery, peers or a port.
 func TestStartTogether(t *testing.T) {
 	const fleet, members, known = 24, 300, 200
 	worker, err := fakes.NewWorker("w", time.Millisecond)
@@ -177,12 +178,12 @@
 		e.Name = fmt.Sprint("w", i)
 		list.Endpoints = append(list.Endpoints, e)
 	}
-	var ways []string
+	var failures []string
 	silent := silentDiscoveries(t)
 	for way := range silent {
-		ways = append(ways, way)
+		failures = append(failures, way)
 	}
-	slices.Sort(ways)
+	slices.Sort(failures)
 	ports := faultinject.Ports(t, 2*fleet)
 	at := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", ports+2*i) }
 	var peers []string
@@ -194,10 +195,10 @@
 		own := slices.Clone(peers)
 		own[i] = fmt.Sprintf("127.0.0.1:%d", ports+2*i+1)
 		b, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", i), "listen": at(i), "seed": fmt.Sprint(i),
-			"discovery": silent[ways[i%len(ways)]], "known": list, "peer_listen": own[i], "peers": own,
+			"discovery": silent[failures[i%len(failures)]], "known": list, "peer_listen": own[i], "peers": own,
 			"limits": map[string]any{"cores": 1, "sockets": 1024, "memory_mb": 192},
 			"settings": map[string]any{"me": i, "balancers": members,
-				"registry_mode": []string{"pushed", "on_request"}[i/len(ways)%2],
+				"registry_mode": []string{"pushed", "on_request"}[i/len(failures)%2],
 				"classes":       []map[string]any{{"name": "check", "aim_us": 500e3, "effect": "read_like", "worth": 1}},
 				"tariffs":       []map[string]any{{"name": "basic", "rate": 400, "most_at_once": 400, "worth_factor": 1}},
 				"allowed": map[string]any{"max_attempts": 2, "cancel": true, "keepalive_us": 5e6,
@@ -213,35 +214,40 @@
 		}
 	}
 	n := newProcessGroup(t)
-	lives := make([]*exec.Cmd, fleet)
+	processes := make([]*exec.Cmd, fleet)
 	faultinject.Program(t, "willowdeck") // built before the clock runs
-	begin := func(name string, which []int) {
+	startAll := func(name string, which []int) {
 		t.Helper()
-		took, errs := make([]time.Duration, len(which)), make([]error, len(which))
+		readyAfter, errs := make([]time.Duration, len(which)), make([]error, len(which))
 		var all sync.WaitGroup
 		began := time.Now()
 		for _, i := range which {
-			lives[i] = n.start(files[i])
+			processes[i] = n.start(files[i])
 		}
 		for k, i := range which {
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				took[k], errs[k] = waitReady(at(i), began)
+				readyAfter[k], errs[k] = waitReady(at(i), began)
 			}()
 		}
 		all.Wait()
 		for k, i := range which {
 			if errs[k] != nil {
 				b, _ := os.ReadFile(files[i] + ".log")
-				t.Fatalf("%s: gatekeeper %d, whose discovery %s: %v\n%s", name, i, ways[i%len(ways)], errs[k], b)
+				t.Fatalf("%s: gateway %d, whose discovery %s: %v\n%s", name, i, failures[i%len(failures)], errs[k], b)
 			}
 		}
-		slices.Sort(took)
-		if nine := took[(len(took)*9+9)/10-1]; nine > readyNinetiethPercentile {
-			t.Errorf("%s: nine in ten are ready after %v", name, nine)
+		slices.Sort(readyAfter)
+		if ninetieth := readyAfter[(len(readyAfter)*9+9)/10-1]; ninetieth > readyNinetiethPercentile {
+			t.Errorf("%s: nine in ten are ready after %v", name, ninetieth)
 		}
-		t.Logf("%s: half are ready after %v, the last after %v", name, took[len(took)/2], took[len(took)-1])
+		t.Logf(
+			"%s: half are ready after %v, the last after %v",
+			name,
+			readyAfter[len(readyAfter)/2],
+			readyAfter[len(readyAfter)-1],
+		)
 		for _, i := range which {
 			c, err := net.Dial("tcp", at(i))
 			if err != nil {
@@ -251,35 +257,38 @@
 			raw := strings.NewReplacer("first=0", fmt.Sprint("first=", i), "300m", "2000m")
 			fmt.Fprint(c, raw.Replace(checkRequest("/check", fmt.Sprint(name, i))))
 			if status, _ := readResponse(c); status != "HTTP/1.1 200 OK" {
-				t.Errorf("%s: gatekeeper %d is up, and answers %q", name, i, status)
+				t.Errorf("%s: gateway %d is ready, and answers %q", name, i, status)
 			}
 		}
 	}
-	every := make([]int, fleet)
-	for i := range every {
-		every[i] = i
+	all := make([]int, fleet)
+	for i := range all {
+		all[i] = i
 	}
 	t.Cleanup(func() {
-		for _, c := range lives {
+		for _, c := range processes {
 			if c != nil {
 				_ = c.Process.Kill()
 				_ = c.Wait()
 			}
 		}
 	})
-	begin("start", every)
-	killed := every[:fleet*7/10]
+	startAll("start", all)
+	killed := all[:fleet*7/10]
 	for _, i := range killed {
-		_ = lives[i].Process.Kill()
+		_ = processes[i].Process.Kill()
 	}
-	var work []time.Duration
+	var processorTimes []time.Duration
 	for _, i := range killed {
-		_ = lives[i].Wait()
-		work = append(work, lives[i].ProcessState.UserTime()+lives[i].ProcessState.SystemTime())
+		_ = processes[i].Wait()
+		processorTimes = append(
+			processorTimes,
+			processes[i].ProcessState.UserTime()+processes[i].ProcessState.SystemTime(),
+		)
 	}
-	slices.Sort(work)
+	slices.Sort(processorTimes)
 	// Of an equal share of a processor that all are on.
-	if w := work[len(work)/2]; w > readyNinetiethPercentile/members {
+	if w := processorTimes[len(processorTimes)/2]; w > readyNinetiethPercentile/members {
 		t.Errorf(
 			"a start takes %v of processor time, %d in a row more than %v",
 			w,
@@ -287,13 +296,17 @@
 			readyNinetiethPercentile,
 		)
 	}
-	t.Logf("processor time of a life with one txn: %v to %v", work[0], work[len(work)-1])
-	begin("again", killed)
+	t.Logf(
+		"processor time of a life with one txn: %v to %v",
+		processorTimes[0],
+		processorTimes[len(processorTimes)-1],
+	)
+	startAll("again", killed)
 }
 
-// heed gives a log, and what is closed once it says something.
-func logWatcher(says string) (zerolog.Logger, <-chan struct{}) {
-	h := &logMatcher{substring: says, matched: make(chan struct{})}
+// logWatcher gives a logger, and a channel that is closed once it has logged a text.
+func logWatcher(reply string) (zerolog.Logger, <-chan struct{}) {
+	h := &logMatcher{substring: reply, matched: make(chan struct{})}
 	return zerolog.New(h), h.matched
 }
 
@@ -310,9 +323,9 @@
 	return len(b), nil
 }
 
-// A process that starts while its former life is still ending at its addresses waits for the clients' one,
-// and serves before it has the peers' one, which is let go last. Guards against a start that gives up over an
-// address that is free a moment later.
+// TestStartWhileAddressInUse: a process that starts while an earlier one is still ending at its addresses
+// waits for the clients' one, and serves before it has the peers' one, which is released last. Guards
+// against a start that gives up over an address that is free a moment later.
 func TestStartWhileAddressInUse(t *testing.T) {
 	former := ports.Listen(t)
 	peer, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(ports.Address(t))))
@@ -347,18 +360,18 @@
 		g.Stop()
 	})
 	if g.peers.Bound() {
-		t.Error("it has the peers' address while another has it")
+		t.Error("it has bound the peers' address while another has it")
 	}
 	d.address = g.Address
 	if status, _ := d.send(checkRequest("/check", "1")); status != "HTTP/1.1 200 OK" {
 		t.Errorf("without peers: %q", status)
 	}
 	peer.Close()
-	waitFor(t, "the peers' address is its own", func() bool { return g.peers.Bound() })
+	waitFor(t, "the peers' address is not bound", func() bool { return g.peers.Bound() })
 }
 
-// An address that is no one's to take is still an error at once, and so is one of peers that is no address of
-// this machine: nothing is gained by waiting.
+// TestStartInvalidAddress: an address that is not of this machine is an error at once, for clients and for
+// peers: waiting gains nothing.
 func TestStartInvalidAddress(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	for key, change := range map[string]func(*config.Gatekeeper){
@@ -370,17 +383,17 @@
 	} {
 		c := d.config
 		change(&c)
-		began := time.Now()
+		start := time.Now()
 		if g, err := Start(c, zerolog.Nop()); err == nil || !strings.HasPrefix(err.Error(), key) ||
-			time.Since(began) > listenTimeout/2 {
-			t.Errorf("%sstarted: %v, %v, after %v", key, g, err, time.Since(began))
+			time.Since(start) > listenTimeout/2 {
+			t.Errorf("%sstarted: %v, %v, after %v", key, g, err, time.Since(start))
 		}
 	}
 }
 
-// A process that is told to end, and to read its file anew, before it serves goes on: it answers what its
-// machine has taken by then, and ends by itself. Guards against a signal that ends the program while it
-// starts, with connections in the listener's queue.
+// TestTermDuringStart: a process that gets SIGTERM and SIGHUP before it serves goes on: it answers what the
+// kernel has accepted by then, and exits. Guards against a signal that ends the program while it starts,
+// with connections in the listener's backlog.
 func TestTermDuringStart(t *testing.T) {
 	worker, err := fakes.NewWorker("w", time.Millisecond)
 	if err != nil {
@@ -407,7 +420,7 @@
 		ended := make(chan error, 1)
 		go func() { ended <- p.Wait() }()
 		t.Cleanup(func() { _ = p.Process.Kill() })
-		waitFor(t, "it waits for its address", func() bool {
+		waitFor(t, "it does not wait for its address", func() bool {
 			b, _ := os.ReadFile(file + ".log")
 			return strings.Contains(string(b), "address in use")
 		})
@@ -435,7 +448,7 @@
 			t.Cleanup(func() { c.Close() })
 			fmt.Fprint(c, strings.Replace(checkRequest("/check", "1"), "300m", "2000m", 1))
 			if status, _ := readResponse(c); status != "HTTP/1.1 200 OK" {
-				t.Errorf("taken after the order to end, and answered %q", status)
+				t.Errorf("accepted after SIGTERM, and answered %q", status)
 			}
 		}
 		select {
@@ -445,11 +458,11 @@
 				t.Errorf("it ends with %v\n%s", err, b)
 			}
 		case <-time.After(readyNinetiethPercentile):
-			t.Error("it does not end")
+			t.Error("the gateway does not stop")
 		}
 		if c != nil || t.Failed() {
 			return
 		}
 	}
-	t.Error("it takes no connection after the order to end")
+	t.Error("it accepts no connection after SIGTERM")
 }
