--- a/internal/gateway/lifecycle/stop_test.go
+++ b/internal/gateway/lifecycle/stop_test.go
@@ -18,20 +18,21 @@
 	"willowdeck/internal/policy"
 )
 
-// stop has it stop, and gives what waits for the end of that and tells how long it took.
-func (d *deployment) stopInBackground() (took func() time.Duration) {
-	from, over := time.Now(), make(chan time.Duration, 1)
+// stopInBackground stops the gateway, and gives a function that waits for the end and gives how long it
+// took.
+func (d *deployment) stopInBackground() (elapsed func() time.Duration) {
+	from, ended := time.Now(), make(chan time.Duration, 1)
 	go func() {
 		d.gateway.Stop()
-		over <- time.Since(from)
+		ended <- time.Since(from)
 	}()
 	return func() time.Duration {
 		d.t.Helper()
 		select {
-		case t := <-over:
+		case t := <-ended:
 			return t
 		case <-time.After(6 * time.Second):
-			d.t.Fatal("it does not end")
+			d.t.Fatal("the gateway does not stop")
 			return 0
 		}
 	}
@@ -47,7 +48,7 @@
 	return c
 }
 
-// deaf is an address at which connections never come up: all that its listener holds are there already.
+// fullBacklog is an address at which connections never come up: its listener's backlog is full.
 func fullBacklog(t *testing.T) netip.AddrPort {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -73,75 +74,78 @@
 		}
 		t.Cleanup(func() { c.Close() })
 	}
-	t.Fatal("it takes all")
+	t.Fatal("its backlog is never full")
 	return at
 }
 
-// The order to stop meets a txn in each state that it can be in. It has one whole answer, nothing is sent for
-// it after, its connection ends behind that and is not reset, and the process ends.
+// TestStopInEachRequestState stops with a request in each state that it can be in. It has one complete
+// response, nothing is sent for it afterwards, its connection ends behind that and is not reset, and the
+// process ends.
 func TestStopInEachRequestState(t *testing.T) {
 	const settled, declined, voided = "HTTP/1.1 200 OK", "HTTP/1.1 429 Too Many Requests",
 		"HTTP/1.1 500 Internal Server Error"
 	connects := []string{`"connect_timeout_us":100000`, `"connect_timeout_us":5000000`}
-	mark := fmt.Sprint("stop-", os.Getpid(), "-", time.Now().UnixNano()) // of no other test on this machine
+	requestID := fmt.Sprint("stop-", os.Getpid(), "-", time.Now().UnixNano()) // of no other test on this machine
 	count := func(d *deployment) (n int) {
 		for _, s := range d.submissions() {
-			if strings.Contains(s, "X-Request-Id: "+mark+"\r\n") {
+			if strings.Contains(s, "X-Request-Id: "+requestID+"\r\n") {
 				n++
 			}
 		}
 		return n
 	}
-	inHand := func(d *deployment) bool { return d.gateway.frontend.ActiveRequests() == 1 }
+	inFlight := func(d *deployment) bool { return d.gateway.frontend.ActiveRequests() == 1 }
 	sent := func(d *deployment) bool { return count(d) == 1 }
-	patient := func(raw string) string { return strings.Replace(raw, "300m", "900m", 1) }
+	longDeadline := func(raw string) string { return strings.Replace(raw, "300m", "900m", 1) }
 	for _, c := range []struct {
 		name, raw, status string
 		swaps             []string
-		spoil             func(*deployment, *config.Gatekeeper)
-		cut               int // bytes that come before the order; 0 is all
-		in                func(*deployment) bool
-		subs              int // at most
+		change            func(*deployment, *config.Gatekeeper)
+		sentBytes         int // bytes that come before the order; 0 is all
+		reached           func(*deployment) bool
+		maxAttempts       int // at most
 	}{
-		{name: "being read, in its head", raw: checkRequest("/check", mark), cut: 40, status: settled, subs: 1},
-		{name: "being read, in its body", raw: saleRequest("/sale", mark), cut: len(saleRequest("/sale", mark)) - 2,
-			status: settled, subs: 1},
-		{name: "connecting", raw: checkRequest("/check", mark), swaps: connects, status: declined,
-			spoil: func(d *deployment, c *config.Gatekeeper) {
+		{name: "in its headers", raw: checkRequest("/check", requestID), sentBytes: 40, status: settled,
+			maxAttempts: 1},
+		{name: "in its body", raw: saleRequest("/sale", requestID),
+			sentBytes: len(saleRequest("/sale", requestID)) - 2, status: settled, maxAttempts: 1},
+		{name: "connecting", raw: checkRequest("/check", requestID), swaps: connects, status: declined,
+			change: func(d *deployment, c *config.Gatekeeper) {
 				c.Known.Workers[0].Address = fullBacklog(d.t)
-			}, in: inHand},
-		{name: "sent, worker slow", raw: patient(issueRequest("/issue?slow", mark)),
-			status: settled, in: sent, subs: 1},
-		{name: "sent, worker hung", raw: patient(issueRequest("/issue?silence", mark)), status: voided, in: sent,
-			subs: 1},
-		{name: "half answered, and cut", raw: patient(issueRequest("/issue?cutshort", mark)), status: voided,
-			in: sent, subs: 1},
-		{name: "half answered, and hung", raw: patient(issueRequest("/issue?stall", mark)), status: voided,
-			in: sent, subs: 1},
-		{name: "half answered, tried again", raw: checkRequest("/check?cutshort", mark), status: declined, subs: 3},
-		{name: "nobody to submit it to", raw: checkRequest("/check", mark), status: declined,
-			spoil: func(_ *deployment, c *config.Gatekeeper) { c.Known.Workers = nil }},
+			}, reached: inFlight},
+		{name: "sent, worker slow", raw: longDeadline(issueRequest("/issue?slow", requestID)),
+			status: settled, reached: sent, maxAttempts: 1},
+		{name: "sent, worker hangs", raw: longDeadline(issueRequest("/issue?silence", requestID)),
+			status: voided, reached: sent, maxAttempts: 1},
+		{name: "half answered, then cut", raw: longDeadline(issueRequest("/issue?cutshort", requestID)),
+			status: voided, reached: sent, maxAttempts: 1},
+		{name: "half answered, then silent", raw: longDeadline(issueRequest("/issue?stall", requestID)),
+			status: voided, reached: sent, maxAttempts: 1},
+		{name: "half answered, then retried", raw: checkRequest("/check?cutshort", requestID), status: declined,
+			maxAttempts: 3},
+		{name: "no worker", raw: checkRequest("/check", requestID), status: declined,
+			change: func(_ *deployment, c *config.Gatekeeper) { c.Known.Workers = nil }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := &deployment{t: t}
 			d = deployWith(t, func(conf *config.Gatekeeper) {
-				if c.spoil != nil {
-					c.spoil(d, conf)
+				if c.change != nil {
+					c.change(d, conf)
 				}
 			}, 1, 5000, c.swaps...)
-			kept := d.dial()
-			cut := c.cut
-			if cut == 0 {
-				cut = len(c.raw)
+			keptConn := d.dial()
+			sentBytes := c.sentBytes
+			if sentBytes == 0 {
+				sentBytes = len(c.raw)
 			}
-			fmt.Fprint(kept, c.raw[:cut])
-			if c.in != nil {
-				waitFor(t, "it does not get there", func() bool { return c.in(d) })
+			fmt.Fprint(keptConn, c.raw[:sentBytes])
+			if c.reached != nil {
+				waitFor(t, "the request does not get into the state", func() bool { return c.reached(d) })
 			}
-			took := d.stopInBackground()
-			fmt.Fprint(kept, c.raw[cut:])
-			kept.SetDeadline(time.Now().Add(5 * time.Second))
-			r := bufio.NewReader(kept)
+			elapsed := d.stopInBackground()
+			fmt.Fprint(keptConn, c.raw[sentBytes:])
+			keptConn.SetDeadline(time.Now().Add(5 * time.Second))
+			r := bufio.NewReader(keptConn)
 			got, err := http.ReadResponse(r, nil)
 			if err != nil || !strings.HasSuffix(c.status, got.Status) {
 				t.Fatalf("answered %+v, %v, want %q", got, err, c.status)
@@ -149,27 +153,29 @@
 			if _, err := io.Copy(io.Discard, got.Body); err != nil {
 				t.Error(err)
 			}
-			subs := count(d)
+			attempts := count(d)
 			if _, err := r.ReadByte(); err != io.EOF {
-				t.Errorf("behind its answer: %v", err)
+				t.Errorf("after its response: %v", err)
 			}
-			kept.Close()
-			if end := took(); end > 2*time.Second { // it waits for 2.5 s at least where it waits for what never comes
-				t.Errorf("it ended after %v", end)
+			keptConn.Close()
+			// It waits for 2.5 s at least where it waits for what never comes.
+			if end := elapsed(); end > 2*time.Second {
+				t.Errorf("stopped after %v", end)
 			}
-			if n := count(d); n != subs || n > c.subs {
-				t.Errorf("%d submissions, %d when it was answered", n, subs)
+			if n := count(d); n != attempts || n > c.maxAttempts {
+				t.Errorf("%d submissions, %d when it was answered", n, attempts)
 			}
 			broken := inflight.Violations() // the process's, and so of the tests before it too
 			delete(broken, "in_time")       // a machine that is busy with more may be late
 			if len(broken) > 0 {
-				t.Errorf("claims broken: %v", broken)
+				t.Errorf("invariants violated: %v", broken)
 			}
 		})
 	}
 }
 
-// Connections that wait in the listener when the order comes, with a txn in them or without, are served.
+// TestStopWithBacklog: connections that are in the listener's backlog at the stop, with a request or
+// without, are served.
 func TestStopWithBacklog(t *testing.T) {
 	d := deployWith(t, func(c *config.Gatekeeper) { c.Sockets = policy.SpareFiles + 4 }, 1, 5000)
 	var all []net.Conn
@@ -178,65 +184,66 @@
 		fmt.Fprint(c, checkRequest("/check?slow", fmt.Sprint(i)))
 		all = append(all, c)
 	}
-	took := d.stopInBackground()
+	elapsed := d.stopInBackground()
 	for i, c := range all {
 		if status, _ := readResponse(c); status != "HTTP/1.1 200 OK" && status != "HTTP/1.1 429 Too Many Requests" {
-			t.Errorf("txn %d gets %q", i, status)
+			t.Errorf("request %d gets %q", i, status)
 		}
 		c.Close()
 	}
-	if end := took(); end > 3*time.Second {
-		t.Errorf("it ended after %v", end)
+	if end := elapsed(); end > 3*time.Second {
+		t.Errorf("stopped after %v", end)
 	}
 }
 
-// Half a txn is waited for no longer than one that comes whole could be answered, whether its head is read or
-// its body passes on. Guards against a txn that is whole just before SIGKILL, which would find it unanswered.
+// TestStopWithPartialRequest: a request that is partly read is waited for no longer than a complete one
+// could be answered, whether its headers are read or its body is streamed. Guards against a request that is
+// complete just before SIGKILL, which would leave it unanswered.
 func TestStopWithPartialRequest(t *testing.T) {
 	long := strings.Replace(saleRequest("/sale", "2"), "Length: 4\r\n\r\na\r\nb",
 		fmt.Sprintf("Length: %d\r\n\r\n%s", 1<<20, strings.Repeat("x", 100<<10)), 1)
 	for _, c := range []struct{ name, raw string }{
-		{"of its head", checkRequest("/check", "1")[:40]},
-		{"of its body", saleRequest("/sale", "1")[:len(saleRequest("/sale", "1"))-2]},
-		{"of a body that passes on", long},
+		{"in its headers", checkRequest("/check", "1")[:40]},
+		{"in its body", saleRequest("/sale", "1")[:len(saleRequest("/sale", "1"))-2]},
+		{"in a streamed body", long},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := deploy(t, 1, 5000)
-			half := d.dial()
-			half.SetDeadline(time.Now().Add(5 * time.Second))
-			fmt.Fprint(half, c.raw)
-			took := d.stopInBackground()
-			if status, _ := readResponse(half); status != "HTTP/1.1 408 Request Timeout" {
+			halfConn := d.dial()
+			halfConn.SetDeadline(time.Now().Add(5 * time.Second))
+			fmt.Fprint(halfConn, c.raw)
+			elapsed := d.stopInBackground()
+			if status, _ := readResponse(halfConn); status != "HTTP/1.1 408 Request Timeout" {
 				t.Errorf("answered %q", status)
 			}
-			if _, err := half.Read(make([]byte, 1)); err != io.EOF {
-				t.Errorf("behind its answer: %v", err)
+			if _, err := halfConn.Read(make([]byte, 1)); err != io.EOF {
+				t.Errorf("after its response: %v", err)
 			}
-			half.Close()
-			if end := took(); end > 2*time.Second { // a body may pause for as long
-				t.Errorf("it ended after %v", end)
+			halfConn.Close()
+			if end := elapsed(); end > 2*time.Second { // a body may pause for as long
+				t.Errorf("stopped after %v", end)
 			}
 			if n := len(d.submissions()); n > 0 {
-				t.Errorf("%d whole submissions", n)
+				t.Errorf("%d complete submissions", n)
 			}
 		})
 	}
 }
 
-// What may not be waited for any longer before SIGKILL is given up by the module and answered, once. Guards
-// against a txn whose client waits for longer than the process may.
+// TestStopAbortsLongRequests: a request that may not be waited for until SIGKILL is aborted by the policy
+// and answered, once. Guards against a request whose client waits for longer than the process may.
 func TestStopAbortsLongRequests(t *testing.T) {
 	// SIGKILL comes no sooner than the longest deadline, which counts as 3 s where it is longer, and 0.7 s more.
 	// The bounds leave the time for an answer; a machine that is busy with more may take longer here.
 	if policy.StopLongest > 3000 || policy.StopAll > 600 {
-		t.Errorf("it gives up after %g and %g ms", policy.StopLongest, policy.StopAll)
+		t.Errorf("requests are aborted after %g and %g ms", policy.StopLongest, policy.StopAll)
 	}
 	for _, c := range []struct {
 		name        string
 		swaps       []string
 		early, late time.Duration
 	}{
-		{"waits of clients are not stated", nil, 3 * time.Second, 4500 * time.Millisecond},
+		{"no deadlines configured", nil, 3 * time.Second, 4500 * time.Millisecond},
 		{"one is long", []string{`"aim_us":400000`, `"aim_us":400000,"hard_limit_us":90000000`}, 3 * time.Second,
 			4500 * time.Millisecond},
 		{"all are short", []string{`"aim_us":400000`, `"aim_us":400000,"hard_limit_us":1000000`}, time.Second,
@@ -254,9 +261,9 @@
 	c := d.dial()
 	c.SetDeadline(time.Now().Add(8 * time.Second))
 	fmt.Fprint(c, strings.Replace(issueRequest("/issue?silence", "1"), "300m", "30000m", 1))
-	waitFor(t, "it is not sent", func() bool { return len(d.submissions()) == 1 })
+	waitFor(t, "the request is not sent", func() bool { return len(d.submissions()) == 1 })
 	from := time.Now()
-	took := d.stopInBackground()
+	elapsed := d.stopInBackground()
 	if status, _ := readResponse(c); status != "HTTP/1.1 500 Internal Server Error" {
 		t.Errorf("answered %q", status)
 	}
@@ -264,16 +271,16 @@
 		t.Errorf("answered after %v", end)
 	}
 	c.Close()
-	if end := took(); end > late {
-		t.Errorf("it ended after %v", end)
+	if end := elapsed(); end > late {
+		t.Errorf("stopped after %v", end)
 	}
 	if n := len(d.submissions()); n != 1 {
 		t.Errorf("%d submissions", n)
 	}
 }
 
-// A client that is slow to take its answer has it whole although the order to stop came, and what it sends
-// meanwhile is answered too.
+// TestStopWithSlowReader: a client that reads slowly has its complete response although the gateway stops,
+// and what it sends meanwhile is answered too.
 func TestStopWithSlowReader(t *testing.T) {
 	const size = 8 << 20
 	body := testBody(size)
@@ -290,15 +297,15 @@
 	if err != nil || res.StatusCode != http.StatusOK {
 		t.Fatal(res, err)
 	}
-	took := d.stopInBackground()
-	waitFor(t, "it goes on", d.gateway.frontend.Closing)
+	elapsed := d.stopInBackground()
+	waitFor(t, "the stop does not begin", d.gateway.frontend.Closing)
 	fmt.Fprint(c, waits("2")) // it has crossed the end, which comes behind the answer: it is served
 	n, err := io.Copy(io.Discard, res.Body)
 	if n != size || err != nil {
 		t.Errorf("%d bytes, %v", n, err)
 	}
 	if res, err = http.ReadResponse(r, nil); err != nil || !res.Close {
-		t.Fatalf("the next: %+v, %v", res, err)
+		t.Fatalf("the next response: %+v, %v", res, err)
 	}
 	n, err = io.Copy(io.Discard, res.Body)
 	declined := res.StatusCode == http.StatusTooManyRequests && n == 0 // so slow an answer may press its worker
@@ -306,12 +313,12 @@
 		t.Errorf("the next: %s, %d bytes, %v", res.Status, n, err)
 	}
 	c.Close()
-	if end := took(); end > 3*time.Second {
-		t.Errorf("it ended after %v", end)
+	if end := elapsed(); end > 3*time.Second {
+		t.Errorf("stopped after %v", end)
 	}
 }
 
-// An order to stop that came while the process started, and one that comes again beside reloads, stop it.
+// TestStopSignals: SIGTERM during the start, and a second one among reloads, stop the gateway.
 func TestStopSignals(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -324,9 +331,9 @@
 				stop <- syscall.SIGTERM
 			}
 			d := deploy(t, 1, 5000)
-			kept := d.dial()
-			fmt.Fprint(kept, strings.Replace(issueRequest("/issue?slow", "1"), "300m", "3000m", 1))
-			waitFor(t, "it is not sent", func() bool { return len(d.submissions()) == 1 })
+			keptConn := d.dial()
+			fmt.Fprint(keptConn, strings.Replace(issueRequest("/issue?slow", "1"), "300m", "3000m", 1))
+			waitFor(t, "the request is not sent", func() bool { return len(d.submissions()) == 1 })
 			ended := make(chan error, 1)
 			go func() {
 				ended <- d.gateway.Run(stop, reload, func() (config.Gatekeeper, error) { return d.config, nil })
@@ -335,44 +342,44 @@
 				if c.again {
 					reload <- syscall.SIGHUP
 					stop <- syscall.SIGTERM
-					waitFor(t, "the reload is not taken", func() bool { return len(reload) == 0 })
+					waitFor(t, "the reload is not applied", func() bool { return len(reload) == 0 })
 					if len(stop) > 0 {
 						<-stop // a signal that finds its channel full is dropped
 					}
 				}
 			}
-			if status, _ := readResponse(kept); status != "HTTP/1.1 200 OK" {
-				t.Errorf("what was in hand gets %q", status)
+			if status, _ := readResponse(keptConn); status != "HTTP/1.1 200 OK" {
+				t.Errorf("the request in flight is answered %q", status)
 			}
-			kept.Close()
+			keptConn.Close()
 			select {
 			case err := <-ended:
 				if err != nil {
 					t.Error(err)
 				}
 			case <-time.After(3 * time.Second):
-				t.Fatal("it does not end")
+				t.Fatal("the gateway does not stop")
 			}
 		})
 	}
 }
 
-// A client that only ends its sending has gone, as one that closes: nothing more is sent for it. It is
-// answered all the same, at once.
+// TestClientHalfCloses: a client that closes its sending side counts as disconnected: nothing more is sent
+// for it. It is answered all the same, at once.
 func TestClientHalfCloses(t *testing.T) {
 	for _, c := range []struct{ name, more string }{{"", ""}, {"behind more bytes", "GET"}} {
 		t.Run(c.name, func(t *testing.T) {
 			d := deploy(t, 1, 5000)
-			kept := d.dial().(*net.TCPConn)
-			fmt.Fprint(kept, strings.Replace(checkRequest("/check?silence", "1"), "300m", "30000m", 1)+c.more)
-			waitFor(t, "it is not sent", func() bool { return len(d.submissions()) == 1 })
+			keptConn := d.dial().(*net.TCPConn)
+			fmt.Fprint(keptConn, strings.Replace(checkRequest("/check?silence", "1"), "300m", "30000m", 1)+c.more)
+			waitFor(t, "the request is not sent", func() bool { return len(d.submissions()) == 1 })
 			from := time.Now()
-			kept.CloseWrite()
-			if status, _ := readResponse(kept); status != "HTTP/1.1 500 Internal Server Error" {
+			keptConn.CloseWrite()
+			if status, _ := readResponse(keptConn); status != "HTTP/1.1 500 Internal Server Error" {
 				t.Errorf("answered %q", status)
 			}
-			if took := time.Since(from); took > 300*time.Millisecond {
-				t.Errorf("answered after %v", took)
+			if elapsed := time.Since(from); elapsed > 300*time.Millisecond {
+				t.Errorf("answered after %v", elapsed)
 			}
 			tally := d.gateway.dispatcher.Tally()
 			if tally.Final[policy.ByClient] != 1 || tally.InFlight != 0 || len(d.submissions()) != 1 {
@@ -382,7 +389,8 @@
 	}
 }
 
-// A client that sends much at once and goes is seen behind what it has sent: no attempt follows.
+// TestClientPipelinesAndDisconnects: the disconnect of a client that has sent much at once is noticed behind
+// that: no attempt follows.
 func TestClientPipelinesAndDisconnects(t *testing.T) {
 	d := deploy(t, 2, 5000)
 	for _, w := range d.workers {
@@ -393,10 +401,12 @@
 		return strings.Replace(checkRequest("/check?silence", id), "300m", "30000m", 1)
 	}
 	fmt.Fprint(c, waits("1"))
-	waitFor(t, "it is not sent", func() bool { return len(d.submissions()) == 1 })
+	waitFor(t, "the request is not sent", func() bool { return len(d.submissions()) == 1 })
 	fmt.Fprint(c, waits("2")+waits("3")+waits("4"))
 	c.Close()
-	waitFor(t, "it is not seen", func() bool { return d.gateway.dispatcher.Tally().Final[policy.ByClient] > 0 })
+	waitFor(t, "the disconnect is not noticed", func() bool {
+		return d.gateway.dispatcher.Tally().Final[policy.ByClient] > 0
+	})
 	n := len(d.submissions())
 	time.Sleep(200 * time.Millisecond)
 	if tally := d.gateway.dispatcher.Tally(); len(d.submissions()) != n || n > 1 || tally.InFlight != 0 {
@@ -404,13 +414,13 @@
 	}
 }
 
-// An heir that is told to stop before the place is its own ends, and the process before goes on as it was.
-// One told so while the place is being left to it stays until it has been given all.
+// TestStopSuccessor: a successor that is stopped before the handoff ends, and the predecessor goes on. One
+// that is stopped during the handoff stays until it has been given all.
 func TestStopSuccessor(t *testing.T) {
 	d, change := deployWithInheritedListener(t)
-	kept := d.dial()
-	fmt.Fprint(kept, checkRequest("/check", "k1"))
-	readResponse(kept)
+	keptConn := d.dial()
+	fmt.Fprint(keptConn, checkRequest("/check", "k1"))
+	readResponse(keptConn)
 	g := d.startSuccessor(change)
 	ended := make(chan bool)
 	go func() {
@@ -420,43 +430,46 @@
 	select {
 	case <-ended:
 	case <-time.After(3 * time.Second):
-		t.Fatal("an heir without its place does not end")
+		t.Fatal("a successor before the handoff does not stop")
 	}
-	fmt.Fprint(kept, checkRequest("/check", "k2"))
-	if status, _ := readResponse(kept); status != "HTTP/1.1 200 OK" || d.gateway.handoff.Load().HasSuccessor() {
-		t.Errorf("the process before it answers %q", status)
+	fmt.Fprint(keptConn, checkRequest("/check", "k2"))
+	if status, _ := readResponse(
+		keptConn,
+	); status != "HTTP/1.1 200 OK" ||
+		d.gateway.handoff.Load().HasSuccessor() {
+		t.Errorf("the predecessor answers %q", status)
 	}
 
-	busy := d.dial()
-	fmt.Fprint(busy, strings.Replace(issueRequest("/issue?silence", "b1"), "300m", "1500m", 1))
-	waitFor(t, "it is not sent", func() bool { return len(d.submissions()) == 3 })
+	busyConn := d.dial()
+	fmt.Fprint(busyConn, strings.Replace(issueRequest("/issue?silence", "b1"), "300m", "1500m", 1))
+	waitFor(t, "the request is not sent", func() bool { return len(d.submissions()) == 3 })
 	g = d.startSuccessor(change)
-	took := d.stopInBackground()
-	waitFor(t, "the place is not left", g.takeover.started.Load)
+	elapsed := d.stopInBackground()
+	waitFor(t, "the handoff does not start", g.takeover.started.Load)
 	second := make(chan bool)
 	go func() {
 		g.Stop()
 		close(second)
 	}()
-	if status, _ := readResponse(busy); status != "HTTP/1.1 500 Internal Server Error" {
-		t.Errorf("what was in hand gets %q", status)
+	if status, _ := readResponse(busyConn); status != "HTTP/1.1 500 Internal Server Error" {
+		t.Errorf("the request in flight is answered %q", status)
 	}
 	select {
 	case <-second:
-		t.Error("the heir ended before all was handed on")
+		t.Error("the successor stopped before all was handed off")
 	default:
 	}
-	for _, c := range []net.Conn{kept, busy} {
+	for _, c := range []net.Conn{keptConn, busyConn} {
 		c.SetDeadline(time.Now().Add(2 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("a kept connection ends with %v", err)
+			t.Errorf("an open connection ends with %v", err)
 		}
 		c.Close()
 	}
-	took()
+	elapsed()
 	select {
 	case <-second:
 	case <-time.After(3 * time.Second):
-		t.Fatal("the heir does not end")
+		t.Fatal("the successor does not stop")
 	}
 }
--- a/internal/gateway/lifecycle/streaming_test.go
+++ b/internal/gateway/lifecycle/streaming_test.go
@@ -20,7 +20,7 @@
 	"willowdeck/internal/policy"
 )
 
-// before deploys a gatekeeper before one worker that does what do says.
+// deployBeforeHandler deploys a gateway before one worker that responds by a handler.
 func deployBeforeHandler(t *testing.T, do http.HandlerFunc) *deployment {
 	t.Helper()
 	s := httptest.NewServer(do)
@@ -29,7 +29,7 @@
 	return deployWith(t, func(c *config.Gatekeeper) { c.Known.Workers[0].Address = at }, 1, 5000)
 }
 
-// long is a body of so many bytes that differ from place to place.
+// testBody is a body of n bytes that differ by position.
 func testBody(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
@@ -38,7 +38,8 @@
 	return b
 }
 
-// sell sends a referenced txn with a body, by its length or in chunks, on a connection of its own.
+// sendSale sends an idempotent request with a body, of a known length or chunked, on a connection of its
+// own.
 func (d *deployment) sendSale(id string, body io.Reader, length int64) (*http.Response, error) {
 	req, err := http.NewRequest("POST", "http://"+d.address+"/sale", body)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return (&http.Transport{DisableKeepAlives: true}).RoundTrip(req)
 }
 
-// Long bodies and answers pass on unchanged in every form, and through little memory.
+// TestLongBodies: long requests and responses are streamed unchanged in every form, with little memory.
 func TestLongBodies(t *testing.T) {
 	const size = 12 << 20
 	body := testBody(size)
@@ -92,22 +93,23 @@
 	}
 }
 
-// What was not kept is not submitted again; what never ran may be tried again by its client.
+// TestLongBodyNotRetried: a body that was not kept is not sent again; a request that never ran may be
+// retried by its client.
 func TestLongBodyNotRetried(t *testing.T) {
-	var subs atomic.Int64
+	var attempts atomic.Int64
 	d := deployBeforeHandler(t, func(w http.ResponseWriter, r *http.Request) {
-		subs.Add(1)
+		attempts.Add(1)
 		io.CopyN(io.Discard, r.Body, 200<<10)
 		panic(http.ErrAbortHandler)
 	})
 	got, err := d.sendSale("once", bytes.NewReader(testBody(2<<20)), 2<<20)
-	if err != nil || got.StatusCode != http.StatusTooManyRequests || subs.Load() != 1 {
-		t.Errorf("answered %v, %v after %d submissions", got, err, subs.Load())
+	if err != nil || got.StatusCode != http.StatusTooManyRequests || attempts.Load() != 1 {
+		t.Errorf("answered %v, %v after %d submissions", got, err, attempts.Load())
 	}
 }
 
-// A worker that turns a long body away before it has read it is heard at once, and the client's connection
-// goes on behind the body.
+// TestEarlyResponse: a worker's rejection of a long body that it has not read is passed on at once, and the
+// client's connection goes on behind the body.
 func TestEarlyResponse(t *testing.T) {
 	d := deployBeforeHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Not-Run", "1")
@@ -135,16 +137,17 @@
 	c.Write(body[size/2:])
 	fmt.Fprint(c, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
 	if got, err = http.ReadResponse(r, nil); err != nil || got.StatusCode != 200 {
-		t.Errorf("behind the body: %v, %v", got, err)
+		t.Errorf("after the body: %v, %v", got, err)
 	}
 }
 
-// A client that stops in the middle has a defined answer in time, and no worker gets the whole of it.
+// TestClientStallsInBody: a client that stalls in its body has a response in time, and no worker gets a
+// complete body.
 func TestClientStallsInBody(t *testing.T) {
-	var whole atomic.Int64
+	var complete atomic.Int64
 	d := deployBeforeHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err == nil {
-			whole.Add(1)
+			complete.Add(1)
 		}
 	})
 	c, err := net.Dial("tcp", d.address)
@@ -161,18 +164,19 @@
 	c.Write(append([]byte(raw), testBody(200000)...))
 	c.SetDeadline(time.Now().Add(time.Second + time.Duration(policy.BodyPause)*time.Millisecond))
 	got, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil || got.StatusCode != http.StatusRequestTimeout || whole.Load() > 0 {
-		t.Errorf("answered %v, %v; %d whole", got, err, whole.Load())
+	if err != nil || got.StatusCode != http.StatusRequestTimeout || complete.Load() > 0 {
+		t.Errorf("answered %v, %v; %d complete", got, err, complete.Load())
 	}
 }
 
-// A long answer that the worker breaks off is broken off for the client, and nothing is sent again.
+// TestLongResponseTruncated: a long response that the worker breaks off is broken off for the client, and
+// nothing is sent again.
 func TestLongResponseTruncated(t *testing.T) {
 	for _, stated := range []bool{true, false} {
 		t.Run(fmt.Sprint(stated), func(t *testing.T) {
-			var subs atomic.Int64
+			var attempts atomic.Int64
 			d := deployBeforeHandler(t, func(w http.ResponseWriter, r *http.Request) {
-				subs.Add(1)
+				attempts.Add(1)
 				if stated {
 					w.Header().Set("Content-Length", "900000")
 				}
@@ -184,8 +188,8 @@
 			if err != nil || got.StatusCode != 200 {
 				t.Fatalf("answered %v, %v", got, err)
 			}
-			if n, err := io.Copy(io.Discard, got.Body); err == nil || subs.Load() != 1 {
-				t.Errorf("%d bytes look whole, after %d submissions", n, subs.Load())
+			if n, err := io.Copy(io.Discard, got.Body); err == nil || attempts.Load() != 1 {
+				t.Errorf("%d bytes look complete, after %d submissions", n, attempts.Load())
 			}
 			time.Sleep(20 * time.Millisecond)
 			if _, _, voided := d.gateway.frontend.FinalCounts(1); voided != 1 {
@@ -195,7 +199,8 @@
 	}
 }
 
-// One who reads slowly gets all of it: the worker is held up, and nothing is cut.
+// TestSlowClientReader: a client that reads slowly gets all of its response: the worker is held back, and
+// nothing is cut.
 func TestSlowClientReader(t *testing.T) {
 	const size = 3 << 20
 	d := deployBeforeHandler(t, func(w http.ResponseWriter, r *http.Request) { w.Write(testBody(size)) })
@@ -222,7 +227,8 @@
 	}
 }
 
-// The module hears that a slow answer has begun, and of one that comes at once only its end.
+// TestTricklingResponse: the policy learns that a slow response has begun, and does not abort it for its
+// pauses.
 func TestTricklingResponse(t *testing.T) {
 	d := deployBeforeHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "8")
@@ -241,7 +247,7 @@
 	}
 }
 
-// All forms in which a client may send a body come to the same.
+// TestBodyForms: all forms in which a client may send a body reach the worker as one.
 func TestBodyForms(t *testing.T) {
 	head := func(with string) string {
 		return strings.Replace(saleRequest("/sale", "form"), "Content-Length: 4\r\n\r\na\r\nb", with, 1)
@@ -269,7 +275,7 @@
 					writePieces(conn, ahead, pieces)
 					if waits {
 						if got, err := http.ReadResponse(r, nil); err != nil || got.StatusCode != 100 {
-							t.Fatalf("asked to go on: %v, %v", got, err)
+							t.Fatalf("100-continue: %v, %v", got, err)
 						}
 						writePieces(conn, body, pieces)
 					}
@@ -289,7 +295,7 @@
 	}
 }
 
-// piecewise writes a text whole, or byte by byte.
+// writePieces writes a text at once, or byte by byte.
 func writePieces(c net.Conn, s string, pieces bool) {
 	if !pieces {
 		fmt.Fprint(c, s)
--- a/internal/gateway/lifecycle/successor_test.go
+++ b/internal/gateway/lifecycle/successor_test.go
@@ -11,16 +11,16 @@
 	"willowdeck/internal/gateway/hotrestart"
 )
 
-// An heir that hangs gets no client: what is in hand is answered here, what comes on connections that stay,
-// or on new ones, is answered too, and the process ends. Guards against clients that are left to a process
-// which never speaks, and against a listener that nobody takes from.
+// TestSuccessorHangs: a successor that hangs gets no client. Requests in flight are answered by the
+// predecessor, those on open connections or new ones are answered too, and the process ends. Guards against
+// clients that are left to a process which never responds, and against a listener that nobody accepts from.
 func TestSuccessorHangs(t *testing.T) {
 	d, _ := deployWithInheritedListener(t)
 	_, err := hotrestart.Connect(hotrestart.SocketPath(d.config.Scratch, d.config.Name), d.config.Name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the heir is heard", func() bool { return d.gateway.handoff.Load().HasSuccessor() })
+	waitFor(t, "no successor is connected", func() bool { return d.gateway.handoff.Load().HasSuccessor() })
 	dial := func() (net.Conn, *bufio.Reader) {
 		c, err := net.Dial("tcp", d.address)
 		if err != nil {
@@ -30,29 +30,29 @@
 		c.SetDeadline(time.Now().Add(5 * time.Second))
 		return c, bufio.NewReader(c)
 	}
-	kept, keptIn := dial()
-	fmt.Fprint(kept, checkRequest("/check", "k1"))
-	if res, err := http.ReadResponse(keptIn, nil); err != nil || res.StatusCode != 200 {
+	keptConn, keptReader := dial()
+	fmt.Fprint(keptConn, checkRequest("/check", "k1"))
+	if res, err := http.ReadResponse(keptReader, nil); err != nil || res.StatusCode != 200 {
 		t.Fatalf("before: %v, %v", res, err)
 	} else if _, err := res.Body.Read(make([]byte, 64)); err != nil && err.Error() != "EOF" {
 		t.Fatal(err)
 	}
-	busy, busyIn := dial()
-	fmt.Fprint(busy, checkRequest("/check?slow", "b1"))
-	waitFor(t, "it is in hand", func() bool { return d.gateway.frontend.ActiveRequests() == 1 })
+	busyConn, busyReader := dial()
+	fmt.Fprint(busyConn, checkRequest("/check?slow", "b1"))
+	waitFor(t, "the request is not in flight", func() bool { return d.gateway.frontend.ActiveRequests() == 1 })
 	stopped := make(chan bool)
 	go func() {
 		d.gateway.Stop()
 		close(stopped)
 	}()
-	waitFor(t, "it leaves", func() bool { return d.gateway.standby.Load() })
-	fmt.Fprint(kept, checkRequest("/check", "k2"))
-	fresh, freshIn := dial()
-	fmt.Fprint(fresh, checkRequest("/check", "f1"))
+	waitFor(t, "the handoff does not start", func() bool { return d.gateway.standby.Load() })
+	fmt.Fprint(keptConn, checkRequest("/check", "k2"))
+	freshConn, freshReader := dial()
+	fmt.Fprint(freshConn, checkRequest("/check", "f1"))
 	for name, c := range map[string]struct {
 		r    *bufio.Reader
 		want int
-	}{"in hand": {busyIn, 200}, "kept": {keptIn, 429}, "new": {freshIn, 429}} {
+	}{"in flight": {busyReader, 200}, "open": {keptReader, 429}, "new": {freshReader, 429}} {
 		if res, err := http.ReadResponse(c.r, nil); err != nil || res.StatusCode != c.want {
 			t.Errorf("%s: %+v, %v", name, res, err)
 		}
@@ -60,6 +60,6 @@
 	select {
 	case <-stopped:
 	case <-time.After(5 * time.Second):
-		t.Error("it does not end")
+		t.Error("the gateway does not stop")
 	}
 }
--- a/internal/gateway/lifecycle/worker_endings_test.go
+++ b/internal/gateway/lifecycle/worker_endings_test.go
@@ -22,7 +22,7 @@
 	"willowdeck/internal/gateway/transport"
 )
 
-// stepped is a worker that does on each connection what a test says, step by step.
+// scriptedWorker is a worker that does on each connection what a test says, step by step.
 type scriptedWorker struct {
 	net.Listener
 	t              *testing.T
@@ -31,14 +31,15 @@
 	unscripted     chan *workerConn // connections that no script takes
 }
 
-// leg is one connection to it.
+// workerConn is one connection to a scriptedWorker.
 type workerConn struct {
 	*net.TCPConn
 	worker *scriptedWorker
 	reader *bufio.Reader
 }
 
-// play starts one that plays a script on each connection, or gives each to the test where there is none.
+// startScriptedWorker starts a worker that runs a script on each connection, or passes the connections to
+// accept where script is nil.
 func startScriptedWorker(t *testing.T, script func(*workerConn)) *scriptedWorker {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +71,7 @@
 	return b
 }
 
-// leg gives the next connection that comes.
+// accept gives the next connection.
 func (b *scriptedWorker) accept() *workerConn {
 	b.t.Helper()
 	select {
@@ -82,7 +83,7 @@
 	}
 }
 
-// request reads one submission whole, and tells whether one came.
+// readSubmission reads one complete submission, and reports whether one came.
 func (x *workerConn) readSubmission() bool {
 	req, err := http.ReadRequest(x.reader)
 	if err == nil {
@@ -97,7 +98,7 @@
 // The states of a socket whose end the other side has taken, and of one that is no more.
 const tcpFinWait2, tcpClose = 5, 7
 
-// says writes, and returns once the gatekeeper's machine has it all, or the connection is no more.
+// respond writes a text, and returns once the gateway's kernel has all of it or the connection is closed.
 func (x *workerConn) respond(b string) {
 	if _, err := x.Write([]byte(b)); err == nil {
 		x.awaitSocket(func(fd int, state uint8) bool {
@@ -107,13 +108,13 @@
 	}
 }
 
-// shuts ends the connection, and returns once the gatekeeper's machine has its end.
+// finish closes the sending side, and returns once the gateway's kernel has noticed.
 func (x *workerConn) finish() {
 	_ = x.CloseWrite()
 	x.awaitSocket(func(_ int, state uint8) bool { return state == tcpFinWait2 || state == tcpClose })
 }
 
-// settles waits until a look at the socket says so.
+// awaitSocket polls the socket's state until look returns true.
 func (x *workerConn) awaitSocket(look func(fd int, state uint8) bool) {
 	raw, err := x.SyscallConn()
 	if err != nil {
@@ -129,16 +130,16 @@
 	}
 }
 
-// resets ends the connection at once.
+// reset resets the connection.
 func (x *workerConn) reset() {
 	_ = x.SetLinger(0)
 	_ = x.Close()
 }
 
-// rests waits until the gatekeeper ends the connection.
+// awaitClose waits until the gateway closes the connection.
 func (x *workerConn) awaitClose() { _, _ = io.Copy(io.Discard, x.reader) }
 
-// facing deploys a gatekeeper before one such worker.
+// deployBefore deploys a gateway before one scripted worker.
 func deployBefore(t *testing.T, b *scriptedWorker, swaps ...string) *deployment {
 	t.Helper()
 	at := netip.MustParseAddrPort(b.Addr().String())
@@ -149,21 +150,21 @@
 	}, 1, 5000, swaps...)
 }
 
-// patient is a txn whose client waits for long.
+// withLongDeadline gives a request a deadline of 5 s.
 func withLongDeadline(raw string) string { return strings.Replace(raw, "300m", "5000m", 1) }
 
-// claims checks that none was broken, but for the time of answers: that is the machine's too, and the tests
-// that are about it look at the clock.
+// checkInvariants checks that none was violated, but for responses in time: that depends on the machine too,
+// and the tests that are about it look at the clock.
 func checkInvariants(t *testing.T) {
 	t.Helper()
 	n := inflight.Violations()
 	delete(n, "in_time")
 	if len(n) > 0 {
-		t.Errorf("claims broken: %v", n)
+		t.Errorf("invariants violated: %v", n)
 	}
 }
 
-// reply is what a client gets.
+// clientReply is a client's response.
 type clientReply struct {
 	status   int // 0: no answer
 	body     []byte
@@ -171,7 +172,7 @@
 	elapsed  time.Duration
 }
 
-// calls sends a txn on a connection of its own, and gives its answer once that has come to its end.
+// sendAsync sends a request on a connection of its own, and delivers the response once that is complete.
 func (d *deployment) sendAsync(raw string) <-chan clientReply {
 	got := make(chan clientReply, 1)
 	go func() {
@@ -197,7 +198,7 @@
 	return got
 }
 
-// open waits until so many connections to workers are left.
+// awaitWorkerConns waits until that many connections to workers are open.
 func (d *deployment) awaitWorkerConns(want int) {
 	d.t.Helper()
 	end := time.Now().Add(5 * time.Second)
@@ -205,7 +206,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if n := d.gateway.workerConns.OpenConns(); n != want {
-		d.t.Errorf("%d connections are held, want %d", n, want)
+		d.t.Errorf("%d connections are open, want %d", n, want)
 	}
 }
 
@@ -216,7 +217,7 @@
 	notRunHead    = "HTTP/1.1 503 No\r\nX-Not-Run: 1\r\n"
 )
 
-// ends plays an answer, and then an end of the connection.
+// respondThen scripts a response, and then an end of the connection.
 func respondThen(text string, end func(*workerConn)) func(*workerConn) {
 	return func(x *workerConn) {
 		if x.readSubmission() {
@@ -226,7 +227,7 @@
 	}
 }
 
-// plays gives an answer to each submission, one after another.
+// respondAlways scripts a response to each submission, one after another.
 func respondAlways(text string) func(*workerConn) {
 	return func(x *workerConn) {
 		for x.readSubmission() {
@@ -238,7 +239,7 @@
 func finishConn(x *workerConn) { x.finish() }
 func resetConn(x *workerConn)  { x.reset() }
 
-// endless writes a piece again and again until the gatekeeper has had enough.
+// writeForever scripts a text that is repeated until the gateway closes the connection.
 func writeForever(piece string) func(*workerConn) {
 	return func(x *workerConn) {
 		for {
@@ -249,8 +250,8 @@
 	}
 }
 
-// workerEnds are the ways in which a worker ends a submission. What it proves decides what becomes of a
-// once-only txn: settled, declined where it never ran (three submissions at most), else voided after one.
+// workerEndings are the ways in which a worker ends an attempt. What it proves decides on a non-idempotent
+// request: settled, declined where it never ran (three attempts at most), else voided after one.
 var workerEndings = []struct {
 	name       string
 	script     func(*workerConn)
@@ -291,7 +292,7 @@
 	{"chunks", respondAlways(chunkedHead + "6\r\nvalid\n\r\n0\r\n\r\n"),
 		200, 1},
 	{"noise without end", respondThen("", writeForever("no answer at all")), 500, 0},
-	{"head without end", respondThen("HTTP/1.1 200 OK\r\n", writeForever("X-Pad: pad\r\n")), 500, 0},
+	{"endless headers", respondThen("HTTP/1.1 200 OK\r\n", writeForever("X-Pad: pad\r\n")), 500, 0},
 	{"3 GB claimed", respondThen("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n",
 		writeForever("0123456789abcdef")), 500, 0},
 	{"3 GB in a chunk", respondAlways(chunkedHead + "C0000000\r\n"), 500, 0},
@@ -337,9 +338,9 @@
 	{"half an answer behind", respondAlways(validResponse + "HTTP/1.1 2"), 200, 0},
 }
 
-// However a worker ends a submission, its txn gets one answer in time, that says no more than is proven: what
-// may have run is neither sent again nor declined. Nothing of it is left: each place for a connection is
-// free or holds one that can be used.
+// TestWorkerEndings: however a worker ends an attempt, its request gets one response in time, that says no
+// more than is proven: what may have run is neither sent again nor declined. Nothing is left of it: each
+// place for a connection is free or has one that can be used.
 func TestWorkerEndings(t *testing.T) {
 	for _, c := range workerEndings {
 		t.Run(c.name, func(t *testing.T) {
@@ -348,7 +349,7 @@
 			wait := func(raw string) string { return strings.Replace(raw, "300m", "600m", 1) }
 			got := <-d.sendAsync(wait(issueRequest("/issue", "e1")))
 			if got.status != c.onceStatus || !got.complete || c.onceStatus == 200 && string(got.body) != "valid\n" {
-				t.Errorf("once-only got %d %q, want %d", got.status, got.body, c.onceStatus)
+				t.Errorf("the non-idempotent request got %d %q, want %d", got.status, got.body, c.onceStatus)
 			}
 			if got.elapsed > 1100*time.Millisecond { // its client waits for 600, and an answer is lost from 1100 on
 				t.Errorf("it got it after %v", got.elapsed)
@@ -362,7 +363,7 @@
 				want = 429
 			}
 			if got.status != want || !got.complete || want == 200 && string(got.body) != "valid\n" {
-				t.Errorf("inquiry got %d %q, want %d", got.status, got.body, want)
+				t.Errorf("the read got %d %q, want %d", got.status, got.body, want)
 			}
 			d.awaitWorkerConns(c.openConns)
 			checkInvariants(t)
@@ -370,10 +371,11 @@
 	}
 }
 
-// The same ends again and again on one gatekeeper leave no connection counted, and no goroutine.
+// TestWorkerEndsLeaveNothing: the same ends again and again on one gateway leave no connection counted, and
+// no goroutine.
 func TestWorkerEndsLeaveNothing(t *testing.T) {
 	const times = 3
-	soon := func(raw string) string { return strings.Replace(raw, "300m", "60m", 1) }
+	shortDeadline := func(raw string) string { return strings.Replace(raw, "300m", "60m", 1) }
 	var script atomic.Pointer[func(*workerConn)]
 	b := startScriptedWorker(t, func(x *workerConn) { (*script.Load())(x) })
 	d := deployBefore(t, b)
@@ -382,14 +384,14 @@
 		for _, c := range workerEndings {
 			script.Store(&c.script)
 			for range times {
-				<-d.sendAsync(soon(issueRequest("/issue", "n1")))
-				<-d.sendAsync(soon(checkRequest("/check", "n2")))
+				<-d.sendAsync(shortDeadline(issueRequest("/issue", "n1")))
+				<-d.sendAsync(shortDeadline(checkRequest("/check", "n2")))
 			}
 			d.awaitWorkerConns(c.openConns)
 			d.gateway.workerConns.CloseIdle(0) // what is kept would play its script on
 			d.awaitWorkerConns(0)
 		}
-		waitFor(t, "scripts play on", func() bool { return b.runningScripts.Load() == 0 })
+		waitFor(t, "scripts go on", func() bool { return b.runningScripts.Load() == 0 })
 		if round == 0 {
 			before = runtime.NumGoroutine()
 		}
@@ -403,9 +405,9 @@
 	}
 }
 
-// An answer without a length that is too long to be kept passes on as it came, and is whole at its client
-// only where it ended and was not reset. Guards against chunks under a head that does not say so, and against
-// a reset that looks like an end.
+// TestLongResponseWithoutLength: a response without a length that is too long to be kept is streamed as it
+// came, and is complete for its client only where it was closed and not reset. Guards against chunks under
+// headers that do not say so, and against a reset that looks like an end.
 func TestLongResponseWithoutLength(t *testing.T) {
 	body := testBody(200 << 10)
 	head := "HTTP/1.1 200 OK\r\n\r\n"
@@ -431,8 +433,8 @@
 			d := deployBefore(t, b)
 			got := <-d.sendAsync(withLongDeadline(issueRequest("/issue", "l1")))
 			if got.status != 200 || got.complete != c.whole || c.whole && !bytes.Equal(got.body, body) {
-				t.Errorf("got %d, %d bytes of %d, whole %v, want %v", got.status, len(got.body), len(body), got.complete,
-					c.whole)
+				t.Errorf("got %d, %d bytes of %d, complete %v, want %v", got.status, len(got.body),
+					len(body), got.complete, c.whole)
 			}
 			if !bytes.HasPrefix(body, got.body) {
 				t.Error("its bytes are not the worker's")
@@ -445,7 +447,7 @@
 	}
 }
 
-// An answer in chunks without end is broken off for its client, at MostBody.
+// TestEndlessResponse: a chunked response without end is broken off for its client, at MaxBodyBytes.
 func TestEndlessResponse(t *testing.T) {
 	piece := "10000\r\n" + string(testBody(0x10000)) + "\r\n"
 	b := startScriptedWorker(t, respondThen(chunkedHead+"", writeForever(piece)))
@@ -467,9 +469,9 @@
 	d.awaitWorkerConns(0)
 }
 
-// What a worker says on a connection beyond its answer is never another txn's: one behind an answer that was
-// kept or passed on as it came, one that comes on the connection once it is idle, half a line, an end. The
-// next txn goes out on a new connection, and gets its own answer.
+// TestNoResponseMixup: what a worker sends on a connection beyond its response is never another request's: a
+// second response behind one that was kept or streamed, one that comes once the connection is idle, half a
+// line, an end. The next request is sent on a new connection, and gets its own response.
 func TestNoResponseMixup(t *testing.T) {
 	body := testBody(100 << 10)
 	stated := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body)) + string(body)
@@ -500,7 +502,7 @@
 			// In one write, so that what is read of the answer's end has what is behind it in it.
 			x.respond(c.first)
 			if a := <-got; a.status != 200 || !a.complete || !bytes.Equal(a.body, c.want) {
-				t.Fatalf("the first got %d, %d bytes, whole %v", a.status, len(a.body), a.complete)
+				t.Fatalf("the first got %d, %d bytes, complete %v", a.status, len(a.body), a.complete)
 			}
 			if c.then != nil {
 				d.awaitWorkerConns(1)
@@ -519,8 +521,8 @@
 	}
 }
 
-// An answer that comes when its txn has been given up on, at its expiry, changes nothing: its client has had
-// one answer and gets no other, and the connection is not used again.
+// TestResponseAfterDeadline: a response that comes after its request was given up, at its deadline, changes
+// nothing: the client has had one response and gets no other, and the connection is not used again.
 func TestResponseAfterDeadline(t *testing.T) {
 	b := startScriptedWorker(t, nil)
 	d := deployBefore(t, b)
@@ -542,14 +544,14 @@
 	d.awaitWorkerConns(0)
 	fmt.Fprint(c, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n") // the next thing that comes is the answer to this
 	if a, err := http.ReadResponse(r, nil); err != nil || a.StatusCode != 200 || a.ContentLength == 6 {
-		t.Errorf("behind it came %+v, %v", a, err)
+		t.Errorf("after it came %+v, %v", a, err)
 	}
 	if checkInvariants(t); b.submissions.Load() != 1 {
 		t.Errorf("%d submissions", b.submissions.Load())
 	}
 }
 
-// begins reads a submission's head and so many bytes of its body.
+// readPartial reads a submission's headers and n bytes of its body.
 func (x *workerConn) readPartial(n int64) {
 	x.worker.t.Helper()
 	req, err := http.ReadRequest(x.reader)
@@ -561,7 +563,7 @@
 	}
 }
 
-// uploads begins a once-only txn with a body of so many bytes, of which some are sent.
+// startUpload begins a non-idempotent request with a body of size bytes, of which some are sent.
 func (d *deployment) startUpload(id string, size, sent int) (net.Conn, *bufio.Reader) {
 	d.t.Helper()
 	c, err := net.Dial("tcp", d.address)
@@ -578,8 +580,9 @@
 	return c, bufio.NewReader(c)
 }
 
-// A worker has made no answer for a txn whose body it has not got: a second answer to the one before, on a
-// connection that is used again for a long body, settles nothing. What is not whole never ran.
+// TestExtraResponseDuringBody: a worker can't have responded to a request whose body it has not received. A
+// second response to the one before, on a connection that is used again for a long body, settles nothing: an
+// incomplete request never ran.
 func TestExtraResponseDuringBody(t *testing.T) {
 	b := startScriptedWorker(t, nil)
 	d := deployBefore(t, b)
@@ -602,12 +605,12 @@
 	c.Write(make([]byte, size-size/3)) // and its connection goes on
 	fmt.Fprint(c, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
 	if a, err = http.ReadResponse(r, nil); err != nil || a.StatusCode != 200 || b.submissions.Load() != 1 {
-		t.Errorf("behind it %+v, %v, %d submissions", a, err, b.submissions.Load())
+		t.Errorf("after it %+v, %v, %d submissions", a, err, b.submissions.Load())
 	}
 }
 
-// An answer of no length to half a body, and then a reset: whoever of the two that read and write meets the
-// reset first, it is no end.
+// TestResetDuringBody: a response without a length during a body, and then a reset: whichever of reading and
+// writing notices the reset first, it is no end of the response.
 func TestResetDuringBody(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n\r\n"
 	for _, text := range []string{head + "valid\n", head, "", head[:11]} {
@@ -631,9 +634,9 @@
 	}
 }
 
-// A worker that hangs in the middle of a long body, and says nothing, is left after BodyPause: the txn has
-// its answer then, also where submissions may not be withdrawn. Guards against a wait for an answer without
-// end.
+// TestWorkerHangsDuringBody: a worker that hangs in the middle of a long body, and sends nothing, is left
+// after BodyPause: the request has its response then, also where attempts may not be cancelled. Guards
+// against a wait for a response without end.
 func TestWorkerHangsDuringBody(t *testing.T) {
 	for _, swap := range []string{`"cancel":true`, `"cancel":false`} {
 		t.Run(swap, func(t *testing.T) {
@@ -653,8 +656,9 @@
 	}
 }
 
-// An answer that comes before its body is passed on at once, though the worker takes no more of that and
-// leaves the connection up. Guards against one that is held back for BodyPause.
+// TestEarlyResponseForwardedAtOnce: a response that comes before the body is complete is forwarded at once,
+// though the worker reads no more of that and keeps the connection open. Guards against one that is delayed
+// for BodyPause.
 func TestEarlyResponseForwardedAtOnce(t *testing.T) {
 	b := startScriptedWorker(t, nil)
 	d := deployBefore(t, b)
@@ -666,7 +670,7 @@
 	x.readPartial(1 << 10)
 	write := runtime.FuncForPC(reflect.ValueOf((*transport.WorkerConn).Write).Pointer()).Name() // as in a stack
 	stack := make([]byte, 1<<20)
-	waitFor(t, "nothing more goes to it", func() bool {
+	waitFor(t, "the body is still being sent", func() bool {
 		for _, s := range strings.Split(string(stack[:runtime.Stack(stack, true)]), "\n\n") {
 			if strings.Contains(s, "[IO wait") && strings.Contains(s, write+"(") {
 				return true
@@ -677,14 +681,14 @@
 	start := time.Now()
 	x.respond(notRunHead + "Content-Length: 0\r\n\r\n")
 	a, err := http.ReadResponse(r, nil)
-	if took := time.Since(start); err != nil || a.StatusCode != 429 || took > 1500*time.Millisecond {
-		t.Errorf("it got %+v, %v after %v", a, err, took)
+	if elapsed := time.Since(start); err != nil || a.StatusCode != 429 || elapsed > 1500*time.Millisecond {
+		t.Errorf("it got %+v, %v after %v", a, err, elapsed)
 	}
 	d.awaitWorkerConns(0)
 }
 
-// An interim answer that comes while a long body goes out begins no answer that may not pause: the body takes
-// its time.
+// TestInterimResponseDuringBody: an interim response during a long body does not begin a response that may
+// not pause: the body takes its time.
 func TestInterimResponseDuringBody(t *testing.T) {
 	b := startScriptedWorker(t, nil)
 	d := deployBefore(t, b)
@@ -716,11 +720,12 @@
 	}
 }
 
-// No submission of a txn begins while the one before is still out on an open connection: what is no answer
-// ends its connection first. The stand-in looks at it in the moment in which the next one has come whole.
+// TestNoOverlappingAttempts: no attempt of a request begins while the one before is still out on an open
+// connection: an invalid response closes its connection first. The worker looks at it in the moment in which
+// the next attempt is complete.
 func TestNoOverlappingAttempts(t *testing.T) {
 	const established = 1
-	for _, c := range []struct{ name, says string }{
+	for _, c := range []struct{ name, reply string }{
 		{"noise", "what is this, then?\r\n\r\n"},
 		{"half a status line", "HTTP/1.1 20"},
 		{"length too short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nvalid\n"},
@@ -736,14 +741,14 @@
 			x := b.accept()
 			defer x.Close()
 			x.readSubmission()
-			x.respond(c.says)
+			x.respond(c.reply)
 			y := b.accept()
 			defer y.Close()
 			y.readSubmission()
 			state := uint8(0)
 			x.awaitSocket(func(_ int, is uint8) bool { state = is; return true })
 			if state == established {
-				t.Error("the one before is still out")
+				t.Error("the attempt before is still open")
 			}
 			y.respond(validResponse)
 			if a := <-got; a.status != 200 || b.submissions.Load() != 2 {
@@ -754,8 +759,8 @@
 	}
 }
 
-// The same where the body goes out whole while the second answer is still coming: it says nothing of this
-// txn, which may run.
+// TestExtraResponseAcrossBody is TestExtraResponseDuringBody where the body is sent completely while the
+// second response is still coming: it says nothing of this request, which may run.
 func TestExtraResponseAcrossBody(t *testing.T) {
 	b := startScriptedWorker(t, nil)
 	d := deployBefore(t, b)
@@ -774,10 +779,10 @@
 		got <- n
 	}()
 	go c.Write(make([]byte, size-size/3))
-	for whole := false; !whole; { // it goes on coming, slowly, until the body is there
+	for complete := false; !complete; { // it goes on coming, slowly, until the body is there
 		select {
 		case n := <-got:
-			if whole = true; n != size {
+			if complete = true; n != size {
 				t.Fatalf("the worker got %d bytes", n)
 			}
 		case <-time.After(5 * time.Millisecond):
