--- a/internal/gateway/lifecycle/forwardauth_test.go
+++ b/internal/gateway/lifecycle/forwardauth_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"errors"
 	"fmt"
-	"io"
 	"math/rand"
 	"net"
 	"net/http"
@@ -35,6 +34,7 @@
 }
 
 func forwardAuthConfig(t *testing.T, text string) func(c *config.Gatekeeper) {
+	t.Helper()
 	return func(c *config.Gatekeeper) {
 		f, err := config.DecodeForward(text, c)
 		if err != nil {
@@ -73,52 +73,9 @@
 		strings.Join(keptConn, "\r\n") + "\r\n\r\n"
 }
 
-// roundTrip sends a request on a connection of its own, and gives its response.
-func roundTrip(t *testing.T, at, raw string) *http.Response {
-	t.Helper()
-	c, err := net.Dial("tcp", at)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	fmt.Fprint(c, raw)
-	r, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil {
-		t.Fatalf("%.60q: %v", raw, err)
-	}
-	defer r.Body.Close()
-	_, _ = io.Copy(io.Discard, r.Body)
-	return r
-}
-
 // withHeader inserts a header line into a request.
 func withHeader(raw, line string) string { return strings.Replace(raw, "\r\n", "\r\n"+line+"\r\n", 1) }
 
-// stat gives one of the stats of /admin/stats.
-func (d *deployment) stat(name string) int64 {
-	d.t.Helper()
-	for _, m := range d.gateway.Figures().More {
-		if m.Name == name {
-			return m.Value
-		}
-	}
-	d.t.Fatalf("no stat %s", name)
-	return 0
-}
-
-// waitFor polls a condition for 3 s, and fails with a message if it does not come true.
-func waitFor(t *testing.T, what string, f func() bool) {
-	t.Helper()
-	for range 300 {
-		if f() {
-			return
-		}
-		time.Sleep(10 * time.Millisecond)
-	}
-	t.Fatal(what)
-}
-
 // TestClearanceUsedOnce: a clearance reserves quota once, and its request runs once, whoever clears or sends
 // it again. A clearance that is not used returns its quota; a rejection says when to return, and that is
 // true.
--- a/internal/gateway/lifecycle/journal_test.go
+++ b/internal/gateway/lifecycle/journal_test.go
@@ -254,6 +254,7 @@
 }
 
 func testJournalKilled(t *testing.T, size, segments int) {
+	t.Helper()
 	rng := rand.New(rand.NewSource(4))
 	dir := t.TempDir()
 	var workers []*fakes.Worker
--- a/internal/gateway/lifecycle/ruleset_process_test.go
+++ b/internal/gateway/lifecycle/ruleset_process_test.go
@@ -30,8 +30,8 @@
 	t.Helper()
 	path := filepath.Join(dir, "willowdeck")
 	if _, err := os.Stat(path); err != nil {
-		make := exec.Command("go", "build", "-o", path, "willowdeck/cmd/willowdeck")
-		if out, err := make.CombinedOutput(); err != nil {
+		build := exec.Command("go", "build", "-o", path, "willowdeck/cmd/willowdeck")
+		if out, err := build.CombinedOutput(); err != nil {
 			t.Fatalf("%v: %s", err, out)
 		}
 	}
--- a/internal/gateway/lifecycle/ruleset_test.go
+++ b/internal/gateway/lifecycle/ruleset_test.go
@@ -31,6 +31,7 @@
 }
 
 func newFakeDaemon(t *testing.T) *fakeDaemon {
+	t.Helper()
 	d := &fakeDaemon{lastQuery: map[string]string{}}
 	d.address = startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
--- a/internal/gateway/lifecycle/ruleset_updates_test.go
+++ b/internal/gateway/lifecycle/ruleset_updates_test.go
@@ -34,6 +34,7 @@
 }
 
 func newFakeUpdateDaemon(t *testing.T) *fakeUpdateDaemon {
+	t.Helper()
 	x := &fakeUpdateDaemon{t: t}
 	handler := relay.NewHandler(x.respond)
 	x.address = startServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -194,7 +195,7 @@
 	in = d.stat("rules.bytes_in")
 	for number := uint64(2); number < 5; number++ {
 		r.Plans = slices.Clone(r.Plans)
-		r.Plans[1].Rate += 1
+		r.Plans[1].Rate++
 		x.setLease(number, r, nil)
 		waitFor(t, "the ruleset is not adopted", func() bool { return uint64(d.stat("rules.version")) == number })
 	}
--- a/internal/gateway/lifecycle/start_test.go
+++ b/internal/gateway/lifecycle/start_test.go
@@ -40,6 +40,7 @@
 }
 
 func newProcessGroup(t *testing.T) *processGroup {
+	t.Helper()
 	n := &processGroup{t, make(chan func())}
 	go func() { // the thread does not return to the pool, and its children end with it at the latest
 		runtime.LockOSThread()
@@ -153,7 +154,7 @@
 			}
 		}
 		if time.Since(start) > readyTimeout {
-			return 0, fmt.Errorf("not ready within %v, last: %v", readyTimeout, err)
+			return 0, fmt.Errorf("not ready within %v, last: %w", readyTimeout, err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/gateway/lifecycle/stop_test.go
+++ b/internal/gateway/lifecycle/stop_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -154,7 +155,7 @@
 				t.Error(err)
 			}
 			attempts := count(d)
-			if _, err := r.ReadByte(); err != io.EOF {
+			if _, err := r.ReadByte(); !errors.Is(err, io.EOF) {
 				t.Errorf("after its response: %v", err)
 			}
 			keptConn.Close()
@@ -216,7 +217,7 @@
 			if status, _ := readResponse(halfConn); status != "HTTP/1.1 408 Request Timeout" {
 				t.Errorf("answered %q", status)
 			}
-			if _, err := halfConn.Read(make([]byte, 1)); err != io.EOF {
+			if _, err := halfConn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 				t.Errorf("after its response: %v", err)
 			}
 			halfConn.Close()
@@ -258,6 +259,7 @@
 }
 
 func testStopAborts(t *testing.T, d *deployment, early, late time.Duration) {
+	t.Helper()
 	c := d.dial()
 	c.SetDeadline(time.Now().Add(8 * time.Second))
 	fmt.Fprint(c, strings.Replace(issueRequest("/issue?silence", "1"), "300m", "30000m", 1))
@@ -461,7 +463,7 @@
 	}
 	for _, c := range []net.Conn{keptConn, busyConn} {
 		c.SetDeadline(time.Now().Add(2 * time.Second))
-		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
+		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Errorf("an open connection ends with %v", err)
 		}
 		c.Close()
--- a/internal/gateway/lifecycle/streaming_test.go
+++ b/internal/gateway/lifecycle/streaming_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"crypto/sha256"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -222,7 +223,7 @@
 		n += more
 		time.Sleep(50 * time.Millisecond)
 	}
-	if err != io.EOF || n != size {
+	if !errors.Is(err, io.EOF) || n != size {
 		t.Errorf("got %d bytes in %v, %v", n, time.Since(start), err)
 	}
 }
