--- a/internal/gateway/lifecycle/bootstrap.go
+++ b/internal/gateway/lifecycle/bootstrap.go
@@ -22,7 +22,7 @@
 func (g *Gateway) List() (list []byte, ageMillis float64, ok bool) {
 	g.endpointsMu.Lock()
 	defer g.endpointsMu.Unlock()
-	l, ageMillis, ok := g.endpoints.Tells(g.dispatcher.Now())
+	l, ageMillis, ok := g.endpoints.Shared(g.dispatcher.Now())
 	if ok {
 		var err error
 		if list, err = endpoints.Append(nil, l); err != nil {
@@ -36,8 +36,8 @@
 // goroutine of its own, which Stop ends.
 func (g *Gateway) requestEndpoints(peers []string, rng *rand.Rand) {
 	defer g.requestingEndpoints.Store(false)
-	client := fasthttp.Client{MaxResponseBodySize: bootstrap.LongestOf, MaxIdemponentCallAttempts: 1,
-		NoDefaultUserAgentHeader: true, ReadTimeout: transport.Millis(bootstrap.AskWithin)}
+	client := fasthttp.Client{MaxResponseBodySize: bootstrap.MaxListBytes, MaxIdemponentCallAttempts: 1,
+		NoDefaultUserAgentHeader: true, ReadTimeout: transport.Millis(bootstrap.RequestTimeoutMillis)}
 	for {
 		for _, peer := range peers {
 			if !g.needsPeerEndpoints() {
@@ -53,7 +53,7 @@
 		select {
 		case <-g.done:
 			return
-		case <-time.After(transport.Millis(bootstrap.AskAgain * (0.5 + rng.Float64()))):
+		case <-time.After(transport.Millis(bootstrap.RetryIntervalMillis * (0.5 + rng.Float64()))):
 		}
 	}
 }
@@ -62,13 +62,13 @@
 func (g *Gateway) needsPeerEndpoints() bool {
 	g.endpointsMu.Lock()
 	defer g.endpointsMu.Unlock()
-	return g.endpoints.Waits()
+	return g.endpoints.NeedsPeers()
 }
 
 // applyPeerEndpoints uses a peer's list where it is newer than the one here.
 func (g *Gateway) applyPeerEndpoints(peer string, list endpoints.List, ageMillis float64) {
 	g.endpointsMu.Lock()
-	merged, changed := g.endpoints.Peer(list, ageMillis)
+	merged, changed := g.endpoints.ApplyPeerList(list, ageMillis)
 	if changed {
 		g.dispatcher.ApplyEndpoints(merged)
 	}
@@ -86,11 +86,11 @@
 	defer fasthttp.ReleaseResponse(res)
 	req.SetRequestURI("http://" + address + admin.ListPath)
 	req.SetConnectionClose()
-	if err := client.DoTimeout(req, res, transport.Millis(bootstrap.AskWithin)); err != nil {
+	if err := client.DoTimeout(req, res, transport.Millis(bootstrap.RequestTimeoutMillis)); err != nil {
 		return endpoints.List{}, 0, err
 	}
 	if version := string(res.Header.Peek(admin.VersionHeader)); res.StatusCode() != fasthttp.StatusOK ||
-		version != strconv.Itoa(bootstrap.Version) {
+		version != strconv.Itoa(bootstrap.ProtocolVersion) {
 		return endpoints.List{}, 0, fmt.Errorf("status %d, version %q", res.StatusCode(), version)
 	}
 	ageMillis, err := strconv.ParseFloat(string(res.Header.Peek(admin.AgeHeader)), 64)
--- a/internal/gateway/lifecycle/discovery.go
+++ b/internal/gateway/lifecycle/discovery.go
@@ -51,7 +51,7 @@
 // applyDiscoveryUpdate applies an endpoint list, or a change of it, from discovery.
 func (g *Gateway) applyDiscoveryUpdate(update endpoints.List) {
 	g.endpointsMu.Lock()
-	g.dispatcher.ApplyEndpoints(g.endpoints.Discovery(update, g.dispatcher.Now()))
+	g.dispatcher.ApplyEndpoints(g.endpoints.ApplyDiscovery(update, g.dispatcher.Now()))
 	g.endpointsMu.Unlock()
 	g.markFirstWatch()
 	g.log.Debug().Int64("version", update.Version).Bool("complete", update.Snapshot).
@@ -73,7 +73,7 @@
 	defer g.markFirstWatch()
 	g.endpointsMu.Lock()
 	defer g.endpointsMu.Unlock()
-	if list, changed := g.endpoints.Alive(g.dispatcher.Now()); changed {
+	if list, changed := g.endpoints.DiscoveryAlive(g.dispatcher.Now()); changed {
 		g.dispatcher.ApplyEndpoints(list)
 	}
 }
@@ -82,14 +82,14 @@
 func (g *Gateway) applyWorkerOverrides(overrides []ruleset.WorkerOverride) {
 	g.endpointsMu.Lock()
 	defer g.endpointsMu.Unlock()
-	g.dispatcher.ApplyEndpoints(g.endpoints.Words(overrides))
+	g.dispatcher.ApplyEndpoints(g.endpoints.SetOverrides(overrides))
 }
 
 // discoveryIndex gives the index of the list that discovery has sent; -1 before it has responded.
 func (g *Gateway) discoveryIndex() int64 {
 	g.endpointsMu.Lock()
 	defer g.endpointsMu.Unlock()
-	if !g.endpoints.Heard() {
+	if !g.endpoints.DiscoveryAnswered() {
 		return -1
 	}
 	return g.endpoints.Version()
@@ -99,7 +99,7 @@
 // this one has been behind it for long, it requests endpoints from peers.
 func (g *Gateway) checkDiscoveryLag(highest int64) {
 	g.endpointsMu.Lock()
-	late := g.endpoints.Lags(highest, g.dispatcher.Now()) && g.endpoints.Waits()
+	late := g.endpoints.ObserveIndex(highest, g.dispatcher.Now()) && g.endpoints.NeedsPeers()
 	g.endpointsMu.Unlock()
 	if late && len(g.config.Ask) > 0 && g.requestingEndpoints.CompareAndSwap(false, true) {
 		g.log.Warn().Int64("index", g.discoveryIndex()).Int64("highest", highest).
--- a/internal/gateway/lifecycle/discovery_test.go
+++ b/internal/gateway/lifecycle/discovery_test.go
@@ -224,7 +224,7 @@
 		"  {\"name\":\"a\",\"status\":\"leaving\"}\n ]\n}"
 	cutAt, contentLength := 0, 0
 	at := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(admin.VersionHeader, fmt.Sprint(bootstrap.Version))
+		w.Header().Set(admin.VersionHeader, fmt.Sprint(bootstrap.ProtocolVersion))
 		w.Header().Set(admin.AgeHeader, "5")
 		w.Header().Set("Content-Length", fmt.Sprint(contentLength))
 		io.WriteString(w, list[:cutAt])
--- a/internal/gateway/lifecycle/gateway.go
+++ b/internal/gateway/lifecycle/gateway.go
@@ -52,12 +52,12 @@
 	borrowingEnabled atomic.Bool  // set once, before it is known whether borrowing can be enabled
 	memberCount      atomic.Int64 // gateways that share quotas, this one included
 
-	corruptCheckpoints   atomic.Int64                    // of an earlier incarnation, not restored
-	unrestoredCheckpoint atomic.Pointer[checkpoint.Left] // until it is known which ruleset is in force
-	rulesetPlans         atomic.Pointer[[]policy.Plan]   // of the ruleset adopted last; nil before any
+	corruptCheckpoints   atomic.Int64                        // of an earlier incarnation, not restored
+	unrestoredCheckpoint atomic.Pointer[checkpoint.Snapshot] // until it is known which ruleset is in force
+	rulesetPlans         atomic.Pointer[[]policy.Plan]       // of the ruleset adopted last; nil before any
 
 	endpointsMu         sync.Mutex // guards endpoints, and the order in which the dispatcher gets its changes
-	endpoints           *bootstrap.Book
+	endpoints           *bootstrap.Registry
 	requestingEndpoints atomic.Bool // requestEndpoints runs
 
 	cancelWatch      context.CancelFunc // ends the discovery watch; replaced by a reload
--- a/internal/gateway/lifecycle/loadreport.go
+++ b/internal/gateway/lifecycle/loadreport.go
@@ -46,7 +46,7 @@
 		r.report.Group = c.Group
 	}
 	r.setMembers(c.Peers, c.Charter.Gatekeepers)
-	g.dispatcher.SetMeter(forecast.NewMeter(c.Charter, crashstate.Uptime()))
+	g.dispatcher.SetMeter(forecast.NewMeter(c.Charter, crashstate.UptimeCentiseconds()))
 	return r
 }
 
--- a/internal/gateway/lifecycle/recovery.go
+++ b/internal/gateway/lifecycle/recovery.go
@@ -71,24 +71,24 @@
 	if left == nil {
 		return
 	}
-	ageMillis := g.dispatcher.Now() - left.Estate.At
+	ageMillis := g.dispatcher.Now() - left.State.At
 	customers, fits := g.dispatcher.RestoreCheckpoint(left, g.config.Tells)
 	if !fits {
-		g.reportNoCheckpoint(checkpoint.ErrCharter)
+		g.reportNoCheckpoint(checkpoint.ErrDigestMismatch)
 		return
 	}
 	if customers > 0 && g.peers != nil {
-		for _, peer := range g.peers.Restore(left.Words) {
+		for _, peer := range g.peers.Restore(left.LastMessages) {
 			g.dispatcher.PeerReplaced(peer)
 		}
 	}
-	g.log.Info().Int("customers", customers).Int("of", len(left.Estate.Customers)).Float64("age_ms", ageMillis).
+	g.log.Info().Int("customers", customers).Int("of", len(left.State.Customers)).Float64("age_ms", ageMillis).
 		Msg("checkpoint of an earlier incarnation restored")
 }
 
 // reportNoCheckpoint logs why no checkpoint is restored, and counts it where there was one.
 func (g *Gateway) reportNoCheckpoint(reason error) {
-	if !errors.Is(reason, checkpoint.ErrNone) {
+	if !errors.Is(reason, checkpoint.ErrNotFound) {
 		g.corruptCheckpoints.Add(1)
 	}
 	g.log.Info().AnErr("reason", reason).Msg("no checkpoint to restore")
@@ -105,7 +105,7 @@
 		return
 	}
 	owner := store.Who{Name: g.config.Name}
-	if mark, uptimeMillis, err := crashstate.Boot(); err == nil {
+	if mark, uptimeMillis, err := crashstate.ReadBoot(); err == nil {
 		owner.Boot, owner.Offset = crc32.ChecksumIEEE(mark), float64(time.Now().UnixMilli())-uptimeMillis
 	}
 	disk := journalDisk(settings.Of(g.config.Name))
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -49,7 +49,7 @@
 		g.peers = transport.NewPeers(c.Peers, c.Charter.Me)
 		sendToPeer = g.peers.Send
 		if c.Charter = peerCharter(c); c.Tells {
-			g.peers.Identify(incarnation.MessageID{Incarnation: crashstate.Uptime()})
+			g.peers.Identify(incarnation.MessageID{Incarnation: crashstate.UptimeCentiseconds()})
 		}
 	}
 	listener, err := listen(c.Listen, c.FD, log)
@@ -109,7 +109,7 @@
 		return nil
 	}
 	path := filepath.Join(c.History, fmt.Sprintf("%s.%d.jsonl", c.Name, os.Getpid()))
-	g.history, err = history.Open(path, c.Name, crashstate.Uptime())
+	g.history, err = history.Open(path, c.Name, crashstate.UptimeCentiseconds())
 	return err
 }
 
@@ -152,7 +152,7 @@
 		g.dispatcher.RecordHistory(g.history)
 	}
 	g.dispatcher.ApplyEndpoints(c.Known)
-	g.endpoints = bootstrap.NewBook(c.Known)
+	g.endpoints = bootstrap.NewRegistry(c.Known)
 	g.memberCount.Store(int64(c.Charter.Gatekeepers))
 	g.proxy = proxy.New(g.dispatcher, g.workerConns)
 	g.frontend = transport.NewFrontend(c.Names, c.Charter, g.enableForwardAuth(g.proxy), g.ready)
