--- a/internal/gateway/lifecycle/admin_test.go
+++ b/internal/gateway/lifecycle/admin_test.go
@@ -66,18 +66,18 @@
 		status, _ := d.send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
 		return status == "HTTP/1.1 200 OK"
 	}
-	var keptConn []net.Conn
+	var openConns []net.Conn
 	for i := range 4 {
 		c, err := net.Dial("tcp", d.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		if i > 0 { // the first one has asked nothing
+		if i > 0 { // no request was sent on the first one
 			fmt.Fprint(c, checkRequest("/check", fmt.Sprint("k", i)))
 			readResponse(c)
 		}
-		keptConn = append(keptConn, c)
+		openConns = append(openConns, c)
 	}
 	if !up() {
 		t.Fatal("not ready")
@@ -91,12 +91,12 @@
 	if status, _ := d.send(checkRequest("/check", "new")); status != "HTTP/1.1 200 OK" {
 		t.Errorf("a new one gets %q", status)
 	}
-	fmt.Fprint(keptConn[3], checkRequest("/check", "again"))
-	keptConn[3].SetDeadline(time.Now().Add(2 * time.Second))
-	if b, err := io.ReadAll(keptConn[3]); err != nil || !strings.Contains(string(b), "Connection: close") {
+	fmt.Fprint(openConns[3], checkRequest("/check", "again"))
+	openConns[3].SetDeadline(time.Now().Add(2 * time.Second))
+	if b, err := io.ReadAll(openConns[3]); err != nil || !strings.Contains(string(b), "Connection: close") {
 		t.Errorf("an open one gets %q, %v", b, err)
 	}
-	for i, c := range keptConn[:3] {
+	for i, c := range openConns[:3] {
 		c.SetDeadline(time.Now().Add(2 * time.Second))
 		if b, err := io.ReadAll(c); err != nil || len(b) > 0 {
 			t.Errorf("idle connection %d: %q, %v", i, b, err)
--- a/internal/gateway/lifecycle/bootstrap_test.go
+++ b/internal/gateway/lifecycle/bootstrap_test.go
@@ -32,12 +32,12 @@
 // whose list is older, wrong, of another version, garbled, endless or cut off change nothing, and nothing
 // waits for them. Discovery's response ends it.
 func TestBootstrapFromPeer(t *testing.T) {
-	var up atomic.Pointer[deployment]
+	var deployed atomic.Pointer[deployment]
 	drained := func(version int) string {
-		for up.Load() == nil { // the newcomer asks while its start is not over
+		for deployed.Load() == nil { // it requests endpoints during its start
 			time.Sleep(time.Millisecond)
 		}
-		d := up.Load()
+		d := deployed.Load()
 		return fmt.Sprintf(
 			`{"index":%d,"snapshot":true,"endpoints":[%s,%s]}`,
 			version,
@@ -45,7 +45,7 @@
 			d.endpointEntry(1, "active", 0),
 		)
 	}
-	reply := func(version, age string, body func() string) http.HandlerFunc {
+	respondWith := func(version, age string, body func() string) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != admin.ListPath {
 				t.Errorf("request for %s", r.URL.Path)
@@ -57,16 +57,16 @@
 	}
 	good := func() string { return drained(8) }
 	for _, c := range []struct {
-		name     string
-		peer     http.HandlerFunc
-		believed bool
+		name string
+		peer http.HandlerFunc
+		used bool
 	}{
-		{"newer", reply("1", "5", good), true},
-		{"older than what is known", reply("1", "5", func() string { return drained(6) }), false},
-		{"another version", reply("2", "5", good), false},
-		{"no age", reply("1", "", good), false},
-		{"too old", reply("1", "1e9", good), false},
-		{"corrupt", reply("1", "5", func() string { return `{"index":9,"endpoints":[{"name":` }), false},
+		{"newer", respondWith("1", "5", good), true},
+		{"older than what is known", respondWith("1", "5", func() string { return drained(6) }), false},
+		{"another version", respondWith("2", "5", good), false},
+		{"no age", respondWith("1", "", good), false},
+		{"too old", respondWith("1", "1e9", good), false},
+		{"corrupt", respondWith("1", "5", func() string { return `{"index":9,"endpoints":[{"name":` }), false},
 		{"nothing to serve", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) }, false},
 		{"endless", func(w http.ResponseWriter, r *http.Request) {
 			for b := []byte(strings.Repeat("x", 1<<16)); r.Context().Err() == nil; {
@@ -84,15 +84,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			at := startServer(t, func(w http.ResponseWriter, r *http.Request) { c.peer(w, r) })
-			mute := silentListener(t)
+			silent := silentListener(t)
 			start := time.Now()
-			up.Store(nil)
-			d := deployWith(t, func(g *config.Gatekeeper) { g.Discovery, g.Ask = mute, []string{at} }, 2, 5000)
-			up.Store(d)
+			deployed.Store(nil)
+			d := deployWith(t, func(g *config.Gatekeeper) { g.Discovery, g.Ask = silent, []string{at} }, 2, 5000)
+			deployed.Store(d)
 			if elapsed := time.Since(start); elapsed > 200*time.Millisecond {
 				t.Errorf("the start took %v", elapsed)
 			}
-			if c.believed {
+			if c.used {
 				waitFor(t, "the peer's endpoints are not used", func() bool {
 					return d.gateway.dispatcher.Tally().Workers == 1
 				})
@@ -104,7 +104,7 @@
 					t.Fatalf("answered %q", s)
 				}
 			}
-			if n := d.workers[0].count(); (n == 0) != c.believed {
+			if n := d.workers[0].count(); (n == 0) != c.used {
 				t.Errorf("%d went to the worker that drains", n)
 			}
 			list := d.startDiscovery()
--- a/internal/gateway/lifecycle/borrowing_test.go
+++ b/internal/gateway/lifecycle/borrowing_test.go
@@ -26,11 +26,11 @@
 	d, change := deployWithInheritedListener(t, `"rate":0.1,"most_at_once":1`,
 		`"rate":2,"most_at_once":2,"credit_s":1,"repay_s":60`)
 	ledgerPath := filepath.Join(t.TempDir(), "residue")
-	keeps := func(c *config.Gatekeeper) {
+	withCrashState := func(c *config.Gatekeeper) {
 		change(c)
 		c.Residue = ledgerPath
 	}
-	first := d.startSuccessor(keeps)
+	first := d.startSuccessor(withCrashState)
 	d.gateway.Stop()
 	n, passed := 0, 0
 	ask := func(times int) {
@@ -42,7 +42,7 @@
 			}
 		}
 	}
-	// What fill comes meanwhile goes to the quota first: how long all of it takes is the machine's to say.
+	// Refills go to the quota first: how long all of it takes depends on the machine.
 	within := func(what string, f func() bool) {
 		t.Helper()
 		for end := time.Now().Add(15 * time.Second); !f(); time.Sleep(20 * time.Millisecond) {
@@ -52,16 +52,16 @@
 			}
 		}
 	}
-	ask(4) // the new book has the line as drawn
+	ask(4) // a new ledger takes the credit line as used
 	within("the credit line is not earned", func() bool { return borrowingStat(first, "rights") == 2 })
 	time.Sleep(3 * time.Second) // figures are rounded: the last half unit is earned within 0.75 s
 	if ask(12); borrowingStat(first, "outstanding") != 2 {
 		t.Fatalf("%d passed, %d is owed", passed, borrowingStat(first, "outstanding"))
 	}
-	second := d.startSuccessor(keeps)
+	second := d.startSuccessor(withCrashState)
 	first.Stop()
 	within("the ledger is not taken over", func() bool { return borrowingStat(second, "customers") == 1 })
-	before := borrowingStat(second, "outstanding") // what was idle in between may have paid a part of it
+	before := borrowingStat(second, "outstanding") // refills in between may have repaid a part of it
 	ask(6)
 	if lent, paid := borrowingStat(second, "lent"), borrowingStat(second, "repaid"); before < 1 || lent > paid ||
 		borrowingStat(second, "outstanding") > 2 {
--- a/internal/gateway/lifecycle/deployment_test.go
+++ b/internal/gateway/lifecycle/deployment_test.go
@@ -24,7 +24,7 @@
 	workers       []*fakeWorker
 	config        config.Gatekeeper
 	updates       chan string
-	watchRequests chan string // what the watch asks for
+	watchRequests chan string // request lines of the watch
 }
 
 // fakeWorker is a worker that answers as the word after the ? of a target says, by cannedResponses, and
@@ -32,10 +32,10 @@
 type fakeWorker struct {
 	net.Listener
 	mu          sync.Mutex
-	submissions []string // whole submissions
-	connections int      // connections
-	silent      bool     // it takes all and answers nothing
-	loadReport  string   // what it says of its load
+	submissions []string // complete submissions
+	connections int      // connections accepted
+	silent      bool     // it reads submissions and answers none
+	loadReport  string   // its load report
 }
 
 func (w *fakeWorker) serve() {
@@ -168,7 +168,7 @@
 	if d.gateway, err = Start(d.config, zerolog.Nop()); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { // before its discovery's port can become another test's
+	t.Cleanup(func() { // before another test can get its discovery's port
 		d.gateway.cancelWatch()
 		<-d.gateway.watchEnded
 	})
@@ -318,13 +318,13 @@
 }
 
 // waitFor polls a condition for 3 s, and fails with a message if it does not come true.
-func waitFor(t *testing.T, what string, f func() bool) {
+func waitFor(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
 	for range 300 {
-		if f() {
+		if condition() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal(what)
+	t.Fatal(failure)
 }
--- a/internal/gateway/lifecycle/descriptors_test.go
+++ b/internal/gateway/lifecycle/descriptors_test.go
@@ -29,35 +29,35 @@
 
 // keepConnecting keeps n connections open at an address until the test ends: each that is closed is opened
 // again. A connection sends a text, which may be empty, and then rests. It gives the number that are open.
-func keepConnecting(t *testing.T, at string, n int, reply string) *atomic.Int64 {
+func keepConnecting(t *testing.T, address string, count int, text string) *atomic.Int64 {
 	t.Helper()
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	var open atomic.Int64
 	var all sync.WaitGroup
-	for range n {
+	for range count {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			for {
-				c, err := net.Dial("tcp", at)
+				c, err := net.Dial("tcp", address)
 				if err == nil {
 					open.Add(1)
 					stop := make(chan struct{})
 					go func() {
 						select {
-						case <-ended:
+						case <-done:
 							c.Close()
 						case <-stop:
 						}
 					}()
-					fmt.Fprint(c, reply)
+					fmt.Fprint(c, text)
 					bufio.NewReader(c).WriteTo(discard{}) // until the other end closes
 					close(stop)
 					c.Close()
 					open.Add(-1)
 				}
 				select {
-				case <-ended:
+				case <-done:
 					return
 				case <-time.After(time.Millisecond):
 				}
@@ -65,7 +65,7 @@
 		}()
 	}
 	t.Cleanup(func() {
-		close(ended)
+		close(done)
 		all.Wait()
 	})
 	return &open
@@ -83,12 +83,12 @@
 // ones, and the watch none.
 func TestIdleConnectionsFillDescriptors(t *testing.T) {
 	t.Parallel()
-	const most = 96
+	const limit = 96
 	program := faultinject.Program(t, "willowdeck")
 	for _, c := range []struct {
-		name, limits, before string
-		args                 []string
-		least                int // of what idle clients and calls hold
+		name, limits, prelude string
+		args                  []string
+		minFilled             int // least number of descriptors that idle clients and admin calls use
 	}{
 		{"the system's limit is the configured one", `"limits":{"sockets":96},`, "", nil, 52},
 		{"with all that takes descriptors", `"limits":{"sockets":96},`, "",
@@ -115,7 +115,7 @@
 			if err := os.WriteFile(filepath.Join(dir, "conf.json"), []byte(conf), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			run := fmt.Sprintf(`%sulimit -n %d; echo $$ > pid; exec "$@"`, c.before, most)
+			run := fmt.Sprintf(`%sulimit -n %d; echo $$ > pid; exec "$@"`, c.prelude, limit)
 			p := faultinject.Start(
 				t,
 				faultinject.Spec{Name: "n0", Program: "/bin/sh", Dir: dir, Args: append([]string{"-c", run,
@@ -143,27 +143,27 @@
 			}
 			pid := strings.TrimSpace(string(raw))
 			idle := openDescriptors(pid)
-			const more = 4 // the watch, a client's and an operator's connection that wait for places, and a file
+			const extra = 4 // the watch, a client's and an admin connection that wait for a place, and a file
 			if d, err := config.Decode([]byte(conf), os.Getenv); err == nil && c.limits != "" {
 				if len(c.args) > 0 {
 					d.Residue, d.History = "residue", "."
 				}
 				clients, workers := connectionLimits(d)
-				if all := idle + more + policy.OperatorCalls + clients + workers; all > most {
+				if all := idle + extra + policy.OperatorCalls + clients + workers; all > limit {
 					t.Errorf("%d descriptors alone, %d for clients, %d for workers: %d of %d in all", idle, clients,
-						workers, all, most)
+						workers, all, limit)
 				}
 			} else if err != nil {
 				t.Fatal(err)
 			}
 
-			keepConnecting(t, at(0), most, "")
-			keepConnecting(t, at(0), most/2, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+			keepConnecting(t, at(0), limit, "")
+			keepConnecting(t, at(0), limit/2, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
 			keepConnecting(t, at(2), 2*policy.OperatorCalls, "")
-			full := 0
+			maxOpen := 0
 			wait("connections that use all descriptors", 10000, func() bool {
-				full = max(full, openDescriptors(pid))
-				return full >= idle+c.least
+				maxOpen = max(maxOpen, openDescriptors(pid))
+				return maxOpen >= idle+c.minFilled
 			})
 
 			w, err := fakes.NewWorker("w", time.Millisecond)
@@ -201,7 +201,7 @@
 				defer c.Close()
 				fmt.Fprint(c, raw)
 				status, _ := readResponse(c)
-				full = max(full, openDescriptors(pid))
+				maxOpen = max(maxOpen, openDescriptors(pid))
 				return status == "HTTP/1.1 200 OK"
 			}
 			n := 0
@@ -210,19 +210,19 @@
 				return answers(at(0), strings.Replace(checkRequest("/check", fmt.Sprint(n)), "spread=1", "spread=2", 1))
 			}
 			wait("a client served by a worker of discovery's list", policy.WatchDue+5000, served)
-			t.Logf("%d descriptors, %d of them without a client; served %v after discovery was up", full, idle,
+			t.Logf("%d descriptors, %d of them without a client; served %v after discovery was up", maxOpen, idle,
 				time.Since(up))
 			peer.SetReadDeadline(time.Now().Add(10 * time.Second))
-			told := make(chan error, 1)
+			received := make(chan error, 1)
 			go func() {
 				_, _, err := peer.ReadFrom(make([]byte, 512))
-				told <- err
+				received <- err
 			}()
-			heard := false
+			receivedOK := false
 			wait("a message to the peer", 10000, func() bool {
 				select {
-				case err := <-told:
-					heard = err == nil
+				case err := <-received:
+					receivedOK = err == nil
 					return true
 				default:
 					served()
@@ -233,8 +233,8 @@
 				return answers(at(2), "GET /admin/stats HTTP/1.1\r\nHost: x\r\n\r\n")
 			})
 			log, _ := os.ReadFile(p.Log())
-			if !heard || full > most || strings.Contains(string(log), "too many open files") {
-				t.Errorf("%d descriptors of %d, the peer has received: %v; log: %s", full, most, heard, log)
+			if !receivedOK || maxOpen > limit || strings.Contains(string(log), "too many open files") {
+				t.Errorf("%d descriptors of %d, the peer has received: %v; log: %s", maxOpen, limit, receivedOK, log)
 			}
 		})
 	}
--- a/internal/gateway/lifecycle/disconnect_test.go
+++ b/internal/gateway/lifecycle/disconnect_test.go
@@ -53,7 +53,7 @@
 		}
 		fmt.Fprint(client, checkRequest("/check", fmt.Sprint(k)))
 		first := <-got
-		client.Close() // on loopback its end is there before the reset below
+		client.Close() // on loopback its end arrives before the reset below
 		first.c.(*net.TCPConn).SetLinger(0)
 		first.c.Close()
 		select {
--- a/internal/gateway/lifecycle/discovery_test.go
+++ b/internal/gateway/lifecycle/discovery_test.go
@@ -142,7 +142,7 @@
 				next := d.config
 				list := startListedDiscovery(t, &next)
 				for range 7 {
-					list.Tell() // its versions go on from those known
+					list.Tell() // its versions go on from the configured one
 				}
 				drainFirstWorker(list)
 				next.Discovery = list.At
@@ -201,7 +201,7 @@
 					gk.Stop()
 				})
 				if !c.drains || elapsed < transport.Millis(policy.FirstWord) {
-					break // else the machine stood still, and the agent could not be heard in time
+					break // else the machine stalled, and the agent could not respond in time
 				}
 			}
 			for i := range 30 {
@@ -242,8 +242,8 @@
 // scriptedDiscovery is a discovery on loopback that handles each request as the test says.
 type scriptedDiscovery struct {
 	address    string
-	handled    chan string // each call that has been met, by how
-	behaviours chan string // how the next is met; the last holds on
+	handled    chan string // each request that was handled, by its behaviour
+	behaviours chan string // behaviour for the next request; the last one stays
 	list       string
 	delay      time.Duration
 }
@@ -284,34 +284,34 @@
 }
 
 func (d *scriptedDiscovery) serve(l net.Listener) {
-	how := ""
+	behaviour := ""
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
 		select {
-		case how = <-d.behaviours:
+		case behaviour = <-d.behaviours:
 		default:
 		}
-		go d.handle(c, how)
+		go d.handle(c, behaviour)
 	}
 }
 
-func (d *scriptedDiscovery) handle(c net.Conn, how string) {
+func (d *scriptedDiscovery) handle(c net.Conn, behaviour string) {
 	defer c.Close()
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 		return
 	}
-	d.handled <- how
+	d.handled <- behaviour
 	chunk := func(s string) error {
 		_, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(s), s)
 		return err
 	}
 	const ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	halfConn := d.list[:len(d.list)/2]
-	more := ""
-	switch how {
+	halfList := d.list[:len(d.list)/2]
+	repeated := ""
+	switch behaviour {
 	case "healthy":
 		time.Sleep(d.delay)
 		fmt.Fprint(c, ok)
@@ -327,12 +327,12 @@
 		fmt.Fprint(c, ok)
 	case "half a list, reset":
 		fmt.Fprint(c, ok)
-		_ = chunk(halfConn)
+		_ = chunk(halfList)
 		c.(*net.TCPConn).SetLinger(0)
 		return
 	case "half a list":
 		fmt.Fprint(c, ok)
-		_ = chunk(halfConn)
+		_ = chunk(halfList)
 	case "a watch that responds and then trickles":
 		fmt.Fprint(c, ok)
 		_ = chunk("\n")
@@ -340,13 +340,13 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 	case "a trickling list":
-		more = "["
+		repeated = "["
 	case "blanks in a list":
-		more = " \n"
+		repeated = " \n"
 	}
-	if more != "" {
+	if repeated != "" {
 		fmt.Fprint(c, ok)
-		for err := chunk(`{"endpoints":[`); err == nil; err = chunk(more) {
+		for err := chunk(`{"endpoints":[`); err == nil; err = chunk(repeated) {
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
@@ -416,11 +416,11 @@
 // late.
 func hasLateDraws(seed int64) bool {
 	r := rand.New(rand.NewSource(seed))
-	soon, late := r.Float64() < 0.02, true
+	early, late := r.Float64() < 0.02, true
 	for range 3 {
 		late = r.Float64() > 0.85 && late
 	}
-	return !soon || !late
+	return !early || !late
 }
 
 // TestUpdateAfterBlackHole: a connection to discovery never comes up, as to a machine that is gone; then it
@@ -441,7 +441,7 @@
 					conf.Seed++
 				}
 			}, 2, 5000, m.swaps...)
-			<-d.gateway.firstWatchResult // a try was given up; the next is about to begin, or has
+			<-d.gateway.firstWatchResult // an attempt was given up; the next is about to begin, or has begun
 			for _, c := range backlog {
 				c.Close()
 			}
@@ -453,16 +453,16 @@
 
 // fillBacklog makes connections to an address hang: nobody accepts there, and the listener's backlog is
 // full.
-func fillBacklog(t *testing.T, at string) (all []io.Closer) {
+func fillBacklog(t *testing.T, at string) (closers []io.Closer) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := os.NewFile(uintptr(fd), "hole")
-	all = []io.Closer{f}
+	closers = []io.Closer{f}
 	t.Cleanup(func() {
-		for _, c := range all {
+		for _, c := range closers {
 			c.Close()
 		}
 	})
@@ -477,9 +477,9 @@
 	for range 16 {
 		c, err := net.DialTimeout("tcp", at, 100*time.Millisecond)
 		if err != nil {
-			return all
+			return closers
 		}
-		all = append(all, c)
+		closers = append(closers, c)
 	}
 	t.Fatal("the backlog is never full")
 	return
--- a/internal/gateway/lifecycle/forwardauth_test.go
+++ b/internal/gateway/lifecycle/forwardauth_test.go
@@ -62,15 +62,15 @@
 	head, _, _ := strings.Cut(raw, "\r\n\r\n")
 	first, rest, _ := strings.Cut(head, "\r\n")
 	w := strings.Fields(first)
-	var keptConn []string
+	var headers []string
 	for _, line := range strings.Split(rest, "\r\n") {
 		if !strings.HasPrefix(line, "Content-Length") {
-			keptConn = append(keptConn, line)
+			headers = append(headers, line)
 		}
 	}
 	return "GET /auth HTTP/1.1\r\nX-Forwarded-Method: " + w[0] + "\r\nX-Forwarded-Uri: " + w[1] +
 		"\r\nX-Forwarded-For: 192.0.2.7\r\nX-Forwarded-Proto: https\r\nX-Forwarded-Host: sales.example\r\n" +
-		strings.Join(keptConn, "\r\n") + "\r\n\r\n"
+		strings.Join(headers, "\r\n") + "\r\n\r\n"
 }
 
 // withHeader inserts a header line into a request.
@@ -86,7 +86,7 @@
 	tinyRequest := func(id string) string {
 		return strings.Replace(issueRequest("/issue", id), "basic", "tiny", 1)
 	}
-	for range 2 { // by two portals
+	for range 2 { // by two proxies
 		if r := roundTrip(t, at, authRequest(tinyRequest("t1"))); r.StatusCode != 200 {
 			t.Fatalf("cleared: %v", r.Status)
 		}
@@ -113,7 +113,7 @@
 		t,
 		at,
 		authRequest(tinyRequest("t3")),
-	) // one unit is spent and one kept: no more until one is back
+	) // one unit is spent and one reserved: no more until one is returned
 	var wait float64
 	if fmt.Sscan(r.Header.Get("Retry-After"), &wait); r.StatusCode != 429 || !(wait > 0) {
 		t.Fatalf("beyond the quota: %v, Retry-After %v", r.Status, wait)
@@ -128,7 +128,7 @@
 		t,
 		d.address,
 		tinyRequest("t2"),
-	); r.StatusCode != 200 { // as any other: its clearance is no more
+	); r.StatusCode != 200 { // without a clearance, which has expired
 		t.Errorf("after its clearance: %v", r.Status)
 	}
 }
@@ -313,7 +313,7 @@
 	}
 	auth.Set(fakes.Silent)
 	roundTrip(t, d.address, withHeader(issueRequest("/issue", "s8"), "Authorization: c8"))
-	time.Sleep(60 * time.Millisecond) // the ask outlives the txn
+	time.Sleep(60 * time.Millisecond) // the authorization outlives the request
 	before := len(auth.Got())
 	from := time.Now()
 	if r := roundTrip(
@@ -375,7 +375,7 @@
 	time.Sleep(40 * time.Millisecond)
 	c.Close()
 	waitFor(t, "the disconnect is not noticed", func() bool { return d.gateway.frontend.ActiveRequests() == 0 })
-	time.Sleep(150 * time.Millisecond) // the yes has come
+	time.Sleep(150 * time.Millisecond) // the grant has arrived
 	if n := len(d.submissions()); n != 0 || len(auth.Got()) != 1 {
 		t.Fatalf("%d submissions for a client that had left, %d authorizations", n, len(auth.Got()))
 	}
@@ -384,7 +384,7 @@
 		d.address,
 		tinyRequest("2"),
 	); r.StatusCode != 200 ||
-		len(auth.Got()) != 1 { // the yes is known now
+		len(auth.Got()) != 1 { // the grant is cached now
 		t.Errorf("with the returned quota: %v", r.Status)
 	}
 }
@@ -458,7 +458,7 @@
 		change(c)
 		forwardAuthConfig(t, text)(c)
 	}
-	first := d.startSuccessor(both) // the deployment's own has no portals
+	first := d.startSuccessor(both) // the deployment's own has no auth server
 	d.gateway.Stop()
 	waitFor(t, "no auth server", func() bool { return first.authServer.At() != "" })
 	for _, id := range []string{"used", "kept"} {
--- a/internal/gateway/lifecycle/golden_test.go
+++ b/internal/gateway/lifecycle/golden_test.go
@@ -26,19 +26,19 @@
 	t.Helper()
 	daemon := newFakeDaemon(t)
 	daemon.setHandler(unavailable)
-	complete := deployWith(t, func(c *config.Gatekeeper) {
+	gateway := deployWith(t, func(c *config.Gatekeeper) {
 		c.Agree, c.Tells, c.Recall = daemon.address, true, true
 		c.Residue = filepath.Join(t.TempDir(), "residue")
 		withJournal(t.TempDir())(c)
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = 1000, 1000
 		c.Charter.Plans[0].Credit, c.Charter.Plans[0].Repay = 1, 60000
 	}, 1, 5000)
-	t.Cleanup(func() { close(complete.gateway.done) })
+	t.Cleanup(func() { close(gateway.gateway.done) })
 	waitFor(t, "the journal is not open", func() bool {
-		return slices.Contains(statsKeys(complete.gateway), "svc.journal.segments")
+		return slices.Contains(statsKeys(gateway.gateway), "svc.journal.segments")
 	})
 	forward := deployForwardAuth(t, askedConfig+askingConfig(newAuthService(t), ""))
-	keys := append([]string{"# agreed, journal, copies, credit"}, statsKeys(complete.gateway)...)
+	keys := append([]string{"# agreed, journal, copies, credit"}, statsKeys(gateway.gateway)...)
 	return append(append(keys, "# forward authentication"), statsKeys(forward.gateway)...)
 }
 
--- a/internal/gateway/lifecycle/hotrestart_test.go
+++ b/internal/gateway/lifecycle/hotrestart_test.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fd, err := syscall.Dup(int(f.Fd())) // what a start takes over is closed by it
+		fd, err := syscall.Dup(int(f.Fd())) // a start closes the descriptor that it takes over
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,7 +85,7 @@
 		buf := make([]byte, max(got.ContentLength, 0))
 		got.Body.Read(buf)
 	}
-	tinyRequest := func(id string) string { // of another customer, as a change of plan fills the store
+	tinyRequest := func(id string) string { // of another customer, as a change of plan fills the quota
 		return strings.NewReplacer("basic", "tiny", "b4d65521", "b4d65522").Replace(checkRequest("/check", id))
 	}
 	keptConn, keptReader := dial()
@@ -123,7 +123,7 @@
 	fmt.Fprint(silent, checkRequest("/check", "s1"))
 	answer("silent so far", silentReader, 200)
 	fmt.Fprint(busyConn, checkRequest("/check", "b2"))
-	answer("in hand before", busyReader, 200)
+	answer("in flight before", busyReader, 200)
 	fmt.Fprint(keptConn, tinyRequest("k3"))
 	answer("its quota was spent in the first process", keptReader, 429)
 	freshConn, freshReader := dial()
@@ -150,7 +150,7 @@
 		t.Errorf("beside one that has died: %q", status)
 	}
 	again := d.startSuccessor(change)
-	d.gateway.handoff.Load().Close() // as at a sudden end
+	d.gateway.handoff.Load().Close() // as in a crash
 	d.gateway.listener.Close()
 	if status, _ := d.send(
 		checkRequest("/check",
@@ -187,22 +187,22 @@
 	path := filepath.Join(t.TempDir(), "residue")
 	swap := []string{`{"name":"tiny","rate":0.1,"most_at_once":1`,
 		`{"name":"tiny","rate":100,"most_at_once":100,"hard_rate":0.01,"cap_depth":3`}
-	keeps := func(c *config.Gatekeeper) { c.Residue = path }
-	d := deployWith(t, keeps, 1, 5000, swap...)
-	of := func(d *deployment, customer, id string) string {
+	withCrashState := func(c *config.Gatekeeper) { c.Residue = path }
+	d := deployWith(t, withCrashState, 1, 5000, swap...)
+	sendTiny := func(d *deployment, customer, id string) string {
 		status, _ := d.send(
 			strings.NewReplacer("basic", "tiny", "b4d65521", customer).Replace(checkRequest("/check", id)),
 		)
 		return status
 	}
-	if s := of(d, "b4d65530", "1"); s != "HTTP/1.1 429 Too Many Requests" {
+	if s := sendTiny(d, "b4d65530", "1"); s != "HTTP/1.1 429 Too Many Requests" {
 		t.Fatalf("at a first start a rate limit counts as used up: %q", s)
 	}
-	end := func(d *deployment) {
+	crash := func(d *deployment) {
 		d.gateway.listener.Close()
-		d.gateway.dispatcher.Stop() // its locks are gone, as those of a killed one
+		d.gateway.dispatcher.Stop() // its file locks are released, as those of a killed process
 	}
-	end(d)
+	crash(d)
 	// As if its start had been long ago.
 	f, left, err := crashstate.Open(path, crashstate.Digest(d.config.Charter), float64(time.Now().UnixMilli()))
 	if err != nil || left == nil {
@@ -210,44 +210,44 @@
 	}
 	f.Import(left.Base-1e6, nil, left.Base)
 	f.Close()
-	d = deployWith(t, keeps, 1, 5000, swap...)
+	d = deployWith(t, withCrashState, 1, 5000, swap...)
 	for i := range 2 {
-		if s := of(d, "b4d65531", fmt.Sprint("a", i)); s != "HTTP/1.1 200 OK" {
+		if s := sendTiny(d, "b4d65531", fmt.Sprint("a", i)); s != "HTTP/1.1 200 OK" {
 			t.Fatalf("a rate limit that is full: %q", s)
 		}
 	}
-	end(d)
-	d = deployWith(t, keeps, 1, 5000, swap...)
+	crash(d)
+	d = deployWith(t, withCrashState, 1, 5000, swap...)
 	for i, want := range []string{"200 OK", "429 Too Many Requests"} {
-		if s := of(d, "b4d65531", fmt.Sprint("b", i)); s != "HTTP/1.1 "+want {
+		if s := sendTiny(d, "b4d65531", fmt.Sprint("b", i)); s != "HTTP/1.1 "+want {
 			t.Errorf("the third and fourth of three units: %q", s)
 		}
 	}
-	if s := of(d, "b4d65532", "c"); s != "HTTP/1.1 200 OK" {
+	if s := sendTiny(d, "b4d65532", "c"); s != "HTTP/1.1 200 OK" {
 		t.Errorf("another customer's: %q", s)
 	}
-	end(d)
+	crash(d)
 
-	held, change := deployWithInheritedListener(t, swap...)
-	both := func(c *config.Gatekeeper) {
+	deployed, change := deployWithInheritedListener(t, swap...)
+	withBoth := func(c *config.Gatekeeper) {
 		change(c)
-		keeps(c)
+		withCrashState(c)
 	}
-	first := held.startSuccessor(both)
-	held.gateway.Stop() // it keeps none
-	if s := of(held, "b4d65532", "d"); s != "HTTP/1.1 200 OK" {
+	first := deployed.startSuccessor(withBoth)
+	deployed.gateway.Stop() // it has no crash state
+	if s := sendTiny(deployed, "b4d65532", "d"); s != "HTTP/1.1 200 OK" {
 		t.Errorf("the second of three: %q", s)
 	}
-	second := held.startSuccessor(both)
+	second := deployed.startSuccessor(withBoth)
 	first.Stop()
-	if s := of(held, "b4d65532", "e"); s != "HTTP/1.1 200 OK" {
+	if s := sendTiny(deployed, "b4d65532", "e"); s != "HTTP/1.1 200 OK" {
 		t.Errorf("the third of three, after a handoff: %q", s)
 	}
-	held.startSuccessor(both)
+	deployed.startSuccessor(withBoth)
 	second.listener.Close()
 	second.dispatcher.Stop()
-	second.handoff.Load().Close() // as at a sudden end
-	if s := of(held, "b4d65532", "f"); s != "HTTP/1.1 429 Too Many Requests" {
+	second.handoff.Load().Close() // as in a crash
+	if s := sendTiny(deployed, "b4d65532", "f"); s != "HTTP/1.1 429 Too Many Requests" {
 		t.Errorf("the fourth of three, after a crash: %q", s)
 	}
 }
@@ -257,14 +257,14 @@
 // more.
 func TestCheckpointRestore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "residue")
-	keeps := func(c *config.Gatekeeper) { c.Residue, c.Recall = path, true }
-	of := func(d *deployment, customer, id string) string {
+	withCheckpoints := func(c *config.Gatekeeper) { c.Residue, c.Recall = path, true }
+	sendTiny := func(d *deployment, customer, id string) string {
 		status, _ := d.send(
 			strings.NewReplacer("basic", "tiny", "b4d65521", customer).Replace(checkRequest("/check", id)),
 		)
 		return strings.TrimPrefix(status, "HTTP/1.1 ")
 	}
-	end := func(d *deployment) {
+	crash := func(d *deployment) {
 		n := d.gateway.dispatcher.CheckpointStats().Written.Load()
 		waitFor(
 			t,
@@ -274,20 +274,20 @@
 		d.gateway.listener.Close()
 		d.gateway.dispatcher.Stop()
 	}
-	d := deployWith(t, keeps, 1, 5000)
-	if s := of(d, "b4d65530", "1"); s != "200 OK" {
+	d := deployWith(t, withCheckpoints, 1, 5000)
+	if s := sendTiny(d, "b4d65530", "1"); s != "200 OK" {
 		t.Fatalf("at a first start: %q", s)
 	}
-	end(d)
-	d = deployWith(t, keeps, 1, 5000)
-	s, n := of(d, "b4d65530", "2"), d.gateway.dispatcher.CheckpointStats().Restored.Load()
+	crash(d)
+	d = deployWith(t, withCheckpoints, 1, 5000)
+	s, n := sendTiny(d, "b4d65530", "2"), d.gateway.dispatcher.CheckpointStats().Restored.Load()
 	if s != "429 Too Many Requests" || n != 1 {
 		t.Errorf("after a crash: %q, %d customers", s, n)
 	}
-	if s := of(d, "b4d65531", "3"); s != "200 OK" {
+	if s := sendTiny(d, "b4d65531", "3"); s != "200 OK" {
 		t.Errorf("another customer: %q", s)
 	}
-	end(d)
+	crash(d)
 	b, err := os.ReadFile(path + ".inventory")
 	if err != nil {
 		t.Fatal(err)
@@ -296,26 +296,26 @@
 	if err := os.WriteFile(path+".inventory", b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d = deployWith(t, keeps, 1, 5000)
-	if s := of(d, "b4d65531", "4"); s != "200 OK" || d.gateway.corruptCheckpoints.Load() != 1 {
+	d = deployWith(t, withCheckpoints, 1, 5000)
+	if s := sendTiny(d, "b4d65531", "4"); s != "200 OK" || d.gateway.corruptCheckpoints.Load() != 1 {
 		t.Errorf("with a corrupt checkpoint: %q, %d counted", s, d.gateway.corruptCheckpoints.Load())
 	}
-	end(d)
+	crash(d)
 
-	held, change := deployWithInheritedListener(t)
-	both := func(c *config.Gatekeeper) {
+	deployed, change := deployWithInheritedListener(t)
+	withBoth := func(c *config.Gatekeeper) {
 		change(c)
 		c.Residue, c.Recall = path+"2", true
 	}
-	first := held.startSuccessor(both)
-	held.gateway.Stop()
-	if s := of(held, "b4d65532", "5"); s != "200 OK" {
+	first := deployed.startSuccessor(withBoth)
+	deployed.gateway.Stop()
+	if s := sendTiny(deployed, "b4d65532", "5"); s != "200 OK" {
 		t.Errorf("by the first: %q", s)
 	}
-	second := held.startSuccessor(both)
+	second := deployed.startSuccessor(withBoth)
 	first.Stop()
 	n = first.dispatcher.CheckpointStats().Written.Load()
-	if s := of(held, "b4d65532", "6"); s != "429 Too Many Requests" ||
+	if s := sendTiny(deployed, "b4d65532", "6"); s != "429 Too Many Requests" ||
 		second.dispatcher.CheckpointStats().Restored.Load() > 0 {
 		t.Errorf("after a handoff: %q", s)
 	}
@@ -325,7 +325,7 @@
 		"the successor writes no checkpoints",
 		func() bool { return second.dispatcher.CheckpointStats().Written.Load() > m+1 },
 	)
-	if first.dispatcher.CheckpointStats().Written.Load() > n+1 { // one may have been under way
+	if first.dispatcher.CheckpointStats().Written.Load() > n+1 { // one may have been in progress
 		t.Error("the predecessor writes on after the handoff")
 	}
 }
--- a/internal/gateway/lifecycle/journal_test.go
+++ b/internal/gateway/lifecycle/journal_test.go
@@ -21,7 +21,7 @@
 	"willowdeck/internal/txnjournal/store"
 )
 
-var journalKills = flag.Int("kills", 8, "how often the gatekeeper of the journal's test is killed")
+var journalKills = flag.Int("kills", 8, "how often the gateway of the journal's test is killed")
 
 // withJournal configures a journal in a folder.
 func withJournal(dir string) func(*config.Gatekeeper) {
@@ -46,10 +46,10 @@
 }
 
 // journalVerdict gives the journal's verdict on a request ID that was used a moment ago.
-func journalVerdict(t *testing.T, dir, requestID string) txnjournal.Verdict {
+func journalVerdict(t *testing.T, directory, requestID string) txnjournal.Verdict {
 	t.Helper()
 	now := float64(time.Now().UnixMilli())
-	b, _, _, _, err := store.ReadAll(store.Dir(dir), txnjournal.DefaultTerms(), now, nil, nil)
+	b, _, _, _, err := store.ReadAll(store.Dir(directory), txnjournal.DefaultTerms(), now, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 	other := strings.Replace(issueRequest("/issue", "done"), "b4d65521", "b4d65522", 1)
 	cases := []struct {
 		name, raw, status, body string
-		sent                    int // submissions for it
+		sent                    int // submissions for it; -1 is any
 	}{
 		{"settled", issueRequest("/issue", "done"), ok, "valid\n", 1},
 		{"settled, again", issueRequest("/issue", "done"), ok, "valid\n", 0},
@@ -148,9 +148,9 @@
 			if status, _ := d.send(issueRequest("/issue", "before")); status != "HTTP/1.1 200 OK" {
 				t.Fatalf("before: %q", status)
 			}
-			hang := make(chan bool)
-			m.Hang(hang)
-			defer close(hang)
+			release := make(chan bool)
+			m.Hang(release)
+			defer close(release)
 			want, sent := "HTTP/1.1 429 Too Many Requests", len(d.submissions())
 			if policy == txnjournal.Serve {
 				want = "HTTP/1.1 200 OK"
@@ -183,11 +183,11 @@
 func TestJournalAtReplacement(t *testing.T) {
 	d, change := deployWithInheritedListener(t)
 	dir := t.TempDir()
-	both := func(c *config.Gatekeeper) {
+	withBoth := func(c *config.Gatekeeper) {
 		change(c)
 		withJournal(dir)(c)
 	}
-	first := d.startSuccessor(both)
+	first := d.startSuccessor(withBoth)
 	d.gateway.Stop()
 	d.send(issueRequest("/issue", "before"))
 	busyConn, err := net.Dial("tcp", d.address)
@@ -198,7 +198,7 @@
 	fmt.Fprint(busyConn, issueRequest("/issue?slow", "busy"))
 	before := d.submissions()
 	waitFor(t, "the request is not sent", func() bool { before = d.submissions(); return len(before) == 2 })
-	second := d.startSuccessor(both)
+	second := d.startSuccessor(withBoth)
 	first.Stop()
 	if status, _ := readResponse(busyConn); status != "HTTP/1.1 200 OK" {
 		t.Errorf("in flight: %q", status)
@@ -283,7 +283,7 @@
 	}
 	asked := map[string]float64{}
 	next := 0
-	var back []string // of the life before: they come once more
+	var retries []string // of the incarnation before: they are sent once more
 	for range *journalKills {
 		cmd := exec.Command(os.Args[0], "-test.run", "TestJournalChild$")
 		cmd.Env = append(os.Environ(), "WILLOWDECK_TEST_JOURNAL="+path,
@@ -301,7 +301,7 @@
 		}
 		var wg sync.WaitGroup
 		var mu sync.Mutex
-		var now []string
+		var sentNow []string
 		first := make(chan bool, 1)
 		for client := range 8 {
 			wg.Add(1)
@@ -310,18 +310,18 @@
 				for i := client; ; i += 8 {
 					mu.Lock()
 					var requestID string
-					if i < len(back) {
-						requestID = back[i]
+					if i < len(retries) {
+						requestID = retries[i]
 					} else {
 						next++
 						requestID = fmt.Sprint("x", next)
 						asked[requestID] = float64(time.Now().UnixMilli())
-						now = append(now, requestID)
+						sentNow = append(sentNow, requestID)
 					}
 					mu.Unlock()
 					c, err := net.Dial("tcp", at)
 					if err != nil {
-						return // it is dead
+						return // the gateway is killed
 					}
 					c.SetDeadline(time.Now().Add(2 * time.Second))
 					fmt.Fprint(c, issueRequest("/issue", requestID))
@@ -346,43 +346,43 @@
 		_ = cmd.Process.Kill()
 		wg.Wait()
 		_ = cmd.Wait()
-		back = now[:len(now)-len(now)/4] // the last ones may not have got there, and don't come again
+		retries = sentNow[:len(sentNow)-len(sentNow)/4] // the last ones may not have arrived, and are not retried
 	}
-	ran, twice := map[string]int{}, 0
+	runs, twice := map[string]int{}, 0
 	for _, w := range workers {
 		for _, g := range w.Got() {
-			if ran[g.ID]++; ran[g.ID] > 1 {
+			if runs[g.ID]++; runs[g.ID] > 1 {
 				twice++
 			}
 		}
 	}
 	end := float64(time.Now().UnixMilli())
-	keptConn := store.Dir(filepath.Join(dir, "n0"))
-	b, found, _, lives, err := store.ReadAll(keptConn, txnjournal.DefaultTerms(), end, nil, nil)
+	journalDir := store.Dir(filepath.Join(dir, "n0"))
+	b, found, _, incarnations, err := store.ReadAll(journalDir, txnjournal.DefaultTerms(), end, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	count, falsely, early, needless := [3]int{}, 0, 0, 0
+	count, falselyNotSent, falselySettled, unknownNotRun := [3]int{}, 0, 0, 0
 	for requestID, at := range asked {
 		v, why, _ := b.Answers(requestID, at, end, end)
 		count[v]++
 		switch {
-		case v == txnjournal.NotSent && ran[requestID] > 0:
-			falsely++
+		case v == txnjournal.NotSent && runs[requestID] > 0:
+			falselyNotSent++
 			t.Errorf("%s ran, and the journal says it was not sent: %s", requestID, why)
-		case v == txnjournal.SentSettled && ran[requestID] == 0:
-			early++
-		case v == txnjournal.SentUnknown && ran[requestID] == 0:
-			needless++
+		case v == txnjournal.SentSettled && runs[requestID] == 0:
+			falselySettled++
+		case v == txnjournal.SentUnknown && runs[requestID] == 0:
+			unknownNotRun++
 		}
 	}
 	t.Logf("%d incarnations, %d records in %d segments, %d bytes cut; of %d requests %d ran, "+
 		"%d twice; settled %d, unknown %d (%d of them never ran), not sent %d; "+
-		"falsely not sent %d, falsely settled %d", lives,
-		found.Records, found.Segments, found.Cut, len(asked), len(ran), twice, count[txnjournal.SentSettled],
-		count[txnjournal.SentUnknown], needless, count[txnjournal.NotSent], falsely, early)
-	if twice > 0 || early > 0 || len(ran) < *journalKills || int(lives) < *journalKills/2 {
+		"falsely not sent %d, falsely settled %d", incarnations,
+		found.Records, found.Segments, found.Cut, len(asked), len(runs), twice, count[txnjournal.SentSettled],
+		count[txnjournal.SentUnknown], unknownNotRun, count[txnjournal.NotSent], falselyNotSent, falselySettled)
+	if twice > 0 || falselySettled > 0 || len(runs) < *journalKills || int(incarnations) < *journalKills/2 {
 		t.Errorf("%d ran twice, %d are settled that never ran, %d ran in %d incarnations",
-			twice, early, len(ran), lives)
+			twice, falselySettled, len(runs), incarnations)
 	}
 }
--- a/internal/gateway/lifecycle/requests_test.go
+++ b/internal/gateway/lifecycle/requests_test.go
@@ -24,7 +24,7 @@
 // TestForwardUnchanged: requests reach the worker as the client has sent them.
 func TestForwardUnchanged(t *testing.T) {
 	d := deploy(t, 1, 5000)
-	cases := []struct{ name, raw, line, requestID string }{
+	cases := []struct{ name, raw, line, wantHeader string }{
 		{
 			"read",
 			checkRequest("/check/..//%41?", "9b1f"),
@@ -40,7 +40,8 @@
 				t.Errorf("answered %q %q", status, body)
 			}
 			got := d.submissions()
-			if len(got) != i+1 || !strings.HasPrefix(got[i], c.line+"\r\n") || !strings.Contains(got[i], c.requestID) {
+			if len(got) != i+1 || !strings.HasPrefix(got[i], c.line+"\r\n") ||
+				!strings.Contains(got[i], c.wantHeader) {
 				t.Fatalf("the worker got %q", got)
 			}
 			if i == 1 && !strings.HasSuffix(got[i], "\r\n\r\na\r\nb") {
@@ -122,67 +123,68 @@
 func TestMalformedRequests(t *testing.T) {
 	d := deploy(t, 1, 5000)
 	good := checkRequest("/check", "1")
-	swap := func(from, to string) string { return strings.Replace(good, from, to, 1) }
-	sell := func(from, to string) string { return strings.Replace(saleRequest("/sale", "1"), from, to, 1) }
+	checkWith := func(from, to string) string { return strings.Replace(good, from, to, 1) }
+	saleWith := func(from, to string) string { return strings.Replace(saleRequest("/sale", "1"), from, to, 1) }
 	const bad = "HTTP/1.1 400 Bad Request"
-	cases := []struct{ name, raw, status, reply string }{
-		{"no id", swap("X-Request-Id: 1\r\n", ""), bad, "X-Request-Id"},
-		{"two ids", swap("Host:", "X-Request-Id: 2\r\nHost:"), bad, "X-Request-Id"},
-		{"no product", swap("/check", "/"), bad, "product"},
-		{"unknown product", swap("/check", "/checks"), bad, "product"},
-		{"no path", swap("/check", "*"), bad, "read"},
-		{"wrong method", swap("GET", "DELETE"), bad, "method"},
-		{"unknown plan", swap("basic", "gold"), bad, "Plan"},
-		{"no plan", swap("Plan: basic\r\n", ""), bad, "Plan"},
-		{"customer not a number", swap("b4d65521", "zzz"), bad, "key"},
-		{"no cookie", swap("Cookie", "Kookie"), bad, "Cookie"},
-		{"two keys", swap("Cookie: ", "Cookie: key=00000000b4d65520; "), bad, "key"},
-		{"customer beyond 33 bits", swap("00000000b4d65521", "0000000200000000"), bad, "key"},
-		{"customer too short", swap("00000000b4d65521", "b4d65521"), bad, "key"},
-		{"id too long", swap("Id: 1", "Id: "+strings.Repeat("1", 65)), bad, "X-Request-Id"},
-		{"id of two words", swap("Id: 1", "Id: 1 2"), bad, "X-Request-Id"},
-		{"folded line", swap("Plan: basic", "Plan:\r\n basic"), bad, "head"},
-		{"bare line end", swap("basic\r\n", "basic\n"), bad, "head"},
-		{"read with a body", swap("Host:", "Content-Length: 2\r\nHost:") + "ab", bad, "body"},
-		{"two lengths", sell("Content", "Content-Length: 4\r\nContent"), bad, "read"},
-		{"length and coding", strings.TrimSuffix(sell("Host:", "Transfer-Encoding: chunked\r\nHost:"), "a\r\nb") +
+	cases := []struct{ name, raw, status, wantBody string }{
+		{"no id", checkWith("X-Request-Id: 1\r\n", ""), bad, "X-Request-Id"},
+		{"two ids", checkWith("Host:", "X-Request-Id: 2\r\nHost:"), bad, "X-Request-Id"},
+		{"no product", checkWith("/check", "/"), bad, "product"},
+		{"unknown product", checkWith("/check", "/checks"), bad, "product"},
+		{"no path", checkWith("/check", "*"), bad, "read"},
+		{"wrong method", checkWith("GET", "DELETE"), bad, "method"},
+		{"unknown plan", checkWith("basic", "gold"), bad, "Plan"},
+		{"no plan", checkWith("Plan: basic\r\n", ""), bad, "Plan"},
+		{"customer not a number", checkWith("b4d65521", "zzz"), bad, "key"},
+		{"no cookie", checkWith("Cookie", "Kookie"), bad, "Cookie"},
+		{"two keys", checkWith("Cookie: ", "Cookie: key=00000000b4d65520; "), bad, "key"},
+		{"customer beyond 33 bits", checkWith("00000000b4d65521", "0000000200000000"), bad, "key"},
+		{"customer too short", checkWith("00000000b4d65521", "b4d65521"), bad, "key"},
+		{"id too long", checkWith("Id: 1", "Id: "+strings.Repeat("1", 65)), bad, "X-Request-Id"},
+		{"id of two words", checkWith("Id: 1", "Id: 1 2"), bad, "X-Request-Id"},
+		{"folded line", checkWith("Plan: basic", "Plan:\r\n basic"), bad, "head"},
+		{"bare line end", checkWith("basic\r\n", "basic\n"), bad, "head"},
+		{"read with a body", checkWith("Host:", "Content-Length: 2\r\nHost:") + "ab", bad, "body"},
+		{"two lengths", saleWith("Content", "Content-Length: 4\r\nContent"), bad, "read"},
+		{"length and coding", strings.TrimSuffix(
+			saleWith("Host:", "Transfer-Encoding: chunked\r\nHost:"), "a\r\nb") +
 			"0\r\n\r\n" + checkRequest("/check", "2"), bad, "together"},
-		{"length and no coding", sell("Host:", "transfer-encoding: identity\r\nHost:"),
+		{"length and no coding", saleWith("Host:", "transfer-encoding: identity\r\nHost:"),
 			bad, "together"},
-		{"another hidden behind", swap("Plan", "Clan") + checkRequest("/check", "2"), bad, "Plan"},
-		{"negative length", sell("Length: 4", "Length: -4"), bad, "read"},
-		{"length beyond numbers", sell("Length: 4", "Length: 99999999999999999999"),
+		{"another hidden behind", checkWith("Plan", "Clan") + checkRequest("/check", "2"), bad, "Plan"},
+		{"negative length", saleWith("Length: 4", "Length: -4"), bad, "read"},
+		{"length beyond numbers", saleWith("Length: 4", "Length: 99999999999999999999"),
 			bad, "read"},
 		{"broken chunk", strings.Replace(saleRequest("/sale", "1"), "Content-Length: 4\r\n\r\n",
 			"Transfer-Encoding: chunked\r\n\r\n4000\r\n"+strings.Repeat("x", 1<<14)+"\r\nzz\r\n", 1),
 			bad, "read"},
-		{"endless headers", swap("Host:", strings.Repeat("X-Pad: pad\r\n", 4000)+"Host:"),
+		{"endless headers", checkWith("Host:", strings.Repeat("X-Pad: pad\r\n", 4000)+"Host:"),
 			"HTTP/1.1 431 Request Header Fields Too Large", "head"},
-		{"no unit of time", swap("300m", "300"), bad, "X-Deadline"},
-		{"no time left", swap("300m", "0m"), bad, "X-Deadline"},
-		{"infinite time", swap("300m", "infm"), bad, "X-Deadline"},
-		{"time of other digits", swap("300m", "0x10m"), bad, "X-Deadline"},
-		{"time beyond the largest", swap("300m", "3600001m"), bad, "X-Deadline"},
-		{"units beyond the largest", swap("units=1", "units=2"), bad, "units"},
-		{"spread beyond the gateways", swap("spread=1", "spread=2"), bad, "spread"},
-		{"first beyond them", swap("first=0", "first=1"), bad, "first"},
-		{"no units", swap("units=1,", ""), bad, "Quota-Info"},
-		{"negative units", swap("units=1", "units=-1"), bad, "Quota-Info"},
-		{"units not a number", swap("units=1", "units=NaN"), bad, "Quota-Info"},
-		{"spread of a half", swap("spread=1", "spread=0.5"), bad, "Quota-Info"},
-		{"units twice", swap("units=1", "units=1,units=2"), bad, "Quota-Info"},
-		{"idempotent without a key", sell("Idempotency", "Other"), bad,
+		{"no unit of time", checkWith("300m", "300"), bad, "X-Deadline"},
+		{"no time left", checkWith("300m", "0m"), bad, "X-Deadline"},
+		{"infinite time", checkWith("300m", "infm"), bad, "X-Deadline"},
+		{"time of other digits", checkWith("300m", "0x10m"), bad, "X-Deadline"},
+		{"time beyond the largest", checkWith("300m", "3600001m"), bad, "X-Deadline"},
+		{"units beyond the largest", checkWith("units=1", "units=2"), bad, "units"},
+		{"spread beyond the gateways", checkWith("spread=1", "spread=2"), bad, "spread"},
+		{"first beyond them", checkWith("first=0", "first=1"), bad, "first"},
+		{"no units", checkWith("units=1,", ""), bad, "Quota-Info"},
+		{"negative units", checkWith("units=1", "units=-1"), bad, "Quota-Info"},
+		{"units not a number", checkWith("units=1", "units=NaN"), bad, "Quota-Info"},
+		{"spread of a half", checkWith("spread=1", "spread=0.5"), bad, "Quota-Info"},
+		{"units twice", checkWith("units=1", "units=1,units=2"), bad, "Quota-Info"},
+		{"idempotent without a key", saleWith("Idempotency", "Other"), bad,
 			"Idempotency-Key"},
 		{"non-idempotent with a key", saleRequest("/issue", "1"), bad, "Idempotency-Key"},
 		{"no HTTP", "hello\r\n\r\n", bad, "read"},
-		{"body too long", sell("Length: 4", "Length: 60000000") +
+		{"body too long", saleWith("Length: 4", "Length: 60000000") +
 			strings.Repeat("x", 8<<20), "HTTP/1.1 413 Request Entity Too Large", "too long"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			status, body := d.send(c.raw)
-			if status != c.status || !strings.Contains(body, c.reply) {
-				t.Errorf("answered %q %q, want %q with %q", status, body, c.status, c.reply)
+			if status != c.status || !strings.Contains(body, c.wantBody) {
+				t.Errorf("answered %q %q, want %q with %q", status, body, c.status, c.wantBody)
 			}
 		})
 	}
@@ -266,7 +268,7 @@
 		"HTTP/1.1 500 Internal Server Error"
 	cases := []struct {
 		name, raw, status string
-		attempts          int
+		maxAttempts       int
 	}{
 		{"chunked response", checkRequest("/check?chunks", "1"), settled, 1},
 		{"read, error", checkRequest("/check?fault", "2"), declined, 3},
@@ -306,9 +308,9 @@
 			if status != c.status || status == settled && body != "valid\n" {
 				t.Errorf("answered %q %q, want %q", status, body, c.status)
 			}
-			time.Sleep(20 * time.Millisecond) // a resend would come at once
-			if got := d.submissions(); len(got) > c.attempts || len(got) < min(c.attempts, 2) {
-				t.Errorf("%d submissions, want %d, or one fewer on a slow machine", len(got), c.attempts)
+			time.Sleep(20 * time.Millisecond) // a retry would come at once
+			if got := d.submissions(); len(got) > c.maxAttempts || len(got) < min(c.maxAttempts, 2) {
+				t.Errorf("%d submissions, want %d, or one fewer on a slow machine", len(got), c.maxAttempts)
 			}
 			if b := inflight.Violations(); len(b) > 0 {
 				t.Errorf("invariants violated: %v", b)
@@ -348,7 +350,7 @@
 		t.Errorf("the watch requests %q, 7 was configured", q)
 	}
 	steps := []struct {
-		name, news, wantRequest string // asks: what the watch that is opened after it asks for
+		name, news, wantRequest string // wantRequest: of the watch that is opened after it
 		to                      []int
 	}{
 		{
@@ -404,7 +406,7 @@
 		})
 	}()
 	news := func(version int, entry string) {
-		time.Sleep(20 * time.Millisecond) // for the stand-in to see that it was left
+		time.Sleep(20 * time.Millisecond) // for the fake discovery to see that its watch was closed
 		d.updates <- fmt.Sprintf(`{"index":%d,"snapshot":false,"endpoints":[%s]}`, version, entry)
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -450,17 +452,17 @@
 
 // TestLoadInAnswers: a worker's load report is used where the settings announce it; an invalid one is not.
 func TestLoadInAnswers(t *testing.T) {
-	const told = `"report":{"how":"answers","fields":["concurrent"]},"family_info"`
+	const announced = `"report":{"how":"answers","fields":["concurrent"]},"family_info"`
 	cases := []struct {
 		name, as, load string
-		most           int // of 200 txns, at the worker that says so
+		maxRequests    int // of 200, at the worker with that load report
 	}{
-		{"busy", told, `{"inflight":90,"queue":80}`, 75},
-		{"busy by its utilization", told, `{"util":0.97}`, 75},
+		{"busy", announced, `{"inflight":90,"queue":80}`, 75},
+		{"busy by its utilization", announced, `{"util":0.97}`, 75},
 		{"not announced", `"family_info"`, `{"inflight":90}`, 200},
-		{"unreadable", told, `{"inflight":90,"queue":[}`, 200},
-		{"negative", told, `{"inflight":-90}`, 200},
-		{"not a number", told, `{"inflight":"90"}`, 200},
+		{"unreadable", announced, `{"inflight":90,"queue":[}`, 200},
+		{"negative", announced, `{"inflight":-90}`, 200},
+		{"not a number", announced, `{"inflight":"90"}`, 200},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -471,7 +473,7 @@
 					t.Fatal(status)
 				}
 			}
-			if n := d.workers[0].count(); n > c.most || c.most == 200 && n < 76 {
+			if n := d.workers[0].count(); n > c.maxRequests || c.maxRequests == 200 && n < 76 {
 				t.Errorf("%d of 200 requests went there", n)
 			}
 		})
@@ -534,8 +536,8 @@
 			d := deploy(t, 2, 5000, c.swaps...)
 			d.workers[0].silent = true
 			d.workers[1].silent = c.status == declined
-			const txns = 3
-			for i := range txns {
+			const requests = 3
+			for i := range requests {
 				raw := strings.Replace(checkRequest("/check", fmt.Sprint(i)), "300m", "600m", 1)
 				if status, _ := d.send(raw); status != c.status {
 					t.Errorf("request %d: %q, want %q", i, status, c.status)
@@ -543,7 +545,7 @@
 			}
 			before := len(d.submissions())
 			time.Sleep(50 * time.Millisecond)
-			if n := len(d.submissions()); n != before || d.workers[0].count() > txns {
+			if n := len(d.submissions()); n != before || d.workers[0].count() > requests {
 				t.Errorf("%d submissions after the last answer, %d to the silent one", n-before,
 					d.workers[0].count())
 			}
@@ -639,14 +641,14 @@
 func TestStopUnderTraffic(t *testing.T) {
 	const clients = 8
 	d := deploy(t, 1, 5000)
-	begin := make(chan time.Time)
+	stopTimes := make(chan time.Time)
 	type outcome struct {
 		settled, declined int
-		end               time.Duration // after the order
-		reply             bool          // by an answer
+		end               time.Duration // after the stop
+		announced         bool          // by the response's Connection header
 		err               string
 	}
-	ends := make(chan outcome, clients)
+	outcomes := make(chan outcome, clients)
 	var started sync.WaitGroup
 	for i := range clients {
 		started.Add(1)
@@ -656,52 +658,52 @@
 				panic(err)
 			}
 			defer c.Close()
-			r, o := bufio.NewReader(c), outcome{}
+			r, result := bufio.NewReader(c), outcome{}
 			for last := time.Now(); ; last = time.Now() {
 				time.Sleep(time.Duration(5+4*i) * time.Millisecond)
 				gap := time.Since(last)
 				c.SetDeadline(time.Now().Add(3 * time.Second))
-				fmt.Fprint(c, checkRequest("/check", fmt.Sprint(i, "-", o.settled+o.declined)))
+				fmt.Fprint(c, checkRequest("/check", fmt.Sprint(i, "-", result.settled+result.declined)))
 				res, err := http.ReadResponse(r, nil)
-				if err != nil { // a client that stood still itself may cross an idle connection's end
+				if err != nil { // a client that stalled itself may cross an idle connection's end
 					if gap < 100*time.Millisecond {
-						o.err = err.Error()
+						result.err = err.Error()
 					}
 					break
 				}
 				_, err = io.Copy(io.Discard, res.Body)
 				switch {
 				case err == nil && res.StatusCode == 200:
-					o.settled++
-				case err == nil && res.StatusCode == 429: // so many at once press a single worker
-					o.declined++
+					result.settled++
+				case err == nil && res.StatusCode == 429: // so many at once overload a single worker
+					result.declined++
 				default:
-					o.err = fmt.Sprint(res.StatusCode, err)
+					result.err = fmt.Sprint(res.StatusCode, err)
 				}
-				if o.settled+o.declined == 1 {
+				if result.settled+result.declined == 1 {
 					started.Done()
 				}
-				if o.reply = res.Close; o.reply {
+				if result.announced = res.Close; result.announced {
 					break
 				}
 			}
-			o.end = time.Since(<-begin)
-			ends <- o
+			result.end = time.Since(<-stopTimes)
+			outcomes <- result
 		}()
 	}
 	started.Wait()
 	stopped := time.Now()
 	go func() {
 		for range clients {
-			begin <- stopped
+			stopTimes <- stopped
 		}
 	}()
 	d.gateway.Stop()
 	elapsed, settled := time.Since(stopped), 0
 	for range clients {
-		o := <-ends
-		if settled += o.settled; o.err != "" {
-			t.Errorf("closed after %v, by a response %v: %s", o.end, o.reply, o.err)
+		result := <-outcomes
+		if settled += result.settled; result.err != "" {
+			t.Errorf("closed after %v, by a response %v: %s", result.end, result.announced, result.err)
 		}
 	}
 	if n := d.workers[0].count(); n != settled {
@@ -715,14 +717,14 @@
 // TestStopDuringResponse: a connection ends behind a response that had begun before the stop, and so did not
 // announce the end.
 func TestStopDuringResponse(t *testing.T) {
-	const halfConn = 64 << 10
-	on := make(chan bool)
+	const halfBytes = 64 << 10
+	proceed := make(chan bool)
 	d := deployBeforeHandler(t, func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Content-Length", fmt.Sprint(2*halfConn))
-		w.Write(testBody(halfConn))
+		w.Header().Set("Content-Length", fmt.Sprint(2*halfBytes))
+		w.Write(testBody(halfBytes))
 		w.(http.Flusher).Flush()
-		<-on
-		w.Write(testBody(halfConn))
+		<-proceed
+		w.Write(testBody(halfBytes))
 	})
 	c, err := net.Dial("tcp", d.address)
 	if err != nil {
@@ -742,8 +744,8 @@
 		close(stopped)
 	}()
 	waitFor(t, "the stop does not begin", func() bool { return d.gateway.frontend.Closing() })
-	close(on)
-	if n, err := io.Copy(io.Discard, res.Body); n != 2*halfConn || err != nil {
+	close(proceed)
+	if n, err := io.Copy(io.Discard, res.Body); n != 2*halfBytes || err != nil {
 		t.Errorf("%d bytes, %v", n, err)
 	}
 	if _, err := r.ReadByte(); !errors.Is(err, io.EOF) {
--- a/internal/gateway/lifecycle/ruleset_process_test.go
+++ b/internal/gateway/lifecycle/ruleset_process_test.go
@@ -93,7 +93,7 @@
 	const rate, depth = 100.0, 50.0
 	x.setLease(1, testRules(rate, depth), true)
 	dir := t.TempDir()
-	life := func() (*deployment, *process, time.Time) {
+	startNext := func() (*deployment, *process, time.Time) {
 		start := time.Now()
 		s := startProcess(t, list, x.address, dir, "--residue", filepath.Join(dir, "residue"))
 		d := &deployment{t: t, address: s.address}
@@ -114,15 +114,15 @@
 		}
 		return in
 	}
-	d, s, _ := life()
+	d, s, _ := startNext()
 	waitFor(t, "the rate limit never fills", func() bool {
-		time.Sleep(700 * time.Millisecond) // more than it takes to
+		time.Sleep(700 * time.Millisecond) // longer than it takes
 		return burst(d) == 40
 	})
 	time.Sleep(600 * time.Millisecond)
 	s.Process.Kill()
 	s.Wait()
-	d, s, _ = life()
+	d, s, _ = startNext()
 	waitFor(t, "no request is served under a lease", d.passes)
 	if in := burst(d); in < 35 {
 		t.Errorf("%d passed at once under the same ruleset", in)
@@ -131,7 +131,7 @@
 	s.Process.Kill()
 	s.Wait()
 	x.setLease(2, testRules(rate, depth), true)
-	d, _, start := life()
+	d, _, start := startNext()
 	waitFor(t, "no request is served under a lease", d.passes)
 	in := burst(d)
 	if most := rate*time.Since(start).Seconds() + 1; float64(in) > most {
@@ -145,7 +145,7 @@
 // process's own.
 func TestStalledOverRulesetChanges(t *testing.T) {
 	// Of all rounds together: a thread may be stopped between the last look and the write, which takes some us
-	// of the ms that a txn does. Without the looks there are up to four a round.
+	// of the ms that a request does. Without the checks there are up to four a round.
 	const maxStale = 2
 	staleSends := 0
 	w, list := startWorkerAndDiscovery(t)
@@ -168,7 +168,7 @@
 	waitFor(t, "it does not serve clients", d.passes)
 	stop := make(chan struct{})
 	var asking sync.WaitGroup
-	for range 64 { // all the while
+	for range 64 { // throughout the test
 		asking.Add(1)
 		go func() {
 			defer asking.Done()
@@ -226,7 +226,7 @@
 	if staleSends > maxStale {
 		t.Errorf("%d sent under versions that had expired", staleSends)
 	}
-	s.Process.Signal(syscall.SIGTERM) // so that its record is whole
+	s.Process.Signal(syscall.SIGTERM) // so that its record is complete
 	s.Wait()
 	testLog.Close()
 	workerLog.Close()
--- a/internal/gateway/lifecycle/ruleset_test.go
+++ b/internal/gateway/lifecycle/ruleset_test.go
@@ -25,9 +25,9 @@
 	address   string
 	mu        sync.Mutex
 	lease     ruleset.Lease
-	handler   func(http.ResponseWriter) // in place of the lease; nil for that
+	handler   func(http.ResponseWriter) // responds in place of the lease; nil for the lease
 	requests  int
-	lastQuery map[string]string // what the last question said
+	lastQuery map[string]string // parameters of the last request
 }
 
 func newFakeDaemon(t *testing.T) *fakeDaemon {
@@ -36,7 +36,7 @@
 	d.address = startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if r.URL.Path == UpdatePath { // as its mux does
+		if r.URL.Path == UpdatePath { // as the older daemon's mux does
 			http.NotFound(w, r)
 			return
 		}
@@ -73,10 +73,10 @@
 }
 
 // setHandler has it respond by a handler in place of a lease.
-func (d *fakeDaemon) setHandler(reply func(http.ResponseWriter)) {
+func (d *fakeDaemon) setHandler(handler func(http.ResponseWriter)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.handler = reply
+	d.handler = handler
 }
 
 func unavailable(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }
@@ -153,7 +153,7 @@
 	}
 	x.setLease(1, testRules(1000, 1000), true)
 	d.awaitMode(ruleset.ModeLeased)
-	time.Sleep(100 * time.Millisecond) // what a start takes as spent
+	time.Sleep(100 * time.Millisecond) // until what a start counts as used is refilled
 	if !d.passes() || d.lastRulesVersion() != 1 {
 		t.Errorf("version %d is in force", d.lastRulesVersion())
 	}
@@ -206,7 +206,7 @@
 	}
 	x.setLease(3, testRules(2000, 2000), true)
 	waitFor(t, "the rate limit is never raised", func() bool { return d.countPassed(50*time.Millisecond) > 10 })
-	x.setLease(2, testRules(10, 5), true) // an old word changes nothing, whatever its step
+	x.setLease(2, testRules(10, 5), true) // an older version changes nothing, whatever its step
 	if d.countPassed(200*time.Millisecond) < 20 || d.stat("rules.version") != 3 {
 		t.Errorf("back to version %d", d.stat("rules.version"))
 	}
@@ -223,7 +223,7 @@
 	for _, c := range []struct {
 		name      string
 		overrides []ruleset.WorkerOverride
-		out       []int // workers that get nothing
+		out       []int // workers that are sent nothing
 	}{
 		{"barred", []ruleset.WorkerOverride{{Worker: "w0", Barred: true}}, []int{0}},
 		{"drained", []ruleset.WorkerOverride{{Worker: "w1", Drained: true}}, []int{1}},
@@ -246,7 +246,7 @@
 			}
 		}
 		if l, _, ok := d.gateway.List(); ok {
-			if told, err := endpoints.Decode(l); err != nil || len(told.Workers) != 2 || !told.Workers[0].Active {
+			if list, err := endpoints.Decode(l); err != nil || len(list.Workers) != 2 || !list.Workers[0].Active {
 				t.Errorf("%s: joining instances receive %s", c.name, l)
 			}
 		}
@@ -271,8 +271,8 @@
 		return func(w http.ResponseWriter) { io.WriteString(w, s) }
 	}
 	for _, c := range []struct {
-		name  string
-		reply func(http.ResponseWriter)
+		name    string
+		handler func(http.ResponseWriter)
 	}{
 		{"corrupt", text(`{"Step":50,"Number":`)},
 		{"empty", text("")},
@@ -292,7 +292,7 @@
 			x.setLease(1, good, true)
 			d.awaitMode(ruleset.ModeLeased)
 			before := d.stat("rules.refused")
-			x.setHandler(c.reply)
+			x.setHandler(c.handler)
 			waitFor(t, "the rejection is not counted", func() bool { return d.stat("rules.refused") > before })
 			if v := d.stat("rules.version"); v != 1 {
 				t.Errorf("version %d is in force", v)
@@ -318,7 +318,7 @@
 // no longer names this gateway: nothing passes under its rate limits.
 func TestMembersFromRuleset(t *testing.T) {
 	d, x := deployBelowDaemon(t, 1)
-	// Guards against messages that outgrow a datagram once rules are gone by, as their word was forgotten.
+	// Guards against messages that outgrow a datagram once a ruleset is adopted.
 	if n := d.gateway.ruleset.baseCharter.ReportsPerTell; n != transport.MaxReportsPerMessage {
 		t.Errorf("%d reports to a message, where there is room for %d", n, transport.MaxReportsPerMessage)
 	}
@@ -360,7 +360,7 @@
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = rate, depth
 	}, 1, 5000)
 	d.awaitMode(ruleset.ModeLeased)
-	time.Sleep(3100 * time.Millisecond) // until the ceiling is full
+	time.Sleep(3100 * time.Millisecond) // until the rate limit is full
 	burst := func(n int) (in int) {
 		for range n {
 			if d.passes() {
@@ -395,11 +395,12 @@
 		d.awaitMode(ruleset.ModeLeased)
 	}
 	for _, c := range []struct {
-		name                  string
-		version               uint64 // of the later life's first lease
-		cutOff, customerKnown bool   // the former was cut off; the customer comes before the lease
-		restored              int64
-		wantStatus            string
+		name    string
+		version uint64 // of the later incarnation's first lease
+		// The former incarnation was in fallback; the customer's request comes before the lease.
+		inFallback, customerKnown bool
+		restored                  int64
+		wantStatus                string
 	}{
 		{"the same version", 1, false, false, 1, "429 Too Many Requests"},
 		{"another version", 2, false, false, 0, "200 OK"},
@@ -408,23 +409,23 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x, path := newFakeDaemon(t), filepath.Join(t.TempDir(), "residue")
-			life := func() *deployment {
+			startNext := func() *deployment {
 				x.setHandler(unavailable)
 				return deployWith(t, func(conf *config.Gatekeeper) {
 					conf.Agree, conf.Tells, conf.Residue, conf.Recall = x.address, true, path, true
 				}, 1, 5000)
 			}
-			of := func(d *deployment) string {
+			sendTiny := func(d *deployment) string {
 				status, _ := d.send(strings.NewReplacer("basic", "tiny", "b4d65521", "b4d65530").
 					Replace(checkRequest("/check", fmt.Sprint("r", requestSerial.Add(1)))))
 				return strings.TrimPrefix(status, "HTTP/1.1 ")
 			}
-			d := life()
+			d := startNext()
 			leased(x, 1, d)
-			if s := of(d); s != "200 OK" {
+			if s := sendTiny(d); s != "200 OK" {
 				t.Fatalf("at a first start: %q", s)
 			}
-			if c.cutOff {
+			if c.inFallback {
 				x.setHandler(unavailable)
 				d.awaitMode(ruleset.ModeFallback)
 			}
@@ -434,20 +435,20 @@
 				"no checkpoints are written",
 				func() bool { return d.gateway.dispatcher.CheckpointStats().Written.Load() > n+1 },
 			)
-			d.gateway.listener.Close() // as at a sudden end
+			d.gateway.listener.Close() // as in a crash
 			d.gateway.dispatcher.Stop()
 			close(d.gateway.done)
 
-			d = life()
+			d = startNext()
 			t.Cleanup(func() { close(d.gateway.done) })
 			if c.customerKnown {
-				of(d)
+				sendTiny(d)
 			}
 			if n := d.stat("copies.recalled"); n > 0 {
 				t.Errorf("%d restored before a ruleset is adopted", n)
 			}
 			leased(x, c.version, d)
-			s, n := of(d), d.stat("copies.recalled")
+			s, n := sendTiny(d), d.stat("copies.recalled")
 			if n != c.restored || c.wantStatus != "" && s != c.wantStatus ||
 				d.gateway.unrestoredCheckpoint.Load() != nil {
 				t.Errorf("%q, %d restored", s, n)
--- a/internal/gateway/lifecycle/ruleset_updates_test.go
+++ b/internal/gateway/lifecycle/ruleset_updates_test.go
@@ -22,15 +22,15 @@
 	t                 *testing.T
 	address           string
 	mu                sync.Mutex
-	legacy            bool                         // it tells all, as a daemon of an older program does
-	alterUpdate       func(*distribution.Response) // what it does to an answer; nil for nothing
-	handler           func(w http.ResponseWriter)  // in place of one; nil for that
+	legacy            bool                         // it serves LeasePath alone, as older daemons do
+	alterUpdate       func(*distribution.Response) // alters an update; nil for none
+	handler           func(w http.ResponseWriter)  // responds in place of an update; nil for updates
 	lease             ruleset.Lease
 	source            *distribution.Source
 	lastRequest       distribution.Request
-	updateRequests    int // for changes
-	leaseRequests     int // for all
-	fullStateRequests int // with nothing here
+	updateRequests    int // at UpdatePath
+	leaseRequests     int // at LeasePath
+	fullStateRequests int // at UpdatePath, from an instance without a version
 }
 
 func newFakeUpdateDaemon(t *testing.T) *fakeUpdateDaemon {
@@ -39,13 +39,13 @@
 	handler := relay.NewHandler(x.respond)
 	x.address = startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		x.mu.Lock()
-		older, reply, lease := x.legacy, x.handler, x.lease
+		legacy, reply, lease := x.legacy, x.handler, x.lease
 		if r.URL.Path == LeasePath {
 			x.leaseRequests++
 		}
 		x.mu.Unlock()
 		switch {
-		case r.URL.Path == UpdatePath && older:
+		case r.URL.Path == UpdatePath && legacy:
 			http.NotFound(w, r)
 		case reply != nil:
 			reply(w)
@@ -109,27 +109,27 @@
 
 // restart has it forget all that it has sent, as a daemon that starts does. A legacy one serves LeasePath
 // alone.
-func (x *fakeUpdateDaemon) restart(older bool) {
+func (x *fakeUpdateDaemon) restart(legacy bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.legacy, x.source = older, distribution.NewSource("h", "till", distribution.SourceConfig{})
+	x.legacy, x.source = legacy, distribution.NewSource("h", "till", distribution.SourceConfig{})
 }
 
 // setAlterUpdate has it alter its updates from now on; nil for not.
-func (x *fakeUpdateDaemon) setAlterUpdate(tells func(*distribution.Response)) {
+func (x *fakeUpdateDaemon) setAlterUpdate(alter func(*distribution.Response)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.alterUpdate = tells
+	x.alterUpdate = alter
 }
 
-func (x *fakeUpdateDaemon) setHandler(reply func(http.ResponseWriter)) {
+func (x *fakeUpdateDaemon) setHandler(handler func(http.ResponseWriter)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.handler = reply
+	x.handler = handler
 }
 
 // requestStats gives its last request, and how many there were.
-func (x *fakeUpdateDaemon) requestStats() (last distribution.Request, asked, complete, bare int) {
+func (x *fakeUpdateDaemon) requestStats() (last distribution.Request, updates, leases, fullStates int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.lastRequest, x.updateRequests, x.leaseRequests, x.fullStateRequests
@@ -205,8 +205,9 @@
 	if w, n := d.stat("rules.wholes"), d.stat("rules.deltas"); w != 1 || n != 3 {
 		t.Errorf("%d full states, %d deltas", w, n)
 	}
-	if _, _, complete, bare := x.requestStats(); complete != 0 || d.stat("rules.spoilt") != 0 {
-		t.Errorf("%d lease requests, %d requests for the full state", complete, bare)
+	_, _, leaseRequests, fullStateRequests := x.requestStats()
+	if leaseRequests != 0 || d.stat("rules.spoilt") != 0 {
+		t.Errorf("%d lease requests, %d requests for the full state", leaseRequests, fullStateRequests)
 	}
 	if d.stat("rules.work_us") == 0 || d.stat("rules.bytes_out") == 0 {
 		t.Error("work and bytes are not counted")
@@ -217,10 +218,10 @@
 // changes nothing and is counted. The next request is for the full state, and its version is adopted.
 func TestCorruptUpdates(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		tells  func(*distribution.Response)
-		figure string
-		base   bool // what is here is still a base
+		name      string
+		alter     func(*distribution.Response)
+		figure    string
+		keepsBase bool // the instance's version is still usable as a base
 	}{
 		{"another value", func(a *distribution.Response) {
 			if a.RulesDelta != nil {
@@ -258,7 +259,7 @@
 			d.awaitMode(ruleset.ModeLeased)
 			_, _, _, before := x.requestStats()
 			x.setLease(2, testRules(500, 500), nil)
-			x.setAlterUpdate(c.tells)
+			x.setAlterUpdate(c.alter)
 			waitFor(t, "the rejection is not counted", func() bool {
 				return d.stat(c.figure) > 0 && d.stat("rules.refused") > 0
 			})
@@ -267,10 +268,11 @@
 			}
 			x.setAlterUpdate(nil)
 			waitFor(t, "version 2 is not adopted", func() bool { return d.stat("rules.version") == 2 })
-			_, _, complete, bare := x.requestStats()
-			if complete > 0 || (bare > before) == c.base || (d.stat("rules.wholes") == 2) == c.base {
-				t.Errorf("%d lease requests, %d requests for the full state, %d received", complete, bare-before,
-					d.stat("rules.wholes"))
+			_, _, leaseRequests, fullStateRequests := x.requestStats()
+			if leaseRequests > 0 || (fullStateRequests > before) == c.keepsBase ||
+				(d.stat("rules.wholes") == 2) == c.keepsBase {
+				t.Errorf("%d lease requests, %d requests for the full state, %d received", leaseRequests,
+					fullStateRequests-before, d.stat("rules.wholes"))
 			}
 			d.awaitMode(ruleset.ModeLeased)
 		})
@@ -288,12 +290,12 @@
 			x.setLease(50, r, nil)
 		}
 	}
-	bare := func(reply func(http.ResponseWriter)) func(x *fakeUpdateDaemon) {
-		return func(x *fakeUpdateDaemon) { x.setHandler(reply) }
+	withHandler := func(handler func(http.ResponseWriter)) func(x *fakeUpdateDaemon) {
+		return func(x *fakeUpdateDaemon) { x.setHandler(handler) }
 	}
 	for _, c := range []struct {
-		name string
-		does func(x *fakeUpdateDaemon)
+		name  string
+		apply func(x *fakeUpdateDaemon)
 	}{
 		{"another format", with(func(r *ruleset.Rules) { r.Format = 7 })},
 		{"needs an unknown feature", with(func(r *ruleset.Rules) { r.Needs = []string{"moon"} })},
@@ -305,9 +307,9 @@
 		{"negative age", func(x *fakeUpdateDaemon) {
 			x.setAlterUpdate(func(a *distribution.Response) { a.AgeMillis = -5 })
 		}},
-		{"corrupt", bare(func(w http.ResponseWriter) { w.Write([]byte("\x81\x01")) })},
-		{"empty", bare(func(w http.ResponseWriter) {})},
-		{"too long", bare(func(w http.ResponseWriter) {
+		{"corrupt", withHandler(func(w http.ResponseWriter) { w.Write([]byte("\x81\x01")) })},
+		{"empty", withHandler(func(w http.ResponseWriter) {})},
+		{"too long", withHandler(func(w http.ResponseWriter) {
 			w.Write(bytes.Repeat([]byte(" "),
 				distribution.MaxResponseBytes+1))
 		})},
@@ -319,7 +321,7 @@
 			x.setLease(1, testRules(1000, 1000), nil)
 			d.awaitMode(ruleset.ModeLeased)
 			before := d.stat("rules.refused")
-			c.does(x)
+			c.apply(x)
 			waitFor(t, "the rejection is not counted", func() bool { return d.stat("rules.refused") > before })
 			if v := d.stat("rules.version"); v != 1 {
 				t.Errorf("version %d is in force", v)
@@ -341,8 +343,9 @@
 	d := deployBelowUpdateDaemon(t, x)
 	x.setLease(1, testRules(1000, 1000), nil)
 	d.awaitMode(ruleset.ModeLeased)
-	if _, asked, complete, _ := x.requestStats(); asked != 0 || complete == 0 || d.stat("rules.wholes") != 0 {
-		t.Errorf("%d update requests, %d lease requests", asked, complete)
+	_, updateRequests, leaseRequests, _ := x.requestStats()
+	if updateRequests != 0 || leaseRequests == 0 || d.stat("rules.wholes") != 0 {
+		t.Errorf("%d update requests, %d lease requests", updateRequests, leaseRequests)
 	}
 	if d.stat("rules.bytes_in") == 0 {
 		t.Error("bytes are not counted")
@@ -428,7 +431,7 @@
 	x.setLease(1, testRules(1000, 1000), &p)
 	awaitAcked(4)
 	before, in := d.stat("rules.deltas"), d.stat("rules.bytes_in")
-	x.setLease(2, p, nil) // it has come in force: the gatekeeper has it already
+	x.setLease(2, p, nil) // the pending version is in force: the gateway has it already
 	waitFor(t, "version 2 is not adopted", func() bool { return d.stat("rules.version") == 2 })
 	if d.stat("rules.deltas") != before || d.stat("rules.wholes") != 1 || d.stat("rules.spoilt") != 0 {
 		t.Errorf("%d full states, %d deltas, %d corrupt, %d bytes", d.stat("rules.wholes"),
@@ -440,7 +443,7 @@
 // member, and none where it names no member. Guards against an address of a former member, under which
 // another's datagrams would be counted, and against thousands of members that count as another's at a start.
 func TestPeerAddresses(t *testing.T) {
-	at := func(s ...string) (all []netip.AddrPort) {
+	parse := func(s ...string) (all []netip.AddrPort) {
 		for _, x := range s {
 			a, _ := netip.ParseAddrPort(x)
 			all = append(all, a)
@@ -448,10 +451,10 @@
 		return all
 	}
 	a := &rulesetClient{gateway: &Gateway{}}
-	a.gateway.config.Peers = at("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "0.0.0.0:0", "10.0.0.5:1")
+	a.gateway.config.Peers = parse("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "0.0.0.0:0", "10.0.0.5:1")
 	a.newest.Rules.Members = []ruleset.Member{{Name: "a", Peers: "10.0.1.1:1"}, {Name: "b"}, {}, {}, {},
 		{Name: "f"}, {Name: "g", Peers: "10.0.1.7:1"}}
-	want := at("10.0.1.1:1", "10.0.0.2:1", "", "0.0.0.0:0", "", "", "10.0.1.7:1")
+	want := parse("10.0.1.1:1", "10.0.0.2:1", "", "0.0.0.0:0", "", "", "10.0.1.7:1")
 	if got := a.peerAddresses(); !slices.Equal(got, want) {
 		t.Errorf("%v, not %v", got, want)
 	}
--- a/internal/gateway/lifecycle/scripted_worker_test.go
+++ b/internal/gateway/lifecycle/scripted_worker_test.go
@@ -23,9 +23,9 @@
 type scriptedWorker struct {
 	net.Listener
 	t              *testing.T
-	submissions    atomic.Int64     // submissions that came whole
-	runningScripts atomic.Int64     // scripts that play
-	unscripted     chan *workerConn // connections that no script takes
+	submissions    atomic.Int64     // complete submissions
+	runningScripts atomic.Int64     // scripts in progress
+	unscripted     chan *workerConn // connections without a script
 }
 
 // workerConn is one connection to a scriptedWorker.
@@ -142,8 +142,8 @@
 	at := netip.MustParseAddrPort(b.Addr().String())
 	return deployWith(t, func(c *config.Gatekeeper) {
 		c.Known.Workers[0].Address = at
-		c.Lines.ConnectTimeout = 5000 // a loaded machine is no late connection
-		c.Cores = 4                   // the stand-ins run in this process, and are to take none of the gatekeeper's
+		c.Lines.ConnectTimeout = 5000 // a slow machine must not count as a connect time-out
+		c.Cores = 4                   // the workers run in this process, and must take none of the gateway's
 	}, 1, 5000, swaps...)
 }
 
@@ -163,7 +163,7 @@
 
 // clientReply is a client's response.
 type clientReply struct {
-	status   int // 0: no answer
+	status   int // 0 for no response
 	body     []byte
 	complete bool
 	elapsed  time.Duration
--- a/internal/gateway/lifecycle/settings_test.go
+++ b/internal/gateway/lifecycle/settings_test.go
@@ -23,8 +23,8 @@
 	products := []struct {
 		name, keys string
 		ask        func(target, id string) string
-		status     string // after a cut
-		attempts   int    // most, and where it is more than one at least two
+		status     string // after a cut response
+		attempts   int    // at most; at least two where it is more than one
 	}{
 		{"toll", `"effect":"non_idempotent"`, issueRequest, voided, 1},
 		{"crossing", `"effect":"idempotency_key","group":"all","window_us":5000000`, saleRequest, declined, 3},
--- a/internal/gateway/lifecycle/start_test.go
+++ b/internal/gateway/lifecycle/start_test.go
@@ -42,7 +42,7 @@
 func newProcessGroup(t *testing.T) *processGroup {
 	t.Helper()
 	n := &processGroup{t, make(chan func())}
-	go func() { // the thread does not return to the pool, and its children end with it at the latest
+	go func() { // the thread does not return to the pool, and its child processes end with it at the latest
 		runtime.LockOSThread()
 		var may, one unix.CPUSet
 		if unix.SchedGetaffinity(0, &may) == nil {
@@ -85,7 +85,7 @@
 // silentDiscoveries are the addresses of discoveries that send a starting gateway nothing, by how they fail.
 func silentDiscoveries(t *testing.T) map[string]string {
 	t.Helper()
-	held := func(reply string) string {
+	serveText := func(text string) string {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -98,13 +98,13 @@
 					return
 				}
 				t.Cleanup(func() { c.Close() })
-				_, _ = c.Write([]byte(reply))
+				_, _ = c.Write([]byte(text))
 			}
 		}()
 		return l.Addr().String()
 	}
-	return map[string]string{"refuses": ports.Address(t), "is silent": held(""),
-		"stops in a list": held("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n{\"index\":9"),
+	return map[string]string{"refuses": ports.Address(t), "is silent": serveText(""),
+		"stops in a list": serveText("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n{\"index\":9"),
 		"is black-holed":  fullBacklogAddress(t)}
 }
 
@@ -254,7 +254,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { c.Close() }) // open when its gatekeeper is killed
+			t.Cleanup(func() { c.Close() }) // open when its gateway is killed
 			raw := strings.NewReplacer("first=0", fmt.Sprint("first=", i), "300m", "2000m")
 			fmt.Fprint(c, raw.Replace(checkRequest("/check", fmt.Sprint(name, i))))
 			if status, _ := readResponse(c); status != "HTTP/1.1 200 OK" {
@@ -298,7 +298,7 @@
 		)
 	}
 	t.Logf(
-		"processor time of a life with one txn: %v to %v",
+		"processor time of a process with one request: %v to %v",
 		processorTimes[0],
 		processorTimes[len(processorTimes)-1],
 	)
@@ -306,8 +306,8 @@
 }
 
 // logWatcher gives a logger, and a channel that is closed once it has logged a text.
-func logWatcher(reply string) (zerolog.Logger, <-chan struct{}) {
-	h := &logMatcher{substring: reply, matched: make(chan struct{})}
+func logWatcher(substring string) (zerolog.Logger, <-chan struct{}) {
+	h := &logMatcher{substring: substring, matched: make(chan struct{})}
 	return zerolog.New(h), h.matched
 }
 
@@ -407,7 +407,7 @@
 	}
 	n := newProcessGroup(t)
 	faultinject.Program(t, "willowdeck")
-	for range 5 { // a machine that stands still may miss the time in which new connections are served
+	for range 5 { // a machine that stalls may miss the time in which new connections are served
 		former := ports.Listen(t)
 		at := former.Addr().String()
 		file := filepath.Join(t.TempDir(), "n0.json")
@@ -432,8 +432,8 @@
 		}
 		former.Close()
 		var c net.Conn
-		over := false
-		for c == nil && !over {
+		exited := false
+		for c == nil && !exited {
 			if c, err = net.DialTimeout("tcp4", at, time.Second); err == nil {
 				break
 			}
@@ -441,7 +441,7 @@
 			select {
 			case err := <-ended:
 				ended <- err
-				over = true
+				exited = true
 			case <-time.After(time.Millisecond):
 			}
 		}
--- a/internal/gateway/lifecycle/stop_test.go
+++ b/internal/gateway/lifecycle/stop_test.go
@@ -102,7 +102,7 @@
 		name, raw, status string
 		swaps             []string
 		change            func(*deployment, *config.Gatekeeper)
-		sentBytes         int // bytes that come before the order; 0 is all
+		sentBytes         int // before the stop; 0 is all
 		reached           func(*deployment) bool
 		maxAttempts       int // at most
 	}{
@@ -166,8 +166,8 @@
 			if n := count(d); n != attempts || n > c.maxAttempts {
 				t.Errorf("%d submissions, %d when it was answered", n, attempts)
 			}
-			broken := inflight.Violations() // the process's, and so of the tests before it too
-			delete(broken, "in_time")       // a machine that is busy with more may be late
+			broken := inflight.Violations() // counted by the process, and so of the tests before it too
+			delete(broken, "in_time")       // a busy machine may be late
 			if len(broken) > 0 {
 				t.Errorf("invariants violated: %v", broken)
 			}
@@ -240,9 +240,9 @@
 		t.Errorf("requests are aborted after %g and %g ms", policy.StopLongest, policy.StopAll)
 	}
 	for _, c := range []struct {
-		name        string
-		swaps       []string
-		early, late time.Duration
+		name             string
+		swaps            []string
+		earliest, latest time.Duration
 	}{
 		{"no deadlines configured", nil, 3 * time.Second, 4500 * time.Millisecond},
 		{"one is long", []string{`"aim_us":400000`, `"aim_us":400000,"hard_limit_us":90000000`}, 3 * time.Second,
@@ -253,12 +253,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			d := deploy(t, 1, 5000, append(c.swaps, `"cancel":true`, `"cancel":false`)...)
-			testStopAborts(t, d, c.early, c.late)
+			testStopAborts(t, d, c.earliest, c.latest)
 		})
 	}
 }
 
-func testStopAborts(t *testing.T, d *deployment, early, late time.Duration) {
+func testStopAborts(t *testing.T, d *deployment, earliest, latest time.Duration) {
 	t.Helper()
 	c := d.dial()
 	c.SetDeadline(time.Now().Add(8 * time.Second))
@@ -269,11 +269,11 @@
 	if status, _ := readResponse(c); status != "HTTP/1.1 500 Internal Server Error" {
 		t.Errorf("answered %q", status)
 	}
-	if end := time.Since(from); end > late || end < early {
+	if end := time.Since(from); end > latest || end < earliest {
 		t.Errorf("answered after %v", end)
 	}
 	c.Close()
-	if end := elapsed(); end > late {
+	if end := elapsed(); end > latest {
 		t.Errorf("stopped after %v", end)
 	}
 	if n := len(d.submissions()); n != 1 {
@@ -301,7 +301,7 @@
 	}
 	elapsed := d.stopInBackground()
 	waitFor(t, "the stop does not begin", d.gateway.frontend.Closing)
-	fmt.Fprint(c, waits("2")) // it has crossed the end, which comes behind the answer: it is served
+	fmt.Fprint(c, waits("2")) // it has crossed the announced end, which comes after the response: it is served
 	n, err := io.Copy(io.Discard, res.Body)
 	if n != size || err != nil {
 		t.Errorf("%d bytes, %v", n, err)
@@ -310,7 +310,8 @@
 		t.Fatalf("the next response: %+v, %v", res, err)
 	}
 	n, err = io.Copy(io.Discard, res.Body)
-	declined := res.StatusCode == http.StatusTooManyRequests && n == 0 // so slow an answer may press its worker
+	// So slow a response may overload its worker.
+	declined := res.StatusCode == http.StatusTooManyRequests && n == 0
 	if settled := res.StatusCode == http.StatusOK && n == size; err != nil || !settled && !declined {
 		t.Errorf("the next: %s, %d bytes, %v", res.Status, n, err)
 	}
--- a/internal/gateway/lifecycle/streaming_test.go
+++ b/internal/gateway/lifecycle/streaming_test.go
@@ -236,7 +236,7 @@
 		for range 8 {
 			w.Write([]byte("x"))
 			w.(http.Flusher).Flush()
-			time.Sleep(40 * time.Millisecond) // 320 ms in all; a whole one may not pause for AnswerPause
+			time.Sleep(40 * time.Millisecond) // 320 ms in all; a complete one may not pause for AnswerPause
 		}
 	})
 	c := strings.Replace(checkRequest("/check", "t"), "300m", "900m", 1)
--- a/internal/gateway/lifecycle/worker_endings_test.go
+++ b/internal/gateway/lifecycle/worker_endings_test.go
@@ -22,8 +22,8 @@
 var workerEndings = []struct {
 	name       string
 	script     func(*workerConn)
-	onceStatus int // status that a once-only txn gets
-	openConns  int // connections left after it
+	onceStatus int // status that a non-idempotent request gets
+	openConns  int // connections open afterwards
 }{
 	{"an answer", respondAlways(validResponse), 200, 1},
 	{"reset under the request", func(x *workerConn) { _, _ = x.reader.Peek(20); x.reset() }, 500, 0},
@@ -78,7 +78,7 @@
 	{"an interim answer alone", respondAlways("HTTP/1.1 102 B\r\n\r\n"), 500, 0},
 	{"not run", respondAlways(notRunHead + "Content-Length: 0\r\n\r\n"), 429, 1},
 	{"not run, 504", respondAlways("HTTP/1.1 504 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"), 429, 1},
-	{"not run, spoilt", respondThen(notRunHead+"Content-Length: 9\r\n\r\nno", finishConn), 500, 0},
+	{"not run, truncated", respondThen(notRunHead+"Content-Length: 9\r\n\r\nno", finishConn), 500, 0},
 	{"not run, broken", respondThen(notRunHead+"Content-Length: 9\r\n\r\nno", resetConn), 500, 0},
 	{"not run, half a head", respondThen(notRunHead, resetConn), 500, 0},
 	{
@@ -118,7 +118,8 @@
 			if got.status != c.onceStatus || !got.complete || c.onceStatus == 200 && string(got.body) != "valid\n" {
 				t.Errorf("the non-idempotent request got %d %q, want %d", got.status, got.body, c.onceStatus)
 			}
-			if got.elapsed > 1100*time.Millisecond { // its client waits for 600, and an answer is lost from 1100 on
+			// Its client waits for 600 ms, and a response is lost from 1100 ms on.
+			if got.elapsed > 1100*time.Millisecond {
 				t.Errorf("it got it after %v", got.elapsed)
 			}
 			if n := b.submissions.Load(); n > 1 && c.onceStatus != 429 || n > 3 {
@@ -147,7 +148,7 @@
 	b := startScriptedWorker(t, func(x *workerConn) { (*script.Load())(x) })
 	d := deployBefore(t, b)
 	before := 0
-	for round := range 2 { // the first has each that is kept started
+	for round := range 2 { // the first round starts all goroutines that stay
 		for _, c := range workerEndings {
 			script.Store(&c.script)
 			for range times {
@@ -155,7 +156,7 @@
 				<-d.sendAsync(shortDeadline(checkRequest("/check", "n2")))
 			}
 			d.awaitWorkerConns(c.openConns)
-			d.gateway.workerConns.CloseIdle(0) // what is kept would play its script on
+			d.gateway.workerConns.CloseIdle(0) // an open connection would go on with its script
 			d.awaitWorkerConns(0)
 		}
 		waitFor(t, "scripts go on", func() bool { return b.runningScripts.Load() == 0 })
@@ -246,7 +247,7 @@
 		string(body) + "\r\n0\r\n\r\n"
 	for _, c := range []struct {
 		name, first string
-		then        func(*workerConn) // once the client has its answer
+		afterwards  func(*workerConn) // once the client has its response
 		want        []byte
 	}{
 		{"a second answer behind", validResponse + otherResponse, nil, []byte("valid\n")},
@@ -266,14 +267,14 @@
 			x := b.accept()
 			defer x.Close()
 			x.readSubmission()
-			// In one write, so that what is read of the answer's end has what is behind it in it.
+			// In one write, so that the read of the response's end contains what follows it.
 			x.respond(c.first)
 			if a := <-got; a.status != 200 || !a.complete || !bytes.Equal(a.body, c.want) {
 				t.Fatalf("the first got %d, %d bytes, complete %v", a.status, len(a.body), a.complete)
 			}
-			if c.then != nil {
+			if c.afterwards != nil {
 				d.awaitWorkerConns(1)
-				c.then(x)
+				c.afterwards(x)
 			}
 			got = d.sendAsync(withLongDeadline(issueRequest("/issue", "a2")))
 			y := b.accept()
@@ -309,7 +310,7 @@
 	}
 	x.respond(validResponse)
 	d.awaitWorkerConns(0)
-	fmt.Fprint(c, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n") // the next thing that comes is the answer to this
+	fmt.Fprint(c, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n") // the next response has to be that to this request
 	if a, err := http.ReadResponse(r, nil); err != nil || a.StatusCode != 200 || a.ContentLength == 6 {
 		t.Errorf("after it came %+v, %v", a, err)
 	}
@@ -343,7 +344,7 @@
 		c,
 		strings.Replace(withLongDeadline(issueRequest("/issue", id)), "Length: 0", fmt.Sprint("Length: ", size), 1),
 	)
-	go c.Write(make([]byte, sent)) // the gatekeeper need not take it all
+	go c.Write(make([]byte, sent)) // the gateway need not read it all
 	return c, bufio.NewReader(c)
 }
 
@@ -435,7 +436,8 @@
 	defer x.Close()
 	x.SetReadBuffer(4 << 10)
 	x.readPartial(1 << 10)
-	write := runtime.FuncForPC(reflect.ValueOf((*transport.WorkerConn).Write).Pointer()).Name() // as in a stack
+	// As in a goroutine's stack.
+	write := runtime.FuncForPC(reflect.ValueOf((*transport.WorkerConn).Write).Pointer()).Name()
 	stack := make([]byte, 1<<20)
 	waitFor(t, "the body is still being sent", func() bool {
 		for _, s := range strings.Split(string(stack[:runtime.Stack(stack, true)]), "\n\n") {
@@ -468,7 +470,7 @@
 		t.Fatal(err)
 	}
 	x.respond("HTTP/1.1 102 On\r\n\r\n")
-	time.Sleep(250 * time.Millisecond) // longer than an answer may pause
+	time.Sleep(250 * time.Millisecond) // longer than a response may pause
 	c.Write(make([]byte, size-size/2))
 	if n, err := io.Copy(io.Discard, req.Body); n != size || err != nil {
 		t.Fatalf("the worker got %d bytes, %v", n, err)
@@ -492,7 +494,7 @@
 // the next attempt is complete.
 func TestNoOverlappingAttempts(t *testing.T) {
 	const established = 1
-	for _, c := range []struct{ name, reply string }{
+	for _, c := range []struct{ name, text string }{
 		{"noise", "what is this, then?\r\n\r\n"},
 		{"half a status line", "HTTP/1.1 20"},
 		{"length too short", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nvalid\n"},
@@ -508,7 +510,7 @@
 			x := b.accept()
 			defer x.Close()
 			x.readSubmission()
-			x.respond(c.reply)
+			x.respond(c.text)
 			y := b.accept()
 			defer y.Close()
 			y.readSubmission()
@@ -546,7 +548,7 @@
 		got <- n
 	}()
 	go c.Write(make([]byte, size-size/3))
-	for complete := false; !complete; { // it goes on coming, slowly, until the body is there
+	for complete := false; !complete; { // it trickles until the body is complete
 		select {
 		case n := <-got:
 			if complete = true; n != size {
