--- a/internal/lab/scale/keepers.go
+++ b/internal/lab/scale/keepers.go
@@ -31,7 +31,7 @@
 }
 
 // keeper is one: the holder, the question and the reading are the real ones, in the order in which
-// lifecycle/agree.go has them; what is adopted governs nothing.
+// lifecycle/ruleset_requests.go has them; what is adopted governs nothing.
 type keeper struct {
 	of     *keepers
 	c      *HollowKeeper
