--- a/internal/gateway/lifecycle/admin.go
+++ b/internal/gateway/lifecycle/admin.go
@@ -20,27 +20,27 @@
 	g.draining.Store(false)
 }
 
-// Note logs an admin call.
-func (g *Gateway) Note(call string) { g.log.Info().Str("call", call).Msg("admin call") }
+// LogCall logs an admin call.
+func (g *Gateway) LogCall(call string) { g.log.Info().Str("call", call).Msg("admin call") }
 
-// Figures gathers the stats of /admin/stats, from counters and copies alone: it takes no lock of a request's
+// Stats gathers the stats of /admin/stats, from counters and copies alone: it takes no lock of a request's
 // path.
-func (g *Gateway) Figures() admin.Figures {
+func (g *Gateway) Stats() admin.Stats {
 	tally := g.dispatcher.CachedTally()
-	f := admin.Figures{
-		Tries:   g.workerConns.AttemptsWritten(),
-		Active:  g.frontend.ActiveRequests(),
-		Workers: int64(tally.Workers),
-		Avoided: int64(tally.Distrusted),
+	f := admin.Stats{
+		Attempts: g.workerConns.AttemptsWritten(),
+		Active:   g.frontend.ActiveRequests(),
+		Workers:  int64(tally.Workers),
+		Ejected:  int64(tally.Distrusted),
 	}
-	f.Products = make([]admin.Product, len(g.config.Charter.Products))
+	f.Products = make([]admin.ProductStats, len(g.config.Charter.Products))
 	for name, i := range g.config.Names.Products {
 		p := &f.Products[i]
 		p.Name = name
-		p.Settled, p.Declined, p.Voided = g.frontend.FinalCounts(i)
+		p.Succeeded, p.Rejected, p.Failed = g.frontend.FinalCounts(i)
 	}
-	add := func(name string, value int64) { f.More = append(f.More, admin.Figure{Name: name, Value: value}) }
-	if g.config.Tells {
+	add := func(name string, value int64) { f.Extra = append(f.Extra, admin.Stat{Name: name, Value: value}) }
+	if g.config.SharesEndpoints {
 		add("members", g.memberCount.Load())
 		lockTimes := g.dispatcher.LockTimes()
 		add("desk.longest.list_us", lockTimes.FullListMicros.Load())
@@ -52,7 +52,7 @@
 	if journal := g.journal.Load(); journal != nil {
 		journal.Figures(add)
 	}
-	if g.config.Residue != "" && g.config.Recall {
+	if g.config.CrashStatePath != "" && g.config.KeepsCheckpoint {
 		checkpoints := g.dispatcher.CheckpointStats()
 		add("copies.recalled", checkpoints.Restored.Load())
 		add("copies.spoilt", g.corruptCheckpoints.Load())
--- a/internal/gateway/lifecycle/admin_test.go
+++ b/internal/gateway/lifecycle/admin_test.go
@@ -15,13 +15,13 @@
 // deployWithAdmin is a deployment with an admin server.
 func deployWithAdmin(t *testing.T) *deployment {
 	t.Helper()
-	return deployWith(t, func(c *config.Gatekeeper) { c.Control = "127.0.0.1:0" }, 1, 5000)
+	return deployWith(t, func(c *config.Gateway) { c.AdminAddress = "127.0.0.1:0" }, 1, 5000)
 }
 
 // callAdmin sends a request line to the admin server, and gives the response as it is on the wire.
 func (d *deployment) callAdmin(line string) string {
 	d.t.Helper()
-	c, err := net.Dial("tcp", d.gateway.adminServer.At)
+	c, err := net.Dial("tcp", d.gateway.adminServer.Address)
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 func TestAdminAddressInUse(t *testing.T) {
 	d := deployWithAdmin(t)
 	c := d.config
-	c.Control = d.gateway.adminServer.At
+	c.AdminAddress = d.gateway.adminServer.Address
 	if g, err := Start(c, d.gateway.log); err == nil || !strings.HasPrefix(err.Error(), "control: ") {
 		t.Errorf("started: %v, %v", g, err)
 	}
@@ -193,7 +193,8 @@
 // TestResizeMembership changes the number of gateways by reloads. It is applied in service where nothing
 // else has changed: open connections go on, and a request that is spread over the new number is accepted.
 func TestResizeMembership(t *testing.T) {
-	d := deployWith(t, func(c *config.Gatekeeper) { c.Tells = true }, 1, 5000, `"balancers":1`, `"balancers":2`)
+	d := deployWith(t, func(c *config.Gateway) { c.SharesEndpoints = true }, 1, 5000,
+		`"balancers":1`, `"balancers":2`)
 	c, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/lifecycle/bootstrap.go
+++ b/internal/gateway/lifecycle/bootstrap.go
@@ -14,12 +14,12 @@
 	"willowdeck/internal/gateway/transport/endpoints"
 )
 
-// Tells reports whether joining instances may request endpoints here.
-func (g *Gateway) Tells() bool { return g.config.Tells }
+// SharesEndpoints reports whether joining instances may request endpoints here.
+func (g *Gateway) SharesEndpoints() bool { return g.config.SharesEndpoints }
 
-// List gives the encoded endpoints for a joining instance, and their age in milliseconds; false where
-// discovery has not responded here.
-func (g *Gateway) List() (list []byte, ageMillis float64, ok bool) {
+// EncodedEndpoints gives the encoded endpoints for a joining instance, and their age in milliseconds; false
+// where discovery has not responded here.
+func (g *Gateway) EncodedEndpoints() (list []byte, ageMillis float64, ok bool) {
 	g.endpointsMu.Lock()
 	defer g.endpointsMu.Unlock()
 	l, ageMillis, ok := g.endpoints.Shared(g.dispatcher.Now())
@@ -84,7 +84,7 @@
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	req.SetRequestURI("http://" + address + admin.ListPath)
+	req.SetRequestURI("http://" + address + admin.EndpointsPath)
 	req.SetConnectionClose()
 	if err := client.DoTimeout(req, res, transport.Millis(bootstrap.RequestTimeoutMillis)); err != nil {
 		return endpoints.List{}, 0, err
--- a/internal/gateway/lifecycle/bootstrap_test.go
+++ b/internal/gateway/lifecycle/bootstrap_test.go
@@ -47,7 +47,7 @@
 	}
 	respondWith := func(version, age string, body func() string) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
-			if r.URL.Path != admin.ListPath {
+			if r.URL.Path != admin.EndpointsPath {
 				t.Errorf("request for %s", r.URL.Path)
 			}
 			w.Header().Set(admin.VersionHeader, version)
@@ -87,7 +87,9 @@
 			silent := silentListener(t)
 			start := time.Now()
 			deployed.Store(nil)
-			d := deployWith(t, func(g *config.Gatekeeper) { g.Discovery, g.Ask = silent, []string{at} }, 2, 5000)
+			d := deployWith(t, func(g *config.Gateway) {
+				g.DiscoveryAddress, g.PeerAdminAddresses = silent, []string{at}
+			}, 2, 5000)
 			deployed.Store(d)
 			if elapsed := time.Since(start); elapsed > 200*time.Millisecond {
 				t.Errorf("the start took %v", elapsed)
@@ -109,7 +111,7 @@
 			}
 			list := d.startDiscovery()
 			conf := d.config
-			conf.Discovery = list
+			conf.DiscoveryAddress = list
 			d.gateway.Reload(conf, nil)
 			waitFor(
 				t,
@@ -141,22 +143,24 @@
 // TestServeEndpointList: a running instance serves the endpoints that discovery has sent, and none before
 // that; one that is not configured to has no such path.
 func TestServeEndpointList(t *testing.T) {
-	d := deployWith(t, func(c *config.Gatekeeper) { c.Control, c.Tells = "127.0.0.1:0", true }, 2, 5000)
+	d := deployWith(t, func(c *config.Gateway) {
+		c.AdminAddress, c.SharesEndpoints = "127.0.0.1:0", true
+	}, 2, 5000)
 	waitFor(t, "no endpoints are served", func() bool {
-		return strings.Contains(d.callAdmin("GET "+admin.ListPath), "\"index\":7")
+		return strings.Contains(d.callAdmin("GET "+admin.EndpointsPath), "\"index\":7")
 	})
 	d.updates <- fmt.Sprintf(`{"index":8,"snapshot":false,"endpoints":[%s]}`, d.endpointEntry(1, "left", 0))
 	waitFor(t, "the former endpoints are served", func() bool {
-		s := d.callAdmin("GET " + admin.ListPath)
+		s := d.callAdmin("GET " + admin.EndpointsPath)
 		return strings.Contains(s, "\"index\":8") && !strings.Contains(s, "w1") && strings.Contains(s, "w0")
 	})
-	if s := deployWithAdmin(t).callAdmin("GET " + admin.ListPath); !strings.Contains(s, "404") {
+	if s := deployWithAdmin(t).callAdmin("GET " + admin.EndpointsPath); !strings.Contains(s, "404") {
 		t.Errorf("one that does not serve endpoints: %q", s)
 	}
-	quiet := deployWith(t, func(c *config.Gatekeeper) {
-		c.Control, c.Tells, c.Discovery = "127.0.0.1:0", true, silentListener(t)
+	quiet := deployWith(t, func(c *config.Gateway) {
+		c.AdminAddress, c.SharesEndpoints, c.DiscoveryAddress = "127.0.0.1:0", true, silentListener(t)
 	}, 1, 5000)
-	if s := quiet.callAdmin("GET " + admin.ListPath); !strings.Contains(s, "503") {
+	if s := quiet.callAdmin("GET " + admin.EndpointsPath); !strings.Contains(s, "503") {
 		t.Errorf("before discovery has responded: %q", s)
 	}
 }
--- a/internal/gateway/lifecycle/borrowing.go
+++ b/internal/gateway/lifecycle/borrowing.go
@@ -27,15 +27,15 @@
 	switch {
 	case !allowed || g.standby.Load() || !g.borrowingEnabled.CompareAndSwap(false, true):
 		return
-	case g.config.Residue == "":
+	case g.config.CrashStatePath == "":
 		g.log.Warn().Msg("settings.tariffs: credit_s has no effect without a crash state (--residue)")
 		return
-	case c.Gatekeepers > 1 && (g.peers == nil || !g.config.Tells):
+	case c.Gatekeepers > 1 && (g.peers == nil || !g.config.SharesEndpoints):
 		g.log.Warn().
 			Msg("settings.tariffs: credit_s has no effect, as peers' messages name no incarnation (--tell)")
 		return
 	}
-	book, err := ledger.Open(g.config.Residue+ledgerSuffix, c.Me)
+	book, err := ledger.Open(g.config.CrashStatePath+ledgerSuffix, c.Me)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("borrowing disabled, its ledger could not be opened")
 		return
--- a/internal/gateway/lifecycle/borrowing_test.go
+++ b/internal/gateway/lifecycle/borrowing_test.go
@@ -12,7 +12,7 @@
 
 // borrowingStat gives one of a process's stats of borrowing; -1 where it has none.
 func borrowingStat(g *Gateway, name string) int64 {
-	for _, m := range g.Figures().More {
+	for _, m := range g.Stats().Extra {
 		if m.Name == "credit."+name {
 			return m.Value
 		}
@@ -26,9 +26,9 @@
 	d, change := deployWithInheritedListener(t, `"rate":0.1,"most_at_once":1`,
 		`"rate":2,"most_at_once":2,"credit_s":1,"repay_s":60`)
 	ledgerPath := filepath.Join(t.TempDir(), "residue")
-	withCrashState := func(c *config.Gatekeeper) {
+	withCrashState := func(c *config.Gateway) {
 		change(c)
-		c.Residue = ledgerPath
+		c.CrashStatePath = ledgerPath
 	}
 	first := d.startSuccessor(withCrashState)
 	d.gateway.Stop()
--- a/internal/gateway/lifecycle/deployment_test.go
+++ b/internal/gateway/lifecycle/deployment_test.go
@@ -22,7 +22,7 @@
 	gateway       *Gateway
 	address       string
 	workers       []*fakeWorker
-	config        config.Gatekeeper
+	config        config.Gateway
 	updates       chan string
 	watchRequests chan string // request lines of the watch
 }
@@ -135,11 +135,11 @@
 // swaps are pairs of old and new text in its settings.
 func deploy(t *testing.T, workers, idle int, swaps ...string) *deployment {
 	t.Helper()
-	return deployWith(t, func(*config.Gatekeeper) {}, workers, idle, swaps...)
+	return deployWith(t, func(*config.Gateway) {}, workers, idle, swaps...)
 }
 
 // deployWith is deploy with a change of the decoded configuration.
-func deployWith(t *testing.T, change func(*config.Gatekeeper), workers, idle int,
+func deployWith(t *testing.T, change func(*config.Gateway), workers, idle int,
 	swaps ...string) *deployment {
 	t.Helper()
 	d := &deployment{t: t, updates: make(chan string, 9), watchRequests: make(chan string, 9)}
@@ -308,7 +308,7 @@
 // stat gives one of the stats of /admin/stats.
 func (d *deployment) stat(name string) int64 {
 	d.t.Helper()
-	for _, m := range d.gateway.Figures().More {
+	for _, m := range d.gateway.Stats().Extra {
 		if m.Name == name {
 			return m.Value
 		}
--- a/internal/gateway/lifecycle/descriptors.go
+++ b/internal/gateway/lifecycle/descriptors.go
@@ -51,23 +51,23 @@
 // connectionLimits gives how many connections clients may have, and how many there may be to workers: parts
 // of the descriptors that are left beside all others. So the watch, the peers and files never wait for a
 // client to close one.
-func connectionLimits(c config.Gatekeeper) (clients, workers int) {
-	own := policy.SpareFiles + c.Forward.Connections()
+func connectionLimits(c config.Gateway) (clients, workers int) {
+	own := policy.SpareFiles + c.ForwardAuth.Connections()
 	for _, part := range []struct {
 		configured  bool
 		descriptors int
 	}{
-		{c.Control != "", policy.OperatorCalls + adminDescriptors},
+		{c.AdminAddress != "", policy.OperatorCalls + adminDescriptors},
 		{c.Journal != nil, journalDescriptors},
-		{c.Residue != "", crashStateDescriptors},
-		{c.History != "", historyDescriptors},
+		{c.CrashStatePath != "", crashStateDescriptors},
+		{c.HistoryDir != "", historyDescriptors},
 	} {
 		if part.configured {
 			own += part.descriptors
 		}
 	}
-	spare := float64(max(c.Sockets-own, 2))
-	if c.Scratch != "" { // a successor that is starting has descriptors of its own
+	spare := float64(max(c.MaxSockets-own, 2))
+	if c.SharedDir != "" { // a successor that is starting has descriptors of its own
 		spare -= min(policy.SpareFiles+policy.OperatorCalls, spare/4)
 	}
 	return int(spare * policy.ClientPart), max(int(spare*policy.WorkerPart), 1)
--- a/internal/gateway/lifecycle/descriptors_test.go
+++ b/internal/gateway/lifecycle/descriptors_test.go
@@ -146,7 +146,7 @@
 			const extra = 4 // the watch, a client's and an admin connection that wait for a place, and a file
 			if d, err := config.Decode([]byte(conf), os.Getenv); err == nil && c.limits != "" {
 				if len(c.args) > 0 {
-					d.Residue, d.History = "residue", "."
+					d.CrashStatePath, d.HistoryDir = "residue", "."
 				}
 				clients, workers := connectionLimits(d)
 				if all := idle + extra + policy.OperatorCalls + clients + workers; all > limit {
--- a/internal/gateway/lifecycle/discovery.go
+++ b/internal/gateway/lifecycle/discovery.go
@@ -15,7 +15,7 @@
 // dueMillis of being available.
 func (g *Gateway) startWatch(version int64, dueMillis float64) {
 	ctx, cancel := context.WithCancel(context.Background())
-	address, ended := g.config.Discovery, make(chan int64, 1)
+	address, ended := g.config.DiscoveryAddress, make(chan int64, 1)
 	g.cancelWatch, g.watchEnded = cancel, ended
 	pace := transport.WatchTiming{
 		PollingInstances: g.pollingInstances,
@@ -30,7 +30,7 @@
 
 // pollingInstances is how many gateways may request the list at once; none where it is pushed.
 func (g *Gateway) pollingInstances() int {
-	if g.config.Lines.ListAsked {
+	if g.config.Connections.PollsDiscovery {
 		return int(g.memberCount.Load())
 	}
 	return 0
@@ -101,9 +101,9 @@
 	g.endpointsMu.Lock()
 	late := g.endpoints.ObserveIndex(highest, g.dispatcher.Now()) && g.endpoints.NeedsPeers()
 	g.endpointsMu.Unlock()
-	if late && len(g.config.Ask) > 0 && g.requestingEndpoints.CompareAndSwap(false, true) {
+	if late && len(g.config.PeerAdminAddresses) > 0 && g.requestingEndpoints.CompareAndSwap(false, true) {
 		g.log.Warn().Int64("index", g.discoveryIndex()).Int64("highest", highest).
 			Msg("discovery lags, requesting endpoints from peers")
-		go g.requestEndpoints(g.config.Ask, rand.New(rand.NewSource(g.config.Seed)))
+		go g.requestEndpoints(g.config.PeerAdminAddresses, rand.New(rand.NewSource(g.config.Seed)))
 	}
 }
--- a/internal/gateway/lifecycle/discovery_test.go
+++ b/internal/gateway/lifecycle/discovery_test.go
@@ -37,10 +37,10 @@
 }
 
 // startListedDiscovery starts discovery with the workers of a configuration. Its lists span several lines.
-func startListedDiscovery(t *testing.T, c *config.Gatekeeper) *fakes.Discovery {
+func startListedDiscovery(t *testing.T, c *config.Gateway) *fakes.Discovery {
 	t.Helper()
 	var entries []fakes.Entry
-	for _, w := range c.Known.Workers {
+	for _, w := range c.KnownEndpoints.Workers {
 		entries = append(entries, fakes.Entry{Name: w.Name, Address: w.Address.String(), Zone: w.Zone,
 			Status: "active", Weight: 1})
 	}
@@ -105,10 +105,10 @@
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			var list *fakes.Discovery
-			d := deployWith(t, func(c *config.Gatekeeper) {
+			d := deployWith(t, func(c *config.Gateway) {
 				list = startListedDiscovery(t, c)
-				c.Discovery, c.Known.Version = list.At, 0
-				c.Known.Workers = c.Known.Workers[:1]
+				c.DiscoveryAddress, c.KnownEndpoints.Version = list.At, 0
+				c.KnownEndpoints.Workers = c.KnownEndpoints.Workers[:1]
 				for rand.New(rand.NewSource(c.Seed)).Float64() > 0.02 { // that the first watch is open soon
 					c.Seed++
 				}
@@ -145,7 +145,7 @@
 					list.Tell() // its versions go on from the configured one
 				}
 				drainFirstWorker(list)
-				next.Discovery = list.At
+				next.DiscoveryAddress = list.At
 				c.fail(list, c.failsFor > 0)
 				d.gateway.Reload(next, nil)
 				time.Sleep(c.failsFor)
@@ -186,7 +186,7 @@
 				<-r.Context().Done()
 			}))
 			t.Cleanup(agent.Close)
-			conf.Discovery = agent.Listener.Addr().String()
+			conf.DiscoveryAddress = agent.Listener.Addr().String()
 			var elapsed time.Duration
 			for range 5 {
 				start := time.Now()
@@ -253,11 +253,12 @@
 func newScriptedDiscovery(
 	t *testing.T,
 	at string,
-	c *config.Gatekeeper,
+	c *config.Gateway,
 	turn time.Duration,
 ) *scriptedDiscovery {
 	t.Helper()
-	l := endpoints.List{Version: c.Known.Version + 1, Workers: []endpoints.Worker{c.Known.Workers[0]}}
+	l := endpoints.List{Version: c.KnownEndpoints.Version + 1,
+		Workers: []endpoints.Worker{c.KnownEndpoints.Workers[0]}}
 	l.Workers[0].Active = false
 	raw, err := endpoints.Append(nil, l)
 	if err != nil {
@@ -379,9 +380,9 @@
 				t.Parallel()
 				var list *scriptedDiscovery
 				var l net.Listener
-				d := deployWith(t, func(conf *config.Gatekeeper) {
+				d := deployWith(t, func(conf *config.Gateway) {
 					turn := time.Duration(0)
-					if conf.Lines.ListAsked {
+					if conf.Connections.PollsDiscovery {
 						turn = time.Second // of the 2 s it may be; what is left is for a loaded machine
 					}
 					list = newScriptedDiscovery(t, ports.Address(t), conf, turn)
@@ -391,7 +392,7 @@
 					for _, how := range append(c.how, "healthy") {
 						list.behaviours <- how
 					}
-					conf.Discovery = list.address
+					conf.DiscoveryAddress = list.address
 					for hasLateDraws(conf.Seed) {
 						conf.Seed++
 					}
@@ -432,11 +433,11 @@
 			t.Parallel()
 			var list *scriptedDiscovery
 			var backlog []io.Closer
-			d := deployWith(t, func(conf *config.Gatekeeper) {
+			d := deployWith(t, func(conf *config.Gateway) {
 				list = newScriptedDiscovery(t, ports.Address(t), conf, 0)
 				backlog = fillBacklog(t, list.address)
 				list.behaviours <- "healthy"
-				conf.Discovery = list.address
+				conf.DiscoveryAddress = list.address
 				for hasLateDraws(conf.Seed) {
 					conf.Seed++
 				}
@@ -505,7 +506,7 @@
 				fillBacklog(t, at[2])
 				start := time.Now()
 				move := func(to string) {
-					next.Discovery = to
+					next.DiscoveryAddress = to
 					d.gateway.Reload(next, nil)
 				}
 				move(swallowing.address)
--- a/internal/gateway/lifecycle/forwardauth_test.go
+++ b/internal/gateway/lifecycle/forwardauth_test.go
@@ -33,17 +33,17 @@
 	return deployWith(t, forwardAuthConfig(t, text), 1, 5000, swaps...)
 }
 
-func forwardAuthConfig(t *testing.T, text string) func(c *config.Gatekeeper) {
+func forwardAuthConfig(t *testing.T, text string) func(c *config.Gateway) {
 	t.Helper()
-	return func(c *config.Gatekeeper) {
-		f, err := config.DecodeForward(text, c)
+	return func(c *config.Gateway) {
+		f, err := config.DecodeForwardAuth(text, c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.Asked != nil {
-			f.Asked.Listen = "127.0.0.1:0"
+		if f.Server != nil {
+			f.Server.ListenAddress = "127.0.0.1:0"
 		}
-		c.Forward = f
+		c.ForwardAuth = f
 	}
 }
 
@@ -454,7 +454,7 @@
 		auth,
 		`products = ["sale"]`,
 	)
-	both := func(c *config.Gatekeeper) {
+	both := func(c *config.Gateway) {
 		change(c)
 		forwardAuthConfig(t, text)(c)
 	}
@@ -495,7 +495,7 @@
 			t.Errorf("the cleared request, %d: %v", i, r.Status)
 		}
 	}
-	second.Reload(config.Gatekeeper{}, errors.New("none"))
+	second.Reload(config.Gateway{}, errors.New("none"))
 	if n := len(d.submissions()); n != 3 {
 		t.Errorf("%d submissions", n)
 	}
@@ -530,7 +530,7 @@
 	stop <- syscall.SIGTERM
 	ended := make(chan error, 1)
 	go func() {
-		ended <- d.gateway.Run(stop, reload, func() (config.Gatekeeper, error) { return d.config, nil })
+		ended <- d.gateway.Run(stop, reload, func() (config.Gateway, error) { return d.config, nil })
 	}()
 	if r := roundTrip(t, d.address, issueRequest("/issue", "p")); r.StatusCode != 200 {
 		t.Errorf("the cleared request: %v", r.Status)
--- a/internal/gateway/lifecycle/gateway.go
+++ b/internal/gateway/lifecycle/gateway.go
@@ -24,8 +24,8 @@
 
 // Gateway is a running gateway process. Fields without a note on their use are set by Start and read only.
 type Gateway struct {
-	Address string            // at which clients connect
-	config  config.Gatekeeper // as read at the start; Run's reload goroutine updates Discovery and Peers
+	Address string         // at which clients connect
+	config  config.Gateway // as read at the start; Run's reload goroutine updates Discovery and Peers
 	log     zerolog.Logger
 	done    chan struct{} // closed by Stop, ends the background goroutines
 
@@ -36,7 +36,7 @@
 	workerConns *transport.WorkerPool
 	serveResult chan error // what the frontend's Serve has returned
 
-	adminServer *admin.Port                            // nil without an admin address
+	adminServer *admin.Server                          // nil without an admin address
 	authServer  *authserver.Portal                     // nil where forward authentication is not served
 	authorizer  *authorizer.Voucher                    // nil where no authorization service is asked
 	history     *history.Log                           // nil where no record for tests is kept
--- a/internal/gateway/lifecycle/golden_test.go
+++ b/internal/gateway/lifecycle/golden_test.go
@@ -16,7 +16,7 @@
 
 // statsKeys gives the keys of a gateway's /admin/stats, in their order.
 func statsKeys(g *Gateway) []string {
-	text := goldenValue.ReplaceAllString(string(admin.Append(nil, g.Figures())), "")
+	text := goldenValue.ReplaceAllString(string(admin.AppendStats(nil, g.Stats())), "")
 	return strings.Split(strings.TrimSpace(text), "\n")
 }
 
@@ -26,9 +26,9 @@
 	t.Helper()
 	daemon := newFakeDaemon(t)
 	daemon.setHandler(unavailable)
-	gateway := deployWith(t, func(c *config.Gatekeeper) {
-		c.Agree, c.Tells, c.Recall = daemon.address, true, true
-		c.Residue = filepath.Join(t.TempDir(), "residue")
+	gateway := deployWith(t, func(c *config.Gateway) {
+		c.RulesetAddress, c.SharesEndpoints, c.KeepsCheckpoint = daemon.address, true, true
+		c.CrashStatePath = filepath.Join(t.TempDir(), "residue")
 		withJournal(t.TempDir())(c)
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = 1000, 1000
 		c.Charter.Plans[0].Credit, c.Charter.Plans[0].Repay = 1, 60000
--- a/internal/gateway/lifecycle/hotrestart.go
+++ b/internal/gateway/lifecycle/hotrestart.go
@@ -109,7 +109,7 @@
 // resume goes on from a predecessor's state, and serves.
 func (g *Gateway) resume(state hotrestart.HandoffState) {
 	g.dispatcher.Resume(state.Policy, state.WorkerNames, state.KindNames)
-	if g.peers != nil && g.config.Tells {
+	if g.peers != nil && g.config.SharesEndpoints {
 		g.peers.Identify(state.LastSentToPeer)
 	}
 	g.openCrashState(false) // the predecessor has closed it
@@ -139,10 +139,11 @@
 // serve accepts clients, and listens for a successor where this process can have one.
 func (g *Gateway) serve() {
 	go func() { g.serveResult <- g.frontend.Serve(g.listener) }()
-	if g.config.Scratch == "" {
+	if g.config.SharedDir == "" {
 		return
 	}
-	predecessor, err := hotrestart.Listen(hotrestart.SocketPath(g.config.Scratch, g.config.Name), g.config.Name)
+	path := hotrestart.SocketPath(g.config.SharedDir, g.config.Name)
+	predecessor, err := hotrestart.Listen(path, g.config.Name)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("no successor can take over from this process")
 		return
@@ -163,7 +164,7 @@
 // bindPeers binds the peers' address as soon as it is free: another process may not have ended yet.
 func (g *Gateway) bindPeers() {
 	for {
-		err := g.peers.Bind(g.config.PeerPort)
+		err := g.peers.Bind(g.config.PeerListenAddress)
 		if err == nil {
 			go g.peers.Receive(g.dispatcher.ReceiveReports)
 			return
--- a/internal/gateway/lifecycle/hotrestart_test.go
+++ b/internal/gateway/lifecycle/hotrestart_test.go
@@ -20,7 +20,7 @@
 
 // deployWithInheritedListener is a deployment whose clients' listener the platform holds, and the change of
 // the configuration that a second process needs.
-func deployWithInheritedListener(t *testing.T, swaps ...string) (*deployment, func(*config.Gatekeeper)) {
+func deployWithInheritedListener(t *testing.T, swaps ...string) (*deployment, func(*config.Gateway)) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	change := func(c *config.Gatekeeper) {
+	change := func(c *config.Gateway) {
 		f, err := l.(*net.TCPListener).File()
 		if err != nil {
 			t.Fatal(err)
@@ -42,13 +42,13 @@
 			t.Fatal(err)
 		}
 		f.Close()
-		c.FD, c.Scratch, c.Control = fd, dir, "127.0.0.1:0"
+		c.ListenerFD, c.SharedDir, c.AdminAddress = fd, dir, "127.0.0.1:0"
 	}
 	return deployWith(t, change, 2, 5000, swaps...), change
 }
 
 // startSuccessor starts another process beside a deployment's.
-func (d *deployment) startSuccessor(change func(*config.Gatekeeper)) *Gateway {
+func (d *deployment) startSuccessor(change func(*config.Gateway)) *Gateway {
 	d.t.Helper()
 	c := d.config
 	change(&c)
@@ -167,13 +167,13 @@
 	d, _ := deployWithInheritedListener(t)
 	for _, fd := range []int{0, 999} {
 		c := d.config
-		if c.FD = fd; fd == 0 {
+		if c.ListenerFD = fd; fd == 0 {
 			f, err := os.Open(os.DevNull)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer f.Close()
-			c.FD = int(f.Fd())
+			c.ListenerFD = int(f.Fd())
 		}
 		if g, err := Start(c, zerolog.Nop()); err == nil || !strings.HasPrefix(err.Error(), "NODE_FD: ") {
 			t.Errorf("started: %v, %v", g, err)
@@ -187,7 +187,7 @@
 	path := filepath.Join(t.TempDir(), "residue")
 	swap := []string{`{"name":"tiny","rate":0.1,"most_at_once":1`,
 		`{"name":"tiny","rate":100,"most_at_once":100,"hard_rate":0.01,"cap_depth":3`}
-	withCrashState := func(c *config.Gatekeeper) { c.Residue = path }
+	withCrashState := func(c *config.Gateway) { c.CrashStatePath = path }
 	d := deployWith(t, withCrashState, 1, 5000, swap...)
 	sendTiny := func(d *deployment, customer, id string) string {
 		status, _ := d.send(
@@ -229,7 +229,7 @@
 	crash(d)
 
 	deployed, change := deployWithInheritedListener(t, swap...)
-	withBoth := func(c *config.Gatekeeper) {
+	withBoth := func(c *config.Gateway) {
 		change(c)
 		withCrashState(c)
 	}
@@ -257,7 +257,7 @@
 // more.
 func TestCheckpointRestore(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "residue")
-	withCheckpoints := func(c *config.Gatekeeper) { c.Residue, c.Recall = path, true }
+	withCheckpoints := func(c *config.Gateway) { c.CrashStatePath, c.KeepsCheckpoint = path, true }
 	sendTiny := func(d *deployment, customer, id string) string {
 		status, _ := d.send(
 			strings.NewReplacer("basic", "tiny", "b4d65521", customer).Replace(checkRequest("/check", id)),
@@ -303,9 +303,9 @@
 	crash(d)
 
 	deployed, change := deployWithInheritedListener(t)
-	withBoth := func(c *config.Gatekeeper) {
+	withBoth := func(c *config.Gateway) {
 		change(c)
-		c.Residue, c.Recall = path+"2", true
+		c.CrashStatePath, c.KeepsCheckpoint = path+"2", true
 	}
 	first := deployed.startSuccessor(withBoth)
 	deployed.gateway.Stop()
--- a/internal/gateway/lifecycle/journal_test.go
+++ b/internal/gateway/lifecycle/journal_test.go
@@ -24,12 +24,12 @@
 var journalKills = flag.Int("kills", 8, "how often the gateway of the journal's test is killed")
 
 // withJournal configures a journal in a folder.
-func withJournal(dir string) func(*config.Gatekeeper) {
+func withJournal(dir string) func(*config.Gateway) {
 	return withJournalIn(dir, 4<<10, txnjournal.DefaultSegments)
 }
 
-func withJournalIn(dir string, size, segments int) func(*config.Gatekeeper) {
-	return func(c *config.Gatekeeper) {
+func withJournalIn(dir string, size, segments int) func(*config.Gateway) {
+	return func(c *config.Gateway) {
 		t := txnjournal.DefaultTerms()
 		t.Segment, t.Segments = size, segments // so that they change often
 		t.Wait, t.Slow = 250, 1000             // a loaded machine
@@ -40,7 +40,7 @@
 // restart starts the deployment's gateway again, once the one before has stopped.
 func (d *deployment) restart() *Gateway {
 	d.t.Helper()
-	g := d.startSuccessor(func(*config.Gatekeeper) {})
+	g := d.startSuccessor(func(*config.Gateway) {})
 	d.address = g.Address
 	return g
 }
@@ -140,7 +140,7 @@
 			m, usual := store.NewMemory(1), journalDisk
 			journalDisk = func(string) store.Disk { return m }
 			defer func() { journalDisk = usual }()
-			d := deployWith(t, func(c *config.Gatekeeper) {
+			d := deployWith(t, func(c *config.Gateway) {
 				withJournal("")(c)
 				t := &c.Journal.Terms
 				t.Policy, t.Wait, t.Lease, t.Pause, t.MostPause = policy, 150, 200, 20, 40
@@ -183,7 +183,7 @@
 func TestJournalAtReplacement(t *testing.T) {
 	d, change := deployWithInheritedListener(t)
 	dir := t.TempDir()
-	withBoth := func(c *config.Gatekeeper) {
+	withBoth := func(c *config.Gateway) {
 		change(c)
 		withJournal(dir)(c)
 	}
--- a/internal/gateway/lifecycle/loadreport.go
+++ b/internal/gateway/lifecycle/loadreport.go
@@ -35,7 +35,7 @@
 	r := &loadReporter{groupConfigured: c.Group != "", report: forecast.Word{
 		Name:     c.Name,
 		Host:     c.Host,
-		Hall:     c.Hall,
+		Hall:     c.Region,
 		Number:   c.Charter.Me,
 		Charter:  c.Charter,
 		Products: c.Names.ProductNames(),
@@ -45,7 +45,7 @@
 	if r.groupConfigured {
 		r.report.Group = c.Group
 	}
-	r.setMembers(c.Peers, c.Charter.Gatekeepers)
+	r.setMembers(c.PeerAddresses, c.Charter.Gatekeepers)
 	g.dispatcher.SetMeter(forecast.NewMeter(c.Charter, crashstate.UptimeCentiseconds()))
 	return r
 }
@@ -91,8 +91,8 @@
 	r.encoded.Store(&encoded)
 }
 
-// Word gives the encoded load report that was made last; false where there is none.
-func (g *Gateway) Word() ([]byte, bool) {
+// ForecastReport gives the encoded load report that was made last; false where there is none.
+func (g *Gateway) ForecastReport() ([]byte, bool) {
 	if g.reporter == nil {
 		return nil, false
 	}
--- a/internal/gateway/lifecycle/recovery.go
+++ b/internal/gateway/lifecycle/recovery.go
@@ -21,11 +21,11 @@
 		plans = *adopted
 	}
 	g.enableBorrowing(plans)
-	if g.config.Residue == "" {
+	if g.config.CrashStatePath == "" {
 		return
 	}
 	digest := crashstate.Digest(g.config.Charter)
-	file, left, err := crashstate.Open(g.config.Residue, digest, g.dispatcher.Now())
+	file, left, err := crashstate.Open(g.config.CrashStatePath, digest, g.dispatcher.Now())
 	if err != nil {
 		g.log.Warn().Err(err).Msg("crash state unavailable, nothing will survive a crash")
 		return
@@ -35,7 +35,7 @@
 		g.log.Info().Int("ceilings", len(left.Ceilings)).Float64("base_s", (g.dispatcher.Now()-left.Base)/1000).
 			Msg("crash state of an earlier incarnation restored")
 	}
-	if g.config.Recall {
+	if g.config.KeepsCheckpoint {
 		g.openCheckpoints(crashed)
 	}
 }
@@ -43,7 +43,7 @@
 // openCheckpoints writes checkpoints of quotas and demand beside the crash state, and restores that of an
 // earlier incarnation: at once, or with the first ruleset that is adopted.
 func (g *Gateway) openCheckpoints(crashed bool) {
-	file, left, missing, err := checkpoint.Open(g.config.Residue+".inventory", g.dispatcher.Now())
+	file, left, missing, err := checkpoint.Open(g.config.CrashStatePath+".inventory", g.dispatcher.Now())
 	if err != nil {
 		g.log.Warn().Err(err).Msg("checkpoints unavailable, quotas and demand will not survive a crash")
 		return
@@ -72,7 +72,7 @@
 		return
 	}
 	ageMillis := g.dispatcher.Now() - left.State.At
-	customers, fits := g.dispatcher.RestoreCheckpoint(left, g.config.Tells)
+	customers, fits := g.dispatcher.RestoreCheckpoint(left, g.config.SharesEndpoints)
 	if !fits {
 		g.reportNoCheckpoint(checkpoint.ErrDigestMismatch)
 		return
@@ -108,7 +108,7 @@
 	if mark, uptimeMillis, err := crashstate.ReadBoot(); err == nil {
 		owner.Boot, owner.Offset = crc32.ChecksumIEEE(mark), float64(time.Now().UnixMilli())-uptimeMillis
 	}
-	disk := journalDisk(settings.Of(g.config.Name))
+	disk := journalDisk(settings.InstanceDir(g.config.Name))
 	keeper := store.Keep(disk, settings.Terms, owner, besidePredecessor, g.config.Seed, g.log)
 	g.journal.Store(keeper)
 	g.proxy.EnableJournal(keeper, settings.Terms, g.config.Charter.Products, g.config.Names.ProductNames())
--- a/internal/gateway/lifecycle/reload.go
+++ b/internal/gateway/lifecycle/reload.go
@@ -12,7 +12,7 @@
 // be read. Applied are the number of gateways and their peers, unless a ruleset gives them, and the address
 // of discovery, whose watch goes on from the version it has reached. All other changes wait for the next
 // start. It is called on one goroutine at a time.
-func (g *Gateway) Reload(c config.Gatekeeper, err error) {
+func (g *Gateway) Reload(c config.Gateway, err error) {
 	if err != nil {
 		g.log.Error().Err(err).Msg("configuration rejected, the old one stays")
 		return
@@ -20,31 +20,31 @@
 	if g.ruleset == nil {
 		g.resize(c)
 	}
-	if c.Discovery == g.config.Discovery {
+	if c.DiscoveryAddress == g.config.DiscoveryAddress {
 		g.log.Info().Msg("configuration reloaded, discovery unchanged")
 		return
 	}
-	g.config.Discovery = c.Discovery
+	g.config.DiscoveryAddress = c.DiscoveryAddress
 	g.cancelWatch()
 	version := <-g.watchEnded // no update of the old watch may follow one of the new
 	g.startWatch(version, policy.WatchMoved)
-	g.log.Info().Str("discovery", c.Discovery).Msg("configuration reloaded, discovery moved")
+	g.log.Info().Str("discovery", c.DiscoveryAddress).Msg("configuration reloaded, discovery moved")
 }
 
 // resize applies another number of gateways, if no other setting that is shared with them has changed.
-func (g *Gateway) resize(c config.Gatekeeper) {
+func (g *Gateway) resize(c config.Gateway) {
 	size, former := c.Charter.Gatekeepers, g.memberCount.Load()
-	if int64(size) == former && slices.Equal(c.Peers, g.config.Peers) {
+	if int64(size) == former && slices.Equal(c.PeerAddresses, g.config.PeerAddresses) {
 		return
 	}
 	expected := c.Charter
 	expected.Gatekeepers = g.config.Charter.Gatekeepers
-	needsSocket := g.peers == nil && len(c.Peers) > 0 // it was started without one
+	needsSocket := g.peers == nil && len(c.PeerAddresses) > 0 // it was started without one
 	if needsSocket || !reflect.DeepEqual(expected, g.config.Charter) {
 		g.log.Warn().Msg("number of gateways changed along with other settings, which wait for the next start")
 		return
 	}
-	g.setMembers(size, c.Peers, func() { g.dispatcher.Resize(size) })
-	g.config.Peers = c.Peers
+	g.setMembers(size, c.PeerAddresses, func() { g.dispatcher.Resize(size) })
+	g.config.PeerAddresses = c.PeerAddresses
 	g.log.Info().Int64("from", former).Int("to", size).Msg("number of gateways changed")
 }
--- a/internal/gateway/lifecycle/requests_test.go
+++ b/internal/gateway/lifecycle/requests_test.go
@@ -58,7 +58,7 @@
 // a form that came when it was full was rejected with 429.
 func TestRequestForms(t *testing.T) {
 	const formsAndWays = 84
-	d := deployWith(t, func(c *config.Gatekeeper) { c.Sockets = 4 * formsAndWays }, formsAndWays, 5000)
+	d := deployWith(t, func(c *config.Gateway) { c.MaxSockets = 4 * formsAndWays }, formsAndWays, 5000)
 	plain, sold := checkRequest("/check", "1"), saleRequest("/sale", "1")
 	swap := func(s string, pairs ...string) string { return strings.NewReplacer(pairs...).Replace(s) }
 	chunked := func(s, body string) string { return swap(s, "Content-Length: 4\r\n\r\na\r\nb", body) }
@@ -399,9 +399,9 @@
 	stop, reload, ended := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan error)
 	files := make(chan error, 1)
 	go func() {
-		ended <- d.gateway.Run(stop, reload, func() (config.Gatekeeper, error) {
+		ended <- d.gateway.Run(stop, reload, func() (config.Gateway, error) {
 			next := d.config
-			next.Discovery = d.startDiscovery()
+			next.DiscoveryAddress = d.startDiscovery()
 			return next, <-files
 		})
 	}()
@@ -445,8 +445,9 @@
 	d.gateway.Reload(config.Decode([]byte(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":`+
 		strings.Replace(mixed, "IDLE", "1", 1)+`}`), func(string) string { return "" }))
 	if !strings.Contains(log.String(), "settings.family_info.use_period_us") ||
-		!strings.Contains(log.String(), "the old one stays") || d.gateway.config.Discovery != d.config.Discovery {
-		t.Errorf("discovery is %s now, and the log says %s", d.gateway.config.Discovery, log.String())
+		!strings.Contains(log.String(), "the old one stays") ||
+		d.gateway.config.DiscoveryAddress != d.config.DiscoveryAddress {
+		t.Errorf("discovery is %s now, and the log says %s", d.gateway.config.DiscoveryAddress, log.String())
 	}
 }
 
--- a/internal/gateway/lifecycle/ruleset_adoption.go
+++ b/internal/gateway/lifecycle/ruleset_adoption.go
@@ -33,7 +33,7 @@
 	}
 	lease := inflight.NewLease(version, historyModes[next.Mode], millisToNanos(next.ExpiresAtMillis))
 	charter := c.charterFor(next)
-	peers := c.gateway.config.Peers
+	peers := c.gateway.config.PeerAddresses
 	if next.Version == c.newest.Number && next.Version > 0 {
 		peers = c.peerAddresses()
 	}
@@ -135,7 +135,7 @@
 // it has none for. A member that is not in the part of the ruleset that this gateway receives, as it shares
 // no customer with it, has none: nothing is sent to it, and nothing received from it is used.
 func (c *rulesetClient) peerAddresses() []netip.AddrPort {
-	configured := c.gateway.config.Peers
+	configured := c.gateway.config.PeerAddresses
 	addresses := make([]netip.AddrPort, len(c.newest.Rules.Members))
 	for i, member := range c.newest.Rules.Members {
 		if address, err := netip.ParseAddrPort(member.Peers); err == nil {
--- a/internal/gateway/lifecycle/ruleset_client.go
+++ b/internal/gateway/lifecycle/ruleset_client.go
@@ -82,7 +82,7 @@
 		ceilingShares: make([]float64, len(charter.Plans)),
 		leases: fasthttp.Client{MaxResponseBodySize: ruleset.MaxEncodedBytes,
 			MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true},
-		updates: relay.NewClient([]string{g.config.Agree}, UpdatePath),
+		updates: relay.NewClient([]string{g.config.RulesetAddress}, UpdatePath),
 		replica: distribution.NewReplica(g.config.Name, os.Getpid(), g.config.Seed),
 	}
 	c.leases.Dial = c.dial
--- a/internal/gateway/lifecycle/ruleset_requests.go
+++ b/internal/gateway/lifecycle/ruleset_requests.go
@@ -74,7 +74,7 @@
 		"holds":    {strconv.FormatUint(ackedStep, 10)},
 		"index":    {strconv.FormatInt(index, 10)},
 	}
-	leaseURL := "http://" + c.gateway.config.Agree + LeasePath + "?" + query.Encode()
+	leaseURL := "http://" + c.gateway.config.RulesetAddress + LeasePath + "?" + query.Encode()
 	if bootMillis() < c.legacyUntilMillis {
 		go func() { c.responses <- c.fetchLease(leaseURL, timeoutMillis) }()
 		return
--- a/internal/gateway/lifecycle/ruleset_test.go
+++ b/internal/gateway/lifecycle/ruleset_test.go
@@ -96,8 +96,8 @@
 	t.Helper()
 	x := newFakeDaemon(t)
 	x.setHandler(unavailable)
-	d := deployWith(t, func(c *config.Gatekeeper) {
-		c.Agree, c.Tells = x.address, true
+	d := deployWith(t, func(c *config.Gateway) {
+		c.RulesetAddress, c.SharesEndpoints = x.address, true
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = 1000, 1000
 	}, workers, 5000)
 	t.Cleanup(func() { close(d.gateway.done) })
@@ -245,7 +245,7 @@
 				t.Errorf("%s: worker %d got %d", c.name, i, w.count()-before[i])
 			}
 		}
-		if l, _, ok := d.gateway.List(); ok {
+		if l, _, ok := d.gateway.EncodedEndpoints(); ok {
 			if list, err := endpoints.Decode(l); err != nil || len(list.Workers) != 2 || !list.Workers[0].Active {
 				t.Errorf("%s: joining instances receive %s", c.name, l)
 			}
@@ -355,8 +355,8 @@
 	const rate, depth, spent = 20, 60, 20
 	x := newFakeDaemon(t)
 	x.setLease(1, testRules(rate, depth), true)
-	d := deployWith(t, func(c *config.Gatekeeper) {
-		c.Agree, c.Scratch = x.address, t.TempDir()
+	d := deployWith(t, func(c *config.Gateway) {
+		c.RulesetAddress, c.SharedDir = x.address, t.TempDir()
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = rate, depth
 	}, 1, 5000)
 	d.awaitMode(ruleset.ModeLeased)
@@ -373,7 +373,7 @@
 	if in := burst(spent); in != spent {
 		t.Fatalf("%d passed of a full rate limit", in)
 	}
-	successor := d.startSuccessor(func(c *config.Gatekeeper) { c.Listen = "127.0.0.1:0" })
+	successor := d.startSuccessor(func(c *config.Gateway) { c.ListenAddress = "127.0.0.1:0" })
 	waitFor(t, "the successor has no lease",
 		func() bool { return successor.ruleset.mode.Load() == int64(ruleset.ModeLeased) })
 	d.gateway.Stop()
@@ -411,8 +411,9 @@
 			x, path := newFakeDaemon(t), filepath.Join(t.TempDir(), "residue")
 			startNext := func() *deployment {
 				x.setHandler(unavailable)
-				return deployWith(t, func(conf *config.Gatekeeper) {
-					conf.Agree, conf.Tells, conf.Residue, conf.Recall = x.address, true, path, true
+				return deployWith(t, func(conf *config.Gateway) {
+					conf.RulesetAddress, conf.SharesEndpoints = x.address, true
+					conf.CrashStatePath, conf.KeepsCheckpoint = path, true
 				}, 1, 5000)
 			}
 			sendTiny := func(d *deployment) string {
@@ -463,7 +464,7 @@
 	if !d.passes() || d.lastRulesVersion() != -1 {
 		t.Error("a submission names a ruleset")
 	}
-	for _, f := range d.gateway.Figures().More {
+	for _, f := range d.gateway.Stats().Extra {
 		if strings.HasPrefix(f.Name, "rules.") {
 			t.Errorf("there is %s", f.Name)
 		}
--- a/internal/gateway/lifecycle/ruleset_updates_test.go
+++ b/internal/gateway/lifecycle/ruleset_updates_test.go
@@ -138,8 +138,8 @@
 // deployBelowUpdateDaemon starts a gateway below one.
 func deployBelowUpdateDaemon(t *testing.T, x *fakeUpdateDaemon) *deployment {
 	t.Helper()
-	d := deployWith(t, func(c *config.Gatekeeper) {
-		c.Agree, c.Tells = x.address, true
+	d := deployWith(t, func(c *config.Gateway) {
+		c.RulesetAddress, c.SharesEndpoints = x.address, true
 		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = 1000, 1000
 	}, 1, 5000)
 	t.Cleanup(func() { close(d.gateway.done) })
@@ -451,7 +451,7 @@
 		return all
 	}
 	a := &rulesetClient{gateway: &Gateway{}}
-	a.gateway.config.Peers = parse("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "0.0.0.0:0", "10.0.0.5:1")
+	a.gateway.config.PeerAddresses = parse("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "0.0.0.0:0", "10.0.0.5:1")
 	a.newest.Rules.Members = []ruleset.Member{{Name: "a", Peers: "10.0.1.1:1"}, {Name: "b"}, {}, {}, {},
 		{Name: "f"}, {Name: "g", Peers: "10.0.1.7:1"}}
 	want := parse("10.0.1.1:1", "10.0.0.2:1", "", "0.0.0.0:0", "", "", "10.0.1.7:1")
--- a/internal/gateway/lifecycle/scripted_worker_test.go
+++ b/internal/gateway/lifecycle/scripted_worker_test.go
@@ -140,10 +140,10 @@
 func deployBefore(t *testing.T, b *scriptedWorker, swaps ...string) *deployment {
 	t.Helper()
 	at := netip.MustParseAddrPort(b.Addr().String())
-	return deployWith(t, func(c *config.Gatekeeper) {
-		c.Known.Workers[0].Address = at
-		c.Lines.ConnectTimeout = 5000 // a slow machine must not count as a connect time-out
-		c.Cores = 4                   // the workers run in this process, and must take none of the gateway's
+	return deployWith(t, func(c *config.Gateway) {
+		c.KnownEndpoints.Workers[0].Address = at
+		c.Connections.ConnectTimeoutMillis = 5000 // a slow machine must not count as a connect time-out
+		c.Cores = 4                               // the workers run in this process, and must take none of the gateway's
 	}, 1, 5000, swaps...)
 }
 
--- a/internal/gateway/lifecycle/settings_test.go
+++ b/internal/gateway/lifecycle/settings_test.go
@@ -117,8 +117,9 @@
 				func(string) string { return "" }),
 		)
 		if !strings.Contains(log.String(), key) || !strings.Contains(log.String(), "the old one stays") ||
-			d.gateway.config.Discovery != d.config.Discovery {
-			t.Errorf("%s: discovery is %s now, and the log says %s", key, d.gateway.config.Discovery, log.String())
+			d.gateway.config.DiscoveryAddress != d.config.DiscoveryAddress {
+			t.Errorf("%s: discovery is %s now, and the log says %s", key,
+				d.gateway.config.DiscoveryAddress, log.String())
 		}
 	}
 	if status, _ := d.send(checkRequest("/check", "1")); status != "HTTP/1.1 200 OK" {
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -32,7 +32,7 @@
 
 // Start brings a gateway up. When it returns, clients are served: by this process, or by the predecessor that
 // it takes over from. An error means that nothing of it is left running.
-func Start(c config.Gatekeeper, log zerolog.Logger) (*Gateway, error) {
+func Start(c config.Gateway, log zerolog.Logger) (*Gateway, error) {
 	setRuntimeLimits(c)
 	g := &Gateway{
 		config:           c,
@@ -42,17 +42,18 @@
 		firstWatchResult: make(chan struct{}),
 	}
 	maxClients, maxWorkerConns := connectionLimits(c)
-	g.workerConns = transport.NewWorkerPool(maxWorkerConns, transport.Millis(c.Lines.IdleLimit*policy.IdleUse),
-		transport.Millis(c.Lines.ConnectTimeout))
+	g.workerConns = transport.NewWorkerPool(maxWorkerConns,
+		transport.Millis(c.Connections.IdleTimeoutMillis*policy.IdleUse),
+		transport.Millis(c.Connections.ConnectTimeoutMillis))
 	sendToPeer := func(int, []byte) {}
-	if len(c.Peers) > 0 {
-		g.peers = transport.NewPeers(c.Peers, c.Charter.Me)
+	if len(c.PeerAddresses) > 0 {
+		g.peers = transport.NewPeers(c.PeerAddresses, c.Charter.Me)
 		sendToPeer = g.peers.Send
-		if c.Charter = peerCharter(c); c.Tells {
+		if c.Charter = peerCharter(c); c.SharesEndpoints {
 			g.peers.Identify(incarnation.MessageID{Incarnation: crashstate.UptimeCentiseconds()})
 		}
 	}
-	listener, err := listen(c.Listen, c.FD, log)
+	listener, err := listen(c.ListenAddress, c.ListenerFD, log)
 	if err != nil {
 		return nil, err
 	}
@@ -63,7 +64,7 @@
 	}
 	g.initRequestPath(c, sendToPeer)
 	g.standby.Store(true) // until it is known whether there is a predecessor's state to take over
-	if c.Agree != "" {
+	if c.RulesetAddress != "" {
 		g.initRulesetClient()
 	}
 	g.listener = transport.NewLimitListener(listener, maxClients)
@@ -77,12 +78,12 @@
 	if g.ruleset != nil { // only now is it known what an earlier incarnation has left
 		go g.ruleset.run()
 	}
-	log.Info().Str("listen", g.Address).Int("workers", len(c.Known.Workers)).Msg("serving")
+	log.Info().Str("listen", g.Address).Int("workers", len(c.KnownEndpoints.Workers)).Msg("serving")
 	return g, nil
 }
 
 // setRuntimeLimits fits Go's scheduler and garbage collector to the configured processor share and memory.
-func setRuntimeLimits(c config.Gatekeeper) {
+func setRuntimeLimits(c config.Gateway) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(c.Cores)), 1))
 	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * (1 << 20) * policy.MemoryPart))
 	debug.SetGCPercent(policy.GarbagePart)
@@ -105,10 +106,10 @@
 
 func (g *Gateway) openHistory() (err error) {
 	c := &g.config
-	if c.History == "" {
+	if c.HistoryDir == "" {
 		return nil
 	}
-	path := filepath.Join(c.History, fmt.Sprintf("%s.%d.jsonl", c.Name, os.Getpid()))
+	path := filepath.Join(c.HistoryDir, fmt.Sprintf("%s.%d.jsonl", c.Name, os.Getpid()))
 	g.history, err = history.Open(path, c.Name, crashstate.UptimeCentiseconds())
 	return err
 }
@@ -116,10 +117,10 @@
 // connectToPredecessor gives the connection to the process that serves now; nil where there is none.
 func (g *Gateway) connectToPredecessor() *hotrestart.Successor {
 	c := &g.config
-	if c.Scratch == "" {
+	if c.SharedDir == "" {
 		return nil
 	}
-	predecessor, err := hotrestart.Connect(hotrestart.SocketPath(c.Scratch, c.Name), c.Name)
+	predecessor, err := hotrestart.Connect(hotrestart.SocketPath(c.SharedDir, c.Name), c.Name)
 	if err != nil {
 		g.log.Info().Err(err).Msg("no predecessor to take over from")
 		return nil
@@ -131,32 +132,32 @@
 // ending releases it last, and serving clients need not wait for peers. A process that the platform gave its
 // clients' listener (FD) starts with any error, and binds later.
 func (g *Gateway) bindPeersAtStart() error {
-	err := g.peers.Bind(g.config.PeerPort)
+	err := g.peers.Bind(g.config.PeerListenAddress)
 	switch {
 	case errors.Is(err, syscall.EADDRINUSE):
 		g.log.Warn().Err(err).Msg("peer address in use, serving without peers until it is free")
-	case err != nil && g.config.FD == 0:
+	case err != nil && g.config.ListenerFD == 0:
 		return err
 	}
 	return nil
 }
 
 // initRequestPath makes what requests pass through: dispatcher, proxy, forward authentication and frontend.
-func (g *Gateway) initRequestPath(c config.Gatekeeper, sendToPeer func(int, []byte)) {
-	g.dispatcher = proxy.NewDispatcher(c.Charter, c.Seed, c.Lines.AnswerSlack+socketSlackMillis, sendToPeer,
-		g.workerConns.CloseIdle)
-	if c.Hall != "" && c.Control != "" {
+func (g *Gateway) initRequestPath(c config.Gateway, sendToPeer func(int, []byte)) {
+	g.dispatcher = proxy.NewDispatcher(c.Charter, c.Seed,
+		c.Connections.AnswerSlackMillis+socketSlackMillis, sendToPeer, g.workerConns.CloseIdle)
+	if c.Region != "" && c.AdminAddress != "" {
 		g.reporter = g.newLoadReporter()
 	}
 	if g.history != nil {
 		g.dispatcher.RecordHistory(g.history)
 	}
-	g.dispatcher.ApplyEndpoints(c.Known)
-	g.endpoints = bootstrap.NewRegistry(c.Known)
+	g.dispatcher.ApplyEndpoints(c.KnownEndpoints)
+	g.endpoints = bootstrap.NewRegistry(c.KnownEndpoints)
 	g.memberCount.Store(int64(c.Charter.Gatekeepers))
 	g.proxy = proxy.New(g.dispatcher, g.workerConns)
 	g.frontend = transport.NewFrontend(c.Names, c.Charter, g.enableForwardAuth(g.proxy), g.ready)
-	g.frontend.AllowAnonymous = g.authorizer != nil && c.Forward.Asking.Customer != ""
+	g.frontend.AllowAnonymous = g.authorizer != nil && c.ForwardAuth.Authorizer.CustomerHeader != ""
 }
 
 // openServers opens the admin server and, unless a predecessor still has its address, that of forward
@@ -165,14 +166,14 @@
 	if g.authServer != nil && bindAuthServer {
 		err = g.authServer.Bind()
 	}
-	if g.config.Control != "" && err == nil {
-		g.adminServer, err = admin.Open(g.config.Control, g)
+	if g.config.AdminAddress != "" && err == nil {
+		g.adminServer, err = admin.Open(g.config.AdminAddress, g)
 	}
 	if err != nil {
 		return err
 	}
 	if g.adminServer != nil {
-		go admin.Every(g.done, g.refreshReports)
+		go admin.RunPeriodically(g.done, g.refreshReports)
 	}
 	return nil
 }
@@ -192,11 +193,11 @@
 // discovery has responded. Where endpoints are pushed it waits for the first update, for FirstWord at most.
 func (g *Gateway) followDiscovery() {
 	c := &g.config
-	g.startWatch(c.Known.Version, policy.WatchDue)
-	if len(c.Ask) > 0 && g.requestingEndpoints.CompareAndSwap(false, true) {
-		go g.requestEndpoints(c.Ask, rand.New(rand.NewSource(c.Seed)))
+	g.startWatch(c.KnownEndpoints.Version, policy.WatchDue)
+	if len(c.PeerAdminAddresses) > 0 && g.requestingEndpoints.CompareAndSwap(false, true) {
+		go g.requestEndpoints(c.PeerAdminAddresses, rand.New(rand.NewSource(c.Seed)))
 	}
-	if !c.Lines.ListAsked {
+	if !c.Connections.PollsDiscovery {
 		g.awaitFirstWatch()
 	}
 }
@@ -229,8 +230,8 @@
 
 // peerCharter gives the settings with the number of reports that fit a message to peers. Messages that carry
 // an incarnation have room for fewer.
-func peerCharter(c config.Gatekeeper) policy.Charter {
-	if c.Tells {
+func peerCharter(c config.Gateway) policy.Charter {
+	if c.SharesEndpoints {
 		c.Charter.ReportsPerTell = min(c.Charter.ReportsPerTell, transport.MaxReportsPerMessage)
 	}
 	return c.Charter
--- a/internal/gateway/lifecycle/stop.go
+++ b/internal/gateway/lifecycle/stop.go
@@ -15,7 +15,7 @@
 
 // Run serves until stop delivers a signal or serving fails, then stops. At each signal of reload it applies
 // the configuration that read gives, also while it stops, which takes until the last request is answered.
-func (g *Gateway) Run(stop, reload <-chan os.Signal, read func() (config.Gatekeeper, error)) error {
+func (g *Gateway) Run(stop, reload <-chan os.Signal, read func() (config.Gateway, error)) error {
 	endReloads := g.reloadOnSignal(reload, read)
 	defer func() {
 		endReloads()
@@ -38,7 +38,7 @@
 // waits for.
 func (g *Gateway) reloadOnSignal(
 	reload <-chan os.Signal,
-	read func() (config.Gatekeeper, error),
+	read func() (config.Gateway, error),
 ) (end func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -63,7 +63,8 @@
 // answered. Requests that are read completely too late for that are rejected, and those in flight for too
 // long are aborted with an answer: SIGKILL would leave them without one.
 func (g *Gateway) Stop() {
-	abortAfter := transport.Millis(min(g.config.Lines.LongestWait, policy.StopLongest) + policy.StopAll)
+	abortAfter := transport.Millis(min(g.config.Connections.MaxClientWaitMillis,
+		policy.StopLongest) + policy.StopAll)
 	defer time.AfterFunc(abortAfter, g.abortRequests).Stop()
 	if !g.handOff() {
 		defer time.AfterFunc(transport.Millis(policy.AcceptOn+policy.StopIdle), g.listener.HurryReads).Stop()
--- a/internal/gateway/lifecycle/stop_test.go
+++ b/internal/gateway/lifecycle/stop_test.go
@@ -101,7 +101,7 @@
 	for _, c := range []struct {
 		name, raw, status string
 		swaps             []string
-		change            func(*deployment, *config.Gatekeeper)
+		change            func(*deployment, *config.Gateway)
 		sentBytes         int // before the stop; 0 is all
 		reached           func(*deployment) bool
 		maxAttempts       int // at most
@@ -111,8 +111,8 @@
 		{name: "in its body", raw: saleRequest("/sale", requestID),
 			sentBytes: len(saleRequest("/sale", requestID)) - 2, status: settled, maxAttempts: 1},
 		{name: "connecting", raw: checkRequest("/check", requestID), swaps: connects, status: declined,
-			change: func(d *deployment, c *config.Gatekeeper) {
-				c.Known.Workers[0].Address = fullBacklog(d.t)
+			change: func(d *deployment, c *config.Gateway) {
+				c.KnownEndpoints.Workers[0].Address = fullBacklog(d.t)
 			}, reached: inFlight},
 		{name: "sent, worker slow", raw: longDeadline(issueRequest("/issue?slow", requestID)),
 			status: settled, reached: sent, maxAttempts: 1},
@@ -125,11 +125,11 @@
 		{name: "half answered, then retried", raw: checkRequest("/check?cutshort", requestID), status: declined,
 			maxAttempts: 3},
 		{name: "no worker", raw: checkRequest("/check", requestID), status: declined,
-			change: func(_ *deployment, c *config.Gatekeeper) { c.Known.Workers = nil }},
+			change: func(_ *deployment, c *config.Gateway) { c.KnownEndpoints.Workers = nil }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := &deployment{t: t}
-			d = deployWith(t, func(conf *config.Gatekeeper) {
+			d = deployWith(t, func(conf *config.Gateway) {
 				if c.change != nil {
 					c.change(d, conf)
 				}
@@ -178,7 +178,7 @@
 // TestStopWithBacklog: connections that are in the listener's backlog at the stop, with a request or
 // without, are served.
 func TestStopWithBacklog(t *testing.T) {
-	d := deployWith(t, func(c *config.Gatekeeper) { c.Sockets = policy.SpareFiles + 4 }, 1, 5000)
+	d := deployWith(t, func(c *config.Gateway) { c.MaxSockets = policy.SpareFiles + 4 }, 1, 5000)
 	var all []net.Conn
 	for i := range 6 { // of which two have places, and one is held back for one
 		c := d.dial()
@@ -339,7 +339,7 @@
 			waitFor(t, "the request is not sent", func() bool { return len(d.submissions()) == 1 })
 			ended := make(chan error, 1)
 			go func() {
-				ended <- d.gateway.Run(stop, reload, func() (config.Gatekeeper, error) { return d.config, nil })
+				ended <- d.gateway.Run(stop, reload, func() (config.Gateway, error) { return d.config, nil })
 			}()
 			for range 3 {
 				if c.again {
--- a/internal/gateway/lifecycle/successor_test.go
+++ b/internal/gateway/lifecycle/successor_test.go
@@ -16,7 +16,7 @@
 // clients that are left to a process which never responds, and against a listener that nobody accepts from.
 func TestSuccessorHangs(t *testing.T) {
 	d, _ := deployWithInheritedListener(t)
-	_, err := hotrestart.Connect(hotrestart.SocketPath(d.config.Scratch, d.config.Name), d.config.Name)
+	_, err := hotrestart.Connect(hotrestart.SocketPath(d.config.SharedDir, d.config.Name), d.config.Name)
 	if err != nil {
 		t.Fatal(err)
 	}
