--- a/internal/gateway/lifecycle/admin.go
+++ b/internal/gateway/lifecycle/admin.go
@@ -59,9 +59,9 @@
 		add("copies.written", checkpoints.Written.Load())
 		add("copies.failed", checkpoints.Failed.Load())
 	}
-	g.borrowingFigures(add)
+	g.borrowingStats(add)
 	if g.ruleset != nil {
-		g.ruleset.figures(add)
+		g.ruleset.stats(add)
 	}
 	if g.authServer != nil {
 		g.authServer.Figures(add)
--- a/internal/gateway/lifecycle/borrowing.go
+++ b/internal/gateway/lifecycle/borrowing.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// borrowingFigures adds the stats of borrowing, in units of quota; none where it is disabled.
-func (g *Gateway) borrowingFigures(add func(name string, value int64)) {
+// borrowingStats adds the stats of borrowing, in units of quota; none where it is disabled.
+func (g *Gateway) borrowingStats(add func(name string, value int64)) {
 	f, enabled := g.dispatcher.CreditFigures()
 	if !enabled {
 		return
--- a/internal/gateway/lifecycle/ruleset_client.go
+++ b/internal/gateway/lifecycle/ruleset_client.go
@@ -262,8 +262,8 @@
 	}
 }
 
-// figures adds the stats of the ruleset. Mode is 0 without a lease, 1 in fallback, 2 leased.
-func (c *rulesetClient) figures(add func(string, int64)) {
+// stats adds the stats of the ruleset. Mode is 0 without a lease, 1 in fallback, 2 leased.
+func (c *rulesetClient) stats(add func(string, int64)) {
 	lease, leftMillis := c.lease.Load(), int64(0)
 	if expiry := lease.Expiry(); expiry < math.MaxInt64 {
 		leftMillis = max(expiry-bootclock.Nanos(), 0) / 1e6
--- a/internal/gateway/lifecycle/scripted_worker_test.go
+++ b/internal/gateway/lifecycle/scripted_worker_test.go
@@ -143,7 +143,8 @@
 	return deployWith(t, func(c *config.Gateway) {
 		c.KnownEndpoints.Workers[0].Address = at
 		c.Connections.ConnectTimeoutMillis = 5000 // a slow machine must not count as a connect time-out
-		c.Cores = 4                               // the workers run in this process, and must take none of the gateway's
+		// The workers run in this process, and must take none of the gateway's processor time.
+		c.Cores = 4
 	}, 1, 5000, swaps...)
 }
 
