--- a/internal/gateway/lifecycle/gateway.go
+++ b/internal/gateway/lifecycle/gateway.go
@@ -25,7 +25,7 @@
 // Gateway is a running gateway process. Fields without a note on their use are set by Start and read only.
 type Gateway struct {
 	Address string         // at which clients connect
-	config  config.Gateway // as read at the start; Run's reload goroutine updates Discovery and Peers
+	config  config.Gateway // as read at the start; a reload updates two of its addresses
 	log     zerolog.Logger
 	done    chan struct{} // closed by Stop, ends the background goroutines
 
