--- a/internal/gateway/lifecycle/admin_test.go
+++ b/internal/gateway/lifecycle/admin_test.go
@@ -62,7 +62,7 @@
 // idle connections are closed in time, and it can be taken back.
 func TestDrainAndResume(t *testing.T) {
 	d := deployWithAdmin(t)
-	up := func() bool {
+	ready := func() bool {
 		status, _ := d.send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
 		return status == "HTTP/1.1 200 OK"
 	}
@@ -79,13 +79,13 @@
 		}
 		openConns = append(openConns, c)
 	}
-	if !up() {
+	if !ready() {
 		t.Fatal("not ready")
 	}
 	for range 2 {
 		d.callAdmin("PUT /admin/quiesce")
 	}
-	if up() || !strings.Contains(d.callAdmin("GET /admin/health"), " 503 ") {
+	if ready() || !strings.Contains(d.callAdmin("GET /admin/health"), " 503 ") {
 		t.Error("ready while clients are sent away")
 	}
 	if status, _ := d.send(checkRequest("/check", "new")); status != "HTTP/1.1 200 OK" {
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if !up() || !strings.Contains(d.callAdmin("GET /admin/health"), " 200 ") {
+	if !ready() || !strings.Contains(d.callAdmin("GET /admin/health"), " 200 ") {
 		t.Error("not ready after resume")
 	}
 	time.Sleep(time.Duration(policy.DrainAsked+200) * time.Millisecond)
@@ -142,7 +142,7 @@
 		t.Fatal(err)
 	}
 	defer slow.Close()
-	got := make(chan string, 1)
+	slowStatus := make(chan string, 1)
 	go func() {
 		raw := checkRequest("/check", "slow")
 		for len(raw) > 0 { // in 1.2 s
@@ -152,7 +152,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		status, _ := readResponse(slow)
-		got <- status
+		slowStatus <- status
 	}()
 	for i := range 100 {
 		c, err := net.Dial("tcp", d.address)
@@ -180,7 +180,7 @@
 	if s, _ := readResponse(shortDeadline); s != "HTTP/1.1 429 Too Many Requests" {
 		t.Errorf("one whose deadline had passed when it got a place: %q", s)
 	}
-	if s := <-got; s != "HTTP/1.1 200 OK" {
+	if s := <-slowStatus; s != "HTTP/1.1 200 OK" {
 		t.Errorf("a slow valid one gets %q", s)
 	}
 	start := time.Now()
--- a/internal/gateway/lifecycle/borrowing_test.go
+++ b/internal/gateway/lifecycle/borrowing_test.go
@@ -33,7 +33,7 @@
 	first := d.startSuccessor(withCrashState)
 	d.gateway.Stop()
 	n, passed := 0, 0
-	ask := func(times int) {
+	sendTiny := func(times int) {
 		for range times {
 			n++
 			s, _ := d.send(strings.Replace(checkRequest("/check", fmt.Sprint("t", n)), "basic", "tiny", 1))
@@ -52,17 +52,17 @@
 			}
 		}
 	}
-	ask(4) // a new ledger takes the credit line as used
+	sendTiny(4) // a new ledger takes the credit line as used
 	within("the credit line is not earned", func() bool { return borrowingStat(first, "rights") == 2 })
 	time.Sleep(3 * time.Second) // figures are rounded: the last half unit is earned within 0.75 s
-	if ask(12); borrowingStat(first, "outstanding") != 2 {
+	if sendTiny(12); borrowingStat(first, "outstanding") != 2 {
 		t.Fatalf("%d passed, %d is owed", passed, borrowingStat(first, "outstanding"))
 	}
 	second := d.startSuccessor(withCrashState)
 	first.Stop()
 	within("the ledger is not taken over", func() bool { return borrowingStat(second, "customers") == 1 })
 	before := borrowingStat(second, "outstanding") // refills in between may have repaid a part of it
-	ask(6)
+	sendTiny(6)
 	if lent, paid := borrowingStat(second, "lent"), borrowingStat(second, "repaid"); before < 1 || lent > paid ||
 		borrowingStat(second, "outstanding") > 2 {
 		t.Errorf("%d was owed, %d more is lent and %d repaid, %d is owed", before, lent, paid,
--- a/internal/gateway/lifecycle/descriptors_test.go
+++ b/internal/gateway/lifecycle/descriptors_test.go
@@ -116,7 +116,7 @@
 				t.Fatal(err)
 			}
 			run := fmt.Sprintf(`%sulimit -n %d; echo $$ > pid; exec "$@"`, c.prelude, limit)
-			p := faultinject.Start(
+			process := faultinject.Start(
 				t,
 				faultinject.Spec{Name: "n0", Program: "/bin/sh", Dir: dir, Args: append([]string{"-c", run,
 					"sh", program, "serve", "--config", "conf.json"}, c.args...)},
@@ -125,15 +125,15 @@
 				t.Helper()
 				for start := time.Now(); !ok(); time.Sleep(5 * time.Millisecond) {
 					if time.Since(start) > transport.Millis(ms) {
-						log, _ := os.ReadFile(p.Log())
+						log, _ := os.ReadFile(process.Log())
 						t.Fatalf("%s: not within %v ms; log: %s", what, ms, log)
 					}
 				}
 			}
 			wait("the start", 10000, func() bool {
-				l, err := net.Dial("tcp", at(2))
+				listener, err := net.Dial("tcp", at(2))
 				if err == nil {
-					l.Close()
+					listener.Close()
 				}
 				return err == nil
 			})
@@ -149,9 +149,9 @@
 					d.CrashStatePath, d.HistoryDir = "residue", "."
 				}
 				clients, workers := connectionLimits(d)
-				if all := idle + extra + policy.OperatorCalls + clients + workers; all > limit {
+				if total := idle + extra + policy.OperatorCalls + clients + workers; total > limit {
 					t.Errorf("%d descriptors alone, %d for clients, %d for workers: %d of %d in all", idle, clients,
-						workers, all, limit)
+						workers, total, limit)
 				}
 			} else if err != nil {
 				t.Fatal(err)
@@ -166,16 +166,16 @@
 				return maxOpen >= idle+c.minFilled
 			})
 
-			w, err := fakes.NewWorker("w", time.Millisecond)
+			worker, err := fakes.NewWorker("w", time.Millisecond)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer w.Close()
-			list, err := json.Marshal(fakes.List{Index: 8, Snapshot: true, Endpoints: []fakes.Entry{w.Of("a")}})
+			defer worker.Close()
+			list, err := json.Marshal(fakes.List{Index: 8, Snapshot: true, Endpoints: []fakes.Entry{worker.Of("a")}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			l, err := net.Listen("tcp", at(1))
+			listener, err := net.Listen("tcp", at(1))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -190,10 +190,10 @@
 					}
 				}
 			})}
-			go server.Serve(l)
+			go server.Serve(listener)
 			defer server.Close()
-			up := time.Now()
-			answers := func(at, raw string) bool {
+			discoveryUp := time.Now()
+			succeeds := func(at, raw string) bool {
 				c, err := net.Dial("tcp", at)
 				if err != nil {
 					return false
@@ -207,11 +207,11 @@
 			n := 0
 			served := func() bool {
 				n++
-				return answers(at(0), strings.Replace(checkRequest("/check", fmt.Sprint(n)), "spread=1", "spread=2", 1))
+				return succeeds(at(0), strings.Replace(checkRequest("/check", fmt.Sprint(n)), "spread=1", "spread=2", 1))
 			}
 			wait("a client served by a worker of discovery's list", policy.WatchDue+5000, served)
 			t.Logf("%d descriptors, %d of them without a client; served %v after discovery was up", maxOpen, idle,
-				time.Since(up))
+				time.Since(discoveryUp))
 			peer.SetReadDeadline(time.Now().Add(10 * time.Second))
 			received := make(chan error, 1)
 			go func() {
@@ -230,9 +230,9 @@
 				}
 			})
 			wait("an admin call", 10000, func() bool {
-				return answers(at(2), "GET /admin/stats HTTP/1.1\r\nHost: x\r\n\r\n")
+				return succeeds(at(2), "GET /admin/stats HTTP/1.1\r\nHost: x\r\n\r\n")
 			})
-			log, _ := os.ReadFile(p.Log())
+			log, _ := os.ReadFile(process.Log())
 			if !receivedOK || maxOpen > limit || strings.Contains(string(log), "too many open files") {
 				t.Errorf("%d descriptors of %d, the peer has received: %v; log: %s", maxOpen, limit, receivedOK, log)
 			}
--- a/internal/gateway/lifecycle/discovery_test.go
+++ b/internal/gateway/lifecycle/discovery_test.go
@@ -362,8 +362,8 @@
 	t.Parallel()
 	for _, m := range watchModes {
 		for _, c := range []struct {
-			name string
-			how  []string
+			name       string
+			behaviours []string
 		}{
 			{"refused", nil},
 			{"swallowed", []string{"swallowed"}},
@@ -378,34 +378,34 @@
 		} {
 			t.Run(m.name+", "+c.name, func(t *testing.T) {
 				t.Parallel()
-				var list *scriptedDiscovery
+				var discovery *scriptedDiscovery
 				var l net.Listener
 				d := deployWith(t, func(conf *config.Gateway) {
 					turn := time.Duration(0)
 					if conf.Connections.PollsDiscovery {
 						turn = time.Second // of the 2 s it may be; what is left is for a loaded machine
 					}
-					list = newScriptedDiscovery(t, ports.Address(t), conf, turn)
-					if l = list.listen(t); len(c.how) == 0 {
+					discovery = newScriptedDiscovery(t, ports.Address(t), conf, turn)
+					if l = discovery.listen(t); len(c.behaviours) == 0 {
 						l.Close()
 					}
-					for _, how := range append(c.how, "healthy") {
-						list.behaviours <- how
+					for _, behaviours := range append(c.behaviours, "healthy") {
+						discovery.behaviours <- behaviours
 					}
-					conf.DiscoveryAddress = list.address
+					conf.DiscoveryAddress = discovery.address
 					for hasLateDraws(conf.Seed) {
 						conf.Seed++
 					}
-					if len(c.how) > 0 {
-						go list.serve(l)
+					if len(c.behaviours) > 0 {
+						go discovery.serve(l)
 					}
 				}, 2, 5000, m.swaps...)
-				if len(c.how) == 0 {
+				if len(c.behaviours) == 0 {
 					<-d.gateway.firstWatchResult // a call has been refused
-					go list.serve(list.listen(t))
+					go discovery.serve(discovery.listen(t))
 				}
-				for range c.how {
-					<-list.handled
+				for range c.behaviours {
+					<-discovery.handled
 				}
 				awaitActiveWorkersRunning(t, d, 1, policy.WatchDue)
 			})
@@ -431,13 +431,13 @@
 	for _, m := range watchModes {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			var list *scriptedDiscovery
+			var discovery *scriptedDiscovery
 			var backlog []io.Closer
 			d := deployWith(t, func(conf *config.Gateway) {
-				list = newScriptedDiscovery(t, ports.Address(t), conf, 0)
-				backlog = fillBacklog(t, list.address)
-				list.behaviours <- "healthy"
-				conf.DiscoveryAddress = list.address
+				discovery = newScriptedDiscovery(t, ports.Address(t), conf, 0)
+				backlog = fillBacklog(t, discovery.address)
+				discovery.behaviours <- "healthy"
+				conf.DiscoveryAddress = discovery.address
 				for hasLateDraws(conf.Seed) {
 					conf.Seed++
 				}
@@ -446,7 +446,7 @@
 			for _, c := range backlog {
 				c.Close()
 			}
-			go list.serve(list.listen(t))
+			go discovery.serve(discovery.listen(t))
 			awaitActiveWorkersRunning(t, d, 1, policy.WatchDue)
 		})
 	}
--- a/internal/gateway/lifecycle/forwardauth_test.go
+++ b/internal/gateway/lifecycle/forwardauth_test.go
@@ -397,13 +397,13 @@
 	auth.Takes(20 * time.Millisecond)
 	d := deployForwardAuth(t, askingConfig(auth, "yes_s = 0"))
 	rng := rand.New(rand.NewSource(1))
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range 200 {
 		wait := time.Duration(15+rng.Intn(12)) * time.Millisecond
 		stays := rng.Intn(3) == 0
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
+			defer clients.Done()
 			c, err := net.Dial("tcp", d.address)
 			if err != nil {
 				t.Error(err)
@@ -423,7 +423,7 @@
 		}()
 		time.Sleep(time.Millisecond)
 	}
-	all.Wait()
+	clients.Wait()
 	waitFor(t, "requests stay in flight", func() bool { return d.gateway.frontend.ActiveRequests() == 0 })
 	seen := map[string]bool{}
 	for _, raw := range d.submissions() {
--- a/internal/gateway/lifecycle/journal_test.go
+++ b/internal/gateway/lifecycle/journal_test.go
@@ -155,10 +155,10 @@
 			if policy == txnjournal.Serve {
 				want = "HTTP/1.1 200 OK"
 			}
-			tries := 0
+			attempts := 0
 			waitFor(t, "non-idempotent requests are not answered as the policy says", func() bool {
-				tries++
-				status, _ := d.send(issueRequest("/issue", fmt.Sprint("x", tries)))
+				attempts++
+				status, _ := d.send(issueRequest("/issue", fmt.Sprint("x", attempts)))
 				return status == want
 			})
 			if n := len(d.submissions()) - sent; policy == txnjournal.Refuse && n > 0 {
@@ -281,32 +281,32 @@
 	if err := os.WriteFile(path, []byte(conf), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	asked := map[string]float64{}
+	sentAt := map[string]float64{}
 	next := 0
 	var retries []string // of the incarnation before: they are sent once more
 	for range *journalKills {
-		cmd := exec.Command(os.Args[0], "-test.run", "TestJournalChild$")
-		cmd.Env = append(os.Environ(), "WILLOWDECK_TEST_JOURNAL="+path,
+		gateway := exec.Command(os.Args[0], "-test.run", "TestJournalChild$")
+		gateway.Env = append(os.Environ(), "WILLOWDECK_TEST_JOURNAL="+path,
 			fmt.Sprint("WILLOWDECK_TEST_SEGMENTS=", size, " ", segments))
-		out, err := cmd.StdoutPipe()
+		out, err := gateway.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := cmd.Start(); err != nil {
+		if err := gateway.Start(); err != nil {
 			t.Fatal(err)
 		}
 		var at string
 		if _, err := fmt.Fscanln(out, new(string), &at); err != nil {
 			t.Fatal(err)
 		}
-		var wg sync.WaitGroup
+		var clients sync.WaitGroup
 		var mu sync.Mutex
 		var sentNow []string
 		first := make(chan bool, 1)
 		for client := range 8 {
-			wg.Add(1)
+			clients.Add(1)
 			go func() {
-				defer wg.Done()
+				defer clients.Done()
 				for i := client; ; i += 8 {
 					mu.Lock()
 					var requestID string
@@ -315,7 +315,7 @@
 					} else {
 						next++
 						requestID = fmt.Sprint("x", next)
-						asked[requestID] = float64(time.Now().UnixMilli())
+						sentAt[requestID] = float64(time.Now().UnixMilli())
 						sentNow = append(sentNow, requestID)
 					}
 					mu.Unlock()
@@ -343,9 +343,9 @@
 		case <-time.After(2 * time.Second):
 		}
 		time.Sleep(time.Duration(rng.Intn(160)) * time.Millisecond)
-		_ = cmd.Process.Kill()
-		wg.Wait()
-		_ = cmd.Wait()
+		_ = gateway.Process.Kill()
+		clients.Wait()
+		_ = gateway.Wait()
 		retries = sentNow[:len(sentNow)-len(sentNow)/4] // the last ones may not have arrived, and are not retried
 	}
 	runs, twice := map[string]int{}, 0
@@ -356,15 +356,15 @@
 			}
 		}
 	}
-	end := float64(time.Now().UnixMilli())
+	now := float64(time.Now().UnixMilli())
 	journalDir := store.Dir(filepath.Join(dir, "n0"))
-	b, found, _, incarnations, err := store.ReadAll(journalDir, txnjournal.DefaultTerms(), end, nil, nil)
+	verdicts, found, _, incarnations, err := store.ReadAll(journalDir, txnjournal.DefaultTerms(), now, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	count, falselyNotSent, falselySettled, unknownNotRun := [3]int{}, 0, 0, 0
-	for requestID, at := range asked {
-		v, why, _ := b.Answers(requestID, at, end, end)
+	for requestID, at := range sentAt {
+		v, why, _ := verdicts.Answers(requestID, at, now, now)
 		count[v]++
 		switch {
 		case v == txnjournal.NotSent && runs[requestID] > 0:
@@ -379,7 +379,7 @@
 	t.Logf("%d incarnations, %d records in %d segments, %d bytes cut; of %d requests %d ran, "+
 		"%d twice; settled %d, unknown %d (%d of them never ran), not sent %d; "+
 		"falsely not sent %d, falsely settled %d", incarnations,
-		found.Records, found.Segments, found.Cut, len(asked), len(runs), twice, count[txnjournal.SentSettled],
+		found.Records, found.Segments, found.Cut, len(sentAt), len(runs), twice, count[txnjournal.SentSettled],
 		count[txnjournal.SentUnknown], unknownNotRun, count[txnjournal.NotSent], falselyNotSent, falselySettled)
 	if twice > 0 || falselySettled > 0 || len(runs) < *journalKills || int(incarnations) < *journalKills/2 {
 		t.Errorf("%d ran twice, %d are settled that never ran, %d ran in %d incarnations",
--- a/internal/gateway/lifecycle/ruleset_process_test.go
+++ b/internal/gateway/lifecycle/ruleset_process_test.go
@@ -106,13 +106,13 @@
 		})
 		return d, s, start
 	}
-	burst := func(d *deployment) (in int) {
+	burst := func(d *deployment) (passed int) {
 		for range 40 {
 			if d.passes() {
-				in++
+				passed++
 			}
 		}
-		return in
+		return passed
 	}
 	d, s, _ := startNext()
 	waitFor(t, "the rate limit never fills", func() bool {
@@ -124,8 +124,8 @@
 	s.Wait()
 	d, s, _ = startNext()
 	waitFor(t, "no request is served under a lease", d.passes)
-	if in := burst(d); in < 35 {
-		t.Errorf("%d passed at once under the same ruleset", in)
+	if passed := burst(d); passed < 35 {
+		t.Errorf("%d passed at once under the same ruleset", passed)
 	}
 	time.Sleep(600 * time.Millisecond)
 	s.Process.Kill()
@@ -133,9 +133,9 @@
 	x.setLease(2, testRules(rate, depth), true)
 	d, _, start := startNext()
 	waitFor(t, "no request is served under a lease", d.passes)
-	in := burst(d)
-	if most := rate*time.Since(start).Seconds() + 1; float64(in) > most {
-		t.Errorf("%d passed under another ruleset, of %.1f since the start", in, most)
+	passed := burst(d)
+	if maxPassed := rate*time.Since(start).Seconds() + 1; float64(passed) > maxPassed {
+		t.Errorf("%d passed under another ruleset, of %.1f since the start", passed, maxPassed)
 	}
 }
 
@@ -148,11 +148,11 @@
 	// of the ms that a request does. Without the checks there are up to four a round.
 	const maxStale = 2
 	staleSends := 0
-	w, list := startWorkerAndDiscovery(t)
-	x := newFakeDaemon(t)
-	r := testRules(1000, 1000)
-	r.LeaseMillis, r.Fallback = 200, ruleset.Fallback{Fraction: 0.5, DurationMillis: 100}
-	x.setLease(1, r, true)
+	worker, list := startWorkerAndDiscovery(t)
+	daemon := newFakeDaemon(t)
+	next := testRules(1000, 1000)
+	next.LeaseMillis, next.Fallback = 200, ruleset.Fallback{Fraction: 0.5, DurationMillis: 100}
+	daemon.setLease(1, next, true)
 	dir := t.TempDir()
 	log := func(who string) *history.Log {
 		l, err := history.Open(filepath.Join(dir, who+".jsonl"), who, 1)
@@ -162,9 +162,9 @@
 		return l
 	}
 	testLog, workerLog := log("rig"), log("w0")
-	w.Record = workerLog
-	s := startProcess(t, list, x.address, dir)
-	d := &deployment{t: t, address: s.address}
+	worker.Record = workerLog
+	running := startProcess(t, list, daemon.address, dir)
+	d := &deployment{t: t, address: running.address}
 	waitFor(t, "it does not serve clients", d.passes)
 	stop := make(chan struct{})
 	var asking sync.WaitGroup
@@ -183,7 +183,7 @@
 		}()
 	}
 	submissionsOf := func(version uint64) (n int, last time.Time) {
-		for _, got := range w.Got() {
+		for _, got := range worker.Got() {
 			if got.Version == strconv.FormatUint(version, 10) {
 				n, last = n+1, got.At
 			}
@@ -196,19 +196,19 @@
 			n, _ := submissionsOf(version)
 			return n > 20
 		})
-		s.Process.Signal(syscall.SIGSTOP)
+		running.Process.Signal(syscall.SIGSTOP)
 		testLog.Write(history.Event{Kind: history.Stalls, Peer: "n0"})
-		r.Plans = append([]ruleset.Plan(nil), r.Plans...)
+		next.Plans = append([]ruleset.Plan(nil), next.Plans...)
 		for range 2 {
 			time.Sleep(250 * time.Millisecond) // over the lease and its fallback
 			version++
-			r.Plans[0].CeilingRate = 500 + float64(version)
-			x.setLease(version, r, true)
+			next.Plans[0].CeilingRate = 500 + float64(version)
+			daemon.setLease(version, next, true)
 		}
 		before, _ := submissionsOf(version - 2)
 		continuedAt := time.Now()
 		testLog.Write(history.Event{Kind: history.Wakes, Peer: "n0"})
-		s.Process.Signal(syscall.SIGCONT)
+		running.Process.Signal(syscall.SIGCONT)
 		waitFor(t, "it does not continue", func() bool {
 			n, _ := submissionsOf(version)
 			return n > 5
@@ -226,8 +226,8 @@
 	if staleSends > maxStale {
 		t.Errorf("%d sent under versions that had expired", staleSends)
 	}
-	s.Process.Signal(syscall.SIGTERM) // so that its record is complete
-	s.Wait()
+	running.Process.Signal(syscall.SIGTERM) // so that its record is complete
+	running.Wait()
 	testLog.Close()
 	workerLog.Close()
 	record, err := history.Read(dir)
@@ -249,7 +249,7 @@
 			}
 		}
 	}
-	if n := len(w.Got()); sends < n {
+	if n := len(worker.Got()); sends < n {
 		t.Errorf("%d sends recorded, %d came", sends, n)
 	}
 }
--- a/internal/gateway/lifecycle/ruleset_test.go
+++ b/internal/gateway/lifecycle/ruleset_test.go
@@ -114,13 +114,13 @@
 }
 
 // countPassed sends requests one after another for a time, and counts those that were served.
-func (d *deployment) countPassed(span time.Duration) (in int) {
+func (d *deployment) countPassed(span time.Duration) (passed int) {
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		if d.passes() {
-			in++
+			passed++
 		}
 	}
-	return in
+	return passed
 }
 
 // awaitMode waits for a lease mode.
@@ -193,16 +193,16 @@
 	waitFor(t, "the ruleset is not adopted", func() bool { return d.stat("rules.version") == 2 })
 	const span = 500 * time.Millisecond
 	start := time.Now()
-	in := d.countPassed(span)
-	if most := 5 + 10*time.Since(start).Seconds() + 1; float64(in) > most || in < 3 {
-		t.Errorf("%d in %v, of at most %.1f", in, time.Since(start), most)
+	passed := d.countPassed(span)
+	if maxPassed := 5 + 10*time.Since(start).Seconds() + 1; float64(passed) > maxPassed || passed < 3 {
+		t.Errorf("%d in %v, of at most %.1f", passed, time.Since(start), maxPassed)
 	}
 	x.setLease(3, testRules(2000, 2000), false)
 	waitFor(t, "the ruleset is not adopted", func() bool { return d.stat("rules.version") == 3 })
 	start = time.Now()
-	in = d.countPassed(span)
-	if most := 5 + 10*time.Since(start).Seconds() + 1; float64(in) > most {
-		t.Errorf("%d in %v before all instances have left the version before", in, time.Since(start))
+	passed = d.countPassed(span)
+	if maxPassed := 5 + 10*time.Since(start).Seconds() + 1; float64(passed) > maxPassed {
+		t.Errorf("%d in %v before all instances have left the version before", passed, time.Since(start))
 	}
 	x.setLease(3, testRules(2000, 2000), true)
 	waitFor(t, "the rate limit is never raised", func() bool { return d.countPassed(50*time.Millisecond) > 10 })
@@ -223,7 +223,7 @@
 	for _, c := range []struct {
 		name      string
 		overrides []ruleset.WorkerOverride
-		out       []int // workers that are sent nothing
+		notSent   []int // workers that are sent nothing
 	}{
 		{"barred", []ruleset.WorkerOverride{{Worker: "w0", Barred: true}}, []int{0}},
 		{"drained", []ruleset.WorkerOverride{{Worker: "w1", Drained: true}}, []int{1}},
@@ -237,11 +237,11 @@
 		before := []int{d.workers[0].count(), d.workers[1].count()}
 		d.countPassed(150 * time.Millisecond)
 		for i, w := range d.workers {
-			out := false
-			for _, o := range c.out {
-				out = out || o == i
+			notSent := false
+			for _, o := range c.notSent {
+				notSent = notSent || o == i
 			}
-			if got := w.count() > before[i]; got == out {
+			if got := w.count() > before[i]; got == notSent {
 				t.Errorf("%s: worker %d got %d", c.name, i, w.count()-before[i])
 			}
 		}
@@ -322,12 +322,13 @@
 	if n := d.gateway.ruleset.baseCharter.ReportsPerTell; n != transport.MaxReportsPerMessage {
 		t.Errorf("%d reports to a message, where there is room for %d", n, transport.MaxReportsPerMessage)
 	}
-	r := testRules(1000, 1000)
-	x.setLease(1, r, true)
+	next := testRules(1000, 1000)
+	x.setLease(1, next, true)
 	d.awaitMode(ruleset.ModeLeased)
 	waitFor(t, "no request is served", d.passes)
-	r.Members = append(r.Members, ruleset.Member{Name: "n1", Host: "h"}, ruleset.Member{Name: "n2", Host: "i"})
-	x.setLease(2, r, true)
+	next.Members = append(next.Members, ruleset.Member{Name: "n1", Host: "h"},
+		ruleset.Member{Name: "n2", Host: "i"})
+	x.setLease(2, next, true)
 	waitFor(t, "the number of members is not three", func() bool { return d.stat("members") == 3 })
 	waitFor(t, "a request that is spread over three is not served", func() bool {
 		s, _ := d.send(
@@ -340,8 +341,8 @@
 		)
 		return s == "HTTP/1.1 200 OK"
 	})
-	r.Members = []ruleset.Member{{}, {Name: "n1", Host: "h"}}
-	x.setLease(3, r, true)
+	next.Members = []ruleset.Member{{}, {Name: "n1", Host: "h"}}
+	x.setLease(3, next, true)
 	waitFor(t, "the ruleset is not adopted", func() bool { return d.stat("rules.version") == 3 })
 	if d.countPassed(100*time.Millisecond) != 0 {
 		t.Error("passes requests without being a member")
@@ -361,27 +362,27 @@
 	}, 1, 5000)
 	d.awaitMode(ruleset.ModeLeased)
 	time.Sleep(3100 * time.Millisecond) // until the rate limit is full
-	burst := func(n int) (in int) {
+	burst := func(n int) (passed int) {
 		for range n {
 			if d.passes() {
-				in++
+				passed++
 			}
 		}
-		return in
+		return passed
 	}
 	start := time.Now()
-	if in := burst(spent); in != spent {
-		t.Fatalf("%d passed of a full rate limit", in)
+	if passed := burst(spent); passed != spent {
+		t.Fatalf("%d passed of a full rate limit", passed)
 	}
 	successor := d.startSuccessor(func(c *config.Gateway) { c.ListenAddress = "127.0.0.1:0" })
 	waitFor(t, "the successor has no lease",
 		func() bool { return successor.ruleset.mode.Load() == int64(ruleset.ModeLeased) })
 	d.gateway.Stop()
 	d.address = successor.Address
-	in := burst(depth)
-	most := depth - spent + rate*time.Since(start).Seconds() + 1
-	if in < depth-spent || float64(in) > most {
-		t.Errorf("%d passed in the successor, of %d to %.0f", in, depth-spent, most)
+	passed := burst(depth)
+	maxPassed := depth - spent + rate*time.Since(start).Seconds() + 1
+	if passed < depth-spent || float64(passed) > maxPassed {
+		t.Errorf("%d passed in the successor, of %d to %.0f", passed, depth-spent, maxPassed)
 	}
 }
 
@@ -479,7 +480,7 @@
 		rate, depth, withheld float64
 		narrow                bool
 	}
-	term := func(version uint64, mode ruleset.LeaseMode, me int, rate, depth,
+	effectiveRules := func(version uint64, mode ruleset.LeaseMode, me int, rate, depth,
 		of float64) ruleset.EffectiveRules {
 		return ruleset.EffectiveRules{Version: version, Mode: mode, MemberIndex: me, MemberCount: 3,
 			Plans: []ruleset.EffectivePlan{
@@ -491,23 +492,25 @@
 		ruleset.EffectiveRules
 		want
 	}{
-		"before any lease": {{term(0, ruleset.ModeNoLease, 0, 10, 20, 0), want{10, 20, 1, true}}},
-		"leased, fallback, no lease, leased": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
-			{term(1, ruleset.ModeFallback, 0, 30, 60, 0.25), want{30, 60, 0.75, true}},
-			{term(1, ruleset.ModeNoLease, 0, 30, 60, 0), want{30, 60, 1, true}},
-			{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}}},
-		"no share yet": {{term(1, ruleset.ModeLeased, 0, 30, 60, 0), want{0, 60, 0, false}},
-			{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}}},
-		"raised": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
-			{term(2, ruleset.ModeLeased, 0, 60, 120, 0.5), want{30, 60, 0, false}},
-			{term(2, ruleset.ModeFallback, 0, 60, 120, 0.25), want{30, 60, 0.5, true}},
-			{term(2, ruleset.ModeLeased, 0, 60, 120, 1), want{60, 120, 0, false}}},
-		"another version in fallback": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
-			{term(2, ruleset.ModeFallback, 0, 40, 80, 0.25), want{10, 20, 0, true}}},
-		"no longer a member": {{term(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
-			{term(2, ruleset.ModeLeased, -1, 30, 60, 0), want{0, 60, 0, true}}},
-		"no ceiling": {{term(1, ruleset.ModeLeased, 0, 0, 0, 1), want{0, 0, 0, false}},
-			{term(1, ruleset.ModeNoLease, 0, 0, 0, 1), want{0, 0, 0, true}}},
+		"before any lease": {{effectiveRules(0, ruleset.ModeNoLease, 0, 10, 20, 0), want{10, 20, 1, true}}},
+		"leased, fallback, no lease, leased": {
+			{effectiveRules(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
+			{effectiveRules(1, ruleset.ModeFallback, 0, 30, 60, 0.25), want{30, 60, 0.75, true}},
+			{effectiveRules(1, ruleset.ModeNoLease, 0, 30, 60, 0), want{30, 60, 1, true}},
+			{effectiveRules(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}}},
+		"no share yet": {{effectiveRules(1, ruleset.ModeLeased, 0, 30, 60, 0), want{0, 60, 0, false}},
+			{effectiveRules(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}}},
+		"raised": {{effectiveRules(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
+			{effectiveRules(2, ruleset.ModeLeased, 0, 60, 120, 0.5), want{30, 60, 0, false}},
+			{effectiveRules(2, ruleset.ModeFallback, 0, 60, 120, 0.25), want{30, 60, 0.5, true}},
+			{effectiveRules(2, ruleset.ModeLeased, 0, 60, 120, 1), want{60, 120, 0, false}}},
+		"another version in fallback": {
+			{effectiveRules(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
+			{effectiveRules(2, ruleset.ModeFallback, 0, 40, 80, 0.25), want{10, 20, 0, true}}},
+		"no longer a member": {{effectiveRules(1, ruleset.ModeLeased, 0, 30, 60, 1), want{30, 60, 0, false}},
+			{effectiveRules(2, ruleset.ModeLeased, -1, 30, 60, 0), want{0, 60, 0, true}}},
+		"no ceiling": {{effectiveRules(1, ruleset.ModeLeased, 0, 0, 0, 1), want{0, 0, 0, false}},
+			{effectiveRules(1, ruleset.ModeNoLease, 0, 0, 0, 1), want{0, 0, 0, true}}},
 	} {
 		g := &Gateway{}
 		g.config.Names.Plans = map[string]int{"basic": 0}
--- a/internal/gateway/lifecycle/ruleset_updates_test.go
+++ b/internal/gateway/lifecycle/ruleset_updates_test.go
@@ -62,37 +62,37 @@
 	return x
 }
 
-func (x *fakeUpdateDaemon) respond(a *distribution.Request) (*distribution.Response, error) {
+func (x *fakeUpdateDaemon) respond(request *distribution.Request) (*distribution.Response, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.lastRequest = *a
-	if x.updateRequests++; a.Rules.IsNone() {
+	x.lastRequest = *request
+	if x.updateRequests++; request.Rules.IsNone() {
 		x.fullStateRequests++
 	}
 	if x.source == nil {
 		return nil, &relay.RejectionError{Reason: "unconfirmed", Message: "nothing is in force"}
 	}
 	now := bootMillis()
-	v := distribution.Snapshot{Step: x.lease.Step, TransitionComplete: x.lease.TransitionComplete,
+	snapshot := distribution.Snapshot{Step: x.lease.Step, TransitionComplete: x.lease.TransitionComplete,
 		ReadStartMillis: now,
 		DiscoveryIndex:  -1}
 	var err error
-	if v.Rules, err = ruleset.VersionToState(&x.lease.Version); err == nil && x.lease.Pending != nil {
+	if snapshot.Rules, err = ruleset.VersionToState(&x.lease.Version); err == nil && x.lease.Pending != nil {
 		next := ruleset.Version{Number: x.lease.Version.Number + 1, Rules: *x.lease.Pending}
-		v.Pending, err = ruleset.VersionToState(&next)
+		snapshot.Pending, err = ruleset.VersionToState(&next)
 	}
 	if err != nil {
 		return nil, err
 	}
-	a.Cluster = "till"
-	x.source.Publish(v)
-	got, err := x.source.Respond(a, now)
+	request.Cluster = "till"
+	x.source.Publish(snapshot)
+	response, err := x.source.Respond(request, now)
 	if err != nil || x.alterUpdate == nil {
-		return got, err
+		return response, err
 	}
-	other := *got
-	x.alterUpdate(&other)
-	return &other, nil
+	altered := *response
+	x.alterUpdate(&altered)
+	return &altered, nil
 }
 
 // setLease has it grant leases of a version from now on, with a pending one or nil.
@@ -186,21 +186,21 @@
 		last.Interest != (ruleset.Interest{Name: "n0", Around: distribution.RingRadius}) {
 		t.Errorf("it asks %+v", last)
 	}
-	in, renewals := d.stat("rules.bytes_in"), d.stat("rules.renewals")
+	bytesIn, renewals := d.stat("rules.bytes_in"), d.stat("rules.renewals")
 	waitFor(t, "no lease renewals", func() bool { return d.stat("rules.renewals") >= renewals+5 })
-	in = d.stat("rules.bytes_in") - in
-	if per := float64(in) / float64(d.stat("rules.renewals")-renewals); per > 700 {
+	bytesIn = d.stat("rules.bytes_in") - bytesIn
+	if per := float64(bytesIn) / float64(d.stat("rules.renewals")-renewals); per > 700 {
 		t.Errorf("%.0f bytes for each renewal", per)
 	}
-	in = d.stat("rules.bytes_in")
+	bytesIn = d.stat("rules.bytes_in")
 	for number := uint64(2); number < 5; number++ {
 		r.Plans = slices.Clone(r.Plans)
 		r.Plans[1].Rate++
 		x.setLease(number, r, nil)
 		waitFor(t, "the ruleset is not adopted", func() bool { return uint64(d.stat("rules.version")) == number })
 	}
-	if in = d.stat("rules.bytes_in") - in; in > 9000 {
-		t.Errorf("%d bytes for three changes", in)
+	if bytesIn = d.stat("rules.bytes_in") - bytesIn; bytesIn > 9000 {
+		t.Errorf("%d bytes for three changes", bytesIn)
 	}
 	if w, n := d.stat("rules.wholes"), d.stat("rules.deltas"); w != 1 || n != 3 {
 		t.Errorf("%d full states, %d deltas", w, n)
@@ -406,8 +406,8 @@
 	d := deployBelowUpdateDaemon(t, x)
 	x.setLease(1, testRules(1000, 1000), nil)
 	d.awaitMode(ruleset.ModeLeased)
-	p := testRules(10, 10)
-	x.setLease(1, testRules(1000, 1000), &p)
+	pending := testRules(10, 10)
+	x.setLease(1, testRules(1000, 1000), &pending)
 	awaitAcked := func(step uint64) {
 		t.Helper()
 		waitFor(t, fmt.Sprintf("step %d is not acknowledged", step), func() bool {
@@ -428,14 +428,14 @@
 	x.setLease(1, testRules(1000, 1000), nil)
 	d.awaitMode(ruleset.ModeLeased)
 	awaitAcked(3)
-	x.setLease(1, testRules(1000, 1000), &p)
+	x.setLease(1, testRules(1000, 1000), &pending)
 	awaitAcked(4)
-	before, in := d.stat("rules.deltas"), d.stat("rules.bytes_in")
-	x.setLease(2, p, nil) // the pending version is in force: the gateway has it already
+	deltasBefore, bytesIn := d.stat("rules.deltas"), d.stat("rules.bytes_in")
+	x.setLease(2, pending, nil) // the pending version is in force: the gateway has it already
 	waitFor(t, "version 2 is not adopted", func() bool { return d.stat("rules.version") == 2 })
-	if d.stat("rules.deltas") != before || d.stat("rules.wholes") != 1 || d.stat("rules.spoilt") != 0 {
+	if d.stat("rules.deltas") != deltasBefore || d.stat("rules.wholes") != 1 || d.stat("rules.spoilt") != 0 {
 		t.Errorf("%d full states, %d deltas, %d corrupt, %d bytes", d.stat("rules.wholes"),
-			d.stat("rules.deltas")-before, d.stat("rules.spoilt"), d.stat("rules.bytes_in")-in)
+			d.stat("rules.deltas")-deltasBefore, d.stat("rules.spoilt"), d.stat("rules.bytes_in")-bytesIn)
 	}
 }
 
--- a/internal/gateway/lifecycle/start_test.go
+++ b/internal/gateway/lifecycle/start_test.go
@@ -166,7 +166,7 @@
 // addresses, where connections of their earlier incarnations have just ended. Guards against a start that
 // waits for discovery, peers or a port.
 func TestStartTogether(t *testing.T) {
-	const fleet, members, known = 24, 300, 200
+	const started, members, known = 24, 300, 200
 	worker, err := fakes.NewWorker("w", time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
@@ -185,18 +185,19 @@
 		failures = append(failures, way)
 	}
 	slices.Sort(failures)
-	ports := faultinject.Ports(t, 2*fleet)
-	at := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", ports+2*i) }
+	ports := faultinject.Ports(t, 2*started)
+	address := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", ports+2*i) }
 	var peers []string
 	for i := range members {
 		peers = append(peers, fmt.Sprintf("127.9.%d.%d:9", i/200, i%200+1))
 	}
-	dir, files := t.TempDir(), make([]string, fleet)
-	for i := range fleet {
-		own := slices.Clone(peers)
-		own[i] = fmt.Sprintf("127.0.0.1:%d", ports+2*i+1)
-		b, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", i), "listen": at(i), "seed": fmt.Sprint(i),
-			"discovery": silent[failures[i%len(failures)]], "known": list, "peer_listen": own[i], "peers": own,
+	dir, files := t.TempDir(), make([]string, started)
+	for i := range started {
+		ownPeers := slices.Clone(peers)
+		ownPeers[i] = fmt.Sprintf("127.0.0.1:%d", ports+2*i+1)
+		b, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", i), "listen": address(i),
+			"seed": fmt.Sprint(i), "discovery": silent[failures[i%len(failures)]], "known": list,
+			"peer_listen": ownPeers[i], "peers": ownPeers,
 			"limits": map[string]any{"cores": 1, "sockets": 1024, "memory_mb": 192},
 			"settings": map[string]any{"me": i, "balancers": members,
 				"registry_mode": []string{"pushed", "on_request"}[i/len(failures)%2],
@@ -215,7 +216,7 @@
 		}
 	}
 	n := newProcessGroup(t)
-	processes := make([]*exec.Cmd, fleet)
+	processes := make([]*exec.Cmd, started)
 	faultinject.Program(t, "willowdeck") // built before the clock runs
 	startAll := func(name string, which []int) {
 		t.Helper()
@@ -229,7 +230,7 @@
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				readyAfter[k], errs[k] = waitReady(at(i), began)
+				readyAfter[k], errs[k] = waitReady(address(i), began)
 			}()
 		}
 		all.Wait()
@@ -250,7 +251,7 @@
 			readyAfter[len(readyAfter)-1],
 		)
 		for _, i := range which {
-			c, err := net.Dial("tcp", at(i))
+			c, err := net.Dial("tcp", address(i))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -262,7 +263,7 @@
 			}
 		}
 	}
-	all := make([]int, fleet)
+	all := make([]int, started)
 	for i := range all {
 		all[i] = i
 	}
@@ -275,7 +276,7 @@
 		}
 	})
 	startAll("start", all)
-	killed := all[:fleet*7/10]
+	killed := all[:started*7/10]
 	for _, i := range killed {
 		_ = processes[i].Process.Kill()
 	}
--- a/internal/gateway/lifecycle/stop_test.go
+++ b/internal/gateway/lifecycle/stop_test.go
@@ -87,7 +87,7 @@
 		"HTTP/1.1 500 Internal Server Error"
 	connects := []string{`"connect_timeout_us":100000`, `"connect_timeout_us":5000000`}
 	requestID := fmt.Sprint("stop-", os.Getpid(), "-", time.Now().UnixNano()) // of no other test on this machine
-	count := func(d *deployment) (n int) {
+	attemptsFor := func(d *deployment) (n int) {
 		for _, s := range d.submissions() {
 			if strings.Contains(s, "X-Request-Id: "+requestID+"\r\n") {
 				n++
@@ -96,7 +96,7 @@
 		return n
 	}
 	inFlight := func(d *deployment) bool { return d.gateway.frontend.ActiveRequests() == 1 }
-	sent := func(d *deployment) bool { return count(d) == 1 }
+	sent := func(d *deployment) bool { return attemptsFor(d) == 1 }
 	longDeadline := func(raw string) string { return strings.Replace(raw, "300m", "900m", 1) }
 	for _, c := range []struct {
 		name, raw, status string
@@ -154,7 +154,7 @@
 			if _, err := io.Copy(io.Discard, got.Body); err != nil {
 				t.Error(err)
 			}
-			attempts := count(d)
+			attempts := attemptsFor(d)
 			if _, err := r.ReadByte(); !errors.Is(err, io.EOF) {
 				t.Errorf("after its response: %v", err)
 			}
@@ -163,7 +163,7 @@
 			if end := elapsed(); end > 2*time.Second {
 				t.Errorf("stopped after %v", end)
 			}
-			if n := count(d); n != attempts || n > c.maxAttempts {
+			if n := attemptsFor(d); n != attempts || n > c.maxAttempts {
 				t.Errorf("%d submissions, %d when it was answered", n, attempts)
 			}
 			broken := inflight.Violations() // counted by the process, and so of the tests before it too
--- a/internal/gateway/lifecycle/streaming_test.go
+++ b/internal/gateway/lifecycle/streaming_test.go
@@ -60,17 +60,17 @@
 func TestLongBodies(t *testing.T) {
 	const size = 12 << 20
 	body := testBody(size)
-	sum := fmt.Sprintf("%x", sha256.Sum256(body))
-	var most atomic.Uint64
+	wantDigest := fmt.Sprintf("%x", sha256.Sum256(body))
+	var maxHeap atomic.Uint64
 	d := deployBeforeHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		h := sha256.New()
 		n, err := io.Copy(h, r.Body)
-		if got := fmt.Sprintf("%x", h.Sum(nil)); err != nil || n != size || got != sum {
+		if response := fmt.Sprintf("%x", h.Sum(nil)); err != nil || n != size || response != wantDigest {
 			t.Errorf("the worker got %d bytes, %v", n, err)
 		}
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
-		most.Store(max(most.Load(), m.HeapInuse))
+		maxHeap.Store(max(maxHeap.Load(), m.HeapInuse))
 		if r.ContentLength >= 0 {
 			w.Header().Set("Content-Length", fmt.Sprint(size))
 		}
@@ -80,16 +80,17 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	for i, length := range []int64{size, -1} {
-		got, err := d.sendSale(fmt.Sprint("l", i), io.MultiReader(bytes.NewReader(body)), length)
-		if err != nil || got.StatusCode != 200 || got.ContentLength != length {
-			t.Fatalf("answered %v, %v", got, err)
+		response, err := d.sendSale(fmt.Sprint("l", i), io.MultiReader(bytes.NewReader(body)), length)
+		if err != nil || response.StatusCode != 200 || response.ContentLength != length {
+			t.Fatalf("answered %v, %v", response, err)
 		}
 		h := sha256.New()
-		if n, err := io.Copy(h, got.Body); err != nil || n != size || fmt.Sprintf("%x", h.Sum(nil)) != sum {
+		n, err := io.Copy(h, response.Body)
+		if err != nil || n != size || fmt.Sprintf("%x", h.Sum(nil)) != wantDigest {
 			t.Errorf("the client got %d bytes, %v", n, err)
 		}
 	}
-	if grown := int64(most.Load()) - int64(m.HeapInuse); grown > size/3 {
+	if grown := int64(maxHeap.Load()) - int64(m.HeapInuse); grown > size/3 {
 		t.Errorf("%d bytes were held", grown)
 	}
 }
@@ -145,10 +146,10 @@
 // TestClientStallsInBody: a client that stalls in its body has a response in time, and no worker gets a
 // complete body.
 func TestClientStallsInBody(t *testing.T) {
-	var complete atomic.Int64
+	var completeBodies atomic.Int64
 	d := deployBeforeHandler(t, func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err == nil {
-			complete.Add(1)
+			completeBodies.Add(1)
 		}
 	})
 	c, err := net.Dial("tcp", d.address)
@@ -165,8 +166,8 @@
 	c.Write(append([]byte(raw), testBody(200000)...))
 	c.SetDeadline(time.Now().Add(time.Second + time.Duration(policy.BodyPause)*time.Millisecond))
 	got, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil || got.StatusCode != http.StatusRequestTimeout || complete.Load() > 0 {
-		t.Errorf("answered %v, %v; %d complete", got, err, complete.Load())
+	if err != nil || got.StatusCode != http.StatusRequestTimeout || completeBodies.Load() > 0 {
+		t.Errorf("answered %v, %v; %d complete", got, err, completeBodies.Load())
 	}
 }
 
--- a/internal/gateway/lifecycle/worker_endings_test.go
+++ b/internal/gateway/lifecycle/worker_endings_test.go
@@ -264,23 +264,23 @@
 			b := startScriptedWorker(t, nil)
 			d := deployBefore(t, b)
 			got := d.sendAsync(withLongDeadline(issueRequest("/issue", "a1")))
-			x := b.accept()
-			defer x.Close()
-			x.readSubmission()
+			firstConn := b.accept()
+			defer firstConn.Close()
+			firstConn.readSubmission()
 			// In one write, so that the read of the response's end contains what follows it.
-			x.respond(c.first)
+			firstConn.respond(c.first)
 			if a := <-got; a.status != 200 || !a.complete || !bytes.Equal(a.body, c.want) {
 				t.Fatalf("the first got %d, %d bytes, complete %v", a.status, len(a.body), a.complete)
 			}
 			if c.afterwards != nil {
 				d.awaitWorkerConns(1)
-				c.afterwards(x)
+				c.afterwards(firstConn)
 			}
 			got = d.sendAsync(withLongDeadline(issueRequest("/issue", "a2")))
-			y := b.accept()
-			defer y.Close()
-			y.readSubmission()
-			y.respond(strings.Replace(validResponse, "valid", "fresh", 1))
+			secondConn := b.accept()
+			defer secondConn.Close()
+			secondConn.readSubmission()
+			secondConn.respond(strings.Replace(validResponse, "valid", "fresh", 1))
 			if a := <-got; a.status != 200 || string(a.body) != "fresh\n" || b.submissions.Load() != 2 {
 				t.Errorf("the second got %d %q after %d submissions", a.status, a.body, b.submissions.Load())
 			}
@@ -507,19 +507,19 @@
 			b := startScriptedWorker(t, nil)
 			d := deployBefore(t, b)
 			got := d.sendAsync(withLongDeadline(checkRequest("/check", "o1")))
-			x := b.accept()
-			defer x.Close()
-			x.readSubmission()
-			x.respond(c.text)
-			y := b.accept()
-			defer y.Close()
-			y.readSubmission()
+			firstConn := b.accept()
+			defer firstConn.Close()
+			firstConn.readSubmission()
+			firstConn.respond(c.text)
+			secondConn := b.accept()
+			defer secondConn.Close()
+			secondConn.readSubmission()
 			state := uint8(0)
-			x.awaitSocket(func(_ int, is uint8) bool { state = is; return true })
+			firstConn.awaitSocket(func(_ int, is uint8) bool { state = is; return true })
 			if state == established {
 				t.Error("the attempt before is still open")
 			}
-			y.respond(validResponse)
+			secondConn.respond(validResponse)
 			if a := <-got; a.status != 200 || b.submissions.Load() != 2 {
 				t.Errorf("it got %d after %d submissions", a.status, b.submissions.Load())
 			}
