--- a/internal/forwardauth/authserver/portal.go
+++ b/internal/forwardauth/authserver/portal.go
@@ -28,7 +28,7 @@
 type Portal struct {
 	asked   *config.AuthServer
 	names   config.Names
-	charter atomic.Pointer[policy.Charter]
+	charter atomic.Pointer[policy.Settings]
 	gate    *proxy.Proxy
 	next    func(*transport.Request) transport.FinalAnswer
 	server  fasthttp.Server
@@ -62,7 +62,7 @@
 	"no_place", "elsewhere", "came", "uncleared"}
 
 // New makes a front over a gate; next serves the txns that have no clearance and need none.
-func New(a *config.AuthServer, names config.Names, charter policy.Charter, g *proxy.Proxy,
+func New(a *config.AuthServer, names config.Names, charter policy.Settings, g *proxy.Proxy,
 	next func(*transport.Request) transport.FinalAnswer) *Portal {
 	p := &Portal{asked: a, names: names, gate: g, next: next,
 		book: authcache.NewBook[*proxy.Reservation](a.LifetimeMillis, a.RetentionMillis, a.MaxClearances)}
@@ -84,7 +84,7 @@
 // Resize tells how many gatekeepers there are from now on.
 func (p *Portal) Resize(n int) {
 	c := *p.charter.Load()
-	c.Gatekeepers = n
+	c.GatewayCount = n
 	p.charter.Store(&c)
 }
 
@@ -158,7 +158,7 @@
 		f, now := c.Facts, p.gate.Now()
 		if f.Product < 0 || f.Product >= len(p.charter.Load().Products) || f.Plan < 0 ||
 			f.Plan >= len(p.charter.Load().Plans) || c.Until <= now || len(c.Mark) == 0 ||
-			len(c.Mark) > policy.LongestMark || !(f.Units > 0) {
+			len(c.Mark) > policy.MaxDedupKeyBytes || !(f.Units > 0) {
 			continue
 		}
 		var h *proxy.Reservation
@@ -176,19 +176,19 @@
 
 func factsOf(t *transport.Request) authcache.Facts {
 	return authcache.Facts{Customer: t.Customer, Product: t.Product, Plan: t.Plan, Units: t.Units,
-		SetSize: t.SetSize, First: t.First}
+		SetSize: t.SetSize, First: t.FirstGateway}
 }
 
-func arrival(f authcache.Facts) policy.Arrival {
-	return policy.Arrival{Customer: f.Customer, Product: f.Product, Plan: f.Plan, Units: f.Units,
-		SetSize: f.SetSize, First: f.First}
+func arrival(f authcache.Facts) policy.Request {
+	return policy.Request{Customer: f.Customer, Product: f.Product, Plan: f.Plan, Units: f.Units,
+		SetSize: f.SetSize, FirstGateway: f.First}
 }
 
 // Serve is the life of a txn at the main door: one that was cleared takes what was kept for it, and comes
 // once. The rest goes on as ever, but for products that come only if they were cleared.
 func (p *Portal) Serve(t *transport.Request) transport.FinalAnswer {
 	once := p.asked.RequiresClearance[t.Product] ||
-		p.charter.Load().Products[t.Product].Repeat != policy.InquiryLike
+		p.charter.Load().Products[t.Product].Idempotency != policy.Idempotent
 	p.mu.Lock()
 	found, hold := p.book.Come(string(t.RequestID), factsOf(t), once, p.gate.Now())
 	p.mu.Unlock()
@@ -209,7 +209,7 @@
 	switch {
 	case !p.asked.RequiresClearance[t.Product]:
 	case found == authcache.Moved: // nothing was sent, and who has the book now is there at once
-		return transport.FinalAnswer{Kind: policy.Decline, RetryAfterMillis: authcache.RebindAgain}
+		return transport.FinalAnswer{Kind: policy.Reject, RetryAfterMillis: authcache.RebindAgain}
 	default:
 		p.counts[uncleared].Add(1)
 		return refusal(fasthttp.StatusForbidden, "this product comes only if it has been cleared")
@@ -218,7 +218,7 @@
 }
 
 func refusal(status int, says string) transport.FinalAnswer {
-	return transport.FinalAnswer{Kind: policy.Void, Rejection: &transport.Rejection{Status: status,
+	return transport.FinalAnswer{Kind: policy.RejectUncertain, Rejection: &transport.Rejection{Status: status,
 		Message: says}}
 }
 
@@ -266,7 +266,7 @@
 func (p *Portal) answer(ctx *fasthttp.RequestCtx, t *transport.Request) {
 	mark, facts := string(t.RequestID), factsOf(t)
 	c := p.charter.Load()
-	if home := authcache.Home(mark, facts, c.Gatekeepers); p.asked.RequiresClearance[t.Product] && home != c.Me {
+	if home := authcache.Home(mark, facts, c.GatewayCount); p.asked.RequiresClearance[t.Product] && home != c.GatewayIndex {
 		ctx.Response.Header.Set("X-Clear-At", strconv.Itoa(home))
 		p.say(ctx, elsewhere, fasthttp.StatusMisdirectedRequest, "another gatekeeper clears this txn")
 		return
--- a/internal/gateway/admin/server.go
+++ b/internal/gateway/admin/server.go
@@ -83,15 +83,15 @@
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	server := &Server{Address: listener.Addr().String(),
-		listener: transport.NewLimitListener(listener, policy.OperatorCalls), gateway: gateway}
+		listener: transport.NewLimitListener(listener, policy.MaxAdminConnections), gateway: gateway}
 	server.server = fasthttp.Server{
 		Handler:            server.handle,
 		ErrorHandler:       respondUnreadable,
 		DisableKeepalive:   true, // one call per connection
-		MaxRequestBodySize: policy.OperatorBytes,
-		ReadBufferSize:     policy.OperatorBytes,
-		ReadTimeout:        transport.Millis(policy.OperatorWait),
-		WriteTimeout:       transport.Millis(policy.OperatorWait),
+		MaxRequestBodySize: policy.MaxAdminRequestBytes,
+		ReadBufferSize:     policy.MaxAdminRequestBytes,
+		ReadTimeout:        transport.Millis(policy.AdminTimeoutMillis),
+		WriteTimeout:       transport.Millis(policy.AdminTimeoutMillis),
 		CloseOnShutdown:    true, NoDefaultServerHeader: true, NoDefaultDate: true,
 		Logger: transport.DiscardLogger{},
 	}
@@ -225,7 +225,7 @@
 // RunPeriodically calls gather at once and then every policy.FiguresEach until stop is closed. Stats that
 // are costly to gather are kept up to date by it.
 func RunPeriodically(stop <-chan struct{}, gather func()) {
-	ticker := time.NewTicker(transport.Millis(policy.FiguresEach))
+	ticker := time.NewTicker(transport.Millis(policy.StatsRefreshMillis))
 	defer ticker.Stop()
 	for {
 		gather()
--- a/internal/gateway/lifecycle/admin.go
+++ b/internal/gateway/lifecycle/admin.go
@@ -31,7 +31,7 @@
 		Attempts: g.workerConns.AttemptsWritten(),
 		Active:   g.frontend.ActiveRequests(),
 		Workers:  int64(tally.Workers),
-		Ejected:  int64(tally.Distrusted),
+		Ejected:  int64(tally.SuspectedWorkers),
 	}
 	f.Products = make([]admin.ProductStats, len(g.config.Charter.Products))
 	for name, i := range g.config.Names.Products {
@@ -46,8 +46,8 @@
 		add("desk.longest.list_us", lockTimes.FullListMicros.Load())
 		add("desk.longest.change_us", lockTimes.ChangeMicros.Load())
 		add("desk.longest.rules_us", lockTimes.RulesetMicros.Load())
-		add("peers.suspected", int64(tally.Suspected))
-		add("peers.gone", int64(tally.Lost))
+		add("peers.suspected", int64(tally.SilentPeers))
+		add("peers.gone", int64(tally.LostPeers))
 	}
 	if journal := g.journal.Load(); journal != nil {
 		journal.Figures(add)
--- a/internal/gateway/lifecycle/admin_test.go
+++ b/internal/gateway/lifecycle/admin_test.go
@@ -47,7 +47,7 @@
 			t.Errorf("no answer to %d", i)
 		}
 	}
-	time.Sleep(2 * time.Millisecond * policy.FiguresEach)
+	time.Sleep(2 * time.Millisecond * policy.StatsRefreshMillis)
 	got := d.callAdmin("GET /admin/stats")
 	for _, want := range []string{"svc.ok.check=2\n", "svc.shed.check=1\n", "svc.errors.check=0\n",
 		"svc.ok.sale=1\n", "svc.errors.issue=1\n", fmt.Sprintf("svc.tries=%d\n", len(d.submissions())),
@@ -113,7 +113,7 @@
 	if !ready() || !strings.Contains(d.callAdmin("GET /admin/health"), " 200 ") {
 		t.Error("not ready after resume")
 	}
-	time.Sleep(time.Duration(policy.DrainAsked+200) * time.Millisecond)
+	time.Sleep(time.Duration(policy.DrainAcceptMillis+200) * time.Millisecond)
 	fmt.Fprint(c, checkRequest("/check", "later"))
 	if status, _ := readResponse(c); status != "HTTP/1.1 200 OK" {
 		t.Errorf("a connection kept after resume: %q", status)
@@ -209,17 +209,17 @@
 		t.Fatal(s)
 	}
 	conf := d.config
-	conf.Charter.Gatekeepers = 3
+	conf.Charter.GatewayCount = 3
 	d.gateway.Reload(conf, nil)
 	if s := of("b", 3); s != "HTTP/1.1 200 OK" || d.stat("members") != 3 {
 		t.Errorf("of three: %q, %d", s, d.stat("members"))
 	}
-	conf.Charter.Gatekeepers, conf.Charter.LargestUnits = 4, 7
+	conf.Charter.GatewayCount, conf.Charter.MaxRequestUnits = 4, 7
 	d.gateway.Reload(conf, nil)
 	if n := d.stat("members"); n != 3 {
 		t.Errorf("with other settings changed it applies %d", n)
 	}
-	conf.Charter.Gatekeepers, conf.Charter.LargestUnits = 1, d.config.Charter.LargestUnits
+	conf.Charter.GatewayCount, conf.Charter.MaxRequestUnits = 1, d.config.Charter.MaxRequestUnits
 	d.gateway.Reload(conf, nil)
 	if s := of("c", 1); s != "HTTP/1.1 200 OK" || d.stat("members") != 1 {
 		t.Errorf("alone: %q, %d", s, d.stat("members"))
--- a/internal/gateway/lifecycle/borrowing.go
+++ b/internal/gateway/lifecycle/borrowing.go
@@ -30,18 +30,18 @@
 	case g.config.CrashStatePath == "":
 		g.log.Warn().Msg("settings.tariffs: credit_s has no effect without a crash state (--residue)")
 		return
-	case c.Gatekeepers > 1 && (g.peers == nil || !g.config.SharesEndpoints):
+	case c.GatewayCount > 1 && (g.peers == nil || !g.config.SharesEndpoints):
 		g.log.Warn().
 			Msg("settings.tariffs: credit_s has no effect, as peers' messages name no incarnation (--tell)")
 		return
 	}
-	book, err := ledger.Open(g.config.CrashStatePath+ledgerSuffix, c.Me)
+	book, err := ledger.Open(g.config.CrashStatePath+ledgerSuffix, c.GatewayIndex)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("borrowing disabled, its ledger could not be opened")
 		return
 	}
-	terms := borrowing.Terms{Me: c.Me, Gatekeepers: int(g.memberCount.Load()), Plans: creditLines,
-		PeerInPerS: c.PeerInPerS}
+	terms := borrowing.Terms{Me: c.GatewayIndex, Gatekeepers: int(g.memberCount.Load()), Plans: creditLines,
+		PeerInPerS: c.PeerMessagesPerSecond}
 	accounts := borrowing.New(terms, g.config.Seed, book.Born)
 	accounts.Clock(book.Now())
 	for _, kept := range book.Records {
--- a/internal/gateway/lifecycle/descriptors.go
+++ b/internal/gateway/lifecycle/descriptors.go
@@ -10,8 +10,8 @@
 	"willowdeck/internal/policy"
 )
 
-// Descriptors that a gateway holds beside policy.SpareFiles, if the part in question is configured.
-// SpareFiles covers the twelve of any gateway (docs/incidents/mass.md has the count), two for a hot restart
+// Descriptors that a gateway holds beside policy.ReservedDescriptors, if the part in question is configured.
+// ReservedDescriptors covers the twelve of any gateway (docs/incidents/mass.md has the count), two for a hot restart
 // and two for outgoing calls.
 const (
 	journalDescriptors    = 4 // a segment, its folder for a moment, and the lock
@@ -52,12 +52,12 @@
 // of the descriptors that are left beside all others. So the watch, the peers and files never wait for a
 // client to close one.
 func connectionLimits(c config.Gateway) (clients, workers int) {
-	own := policy.SpareFiles + c.ForwardAuth.Connections()
+	own := policy.ReservedDescriptors + c.ForwardAuth.Connections()
 	for _, part := range []struct {
 		configured  bool
 		descriptors int
 	}{
-		{c.AdminAddress != "", policy.OperatorCalls + adminDescriptors},
+		{c.AdminAddress != "", policy.MaxAdminConnections + adminDescriptors},
 		{c.Journal != nil, journalDescriptors},
 		{c.CrashStatePath != "", crashStateDescriptors},
 		{c.HistoryDir != "", historyDescriptors},
@@ -68,7 +68,7 @@
 	}
 	spare := float64(max(c.MaxSockets-own, 2))
 	if c.SharedDir != "" { // a successor that is starting has descriptors of its own
-		spare -= min(policy.SpareFiles+policy.OperatorCalls, spare/4)
+		spare -= min(policy.ReservedDescriptors+policy.MaxAdminConnections, spare/4)
 	}
-	return int(spare * policy.ClientPart), max(int(spare*policy.WorkerPart), 1)
+	return int(spare * policy.ClientConnectionFraction), max(int(spare*policy.WorkerConnectionFraction), 1)
 }
--- a/internal/gateway/lifecycle/descriptors_test.go
+++ b/internal/gateway/lifecycle/descriptors_test.go
@@ -149,7 +149,7 @@
 					d.CrashStatePath, d.HistoryDir = "residue", "."
 				}
 				clients, workers := connectionLimits(d)
-				if total := idle + extra + policy.OperatorCalls + clients + workers; total > limit {
+				if total := idle + extra + policy.MaxAdminConnections + clients + workers; total > limit {
 					t.Errorf("%d descriptors alone, %d for clients, %d for workers: %d of %d in all", idle, clients,
 						workers, total, limit)
 				}
@@ -159,7 +159,7 @@
 
 			keepConnecting(t, at(0), limit, "")
 			keepConnecting(t, at(0), limit/2, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-			keepConnecting(t, at(2), 2*policy.OperatorCalls, "")
+			keepConnecting(t, at(2), 2*policy.MaxAdminConnections, "")
 			maxOpen := 0
 			wait("connections that use all descriptors", 10000, func() bool {
 				maxOpen = max(maxOpen, openDescriptors(pid))
@@ -209,7 +209,7 @@
 				n++
 				return succeeds(at(0), strings.Replace(checkRequest("/check", fmt.Sprint(n)), "spread=1", "spread=2", 1))
 			}
-			wait("a client served by a worker of discovery's list", policy.WatchDue+5000, served)
+			wait("a client served by a worker of discovery's list", policy.WatchCatchUpMillis+5000, served)
 			t.Logf("%d descriptors, %d of them without a client; served %v after discovery was up", maxOpen, idle,
 				time.Since(discoveryUp))
 			peer.SetReadDeadline(time.Now().Add(10 * time.Second))
--- a/internal/gateway/lifecycle/discovery.go
+++ b/internal/gateway/lifecycle/discovery.go
@@ -36,12 +36,12 @@
 	return 0
 }
 
-// awaitFirstWatch waits for the watch's first update or failure, for FirstWord at most. Guards against
+// awaitFirstWatch waits for the watch's first update or failure, for StartupListWaitMillis at most. Guards against
 // requests that are sent by the configured list where a newer one is available.
 func (g *Gateway) awaitFirstWatch() {
 	select {
 	case <-g.firstWatchResult:
-	case <-time.After(transport.Millis(policy.FirstWord)):
+	case <-time.After(transport.Millis(policy.StartupListWaitMillis)):
 	}
 }
 
@@ -58,11 +58,11 @@
 		Int("workers", len(update.Workers)).Msg("endpoints updated")
 }
 
-// logWatchError logs at most once in WatchDue that the watch has ended: endless retries must not fill the
+// logWatchError logs at most once in WatchCatchUpMillis that the watch has ended: endless retries must not fill the
 // log.
 func (g *Gateway) logWatchError(err error) {
 	g.markFirstWatch()
-	if now := time.Now(); now.Sub(g.watchErrorLogged) > transport.Millis(policy.WatchDue) {
+	if now := time.Now(); now.Sub(g.watchErrorLogged) > transport.Millis(policy.WatchCatchUpMillis) {
 		g.watchErrorLogged = now
 		g.log.Warn().Err(err).Msg("discovery watch ended, reopening it")
 	}
--- a/internal/gateway/lifecycle/discovery_test.go
+++ b/internal/gateway/lifecycle/discovery_test.go
@@ -96,7 +96,7 @@
 	t.Logf("applied after %v, of which the machine stalled for %v", time.Since(start), time.Since(start)-ran)
 }
 
-// TestSilentWatch: the open watch falls silent, and a worker drains. That is applied within WatchDue. Guards
+// TestSilentWatch: the open watch falls silent, and a worker drains. That is applied within WatchCatchUpMillis. Guards
 // against a silence that is noticed late, a backoff after it that grows with the number of gateways, and
 // lists that span several lines.
 func TestSilentWatch(t *testing.T) {
@@ -113,16 +113,16 @@
 					c.Seed++
 				}
 			}, 2, 5000, m.swaps...)
-			awaitActiveWorkers(t, d, 2, policy.WatchDue)
+			awaitActiveWorkers(t, d, 2, policy.WatchCatchUpMillis)
 			list.Silence()
 			drainFirstWorker(list)
-			awaitActiveWorkers(t, d, 1, policy.WatchDue)
+			awaitActiveWorkers(t, d, 1, policy.WatchCatchUpMillis)
 		})
 	}
 }
 
 // TestDiscoveryMoveInTime moves to a discovery that is silent or rejects requests at first. Its list is
-// applied within WatchMoved from when it responds. Guards against the first backoff of a large fleet, and
+// applied within WatchFailoverCatchUpMillis from when it responds. Guards against the first backoff of a large fleet, and
 // against backoffs that grow with each failure.
 func TestDiscoveryMoveInTime(t *testing.T) {
 	t.Parallel()
@@ -150,14 +150,14 @@
 				d.gateway.Reload(next, nil)
 				time.Sleep(c.failsFor)
 				c.fail(list, false)
-				awaitActiveWorkers(t, d, 1, policy.WatchMoved)
+				awaitActiveWorkers(t, d, 1, policy.WatchFailoverCatchUpMillis)
 			})
 		}
 	}
 }
 
 // TestStartAwaitsAgent: where lists are pushed, no request is sent by the configured list alone while the
-// agent has a newer one, and no start waits for a silent agent for longer than FirstWord. Where lists are
+// agent has a newer one, and no start waits for a silent agent for longer than StartupListWaitMillis. Where lists are
 // polled none waits.
 func TestStartAwaitsAgent(t *testing.T) {
 	const slackMillis = 200.0 // ms; a start itself, on a loaded machine
@@ -172,7 +172,8 @@
 			time.Sleep(10 * time.Millisecond)
 			fmt.Fprintf(w, "{\n\"index\":8,\"endpoints\":[\n%s]}\n", d.endpointEntry(0, "leaving", 0))
 		}, true, slackMillis},
-		{"silent", nil, func(http.ResponseWriter, *deployment) {}, false, policy.FirstWord + slackMillis},
+		{"silent", nil, func(http.ResponseWriter, *deployment) {}, false,
+			policy.StartupListWaitMillis + slackMillis},
 		{"rejected", nil, func(w http.ResponseWriter, _ *deployment) { w.WriteHeader(503) }, false,
 			slackMillis},
 		{"polled", watchModes[1].swaps, func(http.ResponseWriter, *deployment) {}, false, slackMillis},
@@ -200,7 +201,7 @@
 					<-gk.watchEnded
 					gk.Stop()
 				})
-				if !c.drains || elapsed < transport.Millis(policy.FirstWord) {
+				if !c.drains || elapsed < transport.Millis(policy.StartupListWaitMillis) {
 					break // else the machine stalled, and the agent could not respond in time
 				}
 			}
@@ -355,7 +356,7 @@
 }
 
 // TestUpdateAfterOutage: discovery fails the first requests, each in its way for good, and is well from then
-// on. Its update is applied within WatchDue, on real connections, by the random draws that make for the
+// on. Its update is applied within WatchCatchUpMillis, on real connections, by the random draws that make for the
 // longest backoffs among 300 instances that poll, where it answers one after another. Guards against all
 // that a request which was refused, swallowed, rejected or half answered may add to the next one's backoff.
 func TestUpdateAfterOutage(t *testing.T) {
@@ -407,7 +408,7 @@
 				for range c.behaviours {
 					<-discovery.handled
 				}
-				awaitActiveWorkersRunning(t, d, 1, policy.WatchDue)
+				awaitActiveWorkersRunning(t, d, 1, policy.WatchCatchUpMillis)
 			})
 		}
 	}
@@ -447,7 +448,7 @@
 				c.Close()
 			}
 			go discovery.serve(discovery.listen(t))
-			awaitActiveWorkersRunning(t, d, 1, policy.WatchDue)
+			awaitActiveWorkersRunning(t, d, 1, policy.WatchCatchUpMillis)
 		})
 	}
 }
@@ -488,7 +489,7 @@
 
 // TestConsecutiveMoves sends SIGHUP several times in a row, each with another discovery. The watch leaves
 // one that swallows requests, and one to which connections never come up, at once, and the last one's update
-// is applied within WatchMoved; if that one is down first, as after any outage. Guards against a move that
+// is applied within WatchFailoverCatchUpMillis; if that one is down first, as after any outage. Guards against a move that
 // waits for what the watch is doing, and against backoffs of the moves before.
 func TestConsecutiveMoves(t *testing.T) {
 	t.Parallel()
@@ -518,12 +519,12 @@
 				}
 				before := time.Now()
 				move(last.address) // how long it takes for the old watch to end, TestWatchLeaves has exactly
-				due := policy.WatchMoved
+				due := policy.WatchFailoverCatchUpMillis
 				if down {
 					time.Sleep(
-						transport.Millis(policy.WatchMoved) - time.Since(before),
+						transport.Millis(policy.WatchFailoverCatchUpMillis) - time.Since(before),
 					) // by then it is an outage like others
-					due = policy.WatchDue
+					due = policy.WatchCatchUpMillis
 					l = last.listen(t)
 				}
 				go last.serve(l)
--- a/internal/gateway/lifecycle/forwardauth_test.go
+++ b/internal/gateway/lifecycle/forwardauth_test.go
@@ -123,7 +123,9 @@
 		t.Errorf("after %v s: %v", wait, r.Status)
 	}
 	waitFor(t, "clearances do not expire", func() bool { return d.stat("asked.marks") <= 1 })
-	waitFor(t, "two clearances do not expire", func() bool { return d.gateway.dispatcher.Tally().Final[7] == 2 })
+	waitFor(t, "two clearances do not expire", func() bool {
+		return d.gateway.dispatcher.Tally().FinalByReason[7] == 2
+	})
 	if r := roundTrip(
 		t,
 		d.address,
@@ -261,7 +263,7 @@
 	if n := len(d.submissions()); n != 2 {
 		t.Errorf("%d submissions", n)
 	}
-	if t := d.gateway.dispatcher.Tally(); t.Final[0] != 2 {
+	if t := d.gateway.dispatcher.Tally(); t.FinalByReason[0] != 2 {
 		d.t.Errorf("tally %+v", t)
 	}
 }
--- a/internal/gateway/lifecycle/hotrestart.go
+++ b/internal/gateway/lifecycle/hotrestart.go
@@ -33,7 +33,7 @@
 	}
 	deadline := time.Now().Add(listenTimeout)
 	for errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(deadline) {
-		time.Sleep(transport.Millis(policy.AcceptAgain))
+		time.Sleep(transport.Millis(policy.AcceptRetryMillis))
 		listener, err = net.Listen("tcp", address)
 	}
 	if err != nil {
@@ -172,7 +172,7 @@
 		select {
 		case <-g.done:
 			return
-		case <-time.After(transport.Millis(policy.WatchAgain)):
+		case <-time.After(transport.Millis(policy.WatchRetryMillis)):
 		}
 	}
 }
--- a/internal/gateway/lifecycle/loadreport.go
+++ b/internal/gateway/lifecycle/loadreport.go
@@ -36,16 +36,16 @@
 		Name:     c.Name,
 		Host:     c.Host,
 		Hall:     c.Region,
-		Number:   c.Charter.Me,
+		Number:   c.Charter.GatewayIndex,
 		Charter:  c.Charter,
 		Products: c.Names.ProductNames(),
 		Plans:    c.Names.PlanNames(),
 	}}
-	r.report.Charter.Me = 0
+	r.report.Charter.GatewayIndex = 0
 	if r.groupConfigured {
 		r.report.Group = c.Group
 	}
-	r.setMembers(c.PeerAddresses, c.Charter.Gatekeepers)
+	r.setMembers(c.PeerAddresses, c.Charter.GatewayCount)
 	g.dispatcher.SetMeter(forecast.NewMeter(c.Charter, crashstate.UptimeCentiseconds()))
 	return r
 }
@@ -54,7 +54,7 @@
 func (r *loadReporter) setMembers(peers []netip.AddrPort, size int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report.Charter.Gatekeepers = size
+	r.report.Charter.GatewayCount = size
 	if r.groupConfigured {
 		return
 	}
--- a/internal/gateway/lifecycle/recovery.go
+++ b/internal/gateway/lifecycle/recovery.go
@@ -32,7 +32,8 @@
 	}
 	g.dispatcher.AttachCrashState(file, left)
 	if left != nil {
-		g.log.Info().Int("ceilings", len(left.Ceilings)).Float64("base_s", (g.dispatcher.Now()-left.Base)/1000).
+		ageMillis := g.dispatcher.Now() - left.RateLimitBaseMillis
+		g.log.Info().Int("ceilings", len(left.RateLimits)).Float64("base_s", ageMillis/1000).
 			Msg("crash state of an earlier incarnation restored")
 	}
 	if g.config.KeepsCheckpoint {
@@ -71,7 +72,7 @@
 	if left == nil {
 		return
 	}
-	ageMillis := g.dispatcher.Now() - left.State.At
+	ageMillis := g.dispatcher.Now() - left.State.AtMillis
 	customers, fits := g.dispatcher.RestoreCheckpoint(left, g.config.SharesEndpoints)
 	if !fits {
 		g.reportNoCheckpoint(checkpoint.ErrDigestMismatch)
--- a/internal/gateway/lifecycle/reload.go
+++ b/internal/gateway/lifecycle/reload.go
@@ -27,18 +27,18 @@
 	g.config.DiscoveryAddress = c.DiscoveryAddress
 	g.cancelWatch()
 	version := <-g.watchEnded // no update of the old watch may follow one of the new
-	g.startWatch(version, policy.WatchMoved)
+	g.startWatch(version, policy.WatchFailoverCatchUpMillis)
 	g.log.Info().Str("discovery", c.DiscoveryAddress).Msg("configuration reloaded, discovery moved")
 }
 
 // resize applies another number of gateways, if no other setting that is shared with them has changed.
 func (g *Gateway) resize(c config.Gateway) {
-	size, former := c.Charter.Gatekeepers, g.memberCount.Load()
+	size, former := c.Charter.GatewayCount, g.memberCount.Load()
 	if int64(size) == former && slices.Equal(c.PeerAddresses, g.config.PeerAddresses) {
 		return
 	}
 	expected := c.Charter
-	expected.Gatekeepers = g.config.Charter.Gatekeepers
+	expected.GatewayCount = g.config.Charter.GatewayCount
 	needsSocket := g.peers == nil && len(c.PeerAddresses) > 0 // it was started without one
 	if needsSocket || !reflect.DeepEqual(expected, g.config.Charter) {
 		g.log.Warn().Msg("number of gateways changed along with other settings, which wait for the next start")
--- a/internal/gateway/lifecycle/requests_test.go
+++ b/internal/gateway/lifecycle/requests_test.go
@@ -590,7 +590,7 @@
 	}
 	c.Close()
 	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if n := d.gateway.dispatcher.Tally(); n.InFlight == 0 && n.Final[policy.ByClient] == 1 {
+		if n := d.gateway.dispatcher.Tally(); n.InFlight == 0 && n.FinalByReason[policy.ReasonClientGone] == 1 {
 			return
 		}
 	}
--- a/internal/gateway/lifecycle/ruleset_adoption.go
+++ b/internal/gateway/lifecycle/ruleset_adoption.go
@@ -37,7 +37,7 @@
 	if next.Version == c.newest.Number && next.Version > 0 {
 		peers = c.peerAddresses()
 	}
-	c.gateway.setMembers(max(charter.Gatekeepers, 1), peers, func() {
+	c.gateway.setMembers(max(charter.GatewayCount, 1), peers, func() {
 		c.applyRuleset(next, lease, charter)
 	})
 	c.gateway.rulesetPlans.Store(&charter.Plans)
@@ -56,7 +56,7 @@
 		c.gateway.reporter.setRuleset(next.Version, c.baseCharter.Plans)
 	}
 	c.gateway.log.Info().Uint64("version", next.Version).Stringer("mode", next.Mode).
-		Int("gateways", charter.Gatekeepers).Msg("ruleset adopted")
+		Int("gateways", charter.GatewayCount).Msg("ruleset adopted")
 }
 
 // applyRuleset gives a ruleset to the dispatcher. With the first version, rate limits count as used up unless
@@ -65,7 +65,7 @@
 func (c *rulesetClient) applyRuleset(
 	next ruleset.EffectiveRules,
 	lease *inflight.Lease,
-	charter policy.Charter,
+	charter policy.Settings,
 ) {
 	dispatcher := c.gateway.dispatcher
 	if c.effective.Version == 0 && next.Version > 0 && dispatcher.RestoredRulesetVersion() != next.Version {
@@ -79,10 +79,10 @@
 // charterFor gives the settings under a ruleset. Rate limits are set to what this member may use while it is
 // leased. What it may use less of in fallback is withheld, and returns with the lease. A share that grows is
 // set as a rate limit that grows or is new, and so counts as used up: other members may just have used it.
-func (c *rulesetClient) charterFor(next ruleset.EffectiveRules) policy.Charter {
+func (c *rulesetClient) charterFor(next ruleset.EffectiveRules) policy.Settings {
 	base := &c.baseCharter
-	if next.MemberIndex == base.Me {
-		base.Gatekeepers = next.MemberCount
+	if next.MemberIndex == base.GatewayIndex {
+		base.GatewayCount = next.MemberCount
 	}
 	withheld := make([]float64, len(base.Plans))
 	for _, plan := range next.Plans {
@@ -91,10 +91,10 @@
 		}
 	}
 	charter := *base
-	charter.Narrow = next.Mode != ruleset.ModeLeased || next.MemberIndex < 0
+	charter.QuotaWithoutGossip = next.Mode != ruleset.ModeLeased || next.MemberIndex < 0
 	charter.Plans = slices.Clone(base.Plans)
 	for i := range withheld {
-		charter.Plans[i].Withheld = withheld[i]
+		charter.Plans[i].WithheldFraction = withheld[i]
 	}
 	return charter
 }
@@ -104,7 +104,7 @@
 	i int, plan ruleset.EffectivePlan, next ruleset.EffectiveRules,
 ) (withheld float64) {
 	base := &c.baseCharter.Plans[i]
-	base.Rate, base.Burst = plan.Rate, plan.Burst
+	base.QuotaPerSecond, base.QuotaBurst = plan.Rate, plan.Burst
 	if next.Version == 0 { // before any lease
 		return 1
 	}
@@ -112,21 +112,21 @@
 		c.ceilingShares[i] = plan.CeilingFraction
 	}
 	share := c.ceilingShares[i]
-	base.Credit, base.Repay = plan.CreditSeconds, plan.RepayMillis
-	base.CeilingRate, base.CeilingDepth = plan.CeilingRate*share, plan.CeilingDepth*share
+	base.CreditSeconds, base.RepayWithinMillis = plan.CreditSeconds, plan.RepayMillis
+	base.RateLimitPerSecond, base.RateLimitBurst = plan.CeilingRate*share, plan.CeilingDepth*share
 	if share > 0 {
 		return 1 - min(plan.CeilingFraction/share, 1)
 	}
-	base.CeilingDepth = plan.CeilingDepth // it never fills, so a share that comes later counts as used up
+	base.RateLimitBurst = plan.CeilingDepth // it never fills, so a share that comes later counts as used up
 	return 0
 }
 
 // exhaustedCharter gives settings under which all rate limits count as used up at the moment in which other
 // settings follow.
-func exhaustedCharter(charter policy.Charter) policy.Charter {
+func exhaustedCharter(charter policy.Settings) policy.Settings {
 	charter.Plans = slices.Clone(charter.Plans)
 	for i := range charter.Plans {
-		charter.Plans[i].CeilingRate = 0
+		charter.Plans[i].RateLimitPerSecond = 0
 	}
 	return charter
 }
--- a/internal/gateway/lifecycle/ruleset_client.go
+++ b/internal/gateway/lifecycle/ruleset_client.go
@@ -33,7 +33,7 @@
 	leaseHolder   *ruleset.LeaseHolder
 	newest        ruleset.Version        // the newest version received
 	effective     ruleset.EffectiveRules // adopted last
-	baseCharter   policy.Charter         // the settings in force, with nothing withheld
+	baseCharter   policy.Settings        // the settings in force, with nothing withheld
 	ceilingShares []float64              // by plan of the charter: this member's fraction of its rate limit
 
 	replica          *distribution.Replica
@@ -94,18 +94,18 @@
 }
 
 // initialRules are the rules that a configuration makes. Of their members, only this gateway has a name.
-func initialRules(charter *policy.Charter, name string, plans map[string]int) ruleset.Rules {
+func initialRules(charter *policy.Settings, name string, plans map[string]int) ruleset.Rules {
 	rules := ruleset.Rules{
 		Format:  ruleset.SupportedFormat,
-		Members: make([]ruleset.Member, max(charter.Gatekeepers, 1)),
+		Members: make([]ruleset.Member, max(charter.GatewayCount, 1)),
 		Plans:   make([]ruleset.Plan, len(charter.Plans)),
 	}
-	rules.Members[charter.Me].Name = name
+	rules.Members[charter.GatewayIndex].Name = name
 	for planName, i := range plans {
 		plan := &charter.Plans[i]
-		rules.Plans[i] = ruleset.Plan{Name: planName, Rate: plan.Rate, Burst: plan.Burst,
-			CeilingRate: plan.CeilingRate, CeilingDepth: plan.CeilingDepth,
-			CreditSeconds: plan.Credit, RepayMillis: plan.Repay}
+		rules.Plans[i] = ruleset.Plan{Name: planName, Rate: plan.QuotaPerSecond, Burst: plan.QuotaBurst,
+			CeilingRate: plan.RateLimitPerSecond, CeilingDepth: plan.RateLimitBurst,
+			CreditSeconds: plan.CreditSeconds, RepayMillis: plan.RepayWithinMillis}
 	}
 	return rules
 }
@@ -233,7 +233,7 @@
 // rejectionReason tells why this gateway can't adopt rules; empty where it can. One that was a member and no
 // longer is adopts them: nothing passes under its rate limits.
 func (c *rulesetClient) rejectionReason(rules *ruleset.Rules) string {
-	name, started := c.gateway.config.Name, c.gateway.config.Charter.Me
+	name, started := c.gateway.config.Name, c.gateway.config.Charter.GatewayIndex
 	// A daemon below relays knows a part of the members, and sends that on either path.
 	if err := ruleset.ValidateSubset(rules); err != nil {
 		return err.Error()
--- a/internal/gateway/lifecycle/ruleset_test.go
+++ b/internal/gateway/lifecycle/ruleset_test.go
@@ -98,7 +98,7 @@
 	x.setHandler(unavailable)
 	d := deployWith(t, func(c *config.Gateway) {
 		c.RulesetAddress, c.SharesEndpoints = x.address, true
-		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = 1000, 1000
+		c.Charter.Plans[0].RateLimitPerSecond, c.Charter.Plans[0].RateLimitBurst = 1000, 1000
 	}, workers, 5000)
 	t.Cleanup(func() { close(d.gateway.done) })
 	return d, x
@@ -319,7 +319,7 @@
 func TestMembersFromRuleset(t *testing.T) {
 	d, x := deployBelowDaemon(t, 1)
 	// Guards against messages that outgrow a datagram once a ruleset is adopted.
-	if n := d.gateway.ruleset.baseCharter.ReportsPerTell; n != transport.MaxReportsPerMessage {
+	if n := d.gateway.ruleset.baseCharter.ReportsPerMessage; n != transport.MaxReportsPerMessage {
 		t.Errorf("%d reports to a message, where there is room for %d", n, transport.MaxReportsPerMessage)
 	}
 	next := testRules(1000, 1000)
@@ -358,7 +358,7 @@
 	x.setLease(1, testRules(rate, depth), true)
 	d := deployWith(t, func(c *config.Gateway) {
 		c.RulesetAddress, c.SharedDir = x.address, t.TempDir()
-		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = rate, depth
+		c.Charter.Plans[0].RateLimitPerSecond, c.Charter.Plans[0].RateLimitBurst = rate, depth
 	}, 1, 5000)
 	d.awaitMode(ruleset.ModeLeased)
 	time.Sleep(3100 * time.Millisecond) // until the rate limit is full
@@ -514,13 +514,15 @@
 	} {
 		g := &Gateway{}
 		g.config.Names.Plans = map[string]int{"basic": 0}
-		g.config.Charter = policy.Charter{Gatekeepers: 3, Plans: []policy.Plan{{CeilingRate: 10, CeilingDepth: 20}}}
+		g.config.Charter = policy.Settings{GatewayCount: 3,
+			Plans: []policy.Plan{{RateLimitPerSecond: 10, RateLimitBurst: 20}}}
 		a := &rulesetClient{gateway: g, baseCharter: g.config.Charter, ceilingShares: make([]float64, 1)}
 		a.baseCharter.Plans = append([]policy.Plan(nil), a.baseCharter.Plans...)
 		for i, s := range steps {
 			c := a.charterFor(s.EffectiveRules)
 			p := c.Plans[0]
-			if got := (want{p.CeilingRate, p.CeilingDepth, p.Withheld, c.Narrow}); got != s.want {
+			got := want{p.RateLimitPerSecond, p.RateLimitBurst, p.WithheldFraction, c.QuotaWithoutGossip}
+			if got != s.want {
 				t.Errorf("%s, step %d: %+v, not %+v", name, i, got, s.want)
 			}
 			a.effective = s.EffectiveRules
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -43,11 +43,11 @@
 	}
 	maxClients, maxWorkerConns := connectionLimits(c)
 	g.workerConns = transport.NewWorkerPool(maxWorkerConns,
-		transport.Millis(c.Connections.IdleTimeoutMillis*policy.IdleUse),
+		transport.Millis(c.Connections.IdleTimeoutMillis*policy.WorkerIdleFraction),
 		transport.Millis(c.Connections.ConnectTimeoutMillis))
 	sendToPeer := func(int, []byte) {}
 	if len(c.PeerAddresses) > 0 {
-		g.peers = transport.NewPeers(c.PeerAddresses, c.Charter.Me)
+		g.peers = transport.NewPeers(c.PeerAddresses, c.Charter.GatewayIndex)
 		sendToPeer = g.peers.Send
 		if c.Charter = peerCharter(c); c.SharesEndpoints {
 			g.peers.Identify(incarnation.MessageID{Incarnation: crashstate.UptimeCentiseconds()})
@@ -85,8 +85,8 @@
 // setRuntimeLimits fits Go's scheduler and garbage collector to the configured processor share and memory.
 func setRuntimeLimits(c config.Gateway) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(c.Cores)), 1))
-	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * (1 << 20) * policy.MemoryPart))
-	debug.SetGCPercent(policy.GarbagePart)
+	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * (1 << 20) * policy.MemoryLimitFraction))
+	debug.SetGCPercent(policy.GCTargetPercent)
 }
 
 // openBeforeServing opens the history, connects to a predecessor if there is one, and binds the peers' socket
@@ -154,7 +154,7 @@
 	}
 	g.dispatcher.ApplyEndpoints(c.KnownEndpoints)
 	g.endpoints = bootstrap.NewRegistry(c.KnownEndpoints)
-	g.memberCount.Store(int64(c.Charter.Gatekeepers))
+	g.memberCount.Store(int64(c.Charter.GatewayCount))
 	g.proxy = proxy.New(g.dispatcher, g.workerConns)
 	g.frontend = transport.NewFrontend(c.Names, c.Charter, g.enableForwardAuth(g.proxy), g.ready)
 	g.frontend.AllowAnonymous = g.authorizer != nil && c.ForwardAuth.Authorizer.CustomerHeader != ""
@@ -190,10 +190,10 @@
 }
 
 // followDiscovery starts the watch and, where it is configured, asks peers for their endpoints until
-// discovery has responded. Where endpoints are pushed it waits for the first update, for FirstWord at most.
+// discovery has responded. Where endpoints are pushed it waits for the first update, for StartupListWaitMillis at most.
 func (g *Gateway) followDiscovery() {
 	c := &g.config
-	g.startWatch(c.KnownEndpoints.Version, policy.WatchDue)
+	g.startWatch(c.KnownEndpoints.Version, policy.WatchCatchUpMillis)
 	if len(c.PeerAdminAddresses) > 0 && g.requestingEndpoints.CompareAndSwap(false, true) {
 		go g.requestEndpoints(c.PeerAdminAddresses, rand.New(rand.NewSource(c.Seed)))
 	}
@@ -230,9 +230,9 @@
 
 // peerCharter gives the settings with the number of reports that fit a message to peers. Messages that carry
 // an incarnation have room for fewer.
-func peerCharter(c config.Gateway) policy.Charter {
+func peerCharter(c config.Gateway) policy.Settings {
 	if c.SharesEndpoints {
-		c.Charter.ReportsPerTell = min(c.Charter.ReportsPerTell, transport.MaxReportsPerMessage)
+		c.Charter.ReportsPerMessage = min(c.Charter.ReportsPerMessage, transport.MaxReportsPerMessage)
 	}
 	return c.Charter
 }
--- a/internal/gateway/lifecycle/stop.go
+++ b/internal/gateway/lifecycle/stop.go
@@ -64,10 +64,11 @@
 // long are aborted with an answer: SIGKILL would leave them without one.
 func (g *Gateway) Stop() {
 	abortAfter := transport.Millis(min(g.config.Connections.MaxClientWaitMillis,
-		policy.StopLongest) + policy.StopAll)
+		policy.StopMaxWaitMillis) + policy.StopGraceMillis)
 	defer time.AfterFunc(abortAfter, g.abortRequests).Stop()
 	if !g.handOff() {
-		defer time.AfterFunc(transport.Millis(policy.AcceptOn+policy.StopIdle), g.listener.HurryReads).Stop()
+		hurryAfter := transport.Millis(policy.StopAcceptMillis + policy.StopIdleMillis)
+		defer time.AfterFunc(hurryAfter, g.listener.HurryReads).Stop()
 		g.drainClients()
 	}
 	g.closeParts()
@@ -80,9 +81,9 @@
 	g.dispatcher.WakeNow()
 }
 
-// drainClients accepts for AcceptOn longer, and returns once all clients are answered and gone.
+// drainClients accepts for StopAcceptMillis longer, and returns once all clients are answered and gone.
 func (g *Gateway) drainClients() {
-	time.Sleep(transport.Millis(policy.AcceptOn))
+	time.Sleep(transport.Millis(policy.StopAcceptMillis))
 	if g.authServer != nil {
 		g.authServer.Close()
 	}
@@ -120,8 +121,10 @@
 // logFinalCounts logs the last line. Its keys are read by operators' programs and stay as they are.
 func (g *Gateway) logFinalCounts() {
 	tally := g.dispatcher.Tally()
-	line := g.log.Info().Ints("finals", tally.Final[:]).Int64("unreadable", g.frontend.MalformedRequests()).
-		Int64("clients_shed", g.listener.Evicted()).Int64("links_spoilt", g.workerConns.StaleConns())
+	line := g.log.Info().Ints("finals", tally.FinalByReason[:]).
+		Int64("unreadable", g.frontend.MalformedRequests()).
+		Int64("clients_shed", g.listener.Evicted()).
+		Int64("links_spoilt", g.workerConns.StaleConns())
 	for invariant, violations := range inflight.Violations() {
 		line = line.Int64("broken_"+invariant, violations)
 	}
--- a/internal/gateway/lifecycle/stop_test.go
+++ b/internal/gateway/lifecycle/stop_test.go
@@ -178,7 +178,7 @@
 // TestStopWithBacklog: connections that are in the listener's backlog at the stop, with a request or
 // without, are served.
 func TestStopWithBacklog(t *testing.T) {
-	d := deployWith(t, func(c *config.Gateway) { c.MaxSockets = policy.SpareFiles + 4 }, 1, 5000)
+	d := deployWith(t, func(c *config.Gateway) { c.MaxSockets = policy.ReservedDescriptors + 4 }, 1, 5000)
 	var all []net.Conn
 	for i := range 6 { // of which two have places, and one is held back for one
 		c := d.dial()
@@ -236,8 +236,8 @@
 func TestStopAbortsLongRequests(t *testing.T) {
 	// SIGKILL comes no sooner than the longest deadline, which counts as 3 s where it is longer, and 0.7 s more.
 	// The bounds leave the time for an answer; a machine that is busy with more may take longer here.
-	if policy.StopLongest > 3000 || policy.StopAll > 600 {
-		t.Errorf("requests are aborted after %g and %g ms", policy.StopLongest, policy.StopAll)
+	if policy.StopMaxWaitMillis > 3000 || policy.StopGraceMillis > 600 {
+		t.Errorf("requests are aborted after %g and %g ms", policy.StopMaxWaitMillis, policy.StopGraceMillis)
 	}
 	for _, c := range []struct {
 		name             string
@@ -385,7 +385,7 @@
 				t.Errorf("answered after %v", elapsed)
 			}
 			tally := d.gateway.dispatcher.Tally()
-			if tally.Final[policy.ByClient] != 1 || tally.InFlight != 0 || len(d.submissions()) != 1 {
+			if tally.FinalByReason[policy.ReasonClientGone] != 1 || tally.InFlight != 0 || len(d.submissions()) != 1 {
 				t.Errorf("%+v, %d submissions", tally, len(d.submissions()))
 			}
 		})
@@ -408,7 +408,7 @@
 	fmt.Fprint(c, waits("2")+waits("3")+waits("4"))
 	c.Close()
 	waitFor(t, "the disconnect is not noticed", func() bool {
-		return d.gateway.dispatcher.Tally().Final[policy.ByClient] > 0
+		return d.gateway.dispatcher.Tally().FinalByReason[policy.ReasonClientGone] > 0
 	})
 	n := len(d.submissions())
 	time.Sleep(200 * time.Millisecond)
--- a/internal/gateway/lifecycle/streaming_test.go
+++ b/internal/gateway/lifecycle/streaming_test.go
@@ -164,7 +164,7 @@
 		1,
 	)
 	c.Write(append([]byte(raw), testBody(200000)...))
-	c.SetDeadline(time.Now().Add(time.Second + time.Duration(policy.BodyPause)*time.Millisecond))
+	c.SetDeadline(time.Now().Add(time.Second + time.Duration(policy.BodyStallTimeoutMillis)*time.Millisecond))
 	got, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || got.StatusCode != http.StatusRequestTimeout || completeBodies.Load() > 0 {
 		t.Errorf("answered %v, %v; %d complete", got, err, completeBodies.Load())
--- a/internal/gateway/lifecycle/worker_endings_test.go
+++ b/internal/gateway/lifecycle/worker_endings_test.go
@@ -403,7 +403,7 @@
 }
 
 // TestWorkerHangsDuringBody: a worker that hangs in the middle of a long body, and sends nothing, is left
-// after BodyPause: the request has its response then, also where attempts may not be cancelled. Guards
+// after BodyStallTimeoutMillis: the request has its response then, also where attempts may not be cancelled. Guards
 // against a wait for a response without end.
 func TestWorkerHangsDuringBody(t *testing.T) {
 	for _, swap := range []string{`"cancel":true`, `"cancel":false`} {
@@ -426,7 +426,7 @@
 
 // TestEarlyResponseForwardedAtOnce: a response that comes before the body is complete is forwarded at once,
 // though the worker reads no more of that and keeps the connection open. Guards against one that is delayed
-// for BodyPause.
+// for BodyStallTimeoutMillis.
 func TestEarlyResponseForwardedAtOnce(t *testing.T) {
 	b := startScriptedWorker(t, nil)
 	d := deployBefore(t, b)
