--- a/internal/gateway/lifecycle/descriptors.go
+++ b/internal/gateway/lifecycle/descriptors.go
@@ -11,8 +11,8 @@
 )
 
 // Descriptors that a gateway holds beside policy.ReservedDescriptors, if the part in question is configured.
-// ReservedDescriptors covers the twelve of any gateway (docs/incidents/mass.md has the count), two for a hot restart
-// and two for outgoing calls.
+// ReservedDescriptors covers the twelve of any gateway (docs/incidents/mass.md has the count), two for a hot
+// restart and two for outgoing calls.
 const (
 	journalDescriptors    = 4 // a segment, its folder for a moment, and the lock
 	adminDescriptors      = 2 // the listener, and a call that waits for its turn
--- a/internal/gateway/lifecycle/discovery.go
+++ b/internal/gateway/lifecycle/discovery.go
@@ -36,8 +36,8 @@
 	return 0
 }
 
-// awaitFirstWatch waits for the watch's first update or failure, for StartupListWaitMillis at most. Guards against
-// requests that are sent by the configured list where a newer one is available.
+// awaitFirstWatch waits for the watch's first update or failure, for StartupListWaitMillis at most. Guards
+// against requests that are sent by the configured list where a newer one is available.
 func (g *Gateway) awaitFirstWatch() {
 	select {
 	case <-g.firstWatchResult:
@@ -58,8 +58,8 @@
 		Int("workers", len(update.Workers)).Msg("endpoints updated")
 }
 
-// logWatchError logs at most once in WatchCatchUpMillis that the watch has ended: endless retries must not fill the
-// log.
+// logWatchError logs at most once in WatchCatchUpMillis that the watch has ended: endless retries must not
+// fill the log.
 func (g *Gateway) logWatchError(err error) {
 	g.markFirstWatch()
 	if now := time.Now(); now.Sub(g.watchErrorLogged) > transport.Millis(policy.WatchCatchUpMillis) {
--- a/internal/gateway/lifecycle/discovery_test.go
+++ b/internal/gateway/lifecycle/discovery_test.go
@@ -96,9 +96,9 @@
 	t.Logf("applied after %v, of which the machine stalled for %v", time.Since(start), time.Since(start)-ran)
 }
 
-// TestSilentWatch: the open watch falls silent, and a worker drains. That is applied within WatchCatchUpMillis. Guards
-// against a silence that is noticed late, a backoff after it that grows with the number of gateways, and
-// lists that span several lines.
+// TestSilentWatch: the open watch falls silent, and a worker drains. That is applied within
+// WatchCatchUpMillis. Guards against a silence that is noticed late, a backoff after it that grows with the
+// number of gateways, and lists that span several lines.
 func TestSilentWatch(t *testing.T) {
 	t.Parallel()
 	for _, m := range watchModes {
@@ -122,8 +122,8 @@
 }
 
 // TestDiscoveryMoveInTime moves to a discovery that is silent or rejects requests at first. Its list is
-// applied within WatchFailoverCatchUpMillis from when it responds. Guards against the first backoff of a large fleet, and
-// against backoffs that grow with each failure.
+// applied within WatchFailoverCatchUpMillis from when it responds. Guards against the first backoff of a
+// large fleet, and against backoffs that grow with each failure.
 func TestDiscoveryMoveInTime(t *testing.T) {
 	t.Parallel()
 	for _, m := range watchModes {
@@ -157,8 +157,8 @@
 }
 
 // TestStartAwaitsAgent: where lists are pushed, no request is sent by the configured list alone while the
-// agent has a newer one, and no start waits for a silent agent for longer than StartupListWaitMillis. Where lists are
-// polled none waits.
+// agent has a newer one, and no start waits for a silent agent for longer than StartupListWaitMillis. Where
+// lists are polled none waits.
 func TestStartAwaitsAgent(t *testing.T) {
 	const slackMillis = 200.0 // ms; a start itself, on a loaded machine
 	for _, c := range []struct {
@@ -356,9 +356,10 @@
 }
 
 // TestUpdateAfterOutage: discovery fails the first requests, each in its way for good, and is well from then
-// on. Its update is applied within WatchCatchUpMillis, on real connections, by the random draws that make for the
-// longest backoffs among 300 instances that poll, where it answers one after another. Guards against all
-// that a request which was refused, swallowed, rejected or half answered may add to the next one's backoff.
+// on. Its update is applied within WatchCatchUpMillis, on real connections, by the random draws that make
+// for the longest backoffs among 300 instances that poll, where it answers one after another. Guards against
+// all that a request which was refused, swallowed, rejected or half answered may add to the next one's
+// backoff.
 func TestUpdateAfterOutage(t *testing.T) {
 	t.Parallel()
 	for _, m := range watchModes {
@@ -489,8 +490,8 @@
 
 // TestConsecutiveMoves sends SIGHUP several times in a row, each with another discovery. The watch leaves
 // one that swallows requests, and one to which connections never come up, at once, and the last one's update
-// is applied within WatchFailoverCatchUpMillis; if that one is down first, as after any outage. Guards against a move that
-// waits for what the watch is doing, and against backoffs of the moves before.
+// is applied within WatchFailoverCatchUpMillis; if that one is down first, as after any outage. Guards
+// against a move that waits for what the watch is doing, and against backoffs of the moves before.
 func TestConsecutiveMoves(t *testing.T) {
 	t.Parallel()
 	for _, m := range watchModes {
--- a/internal/gateway/lifecycle/recovery.go
+++ b/internal/gateway/lifecycle/recovery.go
@@ -32,8 +32,8 @@
 	}
 	g.dispatcher.AttachCrashState(file, left)
 	if left != nil {
-		ageMillis := g.dispatcher.Now() - left.RateLimitBaseMillis
-		g.log.Info().Int("ceilings", len(left.RateLimits)).Float64("base_s", ageMillis/1000).
+		baseAgeMillis := g.dispatcher.Now() - left.RateLimitBaseMillis
+		g.log.Info().Int("ceilings", len(left.RateLimits)).Float64("base_s", baseAgeMillis/1000).
 			Msg("crash state of an earlier incarnation restored")
 	}
 	if g.config.KeepsCheckpoint {
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -190,7 +190,8 @@
 }
 
 // followDiscovery starts the watch and, where it is configured, asks peers for their endpoints until
-// discovery has responded. Where endpoints are pushed it waits for the first update, for StartupListWaitMillis at most.
+// discovery has responded. Where endpoints are pushed it waits for the first update, for
+// StartupListWaitMillis at most.
 func (g *Gateway) followDiscovery() {
 	c := &g.config
 	g.startWatch(c.KnownEndpoints.Version, policy.WatchCatchUpMillis)
--- a/internal/gateway/lifecycle/worker_endings_test.go
+++ b/internal/gateway/lifecycle/worker_endings_test.go
@@ -403,8 +403,8 @@
 }
 
 // TestWorkerHangsDuringBody: a worker that hangs in the middle of a long body, and sends nothing, is left
-// after BodyStallTimeoutMillis: the request has its response then, also where attempts may not be cancelled. Guards
-// against a wait for a response without end.
+// after BodyStallTimeoutMillis: the request has its response then, also where attempts may not be cancelled.
+// Guards against a wait for a response without end.
 func TestWorkerHangsDuringBody(t *testing.T) {
 	for _, swap := range []string{`"cancel":true`, `"cancel":false`} {
 		t.Run(swap, func(t *testing.T) {
