--- a/internal/gateway/lifecycle/room_test.go
+++ b/internal/gateway/lifecycle/descriptors_test.go
@@ -21,43 +21,43 @@
 	"willowdeck/internal/testkit/faultinject"
 )
 
-// files counts the descriptors of a process.
-func files(pid string) int {
+// openDescriptors counts the descriptors of a process.
+func openDescriptors(pid string) int {
 	all, _ := os.ReadDir(filepath.Join("/proc", pid, "fd"))
 	return len(all)
 }
 
-// crowd keeps so many connections open at an address for as long as it may: each that is ended is opened
-// anew. A connection says something, or nothing, and then rests.
-func crowd(t *testing.T, at string, n int, says string) *atomic.Int64 {
+// keepConnecting keeps n connections open at an address until the test ends: each that is closed is opened
+// again. A connection sends a text, which may be empty, and then rests. It gives the number that are open.
+func keepConnecting(t *testing.T, address string, count int, text string) *atomic.Int64 {
 	t.Helper()
-	over := make(chan struct{})
+	done := make(chan struct{})
 	var open atomic.Int64
 	var all sync.WaitGroup
-	for range n {
+	for range count {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			for {
-				c, err := net.Dial("tcp", at)
+				c, err := net.Dial("tcp", address)
 				if err == nil {
 					open.Add(1)
 					stop := make(chan struct{})
 					go func() {
 						select {
-						case <-over:
+						case <-done:
 							c.Close()
 						case <-stop:
 						}
 					}()
-					fmt.Fprint(c, says)
+					fmt.Fprint(c, text)
 					bufio.NewReader(c).WriteTo(discard{}) // until the other end closes
 					close(stop)
 					c.Close()
 					open.Add(-1)
 				}
 				select {
-				case <-over:
+				case <-done:
 					return
 				case <-time.After(time.Millisecond):
 				}
@@ -65,7 +65,7 @@
 		}()
 	}
 	t.Cleanup(func() {
-		close(over)
+		close(done)
 		all.Wait()
 	})
 	return &open
@@ -75,25 +75,26 @@
 
 func (discard) Write(b []byte) (int, error) { return len(b), nil }
 
-// Idle clients fill every place while discovery refuses, and every descriptor that the system allows; then
-// discovery comes up, and clients are served by a worker that only its list names, a customer's demand is
-// told to the peer, and operators are answered. Real processes, each bounded by the system for itself alone.
-// Guards against a split of the descriptors that forgets some of those in use, or believes a configuration
-// that the system does not allow: the last ones go to clients then, and the watch finds none.
-func TestIdleFillsDescriptors(t *testing.T) {
+// TestIdleConnectionsFillDescriptors: idle clients take every connection that is allowed while discovery
+// refuses, and every descriptor that the system allows; then discovery starts, and clients are served by a
+// worker that only its list names, a customer's demand is reported to the peer, and admin calls are
+// answered. These are real processes, each with its own limit. Guards against a split of the descriptors
+// that forgets some in use, or trusts a configuration above the system's limit: clients would get the last
+// ones, and the watch none.
+func TestIdleConnectionsFillDescriptors(t *testing.T) {
 	t.Parallel()
-	const most = 96
+	const limit = 96
 	program := faultinject.Program(t, "willowdeck")
 	for _, c := range []struct {
-		name, limits, before string
-		args                 []string
-		least                int // of what idle clients and calls hold
+		name, limits, prelude string
+		args                  []string
+		minFilled             int // least number of descriptors that idle clients and admin calls use
 	}{
-		{"the system's bound is the configured one", `"limits":{"sockets":96},`, "", nil, 52},
+		{"the system's limit is the configured one", `"limits":{"sockets":96},`, "", nil, 52},
 		{"with all that takes descriptors", `"limits":{"sockets":96},`, "",
 			[]string{"--residue", "residue", "--history", ".", "--tell", "--hall", "h"}, 50},
-		{"the configured one is beyond the system's", "", "", nil, 52},
-		{"and some are inherited", "", "exec 5</dev/null 6</dev/null 7</dev/null 8</dev/null 9</dev/null; ", nil,
+		{"the configured limit is above the system's", "", "", nil, 52},
+		{"some are inherited", "", "exec 5</dev/null 6</dev/null 7</dev/null 8</dev/null 9</dev/null; ", nil,
 			49},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -114,25 +115,25 @@
 			if err := os.WriteFile(filepath.Join(dir, "conf.json"), []byte(conf), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			run := fmt.Sprintf(`%sulimit -n %d; echo $$ > pid; exec "$@"`, c.before, most)
-			p := faultinject.Start(
+			run := fmt.Sprintf(`%sulimit -n %d; echo $$ > pid; exec "$@"`, c.prelude, limit)
+			process := faultinject.Start(
 				t,
 				faultinject.Spec{Name: "n0", Program: "/bin/sh", Dir: dir, Args: append([]string{"-c", run,
 					"sh", program, "serve", "--config", "conf.json"}, c.args...)},
 			)
 			wait := func(what string, ms float64, ok func() bool) {
 				t.Helper()
-				for began := time.Now(); !ok(); time.Sleep(5 * time.Millisecond) {
-					if time.Since(began) > transport.Millis(ms) {
-						log, _ := os.ReadFile(p.Log())
+				for start := time.Now(); !ok(); time.Sleep(5 * time.Millisecond) {
+					if time.Since(start) > transport.Millis(ms) {
+						log, _ := os.ReadFile(process.Log())
 						t.Fatalf("%s: not within %v ms; log: %s", what, ms, log)
 					}
 				}
 			}
 			wait("the start", 10000, func() bool {
-				l, err := net.Dial("tcp", at(2))
+				listener, err := net.Dial("tcp", at(2))
 				if err == nil {
-					l.Close()
+					listener.Close()
 				}
 				return err == nil
 			})
@@ -141,40 +142,40 @@
 				t.Fatal(err)
 			}
 			pid := strings.TrimSpace(string(raw))
-			idle := files(pid)
-			const more = 4 // the watch, a client's and an operator's connection that wait for places, and a file
+			idle := openDescriptors(pid)
+			const extra = 4 // the watch, a client's and an admin connection that wait for a place, and a file
 			if d, err := config.Decode([]byte(conf), os.Getenv); err == nil && c.limits != "" {
 				if len(c.args) > 0 {
 					d.CrashStatePath, d.HistoryDir = "residue", "."
 				}
-				clients, workers := places(d)
-				if all := idle + more + policy.MaxAdminConnections + clients + workers; all > most {
+				clients, workers := connectionLimits(d)
+				if total := idle + extra + policy.MaxAdminConnections + clients + workers; total > limit {
 					t.Errorf("%d descriptors alone, %d for clients, %d for workers: %d of %d in all", idle, clients,
-						workers, all, most)
+						workers, total, limit)
 				}
 			} else if err != nil {
 				t.Fatal(err)
 			}
 
-			crowd(t, at(0), most, "")
-			crowd(t, at(0), most/2, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-			crowd(t, at(2), 2*policy.MaxAdminConnections, "")
-			full := 0
-			wait("a crowd that fills all places", 10000, func() bool {
-				full = max(full, files(pid))
-				return full >= idle+c.least
+			keepConnecting(t, at(0), limit, "")
+			keepConnecting(t, at(0), limit/2, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+			keepConnecting(t, at(2), 2*policy.MaxAdminConnections, "")
+			maxOpen := 0
+			wait("connections that use all descriptors", 10000, func() bool {
+				maxOpen = max(maxOpen, openDescriptors(pid))
+				return maxOpen >= idle+c.minFilled
 			})
 
-			w, err := fakes.NewWorker("w", time.Millisecond)
+			worker, err := fakes.NewWorker("w", time.Millisecond)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer w.Close()
-			list, err := json.Marshal(fakes.List{Index: 8, Snapshot: true, Endpoints: []fakes.Entry{w.Endpoint("a")}})
+			defer worker.Close()
+			list, err := json.Marshal(fakes.List{Index: 8, Snapshot: true, Endpoints: []fakes.Entry{worker.Endpoint("a")}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			l, err := net.Listen("tcp", at(1))
+			listener, err := net.Listen("tcp", at(1))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -189,51 +190,51 @@
 					}
 				}
 			})}
-			go server.Serve(l)
+			go server.Serve(listener)
 			defer server.Close()
-			up := time.Now()
-			answers := func(at, raw string) bool {
+			discoveryUp := time.Now()
+			succeeds := func(at, raw string) bool {
 				c, err := net.Dial("tcp", at)
 				if err != nil {
 					return false
 				}
 				defer c.Close()
 				fmt.Fprint(c, raw)
-				status, _ := read(c)
-				full = max(full, files(pid))
+				status, _ := readResponse(c)
+				maxOpen = max(maxOpen, openDescriptors(pid))
 				return status == "HTTP/1.1 200 OK"
 			}
 			n := 0
 			served := func() bool {
 				n++
-				return answers(at(0), strings.Replace(check("/check", fmt.Sprint(n)), "spread=1", "spread=2", 1))
+				return succeeds(at(0), strings.Replace(checkRequest("/check", fmt.Sprint(n)), "spread=1", "spread=2", 1))
 			}
-			wait("a client served by a worker of the list", policy.WatchCatchUpMillis+5000, served)
-			t.Logf("%d descriptors, %d of them without a client; served %v after discovery was up", full, idle,
-				time.Since(up))
+			wait("a client served by a worker of discovery's list", policy.WatchCatchUpMillis+5000, served)
+			t.Logf("%d descriptors, %d of them without a client; served %v after discovery was up", maxOpen, idle,
+				time.Since(discoveryUp))
 			peer.SetReadDeadline(time.Now().Add(10 * time.Second))
-			told := make(chan error, 1)
+			received := make(chan error, 1)
 			go func() {
 				_, _, err := peer.ReadFrom(make([]byte, 512))
-				told <- err
+				received <- err
 			}()
-			heard := false
-			wait("a word to the peer", 10000, func() bool {
+			receivedOK := false
+			wait("a message to the peer", 10000, func() bool {
 				select {
-				case err := <-told:
-					heard = err == nil
+				case err := <-received:
+					receivedOK = err == nil
 					return true
 				default:
 					served()
 					return false
 				}
 			})
-			wait("an operator's call", 10000, func() bool {
-				return answers(at(2), "GET /admin/stats HTTP/1.1\r\nHost: x\r\n\r\n")
+			wait("an admin call", 10000, func() bool {
+				return succeeds(at(2), "GET /admin/stats HTTP/1.1\r\nHost: x\r\n\r\n")
 			})
-			log, _ := os.ReadFile(p.Log())
-			if !heard || full > most || strings.Contains(string(log), "too many open files") {
-				t.Errorf("%d descriptors of %d, the peer has heard: %v; log: %s", full, most, heard, log)
+			log, _ := os.ReadFile(process.Log())
+			if !receivedOK || maxOpen > limit || strings.Contains(string(log), "too many open files") {
+				t.Errorf("%d descriptors of %d, the peer has received: %v; log: %s", maxOpen, limit, receivedOK, log)
 			}
 		})
 	}
