--- a/internal/forwardauth/authserver/portal.go
+++ b/internal/forwardauth/authserver/portal.go
@@ -266,8 +266,7 @@
 func (p *Portal) answer(ctx *fasthttp.RequestCtx, t *transport.Request) {
 	mark, facts := string(t.RequestID), factsOf(t)
 	c := p.charter.Load()
-	if home := authcache.Home(mark, facts, c.GatewayCount); p.asked.RequiresClearance[t.Product] &&
-		home != c.GatewayIndex {
+	if home := authcache.Home(mark, facts, c.GatewayCount); p.asked.RequiresClearance[t.Product] && home != c.GatewayIndex {
 		ctx.Response.Header.Set("X-Clear-At", strconv.Itoa(home))
 		p.say(ctx, elsewhere, fasthttp.StatusMisdirectedRequest, "another gatekeeper clears this txn")
 		return
--- a/internal/gateway/lifecycle/agree.go
+++ b/internal/gateway/lifecycle/agree.go
@@ -123,8 +123,7 @@
 	r.Members[c.GatewayIndex].Name = name
 	for name, i := range plans {
 		p := &c.Plans[i]
-		r.Plans[i] = ruleset.Plan{Name: name, Rate: p.QuotaPerSecond, Burst: p.QuotaBurst,
-			CeilingRate:  p.RateLimitPerSecond,
+		r.Plans[i] = ruleset.Plan{Name: name, Rate: p.QuotaPerSecond, Burst: p.QuotaBurst, CeilingRate: p.RateLimitPerSecond,
 			CeilingDepth: p.RateLimitBurst, CreditSeconds: p.CreditSeconds, RepayMillis: p.RepayWithinMillis}
 	}
 	return r
@@ -355,8 +354,7 @@
 	}
 	switch me := ruleset.MemberIndex(r, a.g.conf.Name); {
 	case me >= 0 && me != c.GatewayIndex:
-		return fmt.Sprintf("%s was started in place %d, and has place %d in the rules", a.g.conf.Name,
-			c.GatewayIndex, me)
+		return fmt.Sprintf("%s was started in place %d, and has place %d in the rules", a.g.conf.Name, c.GatewayIndex, me)
 	case me < 0 && a.taken.Version == 0:
 		return a.g.conf.Name + " is not among the members"
 	}
--- a/internal/gateway/lifecycle/agree_test.go
+++ b/internal/gateway/lifecycle/agree_test.go
@@ -490,15 +490,13 @@
 	} {
 		g := &Gatekeeper{}
 		g.conf.Names.Plans = map[string]int{"basic": 0}
-		g.conf.Charter = policy.Settings{GatewayCount: 3, Plans: []policy.Plan{{RateLimitPerSecond: 10,
-			RateLimitBurst: 20}}}
+		g.conf.Charter = policy.Settings{GatewayCount: 3, Plans: []policy.Plan{{RateLimitPerSecond: 10, RateLimitBurst: 20}}}
 		a := &agreement{g: g, wide: g.conf.Charter, of: make([]float64, 1)}
 		a.wide.Plans = append([]policy.Plan(nil), a.wide.Plans...)
 		for i, s := range steps {
 			c := a.charter(s.EffectiveRules)
 			p := c.Plans[0]
-			if got := (want{p.RateLimitPerSecond, p.RateLimitBurst, p.WithheldFraction,
-				c.QuotaWithoutGossip}); got != s.want {
+			if got := (want{p.RateLimitPerSecond, p.RateLimitBurst, p.WithheldFraction, c.QuotaWithoutGossip}); got != s.want {
 				t.Errorf("%s, step %d: %+v, not %+v", name, i, got, s.want)
 			}
 			a.taken = s.EffectiveRules
--- a/internal/gateway/lifecycle/endings_test.go
+++ b/internal/gateway/lifecycle/endings_test.go
@@ -395,8 +395,7 @@
 	until(t, "it is not sent", func() bool { return len(d.got()) == 1 })
 	fmt.Fprint(c, waits("2")+waits("3")+waits("4"))
 	c.Close()
-	until(t, "it is not seen",
-		func() bool { return d.gk.desk.Tally().FinalByReason[policy.ReasonClientGone] > 0 })
+	until(t, "it is not seen", func() bool { return d.gk.desk.Tally().FinalByReason[policy.ReasonClientGone] > 0 })
 	n := len(d.got())
 	time.Sleep(200 * time.Millisecond)
 	if tally := d.gk.desk.Tally(); len(d.got()) != n || n > 1 || tally.InFlight != 0 {
--- a/internal/gateway/lifecycle/reload.go
+++ b/internal/gateway/lifecycle/reload.go
@@ -26,8 +26,7 @@
 	}
 	g.conf.DiscoveryAddress = c.DiscoveryAddress
 	g.unwind()
-	// no news of the old watch may come behind that of the new one
-	g.watch(<-g.ended, policy.WatchFailoverCatchUpMillis)
+	g.watch(<-g.ended, policy.WatchFailoverCatchUpMillis) // no news of the old watch may come behind that of the new one
 	g.log.Info().Str("discovery", c.DiscoveryAddress).Msg("configuration taken up")
 }
 
--- a/internal/gateway/lifecycle/room.go
+++ b/internal/gateway/lifecycle/room.go
@@ -10,9 +10,8 @@
 	"willowdeck/internal/policy"
 )
 
-// Descriptors that are held beside those of ReservedDescriptors, where that is on. These are twelve in any
-// gatekeeper (docs/incidents/mass.md has the count); two more are for the talk with an heir, two for calls to
-// others.
+// Descriptors that are held beside those of SpareFiles, where that is on. These are twelve in any gatekeeper
+// (docs/incidents/mass.md has the count); two more are for the talk with an heir, two for calls to others.
 const (
 	journalFiles = 4 // a segment, its folder for a moment, and the lock
 	controlFiles = 2 // operators' address, and a call that waits for a place
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -89,8 +89,7 @@
 	g := &Gatekeeper{conf: c, log: log, served: make(chan error, 1), over: make(chan struct{}),
 		first: make(chan struct{})}
 	clients, workers := places(c)
-	g.links = transport.NewWorkerPool(workers,
-		transport.Millis(c.Connections.IdleTimeoutMillis*policy.WorkerIdleFraction),
+	g.links = transport.NewWorkerPool(workers, transport.Millis(c.Connections.IdleTimeoutMillis*policy.WorkerIdleFraction),
 		transport.Millis(c.Connections.ConnectTimeoutMillis))
 	tell := func(int, []byte) {}
 	if len(c.PeerAddresses) > 0 {
@@ -231,8 +230,7 @@
 	}
 	g.desk.AttachCrashState(f, left)
 	if left != nil {
-		g.log.Info().Int("ceilings", len(left.RateLimits)).Float64("base_s",
-			(g.desk.Now()-left.RateLimitBaseMillis)/1000).
+		g.log.Info().Int("ceilings", len(left.RateLimits)).Float64("base_s", (g.desk.Now()-left.RateLimitBaseMillis)/1000).
 			Msg("remembering what a former life has spent")
 	}
 	if g.conf.KeepsCheckpoint {
@@ -346,8 +344,8 @@
 	return 0
 }
 
-// await waits for the first word of the watch, or its first failure, but for StartupListWaitMillis at most.
-// Guards against txns that go by the list known at the start where a newer one is at hand and counts as told.
+// await waits for the first word of the watch, or its first failure, but for FirstWord at most. Guards
+// against txns that go by the list known at the start where a newer one is at hand and counts as told.
 func (g *Gatekeeper) await() {
 	select {
 	case <-g.first:
@@ -367,8 +365,7 @@
 		len(l.Workers)).Msg("list")
 }
 
-// unheard says at most once in WatchCatchUpMillis that the watch has ended: tries without end must not fill
-// the log.
+// unheard says at most once in WatchDue that the watch has ended: tries without end must not fill the log.
 func (g *Gatekeeper) unheard(err error) {
 	g.speaks()
 	if now := time.Now(); now.Sub(g.said) > transport.Millis(policy.WatchCatchUpMillis) {
--- a/internal/gateway/lifecycle/stop.go
+++ b/internal/gateway/lifecycle/stop.go
@@ -56,8 +56,7 @@
 		}).
 		Stop()
 	if !g.handOver() {
-		defer time.AfterFunc(transport.Millis(policy.StopAcceptMillis+policy.StopIdleMillis),
-			g.limit.HurryReads).Stop()
+		defer time.AfterFunc(transport.Millis(policy.StopAcceptMillis+policy.StopIdleMillis), g.limit.HurryReads).Stop()
 		time.Sleep(transport.Millis(policy.StopAcceptMillis))
 		if g.portal != nil {
 			g.portal.Close()
--- a/internal/gateway/lifecycle/stream_test.go
+++ b/internal/gateway/lifecycle/stream_test.go
@@ -224,8 +224,7 @@
 		for range 8 {
 			w.Write([]byte("x"))
 			w.(http.Flusher).Flush()
-			// 320 ms in all; a whole one may not pause for ResponseStallTimeoutMillis
-			time.Sleep(40 * time.Millisecond)
+			time.Sleep(40 * time.Millisecond) // 320 ms in all; a whole one may not pause for AnswerPause
 		}
 	})
 	c := strings.Replace(check("/check", "t"), "300m", "900m", 1)
--- a/internal/gateway/lifecycle/watch_test.go
+++ b/internal/gateway/lifecycle/watch_test.go
@@ -115,9 +115,8 @@
 	}
 }
 
-// A move to a discovery that is silent or turns calls away at first is told within WatchFailoverCatchUpMillis
-// once that speaks. Guards against the first pause of a large fleet, and against those that grow with each
-// failure.
+// A move to a discovery that is silent or turns calls away at first is told within WatchMoved once that
+// speaks. Guards against the first pause of a large fleet, and against those that grow with each failure.
 func TestMoveInTime(t *testing.T) {
 	t.Parallel()
 	for _, m := range modes {
@@ -151,8 +150,7 @@
 }
 
 // Where lists are pushed, no txn goes by the known list alone while the agent has a newer one at hand; and no
-// start waits for one that is silent for longer than StartupListWaitMillis. Where they are asked for none
-// waits.
+// start waits for one that is silent for longer than FirstWord. Where they are asked for none waits.
 func TestStartHearsAgent(t *testing.T) {
 	const slack = 200.0 // ms; a start itself, on a loaded machine
 	for _, c := range []struct {
@@ -335,9 +333,9 @@
 }
 
 // Discovery meets the first calls badly, each in its way for good, and is well from then on: its change is
-// told in WatchCatchUpMillis, on real connections, by the draws that make for the longest pauses among 300
-// that ask, where it answers in turn. Guards against all that a call which was refused, swallowed, turned
-// away or given half an answer may add to the next one's pause.
+// told in WatchDue, on real connections, by the draws that make for the longest pauses among 300 that ask,
+// where it answers in turn. Guards against all that a call which was refused, swallowed, turned away or given
+// half an answer may add to the next one's pause.
 func TestToldAfterOutage(t *testing.T) {
 	t.Parallel()
 	for _, m := range modes {
@@ -465,9 +463,9 @@
 }
 
 // SIGHUP comes several times in a row, each with another discovery: the watch leaves one that swallows calls,
-// and one to which connections never come up, at once, and the last one's change is told within
-// WatchFailoverCatchUpMillis. If that is down first, the change is told as after any outage. Guards against a
-// move that waits for what the watch is about, and against pauses of the moves before.
+// and one to which connections never come up, at once, and the last one's change is told within WatchMoved.
+// If that is down first, the change is told as after any outage. Guards against a move that waits for what
+// the watch is about, and against pauses of the moves before.
 func TestMovesInARow(t *testing.T) {
 	t.Parallel()
 	for _, m := range modes {
--- a/internal/gateway/transport/frontend.go
+++ b/internal/gateway/transport/frontend.go
@@ -17,11 +17,10 @@
 
 // FinalAnswer is what a client gets for a request.
 type FinalAnswer struct {
-	Kind             policy.DecisionKind // Submit where the request is settled, else Reject or RejectUncertain
+	Kind             policy.DecisionKind // Submit where the request is settled, else Decline or Void
 	RetryAfterMillis float64             // of Decline: when the client may return, in ms; 0 for no advice
 	Answer           *Answer             // of Submit: the worker's
-	// of Void: it never reached the policy, or did not reach it again; or nil
-	Rejection *Rejection
+	Rejection        *Rejection          // of Void: it never reached the policy, or did not reach it again; or nil
 }
 
 // Rejection is an error answer that has nothing to do with quotas, workers or time.
--- a/internal/gateway/transport/frontend_test.go
+++ b/internal/gateway/transport/frontend_test.go
@@ -275,8 +275,7 @@
 		limitMillis float64
 	}{
 		{"closed", func(tc *net.TCPConn) { tc.Close() }, policy.LingerTimeoutMillis / 2},
-		{"more sent, and closed", func(tc *net.TCPConn) { fmt.Fprint(tc, "GET"); tc.Close() },
-			policy.LingerTimeoutMillis / 2},
+		{"more sent, and closed", func(tc *net.TCPConn) { fmt.Fprint(tc, "GET"); tc.Close() }, policy.LingerTimeoutMillis / 2},
 		{"reset", func(tc *net.TCPConn) { tc.SetLinger(0); tc.Close() }, policy.LingerTimeoutMillis / 2},
 		{"kept", func(*net.TCPConn) {}, 2 * policy.LingerTimeoutMillis},
 		{"more sent, and kept", func(tc *net.TCPConn) { fmt.Fprint(tc, "GET") }, 2 * policy.LingerTimeoutMillis},
