--- a/internal/gateway/config/forwardauth.go
+++ b/internal/gateway/config/forwardauth.go
@@ -69,7 +69,7 @@
 	Covers []bool
 	// FailsOpen says, by product, that a request goes on if the service fails.
 	FailsOpen []bool
-	Terms     authcache.Terms
+	Terms     authcache.ServiceConfig
 	// MaxConnections bounds the connections to the service.
 	MaxConnections int
 }
@@ -170,15 +170,15 @@
 func (file *forwardAuthFile) setDefaults() {
 	a, b := &file.Asked, &file.Asking
 	a.Path, a.Dialect, a.NoStatus, a.LifeMS = "/auth", "forwarded", http.StatusTooManyRequests,
-		authcache.DefaultLife
-	a.RememberS, a.Most, a.Connections = authcache.DefaultMemory/1000, authcache.DefaultMost,
-		authcache.DefaultCallers
-	b.Path, b.Credential, b.LimitMS, b.Share = "/", "Authorization", authcache.DefaultLimit,
-		authcache.DefaultShare
-	b.Connections, b.Credentials = authcache.DefaultAsks, authcache.DefaultKept
-	b.YesS, b.NoS = authcache.DefaultYes/1000, authcache.DefaultNo/1000
-	b.Breaker.After, b.Breaker.PauseMS = authcache.DefaultAfter, authcache.DefaultPause
-	b.Breaker.MostMS = authcache.DefaultPauseAt
+		authcache.DefaultClearanceLifetimeMillis
+	a.RememberS, a.Most = authcache.DefaultUsedRetentionMillis/1000, authcache.DefaultMaxClearances
+	a.Connections = authcache.DefaultMaxCallers
+	b.Path, b.Credential, b.LimitMS, b.Share = "/", "Authorization", authcache.DefaultTimeoutMillis,
+		authcache.DefaultTimeoutShare
+	b.Connections, b.Credentials = authcache.DefaultConnections, authcache.DefaultMaxDecisions
+	b.YesS, b.NoS = authcache.DefaultAllowTTLMillis/1000, authcache.DefaultDenyTTLMillis/1000
+	b.Breaker.After, b.Breaker.PauseMS = authcache.DefaultBreakerThreshold, authcache.DefaultBreakerBackoffMillis
+	b.Breaker.MostMS = authcache.DefaultBreakerMaxBackoffMillis
 }
 
 // firstOutOfRange returns an error that names the first value outside its range.
@@ -233,9 +233,9 @@
 	default:
 		return nil, fmt.Errorf("no_status: %d is none of 401, 403, 429", a.RejectStatus)
 	}
-	if err = firstOutOfRange(keyRange{"life_ms", a.LifetimeMillis, 1, authcache.LongestLife},
-		keyRange{"remember_s", t.RememberS, a.LifetimeMillis / 1000, authcache.LongestMemory / 1000},
-		keyRange{"most", float64(a.MaxClearances), 1, authcache.MostOfAll},
+	if err = firstOutOfRange(keyRange{"life_ms", a.LifetimeMillis, 1, authcache.MaxClearanceLifetimeMillis},
+		keyRange{"remember_s", t.RememberS, a.LifetimeMillis / 1000, authcache.MaxUsedRetentionMillis / 1000},
+		keyRange{"most", float64(a.MaxClearances), 1, authcache.LargestMaxClearances},
 		keyRange{"connections", float64(a.MaxConnections), 1, 1 << 16}); err != nil {
 		return nil, err
 	}
@@ -245,11 +245,24 @@
 
 func (file *forwardAuthFile) authorizer(g *Gateway) (*Authorizer, error) {
 	t := &file.Asking
-	a := &Authorizer{Path: t.Path, CredentialHeader: t.Credential, CustomerHeader: t.Customer,
-		SentHeaders: t.Send, CopiedHeaders: t.Copy,
-		MaxConnections: t.Connections, Terms: authcache.Terms{Limit: t.LimitMS, Share: t.Share, Yes: t.YesS * 1000,
-			No: t.NoS * 1000, Kept: t.Credentials, After: t.Breaker.After, Pause: t.Breaker.PauseMS,
-			MostPause: t.Breaker.MostMS}}
+	a := &Authorizer{
+		Path:             t.Path,
+		CredentialHeader: t.Credential,
+		CustomerHeader:   t.Customer,
+		SentHeaders:      t.Send,
+		CopiedHeaders:    t.Copy,
+		MaxConnections:   t.Connections,
+		Terms: authcache.ServiceConfig{
+			TimeoutMillis:           t.LimitMS,
+			TimeoutShare:            t.Share,
+			AllowTTLMillis:          t.YesS * 1000,
+			DenyTTLMillis:           t.NoS * 1000,
+			MaxDecisions:            t.Credentials,
+			BreakerThreshold:        t.Breaker.After,
+			BreakerBackoffMillis:    t.Breaker.PauseMS,
+			BreakerMaxBackoffMillis: t.Breaker.MostMS,
+		},
+	}
 	var err error
 	if a.ServiceAddress, err = address("service", t.Service); err != nil {
 		return nil, err
@@ -288,20 +301,20 @@
 		}
 	}
 	return a, firstOutOfRange(
-		keyRange{"limit_ms", t.LimitMS, 1, authcache.LongestLimit},
+		keyRange{"limit_ms", t.LimitMS, 1, authcache.MaxTimeoutMillis},
 		keyRange{"share", t.Share, 0.01, 0.9},
 		keyRange{
 			"yes_s",
 			t.YesS,
 			0,
-			authcache.LongestGood / 1000,
+			authcache.MaxDecisionTTLMillis / 1000,
 		},
-		keyRange{"no_s", t.NoS, 0, authcache.LongestGood / 1000},
-		keyRange{"credentials", float64(t.Credentials), 0, authcache.MostKept},
-		keyRange{"connections", float64(t.Connections), 1, authcache.MostAsks},
+		keyRange{"no_s", t.NoS, 0, authcache.MaxDecisionTTLMillis / 1000},
+		keyRange{"credentials", float64(t.Credentials), 0, authcache.LargestMaxDecisions},
+		keyRange{"connections", float64(t.Connections), 1, authcache.MaxConnections},
 		keyRange{"breaker.after", float64(t.Breaker.After), 1, 1000},
-		keyRange{"breaker.pause_ms", t.Breaker.PauseMS, 1, authcache.LongestPause},
-		keyRange{"breaker.most_ms", t.Breaker.MostMS, t.Breaker.PauseMS, authcache.LongestPause},
+		keyRange{"breaker.pause_ms", t.Breaker.PauseMS, 1, authcache.MaxBreakerBackoffMillis},
+		keyRange{"breaker.most_ms", t.Breaker.MostMS, t.Breaker.PauseMS, authcache.MaxBreakerBackoffMillis},
 	)
 }
 
--- a/internal/gateway/lifecycle/replace.go
+++ b/internal/gateway/lifecycle/replace.go
@@ -81,8 +81,8 @@
 			g.log.Info().Int("customers", len(w.Policy.Customers)).Int("workers", len(w.Policy.Workers)).
 				Msg("taking over")
 			if g.portal != nil {
-				g.portal.Inherit(w.Clearances)
-				go g.portal.Rebind(g.over)
+				g.portal.Adopt(w.Clearances)
+				go g.portal.ListenWhenFree(g.over)
 			}
 			g.serve()
 			if w.Draining {
@@ -101,13 +101,13 @@
 	}
 	g.desk.PredecessorEnded()
 	if k := g.journal.Load(); whole && k != nil {
-		k.Settle()
+		k.PredecessorEnded()
 	}
 	if !whole { // as after any sudden end
 		g.remember(true)
 		g.keepJournal(false)
 		if g.portal != nil {
-			go g.portal.Rebind(g.over)
+			go g.portal.ListenWhenFree(g.over)
 		}
 		g.serve()
 	}
@@ -175,7 +175,7 @@
 	w := hotrestart.HandoffState{Draining: g.drains.Load()}
 	if g.portal != nil {
 		g.portal.Close()
-		w.Clearances = g.portal.Leave() // before the module's own, which would count them as spent
+		w.Clearances = g.portal.HandOver() // before the module's own, which would count them as spent
 	}
 	w.Policy, w.WorkerNames, w.KindNames = g.desk.HandOff()
 	if k := g.journal.Load(); k != nil {
--- a/internal/gateway/lifecycle/worker_ends_test.go
+++ b/internal/gateway/lifecycle/worker_ends_test.go
@@ -145,7 +145,8 @@
 	return deployWith(t, func(c *config.Gateway) {
 		c.KnownEndpoints.Workers[0].Address = at
 		c.Connections.ConnectTimeoutMillis = 5000 // a loaded machine is no late connection
-		c.Cores = 4                               // the stand-ins run in this process, and are to take none of the gatekeeper's
+		// the stand-ins run in this process, and are to take none of the gatekeeper's
+		c.Cores = 4
 	}, 1, 5000, swaps...)
 }
 
