--- a/cmd/willowdeck/main.go
+++ b/cmd/willowdeck/main.go
@@ -190,7 +190,7 @@
 	}
 	fmt.Printf("%s: %d products, %d plans, %d workers known, %d gatekeepers\n", conf.Name,
 		len(conf.Charter.Products), len(conf.Charter.Plans), len(conf.KnownEndpoints.Workers),
-		conf.Charter.Gatekeepers)
+		conf.Charter.GatewayCount)
 	if forwardAuth := conf.ForwardAuth; forwardAuth != nil && forwardAuth.Server != nil {
 		fmt.Printf("asked by portals at %s, clearances last %g ms\n", forwardAuth.Server.ListenAddress,
 			forwardAuth.Server.LifetimeMillis)
--- a/internal/gateway/config/gateway_test.go
+++ b/internal/gateway/config/gateway_test.go
@@ -35,10 +35,10 @@
 		t.Errorf("name, listen or seed: %+v", g)
 	case g.Cores != 0.5 || g.MemoryMB != 64 || g.MaxSockets != 256:
 		t.Errorf("limits: %v %v %v", g.Cores, g.MemoryMB, g.MaxSockets)
-	case len(g.PeerAddresses) != 2 || g.PeerAddresses[1].String() != "127.0.0.3:7946" || g.Charter.Me != 1:
+	case len(g.PeerAddresses) != 2 || g.PeerAddresses[1].String() != "127.0.0.3:7946" || g.Charter.GatewayIndex != 1:
 		t.Errorf("peers: %v", g.PeerAddresses)
-	case len(p) != 2 || p[1].Repeat != policy.Referenced || p[1].Group != policy.GroupCell ||
-		p[1].Window != 7000:
+	case len(p) != 2 || p[1].Idempotency != policy.Deduplicated || p[1].DedupScope != policy.DedupWithinCell ||
+		p[1].DedupWindowMillis != 7000:
 		t.Errorf("products: %+v", p)
 	case g.Connections != Connections{IdleTimeoutMillis: 30000, ConnectTimeoutMillis: 250, AnswerSlackMillis: 8,
 		MaxClientWaitMillis: math.Inf(1),
@@ -201,8 +201,8 @@
 			}
 			text := strings.Join(c.swaps, " ")
 			load := strings.Contains(text, "answers")
-			if err == nil && g.Charter.LoadTold != load {
-				t.Errorf("the charter has load %v", g.Charter.LoadTold)
+			if err == nil && g.Charter.WorkersReportLoad != load {
+				t.Errorf("the charter has load %v", g.Charter.WorkersReportLoad)
 			}
 		})
 	}
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -83,17 +83,17 @@
 // Start brings a gatekeeper up: when it returns, clients are served.
 func Start(c config.Gateway, log zerolog.Logger) (*Gatekeeper, error) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(c.Cores)), 1))
-	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * (1 << 20) * policy.MemoryPart))
-	debug.SetGCPercent(policy.GarbagePart)
+	debug.SetMemoryLimit(int64(float64(c.MemoryMB) * (1 << 20) * policy.MemoryLimitFraction))
+	debug.SetGCPercent(policy.GCTargetPercent)
 
 	g := &Gatekeeper{conf: c, log: log, served: make(chan error, 1), over: make(chan struct{}),
 		first: make(chan struct{})}
 	clients, workers := places(c)
-	g.links = transport.NewWorkerPool(workers, transport.Millis(c.Connections.IdleTimeoutMillis*policy.IdleUse),
+	g.links = transport.NewWorkerPool(workers, transport.Millis(c.Connections.IdleTimeoutMillis*policy.WorkerIdleFraction),
 		transport.Millis(c.Connections.ConnectTimeoutMillis))
 	tell := func(int, []byte) {}
 	if len(c.PeerAddresses) > 0 {
-		g.peers = transport.NewPeers(c.PeerAddresses, c.Charter.Me)
+		g.peers = transport.NewPeers(c.PeerAddresses, c.Charter.GatewayIndex)
 		tell = g.peers.Send
 		if c.Charter = spoken(c); c.SharesEndpoints {
 			g.peers.Identify(incarnation.MessageID{Incarnation: crashstate.UptimeCentiseconds()})
@@ -135,7 +135,7 @@
 	}
 	g.desk.ApplyEndpoints(c.KnownEndpoints)
 	g.list = bootstrap.NewRegistry(c.KnownEndpoints)
-	g.members.Store(int64(c.Charter.Gatekeepers))
+	g.members.Store(int64(c.Charter.GatewayCount))
 	g.gate = proxy.New(g.desk, g.links)
 	g.front = transport.NewFrontend(c.Names, c.Charter, g.forward(g.gate), g.up)
 	g.front.AllowAnonymous = g.vouch != nil && c.ForwardAuth.Authorizer.CustomerHeader != ""
@@ -166,7 +166,7 @@
 		go admin.RunPeriodically(g.over, g.look)
 	}
 	g.At = l.Addr().String()
-	g.watch(c.KnownEndpoints.Version, policy.WatchDue)
+	g.watch(c.KnownEndpoints.Version, policy.WatchCatchUpMillis)
 	if len(c.PeerAdminAddresses) > 0 && g.asking.CompareAndSwap(false, true) {
 		go g.ask(c.PeerAdminAddresses, rand.New(rand.NewSource(c.Seed)))
 	}
@@ -204,9 +204,9 @@
 
 // spoken is the charter of a gatekeeper by what its messages hold: among instances of one host, that may say
 // more to each other than the platform's, a word takes some of their room.
-func spoken(c config.Gateway) policy.Charter {
+func spoken(c config.Gateway) policy.Settings {
 	if c.SharesEndpoints {
-		c.Charter.ReportsPerTell = min(c.Charter.ReportsPerTell, transport.MaxReportsPerMessage)
+		c.Charter.ReportsPerMessage = min(c.Charter.ReportsPerMessage, transport.MaxReportsPerMessage)
 	}
 	return c.Charter
 }
@@ -230,7 +230,7 @@
 	}
 	g.desk.AttachCrashState(f, left)
 	if left != nil {
-		g.log.Info().Int("ceilings", len(left.Ceilings)).Float64("base_s", (g.desk.Now()-left.Base)/1000).
+		g.log.Info().Int("ceilings", len(left.RateLimits)).Float64("base_s", (g.desk.Now()-left.RateLimitBaseMillis)/1000).
 			Msg("remembering what a former life has spent")
 	}
 	if g.conf.KeepsCheckpoint {
@@ -268,7 +268,7 @@
 	if l == nil {
 		return
 	}
-	age := g.desk.Now() - l.State.At
+	age := g.desk.Now() - l.State.AtMillis
 	n, fits := g.desk.RestoreCheckpoint(l, g.conf.SharesEndpoints)
 	if !fits {
 		g.doubt(checkpoint.ErrDigestMismatch)
@@ -349,7 +349,7 @@
 func (g *Gatekeeper) await() {
 	select {
 	case <-g.first:
-	case <-time.After(transport.Millis(policy.FirstWord)):
+	case <-time.After(transport.Millis(policy.StartupListWaitMillis)):
 	}
 }
 
@@ -368,7 +368,7 @@
 // unheard says at most once in WatchDue that the watch has ended: tries without end must not fill the log.
 func (g *Gatekeeper) unheard(err error) {
 	g.speaks()
-	if now := time.Now(); now.Sub(g.said) > transport.Millis(policy.WatchDue) {
+	if now := time.Now(); now.Sub(g.said) > transport.Millis(policy.WatchCatchUpMillis) {
 		g.said = now
 		g.log.Warn().Err(err).Msg("watch ended, opening it again")
 	}
