--- a/internal/forwardauth/authorizer/vouch.go
+++ b/internal/forwardauth/authorizer/vouch.go
@@ -206,8 +206,8 @@
 
 func refusal(status int, headers [][2]string, says string) transport.FinalAnswer {
 	return transport.FinalAnswer{
-		Kind:      policy.RejectUncertain,
-		Rejection: &transport.Rejection{Status: status, Headers: headers, Message: says},
+		Kind:        policy.RejectUncertain,
+		ErrorAnswer: &transport.ErrorAnswer{Status: status, Headers: headers, Message: says},
 	}
 }
 
--- a/internal/forwardauth/authserver/portal.go
+++ b/internal/forwardauth/authserver/portal.go
@@ -218,8 +218,8 @@
 }
 
 func refusal(status int, says string) transport.FinalAnswer {
-	return transport.FinalAnswer{Kind: policy.RejectUncertain, Rejection: &transport.Rejection{Status: status,
-		Message: says}}
+	return transport.FinalAnswer{Kind: policy.RejectUncertain,
+		ErrorAnswer: &transport.ErrorAnswer{Status: status, Message: says}}
 }
 
 // trusted tells whether a caller may speak for clients. Guards against a client that calls here itself: what
--- a/internal/gateway/transport/answer_test.go
+++ b/internal/gateway/transport/answer_test.go
@@ -14,10 +14,12 @@
 		name, load string
 		want       policy.WorkerLoad
 	}{
-		{"all", `{"inflight":7,"queue":2,"util":0.61}`, policy.WorkerLoad{InFlight: 7, Queued: 2, CPUFraction: 0.61}},
+		{"all", `{"inflight":7,"queue":2,"util":0.61}`, policy.WorkerLoad{InFlight: 7, Queued: 2,
+			CPUFraction: 0.61}},
 		{"in the settings' names", `{"concurrent":7,"depth":2,"load_share":0.61}`,
 			policy.WorkerLoad{InFlight: 7, Queued: 2, CPUFraction: 0.61}},
-		{"some, and one not known", `{"queue":2,"eps":1}`, policy.WorkerLoad{InFlight: -1, Queued: 2, CPUFraction: -1}},
+		{"some, and one not known", `{"queue":2,"eps":1}`, policy.WorkerLoad{InFlight: -1, Queued: 2,
+			CPUFraction: -1}},
 		{"no JSON", `inflight=7`, policy.WorkerLoad{InFlight: -1, Queued: -1, CPUFraction: -1}},
 		{"no number", `{"inflight":"7"}`, policy.WorkerLoad{InFlight: -1, Queued: -1, CPUFraction: -1}},
 		{"out of range", `{"inflight":1e999}`, policy.WorkerLoad{InFlight: -1, Queued: -1, CPUFraction: -1}},
--- a/internal/gateway/transport/attempt_message.go
+++ b/internal/gateway/transport/attempt_message.go
@@ -10,7 +10,7 @@
 // NoRuleset stands for no ruleset version.
 const NoRuleset = -1
 
-// The remaining time is written in us, with as many digits as policy.LongestWait has at most.
+// The remaining time is written in us, with as many digits as policy.MaxClientWaitMillis has at most.
 const (
 	remainingPlaceholder = "0000000000"
 	maxRemainingMicros   = 9999999999
--- a/internal/gateway/transport/attempt_message_test.go
+++ b/internal/gateway/transport/attempt_message_test.go
@@ -44,7 +44,8 @@
 	request := Request{Method: []byte("POST"), Target: []byte("/s"), RequestID: []byte("2"), Body: []byte("xy")}
 	for remaining, want := range map[time.Duration]string{
 		-time.Hour: "0u", 0: "0u", 999 * time.Nanosecond: "0u", 1999 * time.Nanosecond: "1u",
-		480 * time.Millisecond: "480000u", Millis(policy.MaxClientWaitMillis): "3600000000u", 24 * time.Hour: "9999999999u",
+		480 * time.Millisecond: "480000u", Millis(policy.MaxClientWaitMillis): "3600000000u",
+		24 * time.Hour: "9999999999u",
 	} {
 		message, offset := AppendAttempt(make([]byte, 0, 512), &request, 7)
 		var got []byte
--- a/internal/gateway/transport/client_connection.go
+++ b/internal/gateway/transport/client_connection.go
@@ -144,7 +144,8 @@
 	_ = c.Close()
 }
 
-// closeGracefully ends the sending and waits, for Linger at most, until the client has closed the connection
+// closeGracefully ends the sending and waits, for LingerTimeoutMillis at most, until the client has closed
+// the connection
 // too. Guards against a lost answer: closed over unread bytes, or before bytes that are on their way, the
 // connection would be reset (Stevens, TCP/IP Illustrated, 18.7; nginx's lingering_close is for the same).
 // Nothing is read meanwhile: a request that crosses the end is not accepted, and its client sends it again.
--- a/internal/gateway/transport/discovery.go
+++ b/internal/gateway/transport/discovery.go
@@ -109,7 +109,7 @@
 }
 
 // watchOnce opens one connection and follows it until it ends. The head of the answer has headTimeout, and
-// from then on the first list or heartbeat has WatchQuiet.
+// from then on the first list or heartbeat has WatchHeartbeatTimeoutMillis.
 func (w *watch) watchOnce(ctx context.Context) error {
 	w.connected, w.received, w.wentSilent, w.owedSince = false, false, false, time.Now()
 	deadline := w.owedSince.Add(Millis(w.headTimeout()))
@@ -150,7 +150,7 @@
 }
 
 // readLists reads lists until the connection ends. A list must be complete within silenceTimeout of its
-// beginning, except that the first one has what is left of WatchQuiet.
+// beginning, except that the first one has what is left of WatchHeartbeatTimeoutMillis.
 func (w *watch) readLists(conn net.Conn, body io.Reader) error {
 	extendDeadline := func() { _ = conn.SetDeadline(time.Now().Add(Millis(w.silenceTimeout()))) }
 	limits := endpoints.Limits{
--- a/internal/gateway/transport/discovery_test.go
+++ b/internal/gateway/transport/discovery_test.go
@@ -191,29 +191,40 @@
 		{"silent, as is the next but for its head", false, policy.WatchCatchUpMillis,
 			[]string{"^" + former, "^", "^" + latest}, 0,
 			6 * time.Second, []string{"3", "4", "4"}},
-		{"silent, where it is asked and answers in turn", true, policy.WatchCatchUpMillis, []string{"^" + former + "~~\n",
-			"~~^" + latest}, 2 * time.Second, 6 * time.Second, []string{"3", "4"}},
-		{"silent, and the next refused", true, policy.WatchCatchUpMillis, []string{"^" + former, "refused", "^" + latest}, 0,
+		{"silent, where it is asked and answers in turn", true, policy.WatchCatchUpMillis,
+			[]string{"^" + former + "~~\n",
+				"~~^" + latest}, 2 * time.Second, 6 * time.Second, []string{"3", "4"}},
+		{"silent, and the next refused", true, policy.WatchCatchUpMillis,
+			[]string{"^" + former, "refused", "^" + latest}, 0,
 			8 * time.Second, []string{"3", "4"}},
-		{"silent, as are the next two", false, policy.WatchCatchUpMillis, []string{"^" + former, "", "", "^" + latest}, 0,
+		{"silent, as are the next two", false, policy.WatchCatchUpMillis,
+			[]string{"^" + former, "", "", "^" + latest}, 0,
 			6 * time.Second, []string{"3", "4", "4", "4"}},
-		{"silent, half a list, cut in a list", true, policy.WatchCatchUpMillis, []string{"", "^{", "^" + former + "{$",
-			"~~^" + latest}, 0, 6 * time.Second, []string{"3", "3", "3", "4"}},
-		{"cut in a list, with empty lines after it", false, policy.WatchCatchUpMillis, []string{"^" + former + `{"index":4` +
-			"\n~\n~\n~\n~\n~\n~\n", "^" + latest}, 0, 3 * time.Second, []string{"3", "4"}},
+		{"silent, half a list, cut in a list", true, policy.WatchCatchUpMillis,
+			[]string{"", "^{", "^" + former + "{$",
+				"~~^" + latest}, 0, 6 * time.Second, []string{"3", "3", "3", "4"}},
+		{"cut in a list, with empty lines after it", false, policy.WatchCatchUpMillis,
+			[]string{"^" + former + `{"index":4` +
+				"\n~\n~\n~\n~\n~\n~\n", "^" + latest}, 0, 3 * time.Second, []string{"3", "4"}},
 		{"ends", true, policy.WatchCatchUpMillis, []string{"^" + former + "$", "~~^" + latest}, 0, 6 * time.Second,
 			[]string{"3", "4"}},
 		{"starts", true, policy.WatchCatchUpMillis, []string{"~~^" + latest}, 0, 6 * time.Second, []string{"3"}},
-		{"moves", true, policy.WatchFailoverCatchUpMillis, []string{"~~^" + latest}, 0, 4 * time.Second, []string{"3"}},
-		{"moves, refused at first", true, policy.WatchFailoverCatchUpMillis, []string{"refused", "refused", "^" + latest}, 0,
+		{"moves", true, policy.WatchFailoverCatchUpMillis, []string{"~~^" + latest}, 0, 4 * time.Second,
+			[]string{"3"}},
+		{"moves, refused at first", true, policy.WatchFailoverCatchUpMillis,
+			[]string{"refused", "refused", "^" + latest}, 0,
 			6 * time.Second, []string{"3"}},
-		{"moves, silent at first and again", false, policy.WatchFailoverCatchUpMillis, []string{"", "", "^" + latest}, 0,
+		{"moves, silent at first and again", false, policy.WatchFailoverCatchUpMillis,
+			[]string{"", "", "^" + latest}, 0,
 			4 * time.Second, []string{"3", "3", "3"}},
-		{"moves, silent at first", false, policy.WatchFailoverCatchUpMillis, []string{"", "^" + latest}, 0, 4 * time.Second,
+		{"moves, silent at first", false, policy.WatchFailoverCatchUpMillis, []string{"", "^" + latest}, 0,
+			4 * time.Second,
 			[]string{"3", "3"}},
-		{"moves, refused for a while", false, policy.WatchFailoverCatchUpMillis, append(slices.Repeat([]string{"refused"}, 30),
-			"^"+latest), 0, 4 * time.Second, []string{"3"}},
-		{"a sign each 2 s", true, policy.WatchCatchUpMillis, []string{"^" + former + strings.Repeat("~~\n", 20) + latest}, 0,
+		{"moves, refused for a while", false, policy.WatchFailoverCatchUpMillis,
+			append(slices.Repeat([]string{"refused"}, 30),
+				"^"+latest), 0, 4 * time.Second, []string{"3"}},
+		{"a sign each 2 s", true, policy.WatchCatchUpMillis, []string{"^" + former + strings.Repeat("~~\n", 20) +
+			latest}, 0,
 			60 * time.Second, []string{"3"}},
 	} {
 		for _, chance := range []float64{0, 0.5, 1} {
@@ -364,8 +375,10 @@
 	}
 }
 
-// Whatever calls have met, a change is received within WatchDue after discovery has recovered, whenever that
-// is, or after it has begun an answer and fallen silent in it; within WatchMoved after a move to a healthy
+// Whatever calls have met, a change is received within WatchCatchUpMillis after discovery has recovered,
+// whenever that
+// is, or after it has begun an answer and fallen silent in it; within WatchFailoverCatchUpMillis after a
+// move to a healthy
 // one; whatever random draws and however many poll. A call that is out at the recovery is lost, and each call
 // after that waits in the queue where lists are polled. In virtual time. Guards against pauses that grow with
 // the fleet and with each failure, on top of the time that the last call takes: up to 63 s at 300; and
@@ -449,7 +462,8 @@
 }
 
 // A watch that has received something breaks in some way, and discovery has a change from that moment on,
-// which it would send to each new call: it is received within WatchDue. Guards against a list that never ends
+// which it would send to each new call: it is received within WatchCatchUpMillis. Guards against a list
+// that never ends
 // counting as activity with each byte, and against a whole pause on top of the time that a partial list has
 // taken.
 func TestWatchRecoversFromFault(t *testing.T) {
--- a/internal/gateway/transport/frontend.go
+++ b/internal/gateway/transport/frontend.go
@@ -17,14 +17,15 @@
 
 // FinalAnswer is what a client gets for a request.
 type FinalAnswer struct {
-	Kind             policy.DecisionKind // Submit where the request is settled, else Decline or Void
-	RetryAfterMillis float64             // of Decline: when the client may return, in ms; 0 for no advice
+	Kind             policy.DecisionKind // Submit where it is settled, else Reject or RejectUncertain
+	RetryAfterMillis float64             // of Reject: when the client may return, in ms; 0 for no advice
 	Answer           *Answer             // of Submit: the worker's
-	Rejection        *Rejection          // of Void: it never reached the policy, or did not reach it again; or nil
+	ErrorAnswer      *ErrorAnswer        // of RejectUncertain: in place of a bare 500; or nil
 }
 
-// Rejection is an error answer that has nothing to do with quotas, workers or time.
-type Rejection struct {
+// ErrorAnswer is an error that has nothing to do with quotas, workers or time: the request never reached the
+// policy, or did not reach it again.
+type ErrorAnswer struct {
 	Status  int
 	Headers [][2]string // name and value
 	Message string      // the body, without its newline
--- a/internal/gateway/transport/frontend_test.go
+++ b/internal/gateway/transport/frontend_test.go
@@ -266,7 +266,8 @@
 	}
 }
 
-// A connection that has had its last answer is closed once its client closes it, and within Linger; its place
+// A connection that has had its last answer is closed once its client closes it, and within
+// LingerTimeoutMillis; its place
 // is another's at once.
 func TestGracefulClose(t *testing.T) {
 	for _, tc := range []struct {
@@ -275,7 +276,8 @@
 		limitMillis float64
 	}{
 		{"closed", func(tc *net.TCPConn) { tc.Close() }, policy.LingerTimeoutMillis / 2},
-		{"more sent, and closed", func(tc *net.TCPConn) { fmt.Fprint(tc, "GET"); tc.Close() }, policy.LingerTimeoutMillis / 2},
+		{"more sent, and closed", func(tc *net.TCPConn) { fmt.Fprint(tc, "GET"); tc.Close() },
+			policy.LingerTimeoutMillis / 2},
 		{"reset", func(tc *net.TCPConn) { tc.SetLinger(0); tc.Close() }, policy.LingerTimeoutMillis / 2},
 		{"kept", func(*net.TCPConn) {}, 2 * policy.LingerTimeoutMillis},
 		{"more sent, and kept", func(tc *net.TCPConn) { fmt.Fprint(tc, "GET") }, 2 * policy.LingerTimeoutMillis},
--- a/internal/gateway/transport/golden_test.go
+++ b/internal/gateway/transport/golden_test.go
@@ -19,7 +19,8 @@
 var goldenMessageID = incarnation.MessageID{Incarnation: 0x01020304, Sequence: 0x05060708}
 
 func goldenReports() []policy.Report {
-	return []policy.Report{{Customer: 0x11121314, Plan: 5, DemandPerSecond: 8, PreviousDemandPerSecond: 4, SpentUnits: 2}}
+	return []policy.Report{{Customer: 0x11121314, Plan: 5, DemandPerSecond: 8, PreviousDemandPerSecond: 4,
+		SpentUnits: 2}}
 }
 
 func goldenEntries() []borrowing.Entry {
--- a/internal/gateway/transport/gossip/golden_test.go
+++ b/internal/gateway/transport/gossip/golden_test.go
@@ -13,7 +13,8 @@
 func goldenReports() []policy.Report {
 	return []policy.Report{
 		{Customer: 0x01020304, Plan: 5, DemandPerSecond: 8, PreviousDemandPerSecond: 4, SpentUnits: 2},
-		{Customer: 0xfffefdfc, Plan: MaxPlans - 1, DemandPerSecond: 0.5, PreviousDemandPerSecond: 1024, SpentUnits: 65536},
+		{Customer: 0xfffefdfc, Plan: MaxPlans - 1, DemandPerSecond: 0.5, PreviousDemandPerSecond: 1024,
+			SpentUnits: 65536},
 	}
 }
 
--- a/internal/gateway/transport/gossip/gossip.go
+++ b/internal/gateway/transport/gossip/gossip.go
@@ -51,7 +51,8 @@
 	dst = append(dst, formatVersion, byte(len(reports)))
 	for _, report := range reports {
 		dst = binary.BigEndian.AppendUint32(dst, uint32(report.Customer))
-		plan, known, spent := byte(report.Plan), encodeLog(report.PreviousDemandPerSecond), encodeLog(report.SpentUnits)
+		plan := byte(report.Plan)
+		known, spent := encodeLog(report.PreviousDemandPerSecond), encodeLog(report.SpentUnits)
 		if known > 0 {
 			plan |= knownFlag
 		}
--- a/internal/gateway/transport/gossip/gossip_test.go
+++ b/internal/gateway/transport/gossip/gossip_test.go
@@ -11,7 +11,8 @@
 
 // Reports come back as they were encoded, the demand within a twentieth.
 func TestRoundTrip(t *testing.T) {
-	for _, report := range []policy.Report{{}, {Customer: 7, Plan: 3, DemandPerSecond: 0.5, PreviousDemandPerSecond: 0.25, SpentUnits: 8},
+	for _, report := range []policy.Report{{}, {Customer: 7, Plan: 3, DemandPerSecond: 0.5,
+		PreviousDemandPerSecond: 0.25, SpentUnits: 8},
 		{Customer: math.MaxUint32, DemandPerSecond: 1e6}, {Customer: 1, DemandPerSecond: 12, SpentUnits: 64}} {
 		got, err := Decode(nil, Append(nil, []policy.Report{report}))
 		if err != nil || len(got) != 1 {
@@ -20,7 +21,8 @@
 		decoded := got[0]
 		if decoded.Customer != report.Customer ||
 			decoded.Plan != report.Plan ||
-			decoded.SpentUnits != report.SpentUnits || decoded.PreviousDemandPerSecond != report.PreviousDemandPerSecond ||
+			decoded.SpentUnits != report.SpentUnits ||
+			decoded.PreviousDemandPerSecond != report.PreviousDemandPerSecond ||
 			math.Abs(decoded.DemandPerSecond-report.DemandPerSecond) > report.DemandPerSecond*0.05 {
 			t.Errorf("%+v came back as %+v", report, decoded)
 		}
@@ -34,7 +36,8 @@
 func TestFormatVersions(t *testing.T) {
 	previous := []byte{previousFormatVersion, 2, 0, 0, 0, 7, 1, 81, 73, 0, 0, 0, 0, 9, 0, 81, 0, 65}
 	current := []byte{formatVersion, 2, 0, 0, 0, 7, 1 | knownFlag, 81, 73, 0, 0, 0, 9, spentFlag, 81, 65}
-	want := []policy.Report{{Customer: 7, Plan: 1, DemandPerSecond: 1, PreviousDemandPerSecond: 0.5}, {Customer: 9, DemandPerSecond: 1, SpentUnits: 0.25}}
+	want := []policy.Report{{Customer: 7, Plan: 1, DemandPerSecond: 1, PreviousDemandPerSecond: 0.5},
+		{Customer: 9, DemandPerSecond: 1, SpentUnits: 0.25}}
 	for name, b := range map[string][]byte{"previous": previous, "current": current} {
 		if got, err := Decode(nil, b); err != nil || !slices.Equal(got, want) {
 			t.Errorf("%s: got %+v, %v", name, got, err)
--- a/internal/gateway/transport/listener_drain.go
+++ b/internal/gateway/transport/listener_drain.go
@@ -7,7 +7,8 @@
 )
 
 // BeginSoftDrain ends each connection with its next answer, and closes the idle ones, those first that have
-// been idle for longest, all within DrainDone. The listener goes on accepting. It lasts until EndSoftDrain; a
+// been idle for longest, all within DrainIdleMillis. The listener goes on accepting. It lasts until
+// EndSoftDrain; a
 // second call changes nothing. Guards against closing a connection while a request is on its way.
 func (l *LimitListener) BeginSoftDrain() {
 	l.mu.Lock()
@@ -70,7 +71,8 @@
 }
 
 // Drain ends each connection with its next answer, and closes the idle ones, those first that have been idle
-// for longest, all within StopIdle. It returns once none is idle and none waits for a place: behind a waiting
+// for longest, all within StopIdleMillis. It returns once none is idle and none waits for a place: behind
+// a waiting
 // one the kernel may have accepted more. Guards against closing a connection while a request is on its way.
 func (l *LimitListener) Drain() {
 	l.draining.Store(true)
--- a/internal/gateway/transport/peers_test.go
+++ b/internal/gateway/transport/peers_test.go
@@ -83,7 +83,8 @@
 	shortest := gossip.Append(nil, make([]policy.Report, MaxReportsPerMessage))
 	full := gossip.Append(
 		nil,
-		slices.Repeat([]policy.Report{{Customer: 7, DemandPerSecond: 3, PreviousDemandPerSecond: 2, SpentUnits: 1}}, MaxReportsPerMessage),
+		slices.Repeat([]policy.Report{{Customer: 7, DemandPerSecond: 3, PreviousDemandPerSecond: 2,
+			SpentUnits: 1}}, MaxReportsPerMessage),
 	)
 	if len(full)+identityBytes > gossip.MaxMessageBytes || len(full)+identityBytes < gossip.MaxMessageBytes-16 {
 		t.Errorf("a full message has %d bytes", len(full)+identityBytes)
--- a/internal/gateway/transport/request_body.go
+++ b/internal/gateway/transport/request_body.go
@@ -98,7 +98,8 @@
 	if b.received > MaxBodyBytes {
 		return 0, errTooLong
 	}
-	deadline := b.startedAt.Add(Millis(policy.RequestHeadTimeoutMillis + float64(b.received)/policy.MinBodyBytesPerMilli))
+	deadline := b.startedAt.Add(Millis(policy.RequestHeadTimeoutMillis +
+		float64(b.received)/policy.MinBodyBytesPerMilli))
 	if stalledAt := time.Now().Add(Millis(policy.BodyStallTimeoutMillis)); stalledAt.Before(deadline) {
 		deadline = stalledAt
 	}
--- a/internal/gateway/transport/request_parse.go
+++ b/internal/gateway/transport/request_parse.go
@@ -179,7 +179,8 @@
 
 // parseIdempotencyKey checks that method and key are as a product of this kind requires, and gives the key,
 // if any.
-func parseIdempotencyKey(head *fasthttp.RequestHeader, method []byte, kind policy.Idempotency) ([]byte, error) {
+func parseIdempotencyKey(head *fasthttp.RequestHeader, method []byte, kind policy.Idempotency) ([]byte,
+	error) {
 	want := fasthttp.MethodPost
 	if kind == policy.Idempotent {
 		want = fasthttp.MethodGet
--- a/internal/gateway/transport/response.go
+++ b/internal/gateway/transport/response.go
@@ -80,9 +80,9 @@
 		counts[finalDeclined].Add(1)
 	default:
 		status, message := fasthttp.StatusInternalServerError, []byte(nil)
-		if rejection := final.Rejection; rejection != nil {
-			status, message = rejection.Status, []byte(rejection.Message+"\n")
-			for _, header := range rejection.Headers {
+		if errorAnswer := final.ErrorAnswer; errorAnswer != nil {
+			status, message = errorAnswer.Status, []byte(errorAnswer.Message+"\n")
+			for _, header := range errorAnswer.Headers {
 				x.responseHead.Add(header[0], header[1])
 			}
 		}
--- a/internal/gateway/transport/worker_answer.go
+++ b/internal/gateway/transport/worker_answer.go
@@ -110,7 +110,8 @@
 }
 
 // readBody reads an answer's body. It is read completely where it is short; a stated length decides that, and
-// else whether it ends within MaxBufferedBodyBytes and AnswerPause. Otherwise the remainder is left to be
+// else whether it ends within MaxBufferedBodyBytes and ResponseStallTimeoutMillis. Otherwise the remainder
+// is left to be
 // forwarded.
 func (c *WorkerConn) readBody(response *fasthttp.Response, answer *Answer) error {
 	// fasthttp has another negative length for a body that ends with its connection.
@@ -143,7 +144,7 @@
 }
 
 // bufferBody reads a body until its end. One of unknown length it reads until it is longer than
-// MaxBufferedBodyBytes or has been coming for AnswerPause, and tells whether it is complete.
+// MaxBufferedBodyBytes or has been coming for ResponseStallTimeoutMillis, and tells whether it is complete.
 func bufferBody(unknownLength bool, source io.Reader) (body []byte, complete bool, err error) {
 	const firstBytes = 512
 	body = make([]byte, 0, firstBytes)
