--- a/internal/gateway/recovery/checkpoint/checkpoint.go
+++ b/internal/gateway/recovery/checkpoint/checkpoint.go
@@ -62,7 +62,8 @@
 // that brought it; 0 where there is none. It covers the printed values of charter.Plans: the order of
 // their fields must not change.
 func Digest(charter policy.Settings, rulesVersion uint64) [32]byte {
-	return sha256.Sum256(fmt.Append(nil, rulesVersion, charter.GatewayIndex, charter.GatewayCount, charter.MaxRequestUnits,
+	return sha256.Sum256(fmt.Append(nil, rulesVersion, charter.GatewayIndex, charter.GatewayCount,
+		charter.MaxRequestUnits,
 		charter.PeerMessagesPerSecond,
 		charter.ReportsPerMessage, charter.QuotaWithoutGossip, charter.Plans))
 }
@@ -212,11 +213,13 @@
 	shiftAll(&state.AtMillis, &state.StartedAtMillis, &state.NextReportAtMillis)
 	for i := range state.Peers {
 		peer := &state.Peers[i]
-		shiftAll(&peer.HeardAtMillis, &peer.ReportedAtMillis, &peer.ReportDueSinceMillis, &peer.ReportsHeardAtMillis)
+		shiftAll(&peer.HeardAtMillis, &peer.ReportedAtMillis, &peer.ReportDueSinceMillis,
+			&peer.ReportsHeardAtMillis)
 	}
 	for i := range state.Customers {
 		customer := &state.Customers[i]
-		shiftAll(&customer.FilledAtMillis, &customer.PeerDemandAtMillis, &customer.LastRequestAtMillis, &customer.CoolSinceMillis, &customer.ReportedAtMillis,
+		shiftAll(&customer.FilledAtMillis, &customer.PeerDemandAtMillis, &customer.LastRequestAtMillis,
+			&customer.CoolSinceMillis, &customer.ReportedAtMillis,
 			&customer.CreditAtMillis)
 	}
 }
--- a/internal/gateway/transport/peers_test.go
+++ b/internal/gateway/transport/peers_test.go
@@ -84,7 +84,8 @@
 	full := gossip.Append(
 		nil,
 		slices.Repeat([]policy.Report{{Customer: 7, DemandPerSecond: 3, PreviousDemandPerSecond: 2,
-			SpentUnits: 1}}, MaxReportsPerMessage),
+			SpentUnits: 1}},
+			MaxReportsPerMessage),
 	)
 	if len(full)+identityBytes > gossip.MaxMessageBytes || len(full)+identityBytes < gossip.MaxMessageBytes-16 {
 		t.Errorf("a full message has %d bytes", len(full)+identityBytes)
