--- a/internal/gateway/transport/listener_drain.go
+++ b/internal/gateway/transport/listener_drain.go
@@ -71,7 +71,8 @@
 }
 
 // Drain ends each connection with its next answer, and closes the idle ones, those first that have been idle
-// for longest, all within StopIdleMillis. It returns once none is idle and none waits for a place: behind a
+// for longest, all within StopIdleMillis. It returns once none is idle and none waits for a place: behind
+// a
 // waiting one the kernel may have accepted more. Guards against closing a connection while a request is on
 // its way.
 func (l *LimitListener) Drain() {
--- a/internal/gateway/transport/worker_answer.go
+++ b/internal/gateway/transport/worker_answer.go
@@ -110,7 +110,8 @@
 }
 
 // readBody reads an answer's body. It is read completely where it is short; a stated length decides that, and
-// else whether it ends within MaxBufferedBodyBytes and ResponseStallTimeoutMillis. Otherwise the remainder is
+// else whether it ends within MaxBufferedBodyBytes and ResponseStallTimeoutMillis. Otherwise the remainder
+// is
 // left to be forwarded.
 func (c *WorkerConn) readBody(response *fasthttp.Response, answer *Answer) error {
 	// fasthttp has another negative length for a body that ends with its connection.
