--- a/internal/forecast/fleet.go
+++ b/internal/forecast/fleet.go
@@ -71,31 +71,15 @@
 
 // addReports adds the reports up, in their order.
 func (f *fleet) addReports() {
-	for _, w := range f.reports {
-		f.regions = append(f.regions, w.Region)
-		for _, h := range w.Regions {
-			f.regions = append(f.regions, h.Name)
-		}
-	}
-	slices.Sort(f.regions)
-	f.regions = slices.Compact(f.regions)
-	if len(f.regions) > MaxRegions {
-		f.unknown = append(f.unknown, fmt.Sprintf("halls: %d, only the first %d are looked at", len(f.regions),
-			MaxRegions))
-		f.regions = f.regions[:MaxRegions]
-	}
+	f.indexRegions()
 	n, np, nq := len(f.regions), len(f.products), len(f.plans)
-	for i, h := range f.regions {
-		f.regionIndex[h] = i
-	}
 	f.gateways, f.workers, f.warmWorkers, f.windowCapacity = make([]int, n), make([]int, n), make([]float64,
 		n), make([]float64, n)
 	f.requested, f.flows, f.remoteMillis = grid[float64](n, np*nq), make([]Flow, np*nq), make([]float64, n)
 	f.served, f.answerMillis, f.inFlight = grid[float64](n, n), grid[float64](n, n), grid[int](n, n)
 	f.credit, f.customerSets = grid[float64](n, nq), make([][]customerSet, nq)
-	counts, able := make([][]int, n), make([][]float64, n)
-	pace := make([][4]float64, np) // by product: answers an ms, their ms, squares, and answers in the same hall
-	busy := [2]float64{}
+	sums := &answerSums{workers: make([][]int, n), warmWorkers: make([][]float64, n),
+		byProduct: make([][4]float64, np)}
 	for _, w := range f.reports {
 		g := f.regionOf(w.Region)
 		if g < 0 {
@@ -118,40 +102,10 @@
 		for i, c := range w.Credit {
 			f.credit[g][i] += c.Available
 		}
-		mine := 0.0
-		for _, h := range w.Regions {
-			for _, a := range h.Answers {
-				mine += a.PerSecond
-			}
-		}
-		for _, h := range w.Regions {
-			x := f.regionOf(h.Name)
-			if x < 0 {
-				continue
-			}
-			counts[x], able[x] = append(counts[x], h.Workers), append(able[x], h.WarmWorkers)
-			f.inFlight[g][x] += h.InFlight
-			sum := 0.0
-			for p, a := range h.Answers {
-				rate := a.PerSecond * f.scale / 1000
-				f.served[g][x] += rate
-				f.answerMillis[g][x] += rate * a.MeanMillis
-				sum += a.PerSecond
-				pace[p][0] += rate
-				pace[p][1] += rate * a.MeanMillis
-				pace[p][2] += rate * (a.DeviationMillis*a.DeviationMillis + a.MeanMillis*a.MeanMillis)
-			}
-			if h.CPUUse >= 0 {
-				busy[0] += sum
-				busy[1] += sum * h.CPUUse
-			}
-			if mine > 0 {
-				f.windowCapacity[x] += w.Window * sum / mine
-			}
-		}
+		f.addRegions(w, g, sums)
 	}
 	for x := range n {
-		f.workers[x], f.warmWorkers[x] = median(counts[x]), median(able[x])
+		f.workers[x], f.warmWorkers[x] = median(sums.workers[x]), median(sums.warmWorkers[x])
 		for g := range n {
 			if f.served[g][x] > 0 {
 				f.answerMillis[g][x] /= f.served[g][x]
@@ -165,10 +119,74 @@
 		}
 	}
 	f.estimateNetwork()
-	f.estimateService(pace, busy)
+	f.estimateService(sums.byProduct, sums.load)
 	f.collectSets()
 }
 
+// indexRegions numbers the regions that reports name, at most MaxRegions.
+func (f *fleet) indexRegions() {
+	for _, w := range f.reports {
+		f.regions = append(f.regions, w.Region)
+		for _, h := range w.Regions {
+			f.regions = append(f.regions, h.Name)
+		}
+	}
+	slices.Sort(f.regions)
+	f.regions = slices.Compact(f.regions)
+	if len(f.regions) > MaxRegions {
+		f.unknown = append(f.unknown, fmt.Sprintf("halls: %d, only the first %d are looked at", len(f.regions),
+			MaxRegions))
+		f.regions = f.regions[:MaxRegions]
+	}
+	for i, h := range f.regions {
+		f.regionIndex[h] = i
+	}
+}
+
+// answerSums are sums over the reports that are needed only while they are added up.
+type answerSums struct {
+	workers     [][]int      // by region, as each report has it
+	warmWorkers [][]float64  // likewise
+	byProduct   [][4]float64 // answers per ms, their ms, and their squares
+	load        [2]float64   // answers of workers that report load, and these times the load
+}
+
+// addRegions adds what a report of a gateway in region g says of the workers of all regions.
+func (f *fleet) addRegions(w *Report, g int, sums *answerSums) {
+	own := 0.0
+	for _, h := range w.Regions {
+		for _, a := range h.Answers {
+			own += a.PerSecond
+		}
+	}
+	for _, h := range w.Regions {
+		x := f.regionOf(h.Name)
+		if x < 0 {
+			continue
+		}
+		sums.workers[x] = append(sums.workers[x], h.Workers)
+		sums.warmWorkers[x] = append(sums.warmWorkers[x], h.WarmWorkers)
+		f.inFlight[g][x] += h.InFlight
+		sum := 0.0
+		for p, a := range h.Answers {
+			rate := a.PerSecond * f.scale / 1000
+			f.served[g][x] += rate
+			f.answerMillis[g][x] += rate * a.MeanMillis
+			sum += a.PerSecond
+			sums.byProduct[p][0] += rate
+			sums.byProduct[p][1] += rate * a.MeanMillis
+			sums.byProduct[p][2] += rate * (a.DeviationMillis*a.DeviationMillis + a.MeanMillis*a.MeanMillis)
+		}
+		if h.CPUUse >= 0 {
+			sums.load[0] += sum
+			sums.load[1] += sum * h.CPUUse
+		}
+		if own > 0 {
+			f.windowCapacity[x] += w.Window * sum / own
+		}
+	}
+}
+
 // median returns the median; 0 of nothing.
 func median[T int | float64](all []T) (m T) {
 	if len(all) > 0 {
--- a/internal/forecast/report.go
+++ b/internal/forecast/report.go
@@ -174,71 +174,85 @@
 	return r.validateValues()
 }
 
+// valueCheck keeps the error of the first value that makes no sense.
+type valueCheck struct{ err error }
+
+// check checks a value, whose key is formatted with at.
+func (c *valueCheck) check(v float64, key string, at ...any) {
+	if c.err == nil && (!(v >= 0) || v > maxValue) {
+		c.err = fmt.Errorf("%s: %v is negative, not a number or too large", fmt.Sprintf(key, at...), v)
+	}
+}
+
 // validateValues validates the measurements and the charter's quantities.
 func (r *Report) validateValues() error {
-	var err error
-	is := func(v float64, key string, at ...any) {
-		if err == nil && (!(v >= 0) || v > maxValue) {
-			err = fmt.Errorf("%s: %v is negative, not a number or too large", fmt.Sprintf(key, at...), v)
-		}
-	}
-	is(r.SpanMillis, "span")
-	is(r.Window, "window")
-	is(r.Pressure, "press")
-	is(r.OtherDemand, "others")
+	c := &valueCheck{}
+	r.checkMeasurements(c)
+	r.checkCharter(c)
+	return c.err
+}
+
+func (r *Report) checkMeasurements(c *valueCheck) {
+	c.check(r.SpanMillis, "span")
+	c.check(r.Window, "window")
+	c.check(r.Pressure, "press")
+	c.check(r.OtherDemand, "others")
 	for i, rate := range r.RejectionsPerSecond {
-		is(rate, "reasons[%d]", i)
+		c.check(rate, "reasons[%d]", i)
 	}
 	for i := range r.Flows {
 		f := &r.Flows[i]
 		for _, v := range []float64{f.Requested, f.Units, f.Succeeded, f.Late, f.Rejected, f.Failed, f.Other} {
-			is(v, "flows[%d]", i)
+			c.check(v, "flows[%d]", i)
 		}
 	}
 	for i := range r.Customers {
 		p := &r.Customers[i]
-		is(p.Customers, "customers[%d].customers", i)
-		is(p.DemandPerSecond, "customers[%d].demand", i)
+		c.check(p.Customers, "customers[%d].customers", i)
+		c.check(p.DemandPerSecond, "customers[%d].demand", i)
 		for _, v := range p.DemandByUtilization {
-			is(v, "customers[%d].use", i)
+			c.check(v, "customers[%d].use", i)
 		}
 	}
 	for i, s := range r.Sets {
-		is(s.DemandPerSecond, "sets[%d].demand", i)
-		if err == nil && (s.Plan < 0 || s.Plan >= len(r.Plans) || s.Size < 1 || s.Size > r.Charter.GatewayCount ||
+		c.check(s.DemandPerSecond, "sets[%d].demand", i)
+		if c.err == nil && (s.Plan < 0 || s.Plan >= len(r.Plans) || s.Size < 1 || s.Size > r.Charter.GatewayCount ||
 			s.FirstGateway < 0 || s.FirstGateway >= r.Charter.GatewayCount) {
-			err = fmt.Errorf("sets[%d]: plan %d, %d gatekeepers from %d on", i, s.Plan, s.Size, s.FirstGateway)
+			c.err = fmt.Errorf("sets[%d]: plan %d, %d gatekeepers from %d on", i, s.Plan, s.Size, s.FirstGateway)
 		}
 	}
 	for i, h := range r.Regions {
-		is(h.WarmWorkers, "halls[%d].able", i)
-		if err == nil && (h.Name == "" || len(h.Name) > maxNameBytes || h.Workers < 0 || h.InFlight < 0 ||
+		c.check(h.WarmWorkers, "halls[%d].able", i)
+		if c.err == nil && (h.Name == "" || len(h.Name) > maxNameBytes || h.Workers < 0 || h.InFlight < 0 ||
 			len(h.Answers) != len(r.Products) || !(h.CPUUse <= 1)) {
-			err = fmt.Errorf("halls[%d]: no name, a negative count, or not an answer for each product", i)
+			c.err = fmt.Errorf("halls[%d]: no name, a negative count, or not an answer for each product", i)
 		}
 		for k, a := range h.Answers {
 			for _, v := range []float64{a.PerSecond, a.MeanMillis, a.DeviationMillis, a.WastedPerSecond} {
-				is(v, "halls[%d].answers[%d]", i, k)
+				c.check(v, "halls[%d].answers[%d]", i, k)
 			}
 		}
 	}
-	for i, c := range r.Credit {
-		is(c.Available, "credit[%d].rights", i)
-		is(c.Borrowed, "credit[%d].open", i)
+	for i, credit := range r.Credit {
+		c.check(credit.Available, "credit[%d].rights", i)
+		c.check(credit.Borrowed, "credit[%d].open", i)
 	}
+}
+
+func (r *Report) checkCharter(c *valueCheck) {
 	for i, p := range r.Charter.Products {
 		for _, v := range []float64{p.LatencyTargetMillis, p.Value, p.LateValueFraction, p.DedupWindowMillis} {
-			is(v, "charter.products[%d]", i)
+			c.check(v, "charter.products[%d]", i)
 		}
 	}
 	for i, p := range r.Charter.Plans {
 		for _, v := range []float64{p.QuotaPerSecond, p.QuotaBurst, p.RateLimitPerSecond, p.RateLimitBurst,
 			p.ValueFactor, p.ExcessValueFraction,
 			p.ExcessCostFraction, p.CreditSeconds, p.RepayWithinMillis, p.WithheldFraction} {
-			is(v, "charter.plans[%d]", i)
+			c.check(v, "charter.plans[%d]", i)
 		}
 		if p.MaxInFlight < 0 {
-			is(-1, "charter.plans[%d].open", i)
+			c.check(-1, "charter.plans[%d].open", i)
 		}
 	}
 	for _, v := range []float64{r.Charter.MaxRequestUnits, r.Charter.PeerMessagesPerSecond,
@@ -246,9 +260,8 @@
 		r.Charter.WarmUpMillis, r.Charter.OverloadFactor, r.Charter.OverloadMillis, r.Charter.TotalWeight,
 		r.Charter.WorstPlanWeight,
 		r.Charter.MaxRetryAfterMillis} {
-		is(v, "charter")
+		c.check(v, "charter")
 	}
-	return err
 }
 
 // Newer reports whether a report is newer than another of the same gateway. Incarnations wrap around, as
--- a/internal/forecast/scenario.go
+++ b/internal/forecast/scenario.go
@@ -153,25 +153,7 @@
 				continue
 			}
 			sum += e.demand
-			h := takeover{region: -1}
-			for k := 0; k < max(most, len(e.regions)) && (k < most || h.region < 0); k++ {
-				at := e.regions[(e.position+k)%len(e.regions)]
-				dead := at >= 0 && s.gatewaysLost[at]
-				if dead && h.region < 0 {
-					h.failedBefore++
-				}
-				if !dead && h.region < 0 {
-					if h.region = at; at < 0 {
-						h.region = from
-					}
-				}
-				if !dead && k < most {
-					h.attempts++
-				}
-			}
-			if f.rules.TakeoverMillis > 0 || most == 1 { // clients know by then where to go
-				h.attempts, h.failedBefore = most, 0
-			}
+			h := f.takeoverOf(&e, s)
 			switch {
 			case h.region < 0 || s.gatewaysLost[h.region]:
 				none[q] += e.demand
@@ -198,9 +180,41 @@
 		})
 		all = append(all, list)
 	}
-	if !f.rules.FailsOver {
-		return all, none, late
+	if f.rules.FailsOver {
+		f.failOver(all, none, s)
+	}
+	return all, none, late
+}
+
+// takeoverOf returns where the requests of a set go. A gateway that is not known counts as one of the
+// set's own region.
+func (f *fleet) takeoverOf(e *customerSet, s *scenario) takeover {
+	most := f.rules.ClientAttempts
+	h := takeover{region: -1}
+	for k := 0; k < max(most, len(e.regions)) && (k < most || h.region < 0); k++ {
+		at := e.regions[(e.position+k)%len(e.regions)]
+		dead := at >= 0 && s.gatewaysLost[at]
+		if dead && h.region < 0 {
+			h.failedBefore++
+		}
+		if !dead && h.region < 0 {
+			if h.region = at; at < 0 {
+				h.region = e.region
+			}
+		}
+		if !dead && k < most {
+			h.attempts++
+		}
+	}
+	if f.rules.TakeoverMillis > 0 || most == 1 { // clients know by then where to go
+		h.attempts, h.failedBefore = most, 0
 	}
+	return h
+}
+
+// failOver adds the takeovers of clients whose gateways are all lost: by all that are left, alike.
+func (f *fleet) failOver(all [][]takeover, none []float64, s *scenario) {
+	most := f.rules.ClientAttempts
 	living := 0
 	for h := range f.regions {
 		if !s.gatewaysLost[h] {
@@ -214,7 +228,6 @@
 			}
 		}
 	}
-	return all, none, late
 }
 
 // demandByAttempts is the requests of a class, per ms, by how many of their attempts find a gateway, with
@@ -290,86 +303,111 @@
 
 // evaluatePartition evaluates regions that reach each other: their gateways as alike, before their workers
 // as one pool that is used as it is now.
-func (f *fleet) evaluatePartition(s *scenario, halls []int, come [][]demandByAttempts, o *result) {
-	np := len(f.products)
-	keepers, able := 0.0, 0.0
-	parts := make([]float64, len(f.regions)) // of the island's txns, by hall of worker
-	sum, far, all := 0.0, 0.0, 0.0
-	for _, x := range halls {
+func (f *fleet) evaluatePartition(s *scenario, regions []int, demand [][]demandByAttempts, o *result) {
+	gateways, warmWorkers := 0.0, 0.0
+	for _, x := range regions {
 		if !s.gatewaysLost[x] {
-			keepers += float64(f.gateways[x])
+			gateways += float64(f.gateways[x])
 		}
-		if s.workersLost[x] {
-			continue
+		if !s.workersLost[x] {
+			warmWorkers += f.warmWorkers[x]
+		}
+	}
+	admitted, rates := f.admitByQuota(s, regions, demand, o)
+	parts, sum := f.workerShares(s, regions, rates, warmWorkers)
+	if gateways == 0 || warmWorkers == 0 || sum == 0 {
+		for i := range admitted {
+			o.rejected[i/len(f.products)] += admitted[i].sum()
 		}
-		able += f.warmWorkers[x]
+		return
 	}
-	fresh := make([]demandByAttempts, len(f.flows)) // as quotas let it through
-	rates := make([]float64, len(f.regions))
-	for i := range fresh {
-		fresh[i] = demandByAttempts{make([]float64, f.rules.ClientAttempts+1),
+	slow := 0.0
+	for _, x := range regions {
+		parts[x] /= sum
+		slow += parts[x] * s.slowFactor[x]
+	}
+	pool := &workerPool{f: f, demand: admitted, gateways: gateways, cores: warmWorkers * f.cores,
+		warmWorkers: warmWorkers, networkMillis: f.networkMillis(regions, rates, parts), slowFactor: slow}
+	for i := range admitted {
+		pool.rates = append(pool.rates, admitted[i].sum())
+	}
+	pool.solve()
+	o.addPool(pool, s, regions, parts)
+}
+
+// admitByQuota returns the requests that quotas admit, by class, and the rate of all requests by region.
+func (f *fleet) admitByQuota(s *scenario, regions []int, demand [][]demandByAttempts, o *result) (
+	admitted []demandByAttempts, rates []float64) {
+	np := len(f.products)
+	admitted, rates = make([]demandByAttempts, len(f.flows)), make([]float64, len(f.regions))
+	for i := range admitted {
+		admitted[i] = demandByAttempts{make([]float64, f.rules.ClientAttempts+1),
 			make([]float64, f.rules.ClientAttempts+1)}
-		for _, g := range halls {
-			for k, r := range come[g][i].rate {
-				fresh[i].rate[k] += r * s.admitted[i/np]
-				fresh[i].failedBefore[k] += come[g][i].failedBefore[k] * s.admitted[i/np]
+		for _, g := range regions {
+			for k, r := range demand[g][i].rate {
+				admitted[i].rate[k] += r * s.admitted[i/np]
+				admitted[i].failedBefore[k] += demand[g][i].failedBefore[k] * s.admitted[i/np]
 				rates[g] += r
 				o.rejected[i/np] += r * (1 - s.admitted[i/np])
 			}
 		}
 	}
-	for _, g := range halls {
+	for _, g := range regions {
 		o.requested[g] += rates[g]
 	}
-	for _, g := range halls { // each hall's gatekeepers go on to favour the workers that they favour now
-		mine := 0.0
-		for _, x := range halls {
+	return admitted, rates
+}
+
+// workerShares returns how the requests are shared by the regions' workers, and the sum of these shares: each
+// region's gateways go on to prefer the workers that they prefer now.
+func (f *fleet) workerShares(s *scenario, regions []int, rates []float64, warmWorkers float64) (
+	parts []float64, sum float64) {
+	parts = make([]float64, len(f.regions))
+	for _, g := range regions {
+		own := 0.0
+		for _, x := range regions {
 			if !s.workersLost[x] {
-				mine += f.served[g][x]
+				own += f.served[g][x]
 			}
 		}
-		for _, x := range halls {
-			if !s.workersLost[x] && mine > 0 {
-				parts[x] += rates[g] * f.served[g][x] / mine
-			} else if !s.workersLost[x] && able > 0 {
-				parts[x] += rates[g] * f.warmWorkers[x] / able
+		for _, x := range regions {
+			if !s.workersLost[x] && own > 0 {
+				parts[x] += rates[g] * f.served[g][x] / own
+			} else if !s.workersLost[x] && warmWorkers > 0 {
+				parts[x] += rates[g] * f.warmWorkers[x] / warmWorkers
 			}
 		}
 	}
-	for _, x := range halls {
+	for _, x := range regions {
 		sum += parts[x]
 	}
-	if keepers == 0 || able == 0 || sum == 0 {
-		for i := range fresh {
-			o.rejected[i/np] += fresh[i].sum()
-		}
-		return
-	}
-	slow := 0.0
-	for _, x := range halls {
-		parts[x] /= sum
-		slow += parts[x] * s.slowFactor[x]
-	}
-	for _, g := range halls {
+	return parts, sum
+}
+
+// networkMillis is the mean time on the network of an answer.
+func (f *fleet) networkMillis(regions []int, rates, parts []float64) float64 {
+	far, all := 0.0, 0.0
+	for _, g := range regions {
 		rate := rates[g]
-		for _, x := range halls {
+		for _, x := range regions {
 			if f.answerMillis[g][x] > 0 && f.answerMillis[x][x] > 0 {
 				far += rate * parts[x] * math.Max(f.answerMillis[g][x]-f.answerMillis[x][x], 0)
 			}
 		}
 		all += rate
 	}
-	way := f.rules.NetworkMillis
+	network := f.rules.NetworkMillis
 	if all > 0 {
-		way += far / all
+		network += far / all
 	}
-	pool := &workerPool{f: f, demand: fresh, gateways: keepers, cores: able * f.cores, warmWorkers: able,
-		networkMillis: way, slowFactor: slow}
-	for i := range fresh {
-		pool.rates = append(pool.rates, fresh[i].sum())
-	}
-	pool.solve()
-	for i := range fresh {
+	return network
+}
+
+// addPool adds what a solved pool of a partition serves, by the regions' parts of it.
+func (o *result) addPool(pool *workerPool, s *scenario, regions []int, parts []float64) {
+	f := pool.f
+	np := len(f.products)
+	for i := range pool.rates {
 		q, p := i/np, i%np
 		done, late := pool.completed(i)
 		o.value += f.value(q, p) * done * (1 - late*(1-f.charter.Products[p].LateValueFraction))
@@ -377,28 +415,28 @@
 		o.late += done * late
 		o.rejected[q] += pool.rates[i] - done
 		o.wasted += done * late
-		for _, x := range halls {
+		for _, x := range regions {
 			o.served[x] += parts[x] * done
 		}
 	}
 	o.overloaded = o.overloaded || pool.overloaded
-	for _, x := range halls {
+	for _, x := range regions {
 		if !s.workersLost[x] && f.warmWorkers[x] > 0 {
 			work := pool.usedCores() * parts[x] / (f.warmWorkers[x] * f.cores)
 			o.utilization[x] = math.Min(work, 1)
 			o.answerMillis[x] = pool.answerMillis
-			o.windowCapacity[x] = pool.window * keepers * parts[x]
+			o.windowCapacity[x] = pool.window * pool.gateways * parts[x]
 		}
 	}
-	if short := pool.wantedCores()/f.cores - able; short > 0 {
+	if short := pool.wantedCores()/f.cores - pool.warmWorkers; short > 0 {
 		var names []string
-		for _, x := range halls {
+		for _, x := range regions {
 			if !s.workersLost[x] {
 				names = append(names, f.regions[x])
 			}
 		}
-		o.shortages = append(o.shortages, fmt.Sprintf("workers: %.4g more warm ones in %s", roundSignificant(short),
-			strings.Join(names, ", ")))
+		o.shortages = append(o.shortages, fmt.Sprintf("workers: %.4g more warm ones in %s",
+			roundSignificant(short), strings.Join(names, ", ")))
 	}
 }
 
