--- a/internal/forecast/emulatormodel.go
+++ b/internal/forecast/emulatormodel.go
@@ -4,7 +4,7 @@
 type EmulatorModel struct {
 	Gatekeepers       int
 	Regions           []string
-	WorkersByRegion   []int // by hall
+	WorkersByRegion   []int // by region
 	ServiceCV2        float64
 	ServiceMillis     []float64 // by product, of a core
 	CrossRegionMillis float64   // added to an answer of a worker in another region
--- a/internal/forecast/fleet.go
+++ b/internal/forecast/fleet.go
@@ -19,25 +19,25 @@
 	scale           float64
 	unknown         []string
 
-	regions        []string         // of halls, sorted
+	regions        []string         // of regions, sorted
 	regionIndex    map[string]int   // and their numbers
-	gatewayRegions map[string][]int // by group: the hall of each gatekeeper, -1 where it is not heard
+	gatewayRegions map[string][]int // by group: the region of each gateway, -1 where it is not heard
 
-	gateways     []int       // gatekeepers heard, by hall
-	workers      []int       // and workers, as most words have it
+	gateways     []int       // gateways heard, by region
+	workers      []int       // and workers, as most reports have it
 	warmWorkers  []float64   // in warm workers
-	requested    [][]float64 // by hall of gatekeeper, and sort
+	requested    [][]float64 // by region of gateway, and sort
 	flows        []Flow      // by sort, of all
-	served       [][]float64 // by hall of gatekeeper and hall of worker
+	served       [][]float64 // by region of gateway and region of worker
 	answerMillis [][]float64 // pace of these, ms
-	// By hall of gatekeeper: what longer ways to other halls' workers add on average, ms.
+	// By region of gateway: what longer ways to other regions' workers add on average, ms.
 	remoteMillis   []float64
-	windowCapacity []float64   // windows' room, by hall of worker as txns go now
-	inFlight       [][]int     // by hall of gatekeeper and hall of worker
-	credit         [][]float64 // by hall of gatekeeper and plan, units that may be borrowed there
+	windowCapacity []float64   // windows' room, by region of worker as requests go now
+	inFlight       [][]int     // by region of gateway and region of worker
+	credit         [][]float64 // by region of gateway and plan, units that may be borrowed there
 	reason         [policy.ReasonCount]float64
-	serviceMillis  []float64 // by product: ms of a core that a txn takes, without any wait
-	cores          float64   // that each worker has, as reckoned with; 0 where that is not known
+	serviceMillis  []float64 // by product: ms of a core that a request takes, without any wait
+	cores          float64   // that each worker has, as estimated with; 0 where that is not known
 	serviceCV2     float64
 	customerSets   [][]customerSet // by plan
 }
@@ -45,11 +45,11 @@
 // customerSet is demand of a plan's customers that use some gateways in a row, as one of these reported
 // it.
 type customerSet struct {
-	region           int     // hall of the one that told of it, and its place in the ring
+	region           int     // region of the one that told of it, and its place in the ring
 	position         int     //
-	demand           float64 // of all of the plan that this gatekeeper has told of: the part
-	regions          []int   // of the gatekeepers, around; -1 of one that is not heard
-	gatewaysByRegion []int   // of them, by hall
+	demand           float64 // of all of the plan that this gateway has told of: the part
+	regions          []int   // of the gateways, around; -1 of one that is not heard
+	gatewaysByRegion []int   // of them, by region
 }
 
 func (f *fleet) regionOf(name string) int {
@@ -282,7 +282,7 @@
 
 // collectSets lists whose sets have gateways in which regions.
 func (f *fleet) collectSets() {
-	twice := map[int][]int{} // by first: a group's halls, gone round
+	twice := map[int][]int{} // by first: a group's regions, gone round
 	group := ""
 	for _, w := range f.reports {
 		all := f.gatewayRegions[w.Group]
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -26,8 +26,8 @@
 		Plans: []policy.Plan{{QuotaPerSecond: 20, QuotaBurst: 40, ValueFactor: 1}}}
 }
 
-// words are those of n gatekeepers in three halls by turns, each asked by customers in sets of three, before
-// four workers of each hall with two cores that take 20 ms and are used to a part.
+// reports are those of n gateways in three regions by turns, each asked by customers in sets of three, before
+// four workers of each region with two cores that take 20 ms and are used to a part.
 func testReports(n int, use float64) (all []*Report) {
 	halls := []string{"east", "north", "west"}
 	q := queueModel{2, 20, 0.04}
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// Guards against answers that hang on the order in which words came, on a map's, or on older words beside.
+// Guards against answers that hang on the order in which reports came, on a map's, or on older reports
+// beside.
 func TestDeterministic(t *testing.T) {
 	all := testReports(9, 0.7)
 	want := encodedForecast(t, Project(all, testAssumptions()))
@@ -117,12 +118,12 @@
 		missing     string
 	}{
 		{0.3, east, -0.001, 0.01, ""},
-		// Two thirds of the workers for 0.9 of what all can do: of each ten txns two or three are declined, most
-		// of them of the product that has 0.44 of the value.
+		// Two thirds of the workers for 0.9 of what all can do: of each ten requests two or three are declined,
+		// most of them of the product that has 0.44 of the value.
 		{0.9, east, 0.12, 0.25, "workers: "},
 		{0.9, Loss{LoseRegion, []string{"east", "north"}}, 0.33, 0.66, "workers: "},
 		{0.9, Loss{LoseGateways, []string{"east"}}, -0.001, 0.05, ""},
-		// Each hall's gatekeepers have workers of their own.
+		// Each region's gateways have workers of their own.
 		{0.6, Loss{LoseLinks, []string{"east"}}, -0.001, 0.02, ""},
 		{0.45, Loss{LoseRegionSlowNeighbours, []string{"east"}}, 0.12, 0.25, "workers: "},
 	} {
@@ -155,7 +156,7 @@
 	}
 }
 
-// Nothing that is not known is taken as nought: it is named.
+// Nothing that is not known is taken as zero: it is named.
 func TestNamedShortages(t *testing.T) {
 	all := testReports(9, 0.5)
 	whole := Project(all, testAssumptions()).Now.Value
@@ -204,7 +205,7 @@
 // round a set reach the next that lives, and use up tries on the way.
 func TestTakeovers(t *testing.T) {
 	all := testReports(9, 0.5)
-	for i, w := range all { // each customer comes through one gatekeeper
+	for i, w := range all { // each customer comes through one gateway
 		w.Sets = []policy.GatewaySetSnapshot{{FirstGateway: i, Size: 1, DemandPerSecond: 1}}
 	}
 	r := testAssumptions()
@@ -224,7 +225,7 @@
 	o.Assumptions.ClientAttempts = 3
 	f := o.newFleet(o.selectReports(testReports(9, 0.5)))
 	s := f.newScenario(Loss{LoseRegion, []string{"east", "north"}})
-	// A set of three in a row has one of each hall, and from east the next is north: the third try finds west.
+	// A set of three in a row has one of each region, and from east the next is north: the third try finds west.
 	if got, none, late := f.takeoversOf(0, s); len(got[0]) != 1 || got[0][0] != (takeover{2, 1, 2, 1}) ||
 		none[0]+late[0] > 0 {
 		t.Errorf("heirs of east: %v, none %v, too late %v", got, none, late)
@@ -321,7 +322,7 @@
 			t.Errorf("%v cores, use %v: a txn takes %v, not 1", c.k, c.use, s)
 		}
 	}
-	// Two sorts, one of which may fill half of a window of four: Erlang's loss for the one alone.
+	// Two classes, one of which may fill half of a window of four: Erlang's loss for the one alone.
 	one := windowAdmission([]windowClass{{0.02, 1}}, 4, 100, nil)
 	if want := 1 - 0.0952; math.Abs(one[0]-want) > 0.001 { // B(4, 2)
 		t.Errorf("lets in %v, not %v", one[0], want)
@@ -409,7 +410,7 @@
 	m.AttemptEnded(0, 0, policy.Succeeded, 1, false)
 }
 
-// Guards against words whose figures are no gatekeeper's, though within bounds, that take a core for ever.
+// Guards against reports whose figures are no gateway's, though within bounds, that take a core for ever.
 func TestBoundedWork(t *testing.T) {
 	c := testCharter(maxGateways)
 	c.Products, c.Plans = nil, nil
--- a/internal/forecast/queue.go
+++ b/internal/forecast/queue.go
@@ -25,10 +25,11 @@
 	return chance * mean
 }
 
-// mostUse is as near to all as a use is reckoned with; beyond it waits have no meaning.
+// maxUtilization is the highest utilization that the model is used with; beyond it waits have no meaning.
 const maxUtilization = 0.995
 
-// bisect finds where a function that grows passes nought, between two points, to a part in two to the steps.
+// bisect finds where an increasing function crosses zero between lo and hi, halving the interval steps
+// times.
 func bisect(lo, hi float64, steps int, f func(float64) float64) float64 {
 	for range steps {
 		if mid := (lo + hi) / 2; f(mid) < 0 {
@@ -40,8 +41,8 @@
 	return (lo + hi) / 2
 }
 
-// service gives how long a txn takes without any wait, ms, of what answers take at a rate of txns an ms at
-// each worker: the wait that it implies and itself add up to that.
+// solveService returns the service time, in ms, that explains answers of a mean time at a rate of requests
+// per ms at each worker: that time and the wait which it implies add up to it.
 func solveService(k, cv2, took, perMs float64) float64 {
 	return bisect(0, took, fineSteps, func(s float64) float64 {
 		use := perMs * s / k
@@ -52,14 +53,14 @@
 	})
 }
 
-// flowing is one sort of txn before a gatekeeper's window: how many come, an ms, and the part of the window
-// that it may fill.
+// windowClass is one class of requests before a gateway's window: how many arrive per ms, and the part of
+// the window that it may fill.
 type windowClass struct{ rate, depth float64 }
 
-// admits gives the part of each sort that a window lets in, where a submission is out for so many ms: the
-// stationary state of a birth and death process, with the room for a sort that shrinks as it is passed (a
-// trunk reservation; Kelly, Loss networks, 1991). The edge of a window that is no whole number is let in by
-// chance, as the window moves about it.
+// windowAdmission returns the part of each class that a window admits, where an attempt is in flight for
+// so many ms: the stationary state of a birth and death process, with capacity for a class that shrinks as
+// it is passed (a trunk reservation; Kelly, Loss networks, 1991). The last, partial place of a window that
+// is not an integer is admitted by chance, as the window moves about it.
 func windowAdmission(sorts []windowClass, window, out float64, into []float64) []float64 {
 	into = into[:0]
 	for range sorts {
@@ -91,11 +92,12 @@
 	return into
 }
 
-// mostOut is how many submissions of one gatekeeper are reckoned with; it has no more connections.
+// maxInFlight bounds the attempts of one gateway in the model; it has no more connections.
 const maxInFlight = 1024
 
-// finely is for what costs little, coarsely for what costs a window's states: a thousandth of a submission.
+// fineSteps is for what is cheap, coarseSteps for what evaluates a window's states: a thousandth of an
+// attempt.
 const fineSteps, coarseSteps = 40, 18
 
-// shades is how finely the parts of a window that sorts may fill are told apart.
+// depthLevels is how finely the parts of a window that classes may fill are distinguished.
 const depthLevels = 32
--- a/internal/forecast/quota.go
+++ b/internal/forecast/quota.go
@@ -7,7 +7,7 @@
 	"willowdeck/internal/policy"
 )
 
-// step gives the use that stands for a step of a sight's counts.
+// utilizationOf returns the utilization that stands for a step of policy.UtilizationBounds.
 func utilizationOf(i int) float64 {
 	switch b := policy.UtilizationBounds; {
 	case i == 0:
@@ -19,13 +19,13 @@
 	}
 }
 
-// using is demand of customers of a use, which is their demand over their rate.
+// demandAtUse is the demand of customers at a utilization, which is their demand over their rate.
 type demandAtUse struct{ utilization, demand float64 }
 
-// uses gives a plan's demand by its customers' use, and the mean size of its txns. What gatekeepers see of a
-// customer at a moment swings by chance about what it asks: that part of the spread is taken out, as far as
-// it would be there if all came by chance alone (a Poisson stream, seen through an exponential memory of a
-// second), so that what stores even out is not taken for need.
+// demandByUse returns a plan's demand by its customers' utilization, and the mean size of its requests.
+// What gateways see of a customer at a time varies by chance about its demand: that part of the spread is
+// removed, as far as it would be there if all came by chance alone (a Poisson stream, seen through an
+// exponential memory of a second), so that what buckets even out is not taken for need.
 func (f *fleet) demandByUse(plan int) (use [len(policy.UtilizationBounds) + 1]demandAtUse,
 	size, all float64) {
 	customers, mean, squares := 0.0, 0.0, 0.0
@@ -66,17 +66,18 @@
 	return use, math.Max(units/math.Max(txns, 1e-9), 1), all
 }
 
-// memory is the design's smoothing of demand, s.
+// demandMemorySeconds is the time constant of the policy's demand estimate.
 const demandMemorySeconds = 1.0
 
-// moved is how long after a loss the demand of those lost still counts, ms.
+// rebalanceMillis is how long after a loss the demand reported by lost gateways still counts.
 func (f *fleet) rebalanceMillis() float64 {
 	return math.Max(f.behaviour.LostAfterMillis+f.behaviour.LostHoldMillis, f.behaviour.SilentAfterMillis)
 }
 
-// quotas gives the part of what customers ask that their quotas and ceilings let in, by plan, while their
-// gatekeepers in some halls are silent. early has the mean until their shares have moved: the last demand of
-// those lost still counts for so long, so the others' parts of a rate add up to less than it.
+// admittedByQuota returns, by plan, the part of customers' requests that quotas and rate limits admit
+// while their gateways in some regions are silent. early is the mean until quota shares have moved: the
+// last demand of the lost gateways still counts for so long, so that the others' parts of a rate add up to
+// less than it.
 func (f *fleet) admittedByQuota(s *scenario, early bool) []float64 {
 	let := make([]float64, len(f.plans))
 	for q := range f.plans {
@@ -101,7 +102,7 @@
 	return let
 }
 
-// come is the part of a plan's demand that finds a gatekeeper.
+// reachableShare is the part of a plan's demand that finds a gateway.
 func (f *fleet) reachableShare(plan int, s *scenario) float64 {
 	sum, all := 0.0, 0.0
 	np := len(f.products)
@@ -124,7 +125,7 @@
 	return sum / all
 }
 
-// soonest is the shortest SLA time, ms.
+// shortestTarget is the shortest latency target, ms.
 func (f *fleet) shortestTarget() float64 {
 	least := math.Inf(1)
 	for _, p := range f.charter.Products {
@@ -133,13 +134,13 @@
 	return least
 }
 
-// share is the part of a plan's demand whose sets have lost so many of their gatekeepers.
+// setShare is the part of a plan's demand whose sets have lost so many of their gateways.
 type setShare struct {
-	weight, lost float64 // lost is of the set's gatekeepers
+	weight, lost float64 // lost is of the set's gateways
 	size         int
 }
 
-// parts sums a plan's sets up by size and the part lost.
+// setSharesOf returns a plan's sets by size and the part lost; computed once per scenario.
 func (f *fleet) setSharesOf(plan int, s *scenario) []setShare {
 	if s.setShares == nil {
 		for q := range f.plans {
@@ -182,12 +183,13 @@
 	return all
 }
 
-// store is one that fills at a rate and holds depth, with demand of a mean and a variance, all in units and
-// seconds. What it holds is taken for a Brownian motion between nought and its depth (Harrison, Brownian
-// motion and stochastic flow systems, 1985): what it cannot give is what holds the motion up at nought.
+// tokenBucket is a bucket that fills at a rate and holds depth, with demand of a mean and a variance, all
+// in units and seconds. Its level is modelled as a Brownian motion between zero and its depth (Harrison,
+// Brownian motion and stochastic flow systems, 1985): what it cannot give is what holds the motion up at
+// zero.
 type tokenBucket struct{ rate, depth, demand, variance float64 }
 
-// short gives the part of its demand that a store cannot give in the long run.
+// shortage is the part of its demand that a bucket cannot give in the long run.
 func (s tokenBucket) shortage() float64 {
 	drift := s.rate - s.demand
 	x := 2 * drift * s.depth / s.variance
@@ -198,7 +200,7 @@
 	return math.Min(math.Max(push/s.demand, 0), 1)
 }
 
-// level gives the part of its depth that a store holds in the long run, on average.
+// meanLevel is the part of its depth that a bucket holds in the long run, on average.
 func (s tokenBucket) meanLevel() float64 {
 	x := 2 * (s.rate - s.demand) * s.depth / s.variance
 	if math.Abs(x) < 1e-3 {
@@ -207,8 +209,9 @@
 	return math.Min(math.Max(-1/math.Expm1(-x)-1/x, 0), 1)
 }
 
-// shortFor gives what it is short of as the mean over so many seconds that begin with a part of its depth in
-// it: until it is empty for the first time it is short of nothing. That time's spread is a first passage's.
+// shortageDuring is the mean shortage over so many seconds that begin with a part of the depth in the
+// bucket: until it is empty for the first time there is none. The spread of that time is a first
+// passage's.
 func (s tokenBucket) shortageDuring(secs, full float64) float64 {
 	if secs <= 0 {
 		return 0
@@ -230,9 +233,9 @@
 	return s.shortage() * (even*blurred + (1-even)*sharp)
 }
 
-// lets gives the part of its demand that a customer of some use and a size of txns is let in. Of what its
-// stores cannot give, the worst counts: the quota's one store, the slices together, each slice by itself as
-// far as a further try at another gatekeeper finds no more, and the same of a ceiling.
+// admittedShare is the part of its demand that is admitted of a customer of some utilization and size of
+// requests. The largest shortage counts: that of the quota's one bucket, of its shares together, of each
+// share by itself as far as a retry at another gateway finds no more, and the same of a rate limit.
 func (f *fleet) admittedShare(plan int, use, size float64, p setShare, early bool) float64 {
 	c, m := &f.charter.Plans[plan], &f.behaviour
 	if use <= 0 {
@@ -241,7 +244,7 @@
 	demand := use * c.QuotaPerSecond
 	n, living := float64(p.size), math.Max(float64(p.size)*(1-p.lost), 1)
 	span := (f.rebalanceMillis() - m.SilentAfterMillis) / 1000
-	waits := 0.0 // what is turned away comes again while that is of use, as if the store were so much deeper
+	waits := 0.0 // what is rejected comes again while that is of use, as if the store were so much deeper
 	if f.rules.ClientAttempts > 1 {
 		waits = demand * f.shortestTarget() / 1000
 	}
@@ -292,8 +295,9 @@
 	return 1 - short
 }
 
-// borrow has customers borrow what quotas keep from them until shares have moved, as far as gatekeepers that
-// are left hold rights: they get no more while others of a set are silent. It gives the units.
+// drawCredit has customers borrow what quotas keep from them until shares have moved, as far as the
+// gateways that are left hold credit: they get no more while others of a set are silent. It returns the
+// units.
 func (f *fleet) drawCredit(s *scenario, ms float64) (drawn float64) {
 	whole := f.admittedByQuota(f.newScenario(Loss{}), false)
 	for q := range f.plans {
@@ -317,7 +321,7 @@
 	return drawn
 }
 
-// missing names what quotas and ceilings keep back, and gatekeepers that nobody stands in for.
+// findShortages names what quotas and rate limits reject, and the requests that no gateway takes over.
 func (f *fleet) findShortages(s *scenario) (all []string) {
 	whole, after := f.admittedByQuota(f.newScenario(Loss{}), false), f.admittedByQuota(s, false)
 	for q, plan := range f.plans {
@@ -341,8 +345,8 @@
 	return all
 }
 
-// atOnce reckons what a loss costs in its first moment: txns in hand at lost workers that may not be
-// repeated, those in hand at lost gatekeepers whose clients do not try again, and what is asked until clients
+// estimateImmediate estimates what a loss costs at once: requests in flight at lost workers that may not
+// be repeated, those in flight at lost gateways whose clients do not retry, and what arrives until clients
 // have moved.
 func (f *fleet) estimateImmediate(c *Cost, s *scenario) {
 	np := len(f.products)
--- a/internal/forecast/scenario.go
+++ b/internal/forecast/scenario.go
@@ -12,13 +12,13 @@
 
 // scenario is a fleet after a loss.
 type scenario struct {
-	gatewaysLost []bool    // by hall: its gatekeepers are lost
+	gatewaysLost []bool    // by region: its gateways are lost
 	workersLost  []bool    // its workers are
 	slowFactor   []float64 // how many times as long its workers take
-	partitions   [][]int   // halls that reach each other
-	admitted     []float64 // by plan: the part of what is asked that quotas let in
+	partitions   [][]int   // regions that reach each other
+	admitted     []float64 // by plan: the part of the requests that quotas admit
 
-	takeovers                      [][][]takeover // by hall and plan, once they are known
+	takeovers                      [][][]takeover // by region and plan, once they are known
 	withoutGateway, withoutAttempt [][]float64
 	setShares                      [][]setShare // by plan
 }
@@ -27,7 +27,7 @@
 type result struct {
 	value, inTime, late, wasted, orphans                         float64
 	rejected                                                     []float64 // by plan
-	requested, served, utilization, answerMillis, windowCapacity []float64 // by hall
+	requested, served, utilization, answerMillis, windowCapacity []float64 // by region
 	shortages                                                    []string  // which room is missing
 	overloaded                                                   bool
 }
@@ -447,9 +447,9 @@
 	rates                                []float64          // their sums
 	gateways, warmWorkers, networkMillis float64
 	cores, slowFactor                    float64
-	admitted                             []float64 // by sort, the part of tries that are let in
-	utilization, answerMillis, window    float64   // of the cores; ms of an answer; submissions
-	// The use at which answers are as slow as the module lets them be.
+	admitted                             []float64 // by class, the part of attempts that are admitted
+	utilization, answerMillis, window    float64   // of the cores; ms of an answer; attempts
+	// The use at which answers are as slow as the policy lets them be.
 	target     float64
 	overloaded bool
 	scratch    []float64
@@ -561,7 +561,7 @@
 
 // estimateAdmission estimates which part of attempts a window admits, with rejected ones that are retried.
 func (p *workerPool) estimateAdmission(window float64) {
-	var at [depthLevels + 1]int // one more than the place in kinds of the sorts with such a part of the window
+	var at [depthLevels + 1]int // one more than the place in kinds of the classes with such a part of the window
 	var kinds []windowClass
 	shade := func(i int) int {
 		d := p.f.behaviour.WindowFraction[i%len(p.f.products)][i/len(p.f.products)]
