--- a/internal/gateway/config/forwardauth.go
+++ b/internal/gateway/config/forwardauth.go
@@ -270,21 +270,8 @@
 	if !strings.HasPrefix(a.Path, "/") {
 		return nil, fmt.Errorf("path: %q must begin with a slash", a.Path)
 	}
-	if !isForwardable(a.CredentialHeader) {
-		return nil, fmt.Errorf("credential: %q is not a header that a client may set", a.CredentialHeader)
-	}
-	if a.CustomerHeader != "" && !isHeaderName(a.CustomerHeader) {
-		return nil, fmt.Errorf("customer: %q is not a header name", a.CustomerHeader)
-	}
-	for i, name := range a.SentHeaders {
-		if !isForwardable(name) {
-			return nil, fmt.Errorf("send[%d]: %q is not a header that a client may set", i, name)
-		}
-	}
-	for i, name := range a.CopiedHeaders {
-		if !isForwardable(name) || strings.EqualFold(name, "Retry-After") {
-			return nil, fmt.Errorf("copy[%d]: %q is not a header that may be passed on", i, name)
-		}
+	if err = a.checkHeaders(); err != nil {
+		return nil, err
 	}
 	if a.Covers, err = g.productFlags("products", t.Products, len(t.Products) == 0); err != nil {
 		return nil, err
@@ -318,6 +305,27 @@
 	)
 }
 
+// checkHeaders returns an error that names the first key with a header that is not allowed there.
+func (a *Authorizer) checkHeaders() error {
+	if !isForwardable(a.CredentialHeader) {
+		return fmt.Errorf("credential: %q is not a header that a client may set", a.CredentialHeader)
+	}
+	if a.CustomerHeader != "" && !isHeaderName(a.CustomerHeader) {
+		return fmt.Errorf("customer: %q is not a header name", a.CustomerHeader)
+	}
+	for i, name := range a.SentHeaders {
+		if !isForwardable(name) {
+			return fmt.Errorf("send[%d]: %q is not a header that a client may set", i, name)
+		}
+	}
+	for i, name := range a.CopiedHeaders {
+		if !isForwardable(name) || strings.EqualFold(name, "Retry-After") {
+			return fmt.Errorf("copy[%d]: %q is not a header that may be passed on", i, name)
+		}
+	}
+	return nil
+}
+
 // productFlags returns a flag for each product: true for those in names, or for all.
 func (g *Gateway) productFlags(key string, names []string, all bool) ([]bool, error) {
 	marks := make([]bool, len(g.Charter.Products))
