--- a/internal/borrowing/audit/audit_test.go
+++ b/internal/borrowing/audit/audit_test.go
@@ -8,11 +8,15 @@
 )
 
 // Each way to go wrong is found, alone in a record that is else right, and the right one has none.
-func TestFinds(t *testing.T) {
+func TestCheckFindsViolations(t *testing.T) {
 	type e = history.Event
-	check := func(all []e) Audited {
-		return Check(history.Record{Events: all}, func(e) Line { return Line{Units: 12, Repay: 100} },
-			func(who string) string { return who }, 10)
+	check := func(all []e) Report {
+		return Check(
+			history.Record{Events: all},
+			func(e) CreditLine { return CreditLine{Units: 12, RepayMillis: 100} },
+			func(who string) string { return who },
+			10,
+		)
 	}
 	base := []e{
 		{At: 1e6, Who: "0", Kind: history.Holds, Says: "none", Serial: 1},
@@ -55,11 +59,11 @@
 		}
 		all = append(append(all[:c.at:c.at], c.more...), base[c.at:]...)
 		a := check(all)
-		says := strings.Join(a.Broken, "\n")
-		if (c.says == "") != (a.Count == 0) || !strings.Contains(says, c.says) {
-			t.Errorf("%s: %d broken: %s", c.name, a.Count, says)
+		says := strings.Join(a.Violations, "\n")
+		if (c.says == "") != (a.ViolationCount == 0) || !strings.Contains(says, c.says) {
+			t.Errorf("%s: %d broken: %s", c.name, a.ViolationCount, says)
 		}
-		if c.says == "" && (a.Lent != 9 || a.Repaid != 9 || a.Moved != 4 || a.Most != 0.75) {
+		if c.says == "" && (a.Lent != 9 || a.Repaid != 9 || a.DebtMoved != 4 || a.PeakDrawnShare != 0.75) {
 			t.Errorf("%s: %+v", c.name, a)
 		}
 	}
@@ -69,7 +73,7 @@
 		e{At: 152e6, Who: "1", Kind: history.Takes, Says: "debt", Peer: "0", Units: 4, Serial: 4000})
 	for at, times := range map[int64]int{200e6: 0, 300e6: 1} {
 		a := check(append(late[:len(late):len(late)], e{At: at, Who: "1", Kind: history.Repays, Units: 4}))
-		if a.Count != times || (a.Late > 0) != (times > 0) {
+		if a.ViolationCount != times || (a.RepaidLate > 0) != (times > 0) {
 			t.Errorf("paid back at %d: %+v", at, a)
 		}
 	}
@@ -78,13 +82,13 @@
 		Peer: "0", Units: 4, Serial: 4000})
 	for at, times := range map[int64]int{600e6: 0, 650e6: 1} {
 		a := check(append(slow[:len(slow):len(slow)], e{At: at, Who: "1", Kind: history.Repays, Units: 4}))
-		if a.Count != times || a.Held != 500 {
+		if a.ViolationCount != times || a.LongestTransitMillis != 500 {
 			t.Errorf("on its way for 500 ms and paid back at %d: %+v", at, a)
 		}
 	}
 	forgot := append(append([]e(nil), base[:5]...), e{At: 3e6, Who: "0", Kind: history.Holds, Says: "owed",
 		Units: 1})
-	if a := check(forgot); a.Forgotten != 3 {
+	if a := check(forgot); a.DebtForgotten != 3 {
 		t.Errorf("a debt forgotten: %+v", a)
 	}
 }
--- a/internal/borrowing/credit.go
+++ b/internal/borrowing/credit.go
@@ -21,140 +21,140 @@
 )
 
 const (
-	parts     = 1000    // of a unit, that are booked; sums of whole numbers are exact
-	slots     = 8       // debts of a customer that are told apart by when they are due
-	partners  = 6       // peers of a customer that anything is exchanged with; bounds what is kept
-	widest    = 64      // gatekeepers of a set at most; of a wider one each part is too little to draw
-	period    = 200.0   // ms between looks; small against any time of repayment
-	again     = 400.0   // ms until what has not been acknowledged is told again; several ways there and back
-	wantFor   = 2000.0  // ms that a refused loan is asked for among the peers; a burst's length
-	settled   = 10000.0 // ms without a txn until a peer's word on what the customer's set is now is taken
-	earnEach  = 1000.0  // ms between looks at customers that owe nothing and earn what may have been drawn
-	quiet     = 1000.0  // ms without a loan until debts that can wait are paid; a burst's pauses
-	early     = 0.8     // of the time of repayment in which debts are paid, so that a late look is in time
-	keepHalf  = 0.5     // of its rights that one which is itself short of them keeps when asked for some
-	tellMost  = 8       // customers told of to one peer at once; about a datagram
-	tellPart  = 0.5     // of what a gatekeeper takes from peers, that words on credit may fill
-	tellRow   = 10.0    // messages in a row; to the others of a few customers' sets
-	talkMost  = 4096    // words that wait to be told; what finds no place is told later
-	lookMost  = 4096    // customers looked at in a period, so that the lock is not held for long
-	askWide   = 2       // peers that are asked for rights at once: those that said that they have most
-	relievers = 4       // peers that are asked what they credit, where this one's own fill can't pay
-	vainMost  = 2       // doublings of the pause between questions for rights that none have come on
-	spareTold = 1000.0  // ms that a peer's word that it has no rights to spare is gone by
-	relief    = 0.8     // of its fill, above which a gatekeeper has others pay a part of a debt
-	fillTold  = 2000.0  // ms that a peer's word on its fill is gone by
+	partsPerUnit             = 1000    // of a unit, that are booked; sums of whole numbers are exact
+	debtSlots                = 8       // debts of a customer that are told apart by when they are due
+	maxPairs                 = 6       // peers of a customer that anything is exchanged with; bounds what is kept
+	maxSetSize               = 64      // gatekeepers of a set at most; of a wider one each part is too little to draw
+	lookIntervalMillis       = 200.0   // ms between looks; small against any time of repayment
+	resendMillis             = 400.0   // ms until what has not been acknowledged is told again; several ways there and back
+	wantTTLMillis            = 2000.0  // ms that a refused loan is asked for among the peers; a burst's length
+	localSetPrecedenceMillis = 10000.0 // ms without a txn until a peer's word on what the customer's set is now is taken
+	earnIntervalMillis       = 1000.0  // ms between looks at customers that owe nothing and earn what may have been drawn
+	borrowingPauseMillis     = 1000.0  // ms without a loan until debts that can wait are paid; a burst's pauses
+	repaymentDueShare        = 0.8     // of the time of repayment in which debts are paid, so that a late look is in time
+	retainedShare            = 0.5     // of its rights that one which is itself short of them keeps when asked for some
+	maxEntriesPerMessage     = 8       // customers told of to one peer at once; about a datagram
+	messageRateShare         = 0.5     // of what a gatekeeper takes from peers, that words on credit may fill
+	messageBurst             = 10.0    // messages in a row; to the others of a few customers' sets
+	maxPendingEntries        = 4096    // words that wait to be told; what finds no place is told later
+	maxLooksPerInterval      = 4096    // customers looked at in a period, so that the lock is not held for long
+	rightsRequestFanout      = 2       // peers that are asked for rights at once: those that said that they have most
+	debtTransferFanout       = 4       // peers that are asked what they credit, where this one's own fill can't pay
+	maxRequestDoublings      = 2       // doublings of the pause between questions for rights that none have come on
+	spareTTLMillis           = 1000.0  // ms that a peer's word that it has no rights to spare is gone by
+	debtTransferFillShare    = 0.8     // of its fill, above which a gatekeeper has others pay a part of a debt
+	fillTTLMillis            = 2000.0  // ms that a peer's word on its fill is gone by
 
 	// Part is how much of a customer's fill may have to go to its debts: a line is at most what it comes to
 	// within the time of repayment.
-	Part = 0.5
+	MaxRepaymentShare = 0.5
 
 	// Places is how many customers may have anything but their first part at once; the rest get no credit.
-	Places = 1 << 14
+	MaxAccounts = 1 << 14
 )
 
 // Refusal is why nothing is lent.
-type Refusal uint8
+type LoanResult uint8
 
 // The refusals.
 const (
-	Lent    Refusal = iota
-	NoLine          // the plan names no credit
-	Wide            // the set is too wide
-	NoPlace         // too many customers have credit open
-	Unsure          // what a former life, or another set, has drawn is not known yet
-	Short           // this gatekeeper's rights are spent
-	Spoilt          // a place that could not be written
-	Refusals
+	LoanGranted         LoanResult = iota
+	DeniedNoLine                   // the plan names no credit
+	DeniedSetTooLarge              // the set is too wide
+	DeniedTableFull                // too many customers have credit open
+	DeniedRightsUnknown            // what a former life, or another set, has drawn is not known yet
+	DeniedNoRights                 // this gatekeeper's rights are spent
+	DeniedCorrupt                  // a place that could not be written
+	LoanResultCount
 )
 
 // Terms is what a book is told once.
-type Terms struct {
-	Me, Gatekeepers int
-	Plans           []Plan
-	PeerInPerS      float64 // messages that a gatekeeper takes in a second; 0 is no limit
+type Config struct {
+	Instance, Instances   int
+	Plans                 []Plan
+	PeerMessagesPerSecond float64 // messages that a gatekeeper takes in a second; 0 is no limit
 }
 
 // Plan is a plan's line, in units, and within how many ms each unit drawn is paid back. A line of nought
 // lends nothing.
-type Plan struct{ Line, Repay float64 }
+type Plan struct{ LineUnits, RepayMillis float64 }
 
 // Pair is what one gatekeeper has given another and got from it, of a customer's rights and debts, in parts;
 // these only grow. Due is when the debts that were given are due.
 type Pair struct {
-	Peer                     uint16
-	Used                     bool
-	GaveR, GaveD, GotR, GotD uint64
-	Due                      float64
-	ackedR, ackedD           uint64
-	fill                     float64 // the peer's, units a ms, as it last said
-	spare                    float64 // and what it could hand on, parts
-	known                    bool    // and whether it knows what it holds
-	heardFill, toldAt        float64
+	Peer                                                 uint16
+	Used                                                 bool
+	RightsGiven, DebtGiven, RightsReceived, DebtReceived uint64
+	DueMillis                                            float64
+	rightsAcked, debtAcked                               uint64
+	fillPerMilli                                         float64 // the peer's, units a ms, as it last said
+	spareParts                                           float64 // and what it could hand on, parts
+	rightsKnown                                          bool    // and whether it knows what it holds
+	heardMillis, sentMillis                              float64
 }
 
 // Record is all that is kept of a customer over a sudden end. Amounts are in parts, times in ms of a clock
 // that no life of the machine sets.
 type Record struct {
-	Customer uint32
-	Plan, N  uint8
-	First    uint16
-	Live     bool
-	Known    bool // what this gatekeeper holds is
-	Virgin   bool // when the record was made there was surely no debt here
-	Form     uint32
-	Rights   int64 // below nought where the line was lowered under what is owed
-	Earn     int64 // may have been drawn: becomes a right as unused fill pays for it
-	Owed     [slots]int64
-	Due      [slots]float64
-	Pairs    [partners]Pair
+	Customer      uint32
+	Plan, SetSize uint8
+	First         uint16
+	InUse         bool
+	Known         bool // what this gatekeeper holds is
+	NoPriorDebt   bool // when the record was made there was surely no debt here
+	SetDigest     uint32
+	Rights        int64 // below nought where the line was lowered under what is owed
+	PresumedDrawn int64 // may have been drawn: becomes a right as unused fill pays for it
+	Debt          [debtSlots]int64
+	DebtDueMillis [debtSlots]float64
+	Pairs         [maxPairs]Pair
 }
 
 // book keeping beside the record, which no later life needs
 type account struct {
 	Record
-	heard, virgins uint64 // by place in the set: who has answered, and who of them was virgin
-	asks, reply    uint64 // likewise: who is asked next, who is owed an answer,
-	says           uint64 // and whom a word waits for
-	nonce          uint16 // of the question
-	echo           uint16 // of the question last asked here; one at a time is answered
-	want           int64
-	wantAt         float64
-	seen           float64 // last asked for a loan here
-	sought         float64 // last asked for by a peer, which needs to know what is held here
-	looked         float64 // last collected
-	fill           float64 // units a ms that it is credited here, as last seen
-	askedAt        float64
-	vain           int // times in a row that rights were asked for and none came
-	active, dirty  bool
+	answeredPlaces, noPriorDebtPlaces uint64 // by place in the set: who has answered, and who of them was virgin
+	queryPlaces, replyPlaces          uint64 // likewise: who is asked next, who is owed an answer,
+	queuedPlaces                      uint64 // and whom a word waits for
+	nonce                             uint16 // of the question
+	echo                              uint16 // of the question last asked here; one at a time is answered
+	wantedParts                       int64
+	wantedMillis                      float64
+	lastLoanMillis                    float64 // last asked for a loan here
+	lastQueriedMillis                 float64 // last asked for by a peer, which needs to know what is held here
+	lastCollectedMillis               float64 // last collected
+	fillPerMilli                      float64 // units a ms that it is credited here, as last seen
+	lastRequestMillis                 float64
+	unansweredRequests                int // times in a row that rights were asked for and none came
+	active, dirty                     bool
 }
 
 // Entry is a gatekeeper's word to another on one customer.
 type Entry struct {
-	Customer                 uint32
-	Plan, N                  uint8
-	First                    uint16
-	Form                     uint16
-	Known, Virgin            bool
-	Asks, Answers            bool
-	Nonce, Echo              uint16 // of the question that it asks, and that it answers
-	GaveR, GaveD, GotR, GotD uint64
-	Left                     float64 // part of the time of repayment left for the debts given, 0 to 1
-	Want                     uint64  // rights wished for, parts
-	Spare                    float64 // rights that could be handed on, units; 0 where there are none
-	Fill                     float64 // what the customer is credited here, units a s; 0 where it is not seen
+	Customer                                             uint32
+	Plan, SetSize                                        uint8
+	First                                                uint16
+	SetDigest                                            uint16
+	Known, NoPriorDebt                                   bool
+	IsQuery, IsReply                                     bool
+	Nonce, Echo                                          uint16 // of the question that it asks, and that it answers
+	RightsGiven, DebtGiven, RightsReceived, DebtReceived uint64
+	DebtTimeLeft                                         float64 // part of the time of repayment left for the debts given, 0 to 1
+	WantedParts                                          uint64  // rights wished for, parts
+	SpareUnits                                           float64 // rights that could be handed on, units; 0 where there are none
+	FillPerSecond                                        float64 // what the customer is credited here, units a s; 0 where it is not seen
 }
 
 // Act is what a decision asks of the host.
-type Act uint8
+type Action uint8
 
 // The acts.
 const (
-	Store   Act = iota + 1 // keep Record in Place, before anything that follows
-	Note                   // write down what was done: Event, Customer, Plan, Peer, Units, Serial
-	Tell                   // send Entries to gatekeeper Peer
-	Collect                // take Need units of the customer's fill of Span ms, up to Most where it is not used
-	Wake                   // call Clock again by At
+	ActionStore       Action = iota + 1 // keep Record in Place, before anything that follows
+	ActionRecordEvent                   // write down what was done: Event, Customer, Plan, Peer, Units, Serial
+	ActionSend                          // send Entries to gatekeeper Peer
+	ActionCollect                       // take Need units of the customer's fill of Span ms, up to Most where it is not used
+	ActionWake                          // call Clock again by At
 )
 
 // Event is what a Note is of.
@@ -163,37 +163,66 @@
 // The events. A debt that grows is noted once it is kept, and one that shrinks before: whoever is killed
 // between owes no less than is noted.
 const (
-	Lends Event = iota
-	Undone
-	Repays
-	Earns
-	Hands // of rights, and Serial all that was ever given to the peer; parts
-	Takes
-	HandsDebt
-	TakesDebt
-	Holds     // Units is the right from now on, whatever it was
-	HoldsEarn // the same of what is earned
-	HoldsOwed // and of what is owed
-	HoldsGave // Serial is what was ever given to the peer
-	HoldsGot  // and what was got from it
-	HoldsGaveDebt
-	HoldsGotDebt
-	HoldsNone // it does not know what it holds, or, with a Serial, says all of it next
+	EventLent Event = iota
+	EventUndone
+	EventRepaid
+	EventEarned
+	EventRightsGiven // of rights, and Serial all that was ever given to the peer; parts
+	EventRightsReceived
+	EventDebtGiven
+	EventDebtReceived
+	EventHoldsRights         // Units is the right from now on, whatever it was
+	EventHoldsPresumedDrawn  // the same of what is earned
+	EventHoldsDebt           // and of what is owed
+	EventHoldsRightsGiven    // Serial is what was ever given to the peer
+	EventHoldsRightsReceived // and what was got from it
+	EventHoldsDebtGiven
+	EventHoldsDebtReceived
+	EventHoldsUnknown // it does not know what it holds, or, with a Serial, says all of it next
 )
 
-var written = [...][2]string{Lends: {"lends"}, Undone: {"repays", "undone"}, Repays: {"repays"},
-	Earns: {"repays", "earned"}, Hands: {"hands"}, HandsDebt: {"hands", "debt"}, Takes: {"takes"},
-	TakesDebt: {"takes", "debt"}, Holds: {"holds"}, HoldsEarn: {"holds", "earn"}, HoldsOwed: {"holds", "owed"},
-	HoldsGave: {"holds", "gave"}, HoldsGot: {"holds", "got"}, HoldsGaveDebt: {"holds", "gave debt"},
-	HoldsGotDebt: {"holds", "got debt"}, HoldsNone: {"holds", "none"}}
+var historyKeys = [...][2]string{
+	EventLent:   {"lends"},
+	EventUndone: {"repays", "undone"},
+	EventRepaid: {"repays"},
+	EventEarned: {
+		"repays",
+		"earned",
+	},
+	EventRightsGiven:    {"hands"},
+	EventDebtGiven:      {"hands", "debt"},
+	EventRightsReceived: {"takes"},
+	EventDebtReceived: {
+		"takes",
+		"debt",
+	},
+	EventHoldsRights:        {"holds"},
+	EventHoldsPresumedDrawn: {"holds", "earn"},
+	EventHoldsDebt:          {"holds", "owed"},
+	EventHoldsRightsGiven: {
+		"holds",
+		"gave",
+	},
+	EventHoldsRightsReceived: {"holds", "got"},
+	EventHoldsDebtGiven:      {"holds", "gave debt"},
+	EventHoldsDebtReceived:   {"holds", "got debt"},
+	EventHoldsUnknown:        {"holds", "none"},
+}
 
 // Written gives how an event stands in a record: its kind, and which of that kind.
-func (e Event) Written() (kind, says string) { return written[e][0], written[e][1] }
+func (e Event) HistoryKey() (kind, detail string) { return historyKeys[e][0], historyKeys[e][1] }
 
 // Of tells whether an event is between two gatekeepers.
-func (e Event) Of() bool {
+func (e Event) InvolvesPeer() bool {
 	switch e {
-	case Hands, HandsDebt, Takes, TakesDebt, HoldsGave, HoldsGot, HoldsGaveDebt, HoldsGotDebt:
+	case EventRightsGiven,
+		EventDebtGiven,
+		EventRightsReceived,
+		EventDebtReceived,
+		EventHoldsRightsGiven,
+		EventHoldsRightsReceived,
+		EventHoldsDebtGiven,
+		EventHoldsDebtReceived:
 		return true
 	}
 	return false
@@ -201,280 +230,322 @@
 
 // Decision is one thing for the host to do. Entries is valid until the next call.
 type Decision struct {
-	Act        Act
-	Place      int
-	Record     *Record
-	Event      Event
-	Customer   uint32
-	Plan, N    int
-	Peer       int
-	Units      float64
-	Serial     uint64
-	Form       uint32
-	Entries    []Entry
-	Need, Most float64
-	Span, At   float64
+	Action               Action
+	Slot                 int
+	Record               *Record
+	Event                Event
+	Customer             uint32
+	Plan, SetSize        int
+	Peer                 int
+	Units                float64
+	Serial               uint64
+	SetDigest            uint32
+	Entries              []Entry
+	RepayUnits, MaxUnits float64
+	SpanMillis, AtMillis float64
 }
 
 // Figures are counts and the present state, in units.
 type Figures struct {
-	Outstanding, Rights, Earn         float64
-	Lent, Repaid, Earned, Undone      float64
-	Handed, Taken, Moved              float64
-	Customers                         int
-	Late                              float64 // units that were paid back after their time
-	Refused                           [Refusals]int64
-	Strayed, Forgotten, Asked, Sealed int64 // words of other sets or lines; books found older than a peer's
+	Outstanding, Rights, PresumedDrawn                      float64
+	Lent, Repaid, Earned, Undone                            float64
+	RightsGiven, RightsReceived, DebtGiven                  float64
+	Customers                                               int
+	RepaidLate                                              float64 // units that were paid back after their time
+	Denied                                                  [LoanResultCount]int64
+	RejectedEntries, AccountsReset, QueriesReceived, Sealed int64 // words of other sets or lines; books found older than a peer's
 }
 
 // Book is one gatekeeper's. It is not safe for concurrent use.
-type Book struct {
-	terms   Terms
-	rng     *rand.Rand
-	now     float64
-	born    float64 // since when what is not in it surely had no debt here, were that older than it is
-	next    float64
-	begun   bool
-	lines   []int64
-	by      map[uint32]int32
-	all     []account
-	free    []int32
-	active  []int32
-	at      int // in active, where the look goes on
-	dirty   []int32
-	notes   []Decision // before what is to be kept
-	later   []Decision // and after
-	saidAll float64    // GCRA: the moment at which the part for words is whole again
-	talk    []talk
-	collect []int32
-	entries []Entry
-	sum     Figures
-	noting  bool
-	hint    int32 // where a place to be freed is looked for
-}
-
-type talk struct {
+type Lender struct {
+	config               Config
+	rng                  *rand.Rand
+	nowMillis            float64
+	bornMillis           float64 // since when what is not in it surely had no debt here, were that older than it is
+	nextLookMillis       float64
+	started              bool
+	lineParts            []int64
+	slotOf               map[uint32]int32
+	accounts             []account
+	freeSlots            []int32
+	activeSlots          []int32
+	activeCursor         int // in active, where the look goes on
+	dirtySlots           []int32
+	eventsBeforeStore    []Decision // before what is to be kept
+	eventsAfterStore     []Decision // and after
+	messagesFullAtMillis float64    // GCRA: the moment at which the part for words is whole again
+	pendingEntries       []pendingEntry
+	collectSlots         []int32
+	entryBuffer          []Entry
+	totals               Figures
+	recordsEvents        bool
+	evictionCursor       int32 // where a place to be freed is looked for
+}
+
+type pendingEntry struct {
 	peer int
-	at   int32
+	slot int32
 }
 
 // New makes a book in which nothing is known from before born, ms of the clock that it is told. A book that
 // has had no life before holds that any customer may have drawn all until a time of repayment after that.
-func New(t Terms, seed int64, born float64) *Book {
-	b := &Book{terms: t, rng: rand.New(rand.NewSource(seed)), born: born, by: map[uint32]int32{}}
-	b.line()
-	return b
+func New(config Config, seed int64, bornMillis float64) *Lender {
+	l := &Lender{
+		config:     config,
+		rng:        rand.New(rand.NewSource(seed)),
+		bornMillis: bornMillis,
+		slotOf:     map[uint32]int32{},
+	}
+	l.updateLines()
+	return l
 }
 
-func (b *Book) line() {
-	b.lines = b.lines[:0]
-	for _, p := range b.terms.Plans {
-		b.lines = append(b.lines, int64(p.Line*parts))
+func (l *Lender) updateLines() {
+	l.lineParts = l.lineParts[:0]
+	for _, p := range l.config.Plans {
+		l.lineParts = append(l.lineParts, int64(p.LineUnits*partsPerUnit))
 	}
 }
 
 // Noting has what is done from here on come out as Notes, after what is held now.
-func (b *Book) Noting(on bool) {
-	b.noting = on
-	for i := range b.all {
-		if b.all[i].Live {
-			b.state(int32(i))
+func (l *Lender) RecordEvents(on bool) {
+	l.recordsEvents = on
+	for i := range l.accounts {
+		if l.accounts[i].InUse {
+			l.recordState(int32(i))
 		}
 	}
 }
 
 // Clock sets the time of what follows, ms.
-func (b *Book) Clock(now float64) {
-	if !b.begun {
-		b.begun, b.next = true, now
+func (l *Lender) Advance(nowMillis float64) {
+	if !l.started {
+		l.started, l.nextLookMillis = true, nowMillis
 	}
-	b.now = math.Max(b.now, now)
+	l.nowMillis = math.Max(l.nowMillis, nowMillis)
 }
 
 // Restore takes a record that a former life has kept, before anything else; Place is where it is kept, and
 // places come in their order.
-func (b *Book) Restore(place int, r Record) {
-	if _, twice := b.by[r.Customer]; twice || place < len(b.all) || place >= Places || !r.Live ||
-		int(r.Plan) >= len(b.lines) {
+func (l *Lender) Restore(slot int, record Record) {
+	if _, duplicate := l.slotOf[record.Customer]; duplicate || slot < len(l.accounts) || slot >= MaxAccounts ||
+		!record.InUse ||
+		int(record.Plan) >= len(l.lineParts) {
 		return
 	}
-	for len(b.all) < place {
-		b.free = append(b.free, int32(len(b.all)))
-		b.all = append(b.all, account{})
+	for len(l.accounts) < slot {
+		l.freeSlots = append(l.freeSlots, int32(len(l.accounts)))
+		l.accounts = append(l.accounts, account{})
 	}
-	b.all = append(b.all, account{Record: r, nonce: b.nonce(), looked: b.now, seen: math.Inf(-1),
-		sought: math.Inf(-1)})
-	b.by[r.Customer] = int32(place)
-	b.wake(int32(place))
+	l.accounts = append(
+		l.accounts,
+		account{Record: record, nonce: l.newNonce(), lastCollectedMillis: l.nowMillis, lastLoanMillis: math.Inf(-1),
+			lastQueriedMillis: math.Inf(-1)},
+	)
+	l.slotOf[record.Customer] = int32(slot)
+	l.activate(int32(slot))
 }
 
-func (b *Book) nonce() uint16 { return uint16(1 + b.rng.Intn(math.MaxUint16)) }
+func (l *Lender) newNonce() uint16 { return uint16(1 + l.rng.Intn(math.MaxUint16)) }
 
 // Replan changes the plans' lines in service. What was drawn stays owed; of a line that has changed each
 // gatekeeper's part counts as drawn where it is not known to be owed, until it is earned.
-func (b *Book) Replan(plans []Plan) {
-	b.terms.Plans = plans
-	b.line()
-	for i := range b.all {
-		if a := &b.all[i]; a.Live {
+func (l *Lender) SetPlans(plans []Plan) {
+	l.config.Plans = plans
+	l.updateLines()
+	for i := range l.accounts {
+		if a := &l.accounts[i]; a.InUse {
 			if int(a.Plan) >= len(plans) {
 				continue
 			}
-			if f := b.form(int(a.Plan), int(a.First), int(a.N)); f != a.Form {
-				b.reform(int32(i), int(a.Plan), int(a.First), int(a.N), f)
+			if digest := l.setDigest(int(a.Plan), int(a.First), int(a.SetSize)); digest != a.SetDigest {
+				l.changeSet(int32(i), int(a.Plan), int(a.First), int(a.SetSize), digest)
 			}
 		}
 	}
 }
 
 // form stands for all that gatekeepers must see alike to exchange rights.
-func (b *Book) form(plan, first, n int) uint32 {
+func (l *Lender) setDigest(plan, first, size int) uint32 {
 	h := fnv.New32a()
-	l, r, ring := b.lines[plan], int64(b.terms.Plans[plan].Repay), 0
-	if first+n > b.terms.Gatekeepers { // else the set is the same in any ring that holds it
-		ring = b.terms.Gatekeepers
-	}
-	_, _ = h.Write([]byte{byte(plan), byte(n), byte(first), byte(first >> 8), byte(ring), byte(ring >> 8),
-		byte(l), byte(l >> 8), byte(l >> 16), byte(l >> 24), byte(l >> 32), byte(r), byte(r >> 8), byte(r >> 16)})
+	line, repay, ring := l.lineParts[plan], int64(l.config.Plans[plan].RepayMillis), 0
+	if first+size > l.config.Instances { // else the set is the same in any ring that holds it
+		ring = l.config.Instances
+	}
+	_, _ = h.Write([]byte{
+		byte(plan),
+		byte(size),
+		byte(first),
+		byte(first >> 8),
+		byte(ring),
+		byte(ring >> 8),
+		byte(
+			line,
+		),
+		byte(line >> 8),
+		byte(line >> 16),
+		byte(line >> 24),
+		byte(line >> 32),
+		byte(repay),
+		byte(repay >> 8),
+		byte(repay >> 16),
+	})
 	return h.Sum32()
 }
 
 // Lend lends a customer units, if this gatekeeper has the right. The loan is written once Next has given all
 // that follows; nothing may go out before that.
-func (b *Book) Lend(customer uint64, plan, first, n int, units float64) Refusal {
-	why := b.lend(uint32(customer), plan, first, max(n, 1), units)
-	if why != Lent {
-		b.sum.Refused[why]++
+func (l *Lender) Lend(customer uint64, plan, first, setSize int, units float64) LoanResult {
+	result := l.tryLend(uint32(customer), plan, first, max(setSize, 1), units)
+	if result != LoanGranted {
+		l.totals.Denied[result]++
 	}
-	return why
+	return result
 }
 
-func (b *Book) lend(customer uint32, plan, first, n int, units float64) Refusal {
+func (l *Lender) tryLend(customer uint32, plan, first, setSize int, units float64) LoanResult {
 	switch {
-	case plan < 0 || plan >= len(b.lines) || b.lines[plan] <= 0:
-		return NoLine
-	case n > widest:
-		return Wide
-	}
-	at := b.find(customer, plan, first, n)
-	if at < 0 {
-		return NoPlace
-	}
-	a, m := &b.all[at], int64(math.Ceil(units*parts-1e-6))
-	a.seen = b.now
-	if f := b.form(plan, first, n); a.Form != f {
-		b.reform(at, plan, first, n, f)
-	}
-	if !a.Known && n == 1 {
-		b.settle(at)
-	}
-	if !a.Known || a.Rights < m {
-		a.want, a.wantAt = m, b.now
-		b.wake(at)
-		b.beg(at)
+	case plan < 0 || plan >= len(l.lineParts) || l.lineParts[plan] <= 0:
+		return DeniedNoLine
+	case setSize > maxSetSize:
+		return DeniedSetTooLarge
+	}
+	slot := l.findSlot(customer, plan, first, setSize)
+	if slot < 0 {
+		return DeniedTableFull
+	}
+	a, parts := &l.accounts[slot], int64(math.Ceil(units*partsPerUnit-1e-6))
+	a.lastLoanMillis = l.nowMillis
+	if digest := l.setDigest(plan, first, setSize); a.SetDigest != digest {
+		l.changeSet(slot, plan, first, setSize, digest)
+	}
+	if !a.Known && setSize == 1 {
+		l.determineRights(slot)
+	}
+	if !a.Known || a.Rights < parts {
+		a.wantedParts, a.wantedMillis = parts, l.nowMillis
+		l.activate(slot)
+		l.requestRights(slot)
 		if !a.Known {
-			return Unsure
+			return DeniedRightsUnknown
 		}
-		return Short
+		return DeniedNoRights
 	}
-	if a.Rights -= m; !a.active {
-		a.looked = b.now // what was credited before is not this debt's
+	if a.Rights -= parts; !a.active {
+		a.lastCollectedMillis = l.nowMillis // what was credited before is not this debt's
 	}
-	a.owe(m, b.now+b.terms.Plans[plan].Repay*early, b.terms.Plans[plan].Repay/slots)
-	b.sum.Lent += float64(m) / parts
-	b.note(Lends, at, 0, m, 0)
-	b.touch(at)
-	b.wake(at)
-	if a.Rights < m && n > 1 { // the next one of the kind would be refused
-		a.want, a.wantAt = m, b.now
-		b.beg(at)
+	a.addDebt(
+		parts,
+		l.nowMillis+l.config.Plans[plan].RepayMillis*repaymentDueShare,
+		l.config.Plans[plan].RepayMillis/debtSlots,
+	)
+	l.totals.Lent += float64(parts) / partsPerUnit
+	l.recordEvent(EventLent, slot, 0, parts, 0)
+	l.markDirty(slot)
+	l.activate(slot)
+	if a.Rights < parts && setSize > 1 { // the next one of the kind would be refused
+		a.wantedParts, a.wantedMillis = parts, l.nowMillis
+		l.requestRights(slot)
 	}
-	return Lent
+	return LoanGranted
 }
 
 // Undo takes a loan back that was not used.
-func (b *Book) Undo(customer uint64, units float64) {
-	at, ok := b.by[uint32(customer)]
+func (l *Lender) Undo(customer uint64, units float64) {
+	slot, ok := l.slotOf[uint32(customer)]
 	if !ok {
 		return
 	}
-	a, m := &b.all[at], int64(math.Ceil(units*parts-1e-6))
-	m = a.unowe(m)
+	a, parts := &l.accounts[slot], int64(math.Ceil(units*partsPerUnit-1e-6))
+	parts = a.cancelDebt(parts)
 	if a.Known {
-		a.Rights += m
+		a.Rights += parts
 	}
-	b.sum.Undone += float64(m) / parts
-	b.note(Undone, at, 0, m, 0)
-	b.touch(at)
+	l.totals.Undone += float64(parts) / partsPerUnit
+	l.recordEvent(EventUndone, slot, 0, parts, 0)
+	l.markDirty(slot)
 }
 
 // Paid tells how much of what was to be collected has been taken from the customer's fill, and that fill,
 // units a ms.
-func (b *Book) Paid(customer uint32, units, fill float64) {
-	at, ok := b.by[customer]
+func (l *Lender) RecordPayment(customer uint32, units, fillPerMilli float64) {
+	slot, ok := l.slotOf[customer]
 	if !ok {
 		return
 	}
-	a := &b.all[at]
-	a.fill = fill
-	m := int64(units*parts + 1e-6)
-	if m <= 0 {
+	a := &l.accounts[slot]
+	a.fillPerMilli = fillPerMilli
+	parts := int64(units*partsPerUnit + 1e-6)
+	if parts <= 0 {
 		return
 	}
-	late := a.late(b.now - (1-early)*b.terms.Plans[a.Plan].Repay)
-	paid := a.pay(m)
+	overdue := a.overdue(l.nowMillis - (1-repaymentDueShare)*l.config.Plans[a.Plan].RepayMillis)
+	paid := a.repay(parts)
 	if paid > 0 {
 		if a.Known {
 			a.Rights += paid
 		}
-		b.sum.Repaid += float64(paid) / parts
-		b.sum.Late += float64(min(late, paid)) / parts
-		b.note(Repays, at, 0, paid, 0)
+		l.totals.Repaid += float64(paid) / partsPerUnit
+		l.totals.RepaidLate += float64(min(overdue, paid)) / partsPerUnit
+		l.recordEvent(EventRepaid, slot, 0, paid, 0)
 	}
-	if rest := min(m-paid, a.Earn); rest > 0 && a.Known {
-		a.Earn -= rest
-		a.Rights += rest
-		b.sum.Earned += float64(rest) / parts
-		b.note(Earns, at, 0, rest, 0)
+	if earned := min(parts-paid, a.PresumedDrawn); earned > 0 && a.Known {
+		a.PresumedDrawn -= earned
+		a.Rights += earned
+		l.totals.Earned += float64(earned) / partsPerUnit
+		l.recordEvent(EventEarned, slot, 0, earned, 0)
 	}
-	b.touch(at)
+	l.markDirty(slot)
 }
 
 // find gives a customer's place, a new one if it has none.
-func (b *Book) find(customer uint32, plan, first, n int) int32 {
-	if at, ok := b.by[customer]; ok {
-		return at
+func (l *Lender) findSlot(customer uint32, plan, first, setSize int) int32 {
+	if slot, ok := l.slotOf[customer]; ok {
+		return slot
 	}
-	var at int32
+	var slot int32
 	switch {
-	case len(b.free) > 0:
-		at = b.free[len(b.free)-1]
-		b.free = b.free[:len(b.free)-1]
-	case len(b.all) < Places:
-		at = int32(len(b.all))
-		b.all = append(b.all, account{})
+	case len(l.freeSlots) > 0:
+		slot = l.freeSlots[len(l.freeSlots)-1]
+		l.freeSlots = l.freeSlots[:len(l.freeSlots)-1]
+	case len(l.accounts) < MaxAccounts:
+		slot = int32(len(l.accounts))
+		l.accounts = append(l.accounts, account{})
 	default:
-		if at = b.vacate(); at < 0 {
+		if slot = l.evictSlot(); slot < 0 {
 			return -1
 		}
 	}
-	a := &b.all[at]
-	*a = account{Record: Record{Customer: customer, Plan: uint8(plan), N: uint8(n), First: uint16(first),
-		Live: true, Form: b.form(plan, first, n), Virgin: b.now-b.born >= b.terms.Plans[plan].Repay},
-		nonce: b.nonce(), looked: b.now, seen: math.Inf(-1), sought: math.Inf(-1)}
-	b.by[customer] = at
-	b.state(at)
-	b.touch(at)
-	return at
+	a := &l.accounts[slot]
+	*a = account{
+		Record: Record{
+			Customer:    customer,
+			Plan:        uint8(plan),
+			SetSize:     uint8(setSize),
+			First:       uint16(first),
+			InUse:       true,
+			SetDigest:   l.setDigest(plan, first, setSize),
+			NoPriorDebt: l.nowMillis-l.bornMillis >= l.config.Plans[plan].RepayMillis,
+		},
+		nonce:               l.newNonce(),
+		lastCollectedMillis: l.nowMillis,
+		lastLoanMillis:      math.Inf(-1),
+		lastQueriedMillis:   math.Inf(-1),
+	}
+	l.slotOf[customer] = slot
+	l.recordState(slot)
+	l.markDirty(slot)
+	return slot
 }
 
 // vacate frees a place whose customer is as one that was never here, or gives none. It looks at a few.
-func (b *Book) vacate() int32 {
+func (l *Lender) evictSlot() int32 {
 	for range 16 {
-		b.hint = (b.hint + 1) % int32(len(b.all))
-		if a := &b.all[b.hint]; a.Live && b.asNew(a) && b.now-a.seen > settled {
-			delete(b.by, a.Customer)
-			return b.hint
+		l.evictionCursor = (l.evictionCursor + 1) % int32(len(l.accounts))
+		if a := &l.accounts[l.evictionCursor]; a.InUse && l.isPristine(a) &&
+			l.nowMillis-a.lastLoanMillis > localSetPrecedenceMillis {
+			delete(l.slotOf, a.Customer)
+			return l.evictionCursor
 		}
 	}
 	return -1
@@ -482,13 +553,13 @@
 
 // asNew tells whether nothing would be lost with a record: all of its part is there, and nobody counts on
 // what was exchanged.
-func (b *Book) asNew(a *account) bool {
-	if a.active || a.owed() != 0 || !a.Known && !a.Virgin ||
-		a.Known && (a.Earn != 0 || a.Rights != b.lines[a.Plan]/int64(max(a.N, 1))) {
+func (l *Lender) isPristine(a *account) bool {
+	if a.active || a.totalDebt() != 0 || !a.Known && !a.NoPriorDebt ||
+		a.Known && (a.PresumedDrawn != 0 || a.Rights != l.lineParts[a.Plan]/int64(max(a.SetSize, 1))) {
 		return false
 	}
 	for i := range a.Pairs {
-		if !a.Pairs[i].zero() {
+		if !a.Pairs[i].isZero() {
 			return false
 		}
 	}
@@ -497,73 +568,80 @@
 
 // reform starts a customer's account anew for another set or line. What is owed stays owed; what else this
 // gatekeeper holds is not known until all of the set have said what they have given and got.
-func (b *Book) reform(at int32, plan, first, n int, form uint32) {
-	a := &b.all[at]
-	a.Plan, a.First, a.N, a.Form = uint8(plan), uint16(first), uint8(n), form
-	a.Virgin = false
-	a.forget(b.nonce())
-	b.state(at)
-	b.touch(at)
-	b.wake(at)
+func (l *Lender) changeSet(slot int32, plan, first, setSize int, digest uint32) {
+	a := &l.accounts[slot]
+	a.Plan, a.First, a.SetSize, a.SetDigest = uint8(plan), uint16(first), uint8(setSize), digest
+	a.NoPriorDebt = false
+	a.reset(l.newNonce())
+	l.recordState(slot)
+	l.markDirty(slot)
+	l.activate(slot)
 }
 
 // forget lets go of all but debts.
-func (a *account) forget(nonce uint16) {
-	a.Known, a.Rights, a.Earn = false, 0, 0
+func (a *account) reset(nonce uint16) {
+	a.Known, a.Rights, a.PresumedDrawn = false, 0, 0
 	clear(a.Pairs[:])
-	a.heard, a.virgins, a.nonce, a.asks, a.reply, a.askedAt = 0, 0, nonce, 0, 0, 0
+	a.answeredPlaces, a.noPriorDebtPlaces, a.nonce, a.queryPlaces, a.replyPlaces, a.lastRequestMillis = 0, 0, nonce, 0, 0, 0
 }
 
 // settle takes up this gatekeeper's part once all of the set have answered. What it does not know to be owed
 // counts as drawn, unless none of the set has ever had anything of this customer.
-func (b *Book) settle(at int32) {
-	a := &b.all[at]
-	others := b.others(a)
-	if a.Known || a.heard&others != others {
+func (l *Lender) determineRights(slot int32) {
+	a := &l.accounts[slot]
+	others := l.otherPlaces(a)
+	if a.Known || a.answeredPlaces&others != others {
 		return
 	}
-	t, clean := b.lines[a.Plan]/int64(a.N), a.Virgin && a.virgins&others == others && a.owed() == 0
+	held, pristine := l.lineParts[a.Plan]/int64(
+		a.SetSize,
+	), a.NoPriorDebt && a.noPriorDebtPlaces&others == others &&
+		a.totalDebt() == 0
 	for i := range a.Pairs {
 		p := &a.Pairs[i]
-		t += int64(p.GotR+p.GotD) - int64(p.GaveR+p.GaveD)
-		clean = clean && p.zero()
+		held += int64(p.RightsReceived+p.DebtReceived) - int64(p.RightsGiven+p.DebtGiven)
+		pristine = pristine && p.isZero()
 	}
 	a.Known = true
-	switch owed := a.owed(); {
-	case clean:
-		a.Rights = t
-	case t > owed:
-		a.Earn = t - owed
+	switch debt := a.totalDebt(); {
+	case pristine:
+		a.Rights = held
+	case held > debt:
+		a.PresumedDrawn = held - debt
 	default:
-		a.Rights = t - owed
+		a.Rights = held - debt
 	}
-	b.state(at)
-	b.touch(at)
-	b.wake(at)
+	l.recordState(slot)
+	l.markDirty(slot)
+	l.activate(slot)
 }
 
 // others are the places in a customer's set of all but this gatekeeper.
-func (b *Book) others(a *account) uint64 {
-	return (uint64(1)<<a.N - 1) &^ (1 << b.place(int(a.First), int(a.N), b.terms.Me))
+func (l *Lender) otherPlaces(a *account) uint64 {
+	return (uint64(1)<<a.SetSize - 1) &^ (1 << l.placeInSet(int(a.First), int(a.SetSize), l.config.Instance))
 }
 
 // place gives where a gatekeeper stands in a set, or, for one that is not in it, widest.
-func (b *Book) place(first, n, who int) uint {
-	if at := (who - first + b.terms.Gatekeepers) % max(b.terms.Gatekeepers, 1); at >= 0 && at < n {
-		return uint(at)
+func (l *Lender) placeInSet(first, setSize, instance int) uint {
+	if place := (instance - first + l.config.Instances) % max(
+		l.config.Instances,
+		1,
+	); place >= 0 &&
+		place < setSize {
+		return uint(place)
 	}
-	return widest
+	return maxSetSize
 }
 
 // pair gives what was exchanged with a peer, or a place for it that is not used yet; nil is none.
-func (b *Book) pair(a *account, peer int) *Pair {
+func (l *Lender) pairWith(a *account, peer int) *Pair {
 	var free *Pair
 	for i := range a.Pairs {
 		p := &a.Pairs[i]
 		if p.Used && int(p.Peer) == peer {
 			return p
 		}
-		if free == nil && (!p.Used || p.zero() && b.now-p.heardFill > fillTold) {
+		if free == nil && (!p.Used || p.isZero() && l.nowMillis-p.heardMillis > fillTTLMillis) {
 			free = p
 		}
 	}
@@ -571,170 +649,180 @@
 }
 
 // use has a place for a pair be this peer's.
-func (p *Pair) use(peer int) {
+func (p *Pair) assign(peer int) {
 	if !p.Used || int(p.Peer) != peer {
 		*p = Pair{Peer: uint16(peer), Used: true}
 	}
 }
 
 // zero tells whether nothing has been exchanged.
-func (p *Pair) zero() bool { return p.GaveR|p.GaveD|p.GotR|p.GotD == 0 }
+func (p *Pair) isZero() bool { return p.RightsGiven|p.DebtGiven|p.RightsReceived|p.DebtReceived == 0 }
 
-func (a *account) owed() (sum int64) {
-	for _, m := range a.Owed {
-		sum += m
+func (a *account) totalDebt() (sum int64) {
+	for _, parts := range a.Debt {
+		sum += parts
 	}
 	return sum
 }
 
 // late is what was due before a time.
-func (a *account) late(now float64) (sum int64) {
-	for i, m := range a.Owed {
-		if m > 0 && a.Due[i] < now {
-			sum += m
+func (a *account) overdue(nowMillis float64) (sum int64) {
+	for i, parts := range a.Debt {
+		if parts > 0 && a.DebtDueMillis[i] < nowMillis {
+			sum += parts
 		}
 	}
 	return sum
 }
 
 // owe books a debt that is due at a time. Those within grain ms of each other are one, due with the earliest.
-func (a *account) owe(m int64, due, grain float64) {
+func (a *account) addDebt(parts int64, dueMillis, mergeMillis float64) {
 	best, free := -1, -1
-	for i := range a.Owed {
+	for i := range a.Debt {
 		switch {
-		case a.Owed[i] == 0:
+		case a.Debt[i] == 0:
 			free = i
-		case a.Due[i] <= due && (best < 0 || a.Due[i] > a.Due[best]):
+		case a.DebtDueMillis[i] <= dueMillis && (best < 0 || a.DebtDueMillis[i] > a.DebtDueMillis[best]):
 			best = i
 		}
 	}
 	switch {
-	case best >= 0 && (due-a.Due[best] < grain || free < 0):
-		a.Owed[best] += m
+	case best >= 0 && (dueMillis-a.DebtDueMillis[best] < mergeMillis || free < 0):
+		a.Debt[best] += parts
 	case free >= 0:
-		a.Owed[free], a.Due[free] = m, due
+		a.Debt[free], a.DebtDueMillis[free] = parts, dueMillis
 	default: // due before all others, and no place: the first is due with it
 		first := 0
-		for i := range a.Due {
-			if a.Due[i] < a.Due[first] {
+		for i := range a.DebtDueMillis {
+			if a.DebtDueMillis[i] < a.DebtDueMillis[first] {
 				first = i
 			}
 		}
-		a.Owed[first], a.Due[first] = a.Owed[first]+m, due
+		a.Debt[first], a.DebtDueMillis[first] = a.Debt[first]+parts, dueMillis
 	}
 }
 
 // pay pays debts, those due first before others, and gives how much of it there was to pay.
-func (a *account) pay(m int64) (paid int64) {
-	return a.strike(m, func(due, than float64) bool { return due < than })
+func (a *account) repay(parts int64) (paid int64) {
+	return a.reduceDebt(parts, func(due, than float64) bool { return due < than })
 }
 
 // unowe takes debts back, those due last before others.
-func (a *account) unowe(m int64) (back int64) {
-	return a.strike(m, func(due, than float64) bool { return due > than })
+func (a *account) cancelDebt(parts int64) (cancelled int64) {
+	return a.reduceDebt(parts, func(due, than float64) bool { return due > than })
 }
 
 // strike takes debts away in the order of when they are due, and gives how much of it there was.
-func (a *account) strike(m int64, before func(due, than float64) bool) (struck int64) {
-	for struck < m {
+func (a *account) reduceDebt(parts int64, before func(due, than float64) bool) (reduced int64) {
+	for reduced < parts {
 		next := -1
-		for i := range a.Owed {
-			if a.Owed[i] > 0 && (next < 0 || before(a.Due[i], a.Due[next])) {
+		for i := range a.Debt {
+			if a.Debt[i] > 0 && (next < 0 || before(a.DebtDueMillis[i], a.DebtDueMillis[next])) {
 				next = i
 			}
 		}
 		if next < 0 {
 			break
 		}
-		x := min(a.Owed[next], m-struck)
-		a.Owed[next] -= x
-		struck += x
+		amount := min(a.Debt[next], parts-reduced)
+		a.Debt[next] -= amount
+		reduced += amount
 	}
-	return struck
+	return reduced
 }
 
 // pace is what has to be paid from now on, parts a ms, so that each debt is paid when it is due.
-func (a *account) pace(now float64) (most float64) {
-	for i := range a.Owed {
-		if a.Owed[i] == 0 {
+func (a *account) requiredPace(nowMillis float64) (pace float64) {
+	for i := range a.Debt {
+		if a.Debt[i] == 0 {
 			continue
 		}
 		sum := int64(0)
-		for k := range a.Owed {
-			if a.Due[k] <= a.Due[i] {
-				sum += a.Owed[k]
+		for k := range a.Debt {
+			if a.DebtDueMillis[k] <= a.DebtDueMillis[i] {
+				sum += a.Debt[k]
 			}
 		}
-		most = math.Max(most, float64(sum)/math.Max(a.Due[i]-now, period))
+		pace = math.Max(pace, float64(sum)/math.Max(a.DebtDueMillis[i]-nowMillis, lookIntervalMillis))
 	}
-	return most
+	return pace
 }
 
-func (b *Book) touch(at int32) {
-	if a := &b.all[at]; !a.dirty {
+func (l *Lender) markDirty(slot int32) {
+	if a := &l.accounts[slot]; !a.dirty {
 		a.dirty = true
-		b.dirty = append(b.dirty, at)
+		l.dirtySlots = append(l.dirtySlots, slot)
 	}
 }
 
-func (b *Book) wake(at int32) {
-	if a := &b.all[at]; !a.active {
+func (l *Lender) activate(slot int32) {
+	if a := &l.accounts[slot]; !a.active {
 		a.active = true
-		b.active = append(b.active, at)
+		l.activeSlots = append(l.activeSlots, slot)
 	}
 }
 
-func (b *Book) note(e Event, at int32, peer int, m int64, serial uint64) {
-	if !b.noting {
+func (l *Lender) recordEvent(event Event, slot int32, peer int, parts int64, serial uint64) {
+	if !l.recordsEvents {
 		return
 	}
-	a := &b.all[at]
-	d := Decision{Act: Note, Event: e, Customer: a.Customer, Plan: int(a.Plan), N: int(a.N), Peer: peer,
-		Units: float64(m) / parts, Serial: serial, Form: a.Form}
-	if e == Lends || e == TakesDebt || e >= Holds && len(b.later) > 0 {
-		b.later = append(b.later, d)
+	a := &l.accounts[slot]
+	d := Decision{
+		Action:    ActionRecordEvent,
+		Event:     event,
+		Customer:  a.Customer,
+		Plan:      int(a.Plan),
+		SetSize:   int(a.SetSize),
+		Peer:      peer,
+		Units:     float64(parts) / partsPerUnit,
+		Serial:    serial,
+		SetDigest: a.SetDigest,
+	}
+	if event == EventLent || event == EventDebtReceived ||
+		event >= EventHoldsRights && len(l.eventsAfterStore) > 0 {
+		l.eventsAfterStore = append(l.eventsAfterStore, d)
 	} else {
-		b.notes = append(b.notes, d)
+		l.eventsBeforeStore = append(l.eventsBeforeStore, d)
 	}
 }
 
 // state notes all that is held of a customer.
-func (b *Book) state(at int32) {
-	if !b.noting {
+func (l *Lender) recordState(slot int32) {
+	if !l.recordsEvents {
 		return
 	}
-	a := &b.all[at]
+	a := &l.accounts[slot]
 	known := uint64(0)
 	if a.Known { // all is said next
 		known = 1
 	}
-	b.note(HoldsNone, at, 0, 0, known)
-	for others := b.others(a); a.Known && others != 0; others &= others - 1 {
-		peer, p := (int(a.First)+bits.TrailingZeros64(others))%b.terms.Gatekeepers, Pair{}
-		if known := b.pair(a, peer); known != nil && known.Used && int(known.Peer) == peer {
+	l.recordEvent(EventHoldsUnknown, slot, 0, 0, known)
+	for others := l.otherPlaces(a); a.Known && others != 0; others &= others - 1 {
+		peer, p := (int(a.First)+bits.TrailingZeros64(others))%l.config.Instances, Pair{}
+		if known := l.pairWith(a, peer); known != nil && known.Used && int(known.Peer) == peer {
 			p = *known
 		}
-		b.note(HoldsGave, at, peer, 0, p.GaveR)
-		b.note(HoldsGot, at, peer, 0, p.GotR)
-		b.note(HoldsGaveDebt, at, peer, 0, p.GaveD)
-		b.note(HoldsGotDebt, at, peer, 0, p.GotD)
+		l.recordEvent(EventHoldsRightsGiven, slot, peer, 0, p.RightsGiven)
+		l.recordEvent(EventHoldsRightsReceived, slot, peer, 0, p.RightsReceived)
+		l.recordEvent(EventHoldsDebtGiven, slot, peer, 0, p.DebtGiven)
+		l.recordEvent(EventHoldsDebtReceived, slot, peer, 0, p.DebtReceived)
 	}
-	b.note(HoldsOwed, at, 0, a.owed(), 0)
+	l.recordEvent(EventHoldsDebt, slot, 0, a.totalDebt(), 0)
 	if a.Known {
-		b.note(HoldsEarn, at, 0, a.Earn, 0)
-		b.note(Holds, at, 0, a.Rights, 0)
+		l.recordEvent(EventHoldsPresumedDrawn, slot, 0, a.PresumedDrawn, 0)
+		l.recordEvent(EventHoldsRights, slot, 0, a.Rights, 0)
 	}
 }
 
 // Figures gives counts and the present state.
-func (b *Book) Figures() Figures {
-	f := b.sum
-	for i := range b.all {
-		if a := &b.all[i]; a.Live {
+func (l *Lender) Figures() Figures {
+	f := l.totals
+	for i := range l.accounts {
+		if a := &l.accounts[i]; a.InUse {
 			f.Customers++
-			f.Outstanding += float64(a.owed()) / parts
-			f.Rights += float64(a.Rights) / parts
-			f.Earn += float64(a.Earn) / parts
+			f.Outstanding += float64(a.totalDebt()) / partsPerUnit
+			f.Rights += float64(a.Rights) / partsPerUnit
+			f.PresumedDrawn += float64(a.PresumedDrawn) / partsPerUnit
 		}
 	}
 	return f
@@ -742,40 +830,44 @@
 
 // Plans calls each with what is held for a customer, for all of them: its plan, the rights that it may draw
 // here at once, and what it owes here, in units.
-func (b *Book) Plans(each func(plan int, rights, owed float64)) {
-	for i := range b.all {
-		if a := &b.all[i]; a.Live {
+func (l *Lender) EachAccount(visit func(plan int, rights, debt float64)) {
+	for i := range l.accounts {
+		if a := &l.accounts[i]; a.InUse {
 			rights := 0.0
 			if a.Known && a.Rights > 0 {
-				rights = float64(a.Rights) / parts
+				rights = float64(a.Rights) / partsPerUnit
 			}
-			each(int(a.Plan), rights, float64(a.owed())/parts)
+			visit(int(a.Plan), rights, float64(a.totalDebt())/partsPerUnit)
 		}
 	}
 }
 
 // Holding is what a book has of one customer, in units.
 type Holding struct {
-	Known                    bool
-	Rights, Earn, Owed       float64
-	GaveR, GaveD, GotR, GotD float64
+	Known                                                bool
+	Rights, PresumedDrawn, Debt                          float64
+	RightsGiven, DebtGiven, RightsReceived, DebtReceived float64
 }
 
 // Holds gives what is held for a customer.
-func (b *Book) Holds(customer uint64) Holding {
-	at, ok := b.by[uint32(customer)]
+func (l *Lender) Holding(customer uint64) Holding {
+	slot, ok := l.slotOf[uint32(customer)]
 	if !ok {
 		return Holding{}
 	}
-	a := &b.all[at]
-	h := Holding{Known: a.Known, Rights: float64(a.Rights) / parts, Earn: float64(a.Earn) / parts,
-		Owed: float64(a.owed()) / parts}
+	a := &l.accounts[slot]
+	h := Holding{
+		Known:         a.Known,
+		Rights:        float64(a.Rights) / partsPerUnit,
+		PresumedDrawn: float64(a.PresumedDrawn) / partsPerUnit,
+		Debt:          float64(a.totalDebt()) / partsPerUnit,
+	}
 	for i := range a.Pairs {
 		p := &a.Pairs[i]
-		h.GaveR += float64(p.GaveR) / parts
-		h.GaveD += float64(p.GaveD) / parts
-		h.GotR += float64(p.GotR) / parts
-		h.GotD += float64(p.GotD) / parts
+		h.RightsGiven += float64(p.RightsGiven) / partsPerUnit
+		h.DebtGiven += float64(p.DebtGiven) / partsPerUnit
+		h.RightsReceived += float64(p.RightsReceived) / partsPerUnit
+		h.DebtReceived += float64(p.DebtReceived) / partsPerUnit
 	}
 	return h
 }
--- a/internal/borrowing/ledger/book_test.go
+++ b/internal/borrowing/ledger/book_test.go
@@ -16,24 +16,33 @@
 )
 
 func record(i int) borrowing.Record {
-	r := borrowing.Record{Customer: uint32(i), Plan: 1, N: 3, First: 300, Live: true, Known: true, Form: 99,
-		Rights: int64(-i), Earn: 7}
-	for k := range r.Owed {
-		r.Owed[k], r.Due[k] = int64(i+k), float64(k)*1.5
+	r := borrowing.Record{
+		Customer:      uint32(i),
+		Plan:          1,
+		SetSize:       3,
+		First:         300,
+		InUse:         true,
+		Known:         true,
+		SetDigest:     99,
+		Rights:        int64(-i),
+		PresumedDrawn: 7,
+	}
+	for k := range r.Debt {
+		r.Debt[k], r.DebtDueMillis[k] = int64(i+k), float64(k)*1.5
 	}
 	r.Pairs[2] = borrowing.Pair{
-		Peer:  4,
-		Used:  true,
-		GaveR: 1 << 50,
-		GaveD: uint64(i),
-		GotR:  3,
-		GotD:  4,
-		Due:   1e9,
+		Peer:           4,
+		Used:           true,
+		RightsGiven:    1 << 50,
+		DebtGiven:      uint64(i),
+		RightsReceived: 3,
+		DebtReceived:   4,
+		DueMillis:      1e9,
 	}
 	return r
 }
 
-func open(t *testing.T, path string) *File {
+func open(t *testing.T, path string) *Ledger {
 	t.Helper()
 	f, err := Open(path, 2)
 	if err != nil {
@@ -44,15 +53,15 @@
 
 // What is kept is there at the next start, each record as it was last kept, and so is the time since when the
 // book has been kept.
-func TestBook(t *testing.T) {
+func TestLedger(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "credit")
 	f := open(t, path)
-	born := f.Born
+	born := f.BornMillis
 	for i := range 5 {
 		r := record(i)
 		for range i { // in either copy
 			r.Rights--
-			f.Keep(i*3, &r)
+			f.Store(i*3, &r)
 		}
 	}
 	for i, c := range []struct {
@@ -64,27 +73,27 @@
 		{incarnation.MessageID{Incarnation: 4, Sequence: 10}, false},
 		{incarnation.MessageID{Incarnation: 6, Sequence: 1},
 			true}} {
-		if got := f.Hear(7, c.w); got != c.news {
+		if got := f.AcceptMessage(7, c.w); got != c.news {
 			t.Errorf("word %d is news: %v", i, got)
 		}
 	}
 	// Its time is the machine's since its start: a clock that is set moves nothing that is due.
-	if _, up, err := crashstate.ReadBoot(); err != nil || math.Abs(f.Now()-up) > 2000 {
-		t.Errorf("it is %v, and the machine is up for %v", f.Now(), up)
+	if _, up, err := crashstate.ReadBoot(); err != nil || math.Abs(f.NowMillis()-up) > 2000 {
+		t.Errorf("it is %v, and the machine is up for %v", f.NowMillis(), up)
 	}
 	f.Close()
 	f = open(t, path)
-	if f.Born != born || f.Spoilt != 0 || len(f.Records) != 4 {
-		t.Fatalf("born %v, not %v; %d records, %d spoilt", f.Born, born, len(f.Records), f.Spoilt)
+	if f.BornMillis != born || f.Corrupt != 0 || len(f.Records) != 4 {
+		t.Fatalf("born %v, not %v; %d records, %d spoilt", f.BornMillis, born, len(f.Records), f.Corrupt)
 	}
 	for i, k := range f.Records {
 		want := record(i + 1)
-		if want.Rights -= int64(i + 1); k.Place != (i+1)*3 || !reflect.DeepEqual(k.Record, want) {
+		if want.Rights -= int64(i + 1); k.Slot != (i+1)*3 || !reflect.DeepEqual(k.Record, want) {
 			t.Errorf("%+v, want %+v", k, want)
 		}
 	}
-	if f.Hear(7, incarnation.MessageID{Incarnation: 5, Sequence: 10}) ||
-		f.Hear(peers, incarnation.MessageID{Incarnation: 5}) {
+	if f.AcceptMessage(7, incarnation.MessageID{Incarnation: 5, Sequence: 10}) ||
+		f.AcceptMessage(maxPeers, incarnation.MessageID{Incarnation: 5}) {
 		t.Error("a former life's word is news")
 	}
 	f.Close()
@@ -92,7 +101,7 @@
 
 // A file of another gatekeeper, start of the machine, version or length is as none. A record that is spoilt
 // is lost alone, and who is not in the book may owe from then on.
-func TestBookSpoilt(t *testing.T) {
+func TestCorruptLedger(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		spoil func(b []byte) []byte
@@ -101,30 +110,30 @@
 		{"short", func(b []byte) []byte { return b[:100] }, 0},
 		{"empty", func(b []byte) []byte { return nil }, 0},
 		{"version", func(b []byte) []byte { b[7]++; return b }, 0},
-		{"another's", func(b []byte) []byte { b[atMe]++; return b }, 0},
-		{"machine", func(b []byte) []byte { b[atBoot]++; return b }, 0},
-		{"a start to come", func(b []byte) []byte { b[atBorn+7] = 0x7f; return b }, 0},
-		{"too many", func(b []byte) []byte { b[atUsed+3]++; return b }, 0},
-		{"a record", func(b []byte) []byte { b[header+copyAt+20]++; return b }, 1},
-		{"a copy that is none", func(b []byte) []byte { b[header] = 9; return b }, 1},
+		{"another's", func(b []byte) []byte { b[offsetInstance]++; return b }, 0},
+		{"machine", func(b []byte) []byte { b[offsetBoot]++; return b }, 0},
+		{"a start to come", func(b []byte) []byte { b[offsetBorn+7] = 0x7f; return b }, 0},
+		{"too many", func(b []byte) []byte { b[offsetUsedSlots+3]++; return b }, 0},
+		{"a record", func(b []byte) []byte { b[headerBytes+copyOffset+20]++; return b }, 1},
+		{"a copy that is none", func(b []byte) []byte { b[headerBytes] = 9; return b }, 1},
 		{"nothing", func(b []byte) []byte { return b }, 2},
 	} {
 		path := filepath.Join(t.TempDir(), "credit")
 		f := open(t, path)
-		f.Born -= 1000
-		f.store(atBorn, 0)
+		f.BornMillis -= 1000
+		f.writeUint64(offsetBorn, 0)
 		for i := range 2 {
 			r := record(i)
-			f.Keep(i, &r)
+			f.Store(i, &r)
 		}
 		f.Close()
 		raw, err := os.OpenFile(path, os.O_RDWR, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := make([]byte, header+2*place)
+		b := make([]byte, headerBytes+2*slotBytes)
 		if _, err = raw.ReadAt(b, 0); err == nil {
-			if b = c.spoil(b); len(b) < header {
+			if b = c.spoil(b); len(b) < headerBytes {
 				err = raw.Truncate(int64(len(b)))
 			} else {
 				_, err = raw.WriteAt(b, 0)
@@ -134,8 +143,8 @@
 			t.Fatal(err)
 		}
 		f = open(t, path)
-		if len(f.Records) != c.left || (f.Born == 0) != (c.left == 2) {
-			t.Errorf("%s: %d records, born %v", c.name, len(f.Records), f.Born)
+		if len(f.Records) != c.left || (f.BornMillis == 0) != (c.left == 2) {
+			t.Errorf("%s: %d records, born %v", c.name, len(f.Records), f.BornMillis)
 		}
 		f.Close()
 	}
@@ -145,19 +154,19 @@
 }
 
 // Whatever was kept before it was told of is there after SIGKILL at any moment. The process is this test.
-func TestBookKilled(t *testing.T) {
-	if path := os.Getenv("WILLOWDECK_TEST_BOOK"); path != "" {
+func TestLedgerKilled(t *testing.T) {
+	if path := os.Getenv("WILLOWDECK_TEST_LEDGER"); path != "" {
 		f := open(t, path)
 		for i := 0; ; i++ {
 			r := record(i)
-			f.Keep(i%20, &r)
+			f.Store(i%20, &r)
 			fmt.Printf("kept %d\n", i)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "credit")
 	for round := range 8 {
-		cmd := exec.Command(os.Args[0], "-test.run", "TestBookKilled")
-		cmd.Env = append(os.Environ(), "WILLOWDECK_TEST_BOOK="+path)
+		cmd := exec.Command(os.Args[0], "-test.run", "TestLedgerKilled")
+		cmd.Env = append(os.Environ(), "WILLOWDECK_TEST_LEDGER="+path)
 		out, err := cmd.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
@@ -174,8 +183,8 @@
 		}
 		_ = cmd.Wait()
 		f := open(t, path)
-		if f.Spoilt > 0 || len(f.Records) != 20 {
-			t.Errorf("%d spoilt, %d records", f.Spoilt, len(f.Records))
+		if f.Corrupt > 0 || len(f.Records) != 20 {
+			t.Errorf("%d spoilt, %d records", f.Corrupt, len(f.Records))
 		}
 		newest := 0
 		for _, k := range f.Records {
@@ -188,7 +197,7 @@
 	}
 }
 
-func BenchmarkKeep(b *testing.B) {
+func BenchmarkStore(b *testing.B) {
 	f, err := Open(filepath.Join(b.TempDir(), "credit"), 2)
 	if err != nil {
 		b.Fatal(err)
@@ -197,6 +206,6 @@
 	r := record(1)
 	b.ReportAllocs()
 	for i := range b.N {
-		f.Keep(i%1000, &r)
+		f.Store(i%1000, &r)
 	}
 }
--- a/internal/borrowing/ledger/golden_forms_test.go
+++ b/internal/borrowing/ledger/golden_forms_test.go
@@ -28,22 +28,22 @@
 // version leaves; new code must never write it again.
 func goldenStoredRecord(place int) borrowing.Record {
 	base := 1000 * (place + 1)
-	r := borrowing.Record{Customer: uint32(base + 1), Plan: uint8(2 + place), N: uint8(3 + place),
-		First: uint16(base + 4), Live: true, Known: true, Virgin: true, Form: uint32(base + 5),
-		Rights: int64(-base - 6), Earn: int64(base + 7)}
-	for i := range r.Owed {
-		r.Owed[i], r.Due[i] = int64(base+10+i), float64(base+20+i)+0.5
+	r := borrowing.Record{Customer: uint32(base + 1), Plan: uint8(2 + place), SetSize: uint8(3 + place),
+		First: uint16(base + 4), InUse: true, Known: true, NoPriorDebt: true, SetDigest: uint32(base + 5),
+		Rights: int64(-base - 6), PresumedDrawn: int64(base + 7)}
+	for i := range r.Debt {
+		r.Debt[i], r.DebtDueMillis[i] = int64(base+10+i), float64(base+20+i)+0.5
 	}
 	for i := range r.Pairs {
 		more := uint64(base + 100*(i+1))
 		r.Pairs[i] = borrowing.Pair{
-			Peer:  uint16(more),
-			Used:  true,
-			GaveR: more + 1,
-			GaveD: more + 2,
-			GotR:  more + 3,
-			GotD:  more + 4,
-			Due:   float64(more) + 5.5,
+			Peer:           uint16(more),
+			Used:           true,
+			RightsGiven:    more + 1,
+			DebtGiven:      more + 2,
+			RightsReceived: more + 3,
+			DebtReceived:   more + 4,
+			DueMillis:      float64(more) + 5.5,
 		}
 	}
 	return r
@@ -51,7 +51,7 @@
 
 // goldenWrite has a process keep the golden records, the second of them twice, and gives the used part of its
 // file.
-func goldenWrite(t *testing.T) []byte {
+func writeGolden(t *testing.T) []byte {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "credit")
 	file, err := Open(path, 2)
@@ -63,9 +63,9 @@
 		if i == 1 {
 			r.Rights = 0
 		}
-		file.Keep(place, &r)
+		file.Store(place, &r)
 	}
-	if !file.Hear(7, incarnation.MessageID{Incarnation: 0x01020304, Sequence: 0x05060708}) {
+	if !file.AcceptMessage(7, incarnation.MessageID{Incarnation: 0x01020304, Sequence: 0x05060708}) {
 		t.Error("a peer's first word is no news")
 	}
 	file.Close()
@@ -79,7 +79,7 @@
 }
 
 func TestGoldenBookWritten(t *testing.T) {
-	goldentest.SameBytes(t, goldenWrite(t), goldentest.Hex(t, "book.hex"))
+	goldentest.SameBytes(t, writeGolden(t), goldentest.Hex(t, "book.hex"))
 }
 
 func TestGoldenBookRead(t *testing.T) {
@@ -99,21 +99,21 @@
 		t.Fatal(err)
 	}
 	defer file.Close()
-	if file.Born != 0.25 || file.Spoilt != 0 || len(file.Records) != goldenUsed {
-		t.Fatalf("born at %v, %d records, %d spoilt", file.Born, len(file.Records), file.Spoilt)
+	if file.BornMillis != 0.25 || file.Corrupt != 0 || len(file.Records) != goldenUsed {
+		t.Fatalf("born at %v, %d records, %d spoilt", file.BornMillis, len(file.Records), file.Corrupt)
 	}
 	unkept := 6 * 7 // seven fields of each pair, which no later life needs
 	for i, kept := range file.Records {
-		if kept.Place != i {
-			t.Errorf("record %d is at place %d", i, kept.Place)
+		if kept.Slot != i {
+			t.Errorf("record %d is at place %d", i, kept.Slot)
 		}
 		goldentest.SameLines(t, goldentest.Leaves(kept.Record), goldentest.Leaves(goldenStoredRecord(i)))
 		if n := len(goldentest.Zeros(kept.Record)); n != unkept {
 			t.Errorf("record %d: %d fields are zero, want %d", i, n, unkept)
 		}
 	}
-	if file.Hear(7, incarnation.MessageID{Incarnation: 0x01020304, Sequence: 0x05060708}) ||
-		!file.Hear(7, incarnation.MessageID{Incarnation: 0x01020304, Sequence: 0x05060709}) {
+	if file.AcceptMessage(7, incarnation.MessageID{Incarnation: 0x01020304, Sequence: 0x05060708}) ||
+		!file.AcceptMessage(7, incarnation.MessageID{Incarnation: 0x01020304, Sequence: 0x05060709}) {
 		t.Error("the peer's last word is not known")
 	}
 }
--- a/internal/borrowing/ledger/golden_test.go
+++ b/internal/borrowing/ledger/golden_test.go
@@ -19,7 +19,7 @@
 const (
 	goldenMe   = 3
 	goldenUp   = 12345.5 // ms
-	goldenEnd  = header + 3*place
+	goldenEnd  = headerBytes + 3*slotBytes
 	goldenBoot = "golden start of the machine"
 )
 
@@ -31,15 +31,15 @@
 }
 
 // goldenFile is a book of three places: a record that was stored twice, an empty place, and one stored once.
-func goldenFile() *File {
-	f := &File{b: make([]byte, size), up: goldenUp}
-	f.fresh(goldenMe, []byte(goldenBoot))
+func goldenFile() *Ledger {
+	f := &Ledger{data: make([]byte, fileBytes), openedMillis: goldenUp}
+	f.initialize(goldenMe, []byte(goldenBoot))
 	first, third := goldenRecord(), goldenRecord()
 	third.Customer, third.Rights = 77, -5
-	f.Keep(0, &first)
-	f.Keep(0, &first)
-	f.Keep(2, &third)
-	f.Hear(1, incarnation.MessageID{Incarnation: 4, Sequence: 9})
+	f.Store(0, &first)
+	f.Store(0, &first)
+	f.Store(2, &third)
+	f.AcceptMessage(1, incarnation.MessageID{Incarnation: 4, Sequence: 9})
 	return f
 }
 
@@ -52,32 +52,35 @@
 	if err != nil || len(golden) != goldenEnd {
 		t.Fatalf("%v: %d bytes, want %d", err, len(golden), goldenEnd)
 	}
-	if got := goldenFile().b[:goldenEnd]; !bytes.Equal(got, golden) {
+	if got := goldenFile().data[:goldenEnd]; !bytes.Equal(got, golden) {
 		for i := range got {
 			if got[i] != golden[i] {
 				t.Fatalf("byte %d is written as %#x, want %#x", i, got[i], golden[i])
 			}
 		}
 	}
-	f := &File{b: make([]byte, size), up: goldenUp}
-	copy(f.b, golden)
-	if f.load(atMagic) != magic || f.load(atMe) != goldenMe || !f.read() {
+	f := &Ledger{data: make([]byte, fileBytes), openedMillis: goldenUp}
+	copy(f.data, golden)
+	if f.readUint64(offsetMagic) != magic || f.readUint64(offsetInstance) != goldenMe || !f.load() {
 		t.Fatal("the book is not taken")
 	}
-	if boot := string(bytes.TrimRight(f.b[atBoot:bootEnd], "\x00")); boot != goldenBoot || f.Born != goldenUp {
-		t.Errorf("the book is of start %q, born at %v", boot, f.Born)
+	if boot := string(
+		bytes.TrimRight(f.data[offsetBoot:offsetBootEnd], "\x00"),
+	); boot != goldenBoot ||
+		f.BornMillis != goldenUp {
+		t.Errorf("the book is of start %q, born at %v", boot, f.BornMillis)
 	}
 	first, third := goldenRecord(), goldenRecord()
 	third.Customer, third.Rights = 77, -5
 	if zeros := goldenform.Zeros(first); len(zeros) > 0 {
 		t.Errorf("the known record has zero fields: %v", zeros)
 	}
-	if want := []Kept{{0, first}, {2, third}}; f.Spoilt != 0 || !reflect.DeepEqual(f.Records, want) {
-		t.Errorf("%d spoilt; read as\n%+v\nwant\n%+v", f.Spoilt, f.Records, want)
+	if want := []StoredRecord{{0, first}, {2, third}}; f.Corrupt != 0 || !reflect.DeepEqual(f.Records, want) {
+		t.Errorf("%d spoilt; read as\n%+v\nwant\n%+v", f.Corrupt, f.Records, want)
 	}
 	heard := incarnation.MessageID{Incarnation: 4, Sequence: 9}
 	next := incarnation.MessageID{Incarnation: 4, Sequence: 10}
-	if f.Hear(1, heard) || !f.Hear(1, next) {
+	if f.AcceptMessage(1, heard) || !f.AcceptMessage(1, next) {
 		t.Error("a peer's last word is not known")
 	}
 }
--- a/internal/borrowing/rig/rig_test.go
+++ b/internal/borrowing/rig/rig_test.go
@@ -250,7 +250,7 @@
 }
 
 // end waits until all is paid back, and checks the record. It gives what the audit has found.
-func (f *fleet) end(most float64) audit.Audited {
+func (f *fleet) end(most float64) audit.Report {
 	f.t.Helper()
 	f.asks.Wait()
 	within := time.Duration(2*back*float64(time.Second)) + 10*time.Second
@@ -260,9 +260,13 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	a := audit.Check(r, func(history.Event) audit.Line { return audit.Line{Units: line, Repay: back * 1000} },
-		func(who string) string { return strings.TrimPrefix(who, "g") }, 500+f.late)
-	for _, b := range a.Broken {
+	a := audit.Check(
+		r,
+		func(history.Event) audit.CreditLine { return audit.CreditLine{Units: line, RepayMillis: back * 1000} },
+		func(who string) string { return strings.TrimPrefix(who, "g") },
+		500+f.late,
+	)
+	for _, b := range a.Violations {
 		f.t.Error(b)
 	}
 	if *bare {
@@ -280,8 +284,8 @@
 	w := window(1000) // for how much passed at once
 	f.t.Logf("lent %.0f, repaid %.2f, earned %.2f, rights handed %.2f, debts moved %.2f, "+
 		"%.0f%% of the line at once; %.0f of %.0f units at once passed (and %.0f a second); answers %v",
-		a.Lent, a.Repaid, a.Earned, a.Handed,
-		a.Moved, 100*a.Most, w.Most*1000, burst+most, rate, f.got)
+		a.Lent, a.Repaid, a.Earned, a.RightsMoved,
+		a.DebtMoved, 100*a.PeakDrawnShare, w.Most*1000, burst+most, rate, f.got)
 	return a
 }
 
@@ -307,13 +311,13 @@
 	f.ready(3)
 	f.blast(200, 2*time.Second, 3, 0, 0, 0, 1)
 	a := f.end(line)
-	if !*bare && (a.Lent < 0.8*line || a.Handed == 0) || a.Forgotten > 0 {
+	if !*bare && (a.Lent < 0.8*line || a.RightsMoved == 0) || a.DebtForgotten > 0 {
 		t.Errorf("%+v", a)
 	}
 }
 
 // trouble has a customer ask at all of a set while something goes wrong.
-func trouble(t *testing.T, seed int64, what func(f *fleet)) audit.Audited {
+func trouble(t *testing.T, seed int64, what func(f *fleet)) audit.Report {
 	t.Helper()
 	f := start(t, 3, creditS, seed)
 	f.ready(3)
@@ -348,7 +352,7 @@
 			}
 		}
 	})
-	if !*bare && a.Lent < 0.5*line || a.Forgotten > 0 {
+	if !*bare && a.Lent < 0.5*line || a.DebtForgotten > 0 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -365,7 +369,7 @@
 			f.net.Join("g0", b)
 		}
 	})
-	if !*bare && a.Lent < 0.8*line || a.Forgotten > 0 {
+	if !*bare && a.Lent < 0.8*line || a.DebtForgotten > 0 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -386,7 +390,7 @@
 			}
 		}
 	})
-	if !*bare && a.Lent < 0.5*line || a.Forgotten > 0 {
+	if !*bare && a.Lent < 0.5*line || a.DebtForgotten > 0 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -406,7 +410,7 @@
 			f.t.Error(err)
 		}
 	})
-	if !*bare && a.Lent < 0.5*line || a.Forgotten > 0 {
+	if !*bare && a.Lent < 0.5*line || a.DebtForgotten > 0 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -576,7 +580,7 @@
 		t.Error(err)
 	}
 	f.healthy()
-	if a := f.end(line); !*bare && a.Lent == 0 || a.Forgotten > 0 {
+	if a := f.end(line); !*bare && a.Lent == 0 || a.DebtForgotten > 0 {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/e2e/check_test.go
+++ b/internal/e2e/check_test.go
@@ -280,19 +280,19 @@
 }
 
 func books(e *evidence) verdict {
-	a := audit.Check(e.Record, func(history.Event) audit.Line {
-		return audit.Line{Units: lentRate * lentS, Repay: repayS * 1000}
+	a := audit.Check(e.Record, func(history.Event) audit.CreditLine {
+		return audit.CreditLine{Units: lentRate * lentS, RepayMillis: repayS * 1000}
 	}, func(who string) string { return who[1:] }, bunched)
 	says := fmt.Sprintf("lent %.1f, repaid %.1f, earned %.1f, handed %.1f, debts moved %.1f, on their way for "+
-		"up to %.0f ms, forgotten %.1f, %.0f%% of the line at once", a.Lent, a.Repaid, a.Earned, a.Handed, a.Moved,
-		a.Held, a.Forgotten, 100*a.Most)
-	v := verdict{history.Found{Count: a.Count, Seen: a.Seen}, says}
-	for _, s := range a.Broken {
+		"up to %.0f ms, forgotten %.1f, %.0f%% of the line at once", a.Lent, a.Repaid, a.Earned, a.RightsMoved, a.DebtMoved,
+		a.LongestTransitMillis, a.DebtForgotten, 100*a.PeakDrawnShare)
+	v := verdict{history.Found{Count: a.ViolationCount, Seen: a.Events}, says}
+	for _, s := range a.Violations {
 		at := 0.0
 		_, _ = fmt.Sscanf(s, "%f ms", &at)
 		v.Breaks = append(v.Breaks, history.Break{At: int64(at * 1e6), Says: s})
 	}
-	if a.Forgotten > 0 {
+	if a.DebtForgotten > 0 {
 		v.Count++
 	}
 	return v
--- a/internal/gateway/config/settings.go
+++ b/internal/gateway/config/settings.go
@@ -344,9 +344,9 @@
 		return errors.New("repay_s: it has to be there with credit_s")
 	case credit > 0 && rate <= 0:
 		return errors.New("credit_s: a rate of nought never pays it back")
-	case credit > 0 && credit > repay*lending.Part:
+	case credit > 0 && credit > repay*lending.MaxRepaymentShare:
 		return fmt.Errorf("repay_s: in %v a half of the fill pays %v back, and credit_s is %v", repay,
-			repay*lending.Part, credit)
+			repay*lending.MaxRepaymentShare, credit)
 	}
 	return nil
 }
--- a/internal/gateway/lifecycle/lend.go
+++ b/internal/gateway/lifecycle/lend.go
@@ -39,15 +39,15 @@
 		g.log.Warn().Err(err).Msg("nothing is lent")
 		return
 	}
-	t := borrowing.Terms{Me: c.Me, Gatekeepers: int(g.members.Load()), Plans: plans,
-		PeerInPerS: c.PeerInPerS}
-	b := borrowing.New(t, g.conf.Seed, f.Born)
-	b.Clock(f.Now())
+	t := borrowing.Config{Instance: c.Me, Instances: int(g.members.Load()), Plans: plans,
+		PeerMessagesPerSecond: c.PeerInPerS}
+	b := borrowing.New(t, g.conf.Seed, f.BornMillis)
+	b.Advance(f.NowMillis())
 	for _, k := range f.Records {
-		b.Restore(k.Place, k.Record)
+		b.Restore(k.Slot, k.Record)
 	}
-	g.log.Info().Int("customers", len(f.Records)).Int("spoilt", f.Spoilt).
-		Float64("age_s", (f.Now()-f.Born)/1000).Msg("lending")
+	g.log.Info().Int("customers", len(f.Records)).Int("spoilt", f.Corrupt).
+		Float64("age_s", (f.NowMillis()-f.BornMillis)/1000).Msg("lending")
 	f.Records = nil
 	var r history.Recorder
 	if g.history != nil {
@@ -80,14 +80,14 @@
 	for _, m := range []struct {
 		name string
 		v    float64
-	}{{"outstanding", f.Outstanding}, {"rights", f.Rights}, {"earning", f.Earn}, {"lent", f.Lent},
-		{"repaid", f.Repaid}, {"earned", f.Earned}, {"undone", f.Undone}, {"late", f.Late}, {"handed", f.Handed},
-		{"taken", f.Taken}, {"moved", f.Moved}, {"customers", float64(f.Customers)},
-		{"refused.wide", float64(f.Refused[borrowing.Wide])}, {"refused.no_place",
-			float64(f.Refused[borrowing.NoPlace])},
-		{"refused.unsure", float64(f.Refused[borrowing.Unsure])}, {"refused.short",
-			float64(f.Refused[borrowing.Short])},
-		{"strayed", float64(f.Strayed)}, {"forgotten", float64(f.Forgotten)}} {
+	}{{"outstanding", f.Outstanding}, {"rights", f.Rights}, {"earning", f.PresumedDrawn}, {"lent", f.Lent},
+		{"repaid", f.Repaid}, {"earned", f.Earned}, {"undone", f.Undone}, {"late", f.RepaidLate}, {"handed", f.RightsGiven},
+		{"taken", f.RightsReceived}, {"moved", f.DebtGiven}, {"customers", float64(f.Customers)},
+		{"refused.wide", float64(f.Denied[borrowing.DeniedSetTooLarge])}, {"refused.no_place",
+			float64(f.Denied[borrowing.DeniedTableFull])},
+		{"refused.unsure", float64(f.Denied[borrowing.DeniedRightsUnknown])}, {"refused.short",
+			float64(f.Denied[borrowing.DeniedNoRights])},
+		{"strayed", float64(f.RejectedEntries)}, {"forgotten", float64(f.AccountsReset)}} {
 		add("credit."+m.name, int64(math.Round(m.v)))
 	}
 }
--- a/internal/gateway/proxy/attempt_test.go
+++ b/internal/gateway/proxy/attempt_test.go
@@ -276,10 +276,10 @@
 // nullCreditStore stores nothing.
 type nullCreditStore struct{ started time.Time }
 
-func (s nullCreditStore) Now() float64                         { return float64(time.Since(s.started)) / 1e6 }
-func (s nullCreditStore) Keep(int, *borrowing.Record)          {}
-func (s nullCreditStore) Hear(int, incarnation.MessageID) bool { return true }
-func (s nullCreditStore) Close()                               {}
+func (s nullCreditStore) NowMillis() float64                            { return float64(time.Since(s.started)) / 1e6 }
+func (s nullCreditStore) Store(int, *borrowing.Record)                  {}
+func (s nullCreditStore) AcceptMessage(int, incarnation.MessageID) bool { return true }
+func (s nullCreditStore) Close()                                        {}
 
 // BenchmarkAdmit is the ordinary path without and with a ruleset's lease: the decision, and both checks of
 // the lease; and with credit enabled, within the quota and borrowed.
@@ -301,7 +301,7 @@
 				d.ApplyEndpoints(endpoints.List{Snapshot: true, Workers: []endpoints.Worker{{Name: "w", Active: true}}})
 				lines, _ := CreditLines(charter.Plans)
 				d.EnableBorrowing(
-					borrowing.New(borrowing.Terms{Gatekeepers: 1, Plans: lines}, 1, -1e18),
+					borrowing.New(borrowing.Config{Instances: 1, Plans: lines}, 1, -1e18),
 					nullCreditStore{time.Now()},
 					nil,
 					nil,
--- a/internal/gateway/proxy/lending.go
+++ b/internal/gateway/proxy/lending.go
@@ -14,17 +14,17 @@
 // CreditStore keeps the records of credit: what Keep has returned from outlives the process.
 type CreditStore interface {
 	// Now is a clock that goes on over restarts, ms.
-	Now() float64
+	NowMillis() float64
 	// Keep stores a record at its place.
-	Keep(place int, r *borrowing.Record)
+	Store(place int, r *borrowing.Record)
 	// Hear records a peer's message, and tells whether it is fresh.
-	Hear(from int, id incarnation.MessageID) bool
+	AcceptMessage(from int, id incarnation.MessageID) bool
 	Close()
 }
 
 // lender is the book of credit with its store, under the dispatcher's lock.
 type lender struct {
-	book     *borrowing.Book
+	book     *borrowing.Lender
 	store    CreditStore
 	recorder history.Recorder // nil where no history is recorded
 	plans    []string         // names, by plan
@@ -33,8 +33,8 @@
 // Lend asks the book for units of credit; the policy calls it. Its entries are stored before the policy's
 // next decision is executed.
 func (l *lender) Lend(customer uint64, plan, first, n int, units float64) bool {
-	l.book.Clock(l.store.Now())
-	return l.book.Lend(customer, plan, first, n, units) == borrowing.Lent
+	l.book.Advance(l.store.NowMillis())
+	return l.book.Lend(customer, plan, first, n, units) == borrowing.LoanGranted
 }
 
 // Undo returns a loan that was not used; the policy calls it.
@@ -42,12 +42,12 @@
 
 // EnableBorrowing has the policy borrow from a book from here on. Plans gives the plans' names for the
 // recorder, which may be nil.
-func (d *Dispatcher) EnableBorrowing(b *borrowing.Book, s CreditStore, r history.Recorder, plans []string) {
+func (d *Dispatcher) EnableBorrowing(b *borrowing.Lender, s CreditStore, r history.Recorder, plans []string) {
 	d.lockPolicy()
 	d.stopLending()
 	d.lender = &lender{book: b, store: s, recorder: r, plans: plans}
-	b.Noting(r != nil)
-	b.Clock(s.Now())
+	b.RecordEvents(r != nil)
+	b.Advance(s.NowMillis())
 	d.policy.Borrow(d.lender)
 	d.flushAndUnlock()
 }
@@ -66,9 +66,9 @@
 // ReceiveCredit takes a peer's message on credit.
 func (d *Dispatcher) ReceiveCredit(peer int, id incarnation.MessageID, entries []borrowing.Entry) {
 	d.lockPolicy()
-	if l := d.lender; l != nil && l.store.Hear(peer, id) {
-		l.book.Clock(l.store.Now())
-		l.book.Hear(peer, entries)
+	if l := d.lender; l != nil && l.store.AcceptMessage(peer, id) {
+		l.book.Advance(l.store.NowMillis())
+		l.book.Receive(peer, entries)
 	}
 	d.flushAndUnlock()
 }
@@ -77,7 +77,7 @@
 func (d *Dispatcher) CollectDue() {
 	d.lockPolicy()
 	if l := d.lender; l != nil {
-		l.book.Clock(l.store.Now())
+		l.book.Advance(l.store.NowMillis())
 	}
 	d.flushAndUnlock()
 }
@@ -95,7 +95,7 @@
 // CreditLines gives the plans' lines of credit as the book has them, and whether any plan lends.
 func CreditLines(plans []policy.Plan) (lines []borrowing.Plan, lends bool) {
 	for _, p := range plans {
-		lines = append(lines, borrowing.Plan{Line: p.Credit * p.Rate, Repay: p.Repay})
+		lines = append(lines, borrowing.Plan{LineUnits: p.Credit * p.Rate, RepayMillis: p.Repay})
 		lends = lends || p.Credit > 0 && p.Rate > 0
 	}
 	return lines, lends
@@ -104,9 +104,9 @@
 // applyCharter has the book go by a charter that has changed in service.
 func (l *lender) applyCharter(c *policy.Charter) {
 	lines, _ := CreditLines(c.Plans)
-	l.book.Clock(l.store.Now())
-	l.book.Resize(max(c.Gatekeepers, 1))
-	l.book.Replan(lines)
+	l.book.Advance(l.store.NowMillis())
+	l.book.SetInstances(max(c.Gatekeepers, 1))
+	l.book.SetPlans(lines)
 }
 
 // flushLending executes the book's decisions, under the lock. Records are stored before it returns;
@@ -118,21 +118,21 @@
 		if !ok {
 			return
 		}
-		switch v.Act {
-		case borrowing.Store:
-			l.store.Keep(v.Place, v.Record)
-		case borrowing.Note:
+		switch v.Action {
+		case borrowing.ActionStore:
+			l.store.Store(v.Slot, v.Record)
+		case borrowing.ActionRecordEvent:
 			l.recordEvent(v)
-		case borrowing.Tell:
+		case borrowing.ActionSend:
 			for rest := v.Entries; len(rest) > 0; {
 				var b []byte
 				b, rest = creditwire.Append(nil, rest)
 				inflight.Check(len(b) <= creditwire.MaxMessageBytes, inflight.DatagramFits)
 				d.outbox.add(v.Peer, b)
 			}
-		case borrowing.Collect:
-			took, fill := d.policy.Repay(uint64(v.Customer), v.Plan, v.N, v.Need, v.Most, v.Span)
-			l.book.Paid(v.Customer, took, fill)
+		case borrowing.ActionCollect:
+			took, fill := d.policy.Repay(uint64(v.Customer), v.Plan, v.SetSize, v.RepayUnits, v.MaxUnits, v.SpanMillis)
+			l.book.RecordPayment(v.Customer, took, fill)
 		}
 	}
 }
@@ -140,13 +140,13 @@
 // recordEvent records what the book did. Base is the form: sets and lines that differ have rights of their
 // own.
 func (l *lender) recordEvent(v borrowing.Decision) {
-	kind, says := v.Event.Written()
+	kind, says := v.Event.HistoryKey()
 	e := history.Event{Kind: history.Kind(kind), Says: says, Customer: uint64(v.Customer), Units: v.Units,
-		Serial: v.Serial, Base: uint64(v.Form)}
+		Serial: v.Serial, Base: uint64(v.SetDigest)}
 	if v.Plan < len(l.plans) {
 		e.Plan = l.plans[v.Plan]
 	}
-	if v.Event.Of() {
+	if v.Event.InvolvesPeer() {
 		e.Peer = strconv.Itoa(v.Peer)
 	}
 	l.recorder.Write(e)
--- a/internal/gateway/proxy/metrics.go
+++ b/internal/gateway/proxy/metrics.go
@@ -73,7 +73,7 @@
 	d.meter.Mark(now, &t)
 	d.meter.Tell(report, now, &t, &d.sample, d.workers.ZoneName)
 	if d.lender != nil {
-		d.lender.book.Plans(report.Lent)
+		d.lender.book.EachAccount(report.Lent)
 	}
 }
 
--- a/internal/gateway/proxy/ruleset.go
+++ b/internal/gateway/proxy/ruleset.go
@@ -76,7 +76,7 @@
 	d.ruleset.charter.Gatekeepers = instances
 	d.ruleset.generation++
 	if d.lender != nil {
-		d.lender.book.Resize(instances)
+		d.lender.book.SetInstances(instances)
 	}
 	d.flushAndUnlock()
 }
--- a/internal/gateway/transport/creditwire/creditwire.go
+++ b/internal/gateway/transport/creditwire/creditwire.go
@@ -60,42 +60,42 @@
 // appendEntry encodes one entry.
 func appendEntry(b []byte, entry *borrowing.Entry) []byte {
 	b = binary.BigEndian.AppendUint32(b, entry.Customer)
-	b = append(b, entry.Plan, entry.N)
+	b = append(b, entry.Plan, entry.SetSize)
 	b = binary.BigEndian.AppendUint16(b, entry.First)
-	b = binary.BigEndian.AppendUint16(b, entry.Form)
+	b = binary.BigEndian.AppendUint16(b, entry.SetDigest)
 	var flags byte
 	for _, condition := range []struct {
 		flag byte
 		set  bool
-	}{{flagKnown, entry.Known}, {flagVirgin, entry.Virgin},
-		{flagAsks, entry.Asks}, {flagAnswers, entry.Answers},
-		{flagWant, entry.Want > 0}, {flagLeft, entry.GaveD > 0},
-		{flagFill, entry.Fill > minEncodedRate}, {flagSpare, entry.Spare > minEncodedRate}} {
+	}{{flagKnown, entry.Known}, {flagVirgin, entry.NoPriorDebt},
+		{flagAsks, entry.IsQuery}, {flagAnswers, entry.IsReply},
+		{flagWant, entry.WantedParts > 0}, {flagLeft, entry.DebtGiven > 0},
+		{flagFill, entry.FillPerSecond > minEncodedRate}, {flagSpare, entry.SpareUnits > minEncodedRate}} {
 		if condition.set {
 			flags |= condition.flag
 		}
 	}
 	b = append(b, flags)
-	for _, counter := range []uint64{entry.GaveR, entry.GaveD, entry.GotR, entry.GotD} {
+	for _, counter := range []uint64{entry.RightsGiven, entry.DebtGiven, entry.RightsReceived, entry.DebtReceived} {
 		b = binary.AppendUvarint(b, counter)
 	}
-	if entry.Asks {
+	if entry.IsQuery {
 		b = binary.BigEndian.AppendUint16(b, entry.Nonce)
 	}
-	if entry.Answers {
+	if entry.IsReply {
 		b = binary.BigEndian.AppendUint16(b, entry.Echo)
 	}
-	if entry.Want > 0 {
-		b = binary.AppendUvarint(b, entry.Want)
+	if entry.WantedParts > 0 {
+		b = binary.AppendUvarint(b, entry.WantedParts)
 	}
-	if entry.GaveD > 0 { // rounded down: a debt falls due no later than stated
-		b = append(b, byte(math.Min(math.Max(entry.Left, 0), 1)*math.MaxUint8))
+	if entry.DebtGiven > 0 { // rounded down: a debt falls due no later than stated
+		b = append(b, byte(math.Min(math.Max(entry.DebtTimeLeft, 0), 1)*math.MaxUint8))
 	}
-	if entry.Fill > minEncodedRate {
-		b = append(b, encodeLog(entry.Fill))
+	if entry.FillPerSecond > minEncodedRate {
+		b = append(b, encodeLog(entry.FillPerSecond))
 	}
-	if entry.Spare > minEncodedRate {
-		b = append(b, encodeLog(entry.Spare))
+	if entry.SpareUnits > minEncodedRate {
+		b = append(b, encodeLog(entry.SpareUnits))
 	}
 	return b
 }
@@ -153,33 +153,33 @@
 	original, count, fields := dst, int(message[countOffset]), fieldReader{remaining: message[headerBytes:]}
 	for range count {
 		entry := borrowing.Entry{Customer: binary.BigEndian.Uint32(fields.take(4)), Plan: fields.take(1)[0],
-			N: fields.take(1)[0], First: binary.BigEndian.Uint16(fields.take(2)),
-			Form: binary.BigEndian.Uint16(fields.take(2))}
+			SetSize: fields.take(1)[0], First: binary.BigEndian.Uint16(fields.take(2)),
+			SetDigest: binary.BigEndian.Uint16(fields.take(2))}
 		flags := fields.take(1)[0]
-		entry.Known, entry.Virgin = flags&flagKnown > 0, flags&flagVirgin > 0
-		entry.Asks, entry.Answers = flags&flagAsks > 0, flags&flagAnswers > 0
-		for _, counter := range []*uint64{&entry.GaveR, &entry.GaveD, &entry.GotR, &entry.GotD} {
+		entry.Known, entry.NoPriorDebt = flags&flagKnown > 0, flags&flagVirgin > 0
+		entry.IsQuery, entry.IsReply = flags&flagAsks > 0, flags&flagAnswers > 0
+		for _, counter := range []*uint64{&entry.RightsGiven, &entry.DebtGiven, &entry.RightsReceived, &entry.DebtReceived} {
 			if *counter = fields.uvarint(); *counter > math.MaxInt64 {
 				fields.err = errors.New("a counter is out of bounds")
 			}
 		}
-		if entry.Asks {
+		if entry.IsQuery {
 			entry.Nonce = binary.BigEndian.Uint16(fields.take(2))
 		}
-		if entry.Answers {
+		if entry.IsReply {
 			entry.Echo = binary.BigEndian.Uint16(fields.take(2))
 		}
 		if flags&flagWant > 0 {
-			entry.Want = fields.uvarint()
+			entry.WantedParts = fields.uvarint()
 		}
 		if flags&flagLeft > 0 {
-			entry.Left = float64(fields.take(1)[0]) / math.MaxUint8
+			entry.DebtTimeLeft = float64(fields.take(1)[0]) / math.MaxUint8
 		}
 		if flags&flagFill > 0 {
-			entry.Fill = decodeLog(fields.take(1)[0])
+			entry.FillPerSecond = decodeLog(fields.take(1)[0])
 		}
 		if flags&flagSpare > 0 {
-			entry.Spare = decodeLog(fields.take(1)[0])
+			entry.SpareUnits = decodeLog(fields.take(1)[0])
 		}
 		dst = append(dst, entry)
 	}
--- a/internal/gateway/transport/creditwire/creditwire_test.go
+++ b/internal/gateway/transport/creditwire/creditwire_test.go
@@ -12,18 +12,29 @@
 func TestRoundTrip(t *testing.T) {
 	var entries []borrowing.Entry
 	for i := range uint32(40) {
-		entry := borrowing.Entry{Customer: 1<<31 + i, Plan: uint8(i), N: 5, First: uint16(i * 7),
-			Form: uint16(i * 999), GaveR: uint64(i) << 20, GotD: uint64(i) << 40, Known: i%2 == 0, Virgin: i%3 == 0}
+		entry := borrowing.Entry{
+			Customer: 1<<31 + i,
+			Plan:     uint8(i),
+			SetSize:  5,
+			First:    uint16(i * 7),
+			SetDigest: uint16(
+				i * 999,
+			),
+			RightsGiven:  uint64(i) << 20,
+			DebtReceived: uint64(i) << 40,
+			Known:        i%2 == 0,
+			NoPriorDebt:  i%3 == 0,
+		}
 		if i%4 == 0 {
-			entry.Asks, entry.Nonce, entry.Want = true, uint16(i+1), uint64(i+1)
+			entry.IsQuery, entry.Nonce, entry.WantedParts = true, uint16(i+1), uint64(i+1)
 		}
 		if i%5 == 0 {
-			entry.Answers, entry.Echo, entry.GaveD, entry.Left, entry.Fill = true, 9, 77, 51.0/255, 8
-			entry.Spare = 0.5
+			entry.IsReply, entry.Echo, entry.DebtGiven, entry.DebtTimeLeft, entry.FillPerSecond = true, 9, 77, 51.0/255, 8
+			entry.SpareUnits = 0.5
 		}
 		entries = append(entries, entry)
 	}
-	for _, counter := range []*uint64{&entries[3].GaveR, &entries[3].GaveD, &entries[3].GotR, &entries[3].GotD} {
+	for _, counter := range []*uint64{&entries[3].RightsGiven, &entries[3].DebtGiven, &entries[3].RightsReceived, &entries[3].DebtReceived} {
 		*counter = math.MaxInt64
 	}
 	var got []borrowing.Entry
@@ -45,7 +56,10 @@
 
 // A message that is truncated, too long, of another version or of another kind gives an error and no entry.
 func TestMalformedMessages(t *testing.T) {
-	valid, _ := Append(nil, []borrowing.Entry{{Customer: 1, N: 2, GaveR: 300, Asks: true}, {Customer: 2, N: 2}})
+	valid, _ := Append(
+		nil,
+		[]borrowing.Entry{{Customer: 1, SetSize: 2, RightsGiven: 300, IsQuery: true}, {Customer: 2, SetSize: 2}},
+	)
 	malformed := [][]byte{nil, {Magic}, append([]byte{Magic, formatVersion + 1}, valid[2:]...),
 		append([]byte{5}, valid[1:]...), append(append([]byte(nil), valid...), 0),
 		append(valid[:len(valid):len(valid)], make([]byte, MaxMessageBytes)...)}
@@ -61,8 +75,11 @@
 
 // Of a malformed message no entry is given.
 func FuzzDecode(f *testing.F) {
-	valid, _ := Append(nil, []borrowing.Entry{{Customer: 1, N: 2, GaveD: 300, Asks: true, Answers: true, Want: 5,
-		Fill: 3}})
+	valid, _ := Append(
+		nil,
+		[]borrowing.Entry{{Customer: 1, SetSize: 2, DebtGiven: 300, IsQuery: true, IsReply: true, WantedParts: 5,
+			FillPerSecond: 3}},
+	)
 	f.Add(valid)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		entries, err := Decode(nil, b)
--- a/internal/gateway/transport/creditwire/golden_test.go
+++ b/internal/gateway/transport/creditwire/golden_test.go
@@ -12,12 +12,48 @@
 // exactly.
 func goldenEntries() []borrowing.Entry {
 	return []borrowing.Entry{
-		{Customer: 0x01020304, Plan: 5, N: 6, First: 0x0708, Form: 0x090a, Known: true, Virgin: true, Asks: true,
-			Answers: true, Nonce: 0x0b0c, Echo: 0x0d0e, GaveR: 1001, GaveD: 1002, GotR: 1003, GotD: 1004,
-			Left: 51.0 / 255, Want: 1005, Spare: 0.5, Fill: 8},
-		{Customer: 0xfffefdfc, Plan: 255, N: 254, First: 0xfffd, Form: 0xfffc, Known: true, Virgin: true,
-			Asks: true, Answers: true, Nonce: 0xfffb, Echo: 0xfffa, GaveR: 1 << 60, GaveD: 1 << 61,
-			GotR: 1<<62 + 1, GotD: 1<<62 + 2, Left: 1, Want: 1 << 50, Spare: 1024, Fill: 65536},
+		{
+			Customer:       0x01020304,
+			Plan:           5,
+			SetSize:        6,
+			First:          0x0708,
+			SetDigest:      0x090a,
+			Known:          true,
+			NoPriorDebt:    true,
+			IsQuery:        true,
+			IsReply:        true,
+			Nonce:          0x0b0c,
+			Echo:           0x0d0e,
+			RightsGiven:    1001,
+			DebtGiven:      1002,
+			RightsReceived: 1003,
+			DebtReceived:   1004,
+			DebtTimeLeft:   51.0 / 255,
+			WantedParts:    1005,
+			SpareUnits:     0.5,
+			FillPerSecond:  8,
+		},
+		{
+			Customer:       0xfffefdfc,
+			Plan:           255,
+			SetSize:        254,
+			First:          0xfffd,
+			SetDigest:      0xfffc,
+			Known:          true,
+			NoPriorDebt:    true,
+			IsQuery:        true,
+			IsReply:        true,
+			Nonce:          0xfffb,
+			Echo:           0xfffa,
+			RightsGiven:    1 << 60,
+			DebtGiven:      1 << 61,
+			RightsReceived: 1<<62 + 1,
+			DebtReceived:   1<<62 + 2,
+			DebtTimeLeft:   1,
+			WantedParts:    1 << 50,
+			SpareUnits:     1024,
+			FillPerSecond:  65536,
+		},
 	}
 }
 
@@ -37,8 +73,8 @@
 
 // Each flag has its own bit: an entry with one condition sets that bit alone.
 func TestGoldenFlags(t *testing.T) {
-	for i, entry := range []borrowing.Entry{{Known: true}, {Virgin: true}, {Asks: true, Nonce: 7},
-		{Answers: true, Echo: 7}, {Want: 7}, {GaveD: 7, Left: 1}, {Fill: 8}, {Spare: 8}} {
+	for i, entry := range []borrowing.Entry{{Known: true}, {NoPriorDebt: true}, {IsQuery: true, Nonce: 7},
+		{IsReply: true, Echo: 7}, {WantedParts: 7}, {DebtGiven: 7, DebtTimeLeft: 1}, {FillPerSecond: 8}, {SpareUnits: 8}} {
 		encoded, _ := Append(nil, []borrowing.Entry{entry})
 		if flags := encoded[headerBytes+10]; flags != 1<<i {
 			t.Errorf("%+v: flags %08b, want bit %d alone", entry, flags, i)
--- a/internal/gateway/transport/golden_test.go
+++ b/internal/gateway/transport/golden_test.go
@@ -24,9 +24,29 @@
 }
 
 func goldenEntries() []borrowing.Entry {
-	return []borrowing.Entry{{Customer: 0x01020304, Plan: 5, N: 6, First: 0x0708, Form: 0x090a, Known: true,
-		Virgin: true, Asks: true, Answers: true, Nonce: 0x0b0c, Echo: 0x0d0e, GaveR: 1001, GaveD: 1002, GotR: 1003,
-		GotD: 1004, Left: 51.0 / 255, Want: 1005, Spare: 0.5, Fill: 8}}
+	return []borrowing.Entry{
+		{
+			Customer:       0x01020304,
+			Plan:           5,
+			SetSize:        6,
+			First:          0x0708,
+			SetDigest:      0x090a,
+			Known:          true,
+			NoPriorDebt:    true,
+			IsQuery:        true,
+			IsReply:        true,
+			Nonce:          0x0b0c,
+			Echo:           0x0d0e,
+			RightsGiven:    1001,
+			DebtGiven:      1002,
+			RightsReceived: 1003,
+			DebtReceived:   1004,
+			DebtTimeLeft:   51.0 / 255,
+			WantedParts:    1005,
+			SpareUnits:     0.5,
+			FillPerSecond:  8,
+		},
+	}
 }
 
 // goldenPeer is an instance with one peer, which is a bare socket.
--- a/internal/lab/emulator/lend.go
+++ b/internal/lab/emulator/lend.go
@@ -11,7 +11,7 @@
 // lender is a gatekeeper's book of credit. What it has kept outlives its lives.
 type lender struct {
 	g     *gatekeeper
-	book  *borrowing.Book
+	book  *borrowing.Lender
 	kept  map[int]borrowing.Record
 	said  uint64
 	heard map[int]uint64
@@ -21,7 +21,7 @@
 // lines are the plans' lines of credit, and whether any lends.
 func (s *Scenario) lines() (all []borrowing.Plan, any bool) {
 	for _, p := range s.Plans {
-		all = append(all, borrowing.Plan{Line: p.Credit * p.Rate, Repay: p.Repay * 1000})
+		all = append(all, borrowing.Plan{LineUnits: p.Credit * p.Rate, RepayMillis: p.Repay * 1000})
 		any = any || p.Credit > 0
 	}
 	return all, any
@@ -37,10 +37,10 @@
 		g.lender = &lender{g: g, kept: map[int]borrowing.Record{}, heard: map[int]uint64{}}
 	}
 	l := g.lender
-	l.book = borrowing.New(borrowing.Terms{Me: g.num, Gatekeepers: len(g.w.gks), Plans: plans,
-		PeerInPerS: g.w.s.Gatekeepers.PeerInPerS}, g.source.Int63(), -1e9)
-	l.book.Clock(g.w.now)
-	for place := range borrowing.Places {
+	l.book = borrowing.New(borrowing.Config{Instance: g.num, Instances: len(g.w.gks), Plans: plans,
+		PeerMessagesPerSecond: g.w.s.Gatekeepers.PeerInPerS}, g.source.Int63(), -1e9)
+	l.book.Advance(g.w.now)
+	for place := range borrowing.MaxAccounts {
 		if len(l.kept) == 0 {
 			break
 		}
@@ -54,8 +54,8 @@
 
 // Lend asks the book.
 func (l *lender) Lend(customer uint64, plan, first, n int, units float64) bool {
-	l.book.Clock(l.g.w.now)
-	return l.book.Lend(customer, plan, first, n, units) == borrowing.Lent
+	l.book.Advance(l.g.w.now)
+	return l.book.Lend(customer, plan, first, n, units) == borrowing.LoanGranted
 }
 
 // Undo gives a loan back that was not used.
@@ -64,20 +64,20 @@
 // settle carries out what the book decides.
 func (l *lender) settle(m *policy.Gatekeeper) {
 	w := l.g.w
-	l.book.Clock(w.now)
+	l.book.Advance(w.now)
 	for {
 		d, ok := l.book.Next()
 		if !ok {
 			break
 		}
-		switch d.Act {
-		case borrowing.Store:
-			l.kept[d.Place] = *d.Record
-		case borrowing.Tell:
+		switch d.Action {
+		case borrowing.ActionStore:
+			l.kept[d.Slot] = *d.Record
+		case borrowing.ActionSend:
 			l.tell(d)
-		case borrowing.Collect:
-			took, fill := m.Repay(uint64(d.Customer), d.Plan, d.N, d.Need, d.Most, d.Span)
-			l.book.Paid(d.Customer, took, fill)
+		case borrowing.ActionCollect:
+			took, fill := m.Repay(uint64(d.Customer), d.Plan, d.SetSize, d.RepayUnits, d.MaxUnits, d.SpanMillis)
+			l.book.RecordPayment(d.Customer, took, fill)
 		}
 	}
 	if l.book.Busy() && !l.looks {
@@ -104,8 +104,8 @@
 			to.input(func(brain) {
 				if to.lender != nil && said > to.lender.heard[from] {
 					to.lender.heard[from] = said
-					to.lender.book.Clock(w.now)
-					to.lender.book.Hear(from, entries)
+					to.lender.book.Advance(w.now)
+					to.lender.book.Receive(from, entries)
 				}
 			})
 		})
@@ -118,7 +118,7 @@
 		if g.lender != nil {
 			f := g.lender.book.Figures()
 			w.res.Lent += f.Lent - f.Undone
-			w.res.RepaidLate += f.Late
+			w.res.RepaidLate += f.RepaidLate
 		}
 	}
 }
--- a/internal/lab/emulator/scenario.go
+++ b/internal/lab/emulator/scenario.go
@@ -295,7 +295,7 @@
 			in(key+"credit_s", p.Credit, 0, 1e5), in(key+"repay_s", p.Repay, 0, 1e5)); err != nil {
 			return first(err)
 		}
-		if p.Credit > p.Repay*borrowing.Part {
+		if p.Credit > p.Repay*borrowing.MaxRepaymentShare {
 			return fmt.Errorf("%srepay_s: in %v s a half of the fill does not pay %v s back", key, p.Repay, p.Credit)
 		}
 	}
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -169,7 +169,7 @@
 	}
 	g.meter.Tell(w, g.w.clock(), &t, &sight, hall)
 	if g.lender != nil {
-		g.lender.book.Plans(w.Lent)
+		g.lender.book.EachAccount(w.Lent)
 	}
 	return w
 }
