--- /dev/null
+++ b/internal/borrowing/debt.go
@@ -0,0 +1,95 @@
+package borrowing
+
+import "math"
+
+// totalDebt returns what is owed, in parts.
+func (a *account) totalDebt() (sum int64) {
+	for _, parts := range a.Debt {
+		sum += parts
+	}
+	return sum
+}
+
+// overdue returns what was due before a time.
+func (a *account) overdue(nowMillis float64) (sum int64) {
+	for i, parts := range a.Debt {
+		if parts > 0 && a.DebtDueMillis[i] < nowMillis {
+			sum += parts
+		}
+	}
+	return sum
+}
+
+// addDebt adds a debt with its due time. Debts due within mergeMillis of each other are merged, due with the
+// earliest.
+func (a *account) addDebt(parts int64, dueMillis, mergeMillis float64) {
+	best, free := -1, -1
+	for i := range a.Debt {
+		switch {
+		case a.Debt[i] == 0:
+			free = i
+		case a.DebtDueMillis[i] <= dueMillis && (best < 0 || a.DebtDueMillis[i] > a.DebtDueMillis[best]):
+			best = i
+		}
+	}
+	switch {
+	case best >= 0 && (dueMillis-a.DebtDueMillis[best] < mergeMillis || free < 0):
+		a.Debt[best] += parts
+	case free >= 0:
+		a.Debt[free], a.DebtDueMillis[free] = parts, dueMillis
+	default: // due before all others, and no free slot: the first is merged with it
+		first := 0
+		for i := range a.DebtDueMillis {
+			if a.DebtDueMillis[i] < a.DebtDueMillis[first] {
+				first = i
+			}
+		}
+		a.Debt[first], a.DebtDueMillis[first] = a.Debt[first]+parts, dueMillis
+	}
+}
+
+// repay repays debts, the earliest due first, and returns how much of the amount was owed.
+func (a *account) repay(parts int64) (paid int64) {
+	return a.reduceDebt(parts, func(due, than float64) bool { return due < than })
+}
+
+// cancelDebt takes debts back, the latest due first, and returns how much of the amount was owed.
+func (a *account) cancelDebt(parts int64) (cancelled int64) {
+	return a.reduceDebt(parts, func(due, than float64) bool { return due > than })
+}
+
+// reduceDebt reduces debts in the order of their due times.
+func (a *account) reduceDebt(parts int64, before func(due, than float64) bool) (reduced int64) {
+	for reduced < parts {
+		next := -1
+		for i := range a.Debt {
+			if a.Debt[i] > 0 && (next < 0 || before(a.DebtDueMillis[i], a.DebtDueMillis[next])) {
+				next = i
+			}
+		}
+		if next < 0 {
+			break
+		}
+		amount := min(a.Debt[next], parts-reduced)
+		a.Debt[next] -= amount
+		reduced += amount
+	}
+	return reduced
+}
+
+// requiredPace returns the pace of repayment, in parts per ms, at which each debt is repaid when it is due.
+func (a *account) requiredPace(nowMillis float64) (pace float64) {
+	for i := range a.Debt {
+		if a.Debt[i] == 0 {
+			continue
+		}
+		sum := int64(0)
+		for k := range a.Debt {
+			if a.DebtDueMillis[k] <= a.DebtDueMillis[i] {
+				sum += a.Debt[k]
+			}
+		}
+		pace = math.Max(pace, float64(sum)/math.Max(a.DebtDueMillis[i]-nowMillis, lookIntervalMillis))
+	}
+	return pace
+}
--- a/internal/borrowing/exchange.go
+++ b/internal/borrowing/exchange.go
@@ -5,19 +5,18 @@
 	"math/bits"
 )
 
-// This file holds what gatekeepers exchange of customers' lines.
-
-// Resize tells that there are so many gatekeepers from now on.
+// SetInstances says how many instances there are from now on.
 func (l *Lender) SetInstances(instances int) { l.config.Instances = instances }
 
-// Hear takes a peer's words. Its counters only grow, so that a word that was lost, came twice, late or out of
-// turn does no harm: what is news is the difference to the most that was heard.
+// Receive takes a peer's entries. Their counters only grow, so that one which is lost, duplicated, late or
+// out of order does no harm: what is new is the difference to the largest that was received.
 func (l *Lender) Receive(from int, entries []Entry) {
 	for i := range entries {
 		l.receiveEntry(from, &entries[i])
 	}
 }
 
+// receiveEntry takes one entry.
 func (l *Lender) receiveEntry(from int, e *Entry) {
 	plan, first, setSize := int(e.Plan), int(e.First), int(e.SetSize)
 	if from == l.config.Instance || plan >= len(l.lineParts) || l.lineParts[plan] <= 0 || setSize < 2 ||
@@ -39,14 +38,14 @@
 	}
 	a := &l.accounts[slot]
 	if a.SetDigest != digest {
-		if l.nowMillis-a.lastLoanMillis < localSetPrecedenceMillis { // its own txns say otherwise
+		if l.nowMillis-a.lastLoanMillis < localSetPrecedenceMillis { // local loans say otherwise
 			l.totals.RejectedEntries++
 			return
 		}
 		l.changeSet(slot, plan, first, setSize, digest)
 	}
 	p, nothingExchanged := l.pairWith(a, from), e.RightsGiven|e.DebtGiven|e.RightsReceived|e.DebtReceived == 0
-	if p == nil && !nothingExchanged { // it can't be kept, and so is not believed: the peer will say it again
+	if p == nil && !nothingExchanged { // there is no free pair: the peer will send it again
 		return
 	}
 	if p != nil && (!nothingExchanged || e.IsQuery || e.FillPerSecond > 0 || e.SpareUnits > 0) {
@@ -54,7 +53,7 @@
 	}
 	bit := uint64(1) << peerPlace
 	if a.Known && p != nil && p.Used && (e.RightsReceived > p.RightsGiven || e.DebtReceived > p.DebtGiven) {
-		// Guards against a book older than what it has said, as one brought back from a copy.
+		// Guards against a record older than what was sent, as one restored from a backup.
 		l.totals.AccountsReset++
 		a.reset(l.newNonce())
 		l.recordState(slot)
@@ -67,7 +66,7 @@
 	switch {
 	case a.Known:
 		changed = l.applyTransfers(slot, p, e)
-	case !nothingExchanged && (a.answeredPlaces&bit != 0 || e.IsReply && e.Echo == a.nonce): // nothing from before it was asked
+	case !nothingExchanged && (a.answeredPlaces&bit != 0 || e.IsReply && e.Echo == a.nonce): // nothing from before the query
 		changed = e.RightsReceived > p.RightsGiven || e.DebtReceived > p.DebtGiven ||
 			e.RightsGiven > p.RightsReceived ||
 			e.DebtGiven > p.DebtReceived
@@ -92,19 +91,19 @@
 		l.determineRights(slot)
 	}
 	if e.IsQuery {
-		a.replyPlaces, a.echo = bit, e.Nonce     // one question at a time: others are asked again
-		if l.totals.QueriesReceived++; e.Known { // what is held here is asked for, or what is credited
+		a.replyPlaces, a.echo = bit, e.Nonce     // one query at a time: others are sent again
+		if l.totals.QueriesReceived++; e.Known { // the peer asks for rights or for the fill here
 			a.lastQueriedMillis = l.nowMillis
 		}
 		l.queueEntry(slot, from)
-		l.activate(slot) // for the next answer to say what is credited here
+		l.activate(slot) // for the next reply to state the fill here
 	}
-	if e.IsQuery && e.WantedParts > 0 && e.Known && a.Known { // and not at each word: rights would go to and fro
+	if e.IsQuery && e.WantedParts > 0 && e.Known && a.Known { // not with every entry, lest rights go back and forth
 		l.giveRights(slot, from, int64(min(e.WantedParts, math.MaxInt32)))
 	}
 }
 
-// merge takes what a peer has given since it was last heard.
+// applyTransfers takes what a peer has given since its last entry, and reports whether there was anything.
 func (l *Lender) applyTransfers(slot int32, p *Pair, e *Entry) (changed bool) {
 	a := &l.accounts[slot]
 	if p == nil || !p.Used {
@@ -114,7 +113,7 @@
 		l.lineParts[a.Plan],
 	); e.RightsGiven > p.RightsReceived+line ||
 		e.DebtGiven > p.DebtReceived+line {
-		l.totals.RejectedEntries++ // more than there is
+		l.totals.RejectedEntries++ // more than the line
 		return false
 	}
 	if e.RightsGiven > p.RightsReceived {
@@ -135,7 +134,7 @@
 	return changed
 }
 
-// give hands rights on to a peer that asks for some. They are this gatekeeper's no more before it says so.
+// giveRights gives rights to a peer that requests some. They are stored as given before the peer is told.
 func (l *Lender) giveRights(slot int32, to int, wantedParts int64) {
 	a := &l.accounts[slot]
 	available := a.Rights
@@ -157,19 +156,19 @@
 	l.queueEntry(slot, to)
 }
 
-// unsure tells whether what is held here has to be found out.
+// mustQuery reports whether peers have to be queried for what rights this instance has.
 func (l *Lender) mustQuery(a *account) bool {
 	return !a.Known && (l.wantsRights(a) || l.nowMillis-a.lastQueriedMillis < wantTTLMillis)
 }
 
-// short tells whether a customer was lately refused a loan here.
+// wantsRights reports whether a customer was lately denied a loan here for want of rights.
 func (l *Lender) wantsRights(a *account) bool {
 	return a.wantedParts > 0 && l.nowMillis-a.wantedMillis < wantTTLMillis
 }
 
-// relieve hands a part of a debt that this gatekeeper's fill of the customer can't pay in time to the peer
-// where the customer is credited most, of those that have acknowledged all that was handed to them: on a link
-// that carries one way alone a peer is heard, and a debt handed to it would be nobody's to pay.
+// transferDebt transfers a part of a debt that this instance's fill of the customer can't repay in time, to
+// the peer with the largest fill among those that have acknowledged all that was given to them: over a link
+// that carries one way only, a debt would be in transit for as long as that lasts.
 func (l *Lender) transferDebt(slot int32) {
 	a := &l.accounts[slot]
 	pace, fill := a.requiredPace(l.nowMillis), a.fillPerMilli*debtTransferFillShare*partsPerUnit
@@ -185,7 +184,7 @@
 			best = p
 		}
 	}
-	if best == nil { // who sees the customer is not known yet
+	if best == nil { // no fill of a peer is known
 		if l.nowMillis-a.lastRequestMillis >= resendMillis {
 			a.lastRequestMillis = l.nowMillis
 			a.queryPlaces |= l.samplePeers(a)
@@ -195,7 +194,7 @@
 	}
 	parts := int64(
 		float64(a.totalDebt()) * (1 - fill/pace) * retainedShare,
-	) // and more at the next look, if it must be
+	) // more at the next look if needed
 	if parts <= 0 {
 		return
 	}
@@ -223,7 +222,7 @@
 	l.queueEntry(slot, int(best.Peer))
 }
 
-// some gives the others of a small set, or any few of a large one.
+// samplePeers returns the other places of a small set, or random ones of a large one.
 func (l *Lender) samplePeers(a *account) (places uint64) {
 	others := l.otherPlaces(a)
 	if bits.OnesCount64(others) <= debtTransferFanout {
@@ -235,19 +234,19 @@
 	return places
 }
 
-// able gives a few of the others that may have rights to hand on: those who said that they have most, and of
-// whom nothing is known; any one where all lately said that they have none.
+// likelyGivers returns a few other places that may have rights to give: those that stated most, and those
+// of which nothing is known; a random one where all lately stated that they have none.
 func (l *Lender) likelyGivers(a *account) (places uint64) {
 	candidates := l.otherPlaces(a)
 	for range rightsRequestFanout {
 		best, bestParts := -1, 0.0
-		start := l.rng.Intn(int(a.SetSize)) // of several alike, any
+		start := l.rng.Intn(int(a.SetSize)) // a random one of equals
 		for k := range int(a.SetSize) {
 			place := (start + k) % int(a.SetSize)
 			if candidates&(1<<place) == 0 {
 				continue
 			}
-			spareParts := float64(a.wantedParts) // of whom nothing is known
+			spareParts := float64(a.wantedParts) // where nothing is known
 			if p := l.pairWith(a, (int(a.First)+place)%l.config.Instances); p != nil && p.Used &&
 				int(p.Peer) == (int(a.First)+place)%l.config.Instances && l.nowMillis-p.heardMillis < spareTTLMillis {
 				spareParts = p.spareParts
@@ -268,7 +267,7 @@
 	return places
 }
 
-// say has a word wait for a peer.
+// queueEntry queues an entry for a peer.
 func (l *Lender) queueEntry(slot int32, to int) {
 	a := &l.accounts[slot]
 	bit := uint64(1) << l.placeInSet(int(a.First), int(a.SetSize), to)
@@ -279,6 +278,7 @@
 	l.pendingEntries = append(l.pendingEntries, pendingEntry{to, slot})
 }
 
+// queueEntries queues an entry for each of some places.
 func (l *Lender) queueEntries(slot int32, places uint64) {
 	a := &l.accounts[slot]
 	for places != 0 {
@@ -288,7 +288,7 @@
 	}
 }
 
-// word is what a peer is told of a customer.
+// newEntry returns the entry for a peer.
 func (l *Lender) newEntry(slot int32, to int) Entry {
 	a := &l.accounts[slot]
 	bit := uint64(1) << l.placeInSet(int(a.First), int(a.SetSize), to)
@@ -325,7 +325,7 @@
 	return e
 }
 
-// look goes over the customers that anything is open of.
+// processActive processes the active accounts.
 func (l *Lender) processActive() {
 	for range min(len(l.activeSlots), maxLooksPerInterval) {
 		if l.activeCursor >= len(l.activeSlots) {
@@ -345,7 +345,8 @@
 	}
 }
 
-// beg asks the others of a set for rights that are wanted here, or for what is needed to know what is held.
+// requestRights asks peers for rights that are wanted here, or queries them for what is needed to determine
+// the rights here.
 func (l *Lender) requestRights(slot int32) {
 	a := &l.accounts[slot]
 	if !l.wantsRights(a) && !l.mustQuery(a) ||
@@ -362,8 +363,8 @@
 	l.queueEntries(slot, a.queryPlaces)
 }
 
-// need is how much of a span's fill has to go to debts. While a customer borrows that is nothing, as long as
-// a part of its later fill is enough to pay all in time.
+// repaymentNeed returns how many units of a span's fill have to go to debts. While a customer borrows that
+// is 0, as long as MaxRepaymentShare of its later fill repays all in time.
 func (l *Lender) repaymentNeed(a *account, spanMillis float64) float64 {
 	pace := a.requiredPace(l.nowMillis)
 	if l.nowMillis-a.lastLoanMillis < borrowingPauseMillis &&
@@ -373,7 +374,7 @@
 	return math.Min(pace*spanMillis, float64(a.totalDebt())) / partsPerUnit
 }
 
-// open tells whether a customer is to be looked at.
+// needsProcessing reports whether an account stays active.
 func (l *Lender) needsProcessing(a *account) bool {
 	if !a.InUse || int(a.Plan) >= len(l.lineParts) {
 		return false
@@ -391,7 +392,7 @@
 	return false
 }
 
-// tend sees to one of them.
+// process processes an active account.
 func (l *Lender) process(slot int32) {
 	a := &l.accounts[slot]
 	if elapsedMillis := l.nowMillis - a.lastCollectedMillis; elapsedMillis >= earnIntervalMillis ||
@@ -410,7 +411,7 @@
 	}
 }
 
-// Next gives the next decision, or none. What is to be kept comes before what is said of it.
+// Next returns the next decision, or false. Records are stored before entries that depend on them are sent.
 func (l *Lender) Next() (Decision, bool) {
 	if len(l.eventsBeforeStore) > 0 {
 		d := l.eventsBeforeStore[0]
@@ -471,8 +472,8 @@
 	return Decision{}, false
 }
 
-// may tells whether one more message fits the part for words, and counts it. What waits meanwhile goes
-// together.
+// allowMessage reports whether one more message is within the rate, and counts it. Entries that wait
+// meanwhile are sent together.
 func (l *Lender) allowMessage() bool {
 	rate := l.config.PeerMessagesPerSecond * messageRateShare / 1000
 	if rate <= 0 {
@@ -488,5 +489,5 @@
 	return true
 }
 
-// Busy tells whether anything is open, so that the host has to look again within a period.
+// Busy reports whether the caller has to call Advance and Next again within lookIntervalMillis.
 func (l *Lender) Busy() bool { return len(l.activeSlots)+len(l.pendingEntries) > 0 }
