--- a/internal/borrowing/audit/audit.go
+++ b/internal/borrowing/audit/audit.go
@@ -1,5 +1,5 @@
-// Package audit checks credit from records of what gatekeepers did, after the fact. It keeps accounts of its
-// own from single events, and knows nothing of how a book decides.
+// Package audit checks borrowing after the fact, from the histories of the instances. It keeps accounts of
+// its own from single events, does no I/O, and depends on nothing of package borrowing.
 package audit
 
 import (
@@ -9,50 +9,50 @@
 	"willowdeck/internal/testkit/history"
 )
 
-// Line is a customer's line, in units, and within how many ms a loan is paid back.
+// CreditLine is a customer's credit line, and within how long a loan is to be repaid.
 type CreditLine struct{ Units, RepayMillis float64 }
 
-// Audited is what Check finds.
+// Report is what Check finds. Amounts are in units.
 type Report struct {
-	Violations                       []string // the first ones
+	Violations                       []string // the first maxViolations
 	ViolationCount, Events           int
-	PeakDrawnShare                   float64 // part of its line that a customer had outstanding at once
+	PeakDrawnShare                   float64 // the largest share of its line that a customer owed at once
 	Lent, Repaid, Earned, RepaidLate float64
-	DebtMoved, RightsMoved           float64 // debts and rights that came from another
-	DebtForgotten                    float64 // debts that a life did not know any more
-	LongestTransitMillis             float64 // ms that a debt was on its way, at the longest
+	DebtMoved, RightsMoved           float64 // received from another instance
+	DebtForgotten                    float64 // that an incarnation no longer knew
+	LongestTransitMillis             float64 // ms for which a debt was in transit, at most
 }
 
 const (
-	unitTolerance = 0.01 // units by which sums may be off: each amount is rounded to a thousandth
+	unitTolerance = 0.01 // units by which sums may be off, as each amount is rounded to a thousandth
 	maxViolations = 20
 )
 
-// loan is a part of a debt, and when it was drawn.
+// loan is a part of a debt.
 type loan struct {
 	drawnNanos int64
 	units      float64
-	sentNanos  int64 // of one on its way: when it was handed on
+	sentNanos  int64 // of one in transit: when it was given
 }
 
-// between is one way between two gatekeepers, of one form of a set.
+// direction is from one instance to another, for one digest of the set.
 type direction struct {
 	from, to  string
 	setDigest uint64
 }
 
-// account is a customer's.
+// account is that of a customer, by instance.
 type account struct {
 	rights, presumedDrawn       map[string]float64
 	debt                        map[string][]loan
-	rightsGiven, rightsReceived map[direction]uint64 // rights, in thousandths
-	debtGiven, debtReceived     map[direction]uint64 // and debts
+	rightsGiven, rightsReceived map[direction]uint64 // in thousandths of a unit
+	debtGiven, debtReceived     map[direction]uint64 // in thousandths of a unit
 	inTransit                   map[direction][]loan
-	unknown                     map[direction]bool // who does not know what it holds
-	determining                 string             // who is about to say what it has found out that it holds
-	setDigest                   map[string]uint64  // that each goes by
-	outstanding                 float64            // drawn, and neither paid back nor earned
-	line                        float64            // the largest so far
+	unknown                     map[direction]bool // from: an instance whose rights are unknown
+	determining                 string             // the instance that states next what it has determined
+	setDigest                   map[string]uint64  // of each instance
+	outstanding                 float64            // drawn, and neither repaid nor earned
+	line                        float64            // the largest so far, units
 }
 
 type auditor struct {
@@ -64,19 +64,19 @@
 	graceNanos  map[string]int64
 }
 
-// Check goes over a record. number gives what peers call a gatekeeper, line the line of an event's customer,
-// and slack is the ms by which a repayment may be late; while a gatekeeper was gone or stood still nothing
-// of it is, nor for a time of repayment after it.
+// Check checks a history. instanceOf returns what peers call an instance, line the credit line of an
+// event's customer; slackMillis is by how much a repayment may be late. While an instance was down or
+// stalled nothing of it is late, nor for a time of repayment after that.
 //
-//   - a gatekeeper draws no more than it has a right to, and pays back no more than it owes: each unit once;
-//   - it takes no right, and no debt, that was not handed to it, and each once. Serial counts all that was
-//     ever handed, so that what was lost comes with the next;
-//   - what was drawn and is neither paid back nor earned, what may yet be drawn, and rights on their way come
-//     to no more than the line. Where a line is lowered that holds for the former one until what was drawn by
-//     it is paid;
-//   - each loan is paid back in time, the oldest first, wherever its debt has gone. While that is on its way
-//     nobody can, and the time stands still: Held says for how long at the most;
-//   - who starts again knows all that it owed (Forgotten counts what it does not).
+//   - An instance draws no more than its rights, and repays no more than its debt: each unit once.
+//   - It receives no rights and no debt that were not given to it, and each once. Serial counts all that was
+//     ever given, so that what was lost comes with the next.
+//   - What was drawn and is neither repaid nor earned, what may yet be drawn, and rights in transit come to
+//     no more than the line. Where a line is lowered that holds for the former one until what was drawn by it is
+//     repaid.
+//   - Each loan is repaid in time, the oldest first, wherever its debt has gone. While that is in transit
+//     nobody can repay it and the time stands still; LongestTransitMillis says for how long.
+//   - An incarnation knows all that its predecessor owed; DebtForgotten counts what it does not.
 func Check(record history.Record, line func(history.Event) CreditLine, instanceOf func(who string) string,
 	slackMillis float64) Report {
 	a := &auditor{line: line, instanceOf: instanceOf, slackMillis: slackMillis, accounts: map[uint64]*account{},
@@ -94,36 +94,16 @@
 	return a.Report
 }
 
+// apply applies one event and checks the line.
 func (a *auditor) apply(e history.Event) {
 	a.Events++
-	c := a.accounts[e.Customer]
-	if c == nil {
-		c = &account{
-			rights:         map[string]float64{},
-			presumedDrawn:  map[string]float64{},
-			debt:           map[string][]loan{},
-			rightsGiven:    map[direction]uint64{},
-			rightsReceived: map[direction]uint64{},
-			debtGiven:      map[direction]uint64{},
-			debtReceived:   map[direction]uint64{},
-			inTransit:      map[direction][]loan{},
-			unknown:        map[direction]bool{},
-			setDigest:      map[string]uint64{},
-		}
-		a.accounts[e.Customer] = c
-	}
+	c := a.account(e.Customer)
 	instance := a.instanceOf(e.Who)
 	c.setDigest[instance] = e.Base
 	to, from := direction{instance, e.Peer, e.Base}, direction{e.Peer, instance, e.Base}
 	switch e.Kind {
 	case history.Lends:
-		if c.rights[instance] < e.Units-unitTolerance {
-			a.violation(e, "lends with a right to %.3f", c.rights[instance])
-		}
-		c.rights[instance] -= e.Units
-		c.debt[instance] = append(c.debt[instance], loan{drawnNanos: e.At, units: e.Units})
-		c.outstanding += e.Units
-		a.Lent += e.Units
+		a.applyLent(c, instance, e)
 	case history.Repays:
 		a.applyRepaid(c, instance, e)
 	case history.Hands:
@@ -133,32 +113,52 @@
 	case history.Holds:
 		a.applyHolding(c, instance, to, from, e)
 	}
-	line := a.line(e)
-	c.line = math.Max(c.line, line.Units)
+	a.checkLine(c, e)
+}
+
+// account returns a customer's account, a new one if there is none.
+func (a *auditor) account(customer uint64) *account {
+	c := a.accounts[customer]
+	if c == nil {
+		c = &account{
+			rights:         map[string]float64{},
+			presumedDrawn:  map[string]float64{},
+			debt:           map[string][]loan{},
+			rightsGiven:    map[direction]uint64{},
+			rightsReceived: map[direction]uint64{},
+			debtGiven:      map[direction]uint64{},
+			debtReceived:   map[direction]uint64{},
+			inTransit:      map[direction][]loan{},
+			unknown:        map[direction]bool{},
+			setDigest:      map[string]uint64{},
+		}
+		a.accounts[customer] = c
+	}
+	return c
+}
+
+// checkLine checks that what is outstanding and what may be drawn do not exceed the line.
+func (a *auditor) checkLine(c *account, e history.Event) {
+	c.line = math.Max(c.line, a.line(e).Units)
 	sum := c.outstanding
-	for _, u := range c.rights {
-		sum += math.Max(u, 0)
+	for _, units := range c.rights {
+		sum += math.Max(units, 0)
 	}
-	for b, gave := range c.rightsGiven {
-		// Who does not know what it gave or got will be told; who is of another form takes nothing.
-		if got := c.rightsReceived[b]; gave > got && !c.unknown[direction{b.from, "", b.setDigest}] &&
-			!c.unknown[direction{b.to, "", b.setDigest}] && c.setDigest[b.to] == b.setDigest {
-			sum += float64(gave-got) / 1000
+	for d, given := range c.rightsGiven {
+		// An instance whose counters are unknown will restore them; one with another digest receives nothing.
+		if received := c.rightsReceived[d]; given > received && !c.unknown[direction{d.from, "", d.setDigest}] &&
+			!c.unknown[direction{d.to, "", d.setDigest}] && c.setDigest[d.to] == d.setDigest {
+			sum += float64(given-received) / 1000
 		}
 	}
 	if sum > c.line+unitTolerance*float64(1+len(c.rights)) {
-		a.violation(
-			e,
-			"%.3f is outstanding, and with what may be drawn %.3f, of a line of %.3f",
-			c.outstanding,
-			sum,
-			c.line,
-		)
+		a.violation(e, "%.3f is outstanding, and with what may be drawn %.3f, of a line of %.3f", c.outstanding,
+			sum, c.line)
 	}
 	if c.line > 0 {
 		owed := 0.0
-		for _, all := range c.debt {
-			for _, o := range all {
+		for _, loans := range c.debt {
+			for _, o := range loans {
 				owed += o.units
 			}
 		}
@@ -166,6 +166,18 @@
 	}
 }
 
+// applyLent applies a loan.
+func (a *auditor) applyLent(c *account, instance string, e history.Event) {
+	if c.rights[instance] < e.Units-unitTolerance {
+		a.violation(e, "lends with a right to %.3f", c.rights[instance])
+	}
+	c.rights[instance] -= e.Units
+	c.debt[instance] = append(c.debt[instance], loan{drawnNanos: e.At, units: e.Units})
+	c.outstanding += e.Units
+	a.Lent += e.Units
+}
+
+// applyRepaid applies a repayment, or what was earned or undone.
 func (a *auditor) applyRepaid(c *account, instance string, e history.Event) {
 	switch e.Says {
 	case "earned":
@@ -184,7 +196,7 @@
 	c.outstanding -= e.Units
 }
 
-// pay takes units off what is owed: the oldest first, or, of a loan that was not used, the newest.
+// repay reduces the debt: the oldest loan first, or, of a loan that was not used, the newest.
 func (a *auditor) repay(c *account, instance string, e history.Event, oldest bool) {
 	left := e.Units
 	for left > unitTolerance/10 && len(c.debt[instance]) > 0 {
@@ -209,6 +221,7 @@
 	}
 }
 
+// applyGiven applies rights or debt given to another instance.
 func (a *auditor) applyGiven(c *account, instance string, to direction, e history.Event) {
 	if e.Says != "debt" {
 		if c.rights[instance] < e.Units-unitTolerance {
@@ -224,8 +237,8 @@
 	}
 }
 
-// move has debts be on their way, the newest first: the others are due earlier. What the giver had time for
-// from a moment on whoever takes it has as well. It gives what there was not.
+// startTransit puts debts in transit, the newest first, as the others are due earlier. A giver's grace
+// holds for the receiver too. It returns how much of the amount was not owed.
 func (c *account) startTransit(instance string, to direction, e history.Event, graceNanos int64) float64 {
 	left := e.Units
 	for left > unitTolerance/10 && len(c.debt[instance]) > 0 {
@@ -241,8 +254,8 @@
 	return left
 }
 
-// arrive has debts that were on their way be owed. It gives what there was not, and ns for which what there
-// was had been on its way.
+// endTransit makes debts in transit owed by the receiver. It returns how much of the amount was not in
+// transit, and the ns for which the rest was.
 func (c *account) endTransit(
 	instance string,
 	from direction,
@@ -264,6 +277,7 @@
 	return left, transitNanos
 }
 
+// applyReceived applies rights or debt received from another instance.
 func (a *auditor) applyReceived(c *account, instance string, from direction, e history.Event) {
 	if e.Says != "debt" {
 		a.checkReceived(e, "right", from, c.rightsReceived, c.rightsGiven)
@@ -275,12 +289,12 @@
 	a.DebtMoved += e.Units
 	left, transitNanos := c.endTransit(instance, from, e.At, e.Units)
 	a.LongestTransitMillis = math.Max(a.LongestTransitMillis, float64(transitNanos)/1e6)
-	if left > 0 { // of one that has lost its book
+	if left > 0 { // from an instance that has lost its ledger
 		c.addLoan(instance, loan{drawnNanos: e.At, units: left})
 	}
 }
 
-// comes books that what was handed on has been taken, once and no more of it than was.
+// checkReceived checks that what was given is received once, and no more than was given.
 func (a *auditor) checkReceived(
 	e history.Event,
 	what string,
@@ -297,7 +311,7 @@
 	received[from] = e.Serial
 }
 
-// owe adds a loan by its time.
+// addLoan inserts a loan by the time at which it was drawn.
 func (c *account) addLoan(instance string, added loan) {
 	all := append(c.debt[instance], added)
 	for i := len(all) - 1; i > 0 && all[i].drawnNanos < all[i-1].drawnNanos; i-- {
@@ -306,28 +320,15 @@
 	c.debt[instance] = all
 }
 
-// holds takes what a gatekeeper says that it holds: as it starts, or as it finds out.
+// applyHolding applies what an instance states that it holds: as it starts, or as it has determined it.
 func (a *auditor) applyHolding(c *account, instance string, to, from direction, e history.Event) {
 	switch e.Says {
 	case "":
 		c.rights[instance], c.unknown[direction{instance, "", e.Base}], c.determining = e.Units, false, ""
 	case "none":
-		if e.Serial > 0 && c.unknown[direction{instance, "", e.Base}] { // what it finds out now is not what it had
-			c.presumedDrawn[instance], c.determining = 0, instance
-			for b := range c.rightsGiven {
-				if b.from == instance && b.setDigest == e.Base {
-					c.rightsGiven[b], c.debtGiven[b] = 0, 0
-				}
-			}
-			for b := range c.rightsReceived {
-				if b.to == instance && b.setDigest == e.Base {
-					c.rightsReceived[b], c.debtReceived[b] = 0, 0
-				}
-			}
-		}
-		c.rights[instance], c.unknown[direction{instance, "", e.Base}] = 0, true
+		c.forgetRights(instance, e)
 	case "earn":
-		// A payment that was not kept is made again.
+		// A payment that was not stored is made again.
 		if more := e.Units - c.presumedDrawn[instance]; more > unitTolerance && c.presumedDrawn[instance] > 0 {
 			c.outstanding += more
 		}
@@ -336,19 +337,9 @@
 		c.rightsGiven[to] = e.Serial
 	case "got":
 		c.rightsReceived[from] = e.Serial
-	case "gave debt": // of what was not kept nothing was said: it is owed here
-		for back := float64(c.debtGiven[to]) - float64(e.Serial); back > 0 && len(c.inTransit[to]) > 0; {
-			last := len(c.inTransit[to]) - 1
-			o := &c.inTransit[to][last]
-			part := math.Min(back, o.units*1000)
-			c.addLoan(instance, loan{drawnNanos: o.drawnNanos, units: part / 1000})
-			back -= part
-			if o.units -= part / 1000; o.units <= unitTolerance/10 {
-				c.inTransit[to] = c.inTransit[to][:last]
-			}
-		}
-		c.debtGiven[to] = e.Serial
-	case "got debt": // what was kept and not noted; what came while it did not know what it holds is earned
+	case "gave debt":
+		c.restoreDebt(instance, to, e)
+	case "got debt": // stored and not recorded; what came while the rights were unknown is earned
 		if c.determining == instance {
 			delete(c.inTransit, from)
 		} else if e.Serial > c.debtReceived[from] {
@@ -356,24 +347,64 @@
 		}
 		c.debtReceived[from] = e.Serial
 	case "owed":
-		sum := 0.0
-		for _, o := range c.debt[instance] {
-			sum += o.units
+		a.applyDebt(c, instance, e)
+	}
+}
+
+// forgetRights notes that an instance's rights are unknown. With a Serial it states next what it has
+// determined, which need not be what it had.
+func (c *account) forgetRights(instance string, e history.Event) {
+	if e.Serial > 0 && c.unknown[direction{instance, "", e.Base}] {
+		c.presumedDrawn[instance], c.determining = 0, instance
+		for d := range c.rightsGiven {
+			if d.from == instance && d.setDigest == e.Base {
+				c.rightsGiven[d], c.debtGiven[d] = 0, 0
+			}
 		}
-		switch {
-		case e.Units > sum: // a loan that was kept and not used, or a payment that was not kept
-			c.outstanding += e.Units - sum
-			c.addLoan(instance, loan{drawnNanos: e.At, units: e.Units - sum})
-		case e.Units < sum-5*unitTolerance:
-			a.DebtForgotten += sum - e.Units
-			c.debt[instance] = nil
-			if e.Units > 0 {
-				c.debt[instance] = []loan{{drawnNanos: e.At, units: e.Units}}
+		for d := range c.rightsReceived {
+			if d.to == instance && d.setDigest == e.Base {
+				c.rightsReceived[d], c.debtReceived[d] = 0, 0
 			}
 		}
 	}
+	c.rights[instance], c.unknown[direction{instance, "", e.Base}] = 0, true
+}
+
+// restoreDebt returns debts to their giver whose transfer was not stored, and so was never sent.
+func (c *account) restoreDebt(instance string, to direction, e history.Event) {
+	for back := float64(c.debtGiven[to]) - float64(e.Serial); back > 0 && len(c.inTransit[to]) > 0; {
+		last := len(c.inTransit[to]) - 1
+		o := &c.inTransit[to][last]
+		part := math.Min(back, o.units*1000)
+		c.addLoan(instance, loan{drawnNanos: o.drawnNanos, units: part / 1000})
+		back -= part
+		if o.units -= part / 1000; o.units <= unitTolerance/10 {
+			c.inTransit[to] = c.inTransit[to][:last]
+		}
+	}
+	c.debtGiven[to] = e.Serial
+}
+
+// applyDebt applies what an instance states that it owes.
+func (a *auditor) applyDebt(c *account, instance string, e history.Event) {
+	sum := 0.0
+	for _, o := range c.debt[instance] {
+		sum += o.units
+	}
+	switch {
+	case e.Units > sum: // a loan that was stored and not used, or a payment that was not stored
+		c.outstanding += e.Units - sum
+		c.addLoan(instance, loan{drawnNanos: e.At, units: e.Units - sum})
+	case e.Units < sum-5*unitTolerance:
+		a.DebtForgotten += sum - e.Units
+		c.debt[instance] = nil
+		if e.Units > 0 {
+			c.debt[instance] = []loan{{drawnNanos: e.At, units: e.Units}}
+		}
+	}
 }
 
+// violation notes that an event breaks a rule.
 func (a *auditor) violation(e history.Event, format string, args ...any) {
 	if a.ViolationCount++; len(a.Violations) < maxViolations {
 		a.Violations = append(a.Violations, e.String()+": "+fmt.Sprintf(format, args...))
--- a/internal/borrowing/exchange.go
+++ b/internal/borrowing/exchange.go
@@ -16,34 +16,43 @@
 	}
 }
 
-// receiveEntry takes one entry.
-func (l *Lender) receiveEntry(from int, e *Entry) {
+// acceptEntry returns the slot of an entry's customer and the bit of the peer's place in the set. It returns false
+// for an entry that is invalid, of another set or line, or without a slot.
+func (l *Lender) acceptEntry(from int, e *Entry) (slot int32, bit uint64, ok bool) {
 	plan, first, setSize := int(e.Plan), int(e.First), int(e.SetSize)
 	if from == l.config.Instance || plan >= len(l.lineParts) || l.lineParts[plan] <= 0 || setSize < 2 ||
-		setSize > maxSetSize ||
-		setSize > l.config.Instances ||
-		first >= l.config.Instances {
+		setSize > maxSetSize || setSize > l.config.Instances || first >= l.config.Instances {
 		l.totals.RejectedEntries++
-		return
+		return 0, 0, false
 	}
 	digest, peerPlace := l.setDigest(plan, first, setSize), l.placeInSet(first, setSize, from)
 	if uint16(digest) != e.SetDigest || peerPlace == maxSetSize ||
 		l.placeInSet(first, setSize, l.config.Instance) == maxSetSize {
 		l.totals.RejectedEntries++
-		return
+		return 0, 0, false
 	}
-	slot := l.findSlot(e.Customer, plan, first, setSize)
+	slot = l.findSlot(e.Customer, plan, first, setSize)
 	if slot < 0 {
-		return
+		return 0, 0, false
 	}
 	a := &l.accounts[slot]
 	if a.SetDigest != digest {
 		if l.nowMillis-a.lastLoanMillis < localSetPrecedenceMillis { // local loans say otherwise
 			l.totals.RejectedEntries++
-			return
+			return 0, 0, false
 		}
 		l.changeSet(slot, plan, first, setSize, digest)
 	}
+	return slot, uint64(1) << peerPlace, true
+}
+
+// receiveEntry takes one entry.
+func (l *Lender) receiveEntry(from int, e *Entry) {
+	slot, bit, ok := l.acceptEntry(from, e)
+	if !ok {
+		return
+	}
+	a := &l.accounts[slot]
 	p, nothingExchanged := l.pairWith(a, from), e.RightsGiven|e.DebtGiven|e.RightsReceived|e.DebtReceived == 0
 	if p == nil && !nothingExchanged { // there is no free pair: the peer will send it again
 		return
@@ -51,7 +60,6 @@
 	if p != nil && (!nothingExchanged || e.IsQuery || e.FillPerSecond > 0 || e.SpareUnits > 0) {
 		p.assign(from)
 	}
-	bit := uint64(1) << peerPlace
 	if a.Known && p != nil && p.Used && (e.RightsReceived > p.RightsGiven || e.DebtReceived > p.DebtGiven) {
 		// Guards against a record older than what was sent, as one restored from a backup.
 		l.totals.AccountsReset++
@@ -66,12 +74,9 @@
 	switch {
 	case a.Known:
 		changed = l.applyTransfers(slot, p, e)
-	case !nothingExchanged && (a.answeredPlaces&bit != 0 || e.IsReply && e.Echo == a.nonce): // nothing from before the query
-		changed = e.RightsReceived > p.RightsGiven || e.DebtReceived > p.DebtGiven ||
-			e.RightsGiven > p.RightsReceived ||
-			e.DebtGiven > p.DebtReceived
-		p.RightsGiven, p.DebtGiven = max(p.RightsGiven, e.RightsReceived), max(p.DebtGiven, e.DebtReceived)
-		p.RightsReceived, p.DebtReceived = max(p.RightsReceived, e.RightsGiven), max(p.DebtReceived, e.DebtGiven)
+	case nothingExchanged:
+	case a.answeredPlaces&bit != 0 || e.IsReply && e.Echo == a.nonce: // nothing from before the query
+		changed = p.restore(e)
 	}
 	if p != nil && p.Used {
 		p.rightsAcked, p.debtAcked = max(p.rightsAcked, e.RightsReceived), max(p.debtAcked, e.DebtReceived)
@@ -83,26 +88,47 @@
 		l.queueEntry(slot, from)
 	}
 	if !a.Known && e.IsReply && e.Echo == a.nonce {
-		if a.answeredPlaces |= bit; e.NoPriorDebt {
-			a.noPriorDebtPlaces |= bit
-		} else {
-			a.noPriorDebtPlaces &^= bit
-		}
+		a.recordReply(bit, e.NoPriorDebt)
 		l.determineRights(slot)
 	}
 	if e.IsQuery {
-		a.replyPlaces, a.echo = bit, e.Nonce     // one query at a time: others are sent again
-		if l.totals.QueriesReceived++; e.Known { // the peer asks for rights or for the fill here
-			a.lastQueriedMillis = l.nowMillis
-		}
-		l.queueEntry(slot, from)
-		l.activate(slot) // for the next reply to state the fill here
+		l.receiveQuery(slot, from, bit, e)
+	}
+}
+
+// recordReply notes that the peer at a place has answered this instance's query.
+func (a *account) recordReply(bit uint64, noPriorDebt bool) {
+	if a.answeredPlaces |= bit; noPriorDebt {
+		a.noPriorDebtPlaces |= bit
+	} else {
+		a.noPriorDebtPlaces &^= bit
+	}
+}
+
+// receiveQuery has a query replied to, and gives the peer rights if it requests some. That is not done with
+// every entry, lest rights go back and forth. bit is the peer's place.
+func (l *Lender) receiveQuery(slot int32, from int, bit uint64, e *Entry) {
+	a := &l.accounts[slot]
+	a.replyPlaces, a.echo = bit, e.Nonce     // one query at a time: others are sent again
+	if l.totals.QueriesReceived++; e.Known { // the peer asks for rights or for the fill here
+		a.lastQueriedMillis = l.nowMillis
 	}
-	if e.IsQuery && e.WantedParts > 0 && e.Known && a.Known { // not with every entry, lest rights go back and forth
+	l.queueEntry(slot, from)
+	l.activate(slot) // for the next reply to state the fill here
+	if e.WantedParts > 0 && e.Known && a.Known {
 		l.giveRights(slot, from, int64(min(e.WantedParts, math.MaxInt32)))
 	}
 }
 
+// restore raises the counters to what the peer has of them, and reports whether one was raised.
+func (p *Pair) restore(e *Entry) (changed bool) {
+	changed = e.RightsReceived > p.RightsGiven || e.DebtReceived > p.DebtGiven ||
+		e.RightsGiven > p.RightsReceived || e.DebtGiven > p.DebtReceived
+	p.RightsGiven, p.DebtGiven = max(p.RightsGiven, e.RightsReceived), max(p.DebtGiven, e.DebtReceived)
+	p.RightsReceived, p.DebtReceived = max(p.RightsReceived, e.RightsGiven), max(p.DebtReceived, e.DebtGiven)
+	return changed
+}
+
 // applyTransfers takes what a peer has given since its last entry, and reports whether there was anything.
 func (l *Lender) applyTransfers(slot int32, p *Pair, e *Entry) (changed bool) {
 	a := &l.accounts[slot]
@@ -177,7 +203,8 @@
 	}
 	var best *Pair
 	for i := range a.Pairs {
-		if p := &a.Pairs[i]; p.Used && p.rightsKnown && l.nowMillis-p.heardMillis < fillTTLMillis && p.fillPerMilli > a.fillPerMilli &&
+		if p := &a.Pairs[i]; p.Used && p.rightsKnown && l.nowMillis-p.heardMillis < fillTTLMillis &&
+			p.fillPerMilli > a.fillPerMilli &&
 			p.RightsGiven <= p.rightsAcked &&
 			p.DebtGiven <= p.debtAcked &&
 			(best == nil || p.fillPerMilli > best.fillPerMilli) {
@@ -309,14 +336,15 @@
 	if a.lastCollectedMillis > 0 && l.nowMillis-a.lastCollectedMillis < fillTTLMillis {
 		e.FillPerSecond = a.fillPerMilli * 1000
 	}
-	if a.Known && a.Rights > 0 && !(l.wantsRights(a) && a.Rights < a.wantedParts) {
+	if a.Known && a.Rights > 0 && (!l.wantsRights(a) || a.Rights >= a.wantedParts) {
 		e.SpareUnits = float64(a.Rights) / partsPerUnit
 	}
 	if l.wantsRights(a) && a.Known && a.Rights < a.wantedParts {
 		e.WantedParts = uint64(a.wantedParts)
 	}
 	if p := l.pairWith(a, to); p != nil && p.Used {
-		e.RightsGiven, e.DebtGiven, e.RightsReceived, e.DebtReceived = p.RightsGiven, p.DebtGiven, p.RightsReceived, p.DebtReceived
+		e.RightsGiven, e.DebtGiven = p.RightsGiven, p.DebtGiven
+		e.RightsReceived, e.DebtReceived = p.RightsReceived, p.DebtReceived
 		if p.DebtGiven > 0 {
 			e.DebtTimeLeft = math.Min(math.Max((p.DueMillis-l.nowMillis)/l.config.Plans[a.Plan].RepayMillis, 0), 1)
 		}
--- a/internal/borrowing/ledger/ledger.go
+++ b/internal/borrowing/ledger/ledger.go
@@ -1,6 +1,3 @@
-// Package ledger keeps a gatekeeper's records of credit over a sudden end: a file that is mapped into memory,
-// as a residue is. What has been stored there outlives the process however it ends; it does not outlive the
-// machine, and counts as none after that.
 package ledger
 
 import (
@@ -22,44 +19,44 @@
 
 const (
 	formatVersion = 1
-	maxPeers      = 1 << 10          // whose last word is kept
+	maxPeers      = 1 << 10          // whose last message is stored
 	headerBytes   = 256 + 8*maxPeers // bytes
-	slotBytes     = 1024             // bytes of one customer: which copy holds, and two copies
+	slotBytes     = 1024             // of one customer: which copy is valid, and two copies
 	copyOffset    = 16
 	copyBytes     = 504
 	fileBytes     = headerBytes + borrowing.MaxAccounts*slotBytes
 
-	// the header's fields, by their place
+	// offsets of the header's fields
 	offsetMagic     = 0
 	offsetInstance  = 8
 	offsetBorn      = 16
-	offsetUsedSlots = 24 // places that were ever stored to
-	offsetBoot      = 32 // of the machine's start; 64 bytes
+	offsetUsedSlots = 24 // slots that were ever stored to
+	offsetBoot      = 32 // boot id; 64 bytes
 	offsetBootEnd   = 96
 	offsetLastHeard = 256
 )
 
 var magic = binary.LittleEndian.Uint64([]byte("wdcred0" + string(rune('0'+formatVersion))))
 
-// File is a book as it is kept. It is not safe for concurrent use.
+// Ledger is the open file. Not safe for concurrent use.
 type Ledger struct {
 	data         []byte
 	lockFile     *os.File
 	openedMillis float64
 	opened       time.Time
-	BornMillis   float64        // since when what is not in it surely was not, ms of Now
-	Corrupt      int            // records that could not be read
-	Records      []StoredRecord // what a former life has left
+	BornMillis   float64        // since then a customer without a record had no debt, ms of NowMillis
+	Corrupt      int            // records that were lost, as their checksum was wrong
+	Records      []StoredRecord // of earlier incarnations, as found by Open
 }
 
-// Kept is a record and its place.
+// StoredRecord is a record and its slot.
 type StoredRecord struct {
 	Slot   int
 	Record borrowing.Record
 }
 
-// Open opens the book of gatekeeper me, with what its former life has left. What is of another version,
-// gatekeeper or start of the machine is as nothing.
+// Open opens an instance's ledger, with the records of its earlier incarnations. A file of another version,
+// instance or boot of the machine is initialized.
 func Open(path string, instance int) (*Ledger, error) {
 	bootID, uptimeMillis, err := crashstate.ReadBoot()
 	if err != nil {
@@ -77,12 +74,13 @@
 	return l, nil
 }
 
-// Now is the book's time, ms: it goes on over lives, however the system's clock is set.
+// NowMillis returns the time since the machine's boot, in ms: it goes on over incarnations, however the
+// system's clock is set.
 func (l *Ledger) NowMillis() float64 {
 	return l.openedMillis + float64(time.Since(l.opened))/float64(time.Millisecond)
 }
 
-// fresh begins a book in which nobody is known. The mark that makes it valid is written last.
+// initialize empties the ledger. The magic number that makes it valid is written last.
 func (l *Ledger) initialize(instance int, bootID []byte) {
 	l.writeUint64(offsetMagic, 0)
 	for i := range min(int(l.readUint64(offsetUsedSlots)), borrowing.MaxAccounts) {
@@ -96,8 +94,8 @@
 	l.writeUint64(offsetMagic, magic)
 }
 
-// read takes what is there. A record that is spoilt is lost, and with it the knowledge that who is not in the
-// book owes nothing.
+// load reads the records. A corrupt one is lost, and with it the knowledge that a customer without a record
+// owes nothing.
 func (l *Ledger) load() bool {
 	l.BornMillis = math.Float64frombits(l.readUint64(offsetBorn))
 	used := l.readUint64(offsetUsedSlots)
@@ -130,8 +128,8 @@
 	return l.data[offset : offset+copyBytes]
 }
 
-// Keep stores a record. It has to return before what the record tells is acted on. Guards against an end in
-// the middle of it: the copy that holds is written to by none.
+// Store stores a record. It has to return before anything is done on the strength of the record. Guards
+// against a crash in the middle of it: the valid copy is not written to.
 func (l *Ledger) Store(slot int, record *borrowing.Record) {
 	offset := headerBytes + slot*slotBytes
 	next := uint64(1)
@@ -145,8 +143,9 @@
 	}
 }
 
-// Hear notes a peer's word, and tells whether it is news. Guards against a word from before a peer forgot
-// what it had said, that comes late to a life which has never heard that peer.
+// AcceptMessage stores the id of a peer's message, and reports whether it is newer than the last. Guards
+// against a message from before the peer lost its counters, that comes late to an incarnation which never
+// heard that peer.
 func (l *Ledger) AcceptMessage(from int, id incarnation.MessageID) bool {
 	if from < 0 || from >= maxPeers {
 		return false
@@ -163,7 +162,7 @@
 	return true
 }
 
-// Close lets the file go. What is in it stays.
+// Close unmaps and unlocks the file. Its content stays.
 func (l *Ledger) Close() {
 	_ = syscall.Munmap(l.data)
 	_ = l.lockFile.Close()
@@ -173,7 +172,7 @@
 func (l *Ledger) readUint64(at int) uint64     { return atomic.LoadUint64(l.uint64At(at)) }
 func (l *Ledger) writeUint64(at int, v uint64) { atomic.StoreUint64(l.uint64At(at), v) }
 
-// cursor goes over a copy, eight bytes at a time.
+// fieldCursor goes over a copy, eight bytes at a time.
 type fieldCursor struct {
 	data   []byte
 	offset int
@@ -198,7 +197,7 @@
 	return v
 }
 
-// encode writes a record, and a sum over it last.
+// encode writes a record with its checksum last.
 func encode(b []byte, r *borrowing.Record) {
 	c := fieldCursor{data: b}
 	c.put(uint64(r.Customer) | uint64(r.SetDigest)<<32)
@@ -223,7 +222,7 @@
 	c.put(uint64(crc32.ChecksumIEEE(b[:c.offset])))
 }
 
-// decode reads one; false is one that is spoilt.
+// decode reads a record; ok is false where it is corrupt.
 func decode(b []byte) (r borrowing.Record, ok bool) {
 	c := fieldCursor{data: b}
 	v := c.get()
--- a/internal/borrowing/lender.go
+++ b/internal/borrowing/lender.go
@@ -337,7 +337,8 @@
 func (a *account) reset(nonce uint16) {
 	a.Known, a.Rights, a.PresumedDrawn = false, 0, 0
 	clear(a.Pairs[:])
-	a.answeredPlaces, a.noPriorDebtPlaces, a.nonce, a.queryPlaces, a.replyPlaces, a.lastRequestMillis = 0, 0, nonce, 0, 0, 0
+	a.answeredPlaces, a.noPriorDebtPlaces, a.queryPlaces, a.replyPlaces = 0, 0, 0, 0
+	a.nonce, a.lastRequestMillis = nonce, 0
 }
 
 // determineRights computes this instance's rights once all of the set have answered. What is not known to
--- a/internal/borrowing/lender_test.go
+++ b/internal/borrowing/lender_test.go
@@ -14,8 +14,8 @@
 
 var longRun = flag.Duration("long", 0, "how long random runs go on")
 
-// fleet is some books, what is between them, and what they keep. Its own reckoning is of what was used and
-// paid alone.
+// cluster is some lenders, the messages between them, and what they store. Its own accounts are of what was
+// used and paid alone.
 type cluster struct {
 	rng       *rand.Rand
 	nowMillis float64
@@ -24,17 +24,17 @@
 	inFlight  []message
 	plantedFault
 	used, paid, earned, undone float64
-	lineUnits                  float64                          // the largest that was in force
-	peakUnits                  float64                          // that the books held at once
-	pays                       func(i int) (part, fill float64) // of what is needed; random where it is nil
+	lineUnits                  float64                          // the largest line that was in force
+	peakUnits                  float64                          // that the lenders held at once
+	pays                       func(i int) (part, fill float64) // share of what is needed; random where nil
 	set                        [2]int
-	killedUnused               float64 // drawn by what was killed before it could use it
-	totals                     Figures // of lives that have ended
+	killedUnused               float64 // drawn by an incarnation that was killed before it could use it
+	totals                     Figures // of earlier incarnations
 	record                     history.Record
-	unreachable                map[int]bool // pump has no letter come to
+	unreachable                map[int]bool // instances that receive nothing
 }
 
-// break_ says what is planted: a book's rule broken by its host, or that disks last.
+// plantedFault says which rule the caller of a lender breaks, or that disks survive.
 type plantedFault struct{ sendBeforeStore, useBeforeStore, applyTwice, disksSurvive bool }
 
 type node struct {
@@ -74,7 +74,7 @@
 	return c
 }
 
-// start begins a life from what was kept.
+// start begins an incarnation from what was stored.
 func (c *cluster) start(i int) {
 	k := c.nodes[i]
 	if k.lender != nil {
@@ -107,11 +107,11 @@
 	sum.DebtGiven += f.DebtGiven
 }
 
-// drain carries out what a book decides. It is killed after so many decisions; below nought never.
+// drain executes a lender's decisions. It is killed after so many of them; never where that is negative.
 func (c *cluster) drain(i, kill int) (alive bool) {
 	k := c.nodes[i]
 	var later []Decision
-	var paid, earned float64 // since a record was last kept: a payment that is not kept is made again
+	var paid, earned float64 // since a record was last stored: a payment that is not stored is made again
 	for {
 		d, ok := k.lender.Next()
 		if !ok {
@@ -209,7 +209,7 @@
 	}
 }
 
-// lend asks for a loan at a gatekeeper; it is used once all that follows has been kept.
+// lend requests a loan at an instance; it is used once all that follows has been stored.
 func (c *cluster) lend(i, first, n, kill int, units float64) LoanResult {
 	k := c.nodes[i]
 	k.lender.Advance(c.nowMillis)
@@ -230,12 +230,13 @@
 	return result
 }
 
-// deliver has a letter come, as far as it is news by the word that it bears.
+// deliver delivers a message, unless its id is old.
 func (c *cluster) deliver(l message, kill int) {
 	k := c.nodes[l.to]
 	last, known := k.lastHeard[l.from]
 	if known && !c.applyTwice &&
-		(l.id.incarnation < last.incarnation || l.id.incarnation == last.incarnation && l.id.sequence <= last.sequence) {
+		(l.id.incarnation < last.incarnation ||
+			l.id.incarnation == last.incarnation && l.id.sequence <= last.sequence) {
 		return
 	}
 	k.lastHeard[l.from] = l.id
@@ -253,7 +254,7 @@
 	}
 }
 
-// check holds the books against the line.
+// check checks the lenders against the line.
 func (c *cluster) check() error {
 	rights := 0.0
 	for i, k := range c.nodes {
@@ -273,7 +274,7 @@
 	return nil
 }
 
-// step does one random thing, and says what.
+// step does one random step, and describes it.
 func (c *cluster) step(sets [][2]int) string {
 	i := c.rng.Intn(len(c.nodes))
 	if c.rng.Intn(80) == 0 || c.set[1] == 0 {
@@ -299,7 +300,7 @@
 		case 0: // it is lost
 			c.inFlight = append(c.inFlight[:at], c.inFlight[at+1:]...)
 			return fmt.Sprint("lost ", l)
-		case 1: // it comes, and will again
+		case 1: // it is delivered, and will be again
 		default:
 			c.inFlight = append(c.inFlight[:at], c.inFlight[at+1:]...)
 		}
@@ -321,7 +322,7 @@
 	return fmt.Sprint("look ", i, kill)
 }
 
-// explore runs random steps, and gives the first that breaks a check.
+// explore runs random steps, and returns the first violation.
 func explore(seed int64, fault plantedFault, n, steps int, sets [][2]int) (*cluster, error) {
 	c := newCluster(seed, n, Plan{LineUnits: 12, RepayMillis: 20000}, seed%2 == 0)
 	c.plantedFault = fault
@@ -342,7 +343,7 @@
 	return c, nil
 }
 
-// audited checks the record of a run, where the times of repayment are not kept to.
+// audit checks the history of a run, in which the times of repayment are not kept.
 func (c *cluster) audit() audit.Report {
 	return audit.Check(
 		c.record,
@@ -352,9 +353,9 @@
 	)
 }
 
-// What may be drawn and what was drawn and is not paid back never come to more than the line, whatever is
-// lost, doubled, late, out of turn, killed between any two decisions, or changed in the set. Each planted
-// break is found.
+// What may be drawn and what was drawn and is not repaid never exceed the line, whatever is lost,
+// duplicated, late, out of order, killed between any two decisions, or changed in the set. Each planted
+// fault is found.
 func TestNeverBeyondLine(t *testing.T) {
 	sets := map[string][][2]int{"one set": {{0, 2}}, "three": {{0, 3}}, "set changes": {{0, 2}, {0, 3}, {1, 2}}}
 	for name, s := range sets {
@@ -387,10 +388,12 @@
 			t.Errorf("%s: %v of the line at most, %+v: the runs test nothing", name, most, sum)
 		}
 	}
-	for name, b := range map[string]plantedFault{"lowered after it is said": {sendBeforeStore: true, disksSurvive: true},
-		"used before it is kept": {useBeforeStore: true, disksSurvive: true}, "believed twice": {applyTwice: true, disksSurvive: true}} {
+	for name, b := range map[string]plantedFault{
+		"sent before it is stored": {sendBeforeStore: true, disksSurvive: true},
+		"used before it is stored": {useBeforeStore: true, disksSurvive: true},
+		"applied twice":            {applyTwice: true, disksSurvive: true}} {
 		found, audits := false, false
-		for seed := int64(0); seed < 300 && !(found && audits); seed++ {
+		for seed := int64(0); seed < 300 && (!found || !audits); seed++ {
 			f, err := explore(seed, b, 2, 600, sets["one set"])
 			a := f.audit()
 			found, audits = found || err != nil, audits || a.ViolationCount > 0 || a.DebtForgotten > 0
@@ -401,8 +404,8 @@
 	}
 }
 
-// pump carries on until a time, every letter delivered at once, with the need of each debt paid where pays
-// says so. It gives the letters and entries that went.
+// run runs the cluster for a time, with every message delivered at once and the need of each debt paid as
+// pays says. It returns the number of messages.
 func (c *cluster) run(ms float64, pays func(i int) (part float64, fill float64)) (messages int) {
 	c.pays = pays
 	for end := c.nowMillis + ms; c.nowMillis < end; c.nowMillis += lookIntervalMillis {
@@ -433,8 +436,8 @@
 	return units
 }
 
-// A set that has never had a debt has its line at once; one that may have had one earns it first from fill
-// that is left over.
+// A set that has never had a debt has its line at once; one that may have had one earns it first from
+// unused fill.
 func TestInitialRights(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -456,7 +459,7 @@
 	}
 }
 
-// Rights go where they are asked for, debts are paid in time, and rights come back where that is done.
+// Rights go where they are requested, debts are repaid in time, and rights return where that is done.
 func TestBorrowAndRepay(t *testing.T) {
 	f := newCluster(1, 3, Plan{LineUnits: 12, RepayMillis: 20000}, true)
 	f.lend(0, 0, 3, -1, unit)
@@ -477,7 +480,7 @@
 	}
 }
 
-// A debt whose customer is credited elsewhere now is paid there, in time, each unit once.
+// A debt whose customer has its fill elsewhere is repaid there, in time, each unit once.
 func TestDebtTransferred(t *testing.T) {
 	f := newCluster(1, 2, Plan{LineUnits: 12, RepayMillis: 20000}, true)
 	f.lend(0, 0, 2, -1, unit)
@@ -491,9 +494,8 @@
 	}
 }
 
-// A peer that is heard and does not hear is handed no debt after one that it has not acknowledged: guards
-// against a link that carries one way alone, over which a whole debt would go and be late by as long as that
-// lasts.
+// A peer is given no debt after one that it has not acknowledged. Guards against a link that carries one
+// way only, over which a whole debt would be late by as long as that lasts.
 func TestDebtStaysWithoutAcknowledgement(t *testing.T) {
 	f := newCluster(1, 2, Plan{LineUnits: 12, RepayMillis: 20000}, true)
 	f.lend(0, 0, 2, -1, unit)
@@ -522,7 +524,7 @@
 	}
 }
 
-// A line lowered under what is owed lends nothing until that is under it, and what is owed is paid back.
+// A line lowered below the debt lends nothing until that is below it, and the debt is repaid.
 func TestLineLowered(t *testing.T) {
 	f := newCluster(1, 2, Plan{LineUnits: 12, RepayMillis: 20000}, true)
 	f.lend(0, 0, 2, -1, unit)
@@ -547,7 +549,7 @@
 	}
 }
 
-// A book brought back from an old copy, which has rights that it gave away, finds out and draws on none of
+// A lender restored from an old record, with rights that it has given away, detects that and draws none of
 // them.
 func TestRestoredOldRecord(t *testing.T) {
 	f := newCluster(1, 2, Plan{LineUnits: 12, RepayMillis: 20000}, true)
@@ -570,7 +572,7 @@
 	}
 }
 
-// Customers by the ten thousand: who finds no place gets no credit, places that are as new are used again.
+// Beyond MaxAccounts customers get no credit, and slots of pristine accounts are used again.
 func TestAccountLimit(t *testing.T) {
 	b := New(Config{Instances: 1, Plans: []Plan{{LineUnits: 12, RepayMillis: 20000}}}, 1, 0)
 	b.Advance(1e6)
@@ -599,7 +601,7 @@
 	}
 }
 
-// A customer that has its line, as the ordinary loan goes: nothing is allocated.
+// BenchmarkLend is the ordinary loan; it allocates nothing.
 func BenchmarkLend(b *testing.B) {
 	k := New(Config{Instances: 1, Plans: []Plan{{LineUnits: 1e6, RepayMillis: 20000}}}, 1, 0)
 	k.Advance(1e6)
--- a/internal/borrowing/rig/rig_test.go
+++ b/internal/borrowing/rig/rig_test.go
@@ -84,6 +84,7 @@
 }
 
 func start(t *testing.T, n int, creditS float64, seed int64) *fleet {
+	t.Helper()
 	return startWith(t, n, creditS, seed, 1)
 }
 
--- a/internal/borrowing/types.go
+++ b/internal/borrowing/types.go
@@ -80,7 +80,7 @@
 	RightsGiven, DebtGiven, RightsReceived, DebtReceived uint64
 	DueMillis                                            float64
 	rightsAcked, debtAcked                               uint64
-	fillPerMilli                                         float64 // the peer's fill, units per ms, as it last stated
+	fillPerMilli                                         float64 // the peer's fill as it last stated
 	spareParts                                           float64 // rights that it could give
 	rightsKnown                                          bool    // the peer knows its rights
 	heardMillis, sentMillis                              float64
@@ -130,12 +130,12 @@
 	SetDigest                                            uint16
 	Known, NoPriorDebt                                   bool
 	IsQuery, IsReply                                     bool
-	Nonce, Echo                                          uint16 // of this instance's query that it asks, and that it answers
+	Nonce, Echo                                          uint16 // of its query, and of the query that it answers
 	RightsGiven, DebtGiven, RightsReceived, DebtReceived uint64
-	DebtTimeLeft                                         float64 // share of the time of repayment left for the debts given, 0 to 1
+	DebtTimeLeft                                         float64 // share of the time of repayment, 0 to 1
 	WantedParts                                          uint64  // rights requested
 	SpareUnits                                           float64 // rights that could be given
-	FillPerSecond                                        float64 // units per second credited to the customer here; 0 where it is not seen
+	FillPerSecond                                        float64 // units per second; 0 where not seen
 }
 
 // Action is what a decision asks of the caller.
@@ -146,7 +146,7 @@
 	ActionStore       Action = iota + 1 // store Record in Slot, before anything that follows
 	ActionRecordEvent                   // record Event, Customer, Plan, Peer, Units and Serial in the history
 	ActionSend                          // send Entries to instance Peer
-	ActionCollect                       // take RepayUnits of the customer's fill of SpanMillis, up to MaxUnits as far as it is unused
+	ActionCollect                       // take RepayUnits of the fill of SpanMillis, up to MaxUnits if unused
 	ActionWake                          // call Advance again by AtMillis
 )
 
@@ -241,11 +241,12 @@
 
 // Figures are totals and the present state, in units.
 type Figures struct {
-	Outstanding, Rights, PresumedDrawn                      float64
-	Lent, Repaid, Earned, Undone                            float64
-	RightsGiven, RightsReceived, DebtGiven                  float64
-	Customers                                               int
-	RepaidLate                                              float64 // units repaid after their due time
-	Denied                                                  [LoanResultCount]int64
-	RejectedEntries, AccountsReset, QueriesReceived, Sealed int64 // entries of other sets or lines; records found older than a peer's
+	Outstanding, Rights, PresumedDrawn     float64
+	Lent, Repaid, Earned, Undone           float64
+	RightsGiven, RightsReceived, DebtGiven float64
+	Customers                              int
+	RepaidLate                             float64 // units repaid after their due time
+	Denied                                 [LoanResultCount]int64
+	// RejectedEntries are of other sets or lines; AccountsReset had records older than a peer's counters.
+	RejectedEntries, AccountsReset, QueriesReceived, Sealed int64
 }
--- a/internal/e2e/check_test.go
+++ b/internal/e2e/check_test.go
@@ -284,7 +284,8 @@
 		return audit.CreditLine{Units: lentRate * lentS, RepayMillis: repayS * 1000}
 	}, func(who string) string { return who[1:] }, bunched)
 	says := fmt.Sprintf("lent %.1f, repaid %.1f, earned %.1f, handed %.1f, debts moved %.1f, on their way for "+
-		"up to %.0f ms, forgotten %.1f, %.0f%% of the line at once", a.Lent, a.Repaid, a.Earned, a.RightsMoved, a.DebtMoved,
+		"up to %.0f ms, forgotten %.1f, %.0f%% of the line at once", a.Lent, a.Repaid, a.Earned, a.RightsMoved,
+		a.DebtMoved,
 		a.LongestTransitMillis, a.DebtForgotten, 100*a.PeakDrawnShare)
 	v := verdict{history.Found{Count: a.ViolationCount, Seen: a.Events}, says}
 	for _, s := range a.Violations {
--- a/internal/forwardauth/authorizer/authorizer.go
+++ b/internal/forwardauth/authorizer/authorizer.go
@@ -154,14 +154,16 @@
 }
 
 // resolve acts on a result: the request is forwarded with its reservation, or rejected and that is released.
-func (a *Authorizer) resolve(t *transport.Request, reservation *proxy.Reservation, r result) transport.FinalAnswer {
+func (a *Authorizer) resolve(t *transport.Request, reservation *proxy.Reservation,
+	r result) transport.FinalAnswer {
 	decision := r.decision
 	final := transport.FinalAnswer{Kind: policy.Void}
 	switch {
 	case r.err != nil && !a.config.OpenOn[t.Product],
 		r.err == nil && decision.Status == fasthttp.StatusTooManyRequests:
 		a.counters[countUnavailable].Add(1) // nothing was sent, so a retry is harmless
-		final = transport.FinalAnswer{Kind: policy.Decline, RetryAfterMillis: a.retryAdviceMillis(r.retryAfterMillis)}
+		advice := a.retryAdviceMillis(r.retryAfterMillis)
+		final = transport.FinalAnswer{Kind: policy.Decline, RetryAfterMillis: advice}
 	case r.err == nil && !decision.Allowed:
 		a.counters[countDenied].Add(1)
 		final = rejection(decision.Status, decision.Headers, "the auth service says no")
@@ -180,7 +182,8 @@
 }
 
 // forward serves a request that was allowed, or that fails open.
-func (a *Authorizer) forward(t *transport.Request, reservation *proxy.Reservation, r result) transport.FinalAnswer {
+func (a *Authorizer) forward(t *transport.Request, reservation *proxy.Reservation,
+	r result) transport.FinalAnswer {
 	if r.err != nil {
 		a.counters[countFailedOpen].Add(1)
 	} else {
--- a/internal/forwardauth/authserver/server.go
+++ b/internal/forwardauth/authserver/server.go
@@ -232,7 +232,8 @@
 
 // rejection ends a request with a status and a message.
 func rejection(status int, message string) transport.FinalAnswer {
-	return transport.FinalAnswer{Kind: policy.Void, Rejection: &transport.Rejection{Status: status, Message: message}}
+	return transport.FinalAnswer{Kind: policy.Void,
+		Rejection: &transport.Rejection{Status: status, Message: message}}
 }
 
 // trusted reports whether a caller may speak for clients. Guards against a client that calls here itself:
@@ -264,7 +265,8 @@
 	}
 	var t transport.Request
 	if err == nil {
-		t, err = transport.DecodeRequest(header, original.method, original.target, &s.names, s.settings.Load(), false)
+		t, err = transport.DecodeRequest(header, original.method, original.target, &s.names, s.settings.Load(),
+			false)
 	}
 	if err != nil {
 		var callErr *callError
--- a/internal/gateway/lifecycle/lend.go
+++ b/internal/gateway/lifecycle/lend.go
@@ -81,7 +81,8 @@
 		name string
 		v    float64
 	}{{"outstanding", f.Outstanding}, {"rights", f.Rights}, {"earning", f.PresumedDrawn}, {"lent", f.Lent},
-		{"repaid", f.Repaid}, {"earned", f.Earned}, {"undone", f.Undone}, {"late", f.RepaidLate}, {"handed", f.RightsGiven},
+		{"repaid", f.Repaid}, {"earned", f.Earned}, {"undone", f.Undone}, {"late", f.RepaidLate},
+		{"handed", f.RightsGiven},
 		{"taken", f.RightsReceived}, {"moved", f.DebtGiven}, {"customers", float64(f.Customers)},
 		{"refused.wide", float64(f.Denied[borrowing.DeniedSetTooLarge])}, {"refused.no_place",
 			float64(f.Denied[borrowing.DeniedTableFull])},
--- a/internal/gateway/proxy/attempt_test.go
+++ b/internal/gateway/proxy/attempt_test.go
@@ -276,7 +276,9 @@
 // nullCreditStore stores nothing.
 type nullCreditStore struct{ started time.Time }
 
-func (s nullCreditStore) NowMillis() float64                            { return float64(time.Since(s.started)) / 1e6 }
+func (s nullCreditStore) NowMillis() float64 {
+	return float64(time.Since(s.started)) / 1e6
+}
 func (s nullCreditStore) Store(int, *borrowing.Record)                  {}
 func (s nullCreditStore) AcceptMessage(int, incarnation.MessageID) bool { return true }
 func (s nullCreditStore) Close()                                        {}
--- a/internal/gateway/transport/creditwire/creditwire.go
+++ b/internal/gateway/transport/creditwire/creditwire.go
@@ -76,7 +76,8 @@
 		}
 	}
 	b = append(b, flags)
-	for _, counter := range []uint64{entry.RightsGiven, entry.DebtGiven, entry.RightsReceived, entry.DebtReceived} {
+	for _, counter := range []uint64{entry.RightsGiven, entry.DebtGiven, entry.RightsReceived,
+		entry.DebtReceived} {
 		b = binary.AppendUvarint(b, counter)
 	}
 	if entry.IsQuery {
@@ -158,7 +159,8 @@
 		flags := fields.take(1)[0]
 		entry.Known, entry.NoPriorDebt = flags&flagKnown > 0, flags&flagVirgin > 0
 		entry.IsQuery, entry.IsReply = flags&flagAsks > 0, flags&flagAnswers > 0
-		for _, counter := range []*uint64{&entry.RightsGiven, &entry.DebtGiven, &entry.RightsReceived, &entry.DebtReceived} {
+		for _, counter := range []*uint64{&entry.RightsGiven, &entry.DebtGiven, &entry.RightsReceived,
+			&entry.DebtReceived} {
 			if *counter = fields.uvarint(); *counter > math.MaxInt64 {
 				fields.err = errors.New("a counter is out of bounds")
 			}
--- a/internal/gateway/transport/creditwire/creditwire_test.go
+++ b/internal/gateway/transport/creditwire/creditwire_test.go
@@ -29,12 +29,14 @@
 			entry.IsQuery, entry.Nonce, entry.WantedParts = true, uint16(i+1), uint64(i+1)
 		}
 		if i%5 == 0 {
-			entry.IsReply, entry.Echo, entry.DebtGiven, entry.DebtTimeLeft, entry.FillPerSecond = true, 9, 77, 51.0/255, 8
+			entry.IsReply, entry.Echo, entry.DebtGiven = true, 9, 77
+			entry.DebtTimeLeft, entry.FillPerSecond = 51.0/255, 8
 			entry.SpareUnits = 0.5
 		}
 		entries = append(entries, entry)
 	}
-	for _, counter := range []*uint64{&entries[3].RightsGiven, &entries[3].DebtGiven, &entries[3].RightsReceived, &entries[3].DebtReceived} {
+	for _, counter := range []*uint64{&entries[3].RightsGiven, &entries[3].DebtGiven,
+		&entries[3].RightsReceived, &entries[3].DebtReceived} {
 		*counter = math.MaxInt64
 	}
 	var got []borrowing.Entry
--- a/internal/gateway/transport/creditwire/golden_test.go
+++ b/internal/gateway/transport/creditwire/golden_test.go
@@ -74,7 +74,8 @@
 // Each flag has its own bit: an entry with one condition sets that bit alone.
 func TestGoldenFlags(t *testing.T) {
 	for i, entry := range []borrowing.Entry{{Known: true}, {NoPriorDebt: true}, {IsQuery: true, Nonce: 7},
-		{IsReply: true, Echo: 7}, {WantedParts: 7}, {DebtGiven: 7, DebtTimeLeft: 1}, {FillPerSecond: 8}, {SpareUnits: 8}} {
+		{IsReply: true, Echo: 7}, {WantedParts: 7}, {DebtGiven: 7, DebtTimeLeft: 1}, {FillPerSecond: 8},
+		{SpareUnits: 8}} {
 		encoded, _ := Append(nil, []borrowing.Entry{entry})
 		if flags := encoded[headerBytes+10]; flags != 1<<i {
 			t.Errorf("%+v: flags %08b, want bit %d alone", entry, flags, i)
