--- a/internal/borrowing/audit/audit.go
+++ b/internal/borrowing/audit/audit.go
@@ -72,8 +72,8 @@
 //   - It receives no rights and no debt that were not given to it, and each once. Serial counts all that was
 //     ever given, so that what was lost comes with the next.
 //   - What was drawn and is neither repaid nor earned, what may yet be drawn, and rights in transit come to
-//     no more than the line. Where a line is lowered that holds for the former one until what was drawn by it is
-//     repaid.
+//     no more than the line. Where a line is lowered that holds for the former one until what was drawn by it
+//     is repaid.
 //   - Each loan is repaid in time, the oldest first, wherever its debt has gone. While that is in transit
 //     nobody can repay it and the time stands still; LongestTransitMillis says for how long.
 //   - An incarnation knows all that its predecessor owed; DebtForgotten counts what it does not.
--- a/internal/borrowing/exchange.go
+++ b/internal/borrowing/exchange.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// acceptEntry returns the slot of an entry's customer and the bit of the peer's place in the set. It returns false
-// for an entry that is invalid, of another set or line, or without a slot.
+// acceptEntry returns the slot of an entry's customer and the bit of the peer's place in the set. It
+// returns false for an entry that is invalid, of another set or line, or without a slot.
 func (l *Lender) acceptEntry(from int, e *Entry) (slot int32, bit uint64, ok bool) {
 	plan, first, setSize := int(e.Plan), int(e.First), int(e.SetSize)
 	if from == l.config.Instance || plan >= len(l.lineParts) || l.lineParts[plan] <= 0 || setSize < 2 ||
--- a/internal/forwardauth/authorizer/authorizer.go
+++ b/internal/forwardauth/authorizer/authorizer.go
@@ -24,8 +24,8 @@
 // Authorizer serves requests, those of the configured products once an auth service has allowed them. Safe
 // for concurrent use.
 type Authorizer struct {
-	config   *config.Asking
-	settings policy.Charter
+	config   *config.Authorizer
+	settings policy.Settings
 	proxy    *proxy.Proxy
 	client   *fasthttp.HostClient
 	pending  singleflight.Group
@@ -53,11 +53,12 @@
 var counterNames = [counterCount]string{"yes", "no", "recalled", "trouble", "shut", "late", "left", "open"}
 
 // New returns an authorizer in front of a proxy. The seed is for the breaker's jitter.
-func New(cfg *config.Asking, settings policy.Charter, p *proxy.Proxy, seed int64) *Authorizer {
+func New(cfg *config.Authorizer, settings policy.Settings, p *proxy.Proxy, seed int64) *Authorizer {
 	timeout := transport.Millis(cfg.Terms.TimeoutMillis)
 	return &Authorizer{config: cfg, settings: settings, proxy: p, service: authcache.NewService(cfg.Terms, seed),
-		client: &fasthttp.HostClient{Addr: cfg.Service, MaxConns: cfg.Connections, MaxConnWaitTimeout: timeout,
-			ReadTimeout: timeout, WriteTimeout: timeout, MaxIdleConnDuration: 2 * time.Second,
+		client: &fasthttp.HostClient{Addr: cfg.ServiceAddress, MaxConns: cfg.MaxConnections,
+			MaxConnWaitTimeout: timeout,
+			ReadTimeout:        timeout, WriteTimeout: timeout, MaxIdleConnDuration: 2 * time.Second,
 			MaxResponseBodySize: authcache.MaxResponseBytes, ReadBufferSize: authcache.MaxResponseBytes,
 			NoDefaultUserAgentHeader: true, DisablePathNormalizing: true,
 			// A query may be sent twice: the service may have closed an idle connection meanwhile.
@@ -83,10 +84,10 @@
 // Serve serves a request: the service is asked unless its decision is cached, and if it allows the request
 // that is served like any other.
 func (a *Authorizer) Serve(t *transport.Request) transport.FinalAnswer {
-	if !a.config.Concerned[t.Product] {
+	if !a.config.Covers[t.Product] {
 		return a.proxy.Serve(t)
 	}
-	credential, err := t.Header(a.config.Credential)
+	credential, err := t.Header(a.config.CredentialHeader)
 	if err != nil {
 		return rejection(fasthttp.StatusBadRequest, nil, err.Error())
 	}
@@ -102,7 +103,7 @@
 	if err != nil {
 		return rejection(fasthttp.StatusBadRequest, nil, err.Error())
 	}
-	askedMillis, timeoutMillis := a.proxy.Now(), a.service.TimeoutMillis(t.Left)
+	askedMillis, timeoutMillis := a.proxy.Now(), a.service.TimeoutMillis(t.TimeLeftMillis)
 	var reservation *proxy.Reservation // none where only the service can say whose the request is
 	if !t.Anonymous {
 		var final transport.FinalAnswer
@@ -115,8 +116,8 @@
 	if final != nil {
 		return *final
 	}
-	if !t.Streams {
-		t.Left = math.Max(t.Left-(a.proxy.Now()-askedMillis), 0)
+	if !t.StreamsBody {
+		t.TimeLeftMillis = math.Max(t.TimeLeftMillis-(a.proxy.Now()-askedMillis), 0)
 	}
 	return a.resolve(t, reservation, r)
 }
@@ -143,9 +144,9 @@
 	case answered := <-results:
 		return answered.Val.(result), nil
 	case command := <-ended:
-		if command.Decision.Kind == policy.Void {
+		if command.Decision.Kind == policy.RejectUncertain {
 			a.counters[countClientGone].Add(1)
-			return result{}, &transport.FinalAnswer{Kind: policy.Void}
+			return result{}, &transport.FinalAnswer{Kind: policy.RejectUncertain}
 		}
 	case <-timer.C:
 	}
@@ -157,13 +158,13 @@
 func (a *Authorizer) resolve(t *transport.Request, reservation *proxy.Reservation,
 	r result) transport.FinalAnswer {
 	decision := r.decision
-	final := transport.FinalAnswer{Kind: policy.Void}
+	final := transport.FinalAnswer{Kind: policy.RejectUncertain}
 	switch {
-	case r.err != nil && !a.config.OpenOn[t.Product],
+	case r.err != nil && !a.config.FailsOpen[t.Product],
 		r.err == nil && decision.Status == fasthttp.StatusTooManyRequests:
 		a.counters[countUnavailable].Add(1) // nothing was sent, so a retry is harmless
 		advice := a.retryAdviceMillis(r.retryAfterMillis)
-		final = transport.FinalAnswer{Kind: policy.Decline, RetryAfterMillis: advice}
+		final = transport.FinalAnswer{Kind: policy.Reject, RetryAfterMillis: advice}
 	case r.err == nil && !decision.Allowed:
 		a.counters[countDenied].Add(1)
 		final = rejection(decision.Status, decision.Headers, "the auth service says no")
@@ -202,16 +203,16 @@
 
 // retryAdviceMillis returns what a rejection advises, 0 where the settings forbid advice.
 func (a *Authorizer) retryAdviceMillis(millis float64) float64 {
-	if !a.settings.MayAdvise {
+	if !a.settings.AllowRetryAfter {
 		return 0
 	}
-	return math.Min(millis, a.settings.MaxAdvice)
+	return math.Min(millis, a.settings.MaxRetryAfterMillis)
 }
 
 // rejection ends a request with a status, headers and a message.
 func rejection(status int, headers [][2]string, message string) transport.FinalAnswer {
 	return transport.FinalAnswer{
-		Kind:      policy.Void,
+		Kind:      policy.RejectUncertain,
 		Rejection: &transport.Rejection{Status: status, Headers: headers, Message: message},
 	}
 }
@@ -240,7 +241,7 @@
 	header := &request.http.Header
 	header.SetMethod(fasthttp.MethodGet)
 	request.http.SetRequestURI(a.config.Path)
-	header.SetHost(a.config.Service)
+	header.SetHost(a.config.ServiceAddress)
 	header.SetBytesV("X-Forwarded-Method", t.Method)
 	header.SetBytesV("X-Forwarded-Uri", t.Target)
 	header.Set("X-Forwarded-Proto", "http")
@@ -249,9 +250,9 @@
 		header.SetBytesV("X-Forwarded-Host", host)
 	}
 	if request.hasCredential {
-		header.SetBytesV(a.config.Credential, credential)
+		header.SetBytesV(a.config.CredentialHeader, credential)
 	}
-	for _, name := range a.config.Send {
+	for _, name := range a.config.SentHeaders {
 		value, err := t.Header(name)
 		if err != nil {
 			return nil, err
@@ -302,24 +303,24 @@
 	switch status := decision.Status; {
 	case status >= 200 && status < 300:
 		decision.Allowed = true
-		if a.config.Customer == "" {
+		if a.config.CustomerHeader == "" {
 			break
 		}
-		values := response.Header.PeekAll(a.config.Customer)
+		values := response.Header.PeekAll(a.config.CustomerHeader)
 		if len(values) != 1 {
-			return result{err: fmt.Errorf("%s: it is there %d times", a.config.Customer, len(values)),
+			return result{err: fmt.Errorf("%s: it is there %d times", a.config.CustomerHeader, len(values)),
 				retryAfterMillis: a.config.Terms.TimeoutMillis}
 		}
 		customer, err := transport.ParseCustomer(values[0])
 		if err != nil {
 			return result{
-				err:              fmt.Errorf("%s: %w", a.config.Customer, err),
+				err:              fmt.Errorf("%s: %w", a.config.CustomerHeader, err),
 				retryAfterMillis: a.config.Terms.TimeoutMillis,
 			}
 		}
 		decision.Customer, decision.HasCustomer = customer, true
 	case status == fasthttp.StatusUnauthorized || status == fasthttp.StatusForbidden:
-		for _, name := range a.config.Copy {
+		for _, name := range a.config.CopiedHeaders {
 			for _, value := range response.Header.PeekAll(name) {
 				decision.Headers = append(decision.Headers, [2]string{name, string(value)})
 			}
--- a/internal/forwardauth/authserver/original.go
+++ b/internal/forwardauth/authserver/original.go
@@ -53,7 +53,7 @@
 
 // parseOriginal returns the original request of a call, by the configured dialect. Headers that say the
 // same thing have to agree, as one of them may be the client's own.
-func parseOriginal(header *fasthttp.RequestHeader, cfg *config.Asked) (originalRequest, error) {
+func parseOriginal(header *fasthttp.RequestHeader, cfg *config.AuthServer) (originalRequest, error) {
 	var values [len(forwardedHeaders)][]byte
 	for i, f := range forwardedHeaders {
 		for _, name := range f.names {
@@ -93,7 +93,7 @@
 		return originalRequest{}, err
 	}
 	original := originalRequest{values[0], values[targetHeader]}
-	if cfg.Dialect == config.ByPath {
+	if cfg.Dialect == config.DialectPath {
 		return originalByPath(header, cfg, original)
 	}
 	path, _, _ := bytes.Cut(header.RequestURI(), []byte("?"))
@@ -113,7 +113,7 @@
 
 // originalByPath returns the original request of a call that has its method, and its target behind a prefix.
 // forwarded is what the headers say.
-func originalByPath(header *fasthttp.RequestHeader, cfg *config.Asked,
+func originalByPath(header *fasthttp.RequestHeader, cfg *config.AuthServer,
 	forwarded originalRequest) (originalRequest, error) {
 	target, ok := bytes.CutPrefix(header.RequestURI(), []byte(cfg.Path))
 	switch {
--- a/internal/forwardauth/authserver/original_test.go
+++ b/internal/forwardauth/authserver/original_test.go
@@ -43,56 +43,57 @@
 		dialect   config.Dialect
 		status    int // 200 is a call that is read
 	}{
-		{"forwarded", rawForwarded, config.ByForwarded, 200},
-		{"original", rawOriginals, config.ByOriginal, 200},
+		{"forwarded", rawForwarded, config.DialectForwarded, 200},
+		{"original", rawOriginals, config.DialectOriginal, 200},
 		{"original, by path and query", strings.Replace(rawOriginals, "URL: https://sales.example", "URI: ", 1),
-			config.ByOriginal, 200},
-		{"path", rawByPath, config.ByPath, 200},
-		{"both, and they agree", add("X-Original-Method: POST"), config.ByForwarded, 200},
-		{"no method", replace("X-Forwarded-Method: POST\r\n", ""), config.ByForwarded, 400},
-		{"no target", replace("X-Forwarded-Uri: /issue/7?a=b\r\n", ""), config.ByForwarded, 400},
-		{"no client", replace("X-Forwarded-For: 192.0.2.7, 10.0.0.1\r\n", ""), config.ByForwarded, 400},
-		{"two methods", add("X-Forwarded-Method: GET"), config.ByForwarded, 400},
-		{"two targets", add("X-Forwarded-Uri: /check"), config.ByForwarded, 400},
-		{"two chains", add("X-Forwarded-For: 192.0.2.9"), config.ByForwarded, 400},
-		{"two hosts", add("X-Forwarded-Host: other"), config.ByForwarded, 400},
-		{"methods that differ", add("X-Original-Method: GET"), config.ByForwarded, 400},
-		{"targets that differ", add("X-Original-URI: /check"), config.ByForwarded, 400},
-		{"an address that differs", add("X-Original-URL: https://sales.example/check"), config.ByForwarded, 400},
-		{"an address that is none", add("X-Original-URL: /check"), config.ByForwarded, 400},
-		{"no method word", replace("POST", "po st"), config.ByForwarded, 400},
-		{"an empty method", replace("Method: POST", "Method: "), config.ByForwarded, 400},
-		{"no path", replace("/issue/7?a=b", "issue"), config.ByForwarded, 400},
-		{"a path that is a host", replace("/issue/7?a=b", "//issue/7"), config.ByForwarded, 400},
-		{"a path with a space", replace("/issue/7", "/issue 7"), config.ByForwarded, 400},
-		{"a fragment", replace("?a=b", "#b"), config.ByForwarded, 400},
-		{"another protocol", replace("https", "gopher"), config.ByForwarded, 400},
-		{"hosts in a row", replace("sales.example", "a, b"), config.ByForwarded, 400},
-		{"a client that is no address", replace("192.0.2.7", "unknown"), config.ByForwarded, 400},
+			config.DialectOriginal, 200},
+		{"path", rawByPath, config.DialectPath, 200},
+		{"both, and they agree", add("X-Original-Method: POST"), config.DialectForwarded, 200},
+		{"no method", replace("X-Forwarded-Method: POST\r\n", ""), config.DialectForwarded, 400},
+		{"no target", replace("X-Forwarded-Uri: /issue/7?a=b\r\n", ""), config.DialectForwarded, 400},
+		{"no client", replace("X-Forwarded-For: 192.0.2.7, 10.0.0.1\r\n", ""), config.DialectForwarded, 400},
+		{"two methods", add("X-Forwarded-Method: GET"), config.DialectForwarded, 400},
+		{"two targets", add("X-Forwarded-Uri: /check"), config.DialectForwarded, 400},
+		{"two chains", add("X-Forwarded-For: 192.0.2.9"), config.DialectForwarded, 400},
+		{"two hosts", add("X-Forwarded-Host: other"), config.DialectForwarded, 400},
+		{"methods that differ", add("X-Original-Method: GET"), config.DialectForwarded, 400},
+		{"targets that differ", add("X-Original-URI: /check"), config.DialectForwarded, 400},
+		{"an address that differs", add("X-Original-URL: https://sales.example/check"), config.DialectForwarded,
+			400},
+		{"an address that is none", add("X-Original-URL: /check"), config.DialectForwarded, 400},
+		{"no method word", replace("POST", "po st"), config.DialectForwarded, 400},
+		{"an empty method", replace("Method: POST", "Method: "), config.DialectForwarded, 400},
+		{"no path", replace("/issue/7?a=b", "issue"), config.DialectForwarded, 400},
+		{"a path that is a host", replace("/issue/7?a=b", "//issue/7"), config.DialectForwarded, 400},
+		{"a path with a space", replace("/issue/7", "/issue 7"), config.DialectForwarded, 400},
+		{"a fragment", replace("?a=b", "#b"), config.DialectForwarded, 400},
+		{"another protocol", replace("https", "gopher"), config.DialectForwarded, 400},
+		{"hosts in a row", replace("sales.example", "a, b"), config.DialectForwarded, 400},
+		{"a client that is no address", replace("192.0.2.7", "unknown"), config.DialectForwarded, 400},
 		{
 			"a long chain",
 			replace("192.0.2.7", strings.Repeat("192.0.2.7,", 9)+"192.0.2.7"),
-			config.ByForwarded,
+			config.DialectForwarded,
 			400,
 		},
-		{"a long target", replace("/issue/7", "/"+long), config.ByForwarded, 414},
-		{"a long host", replace("sales.example", long[:authcache.MaxHeaderBytes+1]), config.ByForwarded, 414},
-		{"a very long chain", replace("192.0.2.7", long), config.ByForwarded, 431},
-		{"elsewhere", replace("/auth", "/other"), config.ByForwarded, 404},
-		{"no GET", replace("GET", "POST"), config.ByForwarded, 405},
-		{"path: nothing behind it", strings.Replace(rawByPath, "/issue/7?a=b", "", 1), config.ByPath, 404},
-		{"path: not under it", strings.Replace(rawByPath, "/auth/", "/authority/", 1), config.ByPath, 404},
+		{"a long target", replace("/issue/7", "/"+long), config.DialectForwarded, 414},
+		{"a long host", replace("sales.example", long[:authcache.MaxHeaderBytes+1]), config.DialectForwarded, 414},
+		{"a very long chain", replace("192.0.2.7", long), config.DialectForwarded, 431},
+		{"elsewhere", replace("/auth", "/other"), config.DialectForwarded, 404},
+		{"no GET", replace("GET", "POST"), config.DialectForwarded, 405},
+		{"path: nothing behind it", strings.Replace(rawByPath, "/issue/7?a=b", "", 1), config.DialectPath, 404},
+		{"path: not under it", strings.Replace(rawByPath, "/auth/", "/authority/", 1), config.DialectPath, 404},
 		{
 			"path: it is said otherwise",
 			strings.Replace(rawByPath, "Host: g", "Host: g\r\nX-Forwarded-Method: GET", 1),
-			config.ByPath,
+			config.DialectPath,
 			400,
 		},
-		{"path: too long", strings.Replace(rawByPath, "issue/7", long, 1), config.ByPath, 414},
+		{"path: too long", strings.Replace(rawByPath, "issue/7", long, 1), config.DialectPath, 414},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			original, err := parseOriginal(parse(t, c.raw), &config.Asked{Path: "/auth", Dialect: c.dialect})
+			original, err := parseOriginal(parse(t, c.raw), &config.AuthServer{Path: "/auth", Dialect: c.dialect})
 			var callErr *callError
 			switch {
 			case err == nil && c.status == 200:
@@ -118,7 +119,7 @@
 		if h.Read(bufio.NewReader(bytes.NewReader(raw))) != nil {
 			return
 		}
-		original, err := parseOriginal(&h, &config.Asked{Path: "/auth", Dialect: config.Dialect(dialect % 3)})
+		original, err := parseOriginal(&h, &config.AuthServer{Path: "/auth", Dialect: config.Dialect(dialect % 3)})
 		if err != nil {
 			return
 		}
--- a/internal/gateway/lifecycle/agree_test.go
+++ b/internal/gateway/lifecycle/agree_test.go
@@ -95,9 +95,9 @@
 	t.Helper()
 	x := newDaemon(t)
 	x.answers(silent)
-	d := deployWith(t, func(c *config.Gatekeeper) {
-		c.Agree, c.Tells = x.at, true
-		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = 1000, 1000
+	d := deployWith(t, func(c *config.Gateway) {
+		c.RulesetAddress, c.SharesEndpoints = x.at, true
+		c.Charter.Plans[0].RateLimitPerSecond, c.Charter.Plans[0].RateLimitBurst = 1000, 1000
 	}, workers, 5000)
 	t.Cleanup(func() { close(d.gk.over) })
 	return d, x
@@ -241,7 +241,7 @@
 				t.Errorf("%s: worker %d got %d", c.name, i, w.count()-before[i])
 			}
 		}
-		if l, _, ok := d.gk.List(); ok {
+		if l, _, ok := d.gk.EncodedEndpoints(); ok {
 			if told, err := endpoints.Decode(l); err != nil || len(told.Workers) != 2 || !told.Workers[0].Active {
 				t.Errorf("%s: newcomers are told %s", c.name, l)
 			}
@@ -314,7 +314,7 @@
 func TestMembersByRules(t *testing.T) {
 	d, x := agreed(t, 1)
 	// Guards against messages that outgrow a datagram once rules are gone by, as their word was forgotten.
-	if n := d.gk.agreed.wide.ReportsPerTell; n != transport.MaxReportsPerMessage {
+	if n := d.gk.agreed.wide.ReportsPerMessage; n != transport.MaxReportsPerMessage {
 		t.Errorf("%d reports to a message, where there is room for %d", n, transport.MaxReportsPerMessage)
 	}
 	r := rules(1000, 1000)
@@ -342,9 +342,9 @@
 	const rate, depth, spent = 20, 60, 20
 	x := newDaemon(t)
 	x.leases(1, rules(rate, depth), true)
-	d := deployWith(t, func(c *config.Gatekeeper) {
-		c.Agree, c.Scratch = x.at, t.TempDir()
-		c.Charter.Plans[0].CeilingRate, c.Charter.Plans[0].CeilingDepth = rate, depth
+	d := deployWith(t, func(c *config.Gateway) {
+		c.RulesetAddress, c.SharedDir = x.at, t.TempDir()
+		c.Charter.Plans[0].RateLimitPerSecond, c.Charter.Plans[0].RateLimitBurst = rate, depth
 	}, 1, 5000)
 	d.mode(ruleset.ModeLeased)
 	time.Sleep(3100 * time.Millisecond) // until the ceiling is full
@@ -360,7 +360,7 @@
 	if in := burst(spent); in != spent {
 		t.Fatalf("%d let in of a full ceiling", in)
 	}
-	heir := d.second(func(c *config.Gatekeeper) { c.Listen = "127.0.0.1:0" })
+	heir := d.second(func(c *config.Gateway) { c.ListenAddress = "127.0.0.1:0" })
 	until(t, "the heir has no lease",
 		func() bool { return heir.agreed.mode.Load() == int64(ruleset.ModeLeased) })
 	d.gk.Stop()
@@ -396,8 +396,9 @@
 			x, path := newDaemon(t), filepath.Join(t.TempDir(), "residue")
 			life := func() *deployment {
 				x.answers(silent)
-				return deployWith(t, func(conf *config.Gatekeeper) {
-					conf.Agree, conf.Tells, conf.Residue, conf.Recall = x.at, true, path, true
+				return deployWith(t, func(conf *config.Gateway) {
+					conf.RulesetAddress, conf.SharesEndpoints = x.at, true
+					conf.CrashStatePath, conf.KeepsCheckpoint = path, true
 				}, 1, 5000)
 			}
 			of := func(d *deployment) string {
@@ -443,7 +444,7 @@
 	if !d.let() || d.named() != -1 {
 		t.Error("it names rules")
 	}
-	for _, f := range d.gk.Figures().More {
+	for _, f := range d.gk.Stats().Extra {
 		if strings.HasPrefix(f.Name, "rules.") {
 			t.Errorf("there is %s", f.Name)
 		}
@@ -489,13 +490,13 @@
 	} {
 		g := &Gatekeeper{}
 		g.conf.Names.Plans = map[string]int{"basic": 0}
-		g.conf.Charter = policy.Charter{Gatekeepers: 3, Plans: []policy.Plan{{CeilingRate: 10, CeilingDepth: 20}}}
+		g.conf.Charter = policy.Settings{GatewayCount: 3, Plans: []policy.Plan{{RateLimitPerSecond: 10, RateLimitBurst: 20}}}
 		a := &agreement{g: g, wide: g.conf.Charter, of: make([]float64, 1)}
 		a.wide.Plans = append([]policy.Plan(nil), a.wide.Plans...)
 		for i, s := range steps {
 			c := a.charter(s.EffectiveRules)
 			p := c.Plans[0]
-			if got := (want{p.CeilingRate, p.CeilingDepth, p.Withheld, c.Narrow}); got != s.want {
+			if got := (want{p.RateLimitPerSecond, p.RateLimitBurst, p.WithheldFraction, c.QuotaWithoutGossip}); got != s.want {
 				t.Errorf("%s, step %d: %+v, not %+v", name, i, got, s.want)
 			}
 			a.taken = s.EffectiveRules
--- a/internal/gateway/proxy/lending.go
+++ b/internal/gateway/proxy/lending.go
@@ -38,7 +38,7 @@
 }
 
 // Undo returns a loan that was not used; the policy calls it.
-func (l *lender) Undo(customer uint64, units float64) { l.book.Undo(customer, units) }
+func (l *lender) Refund(customer uint64, units float64) { l.book.Undo(customer, units) }
 
 // EnableBorrowing has the policy borrow from a book from here on. Plans gives the plans' names for the
 // recorder, which may be nil.
@@ -48,7 +48,7 @@
 	d.lender = &lender{book: b, store: s, recorder: r, plans: plans}
 	b.RecordEvents(r != nil)
 	b.Advance(s.NowMillis())
-	d.policy.Borrow(d.lender)
+	d.policy.SetLender(d.lender)
 	d.flushAndUnlock()
 }
 
@@ -57,7 +57,7 @@
 	if d.lender == nil {
 		return
 	}
-	d.policy.Borrow(nil)
+	d.policy.SetLender(nil)
 	d.flushLending()
 	d.lender.store.Close()
 	d.lender = nil
@@ -95,17 +95,18 @@
 // CreditLines gives the plans' lines of credit as the book has them, and whether any plan lends.
 func CreditLines(plans []policy.Plan) (lines []borrowing.Plan, lends bool) {
 	for _, p := range plans {
-		lines = append(lines, borrowing.Plan{LineUnits: p.Credit * p.Rate, RepayMillis: p.Repay})
-		lends = lends || p.Credit > 0 && p.Rate > 0
+		lines = append(lines, borrowing.Plan{LineUnits: p.CreditSeconds * p.QuotaPerSecond,
+			RepayMillis: p.RepayWithinMillis})
+		lends = lends || p.CreditSeconds > 0 && p.QuotaPerSecond > 0
 	}
 	return lines, lends
 }
 
 // applyCharter has the book go by a charter that has changed in service.
-func (l *lender) applyCharter(c *policy.Charter) {
+func (l *lender) applyCharter(c *policy.Settings) {
 	lines, _ := CreditLines(c.Plans)
 	l.book.Advance(l.store.NowMillis())
-	l.book.SetInstances(max(c.Gatekeepers, 1))
+	l.book.SetInstances(max(c.GatewayCount, 1))
 	l.book.SetPlans(lines)
 }
 
@@ -131,7 +132,8 @@
 				d.outbox.add(v.Peer, b)
 			}
 		case borrowing.ActionCollect:
-			took, fill := d.policy.Repay(uint64(v.Customer), v.Plan, v.SetSize, v.RepayUnits, v.MaxUnits, v.SpanMillis)
+			took, fill := d.policy.CollectRepayment(uint64(v.Customer), v.Plan, v.SetSize, v.RepayUnits,
+				v.MaxUnits, v.SpanMillis)
 			l.book.RecordPayment(v.Customer, took, fill)
 		}
 	}
--- a/internal/lab/footprint/rules.go
+++ b/internal/lab/footprint/rules.go
@@ -229,7 +229,7 @@
 	if _, err := config.Decode(raw, none); err != nil {
 		return nil, err
 	}
-	g, kept := keeps(func() config.Gatekeeper {
+	g, kept := keeps(func() config.Gateway {
 		g, _ := config.Decode(raw, none)
 		return g
 	})
@@ -279,8 +279,8 @@
 			}},
 		{"gatekeeper", "workers on the watched list", 110000, func(n int) error {
 			raw, err := endpoints.Append(nil, list(n))
-			if err == nil && len(raw) > policy.LongestList {
-				err = fmt.Errorf("a list of %d bytes, more than %d", len(raw), policy.LongestList)
+			if err == nil && len(raw) > policy.MaxEndpointListBytes {
+				err = fmt.Errorf("a list of %d bytes, more than %d", len(raw), policy.MaxEndpointListBytes)
 			}
 			return err
 		}},
