--- a/cmd/willowdeck/journal.go
+++ b/cmd/willowdeck/journal.go
@@ -65,8 +65,8 @@
 	return dirs, nil
 }
 
-// readerConfig returns the settings of a reader: it has capacity for all that the segments hold.
-func readerConfig() txnjournal.Config {
+// readerTerms returns the configuration of a reader: it has capacity for all that the segments hold.
+func readerTerms() txnjournal.Config {
 	t := txnjournal.DefaultConfig()
 	t.MaxTxns, t.MaxStoredResponseBytes = math.MaxInt, math.MaxInt
 	return t
@@ -89,12 +89,12 @@
 	}
 	for _, dir := range dirs {
 		var last txnjournal.SegmentReport
-		observe := func(_ uint64, s txnjournal.SegmentReport) {
-			if !s.Blank {
-				last = s
+		observe := func(_ uint64, segment txnjournal.SegmentReport) {
+			if !segment.Blank {
+				last = segment
 			}
 		}
-		replay, err := store.ReadAll(store.Dir(dir), readerConfig(), nowMillis(), store.Visitor{Segment: observe})
+		replay, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(), store.Visitor{Segment: observe})
 		if err != nil {
 			return err
 		}
@@ -107,9 +107,9 @@
 		printDamage(replay)
 		var lines []string
 		count := [3]int{}
-		replay.Index.Each(func(e txnjournal.Entry, v txnjournal.Verdict) {
-			count[v]++
-			if lines = append(lines, formatEntry(e, v)); len(lines) > c.Int("last") {
+		replay.Index.Each(func(entry txnjournal.Entry, verdict txnjournal.Verdict) {
+			count[verdict]++
+			if lines = append(lines, formatEntry(entry, verdict)); len(lines) > c.Int("last") {
 				lines = lines[1:]
 			}
 		})
@@ -134,9 +134,8 @@
 		fmt.Printf("  %d bytes cut: segments with a torn end %d, damaged before it %d, of another version %d\n",
 			read.UnreadableBytes, read.Torn, read.Corrupt, read.Unsupported)
 	}
-	for _, period := range replay.Index.UncertainPeriods() {
-		fmt.Printf("  in doubt %s to %s: %s\n", formatTime(period.FromMillis),
-			formatTime(period.ToMillis), period.Reason)
+	for _, doubt := range replay.Index.UncertainPeriods() {
+		fmt.Printf("  in doubt %s to %s: %s\n", formatTime(doubt.FromMillis), formatTime(doubt.ToMillis), doubt.Reason)
 	}
 }
 
@@ -147,7 +146,7 @@
 	}
 	doubtful := 0
 	for _, dir := range dirs {
-		replay, err := store.ReadAll(store.Dir(dir), readerConfig(), nowMillis(), store.Visitor{})
+		replay, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(), store.Visitor{})
 		if err != nil {
 			return err
 		}
@@ -186,15 +185,15 @@
 	}
 	verdict := txnjournal.NotSent
 	for _, dir := range dirs {
-		replay, err := store.ReadAll(store.Dir(dir), readerConfig(), nowMillis(), store.Visitor{})
+		replay, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(), store.Visitor{})
 		if err != nil {
 			return err
 		}
-		verdictHere, reason, entries := replay.Index.Resolve(requestID, from, to, nowMillis())
+		verdictHere, reason, read := replay.Index.Resolve(requestID, from, to, nowMillis())
 		verdict = max(verdict, verdictHere)
 		fmt.Printf("%s: %s (%s)\n", dir, verdictHere, reason)
-		for _, e := range entries {
-			fmt.Println("  " + formatEntry(e, verdictHere))
+		for _, entry := range read {
+			fmt.Println("  " + formatEntry(entry, verdictHere))
 		}
 	}
 	fmt.Printf("%s: %s\n", requestID, verdict)
@@ -244,18 +243,26 @@
 	encoder := json.NewEncoder(w)
 	var failed error
 	write := func(number uint64, offset int, r txnjournal.Record) {
-		record := exportedRecord{Dir: dir, Segment: number, Offset: offset, Kind: r.Kind.String(),
-			At: r.TimeMillis, Life: r.Incarnation, Group: r.Batch, To: r.UntilMillis, Below: r.FirstLiveSegment}
+		record := exportedRecord{
+			Dir:     dir,
+			Segment: number,
+			Offset:  offset,
+			Kind:    r.Kind.String(),
+			At:      r.TimeMillis,
+			Life:    r.Incarnation,
+			Group:   r.Batch,
+			To:      r.UntilMillis,
+			Below:   r.FirstLiveSegment,
+		}
 		if r.Kind.HasTxn() {
-			record.ID, record.Customer = r.Txn.RequestID, fmt.Sprintf("%016x", r.Txn.Customer)
-			record.Product, record.Worker, record.Expiry = r.Txn.Product, r.Worker, r.ExpiryMillis
-			record.Number, record.N = r.Attempt.Sequence, r.Attempt.Ordinal
+			record.ID, record.Customer, record.Product = r.Txn.RequestID, fmt.Sprintf("%016x", r.Txn.Customer), r.Txn.Product
+			record.Number, record.N, record.Worker, record.Expiry = r.Attempt.Sequence, r.Attempt.Ordinal, r.Worker, r.ExpiryMillis
 			record.End, record.Answer = r.Outcome.String(), len(r.Response.Body)
 		}
 		if err := encoder.Encode(record); err != nil && failed == nil {
 			failed = err
 		}
 	}
-	_, err := store.ReadAll(store.Dir(dir), readerConfig(), nowMillis(), store.Visitor{Record: write})
+	_, err := store.ReadAll(store.Dir(dir), readerTerms(), nowMillis(), store.Visitor{Record: write})
 	return errors.Join(err, failed)
 }
--- a/internal/gateway/config/forwardauth.go
+++ b/internal/gateway/config/forwardauth.go
@@ -245,12 +245,24 @@
 
 func (file *forwardAuthFile) authorizer(g *Gateway) (*Authorizer, error) {
 	t := &file.Asking
-	a := &Authorizer{Path: t.Path, CredentialHeader: t.Credential, CustomerHeader: t.Customer,
-		SentHeaders: t.Send, CopiedHeaders: t.Copy,
-		MaxConnections: t.Connections, Terms: authcache.ServiceConfig{TimeoutMillis: t.LimitMS,
-			TimeoutShare: t.Share, AllowTTLMillis: t.YesS * 1000, DenyTTLMillis: t.NoS * 1000,
-			MaxDecisions: t.Credentials, BreakerThreshold: t.Breaker.After,
-			BreakerBackoffMillis: t.Breaker.PauseMS, BreakerMaxBackoffMillis: t.Breaker.MostMS}}
+	a := &Authorizer{
+		Path:             t.Path,
+		CredentialHeader: t.Credential,
+		CustomerHeader:   t.Customer,
+		SentHeaders:      t.Send,
+		CopiedHeaders:    t.Copy,
+		MaxConnections:   t.Connections,
+		Terms: authcache.ServiceConfig{
+			TimeoutMillis:           t.LimitMS,
+			TimeoutShare:            t.Share,
+			AllowTTLMillis:          t.YesS * 1000,
+			DenyTTLMillis:           t.NoS * 1000,
+			MaxDecisions:            t.Credentials,
+			BreakerThreshold:        t.Breaker.After,
+			BreakerBackoffMillis:    t.Breaker.PauseMS,
+			BreakerMaxBackoffMillis: t.Breaker.MostMS,
+		},
+	}
 	var err error
 	if a.ServiceAddress, err = address("service", t.Service); err != nil {
 		return nil, err
