--- a/internal/forwardauth/authorizer/authorizer.go
+++ b/internal/forwardauth/authorizer/authorizer.go
@@ -56,8 +56,9 @@
 func New(cfg *config.Authorizer, settings policy.Settings, p *proxy.Proxy, seed int64) *Authorizer {
 	timeout := transport.Millis(cfg.Terms.TimeoutMillis)
 	return &Authorizer{config: cfg, settings: settings, proxy: p, service: authcache.NewService(cfg.Terms, seed),
-		client: &fasthttp.HostClient{Addr: cfg.ServiceAddress, MaxConns: cfg.MaxConnections, MaxConnWaitTimeout: timeout,
-			ReadTimeout: timeout, WriteTimeout: timeout, MaxIdleConnDuration: 2 * time.Second,
+		client: &fasthttp.HostClient{Addr: cfg.ServiceAddress, MaxConns: cfg.MaxConnections,
+			MaxConnWaitTimeout: timeout,
+			ReadTimeout:        timeout, WriteTimeout: timeout, MaxIdleConnDuration: 2 * time.Second,
 			MaxResponseBodySize: authcache.MaxResponseBytes, ReadBufferSize: authcache.MaxResponseBytes,
 			NoDefaultUserAgentHeader: true, DisablePathNormalizing: true,
 			// A query may be sent twice: the service may have closed an idle connection meanwhile.
@@ -154,14 +155,16 @@
 }
 
 // resolve acts on a result: the request is forwarded with its reservation, or rejected and that is released.
-func (a *Authorizer) resolve(t *transport.Request, reservation *proxy.Reservation, r result) transport.FinalAnswer {
+func (a *Authorizer) resolve(t *transport.Request, reservation *proxy.Reservation,
+	r result) transport.FinalAnswer {
 	decision := r.decision
 	final := transport.FinalAnswer{Kind: policy.RejectUncertain}
 	switch {
 	case r.err != nil && !a.config.FailsOpen[t.Product],
 		r.err == nil && decision.Status == fasthttp.StatusTooManyRequests:
 		a.counters[countUnavailable].Add(1) // nothing was sent, so a retry is harmless
-		final = transport.FinalAnswer{Kind: policy.Reject, RetryAfterMillis: a.retryAdviceMillis(r.retryAfterMillis)}
+		advice := a.retryAdviceMillis(r.retryAfterMillis)
+		final = transport.FinalAnswer{Kind: policy.Reject, RetryAfterMillis: advice}
 	case r.err == nil && !decision.Allowed:
 		a.counters[countDenied].Add(1)
 		final = rejection(decision.Status, decision.Headers, "the auth service says no")
@@ -180,7 +183,8 @@
 }
 
 // forward serves a request that was allowed, or that fails open.
-func (a *Authorizer) forward(t *transport.Request, reservation *proxy.Reservation, r result) transport.FinalAnswer {
+func (a *Authorizer) forward(t *transport.Request, reservation *proxy.Reservation,
+	r result) transport.FinalAnswer {
 	if r.err != nil {
 		a.counters[countFailedOpen].Add(1)
 	} else {
--- a/internal/forwardauth/authserver/server.go
+++ b/internal/forwardauth/authserver/server.go
@@ -72,7 +72,8 @@
 func New(cfg *config.AuthServer, names config.Names, settings policy.Settings, p *proxy.Proxy,
 	next func(*transport.Request) transport.FinalAnswer) *Server {
 	s := &Server{config: cfg, names: names, proxy: p, next: next,
-		clearances: authcache.NewClearanceTable[*proxy.Reservation](cfg.LifetimeMillis, cfg.RetentionMillis, cfg.MaxClearances)}
+		clearances: authcache.NewClearanceTable[*proxy.Reservation](cfg.LifetimeMillis, cfg.RetentionMillis,
+			cfg.MaxClearances)}
 	s.settings.Store(&settings)
 	s.http = fasthttp.Server{
 		Handler: s.handle,
@@ -201,7 +202,8 @@
 // Serve serves a request at the gateway's own port: one that was cleared takes its reservation, and comes
 // once. Any other is served by next, unless its product needs a clearance.
 func (s *Server) Serve(t *transport.Request) transport.FinalAnswer {
-	once := s.config.RequiresClearance[t.Product] || s.settings.Load().Products[t.Product].Idempotency != policy.Idempotent
+	once := s.config.RequiresClearance[t.Product] ||
+		s.settings.Load().Products[t.Product].Idempotency != policy.Idempotent
 	s.mu.Lock()
 	status, reservation := s.clearances.Redeem(string(t.RequestID), attributesOf(t), once, s.proxy.Now())
 	s.mu.Unlock()
@@ -265,7 +267,8 @@
 	}
 	var t transport.Request
 	if err == nil {
-		t, err = transport.DecodeRequest(header, original.method, original.target, &s.names, s.settings.Load(), false)
+		t, err = transport.DecodeRequest(header, original.method, original.target, &s.names, s.settings.Load(),
+			false)
 	}
 	if err != nil {
 		var callErr *callError
--- a/internal/gateway/config/settingscheck.go
+++ b/internal/gateway/config/settingscheck.go
@@ -186,9 +186,9 @@
 		return errors.New("repay_s: it has to be there with credit_s")
 	case credit > 0 && rate <= 0:
 		return errors.New("credit_s: a rate of 0 never pays it back")
-	case credit > 0 && credit > repay*lending.Part:
+	case credit > 0 && credit > repay*lending.MaxRepaymentShare:
 		return fmt.Errorf("repay_s: within %v half of the rate pays %v back, less than credit_s, %v", repay,
-			repay*lending.Part, credit)
+			repay*lending.MaxRepaymentShare, credit)
 	}
 	return nil
 }
--- a/internal/gateway/lifecycle/borrowing.go
+++ b/internal/gateway/lifecycle/borrowing.go
@@ -40,15 +40,15 @@
 		g.log.Warn().Err(err).Msg("borrowing disabled, its ledger could not be opened")
 		return
 	}
-	terms := borrowing.Terms{Me: c.GatewayIndex, Gatekeepers: int(g.memberCount.Load()), Plans: creditLines,
-		PeerInPerS: c.PeerMessagesPerSecond}
-	accounts := borrowing.New(terms, g.config.Seed, book.Born)
-	accounts.Clock(book.Now())
+	terms := borrowing.Config{Instance: c.GatewayIndex, Instances: int(g.memberCount.Load()), Plans: creditLines,
+		PeerMessagesPerSecond: c.PeerMessagesPerSecond}
+	accounts := borrowing.New(terms, g.config.Seed, book.BornMillis)
+	accounts.Advance(book.NowMillis())
 	for _, kept := range book.Records {
-		accounts.Restore(kept.Place, kept.Record)
+		accounts.Restore(kept.Slot, kept.Record)
 	}
-	g.log.Info().Int("customers", len(book.Records)).Int("corrupt", book.Spoilt).
-		Float64("age_s", (book.Now()-book.Born)/1000).Msg("borrowing enabled")
+	g.log.Info().Int("customers", len(book.Records)).Int("corrupt", book.Corrupt).
+		Float64("age_s", (book.NowMillis()-book.BornMillis)/1000).Msg("borrowing enabled")
 	book.Records = nil
 	var recorder history.Recorder
 	if g.history != nil {
@@ -87,22 +87,22 @@
 	}{
 		{"outstanding", f.Outstanding},
 		{"rights", f.Rights},
-		{"earning", f.Earn},
+		{"earning", f.PresumedDrawn},
 		{"lent", f.Lent},
 		{"repaid", f.Repaid},
 		{"earned", f.Earned},
 		{"undone", f.Undone},
-		{"late", f.Late},
-		{"handed", f.Handed},
-		{"taken", f.Taken},
-		{"moved", f.Moved},
+		{"late", f.RepaidLate},
+		{"handed", f.RightsGiven},
+		{"taken", f.RightsReceived},
+		{"moved", f.DebtGiven},
 		{"customers", float64(f.Customers)},
-		{"refused.wide", float64(f.Refused[borrowing.Wide])},
-		{"refused.no_place", float64(f.Refused[borrowing.NoPlace])},
-		{"refused.unsure", float64(f.Refused[borrowing.Unsure])},
-		{"refused.short", float64(f.Refused[borrowing.Short])},
-		{"strayed", float64(f.Strayed)},
-		{"forgotten", float64(f.Forgotten)},
+		{"refused.wide", float64(f.Denied[borrowing.DeniedSetTooLarge])},
+		{"refused.no_place", float64(f.Denied[borrowing.DeniedTableFull])},
+		{"refused.unsure", float64(f.Denied[borrowing.DeniedRightsUnknown])},
+		{"refused.short", float64(f.Denied[borrowing.DeniedNoRights])},
+		{"strayed", float64(f.RejectedEntries)},
+		{"forgotten", float64(f.AccountsReset)},
 	} {
 		add("credit."+figure.name, int64(math.Round(figure.value)))
 	}
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -170,7 +170,7 @@
 	}
 	g.meter.FillReport(w, g.w.clock(), &t, &sight, hall)
 	if g.lender != nil {
-		g.lender.book.Plans(w.AddCredit)
+		g.lender.book.EachAccount(w.AddCredit)
 	}
 	return w
 }
