--- a/internal/testkit/faultinject/acts.go
+++ b/internal/testkit/faultinject/acts.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Verb is what an Act has a Stage do.
+// Verb names what an Act does.
 type Verb string
 
 // The verbs.
@@ -20,7 +20,7 @@
 	Crash   Verb = "crash"   // Whom
 	Spoil   Verb = "spoil"   // Whom's disk, as Damage says, while it is down
 	Restart Verb = "restart" // Whom
-	Bound   Verb = "room"    // Whom's files may get as long as Room; nought is no bound
+	Bound   Verb = "room"    // Whom's files may get as long as Room; zero is no bound
 )
 
 // Act is one thing that is done at a moment.
@@ -34,6 +34,7 @@
 	Room     int64
 }
 
+// String returns the act as one line.
 func (a Act) String() string {
 	s := fmt.Sprintf("%d ms: %s %s", a.At, a.Do, a.Whom)
 	if a.To != "" {
@@ -59,46 +60,34 @@
 	return cmp.Or(cmp.Compare(l.from, m.from), cmp.Compare(l.to, m.to))
 }
 
-// plight is what is wrong with a process.
-type plight struct {
+// processState is the faults of a process at a moment.
+type processState struct {
 	down, stalled bool
 	room          int64
 	damage        []Damage // that begins now
 }
 
-// trouble is all that is wrong at a moment. What is not there is well.
-type trouble struct {
-	cuts   map[link]Cut
-	shapes map[link]Shape
-	of     map[string]plight
+// faultState is all faults at a moment. What it does not name has none.
+type faultState struct {
+	cuts      map[link]Cut
+	shapes    map[link]Shape
+	processes map[string]processState
 }
 
-// at gives what is wrong at a moment: of steps that overlap the worst cut holds, the least room, and the
-// Shape of the one that began last. A step holds from At until just before Until.
-func (s *Schedule) at(now int) trouble {
-	t := trouble{map[link]Cut{}, map[link]Shape{}, map[string]plight{}}
+// at returns the faults at a moment in milliseconds. Of steps that overlap, the worst cut applies, the
+// smallest file limit, and the Shape of the one that began last. A step applies from At until just before
+// Until.
+func (s *Schedule) at(now int) faultState {
+	t := faultState{map[link]Cut{}, map[link]Shape{}, map[string]processState{}}
 	began := map[link]int{}
 	for _, step := range s.Steps {
 		if now < step.At || now >= step.Until {
 			continue
 		}
-		cut := func(a, b string) { t.cuts[link{a, b}] = max(t.cuts[link{a, b}], step.How) }
-		p := t.of[step.Whom[0]]
+		p := t.processes[step.Whom[0]]
 		switch step.What {
-		case Cuts:
-			cut(step.Whom[0], step.Whom[1])
-		case Parts:
-			cut(step.Whom[0], step.Whom[1])
-			cut(step.Whom[1], step.Whom[0])
-		case Splits:
-			for _, a := range step.Whom {
-				for _, b := range s.Ends {
-					if !slices.Contains(step.Whom, b) {
-						cut(a, b)
-						cut(b, a)
-					}
-				}
-			}
+		case Cuts, Parts, Splits:
+			t.cut(step, s.Ends)
 		case Shapes:
 			l := link{step.Whom[0], step.Whom[1]}
 			if step.At >= began[l] {
@@ -118,16 +107,37 @@
 			}
 		}
 		if p.down || p.stalled || p.room > 0 {
-			t.of[step.Whom[0]] = p
+			t.processes[step.Whom[0]] = p
 		}
 	}
 	return t
 }
 
-// turn gives what leads from one trouble to another, in an order that hangs on nothing but these: links
-// first, then processes, by name.
-func turn(old, now trouble, at int) (all []Act) {
-	for _, l := range slices.SortedFunc(maps.Keys(both(old.cuts, now.cuts)), link.compare) {
+// cut cuts the directions that a step names, of which the ends are all there are. The worst cut holds.
+func (t *faultState) cut(step Step, ends []string) {
+	cut := func(from, to string) { t.cuts[link{from, to}] = max(t.cuts[link{from, to}], step.How) }
+	switch step.What {
+	case Cuts:
+		cut(step.Whom[0], step.Whom[1])
+	case Parts:
+		cut(step.Whom[0], step.Whom[1])
+		cut(step.Whom[1], step.Whom[0])
+	case Splits:
+		for _, inside := range step.Whom {
+			for _, outside := range ends {
+				if !slices.Contains(step.Whom, outside) {
+					cut(inside, outside)
+					cut(outside, inside)
+				}
+			}
+		}
+	}
+}
+
+// transition returns the acts that lead from one fault state to another. Their order depends on nothing else:
+// links first, then processes, by name.
+func transition(old, now faultState, at int) (all []Act) {
+	for _, l := range slices.SortedFunc(maps.Keys(union(old.cuts, now.cuts)), link.compare) {
 		if how := now.cuts[l]; how == old.cuts[l] {
 			continue
 		} else if how == Whole {
@@ -136,13 +146,13 @@
 			all = append(all, Act{At: at, Do: Sever, Whom: l.from, To: l.to, How: how})
 		}
 	}
-	for _, l := range slices.SortedFunc(maps.Keys(both(old.shapes, now.shapes)), link.compare) {
+	for _, l := range slices.SortedFunc(maps.Keys(union(old.shapes, now.shapes)), link.compare) {
 		if old.shapes[l] != now.shapes[l] {
 			all = append(all, Act{At: at, Do: Bend, Whom: l.from, To: l.to, Shape: now.shapes[l]})
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(both(old.of, now.of))) {
-		o, p := old.of[name], now.of[name]
+	for _, name := range slices.Sorted(maps.Keys(union(old.processes, now.processes))) {
+		o, p := old.processes[name], now.processes[name]
 		do := func(a Act) {
 			a.At, a.Whom = at, name
 			all = append(all, a)
@@ -169,14 +179,14 @@
 	return all
 }
 
-func both[K comparable, V any](a, b map[K]V) map[K]V {
+func union[K comparable, V any](a, b map[K]V) map[K]V {
 	all := map[K]V{}
 	maps.Copy(all, a)
 	maps.Copy(all, b)
 	return all
 }
 
-// moments gives when anything changes.
+// moments returns the times at which anything changes, ascending.
 func (s *Schedule) moments() (all []int) {
 	for _, step := range s.Steps {
 		all = append(all, step.At, step.Until)
@@ -185,17 +195,17 @@
 	return slices.Compact(all)
 }
 
-// Acts gives all that is done, in its order. Steps may overlap: what two of them break is whole when both are
-// over, and after the last act all is.
+// Acts returns all acts of the schedule in their order. Steps may overlap: what two of them break is repaired
+// when both are over, and after the last act nothing is broken.
 func (s *Schedule) Acts() (all []Act) {
-	var old trouble
+	var old faultState
 	for _, at := range s.moments() {
 		now := s.at(at)
-		all = append(all, turn(old, now, at)...)
+		all = append(all, transition(old, now, at)...)
 		old = now
 	}
 	return all
 }
 
-// undo gives what is to be done for all to be whole, had the schedule been played up to a moment.
-func (s *Schedule) undo(at int) []Act { return turn(s.at(at), trouble{}, at) }
+// undo returns the acts that repair everything after the schedule was played up to a moment.
+func (s *Schedule) undo(at int) []Act { return transition(s.at(at), faultState{}, at) }
--- a/internal/testkit/faultinject/disk.go
+++ b/internal/testkit/faultinject/disk.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	info, err := f.Stat()
 	if err != nil {
 		return err
--- a/internal/testkit/faultinject/process.go
+++ b/internal/testkit/faultinject/process.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer lock.Close() // and other packages' tests may build
+	defer func() { _ = lock.Close() }() // and other packages' tests may build
 	if err = syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil {
 		return "", err
 	}
@@ -134,9 +134,10 @@
 	return p
 }
 
-// nursery starts processes, one after the other, on one thread that never ends: the kernel ends a child when
-// the thread that has started it ends, which must be when the test binary does.
-var nursery = sync.OnceValue(func() chan<- func() {
+// processStarter returns the channel to the goroutine that starts all processes, on one thread that never
+// ends: the kernel kills a child when the thread that started it ends, which must be when the test binary
+// does.
+var processStarter = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
 	go func() {
 		runtime.LockOSThread()
@@ -164,7 +165,7 @@
 	if err != nil {
 		return err
 	}
-	defer out.Close()
+	defer func() { _ = out.Close() }()
 	cmd := exec.Command(p.spec.Program, p.spec.Args...)
 	if p.spec.Room > 0 { // the limit is there before its first write
 		cmd = exec.Command("/bin/sh", append([]string{"-c", "kill -STOP $$; exec \"$@\"", "sh",
@@ -174,7 +175,7 @@
 	cmd.Dir, cmd.Stdout, cmd.Stderr = p.spec.Dir, out, out
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
-	nursery() <- func() { started <- cmd.Start() }
+	processStarter() <- func() { started <- cmd.Start() }
 	if err := <-started; err != nil {
 		return err
 	}
@@ -185,7 +186,7 @@
 		_ = cmd.Wait()
 		select {
 		case <-copied:
-		case <-time.After(lastWords): // what it has started holds its output open
+		case <-time.After(outputTimeout): // what it has started holds its output open
 		}
 		close(done)
 	}()
@@ -293,7 +294,7 @@
 func (p *Process) signal(s syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.signalled(func(pid int) error {
+	return p.signalled(func(int) error {
 		if p.cmd.Process.Signal(s) != nil { // it has been reaped meanwhile
 			return ErrEnded
 		}
@@ -311,7 +312,7 @@
 
 // stopped waits until a process stands still.
 func stopped(pid int) error {
-	for end := time.Now().Add(stopLimit); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(stopTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if f := stat(pid); len(f) == 0 {
 			return ErrEnded
 		} else if f[statState] == "T" {
@@ -335,7 +336,7 @@
 	if err := p.signal(syscall.SIGKILL); err != nil {
 		return err
 	}
-	if !p.Wait(endLimit) {
+	if !p.Wait(exitTimeout) {
 		return fmt.Errorf("%s: %w", p.Name, ErrRuns)
 	}
 	return nil
@@ -414,7 +415,7 @@
 			p.t.Errorf("%v", err)
 		}
 	}
-	for end := time.Now().Add(endLimit); ; time.Sleep(lookEach) {
+	for end := time.Now().Add(exitTimeout); ; time.Sleep(pollInterval) {
 		all := marked(p.mark)
 		if len(all) == 0 {
 			return
@@ -465,7 +466,7 @@
 // Until waits for something to hold, and fails the test where it does not in time.
 func Until(t T, within time.Duration, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(within); !holds(); time.Sleep(lookEach) {
+	for end := time.Now().Add(within); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			t.Fatalf("not within %v: %s", within, what)
 		}
@@ -474,7 +475,7 @@
 
 // Reach waits until connections are taken at an address, host:port.
 func Reach(at string, within time.Duration) error {
-	for end := time.Now().Add(within); ; time.Sleep(lookEach) {
+	for end := time.Now().Add(within); ; time.Sleep(pollInterval) {
 		c, err := net.DialTimeout("tcp", at, within)
 		if err == nil {
 			return c.Close()
@@ -489,7 +490,7 @@
 
 // Healthy waits until the operators' port at an address says that its instance serves.
 func Healthy(control string, within time.Duration) error {
-	for end := time.Now().Add(within); ; time.Sleep(lookEach) {
+	for end := time.Now().Add(within); ; time.Sleep(pollInterval) {
 		_, err := Ask(control, "/admin/health")
 		if err == nil || time.Now().After(end) {
 			return err
--- a/internal/testkit/faultinject/relay.go
+++ b/internal/testkit/faultinject/relay.go
@@ -108,7 +108,8 @@
 	return w
 }
 
-func (n *Net) change(from, to string, f func(*way)) *way {
+// change applies f to a direction and wakes what waits for a change of it.
+func (n *Net) change(from, to string, f func(*way)) {
 	n.mu.Lock()
 	w := n.way(from, to)
 	n.mu.Unlock()
@@ -117,7 +118,6 @@
 	f(w)
 	close(w.changed)
 	w.changed = make(chan struct{})
-	return w
 }
 
 // Cut cuts the direction from one end to another. When it returns nothing passes any more.
@@ -184,7 +184,7 @@
 	if back < s.Reorder {
 		w.counts.Back++
 		if due = due.Add(s.Back); s.Back == 0 {
-			due = due.Add(usualBack)
+			due = due.Add(defaultHoldBack)
 		}
 	} else {
 		if due.Before(w.last) {
@@ -292,7 +292,7 @@
 			if at.IsZero() {
 				continue
 			}
-			if len(s.queue) >= mostDatagrams {
+			if len(s.queue) >= maxQueuedDatagrams {
 				w.counts.Lost++
 				continue
 			}
@@ -357,7 +357,11 @@
 	}
 	return f[i].due.Before(f[j].due)
 }
+
+// Push implements heap.Interface.
 func (f *flight) Push(x any) { *f = append(*f, x.(flying)) }
+
+// Pop implements heap.Interface.
 func (f *flight) Pop() any {
 	last := (*f)[len(*f)-1]
 	*f = (*f)[:len(*f)-1]
--- a/internal/testkit/faultinject/relay_test.go
+++ b/internal/testkit/faultinject/relay_test.go
@@ -190,7 +190,7 @@
 	e := among(t, 1, "a", "b")
 	e.net.Shape("a", "b", Shape{Rate: 400})
 	start := time.Now()
-	e.say("a", "b", mostDatagrams+200)
+	e.say("a", "b", maxQueuedDatagrams+200)
 	Until(t, 10*time.Second, "some are lost", func() bool { return e.net.Counts("a", "b").Lost > 50 })
 	began := time.Now()
 	n := 0
--- a/internal/testkit/faultinject/schedule.go
+++ b/internal/testkit/faultinject/schedule.go
@@ -73,17 +73,17 @@
 			able = append(able, k)
 		}
 	}
-	last := int(float64(span) * (1 - calmPart))
-	if last <= leastStep {
+	last := int(float64(span) * (1 - quietFraction))
+	if last <= minStepMillis {
 		return s
 	}
 	for range c.Steps {
 		if len(able) == 0 {
 			break
 		}
-		step := Step{What: able[rng.Intn(len(able))], At: rng.Intn(last - leastStep)}
-		long := rng.ExpFloat64() * float64(span) * usualPart
-		step.Until = min(step.At+leastStep+int(long), last)
+		step := Step{What: able[rng.Intn(len(able))], At: rng.Intn(last - minStepMillis)}
+		long := rng.ExpFloat64() * float64(span) * meanStepFraction
+		step.Until = min(step.At+minStepMillis+int(long), last)
 		step.draw(rng, c.whom(step.What))
 		s.Steps = append(s.Steps, step)
 	}
--- a/internal/testkit/faultinject/schedule_test.go
+++ b/internal/testkit/faultinject/schedule_test.go
@@ -327,7 +327,7 @@
 				return false
 			}
 			small := Shrink(s, breaks)
-			if !breaks(small) || asked > mostReplays+1 {
+			if !breaks(small) || asked > maxReplays+1 {
 				t.Fatalf("seed %d: after %d replays\n%s", seed, asked, small)
 			}
 			for _, step := range small.Steps {
--- a/internal/testkit/faultinject/shrink.go
+++ b/internal/testkit/faultinject/shrink.go
@@ -9,10 +9,9 @@
 // broken when it was last asked, or is s. A break that does not show each time is best asked for several
 // times by breaks itself.
 func Shrink(s Schedule, breaks func(Schedule) bool) Schedule {
-	x := &shrinker{best: s, breaks: breaks, left: mostReplays}
+	x := &shrinker{best: s, breaks: breaks, left: maxReplays}
 	x.drop()
 	for smaller := true; smaller && x.left > 0; {
-		smaller = false
 		smaller = x.pull()
 		for i := range x.best.Steps {
 			smaller = x.step(i) || smaller
@@ -87,9 +86,9 @@
 	for _, f := range []func(*Step){
 		func(s *Step) { s.At, s.Until = 0, s.Until-s.At },
 		func(s *Step) { s.At, s.Until = s.At/2, s.Until-s.At+s.At/2 },
-		func(s *Step) { s.Until = s.At + min(long(), leastStep) },
-		func(s *Step) { s.Until = s.At + max(long()/2, min(long(), leastStep)) },
-		func(s *Step) { s.At = s.Until - max(long()/2, min(long(), leastStep)) },
+		func(s *Step) { s.Until = s.At + min(long(), minStepMillis) },
+		func(s *Step) { s.Until = s.At + max(long()/2, min(long(), minStepMillis)) },
+		func(s *Step) { s.At = s.Until - max(long()/2, min(long(), minStepMillis)) },
 		func(s *Step) { s.Shape.Loss = 0 },
 		func(s *Step) { s.Shape.Double = 0 },
 		func(s *Step) { s.Shape.Reorder, s.Shape.Back = 0, 0 },
@@ -123,7 +122,7 @@
 		return last
 	}
 	s := x.best
-	calm := int(float64(s.Span) * calmPart)
+	calm := int(float64(s.Span) * quietFraction)
 	if s.Span = last(s) + calm; s.Span < x.best.Span {
 		x.try(s)
 	}
--- a/internal/testkit/faultinject/stream.go
+++ b/internal/testkit/faultinject/stream.go
@@ -90,7 +90,8 @@
 	}
 	var err error
 	if cut != Refused && s.listener == nil && !s.closed {
-		for end := time.Now().Add(dialLimit); ; time.Sleep(lookEach) { // another's call may have the port for now
+		// The port may be in use by an outgoing connection at first.
+		for end := time.Now().Add(dialTimeout); ; time.Sleep(pollInterval) {
 			if err = s.openLocked(); err == nil || time.Now().After(end) {
 				break
 			}
@@ -115,7 +116,7 @@
 // goroutine is just starting: between its fork and its exec it has all listeners of this one, also those
 // that are closed.
 func listenAgain(at string) (net.Listener, error) {
-	for end := time.Now().Add(startsWithin); ; time.Sleep(startsWithin / 100) {
+	for end := time.Now().Add(execTimeout); ; time.Sleep(execTimeout / 100) {
 		l, err := net.Listen("tcp4", at)
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(end) {
 			return l, err
@@ -156,12 +157,12 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(lookEach) // out of files, say
+			time.Sleep(pollInterval) // out of files, say
 			continue
 		}
 		p := &pipe{stream: s, near: c.(*net.TCPConn), done: make(chan struct{})}
 		s.mu.Lock()
-		room := len(s.pipes) < mostConnections && !s.closed
+		room := len(s.pipes) < maxConnections && !s.closed
 		if room {
 			s.pipes[p] = true
 		}
@@ -231,7 +232,7 @@
 	s.mu.Lock()
 	target := s.target
 	s.mu.Unlock()
-	far, err := net.DialTimeout("tcp", target, dialLimit)
+	far, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
 		return
 	}
@@ -258,7 +259,7 @@
 
 // pass passes one direction's bytes on.
 func (p *pipe) pass(from, to *net.TCPConn, w *way) {
-	queue := make(chan chunk, mostChunks)
+	queue := make(chan chunk, maxChunks)
 	go func() {
 		defer close(queue)
 		buf := make([]byte, chunkBytes)
--- a/internal/testkit/faultinject/try.go
+++ b/internal/testkit/faultinject/try.go
@@ -49,23 +49,27 @@
 	return f
 }
 
+// Cleanup registers a function that Try calls once the scenario has ended, last in first out.
 func (x *trial) Cleanup(f func()) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.cleanup = append(x.cleanup, f)
 }
 
+// Errorf records a failure; the scenario goes on.
 func (x *trial) Errorf(format string, args ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.failed = append(x.failed, fmt.Errorf(format, args...))
 }
 
+// Fatalf records a failure and ends the scenario.
 func (x *trial) Fatalf(format string, args ...any) {
 	x.Errorf(format, args...)
 	runtime.Goexit()
 }
 
+// TempDir returns a new directory that is removed when the scenario has ended.
 func (x *trial) TempDir() string {
 	dir, err := os.MkdirTemp("", "wdr")
 	if err != nil {
--- a/internal/testkit/goldentest/goldentest.go
+++ b/internal/testkit/goldentest/goldentest.go
@@ -24,58 +24,58 @@
 
 // Same fails a test for each line that differs, and for each leaf of the wanted value that is zero: a field
 // that does not come over would go unseen there.
-func Same(t testing.TB, got, want any) {
-	t.Helper()
-	SameLines(t, Leaves(got), Leaves(want))
+func Same(tb testing.TB, got, want any) {
+	tb.Helper()
+	SameLines(tb, Leaves(got), Leaves(want))
 	if zeros := Zeros(want); len(zeros) > 0 {
-		t.Errorf("these fields of the golden value are zero: %q", zeros)
+		tb.Errorf("these fields of the golden value are zero: %q", zeros)
 	}
 }
 
 // SameLines fails a test for lines that differ, the first few of them by name.
-func SameLines(t testing.TB, got, want []string) {
-	t.Helper()
+func SameLines(tb testing.TB, got, want []string) {
+	tb.Helper()
 	if len(got) != len(want) {
-		t.Errorf("%d lines, want %d", len(got), len(want))
+		tb.Errorf("%d lines, want %d", len(got), len(want))
 	}
 	shown := 0
 	for i := 0; i < min(len(got), len(want)) && shown < mostShown; i++ {
 		if got[i] != want[i] {
-			t.Errorf("line %d is %s, want %s", i+1, got[i], want[i])
+			tb.Errorf("line %d is %s, want %s", i+1, got[i], want[i])
 			shown++
 		}
 	}
 }
 
 // File reads a golden file of the package under test.
-func File(t testing.TB, name string) []byte {
-	t.Helper()
+func File(tb testing.TB, name string) []byte {
+	tb.Helper()
 	b, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return b
 }
 
 // Lines reads a golden file that holds a dump.
-func Lines(t testing.TB, name string) []string {
-	t.Helper()
-	return strings.Split(strings.TrimSpace(string(File(t, name))), "\n")
+func Lines(tb testing.TB, name string) []string {
+	tb.Helper()
+	return strings.Split(strings.TrimSpace(string(File(tb, name))), "\n")
 }
 
 // Hex reads a golden file that holds bytes as hexadecimal digits, over lines as it likes.
-func Hex(t testing.TB, name string) []byte {
-	t.Helper()
-	b, err := hex.DecodeString(strings.Join(strings.Fields(string(File(t, name))), ""))
+func Hex(tb testing.TB, name string) []byte {
+	tb.Helper()
+	b, err := hex.DecodeString(strings.Join(strings.Fields(string(File(tb, name))), ""))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return b
 }
 
 // SameBytes fails a test where bytes differ, and tells the place of the first that does.
-func SameBytes(t testing.TB, got, want []byte) {
-	t.Helper()
+func SameBytes(tb testing.TB, got, want []byte) {
+	tb.Helper()
 	if bytes.Equal(got, want) {
 		return
 	}
@@ -83,7 +83,7 @@
 	for at < min(len(got), len(want)) && got[at] == want[at] {
 		at++
 	}
-	t.Errorf("%d bytes, want %d; they differ from byte %d on: % x, want % x", len(got), len(want), at,
+	tb.Errorf("%d bytes, want %d; they differ from byte %d on: % x, want % x", len(got), len(want), at,
 		got[at:min(at+shownBytes, len(got))], want[at:min(at+shownBytes, len(want))])
 }
 
