--- a/internal/gateway/lifecycle/forwardauth_test.go
+++ b/internal/gateway/lifecycle/forwardauth_test.go
@@ -82,7 +82,7 @@
 func TestClearanceUsedOnce(t *testing.T) {
 	d := deployForwardAuth(t, askedConfig, `{"name":"tiny","rate":0.1,"most_at_once":1`,
 		`{"name":"tiny","rate":2,"most_at_once":2`)
-	at := d.gateway.authServer.At()
+	at := d.gateway.authServer.Addr()
 	tinyRequest := func(id string) string {
 		return strings.Replace(issueRequest("/issue", id), "basic", "tiny", 1)
 	}
@@ -139,7 +139,7 @@
 // rejected by both servers, and nothing is counted for it.
 func TestClearanceMismatch(t *testing.T) {
 	d := deployForwardAuth(t, askedConfig)
-	at := d.gateway.authServer.At()
+	at := d.gateway.authServer.Addr()
 	if r := roundTrip(t, at, authRequest(issueRequest("/issue", "x"))); r.StatusCode != 200 {
 		t.Fatal(r.Status)
 	}
@@ -171,7 +171,7 @@
 	d := deployForwardAuth(t, strings.Replace(askedConfig, "127.0.0.0/8", "192.0.2.0/24", 1))
 	if r := roundTrip(
 		t,
-		d.gateway.authServer.At(),
+		d.gateway.authServer.Addr(),
 		authRequest(checkRequest("/check", "1")),
 	); r.StatusCode != 403 ||
 		d.stat("asked.stranger") != 1 {
@@ -193,7 +193,7 @@
 	here, there := 0, 0
 	for i := range 40 {
 		raw := authRequest(two(issueRequest("/issue", fmt.Sprint("m", i))))
-		switch r := roundTrip(t, d.gateway.authServer.At(), raw); r.StatusCode {
+		switch r := roundTrip(t, d.gateway.authServer.Addr(), raw); r.StatusCode {
 		case 200:
 			here++
 		case 421:
@@ -462,9 +462,10 @@
 	}
 	first := d.startSuccessor(both) // the deployment's own has no auth server
 	d.gateway.Stop()
-	waitFor(t, "no auth server", func() bool { return first.authServer.At() != "" })
+	waitFor(t, "no auth server", func() bool { return first.authServer.Addr() != "" })
 	for _, id := range []string{"used", "kept"} {
-		if r := roundTrip(t, first.authServer.At(), authRequest(issueRequest("/issue", id))); r.StatusCode != 200 {
+		r := roundTrip(t, first.authServer.Addr(), authRequest(issueRequest("/issue", id)))
+		if r.StatusCode != 200 {
 			t.Fatal(r.Status)
 		}
 	}
@@ -484,8 +485,8 @@
 	if status, _ := readResponse(busyConn); status != "HTTP/1.1 200 OK" {
 		t.Errorf("an authorization in flight: %q", status)
 	}
-	waitFor(t, "the successor has no auth server", func() bool { return second.authServer.At() != "" })
-	at := second.authServer.At()
+	waitFor(t, "the successor has no auth server", func() bool { return second.authServer.Addr() != "" })
+	at := second.authServer.Addr()
 	if r := roundTrip(t, at, authRequest(issueRequest("/issue", "used"))); r.StatusCode != 409 {
 		t.Errorf("used before: %v", r.Status)
 	}
@@ -523,7 +524,7 @@
 	d.gateway.Reload(d.config, nil)
 	if r := roundTrip(
 		t,
-		d.gateway.authServer.At(),
+		d.gateway.authServer.Addr(),
 		authRequest(issueRequest("/issue", "p")),
 	); r.StatusCode != 200 {
 		t.Errorf("a clearance meanwhile: %v", r.Status)
--- a/internal/gateway/lifecycle/gateway.go
+++ b/internal/gateway/lifecycle/gateway.go
@@ -37,15 +37,15 @@
 	serveResult chan error // what the frontend's Serve has returned
 
 	adminServer *admin.Server                          // nil without an admin address
-	authServer  *authserver.Portal                     // nil where forward authentication is not served
-	authorizer  *authorizer.Voucher                    // nil where no authorization service is asked
+	authServer  *authserver.Server                     // nil where forward authentication is not served
+	authorizer  *authorizer.Authorizer                 // nil where no authorization service is asked
 	history     *history.Log                           // nil where no record for tests is kept
 	reporter    *loadReporter                          // nil where no load report is served
 	ruleset     *rulesetClient                         // nil where the ruleset is that of the configuration
 	peers       *transport.Peers                       // nil without peers
 	takeover    *takeover                              // nil where no predecessor was found
 	handoff     atomic.Pointer[hotrestart.Predecessor] // where a successor connects; nil until serving
-	journal     atomic.Pointer[store.Keeper]           // nil where non-idempotent requests are not recorded
+	journal     atomic.Pointer[store.Journal]          // nil where non-idempotent requests are not recorded
 
 	draining         atomic.Bool  // operators have sent clients away
 	standby          atomic.Bool  // another process serves: the predecessor still, or the successor from now on
--- a/internal/gateway/lifecycle/hotrestart.go
+++ b/internal/gateway/lifecycle/hotrestart.go
@@ -96,7 +96,7 @@
 	}
 	g.dispatcher.PredecessorEnded()
 	if journal := g.journal.Load(); complete && journal != nil {
-		journal.Settle()
+		journal.PredecessorEnded()
 	}
 	if !complete {
 		g.serveAfterCrash()
@@ -117,8 +117,8 @@
 	g.log.Info().Int("customers", len(state.Policy.Customers)).Int("workers", len(state.Policy.Workers)).
 		Msg("taking over")
 	if g.authServer != nil {
-		g.authServer.Inherit(state.Clearances)
-		go g.authServer.Rebind(g.done)
+		g.authServer.Adopt(state.Clearances)
+		go g.authServer.ListenWhenFree(g.done)
 	}
 	g.serve()
 	if state.Draining {
@@ -131,7 +131,7 @@
 	g.openCrashState(true)
 	g.openJournal(false)
 	if g.authServer != nil {
-		go g.authServer.Rebind(g.done)
+		go g.authServer.ListenWhenFree(g.done)
 	}
 	g.serve()
 }
@@ -218,7 +218,7 @@
 	state := hotrestart.HandoffState{Draining: g.draining.Load()}
 	if g.authServer != nil {
 		g.authServer.Close()
-		state.Clearances = g.authServer.Leave() // ahead of the dispatcher's, which would count them as spent
+		state.Clearances = g.authServer.HandOver() // ahead of the dispatcher's, which would count them as spent
 	}
 	state.Policy, state.WorkerNames, state.KindNames = g.dispatcher.HandOff()
 	if journal := g.journal.Load(); journal != nil {
--- a/internal/gateway/lifecycle/journal_test.go
+++ b/internal/gateway/lifecycle/journal_test.go
@@ -25,14 +25,14 @@
 
 // withJournal configures a journal in a folder.
 func withJournal(dir string) func(*config.Gateway) {
-	return withJournalIn(dir, 4<<10, txnjournal.DefaultSegments)
+	return withJournalIn(dir, 4<<10, txnjournal.DefaultMaxSegments)
 }
 
 func withJournalIn(dir string, size, segments int) func(*config.Gateway) {
 	return func(c *config.Gateway) {
-		t := txnjournal.DefaultTerms()
-		t.Segment, t.Segments = size, segments // so that they change often
-		t.Wait, t.Slow = 250, 1000             // a loaded machine
+		t := txnjournal.DefaultConfig()
+		t.SegmentBytes, t.MaxSegments = size, segments     // so that they change often
+		t.CommitWaitMillis, t.SlowCommitMillis = 250, 1000 // a loaded machine
 		c.Journal = &config.Journal{Dir: dir, Terms: t}
 	}
 }
@@ -49,11 +49,11 @@
 func journalVerdict(t *testing.T, directory, requestID string) txnjournal.Verdict {
 	t.Helper()
 	now := float64(time.Now().UnixMilli())
-	b, _, _, _, err := store.ReadAll(store.Dir(directory), txnjournal.DefaultTerms(), now, nil, nil)
+	replay, err := store.ReadAll(store.Dir(directory), txnjournal.DefaultConfig(), now, store.Visitor{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, _, _ := b.Answers(requestID, now+5000, now+5000, now) // not so near to when the journal began
+	v, _, _ := replay.Index.Resolve(requestID, now+5000, now+5000, now) // not so near to when the journal began
 	return v
 }
 
@@ -88,7 +88,7 @@
 		}
 	}
 	d.gateway.Stop()
-	for requestID, want := range map[string]txnjournal.Verdict{"done": txnjournal.SentSettled,
+	for requestID, want := range map[string]txnjournal.Verdict{"done": txnjournal.SentCompleted,
 		"lost": txnjournal.SentUnknown,
 		"none": txnjournal.NotSent} {
 		if v := journalVerdict(t, filepath.Join(dir, "n0"), requestID); v != want {
@@ -135,24 +135,25 @@
 // TestJournalDiskFailure: the disk hangs in service. Non-idempotent requests are rejected, or sent without a
 // record, as the policy says, soon and within their time; others are not affected.
 func TestJournalDiskFailure(t *testing.T) {
-	for _, policy := range []txnjournal.Policy{txnjournal.Refuse, txnjournal.Serve} {
+	for _, policy := range []txnjournal.UnwrittenPolicy{txnjournal.RefuseUnwritten, txnjournal.ServeUnwritten} {
 		t.Run(policy.String(), func(t *testing.T) {
-			m, usual := store.NewMemory(1), journalDisk
+			m, usual := store.NewMemoryDisk(1), journalDisk
 			journalDisk = func(string) store.Disk { return m }
 			defer func() { journalDisk = usual }()
 			d := deployWith(t, func(c *config.Gateway) {
 				withJournal("")(c)
 				t := &c.Journal.Terms
-				t.Policy, t.Wait, t.Lease, t.Pause, t.MostPause = policy, 150, 200, 20, 40
+				t.Policy, t.CommitWaitMillis, t.CoverageLeaseMillis = policy, 150, 200
+				t.BreakerBackoffMillis, t.BreakerMaxBackoffMillis = 20, 40
 			}, 2, 5000)
 			if status, _ := d.send(issueRequest("/issue", "before")); status != "HTTP/1.1 200 OK" {
 				t.Fatalf("before: %q", status)
 			}
 			release := make(chan bool)
-			m.Hang(release)
+			m.BlockSyncs(release)
 			defer close(release)
 			want, sent := "HTTP/1.1 429 Too Many Requests", len(d.submissions())
-			if policy == txnjournal.Serve {
+			if policy == txnjournal.ServeUnwritten {
 				want = "HTTP/1.1 200 OK"
 			}
 			attempts := 0
@@ -161,7 +162,7 @@
 				status, _ := d.send(issueRequest("/issue", fmt.Sprint("x", attempts)))
 				return status == want
 			})
-			if n := len(d.submissions()) - sent; policy == txnjournal.Refuse && n > 0 {
+			if n := len(d.submissions()) - sent; policy == txnjournal.RefuseUnwritten && n > 0 {
 				t.Errorf("%d were sent", n)
 			}
 			from := time.Now()
@@ -358,19 +359,19 @@
 	}
 	now := float64(time.Now().UnixMilli())
 	journalDir := store.Dir(filepath.Join(dir, "n0"))
-	verdicts, found, _, incarnations, err := store.ReadAll(journalDir, txnjournal.DefaultTerms(), now, nil, nil)
+	replay, err := store.ReadAll(journalDir, txnjournal.DefaultConfig(), now, store.Visitor{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	count, falselyNotSent, falselySettled, unknownNotRun := [3]int{}, 0, 0, 0
 	for requestID, at := range sentAt {
-		v, why, _ := verdicts.Answers(requestID, at, now, now)
+		v, why, _ := replay.Index.Resolve(requestID, at, now, now)
 		count[v]++
 		switch {
 		case v == txnjournal.NotSent && runs[requestID] > 0:
 			falselyNotSent++
 			t.Errorf("%s ran, and the journal says it was not sent: %s", requestID, why)
-		case v == txnjournal.SentSettled && runs[requestID] == 0:
+		case v == txnjournal.SentCompleted && runs[requestID] == 0:
 			falselySettled++
 		case v == txnjournal.SentUnknown && runs[requestID] == 0:
 			unknownNotRun++
@@ -378,11 +379,13 @@
 	}
 	t.Logf("%d incarnations, %d records in %d segments, %d bytes cut; of %d requests %d ran, "+
 		"%d twice; settled %d, unknown %d (%d of them never ran), not sent %d; "+
-		"falsely not sent %d, falsely settled %d", incarnations,
-		found.Records, found.Segments, found.Cut, len(sentAt), len(runs), twice, count[txnjournal.SentSettled],
+		"falsely not sent %d, falsely settled %d", replay.LastIncarnation,
+		replay.Stats.Records, replay.Stats.Segments, replay.Stats.UnreadableBytes,
+		len(sentAt), len(runs), twice, count[txnjournal.SentCompleted],
 		count[txnjournal.SentUnknown], unknownNotRun, count[txnjournal.NotSent], falselyNotSent, falselySettled)
-	if twice > 0 || falselySettled > 0 || len(runs) < *journalKills || int(incarnations) < *journalKills/2 {
+	if twice > 0 || falselySettled > 0 || len(runs) < *journalKills ||
+		int(replay.LastIncarnation) < *journalKills/2 {
 		t.Errorf("%d ran twice, %d are settled that never ran, %d ran in %d incarnations",
-			twice, falselySettled, len(runs), incarnations)
+			twice, falselySettled, len(runs), replay.LastIncarnation)
 	}
 }
--- a/internal/gateway/lifecycle/membership.go
+++ b/internal/gateway/lifecycle/membership.go
@@ -21,7 +21,7 @@
 	if int64(size) != g.memberCount.Load() {
 		g.frontend.SetInstanceCount(size)
 		if g.authServer != nil {
-			g.authServer.Resize(size)
+			g.authServer.SetInstances(size)
 		}
 		g.memberCount.Store(int64(size))
 	}
--- a/internal/gateway/lifecycle/start.go
+++ b/internal/gateway/lifecycle/start.go
@@ -164,7 +164,7 @@
 // authentication.
 func (g *Gateway) openServers(bindAuthServer bool) (err error) {
 	if g.authServer != nil && bindAuthServer {
-		err = g.authServer.Bind()
+		err = g.authServer.Listen()
 	}
 	if g.config.AdminAddress != "" && err == nil {
 		g.adminServer, err = admin.Open(g.config.AdminAddress, g)
