--- a/internal/gateway/lifecycle/discovery_test.go
+++ b/internal/gateway/lifecycle/discovery_test.go
@@ -57,7 +57,7 @@
 func drainFirstWorker(list *fakes.Discovery) {
 	e := list.List().Endpoints[0]
 	e.Status = "leaving"
-	list.Tell(e)
+	list.Publish(e)
 }
 
 // awaitActiveWorkers waits until that many workers are active, and fails if it takes longer than most
@@ -107,7 +107,7 @@
 			var list *fakes.Discovery
 			d := deployWith(t, func(c *config.Gateway) {
 				list = startListedDiscovery(t, c)
-				c.DiscoveryAddress, c.KnownEndpoints.Version = list.At, 0
+				c.DiscoveryAddress, c.KnownEndpoints.Version = list.Addr, 0
 				c.KnownEndpoints.Workers = c.KnownEndpoints.Workers[:1]
 				for rand.New(rand.NewSource(c.Seed)).Float64() > 0.02 { // that the first watch is open soon
 					c.Seed++
@@ -142,10 +142,10 @@
 				next := d.config
 				list := startListedDiscovery(t, &next)
 				for range 7 {
-					list.Tell() // its versions go on from the configured one
+					list.Publish() // its versions go on from the configured one
 				}
 				drainFirstWorker(list)
-				next.DiscoveryAddress = list.At
+				next.DiscoveryAddress = list.Addr
 				c.fail(list, c.failsFor > 0)
 				d.gateway.Reload(next, nil)
 				time.Sleep(c.failsFor)
--- a/internal/gateway/lifecycle/forwardauth_test.go
+++ b/internal/gateway/lifecycle/forwardauth_test.go
@@ -23,7 +23,7 @@
 	"life_ms = 300\nremember_s = 30\nconnections = 8\n"
 
 func askingConfig(auth *fakes.Auth, more string) string {
-	return fmt.Sprintf("[asking]\nservice = %q\nlimit_ms = 200\nshare = 0.6\nconnections = 12\n%s\n", auth.At,
+	return fmt.Sprintf("[asking]\nservice = %q\nlimit_ms = 200\nshare = 0.6\nconnections = 12\n%s\n", auth.Addr,
 		more)
 }
 
@@ -215,7 +215,7 @@
 // the gateway's headers about the original request, not the client's.
 func TestAuthorizerVerdicts(t *testing.T) {
 	auth := newAuthService(t)
-	auth.Says(func(c string) (int, map[string]string) {
+	auth.SetAuthorizer(func(c string) (int, map[string]string) {
 		switch c {
 		case "good":
 			return 200, nil
@@ -232,7 +232,7 @@
 	if r := roundTrip(t, d.address, forged); r.StatusCode != 200 {
 		t.Errorf("a grant: %v", r.Status)
 	}
-	if got := auth.Got(); len(got) != 1 || got[0].For != "127.0.0.1" || got[0].Target != "/issue" ||
+	if got := auth.Received(); len(got) != 1 || got[0].For != "127.0.0.1" || got[0].Target != "/issue" ||
 		got[0].Method != "POST" {
 		t.Errorf("the service was asked %+v", got)
 	}
@@ -272,7 +272,7 @@
 // agree with one that does.
 func TestAuthorizerNamesCustomer(t *testing.T) {
 	auth := newAuthService(t)
-	auth.Says(func(c string) (int, map[string]string) {
+	auth.SetAuthorizer(func(c string) (int, map[string]string) {
 		return 200, map[string]string{"X-Customer": c}
 	})
 	d := deployForwardAuth(t, askingConfig(auth, `customer = "X-Customer"`))
@@ -301,7 +301,7 @@
 	d := deployForwardAuth(t, askingConfig(auth, "[asking.breaker]\nafter = 7\npause_ms = 150\nmost_ms = 150"))
 	for i, f := range []fakes.Fault{fakes.Stalls, fakes.Silent, fakes.Errs, fakes.Cuts,
 		fakes.Garbage, fakes.HalfHead, fakes.Full} {
-		auth.Set(f)
+		auth.SetFault(f)
 		from := time.Now()
 		r := roundTrip(
 			t,
@@ -313,10 +313,10 @@
 			t.Errorf("fault %d: %v after %v", f, r.Status, elapsed)
 		}
 	}
-	auth.Set(fakes.Silent)
+	auth.SetFault(fakes.Silent)
 	roundTrip(t, d.address, withHeader(issueRequest("/issue", "s8"), "Authorization: c8"))
 	time.Sleep(60 * time.Millisecond) // the authorization outlives the request
-	before := len(auth.Got())
+	before := len(auth.Received())
 	from := time.Now()
 	if r := roundTrip(
 		t,
@@ -324,10 +324,10 @@
 		withHeader(issueRequest("/issue", "s9"), "Authorization: c9"),
 	); r.StatusCode != 429 ||
 		time.Since(from) > 50*time.Millisecond ||
-		len(auth.Got()) != before {
+		len(auth.Received()) != before {
 		t.Errorf("with the breaker open: %v after %v", r.Status, time.Since(from))
 	}
-	auth.Set(fakes.None)
+	auth.SetFault(fakes.None)
 	waitFor(t, "the service is not requested again", func() bool {
 		r := roundTrip(
 			t,
@@ -363,7 +363,7 @@
 // quota is returned.
 func TestLateAuthorization(t *testing.T) {
 	auth := newAuthService(t)
-	auth.Takes(120 * time.Millisecond)
+	auth.SetServiceTime(120 * time.Millisecond)
 	d := deployForwardAuth(t, askingConfig(auth, ""), `{"name":"tiny","rate":0.1,"most_at_once":1`,
 		`{"name":"tiny","rate":0.1,"most_at_once":2`)
 	tinyRequest := func(id string) string {
@@ -378,15 +378,15 @@
 	c.Close()
 	waitFor(t, "the disconnect is not noticed", func() bool { return d.gateway.frontend.ActiveRequests() == 0 })
 	time.Sleep(150 * time.Millisecond) // the grant has arrived
-	if n := len(d.submissions()); n != 0 || len(auth.Got()) != 1 {
-		t.Fatalf("%d submissions for a client that had left, %d authorizations", n, len(auth.Got()))
+	if n := len(d.submissions()); n != 0 || len(auth.Received()) != 1 {
+		t.Fatalf("%d submissions for a client that had left, %d authorizations", n, len(auth.Received()))
 	}
 	if r := roundTrip(
 		t,
 		d.address,
 		tinyRequest("2"),
 	); r.StatusCode != 200 ||
-		len(auth.Got()) != 1 { // the grant is cached now
+		len(auth.Received()) != 1 { // the grant is cached now
 		t.Errorf("with the returned quota: %v", r.Status)
 	}
 }
@@ -396,7 +396,7 @@
 // in flight.
 func TestAuthorizationDisconnectRace(t *testing.T) {
 	auth := newAuthService(t)
-	auth.Takes(20 * time.Millisecond)
+	auth.SetServiceTime(20 * time.Millisecond)
 	d := deployForwardAuth(t, askingConfig(auth, "yes_s = 0"))
 	rng := rand.New(rand.NewSource(1))
 	var clients sync.WaitGroup
@@ -472,7 +472,7 @@
 	if r := roundTrip(t, d.address, issueRequest("/issue", "used")); r.StatusCode != 200 {
 		t.Fatal(r.Status)
 	}
-	auth.Takes(100 * time.Millisecond)
+	auth.SetServiceTime(100 * time.Millisecond)
 	busyConn, err := net.Dial("tcp", d.address)
 	if err != nil {
 		t.Fatal(err)
@@ -508,7 +508,7 @@
 // requests are still authorized.
 func TestForwardAuthWhileDraining(t *testing.T) {
 	auth := newAuthService(t)
-	auth.Takes(60 * time.Millisecond)
+	auth.SetServiceTime(60 * time.Millisecond)
 	d := deployForwardAuth(t, askedConfig+askingConfig(auth, ""))
 	answers := make(chan string, 8)
 	for i := range 4 {
--- a/internal/gateway/lifecycle/loadreport.go
+++ b/internal/gateway/lifecycle/loadreport.go
@@ -22,7 +22,7 @@
 // loadReporter keeps the load report that the regions' forecast reads.
 type loadReporter struct {
 	mu              sync.Mutex // guards the fields up to groupConfigured
-	report          forecast.Word
+	report          forecast.Report
 	refreshedAt     time.Time
 	groupConfigured bool // else the group's name follows from the peers
 
@@ -32,11 +32,11 @@
 // newLoadReporter starts to measure what a report contains.
 func (g *Gateway) newLoadReporter() *loadReporter {
 	c := &g.config
-	r := &loadReporter{groupConfigured: c.Group != "", report: forecast.Word{
+	r := &loadReporter{groupConfigured: c.Group != "", report: forecast.Report{
 		Name:     c.Name,
 		Host:     c.Host,
-		Hall:     c.Region,
-		Number:   c.Charter.GatewayIndex,
+		Region:   c.Region,
+		Index:    c.Charter.GatewayIndex,
 		Charter:  c.Charter,
 		Products: c.Names.ProductNames(),
 		Plans:    c.Names.PlanNames(),
@@ -70,7 +70,7 @@
 func (r *loadReporter) setRuleset(version uint64, plans []policy.Plan) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report.Version, r.report.Charter.Plans = version, slices.Clone(plans)
+	r.report.RulesetVersion, r.report.Charter.Plans = version, slices.Clone(plans)
 }
 
 // refresh makes a new report, unless the last is younger than reportInterval.
@@ -82,7 +82,7 @@
 	}
 	r.refreshedAt = time.Now()
 	g.dispatcher.FillReport(&r.report)
-	encoded, err := forecast.Append(nil, &r.report)
+	encoded, err := forecast.AppendReport(nil, &r.report)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("load report could not be encoded")
 		r.encoded.Store(nil)
