--- a/internal/gateway/lifecycle/descriptors_test.go
+++ b/internal/gateway/lifecycle/descriptors_test.go
@@ -171,7 +171,8 @@
 				t.Fatal(err)
 			}
 			defer worker.Close()
-			list, err := json.Marshal(fakes.List{Index: 8, Snapshot: true, Endpoints: []fakes.Entry{worker.Endpoint("a")}})
+			list, err := json.Marshal(fakes.List{Index: 8, Snapshot: true,
+				Endpoints: []fakes.Entry{worker.Endpoint("a")}})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/gateway/lifecycle/forwardauth_test.go
+++ b/internal/gateway/lifecycle/forwardauth_test.go
@@ -464,7 +464,8 @@
 	d.gateway.Stop()
 	waitFor(t, "no auth server", func() bool { return first.authServer.Addr() != "" })
 	for _, id := range []string{"used", "kept"} {
-		if r := roundTrip(t, first.authServer.Addr(), authRequest(issueRequest("/issue", id))); r.StatusCode != 200 {
+		r := roundTrip(t, first.authServer.Addr(), authRequest(issueRequest("/issue", id)))
+		if r.StatusCode != 200 {
 			t.Fatal(r.Status)
 		}
 	}
--- a/internal/gateway/lifecycle/journal_test.go
+++ b/internal/gateway/lifecycle/journal_test.go
@@ -382,7 +382,8 @@
 		"falsely not sent %d, falsely settled %d", replay.LastIncarnation,
 		replay.Stats.Records, replay.Stats.Segments, replay.Stats.UnreadableBytes, len(sentAt), len(runs), twice, count[txnjournal.SentCompleted],
 		count[txnjournal.SentUnknown], unknownNotRun, count[txnjournal.NotSent], falselyNotSent, falselySettled)
-	if twice > 0 || falselySettled > 0 || len(runs) < *journalKills || int(replay.LastIncarnation) < *journalKills/2 {
+	if twice > 0 || falselySettled > 0 || len(runs) < *journalKills ||
+		int(replay.LastIncarnation) < *journalKills/2 {
 		t.Errorf("%d ran twice, %d are settled that never ran, %d ran in %d incarnations",
 			twice, falselySettled, len(runs), replay.LastIncarnation)
 	}
--- a/internal/gateway/lifecycle/recovery.go
+++ b/internal/gateway/lifecycle/recovery.go
@@ -107,10 +107,11 @@
 	}
 	owner := store.Writer{Instance: g.config.Name}
 	if mark, uptimeMillis, err := crashstate.ReadBoot(); err == nil {
-		owner.BootID, owner.ClockOffsetMillis = crc32.ChecksumIEEE(mark), float64(time.Now().UnixMilli())-uptimeMillis
+		owner.BootID = crc32.ChecksumIEEE(mark)
+		owner.ClockOffsetMillis = float64(time.Now().UnixMilli()) - uptimeMillis
 	}
 	disk := journalDisk(settings.InstanceDir(g.config.Name))
-	keeper := store.Start(disk, settings.Terms, owner, besidePredecessor, g.config.Seed, g.log)
-	g.journal.Store(keeper)
-	g.proxy.EnableJournal(keeper, settings.Terms, g.config.Charter.Products, g.config.Names.ProductNames())
+	journal := store.Start(disk, settings.Terms, owner, besidePredecessor, g.config.Seed, g.log)
+	g.journal.Store(journal)
+	g.proxy.EnableJournal(journal, settings.Terms, g.config.Charter.Products, g.config.Names.ProductNames())
 }
