--- a/cmd/willowdeck/main.go
+++ b/cmd/willowdeck/main.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	conf.MaxSockets = lifecycle.Room(conf.MaxSockets)
+	conf.MaxSockets = lifecycle.SocketLimit(conf.MaxSockets)
 	gateway, err := lifecycle.Start(conf, log.With().Str("gatekeeper", conf.Name).Logger())
 	if err != nil {
 		return err
--- a/internal/lab/emulator/gatekeeper.go
+++ b/internal/lab/emulator/gatekeeper.go
@@ -100,9 +100,9 @@
 	for i, x := range g.w.workers {
 		g.told[i] = told{x.listed(), x.life}
 		if !x.listed() {
-			g.w.judge.Told(g.w.now, g.num, i, false)
+			g.w.judge.AvailabilityNotified(g.w.now, g.num, i, false)
 		}
-		g.w.judge.Knows(g.num, i, x.since)
+		g.w.judge.StartNotified(g.num, i, x.since)
 		list = append(list, x.posting(true))
 	}
 	g.input(func(b brain) { b.UpdateEndpoints(list, false) })
@@ -219,7 +219,7 @@
 		e := m.HandOff()
 		g.left = &e
 	}
-	g.w.judge.Crashed(g.num)
+	g.w.judge.GatewayCrashed(g.num)
 	for _, t := range ordered(g.txns) {
 		if !t.final {
 			t.final = true
@@ -290,16 +290,16 @@
 	}
 	w.ids++
 	t := &txn{c: c, id: w.ids, until: until, product: c.a.Product, came: w.now}
-	g.meter.Asked(c.a.Plan, c.a.Product, c.a.Units)
+	g.meter.RequestReceived(c.a.Plan, c.a.Product, c.a.Units)
 	g.txns[t.id] = t
 	life := g.life
-	w.judge.Taken(w.now, g.num, t.id, c.a.Product, c.a.Plan, c.a.Customer, c.a.Units, until)
+	w.judge.RequestReceived(w.now, g.num, t.id, c.a.Product, c.a.Plan, c.a.Customer, c.a.Units, until)
 	w.in(until-w.now, func() { // the client's own clock, with the slack of the answer's way
 		if !t.final && g.life == life && g.held {
 			t.final = true // it stands still: the client goes, and is owed nothing that it could get
-			w.judge.Left(t.id)
+			w.judge.ClientLeft(t.id)
 			w.res.Silent++
-			g.meter.Ended(c.a.Plan, c.a.Product, forecast.Other, 0)
+			g.meter.RequestEnded(c.a.Plan, c.a.Product, forecast.OutcomeOther, 0)
 			c.answered(silent, 0)
 			g.input(func(b brain) { b.ClientGone(t.id) })
 			g.drop(t)
@@ -387,20 +387,21 @@
 
 // final gives a txn's client its answer.
 func (g *gatekeeper) final(t *txn, f invariants.Final, k answerKind, wait float64) {
-	g.w.judge.Answered(g.w.now, t.id, f)
+	g.w.judge.RequestAnswered(g.w.now, t.id, f)
 	if t.final {
 		return
 	}
 	if t.final = true; len(t.subs) == 0 {
 		g.refuse()
 	}
-	g.meter.Ended(t.c.a.Plan, t.product, ends[k], g.w.now-t.came)
+	g.meter.RequestEnded(t.c.a.Plan, t.product, ends[k], g.w.now-t.came)
 	g.w.in(g.w.draw(g.w.s.Network.ClientMS), func() { t.c.answered(k, wait) })
 	g.drop(t)
 }
 
-var ends = map[answerKind]forecast.Final{settled: forecast.Settled, declined: forecast.Declined,
-	voided: forecast.Voided}
+var ends = map[answerKind]forecast.Outcome{settled: forecast.OutcomeSucceeded,
+	declined: forecast.OutcomeRejected,
+	voided:   forecast.OutcomeFailed}
 
 // drop forgets a txn of which nothing more can come.
 func (g *gatekeeper) drop(t *txn) {
@@ -446,7 +447,7 @@
 			s.written, s.sent = true, t.sent
 			t.sent++
 			w.res.Submissions++
-			w.judge.Sent(w.now, g.num, t.id, x.at)
+			w.judge.AttemptSent(w.now, g.num, t.id, x.at)
 			x.coming++
 			w.in(w.way(g, x), func() { x.take(s) })
 		}
@@ -478,7 +479,7 @@
 	w, t := g.w, s.t
 	t.out--
 	if s.written {
-		w.judge.Ended(w.now, t.id, s.sent, proof)
+		w.judge.AttemptEnded(w.now, t.id, s.sent, proof)
 	}
 	if g.held { // what stands still learns of it later, and its client too
 		g.pending = append(g.pending, func() { g.learn(s, o) })
@@ -494,7 +495,7 @@
 		g.final(t, invariants.Settled, settled, 0)
 	}
 	took, closed := g.w.now-s.began, t.final
-	g.meter.Answered(g.w.s.hall(s.worker.at), t.product, o, took, over)
+	g.meter.AttemptEnded(g.w.s.hall(s.worker.at), t.product, o, took, over)
 	g.input(func(b brain) { b.AttemptEnded(t.id, s.n, o, took, closed) })
 	g.drop(t)
 }
@@ -508,8 +509,8 @@
 		}
 		fresh := g.told[x.at].life != x.life
 		g.told[x.at] = told{x.listed(), x.life}
-		w.judge.Told(w.now, g.num, x.at, x.listed())
-		w.judge.Knows(g.num, x.at, x.since)
+		w.judge.AvailabilityNotified(w.now, g.num, x.at, x.listed())
+		w.judge.StartNotified(g.num, x.at, x.since)
 		p := x.posting(fresh)
 		g.input(func(b brain) { b.UpdateEndpoints([]policy.Endpoint{p}, true) })
 	})
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -92,15 +92,15 @@
 	return derived
 }
 
-// AdvanceTo sets the time, in ms, of the inputs and decisions that follow.
+// AdvanceTo sets the time, in ms, of the inputs and decisions that follow. Time never goes back.
 func (e *Engine) AdvanceTo(now float64) {
 	if !e.clockStarted {
 		e.clockStarted, e.startedAt, e.rateLimitBase, e.now, e.warmUnitsAt = true, now, now, now, now
 		e.nextReportAt = now + e.derived.reportIntervalMillis*e.rng.Float64()
 	}
-	// Guards against this gateway itself being stopped for a while: what it finds then says nothing of how
-	// long workers took. All that came meanwhile comes at once: it gets the room that would have been used in
-	// turns, for a while. Where many stand still at the same time, that presses the fleet.
+	// Guards against a stall of this process: what it finds afterwards says nothing of how long workers took.
+	// All requests that arrived meanwhile come at once, and for a while get the window that they would have used
+	// one after another. Where many gateways stall at the same time, that puts pressure on the fleet.
 	if gap := now - e.timerAt; e.timerAt > 0 && gap > stallMillis {
 		e.stalledUntil = now
 		e.stallAllowance = e.window * math.Min(gap/math.Max(e.responseMillis, 1), maxStallAllowanceWindows)
@@ -111,7 +111,7 @@
 	}
 }
 
-// AddRequest accepts a request. Its final answer comes out of NextDecision, at the latest at its deadline.
+// AddRequest accepts a request. Its final answer comes out of NextDecision, at its deadline at the latest.
 func (e *Engine) AddRequest(arrival Request) {
 	slot, accountIndex := allocate(&e.requests, &e.freeRequests), e.accountFor(arrival)
 	request := &e.requests[slot]
@@ -132,7 +132,7 @@
 	e.updateShare(account)
 }
 
-// NextDecision gives the next decision, or none.
+// NextDecision returns the next decision, or false where there is none until the next input or the timer.
 func (e *Engine) NextDecision() (Decision, bool) {
 	for e.nextPending < len(e.pending) {
 		if decision, ok := e.decide(e.pending[e.nextPending]); ok {
@@ -179,7 +179,7 @@
 	return e.nextTimer()
 }
 
-// decide gives the next decision on one request, or none.
+// decide returns the next decision on one request, or false.
 func (e *Engine) decide(slot int32) (Decision, bool) {
 	request := &e.requests[slot]
 	if !request.live || request.awaitsClaim(e.now) {
@@ -249,39 +249,39 @@
 	rng             *rand.Rand
 	now             float64
 	startedAt       float64
-	rateLimitBase   float64 // rate limits of customers that are not known here are taken as spent at this time
-	handedOff       bool    // another has taken over what it knows
-	startedEmpty    bool    // it knew nobody when quotas began to go without messages
+	rateLimitBase   float64 // time at which rate limits of customers not known here are taken as spent
+	handedOff       bool    // a successor has taken over
+	startedEmpty    bool    // it knew no customer when quotas began to go without gossip
 	lender          Lender  // nil where nothing is lent
-	gossipResumedAt float64 // when quotas last went by messages again; 0 where they always did
-	stalledUntil    float64 // when the gateway last found that it had itself stood still
+	gossipResumedAt float64 // when quotas last went by gossip again; 0 where they always did
+	stalledUntil    float64 // end of the last stall of this process
 	clockStarted    bool
 	derived         derivedSettings
 	settings        Settings // what they were derived from
 	initialPlans    []Plan   // as they were at the start, once they have changed
 	products        []productParams
 	plans           []planParams
-	windowFraction  [][]float64 // window fraction by product and plan
+	windowFraction  [][]float64 // by product and plan
 
 	workers []workerRecord
-	// of each, by chance, so that each gateway draws from some of its own; 0 is none yet
+	// random rank of each worker, so that each gateway has a subset of its own; 0 is none yet
 	ranks             []float64
-	readiness         []uint8   // where each stands
-	ready             []int     // the listed ones, in order
+	readiness         []uint8   // of each worker
+	ready             []int     // the listed workers, by index
 	readyByRank       []int     // the same by rank
-	subset            []int     // of these, those that are drawn from: the first
-	warming           []int     // of the ready ones, those that are not warm, in order
-	suspects          []int     // workers that fail, or turn requests away
-	added             []int     // those that a list brings among the ready ones
-	rewarming         []int     // and of the ready ones those that it makes cold
-	removedAny        bool      // it has taken some off
-	inFlightByClass   []int     // attempts out by class of request
-	acceptingFraction []float64 // part of the workers that does not turn a sort away
-	warmCount         int       // how many of the listed ones are warm
-	warmEquivalents   float64   // what all the listed ones can do, in warm workers
+	subset            []int     // the first of these, which are drawn from
+	warming           []int     // the ready ones that are warming up, by index
+	suspects          []int     // workers with suspicion or rejections
+	added             []int     // those that an update makes ready
+	rewarming         []int     // ready ones that it makes warming
+	removedAny        bool      // it has removed some
+	inFlightByClass   []int     // attempts in flight by class of request
+	acceptingFraction []float64 // fraction of the workers that accepts each class
+	warmCount         int       // number of ready workers that are warm
+	warmEquivalents   float64   // capacity of all ready workers, in warm ones
 	peers             []peerRecord
-	silentPrefix      []int // silent peers before each place of the ring, gone round twice
-	hotPrefix         []int // hot customers that each place of the ring shares, likewise
+	silentPrefix      []int // silent peers before each gateway of the ring, twice around
+	hotPrefix         []int // hot customers that each gateway of the ring shares, likewise
 
 	requests     []requestState
 	freeRequests []int32
@@ -294,35 +294,36 @@
 	accountByCustomer  map[uint32]int32
 	remoteOnlyAccounts int
 
-	inFlight           int     // attempts out at workers that are not silent
-	window             float64 // most of them
-	stallAllowance     float64 // room more than the window when it last found that it had stood still
-	pressure           float64 // smoothed answer time over latency target
+	inFlight           int     // attempts in flight at workers that are not silent
+	window             float64 // the most of them (congestion window)
+	stallAllowance     float64 // added to the window after a stall; it decays
+	pressure           float64 // smoothed response time over the latency target
 	windowCutAt        float64
 	responseMillis     float64
 	machineKinds       []machineKind
-	sizeRating         float64 // mean of the listed workers', by the list as it was when rated was set
+	sizeRating         float64 // mean size rating of the ready workers, if sizeRatingKnown
 	sizeRatingKnown    bool
-	meanLoad           float64       // smoothed requests in flight by workers' reports
-	slowRequests       decayingScore // requests overdue that were settled after all
-	lostRequests       decayingScore // and those that never had an answer from a worker that went on
-	warmUnits          float64       // units settled by warm workers, fading
-	warmUnitsPerWorker float64       // the same for each of those that were warm
+	meanLoad           float64       // smoothed requests in flight at a worker, by workers' reports
+	slowRequests       decayingScore // slow attempts that succeeded after all
+	lostRequests       decayingScore // slow ones without a response, of a worker that answered others
+	warmUnits          float64       // units done by warm workers, decaying
+	warmUnitsPerWorker float64       // the same for each worker that was warm then
 	warmUnitsAt        float64
-	cachedWarmRate     float64    // the last of these as it has faded, by all that warmingRate goes by
-	cachedWarmRateKey  [4]float64 // for which it was reckoned
+	cachedWarmRate     float64    // warmUnitsPerWorker a ms, decayed to now
+	cachedWarmRateKey  [4]float64 // inputs that it was computed for
 
 	nextScanAt, nextReportAt, timerAt float64
-	scanIndex                         int     // next request to look at in this beat; -1 none
-	reportPeer, messagesToPeer        int     // peer that is told now, -1 none; messages it got this period
-	changedExamined                   int     // news looked at for it
-	changedAccounts                   []int32 // accounts to report this period
-	changedOffset                     int     // where in news the messages begin
-	reportBuffer                      []Report
-	// accounts whose sets are told at once, and how far the first has come
+	scanIndex                         int // next request of this scan; -1 where none is going on
+	// peer that is reported to now, -1 none; messages to it in this interval
+	reportPeer, messagesToPeer int
+	changedExamined            int     // entries of changedAccounts examined for it
+	changedAccounts            []int32 // accounts to report in this interval
+	changedOffset              int     // where in changedAccounts the messages begin
+	reportBuffer               []Report
+	// accounts to report immediately, and how far in its set the first one is
 	immediateAccounts []int32
 	immediateSent     int
-	immediateFullAt   float64 // GCRA: the moment at which the part for this is whole again
+	immediateFullAt   float64 // GCRA: when the intake for immediate reports is full again
 	stats             Stats
 }
 
@@ -344,7 +345,7 @@
 	gossip                          bool
 }
 
-// Stats gives the counts and the present state that on-call staff look at.
+// Stats returns the counts and the present state that on-call staff look at.
 func (e *Engine) Stats() Stats {
 	t := e.stats
 	t.InFlight, t.Window, t.Customers, t.Workers = float64(e.inFlight), e.window, len(e.accountByCustomer),
@@ -370,7 +371,7 @@
 	return t
 }
 
-// nextTimer asks for the next turn, unless an earlier one has been asked for.
+// nextTimer requests the next call of AdvanceTo, unless an earlier one has been requested.
 func (e *Engine) nextTimer() (Decision, bool) {
 	at := 0.0
 	if len(e.byID) > 0 {
@@ -386,7 +387,7 @@
 	return Decision{}, false
 }
 
-// allocate gives a used place of a slab, or a new one at its end.
+// allocate returns the index of a free entry of a slab, or of a new one at its end.
 func allocate[T any](slab *[]T, unused *[]int32) int32 {
 	if n := len(*unused); n > 0 {
 		at := (*unused)[n-1]
--- a/internal/supervisor/control_cost_test.go
+++ b/internal/supervisor/control_cost_test.go
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	defer worker.Close()
-	discovery, err := fakes.NewDiscovery(worker.Of("z"))
+	discovery, err := fakes.NewDiscovery(worker.Endpoint("z"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,7 +163,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+lifecycle.LeasePath, daemon.handleLease)
 	if distribution == "relays" {
-		mux.Handle("POST "+lifecycle.AskPath, relay.NewHandler(daemon.answerUpdateRequest))
+		mux.Handle("POST "+lifecycle.UpdatePath, relay.NewHandler(daemon.answerUpdateRequest))
 	}
 	server := httptest.NewServer(mux)
 	defer server.Close()
--- a/internal/testkit/faultinject/process_test.go
+++ b/internal/testkit/faultinject/process_test.go
@@ -252,7 +252,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(w.Close)
-	list, err := fakes.NewDiscovery(w.Of("z"))
+	list, err := fakes.NewDiscovery(w.Endpoint("z"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,7 +268,7 @@
 	}
 	for i, name := range names {
 		b, err := json.Marshal(map[string]any{"name": name, "listen": d.at[i], "control": d.control[name],
-			"discovery": n.Stream(name, "list", list.At), "seed": "5", "known": list.List(),
+			"discovery": n.Stream(name, "list", list.Addr), "seed": "5", "known": list.List(),
 			"limits": map[string]any{"sockets": 256, "memory_mb": 64}, "peer_listen": at(i, 0),
 			"peers": n.Peers(name, names), "settings": map[string]any{"me": i, "balancers": len(names),
 				"classes": []map[string]any{{"name": "check", "aim_us": 500e3, "effect": "read_like", "worth": 1}},
@@ -441,7 +441,7 @@
 		t.Fatal(err)
 	}
 	Until(t, 10*time.Second, "it says so", func() bool { // an operators' port answers before the start is over
-		return strings.Contains(g0.Output(), "nothing will outlive a sudden end")
+		return strings.Contains(g0.Output(), "nothing will survive a crash")
 	})
 	d.healthy()
 	if !g0.Running() || g0.Lives() != 2 {
