--- a/internal/forecast/fleet.go
+++ b/internal/forecast/fleet.go
@@ -19,25 +19,25 @@
 	scale           float64
 	unknown         []string
 
-	regions        []string         // of halls, sorted
+	regions        []string         // of regions, sorted
 	regionIndex    map[string]int   // and their numbers
-	gatewayRegions map[string][]int // by group: the hall of each gatekeeper, -1 where it is not heard
+	gatewayRegions map[string][]int // by group: the region of each gateway, -1 where it is not heard
 
-	gateways     []int       // gatekeepers heard, by hall
-	workers      []int       // and workers, as most words have it
+	gateways     []int       // gateways heard, by region
+	workers      []int       // and workers, as most reports have it
 	warmWorkers  []float64   // in warm workers
-	requested    [][]float64 // by hall of gatekeeper, and sort
+	requested    [][]float64 // by region of gateway, and sort
 	flows        []Flow      // by sort, of all
-	served       [][]float64 // by hall of gatekeeper and hall of worker
+	served       [][]float64 // by region of gateway and region of worker
 	answerMillis [][]float64 // pace of these, ms
-	// By hall of gatekeeper: what longer ways to other halls' workers add on average, ms.
+	// By region of gateway: what longer ways to other regions' workers add on average, ms.
 	remoteMillis   []float64
-	windowCapacity []float64   // windows' room, by hall of worker as txns go now
-	inFlight       [][]int     // by hall of gatekeeper and hall of worker
-	credit         [][]float64 // by hall of gatekeeper and plan, units that may be borrowed there
+	windowCapacity []float64   // windows' room, by region of worker as requests go now
+	inFlight       [][]int     // by region of gateway and region of worker
+	credit         [][]float64 // by region of gateway and plan, units that may be borrowed there
 	reason         [policy.ReasonCount]float64
-	serviceMillis  []float64 // by product: ms of a core that a txn takes, without any wait
-	cores          float64   // that each worker has, as reckoned with; 0 where that is not known
+	serviceMillis  []float64 // by product: ms of a core that a request takes, without any wait
+	cores          float64   // that each worker has, as estimated with; 0 where that is not known
 	serviceCV2     float64
 	customerSets   [][]customerSet // by plan
 }
@@ -45,11 +45,11 @@
 // customerSet is demand of a plan's customers that use some gateways in a row, as one of these reported
 // it.
 type customerSet struct {
-	region           int     // hall of the one that told of it, and its place in the ring
+	region           int     // region of the one that told of it, and its place in the ring
 	position         int     //
-	demand           float64 // of all of the plan that this gatekeeper has told of: the part
-	regions          []int   // of the gatekeepers, around; -1 of one that is not heard
-	gatewaysByRegion []int   // of them, by hall
+	demand           float64 // of all of the plan that this gateway has told of: the part
+	regions          []int   // of the gateways, around; -1 of one that is not heard
+	gatewaysByRegion []int   // of them, by region
 }
 
 func (f *fleet) regionOf(name string) int {
@@ -71,31 +71,15 @@
 
 // addReports adds the reports up, in their order.
 func (f *fleet) addReports() {
-	for _, w := range f.reports {
-		f.regions = append(f.regions, w.Region)
-		for _, h := range w.Regions {
-			f.regions = append(f.regions, h.Name)
-		}
-	}
-	slices.Sort(f.regions)
-	f.regions = slices.Compact(f.regions)
-	if len(f.regions) > MaxRegions {
-		f.unknown = append(f.unknown, fmt.Sprintf("halls: %d, only the first %d are looked at", len(f.regions),
-			MaxRegions))
-		f.regions = f.regions[:MaxRegions]
-	}
+	f.indexRegions()
 	n, np, nq := len(f.regions), len(f.products), len(f.plans)
-	for i, h := range f.regions {
-		f.regionIndex[h] = i
-	}
 	f.gateways, f.workers, f.warmWorkers, f.windowCapacity = make([]int, n), make([]int, n), make([]float64,
 		n), make([]float64, n)
 	f.requested, f.flows, f.remoteMillis = grid[float64](n, np*nq), make([]Flow, np*nq), make([]float64, n)
 	f.served, f.answerMillis, f.inFlight = grid[float64](n, n), grid[float64](n, n), grid[int](n, n)
 	f.credit, f.customerSets = grid[float64](n, nq), make([][]customerSet, nq)
-	counts, able := make([][]int, n), make([][]float64, n)
-	pace := make([][4]float64, np) // by product: answers an ms, their ms, squares, and answers in the same hall
-	busy := [2]float64{}
+	sums := &answerSums{workers: make([][]int, n), warmWorkers: make([][]float64, n),
+		byProduct: make([][4]float64, np)}
 	for _, w := range f.reports {
 		g := f.regionOf(w.Region)
 		if g < 0 {
@@ -118,40 +102,10 @@
 		for i, c := range w.Credit {
 			f.credit[g][i] += c.Available
 		}
-		mine := 0.0
-		for _, h := range w.Regions {
-			for _, a := range h.Answers {
-				mine += a.PerSecond
-			}
-		}
-		for _, h := range w.Regions {
-			x := f.regionOf(h.Name)
-			if x < 0 {
-				continue
-			}
-			counts[x], able[x] = append(counts[x], h.Workers), append(able[x], h.WarmWorkers)
-			f.inFlight[g][x] += h.InFlight
-			sum := 0.0
-			for p, a := range h.Answers {
-				rate := a.PerSecond * f.scale / 1000
-				f.served[g][x] += rate
-				f.answerMillis[g][x] += rate * a.MeanMillis
-				sum += a.PerSecond
-				pace[p][0] += rate
-				pace[p][1] += rate * a.MeanMillis
-				pace[p][2] += rate * (a.DeviationMillis*a.DeviationMillis + a.MeanMillis*a.MeanMillis)
-			}
-			if h.CPUUse >= 0 {
-				busy[0] += sum
-				busy[1] += sum * h.CPUUse
-			}
-			if mine > 0 {
-				f.windowCapacity[x] += w.Window * sum / mine
-			}
-		}
+		f.addRegions(w, g, sums)
 	}
 	for x := range n {
-		f.workers[x], f.warmWorkers[x] = median(counts[x]), median(able[x])
+		f.workers[x], f.warmWorkers[x] = median(sums.workers[x]), median(sums.warmWorkers[x])
 		for g := range n {
 			if f.served[g][x] > 0 {
 				f.answerMillis[g][x] /= f.served[g][x]
@@ -165,10 +119,74 @@
 		}
 	}
 	f.estimateNetwork()
-	f.estimateService(pace, busy)
+	f.estimateService(sums.byProduct, sums.load)
 	f.collectSets()
 }
 
+// indexRegions numbers the regions that reports name, at most MaxRegions.
+func (f *fleet) indexRegions() {
+	for _, w := range f.reports {
+		f.regions = append(f.regions, w.Region)
+		for _, h := range w.Regions {
+			f.regions = append(f.regions, h.Name)
+		}
+	}
+	slices.Sort(f.regions)
+	f.regions = slices.Compact(f.regions)
+	if len(f.regions) > MaxRegions {
+		f.unknown = append(f.unknown, fmt.Sprintf("halls: %d, only the first %d are looked at", len(f.regions),
+			MaxRegions))
+		f.regions = f.regions[:MaxRegions]
+	}
+	for i, h := range f.regions {
+		f.regionIndex[h] = i
+	}
+}
+
+// answerSums are sums over the reports that are needed only while they are added up.
+type answerSums struct {
+	workers     [][]int      // by region, as each report has it
+	warmWorkers [][]float64  // likewise
+	byProduct   [][4]float64 // answers per ms, their ms, and their squares
+	load        [2]float64   // answers of workers that report load, and these times the load
+}
+
+// addRegions adds what a report of a gateway in region g says of the workers of all regions.
+func (f *fleet) addRegions(w *Report, g int, sums *answerSums) {
+	own := 0.0
+	for _, h := range w.Regions {
+		for _, a := range h.Answers {
+			own += a.PerSecond
+		}
+	}
+	for _, h := range w.Regions {
+		x := f.regionOf(h.Name)
+		if x < 0 {
+			continue
+		}
+		sums.workers[x] = append(sums.workers[x], h.Workers)
+		sums.warmWorkers[x] = append(sums.warmWorkers[x], h.WarmWorkers)
+		f.inFlight[g][x] += h.InFlight
+		sum := 0.0
+		for p, a := range h.Answers {
+			rate := a.PerSecond * f.scale / 1000
+			f.served[g][x] += rate
+			f.answerMillis[g][x] += rate * a.MeanMillis
+			sum += a.PerSecond
+			sums.byProduct[p][0] += rate
+			sums.byProduct[p][1] += rate * a.MeanMillis
+			sums.byProduct[p][2] += rate * (a.DeviationMillis*a.DeviationMillis + a.MeanMillis*a.MeanMillis)
+		}
+		if h.CPUUse >= 0 {
+			sums.load[0] += sum
+			sums.load[1] += sum * h.CPUUse
+		}
+		if own > 0 {
+			f.windowCapacity[x] += w.Window * sum / own
+		}
+	}
+}
+
 // median returns the median; 0 of nothing.
 func median[T int | float64](all []T) (m T) {
 	if len(all) > 0 {
@@ -264,7 +282,7 @@
 
 // collectSets lists whose sets have gateways in which regions.
 func (f *fleet) collectSets() {
-	twice := map[int][]int{} // by first: a group's halls, gone round
+	twice := map[int][]int{} // by first: a group's regions, gone round
 	group := ""
 	for _, w := range f.reports {
 		all := f.gatewayRegions[w.Group]
--- a/internal/forwardauth/authorizer/authorizer.go
+++ b/internal/forwardauth/authorizer/authorizer.go
@@ -208,8 +208,8 @@
 // rejection ends a request with a status, headers and a message.
 func rejection(status int, headers [][2]string, message string) transport.FinalAnswer {
 	return transport.FinalAnswer{
-		Kind:      policy.RejectUncertain,
-		Rejection: &transport.Rejection{Status: status, Headers: headers, Message: message},
+		Kind:        policy.RejectUncertain,
+		ErrorAnswer: &transport.ErrorAnswer{Status: status, Headers: headers, Message: message},
 	}
 }
 
--- a/internal/forwardauth/authserver/server.go
+++ b/internal/forwardauth/authserver/server.go
@@ -232,7 +232,8 @@
 
 // rejection ends a request with a status and a message.
 func rejection(status int, message string) transport.FinalAnswer {
-	return transport.FinalAnswer{Kind: policy.RejectUncertain, Rejection: &transport.Rejection{Status: status, Message: message}}
+	return transport.FinalAnswer{Kind: policy.RejectUncertain,
+		ErrorAnswer: &transport.ErrorAnswer{Status: status, Message: message}}
 }
 
 // trusted reports whether a caller may speak for clients. Guards against a client that calls here itself:
