--- a/internal/distribution/relay/root.go
+++ b/internal/distribution/relay/root.go
@@ -17,7 +17,7 @@
 type Quorum interface {
 	LastConfirmed() (raftlog.ConfirmedState, bool)
 	Confirmations() <-chan struct{}
-	RecordHostSteps(acks []ruleset.HostAck, highestIndex int64)
+	RecordHostAcks(acks []ruleset.HostAck, highestIndex int64)
 	HighestDiscoveryIndex() int64
 	RequestFrequentReads()
 }
@@ -52,7 +52,7 @@
 		Incarnation:             rand.Uint64(),
 	})
 	var err error
-	r.server, err = startServer(listen, rootMaxConnections, rootLeaseMillis, source, quorum.RecordHostSteps)
+	r.server, err = startServer(listen, rootMaxConnections, rootLeaseMillis, source, quorum.RecordHostAcks)
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 	defer r.mu.Unlock()
 	snapshot := distribution.Snapshot{
 		Step:               confirmed.Step,
-		TransitionComplete: confirmed.Settled,
+		TransitionComplete: confirmed.TransitionComplete,
 		ReadStartMillis:    confirmed.ReadStartMillis,
 		DiscoveryIndex:     r.quorum.HighestDiscoveryIndex(),
 	}
--- a/internal/raftlog/golden_test.go
+++ b/internal/raftlog/golden_test.go
@@ -30,7 +30,7 @@
 	return raw
 }
 
-// fullOf fails where any field below v is zero: a field that is zero could drop out of a form unseen.
+// requireNonZero fails where any field below v is zero: a field that is zero could drop out of a form unseen.
 func requireNonZero(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() || (v.Kind() == reflect.Slice || v.Kind() == reflect.Map) && v.Len() == 0 {
@@ -105,7 +105,7 @@
 	}
 }
 
-// Operators count what was refused by these names.
+// Operators count rejections by these names.
 func TestGoldenRejectionReasons(t *testing.T) {
 	requireEqual(t, "reasons", []string{reasonTooLong, reasonMalformed, reasonProtocolVersion,
 		reasonOtherCluster, reasonUnknownHost, reasonOtherDisk, reasonQueueFull},
@@ -123,18 +123,18 @@
 }
 
 func goldenActivationStatus() ActivationStatus {
-	return ActivationStatus{Version: 7, Digest: "abc", Step: 41, Settled: true, ReadAgeMillis: 3.5,
-		PendingVersion: 8,
-		PendingReason:  "it waits",
-		HeldVersions:   []uint64{5, 6}, WantedProposal: "h1-a",
+	return ActivationStatus{Version: 7, Digest: "abc", Step: 41, TransitionComplete: true, ReadAgeMillis: 3.5,
+		PendingVersion:     8,
+		PendingReason:      "it waits",
+		SupersededVersions: []uint64{5, 6}, WantedProposal: "h1-a",
 		ProposalOutcomes: []ProposalOutcome{{ID: "h1-b", BaseVersion: 6, Version: 7, Rejection: "no",
-			WaitReason: "it waits too"}},
+			PendingReason: "it waits too"}},
 		CutOffInstances: map[string]float64{"gk1": 1200.5},
-		Lags:            []ruleset.LaggingMember{{Name: "gk2", Index: 5, HighestIndex: 9, LagMillis: 3100.5}},
-		HostSteps:       map[string]uint64{"h1": 40}}
+		LaggingMembers:  []ruleset.LaggingMember{{Name: "gk2", Index: 5, HighestIndex: 9, LagMillis: 3100.5}},
+		AckedSteps:      map[string]uint64{"h1": 40}}
 }
 
-// What operators' ports show.
+// The forms at operators' ports.
 func TestGoldenStatuses(t *testing.T) {
 	goldenJSON(t, "view.json", goldenStatus())
 	goldenJSON(t, "agreement.json", goldenActivationStatus())
@@ -153,12 +153,12 @@
 	}
 }
 
-// The mark of rules is a digest of their JSON, and daemons of two versions compare it in records.
+// The digest of rules is that of their JSON, and daemons of two versions compare it in records.
 func TestGoldenRulesDigest(t *testing.T) {
 	rules := goldenRules()
 	requireNonZero(t, "rules", reflect.ValueOf(rules))
 	if got, want := RulesDigest(&rules), string(goldenFile(t, "mark.txt")); got != want {
-		t.Errorf("the mark is %s, not %s", got, want)
+		t.Errorf("the digest is %s, not %s", got, want)
 	}
 }
 
@@ -175,7 +175,8 @@
 	return raftpb.HardState{Term: 3, Vote: goldenIdentity().diskID(), Commit: 12}
 }
 
-// goldenMachine is a state of accord.s with a version in force; accord has golden files of all its fields.
+// goldenRulesetState is an activation state with a version in force; ruleset has golden files of all its
+// fields.
 func goldenRulesetState() ruleset.State {
 	return ruleset.State{Step: 41, InForce: ruleset.Version{Number: 7, Rules: goldenRules()},
 		AckedSteps: map[string]uint64{"h1": 38}}
@@ -220,15 +221,16 @@
 // buildGoldenStore writes the values above as a daemon does.
 func buildGoldenStore(t *testing.T, path string) {
 	t.Helper()
-	s, _, _, err := openStore(path, goldenName)
+	opened, err := openStore(path, goldenName)
 	requireNoError(t, err)
+	s := opened.store
 	defer s.close()
 	s.identity, s.peerSeqs = goldenIdentity(), goldenPeerSeqs()
 	requireNoError(t, s.save(raftpb.HardState{}, nil, goldenSnapshot(t)))
 	requireNoError(t, s.save(goldenHardState(), goldenEntries(t), raftpb.Snapshot{}))
 }
 
-// storeText is all that a store's file holds, a line for each key.
+// dumpStore returns all that a store's file holds, a line for each key.
 func dumpStore(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
@@ -246,7 +248,7 @@
 	return text.String()
 }
 
-// copiedStore is a copy of the stored file: opening writes to it.
+// copyGoldenStore returns the path of a copy of the stored file: opening writes to it.
 func copyGoldenStore(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "council.db")
@@ -264,7 +266,8 @@
 func TestGoldenStore(t *testing.T) {
 	path := copyGoldenStore(t)
 	stored := dumpStore(t, path)
-	s, aside, why, err := openStore(path, goldenName)
+	opened, err := openStore(path, goldenName)
+	s, aside, why := opened.store, opened.movedTo, opened.corruption
 	if err != nil || aside != "" {
 		t.Fatalf("the store of an old program is not opened, or set aside as %q: %v, %v", aside, why, err)
 	}
@@ -299,13 +302,14 @@
 	requireEqual(t, "what this code writes", dumpStore(t, again), stored)
 }
 
-// A daemon takes up the version in force, the members and those gone from an old program's store.
+// A node restores the version in force, the members and the removed ones from an old program's store.
 func TestGoldenStoreLoaded(t *testing.T) {
-	s, _, _, err := openStore(copyGoldenStore(t), goldenName)
+	opened, err := openStore(copyGoldenStore(t), goldenName)
 	requireNoError(t, err)
+	s := opened.store
 	defer s.close()
 	seat := &RulesetNode{activation: ruleset.NewStateMachine(), changed: make(chan struct{}, 1)}
-	seat.grantor = ruleset.NewHostAgent(goldenName, seat.activation)
+	seat.hostAgent = ruleset.NewHostAgent(goldenName, seat.activation)
 	v := &session{node: &Node{stateMachine: (*rulesetMachine)(seat)}, store: s}
 	requireNoError(t, v.restoreFromStore())
 	requireEqual(t, "members", v.members, goldenSnapshotData(t).Members)
--- /dev/null
+++ b/internal/serving/loadbalancer/balancer.go
@@ -0,0 +1,141 @@
+package loadbalancer
+
+import (
+	"math"
+	"math/rand"
+	"slices"
+	"strings"
+	"time"
+)
+
+// Balancer selects workers for one edge.
+type Balancer struct {
+	zone, region string // the edge's
+	random       *rand.Rand
+	prefillModel prefillModel
+	workers      map[string]*workerState // by instance
+}
+
+// New returns a balancer for an edge in a zone of a region. It is the only user of random meanwhile.
+func New(zone, region string, random *rand.Rand) *Balancer {
+	return &Balancer{
+		zone: zone, region: region, random: random,
+		prefillModel: newPrefillModel(), workers: map[string]*workerState{},
+	}
+}
+
+// Retain forgets the workers that wanted rejects, unless they have requests of this edge in flight.
+func (b *Balancer) Retain(wanted func(instance string) bool) {
+	for instance, worker := range b.workers {
+		if !wanted(instance) && worker.inFlight == 0 {
+			delete(b.workers, instance)
+		}
+	}
+}
+
+// state returns the state of a worker, which it creates for a new one.
+func (b *Balancer) state(instance string) *workerState {
+	worker := b.workers[instance]
+	if worker == nil {
+		worker = newWorkerState()
+		b.workers[instance] = worker
+	}
+	return worker
+}
+
+// Choose returns the index of the candidate of the least cost, or -1 where there is none.
+func (b *Balancer) Choose(now time.Duration, request *Request, candidates []Worker) int {
+	request.affinity = b.affinityInstance(now, request, candidates)
+	request.long = b.isLong(request)
+	var ranks map[string]int
+	if request.long {
+		ranks = longPromptRanks(candidates)
+	}
+	best, bestCost := -1, math.Inf(1)
+	for i := range candidates {
+		cost := b.costMillis(now, request, &candidates[i])
+		cost += longRankCostMillis * float64(ranks[candidates[i].Instance])
+		cost += b.random.Float64() * tieBreakMillis
+		if cost < bestCost {
+			best, bestCost = i, cost
+		}
+	}
+	return best
+}
+
+// RecordSent records that a request is sent to a worker. It returns what other edges may be notified of.
+func (b *Balancer) RecordSent(now time.Duration, request *Request, instance string) PrefillNotice {
+	worker := b.state(instance)
+	worker.inFlight++
+	own, shared := worker.uncachedTokens(now, request.Parts, instance == request.affinity)
+	request.pendingTokens = own + shared
+	request.uncachedTokens = request.pendingTokens
+	request.sentAt = now
+	request.queueMillis = worker.prefillQueue.waitMillis(now)
+	worker.prefillTokens += request.pendingTokens
+	worker.cacheParts(now, request.Parts)
+	prefillMillis := b.prefillModel.estimateMillis(request.pendingTokens, totalTokens(request.Parts))
+	worker.prefillQueue.add(now, prefillMillis, request.long)
+	return PrefillNotice{Instance: instance, PrefillMillis: prefillMillis, Long: request.long}
+}
+
+// RecordFirstToken records that a worker has prefilled a request's prompt, and learns from the time it took.
+func (b *Balancer) RecordFirstToken(now time.Duration, request *Request, instance string) {
+	b.ReleasePrefill(request, instance)
+	if len(request.Parts) == 0 {
+		return
+	}
+	queueTime := time.Duration(request.queueMillis * float64(time.Millisecond))
+	prefillTime := now - request.sentAt - queueTime
+	b.prefillModel.observe(max(prefillTime, 0), request.uncachedTokens, totalTokens(request.Parts))
+}
+
+// ReleasePrefill ends the count of a request's uncached tokens at a worker, also where the request leaves it
+// before its prefill. A second call has no effect.
+func (b *Balancer) ReleasePrefill(request *Request, instance string) {
+	worker := b.state(instance)
+	worker.prefillTokens = math.Max(0, worker.prefillTokens-request.pendingTokens)
+	request.pendingTokens = 0
+}
+
+// Release records that a request is no longer in flight at a worker.
+func (b *Balancer) Release(instance string) {
+	worker := b.state(instance)
+	worker.inFlight = max(worker.inFlight-1, 0)
+}
+
+// RecordSelfReport records what a worker reports of its own load: requests that run and that are queued.
+func (b *Balancer) RecordSelfReport(now time.Duration, instance string, running, waiting float64) {
+	worker := b.state(instance)
+	worker.selfReport = selfReport{
+		received: true, receivedAt: now, waiting: waiting,
+		ofPeers: math.Max(0, running+waiting-float64(worker.inFlight)),
+	}
+}
+
+// SetPeerLoad sets the load of a worker that the other edges report. Where known is false, too few of them
+// have reported; where it is true, their reports replace the worker's own.
+func (b *Balancer) SetPeerLoad(instance string, inFlight, prefillTokens float64, known bool) {
+	b.state(instance).peerLoad = peerLoad{known: known, inFlight: inFlight, prefillTokens: prefillTokens}
+}
+
+// InstanceLoad is the load of a worker that this edge causes.
+type InstanceLoad struct {
+	Instance      string
+	InFlight      int     // requests
+	PrefillTokens float64 // uncached prompt tokens of those that have no first token yet
+}
+
+// OwnLoads returns the load of each worker with requests of this edge in flight, in the order of instances.
+func (b *Balancer) OwnLoads() []InstanceLoad {
+	var loads []InstanceLoad
+	for instance, worker := range b.workers {
+		if worker.inFlight > 0 {
+			loads = append(loads, InstanceLoad{
+				Instance: instance, InFlight: worker.inFlight, PrefillTokens: worker.prefillTokens,
+			})
+		}
+	}
+	slices.SortFunc(loads, func(x, y InstanceLoad) int { return strings.Compare(x.Instance, y.Instance) })
+	return loads
+}
