--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -243,7 +243,7 @@
 		{"a run that is not there", rowsOf("a", "direct", whole, linear), `run = "z"`, 0, "",
 			`run "z": no measurement`},
 		{"few sizes, with the coming one", rowsOf("a", "direct", whole[2:], linear), "", 791, measured, ""},
-		{"three sizes", rowsOf("a", "direct", whole[:3], linear), "", 0, "", regression.ErrFew.Error()},
+		{"three sizes", rowsOf("a", "direct", whole[:3], linear), "", 0, "", regression.ErrTooFewSizes.Error()},
 		{"a unit that is none", func() []Row {
 			r := rowsOf("a", "direct", whole, linear)
 			for i := range r {
--- a/internal/lab/capacity/chart.go
+++ b/internal/lab/capacity/chart.go
@@ -43,7 +43,7 @@
 		}
 		for _, at := range n.Fit.Points {
 			if part := at.Size / n.Size; part >= leastPart && part <= 1.05 && at.Value > 0 {
-				points = append(points, plotter.XY{X: part, Y: at.Value / n.Fit.At(n.Size) * n.Value / n.Most.Most})
+				points = append(points, plotter.XY{X: part, Y: at.Value / n.Fit.Predict(n.Size) * n.Value / n.Most.Most})
 			}
 		}
 		l, err := plotter.NewLine(line)
--- a/internal/lab/capacity/need.go
+++ b/internal/lab/capacity/need.go
@@ -13,7 +13,7 @@
 // Need is a line at the coming size.
 type Need struct {
 	*Line
-	Fit   *regression.Fit // in the measurement's own unit; nil where there is none
+	Fit   *regression.Model // in the measurement's own unit; nil where there is none
 	In    string          // that unit
 	Run   string
 	Size  float64 // the coming one
@@ -186,8 +186,8 @@
 		}
 		points = append(points, regression.Point{Size: r.Size, Value: r.Value})
 	}
-	fit, err := regression.Of(points, within)
-	if errors.Is(err, regression.ErrFew) {
+	fit, err := regression.Fit(points, within)
+	if errors.Is(err, regression.ErrTooFewSizes) {
 		n.Known, n.Run = tooFew, cmp.Or(n.Line.Run, own[0].Run)
 		for _, p := range points {
 			if math.Abs(p.Size-n.Size) <= sameSize*n.Size {
@@ -202,7 +202,7 @@
 		return fmt.Errorf("figure: %q of a %s: %w", n.Figure, n.From, err)
 	}
 	n.Fit, n.In, n.Run = fit, own[0].Unit, cmp.Or(n.Line.Run, own[0].Run)
-	if last := fit.Largest(); math.Abs(last.Size-n.Size) <= sameSize*n.Size {
+	if last := fit.LargestPoint(); math.Abs(last.Size-n.Size) <= sameSize*n.Size {
 		n.Value, n.Known = last.Value*f*n.Times, measured
 		return nil
 	}
@@ -210,8 +210,8 @@
 		n.Value, n.Known = v*f*n.Times, measured
 		return nil
 	}
-	n.Value, n.Known = math.Max(fit.At(n.Size), 0)*f*n.Times, bySlope
-	if fit.Shape == regression.Open || fit.Shape == regression.Less {
+	n.Value, n.Known = math.Max(fit.Predict(n.Size), 0)*f*n.Times, bySlope
+	if fit.Shape == regression.Undetermined || fit.Shape == regression.Sublinear {
 		n.Known = byNone
 	}
 	return nil
@@ -228,7 +228,7 @@
 }
 
 // part is the need at a part of the coming size, by the fit.
-func (n *Need) part(of float64) float64 { return n.Fit.At(n.Size*of) / n.Fit.At(n.Size) * n.Value }
+func (n *Need) part(of float64) float64 { return n.Fit.Predict(n.Size*of) / n.Fit.Predict(n.Size) * n.Value }
 
 // Ranking gives the needs with a limit, the worst first: what goes on all the time or in an event alike, each
 // with the line that takes its place, if there is one.
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -206,13 +206,13 @@
 		return "-"
 	case n.Fit == nil:
 	case n.Fit.Shape == slopes.Flat:
-		return strings.TrimSpace(figure(n.Fit.At(n.Size))+" "+n.In) + " at any size"
-	case n.Fit.Shape == slopes.Worse:
+		return strings.TrimSpace(figure(n.Fit.Predict(n.Size))+" "+n.In) + " at any size"
+	case n.Fit.Shape == slopes.Superlinear:
 		return fmt.Sprintf("as %s^%.2f", name, n.Fit.Exponent)
 	case n.Fit.Shape != slopes.Linear && n.Fit.Shape != slopes.Flat:
 		return "no line holds"
 	default:
-		slope, apart, unit = n.Fit.Slope, n.Fit.Offset, n.In
+		slope, apart, unit = n.Fit.Slope, n.Fit.Intercept, n.In
 	}
 	t := fmt.Sprintf("%s %s × %s %s", figure(slope), unit, sizeOf(n.Size), name)
 	if math.Abs(apart) >= 0.005*math.Abs(slope*n.Size+apart) {
@@ -248,7 +248,7 @@
 	}
 	t := fmt.Sprintf("%s [%s]", n.Known, n.letter)
 	if n.Known == bySlope || n.Known == byNone {
-		t = fmt.Sprintf("%s to %s [%s]", n.Known, sizeOf(n.Fit.Largest().Size), n.letter)
+		t = fmt.Sprintf("%s to %s [%s]", n.Known, sizeOf(n.Fit.LargestPoint().Size), n.letter)
 	}
 	if n.TimesIs != "" {
 		t += "; " + n.TimesIs
@@ -442,21 +442,21 @@
 		}
 		seen[key+n.Run] = true
 		f := n.Fit
-		if f.Until == f.Largest().Size && f.Shape != slopes.Worse {
+		if f.LinearUpTo == f.LargestPoint().Size && f.Shape != slopes.Superlinear {
 			straight++
 			continue
 		}
-		if n.Known == measured && f.Shape != slopes.Worse {
+		if n.Known == measured && f.Shape != slopes.Superlinear {
 			bent++
 			continue
 		}
-		holds := sizeOf(f.Until)
-		if f.Until == f.Largest().Size {
+		holds := sizeOf(f.LinearUpTo)
+		if f.LinearUpTo == f.LargestPoint().Size {
 			holds += ", the largest"
 		}
-		t.row(key, fmt.Sprintf("%s to %s", sizeOf(f.Points[0].Size), sizeOf(f.Largest().Size)),
-			fmt.Sprintf("%.2f (%.2f to %.2f)", f.Exponent, f.Low, f.High), holds, fmt.Sprintf("%.3f", f.R2),
-			fmt.Sprintf("%.0f%%", 100*f.Off), f.Shape.String())
+		t.row(key, fmt.Sprintf("%s to %s", sizeOf(f.Points[0].Size), sizeOf(f.LargestPoint().Size)),
+			fmt.Sprintf("%.2f (%.2f to %.2f)", f.Exponent, f.ExponentLow, f.ExponentHigh), holds, fmt.Sprintf("%.3f", f.R2),
+			fmt.Sprintf("%.0f%%", 100*f.MaxRelativeError), f.Shape.String())
 	}
 	return fmt.Sprintf("%s\nOf the other figures on this page %d go by one line up to their largest "+
 		"size. %d do not, and were measured at the coming size, so that nothing rests on a line.\n",
@@ -532,8 +532,8 @@
 		"size: figure (residual)")
 	few := 0
 	for _, k := range order {
-		f, err := slopes.Of(points[k], within)
-		if errors.Is(err, slopes.ErrFew) {
+		f, err := slopes.Fit(points[k], within)
+		if errors.Is(err, slopes.ErrTooFewSizes) {
 			few++
 			continue
 		}
@@ -544,8 +544,8 @@
 		for i, p := range f.Points {
 			at = append(at, fmt.Sprintf("%s: %s (%s)", sizeOf(p.Size), figure(p.Value), figure(f.Residuals[i])))
 		}
-		t.row(k.run, k.role, k.figure+", "+k.unit, figure(f.Slope), figure(f.Offset), fmt.Sprintf("%.3f", f.R2),
-			fmt.Sprintf("%.2f (%.2f to %.2f)", f.Exponent, f.Low, f.High), sizeOf(f.Until), f.Shape.String(),
+		t.row(k.run, k.role, k.figure+", "+k.unit, figure(f.Slope), figure(f.Intercept), fmt.Sprintf("%.3f", f.R2),
+			fmt.Sprintf("%.2f (%.2f to %.2f)", f.Exponent, f.ExponentLow, f.ExponentHigh), sizeOf(f.LinearUpTo), f.Shape.String(),
 			strings.Join(at, "; "))
 	}
 	return fmt.Sprintf(`# Every measured figure over its sizes
@@ -554,5 +554,5 @@
 docs/CAPACITY-gateway.md says what each column means.
 %d figures have fewer than %d sizes and no fit.
 
-`, few, slopes.Least) + t.String(), nil
+`, few, slopes.MinSizes) + t.String(), nil
 }
