--- a/internal/lab/capacity/spec.go
+++ b/internal/lab/capacity/spec.go
@@ -10,61 +10,62 @@
 
 // Spec is what the operators state of the size that is coming, and which measurements are set beside it.
 type Spec struct {
-	Within float64 // part of a figure by which a line that foretells the next size may miss it
+	Within float64 `toml:"within"` // part of a figure by which a line that foretells the next size may miss it
 
-	Coming   map[string]float64 // how many there will be, by name; see known
-	Limits   []Limit
-	Lines    []Line
-	Refusals []Note
+	Coming   map[string]float64 `toml:"coming"` // how many there will be, by name; see known
+	Limits   []Limit            `toml:"limits"`
+	Lines    []Line             `toml:"lines"`
+	Refusals []Note             `toml:"refusals"`
 }
 
 // Limit is what the operators allow, or what the program itself has to keep.
 type Limit struct {
-	Name, Unit string
-	Most       float64
-	By         string // who says so: operators, program, assumed
-	Why        string
+	Name string  `toml:"name"`
+	Unit string  `toml:"unit"`
+	Most float64 `toml:"most"`
+	By   string  `toml:"by"` // who says so: operators, program, assumed
+	Why  string  `toml:"why"`
 }
 
 // Line is one need of one role. Its figure is measured over sizes, or worked out of what one element
 // takes, or assumed.
 type Line struct {
-	Name     string // for Instead
-	Role     string
-	Resource string // state, messages, bytes, processor, memory, descriptors, time
-	What     string
-	Carried  string // the mechanism's name
-	Event    string // empty: it goes on all the time
-	Touches  string // of an event: which of the five rules and of the stated bounds
-	From     string // the role that was measured, where it is not Role
-	Figure   string
-	Run      string // where the file has several of them; empty: the last one
+	Name     string `toml:"name"` // for Instead
+	Role     string `toml:"role"`
+	Resource string `toml:"resource"` // state, messages, bytes, processor, memory, descriptors, time
+	What     string `toml:"what"`
+	Carried  string `toml:"carried"` // the mechanism's name
+	Event    string `toml:"event"`   // empty: it goes on all the time
+	Touches  string `toml:"touches"` // of an event: which of the five rules and of the stated bounds
+	From     string `toml:"from"`    // the role that was measured, where it is not Role
+	Figure   string `toml:"figure"`
+	Run      string `toml:"run"` // where the file has several of them; empty: the last one
 	// AfterRun has the same figure after a mend that is none of relays; without Run it is the only one.
-	AfterRun string `toml:"after_run"`
-	Over     string // key of Coming by which the figure grows
-	Times    float64
-	TimesIs  string `toml:"times_is"`
-	Unit     string // in which it is told
-	Limit    string // name of a limit; empty: none is stated
-	Way      string // how agreed rules are told: direct, relays; direct where none is named
-	Instead  string // the line that this one takes the place of
-	Of       string // the line that this one is a part of: it has no rank of its own
-	If       string // it is needed only if
-	Former   bool   // relays do away with it; what runs with them have of it is for older instances
-	Chart    bool
-	Each     float64 // worked out: of one element
-	Offset   float64 // and beside them
-	Mark     string  // worked out or assumed, where there is no figure
-	Why      string
-	Sum      []string // or the sum of lines of these names, which come before it
+	AfterRun string   `toml:"after_run"`
+	Over     string   `toml:"over"` // key of Coming by which the figure grows
+	Times    float64  `toml:"times"`
+	TimesIs  string   `toml:"times_is"`
+	Unit     string   `toml:"unit"`    // in which it is told
+	Limit    string   `toml:"limit"`   // name of a limit; empty: none is stated
+	Way      string   `toml:"way"`     // how agreed rules are told: direct, relays; direct where none is named
+	Instead  string   `toml:"instead"` // the line that this one takes the place of
+	Of       string   `toml:"of"`      // the line that this one is a part of: it has no rank of its own
+	If       string   `toml:"if"`      // it is needed only if
+	Former   bool     `toml:"former"`  // relays do away with it; what runs with them have of it is for older instances
+	Chart    bool     `toml:"chart"`
+	Each     float64  `toml:"each"`   // worked out: of one element
+	Offset   float64  `toml:"offset"` // and beside them
+	Mark     string   `toml:"mark"`   // worked out or assumed, where there is no figure
+	Why      string   `toml:"why"`
+	Sum      []string `toml:"sum"` // or the sum of lines of these names, which come before it
 }
 
 // Note says of a bound what it means.
 type Note struct {
-	What   string
-	Needed bool // by the coming size as it is planned; else only if
-	Means  string
-	After  string // what stands beside it once runs with relays are there, where it is needed no more
+	What   string `toml:"what"`
+	Needed bool   `toml:"needed"` // by the coming size as it is planned; else only if
+	Means  string `toml:"means"`
+	After  string `toml:"after"` // what stands beside it once runs with relays are there, where it is needed no more
 }
 
 const gatekeeper = "gatekeeper" // a role
