--- a/cmd/willowdeck-lab/capacity.go
+++ b/cmd/willowdeck-lab/capacity.go
@@ -76,11 +76,11 @@
 	for _, b := range footprint.Bounds() {
 		most, says := b.Most(b.Coming)
 		r := capacity.Refusal{Run: run, Commit: commit, Distribution: way, Role: b.Role, What: b.What,
-			Coming: float64(b.Coming), Most: float64(most), Says: "taken"}
+			Planned: float64(b.Coming), Max: float64(most), Message: "taken"}
 		if says != nil {
-			r.Says = says.Error()
+			r.Message = says.Error()
 		}
-		log.Info().Int("most", most).Int("coming", b.Coming).Str("says", r.Says).Msg(b.What)
+		log.Info().Int("most", most).Int("coming", b.Coming).Str("says", r.Message).Msg(b.What)
 		refusals = append(refusals, r)
 	}
 	return capacity.WriteRefusals(c.String("refusals"), refusals)
@@ -107,12 +107,12 @@
 	if _, err := args(c, 0); err != nil {
 		return err
 	}
-	b, err := capacity.Work(c.String("spec"), c.String("data"))
+	b, err := capacity.BuildReport(c.String("spec"), c.String("data"))
 	if err != nil {
 		return err
 	}
-	if err := b.Renew(c.String("page"), c.String("fits"), c.Bool("check")); err != nil || c.Bool("check") {
+	if err := b.Update(c.String("page"), c.String("fits"), c.Bool("check")); err != nil || c.Bool("check") {
 		return err
 	}
-	return capacity.Chart(b.Needs, c.String("chart"))
+	return capacity.DrawChart(b.Demands, c.String("chart"))
 }
--- a/internal/lab/capacity/benchmarks.go
+++ b/internal/lab/capacity/benchmarks.go
@@ -10,45 +10,46 @@
 	"golang.org/x/perf/benchfmt"
 )
 
-// readBench reads figures that "go test -bench" gave. The file's own lines "run: ", "commit: ",
-// "distribution: " and "role: " say what is not in them. A benchmark's name ends with its size,
-// Read/workers=200 or Read/200, with the number of cores behind it; a figure is that name and the unit.
-func readBench(name string, in io.Reader) (rows []Row, err error) {
-	r := benchfmt.NewReader(in, name)
-	for r.Scan() {
-		var b *benchfmt.Result
-		switch x := r.Result().(type) {
+// readBenchmarks reads the output of "go test -bench". The configuration lines "run: ", "commit: ",
+// "distribution: " and "role: " give what the benchmarks do not have. A benchmark's name ends with its size,
+// Read/workers=200 or Read/200, before the number of processors; a figure is the name and the unit.
+func readBenchmarks(name string, in io.Reader) (rows []Row, err error) {
+	reader := benchfmt.NewReader(in, name)
+	for reader.Scan() {
+		var result *benchfmt.Result
+		switch x := reader.Result().(type) {
 		case *benchfmt.SyntaxError:
 			return nil, x
 		case *benchfmt.Result:
-			b = x
+			result = x
 		default: // units' own remarks
 			continue
 		}
-		base, parts := b.Name.Parts()
-		size, figure := 0.0, string(base)
+		baseName, parts := result.Name.Parts()
+		size, figure := 0.0, string(baseName)
 		for _, part := range parts {
-			s := strings.TrimLeft(string(part), "/-")
-			_, after, keyed := strings.Cut(s, "=")
+			text := strings.TrimLeft(string(part), "/-")
+			_, after, keyed := strings.Cut(text, "=")
 			if !keyed {
-				after = s
+				after = text
 			}
-			if n, err := strconv.ParseFloat(after, 64); err == nil && part[0] == '/' {
-				size = n
+			if number, err := strconv.ParseFloat(after, 64); err == nil && part[0] == '/' {
+				size = number
 			} else if part[0] == '/' {
-				figure += " " + s
+				figure += " " + text
 			}
 		}
 		if size == 0 {
-			return nil, fmt.Errorf("%s: %s has no size", name, b.Name)
+			return nil, fmt.Errorf("%s: %s has no size", name, result.Name)
 		}
-		row := Row{Run: b.GetConfig("run"), Commit: b.GetConfig("commit"),
-			Distribution: b.GetConfig("distribution"),
-			Size:         size, Role: b.GetConfig("role")}
+		row := Row{Run: result.GetConfig("run"), Commit: result.GetConfig("commit"),
+			Distribution: result.GetConfig("distribution"),
+			Size:         size, Role: result.GetConfig("role")}
 		if row.Run == "" || row.Commit == "" || row.Distribution == "" || row.Role == "" {
-			return nil, fmt.Errorf("%s: %s: run, commit, distribution or role is not said before it", name, b.Name)
+			return nil, fmt.Errorf("%s: %s: run, commit, distribution or role is not said before it", name,
+				result.Name)
 		}
-		for _, v := range b.Values {
+		for _, v := range result.Values {
 			row.Figure, row.Unit, row.Value = figure+" "+v.Unit, v.Unit, v.Value
 			if v.OrigUnit != "" {
 				row.Figure, row.Unit, row.Value = figure+" "+v.OrigUnit, v.OrigUnit, v.OrigValue
@@ -56,5 +57,5 @@
 			rows = append(rows, row)
 		}
 	}
-	return slices.Clip(rows), r.Err()
+	return slices.Clip(rows), reader.Err()
 }
--- a/internal/lab/capacity/chart.go
+++ b/internal/lab/capacity/chart.go
@@ -1,6 +1,7 @@
 package capacity
 
 import (
+	"bytes"
 	"fmt"
 	"math"
 	"path/filepath"
@@ -12,80 +13,108 @@
 	"gonum.org/v1/plot/vg"
 )
 
-const leastPart = 1.0 / 400 // of the coming size: 20 gatekeepers
+// minFraction is the smallest fraction of the planned size that the chart shows: some 20 gatekeepers.
+const minFraction = 1.0 / 400
 
-// Chart draws need over limit, over the part of the coming size, of the lines that want it: points as
-// measured, and the fit. One is the limit. The file's ending says the form.
-func Chart(needs []Need, path string) error {
-	p := plot.New()
-	p.Title.Text = "Need of one gatekeeper over its limit, on the way to the coming size"
-	p.X.Label.Text, p.Y.Label.Text = "part of the coming size", "need / limit"
-	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
-	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
-	p.Legend.Left, p.Legend.Top = true, true
-	p.X.Min, p.X.Max = leastPart, 1
-	p.Y.Min, p.Y.Max = 1, 1
-	drawn := 0
-	var all []*Need
-	for i := range needs {
-		for n := &needs[i]; n != nil && n.Chart; n = n.After {
-			if n.There() && n.Fit != nil && n.Most != nil {
-				all = append(all, n)
-			}
+// DrawChart draws the utilization over the fraction of the planned size, on logarithmic axes, of the demands
+// that the spec marks for it: the measured points, the fit, and the limit at one. The file's extension names
+// the format.
+func DrawChart(demands []Demand, path string) error {
+	chart := newChart()
+	for i, d := range chartedDemands(demands) {
+		if err := addToChart(chart, d, i); err != nil {
+			return fmt.Errorf("%s: %w", d.Name, err)
 		}
 	}
-	for _, n := range all {
-		var line, points plotter.XYs
-		for part := leastPart; part <= 1.0001; part *= math.Pow(400, 1.0/60) {
-			if y := n.part(part) / n.Most.Most; y > 0 {
-				line = append(line, plotter.XY{X: part, Y: y})
-			}
-		}
-		for _, at := range n.Fit.Points {
-			if part := at.Size / n.Size; part >= leastPart && part <= 1.05 && at.Value > 0 {
-				points = append(points, plotter.XY{X: part, Y: at.Value / n.Fit.Predict(n.Size) * n.Value / n.Most.Most})
+	limitLine, err := plotter.NewLine(plotter.XYs{{X: minFraction, Y: 1}, {X: 1, Y: 1}})
+	if err != nil {
+		return err
+	}
+	limitLine.Width = vg.Points(1.5)
+	chart.Add(limitLine, plotter.NewGrid())
+	chart.Legend.Add("the limit", limitLine)
+	chart.Y.Max *= 100 // space for the legend
+	format := strings.TrimPrefix(filepath.Ext(path), ".")
+	writer, err := chart.WriterTo(18*vg.Centimeter, 12*vg.Centimeter, format)
+	if err != nil {
+		return err
+	}
+	var content bytes.Buffer
+	if _, err := writer.WriteTo(&content); err != nil {
+		return err
+	}
+	return writeFile(path, content.Bytes())
+}
+
+// newChart returns an empty chart with its axes.
+func newChart() *plot.Plot {
+	chart := plot.New()
+	chart.Title.Text = "Need of one gatekeeper over its limit, on the way to the coming size"
+	chart.X.Label.Text, chart.Y.Label.Text = "part of the coming size", "need / limit"
+	chart.X.Scale, chart.Y.Scale = plot.LogScale{}, plot.LogScale{}
+	chart.X.Tick.Marker, chart.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
+	chart.Legend.Left, chart.Legend.Top = true, true
+	chart.X.Min, chart.X.Max = minFraction, 1
+	chart.Y.Min, chart.Y.Max = 1, 1
+	return chart
+}
+
+// chartedDemands returns the demands that are drawn, each followed by the one after the change.
+func chartedDemands(demands []Demand) []*Demand {
+	var charted []*Demand
+	for i := range demands {
+		for d := &demands[i]; d != nil && d.InChart; d = d.AfterChange {
+			if d.Available() && d.Model != nil && d.Limit != nil {
+				charted = append(charted, d)
 			}
 		}
-		l, err := plotter.NewLine(line)
-		if err != nil {
-			return fmt.Errorf("%s: %w", n.Name, err)
-		}
-		s, err := plotter.NewScatter(points)
-		if err != nil {
-			return fmt.Errorf("%s: %w", n.Name, err)
-		}
-		l.Color, l.Dashes = plotutil.Color(drawn), plotutil.Dashes(drawn)
-		s.Color, s.Shape = plotutil.Color(drawn), plotutil.Shape(drawn)
-		p.Add(l, s)
-		name, _, _ := strings.Cut(n.What, ",")
-		name, _, _ = strings.Cut(name, ":")
-		switch {
-		case n.Way != direct:
-			name += ", " + n.Way
-		case n.AfterRun != "" && n.Line.Run == n.AfterRun:
-			name += ", after"
+	}
+	return charted
+}
+
+// addToChart adds the fit and the measured points of a demand, in the colour and the marks of its index, and
+// extends the vertical axis to the fit.
+func addToChart(chart *plot.Plot, d *Demand, index int) error {
+	var fitted, measured plotter.XYs
+	for fraction := minFraction; fraction <= 1.0001; fraction *= math.Pow(400, 1.0/60) {
+		if utilization := d.valueAtFraction(fraction) / d.Limit.Max; utilization > 0 {
+			fitted = append(fitted, plotter.XY{X: fraction, Y: utilization})
 		}
-		p.Legend.Add(name+", "+n.Resource, l, s)
-		drawn++
-		for _, at := range line {
-			p.Y.Min, p.Y.Max = math.Min(p.Y.Min, at.Y), math.Max(p.Y.Max, at.Y)
+	}
+	for _, point := range d.Model.Points {
+		if fraction := point.Size / d.PlannedSize; fraction >= minFraction && fraction <= 1.05 && point.Value > 0 {
+			utilization := point.Value / d.Model.Predict(d.PlannedSize) * d.Value / d.Limit.Max
+			measured = append(measured, plotter.XY{X: fraction, Y: utilization})
 		}
 	}
-	one, err := plotter.NewLine(plotter.XYs{{X: leastPart, Y: 1}, {X: 1, Y: 1}})
+	line, err := plotter.NewLine(fitted)
 	if err != nil {
 		return err
 	}
-	one.Width = vg.Points(1.5)
-	p.Add(one, plotter.NewGrid())
-	p.Legend.Add("the limit", one)
-	p.Y.Max *= 100 // room for the legend
-	to, err := p.WriterTo(18*vg.Centimeter, 12*vg.Centimeter, strings.TrimPrefix(filepath.Ext(path), "."))
+	scatter, err := plotter.NewScatter(measured)
 	if err != nil {
 		return err
 	}
-	var b strings.Builder
-	if _, err := to.WriteTo(&b); err != nil {
-		return err
+	line.Color, line.Dashes = plotutil.Color(index), plotutil.Dashes(index)
+	scatter.Color, scatter.Shape = plotutil.Color(index), plotutil.Shape(index)
+	chart.Add(line, scatter)
+	chart.Legend.Add(legendName(d), line, scatter)
+	for _, point := range fitted {
+		chart.Y.Min, chart.Y.Max = math.Min(chart.Y.Min, point.Y), math.Max(chart.Y.Max, point.Y)
+	}
+	return nil
+}
+
+// legendName returns the name of a demand in the legend: the beginning of its description up to a comma or a
+// colon, the change where it is one after it, and the resource.
+func legendName(d *Demand) string {
+	name, _, _ := strings.Cut(d.What, ",")
+	name, _, _ = strings.Cut(name, ":")
+	switch {
+	case d.Distribution != distributionDirect:
+		name += ", " + d.Distribution
+	case d.AfterRun != "" && d.Entry.Run == d.AfterRun:
+		name += ", after"
 	}
-	return put(path, []byte(b.String()))
+	return name + ", " + d.Resource
 }
--- a/internal/lab/capacity/csv.go
+++ b/internal/lab/capacity/csv.go
@@ -1,5 +1,3 @@
-// Package capacity reads what was measured over sizes and says what each role needs at the size that is
-// coming, beside the operators' limits: as tables of a page in docs and one chart.
 package capacity
 
 import (
@@ -14,8 +12,8 @@
 	"strings"
 )
 
-// Row is one measurement: in a run of a commit, with a way of distributing agreed rules, at a size, a role's
-// figure.
+// Row is a measurement of one figure of a role: at a size, in a run of a commit, with a way of distributing
+// rules.
 type Row struct {
 	Run, Commit, Distribution string
 	Size                      float64
@@ -23,51 +21,56 @@
 	Value                     float64
 }
 
-// Refusal is a bound of the program that a run has met: the most that it takes, of how many are coming.
+// Refusal is a bound of the program that a run has found: the maximum that it takes, beside the planned
+// number. Message is the program's error, or "taken".
 type Refusal struct {
 	Run, Commit, Distribution, Role, What string
-	Coming, Most                          float64
-	Says                                  string
+	Planned, Max                          float64
+	Message                               string
 }
 
 var (
-	rowHead     = []string{"run", "commit", "distribution", "size", "role", "figure", "unit", "value"}
-	refusalHead = []string{"run", "commit", "distribution", "role", "what", "coming", "most", "says"}
+	rowColumns     = []string{"run", "commit", "distribution", "size", "role", "figure", "unit", "value"}
+	refusalColumns = []string{"run", "commit", "distribution", "role", "what", "coming", "most", "says"}
 )
 
-func text(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
-
-// Write writes measurements in place of those that a file has.
+// Write writes measurements to a CSV file, in place of those that it has.
 func Write(path string, rows []Row) error {
-	all := [][]string{rowHead}
+	records := [][]string{rowColumns}
 	for _, r := range rows {
-		all = append(all, []string{r.Run, r.Commit, r.Distribution, text(r.Size), r.Role, r.Figure, r.Unit,
-			text(r.Value)})
+		records = append(records, []string{r.Run, r.Commit, r.Distribution, formatCSV(r.Size), r.Role, r.Figure,
+			r.Unit,
+			formatCSV(r.Value)})
 	}
-	return write(path, all)
+	return writeCSV(path, records)
 }
 
-// WriteRefusals does the same for bounds that were met.
-func WriteRefusals(path string, all []Refusal) error {
-	lines := [][]string{refusalHead}
-	for _, r := range all {
-		lines = append(lines, []string{r.Run, r.Commit, r.Distribution, r.Role, r.What, text(r.Coming),
-			text(r.Most),
-			r.Says})
-	}
-	return write(path, lines)
+// WriteRefusals writes refusals to a CSV file, in place of those that it has.
+func WriteRefusals(path string, refusals []Refusal) error {
+	records := [][]string{refusalColumns}
+	for _, r := range refusals {
+		records = append(records, []string{r.Run, r.Commit, r.Distribution, r.Role, r.What, formatCSV(r.Planned),
+			formatCSV(r.Max),
+			r.Message})
+	}
+	return writeCSV(path, records)
 }
 
-// write writes beside the place and moves it there: what is stopped leaves none that passes for whole.
-func write(path string, lines [][]string) error {
-	var b strings.Builder
-	if err := csv.NewWriter(&b).WriteAll(lines); err != nil {
+// formatCSV formats a number with six significant digits.
+func formatCSV(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
+
+// writeCSV replaces a file by records.
+func writeCSV(path string, records [][]string) error {
+	var text strings.Builder
+	if err := csv.NewWriter(&text).WriteAll(records); err != nil {
 		return err
 	}
-	return put(path, []byte(b.String()))
+	return writeFile(path, []byte(text.String()))
 }
 
-func put(path string, b []byte) (err error) {
+// writeFile replaces a file: it writes a temporary file beside it and renames that, so that an interrupted
+// write leaves no partial file under the name.
+func writeFile(path string, content []byte) (err error) {
 	f, err := os.CreateTemp(filepath.Dir(path), ".part-*")
 	if err != nil {
 		return err
@@ -80,22 +83,22 @@
 	if err = f.Chmod(0o644); err != nil {
 		return errors.Join(err, f.Close())
 	}
-	_, err = f.Write(b)
+	_, err = f.Write(content)
 	if err = errors.Join(err, f.Close()); err != nil {
 		return err
 	}
 	return os.Rename(f.Name(), path)
 }
 
-// ReadAll reads all tables of a folder: those of measurements, refusals*.csv, and what benchmarks gave,
-// *.txt. An error names file and line.
+// ReadAll reads all tables of a folder: measurements (*.csv), refusals (refusals*.csv) and the output of
+// benchmarks (*.txt), by file name. An error names the file and the line.
 func ReadAll(dir string) (rows []Row, refusals []Refusal, err error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.csv"))
-	more, bad := filepath.Glob(filepath.Join(dir, "*.txt"))
-	if err = errors.Join(err, bad); err != nil {
+	benchmarkFiles, globErr := filepath.Glob(filepath.Join(dir, "*.txt"))
+	if err = errors.Join(err, globErr); err != nil {
 		return nil, nil, err
 	}
-	files = append(files, more...)
+	files = append(files, benchmarkFiles...)
 	slices.Sort(files)
 	for _, path := range files {
 		raw, err := os.ReadFile(path)
@@ -106,11 +109,11 @@
 		var found []Row
 		switch {
 		case strings.HasPrefix(filepath.Base(path), "refusals"):
-			var more []Refusal
-			more, err = readRefusals(in)
-			refusals = append(refusals, more...)
+			var benchmarkFiles []Refusal
+			benchmarkFiles, err = readRefusals(in)
+			refusals = append(refusals, benchmarkFiles...)
 		case filepath.Ext(path) == ".txt":
-			found, err = readBench(filepath.Base(path), in)
+			found, err = readBenchmarks(filepath.Base(path), in)
 		default:
 			found, err = readRows(in)
 		}
@@ -122,66 +125,70 @@
 	return rows, refusals, nil
 }
 
-func lines(in io.Reader, head []string) ([][]string, error) {
-	r := csv.NewReader(in)
-	r.FieldsPerRecord = len(head)
-	all, err := r.ReadAll()
+// readRows reads a table of measurements.
+func readRows(in io.Reader) (rows []Row, err error) {
+	records, err := readCSV(in, rowColumns)
 	if err != nil {
 		return nil, err
 	}
-	if len(all) == 0 || !slices.Equal(all[0], head) {
-		return nil, fmt.Errorf("line 1: the columns are not %s", strings.Join(head, ","))
+	for i, fields := range records {
+		size, sizeErr := parseNumber(i, "size", fields[3])
+		value, valueErr := parseNumber(i, "value", fields[7])
+		if err := errors.Join(checkFilled(i, rowColumns, fields), sizeErr, valueErr); err != nil {
+			return nil, err
+		}
+		rows = append(rows, Row{fields[0], fields[1], fields[2], size, fields[4], fields[5], fields[6], value})
 	}
-	return all[1:], nil
+	return rows, nil
 }
 
-// number reads a column of a line, which counts from 0 behind the head.
-func number(line int, column, s string) (float64, error) {
-	v, err := strconv.ParseFloat(s, 64)
+// readRefusals reads a table of refusals.
+func readRefusals(in io.Reader) (refusals []Refusal, err error) {
+	records, err := readCSV(in, refusalColumns)
 	if err != nil {
-		return 0, fmt.Errorf("line %d: %s: %q is no number", line+2, column, s)
+		return nil, err
 	}
-	return v, nil
-}
-
-// named checks that each column says something; a count has no unit.
-func named(line int, head, l []string) error {
-	for i, s := range l {
-		if strings.TrimSpace(s) == "" && head[i] != "unit" {
-			return fmt.Errorf("line %d: %s: there is none", line+2, head[i])
+	for i, fields := range records {
+		planned, plannedErr := parseNumber(i, "coming", fields[5])
+		maxValue, maxErr := parseNumber(i, "most", fields[6])
+		if err := errors.Join(checkFilled(i, refusalColumns, fields), plannedErr, maxErr); err != nil {
+			return nil, err
 		}
+		refusals = append(refusals, Refusal{fields[0], fields[1], fields[2], fields[3], fields[4], planned,
+			maxValue, fields[7]})
 	}
-	return nil
+	return refusals, nil
 }
 
-func readRows(in io.Reader) (rows []Row, err error) {
-	all, err := lines(in, rowHead)
+// readCSV reads the records behind a header that has to name the columns.
+func readCSV(in io.Reader, columns []string) ([][]string, error) {
+	reader := csv.NewReader(in)
+	reader.FieldsPerRecord = len(columns)
+	records, err := reader.ReadAll()
 	if err != nil {
 		return nil, err
 	}
-	for i, l := range all {
-		size, bad := number(i, "size", l[3])
-		value, worse := number(i, "value", l[7])
-		if err := errors.Join(named(i, rowHead, l), bad, worse); err != nil {
-			return nil, err
-		}
-		rows = append(rows, Row{l[0], l[1], l[2], size, l[4], l[5], l[6], value})
+	if len(records) == 0 || !slices.Equal(records[0], columns) {
+		return nil, fmt.Errorf("line 1: the columns are not %s", strings.Join(columns, ","))
 	}
-	return rows, nil
+	return records[1:], nil
 }
 
-func readRefusals(in io.Reader) (refusals []Refusal, err error) {
-	all, err := lines(in, refusalHead)
+// parseNumber parses a column of a record; records count from zero behind the header.
+func parseNumber(record int, column, text string) (float64, error) {
+	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		return nil, err
+		return 0, fmt.Errorf("line %d: %s: %q is no number", record+2, column, text)
 	}
-	for i, l := range all {
-		coming, bad := number(i, "coming", l[5])
-		most, worse := number(i, "most", l[6])
-		if err := errors.Join(named(i, refusalHead, l), bad, worse); err != nil {
-			return nil, err
+	return value, nil
+}
+
+// checkFilled checks that every column is filled. Only the unit may be empty, as that of a count is.
+func checkFilled(record int, columns, fields []string) error {
+	for i, field := range fields {
+		if strings.TrimSpace(field) == "" && columns[i] != "unit" {
+			return fmt.Errorf("line %d: %s: there is none", record+2, columns[i])
 		}
-		refusals = append(refusals, Refusal{l[0], l[1], l[2], l[3], l[4], coming, most, l[7]})
 	}
-	return refusals, nil
+	return nil
 }
