--- a/internal/gateway/transport/creditwire/golden_test.go
+++ b/internal/gateway/transport/creditwire/golden_test.go
@@ -7,9 +7,9 @@
 	"willowdeck/internal/testkit/goldentest"
 )
 
-// goldenEntries is what entries.hex says. The file was written once by Append, before names were changed, and
-// is what older versions say; new code must never write it again. All amounts are such that the form holds
-// them exactly.
+// goldenEntries is the content of entries.hex. The file was written once by Append of an earlier version; it
+// is what older versions send, and must never be written again. All amounts are such that the code holds them
+// exactly.
 func goldenEntries() []borrowing.Entry {
 	return []borrowing.Entry{
 		{Customer: 0x01020304, Plan: 5, N: 6, First: 0x0708, Form: 0x090a, Known: true, Virgin: true, Asks: true,
@@ -22,31 +22,31 @@
 }
 
 func TestGoldenEntries(t *testing.T) {
-	old := goldentest.Hex(t, "entries.hex")
-	got, err := Decode(nil, old)
+	golden := goldentest.Hex(t, "entries.hex")
+	got, err := Decode(nil, golden)
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldentest.Same(t, got, goldenEntries())
-	b, rest := Append(nil, goldenEntries())
+	encoded, rest := Append(nil, goldenEntries())
 	if len(rest) > 0 {
 		t.Errorf("%d entries do not fit", len(rest))
 	}
-	goldentest.SameBytes(t, b, old)
+	goldentest.SameBytes(t, encoded, golden)
 }
 
-// Each flag stands for itself: an entry with one of them says that one and no other.
+// Each flag has its own bit: an entry with one condition sets that bit alone.
 func TestGoldenFlags(t *testing.T) {
-	for i, e := range []borrowing.Entry{{Known: true}, {Virgin: true}, {Asks: true, Nonce: 7},
+	for i, entry := range []borrowing.Entry{{Known: true}, {Virgin: true}, {Asks: true, Nonce: 7},
 		{Answers: true, Echo: 7}, {Want: 7}, {GaveD: 7, Left: 1}, {Fill: 8}, {Spare: 8}} {
-		b, _ := Append(nil, []borrowing.Entry{e})
-		if flags := b[header+10]; flags != 1<<i {
-			t.Errorf("%+v: flags %08b, want bit %d alone", e, flags, i)
+		encoded, _ := Append(nil, []borrowing.Entry{entry})
+		if flags := encoded[headerBytes+10]; flags != 1<<i {
+			t.Errorf("%+v: flags %08b, want bit %d alone", entry, flags, i)
 		}
-		got, err := Decode(nil, b)
+		got, err := Decode(nil, encoded)
 		if err != nil {
 			t.Fatal(err)
 		}
-		goldentest.SameLines(t, goldentest.Leaves(got), goldentest.Leaves([]borrowing.Entry{e}))
+		goldentest.SameLines(t, goldentest.Leaves(got), goldentest.Leaves([]borrowing.Entry{entry}))
 	}
 }
--- a/internal/gateway/transport/gossip/gossip.go
+++ b/internal/gateway/transport/gossip/gossip.go
@@ -1,9 +1,12 @@
-// Package gossip turns a gatekeeper's demand reports into the bytes of one peer message and back.
+// Package gossip encodes and decodes the demand reports that instances send each other in one datagram.
 //
-// A message is a version byte, a count byte, and for each report four bytes of the customer's number,
-// big-endian, one of its plan, with a bit each for whether what is known of the demand and the units sent on
-// follow, one of its demand, and these two. The last three are logarithmic, so that they are right within a
-// twentieth. The form before, in which all of them always follow, is still understood.
+// A message is a version byte, a count byte, and for each report the customer's number in four bytes,
+// big-endian; one byte of the plan, with a flag each for the two optional bytes; one byte of the demand; and
+// by flag one byte each of what is known of the demand and of the units forwarded. The last three are
+// logarithmic and right within a twentieth. The previous version of the format, in which both optional bytes
+// always follow, is still decoded.
+//
+// The package has no state and does no I/O; of the gateway it imports the policy's Report alone.
 package gossip
 
 import (
@@ -15,39 +18,47 @@
 )
 
 const (
-	version = 5
-	former  = 4 // version
-	header  = 2
-	entry   = 8 // at most
-	bare    = 6 // bytes of a report without known and spent
+	formatVersion         = 5
+	previousFormatVersion = 4 // reports always carry known and spent there
+	headerBytes           = 2
+	minReportBytes        = 6 // of a report without known and spent
+	maxReportBytes        = 8 // of a report with both
+)
 
-	hasKnown, hasSpent = 0x40, 0x80
-	Limit              = 256 // bytes that a peer message may have
+// The flags in a report's byte of the plan: which optional bytes follow.
+const (
+	knownFlag, spentFlag = 0x40, 0x80
+)
 
-	step  = 1.0 / 8    // of a power of two, between neighbouring demands
-	least = 1.0 / 1024 // units a second; less is nought
+// The logarithmic code of rates and units.
+const (
+	log2Step       = 1.0 / 8    // between neighbouring codes, in powers of two
+	minEncodedRate = 1.0 / 1024 // units a second; what is not above it is encoded as zero
 )
 
-// Plans is how many plans a message can tell apart.
-const Plans = hasKnown
+// MaxMessageBytes bounds a peer message.
+const MaxMessageBytes = 256
+
+// MaxPlans is how many plans a message can tell apart.
+const MaxPlans = knownFlag
 
-// Room is how many reports fit one message.
-const Room = (Limit - header) / entry
+// MaxReports is how many reports fit one message of any content.
+const MaxReports = (MaxMessageBytes - headerBytes) / maxReportBytes
 
-// Append adds the message for the reports, at most Room of them, to dst.
+// Append appends the message for the reports, the first MaxReports of them at most, to dst.
 func Append(dst []byte, reports []policy.Report) []byte {
-	reports = reports[:min(len(reports), Room)]
-	dst = append(dst, version, byte(len(reports)))
-	for _, r := range reports {
-		dst = binary.BigEndian.AppendUint32(dst, uint32(r.Customer))
-		plan, known, spent := byte(r.Plan), pack(r.Known), pack(r.Spent)
+	reports = reports[:min(len(reports), MaxReports)]
+	dst = append(dst, formatVersion, byte(len(reports)))
+	for _, report := range reports {
+		dst = binary.BigEndian.AppendUint32(dst, uint32(report.Customer))
+		plan, known, spent := byte(report.Plan), encodeLog(report.Known), encodeLog(report.Spent)
 		if known > 0 {
-			plan |= hasKnown
+			plan |= knownFlag
 		}
 		if spent > 0 {
-			plan |= hasSpent
+			plan |= spentFlag
 		}
-		dst = append(dst, plan, pack(r.Demand))
+		dst = append(dst, plan, encodeLog(report.Demand))
 		if known > 0 {
 			dst = append(dst, known)
 		}
@@ -58,53 +69,56 @@
 	return dst
 }
 
-// Decode reads a message into dst. A message that is not whole, or of another version, gives an error and
-// nothing else.
+// Decode appends a message's reports to dst. A message that is truncated, longer than it states, or of
+// another version gives an error and dst as it was.
 func Decode(dst []policy.Report, b []byte) ([]policy.Report, error) {
-	if len(b) < header {
+	if len(b) < headerBytes {
 		return dst, fmt.Errorf("peer message of %d bytes: too short", len(b))
 	}
-	if b[0] != version && b[0] != former {
-		return dst, fmt.Errorf("peer message of version %d, not %d", b[0], version)
+	if b[0] != formatVersion && b[0] != previousFormatVersion {
+		return dst, fmt.Errorf("peer message of version %d, not %d", b[0], formatVersion)
 	}
-	whole, none, n := b, dst, int(b[1])
-	for b = b[header:]; len(b) >= bare && len(dst)-len(none) < n; {
+	message, original, count := b, dst, int(b[1])
+	for b = b[headerBytes:]; len(b) >= minReportBytes && len(dst)-len(original) < count; {
 		plan := b[4]
-		if whole[0] == former {
-			plan |= hasKnown | hasSpent
+		if message[0] == previousFormatVersion {
+			plan |= knownFlag | spentFlag
 		}
-		r := policy.Report{Customer: uint64(binary.BigEndian.Uint32(b)), Plan: int(plan &^ (hasKnown | hasSpent)),
-			Demand: unpack(b[5])}
-		b = b[bare:]
-		for _, f := range []struct {
-			bit byte
-			v   *float64
-		}{{hasKnown, &r.Known}, {hasSpent, &r.Spent}} {
-			if plan&f.bit != 0 {
+		report := policy.Report{Customer: uint64(binary.BigEndian.Uint32(b)),
+			Plan:   int(plan &^ (knownFlag | spentFlag)),
+			Demand: decodeLog(b[5])}
+		b = b[minReportBytes:]
+		for _, optional := range []struct {
+			flag  byte
+			value *float64
+		}{{knownFlag, &report.Known}, {spentFlag, &report.Spent}} {
+			if plan&optional.flag != 0 {
 				if len(b) == 0 {
-					return none, fmt.Errorf("peer message of %d bytes ends within a report", len(whole))
+					return original, fmt.Errorf("peer message of %d bytes ends within a report", len(message))
 				}
-				*f.v, b = unpack(b[0]), b[1:]
+				*optional.value, b = decodeLog(b[0]), b[1:]
 			}
 		}
-		dst = append(dst, r)
+		dst = append(dst, report)
 	}
-	if len(b) > 0 || len(dst)-len(none) != n {
-		return none, fmt.Errorf("peer message of %d bytes for %d reports", len(whole), n)
+	if len(b) > 0 || len(dst)-len(original) != count {
+		return original, fmt.Errorf("peer message of %d bytes for %d reports", len(message), count)
 	}
 	return dst, nil
 }
 
-func pack(v float64) uint8 {
-	if !(v > least) {
+// encodeLog encodes a rate as one byte; zero and below, and what is not a number, as 0.
+func encodeLog(rate float64) uint8 {
+	if !(rate > minEncodedRate) {
 		return 0
 	}
-	return uint8(math.Min(1+math.Round(math.Log2(v/least)/step), math.MaxUint8))
+	return uint8(math.Min(1+math.Round(math.Log2(rate/minEncodedRate)/log2Step), math.MaxUint8))
 }
 
-func unpack(v uint8) float64 {
-	if v == 0 {
+// decodeLog is the inverse of encodeLog, within a step.
+func decodeLog(code uint8) float64 {
+	if code == 0 {
 		return 0
 	}
-	return least * math.Exp2(float64(v-1)*step)
+	return minEncodedRate * math.Exp2(float64(code-1)*log2Step)
 }
