--- a/cmd/willowdeck-lab/forward.go
+++ b/cmd/willowdeck-lab/forward.go
@@ -159,11 +159,12 @@
 		target = p.At
 	}
 	plans, _ := names(s)
-	j := &loadgen.Job{Arrivals: arrivals, Targets: []string{target}, Spread: 1, Plans: plans, Most: 4000,
-		Seed: seed, Credential: "Authorization"}
+	j := &loadgen.Load{Arrivals: arrivals, Targets: []string{target}, SetSize: 1, Plans: plans,
+		MaxInFlight: 4000,
+		Seed:        seed, CredentialHeader: "Authorization"}
 	for _, p := range s.Products {
-		j.Products = append(j.Products, loadgen.Product{Name: p.Name, Repeat: p.Repeat, Body: 100,
-			Waits: time.Duration(p.SLAMS * s.Clients.Waits * float64(time.Millisecond))})
+		j.Products = append(j.Products, loadgen.Product{Name: p.Name, Idempotency: p.Repeat, BodyBytes: 100,
+			Timeout: time.Duration(p.SLAMS * s.Clients.Waits * float64(time.Millisecond))})
 	}
 	if a.stalls {
 		at := time.Duration((s.Seconds - stallS) / 2 * float64(time.Second))
@@ -251,7 +252,8 @@
 			return strconv.FormatFloat(float64(r.report.Latency.ValueAtQuantile(q))/1000, 'f', 2, 64)
 		}
 		row := []string{r.arm.name, fmt.Sprint(r.report.Latency.TotalCount())}
-		for _, o := range []loadgen.Outcome{loadgen.Settled, loadgen.Declined, loadgen.Voided, loadgen.NoAnswer} {
+		for _, o := range []loadgen.Outcome{loadgen.Completed, loadgen.Rejected, loadgen.Failed,
+			loadgen.NoResponse} {
 			row = append(row, fmt.Sprint(n[o]))
 		}
 		rows = append(rows, append(row, ms(50), ms(99), ms(99.9), fmt.Sprint(r.asks), fmt.Sprint(r.twice),
--- a/cmd/willowdeck-lab/main.go
+++ b/cmd/willowdeck-lab/main.go
@@ -276,21 +276,22 @@
 		return err
 	}
 	plans, _ := names(s)
-	j := &loadgen.Job{Arrivals: all, Targets: c.StringSlice("target"), Plans: plans, Most: c.Int("most"),
-		Closed: c.Int("closed"), Seed: int64(c.Int("seed")), Credential: c.String("credential")}
-	j.Spread = min(s.Gatekeepers.Spread, len(j.Targets))
+	j := &loadgen.Load{Arrivals: all, Targets: c.StringSlice("target"), Plans: plans, MaxInFlight: c.Int("most"),
+		ClosedLoopClients: c.Int("closed"), Seed: int64(c.Int("seed")), CredentialHeader: c.String("credential")}
+	j.SetSize = min(s.Gatekeepers.Spread, len(j.Targets))
 	for _, p := range s.Products {
-		j.Products = append(j.Products, loadgen.Product{Name: p.Name, Repeat: p.Repeat, Body: c.Int("body"),
-			Waits: time.Duration(p.SLAMS * s.Clients.Waits * float64(time.Millisecond))})
+		j.Products = append(j.Products, loadgen.Product{Name: p.Name, Idempotency: p.Repeat,
+			BodyBytes: c.Int("body"),
+			Timeout:   time.Duration(p.SLAMS * s.Clients.Waits * float64(time.Millisecond))})
 	}
 	r, err := j.Run(ctx)
 	if err != nil {
 		return err
 	}
 	fmt.Print(r)
-	if !r.Kept() {
+	if !r.ScheduleKept() {
 		return fmt.Errorf("the schedule was not kept: one in a hundred requests was sent %.1f ms late or more",
-			float64(r.Lag.ValueAtQuantile(99))/1000)
+			float64(r.ScheduleLag.ValueAtQuantile(99))/1000)
 	}
 	return nil
 }
--- a/cmd/willowdeck-lab/main_test.go
+++ b/cmd/willowdeck-lab/main_test.go
@@ -43,10 +43,11 @@
 		t.Fatal(err)
 	}
 	plans, products := names(s)
-	j := &loadgen.Job{Arrivals: all, Targets: []string{g.At}, Spread: 1, Plans: plans, Most: 1000, Seed: 3}
+	j := &loadgen.Load{Arrivals: all, Targets: []string{g.At}, SetSize: 1, Plans: plans, MaxInFlight: 1000,
+		Seed: 3}
 	for i, p := range s.Products {
-		j.Products = append(j.Products, loadgen.Product{Name: products[i], Repeat: p.Repeat, Body: 50,
-			Waits: time.Duration(p.SLAMS * 2 * float64(time.Millisecond))})
+		j.Products = append(j.Products, loadgen.Product{Name: products[i], Idempotency: p.Repeat, BodyBytes: 50,
+			Timeout: time.Duration(p.SLAMS * 2 * float64(time.Millisecond))})
 	}
 	r, err := j.Run(context.Background())
 	if err != nil {
@@ -54,8 +55,8 @@
 	}
 	settled, answered := int64(0), int64(0)
 	for _, n := range r.Counts {
-		settled += n[loadgen.Settled]
-		answered += n[loadgen.Settled] + n[loadgen.Declined] + n[loadgen.Voided]
+		settled += n[loadgen.Completed]
+		answered += n[loadgen.Completed] + n[loadgen.Rejected] + n[loadgen.Failed]
 	}
 	if answered < int64(len(all))*95/100 || settled < int64(len(all))*6/10 {
 		t.Errorf("of %d:\n%v", len(all), r)
@@ -160,8 +161,8 @@
 	for i, r := range all {
 		var settled, declined, lost int64
 		for _, c := range r.report.Counts {
-			settled, declined, lost = settled+c[loadgen.Settled], declined+c[loadgen.Declined],
-				lost+c[loadgen.NoAnswer]
+			settled, declined, lost = settled+c[loadgen.Completed], declined+c[loadgen.Rejected],
+				lost+c[loadgen.NoResponse]
 		}
 		if r.twice > 0 || r.beyond > 0 || lost > 0 {
 			t.Errorf("%s: %d ran twice, %.1f units beyond a ceiling, %d without answer", r.arm.name, r.twice, r.beyond,
--- a/internal/lab/emulator/scenario.go
+++ b/internal/lab/emulator/scenario.go
@@ -344,7 +344,7 @@
 	for i, p := range s.Plans {
 		mean := (1 + p.Units) / 2
 		all = append(all, workload.Group{Plan: i, Customers: p.Customers, Rate: p.Rate * p.Asks / mean,
-			Products: weights, Units: p.Units, Spread: s.spread(i), Skew: p.Skew})
+			ProductWeights: weights, MaxUnits: p.Units, SetSize: s.spread(i), Skew: p.Skew})
 	}
 	return all
 }
@@ -367,7 +367,8 @@
 
 func (s *Scenario) shape(i int) (workload.Shape, error) {
 	h := &s.Shapes[i]
-	t := workload.Shape{Kind: h.Kind, From: h.FromS * 1000, To: h.ToS * 1000, Factor: h.Factor, Group: -1,
+	t := workload.Shape{Kind: h.Kind, FromMillis: h.FromS * 1000, ToMillis: h.ToS * 1000, Factor: h.Factor,
+		Group:     -1,
 		Customers: h.Customers}
 	if t.Kind == "shift" && t.Factor == 0 {
 		t.Factor = 1
@@ -380,7 +381,7 @@
 	if h.Plan != "" && t.Group < 0 {
 		return t, fmt.Errorf("plan: %q is unknown", h.Plan)
 	}
-	return t, t.Check(s.groups())
+	return t, t.Validate(s.groups())
 }
 
 // Arrivals are the txns that clients mean to send, by the shapes or from the trace.
@@ -394,7 +395,7 @@
 			}
 			shapes = append(shapes, h)
 		}
-		return workload.Plan(s.groups(), shapes, s.Seconds*1000, seed), nil
+		return workload.Generate(s.groups(), shapes, s.Seconds*1000, seed), nil
 	}
 	path := s.Trace
 	if !filepath.IsAbs(path) {
@@ -405,7 +406,7 @@
 		return nil, fmt.Errorf("trace: %w", err)
 	}
 	defer f.Close()
-	names := workload.Names{Plans: map[string]int{}, Products: map[string]int{}}
+	names := workload.NameIndex{Plans: map[string]int{}, Products: map[string]int{}}
 	for i, p := range s.Plans {
 		names.Plans[p.Name] = i
 	}
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -259,14 +259,14 @@
 		p := &w.s.Plans[a.Plan]
 		b := quotas[a.Customer]
 		if b == nil {
-			b = &bucket{level: math.Max(p.Burst, w.s.largest()), at: a.At}
+			b = &bucket{level: math.Max(p.Burst, w.s.largest()), at: a.AtMillis}
 			quotas[a.Customer] = b
 		}
-		in := b.take(a.At, p.Rate, math.Max(p.Burst, w.s.largest()), a.Units)
+		in := b.take(a.AtMillis, p.Rate, math.Max(p.Burst, w.s.largest()), a.Units)
 		w.inside = append(w.inside, in)
 		if in {
 			w.res.Offered += w.worth(a)
-			w.res.second(a.At).Offered += w.worth(a)
+			w.res.second(a.AtMillis).Offered += w.worth(a)
 		}
 		if w.customers[a.Customer] == nil {
 			w.customers[a.Customer] = &Part{}
@@ -280,8 +280,8 @@
 		if i == len(all) {
 			return
 		}
-		w.in(all[i].At-w.now, func() {
-			(&client{w: w, a: all[i], first: all[i].At}).try()
+		w.in(all[i].AtMillis-w.now, func() {
+			(&client{w: w, a: all[i], first: all[i].AtMillis}).try()
 			next(i + 1)
 		})
 	}
@@ -315,7 +315,7 @@
 	w.res.Tries++
 	n, spread := len(w.gks), w.s.spread(c.a.Plan)
 	firstOf := int(uint64(c.a.Customer+1) * 0x9E3779B97F4A7C15 >> 33 % uint64(n))
-	g := w.gks[(firstOf+(c.a.Set+c.tries-1)%spread)%n]
+	g := w.gks[(firstOf+(c.a.SetOffset+c.tries-1)%spread)%n]
 	until := w.now + w.s.Products[c.a.Product].SLAMS*w.s.Clients.Waits
 	w.in(w.draw(w.s.Network.ClientMS), func() { g.arrive(c, firstOf, until) })
 }
--- a/internal/lab/loadgen/load_test.go
+++ b/internal/lab/loadgen/load_test.go
@@ -10,128 +10,130 @@
 	"willowdeck/internal/testkit/fakes"
 )
 
-// stalled sends a steady load to a stand-in that stands still for a while, and gives the report.
-func stalled(t *testing.T, closed int) *Report {
+// runAgainstStall sends a steady load to a fake worker that stalls for a while, and returns the report.
+func runAgainstStall(t *testing.T, closed int) *Report {
 	t.Helper()
-	w, err := fakes.NewWorker("g", time.Millisecond)
+	worker, err := fakes.NewWorker("g", time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	var all []workload.Arrival
+	defer worker.Close()
+	var arrivals []workload.Arrival
 	for at := 0.0; at < 2000; at += 5 {
-		all = append(all, workload.Arrival{At: at, Customer: 1, Units: 1, Set: len(all)})
+		arrivals = append(arrivals, workload.Arrival{AtMillis: at, Customer: 1, Units: 1, SetOffset: len(arrivals)})
 	}
-	j := &Job{Arrivals: all, Targets: []string{w.At}, Spread: 1, Plans: []string{"basic"}, Most: 1000,
-		Closed:   closed,
-		Products: []Product{{Name: "check", Repeat: "inquiry", Waits: 5 * time.Second}}}
-	time.AfterFunc(500*time.Millisecond, func() { w.Set(fakes.Stalls) })
-	time.AfterFunc(1100*time.Millisecond, func() { w.Set(fakes.None) })
-	r, err := j.Run(context.Background())
+	load := &Load{Arrivals: arrivals, Targets: []string{worker.At}, SetSize: 1, Plans: []string{"basic"},
+		MaxInFlight:       1000,
+		ClosedLoopClients: closed,
+		Products:          []Product{{Name: "check", Idempotency: "inquiry", Timeout: 5 * time.Second}}}
+	time.AfterFunc(500*time.Millisecond, func() { worker.Set(fakes.Stalls) })
+	time.AfterFunc(1100*time.Millisecond, func() { worker.Set(fakes.None) })
+	report, err := load.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := r.Counts["check"]; n[Settled] != int64(len(all)) || len(w.Got()) != len(all) {
-		t.Errorf("%v of %d, the stand-in got %d", n, len(all), len(w.Got()))
+	if n := report.Counts["check"]; n[Completed] != int64(len(arrivals)) || len(worker.Got()) != len(arrivals) {
+		t.Errorf("%v of %d, the worker got %d", n, len(arrivals), len(worker.Got()))
 	}
-	return r
+	return report
 }
 
-// What waits in turn for its answers hides the queue that a stall makes; what is sent when it is due
-// shows it.
-func TestOpenAgainstClosed(t *testing.T) {
-	open, closed := stalled(t, 0), stalled(t, 2)
-	at := func(r *Report, q float64) float64 { return float64(r.Latency.ValueAtQuantile(q)) / 1000 }
-	t.Logf("open p90 %.1f p99 %.1f ms, closed p90 %.1f p99 %.1f ms", at(open, 90), at(open, 99), at(closed, 90),
-		at(closed, 99))
-	if at(open, 90) < 200 || at(open, 99) < 450 {
-		t.Errorf("the stall does not show: p90 %.1f ms, p99 %.1f ms", at(open, 90), at(open, 99))
+// A closed loop hides the queue that a stall builds up; an open loop shows it.
+func TestOpenLoopShowsAStallThatAClosedLoopHides(t *testing.T) {
+	open, closed := runAgainstStall(t, 0), runAgainstStall(t, 2)
+	quantileMillis := func(r *Report, q float64) float64 { return float64(r.Latency.ValueAtQuantile(q)) / 1000 }
+	t.Logf("open p90 %.1f p99 %.1f ms, closed p90 %.1f p99 %.1f ms", quantileMillis(open, 90),
+		quantileMillis(open, 99), quantileMillis(closed, 90),
+		quantileMillis(closed, 99))
+	if quantileMillis(open, 90) < 200 || quantileMillis(open, 99) < 450 {
+		t.Errorf("the stall does not show: p90 %.1f ms, p99 %.1f ms", quantileMillis(open, 90),
+			quantileMillis(open, 99))
 	}
-	if at(closed, 99) > 200 {
-		t.Errorf("the closed loop shows it, which it can't: p99 %.1f ms", at(closed, 99))
+	if quantileMillis(closed, 99) > 200 {
+		t.Errorf("the closed loop shows the stall: p99 %.1f ms", quantileMillis(closed, 99))
 	}
 	if !strings.Contains(open.String(), "settled 400") {
 		t.Error(open.String())
 	}
 }
 
-// Outcomes are told apart, and what was due and could not be sent is counted.
-func TestOutcomes(t *testing.T) {
+// Faults of a worker give distinct outcomes, and a request that was due and could not be sent is counted.
+func TestOutcomesOfWorkerFaults(t *testing.T) {
 	cases := []struct {
 		fault fakes.Fault
 		want  Outcome
-	}{{fakes.None, Settled}, {fakes.Full, Declined}, {fakes.Errs, Voided}, {fakes.Cuts, NoAnswer},
-		{fakes.Silent, NoAnswer}, {fakes.Garbage, NoAnswer}}
+	}{{fakes.None, Completed}, {fakes.Full, Rejected}, {fakes.Errs, Failed}, {fakes.Cuts, NoResponse},
+		{fakes.Silent, NoResponse}, {fakes.Garbage, NoResponse}}
 	for _, c := range cases {
 		t.Run(c.want.String(), func(t *testing.T) {
-			w, err := fakes.NewWorker("g", 0)
+			worker, err := fakes.NewWorker("g", 0)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer w.Close()
-			w.Set(c.fault)
-			j := &Job{Arrivals: []workload.Arrival{{Units: 1}, {Units: 1, Product: 1}, {Units: 1, Product: 2}},
-				Targets: []string{w.At}, Spread: 1, Plans: []string{"basic"}, Most: 9, Products: []Product{
+			defer worker.Close()
+			worker.Set(c.fault)
+			load := &Load{Arrivals: []workload.Arrival{{Units: 1}, {Units: 1, Product: 1}, {Units: 1, Product: 2}},
+				Targets: []string{worker.At}, SetSize: 1, Plans: []string{"basic"}, MaxInFlight: 9, Products: []Product{
 					{"check", "inquiry", 200 * time.Millisecond, 0}, {"sale", "referenced", 200 * time.Millisecond, 20},
 					{"issue", "once", 200 * time.Millisecond, 20}}}
-			r, err := j.Run(context.Background())
+			report, err := load.Run(context.Background())
 			if err != nil {
 				t.Fatal(err)
 			}
-			for name, n := range r.Counts {
+			for name, n := range report.Counts {
 				if n[c.want] != 1 {
 					t.Errorf("%s: %v, want %v", name, n, c.want)
 				}
 			}
-			if len(w.Got()) != 3 {
-				t.Errorf("%d sent: nothing may be sent twice", len(w.Got()))
+			if len(worker.Got()) != 3 {
+				t.Errorf("%d sent: no request may be sent twice", len(worker.Got()))
 			}
 		})
 	}
-	w, err := fakes.NewWorker("g", 100*time.Millisecond)
+	worker, err := fakes.NewWorker("g", 100*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	j := &Job{
-		Arrivals: make([]workload.Arrival, 9),
-		Targets:  []string{w.At},
-		Spread:   1,
-		Plans:    []string{"basic"},
-		Most:     4,
-		Products: []Product{{"check", "inquiry", time.Second, 0}},
+	defer worker.Close()
+	load := &Load{
+		Arrivals:    make([]workload.Arrival, 9),
+		Targets:     []string{worker.At},
+		SetSize:     1,
+		Plans:       []string{"basic"},
+		MaxInFlight: 4,
+		Products:    []Product{{"check", "inquiry", time.Second, 0}},
 	}
-	if r, err := j.Run(context.Background()); err != nil || r.Counts["check"][Unsent] != 5 {
-		t.Errorf("%v, %v", r, err)
+	if report, err := load.Run(context.Background()); err != nil || report.Counts["check"][NotSent] != 5 {
+		t.Errorf("%v, %v", report, err)
 	}
 }
 
-func TestBadJobs(t *testing.T) {
-	good := func() *Job {
-		return &Job{Arrivals: make([]workload.Arrival, 1), Targets: []string{"127.0.0.1:1"}, Spread: 1,
-			Plans: []string{"basic"}, Products: []Product{{Name: "check"}}, Most: 1}
+func TestLoadValidate(t *testing.T) {
+	validLoad := func() *Load {
+		return &Load{Arrivals: make([]workload.Arrival, 1), Targets: []string{"127.0.0.1:1"}, SetSize: 1,
+			Plans: []string{"basic"}, Products: []Product{{Name: "check"}}, MaxInFlight: 1}
 	}
 	cases := []struct {
-		says string
-		make func(*Job)
+		message string
+		change  func(*Load)
 	}{
-		{"targets: there", func(j *Job) { j.Targets = nil }}, {"targets[0]",
-			func(j *Job) { j.Targets[0] = "here" }},
-		{"spread", func(j *Job) { j.Spread = 2 }}, {"most", func(j *Job) { j.Most = 0 }},
-		{"arrival 0", func(j *Job) { j.Arrivals[0].Plan = 3 }},
+		{"targets: there", func(load *Load) { load.Targets = nil }}, {"targets[0]",
+			func(load *Load) { load.Targets[0] = "here" }},
+		{"spread", func(load *Load) { load.SetSize = 2 }}, {"most", func(load *Load) { load.MaxInFlight = 0 }},
+		{"arrival 0", func(load *Load) { load.Arrivals[0].Plan = 3 }},
 	}
 	for _, c := range cases {
-		j := good()
-		c.make(j)
-		if _, err := j.Run(context.Background()); err == nil || !strings.HasPrefix(err.Error(), c.says) {
-			t.Errorf("got %v, want %q", err, c.says)
+		load := validLoad()
+		c.change(load)
+		if _, err := load.Run(context.Background()); err == nil || !strings.HasPrefix(err.Error(), c.message) {
+			t.Errorf("got %v, want %q", err, c.message)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	j := good()
-	j.Arrivals[0].At = 5000
-	if r, err := j.Run(ctx); err == nil || r != nil {
-		t.Error("a stopped load has a report")
+	load := validLoad()
+	load.Arrivals[0].AtMillis = 5000
+	if report, err := load.Run(ctx); err == nil || report != nil {
+		t.Error("a cancelled load has a report")
 	}
 }
--- a/internal/lab/loadgen/runner.go
+++ b/internal/lab/loadgen/runner.go
@@ -1,162 +1,71 @@
-// Package loadgen sends txns to gatekeepers on sockets by a plan made ahead: each is due at its moment,
-// whatever
-// became of those before it, and its latency counts from that moment.
 package loadgen
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"maps"
 	"math/rand"
-	"net"
-	"slices"
 	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/valyala/fasthttp"
-
-	"willowdeck/internal/lab/workload"
 )
 
-// Product is what a request needs of a product.
-type Product struct {
-	Name   string
-	Repeat string        // inquiry, referenced or once
-	Waits  time.Duration // how long its client waits
-	Body   int           // bytes; inquiries have none
-}
-
-// Job is a load to send.
-type Job struct {
-	Arrivals []workload.Arrival
-	Targets  []string // gatekeepers by number, host:port
-	Spread   int      // of a customer's set
-	Plans    []string
-	Products []Product
-	Most     int   // requests out at once; one more is due and not sent, and counted so
-	Closed   int   // if above nought: so many clients, each sending its next one once it has its answer
-	Seed     int64 // of marks
-
-	// Each, where it is there, is told what became of each request, by its place in Arrivals, as it is known.
-	Each func(i int, o Outcome, took time.Duration)
-
-	// Credential names the header that says whose a request is; without one none is sent.
-	Credential string
-}
-
-// Outcome is what became of a request.
-type Outcome uint8
-
-// The outcomes.
 const (
-	Settled Outcome = iota
-	Declined
-	Voided
-	NoAnswer // none in its time, or the connection failed
-	Unsent   // too many were out
-	outcomes
+	// maxLatencyMicros is the largest latency that a histogram records, in microseconds.
+	maxLatencyMicros = 600e6
+	// answerGrace is how long after the deadline that the gateway is given the client still takes an answer.
+	answerGrace = 20 * time.Millisecond
 )
 
-var outcomeNames = [outcomes]string{"settled", "declined", "voided", "no_answer", "unsent"}
-
-func (o Outcome) String() string { return outcomeNames[o] }
+// runner is a load under way.
+type runner struct {
+	*Load
+	client      *fasthttp.Client
+	start       time.Time
+	nextArrival atomic.Int64 // closed loop: index of the next request
 
-// Report is what a load has seen. Latencies count from the moment a request was due, in microseconds.
-type Report struct {
-	Counts  map[string][outcomes]int64 // by product
-	Latency *hdrhistogram.Histogram    // of all that were answered
-	Lag     *hdrhistogram.Histogram    // how late requests were sent
-	Took    time.Duration
-	Seconds []Second // by when requests were due
-}
-
-// Second is what a load has seen of the requests that were due in one second.
-type Second struct {
-	Counts  [outcomes]int64
-	Latency *hdrhistogram.Histogram
-}
-
-// mostLag is how late the 99th of a hundred requests may be sent until the report says that the schedule
-// was not kept: a tenth of the shortest answers that are of interest.
-const mostLag = 2 * time.Millisecond
-
-// Kept tells whether requests were sent when they were due.
-func (r *Report) Kept() bool {
-	return time.Duration(r.Lag.ValueAtQuantile(99))*time.Microsecond <= mostLag
-}
-
-// Check finds what is wrong with a job.
-func (j *Job) Check() error {
-	switch {
-	case len(j.Targets) == 0:
-		return errors.New("targets: there is none")
-	case j.Spread < 1 || j.Spread > len(j.Targets):
-		return fmt.Errorf("spread: %d of %d targets", j.Spread, len(j.Targets))
-	case j.Most < 1 && j.Closed < 1:
-		return fmt.Errorf("most: %d requests out at once", j.Most)
-	}
-	for i, t := range j.Targets {
-		if _, _, err := net.SplitHostPort(t); err != nil {
-			return fmt.Errorf("targets[%d]: %w", i, err)
-		}
-	}
-	for i, a := range j.Arrivals {
-		if a.Plan >= len(j.Plans) || a.Product >= len(j.Products) {
-			return fmt.Errorf("arrival %d: plan or product is unknown", i)
-		}
-	}
-	return nil
-}
-
-// sender is a job under way.
-type sender struct {
-	*Job
-	client *fasthttp.Client
-	mu     sync.Mutex
+	mu     sync.Mutex // guards report, and calls of OnOutcome
 	report *Report
-	start  time.Time
-	next   atomic.Int64
 }
 
-// Run sends a job, and gives a report once all is answered. ctx ends it early, with an error.
-func (j *Job) Run(ctx context.Context) (*Report, error) {
-	if err := j.Check(); err != nil {
+// Run sends the load and returns a report once every request has an outcome. Cancelling ctx ends it early,
+// with an error and no report.
+func (l *Load) Run(ctx context.Context) (*Report, error) {
+	if err := l.Validate(); err != nil {
 		return nil, err
 	}
-	s := &sender{Job: j, report: &Report{Counts: map[string][outcomes]int64{},
-		Latency: hdrhistogram.New(1, 600e6, 3), Lag: hdrhistogram.New(1, 600e6, 3)}}
-	s.client = &fasthttp.Client{MaxConnsPerHost: 1 << 20, MaxIdemponentCallAttempts: 1,
+	r := &runner{Load: l, report: &Report{Counts: map[string][outcomeCount]int64{},
+		Latency: hdrhistogram.New(1, maxLatencyMicros, 3), ScheduleLag: hdrhistogram.New(1, maxLatencyMicros, 3)}}
+	r.client = &fasthttp.Client{MaxConnsPerHost: 1 << 20, MaxIdemponentCallAttempts: 1,
 		RetryIfErr:          func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		MaxIdleConnDuration: 2 * time.Second, NoDefaultUserAgentHeader: true,
 		DisablePathNormalizing: true}
-	defer s.client.CloseIdleConnections()
+	defer r.client.CloseIdleConnections()
 	start := time.Now()
-	s.start = start
+	r.start = start
 	var err error
-	if j.Closed > 0 {
-		err = s.closed(ctx, start)
+	if l.ClosedLoopClients > 0 {
+		err = r.closedLoop(ctx, start)
 	} else {
-		err = s.open(ctx, start)
+		err = r.openLoop(ctx, start)
 	}
-	s.report.Took = time.Since(start)
+	r.report.Duration = time.Since(start)
 	if err != nil {
 		return nil, err
 	}
-	return s.report, nil
+	return r.report, nil
 }
 
-// open sends each request when it is due.
-func (s *sender) open(ctx context.Context, start time.Time) error {
-	var all sync.WaitGroup
-	defer all.Wait()
-	out := make(chan struct{}, s.Most)
-	for i := range s.Arrivals {
-		due := start.Add(time.Duration(s.Arrivals[i].At * float64(time.Millisecond)))
+// openLoop sends each request when it is due, whatever became of those before it.
+func (r *runner) openLoop(ctx context.Context, start time.Time) error {
+	var requests sync.WaitGroup
+	defer requests.Wait()
+	inFlight := make(chan struct{}, r.MaxInFlight)
+	for i := range r.Arrivals {
+		due := start.Add(time.Duration(r.Arrivals[i].AtMillis * float64(time.Millisecond)))
 		if wait := time.Until(due); wait > 0 {
 			t := time.NewTimer(wait)
 			select {
@@ -167,148 +76,127 @@
 			}
 		}
 		select {
-		case out <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
-			s.note(i, Unsent, due, due)
+			r.record(i, NotSent, due, due)
 			continue
 		}
-		all.Add(1)
+		requests.Add(1)
 		go func() {
-			defer all.Done()
-			s.send(i, due)
-			<-out
+			defer requests.Done()
+			r.send(i, due)
+			<-inFlight
 		}()
 	}
 	return nil
 }
 
-// closed has some clients send one after another, as fast as they are answered but none before it is due:
-// what a test does that waits for its answers. It is there to be held against the open one.
-func (s *sender) closed(ctx context.Context, start time.Time) error {
-	var all sync.WaitGroup
-	for range s.Closed {
-		all.Add(1)
+// closedLoop has a fixed number of clients send one request after another, each as soon as the one before it
+// is answered but not before it is due. It is there to be compared with the open loop: latencies count from
+// sending, so that a stall delays requests without showing in them (coordinated omission).
+func (r *runner) closedLoop(ctx context.Context, start time.Time) error {
+	var clients sync.WaitGroup
+	for range r.ClosedLoopClients {
+		clients.Add(1)
 		go func() {
-			defer all.Done()
+			defer clients.Done()
 			for ctx.Err() == nil {
-				i := int(s.next.Add(1)) - 1
-				if i >= len(s.Arrivals) {
+				i := int(r.nextArrival.Add(1)) - 1
+				if i >= len(r.Arrivals) {
 					return
 				}
-				due := start.Add(time.Duration(s.Arrivals[i].At * float64(time.Millisecond)))
+				due := start.Add(time.Duration(r.Arrivals[i].AtMillis * float64(time.Millisecond)))
 				time.Sleep(time.Until(due))
-				s.send(i, time.Now()) // from when it is sent: the wait before is not seen
+				r.send(i, time.Now()) // not from when it was due: see above
 			}
 		}()
 	}
-	all.Wait()
+	clients.Wait()
 	return ctx.Err()
 }
 
-// send sends one request, and notes what became of it.
-func (s *sender) send(i int, due time.Time) {
-	a := &s.Arrivals[i]
-	p := &s.Products[a.Product]
-	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(res)
-	s.encode(req, i)
+// send sends one request, waits for its response, and records the outcome.
+func (r *runner) send(i int, due time.Time) {
+	arrival := &r.Arrivals[i]
+	product := &r.Products[arrival.Product]
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	r.buildRequest(request, i)
 	sent := time.Now()
-	left := p.Waits - sent.Sub(due)
-	if left <= 0 {
-		s.note(i, NoAnswer, due, sent)
+	remaining := product.Timeout - sent.Sub(due)
+	if remaining <= 0 {
+		r.record(i, NoResponse, due, sent)
 		return
 	}
-	req.Header.Set("X-Deadline", strconv.FormatInt(left.Microseconds(), 10)+"u")
-	err := s.client.DoTimeout(req, res, left+20*time.Millisecond)
-	switch code := res.StatusCode(); {
+	request.Header.Set("X-Deadline", strconv.FormatInt(remaining.Microseconds(), 10)+"u")
+	err := r.client.DoTimeout(request, response, remaining+answerGrace)
+	switch code := response.StatusCode(); {
 	case err != nil:
-		s.note(i, NoAnswer, due, sent)
+		r.record(i, NoResponse, due, sent)
 	case code == fasthttp.StatusOK:
-		s.note(i, Settled, due, sent)
+		r.record(i, Completed, due, sent)
 	case code == fasthttp.StatusTooManyRequests || code == fasthttp.StatusServiceUnavailable:
-		s.note(i, Declined, due, sent)
+		r.record(i, Rejected, due, sent)
 	default:
-		s.note(i, Voided, due, sent)
+		r.record(i, Failed, due, sent)
 	}
 }
 
-// encode writes a request as gatekeepers take it.
-func (s *sender) encode(req *fasthttp.Request, i int) {
-	a := &s.Arrivals[i]
-	p := &s.Products[a.Product]
-	n := len(s.Targets)
-	first := int(uint64(a.Customer+1) * 0x9E3779B97F4A7C15 >> 33 % uint64(n))
-	to := s.Targets[(first+a.Set%s.Spread)%n]
-	rng := rand.New(rand.NewSource(s.Seed ^ int64(i+1)*0x5851F42D4C957F2D))
-	h := &req.Header
-	req.SetRequestURI("http://" + to + "/" + p.Name + "?n=" + strconv.Itoa(i))
-	h.SetHost("backend.local")
-	req.UseHostHeader = true
-	h.Set("X-Request-Id", fmt.Sprintf("%016x", rng.Uint64()))
-	h.Set("Plan", s.Plans[a.Plan])
-	h.Set("Cookie", fmt.Sprintf("key=%016x", a.Customer))
-	h.Set("Quota-Info", fmt.Sprintf("units=%g,spread=%d,first=%d", a.Units, s.Spread, first))
-	if s.Credential != "" {
-		h.Set(s.Credential, fmt.Sprintf("Bearer %d", a.Customer))
-	}
-	if p.Repeat == "inquiry" {
+// buildRequest fills in a request as the gateway expects it. Identifiers and bodies depend on the seed and
+// the index only.
+func (r *runner) buildRequest(request *fasthttp.Request, i int) {
+	arrival := &r.Arrivals[i]
+	product := &r.Products[arrival.Product]
+	targets := len(r.Targets)
+	first := int(uint64(arrival.Customer+1) * 0x9E3779B97F4A7C15 >> 33 % uint64(targets))
+	target := r.Targets[(first+arrival.SetOffset%r.SetSize)%targets]
+	rng := rand.New(rand.NewSource(r.Seed ^ int64(i+1)*0x5851F42D4C957F2D))
+	header := &request.Header
+	request.SetRequestURI("http://" + target + "/" + product.Name + "?n=" + strconv.Itoa(i))
+	header.SetHost("backend.local")
+	request.UseHostHeader = true
+	header.Set("X-Request-Id", fmt.Sprintf("%016x", rng.Uint64()))
+	header.Set("Plan", r.Plans[arrival.Plan])
+	header.Set("Cookie", fmt.Sprintf("key=%016x", arrival.Customer))
+	header.Set("Quota-Info", fmt.Sprintf("units=%g,spread=%d,first=%d", arrival.Units, r.SetSize, first))
+	if r.CredentialHeader != "" {
+		header.Set(r.CredentialHeader, fmt.Sprintf("Bearer %d", arrival.Customer))
+	}
+	if product.Idempotency == IdempotencyInquiry {
 		return
 	}
-	h.SetMethod(fasthttp.MethodPost)
-	body := make([]byte, p.Body)
+	header.SetMethod(fasthttp.MethodPost)
+	body := make([]byte, product.BodyBytes)
 	for k := range body {
 		body[k] = 'a' + byte(rng.Intn(26))
 	}
-	req.SetBody(body)
-	if p.Repeat == "referenced" {
-		h.Set("Idempotency-Key", fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64()))
+	request.SetBody(body)
+	if product.Idempotency == IdempotencyReferenced {
+		header.Set("Idempotency-Key", fmt.Sprintf("%016x%016x", rng.Uint64(), rng.Uint64()))
 	}
 }
 
-func (s *sender) note(i int, o Outcome, due, sent time.Time) {
-	took := time.Since(due)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.Each != nil {
-		s.Each(i, o, took)
-	}
-	name := s.Products[s.Arrivals[i].Product].Name
-	c := s.report.Counts[name]
-	c[o]++
-	s.report.Counts[name] = c
-	at := max(int(due.Sub(s.start)/time.Second), 0)
-	for len(s.report.Seconds) <= at {
-		s.report.Seconds = append(s.report.Seconds, Second{Latency: hdrhistogram.New(1, 600e6, 2)})
-	}
-	s.report.Seconds[at].Counts[o]++
-	if o != Unsent {
-		_ = s.report.Lag.RecordValue(max(sent.Sub(due).Microseconds(), 1))
-		_ = s.report.Latency.RecordValue(max(took.Microseconds(), 1))
-		_ = s.report.Seconds[at].Latency.RecordValue(max(took.Microseconds(), 1))
-	}
-}
-
-// String is the report as a page of text.
-func (r *Report) String() string {
-	var b strings.Builder
-	names := slices.Sorted(maps.Keys(r.Counts))
-	for _, name := range names {
-		fmt.Fprintf(&b, "%-12s", name)
-		for o, n := range r.Counts[name] {
-			fmt.Fprintf(&b, "  %s %d", Outcome(o), n)
-		}
-		b.WriteByte('\n')
-	}
-	line := func(name string, h *hdrhistogram.Histogram) {
-		fmt.Fprintf(&b, "%-12s  n %d  mean %.2f", name, h.TotalCount(), h.Mean()/1000)
-		for _, q := range []float64{50, 90, 99, 99.9, 100} {
-			fmt.Fprintf(&b, "  p%g %.2f", q, float64(h.ValueAtQuantile(q))/1000)
-		}
-		b.WriteString(" ms\n")
+// record adds the outcome of a request to the report. sent is due for one that was not sent.
+func (r *runner) record(i int, outcome Outcome, due, sent time.Time) {
+	latency := time.Since(due)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.OnOutcome != nil {
+		r.OnOutcome(i, outcome, latency)
+	}
+	product := r.Products[r.Arrivals[i].Product].Name
+	counts := r.report.Counts[product]
+	counts[outcome]++
+	r.report.Counts[product] = counts
+	second := max(int(due.Sub(r.start)/time.Second), 0)
+	for len(r.report.Seconds) <= second {
+		r.report.Seconds = append(r.report.Seconds, Second{Latency: hdrhistogram.New(1, maxLatencyMicros, 2)})
+	}
+	r.report.Seconds[second].Counts[outcome]++
+	if outcome != NotSent {
+		_ = r.report.ScheduleLag.RecordValue(max(sent.Sub(due).Microseconds(), 1))
+		_ = r.report.Latency.RecordValue(max(latency.Microseconds(), 1))
+		_ = r.report.Seconds[second].Latency.RecordValue(max(latency.Microseconds(), 1))
 	}
-	line("from due", r.Latency)
-	line("sent late", r.Lag)
-	fmt.Fprintf(&b, "took %.1f s, schedule kept: %v\n", r.Took.Seconds(), r.Kept())
-	return b.String()
 }
--- a/internal/lab/scale/desk.go
+++ b/internal/lab/scale/desk.go
@@ -160,10 +160,11 @@
 	t.add(keeperRole, "p50_changes", ms(busy, 50))
 	t.add(keeperRole, "p99_changes", ms(busy, 99))
 	t.add(keeperRole, "p99_added", ms(busy, 99)-ms(quiet, 99))
-	t.add(keeperRole, "lag_p99", float64(max(quiet.Lag.ValueAtQuantile(99), busy.Lag.ValueAtQuantile(99)))/1000)
+	t.add(keeperRole, "lag_p99", float64(max(quiet.ScheduleLag.ValueAtQuantile(99),
+		busy.ScheduleLag.ValueAtQuantile(99)))/1000)
 	settled := int64(0)
 	for _, c := range busy.Counts {
-		settled += c[loadgen.Settled]
+		settled += c[loadgen.Completed]
 	}
 	t.add(keeperRole, "answered", float64(settled))
 	t.add(keeperRole, "cpu_changes", (after-before)/time.Since(from).Seconds()*100)
@@ -185,9 +186,10 @@
 	rng := rand.New(rand.NewSource(s.Seed*1000 + seed))
 	var all []workload.Arrival
 	for ms := 0.0; ms < s.Desk.Seconds*1000; ms += rng.ExpFloat64() * 1000 / s.Desk.TxnsPerS {
-		all = append(all, workload.Arrival{At: ms, Customer: rng.Intn(deskCustomers), Units: 1})
+		all = append(all, workload.Arrival{AtMillis: ms, Customer: rng.Intn(deskCustomers), Units: 1})
 	}
-	j := &loadgen.Job{Arrivals: all, Targets: []string{at}, Spread: 1, Plans: []string{"plan-0"}, Most: deskOut,
-		Seed: seed, Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: deskWaits}}}
+	j := &loadgen.Load{Arrivals: all, Targets: []string{at}, SetSize: 1, Plans: []string{"plan-0"},
+		MaxInFlight: deskOut,
+		Seed:        seed, Products: []loadgen.Product{{Name: "check", Idempotency: "inquiry", Timeout: deskWaits}}}
 	return j.Run(ctx)
 }
--- a/internal/lab/workload/generate.go
+++ b/internal/lab/workload/generate.go
@@ -1,176 +1,106 @@
-// Package workload plans arrivals of txns ahead of time: from customers and shapes, or from a recorded trace.
-// The emulator and the load generator play the same plans.
 package workload
 
 import (
-	"fmt"
 	"math"
 	"math/rand"
 	"sort"
 )
 
-// Arrival is one txn as its client means to send it.
-type Arrival struct {
-	At       float64 // ms from the start
-	Customer int
-	Plan     int
-	Product  int
-	Units    float64
-	Set      int // where in its customer's set it goes: a number that is taken modulo the set's size
-}
-
-// Group is a number of customers alike.
-type Group struct {
-	Plan, Customers int
-	Rate            float64   // txns a second that each asks for, before shapes
-	Products        []float64 // weights of the products
-	Units           float64   // units of a txn at most; each is drawn from 1 to it
-	Spread          int       // gatekeepers of a customer's set
-	Skew            float64   // how unevenly its txns come through them, by Zipf's law; 0 is evenly
-}
-
-// stays is how long the gatekeepers that a customer's txns come through most stay the same, ms.
-const stays = 12000
-
-// places gives the running sums of the weights of a set's places, or nil where all are alike.
-func (g *Group) places() []float64 {
-	if g.Skew <= 0 || g.Spread < 2 {
-		return nil
-	}
-	sums, sum := make([]float64, g.Spread), 0.0
-	for i := range sums {
-		sum += math.Pow(float64(i+1), -g.Skew)
-		sums[i] = sum
-	}
-	return sums
-}
-
-// place draws a place by its weight; the first in weight moves on every so often.
-func place(sums []float64, set, number int, at float64) int {
-	n := len(sums)
-	x := float64(set) / (1 << 30) * sums[n-1]
-	return (sort.SearchFloat64s(sums, x) + (number+int(at/stays))*(n/2+1)) % n
-}
-
-// Shape changes how much is asked from one moment to another.
-type Shape struct {
-	Kind      string  // steady, surge, greedy or shift
-	From, To  float64 // ms
-	Factor    float64 // of the rate, at the height of it
-	Group     int     // the group it changes; below nought all
-	Customers int     // greedy, shift: only so many, the first of the group
-}
-
-// Kinds are the shapes there are, and what they do.
-var Kinds = map[string]string{
-	"steady": "the rate times factor all along",
-	"surge":  "up to factor by the middle, and back: a dawn that breaks",
-	"greedy": "a few customers ask factor times as much",
-	"shift":  "a few customers' txns all come through one gatekeeper of their set",
-}
-
-// factor is what a shape makes of the rate of a customer at a moment.
-func (s *Shape) factor(group, customer int, at float64) float64 {
-	if at < s.From || at >= s.To || s.Group >= 0 && s.Group != group {
-		return 1
-	}
-	switch s.Kind {
-	case "steady":
-		return s.Factor
-	case "surge":
-		return 1 + (s.Factor-1)*math.Sin(math.Pi*(at-s.From)/(s.To-s.From))
-	case "greedy":
-		if customer < s.Customers {
-			return s.Factor
-		}
-	}
-	return 1
-}
-
-// Plan plans all arrivals until a moment, in the order of time. Each customer has a random source of its
-// own, so that a change at one leaves the others as they are.
-func Plan(groups []Group, shapes []Shape, until float64, seed int64) []Arrival {
-	var all []Arrival
-	number := 0
-	for gi := range groups {
-		g := &groups[gi]
-		for c := range g.Customers {
-			rng := rand.New(rand.NewSource(seed ^ int64(number+1)*0x9E3779B97F4A7C))
-			all = g.customer(all, gi, c, number, shapes, until, rng)
-			number++
+// Generate returns all arrivals before untilMillis in the order of time. Each customer has a random source of
+// its own, so that a change of one customer leaves the arrivals of the others as they are.
+func Generate(groups []Group, shapes []Shape, untilMillis float64, seed int64) []Arrival {
+	var arrivals []Arrival
+	customer := 0
+	for groupIndex := range groups {
+		group := &groups[groupIndex]
+		for member := range group.Customers {
+			rng := rand.New(rand.NewSource(seed ^ int64(customer+1)*0x9E3779B97F4A7C))
+			arrivals = group.appendCustomer(arrivals, groupIndex, member, customer, shapes, untilMillis, rng)
+			customer++
 		}
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].At < all[j].At })
-	return all
+	sort.SliceStable(arrivals, func(i, j int) bool { return arrivals[i].AtMillis < arrivals[j].AtMillis })
+	return arrivals
 }
 
-// customer plans one customer's arrivals: those of a steady stream at its highest rate, thinned.
-func (g *Group) customer(all []Arrival, gi, c, number int, shapes []Shape, until float64,
-	rng *rand.Rand) []Arrival {
-	rate := func(at float64) float64 {
-		r := g.Rate / 1000
+// appendCustomer appends one customer's arrivals: a Poisson process, thinned from the customer's highest rate
+// to the rate at each moment (Lewis and Shedler 1979). member counts within the group, customer over all
+// groups.
+func (g *Group) appendCustomer(arrivals []Arrival, groupIndex, member, customer int, shapes []Shape,
+	untilMillis float64, rng *rand.Rand) []Arrival {
+	rateAt := func(atMillis float64) float64 {
+		rate := g.Rate / 1000
 		for i := range shapes {
-			r *= shapes[i].factor(gi, c, at)
+			rate *= shapes[i].factorAt(groupIndex, member, atMillis)
 		}
-		return r
+		return rate
 	}
-	most := g.Rate / 1000
+	maxRate := g.Rate / 1000
 	for i := range shapes {
-		most *= math.Max(shapes[i].Factor, 1)
+		maxRate *= math.Max(shapes[i].Factor, 1)
 	}
-	if most <= 0 {
-		return all
+	if maxRate <= 0 {
+		return arrivals
 	}
-	places := g.places()
-	for at := rng.ExpFloat64() / most; at < until; at += rng.ExpFloat64() / most {
-		keep, set, product := rng.Float64(), rng.Intn(1<<30), pick(g.Products, rng.Float64())
-		units := 1 + math.Floor(rng.Float64()*math.Max(g.Units, 1))
-		if keep*most >= rate(at) {
+	weights := g.cumulativeWeights()
+	for atMillis := rng.ExpFloat64() / maxRate; atMillis < untilMillis; atMillis += rng.ExpFloat64() / maxRate {
+		// Every candidate draws the same numbers in this order, also one that is thinned out.
+		acceptance, setOffset := rng.Float64(), rng.Intn(1<<30)
+		product := pickWeighted(g.ProductWeights, rng.Float64())
+		units := 1 + math.Floor(rng.Float64()*math.Max(g.MaxUnits, 1))
+		if acceptance*maxRate >= rateAt(atMillis) {
 			continue
 		}
-		if places != nil {
-			set = place(places, set, number, at)
+		if weights != nil {
+			setOffset = pickSetOffset(weights, setOffset, customer, atMillis)
 		}
 		for i := range shapes {
-			if s := &shapes[i]; s.Kind == "shift" && at >= s.From && at < s.To && c < s.Customers &&
-				(s.Group < 0 || s.Group == gi) {
-				set = 0
+			if shapes[i].shifts(groupIndex, member, atMillis) {
+				setOffset = 0
 			}
 		}
-		all = append(all, Arrival{at, number, g.Plan, product, math.Min(units, math.Max(g.Units, 1)), set})
+		arrivals = append(arrivals, Arrival{AtMillis: atMillis, Customer: customer, Plan: g.Plan, Product: product,
+			Units: math.Min(units, math.Max(g.MaxUnits, 1)), SetOffset: setOffset})
 	}
-	return all
+	return arrivals
 }
 
-// pick draws one of some weights.
-func pick(weights []float64, x float64) int {
+// rotationMillis is how long the same instances of a skewed customer's set get most of its transactions.
+const rotationMillis = 12000
+
+// cumulativeWeights returns the cumulative Zipf weights of the instances of a set, or nil where all are
+// equal.
+func (g *Group) cumulativeWeights() []float64 {
+	if g.Skew <= 0 || g.SetSize < 2 {
+		return nil
+	}
+	cumulative, sum := make([]float64, g.SetSize), 0.0
+	for i := range cumulative {
+		sum += math.Pow(float64(i+1), -g.Skew)
+		cumulative[i] = sum
+	}
+	return cumulative
+}
+
+// pickSetOffset draws an instance of a set by its weight. The instance of the largest weight depends on the
+// customer and changes every rotationMillis. uniform is from 0 to 1<<30.
+func pickSetOffset(cumulative []float64, uniform, customer int, atMillis float64) int {
+	n := len(cumulative)
+	target := float64(uniform) / (1 << 30) * cumulative[n-1]
+	return (sort.SearchFloat64s(cumulative, target) + (customer+int(atMillis/rotationMillis))*(n/2+1)) % n
+}
+
+// pickWeighted returns the index that a uniform number from 0 to 1 draws by the weights.
+func pickWeighted(weights []float64, uniform float64) int {
 	sum := 0.0
-	for _, w := range weights {
-		sum += w
+	for _, weight := range weights {
+		sum += weight
 	}
-	x *= sum
-	for i, w := range weights {
-		if x -= w; x < 0 {
+	uniform *= sum
+	for i, weight := range weights {
+		if uniform -= weight; uniform < 0 {
 			return i
 		}
 	}
 	return max(len(weights)-1, 0)
 }
-
-// Check finds the first figure that makes no sense, and names it.
-func (s *Shape) Check(groups []Group) error {
-	_, known := Kinds[s.Kind]
-	switch {
-	case !known:
-		return fmt.Errorf("kind: %q is unknown", s.Kind)
-	case !(s.To > s.From) || s.From < 0:
-		return fmt.Errorf("to_s: %v is not after from_s", s.To/1000)
-	case !(s.Factor > 0) || s.Factor > 1000:
-		return fmt.Errorf("factor: %v is not above 0, or over 1000", s.Factor)
-	case s.Group >= len(groups):
-		return fmt.Errorf("group: there is no %d", s.Group)
-	case s.Customers < 0:
-		return fmt.Errorf("customers: %d is below nought", s.Customers)
-	}
-	return nil
-}
--- a/internal/supervisor/checkpoint_test.go
+++ b/internal/supervisor/checkpoint_test.go
@@ -31,9 +31,9 @@
 // runLoad sends the arrivals to all instances and returns the report.
 func (f *testFleet) runLoad(arrivals []workload.Arrival) *loadgen.Report {
 	f.t.Helper()
-	job := &loadgen.Job{Arrivals: arrivals, Targets: f.targets(f.maxInstances), Spread: f.maxInstances,
-		Plans: []string{"basic", "slow", "pressed"}, Most: 2000,
-		Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}}}
+	job := &loadgen.Load{Arrivals: arrivals, Targets: f.targets(f.maxInstances), SetSize: f.maxInstances,
+		Plans: []string{"basic", "slow", "pressed"}, MaxInFlight: 2000,
+		Products: []loadgen.Product{{Name: "check", Idempotency: "inquiry", Timeout: 400 * time.Millisecond}}}
 	report, err := job.Run(f.t.Context())
 	if err != nil {
 		f.t.Fatal(err)
@@ -78,9 +78,9 @@
 	settled := func() int64 {
 		var arrivals []workload.Arrival
 		for i := range 25 {
-			arrivals = append(arrivals, workload.Arrival{At: float64(i * 5), Customer: 9, Plan: 1, Units: 1})
+			arrivals = append(arrivals, workload.Arrival{AtMillis: float64(i * 5), Customer: 9, Plan: 1, Units: 1})
 		}
-		return f.runLoad(arrivals).Counts["check"][loadgen.Settled]
+		return f.runLoad(arrivals).Counts["check"][loadgen.Completed]
 	}
 	settledBefore := settled()
 	time.Sleep(500 * time.Millisecond) // time for some checkpoints
@@ -111,7 +111,7 @@
 		f.waitReady(daemon, f.maxInstances)
 		var arrivals []workload.Arrival
 		for at := 0.0; at < float64(*quotaKillDuration/time.Millisecond); at += 4 {
-			arrival := workload.Arrival{At: at, Customer: len(arrivals) % 7, Units: 1, Set: len(arrivals)}
+			arrival := workload.Arrival{AtMillis: at, Customer: len(arrivals) % 7, Units: 1, SetOffset: len(arrivals)}
 			if len(arrivals)%2 == 0 {
 				arrival.Customer, arrival.Plan = 100, 2
 			}
@@ -142,7 +142,7 @@
 		}
 		counts := report.Counts["check"]
 		sent[restore] = n
-		settled[restore] = (float64(counts[loadgen.Settled]) - float64(n)) / float64(len(arrivals)/2)
+		settled[restore] = (float64(counts[loadgen.Completed]) - float64(n)) / float64(len(arrivals)/2)
 		t.Logf("recall %t: %d kills, %d sent of the pressed quota, which gives %.0f; %.3f of the others settled; "+
 			"%v", restore, kills, n, 80+40*quotaKillDuration.Seconds(), settled[restore], counts)
 		daemon.Stop()
--- a/internal/supervisor/cluster_fault_test.go
+++ b/internal/supervisor/cluster_fault_test.go
@@ -99,20 +99,21 @@
 // limit.
 func (trial *clusterTrial) startLoad(span time.Duration) {
 	for at := 0.0; at < float64(span/time.Millisecond); at += 5 {
-		arrival := workload.Arrival{At: at, Customer: len(trial.arrivals) % 7, Units: 1, Set: len(trial.arrivals)}
+		arrival := workload.Arrival{AtMillis: at, Customer: len(trial.arrivals) % 7, Units: 1,
+			SetOffset: len(trial.arrivals)}
 		if len(trial.arrivals)%2 == 0 {
 			arrival.Customer, arrival.Plan = 100, 1
 		}
 		trial.arrivals = append(trial.arrivals, arrival)
 	}
 	targets := trial.targets(trial.hosts...)
-	job := &loadgen.Job{
-		Arrivals: trial.arrivals,
-		Targets:  targets,
-		Spread:   len(targets),
-		Plans:    []string{"basic", "capped"},
-		Most:     500,
-		Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}},
+	job := &loadgen.Load{
+		Arrivals:    trial.arrivals,
+		Targets:     targets,
+		SetSize:     len(targets),
+		Plans:       []string{"basic", "capped"},
+		MaxInFlight: 500,
+		Products:    []loadgen.Product{{Name: "check", Idempotency: "inquiry", Timeout: 400 * time.Millisecond}},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	trial.loadReport = make(chan *loadgen.Report, 1)
--- a/internal/supervisor/daemon_test.go
+++ b/internal/supervisor/daemon_test.go
@@ -214,26 +214,26 @@
 	span := float64(*chaosDuration / time.Millisecond)
 	for at := 0.0; at < span; at += 6 {
 		arrival := workload.Arrival{
-			At:       at,
-			Customer: len(arrivals) % 7,
-			Product:  len(arrivals) % 3,
-			Units:    1,
-			Set:      len(arrivals),
+			AtMillis:  at,
+			Customer:  len(arrivals) % 7,
+			Product:   len(arrivals) % 3,
+			Units:     1,
+			SetOffset: len(arrivals),
 		}
 		if len(arrivals)%2 == 0 { // one customer asks for twice its rate limit, at all gateways
 			arrival.Customer, arrival.Plan = 100, 1
 		}
 		arrivals = append(arrivals, arrival)
 	}
-	job := &loadgen.Job{
-		Arrivals: arrivals,
-		Targets:  f.targets(f.maxInstances),
-		Spread:   f.maxInstances,
-		Plans:    []string{"basic", "capped"},
-		Most:     2000,
-		Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond},
-			{Name: "sale", Repeat: "referenced", Waits: 400 * time.Millisecond, Body: 20},
-			{Name: "issue", Repeat: "once", Waits: 400 * time.Millisecond, Body: 20}},
+	job := &loadgen.Load{
+		Arrivals:    arrivals,
+		Targets:     f.targets(f.maxInstances),
+		SetSize:     f.maxInstances,
+		Plans:       []string{"basic", "capped"},
+		MaxInFlight: 2000,
+		Products: []loadgen.Product{{Name: "check", Idempotency: "inquiry", Timeout: 400 * time.Millisecond},
+			{Name: "sale", Idempotency: "referenced", Timeout: 400 * time.Millisecond, BodyBytes: 20},
+			{Name: "issue", Idempotency: "once", Timeout: 400 * time.Millisecond, BodyBytes: 20}},
 	}
 	done := make(chan *loadgen.Report, 1)
 	go func() {
@@ -291,7 +291,7 @@
 	}
 	settled := int64(0)
 	for _, n := range report.Counts {
-		settled += n[loadgen.Settled]
+		settled += n[loadgen.Completed]
 	}
 	restarts := 0
 	for _, s := range daemon.Statuses() {
@@ -333,11 +333,13 @@
 	// All count four members: each takes a set of four, under one rate limit.
 	var arrivals []workload.Arrival
 	for i := range 600 {
-		arrivals = append(arrivals, workload.Arrival{At: float64(i * 3), Customer: 100, Plan: 1, Units: 1, Set: i})
+		arrivals = append(arrivals, workload.Arrival{AtMillis: float64(i * 3), Customer: 100, Plan: 1, Units: 1,
+			SetOffset: i})
 	}
-	job := &loadgen.Job{Arrivals: arrivals, Targets: f.targets(4), Spread: 4, Plans: []string{"basic", "capped"},
-		Most:     100,
-		Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}}}
+	job := &loadgen.Load{Arrivals: arrivals, Targets: f.targets(4), SetSize: 4, Plans: []string{"basic",
+		"capped"},
+		MaxInFlight: 100,
+		Products:    []loadgen.Product{{Name: "check", Idempotency: "inquiry", Timeout: 400 * time.Millisecond}}}
 	report, err := job.Run(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -348,7 +350,7 @@
 	}
 	c := report.Counts["check"]
 	if over := unitsOverLimit(capped); over > 0 || len(capped) < 30 ||
-		c[loadgen.Voided]+c[loadgen.NoAnswer] > 0 {
+		c[loadgen.Failed]+c[loadgen.NoResponse] > 0 {
 		t.Errorf("%.1f units over the rate limit, of %d; %v", over, len(capped), c)
 	}
 	resize(1)
@@ -513,22 +515,23 @@
 		before := len(f.workers[0].Got())
 		var arrivals []workload.Arrival
 		for i := range 300 { // the other two instances know of the drain
-			arrivals = append(arrivals, workload.Arrival{At: float64(i), Customer: i % 50, Units: 1, Set: i})
+			arrivals = append(arrivals, workload.Arrival{AtMillis: float64(i), Customer: i % 50, Units: 1,
+				SetOffset: i})
 		}
-		job := &loadgen.Job{
-			Arrivals: arrivals,
-			Targets:  f.targets(3),
-			Spread:   3,
-			Plans:    []string{"basic"},
-			Most:     100,
-			Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}},
+		job := &loadgen.Load{
+			Arrivals:    arrivals,
+			Targets:     f.targets(3),
+			SetSize:     3,
+			Plans:       []string{"basic"},
+			MaxInFlight: 100,
+			Products:    []loadgen.Product{{Name: "check", Idempotency: "inquiry", Timeout: 400 * time.Millisecond}},
 		}
 		report, err := job.Run(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
 		n := len(f.workers[0].Got()) - before
-		if settled := report.Counts["check"][loadgen.Settled]; settled < 100 || (n == 0) != bootstrap {
+		if settled := report.Counts["check"][loadgen.Completed]; settled < 100 || (n == 0) != bootstrap {
 			t.Errorf("bootstrap %t: %d settled, %d sent to the draining worker", bootstrap, settled, n)
 		}
 		daemon.Stop()
--- a/internal/supervisor/forecast_test.go
+++ b/internal/supervisor/forecast_test.go
@@ -245,43 +245,45 @@
 	lost func(i int) bool,
 ) (*requestOutcomes, func()) {
 	group := workload.Group{
-		Customers: 12,
-		Rate:      perSecond / 12,
-		Products:  []float64{6, 3, 1},
-		Units:     1,
-		Spread:    3,
+		Customers:      12,
+		Rate:           perSecond / 12,
+		ProductWeights: []float64{6, 3, 1},
+		MaxUnits:       1,
+		SetSize:        3,
 	}
-	arrivals := workload.Plan([]workload.Group{group}, nil, endSeconds*1000, 7)
+	arrivals := workload.Generate([]workload.Group{group}, nil, endSeconds*1000, 7)
 	outcomes := &requestOutcomes{}
 	var done sync.WaitGroup
 	for part := range 2 {
 		var mine []workload.Arrival
 		base := 0
 		for _, a := range arrivals {
-			if late := a.At >= lossSeconds*1000; late != (part == 1) {
+			if late := a.AtMillis >= lossSeconds*1000; late != (part == 1) {
 				continue
 			}
 			// As the load generator chooses it.
 			first := int(uint64(a.Customer+1) * 0x9E3779B97F4A7C15 >> 33 % gatewayCount)
-			for a.Set %= 3; part == 1 && lost((first+a.Set)%gatewayCount); a.Set = (a.Set + 1) % 3 {
+			for a.SetOffset %= 3; part == 1 && lost((first+a.SetOffset)%gatewayCount); a.SetOffset = (a.SetOffset +
+				1) % 3 {
 			}
 			mine = append(mine, a)
 		}
 		outcomes.mu.Lock()
 		base = len(outcomes.dueMillis)
 		for _, a := range mine {
-			outcomes.dueMillis = append(outcomes.dueMillis, a.At)
+			outcomes.dueMillis = append(outcomes.dueMillis, a.AtMillis)
 			outcomes.value = append(outcomes.value, productValues[a.Product])
 			outcomes.settled = append(outcomes.settled, false)
 		}
 		outcomes.mu.Unlock()
-		job := &loadgen.Job{Arrivals: mine, Targets: r.targets, Spread: 3, Plans: []string{"basic"}, Most: 2000,
-			Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 500 * time.Millisecond},
-				{Name: "sale", Repeat: "referenced", Waits: 500 * time.Millisecond, Body: 20},
-				{Name: "issue", Repeat: "once", Waits: 500 * time.Millisecond, Body: 20}},
-			Each: func(i int, o loadgen.Outcome, _ time.Duration) {
+		job := &loadgen.Load{Arrivals: mine, Targets: r.targets, SetSize: 3, Plans: []string{"basic"},
+			MaxInFlight: 2000,
+			Products: []loadgen.Product{{Name: "check", Idempotency: "inquiry", Timeout: 500 * time.Millisecond},
+				{Name: "sale", Idempotency: "referenced", Timeout: 500 * time.Millisecond, BodyBytes: 20},
+				{Name: "issue", Idempotency: "once", Timeout: 500 * time.Millisecond, BodyBytes: 20}},
+			OnOutcome: func(i int, o loadgen.Outcome, _ time.Duration) {
 				outcomes.mu.Lock()
-				outcomes.settled[base+i] = o == loadgen.Settled
+				outcomes.settled[base+i] = o == loadgen.Completed
 				outcomes.mu.Unlock()
 			}}
 		done.Add(1)
@@ -416,13 +418,15 @@
 	for i := range 300 {
 		arrivals = append(
 			arrivals,
-			workload.Arrival{At: float64(10 * i), Customer: i % 5, Product: i % 3, Units: 1, Set: i},
+			workload.Arrival{AtMillis: float64(10 * i), Customer: i % 5, Product: i % 3, Units: 1, SetOffset: i},
 		)
 	}
-	job := &loadgen.Job{Arrivals: arrivals, Targets: f.targets(2), Spread: 2, Plans: []string{"basic", "capped"},
-		Most: 100, Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond},
-			{Name: "sale", Repeat: "referenced", Waits: 400 * time.Millisecond, Body: 20},
-			{Name: "issue", Repeat: "once", Waits: 400 * time.Millisecond, Body: 20}}}
+	job := &loadgen.Load{Arrivals: arrivals, Targets: f.targets(2), SetSize: 2, Plans: []string{"basic",
+		"capped"},
+		MaxInFlight: 100, Products: []loadgen.Product{{Name: "check", Idempotency: "inquiry",
+			Timeout: 400 * time.Millisecond},
+			{Name: "sale", Idempotency: "referenced", Timeout: 400 * time.Millisecond, BodyBytes: 20},
+			{Name: "issue", Idempotency: "once", Timeout: 400 * time.Millisecond, BodyBytes: 20}}}
 	if _, err := job.Run(t.Context()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/supervisor/subscription_test.go
+++ b/internal/supervisor/subscription_test.go
@@ -133,20 +133,21 @@
 // startLeafLoad starts a load on the members of the leaf hosts.
 func (tree *relayTree) startLeafLoad(span time.Duration) {
 	for at := 0.0; at < float64(span/time.Millisecond); at += 10 {
-		arrival := workload.Arrival{At: at, Customer: len(tree.arrivals) % 7, Units: 1, Set: len(tree.arrivals)}
+		arrival := workload.Arrival{AtMillis: at, Customer: len(tree.arrivals) % 7, Units: 1,
+			SetOffset: len(tree.arrivals)}
 		if len(tree.arrivals)%2 == 0 {
 			arrival.Customer, arrival.Plan = 100, 1
 		}
 		tree.arrivals = append(tree.arrivals, arrival)
 	}
 	targets := tree.targets(tree.leafHosts...)
-	job := &loadgen.Job{
-		Arrivals: tree.arrivals,
-		Targets:  targets,
-		Spread:   len(targets),
-		Plans:    []string{"basic", "capped"},
-		Most:     500,
-		Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}},
+	job := &loadgen.Load{
+		Arrivals:    tree.arrivals,
+		Targets:     targets,
+		SetSize:     len(targets),
+		Plans:       []string{"basic", "capped"},
+		MaxInFlight: 500,
+		Products:    []loadgen.Product{{Name: "check", Idempotency: "inquiry", Timeout: 400 * time.Millisecond}},
 	}
 	tree.loadReport = make(chan *loadgen.Report, 1)
 	go func() {
@@ -355,8 +356,8 @@
 	// An instance that blocked on its lease would answer nothing in these seconds. A busy machine delays some
 	// answers.
 	counts := r.Counts["check"]
-	if counts[loadgen.Settled] < 100 ||
-		counts[loadgen.NoAnswer]*20 > int64(len(tree.arrivals)) { // the customer without a rate limit
+	if counts[loadgen.Completed] < 100 ||
+		counts[loadgen.NoResponse]*20 > int64(len(tree.arrivals)) { // the customer without a rate limit
 		t.Errorf("%v", counts)
 	}
 	if late := time.Duration(r.Latency.ValueAtQuantile(80)) * time.Microsecond; late > 200*time.Millisecond {
--- a/internal/testkit/faultinject/process_test.go
+++ b/internal/testkit/faultinject/process_test.go
@@ -316,10 +316,11 @@
 func (d *two) hot() {
 	var all []workload.Arrival
 	for i := range int(*long/time.Millisecond)/5 + 4000 { // as long as any test here takes
-		all = append(all, workload.Arrival{At: float64(i) * 5, Customer: 1, Units: 1, Set: i})
+		all = append(all, workload.Arrival{AtMillis: float64(i) * 5, Customer: 1, Units: 1, SetOffset: i})
 	}
-	j := &loadgen.Job{Arrivals: all, Targets: d.at, Spread: len(names), Plans: []string{"basic"}, Most: 200,
-		Products: []loadgen.Product{{Name: "check", Repeat: "inquiry", Waits: 400 * time.Millisecond}}}
+	j := &loadgen.Load{Arrivals: all, Targets: d.at, SetSize: len(names), Plans: []string{"basic"},
+		MaxInFlight: 200,
+		Products:    []loadgen.Product{{Name: "check", Idempotency: "inquiry", Timeout: 400 * time.Millisecond}}}
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan error)
 	go func() {
