--- a/cmd/willowdeck-lab/capacity.go
+++ b/cmd/willowdeck-lab/capacity.go
@@ -37,7 +37,7 @@
 		run = "elements-" + time.Now().UTC().Format("0102-1504")
 	}
 	if commit == "" {
-		commit = experiment.Build()
+		commit = experiment.BuildRevision()
 	}
 	wanted := map[string]bool{}
 	for _, name := range c.StringSlice("only") {
--- a/cmd/willowdeck-lab/forward.go
+++ b/cmd/willowdeck-lab/forward.go
@@ -294,7 +294,8 @@
 		}
 		lines = append(lines, l)
 	}
-	return experiment.Lines("forward authentication, the service stalled for 2 s in the middle where it says so",
+	return experiment.DrawLines(
+		"forward authentication, the service stalled for 2 s in the middle where it says so",
 		"s", "p99 of what was due in that second, ms", true, lines, path)
 }
 
--- a/cmd/willowdeck-lab/journal.go
+++ b/cmd/willowdeck-lab/journal.go
@@ -232,7 +232,8 @@
 		lines = append(lines, curves...)
 	}
 	return told(c, rows, func(path string) error {
-		return experiment.Lines("added to a once-only txn", "window of group commit, ms", "ms", true, lines, path)
+		return experiment.DrawLines("added to a once-only txn", "window of group commit, ms", "ms", true, lines,
+			path)
 	})
 }
 
@@ -291,7 +292,7 @@
 		curve.X, curve.Y = append(curve.X, float64(mb)), append(curve.Y, took[1])
 	}
 	return told(c, rows, func(path string) error {
-		return experiment.Lines(
+		return experiment.DrawLines(
 			"reading a journal at a start",
 			"its size, MB",
 			"ms",
--- a/cmd/willowdeck-lab/main.go
+++ b/cmd/willowdeck-lab/main.go
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	x, err := experiment.Of(s, c.StringSlice("policy"), c.Int("seeds"))
+	x, err := experiment.FromScenario(s, c.StringSlice("policy"), c.Int("seeds"))
 	if err != nil {
 		return err
 	}
@@ -186,11 +186,11 @@
 	if err != nil {
 		return err
 	}
-	figure := x.Chart
+	figure := x.ChartColumn
 	if figure == "" {
 		figure = "score"
 	}
-	return experiment.Chart(t, figure, c.String("chart"))
+	return experiment.DrawSweep(t, figure, c.String("chart"))
 }
 
 func chart(_ context.Context, c *cli.Command) error {
@@ -202,7 +202,7 @@
 	if err != nil {
 		return err
 	}
-	return experiment.Chart(t, c.String("figure"), a[1])
+	return experiment.DrawSweep(t, c.String("figure"), a[1])
 }
 
 func compare(_ context.Context, c *cli.Command) error {
@@ -225,13 +225,14 @@
 	for _, d := range all {
 		says := "within the spread"
 		switch {
-		case d.Beyond:
+		case d.Significant:
 			says = "BEYOND the spread"
-		case d.OldRuns < 2 || d.Runs < 2:
+		case d.OldRuns < 2 || d.NewRuns < 2:
 			says = "no spread: one seed"
 		}
-		fmt.Printf("%-40s %-12s %10.4g -> %-10.4g %+.4g (spread %.4g, %d and %d seeds) %s\n", d.Of, d.Figure, d.Old,
-			d.New, d.New-d.Old, d.Spread, d.OldRuns, d.Runs, says)
+		fmt.Printf("%-40s %-12s %10.4g -> %-10.4g %+.4g (spread %.4g, %d and %d seeds) %s\n", d.Setting, d.Figure,
+			d.OldMean,
+			d.NewMean, d.NewMean-d.OldMean, d.Threshold, d.OldRuns, d.NewRuns, says)
 	}
 	return nil
 }
--- a/cmd/willowdeck-lab/system.go
+++ b/cmd/willowdeck-lab/system.go
@@ -43,7 +43,7 @@
 		options.Run = "system-scale-" + time.Now().UTC().Format("0102-1504")
 	}
 	if options.Commit == "" {
-		options.Commit = experiment.Build()
+		options.Commit = experiment.BuildRevision()
 	}
 	for _, text := range c.StringSlice("sizes") {
 		size, err := parseSize(text)
--- a/internal/lab/experiment/chart.go
+++ b/internal/lab/experiment/chart.go
@@ -12,56 +12,56 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// spread is a line with bars of one standard deviation over seeds.
-type spread struct {
+// pointsWithErrors is a curve with error bars.
+type pointsWithErrors struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-// Chart draws a figure of a table over the swept key, a line for each policy with bars of one standard
-// deviation over the seeds. The file's ending says the form: png, svg or pdf.
-func Chart(t *Table, figure, path string) error {
-	if columnOf(figure) < 0 {
+// DrawSweep draws a figure of a table over the swept key: a line for each policy, with bars of one standard
+// deviation over the seeds. The file's extension names the format: png, svg or pdf.
+func DrawSweep(table *Table, figure, path string) error {
+	if figureColumn(figure) < 0 {
 		return fmt.Errorf("there is no figure %q", figure)
 	}
-	p := plot.New()
-	p.Title.Text = t.Rows[0].Experiment
-	p.Y.Label.Text = figure
-	p.Legend.Top = true
-	cells := t.cells(figure)
-	lines := map[string]*spread{}
-	var names []string
-	for _, c := range t.order() {
-		l := lines[c.policy]
-		if l == nil {
-			l = &spread{}
-			lines[c.policy] = l
-			names = append(names, c.policy)
+	chart := plot.New()
+	chart.Title.Text = table.Rows[0].Experiment
+	chart.Y.Label.Text = figure
+	chart.Legend.Top = true
+	values := table.figureBySetting(figure)
+	curves := map[string]*pointsWithErrors{}
+	var policies []string
+	for _, key := range table.settings() {
+		curve := curves[key.policy]
+		if curve == nil {
+			curve = &pointsWithErrors{}
+			curves[key.policy] = curve
+			policies = append(policies, key.policy)
 		}
-		mean, sd := meanSD(cells[c])
-		l.XYs = append(l.XYs, plotter.XY{X: c.value, Y: mean})
-		l.YErrors = append(l.YErrors, struct{ Low, High float64 }{sd, sd})
-		if p.X.Label.Text = c.key; c.key == "" {
-			p.X.Label.Text = "one setting"
+		mean, stdDev := meanAndStdDev(values[key])
+		curve.XYs = append(curve.XYs, plotter.XY{X: key.value, Y: mean})
+		curve.YErrors = append(curve.YErrors, struct{ Low, High float64 }{stdDev, stdDev})
+		if chart.X.Label.Text = key.key; key.key == "" {
+			chart.X.Label.Text = "one setting"
 		}
 	}
-	for i, name := range names {
-		l := lines[name]
-		line, points, err := plotter.NewLinePoints(l.XYs)
+	for i, policy := range policies {
+		curve := curves[policy]
+		line, points, err := plotter.NewLinePoints(curve.XYs)
 		if err != nil {
 			return err
 		}
 		line.Color, points.Color = plotutil.Color(i), plotutil.Color(i)
 		points.Shape = plotutil.Shape(i)
-		bars, err := plotter.NewYErrorBars(l)
+		errorBars, err := plotter.NewYErrorBars(curve)
 		if err != nil {
 			return err
 		}
-		bars.Color = plotutil.Color(i)
-		p.Add(line, points, bars)
-		p.Legend.Add(name, line, points)
+		errorBars.Color = plotutil.Color(i)
+		chart.Add(line, points, errorBars)
+		chart.Legend.Add(policy, line, points)
 	}
-	return write(p, path)
+	return saveChart(chart, path)
 }
 
 // Curve is one line of a chart.
@@ -70,65 +70,66 @@
 	X, Y []float64
 }
 
-// Lines draws lines over one axis; log has the other in powers of ten.
-func Lines(title, x, y string, log bool, lines []Curve, path string) error {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
-	p.Legend.Top = true
-	if log {
-		p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
+// DrawLines draws curves as lines. With logScale the vertical axis is logarithmic.
+func DrawLines(title, xLabel, yLabel string, logScale bool, curves []Curve, path string) error {
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, xLabel, yLabel
+	chart.Legend.Top = true
+	if logScale {
+		chart.Y.Scale, chart.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	}
-	for i, l := range lines {
+	for i, curve := range curves {
 		var points plotter.XYs
-		for k := range l.X {
-			points = append(points, plotter.XY{X: l.X[k], Y: l.Y[k]})
+		for k := range curve.X {
+			points = append(points, plotter.XY{X: curve.X[k], Y: curve.Y[k]})
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
 			return err
 		}
 		line.Color, line.Dashes = plotutil.Color(i), plotutil.Dashes(i)
-		p.Add(line)
-		p.Legend.Add(l.Name, line)
+		chart.Add(line)
+		chart.Legend.Add(curve.Name, line)
 	}
-	return write(p, path)
+	return saveChart(chart, path)
 }
 
-// Points draws the first curve as a line, and the points of the others.
-func Points(title, x, y string, curves []Curve, path string) error {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
-	p.Legend.Top, p.Legend.Left = true, true
-	for i, c := range curves {
-		var at plotter.XYs
-		for k := range c.X {
-			at = append(at, plotter.XY{X: c.X[k], Y: c.Y[k]})
+// DrawScatter draws the first curve as a line, and the others as points.
+func DrawScatter(title, xLabel, yLabel string, curves []Curve, path string) error {
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, xLabel, yLabel
+	chart.Legend.Top, chart.Legend.Left = true, true
+	for i, curve := range curves {
+		var xys plotter.XYs
+		for k := range curve.X {
+			xys = append(xys, plotter.XY{X: curve.X[k], Y: curve.Y[k]})
 		}
-		line, points, err := plotter.NewLinePoints(at)
+		line, points, err := plotter.NewLinePoints(xys)
 		if err != nil {
 			return err
 		}
 		line.Color, points.Color, points.Shape = plotutil.Color(i), plotutil.Color(i), plotutil.Shape(i)
 		if i == 0 {
-			p.Add(line)
-			p.Legend.Add(c.Name, line)
+			chart.Add(line)
+			chart.Legend.Add(curve.Name, line)
 			continue
 		}
-		p.Add(points)
-		p.Legend.Add(c.Name, points)
+		chart.Add(points)
+		chart.Legend.Add(curve.Name, points)
 	}
-	return write(p, path)
+	return saveChart(chart, path)
 }
 
-func write(p *plot.Plot, path string) error {
-	p.Add(plotter.NewGrid())
-	form := strings.TrimPrefix(filepath.Ext(path), ".")
-	return whole(path, func(w io.Writer) error {
-		to, err := p.WriterTo(18*vg.Centimeter, 11*vg.Centimeter, form)
+// saveChart adds a grid and writes the chart in the format of the file's extension.
+func saveChart(chart *plot.Plot, path string) error {
+	chart.Add(plotter.NewGrid())
+	format := strings.TrimPrefix(filepath.Ext(path), ".")
+	return writeFile(path, func(w io.Writer) error {
+		writer, err := chart.WriterTo(18*vg.Centimeter, 11*vg.Centimeter, format)
 		if err != nil {
 			return err
 		}
-		_, err = to.WriteTo(w)
+		_, err = writer.WriteTo(w)
 		return err
 	})
 }
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -11,27 +11,27 @@
 	"willowdeck/internal/lab/emulator"
 )
 
-func experiment(t *testing.T) *Experiment {
+func sweepOfWorkerCount(t *testing.T) *Experiment {
 	t.Helper()
-	s, err := emulator.Read("../../../scenarios/small.toml")
+	scenario, err := emulator.Read("../../../scenarios/small.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Seconds = 4
-	x, err := Of(s, []string{"willowdeck", "static"}, 3)
+	scenario.Seconds = 4
+	experiment, err := FromScenario(scenario, []string{"willowdeck", "static"}, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x.Key, x.Values = "workers.count", []float64{2, 8}
-	return x
+	experiment.SweepKey, experiment.SweepValues = "workers.count", []float64{2, 8}
+	return experiment
 }
 
 // A sweep gives the same bytes whatever the number of cores, and its table can be read, drawn and compared.
-func TestSweep(t *testing.T) {
+func TestSweepIsIndependentOfCores(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name string) string { return filepath.Join(dir, name) }
 	for name, cores := range map[string]int{"one.csv": 1, "six.csv": 6} {
-		rows, err := experiment(t).Run(context.Background(), cores, nil)
+		rows, err := sweepOfWorkerCount(t).Run(context.Background(), cores, nil)
 		if err != nil || len(rows) != 12 {
 			t.Fatalf("%d rows, %v", len(rows), err)
 		}
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	for _, form := range []string{"png", "svg"} {
-		if err := Chart(one, "p99_ms", file("c."+form)); err != nil {
+		if err := DrawSweep(one, "p99_ms", file("c."+form)); err != nil {
 			t.Errorf("%s: %v", form, err)
 		}
 		if st, err := os.Stat(file("c." + form)); err != nil || st.Size() < 2000 {
@@ -57,8 +57,8 @@
 		}
 	}
 	same, err := Compare(one, one, []string{"score"})
-	if err != nil || len(same) != 4 || same[0].Beyond {
-		t.Errorf("a table beside itself: %+v, %v", same, err)
+	if err != nil || len(same) != 4 || same[0].Significant {
+		t.Errorf("a table compared with itself: %+v, %v", same, err)
 	}
 	text := strings.ReplaceAll(string(a), ",workers.count,2,", ",workers.count,9,")
 	text = strings.ReplaceAll(text, ",workers.count,8,", ",workers.count,2,")
@@ -68,19 +68,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if all, err := Compare(one, swapped, []string{"score"}); err != nil || !all[0].Beyond || all[0].Spread <= 0 {
-		t.Errorf("two workers for eight: %+v, %v", all, err)
+	if all, err := Compare(one, swapped, []string{"score"}); err != nil || !all[0].Significant ||
+		all[0].Threshold <= 0 {
+		t.Errorf("two workers in place of eight: %+v, %v", all, err)
 	}
 	if all, _ := os.ReadDir(dir); len(all) != 5 {
 		t.Errorf("%d files are left", len(all))
 	}
 }
 
-// A stopped sweep has no rows, and a file that could not be finished is not there.
-func TestStopped(t *testing.T) {
+// An interrupted sweep has no rows, and a file that could not be finished does not exist.
+func TestInterruptedRunLeavesNothing(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := 0
-	rows, err := experiment(t).Run(ctx, 2, func(Row) {
+	rows, err := sweepOfWorkerCount(t).Run(ctx, 2, func(Row) {
 		if n++; n == 3 {
 			cancel()
 		}
@@ -89,18 +90,18 @@
 		t.Errorf("%d rows, %v", len(rows), err)
 	}
 	dir := t.TempDir()
-	tab := &Table{Rows: []Line{{Policy: "p", Figures: map[string]float64{"score": 1}}}}
-	if err := Chart(tab, "score", filepath.Join(dir, "c.xyz")); err == nil {
-		t.Error("a form of chart that there is not")
+	table := &Table{Rows: []TableRow{{Policy: "p", Figures: map[string]float64{"score": 1}}}}
+	if err := DrawSweep(table, "score", filepath.Join(dir, "c.xyz")); err == nil {
+		t.Error("an unknown chart format is accepted")
 	}
 	if all, _ := os.ReadDir(dir); len(all) > 0 {
 		t.Errorf("%v is left", all)
 	}
 }
 
-func TestBadFiles(t *testing.T) {
+func TestMalformedFilesAreRejected(t *testing.T) {
 	dir := t.TempDir()
-	put := func(name, text string) string {
+	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -111,9 +112,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	put("small.toml", string(raw))
+	write("small.toml", string(raw))
 	const good = "name = \"x\"\nscenario = \"small.toml\"\nseeds = 2\n"
-	cases := []struct{ name, text, says string }{
+	cases := []struct{ name, text, message string }{
 		{"good", good, ""},
 		{"no TOML", "name = ", "line 1"},
 		{"unknown key", good + "colour = 1\n", "colour: unknown key"},
@@ -123,35 +124,36 @@
 		{"unknown figure", good + "key = \"workers.colour\"\nvalues = [1]\n", "values[0]"},
 		{"impossible figure", good + "key = \"workers.count\"\nvalues = [3, -1]\n", "values[1]: workers.count"},
 		{"no values", good + "key = \"workers.count\"\n", "values"},
-		{"no such column", good + "chart = \"beauty\"\n", "chart"},
+		{"unknown column", good + "chart = \"beauty\"\n", "chart"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Read(put("x.toml", c.text))
-			if c.says == "" && err != nil || c.says != "" && (err == nil || !strings.Contains(err.Error(), c.says)) {
-				t.Errorf("got %v, want %q", err, c.says)
+			_, err := Read(write("x.toml", c.text))
+			if c.message == "" && err != nil || c.message != "" && (err == nil || !strings.Contains(err.Error(),
+				c.message)) {
+				t.Errorf("got %v, want %q", err, c.message)
 			}
 		})
 	}
 	head := strings.Join(columns, ",") + "\n"
-	tables := []struct{ name, text, says string }{
-		{"empty", "", "no run"}, {"no run", head, "no run"}, {"other columns", strings.Replace(head, "policy",
+	tables := []struct{ name, text, message string }{
+		{"empty", "", "no run"}, {"no run", head, "no run"}, {"wrong columns", strings.Replace(head, "policy",
 			"p", 1),
-			"line 1: column 3"}, {"cut", head + "a,b,c\n", "line 2"},
+			"line 1: column 3"}, {"truncated", head + "a,b,c\n", "line 2"},
 		{"fewer than any table had", "experiment\n", "line 1: there are 1 columns"},
-		{"no number", head + strings.Repeat("x,", len(columns)-1) + "x\n", "line 2: value"},
+		{"not a number", head + strings.Repeat("x,", len(columns)-1) + "x\n", "line 2: value"},
 	}
 	// Guards against tables that were written before a column came being of no use any more.
-	kept, err := ReadTable("../../../docs/lab/vast-size.csv")
-	if err != nil || len(kept.Rows) == 0 || kept.Rows[0].Figures["score"] <= 0 {
+	older, err := ReadTable("../../../docs/lab/vast-size.csv")
+	if err != nil || len(older.Rows) == 0 || older.Rows[0].Figures["score"] <= 0 {
 		t.Errorf("an older table: %v", err)
 	}
 	for _, c := range tables {
 		t.Run(c.name, func(t *testing.T) {
-			path := put("t.csv", c.text)
-			if _, err := ReadTable(path); err == nil || !strings.Contains(err.Error(), c.says) ||
+			path := write("t.csv", c.text)
+			if _, err := ReadTable(path); err == nil || !strings.Contains(err.Error(), c.message) ||
 				!strings.Contains(err.Error(), path) {
-				t.Errorf("got %v, want %q", err, c.says)
+				t.Errorf("got %v, want %q", err, c.message)
 			}
 		})
 	}
--- a/internal/lab/experiment/floors.go
+++ b/internal/lab/experiment/floors.go
@@ -6,95 +6,101 @@
 	"willowdeck/internal/lab/emulator"
 )
 
-// The floors that a run is held to, each beside one of the same day under a policy that sees the true state
-// late. Shares are of the worth within quotas, before prices.
+// The floors. Each compares a run with one of the same day under a policy that sees the true state late, by
+// shares of the value within quotas, before prices.
 const (
-	wholeFloor  = 0.5      // of that policy's share, for the whole day, for each class, for thirds of a long day
-	partFloor   = 0.3      // for each third of another day
-	tenantFloor = 1.0 / 3  // for each tenant
-	counts      = 1.0 / 20 // of the txns or of the worth, from which on a class or tenant counts
-	hardly      = 0.3      // share of a class under that policy below which it does not count
-	starvedMore = 0.15     // of the worth, that starved customers may hold beyond that policy's
-	plainLess   = 0.05     // on a calm day: below the plainest policy's share
-	lateLess    = 0.1      // or below that policy's, where that is less
-	quotaMore   = 0.1      // of the worth, that what goes beyond quotas may cost more on a calm day
-	hair        = 1e-9     // for sums of floats
-	thirds      = 3        // parts of a day
+	minRunShare           = 0.5      // of the reference's share: of the run, of a class, of thirds of a long day
+	minThirdShare         = 0.3      // of the reference's share: of a third of another day
+	minTenantShare        = 1.0 / 3  // of the reference's share: of a tenant
+	minRelevantShare      = 1.0 / 20 // of the transactions or the value, from which a class or tenant counts
+	minReferenceShare     = 0.3      // share of a class in the reference below which the class does not count
+	maxExtraStarved       = 0.15     // of the value: that of starved customers, beyond the reference's
+	calmPlainTolerance    = 0.05     // on a calm day: below the share of the plainest policy
+	calmLateTolerance     = 0.1      // on a calm day: below the reference's share, where that is less
+	maxExtraOverQuotaCost = 0.1      // on a calm day: beyond the reference's cost of over-quota service
+	floatTolerance        = 1e-9     // for sums of floats
+	thirds                = 3        // parts of a day
 )
 
-// Day is what a run's day is to its floors.
+// Day says which floors apply to a run.
 type Day struct {
-	Plain *emulator.Result // calm days: the same under the plainest policy
-	Long  bool
+	PlainRun *emulator.Result // on a calm day: the same under the plainest policy; nil on others
+	Long     bool             // thirds are held to the floor of a whole run
 }
 
-// Miss is a floor that a run does not reach, or a bound that it goes beyond.
-type Miss struct {
-	Floor      string // whole, calm, third, class, tenant, starved or over_quota
-	Of         string // the class's or tenant's name, the third's number
-	Got, Wants float64
+// Shortfall is a floor that a run does not reach, or a bound that it exceeds.
+type Shortfall struct {
+	Floor     string // whole, calm, third, class, tenant, starved or over_quota
+	Subject   string // the name of the class or tenant, or the number of the third
+	Got, Want float64
 }
 
-func (m Miss) String() string {
-	return fmt.Sprintf("%s %s: %.4f, wanted %.4f", m.Floor, m.Of, m.Got, m.Wants)
+// String names floor and subject, with the value and the one that was wanted.
+func (s Shortfall) String() string {
+	return fmt.Sprintf("%s %s: %.4f, wanted %.4f", s.Floor, s.Subject, s.Got, s.Want)
 }
 
-// Floors gives what a run of a scenario misses, beside one under the late-seeing policy. A tenant is a plan.
-func Floors(s *emulator.Scenario, d Day, r, late *emulator.Result) (all []Miss) {
-	least := func(floor, of string, got, wants float64) {
-		if got < wants-hair {
-			all = append(all, Miss{floor, of, got, wants})
+// CheckFloors returns the shortfalls of a run of a scenario, compared with one under the policy that sees the
+// state late. A tenant is a plan, a class a product.
+func CheckFloors(scenario *emulator.Scenario, day Day, result,
+	late *emulator.Result) (shortfalls []Shortfall) {
+	atLeast := func(floor, subject string, got, want float64) {
+		if got < want-floatTolerance {
+			shortfalls = append(shortfalls, Shortfall{floor, subject, got, want})
 		}
 	}
-	most := func(floor string, got, bound float64) {
-		if got > bound+hair {
-			all = append(all, Miss{floor, "", got, bound})
+	atMost := func(floor string, got, bound float64) {
+		if got > bound+floatTolerance {
+			shortfalls = append(shortfalls, Shortfall{floor, "", got, bound})
 		}
 	}
-	share := inside(r, 0, len(r.Seconds))
-	least("whole", "", share, wholeFloor*inside(late, 0, len(late.Seconds)))
-	if d.Plain != nil {
-		least("calm", "", share, min(inside(d.Plain, 0, len(d.Plain.Seconds))-plainLess,
-			inside(late, 0, len(late.Seconds))-lateLess))
-		most("over_quota", Price(r), Price(late)+quotaMore)
+	share := servedShare(result, 0, len(result.Seconds))
+	atLeast("whole", "", share, minRunShare*servedShare(late, 0, len(late.Seconds)))
+	if day.PlainRun != nil {
+		atLeast("calm", "", share, min(servedShare(day.PlainRun, 0, len(day.PlainRun.Seconds))-calmPlainTolerance,
+			servedShare(late, 0, len(late.Seconds))-calmLateTolerance))
+		atMost("over_quota", OverQuotaCost(result), OverQuotaCost(late)+maxExtraOverQuotaCost)
 	}
-	floor := partFloor
-	if d.Long {
-		floor = wholeFloor
+	floor := minThirdShare
+	if day.Long {
+		floor = minRunShare
 	}
-	for k := range thirds {
-		n := len(r.Seconds)
-		from, to := k*n/thirds, (k+1)*n/thirds
-		least("third", fmt.Sprint(k+1), inside(r, from, to), floor*inside(late, from, to))
+	for third := range thirds {
+		n := len(result.Seconds)
+		from, to := third*n/thirds, (third+1)*n/thirds
+		atLeast("third", fmt.Sprint(third+1), servedShare(result, from, to), floor*servedShare(late, from, to))
 	}
-	for i, p := range r.Products {
-		big := float64(p.Asked) >= counts*float64(r.Asked) || p.Offered >= counts*r.Offered
-		if (big || s.Products[i].Repeat != "inquiry") && late.Products[i].Share() >= hardly {
-			least("class", p.Name, p.Share(), wholeFloor*late.Products[i].Share())
+	for i, segment := range result.Products {
+		relevant := float64(segment.Asked) >= minRelevantShare*float64(result.Asked) ||
+			segment.Offered >= minRelevantShare*result.Offered
+		if (relevant || scenario.Products[i].Repeat != "inquiry") && late.Products[i].Share() >= minReferenceShare {
+			atLeast("class", segment.Name, segment.Share(), minRunShare*late.Products[i].Share())
 		}
 	}
-	for i, p := range r.Plans {
-		if p.Offered >= counts*r.Offered {
-			least("tenant", p.Name, p.Share(), tenantFloor*late.Plans[i].Share())
+	for i, segment := range result.Plans {
+		if segment.Offered >= minRelevantShare*result.Offered {
+			atLeast("tenant", segment.Name, segment.Share(), minTenantShare*late.Plans[i].Share())
 		}
 	}
-	most("starved", r.Starved, late.Starved+starvedMore)
-	return all
+	atMost("starved", result.Starved, late.Starved+maxExtraStarved)
+	return shortfalls
 }
 
-// Price is what goes beyond quotas costs, of the worth that was asked within them.
-func Price(r *emulator.Result) float64 {
-	if r.Offered == 0 {
+// OverQuotaCost returns the cost of what was served beyond quotas, as a part of the value offered within
+// them.
+func OverQuotaCost(result *emulator.Result) float64 {
+	if result.Offered == 0 {
 		return 0
 	}
-	return r.OverCost / r.Offered
+	return result.OverCost / result.Offered
 }
 
-// inside is the share that was served of what was meant to be sent in some seconds; 1 where nothing was.
-func inside(r *emulator.Result, from, to int) float64 {
+// servedShare returns the share of the value offered in the seconds from (inclusive) to to (exclusive) that
+// was served; 1 where none was offered.
+func servedShare(result *emulator.Result, from, to int) float64 {
 	offered, served := 0.0, 0.0
-	for _, s := range r.Seconds[from:to] {
-		offered, served = offered+s.Offered, served+s.Inside
+	for _, second := range result.Seconds[from:to] {
+		offered, served = offered+second.Offered, served+second.Inside
 	}
 	if offered == 0 {
 		return 1
--- a/internal/lab/experiment/floors_test.go
+++ b/internal/lab/experiment/floors_test.go
@@ -9,8 +9,8 @@
 	"willowdeck/internal/lab/emulator"
 )
 
-// Days that are played, as text behind a scenario's own without its shapes and faults.
-var days = []struct {
+// testDays are shapes and faults that take the place of a scenario's own.
+var testDays = []struct {
 	name, text string
 	calm       bool
 	heavy      bool // one seed of it is enough of a large fleet
@@ -59,7 +59,7 @@
 from_s = 3
 to_s = 9
 [[faults]]
-kind = "cut"          # peers don't hear each other
+kind = "cut"          # peers don't receive each other's messages
 part = 1
 from_s = 3
 to_s = 9
@@ -72,15 +72,15 @@
 `, false, false},
 }
 
-// sized are the scenarios whose fleets the days are played on, by gatekeepers, and by how many seeds.
-var sized = []struct {
+// fleets are the scenarios whose fleets the days are played on, by gatekeepers, and by how many seeds.
+var fleets = []struct {
 	gatekeepers int
 	seeds       int64
 	file        string
 }{{4, 3, "small"}, {20, 3, "halls20"}, {300, 2, "cold300"}}
 
-// onDay gives a scenario's fleet on another day of 12 s.
-func onDay(t *testing.T, file, text string) *emulator.Scenario {
+// scenarioOnDay returns a scenario's fleet on another day of 12 s.
+func scenarioOnDay(t *testing.T, file, text string) *emulator.Scenario {
 	t.Helper()
 	raw, err := os.ReadFile("../../../scenarios/" + file + ".toml")
 	if err != nil {
@@ -88,51 +88,51 @@
 	}
 	own, _, _ := strings.Cut(string(raw), "[[faults]]")
 	own, _, _ = strings.Cut(own, "[[shapes]]")
-	s, err := emulator.Decode(own + text)
+	scenario, err := emulator.Decode(own + text)
 	if err == nil {
-		err = s.Set("seconds", 12)
+		err = scenario.Set("seconds", 12)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return scenario
 }
 
-func under(t *testing.T, s *emulator.Scenario, policy string, seed int64) *emulator.Result {
+func runUnderPolicy(t *testing.T, scenario *emulator.Scenario, policy string, seed int64) *emulator.Result {
 	t.Helper()
-	s = s.Clone()
-	s.Policy = policy
-	r, err := emulator.Run(t.Context(), s, seed)
+	scenario = scenario.Clone()
+	scenario.Policy = policy
+	r, err := emulator.Run(t.Context(), scenario, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// The module beside a policy that sees the true state late, at 4, 20, 300 gatekeepers: no part of a day, no
-// class, tenant or crowd of customers is starved while the whole looks well, and on a calm day what passes
+// The policy compared with one that sees the true state late, at 4, 20, 300 gatekeepers: no part of a day, no
+// class, tenant or crowd of customers is starved while the total looks well, and on a calm day what passes
 // beyond quotas costs little more. Simulated.
-func TestFloorsHeld(t *testing.T) {
-	for _, size := range sized {
-		for _, day := range days {
+func TestPolicyReachesFloors(t *testing.T) {
+	for _, size := range fleets {
+		for _, day := range testDays {
 			for seed := int64(1); seed <= size.seeds; seed++ {
 				if day.heavy && size.gatekeepers > 20 && seed > 1 {
 					continue
 				}
 				t.Run(fmt.Sprint(day.name, size.gatekeepers, "-", seed), func(t *testing.T) {
 					t.Parallel()
-					s := onDay(t, size.file, day.text)
+					s := scenarioOnDay(t, size.file, day.text)
 					if s.Gatekeepers.Count != size.gatekeepers {
 						t.Fatalf("%d gatekeepers", s.Gatekeepers.Count)
 					}
 					var d Day
 					if day.calm {
-						d.Plain = under(t, s, "static", seed)
+						d.PlainRun = runUnderPolicy(t, s, "static", seed)
 					}
-					r, late := under(t, s, "willowdeck", seed), under(t, s, "late", seed)
-					// And beside one that sees it at once: how late is late, and what it makes of it, is not known.
-					for _, other := range []*emulator.Result{late, under(t, s, "seer", seed)} {
-						for _, m := range Floors(s, d, r, other) {
+					r, late := runUnderPolicy(t, s, "willowdeck", seed), runUnderPolicy(t, s, "late", seed)
+					// Also compared with one that sees the state at once: how late is late is not known.
+					for _, other := range []*emulator.Result{late, runUnderPolicy(t, s, "seer", seed)} {
+						for _, m := range CheckFloors(s, d, r, other) {
 							t.Errorf("beside %s: %v", other.Policy, m)
 						}
 					}
@@ -144,8 +144,8 @@
 					}
 					n := len(r.Seconds)
 					t.Logf("served %.3f, late-seeing %.3f; thirds %.3f %.3f %.3f; starved %.3f, %.3f; over %.3f, %.3f",
-						inside(r, 0, n), inside(late, 0, n), inside(r, 0, n/3), inside(r, n/3, 2*n/3),
-						inside(r, 2*n/3, n), r.Starved, late.Starved, Price(r), Price(late))
+						servedShare(r, 0, n), servedShare(late, 0, n), servedShare(r, 0, n/3), servedShare(r, n/3, 2*n/3),
+						servedShare(r, 2*n/3, n), r.Starved, late.Starved, OverQuotaCost(r), OverQuotaCost(late))
 				})
 			}
 		}
@@ -153,16 +153,16 @@
 }
 
 // Gatekeepers that turn all away for 4 s are found: all of them where every worker is lost.
-func TestPlantedRefusal(t *testing.T) {
-	s := onDay(t, "small", "[[faults]]\nkind = \"kill\"\npart = 1\nfrom_s = 2\nto_s = 11\n")
-	if r := under(t, s, "willowdeck", 1); r.RefuseAll != s.Gatekeepers.Count {
+func TestFloorsFindPlantedRejection(t *testing.T) {
+	s := scenarioOnDay(t, "small", "[[faults]]\nkind = \"kill\"\npart = 1\nfrom_s = 2\nto_s = 11\n")
+	if r := runUnderPolicy(t, s, "willowdeck", 1); r.RefuseAll != s.Gatekeepers.Count {
 		t.Errorf("%d of %d gatekeepers are found", r.RefuseAll, s.Gatekeepers.Count)
 	}
 }
 
-// served is a run of so many seconds of which the same share was served everywhere: of 100 worth a second, in
-// two classes that are asked alike and two tenants, beside a small class and a small tenant.
-func served(share float64) *emulator.Result {
+// resultServing is a run of so many seconds of which the same share was served everywhere: of a value of 100
+// a second, in two classes that are asked alike and two tenants, beside a small class and a small tenant.
+func resultServing(share float64) *emulator.Result {
 	r := &emulator.Result{Asked: 1000, Offered: 1200, Products: []emulator.Part{{Name: "check", Asked: 480},
 		{
 			Name:  "sale",
@@ -180,9 +180,9 @@
 }
 
 // Each floor holds at its figure and is missed just below it, by its own name alone. Guards against a floor
-// that is not looked at, or is held against the wrong run, part or figure.
-func TestFloorsArithmetic(t *testing.T) {
-	s := onDay(t, "small", "")
+// that is not checked, or is compared with the wrong run, part or figure.
+func TestCheckFloorsArithmetic(t *testing.T) {
+	s := scenarioOnDay(t, "small", "")
 	s.Products[0].Repeat, s.Products[1].Repeat, s.Products[2].Repeat = "inquiry", "inquiry", "inquiry"
 	seconds := func(r *emulator.Result, from, to int, inside float64) {
 		for i := range r.Seconds[from:to] {
@@ -190,7 +190,7 @@
 		}
 	}
 	all := func(v float64) func(r *emulator.Result) { return func(r *emulator.Result) { seconds(r, 0, 12, v) } }
-	calm, once := Day{Plain: served(0.9)}, s.Clone()
+	calm, once := Day{PlainRun: resultServing(0.9)}, s.Clone()
 	once.Products[2].Repeat = "once"
 	cases := []struct {
 		name   string
@@ -203,10 +203,10 @@
 		{"as well", s, Day{}, 0.9, func(*emulator.Result) {}, ""},
 		{"half of all", s, Day{}, 0.9, all(45), ""},
 		{"less than half of all", s, Day{}, 0.9, all(44.9), "whole "},
-		{"the plainest less 0.05", s, Day{Plain: served(0.6)}, 0.9, all(55), ""},
-		{"less than that", s, Day{Plain: served(0.6)}, 0.9, all(54.9), "calm "},
-		{"late-seeing less 0.1, which is lower", s, Day{Plain: served(0.99)}, 0.9, all(80), ""},
-		{"less than that", s, Day{Plain: served(0.99)}, 0.9, all(79.9), "calm "},
+		{"the plainest less 0.05", s, Day{PlainRun: resultServing(0.6)}, 0.9, all(55), ""},
+		{"less than that", s, Day{PlainRun: resultServing(0.6)}, 0.9, all(54.9), "calm "},
+		{"late-seeing less 0.1, which is lower", s, Day{PlainRun: resultServing(0.99)}, 0.9, all(80), ""},
+		{"less than that", s, Day{PlainRun: resultServing(0.99)}, 0.9, all(79.9), "calm "},
 		{"a third at three tenths", s, Day{}, 0.9, func(r *emulator.Result) { seconds(r, 4, 8, 27) }, ""},
 		{"a third below", s, Day{}, 0.9, func(r *emulator.Result) { seconds(r, 4, 8, 26.9) }, "third 2"},
 		{"the last third below", s, Day{}, 0.9, func(r *emulator.Result) { seconds(r, 8, 12, 26.9) }, "third 3"},
@@ -245,9 +245,9 @@
 		{"beyond quotas on another day", s, Day{}, 0.9, func(r *emulator.Result) { r.OverCost = 1200 }, ""},
 	}
 	for _, c := range cases {
-		r := served(c.late)
+		r := resultServing(c.late)
 		c.change(r)
-		missed := Floors(c.on, c.day, r, served(c.late))
+		missed := CheckFloors(c.on, c.day, r, resultServing(c.late))
 		if (c.missed == "") != (len(missed) == 0) || len(missed) > 1 ||
 			len(missed) == 1 && !strings.HasPrefix(missed[0].String(), c.missed) {
 			t.Errorf("%s, %s: missed %v, not %q", c.name, c.on.Products[2].Repeat, missed, c.missed)
@@ -257,9 +257,9 @@
 
 // A plan, a class and a third of a day that are starved on purpose in a fleet that serves all else are found
 // in what the emulator says of its runs. Simulated.
-func TestPlantedStarvation(t *testing.T) {
-	calm := onDay(t, "halls20", days[0].text)
-	late := under(t, calm, "late", 1)
+func TestFloorsFindPlantedStarvation(t *testing.T) {
+	calm := scenarioOnDay(t, "halls20", testDays[0].text)
+	late := runUnderPolicy(t, calm, "late", 1)
 	for name, starve := range map[string]func(s *emulator.Scenario){
 		"tenant agent": func(s *emulator.Scenario) { s.Plans[1].Ceiling, s.Plans[1].CeilingDepth = 1e-3, 0.5 },
 		"class sale":   func(s *emulator.Scenario) { s.Products[1].SLAMS = 1 },
@@ -270,7 +270,7 @@
 	} {
 		s := calm.Clone()
 		starve(s)
-		found := fmt.Sprint(Floors(calm, Day{}, under(t, s, "willowdeck", 1), late))
+		found := fmt.Sprint(CheckFloors(calm, Day{}, runUnderPolicy(t, s, "willowdeck", 1), late))
 		if !strings.Contains(found, name) {
 			t.Errorf("%s is starved, found %s", name, found)
 		}
@@ -280,9 +280,11 @@
 	for i := range loose.Plans {
 		loose.Plans[i].Asks = 2
 	}
-	open, seen := under(t, loose, "open", 1), under(t, loose, "late", 1)
-	if found := fmt.Sprint(Floors(loose, Day{Plain: open}, open, seen)); !strings.Contains(found, "over_quota") {
-		t.Errorf("%.3f of the worth passes beyond quotas, %.3f under the late-seeing policy; found %s", Price(open),
-			Price(seen), found)
+	open, seen := runUnderPolicy(t, loose, "open", 1), runUnderPolicy(t, loose, "late", 1)
+	if found := fmt.Sprint(CheckFloors(loose, Day{PlainRun: open}, open, seen)); !strings.Contains(found,
+		"over_quota") {
+		t.Errorf("%.3f of the worth passes beyond quotas, %.3f under the late-seeing policy; found %s",
+			OverQuotaCost(open),
+			OverQuotaCost(seen), found)
 	}
 }
--- a/internal/lab/experiment/forecastcheck_test.go
+++ b/internal/lab/experiment/forecastcheck_test.go
@@ -12,15 +12,16 @@
 )
 
 var (
-	foresee  = flag.Int("foresee", 0, "seeds that losses of halls are foretold and played with, at 20 and 300")
-	into     = flag.String("into", "", "where the table and the chart of that go")
-	credit   = flag.Float64("credit", 0, "seconds of their rates that all plans lend")
-	replayed = flag.Bool("replayed", false, "play each loss from the words alone, too")
+	forecastSeeds = flag.Int("foresee", 0,
+		"seeds that losses of halls are foretold and played with, at 20 and 300")
+	outputDir     = flag.String("into", "", "where the table and the chart of that go")
+	creditSeconds = flag.Float64("credit", 0, "seconds of their rates that all plans lend")
+	replayLosses  = flag.Bool("replayed", false, "play each loss from the words alone, too")
 )
 
-// Each kind of loss is foretold from the words of an emulated fleet, and then played with the same arrivals.
-// Guards against a change of the module, or of what words say, that the reckoning does not follow.
-func TestForesee(t *testing.T) {
+// Each kind of loss is predicted from the reports of an emulated fleet, and then played with the same
+// arrivals. Guards against a change of the policy, or of the reports, that the forecast does not follow.
+func TestForecastMatchesPlayedLoss(t *testing.T) {
 	losses := []forecast.Loss{{Kind: forecast.Whole, Halls: []string{"hall0"}},
 		{
 			Kind:  forecast.Whole,
@@ -28,60 +29,64 @@
 		}, {Kind: forecast.Keepers, Halls: []string{"hall0"}},
 		{Kind: forecast.Links, Halls: []string{"hall0"}}, {Kind: forecast.Slowed, Halls: []string{"hall0"}}}
 	names, loads, seeds := []string{"halls20"}, []float64{1}, 1
-	if *foresee > 0 {
-		names, loads, seeds = []string{"halls20", "halls300"}, []float64{0.6, 1, 1.25}, *foresee
+	if *forecastSeeds > 0 {
+		names, loads, seeds = []string{"halls20", "halls300"}, []float64{0.6, 1, 1.25}, *forecastSeeds
 		losses = append(losses, forecast.Loss{Kind: forecast.Keepers, Halls: []string{"hall1", "hall2"}},
 			forecast.Loss{Kind: forecast.Links, Halls: []string{"hall1", "hall2"}})
 	}
-	var table []Foresights
-	lending := func(s *emulator.Scenario) {
-		for i := range s.Plans {
-			s.Plans[i].Credit, s.Plans[i].Repay = *credit, 30
+	var groups []ForecastChecks
+	lending := func(scenario *emulator.Scenario) {
+		for i := range scenario.Plans {
+			scenario.Plans[i].Credit, scenario.Plans[i].Repay = *creditSeconds, 30
 		}
 	}
 	for _, name := range names {
 		for _, load := range loads {
-			s, err := emulator.Read("../../../scenarios/" + name + ".toml")
+			scenario, err := emulator.Read("../../../scenarios/" + name + ".toml")
 			if err != nil {
 				t.Fatal(err)
 			}
-			for i := range s.Plans {
-				if err := s.Set(fmt.Sprintf("plans[%d].asks", i), s.Plans[i].Asks*load); err != nil {
+			for i := range scenario.Plans {
+				if err := scenario.Set(fmt.Sprintf("plans[%d].asks", i), scenario.Plans[i].Asks*load); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if *credit > 0 {
-				lending(s)
+			if *creditSeconds > 0 {
+				lending(scenario)
 			}
-			g := Foresights{Gatekeepers: s.Gatekeepers.Count, Asks: load}
+			group := ForecastChecks{Gatekeepers: scenario.Gatekeepers.Count, OfferedLoad: load}
 			for seed := range int64(seeds) {
-				all, _, err := Foresee(t.Context(), s, seed+1, 10, losses, *replayed)
+				checks, _, err := CheckForecasts(t.Context(), scenario, seed+1, 10, losses, *replayLosses)
 				if err != nil {
 					t.Fatal(err)
 				}
-				g.All = append(g.All, all...)
+				group.Checks = append(group.Checks, checks...)
 			}
-			for _, f := range g.All {
+			for _, check := range group.Checks {
 				t.Logf("%s x %v, %v of %v: asked %.0f/s, lost foretold %.1f, found %.1f, error %.3f; loads %.3f",
-					name, load, f.Loss.Kind, f.Loss.Halls, f.Asked, f.Foretold, f.Found, f.Error(), f.LoadError())
-				if *foresee == 0 && (math.Abs(f.Error()) > 0.12 || math.Abs(f.LoadError()) > 0.2) {
-					t.Errorf("%v of %v: off by %.3f of the value asked, loads by %.3f: %v", f.Loss.Kind, f.Loss.Halls,
-						f.Error(), f.LoadError(), f.Loads)
+					name, load, check.Loss.Kind, check.Loss.Halls, check.Offered, check.Predicted, check.Observed,
+					check.RelativeError(), check.MaxLoadError())
+				if *forecastSeeds == 0 && (math.Abs(check.RelativeError()) > 0.12 ||
+					math.Abs(check.MaxLoadError()) > 0.2) {
+					t.Errorf("%v of %v: off by %.3f of the value asked, loads by %.3f: %v", check.Loss.Kind,
+						check.Loss.Halls,
+						check.RelativeError(), check.MaxLoadError(), check.Loads)
 				}
 			}
-			table = append(table, g)
+			groups = append(groups, group)
 		}
 	}
-	// What is foretold has to tell a costly loss from a cheap one.
-	whole, links := table[0].All[1], table[0].All[3]
-	if whole.Foretold < 0.2*whole.Asked && *foresee == 0 || links.Foretold > 0.05*links.Asked {
-		t.Errorf("a pair of halls costs %v, links %v of %v", whole.Foretold, links.Foretold, links.Asked)
+	// The forecast has to tell a costly loss from a cheap one.
+	regionPair, links := groups[0].Checks[1], groups[0].Checks[3]
+	if regionPair.Predicted < 0.2*regionPair.Offered && *forecastSeeds == 0 ||
+		links.Predicted > 0.05*links.Offered {
+		t.Errorf("a pair of halls costs %v, links %v of %v", regionPair.Predicted, links.Predicted, links.Offered)
 	}
-	if *into != "" {
-		if err := WriteForesights(filepath.Join(*into, "outlook.csv"), table); err != nil {
+	if *outputDir != "" {
+		if err := WriteForecastChecks(filepath.Join(*outputDir, "outlook.csv"), groups); err != nil {
 			t.Fatal(err)
 		}
-		if err := ChartForesights(filepath.Join(*into, "outlook.png"), table); err != nil {
+		if err := DrawForecastChecks(filepath.Join(*outputDir, "outlook.png"), groups); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -12,7 +12,7 @@
 	"willowdeck/internal/lab/emulator"
 )
 
-// columns of a table. The first ones say what was played, the others are figures.
+// columns are those of a table. The first ones say what was played, the others are figures.
 var columns = []string{"experiment", "scenario", "policy", "key", "value", "seed", "build",
 	"score", "offered", "served", "asked", "tries", "settled", "late", "declined", "voided", "failed", "lost",
 	"submissions", "full", "over_units", "messages", "events", "mean_ms", "p50_ms", "p99_ms", "p999_ms",
@@ -20,138 +20,164 @@
 	"credit_messages", "lent", "repaid_late"}
 
 const (
-	figuresFrom = 7
-	first       = 32 // columns that every table has; those after them came later, and older ones lack them
+	firstFigure = 7  // index of the first figure in columns
+	minColumns  = 32 // columns that every table has; older tables lack later ones
 )
 
-func columnOf(name string) int {
-	for i, c := range columns {
-		if c == name && i >= figuresFrom {
+// figureColumn returns the index of a figure's column, or -1.
+func figureColumn(name string) int {
+	for i, column := range columns {
+		if column == name && i >= firstFigure {
 			return i
 		}
 	}
 	return -1
 }
 
-func (r *Row) fields() []string {
-	f := func(v float64) string { return strconv.FormatFloat(v, 'g', 10, 64) }
-	d := func(v int64) string { return strconv.FormatInt(v, 10) }
-	out := []string{r.Experiment, r.Scenario, r.Policy, r.Key, f(r.Value), d(r.Seed), r.Build,
-		f(r.Score), f(r.Offered), f(r.Served), d(r.Asked), d(r.Tries), d(r.Settled), d(r.Late), d(r.Declined),
-		d(r.Voided), d(r.Failed), d(r.Lost), d(r.Submissions), d(r.Full), f(r.OverUnits), d(r.Messages),
-		d(r.Events), f(r.Mean), f(r.P50), f(r.P99), f(r.P999)}
+// csvFields returns the cells of a row, by columns.
+func (r *Row) csvFields() []string {
+	formatFloat := func(value float64) string { return strconv.FormatFloat(value, 'g', 10, 64) }
+	formatInt := func(value int64) string { return strconv.FormatInt(value, 10) }
+	fields := []string{r.Experiment, r.Scenario, r.Policy, r.Key, formatFloat(r.Value), formatInt(r.Seed),
+		r.Build,
+		formatFloat(r.Score), formatFloat(r.Offered), formatFloat(r.Served), formatInt(r.Asked),
+		formatInt(r.Tries), formatInt(r.Settled), formatInt(r.Late), formatInt(r.Declined),
+		formatInt(r.Voided), formatInt(r.Failed), formatInt(r.Lost), formatInt(r.Submissions), formatInt(r.Full),
+		formatFloat(r.OverUnits), formatInt(r.Messages),
+		formatInt(r.Events), formatFloat(r.Mean), formatFloat(r.P50), formatFloat(r.P99), formatFloat(r.P999)}
 	for rule := 1; rule <= 5; rule++ {
-		out = append(out, strconv.Itoa(r.Breaks[rule]))
+		fields = append(fields, strconv.Itoa(r.Breaks[rule]))
 	}
-	return append(out, strconv.Itoa(r.Falls), f(r.NearFall), f(emulator.Worst(r.Products).Share()),
-		f(emulator.Worst(r.Plans).Share()), f(r.Starved), d(r.CreditMessages), f(r.Lent), f(r.RepaidLate))
-}
-
-// whole writes a file beside its place and moves it there: what is stopped leaves none that passes for whole.
-func whole(path string, write func(io.Writer) error) (err error) {
-	f, err := os.CreateTemp(filepath.Dir(path), ".part-*")
-	if err != nil {
-		return err
-	}
-	defer func() {
-		if err != nil {
-			_ = os.Remove(f.Name())
-		}
-	}()
-	if err = errors.Join(write(f), f.Close()); err != nil {
-		return err
-	}
-	return os.Rename(f.Name(), path)
+	return append(fields, strconv.Itoa(r.Falls), formatFloat(r.NearFall),
+		formatFloat(emulator.Worst(r.Products).Share()),
+		formatFloat(emulator.Worst(r.Plans).Share()), formatFloat(r.Starved), formatInt(r.CreditMessages),
+		formatFloat(r.Lent), formatFloat(r.RepaidLate))
 }
 
 // WriteTable writes rows as CSV.
 func WriteTable(path string, rows []Row) error {
-	return whole(path, func(w io.Writer) error {
-		out := csv.NewWriter(w)
-		_ = out.Write(columns)
+	return writeFile(path, func(w io.Writer) error {
+		writer := csv.NewWriter(w)
+		_ = writer.Write(columns)
 		for i := range rows {
-			_ = out.Write(rows[i].fields())
+			_ = writer.Write(rows[i].csvFields())
 		}
-		out.Flush()
-		return out.Error()
+		writer.Flush()
+		return writer.Error()
 	})
 }
 
-// Table is a table as it was read: figures by what was played.
+// Table is a table as it was read.
 type Table struct {
 	Path string
-	Rows []Line
+	Rows []TableRow
 }
 
-// Line is one run of a table.
-type Line struct {
+// TableRow is one run of a table.
+type TableRow struct {
 	Experiment, Scenario, Policy, Key, Build string
 	Value                                    float64
 	Seed                                     int64
 	Figures                                  map[string]float64
 }
 
-// ReadTable reads a table. An error names file, line and column.
+// ReadTable reads a table, also an older one that lacks the last columns. An error names file, line and
+// column.
 func ReadTable(path string) (*Table, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	in := csv.NewReader(f)
-	t, has := &Table{Path: path}, 0
+	defer func() { _ = f.Close() }() // it was only read
+	reader := csv.NewReader(f)
+	table, columnCount := &Table{Path: path}, 0
 	for line := 1; ; line++ {
-		rec, err := in.Read()
+		record, err := reader.Read()
 		if errors.Is(err, io.EOF) {
-			if len(t.Rows) == 0 {
+			if len(table.Rows) == 0 {
 				return nil, fmt.Errorf("%s: there is no run in it", path)
 			}
-			return t, nil
+			return table, nil
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s: line %d: %w", path, line, err)
 		}
 		if line == 1 {
-			if has = len(rec); has < first || has > len(columns) {
-				return nil, fmt.Errorf("%s: line 1: there are %d columns, not %d to %d", path, has, first, len(columns))
-			}
-			for i, c := range rec {
-				if columns[i] != c {
-					return nil, fmt.Errorf("%s: line 1: column %d is %q, not %q", path, i+1, c, columns[i])
-				}
+			if err := checkHeader(record); err != nil {
+				return nil, fmt.Errorf("%s: line 1: %w", path, err)
 			}
+			columnCount = len(record)
 			continue
 		}
-		l := Line{Experiment: rec[0], Scenario: rec[1], Policy: rec[2], Key: rec[3], Build: rec[6],
-			Figures: map[string]float64{}}
-		number := func(i int) (v float64) {
-			v, e := strconv.ParseFloat(rec[i], 64)
-			if e != nil && err == nil {
-				err = fmt.Errorf("%s: line %d: %s: %q is no number", path, line, columns[i], rec[i])
-			}
-			return v
+		row, err := parseRow(record[:columnCount])
+		if err != nil {
+			return nil, fmt.Errorf("%s: line %d: %w", path, line, err)
 		}
-		l.Value, l.Seed = number(4), int64(number(5))
-		for i := figuresFrom; i < has; i++ {
-			l.Figures[columns[i]] = number(i)
+		table.Rows = append(table.Rows, row)
+	}
+}
+
+// checkHeader checks that a header has the columns, the last of which may be missing.
+func checkHeader(record []string) error {
+	if n := len(record); n < minColumns || n > len(columns) {
+		return fmt.Errorf("there are %d columns, not %d to %d", n, minColumns, len(columns))
+	}
+	for i, column := range record {
+		if columns[i] != column {
+			return fmt.Errorf("column %d is %q, not %q", i+1, column, columns[i])
 		}
-		if err != nil {
-			return nil, err
+	}
+	return nil
+}
+
+// parseRow parses a record. The error names the first column that is not a number.
+func parseRow(record []string) (TableRow, error) {
+	row := TableRow{Experiment: record[0], Scenario: record[1], Policy: record[2], Key: record[3],
+		Build:   record[6],
+		Figures: map[string]float64{}}
+	var err error
+	parse := func(i int) float64 {
+		value, parseErr := strconv.ParseFloat(record[i], 64)
+		if parseErr != nil && err == nil {
+			err = fmt.Errorf("%s: %q is not a number", columns[i], record[i])
 		}
-		t.Rows = append(t.Rows, l)
+		return value
+	}
+	row.Value, row.Seed = parse(4), int64(parse(5))
+	for i := firstFigure; i < len(record); i++ {
+		row.Figures[columns[i]] = parse(i)
 	}
+	return row, err
 }
 
-// WriteSeconds writes what became of each second of a run, for charts over time.
-func WriteSeconds(path string, r *emulator.Result) error {
-	return whole(path, func(w io.Writer) error {
-		out := csv.NewWriter(w)
-		_ = out.Write([]string{"second", "settled", "p99_ms", "most_ms"})
-		for _, s := range r.Seconds {
-			_ = out.Write([]string{strconv.Itoa(s.At), strconv.Itoa(s.Settled),
-				strconv.FormatFloat(s.P99, 'f', 3, 64), strconv.FormatFloat(s.Most, 'f', 3, 64)})
+// WriteSeconds writes the seconds of a run as CSV, for charts over time.
+func WriteSeconds(path string, result *emulator.Result) error {
+	return writeFile(path, func(w io.Writer) error {
+		writer := csv.NewWriter(w)
+		_ = writer.Write([]string{"second", "settled", "p99_ms", "most_ms"})
+		for _, second := range result.Seconds {
+			_ = writer.Write([]string{strconv.Itoa(second.At), strconv.Itoa(second.Settled),
+				strconv.FormatFloat(second.P99, 'f', 3, 64), strconv.FormatFloat(second.Most, 'f', 3, 64)})
 		}
-		out.Flush()
-		return out.Error()
+		writer.Flush()
+		return writer.Error()
 	})
 }
+
+// writeFile replaces a file: it writes a temporary file beside it and renames that, so that an interrupted
+// write leaves no partial file under the name.
+func writeFile(path string, write func(io.Writer) error) (err error) {
+	f, err := os.CreateTemp(filepath.Dir(path), ".part-*")
+	if err != nil {
+		return err
+	}
+	defer func() {
+		if err != nil {
+			_ = os.Remove(f.Name())
+		}
+	}()
+	if err = errors.Join(write(f), f.Close()); err != nil {
+		return err
+	}
+	return os.Rename(f.Name(), path)
+}
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -270,5 +270,5 @@
 	if len(lines) == 0 {
 		return fmt.Errorf("chart: it needs two sizes at least")
 	}
-	return experiment.Lines(t.run+" "+t.distribution, "gatekeepers", "", true, lines, path)
+	return experiment.DrawLines(t.run+" "+t.distribution, "gatekeepers", "", true, lines, path)
 }
