--- a/internal/lab/emulator/result.go
+++ b/internal/lab/emulator/result.go
@@ -13,37 +13,46 @@
 
 // Result is what became of one run.
 type Result struct {
-	Scenario, Policy string
-	Seed             int64
-	Score            float64 // value served, of what was offered within quotas
-	Offered, Served  float64 // values
-	Asked            int64   // txns that clients meant to send
-	Tries            int64   // with those that came again
-	Settled, Late    int64   // txns
-	Declined, Voided int64   // tries
-	Failed           int64   // txns given up by their clients
-	Lost, Crashed    int64   // tries that found no gatekeeper, and those of them that died with it
-	Recalled         int64   // customers of copies that returned gatekeepers went by
-	Silent           int64   // tries left by their clients while a gatekeeper stood still
-	Submissions      int64
-	Full             int64 // turned away by a worker
-	OverUnits        float64
-	OverCost         float64 // value that what passed beyond quotas costs
-	Messages         int64   // to peers, but for those of credit
-	CreditMessages   int64
-	Lent, RepaidLate float64 // units borrowed, and paid back after their time
-	Stray            int64   // decisions on txns that are not in hand
-	Events           int64
-	Mean             float64
-	P50, P99, P999   float64 // ms from the moment the client meant to send
-	Breaks           [6]int  // by rule
-	RefuseAll        int     // gatekeepers that turned away all that they got, 15 or more, for 4 s on end
-	Falls            int     // cold workers pushed over, whoever knew that they had started
-	NearFall         float64 // how near the one came to it that got the most for what it bears; 1 is there
-	Products, Plans  []Part  // of the value within quotas
-	Starved          float64 // part of that value, of customers who got under starvedAt of theirs
-	First            []invariants.Break
-	Seconds          []Second
+	Scenario       string             `json:"Scenario"`
+	Policy         string             `json:"Policy"`
+	Seed           int64              `json:"Seed"`
+	Score          float64            `json:"Score"`          // value served, as a fraction of the value offered within quotas
+	Offered        float64            `json:"Offered"`        // value, within quotas
+	Served         float64            `json:"Served"`         // value
+	Asked          int64              `json:"Asked"`          // transactions that clients meant to send
+	Tries          int64              `json:"Tries"`          // requests of clients, with retries
+	Settled        int64              `json:"Settled"`        // transactions
+	Late           int64              `json:"Late"`           // completed transactions that missed the latency target
+	Declined       int64              `json:"Declined"`       // requests
+	Voided         int64              `json:"Voided"`         // requests whose transaction may have run
+	Failed         int64              `json:"Failed"`         // transactions that their clients gave up
+	Lost           int64              `json:"Lost"`           // requests that found no instance, or died with it
+	Crashed        int64              `json:"Crashed"`        // those of them that died with it
+	Recalled       int64              `json:"Recalled"`       // customers restored from checkpoints by restarted instances
+	Silent         int64              `json:"Silent"`         // requests that timed out while an instance stalled
+	Submissions    int64              `json:"Submissions"`    // to workers
+	Full           int64              `json:"Full"`           // attempts that a worker rejected
+	OverUnits      float64            `json:"OverUnits"`      // units served beyond quotas
+	OverCost       float64            `json:"OverCost"`       // their cost in value
+	Messages       int64              `json:"Messages"`       // to peers, apart from borrowing
+	CreditMessages int64              `json:"CreditMessages"` // to peers, of borrowing
+	Lent           float64            `json:"Lent"`           // units borrowed
+	RepaidLate     float64            `json:"RepaidLate"`     // units repaid after their time
+	Stray          int64              `json:"Stray"`          // decisions on transactions that are not in flight
+	Events         int64              `json:"Events"`
+	Mean           float64            `json:"Mean"` // of the latency, from when the client meant to send
+	P50            float64            `json:"P50"`
+	P99            float64            `json:"P99"`
+	P999           float64            `json:"P999"`
+	Breaks         [6]int             `json:"Breaks"`    // violations by rule, 1 to 5
+	RefuseAll      int                `json:"RefuseAll"` // instances that rejected all requests, 15 or more, for 4 s
+	Falls          int                `json:"Falls"`     // cold workers that were overloaded, known as started or not
+	NearFall       float64            `json:"NearFall"`  // highest load of a cold worker, as a fraction of what overloads it
+	Products       []Part             `json:"Products"`  // of the value within quotas
+	Plans          []Part             `json:"Plans"`     // of the value within quotas
+	Starved        float64            `json:"Starved"`   // fraction of that value, of customers who got less than starvedAt of theirs
+	First          []invariants.Break `json:"First"`     // the first violations
+	Seconds        []Second           `json:"Seconds"`
 }
 
 // starvedAt is the part of what a customer asks within its quota under which it counts as starved.
@@ -51,9 +60,10 @@
 
 // Part is the value that was asked within quotas of one product or plan, and what was served of it in time.
 type Part struct {
-	Name            string
-	Asked           int64 // txns, beyond quotas too; of customers not counted
-	Offered, Served float64
+	Name    string  `json:"Name"`
+	Asked   int64   `json:"Asked"` // also beyond quotas; not counted for customers
+	Offered float64 `json:"Offered"`
+	Served  float64 `json:"Served"`
 }
 
 // Share is the part that was served; 1 where nothing was asked.
@@ -71,12 +81,16 @@
 
 // Second is what became of the txns that were meant to be sent in one second.
 type Second struct {
-	At, Settled     int
-	P99, Most       float64
-	Offered, Served float64   // values
-	Inside          float64   // of Served, what was within quotas, before what goes beyond them is paid for
-	Ran             []float64 // txns run in it, by hall of worker
-	hist            *hdrhistogram.Histogram
+	At      int       `json:"At"` // since the start
+	Settled int       `json:"Settled"`
+	P99     float64   `json:"P99"`     // of the latency
+	Most    float64   `json:"Most"`    // of the latency
+	Offered float64   `json:"Offered"` // value
+	Served  float64   `json:"Served"`  // value
+	Inside  float64   `json:"Inside"`  // of Served, what was within quotas, before the cost of what was beyond
+	Ran     []float64 `json:"Ran"`     // transactions that workers ran, by region
+
+	hist *hdrhistogram.Histogram // latency; nil after the run
 }
 
 func newResult(s *Scenario, seed int64) *Result {
--- a/internal/lab/emulator/scenario.go
+++ b/internal/lab/emulator/scenario.go
@@ -17,100 +17,123 @@
 	"willowdeck/internal/testkit/invariants"
 )
 
-// Scenario is a fleet, its customers and what happens to them, as a file says it. Times are in seconds or
-// ms, as the keys say.
+// Scenario is a fleet, its customers and what happens to them. Times are in seconds or milliseconds, as names and
+// keys say.
 type Scenario struct {
-	Name    string
-	Seconds float64
-	Policy  string // willowdeck, or a baseline: open, static, seer, late
-	Trace   string // a recorded trace that is played instead of the customers' own asking
-
-	Gatekeepers struct {
-		Count          int
-		Spread         int     // of a customer's set
-		MaxSubmissions int     `toml:"max_submissions"`
-		MayOverlap     bool    `toml:"may_overlap"`
-		PeerInPerS     float64 `toml:"peer_in_per_s"`
-		Talks          bool
-		StartMS        float64 `toml:"start_ms"` // from its start until it serves
-		Keeps          int     // what one that starts again knows of its former life: a sum of the Keep kinds
-	}
-	Products []struct {
-		Name     string
-		SLAMS    float64 `toml:"sla_ms"`
-		Value    float64
-		Late     float64 `toml:"late_share"`
-		Repeat   string
-		Group    string
-		WindowMS float64 `toml:"window_ms"`
-		Weight   float64
-		Work     float64 // of the workers' usual service time
-	}
-	Plans []struct {
-		Name         string
-		Customers    int
-		Rate, Burst  float64
-		Ceiling      float64
-		CeilingDepth float64 `toml:"ceiling_depth"`
-		Asks         float64 // of its rate
-		Factor       float64
-		Excess       float64 `toml:"excess_share"`
-		Fee          float64 `toml:"excess_fee"`
-		Units        float64
-		Spread       int     // of its customers' sets; 0 is as for all
-		Credit       float64 `toml:"credit_s"` // of its rate that may be borrowed
-		Repay        float64 `toml:"repay_s"`  // until that is paid back
-		Skew         float64 // how unevenly txns come through a set, by Zipf's law
-	}
-	Workers struct {
-		Count, Cores, Queue, Zones int
-		ServiceMS                  float64 `toml:"service_ms"`
-		Spread                     float64 // of the logarithm of the service time
-		Exponential                bool    // the service time is, and spread is not heeded
-		ColdFrom                   float64 `toml:"cold_from"`
-		WarmUpS                    float64 `toml:"warm_up_s"`
-		TipMultiple                float64 `toml:"tip_multiple"` // of what it can do, that a cold one falls beyond
-		TipMS                      float64 `toml:"tip_ms"`       // after so long; 0 in both: 3 times, 1,500 ms
-		DrainS                     float64 `toml:"drain_s"`      // from the word until a draining process is gone
-		GraceMS                    float64 `toml:"grace_ms"`
-	}
-	Network struct {
-		ClientMS float64 `toml:"client_ms"`
-		WorkerMS float64 `toml:"worker_ms"`
-		PeerMS   float64 `toml:"peer_ms"`
-		PeerLoss float64 `toml:"peer_loss"`
-		ListMS   float64 `toml:"list_ms"`   // within which news of the list reaches a gatekeeper
-		AcrossMS float64 `toml:"across_ms"` // more each way, between a gatekeeper and a worker of another hall
-	}
-	Clients struct {
-		Waits   float64 // of the SLA time
-		Retries int
-		BackMS  float64 `toml:"back_ms"` // the longest pause before one, where no time is advised
-	}
-	Shapes []shape
-	Faults []Fault
-
-	dir   string
-	blind bool // for tests: the host asks nothing of the list before it sends
+	Name    string  `toml:"name"`
+	Seconds float64 `toml:"seconds"` // in which transactions arrive
+	Policy  string  `toml:"policy"`  // one of Policies
+	Trace   string  `toml:"trace"`   // path of a recorded trace that replaces the generated arrivals
+
+	Gatekeepers GatekeeperSpec `toml:"gatekeepers"`
+	Products    []ProductSpec  `toml:"products"`
+	Plans       []PlanSpec     `toml:"plans"`
+	Workers     WorkerSpec     `toml:"workers"`
+	Network     NetworkSpec    `toml:"network"`
+	Clients     ClientSpec     `toml:"clients"`
+	Shapes      []shape        `toml:"shapes"`
+	Faults      []Fault        `toml:"faults"`
+
+	dir   string // folder of the file
+	blind bool   // for tests: the host does not check the endpoint list before it sends
+}
+
+// GatekeeperSpec describes the gateway instances.
+type GatekeeperSpec struct {
+	Count          int     `toml:"count"`
+	Spread         int     `toml:"spread"`          // instances of a customer's set
+	MaxSubmissions int     `toml:"max_submissions"` // of a transaction, to workers
+	MayOverlap     bool    `toml:"may_overlap"`
+	PeerInPerS     float64 `toml:"peer_in_per_s"` // messages that an instance receives from its peers
+	Talks          bool    `toml:"talks"`
+	StartMS        float64 `toml:"start_ms"` // from its start until it serves
+	Keeps          int     `toml:"keeps"`    // what a restarted one knows of its former incarnation: a sum of the Keep constants
+}
+
+// ProductSpec describes a product.
+type ProductSpec struct {
+	Name     string  `toml:"name"`
+	SLAMS    float64 `toml:"sla_ms"`
+	Value    float64 `toml:"value"`
+	Late     float64 `toml:"late_share"` // of Value, for what completes after the target
+	Repeat   string  `toml:"repeat"`     // inquiry, referenced or once
+	Group    string  `toml:"group"`      // workers among which a retry is deduplicated: all or zone
+	WindowMS float64 `toml:"window_ms"`  // in which it is
+	Weight   float64 `toml:"weight"`     // in the product mix
+	Work     float64 `toml:"work"`       // factor of the workers' mean service time
+}
+
+// PlanSpec describes a plan and its customers.
+type PlanSpec struct {
+	Name         string  `toml:"name"`
+	Customers    int     `toml:"customers"`
+	Rate         float64 `toml:"rate"`    // units a second of the quota
+	Burst        float64 `toml:"burst"`   // units
+	Ceiling      float64 `toml:"ceiling"` // units a second; 0 is no limit
+	CeilingDepth float64 `toml:"ceiling_depth"`
+	Asks         float64 `toml:"asks"` // units that customers ask for, as a factor of Rate
+	Factor       float64 `toml:"factor"`
+	Excess       float64 `toml:"excess_share"` // of the value, of what is served beyond the quota
+	Fee          float64 `toml:"excess_fee"`   // of the value, for what is served beyond the quota
+	Units        float64 `toml:"units"`        // of a transaction, at most
+	Spread       int     `toml:"spread"`       // instances of its customers' sets; 0 is GatekeeperSpec's
+	Credit       float64 `toml:"credit_s"`     // seconds of the rate that may be borrowed
+	Repay        float64 `toml:"repay_s"`      // until that is repaid
+	Skew         float64 `toml:"skew"`         // Zipf exponent of the load over a set
+}
+
+// WorkerSpec describes the workers.
+type WorkerSpec struct {
+	Count       int     `toml:"count"`
+	Cores       int     `toml:"cores"`
+	Queue       int     `toml:"queue"` // transactions that wait, at most
+	Zones       int     `toml:"zones"`
+	ServiceMS   float64 `toml:"service_ms"`   // median, or the mean of an exponential one
+	Spread      float64 `toml:"spread"`       // standard deviation of the logarithm of the service time
+	Exponential bool    `toml:"exponential"`  // service times are exponential, not lognormal
+	ColdFrom    float64 `toml:"cold_from"`    // capacity at the start, as a fraction
+	WarmUpS     float64 `toml:"warm_up_s"`    // until full capacity
+	TipMultiple float64 `toml:"tip_multiple"` // of its capacity, beyond which a cold worker fails; 0 is 3
+	TipMS       float64 `toml:"tip_ms"`       // for how long it bears that; 0 is 1,500
+	DrainS      float64 `toml:"drain_s"`      // from the start of draining until the process ends
+	GraceMS     float64 `toml:"grace_ms"`     // in which a draining worker may still be sent to
+}
+
+// NetworkSpec describes mean one-way delays and losses.
+type NetworkSpec struct {
+	ClientMS float64 `toml:"client_ms"`
+	WorkerMS float64 `toml:"worker_ms"`
+	PeerMS   float64 `toml:"peer_ms"`
+	PeerLoss float64 `toml:"peer_loss"` // fraction of peers' messages
+	ListMS   float64 `toml:"list_ms"`   // within which an update of the endpoint list reaches an instance
+	AcrossMS float64 `toml:"across_ms"` // added between an instance and a worker of different regions
+}
+
+// ClientSpec describes the clients.
+type ClientSpec struct {
+	Waits   float64 `toml:"waits"` // time-out, as a factor of the latency target
+	Retries int     `toml:"retries"`
+	BackMS  float64 `toml:"back_ms"` // longest backoff where the response advises none
 }
 
+// shape is a workload.Shape as a scenario states it.
 type shape struct {
-	Kind      string
+	Kind      string  `toml:"kind"`
 	FromS     float64 `toml:"from_s"`
 	ToS       float64 `toml:"to_s"`
-	Factor    float64
-	Plan      string
-	Customers int
+	Factor    float64 `toml:"factor"`
+	Plan      string  `toml:"plan"` // name; all plans where it is empty
+	Customers int     `toml:"customers"`
 }
 
 // Fault is something that goes wrong for a while.
 type Fault struct {
-	Kind   string
+	Kind   string  `toml:"kind"` // one of FaultKinds
 	FromS  float64 `toml:"from_s"`
 	ToS    float64 `toml:"to_s"`
-	Part   float64 // of the workers or gatekeepers, rounded up
-	Factor float64 // slow: of the time; fail, lose: of the txns
-	Halls  []int   // hall, keepers, links: which; others: their workers or gatekeepers alone, in place of part
+	Part   float64 `toml:"part"`   // of the workers or instances, rounded up
+	Factor float64 `toml:"factor"` // slow: of the service time; fail, lose: fraction of the transactions
+	Halls  []int   `toml:"halls"`  // the lost regions; for other kinds those affected, in place of Part
 }
 
 // FaultKinds are the faults there are, and what they do.
