--- a/internal/gateway/transport/listener_test.go
+++ b/internal/gateway/transport/listener_test.go
@@ -53,7 +53,7 @@
 	first := <-accepted
 	first.(*clientConn).headReceived()
 	first.(*clientConn).requestReceived()
-	setIdleFor(first, 10*policy.IdleLong)
+	setIdleFor(first, 10*policy.EvictIdleClientMillis)
 	dial()
 	expectAccepted("a request is in flight", false)
 	first.Close()
@@ -61,7 +61,7 @@
 	second := expectAccepted("a place is free", true)
 	dial()
 	expectAccepted("the other has just come", false)
-	setIdleFor(second, 2*policy.Unproven)
+	setIdleFor(second, 2*policy.EvictNewClientMillis)
 	third := expectAccepted("the other has long sent no complete request", true)
 	if second.(*clientConn).headReceived() {
 		t.Error("a request is accepted on a connection that was ended")
@@ -70,9 +70,9 @@
 	third.(*clientConn).requestReceived()
 	third.(*clientConn).answered(false)
 	dial()
-	setIdleFor(third, 2*policy.Unproven)
+	setIdleFor(third, 2*policy.EvictNewClientMillis)
 	expectAccepted("the other was in use just now", false)
-	setIdleFor(third, 2*policy.IdleLong)
+	setIdleFor(third, 2*policy.EvictIdleClientMillis)
 	expectAccepted("the other asks nothing", true)
 	if listener.Evicted() != 2 {
 		t.Errorf("%d were evicted, want 2", listener.Evicted())
@@ -93,7 +93,7 @@
 	}()
 	time.Sleep(20 * time.Millisecond)
 	start := time.Now()
-	if !last.tryEnd(stateNew) || time.Since(start) > Millis(policy.Linger/2) {
+	if !last.tryEnd(stateNew) || time.Since(start) > Millis(policy.LingerTimeoutMillis/2) {
 		t.Errorf("ended after %v", time.Since(start))
 	}
 	<-closed
@@ -115,8 +115,8 @@
 		{"idle", stateIdle, 50, false, 10, true},
 		{"idle for too short", stateIdle, 50, false, 200, false},
 		{"idle, a request unread", stateIdle, 50, true, 10, false},
-		{"new", stateNew, policy.Unproven / 2, false, 10, false},
-		{"new, and nothing came", stateNew, 2 * policy.Unproven, false, 10, true},
+		{"new", stateNew, policy.EvictNewClientMillis / 2, false, 10, false},
+		{"new, and nothing came", stateNew, 2 * policy.EvictNewClientMillis, false, 10, true},
 		{"a request is being read", stateReadingNext, 1000, false, 10, false},
 		{"a request is in flight", stateServing, 1000, false, 10, false},
 	} {
@@ -190,7 +190,7 @@
 				t.Fatal("one that waited is not served")
 			}
 		}
-		time.Sleep(3 * Millis(policy.AcceptAgain)) // a request
+		time.Sleep(3 * Millis(policy.AcceptRetryMillis)) // a request
 		_ = conn.Close()
 	}
 	<-drained
@@ -205,8 +205,8 @@
 		proven bool
 		closes bool
 	}{
-		{"many places left", limit * policy.CrowdedAt, false, false},
-		{"scarce", limit*policy.CrowdedAt + 1, false, true},
+		{"many places left", limit * policy.KeepAliveClientFraction, false, false},
+		{"scarce", limit*policy.KeepAliveClientFraction + 1, false, true},
 		{"scarce, and it goes on asking", limit, true, false},
 	}
 	for _, tc := range cases {
--- a/internal/gateway/transport/peers_test.go
+++ b/internal/gateway/transport/peers_test.go
@@ -34,7 +34,7 @@
 	defer peers.Close()
 	received := make(chan int, 9)
 	go peers.Receive(func(from int, reports []policy.Report, _ bool) { received <- 10*from + len(reports) })
-	valid := gossip.Append(nil, []policy.Report{{Customer: 7, Demand: 3}})
+	valid := gossip.Append(nil, []policy.Report{{Customer: 7, DemandPerSecond: 3}})
 	to := net.UDPAddrFromAddrPort(selfAt)
 	stranger.WriteTo(valid, to)
 	peers.Send(0, valid) // itself
@@ -83,7 +83,7 @@
 	shortest := gossip.Append(nil, make([]policy.Report, MaxReportsPerMessage))
 	full := gossip.Append(
 		nil,
-		slices.Repeat([]policy.Report{{Customer: 7, Demand: 3, Known: 2, Spent: 1}}, MaxReportsPerMessage),
+		slices.Repeat([]policy.Report{{Customer: 7, DemandPerSecond: 3, PreviousDemandPerSecond: 2, SpentUnits: 1}}, MaxReportsPerMessage),
 	)
 	if len(full)+identityBytes > gossip.MaxMessageBytes || len(full)+identityBytes < gossip.MaxMessageBytes-16 {
 		t.Errorf("a full message has %d bytes", len(full)+identityBytes)
