--- a/cmd/willowdeck-lab/fleet.go
+++ b/cmd/willowdeck-lab/fleet.go
@@ -41,7 +41,7 @@
 	var entries []fakes.Entry
 	for i := range s.Workers.Count {
 		w, err := fakes.NewWorker(fmt.Sprintf("w%d", i),
-			time.Duration(s.Workers.ServiceMS*float64(time.Millisecond)))
+			time.Duration(s.Workers.ServiceMillis*float64(time.Millisecond)))
 		if err != nil {
 			return nil, err
 		}
@@ -69,20 +69,25 @@
 	var classes, tariffs []map[string]any
 	largest := 1.0
 	for _, p := range s.Products {
-		classes = append(classes, map[string]any{"name": p.Name, "aim_us": p.SLAMS * 1000, "worth": p.Value,
-			"late_share": p.Late, "effect": effects[p.Repeat], "group": p.Group, "window_us": p.WindowMS * 1000})
+		classes = append(classes, map[string]any{"name": p.Name, "aim_us": p.LatencyTargetMillis * 1000,
+			"worth":      p.Value,
+			"late_share": p.LateValueFraction, "effect": effects[p.Idempotency], "group": p.DedupScope,
+			"window_us": p.DedupWindowMillis * 1000})
 	}
 	for _, p := range s.Plans {
-		largest = max(largest, p.Units)
-		tariffs = append(tariffs, map[string]any{"name": p.Name, "rate": p.Rate, "most_at_once": p.Burst,
-			"hard_rate": p.Ceiling, "cap_depth": p.CeilingDepth, "worth_factor": p.Factor, "excess_worth": p.Excess,
-			"over_cost": p.Fee})
+		largest = max(largest, p.MaxUnits)
+		tariffs = append(tariffs, map[string]any{"name": p.Name, "rate": p.QuotaPerSecond,
+			"most_at_once": p.QuotaBurst,
+			"hard_rate":    p.RateLimitPerSecond, "cap_depth": p.RateLimitBurst, "worth_factor": p.ValueFactor,
+			"excess_worth": p.ExcessValueFraction,
+			"over_cost":    p.ExcessCostFraction})
 	}
 	return map[string]any{"me": 0, "balancers": 1, "classes": classes, "tariffs": tariffs,
-		"allowed": map[string]any{"max_attempts": s.Gatekeepers.MaxSubmissions, "cancel": true, "retry_after": true,
+		"allowed": map[string]any{"max_attempts": s.Gatekeepers.MaxAttempts, "cancel": true, "retry_after": true,
 			"max_retry_after_us": 10e6, "keepalive_us": 10e6, "connect_timeout_us": 250e3},
 		"family_info": map[string]any{"largest": largest},
-		"safety": map[string]any{"cold_from": s.Workers.ColdFrom, "warm_up_us": s.Workers.WarmUpS * 1e6,
+		"safety": map[string]any{"cold_from": s.Workers.ColdCapacityFraction,
+			"warm_up_us":      s.Workers.WarmUpSeconds * 1e6,
 			"answer_slack_us": 8000},
 		"score_parts": map[string]any{"whole": 1}}
 }
--- a/cmd/willowdeck-lab/forward.go
+++ b/cmd/willowdeck-lab/forward.go
@@ -163,8 +163,8 @@
 		MaxInFlight: 4000,
 		Seed:        seed, CredentialHeader: "Authorization"}
 	for _, p := range s.Products {
-		j.Products = append(j.Products, loadgen.Product{Name: p.Name, Idempotency: p.Repeat, BodyBytes: 100,
-			Timeout: time.Duration(p.SLAMS * s.Clients.Waits * float64(time.Millisecond))})
+		j.Products = append(j.Products, loadgen.Product{Name: p.Name, Idempotency: p.Idempotency, BodyBytes: 100,
+			Timeout: time.Duration(p.LatencyTargetMillis * s.Clients.TimeoutFactor * float64(time.Millisecond))})
 	}
 	if a.stalls {
 		at := time.Duration((s.Seconds - stallS) / 2 * float64(time.Second))
@@ -214,23 +214,23 @@
 			continue
 		}
 		a := &arrivals[i]
-		if got.Ran && s.Products[a.Product].Repeat == "once" {
+		if got.Ran && s.Products[a.Product].Idempotency == "once" {
 			if runs[got.ID]++; runs[got.ID] == 2 {
 				twice++
 			}
 		}
-		if p := s.Plans[a.Plan]; p.Ceiling > 0 && !first[got.ID] {
+		if p := s.Plans[a.Plan]; p.RateLimitPerSecond > 0 && !first[got.ID] {
 			first[got.ID] = true
 			by[a.Plan<<32|int(a.Customer)] = append(by[a.Plan<<32|int(a.Customer)], drawn{got.At, a.Units})
 		}
 	}
 	for key, all := range by {
 		p := s.Plans[key>>32]
-		level, last := p.CeilingDepth, all[0].at
+		level, last := p.RateLimitBurst, all[0].at
 		for _, d := range all {
-			level = min(level+p.Ceiling*d.at.Sub(last).Seconds(), p.CeilingDepth) - d.units
+			level = min(level+p.RateLimitPerSecond*d.at.Sub(last).Seconds(), p.RateLimitBurst) - d.units
 			last = d.at
-			beyond = max(beyond, -level-p.Ceiling*shift.Seconds())
+			beyond = max(beyond, -level-p.RateLimitPerSecond*shift.Seconds())
 		}
 	}
 	return twice, beyond
--- a/cmd/willowdeck-lab/main.go
+++ b/cmd/willowdeck-lab/main.go
@@ -130,16 +130,17 @@
 	start := time.Now()
 	rows, err := x.Run(ctx, c.Int("cores"), func(r experiment.Row) {
 		e := log.Info().Str("policy", r.Policy).Int64("seed", r.Seed).Float64("score", r.Score).
-			Int64("asked", r.Asked).Int64("settled", r.Settled).Float64("p50_ms", r.P50).Float64("p99_ms", r.P99).
-			Float64("near_fall", r.NearFall).Float64("starved", r.Starved)
-		for _, p := range []emulator.Part{emulator.Worst(r.Products), emulator.Worst(r.Plans)} {
-			e = e.Float64("served_of_"+p.Name, p.Share())
+			Int64("asked", r.Transactions).Int64("settled", r.Completed).Float64("p50_ms",
+			r.P50Millis).Float64("p99_ms", r.P99Millis).
+			Float64("near_fall", r.HighestColdLoad).Float64("starved", r.StarvedFraction)
+		for _, p := range []emulator.Segment{emulator.WorstServed(r.Products), emulator.WorstServed(r.Plans)} {
+			e = e.Float64("served_of_"+p.Name, p.ServedShare())
 		}
 		if r.Key != "" {
 			e = e.Float64(r.Key, r.Value)
 		}
 		e.Msg("played")
-		for _, b := range r.First[:min(len(r.First), 3)] {
+		for _, b := range r.FirstViolations[:min(len(r.FirstViolations), 3)] {
 			log.Warn().Str("policy", r.Policy).Int64("seed", r.Seed).Msg(b.String())
 		}
 	})
@@ -149,7 +150,7 @@
 	var events int64
 	broken := 0
 	for _, r := range rows {
-		if events += r.Events; r.Policy == "willowdeck" && r.Breaks != [6]int{} {
+		if events += r.Events; r.Policy == "willowdeck" && r.Violations != [6]int{} {
 			broken++
 		}
 	}
@@ -279,11 +280,11 @@
 	plans, _ := names(s)
 	j := &loadgen.Load{Arrivals: all, Targets: c.StringSlice("target"), Plans: plans, MaxInFlight: c.Int("most"),
 		ClosedLoopClients: c.Int("closed"), Seed: int64(c.Int("seed")), CredentialHeader: c.String("credential")}
-	j.SetSize = min(s.Gatekeepers.Spread, len(j.Targets))
+	j.SetSize = min(s.Gatekeepers.SetSize, len(j.Targets))
 	for _, p := range s.Products {
-		j.Products = append(j.Products, loadgen.Product{Name: p.Name, Idempotency: p.Repeat,
+		j.Products = append(j.Products, loadgen.Product{Name: p.Name, Idempotency: p.Idempotency,
 			BodyBytes: c.Int("body"),
-			Timeout:   time.Duration(p.SLAMS * s.Clients.Waits * float64(time.Millisecond))})
+			Timeout:   time.Duration(p.LatencyTargetMillis * s.Clients.TimeoutFactor * float64(time.Millisecond))})
 	}
 	r, err := j.Run(ctx)
 	if err != nil {
--- a/cmd/willowdeck-lab/main_test.go
+++ b/cmd/willowdeck-lab/main_test.go
@@ -46,8 +46,9 @@
 	j := &loadgen.Load{Arrivals: all, Targets: []string{g.At}, SetSize: 1, Plans: plans, MaxInFlight: 1000,
 		Seed: 3}
 	for i, p := range s.Products {
-		j.Products = append(j.Products, loadgen.Product{Name: products[i], Idempotency: p.Repeat, BodyBytes: 50,
-			Timeout: time.Duration(p.SLAMS * 2 * float64(time.Millisecond))})
+		j.Products = append(j.Products, loadgen.Product{Name: products[i], Idempotency: p.Idempotency,
+			BodyBytes: 50,
+			Timeout:   time.Duration(p.LatencyTargetMillis * 2 * float64(time.Millisecond))})
 	}
 	r, err := j.Run(context.Background())
 	if err != nil {
@@ -136,7 +137,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Seconds, s.Shapes[0].FromS = 3, 0.5
+	s.Seconds, s.Shapes[0].FromSeconds = 3, 0.5
 	start := func(conf []byte, file string) (*gatekeeper, error) {
 		c, err := config.Decode(conf, func(string) string { return "" })
 		if err != nil {
--- a/internal/lab/emulator/baseline.go
+++ b/internal/lab/emulator/baseline.go
@@ -7,179 +7,185 @@
 	"willowdeck/internal/policy"
 )
 
-// newBrain makes what decides at an instance.
-func (w *world) newBrain(num int, seed int64) brain {
-	var b brain
-	if w.s.Policy == "willowdeck" || w.s.Policy == "deep" {
-		b = policy.New(w.s.charter(num), seed)
-	} else {
-		b = &baseline{w: w, num: num, rng: rand.New(rand.NewSource(seed)), txns: map[uint64]*plain{},
-			slices: map[int]*bucket{}, caps: map[int]*bucket{}}
-	}
-	if w.wrap != nil {
-		b = w.wrap(num, b)
-	}
-	return b
-}
-
-// baseline is a policy to compare with: one submission a txn, and no talk. It is not meant to run anywhere.
+// baseline is a policy to compare with: one attempt for each transaction, and no gossip. It only runs here.
 type baseline struct {
-	w      *world
-	num    int
-	rng    *rand.Rand
-	now    float64
-	list   []policy.Endpoint
-	txns   map[uint64]*plain
-	due    []policy.Decision
-	slices map[int]*bucket // by customer
-	caps   map[int]*bucket
+	sim              *simulation
+	index            int
+	rng              *rand.Rand
+	nowMillis        float64
+	endpoints        []policy.Endpoint
+	txns             map[uint64]*baselineTransaction
+	decisions        []policy.Decision
+	staticQuotas     map[int]*tokenBucket // by customer, like staticRateLimits
+	staticRateLimits map[int]*tokenBucket
 }
 
-type plain struct {
-	a      policy.Request
-	expiry float64
-	subs   int
+// baselineTransaction is a transaction of a baseline.
+type baselineTransaction struct {
+	request        policy.Request
+	deadlineMillis float64
+	attempts       int
 }
 
-func (b *baseline) AdvanceTo(now float64)               { b.now = now }
+// AdvanceTo sets the time.
+func (b *baseline) AdvanceTo(now float64) { b.nowMillis = now }
+
+// ReceiveReports ignores a peer's reports.
 func (b *baseline) ReceiveReports(int, []policy.Report) {}
-func (b *baseline) ClientGone(id uint64)                { delete(b.txns, id) }
+
+// ClientGone forgets a transaction.
+func (b *baseline) ClientGone(id uint64) { delete(b.txns, id) }
+
+// NextDecision returns the next decision.
 func (b *baseline) NextDecision() (policy.Decision, bool) {
-	if len(b.due) == 0 {
+	if len(b.decisions) == 0 {
 		return policy.Decision{}, false
 	}
-	d := b.due[0]
-	b.due = b.due[1:]
+	d := b.decisions[0]
+	b.decisions = b.decisions[1:]
 	return d, true
 }
 
+// UpdateEndpoints replaces the endpoint list, or some of its entries.
 func (b *baseline) UpdateEndpoints(list []policy.Endpoint, partial bool) {
 	if !partial {
-		b.list = append([]policy.Endpoint(nil), list...)
+		b.endpoints = append([]policy.Endpoint(nil), list...)
 		return
 	}
 	for _, p := range list {
-		for i := range b.list {
-			if b.list[i].Worker == p.Worker {
-				b.list[i] = p
+		for i := range b.endpoints {
+			if b.endpoints[i].Worker == p.Worker {
+				b.endpoints[i] = p
 			}
 		}
 	}
 }
 
+// AddRequest decides on a new transaction.
 func (b *baseline) AddRequest(a policy.Request) {
-	t := &plain{a: a, expiry: b.now + a.TimeLeftMillis}
-	b.txns[a.ID] = t
-	if wait, ok := b.admits(a); !ok {
-		b.final(t, policy.Reject, wait)
+	transaction := &baselineTransaction{request: a, deadlineMillis: b.nowMillis + a.TimeLeftMillis}
+	b.txns[a.ID] = transaction
+	if wait, ok := b.admit(a); !ok {
+		b.finish(transaction, policy.Reject, wait)
 		return
 	}
-	if x := b.choose(a); x >= 0 {
-		b.submit(t, x)
+	if x := b.chooseWorker(a); x >= 0 {
+		b.submit(transaction, x)
 		return
 	}
-	b.final(t, policy.Reject, 100)
+	b.finish(transaction, policy.Reject, 100)
 }
 
-func (b *baseline) submit(t *plain, x int) {
-	b.due = append(b.due, policy.Decision{Kind: policy.Submit, RequestID: t.a.ID, Worker: x, Attempt: t.subs,
-		WaitMillis: t.expiry - b.now - 1})
-	t.subs++
+// submit decides on an attempt.
+func (b *baseline) submit(transaction *baselineTransaction, worker int) {
+	b.decisions = append(b.decisions, policy.Decision{Kind: policy.Submit, RequestID: transaction.request.ID,
+		Worker: worker, Attempt: transaction.attempts,
+		WaitMillis: transaction.deadlineMillis - b.nowMillis - 1})
+	transaction.attempts++
 }
 
-func (b *baseline) final(t *plain, k policy.DecisionKind, wait float64) {
-	b.due = append(b.due, policy.Decision{Kind: k, RequestID: t.a.ID, WaitMillis: wait})
-	delete(b.txns, t.a.ID)
+// finish decides on a transaction's response.
+func (b *baseline) finish(transaction *baselineTransaction, kind policy.DecisionKind, waitMillis float64) {
+	b.decisions = append(b.decisions, policy.Decision{Kind: kind, RequestID: transaction.request.ID,
+		WaitMillis: waitMillis})
+	delete(b.txns, transaction.request.ID)
 }
 
+// AttemptEnded decides after an attempt: one that certainly did not run is retried by the policies that see
+// the state.
 func (b *baseline) AttemptEnded(id uint64, _ int, o policy.Outcome, _ float64, closed bool) {
-	t := b.txns[id]
-	if t == nil || closed || o == policy.Succeeded {
+	transaction := b.txns[id]
+	if transaction == nil || closed || o == policy.Succeeded {
 		delete(b.txns, id)
 		return
 	}
 	never := o == policy.ConnectFailed || o == policy.NotSent || o == policy.Overloaded
-	again := b.w.s.Policy == "seer" || b.w.s.Policy == "late"
-	if never && again && t.expiry-b.now > 5 && t.subs < b.w.s.Gatekeepers.MaxSubmissions {
-		if x := b.choose(t.a); x >= 0 {
-			b.submit(t, x)
+	again := b.sim.scenario.Policy == "seer" || b.sim.scenario.Policy == "late"
+	if never && again && transaction.deadlineMillis-b.nowMillis > 5 &&
+		transaction.attempts < b.sim.scenario.Gatekeepers.MaxAttempts {
+		if x := b.chooseWorker(transaction.request); x >= 0 {
+			b.submit(transaction, x)
 			return
 		}
 	}
-	if never || b.w.s.Products[t.a.Product].Repeat == "inquiry" {
-		b.final(t, policy.Reject, 0)
+	if never || b.sim.scenario.Products[transaction.request.Product].Idempotency == "inquiry" {
+		b.finish(transaction, policy.Reject, 0)
 		return
 	}
-	b.final(t, policy.RejectUncertain, 0)
+	b.finish(transaction, policy.RejectUncertain, 0)
 }
 
-// admits tells whether a quota, and a ceiling, have the units, as far as the policy sees them.
-func (b *baseline) admits(a policy.Request) (wait float64, ok bool) {
-	p, parts := &b.w.s.Plans[a.Plan], 1.0
-	stores, caps := b.w.seen, b.w.truth
-	switch b.w.s.Policy {
+// admit takes the units from quota and rate limit, as far as the policy sees them, or returns how long to
+// wait.
+func (b *baseline) admit(a policy.Request) (waitMillis float64, ok bool) {
+	p, instances := &b.sim.scenario.Plans[a.Plan], 1.0
+	quotas, rateLimits := b.sim.quotas, b.sim.rateLimits
+	switch b.sim.scenario.Policy {
 	case "open":
 		return 0, true
 	case "static":
-		parts, stores, caps = float64(max(a.SetSize, 1)), b.slices, b.caps
-	}
-	c := int(a.Customer)
-	holds := math.Max(p.Burst/parts, b.w.s.largest()) + p.Credit*p.Rate/parts
-	s := stores[c]
-	if s == nil {
-		s = &bucket{level: holds, at: b.now}
-		stores[c] = s
-	}
-	if p.Ceiling > 0 {
-		m := caps[c]
-		if m == nil { // a life before this one may have spent its part
-			m = &bucket{at: b.now}
-			if parts == 1 {
-				m.level = p.CeilingDepth
+		instances, quotas, rateLimits = float64(max(a.SetSize, 1)), b.staticQuotas, b.staticRateLimits
+	}
+	customer := int(a.Customer)
+	depth := math.Max(p.QuotaBurst/instances, b.sim.scenario.maxUnits()) +
+		p.CreditSeconds*p.QuotaPerSecond/instances
+	quota := quotas[customer]
+	if quota == nil {
+		quota = &tokenBucket{tokens: depth, filledAtMillis: b.nowMillis}
+		quotas[customer] = quota
+	}
+	if p.RateLimitPerSecond > 0 {
+		rateLimit := rateLimits[customer]
+		if rateLimit == nil { // a former incarnation may have used its share
+			rateLimit = &tokenBucket{filledAtMillis: b.nowMillis}
+			if instances == 1 {
+				rateLimit.tokens = p.RateLimitBurst
 			}
-			caps[c] = m
+			rateLimits[customer] = rateLimit
 		}
-		if !m.take(b.now, p.Ceiling/parts, p.CeilingDepth/parts, a.Units) {
-			return (a.Units - m.level) / p.Ceiling * parts * 1000, false
+		if !rateLimit.take(b.nowMillis, p.RateLimitPerSecond/instances, p.RateLimitBurst/instances, a.Units) {
+			return (a.Units - rateLimit.tokens) / p.RateLimitPerSecond * instances * 1000, false
 		}
 	}
-	if b.w.s.Policy == "late" {
-		return b.w.sees().admits(b.num, c, p.Rate, holds, a.Units)
+	if b.sim.scenario.Policy == "late" {
+		return b.sim.viewLate().admit(b.index, customer, p.QuotaPerSecond, depth, a.Units)
 	}
-	if !s.take(b.now, p.Rate/parts, holds, a.Units) {
-		return (a.Units - s.level) / p.Rate * parts * 1000, false
+	if !quota.take(b.nowMillis, p.QuotaPerSecond/instances, depth, a.Units) {
+		return (a.Units - quota.tokens) / p.QuotaPerSecond * instances * 1000, false
 	}
 	return 0, true
 }
 
-// choose picks a worker: a random one of the list, or for the policy that sees all the one that would be done
-// first and is not cold.
-func (b *baseline) choose(policy.Request) int {
-	if b.w.s.Policy == "late" {
-		return b.w.sees().choose(b)
+// chooseWorker returns a random active worker, or for the policy that sees the true state the one with the
+// lowest cost that is not cold; -1 where there is none.
+func (b *baseline) chooseWorker(policy.Request) int {
+	if b.sim.scenario.Policy == "late" {
+		return b.sim.viewLate().chooseWorker(b)
 	}
-	if b.w.s.Policy != "seer" {
+	if b.sim.scenario.Policy != "seer" {
 		n := 0
-		pick := -1
-		for _, p := range b.list {
+		picked := -1
+		for _, p := range b.endpoints {
 			if p.Active {
 				if n++; b.rng.Intn(n) == 0 {
-					pick = p.Worker
+					picked = p.Worker
 				}
 			}
 		}
-		return pick
-	}
-	best, least, from := -1, math.Inf(1), b.rng.Intn(len(b.w.workers))
-	for i := range b.w.workers {
-		x := b.w.workers[(i+from)%len(b.w.workers)]
-		told := b.w.gks[b.num].told[x.at]
-		if !x.listed() || x.silent || x.warmth() < 1 || !told.active || told.life != x.life {
+		return picked
+	}
+	best, leastCost, offset := -1, math.Inf(1), b.rng.Intn(len(b.sim.workers))
+	for i := range b.sim.workers {
+		candidate := b.sim.workers[(i+offset)%len(b.sim.workers)]
+		view := b.sim.gatekeepers[b.index].endpoints[candidate.index]
+		if !candidate.active() || candidate.unresponsive || candidate.capacityFraction() < 1 || !view.active ||
+			view.incarnation != candidate.incarnation {
 			continue
 		}
-		cost := (float64(x.busy+len(x.waiting)+x.coming) + 1) * x.slow * (1 + 20*x.fails + 20*x.loses)
-		if cost < least {
-			best, least = x.at, cost
+		cost := (float64(candidate.busyCores+len(candidate.queue)+candidate.inbound) +
+			1) * candidate.slowFactor * (1 + 20*candidate.failureRate + 20*candidate.lossRate)
+		if cost < leastCost {
+			best, leastCost = candidate.index, cost
 		}
 	}
 	return best
--- a/internal/lab/emulator/emu_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -14,71 +14,71 @@
 	"willowdeck/internal/policy"
 )
 
-func small(t testing.TB) *Scenario {
-	t.Helper()
+func smallScenario(tb testing.TB) *Scenario {
+	tb.Helper()
 	s, err := Read("../../../scenarios/small.toml")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return s
 }
 
-func play(t testing.TB, s *Scenario, seed int64, wrap func(int, brain) brain) *Result {
-	t.Helper()
-	r, err := run(context.Background(), s, seed, wrap)
+func play(tb testing.TB, s *Scenario, seed int64, wrap func(int, decider) decider) *Result {
+	tb.Helper()
+	r, err := runWrapped(context.Background(), s, seed, wrap)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return r
 }
 
-// Every fault, under a surge: the module keeps the five rules, and every txn comes to an end.
-func TestFaults(t *testing.T) {
+// Under every fault and a surge the policy keeps the five rules, and every transaction ends.
+func TestInvariantsHoldUnderEachFault(t *testing.T) {
 	for kind := range FaultKinds {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			s := small(t)
-			s.Faults = []Fault{{Kind: kind, FromS: 5, ToS: 10, Part: 0.4, Factor: 0.5}}
+			s := smallScenario(t)
+			s.Faults = []Fault{{Kind: kind, FromSeconds: 5, ToSeconds: 10, Fraction: 0.4, Factor: 0.5}}
 			if kind == "slow" {
 				s.Faults[0].Factor = 5
 			}
 			if kind == "hall" || kind == "keepers" || kind == "links" {
-				s.Workers.Zones, s.Faults[0].Part, s.Faults[0].Halls = 3, 0, []int{1}
+				s.Workers.Zones, s.Faults[0].Fraction, s.Faults[0].Regions = 3, 0, []int{1}
 			}
-			s.Shapes = []shape{{Kind: "surge", FromS: 3, ToS: 18, Factor: 2}}
+			s.Shapes = []ShapeSpec{{Kind: "surge", FromSeconds: 3, ToSeconds: 18, Factor: 2}}
 			r := play(t, s, 3, nil)
-			if r.Breaks != [6]int{} {
-				t.Errorf("broken %v, first %v", r.Breaks, r.First[0])
+			if r.Violations != [6]int{} {
+				t.Errorf("violations %v, first %v", r.Violations, r.FirstViolations[0])
 			}
-			if r.Settled+r.Failed != r.Asked {
-				t.Errorf("%d settled and %d given up, of %d", r.Settled, r.Failed, r.Asked)
+			if r.Completed+r.Abandoned != r.Transactions {
+				t.Errorf("%d completed and %d abandoned, of %d", r.Completed, r.Abandoned, r.Transactions)
 			}
-			if r.Score < 0.5 || r.Settled < 3000 {
-				t.Errorf("score %.3f, %d settled", r.Score, r.Settled)
+			if r.Score < 0.5 || r.Completed < 3000 {
+				t.Errorf("score %.3f, %d completed", r.Score, r.Completed)
 			}
 		})
 	}
 }
 
-// Guards against clocks that begin at nought, which the module takes for never: gatekeepers that died in the
-// emulator were not found silent, and no score said what their quotas' parts cost until they are given up. A
-// hall's loss takes its workers and gatekeepers and no others, and they come back.
-func TestLostHall(t *testing.T) {
+// Guards against clocks that begin at zero, which the policy takes for "never": instances that died in the
+// emulator were not found silent, and no score showed the cost of their quota shares until those are
+// reassigned. The loss of a region takes its workers and instances and no others, and they come back.
+func TestLostRegion(t *testing.T) {
 	s, err := Read("../../../scenarios/halls20.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Faults = []Fault{{Kind: "hall", FromS: 2, ToS: 9, Halls: []int{1}}}
+	s.Faults = []Fault{{Kind: "hall", FromSeconds: 2, ToSeconds: 9, Regions: []int{1}}}
 	s.Seconds = 11
-	r, words, err := RunWords(t.Context(), s, 1, 6)
+	r, words, err := RunReports(t.Context(), s, 1, 6)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.Breaks != [6]int{} {
-		t.Errorf("broken %v, first %v", r.Breaks, r.First[0])
+	if r.Violations != [6]int{} {
+		t.Errorf("violations %v, first %v", r.Violations, r.FirstViolations[0])
 	}
 	if len(words) != 13 {
-		t.Fatalf("%d gatekeepers speak while seven of twenty are lost", len(words))
+		t.Fatalf("%d gatekeepers report while seven of twenty are lost", len(words))
 	}
 	for _, w := range words {
 		if err := w.Check(); err != nil {
@@ -89,151 +89,156 @@
 		}
 	}
 	for i, second := range r.Seconds {
-		if lost := i >= 3 && i < 9; lost != (len(second.Ran) < 2 || second.Ran[1] == 0) && i != 2 && i != 9 {
-			t.Errorf("second %d: runs by hall %v", i, second.Ran)
+		if lost := i >= 3 && i < 9; lost != (len(second.RunsByRegion) < 2 || second.RunsByRegion[1] == 0) &&
+			i != 2 && i != 9 {
+			t.Errorf("second %d: runs by region %v", i, second.RunsByRegion)
 		}
 	}
-	s.Faults = []Fault{{Kind: "hall", FromS: 2, ToS: 9, Part: 0.3}}
+	s.Faults = []Fault{{Kind: "hall", FromSeconds: 2, ToSeconds: 9, Fraction: 0.3}}
 	if err := s.Set("seconds", 11); err == nil || !strings.Contains(err.Error(), "faults[0].halls") {
-		t.Errorf("a lost hall that is not named: %v", err)
+		t.Errorf("a lost region that is not named: %v", err)
 	}
-	s.Faults = []Fault{{Kind: "links", FromS: 2, ToS: 9, Halls: []int{3}}}
+	s.Faults = []Fault{{Kind: "links", FromSeconds: 2, ToSeconds: 9, Regions: []int{3}}}
 	if err := s.Set("seconds", 11); err == nil || !strings.Contains(err.Error(), "faults[0].halls: 3") {
-		t.Errorf("a hall that there is not: %v", err)
+		t.Errorf("an unknown region: %v", err)
 	}
 }
 
-// planted is a module with something broken in it on purpose.
-type planted struct {
-	brain
-	now    float64
-	next   func(p *planted, d policy.Decision) (policy.Decision, bool)
-	cold   int
-	due    []policy.Decision
-	left   map[uint64]float64
-	subs   map[uint64]int
-	repeat map[uint64]int
+// faultyDecider is a policy with a planted fault.
+type faultyDecider struct {
+	decider
+	now        float64
+	alter      func(p *faultyDecider, d policy.Decision) (policy.Decision, bool)
+	coldWorker int
+	pending    []policy.Decision
+	deadlines  map[uint64]float64
+	attempts   map[uint64]int
+	products   map[uint64]int
 }
 
-func (p *planted) AdvanceTo(now float64) {
-	p.now = now - dawn
-	p.brain.AdvanceTo(now)
+func (p *faultyDecider) AdvanceTo(now float64) {
+	p.now = now - clockOffsetMillis
+	p.decider.AdvanceTo(now)
 }
 
-func (p *planted) UpdateEndpoints(list []policy.Endpoint, partial bool) {
+func (p *faultyDecider) UpdateEndpoints(list []policy.Endpoint, partial bool) {
 	for _, x := range list {
 		if x.StartedAtMillis > 0 {
-			p.cold = x.Worker
+			p.coldWorker = x.Worker
 		}
 	}
-	p.brain.UpdateEndpoints(list, partial)
+	p.decider.UpdateEndpoints(list, partial)
 }
 
-func (p *planted) AddRequest(a policy.Request) {
-	p.left[a.ID] = p.now + a.TimeLeftMillis
-	p.repeat[a.ID] = a.Product
-	p.brain.AddRequest(a)
+func (p *faultyDecider) AddRequest(a policy.Request) {
+	p.deadlines[a.ID] = p.now + a.TimeLeftMillis
+	p.products[a.ID] = a.Product
+	p.decider.AddRequest(a)
 }
 
-func (p *planted) NextDecision() (policy.Decision, bool) {
-	if len(p.due) > 0 {
-		d := p.due[0]
-		p.due = p.due[1:]
+func (p *faultyDecider) NextDecision() (policy.Decision, bool) {
+	if len(p.pending) > 0 {
+		d := p.pending[0]
+		p.pending = p.pending[1:]
 		return d, true
 	}
 	for {
-		d, ok := p.brain.NextDecision()
+		d, ok := p.decider.NextDecision()
 		if !ok {
 			return d, false
 		}
 		if d.Kind == policy.Submit {
-			p.subs[d.RequestID]++
+			p.attempts[d.RequestID]++
 		}
-		if d, ok = p.next(p, d); ok {
+		if d, ok = p.alter(p, d); ok {
 			return d, true
 		}
 	}
 }
 
-// Each of the five rules, broken on purpose in one gatekeeper, is caught and named; what is not broken
-// stays clean.
-func TestPlantedBreaks(t *testing.T) {
+// A planted violation of each of the five rules is found and named; without it there is none.
+func TestPlantedViolationsAreFound(t *testing.T) {
 	cases := []struct {
 		rule int
 		name string
-		next func(*planted, policy.Decision) (policy.Decision, bool)
+		next func(*faultyDecider, policy.Decision) (policy.Decision, bool)
 		over func(*Scenario)
 	}{
-		{1, "forgets every hundredth decline", func(p *planted, d policy.Decision) (policy.Decision, bool) {
+		{1, "forgets every hundredth rejection", func(p *faultyDecider, d policy.Decision) (policy.Decision, bool) {
 			return d, d.Kind != policy.Reject || d.RequestID%100 != 0
-		}, func(s *Scenario) { s.Plans[0].Asks = 3 }},
-		{2, "submits once-only txns again when one is given up", func(p *planted,
+		}, func(s *Scenario) { s.Plans[0].OfferedLoad = 3 }},
+		{2, "retries non-idempotent transactions", func(p *faultyDecider,
 			d policy.Decision) (policy.Decision, bool) {
-			if d.Kind == policy.RejectUncertain && p.repeat[d.RequestID] == 2 && p.left[d.RequestID]-p.now > 50 {
-				d.Kind, d.Worker, d.Attempt, d.WaitMillis = policy.Submit, 0, p.subs[d.RequestID],
-					p.left[d.RequestID]-p.now-1
+			if d.Kind == policy.RejectUncertain && p.products[d.RequestID] == 2 &&
+				p.deadlines[d.RequestID]-p.now > 50 {
+				d.Kind, d.Worker, d.Attempt, d.WaitMillis = policy.Submit, 0, p.attempts[d.RequestID],
+					p.deadlines[d.RequestID]-p.now-1
 			}
 			return d, true
-		}, func(s *Scenario) { s.Faults = []Fault{{Kind: "fail", FromS: 1, ToS: 19, Part: 1, Factor: 0.2}} }},
-		{3, "sends to a worker that drains", func(p *planted, d policy.Decision) (policy.Decision, bool) {
+		}, func(s *Scenario) {
+			s.Faults = []Fault{{Kind: "fail", FromSeconds: 1, ToSeconds: 19, Fraction: 1, Factor: 0.2}}
+		}},
+		{3, "sends to a draining worker", func(p *faultyDecider, d policy.Decision) (policy.Decision, bool) {
 			if d.Kind == policy.Submit && p.now > 6000 && p.now < 7500 {
 				d.Worker = int(d.RequestID % 8)
 			}
 			return d, true
 		}, func(s *Scenario) {
-			s.blind = true
-			s.Faults = []Fault{{Kind: "drain", FromS: 5, ToS: 12, Part: 0.5}}
+			s.skipEndpointCheck = true
+			s.Faults = []Fault{{Kind: "drain", FromSeconds: 5, ToSeconds: 12, Fraction: 0.5}}
 		}},
-		{4, "sends all to a cold worker", func(p *planted, d policy.Decision) (policy.Decision, bool) {
+		{4, "sends all to a cold worker", func(p *faultyDecider, d policy.Decision) (policy.Decision, bool) {
 			if d.Kind == policy.Submit && p.now > 8000 && p.now < 12000 {
-				d.Worker = p.cold
+				d.Worker = p.coldWorker
 			}
 			return d, true
-		}, func(s *Scenario) { s.Faults = []Fault{{Kind: "kill", FromS: 5, ToS: 7, Part: 0.1}} }},
-		{5, "knows no ceiling", nil, func(s *Scenario) {
-			s.Plans[1].Asks = 4
+		}, func(s *Scenario) { s.Faults = []Fault{{Kind: "kill", FromSeconds: 5, ToSeconds: 7, Fraction: 0.1}} }},
+		{5, "knows no rate limit", nil, func(s *Scenario) {
+			s.Plans[1].OfferedLoad = 4
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for _, broken := range []bool{true, false} {
-				s := small(t)
+				s := smallScenario(t)
 				c.over(s)
-				var wrap func(int, brain) brain
+				var wrap func(int, decider) decider
 				if broken {
-					wrap = func(num int, b brain) brain {
+					wrap = func(num int, b decider) decider {
 						if c.next == nil {
-							without := s.charter(num)
+							without := s.policySettings(num)
 							p := &without.Plans[1]
 							p.RateLimitPerSecond, p.RateLimitBurst, p.QuotaPerSecond, p.QuotaBurst = 0, 0, 1000, 1000
 							return policy.New(without, 1)
 						}
-						return &planted{brain: b, next: c.next, left: map[uint64]float64{}, subs: map[uint64]int{},
-							repeat: map[uint64]int{}}
+						return &faultyDecider{decider: b, alter: c.next, deadlines: map[uint64]float64{},
+							attempts: map[uint64]int{},
+							products: map[uint64]int{}}
 					}
 				}
 				r := play(t, s, 5, wrap)
-				if (r.Breaks[c.rule] > 0) != broken {
-					t.Errorf("planted %v: broken %v", broken, r.Breaks)
+				if (r.Violations[c.rule] > 0) != broken {
+					t.Errorf("planted %v: violations %v", broken, r.Violations)
 				}
-				if !broken && r.Breaks != [6]int{} {
-					t.Errorf("a clean run is broken: %v", r.First[0])
+				if !broken && r.Violations != [6]int{} {
+					t.Errorf("a clean run has a violation: %v", r.FirstViolations[0])
 				}
-				if broken && (r.First[0].At <= 0 || r.First[0].Txn == 0) {
-					t.Errorf("named as %v", r.First[0])
+				if broken && (r.FirstViolations[0].At <= 0 || r.FirstViolations[0].Txn == 0) {
+					t.Errorf("named as %v", r.FirstViolations[0])
 				}
 			}
 		})
 	}
 }
 
-// One seed is one run, to the last byte; another is another.
-func TestSameSeed(t *testing.T) {
+// One seed gives one result, to the last byte; another seed gives another.
+func TestSameSeedSameResult(t *testing.T) {
 	text := func(seed int64) string {
-		s := small(t)
+		s := smallScenario(t)
 		s.Seconds = 8
-		s.Faults = []Fault{{Kind: "restart", FromS: 3, ToS: 4, Part: 0.5}, {Kind: "drain", FromS: 2, ToS: 5,
-			Part: 0.3}}
+		s.Faults = []Fault{{Kind: "restart", FromSeconds: 3, ToSeconds: 4, Fraction: 0.5}, {Kind: "drain",
+			FromSeconds: 2, ToSeconds: 5,
+			Fraction: 0.3}}
 		b, err := json.Marshal(play(t, s, seed, nil))
 		if err != nil {
 			t.Fatal(err)
@@ -244,29 +249,29 @@
 		t.Error("two runs of one seed differ")
 	}
 	if text(7) == text(8) {
-		t.Error("two seeds give one run")
+		t.Error("two seeds give one result")
 	}
 }
 
-// Waiting in a worker's queue, held against Erlang's formulas: c cores, Poisson arrivals, exponential
+// The wait in a worker's queue agrees with Erlang's formulas: c cores, Poisson arrivals, exponential
 // service.
-func TestQueueAgainstErlang(t *testing.T) {
+func TestQueueWaitMatchesErlangC(t *testing.T) {
 	cases := []struct {
 		cores int
 		load  float64 // of the cores
 	}{{1, 0.5}, {1, 0.8}, {4, 0.7}}
 	for _, c := range cases {
 		t.Run(fmt.Sprint(c.cores, c.load), func(t *testing.T) {
-			s := small(t)
+			s := smallScenario(t)
 			s.Seconds, s.Policy, s.Shapes = 3000, "open", nil
-			s.Gatekeepers.Count, s.Gatekeepers.Spread = 1, 1
-			s.Network.ClientMS, s.Network.WorkerMS = 0, 0
-			s.Clients.Waits, s.Clients.Retries = 100, 0
+			s.Gatekeepers.Count, s.Gatekeepers.SetSize = 1, 1
+			s.Network.ClientMillis, s.Network.WorkerMillis = 0, 0
+			s.Clients.TimeoutFactor, s.Clients.Retries = 100, 0
 			s.Workers.Count, s.Workers.Cores, s.Workers.Queue = 1, c.cores, 1000000
-			s.Workers.ServiceMS, s.Workers.Exponential = 20, true
+			s.Workers.ServiceMillis, s.Workers.Exponential = 20, true
 			s.Products, s.Plans = s.Products[:1], s.Plans[:1]
-			s.Plans[0].Customers, s.Plans[0].Rate, s.Plans[0].Burst = 10, 1000, 1000
-			s.Plans[0].Asks = c.load * float64(c.cores) * 50 / 10 / 1000
+			s.Plans[0].Customers, s.Plans[0].QuotaPerSecond, s.Plans[0].QuotaBurst = 10, 1000, 1000
+			s.Plans[0].OfferedLoad = c.load * float64(c.cores) * 50 / 10 / 1000
 			r := play(t, s, 11, nil)
 			a := c.load * float64(c.cores)
 			sum, term := 0.0, 1.0
@@ -276,35 +281,35 @@
 			}
 			waits := term / (1 - c.load) / (sum + term/(1-c.load)) // Erlang C
 			want := 20 + waits*20/(float64(c.cores)*(1-c.load))
-			mean := r.Mean
+			mean := r.MeanMillis
 			if math.Abs(mean-want) > 0.05*want {
-				t.Errorf("mean %.2f ms in %d txns, Erlang's %.2f", mean, r.Settled, want)
+				t.Errorf("mean %.2f ms in %d txns, Erlang's %.2f", mean, r.Completed, want)
 			}
 		})
 	}
 }
 
-// A gatekeeper that stands still for two seconds: every txn that was due then shows the wait.
-func TestStallIsSeen(t *testing.T) {
-	s := small(t)
-	s.Clients.Waits = 10
-	s.Faults = []Fault{{Kind: "stall", FromS: 10, ToS: 12, Part: 1}}
+// A gatekeeper stalls for two seconds: every transaction that was due then shows the wait.
+func TestStallShowsInLatency(t *testing.T) {
+	s := smallScenario(t)
+	s.Clients.TimeoutFactor = 10
+	s.Faults = []Fault{{Kind: "stall", FromSeconds: 10, ToSeconds: 12, Fraction: 1}}
 	r := play(t, s, 3, nil)
 	for _, sec := range r.Seconds {
-		if sec.At == 10 && sec.Most < 1900 || sec.At == 8 && sec.P99 > 1000 {
-			t.Errorf("second %d: p99 %.0f ms, most %.0f ms", sec.At, sec.P99, sec.Most)
+		if sec.Index == 10 && sec.MaxMillis < 1900 || sec.Index == 8 && sec.P99Millis > 1000 {
+			t.Errorf("second %d: p99 %.0f ms, most %.0f ms", sec.Index, sec.P99Millis, sec.MaxMillis)
 		}
 	}
 }
 
-// The baselines come in the order that they must, in a fleet that is pressed.
-func TestBaselines(t *testing.T) {
+// The baselines score in the expected order in an overloaded fleet.
+func TestBaselinesOrder(t *testing.T) {
 	score := map[string]float64{}
 	for p := range Policies {
-		s := small(t)
+		s := smallScenario(t)
 		s.Policy = p
-		s.Shapes = []shape{{Kind: "surge", FromS: 2, ToS: 18, Factor: 3}}
-		s.Faults = []Fault{{Kind: "silent", FromS: 5, ToS: 15, Part: 0.3}}
+		s.Shapes = []ShapeSpec{{Kind: "surge", FromSeconds: 2, ToSeconds: 18, Factor: 3}}
+		s.Faults = []Fault{{Kind: "silent", FromSeconds: 5, ToSeconds: 15, Fraction: 0.3}}
 		score[p] = play(t, s, 4, nil).Score
 	}
 	if !(score["seer"] > score["willowdeck"] && score["willowdeck"] > score["static"] &&
@@ -313,17 +318,17 @@
 	}
 }
 
-// What is wrong in a scenario is named by its line or key.
-func TestBadScenarios(t *testing.T) {
+// The error of an invalid scenario names its line or key.
+func TestInvalidScenariosAreRejected(t *testing.T) {
 	raw, err := os.ReadFile("../../../scenarios/small.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	good := string(raw)
-	cases := []struct{ name, old, new, says string }{
+	cases := []struct{ name, old, new, message string }{
 		{"no TOML", "[workers]", "[workers", "line "},
 		{"unknown key", "cores = 2", "cors = 2", "line 15: workers.cors: unknown key"},
-		{"a word for a number", "cores = 2", `cores = "two"`, "cores"},
+		{"text in place of a number", "cores = 2", `cores = "two"`, "cores"},
 		{"no worker", "count = 8", "count = 0", "workers.count"},
 		{"not a number", "seconds = 20", "seconds = nan", "seconds"},
 		{"a set beyond the fleet", "spread = 4 ", "spread = 5 ", "gatekeepers.spread"},
@@ -344,8 +349,8 @@
 				t.Fatal("the case changes nothing")
 			}
 			_, err := Decode(strings.Replace(good, c.old, c.new, 1))
-			if err == nil || !strings.Contains(err.Error(), c.says) {
-				t.Errorf("got %v, want %q", err, c.says)
+			if err == nil || !strings.Contains(err.Error(), c.message) {
+				t.Errorf("got %v, want %q", err, c.message)
 			}
 		})
 	}
@@ -368,13 +373,13 @@
 		"none.toml") {
 		t.Errorf("no file: %v", err)
 	}
-	if s = small(t); s.Set("workers.count", 0) == nil || s.Set("workers.colour", 1) == nil ||
+	if s = smallScenario(t); s.Set("workers.count", 0) == nil || s.Set("workers.colour", 1) == nil ||
 		s.Set("workers.count", 9) != nil {
 		t.Error("figures of a sweep are not checked")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if r, err := Run(ctx, small(t), 1); err == nil || r != nil {
+	if r, err := Run(ctx, smallScenario(t), 1); err == nil || r != nil {
 		t.Error("a stopped run has a result")
 	}
 }
@@ -382,7 +387,7 @@
 func BenchmarkEmulator(b *testing.B) {
 	var events int64
 	for range b.N {
-		events += play(b, small(b), 1, nil).Events
+		events += play(b, smallScenario(b), 1, nil).Events
 	}
 	b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 }
@@ -394,13 +399,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Gatekeepers.Keeps = KeepPressure
-	s.Seconds, s.Faults = 16, slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.FromS > 15 })
+	s.Gatekeepers.Retained = RetainPressure
+	s.Seconds, s.Faults = 16, slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.FromSeconds > 15 })
 	for i := range s.Faults {
-		s.Faults[i].ToS = min(s.Faults[i].ToS, 16)
+		s.Faults[i].ToSeconds = min(s.Faults[i].ToSeconds, 16)
 	}
-	if r := play(t, s, 1, nil); r.Breaks[2] > 0 {
-		t.Errorf("%v", r.First)
+	if r := play(t, s, 1, nil); r.Violations[2] > 0 {
+		t.Errorf("%v", r.FirstViolations)
 	}
 }
 
@@ -412,10 +417,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Seconds, s.Faults = 12, slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.ToS > 12 })
-	s.Gatekeepers.Keeps = KeepPressure
+	s.Seconds, s.Faults = 12, slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.ToSeconds > 12 })
+	s.Gatekeepers.Retained = RetainPressure
 	without := play(t, s, 1, nil).Events
-	s.Gatekeepers.Keeps |= KeepCold
+	s.Gatekeepers.Retained |= RetainSlowStart
 	if with := play(t, s, 1, nil).Events; with == without {
 		t.Error("cold turns that are kept change nothing")
 	}
@@ -430,15 +435,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Policy, s.Seconds, s.Workers.ColdFrom = policy, 9, 0.05
-		s.Faults = []Fault{{Kind: "kill", FromS: 3, ToS: 4, Part: 0.6}}
+		s.Policy, s.Seconds, s.Workers.ColdCapacityFraction = policy, 9, 0.05
+		s.Faults = []Fault{{Kind: "kill", FromSeconds: 3, ToSeconds: 4, Fraction: 0.6}}
 		r, err := Run(t.Context(), s, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		near[policy] = r.NearFall
-		if r.Breaks[4] > 0 || r.Falls > 0 && policy == "willowdeck" {
-			t.Errorf("%s: %d fell, %v", policy, r.Falls, r.First)
+		near[policy] = r.HighestColdLoad
+		if r.Violations[4] > 0 || r.ColdOverloads > 0 && policy == "willowdeck" {
+			t.Errorf("%s: %d fell, %v", policy, r.ColdOverloads, r.FirstViolations)
 		}
 	}
 	if n := near["willowdeck"]; n > 0.5 || n < 0.01 || near["open"] < 2*n {
@@ -455,16 +460,17 @@
 	}
 	s.Seconds = 5
 	for i := range s.Plans {
-		s.Plans[i].Excess, s.Plans[i].Fee = 0, 0
+		s.Plans[i].ExcessValueFraction, s.Plans[i].ExcessCostFraction = 0, 0
 	}
 	first := s.Plans[0]
-	first.Name, first.Ceiling, first.CeilingDepth = "starved", 1e-3, 0.5 // less than a txn, for ever
+	// less than a txn, for ever
+	first.Name, first.RateLimitPerSecond, first.RateLimitBurst = "starved", 1e-3, 0.5
 	s.Plans = append(s.Plans, first)
 	r, err := Run(t.Context(), s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, all := range [][]Part{r.Products, r.Plans} {
+	for _, all := range [][]Segment{r.Products, r.Plans} {
 		offered, served := 0.0, 0.0
 		for _, p := range all {
 			offered, served = offered+p.Offered, served+p.Served
@@ -473,28 +479,30 @@
 			t.Errorf("%v add up to %v of %v, not %v of %v", all, served, offered, r.Served, r.Offered)
 		}
 	}
-	if w := Worst(r.Plans); w.Name != "starved" || w.Share() > 0 || r.Starved < 0.9*w.Offered/r.Offered {
-		t.Errorf("the worst is %v, starved are %v", w, r.Starved)
+	if w := WorstServed(r.Plans); w.Name != "starved" || w.ServedShare() > 0 ||
+		r.StarvedFraction < 0.9*w.Offered/r.Offered {
+		t.Errorf("the worst is %v, starved are %v", w, r.StarvedFraction)
 	}
 }
 
 // Gatekeepers that are killed go by copies of what they knew, and break no rule by them; where peers learn of
 // returns too. Guards against a form of the emulator that keeps nothing, or all.
 func TestCopies(t *testing.T) {
-	for _, keeps := range []int{KeepCeilings | KeepPressure, KeepCeilings | KeepPressure | KeepCopies,
-		KeepCeilings | KeepPressure | KeepCopies | KeepReturns} {
+	for _, keeps := range []int{RetainRateLimits | RetainPressure,
+		RetainRateLimits | RetainPressure | RetainCheckpoints,
+		RetainRateLimits | RetainPressure | RetainCheckpoints | RetainIncarnations} {
 		s, err := Read("../../../scenarios/restarts.toml")
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Gatekeepers.Keeps = keeps
-		s.Seconds, s.Faults = 12, slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.FromS > 9 })
+		s.Gatekeepers.Retained = keeps
+		s.Seconds, s.Faults = 12, slices.DeleteFunc(s.Faults, func(f Fault) bool { return f.FromSeconds > 9 })
 		for i := range s.Faults {
-			s.Faults[i].ToS = min(s.Faults[i].ToS, 12)
+			s.Faults[i].ToSeconds = min(s.Faults[i].ToSeconds, 12)
 		}
 		r := play(t, s, 1, nil)
-		if (r.Recalled > 0) != (keeps&KeepCopies != 0) || r.Breaks != [6]int{} {
-			t.Errorf("keeps %d: %d customers recalled, %v", keeps, r.Recalled, r.First)
+		if (r.RestoredCustomers > 0) != (keeps&RetainCheckpoints != 0) || r.Violations != [6]int{} {
+			t.Errorf("keeps %d: %d customers recalled, %v", keeps, r.RestoredCustomers, r.FirstViolations)
 		}
 	}
 }
--- a/internal/lab/experiment/floors.go
+++ b/internal/lab/experiment/floors.go
@@ -71,18 +71,19 @@
 		atLeast("third", fmt.Sprint(third+1), servedShare(result, from, to), floor*servedShare(late, from, to))
 	}
 	for i, segment := range result.Products {
-		relevant := float64(segment.Asked) >= minRelevantShare*float64(result.Asked) ||
+		relevant := float64(segment.Transactions) >= minRelevantShare*float64(result.Transactions) ||
 			segment.Offered >= minRelevantShare*result.Offered
-		if (relevant || scenario.Products[i].Repeat != "inquiry") && late.Products[i].Share() >= minReferenceShare {
-			atLeast("class", segment.Name, segment.Share(), minRunShare*late.Products[i].Share())
+		if (relevant || scenario.Products[i].Idempotency != "inquiry") &&
+			late.Products[i].ServedShare() >= minReferenceShare {
+			atLeast("class", segment.Name, segment.ServedShare(), minRunShare*late.Products[i].ServedShare())
 		}
 	}
 	for i, segment := range result.Plans {
 		if segment.Offered >= minRelevantShare*result.Offered {
-			atLeast("tenant", segment.Name, segment.Share(), minTenantShare*late.Plans[i].Share())
+			atLeast("tenant", segment.Name, segment.ServedShare(), minTenantShare*late.Plans[i].ServedShare())
 		}
 	}
-	atMost("starved", result.Starved, late.Starved+maxExtraStarved)
+	atMost("starved", result.StarvedFraction, late.StarvedFraction+maxExtraStarved)
 	return shortfalls
 }
 
@@ -92,7 +93,7 @@
 	if result.Offered == 0 {
 		return 0
 	}
-	return result.OverCost / result.Offered
+	return result.OverQuotaCost / result.Offered
 }
 
 // servedShare returns the share of the value offered in the seconds from (inclusive) to to (exclusive) that
@@ -100,7 +101,7 @@
 func servedShare(result *emulator.Result, from, to int) float64 {
 	offered, served := 0.0, 0.0
 	for _, second := range result.Seconds[from:to] {
-		offered, served = offered+second.Offered, served+second.Inside
+		offered, served = offered+second.Offered, served+second.ServedWithinQuota
 	}
 	if offered == 0 {
 		return 1
--- a/internal/lab/experiment/floors_test.go
+++ b/internal/lab/experiment/floors_test.go
@@ -136,16 +136,17 @@
 							t.Errorf("beside %s: %v", other.Policy, m)
 						}
 					}
-					if day.calm && r.RefuseAll*10 > size.gatekeepers {
-						t.Errorf("%d of %d gatekeepers turned all away for 4 s", r.RefuseAll, size.gatekeepers)
+					if day.calm && r.RejectingInstances*10 > size.gatekeepers {
+						t.Errorf("%d of %d gatekeepers turned all away for 4 s", r.RejectingInstances, size.gatekeepers)
 					}
-					if r.Breaks != [6]int{} {
-						t.Errorf("broken %v, first %v", r.Breaks, r.First[0])
+					if r.Violations != [6]int{} {
+						t.Errorf("broken %v, first %v", r.Violations, r.FirstViolations[0])
 					}
 					n := len(r.Seconds)
 					t.Logf("served %.3f, late-seeing %.3f; thirds %.3f %.3f %.3f; starved %.3f, %.3f; over %.3f, %.3f",
 						servedShare(r, 0, n), servedShare(late, 0, n), servedShare(r, 0, n/3), servedShare(r, n/3, 2*n/3),
-						servedShare(r, 2*n/3, n), r.Starved, late.Starved, OverQuotaCost(r), OverQuotaCost(late))
+						servedShare(r, 2*n/3, n), r.StarvedFraction, late.StarvedFraction, OverQuotaCost(r),
+						OverQuotaCost(late))
 				})
 			}
 		}
@@ -155,26 +156,27 @@
 // Gatekeepers that turn all away for 4 s are found: all of them where every worker is lost.
 func TestFloorsFindPlantedRejection(t *testing.T) {
 	s := scenarioOnDay(t, "small", "[[faults]]\nkind = \"kill\"\npart = 1\nfrom_s = 2\nto_s = 11\n")
-	if r := runUnderPolicy(t, s, "willowdeck", 1); r.RefuseAll != s.Gatekeepers.Count {
-		t.Errorf("%d of %d gatekeepers are found", r.RefuseAll, s.Gatekeepers.Count)
+	if r := runUnderPolicy(t, s, "willowdeck", 1); r.RejectingInstances != s.Gatekeepers.Count {
+		t.Errorf("%d of %d gatekeepers are found", r.RejectingInstances, s.Gatekeepers.Count)
 	}
 }
 
 // resultServing is a run of so many seconds of which the same share was served everywhere: of a value of 100
 // a second, in two classes that are asked alike and two tenants, beside a small class and a small tenant.
 func resultServing(share float64) *emulator.Result {
-	r := &emulator.Result{Asked: 1000, Offered: 1200, Products: []emulator.Part{{Name: "check", Asked: 480},
+	r := &emulator.Result{Transactions: 1000, Offered: 1200, Products: []emulator.Segment{{Name: "check",
+		Transactions: 480},
 		{
-			Name:  "sale",
-			Asked: 480,
-		}, {Name: "rare", Asked: 40}}, Plans: []emulator.Part{{Name: "shop"}, {Name: "agent"},
+			Name:         "sale",
+			Transactions: 480,
+		}, {Name: "rare", Transactions: 40}}, Plans: []emulator.Segment{{Name: "shop"}, {Name: "agent"},
 		{Name: "tiny"}}}
 	for i, part := range []float64{588, 588, 24} {
 		r.Products[i].Offered, r.Products[i].Served = part, part*share
 		r.Plans[i].Offered, r.Plans[i].Served = part, part*share
 	}
 	for range 12 {
-		r.Seconds = append(r.Seconds, emulator.Second{Offered: 100, Inside: 100 * share, Served: -1e6})
+		r.Seconds = append(r.Seconds, emulator.Second{Offered: 100, ServedWithinQuota: 100 * share, Served: -1e6})
 	}
 	return r
 }
@@ -183,15 +185,16 @@
 // that is not checked, or is compared with the wrong run, part or figure.
 func TestCheckFloorsArithmetic(t *testing.T) {
 	s := scenarioOnDay(t, "small", "")
-	s.Products[0].Repeat, s.Products[1].Repeat, s.Products[2].Repeat = "inquiry", "inquiry", "inquiry"
+	s.Products[0].Idempotency, s.Products[1].Idempotency, s.Products[2].Idempotency = "inquiry", "inquiry",
+		"inquiry"
 	seconds := func(r *emulator.Result, from, to int, inside float64) {
 		for i := range r.Seconds[from:to] {
-			r.Seconds[from+i].Inside = inside
+			r.Seconds[from+i].ServedWithinQuota = inside
 		}
 	}
 	all := func(v float64) func(r *emulator.Result) { return func(r *emulator.Result) { seconds(r, 0, 12, v) } }
 	calm, once := Day{PlainRun: resultServing(0.9)}, s.Clone()
-	once.Products[2].Repeat = "once"
+	once.Products[2].Idempotency = "once"
 	cases := []struct {
 		name   string
 		on     *emulator.Scenario
@@ -223,7 +226,7 @@
 		},
 		{"a small class", s, Day{}, 0.8, func(r *emulator.Result) { r.Products[2].Served = 0 }, ""},
 		{"a small class that is asked often", s, Day{}, 0.8, func(r *emulator.Result) {
-			r.Products[2].Served, r.Products[2].Asked = 0, 50
+			r.Products[2].Served, r.Products[2].Transactions = 0, 50
 		}, "class rare"},
 		{"a small class that may run once", once, Day{}, 0.8, func(r *emulator.Result) { r.Products[2].Served = 0 },
 			"class rare"},
@@ -238,11 +241,11 @@
 			"tenant shop",
 		},
 		{"a small tenant", s, Day{}, 0.9, func(r *emulator.Result) { r.Plans[2].Served = 0 }, ""},
-		{"starved customers", s, Day{}, 0.9, func(r *emulator.Result) { r.Starved = 0.15 }, ""},
-		{"more of them", s, Day{}, 0.9, func(r *emulator.Result) { r.Starved = 0.151 }, "starved "},
-		{"beyond quotas on a calm day", s, calm, 0.9, func(r *emulator.Result) { r.OverCost = 120 }, ""},
-		{"more of that", s, calm, 0.9, func(r *emulator.Result) { r.OverCost = 121 }, "over_quota "},
-		{"beyond quotas on another day", s, Day{}, 0.9, func(r *emulator.Result) { r.OverCost = 1200 }, ""},
+		{"starved customers", s, Day{}, 0.9, func(r *emulator.Result) { r.StarvedFraction = 0.15 }, ""},
+		{"more of them", s, Day{}, 0.9, func(r *emulator.Result) { r.StarvedFraction = 0.151 }, "starved "},
+		{"beyond quotas on a calm day", s, calm, 0.9, func(r *emulator.Result) { r.OverQuotaCost = 120 }, ""},
+		{"more of that", s, calm, 0.9, func(r *emulator.Result) { r.OverQuotaCost = 121 }, "over_quota "},
+		{"beyond quotas on another day", s, Day{}, 0.9, func(r *emulator.Result) { r.OverQuotaCost = 1200 }, ""},
 	}
 	for _, c := range cases {
 		r := resultServing(c.late)
@@ -250,7 +253,7 @@
 		missed := CheckFloors(c.on, c.day, r, resultServing(c.late))
 		if (c.missed == "") != (len(missed) == 0) || len(missed) > 1 ||
 			len(missed) == 1 && !strings.HasPrefix(missed[0].String(), c.missed) {
-			t.Errorf("%s, %s: missed %v, not %q", c.name, c.on.Products[2].Repeat, missed, c.missed)
+			t.Errorf("%s, %s: missed %v, not %q", c.name, c.on.Products[2].Idempotency, missed, c.missed)
 		}
 	}
 }
@@ -261,10 +264,13 @@
 	calm := scenarioOnDay(t, "halls20", testDays[0].text)
 	late := runUnderPolicy(t, calm, "late", 1)
 	for name, starve := range map[string]func(s *emulator.Scenario){
-		"tenant agent": func(s *emulator.Scenario) { s.Plans[1].Ceiling, s.Plans[1].CeilingDepth = 1e-3, 0.5 },
-		"class sale":   func(s *emulator.Scenario) { s.Products[1].SLAMS = 1 },
+		"tenant agent": func(s *emulator.Scenario) {
+			s.Plans[1].RateLimitPerSecond,
+				s.Plans[1].RateLimitBurst = 1e-3, 0.5
+		},
+		"class sale": func(s *emulator.Scenario) { s.Products[1].LatencyTargetMillis = 1 },
 		"third 2": func(s *emulator.Scenario) {
-			s.Faults = []emulator.Fault{{Kind: "restart", Part: 1, FromS: 4, ToS: 8}}
+			s.Faults = []emulator.Fault{{Kind: "restart", Fraction: 1, FromSeconds: 4, ToSeconds: 8}}
 			s.Clients.Retries = 0
 		},
 	} {
@@ -278,7 +284,7 @@
 	loose := calm.Clone() // a fleet that lets all in: what passes beyond quotas is priced
 	loose.Workers.Cores *= 4
 	for i := range loose.Plans {
-		loose.Plans[i].Asks = 2
+		loose.Plans[i].OfferedLoad = 2
 	}
 	open, seen := runUnderPolicy(t, loose, "open", 1), runUnderPolicy(t, loose, "late", 1)
 	if found := fmt.Sprint(CheckFloors(loose, Day{PlainRun: open}, open, seen)); !strings.Contains(found,
--- a/internal/lab/experiment/forecastcheck.go
+++ b/internal/lab/experiment/forecastcheck.go
@@ -50,7 +50,7 @@
 	losses []forecast.Loss,
 	replay bool) ([]ForecastCheck, *forecast.Outlook, error) {
 	rules := ForecastRules(scenario)
-	before, reports, err := emulator.RunWords(ctx, scenario, seed, atSeconds)
+	before, reports, err := emulator.RunReports(ctx, scenario, seed, atSeconds)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -99,8 +99,8 @@
 func ForecastRules(scenario *emulator.Scenario) forecast.Rules {
 	rules := forecast.Usual
 	// a connection, the request and its response
-	rules.Cores, rules.Way = float64(scenario.Workers.Cores), 3*scenario.Network.WorkerMS
-	rules.Tries, rules.Back = scenario.Clients.Retries+1, scenario.Clients.BackMS
+	rules.Cores, rules.Way = float64(scenario.Workers.Cores), 3*scenario.Network.WorkerMillis
+	rules.Tries, rules.Back = scenario.Clients.Retries+1, scenario.Clients.MaxBackoffMillis
 	return rules
 }
 
@@ -108,13 +108,15 @@
 func withLoss(scenario *emulator.Scenario, loss forecast.Loss, atSeconds,
 	slowFactor float64) *emulator.Scenario {
 	played := scenario.Clone()
-	lost := emulator.Fault{Kind: faultKinds[loss.Kind], FromS: atSeconds, ToS: scenario.Seconds + 1000}
-	others := emulator.Fault{Kind: "slow", FromS: atSeconds, ToS: scenario.Seconds + 1000, Factor: slowFactor}
+	lost := emulator.Fault{Kind: faultKinds[loss.Kind], FromSeconds: atSeconds, ToSeconds: scenario.Seconds +
+		1000}
+	others := emulator.Fault{Kind: "slow", FromSeconds: atSeconds, ToSeconds: scenario.Seconds + 1000,
+		Factor: slowFactor}
 	for region := range scenario.Workers.Zones {
 		if slices.Contains(loss.Halls, fmt.Sprintf("hall%d", region)) {
-			lost.Halls = append(lost.Halls, region)
+			lost.Regions = append(lost.Regions, region)
 		} else {
-			others.Halls = append(others.Halls, region)
+			others.Regions = append(others.Regions, region)
 		}
 	}
 	if played.Faults = append(played.Faults, lost); loss.Kind == forecast.Slowed {
@@ -138,11 +140,11 @@
 	for _, count := range model.Workers {
 		scenario.Workers.Count += count
 	}
-	scenario.Workers.Exponential, scenario.Workers.Spread = false, math.Sqrt(math.Log(1+model.CV2))
-	scenario.Workers.ServiceMS = model.Service[0] / math.Sqrt(1+model.CV2)
-	scenario.Network.WorkerMS, scenario.Network.AcrossMS = rules.Way/3, model.Across/3
+	scenario.Workers.Exponential, scenario.Workers.ServiceSigma = false, math.Sqrt(math.Log(1+model.CV2))
+	scenario.Workers.ServiceMillis = model.Service[0] / math.Sqrt(1+model.CV2)
+	scenario.Network.WorkerMillis, scenario.Network.CrossRegionMillis = rules.Way/3, model.Across/3
 	for i := range scenario.Products {
-		scenario.Products[i].Work = model.Service[i] / model.Service[0]
+		scenario.Products[i].RelativeWork = model.Service[i] / model.Service[0]
 		scenario.Products[i].Weight = 0
 		for _, plan := range model.Plans {
 			scenario.Products[i].Weight += plan.Products[i]
@@ -150,9 +152,9 @@
 	}
 	for i, plan := range model.Plans {
 		planSpec := &scenario.Plans[i]
-		planSpec.Customers, planSpec.Spread, planSpec.Units, planSpec.Skew = int(math.Round(plan.Customers)),
+		planSpec.Customers, planSpec.SetSize, planSpec.MaxUnits, planSpec.Skew = int(math.Round(plan.Customers)),
 			plan.Spread, 2*plan.Size-1, 0
-		planSpec.Asks = plan.Asked * plan.Size / float64(planSpec.Customers) / planSpec.Rate
+		planSpec.OfferedLoad = plan.Asked * plan.Size / float64(planSpec.Customers) / planSpec.QuotaPerSecond
 	}
 	return scenario
 }
@@ -166,7 +168,7 @@
 	for i := int(atSeconds); i < int(untilSeconds); i++ {
 		check.Offered += before.Seconds[i].Offered / seconds
 		check.Observed += (before.Seconds[i].Served - after.Seconds[i].Served) / seconds
-		for index, count := range after.Seconds[i].Ran {
+		for index, count := range after.Seconds[i].RunsByRegion {
 			completed[index] += count / seconds
 		}
 	}
--- a/internal/lab/experiment/forecastcheck_test.go
+++ b/internal/lab/experiment/forecastcheck_test.go
@@ -37,7 +37,7 @@
 	var groups []ForecastChecks
 	lending := func(scenario *emulator.Scenario) {
 		for i := range scenario.Plans {
-			scenario.Plans[i].Credit, scenario.Plans[i].Repay = *creditSeconds, 30
+			scenario.Plans[i].CreditSeconds, scenario.Plans[i].RepaySeconds = *creditSeconds, 30
 		}
 	}
 	for _, name := range names {
@@ -47,7 +47,7 @@
 				t.Fatal(err)
 			}
 			for i := range scenario.Plans {
-				if err := scenario.Set(fmt.Sprintf("plans[%d].asks", i), scenario.Plans[i].Asks*load); err != nil {
+				if err := scenario.Set(fmt.Sprintf("plans[%d].asks", i), scenario.Plans[i].OfferedLoad*load); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/lab/experiment/table.go
+++ b/internal/lab/experiment/table.go
@@ -40,18 +40,21 @@
 	formatInt := func(value int64) string { return strconv.FormatInt(value, 10) }
 	fields := []string{r.Experiment, r.Scenario, r.Policy, r.Key, formatFloat(r.Value), formatInt(r.Seed),
 		r.Build,
-		formatFloat(r.Score), formatFloat(r.Offered), formatFloat(r.Served), formatInt(r.Asked),
-		formatInt(r.Tries), formatInt(r.Settled), formatInt(r.Late), formatInt(r.Declined),
-		formatInt(r.Voided), formatInt(r.Failed), formatInt(r.Lost), formatInt(r.Submissions), formatInt(r.Full),
-		formatFloat(r.OverUnits), formatInt(r.Messages),
-		formatInt(r.Events), formatFloat(r.Mean), formatFloat(r.P50), formatFloat(r.P99), formatFloat(r.P999)}
+		formatFloat(r.Score), formatFloat(r.Offered), formatFloat(r.Served), formatInt(r.Transactions),
+		formatInt(r.Requests), formatInt(r.Completed), formatInt(r.Late), formatInt(r.Rejected),
+		formatInt(r.Uncertain), formatInt(r.Abandoned), formatInt(r.Unreachable), formatInt(r.Attempts),
+		formatInt(r.WorkerRejections),
+		formatFloat(r.OverQuotaUnits), formatInt(r.PeerMessages),
+		formatInt(r.Events), formatFloat(r.MeanMillis), formatFloat(r.P50Millis), formatFloat(r.P99Millis),
+		formatFloat(r.P999Millis)}
 	for rule := 1; rule <= 5; rule++ {
-		fields = append(fields, strconv.Itoa(r.Breaks[rule]))
+		fields = append(fields, strconv.Itoa(r.Violations[rule]))
 	}
-	return append(fields, strconv.Itoa(r.Falls), formatFloat(r.NearFall),
-		formatFloat(emulator.Worst(r.Products).Share()),
-		formatFloat(emulator.Worst(r.Plans).Share()), formatFloat(r.Starved), formatInt(r.CreditMessages),
-		formatFloat(r.Lent), formatFloat(r.RepaidLate))
+	return append(fields, strconv.Itoa(r.ColdOverloads), formatFloat(r.HighestColdLoad),
+		formatFloat(emulator.WorstServed(r.Products).ServedShare()),
+		formatFloat(emulator.WorstServed(r.Plans).ServedShare()), formatFloat(r.StarvedFraction),
+		formatInt(r.BorrowingMessages),
+		formatFloat(r.BorrowedUnits), formatFloat(r.LateRepaidUnits))
 }
 
 // WriteTable writes rows as CSV.
@@ -156,8 +159,8 @@
 		writer := csv.NewWriter(w)
 		_ = writer.Write([]string{"second", "settled", "p99_ms", "most_ms"})
 		for _, second := range result.Seconds {
-			_ = writer.Write([]string{strconv.Itoa(second.At), strconv.Itoa(second.Settled),
-				strconv.FormatFloat(second.P99, 'f', 3, 64), strconv.FormatFloat(second.Most, 'f', 3, 64)})
+			_ = writer.Write([]string{strconv.Itoa(second.Index), strconv.Itoa(second.Completed),
+				strconv.FormatFloat(second.P99Millis, 'f', 3, 64), strconv.FormatFloat(second.MaxMillis, 'f', 3, 64)})
 		}
 		writer.Flush()
 		return writer.Error()
