--- a/cmd/willowdeck-lab/capacity.go
+++ b/cmd/willowdeck-lab/capacity.go
@@ -17,7 +17,7 @@
 func elementsCommand() *cli.Command {
 	return &cli.Command{Name: "elements",
 		Usage:  "measure what a member, peer, route, worker or customer more costs, up to the coming sizes",
-		Action: measure, Flags: []cli.Flag{
+		Action: runElements, Flags: []cli.Flag{
 			&cli.StringFlag{Name: "out", Value: "docs/capacity/elements.csv", Usage: "the table to write, `FILE.csv`"},
 			&cli.StringFlag{Name: "refusals", Value: "docs/capacity/refusals.csv",
 				Usage: "and what is refused, `FILE.csv`"},
@@ -28,8 +28,9 @@
 		}}
 }
 
-func measure(_ context.Context, c *cli.Command) error {
-	if _, err := args(c, 0); err != nil {
+// runElements measures the elements, and writes their tables.
+func runElements(_ context.Context, c *cli.Command) error {
+	if _, err := arguments(c, 0); err != nil {
 		return err
 	}
 	run, commit, way := c.String("run"), c.String("commit"), c.String("distribution")
@@ -86,11 +87,11 @@
 	return capacity.WriteRefusals(c.String("refusals"), refusals)
 }
 
-// capacityCommand makes the tables and the chart of the capacity page.
+// capacityCommand makes the tables and the chart of a capacity page.
 func capacityCommand() *cli.Command {
 	return &cli.Command{Name: "capacity",
 		Usage:  "make the tables and the chart of a capacity page from what was measured",
-		Action: renew, Flags: []cli.Flag{
+		Action: runCapacity, Flags: []cli.Flag{
 			&cli.StringFlag{Name: "spec", Value: "scenarios/capacity.toml",
 				Usage: "what the operators state, `FILE.toml`"},
 			&cli.StringFlag{Name: "data", Value: "docs/capacity", Usage: "the `FOLDER` of what was measured"},
@@ -103,8 +104,9 @@
 		}}
 }
 
-func renew(_ context.Context, c *cli.Command) error {
-	if _, err := args(c, 0); err != nil {
+// runCapacity updates or checks the page.
+func runCapacity(_ context.Context, c *cli.Command) error {
+	if _, err := arguments(c, 0); err != nil {
 		return err
 	}
 	b, err := capacity.BuildReport(c.String("spec"), c.String("data"))
--- a/cmd/willowdeck-lab/forward.go
+++ b/cmd/willowdeck-lab/forward.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/csv"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -24,105 +25,112 @@
 	"willowdeck/internal/testkit/ports"
 )
 
-// arm is one way in which a load comes to its workers.
-type arm struct {
-	name   string
-	portal bool // through a portal
-	asked  bool // that asks the gatekeeper
-	asking bool // the gatekeeper asks a service
-	kept   bool // and keeps its answers
-	stalls bool // which stalls for two seconds
-	loses  int  // every so manieth cleared txn never comes
+// scenarioVariant is one way by which a load reaches its workers.
+type scenarioVariant struct {
+	name          string
+	portal        bool // through a portal
+	portalAsks    bool // the portal asks the gateway
+	gatewayAsks   bool // the gateway asks a service
+	caches        bool // and caches its answers
+	serviceStalls bool // which stalls for authStallSeconds
+	losesEvery    int  // one in so many authorized transactions is lost by the portal
 }
 
-var arms = []arm{
+// variants are those that the command plays, in this order.
+var variants = []scenarioVariant{
 	{name: "direct"},
 	{name: "portal", portal: true},
-	{name: "asked", portal: true, asked: true},
-	{name: "asked-loses", portal: true, asked: true, loses: 20},
-	{name: "asking", asking: true},
-	{name: "asking-kept", asking: true, kept: true},
-	{name: "asking-stall", asking: true, stalls: true},
-	{name: "asking-kept-stall", asking: true, kept: true, stalls: true},
+	{name: "asked", portal: true, portalAsks: true},
+	{name: "asked-loses", portal: true, portalAsks: true, losesEvery: 20},
+	{name: "asking", gatewayAsks: true},
+	{name: "asking-kept", gatewayAsks: true, caches: true},
+	{name: "asking-stall", gatewayAsks: true, serviceStalls: true},
+	{name: "asking-kept-stall", gatewayAsks: true, caches: true, serviceStalls: true},
 }
 
-// result is what an arm has shown.
-type result struct {
-	arm    arm
-	report *loadgen.Report
-	twice  int     // once-only txns that ran more than once
-	beyond float64 // units beyond a ceiling's store, at most, after what the way to the worker may shift
-	asks   int     // of the auth service
+// variantResult is what a variant has shown.
+type variantResult struct {
+	variant          scenarioVariant
+	report           *loadgen.Report
+	ranTwice         int     // non-idempotent transactions that ran more than once
+	unitsBeyondLimit float64 // most units beyond a rate limit, after maxArrivalShift
+	serviceRequests  int     // of the auth service
 }
 
-// gatekeeper is one that runs; stop ends it.
-type gatekeeper struct {
-	at, asked string
-	stop      func()
+// gatewayProcess is a running gateway; stop ends it.
+type gatewayProcess struct {
+	address, askAddress string
+	stop                func()
 }
 
 const (
-	serviceMS = 3.0                    // of the auth service: a look-up on the same network
-	stallS    = 2.0                    // s
-	shift     = 100 * time.Millisecond // by which a submission may come late to its worker, and its record
+	authServiceMillis = 3.0                    // of the auth service: a look-up on the same network
+	authStallSeconds  = 2.0                    // s
+	maxArrivalShift   = 100 * time.Millisecond // by which an attempt may reach its worker late
 )
 
-// forward plays the arms, one after another, each with gatekeeper and stand-ins of its own.
-func forward(ctx context.Context, c *cli.Command) error {
-	s, _, err := scenario(c, 1)
+// runForward plays the variants, one after another, each with a gateway and fakes of its own.
+func runForward(ctx context.Context, c *cli.Command) error {
+	scenario, _, err := readScenario(c, 1)
 	if err != nil {
 		return err
 	}
 	if n := c.Float("seconds"); n > 0 {
-		s.Seconds = n
+		scenario.Seconds = n
 	}
 	program := c.String("program")
-	start := func(conf []byte, file string) (*gatekeeper, error) { return spawn(program, conf, file) }
-	all, err := playArms(ctx, s, int64(c.Int("seed")), arms, start)
+	start := func(config []byte, file string) (*gatewayProcess, error) {
+		return startGateway(program, config,
+			file)
+	}
+	results, err := playVariants(ctx, scenario, int64(c.Int("seed")), variants, start)
 	if err != nil {
 		return err
 	}
-	if err := tell(all, c.String("out")); err != nil {
+	if err := reportResults(results, c.String("out")); err != nil {
 		return err
 	}
 	if path := c.String("chart"); path != "" {
-		err = drawSeconds(all, path)
+		err = drawSeconds(results, path)
 	}
 	return err
 }
 
-func playArms(ctx context.Context, s *emulator.Scenario, seed int64, arms []arm,
-	start func(conf []byte, file string) (*gatekeeper, error)) ([]result, error) {
-	arrivals, err := s.Arrivals(seed)
+// playVariants plays variants with gateways that start starts.
+func playVariants(ctx context.Context, scenario *emulator.Scenario, seed int64, variants []scenarioVariant,
+	start func(conf []byte, file string) (*gatewayProcess, error)) ([]variantResult, error) {
+	arrivals, err := scenario.Arrivals(seed)
 	if err != nil {
 		return nil, err
 	}
-	var all []result
-	for _, a := range arms {
-		r, err := a.play(ctx, s, arrivals, seed, start)
+	var results []variantResult
+	for _, variant := range variants {
+		r, err := variant.play(ctx, scenario, arrivals, seed, start)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", a.name, err)
+			return nil, fmt.Errorf("%s: %w", variant.name, err)
 		}
-		all = append(all, r)
+		results = append(results, r)
 	}
-	return all, nil
+	return results, nil
 }
 
-func (a arm) play(ctx context.Context, s *emulator.Scenario, arrivals []workload.Arrival, seed int64,
-	start func([]byte, string) (*gatekeeper, error)) (r result, err error) {
-	r.arm = a
-	first, giveBack, err := ports.Take(2)
+// play sends the arrivals through a variant.
+func (v scenarioVariant) play(ctx context.Context, scenario *emulator.Scenario, arrivals []workload.Arrival,
+	seed int64,
+	start func([]byte, string) (*gatewayProcess, error)) (r variantResult, err error) {
+	r.variant = v
+	first, release, err := ports.Take(2)
 	if err != nil {
 		return r, err
 	}
-	defer giveBack()
+	defer release()
 	at := func(i int) string { return fmt.Sprintf("127.0.0.1:%d", first+i) }
-	f, err := newFleet(s, at(0))
+	fleet, err := startBackends(scenario, at(0))
 	if err != nil {
 		return r, err
 	}
-	defer f.close()
-	auth, err := fakes.NewAuth(time.Duration(serviceMS * float64(time.Millisecond)))
+	defer fleet.close()
+	auth, err := fakes.NewAuth(time.Duration(authServiceMillis * float64(time.Millisecond)))
 	if err != nil {
 		return r, err
 	}
@@ -131,135 +139,155 @@
 	if err != nil {
 		return r, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // temporary files of the run
 	file := ""
-	if a.asked || a.asking {
+	if v.portalAsks || v.gatewayAsks {
 		file = filepath.Join(dir, "forward.toml")
-		if err := os.WriteFile(file, []byte(a.operators(at(1), auth.At)), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(v.operatorFile(at(1), auth.At)), 0o600); err != nil {
 			return r, err
 		}
 	}
-	g, err := start(f.config, file)
+	gateway, err := start(fleet.config, file)
 	if err != nil {
 		return r, err
 	}
-	defer g.stop()
-	target := g.at
-	if a.portal {
+	defer gateway.stop()
+	target := gateway.address
+	if v.portal {
 		asks := ""
-		if a.asked {
-			asks = g.asked
+		if v.portalAsks {
+			asks = gateway.askAddress
 		}
-		p, err := fakes.NewPortal("127.0.0.1:0", asks, g.at)
+		product, err := fakes.NewPortal("127.0.0.1:0", asks, gateway.address)
 		if err != nil {
 			return r, err
 		}
-		defer p.Close()
-		p.Loses(a.loses)
-		target = p.At
+		defer product.Close()
+		product.Loses(v.losesEvery)
+		target = product.At
 	}
-	plans, _ := names(s)
-	j := &loadgen.Load{Arrivals: arrivals, Targets: []string{target}, SetSize: 1, Plans: plans,
-		MaxInFlight: 4000,
-		Seed:        seed, CredentialHeader: "Authorization"}
-	for _, p := range s.Products {
-		j.Products = append(j.Products, loadgen.Product{Name: p.Name, Idempotency: p.Idempotency, BodyBytes: 100,
-			Timeout: time.Duration(p.LatencyTargetMillis * s.Clients.TimeoutFactor * float64(time.Millisecond))})
-	}
-	if a.stalls {
-		at := time.Duration((s.Seconds - stallS) / 2 * float64(time.Second))
-		begins := time.AfterFunc(at, func() { auth.Set(fakes.Stalls) })
-		ends := time.AfterFunc(at+time.Duration(stallS*float64(time.Second)), func() { auth.Set(fakes.None) })
-		defer begins.Stop()
-		defer ends.Stop()
-	}
-	if r.report, err = j.Run(ctx); err != nil {
+	load := v.load(scenario, arrivals, target, seed)
+	if v.serviceStalls {
+		defer scheduleStall(auth, scenario.Seconds)()
+	}
+	if r.report, err = load.Run(ctx); err != nil {
 		return r, err
 	}
-	r.asks = len(auth.Got())
-	r.twice, r.beyond = verdict(s, arrivals, f.workers)
+	r.serviceRequests = len(auth.Got())
+	r.ranTwice, r.unitsBeyondLimit = checkWorkerRecords(scenario, arrivals, fleet.workers)
 	return r, nil
 }
 
-// operators is an arm's operator file.
-func (a arm) operators(listen, auth string) string {
+// scheduleStall has the service stall for authStallSeconds in the middle of a run; cancel ends that.
+func scheduleStall(auth *fakes.Auth, runSeconds float64) (cancel func()) {
+	at := time.Duration((runSeconds - authStallSeconds) / 2 * float64(time.Second))
+	begin := time.AfterFunc(at, func() { auth.Set(fakes.Stalls) })
+	end := time.AfterFunc(at+time.Duration(authStallSeconds*float64(time.Second)), func() { auth.Set(fakes.None) })
+	return func() {
+		end.Stop()
+		begin.Stop()
+	}
+}
+
+// load returns the load that a variant sends to a target.
+func (scenarioVariant) load(scenario *emulator.Scenario, arrivals []workload.Arrival, target string,
+	seed int64) *loadgen.Load {
+	plans, _ := planAndProductNames(scenario)
+	load := &loadgen.Load{Arrivals: arrivals, Targets: []string{target}, SetSize: 1, Plans: plans,
+		MaxInFlight: 4000,
+		Seed:        seed, CredentialHeader: "Authorization"}
+	for _, product := range scenario.Products {
+		load.Products = append(load.Products, loadgen.Product{Name: product.Name,
+			Idempotency: product.Idempotency, BodyBytes: 100,
+			Timeout: time.Duration(product.LatencyTargetMillis * scenario.Clients.TimeoutFactor * float64(
+				time.Millisecond))})
+	}
+	return load
+}
+
+// operatorFile returns the text of a variant's file of forward authentication.
+func (v scenarioVariant) operatorFile(listen, auth string) string {
 	var b strings.Builder
-	if a.asked {
+	if v.portalAsks {
 		fmt.Fprintf(&b, "[asked]\nlisten = %q\ntrusted = [\"127.0.0.0/8\"]\n", listen)
 		b.WriteString("life_ms = 500\nconnections = 256\n")
 	}
-	if a.asking {
-		yes := 0.0
-		if a.kept {
-			yes = 5
+	if v.gatewayAsks {
+		cacheSeconds := 0.0
+		if v.caches {
+			cacheSeconds = 5
 		}
-		fmt.Fprintf(&b, "[asking]\nservice = %q\nyes_s = %g\nconnections = 64\n", auth, yes)
+		fmt.Fprintf(&b, "[asking]\nservice = %q\nyes_s = %g\nconnections = 64\n", auth, cacheSeconds)
 	}
 	return b.String()
 }
 
-// verdict reckons from the workers' own records: once-only txns that ran twice, and the most units by which
-// any customer's ceiling was passed, as one store that begins full sees it.
-func verdict(s *emulator.Scenario, arrivals []workload.Arrival, workers []*fakes.Worker) (twice int,
-	beyond float64) {
-	type drawn struct {
+// checkWorkerRecords returns, from the workers' own records, how many non-idempotent transactions ran twice,
+// and the most units by which a customer exceeded its rate limit, as one token bucket that begins full sees
+// it.
+func checkWorkerRecords(scenario *emulator.Scenario, arrivals []workload.Arrival,
+	workers []*fakes.Worker) (ranTwice int,
+	unitsBeyondLimit float64) {
+	type use struct {
 		at    time.Time
 		units float64
 	}
-	runs, first, by := map[string]int{}, map[string]bool{}, map[int][]drawn{}
-	for _, got := range fakes.InOrder(workers) {
-		_, n, _ := strings.Cut(got.Target, "?n=")
+	runs, seen, usesByCustomer := map[string]int{}, map[string]bool{}, map[int][]use{}
+	for _, request := range fakes.InOrder(workers) {
+		_, n, _ := strings.Cut(request.Target, "?n=")
 		i, err := strconv.Atoi(n)
 		if err != nil || i >= len(arrivals) {
 			continue
 		}
-		a := &arrivals[i]
-		if got.Ran && s.Products[a.Product].Idempotency == "once" {
-			if runs[got.ID]++; runs[got.ID] == 2 {
-				twice++
+		arrival := &arrivals[i]
+		if request.Ran && scenario.Products[arrival.Product].Idempotency == "once" {
+			if runs[request.ID]++; runs[request.ID] == 2 {
+				ranTwice++
 			}
 		}
-		if p := s.Plans[a.Plan]; p.RateLimitPerSecond > 0 && !first[got.ID] {
-			first[got.ID] = true
-			by[a.Plan<<32|int(a.Customer)] = append(by[a.Plan<<32|int(a.Customer)], drawn{got.At, a.Units})
+		if p := scenario.Plans[arrival.Plan]; p.RateLimitPerSecond > 0 && !seen[request.ID] {
+			seen[request.ID] = true
+			key := arrival.Plan<<32 | arrival.Customer
+			usesByCustomer[key] = append(usesByCustomer[key], use{request.At, arrival.Units})
 		}
 	}
-	for key, all := range by {
-		p := s.Plans[key>>32]
-		level, last := p.RateLimitBurst, all[0].at
-		for _, d := range all {
-			level = min(level+p.RateLimitPerSecond*d.at.Sub(last).Seconds(), p.RateLimitBurst) - d.units
-			last = d.at
-			beyond = max(beyond, -level-p.RateLimitPerSecond*shift.Seconds())
+	for key, uses := range usesByCustomer {
+		p := scenario.Plans[key>>32]
+		tokens, last := p.RateLimitBurst, uses[0].at
+		for _, use := range uses {
+			tokens = min(tokens+p.RateLimitPerSecond*use.at.Sub(last).Seconds(), p.RateLimitBurst) - use.units
+			last = use.at
+			unitsBeyondLimit = max(unitsBeyondLimit, -tokens-p.RateLimitPerSecond*maxArrivalShift.Seconds())
 		}
 	}
-	return twice, beyond
+	return ranTwice, unitsBeyondLimit
 }
 
-// tell prints a line for each arm, and writes them as a table.
-func tell(all []result, path string) error {
+// reportResults prints a line for each variant, and writes them as a table.
+func reportResults(results []variantResult, path string) error {
 	rows := [][]string{{"arm", "answered", "settled", "declined", "voided", "no_answer", "p50_ms", "p99_ms",
 		"p99.9_ms", "asks", "twice", "beyond_units"}}
-	wrong := 0
-	for _, r := range all {
-		var n [5]int64
-		for _, c := range r.report.Counts {
-			for o := range n {
-				n[o] += c[o]
+	failed := 0
+	for _, r := range results {
+		var counts [5]int64
+		for _, productCounts := range r.report.Counts {
+			for outcome := range counts {
+				counts[outcome] += productCounts[outcome]
 			}
 		}
-		ms := func(q float64) string {
+		quantileMillis := func(q float64) string {
 			return strconv.FormatFloat(float64(r.report.Latency.ValueAtQuantile(q))/1000, 'f', 2, 64)
 		}
-		row := []string{r.arm.name, fmt.Sprint(r.report.Latency.TotalCount())}
-		for _, o := range []loadgen.Outcome{loadgen.Completed, loadgen.Rejected, loadgen.Failed,
+		row := []string{r.variant.name, fmt.Sprint(r.report.Latency.TotalCount())}
+		for _, outcome := range []loadgen.Outcome{loadgen.Completed, loadgen.Rejected, loadgen.Failed,
 			loadgen.NoResponse} {
-			row = append(row, fmt.Sprint(n[o]))
+			row = append(row, fmt.Sprint(counts[outcome]))
 		}
-		rows = append(rows, append(row, ms(50), ms(99), ms(99.9), fmt.Sprint(r.asks), fmt.Sprint(r.twice),
-			strconv.FormatFloat(r.beyond, 'f', 2, 64)))
-		if r.twice > 0 || r.beyond > 0 {
-			wrong++
+		rows = append(rows, append(row, quantileMillis(50), quantileMillis(99), quantileMillis(99.9),
+			fmt.Sprint(r.serviceRequests), fmt.Sprint(r.ranTwice),
+			strconv.FormatFloat(r.unitsBeyondLimit, 'f', 2, 64)))
+		if r.ranTwice > 0 || r.unitsBeyondLimit > 0 {
+			failed++
 		}
 	}
 	for _, row := range rows {
@@ -270,39 +298,38 @@
 		if err != nil {
 			return err
 		}
-		defer f.Close()
-		if err := csv.NewWriter(f).WriteAll(rows); err != nil {
+		if err := errors.Join(csv.NewWriter(f).WriteAll(rows), f.Close()); err != nil {
 			return err
 		}
 	}
-	if wrong > 0 {
-		return fmt.Errorf("%d arms ran a once-only txn twice, or passed a ceiling", wrong)
+	if failed > 0 {
+		return fmt.Errorf("%d variants ran a non-idempotent transaction twice, or exceeded a rate limit", failed)
 	}
 	return nil
 }
 
-// drawSeconds draws the 99th percentile of each second.
-func drawSeconds(all []result, path string) error {
-	var lines []experiment.Curve
-	for _, r := range all {
-		l := experiment.Curve{Name: r.arm.name}
-		for i, s := range r.report.Seconds {
-			if s.Latency.TotalCount() > 0 {
-				l.X = append(l.X, float64(i))
-				l.Y = append(l.Y, float64(s.Latency.ValueAtQuantile(99))/1000)
+// drawSeconds draws the 99th percentile of the latency of each second.
+func drawSeconds(results []variantResult, path string) error {
+	var curves []experiment.Curve
+	for _, r := range results {
+		curve := experiment.Curve{Name: r.variant.name}
+		for i, second := range r.report.Seconds {
+			if second.Latency.TotalCount() > 0 {
+				curve.X = append(curve.X, float64(i))
+				curve.Y = append(curve.Y, float64(second.Latency.ValueAtQuantile(99))/1000)
 			}
 		}
-		lines = append(lines, l)
+		curves = append(curves, curve)
 	}
 	return experiment.DrawLines(
 		"forward authentication, the service stalled for 2 s in the middle where it says so",
-		"s", "p99 of what was due in that second, ms", true, lines, path)
+		"s", "p99 of what was due in that second, ms", true, curves, path)
 }
 
-// spawn starts a gatekeeper's program, and waits until it is up.
-func spawn(program string, conf []byte, file string) (*gatekeeper, error) {
-	var told struct{ Listen string }
-	if err := json.Unmarshal(conf, &told); err != nil {
+// startGateway starts a gateway's program, and waits until it listens.
+func startGateway(program string, config []byte, operatorFile string) (*gatewayProcess, error) {
+	var listening struct{ Listen string }
+	if err := json.Unmarshal(config, &listening); err != nil {
 		return nil, err
 	}
 	dir, err := os.MkdirTemp("", "wdforward")
@@ -310,14 +337,14 @@
 		return nil, err
 	}
 	path := filepath.Join(dir, "gatekeeper.json")
-	if err := os.WriteFile(path, conf, 0o600); err != nil {
+	if err := os.WriteFile(path, config, 0o600); err != nil {
 		return nil, err
 	}
 	args := []string{"serve", "--config", path, "--log", "warn"}
-	g := &gatekeeper{at: told.Listen}
-	if file != "" {
-		args = append(args, "--forward", file)
-		if g.asked, err = listenOf(file); err != nil {
+	gateway := &gatewayProcess{address: listening.Listen}
+	if operatorFile != "" {
+		args = append(args, "--forward", operatorFile)
+		if gateway.askAddress, err = askAddressOf(operatorFile); err != nil {
 			return nil, err
 		}
 	}
@@ -326,24 +353,24 @@
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	g.stop = func() {
+	gateway.stop = func() {
 		_ = cmd.Process.Signal(syscall.SIGTERM)
 		_ = cmd.Wait()
 		_ = os.RemoveAll(dir)
 	}
 	for range 500 {
-		if c, err := net.Dial("tcp", g.at); err == nil {
+		if c, err := net.Dial("tcp", gateway.address); err == nil {
 			c.Close()
-			return g, nil
+			return gateway, nil
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	g.stop()
+	gateway.stop()
 	return nil, fmt.Errorf("%s does not come up", program)
 }
 
-// listenOf gives where portals are to ask, by an operator file; empty where they are not.
-func listenOf(file string) (string, error) {
+// askAddressOf returns the address at which portals ask, by an operator file; empty where they do not.
+func askAddressOf(file string) (string, error) {
 	raw, err := os.ReadFile(file)
 	_, rest, there := strings.Cut(string(raw), "listen = \"")
 	if !there {
--- a/cmd/willowdeck-lab/journal.go
+++ b/cmd/willowdeck-lab/journal.go
@@ -24,14 +24,14 @@
 )
 
 const (
-	service  = 5 * time.Millisecond // of a worker: an end comes so long after its intent
-	patient  = 2000.0               // ms that a txn waits here: what is late is to be seen
-	slowSync = 5 * time.Millisecond // that each sync of the slow disk takes longer, and
-	hangSync = 30 * time.Millisecond
-	hangs    = 0.02 // of them, this much longer
+	serviceTime    = 5 * time.Millisecond // of a worker: an end comes so long after its intent
+	patienceMillis = 2000.0               // ms that a txn waits here: what is late is to be seen
+	syncDelay      = 5 * time.Millisecond // that each sync of the slow disk takes longer, and
+	hangDelay      = 30 * time.Millisecond
+	hangFraction   = 0.02 // of them, this much longer
 )
 
-// journalCommand measures what writing once-only txns down costs.
+// journalCommand measures the cost of recording non-idempotent transactions.
 func journalCommand(out cli.Flag) *cli.Command {
 	dir := &cli.StringFlag{Name: "dir", Required: true, Usage: "a `FOLDER` on the disk that is measured"}
 	return &cli.Command{Name: "journal", Usage: "measure what writing once-only txns down costs",
@@ -49,26 +49,29 @@
 		}}
 }
 
-// writes is what a txn does before it goes out, and what is done when it has ended.
-type writes struct {
-	meant func(number uint64) bool
-	ended func(number uint64)
-	close func()
+// journalWriter records an intent before a transaction is sent, and its outcome after it has ended.
+type journalWriter struct {
+	recordIntent  func(number uint64) bool
+	recordOutcome func(number uint64)
+	close         func()
 }
 
-func own(d store.Disk, window float64) writes {
-	t := txnjournal.DefaultConfig()
-	t.BatchWindowMillis, t.CommitWaitMillis, t.SlowCommitMillis = window, patient, patient
-	k := store.Start(d, t, store.Writer{Instance: "lab"}, false, 1, zerolog.Nop())
+// startSegments starts a journal of the gateway's own segments.
+func startSegments(disk store.Disk, window float64) journalWriter {
+	config := txnjournal.DefaultConfig()
+	config.BatchWindowMillis, config.CommitWaitMillis, config.SlowCommitMillis = window, patienceMillis,
+		patienceMillis
+	journal := store.Start(disk, config, store.Writer{Instance: "lab"}, false, 1, zerolog.Nop())
 	txn := func(n uint64) txnjournal.Txn {
 		return txnjournal.Txn{Customer: n % 100, RequestID: fmt.Sprintf("%016x", n), Product: "tag-issue"}
 	}
-	return writes{
-		meant: func(n uint64) bool {
-			return k.RecordIntent(txn(n), txnjournal.AttemptID{Sequence: n}, "w1", 0, time.Now().Add(time.Minute))
+	return journalWriter{
+		recordIntent: func(n uint64) bool {
+			return journal.RecordIntent(txn(n), txnjournal.AttemptID{Sequence: n}, "w1", 0,
+				time.Now().Add(time.Minute))
 		},
-		ended: func(n uint64) {
-			k.RecordOutcome(
+		recordOutcome: func(n uint64) {
+			journal.RecordOutcome(
 				txn(n),
 				txnjournal.AttemptID{Sequence: n},
 				"w1",
@@ -77,15 +80,15 @@
 					Stored: true},
 			)
 		},
-		close: k.Close,
+		close: journal.Close,
 	}
 }
 
-// embedded is the same in a bbolt file: its own group commit, a key for each txn.
-func embedded(dir string, window float64) (writes, error) {
+// openBolt opens a bbolt file that does the same: with its own group commit, and a key for each transaction.
+func openBolt(dir string, window float64) (journalWriter, error) {
 	db, err := bbolt.Open(filepath.Join(dir, "bolt.db"), 0o600, nil)
 	if err != nil {
-		return writes{}, err
+		return journalWriter{}, err
 	}
 	db.MaxBatchDelay = time.Duration(window * float64(time.Millisecond))
 	bucket := []byte("txns")
@@ -94,7 +97,7 @@
 		return err
 	})
 	if err != nil {
-		return writes{}, err
+		return journalWriter{}, err
 	}
 	put := func(n uint64, end byte) error {
 		key := fmt.Appendf(nil, "%016x", n*0x9e3779b97f4a7c15) // marks come in no order
@@ -104,9 +107,9 @@
 		return db.Batch(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(key, value) })
 	}
 	var ends sync.WaitGroup
-	return writes{
-		meant: func(n uint64) bool { return put(n, 0) == nil },
-		ended: func(n uint64) { ends.Go(func() { _ = put(n, 1) }) },
+	return journalWriter{
+		recordIntent:  func(n uint64) bool { return put(n, 0) == nil },
+		recordOutcome: func(n uint64) { ends.Go(func() { _ = put(n, 1) }) },
 		close: func() {
 			ends.Wait()
 			_ = db.Close()
@@ -121,74 +124,80 @@
 	rng *rand.Rand
 }
 
+// slowFile is a file of a slowDisk.
 type slowFile struct {
 	store.File
-	of slowDisk
+	disk slowDisk
 }
 
+// Create creates a slow file.
 func (d slowDisk) Create(name string, size int) (store.File, error) {
 	f, err := d.Disk.Create(name, size)
 	return slowFile{f, d}, err
 }
 
+// Sync syncs after a delay.
 func (f slowFile) Sync() error {
-	f.of.mu.Lock()
-	hang := f.of.rng.Float64() < hangs
-	f.of.mu.Unlock()
-	if time.Sleep(slowSync); hang {
-		time.Sleep(hangSync)
+	f.disk.mu.Lock()
+	hang := f.disk.rng.Float64() < hangFraction
+	f.disk.mu.Unlock()
+	if time.Sleep(syncDelay); hang {
+		time.Sleep(hangDelay)
 	}
 	return f.File.Sync()
 }
 
-// added measures what txns that come at random wait for, ms, in order of size.
-func added(ctx context.Context, w writes, rate, seconds float64) (all []float64, lost int64) {
+// measureAddedLatency returns what transactions that arrive at random wait for their intent, in milliseconds,
+// sorted, and how many were rejected.
+func measureAddedLatency(ctx context.Context, writer journalWriter, rate,
+	seconds float64) (latencies []float64, rejected int64) {
 	rng := rand.New(rand.NewSource(1))
 	var mu sync.Mutex
-	var out sync.WaitGroup
-	var refused atomic.Int64
+	var inFlight sync.WaitGroup
+	var rejectedCount atomic.Int64
 	at := time.Now()
 	end := at.Add(time.Duration(seconds * float64(time.Second)))
 	for n := uint64(1); at.Before(end) && ctx.Err() == nil; n++ {
 		at = at.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		time.Sleep(time.Until(at))
-		out.Go(func() {
+		inFlight.Go(func() {
 			from := time.Now()
-			if !w.meant(n) {
-				refused.Add(1)
+			if !writer.recordIntent(n) {
+				rejectedCount.Add(1)
 				return
 			}
-			took := float64(time.Since(from)) / float64(time.Millisecond)
+			latencyMillis := float64(time.Since(from)) / float64(time.Millisecond)
 			mu.Lock()
-			all = append(all, took)
+			latencies = append(latencies, latencyMillis)
 			mu.Unlock()
-			time.Sleep(service)
-			w.ended(n)
+			time.Sleep(serviceTime)
+			writer.recordOutcome(n)
 		})
 	}
-	out.Wait()
-	w.close()
-	slices.Sort(all)
-	return all, refused.Load()
+	inFlight.Wait()
+	writer.close()
+	slices.Sort(latencies)
+	return latencies, rejectedCount.Load()
 }
 
-// written makes a store of a kind in a folder of its own, which done removes.
-func written(in string, kind int, window float64) (w writes, done func(), err error) {
-	dir, err := os.MkdirTemp(in, "willowdeck-lab")
+// openJournal opens a journal of a kind in a folder of its own, which remove removes.
+func openJournal(parent string, kind int, window float64) (writer journalWriter, remove func(), err error) {
+	dir, err := os.MkdirTemp(parent, "willowdeck-lab")
 	if err != nil {
-		return w, nil, err
+		return writer, nil, err
 	}
 	switch kind {
 	case 0:
-		w = own(store.Dir(dir), window)
+		writer = startSegments(store.Dir(dir), window)
 	case 1:
-		w = own(slowDisk{store.Dir(dir), &sync.Mutex{}, rand.New(rand.NewSource(2))}, window)
+		writer = startSegments(slowDisk{store.Dir(dir), &sync.Mutex{}, rand.New(rand.NewSource(2))}, window)
 	default:
-		w, err = embedded(dir, window)
+		writer, err = openBolt(dir, window)
 	}
-	return w, func() { _ = os.RemoveAll(dir) }, err
+	return writer, func() { _ = os.RemoveAll(dir) }, err
 }
 
+// journalLatency measures the added latency by the window of group commit.
 func journalLatency(ctx context.Context, c *cli.Command) error {
 	kinds := []string{"segments", "segments, slow disk", "bbolt"}
 	parts := []struct {
@@ -206,11 +215,11 @@
 			rounds := make([][]float64, len(parts))
 			txns, lost := 0, int64(0)
 			for range c.Int("rounds") {
-				w, done, err := written(c.String("dir"), i, window)
+				w, done, err := openJournal(c.String("dir"), i, window)
 				if err != nil {
 					return err
 				}
-				all, refused := added(ctx, w, c.Float("rate"), c.Float("seconds"))
+				all, refused := measureAddedLatency(ctx, w, c.Float("rate"), c.Float("seconds"))
 				if done(); len(all) == 0 {
 					return fmt.Errorf("%s: nothing was written", kind)
 				}
@@ -231,14 +240,14 @@
 		}
 		lines = append(lines, curves...)
 	}
-	return told(c, rows, func(path string) error {
+	return writeTableAndChart(c, rows, func(path string) error {
 		return experiment.DrawLines("added to a once-only txn", "window of group commit, ms", "ms", true, lines,
 			path)
 	})
 }
 
-// told writes a table and draws a chart, where they are asked for.
-func told(c *cli.Command, rows [][]string, draw func(path string) error) error {
+// writeTableAndChart writes a table and draws a chart, where they are asked for.
+func writeTableAndChart(c *cli.Command, rows [][]string, draw func(path string) error) error {
 	if path := c.String("out"); path != "" {
 		f, err := os.Create(path)
 		if err != nil {
@@ -258,6 +267,7 @@
 	return nil
 }
 
+// journalRecovery measures the time to read a journal at a start, by its size.
 func journalRecovery(_ context.Context, c *cli.Command) error {
 	curve := experiment.Curve{Name: "time to read"}
 	rows := [][]string{{"mb", "records", "txns", "ms"}}
@@ -266,10 +276,10 @@
 		if err != nil {
 			return err
 		}
-		defer os.RemoveAll(dir)
+		defer func() { _ = os.RemoveAll(dir) }() // temporary files of the run
 		t := txnjournal.DefaultConfig()
 		t.MaxSegments, t.MaxTxns = txnjournal.LargestMaxSegments, txnjournal.LargestMaxTxns
-		if err := fill(store.Dir(dir), t, int(mb)<<20); err != nil {
+		if err := fillJournal(store.Dir(dir), t, mb<<20); err != nil {
 			return err
 		}
 		var took []float64
@@ -291,7 +301,7 @@
 		rows = append(rows, row)
 		curve.X, curve.Y = append(curve.X, float64(mb)), append(curve.Y, took[1])
 	}
-	return told(c, rows, func(path string) error {
+	return writeTableAndChart(c, rows, func(path string) error {
 		return experiment.DrawLines(
 			"reading a journal at a start",
 			"its size, MB",
@@ -303,15 +313,15 @@
 	})
 }
 
-// fill writes txns until a journal has so many bytes.
-func fill(d store.Disk, t txnjournal.Config, bytes int) error {
-	l, err := store.Open(d, t, store.Writer{Instance: "lab"}, 1e12, false)
+// fillJournal writes transactions until a journal has a number of bytes.
+func fillJournal(disk store.Disk, config txnjournal.Config, bytes int) error {
+	l, err := store.Open(disk, config, store.Writer{Instance: "lab"}, 1e12, false)
 	if err != nil {
 		return err
 	}
 	defer l.Close()
-	for n := uint64(0); l.SegmentCount() <= bytes/t.SegmentBytes; {
-		var all []txnjournal.Record
+	for n := uint64(0); l.SegmentCount() <= bytes/config.SegmentBytes; {
+		var records []txnjournal.Record
 		for range 200 {
 			n++
 			r := txnjournal.Record{
@@ -321,14 +331,14 @@
 				Worker:     "w1",
 				Txn:        txnjournal.Txn{Customer: n % 100, RequestID: fmt.Sprintf("%016x", n), Product: "tag-issue"},
 			}
-			all = append(all, r)
+			records = append(records, r)
 			r.Kind, r.Outcome = txnjournal.KindOutcome, txnjournal.OutcomeCompleted
-			all = append(all, r)
+			records = append(records, r)
 		}
-		if l.SegmentCount() == bytes/t.SegmentBytes && n*2*160 > uint64(bytes) {
+		if l.SegmentCount() == bytes/config.SegmentBytes && n*2*160 > uint64(bytes) {
 			break
 		}
-		if err := l.Commit(all, 1e12+float64(n)); err != nil {
+		if err := l.Commit(records, 1e12+float64(n)); err != nil {
 			return err
 		}
 	}
--- a/cmd/willowdeck-lab/main.go
+++ b/cmd/willowdeck-lab/main.go
@@ -8,18 +8,11 @@
 	"os"
 	"os/signal"
 	"runtime"
-	"strings"
 	"syscall"
 	"time"
 
 	"github.com/rs/zerolog"
 	"github.com/urfave/cli/v3"
-
-	"willowdeck/internal/lab/emulator"
-	"willowdeck/internal/lab/experiment"
-	"willowdeck/internal/lab/loadgen"
-	"willowdeck/internal/lab/workload"
-	"willowdeck/internal/testkit/fakes"
 )
 
 func main() {
@@ -31,6 +24,7 @@
 	}
 }
 
+// command returns the command line.
 func command() *cli.Command {
 	seeds := &cli.IntFlag{Name: "seeds", Value: 1, Usage: "play seeds 1 to `N`"}
 	cores := &cli.IntFlag{Name: "cores", Value: runtime.NumCPU(), Usage: "runs side by side"}
@@ -40,23 +34,24 @@
 		Name:  "willowdeck-lab",
 		Usage: "plays fleets in virtual time, sends load on sockets, and compares what comes of it",
 		Commands: []*cli.Command{
-			{Name: "run", Usage: "play a scenario", ArgsUsage: "SCENARIO.toml", Action: run, Flags: []cli.Flag{seeds,
-				cores, out,
-				&cli.StringSliceFlag{Name: "policy", Usage: "who decides: willowdeck, open, static, seer, late"},
-				&cli.StringFlag{Name: "seconds-out", Usage: "what became of each second of the first run, `FILE.csv`"}}},
-			{Name: "sweep", Usage: "play an experiment", ArgsUsage: "EXPERIMENT.toml", Action: sweep,
+			{Name: "run", Usage: "play a scenario", ArgsUsage: "SCENARIO.toml", Action: runScenario,
+				Flags: []cli.Flag{seeds,
+					cores, out,
+					&cli.StringSliceFlag{Name: "policy", Usage: "who decides: willowdeck, open, static, seer, late"},
+					&cli.StringFlag{Name: "seconds-out", Usage: "what became of each second of the first run, `FILE.csv`"}}},
+			{Name: "sweep", Usage: "play an experiment", ArgsUsage: "EXPERIMENT.toml", Action: runSweep,
 				Flags: []cli.Flag{cores, out,
 					&cli.StringFlag{Name: "chart", Usage: "and draw it, `FILE.png`"}}},
-			{Name: "chart", Usage: "draw a table", ArgsUsage: "TABLE.csv CHART.png", Action: chart,
+			{Name: "chart", Usage: "draw a table", ArgsUsage: "TABLE.csv CHART.png", Action: runChart,
 				Flags: []cli.Flag{figure}},
 			{Name: "compare", Usage: "say which differences of two tables exceed the spread over seeds",
-				ArgsUsage: "OLD.csv NEW.csv", Action: compare, Flags: []cli.Flag{
+				ArgsUsage: "OLD.csv NEW.csv", Action: runCompare, Flags: []cli.Flag{
 					&cli.StringSliceFlag{Name: "figure", Value: []string{"score", "p99_ms", "over_units", "messages"}}}},
 			{Name: "trace", Usage: "write a scenario's arrivals as a trace", ArgsUsage: "SCENARIO.toml TRACE.csv",
-				Action: trace,
+				Action: runTrace,
 				Flags:  []cli.Flag{&cli.IntFlag{Name: "seed", Value: 1}}},
 			{Name: "load", Usage: "send a scenario's arrivals to gatekeepers on sockets", ArgsUsage: "SCENARIO.toml",
-				Action: send, Flags: []cli.Flag{&cli.StringSliceFlag{Name: "target",
+				Action: runLoad, Flags: []cli.Flag{&cli.StringSliceFlag{Name: "target",
 					Usage: "a gatekeeper's `HOST:PORT`, by number"},
 					&cli.StringFlag{Name: "credential", Usage: "the `HEADER` that says whose a request is"},
 					&cli.IntFlag{Name: "most", Value: 2000, Usage: "requests out at once"}, &cli.IntFlag{Name: "seed",
@@ -64,7 +59,7 @@
 					&cli.IntFlag{Name: "body", Value: 200, Usage: "`BYTES` of a body"},
 					&cli.IntFlag{Name: "closed", Usage: "instead, `N` clients that wait for their answers"}}},
 			{Name: "forward", Usage: "send a scenario's arrivals with and without forward authentication",
-				ArgsUsage: "SCENARIO.toml", Action: forward, Flags: []cli.Flag{
+				ArgsUsage: "SCENARIO.toml", Action: runForward, Flags: []cli.Flag{
 					&cli.StringFlag{Name: "program", Value: "bin/willowdeck", Usage: "the gatekeeper's `FILE`"},
 					&cli.FloatFlag{Name: "seconds", Usage: "instead of the scenario's own"},
 					&cli.IntFlag{Name: "seed", Value: 1}, out,
@@ -74,7 +69,7 @@
 			{Name: "hollow", Hidden: true, Action: hollow},
 			{Name: "stand", Usage: "run stand-ins on loopback, and write a gatekeeper's configuration",
 				ArgsUsage: "SCENARIO.toml",
-				Action:    stand, Flags: []cli.Flag{&cli.StringFlag{Name: "config", Value: "willowdeck-lab.json",
+				Action:    runStand, Flags: []cli.Flag{&cli.StringFlag{Name: "config", Value: "willowdeck-lab.json",
 					Usage: "`FILE` to write"},
 					&cli.StringFlag{Name: "listen", Value: "127.0.0.1:5000", Usage: "where the gatekeeper is to listen"},
 					&cli.StringFlag{Name: "portal", Usage: "run a portal at `HOST:PORT` before it"},
@@ -85,256 +80,16 @@
 	}
 }
 
+// logger returns a logger to the standard error.
 func logger() zerolog.Logger {
 	return zerolog.New(zerolog.ConsoleWriter{Out: os.Stderr,
 		TimeFormat: time.TimeOnly, NoColor: true}).With().Timestamp().Logger()
 }
 
-// args gives so many arguments, or says what is wanted.
-func args(c *cli.Command, n int) ([]string, error) {
+// arguments returns the command's n arguments, or an error that names what it takes.
+func arguments(c *cli.Command, n int) ([]string, error) {
 	if c.Args().Len() != n {
 		return nil, fmt.Errorf("%s takes %s", c.Name, c.ArgsUsage)
 	}
 	return c.Args().Slice(), nil
 }
-
-// scenario reads the scenario that the first of n arguments names.
-func scenario(c *cli.Command, n int) (*emulator.Scenario, []string, error) {
-	a, err := args(c, n)
-	if err != nil {
-		return nil, nil, err
-	}
-	s, err := emulator.Read(a[0])
-	return s, a, err
-}
-
-func run(ctx context.Context, c *cli.Command) error {
-	s, _, err := scenario(c, 1)
-	if err != nil {
-		return err
-	}
-	x, err := experiment.FromScenario(s, c.StringSlice("policy"), c.Int("seeds"))
-	if err != nil {
-		return err
-	}
-	rows, err := play(ctx, c, x)
-	if err == nil && c.String("seconds-out") != "" {
-		err = experiment.WriteSeconds(c.String("seconds-out"), rows[0].Result)
-	}
-	return err
-}
-
-// play plays an experiment, tells of each run, and writes its table. A rule broken by the module is an error.
-func play(ctx context.Context, c *cli.Command, x *experiment.Experiment) ([]experiment.Row, error) {
-	log := logger()
-	start := time.Now()
-	rows, err := x.Run(ctx, c.Int("cores"), func(r experiment.Row) {
-		e := log.Info().Str("policy", r.Policy).Int64("seed", r.Seed).Float64("score", r.Score).
-			Int64("asked", r.Transactions).Int64("settled", r.Completed).Float64("p50_ms",
-			r.P50Millis).Float64("p99_ms", r.P99Millis).
-			Float64("near_fall", r.HighestColdLoad).Float64("starved", r.StarvedFraction)
-		for _, p := range []emulator.Segment{emulator.WorstServed(r.Products), emulator.WorstServed(r.Plans)} {
-			e = e.Float64("served_of_"+p.Name, p.ServedShare())
-		}
-		if r.Key != "" {
-			e = e.Float64(r.Key, r.Value)
-		}
-		e.Msg("played")
-		for _, b := range r.FirstViolations[:min(len(r.FirstViolations), 3)] {
-			log.Warn().Str("policy", r.Policy).Int64("seed", r.Seed).Msg(b.String())
-		}
-	})
-	if err != nil {
-		return nil, err
-	}
-	var events int64
-	broken := 0
-	for _, r := range rows {
-		if events += r.Events; r.Policy == "willowdeck" && r.Violations != [6]int{} {
-			broken++
-		}
-	}
-	took := time.Since(start)
-	log.Info().Int("runs", len(rows)).Dur("took", took).Int64("events", events).
-		Float64("events_per_s", float64(events)/took.Seconds()).Msg("done")
-	if file := c.String("out"); file != "" {
-		if err := experiment.WriteTable(file, rows); err != nil {
-			return nil, err
-		}
-	}
-	if broken > 0 {
-		return rows, fmt.Errorf("%d of %d runs broke a rule", broken, len(rows))
-	}
-	return rows, nil
-}
-
-func sweep(ctx context.Context, c *cli.Command) error {
-	a, err := args(c, 1)
-	if err != nil {
-		return err
-	}
-	x, err := experiment.Read(a[0])
-	if err != nil {
-		return err
-	}
-	if c.String("chart") != "" && c.String("out") == "" {
-		return fmt.Errorf("chart: it is drawn from the table, which --out names")
-	}
-	if _, err := play(ctx, c, x); err != nil || c.String("chart") == "" {
-		return err
-	}
-	t, err := experiment.ReadTable(c.String("out"))
-	if err != nil {
-		return err
-	}
-	figure := x.ChartColumn
-	if figure == "" {
-		figure = "score"
-	}
-	return experiment.DrawSweep(t, figure, c.String("chart"))
-}
-
-func chart(_ context.Context, c *cli.Command) error {
-	a, err := args(c, 2)
-	if err != nil {
-		return err
-	}
-	t, err := experiment.ReadTable(a[0])
-	if err != nil {
-		return err
-	}
-	return experiment.DrawSweep(t, c.String("figure"), a[1])
-}
-
-func compare(_ context.Context, c *cli.Command) error {
-	a, err := args(c, 2)
-	if err != nil {
-		return err
-	}
-	old, err := experiment.ReadTable(a[0])
-	if err != nil {
-		return err
-	}
-	now, err := experiment.ReadTable(a[1])
-	if err != nil {
-		return err
-	}
-	all, err := experiment.Compare(old, now, c.StringSlice("figure"))
-	if err != nil {
-		return err
-	}
-	for _, d := range all {
-		says := "within the spread"
-		switch {
-		case d.Significant:
-			says = "BEYOND the spread"
-		case d.OldRuns < 2 || d.NewRuns < 2:
-			says = "no spread: one seed"
-		}
-		fmt.Printf("%-40s %-12s %10.4g -> %-10.4g %+.4g (spread %.4g, %d and %d seeds) %s\n", d.Setting, d.Figure,
-			d.OldMean,
-			d.NewMean, d.NewMean-d.OldMean, d.Threshold, d.OldRuns, d.NewRuns, says)
-	}
-	return nil
-}
-
-func trace(_ context.Context, c *cli.Command) error {
-	s, a, err := scenario(c, 2)
-	if err != nil {
-		return err
-	}
-	all, err := s.Arrivals(int64(c.Int("seed")))
-	if err != nil {
-		return err
-	}
-	f, err := os.Create(a[1])
-	if err != nil {
-		return err
-	}
-	plans, products := names(s)
-	if err := workload.WriteTrace(f, all, plans, products); err != nil {
-		return err
-	}
-	return f.Close()
-}
-
-func names(s *emulator.Scenario) (plans, products []string) {
-	for _, p := range s.Plans {
-		plans = append(plans, p.Name)
-	}
-	for _, p := range s.Products {
-		products = append(products, p.Name)
-	}
-	return plans, products
-}
-
-func send(ctx context.Context, c *cli.Command) error {
-	s, _, err := scenario(c, 1)
-	if err != nil {
-		return err
-	}
-	all, err := s.Arrivals(int64(c.Int("seed")))
-	if err != nil {
-		return err
-	}
-	plans, _ := names(s)
-	j := &loadgen.Load{Arrivals: all, Targets: c.StringSlice("target"), Plans: plans, MaxInFlight: c.Int("most"),
-		ClosedLoopClients: c.Int("closed"), Seed: int64(c.Int("seed")), CredentialHeader: c.String("credential")}
-	j.SetSize = min(s.Gatekeepers.SetSize, len(j.Targets))
-	for _, p := range s.Products {
-		j.Products = append(j.Products, loadgen.Product{Name: p.Name, Idempotency: p.Idempotency,
-			BodyBytes: c.Int("body"),
-			Timeout:   time.Duration(p.LatencyTargetMillis * s.Clients.TimeoutFactor * float64(time.Millisecond))})
-	}
-	r, err := j.Run(ctx)
-	if err != nil {
-		return err
-	}
-	fmt.Print(r)
-	if !r.ScheduleKept() {
-		return fmt.Errorf("the schedule was not kept: one in a hundred requests was sent %.1f ms late or more",
-			float64(r.ScheduleLag.ValueAtQuantile(99))/1000)
-	}
-	return nil
-}
-
-func stand(ctx context.Context, c *cli.Command) error {
-	s, _, err := scenario(c, 1)
-	if err != nil {
-		return err
-	}
-	f, err := newFleet(s, c.String("listen"))
-	if err != nil {
-		return err
-	}
-	defer f.close()
-	if err := os.WriteFile(c.String("config"), f.config, 0o600); err != nil {
-		return err
-	}
-	log := logger()
-	if at := c.String("portal"); at != "" {
-		p, err := fakes.NewPortal(at, c.String("asks"), c.String("listen"))
-		if err != nil {
-			return err
-		}
-		defer p.Close()
-		log.Info().Str("portal", p.At).Str("asks", c.String("asks")).Msg("portal")
-	}
-	if c.IsSet("auth") {
-		a, err := fakes.NewAuth(c.Duration("auth"))
-		if err != nil {
-			return err
-		}
-		defer a.Close()
-		log.Info().Str("service", a.At).Msg("auth service; it says yes to any credential")
-	}
-	log.Info().Int("workers", len(f.workers)).Str("discovery", f.discovery.At).Str("config", c.String("config")).
-		Msg("standing; start the gatekeeper with that configuration")
-	<-ctx.Done()
-	var all []string
-	for _, w := range f.workers {
-		all = append(all, fmt.Sprintf("%s %d", w.Name, len(w.Got())))
-	}
-	log.Info().Str("txns", strings.Join(all, ", ")).Msg("ended")
-	return nil
-}
--- a/cmd/willowdeck-lab/main_test.go
+++ b/cmd/willowdeck-lab/main_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	s.Seconds = 2
-	f, err := newFleet(s, "127.0.0.1:0")
+	f, err := startBackends(s, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	plans, products := names(s)
+	plans, products := planAndProductNames(s)
 	j := &loadgen.Load{Arrivals: all, Targets: []string{g.At}, SetSize: 1, Plans: plans, MaxInFlight: 1000,
 		Seed: 3}
 	for i, p := range s.Products {
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	s.Seconds, s.Shapes[0].FromSeconds = 3, 0.5
-	start := func(conf []byte, file string) (*gatekeeper, error) {
+	start := func(conf []byte, file string) (*gatewayProcess, error) {
 		c, err := config.Decode(conf, func(string) string { return "" })
 		if err != nil {
 			return nil, err
@@ -150,12 +150,12 @@
 		if err != nil {
 			return nil, err
 		}
-		at, err := listenOf(file)
-		return &gatekeeper{at: g.At, asked: at, stop: g.Stop}, err
+		at, err := askAddressOf(file)
+		return &gatewayProcess{address: g.At, askAddress: at, stop: g.Stop}, err
 	}
-	all, err := playArms(t.Context(), s, 1, []arm{
-		{name: "asked", portal: true, asked: true, loses: 10},
-		{name: "asking", asking: true, stalls: true}}, start)
+	all, err := playVariants(t.Context(), s, 1, []scenarioVariant{
+		{name: "asked", portal: true, portalAsks: true, losesEvery: 10},
+		{name: "asking", gatewayAsks: true, serviceStalls: true}}, start)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,12 +165,13 @@
 			settled, declined, lost = settled+c[loadgen.Completed], declined+c[loadgen.Rejected],
 				lost+c[loadgen.NoResponse]
 		}
-		if r.twice > 0 || r.beyond > 0 || lost > 0 {
-			t.Errorf("%s: %d ran twice, %.1f units beyond a ceiling, %d without answer", r.arm.name, r.twice, r.beyond,
+		if r.ranTwice > 0 || r.unitsBeyondLimit > 0 || lost > 0 {
+			t.Errorf("%s: %d ran twice, %.1f units beyond a ceiling, %d without answer", r.variant.name, r.ranTwice,
+				r.unitsBeyondLimit,
 				lost)
 		}
-		if settled < 100 || declined == 0 || (r.asks > 50) != (i == 1) {
-			t.Errorf("%s: %d settled, %d declined, %d asked", r.arm.name, settled, declined, r.asks)
+		if settled < 100 || declined == 0 || (r.serviceRequests > 50) != (i == 1) {
+			t.Errorf("%s: %d settled, %d declined, %d asked", r.variant.name, settled, declined, r.serviceRequests)
 		}
 	}
 }
--- a/cmd/willowdeck-lab/scale.go
+++ b/cmd/willowdeck-lab/scale.go
@@ -28,7 +28,7 @@
 }
 
 func scaleUp(ctx context.Context, c *cli.Command) error {
-	a, err := args(c, 1)
+	a, err := arguments(c, 1)
 	if err != nil {
 		return err
 	}
--- a/cmd/willowdeck-lab/system.go
+++ b/cmd/willowdeck-lab/system.go
@@ -32,7 +32,7 @@
 }
 
 func systemScale(ctx context.Context, c *cli.Command) error {
-	if _, err := args(c, 0); err != nil {
+	if _, err := arguments(c, 0); err != nil {
 		return err
 	}
 	options := scale.Options{
