--- a/cmd/willowdeck-lab/backends.go
+++ b/cmd/willowdeck-lab/backends.go
@@ -47,7 +47,7 @@
 			return nil, err
 		}
 		backends.workers = append(backends.workers, worker)
-		entries = append(entries, worker.Of(fmt.Sprintf("z%d", i%max(scenario.Workers.Zones, 1))))
+		entries = append(entries, worker.Endpoint(fmt.Sprintf("z%d", i%max(scenario.Workers.Zones, 1))))
 	}
 	if backends.discovery, err = fakes.NewDiscovery(entries...); err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	backends.config, err = json.MarshalIndent(map[string]any{
-		"name": "n0", "listen": listen, "discovery": backends.discovery.At, "counter": backends.counter.At,
+		"name": "n0", "listen": listen, "discovery": backends.discovery.Addr, "counter": backends.counter.Addr,
 		"seed":   "1",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": backends.discovery.List(),
 		"settings": gatewaySettings(scenario),
--- a/cmd/willowdeck-lab/forward.go
+++ b/cmd/willowdeck-lab/forward.go
@@ -143,7 +143,7 @@
 	file := ""
 	if v.portalAsks || v.gatewayAsks {
 		file = filepath.Join(dir, "forward.toml")
-		if err := os.WriteFile(file, []byte(v.operatorFile(at(1), auth.At)), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(v.operatorFile(at(1), auth.Addr)), 0o600); err != nil {
 			return r, err
 		}
 	}
@@ -158,13 +158,13 @@
 		if v.portalAsks {
 			asks = gateway.askAddress
 		}
-		product, err := fakes.NewPortal("127.0.0.1:0", asks, gateway.address)
+		proxy, err := fakes.NewAuthProxy("127.0.0.1:0", asks, gateway.address)
 		if err != nil {
 			return r, err
 		}
-		defer product.Close()
-		product.Loses(v.losesEvery)
-		target = product.At
+		defer proxy.Close()
+		proxy.DropEvery(v.losesEvery)
+		target = proxy.Addr
 	}
 	load := v.load(scenario, arrivals, target, seed)
 	if v.serviceStalls {
@@ -173,7 +173,7 @@
 	if r.report, err = load.Run(ctx); err != nil {
 		return r, err
 	}
-	r.serviceRequests = len(auth.Got())
+	r.serviceRequests = len(auth.Received())
 	r.ranTwice, r.unitsBeyondLimit = checkWorkerRecords(scenario, arrivals, fleet.workers)
 	return r, nil
 }
@@ -181,8 +181,9 @@
 // scheduleStall has the service stall for authStallSeconds in the middle of a run; cancel ends that.
 func scheduleStall(auth *fakes.Auth, runSeconds float64) (cancel func()) {
 	at := time.Duration((runSeconds - authStallSeconds) / 2 * float64(time.Second))
-	begin := time.AfterFunc(at, func() { auth.Set(fakes.Stalls) })
-	end := time.AfterFunc(at+time.Duration(authStallSeconds*float64(time.Second)), func() { auth.Set(fakes.None) })
+	begin := time.AfterFunc(at, func() { auth.SetFault(fakes.Stalls) })
+	end := time.AfterFunc(at+time.Duration(authStallSeconds*float64(time.Second)),
+		func() { auth.SetFault(fakes.None) })
 	return func() {
 		end.Stop()
 		begin.Stop()
@@ -233,7 +234,7 @@
 		units float64
 	}
 	runs, seen, usesByCustomer := map[string]int{}, map[string]bool{}, map[int][]use{}
-	for _, request := range fakes.InOrder(workers) {
+	for _, request := range fakes.ReceivedInOrder(workers) {
 		_, n, _ := strings.Cut(request.Target, "?n=")
 		i, err := strconv.Atoi(n)
 		if err != nil || i >= len(arrivals) {
--- a/internal/lab/emulator/attempt.go
+++ b/internal/lab/emulator/attempt.go
@@ -62,7 +62,7 @@
 			a.written, a.writtenIndex = true, t.written
 			t.written++
 			sim.result.Attempts++
-			sim.judge.Sent(sim.nowMillis, g.index, t.id, worker.index)
+			sim.judge.AttemptSent(sim.nowMillis, g.index, t.id, worker.index)
 			worker.inbound++
 			sim.schedule(sim.workerDelay(g, worker), func() { worker.receive(a) })
 		}
@@ -91,7 +91,7 @@
 	sim, t := g.sim, a.transaction
 	t.inFlight--
 	if a.written {
-		sim.judge.Ended(sim.nowMillis, t.id, a.writtenIndex, proof)
+		sim.judge.AttemptEnded(sim.nowMillis, t.id, a.writtenIndex, proof)
 	}
 	if g.stalled { // what stands still learns of it later, and its client too
 		g.pending = append(g.pending, func() { g.reportOutcome(a, o) })
@@ -109,7 +109,7 @@
 		g.respond(t, invariants.Settled, completed, 0)
 	}
 	latencyMillis, answered := g.sim.nowMillis-a.startedMillis, t.answered
-	g.meter.Answered(g.sim.scenario.region(a.worker.index), t.product, o, latencyMillis, answeredBefore)
+	g.meter.AttemptEnded(g.sim.scenario.region(a.worker.index), t.product, o, latencyMillis, answeredBefore)
 	g.input(func(b decider) { b.AttemptEnded(t.id, a.index, o, latencyMillis, answered) })
 	g.forget(t)
 }
--- a/internal/lab/emulator/derived.go
+++ b/internal/lab/emulator/derived.go
@@ -136,14 +136,14 @@
 // invariantRules returns what the checker of the five rules has to know.
 func (s *Scenario) invariantRules() invariants.Rules {
 	rules := invariants.Rules{Overlap: s.Gatekeepers.AllowHedging, Slack: 8, Grace: s.Workers.GraceMillis,
-		Capacity: s.workerCapacity(), ColdFrom: s.Workers.ColdCapacityFraction,
-		WarmUp: s.Workers.WarmUpSeconds * 1000,
-		Tips:   s.overloadFactor(), TipsAfter: s.overloadMillis()}
+		Capacity: s.workerCapacity(), ColdFraction: s.Workers.ColdCapacityFraction,
+		WarmUp:         s.Workers.WarmUpSeconds * 1000,
+		OverloadFactor: s.overloadFactor(), OverloadWindow: s.overloadMillis()}
 	for _, p := range s.Products {
 		product := invariants.Product{Repeat: invariants.Repeat(idempotencies[p.Idempotency]),
 			Work: p.RelativeWork, Window: p.DedupWindowMillis}
 		if dedupScopes[p.DedupScope] == policy.DedupWithinZone && s.Workers.Zones > 1 {
-			product.Same = func(a, b int) bool { return a%s.Workers.Zones == b%s.Workers.Zones }
+			product.SharesReferences = func(a, b int) bool { return a%s.Workers.Zones == b%s.Workers.Zones }
 		}
 		rules.Products = append(rules.Products, product)
 	}
--- a/internal/lab/emulator/forecast.go
+++ b/internal/lab/emulator/forecast.go
@@ -11,12 +11,12 @@
 const meterIntervalMillis = 200
 
 // report returns what an instance reports of itself for a forecast.
-func (g *gatekeeper) report() *forecast.Word {
+func (g *gatekeeper) report() *forecast.Report {
 	scenario := g.sim.scenario
 	regionName := func(region int) string { return fmt.Sprintf("hall%d", region) }
-	report := &forecast.Word{Name: fmt.Sprintf("g%d", g.index), Host: "emulated",
-		Hall:  regionName(scenario.region(g.index)),
-		Group: "emulated", Number: g.index, Charter: scenario.policySettings(g.index)}
+	report := &forecast.Report{Name: fmt.Sprintf("g%d", g.index), Host: "emulated",
+		Region: regionName(scenario.region(g.index)),
+		Group:  "emulated", Index: g.index, Charter: scenario.policySettings(g.index)}
 	report.Charter.GatewayIndex = 0
 	for _, p := range scenario.Products {
 		report.Products = append(report.Products, p.Name)
@@ -33,9 +33,9 @@
 	for at := engine.WriteSnapshot(&snapshot, 0); at > 0; {
 		at = engine.WriteSnapshot(&snapshot, at)
 	}
-	g.meter.Tell(report, g.sim.clockMillis(), &stats, &snapshot, regionName)
+	g.meter.FillReport(report, g.sim.clockMillis(), &stats, &snapshot, regionName)
 	if g.lender != nil {
-		g.lender.ledger.Plans(report.Lent)
+		g.lender.ledger.Plans(report.AddCredit)
 	}
 	return report
 }
--- a/internal/lab/emulator/gatekeeper.go
+++ b/internal/lab/emulator/gatekeeper.go
@@ -52,9 +52,9 @@
 	for i, worker := range g.sim.workers {
 		g.endpoints[i] = endpointView{worker.active(), worker.incarnation}
 		if !worker.active() {
-			g.sim.judge.Told(g.sim.nowMillis, g.index, i, false)
+			g.sim.judge.AvailabilityNotified(g.sim.nowMillis, g.index, i, false)
 		}
-		g.sim.judge.Knows(g.index, i, worker.startedMillis)
+		g.sim.judge.StartNotified(g.index, i, worker.startedMillis)
 		endpoints = append(endpoints, worker.endpoint(true))
 	}
 	g.input(func(b decider) { b.UpdateEndpoints(endpoints, false) })
@@ -87,7 +87,7 @@
 		e := engine.HandOff()
 		g.handoff = &e
 	}
-	g.sim.judge.Crashed(g.index)
+	g.sim.judge.GatewayCrashed(g.index)
 	for _, t := range orderedByID(g.transactions) {
 		if !t.answered {
 			t.answered = true
@@ -209,8 +209,8 @@
 		}
 		replaced := g.endpoints[worker.index].incarnation != worker.incarnation
 		g.endpoints[worker.index] = endpointView{worker.active(), worker.incarnation}
-		sim.judge.Told(sim.nowMillis, g.index, worker.index, worker.active())
-		sim.judge.Knows(g.index, worker.index, worker.startedMillis)
+		sim.judge.AvailabilityNotified(sim.nowMillis, g.index, worker.index, worker.active())
+		sim.judge.StartNotified(g.index, worker.index, worker.startedMillis)
 		endpoint := worker.endpoint(replaced)
 		g.input(func(b decider) { b.UpdateEndpoints([]policy.Endpoint{endpoint}, true) })
 	})
--- a/internal/lab/emulator/result.go
+++ b/internal/lab/emulator/result.go
@@ -14,46 +14,46 @@
 
 // Result is the outcome of one run.
 type Result struct {
-	Scenario           string             `json:"Scenario"`
-	Policy             string             `json:"Policy"`
-	Seed               int64              `json:"Seed"`
-	Score              float64            `json:"Score"`          // Served over Offered
-	Offered            float64            `json:"Offered"`        // value, within quotas
-	Served             float64            `json:"Served"`         // value
-	Transactions       int64              `json:"Asked"`          // transactions that clients meant to send
-	Requests           int64              `json:"Tries"`          // requests of clients, with retries
-	Completed          int64              `json:"Settled"`        // transactions
-	Late               int64              `json:"Late"`           // completed after the latency target
-	Rejected           int64              `json:"Declined"`       // requests
-	Uncertain          int64              `json:"Voided"`         // requests whose transaction may have run
-	Abandoned          int64              `json:"Failed"`         // transactions that their clients gave up
-	Unreachable        int64              `json:"Lost"`           // requests without an instance
-	DiedInFlight       int64              `json:"Crashed"`        // those of them that died with it
-	RestoredCustomers  int64              `json:"Recalled"`       // customers restored from checkpoints
-	StallTimeouts      int64              `json:"Silent"`         // requests to a stalled instance
-	Attempts           int64              `json:"Submissions"`    // to workers
-	WorkerRejections   int64              `json:"Full"`           // attempts that a worker rejected
-	OverQuotaUnits     float64            `json:"OverUnits"`      // units served beyond quotas
-	OverQuotaCost      float64            `json:"OverCost"`       // their cost in value
-	PeerMessages       int64              `json:"Messages"`       // to peers, apart from borrowing
-	BorrowingMessages  int64              `json:"CreditMessages"` // to peers, of borrowing
-	BorrowedUnits      float64            `json:"Lent"`           // units borrowed
-	LateRepaidUnits    float64            `json:"RepaidLate"`     // units repaid after their time
-	StrayDecisions     int64              `json:"Stray"`          // on transactions not in flight
-	Events             int64              `json:"Events"`
-	MeanMillis         float64            `json:"Mean"` // of the latency, from when the client meant to send
-	P50Millis          float64            `json:"P50"`
-	P99Millis          float64            `json:"P99"`
-	P999Millis         float64            `json:"P999"`
-	Violations         [6]int             `json:"Breaks"`    // violations by rule, 1 to 5
-	RejectingInstances int                `json:"RefuseAll"` // see recordRejection
-	ColdOverloads      int                `json:"Falls"`     // cold workers that were overloaded
-	HighestColdLoad    float64            `json:"NearFall"`  // of a cold worker; 1 is overload
-	Products           []Segment          `json:"Products"`  // of the value within quotas
-	Plans              []Segment          `json:"Plans"`     // of the value within quotas
-	StarvedFraction    float64            `json:"Starved"`   // of customers below starvedBelow
-	FirstViolations    []invariants.Break `json:"First"`     // the first violations
-	Seconds            []Second           `json:"Seconds"`
+	Scenario           string                 `json:"Scenario"`
+	Policy             string                 `json:"Policy"`
+	Seed               int64                  `json:"Seed"`
+	Score              float64                `json:"Score"`          // Served over Offered
+	Offered            float64                `json:"Offered"`        // value, within quotas
+	Served             float64                `json:"Served"`         // value
+	Transactions       int64                  `json:"Asked"`          // transactions that clients meant to send
+	Requests           int64                  `json:"Tries"`          // requests of clients, with retries
+	Completed          int64                  `json:"Settled"`        // transactions
+	Late               int64                  `json:"Late"`           // completed after the latency target
+	Rejected           int64                  `json:"Declined"`       // requests
+	Uncertain          int64                  `json:"Voided"`         // requests whose transaction may have run
+	Abandoned          int64                  `json:"Failed"`         // transactions that their clients gave up
+	Unreachable        int64                  `json:"Lost"`           // requests without an instance
+	DiedInFlight       int64                  `json:"Crashed"`        // those of them that died with it
+	RestoredCustomers  int64                  `json:"Recalled"`       // customers restored from checkpoints
+	StallTimeouts      int64                  `json:"Silent"`         // requests to a stalled instance
+	Attempts           int64                  `json:"Submissions"`    // to workers
+	WorkerRejections   int64                  `json:"Full"`           // attempts that a worker rejected
+	OverQuotaUnits     float64                `json:"OverUnits"`      // units served beyond quotas
+	OverQuotaCost      float64                `json:"OverCost"`       // their cost in value
+	PeerMessages       int64                  `json:"Messages"`       // to peers, apart from borrowing
+	BorrowingMessages  int64                  `json:"CreditMessages"` // to peers, of borrowing
+	BorrowedUnits      float64                `json:"Lent"`           // units borrowed
+	LateRepaidUnits    float64                `json:"RepaidLate"`     // units repaid after their time
+	StrayDecisions     int64                  `json:"Stray"`          // on transactions not in flight
+	Events             int64                  `json:"Events"`
+	MeanMillis         float64                `json:"Mean"` // of the latency, from when the client meant to send
+	P50Millis          float64                `json:"P50"`
+	P99Millis          float64                `json:"P99"`
+	P999Millis         float64                `json:"P999"`
+	Violations         [6]int                 `json:"Breaks"`    // violations by rule, 1 to 5
+	RejectingInstances int                    `json:"RefuseAll"` // see recordRejection
+	ColdOverloads      int                    `json:"Falls"`     // cold workers that were overloaded
+	HighestColdLoad    float64                `json:"NearFall"`  // of a cold worker; 1 is overload
+	Products           []Segment              `json:"Products"`  // of the value within quotas
+	Plans              []Segment              `json:"Plans"`     // of the value within quotas
+	StarvedFraction    float64                `json:"Starved"`   // of customers below starvedBelow
+	FirstViolations    []invariants.Violation `json:"First"`     // the first violations
+	Seconds            []Second               `json:"Seconds"`
 }
 
 // Segment is the value that was offered within quotas for one product, plan or customer, and what was served
@@ -138,8 +138,8 @@
 	ms := func(q float64) float64 { return float64(sim.latency.ValueAtQuantile(q)) / 1000 }
 	result.MeanMillis = sim.latency.Mean() / 1000
 	result.P50Millis, result.P99Millis, result.P999Millis = ms(50), ms(99), ms(99.9)
-	result.FirstViolations, result.Violations = sim.judge.Breaks()
-	result.ColdOverloads, result.HighestColdLoad = sim.judge.Falls()
+	result.FirstViolations, result.Violations = sim.judge.Violations()
+	result.ColdOverloads, result.HighestColdLoad = sim.judge.Overloads()
 	for _, i := range slices.Sorted(maps.Keys(sim.customerSegments)) {
 		p := sim.customerSegments[i]
 		if result.Offered > 0 && p.Offered > 0 && p.ServedShare() < starvedBelow {
--- a/internal/lab/emulator/simulation.go
+++ b/internal/lab/emulator/simulation.go
@@ -27,7 +27,7 @@
 	eventCount      int64
 	gatekeepers     []*gatekeeper
 	workers         []*worker
-	judge           *invariants.Judge
+	judge           *invariants.Checker
 	networkRand     *rand.Rand // source of delays and losses
 	workRand        *rand.Rand // source of service times and failures
 	result          *Result
@@ -52,8 +52,8 @@
 // RunReports plays a scenario, and also returns the reports that its instances give for a forecast at a
 // moment.
 func RunReports(ctx context.Context, scenario *Scenario, seed int64, atSeconds float64) (*Result,
-	[]*forecast.Word, error) {
-	var reports []*forecast.Word
+	[]*forecast.Report, error) {
+	var reports []*forecast.Report
 	result, err := simulate(ctx, scenario, seed, nil, func(sim *simulation) {
 		for _, g := range sim.gatekeepers {
 			g.meter = forecast.NewMeter(scenario.policySettings(g.index), 1)
@@ -63,7 +63,7 @@
 				for _, g := range sim.gatekeepers {
 					if engine, ok := g.decider.(*policy.Engine); ok && g.up {
 						stats := engine.Stats()
-						g.meter.Mark(sim.clockMillis(), &stats)
+						g.meter.Snapshot(sim.clockMillis(), &stats)
 					}
 				}
 			})
--- a/internal/lab/emulator/transaction.go
+++ b/internal/lab/emulator/transaction.go
@@ -29,17 +29,18 @@
 	sim.lastID++
 	t := &transaction{client: c, id: sim.lastID, deadlineMillis: deadlineMillis, product: c.arrival.Product,
 		arrivedMillis: sim.nowMillis}
-	g.meter.Asked(c.arrival.Plan, c.arrival.Product, c.arrival.Units)
+	g.meter.RequestReceived(c.arrival.Plan, c.arrival.Product, c.arrival.Units)
 	g.transactions[t.id] = t
 	incarnation := g.incarnation
-	sim.judge.Taken(sim.nowMillis, g.index, t.id, c.arrival.Product, c.arrival.Plan, c.arrival.Customer,
+	sim.judge.RequestReceived(sim.nowMillis, g.index, t.id, c.arrival.Product, c.arrival.Plan,
+		c.arrival.Customer,
 		c.arrival.Units, deadlineMillis)
 	sim.schedule(deadlineMillis-sim.nowMillis, func() { // the client's time-out
 		if !t.answered && g.incarnation == incarnation && g.stalled {
 			t.answered = true // it is stalled: the client leaves and is owed no response
-			sim.judge.Left(t.id)
+			sim.judge.ClientLeft(t.id)
 			sim.result.StallTimeouts++
-			g.meter.Ended(c.arrival.Plan, c.arrival.Product, forecast.Other, 0)
+			g.meter.RequestEnded(c.arrival.Plan, c.arrival.Product, forecast.OutcomeOther, 0)
 			c.receive(timedOut, 0)
 			g.input(func(b decider) { b.ClientGone(t.id) })
 			g.forget(t)
@@ -59,14 +60,15 @@
 // respond gives a transaction's client its response.
 func (g *gatekeeper) respond(t *transaction, final invariants.Final, kind responseKind,
 	backoffMillis float64) {
-	g.sim.judge.Answered(g.sim.nowMillis, t.id, final)
+	g.sim.judge.RequestAnswered(g.sim.nowMillis, t.id, final)
 	if t.answered {
 		return
 	}
 	if t.answered = true; len(t.attempts) == 0 {
 		g.recordRejection()
 	}
-	g.meter.Ended(t.client.arrival.Plan, t.product, forecastOutcomes[kind], g.sim.nowMillis-t.arrivedMillis)
+	g.meter.RequestEnded(t.client.arrival.Plan, t.product, forecastOutcomes[kind],
+		g.sim.nowMillis-t.arrivedMillis)
 	g.sim.schedule(g.sim.drawDelay(g.sim.scenario.Network.ClientMillis), func() {
 		t.client.receive(kind,
 			backoffMillis)
@@ -75,9 +77,9 @@
 }
 
 // forecastOutcomes maps responses to what the forecast's meter counts; others are of no concern to it.
-var forecastOutcomes = map[responseKind]forecast.Final{completed: forecast.Settled,
-	rejected:  forecast.Declined,
-	uncertain: forecast.Voided}
+var forecastOutcomes = map[responseKind]forecast.Outcome{completed: forecast.OutcomeSucceeded,
+	rejected:  forecast.OutcomeRejected,
+	uncertain: forecast.OutcomeFailed}
 
 // forget drops a transaction of which nothing more can come.
 func (g *gatekeeper) forget(t *transaction) {
--- a/internal/lab/emulator/worker.go
+++ b/internal/lab/emulator/worker.go
@@ -92,7 +92,7 @@
 		x.busyCores--
 		x.running = slices.DeleteFunc(x.running, func(o *attempt) bool { return o == a })
 		if !fails || half {
-			sim.judge.Ran(sim.nowMillis, a.transaction.id, a.writtenIndex)
+			sim.judge.AttemptRan(sim.nowMillis, a.transaction.id, a.writtenIndex)
 			sim.recordRun(x)
 		}
 		switch {
@@ -151,7 +151,7 @@
 	x.incarnation++
 	x.dead, x.draining, x.unresponsive, x.busyCores, x.startedMillis = false, false, false, 0, x.sim.nowMillis
 	x.queue, x.running = nil, nil
-	x.sim.judge.Started(x.sim.nowMillis, x.index)
+	x.sim.judge.WorkerStarted(x.sim.nowMillis, x.index)
 	x.announce()
 }
 
--- a/internal/lab/experiment/forecastcheck.go
+++ b/internal/lab/experiment/forecastcheck.go
@@ -48,14 +48,14 @@
 // each loss. With replay each is also played in a scenario rebuilt from the reports alone, with another seed.
 func CheckForecasts(ctx context.Context, scenario *emulator.Scenario, seed int64, atSeconds float64,
 	losses []forecast.Loss,
-	replay bool) ([]ForecastCheck, *forecast.Outlook, error) {
+	replay bool) ([]ForecastCheck, *forecast.Forecast, error) {
 	rules := ForecastRules(scenario)
 	before, reports, err := emulator.RunReports(ctx, scenario, seed, atSeconds)
 	if err != nil {
 		return nil, nil, err
 	}
 	outlook := forecast.Project(reports, rules)
-	untilSeconds := min(atSeconds+outlook.Moved/1000, scenario.Seconds)
+	untilSeconds := min(atSeconds+outlook.RebalanceMillis/1000, scenario.Seconds)
 	var checks []ForecastCheck
 	var replayScenario *emulator.Scenario
 	var replayBaseline *emulator.Result
@@ -68,18 +68,18 @@
 		}
 	}
 	for _, loss := range losses {
-		i := slices.IndexFunc(outlook.Losses, func(cost forecast.Cost) bool { return cost.Loss.Same(loss) })
+		i := slices.IndexFunc(outlook.Losses, func(cost forecast.Cost) bool { return cost.Loss.Equal(loss) })
 		if i < 0 {
-			return nil, nil, fmt.Errorf("loss of %s: not projected: %s", strings.Join(loss.Halls, ", "),
+			return nil, nil, fmt.Errorf("loss of %s: not projected: %s", strings.Join(loss.Regions, ", "),
 				strings.Join(outlook.Unknown, "; "))
 		}
-		after, err := emulator.Run(ctx, withLoss(scenario, loss, atSeconds, rules.Slow), seed)
+		after, err := emulator.Run(ctx, withLoss(scenario, loss, atSeconds, rules.SlowFactor), seed)
 		if err != nil {
 			return nil, nil, err
 		}
 		check := compareWithForecast(&outlook.Losses[i], before, after, seed, atSeconds, untilSeconds)
 		if replay {
-			replayed, err := emulator.Run(ctx, withLoss(replayScenario, loss, atSeconds, rules.Slow), seed+1e6)
+			replayed, err := emulator.Run(ctx, withLoss(replayScenario, loss, atSeconds, rules.SlowFactor), seed+1e6)
 			if err != nil {
 				return nil, nil, err
 			}
@@ -92,15 +92,16 @@
 }
 
 // faultKinds maps a loss to the fault with which the emulator plays it.
-var faultKinds = map[forecast.Kind]string{forecast.Whole: "hall", forecast.Keepers: "keepers",
-	forecast.Links: "links", forecast.Slowed: "hall"}
+var faultKinds = map[forecast.Kind]string{forecast.LoseRegion: "hall", forecast.LoseGateways: "keepers",
+	forecast.LoseLinks: "links", forecast.LoseRegionSlowNeighbours: "hall"}
 
 // ForecastRules returns what operators of an emulated fleet would state of it.
-func ForecastRules(scenario *emulator.Scenario) forecast.Rules {
-	rules := forecast.Usual
+func ForecastRules(scenario *emulator.Scenario) forecast.Assumptions {
+	rules := forecast.DefaultAssumptions
 	// a connection, the request and its response
-	rules.Cores, rules.Way = float64(scenario.Workers.Cores), 3*scenario.Network.WorkerMillis
-	rules.Tries, rules.Back = scenario.Clients.Retries+1, scenario.Clients.MaxBackoffMillis
+	rules.WorkerCores, rules.NetworkMillis = float64(scenario.Workers.Cores), 3*scenario.Network.WorkerMillis
+	rules.ClientAttempts, rules.ClientBackoffMillis = scenario.Clients.Retries+1,
+		scenario.Clients.MaxBackoffMillis
 	return rules
 }
 
@@ -113,13 +114,13 @@
 	others := emulator.Fault{Kind: "slow", FromSeconds: atSeconds, ToSeconds: scenario.Seconds + 1000,
 		Factor: slowFactor}
 	for region := range scenario.Workers.Zones {
-		if slices.Contains(loss.Halls, fmt.Sprintf("hall%d", region)) {
+		if slices.Contains(loss.Regions, fmt.Sprintf("hall%d", region)) {
 			lost.Regions = append(lost.Regions, region)
 		} else {
 			others.Regions = append(others.Regions, region)
 		}
 	}
-	if played.Faults = append(played.Faults, lost); loss.Kind == forecast.Slowed {
+	if played.Faults = append(played.Faults, lost); loss.Kind == forecast.LoseRegionSlowNeighbours {
 		played.Faults = append(played.Faults, others)
 	}
 	return played
@@ -128,33 +129,35 @@
 // scenarioFromReports rebuilds a scenario from reports. What they do not show (queues, patience of clients,
 // delays of updates) is taken from a known scenario, which stands for the operators' knowledge. It returns
 // nil where the reports do not suffice.
-func scenarioFromReports(reports []*forecast.Word, rules forecast.Rules,
+func scenarioFromReports(reports []*forecast.Report, rules forecast.Assumptions,
 	known *emulator.Scenario) *emulator.Scenario {
-	model := forecast.Liken(reports, rules)
+	model := forecast.NewEmulatorModel(reports, rules)
 	if model == nil {
 		return nil
 	}
 	scenario := known.Clone()
 	scenario.Faults, scenario.Shapes, scenario.Trace = nil, nil, ""
-	scenario.Workers.Zones, scenario.Workers.Count = len(model.Halls), 0
-	for _, count := range model.Workers {
+	scenario.Workers.Zones, scenario.Workers.Count = len(model.Regions), 0
+	for _, count := range model.WorkersByRegion {
 		scenario.Workers.Count += count
 	}
-	scenario.Workers.Exponential, scenario.Workers.ServiceSigma = false, math.Sqrt(math.Log(1+model.CV2))
-	scenario.Workers.ServiceMillis = model.Service[0] / math.Sqrt(1+model.CV2)
-	scenario.Network.WorkerMillis, scenario.Network.CrossRegionMillis = rules.Way/3, model.Across/3
+	scenario.Workers.Exponential, scenario.Workers.ServiceSigma = false, math.Sqrt(math.Log(1+model.ServiceCV2))
+	scenario.Workers.ServiceMillis = model.ServiceMillis[0] / math.Sqrt(1+model.ServiceCV2)
+	scenario.Network.WorkerMillis, scenario.Network.CrossRegionMillis = rules.NetworkMillis/3,
+		model.CrossRegionMillis/3
 	for i := range scenario.Products {
-		scenario.Products[i].RelativeWork = model.Service[i] / model.Service[0]
+		scenario.Products[i].RelativeWork = model.ServiceMillis[i] / model.ServiceMillis[0]
 		scenario.Products[i].Weight = 0
 		for _, plan := range model.Plans {
-			scenario.Products[i].Weight += plan.Products[i]
+			scenario.Products[i].Weight += plan.RequestsByProduct[i]
 		}
 	}
 	for i, plan := range model.Plans {
 		planSpec := &scenario.Plans[i]
 		planSpec.Customers, planSpec.SetSize, planSpec.MaxUnits, planSpec.Skew = int(math.Round(plan.Customers)),
-			plan.Spread, 2*plan.Size-1, 0
-		planSpec.OfferedLoad = plan.Asked * plan.Size / float64(planSpec.Customers) / planSpec.QuotaPerSecond
+			plan.SetSize, 2*plan.MeanUnits-1, 0
+		planSpec.OfferedLoad = plan.Requested * plan.MeanUnits / float64(
+			planSpec.Customers) / planSpec.QuotaPerSecond
 	}
 	return scenario
 }
@@ -164,7 +167,7 @@
 	untilSeconds float64) ForecastCheck {
 	check := ForecastCheck{Scenario: before.Scenario, Loss: cost.Loss, Seed: seed}
 	seconds := untilSeconds - atSeconds
-	completed := make([]float64, len(cost.First.Halls))
+	completed := make([]float64, len(cost.Before.Regions))
 	for i := int(atSeconds); i < int(untilSeconds); i++ {
 		check.Offered += before.Seconds[i].Offered / seconds
 		check.Observed += (before.Seconds[i].Served - after.Seconds[i].Served) / seconds
@@ -172,10 +175,10 @@
 			completed[index] += count / seconds
 		}
 	}
-	check.Predicted = cost.First.Lost + cost.AtOnce/seconds
-	for index, region := range cost.First.Halls {
+	check.Predicted = cost.Before.LostValue + cost.Immediate/seconds
+	for index, region := range cost.Before.Regions {
 		if region.Workers > 0 {
-			check.Loads = append(check.Loads, RegionLoad{region.Name, region.Run, completed[index]})
+			check.Loads = append(check.Loads, RegionLoad{region.Name, region.Succeeded, completed[index]})
 		}
 	}
 	return check
--- a/internal/lab/experiment/forecastcheck_test.go
+++ b/internal/lab/experiment/forecastcheck_test.go
@@ -22,17 +22,18 @@
 // Each kind of loss is predicted from the reports of an emulated fleet, and then played with the same
 // arrivals. Guards against a change of the policy, or of the reports, that the forecast does not follow.
 func TestForecastMatchesPlayedLoss(t *testing.T) {
-	losses := []forecast.Loss{{Kind: forecast.Whole, Halls: []string{"hall0"}},
+	losses := []forecast.Loss{{Kind: forecast.LoseRegion, Regions: []string{"hall0"}},
 		{
-			Kind:  forecast.Whole,
-			Halls: []string{"hall0", "hall1"},
-		}, {Kind: forecast.Keepers, Halls: []string{"hall0"}},
-		{Kind: forecast.Links, Halls: []string{"hall0"}}, {Kind: forecast.Slowed, Halls: []string{"hall0"}}}
+			Kind:    forecast.LoseRegion,
+			Regions: []string{"hall0", "hall1"},
+		}, {Kind: forecast.LoseGateways, Regions: []string{"hall0"}},
+		{Kind: forecast.LoseLinks, Regions: []string{"hall0"}}, {Kind: forecast.LoseRegionSlowNeighbours,
+			Regions: []string{"hall0"}}}
 	names, loads, seeds := []string{"halls20"}, []float64{1}, 1
 	if *forecastSeeds > 0 {
 		names, loads, seeds = []string{"halls20", "halls300"}, []float64{0.6, 1, 1.25}, *forecastSeeds
-		losses = append(losses, forecast.Loss{Kind: forecast.Keepers, Halls: []string{"hall1", "hall2"}},
-			forecast.Loss{Kind: forecast.Links, Halls: []string{"hall1", "hall2"}})
+		losses = append(losses, forecast.Loss{Kind: forecast.LoseGateways, Regions: []string{"hall1", "hall2"}},
+			forecast.Loss{Kind: forecast.LoseLinks, Regions: []string{"hall1", "hall2"}})
 	}
 	var groups []ForecastChecks
 	lending := func(scenario *emulator.Scenario) {
@@ -64,12 +65,12 @@
 			}
 			for _, check := range group.Checks {
 				t.Logf("%s x %v, %v of %v: asked %.0f/s, lost foretold %.1f, found %.1f, error %.3f; loads %.3f",
-					name, load, check.Loss.Kind, check.Loss.Halls, check.Offered, check.Predicted, check.Observed,
+					name, load, check.Loss.Kind, check.Loss.Regions, check.Offered, check.Predicted, check.Observed,
 					check.RelativeError(), check.MaxLoadError())
 				if *forecastSeeds == 0 && (math.Abs(check.RelativeError()) > 0.12 ||
 					math.Abs(check.MaxLoadError()) > 0.2) {
 					t.Errorf("%v of %v: off by %.3f of the value asked, loads by %.3f: %v", check.Loss.Kind,
-						check.Loss.Halls,
+						check.Loss.Regions,
 						check.RelativeError(), check.MaxLoadError(), check.Loads)
 				}
 			}
--- a/internal/lab/experiment/forecasttable.go
+++ b/internal/lab/experiment/forecasttable.go
@@ -31,7 +31,7 @@
 				check := &group.Checks[i]
 				_ = writer.Write([]string{check.Scenario, strconv.Itoa(group.Gatekeepers),
 					formatFloat(group.OfferedLoad), check.Loss.Kind.String(),
-					strings.Join(check.Loss.Halls, " "), strconv.FormatInt(check.Seed, 10), formatFloat(check.Offered),
+					strings.Join(check.Loss.Regions, " "), strconv.FormatInt(check.Seed, 10), formatFloat(check.Offered),
 					formatFloat(check.Predicted),
 					formatFloat(check.Observed), formatFloat(check.RelativeError()), formatFloat(check.Replayed),
 					formatFloat((check.Replayed - check.Observed) / check.Offered),
--- a/internal/lab/loadgen/load_test.go
+++ b/internal/lab/loadgen/load_test.go
@@ -22,18 +22,18 @@
 	for at := 0.0; at < 2000; at += 5 {
 		arrivals = append(arrivals, workload.Arrival{AtMillis: at, Customer: 1, Units: 1, SetOffset: len(arrivals)})
 	}
-	load := &Load{Arrivals: arrivals, Targets: []string{worker.At}, SetSize: 1, Plans: []string{"basic"},
+	load := &Load{Arrivals: arrivals, Targets: []string{worker.Addr}, SetSize: 1, Plans: []string{"basic"},
 		MaxInFlight:       1000,
 		ClosedLoopClients: closed,
 		Products:          []Product{{Name: "check", Idempotency: "inquiry", Timeout: 5 * time.Second}}}
-	time.AfterFunc(500*time.Millisecond, func() { worker.Set(fakes.Stalls) })
-	time.AfterFunc(1100*time.Millisecond, func() { worker.Set(fakes.None) })
+	time.AfterFunc(500*time.Millisecond, func() { worker.SetFault(fakes.Stalls) })
+	time.AfterFunc(1100*time.Millisecond, func() { worker.SetFault(fakes.None) })
 	report, err := load.Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := report.Counts["check"]; n[Completed] != int64(len(arrivals)) || len(worker.Got()) != len(arrivals) {
-		t.Errorf("%v of %d, the worker got %d", n, len(arrivals), len(worker.Got()))
+	if n := report.Counts["check"]; n[Completed] != int64(len(arrivals)) || len(worker.Received()) != len(arrivals) {
+		t.Errorf("%v of %d, the worker got %d", n, len(arrivals), len(worker.Received()))
 	}
 	return report
 }
@@ -71,9 +71,9 @@
 				t.Fatal(err)
 			}
 			defer worker.Close()
-			worker.Set(c.fault)
+			worker.SetFault(c.fault)
 			load := &Load{Arrivals: []workload.Arrival{{Units: 1}, {Units: 1, Product: 1}, {Units: 1, Product: 2}},
-				Targets: []string{worker.At}, SetSize: 1, Plans: []string{"basic"}, MaxInFlight: 9, Products: []Product{
+				Targets: []string{worker.Addr}, SetSize: 1, Plans: []string{"basic"}, MaxInFlight: 9, Products: []Product{
 					{"check", "inquiry", 200 * time.Millisecond, 0}, {"sale", "referenced", 200 * time.Millisecond, 20},
 					{"issue", "once", 200 * time.Millisecond, 20}}}
 			report, err := load.Run(context.Background())
@@ -85,8 +85,8 @@
 					t.Errorf("%s: %v, want %v", name, n, c.want)
 				}
 			}
-			if len(worker.Got()) != 3 {
-				t.Errorf("%d sent: no request may be sent twice", len(worker.Got()))
+			if len(worker.Received()) != 3 {
+				t.Errorf("%d sent: no request may be sent twice", len(worker.Received()))
 			}
 		})
 	}
@@ -97,7 +97,7 @@
 	defer worker.Close()
 	load := &Load{
 		Arrivals:    make([]workload.Arrival, 9),
-		Targets:     []string{worker.At},
+		Targets:     []string{worker.Addr},
 		SetSize:     1,
 		Plans:       []string{"basic"},
 		MaxInFlight: 4,
