--- a/internal/lab/loadgen/load_test.go
+++ b/internal/lab/loadgen/load_test.go
@@ -32,7 +32,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := report.Counts["check"]; n[Completed] != int64(len(arrivals)) || len(worker.Received()) != len(arrivals) {
+	if n := report.Counts["check"]; n[Completed] != int64(len(arrivals)) ||
+		len(worker.Received()) != len(arrivals) {
 		t.Errorf("%v of %d, the worker got %d", n, len(arrivals), len(worker.Received()))
 	}
 	return report
