--- a/cmd/willowdeck-lab/journal.go
+++ b/cmd/willowdeck-lab/journal.go
@@ -25,7 +25,7 @@
 
 const (
 	serviceTime    = 5 * time.Millisecond // of a worker: an end comes so long after its intent
-	patienceMillis = 2000.0               // ms that a txn waits here: what is late is to be seen
+	patienceMillis = 2000.0               // long enough that late commits show
 	syncDelay      = 5 * time.Millisecond // that each sync of the slow disk takes longer, and
 	hangDelay      = 30 * time.Millisecond
 	hangFraction   = 0.02 // of them, this much longer
--- a/internal/lab/emulator/baseline.go
+++ b/internal/lab/emulator/baseline.go
@@ -14,7 +14,7 @@
 	rng              *rand.Rand
 	nowMillis        float64
 	endpoints        []policy.Endpoint
-	txns             map[uint64]*baselineTransaction
+	transactions     map[uint64]*baselineTransaction
 	decisions        []policy.Decision
 	staticQuotas     map[int]*tokenBucket // by customer, like staticRateLimits
 	staticRateLimits map[int]*tokenBucket
@@ -34,7 +34,7 @@
 func (b *baseline) ReceiveReports(int, []policy.Report) {}
 
 // ClientGone forgets a transaction.
-func (b *baseline) ClientGone(id uint64) { delete(b.txns, id) }
+func (b *baseline) ClientGone(id uint64) { delete(b.transactions, id) }
 
 // NextDecision returns the next decision.
 func (b *baseline) NextDecision() (policy.Decision, bool) {
@@ -64,7 +64,7 @@
 // AddRequest decides on a new transaction.
 func (b *baseline) AddRequest(a policy.Request) {
 	transaction := &baselineTransaction{request: a, deadlineMillis: b.nowMillis + a.TimeLeftMillis}
-	b.txns[a.ID] = transaction
+	b.transactions[a.ID] = transaction
 	if wait, ok := b.admit(a); !ok {
 		b.finish(transaction, policy.Reject, wait)
 		return
@@ -88,15 +88,15 @@
 func (b *baseline) finish(transaction *baselineTransaction, kind policy.DecisionKind, waitMillis float64) {
 	b.decisions = append(b.decisions, policy.Decision{Kind: kind, RequestID: transaction.request.ID,
 		WaitMillis: waitMillis})
-	delete(b.txns, transaction.request.ID)
+	delete(b.transactions, transaction.request.ID)
 }
 
 // AttemptEnded decides after an attempt: one that certainly did not run is retried by the policies that see
 // the state.
 func (b *baseline) AttemptEnded(id uint64, _ int, o policy.Outcome, _ float64, closed bool) {
-	transaction := b.txns[id]
+	transaction := b.transactions[id]
 	if transaction == nil || closed || o == policy.Succeeded {
-		delete(b.txns, id)
+		delete(b.transactions, id)
 		return
 	}
 	never := o == policy.ConnectFailed || o == policy.NotSent || o == policy.Overloaded
--- a/internal/lab/emulator/decider.go
+++ b/internal/lab/emulator/decider.go
@@ -24,7 +24,7 @@
 		decider = policy.New(sim.scenario.policySettings(index), seed)
 	} else {
 		decider = &baseline{sim: sim, index: index, rng: rand.New(rand.NewSource(seed)),
-			txns:         map[uint64]*baselineTransaction{},
+			transactions: map[uint64]*baselineTransaction{},
 			staticQuotas: map[int]*tokenBucket{}, staticRateLimits: map[int]*tokenBucket{}}
 	}
 	if sim.wrapDecider != nil {
--- a/internal/lab/emulator/derived.go
+++ b/internal/lab/emulator/derived.go
@@ -32,9 +32,9 @@
 }
 
 // inRegions returns those of count workers or instances that are in some regions.
-func (s *Scenario) inRegions(halls []int, n int) (members []int) {
+func (s *Scenario) inRegions(regions []int, n int) (members []int) {
 	for i := range n {
-		if slices.Contains(halls, s.region(i)) {
+		if slices.Contains(regions, s.region(i)) {
 			members = append(members, i)
 		}
 	}
--- a/internal/lab/emulator/emulator_test.go
+++ b/internal/lab/emulator/emulator_test.go
@@ -284,7 +284,7 @@
 			want := 20 + waits*20/(float64(c.cores)*(1-c.load))
 			mean := r.MeanMillis
 			if math.Abs(mean-want) > 0.05*want {
-				t.Errorf("mean %.2f ms in %d txns, Erlang's %.2f", mean, r.Completed, want)
+				t.Errorf("mean %.2f ms in %d transactions, Erlang's %.2f", mean, r.Completed, want)
 			}
 		})
 	}
@@ -428,7 +428,8 @@
 }
 
 // Three hundred gatekeepers before two hundred workers, of which most are replaced: the parts of the cold
-// budget, each below one txn, do not come together by chance; gatekeepers without a budget come far nearer.
+// budget, each below one transaction, do not come together by chance; gatekeepers without a budget come far
+// nearer.
 func TestColdTogether(t *testing.T) {
 	near := map[string]float64{}
 	for _, policy := range []string{"willowdeck", "open"} {
@@ -464,7 +465,7 @@
 		s.Plans[i].ExcessValueFraction, s.Plans[i].ExcessCostFraction = 0, 0
 	}
 	first := s.Plans[0]
-	// less than a txn, for ever
+	// less than a transaction, for ever
 	first.Name, first.RateLimitPerSecond, first.RateLimitBurst = "starved", 1e-3, 0.5
 	s.Plans = append(s.Plans, first)
 	r, err := Run(t.Context(), s, 1)
--- a/internal/lab/emulator/scenario.go
+++ b/internal/lab/emulator/scenario.go
@@ -120,9 +120,9 @@
 
 // Policies are the values of Scenario.Policy, with what each does.
 var Policies = map[string]string{
-	"willowdeck": "the project's module",
+	"willowdeck": "the project's policy",
 	"open":       "baseline: lets all in, to random workers",
-	"deep":       "the project's module, with lines of credit made part of bursts",
+	"deep":       "the project's policy, with lines of credit made part of bursts",
 	"static":     "baseline: each gatekeeper holds an equal part of each quota, random workers",
 	"seer":       "baseline: sees every quota and worker as it is",
 	"late":       "baseline: sees every quota and worker as it was list_ms ago",
