--- a/cmd/willowdeck-lab/main_test.go
+++ b/cmd/willowdeck-lab/main_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	plans, products := planAndProductNames(s)
-	j := &loadgen.Load{Arrivals: all, Targets: []string{g.At}, SetSize: 1, Plans: plans, MaxInFlight: 1000,
+	j := &loadgen.Load{Arrivals: all, Targets: []string{g.Address}, SetSize: 1, Plans: plans, MaxInFlight: 1000,
 		Seed: 3}
 	for i, p := range s.Products {
 		j.Products = append(j.Products, loadgen.Product{Name: products[i], Idempotency: p.Idempotency,
@@ -151,7 +151,7 @@
 			return nil, err
 		}
 		at, err := askAddressOf(file)
-		return &gatewayProcess{address: g.At, askAddress: at, stop: g.Stop}, err
+		return &gatewayProcess{address: g.Address, askAddress: at, stop: g.Stop}, err
 	}
 	all, err := playVariants(t.Context(), s, 1, []scenarioVariant{
 		{name: "asked", portal: true, portalAsks: true, losesEvery: 10},
--- a/internal/gateway/lifecycle/stop.go
+++ b/internal/gateway/lifecycle/stop.go
@@ -11,30 +11,20 @@
 	"willowdeck/internal/policy"
 )
 
-// Run serves until stop gives a signal or serving fails, then stops. At each signal of reload it takes up the
-// configuration that read gives, also while it stops: workers may drain until the last txn is answered.
-func (g *Gatekeeper) Run(stop, reload <-chan os.Signal, read func() (config.Gateway, error)) error {
-	done, over := make(chan struct{}), make(chan struct{})
-	go func() {
-		defer close(over)
-		for {
-			select {
-			case <-reload:
-				g.Reload(read())
-			case <-done:
-				return
-			}
-		}
-	}()
+var errServingEnded = errors.New("frontend: serving ended without an order to stop")
+
+// Run serves until stop delivers a signal or serving fails, then stops. At each signal of reload it applies
+// the configuration that read gives, also while it stops, which takes until the last request is answered.
+func (g *Gateway) Run(stop, reload <-chan os.Signal, read func() (config.Gateway, error)) error {
+	endReloads := g.reloadOnSignal(reload, read)
 	defer func() {
-		close(done)
-		<-over
-		g.unwind()
+		endReloads()
+		g.cancelWatch()
 	}()
 	select {
-	case err := <-g.served:
+	case err := <-g.serveResult:
 		if err == nil {
-			err = errors.New("front: ended unasked")
+			err = errServingEnded
 		}
 		return err
 	case s := <-stop:
@@ -44,41 +34,81 @@
 	return nil
 }
 
-// Stop leaves its place to an heir, if one waits. Else it serves on for as long as connections may come,
-// then closes idle ones and ends once all that was taken has its answer. What comes whole too late for that
-// is not taken, and what is in hand too long is given up: SIGKILL would leave it without an answer.
-func (g *Gatekeeper) Stop() {
-	defer time.AfterFunc(transport.Millis(min(g.conf.Connections.MaxClientWaitMillis,
-		policy.StopMaxWaitMillis)+policy.StopGraceMillis),
-		func() {
-			g.limit.AbandonRequests()
-			g.desk.WakeNow()
-		}).
-		Stop()
-	if !g.handOver() {
-		defer time.AfterFunc(transport.Millis(policy.StopAcceptMillis+policy.StopIdleMillis), g.limit.HurryReads).Stop()
-		time.Sleep(transport.Millis(policy.StopAcceptMillis))
-		if g.portal != nil {
-			g.portal.Close()
-		}
-		g.front.Close()
-		g.limit.Drain()
-		if g.heir != nil {
-			g.heir.stop()
-			g.limit.Drain()
+// reloadOnSignal reloads the configuration at each signal, on a goroutine that the function it gives ends and
+// waits for.
+func (g *Gateway) reloadOnSignal(
+	reload <-chan os.Signal,
+	read func() (config.Gateway, error),
+) (end func()) {
+	done, ended := make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(ended)
+		for {
+			select {
+			case <-reload:
+				g.Reload(read())
+			case <-done:
+				return
+			}
 		}
-		_ = g.limit.Close()
-		g.front.Wait()
+	}()
+	return func() {
+		close(done)
+		<-ended
+	}
+}
+
+// Stop hands off to a successor, if one is connected. Otherwise it goes on accepting for as long as clients
+// may still connect, then closes idle connections, and returns once every request that was accepted is
+// answered. Requests that are read completely too late for that are rejected, and those in flight for too
+// long are aborted with an answer: SIGKILL would leave them without one.
+func (g *Gateway) Stop() {
+	abortAfter := transport.Millis(min(g.config.Connections.MaxClientWaitMillis,
+		policy.StopMaxWaitMillis) + policy.StopGraceMillis)
+	defer time.AfterFunc(abortAfter, g.abortRequests).Stop()
+	if !g.handOff() {
+		hurryAfter := transport.Millis(policy.StopAcceptMillis + policy.StopIdleMillis)
+		defer time.AfterFunc(hurryAfter, g.listener.HurryReads).Stop()
+		g.drainClients()
+	}
+	g.closeParts()
+	g.logFinalCounts()
+}
+
+// abortRequests answers all requests in flight.
+func (g *Gateway) abortRequests() {
+	g.listener.AbandonRequests()
+	g.dispatcher.WakeNow()
+}
+
+// drainClients accepts for StopAcceptMillis longer, and returns once all clients are answered and gone.
+func (g *Gateway) drainClients() {
+	time.Sleep(transport.Millis(policy.StopAcceptMillis))
+	if g.authServer != nil {
+		g.authServer.Close()
 	}
-	if g.vouch != nil {
-		g.vouch.Close()
+	g.frontend.Close()
+	g.listener.Drain()
+	if g.takeover != nil {
+		g.takeover.stop()
+		g.listener.Drain() // connections that the predecessor has handed off meanwhile
 	}
-	g.desk.Stop()
-	if k := g.journal.Load(); k != nil {
-		k.Close()
+	_ = g.listener.Close()
+	g.frontend.Wait()
+}
+
+// closeParts ends all that is still running once no client is left.
+func (g *Gateway) closeParts() {
+	if g.authorizer != nil {
+		g.authorizer.Close()
+	}
+	g.dispatcher.Stop()
+	if journal := g.journal.Load(); journal != nil {
+		journal.Close()
 	}
-	if close(g.over); g.port != nil {
-		g.port.Close()
+	close(g.done)
+	if g.adminServer != nil {
+		g.adminServer.Close()
 	}
 	if g.peers != nil {
 		_ = g.peers.Close()
@@ -86,14 +116,20 @@
 	if g.history != nil {
 		_ = g.history.Close()
 	}
-	t := g.desk.Tally()
-	e := g.log.Info().Ints("finals", t.FinalByReason[:]).Int64("unreadable", g.front.MalformedRequests()).
-		Int64("clients_shed", g.limit.Evicted()).Int64("links_spoilt", g.links.StaleConns())
-	for name, n := range inflight.Violations() {
-		e = e.Int64("broken_"+name, n)
+}
+
+// logFinalCounts logs the last line. Its keys are read by operators' programs and stay as they are.
+func (g *Gateway) logFinalCounts() {
+	tally := g.dispatcher.Tally()
+	line := g.log.Info().Ints("finals", tally.FinalByReason[:]).
+		Int64("unreadable", g.frontend.MalformedRequests()).
+		Int64("clients_shed", g.listener.Evicted()).
+		Int64("links_spoilt", g.workerConns.StaleConns())
+	for invariant, violations := range inflight.Violations() {
+		line = line.Int64("broken_"+invariant, violations)
 	}
 	if g.peers != nil {
-		e = e.Int64("datagrams_dropped", g.peers.Dropped())
+		line = line.Int64("datagrams_dropped", g.peers.Dropped())
 	}
-	e.Msg("stopped")
+	line.Msg("stopped")
 }
