--- a/cmd/willowdeck-lab/main_test.go
+++ b/cmd/willowdeck-lab/main_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	s.Seconds = 2
-	f, err := newFleet(s, "127.0.0.1:0")
+	f, err := startBackends(s, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,11 +42,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	plans, products := names(s)
-	j := &loadgen.Job{Arrivals: all, Targets: []string{g.Address}, Spread: 1, Plans: plans, Most: 1000, Seed: 3}
+	plans, products := planAndProductNames(s)
+	j := &loadgen.Load{Arrivals: all, Targets: []string{g.Address}, SetSize: 1, Plans: plans, MaxInFlight: 1000,
+		Seed: 3}
 	for i, p := range s.Products {
-		j.Products = append(j.Products, loadgen.Product{Name: products[i], Repeat: p.Repeat, Body: 50,
-			Waits: time.Duration(p.SLAMS * 2 * float64(time.Millisecond))})
+		j.Products = append(j.Products, loadgen.Product{Name: products[i], Idempotency: p.Idempotency,
+			BodyBytes: 50,
+			Timeout:   time.Duration(p.LatencyTargetMillis * 2 * float64(time.Millisecond))})
 	}
 	r, err := j.Run(context.Background())
 	if err != nil {
@@ -54,8 +56,8 @@
 	}
 	settled, answered := int64(0), int64(0)
 	for _, n := range r.Counts {
-		settled += n[loadgen.Settled]
-		answered += n[loadgen.Settled] + n[loadgen.Declined] + n[loadgen.Voided]
+		settled += n[loadgen.Completed]
+		answered += n[loadgen.Completed] + n[loadgen.Rejected] + n[loadgen.Failed]
 	}
 	if answered < int64(len(all))*95/100 || settled < int64(len(all))*6/10 {
 		t.Errorf("of %d:\n%v", len(all), r)
@@ -103,7 +105,7 @@
 		{"run s.toml --seeds 0", "seeds"},
 		{"chart --figure beauty x.csv z.png", "beauty"},
 		{"chart t.csv z.png", "t.csv"},
-		{"compare x.csv r.csv", "nothing alike"},
+		{"compare x.csv r.csv", "no setting in common"},
 		{"load s.toml", "targets"},
 		{"sweep x.toml --chart z.png", "--out"},
 	}
@@ -135,8 +137,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Seconds, s.Shapes[0].FromS = 3, 0.5
-	start := func(conf []byte, file string) (*gatekeeper, error) {
+	s.Seconds, s.Shapes[0].FromSeconds = 3, 0.5
+	start := func(conf []byte, file string) (*gatewayProcess, error) {
 		c, err := config.Decode(conf, func(string) string { return "" })
 		if err != nil {
 			return nil, err
@@ -148,27 +150,28 @@
 		if err != nil {
 			return nil, err
 		}
-		at, err := listenOf(file)
-		return &gatekeeper{at: g.Address, asked: at, stop: g.Stop}, err
+		at, err := askAddressOf(file)
+		return &gatewayProcess{address: g.Address, askAddress: at, stop: g.Stop}, err
 	}
-	all, err := playArms(t.Context(), s, 1, []arm{
-		{name: "asked", portal: true, asked: true, loses: 10},
-		{name: "asking", asking: true, stalls: true}}, start)
+	all, err := playVariants(t.Context(), s, 1, []scenarioVariant{
+		{name: "asked", portal: true, portalAsks: true, losesEvery: 10},
+		{name: "asking", gatewayAsks: true, serviceStalls: true}}, start)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, r := range all {
 		var settled, declined, lost int64
 		for _, c := range r.report.Counts {
-			settled, declined, lost = settled+c[loadgen.Settled], declined+c[loadgen.Declined],
-				lost+c[loadgen.NoAnswer]
+			settled, declined, lost = settled+c[loadgen.Completed], declined+c[loadgen.Rejected],
+				lost+c[loadgen.NoResponse]
 		}
-		if r.twice > 0 || r.beyond > 0 || lost > 0 {
-			t.Errorf("%s: %d ran twice, %.1f units beyond a ceiling, %d without answer", r.arm.name, r.twice, r.beyond,
+		if r.ranTwice > 0 || r.unitsBeyondLimit > 0 || lost > 0 {
+			t.Errorf("%s: %d ran twice, %.1f units beyond a ceiling, %d without answer", r.variant.name, r.ranTwice,
+				r.unitsBeyondLimit,
 				lost)
 		}
-		if settled < 100 || declined == 0 || (r.asks > 50) != (i == 1) {
-			t.Errorf("%s: %d settled, %d declined, %d asked", r.arm.name, settled, declined, r.asks)
+		if settled < 100 || declined == 0 || (r.serviceRequests > 50) != (i == 1) {
+			t.Errorf("%s: %d settled, %d declined, %d asked", r.variant.name, settled, declined, r.serviceRequests)
 		}
 	}
 }
--- a/cmd/willowdeck-lab/system.go
+++ b/cmd/willowdeck-lab/system.go
@@ -32,7 +32,7 @@
 }
 
 func systemScale(ctx context.Context, c *cli.Command) error {
-	if _, err := args(c, 0); err != nil {
+	if _, err := arguments(c, 0); err != nil {
 		return err
 	}
 	options := scale.Options{
@@ -43,7 +43,7 @@
 		options.Run = "system-scale-" + time.Now().UTC().Format("0102-1504")
 	}
 	if options.Commit == "" {
-		options.Commit = experiment.Build()
+		options.Commit = experiment.BuildRevision()
 	}
 	for _, text := range c.StringSlice("sizes") {
 		size, err := parseSize(text)
