--- a/cmd/willowdeck/journal.go
+++ b/cmd/willowdeck/journal.go
@@ -135,7 +135,12 @@
 			read.UnreadableBytes, read.Torn, read.Corrupt, read.Unsupported)
 	}
 	for _, doubt := range replay.Index.UncertainPeriods() {
-		fmt.Printf("  in doubt %s to %s: %s\n", formatTime(doubt.FromMillis), formatTime(doubt.ToMillis), doubt.Reason)
+		fmt.Printf(
+			"  in doubt %s to %s: %s\n",
+			formatTime(doubt.FromMillis),
+			formatTime(doubt.ToMillis),
+			doubt.Reason,
+		)
 	}
 }
 
@@ -255,8 +260,12 @@
 			Below:   r.FirstLiveSegment,
 		}
 		if r.Kind.HasTxn() {
-			record.ID, record.Customer, record.Product = r.Txn.RequestID, fmt.Sprintf("%016x", r.Txn.Customer), r.Txn.Product
-			record.Number, record.N, record.Worker, record.Expiry = r.Attempt.Sequence, r.Attempt.Ordinal, r.Worker, r.ExpiryMillis
+			record.ID, record.Customer, record.Product = r.Txn.RequestID, fmt.Sprintf(
+				"%016x",
+				r.Txn.Customer,
+			), r.Txn.Product
+			record.Number, record.N = r.Attempt.Sequence, r.Attempt.Ordinal
+			record.Worker, record.Expiry = r.Worker, r.ExpiryMillis
 			record.End, record.Answer = r.Outcome.String(), len(r.Response.Body)
 		}
 		if err := encoder.Encode(record); err != nil && failed == nil {
--- a/internal/e2e/plant_test.go
+++ b/internal/e2e/plant_test.go
@@ -257,7 +257,7 @@
 				if check.name != p.check {
 					continue
 				}
-				if v := check.run(&spoilt); v.Count == 0 || !strings.Contains(v.Result.String(), p.says) {
+				if v := check.run(&spoilt); v.Count == 0 || !strings.Contains(v.String(), p.says) {
 					t.Errorf("%s does not find it: %.2000s", check.name, v.Result)
 				}
 			}
--- a/internal/gateway/config/golden_forms_test.go
+++ b/internal/gateway/config/golden_forms_test.go
@@ -18,18 +18,47 @@
 // and change nothing are not in it: counter, family_info.counter, family_info.use_period_us,
 // weight_source.
 func goldenSettings() Settings {
-	return Settings{Charter: policy.Settings{GatewayIndex: 1, GatewayCount: 2, Products: []policy.Product{{LatencyTargetMillis: 1, Value: 3,
-		LateValueFraction: 4, Idempotency: 1, DedupScope: 1, DedupWindowMillis: 5}, {LatencyTargetMillis: 6, Value: 8, LateValueFraction: 9, Idempotency: 2, DedupScope: 0,
-		DedupWindowMillis: 10}}, Plans: []policy.Plan{{QuotaPerSecond: 11, QuotaBurst: 12, RateLimitPerSecond: 13, RateLimitBurst: 14, WithheldFraction: 0,
-		MaxInFlight: 15, ValueFactor: 16, ExcessValueFraction: 17, ExcessCostFraction: 18, CreditSeconds: 19, RepayWithinMillis: 60000}, {QuotaPerSecond: 21, QuotaBurst: 22,
-		RateLimitPerSecond: 23, RateLimitBurst: 24, WithheldFraction: 0, MaxInFlight: 25, ValueFactor: 26, ExcessValueFraction: 27, ExcessCostFraction: 28,
-		CreditSeconds: 29, RepayWithinMillis: 70000}}, MaxRequestUnits: 35, MaxAttempts: 31, AllowHedging: true, AllowCancel: true,
-		AllowRetryAfter: true, MaxRetryAfterMillis: 32, AllowGossip: true, WorkersReportLoad: true, PeerMessagesPerSecond: 36, ReportsPerMessage: 31,
-		ColdCapacityFraction: 0.375, WarmUpMillis: 39, OverloadFactor: 40, OverloadMillis: 41, TotalWeight: 42, WorstPlanWeight: 87, QuotaWithoutGossip: false},
+	return Settings{
+		Charter: policy.Settings{
+			GatewayIndex: 1,
+			GatewayCount: 2,
+			Products: []policy.Product{{LatencyTargetMillis: 1, Value: 3,
+				LateValueFraction: 4, Idempotency: 1, DedupScope: 1, DedupWindowMillis: 5}, {LatencyTargetMillis: 6,
+				Value: 8, LateValueFraction: 9, Idempotency: 2, DedupScope: 0,
+				DedupWindowMillis: 10}},
+			Plans: []policy.Plan{
+				{QuotaPerSecond: 11, QuotaBurst: 12, RateLimitPerSecond: 13, RateLimitBurst: 14, WithheldFraction: 0,
+					MaxInFlight: 15, ValueFactor: 16, ExcessValueFraction: 17, ExcessCostFraction: 18,
+					CreditSeconds: 19, RepayWithinMillis: 60000},
+				{QuotaPerSecond: 21, QuotaBurst: 22,
+					RateLimitPerSecond: 23, RateLimitBurst: 24, WithheldFraction: 0, MaxInFlight: 25, ValueFactor: 26,
+					ExcessValueFraction: 27, ExcessCostFraction: 28,
+					CreditSeconds: 29, RepayWithinMillis: 70000},
+			},
+			MaxRequestUnits:       35,
+			MaxAttempts:           31,
+			AllowHedging:          true,
+			AllowCancel:           true,
+			AllowRetryAfter:       true,
+			MaxRetryAfterMillis:   32,
+			AllowGossip:           true,
+			WorkersReportLoad:     true,
+			PeerMessagesPerSecond: 36,
+			ReportsPerMessage:     31,
+			ColdCapacityFraction:  0.375,
+			WarmUpMillis:          39,
+			OverloadFactor:        40,
+			OverloadMillis:        41,
+			TotalWeight:           42,
+			WorstPlanWeight:       87,
+			QuotaWithoutGossip:    false,
+		},
 		Names: Names{Products: map[string]int{"check": 0, "sale": 1}, Plans: map[string]int{"basic": 0,
-			"tiny": 1}}, Connections: Connections{IdleTimeoutMillis: 33, ConnectTimeoutMillis: 34,
+			"tiny": 1}},
+		Connections: Connections{IdleTimeoutMillis: 33, ConnectTimeoutMillis: 34,
 			AnswerSlackMillis:   38,
-			MaxClientWaitMillis: 7, PollsDiscovery: true}}
+			MaxClientWaitMillis: 7, PollsDiscovery: true},
+	}
 }
 
 func goldenDecode(t *testing.T, raw []byte) (Gateway, error) {
--- a/internal/gateway/config/settings.go
+++ b/internal/gateway/config/settings.go
@@ -103,7 +103,8 @@
 			p.LimitDepth = 0
 		}
 		t.Charter.Plans = append(t.Charter.Plans, policy.Plan{QuotaPerSecond: p.Rate, QuotaBurst: p.Burst,
-			RateLimitPerSecond: p.LimitRate, RateLimitBurst: p.LimitDepth, MaxInFlight: p.MaxInFlight, ValueFactor: p.ValueFactor,
+			RateLimitPerSecond: p.LimitRate, RateLimitBurst: p.LimitDepth, MaxInFlight: p.MaxInFlight,
+			ValueFactor:         p.ValueFactor,
 			ExcessValueFraction: p.ExcessShare, ExcessCostFraction: p.ExcessFee, CreditSeconds: p.CreditSeconds,
 			RepayWithinMillis: p.RepaySeconds * millisPerSecond})
 	}
--- a/internal/gateway/config/settings_test.go
+++ b/internal/gateway/config/settings_test.go
@@ -36,10 +36,14 @@
 		"{LatencyTargetMillis:90 Value:4 LateValueFraction:0 Idempotency:2 DedupScope:2 DedupWindowMillis:0} " +
 		"{LatencyTargetMillis:60 Value:0 LateValueFraction:0.5 Idempotency:1 DedupScope:1 DedupWindowMillis:400} " +
 		"{LatencyTargetMillis:250 Value:0.5 LateValueFraction:0 Idempotency:0 DedupScope:2 DedupWindowMillis:0}] " +
-		"Plans:[{QuotaPerSecond:12 QuotaBurst:36 RateLimitPerSecond:25 RateLimitBurst:78 WithheldFraction:0 MaxInFlight:0 ValueFactor:2 ExcessValueFraction:0.3 " +
-		"ExcessCostFraction:0.1 CreditSeconds:0 RepayWithinMillis:0}] MaxRequestUnits:5 MaxAttempts:2 AllowHedging:true AllowCancel:false " +
-		"AllowRetryAfter:true MaxRetryAfterMillis:150 AllowGossip:true WorkersReportLoad:true PeerMessagesPerSecond:50 ReportsPerMessage:31 ColdCapacityFraction:0.25 " +
-		"WarmUpMillis:9000 OverloadFactor:1.5 OverloadMillis:700 TotalWeight:0.5 WorstPlanWeight:0.4 QuotaWithoutGossip:false} " +
+		"Plans:[{QuotaPerSecond:12 QuotaBurst:36 RateLimitPerSecond:25 RateLimitBurst:78 " +
+		"WithheldFraction:0 MaxInFlight:0 ValueFactor:2 ExcessValueFraction:0.3 " +
+		"ExcessCostFraction:0.1 CreditSeconds:0 RepayWithinMillis:0}] MaxRequestUnits:5 MaxAttempts:2 " +
+		"AllowHedging:true AllowCancel:false " +
+		"AllowRetryAfter:true MaxRetryAfterMillis:150 AllowGossip:true WorkersReportLoad:true " +
+		"PeerMessagesPerSecond:50 ReportsPerMessage:31 ColdCapacityFraction:0.25 " +
+		"WarmUpMillis:9000 OverloadFactor:1.5 OverloadMillis:700 TotalWeight:0.5 WorstPlanWeight:0.4 " +
+		"QuotaWithoutGossip:false} " +
 		"Names:{Products:map[gate:1 look:2 toll:0] Plans:map[all:0]} " +
 		"Connections:{IdleTimeoutMillis:6000 ConnectTimeoutMillis:80 AnswerSlackMillis:8 " +
 		"MaxClientWaitMillis:900 PollsDiscovery:true}}"
@@ -73,7 +77,12 @@
 			func(t *Settings) bool { return t.Charter.MaxAttempts == 0 && !t.Charter.AllowCancel }},
 		{"no copies said: none", `"may_duplicate":true,`, "",
 			func(t *Settings) bool { return !t.Charter.AllowHedging }},
-		{"no advice said: none", `"retry_after":true,`, "", func(t *Settings) bool { return !t.Charter.AllowRetryAfter }},
+		{
+			"no advice said: none",
+			`"retry_after":true,`,
+			"",
+			func(t *Settings) bool { return !t.Charter.AllowRetryAfter },
+		},
 		{"no bound of advice: none is given", `"max_retry_after_us":150000,`, "",
 			func(t *Settings) bool { return t.Charter.MaxRetryAfterMillis == 0 }},
 		{"no peers said: none are talked to", `,"peers":true`, "",
--- a/internal/gateway/hotrestart/golden_test.go
+++ b/internal/gateway/hotrestart/golden_test.go
@@ -88,8 +88,16 @@
 		ShortDeadlineSuccess: []float64{177.5, 178.5}, AttemptMillis: []float64{179.5,
 			180.5}, NextReportAtMillis: 181.5}, WorkerNames: map[int]string{182: "s182", 183: "s183"},
 		KindNames: map[int]string{184: "s184", 185: "s185"}, Clearances: []authcache.Clearance{{RequestID: "s186",
-			Attributes: authcache.Attributes{Customer: 187, Product: 188, Plan: 189, Units: 190.5, SetSize: 191, First: 192},
-			Used:       true, ExpiresMillis: 193.5}, {RequestID: "s194", Attributes: authcache.Attributes{Customer: 195, Product: 196, Plan: 197,
+			Attributes: authcache.Attributes{
+				Customer: 187,
+				Product:  188,
+				Plan:     189,
+				Units:    190.5,
+				SetSize:  191,
+				First:    192,
+			},
+			Used: true, ExpiresMillis: 193.5}, {RequestID: "s194", Attributes: authcache.Attributes{Customer: 195,
+			Product: 196, Plan: 197,
 			Units: 198.5, SetSize: 199, First: 200}, Used: true, ExpiresMillis: 201.5}},
 		LastSentToPeer: incarnation.MessageID{Incarnation: 202,
 			Sequence: 203}}
--- a/internal/gateway/lifecycle/journal_test.go
+++ b/internal/gateway/lifecycle/journal_test.go
@@ -377,11 +377,24 @@
 			unknownNotRun++
 		}
 	}
-	t.Logf("%d incarnations, %d records in %d segments, %d bytes cut; of %d requests %d ran, "+
-		"%d twice; settled %d, unknown %d (%d of them never ran), not sent %d; "+
-		"falsely not sent %d, falsely settled %d", replay.LastIncarnation,
-		replay.Stats.Records, replay.Stats.Segments, replay.Stats.UnreadableBytes, len(sentAt), len(runs), twice, count[txnjournal.SentCompleted],
-		count[txnjournal.SentUnknown], unknownNotRun, count[txnjournal.NotSent], falselyNotSent, falselySettled)
+	t.Logf(
+		"%d incarnations, %d records in %d segments, %d bytes cut; of %d requests %d ran, "+
+			"%d twice; settled %d, unknown %d (%d of them never ran), not sent %d; "+
+			"falsely not sent %d, falsely settled %d",
+		replay.LastIncarnation,
+		replay.Stats.Records,
+		replay.Stats.Segments,
+		replay.Stats.UnreadableBytes,
+		len(sentAt),
+		len(runs),
+		twice,
+		count[txnjournal.SentCompleted],
+		count[txnjournal.SentUnknown],
+		unknownNotRun,
+		count[txnjournal.NotSent],
+		falselyNotSent,
+		falselySettled,
+	)
 	if twice > 0 || falselySettled > 0 || len(runs) < *journalKills ||
 		int(replay.LastIncarnation) < *journalKills/2 {
 		t.Errorf("%d ran twice, %d are settled that never ran, %d ran in %d incarnations",
--- a/internal/gateway/proxy/attempt_deadline_test.go
+++ b/internal/gateway/proxy/attempt_deadline_test.go
@@ -82,7 +82,12 @@
 		targetMillis = 600
 	}
 	charter.Products = []policy.Product{{LatencyTargetMillis: targetMillis, Value: 1},
-		{LatencyTargetMillis: targetMillis, Value: 1, Idempotency: policy.Deduplicated, DedupWindowMillis: clientWaitMillis},
+		{
+			LatencyTargetMillis: targetMillis,
+			Value:               1,
+			Idempotency:         policy.Deduplicated,
+			DedupWindowMillis:   clientWaitMillis,
+		},
 		{LatencyTargetMillis: 1000, Value: 1, Idempotency: policy.NonIdempotent}}
 	rig := &deadlineRig{T: t, received: make(chan struct{}, 9),
 		links: transport.NewWorkerPool(8, 5*time.Second, 3*time.Second)}
--- a/internal/gateway/proxy/lending.go
+++ b/internal/gateway/proxy/lending.go
@@ -37,7 +37,7 @@
 	return l.book.Lend(customer, plan, first, n, units) == borrowing.LoanGranted
 }
 
-// Undo returns a loan that was not used; the policy calls it.
+// Refund returns a loan that was not used; the policy calls it.
 func (l *lender) Refund(customer uint64, units float64) { l.book.Undo(customer, units) }
 
 // EnableBorrowing has the policy borrow from a book from here on. Plans gives the plans' names for the
--- a/internal/gateway/recovery/bootstrap/registry.go
+++ b/internal/gateway/recovery/bootstrap/registry.go
@@ -199,7 +199,10 @@
 		}
 		if own, known := r.local[w.Name]; known {
 			w.Active = w.Active && own.Active
-			w.StartedMillis = max(w.StartedMillis, own.StartedMillis) // the later of two starts, so that it gets a slow start
+			w.StartedMillis = max(
+				w.StartedMillis,
+				own.StartedMillis,
+			) // the later of two starts, so that it gets a slow start
 			if !w.Active {
 				w.Address = own.Address
 			}
--- a/internal/gateway/recovery/checkpoint/checkpoint_test.go
+++ b/internal/gateway/recovery/checkpoint/checkpoint_test.go
@@ -17,7 +17,10 @@
 	"willowdeck/internal/policy"
 )
 
-var digest = Digest(policy.Settings{GatewayCount: 2, Plans: []policy.Plan{{QuotaPerSecond: 10, QuotaBurst: 20}}}, 3)
+var digest = Digest(
+	policy.Settings{GatewayCount: 2, Plans: []policy.Plan{{QuotaPerSecond: 10, QuotaBurst: 20}}},
+	3,
+)
 
 func unixMillis() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
@@ -26,16 +29,31 @@
 	snapshot := &Snapshot{Digest: digest, LastMessages: []incarnation.MessageID{{},
 		{Incarnation: 7, Sequence: 8}}}
 	state := &snapshot.State
-	*state = policy.HandoffState{AtMillis: at, StartedAtMillis: at - 9000, NextReportAtMillis: at + 100, ShortDeadlineSuccess: []float64{0.9},
-		AttemptMillis: []float64{120}, Peers: []policy.PeerState{{}, {
-			HeardAtMillis: at - 10, ReportedAtMillis: at - 20, ReportDueSinceMillis: at - 30, ReportsHeardAtMillis: at - 40, Silent: true,
-			LastReports: []policy.Report{{Customer: 3, DemandPerSecond: 7}, {Customer: 4, Plan: 1, DemandPerSecond: 8}}}}}
+	*state = policy.HandoffState{
+		AtMillis:             at,
+		StartedAtMillis:      at - 9000,
+		NextReportAtMillis:   at + 100,
+		ShortDeadlineSuccess: []float64{0.9},
+		AttemptMillis:        []float64{120},
+		Peers: []policy.PeerState{{}, {
+			HeardAtMillis: at - 10, ReportedAtMillis: at - 20, ReportDueSinceMillis: at - 30,
+			ReportsHeardAtMillis: at - 40, Silent: true,
+			LastReports: []policy.Report{
+				{Customer: 3, DemandPerSecond: 7},
+				{Customer: 4, Plan: 1, DemandPerSecond: 8},
+			}}},
+	}
 	for i := range customers {
-		state.Customers = append(state.Customers, policy.CustomerState{ID: uint64(i), Plan: i % 3, SetSize: 2, FirstGateway: 1,
-			Requests:    i,
-			SilentPeers: 1, ShareTokens: level, QuotaTokens: 3, FilledAtMillis: at - 1, PeerDemand: 4, PeerSpentUnits: 5, SilentPeerDemand: 6, PeerDemandAtMillis: at - 2, OwnDemand: 7,
-			RecentDemand: 8, LastRequestAtMillis: at - 3, CoolSinceMillis: at - 4, UnreportedUnits: 9, ReportedDemand: 10, ReportedAtMillis: at - 5, PreviousReportedDemand: 11, Hot: i%2 == 0,
-			UncollectedRepayment: 12, CreditAtMillis: at - 6})
+		state.Customers = append(
+			state.Customers,
+			policy.CustomerState{ID: uint64(i), Plan: i % 3, SetSize: 2, FirstGateway: 1,
+				Requests:    i,
+				SilentPeers: 1, ShareTokens: level, QuotaTokens: 3, FilledAtMillis: at - 1, PeerDemand: 4,
+				PeerSpentUnits: 5, SilentPeerDemand: 6, PeerDemandAtMillis: at - 2, OwnDemand: 7,
+				RecentDemand: 8, LastRequestAtMillis: at - 3, CoolSinceMillis: at - 4, UnreportedUnits: 9,
+				ReportedDemand: 10, ReportedAtMillis: at - 5, PreviousReportedDemand: 11, Hot: i%2 == 0,
+				UncollectedRepayment: 12, CreditAtMillis: at - 6},
+		)
 	}
 	return snapshot
 }
@@ -75,8 +93,11 @@
 	}
 	for _, by := range []float64{-3600e3, 3600e3} {
 		writer, snapshot, rejected = openAt(t, path, now+100+by, 1e6+100)
-		if want := snapshotAt(now+2+by, 5, 2); rejected != nil || math.Abs(snapshot.State.AtMillis-want.State.AtMillis) > 1 ||
-			math.Abs(snapshot.State.Customers[4].LastRequestAtMillis-want.State.Customers[4].LastRequestAtMillis) > 1 ||
+		if want := snapshotAt(now+2+by, 5, 2); rejected != nil ||
+			math.Abs(snapshot.State.AtMillis-want.State.AtMillis) > 1 ||
+
+			math.Abs(
+				snapshot.State.Customers[4].LastRequestAtMillis-want.State.Customers[4].LastRequestAtMillis) > 1 ||
 			snapshot.State.Peers[0].HeardAtMillis != 0 ||
 			math.Abs(snapshot.State.Peers[1].HeardAtMillis-want.State.Peers[1].HeardAtMillis) > 1 {
 			t.Errorf("clock set by %v: %v %+v", by, rejected, snapshot)
--- a/internal/gateway/recovery/checkpoint/encoding.go
+++ b/internal/gateway/recovery/checkpoint/encoding.go
@@ -11,11 +11,25 @@
 
 // customerFloats returns pointers to the encoded floats of a customer, in the order of the form.
 func customerFloats(customer *policy.CustomerState) [17]*float64 {
-	return [...]*float64{&customer.ShareTokens, &customer.QuotaTokens, &customer.FilledAtMillis, &customer.PeerDemand, &customer.PeerSpentUnits,
-		&customer.SilentPeerDemand, &customer.PeerDemandAtMillis, &customer.OwnDemand,
-		&customer.RecentDemand, &customer.LastRequestAtMillis, &customer.CoolSinceMillis, &customer.UnreportedUnits, &customer.ReportedDemand, &customer.ReportedAtMillis,
-		&customer.PreviousReportedDemand, &customer.UncollectedRepayment,
-		&customer.CreditAtMillis}
+	return [...]*float64{
+		&customer.ShareTokens,
+		&customer.QuotaTokens,
+		&customer.FilledAtMillis,
+		&customer.PeerDemand,
+		&customer.PeerSpentUnits,
+		&customer.SilentPeerDemand,
+		&customer.PeerDemandAtMillis,
+		&customer.OwnDemand,
+		&customer.RecentDemand,
+		&customer.LastRequestAtMillis,
+		&customer.CoolSinceMillis,
+		&customer.UnreportedUnits,
+		&customer.ReportedDemand,
+		&customer.ReportedAtMillis,
+		&customer.PreviousReportedDemand,
+		&customer.UncollectedRepayment,
+		&customer.CreditAtMillis,
+	}
 }
 
 // encode appends the snapshot to b.
@@ -33,7 +47,8 @@
 	reportBytesLeft := maxReportBytes
 	for i := range state.Peers {
 		peer := &state.Peers[i]
-		for _, v := range [...]float64{peer.HeardAtMillis, peer.ReportedAtMillis, peer.ReportDueSinceMillis, peer.ReportsHeardAtMillis} {
+		for _, v := range [...]float64{peer.HeardAtMillis, peer.ReportedAtMillis, peer.ReportDueSinceMillis,
+			peer.ReportsHeardAtMillis} {
 			b = appendFloat(b, v)
 		}
 		var message incarnation.MessageID
@@ -53,7 +68,8 @@
 	}
 	for i := range state.Customers {
 		customer := &state.Customers[i]
-		for _, number := range [...]int{int(uint32(customer.ID)), customer.Plan, customer.SetSize, customer.FirstGateway,
+		for _, number := range [...]int{int(uint32(customer.ID)), customer.Plan, customer.SetSize,
+			customer.FirstGateway,
 			min(customer.Requests, math.MaxInt32),
 			customer.SilentPeers<<1 | int(flagBit(customer.Hot, 1))} {
 			b = byteOrder.AppendUint32(b, uint32(number))
@@ -117,10 +133,21 @@
 	peers, plans, customers := d.uint32(), d.uint32(), d.uint32()
 	state.AtMillis, state.StartedAtMillis, state.NextReportAtMillis = d.float64(), d.float64(), d.float64()
 	for range d.count(plans, 16) {
-		state.ShortDeadlineSuccess, state.AttemptMillis = append(state.ShortDeadlineSuccess, d.float64()), append(state.AttemptMillis, d.float64())
+		state.ShortDeadlineSuccess, state.AttemptMillis = append(
+			state.ShortDeadlineSuccess,
+			d.float64(),
+		), append(
+			state.AttemptMillis,
+			d.float64(),
+		)
 	}
 	for range d.count(peers, peerSize) {
-		peer := policy.PeerState{HeardAtMillis: d.float64(), ReportedAtMillis: d.float64(), ReportDueSinceMillis: d.float64(), ReportsHeardAtMillis: d.float64()}
+		peer := policy.PeerState{
+			HeardAtMillis:        d.float64(),
+			ReportedAtMillis:     d.float64(),
+			ReportDueSinceMillis: d.float64(),
+			ReportsHeardAtMillis: d.float64(),
+		}
 		message := incarnation.MessageID{Incarnation: uint32(d.uint32()), Sequence: uint32(d.uint32())}
 		snapshot.LastMessages = append(snapshot.LastMessages, message)
 		flags := d.uint32()
@@ -132,8 +159,13 @@
 		state.Peers = append(state.Peers, peer)
 	}
 	for range d.count(customers, customerSize) {
-		customer := policy.CustomerState{ID: uint64(d.uint32()), Plan: d.uint32(), SetSize: d.uint32(), FirstGateway: d.uint32(),
-			Requests: d.uint32()}
+		customer := policy.CustomerState{
+			ID:           uint64(d.uint32()),
+			Plan:         d.uint32(),
+			SetSize:      d.uint32(),
+			FirstGateway: d.uint32(),
+			Requests:     d.uint32(),
+		}
 		flags := d.uint32()
 		customer.SilentPeers, customer.Hot = flags>>1, flags&1 != 0
 		for _, value := range customerFloats(&customer) {
--- a/internal/gateway/recovery/checkpoint/golden_test.go
+++ b/internal/gateway/recovery/checkpoint/golden_test.go
@@ -29,9 +29,22 @@
 }
 
 func goldenDigest() [32]byte {
-	return Digest(policy.Settings{GatewayIndex: 1, GatewayCount: 3, MaxRequestUnits: 2.5, PeerMessagesPerSecond: 4.5, ReportsPerMessage: 5,
-		QuotaWithoutGossip: true, Plans: []policy.Plan{{QuotaPerSecond: 10, QuotaBurst: 20, RateLimitPerSecond: 30, RateLimitBurst: 40, WithheldFraction: 0.5,
-			MaxInFlight: 6, ValueFactor: 7, ExcessValueFraction: 8, ExcessCostFraction: 9, CreditSeconds: 11, RepayWithinMillis: 12}}}, 77)
+	return Digest(
+		policy.Settings{
+			GatewayIndex:          1,
+			GatewayCount:          3,
+			MaxRequestUnits:       2.5,
+			PeerMessagesPerSecond: 4.5,
+			ReportsPerMessage:     5,
+			QuotaWithoutGossip:    true,
+			Plans: []policy.Plan{
+				{QuotaPerSecond: 10, QuotaBurst: 20, RateLimitPerSecond: 30, RateLimitBurst: 40, WithheldFraction: 0.5,
+					MaxInFlight: 6, ValueFactor: 7, ExcessValueFraction: 8, ExcessCostFraction: 9, CreditSeconds: 11,
+					RepayWithinMillis: 12},
+			},
+		},
+		77,
+	)
 }
 
 // goldenSnapshot is what inventory.hex holds: the one slot of two that is written. The file was written
@@ -40,21 +53,68 @@
 func goldenSnapshot() *Snapshot {
 	return &Snapshot{Digest: goldenDigest(),
 		LastMessages: []incarnation.MessageID{{Incarnation: 101, Sequence: 102}, {Incarnation: 103, Sequence: 104}},
-		State: policy.HandoffState{AtMillis: goldenNow, StartedAtMillis: goldenNow - 9000, NextReportAtMillis: goldenNow + 105,
-			ShortDeadlineSuccess: []float64{0.5, 0.625}, AttemptMillis: []float64{120.5, 121.5},
+		State: policy.HandoffState{
+			AtMillis:             goldenNow,
+			StartedAtMillis:      goldenNow - 9000,
+			NextReportAtMillis:   goldenNow + 105,
+			ShortDeadlineSuccess: []float64{0.5, 0.625},
+			AttemptMillis:        []float64{120.5, 121.5},
 			Peers: []policy.PeerState{
-				{HeardAtMillis: 201.5, ReportedAtMillis: 202.5, ReportDueSinceMillis: 203.5, ReportsHeardAtMillis: 204.5, Silent: true,
+				{
+					HeardAtMillis:        201.5,
+					ReportedAtMillis:     202.5,
+					ReportDueSinceMillis: 203.5,
+					ReportsHeardAtMillis: 204.5,
+					Silent:               true,
 					LastReports: []policy.Report{{Customer: 205, Plan: 206, DemandPerSecond: 207.5},
-						{Customer: 208, Plan: 209, DemandPerSecond: 210.5}}},
-				{HeardAtMillis: 211.5, ReportedAtMillis: 212.5, ReportDueSinceMillis: 213.5, ReportsHeardAtMillis: 214.5, Lost: true,
-					LastReports: []policy.Report{{Customer: 0xfffefdfc, Plan: 216, DemandPerSecond: 217.5}}}},
+						{Customer: 208, Plan: 209, DemandPerSecond: 210.5}},
+				},
+				{
+					HeardAtMillis:        211.5,
+					ReportedAtMillis:     212.5,
+					ReportDueSinceMillis: 213.5,
+					ReportsHeardAtMillis: 214.5,
+					Lost:                 true,
+					LastReports:          []policy.Report{{Customer: 0xfffefdfc, Plan: 216, DemandPerSecond: 217.5}},
+				}},
 			Customers: []policy.CustomerState{
-				{ID: 301, Plan: 302, SetSize: 303, FirstGateway: 304, Requests: 305, SilentPeers: 306, ShareTokens: 307.5, QuotaTokens: 308.5,
-					FilledAtMillis: 309.5, PeerDemand: 310.5, PeerSpentUnits: 311.5, SilentPeerDemand: 312.5, PeerDemandAtMillis: 313.5, OwnDemand: 314.5,
-					RecentDemand: 315.5, LastRequestAtMillis: 316.5, CoolSinceMillis: 317.5, UnreportedUnits: 318.5, ReportedDemand: 319.5, ReportedAtMillis: 320.5,
-					PreviousReportedDemand: 321.5, Hot: true, UncollectedRepayment: 322.5, CreditAtMillis: 323.5},
-				{ID: 0xfffefdfc, Plan: 402, SetSize: 403, FirstGateway: 404, Requests: 405, SilentPeers: 406, ShareTokens: 407.5,
-					QuotaTokens: 408.5}}}}
+				{
+					ID:                     301,
+					Plan:                   302,
+					SetSize:                303,
+					FirstGateway:           304,
+					Requests:               305,
+					SilentPeers:            306,
+					ShareTokens:            307.5,
+					QuotaTokens:            308.5,
+					FilledAtMillis:         309.5,
+					PeerDemand:             310.5,
+					PeerSpentUnits:         311.5,
+					SilentPeerDemand:       312.5,
+					PeerDemandAtMillis:     313.5,
+					OwnDemand:              314.5,
+					RecentDemand:           315.5,
+					LastRequestAtMillis:    316.5,
+					CoolSinceMillis:        317.5,
+					UnreportedUnits:        318.5,
+					ReportedDemand:         319.5,
+					ReportedAtMillis:       320.5,
+					PreviousReportedDemand: 321.5,
+					Hot:                    true,
+					UncollectedRepayment:   322.5,
+					CreditAtMillis:         323.5,
+				},
+				{
+					ID:           0xfffefdfc,
+					Plan:         402,
+					SetSize:      403,
+					FirstGateway: 404,
+					Requests:     405,
+					SilentPeers:  406,
+					ShareTokens:  407.5,
+					QuotaTokens:  408.5,
+				}},
+		}}
 }
 
 // writeGoldenFile has a Writer write the golden snapshot, and returns the file's content.
--- a/internal/gateway/recovery/crashstate/file_test.go
+++ b/internal/gateway/recovery/crashstate/file_test.go
@@ -15,7 +15,9 @@
 	"willowdeck/internal/policy"
 )
 
-var digest = Digest(policy.Settings{GatewayCount: 2, Plans: []policy.Plan{{RateLimitPerSecond: 10, RateLimitBurst: 20}}})
+var digest = Digest(
+	policy.Settings{GatewayCount: 2, Plans: []policy.Plan{{RateLimitPerSecond: 10, RateLimitBurst: 20}}},
+)
 
 var testClockShift float64
 
@@ -49,13 +51,15 @@
 	file.Close()
 	file, residue = openAt(t, path, now+1000)
 	if residue == nil || residue.RateLimitBaseMillis != now || len(residue.RateLimits) != 1 ||
-		residue.RateLimits[0] != (policy.SpentRateLimit{Customer: 7, Plan: 1, FullAtMillis: now + 6000}) || residue.Window != 40 {
+		residue.RateLimits[0] != (policy.SpentRateLimit{Customer: 7, Plan: 1, FullAtMillis: now + 6000}) ||
+		residue.Window != 40 {
 		t.Fatalf("restored %+v", residue)
 	}
 	file.RecordSpent(9, 0, now+9000, now+1000)
 	file.Close()
 	file, residue = openAt(t, path, now+20000)
-	if residue == nil || len(residue.RateLimits) != 0 || residue.RateLimitBaseMillis != now || residue.Window != 0 {
+	if residue == nil || len(residue.RateLimits) != 0 || residue.RateLimitBaseMillis != now ||
+		residue.Window != 0 {
 		t.Errorf("later restored %+v", residue)
 	}
 	file.Invalidate()
--- a/internal/gateway/recovery/crashstate/golden_test.go
+++ b/internal/gateway/recovery/crashstate/golden_test.go
@@ -24,17 +24,27 @@
 }
 
 func goldenCharter() policy.Settings {
-	return policy.Settings{GatewayIndex: 1, GatewayCount: 3, Plans: []policy.Plan{{RateLimitPerSecond: 10, RateLimitBurst: 20},
-		{RateLimitPerSecond: 30.5, RateLimitBurst: 40.5}}}
+	return policy.Settings{
+		GatewayIndex: 1,
+		GatewayCount: 3,
+		Plans: []policy.Plan{{RateLimitPerSecond: 10, RateLimitBurst: 20},
+			{RateLimitPerSecond: 30.5, RateLimitBurst: 40.5}},
+	}
 }
 
 // goldenResidue is what residue.hex holds: the header and the first slots of a file; the rest is zero. The
 // file was written once by writeGoldenFile, before names were changed. It is what a killed process of an
 // older version leaves; new code must never write it again.
 func goldenResidue() policy.CrashState {
-	return policy.CrashState{RateLimitBaseMillis: goldenNow, Window: 40.5, Pressure: 0.25, ResponseMillis: 25.5, RateLimits: []policy.SpentRateLimit{
-		{Customer: 0x01020304, Plan: 1, FullAtMillis: goldenNow + 5000},
-		{Customer: 0xfffefdfc, Plan: 2, FullAtMillis: goldenNow + 6000}}}
+	return policy.CrashState{
+		RateLimitBaseMillis: goldenNow,
+		Window:              40.5,
+		Pressure:            0.25,
+		ResponseMillis:      25.5,
+		RateLimits: []policy.SpentRateLimit{
+			{Customer: 0x01020304, Plan: 1, FullAtMillis: goldenNow + 5000},
+			{Customer: 0xfffefdfc, Plan: 2, FullAtMillis: goldenNow + 6000}},
+	}
 }
 
 // writeGoldenFile has a process leave the golden state, and returns the file's content.
--- a/internal/lab/footprint/elements.go
+++ b/internal/lab/footprint/elements.go
@@ -94,13 +94,13 @@
 
 // keeps gives the bytes that what is made holds on to: of as many as show beside what the process does
 // anyway.
-func keeps[T any](make func() T) (x T, bytes float64) {
+func keeps[T any](create func() T) (x T, bytes float64) {
 	for n := 1; ; n *= 8 {
 		var before, after runtime.MemStats
 		var all []T
 		settle(&before)
 		for range n {
-			all = append(all, make())
+			all = append(all, create())
 		}
 		settle(&after)
 		held := float64(after.HeapAlloc) - float64(before.HeapAlloc)
--- a/internal/lab/footprint/rules.go
+++ b/internal/lab/footprint/rules.go
@@ -121,16 +121,16 @@
 		{"council daemon", "making a snapshot", "ms", took(func() { _, _ = c.Snapshot() })}}, nil
 }
 
-// fleetOf writes the files of a host's daemon for a council of so many hosts, and reads them as it does at
-// its start.
-func fleetOf(dir string, members, hosts int) (*supervisor.Settings, error) {
+// loadDaemonFiles writes the files of a host's daemon, for a raft group of so many hosts, and loads them as
+// the daemon does at its start.
+func loadDaemonFiles(dir string, members, hosts int) error {
 	conf, err := settings(20, usualPlans, 3, 0)
 	if err != nil {
-		return nil, err
+		return err
 	}
 	text, err := rulefile.Encode(rules(members, usualPlans, 0, 0))
 	if err != nil {
-		return nil, err
+		return err
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = %q\nconfig = %q\nrun_dir = %q\n", "fleet", filepath.Join(dir, "config.json"), dir)
@@ -145,10 +145,11 @@
 	for name, what := range map[string]string{"config.json": string(conf), "rules.toml": text,
 		"fleet.toml": b.String()} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(what), 0o600); err != nil {
-			return nil, err
+			return err
 		}
 	}
-	return supervisor.LoadSettings(filepath.Join(dir, "fleet.toml"))
+	_, err = supervisor.LoadSettings(filepath.Join(dir, "fleet.toml"))
+	return err
 }
 
 // fleetFile measures what a host's daemon with some perHost gatekeepers reads at its start, and carries
@@ -162,7 +163,7 @@
 	if err := ruleset.Validate(rules(n, usualPlans, 0, 0)); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRefused, err)
 	}
-	if _, err := fleetOf(dir, n, usualHosts); err != nil {
+	if err := loadDaemonFiles(dir, n, usualHosts); err != nil {
 		return nil, err
 	}
 	path := filepath.Join(dir, "fleet.toml")
@@ -182,7 +183,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	if _, err = fleetOf(dir, 20, hosts); err != nil {
+	if err = loadDaemonFiles(dir, 20, hosts); err != nil {
 		return errors.New(strings.ReplaceAll(err.Error(), dir+"/", ""))
 	}
 	return nil
--- a/internal/serving/agent/edgestate.go
+++ b/internal/serving/agent/edgestate.go
@@ -46,7 +46,11 @@
 	a.supersedeStaleRecord()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	request := &wirepb.WatchRequest{Subscriber: a.settings.NodeName, EdgeVersion: a.edgeVersion, Demands: a.demands}
+	request := &wirepb.WatchRequest{
+		Subscriber:  a.settings.NodeName,
+		EdgeVersion: a.edgeVersion,
+		Demands:     a.demands,
+	}
 	if a.edge != nil {
 		request.Edge = proto.Clone(a.edge).(*wirepb.Edge)
 	}
--- a/internal/serving/consensus/election.go
+++ b/internal/serving/consensus/election.go
@@ -52,8 +52,9 @@
 			continue
 		}
 		requests = append(requests, &wirepb.Consensus{
-			Kind: request.Kind, From: request.From, To: voter, Term: request.Term, LeadershipTransfer: request.LeadershipTransfer,
-			LogIndex: n.log.lastIndex(), LogTerm: n.log.lastTerm(),
+			Kind: request.Kind, From: request.From, To: voter, Term: request.Term,
+			LeadershipTransfer: request.LeadershipTransfer,
+			LogIndex:           n.log.lastIndex(), LogTerm: n.log.lastTerm(),
 		})
 	}
 	return requests
--- a/internal/serving/consensus/follower.go
+++ b/internal/serving/consensus/follower.go
@@ -69,7 +69,10 @@
 	}
 	n.send(&wirepb.Consensus{
 		Kind: wirepb.ConsensusKind_CONSENSUS_APPEND_REPLY, To: m.From, Term: n.term, Reject: true,
-		LogIndex: max(hint, n.commitIndex), RejectedIndex: m.LogIndex, HeartbeatRound: m.HeartbeatRound, ShuttingDown: n.shutdown.requested,
+		LogIndex: max(
+			hint,
+			n.commitIndex,
+		), RejectedIndex: m.LogIndex, HeartbeatRound: m.HeartbeatRound, ShuttingDown: n.shutdown.requested,
 		ShuttingDownMs: n.shutdown.elapsedMillis(n.now),
 	})
 }
--- a/internal/serving/consensus/node_test.go
+++ b/internal/serving/consensus/node_test.go
@@ -105,7 +105,8 @@
 // heartbeatReply returns the reply of a replica to a heartbeat round.
 func heartbeatReply(from string, term, round, index uint64) *wirepb.Consensus {
 	return &wirepb.Consensus{
-		Kind: wirepb.ConsensusKind_CONSENSUS_APPEND_REPLY, From: from, Term: term, HeartbeatRound: round, LogIndex: index,
+		Kind: wirepb.ConsensusKind_CONSENSUS_APPEND_REPLY, From: from, Term: term, HeartbeatRound: round,
+		LogIndex: index,
 	}
 }
 
--- a/internal/serving/consensus/snapshot.go
+++ b/internal/serving/consensus/snapshot.go
@@ -119,8 +119,9 @@
 	}
 	n.appendSnapshotChunk(m.From, chunk)
 	n.send(&wirepb.Consensus{
-		Kind: wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_REPLY, To: m.From, Term: n.term, HeartbeatRound: m.HeartbeatRound,
-		LogIndex: chunk.Index, LogTerm: chunk.Term, SnapshotOffset: uint64(len(n.incomingSnapshot.data)),
+		Kind: wirepb.ConsensusKind_CONSENSUS_SNAPSHOT_REPLY, To: m.From, Term: n.term,
+		HeartbeatRound: m.HeartbeatRound,
+		LogIndex:       chunk.Index, LogTerm: chunk.Term, SnapshotOffset: uint64(len(n.incomingSnapshot.data)),
 	})
 	if uint64(len(n.incomingSnapshot.data)) == chunk.Size {
 		n.installSnapshot(&wirepb.Snapshot{
--- a/internal/serving/control/golden_test.go
+++ b/internal/serving/control/golden_test.go
@@ -71,10 +71,17 @@
 			InstanceId: "w-2", Service: "s2", Address: "10.0.1.2:8000", Zone: "b", Capacity: 32, Draining: true,
 			WarmupRemainingMs: 1500, Software: "v3",
 		})},
-		{Key: "worker/w-3", Origin: goldenLife, Sequence: 3, Version: 13, Deleted: true, Value: worker(&wirepb.Worker{
-			InstanceId: "w-3", Service: "s2", Address: "10.0.1.3:8000", Zone: "b", Capacity: 16,
-			WarmupRemainingMs: 2500, Software: "v3",
-		})},
+		{
+			Key:      "worker/w-3",
+			Origin:   goldenLife,
+			Sequence: 3,
+			Version:  13,
+			Deleted:  true,
+			Value: worker(&wirepb.Worker{
+				InstanceId: "w-3", Service: "s2", Address: "10.0.1.3:8000", Zone: "b", Capacity: 16,
+				WarmupRemainingMs: 2500, Software: "v3",
+			}),
+		},
 	}
 }
 
--- a/internal/serving/control/saved_workers_test.go
+++ b/internal/serving/control/saved_workers_test.go
@@ -55,7 +55,11 @@
 	stored.Entries = []*wirepb.Entry{
 		departureEntry(t, 1, &wirepb.Departure{InstanceId: "committed", Version: catalog.FinalOrder, Final: true}),
 		departureEntry(t, 2, &wirepb.Departure{InstanceId: "draining", Version: 4}),
-		departureEntry(t, 3, &wirepb.Departure{InstanceId: "unconfirmed", Version: catalog.FinalOrder, Final: true}),
+		departureEntry(
+			t,
+			3,
+			&wirepb.Departure{InstanceId: "unconfirmed", Version: catalog.FinalOrder, Final: true},
+		),
 	}
 	e, err := New(Options{
 		Identity: "10.0.0.1#founder", Incarnation: "life", Clock: func() time.Duration { return 0 },
--- a/internal/serving/control/scenarios_test.go
+++ b/internal/serving/control/scenarios_test.go
@@ -301,7 +301,11 @@
 		outcomes = append(outcomes, reply.Outcome)
 	})
 	number := e.requests.pending[len(e.requests.pending)-1].number
-	reply := &wirepb.CallReply{Number: number, Incarnation: "an earlier life", Outcome: wirepb.Outcome_OUTCOME_ACCEPTED}
+	reply := &wirepb.CallReply{
+		Number:      number,
+		Incarnation: "an earlier life",
+		Outcome:     wirepb.Outcome_OUTCOME_ACCEPTED,
+	}
 	e.HandleEnvelope(&wirepb.Envelope{Body: &wirepb.Envelope_Reply{Reply: reply}})
 	if len(outcomes) > 0 {
 		t.Fatal("a reply to another incarnation has completed a request")
--- a/internal/serving/control/sim_network_test.go
+++ b/internal/serving/control/sim_network_test.go
@@ -113,8 +113,10 @@
 	}
 	copied := &wirepb.Consensus{
 		Kind: m.Kind, From: m.From, To: m.To, Term: m.Term, LogIndex: m.LogIndex, LogTerm: m.LogTerm,
-		Entries: m.Entries, CommitIndex: m.CommitIndex, Reject: m.Reject, HeartbeatRound: m.HeartbeatRound, SnapshotChunk: m.SnapshotChunk, SnapshotOffset: m.SnapshotOffset,
-		ShuttingDown: m.ShuttingDown, ShuttingDownMs: m.ShuttingDownMs, Established: m.Established, SuccessorKnown: m.SuccessorKnown,
+		Entries: m.Entries, CommitIndex: m.CommitIndex, Reject: m.Reject, HeartbeatRound: m.HeartbeatRound,
+		SnapshotChunk: m.SnapshotChunk, SnapshotOffset: m.SnapshotOffset,
+		ShuttingDown: m.ShuttingDown, ShuttingDownMs: m.ShuttingDownMs, Established: m.Established,
+		SuccessorKnown:     m.SuccessorKnown,
 		LeadershipTransfer: m.LeadershipTransfer, ReceivedIndex: m.ReceivedIndex,
 		RejectedIndex: m.RejectedIndex,
 	}
--- a/internal/serving/control/worker_table.go
+++ b/internal/serving/control/worker_table.go
@@ -50,7 +50,10 @@
 			recent = append(recent, &wirepb.HeartbeatAge{InstanceId: instance, AgeMs: uint32(age / time.Millisecond)})
 		}
 	}
-	slices.SortFunc(recent, func(x, y *wirepb.HeartbeatAge) int { return strings.Compare(x.InstanceId, y.InstanceId) })
+	slices.SortFunc(
+		recent,
+		func(x, y *wirepb.HeartbeatAge) int { return strings.Compare(x.InstanceId, y.InstanceId) },
+	)
 	return recent
 }
 
--- a/internal/serving/edge/notices.go
+++ b/internal/serving/edge/notices.go
@@ -79,7 +79,9 @@
 		return
 	}
 	addresses := table.linkedPeerAddresses(func(region string) bool { return region == e.settings.Region })
-	socket.send(&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_WorkerFailure{WorkerFailure: notice}}, addresses...)
+	socket.send(
+		&wirepb.EdgeDatagram{Body: &wirepb.EdgeDatagram_WorkerFailure{WorkerFailure: notice}},
+		addresses...)
 }
 
 // handleUnhealthyNotice handles another edge's notice of an unhealthy worker. Where this edge has requests
--- a/internal/serving/edge/notices_test.go
+++ b/internal/serving/edge/notices_test.go
@@ -79,7 +79,8 @@
 	e.reportConnectionBreak(broken)
 	long := loadbalancer.PrefillNotice{Instance: "long", PrefillMillis: 900, Long: true}
 	e.notifyPrefill(e.table.Load(), broken, long)
-	if notice := near.next().GetWorkerFailure(); notice.GetInstanceId() != "broken" || !notice.GetConnectionBroken() {
+	if notice := near.next().GetWorkerFailure(); notice.GetInstanceId() != "broken" ||
+		!notice.GetConnectionBroken() {
 		t.Errorf("the near peer receives %v first", notice)
 	}
 	if got := far.next(); got.GetPrompt().GetInstanceId() != "long" {
--- a/internal/serving/slowstart/golden_test.go
+++ b/internal/serving/slowstart/golden_test.go
@@ -27,7 +27,8 @@
 	if err := proto.Unmarshal(data, other); err != nil {
 		t.Fatal(err)
 	}
-	if other.Edge != "edge-2" || other.InstanceId != "w-1" || other.RequestsPerSecond != 5.25 || other.Sequence != 9 {
+	if other.Edge != "edge-2" || other.InstanceId != "w-1" || other.RequestsPerSecond != 5.25 ||
+		other.Sequence != 9 {
 		t.Errorf("demand %v", other)
 	}
 	if again, err := proto.Marshal(other); err != nil || hex.EncodeToString(again) != goldenOther {
--- a/internal/serving/statemachine/golden_test.go
+++ b/internal/serving/statemachine/golden_test.go
@@ -82,7 +82,8 @@
 	if err := proto.Unmarshal(goldenData(t), &state); err != nil {
 		t.Fatal(err)
 	}
-	if state.Generation != 7 || state.EvictedGeneration != 2 || len(state.Body) == 0 || len(state.Departures) != 2 {
+	if state.Generation != 7 || state.EvictedGeneration != 2 || len(state.Body) == 0 ||
+		len(state.Departures) != 2 {
 		t.Errorf("state %v", &state)
 	}
 	if !slices.Equal(state.AppliedEvacuationIds, []string{"order-1", "order-2", "order-3"}) {
@@ -184,7 +185,8 @@
 			t.Errorf("%s: %v", text, got)
 		}
 	}
-	if m.Generation() != 3 || !slices.Equal(m.Evacuated(), []string{"z"}) || m.Departure("w-1").GetVersion() != 5 {
+	if m.Generation() != 3 || !slices.Equal(m.Evacuated(), []string{"z"}) ||
+		m.Departure("w-1").GetVersion() != 5 {
 		t.Errorf("generation %d, evacuated %v, departures %v", m.Generation(), m.Evacuated(), m.Departures())
 	}
 	replace, err := ReplaceCommand(2, 3, []byte(goldenPreviousBody))
--- a/internal/serving/stateview/updates.go
+++ b/internal/serving/stateview/updates.go
@@ -78,7 +78,11 @@
 func (s *Store) UpdateSince(position Position) (*wirepb.WatchUpdate, Position) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	update := &wirepb.WatchUpdate{QuorumContact: s.hasQuorumContact(), Synced: s.synced, StateIndex: s.stateIndex}
+	update := &wirepb.WatchUpdate{
+		QuorumContact: s.hasQuorumContact(),
+		Synced:        s.synced,
+		StateIndex:    s.stateIndex,
+	}
 	next := position
 	if s.stateIndex >= position.StateIndex {
 		next.StateIndex = s.stateIndex
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -167,7 +167,10 @@
 func handleRequest(in *instance, fields *message) error {
 	product, plan := fields.text(4, "tier_class"), fields.text(8, "terms")
 	request := policy.Request{ID: uint64(fields.float(2, "handle")), Customer: fields.hex(3, "user_key"),
-		SetSize: fields.int(6, "set_size"), Units: fields.float(7, "cost_units"), FirstGateway: fields.int(10, "base"),
+		SetSize: fields.int(
+			6,
+			"set_size",
+		), Units: fields.float(7, "cost_units"), FirstGateway: fields.int(10, "base"),
 		TimeLeftMillis: fields.float(11, "budget_us") / microsPerMilli}
 	var ok bool
 	if request.Product, ok = in.names.Products[product]; !ok && fields.err == nil {
@@ -224,13 +227,18 @@
 		}
 		return -1
 	}
-	return policy.WorkerLoad{InFlight: figure("concurrent"), Queued: figure("depth"), CPUFraction: figure("load_share")}
+	return policy.WorkerLoad{
+		InFlight:    figure("concurrent"),
+		Queued:      figure("depth"),
+		CPUFraction: figure("load_share"),
+	}
 }
 
 // outcomes are the codes of an attempt's end.
 var outcomes = map[string]policy.Outcome{
 	"pass": policy.Succeeded, "fault": policy.Failed, "no_room": policy.Overloaded, "too_slow": policy.TimedOut,
-	"no_route": policy.ConnectFailed, "cut": policy.ConnectionLost, "undone": policy.Cancelled, "stale_send": policy.NotSent,
+	"no_route": policy.ConnectFailed, "cut": policy.ConnectionLost, "undone": policy.Cancelled,
+	"stale_send": policy.NotSent,
 }
 
 // launch starts an instance.
@@ -365,7 +373,9 @@
 		line = hex.AppendEncode(append(line, ',', '"'), gossip.Append(reports[:0], decision.Reports))
 		line = append(line, '"', ']')
 	case policy.SetTimer:
-		line = append(appendInts(append(line, `SLEEP"`...), int64(in.number), micros(decision.AtMillis)), `,"w"]`...)
+		line = append(
+			appendInts(append(line, `SLEEP"`...), int64(in.number), micros(decision.AtMillis)),
+			`,"w"]`...)
 	}
 	a.buffer = append(line, '\n')
 	_, _ = a.output.Write(a.buffer) // Flush returns its error
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -31,7 +31,11 @@
 	{Kind: policy.Reject, RequestID: 13, WaitMillis: 14.5},
 	{Kind: policy.RejectUncertain, RequestID: 15},
 	{Kind: policy.Cancel, RequestID: 16, Attempt: 2},
-	{Kind: policy.SendReports, Peer: 4, Reports: []policy.Report{{Customer: 17, Plan: 1, DemandPerSecond: 18, PreviousDemandPerSecond: 3}}},
+	{
+		Kind:    policy.SendReports,
+		Peer:    4,
+		Reports: []policy.Report{{Customer: 17, Plan: 1, DemandPerSecond: 18, PreviousDemandPerSecond: 3}},
+	},
 	{Kind: policy.SetTimer, AtMillis: 19.0005},
 }
 
@@ -58,9 +62,16 @@
 
 // TestGoldenOutcomes: each code of the simulator is the outcome that it was.
 func TestGoldenOutcomes(t *testing.T) {
-	want := map[string]policy.Outcome{"pass": policy.Succeeded, "fault": policy.Failed, "no_room": policy.Overloaded,
-		"too_slow": policy.TimedOut, "no_route": policy.ConnectFailed, "cut": policy.ConnectionLost, "undone": policy.Cancelled,
-		"stale_send": policy.NotSent}
+	want := map[string]policy.Outcome{
+		"pass":       policy.Succeeded,
+		"fault":      policy.Failed,
+		"no_room":    policy.Overloaded,
+		"too_slow":   policy.TimedOut,
+		"no_route":   policy.ConnectFailed,
+		"cut":        policy.ConnectionLost,
+		"undone":     policy.Cancelled,
+		"stale_send": policy.NotSent,
+	}
 	for code, outcome := range want {
 		if got, there := outcomes[code]; !there || got != outcome {
 			t.Errorf("%s is outcome %v, want %v", code, got, outcome)
--- a/internal/supervisor/subscription_test.go
+++ b/internal/supervisor/subscription_test.go
@@ -698,9 +698,16 @@
 				known++
 			}
 		}
-		if g.Charter.GatewayCount != n || g.Charter.GatewayIndex != i || known != perHost+2*distribution.RingRadius ||
+		if g.Charter.GatewayCount != n || g.Charter.GatewayIndex != i ||
+			known != perHost+2*distribution.RingRadius ||
 			in.ListenAddress != fmt.Sprintf("127.0.0.10:%d", 2002+i) {
-			t.Errorf("position %d of %d at %s, %d known", g.Charter.GatewayIndex, g.Charter.GatewayCount, in.ListenAddress, known)
+			t.Errorf(
+				"position %d of %d at %s, %d known",
+				g.Charter.GatewayIndex,
+				g.Charter.GatewayCount,
+				in.ListenAddress,
+				known,
+			)
 		}
 	}
 	if last := 2000 + 2 + 3*n; last > 32768 {
--- a/internal/testkit/invariants/warmup.go
+++ b/internal/testkit/invariants/warmup.go
@@ -35,7 +35,8 @@
 }
 
 // checkWarmUp checks rule 4: a cold worker is overloaded when all gateways together send it more than N + 2
-// root N + 2 units of mean work in OverloadWindow, N being what it survives in that time; two standard deviations
+// root N + 2 units of mean work in OverloadWindow, N being what it survives in that time; two standard
+// deviations
 // of random arrivals are allowed for. An overload violates the rule where most of the work came from gateways
 // that knew of the start.
 func (c *Checker) checkWarmUp(at float64, gateway int, id uint64, t *request, worker int) {
