--- a/internal/gateway/admin/server.go
+++ b/internal/gateway/admin/server.go
@@ -75,7 +75,7 @@
 	gateway  Gateway
 }
 
-// Open listens at address and answers calls until Close. It serves policy.OperatorCalls connections at
+// Open listens at address and answers calls until Close. It serves policy.MaxAdminConnections connections at
 // once; beyond that a connection that has sent nothing is closed for a new one.
 func Open(address string, gateway Gateway) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
@@ -222,8 +222,8 @@
 	return b
 }
 
-// RunPeriodically calls gather at once and then every policy.FiguresEach until stop is closed. Stats that
-// are costly to gather are kept up to date by it.
+// RunPeriodically calls gather at once and then every policy.StatsRefreshMillis until stop is closed. Stats
+// that are costly to gather are kept up to date by it.
 func RunPeriodically(stop <-chan struct{}, gather func()) {
 	ticker := time.NewTicker(transport.Millis(policy.StatsRefreshMillis))
 	defer ticker.Stop()
--- a/internal/gateway/config/journal.go
+++ b/internal/gateway/config/journal.go
@@ -20,7 +20,7 @@
 // InstanceDir returns the directory of one instance's journal.
 func (j *Journal) InstanceDir(name string) string { return filepath.Join(j.Dir, name) }
 
-// journalFile is the form of the operator file; its defaults are txnjournal.DefaultTerms. Every field
+// journalFile is the form of the operator file; its defaults are txnjournal.DefaultConfig. Every field
 // carries its key as a tag.
 type journalFile struct {
 	Dir         string  `toml:"dir"`
--- a/internal/gateway/lifecycle/discovery_test.go
+++ b/internal/gateway/lifecycle/discovery_test.go
@@ -519,7 +519,7 @@
 					l.Close()
 				}
 				before := time.Now()
-				move(last.address) // how long it takes for the old watch to end, TestWatchLeaves has exactly
+				move(last.address) // how long it takes for the old watch to end, TestWatchStopsAtOnce has exactly
 				due := policy.WatchFailoverCatchUpMillis
 				if down {
 					time.Sleep(
--- a/internal/gateway/proxy/attempt_connection_test.go
+++ b/internal/gateway/proxy/attempt_connection_test.go
@@ -422,8 +422,8 @@
 	}
 }
 
-// At the limit of connections an attempt counts as not sent, and its worker is not blamed. TestNoDescriptor
-// has the same of file descriptors.
+// At the limit of connections an attempt counts as not sent, and its worker is not blamed.
+// TestDialWithoutDescriptor has the same of file descriptors.
 func TestConnectionLimit(t *testing.T) {
 	rig := newWorkerRig(t, time.Second, 1)
 	ended := rig.startExchange(rig.admitAttempt())
